--- a/core/src/collect.rs
+++ b/core/src/collect.rs
@@ -5,8 +5,16 @@
 
 impl<J> Core<J> {
     /// An attempt has ended. Only its first end counts; `false`: it had ended before.
-    pub fn ended(&mut self, now: Time, attempt: u64, outcome: Outcome, value: Option<Value>) -> bool {
-        let Some(a) = self.attempts.remove(&attempt) else { return false };
+    pub fn ended(
+        &mut self,
+        now: Time,
+        attempt: u64,
+        outcome: Outcome,
+        value: Option<Value>,
+    ) -> bool {
+        let Some(a) = self.attempts.remove(&attempt) else {
+            return false;
+        };
         self.out.remove(&(a.part, a.number));
         let most_bytes = self.most_bytes();
         let place = self.parts.get(&a.part).copied();
@@ -20,8 +28,9 @@
         if let (Some(part), Outcome::Moot) = (&mut part, outcome) {
             part.unsent += 1;
         }
-        if let Some(part) =
-            part.as_mut().filter(|p| outcome.never_ran() && p.ran.is_some_and(|r| r.0 == a.number))
+        if let Some(part) = part
+            .as_mut()
+            .filter(|p| outcome.never_ran() && p.ran.is_some_and(|r| r.0 == a.number))
         {
             part.ran = None;
         }
--- a/core/src/contract.rs
+++ b/core/src/contract.rs
@@ -1,6 +1,8 @@
-//! Contracts of the teams that ask: the classes a team may use, its rate and its budget of further attempts.
+//! Contracts of the teams that ask: the classes a team may use, its rate and its budget of further
+//! attempts.
 //!
-//! They are checked at intake. Without any contract configured, as on the platform, nothing is checked.
+//! They are checked at intake. Without any contract configured, as on the platform, nothing is
+//! checked.
 
 use lichenswitch_interface::{Budget, Micros, Time};
 use std::collections::BTreeMap;
@@ -46,8 +48,17 @@
     /// Contracts by the teams' names.
     #[must_use]
     pub fn new(teams: impl IntoIterator<Item = (String, Contract)>) -> Self {
-        let account = |contract: Contract| Account { tokens: burst(&contract), filled: Time(0), contract };
-        Contracts { teams: teams.into_iter().map(|(name, contract)| (name, account(contract))).collect() }
+        let account = |contract: Contract| Account {
+            tokens: burst(&contract),
+            filled: Time(0),
+            contract,
+        };
+        Contracts {
+            teams: teams
+                .into_iter()
+                .map(|(name, contract)| (name, account(contract)))
+                .collect(),
+        }
     }
 
     /// Whether a query may be taken now; if so, it counts to the team's rate.
@@ -55,24 +66,30 @@
         if self.teams.is_empty() {
             return Ok(());
         }
-        let account = team.and_then(|team| self.teams.get_mut(team)).ok_or(Breach::UnknownTeam)?;
+        let account = team
+            .and_then(|team| self.teams.get_mut(team))
+            .ok_or(Breach::UnknownTeam)?;
         let contract = &account.contract;
         if !contract.classes.is_empty() && !contract.classes.contains(&class) {
             return Err(Breach::Class);
         }
-        let Some(rate) = contract.rate else { return Ok(()) };
+        let Some(rate) = contract.rate else {
+            return Ok(());
+        };
         let gained = now.since(account.filled) as f64 / 1e6 * rate;
         account.tokens = (account.tokens + gained).min(burst(contract));
         account.filled = now;
         if account.tokens < 1.0 {
-            return Err(Breach::Rate(((1.0 - account.tokens) / rate * 1e6).ceil() as Micros));
+            return Err(Breach::Rate(
+                ((1.0 - account.tokens) / rate * 1e6).ceil() as Micros
+            ));
         }
         account.tokens -= 1.0;
         Ok(())
     }
 
-    /// The budget that the module is given: it keeps one for the whole instance, so the strictest of the
-    /// teams' budgets is kept for all.
+    /// The budget that the module is given: it keeps one for the whole instance, so the strictest
+    /// of the teams' budgets is kept for all.
     #[must_use]
     pub fn budget(&self) -> Option<Budget> {
         let budgets = self.teams.values().filter_map(|a| a.contract.budget);
--- a/core/src/contract/tests.rs
+++ b/core/src/contract/tests.rs
@@ -3,9 +3,21 @@
 use super::*;
 
 fn contracts() -> Contracts {
-    let rates = Contract { classes: vec![0], rate: Some(2.0), budget: None };
-    let strict = Budget { window: 10, least: 1.0, share: 0.1 };
-    let open = Contract { classes: vec![], rate: None, budget: Some(strict) };
+    let rates = Contract {
+        classes: vec![0],
+        rate: Some(2.0),
+        budget: None,
+    };
+    let strict = Budget {
+        window: 10,
+        least: 1.0,
+        share: 0.1,
+    };
+    let open = Contract {
+        classes: vec![],
+        rate: None,
+        budget: Some(strict),
+    };
     Contracts::new([("rates".into(), rates), ("open".into(), open)])
 }
 
@@ -31,5 +43,12 @@
 
 #[test]
 fn the_strictest_budget_reaches_the_module() {
-    assert_eq!(contracts().budget(), Some(Budget { window: 10, least: 1.0, share: 0.1 }));
+    assert_eq!(
+        contracts().budget(),
+        Some(Budget {
+            window: 10,
+            least: 1.0,
+            share: 0.1
+        })
+    );
 }
--- a/core/src/intake.rs
+++ b/core/src/intake.rs
@@ -21,8 +21,8 @@
 /// Weights of a query may miss 1 by this much: clients round them.
 const ROUNDING: f64 = 1e-3;
 
-/// Guards data nodes and honest answers: a part for a shard that there is not, one that comes twice or weights that
-/// are no shares would be sent, turned away, and counted.
+/// Guards data nodes and honest answers: a part for a shard that there is not, one that comes twice
+/// or weights that are no shares would be sent, turned away, and counted.
 fn sound(parts: &[(Shard, f64)], shards: u32) -> Result<(), Refusal> {
     let mut asked: Vec<Shard> = parts.iter().map(|p| p.0).collect();
     asked.sort_unstable();
@@ -34,15 +34,20 @@
         () if parts.is_empty() => Err(Refusal::Malformed("a query needs parts")),
         () if unknown => Err(Refusal::Malformed("there is no such shard")),
         () if twice => Err(Refusal::Malformed("a shard comes twice")),
-        () if !parts.iter().all(|p| share(p.1)) => Err(Refusal::Malformed("a weight is out of range")),
-        () if (sum - 1.0).abs() > ROUNDING => Err(Refusal::Malformed("the weights do not sum to 1")),
+        () if !parts.iter().all(|p| share(p.1)) => {
+            Err(Refusal::Malformed("a weight is out of range"))
+        }
+        () if (sum - 1.0).abs() > ROUNDING => {
+            Err(Refusal::Malformed("the weights do not sum to 1"))
+        }
         () => Ok(()),
     }
 }
 
 impl<J> Core<J> {
-    /// From now on no query is open later than this, and none is taken for whose aim there is no time left. Clients are
-    /// served for as long as there is: when brokers are restarted in turn, some have nowhere else to go.
+    /// From now on no query is open later than this, and none is taken for whose aim there is no
+    /// time left. Clients are served for as long as there is: when brokers are restarted in turn,
+    /// some have nowhere else to go.
     pub fn end_by(&mut self, at: Time) {
         self.end_by = Some(at);
     }
@@ -61,7 +66,13 @@
     /// Whether a query of some class would still be taken.
     #[must_use]
     pub fn takes(&self, now: Time) -> bool {
-        let shortest = self.settings.classes.iter().map(|c| c.aim.min(c.deadline)).min().unwrap_or_default();
+        let shortest = self
+            .settings
+            .classes
+            .iter()
+            .map(|c| c.aim.min(c.deadline))
+            .min()
+            .unwrap_or_default();
         self.end_by.is_none_or(|at| now.plus(shortest) <= at)
     }
 
@@ -89,7 +100,11 @@
             return Err(Refusal::Stopping);
         }
         if let Some(at) = self.end_by {
-            let aim = self.settings.classes.get(request.class).map_or(0, |c| c.aim);
+            let aim = self
+                .settings
+                .classes
+                .get(request.class)
+                .map_or(0, |c| c.aim);
             if request.deadline.min(now.plus(aim)) > at {
                 return Err(Refusal::Stopping);
             }
@@ -98,9 +113,13 @@
         }
         // Guards memory: what is held is bounded, and the module never sees the query.
         if self.held >= (self.settings.limits.held / self.parts_of.held) as usize {
-            return Err(Refusal::Busy(self.settings.limits.retry_after.map(|most| most / 2)));
+            return Err(Refusal::Busy(
+                self.settings.limits.retry_after.map(|most| most / 2),
+            ));
         }
-        self.contracts.admit(now, request.team.as_deref(), request.class).map_err(Refusal::Contract)?;
+        self.contracts
+            .admit(now, request.team.as_deref(), request.class)
+            .map_err(Refusal::Contract)?;
         let id = QueryId(self.new_id());
         self.next_number = (self.next_number + 1) % super::NUMBERS;
         let number = self.next_number;
@@ -114,7 +133,10 @@
             tenant: request.tenant,
         });
         if request.placement != Placement::default() {
-            self.inbox.push(Event::Placement { number, placement: request.placement });
+            self.inbox.push(Event::Placement {
+                number,
+                placement: request.placement,
+            });
         }
         self.deadlines.insert((request.deadline, id));
         self.queries.insert(
@@ -133,10 +155,15 @@
         );
         self.held += 1;
         let two_steps = self.settings.classes[request.class].second_step > 0;
-        // Guards wide queries: what their clients rounded off adds up, and a sum short of 1 would look to the module like
-        // a part that can't be had, so that it answered in part as soon as the floor was in.
+        // Guards wide queries: what their clients rounded off adds up, and a sum short of 1 would
+        // look to the module like a part that can't be had, so that it answered in part as soon as
+        // the floor was in.
         let sum: f64 = request.parts.iter().map(|p| p.1).sum();
-        let parts: Vec<(Shard, f64)> = request.parts.iter().map(|&(s, weight)| (s, weight / sum)).collect();
+        let parts: Vec<(Shard, f64)> = request
+            .parts
+            .iter()
+            .map(|&(s, weight)| (s, weight / sum))
+            .collect();
         if two_steps && self.planner.plans(request.class) {
             let parts: Vec<(u32, f64)> = parts.iter().map(|p| (p.0 .0, p.1)).collect();
             self.planner.on_query(now, id, request.class, &parts);
@@ -161,9 +188,25 @@
         self.parts.insert(part, (query, q.parts.len()));
         let (value, proved) = (None, false);
         let (attempts, unsent, ran) = (0, 0, None);
-        q.parts.push(Part { id: part, shard, weight, second, attempts, unsent, value, most, proved, ran });
+        q.parts.push(Part {
+            id: part,
+            shard,
+            weight,
+            second,
+            attempts,
+            unsent,
+            value,
+            most,
+            proved,
+            ran,
+        });
         self.held += 1;
-        self.inbox.push(Event::Part { part, number: q.number, shard, weight });
+        self.inbox.push(Event::Part {
+            part,
+            number: q.number,
+            shard,
+            weight,
+        });
         Some(part)
     }
 
@@ -180,10 +223,16 @@
         self.deadlines.remove(&(q.deadline, query));
         self.planner.on_end(query);
         self.held -= 1 + q.parts.len();
-        self.bytes -= q.parts.iter().filter_map(|p| p.value.as_ref()).map(|v| v.bytes.len()).sum::<usize>();
+        self.bytes -= q
+            .parts
+            .iter()
+            .filter_map(|p| p.value.as_ref())
+            .map(|v| v.bytes.len())
+            .sum::<usize>();
         for part in &q.parts {
             self.parts.remove(&part.id);
-            // Guards against parts that nobody waits for: one that still waits for a connection is sent by nobody.
+            // Guards against parts that nobody waits for: one that still waits for a connection is
+            // sent by nobody.
             let out = (0..part.attempts).filter_map(|number| self.out.get(&(part.id, number)));
             self.recalls.extend(out);
         }
--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -1,9 +1,10 @@
-//! Queries, parts, attempts and their outcomes: what stands between the fronts, the decision module and the
-//! data nodes. It knows no wire: a front hands in a [`Request`] with a job of its own kind, the upstream of the
-//! same kind carries out [`Command::Send`], and the answer goes back as a [`Reply`].
+//! Queries, parts, attempts and their outcomes: what stands between the fronts, the decision module
+//! and the data nodes. It knows no wire: a front hands in a [`Request`] with a job of its own kind,
+//! the upstream of the same kind carries out [`Command::Send`], and the answer goes back as a
+//! [`Reply`].
 //!
-//! A query goes through `intake`, `dispatch`, `collect` and `answer`, one file each; `phases` asks the planner of
-//! queries of two steps. Time is an argument.
+//! A query goes through `intake`, `dispatch`, `collect` and `answer`, one file each; `phases` asks
+//! the planner of queries of two steps. Time is an argument.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -17,8 +18,8 @@
 mod tests;
 
 use lichenswitch_interface::{
-    Budget, Class, Event, Listing, Load, Micros, PartId, Parts, Placement, QueryId, ServerId, Settings,
-    Shard, Time, ALONE,
+    Budget, Class, Event, Listing, Load, Micros, PartId, Parts, Placement, QueryId, ServerId,
+    Settings, Shard, Time, ALONE,
 };
 use lichenswitch_phases::prune::{Key, Way};
 use lichenswitch_phases::Planner;
@@ -48,8 +49,8 @@
     pub team: Option<String>,
     /// Its shards, each with the weight of its part.
     pub parts: Vec<(Shard, f64)>,
-    /// Set where only the first so many elements are wanted, in that order of their keys: the second step then goes to
-    /// the shards that can have any of them.
+    /// Set where only the first so many elements are wanted, in that order of their keys: the
+    /// second step then goes to the shards that can have any of them.
     pub top: Option<(usize, Way)>,
     /// What front and upstream know of it.
     pub job: J,
@@ -119,8 +120,8 @@
     pub most: Option<usize>,
     /// How long its answer will be waited for.
     pub wait: Micros,
-    /// Where an attempt before it may have run and a repeat is dropped for a time only: the moment in which the module lets a
-    /// repeat leave at the latest.
+    /// Where an attempt before it may have run and a repeat is dropped for a time only: the moment
+    /// in which the module lets a repeat leave at the latest.
     pub leave_by: Option<Time>,
 }
 
@@ -144,8 +145,8 @@
     Send(ServerId, Vec<Dispatch<J>>),
     /// Give up an attempt that is out. Its outcome is already settled.
     Withdraw(u64),
-    /// The query of an attempt that is out has ended: where the attempt has not left yet it is not to leave any more, whether
-    /// or not servers may be told that one is given up.
+    /// The query of an attempt that is out has ended: where the attempt has not left yet it is not
+    /// to leave any more, whether or not servers may be told that one is given up.
     Recall(u64),
     /// Close idle connections to a server.
     CloseIdle(ServerId),
@@ -295,15 +296,20 @@
         &self.settings
     }
 
-    /// The classes from now on. There are never fewer than before; a query that is held keeps its class for as long as
-    /// its place is not given to another one.
+    /// The classes from now on. There are never fewer than before; a query that is held keeps its
+    /// class for as long as its place is not given to another one.
     pub fn set_classes(&mut self, classes: Vec<Class>) {
         debug_assert!(
             classes.len() >= self.settings.classes.len(),
             "held queries know their class by its place"
         );
-        self.tallies.resize(classes.len().max(self.tallies.len()), Tally::default());
-        let kept = self.settings.classes.get(classes.len()..).unwrap_or_default();
+        self.tallies
+            .resize(classes.len().max(self.tallies.len()), Tally::default());
+        let kept = self
+            .settings
+            .classes
+            .get(classes.len()..)
+            .unwrap_or_default();
         self.settings.classes = [&classes, kept].concat();
         self.inbox.push(Event::Classes(classes));
     }
@@ -362,8 +368,8 @@
         self.inbox.push(Event::List(listing));
     }
 
-    /// When the next turn is to be taken: at once if something waits, but not sooner after the last turn than
-    /// the resolution allows.
+    /// When the next turn is to be taken: at once if something waits, but not sooner after the last
+    /// turn than the resolution allows.
     #[must_use]
     pub fn next_turn(&self) -> Option<Time> {
         let soonest = self.turned.plus(self.settings.resolution);
@@ -371,7 +377,11 @@
             return Some(soonest);
         }
         let overdue = self.deadlines.first().map(|d| d.0);
-        [self.wake, overdue, self.planner.next()].into_iter().flatten().min().map(|at| at.max(soonest))
+        [self.wake, overdue, self.planner.next()]
+            .into_iter()
+            .flatten()
+            .min()
+            .map(|at| at.max(soonest))
     }
 
     /// Hands all that has come to the module in one go and tells what is to be done.
--- a/core/src/phases.rs
+++ b/core/src/phases.rs
@@ -8,24 +8,38 @@
 
 fn bound(shard: Shard, value: &Value) -> Option<Bound> {
     let offer = value.offer.as_ref()?;
-    Some(Bound { slice: shard.0, keys: offer.keys.clone(), matched: offer.matched })
+    Some(Bound {
+        slice: shard.0,
+        keys: offer.keys.clone(),
+        matched: offer.matched,
+    })
 }
 
 impl<J> Core<J> {
     /// An attempt of a part that is still held has ended: the planner learns of it.
     pub(super) fn learn(&mut self, now: Time, attempt: &Attempt, outcome: Outcome) {
-        let Some(&(query, i)) = self.parts.get(&attempt.part) else { return };
-        let Some(part) = self.queries.get(&query).and_then(|q| q.parts.get(i)) else { return };
-        let (shard, took, pending): (_, Micros, _) =
-            (part.shard, now.since(attempt.sent), f64::from(attempt.pending));
+        let Some(&(query, i)) = self.parts.get(&attempt.part) else {
+            return;
+        };
+        let Some(part) = self.queries.get(&query).and_then(|q| q.parts.get(i)) else {
+            return;
+        };
+        let (shard, took, pending): (_, Micros, _) = (
+            part.shard,
+            now.since(attempt.sent),
+            f64::from(attempt.pending),
+        );
         if outcome == Outcome::Ok {
             let told = part.value.as_ref().and_then(|value| bound(shard, value));
-            let verdicts = self.planner.on_answer(now, (query, shard.0), (part.second, took, pending), told);
+            let verdicts =
+                self.planner
+                    .on_answer(now, (query, shard.0), (part.second, took, pending), told);
             return self.heed(verdicts);
         }
         let silent = matches!(outcome, Outcome::Timeout | Outcome::Cancelled);
         let gave_up = silent.then_some((took, pending));
-        self.planner.on_loss(now, (query, shard.0), part.second, attempt.sent, gave_up);
+        self.planner
+            .on_loss(now, (query, shard.0), part.second, attempt.sent, gave_up);
     }
 
     /// Does what the planner says.
@@ -42,7 +56,8 @@
                 }
                 Verdict::Unneeded(id, slice, why) => {
                     let parts = self.queries.get_mut(&id).map(|q| &mut q.parts);
-                    let part = parts.and_then(|p| p.iter_mut().find(|p| p.second && p.shard.0 == slice));
+                    let part =
+                        parts.and_then(|p| p.iter_mut().find(|p| p.second && p.shard.0 == slice));
                     if let Some(part) = part {
                         part.proved = true;
                         self.inbox.push(Event::Unneeded(part.id));
@@ -62,15 +77,24 @@
 
     /// The planner's second step; `None`: it plans nothing for this class.
     fn plan(&mut self, now: Time, query: QueryId) -> Option<Plan> {
-        let q = self.queries.get(&query).filter(|q| self.planner.plans(q.class))?;
+        let q = self
+            .queries
+            .get(&query)
+            .filter(|q| self.planner.plans(q.class))?;
         let goal = q.top.map_or(Goal::BestScores, |(k, way)| Goal::Top(k, way));
         let first = |p: &super::Part| {
             let value = p.value.as_ref()?;
-            Some(First { slice: p.shard.0, score: value.score, bound: bound(p.shard, value) })
+            Some(First {
+                slice: p.shard.0,
+                score: value.score,
+                bound: bound(p.shard, value),
+            })
         };
         let firsts = q.parts.iter().filter_map(first).collect();
         let (class, module) = (q.class, &self.module);
-        self.planner.between(now, query, goal, firsts, |slice| module.pending_for(Shard(slice), class))
+        self.planner.between(now, query, goal, firsts, |slice| {
+            module.pending_for(Shard(slice), class)
+        })
     }
 
     /// Begins the second step of a query whose first has ended, whole or not.
@@ -82,9 +106,14 @@
         commands: &mut Vec<Command<J>>,
     ) {
         let plan = self.plan(now, query);
-        let Some(q) = self.queries.get_mut(&query) else { return };
-        let mut scores: Vec<(f64, Shard)> =
-            q.parts.iter().filter_map(|p| p.value.as_ref().map(|v| (v.score, p.shard))).collect();
+        let Some(q) = self.queries.get_mut(&query) else {
+            return;
+        };
+        let mut scores: Vec<(f64, Shard)> = q
+            .parts
+            .iter()
+            .filter_map(|p| p.value.as_ref().map(|v| (v.score, p.shard)))
+            .collect();
         let shards = scores.iter().map(|s| s.1).collect();
         q.first = Some(Rc::new(FirstStep { shards, whole }));
         let Some(plan) = plan else {
@@ -98,14 +127,19 @@
             return;
         };
         if self.explain {
-            self.lines.extend(plan.why.iter().map(|why| format!("query {}: {why}", query.0)));
+            self.lines.extend(
+                plan.why
+                    .iter()
+                    .map(|why| format!("query {}: {why}", query.0)),
+            );
         }
         q.left_out = plan.left_out.iter().map(|&slice| Shard(slice)).collect();
         if plan.give_up {
             return self.inbox.push(Event::GiveUp(query));
         }
         if plan.parts.is_empty() {
-            // Nothing is left to ask: the module, which waits for parts, is told that the query is over.
+            // Nothing is left to ask: the module, which waits for parts, is told that the query is
+            // over.
             self.inbox.push(Event::Hangup(query));
             return self.served(query, whole, commands);
         }
@@ -114,7 +148,10 @@
             // All that was proved to be unneeded counts as one part that is in.
             let all = weight * plan.proved.len() as f64;
             if let Some(part) = self.add_part(query, Shard(slice), all, true, None) {
-                let last = self.queries.get_mut(&query).and_then(|q| q.parts.last_mut());
+                let last = self
+                    .queries
+                    .get_mut(&query)
+                    .and_then(|q| q.parts.last_mut());
                 last.into_iter().for_each(|p| p.proved = true);
                 self.inbox.push(Event::Unneeded(part));
             }
@@ -129,7 +166,12 @@
         let Some(q) = self.release(query) else { return };
         self.tallies[q.class].served += 1;
         let second = q.first.is_some();
-        let mut gaps: Vec<Shard> = q.parts.iter().filter(|p| !p.is_in()).map(|p| p.shard).collect();
+        let mut gaps: Vec<Shard> = q
+            .parts
+            .iter()
+            .filter(|p| !p.is_in())
+            .map(|p| p.shard)
+            .collect();
         gaps.extend(&q.left_out);
         gaps.sort_unstable();
         gaps.dedup();
@@ -138,12 +180,23 @@
         let mut values: Vec<(Shard, Value)> = Vec::new();
         for part in q.parts.into_iter().filter(|p| p.second == second || sorted) {
             let Some(value) = part.value else { continue };
-            // Of a sorted answer a shard's second value takes the place of its first, which it holds again.
-            match values.iter_mut().find(|v| sorted && part.second && v.0 == part.shard) {
+            // Of a sorted answer a shard's second value takes the place of its first, which it
+            // holds again.
+            match values
+                .iter_mut()
+                .find(|v| sorted && part.second && v.0 == part.shard)
+            {
                 Some(first) => first.1 = value,
                 None => values.push((part.shard, value)),
             }
         }
-        commands.push(Command::Reply(query, Reply::Served { whole, values, gaps }));
+        commands.push(Command::Reply(
+            query,
+            Reply::Served {
+                whole,
+                values,
+                gaps,
+            },
+        ));
     }
 }
--- a/core/src/tests.rs
+++ b/core/src/tests.rs
@@ -1,8 +1,10 @@
-//! Tests of the books: what the module asks for is carried out, and the rules hold whatever it asks.
+//! Tests of the books: what the module asks for is carried out, and the rules hold whatever it
+//! asks.
 
 use super::*;
 use lichenswitch_interface::{
-    Action, Budget, Class, Cold, Discovery, Layout, Limits, Listed, Mode, Outcome, Repeat, FIRST_SHARE,
+    Action, Budget, Class, Cold, Discovery, Layout, Limits, Listed, Mode, Outcome, Repeat,
+    FIRST_SHARE,
 };
 
 const MS: Micros = 1_000;
@@ -33,9 +35,19 @@
             retry_after: Some(2_000 * MS),
             budget: None::<Budget>,
         },
-        layout: Layout { cells: 2, width: 2, shards: 4, parts_a_call: 2 },
+        layout: Layout {
+            cells: 2,
+            width: 2,
+            shards: 4,
+            parts_a_call: 2,
+        },
         discovery: Discovery::Push,
-        cold: Cold { share: 0.3, warm_after: 1, fall_multiple: 3.0, fall_after: 1_000 * MS },
+        cold: Cold {
+            share: 0.3,
+            warm_after: 1,
+            fall_multiple: 3.0,
+            fall_after: 1_000 * MS,
+        },
         resolution: 5 * MS,
         ..Settings::default()
     }
@@ -54,9 +66,18 @@
 
     fn with(settings: Settings) -> Stage {
         let mut core = Core::new(7, settings, Contracts::default(), MEMORY);
-        let line = |id| Listed { server: ServerId(id), cell: id, zone: 0, mode: Mode::Ready, started: None };
+        let line = |id| Listed {
+            server: ServerId(id),
+            cell: id,
+            zone: 0,
+            mode: Mode::Ready,
+            started: None,
+        };
         core.listed(Listing::Whole(vec![line(0), line(1)]));
-        let mut stage = Stage { core, now: Time(1_000_000 * MS) };
+        let mut stage = Stage {
+            core,
+            now: Time(1_000_000 * MS),
+        };
         stage.turn();
         stage
     }
@@ -67,7 +88,12 @@
     }
 
     fn take(&mut self, shards: &[u32]) -> Result<QueryId, Refusal> {
-        self.take_parts(shards.iter().map(|&s| (Shard(s), 1.0 / shards.len() as f64)).collect())
+        self.take_parts(
+            shards
+                .iter()
+                .map(|&s| (Shard(s), 1.0 / shards.len() as f64))
+                .collect(),
+        )
     }
 
     fn take_parts(&mut self, parts: Vec<(Shard, f64)>) -> Result<QueryId, Refusal> {
@@ -75,8 +101,11 @@
     }
 
     fn end(&mut self, attempt: u64, outcome: Outcome, score: f64) {
-        let value =
-            (outcome == Outcome::Ok).then(|| Value { score, bytes: vec![attempt as u8], offer: None });
+        let value = (outcome == Outcome::Ok).then(|| Value {
+            score,
+            bytes: vec![attempt as u8],
+            offer: None,
+        });
         self.core.ended(self.now, attempt, outcome, value);
     }
 }
@@ -100,15 +129,30 @@
 fn a_shared_beginning_is_told_before_the_parts_that_it_concerns() {
     let mut stage = Stage::new(0);
     for (prefix, told) in [(0, 0), (9, 1)] {
-        let placement = Placement { prefix, ..Placement::default() };
+        let placement = Placement {
+            prefix,
+            ..Placement::default()
+        };
         stage.turn();
-        let request = Request { placement, ..request(stage.now, vec![(Shard(0), 1.0)]) };
+        let request = Request {
+            placement,
+            ..request(stage.now, vec![(Shard(0), 1.0)])
+        };
         stage.core.take(stage.now, request).unwrap();
         let place = |wanted: fn(&Event) -> bool| stage.core.inbox.iter().position(wanted);
-        let prefixes =
-            place(|event| matches!(event, Event::Placement { placement: Placement { prefix: 9, .. }, .. }));
+        let prefixes = place(|event| {
+            matches!(
+                event,
+                Event::Placement {
+                    placement: Placement { prefix: 9, .. },
+                    ..
+                }
+            )
+        });
         assert_eq!(prefixes.is_some(), told == 1, "{:?}", stage.core.inbox);
-        assert!(prefixes.is_none_or(|at| Some(at) < place(|event| matches!(event, Event::Part { .. }))));
+        assert!(
+            prefixes.is_none_or(|at| Some(at) < place(|event| matches!(event, Event::Part { .. })))
+        );
     }
 }
 
@@ -142,7 +186,10 @@
         .collect();
     assert_eq!(calls.iter().sum::<usize>(), 4);
     assert!(calls.iter().all(|&n| n <= 2), "{calls:?}");
-    assert!(sends(&commands).iter().all(|d| d.wait <= 2_000 * MS), "never beyond the client's time");
+    assert!(
+        sends(&commands).iter().all(|d| d.wait <= 2_000 * MS),
+        "never beyond the client's time"
+    );
 }
 
 #[test]
@@ -154,9 +201,26 @@
         stage.end(send.attempt, Outcome::Error, 0.0); // Only the first end counts.
     }
     let answered = replies(&stage.turn());
-    let [Reply::Served { whole: true, values, .. }] = &answered[..] else { panic!("{answered:?}") };
-    assert_eq!(values.iter().map(|v| v.0).collect::<Vec<_>>(), [Shard(0), Shard(1)]);
-    assert_eq!((stage.core.held, stage.core.attempts.len(), stage.core.out.len()), (0, 0, 0));
+    let [Reply::Served {
+        whole: true,
+        values,
+        ..
+    }] = &answered[..]
+    else {
+        panic!("{answered:?}")
+    };
+    assert_eq!(
+        values.iter().map(|v| v.0).collect::<Vec<_>>(),
+        [Shard(0), Shard(1)]
+    );
+    assert_eq!(
+        (
+            stage.core.held,
+            stage.core.attempts.len(),
+            stage.core.out.len()
+        ),
+        (0, 0, 0)
+    );
     assert_eq!(stage.core.bytes, 0);
 }
 
@@ -173,12 +237,21 @@
         &[(0, 1.0), (1, 0.0)],
         &[(0, f64::NAN)],
     ] {
-        let parts = parts.iter().map(|&(shard, weight)| (Shard(shard), weight)).collect();
+        let parts = parts
+            .iter()
+            .map(|&(shard, weight)| (Shard(shard), weight))
+            .collect();
         let taken = stage.take_parts(parts);
         assert!(matches!(taken, Err(Refusal::Malformed(_))), "{taken:?}");
     }
     assert!(stage.core.held == 0 && stage.core.inbox.is_empty());
-    assert!(stage.take_parts(vec![(Shard(0), 0.33333), (Shard(1), 0.33333), (Shard(3), 0.33333)]).is_ok());
+    assert!(stage
+        .take_parts(vec![
+            (Shard(0), 0.33333),
+            (Shard(1), 0.33333),
+            (Shard(3), 0.33333)
+        ])
+        .is_ok());
 }
 
 #[test]
@@ -189,7 +262,10 @@
     let end = stage.now.plus(4_000 * MS);
     stage.core.end_by(end);
     stage.now = end.minus(aim);
-    assert!(stage.core.takes(stage.now) && stage.take(&[0]).is_ok(), "its client waits for longer");
+    assert!(
+        stage.core.takes(stage.now) && stage.take(&[0]).is_ok(),
+        "its client waits for longer"
+    );
     assert_eq!(sends(&stage.turn()).len(), 1);
     stage.now = stage.now.plus(MS);
     assert!(!stage.core.takes(stage.now));
@@ -219,7 +295,10 @@
         expected.push(send.shard);
         stage.end(send.attempt, Outcome::Ok, score);
     }
-    assert!(replies(&stage.turn()).is_empty(), "the first step is no answer");
+    assert!(
+        replies(&stage.turn()).is_empty(),
+        "the first step is no answer"
+    );
     let second = sends(&stage.turn());
     let mut shards: Vec<u32> = second.iter().map(|d| d.shard.0).collect();
     shards.sort_unstable();
@@ -228,11 +307,21 @@
         let first = send.first.as_ref().unwrap();
         let mut were_in = first.shards.clone();
         were_in.sort();
-        assert_eq!((were_in, first.whole), (vec![Shard(0), Shard(1), Shard(2)], true));
+        assert_eq!(
+            (were_in, first.whole),
+            (vec![Shard(0), Shard(1), Shard(2)], true)
+        );
         stage.end(send.attempt, Outcome::Ok, 0.0);
     }
     let answered = replies(&stage.turn());
-    let [Reply::Served { whole: true, values, .. }] = &answered[..] else { panic!("{answered:?}") };
+    let [Reply::Served {
+        whole: true,
+        values,
+        ..
+    }] = &answered[..]
+    else {
+        panic!("{answered:?}")
+    };
     assert_eq!(values.len(), 2, "the values of the second step alone");
 }
 
@@ -246,12 +335,18 @@
     // The module never does this: the guard is what is tested.
     stage.core.answer(Time(1), query, true, &mut commands);
     let answered = replies(&commands);
-    assert!(matches!(&answered[..], [Reply::Served { whole: false, values, .. }] if values.len() == 1));
+    assert!(
+        matches!(&answered[..], [Reply::Served { whole: false, values, .. }] if values.len() == 1)
+    );
     let query = stage.take(&[0, 1]).unwrap();
     stage.turn();
     let mut commands = Vec::new();
     stage.core.answer(Time(1), query, true, &mut commands);
-    assert_eq!(replies(&commands), [Reply::Failed], "nothing from less than the floor");
+    assert_eq!(
+        replies(&commands),
+        [Reply::Failed],
+        "nothing from less than the floor"
+    );
 }
 
 #[test]
@@ -261,7 +356,9 @@
     stage.turn();
     assert!(stage.core.next_turn().unwrap() <= stage.now.plus(2_000 * MS));
     let mut commands = Vec::new();
-    stage.core.end_overdue(stage.now.plus(2_000 * MS), &mut commands);
+    stage
+        .core
+        .end_overdue(stage.now.plus(2_000 * MS), &mut commands);
     assert_eq!(replies(&commands), [Reply::Failed]);
     assert_eq!(stage.core.held, 0);
 }
@@ -273,7 +370,9 @@
     let send = &sends(&stage.turn())[0];
     stage.core.hangup(query);
     let commands = stage.turn();
-    assert!(commands.iter().any(|c| matches!(c, Command::Withdraw(a) if *a == send.attempt)));
+    assert!(commands
+        .iter()
+        .any(|c| matches!(c, Command::Withdraw(a) if *a == send.attempt)));
     assert!(replies(&commands).is_empty());
 }
 
@@ -288,11 +387,23 @@
     let mut recalled = stage.core.take_recalls();
     sent.sort_unstable();
     recalled.sort_unstable();
-    assert!(sent.len() == 2 && recalled == sent, "{sent:?}, {recalled:?}");
-    recalled.iter().for_each(|a| stage.end(*a, Outcome::Moot, 0.0));
+    assert!(
+        sent.len() == 2 && recalled == sent,
+        "{sent:?}, {recalled:?}"
+    );
+    recalled
+        .iter()
+        .for_each(|a| stage.end(*a, Outcome::Moot, 0.0));
     let commands = stage.turn();
-    assert!(commands.iter().all(|c| !matches!(c, Command::Withdraw(_) | Command::Recall(_))), "{commands:?}");
-    assert!(stage.core.attempts.is_empty() && stage.core.out.is_empty() && stage.core.load.is_empty());
+    assert!(
+        commands
+            .iter()
+            .all(|c| !matches!(c, Command::Withdraw(_) | Command::Recall(_))),
+        "{commands:?}"
+    );
+    assert!(
+        stage.core.attempts.is_empty() && stage.core.out.is_empty() && stage.core.load.is_empty()
+    );
     assert_eq!((stage.core.held, stage.core.bytes), (0, 0));
 }
 
@@ -308,7 +419,10 @@
         }
     }
     let commands = stage.turn();
-    assert!(matches!(&replies(&commands)[..], [Reply::Refused(Some(after))] if *after > 0), "{commands:?}");
+    assert!(
+        matches!(&replies(&commands)[..], [Reply::Refused(Some(after))] if *after > 0),
+        "{commands:?}"
+    );
 }
 
 #[test]
@@ -316,10 +430,23 @@
     let mut stage = Stage::new(0);
     let query = stage.take(&[0, 1]).unwrap();
     let send = sends(&stage.turn());
-    let large = |bytes: usize| Some(Value { score: 0.0, bytes: vec![0; bytes], offer: None });
-    stage.core.ended(stage.now, send[0].attempt, Outcome::Ok, large(MEMORY / 4));
-    stage.core.ended(stage.now, send[1].attempt, Outcome::Ok, large(1));
-    assert!(replies(&stage.turn()).is_empty(), "the second part has to be asked for again");
+    let large = |bytes: usize| {
+        Some(Value {
+            score: 0.0,
+            bytes: vec![0; bytes],
+            offer: None,
+        })
+    };
+    stage
+        .core
+        .ended(stage.now, send[0].attempt, Outcome::Ok, large(MEMORY / 4));
+    stage
+        .core
+        .ended(stage.now, send[1].attempt, Outcome::Ok, large(1));
+    assert!(
+        replies(&stage.turn()).is_empty(),
+        "the second part has to be asked for again"
+    );
     stage.core.hangup(query);
     assert_eq!(stage.core.bytes, 0);
 }
@@ -329,9 +456,17 @@
     let mut stage = Stage::new(0);
     let query = stage.take(&[0]).unwrap();
     let part = stage.core.queries[&query].parts[0].id;
-    let send = Action::Send { part, server: ServerId(0), timeout: 1_000 * MS };
+    let send = Action::Send {
+        part,
+        server: ServerId(0),
+        timeout: 1_000 * MS,
+    };
     let mut commands = Vec::new();
-    stage.core.carry_out(stage.now, vec![send, Action::Cancel { part, attempt: 0 }], &mut commands);
+    stage.core.carry_out(
+        stage.now,
+        vec![send, Action::Cancel { part, attempt: 0 }],
+        &mut commands,
+    );
     assert!(commands.is_empty(), "{commands:?}");
     assert!(stage.core.attempts.is_empty(), "its outcome is settled");
 }
@@ -346,34 +481,59 @@
         for send in sends(&stage.turn()) {
             let left = round % 3 == 2;
             made += usize::from(left);
-            stage.end(send.attempt, if left { Outcome::Error } else { Outcome::Moot }, 0.0);
+            stage.end(
+                send.attempt,
+                if left { Outcome::Error } else { Outcome::Moot },
+                0.0,
+            );
         }
     }
     assert_eq!(made, 4, "eight that never left took none of their places");
     assert!(matches!(&replies(&stage.turn())[..], [Reply::Refused(_)]));
 }
 
-/// Clients tell weights to six places: of 87 equal parts the sum is 0.99998, of 200 unequal ones it may be 0.0001 off.
+/// Clients tell weights to six places: of 87 equal parts the sum is 0.99998, of 200 unequal ones it
+/// may be 0.0001 off.
 #[test]
 fn a_wide_query_whose_rounded_weights_miss_1_is_waited_for_and_whole() {
-    for (parts, weight, floor) in
-        [(87, 0.011_494, 0.8), (87, 0.011_494, 1.0), (96, 0.010_417, 0.8), (200, 0.005, 0.8)]
-    {
+    for (parts, weight, floor) in [
+        (87, 0.011_494, 0.8),
+        (87, 0.011_494, 1.0),
+        (96, 0.010_417, 0.8),
+        (200, 0.005, 0.8),
+    ] {
         let mut set = settings(0);
-        set.layout = Layout { shards: parts, parts_a_call: 8, ..set.layout };
+        set.layout = Layout {
+            shards: parts,
+            parts_a_call: 8,
+            ..set.layout
+        };
         set.limits.held = 1_000;
         set.classes[0].floor = floor;
         let mut stage = Stage::with(set);
-        stage.take_parts((0..parts).map(|s| (Shard(s), weight)).collect()).unwrap();
+        stage
+            .take_parts((0..parts).map(|s| (Shard(s), weight)).collect())
+            .unwrap();
         let sent = sends(&stage.turn());
-        assert_eq!(sent.len(), parts as usize, "none is given up for a sum of {}", f64::from(parts) * weight);
+        assert_eq!(
+            sent.len(),
+            parts as usize,
+            "none is given up for a sum of {}",
+            f64::from(parts) * weight
+        );
         for send in &sent[1..] {
             stage.end(send.attempt, Outcome::Ok, 0.0);
         }
-        assert!(replies(&stage.turn()).is_empty(), "{parts} parts: the last one can still come");
+        assert!(
+            replies(&stage.turn()).is_empty(),
+            "{parts} parts: the last one can still come"
+        );
         stage.end(sent[0].attempt, Outcome::Ok, 0.0);
         let told = replies(&stage.turn());
-        assert!(matches!(&told[..], [Reply::Served { whole: true, .. }]), "{parts} parts: {told:?}");
+        assert!(
+            matches!(&told[..], [Reply::Served { whole: true, .. }]),
+            "{parts} parts: {told:?}"
+        );
     }
 }
 
@@ -404,8 +564,14 @@
 fn classes_come_while_it_runs_with_attempts_and_figures_of_their_own() {
     let mut stage = Stage::new(0);
     let kept = stage.take(&[0]).unwrap();
-    let (class, mut more) = (stage.core.settings().classes[0].clone(), stage.core.settings().classes.clone());
-    more.push(Class { attempts: Some(1), ..class });
+    let (class, mut more) = (
+        stage.core.settings().classes[0].clone(),
+        stage.core.settings().classes.clone(),
+    );
+    more.push(Class {
+        attempts: Some(1),
+        ..class
+    });
     stage.core.set_classes(more);
     let deadline = stage.now.plus(2_000 * MS);
     let (parts, tenant, job) = (vec![(Shard(1), 1.0)], u32::MAX, "second");
@@ -421,7 +587,13 @@
         top: None,
         job,
     };
-    let unknown = stage.core.take(stage.now, Request { class: 2, ..request.clone() });
+    let unknown = stage.core.take(
+        stage.now,
+        Request {
+            class: 2,
+            ..request.clone()
+        },
+    );
     assert!(matches!(unknown, Err(Refusal::Malformed(_))), "{unknown:?}");
     let second = stage.core.take(stage.now, request).unwrap();
     let first = sends(&stage.turn());
@@ -430,18 +602,34 @@
         stage.end(send.attempt, Outcome::Error, 0.0);
     }
     let commands = stage.turn();
-    let refused =
-        commands.iter().any(|c| matches!(c, Command::Reply(id, Reply::Refused(_)) if *id == second));
+    let refused = commands
+        .iter()
+        .any(|c| matches!(c, Command::Reply(id, Reply::Refused(_)) if *id == second));
     assert!(refused, "its class has one attempt: {commands:?}");
     let again = sends(&commands).len();
-    assert!(again == 1 && stage.core.held_queries() == 1, "{kept:?} is sent again: {commands:?}");
-    assert_eq!(stage.core.take_tallies().iter().map(|t| t.refused).collect::<Vec<_>>(), [0, 1]);
+    assert!(
+        again == 1 && stage.core.held_queries() == 1,
+        "{kept:?} is sent again: {commands:?}"
+    );
+    assert_eq!(
+        stage
+            .core
+            .take_tallies()
+            .iter()
+            .map(|t| t.refused)
+            .collect::<Vec<_>>(),
+        [0, 1]
+    );
 }
 
 #[test]
 fn the_budget_is_replaced_while_it_runs() {
     let mut stage = Stage::new(0);
-    let none = Budget { window: 1_000 * MS, least: 0.0, share: 0.0 };
+    let none = Budget {
+        window: 1_000 * MS,
+        least: 0.0,
+        share: 0.0,
+    };
     stage.core.set_budget(Some(none));
     assert_eq!(stage.core.settings().limits.budget, Some(none));
     for allowed in [false, true] {
@@ -459,13 +647,25 @@
 fn streams_that_run_on_at_a_server_send_others_elsewhere() {
     let mut stage = Stage::new(0);
     for busy in [0, 1, 0] {
-        stage.core.set_load(ServerId(busy), Load { streams: 5, backlog: 0 });
+        stage.core.set_load(
+            ServerId(busy),
+            Load {
+                streams: 5,
+                backlog: 0,
+            },
+        );
         stage.core.set_load(ServerId(1 - busy), Load::default());
         let query = stage.take(&[0]).unwrap();
         let commands = stage.turn();
         let at: Vec<ServerId> = commands
             .iter()
-            .filter_map(|c| if let Command::Send(s, _) = c { Some(*s) } else { None })
+            .filter_map(|c| {
+                if let Command::Send(s, _) = c {
+                    Some(*s)
+                } else {
+                    None
+                }
+            })
             .collect();
         assert_eq!(at, [ServerId(1 - busy)]);
         stage.end(sends(&commands)[0].attempt, Outcome::Ok, 0.0);
--- a/decide/agree/src/genesis.rs
+++ b/decide/agree/src/genesis.rs
@@ -1,7 +1,8 @@
-//! Who the voters are. A voter is its name and its memory: one whose memory is lost is another one, and what it promised
-//! under the former is not known to it any more. So each draws an identity when it begins without memory, keeps it, and tells
-//! it to the others; the first that has heard of all of them names them in a genesis, which never changes. Whoever
-//! comes with another identity than the genesis names does not vote.
+//! Who the voters are. A voter is its name and its memory: one whose memory is lost is another one,
+//! and what it promised under the former is not known to it any more. So each draws an identity
+//! when it begins without memory, keeps it, and tells it to the others; the first that has heard of
+//! all of them names them in a genesis, which never changes. Whoever comes with another identity
+//! than the genesis names does not vote.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -30,8 +31,13 @@
     /// Tells one genesis from another (FNV-1a, 64 bits, of names and memories).
     #[must_use]
     pub fn digest(&self) -> u64 {
-        let bytes = self.0.iter().flat_map(|v| v.name.bytes().chain([0]).chain(v.memory.to_be_bytes()));
-        bytes.fold(0xcbf2_9ce4_8422_2325, |hash, b| (hash ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
+        let bytes = self
+            .0
+            .iter()
+            .flat_map(|v| v.name.bytes().chain([0]).chain(v.memory.to_be_bytes()));
+        bytes.fold(0xcbf2_9ce4_8422_2325, |hash, b| {
+            (hash ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
+        })
     }
 }
 
@@ -63,7 +69,11 @@
             Reason::Waits(names) => write!(f, "nothing was heard yet of {}", names.join(", ")),
             Reason::Named => f.write_str("it is one of the voters"),
             Reason::Forgot(was) => {
-                write!(f, "the fleet knows {} by another memory: this one does not vote", was.name)
+                write!(
+                    f,
+                    "the fleet knows {} by another memory: this one does not vote",
+                    was.name
+                )
             }
             Reason::Unnamed => f.write_str("the fleet has begun without it: it does not vote"),
         }
@@ -80,7 +90,8 @@
 }
 
 impl Gather {
-    /// The voter `own` of those named, which the operators' file names; `begun`: the genesis that it has kept.
+    /// The voter `own` of those named, which the operators' file names; `begun`: the genesis that
+    /// it has kept.
     ///
     /// ```
     /// use lichenswitch_agree::genesis::{Gather, Identity, Reason};
@@ -99,9 +110,15 @@
     /// ```
     #[must_use]
     pub fn new(own: Identity, names: &[String], begun: Option<Genesis>) -> Gather {
-        let mut heard: BTreeMap<String, Option<Identity>> = names.iter().map(|n| (n.clone(), None)).collect();
+        let mut heard: BTreeMap<String, Option<Identity>> =
+            names.iter().map(|n| (n.clone(), None)).collect();
         heard.insert(own.name.clone(), Some(own.clone()));
-        let mut gather = Gather { own, heard, begun: None, why: Reason::Waits(Vec::new()) };
+        let mut gather = Gather {
+            own,
+            heard,
+            begun: None,
+            why: Reason::Waits(Vec::new()),
+        };
         match begun {
             Some(genesis) => drop(gather.adopt(&genesis)),
             None => drop(gather.complete()),
@@ -112,7 +129,10 @@
     /// What it announces of itself.
     #[must_use]
     pub fn announcement(&self) -> Announcement {
-        Announcement { identity: self.own.clone(), begun: self.begun.clone() }
+        Announcement {
+            identity: self.own.clone(),
+            begun: self.begun.clone(),
+        }
     }
 
     /// The genesis by which it votes, if it does.
@@ -127,7 +147,8 @@
         &self.why
     }
 
-    /// Another voter has announced itself. `true`: this one votes from now on, once it has kept the genesis.
+    /// Another voter has announced itself. `true`: this one votes from now on, once it has kept the
+    /// genesis.
     pub fn on_announcement(&mut self, announcement: &Announcement) -> bool {
         if self.begun.is_some() {
             return false;
@@ -138,7 +159,8 @@
         if let Some(place) = self.heard.get_mut(&announcement.identity.name) {
             *place = Some(announcement.identity.clone());
         }
-        // Guards against a second genesis: who knows that the fleet has begun without it gathers no other.
+        // Guards against a second genesis: who knows that the fleet has begun without it gathers no
+        // other.
         matches!(self.why, Reason::Waits(_)) && self.complete()
     }
 
@@ -156,7 +178,11 @@
     }
 
     fn complete(&mut self) -> bool {
-        let missing = self.heard.iter().filter(|(_, heard)| heard.is_none()).map(|(name, _)| name.clone());
+        let missing = self
+            .heard
+            .iter()
+            .filter(|(_, heard)| heard.is_none())
+            .map(|(name, _)| name.clone());
         let missing: Vec<String> = missing.collect();
         if !missing.is_empty() {
             self.why = Reason::Waits(missing);
--- a/decide/agree/src/genesis/tests.rs
+++ b/decide/agree/src/genesis/tests.rs
@@ -3,7 +3,10 @@
 use super::*;
 
 fn identity(name: &str, memory: u64) -> Identity {
-    Identity { name: name.into(), memory }
+    Identity {
+        name: name.into(),
+        memory,
+    }
 }
 
 fn names() -> Vec<String> {
@@ -13,27 +16,40 @@
 #[test]
 fn all_come_to_one_genesis_in_whatever_order_they_hear_of_each_other() {
     for order in 0..64usize {
-        let mut all: Vec<Gather> =
-            (0..3).map(|i| Gather::new(identity(["a", "b", "c"][i], i as u64 + 1), &names(), None)).collect();
+        let mut all: Vec<Gather> = (0..3)
+            .map(|i| Gather::new(identity(["a", "b", "c"][i], i as u64 + 1), &names(), None))
+            .collect();
         let mut chance = order as u64;
         for _ in 0..100 {
-            chance = chance.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
+            chance = chance
+                .wrapping_mul(6_364_136_223_846_793_005)
+                .wrapping_add(1);
             let (to, from) = ((chance >> 33) as usize % 3, (chance >> 40) as usize % 3);
             let announcement = all[from].announcement();
             all[to].on_announcement(&announcement);
         }
-        assert!(all.iter().all(|g| g.genesis().is_some() && g.genesis() == all[0].genesis()), "{order}");
+        assert!(
+            all.iter()
+                .all(|g| g.genesis().is_some() && g.genesis() == all[0].genesis()),
+            "{order}"
+        );
     }
 }
 
 #[test]
 fn who_has_forgotten_votes_neither_in_the_old_genesis_nor_in_another_one() {
-    let mut all = [("a", 1), ("b", 2), ("c", 3)].map(|(n, m)| Gather::new(identity(n, m), &names(), None));
+    let mut all =
+        [("a", 1), ("b", 2), ("c", 3)].map(|(n, m)| Gather::new(identity(n, m), &names(), None));
     let announcements = [0, 1, 2].map(|i| all[i].announcement());
-    assert!(announcements[1..].iter().fold(false, |_, a| all[0].on_announcement(a)));
+    assert!(announcements[1..]
+        .iter()
+        .fold(false, |_, a| all[0].on_announcement(a)));
     let mut late = Gather::new(identity("b", 9), &names(), None);
     assert!(!late.on_announcement(&all[0].announcement()));
-    assert_eq!(late.why().to_string(), "the fleet knows b by another memory: this one does not vote");
+    assert_eq!(
+        late.why().to_string(),
+        "the fleet knows b by another memory: this one does not vote"
+    );
     assert!(
         !late.on_announcement(&announcements[0])
             && !late.on_announcement(&announcements[2])
@@ -41,7 +57,9 @@
         "no second one"
     );
     let mut stranger = Gather::new(identity("d", 4), &names(), None);
-    assert!(!stranger.on_announcement(&all[0].announcement()) && stranger.why() == &Reason::Unnamed);
+    assert!(
+        !stranger.on_announcement(&all[0].announcement()) && stranger.why() == &Reason::Unnamed
+    );
     // With its memory it comes back as it was, though nobody else is there.
     let back = Gather::new(identity("a", 1), &names(), all[0].genesis().cloned());
     assert_eq!(back.genesis(), all[0].genesis());
--- a/decide/agree/src/persistent_state.rs
+++ b/decide/agree/src/persistent_state.rs
@@ -1,5 +1,6 @@
-//! What a voter has promised, accepted and learnt to be decided: in memory as the library wants it, and as records to be
-//! kept. The records of any number of whole writes, in order, make the same memory again.
+//! What a voter has promised, accepted and learnt to be decided: in memory as the library wants it,
+//! and as records to be kept. The records of any number of whole writes, in order, make the same
+//! memory again.
 
 use crate::genesis::{Genesis, Identity};
 use crate::state::{Entry, Snapshot};
@@ -60,7 +61,8 @@
         let mut state = PersistentState::default();
         for (place, record) in records.iter().enumerate() {
             let known = state.extend(record);
-            known.map_err(|()| format!("record {} of {} can't be read", place + 1, records.len()))?;
+            known
+                .map_err(|()| format!("record {} of {} can't be read", place + 1, records.len()))?;
         }
         Ok(state)
     }
@@ -124,7 +126,10 @@
     fn note(&mut self, changes: Vec<Change>) {
         let record = record(&changes);
         changes.into_iter().for_each(|change| self.apply(change));
-        self.journal.lock().unwrap_or_else(|e| e.into_inner()).push(record);
+        self.journal
+            .lock()
+            .unwrap_or_else(|e| e.into_inner())
+            .push(record);
     }
 
     fn apply(&mut self, change: Change) {
@@ -212,12 +217,15 @@
     }
 
     fn get_entries(&self, from: usize, to: usize) -> StorageResult<Vec<Entry>> {
-        // Guards the state: where a voter is sent what it lacks as a difference, the library (0.2.4) asks for its own decided
-        // entries by the index that will be decided then, before it writes that. What is not decided is no part of a
-        // state, and entries are asked for one by one nowhere else before they are decided.
+        // Guards the state: where a voter is sent what it lacks as a difference, the library
+        // (0.2.4) asks for its own decided entries by the index that will be decided then, before
+        // it writes that. What is not decided is no part of a state, and entries are asked for one
+        // by one nowhere else before they are decided.
         let to = to.min(self.decided);
         let at = |index: usize| index.checked_sub(self.trimmed);
-        let range = at(from).zip(at(to)).and_then(|(from, to)| self.log.get(from..to));
+        let range = at(from)
+            .zip(at(to))
+            .and_then(|(from, to)| self.log.get(from..to));
         Ok(range.map(<[Entry]>::to_vec).unwrap_or_default())
     }
 
@@ -226,7 +234,9 @@
     }
 
     fn get_suffix(&self, from: usize) -> StorageResult<Vec<Entry>> {
-        let suffix = from.checked_sub(self.trimmed).and_then(|from| self.log.get(from..));
+        let suffix = from
+            .checked_sub(self.trimmed)
+            .and_then(|from| self.log.get(from..));
         Ok(suffix.map(<[Entry]>::to_vec).unwrap_or_default())
     }
 
--- a/decide/agree/src/standing.rs
+++ b/decide/agree/src/standing.rs
@@ -1,7 +1,8 @@
-//! Where a broker stands in its fleet, as it knows of itself: whether a majority of the voters has heard it of late. It counts
-//! like the holder of a lease: from before it asked, on a clock that does not stop, less the drift. So who is joined by its own
-//! count has been heard by a majority within a lease, whatever the network held back, and one that wakes after a stop
-//! knows that it is not.
+//! Where a broker stands in its fleet, as it knows of itself: whether a majority of the voters has
+//! heard it of late. It counts like the holder of a lease: from before it asked, on a clock that
+//! does not stop, less the drift. So who is joined by its own count has been heard by a majority
+//! within a lease, whatever the network held back, and one that wakes after a stop knows that it is
+//! not.
 
 use lichenswitch_duty::Terms;
 use lichenswitch_interface::{Micros, Time};
@@ -55,13 +56,22 @@
 impl fmt::Display for Reason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Reason::Heard(of, all) => write!(f, "{of} of {all} voters have heard it within its lease"),
+            Reason::Heard(of, all) => {
+                write!(f, "{of} of {all} voters have heard it within its lease")
+            }
             Reason::Silent(ago) => {
-                write!(f, "the last majority of the voters heard it {} ms ago", ago / 1_000)
+                write!(
+                    f,
+                    "the last majority of the voters heard it {} ms ago",
+                    ago / 1_000
+                )
             }
             Reason::Never => f.write_str("no majority of the voters has heard it yet"),
             Reason::Begun(known, now) => {
-                write!(f, "the fleet has begun anew: genesis {now:x}, and {known:x} was known")
+                write!(
+                    f,
+                    "the fleet has begun anew: genesis {now:x}, and {known:x} was known"
+                )
             }
         }
     }
@@ -101,13 +111,24 @@
     #[must_use]
     pub fn new(voters: usize, terms: Terms) -> Hearing {
         let (asks, heard) = (BTreeMap::new(), BTreeMap::new());
-        Hearing { voters, terms, number: 0, asks, heard, genesis: None, other: None }
+        Hearing {
+            voters,
+            terms,
+            number: 0,
+            asks,
+            heard,
+            genesis: None,
+            other: None,
+        }
     }
 
     /// When it is to ask all voters next.
     #[must_use]
     pub fn ask_at(&self) -> Time {
-        self.asks.values().next_back().map_or(Time(0), |at| at.plus(self.terms.held() / 100 * AGAIN))
+        self.asks
+            .values()
+            .next_back()
+            .map_or(Time(0), |at| at.plus(self.terms.held() / 100 * AGAIN))
     }
 
     /// It asks all voters now; tells the number that answers have to name.
@@ -127,7 +148,8 @@
             self.other = Some(genesis);
             return;
         }
-        // Guards against answers that the network held back, and doubled ones: an older ask takes nothing from a later one.
+        // Guards against answers that the network held back, and doubled ones: an older ask takes
+        // nothing from a later one.
         if let Some(at) = self.asks.get(&number) {
             let last = self.heard.entry(voter.into()).or_insert(*at);
             *last = (*last).max(*at);
@@ -151,8 +173,11 @@
             let within = asked.iter().filter(|at| now.since(**at) < held).count();
             return (Standing::Joined, Reason::Heard(within, self.voters));
         }
-        let standing =
-            if silent < CUT_OFF * self.terms.awaited() { Standing::Doubtful } else { Standing::CutOff };
+        let standing = if silent < CUT_OFF * self.terms.awaited() {
+            Standing::Doubtful
+        } else {
+            Standing::CutOff
+        };
         (standing, Reason::Silent(silent))
     }
 }
--- a/decide/agree/src/state.rs
+++ b/decide/agree/src/state.rs
@@ -1,4 +1,5 @@
-//! What is agreed on, entry by entry, and what follows: the grants of duties. A snapshot is the same in short.
+//! What is agreed on, entry by entry, and what follows: the grants of duties. A snapshot is the
+//! same in short.
 
 use lichenswitch_duty::grants::{Entry as Grant, Grants, Told};
 use lichenswitch_interface::Time;
@@ -18,8 +19,8 @@
     type Snapshot = Snapshot;
 }
 
-/// What a run of entries comes to. Taken from the log's beginning it is the state; taken from later on it is the entries, which
-/// mean something only after what came before.
+/// What a run of entries comes to. Taken from the log's beginning it is the state; taken from later
+/// on it is the entries, which mean something only after what came before.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
     base: Told,
@@ -52,13 +53,19 @@
 
 impl storage::Snapshot<Entry> for Snapshot {
     fn create(entries: &[Entry]) -> Self {
-        Snapshot { base: Told::default(), after: entries.to_vec() }
+        Snapshot {
+            base: Told::default(),
+            after: entries.to_vec(),
+        }
     }
 
     fn merge(&mut self, delta: Self) {
         // The receiver holds the state from the log's beginning, the other one what came after it.
         self.after.extend(delta.after);
-        *self = Snapshot { base: self.grants(Time(0)).told(), after: Vec::new() };
+        *self = Snapshot {
+            base: self.grants(Time(0)).told(),
+            after: Vec::new(),
+        };
     }
 
     fn use_snapshots() -> bool {
--- a/decide/agree/src/voter.rs
+++ b/decide/agree/src/voter.rs
@@ -1,4 +1,5 @@
-//! One voter: the library's state with time, memory and messages round it, and the grants that follow from the log.
+//! One voter: the library's state with time, memory and messages round it, and the grants that
+//! follow from the log.
 
 use crate::genesis::{Genesis, Identity};
 use crate::persistent_state::{take, Journal, PersistentState, Record};
@@ -12,20 +13,23 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The library's clock ticks this often (microseconds); leaders are looked for every so many ticks, what may be lost is
-/// said again after so many.
+/// The library's clock ticks this often (microseconds); leaders are looked for every so many ticks,
+/// what may be lost is said again after so many.
 const TICK: Micros = 50_000;
 const ELECTION_TICKS: u64 = 6;
 const RESEND_TICKS: u64 = 10;
-/// So many decided entries make a snapshot: the log stays this long at most, and as long again while it is agreed on.
+/// So many decided entries make a snapshot: the log stays this long at most, and as long again
+/// while it is agreed on.
 const SNAPSHOT: usize = 500;
-/// A lease that is over is said to be again after this long, if the log has not shown it (microseconds).
+/// A lease that is over is said to be again after this long, if the log has not shown it
+/// (microseconds).
 const SAY_AGAIN: Micros = 1_000_000;
 
 /// What follows from an event.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// These are kept for good before any of the verdicts behind it is carried out; if that fails, the voter ends.
+    /// These are kept for good before any of the verdicts behind it is carried out; if that fails,
+    /// the voter ends.
     Keep(Vec<Record>),
     /// These bytes are for that voter.
     Send(Identity, Vec<u8>),
@@ -52,10 +56,14 @@
     }
 }
 
-/// What the library calls a voter: its place in the genesis, from 1. It keeps a table up to the greatest of these numbers, so
-/// a memory's own number would not do.
+/// What the library calls a voter: its place in the genesis, from 1. It keeps a table up to the
+/// greatest of these numbers, so a memory's own number would not do.
 fn place(genesis: &Genesis, voter: &Identity) -> u64 {
-    1 + genesis.voters().iter().position(|v| v == voter).unwrap_or_default() as u64
+    1 + genesis
+        .voters()
+        .iter()
+        .position(|v| v == voter)
+        .unwrap_or_default() as u64
 }
 
 /// One voter.
@@ -78,16 +86,25 @@
 }
 
 impl Voter {
-    /// The voter that has kept this, under a genesis that names it; leases last by `terms`. What it kept of the log it learns
-    /// of now, so it waits for the end of each lease from here on.
+    /// The voter that has kept this, under a genesis that names it; leases last by `terms`. What it
+    /// kept of the log it learns of now, so it waits for the end of each lease from here on.
     ///
     /// # Errors
     /// When what was kept names no identity, or no genesis that names it.
     pub fn new(now: Time, state: PersistentState, terms: Terms) -> Result<Voter, String> {
-        let own = state.identity().cloned().ok_or("what was kept names no identity")?;
-        let genesis = state.genesis().cloned().ok_or("what was kept names no genesis")?;
+        let own = state
+            .identity()
+            .cloned()
+            .ok_or("what was kept names no identity")?;
+        let genesis = state
+            .genesis()
+            .cloned()
+            .ok_or("what was kept names no genesis")?;
         if !genesis.voters().contains(&own) {
-            return Err(format!("the genesis does not name {} with this memory", own.name));
+            return Err(format!(
+                "the genesis does not name {} with this memory",
+                own.name
+            ));
         }
         let config = OmniPaxosConfig {
             cluster_config: ClusterConfig {
@@ -168,7 +185,8 @@
     /// Time has come.
     pub fn on_time(&mut self, now: Time) -> Vec<Verdict> {
         if now >= self.tick_at {
-            // One that stood still ticks once: the others' words lie unread, and nobody has failed to speak.
+            // One that stood still ticks once: the others' words lie unread, and nobody has failed
+            // to speak.
             self.tick_at = now.plus(TICK);
             self.paxos.tick();
             self.end_leases(now);
@@ -178,7 +196,8 @@
 
     /// Puts an entry forward. It may be lost on the way: whoever waits for it says it again.
     pub fn on_entry(&mut self, now: Time, entry: Entry) -> Vec<Verdict> {
-        // The log refuses entries only while voters are replaced, and then whoever waits says them again too.
+        // The log refuses entries only while voters are replaced, and then whoever waits says them
+        // again too.
         let _ = self.paxos.append(entry);
         self.told(now)
     }
@@ -186,8 +205,12 @@
     /// A message of another voter has come.
     pub fn on_message(&mut self, now: Time, bytes: &[u8]) -> Vec<Verdict> {
         let read: Result<(u64, Message<Entry>), _> = postcard::from_bytes(bytes);
-        let (voters, own) = (self.genesis.voters().len() as u64, place(&self.genesis, &self.own));
-        // Guards the log: a word of another genesis is about another log, and who has forgotten has none to speak by.
+        let (voters, own) = (
+            self.genesis.voters().len() as u64,
+            place(&self.genesis, &self.own),
+        );
+        // Guards the log: a word of another genesis is about another log, and who has forgotten has
+        // none to speak by.
         match read {
             Ok((digest, message))
                 if digest == self.genesis.digest()
@@ -202,20 +225,30 @@
         self.told(now)
     }
 
-    /// A connection to or from another voter is there again after it was lost: what was on its way may be missing.
+    /// A connection to or from another voter is there again after it was lost: what was on its way
+    /// may be missing.
     pub fn on_reconnected(&mut self, now: Time, name: &str) -> Vec<Verdict> {
-        if let Some(voter) = self.genesis.voters().iter().find(|v| v.name == name && **v != self.own) {
+        if let Some(voter) = self
+            .genesis
+            .voters()
+            .iter()
+            .find(|v| v.name == name && **v != self.own)
+        {
             self.paxos.reconnected(place(&self.genesis, voter));
         }
         self.told(now)
     }
 
-    /// Puts forward that leases are over by this voter's clock. Each says so: the one that leads may be gone just then, and
-    /// twice does no harm.
+    /// Puts forward that leases are over by this voter's clock. Each says so: the one that leads
+    /// may be gone just then, and twice does no harm.
     fn end_leases(&mut self, now: Time) {
         for grant in self.grants.over(now, self.terms) {
             let key = format!("{grant:?}");
-            if self.said.get(&key).is_none_or(|at| now.since(*at) >= SAY_AGAIN) {
+            if self
+                .said
+                .get(&key)
+                .is_none_or(|at| now.since(*at) >= SAY_AGAIN)
+            {
                 self.said.insert(key, now);
                 let _ = self.paxos.append(Entry { grant, number: 0 });
             }
@@ -226,7 +259,11 @@
     /// Applies what was decided since the last time.
     fn learn(&mut self, now: Time) -> Vec<Verdict> {
         let mut told = Vec::new();
-        for entry in self.paxos.read_decided_suffix(self.applied).unwrap_or_default() {
+        for entry in self
+            .paxos
+            .read_decided_suffix(self.applied)
+            .unwrap_or_default()
+        {
             match entry {
                 LogEntry::Decided(entry) => {
                     let verdict = self.grants.on_entry(now, &entry.grant);
@@ -268,14 +305,23 @@
         for message in out {
             let to = self.at(message.get_receiver());
             let bytes = postcard::to_stdvec(&(digest, &message)).ok();
-            told.extend(to.zip(bytes).map(|(to, bytes)| Verdict::Send(to.clone(), bytes)));
+            told.extend(
+                to.zip(bytes)
+                    .map(|(to, bytes)| Verdict::Send(to.clone(), bytes)),
+            );
         }
         told.extend(learnt);
         let number = self.paxos.get_promise().n;
-        let leads = self.paxos.get_current_leader().and_then(|(place, _)| self.at(place)).cloned();
-        if let Some(leads) =
-            leads.filter(|l| self.leader.as_ref().is_none_or(|(who, n)| who != l || *n != number))
-        {
+        let leads = self
+            .paxos
+            .get_current_leader()
+            .and_then(|(place, _)| self.at(place))
+            .cloned();
+        if let Some(leads) = leads.filter(|l| {
+            self.leader
+                .as_ref()
+                .is_none_or(|(who, n)| who != l || *n != number)
+        }) {
             self.leader = Some((leads.clone(), number));
             told.push(Verdict::Led(leads, Reason::Elected(number)));
         }
--- a/decide/agree/src/voter/tests.rs
+++ b/decide/agree/src/voter/tests.rs
@@ -1,5 +1,5 @@
-//! Voters in virtual time, over a network that loses, cuts and delays, with memories that are kept or lost, and a checker of
-//! what they decided.
+//! Voters in virtual time, over a network that loses, cuts and delays, with memories that are kept
+//! or lost, and a checker of what they decided.
 
 use super::*;
 use crate::genesis::{Gather, Reason as Named};
@@ -11,7 +11,10 @@
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
-const TERMS: Terms = Terms { lease: 3 * SECOND, drift: 100_000 };
+const TERMS: Terms = Terms {
+    lease: 3 * SECOND,
+    drift: 100_000,
+};
 const WAY: Micros = 2 * MS;
 
 type Way = Reverse<(Time, u64, usize, Vec<u8>)>;
@@ -42,12 +45,19 @@
 impl World {
     fn new(count: usize, seed: u64) -> World {
         let names: Vec<String> = (0..count).map(name).collect();
-        let identity = |i: usize| Identity { name: name(i), memory: u64::MAX / 2 + i as u64 };
-        let mut gathers: Vec<Gather> = (0..count).map(|i| Gather::new(identity(i), &names, None)).collect();
+        let identity = |i: usize| Identity {
+            name: name(i),
+            memory: u64::MAX / 2 + i as u64,
+        };
+        let mut gathers: Vec<Gather> = (0..count)
+            .map(|i| Gather::new(identity(i), &names, None))
+            .collect();
         let announcements: Vec<_> = gathers.iter().map(Gather::announcement).collect();
         let mut disks = Vec::new();
         for (i, gather) in gathers.iter_mut().enumerate() {
-            announcements.iter().for_each(|a| _ = gather.on_announcement(a));
+            announcements
+                .iter()
+                .for_each(|a| _ = gather.on_announcement(a));
             let mut state = PersistentState::default();
             state.begin(identity(i));
             state.begun(gather.genesis().unwrap().clone());
@@ -78,7 +88,9 @@
         self.decided[i] = voter.applied();
         self.voters[i] = Some(voter);
         for other in (0..self.voters.len()).filter(|o| *o != i) {
-            let told = self.voters[other].as_mut().map(|v| v.on_reconnected(self.now, &name(i)));
+            let told = self.voters[other]
+                .as_mut()
+                .map(|v| v.on_reconnected(self.now, &name(i)));
             self.carry(other, told.unwrap_or_default());
         }
     }
@@ -91,7 +103,8 @@
                     let to: usize = to.name[1..].parse().unwrap();
                     self.sent += 1;
                     if self.works[by][to] && !self.dice.random_bool(self.lost) {
-                        self.ways.push(Reverse((self.now.plus(WAY), self.sent, to, bytes)));
+                        self.ways
+                            .push(Reverse((self.now.plus(WAY), self.sent, to, bytes)));
                     }
                 }
                 Verdict::Decided(place, entry, _) => {
@@ -112,16 +125,26 @@
     fn run(&mut self, length: Micros) {
         let end = self.now.plus(length);
         loop {
-            let timer =
-                (0..self.voters.len()).filter_map(|i| Some((self.voters[i].as_ref()?.next(), i))).min();
+            let timer = (0..self.voters.len())
+                .filter_map(|i| Some((self.voters[i].as_ref()?.next(), i)))
+                .min();
             let way = self.ways.peek().map(|w| w.0 .0);
-            let Some(at) = way.into_iter().chain(timer.map(|t| t.0)).min().filter(|at| *at <= end) else {
+            let Some(at) = way
+                .into_iter()
+                .chain(timer.map(|t| t.0))
+                .min()
+                .filter(|at| *at <= end)
+            else {
                 break;
             };
             self.now = self.now.max(at);
             if way == Some(at) {
-                let Some(Reverse((_, _, to, bytes))) = self.ways.pop() else { continue };
-                let told = self.voters[to].as_mut().map(|v| v.on_message(self.now, &bytes));
+                let Some(Reverse((_, _, to, bytes))) = self.ways.pop() else {
+                    continue;
+                };
+                let told = self.voters[to]
+                    .as_mut()
+                    .map(|v| v.on_message(self.now, &bytes));
                 self.carry(to, told.unwrap_or_default());
             } else if let Some((_, i)) = timer {
                 let told = self.voters[i].as_mut().map(|v| v.on_time(self.now));
@@ -134,14 +157,25 @@
     /// Puts an ask of its own forward at a voter.
     fn ask(&mut self, at: usize) {
         self.asked += 1;
-        let grant =
-            grants::Entry::Ask(Duty("d".into()), Holder { name: format!("h{}", self.asked), life: 1 });
-        let entry = Entry { grant, number: self.asked };
-        let told = self.voters[at].as_mut().map(|v| v.on_entry(self.now, entry));
+        let grant = grants::Entry::Ask(
+            Duty("d".into()),
+            Holder {
+                name: format!("h{}", self.asked),
+                life: 1,
+            },
+        );
+        let entry = Entry {
+            grant,
+            number: self.asked,
+        };
+        let told = self.voters[at]
+            .as_mut()
+            .map(|v| v.on_entry(self.now, entry));
         self.carry(at, told.unwrap_or_default());
     }
 
-    /// Puts asks forward at a voter for so long, and tells how many entries were decided there meanwhile.
+    /// Puts asks forward at a voter for so long, and tells how many entries were decided there
+    /// meanwhile.
     fn progress(&mut self, at: usize, length: Micros) -> usize {
         let before = self.decided[at];
         for _ in 0..length / (100 * MS) {
@@ -165,9 +199,14 @@
     fn heal(&mut self) {
         self.works.iter_mut().flatten().for_each(|w| *w = true);
         for i in 0..self.voters.len() {
-            let others: Vec<String> = (0..self.voters.len()).filter(|o| *o != i).map(name).collect();
+            let others: Vec<String> = (0..self.voters.len())
+                .filter(|o| *o != i)
+                .map(name)
+                .collect();
             for other in others {
-                let told = self.voters[i].as_mut().map(|v| v.on_reconnected(self.now, &other));
+                let told = self.voters[i]
+                    .as_mut()
+                    .map(|v| v.on_reconnected(self.now, &other));
                 self.carry(i, told.unwrap_or_default());
             }
         }
@@ -175,11 +214,20 @@
 
     /// All voters that run have decided the same, all of it.
     fn agree(&self) -> bool {
-        let all = (0..self.voters.len()).filter(|i| self.voters[*i].is_some()).map(|i| self.decided[i]);
+        let all = (0..self.voters.len())
+            .filter(|i| self.voters[*i].is_some())
+            .map(|i| self.decided[i]);
         let all: Vec<usize> = all.collect();
         // And what follows from it is the same, whether it came by entries or by snapshots.
-        let grants: Vec<_> = self.voters.iter().flatten().map(|v| v.grants().told()).collect();
-        self.differ == 0 && all.iter().all(|d| *d == all[0]) && grants.iter().all(|g| *g == grants[0])
+        let grants: Vec<_> = self
+            .voters
+            .iter()
+            .flatten()
+            .map(|v| v.grants().told())
+            .collect();
+        self.differ == 0
+            && all.iter().all(|d| *d == all[0])
+            && grants.iter().all(|g| *g == grants[0])
     }
 }
 
@@ -198,7 +246,11 @@
     assert!(world.progress(0, 3 * SECOND) > 10);
     world.heal();
     world.run(3 * SECOND);
-    assert!(world.agree() && world.progress(4, 2 * SECOND) > 10, "{:?}", world.decided);
+    assert!(
+        world.agree() && world.progress(4, 2 * SECOND) > 10,
+        "{:?}",
+        world.decided
+    );
 }
 
 #[test]
@@ -235,8 +287,19 @@
     world.ways.clear();
     world.run(5 * SECOND);
     (0..3).for_each(|i| world.start(i));
-    assert!(world.decided.iter().zip(&before).all(|(now, then)| now <= then), "it learns them from its disk");
-    assert!(world.decided.iter().max() == before.iter().max(), "{:?}, {before:?}", world.decided);
+    assert!(
+        world
+            .decided
+            .iter()
+            .zip(&before)
+            .all(|(now, then)| now <= then),
+        "it learns them from its disk"
+    );
+    assert!(
+        world.decided.iter().max() == before.iter().max(),
+        "{:?}, {before:?}",
+        world.decided
+    );
     world.run(3 * SECOND);
     assert!(world.progress(1, 3 * SECOND) > 10 && world.agree());
 }
@@ -252,7 +315,9 @@
     }
     world.run(SECOND);
     assert!(world.decided[0] > 2_200, "{}", world.decided[0]);
-    let whole = PersistentState::from_records(&world.disks[0]).unwrap().whole();
+    let whole = PersistentState::from_records(&world.disks[0])
+        .unwrap()
+        .whole();
     assert!(whole.0.len() < 2 * SNAPSHOT * 40, "{} bytes", whole.0.len());
     let again = PersistentState::from_records(std::slice::from_ref(&whole)).unwrap();
     assert_eq!(again.whole(), whole, "one record stands in place of all");
@@ -265,8 +330,8 @@
     assert_eq!(a, c);
 }
 
-/// Two of three decide, one of them loses its disk, and the other one is cut off: what the one that is left over then
-/// decides with the one that has forgotten.
+/// Two of three decide, one of them loses its disk, and the other one is cut off: what the one that
+/// is left over then decides with the one that has forgotten.
 fn forgetting(keeps_its_identity: bool) -> World {
     let mut world = World::new(3, 11);
     world.split(&[0, 1]);
@@ -281,10 +346,19 @@
     } else {
         // It comes back as another one, hears of the genesis, and abstains.
         let names: Vec<String> = (0..3).map(name).collect();
-        let mut gather = Gather::new(Identity { name: name(1), memory: 999 }, &names, None);
+        let mut gather = Gather::new(
+            Identity {
+                name: name(1),
+                memory: 999,
+            },
+            &names,
+            None,
+        );
         let genesis = world.voters[2].as_ref().unwrap().genesis().clone();
-        let announcement =
-            crate::genesis::Announcement { identity: genesis.voters()[2].clone(), begun: Some(genesis) };
+        let announcement = crate::genesis::Announcement {
+            identity: genesis.voters()[2].clone(),
+            begun: Some(genesis),
+        };
         assert!(!gather.on_announcement(&announcement) && matches!(gather.why(), Named::Forgot(_)));
         let mut state = PersistentState::default();
         state.begin(gather.announcement().identity);
@@ -303,7 +377,10 @@
         "nothing is decided without a majority that remembers"
     );
     let world = forgetting(true);
-    assert!(world.differ > 0, "a planted voter without memory decides otherwise: the checker has to see it");
+    assert!(
+        world.differ > 0,
+        "a planted voter without memory decides otherwise: the checker has to see it"
+    );
 }
 
 #[test]
@@ -313,7 +390,10 @@
         world.lost = [0.0, 0.02, 0.1][seed as usize / 3 % 3];
         let count = world.voters.len();
         for _ in 0..60 {
-            let (a, b) = (world.dice.random_range(0..count), world.dice.random_range(0..count));
+            let (a, b) = (
+                world.dice.random_range(0..count),
+                world.dice.random_range(0..count),
+            );
             match world.dice.random_range(0..6) {
                 0 => world.voters[a] = None,
                 1 if world.voters[a].is_none() => world.start(a),
@@ -363,7 +443,10 @@
     });
     let digest = voter.genesis().digest();
     for (digest, refused) in [(digest + 1, 201), (digest, 201)] {
-        voter.on_message(world.now, &postcard::to_stdvec(&(digest, &message)).unwrap());
+        voter.on_message(
+            world.now,
+            &postcard::to_stdvec(&(digest, &message)).unwrap(),
+        );
         assert_eq!(voter.refused(), refused);
     }
     assert!(world.progress(0, 2 * SECOND) > 5);
--- a/decide/configuration/src/document.rs
+++ b/decide/configuration/src/document.rs
@@ -68,8 +68,8 @@
         Document::read(body, read_tenants)
     }
 
-    /// Reads a configuration that was committed, maybe by a program that did not know of tenants: where `tenants` can't be read, nobody
-    /// holds a key.
+    /// Reads a configuration that was committed, maybe by a program that did not know of tenants:
+    /// where `tenants` can't be read, nobody holds a key.
     ///
     /// # Errors
     /// What is wrong with all else of it, by name.
@@ -110,9 +110,16 @@
     }
 
     fn check_services(&self) -> Result<(), ConfigurationError> {
-        let known: HashSet<&str> = self.services.iter().map(|service| service.name.as_str()).collect();
+        let known: HashSet<&str> = self
+            .services
+            .iter()
+            .map(|service| service.name.as_str())
+            .collect();
         for route in &self.routes {
-            let unknown = route.targets.iter().find(|target| !known.contains(target.service.as_str()));
+            let unknown = route
+                .targets
+                .iter()
+                .find(|target| !known.contains(target.service.as_str()));
             if let Some(target) = unknown {
                 let (route, service) = (shown(&route.name), shown(&target.service));
                 return Err(ConfigurationError::UnknownService { route, service });
@@ -121,8 +128,9 @@
         Ok(())
     }
 
-    /// The configuration that an update makes of this one. Removals come first, so that an item that is removed and given anew
-    /// is there; a replaced item stays at its place, a new one goes to the end.
+    /// The configuration that an update makes of this one. Removals come first, so that an item
+    /// that is removed and given anew is there; a replaced item stays at its place, a new one goes
+    /// to the end.
     ///
     /// # Errors
     /// What is wrong with the outcome, by name; a version that is not above this one.
@@ -139,7 +147,10 @@
         let document = Document::build(update.version(), kept, read_tenants)?;
         let bytes = document.to_json().len();
         if bytes > MAX_DOCUMENT_BYTES {
-            return Err(ConfigurationError::TooLarge { bytes, most: MAX_DOCUMENT_BYTES });
+            return Err(ConfigurationError::TooLarge {
+                bytes,
+                most: MAX_DOCUMENT_BYTES,
+            });
         }
         Ok(document)
     }
@@ -151,7 +162,10 @@
     pub(crate) fn check_successor(&self, version: u64) -> Result<(), ConfigurationError> {
         match version > self.version {
             true => Ok(()),
-            false => Err(ConfigurationError::VersionNotAbove { version, current: self.version }),
+            false => Err(ConfigurationError::VersionNotAbove {
+                version,
+                current: self.version,
+            }),
         }
     }
 
@@ -179,7 +193,8 @@
         self.services.iter().find(|service| service.name == name)
     }
 
-    /// Its tenants, in the operator's order; `None` where the configuration has no `tenants`, and no request needs a key.
+    /// Its tenants, in the operator's order; `None` where the configuration has no `tenants`, and
+    /// no request needs a key.
     #[must_use]
     pub fn tenants(&self) -> Option<&[Tenant]> {
         self.tenants.as_deref()
@@ -225,7 +240,8 @@
     }
 }
 
-/// What a field of the document holds. Routes and services must be named lists; other lists are so where all their items have names.
+/// What a field of the document holds. Routes and services must be named lists; other lists are so
+/// where all their items have names.
 pub(crate) fn content_of(field: &str, text: &str) -> Result<Content, ConfigurationError> {
     let needed = matches!(field, "routes" | "services");
     let Some(parts) = elements(text) else {
@@ -248,9 +264,15 @@
     for (index, part) in parts.iter().enumerate() {
         let name = name_of(list, index, part)?;
         if !seen.insert(name.clone()) {
-            return Err(ConfigurationError::DuplicateName { list: shown(list), name: shown(&name) });
+            return Err(ConfigurationError::DuplicateName {
+                list: shown(list),
+                name: shown(&name),
+            });
         }
-        items.push(Item { name, text: (*part).to_owned() });
+        items.push(Item {
+            name,
+            text: (*part).to_owned(),
+        });
     }
     Ok(items)
 }
@@ -261,20 +283,30 @@
         return Err(wrong(&place(), "", "an object"));
     }
     let found = distinct_fields(&place(), part)?;
-    let name =
-        found.into_iter().find(|(field, _)| field == "name").map(|(_, text)| value_of(text)).transpose()?;
+    let name = found
+        .into_iter()
+        .find(|(field, _)| field == "name")
+        .map(|(_, text)| value_of(text))
+        .transpose()?;
     match name {
         Some(Value::String(name)) if !name.is_empty() => Ok(name),
         Some(Value::Number(_) | Value::Bool(_) | Value::Array(_) | Value::Object(_)) => {
             Err(wrong(&place(), "name", "a text"))
         }
-        _ => Err(ConfigurationError::MissingName { list: shown(list), index }),
+        _ => Err(ConfigurationError::MissingName {
+            list: shown(list),
+            index,
+        }),
     }
 }
 
 /// The items of a list that a configuration must have.
 fn items<'a>(kept: &'a [Field], name: &str) -> Result<&'a [Item], ConfigurationError> {
-    match kept.iter().find(|field| field.name == name).map(|field| &field.content) {
+    match kept
+        .iter()
+        .find(|field| field.name == name)
+        .map(|field| &field.content)
+    {
         Some(Content::Named(items)) => Ok(items),
         Some(Content::Text(_)) => Err(wrong("the configuration", name, "a list")),
         None => Err(ConfigurationError::MissingField {
@@ -289,11 +321,18 @@
     items: &[Item],
     read: impl Fn(&str, &Value) -> Result<T, ConfigurationError>,
 ) -> Result<Vec<T>, ConfigurationError> {
-    items.iter().map(|item| read(&item.name, &value_of(&item.text)?)).collect()
+    items
+        .iter()
+        .map(|item| read(&item.name, &value_of(&item.text)?))
+        .collect()
 }
 
 fn read_limits(kept: &[Field]) -> Result<Limits, ConfigurationError> {
-    match kept.iter().find(|field| field.name == "limits").map(|field| &field.content) {
+    match kept
+        .iter()
+        .find(|field| field.name == "limits")
+        .map(|field| &field.content)
+    {
         None => Ok(Limits::default()),
         Some(Content::Text(text)) if text == "null" => Ok(Limits::default()),
         Some(Content::Text(text)) => Limits::read(&value_of(text)?),
@@ -303,7 +342,11 @@
 
 /// The tenants, where there is such a list.
 fn read_tenants(kept: &[Field]) -> Result<Option<Vec<Tenant>>, ConfigurationError> {
-    match kept.iter().find(|field| field.name == "tenants").map(|field| &field.content) {
+    match kept
+        .iter()
+        .find(|field| field.name == "tenants")
+        .map(|field| &field.content)
+    {
         Some(Content::Named(items)) => {
             let tenants = read_items(items, Tenant::read)?;
             check_keys(&tenants)?;
@@ -335,11 +378,16 @@
     Ok(())
 }
 
-/// Takes names out of a list. Those that are not there are passed over: what the operator wants holds.
+/// Takes names out of a list. Those that are not there are passed over: what the operator wants
+/// holds.
 fn remove(kept: &mut [Field], removal: &Removal) -> Result<(), ConfigurationError> {
-    let Some(field) = kept.iter_mut().find(|field| field.name == removal.list) else { return Ok(()) };
+    let Some(field) = kept.iter_mut().find(|field| field.name == removal.list) else {
+        return Ok(());
+    };
     let Content::Named(items) = &mut field.content else {
-        return Err(ConfigurationError::NotANamedList { list: shown(&removal.list) });
+        return Err(ConfigurationError::NotANamedList {
+            list: shown(&removal.list),
+        });
     };
     items.retain(|item| !removal.names.contains(&item.name));
     Ok(())
@@ -348,21 +396,33 @@
 /// Puts the items of a list in by name, or a field that is no such list in whole.
 fn put(kept: &mut Vec<Field>, upsert: &Upsert) -> Result<(), ConfigurationError> {
     let Some(field) = kept.iter_mut().find(|field| field.name == upsert.field) else {
-        kept.push(Field { name: upsert.field.clone(), content: upsert.content.clone() });
+        kept.push(Field {
+            name: upsert.field.clone(),
+            content: upsert.content.clone(),
+        });
         return Ok(());
     };
     match (&mut field.content, &upsert.content) {
         (Content::Named(items), Content::Named(new)) => put_items(items, new),
-        (Content::Text(text), Content::Named(_)) if text == "null" => field.content = upsert.content.clone(),
+        (Content::Text(text), Content::Named(_)) if text == "null" => {
+            field.content = upsert.content.clone()
+        }
         (Content::Text(_), Content::Text(_)) => field.content = upsert.content.clone(),
-        _ => return Err(ConfigurationError::NotANamedList { list: shown(&upsert.field) }),
+        _ => {
+            return Err(ConfigurationError::NotANamedList {
+                list: shown(&upsert.field),
+            })
+        }
     }
     Ok(())
 }
 
 fn put_items(items: &mut Vec<Item>, new: &[Item]) {
-    let mut places: HashMap<String, usize> =
-        items.iter().enumerate().map(|(place, item)| (item.name.clone(), place)).collect();
+    let mut places: HashMap<String, usize> = items
+        .iter()
+        .enumerate()
+        .map(|(place, item)| (item.name.clone(), place))
+        .collect();
     for item in new {
         match places.get(&item.name) {
             Some(place) => items[*place] = item.clone(),
--- a/decide/configuration/src/document/tests.rs
+++ b/decide/configuration/src/document/tests.rs
@@ -52,18 +52,48 @@
 #[test]
 fn the_typed_views_say_what_was_sent() {
     let document = full();
-    assert_eq!((document.version(), document.routes().len(), document.services().len()), (7, 2, 2));
+    assert_eq!(
+        (
+            document.version(),
+            document.routes().len(),
+            document.services().len()
+        ),
+        (7, 2, 2)
+    );
     let one = &document.routes()[0];
-    assert_eq!((one.path_prefix.as_str(), one.timeout_ms, one.target_latency_ms), ("/pufi791/", 3_000, 500));
-    assert_eq!((one.max_attempts, one.session_affinity, one.stream_resume), (2, true, true));
+    assert_eq!(
+        (
+            one.path_prefix.as_str(),
+            one.timeout_ms,
+            one.target_latency_ms
+        ),
+        ("/pufi791/", 3_000, 500)
+    );
+    assert_eq!(
+        (one.max_attempts, one.session_affinity, one.stream_resume),
+        (2, true, true)
+    );
     assert_eq!((one.gap_aim_ms, one.idempotent()), (Some(300), true));
-    let weights: Vec<f64> = document.routes()[1].targets.iter().map(|target| target.weight).collect();
+    let weights: Vec<f64> = document.routes()[1]
+        .targets
+        .iter()
+        .map(|target| target.weight)
+        .collect();
     assert_eq!(weights, [90.0, 10.0]);
     let service = document.service("huvo11a").expect("known");
-    assert_eq!((service.max_connections, service.capacity_slots), (Some(330), Some(48)));
-    assert_eq!((service.kv_token_capacity, service.kv_token_bytes), (Some(529_555), Some(163_840)));
+    assert_eq!(
+        (service.max_connections, service.capacity_slots),
+        (Some(330), Some(48))
+    );
+    assert_eq!(
+        (service.kv_token_capacity, service.kv_token_bytes),
+        (Some(529_555), Some(163_840))
+    );
     assert_eq!(service.models, ["m"]);
-    assert_eq!(document.service("xama2").expect("known").health_check_path, "/health");
+    assert_eq!(
+        document.service("xama2").expect("known").health_check_path,
+        "/health"
+    );
     assert_eq!(*document.limits(), Limits::default());
 }
 
@@ -72,7 +102,9 @@
     let text = text_of(&full());
     let spaceless = |text: &str| text.split_whitespace().collect::<String>();
     assert_eq!(spaceless(&text), spaceless(FULL));
-    assert!(text.contains("260000.0") && text.contains("0.30000000000000004") && text.contains("1.10"));
+    assert!(
+        text.contains("260000.0") && text.contains("0.30000000000000004") && text.contains("1.10")
+    );
     let again = Document::parse(text.as_bytes()).expect("valid");
     assert_eq!((&again, text_of(&again)), (&full(), text));
 }
@@ -81,11 +113,17 @@
 fn what_is_invalid_is_refused_by_name() {
     let service = "{\"name\":\"s\"}";
     let error = parse("1", &route("r", "/a/", "t"), service).unwrap_err();
-    assert_eq!(error.to_string(), "route `r` names the service `t`, which is not known");
+    assert_eq!(
+        error.to_string(),
+        "route `r` names the service `t`, which is not known"
+    );
     let two = format!("{},{}", route("r", "/a/", "s"), route("q", "/a/", "s"));
     assert_eq!(
         parse("1", &two, service).unwrap_err(),
-        ConfigurationError::SamePlace { first: "r".to_owned(), second: "q".to_owned() }
+        ConfigurationError::SamePlace {
+            first: "r".to_owned(),
+            second: "q".to_owned()
+        }
     );
     let two = format!("{},{}", route("r", "/a/", "s"), route("r", "/b/", "s"));
     assert_matches!(parse("1", &two, service), Err(ConfigurationError::DuplicateName { name, .. }) if name == "r");
@@ -95,26 +133,56 @@
     );
     assert_eq!(
         parse("1", "", "{\"name\":\"s\"},{\"size\":1}").unwrap_err(),
-        ConfigurationError::MissingName { list: "services".to_owned(), index: 1 }
+        ConfigurationError::MissingName {
+            list: "services".to_owned(),
+            index: 1
+        }
+    );
+    assert_matches!(
+        parse("1", "", "{\"name\":\"\"}"),
+        Err(ConfigurationError::MissingName { .. })
+    );
+    assert_matches!(
+        parse("1", "", "{\"name\":3}"),
+        Err(ConfigurationError::WrongType { .. })
+    );
+    assert_matches!(
+        parse("1", "7", ""),
+        Err(ConfigurationError::WrongType { .. })
     );
-    assert_matches!(parse("1", "", "{\"name\":\"\"}"), Err(ConfigurationError::MissingName { .. }));
-    assert_matches!(parse("1", "", "{\"name\":3}"), Err(ConfigurationError::WrongType { .. }));
-    assert_matches!(parse("1", "7", ""), Err(ConfigurationError::WrongType { .. }));
 }
 
 #[test]
 fn hosts_that_differ_only_in_case_are_the_same_place() {
     let upper = route("q", "/a/", "s").replace("\"h\"", "\"H\"");
     let both = format!("{},{upper}", route("r", "/a/", "s"));
-    assert_matches!(parse("1", &both, "{\"name\":\"s\"}"), Err(ConfigurationError::SamePlace { .. }));
+    assert_matches!(
+        parse("1", &both, "{\"name\":\"s\"}"),
+        Err(ConfigurationError::SamePlace { .. })
+    );
 }
 
 #[test]
 fn versions_and_lists_have_their_types() {
-    for version in ["-1", "1.5", "\"1\"", "true", "[]", "{}", "18446744073709551616"] {
-        assert_matches!(parse(version, "", ""), Err(ConfigurationError::WrongType { .. }), "{version}");
+    for version in [
+        "-1",
+        "1.5",
+        "\"1\"",
+        "true",
+        "[]",
+        "{}",
+        "18446744073709551616",
+    ] {
+        assert_matches!(
+            parse(version, "", ""),
+            Err(ConfigurationError::WrongType { .. }),
+            "{version}"
+        );
     }
-    assert_matches!(parse("null", "", ""), Err(ConfigurationError::MissingField { .. }));
+    assert_matches!(
+        parse("null", "", ""),
+        Err(ConfigurationError::MissingField { .. })
+    );
     assert!(parse("18446744073709551615", "", "").is_ok());
     let cases = [
         ("{\"routes\":[],\"services\":[]}", "version"),
@@ -143,9 +211,16 @@
 #[test]
 fn a_field_that_comes_twice_makes_it_invalid() {
     let text = "{\"version\":1,\"version\":2,\"routes\":[],\"services\":[]}";
-    assert_matches!(Document::parse(text.as_bytes()), Err(ConfigurationError::DuplicateField { .. }));
-    let twice = route("r", "/a/", "s").replace("\"timeoutMs\":5", "\"timeoutMs\":5,\"timeoutMs\":0");
-    assert_matches!(parse("1", &twice, "{\"name\":\"s\"}"), Err(ConfigurationError::DuplicateField { .. }));
+    assert_matches!(
+        Document::parse(text.as_bytes()),
+        Err(ConfigurationError::DuplicateField { .. })
+    );
+    let twice =
+        route("r", "/a/", "s").replace("\"timeoutMs\":5", "\"timeoutMs\":5,\"timeoutMs\":0");
+    assert_matches!(
+        parse("1", &twice, "{\"name\":\"s\"}"),
+        Err(ConfigurationError::DuplicateField { .. })
+    );
 }
 
 #[test]
@@ -158,14 +233,31 @@
             "removals":{"routes":["r-one","r-never-there"],"services":["xama2"],"never":["x"]}}"#,
     );
     let after = full().apply_update(&update).expect("valid");
-    let names: Vec<&str> = after.routes().iter().map(|route| route.name.as_str()).collect();
+    let names: Vec<&str> = after
+        .routes()
+        .iter()
+        .map(|route| route.name.as_str())
+        .collect();
     assert_eq!((after.version(), names), (9, vec!["r-two", "r-new"]));
-    let services: Vec<&str> = after.services().iter().map(|service| service.name.as_str()).collect();
+    let services: Vec<&str> = after
+        .services()
+        .iter()
+        .map(|service| service.name.as_str())
+        .collect();
     assert_eq!(services, ["huvo11a", "new1"]);
     let text = text_of(&after);
-    assert!(text.starts_with("{\"version\":9,\"note\":{\"by\""), "{text}");
-    assert!(text.contains("\"timeoutMs\":1.50") && text.contains("\"own\":0.10"), "{text}");
-    assert!(text.contains("\"pools\":[{\"name\":\"p\",\"size\":2},{\"name\":\"q\"}]"), "{text}");
+    assert!(
+        text.starts_with("{\"version\":9,\"note\":{\"by\""),
+        "{text}"
+    );
+    assert!(
+        text.contains("\"timeoutMs\":1.50") && text.contains("\"own\":0.10"),
+        "{text}"
+    );
+    assert!(
+        text.contains("\"pools\":[{\"name\":\"p\",\"size\":2},{\"name\":\"q\"}]"),
+        "{text}"
+    );
     assert_eq!(Document::parse(text.as_bytes()).expect("valid"), after);
 }
 
@@ -176,8 +268,12 @@
         r#"{"version":8,"limits":{"maxHeaderBytes":1,"maxBodyBytes":2,"headerTimeoutMs":3,"idleTimeoutMs":4}}"#,
     ] {
         let after = full().apply_update(&update(text)).expect("valid");
-        let wanted =
-            Limits { max_header_bytes: 1, max_body_bytes: 2, header_timeout_ms: 3, idle_timeout_ms: 4 };
+        let wanted = Limits {
+            max_header_bytes: 1,
+            max_body_bytes: 2,
+            header_timeout_ms: 3,
+            idle_timeout_ms: 4,
+        };
         assert_eq!(*after.limits(), wanted);
     }
 }
@@ -186,7 +282,10 @@
 fn an_item_that_is_removed_and_given_anew_is_there() {
     let text = r#"{"version":8,"removals":{"services":["xama2"]},"upserts":{"services":[{"name":"xama2","maxConnections":1}]}}"#;
     let after = full().apply_update(&update(text)).expect("valid");
-    assert_eq!(after.service("xama2").expect("there").max_connections, Some(1));
+    assert_eq!(
+        after.service("xama2").expect("there").max_connections,
+        Some(1)
+    );
 }
 
 #[test]
@@ -196,7 +295,10 @@
     let (route, service) = ("r-two".to_owned(), "xama2".to_owned());
     assert_eq!(error, ConfigurationError::UnknownService { route, service });
     for version in [6, 7] {
-        let wanted = ConfigurationError::VersionNotAbove { version, current: 7 };
+        let wanted = ConfigurationError::VersionNotAbove {
+            version,
+            current: 7,
+        };
         assert_eq!(refused(&format!("{{\"version\":{version}}}")), wanted);
     }
     let same = r#"{"version":9,"upserts":{"routes":[{"name":"n","host":"FICU95.example","pathPrefix":"/pufi791/","service":"xama2"}]}}"#;
@@ -216,17 +318,27 @@
 fn updates_can_not_grow_a_configuration_past_the_bound() {
     let filler = "x".repeat(MAX_DOCUMENT_BYTES * 2 / 3);
     let text = |list: &str| {
-        format!("{{\"version\":9,\"upserts\":{{\"{list}\":[{{\"name\":\"n\",\"of\":\"{filler}\"}}]}}}}")
+        format!(
+            "{{\"version\":9,\"upserts\":{{\"{list}\":[{{\"name\":\"n\",\"of\":\"{filler}\"}}]}}}}"
+        )
     };
-    let grown = full().apply_update(&update(&text("pools"))).expect("within the bound");
+    let grown = full()
+        .apply_update(&update(&text("pools")))
+        .expect("within the bound");
     let more = update(&text("others").replace("\"version\":9", "\"version\":10"));
-    assert_matches!(grown.apply_update(&more), Err(ConfigurationError::TooLarge { .. }));
+    assert_matches!(
+        grown.apply_update(&more),
+        Err(ConfigurationError::TooLarge { .. })
+    );
 }
 
 #[test]
 fn every_text_that_is_cut_short_is_refused() {
     for length in 0..FULL.len() {
-        assert!(Document::parse(&FULL.as_bytes()[..length]).is_err(), "{length} bytes");
+        assert!(
+            Document::parse(&FULL.as_bytes()[..length]).is_err(),
+            "{length} bytes"
+        );
     }
 }
 
@@ -260,7 +372,10 @@
         }
     }
     let gen = Gen::from_size_and_seed(6, SEED);
-    QuickCheck::new().rng(gen).tests(5_000).quickcheck(holds as fn(Vec<(u16, u8, u8)>) -> bool);
+    QuickCheck::new()
+        .rng(gen)
+        .tests(5_000)
+        .quickcheck(holds as fn(Vec<(u16, u8, u8)>) -> bool);
 }
 
 #[test]
@@ -269,7 +384,13 @@
         Document::parse(&bytes).is_err() && Update::parse(&bytes).is_err()
     }
     let gen = Gen::from_size_and_seed(200, SEED);
-    QuickCheck::new().rng(gen).tests(5_000).quickcheck(holds as fn(Vec<u8>) -> bool);
+    QuickCheck::new()
+        .rng(gen)
+        .tests(5_000)
+        .quickcheck(holds as fn(Vec<u8>) -> bool);
     let deep = "{\"version\":".repeat(MAX_DEPTH * 1_000);
-    assert_eq!(Document::parse(deep.as_bytes()), Err(ConfigurationError::TooDeep { most: MAX_DEPTH }));
+    assert_eq!(
+        Document::parse(deep.as_bytes()),
+        Err(ConfigurationError::TooDeep { most: MAX_DEPTH })
+    );
 }
--- a/decide/configuration/src/json.rs
+++ b/decide/configuration/src/json.rs
@@ -1,12 +1,14 @@
 //! JSON within bounds: texts that are whole, their parts as they came, and fields by type.
 //!
-//! `miniserde` decides what is JSON. The parts of a text are cut out of it unchanged, so that whatever is kept is kept to the digit.
+//! `miniserde` decides what is JSON. The parts of a text are cut out of it unchanged, so that
+//! whatever is kept is kept to the digit.
 
 use crate::error::{shown, ConfigurationError};
 use miniserde::json::{from_str, Number, Object, Value};
 use std::collections::HashSet;
 
-/// Longest configuration or order that is read (bytes). The largest deployments have about 1 KB a route.
+/// Longest configuration or order that is read (bytes). The largest deployments have about 1 KB a
+/// route.
 pub const MAX_DOCUMENT_BYTES: usize = 8 << 20;
 
 /// Deepest nesting that is read. The documents of the operators have 5 levels.
@@ -15,7 +17,10 @@
 /// The text of a body that is whole JSON within the bounds, and its value.
 pub(crate) fn whole(body: &[u8]) -> Result<(&str, Value), ConfigurationError> {
     if body.len() > MAX_DOCUMENT_BYTES {
-        return Err(ConfigurationError::TooLarge { bytes: body.len(), most: MAX_DOCUMENT_BYTES });
+        return Err(ConfigurationError::TooLarge {
+            bytes: body.len(),
+            most: MAX_DOCUMENT_BYTES,
+        });
     }
     let text = std::str::from_utf8(body).map_err(|_| ConfigurationError::Unreadable)?;
     if deeper_than(text.as_bytes(), MAX_DEPTH) {
@@ -34,7 +39,8 @@
     out.push_str(&miniserde::json::to_string(text));
 }
 
-/// Whether brackets outside strings open deeper than this. Holds for texts that are not JSON as well.
+/// Whether brackets outside strings open deeper than this. Holds for texts that are not JSON as
+/// well.
 fn deeper_than(bytes: &[u8], most: usize) -> bool {
     let (mut at, mut depth) = (0, 0_usize);
     while at < bytes.len() {
@@ -65,7 +71,8 @@
     None
 }
 
-/// Just past the value that begins here. A value has a byte at least, so that whoever goes from value to value gets on.
+/// Just past the value that begins here. A value has a byte at least, so that whoever goes from
+/// value to value gets on.
 fn value_end(bytes: &[u8], start: usize) -> Option<usize> {
     match bytes.get(start)? {
         b'"' => string_end(bytes, start),
@@ -75,7 +82,10 @@
 }
 
 fn scalar_end(bytes: &[u8], start: usize) -> Option<usize> {
-    let length = bytes[start..].iter().position(|byte| ends_scalar(*byte)).unwrap_or(bytes.len() - start);
+    let length = bytes[start..]
+        .iter()
+        .position(|byte| ends_scalar(*byte))
+        .unwrap_or(bytes.len() - start);
     (length > 0).then_some(start + length)
 }
 
@@ -157,16 +167,21 @@
     let found = fields(text).ok_or_else(|| wrong(place, "", "an object"))?;
     let mut seen = HashSet::with_capacity(found.len());
     match found.iter().find(|(name, _)| !seen.insert(name)) {
-        Some((name, _)) => {
-            Err(ConfigurationError::DuplicateField { place: shown(place), field: shown(name) })
-        }
+        Some((name, _)) => Err(ConfigurationError::DuplicateField {
+            place: shown(place),
+            field: shown(name),
+        }),
         None => Ok(found),
     }
 }
 
 /// The error for a field of another type.
 pub(crate) fn wrong(place: &str, field: &str, wanted: &'static str) -> ConfigurationError {
-    ConfigurationError::WrongType { place: shown(place), field: shown(field), wanted }
+    ConfigurationError::WrongType {
+        place: shown(place),
+        field: shown(field),
+        wanted,
+    }
 }
 
 /// The fields of an object by type. `null` stands for a field that is not there.
@@ -187,7 +202,9 @@
 
     /// Any value.
     pub(crate) fn get(&self, field: &str) -> Option<&'a Value> {
-        self.object.get(field).filter(|value| !matches!(value, Value::Null))
+        self.object
+            .get(field)
+            .filter(|value| !matches!(value, Value::Null))
     }
 
     /// A text, where there is one.
@@ -201,7 +218,9 @@
 
     /// A text that is not empty.
     pub(crate) fn needed_text(&self, field: &str) -> Result<&'a str, ConfigurationError> {
-        self.text(field)?.filter(|text| !text.is_empty()).ok_or_else(|| self.missing(field))
+        self.text(field)?
+            .filter(|text| !text.is_empty())
+            .ok_or_else(|| self.missing(field))
     }
 
     /// True or false, false where it is not there.
@@ -225,7 +244,9 @@
 
     /// A number of 0 or more that is held in 32 bits; larger ones become the largest.
     pub(crate) fn small_count(&self, field: &str) -> Result<Option<u32>, ConfigurationError> {
-        Ok(self.count(field)?.map(|n| u32::try_from(n).unwrap_or(u32::MAX)))
+        Ok(self
+            .count(field)?
+            .map(|n| u32::try_from(n).unwrap_or(u32::MAX)))
     }
 
     /// Any number.
@@ -250,7 +271,10 @@
 
     /// The error for a field that is not there.
     pub(crate) fn missing(&self, field: &str) -> ConfigurationError {
-        ConfigurationError::MissingField { place: shown(&self.place), field: shown(field) }
+        ConfigurationError::MissingField {
+            place: shown(&self.place),
+            field: shown(field),
+        }
     }
 }
 
--- a/decide/configuration/src/json/tests.rs
+++ b/decide/configuration/src/json/tests.rs
@@ -11,17 +11,26 @@
     let text =
         "\n{ \"a\" : [ 1.50 , {\"b\":\"]},\\\"\"} , [] ] ,\"c\\u0041\":260000.0,\"d\":null , \"e\": \"x\"}\t";
     let found = fields(text).expect("an object");
-    let wanted =
-        [("a", "[ 1.50 , {\"b\":\"]},\\\"\"} , [] ]"), ("cA", "260000.0"), ("d", "null"), ("e", "\"x\"")];
+    let wanted = [
+        ("a", "[ 1.50 , {\"b\":\"]},\\\"\"} , [] ]"),
+        ("cA", "260000.0"),
+        ("d", "null"),
+        ("e", "\"x\""),
+    ];
     assert_eq!(found, wanted.map(|(name, text)| (name.to_owned(), text)));
-    assert_eq!(elements(found[0].1), Some(vec!["1.50", "{\"b\":\"]},\\\"\"}", "[]"]));
+    assert_eq!(
+        elements(found[0].1),
+        Some(vec!["1.50", "{\"b\":\"]},\\\"\"}", "[]"])
+    );
     assert_eq!(elements("[]"), Some(Vec::new()));
     assert_eq!(fields("{ }"), Some(Vec::new()));
 }
 
 #[test]
 fn what_is_no_object_or_array_has_no_parts() {
-    for text in ["", "1", "\"{\"", "null", "[", "{", "{\"a\"", "{\"a\":", "[1", "[\"a"] {
+    for text in [
+        "", "1", "\"{\"", "null", "[", "{", "{\"a\"", "{\"a\":", "[1", "[\"a",
+    ] {
         assert_eq!(fields(text), None, "{text}");
     }
     for text in ["", "{}", "7", "[", "[1", "[\"a", "[[1]"] {
@@ -39,16 +48,35 @@
     );
     assert!(whole(format!("\"{}\"", "[".repeat(1_000)).as_bytes()).is_ok());
     let open = "[{\"a\":".repeat(1_000_000);
-    assert_eq!(whole(open.as_bytes()).unwrap_err(), ConfigurationError::TooDeep { most: MAX_DEPTH });
+    assert_eq!(
+        whole(open.as_bytes()).unwrap_err(),
+        ConfigurationError::TooDeep { most: MAX_DEPTH }
+    );
 }
 
 #[test]
 fn what_is_too_long_or_not_utf_8_or_cut_short_is_refused() {
     let long = vec![b' '; MAX_DOCUMENT_BYTES + 1];
     let (bytes, most) = (MAX_DOCUMENT_BYTES + 1, MAX_DOCUMENT_BYTES);
-    assert_eq!(whole(&long).unwrap_err(), ConfigurationError::TooLarge { bytes, most });
-    for body in [&b"\xff{}"[..], b"", b"{", b"{\"a\":1", b"{} {}", b"{\"a\":}", b"{\"a\":1,}", b"\"a"] {
-        assert_eq!(whole(body).unwrap_err(), ConfigurationError::Unreadable, "{body:?}");
+    assert_eq!(
+        whole(&long).unwrap_err(),
+        ConfigurationError::TooLarge { bytes, most }
+    );
+    for body in [
+        &b"\xff{}"[..],
+        b"",
+        b"{",
+        b"{\"a\":1",
+        b"{} {}",
+        b"{\"a\":}",
+        b"{\"a\":1,}",
+        b"\"a",
+    ] {
+        assert_eq!(
+            whole(body).unwrap_err(),
+            ConfigurationError::Unreadable,
+            "{body:?}"
+        );
     }
 }
 
@@ -61,8 +89,13 @@
 
 /// Texts of the signs that JSON is made of, so that many of them nearly are JSON.
 fn nearly_json(picks: &[u8]) -> String {
-    let signs = ["{", "}", "[", "]", ",", ":", "\"", "\\", "\"a\"", "1", "-2.5e3", "null", "true", " ", "u"];
-    picks.iter().map(|pick| signs[usize::from(*pick) % signs.len()]).collect()
+    let signs = [
+        "{", "}", "[", "]", ",", ":", "\"", "\\", "\"a\"", "1", "-2.5e3", "null", "true", " ", "u",
+    ];
+    picks
+        .iter()
+        .map(|pick| signs[usize::from(*pick) % signs.len()])
+        .collect()
 }
 
 #[test]
@@ -80,5 +113,8 @@
         }
     }
     let gen = Gen::from_size_and_seed(24, SEED);
-    QuickCheck::new().rng(gen).tests(20_000).quickcheck(holds as fn(Vec<u8>) -> bool);
+    QuickCheck::new()
+        .rng(gen)
+        .tests(20_000)
+        .quickcheck(holds as fn(Vec<u8>) -> bool);
 }
--- a/decide/configuration/src/keys.rs
+++ b/decide/configuration/src/keys.rs
@@ -1,7 +1,7 @@
 //! API keys: kept and compared as digests, and which tenant holds each.
 //!
-//! It promises that no key is held in memory beyond the operator's document, and that how long a look-up takes says nothing of a key: keys
-//! are hashed first, and digests compared whole.
+//! It promises that no key is held in memory beyond the operator's document, and that how long a
+//! look-up takes says nothing of a key: keys are hashed first, and digests compared whole.
 
 use crate::document::Document;
 use sha2::{Digest, Sha256};
@@ -21,7 +21,11 @@
 
     /// Compares all bytes, whichever differ.
     fn is(&self, other: &KeyDigest) -> bool {
-        let differing = self.0.iter().zip(&other.0).fold(0, |differing, (one, two)| differing | (one ^ two));
+        let differing = self
+            .0
+            .iter()
+            .zip(&other.0)
+            .fold(0, |differing, (one, two)| differing | (one ^ two));
         differing == 0
     }
 
@@ -64,7 +68,10 @@
     #[must_use]
     pub fn holder(&self, key: &KeyDigest) -> Option<usize> {
         let candidates = self.slots.get(&key.slot())?;
-        candidates.iter().find(|(known, _)| known.is(key)).map(|(_, place)| *place)
+        candidates
+            .iter()
+            .find(|(known, _)| known.is(key))
+            .map(|(_, place)| *place)
     }
 }
 
--- a/decide/configuration/src/keys/tests.rs
+++ b/decide/configuration/src/keys/tests.rs
@@ -10,10 +10,14 @@
 #[test]
 fn each_key_finds_its_holder_and_no_other_text_does() {
     let long = "k".repeat(100_000);
-    let keys =
-        keys(&format!(r#"[{{"name":"a","apiKeys":["one","{long}"]}},{{"name":"b","apiKeys":["two"]}}]"#));
+    let keys = keys(&format!(
+        r#"[{{"name":"a","apiKeys":["one","{long}"]}},{{"name":"b","apiKeys":["two"]}}]"#
+    ));
     let holder = |key: &str| keys.holder(&KeyDigest::of(key.as_bytes()));
-    assert_eq!((holder("one"), holder(&long), holder("two")), (Some(0), Some(0), Some(1)));
+    assert_eq!(
+        (holder("one"), holder(&long), holder("two")),
+        (Some(0), Some(0), Some(1))
+    );
     for other in ["", "on", "one ", "ONE", "three", &long[1..]] {
         assert_eq!(holder(other), None);
     }
--- a/decide/configuration/src/limits.rs
+++ b/decide/configuration/src/limits.rs
@@ -35,10 +35,18 @@
         let fields = Fields::new("limits".to_owned(), value)?;
         let usual = Limits::default();
         Ok(Limits {
-            max_header_bytes: fields.count("maxHeaderBytes")?.unwrap_or(usual.max_header_bytes),
-            max_body_bytes: fields.count("maxBodyBytes")?.unwrap_or(usual.max_body_bytes),
-            header_timeout_ms: fields.count("headerTimeoutMs")?.unwrap_or(usual.header_timeout_ms),
-            idle_timeout_ms: fields.count("idleTimeoutMs")?.unwrap_or(usual.idle_timeout_ms),
+            max_header_bytes: fields
+                .count("maxHeaderBytes")?
+                .unwrap_or(usual.max_header_bytes),
+            max_body_bytes: fields
+                .count("maxBodyBytes")?
+                .unwrap_or(usual.max_body_bytes),
+            header_timeout_ms: fields
+                .count("headerTimeoutMs")?
+                .unwrap_or(usual.header_timeout_ms),
+            idle_timeout_ms: fields
+                .count("idleTimeoutMs")?
+                .unwrap_or(usual.idle_timeout_ms),
         })
     }
 }
--- a/decide/configuration/src/order.rs
+++ b/decide/configuration/src/order.rs
@@ -53,7 +53,8 @@
     pub body: Vec<u8>,
 }
 
-/// An order by its content: the first bytes of the SHA-256 over its parts, each with its length before it.
+/// An order by its content: the first bytes of the SHA-256 over its parts, each with its length
+/// before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct OrderDigest(pub [u8; OrderDigest::BYTES]);
 
@@ -106,7 +107,8 @@
 /// The header is missing or not a whole number.
 pub fn parse_base_version(header: Option<&[u8]>) -> Result<u64, ConfigurationError> {
     let header = header.ok_or(ConfigurationError::MissingBaseVersion)?;
-    let text = std::str::from_utf8(header).map_err(|_| ConfigurationError::UnreadableBaseVersion)?;
+    let text =
+        std::str::from_utf8(header).map_err(|_| ConfigurationError::UnreadableBaseVersion)?;
     let text = text.trim_matches([' ', '\t']);
     let digits = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
     match text.parse() {
@@ -124,7 +126,8 @@
 }
 
 impl Checked {
-    /// Reads an order. A version that is not above the one that it builds on can never be above the current one.
+    /// Reads an order. A version that is not above the one that it builds on can never be above the
+    /// current one.
     pub(crate) fn read(
         kind: OrderKind,
         base_version: u64,
@@ -137,7 +140,10 @@
         let version = checked.version();
         match version > base_version {
             true => Ok(checked),
-            false => Err(ConfigurationError::VersionNotAbove { version, current: base_version }),
+            false => Err(ConfigurationError::VersionNotAbove {
+                version,
+                current: base_version,
+            }),
         }
     }
 
@@ -149,10 +155,15 @@
     }
 
     /// The configuration that it makes of the current one.
-    pub(crate) fn outcome(self, current: Option<&Document>) -> Result<Document, ConfigurationError> {
+    pub(crate) fn outcome(
+        self,
+        current: Option<&Document>,
+    ) -> Result<Document, ConfigurationError> {
         match (self, current) {
             (Checked::Replace(document), current) => {
-                current.map_or(Ok(()), |current| current.check_successor(document.version()))?;
+                current.map_or(Ok(()), |current| {
+                    current.check_successor(document.version())
+                })?;
                 Ok(document)
             }
             (Checked::Update(update), Some(current)) => current.apply_update(&update),
--- a/decide/configuration/src/order/tests.rs
+++ b/decide/configuration/src/order/tests.rs
@@ -11,18 +11,28 @@
 }
 
 fn replace(base_version: u64, body: &str) -> Order {
-    Order { path: REPLACE_PATH.to_owned(), base_version, body: body.as_bytes().to_vec() }
+    Order {
+        path: REPLACE_PATH.to_owned(),
+        base_version,
+        body: body.as_bytes().to_vec(),
+    }
 }
 
 fn update(base_version: u64, body: &str) -> Order {
-    Order { path: UPDATE_PATH.to_owned(), base_version, body: body.as_bytes().to_vec() }
+    Order {
+        path: UPDATE_PATH.to_owned(),
+        base_version,
+        body: body.as_bytes().to_vec(),
+    }
 }
 
 /// Judges an order, applies what is to be replicated, and hands the verdict back.
 fn take(state: &mut State, order: &Order) -> Verdict {
     let verdict = judge(state, order);
     if let Verdict::Change(change) = &verdict {
-        state.apply(change).expect("a change that was just judged applies");
+        state
+            .apply(change)
+            .expect("a change that was just judged applies");
     }
     verdict
 }
@@ -42,11 +52,17 @@
 fn a_repeat_is_taken_though_newer_ones_have_followed() {
     let mut state = State::default();
     let first = replace(0, &configuration(5, 10));
-    let second = update(5, "{\"version\":6,\"upserts\":{\"services\":[{\"name\":\"t\"}]}}");
+    let second = update(
+        5,
+        "{\"version\":6,\"upserts\":{\"services\":[{\"name\":\"t\"}]}}",
+    );
     taken(&mut state, &first);
     taken(&mut state, &second);
     for version in 7..300 {
-        taken(&mut state, &replace(version - 1, &configuration(version, version)));
+        taken(
+            &mut state,
+            &replace(version - 1, &configuration(version, version)),
+        );
     }
     let before = state.clone();
     for order in [&first, &second] {
@@ -58,19 +74,34 @@
 #[test]
 fn another_order_with_the_same_number_and_base_conflicts() {
     let mut state = at_five();
-    let (one, other) = (replace(5, &configuration(7, 10)), replace(5, &configuration(7, 11)));
+    let (one, other) = (
+        replace(5, &configuration(7, 10)),
+        replace(5, &configuration(7, 11)),
+    );
     taken(&mut state, &one);
-    assert_eq!(take(&mut state, &other), Verdict::VersionConflict { current: 7 });
+    assert_eq!(
+        take(&mut state, &other),
+        Verdict::VersionConflict { current: 7 }
+    );
     assert_eq!(take(&mut state, &one), Verdict::Taken);
     let spaced = replace(5, &format!("{} ", configuration(7, 10)));
-    assert_eq!(take(&mut state, &spaced), Verdict::VersionConflict { current: 7 });
+    assert_eq!(
+        take(&mut state, &spaced),
+        Verdict::VersionConflict { current: 7 }
+    );
 }
 
 #[test]
 fn another_base_conflicts_whether_it_is_older_or_newer() {
     let mut state = at_five();
-    assert_eq!(take(&mut state, &replace(0, &configuration(9, 1))), Verdict::VersionConflict { current: 5 });
-    assert_eq!(take(&mut state, &update(8, "{\"version\":9}")), Verdict::VersionConflict { current: 5 });
+    assert_eq!(
+        take(&mut state, &replace(0, &configuration(9, 1))),
+        Verdict::VersionConflict { current: 5 }
+    );
+    assert_eq!(
+        take(&mut state, &update(8, "{\"version\":9}")),
+        Verdict::VersionConflict { current: 5 }
+    );
     assert_eq!(
         take(&mut State::default(), &replace(3, &configuration(4, 1))),
         Verdict::VersionConflict { current: 0 }
@@ -80,16 +111,23 @@
 /// Bodies of every kind that operators are known to send by mistake, on top of version 5.
 fn bad_bodies() -> Vec<(&'static str, String)> {
     let good = configuration(7, 10);
-    let second = r#"},{"name":"q","host":"h","pathPrefix":"/a/","timeoutMs":9,"service":"s"}],"services""#;
+    let second =
+        r#"},{"name":"q","host":"h","pathPrefix":"/a/","timeoutMs":9,"service":"s"}],"services""#;
     let split = r#""trafficSplit":[{"service":"s","weight":0},{"service":"s","weight":0}]"#;
     vec![
         ("cut_short", good[..good.len() / 2].to_owned()),
-        ("unknown_service", good.replace("\"service\":\"s\"", "\"service\":\"nowhere\"")),
+        (
+            "unknown_service",
+            good.replace("\"service\":\"s\"", "\"service\":\"nowhere\""),
+        ),
         ("same_place", good.replace("}],\"services\"", second)),
         ("no_weight", good.replace("\"service\":\"s\"", split)),
         ("no_timeout", configuration(7, 0)),
         ("old_version", configuration(4, 10)),
-        ("same_version", configuration(5, 10).replace("\"timeoutMs\":10", "\"timeoutMs\":11")),
+        (
+            "same_version",
+            configuration(5, 10).replace("\"timeoutMs\":10", "\"timeoutMs\":11"),
+        ),
     ]
 }
 
@@ -114,17 +152,33 @@
     };
     let bodies = [
         ("cut_short", "{\"version\":7,\"upserts\":{".to_owned(), true),
-        ("unknown_service", route("\"pathPrefix\":\"/b/\",\"service\":\"nowhere\""), false),
-        ("same_place", route("\"pathPrefix\":\"/a/\",\"service\":\"s\""), false),
+        (
+            "unknown_service",
+            route("\"pathPrefix\":\"/b/\",\"service\":\"nowhere\""),
+            false,
+        ),
+        (
+            "same_place",
+            route("\"pathPrefix\":\"/a/\",\"service\":\"s\""),
+            false,
+        ),
         (
             "no_weight",
             route("\"pathPrefix\":\"/b/\",\"trafficSplit\":[{\"service\":\"s\",\"weight\":0}]"),
             true,
         ),
-        ("no_timeout", route("\"pathPrefix\":\"/b/\",\"service\":\"s\",\"timeoutMs\":0"), true),
+        (
+            "no_timeout",
+            route("\"pathPrefix\":\"/b/\",\"service\":\"s\",\"timeoutMs\":0"),
+            true,
+        ),
         ("old_version", "{\"version\":4}".to_owned(), true),
         ("same_version", "{\"version\":5}".to_owned(), true),
-        ("a service that is used", "{\"version\":7,\"removals\":{\"services\":[\"s\"]}}".to_owned(), false),
+        (
+            "a service that is used",
+            "{\"version\":7,\"removals\":{\"services\":[\"s\"]}}".to_owned(),
+            false,
+        ),
     ];
     for (kind, body, alone) in bodies {
         let order = update(5, &body);
@@ -138,18 +192,25 @@
 fn what_is_invalid_in_itself_is_so_whatever_the_base_and_never_taken_later() {
     let mut state = at_five();
     let order = replace(3, &configuration(4, 0));
-    assert_matches!(take(&mut state, &order), Verdict::Invalid(ConfigurationError::NoTimeout { .. }));
+    assert_matches!(
+        take(&mut state, &order),
+        Verdict::Invalid(ConfigurationError::NoTimeout { .. })
+    );
     let order = replace(9, &configuration(9, 1));
-    let wanted = ConfigurationError::VersionNotAbove { version: 9, current: 9 };
+    let wanted = ConfigurationError::VersionNotAbove {
+        version: 9,
+        current: 9,
+    };
     assert_eq!(take(&mut state, &order), Verdict::Invalid(wanted.clone()));
     assert_eq!(judge_alone(&order), Err(wanted));
 }
 
 #[test]
 fn what_is_valid_in_itself_is_left_to_the_primary() {
-    for order in
-        [replace(5, &configuration(7, 10)), update(5, "{\"version\":7,\"removals\":{\"services\":[\"s\"]}}")]
-    {
+    for order in [
+        replace(5, &configuration(7, 10)),
+        update(5, "{\"version\":7,\"removals\":{\"services\":[\"s\"]}}"),
+    ] {
         assert_eq!(judge_alone(&order), Ok(()));
     }
 }
@@ -158,19 +219,47 @@
 fn an_update_before_any_configuration_and_an_unknown_path_are_invalid() {
     let mut state = State::default();
     let first = update(0, "{\"version\":1}");
-    assert_eq!(take(&mut state, &first), Verdict::Invalid(ConfigurationError::NothingToUpdate));
-    let elsewhere = Order { path: "/configuration/other".to_owned(), ..first };
-    assert_eq!(judge(&state, &elsewhere), Verdict::Invalid(ConfigurationError::UnknownPath));
-    assert_eq!(judge_alone(&elsewhere), Err(ConfigurationError::UnknownPath));
+    assert_eq!(
+        take(&mut state, &first),
+        Verdict::Invalid(ConfigurationError::NothingToUpdate)
+    );
+    let elsewhere = Order {
+        path: "/configuration/other".to_owned(),
+        ..first
+    };
+    assert_eq!(
+        judge(&state, &elsewhere),
+        Verdict::Invalid(ConfigurationError::UnknownPath)
+    );
+    assert_eq!(
+        judge_alone(&elsewhere),
+        Err(ConfigurationError::UnknownPath)
+    );
 }
 
 #[test]
 fn base_versions_are_whole_numbers() {
     assert_eq!(parse_base_version(Some(b"0")), Ok(0));
-    assert_eq!(parse_base_version(Some(b" 18446744073709551615\t")), Ok(u64::MAX));
-    assert_eq!(parse_base_version(None), Err(ConfigurationError::MissingBaseVersion));
-    for header in [&b""[..], b" ", b"-1", b"+1", b"1.0", b"x", b"1 2", b"18446744073709551616", b"\xff", b"*"]
-    {
+    assert_eq!(
+        parse_base_version(Some(b" 18446744073709551615\t")),
+        Ok(u64::MAX)
+    );
+    assert_eq!(
+        parse_base_version(None),
+        Err(ConfigurationError::MissingBaseVersion)
+    );
+    for header in [
+        &b""[..],
+        b" ",
+        b"-1",
+        b"+1",
+        b"1.0",
+        b"x",
+        b"1 2",
+        b"18446744073709551616",
+        b"\xff",
+        b"*",
+    ] {
         assert_eq!(
             parse_base_version(Some(header)),
             Err(ConfigurationError::UnreadableBaseVersion),
@@ -186,13 +275,23 @@
         update(5, "{}"),
         replace(6, "{}"),
         replace(5, "{} "),
-        Order { path: format!("{REPLACE_PATH}{{"), body: b"}".to_vec(), ..order.clone() },
+        Order {
+            path: format!("{REPLACE_PATH}{{"),
+            body: b"}".to_vec(),
+            ..order.clone()
+        },
     ];
     for other in &others {
         assert_ne!(other.digest(), order.digest(), "{other:?}");
     }
     assert_eq!(order.digest(), order.clone().digest());
-    let (one, other) = (OrderDigest::of("x", 0x41, &[1]), OrderDigest::of("xA", 1 << 56, &[]));
+    let (one, other) = (
+        OrderDigest::of("x", 0x41, &[1]),
+        OrderDigest::of("xA", 1 << 56, &[]),
+    );
     assert_ne!(one, other, "their bytes are the same, one after the other");
-    assert_eq!(OrderKind::of_path(OrderKind::Update.path()), Some(OrderKind::Update));
+    assert_eq!(
+        OrderKind::of_path(OrderKind::Update.path()),
+        Some(OrderKind::Update)
+    );
 }
--- a/decide/configuration/src/route.rs
+++ b/decide/configuration/src/route.rs
@@ -59,7 +59,8 @@
     pub kind: RouteKind,
     /// The longest that a request may be held (milliseconds); never 0.
     pub timeout_ms: u64,
-    /// Within which an answer earns its full worth (milliseconds); the time-out where the operator says nothing.
+    /// Within which an answer earns its full worth (milliseconds); the time-out where the operator
+    /// says nothing.
     pub target_latency_ms: u64,
     /// Its rank; 0 is highest.
     pub priority: u32,
@@ -73,7 +74,8 @@
     pub session_affinity: bool,
     /// Whether a stream may be taken up at another server.
     pub stream_resume: bool,
-    /// The longest pause between events that keeps an answer in time (milliseconds), where that is told.
+    /// The longest pause between events that keeps an answer in time (milliseconds), where that is
+    /// told.
     pub gap_aim_ms: Option<u64>,
 }
 
@@ -129,8 +131,8 @@
         self.kind.repeatable() || (self.kind == RouteKind::Streaming && self.stream_resume)
     }
 
-    /// The service of one request, drawn by weight with a number that is even over all of its range. A service without weight is
-    /// never drawn.
+    /// The service of one request, drawn by weight with a number that is even over all of its
+    /// range. A service without weight is never drawn.
     #[must_use]
     pub fn draw(&self, random: u64) -> &str {
         let share = (random >> 11) as f64 / (1_u64 << 53) as f64;
@@ -144,7 +146,10 @@
             }
             left -= target.weight;
         }
-        debug_assert!(!drawn.is_empty(), "the weights of a checked route add up to more than 0");
+        debug_assert!(
+            !drawn.is_empty(),
+            "the weights of a checked route add up to more than 0"
+        );
         drawn
     }
 }
@@ -153,8 +158,13 @@
 fn targets(name: &str, fields: &Fields<'_>) -> Result<Vec<WeightedService>, ConfigurationError> {
     let single = fields.text("service")?;
     match (fields.list("trafficSplit")?, single) {
-        (Some(split), _) if !split.is_empty() => split.iter().map(|part| weighted(name, part)).collect(),
-        (_, Some(service)) => Ok(vec![WeightedService { service: service.to_owned(), weight: 1.0 }]),
+        (Some(split), _) if !split.is_empty() => {
+            split.iter().map(|part| weighted(name, part)).collect()
+        }
+        (_, Some(service)) => Ok(vec![WeightedService {
+            service: service.to_owned(),
+            weight: 1.0,
+        }]),
         (Some(_), None) => Ok(Vec::new()),
         (None, None) => Err(fields.missing("service")),
     }
@@ -162,11 +172,20 @@
 
 fn weighted(route: &str, part: &Value) -> Result<WeightedService, ConfigurationError> {
     let fields = Fields::new(format!("trafficSplit of route `{route}`"), part)?;
-    let weight = fields.number("weight")?.ok_or_else(|| fields.missing("weight"))?;
+    let weight = fields
+        .number("weight")?
+        .ok_or_else(|| fields.missing("weight"))?;
     if !weight.is_finite() {
-        return Err(wrong(&format!("trafficSplit of route `{route}`"), "weight", "a finite number"));
+        return Err(wrong(
+            &format!("trafficSplit of route `{route}`"),
+            "weight",
+            "a finite number",
+        ));
     }
-    Ok(WeightedService { service: fields.needed_text("service")?.to_owned(), weight })
+    Ok(WeightedService {
+        service: fields.needed_text("service")?.to_owned(),
+        weight,
+    })
 }
 
 #[cfg(test)]
--- a/decide/configuration/src/route/tests.rs
+++ b/decide/configuration/src/route/tests.rs
@@ -21,8 +21,14 @@
 #[test]
 fn a_route_that_says_little_gets_what_is_safe() {
     let route = read(",\"service\":\"s\"").expect("valid");
-    let target = WeightedService { service: "s".to_owned(), weight: 1.0 };
-    assert_eq!((route.host.as_str(), route.kind, route.max_attempts), ("a.example", RouteKind::Unknown, 1));
+    let target = WeightedService {
+        service: "s".to_owned(),
+        weight: 1.0,
+    };
+    assert_eq!(
+        (route.host.as_str(), route.kind, route.max_attempts),
+        ("a.example", RouteKind::Unknown, 1)
+    );
     assert_eq!(route.targets, [target]);
     assert_eq!(route.target_latency_ms, route.timeout_ms);
     assert!(!route.idempotent() && route.gap_aim_ms.is_none());
@@ -36,33 +42,60 @@
     assert!(!kind("\"kind\":\"streaming\"").idempotent());
     assert!(kind("\"kind\":\"streaming\",\"streamResume\":true").idempotent());
     let keyed = kind("\"kind\":\"keyed\"");
-    assert_eq!((keyed.kind, keyed.idempotent()), (RouteKind::Unknown, false));
+    assert_eq!(
+        (keyed.kind, keyed.idempotent()),
+        (RouteKind::Unknown, false)
+    );
 }
 
 #[test]
 fn numbers_may_be_written_with_a_fraction() {
-    let route =
-        read(",\"service\":\"s\",\"timeoutMs\":3000.0,\"priority\":2,\"gap_aim_ms\":0.25").expect("valid");
-    assert_eq!((route.timeout_ms, route.priority, route.gap_aim_ms), (3_000, 2, Some(1)));
+    let route = read(",\"service\":\"s\",\"timeoutMs\":3000.0,\"priority\":2,\"gap_aim_ms\":0.25")
+        .expect("valid");
+    assert_eq!(
+        (route.timeout_ms, route.priority, route.gap_aim_ms),
+        (3_000, 2, Some(1))
+    );
 }
 
 #[test]
 fn what_is_wrong_is_named() {
     let name = || "r".to_owned();
     let cases = [
-        (read(",\"service\":\"s\",\"timeoutMs\":0"), ConfigurationError::NoTimeout { route: name() }),
-        (read(",\"service\":\"s\",\"timeoutMs\":0.0"), ConfigurationError::NoTimeout { route: name() }),
-        (read(&split(&[("s", 0.0), ("t", 0.0)])), ConfigurationError::NoWeight { route: name() }),
-        (read(&split(&[])), ConfigurationError::NoWeight { route: name() }),
-        (read(&split(&[("s", 5.0), ("t", -1.0)])), ConfigurationError::NegativeWeight { route: name() }),
+        (
+            read(",\"service\":\"s\",\"timeoutMs\":0"),
+            ConfigurationError::NoTimeout { route: name() },
+        ),
+        (
+            read(",\"service\":\"s\",\"timeoutMs\":0.0"),
+            ConfigurationError::NoTimeout { route: name() },
+        ),
+        (
+            read(&split(&[("s", 0.0), ("t", 0.0)])),
+            ConfigurationError::NoWeight { route: name() },
+        ),
+        (
+            read(&split(&[])),
+            ConfigurationError::NoWeight { route: name() },
+        ),
+        (
+            read(&split(&[("s", 5.0), ("t", -1.0)])),
+            ConfigurationError::NegativeWeight { route: name() },
+        ),
     ];
     for (outcome, wanted) in cases {
         assert_eq!(outcome, Err(wanted));
     }
-    for fields in
-        [",\"service\":7", ",\"service\":\"s\",\"timeoutMs\":-3", ",\"service\":\"s\",\"timeoutMs\":\"3\""]
-    {
-        assert_matches!(read(fields), Err(ConfigurationError::WrongType { .. }), "{fields}");
+    for fields in [
+        ",\"service\":7",
+        ",\"service\":\"s\",\"timeoutMs\":-3",
+        ",\"service\":\"s\",\"timeoutMs\":\"3\"",
+    ] {
+        assert_matches!(
+            read(fields),
+            Err(ConfigurationError::WrongType { .. }),
+            "{fields}"
+        );
     }
     assert_matches!(read(""), Err(ConfigurationError::MissingField { field, .. }) if field == "service");
     assert_matches!(
@@ -79,14 +112,25 @@
     };
     assert!(read("/").is_ok() && read("/a/b/").is_ok());
     for prefix in ["a/", "/a", "a"] {
-        assert_eq!(read(prefix), Err(ConfigurationError::Prefix { route: "r".to_owned() }));
+        assert_eq!(
+            read(prefix),
+            Err(ConfigurationError::Prefix {
+                route: "r".to_owned()
+            })
+        );
     }
     assert_matches!(read(""), Err(ConfigurationError::MissingField { .. }));
 }
 
 #[test]
 fn services_are_drawn_by_weight_and_never_without_weight() {
-    let route = read(&split(&[("none", 0.0), ("most", 90.0), ("few", 10.0), ("last", 0.0)])).expect("valid");
+    let route = read(&split(&[
+        ("none", 0.0),
+        ("most", 90.0),
+        ("few", 10.0),
+        ("last", 0.0),
+    ]))
+    .expect("valid");
     let draws = 1_000_u64;
     let step = u64::MAX / draws;
     let drawn: Vec<&str> = (0..draws).map(|n| route.draw(n * step)).collect();
--- a/decide/configuration/src/routes.rs
+++ b/decide/configuration/src/routes.rs
@@ -30,12 +30,23 @@
     pub fn new(document: Arc<Document>) -> Routes {
         let mut hosts: HashMap<String, Prefixes> = HashMap::new();
         for (place, route) in document.routes().iter().enumerate() {
-            hosts.entry(route.host.clone()).or_default().add(&route.path_prefix, place);
+            hosts
+                .entry(route.host.clone())
+                .or_default()
+                .add(&route.path_prefix, place);
         }
-        hosts.values_mut().for_each(|prefixes| prefixes.sorted.sort());
+        hosts
+            .values_mut()
+            .for_each(|prefixes| prefixes.sorted.sort());
         let services = document.services().iter().enumerate();
-        let services = services.map(|(place, service)| (service.name.clone(), place)).collect();
-        Routes { hosts, services, document }
+        let services = services
+            .map(|(place, service)| (service.name.clone(), place))
+            .collect();
+        Routes {
+            hosts,
+            services,
+            document,
+        }
     }
 
     /// The configuration.
@@ -44,9 +55,9 @@
         &self.document
     }
 
-    /// The route of a request by its `Host` header and its path: the one of that host with the longest prefix. Hosts are compared
-    /// without regard to case, and first as they came; where no route has the host with that port, the port is left out. A query
-    /// does not count.
+    /// The route of a request by its `Host` header and its path: the one of that host with the
+    /// longest prefix. Hosts are compared without regard to case, and first as they came; where no
+    /// route has the host with that port, the port is left out. A query does not count.
     #[must_use]
     pub fn lookup(&self, host: &str, path: &str) -> Option<&Route> {
         let place = self.prefixes(host)?.longest_of(path)?;
@@ -55,7 +66,9 @@
 
     fn prefixes(&self, host: &str) -> Option<&Prefixes> {
         let host = lower_case(host.trim_matches([' ', '\t']));
-        self.hosts.get(host.as_ref()).or_else(|| self.hosts.get(without_port(&host)?))
+        self.hosts
+            .get(host.as_ref())
+            .or_else(|| self.hosts.get(without_port(&host)?))
     }
 
     /// The service of this name.
@@ -71,16 +84,25 @@
         self.longest = self.longest.max(prefix.len());
     }
 
-    /// Every prefix ends with a slash, so only what ends with one in the path can be a prefix of it.
+    /// Every prefix ends with a slash, so only what ends with one in the path can be a prefix of
+    /// it.
     fn longest_of(&self, path: &str) -> Option<usize> {
         let path = path.split(['?', '#']).next().unwrap_or_default().as_bytes();
         let bounded = &path[..path.len().min(self.longest)];
-        let ends = bounded.iter().enumerate().rev().filter(|(_, byte)| **byte == b'/');
-        ends.map(|(last, _)| &path[..=last]).find_map(|candidate| self.place_of(candidate))
+        let ends = bounded
+            .iter()
+            .enumerate()
+            .rev()
+            .filter(|(_, byte)| **byte == b'/');
+        ends.map(|(last, _)| &path[..=last])
+            .find_map(|candidate| self.place_of(candidate))
     }
 
     fn place_of(&self, candidate: &[u8]) -> Option<usize> {
-        let found = self.sorted.binary_search_by(|(prefix, _)| prefix.as_bytes().cmp(candidate)).ok()?;
+        let found = self
+            .sorted
+            .binary_search_by(|(prefix, _)| prefix.as_bytes().cmp(candidate))
+            .ok()?;
         Some(self.sorted[found].1)
     }
 }
--- a/decide/configuration/src/service.rs
+++ b/decide/configuration/src/service.rs
@@ -33,16 +33,20 @@
     pub(crate) fn read(name: &str, value: &Value) -> Result<Service, ConfigurationError> {
         let fields = Fields::new(format!("service `{name}`"), value)?;
         let engine = fields.get("engine");
-        let engine =
-            engine.map(|value| Fields::new(format!("engine of service `{name}`"), value)).transpose()?;
+        let engine = engine
+            .map(|value| Fields::new(format!("engine of service `{name}`"), value))
+            .transpose()?;
         let engine = engine.as_ref();
-        let path = fields.text("healthCheckPath")?.filter(|path| !path.is_empty());
+        let path = fields
+            .text("healthCheckPath")?
+            .filter(|path| !path.is_empty());
         Ok(Service {
             name: name.to_owned(),
             health_check_path: path.unwrap_or(USUAL_HEALTH_CHECK).to_owned(),
             max_connections: fields.small_count("maxConnections")?,
             tls_enabled: fields.flag("tlsEnabled")?,
-            capacity_slots: engine.map_or(Ok(None), |engine| engine.small_count("capacitySlots"))?,
+            capacity_slots: engine
+                .map_or(Ok(None), |engine| engine.small_count("capacitySlots"))?,
             kv_token_capacity: engine.map_or(Ok(None), |engine| engine.count("kvTokenCapacity"))?,
             kv_token_bytes: engine.map_or(Ok(None), |engine| engine.count("kvTokenBytes"))?,
             models: engine.map_or(Ok(Vec::new()), models)?,
@@ -57,7 +61,9 @@
 }
 
 fn model_name(model: &Value) -> Option<String> {
-    let Value::Object(model) = model else { return None };
+    let Value::Object(model) = model else {
+        return None;
+    };
     match model.get("name") {
         Some(Value::String(name)) => Some(name.clone()),
         _ => None,
--- a/decide/configuration/src/state.rs
+++ b/decide/configuration/src/state.rs
@@ -1,4 +1,5 @@
-//! What the control machines replicate: the configuration, and the digests of all orders that were taken.
+//! What the control machines replicate: the configuration, and the digests of all orders that were
+//! taken.
 
 use crate::document::Document;
 use crate::error::ConfigurationError;
@@ -75,7 +76,8 @@
     /// Whether exactly this order has been taken.
     #[must_use]
     pub fn taken(&self, digest: &OrderDigest) -> bool {
-        // The newest first: a repeat follows its order closely. All of them are 320 KB, which takes some microseconds.
+        // The newest first: a repeat follows its order closely. All of them are 320 KB, which takes
+        // some microseconds.
         self.history.iter().rev().any(|taken| taken == digest)
     }
 
@@ -85,7 +87,8 @@
         self.history.len()
     }
 
-    /// The change that an order makes: the order as it came, since that is small and gives the same outcome everywhere.
+    /// The change that an order makes: the order as it came, since that is small and gives the same
+    /// outcome everywhere.
     pub(crate) fn change(kind: OrderKind, base_version: u64, body: &[u8]) -> Vec<u8> {
         let mut out = Vec::with_capacity(10 + body.len());
         out.push(FORMAT);
@@ -95,7 +98,8 @@
         out
     }
 
-    /// Applies a change of [`judge`](crate::judge). The same changes in the same order give the same state everywhere.
+    /// Applies a change of [`judge`](crate::judge). The same changes in the same order give the
+    /// same state everywhere.
     ///
     /// # Errors
     /// It does not fit; the state is as it was.
@@ -106,7 +110,10 @@
         let base = reader.number()?;
         let body = reader.bytes;
         if base != self.version() {
-            return Err(StateError::Base { base, current: self.version() });
+            return Err(StateError::Base {
+                base,
+                current: self.version(),
+            });
         }
         let document = Checked::read(kind, base, body)?.outcome(self.document())?;
         self.document = Some(Arc::new(document));
@@ -121,11 +128,13 @@
         self.history.push_back(digest);
     }
 
-    /// The whole state: format, length of the configuration (0 where there is none), the configuration, number of digests, digests.
+    /// The whole state: format, length of the configuration (0 where there is none), the
+    /// configuration, number of digests, digests.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         let document = self.document().map(Document::to_json).unwrap_or_default();
-        let mut out = Vec::with_capacity(9 + document.len() + self.history.len() * OrderDigest::BYTES);
+        let mut out =
+            Vec::with_capacity(9 + document.len() + self.history.len() * OrderDigest::BYTES);
         out.push(FORMAT);
         out.extend_from_slice(&(document.len() as u32).to_le_bytes());
         out.extend_from_slice(&document);
@@ -154,7 +163,10 @@
 
 fn read_document(reader: &mut Reader<'_>) -> Result<Option<Arc<Document>>, StateError> {
     let length = reader.length()?;
-    debug_assert!(MAX_DOCUMENT_BYTES < u32::MAX as usize, "a length has four bytes");
+    debug_assert!(
+        MAX_DOCUMENT_BYTES < u32::MAX as usize,
+        "a length has four bytes"
+    );
     match reader.take(length)? {
         [] => Ok(None),
         text => Ok(Some(Arc::new(Document::parse_committed(text)?))),
@@ -168,7 +180,10 @@
     }
     let bytes = reader.take(count * OrderDigest::BYTES)?;
     let digests = bytes.chunks_exact(OrderDigest::BYTES);
-    Ok(digests.filter_map(|digest| digest.try_into().ok()).map(OrderDigest).collect())
+    Ok(digests
+        .filter_map(|digest| digest.try_into().ok())
+        .map(OrderDigest)
+        .collect())
 }
 
 fn mark_of(kind: OrderKind) -> u8 {
@@ -193,7 +208,10 @@
 
 impl<'a> Reader<'a> {
     fn take(&mut self, length: usize) -> Result<&'a [u8], StateError> {
-        let (taken, left) = self.bytes.split_at_checked(length).ok_or(StateError::Short)?;
+        let (taken, left) = self
+            .bytes
+            .split_at_checked(length)
+            .ok_or(StateError::Short)?;
         self.bytes = left;
         Ok(taken)
     }
--- a/decide/configuration/src/state/tests.rs
+++ b/decide/configuration/src/state/tests.rs
@@ -9,7 +9,11 @@
 const SEED: u64 = 0x5eed_0003;
 
 fn order(path: &str, base_version: u64, body: String) -> Order {
-    Order { path: path.to_owned(), base_version, body: body.into_bytes() }
+    Order {
+        path: path.to_owned(),
+        base_version,
+        body: body.into_bytes(),
+    }
 }
 
 fn first() -> Order {
@@ -76,7 +80,9 @@
     }
     assert_eq!(other.encode(), state.encode());
     let text = other.document().expect("there").to_json();
-    assert!(String::from_utf8(text).expect("UTF-8").contains("\"own\":1.50"));
+    assert!(String::from_utf8(text)
+        .expect("UTF-8")
+        .contains("\"own\":1.50"));
 }
 
 #[test]
@@ -102,15 +108,27 @@
 fn a_change_that_does_not_fit_leaves_the_state_as_it_was() {
     let (mut state, changes) = after(3);
     let before = state.clone();
-    assert_eq!(state.apply(&changes[2]), Err(StateError::Base { base: 2, current: 3 }));
+    assert_eq!(
+        state.apply(&changes[2]),
+        Err(StateError::Base {
+            base: 2,
+            current: 3
+        })
+    );
     assert_eq!(state.apply(&[]), Err(StateError::Short));
     assert_eq!(state.apply(&[9]), Err(StateError::Format(9)));
     assert_eq!(state.apply(&[1, 7]), Err(StateError::Mark(7)));
     assert_eq!(state.apply(&[1, 1, 0]), Err(StateError::Short));
-    let bad = State::change(OrderKind::Update, 3, b"{\"version\":4,\"removals\":{\"services\":[\"s\"]}}");
+    let bad = State::change(
+        OrderKind::Update,
+        3,
+        b"{\"version\":4,\"removals\":{\"services\":[\"s\"]}}",
+    );
     assert_matches!(
         state.apply(&bad),
-        Err(StateError::Configuration(ConfigurationError::UnknownService { .. }))
+        Err(StateError::Configuration(
+            ConfigurationError::UnknownService { .. }
+        ))
     );
     assert_eq!(state, before);
 }
@@ -120,7 +138,11 @@
     let (state, _) = after(3);
     let bytes = state.encode();
     for length in 0..bytes.len() {
-        assert_eq!(State::decode(&bytes[..length]), Err(StateError::Short), "{length}");
+        assert_eq!(
+            State::decode(&bytes[..length]),
+            Err(StateError::Short),
+            "{length}"
+        );
     }
     let longer = [&bytes[..], &[0, 0]].concat();
     assert_eq!(State::decode(&longer), Err(StateError::LeftOver(2)));
@@ -129,9 +151,15 @@
     assert_eq!(State::decode(&other), Err(StateError::Format(2)));
     let mut many = vec![1, 0, 0, 0, 0];
     many.extend_from_slice(&(MAX_HISTORY as u32 + 1).to_le_bytes());
-    assert_eq!(State::decode(&many), Err(StateError::History(MAX_HISTORY + 1)));
+    assert_eq!(
+        State::decode(&many),
+        Err(StateError::History(MAX_HISTORY + 1))
+    );
     let torn = [&[1, 1, 0, 0, 0][..], b"{", &[0, 0, 0, 0]].concat();
-    assert_eq!(State::decode(&torn), Err(StateError::Configuration(ConfigurationError::Unreadable)));
+    assert_eq!(
+        State::decode(&torn),
+        Err(StateError::Configuration(ConfigurationError::Unreadable))
+    );
 }
 
 #[test]
@@ -140,14 +168,21 @@
         let (mut state, changes) = after(2);
         let (mut encoded, mut change) = (state.encode(), changes[1].clone());
         for (place, byte) in edits {
-            let (one, other) = (usize::from(place) % encoded.len(), usize::from(place) % change.len());
+            let (one, other) = (
+                usize::from(place) % encoded.len(),
+                usize::from(place) % change.len(),
+            );
             (encoded[one], change[other]) = (byte, byte);
         }
         let read = State::decode(&encoded);
         let applied = state.apply(&change).is_ok();
-        let again = read.is_err() || read.is_ok_and(|state| State::decode(&state.encode()) == Ok(state));
+        let again =
+            read.is_err() || read.is_ok_and(|state| State::decode(&state.encode()) == Ok(state));
         again && !applied && State::decode(&bytes).is_err() | (bytes.first() == Some(&1))
     }
     let gen = Gen::from_size_and_seed(12, SEED);
-    QuickCheck::new().rng(gen).tests(3_000).quickcheck(holds as fn(Vec<u8>, Vec<(u16, u8)>) -> bool);
+    QuickCheck::new()
+        .rng(gen)
+        .tests(3_000)
+        .quickcheck(holds as fn(Vec<u8>, Vec<(u16, u8)>) -> bool);
 }
--- a/decide/configuration/src/tenant.rs
+++ b/decide/configuration/src/tenant.rs
@@ -61,7 +61,11 @@
             name: name.to_owned(),
             keys: keys(&fields, &place)?,
             priority: fields.small_count("priority")?,
-            quota: (rate_per_s > 0.0).then_some(Quota { unit, rate_per_s, burst }),
+            quota: (rate_per_s > 0.0).then_some(Quota {
+                unit,
+                rate_per_s,
+                burst,
+            }),
             unit,
             uncached_tokens: fields.count("uncachedTokens")?.unwrap_or(0),
         })
@@ -80,9 +84,15 @@
 fn keys(fields: &Fields<'_>, place: &str) -> Result<Vec<KeyDigest>, ConfigurationError> {
     let mut keys = Vec::new();
     for key in fields.list("apiKeys")?.unwrap_or_default() {
-        let Value::String(key) = key else { return Err(wrong(place, "apiKeys", "a list of texts")) };
+        let Value::String(key) = key else {
+            return Err(wrong(place, "apiKeys", "a list of texts"));
+        };
         if key.is_empty() {
-            return Err(wrong(place, "apiKeys", "a list of texts that are not empty"));
+            return Err(wrong(
+                place,
+                "apiKeys",
+                "a list of texts that are not empty",
+            ));
         }
         let digest = KeyDigest::of(key.as_bytes());
         if !keys.contains(&digest) {
--- a/decide/configuration/src/tenant/tests.rs
+++ b/decide/configuration/src/tenant/tests.rs
@@ -13,7 +13,9 @@
 
 fn update(upserts: &str) -> Result<Document, ConfigurationError> {
     let base = parse(r#"[{"name":"a","apiKeys":["k1"]},{"name":"b","apiKeys":["k2"]}]"#)?;
-    base.apply_update(&Update::parse(format!("{{\"version\":4,{upserts}}}").as_bytes())?)
+    base.apply_update(&Update::parse(
+        format!("{{\"version\":4,{upserts}}}").as_bytes(),
+    )?)
 }
 
 #[test]
@@ -24,8 +26,14 @@
     )
     .expect("valid");
     let tenant = &document.tenants().expect("tenants")[0];
-    assert_eq!((tenant.name.as_str(), tenant.keys.len(), tenant.priority), ("kaje80", 2, Some(1)));
-    assert_eq!((tenant.unit, tenant.uncached_tokens), (QuotaUnit::Tokens, 200));
+    assert_eq!(
+        (tenant.name.as_str(), tenant.keys.len(), tenant.priority),
+        ("kaje80", 2, Some(1))
+    );
+    assert_eq!(
+        (tenant.unit, tenant.uncached_tokens),
+        (QuotaUnit::Tokens, 200)
+    );
     let quota = tenant.quota.expect("a quota");
     assert_eq!((quota.rate_per_s, quota.burst), (731_839.0, 5.5));
 }
@@ -35,7 +43,11 @@
     for rate in ["", ",\"ratePerS\":0", ",\"ratePerS\":null,\"burstSize\":9"] {
         let document = parse(&format!("[{{\"name\":\"a\",\"apiKeys\":[]{rate}}}]")).expect("valid");
         let tenant = &document.tenants().expect("tenants")[0];
-        assert_eq!((tenant.quota, tenant.unit), (None, QuotaUnit::Requests), "{rate}");
+        assert_eq!(
+            (tenant.quota, tenant.unit),
+            (None, QuotaUnit::Requests),
+            "{rate}"
+        );
     }
 }
 
@@ -44,38 +56,62 @@
     let none = Document::parse(br#"{"version":1,"routes":[],"services":[]}"#).expect("valid");
     assert!(none.tenants().is_none());
     assert!(parse("null").expect("valid").tenants().is_none());
-    assert_eq!(parse("[]").expect("valid").tenants().map(<[_]>::len), Some(0));
+    assert_eq!(
+        parse("[]").expect("valid").tenants().map(<[_]>::len),
+        Some(0)
+    );
 }
 
 #[test]
 fn a_key_that_two_tenants_hold_is_invalid_and_is_not_told() {
-    let error = parse(r#"[{"name":"a","apiKeys":["secret"]},{"name":"b","apiKeys":["x","secret"]}]"#)
-        .expect_err("invalid");
+    let error =
+        parse(r#"[{"name":"a","apiKeys":["secret"]},{"name":"b","apiKeys":["x","secret"]}]"#)
+            .expect_err("invalid");
     assert_matches!(&error, ConfigurationError::SharedKey { first, second } if first == "a" && second == "b");
     assert!(error.to_string().contains("apiKeys") && !error.to_string().contains("secret"));
 }
 
 #[test]
 fn figures_that_are_negative_or_endless_are_invalid() {
-    for (field, value) in
-        [("ratePerS", "-1"), ("ratePerS", "1e999"), ("burstSize", "-0.5"), ("ratePerS", "\"9\"")]
-    {
-        let error = parse(&format!("[{{\"name\":\"a\",\"{field}\":{value}}}]")).expect_err("invalid");
-        assert!(error.to_string().contains(field) || error == ConfigurationError::Unreadable, "{error}");
+    for (field, value) in [
+        ("ratePerS", "-1"),
+        ("ratePerS", "1e999"),
+        ("burstSize", "-0.5"),
+        ("ratePerS", "\"9\""),
+    ] {
+        let error =
+            parse(&format!("[{{\"name\":\"a\",\"{field}\":{value}}}]")).expect_err("invalid");
+        assert!(
+            error.to_string().contains(field) || error == ConfigurationError::Unreadable,
+            "{error}"
+        );
     }
-    for (field, value) in
-        [("priority", "-1"), ("uncachedTokens", "-3"), ("apiKeys", "\"k\""), ("apiKeys", "[7]")]
-    {
-        let error = parse(&format!("[{{\"name\":\"a\",\"{field}\":{value}}}]")).expect_err("invalid");
+    for (field, value) in [
+        ("priority", "-1"),
+        ("uncachedTokens", "-3"),
+        ("apiKeys", "\"k\""),
+        ("apiKeys", "[7]"),
+    ] {
+        let error =
+            parse(&format!("[{{\"name\":\"a\",\"{field}\":{value}}}]")).expect_err("invalid");
         assert!(error.to_string().contains(field), "{error}");
     }
 }
 
 #[test]
 fn tenants_that_are_no_list_of_named_items_are_invalid() {
-    for tenants in ["{}", "7", r#"[{"apiKeys":[]}]"#, r#"[{"name":"a"},{"name":"a"}]"#, r#"["a"]"#] {
+    for tenants in [
+        "{}",
+        "7",
+        r#"[{"apiKeys":[]}]"#,
+        r#"[{"name":"a"},{"name":"a"}]"#,
+        r#"["a"]"#,
+    ] {
         assert!(parse(tenants).is_err(), "{tenants}");
-        assert!(update(&format!("\"upserts\":{{\"tenants\":{tenants}}}")).is_err(), "{tenants}");
+        assert!(
+            update(&format!("\"upserts\":{{\"tenants\":{tenants}}}")).is_err(),
+            "{tenants}"
+        );
     }
 }
 
@@ -84,7 +120,12 @@
     let moved =
         update(r#""upserts":{"tenants":[{"name":"a","apiKeys":["k3"]},{"name":"b","apiKeys":["k1","k2"]}]}"#)
             .expect("valid");
-    let keys: Vec<usize> = moved.tenants().expect("tenants").iter().map(|tenant| tenant.keys.len()).collect();
+    let keys: Vec<usize> = moved
+        .tenants()
+        .expect("tenants")
+        .iter()
+        .map(|tenant| tenant.keys.len())
+        .collect();
     assert_eq!(keys, [1, 2]);
     let last = update(r#""removals":{"tenants":["a","b"]}"#).expect("valid");
     assert_eq!(last.tenants().map(<[_]>::len), Some(0));
@@ -97,7 +138,11 @@
 #[test]
 fn what_an_older_program_took_unchecked_is_read_and_nobody_holds_a_key() {
     let shared = text(r#"[{"name":"a","apiKeys":["k"]},{"name":"b","apiKeys":["k"]}]"#);
-    for old in [shared.as_str(), &text("7"), &text(r#"[{"name":"a","ratePerS":-1}]"#)] {
+    for old in [
+        shared.as_str(),
+        &text("7"),
+        &text(r#"[{"name":"a","ratePerS":-1}]"#),
+    ] {
         assert!(Document::parse(old.as_bytes()).is_err());
         let read = Document::parse_committed(old.as_bytes()).expect("read");
         assert_eq!(read.tenants().map(<[_]>::len), Some(0), "{old}");
--- a/decide/configuration/src/update.rs
+++ b/decide/configuration/src/update.rs
@@ -77,7 +77,10 @@
             return Err(wrong("upserts", field, "a list of items"));
         }
         let content = content_of(field, text)?;
-        self.upserts.push(Upsert { field: field.to_owned(), content });
+        self.upserts.push(Upsert {
+            field: field.to_owned(),
+            content,
+        });
         Ok(())
     }
 
--- a/decide/configuration/src/update/tests.rs
+++ b/decide/configuration/src/update/tests.rs
@@ -15,14 +15,25 @@
         "{\"version\":3,\"reason\":\"because\",\"upserts\":{},\"removals\":{}}",
     ] {
         let update = parse(text).expect("valid");
-        assert_eq!((update.version(), update.upserts().len(), update.removals().len()), (3, 0, 0));
+        assert_eq!(
+            (
+                update.version(),
+                update.upserts().len(),
+                update.removals().len()
+            ),
+            (3, 0, 0)
+        );
     }
 }
 
 #[test]
 fn removals_are_names_or_items_with_names() {
-    let update = parse("{\"version\":3,\"removals\":{\"routes\":[\"a\",{\"name\":\"b\"}]}}").expect("valid");
-    let wanted = Removal { list: "routes".to_owned(), names: vec!["a".to_owned(), "b".to_owned()] };
+    let update =
+        parse("{\"version\":3,\"removals\":{\"routes\":[\"a\",{\"name\":\"b\"}]}}").expect("valid");
+    let wanted = Removal {
+        list: "routes".to_owned(),
+        names: vec!["a".to_owned(), "b".to_owned()],
+    };
     assert_eq!(update.removals(), [wanted]);
 }
 
@@ -50,9 +61,16 @@
         "{\"version\":3,\"upserts\":{\"limits\":{\"maxBodyBytes\":[]}}}",
         "{\"version\":\"3\"}",
     ] {
-        assert_matches!(parse(text), Err(ConfigurationError::WrongType { .. }), "{text}");
+        assert_matches!(
+            parse(text),
+            Err(ConfigurationError::WrongType { .. }),
+            "{text}"
+        );
     }
-    assert_matches!(parse("{\"upserts\":{}}"), Err(ConfigurationError::MissingField { .. }));
+    assert_matches!(
+        parse("{\"upserts\":{}}"),
+        Err(ConfigurationError::MissingField { .. })
+    );
     assert_matches!(
         parse("{\"version\":3,\"upserts\":{\"services\":[{}]}}"),
         Err(ConfigurationError::MissingName { .. })
--- a/decide/control/src/acknowledged.rs
+++ b/decide/control/src/acknowledged.rs
@@ -1,12 +1,13 @@
 //! What a control machine has acknowledged, so that it can check what it lets be read.
 //!
-//! A read must show at least the newest version that was acknowledged before the read came. One that was under way meanwhile may show an
-//! older one.
+//! A read must show at least the newest version that was acknowledged before the read came. One
+//! that was under way meanwhile may show an older one.
 
 use lichenswitch_replication::Time;
 use std::collections::VecDeque;
 
-/// Acknowledgements that are remembered one by one: reads are answered within a second, and few orders are taken in one.
+/// Acknowledgements that are remembered one by one: reads are answered within a second, and few
+/// orders are taken in one.
 const REMEMBERED: usize = 64;
 /// Where our answers name a version.
 const VERSION_FIRST: &[u8] = b"{\"version\":";
@@ -20,7 +21,11 @@
 impl Acknowledged {
     /// This version has been acknowledged. A repeat of an older one says nothing new.
     pub fn on_acknowledged(&mut self, now: Time, version: u64) {
-        if self.versions.back().is_some_and(|(_, newest)| *newest >= version) {
+        if self
+            .versions
+            .back()
+            .is_some_and(|(_, newest)| *newest >= version)
+        {
             return;
         }
         if self.versions.len() >= REMEMBERED {
--- a/decide/control/src/acknowledged/tests.rs
+++ b/decide/control/src/acknowledged/tests.rs
@@ -3,7 +3,10 @@
 #[test]
 fn a_read_that_came_after_an_acknowledgement_shows_at_least_that_version() {
     let mut acknowledged = Acknowledged::default();
-    assert!(acknowledged.allows(Time(5), 0), "nothing is acknowledged yet");
+    assert!(
+        acknowledged.allows(Time(5), 0),
+        "nothing is acknowledged yet"
+    );
     acknowledged.on_acknowledged(Time(10), 3);
     acknowledged.on_acknowledged(Time(20), 7);
     assert!(acknowledged.allows(Time(10), 0), "it was under way");
--- a/decide/control/src/call.rs
+++ b/decide/control/src/call.rs
@@ -4,11 +4,13 @@
 use lichenswitch_messages::{RelayedAnswer, RelayedCall};
 use lichenswitch_replication::Time;
 
-/// A caller goes on to another control machine after a second of silence: a call that can't be begun is answered before that (microseconds).
+/// A caller goes on to another control machine after a second of silence: a call that can't be
+/// begun is answered before that (microseconds).
 const PATIENCE: u64 = 650_000;
 /// A call that was handed to the primary is given up after this time (microseconds).
 const RELAY_DEADLINE: u64 = 800_000;
-/// Callers wait longer for the answer to a large body, which takes longer to read and check: a millisecond for so many bytes.
+/// Callers wait longer for the answer to a large body, which takes longer to read and check: a
+/// millisecond for so many bytes.
 const BYTES_PER_MILLISECOND: usize = 4 << 10;
 const MILLISECOND: u64 = 1_000;
 
@@ -52,9 +54,17 @@
     /// Of a message; `None` if it names a path that is none.
     pub fn of_relayed(call: RelayedCall) -> Option<Question> {
         match call {
-            RelayedCall::Order { path, base_version, body } => {
+            RelayedCall::Order {
+                path,
+                base_version,
+                body,
+            } => {
                 OrderKind::of_path(&path)?;
-                Some(Question::Order(Order { path, base_version, body }))
+                Some(Question::Order(Order {
+                    path,
+                    base_version,
+                    body,
+                }))
             }
             RelayedCall::Describe => Some(Question::Describe),
             RelayedCall::Status => Some(Question::Status),
@@ -64,9 +74,15 @@
     /// As a message.
     pub fn to_relayed(&self) -> RelayedCall {
         match self {
-            Question::Order(Order { path, base_version, body }) => {
-                RelayedCall::Order { path: path.clone(), base_version: *base_version, body: body.clone() }
-            }
+            Question::Order(Order {
+                path,
+                base_version,
+                body,
+            }) => RelayedCall::Order {
+                path: path.clone(),
+                base_version: *base_version,
+                body: body.clone(),
+            },
             Question::Describe => RelayedCall::Describe,
             Question::Status => RelayedCall::Status,
         }
@@ -80,7 +96,8 @@
         }
     }
 
-    /// What a call is answered that was handed to the primary and whose outcome isn't known. Only an order may have been taken.
+    /// What a call is answered that was handed to the primary and whose outcome isn't known. Only
+    /// an order may have been taken.
     pub(crate) fn unanswered(&self) -> RelayedAnswer {
         match self {
             Question::Order(_) => RelayedAnswer::Unknown,
@@ -113,5 +130,8 @@
 
 /// An answer to an order that is in force.
 pub(crate) fn taken(version: u64) -> RelayedAnswer {
-    RelayedAnswer::Answer { status: 200, body: format!("{{\"version\":{version}}}").into_bytes() }
+    RelayedAnswer::Answer {
+        status: 200,
+        body: format!("{{\"version\":{version}}}").into_bytes(),
+    }
 }
--- a/decide/control/src/calls.rs
+++ b/decide/control/src/calls.rs
@@ -39,7 +39,8 @@
 }
 
 impl<C: Clone, A: Clone + PartialEq> Calls<C, A> {
-    /// No calls yet. Those that are handed on get numbers above `first_id`, which no earlier life of the process used.
+    /// No calls yet. Those that are handed on get numbers above `first_id`, which no earlier life
+    /// of the process used.
     pub fn new(first_id: u64) -> Self {
         Self::with_faults(first_id, Faults::default())
     }
@@ -54,8 +55,14 @@
         }
     }
 
-    /// A call has come, from a caller or from another machine. One that is relayed is not relayed on: its machine finds the primary.
-    pub fn take<S: Configured>(&mut self, now: Time, call: Call<C, A>, replica: Option<&mut Replica<S>>) {
+    /// A call has come, from a caller or from another machine. One that is relayed is not relayed
+    /// on: its machine finds the primary.
+    pub fn take<S: Configured>(
+        &mut self,
+        now: Time,
+        call: Call<C, A>,
+        replica: Option<&mut Replica<S>>,
+    ) {
         match (&call.origin, replica.filter(|replica| replica.is_serving())) {
             (Origin::Caller(_), _) => self.relayed.take(call),
             (Origin::Peer { .. }, Some(replica)) => self.primary.take(now, call, replica),
@@ -82,10 +89,12 @@
         replica: &mut Replica<S>,
         status: impl FnOnce(&Replica<S>) -> Vec<u8>,
     ) {
-        self.primary.on_settled(now, request, outcome, replica, status);
+        self.primary
+            .on_settled(now, request, outcome, replica, status);
     }
 
-    /// Hands on and begins what can be, and ends what has waited too long. Tells what the machine has to do.
+    /// Hands on and begins what can be, and ends what has waited too long. Tells what the machine
+    /// has to do.
     pub fn advance<S: Configured>(
         &mut self,
         now: Time,
@@ -97,7 +106,9 @@
             match (step, &mut replica) {
                 (Step::Here(call), Some(replica)) => self.primary.take(now, call, replica),
                 (Step::Here(call), None) => self.relayed.take_back(now, call),
-                (Step::Send { to, id, call }, _) => self.actions.push(Action::Send { to, id, call }),
+                (Step::Send { to, id, call }, _) => {
+                    self.actions.push(Action::Send { to, id, call })
+                }
                 (Step::Answer(call, answer), _) => self.answer(call, answer, None),
             }
         }
@@ -107,7 +118,9 @@
         for ended in self.primary.take_ended() {
             match (&ended.call.origin, &ended.answer) {
                 // Nothing was begun: another primary may take it yet.
-                (Origin::Caller(_), RelayedAnswer::NotPrimary) => self.relayed.take_back(now, ended.call),
+                (Origin::Caller(_), RelayedAnswer::NotPrimary) => {
+                    self.relayed.take_back(now, ended.call)
+                }
                 _ => self.answer(ended.call, ended.answer, ended.refusal),
             }
         }
@@ -115,7 +128,11 @@
     }
 
     fn answer(&mut self, call: Call<C, A>, answer: RelayedAnswer, refusal: Option<Refusal>) {
-        self.actions.push(Action::Answer { call, answer, refusal });
+        self.actions.push(Action::Answer {
+            call,
+            answer,
+            refusal,
+        });
     }
 
     /// Whether nothing waits.
@@ -125,7 +142,10 @@
 
     /// When [`Self::advance`] has something to do by itself.
     pub fn next_wake(&self) -> Option<Time> {
-        [self.primary.next_wake(), self.relayed.next_wake()].into_iter().flatten().min()
+        [self.primary.next_wake(), self.relayed.next_wake()]
+            .into_iter()
+            .flatten()
+            .min()
     }
 }
 
--- a/decide/control/src/lib.rs
+++ b/decide/control/src/lib.rs
@@ -1,12 +1,13 @@
 //! What a control machine decides about the calls of operators, and about what each router is sent.
 //!
-//! It owns who answers a call and when (`docs/design/control.md`, section 4): [`Calls`] joins [`RelayedCalls`], at the machine that took a
-//! call, and [`PrimaryCalls`], at the primary; [`Pushes`] is one router's share of what is pushed; [`OwnPart`] says whether a machine takes
-//! part in the group of voters. It promises that nothing is answered from
-//! state but after a round that began once the call had come, and that no order is refused whose end isn't known.
+//! It owns who answers a call and when (`docs/design/control.md`, section 4): [`Calls`] joins
+//! [`RelayedCalls`], at the machine that took a call, and [`PrimaryCalls`], at the primary;
+//! [`Pushes`] is one router's share of what is pushed; [`OwnPart`] says whether a machine takes
+//! part in the group of voters. It promises that nothing is answered from state but after a round
+//! that began once the call had come, and that no order is refused whose end isn't known.
 //!
-//! It is pure: no I/O, no clock, no threads. Time is an argument; a caller's handle and a machine's address are type parameters, so that
-//! the role `control` and the simulator run the same code.
+//! It is pure: no I/O, no clock, no threads. Time is an argument; a caller's handle and a machine's
+//! address are type parameters, so that the role `control` and the simulator run the same code.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/decide/control/src/own_part.rs
+++ b/decide/control/src/own_part.rs
@@ -1,12 +1,15 @@
 //! The part that a machine has in the group of voters: from its start, later, or no more.
 //!
-//! A machine without a disk takes part only where nobody with one is there to do it, and leaves as soon as those hold what it holds.
+//! A machine without a disk takes part only where nobody with one is there to do it, and leaves as
+//! soon as those hold what it holds.
 
 use lichenswitch_replication::Time;
 
-/// A machine that may only stand in for those with a disk waits so long for one of them to show itself (microseconds).
+/// A machine that may only stand in for those with a disk waits so long for one of them to show
+/// itself (microseconds).
 const STAND_IN_WAIT: u64 = 3_000_000;
-/// Machines with a disk that are fewer than the group wants are waited for this long once one of them votes (microseconds).
+/// Machines with a disk that are fewer than the group wants are waited for this long once one of
+/// them votes (microseconds).
 const GATHERING_TIMEOUT: u64 = 5_000_000;
 
 /// Why a machine takes part in the group of voters, if it does.
@@ -14,8 +17,8 @@
 pub enum Eligibility {
     /// It has a disk, or its loss is counted.
     Durable,
-    /// Neither, but the first start names it as a seed: somebody has to begin where no machine has a disk. It relays once it has met one
-    /// that has.
+    /// Neither, but the first start names it as a seed: somebody has to begin where no machine has
+    /// a disk. It relays once it has met one that has.
     StandIn,
     /// It forwards calls and holds no state that matters.
     Relay,
@@ -57,7 +60,12 @@
 impl OwnPart {
     /// Of a machine that starts now, in a group that must bear so many losses.
     pub fn new(eligibility: Eligibility, started: Time, fault_tolerance: usize) -> Self {
-        Self { eligibility, started, enough: 2 * fault_tolerance + 1, beside_durable_since: None }
+        Self {
+            eligibility,
+            started,
+            enough: 2 * fault_tolerance + 1,
+            beside_durable_since: None,
+        }
     }
 
     /// Why it takes part.
@@ -65,8 +73,9 @@
         self.eligibility
     }
 
-    /// A machine with a disk has shown itself: the state is its to hold, from now on and however long it is away. Guards against a vote
-    /// for what ends with this process, in a group that has disks.
+    /// A machine with a disk has shown itself: the state is its to hold, from now on and however
+    /// long it is away. Guards against a vote for what ends with this process, in a group that has
+    /// disks.
     pub fn on_durable_peer(&mut self, takes_part: bool) {
         if self.eligibility == Eligibility::StandIn && !takes_part {
             self.eligibility = Eligibility::Relay;
@@ -85,7 +94,8 @@
         }
     }
 
-    /// A machine without a disk leaves once enough machines with one vote, or those that are there have waited for others long enough.
+    /// A machine without a disk leaves once enough machines with one vote, or those that are there
+    /// have waited for others long enough.
     fn make_way(&mut self, now: Time, view: View) -> Option<Change> {
         if view.has_left {
             self.eligibility = Eligibility::Relay;
@@ -102,7 +112,8 @@
 
     /// When [`Self::look`] has something to do by itself.
     pub fn next_wake(&self) -> Option<Time> {
-        self.beside_durable_since.map(|since| since.after(GATHERING_TIMEOUT))
+        self.beside_durable_since
+            .map(|since| since.after(GATHERING_TIMEOUT))
     }
 }
 
--- a/decide/control/src/primary_calls.rs
+++ b/decide/control/src/primary_calls.rs
@@ -1,7 +1,9 @@
-//! Calls at the primary: each is answered from committed state, with nothing in flight, after a round that began once it had come.
+//! Calls at the primary: each is answered from committed state, with nothing in flight, after a
+//! round that began once it had come.
 //!
-//! Orders are judged one at a time. One that changes something is answered once its record is committed; all other verdicts are told only
-//! after a round, and are judged again then. What the replica can't tell the end of has no answer.
+//! Orders are judged one at a time. One that changes something is answered once its record is
+//! committed; all other verdicts are told only after a round, and are judged again then. What the
+//! replica can't tell the end of has no answer.
 
 use crate::call::{answer, taken, Call, Question};
 use crate::faults::Faults;
@@ -124,13 +126,16 @@
 
     fn is_full(&self, call: &Call<C, A>) -> bool {
         let bytes = self.waiting_bytes + call.question.weight();
-        self.waiting.len() >= MOST_WAITING || (bytes > MOST_WAITING_BYTES && !self.waiting.is_empty())
+        self.waiting.len() >= MOST_WAITING
+            || (bytes > MOST_WAITING_BYTES && !self.waiting.is_empty())
     }
 
     /// Begins what can be begun.
     pub fn advance<S: Configured>(&mut self, now: Time, replica: &mut Replica<S>) {
         while self.current.is_none() {
-            let Some(call) = self.waiting.pop_front() else { return };
+            let Some(call) = self.waiting.pop_front() else {
+                return;
+            };
             self.waiting_bytes -= call.question.weight();
             if !replica.is_serving() {
                 self.end(call, RelayedAnswer::NotPrimary);
@@ -153,12 +158,17 @@
             Verdict::VersionConflict { current } if self.faults.refusal_without_contact => {
                 return self.refuse(now, call, 412, conflict(current));
             }
-            // What is not a change may have been decided by what is no longer true: it is told after a round only.
+            // What is not a change may have been decided by what is no longer true: it is told
+            // after a round only.
             Verdict::Taken | Verdict::VersionConflict { .. } | Verdict::Invalid(_) => {
                 (Step::Confirming, replica.confirm(now))
             }
         };
-        self.current = Some(Current { call, step, request });
+        self.current = Some(Current {
+            call,
+            step,
+            request,
+        });
     }
 
     /// A request to the replica has ended. `status`: the group, as the primary shows it.
@@ -179,7 +189,10 @@
             let (_, call) = self.reads.swap_remove(place);
             let answer = match (outcome, &call.question) {
                 (Outcome::Confirmed(_), Question::Describe) => describe(replica),
-                (Outcome::Confirmed(_), _) => RelayedAnswer::Answer { status: 200, body: status(replica) },
+                (Outcome::Confirmed(_), _) => RelayedAnswer::Answer {
+                    status: 200,
+                    body: status(replica),
+                },
                 _ => RelayedAnswer::NotPrimary,
             };
             self.end(call, answer);
@@ -193,9 +206,11 @@
         replica: &Replica<S>,
     ) {
         let answer = match outcome {
-            Outcome::Committed(_) => {
-                taken(replica.committed().map_or(0, |(_, state)| state.as_ref().version()))
-            }
+            Outcome::Committed(_) => taken(
+                replica
+                    .committed()
+                    .map_or(0, |(_, state)| state.as_ref().version()),
+            ),
             Outcome::NotPrimary => RelayedAnswer::NotPrimary,
             // The state was another one than it was judged against: it is judged anew.
             Outcome::Rejected(_) => return self.judge_again(call),
@@ -225,7 +240,9 @@
                 let version = order(&call).map_or(0, version_of);
                 self.end(call, taken(version));
             }
-            Some(Verdict::VersionConflict { current }) => self.refuse(now, call, 412, conflict(current)),
+            Some(Verdict::VersionConflict { current }) => {
+                self.refuse(now, call, 412, conflict(current))
+            }
             Some(Verdict::Invalid(error)) => self.refuse(now, call, 400, error.to_string()),
         }
     }
@@ -237,17 +254,31 @@
     }
 
     fn end(&mut self, call: Call<C, A>, answer: RelayedAnswer) {
-        self.ended.push(Ended { call, answer, refusal: None });
+        self.ended.push(Ended {
+            call,
+            answer,
+            refusal: None,
+        });
     }
 
     fn refuse(&mut self, now: Time, call: Call<C, A>, status: u16, reason: String) {
         let base_version = order(&call).map_or(0, |order| order.base_version);
         let answer = answer(status, &reason);
-        let refusal = Some(Refusal { status, base_version, reason, at: now });
-        self.ended.push(Ended { call, answer, refusal });
+        let refusal = Some(Refusal {
+            status,
+            base_version,
+            reason,
+            at: now,
+        });
+        self.ended.push(Ended {
+            call,
+            answer,
+            refusal,
+        });
     }
 
-    /// How an order stands to what is committed. A group that has committed nothing yet has no state to judge by.
+    /// How an order stands to what is committed. A group that has committed nothing yet has no
+    /// state to judge by.
     fn verdict<S: Configured>(&self, call: &Call<C, A>, replica: &Replica<S>) -> Option<Verdict> {
         let (_, state) = replica.committed()?;
         let (state, order) = (state.as_ref(), order(call)?);
@@ -269,7 +300,10 @@
 
     /// When a call that waits to be begun loses its patience.
     pub fn next_wake(&self) -> Option<Time> {
-        self.waiting.front().filter(|_| self.current.is_none()).map(Call::patience)
+        self.waiting
+            .front()
+            .filter(|_| self.current.is_none())
+            .map(Call::patience)
     }
 }
 
@@ -291,9 +325,14 @@
 
 /// The committed configuration as an answer. It is told only after a round.
 pub fn describe<S: Configured>(replica: &Replica<S>) -> RelayedAnswer {
-    let document = replica.committed().and_then(|(_, state)| state.as_ref().document());
+    let document = replica
+        .committed()
+        .and_then(|(_, state)| state.as_ref().document());
     match document {
-        Some(document) => RelayedAnswer::Answer { status: 200, body: document.to_json() },
+        Some(document) => RelayedAnswer::Answer {
+            status: 200,
+            body: document.to_json(),
+        },
         None => answer(503, "there is no configuration yet"),
     }
 }
--- a/decide/control/src/primary_calls/tests.rs
+++ b/decide/control/src/primary_calls/tests.rs
@@ -24,8 +24,14 @@
 impl Alone {
     /// A sole founder that serves, and has waited long enough for others.
     fn new() -> Alone {
-        let settings = Settings { fault_tolerance: 0, ..Settings::default() };
-        let member = Member { identity: Identity(7), address: "10.0.0.1:7300".to_owned() };
+        let settings = Settings {
+            fault_tolerance: 0,
+            ..Settings::default()
+        };
+        let member = Member {
+            identity: Identity(7),
+            address: "10.0.0.1:7300".to_owned(),
+        };
         let replica = Replica::found(settings, member, Replicated::default(), 1, START);
         let mut alone = Alone {
             replica,
@@ -64,13 +70,20 @@
     fn settle(&mut self) {
         self.write();
         for (request, outcome) in std::mem::take(&mut self.settled) {
-            self.calls.on_settled(self.now, request, &outcome, &mut self.replica, |_| b"status".to_vec());
+            self.calls
+                .on_settled(self.now, request, &outcome, &mut self.replica, |_| {
+                    b"status".to_vec()
+                });
         }
         self.write();
     }
 
     fn take(&mut self, question: Question) {
-        let call = Call { origin: Origin::Peer { address: 2, id: 1 }, question, arrived: self.now };
+        let call = Call {
+            origin: Origin::Peer { address: 2, id: 1 },
+            question,
+            arrived: self.now,
+        };
         self.calls.take(self.now, call, &mut self.replica);
     }
 
@@ -79,7 +92,11 @@
             "{{\"version\":{version},\"routes\":[{{\"name\":\"r\",\"host\":\"{host}\",\"pathPrefix\":\"/p/\",\"kind\":\"safe\",\"timeoutMs\":30,\
              \"service\":\"s\"}}],\"services\":[{{\"name\":\"s\"}}]}}"
         );
-        let order = Order { path: REPLACE_PATH.to_owned(), base_version, body: body.into_bytes() };
+        let order = Order {
+            path: REPLACE_PATH.to_owned(),
+            base_version,
+            body: body.into_bytes(),
+        };
         self.take(Question::Order(order));
     }
 
@@ -89,14 +106,16 @@
             self.calls.advance(self.now, &mut self.replica);
             self.settle();
         }
-        let status =
-            |answer: RelayedAnswer| assert_matches!(answer, RelayedAnswer::Answer { status, .. } => status);
+        let status = |answer: RelayedAnswer| assert_matches!(answer, RelayedAnswer::Answer { status, .. } => status);
         let ended = self.calls.take_ended();
         ended
             .iter()
             .filter_map(|ended| ended.refusal.clone())
             .for_each(|refusal| self.refusals.note(refusal));
-        ended.into_iter().map(|ended| status(ended.answer)).collect()
+        ended
+            .into_iter()
+            .map(|ended| status(ended.answer))
+            .collect()
     }
 }
 
@@ -111,8 +130,11 @@
     alone.order(0, 2, "a");
     alone.order(0, 2, "b");
     assert_eq!(alone.work(), [200, 200, 412]);
-    let refused: Vec<_> =
-        alone.refusals.iter().map(|refusal| (refusal.status, refusal.base_version)).collect();
+    let refused: Vec<_> = alone
+        .refusals
+        .iter()
+        .map(|refusal| (refusal.status, refusal.base_version))
+        .collect();
     assert_eq!(refused, [(412, 0), (412, 0)]);
     assert!(alone.calls.is_empty());
 }
@@ -122,13 +144,19 @@
     let mut alone = Alone::new();
     alone.order(0, 2, "a");
     alone.calls.advance(alone.now, &mut alone.replica);
-    assert!(alone.calls.take_ended().is_empty(), "before its record is committed an order has no answer");
+    assert!(
+        alone.calls.take_ended().is_empty(),
+        "before its record is committed an order has no answer"
+    );
     alone.settle();
     assert_eq!(alone.calls.take_ended().len(), 1);
 
     alone.order(5, 6, "z");
     alone.calls.advance(alone.now, &mut alone.replica);
-    assert!(alone.calls.take_ended().is_empty(), "before a round has ended nobody is refused");
+    assert!(
+        alone.calls.take_ended().is_empty(),
+        "before a round has ended nobody is refused"
+    );
     alone.settle();
     assert_eq!(alone.work(), [412]);
 }
@@ -151,7 +179,10 @@
 #[test]
 fn one_that_is_not_primary_gives_all_calls_back() {
     let settings = Settings::default();
-    let member = Member { identity: Identity(7), address: "10.0.0.1:7300".to_owned() };
+    let member = Member {
+        identity: Identity(7),
+        address: "10.0.0.1:7300".to_owned(),
+    };
     let replica = Replica::newcomer(settings, member, 1, START);
     let mut outsider = Alone {
         replica,
@@ -166,7 +197,9 @@
     outsider.settle();
     let ended = outsider.calls.take_ended();
     assert_eq!(ended.len(), 2);
-    assert!(ended.iter().all(|ended| ended.answer == RelayedAnswer::NotPrimary));
+    assert!(ended
+        .iter()
+        .all(|ended| ended.answer == RelayedAnswer::NotPrimary));
 }
 
 #[test]
@@ -174,6 +207,12 @@
     let mut alone = Alone::new();
     (0..=MOST_WAITING).for_each(|_| alone.order(0, 2, "a"));
     let ended = alone.calls.take_ended();
-    assert_matches!(&ended[..], [Ended { answer: RelayedAnswer::Answer { status: 503, .. }, .. }]);
+    assert_matches!(
+        &ended[..],
+        [Ended {
+            answer: RelayedAnswer::Answer { status: 503, .. },
+            ..
+        }]
+    );
     assert_eq!(alone.work().len(), MOST_WAITING);
 }
--- a/decide/control/src/pushes.rs
+++ b/decide/control/src/pushes.rs
@@ -1,7 +1,8 @@
 //! What one router has been sent on its connection, and what it is to be sent next.
 //!
-//! It promises: a configuration is pushed once, only to a router that lacks it, and before the first heartbeat: a router that starts takes
-//! what it has been sent as current once it is told of contact. All that is pushed is numbered from 1.
+//! It promises: a configuration is pushed once, only to a router that lacks it, and before the
+//! first heartbeat: a router that starts takes what it has been sent as current once it is told of
+//! contact. All that is pushed is numbered from 1.
 
 use lichenswitch_messages::{ConfigurationPosition, ControlToRouter};
 use lichenswitch_replication::Position;
@@ -32,10 +33,14 @@
 impl Pushes {
     /// Of a router that has connected, and has this in force.
     pub fn new(holds: Option<ConfigurationPosition>) -> Pushes {
-        Pushes { holds, ..Pushes::default() }
+        Pushes {
+            holds,
+            ..Pushes::default()
+        }
     }
 
-    /// What the router is sent first: what is committed, unless it has it, and after that the word on contact.
+    /// What the router is sent first: what is committed, unless it has it, and after that the word
+    /// on contact.
     pub fn greet(
         &mut self,
         committed: Option<&Committed>,
@@ -47,14 +52,24 @@
 
     /// The push of a configuration, unless the router holds it or was sent it.
     pub fn configuration(&mut self, committed: &Committed) -> Option<ControlToRouter> {
-        let holds = self.holds.is_some_and(|position| position >= committed.position);
-        if holds || self.sent_version.is_some_and(|sent| sent >= committed.version) {
+        let holds = self
+            .holds
+            .is_some_and(|position| position >= committed.position);
+        if holds
+            || self
+                .sent_version
+                .is_some_and(|sent| sent >= committed.version)
+        {
             return None;
         }
         self.sent_version = Some(committed.version);
         let push = self.next_number();
         let (position, document) = (committed.position, committed.document.to_vec());
-        Some(ControlToRouter::Configuration { push, position, document })
+        Some(ControlToRouter::Configuration {
+            push,
+            position,
+            document,
+        })
     }
 
     /// The router says what it has in force.
--- a/decide/control/src/pushes/tests.rs
+++ b/decide/control/src/pushes/tests.rs
@@ -4,15 +4,27 @@
 use assert_matches::assert_matches;
 
 fn at(number: u64) -> ConfigurationPosition {
-    ConfigurationPosition { epoch: 1, primary: 7, number }
+    ConfigurationPosition {
+        epoch: 1,
+        primary: 7,
+        number,
+    }
 }
 
 fn committed(number: u64) -> Committed {
-    Committed { position: at(number), version: number, document: Arc::from(b"{}".as_slice()) }
+    Committed {
+        position: at(number),
+        version: number,
+        document: Arc::from(b"{}".as_slice()),
+    }
 }
 
 fn heartbeat() -> ControlToRouter {
-    ControlToRouter::Heartbeat { in_contact: true, control: Vec::new(), routers: 1 }
+    ControlToRouter::Heartbeat {
+        in_contact: true,
+        control: Vec::new(),
+        routers: 1,
+    }
 }
 
 #[test]
@@ -29,7 +41,10 @@
 #[test]
 fn what_a_router_holds_or_was_sent_is_not_sent_again() {
     let mut pushes = Pushes::new(Some(at(3)));
-    assert_matches!(&pushes.greet(Some(&committed(3)), heartbeat())[..], [ControlToRouter::Heartbeat { .. }]);
+    assert_matches!(
+        &pushes.greet(Some(&committed(3)), heartbeat())[..],
+        [ControlToRouter::Heartbeat { .. }]
+    );
     assert_matches!(
         pushes.configuration(&committed(4)),
         Some(ControlToRouter::Configuration { push: 1, .. })
@@ -46,5 +61,8 @@
 
 #[test]
 fn without_a_configuration_a_router_hears_of_contact_alone() {
-    assert_matches!(&Pushes::new(None).greet(None, heartbeat())[..], [ControlToRouter::Heartbeat { .. }]);
+    assert_matches!(
+        &Pushes::new(None).greet(None, heartbeat())[..],
+        [ControlToRouter::Heartbeat { .. }]
+    );
 }
--- a/decide/control/src/relayed_calls.rs
+++ b/decide/control/src/relayed_calls.rs
@@ -1,8 +1,8 @@
-//! Calls that the primary has to answer, at the machine that took them: handed on as soon as a primary is known, and answered with what it
-//! says.
+//! Calls that the primary has to answer, at the machine that took them: handed on as soon as a
+//! primary is known, and answered with what it says.
 //!
-//! It promises never to refuse by itself on state: a call that can't have been taken ends with 503, an order whose end isn't known has no
-//! answer.
+//! It promises never to refuse by itself on state: a call that can't have been taken ends with 503,
+//! an order whose end isn't known has no answer.
 
 use crate::call::{answer, Call};
 use lichenswitch_messages::{RelayedAnswer, RelayedCall};
@@ -42,8 +42,8 @@
     Answer(Call<C, A>, RelayedAnswer),
 }
 
-/// After a machine has said that it is not the primary, a call rests so many microseconds: whoever said so may not have heard yet
-/// who is.
+/// After a machine has said that it is not the primary, a call rests so many microseconds: whoever
+/// said so may not have heard yet who is.
 const SENT_BACK_PAUSE: u64 = 100_000;
 
 /// A call, and when it may be handed on.
@@ -72,15 +72,27 @@
 impl<C: Clone, A: Clone + PartialEq> RelayedCalls<C, A> {
     /// None yet. Numbers are drawn above this one, which no other life of the process used.
     pub fn new(first_id: u64) -> Self {
-        Self { held: Vec::new(), sent: BTreeMap::new(), next_id: first_id, steps: Vec::new() }
+        Self {
+            held: Vec::new(),
+            sent: BTreeMap::new(),
+            next_id: first_id,
+            steps: Vec::new(),
+        }
     }
 
     /// A call has come from a caller.
     pub fn take(&mut self, call: Call<C, A>) {
-        let bytes: usize = self.held.iter().map(|held| held.call.question.weight()).sum();
+        let bytes: usize = self
+            .held
+            .iter()
+            .map(|held| held.call.question.weight())
+            .sum();
         let under_way = self.held.len() + self.sent.len();
         if under_way >= MOST || (bytes > 0 && bytes + call.question.weight() > MOST_BYTES) {
-            return self.steps.push(Step::Answer(call, answer(503, "too many calls are under way")));
+            return self.steps.push(Step::Answer(
+                call,
+                answer(503, "too many calls are under way"),
+            ));
         }
         let not_before = call.arrived;
         self.held.push(Held { call, not_before });
@@ -88,7 +100,10 @@
 
     /// A call has come back that nobody has begun.
     pub fn take_back(&mut self, now: Time, call: Call<C, A>) {
-        self.held.push(Held { call, not_before: now.after(SENT_BACK_PAUSE) });
+        self.held.push(Held {
+            call,
+            not_before: now.after(SENT_BACK_PAUSE),
+        });
     }
 
     /// Hands on what can be handed on, and ends what has waited too long.
@@ -102,7 +117,8 @@
             }
             match primary {
                 _ if held.call.patience() <= now => {
-                    self.steps.push(Step::Answer(held.call, RelayedAnswer::NotPrimary));
+                    self.steps
+                        .push(Step::Answer(held.call, RelayedAnswer::NotPrimary));
                 }
                 Primary::Here if may_go => self.steps.push(Step::Here(held.call)),
                 Primary::At(to) if may_go => self.send(to, held.call),
@@ -114,7 +130,11 @@
     fn send(&mut self, to: &A, call: Call<C, A>) {
         self.next_id = self.next_id.wrapping_add(1);
         let (id, to) = (self.next_id, to.clone());
-        self.steps.push(Step::Send { to: to.clone(), id, call: call.question.to_relayed() });
+        self.steps.push(Step::Send {
+            to: to.clone(),
+            id,
+            call: call.question.to_relayed(),
+        });
         self.sent.insert(id, Sent { call, to });
     }
 
@@ -123,14 +143,17 @@
         if self.sent.get(&id).is_none_or(|sent| sent.to != *from) {
             return;
         }
-        let Some(Sent { call, .. }) = self.sent.remove(&id) else { return };
+        let Some(Sent { call, .. }) = self.sent.remove(&id) else {
+            return;
+        };
         match answer {
             RelayedAnswer::NotPrimary => self.take_back(now, call),
             answer => self.steps.push(Step::Answer(call, answer)),
         }
     }
 
-    /// No connection to that machine is left, so no answer will come: what was sent there may have been taken.
+    /// No connection to that machine is left, so no answer will come: what was sent there may have
+    /// been taken.
     pub fn on_lost(&mut self, address: &A) {
         self.give_up_if(|sent| sent.to == *address);
     }
@@ -142,7 +165,8 @@
 
     fn give_up_if(&mut self, ends: impl Fn(&Sent<C, A>) -> bool) {
         let sent = std::mem::take(&mut self.sent).into_iter();
-        let (given_up, sent): (BTreeMap<_, _>, BTreeMap<_, _>) = sent.partition(|(_, sent)| ends(sent));
+        let (given_up, sent): (BTreeMap<_, _>, BTreeMap<_, _>) =
+            sent.partition(|(_, sent)| ends(sent));
         self.sent = sent;
         for Sent { call, .. } in given_up.into_values() {
             let answer = call.question.unanswered();
@@ -163,7 +187,8 @@
     /// When [`Self::advance`] has something to do by itself. After it, this is never in the past.
     pub fn next_wake(&self) -> Option<Time> {
         let held = self.held.iter().map(Held::next_wake);
-        held.chain(self.sent.values().map(|sent| sent.call.deadline())).min()
+        held.chain(self.sent.values().map(|sent| sent.call.deadline()))
+            .min()
     }
 }
 
