--- a/decide/control/src/relayed_calls/tests.rs
+++ b/decide/control/src/relayed_calls/tests.rs
@@ -20,13 +20,27 @@
 }
 
 fn order(arrived: Time) -> Call {
-    let order = Order { path: REPLACE_PATH.to_owned(), base_version: 3, body: b"{}".to_vec() };
+    let order = Order {
+        path: REPLACE_PATH.to_owned(),
+        base_version: 3,
+        body: b"{}".to_vec(),
+    };
     // Who waits doesn't matter here.
-    Call { origin: Origin::Peer { address: peer(9), id: 1 }, question: Question::Order(order), arrived }
+    Call {
+        origin: Origin::Peer {
+            address: peer(9),
+            id: 1,
+        },
+        question: Question::Order(order),
+        arrived,
+    }
 }
 
 fn describe(arrived: Time) -> Call {
-    Call { question: Question::Describe, ..order(arrived) }
+    Call {
+        question: Question::Describe,
+        ..order(arrived)
+    }
 }
 
 /// The call that is to be sent, if there is one.
@@ -45,11 +59,28 @@
     let (to, id) = sent(&mut calls);
     assert_eq!(to, peer(1));
     calls.on_answer(at(310), &peer(2), id, RelayedAnswer::Unknown);
-    assert!(calls.take_steps().is_empty(), "an answer counts only from whom the call was sent to");
-    calls.on_answer(at(320), &peer(1), id, RelayedAnswer::Answer { status: 200, body: Vec::new() });
-    assert_matches!(&calls.take_steps()[..], [Step::Answer(_, RelayedAnswer::Answer { status: 200, .. })]);
+    assert!(
+        calls.take_steps().is_empty(),
+        "an answer counts only from whom the call was sent to"
+    );
+    calls.on_answer(
+        at(320),
+        &peer(1),
+        id,
+        RelayedAnswer::Answer {
+            status: 200,
+            body: Vec::new(),
+        },
+    );
+    assert_matches!(
+        &calls.take_steps()[..],
+        [Step::Answer(_, RelayedAnswer::Answer { status: 200, .. })]
+    );
     calls.on_answer(at(330), &peer(1), id, RelayedAnswer::Unknown);
-    assert!(calls.take_steps().is_empty() && calls.is_empty(), "a call is answered once");
+    assert!(
+        calls.take_steps().is_empty() && calls.is_empty(),
+        "a call is answered once"
+    );
 }
 
 #[test]
@@ -60,7 +91,10 @@
     calls.advance(at(649), &Primary::Unknown);
     assert!(calls.take_steps().is_empty());
     calls.advance(at(650), &Primary::Unknown);
-    assert_matches!(&calls.take_steps()[..], [Step::Answer(_, RelayedAnswer::NotPrimary)]);
+    assert_matches!(
+        &calls.take_steps()[..],
+        [Step::Answer(_, RelayedAnswer::NotPrimary)]
+    );
 }
 
 #[test]
@@ -110,7 +144,10 @@
     (0..MOST).for_each(|_| calls.take(describe(at(0))));
     assert!(calls.take_steps().is_empty());
     calls.take(describe(at(0)));
-    assert_matches!(&calls.take_steps()[..], [Step::Answer(_, RelayedAnswer::Answer { status: 503, .. })]);
+    assert_matches!(
+        &calls.take_steps()[..],
+        [Step::Answer(_, RelayedAnswer::Answer { status: 503, .. })]
+    );
 }
 
 #[test]
@@ -124,8 +161,10 @@
         .into_iter()
         .map(|step| assert_matches!(step, Step::Send { id, .. } => id))
         .collect();
-    sent.iter().for_each(|id| calls.on_answer(at(50), &peer(1), *id, RelayedAnswer::NotPrimary));
-    // No primary is known from then on: the pauses end, and nothing can be done until the callers' patience is over.
+    sent.iter()
+        .for_each(|id| calls.on_answer(at(50), &peer(1), *id, RelayedAnswer::NotPrimary));
+    // No primary is known from then on: the pauses end, and nothing can be done until the callers'
+    // patience is over.
     let (mut now, mut wakes) = (at(50), 0);
     loop {
         calls.advance(now, &Primary::Unknown);
@@ -133,14 +172,23 @@
         assert!(next > now, "woken at {now:?} for {next:?}");
         (now, wakes) = (next, wakes + 1);
     }
-    assert_eq!((now, wakes), (at(690), 3), "the end of both pauses, and of each caller's patience");
+    assert_eq!(
+        (now, wakes),
+        (at(690), 3),
+        "the end of both pauses, and of each caller's patience"
+    );
     assert_eq!(calls.take_steps().len(), 2);
     assert!(calls.is_empty());
 }
 
 #[test]
 fn all_that_is_woken_for_is_done_by_then_whatever_is_known_of_the_primary() {
-    let primaries = [Primary::Unknown, Primary::At(peer(1)), Primary::At(peer(2)), Primary::Unknown];
+    let primaries = [
+        Primary::Unknown,
+        Primary::At(peer(1)),
+        Primary::At(peer(2)),
+        Primary::Unknown,
+    ];
     for first in 0..primaries.len() {
         let mut calls = RelayedCalls::new(0);
         (0..5).for_each(|n| calls.take(order(at(30 * n))));
@@ -159,6 +207,9 @@
             assert!(next > now, "woken at {now:?} for {next:?}");
             now = next;
         }
-        assert!(calls.next_wake().is_none() && calls.is_empty(), "all have ended by {now:?}");
+        assert!(
+            calls.next_wake().is_none() && calls.is_empty(),
+            "all have ended by {now:?}"
+        );
     }
 }
--- a/decide/control/src/replicated.rs
+++ b/decide/control/src/replicated.rs
@@ -13,11 +13,15 @@
     }
 
     fn decode(bytes: &[u8]) -> Result<Self, StateError> {
-        State::decode(bytes).map(Replicated).map_err(|e| StateError::new(e.to_string()))
+        State::decode(bytes)
+            .map(Replicated)
+            .map_err(|e| StateError::new(e.to_string()))
     }
 
     fn apply(&mut self, change: &[u8]) -> Result<(), StateError> {
-        self.0.apply(change).map_err(|e| StateError::new(e.to_string()))
+        self.0
+            .apply(change)
+            .map_err(|e| StateError::new(e.to_string()))
     }
 }
 
--- a/decide/descriptors/src/lib.rs
+++ b/decide/descriptors/src/lib.rs
@@ -1,29 +1,33 @@
 //! How a broker's descriptors are shared between its clients, its data nodes and discovery.
 //!
-//! Owns the counts of what is open and the rule for what may be opened. It promises: discovery always has its place,
-//! whatever is full, since the rules on drains rest on what it tells; clients never hold more than their share, so
-//! that queries which were taken can be served; data nodes are never denied a connection within theirs while clients
-//! keep to that, and may borrow what clients leave unused; all together stay within what there is.
+//! Owns the counts of what is open and the rule for what may be opened. It promises: discovery
+//! always has its place, whatever is full, since the rules on drains rest on what it tells; clients
+//! never hold more than their share, so that queries which were taken can be served; data nodes are
+//! never denied a connection within theirs while clients keep to that, and may borrow what clients
+//! leave unused; all together stay within what there is.
 //!
-//! The share of data nodes follows how many are listed: a connection for each and some beside, as far as half of all
-//! goes. Below that connections take turns: [`Verdict::Instead`] says that an idle one goes first.
+//! The share of data nodes follows how many are listed: a connection for each and some beside, as
+//! far as half of all goes. Below that connections take turns: [`Verdict::Instead`] says that an
+//! idle one goes first.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 use std::fmt;
 
-/// Most connections to one data node. Guards descriptors and memory against one that takes connections and reads nothing.
+/// Most connections to one data node. Guards descriptors and memory against one that takes
+/// connections and reads nothing.
 pub const LINKS: usize = 16;
 /// Descriptors set aside for discovery: its connection, and a second one while it is replaced.
 pub const DISCOVERY: usize = 2;
-/// Connections that the share of data nodes holds beside one for each: second ones to nodes that are mute or full,
-/// an eighth of the nodes at once and as many that come in a release before the old ones go, and some for few nodes.
+/// Connections that the share of data nodes holds beside one for each: second ones to nodes that
+/// are mute or full, an eighth of the nodes at once and as many that come in a release before the
+/// old ones go, and some for few nodes.
 const BESIDE_PART: usize = 4;
 const BESIDE: usize = 8;
 /// Data nodes may have this part of all where it is of use to them, however few are listed.
 const NODES_LEAST: usize = 4;
-/// Of what clients may have and don't use, this part is not lent: clients that come find it at once, without waiting
-/// for a call to end.
+/// Of what clients may have and don't use, this part is not lent: clients that come find it at
+/// once, without waiting for a call to end.
 const KEPT: usize = 8;
 /// Clients' idle connections beyond this part of all are too many.
 const CROWD: usize = 4;
@@ -73,9 +77,14 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Reason::Share(open, of) => write!(f, "{open} of {of} descriptors are in use"),
-            Reason::Lent(open, of) => write!(f, "{open} of {of} descriptors that clients leave are in use"),
+            Reason::Lent(open, of) => write!(
+                f,
+                "{open} of {of} descriptors that clients leave are in use"
+            ),
             Reason::Full(open, of) => write!(f, "all {of} descriptors are in use, {open} of them"),
-            Reason::Borrowed(open, of) => write!(f, "{open} of {of} descriptors are in use, some lent"),
+            Reason::Borrowed(open, of) => {
+                write!(f, "{open} of {of} descriptors are in use, some lent")
+            }
             Reason::System => f.write_str("the system gives no more descriptors"),
         }
     }
@@ -124,14 +133,16 @@
         }
     }
 
-    /// Brokers talk: so many descriptors in each direction are set aside for that, at most a sixteenth of all.
+    /// Brokers talk: so many descriptors in each direction are set aside for that, at most a
+    /// sixteenth of all.
     pub fn on_peers(&mut self, each: usize) {
         let each = each.min(self.all / 16).max(1);
         (self.peers, self.all) = (each, self.all - 2 * each);
         self.alone -= 2 * each;
     }
 
-    /// So many processes of this broker run side by side now: each has its part. What is open beyond it goes as it falls idle.
+    /// So many processes of this broker run side by side now: each has its part. What is open
+    /// beyond it goes as it falls idle.
     pub fn on_processes(&mut self, processes: u32) {
         self.all = (self.alone / processes.max(1) as usize).max(2);
     }
@@ -163,13 +174,20 @@
         }
     }
 
-    /// What is set aside for data nodes: what they need, but half of all at most; a quarter of all where they can use
-    /// it (before any is listed it is not known that they can't).
+    /// What is set aside for data nodes: what they need, but half of all at most; a quarter of all
+    /// where they can use it (before any is listed it is not known that they can't).
     #[must_use]
     pub fn of_nodes(&self) -> usize {
-        let usable = if self.listed == 0 { usize::MAX } else { self.listed.saturating_mul(LINKS) };
+        let usable = if self.listed == 0 {
+            usize::MAX
+        } else {
+            self.listed.saturating_mul(LINKS)
+        };
         let needed = self.listed + self.listed / BESIDE_PART + BESIDE;
-        needed.max(self.all / NODES_LEAST).min(usable).clamp(1, self.all / 2)
+        needed
+            .max(self.all / NODES_LEAST)
+            .min(usable)
+            .clamp(1, self.all / 2)
     }
 
     /// What clients may hold.
@@ -178,9 +196,13 @@
         self.all - self.of_nodes()
     }
 
-    /// What data nodes may hold beyond their share: what clients leave unused of theirs, but for a part of it.
+    /// What data nodes may hold beyond their share: what clients leave unused of theirs, but for a
+    /// part of it.
     fn lent(&self) -> usize {
-        let (share, unused) = (self.of_clients(), self.of_clients().saturating_sub(self.clients));
+        let (share, unused) = (
+            self.of_clients(),
+            self.of_clients().saturating_sub(self.clients),
+        );
         unused.saturating_sub((share / KEPT).max(1))
     }
 
@@ -194,7 +216,11 @@
             }
             Side::Discovery => Verdict::Wait(Reason::Full(self.discovery, DISCOVERY)),
             Side::PeersIn | Side::PeersOut => {
-                let open = if side == Side::PeersIn { self.peers_in } else { self.peers_out };
+                let open = if side == Side::PeersIn {
+                    self.peers_in
+                } else {
+                    self.peers_out
+                };
                 match open < self.peers {
                     true => Verdict::Open(Reason::Share(open, self.peers)),
                     false => Verdict::Wait(Reason::Full(open, self.peers)),
@@ -222,17 +248,22 @@
         self.nodes.saturating_sub(self.of_nodes())
     }
 
-    /// Connections that clients hold beyond a quarter of all, or beyond their share: the idle among them may go.
+    /// Connections that clients hold beyond a quarter of all, or beyond their share: the idle among
+    /// them may go.
     #[must_use]
     pub fn crowd(&self) -> usize {
-        self.clients.saturating_sub((self.all / CROWD).min(self.of_clients()))
+        self.clients
+            .saturating_sub((self.all / CROWD).min(self.of_clients()))
     }
 
-    /// How many data nodes these descriptors bear: a connection to each can stay open, with some beside, whatever
-    /// clients hold.
+    /// How many data nodes these descriptors bear: a connection to each can stay open, with some
+    /// beside, whatever clients hold.
     #[must_use]
     pub fn bears(&self) -> usize {
-        (0..self.all).take_while(|n| n + n / BESIDE_PART + BESIDE <= self.all / 2).count().saturating_sub(1)
+        (0..self.all)
+            .take_while(|n| n + n / BESIDE_PART + BESIDE <= self.all / 2)
+            .count()
+            .saturating_sub(1)
     }
 }
 
--- a/decide/descriptors/src/tests.rs
+++ b/decide/descriptors/src/tests.rs
@@ -6,7 +6,9 @@
 fn sizes() -> impl Iterator<Item = (usize, usize)> {
     let nodes = [3, 4, 12, 60, 100, 184, 200, 400, 1_000];
     let descriptors = [64, 128, 256, 568, 664, 1_024, 2_048, 4_096];
-    nodes.into_iter().flat_map(move |n| descriptors.into_iter().map(move |d| (n, d)))
+    nodes
+        .into_iter()
+        .flat_map(move |n| descriptors.into_iter().map(move |d| (n, d)))
 }
 
 /// Opens connections until one is denied.
@@ -32,11 +34,17 @@
         let all = descriptors - DISCOVERY;
         let clients = fill(&mut shares, Side::Clients);
         assert_eq!(clients, shares.of_clients());
-        assert!(clients >= all / 2, "{nodes} nodes, {descriptors}: clients get {clients}");
+        assert!(
+            clients >= all / 2,
+            "{nodes} nodes, {descriptors}: clients get {clients}"
+        );
         let open = fill(&mut shares, Side::Nodes);
         assert_eq!(open, shares.of_nodes(), "{nodes} nodes, {descriptors}");
         let wanted = (nodes + nodes / 4 + 8).min(all / 2).min(nodes * LINKS);
-        assert!(open >= wanted, "{nodes} nodes, {descriptors}: {open} of {wanted}");
+        assert!(
+            open >= wanted,
+            "{nodes} nodes, {descriptors}: {open} of {wanted}"
+        );
         assert_eq!(fill(&mut shares, Side::Discovery), DISCOVERY);
         assert!(clients + open + DISCOVERY <= descriptors);
     }
@@ -71,13 +79,26 @@
 #[test]
 fn a_longer_list_moves_the_shares_and_idle_clients_make_room() {
     let mut shares = shares(3, 640);
-    assert_eq!(fill(&mut shares, Side::Clients), 638 - 48, "three nodes can use 48 connections");
+    assert_eq!(
+        fill(&mut shares, Side::Clients),
+        638 - 48,
+        "three nodes can use 48 connections"
+    );
     shares.on_listed(184);
     assert_eq!((shares.of_nodes(), shares.of_clients()), (238, 400));
-    assert!(shares.crowd() >= 590 - 400, "what is beyond the share of now is too much");
+    assert!(
+        shares.crowd() >= 590 - 400,
+        "what is beyond the share of now is too much"
+    );
     assert_eq!(fill(&mut shares, Side::Nodes), 48, "what is free is theirs");
-    assert!(matches!(shares.may_open(Side::Nodes), Verdict::Instead(Reason::Borrowed(638, 638))));
-    assert!(matches!(shares.may_open(Side::Clients), Verdict::Wait(Reason::Full(590, 400))));
+    assert!(matches!(
+        shares.may_open(Side::Nodes),
+        Verdict::Instead(Reason::Borrowed(638, 638))
+    ));
+    assert!(matches!(
+        shares.may_open(Side::Clients),
+        Verdict::Wait(Reason::Full(590, 400))
+    ));
     for _ in 0..190 {
         shares.on_closed(Side::Clients);
     }
@@ -96,7 +117,11 @@
         assert!(fits(most) && !fits(most + 1), "{descriptors}: {most}");
     }
     let table = [64, 568, 1_024, 4_096].map(|d| shares(1, d).bears());
-    assert_eq!(table, [19, 220, 403, 1_631], "without the process's own descriptors");
+    assert_eq!(
+        table,
+        [19, 220, 403, 1_631],
+        "without the process's own descriptors"
+    );
 }
 
 #[test]
@@ -105,7 +130,10 @@
     assert_eq!(fill(&mut shares, Side::Clients), 270);
     shares.on_processes(2);
     assert_eq!((shares.of_nodes(), shares.of_clients()), (45, 135));
-    assert!(matches!(shares.may_open(Side::Clients), Verdict::Wait(Reason::Full(270, 135))));
+    assert!(matches!(
+        shares.may_open(Side::Clients),
+        Verdict::Wait(Reason::Full(270, 135))
+    ));
     assert!(
         matches!(shares.may_open(Side::Nodes), Verdict::Instead(_)),
         "clients hold it, and leave it in time"
--- a/decide/duty/src/grants.rs
+++ b/decide/duty/src/grants.rs
@@ -1,6 +1,7 @@
-//! The voters' side: who holds what, as it follows from an agreed log. Each voter applies the same entries in the same
-//! order and comes to the same grants; no clock decides there. Clocks decide only when a voter says that a lease is over,
-//! and that too is an entry, which counts only if no renewal has come before it in the log.
+//! The voters' side: who holds what, as it follows from an agreed log. Each voter applies the same
+//! entries in the same order and comes to the same grants; no clock decides there. Clocks decide
+//! only when a voter says that a lease is over, and that too is an entry, which counts only if no
+//! renewal has come before it in the log.
 
 use super::{Duty, FenceNumber, Holder, Terms};
 use lichenswitch_interface::Time;
@@ -65,8 +66,8 @@
     learnt: Time,
 }
 
-/// What is granted, without what a voter's clock has to do with it: the same at all voters that have applied as much of
-/// the log.
+/// What is granted, without what a voter's clock has to do with it: the same at all voters that
+/// have applied as much of the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Told {
     last: FenceNumber,
@@ -81,13 +82,15 @@
 }
 
 impl Grants {
-    /// The next entry of the log. A voter that was restarted is given all of it again, with the time of now: it learns of
-    /// leases later than it did before, and waits longer.
+    /// The next entry of the log. A voter that was restarted is given all of it again, with the
+    /// time of now: it learns of leases later than it did before, and waits longer.
     pub fn on_entry(&mut self, now: Time, entry: &Entry) -> Verdict {
         match entry {
             Entry::Ask(duty, by) => self.ask(now, duty, by),
             Entry::GiveBack(duty, fence) => self.free(duty, *fence, None, Reason::GivenBack),
-            Entry::Over(duty, fence, renewals) => self.free(duty, *fence, Some(*renewals), Reason::Over),
+            Entry::Over(duty, fence, renewals) => {
+                self.free(duty, *fence, Some(*renewals), Reason::Over)
+            }
         }
     }
 
@@ -105,17 +108,31 @@
     #[must_use]
     pub fn told(&self) -> Told {
         let line = |(duty, g): (&Duty, &Grant)| (duty.clone(), g.to.clone(), g.fence, g.renewals);
-        Told { last: self.last, held: self.held.iter().map(line).collect() }
+        Told {
+            last: self.last,
+            held: self.held.iter().map(line).collect(),
+        }
     }
 
-    /// The grants of a voter that learns of all of them now: it waits for the end of each lease from here on, so no
-    /// shorter than one that was there.
+    /// The grants of a voter that learns of all of them now: it waits for the end of each lease
+    /// from here on, so no shorter than one that was there.
     #[must_use]
     pub fn from_told(now: Time, told: &Told) -> Grants {
         let grant = |(duty, to, fence, renewals): &(Duty, Holder, FenceNumber, u64)| {
-            (duty.clone(), Grant { to: to.clone(), fence: *fence, renewals: *renewals, learnt: now })
+            (
+                duty.clone(),
+                Grant {
+                    to: to.clone(),
+                    fence: *fence,
+                    renewals: *renewals,
+                    learnt: now,
+                },
+            )
         };
-        Grants { last: told.last, held: told.held.iter().map(grant).collect() }
+        Grants {
+            last: told.last,
+            held: told.held.iter().map(grant).collect(),
+        }
     }
 
     fn ask(&mut self, now: Time, duty: &Duty, by: &Holder) -> Verdict {
@@ -124,18 +141,31 @@
                 (grant.renewals, grant.learnt) = (grant.renewals + 1, now);
                 return Verdict::Renewed(grant.fence);
             }
-            // A later life of the holder waits like any other: a process of its name that was only stopped may wake.
+            // A later life of the holder waits like any other: a process of its name that was only
+            // stopped may wake.
             Some(grant) => return Verdict::Refused(grant.to.clone(), grant.fence),
             None => Reason::Unheld,
         };
         self.last = FenceNumber(self.last.0 + 1);
-        let grant = Grant { to: by.clone(), fence: self.last, renewals: 0, learnt: now };
+        let grant = Grant {
+            to: by.clone(),
+            fence: self.last,
+            renewals: 0,
+            learnt: now,
+        };
         self.held.insert(duty.clone(), grant);
         Verdict::Granted(self.last, why)
     }
 
-    fn free(&mut self, duty: &Duty, fence: FenceNumber, renewals: Option<u64>, why: Reason) -> Verdict {
-        let is_it = |g: &&Grant| g.fence == fence && renewals.is_none_or(|count| g.renewals == count);
+    fn free(
+        &mut self,
+        duty: &Duty,
+        fence: FenceNumber,
+        renewals: Option<u64>,
+        why: Reason,
+    ) -> Verdict {
+        let is_it =
+            |g: &&Grant| g.fence == fence && renewals.is_none_or(|count| g.renewals == count);
         if self.held.get(duty).filter(is_it).is_none() {
             return Verdict::Stale;
         }
@@ -146,14 +176,21 @@
     /// Leases that are over by now, by this voter's clock: what it is to put into the log.
     #[must_use]
     pub fn over(&self, now: Time, terms: Terms) -> Vec<Entry> {
-        let over = self.held.iter().filter(|(_, g)| now.since(g.learnt) >= terms.awaited());
-        over.map(|(duty, g)| Entry::Over(duty.clone(), g.fence, g.renewals)).collect()
+        let over = self
+            .held
+            .iter()
+            .filter(|(_, g)| now.since(g.learnt) >= terms.awaited());
+        over.map(|(duty, g)| Entry::Over(duty.clone(), g.fence, g.renewals))
+            .collect()
     }
 
     /// When the next lease is over.
     #[must_use]
     pub fn next(&self, terms: Terms) -> Option<Time> {
-        self.held.values().map(|g| g.learnt.plus(terms.awaited())).min()
+        self.held
+            .values()
+            .map(|g| g.learnt.plus(terms.awaited()))
+            .min()
     }
 
     /// Who holds a duty, under which fence.
--- a/decide/duty/src/model.rs
+++ b/decide/duty/src/model.rs
@@ -1,7 +1,7 @@
-//! The lease, checked in all reachable states of a small world: two brokers that ask for one duty, a voter with a clock of
-//! its own, an agreed log that it learns of when it does, a receiver. Asks and answers are delayed, lost and doubled,
-//! brokers stand still between their check and their effect. The code that is checked is the code that runs: `Hold`, `Grants`
-//! and `Fence`.
+//! The lease, checked in all reachable states of a small world: two brokers that ask for one duty,
+//! a voter with a clock of its own, an agreed log that it learns of when it does, a receiver. Asks
+//! and answers are delayed, lost and doubled, brokers stand still between their check and their
+//! effect. The code that is checked is the code that runs: `Hold`, `Grants` and `Fence`.
 
 use super::fence::{Fence, Verdict as Taken};
 use super::grants::{Entry, Grants, Verdict as Told};
@@ -31,7 +31,10 @@
 /// Longest way that is looked at, in actions.
 const DEPTH: usize = 16;
 /// Three steps, and clocks that are a tenth off.
-const TERMS: Terms = Terms { lease: 3_000, drift: 100_000 };
+const TERMS: Terms = Terms {
+    lease: 3_000,
+    drift: 100_000,
+};
 
 struct World {
     planted: Planted,
@@ -46,13 +49,14 @@
     holds: [Hold; 2],
     /// Asks that are out: by whom, and number.
     asks: Vec<(usize, u64)>,
-    /// Answers that are out: to whom, to which ask, the fence or a refusal. They are never taken away: each may come
-    /// late, twice, or not at all.
+    /// Answers that are out: to whom, to which ask, the fence or a refusal. They are never taken
+    /// away: each may come late, twice, or not at all.
     answers: Vec<(usize, u64, Option<FenceNumber>)>,
     /// Effects on their way, whose check has passed: by whom, under which fence.
     effects: Vec<(usize, FenceNumber)>,
     fence: Fence,
-    /// The fences of effects that were taken, and whether one came under a lower fence than one before it.
+    /// The fences of effects that were taken, and whether one came under a lower fence than one
+    /// before it.
     last: FenceNumber,
     stale: bool,
     taken: bool,
@@ -75,10 +79,18 @@
 
 impl World {
     fn terms(&self) -> Terms {
-        Terms { drift: if self.planted == Planted::NoDrift { 0 } else { TERMS.drift }, ..TERMS }
+        Terms {
+            drift: if self.planted == Planted::NoDrift {
+                0
+            } else {
+                TERMS.drift
+            },
+            ..TERMS
+        }
     }
 
-    /// A broker's clock is slow by a tenth, the voters' are fast by as much: the worst that the terms allow.
+    /// A broker's clock is slow by a tenth, the voters' are fast by as much: the worst that the
+    /// terms allow.
     fn clock(steps: u64, broker: bool) -> Time {
         Time(1_000_000 + steps * STEP * if broker { 90 } else { 110 } / 100)
     }
@@ -95,7 +107,10 @@
     }
 
     fn holder(who: usize) -> Holder {
-        Holder { name: format!("b{who}"), life: 1 }
+        Holder {
+            name: format!("b{who}"),
+            life: 1,
+        }
     }
 }
 
@@ -175,7 +190,9 @@
                 let before = s.holds[who].clone();
                 match fence {
                     Some(fence) => {
-                        if s.holds[who].on_grant(number, fence) && self.planted == Planted::FromAnswer {
+                        if s.holds[who].on_grant(number, fence)
+                            && self.planted == Planted::FromAnswer
+                        {
                             let mut late = before.clone();
                             let anew = late.on_ask(broker);
                             late.on_grant(anew, fence);
@@ -217,7 +234,9 @@
             Property::always("one holder may act", |world: &World, s: &State| {
                 !(world.acts(s, 0).is_some() && world.acts(s, 1).is_some())
             }),
-            Property::always("no effect is taken after a newer one", |_, s: &State| !s.stale),
+            Property::always("no effect is taken after a newer one", |_, s: &State| {
+                !s.stale
+            }),
             Property::sometimes("an effect is taken", |_, s: &State| s.taken),
             Property::sometimes("the other one holds it in its turn", |_, s: &State| {
                 s.last >= FenceNumber(2)
@@ -227,12 +246,24 @@
 }
 
 fn check(planted: Planted) -> (usize, Vec<&'static str>) {
-    let checker = World { planted }.checker().threads(4).target_max_depth(DEPTH).spawn_bfs().join();
-    let broken =
-        checker.discoveries().into_keys().filter(|name| name.starts_with("no ") || name.starts_with("one "));
+    let checker = World { planted }
+        .checker()
+        .threads(4)
+        .target_max_depth(DEPTH)
+        .spawn_bfs()
+        .join();
+    let broken = checker
+        .discoveries()
+        .into_keys()
+        .filter(|name| name.starts_with("no ") || name.starts_with("one "));
     let reached = ["an effect is taken", "the other one holds it in its turn"];
     if planted == Planted::Nothing {
-        assert!(reached.iter().all(|r| checker.discoveries().contains_key(r)), "the world is too small");
+        assert!(
+            reached
+                .iter()
+                .all(|r| checker.discoveries().contains_key(r)),
+            "the world is too small"
+        );
     }
     (checker.unique_state_count(), broken.collect())
 }
@@ -241,7 +272,10 @@
 fn no_reachable_state_has_two_holders_or_takes_an_effect_of_an_old_one() {
     let (states, broken) = check(Planted::Nothing);
     println!("{states} states");
-    assert!(broken.is_empty() && states > 10_000, "{states} states: {broken:?}");
+    assert!(
+        broken.is_empty() && states > 10_000,
+        "{states} states: {broken:?}"
+    );
 }
 
 #[test]
@@ -254,6 +288,9 @@
     ] {
         let (states, broken) = check(planted);
         println!("{planted:?}: {states} states, {broken:?}");
-        assert!(broken.contains(&what), "{planted:?}: {states} states, {broken:?}");
+        assert!(
+            broken.contains(&what),
+            "{planted:?}: {states} states, {broken:?}"
+        );
     }
 }
--- a/decide/management/src/leave.rs
+++ b/decide/management/src/leave.rs
@@ -1,14 +1,17 @@
 //! What becomes of clients while they are sent away.
 //!
-//! The front layer asks for readiness every 0.1 s and deals connections out for 0.2 s more: a connection that is closed
-//! sooner than that may come back to this broker at once. So clients are told with their answers first; then what rests is
-//! closed; and last nothing new is taken, so that after four seconds nothing is here but requests that were taken long before.
+//! The front layer asks for readiness every 0.1 s and deals connections out for 0.2 s more: a
+//! connection that is closed sooner than that may come back to this broker at once. So clients are
+//! told with their answers first; then what rests is closed; and last nothing new is taken, so that
+//! after four seconds nothing is here but requests that were taken long before.
 
 use lichenswitch_interface::{Micros, Time};
 
-/// So long after the call nobody comes any more who keeps to the front layer's notice; connections that rest are closed.
+/// So long after the call nobody comes any more who keeps to the front layer's notice; connections
+/// that rest are closed.
 pub const NOTICED: Micros = 500_000;
-/// From then on nothing new is taken: four seconds after the call no connection may have a request of the last two.
+/// From then on nothing new is taken: four seconds after the call no connection may have a request
+/// of the last two.
 pub const LAST: Micros = 1_700_000;
 
 /// How far it has come.
--- a/decide/management/src/processes.rs
+++ b/decide/management/src/processes.rs
@@ -1,8 +1,9 @@
 //! Several processes of one broker, as they run side by side during an upgrade.
 //!
-//! For limits and rules they count as one broker. So each takes an equal part of what is allowed to one for as long as it
-//! sees another; a process that has just begun takes its part from its first moment on. One that leaves its clients to
-//! another keeps what it holds, but not what it may do with servers that bear little: that goes to those that stay.
+//! For limits and rules they count as one broker. So each takes an equal part of what is allowed to
+//! one for as long as it sees another; a process that has just begun takes its part from its first
+//! moment on. One that leaves its clients to another keeps what it holds, but not what it may do
+//! with servers that bear little: that goes to those that stay.
 
 pub use lichenswitch_interface::{Parts, ALONE};
 
@@ -23,13 +24,18 @@
 #[must_use]
 pub fn parts(leaving: bool, others: &[Told]) -> Parts {
     let stay = others.iter().filter(|o| !o.leaving).count() as u32;
-    Parts { held: 1 + others.len() as u32, done: (!leaving || stay == 0).then_some(1 + stay) }
+    Parts {
+        held: 1 + others.len() as u32,
+        done: (!leaving || stay == 0).then_some(1 + stay),
+    }
 }
 
-/// What a process that is told to stop does with the backlog of its listener: the clients that wait to be accepted.
+/// What a process that is told to stop does with the backlog of its listener: the clients that wait
+/// to be accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BacklogAction {
-    /// They are another one's too: it leaves them at once, and its own clients have somewhere else to go.
+    /// They are another one's too: it leaves them at once, and its own clients have somewhere else
+    /// to go.
     Leave(Reason),
     /// It takes them for as long as clients may still come.
     Serve(Reason),
@@ -40,7 +46,8 @@
 pub enum Reason {
     /// This process serves at the same socket.
     SharedSocket(u32),
-    /// This one is ready too, but at a socket of its own: what waits at this one would be reset with it.
+    /// This one is ready too, but at a socket of its own: what waits at this one would be reset
+    /// with it.
     OwnSocket(u32),
     /// Nobody else is ready.
     Alone,
@@ -61,11 +68,13 @@
     /// As it is written for the others.
     #[must_use]
     pub fn line(&self) -> String {
-        let [ready, shares_socket, leaving] = [self.ready, self.shares_socket, self.leaving].map(u8::from);
+        let [ready, shares_socket, leaving] =
+            [self.ready, self.shares_socket, self.leaving].map(u8::from);
         format!("{} {ready} {shares_socket} {leaving}\n", self.process)
     }
 
-    /// Reads such a line. What can't be read is somebody who is there and not ready: it may be about to write.
+    /// Reads such a line. What can't be read is somebody who is there and not ready: it may be
+    /// about to write.
     #[must_use]
     pub fn read(process: u32, line: &str) -> Told {
         let words: Vec<&str> = line.split_ascii_whitespace().collect();
@@ -75,7 +84,12 @@
             }
             _ => [false; 3],
         };
-        Told { process, ready, shares_socket, leaving }
+        Told {
+            process,
+            ready,
+            shares_socket,
+            leaving,
+        }
     }
 }
 
--- a/decide/management/src/wanted.rs
+++ b/decide/management/src/wanted.rs
@@ -5,9 +5,11 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What was put back is remembered for so long as taken to have been started anew: longer than any server is cold.
+/// What was put back is remembered for so long as taken to have been started anew: longer than any
+/// server is cold.
 const BACK: Micros = 300_000_000;
-/// A state that nobody has kept up for so long is none: the broker that it was wanted of is long gone.
+/// A state that nobody has kept up for so long is none: the broker that it was wanted of is long
+/// gone.
 const OLD: Micros = 86_400_000_000;
 /// How often it is kept up.
 pub const KEEP_UP: Micros = 3_600_000_000;
@@ -21,7 +23,8 @@
     pub revision: u64,
     /// Servers that are out, by id, and since when (microseconds of Unix time).
     pub cordoned: BTreeMap<String, u64>,
-    /// Servers that were put back of late: since when they had been out, and when they were put back.
+    /// Servers that were put back of late: since when they had been out, and when they were put
+    /// back.
     pub back: BTreeMap<String, (u64, u64)>,
     /// Since when clients are sent away.
     pub quiesced: Option<u64>,
@@ -93,12 +96,12 @@
     Old(u64),
 }
 
-/// A server that was taken out may be sent what no other holder takes for this share of the time that the rule on drains
-/// allows; the rest is for whatever holds the loop up.
+/// A server that was taken out may be sent what no other holder takes for this share of the time
+/// that the rule on drains allows; the rest is for whatever holds the loop up.
 const LEAVING: (u64, u64) = (3, 5);
 
-/// Whether a server that was taken out is sent nothing any more; `stop_within`: what the rule on drains allows after the
-/// answer to the call.
+/// Whether a server that was taken out is sent nothing any more; `stop_within`: what the rule on
+/// drains allows after the answer to the call.
 #[must_use]
 pub fn is_out(since: Time, now: Time, stop_within: Micros) -> bool {
     now.since(since) >= stop_within / LEAVING.1 * LEAVING.0
@@ -115,7 +118,10 @@
         change: &Change,
         listed: impl Fn(&str) -> bool,
     ) -> Result<Verdict, Refused> {
-        let mut next = Wanted { revision: self.revision + 1, ..self.clone() };
+        let mut next = Wanted {
+            revision: self.revision + 1,
+            ..self.clone()
+        };
         next.back.retain(|_, (_, at)| now.since(Time(*at)) < BACK);
         let why = match change {
             Change::Cordon(id) if self.cordoned.contains_key(id) => {
@@ -136,12 +142,16 @@
                 None if listed(id) => return Ok(Verdict::Same(Reason::WasIn(id.clone()))),
                 None => return Err(Refused::Unknown(id.clone())),
             },
-            Change::Quiesce if self.quiesced.is_some() => return Ok(Verdict::Same(Reason::WasAway)),
+            Change::Quiesce if self.quiesced.is_some() => {
+                return Ok(Verdict::Same(Reason::WasAway))
+            }
             Change::Quiesce => {
                 next.quiesced = Some(now.0);
                 Reason::Away
             }
-            Change::Resume if self.quiesced.is_none() => return Ok(Verdict::Same(Reason::WasResumed)),
+            Change::Resume if self.quiesced.is_none() => {
+                return Ok(Verdict::Same(Reason::WasResumed))
+            }
             Change::Resume => {
                 next.quiesced = None;
                 Reason::Resumed
@@ -150,17 +160,24 @@
         Ok(Verdict::Set(next, why))
     }
 
-    /// What a process that begins takes over. That clients are sent away is wanted of processes that run: where none does,
-    /// this one is a new start, and serves.
+    /// What a process that begins takes over. That clients are sent away is wanted of processes
+    /// that run: where none does, this one is a new start, and serves.
     #[must_use]
     pub fn on_start(self, others: bool) -> Wanted {
-        Wanted { quiesced: self.quiesced.filter(|_| others), ..self }
+        Wanted {
+            quiesced: self.quiesced.filter(|_| others),
+            ..self
+        }
     }
 
     /// As it is kept, for this broker at this time.
     #[must_use]
     pub fn encode(&self, owner: &str, now: Time) -> Vec<u8> {
-        let kept = Kept { owner: owner.into(), kept_at: now.0, wanted: self.clone() };
+        let kept = Kept {
+            owner: owner.into(),
+            kept_at: now.0,
+            wanted: self.clone(),
+        };
         // A map of texts and numbers can always be written.
         let body = serde_json::to_string(&kept).unwrap_or_default();
         format!("{WORD}\n{:08x}\n{body}\n", crc32fast::hash(body.as_bytes())).into_bytes()
@@ -172,8 +189,10 @@
     /// When it is torn, somebody else's, of another version or old.
     pub fn decode(bytes: &[u8], owner: &str, now: Time) -> Result<Wanted, NoState> {
         let text = std::str::from_utf8(bytes).map_err(|_| NoState::Foreign)?;
-        let rest =
-            text.strip_prefix(WORD).and_then(|rest| rest.strip_prefix('\n')).ok_or(NoState::Foreign)?;
+        let rest = text
+            .strip_prefix(WORD)
+            .and_then(|rest| rest.strip_prefix('\n'))
+            .ok_or(NoState::Foreign)?;
         let (sum, body) = rest.split_once('\n').ok_or(NoState::Torn)?;
         let body = body.strip_suffix('\n').ok_or(NoState::Torn)?;
         if u32::from_str_radix(sum, 16) != Ok(crc32fast::hash(body.as_bytes())) {
--- a/decide/phases/src/budget/tests.rs
+++ b/decide/phases/src/budget/tests.rs
@@ -5,7 +5,10 @@
 const MS: Micros = 1_000;
 
 fn rules() -> Rules {
-    Rules { wanted: 5, ..Rules::test() }
+    Rules {
+        wanted: 5,
+        ..Rules::test()
+    }
 }
 
 /// First-phase parts take 100 to 200 ms, second-phase parts 50 to 150 ms.
@@ -19,7 +22,10 @@
 }
 
 fn candidates(pending: [Option<f64>; 5]) -> Vec<Candidate> {
-    (0..).zip(pending).map(|(slice, pending)| Candidate { slice, pending }).collect()
+    (0..)
+        .zip(pending)
+        .map(|(slice, pending)| Candidate { slice, pending })
+        .collect()
 }
 
 #[test]
@@ -32,29 +38,58 @@
         assert!(shrunk.expected <= 1.0 && shrunk.weakest <= 1.0);
     }
     assert_eq!(counts, [5, 5, 4, 4], "4 of 5 is the least share of 0.8");
-    let free = Rules { floor: 0.0, ..rules() };
+    let free = Rules {
+        floor: 0.0,
+        ..rules()
+    };
     let shrunk = shrink(&free, &mut times(), Time(MS), 20 * MS, &all, (5, 0));
-    assert_eq!(shrunk.keep, [] as [u32; 0], "none where the rules allow an answer without it");
+    assert_eq!(
+        shrunk.keep,
+        [] as [u32; 0],
+        "none where the rules allow an answer without it"
+    );
 }
 
 #[test]
 fn what_is_pending_at_its_servers_decides_whether_a_part_goes() {
     let mixed = candidates([Some(9.0), Some(0.0), Some(0.0), Some(0.0), Some(0.0)]);
     let shrunk = shrink(&rules(), &mut times(), Time(MS), 200 * MS, &mixed, (5, 0));
-    assert_eq!(shrunk.keep, [1, 2, 3, 4], "the best is too late, the others are not");
+    assert_eq!(
+        shrunk.keep,
+        [1, 2, 3, 4],
+        "the best is too late, the others are not"
+    );
     let gone = candidates([Some(0.0), None, Some(0.0), None, Some(0.0)]);
     let shrunk = shrink(&rules(), &mut times(), Time(MS), 1_000 * MS, &gone, (5, 0));
-    assert_eq!((shrunk.keep.len(), shrunk.weakest), (4, 0.0), "filled up to the least share");
+    assert_eq!(
+        (shrunk.keep.len(), shrunk.weakest),
+        (4, 0.0),
+        "filled up to the least share"
+    );
     assert!(shrunk.expected < 0.2, "but hopeless: {}", shrunk.expected);
 }
 
 #[test]
 fn a_wide_second_phase_of_likely_parts_is_not_hopeless() {
-    let wide = Rules { wanted: 100, floor: 1.0, ..rules() };
-    let all: Vec<Candidate> = (0..100).map(|slice| Candidate { slice, pending: Some(0.0) }).collect();
+    let wide = Rules {
+        wanted: 100,
+        floor: 1.0,
+        ..rules()
+    };
+    let all: Vec<Candidate> = (0..100)
+        .map(|slice| Candidate {
+            slice,
+            pending: Some(0.0),
+        })
+        .collect();
     let shrunk = shrink(&wide, &mut times(), Time(MS), 142 * MS, &all, (100, 0));
     assert_eq!(shrunk.keep.len(), 100);
-    assert!(shrunk.weakest < 0.99 && shrunk.expected > 0.2, "{} {}", shrunk.weakest, shrunk.expected);
+    assert!(
+        shrunk.weakest < 0.99 && shrunk.expected > 0.2,
+        "{} {}",
+        shrunk.weakest,
+        shrunk.expected
+    );
 }
 
 #[test]
@@ -67,13 +102,35 @@
 #[test]
 fn waiting_is_worth_it_while_there_is_time_and_not_when_the_second_phase_needs_it() {
     let mut times = times();
-    let missing = [Missing { weight: 0.1, out: Some(120 * MS), pending: 0.0 }];
-    let early = prospect(&rules(), &mut times, Time(MS), Time(1_000 * MS), 0.9, &missing);
+    let missing = [Missing {
+        weight: 0.1,
+        out: Some(120 * MS),
+        pending: 0.0,
+    }];
+    let early = prospect(
+        &rules(),
+        &mut times,
+        Time(MS),
+        Time(1_000 * MS),
+        0.9,
+        &missing,
+    );
     assert!(early.waiting > early.now, "{early:?}");
-    let late = prospect(&rules(), &mut times, Time(MS), Time(150 * MS), 0.9, &missing);
+    let late = prospect(
+        &rules(),
+        &mut times,
+        Time(MS),
+        Time(150 * MS),
+        0.9,
+        &missing,
+    );
     assert!(late.now > late.waiting, "{late:?}");
     // Out for longer than any part ever was: it may be lost, and there is little time to find out.
-    let lost = [Missing { weight: 0.1, out: Some(900 * MS), pending: 0.0 }];
+    let lost = [Missing {
+        weight: 0.1,
+        out: Some(900 * MS),
+        pending: 0.0,
+    }];
     let soon = prospect(&rules(), &mut times, Time(MS), Time(160 * MS), 0.9, &lost);
     assert!(soon.now >= soon.waiting, "{soon:?}");
     let ample = prospect(&rules(), &mut times, Time(MS), Time(2_000 * MS), 0.9, &lost);
--- a/decide/phases/src/learn.rs
+++ b/decide/phases/src/learn.rs
@@ -1,11 +1,13 @@
-//! What was learnt of the times of parts: decaying quantiles, scaled by how much was pending where a part went.
+//! What was learnt of the times of parts: decaying quantiles, scaled by how much was pending where
+//! a part went.
 
 use hdrhistogram::Histogram;
 use lichenswitch_interface::{Micros, Time};
 
 /// Points of the table of quantiles.
 const POINTS: usize = 64;
-/// A generation of samples ends after so many, or so long (microseconds), and is forgotten one generation later.
+/// A generation of samples ends after so many, or so long (microseconds), and is forgotten one
+/// generation later.
 const GENERATION: u64 = 2_000;
 const GENERATION_TIME: Micros = 15_000_000;
 /// The table is made anew after so many samples, or so large a part of all, or so long with any.
@@ -14,7 +16,8 @@
 const STALE_TIME: Micros = 250_000;
 /// Fewer samples than this tell nothing.
 const LEAST: u64 = 20;
-/// Parts that a server is taken to work on at once beside those that wait, as in the module's forecast.
+/// Parts that a server is taken to work on at once beside those that wait, as in the module's
+/// forecast.
 pub const AT_ONCE: f64 = 2.0;
 /// Longest time that is told apart, microseconds.
 const LONGEST: u64 = 600_000_000;
@@ -36,8 +39,10 @@
 }
 
 fn histogram() -> Histogram<u32> {
-    // Two digits are more than a forecast of milliseconds can use. The bounds are sound, so that it never fails.
-    Histogram::new_with_bounds(1, LONGEST, 2).unwrap_or_else(|e| unreachable!("bounds of a histogram: {e}"))
+    // Two digits are more than a forecast of milliseconds can use. The bounds are sound, so that it
+    // never fails.
+    Histogram::new_with_bounds(1, LONGEST, 2)
+        .unwrap_or_else(|e| unreachable!("bounds of a histogram: {e}"))
 }
 
 impl Default for Learnt {
@@ -64,15 +69,16 @@
             self.recent.reset();
             self.since = now;
         }
-        self.recent.saturating_record(((took as f64 / (pending + AT_ONCE)) as u64).max(1));
+        self.recent
+            .saturating_record(((took as f64 / (pending + AT_ONCE)) as u64).max(1));
         self.unseen += 1;
         self.count = self.recent.len() + self.older.len();
         // Here, where it is spread over many samples, and not in the midst of a plan.
         self.refresh(now);
     }
 
-    /// A part was given up after so long without an answer: it counts only where that is long already, or those that
-    /// were given up early would make all look quick.
+    /// A part was given up after so long without an answer: it counts only where that is long
+    /// already, or those that were given up early would make all look quick.
     pub fn add_unanswered(&mut self, now: Time, after: Micros, pending: f64) {
         if self.known() && self.share_within(now, after, pending) > 0.5 {
             self.add(now, after, pending);
@@ -93,12 +99,16 @@
             return;
         }
         (self.unseen, self.made) = (0, now);
-        let (mut recent, mut older) =
-            (self.recent.iter_recorded().peekable(), self.older.iter_recorded().peekable());
+        let (mut recent, mut older) = (
+            self.recent.iter_recorded().peekable(),
+            self.older.iter_recorded().peekable(),
+        );
         let (total, mut seen, mut point) = (self.count as f64, 0.0, 0);
         loop {
             let next = match (recent.peek(), older.peek()) {
-                (Some(a), Some(b)) if a.value_iterated_to() <= b.value_iterated_to() => recent.next(),
+                (Some(a), Some(b)) if a.value_iterated_to() <= b.value_iterated_to() => {
+                    recent.next()
+                }
                 (Some(_), None) => recent.next(),
                 _ => older.next(),
             };
@@ -113,18 +123,29 @@
         self.table[point.min(POINTS + 1)..].fill(last);
     }
 
-    /// Share of parts that end within so long at a server with so many pending, from 0 to just under 1.
+    /// Share of parts that end within so long at a server with so many pending, from 0 to just
+    /// under 1.
     pub fn share_within(&mut self, now: Time, within: Micros, pending: f64) -> f64 {
         self.refresh(now);
         self.share(within as f64 / (pending + AT_ONCE))
     }
 
-    /// The same of a part that has been out for `out` without an answer: it ends within `within` from now.
-    pub fn share_within_after(&mut self, now: Time, out: Micros, within: Micros, pending: f64) -> f64 {
-        let (by_now, by_then) =
-            (self.share_within(now, out, pending), self.share_within(now, out + within, pending));
-        // Of a part that is out for longer than most were little was learnt: it is taken to need as long again as it
-        // has had, by half a chance. Guards both against trust in a tail of few samples and against waiting for ever.
+    /// The same of a part that has been out for `out` without an answer: it ends within `within`
+    /// from now.
+    pub fn share_within_after(
+        &mut self,
+        now: Time,
+        out: Micros,
+        within: Micros,
+        pending: f64,
+    ) -> f64 {
+        let (by_now, by_then) = (
+            self.share_within(now, out, pending),
+            self.share_within(now, out + within, pending),
+        );
+        // Of a part that is out for longer than most were little was learnt: it is taken to need as
+        // long again as it has had, by half a chance. Guards both against trust in a tail of few
+        // samples and against waiting for ever.
         let as_long_again = within as f64 / (out + within).max(1) as f64;
         if by_now >= SURE {
             return as_long_again;
--- a/decide/phases/src/learn/tests.rs
+++ b/decide/phases/src/learn/tests.rs
@@ -15,22 +15,34 @@
 fn shares_and_quantiles_are_those_of_the_samples() {
     let (mut learnt, now) = (learnt(), Time(900 * MS));
     for (within, share) in [(25, 0.25), (50, 0.5), (90, 0.9)] {
-        assert!((learnt.share_within(now, within * MS, 0.0) - share).abs() < 0.03, "{within} ms");
+        assert!(
+            (learnt.share_within(now, within * MS, 0.0) - share).abs() < 0.03,
+            "{within} ms"
+        );
         let back = learnt.quantile(now, share, 0.0) as f64 / MS as f64;
         assert!((back - within as f64).abs() < 3.0, "{back} ms for {share}");
     }
     assert_eq!(learnt.share_within(now, 0, 0.0), 0.0);
-    assert!(learnt.share_within(now, 500 * MS, 0.0) < 1.0, "nothing is certain");
+    assert!(
+        learnt.share_within(now, 500 * MS, 0.0) < 1.0,
+        "nothing is certain"
+    );
 }
 
 #[test]
 fn what_is_pending_makes_it_longer_and_waiting_tells_something() {
     let (mut learnt, now) = (learnt(), Time(900 * MS));
-    assert!((learnt.share_within(now, 100 * MS, 2.0) - 0.5).abs() < 0.03, "twice as long");
+    assert!(
+        (learnt.share_within(now, 100 * MS, 2.0) - 0.5).abs() < 0.03,
+        "twice as long"
+    );
     let after = learnt.share_within_after(now, 50 * MS, 25 * MS, 0.0);
     assert!((after - 0.5).abs() < 0.05, "half of those left: {after}");
     let lost = learnt.share_within_after(now, 500 * MS, 25 * MS, 0.0);
-    assert!((lost - 25.0 / 525.0).abs() < 1e-6, "longer than any: {lost}");
+    assert!(
+        (lost - 25.0 / 525.0).abs() < 1e-6,
+        "longer than any: {lost}"
+    );
 }
 
 #[test]
@@ -39,9 +51,16 @@
     (0..19).for_each(|i| learnt.add(Time(i), 10 * MS, 0.0));
     assert!(!learnt.known());
     for i in 0..4 * GENERATION {
-        learnt.add(Time(i), if i < 2 * GENERATION { 10 * MS } else { 80 * MS }, 0.0);
+        learnt.add(
+            Time(i),
+            if i < 2 * GENERATION { 10 * MS } else { 80 * MS },
+            0.0,
+        );
     }
-    assert!(learnt.share_within(Time(9), 40 * MS, 0.0) < 0.01, "the first ones are forgotten");
+    assert!(
+        learnt.share_within(Time(9), 40 * MS, 0.0) < 0.01,
+        "the first ones are forgotten"
+    );
 }
 
 #[test]
--- a/decide/phases/src/lib.rs
+++ b/decide/phases/src/lib.rs
@@ -1,9 +1,10 @@
-//! Queries of two phases: how long the first may take, what the second asks for, and what is withdrawn because it can no
-//! longer help.
+//! Queries of two phases: how long the first may take, what the second asks for, and what is
+//! withdrawn because it can no longer help.
 //!
-//! The module (`policy`) goes on to choose servers, copies and further attempts. The planner tells it when a first phase
-//! is closed, which parts the second has, and which are not needed any more. Events go in with their time; verdicts come
-//! out with the figures behind them. Without rules for a class nothing is planned for it, and all is as the settings say.
+//! The module (`policy`) goes on to choose servers, copies and further attempts. The planner tells
+//! it when a first phase is closed, which parts the second has, and which are not needed any more.
+//! Events go in with their time; verdicts come out with the figures behind them. Without rules for
+//! a class nothing is planned for it, and all is as the settings say.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -65,7 +66,11 @@
     #[must_use]
     pub fn new(rules: Vec<Option<Rules>>) -> Self {
         let times = rules.iter().map(|_| Times::default()).collect();
-        Planner { rules, times, ..Planner::default() }
+        Planner {
+            rules,
+            times,
+            ..Planner::default()
+        }
     }
 
     /// Whether queries of a class are planned.
@@ -81,7 +86,9 @@
     }
 
     fn set_due(&mut self, id: QueryId, at: Option<Time>) {
-        let Some(q) = self.queries.get_mut(&id) else { return };
+        let Some(q) = self.queries.get_mut(&id) else {
+            return;
+        };
         if let Some(was) = q.due.take() {
             self.due.remove(&(was, id));
         }
@@ -93,8 +100,19 @@
 
     /// A query of two phases was taken, with the slices of its first and their weights.
     pub fn on_query(&mut self, now: Time, id: QueryId, class: usize, parts: &[(u32, f64)]) {
-        let Some(rules) = self.rules.get(class).and_then(Option::as_ref) else { return };
-        let held = |&(slice, weight): &(u32, f64)| (slice, Held { weight, out: None, done: false });
+        let Some(rules) = self.rules.get(class).and_then(Option::as_ref) else {
+            return;
+        };
+        let held = |&(slice, weight): &(u32, f64)| {
+            (
+                slice,
+                Held {
+                    weight,
+                    out: None,
+                    done: false,
+                },
+            )
+        };
         let aim_at = now.plus(rules.aim);
         let most = now.plus((rules.aim as f64 * rules.first_share) as Micros);
         let query = Query {
@@ -116,7 +134,9 @@
 
     /// A part was sent to a server that has so many parts pending.
     pub fn on_sent(&mut self, now: Time, id: QueryId, slice: u32, pending: f64) {
-        let Some(q) = self.queries.get_mut(&id) else { return };
+        let Some(q) = self.queries.get_mut(&id) else {
+            return;
+        };
         let second = q.second;
         if let Some(part) = q.parts.get_mut(&slice) {
             part.out = Some((now, pending));
@@ -126,8 +146,8 @@
         }
     }
 
-    /// An attempt ended well after so long; `pending` as it was when it was sent. Of a sorted second phase the keys and
-    /// count that came.
+    /// An attempt ended well after so long; `pending` as it was when it was sent. Of a sorted
+    /// second phase the keys and count that came.
     pub fn on_answer(
         &mut self,
         now: Time,
@@ -135,15 +155,23 @@
         (second, took, pending): (bool, Micros, f64),
         told: Option<Bound>,
     ) -> Vec<Verdict> {
-        let Some(q) = self.queries.get_mut(&id) else { return Vec::new() };
+        let Some(q) = self.queries.get_mut(&id) else {
+            return Vec::new();
+        };
         if let Some(times) = self.times.get_mut(q.class) {
-            let learnt = if second { &mut times.second } else { &mut times.first };
+            let learnt = if second {
+                &mut times.second
+            } else {
+                &mut times.first
+            };
             learnt.add(now, took, pending);
         }
         if q.second != second {
             return Vec::new();
         }
-        let Some(part) = q.parts.get_mut(&slice).filter(|p| !p.done) else { return Vec::new() };
+        let Some(part) = q.parts.get_mut(&slice).filter(|p| !p.done) else {
+            return Vec::new();
+        };
         (part.done, part.out) = (true, None);
         q.have += part.weight;
         if !second {
@@ -161,8 +189,8 @@
         verdicts
     }
 
-    /// An attempt that was sent then ended without an answer; `gave_up`: it was out for so long, where so much was
-    /// pending, and was not waited for any longer.
+    /// An attempt that was sent then ended without an answer; `gave_up`: it was out for so long,
+    /// where so much was pending, and was not waited for any longer.
     pub fn on_loss(
         &mut self,
         now: Time,
@@ -171,9 +199,15 @@
         sent: Time,
         gave_up: Option<(Micros, f64)>,
     ) {
-        let Some(q) = self.queries.get_mut(&id) else { return };
+        let Some(q) = self.queries.get_mut(&id) else {
+            return;
+        };
         if let (Some(times), Some((out, pending))) = (self.times.get_mut(q.class), gave_up) {
-            let learnt = if second { &mut times.second } else { &mut times.first };
+            let learnt = if second {
+                &mut times.second
+            } else {
+                &mut times.first
+            };
             learnt.add_unanswered(now, out, pending);
         }
         // A copy that is out goes on: only the attempt that was sent last is forgotten.
@@ -190,7 +224,12 @@
 
     /// Looks at the queries that are due.
     pub fn on_time(&mut self, now: Time) -> Vec<Verdict> {
-        let due: Vec<QueryId> = self.due.iter().take_while(|d| d.0 <= now).map(|d| d.1).collect();
+        let due: Vec<QueryId> = self
+            .due
+            .iter()
+            .take_while(|d| d.0 <= now)
+            .map(|d| d.1)
+            .collect();
         let mut verdicts = Vec::new();
         for id in due {
             self.set_due(id, None);
@@ -208,7 +247,9 @@
     fn judge_first(&mut self, now: Time, id: QueryId) -> Option<Verdict> {
         let q = self.queries.get(&id)?;
         let rules = self.rules.get(q.class)?.clone()?;
-        let most = q.arrived.plus((rules.aim as f64 * rules.first_share) as Micros);
+        let most = q
+            .arrived
+            .plus((rules.aim as f64 * rules.first_share) as Micros);
         // Under the least share there is nothing to decide, and a whole first phase ends by itself.
         if q.closed || q.second || q.have + 1e-4 < rules.floor || q.have + 1e-5 >= rules.need {
             let later = (now < most && !q.closed).then_some(most);
@@ -234,7 +275,11 @@
             if times.first.known() {
                 let found = budget::prospect(&rules, times, now, q.aim_at, have, &missing);
                 let closes = found.now + MARGIN >= found.waiting;
-                closes.then_some(Reason::Worth { have, now: found.now, waiting: found.waiting })
+                closes.then_some(Reason::Worth {
+                    have,
+                    now: found.now,
+                    waiting: found.waiting,
+                })
             } else {
                 None
             }
@@ -254,8 +299,12 @@
 
     /// The aim has passed: whether what is left can still earn enough.
     fn judge_second(&mut self, now: Time, id: QueryId) -> Vec<Verdict> {
-        let Some(q) = self.queries.get(&id) else { return Vec::new() };
-        let Some(rules) = self.rules.get(q.class).and_then(Option::as_ref) else { return Vec::new() };
+        let Some(q) = self.queries.get(&id) else {
+            return Vec::new();
+        };
+        let Some(rules) = self.rules.get(q.class).and_then(Option::as_ref) else {
+            return Vec::new();
+        };
         if now < q.aim_at {
             let aim_at = q.aim_at;
             self.set_due(id, Some(aim_at));
@@ -266,7 +315,10 @@
         if in_time >= rules.least_parts(q.wanted) {
             return Vec::new();
         }
-        let why = Reason::TooLittle { expected: rules.late_share, least: rules.least_gain };
+        let why = Reason::TooLittle {
+            expected: rules.late_share,
+            least: rules.least_gain,
+        };
         if rules.late_share < rules.least_gain {
             vec![Verdict::GiveUp(id, why)]
         } else {
@@ -276,8 +328,12 @@
 
     /// Parts of a sorted second phase that are out and can't change the answer any more.
     fn beaten(&mut self, id: QueryId) -> Vec<Verdict> {
-        let Some(q) = self.queries.get_mut(&id) else { return Vec::new() };
-        let Some((race, k)) = q.race.as_ref().map(|race| (race, race.k())) else { return Vec::new() };
+        let Some(q) = self.queries.get_mut(&id) else {
+            return Vec::new();
+        };
+        let Some((race, k)) = q.race.as_ref().map(|race| (race, race.k())) else {
+            return Vec::new();
+        };
         let mut verdicts = Vec::new();
         for (&slice, part) in q.parts.iter_mut().filter(|(_, p)| !p.done) {
             if matches!(race.reach(slice), Reach::Beaten | Reach::Exhausted) {
@@ -289,8 +345,9 @@
         verdicts
     }
 
-    /// The first phase has ended with these answers: what the second is to be. `pending` tells how many parts of this
-    /// broker wait at the server that a part for a slice would go to; `None`: no server takes it.
+    /// The first phase has ended with these answers: what the second is to be. `pending` tells how
+    /// many parts of this broker wait at the server that a part for a slice would go to; `None`: no
+    /// server takes it.
     pub fn between(
         &mut self,
         now: Time,
@@ -311,7 +368,11 @@
             Goal::Top(k, way) => {
                 let mut all = Race::new(k, way);
                 firsts.into_iter().for_each(|f| {
-                    let empty = Bound { slice: f.slice, keys: Vec::new(), matched: None };
+                    let empty = Bound {
+                        slice: f.slice,
+                        keys: Vec::new(),
+                        matched: None,
+                    };
                     all.enter(f.bound.unwrap_or(empty));
                 });
                 for (slice, reach) in all.reaches() {
@@ -331,8 +392,13 @@
             Goal::Top(..) => (order.len() + proved.len(), proved.len()),
         };
         let left = q.aim_at.since(now);
-        let candidates: Vec<Candidate> =
-            order.iter().map(|&(slice, _)| Candidate { slice, pending: pending(slice) }).collect();
+        let candidates: Vec<Candidate> = order
+            .iter()
+            .map(|&(slice, _)| Candidate {
+                slice,
+                pending: pending(slice),
+            })
+            .collect();
         let shrunk = budget::shrink(rules, times, now, left, &candidates, (wanted, granted));
         let keep: BTreeSet<u32> = shrunk.keep.iter().copied().collect();
         let mut why = vec![Reason::Fits {
@@ -344,18 +410,44 @@
         }];
         let give_up = !order.is_empty() && shrunk.expected < rules.least_gain;
         if give_up {
-            why.push(Reason::TooLittle { expected: shrunk.expected, least: rules.least_gain });
+            why.push(Reason::TooLittle {
+                expected: shrunk.expected,
+                least: rules.least_gain,
+            });
         }
-        let parts: Vec<(u32, Option<usize>)> =
-            order.iter().copied().filter(|p| keep.contains(&p.0)).collect();
-        let left_out = order.iter().map(|p| p.0).filter(|s| !keep.contains(s)).collect();
+        let parts: Vec<(u32, Option<usize>)> = order
+            .iter()
+            .copied()
+            .filter(|p| keep.contains(&p.0))
+            .collect();
+        let left_out = order
+            .iter()
+            .map(|p| p.0)
+            .filter(|s| !keep.contains(s))
+            .collect();
         let weight = 1.0 / wanted.max(1) as f64;
-        let held = |&(slice, _): &(u32, Option<usize>)| (slice, Held { weight, out: None, done: false });
+        let held = |&(slice, _): &(u32, Option<usize>)| {
+            (
+                slice,
+                Held {
+                    weight,
+                    out: None,
+                    done: false,
+                },
+            )
+        };
         (q.second, q.have, q.wanted, q.granted) = (true, weight * granted as f64, wanted, granted);
         (q.parts, q.race) = (parts.iter().map(held).collect(), race);
         let aim_at = q.aim_at;
         self.set_due(id, Some(aim_at));
-        Some(Plan { parts, wanted, left_out, proved, give_up, why })
+        Some(Plan {
+            parts,
+            wanted,
+            left_out,
+            proved,
+            give_up,
+            why,
+        })
     }
 }
 
--- a/decide/phases/src/prune.rs
+++ b/decide/phases/src/prune.rs
@@ -1,10 +1,12 @@
-//! Pruning by bounds: a slice that can't change the first `k` of a sorted answer is left out, and that is proved.
+//! Pruning by bounds: a slice that can't change the first `k` of a sorted answer is left out, and
+//! that is proved.
 //!
-//! Each slice's first answer is its best element, which bounds all that it has: the sorted access of the threshold
-//! algorithm (Fagin, Lotem and Naor, "Optimal aggregation algorithms for middleware", 2001), stopped after one round
-//! as TPUT does with its first phase (Cao and Wang, "Efficient top-k query processing in distributed networks", 2004).
-//! Elements are ordered by key, then by slice, then as the slice gives them. Of a slice whose best has `r` elements of
-//! other slices before it, `k - r` elements can matter; with `r >= k - 1` none but the best itself.
+//! Each slice's first answer is its best element, which bounds all that it has: the sorted access
+//! of the threshold algorithm (Fagin, Lotem and Naor, "Optimal aggregation algorithms for
+//! middleware", 2001), stopped after one round as TPUT does with its first phase (Cao and Wang,
+//! "Efficient top-k query processing in distributed networks", 2004). Elements are ordered by key,
+//! then by slice, then as the slice gives them. Of a slice whose best has `r` elements of other
+//! slices before it, `k - r` elements can matter; with `r >= k - 1` none but the best itself.
 
 use std::cmp::Ordering;
 
@@ -40,7 +42,11 @@
             (Key::Text(a), Key::Text(b)) => a.cmp(b),
             _ => return None,
         };
-        Some(if way == Way::Up { order } else { order.reverse() })
+        Some(if way == Way::Up {
+            order
+        } else {
+            order.reverse()
+        })
     }
 }
 
@@ -87,7 +93,11 @@
     /// A race for the first `k` elements.
     #[must_use]
     pub fn new(k: usize, way: Way) -> Race {
-        Race { k, way, slices: Vec::new() }
+        Race {
+            k,
+            way,
+            slices: Vec::new(),
+        }
     }
 
     /// Elements that are asked for.
@@ -101,18 +111,32 @@
         self.slices.push(bound);
     }
 
-    /// A slice has told more. `Err`: it gave something better than its best, or what can't be compared with it; the
-    /// bound was wrong, and nothing that rests on it is proved.
-    pub fn tell(&mut self, slice: u32, keys: Vec<Key>, matched: Option<u64>) -> Result<(), WrongBound> {
-        let Some(known) = self.slices.iter_mut().find(|s| s.slice == slice) else { return Ok(()) };
+    /// A slice has told more. `Err`: it gave something better than its best, or what can't be
+    /// compared with it; the bound was wrong, and nothing that rests on it is proved.
+    pub fn tell(
+        &mut self,
+        slice: u32,
+        keys: Vec<Key>,
+        matched: Option<u64>,
+    ) -> Result<(), WrongBound> {
+        let Some(known) = self.slices.iter_mut().find(|s| s.slice == slice) else {
+            return Ok(());
+        };
         let way = self.way;
         let sorted = |keys: &[Key]| {
-            keys.windows(2)
-                .all(|w| matches!(w[0].compare(&w[1], way), Some(Ordering::Less | Ordering::Equal)))
+            keys.windows(2).all(|w| {
+                matches!(
+                    w[0].compare(&w[1], way),
+                    Some(Ordering::Less | Ordering::Equal)
+                )
+            })
         };
         let sound = match (known.keys.first(), keys.first()) {
             (Some(bound), Some(best)) => {
-                matches!(bound.compare(best, way), Some(Ordering::Less | Ordering::Equal)) && sorted(&keys)
+                matches!(
+                    bound.compare(best, way),
+                    Some(Ordering::Less | Ordering::Equal)
+                ) && sorted(&keys)
             }
             (None, Some(_)) => false,
             _ => true,
@@ -128,7 +152,8 @@
         }
     }
 
-    /// Elements of other slices that come before the best of this one; `None`: some can't be compared.
+    /// Elements of other slices that come before the best of this one; `None`: some can't be
+    /// compared.
     fn before(&self, of: &Bound) -> Option<usize> {
         let best = of.keys.first()?;
         let mut count = 0;
@@ -156,7 +181,9 @@
     /// What a slice can still give.
     #[must_use]
     pub fn reach(&self, slice: u32) -> Reach {
-        let Some(of) = self.slices.iter().find(|s| s.slice == slice) else { return Reach::Unknown };
+        let Some(of) = self.slices.iter().find(|s| s.slice == slice) else {
+            return Reach::Unknown;
+        };
         self.judge(of, self.before(of))
     }
 
@@ -168,12 +195,17 @@
         for (at, s) in self.slices.iter().enumerate() {
             all.extend(s.keys.iter().enumerate().map(|(i, key)| (key, at, i == 0)));
         }
-        let sound = all
-            .first()
-            .is_none_or(|(first, ..)| all.iter().all(|(key, ..)| key.compare(first, self.way).is_some()));
+        let sound = all.first().is_none_or(|(first, ..)| {
+            all.iter()
+                .all(|(key, ..)| key.compare(first, self.way).is_some())
+        });
         if !sound {
             // Some key is of another kind: each slice is judged by itself.
-            return self.slices.iter().map(|s| (s.slice, self.judge(s, self.before(s)))).collect();
+            return self
+                .slices
+                .iter()
+                .map(|s| (s.slice, self.judge(s, self.before(s))))
+                .collect();
         }
         all.sort_by(|a, b| {
             let order = a.0.compare(b.0, self.way).unwrap_or(Ordering::Equal);
@@ -181,9 +213,18 @@
         });
         let bests = all.iter().enumerate().filter(|(_, e)| e.2);
         let with_best = bests.map(|(before, &(_, at, _))| (&self.slices[at], Some(before)));
-        let without = self.slices.iter().filter(|s| s.keys.is_empty()).map(|s| (s, None));
+        let without = self
+            .slices
+            .iter()
+            .filter(|s| s.keys.is_empty())
+            .map(|s| (s, None));
         let judged = with_best.chain(without).map(|(s, before)| {
-            debug_assert_eq!(before, self.before(s), "slice {}: the sort and the count agree", s.slice);
+            debug_assert_eq!(
+                before,
+                self.before(s),
+                "slice {}: the sort and the count agree",
+                s.slice
+            );
             (s.slice, self.judge(s, before))
         });
         judged.collect()
--- a/decide/phases/src/rules.rs
+++ b/decide/phases/src/rules.rs
@@ -49,10 +49,15 @@
         }
     }
 
-    /// The least parts of a second phase of so many: where an answer in part is allowed, the least share.
+    /// The least parts of a second phase of so many: where an answer in part is allowed, the least
+    /// share.
     #[must_use]
     pub fn least_parts(&self, wanted: usize) -> usize {
-        let floor = if self.floor < self.need { self.floor } else { 1.0 };
+        let floor = if self.floor < self.need {
+            self.floor
+        } else {
+            1.0
+        };
         // Sums of weights may fall short by a ten-thousandth.
         (floor * wanted as f64 - 1e-4).ceil().max(0.0) as usize
     }
--- a/decide/phases/src/tests.rs
+++ b/decide/phases/src/tests.rs
@@ -5,7 +5,8 @@
 const MS: Micros = 1_000;
 const Q: QueryId = QueryId(1);
 
-/// A planner that has learnt: first-phase parts take 100 to 200 ms, second-phase parts 50 to 150 ms.
+/// A planner that has learnt: first-phase parts take 100 to 200 ms, second-phase parts 50 to 150
+/// ms.
 fn planner(rules: Rules) -> Planner {
     let mut planner = Planner::new(vec![Some(rules)]);
     for i in 0..100u64 {
@@ -25,18 +26,31 @@
     (0..10).for_each(|s| planner.on_sent(start, Q, s, 0.0));
     let mut verdicts = Vec::new();
     for slice in 0..came {
-        verdicts.extend(planner.on_answer(start.plus(after), (Q, slice), (false, after, 0.0), None));
+        verdicts.extend(planner.on_answer(
+            start.plus(after),
+            (Q, slice),
+            (false, after, 0.0),
+            None,
+        ));
     }
     verdicts
 }
 
 fn firsts(count: u32) -> Vec<First> {
-    (0..count).map(|slice| First { slice, score: f64::from(slice), bound: None }).collect()
+    (0..count)
+        .map(|slice| First {
+            slice,
+            score: f64::from(slice),
+            bound: None,
+        })
+        .collect()
 }
 
 fn plan(planner: &mut Planner, at: Micros) -> Plan {
     let now = Time((10_000 + at) * MS);
-    planner.between(now, Q, Goal::BestScores, firsts(10), |_| Some(0.0)).unwrap()
+    planner
+        .between(now, Q, Goal::BestScores, firsts(10), |_| Some(0.0))
+        .unwrap()
 }
 
 #[test]
@@ -63,7 +77,11 @@
 #[test]
 fn a_first_phase_is_closed_when_waiting_costs_more_than_it_brings_and_not_before() {
     let mut quick = planner(Rules::test());
-    assert_eq!(first_phase(&mut quick, 9, 150 * MS), [], "the last part is due any moment");
+    assert_eq!(
+        first_phase(&mut quick, 9, 150 * MS),
+        [],
+        "the last part is due any moment"
+    );
     let next = quick.next().expect("it is looked at again");
     assert!(next <= Time(10_160 * MS));
     // Nothing comes: out for longer than any was, it may be lost.
@@ -72,7 +90,9 @@
         closed = quick.on_time(at);
         assert!(at < Time(10_950 * MS));
     }
-    let [Verdict::Close(Q, Reason::Worth { now, waiting, have })] = closed[..] else { panic!("{closed:?}") };
+    let [Verdict::Close(Q, Reason::Worth { now, waiting, have })] = closed[..] else {
+        panic!("{closed:?}")
+    };
     assert!(now + MARGIN >= waiting && (have - 0.9).abs() < 1e-9);
     assert_eq!(quick.next(), None, "closed once");
 }
@@ -84,9 +104,13 @@
     while let Some(at) = late.next() {
         assert_eq!(late.on_time(at), []);
     }
-    // The eighth comes after the first phase has had its share: closed at once, with exactly the least.
+    // The eighth comes after the first phase has had its share: closed at once, with exactly the
+    // least.
     let verdict = late.on_answer(Time(10_950 * MS), (Q, 7), (false, 950 * MS, 0.0), None);
-    assert!(matches!(verdict[..], [Verdict::Close(Q, Reason::FirstShare { .. })]), "{verdict:?}");
+    assert!(
+        matches!(verdict[..], [Verdict::Close(Q, Reason::FirstShare { .. })]),
+        "{verdict:?}"
+    );
 }
 
 #[test]
@@ -100,7 +124,10 @@
         verdicts = fresh.on_time(at);
     }
     assert!(
-        matches!(verdicts[..], [Verdict::Close(Q, Reason::FirstShare { took: 900_000, .. })]),
+        matches!(
+            verdicts[..],
+            [Verdict::Close(Q, Reason::FirstShare { took: 900_000, .. })]
+        ),
         "{verdicts:?}"
     );
     assert_eq!(plan(&mut fresh, 950).parts.len(), 5);
@@ -109,7 +136,10 @@
 #[test]
 fn a_query_whose_second_phase_is_under_the_least_share_at_the_aim_is_given_up_and_others_are_not() {
     for (came, late_share, expected) in [(3, 0.1, 1), (4, 0.1, 0), (3, 0.5, 0)] {
-        let mut planner = planner(Rules { late_share, ..Rules::test() });
+        let mut planner = planner(Rules {
+            late_share,
+            ..Rules::test()
+        });
         first_phase(&mut planner, 10, 150 * MS);
         let plan = plan(&mut planner, 200);
         for (slice, _) in &plan.parts[..came] {
@@ -118,13 +148,25 @@
         assert_eq!(planner.next(), Some(Time(11_000 * MS)), "the aim");
         assert_eq!(planner.on_time(Time(10_999 * MS)), []);
         let verdicts = planner.on_time(Time(11_000 * MS));
-        assert_eq!(verdicts.len(), expected, "{came} in, late share {late_share}: {verdicts:?}");
+        assert_eq!(
+            verdicts.len(),
+            expected,
+            "{came} in, late share {late_share}: {verdicts:?}"
+        );
     }
 }
 
 fn bound(slice: u32, best: f64, matched: u64) -> First {
     let keys = vec![Key::Number(best)];
-    First { slice, score: 0.0, bound: Some(Bound { slice, keys, matched: Some(matched) }) }
+    First {
+        slice,
+        score: 0.0,
+        bound: Some(Bound {
+            slice,
+            keys,
+            matched: Some(matched),
+        }),
+    }
 }
 
 #[test]
@@ -133,17 +175,38 @@
     first_phase(&mut planner, 10, 150 * MS);
     let firsts: Vec<First> = (0..10).map(|s| bound(s, f64::from(s), 9)).collect();
     let now = Time(10_200 * MS);
-    let plan = planner.between(now, Q, Goal::Top(3, Way::Up), firsts, |_| Some(0.0)).unwrap();
-    assert_eq!(plan.parts, [(0, Some(3)), (1, Some(2))], "the third best is the third by itself");
-    assert_eq!((plan.proved.len(), plan.left_out.len(), plan.wanted), (8, 0, 10));
-    let told = |keys: [f64; 3]| Bound { slice: 0, keys: keys.map(Key::Number).to_vec(), matched: Some(9) };
+    let plan = planner
+        .between(now, Q, Goal::Top(3, Way::Up), firsts, |_| Some(0.0))
+        .unwrap();
+    assert_eq!(
+        plan.parts,
+        [(0, Some(3)), (1, Some(2))],
+        "the third best is the third by itself"
+    );
+    assert_eq!(
+        (plan.proved.len(), plan.left_out.len(), plan.wanted),
+        (8, 0, 10)
+    );
+    let told = |keys: [f64; 3]| Bound {
+        slice: 0,
+        keys: keys.map(Key::Number).to_vec(),
+        matched: Some(9),
+    };
     let beaten = planner.on_answer(now, (Q, 0), (true, MS, 0.0), Some(told([0.0, 0.1, 0.2])));
-    assert_eq!(beaten, [Verdict::Unneeded(Q, 1, Reason::Bound { slice: 1, k: 3 })]);
+    assert_eq!(
+        beaten,
+        [Verdict::Unneeded(Q, 1, Reason::Bound { slice: 1, k: 3 })]
+    );
     // Without pruning all slices with more are asked for all.
-    let mut plain = super::tests::planner(Rules { prune: false, ..Rules::test() });
+    let mut plain = super::tests::planner(Rules {
+        prune: false,
+        ..Rules::test()
+    });
     first_phase(&mut plain, 10, 150 * MS);
     let firsts = (0..10).map(|s| bound(s, f64::from(s), 9)).collect();
-    let plan = plain.between(now, Q, Goal::Top(3, Way::Up), firsts, |_| Some(0.0)).unwrap();
+    let plan = plain
+        .between(now, Q, Goal::Top(3, Way::Up), firsts, |_| Some(0.0))
+        .unwrap();
     assert_eq!(plan.parts.len(), 10);
 }
 
@@ -153,10 +216,20 @@
     first_phase(&mut planner, 10, 150 * MS);
     let firsts = (0..10).map(|s| bound(s, f64::from(s), 9)).collect();
     let now = Time(10_200 * MS);
-    planner.between(now, Q, Goal::Top(3, Way::Up), firsts, |_| Some(0.0)).unwrap();
-    let told = Bound { slice: 0, keys: vec![Key::Number(-5.0)], matched: Some(9) };
+    planner
+        .between(now, Q, Goal::Top(3, Way::Up), firsts, |_| Some(0.0))
+        .unwrap();
+    let told = Bound {
+        slice: 0,
+        keys: vec![Key::Number(-5.0)],
+        matched: Some(9),
+    };
     let verdicts = planner.on_answer(now, (Q, 0), (true, MS, 0.0), Some(told));
-    assert_eq!(verdicts, [Verdict::Doubt(Q, Reason::WrongBound { slice: 0 })], "and nothing is proved by it");
+    assert_eq!(
+        verdicts,
+        [Verdict::Doubt(Q, Reason::WrongBound { slice: 0 })],
+        "and nothing is proved by it"
+    );
 }
 
 #[test]
@@ -164,17 +237,33 @@
     let mut planner = planner(Rules::test());
     first_phase(&mut planner, 10, 150 * MS);
     let firsts = (0..10).map(|s| bound(s, 1.0, 1)).collect();
-    let plan = planner.between(Time(10_200 * MS), Q, Goal::Top(9, Way::Up), firsts, |_| Some(0.0)).unwrap();
-    assert!(plan.parts.is_empty() && !plan.give_up && plan.left_out.is_empty(), "{plan:?}");
+    let plan = planner
+        .between(Time(10_200 * MS), Q, Goal::Top(9, Way::Up), firsts, |_| {
+            Some(0.0)
+        })
+        .unwrap();
+    assert!(
+        plan.parts.is_empty() && !plan.give_up && plan.left_out.is_empty(),
+        "{plan:?}"
+    );
     assert_eq!(plan.proved.len(), 10);
 }
 
 #[test]
 fn reasons_are_told_with_their_figures() {
-    let why = Reason::Worth { have: 0.9, now: 0.5, waiting: 0.25 };
+    let why = Reason::Worth {
+        have: 0.9,
+        now: 0.5,
+        waiting: 0.25,
+    };
     assert_eq!(
         why.to_string(),
         "first phase closed with 0.900 in: expected worth 0.500 now, 0.250 with waiting"
     );
-    assert!(Reason::TooLittle { expected: 0.1, least: 0.2 }.to_string().contains("0.100"));
+    assert!(Reason::TooLittle {
+        expected: 0.1,
+        least: 0.2
+    }
+    .to_string()
+    .contains("0.100"));
 }
--- a/decide/phases/src/verdict.rs
+++ b/decide/phases/src/verdict.rs
@@ -99,7 +99,8 @@
 /// What the second phase of a query is to be.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Slices that get a part, the best first, with how many elements to ask for where the answer is sorted.
+    /// Slices that get a part, the best first, with how many elements to ask for where the answer
+    /// is sorted.
     pub parts: Vec<(u32, Option<usize>)>,
     /// Parts of a whole second phase; each weighs one of so many.
     pub wanted: usize,
--- a/decide/placement/src/backlog.rs
+++ b/decide/placement/src/backlog.rs
@@ -1,7 +1,8 @@
 //! Work that waits at servers, summed over routers.
 //!
-//! Each router reports, by server, the tokens of its requests that were sent there and have not begun to be answered. A control machine sums what
-//! its routers report, tells other control machines that sum, and its routers the sum over all control machines.
+//! Each router reports, by server, the tokens of its requests that were sent there and have not
+//! begun to be answered. A control machine sums what its routers report, tells other control
+//! machines that sum, and its routers the sum over all control machines.
 
 use lichenswitch_interface::ServerId;
 use std::collections::{BTreeMap, HashMap};
@@ -44,7 +45,8 @@
         self.changed = true;
     }
 
-    /// Another control machine reports these sums of its routers; what it reported of others stands.
+    /// Another control machine reports these sums of its routers; what it reported of others
+    /// stands.
     pub fn on_peer_report(&mut self, source: S, changes: &[(ServerId, Backlog)]) {
         apply(self.peers.entry(source).or_default(), changes);
         self.changed = true;
@@ -65,9 +67,13 @@
     pub fn take_changes(&mut self) -> (Changes, Changes) {
         self.changed = false;
         let mut sums = BTreeMap::new();
-        self.routers.values().for_each(|reported| add(&mut sums, reported));
+        self.routers
+            .values()
+            .for_each(|reported| add(&mut sums, reported));
         let to_peers = self.to_peers.update(&sums);
-        self.peers.values().for_each(|reported| add(&mut sums, reported));
+        self.peers
+            .values()
+            .for_each(|reported| add(&mut sums, reported));
         (to_peers, self.to_routers.update(&sums))
     }
 
@@ -86,15 +92,26 @@
 
 impl Told {
     fn update(&mut self, sums: &BTreeMap<ServerId, Backlog>) -> Changes {
-        let gone = self.0.keys().filter(|server| !sums.contains_key(server)).map(|server| (*server, 0));
+        let gone = self
+            .0
+            .keys()
+            .filter(|server| !sums.contains_key(server))
+            .map(|server| (*server, 0));
         let mut changes: Changes = gone.collect();
-        changes.extend(sums.iter().map(|(s, b)| (*s, *b)).filter(|(s, b)| self.0.get(s) != Some(b)));
+        changes.extend(
+            sums.iter()
+                .map(|(s, b)| (*s, *b))
+                .filter(|(s, b)| self.0.get(s) != Some(b)),
+        );
         apply(&mut self.0, &changes);
         changes
     }
 
     fn whole(&self) -> Changes {
-        self.0.iter().map(|(server, backlog)| (*server, *backlog)).collect()
+        self.0
+            .iter()
+            .map(|(server, backlog)| (*server, *backlog))
+            .collect()
     }
 }
 
--- a/decide/placement/src/backlog/tests.rs
+++ b/decide/placement/src/backlog/tests.rs
@@ -9,8 +9,15 @@
     table.on_router_report("router 1", &[(A, 100), (B, 7)]);
     table.on_router_report("router 2", &[(A, 50)]);
     table.on_peer_report("peer", &[(A, 1_000)]);
-    assert_eq!(table.take_changes(), (vec![(A, 150), (B, 7)], vec![(A, 1_150), (B, 7)]));
-    assert_eq!(table.take_changes(), (vec![], vec![]), "nothing has changed");
+    assert_eq!(
+        table.take_changes(),
+        (vec![(A, 150), (B, 7)], vec![(A, 1_150), (B, 7)])
+    );
+    assert_eq!(
+        table.take_changes(),
+        (vec![], vec![]),
+        "nothing has changed"
+    );
 }
 
 #[test]
@@ -36,7 +43,8 @@
     assert_eq!(table.take_changes().1, vec![(A, u32::MAX)]);
 }
 
-/// Whoever follows the changes, or gets the whole at any time and follows from there, knows the same as whoever sums all reports.
+/// Whoever follows the changes, or gets the whole at any time and follows from there, knows the
+/// same as whoever sums all reports.
 #[test]
 fn changes_lead_to_the_same_table_as_the_whole() {
     for seed in 0..200 {
@@ -77,7 +85,10 @@
         apply(&mut routers_know, &to_routers);
         let sum = |wanted: &dyn Fn(u8) -> bool| {
             let mut sums = BTreeMap::new();
-            reported.iter().filter(|(source, _)| wanted(**source)).for_each(|(_, r)| add(&mut sums, r));
+            reported
+                .iter()
+                .filter(|(source, _)| wanted(**source))
+                .for_each(|(_, r)| add(&mut sums, r));
             sums
         };
         assert_eq!(peers_know, sum(&|source| source < 3), "seed {seed}");
--- a/decide/quota/src/allowances.rs
+++ b/decide/quota/src/allowances.rs
@@ -1,7 +1,9 @@
-//! A router's side of quotas: what it may let through now, what waits for a draw, and what was denied just now.
+//! A router's side of quotas: what it may let through now, what waits for a draw, and what was
+//! denied just now.
 //!
-//! It promises that a request is let through only on a grant that is still valid, counted from when the router asked for it, and that a
-//! request which waits is decided within the time that it was given.
+//! It promises that a request is let through only on a grant that is still valid, counted from when
+//! the router asked for it, and that a request which waits is decided within the time that it was
+//! given.
 
 use crate::draw::{Draw, Grant, MOST_NEEDS};
 use crate::figures::{Figures, Terms};
@@ -94,7 +96,11 @@
     /// None yet. Draws get numbers above this one.
     #[must_use]
     pub fn new(terms: Terms, first: u64) -> Allowances<W> {
-        Allowances { terms, tenants: HashMap::new(), next: first }
+        Allowances {
+            terms,
+            tenants: HashMap::new(),
+            next: first,
+        }
     }
 
     /// The rule has other bounds now.
@@ -104,10 +110,14 @@
 
     /// A request of a tenant has come; `until`: it waits no longer than that.
     pub fn take(&mut self, now: Time, tenant: &Tenant, need: u64, waiter: W, until: Time) -> Taken {
-        let Some(quota) = &tenant.quota else { return Taken::Allowed(now) };
+        let Some(quota) = &tenant.quota else {
+            return Taken::Allowed(now);
+        };
         let validity = Figures::of(quota, &self.terms).validity;
-        let allowance =
-            self.tenants.entry(tenant.name.clone()).or_insert_with(|| Allowance::new(tenant.unit));
+        let allowance = self
+            .tenants
+            .entry(tenant.name.clone())
+            .or_insert_with(|| Allowance::new(tenant.unit));
         allowance.prepare(now, tenant.unit, validity);
         if let Some(until) = allowance.use_lots(need) {
             allowance.recent.push_back((now, need));
@@ -119,7 +129,11 @@
         if allowance.waiting.len() >= MOST_WAITING {
             return Taken::Unknown(RETRY);
         }
-        allowance.waiting.push_back(Waiter { waiter: Some(waiter), need, until });
+        allowance.waiting.push_back(Waiter {
+            waiter: Some(waiter),
+            need,
+            until,
+        });
         Taken::Waits
     }
 
@@ -137,30 +151,46 @@
 
     /// A draw has been answered.
     pub fn on_grant(&mut self, now: Time, id: u64, grant: Grant) -> Vec<Decided<W>> {
-        let of_draw = |allowance: &&mut Allowance<W>| allowance.out.as_ref().is_some_and(|out| out.id == id);
+        let of_draw =
+            |allowance: &&mut Allowance<W>| allowance.out.as_ref().is_some_and(|out| out.id == id);
         let allowance = self.tenants.values_mut().find(of_draw);
-        allowance.map(|allowance| allowance.on_grant(now, grant)).unwrap_or_default()
+        allowance
+            .map(|allowance| allowance.on_grant(now, grant))
+            .unwrap_or_default()
     }
 
     /// Ends what has waited for too long, and forgets tenants that have nothing left here.
     pub fn expire(&mut self, now: Time) -> Vec<Decided<W>> {
         let mut ended = Vec::new();
         for allowance in self.tenants.values_mut() {
-            for waits in allowance.waiting.iter_mut().filter(|waits| waits.until <= now) {
+            for waits in allowance
+                .waiting
+                .iter_mut()
+                .filter(|waits| waits.until <= now)
+            {
                 ended.extend(waits.waiter.take());
             }
             allowance.clear_left();
         }
         self.tenants.retain(|_, allowance| !allowance.is_idle(now));
-        let unknown = |waiter| Decided { waiter, taken: Taken::Unknown(RETRY) };
+        let unknown = |waiter| Decided {
+            waiter,
+            taken: Taken::Unknown(RETRY),
+        };
         ended.into_iter().map(unknown).collect()
     }
 
     /// When the next one has waited for too long.
     #[must_use]
     pub fn next_wake(&self) -> Option<Time> {
-        let waits = self.tenants.values().flat_map(|allowance| &allowance.waiting);
-        waits.filter(|waits| waits.waiter.is_some()).map(|waits| waits.until).min()
+        let waits = self
+            .tenants
+            .values()
+            .flat_map(|allowance| &allowance.waiting);
+        waits
+            .filter(|waits| waits.waiter.is_some())
+            .map(|waits| waits.until)
+            .min()
     }
 
     /// Nobody answers what was asked: it is asked again.
@@ -171,7 +201,11 @@
     /// A request that waits has been given up by its client; `false`: it is none of them.
     pub fn leave(&mut self, waiter: W) -> bool {
         for allowance in self.tenants.values_mut() {
-            if let Some(waits) = allowance.waiting.iter_mut().find(|waits| waits.waiter == Some(waiter)) {
+            if let Some(waits) = allowance
+                .waiting
+                .iter_mut()
+                .find(|waits| waits.waiter == Some(waiter))
+            {
                 waits.waiter = None;
                 allowance.clear_left();
                 return true;
@@ -180,17 +214,24 @@
         false
     }
 
-    /// A request that was let through just now has been sent to nobody: another one may use its grant as long as that is valid.
+    /// A request that was let through just now has been sent to nobody: another one may use its
+    /// grant as long as that is valid.
     pub fn give_back(&mut self, tenant: &str, need: u64, valid_until: Time) {
         if let Some(allowance) = self.tenants.get_mut(tenant) {
-            allowance.lots.push_back(Lot { amount: need, until: valid_until });
+            allowance.lots.push_back(Lot {
+                amount: need,
+                until: valid_until,
+            });
         }
     }
 
     /// Requests that wait.
     #[must_use]
     pub fn waiting(&self) -> usize {
-        let waits = self.tenants.values().flat_map(|allowance| &allowance.waiting);
+        let waits = self
+            .tenants
+            .values()
+            .flat_map(|allowance| &allowance.waiting);
         waits.filter(|waits| waits.waiter.is_some()).count()
     }
 }
@@ -221,7 +262,11 @@
         }
         self.lots.retain(|lot| lot.until > now);
         self.denied = self.denied.filter(|denied| denied.until > now);
-        while self.recent.front().is_some_and(|(at, _)| now.since(*at) >= validity) {
+        while self
+            .recent
+            .front()
+            .is_some_and(|(at, _)| now.since(*at) >= validity)
+        {
             self.recent.pop_front();
         }
     }
@@ -246,16 +291,34 @@
     }
 
     fn draw(&mut self, now: Time, tenant: &str, id: u64) -> Option<Draw> {
-        if self.out.as_ref().is_some_and(|out| now.since(out.asked) >= self.validity) {
+        if self
+            .out
+            .as_ref()
+            .is_some_and(|out| now.since(out.asked) >= self.validity)
+        {
             // Its answer would come too late.
             self.drop_draw();
         }
         if self.out.is_some() || self.waiting.is_empty() {
             return None;
         }
-        let needs: Vec<u64> = self.waiting.iter().take(MOST_NEEDS).map(|waits| waits.need).collect();
-        self.out = Some(Out { id, asked: now, needs: needs.len() });
-        Some(Draw { tenant: tenant.to_owned(), unit: self.unit, needs, ahead: self.expected() })
+        let needs: Vec<u64> = self
+            .waiting
+            .iter()
+            .take(MOST_NEEDS)
+            .map(|waits| waits.need)
+            .collect();
+        self.out = Some(Out {
+            id,
+            asked: now,
+            needs: needs.len(),
+        });
+        Some(Draw {
+            tenant: tenant.to_owned(),
+            unit: self.unit,
+            needs,
+            ahead: self.expected(),
+        })
     }
 
     /// What the next validity is expected to bring, where that is worth drawing ahead.
@@ -267,7 +330,9 @@
     }
 
     fn on_grant(&mut self, now: Time, grant: Grant) -> Vec<Decided<W>> {
-        let Some(out) = self.out.take() else { return Vec::new() };
+        let Some(out) = self.out.take() else {
+            return Vec::new();
+        };
         let until = out.asked.plus(self.validity);
         if now >= until {
             // Too late to be used: who still waits asks again.
@@ -276,28 +341,42 @@
         }
         let mut decided = Vec::new();
         for place in 0..out.needs {
-            let Some(Waiter { waiter, need, .. }) = self.waiting.pop_front() else { break };
+            let Some(Waiter { waiter, need, .. }) = self.waiting.pop_front() else {
+                break;
+            };
             let taken = match grant.covers(place) {
                 true => Taken::Allowed(until),
                 false => Taken::Beyond(grant.wait.max(1)),
             };
             match (waiter, taken) {
                 (Some(_), Taken::Allowed(_)) => self.recent.push_back((now, need)),
-                (None, Taken::Allowed(_)) => self.lots.push_back(Lot { amount: need, until }),
+                (None, Taken::Allowed(_)) => self.lots.push_back(Lot {
+                    amount: need,
+                    until,
+                }),
                 _ => self.note_denied(now, need, grant.wait),
             }
             decided.extend(waiter.map(|waiter| Decided { waiter, taken }));
         }
         if grant.ahead > 0 {
-            self.lots.push_back(Lot { amount: grant.ahead, until });
+            self.lots.push_back(Lot {
+                amount: grant.ahead,
+                until,
+            });
         }
         decided
     }
 
     fn note_denied(&mut self, now: Time, need: u64, wait: Micros) {
-        let size =
-            self.denied.filter(|denied| denied.until > now).map_or(need, |denied| denied.size.min(need));
-        self.denied = Some(Denied { size, wait, until: now.plus(wait.min(DENIED)) });
+        let size = self
+            .denied
+            .filter(|denied| denied.until > now)
+            .map_or(need, |denied| denied.size.min(need));
+        self.denied = Some(Denied {
+            size,
+            wait,
+            until: now.plus(wait.min(DENIED)),
+        });
     }
 
     fn drop_draw(&mut self) {
@@ -305,7 +384,8 @@
         self.clear_left();
     }
 
-    /// Takes out those that have left, but for those that a draw is out for: its grant goes by their places.
+    /// Takes out those that have left, but for those that a draw is out for: its grant goes by
+    /// their places.
     fn clear_left(&mut self) {
         let kept = self.out.as_ref().map_or(0, |out| out.needs);
         let mut place = 0;
@@ -317,7 +397,10 @@
 
     fn is_idle(&self, now: Time) -> bool {
         let unused = self.lots.iter().all(|lot| lot.until <= now);
-        let quiet = self.recent.back().is_none_or(|(at, _)| now.since(*at) >= self.validity);
+        let quiet = self
+            .recent
+            .back()
+            .is_none_or(|(at, _)| now.since(*at) >= self.validity);
         self.waiting.is_empty() && self.out.is_none() && unused && quiet
     }
 }
--- a/decide/quota/src/allowances/tests.rs
+++ b/decide/quota/src/allowances/tests.rs
@@ -4,13 +4,21 @@
 use lichenswitch_configuration::Document;
 use std::time::Duration;
 
-const TERMS: Terms = Terms { window: Duration::from_secs(8), overage: 0.1, slack: 0.0 };
+const TERMS: Terms = Terms {
+    window: Duration::from_secs(8),
+    overage: 0.1,
+    slack: 0.0,
+};
 const LATER: Time = Time(10_000_000);
 
 fn tenants() -> Vec<Tenant> {
     let text = br#"{"version":1,"routes":[],"services":[],"tenants":[
         {"name":"a","unit":"token_count","ratePerS":1000,"burstSize":0},{"name":"free"}]}"#;
-    Document::parse(text).expect("valid").tenants().expect("tenants").to_vec()
+    Document::parse(text)
+        .expect("valid")
+        .tenants()
+        .expect("tenants")
+        .to_vec()
 }
 
 fn validity() -> Micros {
@@ -37,12 +45,18 @@
 }
 
 fn ends(decided: &[Decided<u32>]) -> Vec<(u32, Taken)> {
-    decided.iter().map(|decided| (decided.waiter, decided.taken)).collect()
+    decided
+        .iter()
+        .map(|decided| (decided.waiter, decided.taken))
+        .collect()
 }
 
 #[test]
 fn a_tenant_without_a_quota_goes_at_once() {
-    assert_eq!(new().take(Time(5), &tenants()[1], 99, 1, LATER), Taken::Allowed(Time(5)));
+    assert_eq!(
+        new().take(Time(5), &tenants()[1], 99, 1, LATER),
+        Taken::Allowed(Time(5))
+    );
 }
 
 #[test]
@@ -54,8 +68,14 @@
     assert_eq!(take(&mut allowances, 1, 20, 2), Taken::Waits);
     assert!(allowances.draws(Time(1)).is_empty());
     let until = Time(validity());
-    assert_eq!(ends(&allowances.on_grant(Time(2), id, grant(1, 0, 0))), [(1, Taken::Allowed(until))]);
-    assert!(allowances.on_grant(Time(2), id, grant(1, 0, 0)).is_empty(), "an answer counts once");
+    assert_eq!(
+        ends(&allowances.on_grant(Time(2), id, grant(1, 0, 0))),
+        [(1, Taken::Allowed(until))]
+    );
+    assert!(
+        allowances.on_grant(Time(2), id, grant(1, 0, 0)).is_empty(),
+        "an answer counts once"
+    );
     assert_eq!(sent(&mut allowances, 3).1.needs, [20]);
 }
 
@@ -77,13 +97,22 @@
     let mut allowances = new();
     take(&mut allowances, 0, 10, 1);
     let (id, _) = sent(&mut allowances, 0);
-    assert!(allowances.on_grant(Time(validity()), id, grant(1, 500, 0)).is_empty());
+    assert!(allowances
+        .on_grant(Time(validity()), id, grant(1, 500, 0))
+        .is_empty());
     // It waits still, and is asked for anew.
     let (id, _) = sent(&mut allowances, validity());
     let granted = allowances.on_grant(Time(validity() + 1), id, grant(1, 500, 0));
     assert_eq!(ends(&granted), [(1, Taken::Allowed(Time(2 * validity())))]);
-    assert_eq!(take(&mut allowances, validity() + 2, 400, 2), Taken::Allowed(Time(2 * validity())));
-    assert_eq!(take(&mut allowances, 2 * validity(), 50, 3), Taken::Waits, "what was ahead has lapsed");
+    assert_eq!(
+        take(&mut allowances, validity() + 2, 400, 2),
+        Taken::Allowed(Time(2 * validity()))
+    );
+    assert_eq!(
+        take(&mut allowances, 2 * validity(), 50, 3),
+        Taken::Waits,
+        "what was ahead has lapsed"
+    );
 }
 
 #[test]
@@ -96,7 +125,10 @@
     assert_eq!(allowances.waiting(), 1);
     let decided = allowances.on_grant(Time(5), id, grant(0b11, 0, 0));
     assert_eq!(ends(&decided), [(2, Taken::Allowed(Time(validity())))]);
-    assert_eq!(take(&mut allowances, 6, 10, 3), Taken::Allowed(Time(validity())));
+    assert_eq!(
+        take(&mut allowances, 6, 10, 3),
+        Taken::Allowed(Time(validity()))
+    );
     assert_eq!(take(&mut allowances, 6, 1, 4), Taken::Waits);
 }
 
@@ -107,7 +139,10 @@
     let (id, _) = sent(&mut allowances, 0);
     allowances.on_grant(Time(5), id, grant(1, 0, 0));
     allowances.give_back("a", 10, Time(validity()));
-    assert_eq!(take(&mut allowances, 6, 10, 2), Taken::Allowed(Time(validity())));
+    assert_eq!(
+        take(&mut allowances, 6, 10, 2),
+        Taken::Allowed(Time(validity()))
+    );
     allowances.give_back("a", 10, Time(validity()));
     assert_eq!(take(&mut allowances, validity(), 10, 3), Taken::Waits);
 }
@@ -119,7 +154,10 @@
     allowances.take(Time(0), &tenants()[0], 20, 2, Time(90));
     let (id, _) = sent(&mut allowances, 0);
     assert_eq!(allowances.next_wake(), Some(Time(50)));
-    assert_eq!(ends(&allowances.expire(Time(50))), [(1, Taken::Unknown(RETRY))]);
+    assert_eq!(
+        ends(&allowances.expire(Time(50))),
+        [(1, Taken::Unknown(RETRY))]
+    );
     // The grants still find their places.
     let decided = allowances.on_grant(Time(60), id, grant(0b10, 0, 9));
     assert_eq!(ends(&decided), [(2, Taken::Allowed(Time(validity())))]);
--- a/decide/quota/src/buckets.rs
+++ b/decide/quota/src/buckets.rs
@@ -13,7 +13,8 @@
 const NEARLY_FULL: f64 = 0.99;
 /// Longest advice on when to come back (microseconds).
 const LONG_WAIT: Micros = 1_000_000;
-/// Advice to whoever finds no part here, or a tenant that is not known as it is asked for (microseconds).
+/// Advice to whoever finds no part here, or a tenant that is not known as it is asked for
+/// (microseconds).
 const UNKNOWN_WAIT: Micros = 200_000;
 const SECOND: f64 = 1_000_000.0;
 
@@ -51,8 +52,9 @@
     overrun: bool,
 }
 
-/// The buckets of a machine. They begin empty, and as deep in debt as they can be, since whoever held a part before may have drawn on it just now; but for those of tenants whose
-/// quota this machine has seen come into being: nobody has drawn on that.
+/// The buckets of a machine. They begin empty, and as deep in debt as they can be, since whoever
+/// held a part before may have drawn on it just now; but for those of tenants whose quota this
+/// machine has seen come into being: nobody has drawn on that.
 #[derive(Clone, Debug)]
 pub struct Buckets {
     terms: Terms,
@@ -90,25 +92,37 @@
         self.terms = terms;
     }
 
-    /// A configuration with these tenants is in force. A tenant that has gone keeps its bucket, so that coming back does not refill it.
+    /// A configuration with these tenants is in force. A tenant that has gone keeps its bucket, so
+    /// that coming back does not refill it.
     pub fn set_tenants(&mut self, now: Time, tenants: &[Tenant]) {
-        self.known = tenants.iter().map(|tenant| (tenant.name.clone(), tenant.unit)).collect();
-        let quotas = tenants.iter().filter_map(|tenant| Some((tenant.name.clone(), tenant.quota?)));
+        self.known = tenants
+            .iter()
+            .map(|tenant| (tenant.name.clone(), tenant.unit))
+            .collect();
+        let quotas = tenants
+            .iter()
+            .filter_map(|tenant| Some((tenant.name.clone(), tenant.quota?)));
         let before = std::mem::replace(&mut self.quotas, quotas.collect());
         let window = Micros::try_from(self.terms.window.as_micros()).unwrap_or(Micros::MAX);
-        self.removed.retain(|_, removed| now.since(*removed) < window);
+        self.removed
+            .retain(|_, removed| now.since(*removed) < window);
         for (tenant, quota) in &self.quotas {
-            let is_new =
-                self.knows_before && !before.contains_key(tenant) && !self.removed.contains_key(tenant);
+            let is_new = self.knows_before
+                && !before.contains_key(tenant)
+                && !self.removed.contains_key(tenant);
             if is_new && !self.buckets.contains_key(tenant) {
-                self.buckets.insert(tenant.clone(), Bucket::full(now, quota.unit));
+                self.buckets
+                    .insert(tenant.clone(), Bucket::full(now, quota.unit));
             }
         }
         let quotas = &self.quotas;
-        let gone = before.into_keys().filter(|tenant| !quotas.contains_key(tenant));
+        let gone = before
+            .into_keys()
+            .filter(|tenant| !quotas.contains_key(tenant));
         self.removed.extend(gone.map(|tenant| (tenant, now)));
-        self.buckets
-            .retain(|tenant, bucket| quotas.contains_key(tenant) || now.since(bucket.refilled) < window);
+        self.buckets.retain(|tenant, bucket| {
+            quotas.contains_key(tenant) || now.since(bucket.refilled) < window
+        });
         self.knows_before = true;
         for (tenant, bucket) in &mut self.buckets {
             let unit = self.known.get(tenant).copied().unwrap_or(bucket.unit);
@@ -130,10 +144,13 @@
         self.known.contains_key(&draw.tenant) && !self.quotas.contains_key(&draw.tenant)
     }
 
-    /// Brings all buckets up to now. Called often: a bucket whose part went elsewhere for a while does not refill for that time.
+    /// Brings all buckets up to now. Called often: a bucket whose part went elsewhere for a while
+    /// does not refill for that time.
     pub fn advance(&mut self, now: Time, tenure: &Tenure) {
         for (tenant, bucket) in &mut self.buckets {
-            let Some(quota) = self.quotas.get(tenant) else { continue };
+            let Some(quota) = self.quotas.get(tenant) else {
+                continue;
+            };
             let part = Part::of(&Figures::of(quota, &self.terms), tenure.share(now, tenant));
             bucket.refill(now, tenure, &part);
         }
@@ -144,12 +161,25 @@
         if self.is_unlimited(draw) {
             return Grant::all(draw);
         }
-        let nothing = Grant { wait: UNKNOWN_WAIT, ..Grant::default() };
-        let Some(quota) = self.quotas.get(&draw.tenant).filter(|quota| quota.unit == draw.unit) else {
+        let nothing = Grant {
+            wait: UNKNOWN_WAIT,
+            ..Grant::default()
+        };
+        let Some(quota) = self
+            .quotas
+            .get(&draw.tenant)
+            .filter(|quota| quota.unit == draw.unit)
+        else {
             return nothing;
         };
-        let part = Part::of(&Figures::of(quota, &self.terms), tenure.share(now, &draw.tenant));
-        let bucket = self.buckets.entry(draw.tenant.clone()).or_insert_with(|| Bucket::new(now, draw.unit));
+        let part = Part::of(
+            &Figures::of(quota, &self.terms),
+            tenure.share(now, &draw.tenant),
+        );
+        let bucket = self
+            .buckets
+            .entry(draw.tenant.clone())
+            .or_insert_with(|| Bucket::new(now, draw.unit));
         bucket.refill(now, tenure, &part);
         match part.rate > 0.0 {
             true => {
@@ -157,7 +187,9 @@
                 let grant = bucket.grant(draw, &part);
                 let window = self.terms.window.as_secs_f64();
                 let allowed = part.rate * window + part.depth + part.debt;
-                bucket.audit.on_granted(now, bucket.granted - before, window, allowed);
+                bucket
+                    .audit
+                    .on_granted(now, bucket.granted - before, window, allowed);
                 grant
             }
             false => nothing,
@@ -173,10 +205,17 @@
                 let part = Part::of(&Figures::of(quota, &self.terms), tenure.share(now, tenant));
                 bucket.refill(now, tenure, &part);
             }
-            Usage { granted: bucket.granted, denied: bucket.denied, level: bucket.level }
+            Usage {
+                granted: bucket.granted,
+                denied: bucket.denied,
+                level: bucket.level,
+            }
         };
-        let mut all: Vec<(&str, Usage)> =
-            self.buckets.iter().map(|entry| (entry.0.as_str(), usage(entry))).collect();
+        let mut all: Vec<(&str, Usage)> = self
+            .buckets
+            .iter()
+            .map(|entry| (entry.0.as_str(), usage(entry)))
+            .collect();
         all.sort_unstable_by_key(|(tenant, _)| *tenant);
         all
     }
@@ -189,7 +228,9 @@
 
     /// Tenants that have a quota, with it.
     pub fn quotas(&self) -> impl Iterator<Item = (&str, &Quota)> {
-        self.quotas.iter().map(|(tenant, quota)| (tenant.as_str(), quota))
+        self.quotas
+            .iter()
+            .map(|(tenant, quota)| (tenant.as_str(), quota))
     }
 }
 
@@ -203,7 +244,11 @@
 impl Part {
     fn of(figures: &Figures, share: Share) -> Part {
         let debt = if share.first { figures.debt } else { 0.0 };
-        Part { rate: figures.rate * share.part, depth: figures.depth * share.part, debt }
+        Part {
+            rate: figures.rate * share.part,
+            depth: figures.depth * share.part,
+            debt,
+        }
     }
 }
 
@@ -222,7 +267,11 @@
 
     /// Whatever its depth is: the first refill limits it to that.
     fn full(now: Time, unit: QuotaUnit) -> Bucket {
-        Bucket { level: f64::INFINITY, unknown: false, ..Bucket::new(now, unit) }
+        Bucket {
+            level: f64::INFINITY,
+            unknown: false,
+            ..Bucket::new(now, unit)
+        }
     }
 
     /// Refills up to now, or to the end of the tenure that the machine has.
@@ -251,7 +300,11 @@
             } else {
                 self.denied += 1;
                 let wait = self.wait(need, part);
-                grant.wait = if grant.wait == 0 { wait } else { grant.wait.min(wait) };
+                grant.wait = if grant.wait == 0 {
+                    wait
+                } else {
+                    grant.wait.min(wait)
+                };
             }
         }
         let ahead = draw.ahead as f64;
@@ -282,7 +335,11 @@
 impl Audit {
     fn on_granted(&mut self, now: Time, amount: f64, window: f64, allowed: f64) {
         let window = (window * SECOND) as Micros;
-        while self.grants.front().is_some_and(|(at, _)| now.since(*at) > window) {
+        while self
+            .grants
+            .front()
+            .is_some_and(|(at, _)| now.since(*at) > window)
+        {
             self.sum -= self.grants.pop_front().map_or(0.0, |(_, amount)| amount);
         }
         if self.grants.is_empty() {
--- a/decide/quota/src/buckets/tests.rs
+++ b/decide/quota/src/buckets/tests.rs
@@ -6,7 +6,11 @@
 use std::time::Duration;
 
 const SECOND_US: Micros = 1_000_000;
-const TERMS: Terms = Terms { window: Duration::from_secs(8), overage: 0.1, slack: 0.0 };
+const TERMS: Terms = Terms {
+    window: Duration::from_secs(8),
+    overage: 0.1,
+    slack: 0.0,
+};
 
 fn tenants(text: &str) -> Vec<Tenant> {
     let text = format!("{{\"version\":1,\"routes\":[],\"services\":[],\"tenants\":{text}}}");
@@ -30,7 +34,12 @@
 }
 
 fn draw(needs: &[u64]) -> Draw {
-    Draw { tenant: "a".to_owned(), unit: QuotaUnit::Tokens, needs: needs.to_vec(), ahead: 0 }
+    Draw {
+        tenant: "a".to_owned(),
+        unit: QuotaUnit::Tokens,
+        needs: needs.to_vec(),
+        ahead: 0,
+    }
 }
 
 fn buckets(rate: u32, burst: u32) -> Buckets {
@@ -50,11 +59,19 @@
     // It begins in debt.
     let first = buckets.draw(Time(0), &draw(&[100]), &tenure);
     let wait = (debt(1_000, 500) * 1_000.0) as u64 + 100_000;
-    assert!(first.needs == 0 && (wait * 9 / 10..wait * 11 / 10).contains(&first.wait), "{first:?}");
-    assert!(buckets.draw(Time(wait * 11 / 10), &draw(&[100]), &tenure).covers(0));
+    assert!(
+        first.needs == 0 && (wait * 9 / 10..wait * 11 / 10).contains(&first.wait),
+        "{first:?}"
+    );
+    assert!(buckets
+        .draw(Time(wait * 11 / 10), &draw(&[100]), &tenure)
+        .covers(0));
     // After a long rest: depth, not all that might have come.
     let grant = buckets.draw(Time(50 * SECOND_US), &draw(&[500, 500, 100]), &tenure);
-    assert!(grant.covers(0) && !grant.covers(1) && grant.covers(2), "{grant:?}");
+    assert!(
+        grant.covers(0) && !grant.covers(1) && grant.covers(2),
+        "{grant:?}"
+    );
 }
 
 #[test]
@@ -63,8 +80,17 @@
     buckets.draw(Time(0), &draw(&[1]), &tenure);
     let level = buckets.usage(Time(10 * SECOND_US), &tenure)[0].1.level;
     let (most, two_thirds) = (level as u64, (level * 0.66) as u64);
-    let grant = buckets.draw(Time(10 * SECOND_US), &draw(&[two_thirds, two_thirds, most / 4]), &tenure);
-    assert!(grant.covers(0) && !grant.covers(1) && grant.covers(2) && !grant.covers_all(&draw(&[1, 1, 1])));
+    let grant = buckets.draw(
+        Time(10 * SECOND_US),
+        &draw(&[two_thirds, two_thirds, most / 4]),
+        &tenure,
+    );
+    assert!(
+        grant.covers(0)
+            && !grant.covers(1)
+            && grant.covers(2)
+            && !grant.covers_all(&draw(&[1, 1, 1]))
+    );
 }
 
 #[test]
@@ -73,22 +99,44 @@
     let figures = Figures::of(&limited(1_000, 500)[0].quota.expect("a quota"), &TERMS);
     let large = (figures.depth + figures.debt * 0.9) as u64;
     buckets.draw(Time(0), &draw(&[1]), &tenure);
-    assert!(!buckets.draw(Time(SECOND_US / 4), &draw(&[large]), &tenure).covers(0));
-    assert!(buckets.draw(Time(5 * SECOND_US), &draw(&[large]), &tenure).covers(0));
-    assert!(!buckets.draw(Time(5 * SECOND_US), &draw(&[1]), &tenure).covers(0));
+    assert!(!buckets
+        .draw(Time(SECOND_US / 4), &draw(&[large]), &tenure)
+        .covers(0));
+    assert!(buckets
+        .draw(Time(5 * SECOND_US), &draw(&[large]), &tenure)
+        .covers(0));
+    assert!(!buckets
+        .draw(Time(5 * SECOND_US), &draw(&[1]), &tenure)
+        .covers(0));
     let beyond = (figures.depth + figures.debt * 1.1) as u64;
-    assert!(!buckets.draw(Time(50 * SECOND_US), &draw(&[beyond]), &tenure).covers(0));
+    assert!(!buckets
+        .draw(Time(50 * SECOND_US), &draw(&[beyond]), &tenure)
+        .covers(0));
 }
 
 #[test]
 fn tenants_without_a_quota_are_not_counted_and_unknown_ones_wait() {
     let (mut buckets, tenure) = (buckets(1_000, 0), tenure());
-    let free = Draw { tenant: "free".to_owned(), ..draw(&[u64::MAX, 1]) };
+    let free = Draw {
+        tenant: "free".to_owned(),
+        ..draw(&[u64::MAX, 1])
+    };
     assert!(buckets.draw(Time(0), &free, &tenure).covers_all(&free));
-    let unknown = Draw { tenant: "unknown".to_owned(), ..draw(&[1]) };
+    let unknown = Draw {
+        tenant: "unknown".to_owned(),
+        ..draw(&[1])
+    };
     assert!(buckets.draw(Time(0), &unknown, &tenure).needs == 0);
-    let other_unit = Draw { unit: QuotaUnit::Requests, ..draw(&[1]) };
-    assert!(buckets.draw(Time(9 * SECOND_US), &other_unit, &tenure).needs == 0);
+    let other_unit = Draw {
+        unit: QuotaUnit::Requests,
+        ..draw(&[1])
+    };
+    assert!(
+        buckets
+            .draw(Time(9 * SECOND_US), &other_unit, &tenure)
+            .needs
+            == 0
+    );
 }
 
 #[test]
@@ -98,13 +146,30 @@
     tenure.on_contact(Time(0));
     buckets.draw(Time(0), &draw(&[1]), &tenure);
     // Out of contact from 4 s on; back at 20 s.
-    assert!(buckets.draw(Time(5 * SECOND_US), &draw(&[1]), &tenure).needs == 0);
+    assert!(
+        buckets
+            .draw(Time(5 * SECOND_US), &draw(&[1]), &tenure)
+            .needs
+            == 0
+    );
     tenure.on_contact(Time(20 * SECOND_US));
-    assert!(buckets.draw(Time(20 * SECOND_US), &draw(&[1]), &tenure).needs == 0);
+    assert!(
+        buckets
+            .draw(Time(20 * SECOND_US), &draw(&[1]), &tenure)
+            .needs
+            == 0
+    );
     // It begins anew from nothing.
     let paid_off = Time(20 * SECOND_US + (debt(1_000, 1_000) * 1_000.0) as u64);
-    assert!(buckets.draw(paid_off.minus(SECOND_US / 20), &draw(&[1]), &tenure).needs == 0);
-    assert!(buckets.draw(paid_off.plus(SECOND_US / 20), &draw(&[1]), &tenure).covers(0));
+    assert!(
+        buckets
+            .draw(paid_off.minus(SECOND_US / 20), &draw(&[1]), &tenure)
+            .needs
+            == 0
+    );
+    assert!(buckets
+        .draw(paid_off.plus(SECOND_US / 20), &draw(&[1]), &tenure)
+        .covers(0));
 }
 
 #[test]
@@ -112,10 +177,14 @@
     let (mut buckets, tenure) = (buckets(1_000, 1_000), tenure());
     buckets.draw(Time(0), &draw(&[1]), &tenure);
     buckets.set_tenants(Time(9 * SECOND_US), &limited(10, 10));
-    assert!(!buckets.draw(Time(9 * SECOND_US), &draw(&[500]), &tenure).covers(0));
+    assert!(!buckets
+        .draw(Time(9 * SECOND_US), &draw(&[500]), &tenure)
+        .covers(0));
     buckets.set_tenants(Time(9 * SECOND_US), &tenants("[]"));
     buckets.set_tenants(Time(10 * SECOND_US), &limited(1_000, 1_000));
-    assert!(!buckets.draw(Time(10 * SECOND_US), &draw(&[1_500]), &tenure).covers(0));
+    assert!(!buckets
+        .draw(Time(10 * SECOND_US), &draw(&[1_500]), &tenure)
+        .covers(0));
 }
 
 #[test]
@@ -135,9 +204,22 @@
 fn ahead_is_granted_only_out_of_plenty() {
     let (mut buckets, tenure) = (buckets(1_000, 1_000), tenure());
     buckets.draw(Time(0), &draw(&[1]), &tenure);
-    let ahead = |amount| Draw { ahead: amount, ..draw(&[10]) };
-    assert_eq!(buckets.draw(Time(20 * SECOND_US), &ahead(300), &tenure).ahead, 300);
-    assert_eq!(buckets.draw(Time(20 * SECOND_US), &ahead(900), &tenure).ahead, 0);
+    let ahead = |amount| Draw {
+        ahead: amount,
+        ..draw(&[10])
+    };
+    assert_eq!(
+        buckets
+            .draw(Time(20 * SECOND_US), &ahead(300), &tenure)
+            .ahead,
+        300
+    );
+    assert_eq!(
+        buckets
+            .draw(Time(20 * SECOND_US), &ahead(900), &tenure)
+            .ahead,
+        0
+    );
 }
 
 #[test]
@@ -146,5 +228,8 @@
     buckets.draw(Time(0), &draw(&[1]), &tenure);
     buckets.draw(Time(5 * SECOND_US), &draw(&[700]), &tenure);
     let usage = buckets.usage(Time(5 * SECOND_US), &tenure);
-    assert_eq!((usage[0].0, usage[0].1.granted, usage[0].1.denied), ("a", 700.0, 1));
+    assert_eq!(
+        (usage[0].0, usage[0].1.granted, usage[0].1.denied),
+        ("a", 700.0, 1)
+    );
 }
--- a/decide/quota/src/draw.rs
+++ b/decide/quota/src/draw.rs
@@ -14,7 +14,8 @@
     pub unit: QuotaUnit,
     /// Amounts of requests that wait, each granted whole or not at all; [`MOST_NEEDS`] at most.
     pub needs: Vec<u64>,
-    /// An amount beside them for requests that are expected, granted only while the bucket is well filled.
+    /// An amount beside them for requests that are expected, granted only while the bucket is well
+    /// filled.
     pub ahead: u64,
 }
 
@@ -25,7 +26,8 @@
     pub needs: u64,
     /// The amount that is granted ahead.
     pub ahead: u64,
-    /// When the first need that is not granted might be (microseconds from now); 0 where all are granted.
+    /// When the first need that is not granted might be (microseconds from now); 0 where all are
+    /// granted.
     pub wait: u64,
 }
 
@@ -49,13 +51,22 @@
             (0, wait) | (wait, 0) => wait,
             (one, two) => one.min(two),
         };
-        Grant { needs: self.needs | other.needs, ahead: self.ahead.saturating_add(other.ahead), wait }
+        Grant {
+            needs: self.needs | other.needs,
+            ahead: self.ahead.saturating_add(other.ahead),
+            wait,
+        }
     }
 
     /// Everything that a draw wants.
     #[must_use]
     pub fn all(draw: &Draw) -> Grant {
-        let needs = (0..draw.needs.len().min(MOST_NEEDS)).fold(0, |bits, place| bits | (1 << place));
-        Grant { needs, ahead: draw.ahead, wait: 0 }
+        let needs =
+            (0..draw.needs.len().min(MOST_NEEDS)).fold(0, |bits, place| bits | (1 << place));
+        Grant {
+            needs,
+            ahead: draw.ahead,
+            wait: 0,
+        }
     }
 }
--- a/decide/quota/src/draws.rs
+++ b/decide/quota/src/draws.rs
@@ -1,6 +1,7 @@
 //! Draws at a control machine: from its own part of the bucket, and then from the other holders'.
 //!
-//! It promises that each draw is answered once, within [`ASK_TIMEOUT`] for each holder at the latest, and that what is told as granted was granted by holders.
+//! It promises that each draw is answered once, within [`ASK_TIMEOUT`] for each holder at the
+//! latest, and that what is told as granted was granted by holders.
 
 use crate::buckets::Buckets;
 use crate::draw::{Draw, Grant};
@@ -8,14 +9,17 @@
 use lichenswitch_interface::{Micros, Time};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A holder that has not answered after so long is passed over (microseconds): links within a region take milliseconds.
+/// A holder that has not answered after so long is passed over (microseconds): links within a
+/// region take milliseconds.
 const ASK_TIMEOUT: Micros = 60_000;
 /// A holder that had too little is asked again after so long at the latest (microseconds).
 const EMPTY: Micros = 60_000;
-/// A holder that has not answered for so long is silent (microseconds). Longer than a tenth of a second: where the processor is a quota a
-/// process may stand still for the rest of each tenth, and is passed over meanwhile, but not taken to be gone.
+/// A holder that has not answered for so long is silent (microseconds). Longer than a tenth of a
+/// second: where the processor is a quota a process may stand still for the rest of each tenth, and
+/// is passed over meanwhile, but not taken to be gone.
 const SILENT_AFTER: Micros = 120_000;
-/// One that is silent is asked last for so long (microseconds): others find out in about that time that it is gone.
+/// One that is silent is asked last for so long (microseconds): others find out in about that time
+/// that it is gone.
 const SILENT: Micros = 1_500_000;
 /// Draws that may be under way. Guards memory.
 const MOST: usize = 4_096;
@@ -88,11 +92,22 @@
     #[must_use]
     pub fn new(first: u64) -> Draws<O> {
         let (empty, unanswered) = (HashMap::new(), HashMap::new());
-        Draws { under_way: BTreeMap::new(), next: first, empty, unanswered }
+        Draws {
+            under_way: BTreeMap::new(),
+            next: first,
+            empty,
+            unanswered,
+        }
     }
 
     /// Somebody wants a draw.
-    pub fn take(&mut self, now: Time, origin: O, draw: Draw, place: &mut Place<'_>) -> Vec<Order<O>> {
+    pub fn take(
+        &mut self,
+        now: Time,
+        origin: O,
+        draw: Draw,
+        place: &mut Place<'_>,
+    ) -> Vec<Order<O>> {
         let mut grant = place.buckets.draw(now, &draw, place.tenure);
         if grant.covers_all(&draw) || self.under_way.len() >= MOST {
             return vec![Order::Answer { origin, grant }];
@@ -100,7 +115,17 @@
         grant.ahead = 0;
         let left = self.others(now, &draw, place);
         let asked = (place.own, Vec::new(), now);
-        self.go_on(now, UnderWay { origin, draw, grant, left, asked }, place)
+        self.go_on(
+            now,
+            UnderWay {
+                origin,
+                draw,
+                grant,
+                left,
+                asked,
+            },
+            place,
+        )
     }
 
     /// A holder has answered. An answer counts only from whom it was asked of.
@@ -114,15 +139,31 @@
     ) -> Vec<Order<O>> {
         // One that comes too late to be of use shows all the same that its sender is there.
         self.unanswered.remove(&from);
-        if self.under_way.get(&id).is_none_or(|waits| waits.asked.0 != from) {
+        if self
+            .under_way
+            .get(&id)
+            .is_none_or(|waits| waits.asked.0 != from)
+        {
             return Vec::new();
         }
-        let Some(mut waits) = self.under_way.remove(&id) else { return Vec::new() };
+        let Some(mut waits) = self.under_way.remove(&id) else {
+            return Vec::new();
+        };
         let places = std::mem::take(&mut waits.asked.1);
-        let granted = places.iter().enumerate().filter(|(index, _)| grant.covers(*index));
+        let granted = places
+            .iter()
+            .enumerate()
+            .filter(|(index, _)| grant.covers(*index));
         let needs = granted.fold(0, |bits, (_, place)| bits | (1 << place));
-        waits.grant = waits.grant.and(Grant { needs, ahead: 0, wait: grant.wait });
-        let denied = places.iter().enumerate().filter(|(index, _)| !grant.covers(*index));
+        waits.grant = waits.grant.and(Grant {
+            needs,
+            ahead: 0,
+            wait: grant.wait,
+        });
+        let denied = places
+            .iter()
+            .enumerate()
+            .filter(|(index, _)| !grant.covers(*index));
         if let Some(size) = denied.map(|(_, place)| waits.draw.needs[*place]).min() {
             self.note_empty(now, from, &waits.draw.tenant, size, grant.wait);
         }
@@ -137,7 +178,8 @@
     /// Passes over holders that have not answered in time.
     pub fn tick(&mut self, now: Time, place: &mut Place<'_>) -> Vec<Order<O>> {
         self.empty.retain(|_, empty| empty.until > now);
-        self.unanswered.retain(|_, asked_at| now.since(*asked_at) < SILENT_AFTER + SILENT);
+        self.unanswered
+            .retain(|_, asked_at| now.since(*asked_at) < SILENT_AFTER + SILENT);
         for waits in self.under_way.values().filter(|waits| waits.asked.2 <= now) {
             let asked_at = waits.asked.2.minus(ASK_TIMEOUT);
             self.unanswered.entry(waits.asked.0).or_insert(asked_at);
@@ -146,7 +188,10 @@
     }
 
     fn is_silent(&self, now: Time, holder: Holder) -> bool {
-        let silent_for = self.unanswered.get(&holder).map_or(0, |asked_at| now.since(*asked_at));
+        let silent_for = self
+            .unanswered
+            .get(&holder)
+            .map_or(0, |asked_at| now.since(*asked_at));
         (SILENT_AFTER..SILENT_AFTER + SILENT).contains(&silent_for)
     }
 
@@ -162,8 +207,12 @@
         place: &mut Place<'_>,
         is_over: impl Fn(&(Holder, Vec<usize>, Time)) -> bool,
     ) -> Vec<Order<O>> {
-        let over: Vec<u64> =
-            self.under_way.iter().filter(|(_, waits)| is_over(&waits.asked)).map(|(id, _)| *id).collect();
+        let over: Vec<u64> = self
+            .under_way
+            .iter()
+            .filter(|(_, waits)| is_over(&waits.asked))
+            .map(|(id, _)| *id)
+            .collect();
         let mut orders = Vec::new();
         for id in over {
             if let Some(waits) = self.under_way.remove(&id) {
@@ -173,8 +222,9 @@
         orders
     }
 
-    /// Holders beside this machine, in the order in which they are to be asked from the end. Draws begin at each of them in turn, so that
-    /// all parts are used alike. A machine that knows no voters passes the draw on to one that may.
+    /// Holders beside this machine, in the order in which they are to be asked from the end. Draws
+    /// begin at each of them in turn, so that all parts are used alike. A machine that knows no
+    /// voters passes the draw on to one that may.
     fn others(&self, now: Time, draw: &Draw, place: &Place<'_>) -> Vec<Holder> {
         let mut others = match place.tenure.voters() {
             [] => place.reachable.iter().copied().collect(),
@@ -195,7 +245,9 @@
 
     fn go_on(&mut self, now: Time, mut waits: UnderWay<O>, place: &Place<'_>) -> Vec<Order<O>> {
         while !waits.grant.covers_all(&waits.draw) {
-            let Some(holder) = waits.left.pop() else { break };
+            let Some(holder) = waits.left.pop() else {
+                break;
+            };
             if !place.reachable.contains(&holder) {
                 continue;
             }
@@ -203,21 +255,39 @@
             if places.is_empty() {
                 continue;
             }
-            let needs = places.iter().map(|place| waits.draw.needs[*place]).collect();
-            let draw = Draw { needs, ahead: 0, ..waits.draw.clone() };
+            let needs = places
+                .iter()
+                .map(|place| waits.draw.needs[*place])
+                .collect();
+            let draw = Draw {
+                needs,
+                ahead: 0,
+                ..waits.draw.clone()
+            };
             self.next = self.next.wrapping_add(1);
             let id = self.next;
             waits.asked = (holder, places, now.plus(ASK_TIMEOUT));
             self.under_way.insert(id, waits);
             let pass_on = place.tenure.voters().is_empty();
-            return vec![Order::Ask { to: holder, id, pass_on, draw }];
+            return vec![Order::Ask {
+                to: holder,
+                id,
+                pass_on,
+                draw,
+            }];
         }
-        vec![Order::Answer { origin: waits.origin, grant: waits.grant }]
+        vec![Order::Answer {
+            origin: waits.origin,
+            grant: waits.grant,
+        }]
     }
 
     /// Needs that are left and that a holder may have enough for.
     fn worth_asking(&self, now: Time, holder: Holder, waits: &UnderWay<O>) -> Vec<usize> {
-        let empty = self.empty.get(&(holder, waits.draw.tenant.clone())).filter(|empty| empty.until > now);
+        let empty = self
+            .empty
+            .get(&(holder, waits.draw.tenant.clone()))
+            .filter(|empty| empty.until > now);
         let worth = |place: &usize| {
             let need = waits.draw.needs[*place];
             !waits.grant.covers(*place) && empty.is_none_or(|empty| need < empty.size)
@@ -227,7 +297,10 @@
 
     fn note_empty(&mut self, now: Time, holder: Holder, tenant: &str, size: u64, wait: Micros) {
         if self.empty.len() < MOST_EMPTY {
-            let empty = Empty { size, until: now.plus(wait.min(EMPTY)) };
+            let empty = Empty {
+                size,
+                until: now.plus(wait.min(EMPTY)),
+            };
             self.empty.insert((holder, tenant.to_owned()), empty);
         }
     }
--- a/decide/quota/src/draws/tests.rs
+++ b/decide/quota/src/draws/tests.rs
@@ -21,12 +21,22 @@
     let text = br#"{"version":1,"routes":[],"services":[],"tenants":[
         {"name":"a","unit":"token_count","ratePerS":3000,"burstSize":0}]}"#;
     let document = Document::parse(text).expect("valid");
-    let mut buckets = Buckets::new(Terms { window: Duration::from_secs(8), overage: 0.1, slack: 0.0 });
+    let mut buckets = Buckets::new(Terms {
+        window: Duration::from_secs(8),
+        overage: 0.1,
+        slack: 0.0,
+    });
     buckets.set_tenants(Time(0), document.tenants().expect("tenants"));
     let mut tenure = Tenure::new(Holder(own), voters.iter().copied().map(Holder).collect());
     (0..20).for_each(|second| tenure.on_contact(Time(second * SECOND)));
     let reachable = reachable.iter().copied().map(Holder).collect();
-    Machine { buckets, tenure, own: Holder(own), reachable, draws: Draws::new(0) }
+    Machine {
+        buckets,
+        tenure,
+        own: Holder(own),
+        reachable,
+        draws: Draws::new(0),
+    }
 }
 
 impl Machine {
@@ -46,7 +56,12 @@
 }
 
 fn draw(needs: &[u64]) -> Draw {
-    Draw { tenant: "a".to_owned(), unit: QuotaUnit::Tokens, needs: needs.to_vec(), ahead: 0 }
+    Draw {
+        tenant: "a".to_owned(),
+        unit: QuotaUnit::Tokens,
+        needs: needs.to_vec(),
+        ahead: 0,
+    }
 }
 
 fn asked(orders: &[Order<&'static str>]) -> (Holder, u64, Draw) {
@@ -69,11 +84,19 @@
     let mut relay = machine(9, &[1, 2, 3, 4], &[1, 2, 3, 4]);
     let (first, id, wanted) = asked(&relay.take(Time(0), draw(&[10, 20])));
     assert_eq!(wanted.needs, [10, 20]);
-    let granted = Grant { needs: 0b10, ahead: 0, wait: 40_000 };
+    let granted = Grant {
+        needs: 0b10,
+        ahead: 0,
+        wait: 40_000,
+    };
     let orders = relay.with(|draws, place| draws.on_answer(Time(1), first, id, granted, place));
     let (second, id, wanted) = asked(&orders);
     assert!(second != first && wanted.needs == [10]);
-    let granted = Grant { needs: 0b1, ahead: 0, wait: 0 };
+    let granted = Grant {
+        needs: 0b1,
+        ahead: 0,
+        wait: 0,
+    };
     let orders = relay.with(|draws, place| draws.on_answer(Time(2), second, id, granted, place));
     assert_eq!(answer(&orders).needs, 0b11);
     assert!(relay.draws.next_wake().is_none());
@@ -83,11 +106,22 @@
 fn an_answer_counts_once_and_only_from_whom_it_was_asked_of() {
     let mut relay = machine(9, &[1, 2, 3, 4], &[1, 2, 3, 4]);
     let (first, id, _) = asked(&relay.take(Time(0), draw(&[10])));
-    let all = Grant { needs: 1, ahead: 0, wait: 0 };
+    let all = Grant {
+        needs: 1,
+        ahead: 0,
+        wait: 0,
+    };
     let other = Holder(first.0 % 4 + 1);
-    assert!(relay.with(|draws, place| draws.on_answer(Time(1), other, id, all, place)).is_empty());
-    assert!(answer(&relay.with(|draws, place| draws.on_answer(Time(1), first, id, all, place))).covers(0));
-    assert!(relay.with(|draws, place| draws.on_answer(Time(1), first, id, all, place)).is_empty());
+    assert!(relay
+        .with(|draws, place| draws.on_answer(Time(1), other, id, all, place))
+        .is_empty());
+    assert!(
+        answer(&relay.with(|draws, place| draws.on_answer(Time(1), first, id, all, place)))
+            .covers(0)
+    );
+    assert!(relay
+        .with(|draws, place| draws.on_answer(Time(1), first, id, all, place))
+        .is_empty());
 }
 
 #[test]
@@ -97,11 +131,19 @@
     let orders = relay.with(|draws, place| draws.on_lost(Time(1), first, place));
     let (second, id, _) = asked(&orders);
     let due = relay.draws.next_wake().expect("a wake");
-    assert!(relay.with(|draws, place| draws.tick(Time(due.0 - 1), place)).is_empty());
+    assert!(relay
+        .with(|draws, place| draws.tick(Time(due.0 - 1), place))
+        .is_empty());
     let (third, _, _) = asked(&relay.with(|draws, place| draws.tick(due, place)));
     // What comes too late is no grant of this draw.
-    let late = Grant { needs: 1, ahead: 0, wait: 0 };
-    assert!(relay.with(|draws, place| draws.on_answer(due, second, id, late, place)).is_empty());
+    let late = Grant {
+        needs: 1,
+        ahead: 0,
+        wait: 0,
+    };
+    assert!(relay
+        .with(|draws, place| draws.on_answer(due, second, id, late, place))
+        .is_empty());
     let orders = relay.with(|draws, place| draws.on_lost(due, third, place));
     assert_eq!(answer(&orders).needs, 0);
     let mut cut_off = machine(9, &[1, 2, 3], &[]);
@@ -120,7 +162,9 @@
         assert_ne!(first, silent);
     }
     let later = after.plus(SILENT);
-    let firsts: Vec<Holder> = (0..6).map(|_| asked(&relay.take(later, draw(&[10]))).0).collect();
+    let firsts: Vec<Holder> = (0..6)
+        .map(|_| asked(&relay.take(later, draw(&[10]))).0)
+        .collect();
     assert!(firsts.contains(&silent));
 }
 
@@ -132,19 +176,31 @@
     let (next, ..) = asked(&relay.with(|draws, place| draws.tick(due, place)));
     assert_ne!(next, still, "it is passed over");
     let firsts = |relay: &mut Machine, now| -> Vec<Holder> {
-        (0..6).map(|_| asked(&relay.take(now, draw(&[10]))).0).collect()
+        (0..6)
+            .map(|_| asked(&relay.take(now, draw(&[10]))).0)
+            .collect()
     };
     assert!(firsts(&mut relay, Time(99_000)).contains(&still));
     // Its answer comes too late for that draw, and in time to be trusted.
-    let late = Grant { needs: 1, ahead: 0, wait: 0 };
-    assert!(relay.with(|draws, place| draws.on_answer(Time(100_000), still, id, late, place)).is_empty());
+    let late = Grant {
+        needs: 1,
+        ahead: 0,
+        wait: 0,
+    };
+    assert!(relay
+        .with(|draws, place| draws.on_answer(Time(100_000), still, id, late, place))
+        .is_empty());
     assert!(firsts(&mut relay, Time(SILENT_AFTER + 1_000)).contains(&still));
 }
 
 #[test]
 fn a_holder_that_had_too_little_is_not_asked_for_as_much_again_at_once() {
     let mut relay = machine(9, &[1], &[1]);
-    let denied = Grant { needs: 0, ahead: 0, wait: 50_000 };
+    let denied = Grant {
+        needs: 0,
+        ahead: 0,
+        wait: 50_000,
+    };
     let (holder, id, _) = asked(&relay.take(Time(0), draw(&[100])));
     relay.with(|draws, place| draws.on_answer(Time(1), holder, id, denied, place));
     assert_eq!(answer(&relay.take(Time(2), draw(&[100, 120]))).needs, 0);
--- a/decide/quota/src/figures.rs
+++ b/decide/quota/src/figures.rs
@@ -1,4 +1,5 @@
-//! A tenant's figures: how fast its bucket refills, how deep it is, and how long a grant may be used.
+//! A tenant's figures: how fast its bucket refills, how deep it is, and how long a grant may be
+//! used.
 
 use lichenswitch_configuration::{Quota, QuotaUnit};
 use lichenswitch_interface::Micros;
@@ -12,7 +13,8 @@
 const FOR_DEPTH: f64 = 0.40;
 const FOR_DEBT: f64 = 0.25;
 const FOR_VALIDITY: f64 = 0.25;
-/// Depth and debt are at least these parts of what the limit allows in a window: without tolerance and burst nothing would fit otherwise.
+/// Depth and debt are at least these parts of what the limit allows in a window: without tolerance
+/// and burst nothing would fit otherwise.
 const LEAST_DEPTH: f64 = 0.03;
 const LEAST_DEBT: f64 = 0.04;
 /// Refill at this part of the rate where the rule has no tolerance for clocks.
@@ -51,10 +53,12 @@
         let limit = quota.rate_per_s * window + quota.burst;
         // A slack above the limit itself is one of another unit.
         let tolerance = limit * terms.overage + terms.slack.min(limit);
-        let validity =
-            (FOR_VALIDITY * tolerance / quota.rate_per_s * SECOND).clamp(SHORTEST_VALIDITY, LONGEST_VALIDITY);
+        let validity = (FOR_VALIDITY * tolerance / quota.rate_per_s * SECOND)
+            .clamp(SHORTEST_VALIDITY, LONGEST_VALIDITY);
         let extra = (FOR_DEPTH * tolerance).max(LEAST_DEPTH * limit - quota.burst);
-        let debt = (FOR_DEBT * tolerance).max(LEAST_DEBT * limit).max(least_request(quota.unit));
+        let debt = (FOR_DEBT * tolerance)
+            .max(LEAST_DEBT * limit)
+            .max(least_request(quota.unit));
         let most = (limit + tolerance - extra - debt).max(0.0);
         let used = quota.rate_per_s * (window + validity / SECOND) + quota.burst;
         let scale = CLOCKS * (most / used).min(1.0);
--- a/decide/quota/src/tenure.rs
+++ b/decide/quota/src/tenure.rs
@@ -1,19 +1,24 @@
 //! Tenure: which control machine holds which part of a tenant's bucket, and until when.
 //!
-//! Holders follow from the voters of the group by rendezvous hashing. Voters change while machines don't all know it, so a machine takes a
-//! part that it did not hold before only once whoever held it can hold it no more: a holder's tenure ends [`LEASE`] after it was last in contact with a
+//! Holders follow from the voters of the group by rendezvous hashing. Voters change while machines
+//! don't all know it, so a machine takes a part that it did not hold before only once whoever held
+//! it can hold it no more: a holder's tenure ends [`LEASE`] after it was last in contact with a
 //! quorum, and a new one begins [`SETTLING`] after it has learnt of the voters that make it one.
 
 use lichenswitch_interface::{Micros, Time};
 use std::cmp::Reverse;
 
-/// Parts into which a tenant's bucket is cut: enough that the loss of one leaves most of the rate, few enough that each holds large requests.
+/// Parts into which a tenant's bucket is cut: enough that the loss of one leaves most of the rate,
+/// few enough that each holds large requests.
 pub const HOLDERS: usize = 3;
-/// A machine holds its parts for so long after it was last in contact (microseconds): over an election.
+/// A machine holds its parts for so long after it was last in contact (microseconds): over an
+/// election.
 pub const LEASE: Micros = 4_000_000;
-/// A machine takes up a new part so long after it has learnt of it (microseconds): a lease, what contact may be behind, and some for clocks.
+/// A machine takes up a new part so long after it has learnt of it (microseconds): a lease, what
+/// contact may be behind, and some for clocks.
 pub const SETTLING: Micros = LEASE + 2_000_000;
-/// A machine that was out of contact for so long may have missed voters, among whom another one has settled (microseconds).
+/// A machine that was out of contact for so long may have missed voters, among whom another one has
+/// settled (microseconds).
 const MISSED: Micros = 2_000_000;
 
 /// A machine that votes, by the identity of its disk.
@@ -41,9 +46,11 @@
 
 /// FNV-1a over the tenant's name, mixed with the holder: the same in every process and version.
 fn weight(tenant: &str, holder: Holder) -> u64 {
-    let hash = tenant.bytes().fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
-        (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
-    });
+    let hash = tenant
+        .bytes()
+        .fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
+            (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
+        });
     mix(mix(hash) ^ holder.0)
 }
 
@@ -70,16 +77,26 @@
     /// Of a machine whose disk names these voters; none where it has never voted.
     #[must_use]
     pub fn new(own: Holder, voters: Vec<Holder>) -> Tenure {
-        Tenure { own, voters, earlier: Vec::new(), contact: None, since: Time(0) }
+        Tenure {
+            own,
+            voters,
+            earlier: Vec::new(),
+            contact: None,
+            since: Time(0),
+        }
     }
 
     /// These vote now, as far as this machine knows; while they change, those before and after.
     pub fn on_voters(&mut self, now: Time, voters: &[Holder]) {
-        self.earlier.retain(|(replaced, _)| now.since(*replaced) < SETTLING);
+        self.earlier
+            .retain(|(replaced, _)| now.since(*replaced) < SETTLING);
         if self.voters != voters {
             let before = std::mem::replace(&mut self.voters, voters.to_vec());
             self.earlier.push((now, before));
-            if self.contact.is_none_or(|contact| now.since(contact) >= MISSED) {
+            if self
+                .contact
+                .is_none_or(|contact| now.since(contact) >= MISSED)
+            {
                 // By voters that are not known here it may have held nothing.
                 self.earlier.push((now, Vec::new()));
             }
@@ -100,7 +117,8 @@
         &self.voters
     }
 
-    /// Until when this machine holds its parts, unless contact is renewed; 0 where it never was in contact.
+    /// Until when this machine holds its parts, unless contact is renewed; 0 where it never was in
+    /// contact.
     #[must_use]
     pub fn ends(&self) -> Time {
         self.contact.map_or(Time(0), |contact| contact.plus(LEASE))
@@ -112,13 +130,17 @@
         self.since
     }
 
-    /// The part of a tenant's bucket that this machine holds now: the least by all voters that others may still go by.
+    /// The part of a tenant's bucket that this machine holds now: the least by all voters that
+    /// others may still go by.
     #[must_use]
     pub fn share(&self, now: Time, tenant: &str) -> Share {
         if now >= self.ends() {
             return Share::default();
         }
-        let earlier = self.earlier.iter().filter(|(replaced, _)| now.since(*replaced) < SETTLING);
+        let earlier = self
+            .earlier
+            .iter()
+            .filter(|(replaced, _)| now.since(*replaced) < SETTLING);
         let views = earlier.map(|(_, voters)| voters).chain([&self.voters]);
         let shares = views.map(|voters| self.share_of(tenant, voters));
         shares.reduce(Share::least).unwrap_or_default()
@@ -127,7 +149,10 @@
     fn share_of(&self, tenant: &str, voters: &[Holder]) -> Share {
         let holders = holders(tenant, voters);
         match holders.iter().position(|holder| *holder == self.own) {
-            Some(rank) => Share { part: 1.0 / holders.len() as f64, first: rank == 0 },
+            Some(rank) => Share {
+                part: 1.0 / holders.len() as f64,
+                first: rank == 0,
+            },
             None => Share::default(),
         }
     }
@@ -135,7 +160,10 @@
 
 impl Share {
     fn least(self, other: Share) -> Share {
-        Share { part: self.part.min(other.part), first: self.first && other.first }
+        Share {
+            part: self.part.min(other.part),
+            first: self.first && other.first,
+        }
     }
 }
 
--- a/decide/quota/src/tenure/tests.rs
+++ b/decide/quota/src/tenure/tests.rs
@@ -33,17 +33,26 @@
         assert_eq!(holders, super::holders(&tenant, &turned));
         *firsts.entry(holders[0]).or_insert(0) += 1;
     }
-    assert!(firsts.values().all(|count| (60..=140).contains(count)), "{firsts:?}");
+    assert!(
+        firsts.values().all(|count| (60..=140).contains(count)),
+        "{firsts:?}"
+    );
     assert_eq!(holders("t", &eight[..2]).len(), 2);
     assert!(holders("t", &[]).is_empty());
 }
 
 #[test]
 fn the_loss_of_a_voter_moves_its_parts_alone() {
-    let (eight, seven) = (voters(&[1, 2, 3, 4, 5, 6, 7, 8]), voters(&[1, 2, 3, 4, 5, 6, 7]));
+    let (eight, seven) = (
+        voters(&[1, 2, 3, 4, 5, 6, 7, 8]),
+        voters(&[1, 2, 3, 4, 5, 6, 7]),
+    );
     for n in 0..200 {
         let tenant = format!("tenant-{n}");
-        let before: Vec<Holder> = holders(&tenant, &eight).into_iter().filter(|h| *h != Holder(8)).collect();
+        let before: Vec<Holder> = holders(&tenant, &eight)
+            .into_iter()
+            .filter(|h| *h != Holder(8))
+            .collect();
         let after = holders(&tenant, &seven);
         assert!(before.iter().all(|holder| after.contains(holder)));
     }
@@ -112,19 +121,26 @@
 impl Machine {
     fn of(id: u64, known: &[u64], knows: usize) -> Machine {
         let tenure = Tenure::new(Holder(id), voters(known));
-        Machine { tenure, cut_until: 0, knows, learns_at: 0 }
+        Machine {
+            tenure,
+            cut_until: 0,
+            knows,
+            learns_at: 0,
+        }
     }
 }
 
-/// Voters change now and then; each machine learns of each change a little late, or not at all while it is cut off, when it is out of contact.
-/// `settling`: newcomers wait so long.
+/// Voters change now and then; each machine learns of each change a little late, or not at all
+/// while it is cut off, when it is out of contact. `settling`: newcomers wait so long.
 fn walk(seed: u64, settling: Micros) {
     const STEP: Micros = 100_000;
     const LATEST: Micros = 1_400_000;
     let skipped = SETTLING - settling;
     let mut random = fastrand::Rng::with_seed(seed);
     let mut changes: Vec<(Micros, Vec<u64>)> = vec![(0, vec![1, 2, 3, 4])];
-    let mut machines: Vec<Machine> = (1..=4).map(|id| Machine::of(id, &[1, 2, 3, 4], 0)).collect();
+    let mut machines: Vec<Machine> = (1..=4)
+        .map(|id| Machine::of(id, &[1, 2, 3, 4], 0))
+        .collect();
     for step in 0..1_200 {
         let now = step * STEP;
         if step > 20 && random.u32(0..60) == 0 {
@@ -133,14 +149,19 @@
             next[random.usize(0..4)] = id;
             changes.push((now, next.clone()));
             let mut newcomer = Machine::of(id, &[], changes.len() - 1);
-            newcomer.tenure.on_voters(Time(now.saturating_sub(skipped)), &voters(&next));
+            newcomer
+                .tenure
+                .on_voters(Time(now.saturating_sub(skipped)), &voters(&next));
             machines.push(newcomer);
         }
         if random.u32(0..80) == 0 {
             let victim = random.usize(0..machines.len());
             machines[victim].cut_until = now + random.u64(0..8 * SECOND);
         }
-        for machine in machines.iter_mut().filter(|machine| machine.cut_until <= now) {
+        for machine in machines
+            .iter_mut()
+            .filter(|machine| machine.cut_until <= now)
+        {
             let known = machine.knows;
             while let Some((changed, _)) = changes.get(machine.knows + 1) {
                 machine.learns_at = machine.learns_at.max(changed + random.u64(0..LATEST));
@@ -153,17 +174,25 @@
             // Who was cut off learns of the last change alone.
             if machine.knows > known {
                 let next = voters(&changes[machine.knows].1);
-                machine.tenure.on_voters(Time(now.saturating_sub(skipped)), &next);
+                machine
+                    .tenure
+                    .on_voters(Time(now.saturating_sub(skipped)), &next);
             }
             if changes[machine.knows].1.contains(&machine.tenure.own.0) {
                 machine.tenure.on_contact(Time(now));
             }
         }
         for tenant in ["a", "b", "c", "d", "e"] {
-            let shares = machines.iter().map(|machine| machine.tenure.share(Time(now), tenant));
-            let (sum, firsts) = shares
-                .fold((0.0, 0), |(sum, firsts), share| (sum + share.part, firsts + usize::from(share.first)));
-            assert!(sum <= 1.0 + 1e-9 && firsts <= 1, "seed {seed}, step {step}, {tenant}: {sum}, {firsts}");
+            let shares = machines
+                .iter()
+                .map(|machine| machine.tenure.share(Time(now), tenant));
+            let (sum, firsts) = shares.fold((0.0, 0), |(sum, firsts), share| {
+                (sum + share.part, firsts + usize::from(share.first))
+            });
+            assert!(
+                sum <= 1.0 + 1e-9 && firsts <= 1,
+                "seed {seed}, step {step}, {tenant}: {sum}, {firsts}"
+            );
         }
     }
 }
--- a/decide/registry/src/heartbeat.rs
+++ b/decide/registry/src/heartbeat.rs
@@ -4,7 +4,8 @@
 use miniserde::json::{from_str, Number, Object, Value};
 use thiserror::Error;
 
-/// Longest heartbeat that is read (bytes). Real ones have some hundred; those that list many adapters a few thousand.
+/// Longest heartbeat that is read (bytes). Real ones have some hundred; those that list many
+/// adapters a few thousand.
 pub const MAX_HEARTBEAT_BYTES: usize = 256 << 10;
 
 /// Why a heartbeat can't be taken.
@@ -113,7 +114,10 @@
     match object.get(field) {
         None | Some(Value::Null) => Ok(String::new()),
         Some(Value::String(text)) => Ok(text.clone()),
-        Some(_) => Err(HeartbeatError::WrongType { field, wanted: "a text" }),
+        Some(_) => Err(HeartbeatError::WrongType {
+            field,
+            wanted: "a text",
+        }),
     }
 }
 
@@ -131,7 +135,10 @@
         None | Some(Value::Null) => Ok(0),
         Some(Value::Number(Number::U64(n))) => Ok(*n),
         Some(Value::Number(Number::F64(x))) if *x >= 0.0 => Ok(x.ceil() as u64),
-        Some(_) => Err(HeartbeatError::WrongType { field, wanted: "a number of 0 or more" }),
+        Some(_) => Err(HeartbeatError::WrongType {
+            field,
+            wanted: "a number of 0 or more",
+        }),
     }
 }
 
--- a/decide/registry/src/heartbeat/tests.rs
+++ b/decide/registry/src/heartbeat/tests.rs
@@ -31,42 +31,78 @@
     };
     assert_eq!(heartbeat, wanted);
     let record = heartbeat.record("i-1");
-    assert_eq!((record.instance.as_str(), record.sequence_number, record.unheard), ("i-1", 4, false));
+    assert_eq!(
+        (
+            record.instance.as_str(),
+            record.sequence_number,
+            record.unheard
+        ),
+        ("i-1", 4, false)
+    );
 }
 
 #[test]
 fn all_but_service_and_address_may_be_left_out() {
     let heartbeat = parse(r#"{"service":"s","address":"a:1","zone":null}"#).expect("valid");
-    let wanted = Heartbeat { service: "s".to_owned(), address: "a:1".to_owned(), ..Heartbeat::default() };
+    let wanted = Heartbeat {
+        service: "s".to_owned(),
+        address: "a:1".to_owned(),
+        ..Heartbeat::default()
+    };
     assert_eq!((heartbeat.state, heartbeat), (ServerState::Ready, wanted));
 }
 
 #[test]
 fn what_is_wrong_is_named() {
-    let with = |field: &str| parse(&format!("{{\"service\":\"s\",\"address\":\"a:1\",{field}}}"));
-    assert_eq!(parse("{\"address\":\"a:1\"}"), Err(HeartbeatError::Missing { field: "service" }));
+    let with = |field: &str| {
+        parse(&format!(
+            "{{\"service\":\"s\",\"address\":\"a:1\",{field}}}"
+        ))
+    };
+    assert_eq!(
+        parse("{\"address\":\"a:1\"}"),
+        Err(HeartbeatError::Missing { field: "service" })
+    );
     assert_eq!(
         parse("{\"service\":\"s\",\"address\":\"\"}"),
         Err(HeartbeatError::Missing { field: "address" })
     );
-    assert_eq!(with("\"state\":\"gone\""), Err(HeartbeatError::UnknownState));
-    for field in
-        ["\"zone\":1", "\"state\":true", "\"capacitySlots\":-1", "\"sequenceNumber\":\"4\"", "\"version\":[]"]
-    {
-        assert_matches!(with(field), Err(HeartbeatError::WrongType { .. }), "{field}");
+    assert_eq!(
+        with("\"state\":\"gone\""),
+        Err(HeartbeatError::UnknownState)
+    );
+    for field in [
+        "\"zone\":1",
+        "\"state\":true",
+        "\"capacitySlots\":-1",
+        "\"sequenceNumber\":\"4\"",
+        "\"version\":[]",
+    ] {
+        assert_matches!(
+            with(field),
+            Err(HeartbeatError::WrongType { .. }),
+            "{field}"
+        );
     }
     for text in ["[]", "7", "null", "\"x\""] {
         assert_eq!(parse(text), Err(HeartbeatError::NotAnObject), "{text}");
     }
     assert_eq!(Heartbeat::parse(b"\xff"), Err(HeartbeatError::Unreadable));
     let bytes = MAX_HEARTBEAT_BYTES + 1;
-    assert_eq!(Heartbeat::parse(&vec![b' '; bytes]), Err(HeartbeatError::TooLarge { bytes }));
+    assert_eq!(
+        Heartbeat::parse(&vec![b' '; bytes]),
+        Err(HeartbeatError::TooLarge { bytes })
+    );
 }
 
 #[test]
 fn a_heartbeat_that_is_cut_short_is_refused() {
     for length in 0..FULL.len() {
-        assert_eq!(Heartbeat::parse(&FULL.as_bytes()[..length]), Err(HeartbeatError::Unreadable), "{length}");
+        assert_eq!(
+            Heartbeat::parse(&FULL.as_bytes()[..length]),
+            Err(HeartbeatError::Unreadable),
+            "{length}"
+        );
     }
 }
 
@@ -79,13 +115,19 @@
             text[place] = byte;
         }
         let read = Heartbeat::parse(&text);
-        let whole =
-            read.is_ok_and(|heartbeat| !heartbeat.service.is_empty() && !heartbeat.address.is_empty());
+        let whole = read
+            .is_ok_and(|heartbeat| !heartbeat.service.is_empty() && !heartbeat.address.is_empty());
         (whole || Heartbeat::parse(&text).is_err()) && Heartbeat::parse(&bytes).is_err()
     }
     let gen = Gen::from_size_and_seed(12, SEED);
-    QuickCheck::new().rng(gen).tests(5_000).quickcheck(holds as fn(Vec<(u16, u8)>, Vec<u8>) -> bool);
-    assert_eq!(parse(&"[".repeat(MAX_HEARTBEAT_BYTES)), Err(HeartbeatError::Unreadable));
+    QuickCheck::new()
+        .rng(gen)
+        .tests(5_000)
+        .quickcheck(holds as fn(Vec<(u16, u8)>, Vec<u8>) -> bool);
+    assert_eq!(
+        parse(&"[".repeat(MAX_HEARTBEAT_BYTES)),
+        Err(HeartbeatError::Unreadable)
+    );
     let nested = format!(
         "{{\"service\":\"s\",\"address\":\"a\",\"models\":{}{}}}",
         "[".repeat(90_000),
--- a/decide/registry/src/lattice.rs
+++ b/decide/registry/src/lattice.rs
@@ -3,18 +3,28 @@
 use lichenswitch_messages::{ServerRecord, ServerState};
 use std::cmp::Ordering;
 
-/// The record of an instance that is gone: the top of the lattice. It has no other content, so that all machines hold the same.
+/// The record of an instance that is gone: the top of the lattice. It has no other content, so that
+/// all machines hold the same.
 #[must_use]
 pub fn tombstone(instance: &str) -> ServerRecord {
-    ServerRecord { instance: instance.to_owned(), state: ServerState::Gone, ..ServerRecord::default() }
+    ServerRecord {
+        instance: instance.to_owned(),
+        state: ServerState::Gone,
+        ..ServerRecord::default()
+    }
 }
 
-/// Takes into a record what another says of the same instance, and tells whether it is another one now.
+/// Takes into a record what another says of the same instance, and tells whether it is another one
+/// now.
 ///
-/// The greater one by state, sequence number and, last, content is the outcome; so the order of news does not matter. `unheard` is no
-/// part of the lattice: the known record keeps its own, as each control machine judges silence by itself.
+/// The greater one by state, sequence number and, last, content is the outcome; so the order of
+/// news does not matter. `unheard` is no part of the lattice: the known record keeps its own, as
+/// each control machine judges silence by itself.
 pub fn join(known: &mut ServerRecord, news: &ServerRecord) -> bool {
-    debug_assert_eq!(known.instance, news.instance, "only records of one instance are joined");
+    debug_assert_eq!(
+        known.instance, news.instance,
+        "only records of one instance are joined"
+    );
     if order(news, known) != Ordering::Greater {
         return false;
     }
@@ -24,8 +34,9 @@
     true
 }
 
-/// Takes what a control machine has pushed to a router into the router's record, and tells whether it is another one now. A router
-/// judges no silence by itself: `unheard` is as the control machine says, unless the instance is gone.
+/// Takes what a control machine has pushed to a router into the router's record, and tells whether
+/// it is another one now. A router judges no silence by itself: `unheard` is as the control machine
+/// says, unless the instance is gone.
 pub fn follow(known: &mut ServerRecord, pushed: &ServerRecord) -> bool {
     let joined = join(known, pushed);
     let unheard = pushed.unheard && known.state != ServerState::Gone;
@@ -50,7 +61,8 @@
     }
 }
 
-/// By state, sequence number, and then by content, which differs at the same number only if a server breaks the protocol.
+/// By state, sequence number, and then by content, which differs at the same number only if a
+/// server breaks the protocol.
 fn key(record: &ServerRecord) -> (ServerState, u64, [&str; 3], u32, u64) {
     (
         record.state,
--- a/decide/registry/src/lattice/tests.rs
+++ b/decide/registry/src/lattice/tests.rs
@@ -38,7 +38,10 @@
 
 fn check<F: quickcheck::Testable>(property: F) {
     let gen = Gen::from_size_and_seed(30, SEED);
-    QuickCheck::new().rng(gen).tests(20_000).quickcheck(property);
+    QuickCheck::new()
+        .rng(gen)
+        .tests(20_000)
+        .quickcheck(property);
 }
 
 #[test]
@@ -61,7 +64,9 @@
 fn joining_is_idempotent_and_only_grows() {
     fn holds(a: Sample, b: Sample) -> bool {
         let both = joined(&a.0, &b.0);
-        joined(&both, &a.0) == both && joined(&both, &b.0) == both && both.state >= a.0.state.max(b.0.state)
+        joined(&both, &a.0) == both
+            && joined(&both, &b.0) == both
+            && both.state >= a.0.state.max(b.0.state)
     }
     check(holds as fn(Sample, Sample) -> bool);
 }
@@ -79,16 +84,28 @@
 
 #[test]
 fn the_state_goes_before_the_number() {
-    let (ready, draining) = (record(ServerState::Ready, 9), record(ServerState::Draining, 3));
+    let (ready, draining) = (
+        record(ServerState::Ready, 9),
+        record(ServerState::Draining, 3),
+    );
     assert_eq!(joined(&ready, &draining), draining);
     assert_eq!(joined(&draining, &ready), draining);
-    assert_eq!(joined(&draining, &record(ServerState::Draining, 4)).sequence_number, 4);
-    assert_eq!(joined(&ready, &record(ServerState::Gone, 0)), tombstone("i"));
+    assert_eq!(
+        joined(&draining, &record(ServerState::Draining, 4)).sequence_number,
+        4
+    );
+    assert_eq!(
+        joined(&ready, &record(ServerState::Gone, 0)),
+        tombstone("i")
+    );
 }
 
 #[test]
 fn a_control_machine_keeps_its_own_judgement_of_silence() {
-    let mut known = ServerRecord { unheard: true, ..record(ServerState::Ready, 1) };
+    let mut known = ServerRecord {
+        unheard: true,
+        ..record(ServerState::Ready, 1)
+    };
     assert!(join(&mut known, &record(ServerState::Ready, 2)));
     assert!(known.unheard && known.sequence_number == 2);
     assert!(join(&mut known, &tombstone("i")) && !known.unheard);
@@ -97,7 +114,10 @@
 #[test]
 fn a_router_follows_the_judgement_of_its_control_machine() {
     let mut known = record(ServerState::Ready, 5);
-    let silent = ServerRecord { unheard: true, ..record(ServerState::Ready, 3) };
+    let silent = ServerRecord {
+        unheard: true,
+        ..record(ServerState::Ready, 3)
+    };
     assert!(follow(&mut known, &silent) && known.unheard && known.sequence_number == 5);
     assert!(!follow(&mut known, &silent));
     assert!(follow(&mut known, &record(ServerState::Ready, 5)) && !known.unheard);
--- a/decide/registry/src/members.rs
+++ b/decide/registry/src/members.rs
@@ -28,19 +28,27 @@
     /// None yet; a lease lasts so long (microseconds).
     #[must_use]
     pub fn new(lease_us: u64) -> Members {
-        Members { lease_us, by_process: BTreeMap::new() }
+        Members {
+            lease_us,
+            by_process: BTreeMap::new(),
+        }
     }
 
-    /// A process has joined or renewed its lease; tells whether it is new. An older process of the same node goes at once: a node
-    /// runs one.
+    /// A process has joined or renewed its lease; tells whether it is new. An older process of the
+    /// same node goes at once: a node runs one.
     pub fn on_renewal(&mut self, now: u64, process: u64, node: &str, zone: &str) -> bool {
         if let Some(member) = self.by_process.get_mut(&process) {
             member.renewed_us = member.renewed_us.max(now);
             return false;
         }
         self.by_process.retain(|_, member| member.node != node);
-        let member =
-            Member { process, node: node.to_owned(), zone: zone.to_owned(), joined_us: now, renewed_us: now };
+        let member = Member {
+            process,
+            node: node.to_owned(),
+            zone: zone.to_owned(),
+            joined_us: now,
+            renewed_us: now,
+        };
         self.by_process.insert(process, member);
         true
     }
@@ -53,15 +61,25 @@
     /// Takes out and returns those whose lease has run out.
     pub fn tick(&mut self, now: u64) -> Vec<Member> {
         let lease = self.lease_us;
-        let expired: Vec<u64> =
-            self.by_process.values().filter(|member| ends(member, lease) <= now).map(|m| m.process).collect();
-        expired.iter().filter_map(|process| self.by_process.remove(process)).collect()
+        let expired: Vec<u64> = self
+            .by_process
+            .values()
+            .filter(|member| ends(member, lease) <= now)
+            .map(|m| m.process)
+            .collect();
+        expired
+            .iter()
+            .filter_map(|process| self.by_process.remove(process))
+            .collect()
     }
 
     /// When the next lease runs out, if none is renewed before.
     #[must_use]
     pub fn next_wake(&self) -> Option<u64> {
-        self.by_process.values().map(|member| ends(member, self.lease_us)).min()
+        self.by_process
+            .values()
+            .map(|member| ends(member, self.lease_us))
+            .min()
     }
 
     /// How many there are.
--- a/decide/registry/src/members/tests.rs
+++ b/decide/registry/src/members/tests.rs
@@ -13,10 +13,17 @@
     assert!(!members.on_renewal(1_000_000, 1, "n1", "z"));
     assert_eq!((members.count(), members.next_wake()), (2, Some(2_500_000)));
     assert!(members.tick(2_499_999).is_empty());
-    let expired: Vec<u64> = members.tick(2_500_000).iter().map(|member| member.process).collect();
+    let expired: Vec<u64> = members
+        .tick(2_500_000)
+        .iter()
+        .map(|member| member.process)
+        .collect();
     assert_eq!((expired, members.count()), (vec![2], 1));
     let left = members.iter().next().expect("one is left");
-    assert_eq!((left.node.as_str(), left.joined_us, left.renewed_us), ("n1", 0, 1_000_000));
+    assert_eq!(
+        (left.node.as_str(), left.joined_us, left.renewed_us),
+        ("n1", 0, 1_000_000)
+    );
     assert!(members.on_renewal(3_000_000, 2, "n2", "z"), "it joins anew");
 }
 
--- a/decide/registry/src/table.rs
+++ b/decide/registry/src/table.rs
@@ -1,7 +1,7 @@
 //! The table of servers of one control machine.
 //!
-//! Records only grow in the lattice. Silence is not part of it: each machine judges it by when it, or another machine that told it,
-//! last heard a server.
+//! Records only grow in the lattice. Silence is not part of it: each machine judges it by when it,
+//! or another machine that told it, last heard a server.
 
 use crate::heartbeat::Heartbeat;
 use crate::lattice::{join, normalized, tombstone};
@@ -11,31 +11,37 @@
 /// Intervals of silence after which a server is unheard: a last resort for routers.
 pub const UNHEARD_INTERVALS: u64 = 5;
 
-/// Intervals for which one instance must have been silent after another at the same address was heard, to be gone. A beat may come
-/// seconds late, so the first beat of an instance that is not known may be the last of one that has ended.
+/// Intervals for which one instance must have been silent after another at the same address was
+/// heard, to be gone. A beat may come seconds late, so the first beat of an instance that is not
+/// known may be the last of one that has ended.
 pub const CONTEST_INTERVALS: u64 = 3;
 
 /// Silence after which a server is forgotten (microseconds).
 pub const FORGOTTEN_AFTER_US: u64 = 60_000_000;
 
-/// How long it is remembered that an instance is gone (microseconds): far longer than a beat may be late.
+/// How long it is remembered that an instance is gone (microseconds): far longer than a beat may be
+/// late.
 pub const TOMBSTONE_KEPT_US: u64 = 120_000_000;
 
-/// Age up to which a tombstone is part of a snapshot (microseconds). Shorter than it is kept, so that machines do not tell each other
-/// for ever what both have dropped.
+/// Age up to which a tombstone is part of a snapshot (microseconds). Shorter than it is kept, so
+/// that machines do not tell each other for ever what both have dropped.
 pub const SNAPSHOT_TOMBSTONES_US: u64 = 60_000_000;
 
-/// The least between two looks (microseconds), as a share of the interval: what is decided is late by a quarter of it at most.
+/// The least between two looks (microseconds), as a share of the interval: what is decided is late
+/// by a quarter of it at most.
 const LOOKS_IN_INTERVAL: u64 = 4;
 
 /// What has changed, to be pushed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Changes {
-    /// Records that are other ones now. For routers all of them; for other control machines those of [`Changes::news`].
+    /// Records that are other ones now. For routers all of them; for other control machines those
+    /// of [`Changes::news`].
     pub records: Vec<ServerRecord>,
-    /// Instances whose records are no longer held. They are not gone: they have been silent for long, and may be heard again.
+    /// Instances whose records are no longer held. They are not gone: they have been silent for
+    /// long, and may be heard again.
     pub forgotten: Vec<String>,
-    /// How many of the first records have changed in the lattice; with the others only `unheard` has.
+    /// How many of the first records have changed in the lattice; with the others only `unheard`
+    /// has.
     lattice: usize,
 }
 
@@ -74,7 +80,8 @@
 #[derive(Clone, Debug)]
 struct Entry {
     record: ServerRecord,
-    /// When it was last heard, here or by a machine that told so; for one that is gone, when that was learnt.
+    /// When it was last heard, here or by a machine that told so; for one that is gone, when that
+    /// was learnt.
     since_us: u64,
     /// Whether it was heard here after the last digest.
     heard_here: bool,
@@ -118,10 +125,14 @@
         self.interval_us = interval_us.max(1);
     }
 
-    /// A heartbeat has come here. A beat that is late, or comes from an instance that has left, changes nothing.
+    /// A heartbeat has come here. A beat that is late, or comes from an instance that has left,
+    /// changes nothing.
     pub fn on_heartbeat(&mut self, now: u64, instance: &str, heartbeat: &Heartbeat) -> Changes {
         let news = heartbeat.record(instance);
-        let fresh = self.entries.get(instance).is_none_or(|known| is_fresh(known, &news));
+        let fresh = self
+            .entries
+            .get(instance)
+            .is_none_or(|known| is_fresh(known, &news));
         let displaced = match self.entries.contains_key(instance) {
             true => Vec::new(),
             false => self.displaced_by(now, &news),
@@ -136,7 +147,8 @@
         changes
     }
 
-    /// A server has said that it leaves, whether it said `draining` before or not, and whether it is known or not.
+    /// A server has said that it leaves, whether it said `draining` before or not, and whether it
+    /// is known or not.
     pub fn on_deregister(&mut self, now: u64, instance: &str) -> Changes {
         self.take(now, &tombstone(instance))
     }
@@ -149,19 +161,23 @@
     /// Another control machine has sent records.
     pub fn merge_all(&mut self, now: u64, news: &[ServerRecord]) -> Changes {
         let mut changes = Changes::default();
-        news.iter().for_each(|record| changes.append(self.take(now, record)));
+        news.iter()
+            .for_each(|record| changes.append(self.take(now, record)));
         changes
     }
 
-    /// What this machine knew before its start. Who is not known yet is known from now on, with its silence counted from now unless its
-    /// record says that it was unheard; it is no news to other control machines, which may have forgotten it with reason. That a server
-    /// was leaving or had left holds, whoever remembers it: a beat from before that may still be on its way.
+    /// What this machine knew before its start. Who is not known yet is known from now on, with its
+    /// silence counted from now unless its record says that it was unheard; it is no news to other
+    /// control machines, which may have forgotten it with reason. That a server was leaving or had
+    /// left holds, whoever remembers it: a beat from before that may still be on its way.
     pub fn remember(&mut self, now: u64, records: &[ServerRecord]) -> Changes {
         let mut changes = Changes::default();
         for record in records {
             match self.entries.get(&record.instance) {
                 None => changes.append(self.remember_one(now, record)),
-                Some(known) if known.record.state < record.state => changes.append(self.take(now, record)),
+                Some(known) if known.record.state < record.state => {
+                    changes.append(self.take(now, record))
+                }
                 Some(_) => {}
             }
         }
@@ -178,7 +194,8 @@
         changes
     }
 
-    /// Looks at silence, tombstones and addresses that have more than one instance. To be called by [`Registry::next_wake`].
+    /// Looks at silence, tombstones and addresses that have more than one instance. To be called by
+    /// [`Registry::next_wake`].
     pub fn tick(&mut self, now: u64) -> Changes {
         self.notice_pause(now);
         let mut changes = self.settle_contests(now);
@@ -190,27 +207,38 @@
     /// When to call [`Registry::tick`] next.
     #[must_use]
     pub fn next_wake(&self) -> u64 {
-        self.last_tick_us.saturating_add((self.interval_us / LOOKS_IN_INTERVAL).max(1))
+        self.last_tick_us
+            .saturating_add((self.interval_us / LOOKS_IN_INTERVAL).max(1))
     }
 
-    /// Servers that are known from before a start alone, those that had left too: for routers, and for machines that know none.
+    /// Servers that are known from before a start alone, those that had left too: for routers, and
+    /// for machines that know none.
     #[must_use]
     pub fn remembered(&self) -> Vec<ServerRecord> {
-        let mut records: Vec<_> =
-            self.entries.values().filter(|entry| entry.remembered).map(|e| e.record.clone()).collect();
+        let mut records: Vec<_> = self
+            .entries
+            .values()
+            .filter(|entry| entry.remembered)
+            .map(|e| e.record.clone())
+            .collect();
         records.sort_by(|one, other| one.instance.cmp(&other.instance));
         records
     }
 
-    /// All that a machine that starts has to know: live servers, and who has gone in the last minute. Servers that are only
-    /// [`Registry::remembered`] are no part of it.
+    /// All that a machine that starts has to know: live servers, and who has gone in the last
+    /// minute. Servers that are only [`Registry::remembered`] are no part of it.
     #[must_use]
     pub fn snapshot(&self, now: u64) -> Vec<ServerRecord> {
         let told = |entry: &&Entry| {
-            !entry.remembered && (entry.live() || now.saturating_sub(entry.since_us) < SNAPSHOT_TOMBSTONES_US)
+            !entry.remembered
+                && (entry.live() || now.saturating_sub(entry.since_us) < SNAPSHOT_TOMBSTONES_US)
         };
-        let mut records: Vec<_> =
-            self.entries.values().filter(told).map(|entry| entry.record.clone()).collect();
+        let mut records: Vec<_> = self
+            .entries
+            .values()
+            .filter(told)
+            .map(|entry| entry.record.clone())
+            .collect();
         records.sort_by(|one, other| one.instance.cmp(&other.instance));
         records
     }
@@ -218,7 +246,10 @@
     /// Who was heard here since this was last asked, with how many milliseconds ago.
     pub fn take_heard_digest(&mut self, now: u64) -> Vec<(String, u32)> {
         let mut digest = Vec::new();
-        for (instance, entry) in self.entries.iter_mut().filter(|(_, entry)| entry.heard_here && entry.live())
+        for (instance, entry) in self
+            .entries
+            .iter_mut()
+            .filter(|(_, entry)| entry.heard_here && entry.live())
         {
             entry.heard_here = false;
             let ago_ms = now.saturating_sub(entry.since_us) / 1_000;
@@ -236,7 +267,10 @@
 
     /// Servers that are not gone, in no order.
     pub fn live(&self) -> impl Iterator<Item = &ServerRecord> {
-        self.entries.values().filter(|entry| entry.live()).map(|entry| &entry.record)
+        self.entries
+            .values()
+            .filter(|entry| entry.live())
+            .map(|entry| &entry.record)
     }
 
     /// Records that are held, tombstones too.
@@ -260,13 +294,21 @@
     }
 
     fn take_new(&mut self, now: u64, news: &ServerRecord) -> Changes {
-        let record = ServerRecord { unheard: false, ..normalized(news) };
+        let record = ServerRecord {
+            unheard: false,
+            ..normalized(news)
+        };
         if record.state != ServerState::Gone && self.live_at(&record.address).next().is_some() {
             self.contested.insert(record.address.clone());
         }
         let mut changes = Changes::default();
         changes.push_news(&record);
-        let entry = Entry { record, since_us: now, heard_here: false, remembered: false };
+        let entry = Entry {
+            record,
+            since_us: now,
+            heard_here: false,
+            remembered: false,
+        };
         self.entries.insert(news.instance.clone(), entry);
         changes
     }
@@ -279,18 +321,29 @@
         }
         let mut changes = Changes::default();
         changes.push_heard(&record);
-        let silent_us = if record.unheard { self.unheard_after() } else { 0 };
+        let silent_us = if record.unheard {
+            self.unheard_after()
+        } else {
+            0
+        };
         let since_us = now.saturating_sub(silent_us);
-        let entry = Entry { record, since_us, heard_here: false, remembered: true };
+        let entry = Entry {
+            record,
+            since_us,
+            heard_here: false,
+            remembered: true,
+        };
         self.entries.insert(news.instance.clone(), entry);
         changes
     }
 
-    /// Newer news shows that the server was heard somewhere. Told on is only what matters to others: a beat that says the same again
-    /// is not.
+    /// Newer news shows that the server was heard somewhere. Told on is only what matters to
+    /// others: a beat that says the same again is not.
     fn take_known(&mut self, now: u64, news: &ServerRecord) -> Changes {
         let mut changes = Changes::default();
-        let Some(entry) = self.entries.get_mut(&news.instance) else { return changes };
+        let Some(entry) = self.entries.get_mut(&news.instance) else {
+            return changes;
+        };
         let before = entry.record.clone();
         let remembered = std::mem::take(&mut entry.remembered);
         if !join(&mut entry.record, news) && !remembered {
@@ -322,7 +375,9 @@
     fn heard_elsewhere(&mut self, now: u64, at: u64, instance: &str) -> Changes {
         let mut changes = Changes::default();
         let unheard_after = self.unheard_after();
-        let Some(entry) = self.entries.get_mut(instance).filter(|entry| entry.live()) else { return changes };
+        let Some(entry) = self.entries.get_mut(instance).filter(|entry| entry.live()) else {
+            return changes;
+        };
         entry.since_us = entry.since_us.max(at);
         entry.remembered = false;
         if entry.record.unheard && now.saturating_sub(entry.since_us) < unheard_after {
@@ -342,17 +397,23 @@
 
     /// Live instances at an address.
     fn live_at<'a>(&'a self, address: &'a str) -> impl Iterator<Item = &'a Entry> {
-        self.entries.values().filter(move |entry| entry.live() && entry.record.address == address)
+        self.entries
+            .values()
+            .filter(move |entry| entry.live() && entry.record.address == address)
     }
 
-    /// Those that an instance that has just been heard for the first time ends, as it has their address. An instance that has begun
-    /// later has made fewer calls; where the newcomer has made more, its beat may be a late one, and silence decides.
+    /// Those that an instance that has just been heard for the first time ends, as it has their
+    /// address. An instance that has begun later has made fewer calls; where the newcomer has made
+    /// more, its beat may be a late one, and silence decides.
     fn displaced_by(&self, now: u64, newcomer: &ServerRecord) -> Vec<String> {
         let ended = |entry: &&Entry| {
             newcomer.sequence_number <= entry.record.sequence_number
                 || self.silence(now, entry) >= self.contest_after()
         };
-        self.live_at(&newcomer.address).filter(ended).map(|entry| entry.record.instance.clone()).collect()
+        self.live_at(&newcomer.address)
+            .filter(ended)
+            .map(|entry| entry.record.instance.clone())
+            .collect()
     }
 
     /// How long a server has been silent while this machine could hear it.
@@ -368,7 +429,8 @@
         self.last_tick_us = now;
     }
 
-    /// At an address with several live instances, those are gone that fell silent well before another was heard.
+    /// At an address with several live instances, those are gone that fell silent well before
+    /// another was heard.
     fn settle_contests(&mut self, now: u64) -> Changes {
         let mut changes = Changes::default();
         for address in std::mem::take(&mut self.contested) {
@@ -383,9 +445,17 @@
     }
 
     fn outlived_at(&self, address: &str) -> Vec<String> {
-        let newest = self.live_at(address).map(|entry| entry.since_us).max().unwrap_or(0);
-        let outlived = |entry: &&Entry| newest.saturating_sub(entry.since_us) >= self.contest_after();
-        self.live_at(address).filter(outlived).map(|entry| entry.record.instance.clone()).collect()
+        let newest = self
+            .live_at(address)
+            .map(|entry| entry.since_us)
+            .max()
+            .unwrap_or(0);
+        let outlived =
+            |entry: &&Entry| newest.saturating_sub(entry.since_us) >= self.contest_after();
+        self.live_at(address)
+            .filter(outlived)
+            .map(|entry| entry.record.instance.clone())
+            .collect()
     }
 
     fn drop_old(&mut self, now: u64, changes: &mut Changes) {
@@ -406,14 +476,20 @@
     fn judge_silence(&mut self, now: u64, changes: &mut Changes) {
         let (awake, unheard_after) = (self.awake_since_us, self.unheard_after());
         let mut fallen: Vec<&ServerRecord> = Vec::new();
-        for entry in self.entries.values_mut().filter(|entry| entry.live() && !entry.record.unheard) {
+        for entry in self
+            .entries
+            .values_mut()
+            .filter(|entry| entry.live() && !entry.record.unheard)
+        {
             if now.saturating_sub(entry.since_us.max(awake)) >= unheard_after {
                 entry.record.unheard = true;
                 fallen.push(&entry.record);
             }
         }
         fallen.sort_by(|one, other| one.instance.cmp(&other.instance));
-        fallen.into_iter().for_each(|record| changes.push_heard(record));
+        fallen
+            .into_iter()
+            .for_each(|record| changes.push_heard(record));
     }
 }
 
@@ -422,7 +498,8 @@
     news.sequence_number >= known.record.sequence_number
 }
 
-/// Whether a record tells others more than the one before: all but the number of the beat, and a cold time that only runs down.
+/// Whether a record tells others more than the one before: all but the number of the beat, and a
+/// cold time that only runs down.
 fn tells_more(before: &ServerRecord, after: &ServerRecord) -> bool {
     let known = ServerRecord {
         sequence_number: after.sequence_number,
@@ -430,7 +507,10 @@
         unheard: after.unheard,
         ..before.clone()
     };
-    let told = ServerRecord { cold_remaining_ms: known.cold_remaining_ms, ..after.clone() };
+    let told = ServerRecord {
+        cold_remaining_ms: known.cold_remaining_ms,
+        ..after.clone()
+    };
     known != told || after.cold_remaining_ms > before.cold_remaining_ms
 }
 
