--- a/decide/registry/src/table/tests.rs
+++ b/decide/registry/src/table/tests.rs
@@ -22,7 +22,10 @@
 }
 
 fn draining(address: &str, sequence_number: u64) -> Heartbeat {
-    Heartbeat { state: ServerState::Draining, ..beat(address, sequence_number) }
+    Heartbeat {
+        state: ServerState::Draining,
+        ..beat(address, sequence_number)
+    }
 }
 
 fn table() -> Registry {
@@ -53,21 +56,57 @@
     let mut table = table();
     let changes = table.on_heartbeat(START, "i", &beat("a:1", 1));
     assert_eq!(changes.news(), [beat("a:1", 1).record("i")]);
-    assert!(table.on_heartbeat(START + SECOND, "i", &beat("a:1", 2)).is_empty());
-    assert_eq!(table.record("i").map(|record| record.sequence_number), Some(2));
-    let more = Heartbeat { capacity_slots: 9, ..beat("a:1", 3) };
-    assert_eq!(table.on_heartbeat(START + SECOND, "i", &more).news().len(), 1);
-    let cold = Heartbeat { cold_remaining_ms: 500, ..more.clone() };
-    let at = |n, ms| Heartbeat { sequence_number: n, cold_remaining_ms: ms, ..cold.clone() };
-    assert_eq!(table.on_heartbeat(START + SECOND, "i", &at(4, 500)).news().len(), 1, "colder than was told");
-    assert!(table.on_heartbeat(START + SECOND, "i", &at(5, 100)).is_empty(), "it only runs down");
+    assert!(table
+        .on_heartbeat(START + SECOND, "i", &beat("a:1", 2))
+        .is_empty());
+    assert_eq!(
+        table.record("i").map(|record| record.sequence_number),
+        Some(2)
+    );
+    let more = Heartbeat {
+        capacity_slots: 9,
+        ..beat("a:1", 3)
+    };
+    assert_eq!(
+        table.on_heartbeat(START + SECOND, "i", &more).news().len(),
+        1
+    );
+    let cold = Heartbeat {
+        cold_remaining_ms: 500,
+        ..more.clone()
+    };
+    let at = |n, ms| Heartbeat {
+        sequence_number: n,
+        cold_remaining_ms: ms,
+        ..cold.clone()
+    };
+    assert_eq!(
+        table
+            .on_heartbeat(START + SECOND, "i", &at(4, 500))
+            .news()
+            .len(),
+        1,
+        "colder than was told"
+    );
+    assert!(
+        table
+            .on_heartbeat(START + SECOND, "i", &at(5, 100))
+            .is_empty(),
+        "it only runs down"
+    );
 }
 
 #[test]
 fn draining_and_gone_are_final() {
     let mut table = table();
     table.on_heartbeat(START, "i", &beat("a:1", 1));
-    assert_eq!(table.on_heartbeat(START, "i", &draining("a:1", 2)).news().len(), 1);
+    assert_eq!(
+        table
+            .on_heartbeat(START, "i", &draining("a:1", 2))
+            .news()
+            .len(),
+        1
+    );
     assert!(table.on_heartbeat(START, "i", &beat("a:1", 3)).is_empty());
     assert_eq!(state_of(&table, "i"), Some(ServerState::Draining));
     assert_eq!(table.on_deregister(START, "i").news(), [tombstone("i")]);
@@ -85,8 +124,13 @@
     let mut table = table();
     table.on_heartbeat(START, "i", &beat("a:1", 1));
     assert_eq!(table.on_deregister(START, "i").news(), [tombstone("i")]);
-    assert_eq!(table.on_deregister(START, "never-heard").news(), [tombstone("never-heard")]);
-    assert!(table.on_heartbeat(START, "never-heard", &beat("a:2", 5)).is_empty());
+    assert_eq!(
+        table.on_deregister(START, "never-heard").news(),
+        [tombstone("never-heard")]
+    );
+    assert!(table
+        .on_heartbeat(START, "never-heard", &beat("a:2", 5))
+        .is_empty());
     assert_eq!(table.live().count(), 0);
 }
 
@@ -94,7 +138,13 @@
 fn draining_told_by_a_late_beat_still_counts() {
     let mut table = table();
     table.on_heartbeat(START, "i", &beat("a:1", 5));
-    assert_eq!(table.on_heartbeat(START, "i", &draining("a:1", 4)).news().len(), 1);
+    assert_eq!(
+        table
+            .on_heartbeat(START, "i", &draining("a:1", 4))
+            .news()
+            .len(),
+        1
+    );
 }
 
 #[test]
@@ -103,11 +153,25 @@
     table.on_heartbeat(START, "i", &beat("a:1", 1));
     assert!(run_to(&mut table, START + 5 * SECOND - 1).is_empty());
     let changes = run_to(&mut table, START + 5 * SECOND);
-    assert_eq!((changes.records.len(), changes.news().len()), (1, 0), "each machine judges by itself");
+    assert_eq!(
+        (changes.records.len(), changes.news().len()),
+        (1, 0),
+        "each machine judges by itself"
+    );
     assert!(unheard(&table, "i"));
-    assert!(run_to(&mut table, START + 9 * SECOND).is_empty(), "said once");
+    assert!(
+        run_to(&mut table, START + 9 * SECOND).is_empty(),
+        "said once"
+    );
     let changes = table.on_heartbeat(START + 9 * SECOND, "i", &beat("a:1", 2));
-    assert_eq!((changes.records.len(), changes.news().len(), unheard(&table, "i")), (1, 0, false));
+    assert_eq!(
+        (
+            changes.records.len(),
+            changes.news().len(),
+            unheard(&table, "i")
+        ),
+        (1, 0, false)
+    );
 }
 
 #[test]
@@ -115,7 +179,9 @@
     let mut table = table();
     table.on_heartbeat(START, "i", &beat("a:1", 7));
     run_to(&mut table, START + 4 * SECOND);
-    assert!(table.on_heartbeat(START + 4 * SECOND, "i", &beat("a:1", 6)).is_empty());
+    assert!(table
+        .on_heartbeat(START + 4 * SECOND, "i", &beat("a:1", 6))
+        .is_empty());
     run_to(&mut table, START + 5 * SECOND);
     assert!(unheard(&table, "i"));
 }
@@ -126,7 +192,10 @@
     table.merge(START, &beat("a:1", 1).record("i"));
     run_to(&mut table, START + 4 * SECOND);
     assert!(table
-        .merge_heard(START + 4 * SECOND, &[("i".to_owned(), 300), ("not-known".to_owned(), 0)])
+        .merge_heard(
+            START + 4 * SECOND,
+            &[("i".to_owned(), 300), ("not-known".to_owned(), 0)]
+        )
         .is_empty());
     run_to(&mut table, START + 8 * SECOND);
     assert!(!unheard(&table, "i"));
@@ -135,7 +204,14 @@
     let old = table.merge_heard(START + 9 * SECOND, &[("i".to_owned(), 5_000)]);
     assert!(old.is_empty() && unheard(&table, "i"));
     let changes = table.merge_heard(START + 9 * SECOND, &[("i".to_owned(), 100)]);
-    assert_eq!((changes.records.len(), changes.news().len(), unheard(&table, "i")), (1, 0, false));
+    assert_eq!(
+        (
+            changes.records.len(),
+            changes.news().len(),
+            unheard(&table, "i")
+        ),
+        (1, 0, false)
+    );
 }
 
 #[test]
@@ -153,7 +229,13 @@
     let mut table = table();
     table.merge_all(
         START,
-        &[beat("a:1", 1).record("i"), ServerRecord { unheard: true, ..beat("a:2", 1).record("j") }],
+        &[
+            beat("a:1", 1).record("i"),
+            ServerRecord {
+                unheard: true,
+                ..beat("a:2", 1).record("j")
+            },
+        ],
     );
     table.merge_heard(START, &[("i".to_owned(), 50_000), ("j".to_owned(), 50_000)]);
     assert!(run_to(&mut table, START + 5 * SECOND - 1).is_empty());
@@ -167,7 +249,10 @@
     table.on_heartbeat(START, "i", &beat("a:1", 1));
     run_to(&mut table, START + SECOND);
     let woken = START + 100 * SECOND;
-    assert!(table.tick(woken).is_empty(), "neither unheard nor forgotten");
+    assert!(
+        table.tick(woken).is_empty(),
+        "neither unheard nor forgotten"
+    );
     assert!(run_to(&mut table, woken + 5 * SECOND - 1).is_empty());
     assert_eq!(run_to(&mut table, woken + 5 * SECOND).records.len(), 1);
 }
@@ -179,19 +264,30 @@
     run_to(&mut table, START + FORGOTTEN_AFTER_US - 1);
     assert_eq!(table.len(), 1);
     let changes = run_to(&mut table, START + FORGOTTEN_AFTER_US);
-    assert_eq!((changes.records.len(), changes.forgotten, table.is_empty()), (0, vec!["i".to_owned()], true));
+    assert_eq!(
+        (changes.records.len(), changes.forgotten, table.is_empty()),
+        (0, vec!["i".to_owned()], true)
+    );
     let changes = table.on_heartbeat(START + FORGOTTEN_AFTER_US, "i", &beat("a:1", 2));
-    assert_eq!((changes.news().len(), state_of(&table, "i")), (1, Some(ServerState::Ready)));
+    assert_eq!(
+        (changes.news().len(), state_of(&table, "i")),
+        (1, Some(ServerState::Ready))
+    );
 }
 
 #[test]
 fn tombstones_are_told_for_a_minute_kept_for_two_and_dropped() {
     let mut table = table();
     table.on_deregister(START, "i");
-    assert_eq!(table.snapshot(START + SNAPSHOT_TOMBSTONES_US - 1), [tombstone("i")]);
+    assert_eq!(
+        table.snapshot(START + SNAPSHOT_TOMBSTONES_US - 1),
+        [tombstone("i")]
+    );
     assert!(table.snapshot(START + SNAPSHOT_TOMBSTONES_US).is_empty());
     run_to(&mut table, START + TOMBSTONE_KEPT_US - 1);
-    assert!(table.on_heartbeat(START + TOMBSTONE_KEPT_US - 1, "i", &beat("a:1", 9)).is_empty());
+    assert!(table
+        .on_heartbeat(START + TOMBSTONE_KEPT_US - 1, "i", &beat("a:1", 9))
+        .is_empty());
     assert!(run_to(&mut table, START + TOMBSTONE_KEPT_US).is_empty());
     assert!(table.is_empty());
 }
@@ -210,7 +306,9 @@
     assert_eq!(state_of(&table, "new"), Some(ServerState::Ready));
     assert_eq!(state_of(&table, "elsewhere"), Some(ServerState::Ready));
     for late in [beat("a:1", 41), beat("a:1", 2)] {
-        assert!(table.on_heartbeat(START + 200 * MS, "old", &late).is_empty());
+        assert!(table
+            .on_heartbeat(START + 200 * MS, "old", &late)
+            .is_empty());
     }
     assert_eq!(state_of(&table, "new"), Some(ServerState::Ready));
 }
@@ -224,7 +322,8 @@
     assert_eq!(state_of(&table, "old"), Some(ServerState::Gone));
 }
 
-/// The last beat of a server that has ended comes late to a machine that never heard of it, when its address has a new owner.
+/// The last beat of a server that has ended comes late to a machine that never heard of it, when
+/// its address has a new owner.
 #[test]
 fn a_late_beat_of_an_unknown_instance_does_not_end_the_owner_of_its_address() {
     let mut table = table();
@@ -239,7 +338,11 @@
     assert_eq!(changes.news(), [tombstone("ended")]);
     assert_eq!(state_of(&table, "owner"), Some(ServerState::Ready));
     run_to(&mut table, START + 8 * SECOND);
-    assert_eq!(state_of(&table, "owner"), Some(ServerState::Ready), "the owner has nobody to fear");
+    assert_eq!(
+        state_of(&table, "owner"),
+        Some(ServerState::Ready),
+        "the owner has nobody to fear"
+    );
 }
 
 /// The new owner was heard by another machine that did not know of the old one.
@@ -278,7 +381,10 @@
     assert_eq!(digest, [("i".to_owned(), 400), ("j".to_owned(), 300)]);
     assert!(table.take_heard_digest(START + 800 * MS).is_empty());
     table.on_heartbeat(START + 900 * MS, "i", &beat("a:1", 2));
-    assert_eq!(table.take_heard_digest(START + 900 * MS), [("i".to_owned(), 0)]);
+    assert_eq!(
+        table.take_heard_digest(START + 900 * MS),
+        [("i".to_owned(), 0)]
+    );
 }
 
 #[test]
@@ -296,7 +402,10 @@
     assert_eq!(full.live().count(), 49);
     let back = full.merge_all(START + SECOND, &empty.snapshot(START + SECOND));
     assert_eq!(back.news(), [beat("a:own", 1).record("own")]);
-    assert_eq!(full.snapshot(START + SECOND), empty.snapshot(START + SECOND));
+    assert_eq!(
+        full.snapshot(START + SECOND),
+        empty.snapshot(START + SECOND)
+    );
 }
 
 #[test]
@@ -316,7 +425,12 @@
 impl Arbitrary for News {
     fn arbitrary(gen: &mut Gen) -> News {
         let pick = |gen: &mut Gen, count: u8| u8::arbitrary(gen) % count;
-        let states = [ServerState::Ready, ServerState::Ready, ServerState::Draining, ServerState::Gone];
+        let states = [
+            ServerState::Ready,
+            ServerState::Ready,
+            ServerState::Draining,
+            ServerState::Gone,
+        ];
         News(ServerRecord {
             instance: format!("i{}", pick(gen, 3)),
             service: format!("s{}", pick(gen, 2)),
@@ -342,7 +456,11 @@
 fn the_order_of_news_and_how_often_it_comes_do_not_matter() {
     fn holds(news: Vec<News>, turn: usize) -> bool {
         let wanted = after(&news);
-        let turn = if news.is_empty() { 0 } else { turn % news.len() };
+        let turn = if news.is_empty() {
+            0
+        } else {
+            turn % news.len()
+        };
         let turned = news[turn..].iter().chain(&news[..turn]);
         let mut sorted = news.clone();
         sorted.sort_by_key(|news| (news.0.sequence_number, news.0.address.clone(), news.0.state));
@@ -352,7 +470,10 @@
             && after(news.iter().chain(&news)) == wanted
     }
     let gen = Gen::from_size_and_seed(20, SEED);
-    QuickCheck::new().rng(gen).tests(5_000).quickcheck(holds as fn(Vec<News>, usize) -> bool);
+    QuickCheck::new()
+        .rng(gen)
+        .tests(5_000)
+        .quickcheck(holds as fn(Vec<News>, usize) -> bool);
 }
 
 #[test]
@@ -363,14 +484,19 @@
             let changes = one.merge(START, &record.0);
             other.merge_all(START, changes.news());
         }
-        there.iter().for_each(|record| drop(other.merge(START, &record.0)));
+        there
+            .iter()
+            .for_each(|record| drop(other.merge(START, &record.0)));
         one.merge_all(START, &other.snapshot(START));
         other.merge_all(START, &one.snapshot(START));
         one.snapshot(START) == other.snapshot(START)
             && one.snapshot(START) == after(here.iter().chain(&there))
     }
     let gen = Gen::from_size_and_seed(20, SEED);
-    QuickCheck::new().rng(gen).tests(5_000).quickcheck(holds as fn(Vec<News>, Vec<News>) -> bool);
+    QuickCheck::new()
+        .rng(gen)
+        .tests(5_000)
+        .quickcheck(holds as fn(Vec<News>, Vec<News>) -> bool);
 }
 
 #[test]
@@ -384,8 +510,10 @@
             match (beat, record.state) {
                 (_, ServerState::Gone) => table.on_deregister(now, &record.instance),
                 (true, state) => {
-                    let heartbeat =
-                        Heartbeat { state, ..super::tests::beat(&record.address, record.sequence_number) };
+                    let heartbeat = Heartbeat {
+                        state,
+                        ..super::tests::beat(&record.address, record.sequence_number)
+                    };
                     table.on_heartbeat(now, &record.instance, &heartbeat)
                 }
                 (false, _) => table.merge(now, record),
@@ -398,7 +526,10 @@
         })
     }
     let gen = Gen::from_size_and_seed(40, SEED);
-    QuickCheck::new().rng(gen).tests(5_000).quickcheck(holds as fn(Vec<(News, bool)>) -> bool);
+    QuickCheck::new()
+        .rng(gen)
+        .tests(5_000)
+        .quickcheck(holds as fn(Vec<(News, bool)>) -> bool);
 }
 
 #[test]
@@ -409,24 +540,44 @@
     before.on_deregister(START, "c");
     let mut after = table();
     let told = after.remember(START, &before.snapshot(START));
-    assert!(told.news().is_empty(), "others may have forgotten them with reason");
+    assert!(
+        told.news().is_empty(),
+        "others may have forgotten them with reason"
+    );
     assert_eq!(
-        told.records.iter().map(|record| record.instance.as_str()).collect::<Vec<_>>(),
+        told.records
+            .iter()
+            .map(|record| record.instance.as_str())
+            .collect::<Vec<_>>(),
         ["a", "b", "c"]
     );
     assert!(!unheard(&after, "a") && state_of(&after, "b") == Some(ServerState::Draining));
-    assert_eq!(state_of(&after, "c"), Some(ServerState::Gone), "who had left stays gone");
+    assert_eq!(
+        state_of(&after, "c"),
+        Some(ServerState::Gone),
+        "who had left stays gone"
+    );
     assert_eq!(after.live().count(), 2);
     let heard = after.on_heartbeat(START + SECOND, "a", &beat("h:1", 8));
-    assert_eq!((heard.records.len(), heard.news().len()), (1, 1), "now it is news to the others as well");
+    assert_eq!(
+        (heard.records.len(), heard.news().len()),
+        (1, 1),
+        "now it is news to the others as well"
+    );
     run_to(&mut after, START + 5 * SECOND + SECOND / 2);
-    assert!(!unheard(&after, "a") && unheard(&after, "b"), "the one that was silent since the start");
+    assert!(
+        !unheard(&after, "a") && unheard(&after, "b"),
+        "the one that was silent since the start"
+    );
 }
 
 #[test]
 fn who_was_unheard_before_a_start_is_a_last_resort_until_a_beat_comes() {
     let mut after = table();
-    let record = ServerRecord { unheard: true, ..beat("h:1", 7).record("a") };
+    let record = ServerRecord {
+        unheard: true,
+        ..beat("h:1", 7).record("a")
+    };
     after.remember(START, &[record]);
     assert!(unheard(&after, "a"));
     let heard = after.on_heartbeat(START + SECOND, "a", &beat("h:1", 8));
@@ -438,8 +589,11 @@
 fn what_was_known_before_a_start_does_not_overrule_what_is_known() {
     let mut known = table();
     known.on_heartbeat(START, "a", &draining("h:1", 9));
-    let old =
-        ServerRecord { state: ServerState::Ready, unheard: false, ..known.record("a").unwrap().clone() };
+    let old = ServerRecord {
+        state: ServerState::Ready,
+        unheard: false,
+        ..known.record("a").unwrap().clone()
+    };
     assert!(known.remember(START, &[old]).is_empty());
     assert_eq!(state_of(&known, "a"), Some(ServerState::Draining));
     assert!(!unheard(&known, "a"));
@@ -448,11 +602,18 @@
 #[test]
 fn what_was_known_before_a_start_is_told_apart_from_the_table() {
     let mut after = table();
-    after.remember(START, &[beat("h:1", 7).record("a"), beat("h:2", 7).record("b")]);
+    after.remember(
+        START,
+        &[beat("h:1", 7).record("a"), beat("h:2", 7).record("b")],
+    );
     assert!(after.snapshot(START).is_empty());
     after.on_heartbeat(START + SECOND, "a", &beat("h:1", 8));
-    let names =
-        |records: Vec<ServerRecord>| records.into_iter().map(|record| record.instance).collect::<Vec<_>>();
+    let names = |records: Vec<ServerRecord>| {
+        records
+            .into_iter()
+            .map(|record| record.instance)
+            .collect::<Vec<_>>()
+    };
     assert_eq!(names(after.snapshot(START + SECOND)), ["a"]);
     assert_eq!(names(after.remembered()), ["b"]);
 }
@@ -487,7 +648,11 @@
         let mut after = table();
         after.remember(START, &[beat("h:1", 7).record("a")]);
         let told = after.remember(START, std::slice::from_ref(&leaving));
-        assert_eq!(told.records, std::slice::from_ref(&leaving), "routers hear of it");
+        assert_eq!(
+            told.records,
+            std::slice::from_ref(&leaving),
+            "routers hear of it"
+        );
         assert_eq!(state_of(&after, "a"), Some(leaving.state));
     }
 }
--- a/decide/replication/src/durable.rs
+++ b/decide/replication/src/durable.rs
@@ -79,7 +79,8 @@
 /// What the items of a disk come to.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Recovered {
-    /// The last image; `position`, `membership` and `promised` count the records and promises after it.
+    /// The last image; `position`, `membership` and `promised` count the records and promises after
+    /// it.
     pub image: Image,
     /// Changes of the state that came after the image, in order.
     pub changes: Vec<Vec<u8>>,
@@ -92,7 +93,9 @@
     #[error("there is no image among the items: the disk is empty")]
     Empty,
     /// A record that doesn't stand on what is before it.
-    #[error("the record at {found} stands on {previous}, but the image before it stands at {expected}")]
+    #[error(
+        "the record at {found} stands on {previous}, but the image before it stands at {expected}"
+    )]
     RecordDoesNotFollow {
         /// Where the record stands.
         found: Position,
@@ -144,13 +147,20 @@
     }
 }
 
-fn fold(folded: &mut Option<Recovered>, promised: &mut Epoch, item: DurableItem) -> Result<(), RecoverError> {
+fn fold(
+    folded: &mut Option<Recovered>,
+    promised: &mut Epoch,
+    item: DurableItem,
+) -> Result<(), RecoverError> {
     match item {
         DurableItem::Promise(epoch) => *promised = epoch.max(*promised),
         DurableItem::Image(image) => {
             check_image(folded.as_ref(), &image)?;
             *promised = image.promised.max(*promised);
-            *folded = Some(Recovered { image, changes: Vec::new() });
+            *folded = Some(Recovered {
+                image,
+                changes: Vec::new(),
+            });
         }
         DurableItem::Record(record) => {
             let recovered = folded.as_mut().ok_or(RecoverError::Empty)?;
@@ -170,22 +180,39 @@
 fn check_image(before: Option<&Recovered>, image: &Image) -> Result<(), RecoverError> {
     let Some(before) = before else { return Ok(()) };
     if image.identity != before.image.identity {
-        return Err(RecoverError::TwoIdentities { found: image.identity, expected: before.image.identity });
+        return Err(RecoverError::TwoIdentities {
+            found: image.identity,
+            expected: before.image.identity,
+        });
     }
     if image.position < before.image.position {
-        return Err(RecoverError::ImageGoesBack { found: image.position, expected: before.image.position });
+        return Err(RecoverError::ImageGoesBack {
+            found: image.position,
+            expected: before.image.position,
+        });
     }
     Ok(())
 }
 
-fn check_record(recovered: &Recovered, promised: Epoch, record: &Record) -> Result<(), RecoverError> {
+fn check_record(
+    recovered: &Recovered,
+    promised: Epoch,
+    record: &Record,
+) -> Result<(), RecoverError> {
     let expected = recovered.image.position;
     if record.previous != expected || record.position <= expected {
         let (found, previous) = (record.position, record.previous);
-        return Err(RecoverError::RecordDoesNotFollow { found, previous, expected });
+        return Err(RecoverError::RecordDoesNotFollow {
+            found,
+            previous,
+            expected,
+        });
     }
     if record.position.epoch < promised {
-        return Err(RecoverError::RecordBelowPromise { found: record.position, promised });
+        return Err(RecoverError::RecordBelowPromise {
+            found: record.position,
+            promised,
+        });
     }
     Ok(())
 }
--- a/decide/replication/src/lib.rs
+++ b/decide/replication/src/lib.rs
@@ -1,11 +1,13 @@
 //! Replicated state without a log: epochs, images, quorums and changes of membership.
 //!
-//! It owns the algorithm of `docs/design/control.md`, sections 2 to 4, and promises what they say. It is pure: no input or output, clock or
-//! threads; time is an argument, and what is to be sent or written comes back as [`Output`]s.
+//! It owns the algorithm of `docs/design/control.md`, sections 2 to 4, and promises what they say.
+//! It is pure: no input or output, clock or threads; time is an argument, and what is to be sent or
+//! written comes back as [`Output`]s.
 //!
-//! A caller makes a [`Replica`] by [`Replica::found`], [`Replica::recover`] or [`Replica::newcomer`], hands it what happens
-//! ([`Replica::on_message`], [`Replica::on_persisted`], [`Replica::tick`] at [`Replica::next_wake`]) and does, after each call and in order,
-//! what [`Replica::take_outputs`] says.
+//! A caller makes a [`Replica`] by [`Replica::found`], [`Replica::recover`] or
+//! [`Replica::newcomer`], hands it what happens ([`Replica::on_message`],
+//! [`Replica::on_persisted`], [`Replica::tick`] at [`Replica::next_wake`]) and does, after each
+//! call and in order, what [`Replica::take_outputs`] says.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/decide/replication/src/membership.rs
+++ b/decide/replication/src/membership.rs
@@ -21,18 +21,30 @@
     pub fn new(voters: impl IntoIterator<Item = Member>) -> Self {
         let mut voters: Vec<Member> = voters.into_iter().collect();
         voters.sort();
-        Self { voters, outgoing: None }
+        Self {
+            voters,
+            outgoing: None,
+        }
     }
 
     /// The joint membership on the way from this one to `voters`.
     pub fn joint(&self, voters: impl IntoIterator<Item = Member>) -> Self {
-        debug_assert!(self.outgoing.is_none(), "one change of membership at a time");
-        Self { outgoing: Some(self.voters.clone()), ..Self::new(voters) }
+        debug_assert!(
+            self.outgoing.is_none(),
+            "one change of membership at a time"
+        );
+        Self {
+            outgoing: Some(self.voters.clone()),
+            ..Self::new(voters)
+        }
     }
 
     /// What follows a joint membership.
     pub fn finished(&self) -> Self {
-        Self { voters: self.voters.clone(), outgoing: None }
+        Self {
+            voters: self.voters.clone(),
+            outgoing: None,
+        }
     }
 
     /// Whether a change is under way.
@@ -42,8 +54,9 @@
 
     /// Whether `present` holds a majority of the voters, and of the outgoing ones.
     pub fn quorum(&self, present: &BTreeSet<Identity>) -> bool {
-        let majority =
-            |members: &[Member]| held(members, present) >= majority_of(members.len()) && !members.is_empty();
+        let majority = |members: &[Member]| {
+            held(members, present) >= majority_of(members.len()) && !members.is_empty()
+        };
         majority(&self.voters) && self.outgoing.as_deref().is_none_or(majority)
     }
 
@@ -60,13 +73,20 @@
     /// All that it names: the voters, then those outgoing ones that don't stay.
     pub fn all(&self) -> impl Iterator<Item = &Member> {
         let gone = self.outgoing.iter().flatten();
-        let gone = gone.filter(|old| self.voters.iter().all(|voter| voter.identity != old.identity));
+        let gone = gone.filter(|old| {
+            self.voters
+                .iter()
+                .all(|voter| voter.identity != old.identity)
+        });
         self.voters.iter().chain(gone)
     }
 }
 
 fn held(members: &[Member], present: &BTreeSet<Identity>) -> usize {
-    members.iter().filter(|member| present.contains(&member.identity)).count()
+    members
+        .iter()
+        .filter(|member| present.contains(&member.identity))
+        .count()
 }
 
 /// Least number of `voters` that is more than half.
--- a/decide/replication/src/message.rs
+++ b/decide/replication/src/message.rs
@@ -1,5 +1,5 @@
-//! Messages between members. Each names its sender, and an answer the epoch and round it belongs to, so that one that is late,
-//! repeated or meant for another never counts.
+//! Messages between members. Each names its sender, and an answer the epoch and round it belongs
+//! to, so that one that is late, repeated or meant for another never counts.
 
 use rkyv::{Archive, Deserialize, Serialize};
 use thiserror::Error;
@@ -147,7 +147,8 @@
     pub epoch: Epoch,
     /// Number of the round that it asks to confirm.
     pub round: u64,
-    /// Of the receiver's last answer that came. What is told here was true after that was sent, however late this is read.
+    /// Of the receiver's last answer that came. What is told here was true after that was sent,
+    /// however late this is read.
     pub echo: Option<Stamp>,
     /// A quorum has confirmed the primary of late.
     pub in_contact: bool,
@@ -220,7 +221,9 @@
     >,
 {
     let bytes = rkyv::to_bytes::<rkyv::rancor::Error>(value);
-    bytes.expect("a plain value is serialised into memory without an error").into_vec()
+    bytes
+        .expect("a plain value is serialised into memory without an error")
+        .into_vec()
 }
 
 /// A copy at the alignment that the deserialiser needs.
--- a/decide/replication/src/model/ledger.rs
+++ b/decide/replication/src/model/ledger.rs
@@ -13,7 +13,10 @@
 
 impl ReplicatedState for History {
     fn encode(&self) -> Vec<u8> {
-        self.changes.iter().flat_map(|change| change.to_le_bytes()).collect()
+        self.changes
+            .iter()
+            .flat_map(|change| change.to_le_bytes())
+            .collect()
     }
 
     fn decode(bytes: &[u8]) -> Result<Self, StateError> {
@@ -28,7 +31,9 @@
     }
 
     fn apply(&mut self, change: &[u8]) -> Result<(), StateError> {
-        let change = change.try_into().map_err(|_| StateError::new("a change is 8 bytes"))?;
+        let change = change
+            .try_into()
+            .map_err(|_| StateError::new("a change is 8 bytes"))?;
         self.changes.push(u64::from_le_bytes(change));
         Ok(())
     }
@@ -98,7 +103,9 @@
             self.committed = history.to_vec();
             self.position = position;
         } else if !known.starts_with(history) {
-            self.violate(format!("node {node} commits {history:?} at {position}, beside {known:?}"));
+            self.violate(format!(
+                "node {node} commits {history:?} at {position}, beside {known:?}"
+            ));
         }
     }
 
@@ -115,14 +122,24 @@
     }
 
     /// A request has ended.
-    pub(super) fn settled(&mut self, node: usize, request: RequestId, outcome: &Outcome, history: Vec<u64>) {
+    pub(super) fn settled(
+        &mut self,
+        node: usize,
+        request: RequestId,
+        outcome: &Outcome,
+        history: Vec<u64>,
+    ) {
         // What a process that has ended was asked is forgotten.
-        let Some(wanted) = self.asked.remove(&(node, request)) else { return };
+        let Some(wanted) = self.asked.remove(&(node, request)) else {
+            return;
+        };
         match (wanted, outcome) {
             (Wanted::Change(change), Outcome::Committed(_)) => {
                 self.acknowledged.insert(change);
                 if !self.committed.contains(&change) {
-                    self.violate(format!("node {node} acknowledges {change}, which is not committed"));
+                    self.violate(format!(
+                        "node {node} acknowledges {change}, which is not committed"
+                    ));
                 }
             }
             (Wanted::Change(change), Outcome::NotPrimary | Outcome::Rejected(_)) => {
@@ -137,7 +154,9 @@
                     ));
                 }
             }
-            (wanted, outcome) => self.violate(format!("node {node} settles {wanted:?} by {outcome:?}")),
+            (wanted, outcome) => {
+                self.violate(format!("node {node} settles {wanted:?} by {outcome:?}"))
+            }
         }
     }
 }
--- a/decide/replication/src/model/mod.rs
+++ b/decide/replication/src/model/mod.rs
@@ -1,8 +1,10 @@
-//! A deterministic world of replicas: a network that loses, repeats and reorders, disks that sync late, crash or are lost, and clocks that
-//! run as they like. It owns the ledger that judges what the replicas say. For tests and simulations only.
+//! A deterministic world of replicas: a network that loses, repeats and reorders, disks that sync
+//! late, crash or are lost, and clocks that run as they like. It owns the ledger that judges what
+//! the replicas say. For tests and simulations only.
 //!
-//! [`World`] knows no common time: each node's clock advances by itself, so what holds here holds whatever clocks do. [`timed::Timed`]
-//! runs the same world in one virtual time, for what must *happen*.
+//! [`World`] knows no common time: each node's clock advances by itself, so what holds here holds
+//! whatever clocks do. [`timed::Timed`] runs the same world in one virtual time, for what must
+//! *happen*.
 
 pub mod ledger;
 pub mod timed;
@@ -144,7 +146,13 @@
         let me = self.draw_member(0);
         let node = &mut self.nodes[0];
         node.lives += 1;
-        let replica = Replica::found(self.settings.clone(), me, self.founding.clone(), self.seed, node.clock);
+        let replica = Replica::found(
+            self.settings.clone(),
+            me,
+            self.founding.clone(),
+            self.seed,
+            node.clock,
+        );
         self.start(0, replica);
     }
 
@@ -155,7 +163,10 @@
             node.identity = Identity(self.next_identity);
             self.next_identity += 1;
         }
-        Member { identity: node.identity, address: node.address.clone() }
+        Member {
+            identity: node.identity,
+            address: node.address.clone(),
+        }
     }
 
     fn start(&mut self, index: usize, mut replica: Replica<History>) {
@@ -173,7 +184,9 @@
             return;
         }
         self.nodes[index].lives += 1;
-        let seed = self.seed.wrapping_add(u64::from(self.nodes[index].lives) * 7919 + index as u64);
+        let seed = self
+            .seed
+            .wrapping_add(u64::from(self.nodes[index].lives) * 7919 + index as u64);
         let (settings, node) = (self.settings.clone(), &self.nodes[index]);
         let (address, clock) = (node.address.clone(), node.clock);
         let replica = match Recovered::from_items(node.disk.iter().cloned()) {
@@ -189,11 +202,14 @@
         };
         match replica {
             Ok(replica) => self.start(index, replica),
-            Err(error) => self.ledger.violate(format!("node {index} can't read its disk: {error}")),
+            Err(error) => self
+                .ledger
+                .violate(format!("node {index} can't read its disk: {error}")),
         }
     }
 
-    /// Ends a node's process. Of what waited for the disk, the first `kept` items are there all the same.
+    /// Ends a node's process. Of what waited for the disk, the first `kept` items are there all the
+    /// same.
     pub fn crash(&mut self, index: usize, kept: usize) {
         let node = &mut self.nodes[index];
         for _ in 0..kept {
@@ -250,7 +266,9 @@
     /// A message arrives, if its receiver is up.
     pub fn deliver(&mut self, envelope: Envelope) {
         let node = &mut self.nodes[envelope.to];
-        let Some(replica) = &mut node.replica else { return };
+        let Some(replica) = &mut node.replica else {
+            return;
+        };
         replica.on_message(node.clock, envelope.message);
         self.collect(envelope.to);
     }
@@ -258,7 +276,9 @@
     /// The oldest item that waits at a node is synced.
     pub fn sync(&mut self, index: usize) {
         let node = &mut self.nodes[index];
-        let Some((ticket, item)) = node.pending.pop_front() else { return };
+        let Some((ticket, item)) = node.pending.pop_front() else {
+            return;
+        };
         node.write(item);
         if let Some(replica) = &mut node.replica {
             replica.on_persisted(node.clock, ticket);
@@ -269,7 +289,9 @@
     /// The oldest item that waits at a node can't be written, and none after it.
     pub fn fail_sync(&mut self, index: usize) {
         let node = &mut self.nodes[index];
-        let Some((ticket, _)) = node.pending.pop_front() else { return };
+        let Some((ticket, _)) = node.pending.pop_front() else {
+            return;
+        };
         node.pending.clear();
         if let Some(replica) = &mut node.replica {
             replica.on_persist_failed(node.clock, ticket);
@@ -280,31 +302,38 @@
     /// A node's clock goes on to its next wake.
     pub fn tick_to_wake(&mut self, index: usize) {
         let node = &mut self.nodes[index];
-        let Some(replica) = &mut node.replica else { return };
+        let Some(replica) = &mut node.replica else {
+            return;
+        };
         node.clock = node.clock.max(replica.next_wake());
         self.tick(index);
     }
 
-    /// A node is told its time. It must then have nothing left to do at that time: a process that sleeps until
-    /// [`Replica::next_wake`] would be woken over and over.
+    /// A node is told its time. It must then have nothing left to do at that time: a process that
+    /// sleeps until [`Replica::next_wake`] would be woken over and over.
     pub fn tick(&mut self, index: usize) {
         let node = &mut self.nodes[index];
-        let Some(replica) = &mut node.replica else { return };
+        let Some(replica) = &mut node.replica else {
+            return;
+        };
         let now = node.clock;
         replica.tick(now);
         self.collect(index);
         let wake = self.nodes[index].replica.as_ref().map(Replica::next_wake);
         if let Some(wake) = wake.filter(|wake| *wake <= now) {
             let (wake, now) = (wake.0, now.0);
-            self.ledger
-                .violate(format!("node {index} was told the time {now}, and is to be woken at {wake}"));
+            self.ledger.violate(format!(
+                "node {index} was told the time {now}, and is to be woken at {wake}"
+            ));
         }
     }
 
     /// A client proposes at a node.
     pub fn propose(&mut self, index: usize) {
         let node = &mut self.nodes[index];
-        let Some(replica) = &mut node.replica else { return };
+        let Some(replica) = &mut node.replica else {
+            return;
+        };
         let change = self.ledger.draw_change();
         let request = replica.propose(node.clock, change.to_le_bytes().to_vec());
         self.ledger.asked(index, request, Wanted::Change(change));
@@ -314,7 +343,9 @@
     /// A client asks a node for a confirmation.
     pub fn confirm(&mut self, index: usize) {
         let node = &mut self.nodes[index];
-        let Some(replica) = &mut node.replica else { return };
+        let Some(replica) = &mut node.replica else {
+            return;
+        };
         let wanted = Wanted::AtLeast(self.ledger.committed.len());
         let request = replica.confirm(node.clock);
         self.ledger.asked(index, request, wanted);
@@ -324,7 +355,9 @@
     /// A node is asked to leave.
     pub fn leave(&mut self, index: usize) {
         let node = &mut self.nodes[index];
-        let Some(replica) = &mut node.replica else { return };
+        let Some(replica) = &mut node.replica else {
+            return;
+        };
         node.leaving = true;
         replica.leave(node.clock);
         self.collect(index);
@@ -332,7 +365,9 @@
 
     /// Takes what a replica wants done.
     pub fn collect(&mut self, index: usize) {
-        let Some(replica) = &mut self.nodes[index].replica else { return };
+        let Some(replica) = &mut self.nodes[index].replica else {
+            return;
+        };
         for output in replica.take_outputs() {
             self.take_output(index, output);
         }
@@ -361,14 +396,26 @@
     fn history(&self, index: usize) -> Vec<u64> {
         let replica = self.nodes[index].replica.as_ref();
         let committed = replica.and_then(|replica| replica.committed());
-        committed.map(|(_, history)| history.changes.clone()).unwrap_or_default()
+        committed
+            .map(|(_, history)| history.changes.clone())
+            .unwrap_or_default()
     }
 
     fn post(&mut self, from: usize, address: &str, message: Message) {
-        let Some(to) = self.nodes.iter().position(|node| node.address == address) else { return };
+        let Some(to) = self.nodes.iter().position(|node| node.address == address) else {
+            return;
+        };
         let key = BuildHasherDefault::<DefaultHasher>::default().hash_one((from, to, &message));
         let at = self.network.partition_point(|envelope| envelope.key < key);
-        self.network.insert(at, Envelope { key, from, to, message });
+        self.network.insert(
+            at,
+            Envelope {
+                key,
+                from,
+                to,
+                message,
+            },
+        );
         while self.network.len() > self.network_limit {
             // Keys are as good as random.
             self.network.pop();
@@ -377,7 +424,12 @@
 
     /// The node that says it is primary and serves, of the highest epoch.
     pub fn serving(&self) -> Option<usize> {
-        let serves = |index: &usize| self.nodes[*index].replica.as_ref().is_some_and(Replica::is_serving);
+        let serves = |index: &usize| {
+            self.nodes[*index]
+                .replica
+                .as_ref()
+                .is_some_and(Replica::is_serving)
+        };
         let epoch = |index: &usize| self.nodes[*index].replica.as_ref().map(Replica::promised);
         (0..self.nodes.len()).filter(serves).max_by_key(epoch)
     }
@@ -386,8 +438,13 @@
 impl Node {
     fn write(&mut self, item: DurableItem) {
         if matches!(item, DurableItem::Image(_)) {
-            // What is before an image is not needed; the check of identity and order is kept by the last item.
-            if let Some(last) = self.disk.iter().rposition(|item| matches!(item, DurableItem::Image(_))) {
+            // What is before an image is not needed; the check of identity and order is kept by the
+            // last item.
+            if let Some(last) = self
+                .disk
+                .iter()
+                .rposition(|item| matches!(item, DurableItem::Image(_)))
+            {
                 self.disk.drain(..last);
             }
         }
--- a/decide/replication/src/model/timed.rs
+++ b/decide/replication/src/model/timed.rs
@@ -1,4 +1,5 @@
-//! The world in one virtual time: messages and disks take as long as a script or a seed says, nodes freeze and lose each other.
+//! The world in one virtual time: messages and disks take as long as a script or a seed says, nodes
+//! freeze and lose each other.
 
 use std::collections::BTreeMap;
 
@@ -30,7 +31,13 @@
 
 impl Default for Weather {
     fn default() -> Self {
-        Self { latency: 250, jitter: 250, loss: 0, repeat: 0, sync: 1_000 }
+        Self {
+            latency: 250,
+            jitter: 250,
+            loss: 0,
+            repeat: 0,
+            sync: 1_000,
+        }
     }
 }
 
@@ -86,14 +93,22 @@
             timed.restart(index);
         }
         let whole = timed.run_until(30_000_000, |timed| timed.is_whole(voters));
-        assert!(whole.is_some(), "{voters} voters did not come together within 30 s");
+        assert!(
+            whole.is_some(),
+            "{voters} voters did not come together within 30 s"
+        );
         timed
     }
 
-    /// Whether a primary serves that names just so many voters, none of them under change, all of them up.
+    /// Whether a primary serves that names just so many voters, none of them under change, all of
+    /// them up.
     pub fn is_whole(&self, voters: usize) -> bool {
-        let Some(index) = self.world.serving() else { return false };
-        let Some(replica) = self.world.nodes[index].replica.as_ref() else { return false };
+        let Some(index) = self.world.serving() else {
+            return false;
+        };
+        let Some(replica) = self.world.nodes[index].replica.as_ref() else {
+            return false;
+        };
         let membership = replica.membership();
         let up = |member: &Member| {
             let mut nodes = self.world.nodes.iter();
@@ -115,7 +130,8 @@
         self.crash_keeping(index, kept);
     }
 
-    /// Ends a node's process; just so many of the items that waited for its disk are there all the same.
+    /// Ends a node's process; just so many of the items that waited for its disk are there all the
+    /// same.
     pub fn crash_keeping(&mut self, index: usize, kept: usize) {
         self.world.crash(index, kept);
         self.syncing[index] = false;
@@ -186,7 +202,8 @@
         Some(self.now.since(begin))
     }
 
-    /// A client proposes at whoever serves, every 20 ms, until a change is acknowledged; how long that took.
+    /// A client proposes at whoever serves, every 20 ms, until a change is acknowledged; how long
+    /// that took.
     pub fn commit_within(&mut self, micros: u64) -> Option<u64> {
         let (begin, end) = (self.now, self.now.after(micros));
         let before = self.world.ledger.acknowledged.len();
@@ -195,7 +212,10 @@
                 self.call(index, |world| world.propose(index));
             }
             let left = end.since(self.now).min(20_000);
-            if self.run_until(left, |timed| timed.world.ledger.acknowledged.len() > before).is_some() {
+            if self
+                .run_until(left, |timed| timed.world.ledger.acknowledged.len() > before)
+                .is_some()
+            {
                 return Some(self.now.since(begin));
             }
             self.now = self.now.max(begin).after(u64::from(left == 0));
@@ -277,17 +297,23 @@
                 continue;
             }
             if weather.repeat > 0 && self.dice.one_in(weather.repeat) {
-                let at = self.now.after(weather.latency + self.dice.below(weather.jitter * 10 + 1));
+                let at = self
+                    .now
+                    .after(weather.latency + self.dice.below(weather.jitter * 10 + 1));
                 self.put(at, Event::Deliver(envelope.clone()));
             }
-            let at = self.now.after(weather.latency + self.dice.below(weather.jitter + 1));
+            let at = self
+                .now
+                .after(weather.latency + self.dice.below(weather.jitter + 1));
             self.put(at, Event::Deliver(envelope));
         }
         for node in 0..self.world.nodes.len() {
             if !self.syncing[node] && !self.world.nodes[node].pending.is_empty() {
                 self.syncing[node] = true;
                 let life = self.world.nodes[node].lives;
-                let at = self.now.after(weather.sync + self.dice.below(weather.sync + 1));
+                let at = self
+                    .now
+                    .after(weather.sync + self.dice.below(weather.sync + 1));
                 self.put(at, Event::Sync { node, life });
             }
         }
--- a/decide/replication/src/model/walk.rs
+++ b/decide/replication/src/model/walk.rs
@@ -44,7 +44,8 @@
     }
 }
 
-/// Runs the world without faults, each node's clock in step, until `voters` nodes are the voters and one of them serves.
+/// Runs the world without faults, each node's clock in step, until `voters` nodes are the voters
+/// and one of them serves.
 ///
 /// # Panics
 /// If that takes more than 60 s of their time.
@@ -55,7 +56,9 @@
     }
     for _ in 0..6_000 {
         calm_step(world, 10_000);
-        let serving = world.serving().and_then(|index| world.nodes[index].replica.as_ref());
+        let serving = world
+            .serving()
+            .and_then(|index| world.nodes[index].replica.as_ref());
         let whole = |replica: &crate::Replica<_>| {
             replica.membership().voters.len() == voters
                 && !replica.membership().is_joint()
@@ -73,7 +76,10 @@
     for index in 0..world.nodes.len() {
         let node = &mut world.nodes[index];
         node.clock = node.clock.after(micros);
-        let due = node.replica.as_ref().is_some_and(|replica| replica.next_wake() <= node.clock);
+        let due = node
+            .replica
+            .as_ref()
+            .is_some_and(|replica| replica.next_wake() <= node.clock);
         if due {
             world.tick(index);
         }
@@ -154,7 +160,12 @@
     gather(&mut world, walk.voters);
     let chances = Chances::draw(&mut dice);
     let reach = vec![Reach::Whole; world.nodes.len()];
-    let mut course = Course { walk, chances, dice, reach };
+    let mut course = Course {
+        walk,
+        chances,
+        dice,
+        reach,
+    };
     for step in 0..walk.steps {
         if world.ledger.violation.is_some() {
             break;
@@ -191,7 +202,14 @@
         let node = self.dice.index(world.nodes.len());
         let runs = self.reach[node] != Reach::Frozen;
         let chances = self.chances;
-        let table = [chances.tick, chances.sync, chances.client, chances.fault, chances.drop, chances.repeat];
+        let table = [
+            chances.tick,
+            chances.sync,
+            chances.client,
+            chances.fault,
+            chances.drop,
+            chances.repeat,
+        ];
         let mut roll = self.dice.below(table.iter().sum::<u64>() + chances.deliver);
         let mut choice = 0;
         while choice < table.len() && roll >= table[choice] {
@@ -217,15 +235,22 @@
         let open: Vec<usize> = open.map(|(at, _)| at).collect();
         if open.is_empty() {
             let waits = |node: &super::Node| !node.pending.is_empty();
-            if let Some(node) =
-                world.nodes.iter().position(waits).filter(|at| self.reach[*at] != Reach::Frozen)
+            if let Some(node) = world
+                .nodes
+                .iter()
+                .position(waits)
+                .filter(|at| self.reach[*at] != Reach::Frozen)
             {
                 world.act(&Action::Sync(node));
             }
             return;
         }
         let at = open[self.dice.index(open.len())];
-        world.act(&if again { Action::Repeat(at) } else { Action::Deliver(at) });
+        world.act(&if again {
+            Action::Repeat(at)
+        } else {
+            Action::Deliver(at)
+        });
     }
 
     fn client(&mut self, world: &mut World, node: usize) {
@@ -233,13 +258,23 @@
             let replica = world.nodes[at].replica.as_ref();
             self.reach[at] != Reach::Frozen && replica.is_some_and(|replica| replica.is_serving())
         };
-        let serving: Vec<usize> = (0..world.nodes.len()).filter(|at| serves(world, *at)).collect();
+        let serving: Vec<usize> = (0..world.nodes.len())
+            .filter(|at| serves(world, *at))
+            .collect();
         let any = serving.is_empty() || self.dice.one_in(10);
-        let node = if any { node } else { serving[self.dice.index(serving.len())] };
+        let node = if any {
+            node
+        } else {
+            serving[self.dice.index(serving.len())]
+        };
         if self.reach[node] == Reach::Frozen {
             return;
         }
-        world.act(&if self.dice.one_in(2) { Action::Propose(node) } else { Action::Confirm(node) });
+        world.act(&if self.dice.one_in(2) {
+            Action::Propose(node)
+        } else {
+            Action::Confirm(node)
+        });
     }
 
     fn fault(&mut self, world: &mut World, node: usize) {
--- a/decide/replication/src/output.rs
+++ b/decide/replication/src/output.rs
@@ -40,7 +40,8 @@
 pub enum Outcome {
     /// The change is committed, at this position.
     Committed(Position),
-    /// A quorum has confirmed this primary in a round that began after the call; what is committed stands here.
+    /// A quorum has confirmed this primary in a round that began after the call; what is committed
+    /// stands here.
     Confirmed(Position),
     /// Nothing was done, and nothing ever will be.
     NotPrimary,
--- a/decide/replication/src/replica/disk.rs
+++ b/decide/replication/src/replica/disk.rs
@@ -45,8 +45,14 @@
     /// Takes in that all up to this ticket is synced; whether that is news.
     pub(super) fn persisted(&mut self, ticket: Ticket) -> bool {
         let mut news = false;
-        while self.outstanding.front().is_some_and(|first| first.ticket <= ticket) {
-            let Some(done) = self.outstanding.pop_front() else { break };
+        while self
+            .outstanding
+            .front()
+            .is_some_and(|first| first.ticket <= ticket)
+        {
+            let Some(done) = self.outstanding.pop_front() else {
+                break;
+            };
             self.synced = done.position;
             self.synced_promise = done.promise;
             news = true;
@@ -102,25 +108,44 @@
         self.disk.last_ticket += 1;
         let ticket = Ticket(self.disk.last_ticket);
         let position = self.image.as_ref().map(|image| image.position);
-        self.disk.outstanding.push_back(Outstanding { ticket, promise: self.promised, position, since: now });
+        self.disk.outstanding.push_back(Outstanding {
+            ticket,
+            promise: self.promised,
+            position,
+            since: now,
+        });
         self.outputs.push(Output::Persist { ticket, item });
     }
 
-    /// The whole image that stands for the item of this ticket and all before it, if a segment of the disk begins anew with it; none if it
-    /// is no longer, or not the last, in flight.
+    /// The whole image that stands for the item of this ticket and all before it, if a segment of
+    /// the disk begins anew with it; none if it is no longer, or not the last, in flight.
     pub fn image_for(&self, ticket: Ticket) -> Option<DurableItem> {
-        let last = self.disk.outstanding.back().filter(|last| last.ticket == ticket)?;
-        debug_assert!(last.promise <= self.promised, "the disk never knows a promise that memory doesn't");
+        let last = self
+            .disk
+            .outstanding
+            .back()
+            .filter(|last| last.ticket == ticket)?;
+        debug_assert!(
+            last.promise <= self.promised,
+            "the disk never knows a promise that memory doesn't"
+        );
         self.durable_image()
     }
 
     /// Everything that this member holds, as an item; also what was accepted and not yet synced.
     pub fn durable_image(&self) -> Option<DurableItem> {
-        self.image.as_ref().map(|image: &Memory<S>| image.to_item(self.me.identity, self.promised))
+        self.image
+            .as_ref()
+            .map(|image: &Memory<S>| image.to_item(self.me.identity, self.promised))
     }
 
     pub(super) fn disk_failed(&mut self, now: Time, ticket: Ticket) {
-        if !self.disk.outstanding.iter().any(|item| item.ticket == ticket) {
+        if !self
+            .disk
+            .outstanding
+            .iter()
+            .any(|item| item.ticket == ticket)
+        {
             return;
         }
         self.disk.outstanding.clear();
@@ -136,7 +161,8 @@
         let outstanding_for = self.disk.waits_for(now);
         if outstanding_for >= self.settings.disk_stall && !self.disk.stall_told {
             self.disk.stall_told = true;
-            self.outputs.push(Output::Notice(Notice::DiskStalled { outstanding_for }));
+            self.outputs
+                .push(Output::Notice(Notice::DiskStalled { outstanding_for }));
         }
     }
 
@@ -159,7 +185,10 @@
     }
 
     fn is_alone(&self) -> bool {
-        let voters = self.image.as_ref().map_or(&[][..], |image| &image.membership.voters);
+        let voters = self
+            .image
+            .as_ref()
+            .map_or(&[][..], |image| &image.membership.voters);
         !self.is_outsider() && voters.len() == 1
     }
 
@@ -179,7 +208,20 @@
             synced = self.image.as_ref().map(|image| image.position);
         }
         let (writable, leaving) = (self.writable(now), self.leaving.is_some());
-        let stamp = Stamp { process: self.process, clock: now.0 };
-        self.send(address, Body::AppendResponse { epoch, round, synced, writable, leaving, stamp });
+        let stamp = Stamp {
+            process: self.process,
+            clock: now.0,
+        };
+        self.send(
+            address,
+            Body::AppendResponse {
+                epoch,
+                round,
+                synced,
+                writable,
+                leaving,
+                stamp,
+            },
+        );
     }
 }
--- a/decide/replication/src/replica/election.rs
+++ b/decide/replication/src/replica/election.rs
@@ -1,4 +1,5 @@
-//! How a voter becomes primary: it asks whether it would be supported, draws an epoch, and gathers grants.
+//! How a voter becomes primary: it asks whether it would be supported, draws an epoch, and gathers
+//! grants.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -69,7 +70,8 @@
             return Some(Verdict::Excluded(newest.position));
         }
         let present: BTreeSet<Identity> = self.yes.keys().copied().collect();
-        let won = newest.membership.quorum(&present) || (half && half_of(&newest.membership, &present));
+        let won =
+            newest.membership.quorum(&present) || (half && half_of(&newest.membership, &present));
         Some(match won {
             true => Verdict::Won(newest.position, holder.clone()),
             false => Verdict::Open(newest.membership.clone()),
@@ -79,15 +81,24 @@
 
 /// The planted fault of a quorum that is too small.
 pub(super) fn half_of(membership: &Membership, present: &BTreeSet<Identity>) -> bool {
-    let held = membership.voters.iter().filter(|voter| present.contains(&voter.identity)).count();
+    let held = membership
+        .voters
+        .iter()
+        .filter(|voter| present.contains(&voter.identity))
+        .count();
     held * 2 >= membership.voters.len()
 }
 
 impl<S: ReplicatedState> Replica<S> {
-    /// Puts the next attempt off by a time that is drawn anew, so that two voters seldom try at once. After a start attempts come soon:
-    /// where the others hear a primary they don't support one, and where all have started together nobody needs to be waited for.
+    /// Puts the next attempt off by a time that is drawn anew, so that two voters seldom try at
+    /// once. After a start attempts come soon: where the others hear a primary they don't support
+    /// one, and where all have started together nobody needs to be waited for.
     pub(super) fn rest_before_election(&mut self, now: Time) {
-        let base = if self.fresh { self.settings.retry_interval } else { self.settings.election_timeout };
+        let base = if self.fresh {
+            self.settings.retry_interval
+        } else {
+            self.settings.election_timeout
+        };
         let rest = base + self.draw_below(base);
         self.election_at = now.after(rest);
     }
@@ -103,8 +114,13 @@
             return self.in_contact(now);
         }
         let recent = |heard: Time| now.since(heard) < self.settings.election_timeout;
-        let heard = self.known.as_ref().filter(|known| known.epoch == self.promised);
-        heard.and_then(|known| known.confirmed_at).is_some_and(recent)
+        let heard = self
+            .known
+            .as_ref()
+            .filter(|known| known.epoch == self.promised);
+        heard
+            .and_then(|known| known.confirmed_at)
+            .is_some_and(recent)
     }
 
     pub(super) fn tick_election(&mut self, now: Time) {
@@ -132,7 +148,9 @@
                 canvass.tally.asked.clear();
                 self.count_support(now);
             }
-            Role::Candidate(candidacy) if candidacy.asked_at.is_some() && now >= candidacy.retry_at => {
+            Role::Candidate(candidacy)
+                if candidacy.asked_at.is_some() && now >= candidacy.retry_at =>
+            {
                 candidacy.retry_at = next;
                 candidacy.tally.asked.clear();
                 self.count_grants(now);
@@ -154,7 +172,10 @@
 
     fn next_epoch(&self, above: Epoch) -> Epoch {
         let counter = self.promised.max(self.told).max(above).counter + 1;
-        Epoch { counter, primary: self.me.identity }
+        Epoch {
+            counter,
+            primary: self.me.identity,
+        }
     }
 
     fn begin_canvass(&mut self, now: Time) {
@@ -163,15 +184,26 @@
         let mut tally = Tally::default();
         tally.yes.insert(self.me.identity, (self.me.clone(), held));
         let (highest_promised, retry_at) = (self.promised, now.after(self.settings.retry_interval));
-        self.role = Role::Canvassing(Canvass { epoch, highest_promised, retry_at, tally });
+        self.role = Role::Canvassing(Canvass {
+            epoch,
+            highest_promised,
+            retry_at,
+            tally,
+        });
         self.count_support(now);
     }
 
     fn count_support(&mut self, now: Time) {
         let faults = self.settings.faults;
-        let Role::Canvassing(canvass) = &self.role else { return };
+        let Role::Canvassing(canvass) = &self.role else {
+            return;
+        };
         let (epoch, above) = (canvass.epoch, canvass.highest_promised);
-        match canvass.tally.verdict(self.me.identity, faults.newest_by_number, faults.half_is_quorum) {
+        match canvass.tally.verdict(
+            self.me.identity,
+            faults.newest_by_number,
+            faults.half_is_quorum,
+        ) {
             None => {}
             Some(Verdict::Excluded(position)) => self.give_up(now, position),
             Some(Verdict::Won(..)) => self.begin_candidacy(now, above, false),
@@ -187,7 +219,10 @@
             _ => return,
         };
         let mut to = Vec::new();
-        for member in membership.all().filter(|member| member.identity != self.me.identity) {
+        for member in membership
+            .all()
+            .filter(|member| member.identity != self.me.identity)
+        {
             let open = !tally.yes.contains_key(&member.identity);
             if open && tally.asked.insert(member.identity) {
                 to.push(member.address.clone());
@@ -204,7 +239,8 @@
         self.role = Role::Follower;
         self.transfer = None;
         self.knock_at = now;
-        self.outputs.push(Output::Notice(Notice::Excluded { position }));
+        self.outputs
+            .push(Output::Notice(Notice::Excluded { position }));
     }
 
     pub(super) fn on_pre_vote(&mut self, now: Time, from: Member, epoch: Epoch) {
@@ -213,7 +249,15 @@
         // Not the counter: the epoch is drawn above all that supporters have promised.
         let supported = !self.hears_primary(now) && self.writable(now);
         let promised = self.promised;
-        self.send(&from.address, Body::PreVoteResponse { epoch, supported, promised, held });
+        self.send(
+            &from.address,
+            Body::PreVoteResponse {
+                epoch,
+                supported,
+                promised,
+                held,
+            },
+        );
     }
 
     pub(super) fn on_pre_vote_response(
@@ -226,8 +270,14 @@
         held: Held,
     ) {
         let me = self.me.identity;
-        let my_position = self.image.as_ref().map(|image| image.position).unwrap_or_default();
-        let Role::Canvassing(canvass) = &mut self.role else { return };
+        let my_position = self
+            .image
+            .as_ref()
+            .map(|image| image.position)
+            .unwrap_or_default();
+        let Role::Canvassing(canvass) = &mut self.role else {
+            return;
+        };
         if canvass.epoch != epoch {
             return;
         }
@@ -242,38 +292,65 @@
 
     pub(super) fn begin_candidacy(&mut self, now: Time, above: Epoch, take_over: bool) {
         let epoch = self.next_epoch(above);
-        let silent_for = self.known.as_ref().map_or(0, |known| now.since(known.heard_at));
-        self.outputs.push(Output::Notice(Notice::Candidacy { epoch, silent_for, take_over }));
+        let silent_for = self
+            .known
+            .as_ref()
+            .map_or(0, |known| now.since(known.heard_at));
+        self.outputs.push(Output::Notice(Notice::Candidacy {
+            epoch,
+            silent_for,
+            take_over,
+        }));
         self.rest_before_election(now);
         self.transfer = None;
         let retry_at = now.after(self.settings.retry_interval);
         let tally = Tally::default();
-        self.role = Role::Candidate(Candidacy { epoch, take_over, asked_at: None, retry_at, tally });
+        self.role = Role::Candidate(Candidacy {
+            epoch,
+            take_over,
+            asked_at: None,
+            retry_at,
+            tally,
+        });
         self.promise(now, epoch);
         self.begin_vote(now);
     }
 
-    /// Asks for grants, once the own promise is synced: an epoch that a crash forgets might be drawn again.
+    /// Asks for grants, once the own promise is synced: an epoch that a crash forgets might be
+    /// drawn again.
     pub(super) fn begin_vote(&mut self, now: Time) {
         let held = self.held();
-        let Role::Candidate(candidacy) = &mut self.role else { return };
+        let Role::Candidate(candidacy) = &mut self.role else {
+            return;
+        };
         if candidacy.asked_at.is_some() || self.disk.synced_promise < candidacy.epoch {
             return;
         }
         let Some(held) = held else { return };
         candidacy.asked_at = Some(now);
-        candidacy.tally.yes.insert(self.me.identity, (self.me.clone(), held));
+        candidacy
+            .tally
+            .yes
+            .insert(self.me.identity, (self.me.clone(), held));
         self.count_grants(now);
     }
 
     pub(super) fn count_grants(&mut self, now: Time) {
         let faults = self.settings.faults;
-        let Role::Candidate(candidacy) = &self.role else { return };
+        let Role::Candidate(candidacy) = &self.role else {
+            return;
+        };
         let (epoch, take_over) = (candidacy.epoch, candidacy.take_over);
-        match candidacy.tally.verdict(self.me.identity, faults.newest_by_number, faults.half_is_quorum) {
+        match candidacy.tally.verdict(
+            self.me.identity,
+            faults.newest_by_number,
+            faults.half_is_quorum,
+        ) {
             None => {}
             Some(Verdict::Excluded(position)) => self.give_up(now, position),
-            Some(Verdict::Open(membership)) => self.ask(&membership, Body::Vote { epoch, take_over }),
+            Some(Verdict::Open(membership)) => {
+                self.ask(&membership, Body::Vote { epoch, take_over })
+            }
             Some(Verdict::Won(position, holder)) => self.adopt(now, epoch, position, holder),
         }
     }
@@ -284,7 +361,11 @@
             Role::Candidate(candidacy) => candidacy.tally.yes.len(),
             _ => return,
         };
-        if self.image.as_ref().is_some_and(|image| image.position == position) {
+        if self
+            .image
+            .as_ref()
+            .is_some_and(|image| image.position == position)
+        {
             let image = self.image.clone();
             self.become_primary(now, epoch, image, grants, false);
         } else {
@@ -295,10 +376,15 @@
     /// The image that the candidate lacked has come.
     pub(super) fn fetched(&mut self, now: Time, image: Memory<S>) {
         let faults = self.settings.faults;
-        let Role::Candidate(candidacy) = &self.role else { return };
+        let Role::Candidate(candidacy) = &self.role else {
+            return;
+        };
         let (epoch, grants) = (candidacy.epoch, candidacy.tally.yes.len());
-        let verdict =
-            candidacy.tally.verdict(self.me.identity, faults.newest_by_number, faults.half_is_quorum);
+        let verdict = candidacy.tally.verdict(
+            self.me.identity,
+            faults.newest_by_number,
+            faults.half_is_quorum,
+        );
         match verdict {
             Some(Verdict::Won(position, _)) if position == image.position => {
                 self.become_primary(now, epoch, Some(image), grants, true);
@@ -311,7 +397,9 @@
         if from.identity != epoch.primary {
             return;
         }
-        let Some(held) = self.held_for_vote() else { return };
+        let Some(held) = self.held_for_vote() else {
+            return;
+        };
         if epoch < self.promised {
             let promised = self.promised;
             self.send(&from.address, Body::Refusal { epoch, promised });
@@ -328,17 +416,26 @@
         }
         if held.position.epoch < epoch {
             self.pending_grants.retain(|grant| grant.epoch == epoch);
-            self.pending_grants.push(PendingGrant { to: from.address, epoch, held });
+            self.pending_grants.push(PendingGrant {
+                to: from.address,
+                epoch,
+                held,
+            });
             self.send_pending_grants();
         }
     }
 
     fn held_for_vote(&self) -> Option<Held> {
-        let empty = Held { position: Position::default(), membership: Membership::default() };
-        self.held().or_else(|| self.settings.faults.empty_disk_votes.then_some(empty))
+        let empty = Held {
+            position: Position::default(),
+            membership: Membership::default(),
+        };
+        self.held()
+            .or_else(|| self.settings.faults.empty_disk_votes.then_some(empty))
     }
 
-    /// Sends the grants whose promise is synced; those of epochs that a later promise overtook are forgotten.
+    /// Sends the grants whose promise is synced; those of epochs that a later promise overtook are
+    /// forgotten.
     pub(super) fn send_pending_grants(&mut self) {
         let empty_disk = self.image.is_none();
         for grant in std::mem::take(&mut self.pending_grants) {
@@ -346,7 +443,13 @@
                 continue;
             }
             if self.disk.synced_promise >= grant.epoch || empty_disk {
-                self.send(&grant.to, Body::Grant { epoch: grant.epoch, held: grant.held });
+                self.send(
+                    &grant.to,
+                    Body::Grant {
+                        epoch: grant.epoch,
+                        held: grant.held,
+                    },
+                );
             } else {
                 self.pending_grants.push(grant);
             }
@@ -354,7 +457,9 @@
     }
 
     pub(super) fn on_grant(&mut self, now: Time, from: Member, epoch: Epoch, held: Held) {
-        let Role::Candidate(candidacy) = &mut self.role else { return };
+        let Role::Candidate(candidacy) = &mut self.role else {
+            return;
+        };
         if candidacy.epoch == epoch && candidacy.asked_at.is_some() {
             candidacy.tally.yes.insert(from.identity, (from, held));
             self.count_grants(now);
--- a/decide/replication/src/replica/join.rs
+++ b/decide/replication/src/replica/join.rs
@@ -1,4 +1,5 @@
-//! Newcomers: how they ask, and how the primary changes the membership for them and for voters that are gone.
+//! Newcomers: how they ask, and how the primary changes the membership for them and for voters that
+//! are gone.
 
 use super::primary::{Peer, Primary};
 use super::Replica;
@@ -34,13 +35,25 @@
         }
         self.knock_at = now.after(self.settings.retry_interval);
         let fed = self.settings.heartbeat_interval * 3;
-        let heard = self.known.as_ref().is_some_and(|known| now.since(known.heard_at) < fed);
-        if heard && self.known.as_ref().is_some_and(|known| known.epoch == self.promised) {
+        let heard = self
+            .known
+            .as_ref()
+            .is_some_and(|known| now.since(known.heard_at) < fed);
+        if heard
+            && self
+                .known
+                .as_ref()
+                .is_some_and(|known| known.epoch == self.promised)
+        {
             return;
         }
         let mut addresses = self.peers.clone();
-        addresses
-            .extend(self.image.iter().flat_map(|image| image.membership.all()).map(|m| m.address.clone()));
+        addresses.extend(
+            self.image
+                .iter()
+                .flat_map(|image| image.membership.all())
+                .map(|m| m.address.clone()),
+        );
         addresses.remove(&self.me.address);
         for address in addresses {
             self.send(&address, Body::Knock);
@@ -60,25 +73,38 @@
             self.take_newcomer(now, from);
             return;
         }
-        let members = self.image.iter().flat_map(|image| image.membership.all()).cloned().collect();
+        let members = self
+            .image
+            .iter()
+            .flat_map(|image| image.membership.all())
+            .cloned()
+            .collect();
         let primary = self.primary().cloned();
         self.send(&from.address, Body::KnockResponse { primary, members });
     }
 
     pub(super) fn on_knock_response(&mut self, primary: Option<Member>, members: Vec<Member>) {
-        let addresses = primary.into_iter().chain(members).map(|member| member.address);
-        self.peers.extend(addresses.take(self.settings.most_voters * 2));
+        let addresses = primary
+            .into_iter()
+            .chain(members)
+            .map(|member| member.address);
+        self.peers
+            .extend(addresses.take(self.settings.most_voters * 2));
         self.peers.remove(&self.me.address);
     }
 
     /// Begins to bring a newcomer up to date; an earlier one at its address is gone.
     fn take_newcomer(&mut self, now: Time, from: Member) {
         self.note_address(&from);
-        let Some(primary) = self.lead_mut() else { return };
+        let Some(primary) = self.lead_mut() else {
+            return;
+        };
         if primary.peers.contains_key(&from.identity) {
             return;
         }
-        primary.peers.retain(|_, peer| peer.votes || peer.member.address != from.address);
+        primary
+            .peers
+            .retain(|_, peer| peer.votes || peer.member.address != from.address);
         if primary.peers.values().filter(|peer| !peer.votes).count() >= MOST_NEWCOMERS {
             return;
         }
@@ -113,47 +139,95 @@
     fn ready(&self, now: Time, primary: &Primary) -> Vec<Member> {
         let head = self.image.as_ref().map_or(0, |image| image.position.number);
         let is_ready = |peer: &&Peer| {
-            let synced = peer.reported.filter(|position| position.epoch == primary.epoch);
-            let close = synced.is_some_and(|position| head.saturating_sub(position.number) <= MOST_BEHIND);
+            let synced = peer
+                .reported
+                .filter(|position| position.epoch == primary.epoch);
+            let close =
+                synced.is_some_and(|position| head.saturating_sub(position.number) <= MOST_BEHIND);
             let heard = now.since(peer.heard_at) < self.settings.contact_timeout;
             !peer.votes && close && heard && peer.writable && !peer.leaving
         };
-        primary.peers.values().filter(is_ready).map(|peer| peer.member.clone()).collect()
+        primary
+            .peers
+            .values()
+            .filter(is_ready)
+            .map(|peer| peer.member.clone())
+            .collect()
     }
 
-    fn replacement(&self, now: Time, primary: &Primary, membership: &Membership) -> Option<MembershipChange> {
+    fn replacement(
+        &self,
+        now: Time,
+        primary: &Primary,
+        membership: &Membership,
+    ) -> Option<MembershipChange> {
         if self.settings.faults.never_vote_out {
             return None;
         }
         let ready = self.ready(now, primary);
-        let silent_for =
-            |voter: &Member| primary.peers.get(&voter.identity).map_or(0, |peer| now.since(peer.heard_at));
+        let silent_for = |voter: &Member| {
+            primary
+                .peers
+                .get(&voter.identity)
+                .map_or(0, |peer| now.since(peer.heard_at))
+        };
         for new in &ready {
-            let wiped = membership.voters.iter().find(|voter| voter.address == new.address);
+            let wiped = membership
+                .voters
+                .iter()
+                .find(|voter| voter.address == new.address);
             if let Some(old) = wiped {
-                return Some(MembershipChange::ReplaceWiped { old: old.clone(), new: new.clone() });
+                return Some(MembershipChange::ReplaceWiped {
+                    old: old.clone(),
+                    new: new.clone(),
+                });
             }
         }
         let new = ready.first()?.clone();
-        let leaves = |voter: &&Member| primary.peers.get(&voter.identity).is_some_and(|peer| peer.leaving);
-        let gone = |voter: &&Member| silent_for(voter) > self.settings.replace_after || leaves(voter);
-        let old = membership.voters.iter().filter(gone).max_by_key(|voter| silent_for(voter))?.clone();
+        let leaves = |voter: &&Member| {
+            primary
+                .peers
+                .get(&voter.identity)
+                .is_some_and(|peer| peer.leaving)
+        };
+        let gone =
+            |voter: &&Member| silent_for(voter) > self.settings.replace_after || leaves(voter);
+        let old = membership
+            .voters
+            .iter()
+            .filter(gone)
+            .max_by_key(|voter| silent_for(voter))?
+            .clone();
         let silent_for = silent_for(&old);
-        Some(MembershipChange::ReplaceSilent { old, new, silent_for })
+        Some(MembershipChange::ReplaceSilent {
+            old,
+            new,
+            silent_for,
+        })
     }
 
-    fn addition(&self, now: Time, primary: &Primary, membership: &Membership) -> Option<MembershipChange> {
-        let room = self.settings.most_voters.saturating_sub(membership.voters.len());
+    fn addition(
+        &self,
+        now: Time,
+        primary: &Primary,
+        membership: &Membership,
+    ) -> Option<MembershipChange> {
+        let room = self
+            .settings
+            .most_voters
+            .saturating_sub(membership.voters.len());
         let mut new = self.ready(now, primary);
         new.truncate(room);
-        // A voter that has just fallen silent may be gone for good: then the newcomer is to have its place, not one beside it.
+        // A voter that has just fallen silent may be gone for good: then the newcomer is to have
+        // its place, not one beside it.
         let doubtful = self.settings.heartbeat_interval * 3;
         let all_heard = membership.voters.iter().all(|voter| {
             let peer = primary.peers.get(&voter.identity);
             peer.is_none_or(|peer| peer.answered && now.since(peer.heard_at) <= doubtful)
         });
         let never = self.settings.faults.never_vote_out;
-        // Two voters bear no loss, and lose what they have with the first: a sole founder waits for two.
+        // Two voters bear no loss, and lose what they have with the first: a sole founder waits for
+        // two.
         let waits = membership.voters.len() == 1 && new.len() == 1;
         let waited = now.since(primary.elected_at) >= self.settings.founding_wait;
         if new.is_empty() || (waits && !waited) || !(all_heard || never) {
@@ -177,10 +251,17 @@
             .cloned()
             .collect();
         let dead = voters.iter().filter(|peer| silent(peer)).count();
-        let count = Count { voters: membership.voters.len(), dead };
+        let count = Count {
+            voters: membership.voters.len(),
+            dead,
+        };
         for peer in &voters {
             let expendable = self.is_expendable(&peer.member, membership);
-            let patience = if expendable { replace_after } else { remove_after };
+            let patience = if expendable {
+                replace_after
+            } else {
+                remove_after
+            };
             if now.since(peer.heard_at) <= patience && !peer.leaving {
                 continue;
             }
@@ -202,12 +283,19 @@
         let bears_now = bears(count.voters, count.dead);
         let would_bear = bears(remaining, count.dead - usize::from(dead));
         let allowed = self.removal_allowed(count, bears_now, would_bear);
-        let Some(primary) = self.lead_mut() else { return false };
+        let Some(primary) = self.lead_mut() else {
+            return false;
+        };
         if allowed {
             primary.refused.remove(&voter.identity);
         } else if primary.refused.insert(voter.identity) {
             let voter = voter.clone();
-            let refused = Notice::RemovalRefused { voter, remaining, bears: bears_now, would_bear };
+            let refused = Notice::RemovalRefused {
+                voter,
+                remaining,
+                bears: bears_now,
+                would_bear,
+            };
             self.outputs.push(Output::Notice(refused));
         }
         allowed
@@ -216,32 +304,37 @@
     fn removal_allowed(&self, count: &Count, bears_now: i64, would_bear: i64) -> bool {
         let remaining = count.voters - 1;
         let must_bear = i64::from(self.settings.fault_tolerance);
-        // What is acknowledged is on a quorum: more copies than may be lost, or no fewer than before.
+        // What is acknowledged is on a quorum: more copies than may be lost, or no fewer than
+        // before.
         let copies = majority_of(remaining) as i64;
         let copies_enough = copies >= (must_bear + 1).min(majority_of(count.voters) as i64);
-        // The silent may come back, but count no more then: those that remain have a majority also without as many as may lose their disks.
+        // The silent may come back, but count no more then: those that remain have a majority also
+        // without as many as may lose their disks.
         let outlives = remaining as i64 >= (2 * must_bear + 1).max(LEAST_VOTERS);
         outlives && copies_enough && would_bear >= bears_now.min(must_bear)
     }
 
     /// Whether the removal of this voter was refused.
     pub(super) fn removal_refused(&self, identity: Identity) -> bool {
-        self.lead().is_some_and(|primary| primary.refused.contains(&identity))
+        self.lead()
+            .is_some_and(|primary| primary.refused.contains(&identity))
     }
 }
 
 /// The voters after a change.
 fn after(membership: &Membership, change: &MembershipChange) -> Vec<Member> {
     let (goes, come): (Option<&Member>, Vec<Member>) = match change {
-        MembershipChange::ReplaceWiped { old, new } | MembershipChange::ReplaceSilent { old, new, .. } => {
-            (Some(old), vec![new.clone()])
-        }
+        MembershipChange::ReplaceWiped { old, new }
+        | MembershipChange::ReplaceSilent { old, new, .. } => (Some(old), vec![new.clone()]),
         MembershipChange::Add { new } => (None, new.clone()),
         MembershipChange::RemoveSilent { old, .. } | MembershipChange::RemoveLeaver { old } => {
             (Some(old), Vec::new())
         }
         MembershipChange::Move { new } => (Some(new), vec![new.clone()]),
     };
-    let stay = membership.voters.iter().filter(|voter| goes.is_none_or(|old| old.identity != voter.identity));
+    let stay = membership
+        .voters
+        .iter()
+        .filter(|voter| goes.is_none_or(|old| old.identity != voter.identity));
     stay.cloned().chain(come).collect()
 }
--- a/decide/replication/src/replica/leave.rs
+++ b/decide/replication/src/replica/leave.rs
@@ -36,7 +36,10 @@
     pub fn leave(&mut self, now: Time) {
         self.check_contact(now);
         if self.leaving.is_none() {
-            self.leaving = Some(Leaving { ask_at: now, may_stop: false });
+            self.leaving = Some(Leaving {
+                ask_at: now,
+                may_stop: false,
+            });
         }
         if matches!(self.role, Role::Canvassing(_) | Role::Candidate(_)) {
             self.role = Role::Follower;
@@ -49,15 +52,24 @@
     /// Whether a member that leaves may stop: it is removed, or can't be without harm.
     pub fn has_left(&self) -> bool {
         let alone = |membership: &crate::membership::Membership| membership.voters.len() == 1;
-        let nobody_else = self.image.as_ref().is_none_or(|image| alone(&image.membership));
+        let nobody_else = self
+            .image
+            .as_ref()
+            .is_none_or(|image| alone(&image.membership));
         let outside = self.lead().is_none() && self.is_outsider();
-        self.leaving.as_ref().is_some_and(|leaving| leaving.may_stop || nobody_else || outside)
+        self.leaving
+            .as_ref()
+            .is_some_and(|leaving| leaving.may_stop || nobody_else || outside)
     }
 
     pub(super) fn tick_leave(&mut self, now: Time) {
         let interval = self.settings.retry_interval;
         let leads = self.lead().is_some();
-        let Some(leaving) = self.leaving.as_mut().filter(|leaving| !leaving.may_stop && !leads) else {
+        let Some(leaving) = self
+            .leaving
+            .as_mut()
+            .filter(|leaving| !leaving.may_stop && !leads)
+        else {
             return;
         };
         if now < leaving.ask_at {
@@ -69,27 +81,47 @@
         }
     }
 
-    /// The primary that is heard; all members if none is, since a new one tells nothing to a voter that it has removed.
+    /// The primary that is heard; all members if none is, since a new one tells nothing to a voter
+    /// that it has removed.
     fn whom_to_ask(&self, now: Time) -> BTreeSet<String> {
-        let known = self.known.as_ref().filter(|known| known.epoch == self.promised);
+        let known = self
+            .known
+            .as_ref()
+            .filter(|known| known.epoch == self.promised);
         let heard = known.filter(|known| now.since(known.heard_at) < self.settings.contact_timeout);
         if let Some(known) = heard {
             return BTreeSet::from([known.member.address.clone()]);
         }
-        let members = self.membership().all().filter(|member| member.identity != self.me.identity);
+        let members = self
+            .membership()
+            .all()
+            .filter(|member| member.identity != self.me.identity);
         members.map(|member| member.address.clone()).collect()
     }
 
     pub(super) fn wake_of_leave(&self) -> Option<Time> {
-        let asks = self.leaving.as_ref().filter(|leaving| !leaving.may_stop && self.lead().is_none());
-        let hand_over = self.lead().and_then(|primary| primary.hand_over.as_ref()).map(|over| over.next_at);
+        let asks = self
+            .leaving
+            .as_ref()
+            .filter(|leaving| !leaving.may_stop && self.lead().is_none());
+        let hand_over = self
+            .lead()
+            .and_then(|primary| primary.hand_over.as_ref())
+            .map(|over| over.next_at);
         asks.map(|leaving| leaving.ask_at).or(hand_over)
     }
 
     pub(super) fn on_leave(&mut self, now: Time, from: Member) {
-        let settled = self.lead().is_some_and(|primary| primary.serving && !primary.in_flight);
-        let named = self.image.as_ref().is_some_and(|image| image.membership.names(from.identity));
-        let Some(primary) = self.lead_mut() else { return };
+        let settled = self
+            .lead()
+            .is_some_and(|primary| primary.serving && !primary.in_flight);
+        let named = self
+            .image
+            .as_ref()
+            .is_some_and(|image| image.membership.names(from.identity));
+        let Some(primary) = self.lead_mut() else {
+            return;
+        };
         let epoch = primary.epoch;
         if let Some(peer) = primary.peers.get_mut(&from.identity) {
             peer.leaving = true;
@@ -97,13 +129,27 @@
         if !named {
             // The record without it counts only once it is committed.
             if settled {
-                self.send(&from.address, Body::LeaveResponse { epoch, removed: true, stays: false });
+                self.send(
+                    &from.address,
+                    Body::LeaveResponse {
+                        epoch,
+                        removed: true,
+                        stays: false,
+                    },
+                );
             }
             return;
         }
         self.write_next(now);
         if self.removal_refused(from.identity) {
-            self.send(&from.address, Body::LeaveResponse { epoch, removed: false, stays: true });
+            self.send(
+                &from.address,
+                Body::LeaveResponse {
+                    epoch,
+                    removed: false,
+                    stays: true,
+                },
+            );
         }
     }
 
@@ -130,7 +176,11 @@
             }
             return;
         };
-        if primary.hand_over.as_ref().is_some_and(|over| now < over.next_at) {
+        if primary
+            .hand_over
+            .as_ref()
+            .is_some_and(|over| now < over.next_at)
+        {
             return;
         }
         self.hand_over(now, reason);
@@ -140,13 +190,19 @@
         let next_at = now.after(2 * self.settings.retry_interval);
         let passive_until = now.after(self.settings.passive_after_hand_over);
         let to = self.successor(now);
-        let Some(primary) = self.lead_mut() else { return };
+        let Some(primary) = self.lead_mut() else {
+            return;
+        };
         let epoch = primary.epoch;
-        primary.hand_over = Some(HandOver { to: to.clone(), next_at });
+        primary.hand_over = Some(HandOver {
+            to: to.clone(),
+            next_at,
+        });
         let Some(to) = to else { return };
         self.passive_until = passive_until;
         self.send(&to.address, Body::TakeOver { epoch });
-        self.outputs.push(Output::Notice(Notice::HandsOver { to, reason }));
+        self.outputs
+            .push(Output::Notice(Notice::HandsOver { to, reason }));
     }
 
     /// The voter that holds the most and is well; the one asked last only if there is no other.
@@ -157,9 +213,14 @@
         let voters = &self.image.as_ref()?.membership.voters;
         let well = |peer: &super::primary::Peer| {
             let lively = now.since(peer.heard_at) < heard && peer.writable && !peer.leaving;
-            lively && peer.reported.is_some_and(|position: Position| position.epoch == primary.epoch)
+            lively
+                && peer
+                    .reported
+                    .is_some_and(|position: Position| position.epoch == primary.epoch)
         };
-        let peers = voters.iter().filter_map(|voter| primary.peers.get(&voter.identity));
+        let peers = voters
+            .iter()
+            .filter_map(|voter| primary.peers.get(&voter.identity));
         let best = peers.filter(|peer| well(peer)).max_by_key(|peer| {
             let again = last.is_some_and(|last| last.identity == peer.member.identity);
             (peer.reported, !again)
--- a/decide/replication/src/replica/mod.rs
+++ b/decide/replication/src/replica/mod.rs
@@ -1,6 +1,7 @@
 //! The state machine of one member: its parts, constructors and what a caller asks it.
 //!
-//! Memory runs ahead of the disk: [`Replica::image`] is what was accepted, [`disk::Disk::synced`] what may be answered for.
+//! Memory runs ahead of the disk: [`Replica::image`] is what was accepted, [`disk::Disk::synced`]
+//! what may be answered for.
 
 mod append;
 mod disk;
@@ -46,12 +47,14 @@
     committed: Option<(Position, S)>,
     /// Highest epoch promised; what is synced of it is in `disk`.
     promised: Epoch,
-    /// Highest epoch of which another has said that it promised it: the next that is drawn lies above it.
+    /// Highest epoch of which another has said that it promised it: the next that is drawn lies
+    /// above it.
     told: Epoch,
     disk: Disk,
     role: Role,
     known: Option<KnownPrimary>,
-    /// Nobody has been heard as primary since the start: the group may have started with this member.
+    /// Nobody has been heard as primary since the start: the group may have started with this
+    /// member.
     fresh: bool,
     /// Grants that wait for the disk.
     pending_grants: Vec<PendingGrant>,
@@ -106,14 +109,22 @@
 }
 
 impl<S: ReplicatedState> Replica<S> {
-    /// The sole founder of a group, on an empty disk, at a first start. Its image is on disk before anything is told.
+    /// The sole founder of a group, on an empty disk, at a first start. Its image is on disk before
+    /// anything is told.
     pub fn found(settings: Settings, me: Member, state: S, seed: u64, now: Time) -> Self {
-        let epoch = Epoch { counter: 1, primary: me.identity };
+        let epoch = Epoch {
+            counter: 1,
+            primary: me.identity,
+        };
         let position = Position { epoch, number: 1 };
         let membership = Membership::new([me.clone()]);
         let mut replica = Self::newcomer(settings, me, seed, now);
         replica.promised = epoch;
-        replica.image = Some(Memory { position, membership, state });
+        replica.image = Some(Memory {
+            position,
+            membership,
+            state,
+        });
         replica.election_at = now;
         replica.persist_image(now);
         replica
@@ -132,16 +143,24 @@
         for change in &recovered.changes {
             state.apply(change)?;
         }
-        let me = Member { identity: image.identity, address };
+        let me = Member {
+            identity: image.identity,
+            address,
+        };
         let mut replica = Self::newcomer(settings, me, seed, now);
         replica.promised = image.promised;
         replica.disk.recovered(image.position, image.promised);
         let (position, membership) = (image.position, image.membership);
-        replica.image = Some(Memory { position, membership, state });
+        replica.image = Some(Memory {
+            position,
+            membership,
+            state,
+        });
         Ok(replica)
     }
 
-    /// A member with an empty disk and a fresh identity: it knocks, and votes for nothing until it holds an image.
+    /// A member with an empty disk and a fresh identity: it knocks, and votes for nothing until it
+    /// holds an image.
     pub fn newcomer(settings: Settings, me: Member, seed: u64, now: Time) -> Self {
         debug_assert!(me.identity.0 != 0, "an identity is drawn before it is used");
         let mut replica = Self {
@@ -189,25 +208,51 @@
         }
         match body {
             Body::PreVote { epoch } => self.on_pre_vote(now, from, epoch),
-            Body::PreVoteResponse { epoch, supported, promised, held } => {
+            Body::PreVoteResponse {
+                epoch,
+                supported,
+                promised,
+                held,
+            } => {
                 self.on_pre_vote_response(now, from, epoch, supported, promised, held);
             }
             Body::Vote { epoch, take_over } => self.on_vote(now, from, epoch, take_over),
             Body::Grant { epoch, held } => self.on_grant(now, from, epoch, held),
             Body::Refusal { epoch, promised } => self.on_refusal(now, epoch, promised),
             Body::Append(append) => self.on_append(now, from, append),
-            Body::AppendResponse { epoch, round, synced, writable, leaving, stamp } => {
-                let told = Told { round, synced, writable, leaving, stamp };
+            Body::AppendResponse {
+                epoch,
+                round,
+                synced,
+                writable,
+                leaving,
+                stamp,
+            } => {
+                let told = Told {
+                    round,
+                    synced,
+                    writable,
+                    leaving,
+                    stamp,
+                };
                 self.on_append_response(now, from, epoch, told);
             }
-            Body::ImageRequest { epoch, position, next } => {
+            Body::ImageRequest {
+                epoch,
+                position,
+                next,
+            } => {
                 self.on_image_request(now, from, epoch, position, next);
             }
             Body::ImageChunk(chunk) => self.on_image_chunk(now, from, chunk),
             Body::Knock => self.on_knock(now, from),
             Body::KnockResponse { primary, members } => self.on_knock_response(primary, members),
             Body::Leave => self.on_leave(now, from),
-            Body::LeaveResponse { epoch, removed, stays } => {
+            Body::LeaveResponse {
+                epoch,
+                removed,
+                stays,
+            } => {
                 self.on_leave_response(from, epoch, removed || stays);
             }
             Body::TakeOver { epoch } => self.on_take_over(now, from, epoch),
@@ -222,8 +267,8 @@
         }
     }
 
-    /// The item of this ticket could not be written or synced. Nothing that was to be written after it may be written either; the
-    /// next item will be a whole image.
+    /// The item of this ticket could not be written or synced. Nothing that was to be written after
+    /// it may be written either; the next item will be a whole image.
     pub fn on_persist_failed(&mut self, now: Time, ticket: Ticket) {
         self.check_contact(now);
         self.disk_failed(now, ticket);
@@ -253,7 +298,8 @@
         wakes.into_iter().flatten().min().unwrap_or(Time(u64::MAX))
     }
 
-    /// Asks for a change; changes are written one at a time, in order. Ends in one [`Output::Settled`].
+    /// Asks for a change; changes are written one at a time, in order. Ends in one
+    /// [`Output::Settled`].
     pub fn propose(&mut self, now: Time, change: Vec<u8>) -> RequestId {
         self.check_contact(now);
         let request = self.draw_request();
@@ -293,14 +339,23 @@
     }
 
     fn send(&mut self, to: &str, body: Body) {
-        let message = Message { from: self.me.clone(), body };
-        self.outputs.push(Output::Send { to: to.to_owned(), message });
+        let message = Message {
+            from: self.me.clone(),
+            body,
+        };
+        self.outputs.push(Output::Send {
+            to: to.to_owned(),
+            message,
+        });
     }
 
     /// What a grant says of the image here.
     fn held(&self) -> Option<Held> {
         let image = self.image.as_ref()?;
-        Some(Held { position: image.position, membership: image.membership.clone() })
+        Some(Held {
+            position: image.position,
+            membership: image.membership.clone(),
+        })
     }
 
     fn lead(&self) -> Option<&Primary> {
@@ -328,8 +383,12 @@
 
     /// Whether the newest membership seen gives this member no vote.
     fn is_outsider(&self) -> bool {
-        let Some(image) = &self.image else { return true };
-        let overruled = self.excluded.is_some_and(|excluded| image.position <= excluded);
+        let Some(image) = &self.image else {
+            return true;
+        };
+        let overruled = self
+            .excluded
+            .is_some_and(|excluded| image.position <= excluded);
         overruled || !image.membership.names(self.me.identity)
     }
 }
--- a/decide/replication/src/replica/primary.rs
+++ b/decide/replication/src/replica/primary.rs
@@ -24,7 +24,8 @@
     pub(super) epoch: Epoch,
     pub(super) elected_at: Time,
     pub(super) peers: BTreeMap<Identity, Peer>,
-    /// The newest records of this epoch; each stands on the one before it, and the last is the head.
+    /// The newest records of this epoch; each stands on the one before it, and the last is the
+    /// head.
     tail: VecDeque<Record>,
     /// The record at the head is not committed.
     pub(super) in_flight: bool,
@@ -92,14 +93,24 @@
 impl Primary {
     /// Records after `position`, as many as fit a message; none if they are no longer kept.
     fn records_after(&self, position: Option<Position>) -> Option<Vec<Record>> {
-        let first = self.tail.iter().position(|record| Some(record.previous) == position)?;
+        let first = self
+            .tail
+            .iter()
+            .position(|record| Some(record.previous) == position)?;
         let mut bytes = 0;
         let fits = |record: &&Record| {
             let before = bytes;
             bytes += size_of_update(&record.update);
             before == 0 || bytes <= MOST_RECORD_BYTES
         };
-        Some(self.tail.iter().skip(first).take_while(fits).cloned().collect())
+        Some(
+            self.tail
+                .iter()
+                .skip(first)
+                .take_while(fits)
+                .cloned()
+                .collect(),
+        )
     }
 
     /// Whether the record after this position is kept.
@@ -110,7 +121,9 @@
     fn remember(&mut self, record: Record) {
         self.tail.push_back(record);
         let size = |tail: &VecDeque<Record>| -> usize {
-            tail.iter().map(|record| size_of_update(&record.update)).sum()
+            tail.iter()
+                .map(|record| size_of_update(&record.update))
+                .sum()
         };
         while self.tail.len() > MOST_RECORDS
             || (self.tail.len() > 1 && size(&self.tail) > 4 * MOST_RECORD_BYTES)
@@ -136,10 +149,16 @@
         grants: usize,
         whole: bool,
     ) {
-        let Role::Candidate(candidacy) = &self.role else { return };
+        let Role::Candidate(candidacy) = &self.role else {
+            return;
+        };
         let Some(adopted) = adopted else { return };
         let elected = candidacy.asked_at.unwrap_or(now);
-        let notice = Notice::BecamePrimary { epoch, adopted: adopted.position, grants };
+        let notice = Notice::BecamePrimary {
+            epoch,
+            adopted: adopted.position,
+            grants,
+        };
         self.outputs.push(Output::Notice(notice));
         self.image = Some(adopted);
         self.transfer = None;
@@ -169,8 +188,13 @@
     pub(super) fn step_down(&mut self, now: Time, reason: StepDownReason) {
         let role = std::mem::replace(&mut self.role, Role::Follower);
         self.transfer = None;
-        let Role::Primary(mut primary) = role else { return };
-        self.outputs.push(Output::Notice(Notice::SteppedDown { epoch: primary.epoch, reason }));
+        let Role::Primary(mut primary) = role else {
+            return;
+        };
+        self.outputs.push(Output::Notice(Notice::SteppedDown {
+            epoch: primary.epoch,
+            reason,
+        }));
         if let Some(request) = primary.request {
             self.settle(request, Outcome::Unknown);
         }
@@ -186,9 +210,15 @@
     /// Makes the peers those that the membership names, and the newcomers.
     fn refresh_peers(&mut self, now: Time) {
         let me = self.me.identity;
-        let Some(membership) = self.image.as_ref().map(|image| image.membership.clone()) else { return };
-        let Some(primary) = self.lead_mut() else { return };
-        primary.peers.retain(|identity, peer| !peer.votes || membership.names(*identity));
+        let Some(membership) = self.image.as_ref().map(|image| image.membership.clone()) else {
+            return;
+        };
+        let Some(primary) = self.lead_mut() else {
+            return;
+        };
+        primary
+            .peers
+            .retain(|identity, peer| !peer.votes || membership.names(*identity));
         for member in membership.all().filter(|member| member.identity != me) {
             let peer = primary.peers.entry(member.identity);
             peer.or_insert_with(|| Peer::new(member.clone(), now)).votes = true;
@@ -198,10 +228,19 @@
     /// Writes a record on top of the image. Nothing else may be in flight.
     fn write(&mut self, now: Time, update: Update, request: Option<RequestId>, whole: bool) {
         let Some(image) = &mut self.image else { return };
-        let Role::Primary(primary) = &mut self.role else { return };
+        let Role::Primary(primary) = &mut self.role else {
+            return;
+        };
         debug_assert!(!primary.in_flight, "one record is in flight at a time");
-        let position = Position { epoch: primary.epoch, number: image.position.number + 1 };
-        let record = Record { position, previous: image.position, update };
+        let position = Position {
+            epoch: primary.epoch,
+            number: image.position.number + 1,
+        };
+        let record = Record {
+            position,
+            previous: image.position,
+            update,
+        };
         if let Err(error) = image.apply(position, &record.update) {
             if let Some(request) = request {
                 self.settle(request, Outcome::Rejected(error));
@@ -222,7 +261,8 @@
         }
     }
 
-    /// Writes what comes next, if nothing is in flight: the end of a change of membership, the next such change, an operator's change.
+    /// Writes what comes next, if nothing is in flight: the end of a change of membership, the next
+    /// such change, an operator's change.
     pub(super) fn write_next(&mut self, now: Time) {
         if self.write_one(now) {
             self.broadcast(now);
@@ -232,12 +272,16 @@
 
     fn write_one(&mut self, now: Time) -> bool {
         loop {
-            let Some(primary) = self.lead() else { return false };
+            let Some(primary) = self.lead() else {
+                return false;
+            };
             let handing_over = primary.hand_over.as_ref().is_some_and(HandOver::under_way);
             if primary.in_flight || !primary.serving {
                 return false;
             }
-            let Some(image) = &self.image else { return false };
+            let Some(image) = &self.image else {
+                return false;
+            };
             if image.membership.is_joint() {
                 let finished = image.membership.finished();
                 self.write(now, Update::Membership(finished), None, false);
@@ -249,8 +293,12 @@
             if self.write_membership_change(now) {
                 return true;
             }
-            let next = self.lead_mut().and_then(|primary| primary.queue.pop_front());
-            let Some((request, change)) = next else { return false };
+            let next = self
+                .lead_mut()
+                .and_then(|primary| primary.queue.pop_front());
+            let Some((request, change)) = next else {
+                return false;
+            };
             self.write(now, Update::Change(change), Some(request), false);
             if self.lead().is_some_and(|primary| primary.in_flight) {
                 return true;
@@ -259,22 +307,35 @@
     }
 
     fn write_membership_change(&mut self, now: Time) -> bool {
-        let Some((voters, change)) = self.next_membership(now) else { return false };
-        let Some(image) = &self.image else { return false };
+        let Some((voters, change)) = self.next_membership(now) else {
+            return false;
+        };
+        let Some(image) = &self.image else {
+            return false;
+        };
         let mut membership = image.membership.joint(voters);
         if self.settings.faults.no_joint_record {
             membership = membership.finished();
         }
         self.write(now, Update::Membership(membership), None, false);
-        let position = self.image.as_ref().map(|image| image.position).unwrap_or_default();
-        self.outputs.push(Output::Notice(Notice::MembershipChange { position, change }));
+        let position = self
+            .image
+            .as_ref()
+            .map(|image| image.position)
+            .unwrap_or_default();
+        self.outputs.push(Output::Notice(Notice::MembershipChange {
+            position,
+            change,
+        }));
         true
     }
 
     /// Sends a heartbeat to everybody: a new round, with the records that each lacks.
     pub(super) fn broadcast(&mut self, now: Time) {
         let interval = self.settings.heartbeat_interval;
-        let Some(primary) = self.lead_mut() else { return };
+        let Some(primary) = self.lead_mut() else {
+            return;
+        };
         primary.rounds.begin(now);
         primary.heartbeat_at = now.after(interval);
         let peers: Vec<Identity> = primary.peers.keys().copied().collect();
@@ -287,26 +348,53 @@
     fn send_append(&mut self, now: Time, identity: Identity) {
         let in_contact = self.in_contact(now);
         let retry = self.settings.retry_interval;
-        let Some(head) = self.image.as_ref().map(|image| image.position) else { return };
-        let committed = self.committed.as_ref().map(|(position, _)| *position).unwrap_or_default();
-        let Role::Primary(primary) = &mut self.role else { return };
-        let Some(peer) = primary.peers.get(&identity) else { return };
-        let just_sent = peer.sent.is_some_and(|(sent, at)| sent == head && now.since(at) < retry);
+        let Some(head) = self.image.as_ref().map(|image| image.position) else {
+            return;
+        };
+        let committed = self
+            .committed
+            .as_ref()
+            .map(|(position, _)| *position)
+            .unwrap_or_default();
+        let Role::Primary(primary) = &mut self.role else {
+            return;
+        };
+        let Some(peer) = primary.peers.get(&identity) else {
+            return;
+        };
+        let just_sent = peer
+            .sent
+            .is_some_and(|(sent, at)| sent == head && now.since(at) < retry);
         let current = peer.reported == Some(head);
         let kept = match (peer.answered, primary.tail.front()) {
             // At its beginning a primary guesses that all stand where it stood.
-            (false, Some(first)) if primary.tail.len() == 1 => primary.records_after(Some(first.previous)),
+            (false, Some(first)) if primary.tail.len() == 1 => {
+                primary.records_after(Some(first.previous))
+            }
             _ => primary.records_after(peer.reported),
         };
         let take_image = peer.answered && !current && kept.is_none();
-        let records = if current || just_sent { Vec::new() } else { kept.unwrap_or_default() };
+        let records = if current || just_sent {
+            Vec::new()
+        } else {
+            kept.unwrap_or_default()
+        };
         let (address, echo) = (peer.member.address.clone(), peer.echo);
         let (epoch, round) = (primary.epoch, primary.rounds.current);
         if let (Some(last), Some(peer)) = (records.last(), primary.peers.get_mut(&identity)) {
             peer.sent = Some((last.position, now));
         }
-        let append =
-            Append { to: identity, epoch, round, echo, in_contact, head, committed, records, take_image };
+        let append = Append {
+            to: identity,
+            epoch,
+            round,
+            echo,
+            in_contact,
+            head,
+            committed,
+            records,
+            take_image,
+        };
         self.send(&address, Body::Append(append));
     }
 
@@ -314,11 +402,16 @@
         let synced = told.synced;
         self.note_address(&from);
         let any_epoch = self.settings.faults.count_old_epoch;
-        let Some(primary) = self.lead_mut().filter(|primary| primary.epoch == epoch || any_epoch) else {
+        let Some(primary) = self
+            .lead_mut()
+            .filter(|primary| primary.epoch == epoch || any_epoch)
+        else {
             return;
         };
         let (own, current) = (primary.epoch, primary.rounds.current);
-        let Some(peer) = primary.peers.get_mut(&from.identity) else { return };
+        let Some(peer) = primary.peers.get_mut(&from.identity) else {
+            return;
+        };
         peer.heard_at = now;
         peer.writable = told.writable;
         peer.echo = Some(told.stamp);
@@ -341,15 +434,23 @@
     /// Sends at once what a peer lacks, if it has just moved.
     fn help_along(&mut self, now: Time, identity: Identity, moved: bool) {
         let head = self.image.as_ref().map(|image| image.position);
-        let Some(primary) = self.lead_mut() else { return };
-        let Some(peer) = primary.peers.get(&identity) else { return };
+        let Some(primary) = self.lead_mut() else {
+            return;
+        };
+        let Some(peer) = primary.peers.get(&identity) else {
+            return;
+        };
         if !moved || peer.reported == head {
             return;
         }
-        let just_sent = peer.sent.is_some_and(|(sent, at)| Some(sent) == head && at == now);
+        let just_sent = peer
+            .sent
+            .is_some_and(|(sent, at)| Some(sent) == head && at == now);
         let reported = peer.reported;
         let helps = reported.is_some_and(|position| primary.keeps_after(position));
-        let Some(peer) = primary.peers.get_mut(&identity) else { return };
+        let Some(peer) = primary.peers.get_mut(&identity) else {
+            return;
+        };
         if !(just_sent && helps) {
             peer.sent = peer.sent.filter(|(sent, _)| Some(*sent) == head);
             self.send_append(now, identity);
@@ -362,9 +463,15 @@
         let synced = self.disk.synced;
         let Some(image) = &self.image else { return };
         let head = image.position;
-        let Some(primary) = self.lead().filter(|primary| primary.in_flight) else { return };
+        let Some(primary) = self.lead().filter(|primary| primary.in_flight) else {
+            return;
+        };
         let holds = |peer: &Peer| peer.reported == Some(head);
-        let holders = primary.peers.iter().filter(|(_, peer)| holds(peer)).map(|(identity, _)| *identity);
+        let holders = primary
+            .peers
+            .iter()
+            .filter(|(_, peer)| holds(peer))
+            .map(|(identity, _)| *identity);
         let own = (synced == Some(head)).then_some(me);
         let present: BTreeSet<Identity> = holders.chain(own).collect();
         if !self.is_quorum(&image.membership, &present) {
@@ -373,17 +480,26 @@
         self.committed = Some((head, image.state.clone()));
         let changed = !image.membership.is_joint();
         let voters = image.membership.voters.len();
-        let Some(primary) = self.lead_mut() else { return };
+        let Some(primary) = self.lead_mut() else {
+            return;
+        };
         primary.in_flight = false;
         primary.serving = true;
         let request = primary.request.take();
-        let changed = changed && primary.tail.back().is_some_and(|last| is_membership(&last.update));
+        let changed = changed
+            && primary
+                .tail
+                .back()
+                .is_some_and(|last| is_membership(&last.update));
         self.outputs.push(Output::Committed(head));
         if let Some(request) = request {
             self.settle(request, Outcome::Committed(head));
         }
         if changed {
-            self.outputs.push(Output::Notice(Notice::MembershipChanged { position: head, voters }));
+            self.outputs.push(Output::Notice(Notice::MembershipChanged {
+                position: head,
+                voters,
+            }));
         }
         self.write_one(now);
         self.broadcast(now);
@@ -394,21 +510,26 @@
     fn is_quorum(&self, membership: &Membership, present: &BTreeSet<Identity>) -> bool {
         let faults = self.settings.faults;
         let leaver_alone = faults.leaver_commits_alone && self.leaving.is_some();
-        let alone = (leaver_alone || faults.primary_commits_alone) && present.contains(&self.me.identity);
+        let alone =
+            (leaver_alone || faults.primary_commits_alone) && present.contains(&self.me.identity);
         let half = faults.half_is_quorum && half_of(membership, present);
         membership.quorum(present) || alone || half
     }
 
     /// A member may have moved: what is sent to it goes where it was last heard.
     pub(super) fn note_address(&mut self, from: &Member) {
-        let Some(primary) = self.lead_mut() else { return };
+        let Some(primary) = self.lead_mut() else {
+            return;
+        };
         if let Some(peer) = primary.peers.get_mut(&from.identity) {
             peer.member.address.clone_from(&from.address);
         }
     }
 
     pub(super) fn note_heard(&mut self, now: Time, identity: Identity, epoch: Epoch) {
-        let Some(primary) = self.lead_mut().filter(|primary| primary.epoch == epoch) else { return };
+        let Some(primary) = self.lead_mut().filter(|primary| primary.epoch == epoch) else {
+            return;
+        };
         if let Some(peer) = primary.peers.get_mut(&identity) {
             peer.heard_at = now;
         }
@@ -416,8 +537,12 @@
 
     pub(super) fn tick_primary(&mut self, now: Time) {
         let newcomer_timeout = self.settings.newcomer_timeout;
-        let Some(primary) = self.lead_mut() else { return };
-        primary.peers.retain(|_, peer| peer.votes || now.since(peer.heard_at) < newcomer_timeout);
+        let Some(primary) = self.lead_mut() else {
+            return;
+        };
+        primary
+            .peers
+            .retain(|_, peer| peer.votes || now.since(peer.heard_at) < newcomer_timeout);
         if now >= primary.heartbeat_at {
             self.write_one(now);
             self.broadcast(now);
@@ -428,7 +553,10 @@
 
     pub(super) fn wake_of_primary(&self) -> Option<Time> {
         let primary = self.lead()?;
-        let contact_ends = primary.rounds.confirmed_at.after(self.settings.contact_timeout + 1);
+        let contact_ends = primary
+            .rounds
+            .confirmed_at
+            .after(self.settings.contact_timeout + 1);
         Some(primary.heartbeat_at.min(contact_ends))
     }
 }
--- a/decide/replication/src/replica/rounds.rs
+++ b/decide/replication/src/replica/rounds.rs
@@ -26,7 +26,10 @@
 
 impl Rounds {
     pub(super) fn new(elected: Time) -> Self {
-        Self { confirmed_at: elected, ..Self::default() }
+        Self {
+            confirmed_at: elected,
+            ..Self::default()
+        }
     }
 
     pub(super) fn begin(&mut self, now: Time) {
@@ -46,7 +49,12 @@
             return;
         }
         self.confirmed = round;
-        while let Some((_, at)) = self.sent.front().copied().filter(|(sent, _)| *sent <= round) {
+        while let Some((_, at)) = self
+            .sent
+            .front()
+            .copied()
+            .filter(|(sent, _)| *sent <= round)
+        {
             self.confirmed_at = at;
             self.sent.pop_front();
         }
@@ -77,18 +85,26 @@
     }
 
     fn confirmed(&mut self, request: RequestId) {
-        let position = self.committed.as_ref().map(|(position, _)| *position).unwrap_or_default();
+        let position = self
+            .committed
+            .as_ref()
+            .map(|(position, _)| *position)
+            .unwrap_or_default();
         self.settle(request, Outcome::Confirmed(position));
     }
 
     /// Counts who has confirmed which round, and answers what waited for it.
     pub(super) fn count_round(&mut self, now: Time) {
         let me = self.me.identity;
-        let (Some(image), Some(primary)) = (&self.image, self.lead()) else { return };
+        let (Some(image), Some(primary)) = (&self.image, self.lead()) else {
+            return;
+        };
         let quorum = |round: u64| image.membership.quorum(&confirming(me, primary, round));
         let mut rounds: BTreeSet<u64> = primary.peers.values().map(|peer| peer.round).collect();
         rounds.insert(primary.rounds.current);
-        let Some(round) = rounds.into_iter().rev().find(|round| quorum(*round)) else { return };
+        let Some(round) = rounds.into_iter().rev().find(|round| quorum(*round)) else {
+            return;
+        };
         if let Some(primary) = self.lead_mut() {
             primary.rounds.confirm(round);
         }
@@ -101,10 +117,14 @@
             return;
         }
         loop {
-            let Some(primary) = self.lead_mut() else { return };
+            let Some(primary) = self.lead_mut() else {
+                return;
+            };
             let confirmed = primary.rounds.confirmed;
             let first = primary.rounds.waiting.front().copied();
-            let Some((request, _)) = first.filter(|(_, first)| *first <= confirmed) else { break };
+            let Some((request, _)) = first.filter(|(_, first)| *first <= confirmed) else {
+                break;
+            };
             primary.rounds.waiting.pop_front();
             self.confirmed(request);
         }
@@ -115,8 +135,8 @@
         }
     }
 
-    /// A primary that no quorum has confirmed for too long is none: asked first of all on every call, so that one that was frozen does
-    /// nothing from memory.
+    /// A primary that no quorum has confirmed for too long is none: asked first of all on every
+    /// call, so that one that was frozen does nothing from memory.
     pub(super) fn check_contact(&mut self, now: Time) {
         if self.settings.faults.answer_from_memory {
             return;
--- a/decide/replication/src/replica/show.rs
+++ b/decide/replication/src/replica/show.rs
@@ -6,17 +6,25 @@
 use crate::status::{PeerStatus, RoleKind, Status};
 use crate::types::{Epoch, Member, Position, Time};
 
-static NO_MEMBERSHIP: Membership = Membership { voters: Vec::new(), outgoing: None };
+static NO_MEMBERSHIP: Membership = Membership {
+    voters: Vec::new(),
+    outgoing: None,
+};
 
 impl<S: ReplicatedState> Replica<S> {
-    /// What is known to be committed; none on an empty disk, and after a start until a primary tells.
+    /// What is known to be committed; none on an empty disk, and after a start until a primary
+    /// tells.
     pub fn committed(&self) -> Option<(Position, &S)> {
-        self.committed.as_ref().map(|(position, state)| (*position, state))
+        self.committed
+            .as_ref()
+            .map(|(position, state)| (*position, state))
     }
 
     /// The membership in the newest image here; empty on an empty disk.
     pub fn membership(&self) -> &Membership {
-        self.image.as_ref().map_or(&NO_MEMBERSHIP, |image| &image.membership)
+        self.image
+            .as_ref()
+            .map_or(&NO_MEMBERSHIP, |image| &image.membership)
     }
 
     /// Who this is.
@@ -29,18 +37,23 @@
         self.promised
     }
 
-    /// Whether what is told here is in touch with a quorum: at the primary, confirmed of late; elsewhere, told so by one.
+    /// Whether what is told here is in touch with a quorum: at the primary, confirmed of late;
+    /// elsewhere, told so by one.
     pub fn in_contact(&self, now: Time) -> bool {
         let recent = |at: Time| now.since(at) < self.settings.contact_timeout;
         if let Some(primary) = self.lead() {
             return recent(primary.rounds.confirmed_at);
         }
-        let known = self.known.as_ref().filter(|known| known.epoch == self.promised);
+        let known = self
+            .known
+            .as_ref()
+            .filter(|known| known.epoch == self.promised);
         known.and_then(|known| known.contact_at).is_some_and(recent)
     }
 
-    /// Whether what is committed here is what a confirmed primary tells, but for a moment: contact alone is not enough, since a full
-    /// disk or a link cut one way leaves a member behind that still hears the primary.
+    /// Whether what is committed here is what a confirmed primary tells, but for a moment: contact
+    /// alone is not enough, since a full disk or a link cut one way leaves a member behind that
+    /// still hears the primary.
     pub fn is_current(&self, now: Time) -> bool {
         let behind = self.known.as_ref().and_then(|known| known.behind_since);
         let lags = behind.is_some_and(|since| now.since(since) >= self.settings.most_lag);
@@ -52,7 +65,10 @@
         if self.lead().is_some() {
             return Some(&self.me);
         }
-        let known = self.known.as_ref().filter(|known| known.epoch == self.promised);
+        let known = self
+            .known
+            .as_ref()
+            .filter(|known| known.epoch == self.promised);
         known.map(|known| &known.member)
     }
 
@@ -63,13 +79,16 @@
 
     /// Whether no record is in flight and no change waits.
     pub fn is_idle(&self) -> bool {
-        self.lead().is_none_or(|primary| !primary.in_flight && primary.queue.is_empty())
+        self.lead()
+            .is_none_or(|primary| !primary.in_flight && primary.queue.is_empty())
     }
 
-    /// Whether the group is large enough to take orders, or has waited for others long enough, and no voter without a disk stands beside
-    /// members with one.
+    /// Whether the group is large enough to take orders, or has waited for others long enough, and
+    /// no voter without a disk stands beside members with one.
     pub fn may_take_orders(&self, now: Time) -> bool {
-        let Some(primary) = self.lead().filter(|primary| primary.serving) else { return false };
+        let Some(primary) = self.lead().filter(|primary| primary.serving) else {
+            return false;
+        };
         let enough = 2 * self.settings.fault_tolerance as usize + 1;
         let waited = now.since(primary.elected_at) >= self.settings.gathering_timeout;
         let voters = self.membership().voters.len();
@@ -84,7 +103,11 @@
             role: self.role_kind(),
             promised: self.promised,
             primary: self.primary().cloned(),
-            head: self.image.as_ref().map(|image| image.position).unwrap_or_default(),
+            head: self
+                .image
+                .as_ref()
+                .map(|image| image.position)
+                .unwrap_or_default(),
             synced: self.disk.synced,
             committed: self.committed.as_ref().map(|(position, _)| *position),
             membership: self.membership().clone(),
@@ -98,7 +121,9 @@
 
     fn role_kind(&self) -> RoleKind {
         match &self.role {
-            Role::Primary(primary) => RoleKind::Primary { serving: primary.serving },
+            Role::Primary(primary) => RoleKind::Primary {
+                serving: primary.serving,
+            },
             Role::Canvassing(_) | Role::Candidate(_) => RoleKind::Candidate,
             Role::Follower if self.is_outsider() => RoleKind::Outsider,
             Role::Follower => RoleKind::Voter,
@@ -106,13 +131,17 @@
     }
 
     fn peer_statuses(&self, now: Time) -> Vec<PeerStatus> {
-        let Some(primary) = self.lead() else { return Vec::new() };
+        let Some(primary) = self.lead() else {
+            return Vec::new();
+        };
         let status = |peer: &super::primary::Peer| PeerStatus {
             identity: peer.member.identity,
             member: peer.member.clone(),
             votes: peer.votes,
             silent_for: now.since(peer.heard_at),
-            synced: peer.reported.filter(|position| position.epoch == primary.epoch),
+            synced: peer
+                .reported
+                .filter(|position| position.epoch == primary.epoch),
             leaving: peer.leaving,
         };
         primary.peers.values().map(status).collect()
@@ -125,7 +154,9 @@
             Role::Canvassing(_) => "asks whether it would be granted an epoch".to_owned(),
             Role::Candidate(_) => "waits for grants or the newest image".to_owned(),
             Role::Follower if self.image.is_none() => "an empty disk: it knocks".to_owned(),
-            Role::Follower if self.is_outsider() => "the membership doesn't name it: it knocks".to_owned(),
+            Role::Follower if self.is_outsider() => {
+                "the membership doesn't name it: it knocks".to_owned()
+            }
             Role::Follower if !self.writable(now) => "its disk takes no writes".to_owned(),
             Role::Follower if self.in_contact(now) => "another member is primary".to_owned(),
             Role::Follower => "no primary in contact is heard".to_owned(),
--- a/decide/replication/src/replica/transfer.rs
+++ b/decide/replication/src/replica/transfer.rs
@@ -72,7 +72,13 @@
 
 impl<S: ReplicatedState> Replica<S> {
     /// Begins to take an image, or goes on if it comes already.
-    pub(super) fn fetch(&mut self, now: Time, epoch: Epoch, position: Option<Position>, source: Member) {
+    pub(super) fn fetch(
+        &mut self,
+        now: Time,
+        epoch: Epoch,
+        position: Option<Position>,
+        source: Member,
+    ) {
         let under_way = self.transfer.as_ref().is_some_and(|transfer| {
             let same = position.is_none() || transfer.position == position;
             transfer.epoch == epoch && transfer.source == source && same
@@ -83,23 +89,47 @@
         let exact = position.is_some();
         let (total, checksum, window_end) = (0, 0, 0);
         let chunks = BTreeMap::new();
-        let transfer =
-            Transfer { epoch, source, position, exact, total, checksum, chunks, window_end, asked_at: now };
+        let transfer = Transfer {
+            epoch,
+            source,
+            position,
+            exact,
+            total,
+            checksum,
+            chunks,
+            window_end,
+            asked_at: now,
+        };
         self.transfer = Some(transfer);
         self.ask_for_chunks(now);
     }
 
     fn ask_for_chunks(&mut self, now: Time) {
-        let Some(transfer) = &mut self.transfer else { return };
+        let Some(transfer) = &mut self.transfer else {
+            return;
+        };
         let next = transfer.next();
         transfer.asked_at = now;
         transfer.window_end = next + WINDOW;
-        let (to, epoch, position) = (transfer.source.address.clone(), transfer.epoch, transfer.position);
-        self.send(&to, Body::ImageRequest { epoch, position, next });
+        let (to, epoch, position) = (
+            transfer.source.address.clone(),
+            transfer.epoch,
+            transfer.position,
+        );
+        self.send(
+            &to,
+            Body::ImageRequest {
+                epoch,
+                position,
+                next,
+            },
+        );
     }
 
     pub(super) fn tick_transfer(&mut self, now: Time) {
-        let Some(transfer) = &self.transfer else { return };
+        let Some(transfer) = &self.transfer else {
+            return;
+        };
         let stale = transfer.epoch != self.promised;
         if stale {
             self.transfer = None;
@@ -109,7 +139,9 @@
     }
 
     pub(super) fn wake_of_transfer(&self) -> Option<Time> {
-        self.transfer.as_ref().map(|transfer| transfer.asked_at.after(self.settings.retry_interval))
+        self.transfer
+            .as_ref()
+            .map(|transfer| transfer.asked_at.after(self.settings.retry_interval))
     }
 
     pub(super) fn on_image_request(
@@ -125,36 +157,59 @@
         }
         self.note_heard(now, from.identity, epoch);
         let leads = self.lead().is_some();
-        let known = self.served.as_ref().is_some_and(|served| Some(served.position) == position);
+        let known = self
+            .served
+            .as_ref()
+            .is_some_and(|served| Some(served.position) == position);
         if !known && !self.served_will_do() {
             let here = self.image.as_ref().map(|image| image.position);
-            // A candidate needs just the image that was granted; a copy takes whichever the primary has.
+            // A candidate needs just the image that was granted; a copy takes whichever the primary
+            // has.
             if here.is_none() || (!leads && here != position) {
                 return;
             }
             self.encode_served();
         }
-        let Some(served) = self.served.clone() else { return };
-        let first = if Some(served.position) == position { next } else { 0 };
+        let Some(served) = self.served.clone() else {
+            return;
+        };
+        let first = if Some(served.position) == position {
+            next
+        } else {
+            0
+        };
         self.send_chunks(&from.address, epoch, &served, first);
     }
 
-    /// Whether the image that was encoded last helps a copy: the records after it are kept. Else two copies that ask in turn, while
-    /// changes go on, would make each other begin anew.
+    /// Whether the image that was encoded last helps a copy: the records after it are kept. Else
+    /// two copies that ask in turn, while changes go on, would make each other begin anew.
     fn served_will_do(&self) -> bool {
-        let (Some(served), Some(primary)) = (&self.served, self.lead()) else { return false };
+        let (Some(served), Some(primary)) = (&self.served, self.lead()) else {
+            return false;
+        };
         served.position.epoch == primary.epoch && primary.keeps_after(served.position)
     }
 
     fn encode_served(&mut self) {
         let Some(image) = &self.image else { return };
-        if self.served.as_ref().is_some_and(|served| served.position == image.position) {
+        if self
+            .served
+            .as_ref()
+            .is_some_and(|served| served.position == image.position)
+        {
             return;
         }
-        let content = Content { membership: image.membership.clone(), state: image.state.encode() };
+        let content = Content {
+            membership: image.membership.clone(),
+            state: image.state.encode(),
+        };
         let bytes = Arc::new(encode(&content));
         let checksum = crc32fast::hash(&bytes);
-        self.served = Some(Served { position: image.position, bytes, checksum });
+        self.served = Some(Served {
+            position: image.position,
+            bytes,
+            checksum,
+        });
     }
 
     fn send_chunks(&mut self, to: &str, epoch: Epoch, served: &Served, first: u32) {
@@ -164,12 +219,24 @@
             let begin = number as usize * CHUNK_BYTES;
             let end = served.bytes.len().min(begin + CHUNK_BYTES);
             let bytes = served.bytes[begin..end].to_vec();
-            self.send(to, Body::ImageChunk(ImageChunk { epoch, position, number, total, checksum, bytes }));
+            self.send(
+                to,
+                Body::ImageChunk(ImageChunk {
+                    epoch,
+                    position,
+                    number,
+                    total,
+                    checksum,
+                    bytes,
+                }),
+            );
         }
     }
 
     pub(super) fn on_image_chunk(&mut self, now: Time, from: Member, chunk: ImageChunk) {
-        let Some(transfer) = &mut self.transfer else { return };
+        let Some(transfer) = &mut self.transfer else {
+            return;
+        };
         let expected = transfer.epoch == chunk.epoch && transfer.source.identity == from.identity;
         let sound = chunk.number < chunk.total && chunk.total <= MOST_CHUNKS;
         let bounded = chunk.bytes.len() <= CHUNK_BYTES;
@@ -177,7 +244,12 @@
             return;
         }
         let other = transfer.position != Some(chunk.position);
-        if other && (transfer.exact || transfer.position.is_some_and(|position| chunk.position < position)) {
+        if other
+            && (transfer.exact
+                || transfer
+                    .position
+                    .is_some_and(|position| chunk.position < position))
+        {
             return;
         }
         if other || transfer.total == 0 {
@@ -195,16 +267,24 @@
     }
 
     fn finish_transfer(&mut self, now: Time) {
-        let Some(transfer) = self.transfer.take() else { return };
-        let Some(position) = transfer.position else { return };
+        let Some(transfer) = self.transfer.take() else {
+            return;
+        };
+        let Some(position) = transfer.position else {
+            return;
+        };
         let bytes: Vec<u8> = transfer.chunks.into_values().flatten().collect();
         match read_content(&bytes, transfer.checksum, position) {
             Ok(image) => {
-                self.outputs.push(Output::Notice(Notice::ImageReceived { position, bytes: bytes.len() }));
+                self.outputs.push(Output::Notice(Notice::ImageReceived {
+                    position,
+                    bytes: bytes.len(),
+                }));
                 self.take_image(now, transfer.source.identity, transfer.epoch, image);
             }
             Err(reason) => {
-                self.outputs.push(Output::Notice(Notice::ImageRefused { position, reason }));
+                self.outputs
+                    .push(Output::Notice(Notice::ImageRefused { position, reason }));
             }
         }
     }
@@ -213,7 +293,10 @@
         match &self.role {
             Role::Candidate(_) => self.fetched(now, image),
             Role::Follower | Role::Canvassing(_) => {
-                let newer = self.image.as_ref().is_none_or(|held| held.position < image.position);
+                let newer = self
+                    .image
+                    .as_ref()
+                    .is_none_or(|held| held.position < image.position);
                 if newer && image.position.epoch == epoch && epoch.primary == source {
                     self.image = Some(image);
                     self.persist_image(now);
@@ -235,5 +318,9 @@
     let content = rkyv::from_bytes::<Content, rkyv::rancor::Error>(&aligned(bytes));
     let Content { membership, state } = content.map_err(|error| error.to_string())?;
     let state = S::decode(&state).map_err(|error| error.reason)?;
-    Ok(Memory { position, membership, state })
+    Ok(Memory {
+        position,
+        membership,
+        state,
+    })
 }
--- a/decide/replication/src/state.rs
+++ b/decide/replication/src/state.rs
@@ -4,7 +4,8 @@
 
 /// A state that every voter holds whole.
 ///
-/// `apply` must be deterministic: two equal states and equal bytes give equal states, or both give an error.
+/// `apply` must be deterministic: two equal states and equal bytes give equal states, or both give
+/// an error.
 pub trait ReplicatedState: Clone {
     /// The whole state as bytes.
     fn encode(&self) -> Vec<u8>;
@@ -27,6 +28,8 @@
 impl StateError {
     /// An error with its reason in words.
     pub fn new(reason: impl Into<String>) -> Self {
-        Self { reason: reason.into() }
+        Self {
+            reason: reason.into(),
+        }
     }
 }
--- a/decide/replication/src/types.rs
+++ b/decide/replication/src/types.rs
@@ -22,7 +22,18 @@
 
 /// Identity of a member, drawn when its empty disk was first used; never 0.
 #[derive(
-    Archive, Serialize, Deserialize, Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash,
+    Archive,
+    Serialize,
+    Deserialize,
+    Clone,
+    Copy,
+    Debug,
+    Default,
+    PartialEq,
+    Eq,
+    PartialOrd,
+    Ord,
+    Hash,
 )]
 #[rkyv(derive(Debug), attr(allow(missing_docs)))]
 pub struct Identity(pub u64);
@@ -34,7 +45,9 @@
 }
 
 /// A member that votes, or asks to.
-#[derive(Archive, Serialize, Deserialize, Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+#[derive(
+    Archive, Serialize, Deserialize, Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash,
+)]
 #[rkyv(attr(allow(missing_docs)))]
 pub struct Member {
     /// Who it is.
@@ -45,7 +58,18 @@
 
 /// A term of office; ordered, and never used by two candidates.
 #[derive(
-    Archive, Serialize, Deserialize, Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash,
+    Archive,
+    Serialize,
+    Deserialize,
+    Clone,
+    Copy,
+    Debug,
+    Default,
+    PartialEq,
+    Eq,
+    PartialOrd,
+    Ord,
+    Hash,
 )]
 #[rkyv(attr(allow(missing_docs)))]
 pub struct Epoch {
@@ -63,7 +87,18 @@
 
 /// Where a record stands; a later one compares greater.
 #[derive(
-    Archive, Serialize, Deserialize, Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash,
+    Archive,
+    Serialize,
+    Deserialize,
+    Clone,
+    Copy,
+    Debug,
+    Default,
+    PartialEq,
+    Eq,
+    PartialOrd,
+    Ord,
+    Hash,
 )]
 #[rkyv(attr(allow(missing_docs)))]
 pub struct Position {
@@ -79,7 +114,8 @@
     }
 }
 
-/// Number of a call to [`crate::Replica::propose`] or [`crate::Replica::confirm`]; unique in the life of a replica.
+/// Number of a call to [`crate::Replica::propose`] or [`crate::Replica::confirm`]; unique in the
+/// life of a replica.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
--- a/decide/replication/tests/current.rs
+++ b/decide/replication/tests/current.rs
@@ -3,26 +3,35 @@
 use assert_matches::assert_matches;
 use lichenswitch_replication::model::History;
 use lichenswitch_replication::{
-    Append, Body, DurableItem, Epoch, Identity, Image, Member, Membership, Message, Output, Position, Record,
-    Recovered, Replica, ReplicatedState, Settings, Stamp, Time, Update,
+    Append, Body, DurableItem, Epoch, Identity, Image, Member, Membership, Message, Output,
+    Position, Record, Recovered, Replica, ReplicatedState, Settings, Stamp, Time, Update,
 };
 
 mod scenario;
 use scenario::{four, others, serving, SECOND};
 
 const MS: u64 = 1_000;
-const EPOCH: Epoch = Epoch { counter: 3, primary: Identity(1) };
+const EPOCH: Epoch = Epoch {
+    counter: 3,
+    primary: Identity(1),
+};
 
 fn at(ms: u64) -> Time {
     Time(10 * SECOND + ms * MS)
 }
 
 fn member(identity: u64) -> Member {
-    Member { identity: Identity(identity), address: format!("10.0.0.{identity}:7000") }
+    Member {
+        identity: Identity(identity),
+        address: format!("10.0.0.{identity}:7000"),
+    }
 }
 
 fn position(number: u64) -> Position {
-    Position { epoch: EPOCH, number }
+    Position {
+        epoch: EPOCH,
+        number,
+    }
 }
 
 /// Voter 2 of three, whose disk holds the image of position 5 under the epoch of voter 1.
@@ -44,7 +53,13 @@
 }
 
 /// The same, after it has had the answer with this stamp.
-fn echoing(echo: Option<Stamp>, to: u64, round: u64, committed: u64, records: Vec<Record>) -> Message {
+fn echoing(
+    echo: Option<Stamp>,
+    to: u64,
+    round: u64,
+    committed: u64,
+    records: Vec<Record>,
+) -> Message {
     let append = Append {
         to: Identity(to),
         epoch: EPOCH,
@@ -56,7 +71,10 @@
         records,
         take_image: false,
     };
-    Message { from: member(1), body: Body::Append(append) }
+    Message {
+        from: member(1),
+        body: Body::Append(append),
+    }
 }
 
 /// Voter 2, as voter 1 hears it: each heartbeat echoes its last answer.
@@ -67,11 +85,15 @@
 
 impl Heard {
     fn new() -> Heard {
-        Heard { voter: voter(), echo: None }
+        Heard {
+            voter: voter(),
+            echo: None,
+        }
     }
 
     fn hears(&mut self, now: Time, round: u64, committed: u64, records: Vec<Record>) {
-        self.voter.on_message(now, echoing(self.echo, 2, round, committed, records));
+        self.voter
+            .on_message(now, echoing(self.echo, 2, round, committed, records));
         self.echo = last_answer(&self.voter.take_outputs()).or(self.echo);
     }
 }
@@ -79,9 +101,14 @@
 /// When the last answer to a heartbeat among these was sent.
 fn last_answer(outputs: &[Output]) -> Option<Stamp> {
     let stamp = |output: &Output| match output {
-        Output::Send { message: Message { body: Body::AppendResponse { stamp, .. }, .. }, .. } => {
-            Some(*stamp)
-        }
+        Output::Send {
+            message:
+                Message {
+                    body: Body::AppendResponse { stamp, .. },
+                    ..
+                },
+            ..
+        } => Some(*stamp),
         _ => None,
     };
     outputs.iter().filter_map(stamp).next_back()
@@ -90,7 +117,11 @@
 /// The record of a position, that stands on the one before.
 fn record(number: u64) -> Record {
     let change = number.to_le_bytes().to_vec();
-    Record { position: position(number), previous: position(number - 1), update: Update::Change(change) }
+    Record {
+        position: position(number),
+        previous: position(number - 1),
+        update: Update::Change(change),
+    }
 }
 
 #[test]
@@ -98,17 +129,28 @@
     let mut heard = Heard::new();
     assert!(!heard.voter.is_current(at(0)), "it has heard nobody");
     heard.hears(at(0), 1, 5, Vec::new());
-    assert!(!heard.voter.in_contact(at(0)), "nobody is known to have heard it");
+    assert!(
+        !heard.voter.in_contact(at(0)),
+        "nobody is known to have heard it"
+    );
     heard.hears(at(1), 2, 5, Vec::new());
     assert!(heard.voter.is_current(at(1)));
-    assert_eq!(heard.voter.committed().map(|(position, _)| position), Some(position(5)));
+    assert_eq!(
+        heard.voter.committed().map(|(position, _)| position),
+        Some(position(5))
+    );
 
     // From now on more is committed than comes here.
     for beat in 1..=9 {
         let now = at(100 * beat);
         heard.hears(now, 2 + beat, 5 + beat, Vec::new());
         assert!(heard.voter.in_contact(now), "{now:?}");
-        assert_eq!(heard.voter.is_current(now), beat < 4, "behind since {:?}, now {now:?}", at(100));
+        assert_eq!(
+            heard.voter.is_current(now),
+            beat < 4,
+            "behind since {:?}, now {now:?}",
+            at(100)
+        );
     }
     assert!(
         heard.voter.is_current(at(399)) && !heard.voter.is_current(at(400)),
@@ -120,10 +162,14 @@
     heard.hears(at(1_000), 12, 8, vec![record(6)]);
     assert!(heard.voter.in_contact(at(1_000)) && !heard.voter.is_current(at(1_000)));
     heard.hears(at(1_010), 13, 8, vec![record(7), record(8)]);
-    assert_eq!(heard.voter.committed().map(|(position, _)| position), Some(position(8)));
+    assert_eq!(
+        heard.voter.committed().map(|(position, _)| position),
+        Some(position(8))
+    );
     assert!(heard.voter.is_current(at(1_010)));
 
-    // What is lacking next is counted anew, and without contact nothing is current. Contact counts from the answer at 1100.
+    // What is lacking next is counted anew, and without contact nothing is current. Contact counts
+    // from the answer at 1100.
     heard.hears(at(1_100), 14, 9, Vec::new());
     assert!(heard.voter.is_current(at(1_399)) && !heard.voter.is_current(at(1_400)));
     heard.hears(at(1_410), 15, 9, vec![record(9)]);
@@ -137,8 +183,14 @@
         let mut heard = Heard::new();
         heard.hears(at(0), 1, 5, Vec::new());
         heard.hears(at(read), 2, 5, Vec::new());
-        let in_contact: Vec<u64> = (read..read + 700).filter(|ms| heard.voter.in_contact(at(*ms))).collect();
-        assert_eq!(in_contact, (read..until.max(read)).collect::<Vec<_>>(), "read after {read} ms");
+        let in_contact: Vec<u64> = (read..read + 700)
+            .filter(|ms| heard.voter.in_contact(at(*ms)))
+            .collect();
+        assert_eq!(
+            in_contact,
+            (read..until.max(read)).collect::<Vec<_>>(),
+            "read after {read} ms"
+        );
         assert_eq!(heard.voter.is_current(at(read)), read < until);
     }
 }
@@ -148,7 +200,10 @@
     let mut heard = Heard::new();
     heard.hears(at(0), 1, 5, Vec::new());
     let own = heard.echo.expect("it has answered");
-    heard.echo = Some(Stamp { process: own.process + 1, ..own });
+    heard.echo = Some(Stamp {
+        process: own.process + 1,
+        ..own
+    });
     heard.hears(at(1), 2, 5, Vec::new());
     assert!(!heard.voter.in_contact(at(1)));
     heard.hears(at(2), 3, 5, Vec::new());
@@ -178,7 +233,11 @@
     assert_eq!(is_current(&timed, primary), (false, false));
     timed.heal();
     timed.run_for(2 * SECOND);
-    assert_eq!(is_current(&timed, primary), (true, true), "it has caught up");
+    assert_eq!(
+        is_current(&timed, primary),
+        (true, true),
+        "it has caught up"
+    );
 }
 
 /// Whom a replica knocks at within a time.
@@ -188,7 +247,13 @@
     loop {
         replica.tick(now);
         for output in replica.take_outputs() {
-            if let Output::Send { to, message: Message { body: Body::Knock, .. } } = output {
+            if let Output::Send {
+                to,
+                message: Message {
+                    body: Body::Knock, ..
+                },
+            } = output
+            {
                 knocks.push(to);
             }
         }
@@ -203,34 +268,56 @@
 fn a_heartbeat_for_another_disk_is_not_followed_but_knocked_at() {
     let newcomer = || Replica::<History>::newcomer(Settings::default(), member(9), 7, at(0));
     let mut unheard = newcomer();
-    assert_eq!(knocks(&mut unheard, at(0), at(1_000)), Vec::<String>::new(), "it knows nobody");
+    assert_eq!(
+        knocks(&mut unheard, at(0), at(1_000)),
+        Vec::<String>::new(),
+        "it knows nobody"
+    );
 
     // Voter 2 was at this address before its disk was lost.
     let mut replica = newcomer();
     replica.on_message(at(0), heartbeat(2, 1, 5, Vec::new()));
     assert_eq!(replica.promised(), Epoch::default());
     assert_eq!(
-        (replica.primary(), replica.in_contact(at(0)), replica.is_current(at(0))),
+        (
+            replica.primary(),
+            replica.in_contact(at(0)),
+            replica.is_current(at(0))
+        ),
         (None, false, false)
     );
     assert!(replica.committed().is_none());
-    assert_matches!(&replica.take_outputs()[..], [], "it gives no answer in the name of another");
+    assert_matches!(
+        &replica.take_outputs()[..],
+        [],
+        "it gives no answer in the name of another"
+    );
     let knocked = knocks(&mut replica, at(0), at(1_000));
-    assert!(!knocked.is_empty() && knocked.iter().all(|to| *to == member(1).address), "{knocked:?}");
+    assert!(
+        !knocked.is_empty() && knocked.iter().all(|to| *to == member(1).address),
+        "{knocked:?}"
+    );
 
     // A voter whom it is not for does not follow either; one that is meant does.
     let mut voter = voter();
     voter.on_message(at(0), heartbeat(3, 1, 5, Vec::new()));
     assert_eq!((voter.primary(), voter.in_contact(at(0))), (None, false));
     voter.on_message(at(1), heartbeat(2, 1, 5, Vec::new()));
-    assert_eq!((voter.primary(), voter.in_contact(at(1))), (Some(&member(1)), false));
+    assert_eq!(
+        (voter.primary(), voter.in_contact(at(1))),
+        (Some(&member(1)), false)
+    );
     let echo = last_answer(&voter.take_outputs());
     assert!(echo.is_some(), "it answers");
     voter.on_message(at(2), echoing(echo, 2, 2, 5, Vec::new()));
-    assert_eq!((voter.primary(), voter.in_contact(at(2))), (Some(&member(1)), true));
+    assert_eq!(
+        (voter.primary(), voter.in_contact(at(2))),
+        (Some(&member(1)), true)
+    );
 }
 
-/// What a heartbeat can ask of a voter beside being followed: to take a record, and to fetch the image.
+/// What a heartbeat can ask of a voter beside being followed: to take a record, and to fetch the
+/// image.
 fn demanding(to: u64, epoch: Epoch) -> Message {
     let previous = position(5);
     let number = Position { epoch, number: 6 };
@@ -249,13 +336,22 @@
         }],
         take_image: true,
     };
-    Message { from: member(epoch.primary.0), body: Body::Append(append) }
+    Message {
+        from: member(epoch.primary.0),
+        body: Body::Append(append),
+    }
 }
 
 #[test]
 fn an_append_for_another_identity_changes_nothing_at_a_voter() {
-    let later = Epoch { counter: 4, primary: Identity(3) };
-    let older = Epoch { counter: 2, primary: Identity(3) };
+    let later = Epoch {
+        counter: 4,
+        primary: Identity(3),
+    };
+    let older = Epoch {
+        counter: 2,
+        primary: Identity(3),
+    };
     for epoch in [older, EPOCH, later] {
         let mut replica = voter();
         let before = replica.clone();
@@ -266,23 +362,46 @@
             "{epoch:?}: nothing is written, shown, sent or told"
         );
         assert_eq!(replica.promised(), EPOCH, "{epoch:?}");
-        assert_eq!(replica.next_wake(), before.next_wake(), "{epoch:?}: no election is put off");
-        assert_eq!((replica.primary(), replica.in_contact(at(0))), (None, false), "{epoch:?}");
-        assert!(replica.committed().is_none() && !replica.is_current(at(0)), "{epoch:?}");
+        assert_eq!(
+            replica.next_wake(),
+            before.next_wake(),
+            "{epoch:?}: no election is put off"
+        );
+        assert_eq!(
+            (replica.primary(), replica.in_contact(at(0))),
+            (None, false),
+            "{epoch:?}"
+        );
+        assert!(
+            replica.committed().is_none() && !replica.is_current(at(0)),
+            "{epoch:?}"
+        );
         assert_eq!(replica.durable_image(), before.durable_image(), "{epoch:?}");
     }
-    // The same message, when it is meant: an older epoch is refused, the others are followed, written and shown.
+    // The same message, when it is meant: an older epoch is refused, the others are followed,
+    // written and shown.
     let mut replica = voter();
     replica.on_message(at(0), demanding(2, older));
     assert_matches!(
         &replica.take_outputs()[..],
-        [Output::Send { message: Message { body: Body::Refusal { .. }, .. }, .. }]
+        [Output::Send {
+            message: Message {
+                body: Body::Refusal { .. },
+                ..
+            },
+            ..
+        }]
     );
     for epoch in [EPOCH, later] {
         let mut replica = voter();
         replica.on_message(at(0), demanding(2, epoch));
         let outputs = replica.take_outputs();
-        assert!(outputs.iter().any(|output| matches!(output, Output::Persist { .. })), "{outputs:?}");
+        assert!(
+            outputs
+                .iter()
+                .any(|output| matches!(output, Output::Persist { .. })),
+            "{outputs:?}"
+        );
         assert_eq!(replica.promised(), epoch);
         assert!(replica.primary().is_some() && last_answer(&outputs).is_some());
         assert_eq!(replica.committed().map(|(at, _)| at.number), Some(6));
@@ -293,27 +412,49 @@
 fn a_wiped_voter_at_its_old_address_is_not_fed_by_what_is_meant_for_its_old_disk() {
     let mut replica = Replica::<History>::newcomer(
         Settings::default(),
-        Member { identity: Identity(9), ..member(2) },
+        Member {
+            identity: Identity(9),
+            ..member(2)
+        },
         7,
         at(0),
     );
     for round in 0..9 {
         let now = at(100 * round);
         replica.on_message(now, demanding(2, EPOCH));
-        assert_matches!(&replica.take_outputs()[..], [], "{now:?}: it confirms no round and takes no image");
-        assert_eq!((replica.promised(), replica.primary()), (Epoch::default(), None));
+        assert_matches!(
+            &replica.take_outputs()[..],
+            [],
+            "{now:?}: it confirms no round and takes no image"
+        );
+        assert_eq!(
+            (replica.promised(), replica.primary()),
+            (Epoch::default(), None)
+        );
         assert!(replica.durable_image().is_none() && replica.committed().is_none());
         assert!(!replica.in_contact(now) && !replica.is_current(now));
     }
     // Nor is it kept from knocking, where the primary is.
     let knocked = knocks(&mut replica, at(800), at(1_600));
-    assert!(knocked.len() >= 4 && knocked.iter().all(|to| *to == member(1).address), "{knocked:?}");
+    assert!(
+        knocked.len() >= 4 && knocked.iter().all(|to| *to == member(1).address),
+        "{knocked:?}"
+    );
     // The primary names it once it has been told of it: then it follows, and asks for the image.
     replica.on_message(at(1_700), demanding(9, EPOCH));
     assert_eq!(replica.primary(), Some(&member(1)));
     let outputs = replica.take_outputs();
     let asks = |output: &Output| {
-        matches!(output, Output::Send { message: Message { body: Body::ImageRequest { .. }, .. }, .. })
+        matches!(
+            output,
+            Output::Send {
+                message: Message {
+                    body: Body::ImageRequest { .. },
+                    ..
+                },
+                ..
+            }
+        )
     };
     assert!(outputs.iter().any(asks), "{outputs:?}");
 }
--- a/decide/replication/tests/disks_and_links.rs
+++ b/decide/replication/tests/disks_and_links.rs
@@ -1,4 +1,5 @@
-//! What must happen, in virtual time, around disks and links: stalls, losses of power, cuts, freezes, catching up.
+//! What must happen, in virtual time, around disks and links: stalls, losses of power, cuts,
+//! freezes, catching up.
 
 mod scenario;
 
@@ -18,12 +19,15 @@
     for index in 0..4 {
         timed.restart(index);
     }
-    timed.commit_within(4 * SECOND).expect("a change is committed again");
+    timed
+        .commit_within(4 * SECOND)
+        .expect("a change is committed again");
     assert!(timed.world.ledger.committed.len() > committed);
     clean(&timed);
 }
 
-/// Microseconds until a group whose members all start again within 0.4 s takes a change, from the moment at which a majority runs.
+/// Microseconds until a group whose members all start again within 0.4 s takes a change, from the
+/// moment at which a majority runs.
 fn back_within(seed: u64) -> u64 {
     let mut timed = Timed::gathered(Settings::default(), 4, 4, seed);
     timed.commit_within(SECOND).expect("a change is committed");
@@ -32,7 +36,9 @@
         timed.restart(index);
         timed.run_for(SECOND / 8);
     }
-    let taken = timed.commit_within(4 * SECOND).expect("a change is committed again");
+    let taken = timed
+        .commit_within(4 * SECOND)
+        .expect("a change is committed again");
     clean(&timed);
     taken
 }
@@ -50,10 +56,14 @@
     let mut timed = four(4);
     let primary = serving(&timed);
     timed.stall_disk(primary, 30 * SECOND);
-    timed.commit_within(SECOND).expect("the others' disks are enough");
+    timed
+        .commit_within(SECOND)
+        .expect("the others' disks are enough");
     timed.run_for(3 * SECOND);
     assert_ne!(serving(&timed), primary);
-    timed.commit_within(SECOND).expect("the next primary commits");
+    timed
+        .commit_within(SECOND)
+        .expect("the next primary commits");
     let heard = |(_, notice): &(usize, Notice)| matches!(notice, Notice::HandsOver { .. });
     assert!(timed.world.notices.as_ref().unwrap().iter().any(heard));
     clean(&timed);
@@ -65,11 +75,20 @@
     let (primary, voter) = (serving(&timed), others(&timed)[0]);
     timed.stall_disk(voter, 10 * SECOND);
     for _ in 0..200 {
-        assert!(timed.commit_within(SECOND).is_some_and(|took| took < 50_000));
+        assert!(timed
+            .commit_within(SECOND)
+            .is_some_and(|took| took < 50_000));
     }
     assert_eq!(serving(&timed), primary);
     timed.run_for(12 * SECOND);
-    let head = |index: usize| timed.world.nodes[index].replica.as_ref().unwrap().status(timed.now).synced;
+    let head = |index: usize| {
+        timed.world.nodes[index]
+            .replica
+            .as_ref()
+            .unwrap()
+            .status(timed.now)
+            .synced
+    };
     assert_eq!(head(voter), head(primary), "it has caught up");
     clean(&timed);
 }
@@ -93,7 +112,11 @@
         assert_ne!(serving(&timed), primary);
         timed.heal();
         timed.run_for(2 * SECOND);
-        assert!(timed.world.nodes[primary].replica.as_ref().unwrap().in_contact(timed.now));
+        assert!(timed.world.nodes[primary]
+            .replica
+            .as_ref()
+            .unwrap()
+            .in_contact(timed.now));
         clean(&timed);
     }
 }
@@ -102,14 +125,25 @@
 fn one_that_hears_nobody_disturbs_nobody() {
     let mut timed = four(4);
     let (primary, deaf) = (serving(&timed), others(&timed)[0]);
-    let epoch = timed.world.nodes[primary].replica.as_ref().unwrap().promised();
+    let epoch = timed.world.nodes[primary]
+        .replica
+        .as_ref()
+        .unwrap()
+        .promised();
     for other in 0..4 {
         timed.cut(other, deaf);
     }
     timed.run_for(4 * SECOND);
     timed.heal();
     timed.run_for(4 * SECOND);
-    assert_eq!(timed.world.nodes[primary].replica.as_ref().unwrap().promised(), epoch);
+    assert_eq!(
+        timed.world.nodes[primary]
+            .replica
+            .as_ref()
+            .unwrap()
+            .promised(),
+        epoch
+    );
 }
 
 #[test]
@@ -134,10 +168,20 @@
     timed.world.notices = Some(Vec::new());
     timed.restart(away);
     timed.run_for(SECOND);
-    let head = |index: usize| timed.world.nodes[index].replica.as_ref().unwrap().status(timed.now).synced;
+    let head = |index: usize| {
+        timed.world.nodes[index]
+            .replica
+            .as_ref()
+            .unwrap()
+            .status(timed.now)
+            .synced
+    };
     assert_eq!(head(away), head(serving(&timed)));
     let images = timed.world.notices.take().unwrap();
-    let images = images.iter().filter(|(_, notice)| matches!(notice, Notice::ImageReceived { .. })).count();
+    let images = images
+        .iter()
+        .filter(|(_, notice)| matches!(notice, Notice::ImageReceived { .. }))
+        .count();
     assert_eq!(images, 1);
     clean(&timed);
 }
@@ -155,7 +199,14 @@
         timed.commit_within(SECOND).expect("a change is committed");
     }
     timed.run_for(2_500);
-    let position = |index: usize| timed.world.nodes[index].replica.as_ref().unwrap().status(timed.now).head;
+    let position = |index: usize| {
+        timed.world.nodes[index]
+            .replica
+            .as_ref()
+            .unwrap()
+            .status(timed.now)
+            .head
+    };
     assert!(position(serving(&timed)).number - position(away).number <= 1);
     clean(&timed);
 }
@@ -164,16 +215,23 @@
 fn a_large_image_comes_through_a_network_that_loses_a_fifth() {
     let mut timed = Timed::new(Settings::default(), 4, 9);
     // 320 KB: eleven chunks.
-    timed.world.founding = History { changes: (1_000_000..1_040_000).collect() };
+    timed.world.founding = History {
+        changes: (1_000_000..1_040_000).collect(),
+    };
     timed.call(0, |world| world.found());
-    timed.weather = Weather { loss: 5, ..Weather::default() };
+    timed.weather = Weather {
+        loss: 5,
+        ..Weather::default()
+    };
     for index in 1..4 {
         timed.restart(index);
     }
     let whole = timed.run_until(10 * SECOND, |timed| timed.is_whole(4));
     println!("whole after {whole:?} us");
     assert!(whole.is_some());
-    timed.commit_within(2 * SECOND).expect("a change is committed");
+    timed
+        .commit_within(2 * SECOND)
+        .expect("a change is committed");
     for node in &timed.world.nodes {
         let bytes: usize = node.disk.iter().map(|item| item.encode().len()).sum();
         assert!(bytes > 320_000, "{} holds {bytes} bytes", node.address);
@@ -188,12 +246,21 @@
     let voter = others(&timed)[0];
     let primary = serving(&timed);
     timed.call(primary, |world| world.propose(primary));
-    timed.run_until(SECOND, |timed| !timed.world.nodes[voter].pending.is_empty()).expect("it is to write");
+    timed
+        .run_until(SECOND, |timed| !timed.world.nodes[voter].pending.is_empty())
+        .expect("it is to write");
     timed.call(voter, |world| world.fail_sync(voter));
     timed.run_for(SECOND);
     let last = timed.world.nodes[voter].disk.last();
     assert!(matches!(last, Some(DurableItem::Image(_))), "{last:?}");
-    let synced = |index: usize| timed.world.nodes[index].replica.as_ref().unwrap().status(timed.now).synced;
+    let synced = |index: usize| {
+        timed.world.nodes[index]
+            .replica
+            .as_ref()
+            .unwrap()
+            .status(timed.now)
+            .synced
+    };
     assert_eq!(synced(voter), synced(primary));
     clean(&timed);
 }
@@ -213,7 +280,9 @@
 fn what_is_acknowledged_survives_a_lost_disk_and_a_loss_of_power_in_that_moment() {
     for seed in 0..60 {
         let mut timed = Timed::gathered(Settings::default(), 4, 5, seed);
-        timed.commit_within(SECOND).expect("a change is acknowledged");
+        timed
+            .commit_within(SECOND)
+            .expect("a change is acknowledged");
         let lost = seed as usize % 4;
         for index in (0..4).filter(|index| *index != lost) {
             timed.crash_keeping(index, 0);
@@ -225,8 +294,15 @@
         timed.restart(4);
         assert!(timed.commit_within(5 * SECOND).is_some(), "seed {seed}");
         let acknowledged = &timed.world.ledger.acknowledged;
-        assert!(acknowledged.iter().all(|change| timed.world.ledger.committed.contains(change)));
-        assert!(timed.run_until(8 * SECOND, |timed| timed.is_whole(4)).is_some(), "seed {seed}");
+        assert!(acknowledged
+            .iter()
+            .all(|change| timed.world.ledger.committed.contains(change)));
+        assert!(
+            timed
+                .run_until(8 * SECOND, |timed| timed.is_whole(4))
+                .is_some(),
+            "seed {seed}"
+        );
         clean(&timed);
     }
 }
@@ -235,16 +311,31 @@
 fn two_newcomers_take_a_large_image_while_changes_go_on() {
     let mut timed = Timed::new(Settings::default(), 5, 9);
     // 480 KB: fifteen chunks, four windows.
-    timed.world.founding = History { changes: (1_000_000..1_060_000).collect() };
+    timed.world.founding = History {
+        changes: (1_000_000..1_060_000).collect(),
+    };
     timed.call(0, |world| world.found());
     (1..3).for_each(|index| timed.restart(index));
-    assert!(timed.run_until(5 * SECOND, |timed| timed.is_whole(3)).is_some());
+    assert!(timed
+        .run_until(5 * SECOND, |timed| timed.is_whole(3))
+        .is_some());
     (3..5).for_each(|index| timed.restart(index));
     for _ in 0..150 {
-        assert!(timed.commit_within(SECOND).is_some_and(|took| took < 50_000));
+        assert!(timed
+            .commit_within(SECOND)
+            .is_some_and(|took| took < 50_000));
     }
     let primary = serving(&timed);
-    let membership = timed.world.nodes[primary].replica.as_ref().unwrap().membership().clone();
-    assert_eq!(membership.voters.len(), 5, "both came in while changes went on");
+    let membership = timed.world.nodes[primary]
+        .replica
+        .as_ref()
+        .unwrap()
+        .membership()
+        .clone();
+    assert_eq!(
+        membership.voters.len(),
+        5,
+        "both came in while changes went on"
+    );
     clean(&timed);
 }
--- a/decide/replication/tests/exhaustive.rs
+++ b/decide/replication/tests/exhaustive.rs
@@ -1,7 +1,9 @@
-//! All orders of events to a stated depth, by `stateright`, from groups that stand at the begin of something hard.
+//! All orders of events to a stated depth, by `stateright`, from groups that stand at the begin of
+//! something hard.
 //!
-//! A message that is not delivered by the end is lost or late; a clock that is not moved stands still, or belongs to a frozen node. Clocks
-//! move by themselves, so elections come at any time. `REPLICATION_DEPTH` sets another depth.
+//! A message that is not delivered by the end is lost or late; a clock that is not moved stands
+//! still, or belongs to a frozen node. Clocks move by themselves, so elections come at any time.
+//! `REPLICATION_DEPTH` sets another depth.
 
 use lichenswitch_replication::model::walk::{calm_step, gather, settle};
 use lichenswitch_replication::model::{Action, World};
@@ -91,13 +93,21 @@
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
-        vec![Property::always("clients were told the truth", |_, point: &Point| {
-            point.world.ledger.violation.is_none()
-        })]
+        vec![Property::always(
+            "clients were told the truth",
+            |_, point: &Point| point.world.ledger.violation.is_none(),
+        )]
     }
 }
 
-const BUDGET: Budget = Budget { ticks: 2, crashes: 1, wipes: 0, repeats: 0, proposals: 1, confirms: 1 };
+const BUDGET: Budget = Budget {
+    ticks: 2,
+    crashes: 1,
+    wipes: 0,
+    repeats: 0,
+    proposals: 1,
+    confirms: 1,
+};
 
 /// What a search came to.
 struct Found {
@@ -106,9 +116,19 @@
 }
 
 fn search(name: &str, world: World, budget: Budget, depth: usize) -> Found {
-    let depth = std::env::var("REPLICATION_DEPTH").ok().and_then(|text| text.parse().ok()).unwrap_or(depth);
-    let model = Search { beginning: Point { world, budget } };
-    let checker = model.checker().threads(4).target_max_depth(depth + 1).spawn_bfs().join();
+    let depth = std::env::var("REPLICATION_DEPTH")
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(depth);
+    let model = Search {
+        beginning: Point { world, budget },
+    };
+    let checker = model
+        .checker()
+        .threads(4)
+        .target_max_depth(depth + 1)
+        .spawn_bfs()
+        .join();
     let path = checker.discovery("clients were told the truth");
     let violation = path.and_then(|path| path.last_state().world.ledger.violation.clone());
     let states = checker.unique_state_count();
@@ -117,7 +137,14 @@
 }
 
 fn group(voters: usize, nodes: usize, faults: Faults) -> World {
-    let mut world = World::new(Settings { faults, ..Settings::default() }, nodes, 1);
+    let mut world = World::new(
+        Settings {
+            faults,
+            ..Settings::default()
+        },
+        nodes,
+        1,
+    );
     gather(&mut world, voters);
     (0..5).for_each(|_| calm_step(&mut world, 10_000));
     world.act(&Action::Propose(0));
@@ -133,7 +160,8 @@
     world
 }
 
-/// The others no longer hear the primary, and one of them has just drawn an epoch; a change is on its way from the old one.
+/// The others no longer hear the primary, and one of them has just drawn an epoch; a change is on
+/// its way from the old one.
 fn election_under_way(voters: usize, faults: Faults) -> World {
     let mut world = change_under_way(voters, faults);
     let held = std::mem::take(&mut world.network);
@@ -142,7 +170,11 @@
     // The answers to its question come in; what the old primary sent is still on its way.
     for _ in 0..2 {
         let apart = |from: usize, to: usize| from != 0 && to != 0;
-        while let Some(at) = world.network.iter().position(|envelope| apart(envelope.from, envelope.to)) {
+        while let Some(at) = world
+            .network
+            .iter()
+            .position(|envelope| apart(envelope.from, envelope.to))
+        {
             world.act(&Action::Deliver(at));
         }
     }
@@ -161,7 +193,9 @@
     world.act(&Action::Tick(3));
     for _ in 0..200 {
         let joint = |node: &lichenswitch_replication::model::Node| {
-            node.replica.as_ref().is_some_and(|replica| replica.membership().is_joint())
+            node.replica
+                .as_ref()
+                .is_some_and(|replica| replica.membership().is_joint())
         };
         if world.nodes.iter().any(joint) {
             return world;
@@ -175,8 +209,8 @@
     panic!("the newcomer is never named");
 }
 
-/// The first node still says that it is primary, and answers to its last round are on their way to it; the two others have gone on, and
-/// a change of theirs is acknowledged.
+/// The first node still says that it is primary, and answers to its last round are on their way to
+/// it; the two others have gone on, and a change of theirs is acknowledged.
 fn two_primaries(faults: Faults) -> World {
     let mut world = change_under_way(3, faults);
     while let Some(at) = world.network.iter().position(|envelope| envelope.from == 0) {
@@ -189,7 +223,8 @@
     world
 }
 
-/// One node becomes primary by the grant of another, and a change of theirs is acknowledged; the third hears nothing of it.
+/// One node becomes primary by the grant of another, and a change of theirs is acknowledged; the
+/// third hears nothing of it.
 fn go_on(world: &mut World, primary: usize, other: usize) {
     let acknowledged = world.ledger.acknowledged.len();
     world.network.clear();
@@ -206,7 +241,10 @@
         };
         let replica = world.nodes[primary].replica.as_ref();
         let serves = replica.is_some_and(|replica| replica.is_serving() && replica.is_idle());
-        if let Some(index) = both.into_iter().find(|index| !world.nodes[*index].pending.is_empty()) {
+        if let Some(index) = both
+            .into_iter()
+            .find(|index| !world.nodes[*index].pending.is_empty())
+        {
             world.sync(index);
         } else if serves {
             world.act(&Action::Propose(primary));
@@ -217,8 +255,8 @@
     panic!("node {primary} does not become primary");
 }
 
-/// As [`two_primaries`], but the first node has been primary twice, and the answers on their way to it are of the first time, when it
-/// had come to a higher round.
+/// As [`two_primaries`], but the first node has been primary twice, and the answers on their way to
+/// it are of the first time, when it had come to a higher round.
 fn twice_primary(faults: Faults) -> World {
     let mut world = group(3, 3, faults);
     for _ in 0..100 {
@@ -241,68 +279,150 @@
 fn sound(name: &str, world: World, budget: Budget, depth: usize, least: usize) {
     let found = search(name, world, budget, depth);
     assert_eq!(found.violation, None, "{name}");
-    assert!(found.states >= least, "{name}: only {} states", found.states);
+    assert!(
+        found.states >= least,
+        "{name}: only {} states",
+        found.states
+    );
 }
 
 #[test]
 fn a_change_among_three() {
-    sound("a change among three", change_under_way(3, Faults::default()), BUDGET, 6, 10_000);
+    sound(
+        "a change among three",
+        change_under_way(3, Faults::default()),
+        BUDGET,
+        6,
+        10_000,
+    );
 }
 
 #[test]
 fn an_election_among_three() {
-    sound("an election among three", election_under_way(3, Faults::default()), BUDGET, 5, 10_000);
+    sound(
+        "an election among three",
+        election_under_way(3, Faults::default()),
+        BUDGET,
+        5,
+        10_000,
+    );
 }
 
 #[test]
 fn an_election_among_four() {
-    sound("an election among four", election_under_way(4, Faults::default()), BUDGET, 5, 10_000);
+    sound(
+        "an election among four",
+        election_under_way(4, Faults::default()),
+        BUDGET,
+        5,
+        10_000,
+    );
 }
 
 #[test]
 fn a_change_among_six() {
-    sound("a change among six", change_under_way(6, Faults::default()), BUDGET, 4, 5_000);
+    sound(
+        "a change among six",
+        change_under_way(6, Faults::default()),
+        BUDGET,
+        4,
+        5_000,
+    );
 }
 
 #[test]
 fn a_replacement_among_three() {
     let budget = Budget { wipes: 1, ..BUDGET };
-    sound("a replacement among three", replacement_under_way(Faults::default()), budget, 5, 5_000);
+    sound(
+        "a replacement among three",
+        replacement_under_way(Faults::default()),
+        budget,
+        5,
+        5_000,
+    );
 }
 
 #[test]
 fn two_that_say_they_are_primary() {
-    let budget = Budget { confirms: 2, repeats: 1, ..BUDGET };
-    sound("two that say they are primary", two_primaries(Faults::default()), budget, 5, 10_000);
+    let budget = Budget {
+        confirms: 2,
+        repeats: 1,
+        ..BUDGET
+    };
+    sound(
+        "two that say they are primary",
+        two_primaries(Faults::default()),
+        budget,
+        5,
+        10_000,
+    );
 }
 
 #[test]
 fn one_that_is_primary_for_the_second_time() {
-    let budget = Budget { confirms: 2, repeats: 1, ..BUDGET };
-    sound("one that is primary for the second time", twice_primary(Faults::default()), budget, 5, 10_000);
+    let budget = Budget {
+        confirms: 2,
+        repeats: 1,
+        ..BUDGET
+    };
+    sound(
+        "one that is primary for the second time",
+        twice_primary(Faults::default()),
+        budget,
+        5,
+        10_000,
+    );
 }
 
 fn found(name: &str, world: World) {
     let found = search(name, world, BUDGET, 4);
-    assert!(found.violation.is_some(), "{name} is not found among {} states", found.states);
+    assert!(
+        found.violation.is_some(),
+        "{name} is not found among {} states",
+        found.states
+    );
 }
 
 #[test]
 fn an_early_lease_is_found() {
-    found("early lease", two_primaries(Faults { early_lease: true, ..Faults::default() }));
+    found(
+        "early lease",
+        two_primaries(Faults {
+            early_lease: true,
+            ..Faults::default()
+        }),
+    );
 }
 
 #[test]
 fn an_answer_from_memory_is_found() {
-    found("answer from memory", two_primaries(Faults { answer_from_memory: true, ..Faults::default() }));
+    found(
+        "answer from memory",
+        two_primaries(Faults {
+            answer_from_memory: true,
+            ..Faults::default()
+        }),
+    );
 }
 
 #[test]
 fn an_older_round_that_counts_is_found() {
-    found("older round", two_primaries(Faults { count_old_round: true, ..Faults::default() }));
+    found(
+        "older round",
+        two_primaries(Faults {
+            count_old_round: true,
+            ..Faults::default()
+        }),
+    );
 }
 
 #[test]
 fn an_answer_of_an_older_epoch_that_counts_is_found() {
-    found("older epoch", twice_primary(Faults { count_old_epoch: true, ..Faults::default() }));
+    found(
+        "older epoch",
+        twice_primary(Faults {
+            count_old_epoch: true,
+            ..Faults::default()
+        }),
+    );
 }
--- a/decide/replication/tests/liveness.rs
+++ b/decide/replication/tests/liveness.rs
@@ -1,4 +1,5 @@
-//! Random faults in virtual time, never more than a group must bear: it goes on, and is whole again when they end.
+//! Random faults in virtual time, never more than a group must bear: it goes on, and is whole again
+//! when they end.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -11,7 +12,10 @@
 const SEEDS: u64 = 200;
 
 fn number(name: &str, otherwise: u64) -> u64 {
-    std::env::var(name).ok().and_then(|value| value.parse().ok()).unwrap_or(otherwise)
+    std::env::var(name)
+        .ok()
+        .and_then(|value| value.parse().ok())
+        .unwrap_or(otherwise)
 }
 
 /// One fault of one node; how long it lasts. At most one node is faulty at a time.
@@ -70,8 +74,11 @@
 fn run(voters: usize, seed: u64) {
     let mut dice = Dice(seed ^ 0x5eed);
     let mut timed = Timed::gathered(Settings::default(), voters, voters, seed);
-    timed.weather =
-        Weather { loss: [0, 200, 50][dice.index(3)], repeat: [0, 50][dice.index(2)], ..Weather::default() };
+    timed.weather = Weather {
+        loss: [0, 200, 50][dice.index(3)],
+        repeat: [0, 50][dice.index(2)],
+        ..Weather::default()
+    };
     let mut done = Vec::new();
     for _ in 0..12 {
         let node = dice.index(voters);
@@ -81,7 +88,11 @@
         let took = timed.commit_within(8 * SECOND);
         let say = || format!("voters {voters}, seed {seed}, after {done:?}");
         assert_eq!(timed.world.ledger.violation, None, "{}", say());
-        assert!(took.is_some(), "no change is committed within 8 s: {}", say());
+        assert!(
+            took.is_some(),
+            "no change is committed within 8 s: {}",
+            say()
+        );
         assert!(timed.world.ledger.acknowledged.len() > before);
         let whole = timed.run_until(15 * SECOND, |timed| timed.is_whole(voters));
         assert!(whole.is_some(), "not whole within 15 s: {}", say());
@@ -108,5 +119,8 @@
             scope.spawn(one);
         }
     });
-    println!("{} groups of 4 to 6 voters through 12 faults each", last - first);
+    println!(
+        "{} groups of 4 to 6 voters through 12 faults each",
+        last - first
+    );
 }
--- a/decide/replication/tests/planted_faults.rs
+++ b/decide/replication/tests/planted_faults.rs
@@ -1,5 +1,6 @@
-//! Faults that are planted, one at a time: the model must find each, and nothing where none is (`walks.rs`). Those that a
-//! search from a chosen beginning finds sooner are in `exhaustive.rs`, the one that is a matter of what happens in `scenarios.rs`.
+//! Faults that are planted, one at a time: the model must find each, and nothing where none is
+//! (`walks.rs`). Those that a search from a chosen beginning finds sooner are in `exhaustive.rs`,
+//! the one that is a matter of what happens in `scenarios.rs`.
 
 use lichenswitch_replication::model::walk::{walk, Walk};
 use lichenswitch_replication::model::{Machinery, World};
@@ -19,19 +20,57 @@
 }
 
 /// A group that keeps its members: the shortest way to faults of elections, rounds and disks.
-const STEADY: Profile = Profile { voters: 3, spares: 0, steps: 2000, wipes: false, leaves: false };
+const STEADY: Profile = Profile {
+    voters: 3,
+    spares: 0,
+    steps: 2000,
+    wipes: false,
+    leaves: false,
+};
 /// A group that changes its members.
-const CHANGING: Profile = Profile { voters: 3, spares: 3, steps: 3000, wipes: true, leaves: true };
+const CHANGING: Profile = Profile {
+    voters: 3,
+    spares: 3,
+    steps: 3000,
+    wipes: true,
+    leaves: true,
+};
 /// Four voters, half of which are no quorum.
-const EVEN: Profile = Profile { voters: 4, ..STEADY };
+const EVEN: Profile = Profile {
+    voters: 4,
+    ..STEADY
+};
 
 /// The first seed that shows the fault, and what it shows.
 fn search(faults: Faults, machinery: Machinery, profile: Profile) -> Option<(u64, String)> {
-    let Profile { voters, spares, steps, wipes, leaves } = profile;
+    let Profile {
+        voters,
+        spares,
+        steps,
+        wipes,
+        leaves,
+    } = profile;
     (0..MOST_SEEDS).find_map(|seed| {
-        let mut world = World::new(Settings { faults, ..Settings::default() }, voters + spares, seed);
+        let mut world = World::new(
+            Settings {
+                faults,
+                ..Settings::default()
+            },
+            voters + spares,
+            seed,
+        );
         world.machinery = machinery;
-        let end = walk(world, Walk { seed, voters, spares, steps, wipes, leaves });
+        let end = walk(
+            world,
+            Walk {
+                seed,
+                voters,
+                spares,
+                steps,
+                wipes,
+                leaves,
+            },
+        );
         end.ledger.violation.map(|violation| (seed, violation))
     })
 }
@@ -39,7 +78,10 @@
 fn must_find(name: &str, faults: Faults, machinery: Machinery, profile: Profile) {
     let found = search(faults, machinery, profile);
     println!("{name}: {found:?}");
-    assert!(found.is_some(), "{name} was not found in {MOST_SEEDS} seeds");
+    assert!(
+        found.is_some(),
+        "{name} was not found in {MOST_SEEDS} seeds"
+    );
 }
 
 macro_rules! planted {
@@ -66,13 +108,22 @@
 
 #[test]
 fn empty_disk_votes() {
-    let faults = Faults { empty_disk_votes: true, ..Faults::default() };
-    let machinery = Machinery { wiped_keeps_identity: true, ..Machinery::default() };
+    let faults = Faults {
+        empty_disk_votes: true,
+        ..Faults::default()
+    };
+    let machinery = Machinery {
+        wiped_keeps_identity: true,
+        ..Machinery::default()
+    };
     must_find("empty_disk_votes", faults, machinery, CHANGING);
 }
 
 #[test]
 fn founds_again() {
-    let machinery = Machinery { founds_again: true, ..Machinery::default() };
+    let machinery = Machinery {
+        founds_again: true,
+        ..Machinery::default()
+    };
     must_find("founds_again", Faults::default(), machinery, CHANGING);
 }
--- a/decide/replication/tests/scenario/mod.rs
+++ b/decide/replication/tests/scenario/mod.rs
@@ -18,11 +18,18 @@
 
 pub fn others(timed: &Timed) -> Vec<usize> {
     let primary = serving(timed);
-    let named = &timed.world.nodes[primary].replica.as_ref().expect("it runs").membership().voters;
+    let named = &timed.world.nodes[primary]
+        .replica
+        .as_ref()
+        .expect("it runs")
+        .membership()
+        .voters;
     let named: BTreeSet<_> = named.iter().map(|member| member.identity).collect();
     let nodes = timed.world.nodes.iter().enumerate();
     let runs = nodes.filter(|(at, node)| *at != primary && node.replica.is_some());
-    runs.filter(|(_, node)| named.contains(&node.identity)).map(|(at, _)| at).collect()
+    runs.filter(|(_, node)| named.contains(&node.identity))
+        .map(|(at, _)| at)
+        .collect()
 }
 
 pub fn clean(timed: &Timed) {
--- a/decide/replication/tests/scenarios.rs
+++ b/decide/replication/tests/scenarios.rs
@@ -39,10 +39,12 @@
     let primary = serving(&timed);
     timed.call(primary, |world| world.confirm(primary));
     let before = timed.world.ledger.confirmed;
-    let took =
-        timed.run_until(SECOND, |timed| timed.world.ledger.confirmed > before).expect("it is confirmed");
+    let took = timed
+        .run_until(SECOND, |timed| timed.world.ledger.confirmed > before)
+        .expect("it is confirmed");
     println!("a confirmation took {took} us");
-    // A round takes at most 1,000 us here; the one that tells of the commit is still in flight and doesn't count.
+    // A round takes at most 1,000 us here; the one that tells of the commit is still in flight and
+    // doesn't count.
     assert!(took <= 2_000, "{took}");
     clean(&timed);
 }
@@ -53,7 +55,9 @@
         let mut timed = Timed::gathered(Settings::default(), 4, 4, seed);
         let primary = serving(&timed);
         timed.crash(primary);
-        let took = timed.commit_within(5 * SECOND).expect("another primary commits");
+        let took = timed
+            .commit_within(5 * SECOND)
+            .expect("another primary commits");
         assert!(took < 2 * SECOND, "seed {seed}: {took}");
         clean(&timed);
     }
@@ -67,11 +71,19 @@
         timed.wipe(lost);
         timed.run_for(SECOND / 2);
         timed.restart(newcomer);
-        assert!(timed.commit_within(3 * SECOND).is_some(), "before {newcomer} has its place");
-        let replaced = timed.run_until(3 * SECOND, |timed| timed.is_whole(4)).expect("it takes the place");
+        assert!(
+            timed.commit_within(3 * SECOND).is_some(),
+            "before {newcomer} has its place"
+        );
+        let replaced = timed
+            .run_until(3 * SECOND, |timed| timed.is_whole(4))
+            .expect("it takes the place");
         println!("replaced after {replaced} us");
         let changes = changes(&mut timed);
-        assert!(matches!(changes.last(), Some(MembershipChange::ReplaceSilent { .. })), "{changes:?}");
+        assert!(
+            matches!(changes.last(), Some(MembershipChange::ReplaceSilent { .. })),
+            "{changes:?}"
+        );
     }
     assert!(timed.commit_within(SECOND).is_some());
     clean(&timed);
@@ -88,7 +100,11 @@
         assert!(timed.commit_within(SECOND / 10).is_some());
     }
     let whole = timed.run_until(10 * SECOND, |timed| timed.is_whole(4));
-    assert!(whole.is_some(), "the dead ones are gone: {:?}", changes(&mut timed));
+    assert!(
+        whole.is_some(),
+        "the dead ones are gone: {:?}",
+        changes(&mut timed)
+    );
     assert!(timed.commit_within(SECOND).is_some());
     clean(&timed);
 }
@@ -101,17 +117,30 @@
         let lost = others(&timed)[0];
         timed.wipe(lost);
         timed.restart(lost);
-        let replaced = timed.run_until(SECOND, |timed| timed.is_whole(4)).expect("it takes its place again");
+        let replaced = timed
+            .run_until(SECOND, |timed| timed.is_whole(4))
+            .expect("it takes its place again");
         println!("replaced after {replaced} us");
         let changes = changes(&mut timed);
-        assert!(matches!(&changes[..], [MembershipChange::ReplaceWiped { .. }]), "{changes:?}");
+        assert!(
+            matches!(&changes[..], [MembershipChange::ReplaceWiped { .. }]),
+            "{changes:?}"
+        );
     }
     clean(&timed);
 }
 
 /// The fault that is planted here makes the second replacement fatal: nobody commits any more.
 fn second_replacement(faults: Faults) -> Option<u64> {
-    let mut timed = Timed::gathered(Settings { faults, ..Settings::default() }, 4, 6, 1);
+    let mut timed = Timed::gathered(
+        Settings {
+            faults,
+            ..Settings::default()
+        },
+        4,
+        6,
+        1,
+    );
     for newcomer in [4, 5] {
         let lost = others(&timed).into_iter().min()?;
         timed.wipe(lost);
@@ -119,7 +148,9 @@
         timed.run_for(3 * SECOND);
     }
     // Both losses are borne and repaired: the next one is like the first.
-    let lost = others(&timed).into_iter().find(|index| timed.world.nodes[*index].replica.is_some())?;
+    let lost = others(&timed)
+        .into_iter()
+        .find(|index| timed.world.nodes[*index].replica.is_some())?;
     timed.wipe(lost);
     timed.run_for(SECOND);
     timed.commit_within(5 * SECOND)
@@ -128,7 +159,13 @@
 #[test]
 fn a_dead_voter_that_is_never_voted_out_is_found() {
     assert!(second_replacement(Faults::default()).is_some());
-    assert_eq!(second_replacement(Faults { never_vote_out: true, ..Faults::default() }), None);
+    assert_eq!(
+        second_replacement(Faults {
+            never_vote_out: true,
+            ..Faults::default()
+        }),
+        None
+    );
 }
 
 #[test]
@@ -137,13 +174,23 @@
     changes(&mut timed);
     let lost = others(&timed)[0];
     timed.crash(lost);
-    assert!(timed.run_until(8 * SECOND, |timed| timed.is_whole(3)).is_some_and(|took| took > 4 * SECOND));
+    assert!(timed
+        .run_until(8 * SECOND, |timed| timed.is_whole(3))
+        .is_some_and(|took| took > 4 * SECOND));
     let identity = timed.world.nodes[lost].identity;
     timed.restart(lost);
-    assert!(timed.run_until(5 * SECOND, |timed| timed.is_whole(4)).is_some());
+    assert!(timed
+        .run_until(5 * SECOND, |timed| timed.is_whole(4))
+        .is_some());
     assert_eq!(timed.world.nodes[lost].identity, identity);
     let changes = changes(&mut timed);
-    assert!(matches!(&changes[..], [MembershipChange::RemoveSilent { .. }, MembershipChange::Add { .. }]));
+    assert!(matches!(
+        &changes[..],
+        [
+            MembershipChange::RemoveSilent { .. },
+            MembershipChange::Add { .. }
+        ]
+    ));
     clean(&timed);
 }
 
@@ -154,9 +201,25 @@
     timed.crash(lost);
     timed.run_for(20 * SECOND);
     let primary = serving(&timed);
-    assert_eq!(timed.world.nodes[primary].replica.as_ref().unwrap().membership().voters.len(), 3);
+    assert_eq!(
+        timed.world.nodes[primary]
+            .replica
+            .as_ref()
+            .unwrap()
+            .membership()
+            .voters
+            .len(),
+        3
+    );
     let refused = |(_, notice): &(usize, Notice)| matches!(notice, Notice::RemovalRefused { .. });
-    let told = timed.world.notices.as_ref().unwrap().iter().filter(|notice| refused(notice)).count();
+    let told = timed
+        .world
+        .notices
+        .as_ref()
+        .unwrap()
+        .iter()
+        .filter(|notice| refused(notice))
+        .count();
     assert_eq!(told, 1, "a refusal is told once");
     assert!(timed.commit_within(SECOND).is_some());
 }
@@ -168,11 +231,19 @@
         let primary = serving(&timed);
         timed.call(primary, |world| world.leave(primary));
         let left = timed.run_until(3 * SECOND, |timed| {
-            timed.world.nodes[primary].replica.as_ref().is_some_and(|replica| replica.has_left())
+            timed.world.nodes[primary]
+                .replica
+                .as_ref()
+                .is_some_and(|replica| replica.has_left())
         });
-        assert!(left.is_some_and(|took| took < SECOND / 2), "seed {seed}: {left:?}");
+        assert!(
+            left.is_some_and(|took| took < SECOND / 2),
+            "seed {seed}: {left:?}"
+        );
         timed.crash(primary);
-        let took = timed.commit_within(SECOND).expect("the next primary commits");
+        let took = timed
+            .commit_within(SECOND)
+            .expect("the next primary commits");
         assert!(took < 50_000, "seed {seed}: {took}");
         assert!(timed.is_whole(3), "seed {seed}");
         clean(&timed);
@@ -185,7 +256,10 @@
     let leaver = others(&timed)[0];
     timed.call(leaver, |world| world.leave(leaver));
     let left = timed.run_until(SECOND, |timed| {
-        timed.world.nodes[leaver].replica.as_ref().is_some_and(|replica| replica.has_left())
+        timed.world.nodes[leaver]
+            .replica
+            .as_ref()
+            .is_some_and(|replica| replica.has_left())
     });
     assert!(left.is_some());
     assert!(timed.is_whole(3));
@@ -217,7 +291,10 @@
         timed.run_for(SECOND / 10);
         timed.crash(primary);
         let left = timed.run_until(5 * SECOND, |timed| {
-            timed.world.nodes[leaver].replica.as_ref().is_some_and(|replica| replica.has_left())
+            timed.world.nodes[leaver]
+                .replica
+                .as_ref()
+                .is_some_and(|replica| replica.has_left())
         });
         assert!(left.is_some(), "seed {seed}");
         clean(&timed);
@@ -226,7 +303,10 @@
 
 #[test]
 fn eight_bear_the_loss_of_two_at_once_and_of_two_more() {
-    let settings = Settings { fault_tolerance: 2, ..Settings::default() };
+    let settings = Settings {
+        fault_tolerance: 2,
+        ..Settings::default()
+    };
     let mut timed = Timed::gathered(settings, 8, 12, 2);
     for newcomers in [[8, 9], [10, 11]] {
         let lost = others(&timed);
@@ -239,7 +319,9 @@
             timed.restart(index);
         }
         assert!(timed.commit_within(3 * SECOND).is_some());
-        assert!(timed.run_until(5 * SECOND, |timed| timed.is_whole(8)).is_some());
+        assert!(timed
+            .run_until(5 * SECOND, |timed| timed.is_whole(8))
+            .is_some());
     }
     clean(&timed);
 }
@@ -253,13 +335,24 @@
     timed.world.nodes[moved].address = "elsewhere".to_owned();
     timed.restart(moved);
     let named = timed.run_until(5 * SECOND, |timed| {
-        let primary = timed.world.serving().and_then(|index| timed.world.nodes[index].replica.as_ref());
-        primary.is_some_and(|replica| replica.membership().all().any(|member| member.address == "elsewhere"))
+        let primary = timed
+            .world
+            .serving()
+            .and_then(|index| timed.world.nodes[index].replica.as_ref());
+        primary.is_some_and(|replica| {
+            replica
+                .membership()
+                .all()
+                .any(|member| member.address == "elsewhere")
+        })
     });
     assert!(named.is_some());
     assert!(timed.run_until(SECOND, |timed| timed.is_whole(4)).is_some());
     let changes = changes(&mut timed);
-    assert!(matches!(&changes[..], [MembershipChange::Move { .. }]), "{changes:?}");
+    assert!(
+        matches!(&changes[..], [MembershipChange::Move { .. }]),
+        "{changes:?}"
+    );
     clean(&timed);
 }
 
@@ -271,8 +364,12 @@
         timed.crash(away);
         // It had drawn an epoch and lost its process before it asked for it.
         let primary = timed.world.nodes[away].identity;
-        timed.world.nodes[away].disk.push(DurableItem::Promise(Epoch { counter, primary }));
-        assert!(timed.run_until(8 * SECOND, |timed| timed.is_whole(3)).is_some());
+        timed.world.nodes[away]
+            .disk
+            .push(DurableItem::Promise(Epoch { counter, primary }));
+        assert!(timed
+            .run_until(8 * SECOND, |timed| timed.is_whole(3))
+            .is_some());
         timed.restart(away);
         let back = timed.run_until(10 * SECOND, |timed| timed.is_whole(4));
         println!("back after {back:?} us");
