--- a/decide/replication/tests/values.rs
+++ b/decide/replication/tests/values.rs
@@ -5,12 +5,16 @@
 use assert_matches::assert_matches;
 use lichenswitch_replication::model::History;
 use lichenswitch_replication::{
-    majority_of, Append, Body, DurableItem, Epoch, Identity, Image, Member, Membership, Message, Position,
-    Record, RecoverError, Recovered, Replica, ReplicatedState, Settings, Stamp, StateError, Time, Update,
+    majority_of, Append, Body, DurableItem, Epoch, Identity, Image, Member, Membership, Message,
+    Position, Record, RecoverError, Recovered, Replica, ReplicatedState, Settings, Stamp,
+    StateError, Time, Update,
 };
 
 fn member(identity: u64) -> Member {
-    Member { identity: Identity(identity), address: format!("10.0.0.{identity}:7000") }
+    Member {
+        identity: Identity(identity),
+        address: format!("10.0.0.{identity}:7000"),
+    }
 }
 
 fn membership(identities: &[u64]) -> Membership {
@@ -22,17 +26,36 @@
 }
 
 fn position(counter: u64, number: u64) -> Position {
-    Position { epoch: Epoch { counter, primary: Identity(1) }, number }
+    Position {
+        epoch: Epoch {
+            counter,
+            primary: Identity(1),
+        },
+        number,
+    }
 }
 
 fn image(at: Position) -> DurableItem {
-    let state = History { changes: vec![1, 2] }.encode();
+    let state = History {
+        changes: vec![1, 2],
+    }
+    .encode();
     let (identity, promised) = (Identity(1), at.epoch);
-    DurableItem::Image(Image { identity, promised, position: at, membership: membership(&[1, 2, 3]), state })
+    DurableItem::Image(Image {
+        identity,
+        promised,
+        position: at,
+        membership: membership(&[1, 2, 3]),
+        state,
+    })
 }
 
 fn record(previous: Position, at: Position, update: Update) -> DurableItem {
-    DurableItem::Record(Record { position: at, previous, update })
+    DurableItem::Record(Record {
+        position: at,
+        previous,
+        update,
+    })
 }
 
 #[test]
@@ -46,8 +69,14 @@
     let four = membership(&[1, 2, 3, 4]);
     assert!(!four.quorum(&present(&[1, 2])));
     assert!(four.quorum(&present(&[1, 2, 4])));
-    assert!(!four.quorum(&present(&[1, 2, 7, 8, 9])), "others don't count");
-    assert!(!membership(&[]).quorum(&present(&[1])), "nobody is no quorum");
+    assert!(
+        !four.quorum(&present(&[1, 2, 7, 8, 9])),
+        "others don't count"
+    );
+    assert!(
+        !membership(&[]).quorum(&present(&[1])),
+        "nobody is no quorum"
+    );
 }
 
 #[test]
@@ -63,13 +92,32 @@
 
 #[test]
 fn a_heartbeat_is_small_and_survives_its_encoding() {
-    let epoch = Epoch { counter: 3, primary: Identity(1) };
+    let epoch = Epoch {
+        counter: 3,
+        primary: Identity(1),
+    };
     let (head, committed) = (position(3, 9), position(3, 8));
     let (round, in_contact, records, take_image) = (77, true, Vec::new(), false);
     let to = Identity(2);
-    let echo = Some(Stamp { process: u64::MAX, clock: 1 });
-    let append = Append { to, epoch, round, echo, in_contact, head, committed, records, take_image };
-    let message = Message { from: member(1), body: Body::Append(append) };
+    let echo = Some(Stamp {
+        process: u64::MAX,
+        clock: 1,
+    });
+    let append = Append {
+        to,
+        epoch,
+        round,
+        echo,
+        in_contact,
+        head,
+        committed,
+        records,
+        take_image,
+    };
+    let message = Message {
+        from: member(1),
+        body: Body::Append(append),
+    };
     let bytes = message.encode();
     println!("a heartbeat has {} bytes", bytes.len());
     assert!(bytes.len() <= 256, "{}", bytes.len());
@@ -81,7 +129,11 @@
 
 #[test]
 fn bytes_that_are_no_message_are_refused() {
-    let bytes = Message { from: member(1), body: Body::Knock }.encode();
+    let bytes = Message {
+        from: member(1),
+        body: Body::Knock,
+    }
+    .encode();
     for length in 0..bytes.len() {
         assert!(Message::decode(&bytes[..length]).is_err(), "{length} bytes");
     }
@@ -98,23 +150,37 @@
 fn records_and_promises_fold_into_the_image() {
     let (first, second, third) = (position(2, 5), position(2, 6), position(4, 7));
     let change = Update::Change(3u64.to_le_bytes().to_vec());
-    let promise = DurableItem::Promise(Epoch { counter: 9, primary: Identity(3) });
+    let promise = DurableItem::Promise(Epoch {
+        counter: 9,
+        primary: Identity(3),
+    });
     let members = Update::Membership(membership(&[1, 2]));
-    let items = [image(first), record(first, second, change), record(second, third, members), promise];
+    let items = [
+        image(first),
+        record(first, second, change),
+        record(second, third, members),
+        promise,
+    ];
     let recovered = Recovered::from_items(items).expect("they follow");
     assert_eq!(recovered.image.position, third);
     assert_eq!(recovered.image.promised.counter, 9);
     assert_eq!(recovered.image.membership, membership(&[1, 2]));
-    let replica = Replica::<History>::recover(Settings::default(), "here".into(), recovered, 1, Time(0));
+    let replica =
+        Replica::<History>::recover(Settings::default(), "here".into(), recovered, 1, Time(0));
     let replica = replica.expect("the state can be read");
     assert_eq!(replica.status(Time(0)).synced, Some(third));
-    assert_eq!(replica.committed(), None, "what is on disk may never have been committed");
+    assert_eq!(
+        replica.committed(),
+        None,
+        "what is on disk may never have been committed"
+    );
 }
 
 #[test]
 fn a_record_of_an_epoch_implies_its_promise() {
     let (first, second) = (position(2, 5), position(4, 6));
-    let recovered = Recovered::from_items([image(first), record(first, second, Update::EpochStart)]);
+    let recovered =
+        Recovered::from_items([image(first), record(first, second, Update::EpochStart)]);
     assert_eq!(recovered.expect("it follows").image.promised, second.epoch);
 }
 
@@ -123,7 +189,10 @@
     let (first, second) = (position(2, 5), position(2, 6));
     let start = || Update::EpochStart;
     assert_matches!(Recovered::from_items([]), Err(RecoverError::Empty));
-    assert_matches!(Recovered::from_items([record(first, second, start())]), Err(RecoverError::Empty));
+    assert_matches!(
+        Recovered::from_items([record(first, second, start())]),
+        Err(RecoverError::Empty)
+    );
     let skipped = record(position(2, 6), position(2, 7), start());
     assert_matches!(
         Recovered::from_items([image(first), skipped]),
@@ -138,12 +207,17 @@
         Recovered::from_items([image(second), image(first)]),
         Err(RecoverError::ImageGoesBack { .. })
     );
-    let promise = DurableItem::Promise(Epoch { counter: 3, primary: Identity(1) });
+    let promise = DurableItem::Promise(Epoch {
+        counter: 3,
+        primary: Identity(1),
+    });
     assert_matches!(
         Recovered::from_items([image(first), promise, record(first, second, start())]),
         Err(RecoverError::RecordBelowPromise { .. })
     );
-    let DurableItem::Image(mut foreign) = image(second) else { unreachable!("an image") };
+    let DurableItem::Image(mut foreign) = image(second) else {
+        unreachable!("an image")
+    };
     foreign.identity = Identity(8);
     assert_matches!(
         Recovered::from_items([image(first), DurableItem::Image(foreign)]),
@@ -153,9 +227,17 @@
 
 #[test]
 fn a_state_that_cannot_be_read_is_an_error() {
-    let DurableItem::Image(mut half) = image(position(2, 5)) else { unreachable!("an image") };
+    let DurableItem::Image(mut half) = image(position(2, 5)) else {
+        unreachable!("an image")
+    };
     half.state.pop();
     let recovered = Recovered::from_items([DurableItem::Image(half)]).expect("the items follow");
-    let replica = Replica::<History>::recover(Settings::default(), "here".into(), recovered, 1, Time(0));
-    assert_eq!(replica.err(), Some(RecoverError::State(StateError::new("a history of half a change"))));
+    let replica =
+        Replica::<History>::recover(Settings::default(), "here".into(), recovered, 1, Time(0));
+    assert_eq!(
+        replica.err(),
+        Some(RecoverError::State(StateError::new(
+            "a history of half a change"
+        )))
+    );
 }
--- a/decide/replication/tests/walks.rs
+++ b/decide/replication/tests/walks.rs
@@ -1,6 +1,7 @@
 //! Random walks over all orders of events: nothing that clients were told may turn out wrong.
 //!
-//! `REPLICATION_SEEDS` sets the walks of each kind, `REPLICATION_FIRST_SEED` the first; a failure names its seed.
+//! `REPLICATION_SEEDS` sets the walks of each kind, `REPLICATION_FIRST_SEED` the first; a failure
+//! names its seed.
 
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 
@@ -14,7 +15,10 @@
 const THREADS: usize = 4;
 
 fn number(name: &str, otherwise: u64) -> u64 {
-    std::env::var(name).ok().and_then(|value| value.parse().ok()).unwrap_or(otherwise)
+    std::env::var(name)
+        .ok()
+        .and_then(|value| value.parse().ok())
+        .unwrap_or(otherwise)
 }
 
 /// Walks with every seed; what was done in all of them.
@@ -30,7 +34,10 @@
         }
         let world = World::new(Settings::default(), kind.voters + kind.spares, seed);
         let end = walk(world, Walk { seed, ..kind });
-        assert_eq!(end.ledger.violation, None, "{name}, REPLICATION_FIRST_SEED={seed} REPLICATION_SEEDS=1");
+        assert_eq!(
+            end.ledger.violation, None,
+            "{name}, REPLICATION_FIRST_SEED={seed} REPLICATION_SEEDS=1"
+        );
         acknowledged.fetch_add(end.ledger.acknowledged.len(), Ordering::Relaxed);
         confirmed.fetch_add(end.ledger.confirmed, Ordering::Relaxed);
     };
@@ -40,16 +47,39 @@
         }
     });
     let (acknowledged, confirmed) = (acknowledged.into_inner(), confirmed.into_inner());
-    println!("{name}: {} walks, {acknowledged} acknowledged, {confirmed} confirmed", last - first);
+    println!(
+        "{name}: {} walks, {acknowledged} acknowledged, {confirmed} confirmed",
+        last - first
+    );
     // A model in which nothing happens shows nothing.
-    assert!(acknowledged as u64 > last - first, "{name}: hardly anything was acknowledged");
-    assert!(confirmed > last - first, "{name}: hardly anything was confirmed");
+    assert!(
+        acknowledged as u64 > last - first,
+        "{name}: hardly anything was acknowledged"
+    );
+    assert!(
+        confirmed > last - first,
+        "{name}: hardly anything was confirmed"
+    );
 }
 
 /// A group that keeps its members.
-const STEADY: Walk = Walk { seed: 0, voters: 3, spares: 0, steps: 2000, wipes: false, leaves: false };
+const STEADY: Walk = Walk {
+    seed: 0,
+    voters: 3,
+    spares: 0,
+    steps: 2000,
+    wipes: false,
+    leaves: false,
+};
 /// A group that changes its members.
-const CHANGING: Walk = Walk { seed: 0, voters: 4, spares: 2, steps: 3000, wipes: true, leaves: true };
+const CHANGING: Walk = Walk {
+    seed: 0,
+    voters: 4,
+    spares: 2,
+    steps: 3000,
+    wipes: true,
+    leaves: true,
+};
 
 #[test]
 fn three_that_stay() {
@@ -58,17 +88,36 @@
 
 #[test]
 fn four_that_stay() {
-    walks("four that stay", Walk { voters: 4, ..STEADY });
+    walks(
+        "four that stay",
+        Walk {
+            voters: 4,
+            ..STEADY
+        },
+    );
 }
 
 #[test]
 fn five_that_stay() {
-    walks("five that stay", Walk { voters: 5, ..STEADY });
+    walks(
+        "five that stay",
+        Walk {
+            voters: 5,
+            ..STEADY
+        },
+    );
 }
 
 #[test]
 fn three_that_change() {
-    walks("three that change", Walk { voters: 3, spares: 3, ..CHANGING });
+    walks(
+        "three that change",
+        Walk {
+            voters: 3,
+            spares: 3,
+            ..CHANGING
+        },
+    );
 }
 
 #[test]
@@ -78,5 +127,11 @@
 
 #[test]
 fn six_that_change() {
-    walks("six that change", Walk { voters: 6, ..CHANGING });
+    walks(
+        "six that change",
+        Walk {
+            voters: 6,
+            ..CHANGING
+        },
+    );
 }
--- a/examples/fleet/main.rs
+++ b/examples/fleet/main.rs
@@ -1,5 +1,6 @@
-//! A fleet of three machines on loopback, shown in one command: `lichenswitch-demo [--program PATH]`. Without a path, the
-//! program `lichenswitch-fleet` beside this one is taken.
+//! A fleet of three machines on loopback, shown in one command:
+//! `lichenswitch-demo [--program PATH]`. Without a path, the program `lichenswitch-fleet` beside
+//! this one is taken.
 #![forbid(unsafe_code)]
 
 use lichenswitch_standins::fleet_processes::demonstration;
--- a/examples/toy-features/main.rs
+++ b/examples/toy-features/main.rs
@@ -1,5 +1,5 @@
-//! Toy data nodes for the OGC front: one for each address on the command line, all with the same few scooters.
-//! A line on standard input changes how they treat requests from then on.
+//! Toy data nodes for the OGC front: one for each address on the command line, all with the same
+//! few scooters. A line on standard input changes how they treat requests from then on.
 
 use lichenswitch_standins::features::{point_with, Mood, Server};
 use serde_json::json;
@@ -37,7 +37,10 @@
             eprintln!("toy-features: {address}: {e}");
             std::process::exit(1);
         });
-        println!("toy-features: serves {} scooters on {address}", scooters.len());
+        println!(
+            "toy-features: serves {} scooters on {address}",
+            scooters.len()
+        );
         Server::start(listener, scooters.to_vec())
     };
     let servers: Vec<Server> = addresses.iter().map(start).collect();
--- a/fleet/src/check.rs
+++ b/fleet/src/check.rs
@@ -46,18 +46,31 @@
     if bytes.trim_ascii_start().starts_with(b"{") {
         let document = Document::parse(&bytes)?;
         let (routes, services) = (document.routes().len(), document.services().len());
-        return Ok(Checked::Configuration { version: document.version(), routes, services });
+        return Ok(Checked::Configuration {
+            version: document.version(),
+            routes,
+            services,
+        });
     }
     let settings = Settings::parse(&String::from_utf8_lossy(&bytes))?;
-    Ok(Checked::Settings { node: settings.node_name })
+    Ok(Checked::Settings {
+        node: settings.node_name,
+    })
 }
 
 impl std::fmt::Display for Checked {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Checked::Settings { node } => write!(f, "settings of {node} can be used"),
-            Checked::Configuration { version, routes, services } => {
-                write!(f, "configuration {version} can be used: {routes} routes, {services} services")
+            Checked::Configuration {
+                version,
+                routes,
+                services,
+            } => {
+                write!(
+                    f,
+                    "configuration {version} can be used: {routes} routes, {services} services"
+                )
             }
         }
     }
--- a/fleet/src/control/backlog.rs
+++ b/fleet/src/control/backlog.rs
@@ -1,6 +1,8 @@
-//! Work that waits at servers: routers' reports are summed here, and told to the other control machines and to this machine's routers.
+//! Work that waits at servers: routers' reports are summed here, and told to the other control
+//! machines and to this machine's routers.
 //!
-//! It is help for choices, never something to rely on: what is lost on the way is told again within [`WHOLE_INTERVAL`].
+//! It is help for choices, never something to rely on: what is lost on the way is told again within
+//! [`WHOLE_INTERVAL`].
 
 use super::links::End;
 use super::machine::Machine;
@@ -49,7 +51,11 @@
 impl Machine {
     /// A router, or another control machine, reports what waits.
     pub(super) fn on_backlog_report(&mut self, id: ConnId, report: &BacklogReport) {
-        let changes: Changes = report.servers.iter().map(|of| (ServerId(of.server), of.tokens)).collect();
+        let changes: Changes = report
+            .servers
+            .iter()
+            .map(|of| (ServerId(of.server), of.tokens))
+            .collect();
         let source = match self.links.end(id) {
             Some(End::Router) => Source::Router(id),
             Some(End::Peer(address)) => Source::Peer(address),
@@ -72,8 +78,11 @@
         }
         self.backlogs.next_word = after(now, TELL_INTERVAL);
         let (to_peers, to_routers) = self.backlogs.table.take_changes();
-        let peers: Vec<ConnId> =
-            self.peers.connected().filter_map(|(address, _)| self.peers.connection(address)).collect();
+        let peers: Vec<ConnId> = self
+            .peers
+            .connected()
+            .filter_map(|(address, _)| self.peers.connection(address))
+            .collect();
         let whole = self.backlogs.next_whole <= now;
         if whole {
             self.backlogs.next_whole = after(now, WHOLE_INTERVAL);
@@ -98,7 +107,9 @@
 
     fn send_backlogs(&mut self, to: &[ConnId], report: &BacklogReport) {
         match crate::envelopes::encode_backlog_report(report) {
-            Ok(bytes) => to.iter().for_each(|id| self.links.send_bytes(&mut self.net, *id, &bytes)),
+            Ok(bytes) => to
+                .iter()
+                .for_each(|id| self.links.send_bytes(&mut self.net, *id, &bytes)),
             Err(e) => {
                 log::error!(target: "control", error = e.to_string().as_str(); "a message can't be sent");
             }
@@ -107,7 +118,12 @@
 }
 
 fn report(whole: bool, changes: Changes) -> BacklogReport {
-    let servers =
-        changes.into_iter().map(|(server, tokens)| ServerBacklog { server: server.0, tokens }).collect();
+    let servers = changes
+        .into_iter()
+        .map(|(server, tokens)| ServerBacklog {
+            server: server.0,
+            tokens,
+        })
+        .collect();
     BacklogReport { whole, servers }
 }
--- a/fleet/src/control/callers.rs
+++ b/fleet/src/control/callers.rs
@@ -1,7 +1,8 @@
 //! Servers and operators: their connections, requests and answers.
 //!
-//! It promises that each connection has one request under way, that an answer goes to the connection whose request it is for and to no
-//! other, and that one which is not to be answered is closed.
+//! It promises that each connection has one request under way, that an answer goes to the
+//! connection whose request it is for and to no other, and that one which is not to be answered is
+//! closed.
 
 use super::program::{elapsed, Net, Owner};
 use lichenswitch_http::{request_up_to, Malformed, Parsed, Request, Response};
@@ -14,7 +15,8 @@
 pub(super) const BODY: usize = 4 << 20;
 /// Most bytes read ahead of a caller: a body in chunks takes more than its length.
 const CEILING: usize = BODY + (BODY >> 2);
-/// A request that is not whole after this time is given up, and a connection that rests as long is closed.
+/// A request that is not whole after this time is given up, and a connection that rests as long is
+/// closed.
 const IDLE: Duration = Duration::from_secs(30);
 /// A connection that was told to end is closed after this time if the other side has not done so.
 const LINGER: Duration = Duration::from_secs(2);
@@ -53,7 +55,13 @@
     pub(super) fn accept(&mut self, net: &mut Net) {
         let now = net.clock.now();
         for id in net.accept(Owner::Caller) {
-            self.sessions.insert(id, Session { phase: Phase::Reading, since: now });
+            self.sessions.insert(
+                id,
+                Session {
+                    phase: Phase::Reading,
+                    since: now,
+                },
+            );
         }
     }
 
@@ -85,7 +93,12 @@
         match request_up_to(conn.input.bytes(), BODY) {
             Ok(Parsed::Whole(request, used)) => {
                 conn.input.consume(used);
-                *session = Session { phase: Phase::Answering { keep_alive: request.keep_alive }, since: now };
+                *session = Session {
+                    phase: Phase::Answering {
+                        keep_alive: request.keep_alive,
+                    },
+                    since: now,
+                };
                 Some(request)
             }
             Ok(Parsed::Partial(waits)) => {
@@ -97,7 +110,10 @@
                     self.close(net, id);
                 } else if conn.ended {
                     // It sends no more, and may yet read its last answer.
-                    *session = Session { phase: Phase::Ending, since: now };
+                    *session = Session {
+                        phase: Phase::Ending,
+                        since: now,
+                    };
                 }
                 None
             }
@@ -112,11 +128,22 @@
     /// Answers the request of a connection.
     pub(super) fn answer(&mut self, net: &mut Net, id: ConnId, response: Response) {
         let now = net.clock.now();
-        let (Some(session), Some(conn)) = (self.sessions.get_mut(&id), net.get_mut(id)) else { return };
-        let Phase::Answering { keep_alive } = session.phase else { return };
+        let (Some(session), Some(conn)) = (self.sessions.get_mut(&id), net.get_mut(id)) else {
+            return;
+        };
+        let Phase::Answering { keep_alive } = session.phase else {
+            return;
+        };
         let keep_alive = keep_alive && !self.leaving;
         conn.send(&response.encode(keep_alive, false));
-        *session = Session { phase: if keep_alive { Phase::Reading } else { Phase::Ending }, since: now };
+        *session = Session {
+            phase: if keep_alive {
+                Phase::Reading
+            } else {
+                Phase::Ending
+            },
+            since: now,
+        };
         self.touched.push(id);
     }
 
@@ -142,9 +169,13 @@
     }
 
     fn end_if_done(&mut self, net: &mut Net, id: ConnId) {
-        let ending = self.sessions.get(&id).is_some_and(|session| session.phase == Phase::Ending);
+        let ending = self
+            .sessions
+            .get(&id)
+            .is_some_and(|session| session.phase == Phase::Ending);
         if let Some(conn) = net.get_mut(id).filter(|conn| ending && conn.flushed()) {
-            // The other side reads to the end of the answer; a close with bytes unread would reset it.
+            // The other side reads to the end of the answer; a close with bytes unread would reset
+            // it.
             conn.end_output();
         }
     }
@@ -156,10 +187,12 @@
 
     /// Whether answers are owed or on their way.
     pub(super) fn is_busy(&self, net: &Net) -> bool {
-        self.sessions.iter().any(|(id, session)| match session.phase {
-            Phase::Answering { .. } => true,
-            Phase::Reading | Phase::Ending => net.get(*id).is_some_and(|conn| !conn.flushed()),
-        })
+        self.sessions
+            .iter()
+            .any(|(id, session)| match session.phase {
+                Phase::Answering { .. } => true,
+                Phase::Reading | Phase::Ending => net.get(*id).is_some_and(|conn| !conn.flushed()),
+            })
     }
 
     /// Closes what has rested too long.
@@ -172,7 +205,12 @@
             Phase::Reading | Phase::Ending => elapsed(session.since, now) > IDLE,
             Phase::Answering { .. } => false,
         };
-        let over: Vec<ConnId> = self.sessions.iter().filter(over).map(|(id, _)| *id).collect();
+        let over: Vec<ConnId> = self
+            .sessions
+            .iter()
+            .filter(over)
+            .map(|(id, _)| *id)
+            .collect();
         over.into_iter().for_each(|id| self.close(net, id));
     }
 
--- a/fleet/src/control/calls.rs
+++ b/fleet/src/control/calls.rs
@@ -1,4 +1,5 @@
-//! Calls of operators, by the handles that this role has: connections of callers, addresses of control machines.
+//! Calls of operators, by the handles that this role has: connections of callers, addresses of
+//! control machines.
 
 use lichenswitch_net::ConnId;
 use std::net::SocketAddr;
--- a/fleet/src/control/contact.rs
+++ b/fleet/src/control/contact.rs
@@ -1,4 +1,5 @@
-//! What this machine tells of itself and of what is committed: to routers, to other control machines, and to those without a copy.
+//! What this machine tells of itself and of what is committed: to routers, to other control
+//! machines, and to those without a copy.
 
 use super::calls::Primary;
 use super::group::{to_replica, Group};
@@ -48,7 +49,9 @@
 
     /// Takes in what has been committed, and pushes it.
     pub(super) fn look_at_committed(&mut self, now: Time) {
-        let Some(newest) = self.newest_committed() else { return };
+        let Some(newest) = self.newest_committed() else {
+            return;
+        };
         log::info!(target: "control", version = newest.version; "configuration is committed");
         let pushes = self.routers.push_configuration(&newest);
         self.committed = Some(newest);
@@ -60,18 +63,34 @@
     /// What is committed and newer than what was pushed.
     fn newest_committed(&self) -> Option<Committed> {
         let known = self.committed.as_ref().map_or(0, |known| known.version);
-        if let Some((position, state)) = self.group.as_ref().and_then(|group| group.replica.committed()) {
-            if let Some(document) = state.0.document().filter(|document| document.version() > known) {
+        if let Some((position, state)) = self
+            .group
+            .as_ref()
+            .and_then(|group| group.replica.committed())
+        {
+            if let Some(document) = state
+                .0
+                .document()
+                .filter(|document| document.version() > known)
+            {
                 let (position, version) = (configuration_position(position), document.version());
-                return Some(Committed { position, version, document: document.to_json().into() });
+                return Some(Committed {
+                    position,
+                    version,
+                    document: document.to_json().into(),
+                });
             }
         }
-        self.feed.committed().filter(|fed| fed.version > known).cloned()
+        self.feed
+            .committed()
+            .filter(|fed| fed.version > known)
+            .cloned()
     }
 
     pub(super) fn push_all(&mut self, pushes: Vec<Push>) {
         for (id, message) in pushes {
-            self.links.send(&mut self.net, id, &Envelope::ToRouter(message));
+            self.links
+                .send(&mut self.net, id, &Envelope::ToRouter(message));
         }
     }
 
@@ -81,8 +100,11 @@
         if connections.is_empty() {
             return;
         }
-        if let Ok(bytes) = crate::envelopes::encode(&Envelope::ToRouter(self.router_heartbeat(now))) {
-            connections.into_iter().for_each(|id| self.links.send_bytes(&mut self.net, id, &bytes));
+        if let Ok(bytes) = crate::envelopes::encode(&Envelope::ToRouter(self.router_heartbeat(now)))
+        {
+            connections
+                .into_iter()
+                .for_each(|id| self.links.send_bytes(&mut self.net, id, &bytes));
         }
     }
 
@@ -100,18 +122,26 @@
         elsewhere.saturating_add(u32::try_from(self.routers.count()).unwrap_or(u32::MAX))
     }
 
-    /// Control machines that can be connected to: those in contact first, and voters before the others.
+    /// Control machines that can be connected to: those in contact first, and voters before the
+    /// others.
     fn control_machines(&self) -> Vec<String> {
         let voters: BTreeSet<SocketAddr> = self.voters().into_iter().collect();
-        let rank =
-            |address: &SocketAddr, in_contact: bool| (!in_contact, !voters.contains(address), *address);
-        let mut ranked: Vec<_> =
-            self.peers.connected().map(|(address, peer)| rank(&address, peer.in_contact)).collect();
+        let rank = |address: &SocketAddr, in_contact: bool| {
+            (!in_contact, !voters.contains(address), *address)
+        };
+        let mut ranked: Vec<_> = self
+            .peers
+            .connected()
+            .map(|(address, peer)| rank(&address, peer.in_contact))
+            .collect();
         if self.leaving.is_none() {
             ranked.push(rank(&self.address, self.told.in_contact));
         }
         ranked.sort_unstable();
-        ranked.into_iter().map(|(.., address)| address.to_string()).collect()
+        ranked
+            .into_iter()
+            .map(|(.., address)| address.to_string())
+            .collect()
     }
 
     /// What this machine knows of its own place.
@@ -155,24 +185,35 @@
 
     /// A message to all that are connected.
     pub(super) fn send_to_peers(&mut self, message: &PeerMessage) {
-        let connections: Vec<ConnId> =
-            self.peers.connected().filter_map(|(address, _)| self.peers.connection(address)).collect();
+        let connections: Vec<ConnId> = self
+            .peers
+            .connected()
+            .filter_map(|(address, _)| self.peers.connection(address))
+            .collect();
         if connections.is_empty() {
             return;
         }
         if let Ok(bytes) = crate::envelopes::encode(&Envelope::Peer(message.clone())) {
-            connections.into_iter().for_each(|id| self.links.send_bytes(&mut self.net, id, &bytes));
+            connections
+                .into_iter()
+                .for_each(|id| self.links.send_bytes(&mut self.net, id, &bytes));
         }
     }
 
     /// Machines that hold no copy of the state, and can be sent to.
     fn relays(&self) -> Vec<(SocketAddr, ConnId)> {
         let voters = self.voters();
-        let others = self.peers.connected().filter(|(address, _)| !voters.contains(address));
-        others.filter_map(|(address, _)| Some((address, self.peers.connection(address)?))).collect()
+        let others = self
+            .peers
+            .connected()
+            .filter(|(address, _)| !voters.contains(address));
+        others
+            .filter_map(|(address, _)| Some((address, self.peers.connection(address)?)))
+            .collect()
     }
 
-    /// A primary in contact tells machines without a copy what is committed, and behind that that it is confirmed.
+    /// A primary in contact tells machines without a copy what is committed, and behind that that
+    /// it is confirmed.
     pub(super) fn tell_relays(&mut self, now: Time) {
         if self.primary(now) != Primary::Here || !self.in_contact(now) {
             return;
@@ -182,13 +223,19 @@
         for (address, id) in self.relays() {
             let echo = self.peers.get(address).and_then(|peer| peer.stamp);
             self.links.send(&mut self.net, id, &message);
-            self.links.send(&mut self.net, id, &Envelope::Peer(PeerMessage::Confirmed { echo }));
+            self.links.send(
+                &mut self.net,
+                id,
+                &Envelope::Peer(PeerMessage::Confirmed { echo }),
+            );
         }
     }
 
     /// A machine without a copy has answered [`PeerMessage::Confirmed`].
     pub(super) fn on_confirmed_heard(&mut self, now: Time, from: SocketAddr, stamp: Stamp) {
-        let Some(peer) = self.peers.get_mut(from) else { return };
+        let Some(peer) = self.peers.get_mut(from) else {
+            return;
+        };
         if peer.stamp.replace(stamp).is_none() {
             // It is in contact with the next word: it needn't wait for that.
             self.tell_relays(now);
@@ -197,7 +244,11 @@
 
     /// The primary sends what is committed to those that lack it.
     pub(super) fn feed_relays(&mut self, now: Time) {
-        let Some(committed) = self.committed.clone().filter(|_| self.primary(now) == Primary::Here) else {
+        let Some(committed) = self
+            .committed
+            .clone()
+            .filter(|_| self.primary(now) == Primary::Here)
+        else {
             return;
         };
         for (address, id) in self.relays() {
@@ -212,16 +263,30 @@
 
     /// Who is told of servers now.
     fn audience(&self) -> Audience {
-        let told: BTreeSet<SocketAddr> = self.peers.connected().map(|(address, _)| address).collect();
+        let told: BTreeSet<SocketAddr> =
+            self.peers.connected().map(|(address, _)| address).collect();
         let votes = self.group.as_ref().is_some_and(Group::votes);
         let voters: BTreeSet<SocketAddr> = self.voters().into_iter().collect();
         match votes {
             // The sole voter: whoever else there is holds them too.
-            true if voters.len() < 2 => Audience { needed: told.len().min(1), counted: told.clone(), told },
-            true => Audience { counted: &told & &voters, needed: voters.len() / 2, told },
-            // Who has no vote knows no voters: it goes by the machines with a disk, those that were heard lately too.
+            true if voters.len() < 2 => Audience {
+                needed: told.len().min(1),
+                counted: told.clone(),
+                told,
+            },
+            true => Audience {
+                counted: &told & &voters,
+                needed: voters.len() / 2,
+                told,
+            },
+            // Who has no vote knows no voters: it goes by the machines with a disk, those that were
+            // heard lately too.
             false => match self.durable_peers_heard_lately() {
-                0 => Audience { needed: told.len().min(1), counted: told.clone(), told },
+                0 => Audience {
+                    needed: told.len().min(1),
+                    counted: told.clone(),
+                    told,
+                },
                 known => Audience {
                     needed: known / 2 + 1,
                     counted: self.durable_peers().into_iter().collect(),
@@ -234,10 +299,19 @@
     /// Machines with a disk that are connected, or were not long ago: they may vote still.
     fn durable_peers_heard_lately(&self) -> usize {
         let now = self.net.clock.now();
-        let lately = |peer: &Peer| peer.heard().is_some_and(|heard| elapsed(heard, now) < VOTE_KEPT);
-        let durable =
-            |peer: &Peer| peer.introduction.as_ref().is_some_and(|introduction| introduction.eligible);
-        self.peers.iter().filter(|(_, peer)| durable(peer) && lately(peer)).count()
+        let lately = |peer: &Peer| {
+            peer.heard()
+                .is_some_and(|heard| elapsed(heard, now) < VOTE_KEPT)
+        };
+        let durable = |peer: &Peer| {
+            peer.introduction
+                .as_ref()
+                .is_some_and(|introduction| introduction.eligible)
+        };
+        self.peers
+            .iter()
+            .filter(|(_, peer)| durable(peer) && lately(peer))
+            .count()
     }
 
     /// Tells what is new of servers, and answers the beats that brought it.
@@ -247,13 +321,21 @@
             let (changes, ack) = self.servers.take_changes(now, audience);
             let pushes = self.routers.push_servers(&changes.records);
             self.push_all(pushes);
-            // What came from another control machine was told to all by that one; that a server leaves is told once more, in case it
-            // was cut off meanwhile.
+            // What came from another control machine was told to all by that one; that a server
+            // leaves is told once more, in case it was cut off meanwhile.
             let (records, hearsay) = (changes.news().to_vec(), self.servers.take_hearsay());
             if ack != 0 {
-                self.send_to_peers(&PeerMessage::Servers { ack, records, whole: false });
+                self.send_to_peers(&PeerMessage::Servers {
+                    ack,
+                    records,
+                    whole: false,
+                });
             } else if !hearsay.is_empty() {
-                self.send_to_peers(&PeerMessage::Servers { ack, records: hearsay, whole: false });
+                self.send_to_peers(&PeerMessage::Servers {
+                    ack,
+                    records: hearsay,
+                    whole: false,
+                });
             }
         }
         self.servers.settle(now);
@@ -273,8 +355,9 @@
     }
 }
 
-/// Whether contact is given here: at a voter (`None`: this is none) by its replica alone, elsewhere by what the primary tells relays. A voter that
-/// is behind hears that word too, and is not in contact by it.
+/// Whether contact is given here: at a voter (`None`: this is none) by its replica alone, elsewhere
+/// by what the primary tells relays. A voter that is behind hears that word too, and is not in
+/// contact by it.
 fn is_told_of_contact(voter_is_current: Option<bool>, relay_in_contact: bool) -> bool {
     voter_is_current.unwrap_or(relay_in_contact)
 }
--- a/fleet/src/control/environment.rs
+++ b/fleet/src/control/environment.rs
@@ -20,7 +20,10 @@
 impl Default for Environment {
     /// The files of this machine.
     fn default() -> Environment {
-        Environment { file_systems: Arc::new(|| Box::new(RealFileSystem)), faults: Faults::default() }
+        Environment {
+            file_systems: Arc::new(|| Box::new(RealFileSystem)),
+            faults: Faults::default(),
+        }
     }
 }
 
--- a/fleet/src/control/feed.rs
+++ b/fleet/src/control/feed.rs
@@ -1,7 +1,8 @@
 //! What a machine without a vote knows of the group: from the primary's own messages.
 //!
-//! It promises that contact counts from this machine's own word, which the primary echoes when it says of itself that it is confirmed: what
-//! was held up on the way, or read late, gives none. A configuration is never gone back on.
+//! It promises that contact counts from this machine's own word, which the primary echoes when it
+//! says of itself that it is confirmed: what was held up on the way, or read late, gives none. A
+//! configuration is never gone back on.
 
 use super::program::{after, elapsed, sooner};
 use lichenswitch_control::Committed;
@@ -12,8 +13,9 @@
 
 /// Who is primary is believed for so long.
 const FRESH: Duration = Duration::from_millis(600);
-/// Contact lasts for so long after the word that was echoed. Longer than at voters, since the primary speaks less often here: with the 600 ms
-/// for which the primary itself counts as confirmed, what is handed out is 1.5 s old at the most.
+/// Contact lasts for so long after the word that was echoed. Longer than at voters, since the
+/// primary speaks less often here: with the 600 ms for which the primary itself counts as
+/// confirmed, what is handed out is 1.5 s old at the most.
 const CONTACT: Duration = Duration::from_millis(900);
 
 /// What was told.
@@ -28,7 +30,12 @@
 
 impl Feed {
     pub(super) fn new(process: u64) -> Feed {
-        Feed { process, primary: None, contact: None, committed: None }
+        Feed {
+            process,
+            primary: None,
+            contact: None,
+            committed: None,
+        }
     }
 
     /// A machine has said whether it is in contact, and who is primary.
@@ -49,8 +56,13 @@
     /// A primary is confirmed; the answer that it is to echo.
     pub(super) fn on_confirmed(&mut self, now: Time, echo: Option<Stamp>) -> Stamp {
         let own = echo.filter(|stamp| stamp.process == self.process);
-        self.contact = self.contact.max(own.map(|stamp| Time(stamp.clock).min(now)));
-        Stamp { process: self.process, clock: now.0 }
+        self.contact = self
+            .contact
+            .max(own.map(|stamp| Time(stamp.clock).min(now)));
+        Stamp {
+            process: self.process,
+            clock: now.0,
+        }
     }
 
     /// Whether a confirmed primary has heard this machine of late.
@@ -60,14 +72,20 @@
 
     /// The primary has sent what is committed.
     pub(super) fn on_configuration(&mut self, committed: Committed) {
-        if self.committed.as_ref().is_none_or(|known| known.position < committed.position) {
+        if self
+            .committed
+            .as_ref()
+            .is_none_or(|known| known.position < committed.position)
+        {
             self.committed = Some(committed);
         }
     }
 
     /// The primary that was in contact of late.
     pub(super) fn primary(&self, now: Time) -> Option<SocketAddr> {
-        self.primary.filter(|known| elapsed(known.1, now) < FRESH).map(|known| known.0)
+        self.primary
+            .filter(|known| elapsed(known.1, now) < FRESH)
+            .map(|known| known.0)
     }
 
     pub(super) fn committed(&self) -> Option<&Committed> {
--- a/fleet/src/control/feed/tests.rs
+++ b/fleet/src/control/feed/tests.rs
@@ -15,9 +15,14 @@
 fn contact_counts_from_the_own_word_that_is_echoed() {
     let mut feed = Feed::new(OWN);
     let first = feed.on_confirmed(at(0), None);
-    assert!(!feed.is_in_contact(at(0)), "the primary may have said it long ago");
+    assert!(
+        !feed.is_in_contact(at(0)),
+        "the primary may have said it long ago"
+    );
     feed.on_confirmed(at(250), Some(first));
-    assert!(feed.is_in_contact(at(250)) && feed.is_in_contact(at(899)) && !feed.is_in_contact(at(900)));
+    assert!(
+        feed.is_in_contact(at(250)) && feed.is_in_contact(at(899)) && !feed.is_in_contact(at(900))
+    );
     assert_eq!(feed.next_wake(), Some(at(900)));
 }
 
@@ -34,7 +39,13 @@
 #[test]
 fn the_word_of_a_process_before_this_one_counts_for_nothing() {
     let mut feed = Feed::new(OWN);
-    feed.on_confirmed(at(0), Some(Stamp { process: OWN + 1, clock: at(0).0 }));
+    feed.on_confirmed(
+        at(0),
+        Some(Stamp {
+            process: OWN + 1,
+            clock: at(0).0,
+        }),
+    );
     assert!(!feed.is_in_contact(at(0)));
 }
 
@@ -42,7 +53,10 @@
 fn who_is_primary_is_a_hint_and_gives_no_contact() {
     let mut feed = Feed::new(OWN);
     feed.on_contact(at(0), primary(), true, Some(primary()));
-    assert_eq!((feed.primary(at(599)), feed.primary(at(600))), (Some(primary()), None));
+    assert_eq!(
+        (feed.primary(at(599)), feed.primary(at(600))),
+        (Some(primary()), None)
+    );
     assert!(!feed.is_in_contact(at(0)));
     // One that says that it is confirmed no more ends contact at once.
     let first = feed.on_confirmed(at(0), None);
--- a/fleet/src/control/group.rs
+++ b/fleet/src/control/group.rs
@@ -1,7 +1,7 @@
 //! The replicated state as this machine holds it: a replica, and the disk that it writes to.
 //!
-//! It owns both, and promises that what the replica wants written is written in order, and told to it only once it has been synced. Without
-//! a disk the memory of the process is what there is.
+//! It owns both, and promises that what the replica wants written is written in order, and told to
+//! it only once it has been synced. Without a disk the memory of the process is what there is.
 
 use super::program::{Net, Signal};
 use super::{ControlError, Environment};
@@ -32,10 +32,14 @@
     eligibility == Eligibility::Durable || (eligibility == Eligibility::StandIn && founds(settings))
 }
 
-/// Whether this machine founds the group: once in the life of a system, by one machine that all name alike.
+/// Whether this machine founds the group: once in the life of a system, by one machine that all
+/// name alike.
 fn founds(settings: &Settings) -> bool {
     settings.first_start
-        && settings.listen.control_plane.is_some_and(|own| settings.seed_nodes.first() == Some(&own))
+        && settings
+            .listen
+            .control_plane
+            .is_some_and(|own| settings.seed_nodes.first() == Some(&own))
 }
 
 /// A replica, and where it writes.
@@ -89,9 +93,15 @@
             }
             None => (None, Contents::Nothing),
         };
-        let disk = storage.map(|storage| Disk::start(storage, net)).transpose()?;
+        let disk = storage
+            .map(|storage| Disk::start(storage, net))
+            .transpose()?;
         let replica = replica(settings, environment, address, contents, now);
-        Ok(Group { replica, disk, remembered: None })
+        Ok(Group {
+            replica,
+            disk,
+            remembered: None,
+        })
     }
 
     /// Of the member.
@@ -126,9 +136,13 @@
             self.remembered = Some(ticket);
             return;
         };
-        // A segment that is nearly full, or too full for this item, begins anew with everything that this item and those before it come to.
+        // A segment that is nearly full, or too full for this item, begins anew with everything
+        // that this item and those before it come to.
         let bytes = item.encode();
-        let anew = disk.wants_image_before(bytes.len()).then(|| self.replica.image_for(ticket)).flatten();
+        let anew = disk
+            .wants_image_before(bytes.len())
+            .then(|| self.replica.image_for(ticket))
+            .flatten();
         let (is_image, bytes) = match &anew {
             Some(image) => (true, image.encode()),
             None => (matches!(item, DurableItem::Image(_)), bytes),
@@ -172,7 +186,11 @@
     /// How full the disk is, and its last failure.
     pub(super) fn disk(&self) -> Option<(Usage, usize, Option<&str>)> {
         let disk = self.disk.as_ref()?;
-        Some((disk.usage, disk.writer.outstanding(), disk.failure.as_deref()))
+        Some((
+            disk.usage,
+            disk.writer.outstanding(),
+            disk.failure.as_deref(),
+        ))
     }
 
     /// Waits for what was handed to the disk. Called once, at the end of the process.
@@ -198,7 +216,12 @@
         let (ours, theirs) = UnixStream::pair()?;
         net.watch_signal(Signal::Written, ours)?;
         let usage = storage.usage();
-        Ok(Disk { writer: Writer::start(storage, theirs)?, usage, handed: 0, failure: None })
+        Ok(Disk {
+            writer: Writer::start(storage, theirs)?,
+            usage,
+            handed: 0,
+            failure: None,
+        })
     }
 
     /// Whether a whole image is to be written in place of a record of these bytes.
@@ -220,9 +243,16 @@
     }
 }
 
-/// Opens the ring. What is not whole is treated as a lost disk: set aside, and begun anew with another identity.
+/// Opens the ring. What is not whole is treated as a lost disk: set aside, and begun anew with
+/// another identity.
 fn open(folder: &Path, environment: &Environment) -> Result<(Storage, Contents), ControlError> {
-    let ring = || Storage::open_with(environment.file_system(), folder, &StorageSettings::new(OWNER));
+    let ring = || {
+        Storage::open_with(
+            environment.file_system(),
+            folder,
+            &StorageSettings::new(OWNER),
+        )
+    };
     let (storage, found) = ring()?;
     for finding in &found.findings {
         warn!(target: "control", finding:? = finding; "the disk is not as it was left");
@@ -231,12 +261,23 @@
     let blank = |finding: &Finding| matches!(finding, Finding::Torn { .. });
     if found.is_empty() && found.findings.iter().all(blank) {
         let before = aside(folder).exists();
-        return Ok((storage, if before { Contents::Lost } else { Contents::Nothing }));
+        return Ok((
+            storage,
+            if before {
+                Contents::Lost
+            } else {
+                Contents::Nothing
+            },
+        ));
     }
     match read(&found) {
-        Ok(recovered) if !found.loses_state() => Ok((storage, Contents::Member(Box::new(recovered)))),
+        Ok(recovered) if !found.loses_state() => {
+            Ok((storage, Contents::Member(Box::new(recovered))))
+        }
         outcome => {
-            let reason = outcome.err().unwrap_or_else(|| "acknowledged state is missing".to_owned());
+            let reason = outcome
+                .err()
+                .unwrap_or_else(|| "acknowledged state is missing".to_owned());
             drop(storage);
             set_aside(folder, environment.file_system().as_ref(), &reason)?;
             Ok((ring()?.0, Contents::Lost))
@@ -245,12 +286,19 @@
 }
 
 fn read(found: &lichenswitch_storage::Recovered) -> Result<Recovered, String> {
-    let items = found.image.iter().chain(&found.records).map(|bytes| DurableItem::decode(bytes));
-    let items = items.collect::<Result<Vec<_>, _>>().map_err(|e| e.to_string())?;
+    let items = found
+        .image
+        .iter()
+        .chain(&found.records)
+        .map(|bytes| DurableItem::decode(bytes));
+    let items = items
+        .collect::<Result<Vec<_>, _>>()
+        .map_err(|e| e.to_string())?;
     Recovered::from_items(items).map_err(|e| e.to_string())
 }
 
-/// The folder gets another name. It is not deleted: a person may want to look at it. One that was set aside before goes.
+/// The folder gets another name. It is not deleted: a person may want to look at it. One that was
+/// set aside before goes.
 fn set_aside(folder: &Path, files: &dyn FileSystem, reason: &str) -> Result<(), ControlError> {
     let aside = aside(folder);
     warn!(target: "control", reason = reason, aside = aside.display().to_string().as_str(); "the disk counts as lost");
@@ -291,7 +339,10 @@
             }
         }
     }
-    let member = Member { identity: draw_identity(&address), address };
+    let member = Member {
+        identity: draw_identity(&address),
+        address,
+    };
     if nothing && founds(settings) {
         info!(target: "control", identity = member.identity.to_string().as_str(); "founds the group");
         return Replica::found(figures, member, Replicated::default(), seed, now);
@@ -299,10 +350,15 @@
     Replica::newcomer(figures, member, seed, now)
 }
 
-/// A number that no other member has, and none had: from the system's random numbers, the address and the time.
+/// A number that no other member has, and none had: from the system's random numbers, the address
+/// and the time.
 pub(super) fn draw_identity(address: &str) -> Identity {
     let hasher = std::collections::hash_map::RandomState::new();
-    let drawn =
-        hasher.hash_one((address, std::process::id(), std::time::SystemTime::now(), fastrand::u64(..)));
+    let drawn = hasher.hash_one((
+        address,
+        std::process::id(),
+        std::time::SystemTime::now(),
+        fastrand::u64(..),
+    ));
     Identity(drawn.max(1))
 }
--- a/fleet/src/control/links.rs
+++ b/fleet/src/control/links.rs
@@ -1,7 +1,7 @@
 //! Connections between the processes of the fleet: frames in and out, and who is at the other end.
 //!
-//! It promises that what is queued in one turn of the loop is written at once, and that a reader that stalls costs no more memory than
-//! [`LONGEST_QUEUE`].
+//! It promises that what is queued in one turn of the loop is written at once, and that a reader
+//! that stalls costs no more memory than [`LONGEST_QUEUE`].
 
 use super::program::Net;
 use crate::envelopes::{encode, EnvelopeReader, Incoming};
@@ -55,7 +55,12 @@
 
 impl Links {
     pub(super) fn insert(&mut self, id: ConnId, end: End, now: Time) {
-        let link = Link { reader: EnvelopeReader::default(), end, opened: now, greeted: false };
+        let link = Link {
+            reader: EnvelopeReader::default(),
+            end,
+            opened: now,
+            greeted: false,
+        };
         self.links.insert(id, link);
     }
 
@@ -71,7 +76,11 @@
 
     /// Something can be read or written.
     pub(super) fn ready(&mut self, net: &mut Net, id: ConnId) -> Brought {
-        let mut brought = Brought { messages: Vec::new(), up: false, broken: None };
+        let mut brought = Brought {
+            messages: Vec::new(),
+            up: false,
+            broken: None,
+        };
         let pumped = net.pump(id, CEILING);
         let (Some(link), Some(conn)) = (self.links.get_mut(&id), net.get_mut(id)) else {
             brought.broken = Some("unknown connection".to_owned());
@@ -92,7 +101,9 @@
         }
         brought.up = conn.up && !std::mem::replace(&mut link.greeted, conn.up);
         match pumped {
-            Pumped::Alive if conn.ended => brought.broken = Some("the other side has ended it".to_owned()),
+            Pumped::Alive if conn.ended => {
+                brought.broken = Some("the other side has ended it".to_owned())
+            }
             Pumped::Alive => {}
             Pumped::NeverUp => brought.broken = Some("it never came up".to_owned()),
             Pumped::Broken => brought.broken = Some("it broke".to_owned()),
@@ -128,14 +139,17 @@
     /// Writes all that was queued. Tells connections that are to be closed.
     pub(super) fn flush(&mut self, net: &mut Net) -> Vec<ConnId> {
         let touched = std::mem::take(&mut self.touched);
-        let broken =
-            |id: &ConnId| net.flush(*id, false) != Pumped::Alive || waiting(net, *id) > LONGEST_QUEUE;
+        let broken = |id: &ConnId| {
+            net.flush(*id, false) != Pumped::Alive || waiting(net, *id) > LONGEST_QUEUE
+        };
         touched.into_iter().filter(broken).collect()
     }
 
     /// Connections with when they were opened, whose other end is such a one.
     pub(super) fn iter(&self) -> impl Iterator<Item = (ConnId, End, Time)> + '_ {
-        self.links.iter().map(|(id, link)| (*id, link.end, link.opened))
+        self.links
+            .iter()
+            .map(|(id, link)| (*id, link.end, link.opened))
     }
 
     /// Closes a connection. Tells who was at its other end.
@@ -148,7 +162,9 @@
 
 /// Bytes that wait to be written.
 fn waiting(net: &mut Net, id: ConnId) -> usize {
-    let Some(conn) = net.get_mut(id) else { return 0 };
+    let Some(conn) = net.get_mut(id) else {
+        return 0;
+    };
     let queued = conn.send(&[]);
     usize::try_from(queued.saturating_sub(conn.written())).unwrap_or(usize::MAX)
 }
--- a/fleet/src/control/machine.rs
+++ b/fleet/src/control/machine.rs
@@ -78,7 +78,10 @@
         path: PathBuf,
         environment: Environment,
     ) -> Result<Machine, ControlError> {
-        let control_plane = settings.listen.control_plane.ok_or(ControlError::NoAddress)?;
+        let control_plane = settings
+            .listen
+            .control_plane
+            .ok_or(ControlError::NoAddress)?;
         let address = SocketAddr::new(settings.ip_address, settings.internal_ports.0);
         let mut net = Net::new(settings.limits.file_descriptors)?;
         net.set_aside_for_peers(INTERNAL_CONNECTIONS);
@@ -90,17 +93,24 @@
             false => None,
         };
         let servers = Servers::start(&settings, &environment, &mut net, now)?;
-        // Whoever connects is answered from the first moment: what is not known yet is answered 503.
+        // Whoever connects is answered from the first moment: what is not known yet is
+        // answered 503.
         net.listen(Owner::Accepted, address)?;
         net.listen(Owner::Caller, control_plane)?;
-        let identity = group.as_ref().map_or_else(|| draw_identity(&address.to_string()), Group::identity);
+        let identity = group
+            .as_ref()
+            .map_or_else(|| draw_identity(&address.to_string()), Group::identity);
         info!(target: "control", node = settings.node_name.as_str(), address = address.to_string().as_str(),
             eligible = group.is_some(); "control machine has started");
         let mut machine = Machine {
             address,
             quotas: Quotas::new(identity.0, group.as_ref(), settings.bounds.quota_terms()),
             identity: identity.0,
-            own_part: OwnPart::new(eligibility, to_replica(now), settings.fault_tolerance.machines),
+            own_part: OwnPart::new(
+                eligibility,
+                to_replica(now),
+                settings.fault_tolerance.machines,
+            ),
             links: Links::default(),
             peers: Peers::new(address, settings.seeds_internal(), now),
             group,
@@ -127,7 +137,10 @@
         };
         machine.tell_who_lacks_a_disk();
         // The voters that the disk names are connected to at once, wherever the seeds are.
-        machine.voters().into_iter().for_each(|voter| machine.peers.learn(voter, now));
+        machine
+            .voters()
+            .into_iter()
+            .for_each(|voter| machine.peers.learn(voter, now));
         Ok(machine)
     }
 
@@ -190,7 +203,10 @@
     /// Does what is due.
     fn on_time(&mut self) {
         let now = self.net.clock.now();
-        if let Some(group) = self.group.as_mut().filter(|group| group.next_wake().is_some_and(|at| at <= now))
+        if let Some(group) = self
+            .group
+            .as_mut()
+            .filter(|group| group.next_wake().is_some_and(|at| at <= now))
         {
             group.replica.tick(to_replica(now));
         }
@@ -226,7 +242,10 @@
 
     /// Opens a connection to a peer.
     fn dial(&mut self, address: SocketAddr, now: Time) {
-        match self.net.connect(Owner::Dialled, self.settings.reached_at(address)) {
+        match self
+            .net
+            .connect(Owner::Dialled, self.settings.reached_at(address))
+        {
             Ok(id) => {
                 self.links.insert(id, End::Peer(address), now);
                 self.peers.on_dial(address, id, now);
@@ -240,7 +259,9 @@
     fn close_silent(&mut self, now: Time) {
         let net = &self.net;
         let silent = |(id, end, opened): &(ConnId, End, Time)| {
-            let Some(conn) = net.get(*id) else { return true };
+            let Some(conn) = net.get(*id) else {
+                return true;
+            };
             match end {
                 _ if !conn.up => elapsed(*opened, now) > CONNECT_TIMEOUT,
                 // Routers have little to say; the system finds out when nobody is there.
@@ -248,8 +269,15 @@
                 End::Peer(_) | End::Unknown => elapsed(conn.heard, now) > SILENCE,
             }
         };
-        let silent: Vec<ConnId> = self.links.iter().filter(silent).map(|(id, ..)| id).collect();
-        silent.into_iter().for_each(|id| self.close_link(id, "silent for too long"));
+        let silent: Vec<ConnId> = self
+            .links
+            .iter()
+            .filter(silent)
+            .map(|(id, ..)| id)
+            .collect();
+        silent
+            .into_iter()
+            .for_each(|id| self.close_link(id, "silent for too long"));
     }
 
     fn forget_dead(&mut self, now: Time) {
@@ -261,8 +289,15 @@
 
     /// Addresses of the voters, as far as this machine knows them.
     pub(super) fn voters(&self) -> Vec<SocketAddr> {
-        let Some(group) = &self.group else { return Vec::new() };
-        group.replica.membership().all().filter_map(|member| member.address.parse().ok()).collect()
+        let Some(group) = &self.group else {
+            return Vec::new();
+        };
+        group
+            .replica
+            .membership()
+            .all()
+            .filter_map(|member| member.address.parse().ok())
+            .collect()
     }
 
     /// Hands everything on until nothing is left to be done, and writes what was queued.
@@ -270,7 +305,8 @@
         loop {
             let now = self.net.clock.now();
             let mut busy = self.advance_calls(now);
-            // After the calls: what they ask of the replica goes out in this turn, not with the next heartbeat.
+            // After the calls: what they ask of the replica goes out in this turn, not with the
+            // next heartbeat.
             busy |= self.do_outputs(now);
             busy |= self.tell_servers(now);
             self.look_at_committed(now);
@@ -285,7 +321,9 @@
 
     /// Does what the replica wants done.
     fn do_outputs(&mut self, now: Time) -> bool {
-        let Some(group) = &mut self.group else { return false };
+        let Some(group) = &mut self.group else {
+            return false;
+        };
         let outputs = group.take_outputs(now);
         let busy = !outputs.is_empty();
         for output in outputs {
@@ -295,11 +333,13 @@
                     if let Some(group) = &mut self.group {
                         let status = |replica: &_| status::group(replica, now).into_bytes();
                         let replica = &mut group.replica;
-                        self.calls.on_settled(to_replica(now), request, &outcome, replica, status);
+                        self.calls
+                            .on_settled(to_replica(now), request, &outcome, replica, status);
                     }
                 }
                 Output::Notice(notice) => notices::log(&notice),
-                // What is committed is looked at after each turn; what is to be written was begun by the group.
+                // What is committed is looked at after each turn; what is to be written was begun
+                // by the group.
                 Output::Committed(_) | Output::Persist { .. } => {}
             }
         }
@@ -309,12 +349,15 @@
     fn send_replication(&mut self, to: &str, message: &Message, now: Time) {
         let Ok(address) = to.parse() else { return };
         self.peers.learn(address, now);
-        let Some(id) = self.peers.connection(address) else { return };
+        let Some(id) = self.peers.connection(address) else {
+            return;
+        };
         if matches!(message.body, Body::Append(_)) && !self.is_known_member(address, now) {
             return;
         }
         let envelope = Envelope::Peer(PeerMessage::Replication(message.encode()));
-        // Heartbeats and answers to them are repeated, records and images come again with the next heartbeat.
+        // Heartbeats and answers to them are repeated, records and images come again with the next
+        // heartbeat.
         match message.body {
             Body::TakeOver { .. } | Body::Leave | Body::LeaveResponse { .. } => {
                 self.links.send(&mut self.net, id, &envelope);
@@ -323,14 +366,26 @@
         }
     }
 
-    /// Whether whoever is at an address is a member, or has asked to be one. A heartbeat for a voter whose disk was lost would reach the
-    /// newcomer in its place, which would take itself for one that was let in, and ask no more.
+    /// Whether whoever is at an address is a member, or has asked to be one. A heartbeat for a
+    /// voter whose disk was lost would reach the newcomer in its place, which would take itself for
+    /// one that was let in, and ask no more.
     fn is_known_member(&self, address: SocketAddr, now: Time) -> bool {
-        let introduced = self.peers.get(address).and_then(|peer| peer.introduction.as_ref());
-        let (Some(introduced), Some(group)) = (introduced, &self.group) else { return false };
+        let introduced = self
+            .peers
+            .get(address)
+            .and_then(|peer| peer.introduction.as_ref());
+        let (Some(introduced), Some(group)) = (introduced, &self.group) else {
+            return false;
+        };
         let identity = Identity(introduced.identity);
         let named = group.replica.membership().member(identity).is_some();
-        named || group.replica.status(to_replica(now)).peers.iter().any(|peer| peer.identity == identity)
+        named
+            || group
+                .replica
+                .status(to_replica(now))
+                .peers
+                .iter()
+                .any(|peer| peer.identity == identity)
     }
 
     /// Where the primary is, and can be reached.
@@ -339,9 +394,12 @@
         if group.is_some_and(|replica| replica.is_serving()) {
             return Primary::Here;
         }
-        let known =
-            group.and_then(|replica| replica.primary()).and_then(|member| member.address.parse().ok());
-        let known = known.filter(|address| *address != self.address).or_else(|| self.feed.primary(now));
+        let known = group
+            .and_then(|replica| replica.primary())
+            .and_then(|member| member.address.parse().ok());
+        let known = known
+            .filter(|address| *address != self.address)
+            .or_else(|| self.feed.primary(now));
         match known.filter(|address| self.peers.connection(*address).is_some()) {
             Some(address) => Primary::At(address),
             None => Primary::Unknown,
@@ -351,7 +409,9 @@
     fn flush(&mut self) -> bool {
         let broken = self.links.flush(&mut self.net);
         let mut busy = !broken.is_empty();
-        broken.into_iter().for_each(|id| self.close_link(id, "can't be written"));
+        broken
+            .into_iter()
+            .for_each(|id| self.close_link(id, "can't be written"));
         for (id, request) in self.callers.flush(&mut self.net) {
             busy = true;
             self.on_request(id, &request);
@@ -378,11 +438,17 @@
 
 /// When the file was changed last; `None` while it can't be told.
 pub(super) fn modified(path: &std::path::Path) -> Option<std::time::SystemTime> {
-    std::fs::metadata(path).and_then(|metadata| metadata.modified()).ok()
+    std::fs::metadata(path)
+        .and_then(|metadata| metadata.modified())
+        .ok()
 }
 
 fn watch_signals(net: &mut Net) -> io::Result<()> {
-    for (number, signal) in [(SIGTERM, Signal::Stop), (SIGINT, Signal::Stop), (SIGHUP, Signal::Reload)] {
+    for (number, signal) in [
+        (SIGTERM, Signal::Stop),
+        (SIGINT, Signal::Stop),
+        (SIGHUP, Signal::Reload),
+    ] {
         let (ours, theirs) = UnixStream::pair()?;
         net.watch_signal(signal, ours)?;
         signal_hook::low_level::pipe::register(number, theirs)?;
--- a/fleet/src/control/mod.rs
+++ b/fleet/src/control/mod.rs
@@ -1,8 +1,11 @@
-//! The role `control`: keeps the configuration with its peers, knows model servers and routers, and answers operators.
+//! The role `control`: keeps the configuration with its peers, knows model servers and routers, and
+//! answers operators.
 //!
-//! One loop joins the parts. Each part is plain state ([`peers`], [`routers`], [`servers`], [`feed`]) or the edge to a
-//! package ([`calls`] to what is decided about calls, [`group`] to replication and storage, [`callers`] to HTTP, [`links`] to frames);
-//! [`machine`] hands what happens from one to the other. The loop never waits for anything but sockets: a thread of its own writes the disk.
+//! One loop joins the parts. Each part is plain state ([`peers`], [`routers`], [`servers`],
+//! [`feed`]) or the edge to a package ([`calls`] to what is decided about calls, [`group`] to
+//! replication and storage, [`callers`] to HTTP, [`links`] to frames); [`machine`] hands what
+//! happens from one to the other. The loop never waits for anything but sockets: a thread of its
+//! own writes the disk.
 
 mod backlog;
 mod callers;
@@ -31,8 +34,10 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Between two words to each other control machine: two heartbeats to routers, so that one waking serves both.
-const DIGEST_INTERVAL: Duration = Duration::from_millis(2 * lichenswitch_messages::ROUTER_HEARTBEAT_MS);
+/// Between two words to each other control machine: two heartbeats to routers, so that one waking
+/// serves both.
+const DIGEST_INTERVAL: Duration =
+    Duration::from_millis(2 * lichenswitch_messages::ROUTER_HEARTBEAT_MS);
 
 /// Why the role ended.
 #[derive(Debug, thiserror::Error)]
@@ -60,6 +65,10 @@
 ///
 /// # Errors
 /// As [`run`].
-pub fn run_on(settings: Settings, path: PathBuf, environment: Environment) -> Result<(), ControlError> {
+pub fn run_on(
+    settings: Settings,
+    path: PathBuf,
+    environment: Environment,
+) -> Result<(), ControlError> {
     machine::Machine::start(settings, path, environment)?.run()
 }
--- a/fleet/src/control/notices.rs
+++ b/fleet/src/control/notices.rs
@@ -11,7 +11,9 @@
         | Notice::RemovalRefused { .. }
         | Notice::Excluded { .. }
         | Notice::ImageRefused { .. }
-        | Notice::DiskStalled { .. } => warn!(target: "replication", notice:? = notice; "{message}"),
+        | Notice::DiskStalled { .. } => {
+            warn!(target: "replication", notice:? = notice; "{message}")
+        }
         // The group tells it once, with the reason.
         Notice::DiskFailed => debug!(target: "replication", "{message}"),
         Notice::BecamePrimary { .. }
@@ -20,7 +22,9 @@
         | Notice::HandsOver { .. }
         | Notice::MembershipChange { .. }
         | Notice::MembershipChanged { .. }
-        | Notice::ImageReceived { .. } => info!(target: "replication", notice:? = notice; "{message}"),
+        | Notice::ImageReceived { .. } => {
+            info!(target: "replication", notice:? = notice; "{message}")
+        }
     }
 }
 
--- a/fleet/src/control/on_call.rs
+++ b/fleet/src/control/on_call.rs
@@ -54,11 +54,16 @@
 
     /// What is invalid in itself is refused here; all else is the primary's to judge.
     fn on_order(&mut self, id: ConnId, request: &Request, now: Time) -> Option<Response> {
-        let base_version = match parse_base_version(request.header("base-version").map(str::as_bytes)) {
-            Ok(base_version) => base_version,
-            Err(e) => return Some(self.refuse(now, 0, e.to_string())),
+        let base_version =
+            match parse_base_version(request.header("base-version").map(str::as_bytes)) {
+                Ok(base_version) => base_version,
+                Err(e) => return Some(self.refuse(now, 0, e.to_string())),
+            };
+        let order = Order {
+            path: request.path().to_owned(),
+            base_version,
+            body: request.body.clone(),
         };
-        let order = Order { path: request.path().to_owned(), base_version, body: request.body.clone() };
         match judge_alone(&order) {
             Ok(()) => self.ask(id, Question::Order(order), now),
             Err(e) => Some(self.refuse(now, base_version, e.to_string())),
@@ -67,7 +72,12 @@
 
     fn refuse(&mut self, now: Time, base_version: u64, reason: String) -> Response {
         let response = error(400, &reason);
-        self.on_refused(Refusal { status: 400, base_version, reason, at: to_replica(now) });
+        self.on_refused(Refusal {
+            status: 400,
+            base_version,
+            reason,
+            at: to_replica(now),
+        });
         response
     }
 
@@ -83,7 +93,13 @@
         None
     }
 
-    fn on_heartbeat(&mut self, id: ConnId, instance: &str, request: &Request, now: Time) -> Option<Response> {
+    fn on_heartbeat(
+        &mut self,
+        id: ConnId,
+        instance: &str,
+        request: &Request,
+        now: Time,
+    ) -> Option<Response> {
         if let Err(refusal) = self.may_take_beats(now) {
             return Some(beat_refused(refusal));
         }
@@ -119,7 +135,15 @@
     pub(super) fn take_call(&mut self, origin: Origin, question: Question, now: Time) {
         let now = to_replica(now);
         let replica = self.group.as_mut().map(|group| &mut group.replica);
-        self.calls.take(now, Call { origin, question, arrived: now }, replica);
+        self.calls.take(
+            now,
+            Call {
+                origin,
+                question,
+                arrived: now,
+            },
+            replica,
+        );
     }
 
     /// Hands calls on, and answers those that have ended.
@@ -130,9 +154,17 @@
         let busy = !actions.is_empty();
         for action in actions {
             match action {
-                Action::Send { to, id, call } => self.send_to_peer(to, PeerMessage::Call { id, call }),
-                Action::Answer { call, answer, refusal } => {
-                    refusal.into_iter().for_each(|refusal| self.on_refused(refusal));
+                Action::Send { to, id, call } => {
+                    self.send_to_peer(to, PeerMessage::Call { id, call })
+                }
+                Action::Answer {
+                    call,
+                    answer,
+                    refusal,
+                } => {
+                    refusal
+                        .into_iter()
+                        .for_each(|refusal| self.on_refused(refusal));
                     self.answer_call(&call, answer);
                 }
             }
@@ -151,10 +183,15 @@
             }
             (Origin::Caller(id), RelayedAnswer::Answer { status, body }) => {
                 self.check_answer(call, status, &body);
-                self.callers.answer(&mut self.net, id, Response::new(status, JSON, body));
+                self.callers
+                    .answer(&mut self.net, id, Response::new(status, JSON, body));
             }
             (Origin::Caller(id), RelayedAnswer::NotPrimary) => {
-                self.callers.answer(&mut self.net, id, error(503, "no primary is known that could answer"));
+                self.callers.answer(
+                    &mut self.net,
+                    id,
+                    error(503, "no primary is known that could answer"),
+                );
             }
             // It may have been taken: no status would be true.
             (Origin::Caller(id), RelayedAnswer::Unknown) => self.callers.hang_up(&mut self.net, id),
@@ -163,7 +200,9 @@
 
     /// Remembers what is acknowledged, and checks that no read goes back behind it.
     fn check_answer(&mut self, call: &Call, status: u16, body: &[u8]) {
-        let Some(version) = version_in(body).filter(|_| status == 200) else { return };
+        let Some(version) = version_in(body).filter(|_| status == 200) else {
+            return;
+        };
         match call.question {
             Question::Order(_) => {
                 let now = to_replica(self.net.clock.now());
@@ -214,7 +253,9 @@
 }
 
 fn instance_target(path: &str) -> Target<'_> {
-    let parts = path.strip_prefix("/instances/").and_then(|rest| rest.split_once('/'));
+    let parts = path
+        .strip_prefix("/instances/")
+        .and_then(|rest| rest.split_once('/'));
     match parts {
         Some((instance, "heartbeat")) if !instance.is_empty() => Target::Heartbeat(instance),
         Some((instance, "deregister")) if !instance.is_empty() => Target::Deregister(instance),
--- a/fleet/src/control/on_internal.rs
+++ b/fleet/src/control/on_internal.rs
@@ -65,12 +65,32 @@
     fn on_envelope(&mut self, id: ConnId, envelope: Envelope, now: Time) -> Result<(), String> {
         match (envelope, self.links.end(id)) {
             (
-                Envelope::Peer(PeerMessage::Hello { protocol, node, address, identity, eligible, known }),
+                Envelope::Peer(PeerMessage::Hello {
+                    protocol,
+                    node,
+                    address,
+                    identity,
+                    eligible,
+                    known,
+                }),
                 Some(end),
             ) => {
                 check_protocol(protocol, &node)?;
-                let address = address.parse().map_err(|_| format!("{node} has the address {address:?}"))?;
-                self.on_hello(id, end, address, Introduction { node, identity, eligible }, &known, now)
+                let address = address
+                    .parse()
+                    .map_err(|_| format!("{node} has the address {address:?}"))?;
+                self.on_hello(
+                    id,
+                    end,
+                    address,
+                    Introduction {
+                        node,
+                        identity,
+                        eligible,
+                    },
+                    &known,
+                    now,
+                )
             }
             (Envelope::Peer(message), Some(End::Peer(address))) => {
                 self.peers.on_heard(address, now);
@@ -129,11 +149,16 @@
         Ok(())
     }
 
-    /// What a peer gets first: where this machine stands, all servers, and behind them those that are only remembered.
+    /// What a peer gets first: where this machine stands, all servers, and behind them those that
+    /// are only remembered.
     fn greet(&mut self, id: ConnId, now: Time) {
         let contact = self.contact_message(now);
         self.send_to(id, contact);
-        let table = PeerMessage::Servers { ack: 0, records: self.servers.snapshot(now), whole: true };
+        let table = PeerMessage::Servers {
+            ack: 0,
+            records: self.servers.snapshot(now),
+            whole: true,
+        };
         self.send_to(id, table);
         let remembered = self.servers.remembered();
         if !remembered.is_empty() {
@@ -158,15 +183,24 @@
             PeerMessage::Hello { .. } => {}
             PeerMessage::Replication(bytes) => self.on_replication(from, &bytes, now),
             PeerMessage::Call { id, call } => self.on_relayed(from, id, call, now),
-            PeerMessage::Answer { id, answer } => self.calls.on_answer(to_replica(now), &from, id, answer),
-            PeerMessage::Servers { ack, records, whole } => {
-                self.servers.on_records(now, &records, whole, self.is_in_contact(from));
+            PeerMessage::Answer { id, answer } => {
+                self.calls.on_answer(to_replica(now), &from, id, answer)
+            }
+            PeerMessage::Servers {
+                ack,
+                records,
+                whole,
+            } => {
+                self.servers
+                    .on_records(now, &records, whole, self.is_in_contact(from));
                 if let Some(id) = self.peers.connection(from).filter(|_| ack != 0) {
                     self.servers.on_confirmation_wanted(now, id, ack, &records);
                 }
             }
             PeerMessage::ServersRemembered(records) => self.servers.on_remembered(now, &records),
-            PeerMessage::ServersMerged { ack } => self.servers.on_merged(from, ack, self.is_in_contact(from)),
+            PeerMessage::ServersMerged { ack } => {
+                self.servers.on_merged(from, ack, self.is_in_contact(from))
+            }
             PeerMessage::Heard(heard) => {
                 if self.servers.on_heard(now, &heard) {
                     self.send_to_peer(from, PeerMessage::ServersWanted);
@@ -174,9 +208,21 @@
             }
             PeerMessage::ServersWanted => {
                 let records = self.servers.snapshot(now);
-                self.send_to_peer(from, PeerMessage::Servers { ack: 0, records, whole: true });
+                self.send_to_peer(
+                    from,
+                    PeerMessage::Servers {
+                        ack: 0,
+                        records,
+                        whole: true,
+                    },
+                );
             }
-            PeerMessage::Contact { in_contact, primary, routers, known } => {
+            PeerMessage::Contact {
+                in_contact,
+                primary,
+                routers,
+                known,
+            } => {
                 if let Some(peer) = self.peers.get_mut(from) {
                     (peer.in_contact, peer.routers) = (in_contact, routers);
                 }
@@ -189,7 +235,9 @@
                 self.send_to_peer(from, PeerMessage::ConfirmedHeard(answer));
             }
             PeerMessage::ConfirmedHeard(stamp) => self.on_confirmed_heard(now, from, stamp),
-            PeerMessage::Configuration { position, document } => on_fed(&mut self.feed, position, document),
+            PeerMessage::Configuration { position, document } => {
+                on_fed(&mut self.feed, position, document)
+            }
         }
     }
 
@@ -206,7 +254,10 @@
                 return warn!(target: "control", error = e.to_string().as_str(); "a message of replication can't be read")
             }
         };
-        let introduced = self.peers.get(from).and_then(|peer| peer.introduction.as_ref());
+        let introduced = self
+            .peers
+            .get(from)
+            .and_then(|peer| peer.introduction.as_ref());
         let known = introduced.is_some_and(|peer| peer.identity == message.from.identity.0);
         if known && message.from.address.parse() == Ok(from) {
             group.replica.on_message(to_replica(now), message);
@@ -217,26 +268,52 @@
     fn on_relayed(&mut self, address: SocketAddr, id: u64, call: RelayedCall, now: Time) {
         match Question::of_relayed(call) {
             Some(question) => self.take_call(Origin::Peer { address, id }, question, now),
-            None => self.send_to_peer(address, PeerMessage::Answer { id, answer: RelayedAnswer::NotPrimary }),
+            None => self.send_to_peer(
+                address,
+                PeerMessage::Answer {
+                    id,
+                    answer: RelayedAnswer::NotPrimary,
+                },
+            ),
         }
     }
 
     fn on_router(&mut self, id: ConnId, message: RouterToControl, now: Time) -> Result<(), String> {
         match message {
-            RouterToControl::Hello { protocol, node, zone, process, configuration } => {
+            RouterToControl::Hello {
+                protocol,
+                node,
+                zone,
+                process,
+                configuration,
+            } => {
                 check_protocol(protocol, &node)?;
                 self.links.set_end(id, End::Router);
-                // What was committed in this turn is part of what the router is sent before it is told of contact.
+                // What was committed in this turn is part of what the router is sent before it is
+                // told of contact.
                 self.look_at_committed(now);
                 let (heartbeat, table) = (self.router_heartbeat(now), self.servers.known(now));
-                let hello = Hello { node, zone, process, configuration };
-                let pushes = self.routers.on_hello(now, id, hello, self.committed.as_ref(), heartbeat, table);
+                let hello = Hello {
+                    node,
+                    zone,
+                    process,
+                    configuration,
+                };
+                let pushes = self.routers.on_hello(
+                    now,
+                    id,
+                    hello,
+                    self.committed.as_ref(),
+                    heartbeat,
+                    table,
+                );
                 self.push_all(pushes);
                 self.greet_with_backlogs(id);
             }
-            RouterToControl::Applied { push, configuration } => {
-                self.routers.on_applied(id, push, configuration)
-            }
+            RouterToControl::Applied {
+                push,
+                configuration,
+            } => self.routers.on_applied(id, push, configuration),
         }
         Ok(())
     }
@@ -268,16 +345,27 @@
 fn check_protocol(protocol: u16, node: &str) -> Result<(), String> {
     match protocol == PROTOCOL_VERSION {
         true => Ok(()),
-        false => Err(format!("{node} speaks version {protocol}, this machine version {PROTOCOL_VERSION}")),
+        false => Err(format!(
+            "{node} speaks version {protocol}, this machine version {PROTOCOL_VERSION}"
+        )),
     }
 }
 
-/// The primary has sent what is committed. What can't be read is passed over: routers could not use it either.
-fn on_fed(feed: &mut Feed, position: lichenswitch_messages::ConfigurationPosition, document: Vec<u8>) {
+/// The primary has sent what is committed. What can't be read is passed over: routers could not use
+/// it either.
+fn on_fed(
+    feed: &mut Feed,
+    position: lichenswitch_messages::ConfigurationPosition,
+    document: Vec<u8>,
+) {
     match Document::parse_committed(&document) {
         Ok(parsed) => {
             let version = parsed.version();
-            feed.on_configuration(Committed { position, version, document: document.into() });
+            feed.on_configuration(Committed {
+                position,
+                version,
+                document: document.into(),
+            });
         }
         Err(e) => {
             warn!(target: "control", error = e.to_string().as_str(); "the primary has sent what can't be read")
--- a/fleet/src/control/peers.rs
+++ b/fleet/src/control/peers.rs
@@ -1,7 +1,9 @@
-//! The other control machines: where they are, which connections there are to them, and when to try again.
+//! The other control machines: where they are, which connections there are to them, and when to try
+//! again.
 //!
-//! It owns the table and the rule of which connection carries what is sent. It promises that both ends of a pair choose the same one, that
-//! a peer that is heard on no connection is dialled again within half a second, and that addresses which nobody answers at are forgotten.
+//! It owns the table and the rule of which connection carries what is sent. It promises that both
+//! ends of a pair choose the same one, that a peer that is heard on no connection is dialled again
+//! within half a second, and that addresses which nobody answers at are forgotten.
 
 use super::program::{after, elapsed, sooner};
 use lichenswitch_interface::Time;
@@ -13,9 +15,11 @@
 
 /// Between two tries to connect, at the least and at the most.
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(60), Duration::from_millis(500));
-/// A connection that is not up after this time is tried anew: the opening packet may have been lost, and is sent again only after a second.
+/// A connection that is not up after this time is tried anew: the opening packet may have been
+/// lost, and is sent again only after a second.
 pub(super) const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
-/// A connection on which nothing came for so long is closed: each end speaks every [`super::DIGEST_INTERVAL`].
+/// A connection on which nothing came for so long is closed: each end speaks every
+/// [`super::DIGEST_INTERVAL`].
 pub(super) const SILENCE: Duration = Duration::from_millis(1_500);
 /// An address that was not heard for so long is forgotten, unless a seed or a voter has it.
 const FORGOTTEN: Duration = Duration::from_secs(60);
@@ -65,7 +69,11 @@
 
 impl Peers {
     pub(super) fn new(own: SocketAddr, seeds: Vec<SocketAddr>, now: Time) -> Peers {
-        let mut peers = Peers { own, seeds: Vec::new(), peers: BTreeMap::new() };
+        let mut peers = Peers {
+            own,
+            seeds: Vec::new(),
+            peers: BTreeMap::new(),
+        };
         peers.on_seeds(seeds, now);
         peers
     }
@@ -88,7 +96,10 @@
 
     /// The same, as it comes in messages. What is no address is passed over.
     pub(super) fn learn_all(&mut self, addresses: &[String], now: Time) {
-        addresses.iter().filter_map(|text| text.parse().ok()).for_each(|address| self.learn(address, now));
+        addresses
+            .iter()
+            .filter_map(|text| text.parse().ok())
+            .for_each(|address| self.learn(address, now));
     }
 
     pub(super) fn get(&self, address: SocketAddr) -> Option<&Peer> {
@@ -105,7 +116,8 @@
 
     /// Those that can be sent to.
     pub(super) fn connected(&self) -> impl Iterator<Item = (SocketAddr, &Peer)> {
-        self.iter().filter(|(address, peer)| peer.connection(self.own, *address).is_some())
+        self.iter()
+            .filter(|(address, peer)| peer.connection(self.own, *address).is_some())
     }
 
     /// The connection that carries what is sent to this one.
@@ -115,15 +127,22 @@
 
     /// Peers that were heard lately, this machine not included.
     pub(super) fn known(&self) -> Vec<String> {
-        self.iter().filter(|(_, peer)| peer.reached).map(|(address, _)| address.to_string()).collect()
+        self.iter()
+            .filter(|(_, peer)| peer.reached)
+            .map(|(address, _)| address.to_string())
+            .collect()
     }
 
     /// Whom to connect to now.
     pub(super) fn due(&self, now: Time) -> Vec<SocketAddr> {
         let due = |(address, peer): &(SocketAddr, &Peer)| {
-            peer.next_dial(self.own, *address).is_some_and(|at| at <= now)
+            peer.next_dial(self.own, *address)
+                .is_some_and(|at| at <= now)
         };
-        self.iter().filter(due).map(|(address, _)| address).collect()
+        self.iter()
+            .filter(due)
+            .map(|(address, _)| address)
+            .collect()
     }
 
     /// A try to connect has begun.
@@ -140,7 +159,8 @@
         }
     }
 
-    /// The first message on a connection has come. Tells which older connection of the same kind is to be closed.
+    /// The first message on a connection has come. Tells which older connection of the same kind is
+    /// to be closed.
     pub(super) fn on_hello(
         &mut self,
         address: SocketAddr,
@@ -168,7 +188,9 @@
 
     /// A connection has gone.
     pub(super) fn on_closed(&mut self, address: SocketAddr, id: ConnId, now: Time) {
-        let Some(peer) = self.peers.get_mut(&address) else { return };
+        let Some(peer) = self.peers.get_mut(&address) else {
+            return;
+        };
         if peer.accepted == Some(id) {
             peer.accepted = None;
         }
@@ -193,8 +215,13 @@
             let wanted = self.seeds.contains(address) || voters.contains(address);
             !wanted && peer.accepted.is_none() && elapsed(peer.heard, now) > FORGOTTEN
         };
-        let dead: Vec<SocketAddr> = self.iter().filter(dead).map(|(address, _)| address).collect();
-        dead.iter().for_each(|address| drop(self.peers.remove(address)));
+        let dead: Vec<SocketAddr> = self
+            .iter()
+            .filter(dead)
+            .map(|(address, _)| address)
+            .collect();
+        dead.iter()
+            .for_each(|address| drop(self.peers.remove(address)));
         dead
     }
 
@@ -223,10 +250,14 @@
         }
     }
 
-    /// The connection of the pair that both ends send on: the one made by the smaller address, where it is up. A rule that is the same
-    /// at both ends lets the other connection fall silent and be closed.
+    /// The connection of the pair that both ends send on: the one made by the smaller address,
+    /// where it is up. A rule that is the same at both ends lets the other connection fall silent
+    /// and be closed.
     fn connection(&self, own: SocketAddr, address: SocketAddr) -> Option<ConnId> {
-        let dialled = self.dialled.filter(|_| self.greeted).map(|dialled| dialled.0);
+        let dialled = self
+            .dialled
+            .filter(|_| self.greeted)
+            .map(|dialled| dialled.0);
         match own < address {
             true => dialled.or(self.accepted),
             false => self.accepted.or(dialled),
@@ -242,7 +273,8 @@
         let (least, most) = BACKOFF;
         let step = least.saturating_mul(1 << self.failures.min(4)).min(most);
         self.failures = self.failures.saturating_add(1);
-        // Jitter, so that machines that lost each other at one moment don't meet at one moment for ever.
+        // Jitter, so that machines that lost each other at one moment don't meet at one moment for
+        // ever.
         self.next_dial = after(now, step.mul_f64(0.5 + fastrand::f64() / 2.0));
     }
 
--- a/fleet/src/control/peers/tests.rs
+++ b/fleet/src/control/peers/tests.rs
@@ -12,7 +12,11 @@
 }
 
 fn introduction() -> Introduction {
-    Introduction { node: "n".to_owned(), identity: 5, eligible: true }
+    Introduction {
+        node: "n".to_owned(),
+        identity: 5,
+        eligible: true,
+    }
 }
 
 /// So many names of connections.
@@ -21,7 +25,9 @@
     net.set_aside_for_peers(8);
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let to = listener.local_addr().unwrap();
-    (0..count).map(|_| net.connect(Owner::Dialled, to).unwrap()).collect()
+    (0..count)
+        .map(|_| net.connect(Owner::Dialled, to).unwrap())
+        .collect()
 }
 
 #[test]
@@ -33,7 +39,11 @@
     let mut great = Peers::new(address(2), vec![address(1)], at(0));
     small.on_dial(address(2), by_small, at(0));
     great.on_dial(address(1), by_great, at(0));
-    assert_eq!(small.connection(address(2)), None, "before the first message there is nobody to send to");
+    assert_eq!(
+        small.connection(address(2)),
+        None,
+        "before the first message there is nobody to send to"
+    );
     small.on_hello(address(2), by_small, introduction(), at(1));
     small.on_hello(address(2), by_great, introduction(), at(1));
     great.on_hello(address(1), by_great, introduction(), at(1));
@@ -70,13 +80,22 @@
 #[test]
 fn addresses_that_nobody_answers_at_are_forgotten_but_for_seeds_and_voters() {
     let mut peers = Peers::new(address(1), vec![address(2)], at(0));
-    peers
-        .learn_all(&["10.0.0.3:7300".to_owned(), "10.0.0.4:7300".to_owned(), "no address".to_owned()], at(0));
+    peers.learn_all(
+        &[
+            "10.0.0.3:7300".to_owned(),
+            "10.0.0.4:7300".to_owned(),
+            "no address".to_owned(),
+        ],
+        at(0),
+    );
     peers.learn(address(1), at(0));
     assert_eq!(peers.iter().count(), 3, "its own address is no peer");
     assert!(peers.forget_dead(&[address(4)], at(59_000)).is_empty());
     assert_eq!(peers.forget_dead(&[address(4)], at(61_000)), [address(3)]);
-    assert!(peers.known().is_empty(), "who was never heard is not named to others");
+    assert!(
+        peers.known().is_empty(),
+        "who was never heard is not named to others"
+    );
 }
 
 #[test]
--- a/fleet/src/control/quotas.rs
+++ b/fleet/src/control/quotas.rs
@@ -1,7 +1,8 @@
-//! Quotas at a control machine: the parts of tenants' buckets that it holds, and draws that it passes on for routers.
+//! Quotas at a control machine: the parts of tenants' buckets that it holds, and draws that it
+//! passes on for routers.
 //!
-//! It joins `decide/quota` to connections and to the group: holders are voters by the identity of their disks, and hold their parts as long as
-//! the replica says that they are current.
+//! It joins `decide/quota` to connections and to the group: holders are voters by the identity of
+//! their disks, and hold their parts as long as the replica says that they are current.
 
 use super::group::{to_replica, Group};
 use super::links::End;
@@ -51,22 +52,35 @@
     }
 
     /// The draws under way, and what they are worked off with.
-    fn at<'a>(&'a mut self, reachable: &'a BTreeSet<Holder>) -> (&'a mut Draws<DrawOrigin>, Place<'a>) {
-        let place = Place { buckets: &mut self.buckets, tenure: &self.tenure, own: self.own, reachable };
+    fn at<'a>(
+        &'a mut self,
+        reachable: &'a BTreeSet<Holder>,
+    ) -> (&'a mut Draws<DrawOrigin>, Place<'a>) {
+        let place = Place {
+            buckets: &mut self.buckets,
+            tenure: &self.tenure,
+            own: self.own,
+            reachable,
+        };
         (&mut self.draws, place)
     }
 }
 
 /// Voters as holders, in one order.
 fn voters(group: &Group) -> Vec<Holder> {
-    let mut voters: Vec<Holder> =
-        group.replica.membership().all().map(|member| Holder(member.identity.0)).collect();
+    let mut voters: Vec<Holder> = group
+        .replica
+        .membership()
+        .all()
+        .map(|member| Holder(member.identity.0))
+        .collect();
     voters.sort_unstable();
     voters
 }
 
 impl Machine {
-    /// This machine has another part in the group than before: what it held under another identity is held no more.
+    /// This machine has another part in the group than before: what it held under another identity
+    /// is held no more.
     pub(super) fn renew_quotas(&mut self) {
         let terms = self.settings.bounds.quota_terms();
         self.quotas = Quotas::new(self.identity, self.group.as_ref(), terms);
@@ -75,11 +89,17 @@
 
     /// Takes in who votes, and whether this machine is in contact with them.
     pub(super) fn look_at_tenure(&mut self, now: Time) {
-        let Some(group) = self.group.as_ref() else { return };
+        let Some(group) = self.group.as_ref() else {
+            return;
+        };
         self.quotas.tenure.on_voters(now, &voters(group));
         if group.votes() && group.replica.is_current(to_replica(now)) {
             self.quotas.tenure.on_contact(now);
-            if group.replica.committed().is_some_and(|(_, state)| state.0.document().is_none()) {
+            if group
+                .replica
+                .committed()
+                .is_some_and(|(_, state)| state.0.document().is_none())
+            {
                 self.quotas.buckets.on_no_configuration();
             }
         }
@@ -88,7 +108,9 @@
     /// Another configuration is committed.
     pub(super) fn tell_buckets_of_tenants(&mut self) {
         let now = self.net.clock.now();
-        let Some(committed) = &self.committed else { return };
+        let Some(committed) = &self.committed else {
+            return;
+        };
         match Document::parse_committed(&committed.document) {
             Ok(document) => {
                 let tenants: &[Tenant] = document.tenants().unwrap_or_default();
@@ -107,7 +129,9 @@
             (TenantMessage::Draw(request), Some(End::Router | End::Peer(_))) => {
                 self.on_draw(id, request, now)
             }
-            (TenantMessage::Drawn(answer), Some(End::Peer(address))) => self.on_drawn(address, answer, now),
+            (TenantMessage::Drawn(answer), Some(End::Peer(address))) => {
+                self.on_drawn(address, answer, now)
+            }
             // Nothing that is asked for here, or from whoever has not said who it is.
             _ => {}
         }
@@ -124,7 +148,13 @@
     }
 
     fn on_draw(&mut self, connection: ConnId, request: DrawRequest, now: Time) {
-        let (origin, pass_on) = (DrawOrigin { connection, id: request.id }, request.pass_on);
+        let (origin, pass_on) = (
+            DrawOrigin {
+                connection,
+                id: request.id,
+            },
+            request.pass_on,
+        );
         let draw = draw_of(request);
         if !pass_on {
             let grant = self.quotas.buckets.draw(now, &draw, &self.quotas.tenure);
@@ -137,8 +167,14 @@
     }
 
     fn on_drawn(&mut self, from: SocketAddr, answer: DrawAnswer, now: Time) {
-        let Some(from) = self.holder_at(from) else { return };
-        let grant = Grant { needs: answer.needs, ahead: answer.ahead, wait: answer.wait_us };
+        let Some(from) = self.holder_at(from) else {
+            return;
+        };
+        let grant = Grant {
+            needs: answer.needs,
+            ahead: answer.ahead,
+            wait: answer.wait_us,
+        };
         let reachable = self.reachable_holders();
         let (draws, mut place) = self.quotas.at(&reachable);
         let orders = draws.on_answer(now, from, answer.id, grant, &mut place);
@@ -147,7 +183,9 @@
 
     /// No connection to a peer is left.
     pub(super) fn on_holder_lost(&mut self, address: SocketAddr, now: Time) {
-        let Some(holder) = self.holder_at(address) else { return };
+        let Some(holder) = self.holder_at(address) else {
+            return;
+        };
         let reachable = self.reachable_holders();
         let (draws, mut place) = self.quotas.at(&reachable);
         let orders = draws.on_lost(now, holder, &mut place);
@@ -156,7 +194,9 @@
 
     /// Brings the buckets up to now, and checks what was granted of them.
     pub(super) fn advance_buckets(&mut self, now: Time) {
-        let Quotas { buckets, tenure, .. } = &mut self.quotas;
+        let Quotas {
+            buckets, tenure, ..
+        } = &mut self.quotas;
         buckets.advance(now, tenure);
         if !std::mem::replace(&mut self.quotas.overrun, !self.quotas.buckets.are_kept()) {
             invariants::check(!self.quotas.overrun, Invariant::PartIsKept);
@@ -177,7 +217,12 @@
     fn do_quota_orders(&mut self, orders: Vec<Order<DrawOrigin>>) {
         for order in orders {
             match order {
-                Order::Ask { to, id, pass_on, draw } => {
+                Order::Ask {
+                    to,
+                    id,
+                    pass_on,
+                    draw,
+                } => {
                     if let Some(connection) = self.connection_to(to) {
                         let request = request_of(id, draw, pass_on);
                         self.send_tenant_message(connection, &TenantMessage::Draw(request));
@@ -189,8 +234,12 @@
     }
 
     fn answer_draw(&mut self, origin: DrawOrigin, grant: Grant) {
-        let answer =
-            DrawAnswer { id: origin.id, needs: grant.needs, ahead: grant.ahead, wait_us: grant.wait };
+        let answer = DrawAnswer {
+            id: origin.id,
+            needs: grant.needs,
+            ahead: grant.ahead,
+            wait_us: grant.wait,
+        };
         self.send_tenant_message(origin.connection, &TenantMessage::Drawn(answer));
     }
 
@@ -205,8 +254,14 @@
 
     /// Machines with a disk that can be asked.
     fn reachable_holders(&self) -> BTreeSet<Holder> {
-        let introduced = self.peers.connected().filter_map(|(_, peer)| peer.introduction.as_ref());
-        introduced.filter(|peer| peer.eligible).map(|peer| Holder(peer.identity)).collect()
+        let introduced = self
+            .peers
+            .connected()
+            .filter_map(|(_, peer)| peer.introduction.as_ref());
+        introduced
+            .filter(|peer| peer.eligible)
+            .map(|peer| Holder(peer.identity))
+            .collect()
     }
 
     fn holder_at(&self, address: SocketAddr) -> Option<Holder> {
@@ -216,7 +271,9 @@
 
     fn connection_to(&self, holder: Holder) -> Option<ConnId> {
         let is_it = |peer: &super::peers::Peer| {
-            peer.introduction.as_ref().is_some_and(|introduced| introduced.identity == holder.0)
+            peer.introduction
+                .as_ref()
+                .is_some_and(|introduced| introduced.identity == holder.0)
         };
         let (address, _) = self.peers.connected().find(|(_, peer)| is_it(peer))?;
         self.peers.connection(address)
@@ -228,7 +285,12 @@
         DrawUnit::Requests => QuotaUnit::Requests,
         DrawUnit::Tokens => QuotaUnit::Tokens,
     };
-    Draw { tenant: request.tenant, unit, needs: request.needs, ahead: request.ahead }
+    Draw {
+        tenant: request.tenant,
+        unit,
+        needs: request.needs,
+        ahead: request.ahead,
+    }
 }
 
 fn request_of(id: u64, draw: Draw, pass_on: bool) -> DrawRequest {
@@ -236,5 +298,12 @@
         QuotaUnit::Requests => DrawUnit::Requests,
         QuotaUnit::Tokens => DrawUnit::Tokens,
     };
-    DrawRequest { id, tenant: draw.tenant, unit, needs: draw.needs, ahead: draw.ahead, pass_on }
+    DrawRequest {
+        id,
+        tenant: draw.tenant,
+        unit,
+        needs: draw.needs,
+        ahead: draw.ahead,
+        pass_on,
+    }
 }
--- a/fleet/src/control/routers.rs
+++ b/fleet/src/control/routers.rs
@@ -1,7 +1,8 @@
 //! Routers that are connected to this machine: what each has been sent, and what it has in force.
 //!
-//! It owns the members and their connections. It promises: a router that connects gets the newest committed configuration, unless it has it,
-//! and the whole table of servers, and changes from then on; all that is pushed is numbered from 1 on each connection.
+//! It owns the members and their connections. It promises: a router that connects gets the newest
+//! committed configuration, unless it has it, and the whole table of servers, and changes from then
+//! on; all that is pushed is numbered from 1 on each connection.
 
 use lichenswitch_control::{Committed, Pushes};
 use lichenswitch_interface::Time;
@@ -11,7 +12,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A router stays a member for so long without a connection: it may be on its way to another control machine.
+/// A router stays a member for so long without a connection: it may be on its way to another
+/// control machine.
 const LEASE: Duration = Duration::from_millis(1_000);
 /// Records in one message. Guards the loop of a router against one long message.
 const RECORDS_IN_MESSAGE: usize = 500;
@@ -49,7 +51,10 @@
 impl Routers {
     pub(super) fn new() -> Routers {
         let lease = u64::try_from(LEASE.as_micros()).unwrap_or(u64::MAX);
-        Routers { connected: BTreeMap::new(), members: Members::new(lease) }
+        Routers {
+            connected: BTreeMap::new(),
+            members: Members::new(lease),
+        }
     }
 
     /// A router has connected. What it is to be sent first comes back.
@@ -62,20 +67,42 @@
         heartbeat: ControlToRouter,
         table: Vec<ServerRecord>,
     ) -> Vec<Push> {
-        if self.members.on_renewal(now.0, hello.process, &hello.node, &hello.zone) {
+        if self
+            .members
+            .on_renewal(now.0, hello.process, &hello.node, &hello.zone)
+        {
             log::info!(target: "control", node = hello.node.as_str(), zone = hello.zone.as_str(); "router has connected");
         }
-        let Hello { node, zone, process, configuration } = hello;
+        let Hello {
+            node,
+            zone,
+            process,
+            configuration,
+        } = hello;
         let mut pushes = Pushes::new(configuration);
         let first = pushes.greet(committed, heartbeat);
-        self.connected.insert(id, Router { node, zone, process, pushes, applied: 0 });
+        self.connected.insert(
+            id,
+            Router {
+                node,
+                zone,
+                process,
+                pushes,
+                applied: 0,
+            },
+        );
         let mut first: Vec<Push> = first.into_iter().map(|message| (id, message)).collect();
         first.extend(self.push_servers_to(id, &table, true));
         first
     }
 
     /// A router has applied all up to a number.
-    pub(super) fn on_applied(&mut self, id: ConnId, push: u64, configuration: Option<ConfigurationPosition>) {
+    pub(super) fn on_applied(
+        &mut self,
+        id: ConnId,
+        push: u64,
+        configuration: Option<ConfigurationPosition>,
+    ) {
         if let Some(router) = self.connected.get_mut(&id) {
             router.applied = router.applied.max(push);
             router.pushes.on_applied(configuration);
@@ -90,7 +117,8 @@
     /// Renews the leases of all that are connected, and ends the others'.
     pub(super) fn tick(&mut self, now: Time) {
         for router in self.connected.values() {
-            self.members.on_renewal(now.0, router.process, &router.node, &router.zone);
+            self.members
+                .on_renewal(now.0, router.process, &router.node, &router.zone);
         }
         for member in self.members.tick(now.0) {
             log::info!(target: "control", node = member.node.as_str(); "router has gone");
@@ -113,8 +141,9 @@
 
     /// A configuration has been committed: those that lack it get it.
     pub(super) fn push_configuration(&mut self, committed: &Committed) -> Vec<Push> {
-        let push =
-            |(id, router): (&ConnId, &mut Router)| Some((*id, router.pushes.configuration(committed)?));
+        let push = |(id, router): (&ConnId, &mut Router)| {
+            Some((*id, router.pushes.configuration(committed)?))
+        };
         self.connected.iter_mut().filter_map(push).collect()
     }
 
@@ -123,11 +152,16 @@
         if records.is_empty() {
             return Vec::new();
         }
-        self.connections().into_iter().flat_map(|id| self.push_servers_to(id, records, false)).collect()
+        self.connections()
+            .into_iter()
+            .flat_map(|id| self.push_servers_to(id, records, false))
+            .collect()
     }
 
     fn push_servers_to(&mut self, id: ConnId, records: &[ServerRecord], whole: bool) -> Vec<Push> {
-        let Some(router) = self.connected.get_mut(&id) else { return Vec::new() };
+        let Some(router) = self.connected.get_mut(&id) else {
+            return Vec::new();
+        };
         let mut chunks: Vec<&[ServerRecord]> = records.chunks(RECORDS_IN_MESSAGE).collect();
         if chunks.is_empty() {
             chunks.push(&[]);
@@ -135,7 +169,14 @@
         let last = chunks.len() - 1;
         let message = |(place, chunk): (usize, &[ServerRecord])| {
             let (push, whole) = (router.pushes.next_number(), whole && place == last);
-            (id, ControlToRouter::Servers { push, records: chunk.to_vec(), whole })
+            (
+                id,
+                ControlToRouter::Servers {
+                    push,
+                    records: chunk.to_vec(),
+                    whole,
+                },
+            )
         };
         chunks.into_iter().enumerate().map(message).collect()
     }
--- a/fleet/src/control/server_cache.rs
+++ b/fleet/src/control/server_cache.rs
@@ -1,12 +1,15 @@
 //! The table of servers as this machine last knew it, on its disk.
 //!
-//! After a loss of power on all machines nobody knows any server until its next heartbeat. What is read here fills that gap: it is merged as
-//! news from a peer would be, and the next heartbeats confirm or correct it. Of servers that are ready it is a hint: nothing is
-//! acknowledged by it, it is written once a second at most, a stale record costs a connection that is refused, and a file that can't be
-//! read is set aside and passed over. That a server leaves or has left is acknowledged by it: such news ask for a write at once
-//! ([`ServerCache::write_now`]), and whoever has to hold them waits until that write, or a later one, has completed.
+//! After a loss of power on all machines nobody knows any server until its next heartbeat. What is
+//! read here fills that gap: it is merged as news from a peer would be, and the next heartbeats
+//! confirm or correct it. Of servers that are ready it is a hint: nothing is acknowledged by it, it
+//! is written once a second at most, a stale record costs a connection that is refused, and a file
+//! that can't be read is set aside and passed over. That a server leaves or has left is
+//! acknowledged by it: such news ask for a write at once ([`ServerCache::write_now`]), and whoever
+//! has to hold them waits until that write, or a later one, has completed.
 //!
-//! A thread of its own writes, so that a stalled disk holds nobody up; of tables that come faster than it writes, the newest counts.
+//! A thread of its own writes, so that a stalled disk holds nobody up; of tables that come faster
+//! than it writes, the newest counts.
 
 use super::program::after;
 use lichenswitch_interface::Time;
@@ -28,7 +31,8 @@
 const TABLE: u16 = 2;
 /// Tables are written this often at the most.
 const INTERVAL: Duration = Duration::from_secs(1);
-/// A table is written anew after this time, also when it is as before, so that its age tells how long the machine was away.
+/// A table is written anew after this time, also when it is as before, so that its age tells how
+/// long the machine was away.
 const RENEWAL: Duration = Duration::from_secs(10);
 /// Servers of a table that is older than this count as unheard.
 const TRUSTED_S: u64 = 60;
@@ -84,8 +88,8 @@
 }
 
 impl ServerCache {
-    /// Opens the file in a data directory, and tells what it holds. A table that can't be read is set aside. A byte is written to `wake`,
-    /// which must not block, when a write has ended.
+    /// Opens the file in a data directory, and tells what it holds. A table that can't be read is
+    /// set aside. A byte is written to `wake`, which must not block, when a write has ended.
     pub(super) fn open(
         files: Box<dyn FileSystem>,
         directory: &Path,
@@ -104,9 +108,17 @@
         };
         let (writes, waiting) = mpsc::channel();
         let (tell, endings) = mpsc::channel();
-        let writer = Writer { files, path, wake, tell, failing: false };
+        let writer = Writer {
+            files,
+            path,
+            wake,
+            tell,
+            failing: false,
+        };
         // Without a thread nothing is written, and no news of servers that leave are held here.
-        let _ = thread::Builder::new().name("server-cache".into()).spawn(move || writer.run(&waiting));
+        let _ = thread::Builder::new()
+            .name("server-cache".into())
+            .spawn(move || writer.run(&waiting));
         let none = WriteNumber::default();
         let (begun, ended, written, wanted) = (none, none, none, none);
         let next_renewal = after(now, RENEWAL);
@@ -142,14 +154,19 @@
 
     /// Writes the table, if it has changed and the last one is some time ago.
     pub(super) fn tick(&mut self, now: Time, table: impl FnOnce() -> Vec<ServerRecord>) {
-        let due = if self.changed { self.next_write } else { self.next_renewal };
+        let due = if self.changed {
+            self.next_write
+        } else {
+            self.next_renewal
+        };
         if due <= now {
             self.begin(now, &table());
         }
     }
 
-    /// Takes in what the thread has done, and begins the write that is wanted at once. While one is under way it waits for its end, so that
-    /// news that come faster than the disk writes share one.
+    /// Takes in what the thread has done, and begins the write that is wanted at once. While one is
+    /// under way it waits for its end, so that news that come faster than the disk writes share
+    /// one.
     pub(super) fn advance(&mut self, now: Time, table: impl FnOnce() -> Vec<ServerRecord>) {
         while let Ok(ended) = self.endings.try_recv() {
             self.on_ended(&ended);
@@ -167,7 +184,10 @@
         match framed(time_of_day_s(), table) {
             // Nobody writes any more: see `open`.
             Some(bytes) => drop(self.writes.send(TableWrite { number, bytes })),
-            None => self.on_ended(&Ended { number, succeeded: false }),
+            None => self.on_ended(&Ended {
+                number,
+                succeeded: false,
+            }),
         }
     }
 
@@ -189,7 +209,9 @@
 
 /// The time of day may jump: what hangs on it is how far a hint is trusted, and no more.
 fn time_of_day_s() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_secs())
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |since| since.as_secs())
 }
 
 fn read(files: &dyn FileSystem, path: &Path) -> Result<Vec<ServerRecord>, CacheError> {
@@ -200,11 +222,19 @@
     };
     let mut reader = FrameReader::new(PROTOCOL_VERSION);
     reader.push(&bytes);
-    let written = reader.next_frame()?.filter(|frame| frame.kind == WRITTEN).ok_or(CacheError::Cut)?;
+    let written = reader
+        .next_frame()?
+        .filter(|frame| frame.kind == WRITTEN)
+        .ok_or(CacheError::Cut)?;
     let age_s = time_of_day_s().abs_diff(decode(written.payload)?);
-    let table = reader.next_frame()?.filter(|frame| frame.kind == TABLE).ok_or(CacheError::Cut)?;
+    let table = reader
+        .next_frame()?
+        .filter(|frame| frame.kind == TABLE)
+        .ok_or(CacheError::Cut)?;
     let mut records: Vec<ServerRecord> = decode(table.payload)?;
-    records.iter_mut().for_each(|record| record.unheard |= age_s > TRUSTED_S);
+    records
+        .iter_mut()
+        .for_each(|record| record.unheard |= age_s > TRUSTED_S);
     Ok(records)
 }
 
@@ -223,7 +253,14 @@
         while let Ok(first) = waiting.recv() {
             let newest = waiting.try_iter().last().unwrap_or(first);
             let succeeded = self.write(&newest.bytes);
-            if self.tell.send(Ended { number: newest.number, succeeded }).is_err() {
+            if self
+                .tell
+                .send(Ended {
+                    number: newest.number,
+                    succeeded,
+                })
+                .is_err()
+            {
                 return;
             }
             // A stream that is full wakes its reader anyhow.
--- a/fleet/src/control/server_cache/tests.rs
+++ b/fleet/src/control/server_cache/tests.rs
@@ -10,8 +10,11 @@
 impl Folder {
     fn new() -> Folder {
         static NEXT: AtomicU32 = AtomicU32::new(0);
-        let name =
-            format!("lichenswitch-servers-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
+        let name = format!(
+            "lichenswitch-servers-{}-{}",
+            std::process::id(),
+            NEXT.fetch_add(1, Ordering::Relaxed)
+        );
         let path = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&path).unwrap();
         Folder(path)
@@ -25,7 +28,11 @@
 }
 
 fn record(instance: &str, state: ServerState) -> ServerRecord {
-    ServerRecord { instance: instance.into(), state, ..ServerRecord::default() }
+    ServerRecord {
+        instance: instance.into(),
+        state,
+        ..ServerRecord::default()
+    }
 }
 
 fn files() -> Box<dyn FileSystem> {
@@ -52,13 +59,19 @@
 #[test]
 fn a_table_is_there_again_after_a_restart() {
     let folder = Folder::new();
-    let table = vec![record("a", ServerState::Ready), record("b", ServerState::Draining)];
+    let table = vec![
+        record("a", ServerState::Ready),
+        record("b", ServerState::Draining),
+    ];
     let (mut cache, found) = ServerCache::open(files(), &folder.0, Time(0), wake());
     assert!(found.is_empty(), "an empty disk knows nobody");
     cache.on_change();
     cache.tick(Time(0), || table.clone());
     assert!(written(&folder.0.join(FILE), &table));
-    assert_eq!(ServerCache::open(files(), &folder.0, Time(0), wake()).1, table);
+    assert_eq!(
+        ServerCache::open(files(), &folder.0, Time(0), wake()).1,
+        table
+    );
 }
 
 #[test]
@@ -97,7 +110,10 @@
 
 #[test]
 fn the_servers_of_an_old_table_count_as_unheard() {
-    let records = [record("a", ServerState::Ready), record("b", ServerState::Draining)];
+    let records = [
+        record("a", ServerState::Ready),
+        record("b", ServerState::Draining),
+    ];
     // A clock that was set back makes a table one of the future: it is no younger by that.
     for (written_s, unheard) in [
         (time_of_day_s(), false),
@@ -108,7 +124,10 @@
         std::fs::write(folder.0.join(FILE), framed(written_s, &records).unwrap()).unwrap();
         let (_, found) = ServerCache::open(files(), &folder.0, Time(0), wake());
         assert_eq!(found.len(), 2);
-        assert!(found.iter().all(|record| record.unheard == unheard), "written at {written_s}");
+        assert!(
+            found.iter().all(|record| record.unheard == unheard),
+            "written at {written_s}"
+        );
     }
 }
 
@@ -118,11 +137,22 @@
     let mut flipped = whole.clone();
     let last = flipped.len() - 1;
     flipped[last] ^= 1;
-    for bytes in [&whole[..whole.len() - 1], &flipped[..], b"something else", b""] {
+    for bytes in [
+        &whole[..whole.len() - 1],
+        &flipped[..],
+        b"something else",
+        b"",
+    ] {
         let folder = Folder::new();
         std::fs::write(folder.0.join(FILE), bytes).unwrap();
-        assert!(ServerCache::open(files(), &folder.0, Time(0), wake()).1.is_empty());
-        assert_eq!(std::fs::read(folder.0.join("servers.aside")).unwrap(), bytes, "it is kept for a person");
+        assert!(ServerCache::open(files(), &folder.0, Time(0), wake())
+            .1
+            .is_empty());
+        assert_eq!(
+            std::fs::read(folder.0.join("servers.aside")).unwrap(),
+            bytes,
+            "it is kept for a person"
+        );
     }
 }
 
--- a/fleet/src/control/servers.rs
+++ b/fleet/src/control/servers.rs
@@ -1,10 +1,13 @@
-//! Model servers at this machine: their beats, and who has to know of them before they are acknowledged.
+//! Model servers at this machine: their beats, and who has to know of them before they are
+//! acknowledged.
 //!
-//! It owns the table and the beats that wait for their acknowledgement. It promises: news are told to all control machines that are connected
-//! and to this machine's routers at once; they are acknowledged once enough control machines in contact hold them (see [`Audience`]);
-//! a beat that brings nothing new is acknowledged at once; and that a server leaves is told on, since whoever said so may have been cut
-//! off from the others right after. A machine with a disk holds news of a server that leaves only once they are written there: until then
-//! it neither confirms them to others nor counts itself.
+//! It owns the table and the beats that wait for their acknowledgement. It promises: news are told
+//! to all control machines that are connected and to this machine's routers at once; they are
+//! acknowledged once enough control machines in contact hold them (see [`Audience`]); a beat that
+//! brings nothing new is acknowledged at once; and that a server leaves is told on, since whoever
+//! said so may have been cut off from the others right after. A machine with a disk holds news of a
+//! server that leaves only once they are written there: until then it neither confirms them to
+//! others nor counts itself.
 
 use super::program::{after, Net, Signal};
 use super::server_cache::{ServerCache, WriteNumber};
@@ -22,7 +25,8 @@
 
 /// After so long it is enough that as many machines hold the news as have to.
 const ALL_WAIT: Duration = Duration::from_millis(100);
-/// After so long news that too few machines hold are refused: the server goes on to the next control machine.
+/// After so long news that too few machines hold are refused: the server goes on to the next
+/// control machine.
 const LONGEST_WAIT: Duration = Duration::from_millis(400);
 /// A machine that has just started waits so long for another one's table.
 const TABLE_WAIT: Duration = Duration::from_secs(2);
@@ -36,8 +40,9 @@
     Waits,
 }
 
-/// Who is told news, and who of them has to hold them before they are acknowledged: as many voters as make a majority with this
-/// machine, so that whatever part of the group goes on after a cut has one that holds them.
+/// Who is told news, and who of them has to hold them before they are acknowledged: as many voters
+/// as make a majority with this machine, so that whatever part of the group goes on after a cut has
+/// one that holds them.
 pub(super) struct Audience {
     /// All machines that are connected.
     pub(super) told: BTreeSet<SocketAddr>,
@@ -109,11 +114,16 @@
             let (ours, theirs) = UnixStream::pair()?;
             net.watch_signal(Signal::TableWritten, ours)?;
             theirs.set_nonblocking(true)?;
-            let (cache, records) = ServerCache::open(environment.file_system(), directory, now, theirs);
+            let (cache, records) =
+                ServerCache::open(environment.file_system(), directory, now, theirs);
             servers.registry.remember(now.0, &records);
             // Whether others hold what this machine remembers isn't known yet.
-            let leaving = records.into_iter().filter(|record| record.state != ServerState::Ready);
-            servers.unconfirmed.extend(leaving.map(|record| record.instance));
+            let leaving = records
+                .into_iter()
+                .filter(|record| record.state != ServerState::Ready);
+            servers
+                .unconfirmed
+                .extend(leaving.map(|record| record.instance));
             servers.cache = Some(cache);
         }
         Ok(servers)
@@ -142,7 +152,8 @@
         self.registry.set_interval(interval(settings));
     }
 
-    /// Whether this machine knows enough to take beats: silence before that says nothing of anybody.
+    /// Whether this machine knows enough to take beats: silence before that says nothing of
+    /// anybody.
     pub(super) fn may_take_beats(&self, now: Time) -> bool {
         self.has_table || after(self.started, TABLE_WAIT) <= now
     }
@@ -171,8 +182,10 @@
                 self.changes.append(changes);
                 return Beat::Waits;
             }
-            if let Some(record) =
-                self.registry.record(instance).filter(|_| self.unconfirmed.contains(instance))
+            if let Some(record) = self
+                .registry
+                .record(instance)
+                .filter(|_| self.unconfirmed.contains(instance))
             {
                 // Too few others are known to hold its last news.
                 changes = told_again(record);
@@ -187,25 +200,37 @@
         Beat::Known
     }
 
-    /// Callers that wait for the newest news of an instance, where these were told and none came after.
+    /// Callers that wait for the newest news of an instance, where these were told and none came
+    /// after.
     fn callers_that_wait_for(&mut self, instance: &str) -> Option<&mut Vec<ConnId>> {
         if self.callers.iter().any(|(_, waits)| waits == instance) {
             return None;
         }
         let waits = |wait: &&mut Wait| wait.instances.iter().any(|waits| waits == instance);
-        self.waits.iter_mut().rev().find(waits).map(|wait| &mut wait.callers)
+        self.waits
+            .iter_mut()
+            .rev()
+            .find(waits)
+            .map(|wait| &mut wait.callers)
     }
 
     /// Another control machine has sent records.
-    pub(super) fn on_records(&mut self, now: Time, records: &[ServerRecord], whole: bool, in_contact: bool) {
+    pub(super) fn on_records(
+        &mut self,
+        now: Time,
+        records: &[ServerRecord],
+        whole: bool,
+        in_contact: bool,
+    ) {
         let changes = self.registry.merge_all(now.0, records);
         self.note_hearsay(&changes, whole);
         self.changes.append(changes);
         self.has_table |= whole && in_contact;
     }
 
-    /// What one machine says of a server that leaves counts as held by too few until this machine knows better, and is told on; not
-    /// so what comes with a whole table, which all get that connect.
+    /// What one machine says of a server that leaves counts as held by too few until this machine
+    /// knows better, and is told on; not so what comes with a whole table, which all get that
+    /// connect.
     fn note_hearsay(&mut self, changes: &Changes, whole: bool) {
         for record in changes.news().iter().filter(|record| leaves(record)) {
             self.unconfirmed.insert(record.instance.clone());
@@ -227,20 +252,40 @@
         self.changes.append(changes);
     }
 
-    /// Another control machine has told whom it heard. Tells whether it named one that is not known here.
+    /// Another control machine has told whom it heard. Tells whether it named one that is not known
+    /// here.
     pub(super) fn on_heard(&mut self, now: Time, heard: &[(String, u32)]) -> bool {
         let changes = self.registry.merge_heard(now.0, heard);
         self.changes.append(changes);
-        heard.iter().any(|(instance, _)| self.registry.record(instance).is_none())
-    }
-
-    /// Another control machine waits on this connection for word that these news of its are held here.
-    pub(super) fn on_confirmation_wanted(&mut self, now: Time, to: ConnId, ack: u64, news: &[ServerRecord]) {
-        let write = if news.iter().any(leaves) { self.write_that_holds_leaving() } else { None };
-        self.confirmations.push(Confirmation { to, ack, write, since: now });
+        heard
+            .iter()
+            .any(|(instance, _)| self.registry.record(instance).is_none())
     }
 
-    /// The write by which this machine holds what it knows by now of servers that leave; `None` without a disk.
+    /// Another control machine waits on this connection for word that these news of its are held
+    /// here.
+    pub(super) fn on_confirmation_wanted(
+        &mut self,
+        now: Time,
+        to: ConnId,
+        ack: u64,
+        news: &[ServerRecord],
+    ) {
+        let write = if news.iter().any(leaves) {
+            self.write_that_holds_leaving()
+        } else {
+            None
+        };
+        self.confirmations.push(Confirmation {
+            to,
+            ack,
+            write,
+            since: now,
+        });
+    }
+
+    /// The write by which this machine holds what it knows by now of servers that leave; `None`
+    /// without a disk.
     fn write_that_holds_leaving(&mut self) -> Option<WriteNumber> {
         let cache = self.cache.as_mut()?;
         if self.changes.records.iter().any(leaves) {
@@ -269,8 +314,8 @@
         !self.changes.is_empty() || !self.callers.is_empty()
     }
 
-    /// Changes since this was last asked: what is to be told to routers, and the number under which the news go to the `audience`, or 0
-    /// if nobody waits for them.
+    /// Changes since this was last asked: what is to be told to routers, and the number under which
+    /// the news go to the `audience`, or 0 if nobody waits for them.
     pub(super) fn take_changes(&mut self, now: Time, audience: Audience) -> (Changes, u64) {
         let leaving_write = self.write_that_holds_leaving();
         let changes = std::mem::take(&mut self.changes);
@@ -284,9 +329,22 @@
         let ack = self.next_ack;
         self.next_ack += 1;
         let (callers, instances) = callers.into_iter().unzip();
-        let Audience { told, counted, needed: missing } = audience;
+        let Audience {
+            told,
+            counted,
+            needed: missing,
+        } = audience;
         let write = leaving_write.filter(|_| changes.news().iter().any(leaves));
-        self.waits.push(Wait { ack, instances, callers, told, counted, missing, write, since: now });
+        self.waits.push(Wait {
+            ack,
+            instances,
+            callers,
+            told,
+            counted,
+            missing,
+            write,
+            since: now,
+        });
         (changes, ack)
     }
 
@@ -307,7 +365,8 @@
                             false => self.unconfirmed.insert(instance),
                         };
                     }
-                    self.answers.extend(wait.callers.into_iter().map(|caller| (caller, held)));
+                    self.answers
+                        .extend(wait.callers.into_iter().map(|caller| (caller, held)));
                 }
             }
         }
@@ -318,17 +377,25 @@
         std::mem::take(&mut self.answers)
     }
 
-    /// Connections on which news are confirmed now, with their numbers. What could not be written for long is confirmed no more: whoever
-    /// told it has given up.
+    /// Connections on which news are confirmed now, with their numbers. What could not be written
+    /// for long is confirmed no more: whoever told it has given up.
     pub(super) fn take_confirmations(&mut self, now: Time) -> Vec<(ConnId, u64)> {
         let written = self.cache.as_ref().map(ServerCache::written);
-        let is_held =
-            |confirmation: &Confirmation| confirmation.write.is_none_or(|needed| Some(needed) <= written);
-        let (held, others): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.confirmations).into_iter().partition(is_held);
-        self.confirmations =
-            others.into_iter().filter(|other| now < after(other.since, LONGEST_WAIT)).collect();
-        held.into_iter().map(|confirmation| (confirmation.to, confirmation.ack)).collect()
+        let is_held = |confirmation: &Confirmation| {
+            confirmation
+                .write
+                .is_none_or(|needed| Some(needed) <= written)
+        };
+        let (held, others): (Vec<_>, Vec<_>) = std::mem::take(&mut self.confirmations)
+            .into_iter()
+            .partition(is_held);
+        self.confirmations = others
+            .into_iter()
+            .filter(|other| now < after(other.since, LONGEST_WAIT))
+            .collect();
+        held.into_iter()
+            .map(|confirmation| (confirmation.to, confirmation.ack))
+            .collect()
     }
 
     /// Looks at silence.
@@ -347,7 +414,8 @@
         if let Some(first) = changes.forgotten.first() {
             log::info!(target: "control", servers = changes.forgotten.len(), first = first.as_str(); "servers are forgotten");
         }
-        self.unconfirmed.retain(|instance| self.registry.record(instance).is_some());
+        self.unconfirmed
+            .retain(|instance| self.registry.record(instance).is_some());
         self.changes.append(changes);
     }
 
@@ -399,7 +467,10 @@
     }
 
     fn next_wake(&self) -> Time {
-        after(self.since, if self.held() { ALL_WAIT } else { LONGEST_WAIT })
+        after(
+            self.since,
+            if self.held() { ALL_WAIT } else { LONGEST_WAIT },
+        )
     }
 }
 
--- a/fleet/src/control/servers/tests.rs
+++ b/fleet/src/control/servers/tests.rs
@@ -24,7 +24,11 @@
 /// So many of these have to hold the news.
 fn needed(numbers: &[u8], needed: usize) -> Audience {
     let told: BTreeSet<SocketAddr> = numbers.iter().map(|number| peer(*number)).collect();
-    Audience { counted: told.clone(), told, needed }
+    Audience {
+        counted: told.clone(),
+        told,
+        needed,
+    }
 }
 
 fn beat(sequence_number: u64, state: ServerState) -> Heartbeat {
@@ -42,33 +46,55 @@
     let mut net = Net::new(100).unwrap();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     net.set_aside_for_peers(8);
-    (0..4).map(|_| net.connect(Owner::Dialled, listener.local_addr().unwrap()).unwrap()).collect()
+    (0..4)
+        .map(|_| {
+            net.connect(Owner::Dialled, listener.local_addr().unwrap())
+                .unwrap()
+        })
+        .collect()
 }
 
 #[test]
 fn news_are_acknowledged_once_another_machine_in_contact_holds_them() {
     let (callers, mut servers) = (callers(), Servers::new(&settings(), at(0)));
-    assert_eq!(servers.on_heartbeat(at(0), callers[0], "i-1", &beat(1, ServerState::Ready)), Beat::Waits);
+    assert_eq!(
+        servers.on_heartbeat(at(0), callers[0], "i-1", &beat(1, ServerState::Ready)),
+        Beat::Waits
+    );
     let (changes, ack) = servers.take_changes(at(0), told(&[2, 3]));
     assert_eq!(changes.news().len(), 1);
     servers.on_merged(peer(2), ack, false);
     servers.on_merged(peer(9), ack, true);
     servers.settle(at(10));
-    assert!(servers.take_answers().is_empty(), "one without contact, and one that was not told, don't count");
+    assert!(
+        servers.take_answers().is_empty(),
+        "one without contact, and one that was not told, don't count"
+    );
     servers.on_merged(peer(3), ack, true);
     servers.settle(at(20));
     assert_eq!(servers.take_answers(), [(callers[0], true)]);
 
     // The next beat tells nothing new.
-    assert_eq!(servers.on_heartbeat(at(1_200), callers[1], "i-1", &beat(2, ServerState::Ready)), Beat::Known);
+    assert_eq!(
+        servers.on_heartbeat(at(1_200), callers[1], "i-1", &beat(2, ServerState::Ready)),
+        Beat::Known
+    );
     assert!(!servers.has_changes());
     // That it leaves is news again, and so is its end.
     assert_eq!(
-        servers.on_heartbeat(at(2_400), callers[1], "i-1", &beat(3, ServerState::Draining)),
+        servers.on_heartbeat(
+            at(2_400),
+            callers[1],
+            "i-1",
+            &beat(3, ServerState::Draining)
+        ),
         Beat::Waits
     );
     servers.take_changes(at(2_400), told(&[2]));
-    assert_eq!(servers.on_deregister(at(2_500), callers[2], "i-1"), Beat::Waits);
+    assert_eq!(
+        servers.on_deregister(at(2_500), callers[2], "i-1"),
+        Beat::Waits
+    );
 }
 
 #[test]
@@ -90,17 +116,29 @@
     servers.on_heartbeat(at(0), callers[0], "i-1", &beat(1, ServerState::Ready));
     servers.take_changes(at(0), told(&[2]));
     // The same server again, while its news wait.
-    assert_eq!(servers.on_heartbeat(at(50), callers[1], "i-1", &beat(2, ServerState::Ready)), Beat::Waits);
+    assert_eq!(
+        servers.on_heartbeat(at(50), callers[1], "i-1", &beat(2, ServerState::Ready)),
+        Beat::Waits
+    );
     servers.settle(at(400));
-    assert_eq!(servers.take_answers(), [(callers[0], false), (callers[1], false)]);
+    assert_eq!(
+        servers.take_answers(),
+        [(callers[0], false), (callers[1], false)]
+    );
 
-    assert_eq!(servers.on_heartbeat(at(1_200), callers[2], "i-1", &beat(3, ServerState::Ready)), Beat::Waits);
+    assert_eq!(
+        servers.on_heartbeat(at(1_200), callers[2], "i-1", &beat(3, ServerState::Ready)),
+        Beat::Waits
+    );
     let (changes, ack) = servers.take_changes(at(1_200), told(&[2]));
     assert_eq!((changes.news().len(), ack), (1, 2));
     servers.on_merged(peer(2), ack, true);
     servers.settle(at(1_201));
     assert_eq!(servers.take_answers(), [(callers[2], true)]);
-    assert_eq!(servers.on_heartbeat(at(2_400), callers[3], "i-1", &beat(4, ServerState::Ready)), Beat::Known);
+    assert_eq!(
+        servers.on_heartbeat(at(2_400), callers[3], "i-1", &beat(4, ServerState::Ready)),
+        Beat::Known
+    );
 }
 
 #[test]
@@ -108,19 +146,39 @@
     let (callers, mut servers) = (callers(), Servers::new(&settings(), at(0)));
     servers.on_heartbeat(at(0), callers[0], "i-1", &beat(1, ServerState::Ready));
     let (_, first) = servers.take_changes(at(0), told(&[2, 3]));
-    assert_eq!(servers.on_deregister(at(10), callers[1], "i-1"), Beat::Waits);
+    assert_eq!(
+        servers.on_deregister(at(10), callers[1], "i-1"),
+        Beat::Waits
+    );
     let (changes, second) = servers.take_changes(at(10), told(&[2, 3]));
     assert_eq!((changes.news().len(), second == first), (1, false));
-    assert_ne!(second, 0, "that it has left is told under a number of its own");
+    assert_ne!(
+        second, 0,
+        "that it has left is told under a number of its own"
+    );
     // Told once more while that waits, it waits for the same.
-    assert_eq!(servers.on_deregister(at(15), callers[2], "i-1"), Beat::Waits);
+    assert_eq!(
+        servers.on_deregister(at(15), callers[2], "i-1"),
+        Beat::Waits
+    );
 
-    [2, 3].iter().for_each(|number| servers.on_merged(peer(*number), first, true));
+    [2, 3]
+        .iter()
+        .for_each(|number| servers.on_merged(peer(*number), first, true));
     servers.settle(at(20));
-    assert_eq!(servers.take_answers(), [(callers[0], true)], "nobody else is known to hold that it has left");
-    [2, 3].iter().for_each(|number| servers.on_merged(peer(*number), second, true));
+    assert_eq!(
+        servers.take_answers(),
+        [(callers[0], true)],
+        "nobody else is known to hold that it has left"
+    );
+    [2, 3]
+        .iter()
+        .for_each(|number| servers.on_merged(peer(*number), second, true));
     servers.settle(at(30));
-    assert_eq!(servers.take_answers(), [(callers[1], true), (callers[2], true)]);
+    assert_eq!(
+        servers.take_answers(),
+        [(callers[1], true), (callers[2], true)]
+    );
 }
 
 #[test]
@@ -137,11 +195,18 @@
     );
     let (changes, ack) = servers.take_changes(at(100), told(&[2, 3]));
     assert_eq!(changes.news().len(), 1);
-    [2, 3].iter().for_each(|number| servers.on_merged(peer(*number), ack, true));
+    [2, 3]
+        .iter()
+        .for_each(|number| servers.on_merged(peer(*number), ack, true));
     servers.settle(at(110));
     assert_eq!(servers.take_answers(), [(callers[0], true)]);
     assert_eq!(
-        servers.on_heartbeat(at(1_300), callers[1], "i-1", &beat(4, ServerState::Draining)),
+        servers.on_heartbeat(
+            at(1_300),
+            callers[1],
+            "i-1",
+            &beat(4, ServerState::Draining)
+        ),
         Beat::Known
     );
 }
@@ -149,11 +214,26 @@
 #[test]
 fn that_a_server_leaves_is_not_acknowledged_from_the_table_of_one_machine() {
     let (callers, mut servers) = (callers(), Servers::new(&settings(), at(0)));
-    servers.on_records(at(0), &[lichenswitch_registry::tombstone("i-1")], true, true);
-    assert_eq!(servers.take_hearsay(), [], "all that connect to that machine get its table");
+    servers.on_records(
+        at(0),
+        &[lichenswitch_registry::tombstone("i-1")],
+        true,
+        true,
+    );
+    assert_eq!(
+        servers.take_hearsay(),
+        [],
+        "all that connect to that machine get its table"
+    );
     servers.take_changes(at(0), told(&[2, 3]));
-    assert_eq!(servers.on_deregister(at(100), callers[0], "i-1"), Beat::Waits);
-    assert_eq!(servers.take_changes(at(100), told(&[2, 3])).0.news().len(), 1);
+    assert_eq!(
+        servers.on_deregister(at(100), callers[0], "i-1"),
+        Beat::Waits
+    );
+    assert_eq!(
+        servers.take_changes(at(100), told(&[2, 3])).0.news().len(),
+        1
+    );
     // Once it is forgotten nothing is left of it.
     servers.tick(at(200_000));
     servers.tick(at(400_000));
@@ -176,14 +256,28 @@
     servers.on_deregister(at(0), callers[0], "i-1");
     servers.take_changes(at(0), needed(&[], 1));
     servers.settle(at(0));
-    assert_eq!(servers.take_answers(), [(callers[0], false)], "the server goes on to another machine");
+    assert_eq!(
+        servers.take_answers(),
+        [(callers[0], false)],
+        "the server goes on to another machine"
+    );
     // Nor does one that reaches too few.
-    assert_eq!(servers.on_deregister(at(20), callers[2], "i-1"), Beat::Waits);
+    assert_eq!(
+        servers.on_deregister(at(20), callers[2], "i-1"),
+        Beat::Waits
+    );
     servers.take_changes(at(20), needed(&[2], 2));
     servers.settle(at(20));
-    assert_eq!(servers.take_answers(), [(callers[2], false)], "it needn't wait to know that");
+    assert_eq!(
+        servers.take_answers(),
+        [(callers[2], false)],
+        "it needn't wait to know that"
+    );
     // Once enough machines are connected again they are told.
-    assert_eq!(servers.on_deregister(at(50), callers[1], "i-1"), Beat::Waits);
+    assert_eq!(
+        servers.on_deregister(at(50), callers[1], "i-1"),
+        Beat::Waits
+    );
     let (changes, ack) = servers.take_changes(at(50), needed(&[2], 1));
     assert_eq!(changes.news().len(), 1);
     servers.on_merged(peer(2), ack, true);
@@ -197,7 +291,9 @@
     // Five of eight machines are beyond a cut that nobody has noticed yet.
     servers.on_deregister(at(0), callers[0], "i-1");
     let (_, ack) = servers.take_changes(at(0), needed(&[2, 3, 4, 5, 6, 7, 8], 4));
-    [2, 3].iter().for_each(|number| servers.on_merged(peer(*number), ack, true));
+    [2, 3]
+        .iter()
+        .for_each(|number| servers.on_merged(peer(*number), ack, true));
     servers.on_merged(peer(2), ack, true);
     servers.on_merged(peer(4), ack, false);
     servers.settle(at(399));
@@ -206,9 +302,14 @@
     assert_eq!(servers.take_answers(), [(callers[0], false)]);
 
     // Without the cut, slow machines are not waited for once enough hold the news.
-    assert_eq!(servers.on_deregister(at(500), callers[1], "i-1"), Beat::Waits);
+    assert_eq!(
+        servers.on_deregister(at(500), callers[1], "i-1"),
+        Beat::Waits
+    );
     let (_, ack) = servers.take_changes(at(500), needed(&[2, 3, 4, 5, 6, 7, 8], 4));
-    [2, 3, 4, 5].iter().for_each(|number| servers.on_merged(peer(*number), ack, true));
+    [2, 3, 4, 5]
+        .iter()
+        .for_each(|number| servers.on_merged(peer(*number), ack, true));
     servers.settle(at(599));
     assert!(servers.take_answers().is_empty());
     servers.settle(at(600));
@@ -219,7 +320,10 @@
 fn a_machine_that_holds_no_copy_of_the_state_is_told_and_not_counted() {
     let (callers, mut servers) = (callers(), Servers::new(&settings(), at(0)));
     servers.on_deregister(at(0), callers[0], "i-1");
-    let audience = Audience { counted: BTreeSet::from([peer(2)]), ..needed(&[2, 9], 1) };
+    let audience = Audience {
+        counted: BTreeSet::from([peer(2)]),
+        ..needed(&[2, 9], 1)
+    };
     let (_, ack) = servers.take_changes(at(0), audience);
     servers.on_merged(peer(9), ack, true);
     servers.settle(at(399));
@@ -237,7 +341,10 @@
     assert!(!servers.may_take_beats(at(11)));
     servers.on_records(at(20), &[], true, true);
     assert!(servers.may_take_beats(at(21)));
-    assert!(servers.on_heard(at(30), &[("i-9".to_owned(), 5)]), "whom it doesn't know it has to ask about");
+    assert!(
+        servers.on_heard(at(30), &[("i-9".to_owned(), 5)]),
+        "whom it doesn't know it has to ask about"
+    );
 }
 
 /// A machine with a disk of its own that takes no table until `heal` is called.
@@ -249,12 +356,22 @@
 
 impl WithDisk {
     fn new(name: &str) -> WithDisk {
-        let folder = std::env::temp_dir().join(format!("lichenswitch-{name}-{}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("lichenswitch-{name}-{}", std::process::id()));
         std::fs::create_dir_all(folder.join("servers.new")).unwrap();
-        let (mut net, settings) =
-            (Net::new(100).unwrap(), Settings { data_directory: Some(folder.clone()), ..settings() });
+        let (mut net, settings) = (
+            Net::new(100).unwrap(),
+            Settings {
+                data_directory: Some(folder.clone()),
+                ..settings()
+            },
+        );
         let servers = Servers::start(&settings, &Environment::default(), &mut net, at(0)).unwrap();
-        WithDisk { servers, folder, net }
+        WithDisk {
+            servers,
+            folder,
+            net,
+        }
     }
 
     fn heal(&self) {
@@ -263,7 +380,11 @@
 
     /// Waits for the end of a write.
     fn wait(&mut self) {
-        assert!(!self.net.wait(Some(self.net.clock.now().plus(10_000_000))).unwrap().is_empty());
+        assert!(!self
+            .net
+            .wait(Some(self.net.clock.now().plus(10_000_000)))
+            .unwrap()
+            .is_empty());
         self.net.clear_signal(Signal::TableWritten);
     }
 }
@@ -283,17 +404,30 @@
     machine.servers.settle(at(0));
     machine.wait();
     machine.servers.settle(at(399));
-    assert!(machine.servers.take_answers().is_empty(), "the write has failed");
+    assert!(
+        machine.servers.take_answers().is_empty(),
+        "the write has failed"
+    );
     assert_eq!(machine.servers.next_wake(), Some(at(400)));
     machine.servers.settle(at(400));
-    assert_eq!(machine.servers.take_answers(), [(callers[0], false)], "the server goes on");
+    assert_eq!(
+        machine.servers.take_answers(),
+        [(callers[0], false)],
+        "the server goes on"
+    );
 
     machine.heal();
-    assert_eq!(machine.servers.on_deregister(at(500), callers[1], "i-1"), Beat::Waits);
+    assert_eq!(
+        machine.servers.on_deregister(at(500), callers[1], "i-1"),
+        Beat::Waits
+    );
     let (_, ack) = machine.servers.take_changes(at(500), told(&[2]));
     machine.servers.on_merged(peer(2), ack, true);
     machine.servers.settle(at(500));
-    assert!(machine.servers.take_answers().is_empty(), "the write has not completed");
+    assert!(
+        machine.servers.take_answers().is_empty(),
+        "the write has not completed"
+    );
     machine.wait();
     machine.servers.settle(at(510));
     assert_eq!(machine.servers.take_answers(), [(callers[1], true)]);
@@ -307,27 +441,44 @@
     let ready = [beat(1, ServerState::Ready).record("i-2")];
     for (ack, records) in [(1, &gone), (2, &ready)] {
         machine.servers.on_records(at(0), records, false, true);
-        machine.servers.on_confirmation_wanted(at(0), callers[0], ack, records);
+        machine
+            .servers
+            .on_confirmation_wanted(at(0), callers[0], ack, records);
     }
     machine.servers.take_changes(at(0), told(&[2]));
     machine.servers.settle(at(0));
     assert_eq!(machine.servers.take_confirmations(at(0)), [(callers[0], 2)]);
     machine.wait();
     machine.servers.settle(at(10));
-    assert_eq!(machine.servers.take_confirmations(at(10)), [], "the write has failed");
+    assert_eq!(
+        machine.servers.take_confirmations(at(10)),
+        [],
+        "the write has failed"
+    );
 
     // Told again, which is no news here, they take a write that succeeds all the same.
     machine.servers.on_records(at(20), &gone, false, true);
-    machine.servers.on_confirmation_wanted(at(20), callers[0], 3, &gone);
+    machine
+        .servers
+        .on_confirmation_wanted(at(20), callers[0], 3, &gone);
     machine.servers.settle(at(20));
     assert_eq!(machine.servers.take_confirmations(at(20)), []);
     machine.heal();
     machine.servers.tick(at(1_000));
     machine.wait();
     machine.servers.settle(at(1_010));
-    assert_eq!(machine.servers.take_confirmations(at(1_010)), [(callers[0], 1), (callers[0], 3)]);
-    machine.servers.on_confirmation_wanted(at(1_020), callers[0], 4, &gone);
-    assert_eq!(machine.servers.take_confirmations(at(1_020)), [(callers[0], 4)], "it is on the disk");
+    assert_eq!(
+        machine.servers.take_confirmations(at(1_010)),
+        [(callers[0], 1), (callers[0], 3)]
+    );
+    machine
+        .servers
+        .on_confirmation_wanted(at(1_020), callers[0], 4, &gone);
+    assert_eq!(
+        machine.servers.take_confirmations(at(1_020)),
+        [(callers[0], 4)],
+        "it is on the disk"
+    );
 }
 
 #[test]
@@ -344,7 +495,9 @@
     let (callers, mut machine) = (callers(), WithDisk::new("late-write"));
     let gone = [lichenswitch_registry::tombstone("i-1")];
     machine.servers.on_records(at(0), &gone, false, true);
-    machine.servers.on_confirmation_wanted(at(0), callers[0], 1, &gone);
+    machine
+        .servers
+        .on_confirmation_wanted(at(0), callers[0], 1, &gone);
     assert_eq!(machine.servers.take_confirmations(at(400)), []);
     assert!(machine.servers.confirmations.is_empty());
 }
--- a/fleet/src/control/shutdown.rs
+++ b/fleet/src/control/shutdown.rs
@@ -29,14 +29,26 @@
 
     /// Whether the process may end.
     pub(super) fn may_end(&mut self) -> bool {
-        let Some(since) = self.leaving else { return false };
+        let Some(since) = self.leaving else {
+            return false;
+        };
         let now = self.net.clock.now();
-        let last = after(since, self.settings.bounds.grace_period.saturating_sub(BEFORE_KILL));
-        let has_left = self.group.as_ref().is_none_or(|group| group.replica.has_left());
+        let last = after(
+            since,
+            self.settings
+                .bounds
+                .grace_period
+                .saturating_sub(BEFORE_KILL),
+        );
+        let has_left = self
+            .group
+            .as_ref()
+            .is_none_or(|group| group.replica.has_left());
         if now < last && !has_left {
             return false;
         }
-        // New callers go elsewhere; those that wait get their answers, each within its own deadline.
+        // New callers go elsewhere; those that wait get their answers, each within its own
+        // deadline.
         self.net.leave(Owner::Caller);
         let waits = !self.calls.is_empty();
         last <= now || !(waits || self.callers.is_busy(&self.net))
--- a/fleet/src/control/status.rs
+++ b/fleet/src/control/status.rs
@@ -83,7 +83,8 @@
     burst: f64,
     /// Part of rate and depth that is held here; 0: none.
     part: f64,
-    /// What the part holds now, what was granted of it since the process began, and requests that it could not bear.
+    /// What the part holds now, what was granted of it since the process began, and requests that
+    /// it could not bear.
     level: f64,
     granted: f64,
     denied: u64,
@@ -137,8 +138,14 @@
         identity: format!("{:x}", machine.identity),
         in_contact: machine.in_contact(now),
         leaving: machine.leaving.is_some(),
-        configuration_version: machine.committed.as_ref().map_or(0, |committed| committed.version),
-        group: machine.group.as_ref().map(|group| group_status(&group.replica, now)),
+        configuration_version: machine
+            .committed
+            .as_ref()
+            .map_or(0, |committed| committed.version),
+        group: machine
+            .group
+            .as_ref()
+            .map(|group| group_status(&group.replica, now)),
         peers: peers.collect(),
         routers: routers.collect(),
         routers_of_fleet: machine.routers_of_fleet(),
@@ -175,7 +182,10 @@
 }
 
 /// The primary knows when each was heard; all others know only who votes.
-fn voters(peers: &[PeerStatus], membership: &lichenswitch_replication::Membership) -> Vec<VoterLine> {
+fn voters(
+    peers: &[PeerStatus],
+    membership: &lichenswitch_replication::Membership,
+) -> Vec<VoterLine> {
     let seen = |peer: &PeerStatus| VoterLine {
         identity: peer.identity.to_string(),
         address: peer.member.address.clone(),
@@ -184,7 +194,9 @@
         synced: peer.synced.map(|at| at.to_string()),
         leaving: peer.leaving,
     };
-    let named = membership.all().filter(|member| peers.iter().all(|peer| peer.identity != member.identity));
+    let named = membership
+        .all()
+        .filter(|member| peers.iter().all(|peer| peer.identity != member.identity));
     let named = named.map(|member| VoterLine {
         identity: member.identity.to_string(),
         address: member.address.clone(),
@@ -222,7 +234,11 @@
 
 fn quotas(machine: &Machine, now: Time) -> Vec<QuotaLine> {
     let quotas = &machine.quotas;
-    let usage: BTreeMap<&str, Usage> = quotas.buckets.usage(now, &quotas.tenure).into_iter().collect();
+    let usage: BTreeMap<&str, Usage> = quotas
+        .buckets
+        .usage(now, &quotas.tenure)
+        .into_iter()
+        .collect();
     let line = |(tenant, quota): (&str, &Quota)| {
         let used = usage.get(tenant).cloned().unwrap_or_default();
         QuotaLine {
--- a/fleet/src/envelopes.rs
+++ b/fleet/src/envelopes.rs
@@ -1,7 +1,8 @@
-//! Messages on internal connections: an [`Envelope`], a [`TenantMessage`] or a [`BacklogReport`] in a frame, the same for all roles.
+//! Messages on internal connections: an [`Envelope`], a [`TenantMessage`] or a [`BacklogReport`] in
+//! a frame, the same for all roles.
 //!
-//! It owns what both ends must agree on (version, kind and longest frame), and promises that what is read was sent so by a process of this
-//! program.
+//! It owns what both ends must agree on (version, kind and longest frame), and promises that what
+//! is read was sent so by a process of this program.
 
 use lichenswitch_messages::{BacklogReport, Envelope, TenantMessage, PROTOCOL_VERSION};
 use lichenswitch_rpc::{ArchiveError, FrameError, FrameReader};
@@ -55,7 +56,13 @@
 
 fn framed(kind: u16, payload: &[u8]) -> Result<Vec<u8>, EnvelopeError> {
     let mut bytes = Vec::with_capacity(payload.len() + lichenswitch_rpc::HEADER_BYTES);
-    lichenswitch_rpc::encode_frame_into(&mut bytes, PROTOCOL_VERSION, kind, payload, PAYLOAD_LIMIT_BYTES)?;
+    lichenswitch_rpc::encode_frame_into(
+        &mut bytes,
+        PROTOCOL_VERSION,
+        kind,
+        payload,
+        PAYLOAD_LIMIT_BYTES,
+    )?;
     Ok(bytes)
 }
 
@@ -78,7 +85,9 @@
 
 impl Default for EnvelopeReader {
     fn default() -> Self {
-        EnvelopeReader { frames: FrameReader::with_limit(PROTOCOL_VERSION, PAYLOAD_LIMIT_BYTES) }
+        EnvelopeReader {
+            frames: FrameReader::with_limit(PROTOCOL_VERSION, PAYLOAD_LIMIT_BYTES),
+        }
     }
 }
 
@@ -93,11 +102,19 @@
     /// # Errors
     /// When what came is no message. The connection must be closed then.
     pub fn next_message(&mut self) -> Result<Option<Incoming>, EnvelopeError> {
-        let Some(frame) = self.frames.next_frame()? else { return Ok(None) };
+        let Some(frame) = self.frames.next_frame()? else {
+            return Ok(None);
+        };
         match frame.kind {
-            ENVELOPE => Ok(Some(Incoming::Envelope(lichenswitch_rpc::decode(frame.payload)?))),
-            TENANT_MESSAGE => Ok(Some(Incoming::Tenant(lichenswitch_rpc::decode(frame.payload)?))),
-            BACKLOG_REPORT => Ok(Some(Incoming::Backlog(lichenswitch_rpc::decode(frame.payload)?))),
+            ENVELOPE => Ok(Some(Incoming::Envelope(lichenswitch_rpc::decode(
+                frame.payload,
+            )?))),
+            TENANT_MESSAGE => Ok(Some(Incoming::Tenant(lichenswitch_rpc::decode(
+                frame.payload,
+            )?))),
+            BACKLOG_REPORT => Ok(Some(Incoming::Backlog(lichenswitch_rpc::decode(
+                frame.payload,
+            )?))),
             other => Err(EnvelopeError::Kind(other)),
         }
     }
--- a/fleet/src/invariants.rs
+++ b/fleet/src/invariants.rs
@@ -1,8 +1,8 @@
 //! What must hold in a running process, whatever fails beside it.
 //!
-//! Each invariant is checked where a break of it could be seen. A break is counted for the life of the process and logged as an error
-//! that begins with `invariant violated`; the process goes on, since whoever it serves is better off with it. The tests and the soak
-//! expect a count of zero.
+//! Each invariant is checked where a break of it could be seen. A break is counted for the life of
+//! the process and logged as an error that begins with `invariant violated`; the process goes on,
+//! since whoever it serves is better off with it. The tests and the soak expect a count of zero.
 
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,7 +14,8 @@
 pub enum Invariant {
     /// A router that ends cuts off nothing that it took after it was told to end.
     TakenIsFinished,
-    /// Each request that was read whole is held until it is answered: so many clients wait as requests are held.
+    /// Each request that was read whole is held until it is answered: so many clients wait as
+    /// requests are held.
     WaitingIsHeld,
     /// A request of a tenant with a quota goes on only while the grant that it goes by is valid.
     GrantIsValid,
@@ -22,17 +23,24 @@
     PartIsKept,
     /// A router ends once no client waits for an answer.
     EndsAnswered,
-    /// A configuration that is read is no older than what the same machine had acknowledged before the read came.
+    /// A configuration that is read is no older than what the same machine had acknowledged before
+    /// the read came.
     AcknowledgedIsRead,
 }
 
 impl fmt::Display for Invariant {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Invariant::TakenIsFinished => "a request taken after the signal to end was cut off by the end",
-            Invariant::WaitingIsHeld => "clients that wait and requests that are held differ in number",
+            Invariant::TakenIsFinished => {
+                "a request taken after the signal to end was cut off by the end"
+            }
+            Invariant::WaitingIsHeld => {
+                "clients that wait and requests that are held differ in number"
+            }
             Invariant::GrantIsValid => "a request was let through on a grant that had lapsed",
-            Invariant::PartIsKept => "more was granted of a tenant's quota than this machine's part",
+            Invariant::PartIsKept => {
+                "more was granted of a tenant's quota than this machine's part"
+            }
             Invariant::EndsAnswered => "the process ends while clients wait for an answer",
             Invariant::AcknowledgedIsRead => {
                 "a configuration was read that is older than an acknowledged one"
--- a/fleet/src/logging.rs
+++ b/fleet/src/logging.rs
@@ -1,7 +1,8 @@
-//! The log: JSON lines on standard error, one an event, with `time`, `level`, `target`, `message` and the fields that the event names.
+//! The log: JSON lines on standard error, one an event, with `time`, `level`, `target`, `message`
+//! and the fields that the event names.
 //!
-//! It promises that a reader who stalls holds nobody up: `lichenswitch_log_writer` writes the lines, and those that find no room are lost and
-//! counted.
+//! It promises that a reader who stalls holds nobody up: `lichenswitch_log_writer` writes the
+//! lines, and those that find no room are lost and counted.
 
 mod json;
 
@@ -15,12 +16,15 @@
 /// Lines that wait to be written, at most.
 const LINES_WAITING: usize = 1_024;
 
-static WRITER: LazyLock<LogWriter> = LazyLock::new(|| LogWriter::new(io::stderr(), LINES_WAITING, lost_line));
+static WRITER: LazyLock<LogWriter> =
+    LazyLock::new(|| LogWriter::new(io::stderr(), LINES_WAITING, lost_line));
 
 /// Sets the log up. Called once, before the first event.
 pub fn start() {
     let mut logger = env_logger::Builder::new();
-    logger.filter_level(LevelFilter::Info).format(|to, record| to.write_all(&line(record)));
+    logger
+        .filter_level(LevelFilter::Info)
+        .format(|to, record| to.write_all(&line(record)));
     logger.target(env_logger::Target::Pipe(Box::new(&*WRITER)));
     // A second start of the same process, as in tests, keeps the first logger.
     let _ = logger.try_init();
@@ -37,7 +41,9 @@
 
 fn line(record: &Record<'_>) -> Vec<u8> {
     // The time of day serves readers only. Without it a line is still a line.
-    let time = OffsetDateTime::now_utc().format(&Rfc3339).unwrap_or_default();
+    let time = OffsetDateTime::now_utc()
+        .format(&Rfc3339)
+        .unwrap_or_default();
     let mut line = json::Object::default();
     line.text("time", &time);
     line.text("level", record.level().as_str());
--- a/fleet/src/logging/json.rs
+++ b/fleet/src/logging/json.rs
@@ -9,7 +9,9 @@
 
 impl Default for Object {
     fn default() -> Self {
-        Object { text: String::from("{") }
+        Object {
+            text: String::from("{"),
+        }
     }
 }
 
@@ -36,7 +38,10 @@
 
 impl<'kvs> VisitSource<'kvs> for Object {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
-        let number = value.to_u64().map(|n| n.to_string()).or_else(|| value.to_i64().map(|n| n.to_string()));
+        let number = value
+            .to_u64()
+            .map(|n| n.to_string())
+            .or_else(|| value.to_i64().map(|n| n.to_string()));
         match number.or_else(|| value.to_bool().map(|b| b.to_string())) {
             Some(json) => self.raw(key.as_str(), &json),
             None => self.text(key.as_str(), &value.to_string()),
--- a/fleet/src/main.rs
+++ b/fleet/src/main.rs
@@ -1,7 +1,8 @@
 //! The program of the fleet: a subcommand a role, and the command line for operators.
 //!
-//! Exit codes: 0 when it was told to end, or has shown what was asked; 1 when a role can't go on, or when nobody answers; 2 when its settings or
-//! its arguments can't be used, or what was checked can't be.
+//! Exit codes: 0 when it was told to end, or has shown what was asked; 1 when a role can't go on,
+//! or when nobody answers; 2 when its settings or its arguments can't be used, or what was checked
+//! can't be.
 #![forbid(unsafe_code)]
 
 use bpaf::Bpaf;
@@ -32,7 +33,8 @@
     /// Show how a control machine and the fleet stand, as JSON.
     #[bpaf(command)]
     Status {
-        /// Settings file whose control machines are asked; without it, the one that LICHENSWITCH_CONFIG names.
+        /// Settings file whose control machines are asked; without it, the one that
+        /// LICHENSWITCH_CONFIG names.
         #[bpaf(argument("FILE"))]
         settings: Option<PathBuf>,
         /// The control machine to ask, `ip:port` of its controlPlane.
@@ -57,24 +59,33 @@
         Err(failure) => {
             failure.print_message(100);
             // Help that was asked for is no failure.
-            return if failure.exit_code() == 0 { ExitCode::SUCCESS } else { ExitCode::from(EXIT_UNUSABLE) };
+            return if failure.exit_code() == 0 {
+                ExitCode::SUCCESS
+            } else {
+                ExitCode::from(EXIT_UNUSABLE)
+            };
         }
     };
     match command {
-        Command::Router { settings } => {
-            role(settings, |settings, path| router::run(settings, path).map_err(Box::from))
+        Command::Router { settings } => role(settings, |settings, path| {
+            router::run(settings, path).map_err(Box::from)
+        }),
+        Command::Control { settings } => role(settings, |settings, path| {
+            control::run(settings, path).map_err(Box::from)
+        }),
+        Command::Status { settings, address } => {
+            shown(status::ask(settings, address), ExitCode::FAILURE)
         }
-        Command::Control { settings } => {
-            role(settings, |settings, path| control::run(settings, path).map_err(Box::from))
-        }
-        Command::Status { settings, address } => shown(status::ask(settings, address), ExitCode::FAILURE),
         Command::Check { file } => shown(check::check(&file), ExitCode::from(EXIT_UNUSABLE)),
     }
 }
 
 type Failure = Box<dyn std::error::Error>;
 
-fn role(option: Option<PathBuf>, run: impl FnOnce(Settings, PathBuf) -> Result<(), Failure>) -> ExitCode {
+fn role(
+    option: Option<PathBuf>,
+    run: impl FnOnce(Settings, PathBuf) -> Result<(), Failure>,
+) -> ExitCode {
     let (settings, path) = match read(option) {
         Ok(read) => read,
         Err(e) => {
@@ -101,7 +112,10 @@
 }
 
 /// Shows the answer, or why there is none, which ends with `failure`.
-fn shown<T: std::fmt::Display, E: std::fmt::Display>(outcome: Result<T, E>, failure: ExitCode) -> ExitCode {
+fn shown<T: std::fmt::Display, E: std::fmt::Display>(
+    outcome: Result<T, E>,
+    failure: ExitCode,
+) -> ExitCode {
     match outcome {
         Ok(answer) => {
             println!("{answer}");
--- a/fleet/src/router/answers.rs
+++ b/fleet/src/router/answers.rs
@@ -1,7 +1,9 @@
-//! Answers: what the decision module wants is done, and what servers answer becomes each request's one final answer.
+//! Answers: what the decision module wants is done, and what servers answer becomes each request's
+//! one final answer.
 //!
-//! It promises that a refusal (503) leaves only for a request that has not run and never will, that a success leaves only as the server
-//! gave it, whole, and that every attempt's end is told to the core once.
+//! It promises that a refusal (503) leaves only for a request that has not run and never will, that
+//! a success leaves only as the server gave it, whole, and that every attempt's end is told to the
+//! core once.
 
 use super::cut::CutReason;
 use super::exchange::{meaning, Meaning, Out, Phase};
@@ -43,11 +45,15 @@
                     }
                 }
                 Command::Withdraw(number) | Command::Recall(number) => {
-                    self.connections.withdraw(&mut self.net, AttemptId { service, number });
+                    self.connections
+                        .withdraw(&mut self.net, AttemptId { service, number });
                 }
                 Command::CloseIdle(server) => self.connections.close_idle(&mut self.net, server),
                 Command::Reply(query, reply) => {
-                    let id = self.services.get_mut(service).and_then(|s| s.exchange_of(query));
+                    let id = self
+                        .services
+                        .get_mut(service)
+                        .and_then(|s| s.exchange_of(query));
                     if let Some(id) = id {
                         self.decided(id, query, reply);
                     }
@@ -63,10 +69,22 @@
     /// Makes an attempt, if the rules allow it as things stand now.
     fn dispatch(&mut self, service: ServiceId, server: ServerId, part: &Dispatch<ExchangeId>) {
         let (now, id) = (self.net.clock.now(), *part.job);
-        let attempt = AttemptId { service, number: part.attempt };
-        let endpoint = self.servers.endpoint(server).filter(|endpoint| !endpoint.leaving);
-        let max_connections = self.services.get_mut(service).map_or(1, |s| s.max_connections());
-        let exchange = self.exchanges.get(id).filter(|exchange| exchange.may_send());
+        let attempt = AttemptId {
+            service,
+            number: part.attempt,
+        };
+        let endpoint = self
+            .servers
+            .endpoint(server)
+            .filter(|endpoint| !endpoint.leaving);
+        let max_connections = self
+            .services
+            .get_mut(service)
+            .map_or(1, |s| s.max_connections());
+        let exchange = self
+            .exchanges
+            .get(id)
+            .filter(|exchange| exchange.may_send());
         let (Some(exchange), Some(endpoint)) = (exchange, endpoint) else {
             return self.tell_core(attempt, Outcome::Moot);
         };
@@ -90,15 +108,28 @@
             sender: exchange.sender.clone(),
             max_connections,
         };
-        self.exchanges.on_sent(id, Out { id: attempt, server });
-        self.net.wheel.set(now.plus(part.wait), Timer::Attempt(attempt));
+        self.exchanges.on_sent(
+            id,
+            Out {
+                id: attempt,
+                server,
+            },
+        );
+        self.net
+            .wheel
+            .set(now.plus(part.wait), Timer::Attempt(attempt));
         self.connections.send(&mut self.net, made);
         self.plan_backlog_report();
     }
 
-    /// The key of a request that is held is served no more: unless an attempt is out that was sent before, it ends at once.
+    /// The key of a request that is held is served no more: unless an attempt is out that was sent
+    /// before, it ends at once.
     fn deny(&mut self, id: ExchangeId, denial: Denial) {
-        let Some(exchange) = self.exchanges.get(id).filter(|exchange| exchange.out.is_empty()) else {
+        let Some(exchange) = self
+            .exchanges
+            .get(id)
+            .filter(|exchange| exchange.out.is_empty())
+        else {
             return;
         };
         match exchange.phase {
@@ -114,8 +145,13 @@
 
     /// The time that the module gave an attempt is over.
     pub(super) fn timed_out(&mut self, id: AttemptId) {
-        let waits = |exchange: &super::exchange::Exchange| exchange.out.iter().any(|out| out.id == id);
-        let held = self.exchanges.of_attempt(id).and_then(|e| self.exchanges.get(e)).is_some_and(waits);
+        let waits =
+            |exchange: &super::exchange::Exchange| exchange.out.iter().any(|out| out.id == id);
+        let held = self
+            .exchanges
+            .of_attempt(id)
+            .and_then(|e| self.exchanges.get(e))
+            .is_some_and(waits);
         if held {
             self.connections.withdraw(&mut self.net, id);
             self.exchanges.on_ended(id, Outcome::Timeout);
@@ -132,10 +168,11 @@
 
     /// An attempt ended without an answer.
     fn failed(&mut self, id: AttemptId, outcome: Outcome) {
-        let relays = self
-            .exchanges
-            .of_attempt(id)
-            .filter(|e| self.exchanges.get(*e).is_some_and(|exchange| exchange.relays(id)));
+        let relays = self.exchanges.of_attempt(id).filter(|e| {
+            self.exchanges
+                .get(*e)
+                .is_some_and(|exchange| exchange.relays(id))
+        });
         if let Some(exchange) = relays {
             return self.broken_off(exchange, outcome);
         }
@@ -145,7 +182,9 @@
 
     /// A server has answered, whole.
     fn answered(&mut self, id: AttemptId, answer: Answer) {
-        let Some(exchange_id) = self.exchanges.of_attempt(id) else { return };
+        let Some(exchange_id) = self.exchanges.of_attempt(id) else {
+            return;
+        };
         if let Some(service) = self.services.get_mut(id.service) {
             service.on_load(answer.head.load);
         }
@@ -172,7 +211,11 @@
         if let Some(exchange) = self.exchanges.get_mut(exchange_id) {
             exchange.query = None;
         }
-        match self.exchanges.get(exchange_id).map(|exchange| &exchange.phase) {
+        match self
+            .exchanges
+            .get(exchange_id)
+            .map(|exchange| &exchange.phase)
+        {
             Some(Phase::Held) => self.pass_on(exchange_id, answer),
             // The stream that goes on has nothing more, or can't go on here.
             Some(Phase::Resuming { .. }) => self.resumed_whole(exchange_id, answer),
@@ -182,10 +225,13 @@
 
     /// Gives a client a server's whole answer.
     fn pass_on(&mut self, id: ExchangeId, answer: &Answer) {
-        let Some(exchange) = self.finish(id) else { return };
+        let Some(exchange) = self.finish(id) else {
+            return;
+        };
         let (head, has_body) = (answer.head.encode(), answer.head.has_body);
         let (client, events) = (exchange.client, &mut self.client_events);
-        self.clients.answer_whole(&mut self.net, client, &head, &answer.body, has_body, events);
+        self.clients
+            .answer_whole(&mut self.net, client, &head, &answer.body, has_body, events);
     }
 
     /// Takes a request out that has its answer: what else is out for it is given up.
@@ -196,7 +242,13 @@
     /// The module has ended a request, or has its answer.
     fn decided(&mut self, id: ExchangeId, query: QueryId, reply: Reply) {
         // What was answered meanwhile, or goes on under another number, is not concerned.
-        let Some(exchange) = self.exchanges.get_mut(id).filter(|e| e.query == Some(query)) else { return };
+        let Some(exchange) = self
+            .exchanges
+            .get_mut(id)
+            .filter(|e| e.query == Some(query))
+        else {
+            return;
+        };
         exchange.query = None;
         let after = match reply {
             Reply::Served { .. } => return,
@@ -210,16 +262,26 @@
         }
     }
 
-    /// Gives a request that gets no answer from a server its final answer: a refusal only where it has not run.
+    /// Gives a request that gets no answer from a server its final answer: a refusal only where it
+    /// has not run.
     pub(super) fn answer_given_up(&mut self, id: ExchangeId, after: Option<Micros>) {
         let now = self.net.clock.now();
-        let Some(exchange) = self.finish(id) else { return };
+        let Some(exchange) = self.finish(id) else {
+            return;
+        };
         let (client, ran) = (exchange.client, exchange.may_have_run > 0);
         let events = &mut self.client_events;
         match exchange.failure {
             Some(failure) if ran => {
                 let (head, has_body) = (failure.head.encode(), failure.head.has_body);
-                self.clients.answer_whole(&mut self.net, client, &head, &failure.body, has_body, events);
+                self.clients.answer_whole(
+                    &mut self.net,
+                    client,
+                    &head,
+                    &failure.body,
+                    has_body,
+                    events,
+                );
             }
             _ => {
                 let answer = match ran {
@@ -227,7 +289,8 @@
                     true if nearly(exchange.deadline, now) => OwnAnswer::plain(504),
                     true => OwnAnswer::plain(502),
                 };
-                self.clients.answer_own(&mut self.net, client, &answer, events);
+                self.clients
+                    .answer_own(&mut self.net, client, &answer, events);
             }
         }
     }
--- a/fleet/src/router/backlog.rs
+++ b/fleet/src/router/backlog.rs
@@ -1,7 +1,7 @@
 //! What waits at servers for this router, as it is told to control.
 //!
-//! It promises that a report says of each server what is held in the table of requests at that moment, and that nothing is sent while nothing
-//! changes.
+//! It promises that a report says of each server what is held in the table of requests at that
+//! moment, and that nothing is sent while nothing changes.
 
 use super::exchange::{Exchange, Phase};
 use super::program::Timer;
@@ -24,12 +24,25 @@
 }
 
 impl BacklogReports {
-    /// Servers whose backlog is another than control was told, with what it is; control is told of them now.
+    /// Servers whose backlog is another than control was told, with what it is; control is told of
+    /// them now.
     fn changes(&mut self, now: BTreeMap<ServerId, Backlog>) -> Vec<ServerBacklog> {
-        let gone = self.told.keys().filter(|server| !now.contains_key(server)).map(|server| (*server, 0));
-        let other = now.iter().map(|(s, b)| (*s, *b)).filter(|(s, b)| self.told.get(s) != Some(b));
-        let changes =
-            gone.chain(other).map(|(server, tokens)| ServerBacklog { server: server.0, tokens }).collect();
+        let gone = self
+            .told
+            .keys()
+            .filter(|server| !now.contains_key(server))
+            .map(|server| (*server, 0));
+        let other = now
+            .iter()
+            .map(|(s, b)| (*s, *b))
+            .filter(|(s, b)| self.told.get(s) != Some(b));
+        let changes = gone
+            .chain(other)
+            .map(|(server, tokens)| ServerBacklog {
+                server: server.0,
+                tokens,
+            })
+            .collect();
         self.told = now;
         changes
     }
@@ -39,7 +52,11 @@
     /// Something was sent to a server: control is to be told soon.
     pub(super) fn plan_backlog_report(&mut self) {
         if !std::mem::replace(&mut self.backlog_reports.planned, true) {
-            let due = self.backlog_reports.last.plus(REPORT_INTERVAL).max(self.net.clock.now());
+            let due = self
+                .backlog_reports
+                .last
+                .plus(REPORT_INTERVAL)
+                .max(self.net.clock.now());
             self.net.wheel.set(due, Timer::Backlog);
         }
     }
@@ -54,7 +71,13 @@
         if self.link.is_greeted() {
             let servers = self.backlog_reports.changes(waits);
             if !servers.is_empty() {
-                self.link.send_backlog_report(&mut self.net, &BacklogReport { whole: false, servers });
+                self.link.send_backlog_report(
+                    &mut self.net,
+                    &BacklogReport {
+                        whole: false,
+                        servers,
+                    },
+                );
             }
         }
         if goes_on {
@@ -62,7 +85,8 @@
         }
     }
 
-    /// The connection to control is gone: what came on it may be out of date, and the next control machine knows nothing of this router.
+    /// The connection to control is gone: what came on it may be out of date, and the next control
+    /// machine knows nothing of this router.
     pub(super) fn on_backlog_link_lost(&mut self) {
         self.services.forget_backlogs();
         self.backlog_reports.told.clear();
--- a/fleet/src/router/budget.rs
+++ b/fleet/src/router/budget.rs
@@ -1,7 +1,9 @@
-//! This router's share of the further-try budget: what the module may spend, and what is kept for streams that go on elsewhere.
+//! This router's share of the further-try budget: what the module may spend, and what is kept for
+//! streams that go on elsewhere.
 //!
-//! It promises that both together stay within the rule's ratio on this router's own requests and within its part of the slack, which is
-//! nothing while it is not known how many routers there are. Pure: time is an argument.
+//! It promises that both together stay within the rule's ratio on this router's own requests and
+//! within its part of the slack, which is nothing while it is not known how many routers there are.
+//! Pure: time is an argument.
 
 use super::options::{RetryBudget, RESUME_SHARE, SLACK_SHARE};
 use super::program::micros;
@@ -45,7 +47,13 @@
     #[must_use]
     pub fn new(budget: RetryBudget) -> ResumeBudget {
         let (requests, resumes) = (WindowCounter::default(), WindowCounter::default());
-        let mut new = ResumeBudget { window: 0, share: 0.0, least: 0.0, requests, resumes };
+        let mut new = ResumeBudget {
+            window: 0,
+            share: 0.0,
+            least: 0.0,
+            requests,
+            resumes,
+        };
         new.set(budget, 0);
         new
     }
--- a/fleet/src/router/budget/tests.rs
+++ b/fleet/src/router/budget/tests.rs
@@ -4,7 +4,11 @@
 const SECOND: Micros = 1_000_000;
 
 fn rule() -> RetryBudget {
-    RetryBudget { ratio: 0.2, slack: 200.0, window: Duration::from_secs(10) }
+    RetryBudget {
+        ratio: 0.2,
+        slack: 200.0,
+        window: Duration::from_secs(10),
+    }
 }
 
 #[test]
--- a/fleet/src/router/candidates.rs
+++ b/fleet/src/router/candidates.rs
@@ -1,19 +1,20 @@
 //! Which control machine to connect to next.
 //!
-//! It owns the list of control machines and what is held against each. It promises that every one of them is tried in time, however
-//! the others fail, that one which failed rests for longer each time, and that routers which start together spread out. Pure: time
-//! and chance are arguments.
+//! It owns the list of control machines and what is held against each. It promises that every one
+//! of them is tried in time, however the others fail, that one which failed rests for longer each
+//! time, and that routers which start together spread out. Pure: time and chance are arguments.
 
 use lichenswitch_interface::{Micros, Time};
 use std::cmp::Reverse;
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
 
-/// How long one that failed rests at first, and at the most (microseconds). The first is short: at the first start none need be
-/// listening yet.
+/// How long one that failed rests at first, and at the most (microseconds). The first is short: at
+/// the first start none need be listening yet.
 const REST_FIRST: Micros = 100_000;
 const REST_MOST: Micros = 2_000_000;
-/// So long after its rest a failure counts no more (microseconds): a near one is worth another look then.
+/// So long after its rest a failure counts no more (microseconds): a near one is worth another look
+/// then.
 const FORGIVEN_AFTER: Micros = 10_000_000;
 
 /// What is held against a control machine.
@@ -35,7 +36,12 @@
     /// The seeds, as long as no others are told; `machine` is the own address.
     #[must_use]
     pub fn new(machine: IpAddr, seeds: Vec<SocketAddr>) -> Candidates {
-        Candidates { machine, seeds, told: Vec::new(), failures: HashMap::new() }
+        Candidates {
+            machine,
+            seeds,
+            told: Vec::new(),
+            failures: HashMap::new(),
+        }
     }
 
     /// The settings name these seeds now.
@@ -56,7 +62,8 @@
         let failures = self.failures.entry(address).or_default();
         let rest = (REST_FIRST << failures.in_a_row.min(8)).min(REST_MOST);
         failures.in_a_row += 1;
-        // Between a half and all of it, so that routers which failed together don't come back together.
+        // Between a half and all of it, so that routers which failed together don't come back
+        // together.
         failures.rests_until = now.plus(rest / 2 + random % (rest / 2 + 1));
     }
 
@@ -65,22 +72,31 @@
         self.failures.remove(&address);
     }
 
-    /// The one to connect to now, or when there is one again. Of those that don't rest, those that failed least often of late, so that a near
-    /// one which is up but of no use never keeps a router from the others; of these the nearest by address, and of these one by chance.
+    /// The one to connect to now, or when there is one again. Of those that don't rest, those that
+    /// failed least often of late, so that a near one which is up but of no use never keeps a
+    /// router from the others; of these the nearest by address, and of these one by chance.
     pub fn next(&self, now: Time, random: u64) -> Result<SocketAddr, Time> {
         let awake = |address: &&SocketAddr| self.rests_until(**address) <= now;
-        let rank =
-            |address: &SocketAddr| (self.failures_in_a_row(*address, now), Reverse(self.nearness(*address)));
+        let rank = |address: &SocketAddr| {
+            (
+                self.failures_in_a_row(*address, now),
+                Reverse(self.nearness(*address)),
+            )
+        };
         let Some(best) = self.all().filter(awake).map(rank).min() else {
             let soonest = self.all().map(|address| self.rests_until(*address)).min();
             return Err(soonest.unwrap_or(now.plus(REST_MOST)));
         };
-        let equals: Vec<&SocketAddr> =
-            self.all().filter(awake).filter(|address| rank(address) == best).collect();
+        let equals: Vec<&SocketAddr> = self
+            .all()
+            .filter(awake)
+            .filter(|address| rank(address) == best)
+            .collect();
         Ok(*equals[(random % equals.len() as u64) as usize])
     }
 
-    /// Those that were told come with the seeds: a list of the past may hold none that is still there.
+    /// Those that were told come with the seeds: a list of the past may hold none that is still
+    /// there.
     fn all(&self) -> impl Iterator<Item = &SocketAddr> {
         let seeds = self.seeds.iter().filter(|seed| !self.told.contains(seed));
         self.told.iter().chain(seeds)
@@ -94,14 +110,19 @@
     }
 
     fn rests_until(&self, address: SocketAddr) -> Time {
-        self.failures.get(&address).map_or(Time(0), |failures| failures.rests_until)
+        self.failures
+            .get(&address)
+            .map_or(Time(0), |failures| failures.rests_until)
     }
 
-    /// Nobody tells a control machine's zone. Machines of a zone share a network as a rule, so a shared beginning of the address
-    /// stands for it; where that is not so, the choice is by chance all the same.
+    /// Nobody tells a control machine's zone. Machines of a zone share a network as a rule, so a
+    /// shared beginning of the address stands for it; where that is not so, the choice is by chance
+    /// all the same.
     fn nearness(&self, address: SocketAddr) -> u8 {
         match (self.machine, address.ip()) {
-            (IpAddr::V4(own), IpAddr::V4(other)) => u8::from(own.octets()[..2] == other.octets()[..2]),
+            (IpAddr::V4(own), IpAddr::V4(other)) => {
+                u8::from(own.octets()[..2] == other.octets()[..2])
+            }
             _ => 0,
         }
     }
--- a/fleet/src/router/candidates/tests.rs
+++ b/fleet/src/router/candidates/tests.rs
@@ -25,7 +25,10 @@
     let mut candidates = candidates(&seeds);
     let mut tried = HashSet::new();
     while let Ok(next) = candidates.next(Time(0), 0) {
-        assert!(tried.insert(next), "none comes twice while others have not been tried");
+        assert!(
+            tried.insert(next),
+            "none comes twice while others have not been tried"
+        );
         candidates.on_failed(Time(0), next, 0);
     }
     assert_eq!(tried.len(), seeds.len());
@@ -41,7 +44,10 @@
         last = rest;
     }
     assert!(last >= REST_MOST / 2);
-    assert!(candidates.next(Time(REST_MOST), 0).is_ok(), "and is tried again in time");
+    assert!(
+        candidates.next(Time(REST_MOST), 0).is_ok(),
+        "and is tried again in time"
+    );
 }
 
 #[test]
@@ -53,7 +59,8 @@
     for random in 0..3 {
         let next = candidates.next(now, random).expect("one is awake");
         tried.push(next);
-        // It is up, but not in contact: it is given up after a while, when the rests of the others are over.
+        // It is up, but not in contact: it is given up after a while, when the rests of the others
+        // are over.
         now = now.plus(700_000);
         candidates.on_failed(now, next, random);
         now = now.plus(REST_FIRST);
@@ -63,7 +70,11 @@
     assert_eq!(candidates.next(now, 0), Ok(near), "all have failed once");
     candidates.on_failed(now, near, 0);
     now = now.plus(REST_MOST + FORGIVEN_AFTER);
-    assert_eq!(candidates.next(now, 0), Ok(near), "what was long ago counts no more");
+    assert_eq!(
+        candidates.next(now, 0),
+        Ok(near),
+        "what was long ago counts no more"
+    );
 }
 
 #[test]
@@ -73,8 +84,9 @@
     candidates.on_failed(Time(0), address(2, 2), 0);
     candidates.on_told(vec![address(3, 3)]);
     candidates.on_told(vec![address(2, 2), address(3, 3)]);
-    let drawn: HashSet<_> =
-        (0..20).filter_map(|random| candidates.next(Time(REST_MOST), random).ok()).collect();
+    let drawn: HashSet<_> = (0..20)
+        .filter_map(|random| candidates.next(Time(REST_MOST), random).ok())
+        .collect();
     assert_eq!(drawn, HashSet::from([address(1, 1), address(3, 3)]));
 }
 
@@ -85,7 +97,9 @@
     candidates.on_failed(Time(0), address(2, 2), 0);
     assert_eq!(candidates.next(Time(0), 0), Ok(address(2, 3)));
     candidates.on_told(vec![address(3, 4)]);
-    let drawn: HashSet<_> = (0..20).filter_map(|random| candidates.next(Time(0), random).ok()).collect();
+    let drawn: HashSet<_> = (0..20)
+        .filter_map(|random| candidates.next(Time(0), random).ok())
+        .collect();
     assert_eq!(drawn, HashSet::from([address(1, 1), address(3, 4)]));
     // An empty list says nothing.
     candidates.on_told(Vec::new());
@@ -102,5 +116,7 @@
 
 #[test]
 fn without_any_there_is_a_next_time_all_the_same() {
-    assert!(candidates(&[]).next(Time(5), 0).is_err_and(|at| at > Time(5)));
+    assert!(candidates(&[])
+        .next(Time(5), 0)
+        .is_err_and(|at| at > Time(5)));
 }
