--- a/fleet/src/router/clients.rs
+++ b/fleet/src/router/clients.rs
@@ -1,9 +1,10 @@
 //! Connections of clients: requests are read from them, and answers written.
 //!
-//! It owns each connection from its accept to its close. It promises: one request at a time on a connection, the next one only after
-//! the answer to the one before; an answer that ends early never looks complete; a client that leaves is told of at once, also while
-//! its request waits; what is held of requests that are not whole is bounded; a connection that rests is kept for as long as the
-//! configuration says.
+//! It owns each connection from its accept to its close. It promises: one request at a time on a
+//! connection, the next one only after the answer to the one before; an answer that ends early
+//! never looks complete; a client that leaves is told of at once, also while its request waits;
+//! what is held of requests that are not whole is bounded; a connection that rests is kept for as
+//! long as the configuration says.
 
 use super::program::{Net, Owner, Timer};
 use super::request::{ClientRequest, Progress, RequestReader};
@@ -16,10 +17,11 @@
 
 /// Most bytes read ahead of a client at a time: a body goes on into its request as it comes.
 const CEILING: usize = 64 * 1_024;
-/// Most bytes kept of what a client sends while its request waits. Behind more than that its end could not be seen.
+/// Most bytes kept of what a client sends while its request waits. Behind more than that its end
+/// could not be seen.
 const AHEAD: usize = 32 * 1_024;
-/// Clients take up connections that have rested for up to four fifths of the idle time-out; this is kept beyond all of it, since
-/// their clocks begin later (microseconds).
+/// Clients take up connections that have rested for up to four fifths of the idle time-out; this is
+/// kept beyond all of it, since their clocks begin later (microseconds).
 const IDLE_MARGIN: Micros = 1_000_000;
 /// How long a client may take to end its side once its last answer is written (microseconds).
 const LINGER: Micros = 1_000_000;
@@ -47,7 +49,8 @@
     Answering { chunked: bool },
     /// The last answer is being written.
     Closing,
-    /// The last answer is written: reads on to the client's end, so that the answer is not lost to a reset.
+    /// The last answer is written: reads on to the client's end, so that the answer is not lost to
+    /// a reset.
     Lingering,
 }
 
@@ -82,7 +85,13 @@
     #[must_use]
     pub fn new(most_bytes: usize) -> Clients {
         let limits = Limits::default();
-        Clients { open: HashMap::new(), limits, arriving_bytes: 0, most_bytes, stopping: false }
+        Clients {
+            open: HashMap::new(),
+            limits,
+            arriving_bytes: 0,
+            most_bytes,
+            stopping: false,
+        }
     }
 
     /// From now on these limits hold; of a request that is arriving, those from its beginning.
@@ -104,7 +113,8 @@
     /// How many clients wait for an answer, or for the rest of one.
     #[must_use]
     pub fn waiting(&self) -> usize {
-        let waits = |session: &&Session| matches!(session.state, State::Waiting | State::Answering { .. });
+        let waits =
+            |session: &&Session| matches!(session.state, State::Waiting | State::Answering { .. });
         self.open.values().filter(waits).count()
     }
 
@@ -128,7 +138,9 @@
 
     /// Reads and writes what a connection is ready for.
     pub fn ready(&mut self, net: &mut Net, id: ConnId, events: &mut Vec<ClientEvent>) {
-        let Some(state) = self.open.get(&id).map(|session| session.state) else { return net.close(id) };
+        let Some(state) = self.open.get(&id).map(|session| session.state) else {
+            return net.close(id);
+        };
         let pumped = net.pump(id, CEILING);
         if pumped != Pumped::Alive || net.get(id).is_none_or(|conn| conn.ended) {
             return self.left(net, id, events);
@@ -150,13 +162,21 @@
     /// A connection's timer: its time may be over.
     pub fn timer(&mut self, net: &mut Net, id: ConnId, events: &mut Vec<ClientEvent>) {
         let now = net.clock.now();
-        let Some(session) = self.open.get_mut(&id) else { return };
+        let Some(session) = self.open.get_mut(&id) else {
+            return;
+        };
         if session.timer.is_some_and(|at| at <= now) {
             session.timer = None;
         }
-        let Some(due) = self.due(net, id).filter(|due| *due <= now) else { return self.arm(net, id) };
+        let Some(due) = self.due(net, id).filter(|due| *due <= now) else {
+            return self.arm(net, id);
+        };
         debug_assert!(due <= now, "only what is due ends");
-        match self.open.get(&id).map(|session| (session.state, session.arriving)) {
+        match self
+            .open
+            .get(&id)
+            .map(|session| (session.state, session.arriving))
+        {
             Some((State::Reading, true)) => {
                 self.answer_own(net, id, &OwnAnswer::closing(408), events);
             }
@@ -173,7 +193,9 @@
         answer: &OwnAnswer,
         events: &mut Vec<ClientEvent>,
     ) {
-        let Some(session) = self.open.get_mut(&id) else { return };
+        let Some(session) = self.open.get_mut(&id) else {
+            return;
+        };
         session.last |= answer.closes || self.stopping;
         let (last, head_only) = (session.last, session.head_only);
         self.write(net, id, &answer.encode(last, head_only));
@@ -190,7 +212,9 @@
         has_body: bool,
         events: &mut Vec<ClientEvent>,
     ) {
-        let Some(session) = self.open.get_mut(&id) else { return };
+        let Some(session) = self.open.get_mut(&id) else {
+            return;
+        };
         session.last |= self.stopping;
         let mut bytes = Vec::with_capacity(head.len() + body.len() + 64);
         bytes.extend_from_slice(head);
@@ -205,13 +229,19 @@
 
     /// Begins a server's answer that is passed on as it comes: with this length, or in chunks.
     pub fn begin(&mut self, net: &mut Net, id: ConnId, head: &[u8], length: Option<u64>) {
-        let Some(session) = self.open.get_mut(&id) else { return };
+        let Some(session) = self.open.get_mut(&id) else {
+            return;
+        };
         session.last |= self.stopping;
-        session.state = State::Answering { chunked: length.is_none() };
+        session.state = State::Answering {
+            chunked: length.is_none(),
+        };
         let mut bytes = Vec::with_capacity(head.len() + 64);
         bytes.extend_from_slice(head);
         match length {
-            Some(length) => bytes.extend_from_slice(format!("content-length: {length}\r\n").as_bytes()),
+            Some(length) => {
+                bytes.extend_from_slice(format!("content-length: {length}\r\n").as_bytes())
+            }
             None => bytes.extend_from_slice(b"transfer-encoding: chunked\r\n"),
         }
         end_head(&mut bytes, session.last);
@@ -220,7 +250,8 @@
 
     /// Passes a piece of a body on; it leaves with [`Clients::flush`].
     pub fn pass(&mut self, net: &mut Net, id: ConnId, piece: &[u8]) {
-        let Some(State::Answering { chunked }) = self.open.get(&id).map(|session| session.state) else {
+        let Some(State::Answering { chunked }) = self.open.get(&id).map(|session| session.state)
+        else {
             return;
         };
         let Some(conn) = net.get_mut(id) else { return };
@@ -249,7 +280,8 @@
 
     /// Ends a body that is complete.
     pub fn end(&mut self, net: &mut Net, id: ConnId, events: &mut Vec<ClientEvent>) {
-        let Some(State::Answering { chunked }) = self.open.get(&id).map(|session| session.state) else {
+        let Some(State::Answering { chunked }) = self.open.get(&id).map(|session| session.state)
+        else {
             return;
         };
         if chunked {
@@ -263,23 +295,33 @@
         self.close(net, id);
     }
 
-    /// The same behind what was passed on, all of which still reaches the client: it can ask for the rest of a stream elsewhere.
+    /// The same behind what was passed on, all of which still reaches the client: it can ask for
+    /// the rest of a stream elsewhere.
     pub fn cut_behind_written(&mut self, net: &mut Net, id: ConnId) {
         let now = net.clock.now();
-        let Some(session) = self.open.get_mut(&id) else { return };
+        let Some(session) = self.open.get_mut(&id) else {
+            return;
+        };
         (session.last, session.state, session.since) = (true, State::Closing, now);
         self.arm(net, id);
         self.close_if_written(net, id);
     }
 
-    /// Ends connections that rest, an eighth of all, those that have rested for longest first. Guards clients that wait to be accepted.
+    /// Ends connections that rest, an eighth of all, those that have rested for longest first.
+    /// Guards clients that wait to be accepted.
     pub fn make_room(&mut self, net: &mut Net) {
         let rests = |id: &ConnId, session: &Session| {
-            let quiet = net.get(*id).is_some_and(|conn| conn.input.is_empty() && conn.flushed());
+            let quiet = net
+                .get(*id)
+                .is_some_and(|conn| conn.input.is_empty() && conn.flushed());
             session.state == State::Reading && !session.arriving && quiet
         };
-        let mut resting: Vec<(Time, ConnId)> =
-            self.open.iter().filter(|(id, s)| rests(id, s)).map(|(id, s)| (s.since, *id)).collect();
+        let mut resting: Vec<(Time, ConnId)> = self
+            .open
+            .iter()
+            .filter(|(id, s)| rests(id, s))
+            .map(|(id, s)| (s.since, *id))
+            .collect();
         resting.sort_unstable();
         for (_, id) in resting.into_iter().take(self.open.len().div_ceil(8)) {
             self.close(net, id);
@@ -296,7 +338,10 @@
             State::Closing => unwritten(id),
             State::Lingering => false,
         };
-        self.open.iter().filter(|(id, session)| is_busy(id, session)).count()
+        self.open
+            .iter()
+            .filter(|(id, session)| is_busy(id, session))
+            .count()
     }
 
     /// Closes a client's connection.
@@ -320,8 +365,13 @@
     /// Reads a request, if it is whole; the next one is read once this one is answered.
     fn read(&mut self, net: &mut Net, id: ConnId, events: &mut Vec<ClientEvent>) {
         let now = net.clock.now();
-        let Some(session) = self.open.get_mut(&id) else { return };
-        let Some(conn) = net.get_mut(id).filter(|conn| !conn.input.is_empty() || session.arriving) else {
+        let Some(session) = self.open.get_mut(&id) else {
+            return;
+        };
+        let Some(conn) = net
+            .get_mut(id)
+            .filter(|conn| !conn.input.is_empty() || session.arriving)
+        else {
             return;
         };
         if !session.arriving {
@@ -363,10 +413,13 @@
         }
     }
 
-    /// What a client sends while it waits is kept for later, but not much of it: its end lies behind what it sent, so beyond that it
-    /// is dropped, and the connection ends with the answer that is due.
+    /// What a client sends while it waits is kept for later, but not much of it: its end lies
+    /// behind what it sent, so beyond that it is dropped, and the connection ends with the answer
+    /// that is due.
     fn overhear(&mut self, net: &mut Net, id: ConnId) {
-        let (Some(session), Some(conn)) = (self.open.get_mut(&id), net.get_mut(id)) else { return };
+        let (Some(session), Some(conn)) = (self.open.get_mut(&id), net.get_mut(id)) else {
+            return;
+        };
         if session.last || conn.input.bytes().len() > AHEAD {
             session.last = true;
             conn.input.consume(conn.input.bytes().len());
@@ -386,7 +439,9 @@
     /// The answer has been written or queued: reads on, or ends the connection.
     fn answered(&mut self, net: &mut Net, id: ConnId, events: &mut Vec<ClientEvent>) {
         let now = net.clock.now();
-        let Some(session) = self.open.get_mut(&id) else { return };
+        let Some(session) = self.open.get_mut(&id) else {
+            return;
+        };
         self.arriving_bytes -= session.reader.held();
         session.reader = RequestReader::new(&self.limits);
         (session.arriving, session.since) = (false, now);
@@ -408,11 +463,13 @@
         }
     }
 
-    /// Ends this side of a connection. Guards the answers before it, and a request that crosses the end: with bytes unread a close
-    /// would reset the connection.
+    /// Ends this side of a connection. Guards the answers before it, and a request that crosses the
+    /// end: with bytes unread a close would reset the connection.
     fn half_close(&mut self, net: &mut Net, id: ConnId) {
         let now = net.clock.now();
-        let (Some(session), Some(conn)) = (self.open.get_mut(&id), net.get_mut(id)) else { return };
+        let (Some(session), Some(conn)) = (self.open.get_mut(&id), net.get_mut(id)) else {
+            return;
+        };
         conn.end_output();
         (session.state, session.since) = (State::Lingering, now);
         self.read_on(net, id);
@@ -433,7 +490,9 @@
         let head = self.limits.header_timeout_ms.saturating_mul(1_000);
         Some(match session.state {
             State::Reading if !conn.flushed() => conn.used.plus(UNREAD),
-            State::Reading if session.arriving && session.reader.has_head() => conn.heard.plus(idle),
+            State::Reading if session.arriving && session.reader.has_head() => {
+                conn.heard.plus(idle)
+            }
             State::Reading if session.arriving => session.since.plus(head),
             State::Reading => session.since.plus(idle).plus(IDLE_MARGIN),
             // Its own end is the request's.
@@ -447,7 +506,9 @@
     /// Sets a connection's timer, where none is set that fires before its time is over.
     fn arm(&mut self, net: &mut Net, id: ConnId) {
         let Some(due) = self.due(net, id) else { return };
-        let Some(session) = self.open.get_mut(&id) else { return };
+        let Some(session) = self.open.get_mut(&id) else {
+            return;
+        };
         if session.timer.is_none_or(|at| due < at) {
             session.timer = Some(due);
             net.wheel.set(due, Timer::Client(id));
--- a/fleet/src/router/configuration.rs
+++ b/fleet/src/router/configuration.rs
@@ -10,7 +10,8 @@
 use lichenswitch_messages::ConfigurationPosition;
 use std::sync::Arc;
 
-/// What a route says of its requests. A request keeps a copy to its end, whatever configuration comes meanwhile.
+/// What a route says of its requests. A request keeps a copy to its end, whatever configuration
+/// comes meanwhile.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Terms {
     /// Name of the route.
@@ -40,7 +41,10 @@
             streaming,
             resumable: streaming && route.stream_resume,
             timeout: route.timeout_ms.saturating_mul(1_000),
-            target_latency: route.target_latency_ms.clamp(1, route.timeout_ms).saturating_mul(1_000),
+            target_latency: route
+                .target_latency_ms
+                .clamp(1, route.timeout_ms)
+                .saturating_mul(1_000),
             rank,
             max_attempts: route.max_attempts,
         }
@@ -63,10 +67,18 @@
     ///
     /// # Errors
     /// What is wrong with it.
-    pub fn parse(position: ConfigurationPosition, document: &[u8]) -> Result<InForce, ConfigurationError> {
+    pub fn parse(
+        position: ConfigurationPosition,
+        document: &[u8],
+    ) -> Result<InForce, ConfigurationError> {
         let document = Arc::new(Document::parse_committed(document)?);
         let (keys, ranks) = (Keys::new(&document), Ranks::new(&document));
-        Ok(InForce { position, keys, ranks, routes: Routes::new(document) })
+        Ok(InForce {
+            position,
+            keys,
+            ranks,
+            routes: Routes::new(document),
+        })
     }
 
     /// The document.
@@ -93,15 +105,30 @@
         Terms::of(route, self.ranks.rank(tenant, route))
     }
 
-    /// Terms of all routes that may send to a service, by the ranks that their tenants may give them.
+    /// Terms of all routes that may send to a service, by the ranks that their tenants may give
+    /// them.
     #[must_use]
     pub fn terms_of(&self, service: &str) -> Vec<Terms> {
-        let to = |route: &&Route| route.targets.iter().any(|t| t.service == service && t.weight > 0.0);
+        let to = |route: &&Route| {
+            route
+                .targets
+                .iter()
+                .any(|t| t.service == service && t.weight > 0.0)
+        };
         let tenants = self.document().tenants().unwrap_or_default();
         let of_route = |route: &Route| {
-            self.ranks.all(tenants, route).into_iter().map(|rank| Terms::of(route, rank)).collect::<Vec<_>>()
+            self.ranks
+                .all(tenants, route)
+                .into_iter()
+                .map(|rank| Terms::of(route, rank))
+                .collect::<Vec<_>>()
         };
-        self.document().routes().iter().filter(to).flat_map(of_route).collect()
+        self.document()
+            .routes()
+            .iter()
+            .filter(to)
+            .flat_map(of_route)
+            .collect()
     }
 }
 
@@ -120,7 +147,10 @@
 
     /// Puts a configuration in force, if its position is above that of the one which is.
     pub fn apply(&mut self, new: InForce) -> bool {
-        let newer = self.in_force.as_ref().is_none_or(|known| known.position < new.position);
+        let newer = self
+            .in_force
+            .as_ref()
+            .is_none_or(|known| known.position < new.position);
         if newer {
             self.in_force = Some(new);
         }
--- a/fleet/src/router/configuration/tests.rs
+++ b/fleet/src/router/configuration/tests.rs
@@ -1,7 +1,11 @@
 use super::*;
 
 fn position(epoch: u64, primary: u64, number: u64) -> ConfigurationPosition {
-    ConfigurationPosition { epoch, primary, number }
+    ConfigurationPosition {
+        epoch,
+        primary,
+        number,
+    }
 }
 
 fn document(version: u64) -> Vec<u8> {
@@ -23,13 +27,24 @@
     let mut configuration = Configuration::default();
     assert!(configuration.get().is_none());
     assert!(configuration.apply(in_force(position(2, 1, 5), 8)));
-    for older in [position(2, 1, 5), position(2, 1, 4), position(1, 9, 90), position(2, 0, 60)] {
+    for older in [
+        position(2, 1, 5),
+        position(2, 1, 4),
+        position(1, 9, 90),
+        position(2, 0, 60),
+    ] {
         assert!(!configuration.apply(in_force(older, 99)), "{older:?}");
     }
-    assert_eq!(configuration.get().map(|known| known.document().version()), Some(8));
+    assert_eq!(
+        configuration.get().map(|known| known.document().version()),
+        Some(8)
+    );
     // A later epoch outranks numbers and versions.
     assert!(configuration.apply(in_force(position(3, 0, 1), 7)));
-    assert_eq!(configuration.get().map(|known| known.document().version()), Some(7));
+    assert_eq!(
+        configuration.get().map(|known| known.document().version()),
+        Some(7)
+    );
 }
 
 #[test]
@@ -39,7 +54,11 @@
     assert_eq!(route.draw(3), "x");
     let terms = in_force.terms(route, None);
     assert!(terms.idempotent && terms.streaming && terms.resumable);
-    assert_eq!((terms.timeout, terms.target_latency), (500_000, 500_000), "no aim is beyond the time-out");
+    assert_eq!(
+        (terms.timeout, terms.target_latency),
+        (500_000, 500_000),
+        "no aim is beyond the time-out"
+    );
     assert_eq!((terms.rank, terms.max_attempts), (2, 3));
     assert!(in_force.route("h.example", "/b/").is_none());
     assert!(in_force.route("other.example", "/a/").is_none());
@@ -48,5 +67,8 @@
 #[test]
 fn a_service_without_weight_has_no_routes() {
     let in_force = in_force(position(1, 1, 1), 1);
-    assert_eq!((in_force.terms_of("x").len(), in_force.terms_of("y").len()), (1, 0));
+    assert_eq!(
+        (in_force.terms_of("x").len(), in_force.terms_of("y").len()),
+        (1, 0)
+    );
 }
--- a/fleet/src/router/control_link.rs
+++ b/fleet/src/router/control_link.rs
@@ -1,8 +1,10 @@
-//! The connection to a control machine: it brings the configuration, the servers and the number of routers.
+//! The connection to a control machine: it brings the configuration, the servers and the number of
+//! routers.
 //!
-//! It promises: one connection at a time; another control machine as soon as this one is silent or without contact for
-//! [`SILENCE`]; the highest position that was applied is never gone back on; what is applied is acknowledged. While all control is
-//! away it keeps trying, and what has been applied stands.
+//! It promises: one connection at a time; another control machine as soon as this one is silent or
+//! without contact for [`SILENCE`]; the highest position that was applied is never gone back on;
+//! what is applied is acknowledged. While all control is away it keeps trying, and what has been
+//! applied stands.
 
 use super::candidates::Candidates;
 use super::program::{Net, Owner, Timer};
@@ -16,10 +18,11 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// After this long without a word, or without contact, another control machine is tried (microseconds): between two and three
-/// heartbeats.
+/// After this long without a word, or without contact, another control machine is tried
+/// (microseconds): between two and three heartbeats.
 pub const SILENCE: Micros = 700_000;
-/// A connection that is not up after this long is given up: links within a region take milliseconds.
+/// A connection that is not up after this long is given up: links within a region take
+/// milliseconds.
 const CONNECT: Micros = 400_000;
 /// After this long without any configuration one is taken from whichever control machine answers.
 const UNCONFIRMED_AFTER: Micros = 3_000_000;
@@ -161,13 +164,14 @@
         };
         let pumped = net.pump(id, CEILING);
         let mut news = Vec::new();
-        let mut sound = pumped == Pumped::Alive && connection.greet(net, &self.identity, self.applied);
+        let mut sound =
+            pumped == Pumped::Alive && connection.greet(net, &self.identity, self.applied);
         if sound {
             let now = net.clock.now();
             match connection.read(net, now) {
-                Ok(messages) => {
-                    messages.into_iter().for_each(|message| self.take_in(now, message, &mut news))
-                }
+                Ok(messages) => messages
+                    .into_iter()
+                    .for_each(|message| self.take_in(now, message, &mut news)),
                 Err(reason) => {
                     log::warn!(address:% = self.address(); "control machine: {reason}");
                     sound = false;
@@ -181,18 +185,25 @@
         news
     }
 
-    /// Acknowledges what has been applied since the last time. Called once what was read has been applied.
+    /// Acknowledges what has been applied since the last time. Called once what was read has been
+    /// applied.
     pub fn acknowledge(&mut self, net: &mut Net) {
         let applied = self.applied;
-        let Some(connection) = self.connection.as_mut().filter(|c| c.push > c.acknowledged) else { return };
+        let Some(connection) = self.connection.as_mut().filter(|c| c.push > c.acknowledged) else {
+            return;
+        };
         connection.acknowledged = connection.push;
-        let word = RouterToControl::Applied { push: connection.push, configuration: applied };
+        let word = RouterToControl::Applied {
+            push: connection.push,
+            configuration: applied,
+        };
         if !connection.send(net, word) {
             self.give_up(net);
         }
     }
 
-    /// Whether a connection has been given up since this was last asked: what was sent on it gets no answer.
+    /// Whether a connection has been given up since this was last asked: what was sent on it gets
+    /// no answer.
     pub fn take_lost(&mut self) -> bool {
         std::mem::take(&mut self.lost)
     }
@@ -200,14 +211,18 @@
     /// Whether a control machine is connected, and has been told who this router is.
     #[must_use]
     pub fn is_greeted(&self) -> bool {
-        self.connection.as_ref().is_some_and(|connection| connection.greeted)
+        self.connection
+            .as_ref()
+            .is_some_and(|connection| connection.greeted)
     }
 
     /// Sends a message about tenants to the control machine that is connected.
     pub fn send_tenant_message(&mut self, net: &mut Net, message: &TenantMessage) {
-        let Some(connection) = &self.connection else { return };
-        let sent =
-            envelopes::encode_tenant_message(message).is_ok_and(|bytes| connection.send_bytes(net, &bytes));
+        let Some(connection) = &self.connection else {
+            return;
+        };
+        let sent = envelopes::encode_tenant_message(message)
+            .is_ok_and(|bytes| connection.send_bytes(net, &bytes));
         if !sent {
             self.give_up(net);
         }
@@ -215,9 +230,11 @@
 
     /// Tells the control machine that is connected what waits at servers.
     pub fn send_backlog_report(&mut self, net: &mut Net, report: &BacklogReport) {
-        let Some(connection) = &self.connection else { return };
-        let sent =
-            envelopes::encode_backlog_report(report).is_ok_and(|bytes| connection.send_bytes(net, &bytes));
+        let Some(connection) = &self.connection else {
+            return;
+        };
+        let sent = envelopes::encode_backlog_report(report)
+            .is_ok_and(|bytes| connection.send_bytes(net, &bytes));
         if !sent {
             self.give_up(net);
         }
@@ -230,7 +247,9 @@
     }
 
     fn address(&self) -> String {
-        self.connection.as_ref().map_or_else(String::new, |c| c.address.to_string())
+        self.connection
+            .as_ref()
+            .map_or_else(String::new, |c| c.address.to_string())
     }
 
     fn take_in(&mut self, now: Time, message: Message, news: &mut Vec<News>) {
@@ -242,50 +261,85 @@
     }
 
     fn take_control_message(&mut self, now: Time, message: ControlToRouter, news: &mut Vec<News>) {
-        let Some(connection) = &mut self.connection else { return };
+        let Some(connection) = &mut self.connection else {
+            return;
+        };
         match message {
-            ControlToRouter::Heartbeat { in_contact, control, routers } => {
+            ControlToRouter::Heartbeat {
+                in_contact,
+                control,
+                routers,
+            } => {
                 connection.in_contact = in_contact;
                 if in_contact {
                     connection.contact = Some(now);
                     self.candidates.on_useful(connection.address);
                 }
-                self.candidates.on_told(control.iter().filter_map(|address| address.parse().ok()).collect());
+                self.candidates.on_told(
+                    control
+                        .iter()
+                        .filter_map(|address| address.parse().ok())
+                        .collect(),
+                );
                 news.push(News::Routers(routers));
                 news.extend(self.take_unconfirmed(now));
             }
-            ControlToRouter::Configuration { push, position, document } => {
+            ControlToRouter::Configuration {
+                push,
+                position,
+                document,
+            } => {
                 connection.push = connection.push.max(push);
                 if self.applied.is_none_or(|applied| applied < position) {
-                    let older = self.unconfirmed.as_ref().is_some_and(|offer| offer.position > position);
+                    let older = self
+                        .unconfirmed
+                        .as_ref()
+                        .is_some_and(|offer| offer.position > position);
                     if !older {
                         let from = connection.id;
-                        self.unconfirmed = Some(Offer { from, position, document });
+                        self.unconfirmed = Some(Offer {
+                            from,
+                            position,
+                            document,
+                        });
                     }
                     news.extend(self.take_unconfirmed(now));
                 }
             }
-            ControlToRouter::Servers { push, records, whole: _ } => {
+            ControlToRouter::Servers {
+                push,
+                records,
+                whole: _,
+            } => {
                 connection.push = connection.push.max(push);
                 news.push(News::Servers(records));
             }
         }
     }
 
-    /// A configuration that waited is taken once its sender is in contact, once another is in force already (it is committed, and
-    /// newer), or once a router without any has waited for long enough.
+    /// A configuration that waited is taken once its sender is in contact, once another is in force
+    /// already (it is committed, and newer), or once a router without any has waited for long
+    /// enough.
     fn take_unconfirmed(&mut self, now: Time) -> Option<News> {
-        let in_contact = self.connection.as_ref().filter(|c| c.in_contact).map(|c| c.id);
+        let in_contact = self
+            .connection
+            .as_ref()
+            .filter(|c| c.in_contact)
+            .map(|c| c.id);
         let waited = now.since(self.started) >= UNCONFIRMED_AFTER;
         let may = waited || self.applied.is_some();
-        // Contact vouches for what came from the same machine: another one may have been cut off for long.
-        let offer = self.unconfirmed.take_if(|offer| may || in_contact == Some(offer.from))?;
+        // Contact vouches for what came from the same machine: another one may have been cut off
+        // for long.
+        let offer = self
+            .unconfirmed
+            .take_if(|offer| may || in_contact == Some(offer.from))?;
         Some(News::Configuration(offer.position, offer.document))
     }
 
     fn connect(&mut self, net: &mut Net) {
         let now = net.clock.now();
-        // Those that refuse at once are passed over in this very look; each one rests then, so that this ends.
+        // Those that refuse at once are passed over in this very look; each one rests then, so that
+        // this ends.
         while let Ok(address) = self.candidates.next(now, self.rng.u64(..)) {
             let reached_at = self.forwarders.get(&address).copied().unwrap_or(address);
             match net.connect(Owner::Control, reached_at) {
@@ -300,7 +354,8 @@
 
     fn give_up(&mut self, net: &mut Net) {
         if let Some(connection) = self.connection.take() {
-            self.candidates.on_failed(net.clock.now(), connection.address, self.rng.u64(..));
+            self.candidates
+                .on_failed(net.clock.now(), connection.address, self.rng.u64(..));
             net.close(connection.id);
             self.lost = true;
         }
@@ -315,7 +370,10 @@
             Some(connection) => connection.due(),
             None => self.candidates.next(now, 0).map_or_else(|at| at, |_| now),
         };
-        let waits = self.unconfirmed.is_some().then(|| self.started.plus(UNCONFIRMED_AFTER));
+        let waits = self
+            .unconfirmed
+            .is_some()
+            .then(|| self.started.plus(UNCONFIRMED_AFTER));
         let due = link.min(waits.unwrap_or(link)).max(now);
         if self.look_at.is_none_or(|at| due < at) {
             self.look_at = Some(due);
@@ -374,17 +432,22 @@
     }
 
     fn send(&self, net: &mut Net, message: RouterToControl) -> bool {
-        envelopes::encode(&Envelope::FromRouter(message)).is_ok_and(|bytes| self.send_bytes(net, &bytes))
+        envelopes::encode(&Envelope::FromRouter(message))
+            .is_ok_and(|bytes| self.send_bytes(net, &bytes))
     }
 
     fn send_bytes(&self, net: &mut Net, bytes: &[u8]) -> bool {
-        let Some(conn) = net.get_mut(self.id) else { return false };
+        let Some(conn) = net.get_mut(self.id) else {
+            return false;
+        };
         conn.send(bytes);
         net.flush(self.id, false) == Pumped::Alive
     }
 
     fn read(&mut self, net: &mut Net, now: Time) -> Result<Vec<Message>, String> {
-        let Some(conn) = net.get_mut(self.id) else { return Ok(Vec::new()) };
+        let Some(conn) = net.get_mut(self.id) else {
+            return Ok(Vec::new());
+        };
         let bytes = conn.input.bytes();
         let mut messages = Vec::new();
         let used = bytes.len();
@@ -396,7 +459,9 @@
         }
         while let Some(incoming) = self.reader.next_message().map_err(|e| e.to_string())? {
             match incoming {
-                Incoming::Envelope(Envelope::ToRouter(message)) => messages.push(Message::Control(message)),
+                Incoming::Envelope(Envelope::ToRouter(message)) => {
+                    messages.push(Message::Control(message))
+                }
                 Incoming::Tenant(message) => messages.push(Message::Tenant(message)),
                 Incoming::Backlog(report) => messages.push(Message::Backlog(report)),
                 Incoming::Envelope(Envelope::Peer(_) | Envelope::FromRouter(_)) => {
--- a/fleet/src/router/cut.rs
+++ b/fleet/src/router/cut.rs
@@ -1,7 +1,9 @@
-//! The end of an answer that has begun and can't be brought to its end: the client sees its connection close in the middle of it.
+//! The end of an answer that has begun and can't be brought to its end: the client sees its
+//! connection close in the middle of it.
 //!
-//! It promises that every such end is logged once, with its reason and with what tells the reasons apart: how old the request was, how
-//! long this process had been ending, and which configuration the request was taken under.
+//! It promises that every such end is logged once, with its reason and with what tells the reasons
+//! apart: how old the request was, how long this process had been ending, and which configuration
+//! the request was taken under.
 
 use super::exchange::Exchange;
 use super::ids::ExchangeId;
@@ -42,17 +44,24 @@
 impl Router {
     /// Cuts an answer off that has begun.
     pub(super) fn cut(&mut self, id: ExchangeId, reason: CutReason) {
-        let Some(exchange) = self.finish(id) else { return };
+        let Some(exchange) = self.finish(id) else {
+            return;
+        };
         self.log_cut(&exchange, reason);
         match reason {
-            CutReason::HandedOver => self.clients.cut_behind_written(&mut self.net, exchange.client),
+            CutReason::HandedOver => self
+                .clients
+                .cut_behind_written(&mut self.net, exchange.client),
             _ => self.clients.cut(&mut self.net, exchange.client),
         }
     }
 
     fn log_cut(&self, exchange: &Exchange, reason: CutReason) {
         let now = self.net.clock.now();
-        let in_force = self.configuration.get().map_or(0, |in_force| in_force.document().version());
+        let in_force = self
+            .configuration
+            .get()
+            .map_or(0, |in_force| in_force.document().version());
         log::info!(
             reason:% = reason,
             attempt_id = exchange.request.attempt_id.as_deref().unwrap_or_default(),
--- a/fleet/src/router/exchange.rs
+++ b/fleet/src/router/exchange.rs
@@ -1,7 +1,8 @@
 //! Requests that are held, from their last byte to the last byte of their answer.
 //!
-//! It owns the table and what each request has met so far. It promises that what is said of a request's runs errs on one side only: it
-//! counts as run unless every attempt is known not to have run.
+//! It owns the table and what each request has met so far. It promises that what is said of a
+//! request's runs errs on one side only: it counts as run unless every attempt is known not to have
+//! run.
 
 use super::configuration::Terms;
 use super::ids::{AttemptId, ExchangeId, ServiceId};
@@ -109,7 +110,8 @@
     /// Whether the rules allow that it is sent once more.
     #[must_use]
     pub fn may_send(&self) -> bool {
-        (self.terms.idempotent || self.may_have_run == 0) && self.sends < self.terms.max_attempts.max(1)
+        (self.terms.idempotent || self.may_have_run == 0)
+            && self.sends < self.terms.max_attempts.max(1)
     }
 
     /// Whether this attempt's answer is being passed on.
@@ -133,8 +135,9 @@
     },
 }
 
-/// Reads an answer's head. Only `Not-Executed` and 421 say that a request did not run. What would be a promise in this program's
-/// mouth (408, 421, 429, 503) is not passed on as one where the server has not made it.
+/// Reads an answer's head. Only `Not-Executed` and 421 say that a request did not run. What would
+/// be a promise in this program's mouth (408, 421, 429, 503) is not passed on as one where the
+/// server has not made it.
 #[must_use]
 pub fn meaning(head: &ResponseHead) -> Meaning {
     let promise = matches!(head.status, 408 | 421 | 429 | 503);
@@ -230,19 +233,30 @@
         Some(id)
     }
 
-    /// An attempt of a request brings its answer, which is passed on from now on. Tells the others that are out for it.
+    /// An attempt of a request brings its answer, which is passed on from now on. Tells the others
+    /// that are out for it.
     pub fn on_begun(&mut self, id: ExchangeId, relay: Relay) -> Vec<AttemptId> {
-        let Some(exchange) = self.held.get_mut(&id) else { return Vec::new() };
-        let others: Vec<AttemptId> =
-            exchange.out.drain(..).map(|out| out.id).filter(|other| *other != relay.attempt).collect();
-        others.iter().for_each(|other| _ = self.by_attempt.remove(other));
+        let Some(exchange) = self.held.get_mut(&id) else {
+            return Vec::new();
+        };
+        let others: Vec<AttemptId> = exchange
+            .out
+            .drain(..)
+            .map(|out| out.id)
+            .filter(|other| *other != relay.attempt)
+            .collect();
+        others
+            .iter()
+            .for_each(|other| _ = self.by_attempt.remove(other));
         exchange.phase = Phase::Relaying(relay);
         others
     }
 
     /// The answer that was passed on broke off: the request goes on behind this event.
     pub fn on_broken_off(&mut self, id: ExchangeId, last_event_id: Vec<u8>) {
-        let Some(exchange) = self.held.get_mut(&id) else { return };
+        let Some(exchange) = self.held.get_mut(&id) else {
+            return;
+        };
         let before = std::mem::replace(&mut exchange.phase, Phase::Resuming { last_event_id });
         if let Phase::Relaying(relay) = before {
             self.by_attempt.remove(&relay.attempt);
--- a/fleet/src/router/exchange/tests.rs
+++ b/fleet/src/router/exchange/tests.rs
@@ -18,10 +18,18 @@
 #[test]
 fn a_promise_that_the_server_did_not_make_is_not_passed_on() {
     for status in [408, 429, 503] {
-        assert_eq!(meaning(&head(status, false)), Meaning::Failure { passes: false }, "{status}");
+        assert_eq!(
+            meaning(&head(status, false)),
+            Meaning::Failure { passes: false },
+            "{status}"
+        );
     }
     for status in [500, 502, 504] {
-        assert_eq!(meaning(&head(status, false)), Meaning::Failure { passes: true }, "{status}");
+        assert_eq!(
+            meaning(&head(status, false)),
+            Meaning::Failure { passes: true },
+            "{status}"
+        );
     }
 }
 
@@ -49,7 +57,9 @@
     let mut net = super::super::program::Net::new(64).expect("a poller");
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("bind");
     let address = listener.local_addr().expect("address");
-    let client = net.connect(super::super::program::Owner::Client, address).expect("connect");
+    let client = net
+        .connect(super::super::program::Owner::Client, address)
+        .expect("connect");
     Exchange {
         client,
         request: Rc::new(ClientRequest::default()),
@@ -70,7 +80,13 @@
 }
 
 fn out(number: u64) -> Out {
-    Out { id: AttemptId { service: ServiceId(0), number }, server: ServerId(1) }
+    Out {
+        id: AttemptId {
+            service: ServiceId(0),
+            number,
+        },
+        server: ServerId(1),
+    }
 }
 
 #[test]
--- a/fleet/src/router/freshness.rs
+++ b/fleet/src/router/freshness.rs
@@ -1,22 +1,28 @@
 //! How long ago the configuration in force was surely the newest one that counted.
 //!
-//! It promises that keys are not served by a configuration that may have been replaced, with the replacement acknowledged, longer ago than the
-//! bound on revocations allows: the time is counted from when this router asked, on its steady clock, so that whatever was late on the way only
+//! It promises that keys are not served by a configuration that may have been replaced, with the
+//! replacement acknowledged, longer ago than the bound on revocations allows: the time is counted
+//! from when this router asked, on its steady clock, so that whatever was late on the way only
 //! shortens it. Pure: time is an argument.
 
 use lichenswitch_interface::{Micros, Time};
 use std::time::Duration;
 
-/// What a control machine in contact tells as newest may lack what was acknowledged within so long before (microseconds): a confirmation counts
-/// for at most 0.6 s at the primary and 0.9 s at a machine without a copy.
+/// What a control machine in contact tells as newest may lack what was acknowledged within so long
+/// before (microseconds): a confirmation counts for at most 0.6 s at the primary and 0.9 s at a
+/// machine without a copy.
 const CONTACT_BEHIND: Micros = 1_500_000;
-/// For clocks that drift, and for what passes between a look at the clock and its effect (microseconds).
+/// For clocks that drift, and for what passes between a look at the clock and its effect
+/// (microseconds).
 const MARGIN: Micros = 250_000;
-/// The least time for which a confirmation counts (microseconds): a shorter one would lapse between two of them.
+/// The least time for which a confirmation counts (microseconds): a shorter one would lapse between
+/// two of them.
 const SHORTEST: Micros = 600_000;
-/// Confirmations are asked for so often (microseconds): a heartbeat of control brings each question on its way.
+/// Confirmations are asked for so often (microseconds): a heartbeat of control brings each question
+/// on its way.
 const ASK_INTERVAL: Micros = 450_000;
-/// Who does not hold a key is told so only within this time of a confirmation (microseconds): it may have been added since.
+/// Who does not hold a key is told so only within this time of a confirmation (microseconds): it
+/// may have been added since.
 const SURE: Micros = 1_200_000;
 
 /// Bounds on revocations.
@@ -40,7 +46,11 @@
     /// Never confirmed yet.
     #[must_use]
     pub fn new(terms: RevocationTerms) -> Freshness {
-        Freshness { terms, confirmed: None, asked: None }
+        Freshness {
+            terms,
+            confirmed: None,
+            asked: None,
+        }
     }
 
     /// The settings say so now.
@@ -50,7 +60,9 @@
 
     /// Whether a confirmation is to be asked for now; that is taken to be done.
     pub fn asks(&mut self, now: Time) -> bool {
-        let due = self.asked.is_none_or(|asked| now.since(asked) >= ASK_INTERVAL);
+        let due = self
+            .asked
+            .is_none_or(|asked| now.since(asked) >= ASK_INTERVAL);
         if due {
             self.asked = Some(now);
         }
@@ -62,7 +74,8 @@
         self.asked = None;
     }
 
-    /// What is in force is the newest configuration that a control machine in contact knew, which was asked at this time.
+    /// What is in force is the newest configuration that a control machine in contact knew, which
+    /// was asked at this time.
     pub fn on_confirmed(&mut self, now: Time, asked: Time) {
         if asked <= now {
             self.confirmed = self.confirmed.max(Some(asked));
@@ -72,13 +85,19 @@
     /// Whether requests with a key may be served.
     #[must_use]
     pub fn serves_keys(&self, now: Time) -> bool {
-        !self.terms.strict || self.confirmed.is_some_and(|confirmed| now.since(confirmed) < self.lease())
+        !self.terms.strict
+            || self
+                .confirmed
+                .is_some_and(|confirmed| now.since(confirmed) < self.lease())
     }
 
     /// Whether a key that is not known here is surely not known to the configuration that counts.
     #[must_use]
     pub fn is_sure(&self, now: Time) -> bool {
-        self.serves_keys(now) && self.confirmed.is_some_and(|confirmed| now.since(confirmed) < SURE)
+        self.serves_keys(now)
+            && self
+                .confirmed
+                .is_some_and(|confirmed| now.since(confirmed) < SURE)
     }
 
     fn lease(&self) -> Micros {
--- a/fleet/src/router/freshness/tests.rs
+++ b/fleet/src/router/freshness/tests.rs
@@ -5,7 +5,10 @@
 const SECOND: Micros = 1_000_000;
 
 fn strict() -> Freshness {
-    Freshness::new(RevocationTerms { strict: true, within: Duration::from_secs(5) })
+    Freshness::new(RevocationTerms {
+        strict: true,
+        within: Duration::from_secs(5),
+    })
 }
 
 #[test]
@@ -40,9 +43,15 @@
 
 #[test]
 fn without_a_strict_bound_what_is_known_is_served_while_control_is_away() {
-    let mut freshness = Freshness::new(RevocationTerms { strict: false, within: Duration::from_secs(5) });
+    let mut freshness = Freshness::new(RevocationTerms {
+        strict: false,
+        within: Duration::from_secs(5),
+    });
     assert!(freshness.serves_keys(Time(100 * SECOND)) && !freshness.is_sure(Time(100 * SECOND)));
-    freshness.set_terms(RevocationTerms { strict: true, within: Duration::ZERO });
+    freshness.set_terms(RevocationTerms {
+        strict: true,
+        within: Duration::ZERO,
+    });
     freshness.on_confirmed(Time(100 * SECOND), Time(100 * SECOND));
     assert!(freshness.serves_keys(Time(100 * SECOND + SHORTEST - 1)));
     assert!(!freshness.serves_keys(Time(100 * SECOND + SHORTEST)));
--- a/fleet/src/router/intake.rs
+++ b/fleet/src/router/intake.rs
@@ -1,6 +1,7 @@
 //! Intake: a request that has been read becomes one that is held, or is answered at once.
 //!
-//! It promises that a request which is turned away here has been sent to nobody, so that each of these refusals is a promise.
+//! It promises that a request which is turned away here has been sent to nobody, so that each of
+//! these refusals is a promise.
 
 use super::clients::ClientEvent;
 use super::cut::CutReason;
@@ -19,7 +20,8 @@
 
 /// Advice to clients while no configuration is known, or nothing more can be held (microseconds).
 const RETRY_AFTER: Micros = 200_000;
-/// Advice to clients of a process that ends: other routers are ready now, and tries that follow go to them (microseconds).
+/// Advice to clients of a process that ends: other routers are ready now, and tries that follow go
+/// to them (microseconds).
 const RETRY_ELSEWHERE: Micros = 20_000;
 
 /// Why a request is answered at once.
@@ -67,13 +69,17 @@
             Turned::BeyondQuota(after) => OwnAnswer::beyond_quota(*after),
             Turned::Malformed => OwnAnswer::plain(400),
         };
-        self.clients.answer_own(&mut self.net, client, &answer, &mut self.client_events);
+        self.clients
+            .answer_own(&mut self.net, client, &answer, &mut self.client_events);
     }
 
     fn admit(&mut self, client: ConnId, request: ClientRequest) -> Result<(), Turned> {
         let now = self.net.clock.now();
         let admission = self.examine(now, &request)?;
-        if self.shutdown.is_some_and(|shutdown| !shutdown.takes(now, admission.deadline)) {
+        if self
+            .shutdown
+            .is_some_and(|shutdown| !shutdown.takes(now, admission.deadline))
+        {
             return Err(Turned::Away(Some(RETRY_ELSEWHERE)));
         }
         self.check_room(&request)?;
@@ -88,10 +94,24 @@
         admission: Admission,
     ) -> Result<(), Turned> {
         let now = self.net.clock.now();
-        let Admission { terms, service, configuration, sender, deadline } = admission;
+        let Admission {
+            terms,
+            service,
+            configuration,
+            sender,
+            deadline,
+        } = admission;
         let id = self.exchanges.next_id();
-        let core = self.services.get_mut(service).ok_or(Turned::Away(Some(RETRY_AFTER)))?;
-        let ask = Ask { exchange: id, terms: &terms, prompt: request.prompt, deadline };
+        let core = self
+            .services
+            .get_mut(service)
+            .ok_or(Turned::Away(Some(RETRY_AFTER)))?;
+        let ask = Ask {
+            exchange: id,
+            terms: &terms,
+            prompt: request.prompt,
+            deadline,
+        };
         let (query, class) = core.take(now, &ask).map_err(|refusal| match refusal {
             Refusal::Busy(after) => Turned::Away(after),
             Refusal::Stopping | Refusal::Contract(_) => Turned::Away(Some(RETRY_AFTER)),
@@ -118,19 +138,39 @@
         Ok(())
     }
 
-    /// The route's terms, the service, drawn once by weight, the sender, and the version of the configuration that says so.
+    /// The route's terms, the service, drawn once by weight, the sender, and the version of the
+    /// configuration that says so.
     fn examine(&mut self, now: Time, request: &ClientRequest) -> Result<Admission, Turned> {
         let random = self.rng.u64(..);
-        let in_force = self.configuration.get().ok_or(Turned::Away(Some(RETRY_AFTER)))?;
-        let route = in_force.route(&request.host, request.path()).ok_or(Turned::NoRoute)?;
+        let in_force = self
+            .configuration
+            .get()
+            .ok_or(Turned::Away(Some(RETRY_AFTER)))?;
+        let route = in_force
+            .route(&request.host, request.path())
+            .ok_or(Turned::NoRoute)?;
         let sender = self.authenticate(in_force, route.public_access, request.key)?;
-        let tenant = sender.as_ref().and_then(|sender| in_force.tenant(&sender.tenant));
+        let tenant = sender
+            .as_ref()
+            .and_then(|sender| in_force.tenant(&sender.tenant));
         let terms = in_force.terms(route, tenant);
-        let service = self.services.id_of(route.draw(random)).ok_or(Turned::Away(Some(RETRY_AFTER)))?;
-        let deadline =
-            now.plus(request.deadline.map_or(terms.timeout, |left| micros(left).min(terms.timeout)));
+        let service = self
+            .services
+            .id_of(route.draw(random))
+            .ok_or(Turned::Away(Some(RETRY_AFTER)))?;
+        let deadline = now.plus(
+            request
+                .deadline
+                .map_or(terms.timeout, |left| micros(left).min(terms.timeout)),
+        );
         let configuration = in_force.document().version();
-        Ok(Admission { terms, service, configuration, sender, deadline })
+        Ok(Admission {
+            terms,
+            service,
+            configuration,
+            sender,
+            deadline,
+        })
     }
 
     /// Guards memory: what is held is bounded.
@@ -181,7 +221,11 @@
     /// The time of a request is over.
     pub(super) fn overdue(&mut self, id: ExchangeId) {
         let now = self.net.clock.now();
-        if self.exchanges.get(id).is_some_and(|exchange| exchange.deadline <= now) {
+        if self
+            .exchanges
+            .get(id)
+            .is_some_and(|exchange| exchange.deadline <= now)
+        {
             self.end_now(id, CutReason::Deadline);
         }
     }
--- a/fleet/src/router/mod.rs
+++ b/fleet/src/router/mod.rs
@@ -1,12 +1,16 @@
 //! The role `router`: takes clients, decides, and relays the answers of model servers.
 //!
-//! One process on each edge machine, one thread, one loop over its sockets. It owns what joins the parts below it, and promises what
-//! the rules ask of a router:
+//! One process on each edge machine, one thread, one loop over its sockets. It owns what joins the
+//! parts below it, and promises what the rules ask of a router:
 //!
-//! - a request is read whole, gets its route from one configuration and keeps that one to its end (`intake`);
-//! - it gets exactly one final answer, at the route's time-out at the latest; a refusal is a promise (`answers`);
-//! - a stream is passed on as it comes, whole events only, and what ends early cannot look complete (`relay`);
-//! - what control says is merged, never gone back on, and goes on to hold while control is away (`control_link`, `servers`);
+//! - a request is read whole, gets its route from one configuration and keeps that one to its end
+//!   (`intake`);
+//! - it gets exactly one final answer, at the route's time-out at the latest; a refusal is a
+//!   promise (`answers`);
+//! - a stream is passed on as it comes, whole events only, and what ends early cannot look complete
+//!   (`relay`);
+//! - what control says is merged, never gone back on, and goes on to hold while control is away
+//!   (`control_link`, `servers`);
 //! - SIGTERM ends it only once all that was read is answered, within the grace (`shutdown`).
 //!
 //! | part | what |
@@ -82,8 +86,8 @@
 
 pub use error::RouterError;
 
-/// Connections set aside for the platform's questions and for control machines, each: a question that finds none is a miss, and the platform may
-/// keep the connections of some questions open.
+/// Connections set aside for the platform's questions and for control machines, each: a question
+/// that finds none is a miss, and the platform may keep the connections of some questions open.
 const SET_ASIDE: usize = 32;
 /// How often the settings file is looked at: it may change without a signal.
 const SETTINGS_LOOK: Duration = Duration::from_secs(3);
@@ -146,14 +150,20 @@
         net.set_aside_for_peers(SET_ASIDE);
         let mut rng = fastrand::Rng::new();
         let frontend = listen(&mut net, Owner::Client, options.frontend)?;
-        let readiness_address =
-            options.readiness.map(|address| listen(&mut net, Owner::Platform, address)).transpose()?;
-        let identity =
-            Identity { node: options.node.clone(), zone: options.zone.clone(), process: rng.u64(1..) };
+        let readiness_address = options
+            .readiness
+            .map(|address| listen(&mut net, Owner::Platform, address))
+            .transpose()?;
+        let identity = Identity {
+            node: options.node.clone(),
+            zone: options.zone.clone(),
+            process: rng.u64(1..),
+        };
         let candidates = Candidates::new(options.machine, options.seeds.clone());
         let link = ControlLink::new(net.clock.now(), identity, candidates)
             .with_forwarders(settings.forwarders.clone());
-        net.wheel.set(after(net.clock.now(), SETTINGS_LOOK), Timer::Settings);
+        net.wheel
+            .set(after(net.clock.now(), SETTINGS_LOOK), Timer::Settings);
         Ok(Router {
             settings_file: file.map(|path| (path.clone(), modified(&path))),
             frontend,
@@ -180,7 +190,8 @@
         })
     }
 
-    /// Where clients connect, and where the platform asks: ports may have been chosen by the system.
+    /// Where clients connect, and where the platform asks: ports may have been chosen by the
+    /// system.
     #[must_use]
     pub fn addresses(&self) -> (SocketAddr, Option<SocketAddr>) {
         (self.frontend, self.readiness_address)
@@ -252,8 +263,8 @@
         }
     }
 
-    /// Whoever has sent a whole request, and has no answer yet, is held. Checked at each turn where debug assertions are on, else now and
-    /// then: it counts all connections.
+    /// Whoever has sent a whole request, and has no answer yet, is held. Checked at each turn where
+    /// debug assertions are on, else now and then: it counts all connections.
     fn check_waiting(&self) {
         let held = self.exchanges.len() + self.awaiting_quota.len();
         invariants::check(self.clients.waiting() == held, Invariant::WaitingIsHeld);
@@ -269,7 +280,9 @@
 
     fn ready(&mut self, id: lichenswitch_net::ConnId, owner: Owner) {
         match owner {
-            Owner::Client => self.clients.ready(&mut self.net, id, &mut self.client_events),
+            Owner::Client => self
+                .clients
+                .ready(&mut self.net, id, &mut self.client_events),
             Owner::Platform => {
                 let is_ready = self.is_ready();
                 self.readiness.ready(&mut self.net, id, is_ready);
@@ -286,7 +299,9 @@
         match timer {
             Timer::Exchange(id) => self.overdue(id),
             Timer::Attempt(id) => self.timed_out(id),
-            Timer::Client(id) => self.clients.timer(&mut self.net, id, &mut self.client_events),
+            Timer::Client(id) => self
+                .clients
+                .timer(&mut self.net, id, &mut self.client_events),
             Timer::Platform(id) => self.readiness.timer(&mut self.net, id),
             Timer::Server(id) => self.connections.timer(&mut self.net, id),
             Timer::Waiting(id) => self.connections.waited(id),
@@ -310,7 +325,8 @@
     fn is_ready(&self) -> bool {
         let serves_keys = self.freshness.serves_keys(self.net.clock.now());
         let in_force = self.configuration.get();
-        self.shutdown.is_none() && in_force.is_some_and(|it| serves_keys || it.document().tenants().is_none())
+        self.shutdown.is_none()
+            && in_force.is_some_and(|it| serves_keys || it.document().tenants().is_none())
     }
 
     fn look_at_control(&mut self) {
@@ -322,10 +338,14 @@
     fn take_news(&mut self, news: Vec<News>) {
         for news in news {
             match news {
-                News::Configuration(position, document) => match InForce::parse(position, &document) {
-                    Ok(new) => self.apply(new),
-                    Err(e) => log::error!(position:? = position; "configuration can't be read: {e}"),
-                },
+                News::Configuration(position, document) => {
+                    match InForce::parse(position, &document) {
+                        Ok(new) => self.apply(new),
+                        Err(e) => {
+                            log::error!(position:? = position; "configuration can't be read: {e}")
+                        }
+                    }
+                }
                 News::Servers(records) => self.take_servers(&records),
                 News::Routers(count) => self.services.set_routers(count),
                 News::Tenant(message) => self.take_tenant_message(message),
@@ -340,7 +360,8 @@
             TenantMessage::Confirmed { stamp, position } => {
                 // What can't be applied here leaves this router behind.
                 if position.is_none_or(|position| self.link.has_applied(position)) {
-                    self.freshness.on_confirmed(self.net.clock.now(), Time(stamp));
+                    self.freshness
+                        .on_confirmed(self.net.clock.now(), Time(stamp));
                 }
             }
             TenantMessage::Drawn(answer) => self.on_drawn(answer),
@@ -352,7 +373,8 @@
     fn take_servers(&mut self, records: &[ServerRecord]) {
         let changes = self.servers.merge(records);
         for change in changes.iter().filter(|change| change.takes_nothing()) {
-            self.connections.hold_back(&mut self.net, change.line.server);
+            self.connections
+                .hold_back(&mut self.net, change.line.server);
         }
         self.services.listed(&changes);
         self.net.listed(self.servers.count());
@@ -384,12 +406,17 @@
         if changed {
             self.reload();
         }
-        self.net.wheel.set(after(self.net.clock.now(), SETTINGS_LOOK), Timer::Settings);
+        self.net
+            .wheel
+            .set(after(self.net.clock.now(), SETTINGS_LOOK), Timer::Settings);
     }
 
-    /// Reads the settings again: seeds and the further-try budget may have changed. A faulty file changes nothing.
+    /// Reads the settings again: seeds and the further-try budget may have changed. A faulty file
+    /// changes nothing.
     fn reload(&mut self) {
-        let Some((path, seen)) = &mut self.settings_file else { return };
+        let Some((path, seen)) = &mut self.settings_file else {
+            return;
+        };
         *seen = modified(path);
         match Settings::read(path)
             .map_err(|e| e.to_string())
@@ -409,9 +436,12 @@
 }
 
 fn modified(path: &std::path::Path) -> Option<SystemTime> {
-    std::fs::metadata(path).and_then(|data| data.modified()).ok()
+    std::fs::metadata(path)
+        .and_then(|data| data.modified())
+        .ok()
 }
 
 fn listen(net: &mut Net, owner: Owner, address: SocketAddr) -> Result<SocketAddr, RouterError> {
-    net.listen(owner, address).map_err(|source| RouterError::Listen { address, source })
+    net.listen(owner, address)
+        .map_err(|source| RouterError::Listen { address, source })
 }
--- a/fleet/src/router/options.rs
+++ b/fleet/src/router/options.rs
@@ -8,11 +8,13 @@
 
 /// Share of the memory that requests and answers which are held may take.
 const HELD_SHARE: u64 = 4;
-/// What one request is taken to hold on average with its buffers (bytes): two connections and a prompt of some thousand tokens.
+/// What one request is taken to hold on average with its buffers (bytes): two connections and a
+/// prompt of some thousand tokens.
 const HELD_BYTES: u64 = 24 * 1_024;
 /// Descriptors kept for files, standard streams, poller, listeners and signals.
 const RESERVED_DESCRIPTORS: usize = 232;
-/// Share of `retrySlack` that all routers together use: the rest is for what their clocks and windows miss.
+/// Share of `retrySlack` that all routers together use: the rest is for what their clocks and
+/// windows miss.
 pub const SLACK_SHARE: f64 = 0.8;
 /// Part of the further-try budget that is kept for streams which go on at another server.
 pub const RESUME_SHARE: f64 = 0.25;
@@ -86,7 +88,10 @@
                 slack: bounds.retry_slack,
                 window: bounds.budget_window,
             },
-            revocation: RevocationTerms { strict: bounds.revocation_strict, within: bounds.revoke },
+            revocation: RevocationTerms {
+                strict: bounds.revocation_strict,
+                within: bounds.revoke,
+            },
             quota: bounds.quota_terms(),
             grace: bounds.grace_period,
         })
@@ -96,7 +101,11 @@
 impl Capacity {
     fn of(settings: &Settings) -> Capacity {
         let bytes = settings.limits.memory_mb.max(16) * 1_024 * 1_024 / HELD_SHARE;
-        let descriptors = settings.limits.file_descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(64);
+        let descriptors = settings
+            .limits
+            .file_descriptors
+            .saturating_sub(RESERVED_DESCRIPTORS)
+            .max(64);
         Capacity {
             requests: u32::try_from(bytes / HELD_BYTES).unwrap_or(u32::MAX),
             bytes: usize::try_from(bytes).unwrap_or(usize::MAX),
--- a/fleet/src/router/prefix.rs
+++ b/fleet/src/router/prefix.rs
@@ -1,6 +1,8 @@
-//! Prompts: the beginning that they share, which model servers keep once they have read it, and how much is left to be read.
+//! Prompts: the beginning that they share, which model servers keep once they have read it, and how
+//! much is left to be read.
 //!
-//! It promises the same names at all routers, so that these choose the same server for the same beginning without a word between them.
+//! It promises the same names at all routers, so that these choose the same server for the same
+//! beginning without a word between them.
 
 /// Start and factor of the hash FNV-1a, which is the same on all machines and in all versions.
 const FNV_START: u64 = 0xcbf2_9ce4_8422_2325;
@@ -18,8 +20,8 @@
 /// What is known of a request's prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Prompt {
-    /// Names the beginning that it shares with others: all parts but the last, which belongs to the request or its session. 0: it shares
-    /// nothing, or its list of parts can't be read.
+    /// Names the beginning that it shares with others: all parts but the last, which belongs to the
+    /// request or its session. 0: it shares nothing, or its list of parts can't be read.
     pub prefix: u64,
     /// Tokens of that beginning.
     pub shared_tokens: u32,
@@ -29,7 +31,11 @@
 
 impl Default for Prompt {
     fn default() -> Self {
-        Prompt { prefix: 0, shared_tokens: 0, own_tokens: LEAST_TOKENS }
+        Prompt {
+            prefix: 0,
+            shared_tokens: 0,
+            own_tokens: LEAST_TOKENS,
+        }
     }
 }
 
@@ -37,19 +43,33 @@
     /// Reads `Model` and `Prompt-Prefix` (parts `ID:TOKENS`, joined by commas).
     #[must_use]
     pub fn read(model: Option<&[u8]>, parts: Option<&[u8]>) -> Prompt {
-        let Some(parts) = parts else { return Prompt::default() };
+        let Some(parts) = parts else {
+            return Prompt::default();
+        };
         let end = parts.iter().rposition(|byte| *byte == b',');
-        let (shared, own) = end.map_or((&parts[..0], parts), |end| (&parts[..end], &parts[end + 1..]));
+        let (shared, own) = end.map_or((&parts[..0], parts), |end| {
+            (&parts[..end], &parts[end + 1..])
+        });
         let own_tokens = tokens_of(own).max(LEAST_TOKENS);
-        let mut prompt = Prompt { own_tokens, ..Prompt::default() };
+        let mut prompt = Prompt {
+            own_tokens,
+            ..Prompt::default()
+        };
         if end.is_none() {
             return prompt;
         }
         let mut hash = model_hash(model);
         for part in shared.split(|byte| *byte == b',') {
-            let id = part.trim_ascii().split(|byte| *byte == b':').next().unwrap_or_default();
+            let id = part
+                .trim_ascii()
+                .split(|byte| *byte == b':')
+                .next()
+                .unwrap_or_default();
             if id.is_empty() {
-                return Prompt { own_tokens, ..Prompt::default() };
+                return Prompt {
+                    own_tokens,
+                    ..Prompt::default()
+                };
             }
             hash = hash_on(hash_on(hash, id), b",");
             prompt.shared_tokens = prompt.shared_tokens.saturating_add(tokens_of(part));
@@ -62,8 +82,14 @@
 
 /// The tokens of a part; 0 where they can't be read.
 fn tokens_of(part: &[u8]) -> u32 {
-    let tokens = part.splitn(2, |byte| *byte == b':').nth(1).unwrap_or_default();
-    std::str::from_utf8(tokens).ok().and_then(|text| text.trim().parse().ok()).unwrap_or(0)
+    let tokens = part
+        .splitn(2, |byte| *byte == b':')
+        .nth(1)
+        .unwrap_or_default();
+    std::str::from_utf8(tokens)
+        .ok()
+        .and_then(|text| text.trim().parse().ok())
+        .unwrap_or(0)
 }
 
 fn model_hash(model: Option<&[u8]>) -> u64 {
@@ -71,7 +97,9 @@
 }
 
 fn hash_on(start: u64, bytes: &[u8]) -> u64 {
-    bytes.iter().fold(start, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(FNV_FACTOR))
+    bytes.iter().fold(start, |hash, byte| {
+        (hash ^ u64::from(*byte)).wrapping_mul(FNV_FACTOR)
+    })
 }
 
 #[cfg(test)]
--- a/fleet/src/router/prefix/tests.rs
+++ b/fleet/src/router/prefix/tests.rs
@@ -10,17 +10,34 @@
 
 #[test]
 fn the_last_part_is_the_requests_own() {
-    assert_eq!(of("5c1e:800,91bd:410,e440:250"), of("5c1e:800,91bd:410,0001:99"));
-    assert_ne!(of("5c1e:800,91bd:410,e440:250"), of("5c1e:800,91be:410,e440:250"));
-    assert_ne!(of("5c1e:800,91bd:410,e440:250"), of("91bd:410,5c1e:800,e440:250"), "order counts");
+    assert_eq!(
+        of("5c1e:800,91bd:410,e440:250"),
+        of("5c1e:800,91bd:410,0001:99")
+    );
+    assert_ne!(
+        of("5c1e:800,91bd:410,e440:250"),
+        of("5c1e:800,91be:410,e440:250")
+    );
+    assert_ne!(
+        of("5c1e:800,91bd:410,e440:250"),
+        of("91bd:410,5c1e:800,e440:250"),
+        "order counts"
+    );
     assert_ne!(of("5c1e:800,91bd:410,e440:250"), of("5c1e:800,e440:250"));
-    assert_ne!(of("ab:1,c:1,x:1"), of("a:1,bc:1,x:1"), "parts are told apart");
+    assert_ne!(
+        of("ab:1,c:1,x:1"),
+        of("a:1,bc:1,x:1"),
+        "parts are told apart"
+    );
 }
 
 #[test]
 fn models_share_nothing() {
     let parts = Some(&b"5c1e:800,e440:250"[..]);
-    assert_ne!(Prompt::read(Some(b"a"), parts).prefix, Prompt::read(Some(b"b"), parts).prefix);
+    assert_ne!(
+        Prompt::read(Some(b"a"), parts).prefix,
+        Prompt::read(Some(b"b"), parts).prefix
+    );
     assert_ne!(Prompt::read(None, parts).prefix, 0);
 }
 
@@ -47,8 +64,15 @@
     // What can't be read counts for nothing in what is shared, and for the least in the whole.
     assert_eq!(
         prompt("5c1e:x,91bd,e440:-3"),
-        Prompt { shared_tokens: 0, own_tokens: LEAST_TOKENS, ..prompt("5c1e:x,91bd,e440:1") }
+        Prompt {
+            shared_tokens: 0,
+            own_tokens: LEAST_TOKENS,
+            ..prompt("5c1e:x,91bd,e440:1")
+        }
     );
     assert_eq!(prompt("e440:250000").own_tokens, 250_000);
-    assert_eq!(prompt("a:4294967295,b:4294967295,c:1").shared_tokens, u32::MAX);
+    assert_eq!(
+        prompt("a:4294967295,b:4294967295,c:1").shared_tokens,
+        u32::MAX
+    );
 }
--- a/fleet/src/router/program.rs
+++ b/fleet/src/router/program.rs
@@ -63,7 +63,8 @@
     type Timer = Timer;
     type Signal = Signal;
 
-    /// Guards what waits for machines that are cut off or without power. Not for clients: one that reads slowly sends no sign either.
+    /// Guards what waits for machines that are cut off or without power. Not for clients: one that
+    /// reads slowly sends no sign either.
     fn user_timeout(owner: Owner) -> Option<Duration> {
         match owner {
             Owner::Server => Some(SERVER_USER_TIMEOUT),
@@ -72,8 +73,8 @@
         }
     }
 
-    /// Guards streams whose server has lost power: nothing is being sent there that could go unacknowledged. A server that is only silent
-    /// has a system that answers.
+    /// Guards streams whose server has lost power: nothing is being sent there that could go
+    /// unacknowledged. A server that is only silent has a system that answers.
     fn probe_after(owner: Owner) -> Option<Duration> {
         (owner == Owner::Server).then_some(SERVER_PROBE)
     }
@@ -88,9 +89,11 @@
     }
 }
 
-/// A server that is well acknowledges within milliseconds, as long as its system has room for what it has not read.
+/// A server that is well acknowledges within milliseconds, as long as its system has room for what
+/// it has not read.
 pub const SERVER_USER_TIMEOUT: Duration = Duration::from_secs(3);
-/// Clients give a stream up after two seconds of silence at the least: what is found by then can still go on elsewhere.
+/// Clients give a stream up after two seconds of silence at the least: what is found by then can
+/// still go on elsewhere.
 const SERVER_PROBE: Duration = Duration::from_millis(1_000);
 /// Control machines speak four times a second.
 const CONTROL_USER_TIMEOUT: Duration = Duration::from_secs(1);
--- a/fleet/src/router/ranks.rs
+++ b/fleet/src/router/ranks.rs
@@ -1,6 +1,8 @@
-//! Ranks of requests: that of their tenant goes before that of their route, which orders the requests of tenants of one rank.
+//! Ranks of requests: that of their tenant goes before that of their route, which orders the
+//! requests of tenants of one rank.
 //!
-//! Servers and the module know ten ranks. Where a configuration has tenants, its pairs of ranks are numbered in their order.
+//! Servers and the module know ten ranks. Where a configuration has tenants, its pairs of ranks are
+//! numbered in their order.
 
 use lichenswitch_configuration::{Document, Route, Tenant};
 use std::collections::BTreeSet;
@@ -22,14 +24,19 @@
     /// Of a configuration.
     #[must_use]
     pub fn new(document: &Document) -> Ranks {
-        let Some(tenants) = document.tenants() else { return Ranks::default() };
-        let tenant_ranks: BTreeSet<Option<u32>> = tenants.iter().map(|tenant| tenant.priority).collect();
+        let Some(tenants) = document.tenants() else {
+            return Ranks::default();
+        };
+        let tenant_ranks: BTreeSet<Option<u32>> =
+            tenants.iter().map(|tenant| tenant.priority).collect();
         let mut pairs = BTreeSet::new();
         for route in document.routes() {
             pairs.insert(pair(None, route));
             pairs.extend(tenant_ranks.iter().map(|rank| pair(*rank, route)));
         }
-        Ranks { pairs: pairs.into_iter().collect() }
+        Ranks {
+            pairs: pairs.into_iter().collect(),
+        }
     }
 
     /// The rank of a tenant's requests on a route, 0 to 9.
@@ -42,7 +49,9 @@
     #[must_use]
     pub fn all(&self, tenants: &[Tenant], route: &Route) -> BTreeSet<u8> {
         let own = [self.rank_of(None, route)];
-        own.into_iter().chain(tenants.iter().map(|tenant| self.rank(Some(tenant), route))).collect()
+        own.into_iter()
+            .chain(tenants.iter().map(|tenant| self.rank(Some(tenant), route)))
+            .collect()
     }
 
     fn rank_of(&self, tenant: Option<u32>, route: &Route) -> u8 {
--- a/fleet/src/router/ranks/tests.rs
+++ b/fleet/src/router/ranks/tests.rs
@@ -17,7 +17,11 @@
 fn ranks(document: &Document, tenant: Option<usize>) -> Vec<u8> {
     let ranks = Ranks::new(document);
     let tenant = tenant.map(|place| &document.tenants().expect("tenants")[place]);
-    document.routes().iter().map(|route| ranks.rank(tenant, route)).collect()
+    document
+        .routes()
+        .iter()
+        .map(|route| ranks.rank(tenant, route))
+        .collect()
 }
 
 #[test]
@@ -30,17 +34,23 @@
     let document = document(
         ",\"tenants\":[{\"name\":\"a\",\"priority\":1},{\"name\":\"b\",\"priority\":0},{\"name\":\"c\"}]",
     );
-    let (a, b, c) = (ranks(&document, Some(0)), ranks(&document, Some(1)), ranks(&document, Some(2)));
+    let (a, b, c) = (
+        ranks(&document, Some(0)),
+        ranks(&document, Some(1)),
+        ranks(&document, Some(2)),
+    );
     // Pairs in their order: (0, 0), (0, 4), (1, 0), (1, 4), (4, 4).
     assert_eq!((a, b, c), (vec![2, 3], vec![0, 1], vec![0, 4]));
-    let all = Ranks::new(&document).all(document.tenants().expect("tenants"), &document.routes()[1]);
+    let all =
+        Ranks::new(&document).all(document.tenants().expect("tenants"), &document.routes()[1]);
     assert_eq!(all.into_iter().collect::<Vec<_>>(), [1, 3, 4]);
 }
 
 #[test]
 fn there_are_ten_ranks_however_many_a_configuration_names() {
-    let many: Vec<String> =
-        (0..40).map(|rank| format!("{{\"name\":\"t{rank}\",\"priority\":{rank}}}")).collect();
+    let many: Vec<String> = (0..40)
+        .map(|rank| format!("{{\"name\":\"t{rank}\",\"priority\":{rank}}}"))
+        .collect();
     let document = document(&format!(",\"tenants\":[{}]", many.join(",")));
     assert_eq!(ranks(&document, Some(39)), [LOWEST_RANK, LOWEST_RANK]);
     assert_eq!(ranks(&document, Some(0)), [0, 1]);
--- a/fleet/src/router/readiness.rs
+++ b/fleet/src/router/readiness.rs
@@ -1,6 +1,7 @@
 //! The platform's question whether this router is ready: `GET /readiness`.
 //!
-//! It promises an answer at once, whatever else the router does, and 200 only where the caller says that the router is ready.
+//! It promises an answer at once, whatever else the router does, and 200 only where the caller says
+//! that the router is ready.
 
 use super::program::{after, Net, Owner, Timer};
 use lichenswitch_http::{self as http, Parsed, Response};
@@ -34,7 +35,9 @@
     /// Reads questions and answers them.
     pub fn ready(&mut self, net: &mut Net, id: ConnId, is_ready: bool) {
         let pumped = net.pump(id, CEILING);
-        let Some(closing) = self.open.get(&id).copied() else { return net.close(id) };
+        let Some(closing) = self.open.get(&id).copied() else {
+            return net.close(id);
+        };
         if pumped != Pumped::Alive || net.get(id).is_none_or(|conn| conn.ended) {
             return self.close(net, id);
         }
@@ -53,7 +56,10 @@
         if !self.open.contains_key(&id) {
             return;
         }
-        let (now, due) = (net.clock.now(), net.get(id).map(|conn| after(conn.used, IDLE)));
+        let (now, due) = (
+            net.clock.now(),
+            net.get(id).map(|conn| after(conn.used, IDLE)),
+        );
         match due {
             Some(due) if due > now => net.wheel.set(due, Timer::Platform(id)),
             _ => self.close(net, id),
@@ -69,8 +75,13 @@
                 Some((answer(&request, is_ready), request.keep_alive))
             }
             Ok(Parsed::Partial(_)) if conn.input.bytes().len() < CEILING => None,
-            Ok(Parsed::Partial(_)) => Some((Response::new(413, "text/plain", "too large\n"), false)),
-            Err(malformed) => Some((Response::new(malformed.0, "text/plain", "malformed\n"), false)),
+            Ok(Parsed::Partial(_)) => {
+                Some((Response::new(413, "text/plain", "too large\n"), false))
+            }
+            Err(malformed) => Some((
+                Response::new(malformed.0, "text/plain", "malformed\n"),
+                false,
+            )),
         }
     }
 
--- a/fleet/src/router/relay.rs
+++ b/fleet/src/router/relay.rs
@@ -1,7 +1,8 @@
 //! Relay: an answer that is passed on as it comes.
 //!
-//! It promises that a client gets whole events in order, each at once; that an answer whose server breaks off goes on at the next event
-//! of another server or is cut, but never ended as complete; and that what a slow client has not taken is bounded.
+//! It promises that a client gets whole events in order, each at once; that an answer whose server
+//! breaks off goes on at the next event of another server or is cut, but never ended as complete;
+//! and that what a slow client has not taken is bounded.
 
 use super::cut::CutReason;
 use super::exchange::{Phase, Relay};
@@ -20,12 +21,29 @@
 
 impl Router {
     /// An answer has begun that is passed on as it comes.
-    pub(super) fn begun(&mut self, id: AttemptId, head: ResponseHead, length: Option<u64>, part: Part) {
+    pub(super) fn begun(
+        &mut self,
+        id: AttemptId,
+        head: ResponseHead,
+        length: Option<u64>,
+        part: Part,
+    ) {
         // An attempt that nobody waits for has been given up, and its connection closed.
-        let Some(exchange_id) = self.exchanges.of_attempt(id) else { return };
-        let Some(exchange) = self.exchanges.get_mut(exchange_id) else { return };
+        let Some(exchange_id) = self.exchanges.of_attempt(id) else {
+            return;
+        };
+        let Some(exchange) = self.exchanges.get_mut(exchange_id) else {
+            return;
+        };
         let (client, service) = (exchange.client, exchange.service);
-        let Some(server) = exchange.out.iter().find(|out| out.id == id).map(|out| out.server) else { return };
+        let Some(server) = exchange
+            .out
+            .iter()
+            .find(|out| out.id == id)
+            .map(|out| out.server)
+        else {
+            return;
+        };
         let resumes = match &exchange.phase {
             Phase::Held => false,
             Phase::Resuming { last_event_id } if goes_on(last_event_id, &head, &part) => true,
@@ -37,7 +55,12 @@
             }
         };
         let last_event_id = part.last_event_id.clone();
-        let relay = Relay { attempt: id, server, last_event_id, paused: false };
+        let relay = Relay {
+            attempt: id,
+            server,
+            last_event_id,
+            paused: false,
+        };
         // The module gives the others up as well, a turn later.
         for loser in self.exchanges.on_begun(exchange_id, relay) {
             self.connections.withdraw(&mut self.net, loser);
@@ -51,7 +74,8 @@
             service.stream_begun(server);
         }
         if !resumes {
-            self.clients.begin(&mut self.net, client, &head.encode(), length);
+            self.clients
+                .begin(&mut self.net, client, &head.encode(), length);
         }
         self.clients.pass(&mut self.net, client, &part.bytes);
         self.flush(exchange_id, client);
@@ -60,9 +84,15 @@
     /// More of an answer that is being passed on.
     pub(super) fn more(&mut self, id: AttemptId, part: Part) {
         // An attempt that nobody waits for has been given up, and its connection closed.
-        let Some(exchange_id) = self.exchanges.of_attempt(id) else { return };
-        let Some(exchange) = self.exchanges.get_mut(exchange_id) else { return };
-        let Phase::Relaying(relay) = &mut exchange.phase else { return };
+        let Some(exchange_id) = self.exchanges.of_attempt(id) else {
+            return;
+        };
+        let Some(exchange) = self.exchanges.get_mut(exchange_id) else {
+            return;
+        };
+        let Phase::Relaying(relay) = &mut exchange.phase else {
+            return;
+        };
         if part.last_event_id.is_some() {
             relay.last_event_id = part.last_event_id;
         }
@@ -73,10 +103,15 @@
 
     /// An answer that is being passed on is complete.
     pub(super) fn completed(&mut self, id: AttemptId, rest: &[u8]) {
-        let Some(exchange_id) = self.exchanges.of_attempt(id) else { return };
-        let Some(exchange) = self.finish(exchange_id) else { return };
+        let Some(exchange_id) = self.exchanges.of_attempt(id) else {
+            return;
+        };
+        let Some(exchange) = self.finish(exchange_id) else {
+            return;
+        };
         self.clients.pass(&mut self.net, exchange.client, rest);
-        self.clients.end(&mut self.net, exchange.client, &mut self.client_events);
+        self.clients
+            .end(&mut self.net, exchange.client, &mut self.client_events);
     }
 
     /// The server of an answer that is being passed on broke off.
@@ -89,10 +124,16 @@
     /// Asks for the rest of a stream at another server, where the rules and the budget allow it.
     fn resume(&mut self, id: ExchangeId) -> bool {
         let now = self.net.clock.now();
-        let Some(exchange) = self.exchanges.get(id) else { return false };
-        let Phase::Relaying(relay) = &exchange.phase else { return false };
+        let Some(exchange) = self.exchanges.get(id) else {
+            return false;
+        };
+        let Phase::Relaying(relay) = &exchange.phase else {
+            return false;
+        };
         let in_time = exchange.deadline.since(now) >= RESUME_LEAST;
-        let Some(last_event_id) = relay.last_event_id.clone() else { return false };
+        let Some(last_event_id) = relay.last_event_id.clone() else {
+            return false;
+        };
         if !exchange.terms.resumable || !exchange.may_send() || !in_time {
             return false;
         }
@@ -100,12 +141,23 @@
         let mut terms = exchange.terms.clone();
         // The module begins anew: it gets what is left of the route's attempts.
         terms.max_attempts -= exchange.sends.min(terms.max_attempts - 1);
-        let Some(service) = self.services.get_mut(exchange.service) else { return false };
-        let ask = Ask { exchange: id, terms: &terms, prompt, deadline };
-        let Some((query, class)) = service.take_resumed(now, &ask) else { return false };
+        let Some(service) = self.services.get_mut(exchange.service) else {
+            return false;
+        };
+        let ask = Ask {
+            exchange: id,
+            terms: &terms,
+            prompt,
+            deadline,
+        };
+        let Some((query, class)) = service.take_resumed(now, &ask) else {
+            return false;
+        };
         service.stream_ended(server);
         self.exchanges.on_broken_off(id, last_event_id);
-        let Some(exchange) = self.exchanges.get_mut(id) else { return false };
+        let Some(exchange) = self.exchanges.get_mut(id) else {
+            return false;
+        };
         service.release(std::mem::replace(&mut exchange.class, class));
         exchange.query = Some(query);
         true
@@ -120,13 +172,16 @@
             return self.cut(id, CutReason::NotResumed);
         }
         if let Some(exchange) = self.finish(id) {
-            self.clients.end(&mut self.net, exchange.client, &mut self.client_events);
+            self.clients
+                .end(&mut self.net, exchange.client, &mut self.client_events);
         }
     }
 
     /// Writes what has been passed on; its server rests while the client is behind.
     fn flush(&mut self, id: ExchangeId, client: ConnId) {
-        let unwritten = self.clients.flush(&mut self.net, client, &mut self.client_events);
+        let unwritten = self
+            .clients
+            .flush(&mut self.net, client, &mut self.client_events);
         self.set_paused(id, unwritten > UNWRITTEN_MOST);
     }
 
@@ -138,15 +193,20 @@
     }
 
     fn set_paused(&mut self, id: ExchangeId, on: bool) {
-        let Some(exchange) = self.exchanges.get_mut(id) else { return };
-        let Phase::Relaying(relay) = &mut exchange.phase else { return };
+        let Some(exchange) = self.exchanges.get_mut(id) else {
+            return;
+        };
+        let Phase::Relaying(relay) = &mut exchange.phase else {
+            return;
+        };
         if std::mem::replace(&mut relay.paused, on) != on {
             self.connections.pause(&mut self.net, relay.attempt, on);
         }
     }
 }
 
-/// Whether an answer goes on behind this event: a stream of events whose ids are beyond it, where both are numbers.
+/// Whether an answer goes on behind this event: a stream of events whose ids are beyond it, where
+/// both are numbers.
 fn goes_on(last: &[u8], head: &ResponseHead, part: &Part) -> bool {
     let number = |id: &[u8]| std::str::from_utf8(id).ok()?.trim().parse::<u64>().ok();
     let beyond = match (number(last), part.last_event_id.as_deref().and_then(number)) {
--- a/fleet/src/router/request.rs
+++ b/fleet/src/router/request.rs
@@ -1,18 +1,21 @@
 //! Requests of clients: read from their connections, and written for servers.
 //!
-//! It promises that a server gets method, target and body as the client sent them, and every header but those that concern one
-//! connection alone and those that this program sets. A request has one reading or none: what two programs could read in two ways is
-//! refused.
+//! It promises that a server gets method, target and body as the client sent them, and every header
+//! but those that concern one connection alone and those that this program sets. A request has one
+//! reading or none: what two programs could read in two ways is refused.
 
 use super::prefix::Prompt;
 use super::tenants::Sender;
 use lichenswitch_configuration::{KeyDigest, Limits};
-use lichenswitch_http::{parse_request_head, BodyDecoder, Framing, Headers, Malformed, RequestHead};
+use lichenswitch_http::{
+    parse_request_head, BodyDecoder, Framing, Headers, Malformed, RequestHead,
+};
 use lichenswitch_net::buffer::Buffer;
 use std::io::Write as _;
 use std::time::Duration;
 
-/// Headers that this program sets itself, that concern how a body travels, or that are for this program alone.
+/// Headers that this program sets itself, that concern how a body travels, or that are for this
+/// program alone.
 const OWN: [&str; 8] = [
     "content-length",
     "deadline-ms",
@@ -165,7 +168,9 @@
     /// Bytes of a body that it holds.
     #[must_use]
     pub fn held(&self) -> usize {
-        self.request.as_ref().map_or(0, |(request, _)| request.body.len())
+        self.request
+            .as_ref()
+            .map_or(0, |(request, _)| request.body.len())
     }
 
     /// Reads on.
@@ -174,14 +179,18 @@
     /// What comes is no request within the limits.
     pub fn read(&mut self, input: &mut Buffer) -> Result<Progress, Malformed> {
         if self.request.is_none() && !self.read_head(input)? {
-            return Ok(Progress::More { expects_continue: false });
+            return Ok(Progress::More {
+                expects_continue: false,
+            });
         }
         let whole = self.read_body(input)?;
         match self.request.take_if(|_| whole) {
             Some((request, _)) => Ok(Progress::Whole(request)),
             None => {
                 let waits = std::mem::take(&mut self.expects_continue);
-                Ok(Progress::More { expects_continue: waits && self.held() == 0 })
+                Ok(Progress::More {
+                    expects_continue: waits && self.held() == 0,
+                })
             }
         }
     }
@@ -189,8 +198,14 @@
     /// `false`: it is not whole yet.
     fn read_head(&mut self, input: &mut Buffer) -> Result<bool, Malformed> {
         let parsed = parse_request_head(input.bytes(), self.max_header_bytes)?;
-        let Some((head, used)) = parsed else { return Ok(false) };
-        let line = input.bytes().split(|byte| *byte == b'\r').next().unwrap_or_default();
+        let Some((head, used)) = parsed else {
+            return Ok(false);
+        };
+        let line = input
+            .bytes()
+            .split(|byte| *byte == b'\r')
+            .next()
+            .unwrap_or_default();
         // What is passed on as it comes needs chunks, which older clients can't read.
         if !line.ends_with(b"HTTP/1.1") {
             return Err(Malformed(505, "version"));
@@ -204,7 +219,9 @@
 
     /// `false`: it is not whole yet.
     fn read_body(&mut self, input: &mut Buffer) -> Result<bool, Malformed> {
-        let Some((request, decoder)) = &mut self.request else { return Ok(false) };
+        let Some((request, decoder)) = &mut self.request else {
+            return Ok(false);
+        };
         loop {
             let decoded = decoder.decode(input.bytes())?;
             request.body.extend_from_slice(decoded.body);
@@ -223,7 +240,9 @@
         return Err(Malformed(400, "target without a path"));
     }
     let headers = &head.headers;
-    let host = only(headers, "host")?.ok_or(Malformed(400, "no host"))?.to_owned();
+    let host = only(headers, "host")?
+        .ok_or(Malformed(400, "no host"))?
+        .to_owned();
     let deadline = only(headers, "deadline-ms")?.and_then(|text| text.parse::<u64>().ok());
     Ok(ClientRequest {
         host,
@@ -231,7 +250,9 @@
         attempt_id: only(headers, "attempt-id")?.map(str::to_owned),
         deadline: deadline.map(|ms| Duration::from_millis(ms).min(MAX_DEADLINE)),
         prompt: Prompt::read(headers.get("model"), headers.get("prompt-prefix")),
-        key: only_bytes(headers, "api-key")?.filter(|key| !key.is_empty()).map(KeyDigest::of),
+        key: only_bytes(headers, "api-key")?
+            .filter(|key| !key.is_empty())
+            .map(KeyDigest::of),
         tokens: token_usage(only_bytes(headers, "token-usage")?),
         last_event_id: headers.get("last-event-id").map(<[u8]>::to_vec),
         body: Vec::new(),
@@ -246,7 +267,10 @@
 pub(super) fn lines(headers: &Headers, without: &[&str]) -> Vec<u8> {
     let mut lines = Vec::with_capacity(512);
     for field in headers.end_to_end() {
-        if without.iter().any(|name| field.name.eq_ignore_ascii_case(name)) {
+        if without
+            .iter()
+            .any(|name| field.name.eq_ignore_ascii_case(name))
+        {
             continue;
         }
         lines.extend_from_slice(field.name.as_bytes());
@@ -259,7 +283,8 @@
 
 /// The value of a header that may come once.
 fn only<'a>(headers: &'a Headers, name: &'a str) -> Result<Option<&'a str>, Malformed> {
-    let text = |value| std::str::from_utf8(value).map_err(|_| Malformed(400, "a header is no text"));
+    let text =
+        |value| std::str::from_utf8(value).map_err(|_| Malformed(400, "a header is no text"));
     only_bytes(headers, name)?.map(text).transpose()
 }
 
@@ -274,7 +299,9 @@
 
 /// Reads `Token-Usage`: two whole numbers with a comma between them.
 fn token_usage(value: Option<&[u8]>) -> TokenUsage {
-    let Some(value) = value else { return TokenUsage::Untold };
+    let Some(value) = value else {
+        return TokenUsage::Untold;
+    };
     let number = |text: &str| text.trim_matches([' ', '\t']).parse::<u64>().ok();
     let sum = std::str::from_utf8(value)
         .ok()
--- a/fleet/src/router/request/tests.rs
+++ b/fleet/src/router/request/tests.rs
@@ -1,7 +1,11 @@
 use super::*;
 
 fn reader() -> RequestReader {
-    RequestReader::new(&Limits { max_header_bytes: 1_024, max_body_bytes: 100, ..Limits::default() })
+    RequestReader::new(&Limits {
+        max_header_bytes: 1_024,
+        max_body_bytes: 100,
+        ..Limits::default()
+    })
 }
 
 fn read(bytes: &[u8]) -> Result<Progress, Malformed> {
@@ -25,12 +29,18 @@
 fn a_request_is_the_same_wherever_it_is_cut() {
     let expected = whole(SOUND);
     assert_eq!(expected.deadline, Some(Duration::from_millis(250)));
-    assert_eq!((expected.attempt_id.as_deref(), expected.host.as_str()), (Some("x1"), "h.example"));
+    assert_eq!(
+        (expected.attempt_id.as_deref(), expected.host.as_str()),
+        (Some("x1"), "h.example")
+    );
     assert!(expected.keep_alive);
     for cut in 0..SOUND.len() {
         let (mut reader, mut input) = (reader(), Buffer::default());
         input.push(&SOUND[..cut]);
-        assert!(matches!(reader.read(&mut input), Ok(Progress::More { .. })), "cut at {cut}");
+        assert!(
+            matches!(reader.read(&mut input), Ok(Progress::More { .. })),
+            "cut at {cut}"
+        );
         input.push(&SOUND[cut..]);
         match reader.read(&mut input) {
             Ok(Progress::Whole(request)) => assert_eq!(*request, expected, "cut at {cut}"),
@@ -44,22 +54,40 @@
     let request = whole(SOUND);
     let mut bytes = Vec::new();
     let left = Duration::from_micros(123_900);
-    let send = Send { left, instance: "i-9", priority: 2, resume_after: None, sender: None };
+    let send = Send {
+        left,
+        instance: "i-9",
+        priority: 2,
+        resume_after: None,
+        sender: None,
+    };
     request.encode(&send, &mut bytes);
     let expected: &[u8] = b"POST /a/b?c=%20 HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: x1\r\nModel: m\r\n\
         Token-Usage: 1,2\r\nPrompt-Prefix: a:1,b:2\r\nX-Raw: \xff\xfe\r\nDeadline-Ms: 123\r\nTarget-Instance: i-9\r\n\
         Priority: 2\r\n\
         Last-Event-Id: 7\r\nContent-Length: 4\r\n\r\n";
-    assert_eq!(String::from_utf8_lossy(&bytes), String::from_utf8_lossy(expected));
+    assert_eq!(
+        String::from_utf8_lossy(&bytes),
+        String::from_utf8_lossy(expected)
+    );
     let mut resumed = Vec::new();
-    request.encode(&Send { resume_after: Some(b"31"), ..send }, &mut resumed);
+    request.encode(
+        &Send {
+            resume_after: Some(b"31"),
+            ..send
+        },
+        &mut resumed,
+    );
     let text = String::from_utf8_lossy(&resumed).into_owned();
     assert!(text.contains("Last-Event-Id: 31\r\n") && !text.contains("Last-Event-Id: 7"));
 }
 
 #[test]
 fn what_is_outside_the_limits_or_has_two_readings_is_refused() {
-    let long = format!("GET / HTTP/1.1\r\nHost: h\r\nX: {}\r\n\r\n", "x".repeat(1_100));
+    let long = format!(
+        "GET / HTTP/1.1\r\nHost: h\r\nX: {}\r\n\r\n",
+        "x".repeat(1_100)
+    );
     let cases: [(&[u8], u16); 13] = [
         (b"GET / HTTP/1.1\r\n\r\n", 400),
         (b"GET / HTTP/1.1\r\nHost: a\r\nHost: a\r\n\r\n", 400),
@@ -85,9 +113,19 @@
 fn a_client_that_waits_to_go_on_is_told_once() {
     let (mut reader, mut input) = (reader(), Buffer::default());
     input.push(b"POST / HTTP/1.1\r\nHost: a\r\nExpect: 100-Continue\r\nContent-Length: 2\r\n\r\n");
-    assert!(matches!(reader.read(&mut input), Ok(Progress::More { expects_continue: true })));
+    assert!(matches!(
+        reader.read(&mut input),
+        Ok(Progress::More {
+            expects_continue: true
+        })
+    ));
     input.push(b"o");
-    assert!(matches!(reader.read(&mut input), Ok(Progress::More { expects_continue: false })));
+    assert!(matches!(
+        reader.read(&mut input),
+        Ok(Progress::More {
+            expects_continue: false
+        })
+    ));
     input.push(b"k");
     assert!(matches!(reader.read(&mut input), Ok(Progress::Whole(_))));
 }
--- a/fleet/src/router/response.rs
+++ b/fleet/src/router/response.rs
@@ -1,7 +1,8 @@
 //! Answers: those of servers, read from their connections, and those of this program.
 //!
-//! It promises that a server's answer is given out only as it came: status, body and every header but those that concern one
-//! connection alone; and that it is whole only where its framing says so, or where its connection ended in order if it has none.
+//! It promises that a server's answer is given out only as it came: status, body and every header
+//! but those that concern one connection alone; and that it is whole only where its framing says
+//! so, or where its connection ended in order if it has none.
 
 use super::request::{lines, ClientRequest};
 use lichenswitch_http::{parse_response_head, reason, BodyDecoder, Framing, Headers};
@@ -30,9 +31,15 @@
     /// Reads the header's value: running, waiting and slots, with commas between them.
     #[must_use]
     pub fn parse(value: &str) -> Option<ServerLoad> {
-        let mut figures = value.split(',').map(|figure| figure.trim().parse::<u32>().ok());
+        let mut figures = value
+            .split(',')
+            .map(|figure| figure.trim().parse::<u32>().ok());
         let (running, waiting, slots) = (figures.next()??, figures.next()??, figures.next()??);
-        (figures.next().is_none() && slots > 0).then_some(ServerLoad { running, waiting, slots })
+        (figures.next().is_none() && slots > 0).then_some(ServerLoad {
+            running,
+            waiting,
+            slots,
+        })
     }
 }
 
@@ -63,7 +70,12 @@
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(self.passed.len() + 64);
         // Writes to memory don't fail.
-        let _ = write!(bytes, "HTTP/1.1 {} {}\r\n", self.status, reason(self.status));
+        let _ = write!(
+            bytes,
+            "HTTP/1.1 {} {}\r\n",
+            self.status,
+            reason(self.status)
+        );
         bytes.extend_from_slice(&self.passed);
         bytes
     }
@@ -100,7 +112,13 @@
     #[must_use]
     pub fn new(request: &ClientRequest) -> ResponseReader {
         let head_only = request.is_head();
-        ResponseReader { head_only, body: None, ended: false, keeps: false, idle_time: None }
+        ResponseReader {
+            head_only,
+            body: None,
+            ended: false,
+            keeps: false,
+            idle_time: None,
+        }
     }
 
     /// The next piece; `ended`: the connection has ended in order, and nothing more comes.
@@ -108,13 +126,16 @@
     /// # Errors
     /// What came is no answer, or one that was cut.
     pub fn read(&mut self, input: &mut Buffer, ended: bool) -> Result<Option<Piece>, NoAnswer> {
-        let Some((decoder, _)) = &mut self.body else { return self.read_head(input, ended) };
+        let Some((decoder, _)) = &mut self.body else {
+            return self.read_head(input, ended);
+        };
         if self.ended {
             return Ok(None);
         }
         loop {
             let decoded = decoder.decode(input.bytes()).map_err(|_| NoAnswer)?;
-            let (bytes, used, complete) = (decoded.body.to_vec(), decoded.consumed, decoded.complete);
+            let (bytes, used, complete) =
+                (decoded.body.to_vec(), decoded.consumed, decoded.complete);
             input.consume(used);
             if !bytes.is_empty() {
                 return Ok(Some(Piece::Body(bytes)));
@@ -139,7 +160,9 @@
     /// Whether the answer tells where it ends.
     #[must_use]
     pub fn is_framed(&self) -> bool {
-        self.body.as_ref().is_some_and(|(_, framing)| *framing != Framing::UntilClose)
+        self.body
+            .as_ref()
+            .is_some_and(|(_, framing)| *framing != Framing::UntilClose)
     }
 
     /// For how long the server keeps idle connections, where it tells.
@@ -176,12 +199,18 @@
         }
     }
 
-    fn take_head(&mut self, head: &lichenswitch_http::ResponseHead) -> Result<ResponseHead, NoAnswer> {
+    fn take_head(
+        &mut self,
+        head: &lichenswitch_http::ResponseHead,
+    ) -> Result<ResponseHead, NoAnswer> {
         // What is held is bounded by whoever takes the pieces.
         let decoder = BodyDecoder::new(head.framing, u64::MAX).map_err(|_| NoAnswer)?;
         self.body = Some((decoder, head.framing));
         let headers = &head.headers;
-        (self.keeps, self.idle_time) = (head.keep_alive, headers.text("keep-alive").and_then(idle_time));
+        (self.keeps, self.idle_time) = (
+            head.keep_alive,
+            headers.text("keep-alive").and_then(idle_time),
+        );
         Ok(ResponseHead {
             status: head.status,
             passed: lines(headers, &["content-length"]),
@@ -197,14 +226,21 @@
 
 fn is_event_stream(headers: &Headers) -> bool {
     let kind = headers.text("content-type").unwrap_or_default();
-    kind.split(';').next().unwrap_or_default().trim().eq_ignore_ascii_case("text/event-stream")
+    kind.split(';')
+        .next()
+        .unwrap_or_default()
+        .trim()
+        .eq_ignore_ascii_case("text/event-stream")
 }
 
 /// The seconds of `timeout=N`.
 fn idle_time(value: &str) -> Option<Duration> {
     let seconds = value.split(',').find_map(|part| {
         let (name, seconds) = part.trim().split_once('=')?;
-        name.trim().eq_ignore_ascii_case("timeout").then(|| seconds.trim().parse::<u32>().ok()).flatten()
+        name.trim()
+            .eq_ignore_ascii_case("timeout")
+            .then(|| seconds.trim().parse::<u32>().ok())
+            .flatten()
     });
     seconds.map(|seconds| Duration::from_secs(u64::from(seconds)))
 }
@@ -222,31 +258,48 @@
     /// This status and nothing else.
     #[must_use]
     pub fn plain(status: u16) -> OwnAnswer {
-        OwnAnswer { status, retry_after: None, closes: false }
+        OwnAnswer {
+            status,
+            retry_after: None,
+            closes: false,
+        }
     }
 
     /// This status, and the end of the connection.
     #[must_use]
     pub fn closing(status: u16) -> OwnAnswer {
-        OwnAnswer { closes: true, ..OwnAnswer::plain(status) }
+        OwnAnswer {
+            closes: true,
+            ..OwnAnswer::plain(status)
+        }
     }
 
     /// A refusal: the request has not run and never will.
     #[must_use]
     pub fn refused(after: Option<Micros>) -> OwnAnswer {
-        OwnAnswer { status: 503, retry_after: Some(after.unwrap_or(RETRY_AFTER).max(1_000)), closes: false }
+        OwnAnswer {
+            status: 503,
+            retry_after: Some(after.unwrap_or(RETRY_AFTER).max(1_000)),
+            closes: false,
+        }
     }
 
     /// A refusal of what is beyond a quota: the request has not run and never will.
     #[must_use]
     pub fn beyond_quota(after: Micros) -> OwnAnswer {
-        OwnAnswer { status: 429, ..OwnAnswer::refused(Some(after)) }
+        OwnAnswer {
+            status: 429,
+            ..OwnAnswer::refused(Some(after))
+        }
     }
 
     /// The same, and the end of the connection.
     #[must_use]
     pub fn and_close(self) -> OwnAnswer {
-        OwnAnswer { closes: true, ..self }
+        OwnAnswer {
+            closes: true,
+            ..self
+        }
     }
 
     /// Its bytes; `last`: the connection ends with it.
@@ -255,12 +308,25 @@
         let body = if head_only { "" } else { reason(self.status) };
         let mut bytes = Vec::with_capacity(128);
         // Writes to memory don't fail.
-        let _ = write!(bytes, "HTTP/1.1 {} {}\r\n", self.status, reason(self.status));
+        let _ = write!(
+            bytes,
+            "HTTP/1.1 {} {}\r\n",
+            self.status,
+            reason(self.status)
+        );
         if let Some(after) = self.retry_after {
             let _ = write!(bytes, "retry-after: {:.3}\r\n", after as f64 / 1e6);
         }
-        let _ = write!(bytes, "content-type: text/plain\r\ncontent-length: {}\r\n", body.len());
-        bytes.extend_from_slice(if last { b"connection: close\r\n\r\n" } else { b"\r\n" });
+        let _ = write!(
+            bytes,
+            "content-type: text/plain\r\ncontent-length: {}\r\n",
+            body.len()
+        );
+        bytes.extend_from_slice(if last {
+            b"connection: close\r\n\r\n"
+        } else {
+            b"\r\n"
+        });
         bytes.extend_from_slice(body.as_bytes());
         bytes
     }
--- a/fleet/src/router/response/tests.rs
+++ b/fleet/src/router/response/tests.rs
@@ -12,14 +12,18 @@
     }
 }
 
-/// All pieces of an answer that comes in these parts; `ended`: the connection ends in order behind them.
+/// All pieces of an answer that comes in these parts; `ended`: the connection ends in order behind
+/// them.
 fn read(
     method: &str,
     parts: &[&[u8]],
     ended: bool,
 ) -> Result<(Vec<Piece>, ResponseReader, Vec<u8>), NoAnswer> {
-    let (mut reader, mut input, mut pieces) =
-        (ResponseReader::new(&request(method)), Buffer::default(), Vec::new());
+    let (mut reader, mut input, mut pieces) = (
+        ResponseReader::new(&request(method)),
+        Buffer::default(),
+        Vec::new(),
+    );
     for (n, part) in parts.iter().enumerate() {
         input.push(part);
         let last = ended && n + 1 == parts.len();
@@ -34,7 +38,13 @@
 fn body(pieces: &[Piece]) -> Vec<u8> {
     pieces
         .iter()
-        .flat_map(|piece| if let Piece::Body(bytes) = piece { bytes.clone() } else { Vec::new() })
+        .flat_map(|piece| {
+            if let Piece::Body(bytes) = piece {
+                bytes.clone()
+            } else {
+                Vec::new()
+            }
+        })
         .collect()
 }
 
@@ -45,17 +55,31 @@
 #[test]
 fn an_answer_is_the_same_wherever_it_is_cut() {
     for cut in 0..WHOLE.len() {
-        let (pieces, reader, rest) = read("GET", &[&WHOLE[..cut], &WHOLE[cut..]], false).expect("an answer");
+        let (pieces, reader, rest) =
+            read("GET", &[&WHOLE[..cut], &WHOLE[cut..]], false).expect("an answer");
         assert_matches!(&pieces[0], Piece::Head(head) if head.status == 200 && head.event_stream && head.sealed);
-        assert_eq!((body(&pieces).as_slice(), pieces.last()), (&b"abcde"[..], Some(&Piece::End)));
+        assert_eq!(
+            (body(&pieces).as_slice(), pieces.last()),
+            (&b"abcde"[..], Some(&Piece::End))
+        );
         assert_eq!(rest, b"EXTRA", "what is behind it is left where it is");
         assert!(reader.keeps_connection() && reader.is_framed());
         assert_eq!(reader.idle_time(), Some(Duration::from_secs(8)));
-        let Piece::Head(head) = &pieces[0] else { panic!("a head comes first") };
+        let Piece::Head(head) = &pieces[0] else {
+            panic!("a head comes first")
+        };
         let text = String::from_utf8(head.encode()).expect("text");
         let lines: Vec<&str> = text.lines().collect();
-        let kept = ["Attempt-Id: x", "Response-Seal: a.b", "Content-Type: Text/Event-Stream; charset=utf-8"];
-        assert_eq!(lines[1..], kept, "what concerns one connection alone is left out");
+        let kept = [
+            "Attempt-Id: x",
+            "Response-Seal: a.b",
+            "Content-Type: Text/Event-Stream; charset=utf-8",
+        ];
+        assert_eq!(
+            lines[1..],
+            kept,
+            "what concerns one connection alone is left out"
+        );
     }
 }
 
@@ -63,7 +87,10 @@
 fn an_answer_without_a_length_is_whole_with_an_orderly_end_alone() {
     let bytes: &[u8] = b"HTTP/1.1 200 OK\r\nAttempt-Id: x\r\n\r\nsome";
     let (pieces, reader, _) = read("GET", &[bytes], true).expect("an answer");
-    assert_eq!((body(&pieces).as_slice(), pieces.last()), (&b"some"[..], Some(&Piece::End)));
+    assert_eq!(
+        (body(&pieces).as_slice(), pieces.last()),
+        (&b"some"[..], Some(&Piece::End))
+    );
     assert!(!reader.keeps_connection());
     let (pieces, ..) = read("GET", &[bytes], false).expect("the beginning of an answer");
     assert!(!pieces.contains(&Piece::End));
@@ -78,7 +105,11 @@
         b"",
     ];
     for bytes in cut {
-        assert!(read("GET", &[bytes], true).is_err(), "{}", String::from_utf8_lossy(bytes));
+        assert!(
+            read("GET", &[bytes], true).is_err(),
+            "{}",
+            String::from_utf8_lossy(bytes)
+        );
     }
 }
 
@@ -93,7 +124,11 @@
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n",
     ];
     for bytes in none {
-        assert!(read("GET", &[bytes], false).is_err(), "{}", String::from_utf8_lossy(bytes));
+        assert!(
+            read("GET", &[bytes], false).is_err(),
+            "{}",
+            String::from_utf8_lossy(bytes)
+        );
     }
 }
 
@@ -109,7 +144,10 @@
 
 #[test]
 fn a_server_that_closes_says_so() {
-    for head in ["HTTP/1.1 200 OK\r\nConnection: Close\r\n", "HTTP/1.0 200 OK\r\n"] {
+    for head in [
+        "HTTP/1.1 200 OK\r\nConnection: Close\r\n",
+        "HTTP/1.0 200 OK\r\n",
+    ] {
         let bytes = format!("{head}Content-Length: 0\r\n\r\n");
         let (_, reader, _) = read("GET", &[bytes.as_bytes()], false).expect("an answer");
         assert!(!reader.keeps_connection(), "{head}");
@@ -127,10 +165,25 @@
 
 #[test]
 fn server_load_has_one_reading() {
-    let load = |running, waiting, slots| Some(ServerLoad { running, waiting, slots });
+    let load = |running, waiting, slots| {
+        Some(ServerLoad {
+            running,
+            waiting,
+            slots,
+        })
+    };
     assert_eq!(ServerLoad::parse("3,0,8"), load(3, 0, 8));
     assert_eq!(ServerLoad::parse(" 3 , 1 , 8 "), load(3, 1, 8));
-    for value in ["", "3,0", "3,0,8,1", "3,0,0", "-1,0,8", "a,0,8", "3,0,99999999999", "3;0;8"] {
+    for value in [
+        "",
+        "3,0",
+        "3,0,8,1",
+        "3,0,0",
+        "-1,0,8",
+        "a,0,8",
+        "3,0,99999999999",
+        "3;0;8",
+    ] {
         assert_eq!(ServerLoad::parse(value), None, "{value:?}");
     }
 }
--- a/fleet/src/router/server_connections.rs
+++ b/fleet/src/router/server_connections.rs
@@ -1,10 +1,14 @@
 //! Connections to model servers: one request at a time on each.
 //!
 //! It owns every connection to a server. It promises:
-//! - an answer is given out only for the request that is out on its connection, and only if it bears that request's `Attempt-Id`;
-//! - a connection is used again only after a whole, framed answer with nothing behind it, and closed after anything odd;
-//! - a request that may not run twice is written only on a connection that is new or was used a moment ago;
-//! - an attempt is told as never sent only while no byte of its request has been given to the system;
+//! - an answer is given out only for the request that is out on its connection, and only if it
+//!   bears that request's `Attempt-Id`;
+//! - a connection is used again only after a whole, framed answer with nothing behind it, and
+//!   closed after anything odd;
+//! - a request that may not run twice is written only on a connection that is new or was used a
+//!   moment ago;
+//! - an attempt is told as never sent only while no byte of its request has been given to the
+//!   system;
 //! - nothing is sent to a server that drains or is gone, however long the attempt had waited.
 
 mod pool;
@@ -26,23 +30,27 @@
 
 /// Most bytes read ahead of a server at a time.
 const CEILING: usize = 64 * 1_024;
-/// A connection that is not up after this long never comes up (microseconds). Links within a region take milliseconds; a lost opening
-/// packet is sent again after a second.
+/// A connection that is not up after this long never comes up (microseconds). Links within a region
+/// take milliseconds; a lost opening packet is sent again after a second.
 const CONNECT: Micros = 1_000_000;
-/// How long a connection may have rested before a request that may not run twice is written on it (microseconds). Servers may forget
-/// idle connections without a word; those closed sooner than this tell no time in whole seconds either.
+/// How long a connection may have rested before a request that may not run twice is written on it
+/// (microseconds). Servers may forget idle connections without a word; those closed sooner than
+/// this tell no time in whole seconds either.
 const FRESH: Micros = 400_000;
-/// A connection whose server told no time is used again within this (microseconds): times under a second are not told.
+/// A connection whose server told no time is used again within this (microseconds): times under a
+/// second are not told.
 const UNTOLD_IDLE: Micros = 500_000;
 /// Share of the time told by a server for which its idle connections are used.
 const TOLD_SHARE: f64 = 0.75;
 /// How long an attempt waits where all connections to its server are in use (microseconds).
 const WAIT: Micros = 100_000;
-/// An answer that is not a stream is passed on whole up to this length, and as it comes beyond it (bytes).
+/// An answer that is not a stream is passed on whole up to this length, and as it comes beyond it
+/// (bytes).
 const MAX_WHOLE: usize = 256 * 1_024;
-/// A longer body may find no room at a server that has not read its beginning yet (bytes): half of what systems give a connection.
-/// A server that is only silent is waited for, also one that answers before it has read all: until its answer is whole nothing but the
-/// request's time ends such a connection.
+/// A longer body may find no room at a server that has not read its beginning yet (bytes): half of
+/// what systems give a connection. A server that is only silent is waited for, also one that
+/// answers before it has read all: until its answer is whole nothing but the request's time ends
+/// such a connection.
 const LONG_BODY: usize = 32 * 1_024;
 /// Most bytes of one event.
 const MAX_EVENT: usize = 256 * 1_024;
@@ -102,7 +110,8 @@
 pub enum ServerEvent {
     /// It was answered, whole.
     Answered(AttemptId, Answer),
-    /// An answer has begun that is passed on as it comes: its head, its length where that is told, and its first part.
+    /// An answer has begun that is passed on as it comes: its head, its length where that is told,
+    /// and its first part.
     Begun(AttemptId, Box<ResponseHead>, Option<u64>, Part),
     /// More of it.
     More(AttemptId, Part),
@@ -189,7 +198,8 @@
         self.open(net, attempt);
     }
 
-    /// Gives an attempt up: its server sees the connection end. Nothing is told of it any more. `true`: not a byte of it has left.
+    /// Gives an attempt up: its server sees the connection end. Nothing is told of it any more.
+    /// `true`: not a byte of it has left.
     pub fn withdraw(&mut self, net: &mut Net, id: AttemptId) -> bool {
         if let Some(connection) = self.by_attempt.remove(&id) {
             let opening = matches!(self.state(connection), Some(State::Opening(_)));
@@ -199,7 +209,8 @@
         self.take_waiting(id)
     }
 
-    /// A server takes nothing new: what has not left for it is told as never sent, and its idle connections are closed.
+    /// A server takes nothing new: what has not left for it is told as never sent, and its idle
+    /// connections are closed.
     pub fn hold_back(&mut self, net: &mut Net, server: ServerId) {
         for attempt in self.waiting.remove(&server).unwrap_or_default() {
             self.fail(attempt.id, Outcome::Moot);
@@ -229,7 +240,9 @@
 
     /// Reading of an attempt's answer rests, since its client is slow, or goes on.
     pub fn pause(&mut self, net: &mut Net, id: AttemptId, on: bool) {
-        let Some(&connection) = self.by_attempt.get(&id) else { return };
+        let Some(&connection) = self.by_attempt.get(&id) else {
+            return;
+        };
         if net.pause(connection, on) != Pumped::Alive {
             self.broken(net, connection);
         }
@@ -254,7 +267,9 @@
     /// A connection's timer: it should be up by now, or may have rested for too long.
     pub fn timer(&mut self, net: &mut Net, id: ConnId) {
         let now = net.clock.now();
-        let Some(link) = self.links.get_mut(&id) else { return };
+        let Some(link) = self.links.get_mut(&id) else {
+            return;
+        };
         link.timer = link.timer.filter(|at| *at > now);
         match &link.state {
             State::Opening(_) => self.opened(net, id, &Pumped::NeverUp),
@@ -286,14 +301,18 @@
     /// Takes an attempt out of those that wait; `false`: it is none of them.
     fn take_waiting(&mut self, id: AttemptId) -> bool {
         let before = self.waiting.values().map(VecDeque::len).sum::<usize>();
-        self.waiting.values_mut().for_each(|queue| queue.retain(|attempt| attempt.id != id));
+        self.waiting
+            .values_mut()
+            .for_each(|queue| queue.retain(|attempt| attempt.id != id));
         self.waiting.retain(|_, queue| !queue.is_empty());
         self.waiting.values().map(VecDeque::len).sum::<usize>() < before
     }
 
     /// Sets a connection's timer, where none is set that fires before.
     fn arm(&mut self, net: &mut Net, id: ConnId, at: Time) {
-        let Some(link) = self.links.get_mut(&id) else { return };
+        let Some(link) = self.links.get_mut(&id) else {
+            return;
+        };
         if link.timer.is_none_or(|set| at < set) {
             link.timer = Some(at);
             net.wheel.set(at, Timer::Server(id));
@@ -306,9 +325,12 @@
         if *pumped == Pumped::Alive && !up {
             return;
         }
-        let Some(link) = self.links.get_mut(&id) else { return };
+        let Some(link) = self.links.get_mut(&id) else {
+            return;
+        };
         let now = net.clock.now();
-        let State::Opening(attempt) = std::mem::replace(&mut link.state, State::Idle(now, now)) else {
+        let State::Opening(attempt) = std::mem::replace(&mut link.state, State::Idle(now, now))
+        else {
             return;
         };
         // A server that speaks before it was asked speaks to nobody.
@@ -349,7 +371,14 @@
         let ends = conn.send(&attempt.request.body);
         let reader = ResponseReader::new(&attempt.request);
         let (attempt_id, body) = (attempt.id, Body::None);
-        link.state = State::Busy(Box::new(Current { attempt, begins, ends, reader, body, early: false }));
+        link.state = State::Busy(Box::new(Current {
+            attempt,
+            begins,
+            ends,
+            reader,
+            body,
+            early: false,
+        }));
         self.by_attempt.insert(attempt_id, id);
         if net.flush(id, false) != Pumped::Alive {
             self.broken(net, id);
@@ -360,10 +389,15 @@
     fn read(&mut self, net: &mut Net, id: ConnId, pumped: &Pumped) {
         let broken = *pumped != Pumped::Alive;
         loop {
-            let (Some(link), Some(conn)) = (self.links.get_mut(&id), net.get_mut(id)) else { return };
-            let State::Busy(current) = &mut link.state else { return };
+            let (Some(link), Some(conn)) = (self.links.get_mut(&id), net.get_mut(id)) else {
+                return;
+            };
+            let State::Busy(current) = &mut link.state else {
+                return;
+            };
             current.early |= !conn.input.is_empty() && conn.written() < current.ends;
-            // The end of a connection is the end of an answer only if the connection ended in order.
+            // The end of a connection is the end of an answer only if the connection ended in
+            // order.
             let ended = conn.ended && !broken;
             match current.reader.read(&mut conn.input, ended) {
                 Ok(Some(piece)) => match current.take(piece) {
@@ -389,14 +423,25 @@
         }
     }
 
-    /// The answer is whole: the connection rests for the next request, unless something about it was odd.
+    /// The answer is whole: the connection rests for the next request, unless something about it
+    /// was odd.
     fn finished(&mut self, net: &mut Net, id: ConnId) {
         let now = net.clock.now();
-        let (Some(link), Some(conn)) = (self.links.get_mut(&id), net.get(id)) else { return };
-        let State::Busy(current) = std::mem::replace(&mut link.state, State::Idle(now, now)) else { return };
+        let (Some(link), Some(conn)) = (self.links.get_mut(&id), net.get(id)) else {
+            return;
+        };
+        let State::Busy(current) = std::mem::replace(&mut link.state, State::Idle(now, now)) else {
+            return;
+        };
         self.by_attempt.remove(&current.attempt.id);
-        let clean = conn.input.is_empty() && !conn.ended && !current.early && conn.written() == current.ends;
-        let told = current.reader.idle_time().map(|told| micros(told.mul_f64(TOLD_SHARE)));
+        let clean = conn.input.is_empty()
+            && !conn.ended
+            && !current.early
+            && conn.written() == current.ends;
+        let told = current
+            .reader
+            .idle_time()
+            .map(|told| micros(told.mul_f64(TOLD_SHARE)));
         let keep = told.unwrap_or(UNTOLD_IDLE);
         if !clean || !current.reader.keeps_connection() || keep == 0 {
             return self.close(net, id);
@@ -420,7 +465,11 @@
         let written = net.get(id).map_or(u64::MAX, |conn| conn.written());
         if let Some(State::Busy(current)) = self.state(id) {
             // Once the first byte may have gone the request may have run.
-            let outcome = if written <= current.begins { Outcome::ConnectFailed } else { Outcome::Reset };
+            let outcome = if written <= current.begins {
+                Outcome::ConnectFailed
+            } else {
+                Outcome::Reset
+            };
             let attempt = current.attempt.id;
             self.fail(attempt, outcome);
         }
@@ -430,5 +479,6 @@
 
 /// Nothing has come on a connection, and it has not ended.
 fn is_quiet(net: &Net, id: ConnId) -> bool {
-    net.get(id).is_some_and(|conn| conn.input.is_empty() && !conn.ended)
+    net.get(id)
+        .is_some_and(|conn| conn.input.is_empty() && !conn.ended)
 }
--- a/fleet/src/router/server_connections/pool.rs
+++ b/fleet/src/router/server_connections/pool.rs
@@ -6,7 +6,8 @@
 use lichenswitch_net::{ConnId, Denied, Pumped};
 
 impl ServerConnections {
-    /// An idle connection on which this attempt may be written; the one used last, so that others fall out of use.
+    /// An idle connection on which this attempt may be written; the one used last, so that others
+    /// fall out of use.
     pub(super) fn idle_connection(&mut self, net: &mut Net, attempt: &Attempt) -> Option<ConnId> {
         let now = net.clock.now();
         let known = self.by_server.get(&attempt.server)?;
@@ -15,7 +16,11 @@
             State::Opening(_) | State::Busy(_) => None,
         });
         let (since, until, id) = idle.max_by_key(|(since, ..)| *since)?;
-        let most = if attempt.idempotent { until } else { until.min(since.plus(FRESH)) };
+        let most = if attempt.idempotent {
+            until
+        } else {
+            until.min(since.plus(FRESH))
+        };
         if now >= most {
             return None;
         }
@@ -39,7 +44,14 @@
                 self.by_server.entry(server).or_default().push(id);
                 let up = net.get(id).is_some_and(|conn| conn.up);
                 let state = State::Opening(Box::new(attempt));
-                self.links.insert(id, Link { server, state, timer: None });
+                self.links.insert(
+                    id,
+                    Link {
+                        server,
+                        state,
+                        timer: None,
+                    },
+                );
                 self.arm(net, id, net.clock.now().plus(CONNECT));
                 if up {
                     self.opened(net, id, &Pumped::Alive);
@@ -52,8 +64,12 @@
     }
 
     pub(super) fn wait(&mut self, net: &mut Net, attempt: Attempt) {
-        net.wheel.set(net.clock.now().plus(WAIT), Timer::Waiting(attempt.id));
-        self.waiting.entry(attempt.server).or_default().push_back(attempt);
+        net.wheel
+            .set(net.clock.now().plus(WAIT), Timer::Waiting(attempt.id));
+        self.waiting
+            .entry(attempt.server)
+            .or_default()
+            .push_back(attempt);
     }
 
     pub(super) fn next_waiting(&mut self, server: ServerId) -> Option<Attempt> {
@@ -78,15 +94,20 @@
             State::Idle(since, _) => Some((since, *id)),
             _ => None,
         });
-        let Some((_, id)) = idle.min() else { return false };
+        let Some((_, id)) = idle.min() else {
+            return false;
+        };
         self.close(net, id);
         true
     }
 
-    /// Takes a connection out of the table: the one place where it is given back. One that waits for a place gets it.
+    /// Takes a connection out of the table: the one place where it is given back. One that waits
+    /// for a place gets it.
     pub(super) fn close(&mut self, net: &mut Net, id: ConnId) {
         net.close(id);
-        let Some(link) = self.links.remove(&id) else { return };
+        let Some(link) = self.links.remove(&id) else {
+            return;
+        };
         if let Some(known) = self.by_server.get_mut(&link.server) {
             known.retain(|other| *other != id);
             if known.is_empty() {
--- a/fleet/src/router/server_connections/reading.rs
+++ b/fleet/src/router/server_connections/reading.rs
@@ -50,10 +50,16 @@
                 if body.len() <= MAX_WHOLE {
                     return Taken::Nothing;
                 }
-                let Body::Whole(head, body) = std::mem::replace(&mut self.body, Body::Passed) else {
+                let Body::Whole(head, body) = std::mem::replace(&mut self.body, Body::Passed)
+                else {
                     return Taken::Odd;
                 };
-                Taken::Event(ServerEvent::Begun(id, head, self.reader.length(), part_of(body, None)))
+                Taken::Event(ServerEvent::Begun(
+                    id,
+                    head,
+                    self.reader.length(),
+                    part_of(body, None),
+                ))
             }
             Body::Events(head, scanner) => {
                 if scanner.push(bytes).is_err() {
@@ -62,7 +68,9 @@
                 let whole = scanner.whole().len();
                 // Comments before the first event are passed on with it.
                 if whole == 0
-                    || (head.is_some() && scanner.last_event_id().is_none() && !has_field(scanner.whole()))
+                    || (head.is_some()
+                        && scanner.last_event_id().is_none()
+                        && !has_field(scanner.whole()))
                 {
                     return Taken::Nothing;
                 }
@@ -81,27 +89,42 @@
         match std::mem::replace(&mut self.body, Body::Passed) {
             Body::None => Taken::Odd,
             Body::Passed => Taken::Whole(ServerEvent::Completed(id, Vec::new())),
-            Body::Whole(head, body) => Taken::Whole(ServerEvent::Answered(id, Answer { head: *head, body })),
-            // Without a length the end of the connection is the end of the answer, and a server that breaks off in the midst of an
-            // event ends it as well.
-            Body::Events(_, scanner) if !scanner.partial().is_empty() && !self.reader.is_framed() => {
+            Body::Whole(head, body) => {
+                Taken::Whole(ServerEvent::Answered(id, Answer { head: *head, body }))
+            }
+            // Without a length the end of the connection is the end of the answer, and a server
+            // that breaks off in the midst of an event ends it as well.
+            Body::Events(_, scanner)
+                if !scanner.partial().is_empty() && !self.reader.is_framed() =>
+            {
                 Taken::Odd
             }
-            Body::Events(Some(head), scanner) => {
-                Taken::Whole(ServerEvent::Answered(id, Answer { head: *head, body: rest_of(&scanner) }))
+            Body::Events(Some(head), scanner) => Taken::Whole(ServerEvent::Answered(
+                id,
+                Answer {
+                    head: *head,
+                    body: rest_of(&scanner),
+                },
+            )),
+            Body::Events(None, scanner) => {
+                Taken::Whole(ServerEvent::Completed(id, rest_of(&scanner)))
             }
-            Body::Events(None, scanner) => Taken::Whole(ServerEvent::Completed(id, rest_of(&scanner))),
         }
     }
 }
 
 pub(super) fn part_of(bytes: Vec<u8>, last_event_id: Option<&[u8]>) -> Part {
-    Part { bytes, last_event_id: last_event_id.map(<[u8]>::to_vec) }
+    Part {
+        bytes,
+        last_event_id: last_event_id.map(<[u8]>::to_vec),
+    }
 }
 
 /// Whether these whole lines hold more than comments and line ends.
 pub(super) fn has_field(lines: &[u8]) -> bool {
-    lines.split(|byte| matches!(byte, b'\n' | b'\r')).any(|line| !line.is_empty() && line[0] != b':')
+    lines
+        .split(|byte| matches!(byte, b'\n' | b'\r'))
+        .any(|line| !line.is_empty() && line[0] != b':')
 }
 
 pub(super) fn rest_of(scanner: &Scanner) -> Vec<u8> {
--- a/fleet/src/router/servers.rs
+++ b/fleet/src/router/servers.rs
@@ -1,7 +1,8 @@
 //! What this router knows of model servers, merged from all that control machines push.
 //!
-//! It owns the table of instances. It promises that the table is a lattice: whatever order records come in, and from whichever
-//! control machine, the result is the same; `draining` and `gone` are final; an instance that a push leaves out stays as it was.
+//! It owns the table of instances. It promises that the table is a lattice: whatever order records
+//! come in, and from whichever control machine, the result is the same; `draining` and `gone` are
+//! final; an instance that a push leaves out stays as it was.
 
 use super::prefix::stable_hash;
 use lichenswitch_interface::{Listed, Mode, ServerId};
@@ -10,11 +11,11 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Instances that are gone and still remembered, so that a late record revives none. Control forgets them after a minute; this many
-/// are the restarts of the largest fleet in ten.
+/// Instances that are gone and still remembered, so that a late record revives none. Control
+/// forgets them after a minute; this many are the restarts of the largest fleet in ten.
 const MAX_REMEMBERED_GONE: usize = 2_048;
-/// Groups that the servers of a service are dealt into. The module looks for another holder at once after a failed connection only
-/// while it has tried fewer servers than there are groups.
+/// Groups that the servers of a service are dealt into. The module looks for another holder at once
+/// after a failed connection only while it has tried fewer servers than there are groups.
 pub const GROUPS: u32 = 4;
 
 /// One instance.
@@ -71,12 +72,18 @@
     /// An empty table of a router in this zone, which gets number 0.
     #[must_use]
     pub fn new(zone: &str) -> ServerTable {
-        ServerTable { zones: HashMap::from([(zone.to_owned(), 0)]), ..ServerTable::default() }
+        ServerTable {
+            zones: HashMap::from([(zone.to_owned(), 0)]),
+            ..ServerTable::default()
+        }
     }
 
     /// Merges a push; tells the lines that changed.
     pub fn merge(&mut self, records: &[ServerRecord]) -> Vec<Change> {
-        records.iter().filter_map(|record| self.merge_one(record)).collect()
+        records
+            .iter()
+            .filter_map(|record| self.merge_one(record))
+            .collect()
     }
 
     /// Where a server is; `None`: it is gone, or was listed without a usable address.
@@ -84,15 +91,24 @@
     pub fn endpoint(&self, server: ServerId) -> Option<Endpoint> {
         let name = self.by_server.get(&server)?;
         let instance = self.instances.get(name)?;
-        let address = instance.address.filter(|_| instance.state != ServerState::Gone)?;
+        let address = instance
+            .address
+            .filter(|_| instance.state != ServerState::Gone)?;
         let leaving = instance.state != ServerState::Ready;
-        Some(Endpoint { instance: name.clone(), address, leaving })
+        Some(Endpoint {
+            instance: name.clone(),
+            address,
+            leaving,
+        })
     }
 
     /// Lines of all servers of a service that are not gone.
     #[must_use]
     pub fn lines_of(&self, service: &str) -> Vec<Listed> {
-        let of = self.instances.values().filter(|i| &*i.service == service && i.state != ServerState::Gone);
+        let of = self
+            .instances
+            .values()
+            .filter(|i| &*i.service == service && i.state != ServerState::Gone);
         of.map(line).collect()
     }
 
@@ -107,7 +123,9 @@
         let address = record.address.parse().ok();
         if let Some((name, known)) = self.instances.get_key_value(record.instance.as_str()) {
             let older = record.state < known.state;
-            if older || (record.state == known.state && record.sequence_number < known.sequence_number) {
+            if older
+                || (record.state == known.state && record.sequence_number < known.sequence_number)
+            {
                 return None;
             }
             let name = name.clone();
@@ -160,16 +178,24 @@
         if was != ServerState::Gone && record.state == ServerState::Gone {
             self.bury(name.clone());
         }
-        (before != after).then_some(Change { service, line: after })
+        (before != after).then_some(Change {
+            service,
+            line: after,
+        })
     }
 
-    /// Remembers that an instance is gone, and forgets the one that has been gone for longest where there are too many.
+    /// Remembers that an instance is gone, and forgets the one that has been gone for longest where
+    /// there are too many.
     fn bury(&mut self, name: Rc<str>) {
         self.gone.push_back(name);
         if self.gone.len() <= MAX_REMEMBERED_GONE {
             return;
         }
-        if let Some(instance) = self.gone.pop_front().and_then(|oldest| self.instances.remove(&oldest)) {
+        if let Some(instance) = self
+            .gone
+            .pop_front()
+            .and_then(|oldest| self.instances.remove(&oldest))
+        {
             self.by_server.remove(&instance.server);
         }
     }
@@ -202,7 +228,13 @@
         (ServerState::Gone, _) => Mode::Gone,
     };
     let cell = instance.server.0 % GROUPS;
-    Listed { server: instance.server, cell, zone: instance.zone, mode, started: None }
+    Listed {
+        server: instance.server,
+        cell,
+        zone: instance.zone,
+        mode,
+        started: None,
+    }
 }
 
 #[cfg(test)]
--- a/fleet/src/router/servers/tests.rs
+++ b/fleet/src/router/servers/tests.rs
@@ -13,7 +13,11 @@
 }
 
 fn modes(table: &ServerTable) -> Vec<Mode> {
-    table.lines_of("pool").iter().map(|line| line.mode).collect()
+    table
+        .lines_of("pool")
+        .iter()
+        .map(|line| line.mode)
+        .collect()
 }
 
 #[test]
@@ -29,7 +33,9 @@
         let mut order = records.to_vec();
         rng.shuffle(&mut order);
         let mut table = ServerTable::new("z1");
-        order.iter().for_each(|record| _ = table.merge(std::slice::from_ref(record)));
+        order
+            .iter()
+            .for_each(|record| _ = table.merge(std::slice::from_ref(record)));
         assert_eq!(modes(&table), [Mode::Draining], "{order:?}");
     }
 }
@@ -38,8 +44,12 @@
 fn what_is_gone_stays_gone_also_if_that_is_the_first_word_of_it() {
     let mut table = ServerTable::new("z1");
     assert!(table.merge(&[record("i", ServerState::Gone, 0)]).is_empty());
-    assert!(table.merge(&[record("i", ServerState::Ready, 9)]).is_empty());
-    assert!(table.merge(&[record("i", ServerState::Draining, 9)]).is_empty());
+    assert!(table
+        .merge(&[record("i", ServerState::Ready, 9)])
+        .is_empty());
+    assert!(table
+        .merge(&[record("i", ServerState::Draining, 9)])
+        .is_empty());
     assert_eq!(table.count(), 0);
     table.merge(&[record("j", ServerState::Ready, 1)]);
     let server = table.lines_of("pool")[0].server;
@@ -53,7 +63,11 @@
 fn the_tombstone_of_an_instance_names_the_service_that_it_was_of() {
     let mut table = ServerTable::new("z1");
     table.merge(&[record("i", ServerState::Ready, 1)]);
-    let bare = ServerRecord { instance: "i".into(), state: ServerState::Gone, ..ServerRecord::default() };
+    let bare = ServerRecord {
+        instance: "i".into(),
+        state: ServerState::Gone,
+        ..ServerRecord::default()
+    };
     let changes = table.merge(&[bare]);
     assert_eq!(&*changes[0].service, "pool");
 }
@@ -62,10 +76,23 @@
 fn only_what_changed_is_told() {
     let mut table = ServerTable::new("z1");
     assert_eq!(table.merge(&[record("i", ServerState::Ready, 1)]).len(), 1);
-    assert!(table.merge(&[record("i", ServerState::Ready, 2)]).is_empty(), "a beat is no news");
-    let unheard = ServerRecord { unheard: true, ..record("i", ServerState::Ready, 2) };
+    assert!(
+        table
+            .merge(&[record("i", ServerState::Ready, 2)])
+            .is_empty(),
+        "a beat is no news"
+    );
+    let unheard = ServerRecord {
+        unheard: true,
+        ..record("i", ServerState::Ready, 2)
+    };
     assert_eq!(table.merge(&[unheard])[0].line.mode, Mode::Leaving);
-    assert_eq!(table.merge(&[record("i", ServerState::Ready, 3)])[0].line.mode, Mode::Ready);
+    assert_eq!(
+        table.merge(&[record("i", ServerState::Ready, 3)])[0]
+            .line
+            .mode,
+        Mode::Ready
+    );
 }
 
 #[test]
@@ -82,9 +109,16 @@
 fn zones_are_numbered_with_the_own_one_first() {
     let mut table = ServerTable::new("z2");
     table.merge(&[record("i", ServerState::Ready, 1)]);
-    let other = ServerRecord { zone: "z9".into(), ..record("jj", ServerState::Ready, 1) };
+    let other = ServerRecord {
+        zone: "z9".into(),
+        ..record("jj", ServerState::Ready, 1)
+    };
     table.merge(&[other]);
-    let mut zones: Vec<u32> = table.lines_of("pool").iter().map(|line| line.zone).collect();
+    let mut zones: Vec<u32> = table
+        .lines_of("pool")
+        .iter()
+        .map(|line| line.zone)
+        .collect();
     zones.sort_unstable();
     assert_eq!(zones, [0, 1]);
 }
@@ -94,7 +128,10 @@
     let mut table = ServerTable::new("z1");
     for n in 0..MAX_REMEMBERED_GONE + 100 {
         let name = format!("i{n}");
-        table.merge(&[record(&name, ServerState::Ready, 1), record(&name, ServerState::Gone, 1)]);
+        table.merge(&[
+            record(&name, ServerState::Ready, 1),
+            record(&name, ServerState::Gone, 1),
+        ]);
     }
     assert_eq!(table.count(), 0);
     assert_eq!(table.instances.len(), MAX_REMEMBERED_GONE);
--- a/fleet/src/router/service.rs
+++ b/fleet/src/router/service.rs
@@ -1,7 +1,8 @@
-//! One service: its core with the decision module, and what joins them to routes, servers and attempts.
+//! One service: its core with the decision module, and what joins them to routes, servers and
+//! attempts.
 //!
-//! It promises that a request keeps the class it was taken with, whatever configuration comes meanwhile, and that every server which
-//! the module knows is known by its latest line.
+//! It promises that a request keeps the class it was taken with, whatever configuration comes
+//! meanwhile, and that every server which the module knows is known by its latest line.
 
 use super::budget::{module_budget, ResumeBudget};
 use super::configuration::Terms;
@@ -12,15 +13,15 @@
 use super::servers::GROUPS;
 use lichenswitch_core::{Command, Contracts, Core, Refusal, Request, Value};
 use lichenswitch_interface::{
-    Class, Layout, Limits, Listed, Listing, Load, Micros, Mode, Outcome, Placement, QueryId, Repeat,
-    ServerId, Settings, Shard, Time, FIRST_SHARE,
+    Class, Layout, Limits, Listed, Listing, Load, Micros, Mode, Outcome, Placement, QueryId,
+    Repeat, ServerId, Settings, Shard, Time, FIRST_SHARE,
 };
 use lichenswitch_placement::Backlog;
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
 
-/// Advice to clients that are refused is at most this long (microseconds): they heed up to a third of the time they have left, and
-/// what is served within its aim from the new try still earns.
+/// Advice to clients that are refused is at most this long (microseconds): they heed up to a third
+/// of the time they have left, and what is served within its aim from the new try still earns.
 const RETRY_AFTER: Micros = 300_000;
 /// A route that is a rank less urgent is worth this much less in a jam.
 const RANK_WORTH: f64 = 0.8;
@@ -28,15 +29,20 @@
 const LEAST_CONNECTIONS: usize = 2;
 /// The same where the operator names no most.
 const UNTOLD_CONNECTIONS: usize = 16;
-/// How fast the part of slots taken follows what servers tell: each answer moves it by this share of the difference.
+/// How fast the part of slots taken follows what servers tell: each answer moves it by this share
+/// of the difference.
 const LOAD_PACE: f64 = 0.1;
-/// The part of slots taken counts as this at the least, so that a router with many streams at one server still sees them.
+/// The part of slots taken counts as this at the least, so that a router with many streams at one
+/// server still sees them.
 const LEAST_SLOTS_TAKEN: f64 = 0.05;
-/// Servers are told apart by their backlogs in steps of so many tokens at the least: what is known of them is a tenth of a second old.
+/// Servers are told apart by their backlogs in steps of so many tokens at the least: what is known
+/// of them is a tenth of a second old.
 const LEAST_BACKLOG_STEP: f64 = 3_072.0;
-/// The same for each token of a prompt that is shared: to be read again it has to be worth the wait.
+/// The same for each token of a prompt that is shared: to be read again it has to be worth the
+/// wait.
 const BACKLOG_A_SHARED_TOKEN: f64 = 20.0;
-/// The core of a service never sees more attempts of one request than this, whatever its route says.
+/// The core of a service never sees more attempts of one request than this, whatever its route
+/// says.
 const MOST_ATTEMPTS: u32 = 16;
 
 /// A service.
@@ -56,7 +62,8 @@
     told_connections: Option<u32>,
     told_slots: Option<u32>,
     max_connections: usize,
-    /// So many streams that run on at a server weigh as much as one request that waits for its answer there.
+    /// So many streams that run on at a server weigh as much as one request that waits for its
+    /// answer there.
     streams_a_request: u32,
     /// This router's share of a server's slots, 1 at the least.
     slot_share: u32,
@@ -106,7 +113,11 @@
         lines: Vec<Listed>,
     ) -> Service {
         let settings = settings(capacity, module_budget(budget, 0));
-        let ready = lines.iter().filter(|line| line.mode == Mode::Ready).map(|line| line.server).collect();
+        let ready = lines
+            .iter()
+            .filter(|line| line.mode == Mode::Ready)
+            .map(|line| line.server)
+            .collect();
         let mut core = Core::new(seed, settings, Contracts::default(), capacity.bytes);
         core.listed(Listing::Whole(lines));
         Service {
@@ -129,7 +140,9 @@
 
     /// The routes of the configuration in force that may send to it.
     pub fn set_routes(&mut self, routes: Vec<Terms>) {
-        self.classes.iter_mut().for_each(|slot| slot.in_force = false);
+        self.classes
+            .iter_mut()
+            .for_each(|slot| slot.in_force = false);
         for terms in routes {
             let (place, _) = self.place(&terms);
             self.classes[place].in_force = true;
@@ -144,7 +157,8 @@
         self.share_servers(routers);
     }
 
-    /// Connections and requests that each of its servers takes from all callers together, where that is told.
+    /// Connections and requests that each of its servers takes from all callers together, where
+    /// that is told.
     pub fn set_capacity(&mut self, connections: Option<u32>, slots: Option<u32>, routers: u32) {
         (self.told_connections, self.told_slots) = (connections, slots);
         self.share_servers(routers);
@@ -238,7 +252,8 @@
         self.weigh_streams();
     }
 
-    /// A stream runs on at a server, whose first event has answered its request as far as the module is concerned.
+    /// A stream runs on at a server, whose first event has answered its request as far as the
+    /// module is concerned.
     pub fn stream_begun(&mut self, server: ServerId) {
         self.loads.entry(server).or_default().streams += 1;
         self.tell_load(server);
@@ -246,7 +261,9 @@
 
     /// It has ended.
     pub fn stream_ended(&mut self, server: ServerId) {
-        let Some(loads) = self.loads.get_mut(&server) else { return };
+        let Some(loads) = self.loads.get_mut(&server) else {
+            return;
+        };
         loads.streams = loads.streams.saturating_sub(1);
         self.tell_load(server);
     }
@@ -261,9 +278,15 @@
 
     /// Nothing is known any more of what waits for other routers.
     pub fn forget_backlogs(&mut self) {
-        let known: Vec<ServerId> =
-            self.loads.iter().filter(|(_, loads)| loads.backlog > 0).map(|(server, _)| *server).collect();
-        known.into_iter().for_each(|server| self.set_backlog(server, 0));
+        let known: Vec<ServerId> = self
+            .loads
+            .iter()
+            .filter(|(_, loads)| loads.backlog > 0)
+            .map(|(server, _)| *server)
+            .collect();
+        known
+            .into_iter()
+            .for_each(|server| self.set_backlog(server, 0));
     }
 
     /// Tells the module what loads a server, and forgets it where that is nothing.
@@ -273,7 +296,13 @@
             self.loads.remove(&server);
         }
         let streams = loads.streams / self.streams_a_request;
-        self.core.set_load(server, Load { streams, backlog: loads.backlog });
+        self.core.set_load(
+            server,
+            Load {
+                streams,
+                backlog: loads.backlog,
+            },
+        );
     }
 
     /// Which of equal servers a request with this prompt is to go to.
@@ -282,7 +311,10 @@
         let shared = f64::from(prompt.shared_tokens) * BACKLOG_A_SHARED_TOKEN;
         // A conversion from floating point ends at the bounds of the type.
         let backlog_step = mean_backlog.max(shared).max(LEAST_BACKLOG_STEP) as u32;
-        Placement { prefix: prompt.prefix, backlog_step }
+        Placement {
+            prefix: prompt.prefix,
+            backlog_step,
+        }
     }
 
     /// Whether nothing is held by it.
@@ -305,14 +337,22 @@
         }
     }
 
-    /// The class of these terms: the one that has them, one that nobody needs any more, or a new one; `true`: the module has yet to be
-    /// told of it.
+    /// The class of these terms: the one that has them, one that nobody needs any more, or a new
+    /// one; `true`: the module has yet to be told of it.
     fn place(&mut self, terms: &Terms) -> (usize, bool) {
         if let Some(place) = self.classes.iter().position(|slot| slot.terms == *terms) {
             return (place, false);
         }
-        let slot = Slot { terms: terms.clone(), held: 0, in_force: false };
-        match self.classes.iter().position(|slot| slot.held == 0 && !slot.in_force) {
+        let slot = Slot {
+            terms: terms.clone(),
+            held: 0,
+            in_force: false,
+        };
+        match self
+            .classes
+            .iter()
+            .position(|slot| slot.held == 0 && !slot.in_force)
+        {
             Some(place) => {
                 self.classes[place] = slot;
                 (place, true)
@@ -325,7 +365,8 @@
     }
 
     fn tell_classes(&mut self) {
-        self.core.set_classes(self.classes.iter().map(|slot| class(&slot.terms)).collect());
+        self.core
+            .set_classes(self.classes.iter().map(|slot| class(&slot.terms)).collect());
     }
 
     /// This router's share of each server.
@@ -340,10 +381,13 @@
         self.weigh_streams();
     }
 
-    /// A stream weighs as a request only where slots are short: as many weigh one as this router's share of a server's slots, or, where
-    /// servers tell that more is free, as many as would fill that share at the part of the slots that is taken.
+    /// A stream weighs as a request only where slots are short: as many weigh one as this router's
+    /// share of a server's slots, or, where servers tell that more is free, as many as would fill
+    /// that share at the part of the slots that is taken.
     fn weigh_streams(&mut self) {
-        let by_load = self.slots_taken.map_or(1.0, |taken| 1.0 / taken.max(LEAST_SLOTS_TAKEN));
+        let by_load = self
+            .slots_taken
+            .map_or(1.0, |taken| 1.0 / taken.max(LEAST_SLOTS_TAKEN));
         // At most 1 / LEAST_SLOTS_TAKEN.
         self.streams_a_request = self.slot_share.max(by_load as u32);
     }
@@ -354,9 +398,14 @@
     Class {
         aim: terms.target_latency,
         deadline: terms.timeout,
-        repeat: if terms.idempotent { Repeat::Safe } else { Repeat::Unsafe },
+        repeat: if terms.idempotent {
+            Repeat::Safe
+        } else {
+            Repeat::Unsafe
+        },
         worth: RANK_WORTH.powi(i32::from(terms.rank)),
-        // Nobody tells what a late answer is worth: it is waited for to its end, since silence is no reason to give up sooner.
+        // Nobody tells what a late answer is worth: it is waited for to its end, since silence is
+        // no reason to give up sooner.
         late_share: 1.0,
         need: 1.0,
         floor: 1.0,
@@ -380,7 +429,12 @@
             retry_after: Some(RETRY_AFTER),
             budget: Some(budget),
         },
-        layout: Layout { cells: GROUPS, width: GROUPS, shards: 1, parts_a_call: 1 },
+        layout: Layout {
+            cells: GROUPS,
+            width: GROUPS,
+            shards: 1,
+            parts_a_call: 1,
+        },
         ..Settings::default()
     }
 }
--- a/fleet/src/router/service/tests.rs
+++ b/fleet/src/router/service/tests.rs
@@ -14,28 +14,58 @@
 impl Stage {
     /// Two servers with so many slots, before this many routers.
     fn new(slots: Option<u32>, routers: u32) -> Stage {
-        let line = |id| Listed { server: ServerId(id), cell: id, zone: 0, mode: Mode::Ready, started: None };
-        let capacity = Capacity { requests: 100, bytes: 1 << 20, descriptors: 100 };
-        let budget = RetryBudget { ratio: 0.2, slack: 100.0, window: Duration::from_secs(10) };
+        let line = |id| Listed {
+            server: ServerId(id),
+            cell: id,
+            zone: 0,
+            mode: Mode::Ready,
+            started: None,
+        };
+        let capacity = Capacity {
+            requests: 100,
+            bytes: 1 << 20,
+            descriptors: 100,
+        };
+        let budget = RetryBudget {
+            ratio: 0.2,
+            slack: 100.0,
+            window: Duration::from_secs(10),
+        };
         let mut service = Service::new(Rc::from("s"), 1, capacity, budget, vec![line(1), line(2)]);
         service.set_routes(vec![terms()]);
         service.set_routers(budget, routers);
         service.set_capacity(None, slots, routers);
-        Stage { service, now: Time(SECOND), next: 0 }
+        Stage {
+            service,
+            now: Time(SECOND),
+            next: 0,
+        }
     }
 
     /// Where a request with a shared beginning is sent, which is answered by a stream that runs on.
     fn stream(&mut self) -> ServerId {
         self.next += 1;
         let exchange = ExchangeId(self.next);
-        let prompt = Prompt { prefix: 77, ..Prompt::default() };
-        let ask = Ask { exchange, terms: &terms(), prompt, deadline: self.now.plus(SECOND) };
+        let prompt = Prompt {
+            prefix: 77,
+            ..Prompt::default()
+        };
+        let ask = Ask {
+            exchange,
+            terms: &terms(),
+            prompt,
+            deadline: self.now.plus(SECOND),
+        };
         self.service.take(self.now, &ask).expect("there is room");
         self.now = self.now.plus(SECOND / 100);
-        let sent = self.service.turn(self.now).into_iter().find_map(|command| match command {
-            Command::Send(server, parts) => Some((server, parts[0].attempt)),
-            _ => None,
-        });
+        let sent = self
+            .service
+            .turn(self.now)
+            .into_iter()
+            .find_map(|command| match command {
+                Command::Send(server, parts) => Some((server, parts[0].attempt)),
+                _ => None,
+            });
         let (server, attempt) = sent.expect("it is sent");
         self.service.ended(self.now, attempt, Outcome::Ok);
         self.service.stream_begun(server);
@@ -67,9 +97,14 @@
 fn streams_of_a_beginning_stay_together_up_to_a_routers_share_of_a_servers_slots() {
     assert_eq!(streams_together(Some(64), 8), 8);
     assert_eq!(streams_together(Some(64), 4), 16);
-    // Shares of less than two slots, or none that is told: each stream weighs as much as a request that waits.
+    // Shares of less than two slots, or none that is told: each stream weighs as much as a request
+    // that waits.
     for (slots, routers) in [(Some(64), 72), (Some(1), 1), (None, 1)] {
-        assert_eq!(streams_together(slots, routers), 1, "{slots:?} slots, {routers} routers");
+        assert_eq!(
+            streams_together(slots, routers),
+            1,
+            "{slots:?} slots, {routers} routers"
+        );
     }
 }
 
@@ -84,7 +119,13 @@
 #[test]
 fn streams_weigh_little_while_servers_tell_that_most_slots_are_free() {
     let mut stage = Stage::new(Some(64), 72);
-    let told = |running| Some(ServerLoad { running, waiting: 0, slots: 100 });
+    let told = |running| {
+        Some(ServerLoad {
+            running,
+            waiting: 0,
+            slots: 100,
+        })
+    };
     stage.service.on_load(told(10));
     assert_eq!(stage.service.streams_a_request, 10);
     // What a single server tells moves it a little.
@@ -102,7 +143,11 @@
 }
 
 fn prompt(shared_tokens: u32) -> Prompt {
-    Prompt { prefix: 77, shared_tokens, ..Prompt::default() }
+    Prompt {
+        prefix: 77,
+        shared_tokens,
+        ..Prompt::default()
+    }
 }
 
 #[test]
@@ -123,9 +168,15 @@
     stage.service.set_backlog(ServerId(1), 10_000);
     assert_eq!(stage.service.placement(prompt(0)).backlog_step, 10_000);
     stage.service.forget_backlogs();
-    assert_eq!(stage.service.placement(prompt(0)).backlog_step, LEAST_BACKLOG_STEP as u32);
+    assert_eq!(
+        stage.service.placement(prompt(0)).backlog_step,
+        LEAST_BACKLOG_STEP as u32
+    );
     assert_eq!(stage.service.backlog, 0);
-    assert!(stage.service.loads.is_empty(), "nothing is held of servers that nothing loads");
+    assert!(
+        stage.service.loads.is_empty(),
+        "nothing is held of servers that nothing loads"
+    );
 }
 
 #[test]
--- a/fleet/src/router/services.rs
+++ b/fleet/src/router/services.rs
@@ -26,29 +26,46 @@
     /// No services yet.
     #[must_use]
     pub fn new(seed: u64, capacity: Capacity, budget: RetryBudget) -> Services {
-        Services { all: BTreeMap::new(), next: 0, seed, capacity, budget, routers: 0 }
+        Services {
+            all: BTreeMap::new(),
+            next: 0,
+            seed,
+            capacity,
+            budget,
+            routers: 0,
+        }
     }
 
-    /// A configuration comes in force. Services that it does not name stay until what they hold has ended.
+    /// A configuration comes in force. Services that it does not name stay until what they hold has
+    /// ended.
     pub fn apply(&mut self, in_force: &InForce, servers: &ServerTable) {
         for described in in_force.document().services() {
-            let id = self.id_of(&described.name).unwrap_or_else(|| self.add(&described.name, servers));
+            let id = self
+                .id_of(&described.name)
+                .unwrap_or_else(|| self.add(&described.name, servers));
             if let Some(service) = self.all.get_mut(&id) {
                 service.set_routes(in_force.terms_of(&described.name));
-                service.set_capacity(described.max_connections, described.capacity_slots, self.routers);
+                service.set_capacity(
+                    described.max_connections,
+                    described.capacity_slots,
+                    self.routers,
+                );
             }
         }
         let named = |service: &Service| in_force.document().service(&service.name).is_some();
         for service in self.all.values_mut().filter(|service| !named(service)) {
             service.set_routes(Vec::new());
         }
-        self.all.retain(|_, service| named(service) || !service.is_idle());
+        self.all
+            .retain(|_, service| named(service) || !service.is_idle());
     }
 
     /// Lines of services' lists have changed.
     pub fn listed(&mut self, changes: &[Change]) {
         for service in self.all.values_mut() {
-            let of = changes.iter().filter(|change| change.service == service.name);
+            let of = changes
+                .iter()
+                .filter(|change| change.service == service.name);
             let lines: Vec<Listed> = of.map(|change| change.line).collect();
             // The module sums its list up anew each time that it is told of it.
             if !lines.is_empty() {
@@ -61,7 +78,9 @@
     pub fn set_routers(&mut self, routers: u32) {
         if std::mem::replace(&mut self.routers, routers) != routers {
             let budget = self.budget;
-            self.all.values_mut().for_each(|service| service.set_routers(budget, routers));
+            self.all
+                .values_mut()
+                .for_each(|service| service.set_routers(budget, routers));
         }
     }
 
@@ -69,13 +88,18 @@
     pub fn set_budget(&mut self, budget: RetryBudget) {
         self.budget = budget;
         let routers = self.routers;
-        self.all.values_mut().for_each(|service| service.set_routers(budget, routers));
+        self.all
+            .values_mut()
+            .for_each(|service| service.set_routers(budget, routers));
     }
 
     /// The service of this name.
     #[must_use]
     pub fn id_of(&self, name: &str) -> Option<ServiceId> {
-        self.all.iter().find(|(_, service)| &*service.name == name).map(|(id, _)| *id)
+        self.all
+            .iter()
+            .find(|(_, service)| &*service.name == name)
+            .map(|(id, _)| *id)
     }
 
     /// A service.
@@ -119,8 +143,13 @@
         let id = ServiceId(self.next);
         self.next += 1;
         let seed = self.seed.wrapping_add(u64::from(id.0));
-        let mut service =
-            Service::new(Rc::from(name), seed, self.capacity, self.budget, servers.lines_of(name));
+        let mut service = Service::new(
+            Rc::from(name),
+            seed,
+            self.capacity,
+            self.budget,
+            servers.lines_of(name),
+        );
         service.set_routers(self.budget, self.routers);
         self.all.insert(id, service);
         id
--- a/fleet/src/router/shutdown.rs
+++ b/fleet/src/router/shutdown.rs
@@ -1,10 +1,13 @@
 //! The end of the process: SIGTERM to exit.
 //!
-//! It promises: not ready at once; what has been read is answered; until the platform has had time to learn, new requests are taken, but
-//! only those whose time is over before this process ends, so that no answer is begun which the end would cut off; the others are refused
-//! at once, which sends their clients to another router. The process ends as soon as nothing is left, and shortly before the grace is
-//! over in any case, with a final answer for all that it held when it was told. A stream that its client may go on with elsewhere, and whose
-//! time reaches beyond that, is cut between two events as early as may be, so that as much as can be of its time is left for the rest.
+//! It promises: not ready at once; what has been read is answered; until the platform has had time
+//! to learn, new requests are taken, but only those whose time is over before this process ends, so
+//! that no answer is begun which the end would cut off; the others are refused at once, which sends
+//! their clients to another router. The process ends as soon as nothing is left, and shortly before
+//! the grace is over in any case, with a final answer for all that it held when it was told. A
+//! stream that its client may go on with elsewhere, and whose time reaches beyond that, is cut
+//! between two events as early as may be, so that as much as can be of its time is left for the
+//! rest.
 
 use super::cut::CutReason;
 use super::exchange::Phase;
@@ -31,8 +34,8 @@
 pub struct Shutdown {
     /// When the process was told.
     began: Time,
-    /// Listeners close then. Connections that rest are kept to the end of the process: a request that crosses their end would have been
-    /// read for nothing.
+    /// Listeners close then. Connections that rest are kept to the end of the process: a request
+    /// that crosses their end would have been read for nothing.
     closes: Time,
     /// Streams that may go on elsewhere, and can't end here, are cut from then on.
     hands_over: Time,
@@ -89,7 +92,9 @@
     /// Does what is due of a shutdown.
     pub(super) fn go_on_stopping(&mut self) {
         let now = self.net.clock.now();
-        let Some(mut shutdown) = self.shutdown else { return };
+        let Some(mut shutdown) = self.shutdown else {
+            return;
+        };
         if now >= shutdown.closes && !shutdown.closed {
             shutdown.closed = true;
             // Who has connected already is served or told.
@@ -114,7 +119,9 @@
     /// Cuts the streams that their clients may go on with elsewhere, and that have time for it.
     fn hand_streams_over(&mut self, ends: Time) {
         for id in self.exchanges.ids() {
-            let Some(exchange) = self.exchanges.get(id) else { continue };
+            let Some(exchange) = self.exchanges.get(id) else {
+                continue;
+            };
             let goes_on = exchange.terms.resumable && exchange.deadline > ends;
             if goes_on && matches!(exchange.phase, Phase::Relaying(_)) {
                 self.cut(id, CutReason::HandedOver);
@@ -122,17 +129,22 @@
         }
     }
 
-    /// Of what is held still, all was in hand when the signal came; but for what is over at this very moment.
+    /// Of what is held still, all was in hand when the signal came; but for what is over at this
+    /// very moment.
     fn check_finished(&self, id: ExchangeId, began: Time) {
         let now = self.net.clock.now();
-        let Some(exchange) = self.exchanges.get(id) else { return };
+        let Some(exchange) = self.exchanges.get(id) else {
+            return;
+        };
         let holds = exchange.taken <= began || exchange.deadline <= now;
         invariants::check(holds, Invariant::TakenIsFinished);
     }
 
     /// Whether all that was read has been answered, and nobody new can come.
     pub(super) fn is_finished(&self) -> bool {
-        let Some(shutdown) = self.shutdown else { return false };
+        let Some(shutdown) = self.shutdown else {
+            return false;
+        };
         let over = shutdown.ended && self.net.clock.now() >= after(shutdown.ends, RESERVE / 2);
         let empty = self.exchanges.is_empty() && self.awaiting_quota.is_empty();
         shutdown.closed && empty && (over || self.clients.busy(&self.net) == 0)
--- a/fleet/src/router/tenants.rs
+++ b/fleet/src/router/tenants.rs
@@ -1,7 +1,7 @@
 //! Tenants at a router: whose key a request bears, and whether the tenant's quota lets it through.
 //!
-//! It promises that a server is told of no tenant but the one that holds the client's key, that a key is neither sent on nor logged, and
-//! that what is refused here has been sent to nobody.
+//! It promises that a server is told of no tenant but the one that holds the client's key, that a
+//! key is neither sent on nor logged, and that what is refused here has been sent to nobody.
 
 use super::configuration::{InForce, Terms};
 use super::exchange::Exchange;
@@ -19,11 +19,14 @@
 use std::fmt::Write as _;
 use std::rc::Rc;
 
-/// Part of a route's target latency that a request may wait for its quota: who is refused within a quarter of it may come back in time.
+/// Part of a route's target latency that a request may wait for its quota: who is refused within a
+/// quarter of it may come back in time.
 const WAIT_SHARE: Micros = 4;
-/// It may wait so long in any case (microseconds): a holder that is gone takes 60 ms to be passed over.
+/// It may wait so long in any case (microseconds): a holder that is gone takes 60 ms to be passed
+/// over.
 const LEAST_WAIT: Micros = 90_000;
-/// What a turn of the loop may take between a look at the clock and its effect (microseconds): the bounds on quotas leave room for that.
+/// What a turn of the loop may take between a look at the clock and its effect (microseconds): the
+/// bounds on quotas leave room for that.
 const TURN: Micros = 250_000;
 /// Advice where it can't be told now whether a key holds (microseconds).
 const RETRY_AFTER: Micros = 200_000;
@@ -73,7 +76,8 @@
 }
 
 impl InForce {
-    /// The sender of a request on a route; none where the configuration asks for no key and the request bears none that is held.
+    /// The sender of a request on a route; none where the configuration asks for no key and the
+    /// request bears none that is held.
     ///
     /// # Errors
     /// The route needs a key, and no tenant holds the request's.
@@ -82,7 +86,9 @@
         public: bool,
         key: Option<KeyDigest>,
     ) -> Result<Option<(&Tenant, KeyDigest)>, Denial> {
-        let Some(tenants) = self.document().tenants() else { return Ok(None) };
+        let Some(tenants) = self.document().tenants() else {
+            return Ok(None);
+        };
         let held = key.and_then(|key| Some((tenants.get(self.keys.holder(&key)?)?, key)));
         match held {
             None if !public => Err(Denial::NoHolder),
@@ -93,7 +99,10 @@
     /// A tenant by name.
     #[must_use]
     pub fn tenant(&self, name: &str) -> Option<&Tenant> {
-        self.document().tenants()?.iter().find(|tenant| tenant.name == name)
+        self.document()
+            .tenants()?
+            .iter()
+            .find(|tenant| tenant.name == name)
     }
 }
 
@@ -101,7 +110,11 @@
     /// Of a tenant.
     #[must_use]
     pub fn new(tenant: &Tenant, key: KeyDigest) -> Sender {
-        Sender { tenant: tenant.name.clone(), header: header_value(&tenant.name), key }
+        Sender {
+            tenant: tenant.name.clone(),
+            header: header_value(&tenant.name),
+            key,
+        }
     }
 }
 
@@ -132,7 +145,8 @@
 }
 
 impl Router {
-    /// Finds the sender of a request, and checks that what is known of keys is fresh enough to go by.
+    /// Finds the sender of a request, and checks that what is known of keys is fresh enough to go
+    /// by.
     pub(super) fn authenticate(
         &self,
         in_force: &InForce,
@@ -149,14 +163,19 @@
         }
     }
 
-    /// Whether a request that was taken may be sent as things stand now: its key is held still, and that is fresh knowledge.
+    /// Whether a request that was taken may be sent as things stand now: its key is held still, and
+    /// that is fresh knowledge.
     pub(super) fn check_sender(&self, sender: Option<&Sender>) -> Result<(), Denial> {
-        let (Some(sender), Some(in_force)) = (sender, self.configuration.get()) else { return Ok(()) };
+        let (Some(sender), Some(in_force)) = (sender, self.configuration.get()) else {
+            return Ok(());
+        };
         if !self.freshness.serves_keys(self.net.clock.now()) {
             return Err(Denial::OutOfDate);
         }
         // Without tenants, nobody is asked for a key.
-        in_force.sender(in_force.document().tenants().is_none(), Some(sender.key)).map(drop)
+        in_force
+            .sender(in_force.document().tenants().is_none(), Some(sender.key))
+            .map(drop)
     }
 
     /// Lets a request through if its tenant's quota allows it, or keeps it until that is known.
@@ -167,10 +186,11 @@
         admission: Admission,
     ) -> Result<(), Turned> {
         let now = self.net.clock.now();
-        let tenant = admission
-            .sender
-            .as_ref()
-            .and_then(|sender| self.configuration.get().and_then(|in_force| in_force.tenant(&sender.tenant)));
+        let tenant = admission.sender.as_ref().and_then(|sender| {
+            self.configuration
+                .get()
+                .and_then(|in_force| in_force.tenant(&sender.tenant))
+        });
         let Some(tenant) = tenant.filter(|tenant| tenant.quota.is_some()) else {
             return self.hold(client, request, admission);
         };
@@ -187,7 +207,8 @@
                 held
             }
             Taken::Waits => {
-                self.awaiting_quota.insert(client, AwaitingQuota { request, admission });
+                self.awaiting_quota
+                    .insert(client, AwaitingQuota { request, admission });
                 self.net.wheel.set(until, Timer::Quota);
                 Ok(())
             }
@@ -203,24 +224,32 @@
             self.allowances.on_link_lost();
             self.freshness.on_link_lost();
         }
-        let has_tenants =
-            self.configuration.get().is_some_and(|in_force| in_force.document().tenants().is_some());
+        let has_tenants = self
+            .configuration
+            .get()
+            .is_some_and(|in_force| in_force.document().tenants().is_some());
         if !has_tenants || !self.link.is_greeted() {
             return;
         }
         let now = self.net.clock.now();
         if self.freshness.asks(now) {
-            self.link.send_tenant_message(&mut self.net, &TenantMessage::Confirm { stamp: now.0 });
+            self.link
+                .send_tenant_message(&mut self.net, &TenantMessage::Confirm { stamp: now.0 });
         }
         for (id, draw) in self.allowances.draws(now) {
-            self.link.send_tenant_message(&mut self.net, &TenantMessage::Draw(draw_request(id, draw)));
+            self.link
+                .send_tenant_message(&mut self.net, &TenantMessage::Draw(draw_request(id, draw)));
         }
     }
 
     /// A control machine has answered a draw.
     pub(super) fn on_drawn(&mut self, answer: DrawAnswer) {
         let now = self.net.clock.now();
-        let grant = Grant { needs: answer.needs, ahead: answer.ahead, wait: answer.wait_us };
+        let grant = Grant {
+            needs: answer.needs,
+            ahead: answer.ahead,
+            wait: answer.wait_us,
+        };
         let decided = self.allowances.on_grant(now, answer.id, grant);
         self.end_waits(decided);
     }
@@ -247,13 +276,17 @@
 
     fn end_waits(&mut self, decided: Vec<Decided<ConnId>>) {
         for Decided { waiter, taken } in decided {
-            let Some(AwaitingQuota { request, admission }) = self.awaiting_quota.remove(&waiter) else {
+            let Some(AwaitingQuota { request, admission }) = self.awaiting_quota.remove(&waiter)
+            else {
                 continue;
             };
             let outcome = match taken {
                 Taken::Allowed(until) => match self.check_sender(admission.sender.as_deref()) {
                     Ok(()) => {
-                        invariants::check(self.net.clock.now() <= until.plus(TURN), Invariant::GrantIsValid);
+                        invariants::check(
+                            self.net.clock.now() <= until.plus(TURN),
+                            Invariant::GrantIsValid,
+                        );
                         self.hold(waiter, request, admission)
                     }
                     Err(denial) => Err(Turned::of(denial)),
@@ -288,12 +321,24 @@
 }
 
 fn draw_request(id: u64, draw: Draw) -> DrawRequest {
-    let Draw { tenant, unit, needs, ahead } = draw;
+    let Draw {
+        tenant,
+        unit,
+        needs,
+        ahead,
+    } = draw;
     let unit = match unit {
         QuotaUnit::Requests => DrawUnit::Requests,
         QuotaUnit::Tokens => DrawUnit::Tokens,
     };
-    DrawRequest { id, tenant, unit, needs, ahead, pass_on: true }
+    DrawRequest {
+        id,
+        tenant,
+        unit,
+        needs,
+        ahead,
+        pass_on: true,
+    }
 }
 
 #[cfg(test)]
--- a/fleet/src/router/tenants/tests.rs
+++ b/fleet/src/router/tenants/tests.rs
@@ -9,7 +9,11 @@
         "{{\"version\":1,\"routes\":[{{\"name\":\"r\",\"host\":\"h\",\"pathPrefix\":\"/\",\"service\":\"s\"}}],\
          \"services\":[{{\"name\":\"s\"}}]{tenants}}}"
     );
-    let position = ConfigurationPosition { epoch: 1, primary: 1, number: 1 };
+    let position = ConfigurationPosition {
+        epoch: 1,
+        primary: 1,
+        number: 1,
+    };
     InForce::parse(position, text.as_bytes()).expect("a configuration")
 }
 
@@ -20,26 +24,44 @@
 #[test]
 fn a_configuration_without_tenants_asks_for_no_key_and_knows_none() {
     let none = in_force("");
-    assert!(none.sender(false, None).is_ok_and(|sender| sender.is_none()));
-    assert!(none.sender(false, key("any")).is_ok_and(|sender| sender.is_none()));
+    assert!(none
+        .sender(false, None)
+        .is_ok_and(|sender| sender.is_none()));
+    assert!(none
+        .sender(false, key("any"))
+        .is_ok_and(|sender| sender.is_none()));
 }
 
 #[test]
 fn an_empty_list_of_tenants_closes_all_routes_that_are_not_public() {
     let empty = in_force(",\"tenants\":[]");
-    assert_eq!(empty.sender(false, key("any")).err(), Some(Denial::NoHolder));
-    assert!(empty.sender(true, None).is_ok_and(|sender| sender.is_none()));
+    assert_eq!(
+        empty.sender(false, key("any")).err(),
+        Some(Denial::NoHolder)
+    );
+    assert!(empty
+        .sender(true, None)
+        .is_ok_and(|sender| sender.is_none()));
 }
 
 #[test]
 fn a_key_names_its_holder_on_public_routes_as_well() {
-    let held = in_force(r#","tenants":[{"name":"a","apiKeys":["k"]},{"name":"last","apiKeys":[]}]"#);
+    let held =
+        in_force(r#","tenants":[{"name":"a","apiKeys":["k"]},{"name":"last","apiKeys":[]}]"#);
     for public in [false, true] {
-        let sender = held.sender(public, key("k")).expect("served").expect("a tenant");
+        let sender = held
+            .sender(public, key("k"))
+            .expect("served")
+            .expect("a tenant");
         assert_eq!(sender.0.name, "a");
     }
-    assert_eq!(held.sender(false, key("other")).err(), Some(Denial::NoHolder));
-    assert!(held.sender(true, key("other")).is_ok_and(|sender| sender.is_none()));
+    assert_eq!(
+        held.sender(false, key("other")).err(),
+        Some(Denial::NoHolder)
+    );
+    assert!(held
+        .sender(true, key("other"))
+        .is_ok_and(|sender| sender.is_none()));
 }
 
 #[test]
@@ -66,7 +88,8 @@
         request.tokens = tokens;
         request
     };
-    let needs = |tokens| [&tenants[0], &tenants[1]].map(|tenant| need(tenant, &request(tokens)).ok());
+    let needs =
+        |tokens| [&tenants[0], &tenants[1]].map(|tenant| need(tenant, &request(tokens)).ok());
     assert_eq!(needs(TokenUsage::Untold), [Some(200), Some(1)]);
     assert_eq!(needs(TokenUsage::Told(12_000)), [Some(12_000), Some(1)]);
     assert_eq!(needs(TokenUsage::Unreadable), [None, Some(1)]);
--- a/fleet/src/settings/fields.rs
+++ b/fleet/src/settings/fields.rs
@@ -17,7 +17,11 @@
 
 impl<'a> Fields<'a> {
     pub(super) fn new(table: &'a Table) -> Fields<'a> {
-        Fields { table, prefix: String::new(), faults: Vec::new() }
+        Fields {
+            table,
+            prefix: String::new(),
+            faults: Vec::new(),
+        }
     }
 
     pub(super) fn into_faults(self) -> Vec<Fault> {
@@ -28,7 +32,10 @@
         let key = format!("{}{key}", self.prefix);
         // A field that is missing is not also named for what it would have to be.
         if self.faults.iter().all(|fault| fault.key != key) {
-            self.faults.push(Fault { key, reason: reason.into() });
+            self.faults.push(Fault {
+                key,
+                reason: reason.into(),
+            });
         }
     }
 
@@ -104,7 +111,11 @@
                 &empty
             }
         };
-        let mut inner = Fields { table, prefix: format!("{}{key}.", self.prefix), faults: Vec::new() };
+        let mut inner = Fields {
+            table,
+            prefix: format!("{}{key}.", self.prefix),
+            faults: Vec::new(),
+        };
         let value = read(&mut inner);
         self.faults.append(&mut inner.faults);
         value
--- a/fleet/src/settings/mod.rs
+++ b/fleet/src/settings/mod.rs
@@ -1,7 +1,7 @@
 //! Settings of a process: the file that the platform writes for it.
 //!
-//! It owns the typed record and its reading. It promises to ignore fields that it doesn't know, and to name *all* faults of a file at once,
-//! each by its key.
+//! It owns the typed record and its reading. It promises to ignore fields that it doesn't know, and
+//! to name *all* faults of a file at once, each by its key.
 
 mod fields;
 
@@ -44,7 +44,8 @@
     pub zones: BTreeMap<String, String>,
     /// `listenAddresses`.
     pub listen: ListenAddresses,
-    /// `forwarders`: addresses of other processes of the fleet, each with the one that it is reached at instead.
+    /// `forwarders`: addresses of other processes of the fleet, each with the one that it is
+    /// reached at instead.
     pub forwarders: BTreeMap<SocketAddr, SocketAddr>,
     /// `limits` of the process.
     pub limits: Limits,
@@ -186,7 +187,13 @@
 impl fmt::Display for Faults {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (i, fault) in self.0.iter().enumerate() {
-            write!(f, "{}{}: {}", if i > 0 { "; " } else { "" }, fault.key, fault.reason)?;
+            write!(
+                f,
+                "{}{}: {}",
+                if i > 0 { "; " } else { "" },
+                fault.key,
+                fault.reason
+            )?;
         }
         Ok(())
     }
@@ -201,14 +208,18 @@
 impl Settings {
     /// Reads the file at `path`.
     pub fn read(path: &Path) -> Result<Settings, SettingsError> {
-        let text = std::fs::read_to_string(path)
-            .map_err(|source| SettingsError::Read { path: path.to_path_buf(), source })?;
+        let text = std::fs::read_to_string(path).map_err(|source| SettingsError::Read {
+            path: path.to_path_buf(),
+            source,
+        })?;
         Settings::parse(&text)
     }
 
     /// Reads a file's text.
     pub fn parse(text: &str) -> Result<Settings, SettingsError> {
-        let table: toml::Table = text.parse().map_err(|e| SettingsError::Syntax(Box::new(e)))?;
+        let table: toml::Table = text
+            .parse()
+            .map_err(|e| SettingsError::Syntax(Box::new(e)))?;
         let mut fields = Fields::new(&table);
         let settings = read_all(&mut fields);
         let faults = fields.into_faults();
@@ -225,7 +236,8 @@
         SocketAddr::new(control_plane.ip(), self.internal_ports.0)
     }
 
-    /// Where another process of the fleet is reached: at its own address, but for those that `forwarders` names.
+    /// Where another process of the fleet is reached: at its own address, but for those that
+    /// `forwarders` names.
     #[must_use]
     pub fn reached_at(&self, address: SocketAddr) -> SocketAddr {
         self.forwarders.get(&address).copied().unwrap_or(address)
@@ -234,14 +246,20 @@
     /// Where the seeds are reached by routers and other control machines.
     #[must_use]
     pub fn seeds_internal(&self) -> Vec<SocketAddr> {
-        self.seed_nodes.iter().map(|seed| self.internal_address_of(*seed)).collect()
+        self.seed_nodes
+            .iter()
+            .map(|seed| self.internal_address_of(*seed))
+            .collect()
     }
 }
 
 fn read_all(fields: &mut Fields<'_>) -> Settings {
     let ports: Vec<u16> = fields.required("internalPortRange");
     if !matches!(ports[..], [first, last] if 0 < first && first <= last) {
-        fields.fault("internalPortRange", "must be two ports, the first not above the second");
+        fields.fault(
+            "internalPortRange",
+            "must be two ports, the first not above the second",
+        );
     }
     let unspecified = IpAddr::from([0, 0, 0, 0]);
     Settings {
@@ -250,7 +268,10 @@
         ip_address: fields.required_or("ipAddress", unspecified),
         zone: fields.required("zone"),
         region: fields.optional("region").unwrap_or_default(),
-        internal_ports: (ports.first().copied().unwrap_or(0), ports.last().copied().unwrap_or(0)),
+        internal_ports: (
+            ports.first().copied().unwrap_or(0),
+            ports.last().copied().unwrap_or(0),
+        ),
         seed_nodes: fields.required("seedNodes"),
         first_start: fields.optional("firstStart").unwrap_or(false),
         loss_counted: fields.optional("lossCounted").unwrap_or(false),
--- a/fleet/src/status.rs
+++ b/fleet/src/status.rs
@@ -39,7 +39,8 @@
     },
 }
 
-/// Asks the control machine at `address`, or the first one of the settings that answers. JSON comes back.
+/// Asks the control machine at `address`, or the first one of the settings that answers. JSON comes
+/// back.
 ///
 /// # Errors
 /// When none answers; the last reason.
@@ -61,16 +62,24 @@
 /// Control machines that the settings name, this one first.
 fn named(option: Option<PathBuf>) -> Result<Vec<SocketAddr>, StatusError> {
     let settings = Settings::read(&settings::path(option)?)?;
-    Ok(settings.listen.control_plane.into_iter().chain(settings.seed_nodes).collect())
+    Ok(settings
+        .listen
+        .control_plane
+        .into_iter()
+        .chain(settings.seed_nodes)
+        .collect())
 }
 
 fn ask_one(address: SocketAddr) -> Result<String, StatusError> {
     let bytes = exchange(address).map_err(|source| StatusError::Unreachable { address, source })?;
     let unreadable = |reason| StatusError::Unreadable { address, reason };
     match response(&bytes, true, LONGEST) {
-        Ok(Parsed::Whole(Response { status: 200, body, .. }, _)) => {
-            String::from_utf8(body).map_err(|_| unreadable("it is no text"))
-        }
+        Ok(Parsed::Whole(
+            Response {
+                status: 200, body, ..
+            },
+            _,
+        )) => String::from_utf8(body).map_err(|_| unreadable("it is no text")),
         Ok(Parsed::Whole(..)) => Err(unreadable("it is no success")),
         Ok(Parsed::Partial(_)) => Err(unreadable("it is cut short")),
         Err(Malformed(_, reason)) => Err(unreadable(reason)),
@@ -80,7 +89,10 @@
 fn exchange(address: SocketAddr) -> io::Result<Vec<u8>> {
     let mut stream = TcpStream::connect_timeout(&address, PATIENCE)?;
     stream.set_read_timeout(Some(PATIENCE))?;
-    write!(stream, "GET /status HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n\r\n")?;
+    write!(
+        stream,
+        "GET /status HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n\r\n"
+    )?;
     let mut bytes = Vec::new();
     stream.take(LONGEST as u64).read_to_end(&mut bytes)?;
     Ok(bytes)
--- a/fleet/tests/control_backlog.rs
+++ b/fleet/tests/control_backlog.rs
@@ -9,7 +9,12 @@
 fn routers_of_all_machines_hear_the_sum_and_a_router_that_leaves_takes_its_part_along() {
     let mut fleet = Fleet::of("backlog", &[true, true, true]);
     fleet.start_first();
-    assert_eq!(fleet.order("/configuration/replace", 0, &configuration(1, 1)).status, 200);
+    assert_eq!(
+        fleet
+            .order("/configuration/replace", 0, &configuration(1, 1))
+            .status,
+        200
+    );
     fleet.await_voters(fleet.primary(&[0, 1, 2]), 3);
     let mut one = FakeRouter::connect(fleet.machines[0].internal, "router-1");
     let mut other = FakeRouter::connect(fleet.machines[2].internal, "router-22");
@@ -32,7 +37,12 @@
 fn what_routers_of_a_machine_said_goes_with_it() {
     let mut fleet = Fleet::of("backlog-lost", &[true, true, true]);
     fleet.start_first();
-    assert_eq!(fleet.order("/configuration/replace", 0, &configuration(1, 1)).status, 200);
+    assert_eq!(
+        fleet
+            .order("/configuration/replace", 0, &configuration(1, 1))
+            .status,
+        200
+    );
     fleet.await_voters(fleet.primary(&[0, 1, 2]), 3);
     let mut stays = FakeRouter::connect(fleet.machines[0].internal, "router-1");
     let mut goes = FakeRouter::connect(fleet.machines[2].internal, "router-22");
--- a/fleet/tests/control_founders.rs
+++ b/fleet/tests/control_founders.rs
@@ -36,19 +36,31 @@
 
 #[test]
 fn the_first_acknowledgement_outlives_a_founder_without_a_disk_that_goes_a_little_later() {
-    let read = killed_after("founders-f2", &[false, true, true, true], Duration::from_millis(1_000));
+    let read = killed_after(
+        "founders-f2",
+        &[false, true, true, true],
+        Duration::from_millis(1_000),
+    );
     assert_eq!(read, configuration(1, 1));
 }
 
 #[test]
 fn a_group_with_disks_goes_on_once_its_founder_without_a_disk_is_gone() {
-    let read = killed_after("founders-f3", &[false, true, true, true], Duration::from_secs(5));
+    let read = killed_after(
+        "founders-f3",
+        &[false, true, true, true],
+        Duration::from_secs(5),
+    );
     assert_eq!(read, configuration(1, 1));
 }
 
 #[test]
 fn seeds_without_a_disk_make_way_for_machines_with_one() {
-    let read = killed_after("founders-f4", &[false, false, false, true, true, true], Duration::from_secs(6));
+    let read = killed_after(
+        "founders-f4",
+        &[false, false, false, true, true, true],
+        Duration::from_secs(6),
+    );
     assert_eq!(read, configuration(1, 1));
 }
 
@@ -59,7 +71,10 @@
     assert_eq!(fleet.order(REPLACE, 0, &configuration(1, 1)).status, 200);
     let voters: Vec<String> = (1..5).map(|place| fleet.status(place)).collect();
     let founder = format!("{}\",\"votes\":true", fleet.machines[0].internal);
-    assert!(voters.iter().all(|status| !status.contains(&founder)), "{voters:?}");
+    assert!(
+        voters.iter().all(|status| !status.contains(&founder)),
+        "{voters:?}"
+    );
 }
 
 /// Machines with a disk come after all machines that started first.
@@ -72,7 +87,10 @@
     (3..6).for_each(|place| fleet.start(place, true));
     std::thread::sleep(Duration::from_secs(6));
     (0..3).for_each(|place| fleet.kill(place));
-    assert_eq!(read_back(&fleet, 5, &configuration(1, 1)), configuration(1, 1));
+    assert_eq!(
+        read_back(&fleet, 5, &configuration(1, 1)),
+        configuration(1, 1)
+    );
 }
 
 trait First {
@@ -85,7 +103,8 @@
         let began = Instant::now();
         while began.elapsed() < PATIENCE {
             for machine in &self.machines[..3] {
-                let answer = control_support::order(machine.control_plane, REPLACE, 0, &configuration(1, 1));
+                let answer =
+                    control_support::order(machine.control_plane, REPLACE, 0, &configuration(1, 1));
                 if let Ok(answer) = answer {
                     if answer.status != 503 {
                         return answer.status;
