--- a/fleet/tests/control_group.rs
+++ b/fleet/tests/control_group.rs
@@ -15,7 +15,11 @@
     let body = configuration(3, 2);
     assert_eq!(fleet.order(REPLACE, 0, &body).status, 200);
     for place in 0..3 {
-        assert_eq!(fleet.describe(place), body, "as it came, at machine {place}");
+        assert_eq!(
+            fleet.describe(place),
+            body,
+            "as it came, at machine {place}"
+        );
     }
     // The same order again, at each machine, is one that was taken.
     for place in 0..3 {
@@ -36,29 +40,48 @@
     assert_eq!(refused.status, 400);
     assert!(refused.body.contains("nobody"), "{}", refused.body);
     assert_eq!(fleet.order(REPLACE, 3, "{\"version\":5,").status, 400);
-    assert_eq!(fleet.order(REPLACE, 3, &configuration(3, 1)).status, 400, "not above its base");
+    assert_eq!(
+        fleet.order(REPLACE, 3, &configuration(3, 1)).status,
+        400,
+        "not above its base"
+    );
     let address = fleet.machines[1].control_plane;
     assert_eq!(
-        call(address, "POST", REPLACE, &[], &configuration(5, 1)).unwrap().status,
+        call(address, "POST", REPLACE, &[], &configuration(5, 1))
+            .unwrap()
+            .status,
         400,
         "no Base-Version"
     );
     assert_eq!(call(address, "GET", REPLACE, &[], "").unwrap().status, 405);
-    assert_eq!(call(address, "GET", "/nowhere", &[], "").unwrap().status, 404);
+    assert_eq!(
+        call(address, "GET", "/nowhere", &[], "").unwrap().status,
+        404
+    );
 
     // Two operators pick the same number for different changes, at different machines.
     let (one, other) = (configuration(5, 2), configuration(5, 3));
     let (first, second) = std::thread::scope(|scope| {
-        let first = scope.spawn(|| order(fleet.machines[0].control_plane, REPLACE, 3, &one).unwrap());
-        let second = scope.spawn(|| order(fleet.machines[2].control_plane, REPLACE, 3, &other).unwrap());
+        let first =
+            scope.spawn(|| order(fleet.machines[0].control_plane, REPLACE, 3, &one).unwrap());
+        let second =
+            scope.spawn(|| order(fleet.machines[2].control_plane, REPLACE, 3, &other).unwrap());
         (first.join().unwrap(), second.join().unwrap())
     });
     let mut both = [first.status, second.status];
     both.sort_unstable();
     assert_eq!(both, [200, 412], "{first:?} {second:?}");
-    let (winner, loser) = if first.status == 200 { (&one, &other) } else { (&other, &one) };
+    let (winner, loser) = if first.status == 200 {
+        (&one, &other)
+    } else {
+        (&other, &one)
+    };
     assert_eq!(&fleet.describe(1), winner);
-    assert_eq!(fleet.order(REPLACE, 3, winner).status, 200, "a repeat of the one that was taken");
+    assert_eq!(
+        fleet.order(REPLACE, 3, winner).status,
+        200,
+        "a repeat of the one that was taken"
+    );
     assert_eq!(fleet.order(REPLACE, 3, loser).status, 412);
 
     let update = "{\"version\":9,\"removals\":{\"routes\":[\"r-0\"]}}";
@@ -125,7 +148,12 @@
         assert_eq!(answer.status, 503, "{answer:?}");
     }
     assert!(answers.iter().flatten().count() > 0);
-    assert_eq!(control_support::beat(address, "i-1", "ready", 1).unwrap().status, 503);
+    assert_eq!(
+        control_support::beat(address, "i-1", "ready", 1)
+            .unwrap()
+            .status,
+        503
+    );
 
     others.iter().for_each(|place| fleet.start(*place, false));
     assert_eq!(fleet.order(REPLACE, 1, &configuration(6, 1)).status, 200);
@@ -181,7 +209,13 @@
             .then_some(())
     });
     let taken = wait_for("an order through the relay", || {
-        order(fleet.machines[3].control_plane, REPLACE, 1, &configuration(2, 1)).ok()
+        order(
+            fleet.machines[3].control_plane,
+            REPLACE,
+            1,
+            &configuration(2, 1),
+        )
+        .ok()
     });
     assert_eq!(taken.status, 200);
     let status = fleet.status(fleet.primary(&[0, 1, 2]));
@@ -199,10 +233,13 @@
     let others: Vec<usize> = (0..3).filter(|place| *place != primary).collect();
     let address = fleet.machines[others[0]].control_plane;
     let taken = wait_for("an order at the others", || {
-        order(address, REPLACE, 1, &configuration(2, 2)).ok().filter(|answer| answer.status == 200)
+        order(address, REPLACE, 1, &configuration(2, 2))
+            .ok()
+            .filter(|answer| answer.status == 200)
     });
     assert_eq!(taken.status, 200);
-    // A call that waits in the frozen process' socket is answered after it wakes: with what is true then, or not at all.
+    // A call that waits in the frozen process' socket is answered after it wakes: with what is true
+    // then, or not at all.
     let sleeper = fleet.machines[primary].control_plane;
     let answer = std::thread::scope(|scope| {
         let waits = scope.spawn(move || call(sleeper, "GET", "/configuration/describe", &[], ""));
@@ -211,7 +248,10 @@
         waits.join().unwrap()
     });
     if let Ok(answer) = answer.as_ref().map(Clone::clone) {
-        assert!(answer.status == 503 || answer.body == configuration(2, 2), "{answer:?}");
+        assert!(
+            answer.status == 503 || answer.body == configuration(2, 2),
+            "{answer:?}"
+        );
     }
     assert_eq!(fleet.describe(primary), configuration(2, 2));
 }
@@ -223,8 +263,9 @@
     assert_eq!(fleet.order(REPLACE, 0, &configuration(1, 1)).status, 200);
     wait_for("three voters with disks, and a relay", || {
         let relay = fleet.status(0);
-        let primary =
-            (1..4).map(|place| fleet.status(place)).find(|status| status.contains("\"role\":\"primary\""))?;
+        let primary = (1..4)
+            .map(|place| fleet.status(place))
+            .find(|status| status.contains("\"role\":\"primary\""))?;
         let voters = primary.matches("\"votes\":true").count() == 3
             && !primary.contains(&format!("{}\",\"votes\"", fleet.machines[0].internal));
         (relay.contains("\"group\":null") && voters).then_some(())
@@ -242,7 +283,11 @@
     let primary = fleet.primary(&[0, 1, 2]);
     fleet.kill(primary);
     assert_eq!(fleet.order(REPLACE, 1, &configuration(2, 1)).status, 200);
-    assert_eq!(fleet.describe(3), configuration(2, 1), "through the one that is no seed");
+    assert_eq!(
+        fleet.describe(3),
+        configuration(2, 1),
+        "through the one that is no seed"
+    );
 }
 
 #[test]
@@ -265,7 +310,11 @@
     fleet.start(hurt, true);
     fleet.await_whole();
     assert_ne!(text_of(&fleet.status(hurt), "identity").unwrap(), before);
-    assert!(ring.with_extension("lost").exists(), "{}", control_support::log_of(&fleet.machines[hurt]));
+    assert!(
+        ring.with_extension("lost").exists(),
+        "{}",
+        control_support::log_of(&fleet.machines[hurt])
+    );
     assert_eq!(fleet.describe(hurt), configuration(1, 1));
 }
 
@@ -278,9 +327,14 @@
     let order_at = |fleet: &Fleet, base, version| {
         wait_for("an order", || {
             let live = &fleet.machines[if fleet.is_running(0) { 0 } else { 1 }];
-            order(live.control_plane, REPLACE, base, &configuration(version, 1))
-                .ok()
-                .filter(|answer| answer.status == 200)
+            order(
+                live.control_plane,
+                REPLACE,
+                base,
+                &configuration(version, 1),
+            )
+            .ok()
+            .filter(|answer| answer.status == 200)
         })
     };
     order_at(&fleet, 0, 1);
@@ -288,7 +342,8 @@
     // Two are lost for good, one after the other, and others come in their places.
     for (lost, newcomer, version) in [(3, 4, 2), (2, 5, 3)] {
         fleet.kill(lost);
-        // By then the loss can be told from a moment's silence: the newcomer comes in the place of the lost one, not beside it.
+        // By then the loss can be told from a moment's silence: the newcomer comes in the place of
+        // the lost one, not beside it.
         std::thread::sleep(Duration::from_millis(500));
         fleet.start(newcomer, false);
         let gone = format!("{}\",\"votes\"", fleet.machines[lost].internal);
@@ -297,7 +352,10 @@
             let status = fleet.status(0);
             (!status.contains(&gone) && status.matches("\"votes\":true").count() == 4).then_some(())
         });
-        println!("a newcomer had the place of a lost machine after {:?}", began.elapsed());
+        println!(
+            "a newcomer had the place of a lost machine after {:?}",
+            began.elapsed()
+        );
         assert!(
             began.elapsed() < Duration::from_secs(3),
             "well within the time to catch up: {:?}",
@@ -320,11 +378,18 @@
     // One that knows nobody is told of others by a change of its settings.
     let own = fleet.machines[3].control_plane;
     fleet.start(3, false);
-    wait_for("it has started", || call(own, "GET", "/status", &[], "").ok());
+    wait_for("it has started", || {
+        call(own, "GET", "/status", &[], "").ok()
+    });
     fleet.reload(3, &[own]);
-    let seeds: Vec<_> = fleet.machines[..3].iter().map(|machine| machine.control_plane).collect();
+    let seeds: Vec<_> = fleet.machines[..3]
+        .iter()
+        .map(|machine| machine.control_plane)
+        .collect();
     fleet.reload(3, &seeds[1..2]);
-    wait_for("it knows all", || (fleet.status(3).matches("\"connected\":true").count() == 3).then_some(()));
+    wait_for("it knows all", || {
+        (fleet.status(3).matches("\"connected\":true").count() == 3).then_some(())
+    });
 
     let shown = std::process::Command::new(env!("CARGO_BIN_EXE_lichenswitch-fleet"))
         .args(["status", &own.to_string()])
@@ -332,12 +397,18 @@
         .unwrap();
     assert!(shown.status.success());
     let shown = String::from_utf8(shown.stdout).unwrap();
-    assert!(shown.starts_with("{\"node\":\"edge-") && shown.contains("\"peers\":["), "{shown}");
+    assert!(
+        shown.starts_with("{\"node\":\"edge-") && shown.contains("\"peers\":["),
+        "{shown}"
+    );
     let primary = wait_for("the primary's view", || {
-        call(own, "GET", "/status?primary", &[], "").ok().filter(|answer| answer.status == 200)
+        call(own, "GET", "/status?primary", &[], "")
+            .ok()
+            .filter(|answer| answer.status == 200)
     });
     assert!(
-        primary.body.contains("\"silent_for_ms\":") && primary.body.contains("\"role\":\"primary\""),
+        primary.body.contains("\"silent_for_ms\":")
+            && primary.body.contains("\"role\":\"primary\""),
         "{primary:?}"
     );
 }
@@ -345,7 +416,9 @@
 fn order_until_taken(fleet: &Fleet, base: u64, version: u64) -> u16 {
     let address = fleet.machines[0].control_plane;
     let taken = wait_for("an order", || {
-        order(address, REPLACE, base, &configuration(version, 1)).ok().filter(|answer| answer.status != 503)
+        order(address, REPLACE, base, &configuration(version, 1))
+            .ok()
+            .filter(|answer| answer.status != 503)
     });
     taken.status
 }
@@ -355,8 +428,10 @@
     use std::io::{Read, Write};
     let mut fleet = Fleet::of("large", &[true, true, true]);
     fleet.start_first();
-    // A megabyte and a half, most of it in a field that is only kept, through a machine that is not the primary.
-    let body = configuration(1, 100).replacen('{', &format!("{{\"note\":\"{}\",", "x".repeat(3 << 19)), 1);
+    // A megabyte and a half, most of it in a field that is only kept, through a machine that is not
+    // the primary.
+    let body =
+        configuration(1, 100).replacen('{', &format!("{{\"note\":\"{}\",", "x".repeat(3 << 19)), 1);
     fleet.await_whole();
     let relay = (fleet.primary(&[0, 1, 2]) + 1) % 3;
     let address = fleet.machines[relay].control_plane;
@@ -370,10 +445,13 @@
         sent.extend(b"\r\n");
     }
     sent.extend(b"0\r\n\r\n");
-    // A call without a clear answer is sent again, as operators do: an unoptimised program takes long over such a body.
+    // A call without a clear answer is sent again, as operators do: an unoptimised program takes
+    // long over such a body.
     let mut stream = wait_for("a clear answer", || {
         let mut stream = std::net::TcpStream::connect(address).unwrap();
-        stream.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
+        stream
+            .set_read_timeout(Some(Duration::from_secs(10)))
+            .unwrap();
         stream.write_all(&sent).unwrap();
         let mut answer = vec![0; 4_096];
         let count = stream.read(&mut answer).unwrap();
@@ -388,13 +466,17 @@
     // The connection stays open, and two calls that come together are answered in turn.
     let status = "GET /status HTTP/1.1\r\nHost: x\r\n\r\n";
     let last = "GET /nowhere HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-    stream.write_all(format!("{status}{last}").as_bytes()).unwrap();
+    stream
+        .write_all(format!("{status}{last}").as_bytes())
+        .unwrap();
     let mut answers = String::new();
     stream.read_to_string(&mut answers).unwrap();
     assert_eq!(answers.matches("HTTP/1.1 ").count(), 2, "{answers}");
     assert!(answers.find("200 OK").unwrap() < answers.find("404 Not Found").unwrap());
     let read = wait_for("describe", || {
-        call(address, "GET", "/configuration/describe", &[], "").ok().filter(|a| a.status == 200)
+        call(address, "GET", "/configuration/describe", &[], "")
+            .ok()
+            .filter(|a| a.status == 200)
     });
     assert_eq!(read.body, body);
     // Larger than is taken at all.
--- a/fleet/tests/control_lost.rs
+++ b/fleet/tests/control_lost.rs
@@ -26,7 +26,10 @@
     fn connect(address: SocketAddr, own: &str, identity: u64) -> FakePeer {
         let stream = wait_for("a control machine", || TcpStream::connect(address).ok());
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        let mut peer = FakePeer { stream, reader: EnvelopeReader::default() };
+        let mut peer = FakePeer {
+            stream,
+            reader: EnvelopeReader::default(),
+        };
         peer.say(PeerMessage::Hello {
             protocol: PROTOCOL_VERSION,
             node: own.to_owned(),
@@ -39,14 +42,18 @@
     }
 
     fn say(&mut self, message: PeerMessage) {
-        self.stream.write_all(&encode(&Envelope::Peer(message)).unwrap()).unwrap();
+        self.stream
+            .write_all(&encode(&Envelope::Peer(message)).unwrap())
+            .unwrap();
     }
 
     /// The next message of a kind.
     fn next_of<T>(&mut self, mut pick: impl FnMut(PeerMessage) -> Option<T>) -> T {
         let began = Instant::now();
         while began.elapsed() < PATIENCE {
-            if let Some(Incoming::Envelope(Envelope::Peer(message))) = self.reader.next_message().unwrap() {
+            if let Some(Incoming::Envelope(Envelope::Peer(message))) =
+                self.reader.next_message().unwrap()
+            {
                 if let Some(found) = pick(message) {
                     return found;
                 }
@@ -62,18 +69,24 @@
 
     /// Waits until it is known as connected: it is sent the whole table then.
     fn await_greeting(&mut self) {
-        self.next_of(|message| matches!(message, PeerMessage::Servers { whole: true, .. }).then_some(()));
+        self.next_of(|message| {
+            matches!(message, PeerMessage::Servers { whole: true, .. }).then_some(())
+        });
     }
 }
 
 /// The table of servers on the disk of a machine, as far as it is text.
 fn table_on_disk(fleet: &Fleet, place: usize) -> String {
-    let bytes = std::fs::read(fleet.machines[place].folder.join("data/servers")).unwrap_or_default();
+    let bytes =
+        std::fs::read(fleet.machines[place].folder.join("data/servers")).unwrap_or_default();
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
 fn state_told(records: &[ServerRecord], instance: &str) -> Option<ServerState> {
-    records.iter().find(|record| record.instance == instance).map(|record| record.state)
+    records
+        .iter()
+        .find(|record| record.instance == instance)
+        .map(|record| record.state)
 }
 
 #[test]
@@ -87,9 +100,16 @@
     let mut other = FakePeer::connect(machine.internal, "127.0.0.1:10", 72);
     one.await_greeting();
     other.await_greeting();
-    let gone =
-        ServerRecord { instance: "i-5".to_owned(), state: ServerState::Gone, ..ServerRecord::default() };
-    one.say(PeerMessage::Servers { ack: 7, records: vec![gone], whole: false });
+    let gone = ServerRecord {
+        instance: "i-5".to_owned(),
+        state: ServerState::Gone,
+        ..ServerRecord::default()
+    };
+    one.say(PeerMessage::Servers {
+        ack: 7,
+        records: vec![gone],
+        whole: false,
+    });
     one.next_of(|message| matches!(message, PeerMessage::ServersMerged { ack: 7 }).then_some(()));
     // What is sent later marks the end of what would have been told on.
     let address = machine.control_plane;
@@ -100,7 +120,11 @@
             .or_else(|| state_told(&records, "i-6").is_some().then_some(None)),
         _ => None,
     });
-    assert_eq!(told, Some(ServerState::Gone), "the one that said so may be cut off from the others");
+    assert_eq!(
+        told,
+        Some(ServerState::Gone),
+        "the one that said so may be cut off from the others"
+    );
 }
 
 #[test]
@@ -111,18 +135,25 @@
     let address = fleet.machines[0].control_plane;
     let beat = |sequence| {
         wait_for("a beat", || {
-            control_support::beat(address, "i-8", "ready", sequence).ok().filter(|a| a.status == 200)
+            control_support::beat(address, "i-8", "ready", sequence)
+                .ok()
+                .filter(|a| a.status == 200)
         })
     };
     beat(4);
     let left = wait_for("its end", || {
-        call(address, "POST", "/instances/i-8/deregister", &[], "").ok().filter(|a| a.status == 200)
+        call(address, "POST", "/instances/i-8/deregister", &[], "")
+            .ok()
+            .filter(|a| a.status == 200)
     });
     assert_eq!(left.status, 200);
     // A server that is gone has no address any more.
     let ended = |table: String| table.contains("i-8") && !table.contains(":8003");
     wait_for("its end on all disks", || {
-        (0..3).map(|place| table_on_disk(&fleet, place)).all(ended).then_some(())
+        (0..3)
+            .map(|place| table_on_disk(&fleet, place))
+            .all(ended)
+            .then_some(())
     });
     (0..3).for_each(|place| fleet.kill(place));
     (0..3).for_each(|place| fleet.start(place, false));
@@ -130,9 +161,9 @@
     beat(3);
     let mut router = FakeRouter::connect(fleet.machines[1].internal, "after");
     let state = router.next_of(|message| match message {
-        ControlToRouter::Servers { records, whole, .. } => {
-            state_told(&records, "i-8").map(Some).or_else(|| whole.then_some(None))
-        }
+        ControlToRouter::Servers { records, whole, .. } => state_told(&records, "i-8")
+            .map(Some)
+            .or_else(|| whole.then_some(None)),
         _ => None,
     });
     assert_ne!(state, Some(ServerState::Ready));
@@ -185,15 +216,27 @@
 fn whole_answer(text: &str) -> Option<(u16, String, bool)> {
     let (head, body) = text.split_once("\r\n\r\n")?;
     let head = head.to_ascii_lowercase();
-    let field = |name: &str| head.lines().find_map(|line| line.strip_prefix(name)).map(str::trim);
+    let field = |name: &str| {
+        head.lines()
+            .find_map(|line| line.strip_prefix(name))
+            .map(str::trim)
+    };
     let length: usize = field("content-length:")?.parse().ok()?;
     let status = head.split(' ').nth(1)?.parse().ok()?;
-    (body.len() == length).then(|| (status, body.to_owned(), field("connection:") == Some("close")))
+    (body.len() == length).then(|| {
+        (
+            status,
+            body.to_owned(),
+            field("connection:") == Some("close"),
+        )
+    })
 }
 
 /// The version of a configuration.
 fn version_of(body: &str) -> u64 {
-    let version = body.strip_prefix("{\"version\":").and_then(|rest| rest.split_once(','));
+    let version = body
+        .strip_prefix("{\"version\":")
+        .and_then(|rest| rest.split_once(','));
     version.unwrap().0.parse().unwrap()
 }
 
@@ -205,7 +248,8 @@
     over: AtomicBool,
 }
 
-/// Changes the configuration again and again. Each order goes to the machines in turn until one acknowledges it; none may refuse it.
+/// Changes the configuration again and again. Each order goes to the machines in turn until one
+/// acknowledges it; none may refuse it.
 fn change_until_over(addresses: &[SocketAddr], told: &Told) {
     let mut place = 0;
     while !told.over.load(Ordering::SeqCst) {
@@ -226,15 +270,22 @@
     }
 }
 
-/// Reads the configuration at one machine again and again: never older than what was acknowledged before the read was sent.
+/// Reads the configuration at one machine again and again: never older than what was acknowledged
+/// before the read was sent.
 fn read_until_over(address: SocketAddr, told: &Told) {
-    let mut caller = KeptCaller { address, stream: None };
+    let mut caller = KeptCaller {
+        address,
+        stream: None,
+    };
     while !told.over.load(Ordering::SeqCst) {
         let least = told.version.load(Ordering::SeqCst);
         match caller.ask("GET", "/configuration/describe") {
             Some((200, body)) => {
                 let version = version_of(&body);
-                assert!(version >= least, "{address} told version {version}, {least} was acknowledged");
+                assert!(
+                    version >= least,
+                    "{address} told version {version}, {least} was acknowledged"
+                );
                 told.reads.fetch_add(1, Ordering::SeqCst);
             }
             Some((status, body)) => assert_eq!(status, 503, "{body}"),
@@ -243,9 +294,13 @@
     }
 }
 
-/// Servers that leave, one after the other, each told to the machines in turn until one acknowledges it. Tells who was acknowledged.
+/// Servers that leave, one after the other, each told to the machines in turn until one
+/// acknowledges it. Tells who was acknowledged.
 fn leave_until_over(addresses: &[SocketAddr], told: &Told) -> Vec<String> {
-    let callers = addresses.iter().map(|address| KeptCaller { address: *address, stream: None });
+    let callers = addresses.iter().map(|address| KeptCaller {
+        address: *address,
+        stream: None,
+    });
     let mut callers: Vec<KeptCaller> = callers.collect();
     let (mut left, mut place) = (Vec::new(), 0);
     while !told.over.load(Ordering::SeqCst) {
@@ -274,13 +329,19 @@
     fleet.start_first();
     assert_eq!(fleet.order(REPLACE, 0, &configuration(1, 1)).status, 200);
     fleet.await_whole();
-    let addresses: Vec<SocketAddr> = fleet.machines.iter().map(|machine| machine.control_plane).collect();
+    let addresses: Vec<SocketAddr> = fleet
+        .machines
+        .iter()
+        .map(|machine| machine.control_plane)
+        .collect();
     let told = Told::default();
     told.version.store(1, Ordering::SeqCst);
     let left = std::thread::scope(|scope| {
         let operator = scope.spawn(|| change_until_over(&addresses, &told));
-        let readers: Vec<_> =
-            addresses.iter().map(|address| scope.spawn(|| read_until_over(*address, &told))).collect();
+        let readers: Vec<_> = addresses
+            .iter()
+            .map(|address| scope.spawn(|| read_until_over(*address, &told)))
+            .collect();
         let servers = scope.spawn(|| leave_until_over(&addresses, &told));
         for place in 0..4 {
             let (status, took) = fleet.stop(place);
@@ -292,27 +353,43 @@
         }
         told.over.store(true, Ordering::SeqCst);
         operator.join().unwrap();
-        readers.into_iter().for_each(|reader| reader.join().unwrap());
+        readers
+            .into_iter()
+            .for_each(|reader| reader.join().unwrap());
         servers.join().unwrap()
     });
-    let (version, reads) = (told.version.load(Ordering::SeqCst), told.reads.load(Ordering::SeqCst));
-    println!("{version} versions, {reads} reads, {} servers that left", left.len());
+    let (version, reads) = (
+        told.version.load(Ordering::SeqCst),
+        told.reads.load(Ordering::SeqCst),
+    );
+    println!(
+        "{version} versions, {reads} reads, {} servers that left",
+        left.len()
+    );
     assert!(version > 10 && reads > 10 && left.len() > 10);
     for place in 0..4 {
         // The last order may have been taken without an acknowledgement.
         let read_back = version_of(&fleet.describe(place));
-        assert!((version..=version + 1).contains(&read_back), "{read_back}, and {version} was acknowledged");
+        assert!(
+            (version..=version + 1).contains(&read_back),
+            "{read_back}, and {version} was acknowledged"
+        );
         let mut router = FakeRouter::connect(fleet.machines[place].internal, "reader");
         let mut ready = Vec::new();
         router.next_of(|message| match message {
             ControlToRouter::Servers { records, whole, .. } => {
-                let found = records.into_iter().filter(|record| record.state == ServerState::Ready);
+                let found = records
+                    .into_iter()
+                    .filter(|record| record.state == ServerState::Ready);
                 ready.extend(found.map(|record| record.instance));
                 whole.then_some(())
             }
             _ => None,
         });
-        let back: Vec<&String> = left.iter().filter(|instance| ready.contains(instance)).collect();
+        let back: Vec<&String> = left
+            .iter()
+            .filter(|instance| ready.contains(instance))
+            .collect();
         assert!(back.is_empty(), "machine {place} has {back:?} back");
     }
 }
@@ -328,27 +405,41 @@
     for (head, half_close) in [("Connection: close\r\n", false), ("", true)] {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.set_recv_buffer_size(4_096).unwrap();
-        socket.connect(&fleet.machines[0].control_plane.into()).unwrap();
+        socket
+            .connect(&fleet.machines[0].control_plane.into())
+            .unwrap();
         let mut stream = TcpStream::from(socket);
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
         stream
-            .write_all(format!("GET /configuration/describe HTTP/1.1\r\nHost: x\r\n{head}\r\n").as_bytes())
+            .write_all(
+                format!("GET /configuration/describe HTTP/1.1\r\nHost: x\r\n{head}\r\n").as_bytes(),
+            )
             .unwrap();
         if half_close {
             stream.shutdown(std::net::Shutdown::Write).unwrap();
         }
         let mut answer = vec![0; 1];
         stream.read_exact(&mut answer).unwrap();
-        // The machine answers others for longer than it lingers on a connection whose answer has been read.
+        // The machine answers others for longer than it lingers on a connection whose answer has
+        // been read.
         let began = Instant::now();
         while began.elapsed() < Duration::from_millis(2_600) {
-            let status = call(fleet.machines[0].control_plane, "GET", "/status", &[], "").unwrap().status;
+            let status = call(fleet.machines[0].control_plane, "GET", "/status", &[], "")
+                .unwrap()
+                .status;
             assert_eq!(status, 200);
         }
         let rest = stream.read_to_end(&mut answer);
         let told = String::from_utf8_lossy(&answer);
-        let whole = told.split_once("\r\n\r\n").is_some_and(|(_, told)| told == body);
-        assert!(whole, "{} of {} bytes, {rest:?}, half closed: {half_close}", answer.len(), body.len());
+        let whole = told
+            .split_once("\r\n\r\n")
+            .is_some_and(|(_, told)| told == body);
+        assert!(
+            whole,
+            "{} of {} bytes, {rest:?}, half closed: {half_close}",
+            answer.len(),
+            body.len()
+        );
     }
 }
 
@@ -371,7 +462,11 @@
     fleet.start_first();
     assert_eq!(fleet.order(REPLACE, 0, &configuration(1, 1)).status, 200);
     fleet.await_whole();
-    let addresses: Vec<SocketAddr> = fleet.machines.iter().map(|machine| machine.control_plane).collect();
+    let addresses: Vec<SocketAddr> = fleet
+        .machines
+        .iter()
+        .map(|machine| machine.control_plane)
+        .collect();
     let mut taken: Vec<(u64, String)> = Vec::new();
     for base in 1..6 {
         let primary = fleet.primary(&[0, 1, 2, 3]);
@@ -382,11 +477,22 @@
             let send = |n: usize| (n % 2, verdict(addresses, n / 2, base, &bodies[n % 2]));
             let callers: Vec<_> = (0..8).map(|n| scope.spawn(move || send(n))).collect();
             fleet.kill(primary);
-            callers.into_iter().map(|caller| caller.join().unwrap()).collect()
+            callers
+                .into_iter()
+                .map(|caller| caller.join().unwrap())
+                .collect()
         });
-        let winner = verdicts.iter().find(|(_, status)| *status == 200).unwrap().0;
+        let winner = verdicts
+            .iter()
+            .find(|(_, status)| *status == 200)
+            .unwrap()
+            .0;
         for (which, status) in &verdicts {
-            assert_eq!(*status, if *which == winner { 200 } else { 412 }, "{verdicts:?}");
+            assert_eq!(
+                *status,
+                if *which == winner { 200 } else { 412 },
+                "{verdicts:?}"
+            );
         }
         taken.push((base, bodies[winner].clone()));
         fleet.start(primary, false);
@@ -395,6 +501,7 @@
         assert_eq!(verdict(&addresses, primary, base, &bodies[1 - winner]), 412);
     }
     for (base, body) in &taken {
-        (0..4).for_each(|place| assert_eq!(verdict(&addresses, place, *base, body), 200, "a repeat"));
+        (0..4)
+            .for_each(|place| assert_eq!(verdict(&addresses, place, *base, body), 200, "a repeat"));
     }
 }
--- a/fleet/tests/control_news.rs
+++ b/fleet/tests/control_news.rs
@@ -16,7 +16,12 @@
     let began = Instant::now();
     let mut sequence = 1;
     while began.elapsed() < patience {
-        let answer = beat(fleet.machines[place].control_plane, instance, "ready", sequence);
+        let answer = beat(
+            fleet.machines[place].control_plane,
+            instance,
+            "ready",
+            sequence,
+        );
         if answer.is_ok_and(|answer| answer.status == 200) {
             return true;
         }
@@ -33,8 +38,14 @@
     assert_eq!(fleet.order(REPLACE, 0, &configuration(1, 1)).status, 200);
     std::thread::sleep(Duration::from_secs(6));
     let voters = fleet.status(0).matches("\"votes\":true").count();
-    assert!(is_acknowledged(&fleet, 0, "i-1", Duration::from_secs(3)), "a seed, of {voters} voters");
-    assert!(is_acknowledged(&fleet, 3, "i-22", Duration::from_secs(3)), "the relay, of {voters} voters");
+    assert!(
+        is_acknowledged(&fleet, 0, "i-1", Duration::from_secs(3)),
+        "a seed, of {voters} voters"
+    );
+    assert!(
+        is_acknowledged(&fleet, 3, "i-22", Duration::from_secs(3)),
+        "the relay, of {voters} voters"
+    );
 }
 
 #[test]
@@ -43,8 +54,13 @@
     fleet.start_first();
     assert_eq!(fleet.order(REPLACE, 0, &configuration(1, 1)).status, 200);
     std::thread::sleep(Duration::from_secs(6));
-    assert!(is_acknowledged(&fleet, 0, "i-1", Duration::from_secs(3)), "a seed");
-    wait_for("the relay to know", || fleet.status(3).contains("server").then_some(()));
+    assert!(
+        is_acknowledged(&fleet, 0, "i-1", Duration::from_secs(3)),
+        "a seed"
+    );
+    wait_for("the relay to know", || {
+        fleet.status(3).contains("server").then_some(())
+    });
     let address = fleet.machines[3].control_plane;
     let began = Instant::now();
     let mut answers = Vec::new();
@@ -76,14 +92,22 @@
     fleet.start_first();
     assert_eq!(fleet.order(REPLACE, 0, &configuration(1, 1)).status, 200);
     fleet.await_voters(fleet.primary(&[0, 1, 2]), 3);
-    assert!(is_acknowledged(&fleet, 3, "i-1", Duration::from_secs(5)), "all are there");
+    assert!(
+        is_acknowledged(&fleet, 3, "i-1", Duration::from_secs(5)),
+        "all are there"
+    );
     fleet.kill(1);
     fleet.kill(2);
     let began = Instant::now();
     while began.elapsed() < Duration::from_secs(4) {
         for place in [3, 0] {
-            let answer =
-                call(fleet.machines[place].control_plane, "POST", "/instances/i-1/deregister", &[], "");
+            let answer = call(
+                fleet.machines[place].control_plane,
+                "POST",
+                "/instances/i-1/deregister",
+                &[],
+                "",
+            );
             if let Ok(answer) = answer {
                 assert_ne!(
                     answer.status,
@@ -105,7 +129,12 @@
     assert_eq!(fleet.order(REPLACE, 0, &configuration(1, 1)).status, 200);
     fleet.await_voters(fleet.primary(&[0, 1, 2]), 3);
     // A machine that has just started waits for the table of another one.
-    assert!(is_acknowledged(&fleet, 0, "i-55555", Duration::from_secs(5)));
+    assert!(is_acknowledged(
+        &fleet,
+        0,
+        "i-55555",
+        Duration::from_secs(5)
+    ));
     fleet.kill(2);
     for (place, instance) in [(0, "i-1"), (1, "i-22"), (3, "i-333")] {
         let began = Instant::now();
@@ -126,7 +155,12 @@
     fleet.start_first();
     assert_eq!(fleet.order(REPLACE, 0, &configuration(1, 1)).status, 200);
     fleet.await_voters(fleet.primary(&[0, 1, 2]), 3);
-    assert!(is_acknowledged(&fleet, 0, "i-55555", Duration::from_secs(5)));
+    assert!(is_acknowledged(
+        &fleet,
+        0,
+        "i-55555",
+        Duration::from_secs(5)
+    ));
     fleet.freeze(2, true);
     let mut failed = Vec::new();
     for (place, instance) in [(0, "i-1"), (1, "i-22"), (3, "i-333")] {
@@ -151,7 +185,9 @@
         known: Vec::new(),
     };
     for message in std::iter::once(hello).chain(messages) {
-        stream.write_all(&encode(&Envelope::Peer(message)).unwrap()).unwrap();
+        stream
+            .write_all(&encode(&Envelope::Peer(message)).unwrap())
+            .unwrap();
     }
     stream
 }
@@ -176,22 +212,35 @@
 }
 
 fn gone(instance: &str) -> ServerRecord {
-    ServerRecord { instance: instance.to_owned(), state: ServerState::Gone, ..ServerRecord::default() }
+    ServerRecord {
+        instance: instance.to_owned(),
+        state: ServerState::Gone,
+        ..ServerRecord::default()
+    }
 }
 
 #[test]
 fn that_a_server_leaves_is_not_acknowledged_from_what_one_machine_remembers() {
     let mut fleet = three_that_know("news-remembered", "i-1");
-    let _peer = tell(fleet.machines[0].internal, vec![PeerMessage::ServersRemembered(vec![gone("i-1")])]);
+    let _peer = tell(
+        fleet.machines[0].internal,
+        vec![PeerMessage::ServersRemembered(vec![gone("i-1")])],
+    );
     std::thread::sleep(Duration::from_millis(300));
-    assert_ne!(status_while_others_rest(&mut fleet, "/instances/i-1/deregister"), 200);
+    assert_ne!(
+        status_while_others_rest(&mut fleet, "/instances/i-1/deregister"),
+        200
+    );
 }
 
 /// The same where it comes as news: what the test above is measured by.
 #[test]
 fn that_a_server_leaves_is_not_acknowledged_while_nobody_else_can_hold_it() {
     let mut fleet = three_that_know("news-alone", "i-1");
-    assert_ne!(status_while_others_rest(&mut fleet, "/instances/i-1/deregister"), 200);
+    assert_ne!(
+        status_while_others_rest(&mut fleet, "/instances/i-1/deregister"),
+        200
+    );
 }
 
 /// The end of a server is acknowledged, and all processes are killed right after.
@@ -209,9 +258,16 @@
     std::thread::sleep(Duration::from_secs(1));
     let mut router = control_support::FakeRouter::connect(fleet.machines[1].internal, "after");
     router.next_of(|message| match message {
-        lichenswitch_messages::ControlToRouter::Servers { records, whole: true, .. } => {
-            Some(records.iter().find(|record| record.instance == "i-1").map(|record| record.state))
-        }
+        lichenswitch_messages::ControlToRouter::Servers {
+            records,
+            whole: true,
+            ..
+        } => Some(
+            records
+                .iter()
+                .find(|record| record.instance == "i-1")
+                .map(|record| record.state),
+        ),
         _ => None,
     })
 }
@@ -219,7 +275,11 @@
 #[test]
 fn a_server_whose_end_was_just_acknowledged_stays_gone_when_all_machines_are_killed() {
     let state = state_after_all_were_killed("news-just-gone", Duration::from_millis(5));
-    assert_ne!(state, Some(ServerState::Ready), "routers would send to it again");
+    assert_ne!(
+        state,
+        Some(ServerState::Ready),
+        "routers would send to it again"
+    );
 }
 
 #[test]
--- a/fleet/tests/control_program.rs
+++ b/fleet/tests/control_program.rs
@@ -13,7 +13,10 @@
 }
 
 fn file(name: &str, text: &str) -> PathBuf {
-    let path = std::env::temp_dir().join(format!("lichenswitch-fleet-program-{}-{name}", std::process::id()));
+    let path = std::env::temp_dir().join(format!(
+        "lichenswitch-fleet-program-{}-{name}",
+        std::process::id()
+    ));
     std::fs::write(&path, text).unwrap();
     path
 }
@@ -24,21 +27,36 @@
 
 #[test]
 fn settings_that_can_not_be_used_end_each_role_with_2_and_all_faults_named() {
-    let path =
-        file("bad", "nodeName = 3\nzone = \"a\"\ninternalPortRange = [1]\n[limits]\nmemoryMb = \"x\"\n");
+    let path = file(
+        "bad",
+        "nodeName = 3\nzone = \"a\"\ninternalPortRange = [1]\n[limits]\nmemoryMb = \"x\"\n",
+    );
     for role in ["router", "control"] {
         let output = run(&[role], Some(&path));
         assert_eq!(output.status.code(), Some(2), "{role}");
         let said = error(&output);
-        for key in ["nodeName", "ipAddress", "internalPortRange", "seedNodes", "limits.memoryMb"] {
+        for key in [
+            "nodeName",
+            "ipAddress",
+            "internalPortRange",
+            "seedNodes",
+            "limits.memoryMb",
+        ] {
             assert!(said.contains(key), "{role} does not name {key}: {said}");
         }
         assert_eq!(said.lines().count(), 1);
         let none = run(&[role], None);
         assert_eq!(none.status.code(), Some(2));
         assert!(error(&none).contains("LICHENSWITCH_CONFIG"));
-        let absent = run(&[role, "--settings", "/nonexistent/settings.toml"], Some(&path));
-        assert_eq!(absent.status.code(), Some(2), "the option goes before the variable");
+        let absent = run(
+            &[role, "--settings", "/nonexistent/settings.toml"],
+            Some(&path),
+        );
+        assert_eq!(
+            absent.status.code(),
+            Some(2),
+            "the option goes before the variable"
+        );
         assert!(error(&absent).contains("/nonexistent/settings.toml"));
     }
     std::fs::remove_file(path).unwrap();
@@ -70,7 +88,10 @@
     let invalid = file("bad.json", "{\"version\":4,\"routes\":[");
     let said = |path: &PathBuf| run(&["check", path.to_str().unwrap()], None);
     let good = said(&settings);
-    assert_eq!((good.status.code(), &good.stdout[..]), (Some(0), &b"settings of n can be used\n"[..]));
+    assert_eq!(
+        (good.status.code(), &good.stdout[..]),
+        (Some(0), &b"settings of n can be used\n"[..])
+    );
     let good = said(&configuration);
     assert_eq!(
         String::from_utf8_lossy(&good.stdout),
@@ -81,13 +102,22 @@
     let bad = said(&invalid);
     assert_eq!(bad.status.code(), Some(2));
     assert!(error(&bad).contains("configuration: "), "{}", error(&bad));
-    [settings, configuration, invalid].iter().for_each(|path| std::fs::remove_file(path).unwrap());
+    [settings, configuration, invalid]
+        .iter()
+        .for_each(|path| std::fs::remove_file(path).unwrap());
 }
 
 #[test]
 fn nobody_who_answers_is_said_to_be_down() {
-    let free = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let free = std::net::TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
     let output = run(&["status", &free.to_string()], None);
     assert_eq!(output.status.code(), Some(1));
-    assert!(error(&output).contains(&free.to_string()), "{}", error(&output));
+    assert!(
+        error(&output).contains(&free.to_string()),
+        "{}",
+        error(&output)
+    );
 }
--- a/fleet/tests/control_settings.rs
+++ b/fleet/tests/control_settings.rs
@@ -43,7 +43,10 @@
     let settings = Settings::parse(GOOD).unwrap();
     assert_eq!(settings.node_name, "edge-a-1");
     assert_eq!(settings.internal_ports, (7300, 7315));
-    assert_eq!(settings.seeds_internal()[1], "10.2.0.14:7300".parse::<SocketAddr>().unwrap());
+    assert_eq!(
+        settings.seeds_internal()[1],
+        "10.2.0.14:7300".parse::<SocketAddr>().unwrap()
+    );
     assert_eq!(settings.listen.control_plane, "10.1.0.10:8262".parse().ok());
     assert_eq!(settings.listen.frontend, None);
     assert_eq!(settings.fault_tolerance.machines, 2);
@@ -62,7 +65,8 @@
         .replace("contactMs = 3000", "contactMs = -1")
         .replace("[faultTolerance]\nmachines = 2", "");
     let bad = format!("faultTolerance = 3\n{bad}");
-    let error = assert_matches!(Settings::parse(&bad), Err(SettingsError::Fields(faults)) => faults);
+    let error =
+        assert_matches!(Settings::parse(&bad), Err(SettingsError::Fields(faults)) => faults);
     let keys: Vec<&str> = error.0.iter().map(|fault| fault.key.as_str()).collect();
     assert_eq!(
         keys,
@@ -75,7 +79,10 @@
             "bounds.contactMs"
         ]
     );
-    assert!(error.to_string().contains("nodeName: is missing; "), "{error}");
+    assert!(
+        error.to_string().contains("nodeName: is missing; "),
+        "{error}"
+    );
 }
 
 #[test]
@@ -86,11 +93,27 @@
 #[test]
 fn other_processes_are_reached_through_the_forwarders_that_are_named() {
     let address = |text: &str| text.parse::<SocketAddr>().unwrap();
-    let settings =
-        Settings::parse(&format!("{GOOD}[forwarders]\n\"10.2.0.14:7300\" = \"10.9.0.1:40000\"\n")).unwrap();
-    assert_eq!(settings.reached_at(address("10.2.0.14:7300")), address("10.9.0.1:40000"));
-    assert_eq!(settings.reached_at(address("10.3.0.18:7300")), address("10.3.0.18:7300"));
+    let settings = Settings::parse(&format!(
+        "{GOOD}[forwarders]\n\"10.2.0.14:7300\" = \"10.9.0.1:40000\"\n"
+    ))
+    .unwrap();
+    assert_eq!(
+        settings.reached_at(address("10.2.0.14:7300")),
+        address("10.9.0.1:40000")
+    );
+    assert_eq!(
+        settings.reached_at(address("10.3.0.18:7300")),
+        address("10.3.0.18:7300")
+    );
     let faulty = format!("{GOOD}[forwarders]\n\"10.2.0.14\" = \"10.9.0.1:40000\"\n");
-    let faults = assert_matches!(Settings::parse(&faulty), Err(SettingsError::Fields(faults)) => faults);
-    assert_eq!(faults.0.iter().map(|fault| fault.key.as_str()).collect::<Vec<_>>(), ["forwarders"]);
+    let faults =
+        assert_matches!(Settings::parse(&faulty), Err(SettingsError::Fields(faults)) => faults);
+    assert_eq!(
+        faults
+            .0
+            .iter()
+            .map(|fault| fault.key.as_str())
+            .collect::<Vec<_>>(),
+        ["forwarders"]
+    );
 }
--- a/fleet/tests/control_support/mod.rs
+++ b/fleet/tests/control_support/mod.rs
@@ -5,7 +5,8 @@
     encode, encode_backlog_report, encode_tenant_message, EnvelopeReader, Incoming,
 };
 use lichenswitch_messages::{
-    BacklogReport, ControlToRouter, Envelope, RouterToControl, ServerBacklog, TenantMessage, PROTOCOL_VERSION,
+    BacklogReport, ControlToRouter, Envelope, RouterToControl, ServerBacklog, TenantMessage,
+    PROTOCOL_VERSION,
 };
 use std::collections::BTreeMap;
 use std::fs::{self, File};
@@ -44,10 +45,12 @@
     /// Machines that have not started yet.
     pub fn of(name: &str, disks: &[bool]) -> Fleet {
         let net = (std::process::id() as u16 % 200) * 8 + NETS.fetch_add(1, Ordering::Relaxed);
-        let folder = std::env::temp_dir().join(format!("lichenswitch-fleet-{name}-{}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("lichenswitch-fleet-{name}-{}", std::process::id()));
         let _ = fs::remove_dir_all(&folder);
-        let ips: Vec<String> =
-            (1..=disks.len()).map(|n| format!("127.{}.{}.{n}", 1 + net / 250, 1 + net % 250)).collect();
+        let ips: Vec<String> = (1..=disks.len())
+            .map(|n| format!("127.{}.{}.{n}", 1 + net / 250, 1 + net % 250))
+            .collect();
         let ports = free_ports(&ips);
         let machine = |(ip, disk): (&String, &bool)| Machine {
             ip: ip.clone(),
@@ -58,7 +61,12 @@
             process: None,
         };
         let machines = ips.iter().zip(disks).map(machine).collect();
-        Fleet { folder, machines, ports, net }
+        Fleet {
+            folder,
+            machines,
+            ports,
+            net,
+        }
     }
 
     /// Starts all machines for the first time.
@@ -70,14 +78,22 @@
 
     /// Starts one machine.
     pub fn start(&mut self, place: usize, first: bool) {
-        let seeds =
-            self.machines.iter().take(3).map(|m| format!("\"{}\"", m.control_plane)).collect::<Vec<_>>();
+        let seeds = self
+            .machines
+            .iter()
+            .take(3)
+            .map(|m| format!("\"{}\"", m.control_plane))
+            .collect::<Vec<_>>();
         let machine = &mut self.machines[place];
         fs::create_dir_all(machine.folder.join("data")).unwrap();
         let settings = settings(machine, self.ports, &seeds.join(","), first);
         let path = machine.folder.join("settings.toml");
         fs::write(&path, settings).unwrap();
-        let log = File::options().create(true).append(true).open(machine.folder.join("log")).unwrap();
+        let log = File::options()
+            .create(true)
+            .append(true)
+            .open(machine.folder.join("log"))
+            .unwrap();
         let process = Command::new(env!("CARGO_BIN_EXE_lichenswitch-fleet"))
             .arg("control")
             .env("LICHENSWITCH_CONFIG", &path)
@@ -109,9 +125,16 @@
     /// Tells a machine that its settings have changed, with other seeds.
     pub fn reload(&mut self, place: usize, seeds: &[SocketAddr]) {
         let machine = &self.machines[place];
-        let seeds = seeds.iter().map(|seed| format!("\"{seed}\"")).collect::<Vec<_>>().join(",");
-        fs::write(machine.folder.join("settings.toml"), settings(machine, self.ports, &seeds, false))
-            .unwrap();
+        let seeds = seeds
+            .iter()
+            .map(|seed| format!("\"{seed}\""))
+            .collect::<Vec<_>>()
+            .join(",");
+        fs::write(
+            machine.folder.join("settings.toml"),
+            settings(machine, self.ports, &seeds, false),
+        )
+        .unwrap();
         signal(machine.process.as_ref().unwrap(), "HUP");
     }
 
@@ -126,7 +149,10 @@
 
     /// Freezes a machine, or lets it go on.
     pub fn freeze(&mut self, place: usize, frozen: bool) {
-        signal(self.machines[place].process.as_ref().unwrap(), if frozen { "STOP" } else { "CONT" });
+        signal(
+            self.machines[place].process.as_ref().unwrap(),
+            if frozen { "STOP" } else { "CONT" },
+        );
     }
 
     /// Sends an order to the machines in turn until one gives a clear answer, as operators do.
@@ -141,32 +167,46 @@
             }
             place += 1;
         }
-        panic!("no clear answer to an order; logs in {}", self.folder.display());
+        panic!(
+            "no clear answer to an order; logs in {}",
+            self.folder.display()
+        );
     }
 
     /// Reads the configuration from one machine, with patience.
     pub fn describe(&self, place: usize) -> String {
         let address = self.machines[place].control_plane;
         let answer = wait_for("describe", || {
-            call(address, "GET", "/configuration/describe", &[], "").ok().filter(|a| a.status == 200)
+            call(address, "GET", "/configuration/describe", &[], "")
+                .ok()
+                .filter(|a| a.status == 200)
         });
         answer.body
     }
 
     /// The status of one machine.
     pub fn status(&self, place: usize) -> String {
-        call(self.machines[place].control_plane, "GET", "/status", &[], "")
-            .map(|a| a.body)
-            .unwrap_or_default()
+        call(
+            self.machines[place].control_plane,
+            "GET",
+            "/status",
+            &[],
+            "",
+        )
+        .map(|a| a.body)
+        .unwrap_or_default()
     }
 
     /// Which machine is the primary, once all of these agree.
     pub fn primary(&self, places: &[usize]) -> usize {
         wait_for("a primary", || {
             let named = |place: &usize| text_of(&self.status(*place), "primary");
-            let first =
-                named(&places[0]).filter(|first| places.iter().all(|p| named(p).as_ref() == Some(first)))?;
-            let found = self.machines.iter().position(|machine| machine.internal.to_string() == first)?;
+            let first = named(&places[0])
+                .filter(|first| places.iter().all(|p| named(p).as_ref() == Some(first)))?;
+            let found = self
+                .machines
+                .iter()
+                .position(|machine| machine.internal.to_string() == first)?;
             places.contains(&found).then_some(found)
         })
     }
@@ -182,15 +222,19 @@
     pub fn await_whole(&self) {
         let places: Vec<usize> = (0..self.machines.len()).collect();
         wait_for("all machines vote", || {
-            let identities: Vec<String> =
-                places.iter().filter_map(|place| text_of(&self.status(*place), "identity")).collect();
+            let identities: Vec<String> = places
+                .iter()
+                .filter_map(|place| text_of(&self.status(*place), "identity"))
+                .collect();
             let primary = places
                 .iter()
                 .map(|place| self.status(*place))
                 .find(|status| status.contains("\"role\":\"primary\""))?;
             let line = |identity: &String| format!("\"identity\":\"{identity}\",\"address\"");
             let votes = identities.len() == places.len()
-                && identities.iter().all(|identity| primary.contains(&line(identity)));
+                && identities
+                    .iter()
+                    .all(|identity| primary.contains(&line(identity)));
             (votes && primary.matches("\"votes\":true").count() == places.len()).then_some(())
         });
     }
@@ -211,7 +255,11 @@
 }
 
 fn signal(process: &Child, name: &str) {
-    let sent = Command::new("kill").arg(format!("-{name}")).arg(process.id().to_string()).status().unwrap();
+    let sent = Command::new("kill")
+        .arg(format!("-{name}"))
+        .arg(process.id().to_string())
+        .status()
+        .unwrap();
     assert!(sent.success());
 }
 
@@ -239,10 +287,16 @@
     let free = || {
         let first = TcpListener::bind((ips[0].as_str(), 0)).unwrap();
         let port = first.local_addr().unwrap().port();
-        ips[1..].iter().all(|ip| TcpListener::bind((ip.as_str(), port)).is_ok()).then_some(port)
+        ips[1..]
+            .iter()
+            .all(|ip| TcpListener::bind((ip.as_str(), port)).is_ok())
+            .then_some(port)
     };
     let one = std::iter::repeat_with(free).flatten().next().unwrap();
-    let other = std::iter::repeat_with(free).flatten().find(|port| *port != one).unwrap();
+    let other = std::iter::repeat_with(free)
+        .flatten()
+        .find(|port| *port != one)
+        .unwrap();
     (one, other)
 }
 
@@ -267,7 +321,13 @@
 
 /// Sends an order to one machine.
 pub fn order(address: SocketAddr, path: &str, base: u64, body: &str) -> io::Result<Answer> {
-    call(address, "POST", path, &[format!("Base-Version: {base}")], body)
+    call(
+        address,
+        "POST",
+        path,
+        &[format!("Base-Version: {base}")],
+        body,
+    )
 }
 
 /// A call on a connection of its own. A second of silence is an error, as for operators.
@@ -284,15 +344,23 @@
         "{method} {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: {}\r\n",
         body.len()
     );
-    headers.iter().for_each(|header| head.push_str(&format!("{header}\r\n")));
+    headers
+        .iter()
+        .for_each(|header| head.push_str(&format!("{header}\r\n")));
     stream.write_all(format!("{head}\r\n{body}").as_bytes())?;
     let mut answer = String::new();
     stream.read_to_string(&mut answer)?;
-    let status = answer.split(' ').nth(1).and_then(|status| status.parse().ok());
+    let status = answer
+        .split(' ')
+        .nth(1)
+        .and_then(|status| status.parse().ok());
     let (Some(status), Some((_, body))) = (status, answer.split_once("\r\n\r\n")) else {
         return Err(io::ErrorKind::UnexpectedEof.into());
     };
-    Ok(Answer { status, body: body.to_owned() })
+    Ok(Answer {
+        status,
+        body: body.to_owned(),
+    })
 }
 
 /// A heartbeat of a server.
@@ -302,7 +370,13 @@
          \"coldRemainingMs\":0,\"sequenceNumber\":{sequence}}}",
         8000 + instance.len()
     );
-    call(address, "POST", &format!("/instances/{instance}/heartbeat"), &[], &body)
+    call(
+        address,
+        "POST",
+        &format!("/instances/{instance}/heartbeat"),
+        &[],
+        &body,
+    )
 }
 
 /// The text of a field of JSON, where it stands first.
@@ -340,7 +414,10 @@
     pub fn connect(address: SocketAddr, node: &str) -> FakeRouter {
         let stream = wait_for("a control machine", || TcpStream::connect(address).ok());
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        let mut router = FakeRouter { stream, reader: EnvelopeReader::default() };
+        let mut router = FakeRouter {
+            stream,
+            reader: EnvelopeReader::default(),
+        };
         router.say(RouterToControl::Hello {
             protocol: PROTOCOL_VERSION,
             node: node.to_owned(),
@@ -352,11 +429,15 @@
     }
 
     pub fn say(&mut self, message: RouterToControl) {
-        self.stream.write_all(&encode(&Envelope::FromRouter(message)).unwrap()).unwrap();
+        self.stream
+            .write_all(&encode(&Envelope::FromRouter(message)).unwrap())
+            .unwrap();
     }
 
     pub fn say_of_tenants(&mut self, message: &TenantMessage) {
-        self.stream.write_all(&encode_tenant_message(message).unwrap()).unwrap();
+        self.stream
+            .write_all(&encode_tenant_message(message).unwrap())
+            .unwrap();
     }
 
     pub fn next(&mut self) -> ControlToRouter {
@@ -372,10 +453,17 @@
 
     /// Says what waits at servers.
     pub fn say_backlogs(&mut self, servers: &[(u32, u32)]) {
-        let servers =
-            servers.iter().map(|(server, tokens)| ServerBacklog { server: *server, tokens: *tokens });
-        let report = BacklogReport { whole: false, servers: servers.collect() };
-        self.stream.write_all(&encode_backlog_report(&report).unwrap()).unwrap();
+        let servers = servers.iter().map(|(server, tokens)| ServerBacklog {
+            server: *server,
+            tokens: *tokens,
+        });
+        let report = BacklogReport {
+            whole: false,
+            servers: servers.collect(),
+        };
+        self.stream
+            .write_all(&encode_backlog_report(&report).unwrap())
+            .unwrap();
     }
 
     /// Follows what is told of backlogs until it is this.
@@ -383,7 +471,10 @@
         let wanted: BTreeMap<u32, u32> = wanted.iter().copied().collect();
         let began = Instant::now();
         while *known != wanted {
-            assert!(began.elapsed() < PATIENCE, "{known:?} is known, not {wanted:?}");
+            assert!(
+                began.elapsed() < PATIENCE,
+                "{known:?} is known, not {wanted:?}"
+            );
             // Heartbeats come all the while.
             if let Incoming::Backlog(report) = self.next_message() {
                 if report.whole {
--- a/fleet/tests/control_tenants.rs
+++ b/fleet/tests/control_tenants.rs
@@ -1,4 +1,5 @@
-//! Tenants at control machines: what is valid, what routers are told is current, and draws on quotas.
+//! Tenants at control machines: what is valid, what routers are told is current, and draws on
+//! quotas.
 
 mod control_support;
 
@@ -23,7 +24,10 @@
 fn group(name: &str) -> Fleet {
     let mut fleet = Fleet::of(name, &[true, true, true]);
     fleet.start_first();
-    assert_eq!(fleet.order(REPLACE, 0, &configuration(1, TENANTS)).status, 200);
+    assert_eq!(
+        fleet.order(REPLACE, 0, &configuration(1, TENANTS)).status,
+        200
+    );
     fleet.await_voters(fleet.primary(&[0, 1, 2]), 3);
     fleet
 }
@@ -32,7 +36,11 @@
     let request = DrawRequest {
         id,
         tenant: tenant.to_owned(),
-        unit: if tenant == "one" { DrawUnit::Requests } else { DrawUnit::Tokens },
+        unit: if tenant == "one" {
+            DrawUnit::Requests
+        } else {
+            DrawUnit::Tokens
+        },
         needs: needs.to_vec(),
         ahead: 0,
         pass_on: true,
@@ -50,17 +58,39 @@
     let shared = r#"[{"name":"one","apiKeys":["secret-1"]},{"name":"two","apiKeys":["secret-1"]}]"#;
     let refused = fleet.order(REPLACE, 1, &configuration(2, shared));
     assert_eq!(refused.status, 400);
-    assert!(refused.body.contains("apiKeys") && refused.body.contains("one"), "{}", refused.body);
+    assert!(
+        refused.body.contains("apiKeys") && refused.body.contains("one"),
+        "{}",
+        refused.body
+    );
     // Only with what is in force already.
     let upsert = r#"{"version":2,"upserts":{"tenants":[{"name":"three","apiKeys":["secret-2"]}]}}"#;
     assert_eq!(fleet.order(UPDATE, 1, upsert).status, 400);
     let negative = r#"[{"name":"one","ratePerS":-1}]"#;
     let refused = fleet.order(REPLACE, 1, &configuration(2, negative));
-    assert!(refused.status == 400 && refused.body.contains("ratePerS"), "{}", refused.body);
-    let described = call(fleet.machines[0].control_plane, "GET", "/configuration/describe", &[], "").unwrap();
-    assert!(described.status == 200 && described.body.contains("\"version\":1"), "{}", described.body);
+    assert!(
+        refused.status == 400 && refused.body.contains("ratePerS"),
+        "{}",
+        refused.body
+    );
+    let described = call(
+        fleet.machines[0].control_plane,
+        "GET",
+        "/configuration/describe",
+        &[],
+        "",
+    )
+    .unwrap();
+    assert!(
+        described.status == 200 && described.body.contains("\"version\":1"),
+        "{}",
+        described.body
+    );
     for machine in &fleet.machines {
-        assert!(!log_of(machine).contains("secret-"), "a key stands in a log");
+        assert!(
+            !log_of(machine).contains("secret-"),
+            "a key stands in a log"
+        );
     }
     let status = call(fleet.machines[0].control_plane, "GET", "/status", &[], "").unwrap();
     assert!(
@@ -80,7 +110,13 @@
     });
     router.say_of_tenants(&TenantMessage::Confirm { stamp: 77 });
     let confirmed = router.next_of_tenants(Duration::from_secs(5));
-    assert_eq!(confirmed, Some(TenantMessage::Confirmed { stamp: 77, position: Some(position) }));
+    assert_eq!(
+        confirmed,
+        Some(TenantMessage::Confirmed {
+            stamp: 77,
+            position: Some(position)
+        })
+    );
     // Without a majority nobody vouches for anything.
     fleet.kill(1);
     fleet.kill(2);
@@ -95,7 +131,8 @@
     assert_eq!(router.next_of_tenants(Duration::from_millis(800)), None);
 }
 
-/// Draws on the tenant `two` at all routers by turns for a time, far beyond its quota; what was granted, and draws that were not granted in full.
+/// Draws on the tenant `two` at all routers by turns for a time, far beyond its quota; what was
+/// granted, and draws that were not granted in full.
 fn draw_for(routers: &mut [FakeRouter], length: Duration) -> (u64, u64) {
     let (began, mut granted, mut denied, mut id) = (Instant::now(), 0, 0, 10);
     while began.elapsed() < length {
@@ -113,13 +150,18 @@
 #[test]
 fn draws_are_granted_within_the_quota_whichever_machine_is_asked() {
     let fleet = group("draws");
-    let mut routers: Vec<FakeRouter> =
-        fleet.machines.iter().map(|machine| FakeRouter::connect(machine.internal, "router")).collect();
+    let mut routers: Vec<FakeRouter> = fleet
+        .machines
+        .iter()
+        .map(|machine| FakeRouter::connect(machine.internal, "router"))
+        .collect();
     // A tenant without a quota is never short.
     assert_eq!(draw(&mut routers[0], 1, "one", &[1, 1, 1]).needs, 0b111);
     assert_eq!(draw(&mut routers[0], 2, "nobody", &[1]).needs, 0);
     // Voters that have joined take their parts up once they have settled.
-    wait_for("the first grant", || (draw(&mut routers[0], 3, "two", &[100]).needs == 1).then_some(()));
+    wait_for("the first grant", || {
+        (draw(&mut routers[0], 3, "two", &[100]).needs == 1).then_some(())
+    });
     wait_for("all to have settled", || {
         let settled = fleet.machines.iter().all(|machine| {
             let status = call(machine.control_plane, "GET", "/status", &[], "").unwrap();
@@ -132,8 +174,12 @@
     let began = Instant::now();
     let (granted, denied) = draw_for(&mut routers, Duration::from_secs(3));
     let (rate, took) = (30_000.0, began.elapsed().as_secs_f64());
-    // Without bounds in the settings there is no overage; what was saved up is a validity's worth at the most.
-    assert!(denied > 0 && granted as f64 <= rate * (took + 1.0), "{granted} in {took} s");
+    // Without bounds in the settings there is no overage; what was saved up is a validity's worth
+    // at the most.
+    assert!(
+        denied > 0 && granted as f64 <= rate * (took + 1.0),
+        "{granted} in {took} s"
+    );
     assert!(granted as f64 >= 0.9 * rate * took, "{granted} in {took} s");
 }
 
@@ -141,7 +187,9 @@
 fn who_starts_again_begins_with_nothing_and_goes_on_at_the_rate() {
     let mut fleet = group("draws-restart");
     let mut router = FakeRouter::connect(fleet.machines[0].internal, "router");
-    wait_for("the first grant", || (draw(&mut router, 1, "two", &[100]).needs == 1).then_some(()));
+    wait_for("the first grant", || {
+        (draw(&mut router, 1, "two", &[100]).needs == 1).then_some(())
+    });
     for place in 0..3 {
         fleet.kill(place);
     }
@@ -155,7 +203,9 @@
         draw(&mut router, id, "two", needs).needs
     };
     assert_eq!(next(&[3_000]), 0, "a bucket was full at the start");
-    wait_for("a grant after the start", || (next(&[100]) == 1).then_some(()));
+    wait_for("a grant after the start", || {
+        (next(&[100]) == 1).then_some(())
+    });
 }
 
 /// Bytes on an internal connection; `docs/CAPACITY.md` goes by them.
@@ -172,9 +222,22 @@
             pass_on: true,
         })
     };
-    let drawn = TenantMessage::Drawn(DrawAnswer { id: u64::MAX, needs: 1, ahead: 0, wait_us: 9 });
+    let drawn = TenantMessage::Drawn(DrawAnswer {
+        id: u64::MAX,
+        needs: 1,
+        ahead: 0,
+        wait_us: 9,
+    });
     let size = |message: &TenantMessage| encode_tenant_message(message).unwrap().len();
-    let sizes = [size(&draw(1)), size(&draw(10)), size(&drawn), size(&TenantMessage::Confirm { stamp: 1 })];
+    let sizes = [
+        size(&draw(1)),
+        size(&draw(10)),
+        size(&drawn),
+        size(&TenantMessage::Confirm { stamp: 1 }),
+    ];
     println!("draw of 1, of 10, answer, confirm: {sizes:?} bytes");
-    assert!(sizes[0] <= 130 && sizes[1] <= 200 && sizes[2] <= 110, "{sizes:?}");
+    assert!(
+        sizes[0] <= 130 && sizes[1] <= 200 && sizes[2] <= 110,
+        "{sizes:?}"
+    );
 }
--- a/fleet/tests/control_without_disk.rs
+++ b/fleet/tests/control_without_disk.rs
@@ -1,4 +1,5 @@
-//! Control machines without a disk hold nothing that an acknowledgement rests on, once machines with a disk have founded the group.
+//! Control machines without a disk hold nothing that an acknowledgement rests on, once machines
+//! with a disk have founded the group.
 
 mod control_support;
 
@@ -15,7 +16,8 @@
 /// By then a machine without a disk that asks for a vote has had time to get it.
 const TIME_TO_JOIN: Duration = Duration::from_secs(4);
 
-/// Three machines with a disk and one without, which has run since the first start; the group has a configuration.
+/// Three machines with a disk and one without, which has run since the first start; the group has a
+/// configuration.
 fn begun(name: &str) -> Fleet {
     let mut fleet = Fleet::of(name, &[true, true, false, true]);
     fleet.start_first();
@@ -51,7 +53,9 @@
 fn lose_all_that_count_and_bring_two_back(fleet: &mut Fleet) {
     WITH_DISK.iter().for_each(|place| fleet.kill(*place));
     std::thread::sleep(Duration::from_millis(500));
-    WITH_DISK[..2].iter().for_each(|place| fleet.start(*place, false));
+    WITH_DISK[..2]
+        .iter()
+        .for_each(|place| fleet.start(*place, false));
     assert_eq!(fleet.order(REPLACE, 1, &configuration(2, 1)).status, 200);
 }
 
@@ -59,10 +63,15 @@
 fn a_machine_without_a_disk_gets_no_vote_in_a_group_that_has_disks() {
     let mut fleet = begun("diskless-vote");
     lose_all_that_count_and_bring_two_back(&mut fleet);
-    assert!(!diskless_comes_to_vote(&fleet), "{}", control_support::log_of(&fleet.machines[DISKLESS]));
+    assert!(
+        !diskless_comes_to_vote(&fleet),
+        "{}",
+        control_support::log_of(&fleet.machines[DISKLESS])
+    );
 }
 
-/// One machine that counts is away, and another loses its disk while all others lose power: one disk is lost, as many as must be borne.
+/// One machine that counts is away, and another loses its disk while all others lose power: one
+/// disk is lost, as many as must be borne.
 #[test]
 fn what_was_acknowledged_outlives_one_disk_and_the_power_of_all_others() {
     let mut fleet = begun("diskless-loss");
@@ -80,19 +89,36 @@
         std::thread::sleep(Duration::from_millis(100));
     }
     let primary = text_of(&fleet.status(1), "primary");
-    assert_eq!(read, configuration(3, 1), "the machine without a disk voted: {voted}; primary: {primary:?}");
+    assert_eq!(
+        read,
+        configuration(3, 1),
+        "the machine without a disk voted: {voted}; primary: {primary:?}"
+    );
 }
 
 /// One that was out of reach for a while goes on relaying when it is reached again.
 #[test]
 fn a_machine_without_a_disk_that_was_alone_for_a_while_relays_again() {
     let mut fleet = begun("diskless-alone");
-    WITH_DISK.iter().for_each(|place| fleet.freeze(*place, true));
+    WITH_DISK
+        .iter()
+        .for_each(|place| fleet.freeze(*place, true));
     std::thread::sleep(Duration::from_secs(4));
-    WITH_DISK.iter().for_each(|place| fleet.freeze(*place, false));
+    WITH_DISK
+        .iter()
+        .for_each(|place| fleet.freeze(*place, false));
     let voted = diskless_comes_to_vote(&fleet);
-    wait_for("a relay", || fleet.status(DISKLESS).contains("\"group\":null").then_some(()));
-    assert!(!voted, "{}", control_support::log_of(&fleet.machines[DISKLESS]));
+    wait_for("a relay", || {
+        fleet
+            .status(DISKLESS)
+            .contains("\"group\":null")
+            .then_some(())
+    });
+    assert!(
+        !voted,
+        "{}",
+        control_support::log_of(&fleet.machines[DISKLESS])
+    );
 }
 
 /// One machine that counts is away, and all machines without a disk end: no disk is lost at all.
@@ -111,9 +137,15 @@
     [0, 3].iter().for_each(|place| fleet.start(*place, false));
     assert_eq!(fleet.order(REPLACE, 1, &configuration(2, 1)).status, 200);
     std::thread::sleep(TIME_TO_JOIN);
-    let voters = fleet.status(fleet.primary(&[0, 3])).matches("\"votes\":true").count();
+    let voters = fleet
+        .status(fleet.primary(&[0, 3]))
+        .matches("\"votes\":true")
+        .count();
     without.iter().for_each(|place| fleet.kill(*place));
-    without.iter().chain(&[4]).for_each(|place| fleet.start(*place, false));
+    without
+        .iter()
+        .chain(&[4])
+        .for_each(|place| fleet.start(*place, false));
 
     let began = Instant::now();
     let mut read = String::new();
--- a/fleet/tests/router_clients.rs
+++ b/fleet/tests/router_clients.rs
@@ -1,4 +1,5 @@
-//! Clients of a router: GONE, DENIED, UNASKED, connections that rest, limits, pipelining and framing.
+//! Clients of a router: GONE, DENIED, UNASKED, connections that rest, limits, pipelining and
+//! framing.
 
 mod support;
 
@@ -32,10 +33,16 @@
         let rig = Rig::with(&[&server], 5_000, 4_000, 1);
         let mut client = rig.client();
         client.send(request("POST", kind, "a1", "", "x"));
-        told.recv_timeout(support::PATIENCE).expect("it has arrived");
+        told.recv_timeout(support::PATIENCE)
+            .expect("it has arrived");
         drop(client);
-        let closed = told.recv_timeout(support::PATIENCE).expect("the server is done");
-        assert!(closed.expect("the connection is closed") < Duration::from_millis(500), "{kind}");
+        let closed = told
+            .recv_timeout(support::PATIENCE)
+            .expect("the server is done");
+        assert!(
+            closed.expect("the connection is closed") < Duration::from_millis(500),
+            "{kind}"
+        );
         assert_eq!(server.times("a1"), 1);
     }
 }
@@ -49,7 +56,10 @@
         talk.event(1);
         let began = Instant::now();
         let closed = talk.closes_within(Duration::from_secs(3));
-        tell.lock().expect("lock").send(closed.then(|| began.elapsed())).expect("tell");
+        tell.lock()
+            .expect("lock")
+            .send(closed.then(|| began.elapsed()))
+            .expect("tell");
         Next::Close
     };
     let server = Server::start("i-1", script);
@@ -59,7 +69,9 @@
     client.head().expect("a head");
     assert_eq!(client.chunk(), Ok(Some(event(1).into_bytes())));
     drop(client);
-    let closed = told.recv_timeout(support::PATIENCE).expect("the server is done");
+    let closed = told
+        .recv_timeout(support::PATIENCE)
+        .expect("the server is done");
     assert!(closed.expect("the connection is closed") < Duration::from_millis(500));
     // Were it taken up elsewhere, the same server would see it again before this is answered.
     let mut client = rig.client();
@@ -76,9 +88,12 @@
     for (method, kind) in [("GET", "safe"), ("POST", "unsafe"), ("POST", "nowhere")] {
         let reply = client.ask(request(method, kind, "a1", "", ""));
         assert_eq!(reply.status, 503);
-        assert!(reply.retry_after().is_some_and(|after| after > 0.0 && after < 1.0));
+        assert!(reply
+            .retry_after()
+            .is_some_and(|after| after > 0.0 && after < 1.0));
     }
-    rig.control.push_configuration(1, &document(1, 3_000, 1_000, 2));
+    rig.control
+        .push_configuration(1, &document(1, 3_000, 1_000, 2));
     support::until("it is in force", || rig.control.applied().is_some());
     assert_eq!(rig.router.readiness_status(), 200);
     let reply = client.ask(request("GET", "nowhere", "a2", "", ""));
@@ -91,8 +106,18 @@
 fn other_questions_than_readiness_are_answered_as_what_they_are() {
     let rig = Rig::bare();
     let mut platform = Client::connect(rig.router.readiness);
-    assert_eq!(platform.ask("GET /other HTTP/1.1\r\nHost: x\r\n\r\n").status, 404);
-    assert_eq!(platform.ask("POST /readiness HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n").status, 405);
+    assert_eq!(
+        platform
+            .ask("GET /other HTTP/1.1\r\nHost: x\r\n\r\n")
+            .status,
+        404
+    );
+    assert_eq!(
+        platform
+            .ask("POST /readiness HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
+            .status,
+        405
+    );
     assert_eq!(platform.ask("what\r\n\r\n").status, 400);
     assert!(platform.ends_within(Duration::from_secs(2)));
 }
@@ -100,9 +125,16 @@
 #[test]
 fn the_platform_is_answered_however_many_connections_it_leaves_open() {
     let rig = Rig::usual(&[]);
-    let mut open: Vec<Client> = (0..20).map(|_| Client::connect(rig.router.readiness)).collect();
+    let mut open: Vec<Client> = (0..20)
+        .map(|_| Client::connect(rig.router.readiness))
+        .collect();
     for platform in &mut open {
-        assert_eq!(platform.ask("GET /readiness HTTP/1.1\r\nHost: x\r\n\r\n").status, 200);
+        assert_eq!(
+            platform
+                .ask("GET /readiness HTTP/1.1\r\nHost: x\r\n\r\n")
+                .status,
+            200
+        );
     }
     assert_eq!(rig.router.readiness_status(), 200);
 }
@@ -112,12 +144,21 @@
     let server = echo("i-1");
     let rig = Rig::usual(&[&server]);
     let mut client = rig.client();
-    assert_eq!(client.ask(request("POST", "safe", "a1", "", "one")).text(), "one");
+    assert_eq!(
+        client.ask(request("POST", "safe", "a1", "", "one")).text(),
+        "one"
+    );
     // Four fifths of the idle time-out of 3 s.
     std::thread::sleep(Duration::from_millis(2_400));
-    assert_eq!(client.ask(request("POST", "safe", "a2", "", "two")).text(), "two");
+    assert_eq!(
+        client.ask(request("POST", "safe", "a2", "", "two")).text(),
+        "two"
+    );
     let began = Instant::now();
-    assert!(client.ends_within(Duration::from_secs(6)), "it ends some time after that");
+    assert!(
+        client.ends_within(Duration::from_secs(6)),
+        "it ends some time after that"
+    );
     assert!(began.elapsed() >= Duration::from_millis(3_000));
 }
 
@@ -126,8 +167,9 @@
     let server = echo("i-1");
     let rig = Rig::usual(&[&server]);
     let mut client = rig.client();
-    let all: String =
-        (1..=4).map(|n| request("POST", "safe", &format!("a{n}"), "", &format!("body {n}"))).collect();
+    let all: String = (1..=4)
+        .map(|n| request("POST", "safe", &format!("a{n}"), "", &format!("body {n}")))
+        .collect();
     client.send(all);
     for n in 1..=4 {
         let reply = client.reply();
@@ -152,8 +194,18 @@
     let seen = &server.seen()[0];
     assert_eq!(seen.target, "/safe/item?q=1%20&r");
     assert_eq!(seen.header("x-kept"), Some("yes"));
-    for hop in ["x-hop", "te", "transfer-encoding", "connection", "keep-alive"] {
-        assert_eq!(seen.header(hop), None, "{hop} concerns one connection alone");
+    for hop in [
+        "x-hop",
+        "te",
+        "transfer-encoding",
+        "connection",
+        "keep-alive",
+    ] {
+        assert_eq!(
+            seen.header(hop),
+            None,
+            "{hop} concerns one connection alone"
+        );
     }
 }
 
@@ -226,7 +278,10 @@
     let rig = Rig::usual(&[&server]);
     let mut client = rig.client();
     let reply = client.ask(request("POST", "safe", "a1", "Connection: close\r\n", "x"));
-    assert_eq!((reply.text(), reply.header("connection")), ("x", Some("close")));
+    assert_eq!(
+        (reply.text(), reply.header("connection")),
+        ("x", Some("close"))
+    );
     assert!(client.ends_within(Duration::from_secs(3)));
 }
 
@@ -243,9 +298,15 @@
     let mut client = rig.client();
     client.send(request("HEAD", "safe", "a1", "", ""));
     let head = client.head().expect("a head");
-    assert_eq!((head.status, head.header("response-seal")), (200, Some("s")));
+    assert_eq!(
+        (head.status, head.header("response-seal")),
+        (200, Some("s"))
+    );
     client.send(request("HEAD", "safe", "a2", "", ""));
-    assert_eq!(client.head().expect("a head").header("attempt-id"), Some("a2"));
+    assert_eq!(
+        client.head().expect("a head").header("attempt-id"),
+        Some("a2")
+    );
 }
 
 #[test]
@@ -255,9 +316,16 @@
     let mut rng = fastrand::Rng::with_seed(7);
     for _ in 0..200 {
         let length = rng.usize(1..200);
-        let bytes: Vec<u8> = (0..length).map(|_| b"GET /\r\n :0azHTTP1.\x00\xff"[rng.usize(..20)]).collect();
+        let bytes: Vec<u8> = (0..length)
+            .map(|_| b"GET /\r\n :0azHTTP1.\x00\xff"[rng.usize(..20)])
+            .collect();
         let mut client = rig.client();
         client.send(&bytes);
     }
-    assert_eq!(rig.client().ask(request("POST", "safe", "a1", "", "well")).text(), "well");
+    assert_eq!(
+        rig.client()
+            .ask(request("POST", "safe", "a1", "", "well"))
+            .text(),
+        "well"
+    );
 }
--- a/fleet/tests/router_configuration.rs
+++ b/fleet/tests/router_configuration.rs
@@ -38,11 +38,24 @@
     });
     let rig = Rig::with(&[&server], 500, 400, 1);
     for kind in ["safe", "unsafe", "stream", "resume"] {
-        let reply =
-            rig.client().ask(request("POST", kind, &format!("a-{kind}"), "Deadline-Ms: 9000\r\n", "x"));
+        let reply = rig.client().ask(request(
+            "POST",
+            kind,
+            &format!("a-{kind}"),
+            "Deadline-Ms: 9000\r\n",
+            "x",
+        ));
         assert_eq!(reply.status, 504, "{kind}");
-        assert!(reply.took >= Duration::from_millis(450), "{kind}: {:?}", reply.took);
-        assert!(reply.took <= Duration::from_millis(750), "{kind}: {:?}", reply.took);
+        assert!(
+            reply.took >= Duration::from_millis(450),
+            "{kind}: {:?}",
+            reply.took
+        );
+        assert!(
+            reply.took <= Duration::from_millis(750),
+            "{kind}: {:?}",
+            reply.took
+        );
     }
     assert!(server.seen().iter().all(|seen| seen.deadline_ms() <= 500));
 }
@@ -60,11 +73,24 @@
     let mut held = rig.client();
     held.send(request("GET", "safe", "a1", "", ""));
     support::until("it is held", || server.times("a1") == 1);
-    let changed = document_of(2, &[route("r-new", "/new/", "fleet.example", &[("pool", 1)])]);
+    let changed = document_of(
+        2,
+        &[route("r-new", "/new/", "fleet.example", &[("pool", 1)])],
+    );
     rig.control.push_configuration(2, &changed);
-    support::until("it is in force", || rig.control.applied() == Some(position(2)));
-    assert_eq!(rig.client().ask(request("GET", "new", "a2", "", "")).status, 200);
-    assert_eq!(rig.client().ask(request("GET", "safe", "a3", "", "")).status, 404);
+    support::until("it is in force", || {
+        rig.control.applied() == Some(position(2))
+    });
+    assert_eq!(
+        rig.client().ask(request("GET", "new", "a2", "", "")).status,
+        200
+    );
+    assert_eq!(
+        rig.client()
+            .ask(request("GET", "safe", "a3", "", ""))
+            .status,
+        404
+    );
     assert_eq!(held.reply().status, 200, "it has the terms it came under");
 }
 
@@ -72,44 +98,85 @@
 fn an_older_position_is_refused_wherever_it_comes_from() {
     let server = named("i-1");
     let rig = Rig::usual(&[&server]);
-    rig.control
-        .push_at(ConfigurationPosition { epoch: 3, primary: 7, number: 1 }, &document(5, 3_000, 1_000, 2));
-    let newest = ConfigurationPosition { epoch: 3, primary: 7, number: 1 };
+    rig.control.push_at(
+        ConfigurationPosition {
+            epoch: 3,
+            primary: 7,
+            number: 1,
+        },
+        &document(5, 3_000, 1_000, 2),
+    );
+    let newest = ConfigurationPosition {
+        epoch: 3,
+        primary: 7,
+        number: 1,
+    };
     support::until("it is in force", || rig.control.applied() == Some(newest));
     // A higher number of an older epoch is older; so is a higher version in it.
     let old = document_of(9, &[route("r", "/other/", "fleet.example", &[("pool", 1)])]);
-    rig.control.push_at(ConfigurationPosition { epoch: 2, primary: 9, number: 50 }, &old);
+    rig.control.push_at(
+        ConfigurationPosition {
+            epoch: 2,
+            primary: 9,
+            number: 50,
+        },
+        &old,
+    );
     rig.control.settled();
     assert_eq!(rig.control.applied(), Some(newest));
-    assert_eq!(rig.client().ask(request("GET", "safe", "a1", "", "")).status, 200);
-    assert_eq!(rig.client().ask(request("GET", "other", "a2", "", "")).status, 404);
+    assert_eq!(
+        rig.client()
+            .ask(request("GET", "safe", "a1", "", ""))
+            .status,
+        200
+    );
+    assert_eq!(
+        rig.client()
+            .ask(request("GET", "other", "a2", "", ""))
+            .status,
+        404
+    );
     // The same after the connection was lost: it says what it has, and goes back for nobody.
     rig.control.drop_links();
     support::until("it is back", || rig.control.hellos() >= 2);
     rig.control.settled();
     assert_eq!(rig.control.applied(), Some(newest));
-    assert_eq!(rig.client().ask(request("GET", "safe", "a3", "", "")).status, 200);
+    assert_eq!(
+        rig.client()
+            .ask(request("GET", "safe", "a3", "", ""))
+            .status,
+        200
+    );
 }
 
 #[test]
 fn a_document_that_cannot_be_read_changes_nothing() {
     let server = named("i-1");
     let rig = Rig::usual(&[&server]);
-    rig.control.push_configuration(2, "{\"version\":2,\"routes\":[{]");
+    rig.control
+        .push_configuration(2, "{\"version\":2,\"routes\":[{]");
     rig.control.settled();
     assert_eq!(rig.control.applied(), Some(position(1)));
-    assert_eq!(rig.client().ask(request("GET", "safe", "a1", "", "")).status, 200);
+    assert_eq!(
+        rig.client()
+            .ask(request("GET", "safe", "a1", "", ""))
+            .status,
+        200
+    );
 }
 
 #[test]
 fn the_longest_prefix_of_the_host_takes_a_request_and_weights_are_drawn() {
     let servers = [named("i-a"), named("i-b"), named("i-c")];
     let rig = Rig::bare();
-    let records = ["a", "b", "c"].iter().zip(&servers).map(|(service, server)| {
-        let mut record = record(server, ServerState::Ready, 1);
-        record.service = (*service).to_owned();
-        record
-    });
+    let records = ["a", "b", "c"]
+        .iter()
+        .zip(&servers)
+        .map(|(service, server)| {
+            let mut record = record(server, ServerState::Ready, 1);
+            record.service = (*service).to_owned();
+            record
+        });
     rig.control.push_servers(records.collect());
     let document = format!(
         "{{\"version\":1,\"routes\":[{}],\"services\":[{{\"name\":\"a\"}},{{\"name\":\"b\"}},{{\"name\":\"c\"}}]}}",
@@ -124,16 +191,24 @@
     support::until("it is in force", || rig.control.applied().is_some());
     let mut client = rig.client();
     let mut ask = |host: &str, path: &str, id: usize| {
-        let reply = client.ask(format!("GET {path} HTTP/1.1\r\nHost: {host}\r\nAttempt-Id: a{id}\r\n\r\n"));
+        let reply = client.ask(format!(
+            "GET {path} HTTP/1.1\r\nHost: {host}\r\nAttempt-Id: a{id}\r\n\r\n"
+        ));
         assert_eq!(reply.status, 200, "{host}{path}");
         reply.text().to_owned()
     };
     for n in 0..20 {
-        assert_eq!(ask("one.example", "/x/1", n), "i-a", "a service without weight gets nothing");
+        assert_eq!(
+            ask("one.example", "/x/1", n),
+            "i-a",
+            "a service without weight gets nothing"
+        );
     }
     assert_eq!(ask("one.example", "/x/y/1?/x/", 30), "i-b");
     assert_eq!(ask("ONE.example:80", "/x/yy/1", 31), "i-a");
-    let drawn: Vec<String> = (0..40).map(|n| ask("two.example", "/x/1", 100 + n)).collect();
+    let drawn: Vec<String> = (0..40)
+        .map(|n| ask("two.example", "/x/1", 100 + n))
+        .collect();
     assert!(drawn.iter().any(|name| name == "i-a") && drawn.iter().any(|name| name == "i-c"));
     assert!(drawn.iter().all(|name| name != "i-b"));
 }
@@ -144,15 +219,22 @@
     let rig = Rig::usual(&[&servers[0], &servers[1]]);
     let mut client = rig.client();
     for n in 0..12 {
-        assert_eq!(client.ask(request("GET", "safe", &format!("a{n}"), "", "")).status, 200);
+        assert_eq!(
+            client
+                .ask(request("GET", "safe", &format!("a{n}"), "", ""))
+                .status,
+            200
+        );
     }
     assert!(!servers[0].seen().is_empty(), "both are used");
     for (state, late) in [(ServerState::Draining, 9), (ServerState::Gone, 99)] {
         let before = servers[0].seen().len();
-        rig.control.push_servers(vec![record(&servers[0], state, 5)]);
+        rig.control
+            .push_servers(vec![record(&servers[0], state, 5)]);
         rig.control.settled();
         // A beat of before that comes late revives nobody.
-        rig.control.push_servers(vec![record(&servers[0], ServerState::Ready, late)]);
+        rig.control
+            .push_servers(vec![record(&servers[0], ServerState::Ready, late)]);
         rig.control.settled();
         for n in 0..12 {
             let reply = client.ask(request("GET", "safe", &format!("{state:?}{n}"), "", ""));
@@ -175,20 +257,35 @@
     rig.control.settled();
     let mut client = rig.client();
     for n in 0..12 {
-        assert_eq!(client.ask(request("GET", "safe", &format!("a{n}"), "", "")).text(), "i-2");
+        assert_eq!(
+            client
+                .ask(request("GET", "safe", &format!("a{n}"), "", ""))
+                .text(),
+            "i-2"
+        );
     }
-    rig.control.push_servers(vec![record(&servers[1], ServerState::Gone, 9)]);
+    rig.control
+        .push_servers(vec![record(&servers[1], ServerState::Gone, 9)]);
     rig.control.settled();
-    assert_eq!(client.ask(request("GET", "safe", "b", "", "")).text(), "i-1");
+    assert_eq!(
+        client.ask(request("GET", "safe", "b", "", "")).text(),
+        "i-1"
+    );
 }
 
 #[test]
 fn servers_that_a_push_leaves_out_stay() {
     let servers = [named("i-1"), named("i-2")];
     let rig = Rig::usual(&[&servers[0], &servers[1]]);
-    rig.control.push_servers(vec![record(&servers[1], ServerState::Gone, 2)]);
+    rig.control
+        .push_servers(vec![record(&servers[1], ServerState::Gone, 2)]);
     rig.control.settled();
-    assert_eq!(rig.client().ask(request("GET", "safe", "a1", "", "")).text(), "i-1");
+    assert_eq!(
+        rig.client()
+            .ask(request("GET", "safe", "a1", "", ""))
+            .text(),
+        "i-1"
+    );
 }
 
 #[test]
@@ -199,7 +296,12 @@
     rig.control.drop_links();
     std::thread::sleep(Duration::from_millis(1_000));
     assert_eq!(rig.router.readiness_status(), 200);
-    assert_eq!(rig.client().ask(request("GET", "safe", "a1", "", "")).status, 200);
+    assert_eq!(
+        rig.client()
+            .ask(request("GET", "safe", "a1", "", ""))
+            .status,
+        200
+    );
 }
 
 #[test]
@@ -210,7 +312,9 @@
     control[0].push_configuration(1, &document(1, 3_000, 1_000, 2));
     control[1].push_configuration(1, &document(1, 3_000, 1_000, 2));
     let router = Running::start(&settings_text(&ips, port, ""), None);
-    support::until("it is in force", || control.iter().any(|c| c.applied().is_some()));
+    support::until("it is in force", || {
+        control.iter().any(|c| c.applied().is_some())
+    });
     for round in 0..2 {
         let at = usize::from(control[1].hellos() > control[0].hellos());
         let others = control[1 - at].hellos();
@@ -238,10 +342,21 @@
     control.set_contact(false);
     control.push_configuration(1, &document(1, 3_000, 1_000, 2));
     let began = std::time::Instant::now();
-    let router = Running::start(&settings_text(&[Ipv4Addr::LOCALHOST], control.address.port(), ""), None);
+    let router = Running::start(
+        &settings_text(&[Ipv4Addr::LOCALHOST], control.address.port(), ""),
+        None,
+    );
     support::until("it is in force", || router.readiness_status() == 200);
-    assert!(began.elapsed() >= Duration::from_millis(2_900), "{:?}", began.elapsed());
-    assert!(began.elapsed() < Duration::from_millis(6_000), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() >= Duration::from_millis(2_900),
+        "{:?}",
+        began.elapsed()
+    );
+    assert!(
+        began.elapsed() < Duration::from_millis(6_000),
+        "{:?}",
+        began.elapsed()
+    );
 }
 
 #[test]
@@ -255,16 +370,23 @@
     let router = Running::start(&settings_text(&[seed], without.address.port(), ""), None);
     without.settled();
     assert_eq!(without.applied(), None, "nobody in contact has offered it");
-    // It leaves the one without contact. What it acknowledges here came after the word that this one is in contact.
+    // It leaves the one without contact. What it acknowledges here came after the word that this
+    // one is in contact.
     support::until("it is at the other", || with.hellos() > 0);
     with.settled();
     assert_eq!((with.applied(), router.readiness_status()), (None, 503));
     let judged = began.elapsed();
-    assert!(judged < Duration::from_millis(2_900), "after 3 s it may be taken: {judged:?}");
+    assert!(
+        judged < Duration::from_millis(2_900),
+        "after 3 s it may be taken: {judged:?}"
+    );
     // What this one offers itself is taken at once.
     with.push_configuration(6, &document(6, 3_000, 1_000, 2));
     with.settled();
-    assert_eq!((with.applied(), router.readiness_status()), (Some(position(6)), 200));
+    assert_eq!(
+        (with.applied(), router.readiness_status()),
+        (Some(position(6)), 200)
+    );
 }
 
 #[test]
@@ -272,12 +394,18 @@
     let control = Control::at(SocketAddr::from(([127, 0, 0, 1], 0)));
     control.set_contact(false);
     control.push_configuration(5, &document(5, 3_000, 1_000, 2));
-    let router = Running::start(&settings_text(&[Ipv4Addr::LOCALHOST], control.address.port(), ""), None);
+    let router = Running::start(
+        &settings_text(&[Ipv4Addr::LOCALHOST], control.address.port(), ""),
+        None,
+    );
     control.settled();
     // From now on each connection offers the older one, with a higher version.
     control.push_configuration(3, &document(9, 3_000, 1_000, 2));
     support::until("one is in force", || control.applied().is_some());
-    assert_eq!((control.applied(), router.readiness_status()), (Some(position(5)), 200));
+    assert_eq!(
+        (control.applied(), router.readiness_status()),
+        (Some(position(5)), 200)
+    );
 }
 
 #[test]
@@ -300,11 +428,20 @@
         older.drop_links();
         support::until("it is at the other", || older.hellos() > before);
         older.settled();
-        assert_eq!(older.applied(), Some(position(5)), "in contact: {in_contact}");
+        assert_eq!(
+            older.applied(),
+            Some(position(5)),
+            "in contact: {in_contact}"
+        );
         let mut client = support::client::Client::connect(router.frontend);
         let id = format!("a-{in_contact}");
         assert_eq!(client.ask(request("GET", "safe", &id, "", "")).status, 200);
-        assert_eq!(client.ask(request("GET", "other", &format!("{id}-other"), "", "")).status, 404);
+        assert_eq!(
+            client
+                .ask(request("GET", "other", &format!("{id}-other"), "", ""))
+                .status,
+            404
+        );
     }
 }
 
@@ -318,22 +455,31 @@
     control.push_configuration(1, &document(1, 3_000, 1_000, 2));
     let began = std::time::Instant::now();
     support::until("it is in force", || control.applied().is_some());
-    assert!(began.elapsed() < Duration::from_millis(2_500), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() < Duration::from_millis(2_500),
+        "{:?}",
+        began.elapsed()
+    );
 }
 
 #[test]
 fn seeds_that_change_are_used_after_a_signal_and_without_one() {
     for with_signal in [true, false] {
         let port = free_port();
-        let path =
-            std::env::temp_dir().join(format!("router-seeds-{}-{with_signal}.toml", std::process::id()));
+        let path = std::env::temp_dir().join(format!(
+            "router-seeds-{}-{with_signal}.toml",
+            std::process::id()
+        ));
         let nobody = settings_text(&[Ipv4Addr::new(127, 0, 0, 9)], port, "");
         std::fs::write(&path, &nobody).expect("write");
         let mut router = Running::start(&nobody, Some(path.clone()));
         let control = Control::at(SocketAddr::from(([127, 0, 0, 3], port)));
         control.push_configuration(1, &document(1, 3_000, 1_000, 2));
-        std::fs::write(&path, settings_text(&[Ipv4Addr::new(127, 0, 0, 3)], port, "# changed\n"))
-            .expect("write");
+        std::fs::write(
+            &path,
+            settings_text(&[Ipv4Addr::new(127, 0, 0, 3)], port, "# changed\n"),
+        )
+        .expect("write");
         if with_signal {
             router.reload();
         }
--- a/fleet/tests/router_end.rs
+++ b/fleet/tests/router_end.rs
@@ -28,12 +28,21 @@
     assert_eq!(rig.router.readiness_status(), 503);
     // New clients are served until the platform has learnt of it.
     let reply = late.ask(request("POST", "unsafe", "a2", "", "x"));
-    assert_eq!((reply.status, reply.text(), reply.header("connection")), (200, "done", Some("close")));
+    assert_eq!(
+        (reply.status, reply.text(), reply.header("connection")),
+        (200, "done", Some("close"))
+    );
     let reply = held.reply();
-    assert_eq!((reply.status, reply.text(), reply.complete), (200, "done", true));
+    assert_eq!(
+        (reply.status, reply.text(), reply.complete),
+        (200, "done", true)
+    );
     assert_eq!(reply.header("connection"), Some("close"));
     assert!(held.ends_within(Duration::from_secs(3)));
-    assert!(rig.router.ends_within(Duration::from_secs(5)), "it ends once the platform has had its time");
+    assert!(
+        rig.router.ends_within(Duration::from_secs(5)),
+        "it ends once the platform has had its time"
+    );
 }
 
 #[test]
@@ -70,8 +79,14 @@
     rig.router.stop();
     let reply = held.reply();
     assert_eq!(reply.status, 502, "it may have run");
-    assert!(began.elapsed() >= Duration::from_secs(6), "{:?}", began.elapsed());
-    assert!(rig.router.ends_within(Duration::from_secs(8).saturating_sub(began.elapsed())));
+    assert!(
+        began.elapsed() >= Duration::from_secs(6),
+        "{:?}",
+        began.elapsed()
+    );
+    assert!(rig
+        .router
+        .ends_within(Duration::from_secs(8).saturating_sub(began.elapsed())));
 }
 
 #[test]
@@ -83,7 +98,11 @@
     rig.router.stop();
     rig.router.stop();
     assert!(rig.router.ends_within(Duration::from_secs(5)));
-    assert!(began.elapsed() >= Duration::from_millis(2_900), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() >= Duration::from_millis(2_900),
+        "{:?}",
+        began.elapsed()
+    );
 }
 
 #[test]
@@ -91,16 +110,32 @@
     let server = Server::endless("i-1", Duration::from_millis(200));
     let mut rig = Rig::with(&[&server], 30_000, 1_000, 1);
     let mut kept = rig.client();
-    assert_eq!(kept.ask(request("GET", "nowhere", "a0", "", "")).status, 404);
+    assert_eq!(
+        kept.ask(request("GET", "nowhere", "a0", "", "")).status,
+        404
+    );
     let mut new = rig.client();
     rig.router.stop();
-    support::until("the platform is told", || rig.router.readiness_status() == 503);
+    support::until("the platform is told", || {
+        rig.router.readiness_status() == 503
+    });
     for (client, id) in [(&mut kept, "a1"), (&mut new, "a2")] {
         let began = Instant::now();
         let reply = client.ask(request("POST", "stream", id, "", "x"));
-        assert_eq!((reply.status, reply.complete), (503, true), "a refusal, or an answer that ends: {id}");
-        assert!(reply.retry_after().is_some_and(|after| after < 1.0), "it is told when to come back");
-        assert!(began.elapsed() < Duration::from_secs(1), "{:?}", began.elapsed());
+        assert_eq!(
+            (reply.status, reply.complete),
+            (503, true),
+            "a refusal, or an answer that ends: {id}"
+        );
+        assert!(
+            reply.retry_after().is_some_and(|after| after < 1.0),
+            "it is told when to come back"
+        );
+        assert!(
+            began.elapsed() < Duration::from_secs(1),
+            "{:?}",
+            began.elapsed()
+        );
         assert_eq!(server.times(id), 0, "a refusal is a promise");
     }
 }
@@ -110,10 +145,21 @@
     let server = slow(Duration::from_millis(300));
     let mut rig = Rig::with(&[&server], 30_000, 1_000, 1);
     rig.router.stop();
-    support::until("the platform is told", || rig.router.readiness_status() == 503);
+    support::until("the platform is told", || {
+        rig.router.readiness_status() == 503
+    });
     let mut client = rig.client();
-    let reply = client.ask(request("POST", "unsafe", "a1", "Deadline-Ms: 3000\r\n", "x"));
-    assert_eq!((reply.status, reply.text(), reply.complete), (200, "done", true));
+    let reply = client.ask(request(
+        "POST",
+        "unsafe",
+        "a1",
+        "Deadline-Ms: 3000\r\n",
+        "x",
+    ));
+    assert_eq!(
+        (reply.status, reply.text(), reply.complete),
+        (200, "done", true)
+    );
 }
 
 /// Events of a stream until its connection ends, all whole, and how long that took.
@@ -143,7 +189,13 @@
     }
     // One whose time is over before the router ends is left to its end.
     let mut short = rig.client();
-    short.send(request("POST", "resume", "short", "Deadline-Ms: 7300\r\n", "x"));
+    short.send(request(
+        "POST",
+        "resume",
+        "short",
+        "Deadline-Ms: 7300\r\n",
+        "x",
+    ));
     short.head().expect("a head");
     let began = Instant::now();
     rig.router.stop();
@@ -162,9 +214,13 @@
             })
             .collect()
     });
-    // The grace is 8 s: its last sixth begins after 6.67 s, and the process cuts what is left 0.6 s before its end.
+    // The grace is 8 s: its last sixth begins after 6.67 s, and the process cuts what is left 0.6 s
+    // before its end.
     let (may_be_cut, all_are_cut) = (Duration::from_millis(6_667), Duration::from_millis(7_400));
-    assert!(ends[0] > may_be_cut && ends[0] < may_be_cut + Duration::from_millis(400), "{ends:?}");
+    assert!(
+        ends[0] > may_be_cut && ends[0] < may_be_cut + Duration::from_millis(400),
+        "{ends:?}"
+    );
     assert!(ends[1] >= all_are_cut, "{ends:?}");
     assert!(ends[2] >= Duration::from_millis(7_200), "{ends:?}");
 }
--- a/fleet/tests/router_lost.rs
+++ b/fleet/tests/router_lost.rs
@@ -1,4 +1,5 @@
-//! LOST: a request that was read whole gets a complete answer or a refusal, whatever is changed, leaves or is closed beside it.
+//! LOST: a request that was read whole gets a complete answer or a refusal, whatever is changed,
+//! leaves or is closed beside it.
 //!
 //! The end of the process is looked at in `router_end`.
 
@@ -46,7 +47,9 @@
     fn open(address: SocketAddr) -> Connection {
         let stream = TcpStream::connect(address).expect("connect");
         stream.set_nodelay(true).expect("nodelay");
-        stream.set_read_timeout(Some(support::PATIENCE)).expect("timeout");
+        stream
+            .set_read_timeout(Some(support::PATIENCE))
+            .expect("timeout");
         Connection(stream)
     }
 
@@ -62,7 +65,10 @@
             match self.0.read(&mut bytes) {
                 Ok(read) if read > 0 => input.extend_from_slice(&bytes[..read]),
                 Err(e) if matches!(e.kind(), std::io::ErrorKind::WouldBlock) => {
-                    panic!("no end in time; so far: {:?}", String::from_utf8_lossy(&input))
+                    panic!(
+                        "no end in time; so far: {:?}",
+                        String::from_utf8_lossy(&input)
+                    )
                 }
                 _ if input.is_empty() => return End::Closed,
                 _ => return End::Cut { got: input.len() },
@@ -99,8 +105,8 @@
     "large ".repeat(100_000)
 }
 
-/// A server with work of several kinds, by the `Work` of the request: a long stream, an answer that takes time, one that is passed on as
-/// it comes, or one at once.
+/// A server with work of several kinds, by the `Work` of the request: a long stream, an answer that
+/// takes time, one that is passed on as it comes, or one at once.
 fn worker(instance: &str) -> Server {
     Server::start(instance, |seen, talk| {
         match seen.header("work") {
@@ -132,7 +138,10 @@
 }
 
 fn of_service(server: &Server, service: &str, state: ServerState, number: u64) -> ServerRecord {
-    ServerRecord { service: service.into(), ..record(server, state, number) }
+    ServerRecord {
+        service: service.into(),
+        ..record(server, state, number)
+    }
 }
 
 /// A configuration drawn from all that operators change.
@@ -144,8 +153,13 @@
         if rng.u8(..5) == 0 {
             continue;
         }
-        // Kinds of routes change too: a stream of one that is not streaming is passed on all the same.
-        let kind = kinds[if rng.u8(..4) == 0 { rng.usize(..3) } else { kind }];
+        // Kinds of routes change too: a stream of one that is not streaming is passed on all the
+        // same.
+        let kind = kinds[if rng.u8(..4) == 0 {
+            rng.usize(..3)
+        } else {
+            kind
+        }];
         let split: Vec<String> = services
             .iter()
             .map(|service| format!("{{\"service\":\"{service}\",\"weight\":{}}}", rng.u8(1..5)))
@@ -181,8 +195,14 @@
     )
 }
 
-/// One client: requests on a connection that it keeps for as long as it can. Tells what ended otherwise than it may.
-fn client(address: SocketAddr, servers: &[Arc<Server>], number: u64, over: &AtomicBool) -> Vec<String> {
+/// One client: requests on a connection that it keeps for as long as it can. Tells what ended
+/// otherwise than it may.
+fn client(
+    address: SocketAddr,
+    servers: &[Arc<Server>],
+    number: u64,
+    over: &AtomicBool,
+) -> Vec<String> {
     let mut rng = fastrand::Rng::with_seed(number);
     let (mut connection, mut kept) = (Connection::open(address), false);
     let (mut faults, mut count) = (Vec::new(), 0);
@@ -201,14 +221,20 @@
         let headers = format!("Work: {work}\r\nDeadline-Ms: 20000\r\n");
         let end = connection.ask(&request("POST", kind, &id, &headers, &body));
         let reached = servers.iter().any(|server| server.times(&id) > 0);
-        // Besides: no route at that moment, or no server; a request that crosses the end of a kept connection.
+        // Besides: no route at that moment, or no server; a request that crosses the end of a kept
+        // connection.
         let served = matches!(&end, End::Answered { status: 200, body } if *body == expected(work));
         let refused = end.is_status(&[404, 503]);
         let crossed = end == End::Closed && kept && !reached;
         if !served && !refused && !crossed {
-            let end =
-                if let End::Answered { status, .. } = end { format!("{status}") } else { format!("{end:?}") };
-            faults.push(format!("{id} ({kind}, {work}), at a server: {reached}: {end}"));
+            let end = if let End::Answered { status, .. } = end {
+                format!("{status}")
+            } else {
+                format!("{end:?}")
+            };
+            faults.push(format!(
+                "{id} ({kind}, {work}), at a server: {reached}: {end}"
+            ));
         }
         kept = served || refused;
         if !kept || rng.u8(..8) == 0 {
@@ -221,11 +247,14 @@
 
 #[test]
 fn a_storm_of_configurations_ends_no_request_and_no_stream() {
-    let servers: Vec<Arc<Server>> =
-        ["i-1", "i-2", "i-3", "i-4"].map(|instance| Arc::new(worker(instance))).into();
+    let servers: Vec<Arc<Server>> = ["i-1", "i-2", "i-3", "i-4"]
+        .map(|instance| Arc::new(worker(instance)))
+        .into();
     let rig = Rig::with(&[], 20_000, 2_000, 2);
     let of = |server: usize| ["pool", "other"][server % 2];
-    let records = (0..4).map(|at| of_service(&servers[at], of(at), ServerState::Ready, 1)).collect();
+    let records = (0..4)
+        .map(|at| of_service(&servers[at], of(at), ServerState::Ready, 1))
+        .collect();
     rig.control.push_servers(records);
     rig.control.settled();
     let over = Arc::new(AtomicBool::new(false));
@@ -236,14 +265,24 @@
         })
         .collect();
     let mut rng = fastrand::Rng::with_seed(44);
-    let asked = || servers.iter().map(|server| server.seen().len()).sum::<usize>();
-    // On a machine that is loaded the clients get fewer turns in the same time: the storm lasts until they have had enough.
+    let asked = || {
+        servers
+            .iter()
+            .map(|server| server.seen().len())
+            .sum::<usize>()
+    };
+    // On a machine that is loaded the clients get fewer turns in the same time: the storm lasts
+    // until they have had enough.
     for version in (2..802).take_while(|version| *version < 82 || asked() <= 200) {
-        rig.control.push_configuration(version, &drawn(&mut rng, version));
+        rig.control
+            .push_configuration(version, &drawn(&mut rng, version));
         std::thread::sleep(Duration::from_millis(100));
     }
     over.store(true, Ordering::SeqCst);
-    let faults: Vec<String> = clients.into_iter().flat_map(|c| c.join().expect("a client")).collect();
+    let faults: Vec<String> = clients
+        .into_iter()
+        .flat_map(|c| c.join().expect("a client"))
+        .collect();
     assert!(faults.is_empty(), "{faults:#?}");
     assert!(asked() > 200, "only {} requests reached a server", asked());
 }
@@ -261,48 +300,77 @@
 fn a_request_keeps_its_time_when_its_route_gets_less_or_goes() {
     let server = worker("i-1");
     let rig = Rig::with(&[&server], 6_000, 2_000, 1);
-    let held: Vec<Connection> =
-        [("stream", "stream"), ("resume", "stream"), ("unsafe", "slow"), ("safe", "slow")]
-            .into_iter()
-            .map(|(kind, work)| hold(&rig, &server, kind, work))
-            .collect();
+    let held: Vec<Connection> = [
+        ("stream", "stream"),
+        ("resume", "stream"),
+        ("unsafe", "slow"),
+        ("safe", "slow"),
+    ]
+    .into_iter()
+    .map(|(kind, work)| hold(&rig, &server, kind, work))
+    .collect();
     rig.control.push_configuration(2, &document(2, 100, 50, 1));
     rig.control.settled();
-    rig.control.push_configuration(3, "{\"version\":3,\"routes\":[],\"services\":[]}");
+    rig.control
+        .push_configuration(3, "{\"version\":3,\"routes\":[],\"services\":[]}");
     rig.control.settled();
     rig.control.push_configuration(4, &document(4, 100, 50, 1));
     for (mut connection, work) in held.into_iter().zip(["stream", "stream", "slow", "slow"]) {
-        assert_eq!(connection.end(), End::Answered { status: 200, body: expected(work) });
+        assert_eq!(
+            connection.end(),
+            End::Answered {
+                status: 200,
+                body: expected(work)
+            }
+        );
     }
 }
 
 #[test]
 fn a_server_that_leaves_finishes_what_it_runs() {
-    let ways: [&[ServerState]; 3] =
-        [&[ServerState::Draining], &[ServerState::Gone], &[ServerState::Draining, ServerState::Gone]];
+    let ways: [&[ServerState]; 3] = [
+        &[ServerState::Draining],
+        &[ServerState::Gone],
+        &[ServerState::Draining, ServerState::Gone],
+    ];
     for way in ways {
         let server = worker("i-1");
         let rig = Rig::with(&[&server], 6_000, 2_000, 3);
-        let held: Vec<(Connection, &str)> =
-            [("resume", "stream"), ("stream", "stream"), ("safe", "slow"), ("unsafe", "slow")]
-                .into_iter()
-                .map(|(kind, work)| {
-                    let connection = hold(&rig, &server, kind, work);
-                    (connection, work)
-                })
-                .collect();
+        let held: Vec<(Connection, &str)> = [
+            ("resume", "stream"),
+            ("stream", "stream"),
+            ("safe", "slow"),
+            ("unsafe", "slow"),
+        ]
+        .into_iter()
+        .map(|(kind, work)| {
+            let connection = hold(&rig, &server, kind, work);
+            (connection, work)
+        })
+        .collect();
         for (at, state) in way.iter().enumerate() {
-            rig.control.push_servers(vec![record(&server, *state, at as u64 + 2)]);
+            rig.control
+                .push_servers(vec![record(&server, *state, at as u64 + 2)]);
             rig.control.settled();
         }
         // Its address goes to a server of another service, and its own service goes.
-        let heir =
-            ServerRecord { instance: "i-9".into(), ..of_service(&server, "other", ServerState::Ready, 1) };
+        let heir = ServerRecord {
+            instance: "i-9".into(),
+            ..of_service(&server, "other", ServerState::Ready, 1)
+        };
         rig.control.push_servers(vec![heir]);
-        rig.control.push_configuration(2, &document(2, 6_000, 2_000, 3).replace("pool", "other"));
+        rig.control
+            .push_configuration(2, &document(2, 6_000, 2_000, 3).replace("pool", "other"));
         rig.control.settled();
         for (mut connection, work) in held {
-            assert_eq!(connection.end(), End::Answered { status: 200, body: expected(work) }, "{way:?}");
+            assert_eq!(
+                connection.end(),
+                End::Answered {
+                    status: 200,
+                    body: expected(work)
+                },
+                "{way:?}"
+            );
         }
         assert_eq!(server.seen().len(), 4, "each was sent once");
     }
@@ -314,9 +382,16 @@
     let text = settings_text(&[Ipv4Addr::LOCALHOST], control.address.port(), "");
     assert!(text.contains(exchange.0), "the settings have the line");
     let router = Running::start(&text.replace(exchange.0, exchange.1), None);
-    control.push_servers(servers.iter().map(|s| record(s, ServerState::Ready, 1)).collect());
+    control.push_servers(
+        servers
+            .iter()
+            .map(|s| record(s, ServerState::Ready, 1))
+            .collect(),
+    );
     control.push_configuration(1, document);
-    support::until("the configuration is in force", || control.applied().is_some());
+    support::until("the configuration is in force", || {
+        control.applied().is_some()
+    });
     control.settled();
     (control, router)
 }
@@ -338,8 +413,9 @@
     ask_once(&mut connection, server, id)
 }
 
-/// A connection whose first request was answered. On a machine that is loaded that one may be refused, or its connection may end before it was
-/// written; then no server has seen it, and another connection is opened.
+/// A connection whose first request was answered. On a machine that is loaded that one may be
+/// refused, or its connection may end before it was written; then no server has seen it, and
+/// another connection is opened.
 fn connection_that_was_used(address: SocketAddr, server: &Server, id: &str) -> Connection {
     for attempt in 0..40 {
         let mut connection = Connection::open(address);
@@ -348,7 +424,10 @@
             (true, end) if end.is_status(&[200]) => return connection,
             (reached, end) => {
                 assert!(!reached, "{first} was passed on: {end:?}");
-                assert!(end == End::Closed || end.is_status(&[503]), "{first}: {end:?}");
+                assert!(
+                    end == End::Closed || end.is_status(&[503]),
+                    "{first}: {end:?}"
+                );
             }
         }
     }
@@ -358,7 +437,8 @@
 #[test]
 fn a_request_that_crosses_the_end_of_a_kept_connection_reaches_no_server() {
     let server = Arc::new(worker("i-1"));
-    let idle = document(1, 6_000, 2_000, 1).replace("\"idleTimeoutMs\":3000", "\"idleTimeoutMs\":100");
+    let idle =
+        document(1, 6_000, 2_000, 1).replace("\"idleTimeoutMs\":3000", "\"idleTimeoutMs\":100");
     let (_control, router) = router_with(&[&server], ("[limits]", "[limits]"), &idle);
     let due = Duration::from_millis(100) + IDLE_MARGIN;
     let (mut crossed, mut served) = (0, 0);
@@ -367,7 +447,8 @@
             .map(|number: u64| {
                 let (server, address) = (server.clone(), router.frontend);
                 // Half a millisecond apart, on both sides of the moment.
-                let rest = due - Duration::from_millis(30) + Duration::from_micros(500) * number as u32;
+                let rest =
+                    due - Duration::from_millis(30) + Duration::from_micros(500) * number as u32;
                 let id = format!("r{round}-{number}");
                 std::thread::spawn(move || (ask_after_rest(address, &server, &id, rest), id))
             })
@@ -381,7 +462,10 @@
             *if reached { &mut served } else { &mut crossed } += 1;
         }
     }
-    assert!(crossed > 10 && served > 10, "{crossed} crossed, {served} did not: the moment was missed");
+    assert!(
+        crossed > 10 && served > 10,
+        "{crossed} crossed, {served} did not: the moment was missed"
+    );
 }
 
 /// Requests of one client on connections that it keeps for as long as it can.
@@ -413,14 +497,23 @@
             std::thread::spawn(move || press(address, &server, number))
         })
         .collect();
-    for (id, reached, end) in clients.into_iter().flat_map(|client| client.join().expect("a client")) {
+    for (id, reached, end) in clients
+        .into_iter()
+        .flat_map(|client| client.join().expect("a client"))
+    {
         match reached {
             true => assert!(end.is_status(&[200]), "{id} was passed on: {end:?}"),
-            false => assert!(end == End::Closed || end.is_status(&[503]), "{id} was not passed on: {end:?}"),
+            false => assert!(
+                end == End::Closed || end.is_status(&[503]),
+                "{id} was not passed on: {end:?}"
+            ),
         }
         *if reached { &mut served } else { &mut closed } += 1;
     }
-    assert!(closed > 0 && served > 100, "{closed} closed, {served} served: there was room for all");
+    assert!(
+        closed > 0 && served > 100,
+        "{closed} closed, {served} served: there was room for all"
+    );
 }
 
 /// A stream of more than a router holds for a client, in events of 8 KB.
@@ -447,18 +540,27 @@
     let rig = Rig::with(&[&server], 20_000, 2_000, 1);
     for kind in ["stream", "resume", "safe"] {
         let mut connection = Connection::open(rig.router.frontend);
-        connection.0.write_all(request("POST", kind, kind, "", "x").as_bytes()).expect("send");
+        connection
+            .0
+            .write_all(request("POST", kind, kind, "", "x").as_bytes())
+            .expect("send");
         support::until("it runs", || server.times(kind) == 1);
         std::thread::sleep(Duration::from_millis(500));
         if kind == "safe" {
-            rig.control.push_servers(vec![record(&server, ServerState::Gone, 2)]);
-            rig.control.push_configuration(2, "{\"version\":2,\"routes\":[],\"services\":[]}");
+            rig.control
+                .push_servers(vec![record(&server, ServerState::Gone, 2)]);
+            rig.control
+                .push_configuration(2, "{\"version\":2,\"routes\":[],\"services\":[]}");
             rig.control.settled();
         }
         std::thread::sleep(Duration::from_millis(2_500));
         let end = connection.end();
         let whole = matches!(&end, End::Answered { status: 200, body } if *body == wide_stream());
-        assert!(whole, "{kind}: {:?}", matches!(end, End::Closed | End::Cut { .. }).then_some(end));
+        assert!(
+            whole,
+            "{kind}: {:?}",
+            matches!(end, End::Closed | End::Cut { .. }).then_some(end)
+        );
     }
 }
 
@@ -472,31 +574,53 @@
     let mut router = Running::start(&text, Some(path.clone()));
     control.push_servers(vec![record(&server, ServerState::Ready, 1)]);
     control.push_configuration(1, &document(1, 6_000, 2_000, 1));
-    support::until("the configuration is in force", || control.applied().is_some());
-    let held: Vec<(Connection, &str)> = [("stream", "stream"), ("unsafe", "slow"), ("safe", "slow")]
-        .into_iter()
-        .map(|(kind, work)| {
-            let mut connection = Connection::open(router.frontend);
-            let text = request("POST", kind, kind, &format!("Work: {work}\r\n"), "x");
-            connection.0.write_all(text.as_bytes()).expect("send");
-            support::until("it is held", || server.times(kind) == 1);
-            (connection, work)
-        })
-        .collect();
+    support::until("the configuration is in force", || {
+        control.applied().is_some()
+    });
+    let held: Vec<(Connection, &str)> =
+        [("stream", "stream"), ("unsafe", "slow"), ("safe", "slow")]
+            .into_iter()
+            .map(|(kind, work)| {
+                let mut connection = Connection::open(router.frontend);
+                let text = request("POST", kind, kind, &format!("Work: {work}\r\n"), "x");
+                connection.0.write_all(text.as_bytes()).expect("send");
+                support::until("it is held", || server.times(kind) == 1);
+                (connection, work)
+            })
+            .collect();
     let mut kept = Connection::open(router.frontend);
     let nobody = settings_text(&[Ipv4Addr::new(127, 0, 0, 9)], 1, "");
-    let short =
-        text.replace("gracePeriodS = 8", "gracePeriodS = 0").replace("retrySlack = 200", "retrySlack = 0");
-    for (round, content) in [&*nobody, "nodeName = ", "", &*short, &text[..text.len() / 2]].iter().enumerate()
+    let short = text
+        .replace("gracePeriodS = 8", "gracePeriodS = 0")
+        .replace("retrySlack = 200", "retrySlack = 0");
+    for (round, content) in [
+        &*nobody,
+        "nodeName = ",
+        "",
+        &*short,
+        &text[..text.len() / 2],
+    ]
+    .iter()
+    .enumerate()
     {
         std::fs::write(&path, content).expect("write");
         router.reload();
-        assert!(kept.ask(&request("POST", "unsafe", &format!("k{round}"), "", "x")).is_status(&[200]));
+        assert!(kept
+            .ask(&request("POST", "unsafe", &format!("k{round}"), "", "x"))
+            .is_status(&[200]));
     }
     std::fs::remove_file(&path).expect("remove");
     router.reload();
-    assert!(kept.ask(&request("POST", "unsafe", "k-last", "", "x")).is_status(&[200]));
+    assert!(kept
+        .ask(&request("POST", "unsafe", "k-last", "", "x"))
+        .is_status(&[200]));
     for (mut connection, work) in held {
-        assert_eq!(connection.end(), End::Answered { status: 200, body: expected(work) });
+        assert_eq!(
+            connection.end(),
+            End::Answered {
+                status: 200,
+                body: expected(work)
+            }
+        );
     }
 }
--- a/fleet/tests/router_process.rs
+++ b/fleet/tests/router_process.rs
@@ -22,7 +22,10 @@
 
 impl Process {
     fn signal(&self, name: &str) {
-        let status = Command::new("kill").args([name, &self.0.id().to_string()]).status().expect("kill");
+        let status = Command::new("kill")
+            .args([name, &self.0.id().to_string()])
+            .status()
+            .expect("kill");
         assert!(status.success());
     }
 }
@@ -35,7 +38,11 @@
         Next::Keep
     });
     let control = Control::at(SocketAddr::from(([127, 0, 0, 1], 0)));
-    control.push_servers(vec![record(&server, lichenswitch_messages::ServerState::Ready, 1)]);
+    control.push_servers(vec![record(
+        &server,
+        lichenswitch_messages::ServerState::Ready,
+        1,
+    )]);
     control.push_configuration(1, &document(1, 3_000, 1_000, 2));
     let (frontend, readiness) = (free_port(), free_port());
     let text = settings_text(&[std::net::Ipv4Addr::LOCALHOST], control.address.port(), "")
@@ -58,7 +65,10 @@
     process.signal("-HUP");
     process.signal("-TERM");
     let reply = client.reply();
-    assert_eq!((reply.status, reply.text(), reply.header("connection")), (200, "done", Some("close")));
+    assert_eq!(
+        (reply.status, reply.text(), reply.header("connection")),
+        (200, "done", Some("close"))
+    );
     let mut ended = None;
     support::until("it ends", || {
         ended = process.0.try_wait().expect("wait");
@@ -70,7 +80,8 @@
 
 #[test]
 fn a_router_without_an_address_for_clients_says_so() {
-    let text = settings_text(&[std::net::Ipv4Addr::LOCALHOST], 7_300, "").replace("frontend", "other");
+    let text =
+        settings_text(&[std::net::Ipv4Addr::LOCALHOST], 7_300, "").replace("frontend", "other");
     let path = std::env::temp_dir().join(format!("router-faulty-{}.toml", std::process::id()));
     std::fs::write(&path, text).expect("write");
     let output = Command::new(env!("CARGO_BIN_EXE_lichenswitch-fleet"))
--- a/fleet/tests/router_random.rs
+++ b/fleet/tests/router_random.rs
@@ -1,5 +1,6 @@
-//! A router between many clients and servers that fail at random: whatever happens, nothing that a client sees or a server runs breaks a
-//! rule. A seed prints its number; `ROUTER_SEED=N` plays one alone.
+//! A router between many clients and servers that fail at random: whatever happens, nothing that a
+//! client sees or a server runs breaks a rule. A seed prints its number; `ROUTER_SEED=N` plays one
+//! alone.
 
 mod support;
 
@@ -37,8 +38,14 @@
         15..18 => return Next::Reset,
         _ => {}
     }
-    let from = seen.header("last-event-id").map_or(0, |last| last.parse().expect("a number"));
-    runs.lock().expect("lock").entry(id.clone()).or_default().push(from);
+    let from = seen
+        .header("last-event-id")
+        .map_or(0, |last| last.parse().expect("a number"));
+    runs.lock()
+        .expect("lock")
+        .entry(id.clone())
+        .or_default()
+        .push(from);
     match rng.u32(0..100) {
         0..6 => return Next::Close,
         6..12 => return Next::Reset,
@@ -136,7 +143,10 @@
     let runs: Runs = Arc::default();
     let servers: Vec<Server> = (0..4)
         .map(|n| {
-            let (runs, rng) = (runs.clone(), Mutex::new(fastrand::Rng::with_seed(seed * 31 + n)));
+            let (runs, rng) = (
+                runs.clone(),
+                Mutex::new(fastrand::Rng::with_seed(seed * 31 + n)),
+            );
             Server::start(&format!("i-{n}"), move |seen, talk| {
                 let mut rng = rng.lock().expect("lock").fork();
                 act(&mut rng, &runs, seen, talk)
@@ -172,13 +182,20 @@
             })
         })
         .collect();
-    let tried: Vec<_> = clients.into_iter().flat_map(|client| client.join().expect("a client")).collect();
+    let tried: Vec<_> = clients
+        .into_iter()
+        .flat_map(|client| client.join().expect("a client"))
+        .collect();
     let runs = runs.lock().expect("lock").clone();
     let mut served = 0;
     for (kind, id, reply) in &tried {
         let ran = runs.get(id).cloned().unwrap_or_default();
         if matches!(*kind, "unsafe" | "stream") {
-            assert!(ran.len() <= 1, "seed {seed}: {kind} {id} ran {} times", ran.len());
+            assert!(
+                ran.len() <= 1,
+                "seed {seed}: {kind} {id} ran {} times",
+                ran.len()
+            );
         }
         let sent: usize = servers.iter().map(|server| server.times(id)).sum();
         assert!(sent <= 3, "seed {seed}: {id} was sent to {sent} servers");
@@ -186,34 +203,64 @@
         let seal = format!("seal-{id}");
         match reply.status {
             200 => {
-                assert_eq!(reply.header("response-seal"), Some(seal.as_str()), "seed {seed}: {id}");
+                assert_eq!(
+                    reply.header("response-seal"),
+                    Some(seal.as_str()),
+                    "seed {seed}: {id}"
+                );
                 let all: String = (1..=EVENTS).map(event).collect();
-                let expected = if matches!(*kind, "stream" | "resume") { all } else { body_of(id) };
+                let expected = if matches!(*kind, "stream" | "resume") {
+                    all
+                } else {
+                    body_of(id)
+                };
                 match reply.complete {
                     true => assert_eq!(reply.text(), expected, "seed {seed}: {kind} {id}"),
-                    false => assert!(expected.starts_with(reply.text()), "seed {seed}: {kind} {id}"),
+                    false => assert!(
+                        expected.starts_with(reply.text()),
+                        "seed {seed}: {kind} {id}"
+                    ),
                 }
                 served += usize::from(reply.complete);
             }
-            500 => assert_eq!(reply.header("response-seal"), Some(seal.as_str()), "seed {seed}: {id}"),
+            500 => assert_eq!(
+                reply.header("response-seal"),
+                Some(seal.as_str()),
+                "seed {seed}: {id}"
+            ),
             503 => {
                 assert!(reply.retry_after().is_some(), "seed {seed}: {id}");
-                assert!(ran.is_empty(), "seed {seed}: {kind} {id} ran, and was refused");
+                assert!(
+                    ran.is_empty(),
+                    "seed {seed}: {kind} {id} ran, and was refused"
+                );
                 assert_eq!(reply.header("response-seal"), None);
             }
             502 | 504 => assert_eq!(reply.header("response-seal"), None),
             status => panic!("seed {seed}: {kind} {id} got {status}"),
         }
-        assert!(reply.took < Duration::from_millis(1_000), "seed {seed}: {id} took {:?}", reply.took);
+        assert!(
+            reply.took < Duration::from_millis(1_000),
+            "seed {seed}: {id} took {:?}",
+            reply.took
+        );
     }
-    assert!(served * 3 > tried.len(), "seed {seed}: {served} of {} were served", tried.len());
+    assert!(
+        served * 3 > tried.len(),
+        "seed {seed}: {served} of {} were served",
+        tried.len()
+    );
     // What was never asked for is never run.
-    assert!(runs.keys().all(|id| tried.iter().any(|(_, known, _)| known == id)));
+    assert!(runs
+        .keys()
+        .all(|id| tried.iter().any(|(_, known, _)| known == id)));
 }
 
 #[test]
 fn no_rule_is_broken_whatever_servers_do() {
-    let one = std::env::var("ROUTER_SEED").ok().and_then(|seed| seed.parse().ok());
+    let one = std::env::var("ROUTER_SEED")
+        .ok()
+        .and_then(|seed| seed.parse().ok());
     match one {
         Some(seed) => play(seed),
         None => (1..=6).for_each(play),
--- a/fleet/tests/router_server_faults.rs
+++ b/fleet/tests/router_server_faults.rs
@@ -14,19 +14,41 @@
 #[test]
 fn a_whole_answer_is_passed_on_unchanged() {
     let server = Server::start("i-1", |seen, talk| {
-        talk.answer(seen, 200, "X-Other: kept\r\nVersions: 3\r\nKeep-Alive: timeout=9\r\n", "all of it");
+        talk.answer(
+            seen,
+            200,
+            "X-Other: kept\r\nVersions: 3\r\nKeep-Alive: timeout=9\r\n",
+            "all of it",
+        );
         Next::Keep
     });
     let rig = Rig::usual(&[&server]);
     let mut client = rig.client();
     for id in ["a1", "a2"] {
         let reply = client.ask(request("GET", "safe", id, "", ""));
-        assert_eq!((reply.status, reply.text(), reply.complete), (200, "all of it", true));
-        assert_eq!(reply.header("response-seal"), Some(format!("seal-{id}").as_str()));
-        assert_eq!((reply.header("x-other"), reply.header("versions")), (Some("kept"), Some("3")));
-        assert_eq!(reply.header("keep-alive"), None, "it concerns one connection alone");
+        assert_eq!(
+            (reply.status, reply.text(), reply.complete),
+            (200, "all of it", true)
+        );
+        assert_eq!(
+            reply.header("response-seal"),
+            Some(format!("seal-{id}").as_str())
+        );
+        assert_eq!(
+            (reply.header("x-other"), reply.header("versions")),
+            (Some("kept"), Some("3"))
+        );
+        assert_eq!(
+            reply.header("keep-alive"),
+            None,
+            "it concerns one connection alone"
+        );
     }
-    assert_eq!(server.connections(), 1, "a connection that is well is used again");
+    assert_eq!(
+        server.connections(),
+        1,
+        "a connection that is well is used again"
+    );
 }
 
 #[test]
@@ -39,7 +61,10 @@
     for (kind, id) in [("unsafe", "a1"), ("safe", "a2")] {
         let reply = rig.client().ask(request("POST", kind, id, "", "x"));
         assert_eq!((reply.status, reply.text()), (500, "it failed"));
-        assert_eq!(reply.header("response-seal"), Some(format!("seal-{id}").as_str()));
+        assert_eq!(
+            reply.header("response-seal"),
+            Some(format!("seal-{id}").as_str())
+        );
         assert_eq!(server.times(id), 1);
     }
 }
@@ -98,8 +123,14 @@
     });
     let rig = Rig::usual(&[&server]);
     let mut client = rig.client();
-    assert_eq!(client.ask(request("GET", "safe", "a1", "", "")).text(), "first");
-    assert_eq!(client.ask(request("GET", "safe", "a2", "", "")).text(), "second");
+    assert_eq!(
+        client.ask(request("GET", "safe", "a1", "", "")).text(),
+        "first"
+    );
+    assert_eq!(
+        client.ask(request("GET", "safe", "a2", "", "")).text(),
+        "second"
+    );
     assert_eq!(server.connections(), 2, "the connection was closed");
 }
 
@@ -120,24 +151,35 @@
     });
     let rig = Rig::usual(&[&server]);
     let mut client = rig.client();
-    assert_eq!(client.ask(request("GET", "safe", "a1", "", "")).text(), "of a1");
+    assert_eq!(
+        client.ask(request("GET", "safe", "a1", "", "")).text(),
+        "of a1"
+    );
     let reply = client.ask(request("GET", "safe", "a2", "", ""));
     assert_ne!(reply.text(), "extra");
     assert!(reply.status == 502 || reply.text() == "of a2", "{reply:?}");
     let reply = client.ask(request("GET", "safe", "a3", "", ""));
     assert_eq!(reply.text(), "of a3");
-    assert!(server.seen().iter().filter(|seen| seen.connection == 1).all(|seen| seen.id() != "a3"));
+    assert!(server
+        .seen()
+        .iter()
+        .filter(|seen| seen.connection == 1)
+        .all(|seen| seen.id() != "a3"));
 }
 
 #[test]
 fn an_answer_to_another_request_is_nobodys() {
     let server = Server::start("i-1", |_, talk| {
-        talk.write("HTTP/1.1 200 OK\r\nAttempt-Id: zz\r\nResponse-Seal: s\r\nContent-Length: 2\r\n\r\nno");
+        talk.write(
+            "HTTP/1.1 200 OK\r\nAttempt-Id: zz\r\nResponse-Seal: s\r\nContent-Length: 2\r\n\r\nno",
+        );
         Next::Keep
     });
     let rig = Rig::with(&[&server], 1_000, 500, 1);
     for kind in ["unsafe", "stream"] {
-        let reply = rig.client().ask(request("POST", kind, &format!("a-{kind}"), "", "x"));
+        let reply = rig
+            .client()
+            .ask(request("POST", kind, &format!("a-{kind}"), "", "x"));
         assert_eq!((reply.status, reply.header("response-seal")), (502, None));
     }
 }
@@ -176,7 +218,10 @@
                     }
                 }
                 let text = String::from_utf8_lossy(&all).to_ascii_lowercase();
-                let id = text.split("attempt-id: ").nth(1).and_then(|rest| rest.split("\r\n").next());
+                let id = text
+                    .split("attempt-id: ")
+                    .nth(1)
+                    .and_then(|rest| rest.split("\r\n").next());
                 let id = id.expect("an id").to_owned();
                 let answer = format!(
                     "HTTP/1.1 200 OK\r\nAttempt-Id: {id}\r\nResponse-Seal: s\r\nContent-Length: 5\r\n\r\nearly"
@@ -210,13 +255,20 @@
     assert_eq!((reply.status, reply.text()), (200, "early"));
     assert_eq!(connections.load(Ordering::SeqCst), 2);
     // Where the rest of the body is due nothing else may stand.
-    let read = told.recv_timeout(support::PATIENCE).expect("the first connection ends");
+    let read = told
+        .recv_timeout(support::PATIENCE)
+        .expect("the first connection ends");
     assert!(!String::from_utf8_lossy(&read).contains("a2"));
 }
 
 #[test]
 fn a_request_that_may_not_run_twice_is_sent_once_whatever_happens() {
-    for (next, patience) in [(Next::Close, 0), (Next::Reset, 0), (Next::Reset, 60), (Next::Close, 60)] {
+    for (next, patience) in [
+        (Next::Close, 0),
+        (Next::Reset, 0),
+        (Next::Reset, 60),
+        (Next::Close, 60),
+    ] {
         let script = move |_: &support::server::Seen, talk: &mut support::server::Talk| {
             talk.closes_within(Duration::from_millis(patience + 1));
             next
@@ -240,7 +292,13 @@
     };
     let servers = [Server::start("i-1", script), Server::start("i-2", script)];
     let rig = Rig::with(&[&servers[0], &servers[1]], 500, 100, 3);
-    let reply = rig.client().ask(request("POST", "unsafe", "a1", "Deadline-Ms: 5000\r\n", "x"));
+    let reply = rig.client().ask(request(
+        "POST",
+        "unsafe",
+        "a1",
+        "Deadline-Ms: 5000\r\n",
+        "x",
+    ));
     assert_eq!(reply.status, 504);
     assert!(
         reply.took >= Duration::from_millis(450) && reply.took < Duration::from_millis(750),
@@ -252,7 +310,8 @@
 
 #[test]
 fn an_idle_connection_that_was_dropped_unseen_carries_no_unsafe_request() {
-    // After its first answer it forgets the connection without a word: whatever is next sent on it is reset.
+    // After its first answer it forgets the connection without a word: whatever is next sent on it
+    // is reset.
     let server = Server::start("i-1", |seen, talk| {
         let first_here = seen.header("first").is_some();
         talk.answer(seen, 200, "Keep-Alive: timeout=30\r\n", "ok");
@@ -265,7 +324,12 @@
     });
     let rig = Rig::usual(&[&server]);
     let mut client = rig.client();
-    assert_eq!(client.ask(request("GET", "safe", "a1", "First: yes\r\n", "")).status, 200);
+    assert_eq!(
+        client
+            .ask(request("GET", "safe", "a1", "First: yes\r\n", ""))
+            .status,
+        200
+    );
     std::thread::sleep(Duration::from_millis(600));
     let reply = client.ask(request("POST", "unsafe", "a2", "", "x"));
     assert_eq!((reply.status, reply.text()), (200, "ok"));
@@ -284,10 +348,22 @@
         let id = format!("a-{kind}");
         let reply = rig.client().ask(request("POST", kind, &id, "", "x"));
         assert_eq!(reply.status, 503, "{kind}");
-        assert!(reply.retry_after().is_some_and(|after| after > 0.0 && after < 1.0), "{kind}: {reply:?}");
-        assert_eq!(reply.header("response-seal"), None, "an answer of this program bears no seal");
+        assert!(
+            reply
+                .retry_after()
+                .is_some_and(|after| after > 0.0 && after < 1.0),
+            "{kind}: {reply:?}"
+        );
+        assert_eq!(
+            reply.header("response-seal"),
+            None,
+            "an answer of this program bears no seal"
+        );
         let sent = servers[0].times(&id) + servers[1].times(&id);
-        assert!((1..=2).contains(&sent), "{kind}: {sent} servers for two attempts");
+        assert!(
+            (1..=2).contains(&sent),
+            "{kind}: {sent} servers for two attempts"
+        );
     }
 }
 
@@ -316,7 +392,10 @@
             Next::Keep
         }
     };
-    let servers = [Server::start("i-1", script(refused.clone())), Server::start("i-2", script(refused))];
+    let servers = [
+        Server::start("i-1", script(refused.clone())),
+        Server::start("i-2", script(refused)),
+    ];
     let rig = Rig::usual(&[&servers[0], &servers[1]]);
     let reply = rig.client().ask(request("POST", "unsafe", "a1", "", "x"));
     assert_eq!((reply.status, reply.text()), (200, "done"));
@@ -335,13 +414,21 @@
     dead.address = format!("127.0.0.1:{}", support::rig::free_port());
     rig.control.push_servers(vec![dead]);
     rig.control.settled();
-    let reply = rig.client().ask(request("POST", "unsafe", "a1", "Deadline-Ms: 700\r\n", "x"));
+    let reply = rig
+        .client()
+        .ask(request("POST", "unsafe", "a1", "Deadline-Ms: 700\r\n", "x"));
     assert_eq!(reply.status, 503, "nothing was sent");
     assert!(reply.retry_after().is_some());
-    rig.control.push_servers(vec![support::rig::record(&good, lichenswitch_messages::ServerState::Ready, 1)]);
+    rig.control.push_servers(vec![support::rig::record(
+        &good,
+        lichenswitch_messages::ServerState::Ready,
+        1,
+    )]);
     rig.control.settled();
     for n in 0..6 {
-        let reply = rig.client().ask(request("POST", "unsafe", &format!("b{n}"), "", "x"));
+        let reply = rig
+            .client()
+            .ask(request("POST", "unsafe", &format!("b{n}"), "", "x"));
         assert_eq!(reply.status, 200);
     }
 }
@@ -362,23 +449,39 @@
             Next::Keep
         }
     };
-    let servers =
-        [Server::start("i-1", script(turn.clone(), tell.clone())), Server::start("i-2", script(turn, tell))];
+    let servers = [
+        Server::start("i-1", script(turn.clone(), tell.clone())),
+        Server::start("i-2", script(turn, tell)),
+    ];
     let rig = Rig::with(&[&servers[0], &servers[1]], 3_000, 400, 2);
-    let reply = rig.client().ask(request("POST", "resume", "a1", "Deadline-Ms: 3000\r\n", "x"));
-    assert_eq!((reply.status, reply.text().to_owned(), reply.complete), (200, event(1), true));
+    let reply = rig.client().ask(request(
+        "POST",
+        "resume",
+        "a1",
+        "Deadline-Ms: 3000\r\n",
+        "x",
+    ));
+    assert_eq!(
+        (reply.status, reply.text().to_owned(), reply.complete),
+        (200, event(1), true)
+    );
     assert!(
         reply.took >= Duration::from_millis(180) && reply.took < Duration::from_millis(400),
         "{:?}",
         reply.took
     );
     assert!(
-        told.recv_timeout(support::PATIENCE).expect("the loser is told"),
+        told.recv_timeout(support::PATIENCE)
+            .expect("the loser is told"),
         "the loser's connection is closed"
     );
     let sent: Vec<_> = servers.iter().flat_map(Server::seen).collect();
     assert_eq!(sent.len(), 2);
-    let (first, second) = if sent[0].at < sent[1].at { (&sent[0], &sent[1]) } else { (&sent[1], &sent[0]) };
+    let (first, second) = if sent[0].at < sent[1].at {
+        (&sent[0], &sent[1])
+    } else {
+        (&sent[1], &sent[0])
+    };
     let passed = second.at.duration_since(first.at).as_millis() as u64;
     assert!(
         second.deadline_ms() + passed <= first.deadline_ms() + 20,
@@ -394,12 +497,17 @@
         talk.closes_within(Duration::from_millis(5));
         Next::Reset
     };
-    let servers: Vec<Server> = (0..5).map(|n| Server::start(&format!("i-{n}"), script)).collect();
+    let servers: Vec<Server> = (0..5)
+        .map(|n| Server::start(&format!("i-{n}"), script))
+        .collect();
     let rig = Rig::with(&servers.iter().collect::<Vec<_>>(), 1_000, 400, 2);
     for n in 0..4 {
         let id = format!("a{n}");
         let reply = rig.client().ask(request("GET", "safe", &id, "", ""));
-        assert!(reply.status == 502 || reply.status == 503 || reply.status == 504, "{reply:?}");
+        assert!(
+            reply.status == 502 || reply.status == 503 || reply.status == 504,
+            "{reply:?}"
+        );
         let sent: usize = servers.iter().map(|server| server.times(&id)).sum();
         assert!((1..=2).contains(&sent), "{sent} servers for two attempts");
     }
@@ -411,7 +519,9 @@
         talk.closes_within(Duration::from_millis(2));
         Next::Reset
     };
-    let servers: Vec<Server> = (0..3).map(|n| Server::start(&format!("i-{n}"), script)).collect();
+    let servers: Vec<Server> = (0..3)
+        .map(|n| Server::start(&format!("i-{n}"), script))
+        .collect();
     let rig = Rig::with(&servers.iter().collect::<Vec<_>>(), 400, 200, 2);
     rig.control.set_routers(0);
     // The heartbeat has come once the next push is acknowledged.
@@ -419,11 +529,15 @@
     rig.control.settled();
     let asked = 20;
     for n in 0..asked {
-        rig.client().ask(request("GET", "safe", &format!("a{n}"), "", ""));
+        rig.client()
+            .ask(request("GET", "safe", &format!("a{n}"), "", ""));
     }
     let arrived: usize = servers.iter().map(|server| server.seen().len()).sum();
     let further = arrived.saturating_sub(asked);
-    assert!(further as f64 <= 0.2 * asked as f64, "{further} further tries for {asked} requests");
+    assert!(
+        further as f64 <= 0.2 * asked as f64,
+        "{further} further tries for {asked} requests"
+    );
 }
 
 #[test]
@@ -443,14 +557,26 @@
         .map(|n| {
             std::thread::spawn(move || {
                 let mut client = support::client::Client::connect(address);
-                client.ask(request("GET", "safe", &format!("a{n}"), "", "")).status
+                client
+                    .ask(request("GET", "safe", &format!("a{n}"), "", ""))
+                    .status
             })
         })
         .collect();
-    let statuses: Vec<u16> = threads.into_iter().map(|thread| thread.join().expect("a client")).collect();
+    let statuses: Vec<u16> = threads
+        .into_iter()
+        .map(|thread| thread.join().expect("a client"))
+        .collect();
     assert!(began.elapsed() < support::PATIENCE);
-    assert!(statuses.iter().all(|status| [200, 503].contains(status)), "{statuses:?}");
+    assert!(
+        statuses.iter().all(|status| [200, 503].contains(status)),
+        "{statuses:?}"
+    );
     assert!(statuses.contains(&200));
     // 100 connections shared by 50 routers.
-    assert!(server.connections() <= 2, "{} connections", server.connections());
+    assert!(
+        server.connections() <= 2,
+        "{} connections",
+        server.connections()
+    );
 }
--- a/fleet/tests/router_shutdown.rs
+++ b/fleet/tests/router_shutdown.rs
@@ -18,7 +18,9 @@
 fn stop(rig: &mut Rig) -> Instant {
     rig.router.stop();
     let began = Instant::now();
-    support::until("the platform is told", || rig.router.readiness_status() == 503);
+    support::until("the platform is told", || {
+        rig.router.readiness_status() == 503
+    });
     began
 }
 
@@ -80,8 +82,14 @@
     support::until("it is held", || server.times("a1") == 1);
     stop(&mut rig);
     let first = client.reply();
-    assert_eq!((first.status, first.complete, first.header("connection")), (200, true, Some("close")));
-    assert!(client.ends_within(Duration::from_secs(3)), "the second was not read");
+    assert_eq!(
+        (first.status, first.complete, first.header("connection")),
+        (200, true, Some("close"))
+    );
+    assert!(
+        client.ends_within(Duration::from_secs(3)),
+        "the second was not read"
+    );
     assert_eq!(server.times("a2"), 0);
 }
 
@@ -95,14 +103,23 @@
     });
     let mut rig = Rig::with(&[&server], 30_000, 1_000, 1);
     let mut client = rig.client();
-    client.send(request("POST", "unsafe", "a1", "Deadline-Ms: 4000\r\n", "x"));
+    client.send(request(
+        "POST",
+        "unsafe",
+        "a1",
+        "Deadline-Ms: 4000\r\n",
+        "x",
+    ));
     support::until("it is held", || server.times("a1") == 1);
     std::thread::sleep(Duration::from_millis(300));
     let began = stop(&mut rig);
     // It reads within its deadline.
     std::thread::sleep(Duration::from_millis(3_000).saturating_sub(began.elapsed()));
     let reply = client.reply();
-    assert_eq!((reply.status, reply.complete, reply.body.len()), (200, true, 24 << 20));
+    assert_eq!(
+        (reply.status, reply.complete, reply.body.len()),
+        (200, true, 24 << 20)
+    );
 }
 
 #[test]
@@ -114,10 +131,19 @@
     for left in [7_300_u64, 7_380, 7_390, 7_395, 7_398, 7_399, 7_400] {
         let left = left.saturating_sub(u64::try_from(began.elapsed().as_millis()).unwrap());
         let mut client = rig.client();
-        client.send(request("POST", "stream", &format!("a{left}"), &format!("Deadline-Ms: {left}\r\n"), "x"));
+        client.send(request(
+            "POST",
+            "stream",
+            &format!("a{left}"),
+            &format!("Deadline-Ms: {left}\r\n"),
+            "x",
+        ));
         clients.push(client);
     }
-    let statuses: Vec<u16> = clients.iter_mut().map(|client| client.head().expect("a head").status).collect();
+    let statuses: Vec<u16> = clients
+        .iter_mut()
+        .map(|client| client.head().expect("a head").status)
+        .collect();
     assert!(rig.router.ends_within(Duration::from_secs(8)));
     assert!(statuses.contains(&200), "{statuses:?}");
 }
@@ -140,7 +166,8 @@
         let reply = held.reply();
         assert_eq!((reply.status, reply.complete), (502, true), "grace {grace}");
         assert!(
-            rig.router.ends_within(Duration::from_secs(grace).saturating_sub(began.elapsed())),
+            rig.router
+                .ends_within(Duration::from_secs(grace).saturating_sub(began.elapsed())),
             "{grace}"
         );
     }
@@ -159,8 +186,11 @@
         lichenswitch_messages::ServerState::Ready,
         1,
     )]);
-    rig.control.push_configuration(1, &support::rig::document(1, 30_000, 1_000, 1));
-    support::until("the configuration is in force", || rig.control.applied().is_some());
+    rig.control
+        .push_configuration(1, &support::rig::document(1, 30_000, 1_000, 1));
+    support::until("the configuration is in force", || {
+        rig.control.applied().is_some()
+    });
     rig.control.settled();
     rig
 }
@@ -185,12 +215,17 @@
     client.send(request("POST", "stream", "a1", "Early: yes\r\n", &body));
     assert_eq!(client.head().expect("a head").status, 200);
     for id in 1..=EVENTS {
-        assert_eq!(client.chunk(), Ok(Some(event(id).into_bytes())), "event {id}");
+        assert_eq!(
+            client.chunk(),
+            Ok(Some(event(id).into_bytes())),
+            "event {id}"
+        );
     }
     assert_eq!(client.chunk(), Ok(None));
 }
 
-/// After a long body the connection breaks as soon as others when its server goes dark: the next request is not waited for.
+/// After a long body the connection breaks as soon as others when its server goes dark: the next
+/// request is not waited for.
 #[test]
 fn a_connection_that_carried_a_long_body_serves_the_next_request() {
     let server = quick();
@@ -202,7 +237,8 @@
     }
 }
 
-/// Clients that pipeline, expect to be told to go on, ask for heads, and leave at any point. The rig checks that no invariant was broken.
+/// Clients that pipeline, expect to be told to go on, ask for heads, and leave at any point. The
+/// rig checks that no invariant was broken.
 #[test]
 fn whatever_clients_do_as_many_wait_as_are_held() {
     use std::io::Write;
@@ -240,7 +276,13 @@
                             1 => request("POST", "stream", &id, "", "x"),
                             2 => request("POST", "unsafe", &id, "Expect: 100-continue\r\n", "x"),
                             3 => request("GET", "nowhere", &id, "", ""),
-                            _ => request("POST", "unsafe", &id, "", &"z".repeat(rng.usize(1..50_000))),
+                            _ => request(
+                                "POST",
+                                "unsafe",
+                                &id,
+                                "",
+                                &"z".repeat(rng.usize(1..50_000)),
+                            ),
                         };
                     }
                     let end = rng.usize(1..=bytes.len());
@@ -260,7 +302,9 @@
         .collect();
     std::thread::sleep(Duration::from_millis(700));
     rig.router.stop();
-    clients.into_iter().for_each(|client| client.join().unwrap_or(()));
+    clients
+        .into_iter()
+        .for_each(|client| client.join().unwrap_or(()));
     assert!(rig.router.ends_within(Duration::from_secs(9)));
     assert_eq!(lichenswitch_fleet::invariants::violations(), 0);
 }
--- a/fleet/tests/router_streams.rs
+++ b/fleet/tests/router_streams.rs
@@ -23,23 +23,38 @@
     });
     let rig = Rig::usual(&[&server]);
     let body = "the prompt";
-    let headers = "Model: m\r\nToken-Usage: 10,5\r\nPrompt-Prefix: ab:4,cd:6\r\nDeadline-Ms: 2000\r\n";
-    let reply = rig.client().ask(request("POST", "stream", "a1", headers, body));
+    let headers =
+        "Model: m\r\nToken-Usage: 10,5\r\nPrompt-Prefix: ab:4,cd:6\r\nDeadline-Ms: 2000\r\n";
+    let reply = rig
+        .client()
+        .ask(request("POST", "stream", "a1", headers, body));
     assert_eq!((reply.status, reply.complete), (200, true));
     assert_eq!(reply.text(), events(1..=5));
     assert_eq!(reply.header("response-seal"), Some("seal-a1"));
     assert_eq!(reply.header("attempt-id"), Some("a1"));
     assert_eq!(reply.header("content-type"), Some("text/event-stream"));
     let seen = &server.seen()[0];
-    assert_eq!((seen.method.as_str(), seen.target.as_str()), ("POST", "/stream/item"));
+    assert_eq!(
+        (seen.method.as_str(), seen.target.as_str()),
+        ("POST", "/stream/item")
+    );
     assert_eq!(seen.body, body.as_bytes());
     let told = |name| seen.header(name).unwrap_or_default().to_owned();
     assert_eq!(
-        [told("host"), told("attempt-id"), told("model"), told("token-usage"), told("prompt-prefix")],
+        [
+            told("host"),
+            told("attempt-id"),
+            told("model"),
+            told("token-usage"),
+            told("prompt-prefix")
+        ],
         ["fleet.example", "a1", "m", "10,5", "ab:4,cd:6"].map(String::from)
     );
     assert_eq!(told("target-instance"), "i-1");
-    assert!(seen.deadline_ms() <= 2_000, "never more than the client has left");
+    assert!(
+        seen.deadline_ms() <= 2_000,
+        "never more than the client has left"
+    );
 }
 
 #[test]
@@ -65,10 +80,16 @@
     // The server goes on only after this: were the event held back, nobody would.
     assert_eq!(client.chunk(), Ok(Some(event(1).into_bytes())));
     go.send(()).expect("go");
-    client.stream.set_read_timeout(Some(Duration::from_millis(150))).expect("timeout");
+    client
+        .stream
+        .set_read_timeout(Some(Duration::from_millis(150)))
+        .expect("timeout");
     let nothing = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| client.chunk()));
     assert!(nothing.is_err(), "half an event was passed on: {nothing:?}");
-    client.stream.set_read_timeout(Some(support::PATIENCE)).expect("timeout");
+    client
+        .stream
+        .set_read_timeout(Some(support::PATIENCE))
+        .expect("timeout");
     go.send(()).expect("go");
     assert_eq!(client.chunk(), Ok(Some(event(2).into_bytes())));
     assert_eq!(client.chunk(), Ok(None));
@@ -91,14 +112,22 @@
         let reply = rig.client().ask(request("POST", "stream", "a1", "", "x"));
         assert_eq!(reply.status, 200);
         assert!(!reply.complete, "a cut stream was ended as complete");
-        assert!(event(1).starts_with(reply.text()), "only whole events: {:?}", reply.text());
+        assert!(
+            event(1).starts_with(reply.text()),
+            "only whole events: {:?}",
+            reply.text()
+        );
         assert_eq!(server.times("a1"), 1, "it may not run twice");
     }
 }
 
 #[test]
 fn a_stream_without_a_length_is_complete_only_at_an_orderly_end_between_events() {
-    let ends = [(Next::Close, "", true), (Next::Close, "id: 2\ndata: half", false), (Next::Reset, "", false)];
+    let ends = [
+        (Next::Close, "", true),
+        (Next::Close, "id: 2\ndata: half", false),
+        (Next::Reset, "", false),
+    ];
     for (next, rest, complete) in ends {
         let server = Server::start("i-1", move |seen, talk| {
             let id = seen.id();
@@ -114,7 +143,11 @@
         });
         let rig = Rig::usual(&[&server]);
         let reply = rig.client().ask(request("POST", "stream", "a1", "", "x"));
-        assert_eq!((reply.status, reply.complete), (200, complete), "{next:?} after {rest:?}");
+        assert_eq!(
+            (reply.status, reply.complete),
+            (200, complete),
+            "{next:?} after {rest:?}"
+        );
         assert_eq!(reply.text(), event(1));
     }
 }
@@ -130,20 +163,36 @@
                 talk.chunk("id: 4\ndata: ha");
                 return Next::Close;
             }
-            let last: u64 = seen.header("last-event-id").expect("Last-Event-Id").parse().expect("a number");
+            let last: u64 = seen
+                .header("last-event-id")
+                .expect("Last-Event-Id")
+                .parse()
+                .expect("a number");
             (last + 1..=6).for_each(|id| talk.event(id));
             talk.end();
             Next::Keep
         }
     };
-    let servers = [Server::start("i-1", script(began.clone())), Server::start("i-2", script(began))];
+    let servers = [
+        Server::start("i-1", script(began.clone())),
+        Server::start("i-2", script(began)),
+    ];
     let rig = Rig::usual(&[&servers[0], &servers[1]]);
     let reply = rig.client().ask(request("POST", "resume", "a1", "", "x"));
     assert_eq!((reply.status, reply.complete), (200, true));
-    assert_eq!(reply.text(), events(1..=6), "no piece is missing, and none comes twice");
+    assert_eq!(
+        reply.text(),
+        events(1..=6),
+        "no piece is missing, and none comes twice"
+    );
     let sent: Vec<_> = servers.iter().flat_map(Server::seen).collect();
     assert_eq!(sent.len(), 2);
-    assert_eq!(sent.iter().filter(|seen| seen.header("last-event-id") == Some("3")).count(), 1);
+    assert_eq!(
+        sent.iter()
+            .filter(|seen| seen.header("last-event-id") == Some("3"))
+            .count(),
+        1
+    );
     assert!(sent.iter().all(|seen| seen.id() == "a1"));
 }
 
@@ -179,7 +228,13 @@
         Next::Keep
     });
     let rig = Rig::with(&[&server], 600, 300, 2);
-    let reply = rig.client().ask(request("POST", "stream", "a1", "Deadline-Ms: 5000\r\n", "x"));
+    let reply = rig.client().ask(request(
+        "POST",
+        "stream",
+        "a1",
+        "Deadline-Ms: 5000\r\n",
+        "x",
+    ));
     assert!(!reply.complete);
     let late = reply.took.saturating_sub(Duration::from_millis(600));
     assert!(
@@ -195,7 +250,9 @@
     let counted = written.clone();
     let server = Server::start("i-1", move |seen, talk| {
         talk.stream_head(seen);
-        talk.stream.set_write_timeout(Some(Duration::from_millis(700))).expect("timeout");
+        talk.stream
+            .set_write_timeout(Some(Duration::from_millis(700)))
+            .expect("timeout");
         let piece = format!("data: {}\n\n", "x".repeat(8_000));
         let chunk = format!("{:x}\r\n{piece}\r\n", piece.len());
         use std::io::Write;
--- a/fleet/tests/router_tenants.rs
+++ b/fleet/tests/router_tenants.rs
@@ -41,10 +41,20 @@
 fn rig(servers: &[&Server], tenants: &str) -> Rig {
     let control = Control::at(SocketAddr::from(([127, 0, 0, 1], 0)));
     let text = settings_text(&[Ipv4Addr::LOCALHOST], control.address.port(), BOUNDS);
-    let rig = Rig { router: Running::start(&text, None), control };
-    rig.control.push_servers(servers.iter().map(|server| record(server, ServerState::Ready, 1)).collect());
+    let rig = Rig {
+        router: Running::start(&text, None),
+        control,
+    };
+    rig.control.push_servers(
+        servers
+            .iter()
+            .map(|server| record(server, ServerState::Ready, 1))
+            .collect(),
+    );
     rig.control.push_configuration(1, &document(1, tenants));
-    until("the configuration is in force", || rig.control.applied().is_some());
+    until("the configuration is in force", || {
+        rig.control.applied().is_some()
+    });
     rig.control.settled();
     until("it is confirmed", || rig.router.readiness_status() == 200);
     rig
@@ -89,31 +99,49 @@
 fn who_holds_no_key_is_refused_and_public_routes_are_open() {
     let server = echo();
     let rig = rig(&[&server], ONE);
-    for (id, headers) in
-        [("b1", ""), ("b2", "Api-Key: key-9\r\n"), ("b3", "Api-Key: \r\n"), ("b4", "Api-Key: KEY-1\r\n")]
-    {
+    for (id, headers) in [
+        ("b1", ""),
+        ("b2", "Api-Key: key-9\r\n"),
+        ("b3", "Api-Key: \r\n"),
+        ("b4", "Api-Key: KEY-1\r\n"),
+    ] {
         assert_eq!(ask(&rig, "safe", id, headers).status, 401, "{id}");
     }
     let long = format!("Api-Key: {}\r\n", "k".repeat(8_000));
     assert_eq!(ask(&rig, "safe", "b5", &long).status, 401);
-    assert_eq!(ask(&rig, "safe", "b6", "Api-Key: key-1\r\nApi-Key: key-1\r\n").status, 400);
+    assert_eq!(
+        ask(&rig, "safe", "b6", "Api-Key: key-1\r\nApi-Key: key-1\r\n").status,
+        400
+    );
     assert_eq!(ask(&rig, "none", "b7", "Api-Key: key-1\r\n").status, 404);
     assert!(server.seen().is_empty());
     assert_eq!(ask(&rig, "public", "b8", "Tenant: forged\r\n").status, 200);
     assert_eq!(ask(&rig, "public", "b9", "Api-Key: key-1\r\n").status, 200);
-    let tenants: Vec<Option<String>> =
-        server.seen().iter().map(|seen| seen.header("tenant").map(str::to_owned)).collect();
+    let tenants: Vec<Option<String>> = server
+        .seen()
+        .iter()
+        .map(|seen| seen.header("tenant").map(str::to_owned))
+        .collect();
     assert_eq!(tenants, [None, Some("one".to_owned())]);
 }
 
 #[test]
 fn the_rank_of_a_tenant_goes_before_that_of_the_route() {
     let server = echo();
-    let rig = rig(&[&server], &format!("{ONE},{}", r#"{"name":"first","apiKeys":["key-0"],"priority":0}"#));
+    let rig = rig(
+        &[&server],
+        &format!(
+            "{ONE},{}",
+            r#"{"name":"first","apiKeys":["key-0"],"priority":0}"#
+        ),
+    );
     ask(&rig, "safe", "r1", "Api-Key: key-1\r\n");
     ask(&rig, "safe", "r2", "Api-Key: key-0\r\nPriority: 9\r\n");
-    let ranks: Vec<String> =
-        server.seen().iter().map(|seen| seen.header("priority").unwrap_or_default().to_owned()).collect();
+    let ranks: Vec<String> = server
+        .seen()
+        .iter()
+        .map(|seen| seen.header("priority").unwrap_or_default().to_owned())
+        .collect();
     assert_eq!(ranks, ["1", "0"]);
 }
 
@@ -122,8 +150,13 @@
     let server = echo();
     let rig = rig(&[&server], ONE);
     assert_eq!(ask(&rig, "safe", "c1", "Api-Key: key-1\r\n").status, 200);
-    rig.control.push_configuration(2, &document(2, r#"{"name":"one","apiKeys":["key-2","key-4"]}"#));
-    until("it is in force", || rig.control.applied() == Some(position(2)));
+    rig.control.push_configuration(
+        2,
+        &document(2, r#"{"name":"one","apiKeys":["key-2","key-4"]}"#),
+    );
+    until("it is in force", || {
+        rig.control.applied() == Some(position(2))
+    });
     assert_eq!(ask(&rig, "safe", "c2", "Api-Key: key-1\r\n").status, 401);
     assert_eq!(ask(&rig, "safe", "c3", "Api-Key: key-4\r\n").status, 200);
 }
@@ -145,8 +178,11 @@
     let mut client = rig.client();
     client.send(request("POST", "unsafe", "d1", "Api-Key: key-1\r\n", "x"));
     until("it is out", || server.times("d1") + second.times("d1") == 1);
-    rig.control.push_configuration(2, &document(2, r#"{"name":"one","apiKeys":["key-2"]}"#));
-    until("it is in force", || rig.control.applied() == Some(position(2)));
+    rig.control
+        .push_configuration(2, &document(2, r#"{"name":"one","apiKeys":["key-2"]}"#));
+    until("it is in force", || {
+        rig.control.applied() == Some(position(2))
+    });
     let status = client.reply().status;
     assert!(matches!(status, 401 | 503), "{status}");
     assert_eq!(server.times("d1") + second.times("d1"), 1);
@@ -168,7 +204,9 @@
     assert_eq!(ask(&rig, "public", "e3", "").status, 200);
     assert_eq!(rig.router.readiness_status(), 503);
     rig.control.set_confirms(true);
-    until("it is confirmed", || ask(&rig, "safe", "e4", "Api-Key: key-1\r\n").status == 200);
+    until("it is confirmed", || {
+        ask(&rig, "safe", "e4", "Api-Key: key-1\r\n").status == 200
+    });
 }
 
 #[test]
@@ -180,13 +218,26 @@
     assert_eq!(ask(&rig, "safe", "f1", &tokens("60,30")).status, 200);
     let beyond = ask(&rig, "safe", "f2", &tokens("10, 5"));
     assert_eq!((beyond.status, beyond.retry_after()), (429, Some(0.25)));
-    assert!(beyond.took < Duration::from_millis(200), "{:?}", beyond.took);
+    assert!(
+        beyond.took < Duration::from_millis(200),
+        "{:?}",
+        beyond.took
+    );
     // Without a count of its own it is the tenant's figure; another tenant has no quota.
     assert_eq!(ask(&rig, "safe", "f3", "Api-Key: key-3\r\n").status, 200);
     assert_eq!(ask(&rig, "safe", "f4", "Api-Key: key-1\r\n").status, 200);
-    let needs: Vec<Vec<u64>> = rig.control.draws().iter().map(|draw| draw.needs.clone()).collect();
+    let needs: Vec<Vec<u64>> = rig
+        .control
+        .draws()
+        .iter()
+        .map(|draw| draw.needs.clone())
+        .collect();
     assert_eq!(needs, [vec![90], vec![15], vec![7]]);
-    assert!(rig.control.draws().iter().all(|draw| draw.tenant == "two" && draw.pass_on));
+    assert!(rig
+        .control
+        .draws()
+        .iter()
+        .all(|draw| draw.tenant == "two" && draw.pass_on));
     assert_eq!(server.seen().len(), 3);
 }
 
@@ -209,7 +260,10 @@
         assert_eq!(ask(&rig, "safe", "g1", &headers).status, 400, "{usage:?}");
     }
     assert!(server.seen().is_empty());
-    assert_eq!(ask(&rig, "safe", "g2", "Api-Key: key-1\r\nToken-Usage: a,b\r\n").status, 200);
+    assert_eq!(
+        ask(&rig, "safe", "g2", "Api-Key: key-1\r\nToken-Usage: a,b\r\n").status,
+        200
+    );
 }
 
 #[test]
@@ -219,7 +273,11 @@
     let reply = ask(&rig, "safe", "h1", "Api-Key: key-3\r\n");
     assert_eq!(reply.status, 503);
     assert!(reply.retry_after().is_some());
-    assert!((150..600).contains(&reply.took.as_millis()), "{:?}", reply.took);
+    assert!(
+        (150..600).contains(&reply.took.as_millis()),
+        "{:?}",
+        reply.took
+    );
     // One whose client leaves meanwhile is forgotten.
     drop({
         let mut client = rig.client();
@@ -264,7 +322,11 @@
     });
     let whole = Server::start("i-2", |seen, talk| {
         talk.stream_head(seen);
-        let from = if seen.header("last-event-id").is_some() { 2 } else { 1 };
+        let from = if seen.header("last-event-id").is_some() {
+            2
+        } else {
+            1
+        };
         for id in from..=2 {
             talk.event(id);
         }
@@ -273,9 +335,20 @@
     });
     let rig = rig(&[&broken, &whole], ONE);
     for n in 0..6 {
-        ask(&rig, "resume", &format!("k{n}"), "Api-Key: key-1\r\nTenant: forged\r\n");
+        ask(
+            &rig,
+            "resume",
+            &format!("k{n}"),
+            "Api-Key: key-1\r\nTenant: forged\r\n",
+        );
     }
     let seen: Vec<_> = broken.seen().into_iter().chain(whole.seen()).collect();
-    assert!(seen.iter().any(|seen| seen.header("last-event-id").is_some()), "no stream was taken up");
-    assert!(seen.iter().all(|seen| seen.header("tenant") == Some("one") && seen.header("api-key").is_none()));
+    assert!(
+        seen.iter()
+            .any(|seen| seen.header("last-event-id").is_some()),
+        "no stream was taken up"
+    );
+    assert!(seen
+        .iter()
+        .all(|seen| seen.header("tenant") == Some("one") && seen.header("api-key").is_none()));
 }
--- a/fleet/tests/router_waiting.rs
+++ b/fleet/tests/router_waiting.rs
@@ -1,5 +1,5 @@
-//! LOST and the price of holding: what a request waits for ends it neither sooner nor later than it must. What can't be tried again is
-//! answered at once.
+//! LOST and the price of holding: what a request waits for ends it neither sooner nor later than it
+//! must. What can't be tried again is answered at once.
 
 mod support;
 
@@ -20,9 +20,11 @@
         Next::Keep
     });
     let rig = Rig::with(&[&server], 6_000, 2_000, 2);
-    // While it is not known how many routers there are the budget is its ratio alone: too little for a first further try.
+    // While it is not known how many routers there are the budget is its ratio alone: too little
+    // for a first further try.
     rig.control.set_routers(0);
-    let two = document(2, 6_000, 2_000, 2).replace("\"maxConnections\":100", "\"maxConnections\":2");
+    let two =
+        document(2, 6_000, 2_000, 2).replace("\"maxConnections\":100", "\"maxConnections\":2");
     rig.control.push_configuration(2, &two);
     rig.control.settled();
     let began = Instant::now();
@@ -33,10 +35,17 @@
             std::thread::spawn(move || Client::connect(address).ask(request).status)
         })
         .collect();
-    let statuses: Vec<u16> = clients.into_iter().map(|client| client.join().expect("a client")).collect();
+    let statuses: Vec<u16> = clients
+        .into_iter()
+        .map(|client| client.join().expect("a client"))
+        .collect();
     // Two at a time, a quarter of a second each.
     assert_eq!((statuses, server.seen().len()), (vec![200; 8], 8));
-    assert!(began.elapsed() < Duration::from_millis(2_500), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() < Duration::from_millis(2_500),
+        "{:?}",
+        began.elapsed()
+    );
 }
 
 #[test]
@@ -44,8 +53,10 @@
     let server = Server::start("i-1", |seen, talk| {
         // Its queue is long. The system holds some of the body, and no more of it goes out.
         std::thread::sleep(Duration::from_millis(4_500));
-        let length: usize =
-            seen.header("content-length").and_then(|text| text.parse().ok()).expect("a length");
+        let length: usize = seen
+            .header("content-length")
+            .and_then(|text| text.parse().ok())
+            .expect("a length");
         // Its beginning may have come with the head.
         let mut left = length - READ_WITH_HEAD;
         let mut bytes = [0; 65_536];
@@ -55,15 +66,23 @@
                 _ => return Next::Close,
             }
         }
-        // What came with the head may not have been all that could: an end with bytes unread would be a reset.
+        // What came with the head may not have been all that could: an end with bytes unread would
+        // be a reset.
         talk.answer(seen, 200, "Connection: close\r\n", "done");
         Next::Keep
     });
     let rig = Rig::with(&[&server], 9_000, 8_000, 1);
     for kind in ["unsafe", "safe"] {
         let body = "x".repeat(4_000_000);
-        let reply = rig.client().ask(request("POST", kind, kind, "Early: 1\r\n", &body));
-        assert_eq!((reply.status, server.times(kind)), (200, 1), "{kind}, after {:?}", reply.took);
+        let reply = rig
+            .client()
+            .ask(request("POST", kind, kind, "Early: 1\r\n", &body));
+        assert_eq!(
+            (reply.status, server.times(kind)),
+            (200, 1),
+            "{kind}, after {:?}",
+            reply.took
+        );
     }
 }
 
@@ -88,23 +107,34 @@
     }
     support::until("two are there", || server.seen().len() == 2);
     for version in 3..20 {
-        let next = if version % 2 == 0 { two(version) } else { without(version) };
+        let next = if version % 2 == 0 {
+            two(version)
+        } else {
+            without(version)
+        };
         rig.control.push_configuration(version, &next);
         std::thread::sleep(Duration::from_millis(100));
     }
     for client in &mut clients {
         let reply = client.reply();
-        assert_eq!((reply.status, reply.text()), (200, "done"), "after {:?}", reply.took);
+        assert_eq!(
+            (reply.status, reply.text()),
+            (200, "done"),
+            "after {:?}",
+            reply.took
+        );
     }
     assert_eq!(server.seen().len(), 6, "each was sent once");
 }
 
-/// What can't be tried again gets its final answer within this: a quarter of the target latency of the tests below.
+/// What can't be tried again gets its final answer within this: a quarter of the target latency of
+/// the tests below.
 const AT_ONCE: Duration = Duration::from_millis(500);
 /// Every kind of route.
 const KINDS: [&str; 4] = ["unsafe", "safe", "stream", "resume"];
 
-/// A router whose budget allows no further try yet: it is not known how many routers there are, so that there is no slack.
+/// A router whose budget allows no further try yet: it is not known how many routers there are, so
+/// that there is no slack.
 fn without_budget(servers: &[&Server]) -> Rig {
     let rig = Rig::with(servers, 6_000, 2_000, 3);
     rig.control.set_routers(0);
@@ -126,7 +156,12 @@
 #[test]
 fn what_was_rejected_is_refused_at_once_where_no_further_try_is_allowed() {
     let server = Server::start("i-1", |seen, talk| {
-        talk.answer(seen, 503, "Not-Executed: 1\r\nKeep-Alive: timeout=9\r\n", "");
+        talk.answer(
+            seen,
+            503,
+            "Not-Executed: 1\r\nKeep-Alive: timeout=9\r\n",
+            "",
+        );
         Next::Keep
     });
     let rig = without_budget(&[&server]);
--- a/fleet/tests/router_with_control.rs
+++ b/fleet/tests/router_with_control.rs
@@ -1,4 +1,5 @@
-//! A router with control machines that are real processes: from an operator's order and a server's heartbeat to a client's answer.
+//! A router with control machines that are real processes: from an operator's order and a server's
+//! heartbeat to a client's answer.
 
 mod control_support;
 mod support;
@@ -17,8 +18,12 @@
         server.address
     );
     let path = format!("/instances/{}/heartbeat", server.instance);
-    wait_for("a beat is taken", || call(control, "POST", &path, &[], &body).ok().filter(|a| a.status == 200))
-        .status
+    wait_for("a beat is taken", || {
+        call(control, "POST", &path, &[], &body)
+            .ok()
+            .filter(|a| a.status == 200)
+    })
+    .status
 }
 
 fn named(instance: &str) -> Server {
@@ -33,49 +38,106 @@
 fn orders_and_heartbeats_reach_clients_and_a_lost_control_machine_is_missed_by_nobody() {
     let mut fleet = Fleet::of("with-router", &[true, true, true]);
     fleet.start_first();
-    let ips: Vec<std::net::Ipv4Addr> =
-        fleet.machines.iter().map(|machine| machine.ip.parse().expect("an address")).collect();
-    let mut router = Running::start(&settings_text(&ips, fleet.machines[0].internal.port(), ""), None);
+    let ips: Vec<std::net::Ipv4Addr> = fleet
+        .machines
+        .iter()
+        .map(|machine| machine.ip.parse().expect("an address"))
+        .collect();
+    let mut router = Running::start(
+        &settings_text(&ips, fleet.machines[0].internal.port(), ""),
+        None,
+    );
     assert_eq!(router.readiness_status(), 503);
 
-    assert_eq!(fleet.order("/configuration/replace", 0, &document(1, 3_000, 1_000, 2)).status, 200);
+    assert_eq!(
+        fleet
+            .order("/configuration/replace", 0, &document(1, 3_000, 1_000, 2))
+            .status,
+        200
+    );
     let servers = [named("i-1"), named("i-2")];
     for server in &servers {
-        assert_eq!(beat(fleet.machines[0].control_plane, server, "ready", 1), 200);
+        assert_eq!(
+            beat(fleet.machines[0].control_plane, server, "ready", 1),
+            200
+        );
     }
-    wait_for("the router is ready", || (router.readiness_status() == 200).then_some(()));
+    wait_for("the router is ready", || {
+        (router.readiness_status() == 200).then_some(())
+    });
     let mut client = Client::connect(router.frontend);
     wait_for("both servers are used", || {
         let id = format!("a{}", fastrand::u64(..));
         client.ask(request("GET", "safe", &id, "", ""));
-        servers.iter().all(|server| !server.seen().is_empty()).then_some(())
+        servers
+            .iter()
+            .all(|server| !server.seen().is_empty())
+            .then_some(())
     });
 
-    // A server that says that it leaves gets nothing once that is acknowledged and has had its time.
-    assert_eq!(beat(fleet.machines[1].control_plane, &servers[0], "draining", 2), 200);
+    // A server that says that it leaves gets nothing once that is acknowledged and has had its
+    // time.
+    assert_eq!(
+        beat(fleet.machines[1].control_plane, &servers[0], "draining", 2),
+        200
+    );
     let began = Instant::now();
     wait_for("nothing goes there", || {
         let before = servers[0].seen().len();
         for n in 0..10 {
-            assert_eq!(client.ask(request("GET", "safe", &format!("d{n}"), "", "")).status, 200);
+            assert_eq!(
+                client
+                    .ask(request("GET", "safe", &format!("d{n}"), "", ""))
+                    .status,
+                200
+            );
         }
         (servers[0].seen().len() == before).then_some(())
     });
-    assert!(began.elapsed() < Duration::from_millis(2_000), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() < Duration::from_millis(2_000),
+        "{:?}",
+        began.elapsed()
+    );
 
     // Any one of them may go: what is in force stays, and what is new comes from the others.
     let primary = fleet.primary(&[0, 1, 2]);
     fleet.kill(primary);
-    assert_eq!(client.ask(request("GET", "safe", "k", "", "")).text(), "i-2");
+    assert_eq!(
+        client.ask(request("GET", "safe", "k", "", "")).text(),
+        "i-2"
+    );
     let route = "{\"name\":\"r-new\",\"host\":\"fleet.example\",\"pathPrefix\":\"/new/\",\"kind\":\"safe\",\"timeoutMs\":3000,\
                  \"targetLatencyMs\":1000,\"priority\":0,\"service\":\"pool\",\"maxAttempts\":2}";
-    assert_eq!(fleet.order("/configuration/replace", 1, &document_of(2, &[route.to_owned()])).status, 200);
+    assert_eq!(
+        fleet
+            .order(
+                "/configuration/replace",
+                1,
+                &document_of(2, &[route.to_owned()])
+            )
+            .status,
+        200
+    );
     let acknowledged = Instant::now();
     wait_for("the new version is in force", || {
-        (client.ask(request("GET", "new", &format!("n{}", fastrand::u64(..)), "", "")).status == 200)
+        (client
+            .ask(request(
+                "GET",
+                "new",
+                &format!("n{}", fastrand::u64(..)),
+                "",
+                "",
+            ))
+            .status
+            == 200)
             .then_some(())
     });
-    assert!(acknowledged.elapsed() < Duration::from_millis(2_000), "{:?}", acknowledged.elapsed());
+    assert!(
+        acknowledged.elapsed() < Duration::from_millis(2_000),
+        "{:?}",
+        acknowledged.elapsed()
+    );
     router.stop();
     assert!(router.ends_within(Duration::from_secs(6)));
 }
--- a/fleet/tests/support/client.rs
+++ b/fleet/tests/support/client.rs
@@ -19,7 +19,10 @@
 
 impl Reply {
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
+        self.headers
+            .iter()
+            .find(|(known, _)| known == name)
+            .map(|(_, value)| value.as_str())
     }
 
     pub fn text(&self) -> &str {
@@ -40,7 +43,11 @@
 
 /// A request on the route of the tests; `kind` is the prefix.
 pub fn request(method: &str, kind: &str, id: &str, headers: &str, body: &str) -> String {
-    let length = if body.is_empty() { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
+    let length = if body.is_empty() {
+        String::new()
+    } else {
+        format!("Content-Length: {}\r\n", body.len())
+    };
     format!(
         "{method} /{kind}/item HTTP/1.1\r\nHost: fleet.example\r\nAttempt-Id: {id}\r\n{headers}{length}\r\n{body}"
     )
@@ -51,7 +58,11 @@
         let stream = TcpStream::connect(address).expect("connect");
         stream.set_read_timeout(Some(PATIENCE)).expect("timeout");
         stream.set_nodelay(true).expect("nodelay");
-        Client { stream, input: Vec::new(), sent: Instant::now() }
+        Client {
+            stream,
+            input: Vec::new(),
+            sent: Instant::now(),
+        }
     }
 
     pub fn send(&mut self, bytes: impl AsRef<[u8]>) {
@@ -73,8 +84,16 @@
                 self.input.extend_from_slice(&bytes[..read]);
                 true
             }
-            Err(e) if matches!(e.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut) => {
-                panic!("no answer in time; so far: {:?}", String::from_utf8_lossy(&self.input))
+            Err(e)
+                if matches!(
+                    e.kind(),
+                    std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut
+                ) =>
+            {
+                panic!(
+                    "no answer in time; so far: {:?}",
+                    String::from_utf8_lossy(&self.input)
+                )
             }
             Err(_) => false,
         }
@@ -99,11 +118,19 @@
         let mut headers = Vec::new();
         loop {
             let line = self.line()?;
-            let Some((name, value)) = line.split_once(':') else { break };
+            let Some((name, value)) = line.split_once(':') else {
+                break;
+            };
             headers.push((name.to_ascii_lowercase(), value.trim().to_owned()));
         }
         let took = self.sent.elapsed();
-        Some(Reply { status, headers, body: Vec::new(), complete: false, took })
+        Some(Reply {
+            status,
+            headers,
+            body: Vec::new(),
+            complete: false,
+            took,
+        })
     }
 
     /// The next chunk of a body; `Ok(None)` at its end, `Err` where it is cut.
@@ -131,7 +158,9 @@
                 }
             }
         }
-        let length = reply.header("content-length").map(|value| value.parse().expect("a length"));
+        let length = reply
+            .header("content-length")
+            .map(|value| value.parse().expect("a length"));
         match length {
             Some(length) => {
                 while self.input.len() < length {
@@ -150,7 +179,9 @@
 
     /// The next answer.
     pub fn reply(&mut self) -> Reply {
-        let mut reply = self.head().expect("an answer before the end of the connection");
+        let mut reply = self
+            .head()
+            .expect("an answer before the end of the connection");
         if (100..200).contains(&reply.status) {
             return reply;
         }
@@ -164,11 +195,16 @@
         self.stream.set_read_timeout(Some(time)).expect("timeout");
         let mut bytes = [0; 1_024];
         let read = self.stream.read(&mut bytes);
-        self.stream.set_read_timeout(Some(PATIENCE)).expect("timeout");
+        self.stream
+            .set_read_timeout(Some(PATIENCE))
+            .expect("timeout");
         match read {
             Ok(0) => self.input.is_empty(),
             Ok(_) => false,
-            Err(e) => !matches!(e.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut),
+            Err(e) => !matches!(
+                e.kind(),
+                std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut
+            ),
         }
     }
 }
--- a/fleet/tests/support/control.rs
+++ b/fleet/tests/support/control.rs
@@ -46,7 +46,11 @@
 }
 
 pub fn position(number: u64) -> ConfigurationPosition {
-    ConfigurationPosition { epoch: 1, primary: 1, number }
+    ConfigurationPosition {
+        epoch: 1,
+        primary: 1,
+        number,
+    }
 }
 
 impl Control {
@@ -54,7 +58,11 @@
     pub fn at(address: SocketAddr) -> Control {
         let listener = TcpListener::bind(address).expect("bind");
         let address = listener.local_addr().expect("address");
-        let state = Arc::new(Mutex::new(State { in_contact: true, routers: 1, ..State::default() }));
+        let state = Arc::new(Mutex::new(State {
+            in_contact: true,
+            routers: 1,
+            ..State::default()
+        }));
         let shared = state.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -87,10 +95,16 @@
     pub fn push_servers(&self, records: Vec<ServerRecord>) {
         let mut state = self.state.lock().expect("lock");
         for record in &records {
-            state.servers.retain(|known| known.instance != record.instance);
+            state
+                .servers
+                .retain(|known| known.instance != record.instance);
             state.servers.push(record.clone());
         }
-        state.send_all(&|push| ControlToRouter::Servers { push, records: records.clone(), whole: false });
+        state.send_all(&|push| ControlToRouter::Servers {
+            push,
+            records: records.clone(),
+            whole: false,
+        });
     }
 
     pub fn set_contact(&self, on: bool) {
@@ -164,7 +178,10 @@
     pub fn settled(&self) {
         until("the router has acknowledged", || {
             let state = self.state.lock().expect("lock");
-            state.links.last().is_some_and(|link| link.push > 0 && state.acknowledged >= link.push)
+            state
+                .links
+                .last()
+                .is_some_and(|link| link.push > 0 && state.acknowledged >= link.push)
         });
     }
 }
@@ -174,7 +191,8 @@
         if report.whole {
             self.backlogs.clear();
         }
-        self.backlogs.extend(report.servers.iter().map(|of| (of.server, of.tokens)));
+        self.backlogs
+            .extend(report.servers.iter().map(|of| (of.server, of.tokens)));
         self.backlogs.retain(|_, tokens| *tokens > 0);
     }
 
@@ -183,7 +201,11 @@
         if self.silent {
             return;
         }
-        let message = ControlToRouter::Heartbeat { in_contact, control, routers };
+        let message = ControlToRouter::Heartbeat {
+            in_contact,
+            control,
+            routers,
+        };
         let bytes = encode(&Envelope::ToRouter(message)).expect("encode");
         for link in &mut self.links {
             let _ = link.stream.write_all(&bytes);
@@ -207,7 +229,12 @@
                         *left -= need;
                     }
                 }
-                Some(TenantMessage::Drawn(DrawAnswer { id, needs: granted, ahead: 0, wait_us: 250_000 }))
+                Some(TenantMessage::Drawn(DrawAnswer {
+                    id,
+                    needs: granted,
+                    ahead: 0,
+                    wait_us: 250_000,
+                }))
             }
             _ => None,
         }
@@ -235,7 +262,11 @@
                 document: document.clone(),
             });
         }
-        self.send_all(&|push| ControlToRouter::Servers { push, records: servers.clone(), whole: true });
+        self.send_all(&|push| ControlToRouter::Servers {
+            push,
+            records: servers.clone(),
+            whole: true,
+        });
         self.links.splice(0..0, others);
     }
 }
@@ -252,7 +283,8 @@
             let mut state = state.lock().expect("lock");
             match incoming {
                 Incoming::Envelope(Envelope::FromRouter(RouterToControl::Hello {
-                    configuration, ..
+                    configuration,
+                    ..
                 })) => {
                     state.applied = configuration;
                     state.greet(stream.try_clone().expect("clone"));
--- a/fleet/tests/support/mod.rs
+++ b/fleet/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! What the tests of the router share: a router in a thread, a scripted control machine, scripted servers and a client, all on loopback.
+//! What the tests of the router share: a router in a thread, a scripted control machine, scripted
+//! servers and a client, all on loopback.
 //!
 //! Nothing here sleeps for a result: whatever is waited for is waited for with a deadline.
 #![allow(dead_code, missing_docs)]
--- a/fleet/tests/support/rig.rs
+++ b/fleet/tests/support/rig.rs
@@ -30,7 +30,10 @@
 
 /// A port that was free a moment ago.
 pub fn free_port() -> u16 {
-    TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a free port").port()
+    TcpListener::bind("127.0.0.1:0")
+        .and_then(|l| l.local_addr())
+        .expect("a free port")
+        .port()
 }
 
 /// Text of a settings file for seeds at this internal port.
@@ -50,7 +53,11 @@
     /// No test leaves a broken invariant behind.
     fn drop(&mut self) {
         if !std::thread::panicking() {
-            assert_eq!(lichenswitch_fleet::invariants::violations(), 0, "an invariant was violated");
+            assert_eq!(
+                lichenswitch_fleet::invariants::violations(),
+                0,
+                "an invariant was violated"
+            );
         }
     }
 }
@@ -70,7 +77,13 @@
         });
         let (frontend, readiness) = told.recv().expect("the router starts");
         let readiness = readiness.expect("an address for readiness");
-        Running { frontend, readiness, stop, reload, thread: Some(thread) }
+        Running {
+            frontend,
+            readiness,
+            stop,
+            reload,
+            thread: Some(thread),
+        }
     }
 
     pub fn stop(&mut self) {
@@ -83,10 +96,15 @@
 
     /// Whether the process would have ended by then.
     pub fn ends_within(&mut self, time: Duration) -> bool {
-        let ended = within(time, || self.thread.as_ref().is_none_or(JoinHandle::is_finished));
+        let ended = within(time, || {
+            self.thread.as_ref().is_none_or(JoinHandle::is_finished)
+        });
         if ended {
             if let Some(thread) = self.thread.take() {
-                thread.join().expect("the router does not panic").expect("the router ends well");
+                thread
+                    .join()
+                    .expect("the router does not panic")
+                    .expect("the router ends well");
             }
         }
         ended
@@ -95,7 +113,9 @@
     /// What the platform is told.
     pub fn readiness_status(&self) -> u16 {
         let mut client = super::client::Client::connect(self.readiness);
-        client.ask("GET /readiness HTTP/1.1\r\nHost: x\r\n\r\n").status
+        client
+            .ask("GET /readiness HTTP/1.1\r\nHost: x\r\n\r\n")
+            .status
     }
 }
 
@@ -145,15 +165,26 @@
     pub fn bare() -> Rig {
         let control = Control::at(SocketAddr::from(([127, 0, 0, 1], 0)));
         let text = settings_text(&[Ipv4Addr::LOCALHOST], control.address.port(), "");
-        Rig { router: Running::start(&text, None), control }
+        Rig {
+            router: Running::start(&text, None),
+            control,
+        }
     }
 
     /// A router with servers and a configuration of these figures in force.
     pub fn with(servers: &[&Server], timeout_ms: u64, target_ms: u64, max_attempts: u32) -> Rig {
         let rig = Rig::bare();
-        rig.control.push_servers(servers.iter().map(|s| record(s, ServerState::Ready, 1)).collect());
-        rig.control.push_configuration(1, &document(1, timeout_ms, target_ms, max_attempts));
-        until("the configuration is in force", || rig.control.applied().is_some());
+        rig.control.push_servers(
+            servers
+                .iter()
+                .map(|s| record(s, ServerState::Ready, 1))
+                .collect(),
+        );
+        rig.control
+            .push_configuration(1, &document(1, timeout_ms, target_ms, max_attempts));
+        until("the configuration is in force", || {
+            rig.control.applied().is_some()
+        });
         rig.control.settled();
         rig
     }
--- a/fleet/tests/support/server.rs
+++ b/fleet/tests/support/server.rs
@@ -20,7 +20,10 @@
 
 impl Seen {
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
+        self.headers
+            .iter()
+            .find(|(known, _)| known == name)
+            .map(|(_, value)| value.as_str())
     }
 
     pub fn id(&self) -> &str {
@@ -28,7 +31,9 @@
     }
 
     pub fn deadline_ms(&self) -> u64 {
-        self.header("deadline-ms").and_then(|value| value.parse().ok()).expect("Deadline-Ms")
+        self.header("deadline-ms")
+            .and_then(|value| value.parse().ok())
+            .expect("Deadline-Ms")
     }
 }
 
@@ -80,17 +85,24 @@
         drop(self.stream);
     }
 
-    /// Whether the other side ends or resets the connection within a time; what it sends meanwhile is dropped.
+    /// Whether the other side ends or resets the connection within a time; what it sends meanwhile
+    /// is dropped.
     pub fn closes_within(&mut self, time: Duration) -> bool {
         let deadline = Instant::now() + time;
         let mut bytes = [0; 1_024];
-        while let Some(left) = deadline.checked_duration_since(Instant::now()).filter(|l| !l.is_zero()) {
+        while let Some(left) = deadline
+            .checked_duration_since(Instant::now())
+            .filter(|l| !l.is_zero())
+        {
             self.stream.set_read_timeout(Some(left)).expect("timeout");
             match self.stream.read(&mut bytes) {
                 Ok(0) => return true,
                 Ok(_) => {}
                 Err(e)
-                    if matches!(e.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut) =>
+                    if matches!(
+                        e.kind(),
+                        std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut
+                    ) =>
                 {
                     return false;
                 }
@@ -144,7 +156,12 @@
                 std::thread::spawn(move || serve(Talk { stream, number }, &*script, &all));
             }
         });
-        Server { address, instance: instance.to_owned(), seen, connections }
+        Server {
+            address,
+            instance: instance.to_owned(),
+            seen,
+            connections,
+        }
     }
 
     /// A server whose streams have an event after each pause, and no end.
@@ -180,7 +197,9 @@
 fn serve(mut talk: Talk, script: &Script, all: &Mutex<Vec<Seen>>) {
     let mut input = Vec::new();
     loop {
-        let Some(seen) = read(&mut talk, &mut input) else { return };
+        let Some(seen) = read(&mut talk, &mut input) else {
+            return;
+        };
         all.lock().expect("lock").push(seen.clone());
         match script(&seen, &mut talk) {
             Next::Keep => {}
@@ -202,7 +221,8 @@
     }
 }
 
-/// A request with its body. A script that wants to answer before the body says so in the header `Early`.
+/// A request with its body. A script that wants to answer before the body says so in the header
+/// `Early`.
 fn read(talk: &mut Talk, input: &mut Vec<u8>) -> Option<Seen> {
     let end = loop {
         if let Some(at) = input.windows(4).position(|four| four == b"\r\n\r\n") {
@@ -220,9 +240,17 @@
         .filter_map(|line| line.split_once(':'))
         .map(|(name, value)| (name.to_ascii_lowercase(), value.trim().to_owned()))
         .collect();
-    let mut seen =
-        Seen { connection: talk.number, method, target, headers, body: Vec::new(), at: Instant::now() };
-    let length = seen.header("content-length").map_or(0, |value| value.parse().expect("a length"));
+    let mut seen = Seen {
+        connection: talk.number,
+        method,
+        target,
+        headers,
+        body: Vec::new(),
+        at: Instant::now(),
+    };
+    let length = seen
+        .header("content-length")
+        .map_or(0, |value| value.parse().expect("a length"));
     if seen.header("early").is_some() {
         return Some(seen);
     }
--- a/interface/src/lib.rs
+++ b/interface/src/lib.rs
@@ -1,10 +1,10 @@
 //! What the decision module is told and what it may ask for: settings, events and actions.
 //!
-//! The words are those of the field: a *query* is split into *parts*, one for each *shard*; any *replica*
-//! of a shard can answer a part; each send of a part is an *attempt* with one *outcome*.
+//! The words are those of the field: a *query* is split into *parts*, one for each *shard*; any
+//! *replica* of a shard can answer a part; each send of a part is an *attempt* with one *outcome*.
 //!
-//! It owns these types and their defaults, and promises that they hold no state that changes by itself. It touches nothing
-//! else: the module, the core and every package of `decide` may use it.
+//! It owns these types and their defaults, and promises that they hold no state that changes by
+//! itself. It touches nothing else: the module, the core and every package of `decide` may use it.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -54,7 +54,8 @@
 pub enum Repeat {
     /// Harmless.
     Safe,
-    /// Dropped by the holders of the shard, within the window (from the first attempt that may have run).
+    /// Dropped by the holders of the shard, within the window (from the first attempt that may have
+    /// run).
     Keyed(Micros),
     /// Has its effect again.
     Unsafe,
@@ -188,7 +189,10 @@
     /// Attempts for one part of this class.
     #[must_use]
     pub fn attempts_of(&self, class: usize) -> u32 {
-        self.classes.get(class).and_then(|c| c.attempts).unwrap_or(self.limits.attempts)
+        self.classes
+            .get(class)
+            .and_then(|c| c.attempts)
+            .unwrap_or(self.limits.attempts)
     }
 }
 
@@ -219,9 +223,19 @@
                 retry_after: None,
                 budget: None,
             },
-            layout: Layout { cells: 1, width: 1, shards: u32::MAX, parts_a_call: 1 },
+            layout: Layout {
+                cells: 1,
+                width: 1,
+                shards: u32::MAX,
+                parts_a_call: 1,
+            },
             discovery: Discovery::Push,
-            cold: Cold { share: 0.1, warm_after: 30_000_000, fall_multiple: 1.0, fall_after: 1_000_000 },
+            cold: Cold {
+                share: 0.1,
+                warm_after: 30_000_000,
+                fall_multiple: 1.0,
+                fall_after: 1_000_000,
+            },
             zone: 0,
             resolution: 1_000,
             marks_retry: false,
@@ -238,13 +252,16 @@
 pub struct Parts {
     /// What is held, as connections and memory, is cut into so many.
     pub held: u32,
-    /// What may be done, as sends to cold servers and further attempts, is cut into so many; `None`: nothing of it is
-    /// this process's.
+    /// What may be done, as sends to cold servers and further attempts, is cut into so many;
+    /// `None`: nothing of it is this process's.
     pub done: Option<u32>,
 }
 
 /// Those of a process that runs alone.
-pub const ALONE: Parts = Parts { held: 1, done: Some(1) };
+pub const ALONE: Parts = Parts {
+    held: 1,
+    done: Some(1),
+};
 
 /// State of a server as the list has it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -252,7 +269,8 @@
     /// Takes work.
     #[default]
     Ready,
-    /// Takes work for a moment yet, before it is taken out: it is sent only what no other holder takes well.
+    /// Takes work for a moment yet, before it is taken out: it is sent only what no other holder
+    /// takes well.
     Leaving,
     /// Ends its work; nothing new may be sent.
     Draining,
@@ -313,17 +331,21 @@
     /// Whether the attempt is known not to have run.
     #[must_use]
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::Moot)
+        matches!(
+            self,
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::Moot
+        )
     }
 }
 
 /// Which of several servers that are equal otherwise a query goes to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Placement {
-    /// Names the beginning that the query shares with others, which servers keep once they have read it. Queries with the same one go to the
-    /// same server. 0: it shares nothing.
+    /// Names the beginning that the query shares with others, which servers keep once they have
+    /// read it. Queries with the same one go to the same server. 0: it shares nothing.
     pub prefix: u64,
-    /// So much backlog makes one level; servers of the lowest level come first. 0: levels are not told apart.
+    /// So much backlog makes one level; servers of the lowest level come first. 0: levels are not
+    /// told apart.
     pub backlog_step: u32,
 }
 
@@ -332,7 +354,8 @@
 pub struct Load {
     /// Streams that run on there whose parts count as answered: they count as pending.
     pub streams: u32,
-    /// Work that waits there for all instances, as far as that is known; it decides among servers that are equal otherwise.
+    /// Work that waits there for all instances, as far as that is known; it decides among servers
+    /// that are equal otherwise.
     pub backlog: u32,
 }
 
@@ -356,7 +379,8 @@
         /// Index of the tenant that asks; without meaning where there are none.
         tenant: u32,
     },
-    /// Which of several equal servers a query that was handed over in this turn goes to. Comes before its parts.
+    /// Which of several equal servers a query that was handed over in this turn goes to. Comes
+    /// before its parts.
     Placement {
         /// Number of the query.
         number: u32,
@@ -406,8 +430,8 @@
     },
     /// News of the list of servers.
     List(Listing),
-    /// The classes from now on, by index. There are never fewer than before: one that differs from what was in its place
-    /// is another class, of which nothing is known yet.
+    /// The classes from now on, by index. There are never fewer than before: one that differs from
+    /// what was in its place is another class, of which nothing is known yet.
     Classes(Vec<Class>),
     /// The budget for further attempts from now on.
     Budget(Option<Budget>),
@@ -418,8 +442,8 @@
         /// All of it, as it is now.
         load: Load,
     },
-    /// What is allowed to this instance is shared alike by so many of its processes from now on, this one included; `None`:
-    /// by others alone, as this one is about to end.
+    /// What is allowed to this instance is shared alike by so many of its processes from now on,
+    /// this one included; `None`: by others alone, as this one is about to end.
     Processes(Option<u32>),
     /// A wake-up asked for is due.
     Wake,
