--- a/lab/benches/plan.rs
+++ b/lab/benches/plan.rs
@@ -18,7 +18,12 @@
     planner.on_query(NOW, QueryId(1), 0, &parts);
     for slice in 0..SLICES {
         let took = 50_000 + u64::from(slice) * 500;
-        planner.on_answer(NOW.plus(took), (QueryId(1), slice), (false, took, 0.0), None);
+        planner.on_answer(
+            NOW.plus(took),
+            (QueryId(1), slice),
+            (false, took, 0.0),
+            None,
+        );
         planner.on_answer(NOW.plus(took), (QueryId(1), slice), (true, took, 0.0), None);
     }
     planner
@@ -27,24 +32,34 @@
 fn firsts() -> Vec<First> {
     let first = |slice: u32| {
         let score = f64::from(slice * 7_919 % 1_009);
-        let bound = Bound { slice, keys: vec![Key::Number(score)], matched: Some(40) };
-        First { slice, score, bound: Some(bound) }
+        let bound = Bound {
+            slice,
+            keys: vec![Key::Number(score)],
+            matched: Some(40),
+        };
+        First {
+            slice,
+            score,
+            bound: Some(bound),
+        }
     };
     (0..SLICES).map(first).collect()
 }
 
 fn plan(c: &mut Criterion) {
-    for (name, goal) in
-        [("top 10 of 200 slices", Goal::Top(10, Way::Down)), ("best scores of 200 slices", Goal::BestScores)]
-    {
+    for (name, goal) in [
+        ("top 10 of 200 slices", Goal::Top(10, Way::Down)),
+        ("best scores of 200 slices", Goal::BestScores),
+    ] {
         c.bench_function(name, |b| {
             b.iter_batched_ref(
                 || (planner(), firsts()),
                 |(planner, firsts)| {
                     let firsts = std::mem::take(firsts);
                     black_box(
-                        planner
-                            .between(NOW.plus(200_000), QueryId(1), goal, firsts, |s| Some(f64::from(s % 5))),
+                        planner.between(NOW.plus(200_000), QueryId(1), goal, firsts, |s| {
+                            Some(f64::from(s % 5))
+                        }),
                     )
                 },
                 BatchSize::SmallInput,
--- a/lab/src/cold.rs
+++ b/lab/src/cold.rs
@@ -1,9 +1,10 @@
-//! What all brokers of a fleet together send to a server that has just started, in virtual time: its neighbours in the ring drain
-//! while it is cold, so that all that its shards ask for may come to it. Counted against what the settings allow it.
+//! What all brokers of a fleet together send to a server that has just started, in virtual time:
+//! its neighbours in the ring drain while it is cold, so that all that its shards ask for may come
+//! to it. Counted against what the settings allow it.
 
 use lichenswitch::interface::{
-    Action, Class, Cold, Event, Layout, Listed, Listing, Micros, Mode, Outcome, PartId, QueryId, Repeat,
-    ServerId, Settings, Shard, Time,
+    Action, Class, Cold, Event, Layout, Listed, Listing, Micros, Mode, Outcome, PartId, QueryId,
+    Repeat, ServerId, Settings, Shard, Time,
 };
 use lichenswitch::policy::Coordinator;
 use rand::{RngExt, SeedableRng};
@@ -17,8 +18,8 @@
 const SECOND: Micros = 1_000 * MS;
 const START: Time = Time(1_000 * SECOND);
 const CELLS: u32 = 12;
-/// The brokers learn their traffic for so long, and for so long the cold server is looked at; after the second its
-/// neighbours drain.
+/// The brokers learn their traffic for so long, and for so long the cold server is looked at; after
+/// the second its neighbours drain.
 const LEARN: Micros = 6 * SECOND;
 const LOOK: Micros = 6 * SECOND;
 const DRAIN: Micros = 2 * SECOND;
@@ -51,7 +52,8 @@
     pub budget: f64,
     /// See [`Plan::uneven`].
     pub uneven: bool,
-    /// Most parts in any window beyond what was allowed in it, in roots of that; below 0: never beyond it.
+    /// Most parts in any window beyond what was allowed in it, in roots of that; below 0: never
+    /// beyond it.
     pub worst: f64,
     /// Seeds in which a window held more than N + 2 root N + 2.
     pub broken: usize,
@@ -84,7 +86,8 @@
                 Action::Send { part, server, .. } => {
                     let attempt = self.attempts.entry(part.0).or_insert(0);
                     let due = now.plus(self.takes);
-                    self.answers.push(Reverse((due, broker, part.0, *attempt, server.0)));
+                    self.answers
+                        .push(Reverse((due, broker, part.0, *attempt, server.0)));
                     *attempt += 1;
                     if server.0 == self.watched {
                         self.came.push(now);
@@ -99,7 +102,11 @@
     fn list(&mut self, now: Time, lines: &[Listed], whole: bool) {
         for broker in 0..self.brokers.len() {
             let lines = lines.to_vec();
-            let news = if whole { Listing::Whole(lines) } else { Listing::Changes(lines) };
+            let news = if whole {
+                Listing::Whole(lines)
+            } else {
+                Listing::Changes(lines)
+            };
             self.turn(now, broker, vec![Event::List(news)]);
         }
     }
@@ -112,7 +119,13 @@
             }
             self.answers.pop();
             let (part, server, outcome) = (PartId(part), ServerId(server), Outcome::Ok);
-            let finished = Event::Finished { part, attempt, server, outcome, elapsed: self.takes };
+            let finished = Event::Finished {
+                part,
+                attempt,
+                server,
+                outcome,
+                elapsed: self.takes,
+            };
             self.turn(due, broker, vec![finished]);
         }
     }
@@ -133,8 +146,17 @@
         late_share: 0.1,
         ..Settings::default().classes.remove(0)
     };
-    let mut set = Settings { classes: vec![class], instances: plan.brokers, ..Settings::default() };
-    set.layout = Layout { cells: CELLS, width: 2, shards: 2 * CELLS, parts_a_call: 8 };
+    let mut set = Settings {
+        classes: vec![class],
+        instances: plan.brokers,
+        ..Settings::default()
+    };
+    set.layout = Layout {
+        cells: CELLS,
+        width: 2,
+        shards: 2 * CELLS,
+        parts_a_call: 8,
+    };
     set.cold = Cold {
         share: plan.share(),
         warm_after: 18 * SECOND,
@@ -148,14 +170,16 @@
     set
 }
 
-/// Plays one start: what came beyond the allowance in the worst window in roots of that allowance, whether that broke the rule, what came as a share
-/// of the allowance, and the share of the queries that were answered.
+/// Plays one start: what came beyond the allowance in the worst window in roots of that allowance,
+/// whether that broke the rule, what came as a share of the allowance, and the share of the queries
+/// that were answered.
 fn play(seed: u64, plan: &Plan) -> (f64, bool, f64, f64) {
     let mut dice = Xoshiro256PlusPlus::seed_from_u64(seed);
     let capacity = plan.capacity;
     let set = settings(plan);
-    let brokers: Vec<Coordinator> =
-        (0..plan.brokers).map(|i| Coordinator::new(seed << 16 | u64::from(i), set.clone())).collect();
+    let brokers: Vec<Coordinator> = (0..plan.brokers)
+        .map(|i| Coordinator::new(seed << 16 | u64::from(i), set.clone()))
+        .collect();
     let takes = (f64::from(plan.cores) / capacity * 1e6) as Micros;
     let mut world = World {
         brokers,
@@ -172,8 +196,13 @@
     let parts = 3;
     let rate = capacity * plan.load * f64::from(CELLS) / f64::from(parts);
     let gap = Exp::new(rate / 1e6).expect("a sound rate");
-    let line =
-        |id: u32, mode, started| Listed { server: ServerId(id), cell: id % CELLS, zone: 0, mode, started };
+    let line = |id: u32, mode, started| Listed {
+        server: ServerId(id),
+        cell: id % CELLS,
+        zone: 0,
+        mode,
+        started,
+    };
     let all: Vec<Listed> = (0..CELLS).map(|id| line(id, Mode::Ready, None)).collect();
     let mut now = START;
     world.list(now, &all, true);
@@ -184,11 +213,21 @@
         world.until(now);
         if !replaced && now >= begun {
             replaced = true;
-            world.list(now, &[line(0, Mode::Gone, None), line(CELLS, Mode::Ready, Some(begun))], false);
+            world.list(
+                now,
+                &[
+                    line(0, Mode::Gone, None),
+                    line(CELLS, Mode::Ready, Some(begun)),
+                ],
+                false,
+            );
         }
         if !drained && now >= begun.plus(DRAIN) {
             drained = true;
-            let neighbours = [line(1, Mode::Draining, None), line(CELLS - 1, Mode::Draining, None)];
+            let neighbours = [
+                line(1, Mode::Draining, None),
+                line(CELLS - 1, Mode::Draining, None),
+            ];
             world.list(now, &neighbours, false);
         }
         let mut place = dice.random::<f64>() * sum;
@@ -201,8 +240,15 @@
         next += 8;
         asked += 1;
         let (query, number, deadline) = (QueryId(id), id as u32, now.plus(4 * SECOND));
-        let mut events =
-            vec![Event::Query { query, number, class: 0, deadline, key: 0, again: false, tenant: u32::MAX }];
+        let mut events = vec![Event::Query {
+            query,
+            number,
+            class: 0,
+            deadline,
+            key: 0,
+            again: false,
+            tenant: u32::MAX,
+        }];
         events.extend((0..parts).map(|i| Event::Part {
             part: PartId(id + 1 + u64::from(i)),
             number,
@@ -215,8 +261,9 @@
             (0..world.brokers.len()).for_each(|b| world.turn(now, b, vec![Event::Wake]));
         }
     }
-    let level =
-        |at: Time| plan.share() + (1.0 - plan.share()) * at.since(begun) as f64 / (18 * SECOND) as f64;
+    let level = |at: Time| {
+        plan.share() + (1.0 - plan.share()) * at.since(begun) as f64 / (18 * SECOND) as f64
+    };
     let (mut worst, mut broken, mut from) = (-capacity.sqrt(), false, 0);
     for (i, &at) in world.came.iter().enumerate() {
         while world.came[from].plus(SECOND) < at {
@@ -229,7 +276,12 @@
         broken |= sent > allowed + 2.0 * allowed.sqrt() + 2.0;
     }
     let mean = capacity * plan.multiple * level(begun.plus(LOOK / 2)) * LOOK as f64 / 1e6;
-    (worst, broken, world.came.len() as f64 / mean, world.answered as f64 / f64::from(asked))
+    (
+        worst,
+        broken,
+        world.came.len() as f64 / mean,
+        world.answered as f64 / f64::from(asked),
+    )
 }
 
 /// The worst of so many seeds.
@@ -247,10 +299,15 @@
     }
 }
 
-/// Budgets just after a start, what a warm server can do, and the rule's multiple: slow servers and a strict rule, common ones
-/// with a strict and a usual one, and fast ones.
-pub const BUDGETS: [(f64, f64, f64); 5] =
-    [(0.6, 5.0, 1.2), (4.0, 16.0, 2.5), (10.0, 25.0, 2.5), (25.0, 26.0, 3.0), (300.0, 600.0, 2.5)];
+/// Budgets just after a start, what a warm server can do, and the rule's multiple: slow servers and
+/// a strict rule, common ones with a strict and a usual one, and fast ones.
+pub const BUDGETS: [(f64, f64, f64); 5] = [
+    (0.6, 5.0, 1.2),
+    (4.0, 16.0, 2.5),
+    (10.0, 25.0, 2.5),
+    (25.0, 26.0, 3.0),
+    (300.0, 600.0, 2.5),
+];
 
 /// All sizes of fleets and budgets, even and uneven.
 #[must_use]
@@ -259,7 +316,15 @@
     for brokers in [2, 5, 20, 30, 100, 300] {
         for (budget, capacity, multiple) in BUDGETS {
             for uneven in [false, true] {
-                let plan = Plan { brokers, budget, uneven, cores: 2, capacity, load: 0.6, multiple };
+                let plan = Plan {
+                    brokers,
+                    budget,
+                    uneven,
+                    cores: 2,
+                    capacity,
+                    load: 0.6,
+                    multiple,
+                };
                 all.push(worst(seed, seeds, &plan));
             }
         }
--- a/lab/src/council.rs
+++ b/lab/src/council.rs
@@ -1,5 +1,5 @@
-//! Voters and holders as processes under faults from a seed: who held a duty when is judged. Times are real, so figures
-//! differ from run to run; the faults do not.
+//! Voters and holders as processes under faults from a seed: who held a duty when is judged. Times
+//! are real, so figures differ from run to run; the faults do not.
 
 use lichenswitch_standins::relay::Faults;
 use lichenswitch_standins::rig::{judge_holders, Entry, Event, Rig};
@@ -25,8 +25,9 @@
     pub brokers: usize,
     /// See `brokers`.
     pub voters: usize,
-    /// Faults by kind: killed, killed without its folder, stopped, split, ways cut, all ways rough (a fifth of the messages
-    /// lost, a fifth doubled, all late), what one says held back and let go all together.
+    /// Faults by kind: killed, killed without its folder, stopped, split, ways cut, all ways rough
+    /// (a fifth of the messages lost, a fifth doubled, all late), what one says held back and let
+    /// go all together.
     pub kills: usize,
     /// See `kills`.
     pub forgot: usize,
@@ -44,7 +45,8 @@
     pub checked: usize,
     /// Two that held it at a time, or a fence that did not grow.
     pub double_held: usize,
-    /// From a fault to the next holder's word, where the holder was befallen, milliseconds, in order.
+    /// From a fault to the next holder's word, where the holder was befallen, milliseconds, in
+    /// order.
     pub taken_over_ms: Vec<u64>,
     /// Messages that links carried and lost.
     pub carried: u64,
@@ -57,7 +59,9 @@
     let mut holds = None;
     for entry in entries {
         match &entry.what {
-            Event::Said(line) if line.contains("duty d: held under fence") => holds = Some(entry.who),
+            Event::Said(line) if line.contains("duty d: held under fence") => {
+                holds = Some(entry.who)
+            }
             Event::Said(line) if line.contains("duty d: not held") && holds == Some(entry.who) => {
                 holds = None
             }
@@ -68,10 +72,12 @@
     holds
 }
 
-/// Starts so many brokers, of which the first vote, and lets faults befall them one after the other.
+/// Starts so many brokers, of which the first vote, and lets faults befall them one after the
+/// other.
 ///
 /// # Errors
-/// When a process can't be started, no holder comes after a fault that leaves a majority, or the ledger can't be written.
+/// When a process can't be started, no holder comes after a fault that leaves a majority, or the
+/// ledger can't be written.
 pub fn run(
     program: &Path,
     seed: u64,
@@ -90,9 +96,20 @@
     ran
 }
 
-fn befall(rig: &mut Rig, seed: u64, brokers: usize, voters: usize, faults: usize) -> Result<Report, String> {
+fn befall(
+    rig: &mut Rig,
+    seed: u64,
+    brokers: usize,
+    voters: usize,
+    faults: usize,
+) -> Result<Report, String> {
     let mut dice = Xoshiro256PlusPlus::seed_from_u64(seed);
-    let mut report = Report { seed, brokers, voters, ..Report::default() };
+    let mut report = Report {
+        seed,
+        brokers,
+        voters,
+        ..Report::default()
+    };
     let names: Vec<String> = (0..voters).map(|v| format!("n{v}")).collect();
     let folder = |rig: &Rig, who: usize| rig.folder().join(format!("memory-{who}"));
     let mut files = Vec::new();
@@ -107,7 +124,8 @@
     for (who, files) in files.iter().enumerate() {
         rig.start_broker(who, files).map_err(|e| e.to_string())?;
     }
-    let comes = |rig: &Rig, since: usize, what: &str| match rig.until(MOST, |e| holder(&e[since..]).is_some())
+    let comes = |rig: &Rig, since: usize, what: &str| match rig
+        .until(MOST, |e| holder(&e[since..]).is_some())
     {
         true => Ok(()),
         false => Err(format!("nobody holds the duty after {what}")),
@@ -136,7 +154,8 @@
                     let _ = std::fs::remove_dir_all(folder(rig, who));
                 }
                 report.kills += 1;
-                rig.start_broker(who, &files[who]).map_err(|e| e.to_string())?;
+                rig.start_broker(who, &files[who])
+                    .map_err(|e| e.to_string())?;
             }
             2 => {
                 report.stops += 1;
@@ -153,15 +172,27 @@
                 side.push(who);
                 let across = |a: usize, b: usize| side.contains(&a) != side.contains(&b);
                 let ways = || all.iter().flat_map(|a| all.iter().map(move |b| (*a, *b)));
-                ways().filter(|(a, b)| across(*a, *b)).for_each(|(a, b)| rig.cut(a, b, true));
+                ways()
+                    .filter(|(a, b)| across(*a, *b))
+                    .for_each(|(a, b)| rig.cut(a, b, true));
                 over(rig);
-                ways().filter(|(a, b)| across(*a, *b)).for_each(|(a, b)| rig.cut(a, b, false));
+                ways()
+                    .filter(|(a, b)| across(*a, *b))
+                    .for_each(|(a, b)| rig.cut(a, b, false));
             }
             4 => {
                 report.rough += 1;
-                let ways =
-                    || all.iter().flat_map(|a| all.iter().map(move |b| (*a, *b))).filter(|(a, b)| a != b);
-                let rough = Faults { lost: 0.2, twice: 0.2, delay_ms: 20, ..Faults::default() };
+                let ways = || {
+                    all.iter()
+                        .flat_map(|a| all.iter().map(move |b| (*a, *b)))
+                        .filter(|(a, b)| a != b)
+                };
+                let rough = Faults {
+                    lost: 0.2,
+                    twice: 0.2,
+                    delay_ms: 20,
+                    ..Faults::default()
+                };
                 ways().for_each(|(a, b)| rig.link(a, b).set(rough));
                 over(rig);
                 ways().for_each(|(a, b)| rig.link(a, b).set(Faults::default()));
@@ -169,34 +200,56 @@
             5 => {
                 report.held += 1;
                 let to: Vec<usize> = all.iter().filter(|t| **t != who).copied().collect();
-                to.iter().for_each(|t| rig.link(who, *t).set(Faults { held: true, ..Faults::default() }));
+                to.iter().for_each(|t| {
+                    rig.link(who, *t).set(Faults {
+                        held: true,
+                        ..Faults::default()
+                    })
+                });
                 over(rig);
-                to.iter().for_each(|t| rig.link(who, *t).set(Faults::default()));
+                to.iter()
+                    .for_each(|t| rig.link(who, *t).set(Faults::default()));
             }
             _ => {
                 report.ways += 1;
-                let to: Vec<usize> =
-                    all.iter().filter(|t| **t != who && dice.random_bool(0.7)).copied().collect();
+                let to: Vec<usize> = all
+                    .iter()
+                    .filter(|t| **t != who && dice.random_bool(0.7))
+                    .copied()
+                    .collect();
                 to.iter().for_each(|t| rig.cut(who, *t, true));
                 over(rig);
                 to.iter().for_each(|t| rig.cut(who, *t, false));
             }
         }
         if befalls {
-            let began = rig.until(MOST, |e| holder(&e[since..]).is_some() || holder(e) == held_by);
-            let next = rig.ledger.all()[since..].iter().find_map(|e| match &e.what {
-                Event::Said(line) if line.contains("held under fence") => Some(e.at),
-                _ => None,
+            let began = rig.until(MOST, |e| {
+                holder(&e[since..]).is_some() || holder(e) == held_by
             });
-            report.taken_over_ms.extend(next.filter(|_| began).map(|t| (t - at).as_millis() as u64));
+            let next = rig.ledger.all()[since..]
+                .iter()
+                .find_map(|e| match &e.what {
+                    Event::Said(line) if line.contains("held under fence") => Some(e.at),
+                    _ => None,
+                });
+            report
+                .taken_over_ms
+                .extend(next.filter(|_| began).map(|t| (t - at).as_millis() as u64));
         }
         if holder(&rig.ledger.all()).is_none() {
-            comes(rig, rig.ledger.all().len().min(since), "a fault that is over")?;
+            comes(
+                rig,
+                rig.ledger.all().len().min(since),
+                "a fault that is over",
+            )?;
         }
     }
     let found = judge_holders(&rig.ledger.all(), "d", WAKES);
     (report.checked, report.double_held) = (found.checked, found.wrong.len());
-    let pairs = all.iter().flat_map(|a| all.iter().map(move |b| (*a, *b))).filter(|(a, b)| a != b);
+    let pairs = all
+        .iter()
+        .flat_map(|a| all.iter().map(move |b| (*a, *b)))
+        .filter(|(a, b)| a != b);
     for (carried, lost) in pairs.map(|(a, b)| rig.link(a, b).counts()) {
         (report.carried, report.lost) = (report.carried + carried, report.lost + lost);
     }
--- a/lab/src/discovery.rs
+++ b/lab/src/discovery.rs
@@ -1,5 +1,6 @@
-//! How soon all brokers of a fleet hear of a change after discovery was down, in virtual time: each calls at its own pace, and
-//! discovery handles one call after another and fails those that have waited for too long.
+//! How soon all brokers of a fleet hear of a change after discovery was down, in virtual time: each
+//! calls at its own pace, and discovery handles one call after another and fails those that have
+//! waited for too long.
 
 use lichenswitch::decide::membership::pace::Pace;
 use lichenswitch::interface::{Micros, Time};
@@ -44,7 +45,8 @@
     pub calls: usize,
     /// See `calls`.
     pub failed: usize,
-    /// Until half of the brokers had heard, and until the last one had (seconds; the end of the look where it had not).
+    /// Until half of the brokers had heard, and until the last one had (seconds; the end of the
+    /// look where it had not).
     pub half_s: f64,
     /// See `half_s`.
     pub last_s: f64,
@@ -65,8 +67,9 @@
 /// Plays one return of discovery to so many brokers.
 #[must_use]
 pub fn play(seed: u64, brokers: u32, kind: Kind) -> Figures {
-    let mut paces: Vec<Pace> =
-        (0..brokers).map(|i| Pace::new(seed << 16 | u64::from(i), brokers, EVERY)).collect();
+    let mut paces: Vec<Pace> = (0..brokers)
+        .map(|i| Pace::new(seed << 16 | u64::from(i), brokers, EVERY))
+        .collect();
     let patience = paces[0].watch().begins();
     // All watches end as discovery goes down; each of them was answered often before.
     let mut states: Vec<State> = Vec::new();
@@ -103,7 +106,9 @@
             }
         }
         while free <= now {
-            let Some((at, i)) = queue.pop_front() else { break };
+            let Some((at, i)) = queue.pop_front() else {
+                break;
+            };
             let waits = states[i] == State::Out(at);
             if waits {
                 heard.push(now.since(BACK));
@@ -132,8 +137,9 @@
     }
 }
 
-/// Calls that discovery handles in a second: one a third of a second as the smallest fleets have it, 16 as measured before
-/// 100 brokers, and as many as the largest ones have for whole lists and for changes alone.
+/// Calls that discovery handles in a second: one a third of a second as the smallest fleets have
+/// it, 16 as measured before 100 brokers, and as many as the largest ones have for whole lists and
+/// for changes alone.
 const RATES: [f64; 4] = [2.7, 16.0, 33.0, 128.0];
 
 /// The worst of some seeds, by size of the fleet and kind of discovery.
@@ -143,7 +149,11 @@
     for brokers in [6, 20, 60, 100, 300] {
         for rate in RATES {
             for works_in_vain in [false, true] {
-                let kind = Kind { rate, fails_after_ms: 1_000, works_in_vain };
+                let kind = Kind {
+                    rate,
+                    fails_after_ms: 1_000,
+                    works_in_vain,
+                };
                 let played = (seed..seed + seeds).map(|seed| play(seed, brokers, kind));
                 all.extend(played.max_by(|a, b| a.last_s.total_cmp(&b.last_s)));
             }
--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -1,5 +1,6 @@
-//! A fleet of processes whose brokers die, stand still and are cut off, from a seed: what each of them says of the others
-//! is judged, and what it costs is measured. Times are real, so figures differ from run to run; the faults do not.
+//! A fleet of processes whose brokers die, stand still and are cut off, from a seed: what each of
+//! them says of the others is judged, and what it costs is measured. Times are real, so figures
+//! differ from run to run; the faults do not.
 
 use lichenswitch_standins::rig::{agree, judge_deaths, Entry, Rig};
 use rand::{RngExt, SeedableRng};
@@ -45,7 +46,8 @@
     pub carried: u64,
     /// See `carried`.
     pub lost: u64,
-    /// Processor time of a broker, share of a core in the mean, and its memory at the most, megabytes.
+    /// Processor time of a broker, share of a core in the mean, and its memory at the most,
+    /// megabytes.
     pub cpu_share_each: f64,
     /// See `cpu_share_each`.
     pub memory_mb_each: f64,
@@ -54,16 +56,22 @@
 /// Processor seconds and megabytes of a process by now.
 fn cost(pid: i32) -> Option<(f64, f64)> {
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-    // Behind the name, which may hold anything: the twelfth and thirteenth are ticks, the twenty-second pages.
+    // Behind the name, which may hold anything: the twelfth and thirteenth are ticks, the
+    // twenty-second pages.
     let words: Vec<&str> = text.rsplit(')').next()?.split_whitespace().collect();
     let figure = |i: usize| words.get(i)?.parse::<f64>().ok();
-    Some(((figure(11)? + figure(12)?) / TICKS, figure(21)? * PAGE / f64::from(1 << 20)))
+    Some((
+        (figure(11)? + figure(12)?) / TICKS,
+        figure(21)? * PAGE / f64::from(1 << 20),
+    ))
 }
 
-/// Starts so many brokers and lets faults befall them one after the other; all that happened goes into `ledger`.
+/// Starts so many brokers and lets faults befall them one after the other; all that happened goes
+/// into `ledger`.
 ///
 /// # Errors
-/// When a process can't be started, the fleet does not come to know itself after a fault, or the ledger can't be written.
+/// When a process can't be started, the fleet does not come to know itself after a fault, or the
+/// ledger can't be written.
 pub fn run(
     program: &Path,
     seed: u64,
@@ -89,19 +97,29 @@
     brokers: usize,
     faults: usize,
 ) -> Result<Report, String> {
-    let mut report = Report { seed, brokers, ..Report::default() };
+    let mut report = Report {
+        seed,
+        brokers,
+        ..Report::default()
+    };
     let files: Result<Vec<_>, _> = (0..brokers).map(|who| rig.broker_files(who, "")).collect();
     let files = files.map_err(|e| e.to_string())?;
     for (who, files) in files.iter().enumerate() {
         rig.start_broker(who, files).map_err(|e| e.to_string())?;
     }
     let all: Vec<usize> = (0..brokers).collect();
-    let knows = |rig: &Rig, living: &[usize], what: &str| match rig.until(MOST, |e| agree(e, living)) {
-        true => Ok(()),
-        false => Err(format!("{living:?} do not know each other after {what}")),
+    let knows =
+        |rig: &Rig, living: &[usize], what: &str| match rig.until(MOST, |e| agree(e, living)) {
+            true => Ok(()),
+            false => Err(format!("{living:?} do not know each other after {what}")),
+        };
+    let listen = |rig: &Rig| {
+        rig.ledger
+            .all()
+            .iter()
+            .filter(|e| format!("{e:?}").contains("peers: n"))
+            .count()
     };
-    let listen =
-        |rig: &Rig| rig.ledger.all().iter().filter(|e| format!("{e:?}").contains("peers: n")).count();
     if !rig.until(MOST, |_| listen(rig) == brokers) {
         return Err("not all brokers listen".into());
     }
@@ -121,7 +139,8 @@
                 rig.kill(who);
                 knows(rig, &living, "a kill")?;
                 report.missed_ms.push((rig.now() - at).as_millis() as u64);
-                rig.start_broker(who, &files[who]).map_err(|e| e.to_string())?;
+                rig.start_broker(who, &files[who])
+                    .map_err(|e| e.to_string())?;
             }
             1 => {
                 report.stops += 1;
@@ -149,7 +168,10 @@
     }
     let found = judge_deaths(&rig.ledger.all(), brokers, AFTER);
     (report.checked, report.false_deaths) = (found.checked, found.wrong.len());
-    let pairs = all.iter().flat_map(|a| all.iter().map(move |b| (*a, *b))).filter(|(a, b)| a != b);
+    let pairs = all
+        .iter()
+        .flat_map(|a| all.iter().map(move |b| (*a, *b)))
+        .filter(|(a, b)| a != b);
     for (carried, lost) in pairs.map(|(a, b)| rig.link(a, b).counts()) {
         (report.carried, report.lost) = (report.carried + carried, report.lost + lost);
     }
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,4 +1,5 @@
-//! `cargo run --release -p lichenswitch-lab -- NAME --seed N --json FILE`: one experiment, its table and its figures.
+//! `cargo run --release -p lichenswitch-lab -- NAME --seed N --json FILE`: one experiment, its
+//! table and its figures.
 #![forbid(unsafe_code)]
 
 use clap::{Args, Parser, Subcommand};
@@ -25,9 +26,11 @@
     Replay(Common),
     /// What a view of the fleet costs and how soon it is right, at 9, 30 and 300 brokers.
     Members(Common),
-    /// What all brokers together send to a server that has just started, against what it is allowed.
+    /// What all brokers together send to a server that has just started, against what it is
+    /// allowed.
     Cold(ColdArgs),
-    /// How soon a fleet hears of a change after discovery was down, by the calls that it handles in a second.
+    /// How soon a fleet hears of a change after discovery was down, by the calls that it handles in
+    /// a second.
     Discovery(Common),
     /// A fleet of processes with faults between them.
     Fleet(FleetArgs),
@@ -103,7 +106,9 @@
 }
 
 fn write(common: &Common, report: &impl Serialize) -> Result<(), String> {
-    let Some(path) = &common.json else { return Ok(()) };
+    let Some(path) = &common.json else {
+        return Ok(());
+    };
     let text = serde_json::to_string(report).map_err(|e| e.to_string())?;
     std::fs::write(path, text + "\n").map_err(|e| format!("{}: {e}", path.display()))
 }
@@ -111,7 +116,11 @@
 fn main() -> ExitCode {
     let result = match Cli::parse().experiment {
         Experiment::Scale(args) => {
-            let only = scale::Only { parts: args.parts, nodes: args.nodes, rate: args.rate };
+            let only = scale::Only {
+                parts: args.parts,
+                nodes: args.nodes,
+                rate: args.rate,
+            };
             let report = scale::run(args.common.seed, &only);
             print!("{}", scale::table(&report));
             write(&args.common, &report)
@@ -124,19 +133,27 @@
         Experiment::Replay(common) => {
             let days = replay::run(common.seed);
             for d in &days {
-                println!("{:>8} {:>8} events {:>8} actions  {}", d.seed, d.events, d.actions, d.digest);
+                println!(
+                    "{:>8} {:>8} events {:>8} actions  {}",
+                    d.seed, d.events, d.actions, d.digest
+                );
             }
             write(&common, &days)
         }
         Experiment::Members(common) => {
-            let all: Vec<_> = [9, 30, 300].iter().map(|n| members::play(common.seed, *n, 6)).collect();
+            let all: Vec<_> = [9, 30, 300]
+                .iter()
+                .map(|n| members::play(common.seed, *n, 6))
+                .collect();
             println!(
                 "{:>8} {:>10} {:>10} {:>22} {:>8} {:>6}",
                 "brokers", "agreed ms", "bytes/s", "detected ms", "told", "false"
             );
             for f in &all {
-                let detected =
-                    format!("{} / {} / {}", f.detected_ms_p50, f.detected_ms_p99, f.detected_ms_most);
+                let detected = format!(
+                    "{} / {} / {}",
+                    f.detected_ms_p50, f.detected_ms_p99, f.detected_ms_most
+                );
                 let told = format!("{}/{}", f.told, f.to_be_told);
                 let bytes = f.peer_bytes_per_s_each;
                 println!(
@@ -157,8 +174,19 @@
             write(&common, &all)
         }
         Experiment::Council(args) => {
-            let (seed, brokers, voters) = (args.common.seed, args.brokers as usize, args.voters as usize);
-            let ran = council::run(&args.program, seed, brokers, voters, args.faults, args.ledger.as_deref());
+            let (seed, brokers, voters) = (
+                args.common.seed,
+                args.brokers as usize,
+                args.voters as usize,
+            );
+            let ran = council::run(
+                &args.program,
+                seed,
+                brokers,
+                voters,
+                args.faults,
+                args.ledger.as_deref(),
+            );
             ran.and_then(|report| {
                 println!("{report:#?}");
                 write(&args.common, &report)
@@ -166,7 +194,13 @@
         }
         Experiment::Fleet(args) => {
             let (seed, brokers) = (args.common.seed, args.brokers as usize);
-            let ran = fleet::run(&args.program, seed, brokers, args.faults, args.ledger.as_deref());
+            let ran = fleet::run(
+                &args.program,
+                seed,
+                brokers,
+                args.faults,
+                args.ledger.as_deref(),
+            );
             ran.and_then(|report| {
                 println!("{report:#?}");
                 write(&args.common, &report)
--- a/lab/src/members.rs
+++ b/lab/src/members.rs
@@ -1,5 +1,6 @@
-//! What a view of the fleet costs and how soon it is right, in virtual time, by the size of the fleet: brokers that talk over
-//! a network which loses one message in a hundred, and of which one after the other dies.
+//! What a view of the fleet costs and how soon it is right, in virtual time, by the size of the
+//! fleet: brokers that talk over a network which loses one message in a hundred, and of which one
+//! after the other dies.
 
 use lichenswitch::decide::fleet::{Fleet, Member, Rules, Verdict};
 use lichenswitch::interface::{Micros, Time};
@@ -34,7 +35,8 @@
     pub told: usize,
     /// See `deaths`.
     pub to_be_told: usize,
-    /// From a death to the time when one of the others knew it, milliseconds: half of them, 99 in a hundred, all.
+    /// From a death to the time when one of the others knew it, milliseconds: half of them, 99 in a
+    /// hundred, all.
     pub detected_ms_p50: u64,
     /// See `detected_ms_p50`.
     pub detected_ms_p99: u64,
@@ -60,10 +62,21 @@
 impl World {
     fn new(seed: u64, count: usize) -> World {
         let address = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
-        let member = |i: usize, life| Member { name: format!("n{i}"), address, zone: String::new(), life };
+        let member = |i: usize, life| Member {
+            name: format!("n{i}"),
+            address,
+            zone: String::new(),
+            life,
+        };
         let fleet = |i: usize| {
             let seeds = (0..SEEDS.min(count)).map(|s| member(s, 0)).collect();
-            Some(Fleet::new(START, member(i, START.0), seeds, Rules::default(), seed ^ (i as u64) << 20))
+            Some(Fleet::new(
+                START,
+                member(i, START.0),
+                seeds,
+                Rules::default(),
+                seed ^ (i as u64) << 20,
+            ))
         };
         World {
             fleets: (0..count).map(fleet).collect(),
@@ -84,7 +97,8 @@
                     (self.sent, self.bytes) = (self.sent + 1, self.bytes + bytes.len() as u64);
                     let to = to.name[1..].parse().unwrap_or(0);
                     if !self.dice.random_bool(LOST) {
-                        self.ways.push(Reverse((self.now.plus(WAY), self.sent, to, bytes)));
+                        self.ways
+                            .push(Reverse((self.now.plus(WAY), self.sent, to, bytes)));
                     }
                 }
                 Verdict::Down(who, _) => self.down.push((self.now, by, who.name)),
@@ -100,8 +114,13 @@
     fn play(&mut self, until: Time, done: impl Fn(&World) -> bool) {
         let mut look = self.now;
         loop {
-            let (way, timer) = (self.ways.peek().map(|w| w.0 .0), self.timers.peek().map(|t| t.0 .0));
-            let Some(at) = way.into_iter().chain(timer).min().filter(|at| *at <= until) else { break };
+            let (way, timer) = (
+                self.ways.peek().map(|w| w.0 .0),
+                self.timers.peek().map(|t| t.0 .0),
+            );
+            let Some(at) = way.into_iter().chain(timer).min().filter(|at| *at <= until) else {
+                break;
+            };
             self.now = self.now.max(at);
             if self.now >= look.plus(SECOND / 10) {
                 look = self.now;
@@ -110,8 +129,12 @@
                 }
             }
             if way == Some(at) {
-                let Some(Reverse((_, _, to, bytes))) = self.ways.pop() else { continue };
-                let told = self.fleets[to].as_mut().map(|f| f.on_message(self.now, &bytes));
+                let Some(Reverse((_, _, to, bytes))) = self.ways.pop() else {
+                    continue;
+                };
+                let told = self.fleets[to]
+                    .as_mut()
+                    .map(|f| f.on_message(self.now, &bytes));
                 told.into_iter().for_each(|told| self.carry(to, told));
             } else if let Some(Reverse((_, i))) = self.timers.pop() {
                 // Each is entered anew whenever it changes: only one that is due still counts.
@@ -125,7 +148,10 @@
 
     fn agrees(&self) -> bool {
         let living = self.fleets.iter().flatten().count();
-        self.fleets.iter().flatten().all(|f| f.alive().len() + 1 == living)
+        self.fleets
+            .iter()
+            .flatten()
+            .all(|f| f.alive().len() + 1 == living)
     }
 }
 
@@ -140,8 +166,13 @@
     world.bytes = 0;
     world.play(world.now.plus(QUIET), |_| false);
     let each = world.bytes as f64 / brokers as f64 / (QUIET / SECOND) as f64;
-    let mut figures =
-        Figures { brokers, agreed_ms, peer_bytes_per_s_each: each, deaths, ..Figures::default() };
+    let mut figures = Figures {
+        brokers,
+        agreed_ms,
+        peer_bytes_per_s_each: each,
+        deaths,
+        ..Figures::default()
+    };
     let mut took = Vec::new();
     for dead in (0..deaths).map(|d| brokers - 1 - d) {
         let died = world.now;
@@ -153,8 +184,10 @@
         figures.to_be_told += world.fleets.iter().flatten().count();
     }
     took.sort_unstable();
-    let at =
-        |share: f64| took.get(((took.len() as f64 * share) as usize).min(took.len().max(1) - 1)).copied();
+    let at = |share: f64| {
+        took.get(((took.len() as f64 * share) as usize).min(took.len().max(1) - 1))
+            .copied()
+    };
     figures.told = took.len();
     figures.false_deaths = world.down.len() - took.len();
     figures.detected_ms_p50 = at(0.5).unwrap_or_default();
--- a/lab/src/node.rs
+++ b/lab/src/node.rs
@@ -1,4 +1,5 @@
-//! A data node in virtual time: some cores, a queue, pauses and slow spells. It accounts for all that it worked.
+//! A data node in virtual time: some cores, a queue, pauses and slow spells. It accounts for all
+//! that it worked.
 
 use lichenswitch::interface::{Micros, Time};
 use std::collections::{HashMap, VecDeque};
@@ -59,7 +60,11 @@
     /// A node with so many cores that stands still at these times.
     #[must_use]
     pub fn new(cores: usize, pauses: Vec<(Time, Time)>) -> Node {
-        Node { cores, pauses, ..Node::default() }
+        Node {
+            cores,
+            pauses,
+            ..Node::default()
+        }
     }
 
     /// When work that starts now ends.
@@ -78,13 +83,24 @@
 
     /// Time between two points that is no pause.
     fn active(&self, from: Time, to: Time) -> Micros {
-        let paused = self.pauses.iter().map(|p| to.min(p.1).since(from.max(p.0))).sum::<u64>();
+        let paused = self
+            .pauses
+            .iter()
+            .map(|p| to.min(p.1).since(from.max(p.0)))
+            .sum::<u64>();
         to.since(from).saturating_sub(paused)
     }
 
     fn start(&mut self, now: Time, task: Task) -> Start {
         let ends = self.ends(now, task.work);
-        self.running.insert(task.attempt, Running { task, started: now, ends });
+        self.running.insert(
+            task.attempt,
+            Running {
+                task,
+                started: now,
+                ends,
+            },
+        );
         (task.attempt, ends)
     }
 
@@ -102,21 +118,33 @@
         let late = r.started.max(r.task.aim_at);
         Cost {
             ran: self.active(r.started, until),
-            after_aim: if until > late { self.active(late, until) } else { 0 },
+            after_aim: if until > late {
+                self.active(late, until)
+            } else {
+                0
+            },
         }
     }
 
-    /// Ends a task that ran to its end or is given up; tells its phase, its cost and what starts in its place.
-    /// `None`: it is not here any more.
+    /// Ends a task that ran to its end or is given up; tells its phase, its cost and what starts in
+    /// its place. `None`: it is not here any more.
     pub fn end(&mut self, now: Time, attempt: u64) -> Option<Left> {
         if let Some(at) = self.queue.iter().position(|t| t.attempt == attempt) {
             let task = self.queue.remove(at)?;
-            return Some(Left { phase: task.phase, cost: Cost::default(), next: None });
+            return Some(Left {
+                phase: task.phase,
+                cost: Cost::default(),
+                next: None,
+            });
         }
         let running = self.running.remove(&attempt)?;
         let cost = self.cost(&running, now);
         let next = self.queue.pop_front().map(|task| self.start(now, task));
-        Some(Left { phase: running.task.phase, cost, next })
+        Some(Left {
+            phase: running.task.phase,
+            cost,
+            next,
+        })
     }
 
     /// Whether a task that was to end now still runs.
--- a/lab/src/replay.rs
+++ b/lab/src/replay.rs
@@ -1,10 +1,10 @@
-//! `replay`: random days for the decision module alone, as a digest of every action. Two versions of the module
-//! that decide alike give the same digests for the same seeds.
+//! `replay`: random days for the decision module alone, as a digest of every action. Two versions
+//! of the module that decide alike give the same digests for the same seeds.
 
 use crate::world::{mixed, whole_fleet, MS};
 use lichenswitch::interface::{
-    Action, Budget, Class, Cold, Discovery, Event, Layout, Limits, Listed, Listing, Mode, Outcome, PartId,
-    QueryId, Repeat, ServerId, Settings, Shard, Time, FIRST_SHARE,
+    Action, Budget, Class, Cold, Discovery, Event, Layout, Limits, Listed, Listing, Mode, Outcome,
+    PartId, QueryId, Repeat, ServerId, Settings, Shard, Time, FIRST_SHARE,
 };
 use lichenswitch::policy::Coordinator;
 use rand::{RngExt, SeedableRng};
@@ -43,7 +43,11 @@
 
 fn settings(rng: &mut Xoshiro256PlusPlus) -> Settings {
     let cells = rng.random_range(2..30);
-    let budget = Budget { window: 1_000 * MS, least: 3.0, share: 0.2 };
+    let budget = Budget {
+        window: 1_000 * MS,
+        least: 3.0,
+        share: 0.2,
+    };
     Settings {
         classes: vec![
             class(Repeat::Safe, 0, 1.0),
@@ -60,9 +64,19 @@
             retry_after: rng.random_bool(0.5).then_some(500 * MS),
             budget: rng.random_bool(0.4).then_some(budget),
         },
-        layout: Layout { cells, width: 2, shards: cells * 3, parts_a_call: rng.random_range(1..9) },
+        layout: Layout {
+            cells,
+            width: 2,
+            shards: cells * 3,
+            parts_a_call: rng.random_range(1..9),
+        },
         discovery: Discovery::Ask(1_000 * MS),
-        cold: Cold { share: 0.3, warm_after: 5_000 * MS, fall_multiple: 3.0, fall_after: 1_000 * MS },
+        cold: Cold {
+            share: 0.3,
+            warm_after: 5_000 * MS,
+            fall_multiple: 3.0,
+            fall_after: 1_000 * MS,
+        },
         resolution: 5 * MS,
         marks_retry: rng.random_bool(0.5),
         instances: 3,
@@ -99,11 +113,23 @@
     }
 
     fn line(&mut self, server: u32) -> Listed {
-        let mode = [Mode::Ready, Mode::Ready, Mode::Ready, Mode::Draining, Mode::Gone];
+        let mode = [
+            Mode::Ready,
+            Mode::Ready,
+            Mode::Ready,
+            Mode::Draining,
+            Mode::Gone,
+        ];
         let mode = mode[self.rng.random_range(0..5)];
         let started = self.rng.random_bool(0.3).then_some(self.now);
         let cells = self.settings.layout.cells;
-        Listed { server: ServerId(server), cell: server % cells, zone: server % 3, mode, started }
+        Listed {
+            server: ServerId(server),
+            cell: server % cells,
+            zone: server % 3,
+            mode,
+            started,
+        }
     }
 
     fn arrive(&mut self, events: &mut Vec<Event>) {
@@ -112,7 +138,10 @@
         let number = self.number;
         let shards = self.settings.layout.shards;
         let wide = if class == 2 { 3 } else { shards };
-        let (count, first) = (self.rng.random_range(1..=wide), self.rng.random_range(0..shards));
+        let (count, first) = (
+            self.rng.random_range(1..=wide),
+            self.rng.random_range(0..shards),
+        );
         let deadline = self.now.plus(self.rng.random_range(500..3_000) * MS);
         let (key, again) = (self.rng.random_range(0..4), self.rng.random_bool(0.2));
         events.push(Event::Query {
@@ -124,9 +153,22 @@
             again,
             tenant: u32::MAX,
         });
-        self.open.insert(query, Open { number, class, parts: BTreeMap::new(), second: false });
+        self.open.insert(
+            query,
+            Open {
+                number,
+                class,
+                parts: BTreeMap::new(),
+                second: false,
+            },
+        );
         for i in 0..count {
-            self.part(query, Shard((first + i) % shards), 1.0 / f64::from(count), events);
+            self.part(
+                query,
+                Shard((first + i) % shards),
+                1.0 / f64::from(count),
+                events,
+            );
         }
     }
 
@@ -134,7 +176,12 @@
         let part = PartId(self.id());
         if let Some(open) = self.open.get_mut(&query) {
             open.parts.insert(part, (shard, false));
-            events.push(Event::Part { part, number: open.number, shard, weight });
+            events.push(Event::Part {
+                part,
+                number: open.number,
+                shard,
+                weight,
+            });
         }
     }
 
@@ -146,13 +193,23 @@
                 self.digest = mixed(&[self.digest, self.now.0, word]);
             }
             match action {
-                Action::Send { part, server, timeout } => self.sent(part, server, timeout),
+                Action::Send {
+                    part,
+                    server,
+                    timeout,
+                } => self.sent(part, server, timeout),
                 Action::Cancel { part, attempt } => {
                     let at = self.out.iter().position(|o| (o.0, o.1) == (part, attempt));
                     let Some(at) = at else { continue };
                     let (_, _, server, sent, ..) = self.out.remove(at);
                     let (outcome, elapsed) = (Outcome::Cancelled, self.now.since(sent));
-                    events.push(Event::Finished { part, attempt, server, outcome, elapsed });
+                    events.push(Event::Finished {
+                        part,
+                        attempt,
+                        server,
+                        outcome,
+                        elapsed,
+                    });
                 }
                 Action::Answer { query, .. } => self.answered(query, events),
                 Action::Refuse { query, .. } | Action::Fail(query) => {
@@ -167,28 +224,50 @@
         let attempt = self.tries.entry(part).or_default();
         let number = *attempt;
         *attempt += 1;
-        let bad = [Outcome::Error, Outcome::Rejected, Outcome::ConnectFailed, Outcome::Reset];
+        let bad = [
+            Outcome::Error,
+            Outcome::Rejected,
+            Outcome::ConnectFailed,
+            Outcome::Reset,
+        ];
         // Some servers are slow or mute, by turns of five seconds.
         let mood = mixed(&[u64::from(server.0), self.now.0 / 5_000_000, self.day.seed]) % 12;
         let (took, how) = match self.rng.random_range(0..20) {
-            0 => (self.rng.random_range(1..50) * MS, bad[self.rng.random_range(0..4)]),
+            0 => (
+                self.rng.random_range(1..50) * MS,
+                bad[self.rng.random_range(0..4)],
+            ),
             _ if mood == 0 => (timeout, Outcome::Timeout),
             _ if mood == 1 => (self.rng.random_range(300..1_500) * MS, Outcome::Ok),
             _ => (self.rng.random_range(20..200) * MS, Outcome::Ok),
         };
-        let (took, how) = if took >= timeout { (timeout, Outcome::Timeout) } else { (took, how) };
-        self.out.push((part, number, server, self.now, self.now.plus(took), how));
+        let (took, how) = if took >= timeout {
+            (timeout, Outcome::Timeout)
+        } else {
+            (took, how)
+        };
+        self.out
+            .push((part, number, server, self.now, self.now.plus(took), how));
     }
 
-    /// The end of a query, or of its first step: the second goes to a few of the shards that are in.
+    /// The end of a query, or of its first step: the second goes to a few of the shards that are
+    /// in.
     fn answered(&mut self, query: QueryId, events: &mut Vec<Event>) {
-        let Some(open) = self.open.get_mut(&query) else { return };
+        let Some(open) = self.open.get_mut(&query) else {
+            return;
+        };
         let wanted = self.settings.classes[open.class].second_step as usize;
         if wanted == 0 || std::mem::replace(&mut open.second, true) {
             self.open.remove(&query);
             return;
         }
-        let shards: Vec<Shard> = open.parts.values().filter(|p| p.1).map(|p| p.0).take(wanted).collect();
+        let shards: Vec<Shard> = open
+            .parts
+            .values()
+            .filter(|p| p.1)
+            .map(|p| p.0)
+            .take(wanted)
+            .collect();
         for &shard in &shards {
             self.part(query, shard, 1.0 / shards.len() as f64, events);
         }
@@ -206,7 +285,13 @@
                     p.1 = true;
                 }
             }
-            events.push(Event::Finished { part, attempt, server, outcome, elapsed: ends.since(sent) });
+            events.push(Event::Finished {
+                part,
+                attempt,
+                server,
+                outcome,
+                elapsed: ends.since(sent),
+            });
         }
         if self.rng.random_bool(0.15) {
             self.arrive(&mut events);
@@ -246,7 +331,12 @@
         tries: BTreeMap::new(),
         next: 0,
         number: 0,
-        day: Day { seed, events: 0, actions: 0, digest: String::new() },
+        day: Day {
+            seed,
+            events: 0,
+            actions: 0,
+            digest: String::new(),
+        },
         digest: 0,
     };
     for _ in 0..turns {
--- a/lab/src/scale.rs
+++ b/lab/src/scale.rs
@@ -1,8 +1,11 @@
-//! `scale`: what `core` and the module cost for a part, by parts in a query, data nodes and queries a second.
+//! `scale`: what `core` and the module cost for a part, by parts in a query, data nodes and queries
+//! a second.
 
 use crate::world::{Mix, Scenario, Tally, Trouble, World, MS};
 use lichenswitch::decide::phases::Planner;
-use lichenswitch::interface::{Class, Cold, Discovery, Layout, Limits, Repeat, Settings, FIRST_SHARE};
+use lichenswitch::interface::{
+    Class, Cold, Discovery, Layout, Limits, Repeat, Settings, FIRST_SHARE,
+};
 use serde::Serialize;
 
 /// One line of the table.
@@ -18,7 +21,8 @@
     pub us_per_part: f64,
     /// Longest turn.
     pub worst_turn_ms: f64,
-    /// Digest of all commands, in hexadecimal: the same before and after a change that changes no decision.
+    /// Digest of all commands, in hexadecimal: the same before and after a change that changes no
+    /// decision.
     pub digest: String,
     /// Share of the queries that were answered whole.
     pub whole_share: f64,
@@ -60,9 +64,19 @@
             retry_after: Some(2_000 * MS),
             budget: None,
         },
-        layout: Layout { cells: nodes, width: 2, shards, parts_a_call: 8 },
+        layout: Layout {
+            cells: nodes,
+            width: 2,
+            shards,
+            parts_a_call: 8,
+        },
         discovery: Discovery::Push,
-        cold: Cold { share: 0.32, warm_after: 18_000 * MS, fall_multiple: 3.0, fall_after: 1_000 * MS },
+        cold: Cold {
+            share: 0.32,
+            warm_after: 18_000 * MS,
+            fall_multiple: 3.0,
+            fall_after: 1_000 * MS,
+        },
         resolution: 5 * MS,
         ..Settings::default()
     }
@@ -77,11 +91,23 @@
         nodes,
         cores: 4_096,
         call: 0,
-        mix: vec![Mix { share: 1.0, parts, work_ms: 60.0, second: 1.0, cv: 0.3, top: None }],
+        mix: vec![Mix {
+            share: 1.0,
+            parts,
+            work_ms: 60.0,
+            second: 1.0,
+            cv: 0.3,
+            top: None,
+        }],
         trouble: Trouble::default(),
         way: 500,
     };
-    let mut world = World::new(seed, scenario, settings(nodes, nodes.max(400)), Planner::default());
+    let mut world = World::new(
+        seed,
+        scenario,
+        settings(nodes, nodes.max(400)),
+        Planner::default(),
+    );
     world.play();
     world.tally
 }
@@ -122,7 +148,9 @@
                 let seconds = 120_000.0 / rate / f64::from(parts);
                 let cheapest = |tally: &Tally| tally.wall;
                 let tries = (0..TRIES).map(|_| play(seed, parts, nodes, rate, seconds));
-                let Some(tally) = tries.min_by_key(cheapest) else { continue };
+                let Some(tally) = tries.min_by_key(cheapest) else {
+                    continue;
+                };
                 rows.push(Row {
                     parts,
                     nodes,
--- a/lab/src/two_phase.rs
+++ b/lab/src/two_phase.rs
@@ -66,11 +66,21 @@
 
 /// Reports, of two phases, and searches.
 fn classes() -> Vec<Class> {
-    vec![class(2_500, 7_500, 3.0, 0.8, 5), class(1_500, 4_000, 1.0, 1.0, 0)]
+    vec![
+        class(2_500, 7_500, 3.0, 0.8, 5),
+        class(1_500, 4_000, 1.0, 1.0, 0),
+    ]
 }
 
 fn mix(share: f64, parts: u32, work_ms: f64) -> Mix {
-    Mix { share, parts, work_ms, second: 0.6, cv: 0.35, top: None }
+    Mix {
+        share,
+        parts,
+        work_ms,
+        second: 0.6,
+        cv: 0.35,
+        top: None,
+    }
 }
 
 /// The scenario with this name, and its settings.
@@ -90,23 +100,57 @@
     };
     let fleet = |cells, shards| Settings {
         classes: classes(),
-        layout: Layout { cells, width: 2, shards, parts_a_call: 8 },
+        layout: Layout {
+            cells,
+            width: 2,
+            shards,
+            parts_a_call: 8,
+        },
         ..scale::settings(cells, shards)
     };
     match name {
         "late-first" => {
             // The details are heavy: what the first phase takes is missing in the second.
-            let reports = Mix { second: 8.0, ..reports };
-            let trouble = Trouble { share: 0.25, slow_first: 20.0, pause_ms: 350.0, pause_every_s: 3.0 };
-            (Scenario { trouble, rate: 2.0, mix: vec![reports, searches], ..base }, fleet(12, 24))
+            let reports = Mix {
+                second: 8.0,
+                ..reports
+            };
+            let trouble = Trouble {
+                share: 0.25,
+                slow_first: 20.0,
+                pause_ms: 350.0,
+                pause_every_s: 3.0,
+            };
+            (
+                Scenario {
+                    trouble,
+                    rate: 2.0,
+                    mix: vec![reports, searches],
+                    ..base
+                },
+                fleet(12, 24),
+            )
         }
         "skewed" => {
-            let top = Mix { parts: 24, work_ms: 20.0, top: Some(10), ..reports };
+            let top = Mix {
+                parts: 24,
+                work_ms: 20.0,
+                top: Some(10),
+                ..reports
+            };
             let mix = vec![top, searches];
             let mut settings = fleet(12, 24);
             // A sorted answer asks all slices that can have any of its elements.
             settings.classes[0].second_step = 24;
-            (Scenario { mix, rate: 6.0, call: 10 * MS, ..base }, settings)
+            (
+                Scenario {
+                    mix,
+                    rate: 6.0,
+                    call: 10 * MS,
+                    ..base
+                },
+                settings,
+            )
         }
         "large" => {
             let mix = vec![mix(0.3, 50, 8.0), mix(0.7, 20, 6.0)];
@@ -132,14 +176,21 @@
     }
 }
 
-/// The rules of the planner for the classes of two phases, with the settings that operators get by default.
+/// The rules of the planner for the classes of two phases, with the settings that operators get by
+/// default.
 #[must_use]
 pub fn rules(settings: &Settings, prune: bool) -> Vec<Option<Rules>> {
-    let of = |class: &Class| (class.second_step > 0).then(|| Rules { prune, ..Rules::of(class) });
+    let of = |class: &Class| {
+        (class.second_step > 0).then(|| Rules {
+            prune,
+            ..Rules::of(class)
+        })
+    };
     settings.classes.iter().map(of).collect()
 }
 
-/// Plays a scenario with the planner on or off. Sorted answers have no form without a planner: off, it asks all slices.
+/// Plays a scenario with the planner on or off. Sorted answers have no form without a planner: off,
+/// it asks all slices.
 #[must_use]
 pub fn play(seed: u64, name: &str, seconds: f64, on: bool) -> (Tally, Figures) {
     let (scenario, mut settings) = scenario(name, seconds);
@@ -178,12 +229,19 @@
 #[must_use]
 pub fn run(seed: u64, seconds: f64, only: Option<&str>) -> Report {
     let mut scenarios = BTreeMap::new();
-    for name in SCENARIOS.into_iter().filter(|name| only.is_none_or(|only| only == *name)) {
+    for name in SCENARIOS
+        .into_iter()
+        .filter(|name| only.is_none_or(|only| only == *name))
+    {
         let variants = [("off", false), ("on", true)];
         let played = variants.map(|(variant, on)| (variant, play(seed, name, seconds, on).1));
         scenarios.insert(name, played.into_iter().collect());
     }
-    Report { seed, seconds, scenarios }
+    Report {
+        seed,
+        seconds,
+        scenarios,
+    }
 }
 
 /// The table as text.
--- a/lab/src/world.rs
+++ b/lab/src/world.rs
@@ -1,5 +1,6 @@
-//! A world in virtual time round `core` and the decision module: clients, a network and data nodes. The same seed
-//! and scenario give the same events; two variants of the broker meet the same queries, work and troubles.
+//! A world in virtual time round `core` and the decision module: clients, a network and data nodes.
+//! The same seed and scenario give the same events; two variants of the broker meet the same
+//! queries, work and troubles.
 
 mod scenario;
 
@@ -11,7 +12,8 @@
 use lichenswitch::decide::phases::prune::{Key, Way};
 use lichenswitch::decide::phases::Planner;
 use lichenswitch::interface::{
-    Class, Listed, Listing, Micros, Mode, Outcome, Placement, QueryId, ServerId, Settings, Shard, Time,
+    Class, Listed, Listing, Micros, Mode, Outcome, Placement, QueryId, ServerId, Settings, Shard,
+    Time,
 };
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp, LogNormal};
@@ -86,10 +88,13 @@
     pub tally: Tally,
 }
 
-/// Mixes figures into one that looks random: a step of FNV-1a by words, then the finish of `splitmix64`.
+/// Mixes figures into one that looks random: a step of FNV-1a by words, then the finish of
+/// `splitmix64`.
 #[must_use]
 pub fn mixed(words: &[u64]) -> u64 {
-    let mut z = words.iter().fold(0xcbf2_9ce4_8422_2325u64, |h, w| (h ^ w).wrapping_mul(0x100_0000_01b3));
+    let mut z = words.iter().fold(0xcbf2_9ce4_8422_2325u64, |h, w| {
+        (h ^ w).wrapping_mul(0x100_0000_01b3)
+    });
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     z ^ (z >> 31)
@@ -143,7 +148,13 @@
             }
             nodes.push(Node::new(scenario.cores, pauses));
         }
-        let slow = |id| if id < ill && trouble.slow_first >= 1.0 { trouble.slow_first } else { 1.0 };
+        let slow = |id| {
+            if id < ill && trouble.slow_first >= 1.0 {
+                trouble.slow_first
+            } else {
+                1.0
+            }
+        };
         let mut world = World {
             seed,
             core,
@@ -198,8 +209,12 @@
         match what {
             Happens::Arrival => self.arrive(),
             Happens::Reaches(server, attempt) => {
-                let Some(flight) = self.flights.get(&attempt) else { return };
-                if let Some((attempt, ends)) = self.nodes[server as usize].take(self.now, flight.task) {
+                let Some(flight) = self.flights.get(&attempt) else {
+                    return;
+                };
+                if let Some((attempt, ends)) =
+                    self.nodes[server as usize].take(self.now, flight.task)
+                {
                     self.at(ends, Happens::Over(server, attempt));
                 }
             }
@@ -209,13 +224,18 @@
             }
             Happens::Over(..) => {}
             Happens::Back(attempt) => {
-                let Some(flight) = self.flights.remove(&attempt) else { return };
+                let Some(flight) = self.flights.remove(&attempt) else {
+                    return;
+                };
                 let value = self.value(&flight);
                 self.ended(attempt, Outcome::Ok, Some(value));
             }
             Happens::TimedOut(attempt) => {
                 if let Some(flight) = self.flights.remove(&attempt) {
-                    self.at(self.now.plus(self.scenario.way), Happens::GivenUp(flight.server, attempt));
+                    self.at(
+                        self.now.plus(self.scenario.way),
+                        Happens::GivenUp(flight.server, attempt),
+                    );
                     self.ended(attempt, Outcome::Timeout, None);
                 }
             }
@@ -225,7 +245,9 @@
 
     /// A task leaves its data node, finished or given up.
     fn over(&mut self, server: u32, attempt: u64) {
-        let Some(left) = self.nodes[server as usize].end(self.now, attempt) else { return };
+        let Some(left) = self.nodes[server as usize].end(self.now, attempt) else {
+            return;
+        };
         let Left { phase, cost, next } = left;
         if phase == 2 {
             self.tally.second_work += cost.ran;
@@ -243,24 +265,42 @@
     }
 
     fn value(&self, flight: &Flight) -> Value {
-        let score = mixed(&[self.seed, 5, u64::from(flight.serial), u64::from(flight.shard)]) >> 32;
+        let score = mixed(&[
+            self.seed,
+            5,
+            u64::from(flight.serial),
+            u64::from(flight.shard),
+        ]) >> 32;
         let held = &self.queries[flight.serial as usize];
         let offer = self.scenario.mix[held.class].top.map(|_| {
             let all = self.elements(flight.serial, flight.shard);
-            let keys = all.iter().take(flight.most).map(|&n| Key::Number(n)).collect();
-            Offer { keys, matched: Some(all.len() as u64) }
+            let keys = all
+                .iter()
+                .take(flight.most)
+                .map(|&n| Key::Number(n))
+                .collect();
+            Offer {
+                keys,
+                matched: Some(all.len() as u64),
+            }
         });
-        Value { score: score as f64, bytes: Vec::new(), offer }
+        Value {
+            score: score as f64,
+            bytes: Vec::new(),
+            offer,
+        }
     }
 
-    /// The elements that a slice has for a query, the largest first. How large they are, and how many, falls with the
-    /// slice's place by Zipf's law.
+    /// The elements that a slice has for a query, the largest first. How large they are, and how
+    /// many, falls with the slice's place by Zipf's law.
     fn elements(&self, serial: u32, shard: u32) -> Vec<f64> {
         let mut rng = rng(&[self.seed, 6, u64::from(serial), u64::from(shard)]);
         let place = mixed(&[self.seed, 7, u64::from(shard)]) % u64::from(self.shards);
         let weight = 1.0 / (1.0 + place as f64);
         let count = 1 + (60.0 * weight) as usize + rng.random_range(0..5);
-        let mut all: Vec<f64> = (0..count).map(|_| weight * rng.random_range(0.0..1.0)).collect();
+        let mut all: Vec<f64> = (0..count)
+            .map(|_| weight * rng.random_range(0.0..1.0))
+            .collect();
         all.sort_by(|a, b| b.total_cmp(a));
         all
     }
@@ -275,8 +315,14 @@
             all
         };
         let truth = slices.flat_map(|s| self.elements(serial, s).into_iter().map(move |e| (e, s)));
-        let keys = |v: &Value| v.offer.as_ref().map_or_else(Vec::new, |offer| offer.keys.clone());
-        let given = values.iter().flat_map(|(s, v)| keys(v).into_iter().map(|key| (key, s.0)));
+        let keys = |v: &Value| {
+            v.offer
+                .as_ref()
+                .map_or_else(Vec::new, |offer| offer.keys.clone())
+        };
+        let given = values
+            .iter()
+            .flat_map(|(s, v)| keys(v).into_iter().map(|key| (key, s.0)));
         let number = |(key, s): (Key, u32)| match key {
             Key::Number(n) => Some((n, s)),
             _ => None,
@@ -313,13 +359,23 @@
             again: false,
             tenant: u32::MAX,
             team: None,
-            parts: (0..parts).map(|i| (Shard((first + i) % self.shards), weight)).collect(),
+            parts: (0..parts)
+                .map(|i| (Shard((first + i) % self.shards), weight))
+                .collect(),
             top: self.scenario.mix[class].top.map(|k| (k, Way::Down)),
             job: Job { serial },
         };
         let (second, arrived) = (BTreeSet::new(), self.now);
-        let held =
-            Held { class, first_shard: first, parts, arrived, deadline, first: None, second, ended: 0 };
+        let held = Held {
+            class,
+            first_shard: first,
+            parts,
+            arrived,
+            deadline,
+            first: None,
+            second,
+            ended: 0,
+        };
         self.queries.push(held);
         let began = Instant::now();
         let taken = self.core.take(self.now, request);
@@ -349,7 +405,10 @@
                 Command::Withdraw(attempt) => {
                     self.note(&[2, attempt]);
                     if let Some(flight) = self.flights.remove(&attempt) {
-                        self.at(self.now.plus(self.scenario.way), Happens::GivenUp(flight.server, attempt));
+                        self.at(
+                            self.now.plus(self.scenario.way),
+                            Happens::GivenUp(flight.server, attempt),
+                        );
                     }
                 }
                 Command::Reply(query, reply) => self.reply(query, &reply),
@@ -365,11 +424,23 @@
     fn send(&mut self, server: ServerId, parts: &[Dispatch<Job>]) {
         for (i, part) in parts.iter().enumerate() {
             let (serial, shard) = (part.job.serial, part.shard.0);
-            self.note(&[1, u64::from(server.0), u64::from(shard), part.attempt, part.wait]);
+            self.note(&[
+                1,
+                u64::from(server.0),
+                u64::from(shard),
+                part.attempt,
+                part.wait,
+            ]);
             let phase = 1 + u8::from(part.first.is_some());
             let held = &mut self.queries[serial as usize];
             let mix = &self.scenario.mix[held.class];
-            let mut rng = rng(&[self.seed, 3, u64::from(serial), u64::from(shard), u64::from(phase)]);
+            let mut rng = rng(&[
+                self.seed,
+                3,
+                u64::from(serial),
+                u64::from(shard),
+                u64::from(phase),
+            ]);
             let mut work = lognormal(&mut rng, mix.work_ms * 1e3, mix.cv);
             self.tally.parts += 1;
             if let Some(first) = &part.first {
@@ -382,11 +453,28 @@
             }
             let call = if i == 0 { self.scenario.call } else { 0 };
             let aim_at = held.arrived.plus(self.classes[held.class].aim);
-            let task = Task { attempt: part.attempt, work: work as Micros + call, phase, aim_at };
+            let task = Task {
+                attempt: part.attempt,
+                work: work as Micros + call,
+                phase,
+                aim_at,
+            };
             // The first phase of a sorted answer asks for the best alone.
             let most = part.most.unwrap_or(1);
-            self.flights.insert(part.attempt, Flight { server: server.0, task, serial, shard, most });
-            self.at(self.now.plus(self.scenario.way), Happens::Reaches(server.0, part.attempt));
+            self.flights.insert(
+                part.attempt,
+                Flight {
+                    server: server.0,
+                    task,
+                    serial,
+                    shard,
+                    most,
+                },
+            );
+            self.at(
+                self.now.plus(self.scenario.way),
+                Happens::Reaches(server.0, part.attempt),
+            );
             self.at(self.now.plus(part.wait), Happens::TimedOut(part.attempt));
         }
     }
@@ -409,7 +497,12 @@
         }
         let class = &self.classes[held.class];
         let top = self.scenario.mix[held.class].top;
-        let Reply::Served { whole, values, gaps } = reply else {
+        let Reply::Served {
+            whole,
+            values,
+            gaps,
+        } = reply
+        else {
             self.tally.given_up += 1;
             return;
         };
@@ -421,16 +514,28 @@
             }
             Some((first, whole)) => {
                 let wanted = (class.second_step as usize).min(first);
-                (first as f64 / n, whole, values.len() as f64 / wanted.max(1) as f64)
+                (
+                    first as f64 / n,
+                    whole,
+                    values.len() as f64 / wanted.max(1) as f64,
+                )
             }
         };
         let slack = 1e-4;
-        let floor = if class.floor < class.need { class.floor } else { 1.0 };
+        let floor = if class.floor < class.need {
+            class.floor
+        } else {
+            1.0
+        };
         self.tally.below_floor += u64::from(first + slack < class.floor || second + slack < floor);
         let complete = first + slack >= class.need && first_whole && second + slack >= 1.0;
         self.tally.falsely_whole += u64::from(*whole && !complete);
         self.tally.whole += u64::from(*whole);
-        let earns = if *whole { 1.0 } else { class.partial * (first / class.need).min(1.0) * second };
+        let earns = if *whole {
+            1.0
+        } else {
+            class.partial * (first / class.need).min(1.0) * second
+        };
         let on_time = self.now.since(held.arrived) <= class.aim;
         self.tally.on_time += u64::from(on_time);
         self.tally.earned += class.worth * earns * if on_time { 1.0 } else { class.late_share };
--- a/lab/src/world/scenario.rs
+++ b/lab/src/world/scenario.rs
@@ -25,7 +25,8 @@
 pub struct Trouble {
     /// Share of the data nodes.
     pub share: f64,
-    /// Parts of the first of two phases take so many times as long there; below 1.0 stands for none.
+    /// Parts of the first of two phases take so many times as long there; below 1.0 stands for
+    /// none.
     pub slow_first: f64,
     /// Length of a pause in milliseconds and seconds between two; none where either is 0.
     pub pause_ms: f64,
--- a/lab/tests/members.rs
+++ b/lab/tests/members.rs
@@ -8,5 +8,8 @@
     assert_eq!(format!("{one:?}"), format!("{two:?}"));
     assert_ne!(format!("{one:?}"), format!("{:?}", play(4, 9, 2)));
     assert_eq!((one.told, one.to_be_told, one.false_deaths), (15, 15, 0));
-    assert!(one.detected_ms_most <= 6_000 && one.peer_bytes_per_s_each < 300.0, "{one:?}");
+    assert!(
+        one.detected_ms_most <= 6_000 && one.peer_bytes_per_s_each < 300.0,
+        "{one:?}"
+    );
 }
--- a/lab/tests/two_phase.rs
+++ b/lab/tests/two_phase.rs
@@ -1,15 +1,23 @@
-//! The measurement of queries of two phases, on short days: what the planner promises holds with each seed here.
+//! The measurement of queries of two phases, on short days: what the planner promises holds with
+//! each seed here.
 
 use lichenswitch_lab::two_phase::{play, run, Figures};
 
 const SEEDS: [u64; 3] = [1, 2, 3];
 
 fn both(seed: u64, name: &str, seconds: f64) -> (Figures, Figures) {
-    let (off, on) = (play(seed, name, seconds, false).1, play(seed, name, seconds, true).1);
+    let (off, on) = (
+        play(seed, name, seconds, false).1,
+        play(seed, name, seconds, true).1,
+    );
     assert_eq!(off.queries, on.queries, "both meet the same queries");
     assert!(off.queries > 20);
     for f in [&off, &on] {
-        assert_eq!((f.below_floor, f.falsely_whole, f.lost, f.wrong), (0, 0, 0, 0), "{name} {seed}: {f:?}");
+        assert_eq!(
+            (f.below_floor, f.falsely_whole, f.lost, f.wrong),
+            (0, 0, 0, 0),
+            "{name} {seed}: {f:?}"
+        );
     }
     (off, on)
 }
@@ -19,9 +27,17 @@
     for seed in SEEDS {
         let (off, on) = both(seed, "late-first", 150.0);
         let (wasted, was) = (on.second_waste_after_aim_ms, off.second_waste_after_aim_ms);
-        assert!(was > 0.0 && wasted <= 0.1 * was, "seed {seed}: {wasted} ms, {was} ms without the planner");
+        assert!(
+            was > 0.0 && wasted <= 0.1 * was,
+            "seed {seed}: {wasted} ms, {was} ms without the planner"
+        );
         assert!(wasted <= 0.02 * on.second_work_ms, "seed {seed}");
-        assert!(on.worth_share >= off.worth_share, "seed {seed}: {} {}", on.worth_share, off.worth_share);
+        assert!(
+            on.worth_share >= off.worth_share,
+            "seed {seed}: {} {}",
+            on.worth_share,
+            off.worth_share
+        );
     }
 }
 
@@ -29,7 +45,10 @@
 fn on_calm_days_the_planner_changes_next_to_nothing() {
     for seed in SEEDS {
         let (off, on) = both(seed, "calm", 40.0);
-        assert!((off.worth_share - on.worth_share).abs() <= 0.002, "seed {seed}: {off:?} {on:?}");
+        assert!(
+            (off.worth_share - on.worth_share).abs() <= 0.002,
+            "seed {seed}: {off:?} {on:?}"
+        );
     }
 }
 
--- a/policy/src/choice.rs
+++ b/policy/src/choice.rs
@@ -2,7 +2,9 @@
 
 use crate::tuned::*;
 use crate::Coordinator;
-use lichenswitch_interface::{Action, Budget, Micros, Mode, Placement, QueryId, Repeat, ServerId, Shard};
+use lichenswitch_interface::{
+    Action, Budget, Micros, Mode, Placement, QueryId, Repeat, ServerId, Shard,
+};
 use lichenswitch_stats::{
     scaled, Aged, Bid, Call, Fate, Flight, Part, Preference, Query, Server, Try, Wanted,
 };
@@ -11,24 +13,32 @@
     pub(super) fn holders(&self, shard: Shard) -> impl Iterator<Item = (ServerId, &Server)> {
         let (cells, width) = (self.set.layout.cells, self.set.layout.width);
         let near = (0..width.min(cells)).map(move |j| (shard.0 % cells + j) % cells);
-        near.filter_map(|cell| self.cells.get(&cell)).flatten().map(|id| (*id, &self.servers[id]))
+        near.filter_map(|cell| self.cells.get(&cell))
+            .flatten()
+            .map(|id| (*id, &self.servers[id]))
     }
 
     /// Own parts pending at the server that a part would go to; `None`: no server takes it now.
     #[must_use]
     pub fn pending_for(&self, shard: Shard, class: usize) -> Option<f64> {
         let open = self.holders(shard).filter(|(_, s)| !self.closed(s));
-        open.min_by_key(|(_, s)| self.rank(s, class)).map(|(_, s)| s.pending())
+        open.min_by_key(|(_, s)| self.rank(s, class))
+            .map(|(_, s)| s.pending())
     }
 
-    /// How many of the ready servers are avoided by choice: passed over for queries of some class, and sent
-    /// nothing for a while.
+    /// How many of the ready servers are avoided by choice: passed over for queries of some class,
+    /// and sent nothing for a while.
     #[must_use]
     pub fn avoided(&self) -> usize {
         let rests = |s: &Server| s.pending() == 0.0 && self.now.since(s.used) > AVOIDED;
         let classes = 0..self.set.classes.len();
-        let passed_over = |s: &&Server| rests(s) && classes.clone().any(|class| self.rank(s, class).0 > 0);
-        self.servers.values().filter(|s| s.mode == Mode::Ready).filter(passed_over).count()
+        let passed_over =
+            |s: &&Server| rests(s) && classes.clone().any(|class| self.rank(s, class).0 > 0);
+        self.servers
+            .values()
+            .filter(|s| s.mode == Mode::Ready)
+            .filter(passed_over)
+            .count()
     }
 
     /// Whether a cold server has used up its allowance: nothing is sent, rather than push it over.
@@ -38,35 +48,52 @@
 
     /// Whether a part joins a call opened this turn.
     pub(super) fn joins(&self, s: &Server) -> bool {
-        s.calls.last().is_some_and(|c| c.id >= self.first_call && c.size < self.set.layout.parts_a_call)
+        s.calls
+            .last()
+            .is_some_and(|c| c.id >= self.first_call && c.size < self.set.layout.parts_a_call)
     }
 
     /// How little a server is wanted: its class of trust, then the calls it would have pending.
     pub(super) fn rank(&self, s: &Server, class: usize) -> (u8, usize) {
         let half = self.memory();
-        let fault = |which| s.faults.get(which).map_or(0.0, |f: &Aged| f.left(self.now, half));
-        let fault = fault(class).max(fault(self.set.classes.len())).max(self.way_fault(s.zone));
-        let tier = if fault > FAULTY[usize::from(half > FAULT_HALF)] { 1 + (fault * 4.0) as u8 } else { 0 };
+        let fault = |which| {
+            s.faults
+                .get(which)
+                .map_or(0.0, |f: &Aged| f.left(self.now, half))
+        };
+        let fault = fault(class)
+            .max(fault(self.set.classes.len()))
+            .max(self.way_fault(s.zone));
+        let tier = if fault > FAULTY[usize::from(half > FAULT_HALF)] {
+            1 + (fault * 4.0) as u8
+        } else {
+            0
+        };
         // One that is about to be taken out comes after all that are trusted.
         let tier = tier.max(u8::from(s.mode == Mode::Leaving));
-        let pending = s.calls.iter().filter(|c| c.counts(self.now)).count() + s.load.streams as usize;
+        let pending =
+            s.calls.iter().filter(|c| c.counts(self.now)).count() + s.load.streams as usize;
         (tier, pending + usize::from(!self.joins(s)))
     }
 
     /// Sends what a query still has to send: first attempts together, then retries and copies.
     pub(super) fn dispatch(&mut self, id: QueryId, out: &mut Vec<Action>) {
-        let Some(q) = self.queries.get(&id) else { return };
+        let Some(q) = self.queries.get(&id) else {
+            return;
+        };
         let after = self.copy_after(q);
         let (now, mut open, mut again) = (self.now, Vec::new(), Vec::new());
         for i in q.agenda.now(self.now) {
             let p = &q.parts[i];
             match p.tries.last() {
                 None => open.push(i),
-                // Guards the attempts left where nobody is at any holder; a full one may have a place soon.
+                // Guards the attempts left where nobody is at any holder; a full one may have a
+                // place soon.
                 Some(t) if p.out().next().is_none() => {
                     let all = p.unmet && p.tries.len() >= self.set.layout.width as usize;
                     let told = self.set.limits.second_copies || t.fate == Fate::NeverRan;
-                    let rests = all && now < t.sent.plus(LOOK) || !told && now < t.ended.plus(TRAVEL);
+                    let rests =
+                        all && now < t.sent.plus(LOOK) || !told && now < t.ended.plus(TRAVEL);
                     again.extend((!rests && self.may_send(q, p, false)).then_some((i, false)));
                 }
                 Some(t) if self.now >= t.sent.plus(after / p.tries.len() as u64) => {
@@ -82,13 +109,18 @@
             again.truncate(1 - open.len());
         }
         self.send_first(id, &open, out);
-        again.into_iter().for_each(|(i, copy)| self.send_again(id, i, copy, out));
+        again
+            .into_iter()
+            .for_each(|(i, copy)| self.send_again(id, i, copy, out));
     }
 
-    /// First attempts: each part to a replica with the fewest calls pending. Of equals the one that most
-    /// of the query's open parts can share, so that neighbours travel in one call, then the own zone.
+    /// First attempts: each part to a replica with the fewest calls pending. Of equals the one that
+    /// most of the query's open parts can share, so that neighbours travel in one call, then the
+    /// own zone.
     pub(super) fn send_first(&mut self, id: QueryId, open: &[usize], out: &mut Vec<Action>) {
-        let Some(q) = self.queries.get(&id).filter(|_| !open.is_empty()) else { return };
+        let Some(q) = self.queries.get(&id).filter(|_| !open.is_empty()) else {
+            return;
+        };
         let (class, place, room) = (q.class, q.placement, self.set.layout.parts_a_call as usize);
         let holders = |i: usize| self.holders(q.parts[i].shard).map(|h| h.0).collect();
         let parts = open.iter().map(|&i| (i, holders(i))).collect();
@@ -101,31 +133,51 @@
         }
     }
 
-    /// Of servers with as few pending, one of little backlog that most likely keeps what the query shares.
+    /// Of servers with as few pending, one of little backlog that most likely keeps what the query
+    /// shares.
     fn bid(&self, id: ServerId, class: usize, place: &Placement) -> Bid<((u8, usize), Preference)> {
         let s = &self.servers[&id];
-        let rank = (!self.closed(s)).then(|| (self.rank(s, class), Preference::new(place, id, s.load)));
-        Bid { rank, joins: self.joins(s), near: s.zone == self.set.zone }
+        let rank =
+            (!self.closed(s)).then(|| (self.rank(s, class), Preference::new(place, id, s.load)));
+        Bid {
+            rank,
+            joins: self.joins(s),
+            near: s.zone == self.set.zone,
+        }
     }
 
     pub(super) fn send(&mut self, id: QueryId, i: usize, server: ServerId, out: &mut Vec<Action>) {
         let now = self.now;
-        let Some(s) = self.servers.get(&server) else { return };
+        let Some(s) = self.servers.get(&server) else {
+            return;
+        };
         let (tokens, joined) = (self.cold_tokens(s).map_or(0.0, |t| t.0), self.joins(s));
-        let Some(q) = self.queries.get(&id) else { return };
+        let Some(q) = self.queries.get(&id) else {
+            return;
+        };
         let timeout = self.end_of(q).since(now).max(1);
         let fresh = q.ahead || self.class(q).repeat == Repeat::Unsafe || self.reaped();
         let copy_after = self.copy_after(q);
-        let (Some(q), Some(s)) = (self.queries.get_mut(&id), self.servers.get_mut(&server)) else { return };
+        let (Some(q), Some(s)) = (self.queries.get_mut(&id), self.servers.get_mut(&server)) else {
+            return;
+        };
         s.calls.retain(|c| c.counts(now));
         let p = &mut q.parts[i];
         p.withheld = false;
         let (attempt, depth) = (p.tries.len() as u16, s.pending());
         if !joined {
-            s.calls.push(Call { id: self.calls, sent: now, left: 0, size: 0, ghost: None });
+            s.calls.push(Call {
+                id: self.calls,
+                sent: now,
+                left: 0,
+                size: 0,
+                ghost: None,
+            });
             self.calls += 1;
         }
-        let Some(call) = s.calls.last_mut() else { return };
+        let Some(call) = s.calls.last_mut() else {
+            return;
+        };
         (call.left, call.size) = (call.left + 1, call.size + 1);
         (s.cold_tokens, s.filled_at) = (tokens - 1.0, now);
         let norm = q.class * 2 + usize::from(p.step - 1);
@@ -136,16 +188,36 @@
         }
         let idle = s.idle;
         s.used = now;
-        self.flights.insert((p.id, attempt), Flight { server, call: call.id, sent: now, norm, depth, idle });
+        self.flights.insert(
+            (p.id, attempt),
+            Flight {
+                server,
+                call: call.id,
+                sent: now,
+                norm,
+                depth,
+                idle,
+            },
+        );
         if attempt == 0 {
             let least = COPY_LEAST[usize::from(self.set.limits.budget.is_some())];
             let rate = COPY_RATE * self.copy_use.or(1.0).max(least);
             self.copy_tokens = (self.copy_tokens + rate).min(COPY_SAVED);
         }
-        p.tries.push(Try { server, sent: now, ended: now, fate: Fate::Out });
+        p.tries.push(Try {
+            server,
+            sent: now,
+            ended: now,
+            fate: Fate::Out,
+        });
         q.once -= usize::from(p.tries.len() == 2);
-        q.agenda.look(i, now.plus(copy_after / p.tries.len() as u64));
-        out.push(Action::Send { part: p.id, server, timeout });
+        q.agenda
+            .look(i, now.plus(copy_after / p.tries.len() as u64));
+        out.push(Action::Send {
+            part: p.id,
+            server,
+            timeout,
+        });
     }
 
     /// How long after its send a part is copied: half of what its step may take.
@@ -159,50 +231,85 @@
         scaled(window, COPY_SHARE)
     }
 
-    /// A retry after a failure, or of what never left (it needs no budget), or the one copy of a late part;
-    /// to a replica not yet tried if there is one. After a copy has been silent for half as long the older
-    /// twin is withdrawn and a third attempt made.
+    /// A retry after a failure, or of what never left (it needs no budget), or the one copy of a
+    /// late part; to a replica not yet tried if there is one. After a copy has been silent for half
+    /// as long the older twin is withdrawn and a third attempt made.
     pub(super) fn send_again(&mut self, id: QueryId, i: usize, copy: bool, out: &mut Vec<Action>) {
-        let never_left = |p: &Part| p.made() == 0 && p.tries.iter().all(|t| self.now >= t.sent.plus(LOOK));
-        let is_first = self.queries.get(&id).is_some_and(|q| never_left(&q.parts[i]));
+        let never_left =
+            |p: &Part| p.made() == 0 && p.tries.iter().all(|t| self.now >= t.sent.plus(LOOK));
+        let is_first = self
+            .queries
+            .get(&id)
+            .is_some_and(|q| never_left(&q.parts[i]));
         let budget = is_first || self.budget_allows();
-        let Some(q) = self.queries.get(&id) else { return };
+        let Some(q) = self.queries.get(&id) else {
+            return;
+        };
         let (p, class, missing) = (&q.parts[i], q.class, q.once);
         let tried: Vec<ServerId> = p.tries.iter().map(|t| t.server).collect();
         let out_at: Vec<usize> = p.out().map(usize::from).collect();
-        let last_zone = tried.last().and_then(|t| self.servers.get(t)).map(|s| s.zone);
+        let last_zone = tried
+            .last()
+            .and_then(|t| self.servers.get(t))
+            .map(|s| s.zone);
         let rng = &mut self.rng.clone();
         let target = self
             .holders(p.shard)
             .filter(|(server, s)| !out_at.iter().any(|&t| tried[t] == *server) && !self.closed(s))
             .map(|(server, s)| {
-                let rank = (self.rank(s, class), Preference::new(&q.placement, server, s.load));
-                let key = (tried.contains(&server), rank, Some(s.zone) == last_zone, rng.0.u32(..));
+                let rank = (
+                    self.rank(s, class),
+                    Preference::new(&q.placement, server, s.load),
+                );
+                let key = (
+                    tried.contains(&server),
+                    rank,
+                    Some(s.zone) == last_zone,
+                    rng.0.u32(..),
+                );
                 (key, server, self.expected(s, class))
             })
             .min_by_key(|&(key, ..)| key);
         self.rng = rng.clone();
         let Some((_, server, expected)) = target.filter(|_| copy || budget) else {
-            self.queries.entry(id).and_modify(|q| q.parts[i].withheld = !copy);
+            self.queries
+                .entry(id)
+                .and_modify(|q| q.parts[i].withheld = !copy);
             return;
         };
-        let end = if self.now < q.aim_at { q.aim_at } else { self.end_of(q) };
+        let end = if self.now < q.aim_at {
+            q.aim_at
+        } else {
+            self.end_of(q)
+        };
         if copy {
             let in_time = expected <= end.since(self.now) as f64;
-            let Some(&oldest) = out_at.first().filter(|_| in_time) else { return };
-            // It is silent where another would have answered: if none would, it is load and no one's fault.
+            let Some(&oldest) = out_at.first().filter(|_| in_time) else {
+                return;
+            };
+            // It is silent where another would have answered: if none would, it is load and no
+            // one's fault.
             let part = p.id;
             if !p.late {
-                let idle = self.flights.get(&(part, oldest as u16)).is_some_and(|f| f.idle);
+                let idle = self
+                    .flights
+                    .get(&(part, oldest as u16))
+                    .is_some_and(|f| f.idle);
                 self.silent(tried[oldest], class, idle, out);
-                self.queries.entry(id).and_modify(|q| q.parts[i].late = true);
+                self.queries
+                    .entry(id)
+                    .and_modify(|q| q.parts[i].late = true);
             }
-            // All missing parts are needed: copies go to the last part of a query before the first of many.
+            // All missing parts are needed: copies go to the last part of a query before the first
+            // of many.
             if self.copy_tokens < (missing as f64).clamp(1.0, COPY_SAVED / 2.0) {
                 return;
             }
             if budget && out_at.len() > 1 {
-                let withdraw = Action::Cancel { part, attempt: oldest as u16 };
+                let withdraw = Action::Cancel {
+                    part,
+                    attempt: oldest as u16,
+                };
                 return out.extend(self.set.limits.cancel.then_some(withdraw));
             }
             self.copy_tokens -= f64::from(u8::from(budget));
@@ -216,7 +323,11 @@
     }
 
     pub(super) fn budget_allows(&mut self) -> bool {
-        let free = Budget { window: 0, least: f64::INFINITY, share: 0.0 };
+        let free = Budget {
+            window: 0,
+            least: f64::INFINITY,
+            share: 0.0,
+        };
         let budget = self.set.limits.budget.unwrap_or(free);
         let further = self.further.count(self.now, budget.window, true) + 1;
         let taken = self.taken.count(self.now, budget.window, false);
--- a/policy/src/ends.rs
+++ b/policy/src/ends.rs
@@ -10,20 +10,30 @@
         &self.set.classes[q.class]
     }
 
-    /// Last moment for a final answer: two turns before the client leaves, or before an answer earns too
-    /// little: past its aim a query has the share of the client's time that a late answer has of the worth.
-    /// Attempts time out then: where a cancel stops nothing that is the only brake on work that waits. Guards
-    /// against jams of work that earns nothing, whatever the cause, and ends further tries that come too
-    /// late. Harm: at little load some late answers are not waited for.
+    /// Last moment for a final answer: two turns before the client leaves, or before an answer
+    /// earns too little: past its aim a query has the share of the client's time that a late answer
+    /// has of the worth. Attempts time out then: where a cancel stops nothing that is the only
+    /// brake on work that waits. Guards against jams of work that earns nothing, whatever the
+    /// cause, and ends further tries that come too late. Harm: at little load some late answers are
+    /// not waited for.
     pub(super) fn end_of(&self, q: &Query) -> Time {
         let class = self.class(q);
-        let earns = q.aim_at.plus(scaled(class.deadline.saturating_sub(class.aim), class.late_share));
-        q.deadline.min(earns).minus(2 * self.set.resolution.max(1_000))
+        let earns = q.aim_at.plus(scaled(
+            class.deadline.saturating_sub(class.aim),
+            class.late_share,
+        ));
+        q.deadline
+            .min(earns)
+            .minus(2 * self.set.resolution.max(1_000))
     }
 
     /// Weight that is in, and weight that is in or can still come, of the present step.
     pub(super) fn weights(&self, q: &Query) -> (f64, f64) {
-        let stuck = q.agenda.idle().map(|i| &q.parts[i]).filter(|p| !self.may_send(q, p, false));
+        let stuck = q
+            .agenda
+            .idle()
+            .map(|i| &q.parts[i])
+            .filter(|p| !self.may_send(q, p, false));
         (q.have, q.total - stuck.map(|p| p.weight).sum::<f64>())
     }
 
@@ -44,23 +54,35 @@
     }
 
     pub(super) fn advance(&mut self, id: QueryId, out: &mut Vec<Action>) {
-        let Some(q) = self.queries.get(&id) else { return };
+        let Some(q) = self.queries.get(&id) else {
+            return;
+        };
         let class = self.class(q);
         let (have, can) = self.weights(q);
         let fresh = q.arrived == self.now && q.parts.iter().all(|p| p.tries.is_empty());
         let none = q.count == 0;
-        let floor = if q.step == 2 && class.floor >= class.need { 1.0 } else { class.floor };
+        let floor = if q.step == 2 && class.floor >= class.need {
+            1.0
+        } else {
+            class.floor
+        };
         let need = if q.step == 2 { 1.0 } else { class.need };
         let (slack, late) = (1e-5, self.now >= self.end_of(q));
-        let short =
-            q.closed || self.now >= q.arrived.plus(self.partial_after(q)) || can + slack < need || late;
+        let short = q.closed
+            || self.now >= q.arrived.plus(self.partial_after(q))
+            || can + slack < need
+            || late;
         if !none && have + slack >= need {
             return self.answer(id, true, out);
         }
         if !none && floor < need && have + slack >= floor && short {
             return self.answer(id, false, out);
         }
-        let hopeless = if none { q.step == 1 } else { can + slack < floor };
+        let hopeless = if none {
+            q.step == 1
+        } else {
+            can + slack < floor
+        };
         if self.is_poison(id, out) || late || hopeless || (fresh && self.turned_away(id)) {
             return self.give_up(id, out);
         }
@@ -68,23 +90,32 @@
         // It would only wait for the budget: its client is told at once, and may come back.
         if self.queries.get(&id).is_some_and(Query::is_stranded) {
             let enough = have + slack >= floor;
-            return if enough { self.answer(id, false, out) } else { self.give_up(id, out) };
+            return if enough {
+                self.answer(id, false, out)
+            } else {
+                self.give_up(id, out)
+            };
         }
         let due = self.queries.get(&id).map_or(self.now, |q| self.due_of(q));
         self.queries.entry(id).and_modify(|q| q.due = due);
     }
 
-    /// Whether a query crashes what takes it: connections to several servers broke under it and no part was
-    /// answered. After two it is withdrawn and tried by one part alone, after the third it ends, and another
-    /// try of its key ends at arrival. Told from a crash of servers, whose victims get answers from others.
-    /// Harm: a victim that met dead servers alone waits for an answer; honest queries of the key are refused.
+    /// Whether a query crashes what takes it: connections to several servers broke under it and no
+    /// part was answered. After two it is withdrawn and tried by one part alone, after the third it
+    /// ends, and another try of its key ends at arrival. Told from a crash of servers, whose
+    /// victims get answers from others. Harm: a victim that met dead servers alone waits for an
+    /// answer; honest queries of the key are refused.
     pub(super) fn is_poison(&mut self, id: QueryId, out: &mut Vec<Action>) -> bool {
-        let Some(q) = self.queries.get(&id) else { return false };
+        let Some(q) = self.queries.get(&id) else {
+            return false;
+        };
         let (class, key, now, count) = (q.class, q.key, self.now, q.broke.len());
         if q.ahead && count >= POISON {
             self.poison.retain(|&(_, _, at)| now.since(at) < POISON_FOR);
             self.poison.push((class, key, now));
-            out.push(Action::Log(format!("class {class}: a query broke {count} servers")));
+            out.push(Action::Log(format!(
+                "class {class}: a query broke {count} servers"
+            )));
             return true;
         }
         if q.ahead && count + 1 == POISON && q.parts.iter().flat_map(Part::out).count() > 1 {
@@ -95,7 +126,9 @@
 
     /// The queries of a class that were stopped of late.
     pub(super) fn stopped(&self, class: usize) -> impl Iterator<Item = &(usize, u64, Time)> {
-        self.poison.iter().filter(move |&&(c, _, at)| c == class && self.now.since(at) < POISON_FOR)
+        self.poison
+            .iter()
+            .filter(move |&&(c, _, at)| c == class && self.now.since(at) < POISON_FOR)
     }
 
     /// How long after its arrival a query is better answered in part than not yet.
@@ -107,7 +140,9 @@
     }
 
     pub(super) fn answer(&mut self, id: QueryId, whole: bool, out: &mut Vec<Action>) {
-        let Some(q) = self.queries.get_mut(&id) else { return };
+        let Some(q) = self.queries.get_mut(&id) else {
+            return;
+        };
         let two_steps = self.set.classes[q.class].second_step > 0;
         if two_steps && q.step == 1 {
             (q.step, q.first_whole, q.step_at) = (2, whole, self.now);
@@ -122,10 +157,13 @@
         self.forget(id, out);
     }
 
-    /// Calibrates admission by how let-in queries end. Guards against a forecast that is off on this fleet or
-    /// for this trouble; harm: queries late for another cause (a hung server) make it stricter for a while.
+    /// Calibrates admission by how let-in queries end. Guards against a forecast that is off on
+    /// this fleet or for this trouble; harm: queries late for another cause (a hung server) make it
+    /// stricter for a while.
     pub(super) fn learn_lateness(&mut self, id: QueryId, answered: bool) {
-        let Some(q) = self.queries.get(&id) else { return };
+        let Some(q) = self.queries.get(&id) else {
+            return;
+        };
         let whole_aim = q.window as f64 > ADMIT_AIM * self.class(q).aim as f64;
         if self.now < q.aim_at.min(self.end_of(q)) || answered && self.now <= q.aim_at {
             self.admit = (self.admit + if answered { ADMIT_STEP } else { 0.0 }).min(ADMIT_MOST);
@@ -137,12 +175,25 @@
     /// Ends a query that gets no answer, at once: as a refusal where asking again is harmless.
     pub(super) fn give_up(&mut self, id: QueryId, out: &mut Vec<Action>) {
         self.learn_lateness(id, false);
-        let Some(q) = self.queries.get(&id) else { return };
-        let untouched = q.parts.iter().all(|p| p.tries.iter().all(|t| t.fate == Fate::NeverRan));
+        let Some(q) = self.queries.get(&id) else {
+            return;
+        };
+        let untouched = q
+            .parts
+            .iter()
+            .all(|p| p.tries.iter().all(|t| t.fate == Fate::NeverRan));
         if untouched || self.class(q).repeat != Repeat::Unsafe {
             let half = self.set.limits.retry_after.unwrap_or(0) / 2;
-            out.push(Action::Refuse { query: id, retry_after: half + self.rng.0.u64(0..=half) });
-            self.away.push_back((q.class, q.key, q.aim_at.minus(self.set.classes[q.class].aim), q.gain));
+            out.push(Action::Refuse {
+                query: id,
+                retry_after: half + self.rng.0.u64(0..=half),
+            });
+            self.away.push_back((
+                q.class,
+                q.key,
+                q.aim_at.minus(self.set.classes[q.class].aim),
+                q.gain,
+            ));
         } else {
             out.push(Action::Fail(id));
         }
@@ -153,25 +204,32 @@
     pub(super) fn cancel_open(&self, id: QueryId, out: &mut Vec<Action>) {
         let query = self.queries.get(&id).filter(|_| self.set.limits.cancel);
         for p in query.into_iter().flat_map(|q| &q.parts).filter(|p| !p.done) {
-            out.extend(p.out().map(|attempt| Action::Cancel { part: p.id, attempt }));
+            out.extend(p.out().map(|attempt| Action::Cancel {
+                part: p.id,
+                attempt,
+            }));
         }
     }
 
     pub(super) fn forget(&mut self, id: QueryId, out: &mut Vec<Action>) {
         self.cancel_open(id, out);
-        let Some(q) = self.queries.remove(&id) else { return };
+        let Some(q) = self.queries.remove(&id) else {
+            return;
+        };
         if self.numbers.get(&q.number) == Some(&id) {
             self.numbers.remove(&q.number);
         }
         q.parts.iter().for_each(|p| _ = self.parts.remove(&p.id));
     }
 
-    /// How long a part of this class sent to a server now is expected to take: the server's recent answer
-    /// time (which holds what peers send; it fades towards the common one), scaled by own parts pending now
-    /// against then; no less than the age of the oldest part younger than any answered there: an older one
-    /// was lost or held up alone, and would turn away all that need its shard.
+    /// How long a part of this class sent to a server now is expected to take: the server's recent
+    /// answer time (which holds what peers send; it fades towards the common one), scaled by own
+    /// parts pending now against then; no less than the age of the oldest part younger than any
+    /// answered there: an older one was lost or held up alone, and would turn away all that need
+    /// its shard.
     pub(super) fn expected(&self, s: &Server, class: usize) -> f64 {
-        // All of it is forgotten while nothing is answered: else refusals alone would keep a past jam alive.
+        // All of it is forgotten while nothing is answered: else refusals alone would keep a past
+        // jam alive.
         let common = self.norms[class * 2].or(0.0) * faded(self.now, self.answered_at, WAIT_HALF);
         let fading = faded(self.now, s.wait_at, WAIT_HALF);
         let wait = common + fading * (s.wait.or(common) - common);
@@ -181,22 +239,40 @@
         (wait * (s.pending() + AT_ONCE) / (depth + AT_ONCE)).max(oldest as f64)
     }
 
-    /// Turns a query away at its arrival when one of its parts finds all replicas too far behind. The
-    /// queue that is let in is shorter for queries of less worth for their work, and beyond a tenant's quota.
+    /// Turns a query away at its arrival when one of its parts finds all replicas too far behind.
+    /// The queue that is let in is shorter for queries of less worth for their work, and beyond a
+    /// tenant's quota.
     pub(super) fn turned_away(&mut self, id: QueryId) -> bool {
-        let Some(q) = self.queries.get(&id) else { return false };
+        let Some(q) = self.queries.get(&id) else {
+            return false;
+        };
         let class = self.class(q);
-        let window = q.window as f64 * if class.second_step > 0 { FIRST_STEP } else { 1.0 };
+        let window = q.window as f64
+            * if class.second_step > 0 {
+                FIRST_STEP
+            } else {
+                1.0
+            };
         let parts = q.parts.len() as f64 + f64::from(class.second_step) / 2.0;
         // Work is counted in parts and not by how long they take: in a jam all take long.
-        let value = class.worth / if self.set.worth_by_work { 1.0 } else { parts.max(1.0) };
-        let dear = (value / self.value.or(value)).sqrt().clamp(VALUE_LEAST, VALUE_MOST) * q.gain.sqrt();
+        let value = class.worth
+            / if self.set.worth_by_work {
+                1.0
+            } else {
+                parts.max(1.0)
+            };
+        let dear = (value / self.value.or(value))
+            .sqrt()
+            .clamp(VALUE_LEAST, VALUE_MOST)
+            * q.gain.sqrt();
         let most = window * self.admit * dear;
-        // Of the holders that it would be sent to: a hung one, not heard of for a while, would look idle.
+        // Of the holders that it would be sent to: a hung one, not heard of for a while, would look
+        // idle.
         let slowest = q.parts.iter().map(|p| {
             let open = self.holders(p.shard).filter(|(_, s)| !self.closed(s));
             let keys = open.map(|(_, s)| (self.rank(s, q.class).0, self.expected(s, q.class)));
-            keys.fold((u8::MAX, f64::INFINITY), |a, b| if b < a { b } else { a }).1
+            keys.fold((u8::MAX, f64::INFINITY), |a, b| if b < a { b } else { a })
+                .1
         });
         let away = slowest.fold(0.0, f64::max) > most;
         self.value.add(value, VALUE_PACE);
--- a/policy/src/health.rs
+++ b/policy/src/health.rs
@@ -6,18 +6,20 @@
 use lichenswitch_stats::{Aged, Flight};
 
 impl Coordinator {
-    /// Whether an attempt of a class at a server will end well and in time, as the faded share of bad ends.
-    /// Errors and silence count by class, silence half for the others, what befalls the connection for all.
-    /// Guards against servers that fail, hang, stall, slow down, lose answers or connections, for one class
-    /// or all, or for this instance alone. It fades, so that a real part tries again. Harm: a few unlucky
-    /// parts suffice; under load the slowest are passed over in turn.
+    /// Whether an attempt of a class at a server will end well and in time, as the faded share of
+    /// bad ends. Errors and silence count by class, silence half for the others, what befalls the
+    /// connection for all. Guards against servers that fail, hang, stall, slow down, lose answers
+    /// or connections, for one class or all, or for this instance alone. It fades, so that a real
+    /// part tries again. Harm: a few unlucky parts suffice; under load the slowest are passed over
+    /// in turn.
     pub(super) fn judge(&mut self, flight: &Flight, end: (Outcome, Micros), out: &mut Vec<Action>) {
         let (outcome, elapsed) = end;
         let (class, all, now) = (flight.norm / 2, self.set.classes.len(), self.now);
         let (norm, took) = (self.norms[flight.norm].or(elapsed as f64), elapsed as f64);
         if let Some(s) = self.servers.get_mut(&flight.server) {
             let (ok, wait) = (outcome == Outcome::Ok, s.wait.or(norm));
-            // What did not answer would have taken as long at least; a full queue is half the aim long.
+            // What did not answer would have taken as long at least; a full queue is half the aim
+            // long.
             let (sample, pace) = match outcome {
                 Outcome::Ok => (took.min(2.0 * wait.max(norm)), WAIT_PACE),
                 Outcome::Rejected => (self.set.classes[class].aim as f64 / 2.0, LEAST_PACE),
@@ -50,15 +52,17 @@
         }
     }
 
-    /// Time that halves what is held against a server: the less often one is met, the longer it must last.
+    /// Time that halves what is held against a server: the less often one is met, the longer it
+    /// must last.
     pub(super) fn memory(&self) -> f64 {
-        let between = self.now.since(self.began) as f64 * self.ready as f64 / self.answered.max(1) as f64;
+        let between =
+            self.now.since(self.began) as f64 * self.ready as f64 / self.answered.max(1) as f64;
         (FAULT_PARTS * between).clamp(FAULT_HALF, MEMORY_MOST * FAULT_HALF)
     }
 
-    /// What is wrong with the way to a zone, where ends are far worse than at the best zone (alike is load).
-    /// Guards against slow or lossy links and lost zones where an instance has too few parts to learn each
-    /// server. Harm: the other zones carry more until some seconds have passed.
+    /// What is wrong with the way to a zone, where ends are far worse than at the best zone (alike
+    /// is load). Guards against slow or lossy links and lost zones where an instance has too few
+    /// parts to learn each server. Harm: the other zones carry more until some seconds have passed.
     pub(super) fn way_fault(&self, zone: u32) -> f64 {
         let share = |a: &Aged| a.left(self.now, FAULT_HALF);
         let best = self.zones.values().map(share).fold(1.0, f64::min);
@@ -66,8 +70,9 @@
         f64::from(u8::from(here - best > ZONE_WORSE)) * here
     }
 
-    /// Whether connections that had been idle are lost more than others: dropped unseen. They are closed
-    /// before a send then (for unsafe parts always) and no server is to blame. Harm: some new connections.
+    /// Whether connections that had been idle are lost more than others: dropped unseen. They are
+    /// closed before a send then (for unsafe parts always) and no server is to blame. Harm: some
+    /// new connections.
     pub(super) fn reaped(&self) -> bool {
         let [used, idle] = self.losses.map(|l| l.left(self.now, IDLE_HALF));
         idle > used + IDLE_WORSE
@@ -86,18 +91,36 @@
         idle && self.reaped()
     }
 
-    pub(super) fn blame(&mut self, id: ServerId, which: usize, bad: f64, pace: f64, out: &mut Vec<Action>) {
+    pub(super) fn blame(
+        &mut self,
+        id: ServerId,
+        which: usize,
+        bad: f64,
+        pace: f64,
+        out: &mut Vec<Action>,
+    ) {
         let (now, all, half) = (self.now, self.set.classes.len(), self.memory());
-        let Some(s) = self.servers.get_mut(&id) else { return };
+        let Some(s) = self.servers.get_mut(&id) else {
+            return;
+        };
         s.faults.resize(all + 1, Aged::default());
         let was = s.faults[which].left(now, half);
         s.faults[which].add(now, bad, pace, half);
         if which == all {
-            self.zones.entry(s.zone).or_default().add(now, bad, ZONE_PACE, FAULT_HALF);
+            self.zones
+                .entry(s.zone)
+                .or_default()
+                .add(now, bad, ZONE_PACE, FAULT_HALF);
         }
         let faulty = FAULTY[usize::from(half > FAULT_HALF)];
         let suspected = s.faults[which].left(now, half) > faulty;
-        let word = if suspected { "suspected" } else { "trusted again" };
-        out.extend((suspected != (was > faulty)).then(|| Action::Log(format!("server {} {word}", id.0))));
+        let word = if suspected {
+            "suspected"
+        } else {
+            "trusted again"
+        };
+        out.extend(
+            (suspected != (was > faulty)).then(|| Action::Log(format!("server {} {word}", id.0))),
+        );
     }
 }
--- a/policy/src/lib.rs
+++ b/policy/src/lib.rs
@@ -1,8 +1,8 @@
 //! Every decision of the co-ordinator. Its types, events and actions are the package `interface`.
 //!
-//! The ordinary path is BASIC with REQS (Friedman and Mosse 1996): a part goes to the replica with the fewest
-//! calls of this instance pending, is copied once at half its aim, and the losing twin is cancelled. All else
-//! is a guard with its condition at the code.
+//! The ordinary path is BASIC with REQS (Friedman and Mosse 1996): a part goes to the replica with
+//! the fewest calls of this instance pending, is copied once at half its aim, and the losing twin
+//! is cancelled. All else is a guard with its condition at the code.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -72,7 +72,8 @@
 }
 
 impl Coordinator {
-    /// A new instance that knows nothing yet. The same seed, settings and events give the same actions.
+    /// A new instance that knows nothing yet. The same seed, settings and events give the same
+    /// actions.
     #[must_use]
     pub fn new(seed: u64, settings: Settings) -> Self {
         Coordinator {
@@ -99,23 +100,35 @@
         for event in events {
             self.take_in(event, out);
         }
-        let due = self.queries.iter().filter(|(_, q)| q.due <= self.now).map(|(&id, _)| id);
+        let due = self
+            .queries
+            .iter()
+            .filter(|(_, q)| q.due <= self.now)
+            .map(|(&id, _)| id);
         for id in due.collect::<Vec<_>>() {
             self.advance(id, out);
         }
         if self.ask_at.is_some_and(|at| at <= self.now) {
             self.ask_at = None;
-            out.extend(matches!(self.set.discovery, Discovery::Ask(_)).then_some(Action::Subscribe));
+            out.extend(
+                matches!(self.set.discovery, Discovery::Ask(_)).then_some(Action::Subscribe),
+            );
         }
         self.sleep(out);
     }
 
-    /// When a query has to be looked at again: at its end, when it may be answered in part, when a part is to
-    /// be copied, and soon while something that it wants to send is withheld.
+    /// When a query has to be looked at again: at its end, when it may be answered in part, when a
+    /// part is to be copied, and soon while something that it wants to send is withheld.
     fn due_of(&self, q: &Query) -> Time {
-        let soon = self.now.plus(if self.set.limits.second_copies { LOOK } else { TRAVEL });
+        let soon = self.now.plus(if self.set.limits.second_copies {
+            LOOK
+        } else {
+            TRAVEL
+        });
         let partial = q.arrived.plus(self.partial_after(q));
-        let mut due = self.end_of(q).min(if partial > self.now { partial } else { soon });
+        let mut due = self
+            .end_of(q)
+            .min(if partial > self.now { partial } else { soon });
         let again = |i: usize| q.parts[i].made() < self.set.attempts_of(q.class) as usize;
         if q.agenda.idle().next().is_some() || q.agenda.due(self.now).any(again) {
             due = due.min(soon);
@@ -125,7 +138,15 @@
     }
 
     fn sleep(&mut self, out: &mut Vec<Action>) {
-        let Some(due) = self.queries.values().map(|q| q.due).chain(self.ask_at).min() else { return };
+        let Some(due) = self
+            .queries
+            .values()
+            .map(|q| q.due)
+            .chain(self.ask_at)
+            .min()
+        else {
+            return;
+        };
         let due = due.max(self.now.plus(self.set.resolution.max(1)));
         if self.wake_at.is_none_or(|at| due < at) {
             out.push(Action::Wake(due.since(self.now).min(60_000_000)));
@@ -134,18 +155,31 @@
     }
 
     fn take_in(&mut self, event: Event, out: &mut Vec<Action>) {
-        if matches!(event, Event::Query { .. } | Event::Part { .. }) && self.set.limits.budget.is_some() {
+        if matches!(event, Event::Query { .. } | Event::Part { .. })
+            && self.set.limits.budget.is_some()
+        {
             self.taken.add(self.now);
         }
         match event {
-            Event::Query { query, number, class, deadline, key, again, tenant } => {
-                let Some(last) = self.set.classes.len().checked_sub(1) else { return };
+            Event::Query {
+                query,
+                number,
+                class,
+                deadline,
+                key,
+                again,
+                tenant,
+            } => {
+                let Some(last) = self.set.classes.len().checked_sub(1) else {
+                    return;
+                };
                 let class = usize::from(class).min(last);
                 let (aim_at, gain) = self.start_of(class, key, again, tenant);
                 let (aim, patience) = (self.set.classes[class].aim, deadline.since(self.now));
                 let left = aim_at.since(self.now);
                 let window = if left > aim / 10 { left } else { aim }.min(patience);
-                // One part goes ahead where another query of the class was poison, if there is time for it.
+                // One part goes ahead where another query of the class was poison, if there is time
+                // for it.
                 let ahead = window as f64 > self.norms[class * 2].or(0.0) * POISON_AIMS;
                 let q = Query {
                     number,
@@ -166,33 +200,67 @@
                 self.queries.insert(query, q);
             }
             Event::Placement { number, placement } => {
-                let query = self.numbers.get(&number).and_then(|id| self.queries.get_mut(id));
+                let query = self
+                    .numbers
+                    .get(&number)
+                    .and_then(|id| self.queries.get_mut(id));
                 query.into_iter().for_each(|q| q.placement = placement);
             }
-            Event::Part { part, number, shard, weight } => {
-                let Some(&id) = self.numbers.get(&number) else { return };
-                let Some(q) = self.queries.get_mut(&id) else { return };
+            Event::Part {
+                part,
+                number,
+                shard,
+                weight,
+            } => {
+                let Some(&id) = self.numbers.get(&number) else {
+                    return;
+                };
+                let Some(q) = self.queries.get_mut(&id) else {
+                    return;
+                };
                 let step = q.step;
                 q.agenda.rest(q.parts.len());
                 self.parts.insert(part, (id, q.parts.len()));
-                q.parts.push(Part { id: part, shard, weight, step, ..Part::default() });
-                (q.count, q.once, q.total, q.due) = (q.count + 1, q.once + 1, q.total + weight, self.now);
+                q.parts.push(Part {
+                    id: part,
+                    shard,
+                    weight,
+                    step,
+                    ..Part::default()
+                });
+                (q.count, q.once, q.total, q.due) =
+                    (q.count + 1, q.once + 1, q.total + weight, self.now);
             }
             Event::Hangup(id) => self.forget(id, out),
-            Event::Close(id) => drop(self.queries.get_mut(&id).map(|q| (q.closed, q.due) = (true, self.now))),
+            Event::Close(id) => drop(
+                self.queries
+                    .get_mut(&id)
+                    .map(|q| (q.closed, q.due) = (true, self.now)),
+            ),
             Event::GiveUp(id) => self.give_up(id, out),
             Event::Unneeded(part) => self.unneeded(part, out),
-            Event::Finished { part, attempt, outcome, elapsed, .. } => {
+            Event::Finished {
+                part,
+                attempt,
+                outcome,
+                elapsed,
+                ..
+            } => {
                 self.finished((part, attempt), outcome, elapsed, out);
             }
             Event::Probed { .. } => {} // It proves a process, not a service; none is sent.
             Event::List(listing) => self.listed(listing),
             Event::Classes(classes) => self.set_classes(classes),
             Event::Budget(budget) => self.set.limits.budget = budget,
-            Event::Load { server, load } => drop(self.servers.get_mut(&server).map(|s| s.load = load)),
+            Event::Load { server, load } => {
+                drop(self.servers.get_mut(&server).map(|s| s.load = load))
+            }
             Event::Processes(count) => {
                 self.processes = count.map_or(u32::MAX, |count| count.max(1));
-                self.quotas.share(&self.set.quotas, self.set.instances.saturating_mul(self.processes));
+                self.quotas.share(
+                    &self.set.quotas,
+                    self.set.instances.saturating_mul(self.processes),
+                );
             }
             Event::Wake => self.wake_at = self.wake_at.filter(|&at| at > self.now),
         }
@@ -202,32 +270,65 @@
     fn set_classes(&mut self, mut classes: Vec<Class>) {
         let old = &self.set.classes;
         classes.extend_from_slice(old.get(classes.len()..).unwrap_or_default());
-        let same: Vec<bool> = (0..classes.len()).map(|i| old.get(i) == Some(&classes[i])).collect();
+        let same: Vec<bool> = (0..classes.len())
+            .map(|i| old.get(i) == Some(&classes[i]))
+            .collect();
         self.norms.resize(classes.len() * 2, Fading::default());
-        let changed = self.norms.iter_mut().zip(0usize..).filter(|(_, i)| !same[i / 2]);
+        let changed = self
+            .norms
+            .iter_mut()
+            .zip(0usize..)
+            .filter(|(_, i)| !same[i / 2]);
         changed.for_each(|(norm, _)| *norm = Fading::default());
         self.servers.values_mut().for_each(|s| s.on_classes(&same));
         self.set.classes = classes;
     }
 
-    /// When the aim of a query is over, from the client's first try on, and that try's gain. A further try is
-    /// of a class and key turned away before and, where clients mark such, marked. Guards against late tries
-    /// that crowd out fresh ones. Harm: unmarked, a fresh query of a hot key may be taken for one.
+    /// When the aim of a query is over, from the client's first try on, and that try's gain. A
+    /// further try is of a class and key turned away before and, where clients mark such, marked.
+    /// Guards against late tries that crowd out fresh ones. Harm: unmarked, a fresh query of a hot
+    /// key may be taken for one.
     fn start_of(&mut self, class: usize, key: u64, again: bool, tenant: u32) -> (Time, f64) {
         let (classes, now) = (&self.set.classes, self.now);
         self.away.retain(|a| now.since(a.2) < classes[a.0].deadline);
-        let known = if self.set.marks_retry { again } else { key != 0 };
-        let back = self.away.iter().position(|a| known && a.0 == class && a.1 == key);
-        let first = back.and_then(|i| self.away.remove(i)).map(|(.., began, gain)| (began, gain));
-        let fresh = || (now, if self.quotas.within(now, tenant) { 1.0 } else { self.set.over_quota });
+        let known = if self.set.marks_retry {
+            again
+        } else {
+            key != 0
+        };
+        let back = self
+            .away
+            .iter()
+            .position(|a| known && a.0 == class && a.1 == key);
+        let first = back
+            .and_then(|i| self.away.remove(i))
+            .map(|(.., began, gain)| (began, gain));
+        let fresh = || {
+            (
+                now,
+                if self.quotas.within(now, tenant) {
+                    1.0
+                } else {
+                    self.set.over_quota
+                },
+            )
+        };
         let (began, gain) = first.unwrap_or_else(fresh);
         (began.plus(classes[class].aim), gain)
     }
 
     /// A part of the present step that is not needed any more counts as answered.
     fn unneeded(&mut self, part: PartId, out: &mut Vec<Action>) {
-        let Some(&(id, i)) = self.parts.get(&part) else { return };
-        let Some(q) = self.queries.get_mut(&id).filter(|q| q.parts[i].step == q.step) else { return };
+        let Some(&(id, i)) = self.parts.get(&part) else {
+            return;
+        };
+        let Some(q) = self
+            .queries
+            .get_mut(&id)
+            .filter(|q| q.parts[i].step == q.step)
+        else {
+            return;
+        };
         if !std::mem::replace(&mut q.parts[i].done, true) {
             q.agenda.settled(i);
             (q.have, q.due) = (q.have + q.parts[i].weight, self.now);
@@ -237,10 +338,20 @@
         }
     }
 
-    fn finished(&mut self, tried: (PartId, u16), outcome: Outcome, elapsed: Micros, out: &mut Vec<Action>) {
+    fn finished(
+        &mut self,
+        tried: (PartId, u16),
+        outcome: Outcome,
+        elapsed: Micros,
+        out: &mut Vec<Action>,
+    ) {
         let (part, attempt) = tried;
-        let Some(flight) = self.flights.remove(&tried) else { return };
-        let ghost = self.now.plus(scaled(self.set.classes[flight.norm / 2].aim, GHOST_AIMS));
+        let Some(flight) = self.flights.remove(&tried) else {
+            return;
+        };
+        let ghost = self
+            .now
+            .plus(scaled(self.set.classes[flight.norm / 2].aim, GHOST_AIMS));
         if let Some(server) = self.servers.get_mut(&flight.server) {
             if let Some(call) = server.calls.iter_mut().find(|c| c.id == flight.call) {
                 call.left = call.left.saturating_sub(1);
@@ -262,13 +373,33 @@
         };
         let query = self.queries.get(&id);
         // Of one query two resets at most are those of idle connections: poison looks like them.
-        let broken = outcome == Outcome::Reset && query.is_some_and(|q| q.broke.len() + 1 >= POISON);
-        self.judge(&flight, (if broken { Outcome::ConnectFailed } else { outcome }, elapsed), out);
-        let Some(q) = self.queries.get_mut(&id) else { return };
+        let broken =
+            outcome == Outcome::Reset && query.is_some_and(|q| q.broke.len() + 1 >= POISON);
+        self.judge(
+            &flight,
+            (
+                if broken {
+                    Outcome::ConnectFailed
+                } else {
+                    outcome
+                },
+                elapsed,
+            ),
+            out,
+        );
+        let Some(q) = self.queries.get_mut(&id) else {
+            return;
+        };
         q.due = self.now;
         let Some(p) = q.parts.get_mut(i) else { return };
-        let Some(this) = p.tries.get_mut(usize::from(attempt)) else { return };
-        this.fate = if outcome.never_ran() { Fate::NeverRan } else { Fate::MayHaveRun };
+        let Some(this) = p.tries.get_mut(usize::from(attempt)) else {
+            return;
+        };
+        this.fate = if outcome.never_ran() {
+            Fate::NeverRan
+        } else {
+            Fate::MayHaveRun
+        };
         this.ended = self.now;
         p.unsent += usize::from(outcome == Outcome::Moot);
         p.unmet = outcome == Outcome::ConnectFailed;
@@ -287,15 +418,18 @@
                 q.have += p.weight;
                 q.once -= usize::from(p.tries.len() < 2);
             }
-            // Guards against silence that befalls more parts than may be copied: hung servers, lost answers,
-            // a class unanswered, a path cut; and against copies that feed an overload: there the first
-            // attempt answers as soon, and the share of copies falls. Harm: where load is uneven more is done
-            // twice; the first parts of a new silence wait for its proof.
+            // Guards against silence that befalls more parts than may be copied: hung servers, lost
+            // answers, a class unanswered, a path cut; and against copies that feed an overload:
+            // there the first attempt answers as soon, and the share of copies falls. Harm: where
+            // load is uneven more is done twice; the first parts of a new silence wait for its
+            // proof.
             let (sent, first) = (p.tries[usize::from(attempt)].sent, &p.tries[0]);
-            let lost = first.fate == Fate::Out && elapsed as f64 * LOST < sent.since(first.sent) as f64;
+            let lost =
+                first.fate == Fate::Out && elapsed as f64 * LOST < sent.since(first.sent) as f64;
             if p.tries.len() > 1 && (attempt == 0 || first.fate == Fate::Out) {
                 self.copy_use.add(f64::from(u8::from(lost)), USE_PACE);
-                self.copy_tokens = (self.copy_tokens + if lost { PROVED } else { 0.0 }).min(COPY_SAVED);
+                self.copy_tokens =
+                    (self.copy_tokens + if lost { PROVED } else { 0.0 }).min(COPY_SAVED);
             }
             let losers = p.out().filter(|_| self.set.limits.cancel);
             out.extend(losers.map(|attempt| Action::Cancel { part, attempt }));
--- a/policy/src/list.rs
+++ b/policy/src/list.rs
@@ -9,7 +9,10 @@
 impl Coordinator {
     pub(super) fn listed(&mut self, listing: Listing) {
         if listing == Listing::Failed {
-            self.ask_at = Some(self.now.plus(self.ask_gap / 2 + self.rng.0.u64(0..=self.ask_gap)));
+            self.ask_at = Some(
+                self.now
+                    .plus(self.ask_gap / 2 + self.rng.0.u64(0..=self.ask_gap)),
+            );
             self.ask_gap = (self.ask_gap * 2).min(ASK_MOST);
         } else if !matches!(listing, Listing::Cached(_)) {
             (self.ask_at, self.ask_gap) = (None, ASK_FIRST);
@@ -21,18 +24,27 @@
             lines.iter().for_each(|line| self.list_line(line));
         }
         // Guards memory and time on long days: what is gone is forgotten once nothing is out there.
-        self.servers.retain(|_, s| s.mode != Mode::Gone || s.pending() > 0.0 || s.load.streams > 0);
+        self.servers
+            .retain(|_, s| s.mode != Mode::Gone || s.pending() > 0.0 || s.load.streams > 0);
         // What the list changed is summed up: no decision walks the fleet.
         (self.cells, self.ready) = (BTreeMap::new(), 0);
-        for (&id, s) in self.servers.iter().filter(|(_, s)| matches!(s.mode, Mode::Ready | Mode::Leaving)) {
-            self.cells.entry(s.cell % self.set.layout.cells).or_default().push(id);
+        for (&id, s) in self
+            .servers
+            .iter()
+            .filter(|(_, s)| matches!(s.mode, Mode::Ready | Mode::Leaving))
+        {
+            self.cells
+                .entry(s.cell % self.set.layout.cells)
+                .or_default()
+                .push(id);
             self.ready += 1;
         }
     }
 
     pub(super) fn list_line(&mut self, line: &Listed) {
-        // Instances start at random points of their first part, since all hear of a start at once: else none
-        // would send for long, or all together. One that knows its traffic is held by chance.
+        // Instances start at random points of their first part, since all hear of a start at once:
+        // else none would send for long, or all together. One that knows its traffic is held by
+        // chance.
         let known = f64::from(u8::from(self.answered >= COLD_KNOWN));
         let (now, first) = (self.now, self.rng.0.f64() + known);
         let s = self.servers.entry(line.server).or_default();
@@ -45,16 +57,23 @@
         }
     }
 
-    /// Allowance of a cold server by now, in parts, and how many a call may hold (0: it is closed). Of what
-    /// the rule allows each instance has its part; they sum to less. Less than one a window is saved, as a
-    /// sparse instance seldom has work as it comes; there chance decides in each window whether the server is
-    /// open, by its part over what its shards may ask for. Harm: a shard with cold holders alone waits.
+    /// Allowance of a cold server by now, in parts, and how many a call may hold (0: it is closed).
+    /// Of what the rule allows each instance has its part; they sum to less. Less than one a window
+    /// is saved, as a sparse instance seldom has work as it comes; there chance decides in each
+    /// window whether the server is open, by its part over what its shards may ask for. Harm: a
+    /// shard with cold holders alone waits.
     pub(super) fn cold_tokens(&self, s: &Server) -> Option<(f64, usize)> {
         let (from, cold, now) = (s.cold_from?, &self.set.cold, self.now);
         let age = now.since(from) as f64 / cold.warm_after.max(1) as f64;
-        let allowed = (age < 1.0).then_some(cold.share + (1.0 - cold.share) * age)? * cold.fall_multiple;
+        let allowed =
+            (age < 1.0).then_some(cold.share + (1.0 - cold.share) * age)? * cold.fall_multiple;
         // An instance that has had no answer yet knows no more than what is wanted.
-        let aim = self.set.classes.iter().map(|c| c.aim as f64).fold(1_000.0, f64::max);
+        let aim = self
+            .set
+            .classes
+            .iter()
+            .map(|c| c.aim as f64)
+            .fold(1_000.0, f64::max);
         let norm = self.norms.iter().map(|n| n.or(0.0)).fold(0.0, f64::max);
         let works = COLD_PARTS / if norm > 0.0 { norm.max(1_000.0) } else { aim };
         let time = (now.since(self.began) + cold.fall_after) as f64 * self.ready.max(1) as f64;
@@ -63,15 +82,32 @@
         let rate = allowed * (alike + (1.0 - COLD_ALIKE) * mean) / f64::from(self.processes);
         let together = (allowed * works * cold.fall_after as f64).sqrt() / 3.5;
         let sparse = rate * (cold.fall_after as f64) < 1.0;
-        // Where few instances meet it often, chance adds less than it may: by the root of the allowance.
-        let rate = if sparse { rate } else { rate * (1.0 + 0.35 / together.max(1.0)) };
+        // Where few instances meet it often, chance adds less than it may: by the root of the
+        // allowance.
+        let rate = if sparse {
+            rate
+        } else {
+            rate * (1.0 + 0.35 / together.max(1.0))
+        };
         let window = rate * cold.fall_after as f64;
-        let most = if sparse { COLD_SAVED.min(1.0 + together) } else { (window / 4.0).max(1.0) };
+        let most = if sparse {
+            COLD_SAVED.min(1.0 + together)
+        } else {
+            (window / 4.0).max(1.0)
+        };
         let tokens = (s.cold_tokens + rate * now.since(s.filled_at) as f64).clamp(-most, most);
-        let chance = drawn(self.salt ^ from.0.rotate_left(20) ^ u64::from(s.cell), now, cold.fall_after);
+        let chance = drawn(
+            self.salt ^ from.0.rotate_left(20) ^ u64::from(s.cell),
+            now,
+            cold.fall_after,
+        );
         let asked = (1.0 + f64::from(self.set.layout.width)) / 2.0 * mean;
         let open = tokens >= 1.0 && (!sparse || chance * asked <= rate);
-        let more = if sparse { tokens.min(together).max(0.0) as usize } else { 0 };
+        let more = if sparse {
+            tokens.min(together).max(0.0) as usize
+        } else {
+            0
+        };
         Some((tokens, if open { 1 + more } else { 0 }))
     }
 }
--- a/policy/tests/streams.rs
+++ b/policy/tests/streams.rs
@@ -1,5 +1,6 @@
-//! The module as a router of streams uses it: queries of one part, servers of one cell that all hold it, classes and
-//! a budget that change while it runs, streams that run on after their parts were answered.
+//! The module as a router of streams uses it: queries of one part, servers of one cell that all
+//! hold it, classes and a budget that change while it runs, streams that run on after their parts
+//! were answered.
 
 use lichenswitch_interface::*;
 use lichenswitch_policy::Coordinator;
@@ -9,15 +10,31 @@
 const AIM: Micros = 1_000 * MS;
 
 fn class(repeat: Repeat) -> Class {
-    Class { aim: AIM, deadline: 10 * AIM, repeat, late_share: 1.0, ..Settings::default().classes[0].clone() }
+    Class {
+        aim: AIM,
+        deadline: 10 * AIM,
+        repeat,
+        late_share: 1.0,
+        ..Settings::default().classes[0].clone()
+    }
 }
 
 fn settings(classes: Vec<Class>) -> Settings {
     let plain = Settings::default();
     Settings {
         classes,
-        limits: Limits { attempts: 3, cancel: true, second_copies: true, ..plain.limits },
-        layout: Layout { cells: 1, width: 1, shards: 1, parts_a_call: 1 },
+        limits: Limits {
+            attempts: 3,
+            cancel: true,
+            second_copies: true,
+            ..plain.limits
+        },
+        layout: Layout {
+            cells: 1,
+            width: 1,
+            shards: 1,
+            parts_a_call: 1,
+        },
         ..plain
     }
 }
@@ -32,9 +49,21 @@
 impl Stage {
     fn new(seed: u64, settings: Settings, servers: u32) -> Stage {
         let (module, now) = (Coordinator::new(seed, settings), Time(1_000_000 * MS));
-        let mut stage = Stage { module, now, next: 0 };
-        let line = |id| Listed { server: ServerId(id), cell: 0, zone: 0, mode: Mode::Ready, started: None };
-        stage.turn(vec![Event::List(Listing::Whole((1..=servers).map(line).collect()))]);
+        let mut stage = Stage {
+            module,
+            now,
+            next: 0,
+        };
+        let line = |id| Listed {
+            server: ServerId(id),
+            cell: 0,
+            zone: 0,
+            mode: Mode::Ready,
+            started: None,
+        };
+        stage.turn(vec![Event::List(Listing::Whole(
+            (1..=servers).map(line).collect(),
+        ))]);
         stage
     }
 
@@ -56,7 +85,13 @@
 
     /// The same, with a shared beginning.
     fn query_with(&mut self, class: u16, prefix: Option<u64>) -> (PartId, Option<ServerId>) {
-        self.query_placed(class, Placement { prefix: prefix.unwrap_or(0), ..Placement::default() })
+        self.query_placed(
+            class,
+            Placement {
+                prefix: prefix.unwrap_or(0),
+                ..Placement::default()
+            },
+        )
     }
 
     /// The same, with all that says which of equal servers it goes to.
@@ -65,10 +100,23 @@
         let (number, part) = (self.next as u32, PartId(self.next + 1));
         let deadline = self.now.plus(10 * AIM);
         let (query, key, again, tenant) = (QueryId(self.next), 0, false, u32::MAX);
-        let mut events = vec![Event::Query { query, number, class, deadline, key, again, tenant }];
+        let mut events = vec![Event::Query {
+            query,
+            number,
+            class,
+            deadline,
+            key,
+            again,
+            tenant,
+        }];
         let placed = placement != Placement::default();
         events.extend(placed.then_some(Event::Placement { number, placement }));
-        events.push(Event::Part { part, number, shard: Shard(0), weight: 1.0 });
+        events.push(Event::Part {
+            part,
+            number,
+            shard: Shard(0),
+            weight: 1.0,
+        });
         let actions = self.turn(events);
         (part, sent(&actions))
     }
@@ -85,24 +133,42 @@
 }
 
 fn ended(part: PartId, attempt: u16, server: ServerId, outcome: Outcome, elapsed: Micros) -> Event {
-    Event::Finished { part, attempt, server, outcome, elapsed }
+    Event::Finished {
+        part,
+        attempt,
+        server,
+        outcome,
+        elapsed,
+    }
 }
 
 #[test]
 fn a_part_goes_to_the_server_with_the_fewest_pending_of_all_that_are_ready() {
     let mut stage = Stage::new(1, settings(vec![class(Repeat::Safe)]), 12);
-    let first: BTreeSet<u32> = (0..12).filter_map(|_| stage.query(0).1).map(|s| s.0).collect();
+    let first: BTreeSet<u32> = (0..12)
+        .filter_map(|_| stage.query(0).1)
+        .map(|s| s.0)
+        .collect();
     assert_eq!(first, (1..=12).collect(), "each has one before any has two");
     let (part, again) = stage.query(0);
     let again = again.unwrap();
     stage.after(MS, vec![ended(part, 0, again, Outcome::Ok, MS)]);
-    let others = (0..12).filter_map(|_| stage.query(0).1).filter(|s| *s == again).count();
+    let others = (0..12)
+        .filter_map(|_| stage.query(0).1)
+        .filter(|s| *s == again)
+        .count();
     assert_eq!(others, 1, "what is answered is not pending any more");
 }
 
 #[test]
 fn ties_are_broken_by_chance() {
-    let first = |seed| Stage::new(seed, settings(vec![class(Repeat::Safe)]), 4).query(0).1.unwrap().0;
+    let first = |seed| {
+        Stage::new(seed, settings(vec![class(Repeat::Safe)]), 4)
+            .query(0)
+            .1
+            .unwrap()
+            .0
+    };
     let met: BTreeSet<u32> = (0..64).map(first).collect();
     assert_eq!(met, (1..=4).collect());
 }
@@ -116,36 +182,70 @@
     let mut met = BTreeMap::new();
     for prefix in 1..=240 {
         let server = first(0, prefix);
-        assert!((1..8).all(|seed| first(seed, prefix) == server), "whatever the seed is");
+        assert!(
+            (1..8).all(|seed| first(seed, prefix) == server),
+            "whatever the seed is"
+        );
         *met.entry(server).or_insert(0) += 1;
     }
     assert_eq!(met.len(), 12);
-    assert!(met.values().all(|count| (8..=40).contains(count)), "beginnings are spread: {met:?}");
+    assert!(
+        met.values().all(|count| (8..=40).contains(count)),
+        "beginnings are spread: {met:?}"
+    );
 }
 
 #[test]
 fn the_fewest_pending_come_before_a_shared_beginning() {
     let mut stage = Stage::new(1, settings(vec![class(Repeat::Safe)]), 6);
-    let order: Vec<u32> = (0..6).map(|_| stage.query_with(0, Some(77)).1.unwrap().0).collect();
-    assert_eq!(order.iter().collect::<BTreeSet<_>>().len(), 6, "each has one before any has two: {order:?}");
+    let order: Vec<u32> = (0..6)
+        .map(|_| stage.query_with(0, Some(77)).1.unwrap().0)
+        .collect();
+    assert_eq!(
+        order.iter().collect::<BTreeSet<_>>().len(),
+        6,
+        "each has one before any has two: {order:?}"
+    );
     // At another instance, with the first of them gone, the next in the order takes its place.
     let mut other = Stage::new(2, settings(vec![class(Repeat::Safe)]), 6);
-    let gone = Listed { server: ServerId(order[0]), cell: 0, zone: 0, mode: Mode::Gone, started: None };
+    let gone = Listed {
+        server: ServerId(order[0]),
+        cell: 0,
+        zone: 0,
+        mode: Mode::Gone,
+        started: None,
+    };
     other.turn(vec![Event::List(Listing::Changes(vec![gone]))]);
     assert_eq!(other.query_with(0, Some(77)).1, Some(ServerId(order[1])));
 }
 
 /// So much waits at a server for all instances.
 fn backlog(server: u32, backlog: u32) -> Event {
-    Event::Load { server: ServerId(server), load: Load { streams: 0, backlog } }
+    Event::Load {
+        server: ServerId(server),
+        load: Load {
+            streams: 0,
+            backlog,
+        },
+    }
 }
 
 #[test]
 fn of_servers_with_as_few_pending_the_one_with_little_backlog_is_chosen() {
     let mut stage = Stage::new(1, settings(vec![class(Repeat::Safe)]), 4);
-    stage.turn(vec![backlog(1, 500), backlog(2, 99), backlog(3, 250), backlog(4, 100)]);
-    let placement = Placement { prefix: 0, backlog_step: 100 };
-    let order: Vec<u32> = (0..8).map(|_| stage.query_placed(0, placement).1.unwrap().0).collect();
+    stage.turn(vec![
+        backlog(1, 500),
+        backlog(2, 99),
+        backlog(3, 250),
+        backlog(4, 100),
+    ]);
+    let placement = Placement {
+        prefix: 0,
+        backlog_step: 100,
+    };
+    let order: Vec<u32> = (0..8)
+        .map(|_| stage.query_placed(0, placement).1.unwrap().0)
+        .collect();
     // Own pending parts go first: each gets one before any gets two.
     assert_eq!(order, [2, 4, 3, 1, 2, 4, 3, 1]);
 }
@@ -154,11 +254,26 @@
 fn a_retry_goes_where_little_waits() {
     for seed in 0..20 {
         let mut stage = Stage::new(seed, settings(vec![class(Repeat::Safe)]), 4);
-        stage.turn(vec![backlog(1, 300), backlog(2, 0), backlog(3, 100), backlog(4, 300)]);
-        let (part, first) = stage.query_placed(0, Placement { prefix: 0, backlog_step: 100 });
+        stage.turn(vec![
+            backlog(1, 300),
+            backlog(2, 0),
+            backlog(3, 100),
+            backlog(4, 300),
+        ]);
+        let (part, first) = stage.query_placed(
+            0,
+            Placement {
+                prefix: 0,
+                backlog_step: 100,
+            },
+        );
         assert_eq!(first, Some(ServerId(2)));
         let failed = ended(part, 0, ServerId(2), Outcome::Rejected, MS);
-        assert_eq!(sent(&stage.after(MS, vec![failed])), Some(ServerId(3)), "seed {seed}");
+        assert_eq!(
+            sent(&stage.after(MS, vec![failed])),
+            Some(ServerId(3)),
+            "seed {seed}"
+        );
     }
 }
 
@@ -170,8 +285,16 @@
     let copy = sent(&stage.after(MS, vec![])).expect("half of the aim is over");
     assert_ne!(Some(copy), first);
     let actions = stage.after(10 * MS, vec![ended(part, 1, copy, Outcome::Ok, 10 * MS)]);
-    assert!(actions.contains(&Action::Cancel { part, attempt: 0 }), "{actions:?}");
-    assert!(actions.iter().any(|a| matches!(a, Action::Answer { whole: true, .. })), "{actions:?}");
+    assert!(
+        actions.contains(&Action::Cancel { part, attempt: 0 }),
+        "{actions:?}"
+    );
+    assert!(
+        actions
+            .iter()
+            .any(|a| matches!(a, Action::Answer { whole: true, .. })),
+        "{actions:?}"
+    );
 }
 
 #[test]
@@ -179,8 +302,14 @@
     let mut stage = Stage::new(1, settings(vec![class(Repeat::Safe)]), 4);
     let (part, first) = stage.query(0);
     sent(&stage.after(AIM / 2, vec![])).expect("half of the aim is over");
-    let actions = stage.after(10 * MS, vec![ended(part, 0, first.unwrap(), Outcome::Ok, AIM / 2)]);
-    assert!(actions.contains(&Action::Cancel { part, attempt: 1 }), "{actions:?}");
+    let actions = stage.after(
+        10 * MS,
+        vec![ended(part, 0, first.unwrap(), Outcome::Ok, AIM / 2)],
+    );
+    assert!(
+        actions.contains(&Action::Cancel { part, attempt: 1 }),
+        "{actions:?}"
+    );
 }
 
 #[test]
@@ -194,7 +323,10 @@
 
 #[test]
 fn each_class_has_its_own_attempts_or_those_of_all() {
-    let own = |attempts| Class { attempts, ..class(Repeat::Safe) };
+    let own = |attempts| Class {
+        attempts,
+        ..class(Repeat::Safe)
+    };
     for (place, attempts) in [(0, 1), (1, 2), (2, 3), (3, 5)] {
         let classes = vec![own(Some(1)), own(Some(2)), own(None), own(Some(5))];
         let mut stage = Stage::new(1, settings(classes), 8);
@@ -210,7 +342,13 @@
 
 /// So many streams run on at a server.
 fn running(server: u32, streams: u32) -> Event {
-    Event::Load { server: ServerId(server), load: Load { streams, backlog: 0 } }
+    Event::Load {
+        server: ServerId(server),
+        load: Load {
+            streams,
+            backlog: 0,
+        },
+    }
 }
 
 #[test]
@@ -226,7 +364,13 @@
 #[test]
 fn a_server_that_is_gone_is_remembered_while_streams_run_there() {
     let mut stage = Stage::new(1, settings(vec![class(Repeat::Safe)]), 2);
-    let line = |mode| Listed { server: ServerId(1), cell: 0, zone: 0, mode, started: None };
+    let line = |mode| Listed {
+        server: ServerId(1),
+        cell: 0,
+        zone: 0,
+        mode,
+        started: None,
+    };
     let told = |mode| Event::List(Listing::Changes(vec![line(mode)]));
     stage.turn(vec![running(1, 5), told(Mode::Gone)]);
     stage.turn(vec![told(Mode::Ready)]);
@@ -236,7 +380,11 @@
 
 #[test]
 fn the_budget_is_replaced_while_it_runs() {
-    let none = Budget { window: 1_000 * MS, least: 0.0, share: 0.0 };
+    let none = Budget {
+        window: 1_000 * MS,
+        least: 0.0,
+        share: 0.0,
+    };
     let mut told = settings(vec![class(Repeat::Safe)]);
     told.limits.budget = Some(none);
     let mut stage = Stage::new(1, told, 3);
@@ -250,23 +398,37 @@
         sent.is_some()
     };
     assert!(!again(None), "nothing is allowed");
-    assert!(again(Some(Event::Budget(Some(Budget { least: 1.0, ..none })))));
+    assert!(again(Some(Event::Budget(Some(Budget {
+        least: 1.0,
+        ..none
+    })))));
     assert!(!again(None), "the one of this window is spent");
-    assert!(again(Some(Event::Budget(None))), "without a budget attempts alone are counted");
+    assert!(
+        again(Some(Event::Budget(None))),
+        "without a budget attempts alone are counted"
+    );
     assert!(!again(Some(Event::Budget(Some(none)))));
 }
 
 #[test]
 fn classes_come_while_it_runs_and_none_ever_goes() {
-    let one = Class { attempts: Some(1), ..class(Repeat::Safe) };
+    let one = Class {
+        attempts: Some(1),
+        ..class(Repeat::Safe)
+    };
     let mut stage = Stage::new(1, settings(Vec::new()), 3);
     assert_eq!(stage.query(0).1, None, "there is no class yet");
     stage.turn(vec![Event::Classes(vec![one.clone()])]);
     let (first, server) = stage.query(0);
     stage.turn(vec![Event::Classes(vec![one.clone(), class(Repeat::Safe)])]);
     stage.turn(vec![Event::Classes(vec![one])]);
-    let failed = |part, server: Option<ServerId>| ended(part, 0, server.unwrap(), Outcome::Error, MS);
-    assert_eq!(sent(&stage.after(MS, vec![failed(first, server)])), None, "its class has one attempt");
+    let failed =
+        |part, server: Option<ServerId>| ended(part, 0, server.unwrap(), Outcome::Error, MS);
+    assert_eq!(
+        sent(&stage.after(MS, vec![failed(first, server)])),
+        None,
+        "its class has one attempt"
+    );
     let (second, server) = stage.query(1);
     assert!(
         sent(&stage.after(MS, vec![failed(second, server)])).is_some(),
@@ -281,25 +443,48 @@
         // Errors of the second class make it pass the first server over.
         for _ in 0..3 {
             let (part, server) = stage.query(1);
-            let outcome = if server == Some(ServerId(1)) { Outcome::Error } else { Outcome::Ok };
+            let outcome = if server == Some(ServerId(1)) {
+                Outcome::Error
+            } else {
+                Outcome::Ok
+            };
             stage.after(MS, vec![ended(part, 0, server.unwrap(), outcome, MS)]);
             stage.turn(vec![Event::Hangup(QueryId(part.0 - 1))]);
             for id in 1..=2 {
                 stage.turn(vec![running(id, id - 1)]);
             }
         }
-        let other = Class { attempts: Some(2), ..class(Repeat::Safe) };
+        let other = Class {
+            attempts: Some(2),
+            ..class(Repeat::Safe)
+        };
         let second = if changed { other } else { class(Repeat::Safe) };
-        stage.turn(vec![Event::Classes(vec![class(Repeat::Safe), second, class(Repeat::Safe)])]);
+        stage.turn(vec![Event::Classes(vec![
+            class(Repeat::Safe),
+            second,
+            class(Repeat::Safe),
+        ])]);
         // The first server has fewer streams: only what is held against it speaks against it.
-        assert_eq!(stage.query(1).1, Some(ServerId(if changed { 1 } else { 2 })), "changed: {changed}");
-        assert_eq!(stage.query(2).1, Some(ServerId(1)), "nothing is held against it by a new class");
+        assert_eq!(
+            stage.query(1).1,
+            Some(ServerId(if changed { 1 } else { 2 })),
+            "changed: {changed}"
+        );
+        assert_eq!(
+            stage.query(2).1,
+            Some(ServerId(1)),
+            "nothing is held against it by a new class"
+        );
     }
 }
 
 #[test]
 fn a_query_that_waits_for_the_budget_alone_gets_its_final_answer_at_once() {
-    let none = Budget { window: 1_000 * MS, least: 0.0, share: 0.0 };
+    let none = Budget {
+        window: 1_000 * MS,
+        least: 0.0,
+        share: 0.0,
+    };
     for (outcome, repeat) in [
         (Outcome::Rejected, Repeat::Unsafe),
         (Outcome::ConnectFailed, Repeat::Unsafe),
@@ -307,9 +492,17 @@
         (Outcome::Reset, Repeat::Safe),
     ] {
         let mut told = settings(vec![class(repeat)]);
-        told.limits = Limits { budget: Some(none), retry_after: Some(300 * MS), ..told.limits };
+        told.limits = Limits {
+            budget: Some(none),
+            retry_after: Some(300 * MS),
+            ..told.limits
+        };
         // As a router has it: more cells than were tried.
-        told.layout = Layout { cells: 4, width: 4, ..told.layout };
+        told.layout = Layout {
+            cells: 4,
+            width: 4,
+            ..told.layout
+        };
         let mut stage = Stage::new(1, told, 3);
         let (part, server) = stage.query(0);
         let actions = stage.after(MS, vec![ended(part, 0, server.unwrap(), outcome, MS)]);
@@ -317,20 +510,44 @@
             Action::Refuse { retry_after, .. } => Some(*retry_after),
             _ => None,
         });
-        assert!(advice.is_some_and(|after| after >= 150 * MS), "{outcome:?}, {repeat:?}: {actions:?}");
+        assert!(
+            advice.is_some_and(|after| after >= 150 * MS),
+            "{outcome:?}, {repeat:?}: {actions:?}"
+        );
     }
 }
 
 #[test]
 fn a_part_that_the_budget_withholds_ends_its_query_once_nothing_else_is_out() {
-    let none = Budget { window: 1_000 * MS, least: 0.0, share: 0.0 };
-    let partial = Class { floor: 0.5, partial: 0.5, ..class(Repeat::Safe) };
+    let none = Budget {
+        window: 1_000 * MS,
+        least: 0.0,
+        share: 0.0,
+    };
+    let partial = Class {
+        floor: 0.5,
+        partial: 0.5,
+        ..class(Repeat::Safe)
+    };
     let mut told = settings(vec![partial]);
     told.limits.budget = Some(none);
     let mut stage = Stage::new(1, told, 2);
     let (query, number, deadline) = (QueryId(2), 2, stage.now.plus(10 * AIM));
-    let asked = Event::Query { query, number, class: 0, deadline, key: 0, again: false, tenant: u32::MAX };
-    let part = |id| Event::Part { part: PartId(id), number, shard: Shard(0), weight: 0.5 };
+    let asked = Event::Query {
+        query,
+        number,
+        class: 0,
+        deadline,
+        key: 0,
+        again: false,
+        tenant: u32::MAX,
+    };
+    let part = |id| Event::Part {
+        part: PartId(id),
+        number,
+        shard: Shard(0),
+        weight: 0.5,
+    };
     let servers: Vec<ServerId> = stage
         .turn(vec![asked, part(3), part(4)])
         .into_iter()
@@ -339,9 +556,26 @@
             _ => None,
         })
         .collect();
-    let is_end = |a: &Action| matches!(a, Action::Answer { .. } | Action::Refuse { .. } | Action::Fail(_));
-    let first = stage.after(MS, vec![ended(PartId(3), 0, servers[0], Outcome::Error, MS)]);
-    assert!(!first.iter().any(is_end), "the other part is out: {first:?}");
+    let is_end = |a: &Action| {
+        matches!(
+            a,
+            Action::Answer { .. } | Action::Refuse { .. } | Action::Fail(_)
+        )
+    };
+    let first = stage.after(
+        MS,
+        vec![ended(PartId(3), 0, servers[0], Outcome::Error, MS)],
+    );
+    assert!(
+        !first.iter().any(is_end),
+        "the other part is out: {first:?}"
+    );
     let last = stage.after(MS, vec![ended(PartId(4), 0, servers[1], Outcome::Ok, MS)]);
-    assert!(last.contains(&Action::Answer { query, whole: false }), "half of it is enough: {last:?}");
+    assert!(
+        last.contains(&Action::Answer {
+            query,
+            whole: false
+        }),
+        "half of it is enough: {last:?}"
+    );
 }
--- a/simulator/src/callers/mod.rs
+++ b/simulator/src/callers/mod.rs
@@ -48,8 +48,17 @@
 
     /// A control machine of the list other than the one asked last.
     fn another(&mut self, last: Option<Host>) -> Option<Host> {
-        let others: Vec<Host> = self.listed.iter().copied().filter(|host| Some(*host) != last).collect();
-        let of = if others.is_empty() { self.listed } else { &others };
+        let others: Vec<Host> = self
+            .listed
+            .iter()
+            .copied()
+            .filter(|host| Some(*host) != last)
+            .collect();
+        let of = if others.is_empty() {
+            self.listed
+        } else {
+            &others
+        };
         (!of.is_empty()).then(|| of[self.random.usize(0..of.len())])
     }
 }
--- a/simulator/src/callers/operator.rs
+++ b/simulator/src/callers/operator.rs
@@ -1,4 +1,5 @@
-//! An operator: it picks numbers by itself, sends orders to any machine, and repeats unchanged what has no clear answer.
+//! An operator: it picks numbers by itself, sends orders to any machine, and repeats unchanged what
+//! has no clear answer.
 
 use lichenswitch_messages::RelayedCall;
 use lichenswitch_replication::Time;
@@ -33,7 +34,14 @@
 impl Default for Pace {
     fn default() -> Self {
         let (least_rest, most_rest, in_step) = (50_000, 600_000, 0);
-        Self { least_rest, most_rest, in_step, repeats: 15, invalid: 4, most_step: 2 }
+        Self {
+            least_rest,
+            most_rest,
+            in_step,
+            repeats: 15,
+            invalid: 4,
+            most_step: 2,
+        }
     }
 }
 
@@ -70,7 +78,8 @@
 }
 
 impl Operator {
-    /// One that begins at this time; the one that brings the first configuration knows that there is none.
+    /// One that begins at this time; the one that brings the first configuration knows that there
+    /// is none.
     pub fn new(pace: Pace, begins_at: Time, brings_first: bool) -> Self {
         Self {
             pace,
@@ -117,12 +126,15 @@
 
     /// When [`Self::on_wake`] has something to do.
     pub fn next_wake(&self) -> Time {
-        self.in_flight.map_or(self.wake_at, |in_flight| in_flight.sent.after(CALL_TIMEOUT))
+        self.in_flight
+            .map_or(self.wake_at, |in_flight| in_flight.sent.after(CALL_TIMEOUT))
     }
 
     /// Time has passed.
     pub fn on_wake(&mut self, around: &mut Surroundings<'_>) {
-        let silent = self.in_flight.is_some_and(|in_flight| around.now.since(in_flight.sent) >= CALL_TIMEOUT);
+        let silent = self
+            .in_flight
+            .is_some_and(|in_flight| around.now.since(in_flight.sent) >= CALL_TIMEOUT);
         if silent {
             self.in_flight = None;
             self.wake_at = around.now;
@@ -157,11 +169,13 @@
         let version = known + around.random.u64(1..=self.pace.most_step);
         let broken = known > 0 && lot >= 100 - self.pace.invalid;
         let whole = known == 0 || around.random.u32(0..3) == 0;
-        around.ledger.register(!broken, version, |id| match (broken, whole) {
-            (true, _) => documents::invalid(id, known, version),
-            (false, true) => documents::replacement(id, known, version),
-            (false, false) => documents::update(id, known, version),
-        })
+        around
+            .ledger
+            .register(!broken, version, |id| match (broken, whole) {
+                (true, _) => documents::invalid(id, known, version),
+                (false, true) => documents::replacement(id, known, version),
+                (false, false) => documents::update(id, known, version),
+            })
     }
 
     fn send(&mut self, around: &mut Surroundings<'_>) {
@@ -171,10 +185,19 @@
             Task::Order(id) => {
                 let order = around.ledger.order(id).order.clone();
                 let (path, base_version, body) = (order.path, order.base_version, order.body);
-                (Asked::Order(id), RelayedCall::Order { path, base_version, body })
+                (
+                    Asked::Order(id),
+                    RelayedCall::Order {
+                        path,
+                        base_version,
+                        body,
+                    },
+                )
             }
         };
-        let first = self.first.filter(|first| self.last.is_none() && around.listed.contains(first));
+        let first = self
+            .first
+            .filter(|first| self.last.is_none() && around.listed.contains(first));
         let Some(target) = first.or_else(|| around.another(self.last)) else {
             self.wake_at = around.now.after(MOST_BACKOFF);
             return;
@@ -182,20 +205,31 @@
         self.last = Some(target);
         let call = around.new_call();
         around.ledger.on_call(around.now, call, asked);
-        self.in_flight = Some(InFlight { call, sent: around.now });
+        self.in_flight = Some(InFlight {
+            call,
+            sent: around.now,
+        });
         around.outgoing.push((target, Packet::Call(call, question)));
     }
 
     /// A call has ended.
     pub fn on_reply(&mut self, around: &mut Surroundings<'_>, call: CallId, reply: &Reply) {
-        if self.in_flight.is_none_or(|in_flight| in_flight.call != call) {
+        if self
+            .in_flight
+            .is_none_or(|in_flight| in_flight.call != call)
+        {
             return;
         }
         self.in_flight = None;
         match (self.task, reply) {
             (Task::Order(id), Reply::Answer { status: 200, .. }) => self.on_taken(around, id),
             (Task::Order(_), Reply::Answer { status: 412, .. }) => self.begin_describe(around),
-            (Task::Order(_), Reply::Answer { status: 400..=499, .. }) => self.rest(around),
+            (
+                Task::Order(_),
+                Reply::Answer {
+                    status: 400..=499, ..
+                },
+            ) => self.rest(around),
             (Task::Describe, Reply::Answer { status: 200, body }) => {
                 self.known = version_of(body);
                 self.rest(around);
@@ -221,14 +255,18 @@
     fn rest(&mut self, around: &mut Surroundings<'_>) {
         self.task = Task::Rest;
         self.backoff = LEAST_BACKOFF;
-        let rest = around.random.u64(self.pace.least_rest..=self.pace.most_rest);
+        let rest = around
+            .random
+            .u64(self.pace.least_rest..=self.pace.most_rest);
         let at = around.now.after(rest);
         let step = self.pace.in_step.max(1);
         self.wake_at = Time(at.0.div_ceil(step) * step);
     }
 
     fn back_off(&mut self, around: &mut Surroundings<'_>) {
-        self.wake_at = around.now.after(self.backoff / 2 + around.random.u64(0..=self.backoff / 2));
+        self.wake_at = around
+            .now
+            .after(self.backoff / 2 + around.random.u64(0..=self.backoff / 2));
         self.backoff = (self.backoff * 2).min(MOST_BACKOFF);
     }
 }
--- a/simulator/src/callers/reader.rs
+++ b/simulator/src/callers/reader.rs
@@ -28,7 +28,8 @@
 
     /// When [`Self::on_wake`] has something to do.
     pub fn next_wake(&self) -> Time {
-        self.in_flight.map_or(self.wake_at, |(_, sent)| sent.after(CALL_TIMEOUT))
+        self.in_flight
+            .map_or(self.wake_at, |(_, sent)| sent.after(CALL_TIMEOUT))
     }
 
     /// Time has passed.
@@ -39,11 +40,15 @@
         self.in_flight = None;
         self.wake_at = around.now.after(MOST_REST);
         let first = self.first.filter(|_| around.random.bool());
-        let Some(target) = first.or_else(|| around.another(None)) else { return };
+        let Some(target) = first.or_else(|| around.another(None)) else {
+            return;
+        };
         let call = around.new_call();
         around.ledger.on_call(around.now, call, Asked::Describe);
         self.in_flight = Some((call, around.now));
-        around.outgoing.push((target, Packet::Call(call, RelayedCall::Describe)));
+        around
+            .outgoing
+            .push((target, Packet::Call(call, RelayedCall::Describe)));
     }
 
     /// A call has ended.
--- a/simulator/src/callers/router.rs
+++ b/simulator/src/callers/router.rs
@@ -1,6 +1,9 @@
-//! A model router: it holds one connection to a control machine and applies what is pushed, by `docs/design/control.md`, section 8.
+//! A model router: it holds one connection to a control machine and applies what is pushed, by
+//! `docs/design/control.md`, section 8.
 
-use lichenswitch_messages::{ConfigurationPosition, ControlToRouter, RouterToControl, PROTOCOL_VERSION};
+use lichenswitch_messages::{
+    ConfigurationPosition, ControlToRouter, RouterToControl, PROTOCOL_VERSION,
+};
 use lichenswitch_replication::Time;
 
 use super::Surroundings;
@@ -14,7 +17,8 @@
 const UNCONFIRMED_AFTER: u64 = 3_000_000;
 /// Between two connections, in microseconds.
 const RETRY: u64 = 50_000;
-/// A configuration that was acknowledged so many microseconds ago is to be in force (`configApplyMs`).
+/// A configuration that was acknowledged so many microseconds ago is to be in force
+/// (`configApplyMs`).
 pub const APPLY_BOUND: u64 = 2_000_000;
 
 #[derive(Debug)]
@@ -79,7 +83,9 @@
     /// When [`Self::on_wake`] has something to do.
     pub fn next_wake(&self) -> Time {
         let connection = self.connection.as_ref();
-        let wake = connection.map_or(self.retry_at, |connection| connection.good_at.after(SILENCE));
+        let wake = connection.map_or(self.retry_at, |connection| {
+            connection.good_at.after(SILENCE)
+        });
         match self.offered {
             Some(_) => wake.min(self.started.after(UNCONFIRMED_AFTER)),
             None => wake,
@@ -88,9 +94,14 @@
 
     /// Time has passed.
     pub fn on_wake(&mut self, around: &mut Surroundings<'_>) {
-        let bad = self.connection.as_ref().filter(|c| around.now.since(c.good_at) >= SILENCE);
+        let bad = self
+            .connection
+            .as_ref()
+            .filter(|c| around.now.since(c.good_at) >= SILENCE);
         if let Some((id, to)) = bad.map(|connection| (connection.id, connection.to)) {
-            around.notes.push(format!("leaves {to}: silent or without contact"));
+            around
+                .notes
+                .push(format!("leaves {to}: silent or without contact"));
             around.outgoing.push((to, Packet::FromRouter(id, None)));
             self.close(around.now);
         }
@@ -112,11 +123,18 @@
     fn connect(&mut self, around: &mut Surroundings<'_>) {
         self.retry_at = around.now.after(RETRY);
         let first = self.first.take();
-        let Some(to) = first.or_else(|| around.another(self.last)) else { return };
+        let Some(to) = first.or_else(|| around.another(self.last)) else {
+            return;
+        };
         self.last = Some(to);
         around.notes.push(format!("connects to {to}"));
         let id = around.new_connection();
-        self.connection = Some(Connection { id, to, in_contact: false, good_at: around.now });
+        self.connection = Some(Connection {
+            id,
+            to,
+            in_contact: false,
+            good_at: around.now,
+        });
         let hello = RouterToControl::Hello {
             protocol: PROTOCOL_VERSION,
             node: self.host.to_string(),
@@ -124,7 +142,9 @@
             process: u64::from(self.host.0),
             configuration: self.in_force.as_ref().map(|held| held.position),
         };
-        around.outgoing.push((to, Packet::FromRouter(id, Some(hello))));
+        around
+            .outgoing
+            .push((to, Packet::FromRouter(id, Some(hello))));
     }
 
     /// The control machine has said something, or closed the connection.
@@ -134,7 +154,11 @@
         id: ConnectionId,
         message: Option<ControlToRouter>,
     ) {
-        let Some(connection) = self.connection.as_mut().filter(|connection| connection.id == id) else {
+        let Some(connection) = self
+            .connection
+            .as_mut()
+            .filter(|connection| connection.id == id)
+        else {
             return;
         };
         match message {
@@ -146,17 +170,32 @@
                     self.take_offered(around);
                 }
             }
-            Some(ControlToRouter::Configuration { position, document, .. }) => {
+            Some(ControlToRouter::Configuration {
+                position, document, ..
+            }) => {
                 let version = version_of(&document).unwrap_or(0);
-                self.on_configuration(around, Held { position, version, document });
+                self.on_configuration(
+                    around,
+                    Held {
+                        position,
+                        version,
+                        document,
+                    },
+                );
             }
             Some(ControlToRouter::Servers { .. }) => {}
         }
     }
 
     fn on_configuration(&mut self, around: &mut Surroundings<'_>, held: Held) {
-        let newer = self.in_force.as_ref().is_none_or(|before| before.position < held.position);
-        let in_contact = self.connection.as_ref().is_some_and(|connection| connection.in_contact);
+        let newer = self
+            .in_force
+            .as_ref()
+            .is_none_or(|before| before.position < held.position);
+        let in_contact = self
+            .connection
+            .as_ref()
+            .is_some_and(|connection| connection.in_contact);
         let late = around.now.since(self.started) >= UNCONFIRMED_AFTER;
         if !newer {
             return;
@@ -166,32 +205,51 @@
         }
         if self.in_force.is_none() && in_contact {
             let long_ago = Time(around.now.0.saturating_sub(APPLY_BOUND));
-            around.ledger.on_handed_as_current(self.host, &held.document, long_ago);
+            around
+                .ledger
+                .on_handed_as_current(self.host, &held.document, long_ago);
         }
         self.apply(around, held);
     }
 
     fn keep_offer(&mut self, held: Held) {
-        let newest = self.offered.as_ref().is_none_or(|(_, before)| before.position < held.position);
-        let connection = self.connection.as_ref().filter(|_| newest).map(|connection| connection.id);
+        let newest = self
+            .offered
+            .as_ref()
+            .is_none_or(|(_, before)| before.position < held.position);
+        let connection = self
+            .connection
+            .as_ref()
+            .filter(|_| newest)
+            .map(|connection| connection.id);
         if let Some(connection) = connection {
             self.offered = Some((connection, held));
         }
     }
 
-    /// What was offered by this machine before it was in contact is current now. What another offered may be old.
+    /// What was offered by this machine before it was in contact is current now. What another
+    /// offered may be old.
     fn take_offered(&mut self, around: &mut Surroundings<'_>) {
         let here = self.connection.as_ref().map(|connection| connection.id);
-        if let Some((_, offered)) = self.offered.take_if(|(connection, _)| Some(*connection) == here) {
+        if let Some((_, offered)) = self
+            .offered
+            .take_if(|(connection, _)| Some(*connection) == here)
+        {
             self.on_configuration(around, offered);
         }
     }
 
     fn apply(&mut self, around: &mut Surroundings<'_>, held: Held) {
-        if self.in_force.as_ref().is_some_and(|before| before.position >= held.position) {
+        if self
+            .in_force
+            .as_ref()
+            .is_some_and(|before| before.position >= held.position)
+        {
             return;
         }
-        around.ledger.on_in_force(self.host, self.version(), &held.document);
+        around
+            .ledger
+            .on_in_force(self.host, self.version(), &held.document);
         around.notes.push(format!("puts {} in force", held.version));
         self.in_force = Some(held);
         self.offered = None;
--- a/simulator/src/control/mod.rs
+++ b/simulator/src/control/mod.rs
@@ -1,16 +1,20 @@
-//! One control process: the replica, and a thin glue round it by the table of `docs/design/control.md`, section 4.
+//! One control process: the replica, and a thin glue round it by the table of
+//! `docs/design/control.md`, section 4.
 //!
-//! It owns what the role `control` decides, without sockets and files: what is to be done comes back as [`Effect`]s.
+//! It owns what the role `control` decides, without sockets and files: what is to be done comes
+//! back as [`Effect`]s.
 
 mod routers;
 mod state;
 
 use lichenswitch_configuration::{judge_alone, Order};
 use lichenswitch_control::{
-    answer, configuration_position, describe, Change, Committed, Eligibility, Faults, OwnPart, Primary,
-    Question, View,
+    answer, configuration_position, describe, Change, Committed, Eligibility, Faults, OwnPart,
+    Primary, Question, View,
+};
+use lichenswitch_messages::{
+    ControlToRouter, PeerMessage, RelayedAnswer, RelayedCall, RouterToControl,
 };
-use lichenswitch_messages::{ControlToRouter, PeerMessage, RelayedAnswer, RelayedCall, RouterToControl};
 use lichenswitch_replication::{
     DurableItem, Identity, Message, Notice, Output, Position, Replica, Ticket, Time,
 };
@@ -88,7 +92,8 @@
 }
 
 impl ControlProcess {
-    /// A process round a replica. `first_call` is above all numbers that earlier processes gave their calls.
+    /// A process round a replica. `first_call` is above all numbers that earlier processes gave
+    /// their calls.
     pub fn new(replica: Replica<Replicated>, faults: GlueFaults, first_call: u64) -> Self {
         Self {
             replica,
@@ -103,7 +108,8 @@
         }
     }
 
-    /// The machine has no disk: it stands in for those with one, in a group that must bear so many losses.
+    /// The machine has no disk: it stands in for those with one, in a group that must bear so many
+    /// losses.
     pub fn stand_in(&mut self, now: Time, tolerated: u32) {
         self.own_part = Some(OwnPart::new(Eligibility::StandIn, now, tolerated as usize));
     }
@@ -132,13 +138,25 @@
                 self.replica.on_message(now, message);
             }
             PeerMessage::Call { id, call } => {
-                let origin = Origin::Peer { address: from.to_owned(), id };
+                let origin = Origin::Peer {
+                    address: from.to_owned(),
+                    id,
+                };
                 match Question::of_relayed(call) {
-                    Some(question) => self.take_call(now, Call { origin, question, arrived: now }),
+                    Some(question) => self.take_call(
+                        now,
+                        Call {
+                            origin,
+                            question,
+                            arrived: now,
+                        },
+                    ),
                     None => self.end_call(origin, RelayedAnswer::NotPrimary),
                 }
             }
-            PeerMessage::Answer { id, answer } => self.calls.on_answer(now, &from.to_owned(), id, answer),
+            PeerMessage::Answer { id, answer } => {
+                self.calls.on_answer(now, &from.to_owned(), id, answer)
+            }
             _ => {}
         }
     }
@@ -160,7 +178,14 @@
         }
         match self.answer_without_contact(&question) {
             Some(answer) => self.end_call(origin, answer),
-            None => self.take_call(now, Call { origin, question, arrived: now }),
+            None => self.take_call(
+                now,
+                Call {
+                    origin,
+                    question,
+                    arrived: now,
+                },
+            ),
         }
     }
 
@@ -184,8 +209,14 @@
             None => self.routers.on_closed(id),
             Some(RouterToControl::Hello { configuration, .. }) => {
                 let (in_contact, committed) = (self.in_contact(now), self.committed());
-                let pushes = self.routers.on_hello(id, configuration, in_contact, committed.as_ref());
-                self.effects.extend(pushes.into_iter().map(|(id, push)| Effect::ToRouter(id, push)));
+                let pushes =
+                    self.routers
+                        .on_hello(id, configuration, in_contact, committed.as_ref());
+                self.effects.extend(
+                    pushes
+                        .into_iter()
+                        .map(|(id, push)| Effect::ToRouter(id, push)),
+                );
             }
             Some(RouterToControl::Applied { .. }) => {}
         }
@@ -240,19 +271,32 @@
             }
         }
         self.tell_routers(now);
-        if relays || self.end_at.is_some_and(|at| at <= now || self.replica.has_left()) {
+        if relays
+            || self
+                .end_at
+                .is_some_and(|at| at <= now || self.replica.has_left())
+        {
             self.effects.push(Effect::End);
         }
         std::mem::take(&mut self.effects)
     }
 
-    /// Whether a machine without a disk has left the group to those with one: it holds nothing that matters any more.
+    /// Whether a machine without a disk has left the group to those with one: it holds nothing that
+    /// matters any more.
     fn look_at_own_part(&mut self, now: Time) -> bool {
-        let Some(own_part) = &mut self.own_part else { return false };
+        let Some(own_part) = &mut self.own_part else {
+            return false;
+        };
         let voters = &self.replica.membership().voters;
-        let durable_voters =
-            voters.iter().filter(|voter| !self.without_disk.contains(&voter.identity)).count();
-        let view = View { takes_part: true, has_left: self.replica.has_left(), durable_voters };
+        let durable_voters = voters
+            .iter()
+            .filter(|voter| !self.without_disk.contains(&voter.identity))
+            .count();
+        let view = View {
+            takes_part: true,
+            has_left: self.replica.has_left(),
+            durable_voters,
+        };
         match own_part.look(now, view) {
             Some(Change::Leave) => self.replica.leave(now),
             Some(Change::Relay) => return true,
@@ -266,7 +310,11 @@
             return Primary::Here;
         }
         let here = &self.replica.member().address;
-        match self.replica.primary().filter(|primary| &primary.address != here) {
+        match self
+            .replica
+            .primary()
+            .filter(|primary| &primary.address != here)
+        {
             Some(primary) => Primary::At(primary.address.clone()),
             None => Primary::Unknown,
         }
@@ -275,7 +323,8 @@
     fn do_action(&mut self, action: Action) {
         match action {
             Action::Send { to, id, call } => {
-                self.effects.push(Effect::SendPeer(to, PeerMessage::Call { id, call }));
+                self.effects
+                    .push(Effect::SendPeer(to, PeerMessage::Call { id, call }));
             }
             Action::Answer { call, answer, .. } => self.end_call(call.origin, answer),
         }
@@ -283,7 +332,9 @@
 
     fn end_call(&mut self, origin: Origin, answer: RelayedAnswer) {
         let effect = match origin {
-            Origin::Peer { address, id } => Effect::SendPeer(address, PeerMessage::Answer { id, answer }),
+            Origin::Peer { address, id } => {
+                Effect::SendPeer(address, PeerMessage::Answer { id, answer })
+            }
             Origin::Caller(id) => {
                 self.open_calls.retain(|open| *open != id);
                 Effect::Reply(id, reply_of(answer))
@@ -298,19 +349,25 @@
             if outputs.is_empty() {
                 return;
             }
-            outputs.into_iter().for_each(|output| self.do_output(now, output));
+            outputs
+                .into_iter()
+                .for_each(|output| self.do_output(now, output));
         }
     }
 
     fn do_output(&mut self, now: Time, output: Output) {
         let effect = match output {
-            Output::Send { to, message } => Effect::SendPeer(to, PeerMessage::Replication(message.encode())),
+            Output::Send { to, message } => {
+                Effect::SendPeer(to, PeerMessage::Replication(message.encode()))
+            }
             Output::Persist { ticket, item } => Effect::Persist(ticket, item),
             Output::Committed(position) => Effect::Committed(position),
             Output::Notice(notice) => Effect::Notice(notice),
             Output::Settled { request, outcome } => {
                 let status = |_: &Replica<Replicated>| Vec::new();
-                return self.calls.on_settled(now, request, &outcome, &mut self.replica, status);
+                return self
+                    .calls
+                    .on_settled(now, request, &outcome, &mut self.replica, status);
             }
         };
         self.effects.push(effect);
@@ -319,20 +376,34 @@
     fn tell_routers(&mut self, now: Time) {
         let mut pushes = Vec::new();
         // What is new comes before the word that all that was sent is current.
-        if self.effects.iter().any(|effect| matches!(effect, Effect::Committed(_))) {
+        if self
+            .effects
+            .iter()
+            .any(|effect| matches!(effect, Effect::Committed(_)))
+        {
             if let Some(committed) = self.committed() {
                 pushes.extend(self.routers.push(&committed));
             }
         }
         let in_contact = self.in_contact(now);
         pushes.extend(self.routers.tick(now, in_contact));
-        self.effects.extend(pushes.into_iter().map(|(id, push)| Effect::ToRouter(id, push)));
+        self.effects.extend(
+            pushes
+                .into_iter()
+                .map(|(id, push)| Effect::ToRouter(id, push)),
+        );
     }
 
     fn in_contact(&self, now: Time) -> bool {
         match self.faults {
-            GlueFaults { always_in_contact: true, .. } => true,
-            GlueFaults { contact_while_behind: true, .. } => self.replica.in_contact(now),
+            GlueFaults {
+                always_in_contact: true,
+                ..
+            } => true,
+            GlueFaults {
+                contact_while_behind: true,
+                ..
+            } => self.replica.in_contact(now),
             _ => self.replica.is_current(now),
         }
     }
@@ -341,7 +412,11 @@
         let (position, committed) = self.replica.committed()?;
         let document = committed.state().document()?;
         let (position, version) = (configuration_position(position), document.version());
-        Some(Committed { position, version, document: document.to_json().into() })
+        Some(Committed {
+            position,
+            version,
+            document: document.to_json().into(),
+        })
     }
 }
 
@@ -355,7 +430,10 @@
 fn reply_of(answer: RelayedAnswer) -> Reply {
     match answer {
         RelayedAnswer::Answer { status, body } => Reply::Answer { status, body },
-        RelayedAnswer::NotPrimary => Reply::Answer { status: 503, body: Vec::new() },
+        RelayedAnswer::NotPrimary => Reply::Answer {
+            status: 503,
+            body: Vec::new(),
+        },
         RelayedAnswer::Unknown => Reply::Closed,
     }
 }
--- a/simulator/src/control/routers.rs
+++ b/simulator/src/control/routers.rs
@@ -32,8 +32,15 @@
     ) -> Vec<Push> {
         self.connected.insert(id, Pushes::new(holds));
         let heartbeat = self.heartbeat(in_contact);
-        let first = self.connected.get_mut(&id).map(|pushes| pushes.greet(committed, heartbeat));
-        first.into_iter().flatten().map(|message| (id, message)).collect()
+        let first = self
+            .connected
+            .get_mut(&id)
+            .map(|pushes| pushes.greet(committed, heartbeat));
+        first
+            .into_iter()
+            .flatten()
+            .map(|message| (id, message))
+            .collect()
     }
 
     /// A router's connection is gone.
@@ -53,17 +60,26 @@
         }
         self.heartbeat_at = now.after(HEARTBEAT);
         self.told_contact = in_contact;
-        self.connections().into_iter().map(|id| (id, self.heartbeat(in_contact))).collect()
+        self.connections()
+            .into_iter()
+            .map(|id| (id, self.heartbeat(in_contact)))
+            .collect()
     }
 
     fn heartbeat(&self, in_contact: bool) -> ControlToRouter {
         let routers = self.connected.len() as u32;
-        ControlToRouter::Heartbeat { in_contact, control: Vec::new(), routers }
+        ControlToRouter::Heartbeat {
+            in_contact,
+            control: Vec::new(),
+            routers,
+        }
     }
 
     /// A configuration has been committed: those that lack it get it.
     pub(super) fn push(&mut self, committed: &Committed) -> Vec<Push> {
-        let push = |(id, pushes): (&ConnectionId, &mut Pushes)| Some((*id, pushes.configuration(committed)?));
+        let push = |(id, pushes): (&ConnectionId, &mut Pushes)| {
+            Some((*id, pushes.configuration(committed)?))
+        };
         self.connected.iter_mut().filter_map(push).collect()
     }
 
--- a/simulator/src/control/state.rs
+++ b/simulator/src/control/state.rs
@@ -17,7 +17,10 @@
 impl Replicated {
     /// An empty state. `forgets_history`: a planted fault, by which the history does not travel.
     pub fn new(forgets_history: bool) -> Self {
-        Self { forgets_history, ..Self::default() }
+        Self {
+            forgets_history,
+            ..Self::default()
+        }
     }
 
     /// The state.
@@ -46,9 +49,14 @@
     }
 
     fn decode(bytes: &[u8]) -> Result<Self, StateError> {
-        let (forgets, bytes) = bytes.split_last().ok_or_else(|| StateError::new("no bytes"))?;
+        let (forgets, bytes) = bytes
+            .split_last()
+            .ok_or_else(|| StateError::new("no bytes"))?;
         let inner = lichenswitch_control::Replicated::decode(bytes)?;
-        Ok(Self { inner, forgets_history: *forgets == 1 })
+        Ok(Self {
+            inner,
+            forgets_history: *forgets == 1,
+        })
     }
 
     fn apply(&mut self, change: &[u8]) -> Result<(), StateError> {
--- a/simulator/src/disk.rs
+++ b/simulator/src/disk.rs
@@ -1,7 +1,9 @@
-//! A disk under one control process: a queue that is written and synced batch by batch, with troubles and losses of power.
+//! A disk under one control process: a queue that is written and synced batch by batch, with
+//! troubles and losses of power.
 //!
-//! It keeps the promises of `lichenswitch-storage` (an image takes the place of all before it once it is whole; a torn or missing record
-//! ends the chain; what is found at a start is synced before it is used), and nothing beyond them.
+//! It keeps the promises of `lichenswitch-storage` (an image takes the place of all before it once
+//! it is whole; a torn or missing record ends the chain; what is found at a start is synced before
+//! it is used), and nothing beyond them.
 
 use std::collections::VecDeque;
 
@@ -86,14 +88,23 @@
     }
 
     fn duration(&self, random: &mut Rng) -> u64 {
-        let slow = if let DiskTrouble::Slow(more) = self.trouble { more } else { 0 };
+        let slow = if let DiskTrouble::Slow(more) = self.trouble {
+            more
+        } else {
+            0
+        };
         SYNC + random.u64(0..SYNC_JITTER) + slow
     }
 
     /// The time of the batch has passed.
     pub fn finish(&mut self, random: &mut Rng) -> Finished {
-        let tickets = (self.batch.first().map(|job| job.ticket), self.batch.last().map(|job| job.ticket));
-        let (Some(first), Some(last)) = tickets else { return Finished::Waits };
+        let tickets = (
+            self.batch.first().map(|job| job.ticket),
+            self.batch.last().map(|job| job.ticket),
+        );
+        let (Some(first), Some(last)) = tickets else {
+            return Finished::Waits;
+        };
         match self.trouble {
             DiskTrouble::Stalled => Finished::Waits,
             DiskTrouble::Full => {
--- a/simulator/src/documents.rs
+++ b/simulator/src/documents.rs
@@ -11,27 +11,44 @@
 
 /// An order that brings a whole configuration.
 pub fn replacement(id: OrderId, base_version: u64, version: u64) -> Order {
-    let others: Vec<String> =
-        (0..ROUTES).map(|number| route(&format!("r-{number}"), &format!("/r{number}/"))).collect();
+    let others: Vec<String> = (0..ROUTES)
+        .map(|number| route(&format!("r-{number}"), &format!("/r{number}/")))
+        .collect();
     let routes = format!("{},{}", marker(id), others.join(","));
     let body = format!(
         "{{\"version\":{version},\"routes\":[{routes}],\"services\":[{{\"name\":\"s\",\"maxConnections\":9}}],\
          \"limits\":{{\"maxHeaderBytes\":16384,\"maxBodyBytes\":4194304,\"headerTimeoutMs\":3000,\"idleTimeoutMs\":15000}}}}"
     );
-    Order { path: REPLACE_PATH.to_owned(), base_version, body: body.into_bytes() }
+    Order {
+        path: REPLACE_PATH.to_owned(),
+        base_version,
+        body: body.into_bytes(),
+    }
 }
 
 /// An order that changes a route.
 pub fn update(id: OrderId, base_version: u64, version: u64) -> Order {
-    let body = format!("{{\"version\":{version},\"upserts\":{{\"routes\":[{}]}}}}", marker(id));
-    Order { path: UPDATE_PATH.to_owned(), base_version, body: body.into_bytes() }
+    let body = format!(
+        "{{\"version\":{version},\"upserts\":{{\"routes\":[{}]}}}}",
+        marker(id)
+    );
+    Order {
+        path: UPDATE_PATH.to_owned(),
+        base_version,
+        body: body.into_bytes(),
+    }
 }
 
 /// An order that nobody may take: a route of a service that is not known.
 pub fn invalid(id: OrderId, base_version: u64, version: u64) -> Order {
     let order = update(id, base_version, version);
     let text = String::from_utf8(order.body).expect("the body is text");
-    Order { body: text.replace("\"service\":\"s\"", "\"service\":\"nowhere\"").into_bytes(), ..order }
+    Order {
+        body: text
+            .replace("\"service\":\"s\"", "\"service\":\"nowhere\"")
+            .into_bytes(),
+        ..order
+    }
 }
 
 fn marker(id: OrderId) -> String {
