--- a/simulator/src/ledger.rs
+++ b/simulator/src/ledger.rs
@@ -1,6 +1,7 @@
 //! What the control machines told, and the rules by which it is judged.
 //!
-//! An answer counts from the moment in which it is given, also if it is lost on its way: that is stricter than what callers see.
+//! An answer counts from the moment in which it is given, also if it is lost on its way: that is
+//! stricter than what callers see.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hasher};
@@ -30,7 +31,9 @@
     #[error("order {0:?} is proper, and was refused with {1}")]
     ProperRefused(OrderId, u16),
     /// `describe` is older than what was told before it was asked.
-    #[error("describe at {machine} told version {told}, and {known} had been told before it was asked")]
+    #[error(
+        "describe at {machine} told version {told}, and {known} had been told before it was asked"
+    )]
     DescribeOld {
         /// Who answered.
         machine: Host,
@@ -89,7 +92,9 @@
     #[error("order {0:?} has waited {1} ms with a stable core")]
     OrderOverdue(OrderId, u64),
     /// A router lacks an acknowledged change though the core was stable.
-    #[error("router {router} has version {has:?} in force, and {lacks} was acknowledged {ago} ms ago")]
+    #[error(
+        "router {router} has version {has:?} in force, and {lacks} was acknowledged {ago} ms ago"
+    )]
     RouterOverdue {
         /// The router.
         router: Host,
@@ -174,12 +179,25 @@
 
 impl Ledger {
     /// A new order, made by its number.
-    pub fn register(&mut self, proper: bool, version: u64, make: impl FnOnce(OrderId) -> Order) -> OrderId {
+    pub fn register(
+        &mut self,
+        proper: bool,
+        version: u64,
+        make: impl FnOnce(OrderId) -> Order,
+    ) -> OrderId {
         let id = OrderId(self.orders.len() as u32);
         let order = make(id);
         let digest = order.digest();
         let (sent_at, acknowledged_at, refused) = (None, None, false);
-        self.orders.push(OrderEntry { order, digest, version, proper, sent_at, acknowledged_at, refused });
+        self.orders.push(OrderEntry {
+            order,
+            digest,
+            version,
+            proper,
+            sent_at,
+            acknowledged_at,
+            refused,
+        });
         id
     }
 
@@ -190,7 +208,10 @@
 
     /// All orders.
     pub fn orders(&self) -> impl Iterator<Item = (OrderId, &OrderEntry)> {
-        self.orders.iter().enumerate().map(|(number, entry)| (OrderId(number as u32), entry))
+        self.orders
+            .iter()
+            .enumerate()
+            .map(|(number, entry)| (OrderId(number as u32), entry))
     }
 
     /// A call is sent.
@@ -198,12 +219,20 @@
         if let Asked::Order(order) = asked {
             self.orders[order.0 as usize].sent_at.get_or_insert(now);
         }
-        self.calls.insert(id, OpenCall { asked, known: self.told });
+        self.calls.insert(
+            id,
+            OpenCall {
+                asked,
+                known: self.told,
+            },
+        );
     }
 
     /// A control machine ends a call; whether it acknowledges an order.
     pub fn on_reply(&mut self, now: Time, machine: Host, id: CallId, reply: &Reply) -> bool {
-        let Some(call) = self.calls.remove(&id) else { return false };
+        let Some(call) = self.calls.remove(&id) else {
+            return false;
+        };
         let (status, body): (u16, &[u8]) = match reply {
             Reply::Answer { status, body } => (*status, body),
             Reply::Closed => (0, &[]),
@@ -225,7 +254,8 @@
             self.violations.push(Violation::InvalidAcknowledged(id));
         }
         if entry.refused {
-            self.violations.push(Violation::AcknowledgedAndRefused(id, 412));
+            self.violations
+                .push(Violation::AcknowledgedAndRefused(id, 412));
         }
         if entry.acknowledged_at.is_none() {
             entry.acknowledged_at = Some(now);
@@ -236,7 +266,8 @@
         self.told = self.told.max(version);
         let first = *self.by_base.entry(base).or_insert(id);
         if first != id {
-            self.violations.push(Violation::TwoOnOneBase(first, id, base));
+            self.violations
+                .push(Violation::TwoOnOneBase(first, id, base));
         }
     }
 
@@ -244,7 +275,8 @@
         let entry = &mut self.orders[id.0 as usize];
         entry.refused = true;
         if entry.acknowledged_at.is_some() {
-            self.violations.push(Violation::AcknowledgedAndRefused(id, status));
+            self.violations
+                .push(Violation::AcknowledgedAndRefused(id, status));
         }
         if entry.proper && status != 412 {
             self.violations.push(Violation::ProperRefused(id, status));
@@ -257,10 +289,15 @@
     fn on_described(&mut self, machine: Host, known: u64, body: &[u8]) {
         let told = version_of(body).unwrap_or(0);
         if told < known {
-            self.violations.push(Violation::DescribeOld { machine, told, known });
+            self.violations.push(Violation::DescribeOld {
+                machine,
+                told,
+                known,
+            });
         }
         if self.documents.get(&told) != Some(&hash(body)) {
-            self.violations.push(Violation::DescribeForeign(machine, told));
+            self.violations
+                .push(Violation::DescribeForeign(machine, told));
         }
         self.told = self.told.max(told);
     }
@@ -268,22 +305,35 @@
     /// A control machine knows a position as committed.
     pub fn on_committed(&mut self, machine: Host, position: Position, replicated: &Replicated) {
         let digest = hash(&replicated.encode());
-        let (there, first) = *self.committed.entry(position.number).or_insert((position, digest));
+        let (there, first) = *self
+            .committed
+            .entry(position.number)
+            .or_insert((position, digest));
         if there != position || first != digest {
             let (number, here) = (position.number, position);
-            self.violations.push(Violation::TwoStates { number, machine, here, there });
+            self.violations.push(Violation::TwoStates {
+                number,
+                machine,
+                here,
+                there,
+            });
         }
         if let Some(document) = replicated.state().document() {
-            self.documents.entry(document.version()).or_insert_with(|| hash(&document.to_json()));
+            self.documents
+                .entry(document.version())
+                .or_insert_with(|| hash(&document.to_json()));
         }
     }
 
     /// A router has put a configuration in force.
     pub fn on_in_force(&mut self, router: Host, before: Option<u64>, document: &[u8]) {
-        let (Some(to), Some(order)) = (version_of(document), order_of(document)) else { return };
+        let (Some(to), Some(order)) = (version_of(document), order_of(document)) else {
+            return;
+        };
         self.in_force.insert(order);
         if let Some(from) = before.filter(|from| *from > to) {
-            self.violations.push(Violation::RouterWentBack { router, from, to });
+            self.violations
+                .push(Violation::RouterWentBack { router, from, to });
         }
         let committed = self.documents.get(&to) == Some(&hash(document));
         if self.order(order).refused || !committed {
@@ -291,24 +341,34 @@
         }
     }
 
-    /// A starting router was handed a configuration as current by a machine that said it was in contact.
+    /// A starting router was handed a configuration as current by a machine that said it was in
+    /// contact.
     pub fn on_handed_as_current(&mut self, router: Host, document: &[u8], long_ago: Time) {
         let handed = version_of(document).unwrap_or(0);
         let known = self.acknowledged_before(long_ago);
         if handed < known {
-            self.violations.push(Violation::HandedOld { router, handed, known });
+            self.violations.push(Violation::HandedOld {
+                router,
+                handed,
+                known,
+            });
         }
     }
 
     /// Newest version that was acknowledged by this time; 0 if none.
     pub fn acknowledged_before(&self, time: Time) -> u64 {
         let after = self.acknowledged.partition_point(|(at, _)| *at <= time);
-        after.checked_sub(1).map_or(0, |last| self.acknowledged[last].1)
+        after
+            .checked_sub(1)
+            .map_or(0, |last| self.acknowledged[last].1)
     }
 
     /// When this version or a newer one was acknowledged first.
     pub fn acknowledged_at(&self, version: u64) -> Option<Time> {
-        self.acknowledged.iter().find(|(_, newer)| *newer >= version).map(|(at, _)| *at)
+        self.acknowledged
+            .iter()
+            .find(|(_, newer)| *newer >= version)
+            .map(|(at, _)| *at)
     }
 
     /// Versions that were acknowledged, with the time.
@@ -323,9 +383,15 @@
 
     /// Judges the state that the group holds at the end.
     pub fn check_end(&mut self, state: &State) {
-        let lost = |entry: &OrderEntry| entry.acknowledged_at.is_some() && !state.taken(&entry.digest);
-        let lost: Vec<OrderId> = self.orders().filter(|(_, entry)| lost(entry)).map(|(id, _)| id).collect();
-        self.violations.extend(lost.into_iter().map(Violation::Lost));
+        let lost =
+            |entry: &OrderEntry| entry.acknowledged_at.is_some() && !state.taken(&entry.digest);
+        let lost: Vec<OrderId> = self
+            .orders()
+            .filter(|(_, entry)| lost(entry))
+            .map(|(id, _)| id)
+            .collect();
+        self.violations
+            .extend(lost.into_iter().map(Violation::Lost));
     }
 }
 
--- a/simulator/src/lib.rs
+++ b/simulator/src/lib.rs
@@ -1,8 +1,9 @@
 //! Whole control groups in virtual time from a seed.
 //!
-//! It runs the code that decides ([`lichenswitch_replication`], [`lichenswitch_configuration`]) in control processes whose glue follows
-//! `docs/design/control.md`, section 4, on a network and disks with faults, under operators, readers and routers. A [`ledger::Ledger`]
-//! judges every answer. The same seed gives the same run, event by event.
+//! It runs the code that decides ([`lichenswitch_replication`], [`lichenswitch_configuration`]) in
+//! control processes whose glue follows `docs/design/control.md`, section 4, on a network and disks
+//! with faults, under operators, readers and routers. A [`ledger::Ledger`] judges every answer. The
+//! same seed gives the same run, event by event.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/simulator/src/main.rs
+++ b/simulator/src/main.rs
@@ -38,7 +38,8 @@
         /// Readers of the configuration.
         #[bpaf(argument("NUMBER"), fallback(1))]
         readers: u32,
-        /// The faults overlap, and more is lost at a time than service has to bear, but for the disks.
+        /// The faults overlap, and more is lost at a time than service has to bear, but for the
+        /// disks.
         overlaps: bool,
         /// Show the whole trace of each seed.
         trace: bool,
@@ -64,15 +65,34 @@
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let parts = text.split_once("..").ok_or("a range is FIRST..BEYOND")?;
-        let number = |text: &str| text.parse::<u64>().map_err(|error| format!("`{text}`: {error}"));
-        Ok(Self { first: number(parts.0)?, beyond: number(parts.1)? })
+        let number = |text: &str| {
+            text.parse::<u64>()
+                .map_err(|error| format!("`{text}`: {error}"))
+        };
+        Ok(Self {
+            first: number(parts.0)?,
+            beyond: number(parts.1)?,
+        })
     }
 }
 
 fn main() -> ExitCode {
     match command().run() {
-        Command::Walk { seeds, voters, tolerate, episodes, operators, readers, overlaps, trace } => {
-            let way = if overlaps { Way::Overlapping } else { Way::OneByOne };
+        Command::Walk {
+            seeds,
+            voters,
+            tolerate,
+            episodes,
+            operators,
+            readers,
+            overlaps,
+            trace,
+        } => {
+            let way = if overlaps {
+                Way::Overlapping
+            } else {
+                Way::OneByOne
+            };
             let world = WorldSettings {
                 voters,
                 tolerate,
@@ -111,10 +131,27 @@
 fn walk_seeds(seeds: SeedRange, like: &Walk, way: Way) -> ExitCode {
     let mut failed = 0;
     let (mut acknowledged, mut faults) = (0, 0);
-    let WorldSettings { voters, tolerate, operators, readers, trace, .. } = like.world;
-    let (episodes, flag) = (like.episodes, if way == Way::Overlapping { " --overlaps" } else { "" });
+    let WorldSettings {
+        voters,
+        tolerate,
+        operators,
+        readers,
+        trace,
+        ..
+    } = like.world;
+    let (episodes, flag) = (
+        like.episodes,
+        if way == Way::Overlapping {
+            " --overlaps"
+        } else {
+            ""
+        },
+    );
     for seed in seeds.first..seeds.beyond {
-        let world = WorldSettings { seed, ..like.world.clone() };
+        let world = WorldSettings {
+            seed,
+            ..like.world.clone()
+        };
         let walked = Walk { world, episodes };
         let end = way.walk(&walked);
         acknowledged += end.world.ledger.acknowledgements().len();
@@ -133,7 +170,9 @@
         }
     }
     let walked = seeds.beyond.saturating_sub(seeds.first);
-    println!("{walked} seeds, {failed} failed; {faults} faults, {acknowledged} acknowledged changes");
+    println!(
+        "{walked} seeds, {failed} failed; {faults} faults, {acknowledged} acknowledged changes"
+    );
     if failed == 0 {
         ExitCode::SUCCESS
     } else {
@@ -143,9 +182,19 @@
 
 /// Walks a failing seed again with a trace, and shows its end.
 fn show(walked: Walk, way: Way, whole: bool) {
-    let world = WorldSettings { trace: true, ..walked.world };
+    let world = WorldSettings {
+        trace: true,
+        ..walked.world
+    };
     let end = way.walk(&Walk { world, ..walked });
     let lines: Vec<&str> = end.world.trace().collect();
-    let skipped = if whole { 0 } else { lines.len().saturating_sub(TRACE_SHOWN) };
-    lines.iter().skip(skipped).for_each(|line| println!("  {line}"));
+    let skipped = if whole {
+        0
+    } else {
+        lines.len().saturating_sub(TRACE_SHOWN)
+    };
+    lines
+        .iter()
+        .skip(skipped)
+        .for_each(|line| println!("  {line}"));
 }
--- a/simulator/src/measure.rs
+++ b/simulator/src/measure.rs
@@ -13,7 +13,9 @@
     println!("Acknowledgement of an order, milliseconds of virtual time, from its first sending ({runs} runs each)");
     println!("| voters | orders | calm: median | calm: worst | after the primary's loss: median | worst |");
     println!("| --- | --- | --- | --- | --- | --- |");
-    GROUPS.iter().for_each(|(voters, tolerate)| print_acknowledgements(runs, *voters, *tolerate));
+    GROUPS
+        .iter()
+        .for_each(|(voters, tolerate)| print_acknowledgements(runs, *voters, *tolerate));
     println!();
     println!("Size of the state, and of the image that a wiped machine takes");
     println!("| changes | state, bytes | image, bytes | virtual time from its start until it holds it, ms |");
@@ -23,14 +25,21 @@
     println!("Messages and bytes that each control machine sends in a second");
     println!("| voters | idle: messages | idle: bytes | ten changes a second: messages | bytes |");
     println!("| --- | --- | --- | --- | --- |");
-    GROUPS.iter().for_each(|(voters, tolerate)| print_traffic(*voters, *tolerate));
+    GROUPS
+        .iter()
+        .for_each(|(voters, tolerate)| print_traffic(*voters, *tolerate));
 }
 
 fn group(seed: u64, voters: u32, tolerate: u32) -> WorldSettings {
-    WorldSettings { voters, tolerate, ..WorldSettings::new(seed) }
+    WorldSettings {
+        voters,
+        tolerate,
+        ..WorldSettings::new(seed)
+    }
 }
 
-/// Times from the first sending of orders to the acknowledgement, for those first sent in a stretch of time; sorted.
+/// Times from the first sending of orders to the acknowledgement, for those first sent in a stretch
+/// of time; sorted.
 fn waits(world: &World, from: Time, to: Time) -> Vec<u64> {
     let waited = world.ledger.orders().filter_map(|(_, entry)| {
         let (sent, acknowledged) = (entry.sent_at?, entry.acknowledged_at?);
@@ -59,32 +68,59 @@
     lost.sort_unstable();
     let orders = calm.len() + lost.len();
     let (calm, lost) = (shown(&calm), shown(&lost));
-    println!("| {voters} | {orders} | {} | {} | {} | {} |", calm.0, calm.1, lost.0, lost.1);
+    println!(
+        "| {voters} | {orders} | {} | {} | {} | {} |",
+        calm.0, calm.1, lost.0, lost.1
+    );
 }
 
 /// Median and worst, in milliseconds.
 fn shown(sorted: &[u64]) -> (String, String) {
-    let milliseconds = |at: Option<&u64>| at.map_or("-".to_owned(), |at| format!("{:.1}", *at as f64 / 1e3));
-    (milliseconds(sorted.get(sorted.len() / 2)), milliseconds(sorted.last()))
+    let milliseconds =
+        |at: Option<&u64>| at.map_or("-".to_owned(), |at| format!("{:.1}", *at as f64 / 1e3));
+    (
+        milliseconds(sorted.get(sorted.len() / 2)),
+        milliseconds(sorted.last()),
+    )
 }
 
 fn print_sizes(changes: usize) {
-    let pace = Pace { least_rest: 5_000, most_rest: 50_000, repeats: 0, invalid: 0, ..Pace::default() };
-    let mut world = World::new(WorldSettings { pace, operators: 1, ..WorldSettings::new(1) });
+    let pace = Pace {
+        least_rest: 5_000,
+        most_rest: 50_000,
+        repeats: 0,
+        invalid: 0,
+        ..Pace::default()
+    };
+    let mut world = World::new(WorldSettings {
+        pace,
+        operators: 1,
+        ..WorldSettings::new(1)
+    });
     while world.ledger.acknowledgements().len() < changes {
         world.run_for(SECOND / 10);
     }
-    world.operators_mut().for_each(lichenswitch_simulator::callers::Operator::stop);
+    world
+        .operators_mut()
+        .for_each(lichenswitch_simulator::callers::Operator::stop);
     world.run_for(6 * SECOND);
     let bytes = world.state_bytes();
     let (host, images) = (world.resolve(Target::Other(1)), world.counts.images);
     let Some(host) = host else { return };
     world.act_after(0, Action::Wipe(Target::This(host)));
-    let started =
-        run_until(&mut world, |world| world.status(host).is_some_and(|status| status.synced.is_none()));
+    let started = run_until(&mut world, |world| {
+        world
+            .status(host)
+            .is_some_and(|status| status.synced.is_none())
+    });
     let held = run_until(&mut world, |world| world.counts.images > images);
-    let took = started.zip(held).map_or(f64::NAN, |(started, held)| held.since(started) as f64 / 1e3);
-    println!("| {changes} | {bytes} | {} | {took:.1} |", world.counts.largest_image);
+    let took = started
+        .zip(held)
+        .map_or(f64::NAN, |(started, held)| held.since(started) as f64 / 1e3);
+    println!(
+        "| {changes} | {bytes} | {} | {took:.1} |",
+        world.counts.largest_image
+    );
 }
 
 /// Runs until something holds, at most 20 s; when it held.
@@ -99,24 +135,46 @@
 }
 
 fn print_traffic(voters: u32, tolerate: u32) {
-    let (idle, busy) = (traffic(voters, tolerate, None), traffic(voters, tolerate, Some(10)));
-    println!("| {voters} | {:.0} | {:.0} | {:.0} | {:.0} |", idle.0, idle.1, busy.0, busy.1);
+    let (idle, busy) = (
+        traffic(voters, tolerate, None),
+        traffic(voters, tolerate, Some(10)),
+    );
+    println!(
+        "| {voters} | {:.0} | {:.0} | {:.0} | {:.0} |",
+        idle.0, idle.1, busy.0, busy.1
+    );
 }
 
 /// Messages and bytes a second and machine, at so many changes a second.
 fn traffic(voters: u32, tolerate: u32, changes: Option<u64>) -> (f64, f64) {
     let seconds = 20;
     let rest = changes.map_or(SECOND, |changes| SECOND / changes);
-    let pace = Pace { least_rest: rest, most_rest: rest, repeats: 0, invalid: 0, ..Pace::default() };
+    let pace = Pace {
+        least_rest: rest,
+        most_rest: rest,
+        repeats: 0,
+        invalid: 0,
+        ..Pace::default()
+    };
     let settings = group(1, voters, tolerate);
-    let mut world = World::new(WorldSettings { pace, operators: 1, readers: 0, ..settings });
+    let mut world = World::new(WorldSettings {
+        pace,
+        operators: 1,
+        readers: 0,
+        ..settings
+    });
     world.run_for(8 * SECOND);
     if changes.is_none() {
-        world.operators_mut().for_each(lichenswitch_simulator::callers::Operator::stop);
+        world
+            .operators_mut()
+            .for_each(lichenswitch_simulator::callers::Operator::stop);
         world.run_for(3 * SECOND);
     }
     let before = world.counts.clone();
     world.run_for(seconds * SECOND);
     let per = |count: u64| count as f64 / seconds as f64 / f64::from(voters);
-    (per(world.counts.messages - before.messages), per(world.counts.bytes - before.bytes))
+    (
+        per(world.counts.messages - before.messages),
+        per(world.counts.bytes - before.bytes),
+    )
 }
--- a/simulator/src/network.rs
+++ b/simulator/src/network.rs
@@ -1,6 +1,7 @@
 //! The network: delay for each link, loss, repeats, reorder, and cuts.
 //!
-//! A link is a pair of hosts in one direction. Without harm, what is sent on a link arrives in the order in which it was sent.
+//! A link is a pair of hosts in one direction. Without harm, what is sent on a link arrives in the
+//! order in which it was sent.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -112,7 +113,9 @@
     /// Ends a cut; what it held up arrives.
     pub fn heal(&mut self, now: Time, id: CutId) -> Vec<Arrival<P>> {
         self.cuts.remove(&id);
-        let (released, held) = std::mem::take(&mut self.held).into_iter().partition(|held| held.0 == id);
+        let (released, held) = std::mem::take(&mut self.held)
+            .into_iter()
+            .partition(|held| held.0 == id);
         self.held = held;
         let released: Vec<(CutId, Host, Host, P)> = released;
         released
@@ -127,12 +130,22 @@
     }
 
     fn blocking(&self, from: Host, to: Host) -> Option<(CutId, bool)> {
-        let mut cuts = self.cuts.iter().filter(|(_, cut)| cut.links.contains(&(from, to)));
+        let mut cuts = self
+            .cuts
+            .iter()
+            .filter(|(_, cut)| cut.links.contains(&(from, to)));
         cuts.next().map(|(id, cut)| (*id, cut.holds))
     }
 
     /// Sends a message; where it may be `lossy`, harm applies to it in full.
-    pub fn send(&mut self, now: Time, from: Host, to: Host, packet: P, lossy: bool) -> Vec<Arrival<P>> {
+    pub fn send(
+        &mut self,
+        now: Time,
+        from: Host,
+        to: Host,
+        packet: P,
+        lossy: bool,
+    ) -> Vec<Arrival<P>> {
         if let Some((cut, holds)) = self.blocking(from, to) {
             if holds {
                 self.held.push((cut, from, to, packet));
@@ -142,23 +155,46 @@
         if lossy && self.chance(self.harm.loss) {
             return Vec::new();
         }
-        let copies = if lossy && self.chance(self.harm.repeat) { 2 } else { 1 };
+        let copies = if lossy && self.chance(self.harm.repeat) {
+            2
+        } else {
+            1
+        };
         let overtaken = lossy && self.chance(self.harm.reorder);
-        (0..copies).map(|_| self.arrival(now, from, to, packet.clone(), overtaken)).collect()
+        (0..copies)
+            .map(|_| self.arrival(now, from, to, packet.clone(), overtaken))
+            .collect()
     }
 
-    fn arrival(&mut self, now: Time, from: Host, to: Host, packet: P, overtaken: bool) -> Arrival<P> {
+    fn arrival(
+        &mut self,
+        now: Time,
+        from: Host,
+        to: Host,
+        packet: P,
+        overtaken: bool,
+    ) -> Arrival<P> {
         let same = self.zones.get(&from) == self.zones.get(&to);
         let base = if same { WITHIN_ZONE } else { BETWEEN_ZONES };
         let at = now.after(base + self.random.u64(0..JITTER) + self.harm.delay);
         if overtaken {
             let at = at.after(self.random.u64(0..REORDER));
-            return Arrival { at, from, to, packet };
+            return Arrival {
+                at,
+                from,
+                to,
+                packet,
+            };
         }
         let last = self.last.entry((from, to)).or_default();
         let at = at.max(*last);
         *last = at;
-        Arrival { at, from, to, packet }
+        Arrival {
+            at,
+            from,
+            to,
+            packet,
+        }
     }
 
     fn chance(&mut self, of_thousand: u32) -> bool {
--- a/simulator/src/overlaps.rs
+++ b/simulator/src/overlaps.rs
@@ -1,5 +1,6 @@
-//! Random walks whose faults overlap, beyond what service has to bear but for the disks: in each round no more disks are lost than must be
-//! borne. Service may rest meanwhile; nothing acknowledged may be lost or shown in an older state.
+//! Random walks whose faults overlap, beyond what service has to bear but for the disks: in each
+//! round no more disks are lost than must be borne. Service may rest meanwhile; nothing
+//! acknowledged may be lost or shown in an older state.
 
 use fastrand::Rng;
 
@@ -14,7 +15,8 @@
 const ROUND: u64 = 4 * SECOND;
 /// The longest of them, in microseconds.
 const LONGEST: u64 = 8 * SECOND;
-/// After the last has ended service may rest for so long: with the time until orders are overdue this is `recoveryS` (12 s).
+/// After the last has ended service may rest for so long: with the time until orders are overdue
+/// this is `recoveryS` (12 s).
 const RECOVERY: u64 = 5 * SECOND;
 /// Then all is well for so long, in which delays are judged again.
 const WELL: u64 = 9 * SECOND;
@@ -23,9 +25,15 @@
 /// A fault that waits for an order is brought about so many microseconds after that was sent.
 const AFTER_ORDER: std::ops::RangeInclusive<u64> = 5 * MILLISECOND..=400 * MILLISECOND;
 
-/// Walks in rounds of overlapping faults, `episodes` of them, and ends with one right round an order.
+/// Walks in rounds of overlapping faults, `episodes` of them, and ends with one right round an
+/// order.
 pub fn walk(walk: &Walk) -> WalkEnd {
-    walk_by(walk, Rng::with_seed(walk.world.seed ^ 0x1c3e_55a7), round, close)
+    walk_by(
+        walk,
+        Rng::with_seed(walk.world.seed ^ 0x1c3e_55a7),
+        round,
+        close,
+    )
 }
 
 /// Faults that overlap, until all is back and well.
@@ -96,8 +104,17 @@
 /// Both halves are reached by all others.
 fn draw_halves(world: &World, random: &mut Rng, duration: u64) -> Action {
     let half = world.core().len() / 2;
-    let targets = distinct(world, random, half).into_iter().map(Target::This).collect();
-    Action::Cut { targets, kind: CutKind::Full, duration, holds: random.bool(), callers_bound: 0 }
+    let targets = distinct(world, random, half)
+        .into_iter()
+        .map(Target::This)
+        .collect();
+    Action::Cut {
+        targets,
+        kind: CutKind::Full,
+        duration,
+        holds: random.bool(),
+        callers_bound: 0,
+    }
 }
 
 fn distinct(world: &World, random: &mut Rng, number: usize) -> Vec<Host> {
@@ -124,7 +141,8 @@
     }
 }
 
-/// The closing fault comes right after an acknowledgement, or soon after an order was sent, at times just after halves were joined.
+/// The closing fault comes right after an acknowledgement, or soon after an order was sent, at
+/// times just after halves were joined.
 fn close(world: &mut World, random: &mut Rng) {
     if random.bool() {
         let duration = random.u64(SECOND..4 * SECOND);
--- a/simulator/src/quotas/ledger.rs
+++ b/simulator/src/quotas/ledger.rs
@@ -38,12 +38,22 @@
     pub fn new(tenants: &[Tenant], terms: &Terms) -> Ledger {
         let window = terms.window.as_secs_f64();
         let line = |tenant: &Tenant| {
-            let limit = tenant.quota.map_or(0.0, |quota| quota.rate_per_s * window + quota.burst);
+            let limit = tenant
+                .quota
+                .map_or(0.0, |quota| quota.rate_per_s * window + quota.burst);
             // A slack above the limit itself is one of another unit.
             let allowed = limit * (1.0 + terms.overage) + terms.slack.min(limit);
-            Line { tenant: tenant.name.clone(), quota: tenant.quota, allowed, requests: Vec::new() }
+            Line {
+                tenant: tenant.name.clone(),
+                quota: tenant.quota,
+                allowed,
+                requests: Vec::new(),
+            }
         };
-        Ledger { window: (window * 1e6) as u64, tenants: tenants.iter().map(line).collect() }
+        Ledger {
+            window: (window * 1e6) as u64,
+            tenants: tenants.iter().map(line).collect(),
+        }
     }
 
     /// A request was let through.
@@ -54,14 +64,19 @@
     /// The first window that was overrun.
     #[must_use]
     pub fn overrun(&self) -> Option<Overrun> {
-        self.tenants.iter().find_map(|line| line.overrun(self.window))
+        self.tenants
+            .iter()
+            .find_map(|line| line.overrun(self.window))
     }
 
     /// The least part of a tenant's rate that was let through between these times.
     #[must_use]
     pub fn least_share(&self, from: u64, to: u64) -> f64 {
         let share = |line: &Line| {
-            let within = line.requests.iter().filter(|(at, _)| (from..to).contains(at));
+            let within = line
+                .requests
+                .iter()
+                .filter(|(at, _)| (from..to).contains(at));
             let sum: f64 = within.map(|(_, need)| need).sum();
             let rate = line.quota.map_or(f64::INFINITY, |quota| quota.rate_per_s);
             sum / (rate * (to - from) as f64 / 1e6)
@@ -80,7 +95,12 @@
                 first += 1;
             }
             if sum > self.allowed {
-                return Some(Overrun { tenant: self.tenant.clone(), at: *at, sum, allowed: self.allowed });
+                return Some(Overrun {
+                    tenant: self.tenant.clone(),
+                    at: *at,
+                    sum,
+                    allowed: self.allowed,
+                });
             }
         }
         None
--- a/simulator/src/quotas/machine.rs
+++ b/simulator/src/quotas/machine.rs
@@ -3,7 +3,9 @@
 use super::{Origin, Planted};
 use lichenswitch_configuration::Tenant;
 use lichenswitch_interface::Time;
-use lichenswitch_quota::{Allowances, Buckets, Draw, Draws, Grant, Holder, Order, Place, Tenure, Terms};
+use lichenswitch_quota::{
+    Allowances, Buckets, Draw, Draws, Grant, Holder, Order, Place, Tenure, Terms,
+};
 use std::collections::BTreeSet;
 
 /// What a machine in contact knows is at most so old.
@@ -71,7 +73,13 @@
     }
 
     /// Hears from the group, unless it is cut off: of voters, and that it is in contact.
-    pub(super) fn learn(&mut self, now: u64, late: u64, changes: &[(u64, Vec<Holder>)], planted: Planted) {
+    pub(super) fn learn(
+        &mut self,
+        now: u64,
+        late: u64,
+        changes: &[(u64, Vec<Holder>)],
+        planted: Planted,
+    ) {
         let clock = self.clock(now);
         if planted == Planted::EndlessTenure {
             self.tenure.on_contact(clock);
@@ -79,10 +87,20 @@
         if self.cut_until > now {
             return;
         }
-        let known = changes.iter().rev().find(|(changed, _)| changed + late <= now);
-        let Some((_, voters)) = known.filter(|(_, voters)| voters.contains(&self.own)) else { return };
-        let early = if planted == Planted::NoSettling { lichenswitch_quota::SETTLING } else { 0 };
-        self.tenure.on_voters(Time(clock.0.saturating_sub(early)), voters);
+        let known = changes
+            .iter()
+            .rev()
+            .find(|(changed, _)| changed + late <= now);
+        let Some((_, voters)) = known.filter(|(_, voters)| voters.contains(&self.own)) else {
+            return;
+        };
+        let early = if planted == Planted::NoSettling {
+            lichenswitch_quota::SETTLING
+        } else {
+            0
+        };
+        self.tenure
+            .on_voters(Time(clock.0.saturating_sub(early)), voters);
         self.disk.clone_from(voters);
         self.tenure.on_contact(clock);
     }
@@ -94,7 +112,9 @@
         draw: Draw,
         reachable: &BTreeSet<Holder>,
     ) -> Vec<Order<Origin>> {
-        self.with(reachable, |draws, place| draws.take(clock, origin, draw, place))
+        self.with(reachable, |draws, place| {
+            draws.take(clock, origin, draw, place)
+        })
     }
 
     pub(super) fn on_answer(
@@ -105,7 +125,9 @@
         grant: Grant,
         reachable: &BTreeSet<Holder>,
     ) -> Vec<Order<Origin>> {
-        self.with(reachable, |draws, place| draws.on_answer(clock, from, id, grant, place))
+        self.with(reachable, |draws, place| {
+            draws.on_answer(clock, from, id, grant, place)
+        })
     }
 
     pub(super) fn tick(&mut self, clock: Time, reachable: &BTreeSet<Holder>) -> Vec<Order<Origin>> {
@@ -119,7 +141,15 @@
         act: impl FnOnce(&mut Draws<Origin>, &mut Place<'_>) -> T,
     ) -> T {
         let (buckets, tenure) = (&mut self.buckets, &self.tenure);
-        act(&mut self.draws, &mut Place { buckets, tenure, own: self.own, reachable })
+        act(
+            &mut self.draws,
+            &mut Place {
+                buckets,
+                tenure,
+                own: self.own,
+                reachable,
+            },
+        )
     }
 }
 
@@ -132,7 +162,11 @@
 
 impl Router {
     pub(super) fn start(terms: Terms, drift: f64, first: u64) -> Router {
-        Router { drift, frozen_until: 0, allowances: Allowances::new(terms, first) }
+        Router {
+            drift,
+            frozen_until: 0,
+            allowances: Allowances::new(terms, first),
+        }
     }
 
     pub(super) fn clock(&self, now: u64) -> Time {
@@ -143,6 +177,10 @@
     pub(super) fn control(&self, count: usize, own: usize, now: u64, control: &[Control]) -> usize {
         let turned = (0..count).map(|step| (own + step) % count);
         let up = |place: &usize| control[*place].frozen_until <= now;
-        turned.clone().find(up).or(turned.clone().next()).unwrap_or(0)
+        turned
+            .clone()
+            .find(up)
+            .or(turned.clone().next())
+            .unwrap_or(0)
     }
 }
--- a/simulator/src/quotas/mod.rs
+++ b/simulator/src/quotas/mod.rs
@@ -1,5 +1,7 @@
-//! Quotas over a whole fleet in virtual time: the code of `decide/quota` at control machines and routers whose clocks drift, under demand far
-//! beyond the limit, while machines are killed, frozen, cut off and replaced. A ledger holds every request that was let through against the rule.
+//! Quotas over a whole fleet in virtual time: the code of `decide/quota` at control machines and
+//! routers whose clocks drift, under demand far beyond the limit, while machines are killed,
+//! frozen, cut off and replaced. A ledger holds every request that was let through against the
+//! rule.
 
 mod ledger;
 mod machine;
@@ -91,9 +93,20 @@
     /// A request of a tenant comes in at a router.
     Request { tenant: usize },
     /// A draw reaches a control machine, from a router or from another one.
-    Draw { to: usize, from: Sender, id: u64, pass_on: bool, draw: Draw },
+    Draw {
+        to: usize,
+        from: Sender,
+        id: u64,
+        pass_on: bool,
+        draw: Draw,
+    },
     /// An answer reaches whoever asked.
-    Grant { to: Sender, from: usize, id: u64, grant: Grant },
+    Grant {
+        to: Sender,
+        from: usize,
+        id: u64,
+        grant: Grant,
+    },
     /// A control machine looks at what is due.
     Tick { control: usize },
     /// The next trouble comes.
@@ -152,16 +165,33 @@
             {"name":"large","unit":"token_count","ratePerS":60000,"burstSize":60000},
             {"name":"small","unit":"token_count","ratePerS":9000,"burstSize":0},
             {"name":"few","ratePerS":20,"burstSize":5}]}"#;
-        let tenants = Document::parse(text).ok().and_then(|document| document.tenants().map(<[_]>::to_vec));
+        let tenants = Document::parse(text)
+            .ok()
+            .and_then(|document| document.tenants().map(<[_]>::to_vec));
         let tenants = tenants.unwrap_or_default();
-        let terms = Terms { window: Duration::from_secs(8), overage: 0.1, slack: 20_000.0 };
+        let terms = Terms {
+            window: Duration::from_secs(8),
+            overage: 0.1,
+            slack: 20_000.0,
+        };
         let mut random = Rng::with_seed(settings.seed);
         let voters: Vec<Holder> = (0..settings.control as u64).map(Holder).collect();
         let control = (0..settings.control)
-            .map(|place| Control::start(place, 0, &voters, &tenants, terms, random.f64(), Planted::Nothing))
+            .map(|place| {
+                Control::start(
+                    place,
+                    0,
+                    &voters,
+                    &tenants,
+                    terms,
+                    random.f64(),
+                    Planted::Nothing,
+                )
+            })
+            .collect();
+        let routers = (0..settings.routers)
+            .map(|_| Router::start(terms, random.f64(), random.u64(..)))
             .collect();
-        let routers =
-            (0..settings.routers).map(|_| Router::start(terms, random.f64(), random.u64(..))).collect();
         let ledger = Ledger::new(&tenants, &terms);
         let mut fleet = Fleet {
             settings,
@@ -212,8 +242,19 @@
         }
         match event {
             Event::Request { tenant } => self.request(tenant),
-            Event::Draw { to, from, id, pass_on, draw } => self.on_draw(to, from, id, pass_on, draw),
-            Event::Grant { to, from, id, grant } => self.on_grant(to, from, id, grant),
+            Event::Draw {
+                to,
+                from,
+                id,
+                pass_on,
+                draw,
+            } => self.on_draw(to, from, id, pass_on, draw),
+            Event::Grant {
+                to,
+                from,
+                id,
+                grant,
+            } => self.on_grant(to, from, id, grant),
             Event::Tick { control } => self.tick(control),
             Event::Trouble => self.trouble(),
         }
@@ -221,9 +262,17 @@
 
     fn frozen_until(&self, event: &Event) -> Option<u64> {
         match event {
-            Event::Draw { to, .. } | Event::Tick { control: to } => Some(self.control[*to].frozen_until),
-            Event::Grant { to: Sender::Control(to, _), .. } => Some(self.control[*to].frozen_until),
-            Event::Grant { to: Sender::Router(router), .. } => Some(self.routers[*router].frozen_until),
+            Event::Draw { to, .. } | Event::Tick { control: to } => {
+                Some(self.control[*to].frozen_until)
+            }
+            Event::Grant {
+                to: Sender::Control(to, _),
+                ..
+            } => Some(self.control[*to].frozen_until),
+            Event::Grant {
+                to: Sender::Router(router),
+                ..
+            } => Some(self.routers[*router].frozen_until),
             Event::Request { .. } | Event::Trouble => None,
         }
     }
@@ -239,14 +288,26 @@
         let gap = need as f64 / (quota.rate_per_s * self.settings.demand) * SECOND as f64;
         let gap = gap * (0.5 + self.random.f64());
         self.plan(self.now + gap as u64 + 1, Event::Request { tenant: place });
-        let router = if self.settings.one_router { 0 } else { self.random.usize(0..self.routers.len()) };
+        let router = if self.settings.one_router {
+            0
+        } else {
+            self.random.usize(0..self.routers.len())
+        };
         self.requests += 1;
         let number = self.requests;
         self.waiting.insert(number, (place, need));
         let clock = self.routers[router].clock(self.now);
         let until = clock.plus(200 * MILLISECOND);
-        let taken = self.routers[router].allowances.take(clock, &tenant, need, number, until);
-        self.decide(router, vec![Decided { waiter: number, taken }]);
+        let taken = self.routers[router]
+            .allowances
+            .take(clock, &tenant, need, number, until);
+        self.decide(
+            router,
+            vec![Decided {
+                waiter: number,
+                taken,
+            }],
+        );
         self.send_draws(router);
     }
 
@@ -255,8 +316,19 @@
         let expired = self.routers[router].allowances.expire(clock);
         self.decide(router, expired);
         for (id, draw) in self.routers[router].allowances.draws(clock) {
-            let to = self.routers[router].control(self.settings.control, router, self.now, &self.control);
-            self.send(Event::Draw { to, from: Sender::Router(router), id, pass_on: true, draw });
+            let to = self.routers[router].control(
+                self.settings.control,
+                router,
+                self.now,
+                &self.control,
+            );
+            self.send(Event::Draw {
+                to,
+                from: Sender::Router(router),
+                id,
+                pass_on: true,
+                draw,
+            });
         }
     }
 
@@ -266,7 +338,9 @@
             if taken == Taken::Waits {
                 continue;
             }
-            let Some((tenant, need)) = self.waiting.remove(&waiter) else { continue };
+            let Some((tenant, need)) = self.waiting.remove(&waiter) else {
+                continue;
+            };
             if matches!(taken, Taken::Allowed(_)) && !frozen {
                 self.ledger.let_through(self.now, tenant, need);
             }
@@ -281,7 +355,12 @@
         if !pass_on {
             let control = &mut self.control[to];
             let grant = control.buckets.draw(clock, &draw, &control.tenure);
-            return self.send(Event::Grant { to: from, from: to, id, grant });
+            return self.send(Event::Grant {
+                to: from,
+                from: to,
+                id,
+                grant,
+            });
         }
         let reachable = self.reachable(to);
         let orders = self.control[to].take(clock, Origin { sender: from, id }, draw, &reachable);
@@ -312,14 +391,30 @@
     fn carry_out(&mut self, control: usize, orders: Vec<Order<Origin>>) {
         for order in orders {
             match order {
-                Order::Ask { to, id, pass_on, draw } => {
+                Order::Ask {
+                    to,
+                    id,
+                    pass_on,
+                    draw,
+                } => {
                     let from = Sender::Control(control, self.control[control].life);
                     if let Some(to) = self.control.iter().position(|other| other.own == to) {
-                        self.send(Event::Draw { to, from, id, pass_on, draw });
+                        self.send(Event::Draw {
+                            to,
+                            from,
+                            id,
+                            pass_on,
+                            draw,
+                        });
                     }
                 }
                 Order::Answer { origin, grant } => {
-                    self.send(Event::Grant { to: origin.sender, from: control, id: origin.id, grant });
+                    self.send(Event::Grant {
+                        to: origin.sender,
+                        from: control,
+                        id: origin.id,
+                        grant,
+                    });
                 }
             }
         }
@@ -331,12 +426,22 @@
     }
 
     fn voters(&self) -> Vec<Holder> {
-        self.changes.last().map(|(_, voters)| voters.clone()).unwrap_or_default()
+        self.changes
+            .last()
+            .map(|(_, voters)| voters.clone())
+            .unwrap_or_default()
     }
 
     fn reachable(&self, from: usize) -> BTreeSet<Holder> {
-        let others = self.control.iter().enumerate().filter(|(place, _)| *place != from);
-        others.filter(|(_, other)| other.cut_until <= self.now).map(|(_, other)| other.own).collect()
+        let others = self
+            .control
+            .iter()
+            .enumerate()
+            .filter(|(place, _)| *place != from);
+        others
+            .filter(|(_, other)| other.cut_until <= self.now)
+            .map(|(_, other)| other.own)
+            .collect()
     }
 
     fn tick(&mut self, place: usize) {
@@ -355,12 +460,16 @@
 
     /// One machine is killed, wiped, frozen or cut off; or a router is.
     fn trouble(&mut self) {
-        let Some(gap) = self.settings.trouble_every_ms.map(|gap| gap * MILLISECOND) else { return };
+        let Some(gap) = self.settings.trouble_every_ms.map(|gap| gap * MILLISECOND) else {
+            return;
+        };
         let next = self.now + self.random.u64(gap / 8..2 * gap);
         self.plan(next, Event::Trouble);
         let place = self.random.usize(0..self.control.len());
         let takes = self.random.u64(SECOND / 2..7 * SECOND);
-        let Some(trouble) = self.random.choice(self.settings.troubles) else { return };
+        let Some(trouble) = self.random.choice(self.settings.troubles) else {
+            return;
+        };
         match trouble {
             Trouble::Restart => self.restart(place, false),
             Trouble::Wipe => self.restart(place, true),
@@ -369,7 +478,11 @@
             Trouble::VoteOut => {
                 self.control[place].cut_until = self.now + 2 * takes;
                 let own = self.control[place].own;
-                let voters = self.voters().into_iter().filter(|voter| *voter != own).collect();
+                let voters = self
+                    .voters()
+                    .into_iter()
+                    .filter(|voter| *voter != own)
+                    .collect();
                 self.changes.push((self.now, voters));
             }
             Trouble::FreezeRouter => {
@@ -381,7 +494,10 @@
 
     /// A process ends and starts again at once; with another disk it is another voter.
     fn restart(&mut self, place: usize, wiped: bool) {
-        let (mut disk, life) = (self.control[place].disk.clone(), self.control[place].life + 1);
+        let (mut disk, life) = (
+            self.control[place].disk.clone(),
+            self.control[place].life + 1,
+        );
         let mut own = self.control[place].own;
         if wiped {
             (own, disk) = (Holder(1_000 * life + place as u64), Vec::new());
--- a/simulator/src/scheduler.rs
+++ b/simulator/src/scheduler.rs
@@ -43,7 +43,11 @@
 impl<E> Scheduler<E> {
     /// Begins at this time.
     pub fn new(now: Time) -> Self {
-        Self { now, next: 0, events: BinaryHeap::new() }
+        Self {
+            now,
+            next: 0,
+            events: BinaryHeap::new(),
+        }
     }
 
     /// The time of the event that is being handled.
@@ -55,7 +59,11 @@
     pub fn at(&mut self, at: Time, event: E) {
         let at = at.max(self.now);
         self.next += 1;
-        self.events.push(Reverse(Entry { at, number: self.next, event }));
+        self.events.push(Reverse(Entry {
+            at,
+            number: self.next,
+            event,
+        }));
     }
 
     /// An event after so many microseconds.
@@ -65,7 +73,11 @@
 
     /// The next event, if it is due by `until`; else the time is `until`.
     pub fn next(&mut self, until: Time) -> Option<E> {
-        if self.events.peek().is_none_or(|Reverse(first)| first.at > until) {
+        if self
+            .events
+            .peek()
+            .is_none_or(|Reverse(first)| first.at > until)
+        {
             self.now = self.now.max(until);
             return None;
         }
--- a/simulator/src/walk.rs
+++ b/simulator/src/walk.rs
@@ -1,4 +1,5 @@
-//! Random walks: one fault after another from a seed, within what must be borne, then a closing fault, then the read at the end.
+//! Random walks: one fault after another from a seed, within what must be borne, then a closing
+//! fault, then the read at the end.
 
 use fastrand::Rng;
 
@@ -7,7 +8,8 @@
 use crate::network::Harm;
 use crate::world::{Action, CutKind, Target, World, WorldSettings};
 
-/// Before the next loss of a disk, all that was lost has been back for so many microseconds (`catchUpS`).
+/// Before the next loss of a disk, all that was lost has been back for so many microseconds
+/// (`catchUpS`).
 const CATCH_UP: u64 = 4_000_000;
 const SECOND: u64 = 1_000_000;
 
@@ -37,11 +39,18 @@
 
 impl Episode {
     fn new(action: Action, takes: u64) -> Self {
-        Self { actions: vec![action], takes, loses_disks: false }
+        Self {
+            actions: vec![action],
+            takes,
+            loses_disks: false,
+        }
     }
 
     fn losing(action: Action, takes: u64) -> Self {
-        Self { loses_disks: true, ..Self::new(action, takes) }
+        Self {
+            loses_disks: true,
+            ..Self::new(action, takes)
+        }
     }
 }
 
@@ -51,7 +60,12 @@
         let episode = draw_episode(random, &walk.world);
         play(world, random, episode);
     };
-    walk_by(walk, Rng::with_seed(walk.world.seed ^ 0x77a1_6b5e), episode, close)
+    walk_by(
+        walk,
+        Rng::with_seed(walk.world.seed ^ 0x77a1_6b5e),
+        episode,
+        close,
+    )
 }
 
 /// Walks in such episodes and closes, or ends with the first violation.
@@ -88,7 +102,11 @@
         }
     }
     world.run_for(episode.takes);
-    let rest = if episode.loses_disks { CATCH_UP + SECOND } else { random.u64(0..4 * SECOND) };
+    let rest = if episode.loses_disks {
+        CATCH_UP + SECOND
+    } else {
+        random.u64(0..4 * SECOND)
+    };
     world.run_for(rest);
 }
 
@@ -98,8 +116,14 @@
         0 => Episode::new(Action::Kill(target), SECOND),
         1 => Episode::new(Action::PowerLoss(target), 2 * SECOND),
         2 => Episode::losing(Action::Wipe(target), 2 * SECOND),
-        3 => Episode::losing(Action::Replace(target, random.u64(300_000..1_500_000)), 2 * SECOND),
-        4 => Episode::losing(Action::PlannedReplace(target, random.u64(0..4 * SECOND)), 9 * SECOND),
+        3 => Episode::losing(
+            Action::Replace(target, random.u64(300_000..1_500_000)),
+            2 * SECOND,
+        ),
+        4 => Episode::losing(
+            Action::PlannedReplace(target, random.u64(0..4 * SECOND)),
+            9 * SECOND,
+        ),
         5 => Episode::new(Action::Terminate(target), 8 * SECOND),
         6 | 7 => draw_freeze(random, target),
         8..=10 => draw_cut(random, settings),
@@ -112,7 +136,10 @@
         }
         16 => draw_harm(random),
         _ => Episode {
-            actions: vec![Action::Lure(target, random.u32(1..4)), Action::RestartRouters(target)],
+            actions: vec![
+                Action::Lure(target, random.u32(1..4)),
+                Action::RestartRouters(target),
+            ],
             takes: SECOND,
             loses_disks: false,
         },
@@ -137,17 +164,33 @@
     let others = random.u32(0..most.max(1));
     let mut targets = vec![draw_target(random)];
     targets.extend((0..others).map(|_| Target::Other(random.u32(0..16))));
-    let kinds = [CutKind::Full, CutKind::Full, CutKind::Outgoing, CutKind::Incoming, CutKind::Partial];
+    let kinds = [
+        CutKind::Full,
+        CutKind::Full,
+        CutKind::Outgoing,
+        CutKind::Incoming,
+        CutKind::Partial,
+    ];
     let kind = kinds[random.usize(0..kinds.len())];
     let duration = random.u64(SECOND / 2..20 * SECOND);
     let (holds, callers_bound) = (random.bool(), random.u32(0..40));
     let first = targets[0];
-    let cut = Action::Cut { targets, kind, duration, holds, callers_bound };
+    let cut = Action::Cut {
+        targets,
+        kind,
+        duration,
+        holds,
+        callers_bound,
+    };
     let mut actions = vec![cut];
     if random.bool() {
         actions.extend([Action::Lure(first, 3), Action::RestartRouters(first)]);
     }
-    Episode { actions, takes: duration, loses_disks: false }
+    Episode {
+        actions,
+        takes: duration,
+        loses_disks: false,
+    }
 }
 
 fn draw_disk(random: &mut Rng, target: Target) -> Episode {
@@ -162,15 +205,34 @@
 
 fn draw_harm(random: &mut Rng) -> Episode {
     let loss = random.u32(0..150);
-    let (repeat, reorder, delay) = (random.u32(0..150), random.u32(0..200), random.u64(0..20_000));
+    let (repeat, reorder, delay) = (
+        random.u32(0..150),
+        random.u32(0..200),
+        random.u64(0..20_000),
+    );
     let duration = random.u64(SECOND..8 * SECOND);
-    Episode::new(Action::Harm(Harm { loss, repeat, reorder, delay }, duration), duration)
+    Episode::new(
+        Action::Harm(
+            Harm {
+                loss,
+                repeat,
+                reorder,
+                delay,
+            },
+            duration,
+        ),
+        duration,
+    )
 }
 
 /// The closing fault comes right after an acknowledgement, when all are well.
 fn close(world: &mut World, random: &mut Rng) {
     world.run_for(CATCH_UP + 2 * SECOND);
-    let victims = if random.bool() { Target::Oldest } else { Target::Primary };
+    let victims = if random.bool() {
+        Target::Oldest
+    } else {
+        Target::Primary
+    };
     let mut targets = vec![victims];
     targets.extend((1..world.settings.tolerate).map(Target::Other));
     let action = match random.u32(0..4) {
--- a/simulator/src/world/act.rs
+++ b/simulator/src/world/act.rs
@@ -21,30 +21,49 @@
         self.note(|| format!("== {action}"));
         match action {
             Action::Kill(target) => self.each(&[target], |world, host| world.kill(host)),
-            Action::PowerLoss(target) => self.each(&[target], |world, host| world.lose_power(host, None)),
+            Action::PowerLoss(target) => {
+                self.each(&[target], |world, host| world.lose_power(host, None))
+            }
             Action::PowerLossFor(target, duration) => {
-                self.each(&[target], |world, host| world.lose_power(host, Some(duration)));
+                self.each(&[target], |world, host| {
+                    world.lose_power(host, Some(duration))
+                });
             }
             Action::Wipe(target) => self.each(&[target], Self::wipe),
-            Action::Replace(target, after) => self.each(&[target], |world, host| world.replace(host, after)),
+            Action::Replace(target, after) => {
+                self.each(&[target], |world, host| world.replace(host, after))
+            }
             Action::PlannedReplace(target, after) => self.each(&[target], |world, host| {
                 world.terminate(host, AfterEnd::Remove);
                 world.add_successor(host, after);
             }),
             Action::Terminate(target) => {
-                self.each(&[target], |world, host| world.terminate(host, AfterEnd::Restart));
+                self.each(&[target], |world, host| {
+                    world.terminate(host, AfterEnd::Restart)
+                });
             }
             Action::Freeze(target, duration) => {
                 self.each(&[target], |world, host| world.freeze(host, duration))
             }
-            Action::Cut { targets, kind, duration, holds, callers_bound } => {
+            Action::Cut {
+                targets,
+                kind,
+                duration,
+                holds,
+                callers_bound,
+            } => {
                 self.cut(&targets, kind, duration, holds, callers_bound);
             }
             Action::Disk(target, trouble, duration) => {
-                self.each(&[target], |world, host| world.trouble_disk(host, trouble, duration));
+                self.each(&[target], |world, host| {
+                    world.trouble_disk(host, trouble, duration)
+                });
             }
             Action::KillAll => self.core().into_iter().for_each(|host| self.kill(host)),
-            Action::PowerOffAll => self.core().into_iter().for_each(|host| self.lose_power(host, None)),
+            Action::PowerOffAll => self
+                .core()
+                .into_iter()
+                .for_each(|host| self.lose_power(host, None)),
             Action::WipeAndPowerOff(targets) => self.wipe_and_power_off(&targets),
             Action::LoseReplies(duration) => {
                 self.replies_lost = true;
@@ -58,7 +77,9 @@
             Action::RestartRouters(target) => {
                 let first = self.resolve(target);
                 let routers: Vec<Host> = self.routers.keys().copied().collect();
-                routers.into_iter().for_each(|host| self.restart_router(host, first));
+                routers
+                    .into_iter()
+                    .for_each(|host| self.restart_router(host, first));
             }
             Action::Lure(target, one_of) => self.lure(target, one_of),
         }
@@ -71,18 +92,27 @@
     }
 
     fn resolve_all(&self, targets: &[Target]) -> Vec<Host> {
-        targets.iter().filter_map(|target| self.resolve(*target)).collect()
+        targets
+            .iter()
+            .filter_map(|target| self.resolve(*target))
+            .collect()
     }
 
     /// The machine that a target means now.
     pub fn resolve(&self, target: Target) -> Option<Host> {
-        let running = || self.machines.values().filter(|machine| machine.runs() && !machine.removed);
+        let running = || {
+            self.machines
+                .values()
+                .filter(|machine| machine.runs() && !machine.removed)
+        };
         let primary = self.primary().filter(|host| self.machines[host].runs());
         match target {
             Target::Primary => primary.or_else(|| running().next().map(|machine| machine.host)),
             Target::Other(number) => {
-                let others: Vec<Host> =
-                    running().map(|m| m.host).filter(|host| Some(*host) != primary).collect();
+                let others: Vec<Host> = running()
+                    .map(|m| m.host)
+                    .filter(|host| Some(*host) != primary)
+                    .collect();
                 (!others.is_empty()).then(|| others[number as usize % others.len()])
             }
             Target::Oldest => running().next().map(|machine| machine.host),
@@ -98,7 +128,8 @@
     fn lose_power(&mut self, host: Host, duration: Option<u64>) {
         self.stop(host, true);
         let usual = POWER_RETURNS + self.random.u64(0..POWER_RETURNS);
-        self.scheduler.after(duration.unwrap_or(usual), Event::Start(host));
+        self.scheduler
+            .after(duration.unwrap_or(usual), Event::Start(host));
     }
 
     fn wipe(&mut self, host: Host) {
@@ -116,7 +147,9 @@
 
     fn terminate(&mut self, host: Host, after_end: AfterEnd) {
         let now = self.now();
-        let Some(machine) = self.machines.get_mut(&host) else { return };
+        let Some(machine) = self.machines.get_mut(&host) else {
+            return;
+        };
         machine.after_end = after_end;
         if let Some(process) = &mut machine.process {
             process.on_terminate(now, now.after(GRACE));
@@ -128,11 +161,14 @@
         if let Some(machine) = self.machines.get_mut(&host) {
             machine.frozen = true;
         }
-        self.scheduler.after(duration, Event::Undo(Undo::Thaw(host)));
+        self.scheduler
+            .after(duration, Event::Undo(Undo::Thaw(host)));
     }
 
     fn thaw(&mut self, host: Host) {
-        let Some(machine) = self.machines.get_mut(&host) else { return };
+        let Some(machine) = self.machines.get_mut(&host) else {
+            return;
+        };
         machine.frozen = false;
         let backlog = std::mem::take(&mut machine.backlog);
         for event in backlog {
@@ -146,11 +182,14 @@
 
     fn trouble_disk(&mut self, host: Host, trouble: DiskTrouble, duration: u64) {
         self.set_disk(host, trouble);
-        self.scheduler.after(duration, Event::Undo(Undo::Disk(host)));
+        self.scheduler
+            .after(duration, Event::Undo(Undo::Disk(host)));
     }
 
     fn set_disk(&mut self, host: Host, trouble: DiskTrouble) {
-        let Some(machine) = self.machines.get_mut(&host) else { return };
+        let Some(machine) = self.machines.get_mut(&host) else {
+            return;
+        };
         let life = machine.life;
         if let Some(ends) = machine.disk.set_trouble(trouble, &mut self.random) {
             self.scheduler.after(ends, Event::DiskDone(host, life));
@@ -167,9 +206,20 @@
         }
     }
 
-    fn cut(&mut self, targets: &[Target], kind: CutKind, duration: u64, holds: bool, callers_bound: u32) {
+    fn cut(
+        &mut self,
+        targets: &[Target],
+        kind: CutKind,
+        duration: u64,
+        holds: bool,
+        callers_bound: u32,
+    ) {
         let side: BTreeSet<Host> = self.resolve_all(targets).into_iter().collect();
-        let rest: BTreeSet<Host> = self.core().into_iter().filter(|host| !side.contains(host)).collect();
+        let rest: BTreeSet<Host> = self
+            .core()
+            .into_iter()
+            .filter(|host| !side.contains(host))
+            .collect();
         let mut links = links_between(&side, &rest, kind);
         for caller in self.callers() {
             let lot = self.random.u32(0..100);
@@ -178,7 +228,11 @@
                 _ if lot < 2 * callers_bound => &side,
                 _ => continue,
             };
-            links.extend(beyond.iter().flat_map(|host| [(caller, *host), (*host, caller)]));
+            links.extend(
+                beyond
+                    .iter()
+                    .flat_map(|host| [(caller, *host), (*host, caller)]),
+            );
         }
         let id = self.network.cut(links, holds);
         self.scheduler.after(duration, Event::Undo(Undo::Heal(id)));
@@ -216,10 +270,23 @@
     }
 }
 
-fn links_between(side: &BTreeSet<Host>, rest: &BTreeSet<Host>, kind: CutKind) -> BTreeSet<(Host, Host)> {
-    let rest: Vec<Host> =
-        rest.iter().copied().take(if kind == CutKind::Partial { 1 } else { usize::MAX }).collect();
-    let pairs = side.iter().flat_map(|one| rest.iter().map(move |other| (*one, *other)));
+fn links_between(
+    side: &BTreeSet<Host>,
+    rest: &BTreeSet<Host>,
+    kind: CutKind,
+) -> BTreeSet<(Host, Host)> {
+    let rest: Vec<Host> = rest
+        .iter()
+        .copied()
+        .take(if kind == CutKind::Partial {
+            1
+        } else {
+            usize::MAX
+        })
+        .collect();
+    let pairs = side
+        .iter()
+        .flat_map(|one| rest.iter().map(move |other| (*one, *other)));
     let links = pairs.flat_map(|(one, other)| match kind {
         CutKind::Full | CutKind::Partial => vec![(one, other), (other, one)],
         CutKind::Outgoing => vec![(one, other)],
--- a/simulator/src/world/around.rs
+++ b/simulator/src/world/around.rs
@@ -20,7 +20,8 @@
             self.operators.insert(host, operator);
         }
         for number in 0..self.settings.readers {
-            self.readers.insert(Host(FIRST_READER + number), Reader::default());
+            self.readers
+                .insert(Host(FIRST_READER + number), Reader::default());
         }
         for number in 0..self.settings.routers {
             let host = Host(FIRST_ROUTER + number);
@@ -34,7 +35,11 @@
 
     /// All callers.
     pub fn callers(&self) -> Vec<Host> {
-        let callers = self.operators.keys().chain(self.readers.keys()).chain(self.routers.keys());
+        let callers = self
+            .operators
+            .keys()
+            .chain(self.readers.keys())
+            .chain(self.routers.keys());
         callers.copied().collect()
     }
 
@@ -55,12 +60,18 @@
 
     /// Has all operators work at this pace.
     pub fn set_pace(&mut self, pace: Pace) {
-        self.operators.values_mut().for_each(|operator| operator.set_pace(pace));
+        self.operators
+            .values_mut()
+            .for_each(|operator| operator.set_pace(pace));
     }
 
     /// A new router, which goes first to a machine.
     pub fn add_router(&mut self, first: Option<Host>) -> Host {
-        let last = self.routers.keys().last().map_or(FIRST_ROUTER, |host| host.0);
+        let last = self
+            .routers
+            .keys()
+            .last()
+            .map_or(FIRST_ROUTER, |host| host.0);
         let host = Host(last + 1);
         let now = self.now();
         self.network.place(host, host.0 % ZONES);
@@ -88,11 +99,19 @@
     }
 
     pub(super) fn on_caller_arrival(&mut self, arrival: Arrival<Packet>) {
-        self.with_caller(arrival.to, |caller, around| match (caller, arrival.packet) {
-            (Caller::Operator(operator), Packet::Reply(id, reply)) => operator.on_reply(around, id, &reply),
-            (Caller::Reader(reader), Packet::Reply(id, reply)) => reader.on_reply(around, id, &reply),
-            (Caller::Router(router), Packet::ToRouter(id, message)) => router.on_message(around, id, message),
-            _ => {}
+        self.with_caller(arrival.to, |caller, around| {
+            match (caller, arrival.packet) {
+                (Caller::Operator(operator), Packet::Reply(id, reply)) => {
+                    operator.on_reply(around, id, &reply)
+                }
+                (Caller::Reader(reader), Packet::Reply(id, reply)) => {
+                    reader.on_reply(around, id, &reply)
+                }
+                (Caller::Router(router), Packet::ToRouter(id, message)) => {
+                    router.on_message(around, id, message)
+                }
+                _ => {}
+            }
         });
     }
 
@@ -120,8 +139,13 @@
         } else {
             return;
         };
-        let (outgoing, notes) = (std::mem::take(&mut around.outgoing), std::mem::take(&mut around.notes));
-        notes.into_iter().for_each(|note| self.note(|| format!("{host} {note}")));
+        let (outgoing, notes) = (
+            std::mem::take(&mut around.outgoing),
+            std::mem::take(&mut around.notes),
+        );
+        notes
+            .into_iter()
+            .for_each(|note| self.note(|| format!("{host} {note}")));
         let numbers = before + 1..=self.last_number;
         for number in numbers {
             self.owners.insert(number, host);
--- a/simulator/src/world/machines.rs
+++ b/simulator/src/world/machines.rs
@@ -1,7 +1,8 @@
 //! Control machines: their start and end, what comes to them, and what their processes want done.
 
 use lichenswitch_replication::{
-    DurableItem, Identity, Member, Notice, Position, Recovered, Replica, Settings, Status, Ticket, Time,
+    DurableItem, Identity, Member, Notice, Position, Recovered, Replica, Settings, Status, Ticket,
+    Time,
 };
 
 use super::machine::{AfterEnd, Machine};
@@ -23,7 +24,9 @@
 
 impl World {
     pub(super) fn set_up_machines(&mut self) {
-        let hosts: Vec<Host> = (0..self.settings.voters).map(|number| Host(FIRST_MACHINE + number)).collect();
+        let hosts: Vec<Host> = (0..self.settings.voters)
+            .map(|number| Host(FIRST_MACHINE + number))
+            .collect();
         for host in &hosts {
             self.add_machine(*host, host.0 % ZONES, true);
         }
@@ -31,8 +34,11 @@
         if let Some(founder) = founder.filter(|_| self.settings.founder_without_disk) {
             founder.without_disk = true;
         }
-        let seeds: Vec<String> =
-            hosts.iter().take(SEEDS).map(|host| self.machines[host].address.clone()).collect();
+        let seeds: Vec<String> = hosts
+            .iter()
+            .take(SEEDS)
+            .map(|host| self.machines[host].address.clone())
+            .collect();
         for host in &hosts {
             if let Some(machine) = self.machines.get_mut(host) {
                 machine.seeds.clone_from(&seeds);
@@ -45,22 +51,33 @@
 
     fn add_machine(&mut self, host: Host, zone: u32, first_start: bool) {
         self.network.place(host, zone);
-        self.machines.insert(host, Machine::new(host, zone, first_start));
+        self.machines
+            .insert(host, Machine::new(host, zone, first_start));
     }
 
-    /// A new machine in the zone of another, at a new address, which starts after so many microseconds.
+    /// A new machine in the zone of another, at a new address, which starts after so many
+    /// microseconds.
     pub(super) fn add_successor(&mut self, of: Host, after: u64) -> Host {
-        let last = self.machines.keys().last().map_or(FIRST_MACHINE, |host| host.0);
+        let last = self
+            .machines
+            .keys()
+            .last()
+            .map_or(FIRST_MACHINE, |host| host.0);
         let host = Host(last + 1);
         let zone = self.machines[&of].zone;
         self.add_machine(host, zone, false);
         let mut seeds = self.listed();
         self.random.shuffle(&mut seeds);
         if seeds.len() < SEEDS {
-            // Three are named wherever three serve, also where most had no power when the list was made.
+            // Three are named wherever three serve, also where most had no power when the list was
+            // made.
             seeds.extend(self.core().into_iter().filter(|seed| *seed != host));
         }
-        let seeds = seeds.iter().take(SEEDS).map(|seed| self.machines[seed].address.clone()).collect();
+        let seeds = seeds
+            .iter()
+            .take(SEEDS)
+            .map(|seed| self.machines[seed].address.clone())
+            .collect();
         if let Some(machine) = self.machines.get_mut(&host) {
             machine.seeds = seeds;
         }
@@ -73,22 +90,35 @@
         let now = self.now();
         let first_call = self.last_number << 20;
         self.last_number += 1;
-        let runs =
-            self.machines.get(&host).is_none_or(|machine| machine.process.is_some() || machine.removed);
+        let runs = self
+            .machines
+            .get(&host)
+            .is_none_or(|machine| machine.process.is_some() || machine.removed);
         if runs {
             return;
         }
-        if self.machines.get(&host).is_some_and(|machine| machine.without_disk && !machine.first_start) {
+        if self
+            .machines
+            .get(&host)
+            .is_some_and(|machine| machine.without_disk && !machine.first_start)
+        {
             // It relays from now on, which changes nothing that is judged here.
             return self.remove(host);
         }
         let replica = match self.replica(host) {
             Ok(replica) => replica,
-            Err(reason) => return self.ledger.violations.push(Violation::DiskUnreadable(host, reason)),
+            Err(reason) => {
+                return self
+                    .ledger
+                    .violations
+                    .push(Violation::DiskUnreadable(host, reason))
+            }
         };
         self.last_trouble = now;
         let (glue, tolerated) = (self.settings.glue, self.settings.tolerate);
-        let Some(machine) = self.machines.get_mut(&host) else { return };
+        let Some(machine) = self.machines.get_mut(&host) else {
+            return;
+        };
         machine.life += 1;
         machine.first_start = false;
         machine.dark = false;
@@ -107,7 +137,10 @@
     }
 
     fn tell_who_lacks_a_disk(&mut self) {
-        let processes = self.machines.values_mut().filter_map(|machine| machine.process.as_mut());
+        let processes = self
+            .machines
+            .values_mut()
+            .filter_map(|machine| machine.process.as_mut());
         processes.for_each(|process| process.set_without_disk(&self.without_disk));
     }
 
@@ -128,7 +161,8 @@
         } else {
             let items: Vec<DurableItem> = machine.disk.items().to_vec();
             let recovered = Recovered::from_items(items).map_err(|error| error.to_string())?;
-            Replica::recover(settings, address, recovered, seed, now).map_err(|error| error.to_string())?
+            Replica::recover(settings, address, recovered, seed, now)
+                .map_err(|error| error.to_string())?
         };
         replica.set_peers(machine.seeds.clone());
         Ok(replica)
@@ -142,10 +176,13 @@
         }
     }
 
-    /// A process ends: killed, or because power is lost (`dark`). What was under way ends with a reset, or with nothing.
+    /// A process ends: killed, or because power is lost (`dark`). What was under way ends with a
+    /// reset, or with nothing.
     pub(super) fn stop(&mut self, host: Host, dark: bool) {
         self.last_trouble = self.now();
-        let Some(machine) = self.machines.get_mut(&host) else { return };
+        let Some(machine) = self.machines.get_mut(&host) else {
+            return;
+        };
         machine.life += 1;
         machine.dark = dark;
         machine.frozen = false;
@@ -154,7 +191,9 @@
         if machine.without_disk {
             machine.disk.wipe();
         }
-        let Some(process) = machine.process.take() else { return };
+        let Some(process) = machine.process.take() else {
+            return;
+        };
         self.wakes.remove(&host);
         let (calls, connections) = process.open();
         for call in calls {
@@ -173,7 +212,9 @@
     }
 
     pub(super) fn on_machine_arrival(&mut self, arrival: Arrival<Packet>) {
-        let Some(machine) = self.machines.get_mut(&arrival.to) else { return };
+        let Some(machine) = self.machines.get_mut(&arrival.to) else {
+            return;
+        };
         if machine.frozen {
             return machine.backlog.push(Event::Arrive(arrival));
         }
@@ -181,8 +222,13 @@
             return self.reset(arrival);
         }
         let now = self.now();
-        let from = self.machines.get(&arrival.from).map(|machine| machine.address.clone());
-        let Some(process) = self.process(arrival.to) else { return };
+        let from = self
+            .machines
+            .get(&arrival.from)
+            .map(|machine| machine.address.clone());
+        let Some(process) = self.process(arrival.to) else {
+            return;
+        };
         match arrival.packet {
             Packet::Peer(message) => process.on_peer(now, &from.unwrap_or_default(), message),
             Packet::Call(id, question) => process.on_call(now, id, question),
@@ -212,7 +258,9 @@
 
     pub(super) fn wake_machine(&mut self, host: Host) {
         let now = self.now();
-        let Some(machine) = self.machines.get_mut(&host) else { return };
+        let Some(machine) = self.machines.get_mut(&host) else {
+            return;
+        };
         if machine.frozen {
             return machine.backlog.push(Event::Wake(host, now));
         }
@@ -224,7 +272,11 @@
 
     pub(super) fn on_disk_done(&mut self, host: Host, life: u64) {
         let now = self.now();
-        let Some(machine) = self.machines.get_mut(&host).filter(|machine| machine.life == life) else {
+        let Some(machine) = self
+            .machines
+            .get_mut(&host)
+            .filter(|machine| machine.life == life)
+        else {
             return;
         };
         if machine.frozen {
@@ -243,7 +295,9 @@
     }
 
     fn begin_write(&mut self, host: Host) {
-        let Some(machine) = self.machines.get_mut(&host) else { return };
+        let Some(machine) = self.machines.get_mut(&host) else {
+            return;
+        };
         let life = machine.life;
         if let Some(duration) = machine.disk.begin(&mut self.random) {
             self.scheduler.after(duration, Event::DiskDone(host, life));
@@ -253,12 +307,16 @@
     /// Does what a process wants done.
     pub(super) fn settle(&mut self, host: Host) {
         let now = self.now();
-        let Some(process) = self.process(host) else { return };
+        let Some(process) = self.process(host) else {
+            return;
+        };
         let effects = process.take_effects(now);
         for effect in effects {
             self.do_effect(host, effect);
         }
-        let Some(process) = self.process(host) else { return };
+        let Some(process) = self.process(host) else {
+            return;
+        };
         let wake = process.next_wake();
         self.wake_at(host, wake);
     }
@@ -275,11 +333,19 @@
         }
     }
 
-    /// A segment that is nearly full begins anew with everything that the item and those before it come to.
+    /// A segment that is nearly full begins anew with everything that the item and those before it
+    /// come to.
     fn persist(&mut self, host: Host, ticket: Ticket, item: DurableItem) {
-        let Some(machine) = self.machines.get_mut(&host) else { return };
-        let whole = machine.process.as_ref().filter(|_| machine.disk.wants_image());
-        let item = whole.and_then(|process| process.replica().image_for(ticket)).unwrap_or(item);
+        let Some(machine) = self.machines.get_mut(&host) else {
+            return;
+        };
+        let whole = machine
+            .process
+            .as_ref()
+            .filter(|_| machine.disk.wants_image());
+        let item = whole
+            .and_then(|process| process.replica().image_for(ticket))
+            .unwrap_or(item);
         machine.disk.submit(ticket, item);
         self.begin_write(host);
     }
@@ -289,7 +355,11 @@
         if let Packet::Peer(lichenswitch_messages::PeerMessage::Replication(bytes)) = &packet {
             self.counts.bytes += bytes.len() as u64;
         }
-        let to = self.machines.values().find(|machine| machine.address == to).map(|machine| machine.host);
+        let to = self
+            .machines
+            .values()
+            .find(|machine| machine.address == to)
+            .map(|machine| machine.host);
         if let Some(to) = to {
             self.send(host, to, packet, true);
         }
@@ -309,11 +379,18 @@
     }
 
     fn on_committed(&mut self, host: Host, position: Position) {
-        let Some(process) = self.machines.get(&host).and_then(|machine| machine.process.as_ref()) else {
+        let Some(process) = self
+            .machines
+            .get(&host)
+            .and_then(|machine| machine.process.as_ref())
+        else {
             return;
         };
         // Several positions may have been committed at once: only the last one's state is here.
-        if let Some((here, replicated)) = process.replica().committed().filter(|(here, _)| *here == position)
+        if let Some((here, replicated)) = process
+            .replica()
+            .committed()
+            .filter(|(here, _)| *here == position)
         {
             self.ledger.on_committed(host, here, replicated);
         }
@@ -329,7 +406,9 @@
 
     /// The process has ended by itself, as it was told to.
     fn on_end(&mut self, host: Host) {
-        let Some(machine) = self.machines.get(&host) else { return };
+        let Some(machine) = self.machines.get(&host) else {
+            return;
+        };
         let after_end = machine.after_end;
         self.stop(host, after_end == AfterEnd::Remove);
         match after_end {
@@ -350,7 +429,11 @@
 
     /// Machines that have not been removed.
     pub fn core(&self) -> Vec<Host> {
-        self.machines.values().filter(|machine| !machine.removed).map(|machine| machine.host).collect()
+        self.machines
+            .values()
+            .filter(|machine| !machine.removed)
+            .map(|machine| machine.host)
+            .collect()
     }
 
     /// How a machine's replica sees itself.
@@ -363,14 +446,21 @@
     pub fn primary(&self) -> Option<Host> {
         let serving = self.machines.values().filter_map(|machine| {
             let replica = machine.process.as_ref()?.replica();
-            replica.is_serving().then(|| (replica.promised(), machine.host))
+            replica
+                .is_serving()
+                .then(|| (replica.promised(), machine.host))
         });
         serving.max().map(|(_, host)| host)
     }
 
     /// The committed state at a machine.
     pub fn committed(&self, host: Host) -> Option<(Position, &Replicated)> {
-        self.machines.get(&host)?.process.as_ref()?.replica().committed()
+        self.machines
+            .get(&host)?
+            .process
+            .as_ref()?
+            .replica()
+            .committed()
     }
 
     /// Bytes of the encoded state at the primary.
--- a/simulator/src/world/mod.rs
+++ b/simulator/src/world/mod.rs
@@ -56,7 +56,8 @@
     pub faults: Faults,
     /// Planted faults of the glue.
     pub glue: GlueFaults,
-    /// Whether a process that wakes without need breaks a rule. Off only where a planted fault brings that with it.
+    /// Whether a process that wakes without need breaks a rule. Off only where a planted fault
+    /// brings that with it.
     pub judges_wakes: bool,
     /// The first machine, which founds the group, has no disk.
     pub founder_without_disk: bool,
@@ -201,7 +202,9 @@
     pub fn run_for(&mut self, microseconds: u64) {
         let until = self.now().after(microseconds);
         while self.ledger.violations.is_empty() {
-            let Some(event) = self.scheduler.next(until) else { return };
+            let Some(event) = self.scheduler.next(until) else {
+                return;
+            };
             self.handle(event);
         }
     }
@@ -231,18 +234,21 @@
         self.armed = Some(action);
     }
 
-    /// Brings a fault about so many microseconds after the next order that an operator sends: its end isn't known then.
+    /// Brings a fault about so many microseconds after the next order that an operator sends: its
+    /// end isn't known then.
     pub fn act_after_order(&mut self, microseconds: u64, action: Action) {
         self.armed_by_order = Some((microseconds, action));
     }
 
-    /// From now on service may rest, or may no more. Nothing acknowledged may be lost or shown in an older state either way.
+    /// From now on service may rest, or may no more. Nothing acknowledged may be lost or shown in
+    /// an older state either way.
     pub fn let_service_rest(&mut self, rests: bool) {
         self.service_may_rest = rests;
         self.last_trouble = self.now();
     }
 
-    /// Brings a fault about with the next acknowledgement, or at once if one waits for that already.
+    /// Brings a fault about with the next acknowledgement, or at once if one waits for that
+    /// already.
     pub fn act_after_acknowledgement_or_now(&mut self, action: Action) {
         match self.armed {
             None => self.armed = Some(action),
@@ -268,7 +274,8 @@
             self.trace.pop_front();
         }
         let now = self.now();
-        self.trace.push_back(format!("{:>9.3} {}", now.since(BEGIN) as f64 / 1e6, text()));
+        self.trace
+            .push_back(format!("{:>9.3} {}", now.since(BEGIN) as f64 / 1e6, text()));
     }
 
     fn send(&mut self, from: Host, to: Host, packet: Packet, lossy: bool) {
@@ -311,6 +318,9 @@
 
     /// The control machines on the operators' list.
     fn listed(&self) -> Vec<Host> {
-        self.lists.front().map(|(_, list)| list.clone()).unwrap_or_default()
+        self.lists
+            .front()
+            .map(|(_, list)| list.clone())
+            .unwrap_or_default()
     }
 }
--- a/simulator/tests/away.rs
+++ b/simulator/tests/away.rs
@@ -29,12 +29,16 @@
 
 /// What is sent to it meanwhile is lost.
 fn cut_off(settings: WorldSettings) -> World {
-    away(settings, |other| cut(vec![other], CutKind::Full, AWAY, false))
+    away(settings, |other| {
+        cut(vec![other], CutKind::Full, AWAY, false)
+    })
 }
 
 /// What is sent to it meanwhile comes at the end.
 fn held_up(settings: WorldSettings) -> World {
-    away(settings, |other| cut(vec![other], CutKind::Full, AWAY, true))
+    away(settings, |other| {
+        cut(vec![other], CutKind::Full, AWAY, true)
+    })
 }
 
 fn frozen(settings: WorldSettings) -> World {
--- a/simulator/tests/common/mod.rs
+++ b/simulator/tests/common/mod.rs
@@ -30,32 +30,58 @@
     for seed in seeds {
         let world = scenario(settings(seed, change));
         if let Some(violation) = world.ledger.violations.first() {
-            show(scenario(WorldSettings { trace: true, ..settings(seed, change) }));
+            show(scenario(WorldSettings {
+                trace: true,
+                ..settings(seed, change)
+            }));
             panic!("seed {seed}: {violation}");
         }
         let acknowledged = world.ledger.acknowledgements().len();
-        assert!(acknowledged > 20, "seed {seed}: only {acknowledged} changes were acknowledged");
+        assert!(
+            acknowledged > 20,
+            "seed {seed}: only {acknowledged} changes were acknowledged"
+        );
         look(&world);
     }
 }
 
 fn show(world: World) {
     let lines: Vec<&str> = world.trace().collect();
-    let plain = |line: &&&str| ![" puts ", " connects ", " leaves "].iter().any(|word| line.contains(word));
+    let plain = |line: &&&str| {
+        ![" puts ", " connects ", " leaves "]
+            .iter()
+            .any(|word| line.contains(word))
+    };
     let lines: Vec<&&str> = lines.iter().filter(plain).collect();
-    lines.iter().skip(lines.len().saturating_sub(TRACE_SHOWN)).for_each(|line| println!("{line}"));
+    lines
+        .iter()
+        .skip(lines.len().saturating_sub(TRACE_SHOWN))
+        .for_each(|line| println!("{line}"));
 }
 
 /// Changes that were acknowledged from one second of a run to another.
 pub fn acknowledged_between(world: &World, from: u64, to: u64) -> usize {
     let within = |at: u64| (from * SECOND..to * SECOND).contains(&at);
-    world.ledger.acknowledgements().iter().filter(|(at, _)| within(at.0)).count()
+    world
+        .ledger
+        .acknowledgements()
+        .iter()
+        .filter(|(at, _)| within(at.0))
+        .count()
 }
 
 /// A planted fault is found within these seeds; tells by which violation.
-pub fn finds(seeds: std::ops::Range<u64>, plant: fn(&mut WorldSettings), scenario: Scenario) -> Violation {
+pub fn finds(
+    seeds: std::ops::Range<u64>,
+    plant: fn(&mut WorldSettings),
+    scenario: Scenario,
+) -> Violation {
     let found = seeds.clone().find_map(|seed| {
-        let violation = scenario(settings(seed, plant)).ledger.violations.first().cloned()?;
+        let violation = scenario(settings(seed, plant))
+            .ledger
+            .violations
+            .first()
+            .cloned()?;
         println!("found by seed {seed}: {violation}");
         Some(violation)
     });
@@ -80,5 +106,11 @@
 
 /// A cut of these machines from all others, with a fifth of the callers on each side.
 pub fn cut(targets: Vec<Target>, kind: CutKind, duration: u64, holds: bool) -> Action {
-    Action::Cut { targets, kind, duration, holds, callers_bound: 20 }
+    Action::Cut {
+        targets,
+        kind,
+        duration,
+        holds,
+        callers_bound: 20,
+    }
 }
--- a/simulator/tests/overlaps.rs
+++ b/simulator/tests/overlaps.rs
@@ -1,5 +1,6 @@
-//! Losses that overlap beyond what service has to bear, with no more disks lost than must be borne: nothing that was acknowledged is gone.
-//! More: `cargo run --release -p lichenswitch-simulator -- walk --overlaps --episodes 5 --seeds 0..1000`.
+//! Losses that overlap beyond what service has to bear, with no more disks lost than must be borne:
+//! nothing that was acknowledged is gone. More:
+//! `cargo run --release -p lichenswitch-simulator -- walk --overlaps --episodes 5 --seeds 0..1000`.
 
 mod common;
 
@@ -12,18 +13,29 @@
 use lichenswitch_simulator::world::{Action, CutKind, Target, World, WorldSettings};
 
 /// Delays between the sending of an order and a fault, in microseconds.
-const AFTER_ORDER: [u64; 8] = [5_000, 8_000, 15_000, 30_000, 60_000, 120_000, 250_000, 400_000];
+const AFTER_ORDER: [u64; 8] = [
+    5_000, 8_000, 15_000, 30_000, 60_000, 120_000, 250_000, 400_000,
+];
 /// `recoveryS`, less the time until an order is overdue.
 const RECOVERY: u64 = 5 * SECOND;
 
 fn overlapping(settings: WorldSettings) -> World {
-    overlaps::walk(&Walk { world: settings, episodes: 4 }).world
+    overlaps::walk(&Walk {
+        world: settings,
+        episodes: 4,
+    })
+    .world
 }
 
 /// Operators who send orders without a rest, eight of them, as the pages allow at once.
 fn eager(settings: &mut WorldSettings) {
     (settings.operators, settings.readers) = (8, 4);
-    settings.pace = Pace { least_rest: 0, most_rest: 200_000, repeats: 30, ..Pace::default() };
+    settings.pace = Pace {
+        least_rest: 0,
+        most_rest: 200_000,
+        repeats: 30,
+        ..Pace::default()
+    };
 }
 
 fn three(settings: &mut WorldSettings) {
@@ -38,7 +50,8 @@
     world.run_for(CATCH_UP);
 }
 
-/// The oldest disk is lost and all others lose power, at each delay after an order was sent, and right after an acknowledgement.
+/// The oldest disk is lost and all others lose power, at each delay after an order was sent, and
+/// right after an acknowledgement.
 fn final_faults(settings: WorldSettings) -> World {
     let mut world = begun(settings);
     for target in [Target::Oldest, Target::Primary, Target::Other(1)] {
@@ -55,16 +68,31 @@
     world
 }
 
-/// Halves that callers all reach, with orders under way; then a disk is lost with the power of all others, at once or a little later.
+/// Halves that callers all reach, with orders under way; then a disk is lost with the power of all
+/// others, at once or a little later.
 fn halves_and_a_wipe(settings: WorldSettings) -> World {
     let mut world = begun(settings);
     let half = world.core().len() as u32 / 2;
     for (round, later) in [0, 1_000, 30_000, 300_000, 900_000].into_iter().enumerate() {
         world.let_service_rest(true);
-        let targets = std::iter::once(Target::Primary).chain((1..half).map(Target::Other)).collect();
+        let targets = std::iter::once(Target::Primary)
+            .chain((1..half).map(Target::Other))
+            .collect();
         let (kind, duration, holds) = (CutKind::Full, 3 * SECOND, round % 2 == 0);
-        world.act_after(0, Action::Cut { targets, kind, duration, holds, callers_bound: 0 });
-        world.act_after(duration + later, Action::WipeAndPowerOff(vec![Target::Other(round as u32)]));
+        world.act_after(
+            0,
+            Action::Cut {
+                targets,
+                kind,
+                duration,
+                holds,
+                callers_bound: 0,
+            },
+        );
+        world.act_after(
+            duration + later,
+            Action::WipeAndPowerOff(vec![Target::Other(round as u32)]),
+        );
         world.run_for(duration + later);
         recover(&mut world);
     }
@@ -72,11 +100,15 @@
     world
 }
 
-/// A wiped machine comes back empty while another is away, and is killed meanwhile; then a machine is replaced while another is away.
+/// A wiped machine comes back empty while another is away, and is killed meanwhile; then a machine
+/// is replaced while another is away.
 fn wiped_while_another_is_away(settings: WorldSettings) -> World {
     let mut world = begun(settings);
     for lost in [Target::Primary, Target::Oldest] {
-        let (away, wiped) = (Target::This(Host(2)), world.resolve(lost).map_or(lost, Target::This));
+        let (away, wiped) = (
+            Target::This(Host(2)),
+            world.resolve(lost).map_or(lost, Target::This),
+        );
         world.let_service_rest(true);
         world.act_after(0, Action::PowerLossFor(away, 6 * SECOND));
         world.act_after_acknowledgement_or_now(Action::Wipe(wiped));
@@ -95,12 +127,23 @@
     world
 }
 
-/// Disks of the primary and of backups are full, stalled or slow at once while orders come; then a disk is lost with the power of all others.
+/// Disks of the primary and of backups are full, stalled or slow at once while orders come; then a
+/// disk is lost with the power of all others.
 fn bad_disks(settings: WorldSettings) -> World {
     let mut world = begun(settings);
-    let troubles = [DiskTrouble::Full, DiskTrouble::Stalled, DiskTrouble::Slow(400_000)];
-    for (one, two) in troubles.into_iter().zip([1, 2, 0].map(|other| troubles[other])) {
-        for places in [[Target::Primary, Target::Other(0)], [Target::Other(0), Target::Other(1)]] {
+    let troubles = [
+        DiskTrouble::Full,
+        DiskTrouble::Stalled,
+        DiskTrouble::Slow(400_000),
+    ];
+    for (one, two) in troubles
+        .into_iter()
+        .zip([1, 2, 0].map(|other| troubles[other]))
+    {
+        for places in [
+            [Target::Primary, Target::Other(0)],
+            [Target::Other(0), Target::Other(1)],
+        ] {
             world.let_service_rest(true);
             world.act_after(0, Action::Disk(places[0], one, 3 * SECOND));
             world.act_after(1, Action::Disk(places[1], two, 2 * SECOND));
@@ -115,13 +158,17 @@
     world
 }
 
-/// Of eight, four lose power one after another, each for longer than a silent voter is kept; then two of the others lose their disks, and
-/// all come back.
+/// Of eight, four lose power one after another, each for longer than a silent voter is kept; then
+/// two of the others lose their disks, and all come back.
 fn dark_for_long_and_two_disks_lost(settings: WorldSettings) -> World {
     let mut world = begun(settings);
     world.let_service_rest(true);
     let primary = world.primary();
-    let others: Vec<Host> = world.core().into_iter().filter(|host| Some(*host) != primary).collect();
+    let others: Vec<Host> = world
+        .core()
+        .into_iter()
+        .filter(|host| Some(*host) != primary)
+        .collect();
     for dark in &others[..4] {
         world.act_after(0, Action::PowerLossFor(Target::This(*dark), 60 * SECOND));
         world.run_for(7 * SECOND);
@@ -143,7 +190,11 @@
 
 #[test]
 fn walks_of_eight_with_two_disks_to_lose() {
-    holds(300..301, |settings| (settings.voters, settings.tolerate) = (8, 2), overlapping);
+    holds(
+        300..301,
+        |settings| (settings.voters, settings.tolerate) = (8, 2),
+        overlapping,
+    );
 }
 
 #[test]
@@ -173,9 +224,21 @@
         eager(settings);
         settings.glue.refusal_without_contact = true;
     }
-    finds(0..20, |settings| settings.faults.half_is_quorum = true, overlapping);
-    finds(0..20, |settings| settings.faults.never_vote_out = true, overlapping);
-    finds(0..20, |settings| settings.glue.describe_without_contact = true, overlapping);
+    finds(
+        0..20,
+        |settings| settings.faults.half_is_quorum = true,
+        overlapping,
+    );
+    finds(
+        0..20,
+        |settings| settings.faults.never_vote_out = true,
+        overlapping,
+    );
+    finds(
+        0..20,
+        |settings| settings.glue.describe_without_contact = true,
+        overlapping,
+    );
     finds(6..20, hasty, overlapping);
 }
 
@@ -200,5 +263,9 @@
 
 #[test]
 fn two_disks_are_lost_after_four_machines_were_dark_for_long() {
-    holds(0..4, |settings| (settings.voters, settings.tolerate) = (8, 2), dark_for_long_and_two_disks_lost);
+    holds(
+        0..4,
+        |settings| (settings.voters, settings.tolerate) = (8, 2),
+        dark_for_long_and_two_disks_lost,
+    );
 }
--- a/simulator/tests/point_1.rs
+++ b/simulator/tests/point_1.rs
@@ -1,4 +1,5 @@
-//! Point 1: cut off for twenty seconds, nobody is handed an old configuration, and no order is refused or confirmed by mistake.
+//! Point 1: cut off for twenty seconds, nobody is handed an old configuration, and no order is
+//! refused or confirmed by mistake.
 
 mod common;
 
@@ -8,7 +9,8 @@
 use lichenswitch_simulator::network::Host;
 use lichenswitch_simulator::world::{Action, CutKind, Target, World, WorldSettings};
 
-/// The primary is cut off; a third of operators and readers go there first; routers start during the cut with its address first.
+/// The primary is cut off; a third of operators and readers go there first; routers start during
+/// the cut with its address first.
 fn primary_cut(settings: WorldSettings, kind: CutKind, held: bool) -> World {
     let mut world = begun(settings);
     let primary = world.primary().map_or(Target::Primary, Target::This);
@@ -26,11 +28,14 @@
     settings.operators = 4;
 }
 
-/// While the primary was cut off, the other side went on, though an operator who goes to the primary first loses a second with each
-/// order. The cut began after 6 s, as time begins at 1 s.
+/// While the primary was cut off, the other side went on, though an operator who goes to the
+/// primary first loses a second with each order. The cut began after 6 s, as time begins at 1 s.
 fn goes_on(world: &World) {
     let during = acknowledged_between(world, 10, 26);
-    assert!(during > 10, "only {during} changes were acknowledged during the trouble");
+    assert!(
+        during > 10,
+        "only {during} changes were acknowledged during the trouble"
+    );
 }
 
 fn full_cut(settings: WorldSettings) -> World {
@@ -112,20 +117,33 @@
 
 #[test]
 fn describe_without_contact_is_found() {
-    finds(0..10, |settings| settings.glue.describe_without_contact = true, full_cut);
+    finds(
+        0..10,
+        |settings| settings.glue.describe_without_contact = true,
+        full_cut,
+    );
 }
 
 #[test]
 fn refusals_without_contact_are_found() {
-    finds(0..40, |settings| settings.glue.refusal_without_contact = true, full_cut);
+    finds(
+        0..40,
+        |settings| settings.glue.refusal_without_contact = true,
+        full_cut,
+    );
 }
 
 #[test]
 fn contact_from_memory_is_found() {
-    finds(0..10, |settings| settings.glue.always_in_contact = true, full_cut);
+    finds(
+        0..10,
+        |settings| settings.glue.always_in_contact = true,
+        full_cut,
+    );
 }
 
-/// The disk of a voter takes nothing for long: it answers the primary, and falls behind. Routers start anew, and go there first.
+/// The disk of a voter takes nothing for long: it answers the primary, and falls behind. Routers
+/// start anew, and go there first.
 fn behind(settings: WorldSettings) -> World {
     let mut world = begun(settings);
     let primary = world.primary().expect("a primary serves");
@@ -144,7 +162,11 @@
 
 #[test]
 fn contact_of_a_copy_that_is_behind_is_found() {
-    finds(0..10, |settings| settings.glue.contact_while_behind = true, behind);
+    finds(
+        0..10,
+        |settings| settings.glue.contact_while_behind = true,
+        behind,
+    );
 }
 
 #[test]
@@ -164,7 +186,16 @@
         let primary = world.primary().map_or(Target::Primary, Target::This);
         world.act_after(0, Action::Lure(primary, 2));
         let (targets, kind, duration, holds) = (vec![primary], CutKind::Full, 1_500_000, false);
-        world.act_after(1, Action::Cut { targets, kind, duration, holds, callers_bound: 0 });
+        world.act_after(
+            1,
+            Action::Cut {
+                targets,
+                kind,
+                duration,
+                holds,
+                callers_bound: 0,
+            },
+        );
         world.run_for(3 * SECOND);
     }
     world.finish();
@@ -173,7 +204,11 @@
 
 fn watched(settings: &mut WorldSettings) {
     (settings.readers, settings.operators) = (8, 8);
-    settings.pace = Pace { least_rest: 300_000, most_rest: 700_000, ..Pace::default() };
+    settings.pace = Pace {
+        least_rest: 300_000,
+        most_rest: 700_000,
+        ..Pace::default()
+    };
 }
 
 #[test]
--- a/simulator/tests/point_2.rs
+++ b/simulator/tests/point_2.rs
@@ -1,4 +1,5 @@
-//! Point 2: two changes under one number are never both confirmed, and a repeat of one that was taken is never refused.
+//! Point 2: two changes under one number are never both confirmed, and a repeat of one that was
+//! taken is never refused.
 
 mod common;
 
@@ -9,17 +10,31 @@
 /// Four operators who act at the same moments, mostly pick the same number, and repeat a lot.
 fn racing(settings: &mut WorldSettings) {
     settings.operators = 4;
-    settings.pace =
-        Pace { least_rest: 0, most_rest: 400_000, in_step: 200_000, repeats: 30, invalid: 5, most_step: 2 };
+    settings.pace = Pace {
+        least_rest: 0,
+        most_rest: 400_000,
+        in_step: 200_000,
+        repeats: 30,
+        invalid: 5,
+        most_step: 2,
+    };
 }
 
-/// All answers to callers are lost while the primary is cut off; then the group goes through failovers and losses of disks.
+/// All answers to callers are lost while the primary is cut off; then the group goes through
+/// failovers and losses of disks.
 fn answers_lost(settings: WorldSettings) -> World {
     let mut world = begun(settings);
-    world.act_after(0, cut(vec![Target::Primary], CutKind::Full, 6 * SECOND, true));
+    world.act_after(
+        0,
+        cut(vec![Target::Primary], CutKind::Full, 6 * SECOND, true),
+    );
     world.act_after(0, Action::LoseReplies(6 * SECOND));
     world.run_for(8 * SECOND);
-    for after in [Action::Kill(Target::Primary), Action::PowerOffAll, Action::PowerLoss(Target::Primary)] {
+    for after in [
+        Action::Kill(Target::Primary),
+        Action::PowerOffAll,
+        Action::PowerLoss(Target::Primary),
+    ] {
         world.act_after_acknowledgement(after);
         world.run_for(5 * SECOND);
     }
--- a/simulator/tests/point_3.rs
+++ b/simulator/tests/point_3.rs
@@ -1,4 +1,5 @@
-//! Point 3: a second loss right after a repair is like the first, and one that leaves never has the only copy.
+//! Point 3: a second loss right after a repair is like the first, and one that leaves never has the
+//! only copy.
 
 mod common;
 
@@ -39,11 +40,14 @@
     }
 }
 
-/// One repair after another, each as soon as the one before has had `catchUpS`; then as many machines as must be borne are dead for long.
+/// One repair after another, each as soon as the one before has had `catchUpS`; then as many
+/// machines as must be borne are dead for long.
 fn repaired(settings: WorldSettings, repairs: &[Repair], targets: &[Target]) -> World {
     let mut world = begun(settings);
     for repair in repairs {
-        targets.iter().for_each(|target| world.act_after_acknowledgement_or_now(repair.action(*target)));
+        targets
+            .iter()
+            .for_each(|target| world.act_after_acknowledgement_or_now(repair.action(*target)));
         run_until_caught_up(&mut world);
     }
     for target in targets {
@@ -83,7 +87,11 @@
 
 fn five_repairs(settings: WorldSettings) -> World {
     use Repair::{Planned, Replacement, Wipe};
-    repaired(settings, &[Replacement, Replacement, Planned, Wipe, Replacement], &[Target::Oldest])
+    repaired(
+        settings,
+        &[Replacement, Replacement, Planned, Wipe, Replacement],
+        &[Target::Oldest],
+    )
 }
 
 fn two_at_once(settings: WorldSettings) -> World {
@@ -115,7 +123,8 @@
     holds(0..2, eight, two_at_once);
 }
 
-/// The smallest form: a machine whose seeds are all gone loses its disk, and comes back at its address.
+/// The smallest form: a machine whose seeds are all gone loses its disk, and comes back at its
+/// address.
 fn wiped_with_dead_seeds(settings: WorldSettings) -> World {
     let mut world = begun(settings);
     for _ in 0..3 {
@@ -136,11 +145,16 @@
 
 #[test]
 fn dead_voters_that_stay_are_found() {
-    finds(0..6, |settings| settings.faults.never_vote_out = true, five_repairs);
+    finds(
+        0..6,
+        |settings| settings.faults.never_vote_out = true,
+        five_repairs,
+    );
 }
 
-/// The disk of the primary is lost with the power of all others, again and again. (An empty disk that votes can't be planted here: it
-/// has a new identity, which counts in no quorum. `decide/replication/tests` plants it.)
+/// The disk of the primary is lost with the power of all others, again and again. (An empty disk
+/// that votes can't be planted here: it has a new identity, which counts in no quorum.
+/// `decide/replication/tests` plants it.)
 #[test]
 fn disks_lost_with_the_power_of_all_others() {
     fn wipes(settings: WorldSettings) -> World {
@@ -178,5 +192,9 @@
         world.finish();
         world
     }
-    finds(0..20, |settings| settings.faults.leaver_commits_alone = true, leaves);
+    finds(
+        0..20,
+        |settings| settings.faults.leaver_commits_alone = true,
+        leaves,
+    );
 }
--- a/simulator/tests/point_4.rs
+++ b/simulator/tests/point_4.rs
@@ -1,4 +1,5 @@
-//! Point 4: after hundreds of changes a member that starts anew catches up in a bounded time, and never leads with old state.
+//! Point 4: after hundreds of changes a member that starts anew catches up in a bounded time, and
+//! never leads with old state.
 
 mod common;
 
@@ -12,18 +13,31 @@
 /// Operators who bring ten changes a second and more.
 fn busy(settings: &mut WorldSettings) {
     settings.operators = 4;
-    settings.pace = Pace { least_rest: 30_000, most_rest: 250_000, ..Pace::default() };
+    settings.pace = Pace {
+        least_rest: 30_000,
+        most_rest: 250_000,
+        ..Pace::default()
+    };
 }
 
 /// Half a minute of changes around kills, a full disk and a stalled one.
 fn storm(settings: WorldSettings) -> World {
     let mut world = begun(settings);
     world.act_after(0, Action::Kill(Target::Primary));
-    world.act_after(4 * SECOND, Action::Disk(Target::Other(1), DiskTrouble::Full, 5 * SECOND));
+    world.act_after(
+        4 * SECOND,
+        Action::Disk(Target::Other(1), DiskTrouble::Full, 5 * SECOND),
+    );
     world.act_after(8 * SECOND, Action::PowerLoss(Target::Other(1)));
-    world.act_after(12 * SECOND, Action::Disk(Target::Primary, DiskTrouble::Stalled, 5 * SECOND));
+    world.act_after(
+        12 * SECOND,
+        Action::Disk(Target::Primary, DiskTrouble::Stalled, 5 * SECOND),
+    );
     world.act_after(19 * SECOND, Action::Kill(Target::Primary));
-    world.act_after(22 * SECOND, Action::Disk(Target::Primary, DiskTrouble::Full, 4 * SECOND));
+    world.act_after(
+        22 * SECOND,
+        Action::Disk(Target::Primary, DiskTrouble::Full, 4 * SECOND),
+    );
     world.act_after(28 * SECOND, Action::PowerOffAll);
     world.run_for(34 * SECOND);
     world.finish();
@@ -62,15 +76,23 @@
     world
 }
 
-/// Whoever is elected is cut off before its first record is committed, others lead on, and then all lose power: what is newest by
-/// number is not what counts.
+/// Whoever is elected is cut off before its first record is committed, others lead on, and then all
+/// lose power: what is newest by number is not what counts.
 fn unheard_primaries(settings: WorldSettings) -> World {
     let mut world = begun(settings);
     for _ in 0..6 {
         world.act_after(0, Action::PowerOffAll);
         for _ in 0..2 {
             if let Some(elected) = run_until_elected(&mut world) {
-                world.act_after(0, cut(vec![Target::This(elected)], CutKind::Full, 2 * SECOND, false));
+                world.act_after(
+                    0,
+                    cut(
+                        vec![Target::This(elected)],
+                        CutKind::Full,
+                        2 * SECOND,
+                        false,
+                    ),
+                );
             }
             world.run_for(SECOND / 2);
         }
@@ -126,7 +148,15 @@
     /// Two and two cannot reach each other.
     fn halves(settings: WorldSettings) -> World {
         let mut world = begun(settings);
-        world.act_after(0, cut(vec![Target::Primary, Target::Other(0)], CutKind::Full, 5 * SECOND, false));
+        world.act_after(
+            0,
+            cut(
+                vec![Target::Primary, Target::Other(0)],
+                CutKind::Full,
+                5 * SECOND,
+                false,
+            ),
+        );
         world.run_for(7 * SECOND);
         world.finish();
         world
--- a/simulator/tests/quotas.rs
+++ b/simulator/tests/quotas.rs
@@ -31,7 +31,11 @@
 #[test]
 fn small_groups_keep_the_rule_as_well() {
     for seed in SEEDS {
-        let (overrun, _) = play(Settings { control: 1 + seed as usize % 4, routers: 3, ..settings(seed) });
+        let (overrun, _) = play(Settings {
+            control: 1 + seed as usize % 4,
+            routers: 3,
+            ..settings(seed)
+        });
         assert_eq!(overrun, None, "seed {seed}");
     }
 }
@@ -39,7 +43,12 @@
 #[test]
 fn nine_tenths_of_a_limit_are_usable_wherever_requests_come_in() {
     for (seed, one_router) in [(1, false), (2, false), (3, true), (4, true)] {
-        let calm = Settings { trouble_every_ms: None, demand: 2.0, one_router, ..settings(seed) };
+        let calm = Settings {
+            trouble_every_ms: None,
+            demand: 2.0,
+            one_router,
+            ..settings(seed)
+        };
         let (overrun, ledger) = play(calm);
         assert_eq!(overrun, None, "seed {seed}");
         let share = ledger.least_share(SETTLED.0, SETTLED.1);
@@ -50,7 +59,11 @@
 #[test]
 fn demand_below_the_limit_is_let_through() {
     for seed in [5, 6] {
-        let calm = Settings { trouble_every_ms: None, demand: 0.8, ..settings(seed) };
+        let calm = Settings {
+            trouble_every_ms: None,
+            demand: 0.8,
+            ..settings(seed)
+        };
         let share = play(calm).1.least_share(SETTLED.0, SETTLED.1);
         assert!((0.75..=0.85).contains(&share), "seed {seed}: {share}");
     }
@@ -67,11 +80,36 @@
     ];
     for (planted, troubles, every_ms) in cases {
         let plays = |seed: u64| {
-            let case = Settings { control: 4, routers: 3, troubles, planted, ..settings(seed) };
-            play(Settings { trouble_every_ms: Some(every_ms), ..case }).0
+            let case = Settings {
+                control: 4,
+                routers: 3,
+                troubles,
+                planted,
+                ..settings(seed)
+            };
+            play(Settings {
+                trouble_every_ms: Some(every_ms),
+                ..case
+            })
+            .0
+        };
+        assert!(
+            (0..20).any(|seed| plays(seed).is_some()),
+            "{planted:?} was not found"
+        );
+        let sound = Settings {
+            planted: Planted::Nothing,
+            control: 4,
+            troubles,
+            ..settings(1)
         };
-        assert!((0..20).any(|seed| plays(seed).is_some()), "{planted:?} was not found");
-        let sound = Settings { planted: Planted::Nothing, control: 4, troubles, ..settings(1) };
-        assert_eq!(play(Settings { trouble_every_ms: Some(every_ms), ..sound }).0, None);
+        assert_eq!(
+            play(Settings {
+                trouble_every_ms: Some(every_ms),
+                ..sound
+            })
+            .0,
+            None
+        );
     }
 }
--- a/simulator/tests/without_disk.rs
+++ b/simulator/tests/without_disk.rs
@@ -1,5 +1,5 @@
-//! A group that a machine without a disk has founded, while machines with one come: nothing that is acknowledged rests on a memory that a
-//! loss of power takes.
+//! A group that a machine without a disk has founded, while machines with one come: nothing that is
+//! acknowledged rests on a memory that a loss of power takes.
 
 mod common;
 
@@ -8,19 +8,35 @@
 use lichenswitch_simulator::world::{Action, Target, World, WorldSettings};
 
 /// Once the beginning is over.
-const CALM: Pace =
-    Pace { least_rest: 200_000, most_rest: 500_000, in_step: 0, repeats: 10, invalid: 0, most_step: 3 };
+const CALM: Pace = Pace {
+    least_rest: 200_000,
+    most_rest: 500_000,
+    in_step: 0,
+    repeats: 10,
+    invalid: 0,
+    most_step: 3,
+};
 
 /// The founder and four machines with a disk, one of which may be lost.
 fn five(settings: &mut WorldSettings) {
     settings.founder_without_disk = true;
     settings.voters = 5;
-    settings.pace = Pace { least_rest: 0, most_rest: 20_000, ..Pace::default() };
+    settings.pace = Pace {
+        least_rest: 0,
+        most_rest: 20_000,
+        ..Pace::default()
+    };
 }
 
-/// Right after the first acknowledgements a disk is lost with the power of all others, the founder's among them.
+/// Right after the first acknowledgements a disk is lost with the power of all others, the
+/// founder's among them.
 fn a_disk_is_lost_at_the_beginning(settings: WorldSettings) -> World {
-    let places = [Target::Primary, Target::Other(0), Target::Other(1), Target::Other(2)];
+    let places = [
+        Target::Primary,
+        Target::Other(0),
+        Target::Other(1),
+        Target::Other(2),
+    ];
     let target = places[settings.seed as usize % places.len()];
     let mut world = World::new(settings);
     world.let_service_rest(true);
--- a/soak/src/bin/lichenswitch-volatile-fleet.rs
+++ b/soak/src/bin/lichenswitch-volatile-fleet.rs
@@ -1,5 +1,6 @@
-//! The fleet's roles on a disk whose power is lost with its process, for the soak. Its command line is that of `lichenswitch-fleet`, as far as
-//! a role needs it: the subcommand, and the settings file that the environment names. The table `soak` of that file may plant a fault.
+//! The fleet's roles on a disk whose power is lost with its process, for the soak. Its command line
+//! is that of `lichenswitch-fleet`, as far as a role needs it: the subcommand, and the settings
+//! file that the environment names. The table `soak` of that file may plant a fault.
 #![forbid(unsafe_code)]
 
 use lichenswitch_fleet::control::Environment;
--- a/soak/src/clients.rs
+++ b/soak/src/clients.rs
@@ -5,7 +5,9 @@
 use crate::servers::BETWEEN_EVENTS;
 use fastrand::Rng;
 use lichenswitch_standins::stream_client::message::{Call, MessageError};
-use lichenswitch_standins::stream_client::{ClientConnection, End, StreamFault, StreamRequest, Streamed};
+use lichenswitch_standins::stream_client::{
+    ClientConnection, End, StreamFault, StreamRequest, Streamed,
+};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
 use std::sync::Mutex;
@@ -14,7 +16,8 @@
 
 /// Clients give a request up after so long without a byte.
 const SILENCE: Duration = Duration::from_secs(5);
-/// The platform asks each router so often whether it is ready; a router that misses twice gets nobody new.
+/// The platform asks each router so often whether it is ready; a router that misses twice gets
+/// nobody new.
 const QUESTION: Duration = Duration::from_secs(1);
 /// Misses that take a router out.
 const MISSES: u32 = 2;
@@ -92,7 +95,8 @@
         }
     }
 
-    /// How long its next answer is to last: for streams from a fifth of a second up to longer than the grace, many of them long.
+    /// How long its next answer is to last: for streams from a fifth of a second up to longer than
+    /// the grace, many of them long.
     fn lasts(self, random: &mut Rng) -> Duration {
         Duration::from_millis(match self {
             _ if self.is_short() => 0,
@@ -127,7 +131,14 @@
     pub fn new(clock: Clock, fronts: Vec<SocketAddr>) -> Clients {
         let misses = fronts.iter().map(|_| AtomicU32::new(0)).collect();
         let (numbers, stopped) = (AtomicU64::new(1), AtomicBool::new(false));
-        Clients { clock, fronts, misses, numbers, stopped, tries: Mutex::default() }
+        Clients {
+            clock,
+            fronts,
+            misses,
+            numbers,
+            stopped,
+            tries: Mutex::default(),
+        }
     }
 
     /// No client sends anything more.
@@ -181,14 +192,18 @@
     fn choose(&self, random: &mut Rng) -> usize {
         let is_in = |machine: &usize| self.misses[*machine].load(Ordering::SeqCst) < MISSES;
         let ready: Vec<usize> = (0..self.fronts.len()).filter(is_in).collect();
-        random.choice(ready).unwrap_or_else(|| random.usize(0..self.fronts.len()))
+        random
+            .choice(ready)
+            .unwrap_or_else(|| random.usize(0..self.fronts.len()))
     }
 
     /// One short request to this router; tells whether it was served.
     #[must_use]
     pub fn is_served_by(&self, machine: usize) -> bool {
         let opened = ClientConnection::open(self.fronts[machine], SILENCE);
-        let sent = opened.ok().and_then(|mut connection| self.send(&mut connection, Habit::Safe, Some(1)));
+        let sent = opened
+            .ok()
+            .and_then(|mut connection| self.send(&mut connection, Habit::Safe, Some(1)));
         sent.is_some_and(|sent| {
             let served = sent.end == TryEnd::Answered(200);
             self.note(sent, machine, 0, Habit::Safe);
@@ -207,7 +222,9 @@
     ) -> bool {
         let lasts = habit.lasts(random).as_millis() / BETWEEN_EVENTS.as_millis() + 1;
         let events = (random.u32(0..LEFT) > 0).then_some(u32::try_from(lasts).unwrap_or(1));
-        let Some(sent) = self.send(connection, habit, events) else { return false };
+        let Some(sent) = self.send(connection, habit, events) else {
+            return false;
+        };
         let (end, goes_on) = (sent.end, sent.goes_on);
         self.note(sent, machine, turn, habit);
         if matches!(end, TryEnd::Answered(status) if status >= 300) {
@@ -216,30 +233,73 @@
         goes_on
     }
 
-    /// Sends one request for so many events, or leaves as soon as it is sent; `None`: it could not be sent whole.
-    fn send(&self, connection: &mut ClientConnection, habit: Habit, events: Option<u32>) -> Option<Sent> {
+    /// Sends one request for so many events, or leaves as soon as it is sent; `None`: it could not
+    /// be sent whole.
+    fn send(
+        &self,
+        connection: &mut ClientConnection,
+        habit: Habit,
+        events: Option<u32>,
+    ) -> Option<Sent> {
         let attempt = format!("{:016x}", self.numbers.fetch_add(1, Ordering::SeqCst));
-        let mut request = StreamRequest::new(HOST, habit.path(), &attempt, events.unwrap_or(1) * STRIDE);
+        let mut request =
+            StreamRequest::new(HOST, habit.path(), &attempt, events.unwrap_or(1) * STRIDE);
         request.deadline_ms = u64::try_from(habit.deadline().as_millis()).unwrap_or(u64::MAX);
         request.closes = false;
         let began = Instant::now();
         connection.write(&request).ok()?;
         let at = self.clock.now();
         if events.is_none() {
-            return Some(Sent { attempt, at, end: TryEnd::Left, faults: Vec::new(), goes_on: false });
+            return Some(Sent {
+                attempt,
+                at,
+                end: TryEnd::Left,
+                faults: Vec::new(),
+                goes_on: false,
+            });
         }
         let answer = connection.read(began, |_| {});
         let end = end(&answer);
-        let faults = answer.as_ref().map(|answer| answer.faults(&request, &[&attempt])).unwrap_or_default();
-        let goes_on = matches!(end, TryEnd::Answered(_)) && answer.is_ok_and(|answer| !answer.head.closes());
-        Some(Sent { attempt, at, end, faults, goes_on })
+        let faults = answer
+            .as_ref()
+            .map(|answer| answer.faults(&request, &[&attempt]))
+            .unwrap_or_default();
+        let goes_on =
+            matches!(end, TryEnd::Answered(_)) && answer.is_ok_and(|answer| !answer.head.closes());
+        Some(Sent {
+            attempt,
+            at,
+            end,
+            faults,
+            goes_on,
+        })
     }
 
     fn note(&self, sent: Sent, machine: usize, turn: u32, habit: Habit) {
-        let Sent { attempt, at: sent, end, faults, goes_on: _ } = sent;
-        let (idempotent, time_left, ended) = (habit.is_idempotent(), habit.deadline(), self.clock.now());
-        let one = Try { attempt, machine, idempotent, turn, sent, ended, time_left, end, faults };
-        self.tries.lock().unwrap_or_else(|e| e.into_inner()).push(one);
+        let Sent {
+            attempt,
+            at: sent,
+            end,
+            faults,
+            goes_on: _,
+        } = sent;
+        let (idempotent, time_left, ended) =
+            (habit.is_idempotent(), habit.deadline(), self.clock.now());
+        let one = Try {
+            attempt,
+            machine,
+            idempotent,
+            turn,
+            sent,
+            ended,
+            time_left,
+            end,
+            faults,
+        };
+        self.tries
+            .lock()
+            .unwrap_or_else(|e| e.into_inner())
+            .push(one);
     }
 }
 
--- a/soak/src/day.rs
+++ b/soak/src/day.rs
@@ -1,4 +1,5 @@
-//! A day: the fleet and the world around it are started, the plan is played, and at its end all is read back.
+//! A day: the fleet and the world around it are started, the plan is played, and at its end all is
+//! read back.
 
 use crate::bounds::{CONTACT, MACHINES, RECOVERY};
 use crate::clients::{Clients, HABITS};
@@ -27,7 +28,8 @@
 const AFTERWARDS: Duration = Duration::from_secs(3);
 /// Between two requests that show whether a router serves again.
 const PROBE: Duration = Duration::from_millis(100);
-/// Rests between an operator's orders, at most: of the one who always works, and of the one who at times races it.
+/// Rests between an operator's orders, at most: of the one who always works, and of the one who at
+/// times races it.
 const RESTS: [Duration; 2] = [Duration::from_millis(300), Duration::from_millis(1_500)];
 
 /// Why a day could not be played.
@@ -58,7 +60,8 @@
     pub logs: &'a Path,
 }
 
-/// Plays a day with this program, and leaves the logs of its processes in this folder. It ends early once `interrupted` is set.
+/// Plays a day with this program, and leaves the logs of its processes in this folder. It ends
+/// early once `interrupted` is set.
 ///
 /// # Errors
 /// When it can't be played.
@@ -71,7 +74,10 @@
     let mut outside = outside?;
     let inside = processes.finish();
     outside.process_faults.extend(inside.process_faults);
-    Ok(Journal { troubles: inside.troubles, ..outside })
+    Ok(Journal {
+        troubles: inside.troubles,
+        ..outside
+    })
 }
 
 /// What clients, operators and servers saw.
@@ -89,7 +95,17 @@
     begin(clock, &operators, &readiness)?;
     let (random, faults) = (Rng::with_seed(!plan.seed), Vec::new());
     let (isolated, operators) = (None, &operators);
-    let mut day = Day { plan, clock, random, servers, processes, faults, interrupted, isolated, operators };
+    let mut day = Day {
+        plan,
+        clock,
+        random,
+        servers,
+        processes,
+        faults,
+        interrupted,
+        isolated,
+        operators,
+    };
     let played = thread::scope(|scope| {
         let played = day.play(scope, &clients, operators, &readiness);
         // Whatever happened, the threads end.
@@ -100,13 +116,23 @@
     let (final_reads, servers, process_faults) = (played?, day.servers.finish(), day.faults);
     let (orders, reads) = operators.records();
     let (troubles, tries) = (Vec::new(), clients.tries());
-    Ok(Journal { troubles, tries, servers, orders, reads, final_reads, process_faults })
+    Ok(Journal {
+        troubles,
+        tries,
+        servers,
+        orders,
+        reads,
+        final_reads,
+        process_faults,
+    })
 }
 
 /// Brings the first configuration, and waits for all routers.
 fn begin(clock: Clock, operators: &Operators, readiness: &[SocketAddr]) -> Result<(), DayError> {
     if !operators.begin(START) {
-        return Err(DayError::NotUp("the first configuration was not acknowledged"));
+        return Err(DayError::NotUp(
+            "the first configuration was not acknowledged",
+        ));
     }
     let is_ready = |address: &SocketAddr| {
         let answer = Call::get("/readiness").send(*address, Duration::from_millis(300));
@@ -136,7 +162,9 @@
 
 /// Where the primary is, by the status of a control machine.
 fn primary_told_by(address: SocketAddr) -> Option<IpAddr> {
-    let status = Call::get("/status").send(address, Duration::from_millis(300)).ok()?;
+    let status = Call::get("/status")
+        .send(address, Duration::from_millis(300))
+        .ok()?;
     let status: serde_json::Value = serde_json::from_slice(&status.body).ok()?;
     let primary: SocketAddr = status["group"]["primary"].as_str()?.parse().ok()?;
     Some(primary.ip())
@@ -166,8 +194,9 @@
         }
         operators.stop();
         // What is under way may still be acknowledged: it is read back too.
-        let is_over =
-            |day: &Self| day.processes.is_calm() && changes.iter().all(ScopedJoinHandle::is_finished);
+        let is_over = |day: &Self| {
+            day.processes.is_calm() && changes.iter().all(ScopedJoinHandle::is_finished)
+        };
         self.go_on_until(is_over)?;
         let calm = self.clock.now();
         let reads = self.read_back(scope, operators)?;
@@ -211,7 +240,8 @@
                 return Ok(());
             }
             (Action::CutHalves(machine, time), _) => {
-                self.processes.cut(&[machine, (machine + 1) % MACHINES], time);
+                self.processes
+                    .cut(&[machine, (machine + 1) % MACHINES], time);
                 return Ok(());
             }
             (Action::KillAll(Some(_), rest), Some(machine)) => Action::KillAll(Some(machine), rest),
@@ -227,14 +257,17 @@
     fn primary(&self) -> Option<usize> {
         let control = self.processes.fleet().control();
         let primary = control.iter().find_map(|address| primary_told_by(*address));
-        control.iter().position(|address| Some(address.ip()) == primary)
+        control
+            .iter()
+            .position(|address| Some(address.ip()) == primary)
     }
 
     fn isolate_primary(&mut self, time: Duration) -> Result<(), DayError> {
         self.isolated = self.primary();
         if let Some(primary) = self.isolated {
             for other in (0..MACHINES).filter(|other| *other != primary) {
-                self.processes.act(Action::Pause((Role::Control, other), time))?;
+                self.processes
+                    .act(Action::Pause((Role::Control, other), time))?;
             }
         }
         Ok(())
@@ -293,6 +326,9 @@
         let asked: Vec<_> = (0..MACHINES).map(ask).collect();
         self.go_on_until(|_| asked.iter().all(ScopedJoinHandle::is_finished))?;
         // A thread that panicked has said so, and found nothing.
-        Ok(asked.into_iter().map(|thread| thread.join().unwrap_or_default()).collect())
+        Ok(asked
+            .into_iter()
+            .map(|thread| thread.join().unwrap_or_default())
+            .collect())
     }
 }
--- a/soak/src/journal.rs
+++ b/soak/src/journal.rs
@@ -1,4 +1,5 @@
-//! What happened on a day, as seen from outside: the record that is judged. Times count from the beginning of the day.
+//! What happened on a day, as seen from outside: the record that is judged. Times count from the
+//! beginning of the day.
 
 use crate::plan::Target;
 use lichenswitch_standins::model_server::Entry;
@@ -122,7 +123,8 @@
 /// An order of an operator.
 #[derive(Clone, Debug)]
 pub struct OrderRecord {
-    /// The order; its document names `number` in a route, so that a document tells which order made it.
+    /// The order; its document names `number` in a route, so that a document tells which order made
+    /// it.
     pub order: Order,
     /// Its place among all orders, from 1.
     pub number: u64,
@@ -188,6 +190,8 @@
     #[must_use]
     pub fn is_troubled(&self, from: Duration, to: Duration) -> bool {
         let touches = |trouble: &Trouble| trouble.from <= to && trouble.to >= from;
-        self.troubles.iter().any(|trouble| !trouble.kind.is_planned() && touches(trouble))
+        self.troubles
+            .iter()
+            .any(|trouble| !trouble.kind.is_planned() && touches(trouble))
     }
 }
--- a/soak/src/judge.rs
+++ b/soak/src/judge.rs
@@ -1,7 +1,8 @@
 //! The judge: a day's journal in, the rules that it breaks out. Pure.
 //!
-//! Where the published rules leave a choice, the stricter reading is taken: losses beside a change of the configuration count without
-//! a comparison with other times, and losses beside nothing count too.
+//! Where the published rules leave a choice, the stricter reading is taken: losses beside a change
+//! of the configuration count without a comparison with other times, and losses beside nothing
+//! count too.
 
 use crate::bounds::{CONFIG_APPLY, CONTACT, DRAIN_TIMEOUT, GRACE, LOSS_SLACK};
 use crate::journal::{Journal, OrderRecord, ServerRecord, TroubleKind, Try, TryEnd};
@@ -21,7 +22,8 @@
 const TERMINATION: Duration = GRACE.saturating_add(Duration::from_secs(1));
 /// A request sent so soon after SIGTERM may be cut in the last sixth of the grace.
 const SENT_EARLY: Duration = Duration::from_secs(3);
-/// A signal reaches its process within this; what was sent before that, the process took without knowing.
+/// A signal reaches its process within this; what was sent before that, the process took without
+/// knowing.
 const SIGNALLED: Duration = Duration::from_millis(20);
 /// Statuses that promise that the request has not run and never will.
 const PROMISES: [u16; 4] = [408, 421, 429, 503];
@@ -30,8 +32,12 @@
 #[must_use]
 pub fn judge(journal: &Journal) -> Vec<Violation> {
     let runs = Runs::of(journal);
-    let mut violations: Vec<Violation> =
-        journal.process_faults.iter().cloned().map(Violation::Process).collect();
+    let mut violations: Vec<Violation> = journal
+        .process_faults
+        .iter()
+        .cloned()
+        .map(Violation::Process)
+        .collect();
     for one in &journal.tries {
         violations.extend(lost(journal, &runs, one));
         let wrong = |fault| Violation::WrongAnswer(one.attempt.clone(), fault);
@@ -39,7 +45,12 @@
         violations.extend(run_wrongly(&runs, one));
     }
     violations.extend(unasked(journal));
-    violations.extend(journal.servers.iter().flat_map(|server| sent_to_leaver(journal, server)));
+    violations.extend(
+        journal
+            .servers
+            .iter()
+            .flat_map(|server| sent_to_leaver(journal, server)),
+    );
     violations.extend(orders(journal));
     violations.extend(reads(journal));
     violations
@@ -83,7 +94,9 @@
                 Event::Answered(_) | Event::Dropped => {
                     run.worked_until = run.worked_until.max(server.began + entry.at);
                     working.remove(entry.attempt.as_str());
-                    let stopped = server.stopped.is_some_and(|at| at <= server.began + entry.at);
+                    let stopped = server
+                        .stopped
+                        .is_some_and(|at| at <= server.began + entry.at);
                     run.broke_off |= entry.what == Event::Dropped && stopped;
                 }
                 _ => {}
@@ -126,34 +139,56 @@
     let crossed = run.is_none_or(|run| !run.arrived) && spent <= LOSS_SLACK;
     let used_up = spent + NEARLY >= one.time_left;
     let broke_off = run.is_some_and(|run| run.broke_off);
-    if crossed || used_up || broke_off || journal.is_troubled(one.sent.saturating_sub(CONTACT), one.ended) {
+    if crossed
+        || used_up
+        || broke_off
+        || journal.is_troubled(one.sent.saturating_sub(CONTACT), one.ended)
+    {
         return None;
     }
     let beside = beside(journal, run, one)?;
     let (attempt, machine, turn) = (one.attempt.clone(), one.machine, one.turn);
-    Some(Violation::RequestLost { attempt, machine, turn, sent: one.sent, ended: one.ended, end, beside })
+    Some(Violation::RequestLost {
+        attempt,
+        machine,
+        turn,
+        sent: one.sent,
+        ended: one.ended,
+        end,
+        beside,
+    })
 }
 
 /// The planned work beside which it was lost; `None`: the rules excuse it.
 fn beside(journal: &Journal, run: Option<&Run>, one: &Try) -> Option<Beside> {
-    let mine = journal.troubles.iter().filter(|trouble| trouble.target == (Role::Router, one.machine));
+    let mine = journal
+        .troubles
+        .iter()
+        .filter(|trouble| trouble.target == (Role::Router, one.machine));
     let (mut excused, mut beside) = (false, None);
     for trouble in mine.filter(|trouble| trouble.from <= one.ended) {
         let since = one.ended.saturating_sub(trouble.from);
         match trouble.kind {
-            TroubleKind::Terminated if since <= TERMINATION && !is_late_work(trouble.from, run, one) => {
+            TroubleKind::Terminated
+                if since <= TERMINATION && !is_late_work(trouble.from, run, one) =>
+            {
                 return Some(Beside::Termination(since));
             }
             // Nobody could know when it was taken that it would not end in the grace.
-            TroubleKind::Terminated if since <= TERMINATION && one.sent <= trouble.from + SIGNALLED => {
+            TroubleKind::Terminated
+                if since <= TERMINATION && one.sent <= trouble.from + SIGNALLED =>
+            {
                 return None
             }
             TroubleKind::Terminated if since <= TERMINATION => excused = true,
-            TroubleKind::HungUp if one.sent <= trouble.from + CONFIG_APPLY => beside = Some(Beside::HangUp),
+            TroubleKind::HungUp if one.sent <= trouble.from + CONFIG_APPLY => {
+                beside = Some(Beside::HangUp)
+            }
             _ => {}
         }
     }
-    // What beside a SIGTERM is excused counts all the same beside a configuration: that rule knows no such excuse.
+    // What beside a SIGTERM is excused counts all the same beside a configuration: that rule knows
+    // no such excuse.
     let spent = one.ended.saturating_sub(one.sent);
     let is_early = spent.mul_f64(10.0) < one.time_left.mul_f64(7.0);
     if beside.is_none() && journal.orders.iter().any(|order| is_news(order, one)) {
@@ -162,15 +197,21 @@
     beside.or((!excused).then_some(Beside::Nothing))
 }
 
-/// Whether a server was still at work in the last sixth of the grace on a request that was sent in its beginning.
+/// Whether a server was still at work in the last sixth of the grace on a request that was sent in
+/// its beginning.
 fn is_late_work(terminated: Duration, run: Option<&Run>, one: &Try) -> bool {
-    let until = run.map_or(Duration::ZERO, |run| run.worked_until).min(one.ended);
+    let until = run
+        .map_or(Duration::ZERO, |run| run.worked_until)
+        .min(one.ended);
     until >= terminated + GRACE.mul_f64(5.0 / 6.0) && one.sent <= terminated + SENT_EARLY
 }
 
 /// Whether a configuration came into force, or may have, while a request was under way.
 fn is_news(order: &OrderRecord, one: &Try) -> bool {
-    let refused = order.outcomes.iter().any(|outcome| matches!(outcome, Outcome::OtherVersion));
+    let refused = order
+        .outcomes
+        .iter()
+        .any(|outcome| matches!(outcome, Outcome::OtherVersion));
     let until = order.acknowledged.map_or(Duration::MAX, |at| at + NEWS);
     !refused && order.sent <= one.ended && until >= one.sent
 }
@@ -189,16 +230,28 @@
 }
 
 fn unasked(journal: &Journal) -> Vec<Violation> {
-    let asked: BTreeSet<&str> = journal.tries.iter().map(|one| one.attempt.as_str()).collect();
+    let asked: BTreeSet<&str> = journal
+        .tries
+        .iter()
+        .map(|one| one.attempt.as_str())
+        .collect();
     let ran = |entry: &&Entry| entry.what == Event::Ran && !asked.contains(entry.attempt.as_str());
     let entries = journal.servers.iter().flat_map(|server| &server.entries);
-    entries.filter(ran).map(|entry| Violation::Unasked(entry.attempt.clone())).collect()
+    entries
+        .filter(ran)
+        .map(|entry| Violation::Unasked(entry.attempt.clone()))
+        .collect()
 }
 
-/// Requests that reached a server later than `drainTimeoutMs` after it was acknowledged that it leaves.
+/// Requests that reached a server later than `drainTimeoutMs` after it was acknowledged that it
+/// leaves.
 fn sent_to_leaver(journal: &Journal, server: &ServerRecord) -> Vec<Violation> {
-    let leaves =
-        |entry: &&Entry| matches!(entry.what, Event::Acknowledged(Word::Draining(_) | Word::Deregister, _));
+    let leaves = |entry: &&Entry| {
+        matches!(
+            entry.what,
+            Event::Acknowledged(Word::Draining(_) | Word::Deregister, _)
+        )
+    };
     let Some(acknowledged) = server.entries.iter().find(leaves).map(|entry| entry.at) else {
         return Vec::new();
     };
@@ -222,10 +275,13 @@
     server.entries.iter().filter(late).map(violation).collect()
 }
 
-/// Whether the machine that sent a request on then was in touch: nothing befell it, and nothing unplanned any control machine, for
-/// `contactMs`. Planned work on control machines is no excuse here: each hands on what it knows before it ends.
+/// Whether the machine that sent a request on then was in touch: nothing befell it, and nothing
+/// unplanned any control machine, for `contactMs`. Planned work on control machines is no excuse
+/// here: each hands on what it knows before it ends.
 fn is_in_touch(journal: &Journal, attempt: &str, at: Duration) -> bool {
-    let Some(one) = journal.tries.iter().find(|one| one.attempt == attempt) else { return true };
+    let Some(one) = journal.tries.iter().find(|one| one.attempt == attempt) else {
+        return true;
+    };
     journal.troubles.iter().all(|trouble| {
         let (role, machine) = trouble.target;
         let concerns = match role {
@@ -242,7 +298,10 @@
         let entry = |outcome: &Outcome| (*outcome != Outcome::Unclear).then_some(*outcome);
         let clear: Vec<Outcome> = record.outcomes.iter().filter_map(entry).collect();
         let nowhere = std::net::SocketAddr::from(([0, 0, 0, 0], 0));
-        clear.into_iter().map(move |outcome| (nowhere, outcome)).collect::<Vec<_>>()
+        clear
+            .into_iter()
+            .map(move |outcome| (nowhere, outcome))
+            .collect::<Vec<_>>()
     };
     let entries: Vec<OperatorEntry> = journal
         .orders
@@ -254,11 +313,21 @@
                 .map(move |(at, outcome)| OperatorEntry::Answered(order.clone(), at, outcome))
         })
         .collect();
-    let mut violations: Vec<Violation> = judge_answers(&entries).into_iter().map(Violation::Orders).collect();
-    let read: BTreeSet<u64> =
-        journal.reads.iter().chain(&journal.final_reads).map(|read| read.order).collect();
+    let mut violations: Vec<Violation> = judge_answers(&entries)
+        .into_iter()
+        .map(Violation::Orders)
+        .collect();
+    let read: BTreeSet<u64> = journal
+        .reads
+        .iter()
+        .chain(&journal.final_reads)
+        .map(|read| read.order)
+        .collect();
     let is_refused = |record: &&OrderRecord| {
-        record.outcomes.iter().any(|outcome| matches!(outcome, Outcome::OtherVersion | Outcome::Refused(_)))
+        record
+            .outcomes
+            .iter()
+            .any(|outcome| matches!(outcome, Outcome::OtherVersion | Outcome::Refused(_)))
     };
     let refused = journal.orders.iter().filter(is_refused);
     violations.extend(
@@ -280,7 +349,11 @@
         }
         let first = *by_base.entry(record.order.base).or_insert(record.number);
         if first != record.number {
-            violations.push(Violation::BothTaken(record.order.base, first, record.number));
+            violations.push(Violation::BothTaken(
+                record.order.base,
+                first,
+                record.number,
+            ));
         }
     }
     violations
@@ -289,24 +362,47 @@
 fn reads(journal: &Journal) -> Vec<Violation> {
     let mut violations = Vec::new();
     for read in &journal.reads {
-        let long_known =
-            |record: &&OrderRecord| record.acknowledged.is_some_and(|at| at + CONFIG_APPLY < read.sent);
-        let known = journal.orders.iter().filter(long_known).map(|record| record.version).max().unwrap_or(0);
+        let long_known = |record: &&OrderRecord| {
+            record
+                .acknowledged
+                .is_some_and(|at| at + CONFIG_APPLY < read.sent)
+        };
+        let known = journal
+            .orders
+            .iter()
+            .filter(long_known)
+            .map(|record| record.version)
+            .max()
+            .unwrap_or(0);
         if read.version < known {
             let (machine, sent, told) = (read.machine, read.sent, read.version);
-            violations.push(Violation::ReadOld { machine, sent, told, known });
+            violations.push(Violation::ReadOld {
+                machine,
+                sent,
+                told,
+                known,
+            });
         }
     }
     for read in &journal.final_reads {
         let known = |record: &&OrderRecord| record.acknowledged.is_some_and(|at| at < read.sent);
-        let newest = journal.orders.iter().filter(known).max_by_key(|record| record.version);
+        let newest = journal
+            .orders
+            .iter()
+            .filter(known)
+            .max_by_key(|record| record.version);
         let Some(newest) = newest else { continue };
         let older = read.version < newest.version;
         let other = read.version == newest.version && read.order != newest.number;
         if older || other {
             let (known, order) = (newest.version, newest.number);
             let (machine, told) = (read.machine, read.version);
-            violations.push(Violation::ConfigurationLost { machine, told, known, order });
+            violations.push(Violation::ConfigurationLost {
+                machine,
+                told,
+                known,
+                order,
+            });
         }
     }
     violations
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,5 +1,5 @@
-//! The soak's command line: days from seeds, several at a time. Exit codes: 0 when no rule was broken, 1 when one was or a day could not be
-//! played, 2 when the arguments can't be used.
+//! The soak's command line: days from seeds, several at a time. Exit codes: 0 when no rule was
+//! broken, 1 when one was or a day could not be played, 2 when the arguments can't be used.
 #![forbid(unsafe_code)]
 
 use bpaf::Bpaf;
@@ -29,16 +29,21 @@
     #[bpaf(argument("RANGE"), fallback(SeedRange(0..1)))]
     seeds: SeedRange,
     /// Length of a day up to its final fault, in seconds; 12 at least.
-    #[bpaf(argument("SECONDS"), fallback(30), guard(long_enough, "a day has 12 seconds at least"))]
+    #[bpaf(
+        argument("SECONDS"),
+        fallback(30),
+        guard(long_enough, "a day has 12 seconds at least")
+    )]
     seconds: u64,
     /// Days at a time; each has 8 processes.
     #[bpaf(argument("NUMBER"), fallback(2))]
     jobs: usize,
-    /// The program; without it, `lichenswitch-fleet` beside this one, or `lichenswitch-volatile-fleet` on days whose disks lose what was not
-    /// synced.
+    /// The program; without it, `lichenswitch-fleet` beside this one, or
+    /// `lichenswitch-volatile-fleet` on days whose disks lose what was not synced.
     #[bpaf(argument("PATH"))]
     program: Option<PathBuf>,
-    /// A fault that `lichenswitch-volatile-fleet` is to have, to see whether it is found: `primary_commits_alone`.
+    /// A fault that `lichenswitch-volatile-fleet` is to have, to see whether it is found:
+    /// `primary_commits_alone`.
     #[bpaf(argument("FAULT"))]
     plant: Option<String>,
     /// Folder for the logs of days that break a rule.
@@ -84,8 +89,11 @@
             return ExitCode::from(2);
         }
     }
-    let (next, played, broken) =
-        (AtomicU64::new(options.seeds.0.start), AtomicU64::new(0), AtomicU64::new(0));
+    let (next, played, broken) = (
+        AtomicU64::new(options.seeds.0.start),
+        AtomicU64::new(0),
+        AtomicU64::new(0),
+    );
     thread::scope(|scope| {
         for _ in 0..options.jobs.max(1) {
             scope.spawn(|| loop {
@@ -112,11 +120,19 @@
 /// Plays a day and prints its verdict; tells whether no rule was broken.
 fn is_sound(seed: u64, options: &Options, interrupted: &AtomicBool) -> bool {
     let plan = Plan::draw(seed, Duration::from_secs(options.seconds));
-    let folder = options.logs.join(format!("seed-{seed}-{}", std::process::id()));
+    let folder = options
+        .logs
+        .join(format!("seed-{seed}-{}", std::process::id()));
     let program = program(options, &plan);
-    let more_settings =
-        options.plant.as_ref().map_or_else(String::new, |fault| format!("[soak]\nplant = {fault:?}\n"));
-    let stage = Stage { program: &program, more_settings: &more_settings, logs: &folder };
+    let more_settings = options
+        .plant
+        .as_ref()
+        .map_or_else(String::new, |fault| format!("[soak]\nplant = {fault:?}\n"));
+    let stage = Stage {
+        program: &program,
+        more_settings: &more_settings,
+        logs: &folder,
+    };
     let played = play(&plan, stage, interrupted);
     let violations = played.as_ref().map(judge).unwrap_or_default();
     let mut text = verdict(seed, &played, &violations);
@@ -127,10 +143,14 @@
     } else {
         let own = std::env::current_exe().unwrap_or_default();
         let (own, program) = (own.display(), program.display());
-        let planted = options.plant.as_ref().map_or_else(String::new, |fault| format!(" --plant {fault}"));
+        let planted = options
+            .plant
+            .as_ref()
+            .map_or_else(String::new, |fault| format!(" --plant {fault}"));
         let (beyond, seconds) = (seed + 1, options.seconds);
-        let again =
-            format!("{own} --seeds {seed}..{beyond} --seconds {seconds} --program {program}{planted}");
+        let again = format!(
+            "{own} --seeds {seed}..{beyond} --seconds {seconds} --program {program}{planted}"
+        );
         let _ = write!(text, "\n  again: {again}\n  logs: {}", folder.display());
         let whole = format!("{text}\n\n{plan:#?}\n\n{:#?}\n", played.as_ref().map(brief));
         if let Err(error) = std::fs::write(folder.join("journal.txt"), whole) {
@@ -144,8 +164,16 @@
 /// The program that a day is played with.
 fn program(options: &Options, plan: &Plan) -> PathBuf {
     let volatile = plan.volatile_disks || options.plant.is_some();
-    let name = if volatile { "lichenswitch-volatile-fleet" } else { "lichenswitch-fleet" };
-    let beside = || std::env::current_exe().unwrap_or_default().with_file_name(name);
+    let name = if volatile {
+        "lichenswitch-volatile-fleet"
+    } else {
+        "lichenswitch-fleet"
+    };
+    let beside = || {
+        std::env::current_exe()
+            .unwrap_or_default()
+            .with_file_name(name)
+    };
     options.program.clone().unwrap_or_else(beside)
 }
 
@@ -162,9 +190,17 @@
         };
         *ends.entry(end).or_default() += 1;
     }
-    let acknowledged = journal.orders.iter().filter(|order| order.acknowledged.is_some()).count();
+    let acknowledged = journal
+        .orders
+        .iter()
+        .filter(|order| order.acknowledged.is_some())
+        .count();
     let (orders, reads) = (journal.orders.len(), journal.reads.len());
-    let verdict = if violations.is_empty() { "sound" } else { "BROKEN" };
+    let verdict = if violations.is_empty() {
+        "sound"
+    } else {
+        "BROKEN"
+    };
     let mut text = format!(
         "seed {seed}: {verdict}; {acknowledged} of {orders} orders acknowledged, {reads} reads, requests {ends:?}"
     );
@@ -177,7 +213,9 @@
 /// The journal without the requests that went well and all that servers saw.
 fn brief(journal: &Journal) -> Journal {
     let mut brief = journal.clone();
-    brief.tries.retain(|one| !matches!(one.end, TryEnd::Answered(_)) || !one.faults.is_empty());
+    brief
+        .tries
+        .retain(|one| !matches!(one.end, TryEnd::Answered(_)) || !one.faults.is_empty());
     let kept: Vec<String> = brief.tries.iter().map(|one| one.attempt.clone()).collect();
     for server in &mut brief.servers {
         server.entries.retain(|entry| kept.contains(&entry.attempt));
--- a/soak/src/operators.rs
+++ b/soak/src/operators.rs
@@ -1,5 +1,6 @@
-//! The operators of a day: they change the configuration nearly all the time, on top of what they know, two of them at times at once,
-//! and repeat what got no clear answer elsewhere; and a reader who asks any machine for the configuration in force.
+//! The operators of a day: they change the configuration nearly all the time, on top of what they
+//! know, two of them at times at once, and repeat what got no clear answer elsewhere; and a reader
+//! who asks any machine for the configuration in force.
 
 use crate::journal::{Clock, OrderRecord, ReadRecord};
 use crate::servers::SERVICES;
@@ -35,7 +36,13 @@
 
 impl Variant {
     fn first() -> Variant {
-        Variant { number: 1, long_timeout: 12_000, short_timeout: 3_000, attempts: 2, second: Some(30) }
+        Variant {
+            number: 1,
+            long_timeout: 12_000,
+            short_timeout: 3_000,
+            attempts: 2,
+            second: Some(30),
+        }
     }
 
     /// Another one on top of it; where `within`, of the same routes and services.
@@ -46,13 +53,23 @@
             _ => random.bool().then(|| random.u32(1..60)),
         };
         let (long_timeout, short_timeout) = (random.u64(9_500..14_000), random.u64(2_300..4_000));
-        Variant { number, long_timeout, short_timeout, attempts: random.u32(1..4), second }
+        Variant {
+            number,
+            long_timeout,
+            short_timeout,
+            attempts: random.u32(1..4),
+            second,
+        }
     }
 
     fn routes(self) -> Vec<Route> {
         let route = |name: &str, service: &str, kind: &'static str, resume: bool| {
             let mut route = Route::new(name, HOST, &format!("/{name}/"), service);
-            let timeout = if kind == "streaming" { self.long_timeout } else { self.short_timeout };
+            let timeout = if kind == "streaming" {
+                self.long_timeout
+            } else {
+                self.short_timeout
+            };
             (route.kind, route.resume, route.timeout_ms) = (kind, resume, timeout);
             route.attempts = self.attempts;
             route
@@ -75,7 +92,12 @@
 
     /// A route by which a configuration tells its order.
     fn mark(self) -> Route {
-        Route::new("mark", HOST, &format!("/mark/{}/", self.number), SERVICES[0])
+        Route::new(
+            "mark",
+            HOST,
+            &format!("/mark/{}/", self.number),
+            SERVICES[0],
+        )
     }
 }
 
@@ -84,7 +106,13 @@
     let document: serde_json::Value = serde_json::from_slice(document).ok()?;
     let routes = document.get("routes")?.as_array()?;
     let mark = routes.iter().find(|route| route["name"] == "mark")?;
-    mark.get("pathPrefix")?.as_str()?.trim_matches('/').rsplit('/').next()?.parse().ok()
+    mark.get("pathPrefix")?
+        .as_str()?
+        .trim_matches('/')
+        .rsplit('/')
+        .next()?
+        .parse()
+        .ok()
 }
 
 #[derive(Default)]
@@ -112,7 +140,13 @@
     #[must_use]
     pub fn new(clock: Clock, control: Vec<SocketAddr>) -> Operators {
         let (stopped, drawn_to) = (AtomicBool::new(false), Mutex::default());
-        Operators { clock, control, stopped, drawn_to, book: Mutex::default() }
+        Operators {
+            clock,
+            control,
+            stopped,
+            drawn_to,
+            book: Mutex::default(),
+        }
     }
 
     fn book(&self) -> MutexGuard<'_, Book> {
@@ -138,7 +172,10 @@
     fn first_machine(&self, random: &mut Rng) -> usize {
         let drawn_to = *self.drawn_to.lock().unwrap_or_else(|e| e.into_inner());
         let drawn_to = drawn_to.filter(|(_, until)| self.clock.now() < *until);
-        drawn_to.map_or_else(|| random.usize(0..self.control.len()), |(machine, _)| machine)
+        drawn_to.map_or_else(
+            || random.usize(0..self.control.len()),
+            |(machine, _)| machine,
+        )
     }
 
     /// How many acknowledgements came.
@@ -159,8 +196,13 @@
     pub fn begin(&self, at_most: Duration) -> bool {
         let variant = Variant::first();
         let body = replace(1, &variant.routes());
-        let order = Order { verb: Verb::Replace, base: 0, body };
-        self.book().enter(order.clone(), 1, variant, self.clock.now());
+        let order = Order {
+            verb: Verb::Replace,
+            base: 0,
+            body,
+        };
+        self.book()
+            .enter(order.clone(), 1, variant, self.clock.now());
         let outcome = Operator::new(self.control.clone()).send(&order, 0, at_most);
         self.note(0, outcome);
         outcome == Outcome::Acknowledged
@@ -179,7 +221,8 @@
         }
     }
 
-    /// Draws a new order on top of what is known, and tells its place. Two operators may draw the same version.
+    /// Draws a new order on top of what is known, and tells its place. Two operators may draw the
+    /// same version.
     fn draw(&self, random: &mut Rng) -> usize {
         let within = random.bool();
         // Drawn and entered in one go: numbers tell orders apart.
@@ -188,13 +231,21 @@
         let variant = book.variants[place].next(book.next_number(), within, random);
         let version = base + random.u64(1..4);
         let (verb, body) = if within {
-            let changed: Vec<Route> =
-                variant.routes().into_iter().filter(|route| random.bool() || route.name == "mark").collect();
+            let changed: Vec<Route> = variant
+                .routes()
+                .into_iter()
+                .filter(|route| random.bool() || route.name == "mark")
+                .collect();
             (Verb::Update, update(version, &changed, &[]))
         } else {
             (Verb::Replace, replace(version, &variant.routes()))
         };
-        book.enter(Order { verb, base, body }, version, variant, self.clock.now())
+        book.enter(
+            Order { verb, base, body },
+            version,
+            variant,
+            self.clock.now(),
+        )
     }
 
     /// Sends an order until it has a clear answer; at times its first answer is lost on the way.
@@ -216,10 +267,16 @@
     fn repeat(&self, operator: &Operator, random: &mut Rng) {
         let acknowledged: Vec<usize> = {
             let book = self.book();
-            let taken = book.orders.iter().enumerate().filter(|(_, order)| order.acknowledged.is_some());
+            let taken = book
+                .orders
+                .iter()
+                .enumerate()
+                .filter(|(_, order)| order.acknowledged.is_some());
             taken.map(|(place, _)| place).collect()
         };
-        let Some(place) = random.choice(acknowledged.iter().rev().take(REPEATABLE)) else { return };
+        let Some(place) = random.choice(acknowledged.iter().rev().take(REPEATABLE)) else {
+            return;
+        };
         let order = self.book().orders[*place].order.clone();
         let outcome = operator.send(&order, random.usize(0..self.control.len()), PATIENCE);
         self.note(*place, outcome);
@@ -267,14 +324,33 @@
     /// Reads the configuration back from one machine, in this time.
     #[must_use]
     pub fn read_back(&self, machine: usize, at_most: Duration) -> Option<ReadRecord> {
-        self.read_at(&Operator::new(vec![self.control[machine]]), 0, machine, at_most)
+        self.read_at(
+            &Operator::new(vec![self.control[machine]]),
+            0,
+            machine,
+            at_most,
+        )
     }
 
-    fn read_at(&self, by: &Operator, first: usize, machine: usize, at_most: Duration) -> Option<ReadRecord> {
+    fn read_at(
+        &self,
+        by: &Operator,
+        first: usize,
+        machine: usize,
+        at_most: Duration,
+    ) -> Option<ReadRecord> {
         let sent = self.clock.now();
         let document = by.describe(first, at_most)?;
-        let (version, order) = (version(&document).unwrap_or(0), order_in(&document).unwrap_or(0));
-        Some(ReadRecord { machine, sent, version, order })
+        let (version, order) = (
+            version(&document).unwrap_or(0),
+            order_in(&document).unwrap_or(0),
+        );
+        Some(ReadRecord {
+            machine,
+            sent,
+            version,
+            order,
+        })
     }
 }
 
@@ -285,7 +361,14 @@
 
     fn enter(&mut self, order: Order, version: u64, variant: Variant, sent: Duration) -> usize {
         let (number, acknowledged, outcomes) = (variant.number, None, Vec::new());
-        self.orders.push(OrderRecord { order, number, version, sent, acknowledged, outcomes });
+        self.orders.push(OrderRecord {
+            order,
+            number,
+            version,
+            sent,
+            acknowledged,
+            outcomes,
+        });
         self.variants.push(variant);
         self.orders.len() - 1
     }
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -11,7 +11,8 @@
 /// Something that is done to the fleet or its servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Action {
-    /// SIGTERM to a machine's processes; SIGKILL after the grace; they are started again so long after their end.
+    /// SIGTERM to a machine's processes; SIGKILL after the grace; they are started again so long
+    /// after their end.
     Restart(usize, Duration),
     /// SIGHUP to a machine's processes.
     HangUp(usize),
@@ -21,14 +22,18 @@
     Wipe(usize, Duration),
     /// SIGSTOP to a process, and SIGCONT so long after.
     Pause(Target, Duration),
-    /// SIGKILL to all processes, which are started again so long after; the control process of that machine with an empty disk.
+    /// SIGKILL to all processes, which are started again so long after; the control process of that
+    /// machine with an empty disk.
     KillAll(Option<usize>, Duration),
-    /// SIGSTOP to all control processes but the primary's, and SIGCONT so long after. If the final fault kills all and empties a disk, it is
-    /// the primary's: what that one would acknowledge alone is lost.
+    /// SIGSTOP to all control processes but the primary's, and SIGCONT so long after. If the final
+    /// fault kills all and empties a disk, it is the primary's: what that one would acknowledge
+    /// alone is lost.
     IsolatePrimary(Duration),
-    /// The control process of the primary is cut off from all others for so long; callers reach all of them.
+    /// The control process of the primary is cut off from all others for so long; callers reach all
+    /// of them.
     CutPrimary(Duration),
-    /// The control processes are cut into two halves for so long, this machine's and the next one's on one side.
+    /// The control processes are cut into two halves for so long, this machine's and the next one's
+    /// on one side.
     CutHalves(usize, Duration),
     /// The model server of that place says that it drains, serves on, leaves and is replaced.
     Drain(usize),
@@ -66,14 +71,25 @@
     /// The day of this seed.
     #[must_use]
     pub fn draw(seed: u64, length: Duration) -> Plan {
-        let mut draw = Draw { rng: Rng::with_seed(seed), length, wiped: false, actions: Vec::new() };
+        let mut draw = Draw {
+            rng: Rng::with_seed(seed),
+            length,
+            wiped: false,
+            actions: Vec::new(),
+        };
         draw.planned_moment();
         draw.servers_troubles();
         draw.unplanned_moment();
         draw.cuts();
         let final_fault = draw.final_fault();
         draw.actions.sort();
-        Plan { seed, length, actions: draw.actions, final_fault, volatile_disks: seed % 3 != 2 }
+        Plan {
+            seed,
+            length,
+            actions: draw.actions,
+            final_fault,
+            volatile_disks: seed % 3 != 2,
+        }
     }
 }
 
@@ -94,7 +110,8 @@
         self.actions.push((at.min(self.length), action));
     }
 
-    /// Machines are stopped and started in turn, one or two at a time, while servers are replaced and settings change.
+    /// Machines are stopped and started in turn, one or two at a time, while servers are replaced
+    /// and settings change.
     fn planned_moment(&mut self) {
         let begin = self.length.mul_f64(0.05 + 0.15 * self.rng.f64());
         let overlap = self.rng.bool();
@@ -125,7 +142,8 @@
         }
     }
 
-    /// Servers have troubles of their own before the unplanned moment, and some leave so early that their end is over by then.
+    /// Servers have troubles of their own before the unplanned moment, and some leave so early that
+    /// their end is over by then.
     fn servers_troubles(&mut self) {
         for _ in 0..4 {
             let at = self.length.mul_f64(0.6 * self.rng.f64());
@@ -135,7 +153,11 @@
         for _ in 0..2 {
             let at = self.length.mul_f64(0.3 + 0.15 * self.rng.f64());
             let place = self.rng.usize(0..SERVERS);
-            let leaves = if self.rng.bool() { Action::Drain(place) } else { Action::Deregister(place) };
+            let leaves = if self.rng.bool() {
+                Action::Drain(place)
+            } else {
+                Action::Deregister(place)
+            };
             self.add(at, leaves);
         }
     }
@@ -152,7 +174,11 @@
 
     fn trouble(&mut self) -> Action {
         let (machine, place) = (self.rng.usize(0..MACHINES), self.rng.usize(0..SERVERS));
-        let role = if self.rng.u32(0..3) == 0 { Role::Router } else { Role::Control };
+        let role = if self.rng.u32(0..3) == 0 {
+            Role::Router
+        } else {
+            Role::Control
+        };
         let rest = self.milliseconds(100, 2_000);
         match self.rng.u32(0..12) {
             0..=2 => Action::Kill((role, machine), rest),
@@ -181,7 +207,8 @@
         }
     }
 
-    /// On most days that end with a lost disk and SIGKILL of all, the primary is left alone shortly before.
+    /// On most days that end with a lost disk and SIGKILL of all, the primary is left alone shortly
+    /// before.
     fn isolate(&mut self) {
         if self.rng.u32(0..4) > 0 {
             let at = self.length.saturating_sub(self.milliseconds(50, 200));
--- a/soak/src/processes.rs
+++ b/soak/src/processes.rs
@@ -52,13 +52,24 @@
     ///
     /// # Errors
     /// When there is no room for it, or the program can't be started.
-    pub fn start(program: &Path, more_settings: &str, clock: Clock) -> Result<Processes, FleetError> {
+    pub fn start(
+        program: &Path,
+        more_settings: &str,
+        clock: Clock,
+    ) -> Result<Processes, FleetError> {
         let fleet = FleetProcesses::new(program, MACHINES)?.with_grace(GRACE.as_secs());
         let mut fleet = fleet.with_more_settings(more_settings).with_links()?;
         fleet.start_all()?;
         let started = targets().map(|target| (target, clock.now())).collect();
         let (ending, later, journal) = (BTreeMap::new(), Vec::new(), Journal::default());
-        Ok(Processes { fleet, clock, started, ending, later, journal })
+        Ok(Processes {
+            fleet,
+            clock,
+            started,
+            ending,
+            later,
+            journal,
+        })
     }
 
     /// The fleet.
@@ -108,32 +119,52 @@
     }
 
     fn is_starting(&self, target: Target) -> bool {
-        self.started.get(&target).is_some_and(|at| self.clock.now() < *at + STARTING)
+        self.started
+            .get(&target)
+            .is_some_and(|at| self.clock.now() < *at + STARTING)
     }
 
     fn is_paused(&self, target: Target) -> bool {
-        self.later.iter().any(|(_, whom, step)| *whom == target && matches!(step, Step::Resume))
+        self.later
+            .iter()
+            .any(|(_, whom, step)| *whom == target && matches!(step, Step::Resume))
     }
 
     fn note(&mut self, kind: TroubleKind, target: Target, to: Option<Duration>) {
         let from = self.clock.now();
-        self.journal.troubles.push(Trouble { kind, target, from, to: to.unwrap_or(Duration::MAX) });
+        self.journal.troubles.push(Trouble {
+            kind,
+            target,
+            from,
+            to: to.unwrap_or(Duration::MAX),
+        });
     }
 
     /// What befell a process is over.
     fn close(&mut self, target: Target) {
         let now = self.clock.now();
         let open = |trouble: &&mut Trouble| trouble.target == target && trouble.to == Duration::MAX;
-        self.journal.troubles.iter_mut().filter(open).for_each(|trouble| trouble.to = now);
+        self.journal
+            .troubles
+            .iter_mut()
+            .filter(open)
+            .for_each(|trouble| trouble.to = now);
     }
 
     fn terminate(&mut self, target: Target, rest: Duration) {
-        let busy = self.ending.contains_key(&target) || self.is_paused(target) || self.is_starting(target);
+        let busy =
+            self.ending.contains_key(&target) || self.is_paused(target) || self.is_starting(target);
         if busy || !self.runs(target) {
             return;
         }
         self.note(TroubleKind::Terminated, target, None);
-        self.ending.insert(target, Ending { since: self.clock.now(), rest });
+        self.ending.insert(
+            target,
+            Ending {
+                since: self.clock.now(),
+                rest,
+            },
+        );
         self.fleet.terminate(target.0, target.1);
     }
 
@@ -144,7 +175,8 @@
         self.note(kind, target, None);
         self.fleet.kill(target.0, target.1);
         self.ending.remove(&target);
-        self.later.retain(|(_, whom, step)| *whom != target || matches!(step, Step::Heal));
+        self.later
+            .retain(|(_, whom, step)| *whom != target || matches!(step, Step::Heal));
         self.start_after(target, rest);
     }
 
@@ -157,7 +189,11 @@
     fn kill_all(&mut self, wiped: Option<usize>, rest: Duration) -> Result<(), FleetError> {
         for (role, machine) in targets() {
             let is_wiped = role == Role::Control && Some(machine) == wiped;
-            let kind = if is_wiped { TroubleKind::Wiped } else { TroubleKind::Killed };
+            let kind = if is_wiped {
+                TroubleKind::Wiped
+            } else {
+                TroubleKind::Killed
+            };
             let spread = SPREAD * u32::try_from(machine).unwrap_or(0);
             self.kill(kind, (role, machine), rest + spread);
         }
@@ -170,24 +206,29 @@
         }
         self.note(TroubleKind::Paused, target, None);
         self.fleet.pause(target.0, target.1);
-        self.later.push((self.clock.now() + time, target, Step::Resume));
+        self.later
+            .push((self.clock.now() + time, target, Step::Resume));
     }
 
-    /// Cuts the control processes of these machines off from the others for a time. A later cut takes the place of an earlier one.
+    /// Cuts the control processes of these machines off from the others for a time. A later cut
+    /// takes the place of an earlier one.
     pub fn cut(&mut self, side: &[usize], time: Duration) {
         let until = self.clock.now() + time;
-        self.later.retain(|(_, _, step)| !matches!(step, Step::Heal));
+        self.later
+            .retain(|(_, _, step)| !matches!(step, Step::Heal));
         self.fleet.cut(side);
         for machine in side {
             self.note(TroubleKind::Cut, (Role::Control, *machine), Some(until));
         }
         if let Some(machine) = side.first() {
-            self.later.push((until, (Role::Control, *machine), Step::Heal));
+            self.later
+                .push((until, (Role::Control, *machine), Step::Heal));
         }
     }
 
     fn start_after(&mut self, target: Target, rest: Duration) {
-        self.later.push((self.clock.now() + rest, target, Step::Start));
+        self.later
+            .push((self.clock.now() + rest, target, Step::Start));
     }
 
     /// Does what is due.
@@ -196,7 +237,9 @@
     /// When a process can't be started.
     pub fn tick(&mut self) -> Result<(), FleetError> {
         let now = self.clock.now();
-        let (due, later) = std::mem::take(&mut self.later).into_iter().partition(|(at, ..)| *at <= now);
+        let (due, later) = std::mem::take(&mut self.later)
+            .into_iter()
+            .partition(|(at, ..)| *at <= now);
         self.later = later;
         let due: Vec<(Duration, Target, Step)> = due;
         for (_, target, step) in due {
@@ -225,7 +268,9 @@
             let target = (role, machine);
             let ending = self.ending.remove(&target);
             if ending.is_none() || !status.success() {
-                self.journal.process_faults.push(ProcessFault::Ended(target, status.code()));
+                self.journal
+                    .process_faults
+                    .push(ProcessFault::Ended(target, status.code()));
             }
             self.start_after(target, ending.map_or(PLATFORM_DELAY, |ending| ending.rest));
         }
@@ -234,11 +279,20 @@
     /// The platform kills what has not ended in the grace.
     fn kill_overdue(&mut self) {
         let now = self.clock.now();
-        let overdue: Vec<(Target, Ending)> =
-            self.ending.iter().filter(|(_, e)| now >= e.since + GRACE).map(|(t, e)| (*t, *e)).collect();
+        let overdue: Vec<(Target, Ending)> = self
+            .ending
+            .iter()
+            .filter(|(_, e)| now >= e.since + GRACE)
+            .map(|(t, e)| (*t, *e))
+            .collect();
         for (target, ending) in overdue {
-            if !self.journal.is_troubled(ending.since.saturating_sub(CONTACT), now) {
-                self.journal.process_faults.push(ProcessFault::Overstayed(target));
+            if !self
+                .journal
+                .is_troubled(ending.since.saturating_sub(CONTACT), now)
+            {
+                self.journal
+                    .process_faults
+                    .push(ProcessFault::Overstayed(target));
             }
             self.ending.remove(&target);
             self.fleet.kill(target.0, target.1);
@@ -265,7 +319,9 @@
         self.fleet.stop_all(Duration::ZERO);
         for (role, machine) in targets() {
             let log = std::fs::read_to_string(self.fleet.log(role, machine)).unwrap_or_default();
-            let bad = log.lines().filter(|line| FORBIDDEN.iter().any(|word| line.contains(word)));
+            let bad = log
+                .lines()
+                .filter(|line| FORBIDDEN.iter().any(|word| line.contains(word)));
             let fault = |line: &str| ProcessFault::Logged((role, machine), line.to_owned());
             self.journal.process_faults.extend(bad.map(fault));
         }
--- a/soak/src/servers.rs
+++ b/soak/src/servers.rs
@@ -11,7 +11,8 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// The service of most of them, and that of the others, which comes and goes with the configuration.
+/// The service of most of them, and that of the others, which comes and goes with the
+/// configuration.
 pub const SERVICES: [&str; 2] = ["pool-a", "pool-b"];
 /// Servers of the first service.
 const FIRST: usize = 4;
@@ -45,7 +46,14 @@
     /// When an address can't be listened on.
     pub fn start(control: Vec<SocketAddr>, clock: Clock) -> std::io::Result<Servers> {
         let (running, leaving) = (Vec::new(), Vec::new());
-        let mut servers = Servers { control, clock, number: 0, running, leaving, past: Arc::default() };
+        let mut servers = Servers {
+            control,
+            clock,
+            number: 0,
+            running,
+            leaving,
+            past: Arc::default(),
+        };
         for place in 0..SERVERS {
             let server = servers.one(place)?;
             servers.running.push(server);
@@ -107,7 +115,9 @@
             let stopped = Some(clock.now());
             server.crash();
             thread::sleep(SETTLE);
-            past.lock().unwrap_or_else(|e| e.into_inner()).push(record(&server, clock, stopped));
+            past.lock()
+                .unwrap_or_else(|e| e.into_inner())
+                .push(record(&server, clock, stopped));
         }));
         Ok(())
     }
@@ -116,9 +126,15 @@
     #[must_use]
     pub fn finish(self) -> Vec<ServerRecord> {
         // A thread that panicked has said so.
-        self.leaving.into_iter().for_each(|leaving| drop(leaving.join()));
+        self.leaving
+            .into_iter()
+            .for_each(|leaving| drop(leaving.join()));
         let mut records = std::mem::take(&mut *self.past.lock().unwrap_or_else(|e| e.into_inner()));
-        records.extend(self.running.iter().map(|(server, _)| record(server, self.clock, None)));
+        records.extend(
+            self.running
+                .iter()
+                .map(|(server, _)| record(server, self.clock, None)),
+        );
         records
     }
 }
--- a/soak/src/violation.rs
+++ b/soak/src/violation.rs
@@ -22,7 +22,8 @@
 /// A rule that was broken.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum Violation {
-    /// A request was read whole and its connection ended without a whole answer, with no unplanned trouble near.
+    /// A request was read whole and its connection ended without a whole answer, with no unplanned
+    /// trouble near.
     #[error("LOST: request {attempt} at router {machine}, sent at {sent:.3?} (turn {turn} of its connection), ended at {ended:.3?} by {end}, beside {beside:?}")]
     RequestLost {
         /// `Attempt-Id`.
--- a/soak/src/volatile_disk.rs
+++ b/soak/src/volatile_disk.rs
@@ -1,8 +1,10 @@
-//! A disk whose power is lost with its process: files are what was synced, and of what was not each write, and each name, is there, missing
-//! or torn by lot. What a process reads of its own is always whole.
+//! A disk whose power is lost with its process: files are what was synced, and of what was not each
+//! write, and each name, is there, missing or torn by lot. What a process reads of its own is
+//! always whole.
 //!
-//! It lies below `lichenswitch-storage`, on files of this machine: what may be lost is kept in the memory of the process until it is
-//! synced, so that SIGKILL plays a loss of power. While the file [`STALL_FILE`] is in the folder it stalls: no write or sync ends.
+//! It lies below `lichenswitch-storage`, on files of this machine: what may be lost is kept in the
+//! memory of the process until it is synced, so that SIGKILL plays a loss of power. While the file
+//! [`STALL_FILE`] is in the folder it stalls: no write or sync ends.
 
 use fastrand::Rng;
 use lichenswitch_storage::{write_all_at, FileSystem, RealFileSystem, StorageFile};
@@ -28,7 +30,8 @@
     /// Its folder.
     folder: PathBuf,
     random: Rng,
-    /// What names mean to the process, where that differs from what is on the disk or a file is open: `None`, no file.
+    /// What names mean to the process, where that differs from what is on the disk or a file is
+    /// open: `None`, no file.
     names: BTreeMap<PathBuf, Option<Content>>,
     /// Changes of names that the disk does not have yet, in order.
     deferred: Vec<NameChange>,
@@ -60,7 +63,9 @@
 
 /// Nothing here is left half-done by a panic.
 fn lock<T: ?Sized>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+    mutex
+        .lock()
+        .unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
 impl VolatileDisk {
@@ -84,7 +89,10 @@
     }
 
     fn handle(&self, content: Content) -> Box<dyn StorageFile> {
-        Box::new(Handle { disk: self.clone(), content })
+        Box::new(Handle {
+            disk: self.clone(),
+            content,
+        })
     }
 }
 
@@ -96,7 +104,8 @@
         }
     }
 
-    /// A change of names reaches the disk now, or with the next sync of its folder. One never passes another.
+    /// A change of names reaches the disk now, or with the next sync of its folder. One never
+    /// passes another.
     fn change_name(&mut self, change: NameChange) -> io::Result<()> {
         if self.deferred.is_empty() && self.random.bool() {
             return change.apply();
@@ -133,7 +142,12 @@
                 let mut on_disk = RealFileSystem.open(path)?;
                 let visible = on_disk.read_all()?;
                 let (unsynced, path) = (Vec::new(), path.to_owned());
-                Arc::new(Mutex::new(File { visible, unsynced, on_disk: Some(on_disk), path }))
+                Arc::new(Mutex::new(File {
+                    visible,
+                    unsynced,
+                    on_disk: Some(on_disk),
+                    path,
+                }))
             }
         };
         state.names.insert(path.to_owned(), Some(content.clone()));
@@ -145,8 +159,17 @@
         self.wait_while_stalled();
         let mut state = lock(&self.0);
         let at_once = state.deferred.is_empty() && state.random.bool();
-        let on_disk = if at_once { Some(RealFileSystem.create(path)?) } else { None };
-        let file = File { visible: Vec::new(), unsynced: Vec::new(), on_disk, path: path.to_owned() };
+        let on_disk = if at_once {
+            Some(RealFileSystem.create(path)?)
+        } else {
+            None
+        };
+        let file = File {
+            visible: Vec::new(),
+            unsynced: Vec::new(),
+            on_disk,
+            path: path.to_owned(),
+        };
         let content = Arc::new(Mutex::new(file));
         state.names.insert(path.to_owned(), Some(content.clone()));
         drop(state);
@@ -235,7 +258,9 @@
                 visible.resize(visible.len().max(end), 0);
                 visible[offset..end].copy_from_slice(bytes);
             }
-            Change::Length(length) => visible.resize(usize::try_from(*length).unwrap_or(usize::MAX), 0),
+            Change::Length(length) => {
+                visible.resize(usize::try_from(*length).unwrap_or(usize::MAX), 0)
+            }
         }
     }
 
@@ -248,7 +273,9 @@
 
     /// Some sectors of a write reach the disk, in no order.
     fn tear(&self, on_disk: &mut dyn StorageFile, random: &mut Rng) -> io::Result<()> {
-        let Change::Write { offset, bytes } = self else { return self.apply(on_disk) };
+        let Change::Write { offset, bytes } = self else {
+            return self.apply(on_disk);
+        };
         for (number, sector) in bytes.chunks(SECTOR).enumerate() {
             if random.bool() {
                 write_all_at(on_disk, offset + (number * SECTOR) as u64, sector)?;
@@ -268,7 +295,10 @@
     }
 
     fn write_at(&mut self, offset: u64, bytes: &[u8]) -> io::Result<usize> {
-        self.change(Change::Write { offset, bytes: bytes.to_vec() })?;
+        self.change(Change::Write {
+            offset,
+            bytes: bytes.to_vec(),
+        })?;
         Ok(bytes.len())
     }
 
@@ -284,7 +314,11 @@
             file.on_disk = Some(RealFileSystem.create(&file.path)?);
         }
         let unsynced = std::mem::take(&mut file.unsynced);
-        let Some(on_disk) = &mut file.on_disk else { return Ok(()) };
-        unsynced.iter().try_for_each(|change| change.apply(on_disk.as_mut()))
+        let Some(on_disk) = &mut file.on_disk else {
+            return Ok(());
+        };
+        unsynced
+            .iter()
+            .try_for_each(|change| change.apply(on_disk.as_mut()))
     }
 }
--- a/soak/tests/judge.rs
+++ b/soak/tests/judge.rs
@@ -35,29 +35,65 @@
 }
 
 fn trouble(kind: TroubleKind, role: Role, machine: usize, from: u64, to: u64) -> Trouble {
-    Trouble { kind, target: (role, machine), from: ms(from), to: ms(to) }
+    Trouble {
+        kind,
+        target: (role, machine),
+        from: ms(from),
+        to: ms(to),
+    }
 }
 
 fn server(entries: &[(u64, Event)]) -> ServerRecord {
-    let entry = |(at, what): &(u64, Event)| Entry { at: ms(*at), attempt: "a1".into(), what: what.clone() };
+    let entry = |(at, what): &(u64, Event)| Entry {
+        at: ms(*at),
+        attempt: "a1".into(),
+        what: what.clone(),
+    };
     let entries = entries.iter().map(entry).collect();
-    ServerRecord { instance: "i-1".into(), began: Duration::ZERO, stopped: None, entries }
+    ServerRecord {
+        instance: "i-1".into(),
+        began: Duration::ZERO,
+        stopped: None,
+        entries,
+    }
 }
 
 /// A server that began to work on the request, and whose caller left then.
 fn worked(from: u64, to: u64) -> ServerRecord {
-    server(&[(from, Event::Arrived(Head::default())), (from, Event::Ran), (to, Event::Dropped)])
+    server(&[
+        (from, Event::Arrived(Head::default())),
+        (from, Event::Ran),
+        (to, Event::Dropped),
+    ])
 }
 
 fn order(number: u64, base: u64, version: u64, sent: u64, outcomes: &[Outcome]) -> OrderRecord {
-    let acknowledged = outcomes.contains(&Outcome::Acknowledged).then(|| ms(sent + 10));
+    let acknowledged = outcomes
+        .contains(&Outcome::Acknowledged)
+        .then(|| ms(sent + 10));
     let body = format!("{{\"version\":{version},\"number\":{number}}}");
-    let order = Order { verb: Verb::Replace, base, body };
-    OrderRecord { order, number, version, sent: ms(sent), acknowledged, outcomes: outcomes.into() }
+    let order = Order {
+        verb: Verb::Replace,
+        base,
+        body,
+    };
+    OrderRecord {
+        order,
+        number,
+        version,
+        sent: ms(sent),
+        acknowledged,
+        outcomes: outcomes.into(),
+    }
 }
 
 fn read(sent: u64, version: u64, order: u64) -> ReadRecord {
-    ReadRecord { machine: 2, sent: ms(sent), version, order }
+    ReadRecord {
+        machine: 2,
+        sent: ms(sent),
+        version,
+        order,
+    }
 }
 
 fn beside(journal: &Journal) -> Vec<Beside> {
@@ -73,7 +109,13 @@
     let journal = Journal {
         tries: vec![request(10_000, 12_000, TryEnd::Cut)],
         servers: vec![worked(10_010, 12_000)],
-        troubles: vec![trouble(TroubleKind::Terminated, Role::Router, 1, 11_000, 13_000)],
+        troubles: vec![trouble(
+            TroubleKind::Terminated,
+            Role::Router,
+            1,
+            11_000,
+            13_000,
+        )],
         ..Journal::default()
     };
     assert_eq!(beside(&journal), [Beside::Termination(ms(1_000))]);
@@ -90,7 +132,8 @@
         ..Journal::default()
     };
     assert_eq!(beside(&journal), []);
-    // Beside a change of the configuration the same loss counts, unless it was taken before the SIGTERM.
+    // Beside a change of the configuration the same loss counts, unless it was taken before the
+    // SIGTERM.
     journal.orders = vec![order(1, 0, 1, 12_000, &[Outcome::Acknowledged])];
     assert_eq!(beside(&journal), [Beside::Configuration]);
     journal.tries[0].sent = ms(11_030);
@@ -104,8 +147,10 @@
 
 #[test]
 fn an_unplanned_trouble_from_contact_before_the_request_excuses_a_loss() {
-    let mut journal =
-        Journal { tries: vec![request(10_000, 11_000, TryEnd::NoAnswer)], ..Journal::default() };
+    let mut journal = Journal {
+        tries: vec![request(10_000, 11_000, TryEnd::NoAnswer)],
+        ..Journal::default()
+    };
     assert_eq!(beside(&journal), [Beside::Nothing]);
     journal.troubles = vec![trouble(TroubleKind::Killed, Role::Control, 3, 6_000, 7_100)];
     assert_eq!(beside(&journal), []);
@@ -115,8 +160,10 @@
 
 #[test]
 fn a_request_that_crosses_the_end_of_its_connection_is_not_lost() {
-    let mut journal =
-        Journal { tries: vec![request(10_000, 10_100, TryEnd::NoAnswer)], ..Journal::default() };
+    let mut journal = Journal {
+        tries: vec![request(10_000, 10_100, TryEnd::NoAnswer)],
+        ..Journal::default()
+    };
     assert_eq!(beside(&journal), []);
     journal.servers = vec![worked(10_010, 10_100)];
     assert_eq!(beside(&journal), [Beside::Nothing]);
@@ -166,7 +213,13 @@
 fn a_loss_after_a_hang_up_counts() {
     let journal = Journal {
         tries: vec![request(12_900, 14_000, TryEnd::Cut)],
-        troubles: vec![trouble(TroubleKind::HungUp, Role::Router, 1, 11_000, 11_000)],
+        troubles: vec![trouble(
+            TroubleKind::HungUp,
+            Role::Router,
+            1,
+            11_000,
+            11_000,
+        )],
         ..Journal::default()
     };
     assert_eq!(beside(&journal), [Beside::HangUp]);
@@ -179,15 +232,24 @@
         servers: vec![worked(10_010, 10_050)],
         ..Journal::default()
     };
-    assert_eq!(judge(&journal), [Violation::RefusedAndRan("a1".into(), 503)]);
+    assert_eq!(
+        judge(&journal),
+        [Violation::RefusedAndRan("a1".into(), 503)]
+    );
     journal.servers.push(worked(10_060, 10_090));
     assert_eq!(judge(&journal), [Violation::RanTwice("a1".into(), 2)]);
     journal.tries[0].idempotent = true;
     assert_eq!(judge(&journal), []);
     journal.tries[0].faults = vec![StreamFault::EndsEarly];
-    assert_eq!(judge(&journal), [Violation::WrongAnswer("a1".into(), StreamFault::EndsEarly)]);
+    assert_eq!(
+        judge(&journal),
+        [Violation::WrongAnswer("a1".into(), StreamFault::EndsEarly)]
+    );
     journal.tries.clear();
-    assert_matches!(judge(&journal)[..], [Violation::Unasked(_), Violation::Unasked(_)]);
+    assert_matches!(
+        judge(&journal)[..],
+        [Violation::Unasked(_), Violation::Unasked(_)]
+    );
 }
 
 #[test]
@@ -218,18 +280,40 @@
 fn answers_to_operators_that_contradict_each_other_are_found() {
     let taken = [Outcome::Acknowledged];
     let two = Journal {
-        orders: vec![order(1, 0, 1, 0, &taken), order(2, 1, 3, 100, &taken), order(3, 1, 4, 200, &taken)],
+        orders: vec![
+            order(1, 0, 1, 0, &taken),
+            order(2, 1, 3, 100, &taken),
+            order(3, 1, 4, 200, &taken),
+        ],
         ..Journal::default()
     };
     assert_eq!(
         judge(&two),
-        [Violation::Orders(OperatorFault::TwoOnOneVersion(1)), Violation::BothTaken(1, 2, 3)]
+        [
+            Violation::Orders(OperatorFault::TwoOnOneVersion(1)),
+            Violation::BothTaken(1, 2, 3)
+        ]
     );
     let refused = Journal {
-        orders: vec![order(1, 0, 1, 0, &[Outcome::Acknowledged, Outcome::Unclear, Outcome::OtherVersion])],
+        orders: vec![order(
+            1,
+            0,
+            1,
+            0,
+            &[
+                Outcome::Acknowledged,
+                Outcome::Unclear,
+                Outcome::OtherVersion,
+            ],
+        )],
         ..Journal::default()
     };
-    assert_matches!(judge(&refused)[..], [Violation::Orders(OperatorFault::RefusedAfterAcknowledged(_))]);
+    assert_matches!(
+        judge(&refused)[..],
+        [Violation::Orders(OperatorFault::RefusedAfterAcknowledged(
+            _
+        ))]
+    );
     let read_though_refused = Journal {
         orders: vec![order(1, 0, 1, 0, &[Outcome::OtherVersion])],
         reads: vec![read(50, 1, 1)],
@@ -238,7 +322,10 @@
     assert_eq!(judge(&read_though_refused), [Violation::RefusedInForce(1)]);
     // One of the two had no clear answer, and was in force all the same.
     let both = Journal {
-        orders: vec![order(1, 0, 1, 0, &[Outcome::Unclear]), order(2, 0, 2, 50, &taken)],
+        orders: vec![
+            order(1, 0, 1, 0, &[Outcome::Unclear]),
+            order(2, 0, 2, 50, &taken),
+        ],
         reads: vec![read(40, 1, 1)],
         ..Journal::default()
     };
@@ -247,27 +334,57 @@
 
 #[test]
 fn configurations_that_are_read_old_are_found() {
-    let orders =
-        vec![order(1, 0, 1, 0, &[Outcome::Acknowledged]), order(2, 1, 3, 1_000, &[Outcome::Acknowledged])];
+    let orders = vec![
+        order(1, 0, 1, 0, &[Outcome::Acknowledged]),
+        order(2, 1, 3, 1_000, &[Outcome::Acknowledged]),
+    ];
     let late = 1_010 + CONFIG_APPLY.as_millis() as u64 + 1;
-    let during = |read| Journal { orders: orders.clone(), reads: vec![read], ..Journal::default() };
+    let during = |read| Journal {
+        orders: orders.clone(),
+        reads: vec![read],
+        ..Journal::default()
+    };
     assert_eq!(judge(&during(read(late - 2, 1, 1))), []);
-    assert_matches!(judge(&during(read(late, 1, 1)))[..], [Violation::ReadOld { told: 1, known: 3, .. }]);
-    let at_end = |read| Journal { orders: orders.clone(), final_reads: vec![read], ..Journal::default() };
+    assert_matches!(
+        judge(&during(read(late, 1, 1)))[..],
+        [Violation::ReadOld {
+            told: 1,
+            known: 3,
+            ..
+        }]
+    );
+    let at_end = |read| Journal {
+        orders: orders.clone(),
+        final_reads: vec![read],
+        ..Journal::default()
+    };
     assert_eq!(judge(&at_end(read(1_500, 3, 2))), []);
     assert_matches!(
         judge(&at_end(read(1_500, 1, 1)))[..],
-        [Violation::ConfigurationLost { told: 1, known: 3, .. }]
+        [Violation::ConfigurationLost {
+            told: 1,
+            known: 3,
+            ..
+        }]
     );
     // Asked before the acknowledgement.
     assert_eq!(judge(&at_end(read(1_005, 1, 1))), []);
     // The same version, made by another order.
-    assert_matches!(judge(&at_end(read(1_500, 3, 9)))[..], [Violation::ConfigurationLost { .. }]);
+    assert_matches!(
+        judge(&at_end(read(1_500, 3, 9)))[..],
+        [Violation::ConfigurationLost { .. }]
+    );
 }
 
 #[test]
 fn what_processes_do_wrong_is_handed_on() {
-    let fault = ProcessFault::Logged((Role::Router, 0), "invariant violated: a request was forgotten".into());
-    let journal = Journal { process_faults: vec![fault.clone()], ..Journal::default() };
+    let fault = ProcessFault::Logged(
+        (Role::Router, 0),
+        "invariant violated: a request was forgotten".into(),
+    );
+    let journal = Journal {
+        process_faults: vec![fault.clone()],
+        ..Journal::default()
+    };
     assert_eq!(judge(&journal), [Violation::Process(fault)]);
 }
--- a/soak/tests/plan.rs
+++ b/soak/tests/plan.rs
@@ -1,4 +1,5 @@
-//! What seeds draw: the same for the same seed, troubles that overlap, and no more disks lost than one.
+//! What seeds draw: the same for the same seed, troubles that overlap, and no more disks lost than
+//! one.
 
 use lichenswitch_soak::plan::{Action, Plan};
 use std::collections::BTreeSet;
@@ -23,8 +24,12 @@
 fn one_disk_is_lost_on_a_day_at_the_most() {
     for seed in 0..500 {
         let plan = Plan::draw(seed, LENGTH);
-        let lost =
-            plan.actions.iter().map(|(_, action)| action).chain(&plan.final_fault).filter(|a| wipes(a));
+        let lost = plan
+            .actions
+            .iter()
+            .map(|(_, action)| action)
+            .chain(&plan.final_fault)
+            .filter(|a| wipes(a));
         assert!(lost.count() <= 1, "seed {seed}");
     }
 }
@@ -34,11 +39,17 @@
     let mut drawn = Vec::new();
     for seed in 0..100 {
         let plan = Plan::draw(seed, LENGTH);
-        assert!(plan.actions.iter().all(|(at, _)| *at <= LENGTH), "seed {seed}");
+        assert!(
+            plan.actions.iter().all(|(at, _)| *at <= LENGTH),
+            "seed {seed}"
+        );
         assert!(plan.actions.is_sorted(), "seed {seed}");
         drawn.extend(plan.actions.iter().map(|(_, action)| *action));
     }
-    let kinds: BTreeSet<String> = drawn.iter().map(|action| format!("{:?}", discriminant(action))).collect();
+    let kinds: BTreeSet<String> = drawn
+        .iter()
+        .map(|action| format!("{:?}", discriminant(action)))
+        .collect();
     assert_eq!(kinds.len(), 13, "{kinds:?}");
 }
 
@@ -47,10 +58,18 @@
     for seed in 0..100 {
         let plan = Plan::draw(seed, LENGTH);
         let moment = LENGTH.mul_f64(0.65)..LENGTH.mul_f64(0.95);
-        let is_cut = |action: &Action| matches!(action, Action::CutPrimary(_) | Action::CutHalves(..));
-        let late = plan.actions.iter().filter(|(at, action)| moment.contains(at) && !is_cut(action)).count();
+        let is_cut =
+            |action: &Action| matches!(action, Action::CutPrimary(_) | Action::CutHalves(..));
+        let late = plan
+            .actions
+            .iter()
+            .filter(|(at, action)| moment.contains(at) && !is_cut(action))
+            .count();
         assert!((2..=3).contains(&late), "seed {seed}: {late}");
-        let cuts = plan.actions.iter().filter(|(at, action)| *at >= LENGTH.mul_f64(0.65) && is_cut(action));
+        let cuts = plan
+            .actions
+            .iter()
+            .filter(|(at, action)| *at >= LENGTH.mul_f64(0.65) && is_cut(action));
         assert!((1..=3).contains(&cuts.count()), "seed {seed}");
     }
 }
--- a/soak/tests/processor_quota.rs
+++ b/soak/tests/processor_quota.rs
@@ -1,5 +1,5 @@
-//! Processes whose processor is a quota: they run for a moment, and stand still for the rest of each tenth of a second. Nobody takes that for
-//! a death.
+//! Processes whose processor is a quota: they run for a moment, and stand still for the rest of
+//! each tenth of a second. Nobody takes that for a death.
 
 use lichenswitch_standins::fleet_processes::{FleetProcesses, Role};
 use lichenswitch_standins::operator::document::{replace, Route};
@@ -19,10 +19,15 @@
 
 fn order(version: u64) -> Order {
     let route = Route::new("r", "host.example", "/r/", "pool");
-    Order { verb: Verb::Replace, base: version - 1, body: replace(version, &[route]) }
+    Order {
+        verb: Verb::Replace,
+        base: version - 1,
+        body: replace(version, &[route]),
+    }
 }
 
-/// Epoch and primary, as one machine tells them, once it knows them: it may join after the first order was taken.
+/// Epoch and primary, as one machine tells them, once it knows them: it may join after the first
+/// order was taken.
 fn group(address: SocketAddr) -> (String, String) {
     let began = Instant::now();
     loop {
@@ -59,7 +64,10 @@
             while began.elapsed() < Duration::from_secs(4) {
                 version += 1;
                 let place = version as usize % MACHINES;
-                assert_eq!(operator.send(&order(version), place, PATIENCE), Outcome::Acknowledged);
+                assert_eq!(
+                    operator.send(&order(version), place, PATIENCE),
+                    Outcome::Acknowledged
+                );
             }
             over.store(true, Ordering::SeqCst);
             version
--- a/soak/tests/stalled_disk.rs
+++ b/soak/tests/stalled_disk.rs
@@ -1,4 +1,5 @@
-//! A control process that is told to end while its disk stalls: whoever is connected to it goes on elsewhere at once.
+//! A control process that is told to end while its disk stalls: whoever is connected to it goes on
+//! elsewhere at once.
 
 use lichenswitch_soak::volatile_disk::STALL_FILE;
 use lichenswitch_standins::fleet_processes::{FleetProcesses, Role};
@@ -21,7 +22,11 @@
 /// An order for this version, on top of the one before it.
 fn order(version: u64) -> Order {
     let route = Route::new("r", "host.example", "/r/", "pool");
-    Order { verb: Verb::Replace, base: version - 1, body: replace(version, &[route]) }
+    Order {
+        verb: Verb::Replace,
+        base: version - 1,
+        body: replace(version, &[route]),
+    }
 }
 
 /// Waits until a machine votes: before that it may have nothing to write.
@@ -30,7 +35,10 @@
     let votes = || {
         let status = Call::get("/status").send(address, PATIENCE).ok()?;
         let status: serde_json::Value = serde_json::from_slice(&status.body).ok()?;
-        Some(matches!(status["group"]["role"].as_str()?, "voter" | "primary"))
+        Some(matches!(
+            status["group"]["role"].as_str()?,
+            "voter" | "primary"
+        ))
     };
     while votes() != Some(true) {
         assert!(began.elapsed() < PATIENCE, "it does not vote");
@@ -49,7 +57,9 @@
 #[test]
 fn a_control_process_that_ends_with_a_stalled_disk_closes_its_connections() {
     let program = Path::new(env!("CARGO_BIN_EXE_lichenswitch-volatile-fleet"));
-    let mut fleet = FleetProcesses::new(program, 4).unwrap().with_grace(GRACE_SECONDS);
+    let mut fleet = FleetProcesses::new(program, 4)
+        .unwrap()
+        .with_grace(GRACE_SECONDS);
     (0..4).for_each(|machine| fleet.start(Role::Control, machine, true).unwrap());
     let control = fleet.control();
     let operator = Operator::new(control.clone());
@@ -67,9 +77,15 @@
     let told = Instant::now();
     fleet.terminate(Role::Control, stalled);
     let (caller, peer) = (open_for(caller, told), open_for(peer, told));
-    assert!(caller < CLOSED_WITHIN + SLACK, "a caller waited for {caller:?}");
+    assert!(
+        caller < CLOSED_WITHIN + SLACK,
+        "a caller waited for {caller:?}"
+    );
     assert!(peer < CLOSED_WITHIN + SLACK, "a peer waited for {peer:?}");
-    assert!(TcpStream::connect(internal).is_err(), "nobody connects any more");
+    assert!(
+        TcpStream::connect(internal).is_err(),
+        "nobody connects any more"
+    );
     assert!(fleet.ended().is_empty(), "it waits for its disk still");
 
     std::fs::remove_file(&file).unwrap();
