--- a/soak/tests/volatile_disk.rs
+++ b/soak/tests/volatile_disk.rs
@@ -1,4 +1,5 @@
-//! What is left of a disk when its process dies: all that was synced, and of the rest what the lot says.
+//! What is left of a disk when its process dies: all that was synced, and of the rest what the lot
+//! says.
 
 use lichenswitch_soak::volatile_disk::VolatileDisk;
 use lichenswitch_storage::{FileSystem, Storage, StorageFile, StorageSettings};
@@ -9,7 +10,8 @@
 
 impl Folder {
     fn new(name: &str) -> Folder {
-        let path = std::env::temp_dir().join(format!("volatile-disk-{name}-{}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("volatile-disk-{name}-{}", std::process::id()));
         // What another run left is in nobody's way.
         let _ = std::fs::remove_dir_all(&path);
         std::fs::create_dir_all(&path).unwrap();
@@ -37,16 +39,27 @@
     let folder = Folder::new("writes");
     let mut left = std::collections::BTreeSet::new();
     for seed in 0..200 {
-        let (disk, path) = (VolatileDisk::new(&folder.0, seed), folder.0.join(format!("{seed}")));
+        let (disk, path) = (
+            VolatileDisk::new(&folder.0, seed),
+            folder.0.join(format!("{seed}")),
+        );
         let mut file = write_synced(&disk, &path, &[1; 1_024]);
         file.write_at(0, &[2; 1_024]).unwrap();
-        assert_eq!(file.read_all().unwrap(), [2; 1_024], "a process reads what it wrote");
+        assert_eq!(
+            file.read_all().unwrap(),
+            [2; 1_024],
+            "a process reads what it wrote"
+        );
         drop((disk, file));
         let bytes = std::fs::read(&path).unwrap();
         assert_eq!(bytes.len(), 1_024);
         left.insert((bytes[0], bytes[1_023]));
     }
-    assert_eq!(left.len(), 4, "missing, whole, and torn both ways: {left:?}");
+    assert_eq!(
+        left.len(),
+        4,
+        "missing, whole, and torn both ways: {left:?}"
+    );
 }
 
 #[test]
@@ -55,10 +68,16 @@
     let (mut kept, mut lost) = (0, 0);
     for seed in 0..100 {
         let disk = VolatileDisk::new(&folder.0, seed);
-        let (beside, path) = (folder.0.join(format!("{seed}.new")), folder.0.join(format!("{seed}")));
+        let (beside, path) = (
+            folder.0.join(format!("{seed}.new")),
+            folder.0.join(format!("{seed}")),
+        );
         drop(write_synced(&disk, &beside, b"new"));
         disk.rename(&beside, &path).unwrap();
-        assert!(disk.exists(&path) && !disk.exists(&beside), "to its process the name has changed");
+        assert!(
+            disk.exists(&path) && !disk.exists(&beside),
+            "to its process the name has changed"
+        );
         match (path.exists(), beside.exists()) {
             (true, false) => kept += 1,
             (false, true) => lost += 1,
@@ -73,11 +92,16 @@
 #[test]
 fn a_ring_of_segments_outlives_any_loss_of_power() {
     let folder = Folder::new("ring");
-    let settings = StorageSettings { segment_bytes: 8_192, segments: 3, ..StorageSettings::new("test") };
+    let settings = StorageSettings {
+        segment_bytes: 8_192,
+        segments: 3,
+        ..StorageSettings::new("test")
+    };
     let mut acknowledged: Vec<Vec<u8>> = Vec::new();
     for life in 0..60_u64 {
         let disk = Box::new(VolatileDisk::new(&folder.0, life));
-        let (mut storage, found) = Storage::open_with(disk, &folder.0.join("ring"), &settings).unwrap();
+        let (mut storage, found) =
+            Storage::open_with(disk, &folder.0.join("ring"), &settings).unwrap();
         assert!(!found.loses_state(), "life {life}: {:?}", found.findings);
         let image = found.image.clone().into_iter();
         let held: Vec<Vec<u8>> = image.chain(found.records).collect();
--- a/src/bin/lichenswitch-simulation/codec.rs
+++ b/src/bin/lichenswitch-simulation/codec.rs
@@ -1,6 +1,8 @@
 //! Frames of the wire: batches of event records in, replies of action records out.
 
-use lichenswitch::interface::{Action, Event, Listed, Mode, Outcome, PartId, QueryId, ServerId, Shard, Time};
+use lichenswitch::interface::{
+    Action, Event, Listed, Mode, Outcome, PartId, QueryId, ServerId, Shard, Time,
+};
 
 /// Bytes of a batch's header.
 pub const HEADER: usize = 16;
@@ -54,7 +56,9 @@
 pub fn frame_length(header: &[u8; HEADER]) -> Result<usize, String> {
     let length = u32::from_le_bytes([header[0], header[1], header[2], header[3]]) as usize;
     if length < HEADER {
-        return Err(format!("frame length {length} is under the header's {HEADER} bytes"));
+        return Err(format!(
+            "frame length {length} is under the header's {HEADER} bytes"
+        ));
     }
     if length > LARGEST {
         return Err(format!("frame length {length} is over {LARGEST} bytes"));
@@ -94,9 +98,10 @@
         let end = count.checked_mul(unit).and_then(|n| n.checked_add(offset));
         match end {
             Some(end) if end <= tail.len() => Ok(&tail[offset..end]),
-            _ => {
-                Err(format!("tail reference {offset}+{count} lies outside the tail of {} bytes", tail.len()))
-            }
+            _ => Err(format!(
+                "tail reference {offset}+{count} lies outside the tail of {} bytes",
+                tail.len()
+            )),
         }
     }
 }
@@ -139,7 +144,9 @@
 
 fn report(count: u8) -> Result<(), String> {
     if count > REPORT_MOST {
-        return Err(format!("load report of {count} values, {REPORT_MOST} at most"));
+        return Err(format!(
+            "load report of {count} values, {REPORT_MOST} at most"
+        ));
     }
     Ok(())
 }
@@ -157,7 +164,11 @@
     let code = bytes[0];
     if code == 22 {
         let page = f.u8();
-        let lines = f.tail(tail, ENTRY)?.chunks_exact(ENTRY).map(listed).collect::<Result<_, _>>()?;
+        let lines = f
+            .tail(tail, ENTRY)?
+            .chunks_exact(ENTRY)
+            .map(listed)
+            .collect::<Result<_, _>>()?;
         return Ok(Record::Snapshot { page, lines });
     }
     let who = f.u32();
@@ -172,17 +183,38 @@
             let (deadline, tenant) = (Time(f.u64()), f.u32());
             if shard < 0.0 {
                 let again = options & 2 != 0;
-                Event::Query { query: QueryId(id), number: query, class, deadline, key, again, tenant }
+                Event::Query {
+                    query: QueryId(id),
+                    number: query,
+                    class,
+                    deadline,
+                    key,
+                    again,
+                    tenant,
+                }
             } else {
-                let weight = if amount.is_finite() { f64::from(amount) } else { 0.0 };
+                let weight = if amount.is_finite() {
+                    f64::from(amount)
+                } else {
+                    0.0
+                };
                 let shard = Shard(number(shard, "shard")?);
-                Event::Part { part: PartId(id), number: query, shard, weight }
+                Event::Part {
+                    part: PartId(id),
+                    number: query,
+                    shard,
+                    weight,
+                }
             }
         }
         17 => Event::Hangup(QueryId(f.u64())),
         18 => {
             let seed = f.u64();
-            return Ok(Record::Begin { who, seed, facts: f.tail(tail, 1)?.to_vec() });
+            return Ok(Record::Begin {
+                who,
+                seed,
+                facts: f.tail(tail, 1)?.to_vec(),
+            });
         }
         19 => {
             let scope = match f.u8() {
@@ -192,7 +224,11 @@
                 3 => Scope::Failed,
                 other => return Err(format!("unknown list scope {other}")),
             };
-            return Ok(Record::Roster { who, scope, page: f.u8() });
+            return Ok(Record::Roster {
+                who,
+                scope,
+                page: f.u8(),
+            });
         }
         20 => {
             f.at = 9;
@@ -218,7 +254,11 @@
         26 => {
             let (server, how, elapsed) = (f.u32(), f.u16(), f.u32());
             report(f.u8())?;
-            Event::Probed { server: ServerId(server), outcome: outcome(how)?, elapsed: u64::from(elapsed) }
+            Event::Probed {
+                server: ServerId(server),
+                outcome: outcome(how)?,
+                elapsed: u64::from(elapsed),
+            }
         }
         other => return Err(format!("unknown event code {other}")),
     };
@@ -227,17 +267,31 @@
 
 /// Reads one whole batch: its clock and its records.
 pub fn decode(frame: &[u8]) -> Result<(Time, Vec<Record>), String> {
-    let header: &[u8; HEADER] =
-        frame.first_chunk().ok_or_else(|| format!("frame of {} bytes has no whole header", frame.len()))?;
+    let header: &[u8; HEADER] = frame
+        .first_chunk()
+        .ok_or_else(|| format!("frame of {} bytes has no whole header", frame.len()))?;
     if frame_length(header)? != frame.len() {
-        return Err(format!("frame of {} bytes states another length", frame.len()));
+        return Err(format!(
+            "frame of {} bytes states another length",
+            frame.len()
+        ));
     }
-    let mut f = Fields { bytes: frame, at: 4 };
+    let mut f = Fields {
+        bytes: frame,
+        at: 4,
+    };
     let (count, clock) = (f.u32() as usize, f.u64());
-    let end = count.checked_mul(EVENT).and_then(|n| n.checked_add(HEADER)).filter(|&end| end <= frame.len());
-    let end = end.ok_or_else(|| format!("{count} records do not fit into {} bytes", frame.len()))?;
+    let end = count
+        .checked_mul(EVENT)
+        .and_then(|n| n.checked_add(HEADER))
+        .filter(|&end| end <= frame.len());
+    let end =
+        end.ok_or_else(|| format!("{count} records do not fit into {} bytes", frame.len()))?;
     let (records, tail) = (&frame[HEADER..end], &frame[end..]);
-    let records = records.chunks_exact(EVENT).map(|r| record(r, tail)).collect::<Result<_, _>>()?;
+    let records = records
+        .chunks_exact(EVENT)
+        .map(|r| record(r, tail))
+        .collect::<Result<_, _>>()?;
     Ok((Time(clock), records))
 }
 
@@ -258,7 +312,9 @@
         let start = self.records.len();
         self.records.push(code);
         self.records.extend_from_slice(&who.to_le_bytes());
-        fields.iter().for_each(|f| self.records.extend_from_slice(f));
+        fields
+            .iter()
+            .for_each(|f| self.records.extend_from_slice(f));
         self.records.resize(start + ACTION, 0);
         self.count += 1;
     }
@@ -277,8 +333,16 @@
     /// Appends one action of an instance.
     pub fn action(&mut self, who: u32, action: &Action) {
         match action {
-            Action::Send { part, server, timeout } => {
-                let fields: [&[u8]; 3] = [&part.0.to_le_bytes(), &server.0.to_le_bytes(), &micros(*timeout)];
+            Action::Send {
+                part,
+                server,
+                timeout,
+            } => {
+                let fields: [&[u8]; 3] = [
+                    &part.0.to_le_bytes(),
+                    &server.0.to_le_bytes(),
+                    &micros(*timeout),
+                ];
                 self.push(80, who, &fields);
             }
             Action::Refuse { query, retry_after } => {
--- a/src/bin/lichenswitch-simulation/main.rs
+++ b/src/bin/lichenswitch-simulation/main.rs
@@ -1,4 +1,5 @@
-//! Adapter: hosts instances of the decision module and speaks the simulator's wire on stdin and stdout.
+//! Adapter: hosts instances of the decision module and speaks the simulator's wire on stdin and
+//! stdout.
 
 mod codec;
 
@@ -27,7 +28,8 @@
             match record {
                 Record::Begin { who, seed, facts } => {
                     inbox.insert(who, Vec::new());
-                    self.instances.insert(who, Coordinator::new(seed, settings::parse(&facts)?));
+                    self.instances
+                        .insert(who, Coordinator::new(seed, settings::parse(&facts)?));
                 }
                 Record::PowerOff { who } => {
                     inbox.remove(&who);
@@ -60,7 +62,11 @@
         if scope == Scope::Failed {
             return Ok(Listing::Failed);
         }
-        let lines = self.pages.get(&page).ok_or_else(|| format!("list {page} was never sent"))?.clone();
+        let lines = self
+            .pages
+            .get(&page)
+            .ok_or_else(|| format!("list {page} was never sent"))?
+            .clone();
         Ok(match scope {
             Scope::Changes => Listing::Changes(lines),
             Scope::Whole => Listing::Whole(lines),
@@ -69,14 +75,17 @@
     }
 }
 
-/// Lets an instance act; a panic in it becomes the wire's report of a failure, and nothing else is sent for it.
+/// Lets an instance act; a panic in it becomes the wire's report of a failure, and nothing else is
+/// sent for it.
 fn guarded(who: u32, reply: &mut Reply, act: impl FnOnce(&mut Vec<Action>)) {
     let mut actions: Vec<Action> = Vec::new();
     match catch_unwind(AssertUnwindSafe(|| act(&mut actions))) {
         Ok(()) => actions.iter().for_each(|action| reply.action(who, action)),
         Err(cause) => {
             let text = cause.downcast_ref::<String>().map(String::as_str);
-            let text = text.or_else(|| cause.downcast_ref::<&str>().copied()).unwrap_or("panic");
+            let text = text
+                .or_else(|| cause.downcast_ref::<&str>().copied())
+                .unwrap_or("panic");
             reply.bug(who, text);
         }
     }
@@ -85,16 +94,26 @@
 /// Reads one frame; `None` at the end of the input.
 fn read_frame(input: &mut impl Read) -> Result<Option<Vec<u8>>, String> {
     let mut frame = Vec::with_capacity(HEADER);
-    input.take(HEADER as u64).read_to_end(&mut frame).map_err(|e| format!("read: {e}"))?;
+    input
+        .take(HEADER as u64)
+        .read_to_end(&mut frame)
+        .map_err(|e| format!("read: {e}"))?;
     if frame.is_empty() {
         return Ok(None);
     }
-    let header =
-        frame.first_chunk().ok_or_else(|| format!("input ends {} bytes into a header", frame.len()))?;
+    let header = frame
+        .first_chunk()
+        .ok_or_else(|| format!("input ends {} bytes into a header", frame.len()))?;
     let length = codec::frame_length(header)?;
-    input.take((length - HEADER) as u64).read_to_end(&mut frame).map_err(|e| format!("read: {e}"))?;
+    input
+        .take((length - HEADER) as u64)
+        .read_to_end(&mut frame)
+        .map_err(|e| format!("read: {e}"))?;
     if frame.len() < length {
-        return Err(format!("input ends {} bytes into a frame of {length}", frame.len()));
+        return Err(format!(
+            "input ends {} bytes into a frame of {length}",
+            frame.len()
+        ));
     }
     Ok(Some(frame))
 }
@@ -103,7 +122,10 @@
     let mut host = Host::default();
     while let Some(frame) = read_frame(&mut input)? {
         let reply = host.batch(&frame)?;
-        output.write_all(&reply).and_then(|()| output.flush()).map_err(|e| format!("write: {e}"))?;
+        output
+            .write_all(&reply)
+            .and_then(|()| output.flush())
+            .map_err(|e| format!("write: {e}"))?;
     }
     Ok(())
 }
--- a/src/bin/lichenswitch-simulation/tests.rs
+++ b/src/bin/lichenswitch-simulation/tests.rs
@@ -29,7 +29,9 @@
 
 fn frame(now: u64, records: &[Vec<u8>], tail: &[u8]) -> Vec<u8> {
     let body: Vec<u8> = records.concat();
-    let mut out = ((HEADER + body.len() + tail.len()) as u32).to_le_bytes().to_vec();
+    let mut out = ((HEADER + body.len() + tail.len()) as u32)
+        .to_le_bytes()
+        .to_vec();
     out.extend_from_slice(&(records.len() as u32).to_le_bytes());
     out.extend_from_slice(&now.to_le_bytes());
     out.extend_from_slice(&body);
@@ -42,7 +44,15 @@
 }
 
 fn begin(who: u32, text: &str) -> Vec<u8> {
-    record(18, &[&le(who), &7u64.to_le_bytes(), &le(0), &le(text.len() as u32)])
+    record(
+        18,
+        &[
+            &le(who),
+            &7u64.to_le_bytes(),
+            &le(0),
+            &le(text.len() as u32),
+        ],
+    )
 }
 
 fn request(who: u32, id: u64, shard: f32, amount: f32, deadline: u64) -> Vec<u8> {
@@ -80,7 +90,18 @@
         request(2, 40, -1.0, 1.0, 777),
         request(2, 41, 6.0, 0.25, 777),
         record(17, &[&le(2), &40u64.to_le_bytes()]),
-        record(24, &[&le(2), &41u64.to_le_bytes(), &[5, 0], &le(1234), &le(11), &[1], &[2, 0]]),
+        record(
+            24,
+            &[
+                &le(2),
+                &41u64.to_le_bytes(),
+                &[5, 0],
+                &le(1234),
+                &le(11),
+                &[1],
+                &[2, 0],
+            ],
+        ),
         record(26, &[&le(2), &le(11), &[4, 0], &le(55)]),
         record(25, &[&le(2), &le(1)]),
         record(23, &[&le(2)]),
@@ -88,13 +109,25 @@
     ];
     let (now, read) = decode(&frame(123, &records, &server)).unwrap();
     assert_eq!(now, Time(123));
-    let listed =
-        Listed { server: ServerId(11), cell: 1, zone: 1, mode: Mode::Draining, started: Some(Time(9)) };
+    let listed = Listed {
+        server: ServerId(11),
+        cell: 1,
+        zone: 1,
+        mode: Mode::Draining,
+        started: Some(Time(9)),
+    };
     let event = |event| Record::Event { who: 2, event };
     let outcome = Outcome::Reset;
     let expected = vec![
-        Record::Snapshot { page: 3, lines: vec![listed] },
-        Record::Roster { who: 2, scope: Scope::Whole, page: 3 },
+        Record::Snapshot {
+            page: 3,
+            lines: vec![listed],
+        },
+        Record::Roster {
+            who: 2,
+            scope: Scope::Whole,
+            page: 3,
+        },
         event(Event::Query {
             query: QueryId(40),
             number: 5,
@@ -104,10 +137,25 @@
             again: false,
             tenant: 3,
         }),
-        event(Event::Part { part: PartId(41), number: 5, shard: Shard(6), weight: 0.25 }),
+        event(Event::Part {
+            part: PartId(41),
+            number: 5,
+            shard: Shard(6),
+            weight: 0.25,
+        }),
         event(Event::Hangup(QueryId(40))),
-        event(Event::Finished { part: PartId(41), attempt: 2, server: ServerId(11), outcome, elapsed: 1234 }),
-        event(Event::Probed { server: ServerId(11), outcome: Outcome::ConnectFailed, elapsed: 55 }),
+        event(Event::Finished {
+            part: PartId(41),
+            attempt: 2,
+            server: ServerId(11),
+            outcome,
+            elapsed: 1234,
+        }),
+        event(Event::Probed {
+            server: ServerId(11),
+            outcome: Outcome::ConnectFailed,
+            elapsed: 55,
+        }),
         event(Event::Wake),
         Record::PowerOff { who: 2 },
         Record::Ignored { who: 2 },
@@ -120,12 +168,30 @@
     let mut marked = request(2, 40, -1.0, 1.0, 777);
     marked[29] |= 2;
     let (_, read) = decode(&frame(1, &[marked], &[])).unwrap();
-    assert!(matches!(read[..], [Record::Event { event: Event::Query { again: true, .. }, .. }]), "{read:?}");
+    assert!(
+        matches!(
+            read[..],
+            [Record::Event {
+                event: Event::Query { again: true, .. },
+                ..
+            }]
+        ),
+        "{read:?}"
+    );
 }
 
 #[test]
 fn a_load_report_of_too_many_values_is_refused_with_a_plain_message() {
-    let ended = [&le(2)[..], &41u64.to_le_bytes(), &[1, 0], &le(9), &le(11), &[1], &[0, 0], &[5]];
+    let ended = [
+        &le(2)[..],
+        &41u64.to_le_bytes(),
+        &[1, 0],
+        &le(9),
+        &le(11),
+        &[1],
+        &[0, 0],
+        &[5],
+    ];
     let probed = [&le(2)[..], &le(11), &[1, 0], &le(55), &[200]];
     for bad in [record(24, &ended), record(26, &probed)] {
         let text = decode(&frame(1, &[bad], &[])).unwrap_err();
@@ -136,9 +202,19 @@
 #[test]
 fn replies_have_the_documented_bytes() {
     let mut reply = Reply::default();
-    let send = Action::Send { part: PartId(0x0102_0304_0506), server: ServerId(0x0a0b), timeout: 70_000 };
+    let send = Action::Send {
+        part: PartId(0x0102_0304_0506),
+        server: ServerId(0x0a0b),
+        timeout: 70_000,
+    };
     reply.action(3, &send);
-    reply.action(4, &Action::Cancel { part: PartId(6), attempt: 2 });
+    reply.action(
+        4,
+        &Action::Cancel {
+            part: PartId(6),
+            attempt: 2,
+        },
+    );
     reply.action(4, &Action::Log("hi".into()));
     reply.bug(5, "oh");
     let hex: String = reply.encode().iter().map(|b| format!("{b:02x}")).collect();
@@ -159,21 +235,53 @@
     let cases: Vec<(Vec<u8>, &str)> = vec![
         (vec![1, 2, 3], "no whole header"),
         (frame(1, &[], &[])[..15].to_vec(), "no whole header"),
-        (frame(1, &[record(99, &[&le(1)])], &[]), "unknown event code 99"),
+        (
+            frame(1, &[record(99, &[&le(1)])], &[]),
+            "unknown event code 99",
+        ),
         (frame(1, &[begin(1, &text)], b"short"), "outside the tail"),
-        (frame(1, &[record(22, &[&[0], &le(0), &le(2)])], &entry(1, 0, 0, 0)), "outside the tail"),
-        (frame(1, &[record(22, &[&[0], &le(0), &le(1)])], &entry(1, 0, 0, 9)), "unknown server mode 9"),
-        (frame(1, &[record(19, &[&le(1), &[7], &[0]])], &[]), "unknown list scope 7"),
-        (frame(1, &[record(19, &[&le(1), &[1], &[0]])], &[]), "never sent"),
-        (frame(1, &[record(24, &[&le(1), &[0; 8], &[9, 0]])], &[]), "unknown outcome 9"),
-        (frame(1, &[request(1, 2, f32::NAN, 1.0, 5)], &[]), "shard NaN"),
+        (
+            frame(
+                1,
+                &[record(22, &[&[0], &le(0), &le(2)])],
+                &entry(1, 0, 0, 0),
+            ),
+            "outside the tail",
+        ),
+        (
+            frame(
+                1,
+                &[record(22, &[&[0], &le(0), &le(1)])],
+                &entry(1, 0, 0, 9),
+            ),
+            "unknown server mode 9",
+        ),
+        (
+            frame(1, &[record(19, &[&le(1), &[7], &[0]])], &[]),
+            "unknown list scope 7",
+        ),
+        (
+            frame(1, &[record(19, &[&le(1), &[1], &[0]])], &[]),
+            "never sent",
+        ),
+        (
+            frame(1, &[record(24, &[&le(1), &[0; 8], &[9, 0]])], &[]),
+            "unknown outcome 9",
+        ),
+        (
+            frame(1, &[request(1, 2, f32::NAN, 1.0, 5)], &[]),
+            "shard NaN",
+        ),
         (frame(1, &[record(25, &[&le(4)])], &[]), "has not begun"),
         (frame(1, &[begin(1, "no json")], b"no json"), "settings:"),
         (frame(1, &[begin(1, "{}")], b"{}"), "missing field"),
     ];
     for (bytes, expected) in cases {
         let told = Host::default().batch(&bytes).expect_err(expected);
-        assert!(told.contains(expected), "{told:?} does not say {expected:?}");
+        assert!(
+            told.contains(expected),
+            "{told:?} does not say {expected:?}"
+        );
         assert!(!told.contains('\n'));
     }
     let mut count = frame(1, &[], &[]);
@@ -189,7 +297,9 @@
     let mut input = whole.clone();
     input.extend_from_slice(&whole[..9]);
     let mut output = Vec::new();
-    assert!(serve(&input[..], &mut output).unwrap_err().contains("input ends"));
+    assert!(serve(&input[..], &mut output)
+        .unwrap_err()
+        .contains("input ends"));
     assert_eq!(output, [0, 0, 0, 0, 8, 0, 0, 0]);
     assert!(serve(&whole[..16], &mut Vec::new()).is_ok());
 }
@@ -204,7 +314,12 @@
     assert_eq!(keyed.classes[0].repeat, Repeat::Keyed(1));
     assert!(settings::parse(facts(&CLASSES.replace("retryable", "maybe")).as_bytes()).is_err());
     assert!(settings::parse(facts("[]").as_bytes()).is_err());
-    assert!(settings::parse(facts(CLASSES).replace("\"sets\": 2", "\"sets\": 0").as_bytes()).is_err());
+    assert!(settings::parse(
+        facts(CLASSES)
+            .replace("\"sets\": 2", "\"sets\": 0")
+            .as_bytes()
+    )
+    .is_err());
 }
 
 #[test]
@@ -233,7 +348,10 @@
 #[test]
 fn close_idle_is_written_as_its_record() {
     let mut reply = Reply::default();
-    reply.action(3, &Action::CloseIdle(lichenswitch::interface::ServerId(0x2c90_11f2)));
+    reply.action(
+        3,
+        &Action::CloseIdle(lichenswitch::interface::ServerId(0x2c90_11f2)),
+    );
     let bytes = reply.encode();
     assert_eq!(bytes[8..17], [86, 3, 0, 0, 0, 0xf2, 0x11, 0x90, 0x2c]);
 }
@@ -247,14 +365,32 @@
     let page = record(22, &[&[0], &le(at), &le(1)]);
     let roster = record(19, &[&le(1), &[2], &[0]]);
     let mut host = Host::default();
-    let ask = [request(1, 40, -1.0, 1.0, 9_000_000), request(1, 41, 0.0, 1.0, 9_000_000)];
-    let first = [vec![begin(1, &text), page.clone(), roster.clone()], ask.to_vec()].concat();
+    let ask = [
+        request(1, 40, -1.0, 1.0, 9_000_000),
+        request(1, 41, 0.0, 1.0, 9_000_000),
+    ];
+    let first = [
+        vec![begin(1, &text), page.clone(), roster.clone()],
+        ask.to_vec(),
+    ]
+    .concat();
     let reply = host.batch(&frame(1_000_000, &first, &tail)).unwrap();
     assert_eq!(reply[8], 80, "the part is delivered");
-    let again = [ask[0].clone(), record(23, &[&le(1)]), begin(1, &text), page, roster];
+    let again = [
+        ask[0].clone(),
+        record(23, &[&le(1)]),
+        begin(1, &text),
+        page,
+        roster,
+    ];
     let reply = host.batch(&frame(1_001_000, &again, &tail)).unwrap();
-    assert!(reply[8..].chunks(24).all(|r| r[0] != 80 && r[0] != 81), "nothing is done for what died");
-    let killed = host.batch(&frame(1_002_000, &[record(23, &[&le(1)])], &[])).unwrap();
+    assert!(
+        reply[8..].chunks(24).all(|r| r[0] != 80 && r[0] != 81),
+        "nothing is done for what died"
+    );
+    let killed = host
+        .batch(&frame(1_002_000, &[record(23, &[&le(1)])], &[]))
+        .unwrap();
     assert_eq!(killed, [0, 0, 0, 0, 8, 0, 0, 0]);
 }
 
--- a/src/broker.rs
+++ b/src/broker.rs
@@ -1,5 +1,5 @@
-//! The broker: one loop that gathers what is ready, hands it to the decision module in one go, and carries out
-//! what came back.
+//! The broker: one loop that gathers what is ready, hands it to the decision module in one go, and
+//! carries out what came back.
 
 use crate::config;
 use crate::contract::Contracts;
@@ -23,9 +23,11 @@
 use std::net::SocketAddr;
 use std::os::unix::net::UnixStream;
 
-/// New connections keep arriving for so long after the signal to stop: the front layer learns of it late.
+/// New connections keep arriving for so long after the signal to stop: the front layer learns of it
+/// late.
 const LISTEN_ON: Micros = 500_000;
-/// The process is killed later after the signal than the longest time of its clients, or than this where that is more.
+/// The process is killed later after the signal than the longest time of its clients, or than this
+/// where that is more.
 const KILLED: Micros = 3_000_000;
 /// After this long a stop does not wait for clients that read no answer.
 const STOP_MOST: Micros = 15_000_000;
@@ -49,7 +51,8 @@
     peers: Option<PeerGroup>,
     /// The handle of the management thread, where an address is set for it.
     management: Option<ManagementHandle>,
-    /// The platform's clients are to be listened for, by this name and at this address; that it is in use has been logged.
+    /// The platform's clients are to be listened for, by this name and at this address; that it is
+    /// in use has been logged.
     unopened: Option<(String, SocketAddr)>,
     kept_out: bool,
     /// What the rule on drains allows (microseconds).
@@ -88,7 +91,10 @@
 
 impl Broker {
     /// A broker that listens already: once this returns, clients are served.
-    pub fn new(platform: Option<config::Platform>, ogc: Option<config::Ogc>) -> Result<Broker, String> {
+    pub fn new(
+        platform: Option<config::Platform>,
+        ogc: Option<config::Ogc>,
+    ) -> Result<Broker, String> {
         Broker::managed(platform, ogc, None)
     }
 
@@ -104,13 +110,19 @@
                     .into(),
             );
         }
-        let sockets = platform.as_ref().map_or(config::SOCKETS, |told| told.sockets);
-        // Guards discovery's own place: shares of more than the system gives would be taken by whoever comes first.
+        let sockets = platform
+            .as_ref()
+            .map_or(config::SOCKETS, |told| told.sockets);
+        // Guards discovery's own place: shares of more than the system gives would be taken by
+        // whoever comes first.
         let sockets = sockets.min(net::system_limit().unwrap_or(sockets));
-        let set_aside = management.as_ref().map_or(0, |_| management::set_aside(sockets));
+        let set_aside = management
+            .as_ref()
+            .map_or(0, |_| management::set_aside(sockets));
         let mut net = Net::new(sockets - set_aside).map_err(|e| format!("poller: {e}"))?;
         if let Some(woken) = management.as_mut().and_then(ManagementHandle::take_woken) {
-            net.watch_signal(Signal::Orders, woken).map_err(|e| format!("orders: {e}"))?;
+            net.watch_signal(Signal::Orders, woken)
+                .map_err(|e| format!("orders: {e}"))?;
         }
         let mut broker = Broker {
             net,
@@ -138,17 +150,23 @@
     fn serve_platform(&mut self, told: config::Platform) -> Result<(), String> {
         let classes = told.classes.iter().zip(&told.settings.classes);
         let classes = classes
-            .map(|(name, c)| Class { name: name.clone(), repeat: c.repeat, deadline: c.deadline })
+            .map(|(name, c)| Class {
+                name: name.clone(),
+                repeat: c.repeat,
+                deadline: c.deadline,
+            })
             .collect();
         let mut directory = Directory::new(told.zones).with_cells(told.settings.layout.cells);
         // Before any list: nothing is to be sent to data nodes that operators have taken out.
         self.stop_within = told.stop_within;
         let now = self.net.clock.now();
-        self.management
-            .iter()
-            .for_each(|management| _ = directory.set_overrides(self.overrides(&management.orders(), now)));
+        self.management.iter().for_each(|management| {
+            _ = directory.set_overrides(self.overrides(&management.orders(), now))
+        });
         let pace = match told.settings.discovery {
-            interface::Discovery::Ask(every) => Pace::new(told.seed, told.settings.instances, every),
+            interface::Discovery::Ask(every) => {
+                Pace::new(told.seed, told.settings.instances, every)
+            }
             interface::Discovery::Push => Pace::at_agent(told.seed),
         };
         let mut core = Core::new(told.seed, told.settings, Contracts::default(), told.memory);
@@ -159,7 +177,10 @@
         let pool = Pool::new(Frames, limits(told.connections));
         self.unopened = Some((told.name, told.listen));
         self.open_listener()?;
-        let (front, sessions) = (Platform::new(classes, told.tenants), Sessions::new(told.memory));
+        let (front, sessions) = (
+            Platform::new(classes, told.tenants),
+            Sessions::new(told.memory),
+        );
         let mut service = Service::new(Owner::Platform, front, sessions, core, pool, directory);
         service.listed(known);
         self.platform = Some(service);
@@ -170,7 +191,12 @@
 
     fn serve_ogc(&mut self, told: config::Ogc) -> Result<(), String> {
         let mut directory = Directory::new(told.inventory.zones);
-        let mut core = Core::new(told.seed, told.settings, Contracts::new(told.contracts), told.memory);
+        let mut core = Core::new(
+            told.seed,
+            told.settings,
+            Contracts::new(told.contracts),
+            told.memory,
+        );
         core.plan_by(Planner::new(told.phases.rules), told.phases.explain);
         let line = |node: &crate::inventory::Node| Instance {
             instance_id: node.name.clone(),
@@ -186,21 +212,36 @@
         let front = Ogc::new(told.title, told.collections, told.inventory.slices);
         let address = self.listen(Owner::Ogc, told.listen)?;
         log(&format!("OGC API Features listens on {address}"));
-        self.ogc = Some(Service::new(Owner::Ogc, front, Sessions::new(told.memory), core, pool, directory));
+        self.ogc = Some(Service::new(
+            Owner::Ogc,
+            front,
+            Sessions::new(told.memory),
+            core,
+            pool,
+            directory,
+        ));
         Ok(())
     }
 
     /// Listens for the platform's clients, if it does not yet.
     fn open_listener(&mut self) -> Result<(), String> {
-        let Some((name, address)) = self.unopened.take() else { return Ok(()) };
-        // Guards what waits to be accepted when the process before this one ends: it waits at the same socket.
-        let opened = match self.management.as_mut().and_then(ManagementHandle::take_listener) {
+        let Some((name, address)) = self.unopened.take() else {
+            return Ok(());
+        };
+        // Guards what waits to be accepted when the process before this one ends: it waits at the
+        // same socket.
+        let opened = match self
+            .management
+            .as_mut()
+            .and_then(ManagementHandle::take_listener)
+        {
             Some(listener) => self.net.adopt(Owner::Platform, listener),
             None => self.net.listen(Owner::Platform, address),
         };
         match opened {
             Ok(address) => log(&format!("{name} listens on {address}")),
-            // A process that is started beside one which does not share the address is to serve after it.
+            // A process that is started beside one which does not share the address is to serve
+            // after it.
             Err(e) if e.kind() == io::ErrorKind::AddrInUse && self.management.is_some() => {
                 if !std::mem::replace(&mut self.kept_out, true) {
                     log(&format!("{name} waits: {address} is in use"));
@@ -212,14 +253,18 @@
                 return Err(format!("listen: {address}: {e}"));
             }
         }
-        if let (Some(management), Ok(listener)) = (&self.management, self.net.listener_of(Owner::Platform)) {
+        if let (Some(management), Ok(listener)) =
+            (&self.management, self.net.listener_of(Owner::Platform))
+        {
             management.offer_listener(listener);
         }
         Ok(())
     }
 
     fn listen(&mut self, owner: Owner, address: SocketAddr) -> Result<SocketAddr, String> {
-        self.net.listen(owner, address).map_err(|e| format!("listen: {address}: {e}"))
+        self.net
+            .listen(owner, address)
+            .map_err(|e| format!("listen: {address}: {e}"))
     }
 
     /// Talks with other brokers from now on.
@@ -262,7 +307,9 @@
                         self.peers.iter_mut().for_each(|c| c.accept(&mut self.net));
                     }
                     Ready::Conn(id, Owner::PeerIn | Owner::PeerOut) => {
-                        self.peers.iter_mut().for_each(|c| c.ready(&mut self.net, id));
+                        self.peers
+                            .iter_mut()
+                            .for_each(|c| c.ready(&mut self.net, id));
                     }
                     Ready::Listener(owner) => each_service!(self, |net, service| {
                         if service.owner == owner {
@@ -291,11 +338,15 @@
                 self.net.attend_again();
             }
             if self.net.resting() {
-                // What data nodes have borrowed goes first; where all of that carries calls, idle clients make room.
+                // What data nodes have borrowed goes first; where all of that carries calls, idle
+                // clients make room.
                 let (owed, mut closed) = (self.net.owed(), 0);
-                each_service!(self, |net, service| closed += service.pool.yield_idle(net, owed - closed));
+                each_service!(self, |net, service| closed +=
+                    service.pool.yield_idle(net, owed - closed));
                 if closed == 0 {
-                    each_service!(self, |net, service| service.sessions.make_room(net, &mut service.core));
+                    each_service!(self, |net, service| service
+                        .sessions
+                        .make_room(net, &mut service.core));
                 }
             }
             self.tell_standing();
@@ -308,13 +359,20 @@
     /// When there is something to do though nothing is ready.
     fn next_turn(&self) -> Option<Time> {
         let stop = self.stopping.map(|_| self.net.clock.now().plus(STOP_LOOK));
-        // Guards clients that wait to be accepted: connections fall idle without any event that tells so.
-        let room = self.net.resting().then(|| self.net.clock.now().plus(ROOM_LOOK));
+        // Guards clients that wait to be accepted: connections fall idle without any event that
+        // tells so.
+        let room = self
+            .net
+            .resting()
+            .then(|| self.net.clock.now().plus(ROOM_LOOK));
         let platform = self.platform.as_ref().and_then(|s| s.core.next_turn());
         let ogc = self.ogc.as_ref().and_then(|s| s.core.next_turn());
         let peers = self.peers.as_ref().map(PeerGroup::next);
         let management = self.management.as_ref().map(ManagementHandle::next);
-        [stop, room, platform, ogc, peers, management].into_iter().flatten().min()
+        [stop, room, platform, ogc, peers, management]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     fn listed(&mut self, news: impl IntoIterator<Item = Listing>) {
@@ -352,21 +410,29 @@
     }
 
     fn subscribe(&mut self) {
-        let mut asked = self.platform.as_mut().is_some_and(|s| std::mem::take(&mut s.subscribe));
-        // The module asks for nothing where lists are pushed: what the agent of this machine holds is fetched all the same.
+        let mut asked = self
+            .platform
+            .as_mut()
+            .is_some_and(|s| std::mem::take(&mut s.subscribe));
+        // The module asks for nothing where lists are pushed: what the agent of this machine holds
+        // is fetched all the same.
         asked |= self.discovery.as_ref().is_some_and(Discovery::goes_on);
         if let (true, Some(discovery)) = (asked, &mut self.discovery) {
             let news = discovery.subscribe(&mut self.net);
             self.listed(news);
         }
         let lines = self.discovery.iter_mut().flat_map(Discovery::take_log);
-        let lines = lines.chain(self.platform.iter_mut().flat_map(|s| s.directory.take_log()));
+        let lines = lines.chain(
+            self.platform
+                .iter_mut()
+                .flat_map(|s| s.directory.take_log()),
+        );
         let lines = lines.chain(self.peers.iter_mut().flat_map(PeerGroup::take_log));
         lines.for_each(|line| log(&line));
     }
 
-    /// Reads the configuration again and moves to the address of discovery that it names; all else in it holds
-    /// from the next start on.
+    /// Reads the configuration again and moves to the address of discovery that it names; all else
+    /// in it holds from the next start on.
     fn reload(&mut self) {
         self.net.clear_signal(Signal::Reload);
         // Guards what is served: a faulty file changes nothing.
@@ -384,5 +450,9 @@
 }
 
 fn limits(told: config::Connections) -> Limits {
-    Limits { streams: told.streams, connect: told.connect, idle: told.idle }
+    Limits {
+        streams: told.streams,
+        connect: told.connect,
+        idle: told.idle,
+    }
 }
--- a/src/broker/operators.rs
+++ b/src/broker/operators.rs
@@ -13,10 +13,14 @@
 impl Broker {
     /// Takes this process's part of what the broker may do.
     pub(super) fn share(&mut self) {
-        let Some(management) = &self.management else { return };
+        let Some(management) = &self.management else {
+            return;
+        };
         let parts = processes::parts(self.leaving, &management.orders().others);
         if std::mem::replace(&mut self.parts, parts) != parts {
-            let done = parts.done.map_or("nothing".into(), |of| format!("1 of {of}"));
+            let done = parts
+                .done
+                .map_or("nothing".into(), |of| format!("1 of {of}"));
             log(&format!(
                 "this process has 1 of {} of what the broker holds, {done} of what it may do",
                 parts.held
@@ -41,11 +45,16 @@
         }
     }
 
-    /// Gives the directory operators' overrides, as far as they are due: data nodes are taken out, or used again.
+    /// Gives the directory operators' overrides, as far as they are due: data nodes are taken out,
+    /// or used again.
     pub(super) fn set_overrides(&mut self) {
-        let Some(management) = &self.management else { return };
+        let Some(management) = &self.management else {
+            return;
+        };
         let overrides = self.overrides(&management.orders(), self.net.clock.now());
-        let Some(service) = &mut self.platform else { return };
+        let Some(service) = &mut self.platform else {
+            return;
+        };
         let lines = service.directory.set_overrides(overrides);
         if !lines.is_empty() {
             self.listed([Listing::Changes(lines)]);
@@ -55,50 +64,89 @@
     /// Operators' overrides, as the directory takes them.
     pub(super) fn overrides(&self, orders: &Orders, now: Time) -> OperatorOverrides {
         let wanted = &orders.wanted;
-        let cordoned = wanted.cordoned.iter().map(|(id, since)| (id.clone(), Time(*since)));
+        let cordoned = wanted
+            .cordoned
+            .iter()
+            .map(|(id, since)| (id.clone(), Time(*since)));
         let is_out = |cordoned: &(String, Time)| wanted::is_out(cordoned.1, now, self.stop_within);
         let (out, leaving): (Vec<_>, Vec<_>) = cordoned.partition(is_out);
         let ids = |of: Vec<(String, Time)>| of.into_iter().map(|(id, _)| id).collect();
-        let back = wanted.back.iter().map(|(id, (out, at))| (id.clone(), (Time(*out), Time(*at))));
-        OperatorOverrides { out: ids(out), leaving: ids(leaving), back: back.collect() }
+        let back = wanted
+            .back
+            .iter()
+            .map(|(id, (out, at))| (id.clone(), (Time(*out), Time(*at))));
+        OperatorOverrides {
+            out: ids(out),
+            leaving: ids(leaving),
+            back: back.collect(),
+        }
     }
 
     /// Sends clients away, as far as that is due, or takes them again.
     pub(super) fn send_away(&mut self) {
-        let (Some(management), Some(service)) = (&self.management, &mut self.platform) else { return };
-        let stage = leave::stage(management.orders().wanted.quiesced.map(Time), self.net.clock.now());
-        service.sessions.send_away(&mut self.net, stage, &mut service.front, &mut service.core);
+        let (Some(management), Some(service)) = (&self.management, &mut self.platform) else {
+            return;
+        };
+        let stage = leave::stage(
+            management.orders().wanted.quiesced.map(Time),
+            self.net.clock.now(),
+        );
+        service
+            .sessions
+            .send_away(&mut self.net, stage, &mut service.front, &mut service.core);
     }
 
     /// Tells operators what was counted.
     pub(super) fn tell_figures(&mut self) {
-        let (Some(management), Some(service)) = (&self.management, &mut self.platform) else { return };
+        let (Some(management), Some(service)) = (&self.management, &mut self.platform) else {
+            return;
+        };
         for (class, attempts) in service.pool.take_written() {
             service.core.on_written(class, attempts);
         }
         management.metrics().add(&service.core.take_tallies());
         let ejected = service.directory.overridden_out() + service.core.avoided();
-        management.metrics().set(service.core.held_queries(), service.directory.len(), ejected);
+        management.metrics().set(
+            service.core.held_queries(),
+            service.directory.len(),
+            ejected,
+        );
     }
 
     /// Tells operators how it stands.
     pub(super) fn tell_standing(&mut self) {
         let now = self.net.clock.now();
-        if self.management.as_ref().is_none_or(|management| management.next() > now) {
+        if self
+            .management
+            .as_ref()
+            .is_none_or(|management| management.next() > now)
+        {
             return;
         }
         self.send_away();
         self.set_overrides();
         if self.stopping.is_none() {
-            // It is tried again: an address that can't be had for another reason is told by its being not ready.
+            // It is tried again: an address that can't be had for another reason is told by its
+            // being not ready.
             let _ = self.open_listener();
         }
         self.tell_figures();
-        let (Some(management), Some(service)) = (&mut self.management, &self.platform) else { return };
+        let (Some(management), Some(service)) = (&mut self.management, &self.platform) else {
+            return;
+        };
         let (listens, listed) = (self.unopened.is_none(), service.front.is_listed());
         let stopping = self.stopping.is_some();
         let away = management.orders().wanted.quiesced.is_some();
-        management
-            .on_standing(now, Standing { listens, listed, stopping, leaving: self.leaving, away, beat: now });
+        management.on_standing(
+            now,
+            Standing {
+                listens,
+                listed,
+                stopping,
+                leaving: self.leaving,
+                away,
+                beat: now,
+            },
+        );
     }
 }
--- a/src/broker/stopping.rs
+++ b/src/broker/stopping.rs
@@ -22,23 +22,28 @@
             let waits = service.core.settings().classes.iter().map(|c| c.deadline);
             let killed = waits.max().unwrap_or_default().min(KILLED);
             service.core.end_by(now.plus(killed + LISTEN_ON));
-            // Where another process serves this address the broker goes on, whoever asks which process.
+            // Where another process serves this address the broker goes on, whoever asks which
+            // process.
             if !served_on || service.owner != Owner::Platform {
                 service.front.stop();
             }
         });
     }
 
-    /// Leaves the clients that wait to be accepted to another process of this broker that listens on the same socket, if
-    /// there is one; those that are here are served, and told with their answers to connect anew. Tells whether another
-    /// process serves the address.
+    /// Leaves the clients that wait to be accepted to another process of this broker that listens
+    /// on the same socket, if there is one; those that are here are served, and told with their
+    /// answers to connect anew. Tells whether another process serves the address.
     pub(super) fn leave_backlog(&mut self) -> bool {
-        let (Some(management), Some(service)) = (&self.management, &mut self.platform) else { return false };
+        let (Some(management), Some(service)) = (&self.management, &mut self.platform) else {
+            return false;
+        };
         management.withdraw_listener();
         let told = match processes::backlog_action(&management.others()) {
             BacklogAction::Leave(processes::Reason::SharedSocket(process)) => {
                 self.net.leave(Owner::Platform);
-                Some(format!("process {process} serves at the same socket: new clients are left to it"))
+                Some(format!(
+                    "process {process} serves at the same socket: new clients are left to it"
+                ))
             }
             BacklogAction::Serve(processes::Reason::OwnSocket(process)) => Some(format!(
                 "process {process} serves at a socket of its own: who waits here is served here"
@@ -48,7 +53,8 @@
         if told.is_some() {
             service.sessions.stop();
         }
-        // Where that one has gone meanwhile this one serves those who are here as if there had been none.
+        // Where that one has gone meanwhile this one serves those who are here as if there had been
+        // none.
         if std::mem::replace(&mut self.leaving, told.is_some()) != told.is_some() {
             log(&told.unwrap_or_else(|| "nobody else serves any more".into()));
         }
@@ -56,8 +62,9 @@
         self.leaving
     }
 
-    /// Whether all that was taken is finished. What waits at a listener counts as taken, so it is accepted until the
-    /// front layer has learnt of the stop, and once more before the listener is closed.
+    /// Whether all that was taken is finished. What waits at a listener counts as taken, so it is
+    /// accepted until the front layer has learnt of the stop, and once more before the listener is
+    /// closed.
     pub(super) fn finished(&mut self, since: Time) -> bool {
         let now = self.net.clock.now();
         let elapsed = now.since(since);
@@ -70,7 +77,8 @@
         each_service!(self, |net, service| service.accept(net));
         self.net.stop_listening();
         let mut left = 0;
-        each_service!(self, |net, service| left += service.sessions.close_unused(net, &mut service.core));
+        each_service!(self, |net, service| left +=
+            service.sessions.close_unused(net, &mut service.core));
         left == 0 || elapsed >= STOP_MOST
     }
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,5 +1,5 @@
-//! Configuration: the one place where environment, JSON and files of `deploy/` are read, checked and given
-//! defaults. Every message names the faulty key.
+//! Configuration: the one place where environment, JSON and files of `deploy/` are read, checked
+//! and given defaults. Every message names the faulty key.
 
 pub mod operators;
 pub mod peers;
@@ -59,7 +59,8 @@
     pub connections: Connections,
     /// Names of the tenants, in the order of the module's quotas.
     pub tenants: Vec<String>,
-    /// Within this after it was told that a node drains or is gone, nothing new goes there (microseconds).
+    /// Within this after it was told that a node drains or is gone, nothing new goes there
+    /// (microseconds).
     pub stop_within: Micros,
     /// How queries of two phases are planned.
     pub phases: Phases,
@@ -106,36 +107,45 @@
 
 /// Reads an address.
 pub(crate) fn address(text: &str, key: &str) -> Result<SocketAddr, String> {
-    text.parse().map_err(|_| format!("{key}: {text:?} is no address of the form IP:PORT"))
+    text.parse()
+        .map_err(|_| format!("{key}: {text:?} is no address of the form IP:PORT"))
 }
 
 impl Platform {
-    /// Reads the configuration from the environment and the file that it names; `None` without such a file.
+    /// Reads the configuration from the environment and the file that it names; `None` without such
+    /// a file.
     pub fn from_env(env: impl Fn(&str) -> Option<String>) -> Result<Option<Platform>, String> {
-        let Some(path) = env("NODE_CONFIG") else { return Ok(None) };
+        let Some(path) = env("NODE_CONFIG") else {
+            return Ok(None);
+        };
         let text = read_text(Path::new(&path)).map_err(|e| format!("NODE_CONFIG: {e}"))?;
         Platform::parse(&text, env).map(Some)
     }
 
-    /// Reads the configuration from its JSON text; the environment stands in for what the text lacks.
+    /// Reads the configuration from its JSON text; the environment stands in for what the text
+    /// lacks.
     pub fn parse(text: &str, env: impl Fn(&str) -> Option<String>) -> Result<Platform, String> {
         let file: File = serde_json::from_str(text).map_err(|e| format!("NODE_CONFIG: {e}"))?;
         let told = |value: Option<String>, key: &str, variable: &str| {
-            value.or_else(|| env(variable)).ok_or_else(|| format!("{key}: missing, and so is {variable}"))
+            value
+                .or_else(|| env(variable))
+                .ok_or_else(|| format!("{key}: missing, and so is {variable}"))
         };
         let listen = told(file.listen, "listen", "NODE_LISTEN")?;
         let discovery = told(file.discovery, "discovery", "NODE_DISCOVERY")?;
         let management = file.mgmt.or_else(|| env("NODE_MGMT"));
         let seed = file.seed.unwrap_or_else(|| "0".into());
-        let seed =
-            u64::from_str_radix(&seed, 16).map_err(|_| format!("seed: {seed:?} is not hexadecimal"))?;
+        let seed = u64::from_str_radix(&seed, 16)
+            .map_err(|_| format!("seed: {seed:?} is not hexadecimal"))?;
         let sockets = file.limits.sockets.unwrap_or(SOCKETS).min(SOCKETS);
         if sockets < 64 {
             return Err(format!("limits.sockets: {sockets} is too few, 64 at least"));
         }
         let memory = file.limits.memory_mb.unwrap_or(MEMORY);
         if memory < 16 {
-            return Err(format!("limits.memory_mb: {memory} is too few, 16 at least"));
+            return Err(format!(
+                "limits.memory_mb: {memory} is too few, 16 at least"
+            ));
         }
         let facts = file.settings.ok_or("settings: missing")?;
         let site = settings::Site::parse(facts.get().as_bytes())?;
@@ -143,7 +153,9 @@
             name: told(file.name, "name", "NODE_NAME")?,
             listen: address(&listen, "listen")?,
             discovery: address(&discovery, "discovery")?,
-            scratch: env("TMPDIR").filter(|told| !told.is_empty()).map(PathBuf::from),
+            scratch: env("TMPDIR")
+                .filter(|told| !told.is_empty())
+                .map(PathBuf::from),
             management: management.map(|told| address(&told, "mgmt")).transpose()?,
             seed,
             sockets,
@@ -224,19 +236,27 @@
 }
 
 impl Ogc {
-    /// Reads the section `ogc` of the operators' file; `None` where there is none, or where it names no address to
-    /// listen on. Its settings are those of a file that it names, or else the platform's.
+    /// Reads the section `ogc` of the operators' file; `None` where there is none, or where it
+    /// names no address to listen on. Its settings are those of a file that it names, or else the
+    /// platform's.
     pub fn load(operators: &Operators, platform: Option<&Platform>) -> Result<Option<Ogc>, String> {
-        let Some(read) = &operators.ogc else { return Ok(None) };
+        let Some(read) = &operators.ogc else {
+            return Ok(None);
+        };
         let path = operators.path.as_path();
         let name = path.display();
-        let Some(listen) = &read.listen else { return Ok(None) };
+        let Some(listen) = &read.listen else {
+            return Ok(None);
+        };
         let at = |line: u64| format!("{name}:{line}: ");
         let here = |line: u64, key: &str, why: String| operators.fault(line, key, &why);
         let beside = |other: &Path| path.parent().unwrap_or(Path::new("")).join(other);
         let line = listen.referenced.line();
         let address = address(&listen.value, "listen").map_err(|why| at(line) + &why)?;
-        let inventory = read.inventory.as_ref().ok_or_else(|| format!("{name}: inventory: missing"))?;
+        let inventory = read
+            .inventory
+            .as_ref()
+            .ok_or_else(|| format!("{name}: inventory: missing"))?;
         let inventory = Inventory::load(&beside(&inventory.value))?;
         let (mut settings, classes, connections) = match (&read.settings, platform) {
             (Some(told), _) => {
@@ -247,13 +267,21 @@
                 (site.settings, site.classes, site.connections)
             }
             (None, Some(p)) => (p.settings.clone(), p.classes.clone(), p.connections),
-            (None, None) => return Err(format!("{name}: settings: missing, and so is NODE_CONFIG")),
+            (None, None) => {
+                return Err(format!("{name}: settings: missing, and so is NODE_CONFIG"))
+            }
         };
         let cells = inventory.cells.len() as u32;
-        let (replicas, line) =
-            read.replicas.as_ref().map_or((REPLICAS, 0), |r| (r.value, r.referenced.line()));
+        let (replicas, line) = read
+            .replicas
+            .as_ref()
+            .map_or((REPLICAS, 0), |r| (r.value, r.referenced.line()));
         if replicas == 0 || replicas > cells {
-            return Err(here(line, "replicas", format!("{replicas}, but there are {cells} cells")));
+            return Err(here(
+                line,
+                "replicas",
+                format!("{replicas}, but there are {cells} cells"),
+            ));
         }
         let mut collections: Vec<Collection> = Vec::new();
         for told in &read.collections {
@@ -263,10 +291,15 @@
             }
             let line = told.class.referenced.line();
             let class = classes.iter().position(|c| *c == told.class.value);
-            let class = class
-                .ok_or_else(|| here(line, "class", format!("there is no class {:?}", told.class.value)))?;
-            // Guards writes: a class whose parts must not be repeated at will records something, and a read
-            // that was mapped to it would be taken for that.
+            let class = class.ok_or_else(|| {
+                here(
+                    line,
+                    "class",
+                    format!("there is no class {:?}", told.class.value),
+                )
+            })?;
+            // Guards writes: a class whose parts must not be repeated at will records something,
+            // and a read that was mapped to it would be taken for that.
             if settings.classes[class].repeat != Repeat::Safe {
                 let why = format!("{:?} is for writes and can't be read", told.class.value);
                 return Err(here(line, "class", why));
@@ -274,13 +307,23 @@
             let most = settings.classes[class].deadline;
             let wait = match &told.wait_ms {
                 Some(wait) if wait.value == 0 || wait.value.saturating_mul(1_000) > most => {
-                    let why = format!("{} is not within the class's {} ms", wait.value, most / 1_000);
+                    let why = format!(
+                        "{} is not within the class's {} ms",
+                        wait.value,
+                        most / 1_000
+                    );
                     return Err(here(wait.referenced.line(), "wait_ms", why));
                 }
                 wait => wait.as_ref().map_or(most, |wait| wait.value * 1_000),
             };
             let title = told.title.clone().unwrap_or_else(|| id.clone());
-            collections.push(Collection { id: id.clone(), title, class, sorted: class, wait });
+            collections.push(Collection {
+                id: id.clone(),
+                title,
+                class,
+                sorted: class,
+                wait,
+            });
         }
         if collections.is_empty() {
             return Err(format!("{name}: collections: there are none"));
@@ -290,11 +333,20 @@
             let why = format!("there is no zone {:?} in the inventory", zone.value);
             settings.zone = found.ok_or_else(|| here(zone.referenced.line(), "zone", why))? as u32;
         }
-        // The inventory is the list of data nodes, a GET holds one part, and the standard has no second step.
+        // The inventory is the list of data nodes, a GET holds one part, and the standard has no
+        // second step.
         settings.discovery = Discovery::Push;
         let shards = inventory.slices.len() as u32;
-        settings.layout = Layout { cells, width: replicas, shards, parts_a_call: 1 };
-        settings.classes.iter_mut().for_each(|class| class.second_step = 0);
+        settings.layout = Layout {
+            cells,
+            width: replicas,
+            shards,
+            parts_a_call: 1,
+        };
+        settings
+            .classes
+            .iter_mut()
+            .for_each(|class| class.second_step = 0);
         let mut contracts = inventory.contracts(&classes)?;
         let phases = operators.sorted(&classes, &mut settings, &mut collections, &mut contracts)?;
         if let Some(budget) = Contracts::new(contracts.clone()).budget() {
@@ -309,7 +361,10 @@
             contracts,
             seed: platform.map_or(0, |p| p.seed),
             memory: platform.map_or(MEMORY << 20, |p| p.memory),
-            connections: Connections { streams: 1, ..connections },
+            connections: Connections {
+                streams: 1,
+                ..connections
+            },
             phases,
         }))
     }
--- a/src/config/operators.rs
+++ b/src/config/operators.rs
@@ -1,5 +1,5 @@
-//! The operators' file, `deploy/lichenswitch.yaml`: what the platform does not tell. Each section is off when it is
-//! absent, and so is all when the file is.
+//! The operators' file, `deploy/lichenswitch.yaml`: what the platform does not tell. Each section
+//! is off when it is absent, and so is all when the file is.
 
 use super::peers::PeersFile;
 use super::{Collection, OgcFile};
@@ -67,7 +67,8 @@
 }
 
 impl Operators {
-    /// Reads the file; without one, all sections are off. One that the environment names has to be there.
+    /// Reads the file; without one, all sections are off. One that the environment names has to be
+    /// there.
     pub fn from_env(env: impl Fn(&str) -> Option<String>) -> Result<Operators, String> {
         let told = env("LICHENSWITCH_CONFIG").map(PathBuf::from);
         let path = told.clone().unwrap_or_else(|| FILE.into());
@@ -81,16 +82,27 @@
     pub fn load(path: &Path) -> Result<Operators, String> {
         let text = read_text(path)?;
         // A file of comments alone is an empty one.
-        let empty = text.lines().all(|l| l.trim().is_empty() || l.trim_start().starts_with('#'));
+        let empty = text
+            .lines()
+            .all(|l| l.trim().is_empty() || l.trim_start().starts_with('#'));
         let read: File = if empty {
             File::default()
         } else {
             serde_saphyr::from_str(&text).map_err(|e| {
                 let line = e.location().map_or(0, |l| l.line());
-                format!("{}:{line}: {}", path.display(), e.to_string().lines().next().unwrap_or_default())
+                format!(
+                    "{}:{line}: {}",
+                    path.display(),
+                    e.to_string().lines().next().unwrap_or_default()
+                )
             })?
         };
-        Ok(Operators { path: path.into(), ogc: read.ogc, peers: read.peers, phases: read.phases })
+        Ok(Operators {
+            path: path.into(),
+            ogc: read.ogc,
+            peers: read.peers,
+            phases: read.phases,
+        })
     }
 
     /// A message about a key in a line of the file.
@@ -100,21 +112,31 @@
 
     /// A share, checked.
     fn share(&self, told: Option<&Spanned<f64>>, key: &str, otherwise: f64) -> Result<f64, String> {
-        let Some(told) = told else { return Ok(otherwise) };
+        let Some(told) = told else {
+            return Ok(otherwise);
+        };
         if told.value > 0.0 && told.value < 1.0 {
             return Ok(told.value);
         }
-        Err(self.fault(told.referenced.line(), key, &format!("{} is not between 0 and 1", told.value)))
+        Err(self.fault(
+            told.referenced.line(),
+            key,
+            &format!("{} is not between 0 and 1", told.value),
+        ))
     }
 
-    /// The rules for two phases of these classes; what they may take of the aim goes into the settings.
+    /// The rules for two phases of these classes; what they may take of the aim goes into the
+    /// settings.
     pub fn phases(&self, classes: &[String], settings: &mut Settings) -> Result<Phases, String> {
-        let Some(told) = &self.phases else { return Ok(Phases::default()) };
+        let Some(told) = &self.phases else {
+            return Ok(Phases::default());
+        };
         let mut rules: Vec<Option<Rules>> = vec![None; classes.len()];
         for entry in &told.classes {
             let (name, line) = (&entry.class.value, entry.class.referenced.line());
             let i = classes.iter().position(|c| c == name);
-            let i = i.ok_or_else(|| self.fault(line, "class", &format!("there is no class {name:?}")))?;
+            let i =
+                i.ok_or_else(|| self.fault(line, "class", &format!("there is no class {name:?}")))?;
             if rules[i].is_some() {
                 return Err(self.fault(line, "class", &format!("{name:?} is there twice")));
             }
@@ -128,13 +150,19 @@
             }
             rules[i] = Some(self.rules(Some(entry), class)?);
         }
-        Ok(Phases { rules, explain: told.explain })
+        Ok(Phases {
+            rules,
+            explain: told.explain,
+        })
     }
 
-    /// The rules of a class, from its entry or by default; its share of the aim goes into the settings.
+    /// The rules of a class, from its entry or by default; its share of the aim goes into the
+    /// settings.
     fn rules(&self, entry: Option<&PhasesClass>, class: &mut Class) -> Result<Rules, String> {
-        let told = |pick: fn(&PhasesClass) -> &Option<Spanned<f64>>| entry.and_then(|e| pick(e).as_ref());
-        class.first_share = self.share(told(|e| &e.first_share), "first_share", class.first_share)?;
+        let told =
+            |pick: fn(&PhasesClass) -> &Option<Spanned<f64>>| entry.and_then(|e| pick(e).as_ref());
+        class.first_share =
+            self.share(told(|e| &e.first_share), "first_share", class.first_share)?;
         let usual = Rules::of(class);
         Ok(Rules {
             probability: self.share(told(|e| &e.probability), "probability", usual.probability)?,
@@ -144,8 +172,8 @@
         })
     }
 
-    /// Adds, for each class that the OGC front reads collections under, one of two steps for sorted answers, with its
-    /// rules; teams that may use the one may use the other.
+    /// Adds, for each class that the OGC front reads collections under, one of two steps for sorted
+    /// answers, with its rules; teams that may use the one may use the other.
     pub(super) fn sorted(
         &self,
         classes: &[String],
@@ -163,15 +191,24 @@
             if !collections.iter().any(|c| c.class == i) {
                 continue;
             }
-            let mut class = Class { second_step: settings.layout.shards, ..settings.classes[i].clone() };
+            let mut class = Class {
+                second_step: settings.layout.shards,
+                ..settings.classes[i].clone()
+            };
             let entry = entries.iter().find(|e| e.class.value == *name);
             rules.push(Some(self.rules(entry, &mut class)?));
             let sorted = settings.classes.len();
             settings.classes.push(class);
-            collections.iter_mut().filter(|c| c.class == i).for_each(|c| c.sorted = sorted);
+            collections
+                .iter_mut()
+                .filter(|c| c.class == i)
+                .for_each(|c| c.sorted = sorted);
             let uses = contracts.iter_mut().filter(|(_, c)| c.classes.contains(&i));
             uses.for_each(|(_, c)| c.classes.push(sorted));
         }
-        Ok(Phases { rules, explain: self.phases.as_ref().is_some_and(|told| told.explain) })
+        Ok(Phases {
+            rules,
+            explain: self.phases.as_ref().is_some_and(|told| told.explain),
+        })
     }
 }
--- a/src/config/peers.rs
+++ b/src/config/peers.rs
@@ -19,8 +19,8 @@
 const LEASE: (u64, u64) = (500, 600_000);
 /// How many voters there may be: one of three may fail, three of seven.
 const VOTERS: (usize, usize) = (3, 7);
-/// Default lease (microseconds), and how far clocks may be off, millionths: two hundred times what crystals are, since
-/// clocks of virtual machines are slewed.
+/// Default lease (microseconds), and how far clocks may be off, millionths: two hundred times what
+/// crystals are, since clocks of virtual machines are slewed.
 const USUAL_LEASE: Micros = 3_000_000;
 const DRIFT: u64 = 20_000;
 
@@ -69,7 +69,8 @@
     pub listen: SocketAddr,
     /// Its name, zone and the address that it tells others; its life begins with its start.
     pub own: Member,
-    /// Some others, by which it finds the fleet. Their addresses hold here, whatever they say of themselves.
+    /// Some others, by which it finds the fleet. Their addresses hold here, whatever they say of
+    /// themselves.
     pub known: Vec<Member>,
     /// How the fleet is watched.
     pub rules: Rules,
@@ -83,12 +84,20 @@
     /// Where the known ones are reached, by name.
     #[must_use]
     pub fn ways(&self) -> BTreeMap<String, SocketAddr> {
-        self.known.iter().map(|m| (m.name.clone(), m.address)).collect()
+        self.known
+            .iter()
+            .map(|m| (m.name.clone(), m.address))
+            .collect()
     }
 
     /// Reads the section; `None` where there is none. Name and zone are by default the platform's.
-    pub fn load(operators: &Operators, platform: Option<&Platform>) -> Result<Option<Peers>, String> {
-        let Some(read) = &operators.peers else { return Ok(None) };
+    pub fn load(
+        operators: &Operators,
+        platform: Option<&Platform>,
+    ) -> Result<Option<Peers>, String> {
+        let Some(read) = &operators.peers else {
+            return Ok(None);
+        };
         let fault = |line: u64, key: &str, why: &str| operators.fault(line, key, why);
         let named = |told: &Spanned<String>, key: &str| {
             let text = told.value.trim();
@@ -103,18 +112,24 @@
         };
         let at = |told: &Spanned<String>, key: &str| {
             let line = told.referenced.line();
-            let address = address(&told.value, key).map_err(|why| operators.fault(line, "peers", &why))?;
+            let address =
+                address(&told.value, key).map_err(|why| operators.fault(line, "peers", &why))?;
             match address.ip().is_unspecified() && key != "listen" || address.port() == 0 {
-                true => Err(fault(line, key, &format!("{address} is nowhere to connect to"))),
+                true => Err(fault(
+                    line,
+                    key,
+                    &format!("{address} is nowhere to connect to"),
+                )),
                 false => Ok(address),
             }
         };
-        let or_platform = |told: &Option<Spanned<String>>, key: &str, platform: Option<&String>| match told {
-            Some(told) => named(told, key),
-            None => {
-                platform.cloned().ok_or_else(|| operators.fault(0, key, "missing, and so is NODE_CONFIG"))
-            }
-        };
+        let or_platform =
+            |told: &Option<Spanned<String>>, key: &str, platform: Option<&String>| match told {
+                Some(told) => named(told, key),
+                None => platform
+                    .cloned()
+                    .ok_or_else(|| operators.fault(0, key, "missing, and so is NODE_CONFIG")),
+            };
         let listen = at(&read.listen, "listen")?;
         let advertised = match &read.advertise {
             Some(told) => at(told, "advertise")?,
@@ -135,28 +150,50 @@
         for told in &read.known {
             let name = named(&told.name, "name")?;
             if known.iter().any(|m| m.name == name) {
-                return Err(fault(told.name.referenced.line(), "name", &format!("{name:?} is there twice")));
+                return Err(fault(
+                    told.name.referenced.line(),
+                    "name",
+                    &format!("{name:?} is there twice"),
+                ));
             }
-            let zone = told.zone.as_ref().map_or(Ok(String::new()), |zone| named(zone, "zone"))?;
-            known.push(Member { name, address: at(&told.address, "address")?, zone, life: 0 });
+            let zone = told
+                .zone
+                .as_ref()
+                .map_or(Ok(String::new()), |zone| named(zone, "zone"))?;
+            known.push(Member {
+                name,
+                address: at(&told.address, "address")?,
+                zone,
+                life: 0,
+            });
         }
         // The same file may serve all brokers: a broker need not know itself.
         known.retain(|m| m.name != own.name);
         let usual = Rules::default();
-        let time =
-            |told: &Option<Spanned<u64>>, key: &str, (least, most): (u64, u64), usual: Micros| match told {
-                Some(t) if t.value < least || t.value > most => Err(fault(
-                    t.referenced.line(),
-                    key,
-                    &format!("{} is not within {least} to {most}", t.value),
-                )),
-                told => Ok(told.as_ref().map_or(usual, |t| t.value * 1_000)),
-            };
+        let time = |told: &Option<Spanned<u64>>,
+                    key: &str,
+                    (least, most): (u64, u64),
+                    usual: Micros| match told {
+            Some(t) if t.value < least || t.value > most => Err(fault(
+                t.referenced.line(),
+                key,
+                &format!("{} is not within {least} to {most}", t.value),
+            )),
+            told => Ok(told.as_ref().map_or(usual, |t| t.value * 1_000)),
+        };
         let probe = time(&read.probe_ms, "probe_ms", PROBE, usual.probe)?;
-        let suspicion = time(&read.suspicion_ms, "suspicion_ms", SUSPICION, usual.suspicion)?;
+        let suspicion = time(
+            &read.suspicion_ms,
+            "suspicion_ms",
+            SUSPICION,
+            usual.suspicion,
+        )?;
         if suspicion < 2 * probe {
-            let line =
-                read.suspicion_ms.as_ref().or(read.probe_ms.as_ref()).map_or(0, |t| t.referenced.line());
+            let line = read
+                .suspicion_ms
+                .as_ref()
+                .or(read.probe_ms.as_ref())
+                .map_or(0, |t| t.referenced.line());
             let why = format!(
                 "{} ms is less than two probes of {} ms: nobody could refute it",
                 suspicion / 1_000,
@@ -178,39 +215,71 @@
             }
             Ok(names)
         };
-        let (voters, duties) = (names(&read.voters, "voters")?, names(&read.duties, "duties")?);
+        let (voters, duties) = (
+            names(&read.voters, "voters")?,
+            names(&read.duties, "duties")?,
+        );
         let folder = read.folder.as_ref().map(|told| match told.value.trim() {
-            "" => Err(fault(told.referenced.line(), "folder", "it names no folder")),
+            "" => Err(fault(
+                told.referenced.line(),
+                "folder",
+                "it names no folder",
+            )),
             path => Ok(PathBuf::from(path)),
         });
         let folder = folder.transpose()?;
         let first = read.voters.first().map_or(0, |v| v.referenced.line());
         if !voters.is_empty() && !(VOTERS.0..=VOTERS.1).contains(&voters.len()) {
-            let why = format!("{} are named, {} to {} can agree", voters.len(), VOTERS.0, VOTERS.1);
+            let why = format!(
+                "{} are named, {} to {} can agree",
+                voters.len(),
+                VOTERS.0,
+                VOTERS.1
+            );
             return Err(fault(first, "voters", &why));
         }
         let knows = |name: &String| *name == own.name || known.iter().any(|m| m.name == *name);
-        if let Some((name, told)) = voters.iter().zip(&read.voters).find(|(name, _)| !knows(name)) {
+        if let Some((name, told)) = voters
+            .iter()
+            .zip(&read.voters)
+            .find(|(name, _)| !knows(name))
+        {
             let why = format!("{name:?} is not among known: nobody could find it");
             return Err(fault(told.referenced.line(), "voters", &why));
         }
         if voters.is_empty() {
-            let orphan =
-                read.duties.first().map(|d| (d, "duties")).or(read.folder.as_ref().map(|f| (f, "folder")));
+            let orphan = read
+                .duties
+                .first()
+                .map(|d| (d, "duties"))
+                .or(read.folder.as_ref().map(|f| (f, "folder")));
             if let Some((told, key)) = orphan {
                 let why = "there are no voters to agree on anything: name three to seven";
                 return Err(fault(told.referenced.line(), key, why));
             }
         }
-        let terms = Terms { lease, drift: DRIFT };
-        let consensus = (!voters.is_empty()).then_some(consensus::Rules { voters, folder, duties, terms });
+        let terms = Terms {
+            lease,
+            drift: DRIFT,
+        };
+        let consensus = (!voters.is_empty()).then_some(consensus::Rules {
+            voters,
+            folder,
+            duties,
+            terms,
+        });
         Ok(Some(Peers {
             consensus,
             cluster: named(&read.cluster, "cluster")?,
             listen,
             own,
             known,
-            rules: Rules { probe, patience, suspicion, ..usual },
+            rules: Rules {
+                probe,
+                patience,
+                suspicion,
+                ..usual
+            },
             seed: platform.map_or(0, |p| p.seed),
         }))
     }
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -168,7 +168,8 @@
     pub connections: Connections,
     /// Names of the tenants, in the order of the module's quotas.
     pub tenants: Vec<String>,
-    /// Within this after it was told that a node drains or is gone, nothing new goes there (microseconds).
+    /// Within this after it was told that a node drains or is gone, nothing new goes there
+    /// (microseconds).
     pub stop_within: Micros,
 }
 
@@ -186,8 +187,8 @@
             connect: allowed.connect_timeout_us,
             idle: allowed.conn_idle_us,
         };
-        // Guards the rule on repeats: the window counts to when an attempt leaves, and what the module sends may wait for
-        // a connection first.
+        // Guards the rule on repeats: the window counts to when an attempt leaves, and what the
+        // module sends may wait for a connection first.
         for class in &mut settings.classes {
             if let Repeat::Keyed(window) = &mut class.repeat {
                 *window = window.saturating_sub(allowed.connect_timeout_us + WAITS);
@@ -196,7 +197,14 @@
         let classes = facts.classes.into_iter().map(|c| c.name).collect();
         let tenants = facts.tenants.into_iter().map(|t| t.name).collect();
         let stop_within = facts.rules.stop_sending_within_us;
-        Ok(Site { settings, classes, zones: facts.zones, connections, tenants, stop_within })
+        Ok(Site {
+            settings,
+            classes,
+            zones: facts.zones,
+            connections,
+            tenants,
+            stop_within,
+        })
     }
 }
 
@@ -228,9 +236,15 @@
             repeat,
             worth: figure(c.gain, "gain")?,
             late_share: figure(c.late_share, "lateShare")?,
-            need: figure(*family.need_by_class.get(i).ok_or_else(missing)?, "needByClass")?,
+            need: figure(
+                *family.need_by_class.get(i).ok_or_else(missing)?,
+                "needByClass",
+            )?,
             floor: figure(*family.min_share.get(i).ok_or_else(missing)?, "minShare")?,
-            partial: figure(*family.class_partial.get(i).ok_or_else(missing)?, "classPartial")?,
+            partial: figure(
+                *family.class_partial.get(i).ok_or_else(missing)?,
+                "classPartial",
+            )?,
             second_step: *family.class_fetch.get(i).ok_or_else(missing)?,
             first_share: FIRST_SHARE,
             attempts: None,
@@ -238,8 +252,15 @@
     }
     let least = figure(rules.min_extra.unwrap_or(0.0), "minExtra")?;
     let share = figure(rules.further_ratio.unwrap_or(0.0), "furtherRatio")?;
-    let budget = rules.budget_span_us.map(|window| Budget { window, least, share });
-    let quotas = facts.tenants.iter().map(|t| figure(t.quota_per_s, "quotaPerS"));
+    let budget = rules.budget_span_us.map(|window| Budget {
+        window,
+        least,
+        share,
+    });
+    let quotas = facts
+        .tenants
+        .iter()
+        .map(|t| figure(t.quota_per_s, "quotaPerS"));
     let quotas = quotas.collect::<Result<_, _>>()?;
     Ok(Settings {
         classes,
--- a/src/decide/fleet/mod.rs
+++ b/src/decide/fleet/mod.rs
@@ -1,19 +1,24 @@
-//! Which brokers are believed alive, and how sure that is. The protocol is SWIM with suspicion before death, by the
-//! library `foca`, which does no input or output; this module gives it time, and keeps two promises beside it:
+//! Which brokers are believed alive, and how sure that is. The protocol is SWIM with suspicion
+//! before death, by the library `foca`, which does no input or output; this module gives it time,
+//! and keeps two promises beside it:
 //!
-//! - *a slow observer doubts itself first*: time in which this process stood still counts against nobody. Its clock for
-//!   the fleet stops with it, so that a broker that wakes does not declare dead all whose answers it slept through;
-//! - *who is not heard doubts itself first, too*: while nobody answers this broker, it declares nobody dead, up to a bound,
-//!   and once somebody does, it goes on without the opinions that it formed meanwhile: nobody could refute them;
-//! - *who was declared dead and is not comes back by itself*, under a later life, which wins over what is still told of
-//!   the former one, and without its opinions, for the same reason.
+//! - *a slow observer doubts itself first*: time in which this process stood still counts against
+//!   nobody. Its clock for the fleet stops with it, so that a broker that wakes does not declare
+//!   dead all whose answers it slept through;
+//! - *who is not heard doubts itself first, too*: while nobody answers this broker, it declares
+//!   nobody dead, up to a bound, and once somebody does, it goes on without the opinions that it
+//!   formed meanwhile: nobody could refute them;
+//! - *who was declared dead and is not comes back by itself*, under a later life, which wins over
+//!   what is still told of the former one, and without its opinions, for the same reason.
 //!
 //! Messages go in and verdicts come out; who carries them is not known here.
 
 pub mod redial;
 
 use crate::interface::{Micros, Time};
-use foca::{AccumulatingRuntime, Codec, Config, Foca, Header, Identity, Message, NoCustomBroadcast};
+use foca::{
+    AccumulatingRuntime, Codec, Config, Foca, Header, Identity, Message, NoCustomBroadcast,
+};
 use foca::{OwnedNotification, PeriodicParams, PostcardCodec, State, Timer};
 use rand_xoshiro::rand_core::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -41,7 +46,10 @@
     type Addr = String;
 
     fn renew(&self) -> Option<Self> {
-        Some(Member { life: self.life + 1, ..self.clone() })
+        Some(Member {
+            life: self.life + 1,
+            ..self.clone()
+        })
     }
 
     fn addr(&self) -> String {
@@ -58,7 +66,8 @@
 pub struct Rules {
     /// A member is asked this often, a different one each time, all in turn (microseconds).
     pub probe: Micros,
-    /// After this long without its answer others are asked to ask it (microseconds); below `probe` by half or more.
+    /// After this long without its answer others are asked to ask it (microseconds); below `probe`
+    /// by half or more.
     pub patience: Micros,
     /// So many others are.
     pub helpers: usize,
@@ -68,30 +77,39 @@
 
 impl Default for Rules {
     fn default() -> Self {
-        Rules { probe: 500_000, patience: 150_000, helpers: 3, suspicion: 2_000_000 }
+        Rules {
+            probe: 500_000,
+            patience: 150_000,
+            helpers: 3,
+            suspicion: 2_000_000,
+        }
     }
 }
 
-/// Calls that come later than this after they were due show that this process stood still (microseconds): several times
-/// what a busy turn of the loop takes.
+/// Calls that come later than this after they were due show that this process stood still
+/// (microseconds): several times what a busy turn of the loop takes.
 const STOOD_STILL: Micros = 250_000;
-/// A member that was declared dead is held as such for this long, so that old news does not bring it back.
+/// A member that was declared dead is held as such for this long, so that old news does not bring
+/// it back.
 const DEAD_FOR: Duration = Duration::from_secs(60);
 /// Bytes of a message at most: some tens of news fit.
 const PACKET: usize = 1_400;
-/// News is passed on so many times by each who hears it: three times each [`GOSSIP`], so for longer than a suspicion lasts
-/// by default. Guards one that was cut off and is back: it hears of the suspicion in time to refute it.
+/// News is passed on so many times by each who hears it: three times each [`GOSSIP`], so for longer
+/// than a suspicion lasts by default. Guards one that was cut off and is back: it hears of the
+/// suspicion in time to refute it.
 const TRANSMISSIONS: u8 = 40;
 /// News is told to some others this often beside (microseconds).
 const GOSSIP: Micros = 200_000;
-/// A broker is not heard once nobody has answered it for so many probes, or for the time of a suspicion where that is
-/// shorter: a suspicion that it raised itself is older then, whoever else has failed.
+/// A broker is not heard once nobody has answered it for so many probes, or for the time of a
+/// suspicion where that is shorter: a suspicion that it raised itself is older then, whoever else
+/// has failed.
 const UNHEARD: u64 = 4;
-/// While it is not heard, its verdicts wait for so many times of a suspicion at most. Guards fleets of two, and those that
-/// have lost all others: there nobody will ever answer. The others have declared dead by then who was only cut off.
+/// While it is not heard, its verdicts wait for so many times of a suspicion at most. Guards fleets
+/// of two, and those that have lost all others: there nobody will ever answer. The others have
+/// declared dead by then who was only cut off.
 const HELD_BACK: u64 = 2;
-/// Who stands alone knocks at the seeds this often (microseconds), and members that were declared dead are told so as
-/// often, so that both sides of a cut find together.
+/// Who stands alone knocks at the seeds this often (microseconds), and members that were declared
+/// dead are told so as often, so that both sides of a cut find together.
 const KNOCK: Micros = 2_000_000;
 
 /// Why the view of the fleet has changed.
@@ -147,7 +165,8 @@
         notify_down_members: true,
         periodic_announce: None,
         periodic_announce_to_down_members: None,
-        // What is new goes to some others beside the probes: a suspicion is refuted well before its end.
+        // What is new goes to some others beside the probes: a suspicion is refuted well before its
+        // end.
         periodic_gossip: Some(PeriodicParams {
             frequency: length(GOSSIP),
             num_members: NonZeroUsize::new(KNOCKS).unwrap_or(NonZeroUsize::MIN),
@@ -177,7 +196,8 @@
 }
 
 impl Fleet {
-    /// The view of `own`, which knows of these others; nothing is sent before the first [`Fleet::on_time`].
+    /// The view of `own`, which knows of these others; nothing is sent before the first
+    /// [`Fleet::on_time`].
     #[must_use]
     pub fn new(now: Time, own: Member, seeds: Vec<Member>, rules: Rules, seed: u64) -> Fleet {
         let swim = swim(&own, rules, seed);
@@ -226,16 +246,22 @@
     /// When [`Fleet::on_time`] is to be called next.
     #[must_use]
     pub fn next(&self) -> Time {
-        let due = self.timers.keys().next().map_or(self.knock_at, |k| k.0.min(self.knock_at));
+        let due = self
+            .timers
+            .keys()
+            .next()
+            .map_or(self.knock_at, |k| k.0.min(self.knock_at));
         due.plus(self.stood_still)
     }
 
-    /// Time has come: what is due is done. To be called when [`Fleet::next`] says, and before messages that had to wait
-    /// are handed in, since that it comes late shows that this process stood still.
+    /// Time has come: what is due is done. To be called when [`Fleet::next`] says, and before
+    /// messages that had to wait are handed in, since that it comes late shows that this process
+    /// stood still.
     pub fn on_time(&mut self, now: Time) -> Vec<Verdict> {
         let late = now.since(self.next());
         if late > STOOD_STILL {
-            // Guards the others: what they answered meanwhile lies unread, and nobody has failed to answer.
+            // Guards the others: what they answered meanwhile lies unread, and nobody has failed to
+            // answer.
             self.stood_still += late;
         }
         let (local, mut told) = (self.local(now), Vec::new());
@@ -251,7 +277,8 @@
                 continue;
             }
             let mut out = AccumulatingRuntime::new();
-            // A timer of a probe that is over is none: the library says so by an error, and nothing is lost.
+            // A timer of a probe that is over is none: the library says so by an error, and nothing
+            // is lost.
             let _ = self.swim.handle_timer(timer, &mut out);
             self.carry(local, &mut out, &mut told);
         }
@@ -268,16 +295,18 @@
         (UNHEARD * self.rules.probe).min(self.rules.suspicion)
     }
 
-    /// Whether a verdict has to wait since this broker is not heard, and not for too long yet. Guards the others against
-    /// a broker whose words are lost on the way: to it all look dead, and once it is heard again it would say so.
+    /// Whether a verdict has to wait since this broker is not heard, and not for too long yet.
+    /// Guards the others against a broker whose words are lost on the way: to it all look dead, and
+    /// once it is heard again it would say so.
     fn is_held_back(&self, local: Time, due: Time) -> bool {
         let silence = local.since(self.answered);
         let most = self.unheard() + (HELD_BACK + 1) * self.rules.suspicion;
         due <= local && silence >= self.unheard() && silence < most
     }
 
-    /// Somebody has answered this broker. Whom it suspected while it was not heard could not hear of it, so not refute it
-    /// either, and what was to be told of it has been said in vain: it has no opinions then.
+    /// Somebody has answered this broker. Whom it suspected while it was not heard could not hear
+    /// of it, so not refute it either, and what was to be told of it has been said in vain: it has
+    /// no opinions then.
     fn on_answered(&mut self, local: Time, told: &mut Vec<Verdict>) {
         if local.since(self.answered) >= self.unheard() {
             self.begin_anew(local, told);
@@ -285,7 +314,8 @@
         self.answered = local;
     }
 
-    /// This broker goes on without its opinions: those that it believes alive are asked anew, and the seeds are knocked at.
+    /// This broker goes on without its opinions: those that it believes alive are asked anew, and
+    /// the seeds are knocked at.
     fn begin_anew(&mut self, local: Time, told: &mut Vec<Verdict>) {
         let known: Vec<foca::Member<Member>> = self
             .swim
@@ -301,15 +331,26 @@
         self.carry(local, &mut out, told);
     }
 
-    /// Says to the seeds that this broker is there: to all that are not believed alive, one after the other in time.
+    /// Says to the seeds that this broker is there: to all that are not believed alive, one after
+    /// the other in time.
     fn knock(&mut self, local: Time, told: &mut Vec<Verdict>) {
-        let absent: Vec<&Member> = self.seeds.iter().filter(|s| !self.alive.contains_key(&s.name)).collect();
+        let absent: Vec<&Member> = self
+            .seeds
+            .iter()
+            .filter(|s| !self.alive.contains_key(&s.name))
+            .collect();
         if absent.is_empty() {
             return;
         }
-        // Guards seeds against a fleet that starts together: each knocks at some, in an order of its own.
-        let (count, start) = (absent.len(), (local.0 / KNOCK).wrapping_add(self.own.life) as usize);
-        let some = (0..count.min(KNOCKS)).map(|i| absent[(start + i) % count].clone()).collect::<Vec<_>>();
+        // Guards seeds against a fleet that starts together: each knocks at some, in an order of
+        // its own.
+        let (count, start) = (
+            absent.len(),
+            (local.0 / KNOCK).wrapping_add(self.own.life) as usize,
+        );
+        let some = (0..count.min(KNOCKS))
+            .map(|i| absent[(start + i) % count].clone())
+            .collect::<Vec<_>>();
         for seed in some {
             let mut out = AccumulatingRuntime::new();
             let _ = self.swim.announce(seed, &mut out);
@@ -326,8 +367,12 @@
         }
         self.carry(local, &mut out, &mut told);
         let header: Result<Header<Member>, _> = PostcardCodec.decode_header(bytes);
-        let answers =
-            |m: &Message<_>| matches!(m, Message::Ack(_) | Message::ForwardedAck { .. } | Message::Feed);
+        let answers = |m: &Message<_>| {
+            matches!(
+                m,
+                Message::Ack(_) | Message::ForwardedAck { .. } | Message::Feed
+            )
+        };
         if header.is_ok_and(|h| answers(&h.message)) {
             self.on_answered(local, &mut told);
         }
@@ -348,14 +393,20 @@
         self.alive.get(name).map(|m| m.life)
     }
 
-    fn carry(&mut self, local: Time, out: &mut AccumulatingRuntime<Member>, told: &mut Vec<Verdict>) {
+    fn carry(
+        &mut self,
+        local: Time,
+        out: &mut AccumulatingRuntime<Member>,
+        told: &mut Vec<Verdict>,
+    ) {
         let notes: Vec<_> = std::iter::from_fn(|| out.to_notify()).collect();
         let renewed = notes.iter().find_map(|note| match note {
             OwnedNotification::Rejoin(member) => Some(member.clone()),
             _ => None,
         });
         if let Some(member) = renewed {
-            // What the library would say under the new life holds the opinions of the former: it is not said.
+            // What the library would say under the new life holds the opinions of the former: it is
+            // not said.
             self.own = member.clone();
             told.push(Verdict::Renewed(member, Reason::Buried));
             return self.begin_anew(local, told);
@@ -371,11 +422,14 @@
                 OwnedNotification::MemberUp(member) => {
                     let known = self.alive.insert(member.name.clone(), member.clone());
                     told.extend(
-                        (known.as_ref() != Some(&member)).then_some(Verdict::Up(member, Reason::Heard)),
+                        (known.as_ref() != Some(&member))
+                            .then_some(Verdict::Up(member, Reason::Heard)),
                     );
                 }
                 // Of a former life nobody has to hear that it is over.
-                OwnedNotification::MemberDown(member) if self.life_of(&member.name) <= Some(member.life) => {
+                OwnedNotification::MemberDown(member)
+                    if self.life_of(&member.name) <= Some(member.life) =>
+                {
                     let known = self.alive.remove(&member.name);
                     told.extend(known.map(|_| Verdict::Down(member, Reason::Silent)));
                 }
--- a/src/decide/fleet/redial.rs
+++ b/src/decide/fleet/redial.rs
@@ -1,11 +1,11 @@
-//! When a peer that could not be reached is tried again: spread, so that a fleet whose peer comes back does not come to it
-//! all together.
+//! When a peer that could not be reached is tried again: spread, so that a fleet whose peer comes
+//! back does not come to it all together.
 
 use crate::interface::{Micros, Time};
 use crate::stats::Dice;
 
-/// First wait, and the longest (microseconds); each failure doubles it. The wait itself is drawn between half and one
-/// and a half of that.
+/// First wait, and the longest (microseconds); each failure doubles it. The wait itself is drawn
+/// between half and one and a half of that.
 const FIRST: Micros = 200_000;
 const MOST: Micros = 5_000_000;
 
--- a/src/decide/membership/doubt.rs
+++ b/src/decide/membership/doubt.rs
@@ -1,12 +1,13 @@
-//! Lists that may be wrong: one that goes back a version, one that says that nobody is there. Neither is believed at once,
-//! and neither is left aside: the whole list is asked for, and what that says is taken. If it can't be had in time, what
-//! the doubted list wants stopped is stopped, since the rule on drains counts from when it was heard.
+//! Lists that may be wrong: one that goes back a version, one that says that nobody is there.
+//! Neither is believed at once, and neither is left aside: the whole list is asked for, and what
+//! that says is taken. If it can't be had in time, what the doubted list wants stopped is stopped,
+//! since the rule on drains counts from when it was heard.
 
 use crate::interface::{Micros, Time};
 use std::fmt;
 
-/// A doubted list is confirmed within this share of the time after which nothing new may go to a node that drains or is
-/// gone, or what it wants stopped is stopped.
+/// A doubted list is confirmed within this share of the time after which nothing new may go to a
+/// node that drains or is gone, or what it wants stopped is stopped.
 const CONFIRM: f64 = 0.5;
 
 /// What is told of a list as it comes.
@@ -56,22 +57,28 @@
 /// Judges lists as they come.
 #[derive(Clone, Debug)]
 pub struct Doubt {
-    /// Within this after it was told that a node drains or is gone, a broker stops sending to it (microseconds).
+    /// Within this after it was told that a node drains or is gone, a broker stops sending to it
+    /// (microseconds).
     stop_within: Micros,
     /// The whole list has been asked for to confirm one that was doubted.
     asked: bool,
 }
 
 impl Doubt {
-    /// Judges lists where nothing new may go to a node `stop_within` microseconds after it was told to drain.
+    /// Judges lists where nothing new may go to a node `stop_within` microseconds after it was told
+    /// to drain.
     #[must_use]
     pub fn new(stop_within: Micros) -> Doubt {
-        Doubt { stop_within, asked: false }
+        Doubt {
+            stop_within,
+            asked: false,
+        }
     }
 
     /// A list has come, while version `held` of it and `known` data nodes are held.
     pub fn on_list(&mut self, now: Time, told: Told, held: Option<u64>, known: usize) -> Verdict {
-        // Guards against doubting for ever: a discovery that begins its versions anew, or has no nodes, is believed then.
+        // Guards against doubting for ever: a discovery that begins its versions anew, or has no
+        // nodes, is believed then.
         if std::mem::take(&mut self.asked) && told.whole {
             return Verdict::Take(Reason::Confirmed);
         }
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -1,5 +1,5 @@
-//! Decisions beside the module's: a folder each, without input or output, clock or threads. Events go in, verdicts with
-//! their reasons come out; time is an argument.
+//! Decisions beside the module's: a folder each, without input or output, clock or threads. Events
+//! go in, verdicts with their reasons come out; time is an argument.
 
 pub use lichenswitch_agree as agree;
 pub use lichenswitch_descriptors as descriptors;
--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -1,9 +1,10 @@
 //! Discovery: the list of data nodes, asked for once and then watched.
 //!
-//! The decision module says when to ask and how long to wait after a failure at least; where lists are pushed to an
-//! agent of this machine it says nothing, and the watch is kept up from the start on. A watch that was answered is
-//! renewed here. None of it is done before `decide::membership::pace` allows it: a small fleet's calls go at once, so
-//! that its watches go on, a large one's are spread.
+//! The decision module says when to ask and how long to wait after a failure at least; where lists
+//! are pushed to an agent of this machine it says nothing, and the watch is kept up from the start
+//! on. A watch that was answered is renewed here. None of it is done before
+//! `decide::membership::pace` allows it: a small fleet's calls go at once, so that its watches go
+//! on, a large one's are spread.
 mod directory;
 
 pub use directory::{Directory, Instance, Lifecycle, List, OperatorOverrides};
@@ -17,7 +18,8 @@
 
 /// A connection that is not up after this long never comes up.
 const CONNECT: Micros = 500_000;
-/// Within this after it was told that a node drains or is gone, a broker stops sending to it, where nothing else is set.
+/// Within this after it was told that a node drains or is gone, a broker stops sending to it, where
+/// nothing else is set.
 const STOP_WITHIN: Micros = 2_000_000;
 /// The number of the timer that ends a doubted list's time; calls are numbered from 1.
 const CONFIRMED: u64 = 0;
@@ -38,7 +40,8 @@
     /// Version of the list that is held; `None`: none is, so the whole list is asked for.
     generation: Option<u64>,
     conn: Option<ConnId>,
-    /// The call that is out, if one is; calls are numbered so that timers of earlier ones find nothing.
+    /// The call that is out, if one is; calls are numbered so that timers of earlier ones find
+    /// nothing.
     call: Option<u64>,
     calls: u64,
     began: Time,
@@ -54,7 +57,8 @@
     doubt: Doubt,
     /// A list that waits to be confirmed, and until when.
     doubted: Option<(List, Time)>,
-    /// Where discovery is to be asked from the next call on; until then a watch at the former address goes on.
+    /// Where discovery is to be asked from the next call on; until then a watch at the former
+    /// address goes on.
     moving: Option<SocketAddr>,
     log: Vec<String>,
 }
@@ -88,7 +92,10 @@
     /// The same where nothing new may go to a node `micros` after it was told to drain.
     #[must_use]
     pub fn stopping_within(self, micros: Micros) -> Self {
-        Discovery { doubt: Doubt::new(micros), ..self }
+        Discovery {
+            doubt: Doubt::new(micros),
+            ..self
+        }
     }
 
     /// Whether it is to ask again without being told to.
@@ -102,8 +109,8 @@
         std::mem::take(&mut self.log)
     }
 
-    /// Asks for changes from now on, as soon as the pace allows, unless that is under way. A failure to ask is reported
-    /// like any other.
+    /// Asks for changes from now on, as soon as the pace allows, unless that is under way. A
+    /// failure to ask is reported like any other.
     pub fn subscribe(&mut self, net: &mut Net) -> Vec<Listing> {
         if self.call.is_some() || self.planned.is_some() {
             return Vec::new();
@@ -114,20 +121,28 @@
             self.hang_up(net);
         }
         let (now, known) = (net.clock.now(), self.generation.is_some());
-        let at = *self.not_before.get_or_insert_with(|| self.pace.on_start(now, known).at);
+        let at = *self
+            .not_before
+            .get_or_insert_with(|| self.pace.on_start(now, known).at);
         if at > now {
             self.plan(net, at);
             return Vec::new();
         }
-        self.ask(net).err().map_or_else(Vec::new, |why| self.not_asked(net, why))
+        self.ask(net)
+            .err()
+            .map_or_else(Vec::new, |why| self.not_asked(net, why))
     }
 
-    /// A call could not be made. Guards the rule on drains: discovery has not failed, and a broker that waited as if it
-    /// had would not hear of a change for seconds after the others.
+    /// A call could not be made. Guards the rule on drains: discovery has not failed, and a broker
+    /// that waited as if it had would not hear of a change for seconds after the others.
     fn not_asked(&mut self, net: &mut Net, why: Unasked) -> Vec<Listing> {
-        let Unasked::Local(why) = why else { return self.fail(net, "the connection broke", false) };
+        let Unasked::Local(why) = why else {
+            return self.fail(net, "the connection broke", false);
+        };
         let verdict = self.pace.on_unmade(net.clock.now());
-        self.log.push(format!("discovery: no call could be made: {why}; {verdict}"));
+        self.log.push(format!(
+            "discovery: no call could be made: {why}; {verdict}"
+        ));
         self.not_before = Some(verdict.at);
         self.plan(net, verdict.at);
         Vec::new()
@@ -140,8 +155,9 @@
         net.wheel.set(at, Timer::Discovery(self.calls));
     }
 
-    /// Asks at another address from the next call on, which comes soon; until then a watch at the former one goes on. A
-    /// call there that does not wait for changes is given up: what it would bring is asked for anew.
+    /// Asks at another address from the next call on, which comes soon; until then a watch at the
+    /// former one goes on. A call there that does not wait for changes is given up: what it would
+    /// bring is asked for anew.
     pub fn move_to(&mut self, net: &mut Net, address: SocketAddr) -> Vec<Listing> {
         if address == self.moving.unwrap_or(self.address) {
             return Vec::new();
@@ -158,12 +174,16 @@
 
     fn ask(&mut self, net: &mut Net) -> Result<(), Unasked> {
         self.began = net.clock.now();
-        let conn = match self.conn.filter(|id| net.get(*id).is_some_and(|c| c.up && !c.ended)) {
+        let conn = match self
+            .conn
+            .filter(|id| net.get(*id).is_some_and(|c| c.up && !c.ended))
+        {
             Some(id) => id,
             None => {
                 // One that can't be used any more is given back before its place is needed.
                 self.hang_up(net);
-                net.connect(Owner::Discovery, self.address).map_err(Unasked::Local)?
+                net.connect(Owner::Discovery, self.address)
+                    .map_err(Unasked::Local)?
             }
         };
         self.conn = Some(conn);
@@ -174,13 +194,20 @@
             }
             None => "/registry/instances".into(),
         };
-        let request =
-            format!("GET {target} HTTP/1.1\r\nHost: {}\r\nAccept: application/json\r\n\r\n", self.address);
-        net.get_mut(conn).ok_or(Unasked::Broken)?.send(request.as_bytes());
+        let request = format!(
+            "GET {target} HTTP/1.1\r\nHost: {}\r\nAccept: application/json\r\n\r\n",
+            self.address
+        );
+        net.get_mut(conn)
+            .ok_or(Unasked::Broken)?
+            .send(request.as_bytes());
         self.calls += 1;
         self.call = Some(self.calls);
-        net.wheel.set(self.began.plus(CONNECT), Timer::Discovery(self.calls));
-        (net.flush(conn, false) == Pumped::Alive).then_some(()).ok_or(Unasked::Broken)
+        net.wheel
+            .set(self.began.plus(CONNECT), Timer::Discovery(self.calls));
+        (net.flush(conn, false) == Pumped::Alive)
+            .then_some(())
+            .ok_or(Unasked::Broken)
     }
 
     /// The call has failed; `silent`: nothing came, not even a refusal.
@@ -198,8 +225,8 @@
             Some(at) if self.moving.is_some() => verdict.at = at,
             _ => {
                 self.not_before = Some(verdict.at);
-                // Guards the rule on drains: the module's waits grow from call to call, what is missed counts all the
-                // same.
+                // Guards the rule on drains: the module's waits grow from call to call, what is
+                // missed counts all the same.
                 self.plan(net, verdict.at);
             }
         }
@@ -214,9 +241,12 @@
         vec![Listing::Failed]
     }
 
-    /// A doubted list was not confirmed in time: what it wants stopped is stopped. What it says of others is not believed.
+    /// A doubted list was not confirmed in time: what it wants stopped is stopped. What it says of
+    /// others is not believed.
     fn unconfirmed(&mut self, directory: &mut Directory) -> Vec<Listing> {
-        let Some((list, _)) = self.doubted.take() else { return Vec::new() };
+        let Some((list, _)) = self.doubted.take() else {
+            return Vec::new();
+        };
         self.log.push(format!(
             "discovery: version {} was not confirmed: what it wants stopped is stopped",
             list.generation
@@ -224,8 +254,13 @@
         if list.instances.is_empty() {
             return vec![Listing::Whole(directory.whole(&[]))];
         }
-        let ends = list.instances.into_iter().filter(|i| i.lifecycle != Lifecycle::Serving);
-        vec![Listing::Changes(directory.changes(&ends.collect::<Vec<_>>()))]
+        let ends = list
+            .instances
+            .into_iter()
+            .filter(|i| i.lifecycle != Lifecycle::Serving);
+        vec![Listing::Changes(
+            directory.changes(&ends.collect::<Vec<_>>()),
+        )]
     }
 
     /// Ends the connection: the one place where it is given back.
@@ -239,8 +274,15 @@
     /// A call's timer: it may be made now, its connection should be up by now, or its answer here.
     pub fn timer(&mut self, net: &mut Net, call: u64, directory: &mut Directory) -> Vec<Listing> {
         if call == CONFIRMED {
-            let due = self.doubted.as_ref().is_some_and(|(_, at)| net.clock.now() >= *at);
-            return if due { self.unconfirmed(directory) } else { Vec::new() };
+            let due = self
+                .doubted
+                .as_ref()
+                .is_some_and(|(_, at)| net.clock.now() >= *at);
+            return if due {
+                self.unconfirmed(directory)
+            } else {
+                Vec::new()
+            };
         }
         if self.planned == Some(call) {
             self.planned = None;
@@ -253,7 +295,10 @@
         if self.call != Some(call) {
             return Vec::new();
         }
-        let (wait, patience) = self.pace.watch().times(self.renews, self.generation.is_some());
+        let (wait, patience) = self
+            .pace
+            .watch()
+            .times(self.renews, self.generation.is_some());
         let end = self.began.plus(wait + patience);
         let up = self.conn.and_then(|id| net.get(id)).is_some_and(|c| c.up);
         if !up {
@@ -272,7 +317,9 @@
             return Vec::new();
         }
         let pumped = net.pump(id, CEILING);
-        let Some(conn) = net.get_mut(id) else { return Vec::new() };
+        let Some(conn) = net.get_mut(id) else {
+            return Vec::new();
+        };
         // A reset is no end: an answer without a length that breaks off is not whole.
         let (ended, broken) = (conn.ended, pumped != Pumped::Alive);
         let answer = match http::response(conn.input.bytes(), ended, CEILING) {
@@ -288,14 +335,21 @@
                 self.hang_up(net);
                 return Vec::new();
             }
-            _ => return self.fail(net, "the connection broke, or what came is no answer", false),
+            _ => {
+                return self.fail(
+                    net,
+                    "the connection broke, or what came is no answer",
+                    false,
+                )
+            }
         };
         if self.call.take().is_none() {
             self.hang_up(net);
             return Vec::new();
         }
         let list = match answer.status {
-            200 => serde_json::from_slice::<List>(&answer.body).map_err(|e| format!("unreadable list: {e}")),
+            200 => serde_json::from_slice::<List>(&answer.body)
+                .map_err(|e| format!("unreadable list: {e}")),
             status => Err(format!("answered with {status}")),
         };
         let list = match list {
@@ -315,8 +369,15 @@
             self.not_before = Some(next);
         }
         let whole = list.reset || self.generation.is_none();
-        let told = Told { generation: list.generation, whole, lines: list.instances.len() };
-        let mut news = match self.doubt.on_list(now, told, self.generation, directory.len()) {
+        let told = Told {
+            generation: list.generation,
+            whole,
+            lines: list.instances.len(),
+        };
+        let mut news = match self
+            .doubt
+            .on_list(now, told, self.generation, directory.len())
+        {
             Verdict::Take(_) => {
                 self.doubted = None;
                 self.generation = Some(list.generation);
@@ -326,9 +387,14 @@
                 }]
             }
             Verdict::Confirm(why, until) => {
-                self.log.push(format!("discovery: a list is doubted, the whole one is asked for: {why}"));
+                self.log.push(format!(
+                    "discovery: a list is doubted, the whole one is asked for: {why}"
+                ));
                 // Of several in a row the first one's time counts: it was heard then.
-                let until = self.doubted.as_ref().map_or(until, |(_, first)| until.min(*first));
+                let until = self
+                    .doubted
+                    .as_ref()
+                    .map_or(until, |(_, first)| until.min(*first));
                 // The whole list is asked for; the timer is one that no call has.
                 (self.generation, self.doubted) = (None, Some((list, until)));
                 net.wheel.set(until, Timer::Discovery(CONFIRMED));
--- a/src/discovery/directory.rs
+++ b/src/discovery/directory.rs
@@ -73,28 +73,36 @@
 pub struct OperatorOverrides {
     /// Data nodes that are out, by id: they drain, whatever the list says.
     pub out: BTreeSet<String>,
-    /// Data nodes that were taken out just now: they are sent what nobody else takes for a moment yet.
+    /// Data nodes that were taken out just now: they are sent what nobody else takes for a moment
+    /// yet.
     pub leaving: BTreeSet<String>,
-    /// Data nodes that were put back: since when they had been out, and when they were put back. They may have been started
-    /// anew at any moment between.
+    /// Data nodes that were put back: since when they had been out, and when they were put back.
+    /// They may have been started anew at any moment between.
     pub back: BTreeMap<String, (Time, Time)>,
 }
 
 impl OperatorOverrides {
-    /// A line of the list with the overrides applied. One that was put back counts as started just then, where the list
-    /// knows of no start since it was taken out: it was out so that it could be restarted, and the list may hear of that late
-    /// or never.
+    /// A line of the list with the overrides applied. One that was put back counts as started just
+    /// then, where the list knows of no start since it was taken out: it was out so that it could
+    /// be restarted, and the list may hear of that late or never.
     fn applied(&self, name: &str, told: Listed) -> Listed {
         if told.mode == Mode::Ready && self.out.contains(name) {
-            return Listed { mode: Mode::Draining, ..told };
+            return Listed {
+                mode: Mode::Draining,
+                ..told
+            };
         }
         if told.mode == Mode::Ready && self.leaving.contains(name) {
-            return Listed { mode: Mode::Leaving, ..told };
+            return Listed {
+                mode: Mode::Leaving,
+                ..told
+            };
         }
         match self.back.get(name) {
-            Some((out, back)) if told.started.is_none_or(|at| at < *out) => {
-                Listed { started: Some(*back), ..told }
-            }
+            Some((out, back)) if told.started.is_none_or(|at| at < *out) => Listed {
+                started: Some(*back),
+                ..told
+            },
             _ => told,
         }
     }
@@ -113,13 +121,19 @@
     /// An empty directory; zones are numbered in the order given.
     #[must_use]
     pub fn new(zones: Vec<String>) -> Self {
-        Directory { zones, ..Directory::default() }
+        Directory {
+            zones,
+            ..Directory::default()
+        }
     }
 
     /// The same where there are so many cells: lines of others are left aside.
     #[must_use]
     pub fn with_cells(self, cells: u32) -> Self {
-        Directory { cells: Some(cells), ..self }
+        Directory {
+            cells: Some(cells),
+            ..self
+        }
     }
 
     /// Log lines since the last time.
@@ -154,28 +168,48 @@
     /// Notes the whole list and gives it to the module in its own terms. What is absent is gone.
     pub fn whole(&mut self, instances: &[Instance]) -> Vec<Listed> {
         let listed: HashSet<&str> = instances.iter().map(|i| i.instance_id.as_str()).collect();
-        let absent: Vec<String> =
-            self.ids.keys().filter(|id| !listed.contains(id.as_str())).cloned().collect();
+        let absent: Vec<String> = self
+            .ids
+            .keys()
+            .filter(|id| !listed.contains(id.as_str()))
+            .cloned()
+            .collect();
         absent.iter().for_each(|id| self.give_back(id));
         self.changes(instances)
     }
 
     /// Notes changed lines and gives them to the module in its own terms.
     pub fn changes(&mut self, instances: &[Instance]) -> Vec<Listed> {
-        instances.iter().filter_map(|node| self.change(node)).collect()
+        instances
+            .iter()
+            .filter_map(|node| self.change(node))
+            .collect()
     }
 
     fn change(&mut self, node: &Instance) -> Option<Listed> {
         let deleted = node.lifecycle == Lifecycle::Deleted;
         let known = self.ids.get(&node.instance_id).copied();
-        // Guards data nodes: one whose cell is not known would be sent parts of shards that it does not hold. One that
-        // is known keeps its cell, since whether it drains counts.
-        let told = node.cell.filter(|cell| self.cells.is_none_or(|cells| *cell < cells));
-        let noted = known.and_then(|server| self.nodes.get(&server)).map(|n| n.cell);
+        // Guards data nodes: one whose cell is not known would be sent parts of shards that it does
+        // not hold. One that is known keeps its cell, since whether it drains counts.
+        let told = node
+            .cell
+            .filter(|cell| self.cells.is_none_or(|cells| *cell < cells));
+        let noted = known
+            .and_then(|server| self.nodes.get(&server))
+            .map(|n| n.cell);
         if told.is_none() && !deleted {
-            let what = node.cell.map_or("no cell".into(), |cell| format!("cell {cell}, which there is not"));
-            let then = if noted.is_some() { "it keeps its last one" } else { "the line is left aside" };
-            self.log.push(format!("discovery: {} has {what}: {then}", node.instance_id));
+            let what = node.cell.map_or("no cell".into(), |cell| {
+                format!("cell {cell}, which there is not")
+            });
+            let then = if noted.is_some() {
+                "it keeps its last one"
+            } else {
+                "the line is left aside"
+            };
+            self.log.push(format!(
+                "discovery: {} has {what}: {then}",
+                node.instance_id
+            ));
         }
         let cell = match told.or(noted) {
             Some(cell) => cell,
@@ -189,7 +223,12 @@
                 let server = ServerId(self.next);
                 self.next += 1;
                 self.ids.insert(node.instance_id.clone(), server);
-                let new = Node { name: node.instance_id.clone(), address: None, cell, told: None };
+                let new = Node {
+                    name: node.instance_id.clone(),
+                    address: None,
+                    cell,
+                    told: None,
+                };
                 self.nodes.insert(server, new);
                 server
             }
@@ -205,14 +244,19 @@
         let told = Listed {
             server,
             cell,
-            zone: self.zones.iter().position(|z| *z == node.zone).map_or(u32::MAX, |z| z as u32),
+            zone: self
+                .zones
+                .iter()
+                .position(|z| *z == node.zone)
+                .map_or(u32::MAX, |z| z as u32),
             mode: match node.lifecycle {
                 Lifecycle::Serving => Mode::Ready,
                 // To be in a state that is not known is no reason to be sent anything.
                 Lifecycle::Draining | Lifecycle::Unknown => Mode::Draining,
                 Lifecycle::Deleted => Mode::Gone,
             },
-            started: (node.started_at_ms > 0).then_some(Time(node.started_at_ms.saturating_mul(1_000))),
+            started: (node.started_at_ms > 0)
+                .then_some(Time(node.started_at_ms.saturating_mul(1_000))),
         };
         if let Some(noted) = self.nodes.get_mut(&server) {
             noted.told = Some(told);
@@ -224,9 +268,16 @@
     pub fn set_overrides(&mut self, overrides: OperatorOverrides) -> Vec<Listed> {
         let before = std::mem::replace(&mut self.overrides, overrides);
         let noted = self.nodes.values().filter_map(|n| Some((&n.name, n.told?)));
-        let lines =
-            noted.map(|(name, told)| (before.applied(name, told), self.overrides.applied(name, told)));
-        lines.filter(|(was, is)| was != is).map(|(_, is)| is).collect()
+        let lines = noted.map(|(name, told)| {
+            (
+                before.applied(name, told),
+                self.overrides.applied(name, told),
+            )
+        });
+        lines
+            .filter(|(was, is)| was != is)
+            .map(|(_, is)| is)
+            .collect()
     }
 
     /// Ids of all that are listed.
@@ -239,13 +290,15 @@
     #[must_use]
     pub fn overridden_out(&self) -> usize {
         let out = |n: &&Node| {
-            [&self.overrides.out, &self.overrides.leaving].iter().any(|set| set.contains(&n.name))
+            [&self.overrides.out, &self.overrides.leaving]
+                .iter()
+                .any(|set| set.contains(&n.name))
         };
         self.nodes.values().filter(out).count()
     }
 
-    /// Gives back what is known of a node that is gone. Guards memory: on a long day most nodes are replaced often,
-    /// each time under a new name.
+    /// Gives back what is known of a node that is gone. Guards memory: on a long day most nodes are
+    /// replaced often, each time under a new name.
     fn give_back(&mut self, id: &str) {
         if let Some(server) = self.ids.remove(id) {
             self.nodes.remove(&server);
--- a/src/discovery/directory/tests.rs
+++ b/src/discovery/directory/tests.rs
@@ -11,22 +11,40 @@
     let list: List = serde_json::from_str(LIST).unwrap();
     let mut directory = Directory::new(vec!["a".into(), "b".into()]);
     let first = directory.changes(&list.instances);
-    assert_eq!((first[0].cell, first[0].zone, first[0].mode), (3, 1, Mode::Ready));
+    assert_eq!(
+        (first[0].cell, first[0].zone, first[0].mode),
+        (3, 1, Mode::Ready)
+    );
     assert_eq!(first[0].started, Some(Time(5_000)));
-    assert_eq!(directory.address(first[0].server), Some("10.1.0.18:8080".parse().unwrap()));
-    let gone =
-        Instance { lifecycle: Lifecycle::Deleted, host_port: String::new(), ..list.instances[0].clone() };
+    assert_eq!(
+        directory.address(first[0].server),
+        Some("10.1.0.18:8080".parse().unwrap())
+    );
+    let gone = Instance {
+        lifecycle: Lifecycle::Deleted,
+        host_port: String::new(),
+        ..list.instances[0].clone()
+    };
     let second = directory.changes(std::slice::from_ref(&gone));
-    assert_eq!((second[0].server, second[0].mode), (first[0].server, Mode::Gone));
-    assert!(directory.changes(&[gone]).is_empty(), "one that was never listed is no news");
+    assert_eq!(
+        (second[0].server, second[0].mode),
+        (first[0].server, Mode::Gone)
+    );
+    assert!(
+        directory.changes(&[gone]).is_empty(),
+        "one that was never listed is no news"
+    );
 }
 
 #[test]
 fn a_list_that_comes_indented_is_the_same_list() {
     let value: serde_json::Value = serde_json::from_str(LIST).unwrap();
-    let pretty = serde_json::to_string_pretty(&value).unwrap().replace('\n', "\r\n\t ");
-    let [plain, indented] = [LIST, &pretty]
-        .map(|text| Directory::default().changes(&serde_json::from_str::<List>(text).unwrap().instances));
+    let pretty = serde_json::to_string_pretty(&value)
+        .unwrap()
+        .replace('\n', "\r\n\t ");
+    let [plain, indented] = [LIST, &pretty].map(|text| {
+        Directory::default().changes(&serde_json::from_str::<List>(text).unwrap().instances)
+    });
     assert!(pretty.lines().count() > 10 && plain.len() == 1);
     assert_eq!(plain, indented);
 }
@@ -35,8 +53,14 @@
 fn what_is_known_of_a_node_goes_with_it_and_its_number_is_not_used_again() {
     let list: List = serde_json::from_str(LIST).unwrap();
     let mut directory = Directory::default();
-    let node = |i: u32| Instance { instance_id: format!("s-{i}"), ..list.instances[0].clone() };
-    let gone = |i| Instance { lifecycle: Lifecycle::Deleted, ..node(i) };
+    let node = |i: u32| Instance {
+        instance_id: format!("s-{i}"),
+        ..list.instances[0].clone()
+    };
+    let gone = |i| Instance {
+        lifecycle: Lifecycle::Deleted,
+        ..node(i)
+    };
     for i in 0..100 {
         assert_eq!(directory.whole(&[node(i)])[0].server, ServerId(i));
     }
@@ -56,14 +80,27 @@
         lifecycle,
         ..list.instances[0].clone()
     };
-    let bad = [line("new", None, Lifecycle::Serving), line("far", Some(8), Lifecycle::Serving)];
+    let bad = [
+        line("new", None, Lifecycle::Serving),
+        line("far", Some(8), Lifecycle::Serving),
+    ];
     assert!(directory.whole(&bad).is_empty() && directory.is_empty());
     let log = directory.take_log();
-    assert!(log[0].contains("new has no cell: the line is left aside"), "{log:?}");
-    assert!(log[1].contains("far has cell 8, which there is not"), "{log:?}");
+    assert!(
+        log[0].contains("new has no cell: the line is left aside"),
+        "{log:?}"
+    );
+    assert!(
+        log[1].contains("far has cell 8, which there is not"),
+        "{log:?}"
+    );
     directory.changes(&[line("old", Some(3), Lifecycle::Serving)]);
     let told = directory.changes(&[line("old", None, Lifecycle::Draining)]);
-    assert_eq!((told[0].cell, told[0].mode), (3, Mode::Draining), "that it drains counts");
+    assert_eq!(
+        (told[0].cell, told[0].mode),
+        (3, Mode::Draining),
+        "that it drains counts"
+    );
     assert!(directory.take_log()[0].contains("it keeps its last one"));
     let gone = directory.changes(&[line("old", None, Lifecycle::Deleted)]);
     assert!(gone[0].mode == Mode::Gone && directory.is_empty() && directory.take_log().is_empty());
@@ -82,12 +119,24 @@
     };
     let back = BTreeMap::from([("s".to_string(), (Time(5_000_000), Time(9_000_000)))]);
     directory.whole(&[node(0)]);
-    let out = OperatorOverrides { out: BTreeSet::from(["s".to_string()]), ..OperatorOverrides::default() };
-    assert_eq!(directory.set_overrides(out).first().map(|l| l.mode), Some(Mode::Draining));
+    let out = OperatorOverrides {
+        out: BTreeSet::from(["s".to_string()]),
+        ..OperatorOverrides::default()
+    };
+    assert_eq!(
+        directory.set_overrides(out).first().map(|l| l.mode),
+        Some(Mode::Draining)
+    );
     // The list hears of no restart, of one long ago, or of that for which it was out.
-    let lines = directory.set_overrides(OperatorOverrides { back, ..OperatorOverrides::default() });
+    let lines = directory.set_overrides(OperatorOverrides {
+        back,
+        ..OperatorOverrides::default()
+    });
     assert_eq!(
-        lines.iter().map(|l| (l.mode, l.started)).collect::<Vec<_>>(),
+        lines
+            .iter()
+            .map(|l| (l.mode, l.started))
+            .collect::<Vec<_>>(),
         [(Mode::Ready, Some(Time(9_000_000)))]
     );
     let mut started = |ms| directory.changes(&[node(ms)])[0].started;
--- a/src/discovery/tests.rs
+++ b/src/discovery/tests.rs
@@ -36,7 +36,10 @@
 }
 
 fn answer(stream: &mut TcpStream, status: u16, body: &str) {
-    let head = format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n\r\n", body.len());
+    let head = format!(
+        "HTTP/1.1 {status} X\r\nContent-Length: {}\r\n\r\n",
+        body.len()
+    );
     stream.write_all((head + body).as_bytes()).unwrap();
 }
 
@@ -47,13 +50,26 @@
     let mut client = Discovery::new(old.local_addr().unwrap(), Some(41), Pace::new(1, 3, 0));
     client.subscribe(&mut net);
     let (mut left, _) = old.accept().unwrap();
-    assert!(client.move_to(&mut net, old.local_addr().unwrap()).is_empty() && client.call == Some(1));
-    assert!(client.move_to(&mut net, new.local_addr().unwrap()).is_empty());
+    assert!(
+        client
+            .move_to(&mut net, old.local_addr().unwrap())
+            .is_empty()
+            && client.call == Some(1)
+    );
+    assert!(client
+        .move_to(&mut net, new.local_addr().unwrap())
+        .is_empty());
     let mut stream = asked(&mut net, &mut client, &new);
-    assert!(left.read_to_end(&mut Vec::new()).is_ok(), "the watch at the old address is over");
+    assert!(
+        left.read_to_end(&mut Vec::new()).is_ok(),
+        "the watch at the old address is over"
+    );
     assert!(request(&mut stream).starts_with("GET /registry/instances HTTP/1.1\r\n"));
     answer(&mut stream, 200, LIST);
-    assert!(matches!(&news(&mut net, &mut client, &mut directory)[..], [Listing::Whole(_)]));
+    assert!(matches!(
+        &news(&mut net, &mut client, &mut directory)[..],
+        [Listing::Whole(_)]
+    ));
     assert!(request(&mut stream).contains("since=41"));
 }
 
@@ -66,17 +82,29 @@
         let moved = net.clock.now();
         client.move_to(&mut net, new.local_addr().unwrap());
         let at = client.not_before.unwrap();
-        assert!(at > moved.plus(100_000) && at.since(moved) <= 2_000_000, "this seed has to wait");
+        assert!(
+            at > moved.plus(100_000) && at.since(moved) <= 2_000_000,
+            "this seed has to wait"
+        );
         if ends {
             drop(stream);
-            assert_eq!(news(&mut net, &mut client, &mut directory), [Listing::Failed]);
+            assert_eq!(
+                news(&mut net, &mut client, &mut directory),
+                [Listing::Failed]
+            );
         } else {
             answer(&mut stream, 200, &LIST.replace("SERVING", "DRAINING"));
             let told = news(&mut net, &mut client, &mut directory);
-            assert!(matches!(&told[..], [Listing::Whole(lines)] if lines[0].mode == Mode::Draining));
+            assert!(
+                matches!(&told[..], [Listing::Whole(lines)] if lines[0].mode == Mode::Draining)
+            );
             assert!(client.call.is_none(), "it is not renewed there");
         }
-        assert_eq!(client.not_before, Some(at), "what the former address does moves nothing");
+        assert_eq!(
+            client.not_before,
+            Some(at),
+            "what the former address does moves nothing"
+        );
         // The module asks meanwhile: nothing is asked before that, and then once.
         client.subscribe(&mut net);
         let mut stream = asked(&mut net, &mut client, &new);
@@ -99,16 +127,32 @@
     let first = news(&mut net, &mut client, &mut directory);
     assert!(matches!(&first[..], [Listing::Whole(lines)] if lines.len() == 1));
     assert!(request(&mut stream).starts_with("GET /registry/instances?since=41&timeout_ms=2000 "));
-    answer(&mut stream, 200, r#"{"generation":42,"reset":false,"instances":[]}"#);
-    assert!(matches!(&news(&mut net, &mut client, &mut directory)[..], [Listing::Changes(_)]));
+    answer(
+        &mut stream,
+        200,
+        r#"{"generation":42,"reset":false,"instances":[]}"#,
+    );
+    assert!(matches!(
+        &news(&mut net, &mut client, &mut directory)[..],
+        [Listing::Changes(_)]
+    ));
     assert!(request(&mut stream).contains("since=42"));
     answer(&mut stream, 503, "");
-    assert_eq!(news(&mut net, &mut client, &mut directory), [Listing::Failed]);
-    assert!(client.planned.is_some(), "it asks again without being told to");
+    assert_eq!(
+        news(&mut net, &mut client, &mut directory),
+        [Listing::Failed]
+    );
+    assert!(
+        client.planned.is_some(),
+        "it asks again without being told to"
+    );
     let mut stream = asked(&mut net, &mut client, &listener);
     assert!(request(&mut stream).contains("since=42"));
     drop(stream);
-    assert_eq!(news(&mut net, &mut client, &mut directory), [Listing::Failed]);
+    assert_eq!(
+        news(&mut net, &mut client, &mut directory),
+        [Listing::Failed]
+    );
 }
 
 /// Runs the loop and the client's timers until the client has asked, and takes the connection.
@@ -135,7 +179,8 @@
 
 #[test]
 fn a_watch_that_falls_silent_is_opened_anew_in_time_whoever_asks_and_what_it_missed_is_read() {
-    let (mut net, mut client, mut directory, listener, silent) = watching_of(Pace::new(1, 300, 10_000_000));
+    let (mut net, mut client, mut directory, listener, silent) =
+        watching_of(Pace::new(1, 300, 10_000_000));
     let begun = client.began;
     let mut news = Vec::new();
     while news.is_empty() {
@@ -148,7 +193,10 @@
     }
     assert_eq!(news, [Listing::Failed]);
     let line = client.take_log().remove(0);
-    assert!(line.contains("no answer") && line.contains("Silent"), "{line}");
+    assert!(
+        line.contains("no answer") && line.contains("Silent"),
+        "{line}"
+    );
     assert!(client.planned.is_some(), "it goes on without being told to");
     let mut stream = asked(&mut net, &mut client, &listener);
     assert!(
@@ -173,19 +221,28 @@
     let began = net.clock.now();
     for _ in 0..3 {
         assert!(client.subscribe(&mut net).is_empty());
-        assert!(client.conn.is_none() && client.calls == 1, "one call is planned, and not made yet");
+        assert!(
+            client.conn.is_none() && client.calls == 1,
+            "one call is planned, and not made yet"
+        );
     }
     let mut stream = asked(&mut net, &mut client, &listener);
     assert!(net.clock.now().since(began) >= first.0);
     assert!(request(&mut stream).contains("since=41"));
-    // What fails is repeated later, however often the module asks meanwhile, and the drain is not missed.
+    // What fails is repeated later, however often the module asks meanwhile, and the drain is not
+    // missed.
     answer(&mut stream, 503, "");
-    assert_eq!(news(&mut net, &mut client, &mut directory), [Listing::Failed]);
+    assert_eq!(
+        news(&mut net, &mut client, &mut directory),
+        [Listing::Failed]
+    );
     assert!(client.take_log()[0].contains("Failed, calls spread over 480 ms"));
     let calls = client.calls;
     for _ in 0..3 {
         assert!(
-            client.subscribe(&mut net).is_empty() && client.calls == calls && client.planned == Some(calls)
+            client.subscribe(&mut net).is_empty()
+                && client.calls == calls
+                && client.planned == Some(calls)
         );
     }
     let mut stream = asked(&mut net, &mut client, &listener);
@@ -198,7 +255,8 @@
 }
 
 #[test]
-fn an_agent_of_the_own_machine_is_asked_again_soon_and_its_doubted_lists_are_settled_within_the_rule() {
+fn an_agent_of_the_own_machine_is_asked_again_soon_and_its_doubted_lists_are_settled_within_the_rule(
+) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (mut net, mut directory) = (Net::new(64).unwrap(), Directory::default());
     let client = Discovery::new(listener.local_addr().unwrap(), None, Pace::at_agent(1));
@@ -209,7 +267,10 @@
     client.ready(&mut net, client.conn.unwrap(), &mut directory);
     assert!(request(&mut stream).starts_with("GET /registry/instances HTTP/1.1"));
     answer(&mut stream, 200, LIST);
-    assert!(matches!(&news(&mut net, &mut client, &mut directory)[..], [Listing::Whole(_)]));
+    assert!(matches!(
+        &news(&mut net, &mut client, &mut directory)[..],
+        [Listing::Whole(_)]
+    ));
     assert!(request(&mut stream).contains("since=41&timeout_ms=1000 "));
     answer(&mut stream, 200, EMPTY);
     let heard = net.clock.now();
@@ -217,16 +278,25 @@
     let until = client.doubted.as_ref().unwrap().1;
     assert!(until.since(heard) >= 250_000 && until.since(net.clock.now()) <= 250_000);
     drop(stream);
-    assert_eq!(news(&mut net, &mut client, &mut directory), [Listing::Failed]);
+    assert_eq!(
+        news(&mut net, &mut client, &mut directory),
+        [Listing::Failed]
+    );
     let pause = client.not_before.unwrap().since(net.clock.now());
-    assert!(pause <= 100_000 && client.take_log()[1].contains("Agent"), "{pause}");
+    assert!(
+        pause <= 100_000 && client.take_log()[1].contains("Agent"),
+        "{pause}"
+    );
     // It is down for long: told once, and once more when it is back.
     for _ in 0..3 {
         client.subscribe(&mut net);
         let mut stream = asked(&mut net, &mut client, &listener);
         request(&mut stream);
         drop(stream);
-        assert_eq!(news(&mut net, &mut client, &mut directory), [Listing::Failed]);
+        assert_eq!(
+            news(&mut net, &mut client, &mut directory),
+            [Listing::Failed]
+        );
     }
     let lines = client.take_log();
     assert!(!lines.iter().any(|l| l.contains("failed")), "{lines:?}");
@@ -234,7 +304,10 @@
     let mut stream = asked(&mut net, &mut client, &listener);
     request(&mut stream);
     answer(&mut stream, 200, LIST);
-    assert!(matches!(&news(&mut net, &mut client, &mut directory)[..], [Listing::Whole(_)]));
+    assert!(matches!(
+        &news(&mut net, &mut client, &mut directory)[..],
+        [Listing::Whole(_)]
+    ));
     assert_eq!(client.take_log(), ["discovery: it answers again"]);
 }
 
@@ -256,9 +329,17 @@
     let (mut net, mut directory) = (Net::new(64).unwrap(), Directory::default());
     net.listed(200);
     let at = nodes.local_addr().unwrap();
-    let held = take_all(&mut net, Owner::Frames, at).len() + take_all(&mut net, Owner::Platform, at).len();
-    assert_eq!(held, 38, "all of 64 but 24 of the process's own and two for discovery");
-    let mut client = Discovery::new(discovery.local_addr().unwrap(), Some(41), Pace::new(1, 3, 0));
+    let held =
+        take_all(&mut net, Owner::Frames, at).len() + take_all(&mut net, Owner::Platform, at).len();
+    assert_eq!(
+        held, 38,
+        "all of 64 but 24 of the process's own and two for discovery"
+    );
+    let mut client = Discovery::new(
+        discovery.local_addr().unwrap(),
+        Some(41),
+        Pace::new(1, 3, 0),
+    );
     assert!(client.subscribe(&mut net).is_empty() && client.call == Some(1));
     let (mut stream, _) = discovery.accept().unwrap();
     net.wait(Some(net.clock.now().plus(1_000_000))).unwrap();
@@ -282,15 +363,22 @@
     let (now, next) = (net.clock.now(), client.not_before.unwrap());
     assert!(client.planned.is_some() && next.since(now) <= 200_000);
     let line = client.take_log().remove(0);
-    assert!(line.starts_with("discovery: no call could be made: all 2 descriptors are in use"), "{line}");
-    assert!(line.ends_with("Unmade, calls spread over 2100 ms"), "the spread stays: {line}");
+    assert!(
+        line.starts_with("discovery: no call could be made: all 2 descriptors are in use"),
+        "{line}"
+    );
+    assert!(
+        line.ends_with("Unmade, calls spread over 2100 ms"),
+        "the spread stays: {line}"
+    );
     held.into_iter().for_each(|id| net.close(id));
     let mut stream = asked(&mut net, &mut client, &listener);
     assert!(request(&mut stream).starts_with("GET /registry/instances HTTP/1.1"));
     drop(others);
 }
 
-/// A client that holds version 41 with one node and watches, and its discovery's end of the connection.
+/// A client that holds version 41 with one node and watches, and its discovery's end of the
+/// connection.
 fn watching() -> (Net, Discovery, Directory, TcpListener, TcpStream) {
     watching_of(Pace::new(1, 3, 0))
 }
@@ -312,7 +400,12 @@
 }
 
 /// Runs the loop until the client asks for the whole list, which none of its news may come before.
-fn asks_whole(net: &mut Net, client: &mut Discovery, directory: &mut Directory, stream: &mut TcpStream) {
+fn asks_whole(
+    net: &mut Net,
+    client: &mut Discovery,
+    directory: &mut Directory,
+    stream: &mut TcpStream,
+) {
     let before = client.calls;
     while client.calls == before {
         net.wait(Some(net.clock.now().plus(100_000))).unwrap();
@@ -326,10 +419,20 @@
 
 #[test]
 fn an_unreadable_list_changes_nothing_and_is_told() {
-    for bad in ["", "{", "[]", r#"{"generation":"x"}"#, r#"{"generation":42,"instances":[{"cell":1}]}"#] {
+    for bad in [
+        "",
+        "{",
+        "[]",
+        r#"{"generation":"x"}"#,
+        r#"{"generation":42,"instances":[{"cell":1}]}"#,
+    ] {
         let (mut net, mut client, mut directory, _listener, mut stream) = watching();
         answer(&mut stream, 200, bad);
-        assert_eq!(news(&mut net, &mut client, &mut directory), [Listing::Failed], "{bad}");
+        assert_eq!(
+            news(&mut net, &mut client, &mut directory),
+            [Listing::Failed],
+            "{bad}"
+        );
         assert!(client.take_log()[0].contains("unreadable list: "), "{bad}");
         assert_eq!((directory.len(), client.generation), (1, Some(41)), "{bad}");
     }
@@ -342,18 +445,27 @@
         answer(&mut stream, 200, EMPTY);
         asks_whole(&mut net, &mut client, &mut directory, &mut stream);
         let line = client.take_log().remove(0);
-        assert!(line.contains("doubted") && line.contains("empty, while 1 data nodes are known"), "{line}");
+        assert!(
+            line.contains("doubted") && line.contains("empty, while 1 data nodes are known"),
+            "{line}"
+        );
         assert_eq!(directory.len(), 1);
         answer(&mut stream, 200, second);
         let told = news(&mut net, &mut client, &mut directory);
-        assert!(matches!(&told[..], [Listing::Whole(lines)] if lines.len() == left), "{told:?}");
+        assert!(
+            matches!(&told[..], [Listing::Whole(lines)] if lines.len() == left),
+            "{told:?}"
+        );
         assert!(directory.len() == left && client.doubted.is_none());
     }
 }
 
 #[test]
 fn a_list_that_goes_back_is_confirmed_and_its_drains_are_kept_if_nobody_confirms_it() {
-    let back = LIST.replace("41", "40").replace("true", "false").replace("SERVING", "DRAINING");
+    let back = LIST
+        .replace("41", "40")
+        .replace("true", "false")
+        .replace("SERVING", "DRAINING");
     // Confirmed: what the whole list says holds, whatever its version.
     let (mut net, mut client, mut directory, _listener, mut stream) = watching();
     answer(&mut stream, 200, &back);
@@ -362,44 +474,67 @@
     answer(&mut stream, 200, &LIST.replace("41", "7"));
     let told = news(&mut net, &mut client, &mut directory);
     assert!(matches!(&told[..], [Listing::Whole(lines)] if lines[0].mode == Mode::Ready));
-    assert!(request(&mut stream).contains("since=7"), "versions count from there");
-    // Not confirmed: the drain was heard, and is kept within the time for it; who serves is not believed.
-    let serves = r#"{"instanceId":"s-2","hostPort":"10.1.0.19:8080","cell":1,"lifecycle":"SERVING"}"#;
+    assert!(
+        request(&mut stream).contains("since=7"),
+        "versions count from there"
+    );
+    // Not confirmed: the drain was heard, and is kept within the time for it; who serves is not
+    // believed.
+    let serves =
+        r#"{"instanceId":"s-2","hostPort":"10.1.0.19:8080","cell":1,"lifecycle":"SERVING"}"#;
     let back = back.replace("}]}", &format!("}},{serves}]}}"));
     let (mut net, mut client, mut directory, _listener, mut stream) = watching();
     answer(&mut stream, 200, &back);
     asks_whole(&mut net, &mut client, &mut directory, &mut stream);
     let until = client.doubted.as_ref().unwrap().1;
-    assert!(client.timer(&mut net, CONFIRMED, &mut directory).is_empty(), "there is time yet");
+    assert!(
+        client.timer(&mut net, CONFIRMED, &mut directory).is_empty(),
+        "there is time yet"
+    );
     answer(&mut stream, 503, "");
-    assert_eq!(news(&mut net, &mut client, &mut directory), [Listing::Failed]);
+    assert_eq!(
+        news(&mut net, &mut client, &mut directory),
+        [Listing::Failed]
+    );
     while net.clock.now() < until {
         net.wait(Some(until)).unwrap();
     }
     let told = client.timer(&mut net, CONFIRMED, &mut directory);
     let is_kept = |lines: &[Listed]| lines.len() == 1 && lines[0].mode == Mode::Draining;
-    assert!(matches!(&told[..], [Listing::Changes(lines)] if is_kept(lines)), "{told:?}");
-    assert!(client.timer(&mut net, CONFIRMED, &mut directory).is_empty(), "once");
+    assert!(
+        matches!(&told[..], [Listing::Changes(lines)] if is_kept(lines)),
+        "{told:?}"
+    );
+    assert!(
+        client.timer(&mut net, CONFIRMED, &mut directory).is_empty(),
+        "once"
+    );
 }
 
-/// What discovery sends before it resets the connection: a list without a length, whose last bytes are spaces that
-/// tell nothing of whether more was to come.
+/// What discovery sends before it resets the connection: a list without a length, whose last bytes
+/// are spaces that tell nothing of whether more was to come.
 #[test]
 fn an_answer_without_length_that_is_reset_is_no_list_and_one_that_ends_is() {
     for reset in [true, false] {
         let (mut net, mut client, mut directory, _listener, mut stream) = watching();
         let drains = LIST.replace("SERVING", "DRAINING");
-        stream.write_all(format!("HTTP/1.1 200 X\r\n\r\n{drains}").as_bytes()).unwrap();
+        stream
+            .write_all(format!("HTTP/1.1 200 X\r\n\r\n{drains}").as_bytes())
+            .unwrap();
         if reset {
             // A close with nothing to wait for and a linger of zero is a reset.
-            socket2::SockRef::from(&stream).set_linger(Some(std::time::Duration::ZERO)).unwrap();
+            socket2::SockRef::from(&stream)
+                .set_linger(Some(std::time::Duration::ZERO))
+                .unwrap();
         }
         drop(stream);
         let told = news(&mut net, &mut client, &mut directory);
         match reset {
             true => assert_eq!(told, [Listing::Failed]),
             false => {
-                assert!(matches!(&told[..], [Listing::Whole(lines)] if lines[0].mode == Mode::Draining))
+                assert!(
+                    matches!(&told[..], [Listing::Whole(lines)] if lines[0].mode == Mode::Draining)
+                )
             }
         }
     }
@@ -434,7 +569,10 @@
         // It is back, with a change.
         let (back, listener) = (net.clock.now(), TcpListener::bind(address).unwrap());
         let mut stream = asked(&mut net, &mut client, &listener);
-        assert!(net.clock.now().since(back) <= 2_200_000, "{instances} brokers");
+        assert!(
+            net.clock.now().since(back) <= 2_200_000,
+            "{instances} brokers"
+        );
         assert!(request(&mut stream).contains("since=41"));
         answer(&mut stream, 200, &LIST.replace("SERVING", "DRAINING"));
         assert_eq!(news(&mut net, &mut client, &mut directory).len(), 1);
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -36,16 +36,19 @@
     fn malformed(&self, status: u16, why: &str) -> Response;
     /// Whether the broker is about to end.
     fn stop(&mut self);
-    /// Whether clients are sent away. A front that tells whether it is ready says that it is not while they are.
+    /// Whether clients are sent away. A front that tells whether it is ready says that it is not
+    /// while they are.
     fn send_away(&mut self, _away: bool) {}
-    /// A list of data nodes is here that may be acted on: clients may come. Until then a front that tells whether it is ready
-    /// says that it is not.
+    /// A list of data nodes is here that may be acted on: clients may come. Until then a front that
+    /// tells whether it is ready says that it is not.
     fn listed(&mut self) {}
 }
 
-/// Most bytes held of a client's requests: a body in small chunks is larger on the wire than in memory.
+/// Most bytes held of a client's requests: a body in small chunks is larger on the wire than in
+/// memory.
 const CEILING: usize = http::HEAD + 2 * http::BODY;
-/// A request must have arrived whole so long after its first byte; the first one, after its connection.
+/// A request must have arrived whole so long after its first byte; the first one, after its
+/// connection.
 const ARRIVAL: Micros = 2_000_000;
 /// How long a client may take to end its side once the last answer is written.
 const LINGER: Micros = 3_000_000;
@@ -57,8 +60,8 @@
 const IDLE: Micros = 30_000_000;
 /// How often all connections are looked at.
 const LOOK: Micros = 100_000;
-/// Where many are open, a connection that has sent nothing, or between requests, may go after this long, and one
-/// whose request is still arriving, or that lingers, after the second.
+/// Where many are open, a connection that has sent nothing, or between requests, may go after this
+/// long, and one whose request is still arriving, or that lingers, after the second.
 const SPARED: Micros = 100_000;
 const SPARED_BUSY: Micros = 500_000;
 
@@ -95,8 +98,8 @@
 }
 
 impl Session {
-    /// What its time limits say. Guards descriptors against clients that send nothing, never finish a request,
-    /// never read an answer or never come back.
+    /// What its time limits say. Guards descriptors against clients that send nothing, never finish
+    /// a request, never read an answer or never come back.
     fn due(&self, conn: &Conn, now: Time) -> Due {
         let (age, unread) = (now.since(self.since), now.since(conn.used) >= UNREAD);
         let closes = match self.state {
@@ -129,7 +132,8 @@
 pub struct Sessions<C> {
     open: HashMap<ConnId, Session>,
     waiting: HashMap<QueryId, (ConnId, C)>,
-    /// Most bytes held of requests that are not whole, by all processes of the broker, and how many those are.
+    /// Most bytes held of requests that are not whole, by all processes of the broker, and how many
+    /// those are.
     most_bytes: usize,
     processes: u32,
     /// A look at all connections is due.
@@ -166,13 +170,25 @@
 
     /// Bytes held of requests that are not whole or not answered yet.
     fn bytes(&self, net: &Net) -> usize {
-        self.open.keys().filter_map(|id| net.get(*id)).map(|c| c.input.bytes().len()).sum()
+        self.open
+            .keys()
+            .filter_map(|id| net.get(*id))
+            .map(|c| c.input.bytes().len())
+            .sum()
     }
 
     /// A client has connected.
     pub fn opened(&mut self, net: &mut Net, id: ConnId, owner: Owner) {
         let since = net.clock.now();
-        self.open.insert(id, Session { state: State::Reading, since, asked: false, continued: false });
+        self.open.insert(
+            id,
+            Session {
+                state: State::Reading,
+                since,
+                asked: false,
+                continued: false,
+            },
+        );
         if !self.looks {
             self.looks = true;
             net.wheel.set(since.plus(LOOK), Timer::Clients(owner));
@@ -190,7 +206,9 @@
         let between = net.get(id).is_none_or(|c| c.input.is_empty());
         let pumped = net.pump(id, CEILING);
         let now = net.clock.now();
-        let Some(session) = self.open.get_mut(&id) else { return net.close(id) };
+        let Some(session) = self.open.get_mut(&id) else {
+            return net.close(id);
+        };
         if pumped != Pumped::Alive || net.get(id).is_none_or(|c| c.ended) {
             return self.close(net, id, core);
         }
@@ -207,15 +225,18 @@
         }
     }
 
-    /// What a client sends while it waits is kept for later, but not more than is held of any request, nor of all. Guards
-    /// against clients that are gone unseen: their end lies behind what they sent. So beyond that it is dropped, and the
-    /// connection ends with the answer that is due.
+    /// What a client sends while it waits is kept for later, but not more than is held of any
+    /// request, nor of all. Guards against clients that are gone unseen: their end lies behind what
+    /// they sent. So beyond that it is dropped, and the connection ends with the answer that is
+    /// due.
     fn overhear(&mut self, net: &mut Net, id: ConnId) {
         let held = net.get(id).map_or(0, |conn| conn.input.bytes().len());
         if held < CEILING && (held <= http::HEAD || self.bytes(net) <= self.most_bytes()) {
             return;
         }
-        let Some(session) = self.open.get_mut(&id) else { return };
+        let Some(session) = self.open.get_mut(&id) else {
+            return;
+        };
         if let State::Waiting(_, keep, _) = &mut session.state {
             *keep = false;
         }
@@ -231,11 +252,21 @@
         core: &mut Core<F::Job>,
     ) {
         loop {
-            let Some(session) = self.open.get_mut(&id).filter(|s| matches!(s.state, State::Reading)) else {
+            let Some(session) = self
+                .open
+                .get_mut(&id)
+                .filter(|s| matches!(s.state, State::Reading))
+            else {
+                return;
+            };
+            // Guards memory: a client that does not read its answers is not asked for more
+            // requests.
+            let Some(conn) = net
+                .get_mut(id)
+                .filter(|c| !c.input.is_empty() && c.flushed())
+            else {
                 return;
             };
-            // Guards memory: a client that does not read its answers is not asked for more requests.
-            let Some(conn) = net.get_mut(id).filter(|c| !c.input.is_empty() && c.flushed()) else { return };
             let (request, used) = match http::request(conn.input.bytes()) {
                 Ok(Parsed::Whole(request, used)) => (request, used),
                 Ok(Parsed::Partial(waits)) => {
@@ -245,9 +276,14 @@
                     }
                     // Guards memory against many large requests that arrive at once.
                     if held > http::HEAD && self.bytes(net) > self.most_bytes() {
-                        return self.tell_off(net, id, &front.malformed(503, "too much is arriving"));
+                        return self.tell_off(
+                            net,
+                            id,
+                            &front.malformed(503, "too much is arriving"),
+                        );
                     }
-                    let (Some(session), Some(conn)) = (self.open.get_mut(&id), net.get_mut(id)) else {
+                    let (Some(session), Some(conn)) = (self.open.get_mut(&id), net.get_mut(id))
+                    else {
                         return;
                     };
                     if waits && !session.continued {
@@ -280,10 +316,20 @@
         }
     }
 
-    fn write(&mut self, net: &mut Net, id: ConnId, response: &Response, keep_alive: bool, head: bool) {
-        let keep = keep_alive && response.keep_alive && !self.stopping && self.away == Stage::Served;
+    fn write(
+        &mut self,
+        net: &mut Net,
+        id: ConnId,
+        response: &Response,
+        keep_alive: bool,
+        head: bool,
+    ) {
+        let keep =
+            keep_alive && response.keep_alive && !self.stopping && self.away == Stage::Served;
         let now = net.clock.now();
-        let (Some(session), Some(conn)) = (self.open.get_mut(&id), net.get_mut(id)) else { return };
+        let (Some(session), Some(conn)) = (self.open.get_mut(&id), net.get_mut(id)) else {
+            return;
+        };
         (session.state, session.since) = (if keep { State::Reading } else { State::Closing }, now);
         conn.send(&response.encode(keep, head));
         if net.flush(id, false) != Pumped::Alive {
@@ -299,19 +345,23 @@
         self.write(net, id, response, false, false);
     }
 
-    /// The last answer is being written. Once it is, this side ends, and what the client still sends is read and
-    /// dropped: a close with bytes unread would reset the connection before the client has the answer.
+    /// The last answer is being written. Once it is, this side ends, and what the client still
+    /// sends is read and dropped: a close with bytes unread would reset the connection before the
+    /// client has the answer.
     fn last(&mut self, net: &mut Net, id: ConnId) {
         if net.get(id).is_some_and(Conn::flushed) {
             self.half_close(net, id);
         }
     }
 
-    /// Ends this side of a connection. Guards the answers before it, and a request that crosses the end: with bytes unread a
-    /// close resets the connection. What is read after this is sent on by nobody; the client sees the end, and asks anew.
+    /// Ends this side of a connection. Guards the answers before it, and a request that crosses the
+    /// end: with bytes unread a close resets the connection. What is read after this is sent on by
+    /// nobody; the client sees the end, and asks anew.
     fn half_close(&mut self, net: &mut Net, id: ConnId) {
         let now = net.clock.now();
-        let (Some(session), Some(conn)) = (self.open.get_mut(&id), net.get_mut(id)) else { return };
+        let (Some(session), Some(conn)) = (self.open.get_mut(&id), net.get_mut(id)) else {
+            return;
+        };
         conn.end_output();
         (session.state, session.since) = (State::Lingering, now);
         self.read_on(net, id);
@@ -334,9 +384,13 @@
         front: &mut F,
         core: &mut Core<F::Job>,
     ) {
-        let Some((id, context)) = self.waiting.remove(&query) else { return };
+        let Some((id, context)) = self.waiting.remove(&query) else {
+            return;
+        };
         let response = front.word(context, reply);
-        let Some(State::Waiting(_, keep, head)) = self.open.get(&id).map(|s| &s.state) else { return };
+        let Some(State::Waiting(_, keep, head)) = self.open.get(&id).map(|s| &s.state) else {
+            return;
+        };
         let (keep, head) = (*keep, *head);
         self.write(net, id, &response, keep, head);
         self.requests(net, id, front, core);
@@ -356,14 +410,17 @@
         for (id, due) in due {
             match due {
                 Due::Stays => {}
-                Due::ToldOff => self.tell_off(net, id, &front.malformed(408, "the request took too long")),
+                Due::ToldOff => {
+                    self.tell_off(net, id, &front.malformed(408, "the request took too long"))
+                }
                 Due::Ends => self.half_close(net, id),
                 Due::Closes => self.close(net, id, core),
             }
         }
-        // Guards usual clients, which find no place while others ask once and keep their connections: clients may
-        // hold a third of the descriptors for requests, and what is idle beyond a quarter goes before that.
-        // Not while the broker stops: nobody new comes, and who is here may have no other broker to go to.
+        // Guards usual clients, which find no place while others ask once and keep their
+        // connections: clients may hold a third of the descriptors for requests, and what is idle
+        // beyond a quarter goes before that. Not while the broker stops: nobody new comes, and who
+        // is here may have no other broker to go to.
         self.shed(net, core, if core.goes_on() { net.crowd() } else { 0 });
         self.looks = !self.open.is_empty();
         if self.looks {
@@ -373,7 +430,11 @@
 
     /// Ends a connection; a query that it waits for has nobody left to answer.
     fn close<J>(&mut self, net: &mut Net, id: ConnId, core: &mut Core<J>) {
-        if let Some(Session { state: State::Waiting(query, ..), .. }) = self.open.remove(&id) {
+        if let Some(Session {
+            state: State::Waiting(query, ..),
+            ..
+        }) = self.open.remove(&id)
+        {
             self.waiting.remove(&query);
             core.hangup(query);
         }
@@ -385,7 +446,8 @@
         self.shed(net, core, self.open.len().div_ceil(8));
     }
 
-    /// Closes so many connections without an open query, those that were of no use for longest first.
+    /// Closes so many connections without an open query, those that were of no use for longest
+    /// first.
     fn shed<J>(&mut self, net: &mut Net, core: &mut Core<J>, count: usize) {
         if count == 0 {
             return;
@@ -417,9 +479,16 @@
         if stage == Stage::Refused {
             // What is still arriving would be a request of just now when it is whole.
             let arriving = |s: &Session| s.state == State::Reading;
-            let arriving: Vec<_> = self.open.iter().filter(|(_, s)| arriving(s)).map(|(id, _)| *id).collect();
+            let arriving: Vec<_> = self
+                .open
+                .iter()
+                .filter(|(_, s)| arriving(s))
+                .map(|(id, _)| *id)
+                .collect();
             let answer = front.malformed(503, "clients are sent away");
-            arriving.into_iter().for_each(|id| self.tell_off(net, id, &answer));
+            arriving
+                .into_iter()
+                .for_each(|id| self.tell_off(net, id, &answer));
         }
     }
 
@@ -428,10 +497,14 @@
         self.stopping = true;
     }
 
-    /// Ends connections between requests, and closes those whose clients do not end theirs soon; tells how many are left.
+    /// Ends connections between requests, and closes those whose clients do not end theirs soon;
+    /// tells how many are left.
     pub fn close_unused<J>(&mut self, net: &mut Net, core: &mut Core<J>) -> usize {
         let now = net.clock.now();
-        let unused = |id: &ConnId| net.get(*id).is_none_or(|c| c.input.is_empty() && c.flushed());
+        let unused = |id: &ConnId| {
+            net.get(*id)
+                .is_none_or(|c| c.input.is_empty() && c.flushed())
+        };
         let (mut rest, mut over) = (Vec::new(), Vec::new());
         for (id, session) in &self.open {
             match session.state {
--- a/src/front/ogc.rs
+++ b/src/front/ogc.rs
@@ -1,5 +1,5 @@
-//! OGC API Features: a bounding box becomes one part for each slice that it crosses, and the parts that come in
-//! become one feature collection, marked complete only if nothing is missing.
+//! OGC API Features: a bounding box becomes one part for each slice that it crosses, and the parts
+//! that come in become one feature collection, marked complete only if nothing is missing.
 
 mod parameters;
 
@@ -73,15 +73,29 @@
 /// Whole seconds, as Retry-After has them, never less than the advice.
 fn come_back(status: u16, title: &str, after: Option<Micros>) -> Response {
     let response = problem(status, title, "trying again is harmless");
-    response.with("retry-after", after.unwrap_or(1_000_000).div_ceil(1_000_000).max(1).to_string())
+    response.with(
+        "retry-after",
+        after
+            .unwrap_or(1_000_000)
+            .div_ceil(1_000_000)
+            .max(1)
+            .to_string(),
+    )
 }
 
 /// Where a client's links lead: what it called this host, if that is a sound name.
 fn base(request: &http::Request) -> String {
     let sound = |host: &&str| {
-        !host.is_empty() && host.bytes().all(|b| b.is_ascii_alphanumeric() || b"-.:[]_".contains(&b))
+        !host.is_empty()
+            && host
+                .bytes()
+                .all(|b| b.is_ascii_alphanumeric() || b"-.:[]_".contains(&b))
     };
-    request.header("host").filter(sound).map(|host| format!("http://{host}")).unwrap_or_default()
+    request
+        .header("host")
+        .filter(sound)
+        .map(|host| format!("http://{host}"))
+        .unwrap_or_default()
 }
 
 fn link(href: &str, rel: &str, kind: &str) -> Json {
@@ -120,12 +134,21 @@
     /// A front for these collections, over these slices.
     #[must_use]
     pub fn new(title: String, collections: Vec<Collection>, slices: Vec<Slice>) -> Self {
-        Ogc { title, collections, slices }
+        Ogc {
+            title,
+            collections,
+            slices,
+        }
     }
 
     /// A slice's number with its name.
     fn named(&self, shard: u32) -> (u32, String) {
-        (shard, self.slices.get(shard as usize).map_or_else(String::new, |slice| slice.name.clone()))
+        (
+            shard,
+            self.slices
+                .get(shard as usize)
+                .map_or_else(String::new, |slice| slice.name.clone()),
+        )
     }
 
     fn landing(&self, base: &str) -> Json {
@@ -145,9 +168,9 @@
             json!({"get": {"summary": summary, "parameters": parameters,
                 "responses": {"200": {"description": "found"}, "default": {"description": "a problem"}}}})
         };
-        let path =
-            |name: &str| json!({"name": name, "in": "path", "required": true, "schema": {"type": "string"}});
-        let query = |name: &str, kind: &str| json!({"name": name, "in": "query", "schema": {"type": kind}});
+        let path = |name: &str| json!({"name": name, "in": "path", "required": true, "schema": {"type": "string"}});
+        let query =
+            |name: &str, kind: &str| json!({"name": name, "in": "query", "schema": {"type": kind}});
         let items = json!([
             path("collectionId"),
             query("bbox", "string"),
@@ -174,7 +197,12 @@
     fn collection(&self, base: &str, collection: &Collection) -> Json {
         let fold = |all: Bounds, s: &Slice| {
             let b = s.bounds;
-            [all[0].min(b[0]), all[1].min(b[1]), all[2].max(b[2]), all[3].max(b[3])]
+            [
+                all[0].min(b[0]),
+                all[1].min(b[1]),
+                all[2].max(b[2]),
+                all[3].max(b[3]),
+            ]
         };
         let extent = self.slices.iter().fold([180.0, 90.0, -180.0, -90.0], fold);
         let href = format!("{base}/collections/{}", encoded(&collection.id));
@@ -188,8 +216,15 @@
         })
     }
 
-    fn page(&self, base: &str, collection: &Collection, query: &str) -> Result<(Job, Context), Fault> {
-        let known = ["bbox", "bbox-crs", "datetime", "limit", "offset", "sortby", "f"];
+    fn page(
+        &self,
+        base: &str,
+        collection: &Collection,
+        query: &str,
+    ) -> Result<(Job, Context), Fault> {
+        let known = [
+            "bbox", "bbox-crs", "datetime", "limit", "offset", "sortby", "f",
+        ];
         let found = parameters(query, &known)?;
         if found.get("bbox-crs").is_some_and(|crs| crs != CRS84) {
             return Err(bad(format!("bbox-crs: only {CRS84}")));
@@ -205,13 +240,18 @@
         }
         let order = found.get("sortby").map(|text| order(text)).transpose()?;
         let bbox = found.get("bbox").map(|text| bounds(text)).transpose()?;
-        let datetime = found.get("datetime").map(|text| datetime(text)).transpose()?;
+        let datetime = found
+            .get("datetime")
+            .map(|text| datetime(text))
+            .transpose()?;
         // One more than the page needs tells whether another page follows.
         let most = offset + limit + 1;
         let mut targets = BTreeMap::new();
         for (shard, slice) in (0..).zip(&self.slices) {
             let area = bbox.map_or(Some(slice.bounds), |bbox| shared(bbox, slice.bounds));
-            let Some([west, south, east, north]) = area else { continue };
+            let Some([west, south, east, north]) = area else {
+                continue;
+            };
             let mut query = form_urlencoded::Serializer::new(String::new());
             query.append_pair("bbox", &format!("{west},{south},{east},{north}"));
             query.extend_pairs(datetime.iter().map(|d| ("datetime", d)));
@@ -219,24 +259,50 @@
             if order.is_none() {
                 query.append_pair("limit", &most.to_string());
             }
-            let path = format!("/collections/{}/items?{}", encoded(&collection.id), query.finish());
+            let path = format!(
+                "/collections/{}/items?{}",
+                encoded(&collection.id),
+                query.finish()
+            );
             targets.insert(shard, path);
         }
         let repeated = ["bbox", "bbox-crs", "f"].iter();
-        let mut repeated: Vec<(String, String)> =
-            repeated.filter_map(|&n| Some((n.to_string(), found.get(n)?.clone()))).collect();
+        let mut repeated: Vec<(String, String)> = repeated
+            .filter_map(|&n| Some((n.to_string(), found.get(n)?.clone())))
+            .collect();
         repeated.extend(datetime.map(|d| ("datetime".to_string(), d)));
-        repeated.extend(found.get("sortby").map(|s| ("sortby".to_string(), s.replace(' ', "+"))));
+        repeated.extend(
+            found
+                .get("sortby")
+                .map(|s| ("sortby".to_string(), s.replace(' ', "+"))),
+        );
         let address = format!("{base}/collections/{}", encoded(&collection.id));
         let asked = targets.keys().map(|&shard| self.named(shard)).collect();
         let way = order.as_ref().map(|o| o.1);
-        let context = Context::Page { address, repeated, offset, limit, asked, way };
+        let context = Context::Page {
+            address,
+            repeated,
+            offset,
+            limit,
+            asked,
+            way,
+        };
         let ask = match order {
             None => Ask::Items(most),
             Some((property, way)) => {
-                // A feature on a border comes from both slices and counts once: some more make up for that.
+                // A feature on a border comes from both slices and counts once: some more make up
+                // for that.
                 let most = most + BORDER;
-                Ask::Sorted { sort: Rc::new(Sort { property, way, most }), most, node: None, all: false }
+                Ask::Sorted {
+                    sort: Rc::new(Sort {
+                        property,
+                        way,
+                        most,
+                    }),
+                    most,
+                    node: None,
+                    all: false,
+                }
             }
         };
         Ok((Job { targets, ask }, context))
@@ -246,11 +312,21 @@
     fn item(&self, base: &str, collection: &Collection, id: &str) -> (Job, Context) {
         let (collection, id) = (encoded(&collection.id), encoded(id));
         let target = format!("/collections/{collection}/items/{id}");
-        let asked: Vec<(u32, String)> =
-            (0..self.slices.len() as u32).map(|shard| self.named(shard)).collect();
-        let targets = asked.iter().map(|slice| (slice.0, target.clone())).collect();
+        let asked: Vec<(u32, String)> = (0..self.slices.len() as u32)
+            .map(|shard| self.named(shard))
+            .collect();
+        let targets = asked
+            .iter()
+            .map(|slice| (slice.0, target.clone()))
+            .collect();
         let address = format!("{base}/collections/{collection}");
-        (Job { targets, ask: Ask::Item }, Context::Item { address, id, asked })
+        (
+            Job {
+                targets,
+                ask: Ask::Item,
+            },
+            Context::Item { address, id, asked },
+        )
     }
 
     fn route(&self, now: Time, request: &http::Request) -> Result<Verdict<Job, Context>, Fault> {
@@ -260,8 +336,12 @@
         }
         let base = base(request);
         let decoded = |part: &str| percent_decode_str(part).decode_utf8().map(Into::into);
-        let parts: Result<Vec<String>, _> =
-            path.trim_matches('/').split('/').filter(|p| !p.is_empty()).map(decoded).collect();
+        let parts: Result<Vec<String>, _> = path
+            .trim_matches('/')
+            .split('/')
+            .filter(|p| !p.is_empty())
+            .map(decoded)
+            .collect();
         let parts = parts.map_err(|_| bad("the path is no text"))?;
         let parts: Vec<&str> = parts.iter().map(String::as_str).collect();
         let lookup = |id: &str| {
@@ -277,7 +357,11 @@
             ["api"] => return plain(OPENAPI, self.api()),
             ["conformance"] => return plain(JSON, json!({"conformsTo": CONFORMS})),
             ["collections"] => {
-                let all: Vec<Json> = self.collections.iter().map(|c| self.collection(&base, c)).collect();
+                let all: Vec<Json> = self
+                    .collections
+                    .iter()
+                    .map(|c| self.collection(&base, c))
+                    .collect();
                 let links = [link(&format!("{base}/collections"), "self", JSON)];
                 return plain(JSON, json!({"links": links, "collections": all}));
             }
@@ -304,14 +388,22 @@
         };
         Ok(Verdict::Take(
             Box::new(Request {
-                class: if top.is_some() { collection.sorted } else { collection.class },
+                class: if top.is_some() {
+                    collection.sorted
+                } else {
+                    collection.class
+                },
                 deadline: now.plus(collection.wait),
                 key: 0,
                 placement: Placement::default(),
                 again: false,
                 tenant: u32::MAX,
                 team: request.header("req-owner").map(str::to_string),
-                parts: job.targets.keys().map(|&shard| (Shard(shard), weight)).collect(),
+                parts: job
+                    .targets
+                    .keys()
+                    .map(|&shard| (Shard(shard), weight))
+                    .collect(),
                 top,
                 job,
             }),
@@ -331,7 +423,9 @@
 fn merged(values: &[(Shard, Value)]) -> Vec<&RawValue> {
     let mut parts: Vec<&(Shard, Value)> = values.iter().collect();
     parts.sort_by_key(|p| p.0);
-    let lists = parts.into_iter().filter_map(|(_, value)| List::read(&value.bytes));
+    let lists = parts
+        .into_iter()
+        .filter_map(|(_, value)| List::read(&value.bytes));
     once(lists.flat_map(|list| list.features))
 }
 
@@ -340,19 +434,25 @@
     let mut seen = HashSet::new();
     // Features without an id are the same if all of them is.
     let first = |feature: &&RawValue| {
-        let id = serde_json::from_str(feature.get()).ok().and_then(|f: Feature<'_>| f.id);
-        seen.insert(id.map_or((false, feature.get().to_string()), |id| (true, id.get().to_string())))
+        let id = serde_json::from_str(feature.get())
+            .ok()
+            .and_then(|f: Feature<'_>| f.id);
+        seen.insert(id.map_or((false, feature.get().to_string()), |id| {
+            (true, id.get().to_string())
+        }))
     };
     features.filter(first).collect()
 }
 
-/// The features of all parts in their order: by key, then by slice, then as their slice gives them; one that lies on a
-/// border comes once. With it whether that is all that the slices have.
+/// The features of all parts in their order: by key, then by slice, then as their slice gives them;
+/// one that lies on a border comes once. With it whether that is all that the slices have.
 fn ranked(values: &[(Shard, Value)], way: Way) -> (Vec<&RawValue>, bool) {
     let mut found: Vec<(Key, u32, usize, &RawValue)> = Vec::new();
     let mut all = true;
     for (shard, value) in values {
-        let (Some(list), Some(offer)) = (List::read(&value.bytes), &value.offer) else { continue };
+        let (Some(list), Some(offer)) = (List::read(&value.bytes), &value.offer) else {
+            continue;
+        };
         all &= offer.matched == Some(list.features.len() as u64);
         let keyed = list.features.into_iter().zip(&offer.keys).enumerate();
         found.extend(keyed.map(|(i, (feature, key))| (key.clone(), shard.0, i, feature)));
@@ -382,32 +482,53 @@
 
 /// Marks an answer in its header and, for a collection, in its body.
 fn marked(response: Response, whole: bool) -> Response {
-    response.with("answer-completeness", if whole { "complete" } else { "partial" })
+    response.with(
+        "answer-completeness",
+        if whole { "complete" } else { "partial" },
+    )
 }
 
 fn word(context: Context, whole: bool, values: &[(Shard, Value)], gaps: &[Shard]) -> Response {
     let missing = |asked: Vec<(u32, String)>| -> Vec<String> {
-        let lacks = |shard: u32| gaps.contains(&Shard(shard)) || !values.iter().any(|v| v.0 .0 == shard);
-        asked.into_iter().filter(|slice| lacks(slice.0)).map(|slice| slice.1).collect()
+        let lacks =
+            |shard: u32| gaps.contains(&Shard(shard)) || !values.iter().any(|v| v.0 .0 == shard);
+        asked
+            .into_iter()
+            .filter(|slice| lacks(slice.0))
+            .map(|slice| slice.1)
+            .collect()
     };
     match context {
-        Context::Page { address, repeated, offset, limit, asked, way } => {
+        Context::Page {
+            address,
+            repeated,
+            offset,
+            limit,
+            asked,
+            way,
+        } => {
             let missing = missing(asked);
             let (features, all) = match way {
                 None => (merged(values), true),
                 Some(way) => ranked(values, way),
             };
             let counted = features.len();
-            // Guards honesty: whatever was said before, an answer that lacks a slice is not complete, nor a sorted page
-            // that features on borders have made too short while slices have more.
+            // Guards honesty: whatever was said before, an answer that lacks a slice is not
+            // complete, nor a sorted page that features on borders have made too short while slices
+            // have more.
             let whole = whole && missing.is_empty() && (all || counted > offset + limit);
             let href = |offset: usize| {
                 let mut query = form_urlencoded::Serializer::new(String::new());
-                query.extend_pairs(&repeated).append_pair("limit", &limit.to_string());
+                query
+                    .extend_pairs(&repeated)
+                    .append_pair("limit", &limit.to_string());
                 query.append_pair("offset", &offset.to_string());
                 format!("{address}/items?{}", query.finish())
             };
-            let mut links = vec![link(&href(offset), "self", GEOJSON), link(&address, "collection", JSON)];
+            let mut links = vec![
+                link(&href(offset), "self", GEOJSON),
+                link(&address, "collection", JSON),
+            ];
             if counted > offset + limit {
                 links.push(link(&href(offset + limit), "next", GEOJSON));
             }
@@ -424,19 +545,28 @@
                 links,
                 features: page,
             });
-            let Ok(body) = body else { return problem(500, "Internal error", "the page can't be written") };
+            let Ok(body) = body else {
+                return problem(500, "Internal error", "the page can't be written");
+            };
             marked(Response::new(200, GEOJSON, body), whole)
         }
         Context::Item { address, id, asked } => {
             let whole = whole && missing(asked).is_empty();
-            let found =
-                values.iter().find_map(|v| serde_json::from_slice::<Map<String, Json>>(&v.1.bytes).ok());
+            let found = values
+                .iter()
+                .find_map(|v| serde_json::from_slice::<Map<String, Json>>(&v.1.bytes).ok());
             match found {
                 // One feature is whole by itself, whichever slices are missing.
                 Some(mut feature) => {
                     let own = link(&format!("{address}/items/{id}"), "self", GEOJSON);
-                    feature.insert("links".into(), json!([own, link(&address, "collection", JSON)]));
-                    marked(Response::new(200, GEOJSON, Json::Object(feature).to_string()), true)
+                    feature.insert(
+                        "links".into(),
+                        json!([own, link(&address, "collection", JSON)]),
+                    );
+                    marked(
+                        Response::new(200, GEOJSON, Json::Object(feature).to_string()),
+                        true,
+                    )
                 }
                 None if whole => problem(404, "Not found", "there is no such feature"),
                 // It may be in a slice that did not answer.
@@ -451,27 +581,39 @@
     type Context = Context;
 
     fn read(&mut self, now: Time, request: &http::Request) -> Verdict<Job, Context> {
-        self.route(now, request).unwrap_or_else(|fault| Verdict::Reply(faulty(fault)))
+        self.route(now, request)
+            .unwrap_or_else(|fault| Verdict::Reply(faulty(fault)))
     }
 
     fn refused(&self, refusal: Refusal) -> Response {
         match refusal {
             Refusal::Busy(after) => come_back(503, "Too busy", after),
             Refusal::Contract(Breach::Rate(after)) => come_back(429, "Rate used up", Some(after)),
-            Refusal::Stopping => Response { keep_alive: false, ..come_back(503, "Stopping", None) },
+            Refusal::Stopping => Response {
+                keep_alive: false,
+                ..come_back(503, "Stopping", None)
+            },
             Refusal::Malformed(why) => problem(400, "Malformed request", why),
-            Refusal::Contract(Breach::UnknownTeam) => {
-                problem(403, "No contract", "Req-Owner names no team that has a contract")
-            }
-            Refusal::Contract(Breach::Class) => {
-                problem(403, "No contract", "the team's contract does not hold this class")
-            }
+            Refusal::Contract(Breach::UnknownTeam) => problem(
+                403,
+                "No contract",
+                "Req-Owner names no team that has a contract",
+            ),
+            Refusal::Contract(Breach::Class) => problem(
+                403,
+                "No contract",
+                "the team's contract does not hold this class",
+            ),
         }
     }
 
     fn word(&mut self, context: Context, reply: Reply) -> Response {
         match reply {
-            Reply::Served { whole, values, gaps } => word(context, whole, &values, &gaps),
+            Reply::Served {
+                whole,
+                values,
+                gaps,
+            } => word(context, whole, &values, &gaps),
             Reply::Refused(after) => come_back(503, "Refused", after),
             Reply::Failed => problem(504, "Given up", "the data nodes did not answer in time"),
         }
--- a/src/front/ogc/parameters.rs
+++ b/src/front/ogc/parameters.rs
@@ -24,15 +24,24 @@
     }
 }
 
-pub(super) fn number(found: &BTreeMap<String, String>, name: &str, otherwise: usize) -> Result<usize, Fault> {
-    let Some(text) = found.get(name) else { return Ok(otherwise) };
-    text.parse().map_err(|_| bad(format!("{name}: {text:?} is no whole number")))
+pub(super) fn number(
+    found: &BTreeMap<String, String>,
+    name: &str,
+    otherwise: usize,
+) -> Result<usize, Fault> {
+    let Some(text) = found.get(name) else {
+        return Ok(otherwise);
+    };
+    text.parse()
+        .map_err(|_| bad(format!("{name}: {text:?} is no whole number")))
 }
 
 /// A bounding box of four numbers, or of six with heights, which are not looked at.
 pub(super) fn bounds(text: &str) -> Result<Bounds, Fault> {
-    let figures: Option<Vec<f64>> =
-        text.split(',').map(|f| f.trim().parse().ok().filter(|f: &f64| f.is_finite())).collect();
+    let figures: Option<Vec<f64>> = text
+        .split(',')
+        .map(|f| f.trim().parse().ok().filter(|f: &f64| f.is_finite()))
+        .collect();
     let found = match figures.as_deref() {
         Some([west, south, east, north]) | Some([west, south, _, east, north, _]) => {
             [*west, *south, *east, *north]
@@ -59,20 +68,29 @@
     let across = if west <= east {
         Some(part(west, east)).filter(sound)
     } else {
-        let sides = [Some(part(west, 180.0)).filter(sound), Some(part(-180.0, east)).filter(sound)];
+        let sides = [
+            Some(part(west, 180.0)).filter(sound),
+            Some(part(-180.0, east)).filter(sound),
+        ];
         match sides {
             [Some(_), Some(_)] => Some((slice[0], slice[2])),
             [one, other] => one.or(other),
         }
     };
-    across.filter(|_| low <= high).map(|(west, east)| [west, low, east, high])
+    across
+        .filter(|_| low <= high)
+        .map(|(west, east)| [west, low, east, high])
 }
 
 /// Checks an instant or an interval, open at one end at most with `..` or nothing.
 pub(super) fn datetime(text: &str) -> Result<String, Fault> {
     // A plus that was not encoded has become a space.
     let text = text.replace(' ', "+");
-    let wrong = || bad(format!("datetime: {text:?} is no RFC 3339 instant or interval"));
+    let wrong = || {
+        bad(format!(
+            "datetime: {text:?} is no RFC 3339 instant or interval"
+        ))
+    };
     let instant = |text: &str| OffsetDateTime::parse(text, &Rfc3339).map_err(|_| wrong());
     match text.split_once('/') {
         None => drop(instant(&text)?),
@@ -101,9 +119,9 @@
     let sound = |c: char| c.is_alphanumeric() || "_-.:".contains(c);
     match () {
         () if property.contains(',') => Err(bad("sortby: one property, not several")),
-        () if property.is_empty() || !property.chars().all(sound) => {
-            Err(bad(format!("sortby: {text:?} is no property with + or - before it")))
-        }
+        () if property.is_empty() || !property.chars().all(sound) => Err(bad(format!(
+            "sortby: {text:?} is no property with + or - before it"
+        ))),
         () => Ok((property.to_string(), way)),
     }
 }
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -33,8 +33,8 @@
     away: bool,
 }
 
-/// Ids of the queries taken of late, in two generations: each is remembered for as long as a query can be open, and
-/// at most twice as long.
+/// Ids of the queries taken of late, in two generations: each is remembered for as long as a query
+/// can be open, and at most twice as long.
 struct Taken {
     ids: [HashSet<String>; 2],
     since: Time,
@@ -42,7 +42,8 @@
 }
 
 impl Taken {
-    /// Notes an id; `false`: it was taken of late. Guards the query that has it: its parts are named by it.
+    /// Notes an id; `false`: it was taken of late. Guards the query that has it: its parts are
+    /// named by it.
     fn note(&mut self, now: Time, id: &str) -> bool {
         if now.since(self.since) >= self.open {
             let [recent, older] = &mut self.ids;
@@ -87,8 +88,19 @@
     #[must_use]
     pub fn new(classes: Vec<Class>, tenants: Vec<String>) -> Self {
         let open = classes.iter().map(|c| c.deadline).max().unwrap_or_default();
-        let taken = Taken { ids: Default::default(), since: Time(0), open };
-        Platform { classes, tenants, taken, listed: false, stopping: false, away: false }
+        let taken = Taken {
+            ids: Default::default(),
+            since: Time(0),
+            open,
+        };
+        Platform {
+            classes,
+            tenants,
+            taken,
+            listed: false,
+            stopping: false,
+            away: false,
+        }
     }
 
     /// Whether a list of data nodes is here.
@@ -99,7 +111,12 @@
 
     fn query(&mut self, now: Time, request: &http::Request) -> Result<Request<Job>, (u16, String)> {
         let bad = |why: String| (400, why);
-        let name = request.path().trim_start_matches('/').split('/').next().unwrap_or_default();
+        let name = request
+            .path()
+            .trim_start_matches('/')
+            .split('/')
+            .next()
+            .unwrap_or_default();
         let class = self.classes.iter().position(|c| c.name == name);
         let class = class.ok_or_else(|| (404, "no such class".to_string()))?;
         if request.method != "POST" {
@@ -126,7 +143,8 @@
         if keyed && key.is_none() {
             return Err(bad("Idempotency-Key is missing".into()));
         }
-        let body: Body = serde_json::from_slice(&request.body).map_err(|e| bad(format!("body: {e}")))?;
+        let body: Body =
+            serde_json::from_slice(&request.body).map_err(|e| bad(format!("body: {e}")))?;
         if !self.taken.note(now, id) {
             return Err((409, "Req-Id is that of another query".into()));
         }
@@ -140,19 +158,31 @@
             again: request.header("req-retry") == Some("1"),
             tenant: tenant.map_or(u32::MAX, |i| i as u32),
             team: owner.map(str::to_string),
-            parts: body.segments.iter().map(|s| (Shard(s.segment), s.boost)).collect(),
+            parts: body
+                .segments
+                .iter()
+                .map(|s| (Shard(s.segment), s.boost))
+                .collect(),
             top: None,
-            job: Job { id: id.to_string(), text: body.text, key: key.filter(|_| keyed).map(Into::into) },
+            job: Job {
+                id: id.to_string(),
+                text: body.text,
+                key: key.filter(|_| keyed).map(Into::into),
+            },
         })
     }
 }
 
-/// What a query is about: its cookie `k` where it has one, or else the first affinity of its parts; 0: not told.
+/// What a query is about: its cookie `k` where it has one, or else the first affinity of its parts;
+/// 0: not told.
 fn subject(cookie: Option<&str>, segments: &[Segment]) -> u64 {
     let pairs = cookie.into_iter().flat_map(|c| c.split(';'));
-    let told = pairs.filter_map(|pair| pair.trim().strip_prefix("k=")).next();
+    let told = pairs
+        .filter_map(|pair| pair.trim().strip_prefix("k="))
+        .next();
     let told = told.or_else(|| segments.iter().find_map(|s| s.affinity.as_deref()));
-    told.and_then(|hex| u64::from_str_radix(hex, 16).ok()).unwrap_or(0)
+    told.and_then(|hex| u64::from_str_radix(hex, 16).ok())
+        .unwrap_or(0)
 }
 
 /// Whether a text can stand in a line of a frame, where spaces and commas part words.
@@ -180,12 +210,16 @@
 
     fn read(&mut self, now: Time, request: &http::Request) -> Verdict<Job, ()> {
         match request.path() {
-            "/health/live" | "/health/ready" if !matches!(request.method.as_str(), "GET" | "HEAD") => {
+            "/health/live" | "/health/ready"
+                if !matches!(request.method.as_str(), "GET" | "HEAD") =>
+            {
                 Verdict::Reply(plain(405, "health is read by GET").with("allow", "GET, HEAD"))
             }
             "/health/ready" if self.stopping => Verdict::Reply(plain(503, "stopping")),
             "/health/ready" if self.away => Verdict::Reply(plain(503, "clients are sent away")),
-            "/health/ready" if !self.listed => Verdict::Reply(plain(503, "no list of data nodes yet")),
+            "/health/ready" if !self.listed => {
+                Verdict::Reply(plain(503, "no list of data nodes yet"))
+            }
             "/health/live" | "/health/ready" => Verdict::Reply(plain(200, "ok")),
             _ => match self.query(now, request) {
                 Ok(query) => Verdict::Take(Box::new(query), ()),
@@ -200,7 +234,10 @@
             Refusal::Busy(after) => come_back(503, after),
             Refusal::Contract(Breach::Rate(after)) => come_back(429, Some(after)),
             // Its next try shall meet another broker.
-            Refusal::Stopping => Response { keep_alive: false, ..come_back(503, None) },
+            Refusal::Stopping => Response {
+                keep_alive: false,
+                ..come_back(503, None)
+            },
             Refusal::Malformed(why) => plain(400, why),
             Refusal::Contract(_) => plain(403, "no contract for this"),
         }
@@ -216,7 +253,10 @@
                         payload: String::from_utf8_lossy(&value.bytes),
                     })
                     .collect();
-                match serde_json::to_vec(&Served { all_in: whole, matches }) {
+                match serde_json::to_vec(&Served {
+                    all_in: whole,
+                    matches,
+                }) {
                     Ok(body) => Response::new(200, "application/json", body),
                     Err(_) => plain(500, "the answer can't be written"),
                 }
