--- a/src/front/platform/tests.rs
+++ b/src/front/platform/tests.rs
@@ -7,8 +7,18 @@
         "text":"c41e77d0"}"#;
 
 fn front() -> Platform {
-    let class = |name: &str, repeat| Class { name: name.into(), repeat, deadline: 4_000_000 };
-    Platform::new(vec![class("search", Repeat::Safe), class("close", Repeat::Keyed(9))], vec!["acme".into()])
+    let class = |name: &str, repeat| Class {
+        name: name.into(),
+        repeat,
+        deadline: 4_000_000,
+    };
+    Platform::new(
+        vec![
+            class("search", Repeat::Safe),
+            class("close", Repeat::Keyed(9)),
+        ],
+        vec!["acme".into()],
+    )
 }
 
 /// A sound query of the keyed class, with some headers replaced.
@@ -28,7 +38,13 @@
     }
     headers.retain(|h| !h.1.is_empty());
     let (method, target, body) = ("POST".into(), path.into(), body.into());
-    http::Request { method, target, headers, body, keep_alive: true }
+    http::Request {
+        method,
+        target,
+        headers,
+        body,
+        keep_alive: true,
+    }
 }
 
 fn status(request: &http::Request) -> u16 {
@@ -40,12 +56,20 @@
 
 #[test]
 fn a_query_is_read_as_documented() {
-    let Verdict::Take(taken, ()) = front().read(Time(1_000_000), &query(&[], "/close", BODY)) else {
+    let Verdict::Take(taken, ()) = front().read(Time(1_000_000), &query(&[], "/close", BODY))
+    else {
         panic!("not taken");
     };
-    assert_eq!((taken.class, taken.deadline, taken.again), (1, Time(1_480_000), true));
+    assert_eq!(
+        (taken.class, taken.deadline, taken.again),
+        (1, Time(1_480_000), true)
+    );
     assert_eq!(taken.parts, [(Shard(3), 0.5), (Shard(9), 0.5)]);
-    let job = Job { id: "9b1f".into(), text: "c41e77d0".into(), key: Some("k7".into()) };
+    let job = Job {
+        id: "9b1f".into(),
+        text: "c41e77d0".into(),
+        key: Some("k7".into()),
+    };
     assert_eq!(taken.job, job);
 }
 
@@ -63,12 +87,16 @@
         ("", BODY, 0),
     ] {
         let asked = query(&[("cookie", cookie)], "/close", body);
-        let Verdict::Take(taken, ()) = front().read(Time(0), &asked) else { panic!("{cookie}") };
+        let Verdict::Take(taken, ()) = front().read(Time(0), &asked) else {
+            panic!("{cookie}")
+        };
         assert_eq!(taken.key, key, "{cookie}");
     }
     for (owner, tenant) in [("acme", 0), ("other", u32::MAX), ("", u32::MAX)] {
         let asked = query(&[("req-owner", owner)], "/close", BODY);
-        let Verdict::Take(taken, ()) = front().read(Time(0), &asked) else { panic!("{owner}") };
+        let Verdict::Take(taken, ()) = front().read(Time(0), &asked) else {
+            panic!("{owner}")
+        };
         assert_eq!(taken.tenant, tenant, "{owner}");
     }
 }
@@ -80,7 +108,12 @@
         (("req-id", "a b"), "/close", BODY, 400),
         (("req-deadline-ms", "soon"), "/close", BODY, 400),
         (("req-deadline-ms", "0"), "/close", BODY, 400),
-        (("req-deadline-ms", "99999999999999999999"), "/close", BODY, 400),
+        (
+            ("req-deadline-ms", "99999999999999999999"),
+            "/close",
+            BODY,
+            400,
+        ),
         (("req-deadline-ms", "+480"), "/close", BODY, 400),
         (("req-deadline-ms", "99999"), "/close", BODY, 0),
         (("idempotency-key", ""), "/close", BODY, 400),
@@ -89,12 +122,29 @@
         (("req-kind", "search"), "/close", BODY, 400),
         (("req-retry", ""), "/nothing", BODY, 404),
         (("req-retry", ""), "/close", "", 400),
-        (("req-retry", ""), "/close", r#"{"segments":[{"segment":-1,"boost":1}],"text":""}"#, 400),
-        (("req-retry", ""), "/close", r#"{"segments":[{"segment":0.5,"boost":1}],"text":""}"#, 400),
+        (
+            ("req-retry", ""),
+            "/close",
+            r#"{"segments":[{"segment":-1,"boost":1}],"text":""}"#,
+            400,
+        ),
+        (
+            ("req-retry", ""),
+            "/close",
+            r#"{"segments":[{"segment":0.5,"boost":1}],"text":""}"#,
+            400,
+        ),
     ] {
-        assert_eq!(status(&query(&[changes], path, body)), expected, "{changes:?} {path} {body}");
+        assert_eq!(
+            status(&query(&[changes], path, body)),
+            expected,
+            "{changes:?} {path} {body}"
+        );
     }
-    let get = http::Request { method: "GET".into(), ..query(&[], "/close", BODY) };
+    let get = http::Request {
+        method: "GET".into(),
+        ..query(&[], "/close", BODY)
+    };
     assert_eq!(status(&get), 405);
 }
 
@@ -105,24 +155,40 @@
         Verdict::Reply(response) => response.status,
         Verdict::Take(..) => 0,
     };
-    assert_eq!([taken(9_000), taken(9_001), taken(12_999), taken(13_001)], [0, 409, 409, 409]);
+    assert_eq!(
+        [taken(9_000), taken(9_001), taken(12_999), taken(13_001)],
+        [0, 409, 409, 409]
+    );
     assert_eq!(taken(17_002), 0, "ids are forgotten, or memory would grow");
 }
 
 #[test]
 fn a_query_is_held_no_longer_than_its_class_allows() {
     let long = query(&[("req-deadline-ms", "99999")], "/close", BODY);
-    let Verdict::Take(taken, ()) = front().read(Time(0), &long) else { panic!("not taken") };
+    let Verdict::Take(taken, ()) = front().read(Time(0), &long) else {
+        panic!("not taken")
+    };
     assert_eq!(taken.deadline, Time(4_000_000));
 }
 
 #[test]
 fn garbage_in_a_body_never_panics() {
     let twice = BODY.replace('9', "3");
-    let bad = [BODY, &twice, r#"{"segments":[{"segment":-1,"boost":1e999}],"text":""}"#].map(str::as_bytes);
+    let bad = [
+        BODY,
+        &twice,
+        r#"{"segments":[{"segment":-1,"boost":1e999}],"text":""}"#,
+    ]
+    .map(str::as_bytes);
     crate::testing::garbage(&bad, |bytes| {
         let request = query(&[], "/close", "");
-        front().read(Time(0), &http::Request { body: bytes.to_vec(), ..request });
+        front().read(
+            Time(0),
+            &http::Request {
+                body: bytes.to_vec(),
+                ..request
+            },
+        );
     });
 }
 
@@ -130,29 +196,77 @@
 fn readiness_begins_with_a_list_and_ends_with_the_stop_and_life_does_not() {
     let mut front = front();
     let health = |front: &mut Platform, path: &str| {
-        let request = http::Request { method: "GET".into(), target: path.into(), ..Default::default() };
+        let request = http::Request {
+            method: "GET".into(),
+            target: path.into(),
+            ..Default::default()
+        };
         match front.read(Time(0), &request) {
             Verdict::Reply(response) => response.status,
             Verdict::Take(..) => 0,
         }
     };
-    assert_eq!((health(&mut front, "/health/ready"), health(&mut front, "/health/live")), (503, 200));
+    assert_eq!(
+        (
+            health(&mut front, "/health/ready"),
+            health(&mut front, "/health/live")
+        ),
+        (503, 200)
+    );
     front.listed();
-    assert_eq!((health(&mut front, "/health/ready"), health(&mut front, "/health/live")), (200, 200));
+    assert_eq!(
+        (
+            health(&mut front, "/health/ready"),
+            health(&mut front, "/health/live")
+        ),
+        (200, 200)
+    );
     front.stop();
-    assert_eq!((health(&mut front, "/health/ready"), health(&mut front, "/health/live")), (503, 200));
+    assert_eq!(
+        (
+            health(&mut front, "/health/ready"),
+            health(&mut front, "/health/live")
+        ),
+        (503, 200)
+    );
 }
 
 #[test]
 fn answers_are_worded_as_documented() {
-    let values = vec![(Shard(3), Value { score: 1.0, bytes: b"5be2".to_vec(), offer: None })];
-    let served = front().word((), Reply::Served { whole: false, values, gaps: Vec::new() });
+    let values = vec![(
+        Shard(3),
+        Value {
+            score: 1.0,
+            bytes: b"5be2".to_vec(),
+            offer: None,
+        },
+    )];
+    let served = front().word(
+        (),
+        Reply::Served {
+            whole: false,
+            values,
+            gaps: Vec::new(),
+        },
+    );
     assert_eq!(served.status, 200);
-    assert_eq!(served.body, br#"{"all_in":false,"matches":[{"segment":3,"payload":"5be2"}]}"#);
+    assert_eq!(
+        served.body,
+        br#"{"all_in":false,"matches":[{"segment":3,"payload":"5be2"}]}"#
+    );
     let refused = front().word((), Reply::Refused(Some(734_000)));
-    assert_eq!((refused.status, refused.header("retry-after")), (503, Some("0.734")));
-    assert_eq!(front().word((), Reply::Refused(None)).header("retry-after"), None);
+    assert_eq!(
+        (refused.status, refused.header("retry-after")),
+        (503, Some("0.734"))
+    );
+    assert_eq!(
+        front().word((), Reply::Refused(None)).header("retry-after"),
+        None
+    );
     assert_eq!(front().word((), Reply::Failed).status, 504);
     let rate = front().refused(Refusal::Contract(Breach::Rate(500_000)));
-    assert_eq!((rate.status, rate.header("retry-after")), (429, Some("0.500")));
+    assert_eq!(
+        (rate.status, rate.header("retry-after")),
+        (429, Some("0.500"))
+    );
 }
--- a/src/front/tests.rs
+++ b/src/front/tests.rs
@@ -8,9 +8,17 @@
 use std::net::{Shutdown, TcpStream};
 
 /// So many clients, connected, and their connections, oldest first.
-fn connected(net: &mut Net, sessions: &mut Sessions<()>, count: usize) -> (Vec<TcpStream>, Vec<ConnId>) {
-    let address = net.listen(Owner::Platform, "127.0.0.1:0".parse().unwrap()).unwrap();
-    let clients: Vec<TcpStream> = (0..count).map(|_| TcpStream::connect(address).unwrap()).collect();
+fn connected(
+    net: &mut Net,
+    sessions: &mut Sessions<()>,
+    count: usize,
+) -> (Vec<TcpStream>, Vec<ConnId>) {
+    let address = net
+        .listen(Owner::Platform, "127.0.0.1:0".parse().unwrap())
+        .unwrap();
+    let clients: Vec<TcpStream> = (0..count)
+        .map(|_| TcpStream::connect(address).unwrap())
+        .collect();
     while sessions.open.len() < count {
         net.wait(None).unwrap();
         for id in net.accept(Owner::Platform) {
@@ -36,10 +44,15 @@
         }
     }
     sessions.make_room(&mut net, &mut core);
-    assert!(sessions.open.len() == 7 && net.get(ids[0]).is_none(), "the one that never asked");
+    assert!(
+        sessions.open.len() == 7 && net.get(ids[0]).is_none(),
+        "the one that never asked"
+    );
     (0..20).for_each(|_| sessions.make_room(&mut net, &mut core));
     assert_eq!(sessions.open.keys().copied().collect::<Vec<_>>(), [ids[1]]);
-    clients.iter().for_each(|c| c.shutdown(Shutdown::Both).unwrap());
+    clients
+        .iter()
+        .for_each(|c| c.shutdown(Shutdown::Both).unwrap());
 }
 
 #[test]
@@ -55,26 +68,43 @@
     let front = crate::front::platform::Platform::new(Vec::new(), Vec::new());
     core.end_by(now);
     sessions.look(&mut net, Owner::Platform, &front, &mut core);
-    assert_eq!(sessions.open.len(), 20, "nobody has to go while the broker stops");
+    assert_eq!(
+        sessions.open.len(),
+        20,
+        "nobody has to go while the broker stops"
+    );
     let mut core = Core::new(1, Settings::default(), Contracts::default(), 32 << 20);
     sessions.look(&mut net, Owner::Platform, &front, &mut core);
     let mut left: Vec<ConnId> = sessions.open.keys().copied().collect();
     left.sort_unstable();
-    assert_eq!(left, ids[11..], "a quarter of the 38 descriptors that are not discovery's stays");
+    assert_eq!(
+        left,
+        ids[11..],
+        "a quarter of the 38 descriptors that are not discovery's stays"
+    );
 }
 
 /// A request of the platform's front for one shard.
-const QUERY: &[u8] = b"POST /a HTTP/1.1\r\nReq-Id: 1\r\nReq-Deadline-Ms: 900\r\nContent-Length: 48\r\n\r\n\
+const QUERY: &[u8] =
+    b"POST /a HTTP/1.1\r\nReq-Id: 1\r\nReq-Deadline-Ms: 900\r\nContent-Length: 48\r\n\r\n\
     {\"segments\":[{\"segment\":0,\"boost\":1}],\"text\":\"\"}";
 
 fn platform() -> crate::front::platform::Platform {
-    let class =
-        platform::Class { name: "a".into(), repeat: crate::interface::Repeat::Safe, deadline: 900_000 };
+    let class = platform::Class {
+        name: "a".into(),
+        repeat: crate::interface::Repeat::Safe,
+        deadline: 900_000,
+    };
     platform::Platform::new(vec![class], Vec::new())
 }
 
 /// Lets the sessions read what is there.
-fn read(net: &mut Net, sessions: &mut Sessions<()>, front: &mut platform::Platform, core: &mut Core<Job>) {
+fn read(
+    net: &mut Net,
+    sessions: &mut Sessions<()>,
+    front: &mut platform::Platform,
+    core: &mut Core<Job>,
+) {
     for ready in net.wait(Some(net.clock.now().plus(1_000_000))).unwrap() {
         if let crate::net::Ready::Conn(id, _) = ready {
             sessions.ready(net, id, front, core);
@@ -99,13 +129,25 @@
     assert_eq!(core.held_queries(), 1);
     clients[1].shutdown(Shutdown::Write).unwrap();
     read(&mut net, &mut sessions, &mut front, &mut core);
-    assert_eq!((core.held_queries(), sessions.open.len(), sessions.waiting.len()), (0, 0, 0));
+    assert_eq!(
+        (
+            core.held_queries(),
+            sessions.open.len(),
+            sessions.waiting.len()
+        ),
+        (0, 0, 0)
+    );
     let now = net.clock.now().plus(1_000_000);
-    let sends = core.turn(now).into_iter().filter(|c| matches!(c, crate::core::Command::Send(..))).count();
+    let sends = core
+        .turn(now)
+        .into_iter()
+        .filter(|c| matches!(c, crate::core::Command::Send(..)))
+        .count();
     assert_eq!(sends, 0);
 }
 
-/// A client that has had an answer and not read it, and whose next request is there and not read by the broker.
+/// A client that has had an answer and not read it, and whose next request is there and not read by
+/// the broker.
 fn crossing(
     net: &mut Net,
     sessions: &mut Sessions<()>,
@@ -113,11 +155,15 @@
 ) -> (TcpStream, platform::Platform) {
     let (mut clients, _) = connected(net, sessions, 1);
     let mut front = platform();
-    clients[0].write_all(b"GET /health/live HTTP/1.1\r\n\r\n").unwrap();
+    clients[0]
+        .write_all(b"GET /health/live HTTP/1.1\r\n\r\n")
+        .unwrap();
     read(net, sessions, &mut front, core);
     clients[0].write_all(QUERY).unwrap();
     let client = clients.remove(0);
-    client.set_read_timeout(Some(std::time::Duration::from_secs(20))).unwrap();
+    client
+        .set_read_timeout(Some(std::time::Duration::from_secs(20)))
+        .unwrap();
     (client, front)
 }
 
@@ -132,13 +178,26 @@
             sessions.open.values_mut().for_each(|s| s.since = long);
             sessions.look(&mut net, Owner::Platform, &front, &mut core);
         } else {
-            assert_eq!(sessions.close_unused(&mut net, &mut core), 1, "it is left to its client to end it");
+            assert_eq!(
+                sessions.close_unused(&mut net, &mut core),
+                1,
+                "it is left to its client to end it"
+            );
         }
         read(&mut net, &mut sessions, &mut front, &mut core);
-        assert_eq!(core.held_queries(), 0, "what is read after the end is dropped");
+        assert_eq!(
+            core.held_queries(),
+            0,
+            "what is read after the end is dropped"
+        );
         let mut text = String::new();
-        client.read_to_string(&mut text).expect("an end, and no reset");
-        assert!(text.starts_with("HTTP/1.1 200 ") && text.ends_with("ok\n"), "{text}");
+        client
+            .read_to_string(&mut text)
+            .expect("an end, and no reset");
+        assert!(
+            text.starts_with("HTTP/1.1 200 ") && text.ends_with("ok\n"),
+            "{text}"
+        );
         // Its client ends it as well: nothing is left.
         drop(client);
         read(&mut net, &mut sessions, &mut front, &mut core);
@@ -152,7 +211,11 @@
     let mut core = Core::<Job>::new(1, Settings::default(), Contracts::default(), 32 << 20);
     let (clients, ids) = connected(&mut net, &mut sessions, 1);
     assert_eq!(sessions.close_unused(&mut net, &mut core), 1);
-    assert_eq!(sessions.close_unused(&mut net, &mut core), 1, "there is time yet");
+    assert_eq!(
+        sessions.close_unused(&mut net, &mut core),
+        1,
+        "there is time yet"
+    );
     let early = net.clock.now().minus(STOP_LINGER);
     sessions.open.get_mut(&ids[0]).unwrap().since = early;
     assert_eq!(sessions.close_unused(&mut net, &mut core), 0);
--- a/src/inventory.rs
+++ b/src/inventory.rs
@@ -1,8 +1,9 @@
-//! The inventory: zones, cells, slices of the city area, data nodes and teams, as configuration tools keep it.
+//! The inventory: zones, cells, slices of the city area, data nodes and teams, as configuration
+//! tools keep it.
 //!
-//! It is one YAML file with a list for each kind, or a folder with a CSV file for each kind. Either becomes the
-//! same rows, which are checked in one place; an error names file, line and key, and a faulty inventory is
-//! rejected whole.
+//! It is one YAML file with a list for each kind, or a folder with a CSV file for each kind. Either
+//! becomes the same rows, which are checked in one place; an error names file, line and key, and a
+//! faulty inventory is rejected whole.
 
 use crate::contract::Contract;
 use crate::interface::Budget;
@@ -75,7 +76,18 @@
     ("cells", &["name"], true),
     ("slices", &["name", "west", "south", "east", "north"], true),
     ("nodes", &["name", "address", "cell", "zone"], true),
-    ("teams", &["name", "classes", "rate", "attempts_least", "attempts_share", "attempts_window_s"], false),
+    (
+        "teams",
+        &[
+            "name",
+            "classes",
+            "rate",
+            "attempts_least",
+            "attempts_share",
+            "attempts_window_s",
+        ],
+        false,
+    ),
 ];
 
 /// One row of either format, with the line of each of its values.
@@ -93,7 +105,10 @@
 
     /// The value of a key that may be left out or empty.
     fn maybe(&self, key: &str) -> Option<&str> {
-        self.values.get(key).map(|v| v.0.trim()).filter(|v| !v.is_empty())
+        self.values
+            .get(key)
+            .map(|v| v.0.trim())
+            .filter(|v| !v.is_empty())
     }
 
     fn text(&self, key: &str) -> Result<&str, String> {
@@ -101,9 +116,13 @@
     }
 
     fn figure(&self, key: &str) -> Result<Option<f64>, String> {
-        let Some(text) = self.maybe(key) else { return Ok(None) };
+        let Some(text) = self.maybe(key) else {
+            return Ok(None);
+        };
         let figure = text.parse().ok().filter(|f: &f64| f.is_finite());
-        figure.map(Some).ok_or_else(|| self.fault(key, &format!("{text:?} is no number")))
+        figure
+            .map(Some)
+            .ok_or_else(|| self.fault(key, &format!("{text:?} is no number")))
     }
 
     /// A figure that counts something.
@@ -115,7 +134,9 @@
     }
 
     fn degrees(&self, key: &str, most: f64) -> Result<f64, String> {
-        let degrees = self.figure(key)?.ok_or_else(|| self.fault(key, "missing"))?;
+        let degrees = self
+            .figure(key)?
+            .ok_or_else(|| self.fault(key, "missing"))?;
         if degrees.abs() > most {
             return Err(self.fault(key, &format!("{degrees} is beyond {most} degrees")));
         }
@@ -128,7 +149,11 @@
 impl Inventory {
     /// Reads a YAML file, or a folder of CSV files.
     pub fn load(path: &Path) -> Result<Inventory, String> {
-        let rows = if path.is_dir() { csv_rows(path)? } else { yaml_rows(path)? };
+        let rows = if path.is_dir() {
+            csv_rows(path)?
+        } else {
+            yaml_rows(path)?
+        };
         check(&rows)
     }
 
@@ -138,11 +163,21 @@
             let index = |name: &String| {
                 let found = classes.iter().position(|c| c == name);
                 found.ok_or_else(|| {
-                    format!("teams: {}: classes: no class {name:?} in the settings", team.name)
+                    format!(
+                        "teams: {}: classes: no class {name:?} in the settings",
+                        team.name
+                    )
                 })
             };
             let classes = team.classes.iter().map(index).collect::<Result<_, _>>()?;
-            Ok((team.name.clone(), Contract { classes, rate: team.rate, budget: team.budget }))
+            Ok((
+                team.name.clone(),
+                Contract {
+                    classes,
+                    rate: team.rate,
+                    budget: team.budget,
+                },
+            ))
         };
         self.teams.iter().map(contract).collect()
     }
@@ -160,16 +195,29 @@
             let line = e.position().map_or(0, csv::Position::line);
             format!("{file}:{line}: {e}")
         };
-        let mut reader = csv::ReaderBuilder::new().trim(csv::Trim::All).from_path(&path).map_err(told)?;
+        let mut reader = csv::ReaderBuilder::new()
+            .trim(csv::Trim::All)
+            .from_path(&path)
+            .map_err(told)?;
         let head = reader.headers().map_err(told)?.clone();
         if let Some(key) = head.iter().find(|key| !keys.contains(key)) {
-            return Err(format!("{file}:1: {key}: no such column; there are {}", keys.join(", ")));
+            return Err(format!(
+                "{file}:1: {key}: no such column; there are {}",
+                keys.join(", ")
+            ));
         }
         for record in reader.records() {
             let record = record.map_err(told)?;
             let line = record.position().map_or(0, csv::Position::line);
-            let values = head.iter().zip(&record).map(|(key, v)| (key.to_string(), (v.to_string(), line)));
-            rows.entry(kind).or_default().push(Row { file: file.clone(), line, values: values.collect() });
+            let values = head
+                .iter()
+                .zip(&record)
+                .map(|(key, v)| (key.to_string(), (v.to_string(), line)));
+            rows.entry(kind).or_default().push(Row {
+                file: file.clone(),
+                line,
+                values: values.collect(),
+            });
         }
     }
     Ok(rows)
@@ -180,10 +228,14 @@
 fn yaml_rows(path: &Path) -> Result<Rows, String> {
     let file = path.display().to_string();
     let text = read_text(path)?;
-    let read: BTreeMap<String, Spanned<Vec<YamlRow>>> = serde_saphyr::from_str(&text).map_err(|e| {
-        let line = e.location().map_or(0, |l| l.line());
-        format!("{file}:{line}: {}", e.to_string().lines().next().unwrap_or_default())
-    })?;
+    let read: BTreeMap<String, Spanned<Vec<YamlRow>>> =
+        serde_saphyr::from_str(&text).map_err(|e| {
+            let line = e.location().map_or(0, |l| l.line());
+            format!(
+                "{file}:{line}: {}",
+                e.to_string().lines().next().unwrap_or_default()
+            )
+        })?;
     let mut rows = Rows::new();
     for (name, list) in read {
         let Some((kind, keys, _)) = KINDS.into_iter().find(|k| k.0 == name) else {
@@ -195,8 +247,15 @@
         };
         for row in list.value {
             let line = row.referenced.line();
-            let values = row.value.into_iter().map(|(key, v)| (key, (v.value, v.referenced.line())));
-            let row = Row { file: file.clone(), line, values: values.collect() };
+            let values = row
+                .value
+                .into_iter()
+                .map(|(key, v)| (key, (v.value, v.referenced.line())));
+            let row = Row {
+                file: file.clone(),
+                line,
+                values: values.collect(),
+            };
             if let Some(key) = row.values.keys().find(|key| !keys.contains(&key.as_str())) {
                 return Err(row.fault(key, &format!("no such key; there are {}", keys.join(", "))));
             }
@@ -223,9 +282,16 @@
         }
     }
     let rows = |kind| rows.get(kind).unwrap_or(&none).iter();
-    let names =
-        |kind| rows(kind).map(|r| Ok(r.text("name")?.to_string())).collect::<Result<Vec<_>, String>>();
-    let mut inventory = Inventory { zones: names("zones")?, cells: names("cells")?, ..Inventory::default() };
+    let names = |kind| {
+        rows(kind)
+            .map(|r| Ok(r.text("name")?.to_string()))
+            .collect::<Result<Vec<_>, String>>()
+    };
+    let mut inventory = Inventory {
+        zones: names("zones")?,
+        cells: names("cells")?,
+        ..Inventory::default()
+    };
     for row in rows("slices") {
         let bounds = [
             row.degrees("west", 180.0)?,
@@ -239,28 +305,44 @@
         if bounds[1] >= bounds[3] {
             return Err(row.fault("north", "is not north of south"));
         }
-        inventory.slices.push(Slice { name: row.text("name")?.into(), bounds });
+        inventory.slices.push(Slice {
+            name: row.text("name")?.into(),
+            bounds,
+        });
     }
     let mut addresses = BTreeSet::new();
     for row in rows("nodes") {
         let (cell, zone) = (row.text("cell")?, row.text("zone")?);
         let number = inventory.cells.iter().position(|c| c == cell);
-        let number = number.ok_or_else(|| row.fault("cell", &format!("there is no cell {cell:?}")))?;
+        let number =
+            number.ok_or_else(|| row.fault("cell", &format!("there is no cell {cell:?}")))?;
         if !inventory.zones.iter().any(|z| z == zone) {
             return Err(row.fault("zone", &format!("there is no zone {zone:?}")));
         }
         let address = row.text("address")?;
-        let address = address
-            .parse()
-            .map_err(|_| row.fault("address", &format!("{address:?} is no address of the form IP:PORT")))?;
+        let address = address.parse().map_err(|_| {
+            row.fault(
+                "address",
+                &format!("{address:?} is no address of the form IP:PORT"),
+            )
+        })?;
         if !addresses.insert(address) {
             return Err(row.fault("address", &format!("{address} is there twice")));
         }
         let (name, zone, cell) = (row.text("name")?.into(), zone.into(), number as u32);
-        inventory.nodes.push(Node { name, address, cell, zone });
+        inventory.nodes.push(Node {
+            name,
+            address,
+            cell,
+            zone,
+        });
     }
     for row in rows("teams") {
-        let classes = row.maybe("classes").unwrap_or_default().split('|').map(str::trim);
+        let classes = row
+            .maybe("classes")
+            .unwrap_or_default()
+            .split('|')
+            .map(str::trim);
         let rate = row.amount("rate")?;
         if rate == Some(0.0) {
             return Err(row.fault("rate", "must be above zero; leave it out for no limit"));
@@ -271,13 +353,20 @@
             return Err(row.fault("attempts_window_s", "there is no budget for it"));
         }
         let window = (window.unwrap_or(10.0) * 1e6) as u64;
-        let (least, share, told) =
-            (least.unwrap_or(0.0), share.unwrap_or(0.0), least.is_some() || share.is_some());
+        let (least, share, told) = (
+            least.unwrap_or(0.0),
+            share.unwrap_or(0.0),
+            least.is_some() || share.is_some(),
+        );
         inventory.teams.push(Team {
             name: row.text("name")?.into(),
             classes: classes.filter(|c| !c.is_empty()).map(Into::into).collect(),
             rate,
-            budget: told.then_some(Budget { window, least, share }),
+            budget: told.then_some(Budget {
+                window,
+                least,
+                share,
+            }),
         });
     }
     Ok(inventory)
--- a/src/inventory/tests.rs
+++ b/src/inventory/tests.rs
@@ -22,9 +22,18 @@
 const CSV: [(&str, &str); 5] = [
     ("zones.csv", "name\nzagreb-1\n"),
     ("cells.csv", "name\ncentre\n"),
-    ("slices.csv", "name,west,south,east,north\ndonji-grad,15.9,45.8,16.0,45.9\n"),
-    ("nodes.csv", "name,address,cell,zone\nn1,127.0.0.1:9001,centre,zagreb-1\n"),
-    ("teams.csv", "name,classes,rate,attempts_least\noffice,fleet-search | network-report,5,2\n"),
+    (
+        "slices.csv",
+        "name,west,south,east,north\ndonji-grad,15.9,45.8,16.0,45.9\n",
+    ),
+    (
+        "nodes.csv",
+        "name,address,cell,zone\nn1,127.0.0.1:9001,centre,zagreb-1\n",
+    ),
+    (
+        "teams.csv",
+        "name,classes,rate,attempts_least\noffice,fleet-search | network-report,5,2\n",
+    ),
 ];
 
 fn yaml(text: &str) -> Result<Inventory, String> {
@@ -34,9 +43,19 @@
 
 fn csv(change: (&str, &str, &str)) -> Result<Inventory, String> {
     let files = CSV.map(|(name, text)| {
-        (name, if name == change.0 { text.replace(change.1, change.2) } else { text.to_string() })
+        (
+            name,
+            if name == change.0 {
+                text.replace(change.1, change.2)
+            } else {
+                text.to_string()
+            },
+        )
     });
-    let files: Vec<(&str, &str)> = files.iter().map(|(name, text)| (*name, text.as_str())).collect();
+    let files: Vec<(&str, &str)> = files
+        .iter()
+        .map(|(name, text)| (*name, text.as_str()))
+        .collect();
     Inventory::load(Folder::new(&files).path())
 }
 
@@ -49,7 +68,10 @@
     assert_eq!(read.teams[0].classes, ["fleet-search", "network-report"]);
     let known = ["fleet-search".to_string(), "network-report".to_string()];
     assert_eq!(read.contracts(&known).unwrap()[0].1.classes, [0, 1]);
-    assert!(read.contracts(&known[..1]).unwrap_err().contains("network-report"));
+    assert!(read
+        .contracts(&known[..1])
+        .unwrap_err()
+        .contains("network-report"));
 }
 
 #[test]
@@ -58,7 +80,11 @@
         ("cell: centre", "cell: center", "i.yaml:10: cell:"),
         ("zone: zagreb-1", "zone: split", "i.yaml:11: zone:"),
         ("127.0.0.1:9001", "localhost", "i.yaml:9: address:"),
-        ("    address: 127.0.0.1:9001\n", "", "i.yaml:8: address: missing"),
+        (
+            "    address: 127.0.0.1:9001\n",
+            "",
+            "i.yaml:8: address: missing",
+        ),
         ("west: 15.9", "west: far", "i.yaml:6: west:"),
         ("east: 16.0", "east: 15.0", "i.yaml:6: east:"),
         ("rate: 5", "rate: 0", "i.yaml:13: rate:"),
@@ -73,7 +99,12 @@
         ("nodes.csv", "centre", "center", "nodes.csv:2: cell:"),
         ("nodes.csv", "address", "adress", "nodes.csv:1: adress:"),
         ("slices.csv", "45.9", "95", "slices.csv:2: north:"),
-        ("zones.csv", "zagreb-1\n", "zagreb-1\nzagreb-1\n", "zones.csv:3: name:"),
+        (
+            "zones.csv",
+            "zagreb-1\n",
+            "zagreb-1\nzagreb-1\n",
+            "zones.csv:3: name:",
+        ),
         ("cells.csv", "centre\n", "", "cells: there are none"),
         ("nodes.csv", ",zagreb-1", "", "nodes.csv:2:"),
     ] {
--- a/src/log_writer.rs
+++ b/src/log_writer.rs
@@ -1,4 +1,5 @@
-//! Lines for the operators, on standard error: the broker's writer, and what it says of lines that were lost.
+//! Lines for the operators, on standard error: the broker's writer, and what it says of lines that
+//! were lost.
 
 use lichenswitch_log_writer::LogWriter;
 use std::io;
--- a/src/main.rs
+++ b/src/main.rs
@@ -18,26 +18,36 @@
 
 fn serve() -> Result<(), String> {
     // Before all else: a signal that nobody waits for ends the program.
-    let [stop, reload] = [SIGTERM, SIGHUP].map(|number| signal(number).map_err(|e| format!("signal: {e}")));
+    let [stop, reload] =
+        [SIGTERM, SIGHUP].map(|number| signal(number).map_err(|e| format!("signal: {e}")));
     let env = |name: &str| std::env::var(name).ok();
     let operators = Operators::from_env(env)?;
-    let platform = Platform::from_env(env)?.map(|told| told.apply(&operators)).transpose()?;
+    let platform = Platform::from_env(env)?
+        .map(|told| told.apply(&operators))
+        .transpose()?;
     let ogc = Ogc::load(&operators, platform.as_ref())?;
     let peers = Peers::load(&operators, platform.as_ref())?;
-    let management = platform.as_ref().and_then(|told| ManagementHandle::open(told).transpose()).transpose();
+    let management = platform
+        .as_ref()
+        .and_then(|told| ManagementHandle::open(told).transpose())
+        .transpose();
     let management = management.map_err(|e| e.to_string())?;
     let mut broker = Broker::managed(platform, ogc, management)?;
     peers.map_or(Ok(()), |told| broker.join(told))?;
     broker.stop_on(stop?).map_err(|e| format!("signal: {e}"))?;
     let reread = Box::new(move || Platform::from_env(env));
-    broker.reload_on(reload?, reread).map_err(|e| format!("signal: {e}"))?;
+    broker
+        .reload_on(reload?, reread)
+        .map_err(|e| format!("signal: {e}"))?;
     broker.run().map_err(|e| format!("loop: {e}"))
 }
 
 /// Lines of the parts that log by level, as JSON.
 fn log_lines() {
     let line = |to: &mut env_logger::fmt::Formatter, record: &log::Record| {
-        let at = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
+        let at = std::time::SystemTime::now()
+            .duration_since(std::time::UNIX_EPOCH)
+            .unwrap_or_default();
         let told = serde_json::json!({
             "at": at.as_micros() as f64 / 1e6,
             "level": record.level().as_str(),
@@ -47,8 +57,15 @@
         writeln!(to, "{told}")
     };
     let mut lines = env_logger::Builder::new();
-    lines.filter_level(log::LevelFilter::Info).parse_default_env().format(line);
-    lines.target(env_logger::Target::Pipe(Box::new(lichenswitch::log_writer::writer()))).init();
+    lines
+        .filter_level(log::LevelFilter::Info)
+        .parse_default_env()
+        .format(line);
+    lines
+        .target(env_logger::Target::Pipe(Box::new(
+            lichenswitch::log_writer::writer(),
+        )))
+        .init();
 }
 
 fn main() -> ExitCode {
--- a/src/management/folder.rs
+++ b/src/management/folder.rs
@@ -1,8 +1,10 @@
-//! What the processes of one broker share: a folder in `$TMPDIR`, which a process that is started beside another one finds as
-//! it was left.
+//! What the processes of one broker share: a folder in `$TMPDIR`, which a process that is started
+//! beside another one finds as it was left.
 //!
-//! - `wanted`: the wanted state, put in place whole. Changes are made one at a time under the lock of `lock`.
-//! - `process-N`: locked by process N for as long as it lives, whatever ends it; one line of how it stands.
+//! - `wanted`: the wanted state, put in place whole. Changes are made one at a time under the lock
+//!   of `lock`.
+//! - `process-N`: locked by process N for as long as it lives, whatever ends it; one line of how it
+//!   stands.
 //! - `door-N`: where process N hands over the socket that clients connect to ([`super::handover`]).
 
 use crate::interface::{Micros, Time};
@@ -15,7 +17,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A change waits so long for another process's. Guards the answer: beyond that the other stands still.
+/// A change waits so long for another process's. Guards the answer: beyond that the other stands
+/// still.
 const CHANGE: Duration = Duration::from_millis(300);
 /// How often it looks meanwhile.
 const CHANGE_LOOK: Duration = Duration::from_millis(5);
@@ -56,21 +59,34 @@
     pub fn open(root: &Path, owner: &str) -> Result<Folder, Failure> {
         let sound = |c: char| c.is_ascii_alphanumeric() || "._-".contains(c);
         let name: String = owner.chars().filter(|c| sound(*c)).take(40).collect();
-        let path = root.join(format!("lichenswitch-{name}-{:08x}", crc32fast::hash(owner.as_bytes())));
+        let path = root.join(format!(
+            "lichenswitch-{name}-{:08x}",
+            crc32fast::hash(owner.as_bytes())
+        ));
         let failed = |e| Failure::System(path.clone(), e);
         match DirBuilder::new().mode(0o700).create(&path) {
             Err(e) if e.kind() != io::ErrorKind::AlreadyExists => return Err(failed(e)),
             _ => {}
         }
-        // Guards against whoever else may write to the root: what is there under this name has to be this user's.
+        // Guards against whoever else may write to the root: what is there under this name has to
+        // be this user's.
         let found = fs::symlink_metadata(&path).map_err(failed)?;
         let user = fs::metadata("/proc/self").map_err(failed)?.uid();
         if !found.is_dir() || found.uid() != user {
             return Err(Failure::NotOurs(path));
         }
-        let told = Told { process: std::process::id(), ..Told::default() };
+        let told = Told {
+            process: std::process::id(),
+            ..Told::default()
+        };
         let presence = present(&path, told).map_err(failed)?;
-        Ok(Folder { path, owner: owner.into(), told, presence, seen: None })
+        Ok(Folder {
+            path,
+            owner: owner.into(),
+            told,
+            presence,
+            seen: None,
+        })
     }
 
     /// Where a process hands over the clients' socket.
@@ -85,9 +101,13 @@
         self.told.process
     }
 
-    /// Tells the others how this process stands, if that has changed or somebody has taken its file away.
+    /// Tells the others how this process stands, if that has changed or somebody has taken its file
+    /// away.
     pub fn tell(&mut self, told: Told) -> Result<(), Failure> {
-        let told = Told { process: self.told.process, ..told };
+        let told = Told {
+            process: self.told.process,
+            ..told
+        };
         let path = self.path.join(format!("process-{}", told.process));
         if told == self.told && path.exists() {
             return Ok(());
@@ -122,7 +142,8 @@
         self.path.join("wanted")
     }
 
-    /// The wanted state, if it is another one than was read last; `None`: it is not, or there is none.
+    /// The wanted state, if it is another one than was read last; `None`: it is not, or there is
+    /// none.
     ///
     /// # Errors
     /// When what is there can't be read, or is no state: it is told once.
@@ -146,23 +167,34 @@
         wanted.map(Some).map_err(|why| Failure::NoState(path, why))
     }
 
-    /// Keeps what `change` makes of the state that is there, or of `held` where that is newer or none is there; `None`: it
-    /// makes nothing new of it. Changes of several processes come one after the other.
+    /// Keeps what `change` makes of the state that is there, or of `held` where that is newer or
+    /// none is there; `None`: it makes nothing new of it. Changes of several processes come one
+    /// after the other.
     ///
     /// # Errors
     /// What `change` says; inside, when what it made could not be kept.
-    #[allow(clippy::type_complexity, reason = "the two failures mean different things to the operator")]
+    #[allow(
+        clippy::type_complexity,
+        reason = "the two failures mean different things to the operator"
+    )]
     pub fn change<E>(
         &mut self,
         now: Time,
         held: &Wanted,
         change: impl FnOnce(&Wanted) -> Result<Option<Wanted>, E>,
     ) -> Result<Option<(Wanted, Result<(), Failure>)>, E> {
-        // Guards the answer: without the lock a change may be lost to one that is made just then, and is made all the same.
+        // Guards the answer: without the lock a change may be lost to one that is made just then,
+        // and is made all the same.
         let _alone = self.alone();
         self.seen = None;
-        let there = self.read(now).ok().flatten().filter(|there| there.revision >= held.revision);
-        let Some(wanted) = change(there.as_ref().unwrap_or(held))? else { return Ok(None) };
+        let there = self
+            .read(now)
+            .ok()
+            .flatten()
+            .filter(|there| there.revision >= held.revision);
+        let Some(wanted) = change(there.as_ref().unwrap_or(held))? else {
+            return Ok(None);
+        };
         let kept = self.keep(now, &wanted);
         Ok(Some((wanted, kept)))
     }
@@ -170,12 +202,20 @@
     /// Waits for the lock on changes; `None`: it is not to be had in time.
     fn alone(&self) -> Option<File> {
         let path = self.path.join("lock");
-        let file = OpenOptions::new().create(true).truncate(false).write(true).mode(0o600).open(path).ok()?;
+        let file = OpenOptions::new()
+            .create(true)
+            .truncate(false)
+            .write(true)
+            .mode(0o600)
+            .open(path)
+            .ok()?;
         let begun = Instant::now();
         loop {
             match file.try_lock() {
                 Ok(()) => return Some(file),
-                Err(TryLockError::WouldBlock) if begun.elapsed() < CHANGE => thread::sleep(CHANGE_LOOK),
+                Err(TryLockError::WouldBlock) if begun.elapsed() < CHANGE => {
+                    thread::sleep(CHANGE_LOOK)
+                }
                 Err(e) => {
                     log::warn!("the lock on what is set by hand is not to be had: {e}");
                     return None;
@@ -186,10 +226,18 @@
 
     /// Puts the state in its place, whole: no reader finds a part of it.
     fn keep(&mut self, now: Time, wanted: &Wanted) -> Result<(), Failure> {
-        let (path, beside) = (self.wanted(), self.path.join(format!("wanted-{}", self.told.process)));
+        let (path, beside) = (
+            self.wanted(),
+            self.path.join(format!("wanted-{}", self.told.process)),
+        );
         let put = || {
             let mut options = OpenOptions::new();
-            let mut file = options.create(true).truncate(true).write(true).mode(0o600).open(&beside)?;
+            let mut file = options
+                .create(true)
+                .truncate(true)
+                .write(true)
+                .mode(0o600)
+                .open(&beside)?;
             file.write_all(&wanted.encode(&self.owner, now))?;
             fs::rename(&beside, &path)
         };
@@ -214,11 +262,18 @@
     let mut others = Vec::new();
     for entry in fs::read_dir(folder).map_err(failed)? {
         let path = entry.map_err(failed)?.path();
-        let name = path.file_name().and_then(|n| n.to_str()).unwrap_or_default();
+        let name = path
+            .file_name()
+            .and_then(|n| n.to_str())
+            .unwrap_or_default();
         let process = name.strip_prefix("process-").and_then(|n| n.parse().ok());
-        let Some(process) = process.filter(|p| *p != own) else { continue };
+        let Some(process) = process.filter(|p| *p != own) else {
+            continue;
+        };
         // One that is gone between two looks is none.
-        let Ok(mut file) = File::open(&path) else { continue };
+        let Ok(mut file) = File::open(&path) else {
+            continue;
+        };
         match file.try_lock_shared() {
             Err(TryLockError::WouldBlock) => {
                 let mut line = String::new();
@@ -245,7 +300,12 @@
 /// A process's file, locked before it can be seen.
 fn present(folder: &Path, told: Told) -> io::Result<File> {
     let beside = folder.join(format!(".process-{}", told.process));
-    let mut file = OpenOptions::new().create(true).truncate(true).write(true).mode(0o600).open(&beside)?;
+    let mut file = OpenOptions::new()
+        .create(true)
+        .truncate(true)
+        .write(true)
+        .mode(0o600)
+        .open(&beside)?;
     file.try_lock().map_err(|e| match e {
         TryLockError::Error(e) => e,
         TryLockError::WouldBlock => io::Error::other("another process has its number"),
--- a/src/management/handle.rs
+++ b/src/management/handle.rs
@@ -1,8 +1,9 @@
-//! The handle by which the broker's loop reaches the management thread, and the start of that thread.
+//! The handle by which the broker's loop reaches the management thread, and the start of that
+//! thread.
 
 use super::{
-    folder, handover, lock, set_aside, told_as, Failure, ManagementThread, Metrics, Orders, Shared, BEAT,
-    BESIDE,
+    folder, handover, lock, set_aside, told_as, Failure, ManagementThread, Metrics, Orders, Shared,
+    BEAT, BESIDE,
 };
 use crate::config::Platform;
 use crate::decide::descriptors::DISCOVERY;
@@ -36,9 +37,12 @@
     /// Starts the thread that answers operators, where an address is set for it.
     ///
     /// # Errors
-    /// When the system gives no poller or no thread. An address in use is no error: it is tried again.
+    /// When the system gives no poller or no thread. An address in use is no error: it is tried
+    /// again.
     pub fn open(told: &Platform) -> Result<Option<ManagementHandle>, Failure> {
-        let Some(address) = told.management else { return Ok(None) };
+        let Some(address) = told.management else {
+            return Ok(None);
+        };
         let now = Clock::default().now();
         let (mut wanted, mut others, mut listener) = (Wanted::default(), Vec::new(), None);
         let mut folder = folder_of(told);
@@ -46,8 +50,9 @@
             others = folder.others().unwrap_or_else(|e| told_as(&e, Vec::new()));
             let kept = folder.read(now).unwrap_or_else(|e| told_as(&e, None));
             wanted = kept.unwrap_or_default().on_start(!others.is_empty());
-            listener =
-                others.iter().find_map(|o| take_offered(&folder.handover_path(o.process), told.listen));
+            listener = others
+                .iter()
+                .find_map(|o| take_offered(&folder.handover_path(o.process), told.listen));
         }
         let (wake, woken) = UnixStream::pair()?;
         wake.set_nonblocking(true)?;
@@ -60,18 +65,27 @@
             wake,
         });
         let callers = set_aside(told.sockets) - BESIDE;
-        // Of all connections a part is kept for servers and discovery, of which there are none here.
+        // Of all connections a part is kept for servers and discovery, of which there are none
+        // here.
         let net = Net::of_connections(callers * 3 / 2 + DISCOVERY + 2)?;
         let offers = folder.as_ref().and_then(|folder| {
             let path = folder.handover_path(folder.process());
             // Guards against what a process of the same number has left.
             let _ = std::fs::remove_file(&path);
-            let offers = UnixListener::bind(&path).and_then(|l| l.set_nonblocking(true).map(|()| l));
+            let offers =
+                UnixListener::bind(&path).and_then(|l| l.set_nonblocking(true).map(|()| l));
             offers
-                .map_err(|e| log::warn!("{}: the next process can't take the door here: {e}", path.display()))
+                .map_err(|e| {
+                    log::warn!(
+                        "{}: the next process can't take the door here: {e}",
+                        path.display()
+                    )
+                })
                 .ok()
         });
-        let shares = folder.as_ref().map(|f| (f.path().to_path_buf(), f.process()));
+        let shares = folder
+            .as_ref()
+            .map(|f| (f.path().to_path_buf(), f.process()));
         let mut worker = ManagementThread {
             shared: shared.clone(),
             net,
@@ -84,8 +98,16 @@
             kept: now,
             looked: Time(0),
         };
-        thread::Builder::new().name("management".into()).spawn(move || worker.run())?;
-        Ok(Some(ManagementHandle { shared, woken: Some(woken), told: Time(0), listener, folder: shares }))
+        thread::Builder::new()
+            .name("management".into())
+            .spawn(move || worker.run())?;
+        Ok(Some(ManagementHandle {
+            shared,
+            woken: Some(woken),
+            told: Time(0),
+            listener,
+            folder: shares,
+        }))
     }
 
     /// The stream that can be read whenever there are new orders; once.
@@ -102,7 +124,9 @@
     /// The other processes of this broker that are alive at this very moment.
     #[must_use]
     pub fn others(&self) -> Vec<Told> {
-        let Some((path, process)) = &self.folder else { return Vec::new() };
+        let Some((path, process)) = &self.folder else {
+            return Vec::new();
+        };
         folder::others(path, *process).unwrap_or_else(|e| told_as(&e, self.orders().others.clone()))
     }
 
@@ -141,7 +165,10 @@
     /// Tells how the process stands.
     pub fn on_standing(&mut self, now: Time, standing: Standing) {
         self.told = now;
-        *lock(&self.shared.standing) = Standing { beat: now, ..standing };
+        *lock(&self.shared.standing) = Standing {
+            beat: now,
+            ..standing
+        };
     }
 }
 
@@ -152,7 +179,9 @@
         return None;
     };
     let owner = format!("{} {}", told.name, told.listen);
-    Folder::open(scratch, &owner).map(Some).unwrap_or_else(|e| told_as(&e, None))
+    Folder::open(scratch, &owner)
+        .map(Some)
+        .unwrap_or_else(|e| told_as(&e, None))
 }
 
 /// The clients' socket of the process that offers it there, if it is of this address.
--- a/src/management/handover.rs
+++ b/src/management/handover.rs
@@ -1,7 +1,7 @@
 //! The socket that clients connect to is handed from one process of a broker to the next.
 //!
-//! Who closes a listening socket of its own resets what waits there. Two processes that listen on the very same socket don't:
-//! with the one gone the other accepts what waits.
+//! Who closes a listening socket of its own resets what waits there. Two processes that listen on
+//! the very same socket don't: with the one gone the other accepts what waits.
 
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
@@ -15,7 +15,8 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// A process that is asked answers within this time, or the next one listens on a socket of its own.
+/// A process that is asked answers within this time, or the next one listens on a socket of its
+/// own.
 const PATIENCE: Duration = Duration::from_secs(1);
 
 /// Hands a listener over to who has connected.
@@ -43,12 +44,20 @@
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
     let mut with = RecvAncillaryBuffer::new(&mut space);
     let mut byte = [0];
-    recvmsg(&from, &mut [IoSliceMut::new(&mut byte)], &mut with, RecvFlags::CMSG_CLOEXEC)?;
+    recvmsg(
+        &from,
+        &mut [IoSliceMut::new(&mut byte)],
+        &mut with,
+        RecvFlags::CMSG_CLOEXEC,
+    )?;
     let sockets = with.drain().filter_map(|message| match message {
         RecvAncillaryMessage::ScmRights(sockets) => Some(sockets),
         _ => None,
     });
-    let socket = sockets.flatten().next().ok_or_else(|| io::Error::other("no socket came"))?;
+    let socket = sockets
+        .flatten()
+        .next()
+        .ok_or_else(|| io::Error::other("no socket came"))?;
     Ok(socket.into())
 }
 
--- a/src/management/handover/tests.rs
+++ b/src/management/handover/tests.rs
@@ -23,7 +23,10 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut client = waits(&listener);
     drop(listener);
-    assert_eq!(client.read(&mut [0]).unwrap_err().kind(), io::ErrorKind::ConnectionReset);
+    assert_eq!(
+        client.read(&mut [0]).unwrap_err().kind(),
+        io::ErrorKind::ConnectionReset
+    );
 }
 
 #[test]
--- a/src/management/metrics.rs
+++ b/src/management/metrics.rs
@@ -1,7 +1,7 @@
 //! The figures that operators read, in the text form of OpenMetrics.
 //!
-//! The loop adds what the core's books tell; the thread that answers operators writes them out. Both sides touch nothing but
-//! atomic numbers, so neither waits for the other.
+//! The loop adds what the core's books tell; the thread that answers operators writes them out.
+//! Both sides touch nothing but atomic numbers, so neither waits for the other.
 
 use crate::core::Tally;
 use prometheus_client::encoding::{text, EncodeLabelSet};
@@ -63,8 +63,17 @@
         };
         let active = gauge("active", "Requests taken but not yet ended");
         let pool_size = gauge("pool_size", "Shard servers in the list");
-        let pool_ejected = gauge("pool_ejected", "Shard servers in the list that are avoided now");
-        Metrics { registry, classes, active, pool_size, pool_ejected }
+        let pool_ejected = gauge(
+            "pool_ejected",
+            "Shard servers in the list that are avoided now",
+        );
+        Metrics {
+            registry,
+            classes,
+            active,
+            pool_size,
+            pool_ejected,
+        }
     }
 
     /// Adds what the books counted since the last time, by class.
@@ -79,9 +88,11 @@
 
     /// Sets what is so now.
     pub fn set(&self, active: usize, pool_size: usize, pool_ejected: usize) {
-        for (gauge, value) in
-            [(&self.active, active), (&self.pool_size, pool_size), (&self.pool_ejected, pool_ejected)]
-        {
+        for (gauge, value) in [
+            (&self.active, active),
+            (&self.pool_size, pool_size),
+            (&self.pool_ejected, pool_ejected),
+        ] {
             gauge.set(i64::try_from(value).unwrap_or(i64::MAX));
         }
     }
--- a/src/management/mod.rs
+++ b/src/management/mod.rs
@@ -1,8 +1,10 @@
-//! Operators' calls: one line a connection at an address of their own, answered by a thread that waits for nobody.
+//! Operators' calls: one line a connection at an address of their own, answered by a thread that
+//! waits for nobody.
 //!
-//! The thread owns its listener, its callers and the wanted state; the loop that serves clients owns all else. They meet in
-//! `Shared`, where each leaves what the other wants to know and neither holds a lock for longer than a copy takes. So an
-//! answer comes in time however much the loop has to do, and however many callers hold connections without a whole call.
+//! The thread owns its listener, its callers and the wanted state; the loop that serves clients
+//! owns all else. They meet in `Shared`, where each leaves what the other wants to know and neither
+//! holds a lock for longer than a copy takes. So an answer comes in time however much the loop has
+//! to do, and however many callers hold connections without a whole call.
 
 pub mod folder;
 mod handle;
@@ -61,7 +63,8 @@
     listed: Mutex<Arc<BTreeSet<String>>>,
     standing: Mutex<Standing>,
     orders: Mutex<Arc<Orders>>,
-    /// The socket that clients connect to, for the next process; `None`: this one has none, or is leaving it.
+    /// The socket that clients connect to, for the next process; `None`: this one has none, or is
+    /// leaving it.
     listener: Mutex<Option<TcpListener>>,
     /// Wakes the loop.
     wake: UnixStream,
@@ -130,7 +133,8 @@
     otherwise
 }
 
-/// Logs a warning, but not the same again within a minute. Guards the log: what fails is tried ten times a second.
+/// Logs a warning, but not the same again within a minute. Guards the log: what fails is tried ten
+/// times a second.
 fn warn_once(text: &str) {
     static LAST: Mutex<Vec<(Instant, String)>> = Mutex::new(Vec::new());
     let mut last = lock(&LAST);
@@ -157,7 +161,8 @@
         }
     }
 
-    /// Listens, if it does not yet. Guards a start beside a process that has the address: it is tried again.
+    /// Listens, if it does not yet. Guards a start beside a process that has the address: it is
+    /// tried again.
     fn listen(&mut self) {
         if self.listens {
             return;
@@ -167,7 +172,10 @@
                 self.listens = true;
                 log::info!("operators call at {address}");
             }
-            Err(e) => warn_once(&format!("operators can't call at {} yet: {e}", self.address)),
+            Err(e) => warn_once(&format!(
+                "operators can't call at {} yet: {e}",
+                self.address
+            )),
         }
     }
 
@@ -179,19 +187,29 @@
         }
     }
 
-    /// Accepts all that wait. Guards callers that have something to say against those that hold connections: who came
-    /// first, or has its answer, makes room.
+    /// Accepts all that wait. Guards callers that have something to say against those that hold
+    /// connections: who came first, or has its answer, makes room.
     fn accept(&mut self) {
         loop {
             for id in self.net.accept(Owner::Operators) {
-                self.callers.insert(id, Caller { since: self.net.clock.now(), answered: false });
+                self.callers.insert(
+                    id,
+                    Caller {
+                        since: self.net.clock.now(),
+                        answered: false,
+                    },
+                );
                 // What was sent with the connection is read before anybody has to make room.
                 self.heard(id);
             }
             if !self.net.resting() {
                 return;
             }
-            let first = self.callers.iter().min_by_key(|(_, c)| (!c.answered, c.since)).map(|(id, _)| *id);
+            let first = self
+                .callers
+                .iter()
+                .min_by_key(|(_, c)| (!c.answered, c.since))
+                .map(|(id, _)| *id);
             let Some(id) = first else { return };
             self.close(id);
         }
@@ -199,7 +217,9 @@
 
     fn heard(&mut self, id: ConnId) {
         let pumped = self.net.pump(id, call::LONGEST + 1);
-        let (Some(caller), Some(conn)) = (self.callers.get(&id), self.net.get_mut(id)) else { return };
+        let (Some(caller), Some(conn)) = (self.callers.get(&id), self.net.get_mut(id)) else {
+            return;
+        };
         if pumped != Pumped::Alive {
             return self.close(id);
         }
@@ -239,7 +259,10 @@
             },
         };
         if let Some(caller) = self.callers.get_mut(&id) {
-            *caller = Caller { since: now, answered: true };
+            *caller = Caller {
+                since: now,
+                answered: true,
+            };
         }
         if let Some(conn) = self.net.get_mut(id) {
             conn.input.consume(conn.input.bytes().len());
@@ -251,21 +274,25 @@
         }
     }
 
-    /// Whether this process is ready to serve. The other processes are told first: the one before may be told to stop as soon
-    /// as somebody has heard that this one is.
+    /// Whether this process is ready to serve. The other processes are told first: the one before
+    /// may be told to stop as soon as somebody has heard that this one is.
     fn check_ready(&mut self, now: Time) -> Result<(), Unready> {
         let ready = health::ready(now, &lock(&self.shared.standing));
         if let Some(folder) = &mut self.folder {
             let leaving = lock(&self.shared.standing).leaving;
-            let told =
-                Told { ready: ready.is_ok(), shares_socket: self.shares_socket, leaving, ..Told::default() };
+            let told = Told {
+                ready: ready.is_ok(),
+                shares_socket: self.shares_socket,
+                leaving,
+                ..Told::default()
+            };
             folder.tell(told).unwrap_or_else(|e| told_as(&e, ()));
         }
         ready
     }
 
-    /// Ends this side once the answer is out; what its caller still sends is read and dropped, since a close with bytes
-    /// unread would take the answer with it.
+    /// Ends this side once the answer is out; what its caller still sends is read and dropped,
+    /// since a close with bytes unread would take the answer with it.
     fn end(&mut self, id: ConnId) {
         if let Some(conn) = self.net.get_mut(id).filter(|c| Conn::flushed(c)) {
             conn.end_output();
@@ -296,7 +323,10 @@
                 log::error!("what is set by hand is not kept: {e}");
                 said = format!("{said}, until this process ends: {e}");
             }
-            self.shared.order(Orders { wanted, ..(*orders).clone() });
+            self.shared.order(Orders {
+                wanted,
+                ..(*orders).clone()
+            });
         }
         Ok(said)
     }
@@ -305,7 +335,10 @@
     fn look(&mut self) {
         let now = self.net.clock.now();
         let most = |c: &Caller| if c.answered { LINGER } else { PATIENCE };
-        let over = self.callers.iter().filter(|(_, c)| now.since(c.since) >= most(c));
+        let over = self
+            .callers
+            .iter()
+            .filter(|(_, c)| now.since(c.since) >= most(c));
         let over: Vec<ConnId> = over.map(|(id, _)| *id).collect();
         over.into_iter().for_each(|id| self.close(id));
         if now.since(self.looked) < LOOK {
@@ -320,7 +353,9 @@
     fn hand_over(&mut self) {
         while let Some((asks, _)) = self.offers.as_ref().and_then(|l| l.accept().ok()) {
             let listener = lock(&self.shared.listener);
-            let Some(listener) = listener.as_ref() else { return };
+            let Some(listener) = listener.as_ref() else {
+                return;
+            };
             match handover::offer(&asks, listener) {
                 Ok(()) => log::info!("the clients' socket is another process's too"),
                 Err(e) => log::warn!("the clients' socket was not handed over: {e}"),
@@ -333,8 +368,12 @@
         let orders = self.shared.orders();
         // Its answer is for the other processes.
         let _ = self.check_ready(now);
-        let Some(folder) = &mut self.folder else { return };
-        let others = folder.others().unwrap_or_else(|e| told_as(&e, orders.others.clone()));
+        let Some(folder) = &mut self.folder else {
+            return;
+        };
+        let others = folder
+            .others()
+            .unwrap_or_else(|e| told_as(&e, orders.others.clone()));
         let wanted = folder.read(now).unwrap_or_else(|e| told_as(&e, None));
         let wanted = wanted.filter(|w| w.revision > orders.wanted.revision);
         if folder::is_due(self.kept, now) {
--- a/src/net.rs
+++ b/src/net.rs
@@ -1,4 +1,5 @@
-//! What the broker calls its connections, timers and signals; the sockets themselves are the package `wire/net`.
+//! What the broker calls its connections, timers and signals; the sockets themselves are the
+//! package `wire/net`.
 
 use crate::decide::descriptors::Side;
 pub use lichenswitch_net::{buffer, system_limit, wheel, Clock, ConnId, Denied, Program, Pumped};
--- a/src/peer/consensus.rs
+++ b/src/peer/consensus.rs
@@ -1,8 +1,10 @@
-//! The consensus of the voters on their log over the connections to peers, and the duties that this broker would like to hold.
+//! The consensus of the voters on their log over the connections to peers, and the duties that this
+//! broker would like to hold.
 //!
-//! It owns the voter's file, the asks that wait for an answer, and what this broker holds. It promises: nothing is said
-//! before what it rests on is kept, a broker that can't keep does not vote, and whether it holds a duty is asked of its
-//! own lease each time. It decides nothing itself: `decide::agree` and `decide::duty` do.
+//! It owns the voter's file, the asks that wait for an answer, and what this broker holds. It
+//! promises: nothing is said before what it rests on is kept, a broker that can't keep does not
+//! vote, and whether it holds a duty is asked of its own lease each time. It decides nothing
+//! itself: `decide::agree` and `decide::duty` do.
 
 mod messages;
 
@@ -24,11 +26,13 @@
 
 /// Voters that have not begun announce themselves this often (microseconds).
 const GATHER: Micros = 500_000;
-/// How often it looks at what it holds (microseconds): a lease that runs out is told so soon after it has.
+/// How often it looks at what it holds (microseconds): a lease that runs out is told so soon after
+/// it has.
 const LOOK: Micros = 25_000;
 /// Whoever was refused a duty asks again after this many hundredths of a lease.
 const REFUSED: u64 = 30;
-/// Asks of others that wait for the log, at most, and for how many leases: whoever asked has asked again by then.
+/// Asks of others that wait for the log, at most, and for how many leases: whoever asked has asked
+/// again by then.
 const WAITING: usize = 256;
 const WAITS: u64 = 2;
 
@@ -92,8 +96,16 @@
     /// # Errors
     /// When the folder can't be used, or holds records that this version can't read.
     pub fn new(now: Time, cluster: &str, own: Holder, rules: Rules) -> Result<Consensus, String> {
-        let holding = || Holding { hold: Hold::default(), not_before: now, held: None };
-        let holdings = rules.duties.iter().map(|d| (Duty(d.clone()), holding())).collect();
+        let holding = || Holding {
+            hold: Hold::default(),
+            not_before: now,
+            held: None,
+        };
+        let holdings = rules
+            .duties
+            .iter()
+            .map(|d| (Duty(d.clone()), holding()))
+            .collect();
         let hearing = Hearing::new(rules.voters.len(), rules.terms);
         let mut consensus = Consensus {
             hearing,
@@ -120,30 +132,47 @@
     fn sit(&mut self, now: Time, cluster: &str) -> Result<(), String> {
         let mut records = Vec::new();
         if let Some(folder) = self.rules.folder.clone() {
-            let fault = |e: &dyn std::fmt::Display| format!("peers: folder: {}: {e}", folder.display());
+            let fault =
+                |e: &dyn std::fmt::Display| format!("peers: folder: {}: {e}", folder.display());
             let owner = format!("{cluster} {}", self.own.name);
             let (keep, found) = Keep::open(&folder, &owner).map_err(|e| fault(&e))?;
             if let Some((path, why)) = &found.aside {
-                self.log.push(format!("council: {why}; it is set aside as {}", path.display()));
+                self.log.push(format!(
+                    "council: {why}; it is set aside as {}",
+                    path.display()
+                ));
             }
             if found.torn > 0 {
-                self.log
-                    .push(format!("council: {} bytes whose writing was cut off are left aside", found.torn));
+                self.log.push(format!(
+                    "council: {} bytes whose writing was cut off are left aside",
+                    found.torn
+                ));
             }
             records = found.records.into_iter().map(Record).collect();
             self.keep = Some(keep);
         } else {
-            self.log.push("council: no folder: what this voter promises ends with its process".into());
+            self.log
+                .push("council: no folder: what this voter promises ends with its process".into());
         }
-        let mut state =
-            PersistentState::from_records(&records).map_err(|why| format!("peers: folder: {why}"))?;
+        let mut state = PersistentState::from_records(&records)
+            .map_err(|why| format!("peers: folder: {why}"))?;
         if state.identity().is_none() {
-            // Two lives of a broker do not begin in the same microsecond, and names tell brokers apart.
-            let name = self.own.name.bytes().fold(0u64, |h, b| h.wrapping_mul(31).wrapping_add(u64::from(b)));
+            // Two lives of a broker do not begin in the same microsecond, and names tell brokers
+            // apart.
+            let name = self
+                .own
+                .name
+                .bytes()
+                .fold(0u64, |h, b| h.wrapping_mul(31).wrapping_add(u64::from(b)));
             let memory = (self.own.life ^ name.rotate_left(40)).max(1);
-            state.begin(Identity { name: self.own.name.clone(), memory });
+            state.begin(Identity {
+                name: self.own.name.clone(),
+                memory,
+            });
         }
-        let Some(identity) = state.identity().cloned() else { return Ok(()) };
+        let Some(identity) = state.identity().cloned() else {
+            return Ok(());
+        };
         let gather = Gather::new(identity, &self.rules.voters, state.genesis().cloned());
         self.voter_role = VoterRole::Gathers(Box::new((gather, state)));
         self.flush_gathering();
@@ -153,7 +182,9 @@
 
     /// Keeps what the gathering has noted; without that it does not vote.
     fn flush_gathering(&mut self) {
-        let VoterRole::Gathers(gathering) = &self.voter_role else { return };
+        let VoterRole::Gathers(gathering) = &self.voter_role else {
+            return;
+        };
         let records = gathering.1.take_records();
         if !self.persist(&records) {
             self.voter_role = VoterRole::Abstains;
@@ -162,11 +193,18 @@
 
     /// Writes records to the file; `false`: it failed, and this broker votes no more.
     fn persist(&mut self, records: &[Record]) -> bool {
-        let Some(keep) = &mut self.keep else { return true };
+        let Some(keep) = &mut self.keep else {
+            return true;
+        };
         let records: Vec<Vec<u8>> = records.iter().map(|r| r.0.clone()).collect();
-        if let Err(e) = if records.is_empty() { Ok(()) } else { keep.append(&records) } {
-            self.log
-                .push(format!("council: its folder can't be written: {e}; it does not vote from here on"));
+        if let Err(e) = if records.is_empty() {
+            Ok(())
+        } else {
+            keep.append(&records)
+        } {
+            self.log.push(format!(
+                "council: its folder can't be written: {e}; it does not vote from here on"
+            ));
             return false;
         }
         true
@@ -174,19 +212,27 @@
 
     /// Votes from here on, if the genesis names it.
     fn begin(&mut self, now: Time) {
-        let VoterRole::Gathers(gathering) = &self.voter_role else { return };
+        let VoterRole::Gathers(gathering) = &self.voter_role else {
+            return;
+        };
         let (gather, state) = &**gathering;
         match (gather.why(), gather.genesis()) {
             (Reason::Named, Some(genesis)) => {
                 let names: Vec<&str> = genesis.voters().iter().map(|v| v.name.as_str()).collect();
-                let line = format!("council: votes, genesis {:x} ({})", genesis.digest(), names.join(", "));
+                let line = format!(
+                    "council: votes, genesis {:x} ({})",
+                    genesis.digest(),
+                    names.join(", ")
+                );
                 match Voter::new(now, state.clone(), self.rules.terms) {
                     Ok(voter) => {
-                        // Guards who still holds a duty by a genesis that all voters have forgotten: its lease is over first.
+                        // Guards who still holds a duty by a genesis that all voters have
+                        // forgotten: its lease is over first.
                         if voter.applied() == 0 {
                             self.grants_from = now.plus(self.rules.terms.awaited());
                         }
-                        self.log.push(format!("{line}, {} entries known", voter.applied()));
+                        self.log
+                            .push(format!("{line}, {} entries known", voter.applied()));
                         self.voter_role = VoterRole::Votes(Box::new(voter));
                     }
                     Err(why) => {
@@ -288,7 +334,9 @@
             };
             if held != holding.held {
                 self.log.push(match verdict {
-                    May::Act(fence, why) => format!("duty {}: held under fence {}: {why}", duty.0, fence.0),
+                    May::Act(fence, why) => {
+                        format!("duty {}: held under fence {}: {why}", duty.0, fence.0)
+                    }
                     May::Refrain(why) => format!("duty {}: not held: {why}", duty.0),
                 });
                 holding.held = held;
@@ -332,9 +380,11 @@
             let mut hold = holding.hold;
             let held = matches!(hold.check(now, self.rules.terms), May::Act(..));
             if let Some(fence) = hold.on_give_back().filter(|_| held) {
-                self.log.push(format!("duty {}: not held: given back", duty.0));
+                self.log
+                    .push(format!("duty {}: not held: given back", duty.0));
                 let back = Message::GiveBack(duty, fence);
-                // To all: the first that enters it counts, and this broker does not wait for answers any more.
+                // To all: the first that enters it counts, and this broker does not wait for
+                // answers any more.
                 let voters = self.rules.voters.clone();
                 for voter in voters {
                     out.extend(self.say(now, &voter, back.clone()));
@@ -352,7 +402,9 @@
             {
                 let (gather, state) = &mut **gathering;
                 let was = gather.why().clone();
-                if let (true, Some(genesis)) = (gather.on_announcement(&announcement), gather.genesis()) {
+                if let (true, Some(genesis)) =
+                    (gather.on_announcement(&announcement), gather.genesis())
+                {
                     state.begun(genesis.clone());
                 }
                 if was != *gather.why() {
@@ -363,35 +415,66 @@
             (Message::Announcement(announcement), VoterRole::Votes(voter))
                 if announcement.begun.is_none() =>
             {
-                let own = voter.genesis().voters().iter().find(|v| v.name == self.own.name).cloned();
+                let own = voter
+                    .genesis()
+                    .voters()
+                    .iter()
+                    .find(|v| v.name == self.own.name)
+                    .cloned();
                 let begun = Some(voter.genesis().clone());
                 out.extend(own.map(|identity| {
-                    outgoing(from, &Message::Announcement(Announcement { identity, begun }))
+                    outgoing(
+                        from,
+                        &Message::Announcement(Announcement { identity, begun }),
+                    )
                 }));
             }
             (Message::Log(bytes), VoterRole::Votes(voter)) => {
                 let told = voter.on_message(now, &bytes);
                 self.carry(now, told, &mut out);
             }
-            (Message::Ask(duty, holder, number), VoterRole::Votes(voter)) if holder.name == from => {
-                // Guards the log against those who would be refused; that this voter may be behind only makes them ask again.
-                let elsewhere = voter.grants().holder(&duty).is_some_and(|(held_by, _)| *held_by != holder);
+            (Message::Ask(duty, holder, number), VoterRole::Votes(voter))
+                if holder.name == from =>
+            {
+                // Guards the log against those who would be refused; that this voter may be behind
+                // only makes them ask again.
+                let elsewhere = voter
+                    .grants()
+                    .holder(&duty)
+                    .is_some_and(|(held_by, _)| *held_by != holder);
                 if elsewhere || now < self.grants_from {
                     return self.say(now, from, Message::Elsewhere(duty));
                 }
                 let old = |at: Time| now.since(at) > WAITS * self.rules.terms.lease;
                 self.asks.retain(|a| !old(a.4));
                 if self.asks.len() < WAITING {
-                    self.asks.push((duty.clone(), holder.clone(), number, from.into(), now));
-                    let told = voter.on_entry(now, Entry { grant: Grant::Ask(duty, holder), number });
+                    self.asks
+                        .push((duty.clone(), holder.clone(), number, from.into(), now));
+                    let told = voter.on_entry(
+                        now,
+                        Entry {
+                            grant: Grant::Ask(duty, holder),
+                            number,
+                        },
+                    );
                     self.carry(now, told, &mut out);
                 }
             }
-            // Guards the holder: nobody else gives back what it acts under. A voter that is behind leaves it to the others.
+            // Guards the holder: nobody else gives back what it acts under. A voter that is behind
+            // leaves it to the others.
             (Message::GiveBack(duty, fence), VoterRole::Votes(voter))
-                if voter.grants().holder(&duty).is_some_and(|(held_by, _)| held_by.name == from) =>
+                if voter
+                    .grants()
+                    .holder(&duty)
+                    .is_some_and(|(held_by, _)| held_by.name == from) =>
             {
-                let told = voter.on_entry(now, Entry { grant: Grant::GiveBack(duty, fence), number: 0 });
+                let told = voter.on_entry(
+                    now,
+                    Entry {
+                        grant: Grant::GiveBack(duty, fence),
+                        number: 0,
+                    },
+                );
                 self.carry(now, told, &mut out);
             }
             (Message::Answer(duty, number, fence), _) => {
@@ -445,9 +528,12 @@
                 Verdict::Send(to, bytes) => out.push(outgoing(&to.name, &Message::Log(bytes))),
                 Verdict::Decided(_, entry, granted) => self.decided(now, &entry, &granted, out),
                 Verdict::Caught(place) => {
-                    self.log.push(format!("council: caught up to entry {place} by a snapshot"));
+                    self.log
+                        .push(format!("council: caught up to entry {place} by a snapshot"));
+                }
+                Verdict::Led(who, why) => {
+                    self.log.push(format!("council: {} leads: {why}", who.name))
                 }
-                Verdict::Led(who, why) => self.log.push(format!("council: {} leads: {why}", who.name)),
             }
         }
         if self.keep.as_ref().is_some_and(Keep::is_large) {
@@ -456,9 +542,15 @@
     }
 
     fn decided(&mut self, now: Time, entry: &Entry, granted: &Granted, out: &mut OutgoingMessages) {
-        let Grant::Ask(duty, holder) = &entry.grant else { return };
-        let waits = |a: &(Duty, Holder, u64, String, Time)| (&a.0, &a.1, a.2) == (duty, holder, entry.number);
-        let Some(at) = self.asks.iter().position(waits) else { return };
+        let Grant::Ask(duty, holder) = &entry.grant else {
+            return;
+        };
+        let waits = |a: &(Duty, Holder, u64, String, Time)| {
+            (&a.0, &a.1, a.2) == (duty, holder, entry.number)
+        };
+        let Some(at) = self.asks.iter().position(waits) else {
+            return;
+        };
         let (duty, _, number, from, _) = self.asks.swap_remove(at);
         let fence = match granted {
             Granted::Granted(fence, _) | Granted::Renewed(fence) => Some(*fence),
@@ -469,10 +561,14 @@
 
     /// One record takes the place of all in the file.
     fn shorten(&mut self) {
-        let (VoterRole::Votes(voter), Some(keep)) = (&self.voter_role, &mut self.keep) else { return };
+        let (VoterRole::Votes(voter), Some(keep)) = (&self.voter_role, &mut self.keep) else {
+            return;
+        };
         if let Err(e) = keep.replace(&voter.memory().0) {
             // What was kept before stays, and goes on.
-            self.log.push(format!("council: its folder's file could not be shortened: {e}"));
+            self.log.push(format!(
+                "council: its folder's file could not be shortened: {e}"
+            ));
         }
     }
 }
--- a/src/peer/consensus/tests.rs
+++ b/src/peer/consensus/tests.rs
@@ -2,7 +2,10 @@
 
 use super::*;
 
-const TERMS: Terms = Terms { lease: 1_000_000, drift: 20_000 };
+const TERMS: Terms = Terms {
+    lease: 1_000_000,
+    drift: 20_000,
+};
 const START: Time = Time(50_000_000);
 
 /// Consensus of four brokers in virtual time; messages arrive at once.
@@ -15,15 +18,28 @@
     /// Three voters without folders and one reader; all would like to hold the duty.
     fn new() -> Table {
         let voters: Vec<String> = (0..3).map(|i| format!("n{i}")).collect();
-        let rules = Rules { voters, folder: None, duties: vec!["d".into()], terms: TERMS };
-        let own = |i: u64| Holder { name: format!("n{i}"), life: 7 + i };
+        let rules = Rules {
+            voters,
+            folder: None,
+            duties: vec!["d".into()],
+            terms: TERMS,
+        };
+        let own = |i: u64| Holder {
+            name: format!("n{i}"),
+            life: 7 + i,
+        };
         let broker = |i| Consensus::new(START, "c", own(i), rules.clone()).unwrap();
-        Table { brokers: (0..4).map(broker).collect(), now: START }
+        Table {
+            brokers: (0..4).map(broker).collect(),
+            now: START,
+        }
     }
 
     fn deliver(&mut self, from: usize, messages: OutgoingMessages) {
-        let mut waiting: Vec<(usize, String, Vec<u8>)> =
-            messages.into_iter().map(|(to, bytes)| (from, to, bytes)).collect();
+        let mut waiting: Vec<(usize, String, Vec<u8>)> = messages
+            .into_iter()
+            .map(|(to, bytes)| (from, to, bytes))
+            .collect();
         while let Some((from, to, bytes)) = waiting.pop() {
             let to: usize = to[1..].parse().unwrap();
             let answers = self.brokers[to].on_word(self.now, &format!("n{from}"), &bytes);
@@ -33,7 +49,9 @@
 
     fn holders(&self) -> Vec<usize> {
         let duty = Duty("d".into());
-        (0..4).filter(|i| self.brokers[*i].may_act(self.now, &duty).is_some()).collect()
+        (0..4)
+            .filter(|i| self.brokers[*i].may_act(self.now, &duty).is_some())
+            .collect()
     }
 
     /// Goes on until somebody holds the duty, for so long at most; tells who.
@@ -58,22 +76,36 @@
 }
 
 #[test]
-fn voters_that_know_of_no_grant_grant_none_before_a_lease_is_over_and_one_that_is_given_back_at_once() {
+fn voters_that_know_of_no_grant_grant_none_before_a_lease_is_over_and_one_that_is_given_back_at_once(
+) {
     let mut table = Table::new();
     let holder = table.until_held(10_000_000).unwrap();
-    assert!(table.now.since(START) >= TERMS.awaited(), "somebody may hold it by a genesis that is forgotten");
+    assert!(
+        table.now.since(START) >= TERMS.awaited(),
+        "somebody may hold it by a genesis that is forgotten"
+    );
     let (other, duty) = ((holder + 1) % 4, Duty("d".into()));
     let fence = table.brokers[holder].may_act(table.now, &duty).unwrap();
     let back = postcard::to_stdvec(&Message::GiveBack(duty, fence)).unwrap();
-    table.deliver(other, (0..3).map(|v| (format!("n{v}"), back.clone())).collect());
-    assert_eq!(table.until_held(5_000), Some(holder), "only the holder gives it back");
+    table.deliver(
+        other,
+        (0..3).map(|v| (format!("n{v}"), back.clone())).collect(),
+    );
+    assert_eq!(
+        table.until_held(5_000),
+        Some(holder),
+        "only the holder gives it back"
+    );
     assert!((0..3).all(|v| match &table.brokers[v].voter_role {
         VoterRole::Votes(voter) => voter.grants().holder(&Duty("d".into())).is_some(),
         _ => false,
     }));
     let messages = table.brokers[holder].on_stop(table.now);
     table.deliver(holder, messages);
-    assert!(table.holders().is_empty(), "nothing is done under it from here on");
+    assert!(
+        table.holders().is_empty(),
+        "nothing is done under it from here on"
+    );
     let stopped = table.now;
     let next = table.until_held(10_000_000).unwrap();
     assert!(
@@ -90,7 +122,10 @@
     let broker = &mut table.brokers[holder];
     let elsewhere = postcard::to_stdvec(&Message::Elsewhere(Duty("d".into()))).unwrap();
     broker.on_word(now, "n1", &elsewhere);
-    assert!(broker.may_act(now, &Duty("d".into())).is_some(), "that voter may have been away");
+    assert!(
+        broker.may_act(now, &Duty("d".into())).is_some(),
+        "that voter may have been away"
+    );
     // Another genesis than the one it has known: its lease runs out, and it asks for none.
     let other = postcard::to_stdvec(&Message::Heard(1, 99)).unwrap();
     broker.on_word(now, "n1", &other);
@@ -104,7 +139,8 @@
     }
     let log = broker.take_log().join("\n");
     assert!(
-        log.contains("standing: a stranger: ") && log.contains("duty d: not held: the lease ran out"),
+        log.contains("standing: a stranger: ")
+            && log.contains("duty d: not held: the lease ran out"),
         "{log}"
     );
     assert_eq!(asked, 0);
--- a/src/peer/group.rs
+++ b/src/peer/group.rs
@@ -1,4 +1,5 @@
-//! The group of peer brokers: the connections to them and the membership view that they carry, for the broker's loop.
+//! The group of peer brokers: the connections to them and the membership view that they carry, for
+//! the broker's loop.
 
 use super::consensus::{Consensus, OutgoingMessages};
 use super::{Heard, Talk, What, MOST};
@@ -26,7 +27,10 @@
     /// When the address can't be listened on, or the folder can't be used.
     pub fn new(net: &mut Net, told: Peers) -> Result<PeerGroup, String> {
         let now = net.clock.now();
-        let own = Member { life: now.0, ..told.own.clone() };
+        let own = Member {
+            life: now.0,
+            ..told.own.clone()
+        };
         net.set_aside_for_peers(MOST);
         let at = net
             .listen(Owner::PeerIn, told.listen)
@@ -35,12 +39,26 @@
         // The life makes two starts of one broker draw otherwise.
         let seed = told.seed ^ own.life;
         let talk = Talk::new(now, told.cluster.clone(), own.clone(), ways, seed);
-        let line = format!("peers: {} of {} in cluster {} listens on {at}", own.name, own.zone, told.cluster);
-        let holder = Holder { name: own.name.clone(), life: own.life };
-        let consensus =
-            told.consensus.map(|rules| Consensus::new(now, &told.cluster, holder, rules)).transpose()?;
+        let line = format!(
+            "peers: {} of {} in cluster {} listens on {at}",
+            own.name, own.zone, told.cluster
+        );
+        let holder = Holder {
+            name: own.name.clone(),
+            life: own.life,
+        };
+        let consensus = told
+            .consensus
+            .map(|rules| Consensus::new(now, &told.cluster, holder, rules))
+            .transpose()?;
         let fleet = Fleet::new(now, own, told.known.clone(), told.rules, seed);
-        Ok(PeerGroup { talk, fleet, consensus, known: told.known, log: vec![line] })
+        Ok(PeerGroup {
+            talk,
+            fleet,
+            consensus,
+            known: told.known,
+            log: vec![line],
+        })
     }
 
     /// Log lines since the last time.
@@ -54,12 +72,15 @@
     /// When [`PeerGroup::on_time`] is to be called next.
     #[must_use]
     pub fn next(&self) -> Time {
-        let consensus = self.consensus.as_ref().map_or(Time(u64::MAX), Consensus::next);
+        let consensus = self
+            .consensus
+            .as_ref()
+            .map_or(Time(u64::MAX), Consensus::next);
         self.talk.next().min(self.fleet.next()).min(consensus)
     }
 
-    /// Does what is due. To be called before what is ready is read: messages that had to wait since this process stood
-    /// still are no sign that their senders did.
+    /// Does what is due. To be called before what is ready is read: messages that had to wait since
+    /// this process stood still are no sign that their senders did.
     pub fn on_time(&mut self, net: &mut Net) {
         let now = net.clock.now();
         if self.fleet.next() <= now {
@@ -91,7 +112,11 @@
     /// This broker stops: the others are told.
     pub fn on_stop(&mut self, net: &mut Net) {
         let now = net.clock.now();
-        let messages = self.consensus.as_mut().map(|c| c.on_stop(now)).unwrap_or_default();
+        let messages = self
+            .consensus
+            .as_mut()
+            .map(|c| c.on_stop(now))
+            .unwrap_or_default();
         self.pass_on(net, messages);
         let told = self.fleet.on_stop(now);
         self.carry(net, told);
@@ -100,7 +125,11 @@
     /// Sends the messages of the consensus to those whom they are for.
     fn pass_on(&mut self, net: &mut Net, messages: OutgoingMessages) {
         for (name, bytes) in messages {
-            let known = self.fleet.alive().get(&name).or_else(|| self.known.iter().find(|m| m.name == name));
+            let known = self
+                .fleet
+                .alive()
+                .get(&name)
+                .or_else(|| self.known.iter().find(|m| m.name == name));
             // Of whom nothing is known, nobody waits: the log says it again.
             if let Some(to) = known.cloned() {
                 self.talk.say_consensus(net, &to, bytes);
@@ -146,6 +175,8 @@
 
     fn note(&mut self, who: &Member, what: &str, why: &str) {
         let (name, life, alive) = (&who.name, who.life, self.fleet.alive().len() + 1);
-        self.log.push(format!("fleet: {name} {what} (life {life}): {why}; {alive} alive"));
+        self.log.push(format!(
+            "fleet: {name} {what} (life {life}): {why}; {alive} alive"
+        ));
     }
 }
--- a/src/peer/queue.rs
+++ b/src/peer/queue.rs
@@ -1,4 +1,5 @@
-//! What waits to be said to one peer: bounded in messages and bytes, the oldest that may be dropped goes first.
+//! What waits to be said to one peer: bounded in messages and bytes, the oldest that may be dropped
+//! goes first.
 
 use std::collections::VecDeque;
 
@@ -16,11 +17,13 @@
 }
 
 impl Queue {
-    /// Adds a message; `keep`: it may not be dropped for others. `false`: there is no room, since all that waits must be
-    /// kept; whoever asked has to know.
+    /// Adds a message; `keep`: it may not be dropped for others. `false`: there is no room, since
+    /// all that waits must be kept; whoever asked has to know.
     pub fn push(&mut self, message: Vec<u8>, keep: bool) -> bool {
         while self.waiting.len() >= MESSAGES || self.bytes + message.len() > BYTES {
-            let Some(at) = self.waiting.iter().position(|m| !m.1) else { break };
+            let Some(at) = self.waiting.iter().position(|m| !m.1) else {
+                break;
+            };
             self.bytes -= self.waiting.remove(at).map_or(0, |m| m.0.len());
             self.dropped += 1;
         }
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -6,7 +6,12 @@
 use std::net::{TcpListener, TcpStream};
 
 fn member(name: &str, address: SocketAddr) -> Member {
-    Member { name: name.into(), address, zone: "a".into(), life: 1 }
+    Member {
+        name: name.into(),
+        address,
+        zone: "a".into(),
+        life: 1,
+    }
 }
 
 struct Stage {
@@ -22,12 +27,20 @@
     fn new() -> Stage {
         let mut net = Net::new(1_024).unwrap();
         net.set_aside_for_peers(MOST);
-        let at = net.listen(Owner::PeerIn, "127.0.0.1:0".parse().unwrap()).unwrap();
+        let at = net
+            .listen(Owner::PeerIn, "127.0.0.1:0".parse().unwrap())
+            .unwrap();
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let peer = member("p", listener.local_addr().unwrap());
         let now = net.clock.now();
         let talk = Talk::new(now, "c".into(), member("own", at), BTreeMap::new(), 1);
-        Stage { net, talk, at, peer, listener }
+        Stage {
+            net,
+            talk,
+            at,
+            peer,
+            listener,
+        }
     }
 
     fn say(&mut self, bytes: &[u8], keep: bool) -> bool {
@@ -78,7 +91,10 @@
     /// A peer that has connected and greeted.
     fn greeted(&mut self) -> TcpStream {
         let mut stream = TcpStream::connect(self.at).unwrap();
-        let from = Greeting { cluster: "c".into(), from: self.peer.clone() };
+        let from = Greeting {
+            cluster: "c".into(),
+            from: self.peer.clone(),
+        };
         stream.write_all(&wire::greeting(&from)).unwrap();
         stream
     }
@@ -105,7 +121,8 @@
     assert_eq!(said, [word(b"one"), word(b"two")]);
     let mut peer = stage.greeted();
     for bytes in [b"three", b"fours"] {
-        peer.write_all(&wire::message(&word(bytes)).unwrap()).unwrap();
+        peer.write_all(&wire::message(&word(bytes)).unwrap())
+            .unwrap();
     }
     let mut heard = Vec::new();
     for _ in 0..2_000 {
@@ -114,7 +131,10 @@
             break;
         }
     }
-    let words: Vec<_> = heard.iter().map(|h| (h.from.name.as_str(), &h.what)).collect();
+    let words: Vec<_> = heard
+        .iter()
+        .map(|h| (h.from.name.as_str(), &h.what))
+        .collect();
     let fleet = |bytes: &[u8]| What::Fleet(bytes.to_vec());
     assert_eq!(words, [("p", &fleet(b"three")), ("p", &fleet(b"fours"))]);
     let figures = stage.talk.figures();
@@ -124,8 +144,8 @@
 #[test]
 fn a_peer_that_is_away_is_tried_again_and_said_so_once() {
     let mut stage = Stage::new();
-    // Below the ports that the system gives to connections, at an address of this process's own: a port that was free a
-    // moment ago may be another test's by now.
+    // Below the ports that the system gives to connections, at an address of this process's own: a
+    // port that was free a moment ago may be another test's by now.
     let id = std::process::id().to_le_bytes();
     let away = SocketAddr::from(([127, 200 + id[2] % 50, id[1], 1 + id[0] % 250], 7_001));
     let peer = member("q", away);
@@ -147,7 +167,10 @@
     });
     stage.until("a line", |s| !s.talk.log.is_empty());
     assert_eq!(stage.talk.take_log(), ["peer q: can be spoken to again"]);
-    assert!(stage.talk.outs["q"].queue.is_empty(), "what was kept is said");
+    assert!(
+        stage.talk.outs["q"].queue.is_empty(),
+        "what was kept is said"
+    );
 }
 
 #[test]
@@ -193,25 +216,43 @@
 #[test]
 fn beyond_its_connections_the_one_unused_for_longest_goes_and_one_too_many_is_not_taken() {
     let mut stage = Stage::new();
-    let listeners: Vec<TcpListener> =
-        (0..MOST + 2).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()).collect();
+    let listeners: Vec<TcpListener> = (0..MOST + 2)
+        .map(|_| TcpListener::bind("127.0.0.1:0").unwrap())
+        .collect();
     for (i, listener) in listeners.iter().enumerate() {
         let peer = member(&format!("q{i:02}"), listener.local_addr().unwrap());
         stage.talk.say(&mut stage.net, &peer, b"x".to_vec(), false);
         let name = peer.name;
         stage.until("a call", |s| s.talk.outs[&name].queue.is_empty());
     }
-    let open: Vec<&str> =
-        stage.talk.outs.iter().filter(|(_, o)| o.conn.is_some()).map(|(n, _)| n.as_str()).collect();
-    assert_eq!((open.len(), open[0]), (MOST, "q02"), "the first two made room");
-    let clients: Vec<TcpStream> = (0..MOST + 8).map(|_| TcpStream::connect(stage.at).unwrap()).collect();
+    let open: Vec<&str> = stage
+        .talk
+        .outs
+        .iter()
+        .filter(|(_, o)| o.conn.is_some())
+        .map(|(n, _)| n.as_str())
+        .collect();
+    assert_eq!(
+        (open.len(), open[0]),
+        (MOST, "q02"),
+        "the first two made room"
+    );
+    let clients: Vec<TcpStream> = (0..MOST + 8)
+        .map(|_| TcpStream::connect(stage.at).unwrap())
+        .collect();
     stage.until("all of them", |s| s.talk.ins.len() == MOST);
     let closed = |c: &TcpStream| {
-        c.set_read_timeout(Some(std::time::Duration::from_millis(1))).unwrap();
+        c.set_read_timeout(Some(std::time::Duration::from_millis(1)))
+            .unwrap();
         matches!((&mut &*c).read(&mut [0]), Ok(0))
     };
-    stage.until("the end of the others", |_| clients.iter().filter(|c| closed(c)).count() == 8);
-    assert!(!stage.net.resting(), "clients of the fronts do not wait for that");
+    stage.until("the end of the others", |_| {
+        clients.iter().filter(|c| closed(c)).count() == 8
+    });
+    assert!(
+        !stage.net.resting(),
+        "clients of the fronts do not wait for that"
+    );
 }
 
 #[test]
@@ -219,7 +260,12 @@
     let mut stage = Stage::new();
     stage.say(b"x", false);
     let mut stream = stage.accept();
-    stream.write_all(&wire::message(&Word::Refused("not you".into())).unwrap()).unwrap();
+    stream
+        .write_all(&wire::message(&Word::Refused("not you".into())).unwrap())
+        .unwrap();
     stage.until("a line", |s| !s.talk.log.is_empty());
-    assert_eq!(stage.talk.take_log(), ["peer p: can't be spoken to: it refused: not you"]);
+    assert_eq!(
+        stage.talk.take_log(),
+        ["peer p: can't be spoken to: it refused: not you"]
+    );
 }
--- a/src/peer/wire.rs
+++ b/src/peer/wire.rs
@@ -1,6 +1,6 @@
-//! How brokers' words look on a connection: a length of four bytes, most significant first, then so many. The first
-//! message is a greeting that every version can read: a fixed word and the version, then the rest in that version's
-//! form. All others are records, written by `postcard`.
+//! How brokers' words look on a connection: a length of four bytes, most significant first, then so
+//! many. The first message is a greeting that every version can read: a fixed word and the version,
+//! then the rest in that version's form. All others are records, written by `postcard`.
 
 use crate::decide::fleet::Member;
 use serde::{Deserialize, Serialize};
@@ -52,10 +52,12 @@
     (content.len() <= LONGEST).then(|| framed(&content))
 }
 
-/// The first whole message of what has come, and the bytes that it took; `None`: it is not whole. Its claim is judged
-/// before its bytes are there.
+/// The first whole message of what has come, and the bytes that it took; `None`: it is not whole.
+/// Its claim is judged before its bytes are there.
 pub fn next(bytes: &[u8]) -> Result<Option<(&[u8], usize)>, String> {
-    let Some((head, rest)) = bytes.split_first_chunk::<4>() else { return Ok(None) };
+    let Some((head, rest)) = bytes.split_first_chunk::<4>() else {
+        return Ok(None);
+    };
     let length = u32::from_be_bytes(*head) as usize;
     if length == 0 || length > LONGEST {
         return Err(format!("a message of {length} bytes, {LONGEST} at most"));
@@ -65,15 +67,22 @@
 
 /// Reads a greeting to this cluster.
 pub fn read_greeting(content: &[u8], cluster: &str) -> Result<Greeting, String> {
-    let rest = content.strip_prefix(&WORD[..]).ok_or("no greeting of a peer")?;
-    let (version, rest) = rest.split_first_chunk::<2>().ok_or("a greeting without a version")?;
+    let rest = content
+        .strip_prefix(&WORD[..])
+        .ok_or("no greeting of a peer")?;
+    let (version, rest) = rest
+        .split_first_chunk::<2>()
+        .ok_or("a greeting without a version")?;
     let version = u16::from_be_bytes(*version);
     if version != VERSION {
         return Err(format!("it speaks version {version}, here it is {VERSION}"));
     }
     let read: Greeting = postcard::from_bytes(rest).map_err(|_| "a greeting that can't be read")?;
     if read.cluster != cluster {
-        return Err(format!("it is of cluster {:?}, this is {cluster:?}", read.cluster));
+        return Err(format!(
+            "it is of cluster {:?}, this is {cluster:?}",
+            read.cluster
+        ));
     }
     Ok(read)
 }
--- a/src/service.rs
+++ b/src/service.rs
@@ -1,7 +1,8 @@
 //! A service: one front, its core and the data nodes behind it, as the broker's loop drives them.
 //!
-//! It owns the way of a query between these: what clients and data nodes send comes in by [`Service::ready`], what time brings by
-//! [`Service::timer`], and a turn carries out what the core wants done.
+//! It owns the way of a query between these: what clients and data nodes send comes in by
+//! [`Service::ready`], what time brings by [`Service::timer`], and a turn carries out what the core
+//! wants done.
 
 use crate::broker::log;
 use crate::core::{Command, Core};
@@ -33,7 +34,15 @@
         pool: Pool<W>,
         directory: Directory,
     ) -> Self {
-        Service { owner, front, sessions, core, pool, directory, subscribe: false }
+        Service {
+            owner,
+            front,
+            sessions,
+            core,
+            pool,
+            directory,
+            subscribe: false,
+        }
     }
 
     /// The core, to tell it of the list of data nodes.
@@ -49,7 +58,8 @@
 
     pub(crate) fn ready(&mut self, net: &mut Net, id: ConnId, owner: Owner) {
         if owner == self.owner {
-            self.sessions.ready(net, id, &mut self.front, &mut self.core);
+            self.sessions
+                .ready(net, id, &mut self.front, &mut self.core);
         } else if owner == W::OWNER {
             self.pool.ready(net, id);
         }
@@ -59,8 +69,13 @@
         match timer {
             Timer::Attempt(owner, attempt) if owner == W::OWNER => {
                 let now = net.clock.now();
-                // What never left because this process lacked a descriptor is no silence of the node.
-                let outcome = if self.pool.is_parked(attempt) { Outcome::Moot } else { Outcome::Timeout };
+                // What never left because this process lacked a descriptor is no silence of the
+                // node.
+                let outcome = if self.pool.is_parked(attempt) {
+                    Outcome::Moot
+                } else {
+                    Outcome::Timeout
+                };
                 if self.core.ended(now, attempt, outcome, None) {
                     self.pool.withdraw(net, attempt);
                 }
@@ -79,7 +94,8 @@
 
     /// Hands in the ends of attempts, and takes a turn if it is time.
     pub(crate) fn turn(&mut self, net: &mut Net) {
-        // First of all, and not at the next turn of the module: what waits for a connection might leave before that.
+        // First of all, and not at the next turn of the module: what waits for a connection might
+        // leave before that.
         for attempt in self.core.take_recalls() {
             self.recall(net, attempt);
         }
@@ -93,13 +109,15 @@
             match command {
                 Command::Send(server, parts) => {
                     for part in &parts {
-                        net.wheel.set(now.plus(part.wait), Timer::Attempt(W::OWNER, part.attempt));
+                        net.wheel
+                            .set(now.plus(part.wait), Timer::Attempt(W::OWNER, part.attempt));
                     }
                     match self.directory.address(server) {
                         Some(address) => self.pool.send(net, server, address, parts),
                         // A node that was listed without a usable address can't be reached.
                         None => parts.iter().for_each(|p| {
-                            self.core.ended(now, p.attempt, Outcome::ConnectFailed, None);
+                            self.core
+                                .ended(now, p.attempt, Outcome::ConnectFailed, None);
                         }),
                     }
                 }
@@ -107,7 +125,8 @@
                 Command::Recall(attempt) => self.recall(net, attempt),
                 Command::CloseIdle(server) => self.pool.close_idle(net, server),
                 Command::Reply(query, reply) => {
-                    self.sessions.answer(net, query, reply, &mut self.front, &mut self.core);
+                    self.sessions
+                        .answer(net, query, reply, &mut self.front, &mut self.core);
                 }
                 Command::Subscribe => self.subscribe = true,
                 Command::Log(text) => log(&self.named(&text)),
@@ -119,7 +138,8 @@
     /// Ends an attempt that has not left yet; one that has goes on as its class says.
     fn recall(&mut self, net: &mut Net, attempt: u64) {
         if self.pool.recall(net, attempt) {
-            self.core.ended(net.clock.now(), attempt, Outcome::Moot, None);
+            self.core
+                .ended(net.clock.now(), attempt, Outcome::Moot, None);
         }
     }
 
@@ -131,16 +151,21 @@
         lines.iter().for_each(|line| log(&self.named(line)));
     }
 
-    /// A log line in which the number of a server is followed by the name that discovery has for it.
+    /// A log line in which the number of a server is followed by the name that discovery has for
+    /// it.
     fn named(&self, line: &str) -> String {
-        let number = line.split("server ").nth(1).and_then(|rest| rest.split(' ').next()?.parse().ok());
+        let number = line
+            .split("server ")
+            .nth(1)
+            .and_then(|rest| rest.split(' ').next()?.parse().ok());
         match number {
             Some(number) => format!("{line} ({})", self.directory.name(ServerId(number))),
             None => line.to_string(),
         }
     }
 
-    /// Closes the connections to nodes that are gone; one that still carries calls ends when it falls idle.
+    /// Closes the connections to nodes that are gone; one that still carries calls ends when it
+    /// falls idle.
     pub(crate) fn leave_gone(&mut self, net: &mut Net) {
         for server in self.directory.take_gone() {
             self.pool.hold_back(server);
@@ -148,13 +173,16 @@
         }
     }
 
-    /// Takes in news of the list: the core gets it, and the pool is told of nodes that have just started.
+    /// Takes in news of the list: the core gets it, and the pool is told of nodes that have just
+    /// started.
     pub(crate) fn listed(&mut self, news: Listing) {
         if let Listing::Changes(lines) | Listing::Whole(lines) | Listing::Cached(lines) = &news {
             let warm_after = self.core.settings().cold.warm_after;
-            let (ready, ends): (Vec<_>, Vec<_>) =
-                lines.iter().partition(|line| matches!(line.mode, Mode::Ready | Mode::Leaving));
-            ends.into_iter().for_each(|line: &Listed| self.pool.hold_back(line.server));
+            let (ready, ends): (Vec<_>, Vec<_>) = lines
+                .iter()
+                .partition(|line| matches!(line.mode, Mode::Ready | Mode::Leaving));
+            ends.into_iter()
+                .for_each(|line: &Listed| self.pool.hold_back(line.server));
             let ready = ready.into_iter();
             let started = ready.filter_map(|line| Some((line.server, line.started?)));
             started.for_each(|(server, at)| self.pool.beware(server, at.plus(warm_after)));
--- a/src/upstream/frames.rs
+++ b/src/upstream/frames.rs
@@ -34,7 +34,11 @@
 }
 
 fn joined(shards: &[Shard]) -> String {
-    shards.iter().map(|s| s.0.to_string()).collect::<Vec<_>>().join("+")
+    shards
+        .iter()
+        .map(|s| s.0.to_string())
+        .collect::<Vec<_>>()
+        .join("+")
 }
 
 /// A frame that is whole.
@@ -50,7 +54,9 @@
 
 /// The next frame, if it is whole.
 fn next(bytes: &[u8]) -> Result<Option<Frame<'_>>, String> {
-    let Some(&[a, b, c, d]) = bytes.first_chunk() else { return Ok(None) };
+    let Some(&[a, b, c, d]) = bytes.first_chunk() else {
+        return Ok(None);
+    };
     let length = u32::from_be_bytes([a, b, c, d]) as usize;
     // Guards memory and the loop: a frame without its letter, or one that never ends.
     if length == 0 || length > LONGEST {
@@ -60,7 +66,9 @@
         Some(content) => (content, true),
         None => (&bytes[4..], false),
     };
-    let Some((&letter, rest)) = content.split_first() else { return Ok(None) };
+    let Some((&letter, rest)) = content.split_first() else {
+        return Ok(None);
+    };
     // What can be told from its beginning is not waited for: the rest may never come.
     if !LETTERS.contains(&letter) {
         return Err(format!("frame with the letter {letter}"));
@@ -69,14 +77,27 @@
     if letter == b'Y' && !line && (whole || rest.len() >= LINE) {
         return Err("answer without its line".into());
     }
-    Ok(whole.then_some(Frame { letter, rest, length: 4 + length }))
+    Ok(whole.then_some(Frame {
+        letter,
+        rest,
+        length: 4 + length,
+    }))
 }
 
 fn answer(rest: &[u8]) -> Result<Answer<String>, String> {
-    let at = rest.iter().position(|&b| b == b'\n').ok_or("answer without its line")?;
+    let at = rest
+        .iter()
+        .position(|&b| b == b'\n')
+        .ok_or("answer without its line")?;
     // The load report, the fourth word, is not read: whatever stands there, the answer is good.
-    let mut words = rest[..at].splitn(4, |&b| b == b' ').map(|w| std::str::from_utf8(w).unwrap_or_default());
-    let part = words.next().filter(|id| !id.is_empty()).ok_or("answer without an id")?.to_string();
+    let mut words = rest[..at]
+        .splitn(4, |&b| b == b' ')
+        .map(|w| std::str::from_utf8(w).unwrap_or_default());
+    let part = words
+        .next()
+        .filter(|id| !id.is_empty())
+        .ok_or("answer without an id")?
+        .to_string();
     let outcome = match words.next() {
         Some("OK") => Outcome::Ok,
         Some("ERROR") => Outcome::Error,
@@ -84,13 +105,33 @@
         other => return Err(format!("answer that ends {other:?}")),
     };
     if outcome != Outcome::Ok {
-        return Ok(Answer { part: Some(part), outcome, value: None, last: false });
+        return Ok(Answer {
+            part: Some(part),
+            outcome,
+            value: None,
+            last: false,
+        });
     }
-    let score = words.next().and_then(|w| w.parse().ok()).filter(|s: &f64| s.is_finite());
-    let (score, bytes) = (score.ok_or("answer without a score")?, rest[at + 1..].to_vec());
+    let score = words
+        .next()
+        .and_then(|w| w.parse().ok())
+        .filter(|s: &f64| s.is_finite());
+    let (score, bytes) = (
+        score.ok_or("answer without a score")?,
+        rest[at + 1..].to_vec(),
+    );
     // Guards clients: a value that is no text can't be passed on unchanged.
     std::str::from_utf8(&bytes).map_err(|_| "answer whose value is no text")?;
-    Ok(Answer { part: Some(part), outcome, value: Some(Value { score, bytes, offer: None }), last: false })
+    Ok(Answer {
+        part: Some(part),
+        outcome,
+        value: Some(Value {
+            score,
+            bytes,
+            offer: None,
+        }),
+        last: false,
+    })
 }
 
 impl Wire for Frames {
@@ -118,9 +159,15 @@
             let mut name = format!("{}.{}", job.id, part.shard.0);
             if let Some(first) = &part.first {
                 name += ".get";
-                list += &format!(",from={},whole={}", joined(&first.shards), u8::from(first.whole));
+                list += &format!(
+                    ",from={},whole={}",
+                    joined(&first.shards),
+                    u8::from(first.whole)
+                );
             }
-            rest.extend_from_slice(format!("{name} {} {list} {}\n", part.shard.0, job.text.len()).as_bytes());
+            rest.extend_from_slice(
+                format!("{name} {} {list} {}\n", part.shard.0, job.text.len()).as_bytes(),
+            );
             rest.extend_from_slice(job.text.as_bytes());
             names.push(name);
         }
@@ -141,12 +188,24 @@
         _: Option<&String>,
     ) -> Result<Option<Answer<String>>, String> {
         loop {
-            let Some(Frame { letter, rest, length }) = next(input.bytes())? else { return Ok(None) };
+            let Some(Frame {
+                letter,
+                rest,
+                length,
+            }) = next(input.bytes())?
+            else {
+                return Ok(None);
+            };
             let found = match letter {
                 b'Y' => Some(answer(rest)?),
                 // The answer to the greeting.
                 b'G' | b'T' => None,
-                _ => return Err(format!("it could not use a frame: {}", String::from_utf8_lossy(rest))),
+                _ => {
+                    return Err(format!(
+                        "it could not use a frame: {}",
+                        String::from_utf8_lossy(rest)
+                    ))
+                }
             };
             input.consume(length);
             if found.is_some() {
--- a/src/upstream/frames/tests.rs
+++ b/src/upstream/frames/tests.rs
@@ -6,7 +6,11 @@
 use std::rc::Rc;
 
 fn dispatch(shard: u32, key: Option<&str>, first: Option<FirstStep>) -> Dispatch<Job> {
-    let job = Job { id: "9b1f".into(), text: "c41e77d0".into(), key: key.map(Into::into) };
+    let job = Job {
+        id: "9b1f".into(),
+        text: "c41e77d0".into(),
+        key: key.map(Into::into),
+    };
     let (job, first) = (Rc::new(job), first.map(Rc::new));
     Dispatch {
         attempt: 1,
@@ -38,11 +42,20 @@
 #[test]
 fn calls_have_the_documented_form() {
     let both = [dispatch(3, Some("k7"), None), dispatch(4, None, None)];
-    assert_eq!(written(&both), "R9b1f.3 3 d=239,k=k7 8\nc41e77d09b1f.4 4 d=239 8\nc41e77d0");
-    let first = FirstStep { shards: vec![Shard(3), Shard(5), Shard(9)], whole: false };
+    assert_eq!(
+        written(&both),
+        "R9b1f.3 3 d=239,k=k7 8\nc41e77d09b1f.4 4 d=239 8\nc41e77d0"
+    );
+    let first = FirstStep {
+        shards: vec![Shard(3), Shard(5), Shard(9)],
+        whole: false,
+    };
     let second = written(&[dispatch(5, None, Some(first))]);
     assert_eq!(second, "R9b1f.5.get 5 d=239,from=3+5+9,whole=0 8\nc41e77d0");
-    assert_eq!(Frames.give_up(&"9b1f.3".to_string()).unwrap(), b"\x00\x00\x00\x07A9b1f.3");
+    assert_eq!(
+        Frames.give_up(&"9b1f.3".to_string()).unwrap(),
+        b"\x00\x00\x00\x07A9b1f.3"
+    );
 }
 
 #[test]
@@ -56,16 +69,26 @@
         seen.push((found.outcome, found.value));
         Some(bytes.len() - input.bytes().len())
     });
-    let value = Value { score: 1_840_277_719.0, bytes: b"5be2a07c".to_vec(), offer: None };
-    assert!(seen.contains(&(Outcome::Ok, Some(value))) && seen.contains(&(Outcome::Rejected, None)));
+    let value = Value {
+        score: 1_840_277_719.0,
+        bytes: b"5be2a07c".to_vec(),
+        offer: None,
+    };
+    assert!(
+        seen.contains(&(Outcome::Ok, Some(value))) && seen.contains(&(Outcome::Rejected, None))
+    );
 }
 
 #[test]
 fn garbage_and_complaints_end_the_connection_and_never_panic() {
     let answers = answers();
     // What bad data nodes send besides: a wrong end, a wrong letter, a wrong length, and 3 GB.
-    let spoilt: [&[u8]; 4] =
-        [b"\0\0\0\x0cYq.3 ? 1 -\nv", b"\0\0\0\x06\x01q.3 O", b"\0\0\0\x03Yq.3 OK 1 -\n", b"\xb2\xd0^\0Yq.3"];
+    let spoilt: [&[u8]; 4] = [
+        b"\0\0\0\x0cYq.3 ? 1 -\nv",
+        b"\0\0\0\x06\x01q.3 O",
+        b"\0\0\0\x03Yq.3 OK 1 -\n",
+        b"\xb2\xd0^\0Yq.3",
+    ];
     let messages = [&[&answers[0][..], &answers[1]], &spoilt[..]].concat();
     garbage(&messages, |bytes| {
         let mut input = Buffer::default();
@@ -101,7 +124,11 @@
     for report in [&b"-"[..], b"{ 1, \xff \0 }", b""] {
         let mut bytes = Vec::new();
         frame(b'Y', &[b"q.3 OK 1 ", report, b"\nv"].concat(), &mut bytes);
-        let value = Some(Value { score: 1.0, bytes: b"v".to_vec(), offer: None });
+        let value = Some(Value {
+            score: 1.0,
+            bytes: b"v".to_vec(),
+            offer: None,
+        });
         assert_eq!(read(&bytes).unwrap().unwrap().value, value, "{report:?}");
     }
 }
--- a/src/upstream/link.rs
+++ b/src/upstream/link.rs
@@ -1,4 +1,5 @@
-//! One connection to a data node: its calls, from where they wait until they are answered or given up.
+//! One connection to a data node: its calls, from where they wait until they are answered or given
+//! up.
 
 use super::Wire;
 use crate::core::Dispatch;
@@ -36,16 +37,18 @@
 pub(super) struct Link<W: Wire> {
     pub(super) server: ServerId,
     pub(super) address: SocketAddr,
-    /// Calls that wait for the connection to come up or to take more. Their bytes are made only then: a part that is
-    /// given up before never leaves, whatever else its call holds.
+    /// Calls that wait for the connection to come up or to take more. Their bytes are made only
+    /// then: a part that is given up before never leaves, whatever else its call holds.
     pub(super) waiting: VecDeque<Vec<Dispatch<W::Job>>>,
     pub(super) calls: Vec<Call<W::Name>>,
     pub(super) greeting: Greeting,
-    /// The last parts that were given up or answered: what still comes for them is late, not spoilt.
+    /// The last parts that were given up or answered: what still comes for them is late, not
+    /// spoilt.
     pub(super) settled: VecDeque<W::Name>,
     /// When an answer began that is not whole yet.
     pub(super) begun: Option<Time>,
-    /// Nothing has come on it for long though a part was out: it may be dead, and gets nothing new until it speaks.
+    /// Nothing has come on it for long though a part was out: it may be dead, and gets nothing new
+    /// until it speaks.
     pub(super) mute: bool,
     /// While it was mute another connection to the node has spoken, first at this time.
     pub(super) outdone: Option<Time>,
@@ -59,16 +62,24 @@
     /// How long nothing has come on it while a part or its greeting was out.
     pub(super) fn quiet(&self, heard: Time, now: Time) -> Micros {
         let greets = (self.greeting == Greeting::Sent).then_some(heard);
-        let since = self.calls.first().map(|oldest| oldest.sent.max(heard)).or(greets);
+        let since = self
+            .calls
+            .first()
+            .map(|oldest| oldest.sent.max(heard))
+            .or(greets);
         since.map_or(0, |since| now.since(since))
     }
 
-    /// Takes a part out of the books, as `None` the oldest, and tells its attempt and when it was sent.
+    /// Takes a part out of the books, as `None` the oldest, and tells its attempt and when it was
+    /// sent.
     pub(super) fn settle(&mut self, part: Option<&W::Name>) -> Option<(u64, Time)> {
         let is_it = |p: &Out<W::Name>| part.is_none_or(|part| *part == p.part);
         let at = self.calls.iter().position(|c| c.parts.iter().any(is_it))?;
         let call = &mut self.calls[at];
-        let (out, sent) = (call.parts.remove(call.parts.iter().position(is_it)?), call.sent);
+        let (out, sent) = (
+            call.parts.remove(call.parts.iter().position(is_it)?),
+            call.sent,
+        );
         if call.parts.is_empty() {
             self.calls.remove(at);
         }
@@ -79,7 +90,9 @@
     /// Takes a part out that has not left yet; `false`: it has, or is not here.
     pub(super) fn keep_home(&mut self, attempt: u64) -> bool {
         let holds = |call: &Vec<Dispatch<W::Job>>| call.iter().any(|p| p.attempt == attempt);
-        let Some(at) = self.waiting.iter().position(holds) else { return false };
+        let Some(at) = self.waiting.iter().position(holds) else {
+            return false;
+        };
         self.waiting[at].retain(|p| p.attempt != attempt);
         if self.waiting[at].is_empty() {
             self.waiting.remove(at);
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -1,6 +1,7 @@
 //! Data nodes: connections to them, and the wires that they speak.
 //!
-//! A [`Pool`] carries calls on connections, as many on each as allowed; a [`Wire`] writes calls and reads answers.
+//! A [`Pool`] carries calls on connections, as many on each as allowed; a [`Wire`] writes calls and
+//! reads answers.
 
 pub mod frames;
 mod link;
@@ -44,15 +45,20 @@
     const CEILING: usize;
     /// An answer that has begun is whole after this long, or never.
     const STALL: Micros;
-    /// What a new connection to a node that may stand still begins with, where the node answers that; no call is
-    /// written before it has.
+    /// What a new connection to a node that may stand still begins with, where the node answers
+    /// that; no call is written before it has.
     fn greeting(&self) -> Option<Vec<u8>>;
     /// Writes a call and tells the names of its parts.
-    fn call(&self, parts: &[Dispatch<Self::Job>], host: SocketAddr, out: &mut Vec<u8>) -> Vec<Self::Name>;
+    fn call(
+        &self,
+        parts: &[Dispatch<Self::Job>],
+        host: SocketAddr,
+        out: &mut Vec<u8>,
+    ) -> Vec<Self::Name>;
     /// What tells the node that a part is given up; `None`: only the end of the connection does.
     fn give_up(&self, part: &Self::Name) -> Option<Vec<u8>>;
-    /// Reads the next answer, if it is whole; `oldest` is the part that has been out for longest. An error is a
-    /// spoilt answer, and the connection's end.
+    /// Reads the next answer, if it is whole; `oldest` is the part that has been out for longest.
+    /// An error is a spoilt answer, and the connection's end.
     fn answer(
         &self,
         input: &mut Buffer,
@@ -99,17 +105,20 @@
     pub idle: Micros,
 }
 
-/// A connection on which nothing comes for this many usual answer times though a part is out, within these bounds,
-/// is taken for mute; each one that is mute already doubles that for the others to the same node.
+/// A connection on which nothing comes for this many usual answer times though a part is out,
+/// within these bounds, is taken for mute; each one that is mute already doubles that for the
+/// others to the same node.
 const MUTE: f64 = 8.0;
 const MUTE_LEAST: Micros = 50_000;
 const MUTE_MOST: Micros = 1_000_000;
 /// How fast the usual answer time is learnt.
 const USUAL_PACE: f64 = 0.02;
-/// A call that finds no descriptor waits for one for so long: well under half of any aim, after which the module
-/// would take its silence for the node's. Its parts are then told as never sent, and the module may choose anew.
+/// A call that finds no descriptor waits for one for so long: well under half of any aim, after
+/// which the module would take its silence for the node's. Its parts are then told as never sent,
+/// and the module may choose anew.
 const PARKED: Micros = 50_000;
-/// After a connection was left or broke under a part, new ones to that node are greeted for so long.
+/// After a connection was left or broke under a part, new ones to that node are greeted for so
+/// long.
 const WARY: Micros = 10_000_000;
 /// Lines that calls had to wait for a descriptor come this long apart at least.
 const TOLD: Micros = 5_000_000;
@@ -162,29 +171,41 @@
         }
     }
 
-    /// New connections to this node are greeted until then: it has just started, or connections to it broke. A greeting
-    /// is work for the node and, where each of many brokers opens many connections, a good part of all its work.
+    /// New connections to this node are greeted until then: it has just started, or connections to
+    /// it broke. A greeting is work for the node and, where each of many brokers opens many
+    /// connections, a good part of all its work.
     pub fn beware(&mut self, server: ServerId, until: Time) {
         let at = self.wary.entry(server).or_insert(until);
         *at = until.max(*at);
     }
 
-    /// This node drains or is gone: what still waits to leave for it is ended as never sent, so that the module may choose
-    /// anew. Guards the rule on drains: a connection, a greeting or a descriptor may be waited for, for longer than it allows.
+    /// This node drains or is gone: what still waits to leave for it is ended as never sent, so
+    /// that the module may choose anew. Guards the rule on drains: a connection, a greeting or a
+    /// descriptor may be waited for, for longer than it allows.
     pub fn hold_back(&mut self, server: ServerId) {
         let mut held = Vec::new();
         for id in self.by_server.get(&server).into_iter().flatten() {
-            held.extend(self.links.get_mut(id).into_iter().flat_map(|l| l.waiting.drain(..)).flatten());
+            held.extend(
+                self.links
+                    .get_mut(id)
+                    .into_iter()
+                    .flat_map(|l| l.waiting.drain(..))
+                    .flatten(),
+            );
         }
-        let (here, others) = std::mem::take(&mut self.parked).into_iter().partition(|c| c.server == server);
+        let (here, others) = std::mem::take(&mut self.parked)
+            .into_iter()
+            .partition(|c| c.server == server);
         self.parked = others;
         let here: VecDeque<Parked<W::Job>> = here;
         held.extend(here.into_iter().flat_map(|call| call.parts));
-        held.iter().for_each(|p| _ = self.attempts.remove(&p.attempt));
+        held.iter()
+            .for_each(|p| _ = self.attempts.remove(&p.attempt));
         self.end_parts(&held, Outcome::Moot);
     }
 
-    /// Forgets what is known of a node that is gone, and closes the connections to it that carry nothing.
+    /// Forgets what is known of a node that is gone, and closes the connections to it that carry
+    /// nothing.
     pub fn leave(&mut self, net: &mut Net, server: ServerId) {
         self.wary.remove(&server);
         self.close_idle(net, server);
@@ -192,7 +213,10 @@
 
     /// Ends of attempts and log lines since the last time.
     pub fn take_ended(&mut self) -> (Vec<Ended>, Vec<String>) {
-        (std::mem::take(&mut self.ended), std::mem::take(&mut self.log))
+        (
+            std::mem::take(&mut self.ended),
+            std::mem::take(&mut self.log),
+        )
     }
 
     /// How many parts of each class were written whole to data nodes since the last time.
@@ -203,16 +227,26 @@
     /// Counts the calls whose last byte has been written.
     fn count_written(&mut self, net: &Net, id: ConnId) {
         let written = net.get(id).map_or(0, crate::net::Conn::written);
-        let Some(link) = self.links.get_mut(&id) else { return };
+        let Some(link) = self.links.get_mut(&id) else {
+            return;
+        };
         // They are written in order: those not counted yet are the last ones.
-        for call in link.calls.iter_mut().rev().take_while(|c| !c.unwritten.is_empty()) {
+        for call in link
+            .calls
+            .iter_mut()
+            .rev()
+            .take_while(|c| !c.unwritten.is_empty())
+        {
             if call.end <= written {
-                call.unwritten.drain(..).for_each(|class| *self.written.entry(class).or_default() += 1);
+                call.unwritten
+                    .drain(..)
+                    .for_each(|class| *self.written.entry(class).or_default() += 1);
             }
         }
     }
 
-    /// Idle connections are closed after this long: before the node does it, so that no call crosses its end.
+    /// Idle connections are closed after this long: before the node does it, so that no call
+    /// crosses its end.
     fn idle(&self) -> Micros {
         self.limits.idle / 5 * 4
     }
@@ -229,7 +263,9 @@
 
     /// A connection's timer: it should be up by now, or may have been idle for too long.
     pub fn timer(&mut self, net: &mut Net, id: ConnId) {
-        let (Some(conn), Some(link)) = (net.get(id), self.links.get(&id)) else { return };
+        let (Some(conn), Some(link)) = (net.get(id), self.links.get(&id)) else {
+            return;
+        };
         let (now, idle) = (net.clock.now(), self.idle());
         if !conn.up || link.idle() && now.since(conn.used) >= idle {
             return self.broken(net, id);
@@ -238,20 +274,35 @@
         net.wheel.set(next, Timer::Conn(id));
     }
 
-    /// Ends a connection. A call whose last byte was written may have run: it was reset; others never left.
+    /// Ends a connection. A call whose last byte was written may have run: it was reset; others
+    /// never left.
     fn broken(&mut self, net: &mut Net, id: ConnId) {
         let written = net.get(id).map_or(0, crate::net::Conn::written);
-        let Some(link) = self.links.get_mut(&id) else { return net.close(id) };
+        let Some(link) = self.links.get_mut(&id) else {
+            return net.close(id);
+        };
         let (server, carried) = (link.server, !link.idle() || link.mute);
         for attempt in link.waiting.drain(..).flatten().map(|p| p.attempt) {
             self.attempts.remove(&attempt);
-            self.ended.push(Ended { attempt, outcome: Outcome::ConnectFailed, value: None });
+            self.ended.push(Ended {
+                attempt,
+                outcome: Outcome::ConnectFailed,
+                value: None,
+            });
         }
         for call in link.calls.drain(..) {
-            let outcome = if call.end <= written { Outcome::Reset } else { Outcome::ConnectFailed };
+            let outcome = if call.end <= written {
+                Outcome::Reset
+            } else {
+                Outcome::ConnectFailed
+            };
             for part in call.parts {
                 self.attempts.remove(&part.attempt);
-                self.ended.push(Ended { attempt: part.attempt, outcome, value: None });
+                self.ended.push(Ended {
+                    attempt: part.attempt,
+                    outcome,
+                    value: None,
+                });
             }
         }
         if carried {
--- a/src/upstream/ogc.rs
+++ b/src/upstream/ogc.rs
@@ -1,4 +1,5 @@
-//! The wire to data nodes that speak OGC API Features: one GET for each part, one at a time on a connection.
+//! The wire to data nodes that speak OGC API Features: one GET for each part, one at a time on a
+//! connection.
 
 use super::{Answer, Wire};
 use crate::core::{Dispatch, Offer, Value};
@@ -43,8 +44,8 @@
     Items(usize),
     /// A feature, or none.
     Item,
-    /// A feature collection with the first so many features in this order, from this data node; `all`: it can't sort,
-    /// and sends all that it has.
+    /// A feature collection with the first so many features in this order, from this data node;
+    /// `all`: it can't sort, and sends all that it has.
     Sorted {
         /// The order.
         sort: Rc<Sort>,
@@ -108,7 +109,10 @@
 /// What a feature is sorted by.
 fn key(feature: &RawValue, property: &str) -> Key {
     let read: Option<Sortable> = serde_json::from_str(feature.get()).ok();
-    match read.and_then(|f| f.properties).and_then(|mut p| p.remove(property)) {
+    match read
+        .and_then(|f| f.properties)
+        .and_then(|mut p| p.remove(property))
+    {
         Some(Json::Number(n)) => Key::Number(n.as_f64().unwrap_or(f64::NAN)),
         Some(Json::String(text)) => Key::Text(text),
         Some(Json::Bool(flag)) => Key::Number(f64::from(u8::from(flag))),
@@ -123,29 +127,53 @@
     features: Vec<&'a RawValue>,
 }
 
-/// The value of a part of a sorted answer, with the keys of its features; `None`: it is not what was asked for.
+/// The value of a part of a sorted answer, with the keys of its features; `None`: it is not what
+/// was asked for.
 fn sorted(body: Vec<u8>, sort: &Sort, most: usize, all: bool) -> Option<Value> {
     let list = List::read(&body).filter(|list| !list.cut_short(if all { ALL } else { most }))?;
     if !all {
-        let keys: Vec<Key> = list.features.iter().map(|f| key(f, &sort.property)).collect();
+        let keys: Vec<Key> = list
+            .features
+            .iter()
+            .map(|f| key(f, &sort.property))
+            .collect();
         // A list that stops short of what was asked for, and tells of no more, is all there is.
         let known = (keys.len() < most).then_some(keys.len() as u64);
         let matched = list.matched.or(known);
-        return Some(Value { score: 0.0, bytes: body, offer: Some(Offer { keys, matched }) });
+        return Some(Value {
+            score: 0.0,
+            bytes: body,
+            offer: Some(Offer { keys, matched }),
+        });
     }
-    let more = list.links.iter().any(|l| l.rel == "next") || list.matched.is_some_and(|n| n > ALL as u64);
+    let more =
+        list.links.iter().any(|l| l.rel == "next") || list.matched.is_some_and(|n| n > ALL as u64);
     if more || list.features.len() > ALL {
         return None;
     }
-    let mut found: Vec<(Key, &RawValue)> =
-        list.features.iter().map(|f| (key(f, &sort.property), *f)).collect();
-    found.sort_by(|a, b| a.0.compare(&b.0, sort.way).unwrap_or(std::cmp::Ordering::Equal));
+    let mut found: Vec<(Key, &RawValue)> = list
+        .features
+        .iter()
+        .map(|f| (key(f, &sort.property), *f))
+        .collect();
+    found.sort_by(|a, b| {
+        a.0.compare(&b.0, sort.way)
+            .unwrap_or(std::cmp::Ordering::Equal)
+    });
     // All that can be wanted is here: nothing has to be asked again.
     found.truncate(sort.most);
     let matched = Some(found.len() as u64);
     let (keys, features) = found.into_iter().unzip();
-    let bytes = serde_json::to_vec(&Written { r#type: "FeatureCollection", features }).ok()?;
-    Some(Value { score: 0.0, bytes, offer: Some(Offer { keys, matched }) })
+    let bytes = serde_json::to_vec(&Written {
+        r#type: "FeatureCollection",
+        features,
+    })
+    .ok()?;
+    Some(Value {
+        score: 0.0,
+        bytes,
+        offer: Some(Offer { keys, matched }),
+    })
 }
 
 /// What tells one feature from another.
@@ -162,14 +190,17 @@
     /// Reads a feature collection; `None`: it is none.
     #[must_use]
     pub fn read(body: &'a [u8]) -> Option<List<'a>> {
-        serde_json::from_slice(body).ok().filter(|list: &List<'_>| list.kind == "FeatureCollection")
+        serde_json::from_slice(body)
+            .ok()
+            .filter(|list: &List<'_>| list.kind == "FeatureCollection")
     }
 
-    /// Whether it stops short of what was asked for though there is more: then it is not the part's answer.
+    /// Whether it stops short of what was asked for though there is more: then it is not the part's
+    /// answer.
     fn cut_short(&self, most: usize) -> bool {
         let count = self.features.len();
-        let more =
-            self.links.iter().any(|l| l.rel == "next") || self.matched.is_some_and(|n| n > count as u64);
+        let more = self.links.iter().any(|l| l.rel == "next")
+            || self.matched.is_some_and(|n| n > count as u64);
         count < most && more
     }
 }
@@ -185,10 +216,18 @@
 }
 
 fn judge(response: Response, ask: &Ask) -> (Outcome, Option<Value>) {
-    let value = |bytes| Some(Value { score: 0.0, bytes, offer: None });
+    let value = |bytes| {
+        Some(Value {
+            score: 0.0,
+            bytes,
+            offer: None,
+        })
+    };
     match response.status {
         200 => match ask {
-            Ask::Sorted { sort, most, all, .. } => match sorted(response.body, sort, *most, *all) {
+            Ask::Sorted {
+                sort, most, all, ..
+            } => match sorted(response.body, sort, *most, *all) {
                 Some(value) => (Outcome::Ok, Some(value)),
                 None => (Outcome::Error, None),
             },
@@ -204,19 +243,39 @@
 }
 
 impl Features {
-    /// What a part asks a data node for: of a sorted answer the best alone at first, then as many as can matter.
+    /// What a part asks a data node for: of a sorted answer the best alone at first, then as many
+    /// as can matter.
     fn asked(&self, part: &Dispatch<Job>, host: SocketAddr) -> Ask {
-        let Ask::Sorted { sort, .. } = &part.job.ask else { return part.job.ask.clone() };
+        let Ask::Sorted { sort, .. } = &part.job.ask else {
+            return part.job.ask.clone();
+        };
         let first = part.first.is_none();
-        let most = if first { 1 } else { part.most.unwrap_or(sort.most) };
+        let most = if first {
+            1
+        } else {
+            part.most.unwrap_or(sort.most)
+        };
         let all = self.unsorted.borrow().contains(&host);
-        Ask::Sorted { sort: sort.clone(), most, node: Some(host), all }
+        Ask::Sorted {
+            sort: sort.clone(),
+            most,
+            node: Some(host),
+            all,
+        }
     }
 
-    /// A data node that refuses the order as such is asked for all from then on. The part goes elsewhere, or there
-    /// again, as any that ended with an error.
+    /// A data node that refuses the order as such is asked for all from then on. The part goes
+    /// elsewhere, or there again, as any that ended with an error.
     fn remember(&self, status: u16, ask: &Ask) {
-        if let (400 | 501, Ask::Sorted { node: Some(node), all: false, .. }) = (status, ask) {
+        if let (
+            400 | 501,
+            Ask::Sorted {
+                node: Some(node),
+                all: false,
+                ..
+            },
+        ) = (status, ask)
+        {
             let mut unsorted = self.unsorted.borrow_mut();
             // Guards memory; what is forgotten is learnt again by one refusal.
             if unsorted.len() >= UNSORTED {
@@ -241,7 +300,11 @@
 
     fn call(&self, parts: &[Dispatch<Job>], host: SocketAddr, out: &mut Vec<u8>) -> Vec<Ask> {
         let mut write = |part: &Dispatch<Job>| {
-            let target = part.job.targets.get(&part.shard.0).map_or("/", String::as_str);
+            let target = part
+                .job
+                .targets
+                .get(&part.shard.0)
+                .map_or("/", String::as_str);
             let ask = self.asked(part, host);
             let order = match &ask {
                 Ask::Sorted { all: true, .. } => format!("&limit={ALL}"),
@@ -282,7 +345,12 @@
                         let last = !response.keep_alive;
                         self.remember(response.status, ask);
                         let (outcome, value) = judge(response, ask);
-                        return Ok(Some(Answer { part: None, outcome, value, last }));
+                        return Ok(Some(Answer {
+                            part: None,
+                            outcome,
+                            value,
+                            last,
+                        }));
                     }
                 }
                 Ok(Parsed::Partial(_)) => return Ok(None),
--- a/src/upstream/ogc/tests.rs
+++ b/src/upstream/ogc/tests.rs
@@ -6,7 +6,9 @@
 fn answered(bytes: &[u8], ask: Ask) -> Option<(Outcome, usize)> {
     let mut input = Buffer::default();
     input.push(bytes);
-    let found = Features::default().answer(&mut input, false, Some(&ask)).ok()??;
+    let found = Features::default()
+        .answer(&mut input, false, Some(&ask))
+        .ok()??;
     Some((found.outcome, bytes.len() - input.bytes().len()))
 }
 
@@ -35,24 +37,40 @@
     ] {
         let bytes = reply(status, body);
         let told = format!("{status} {body} {ask:?}");
-        assert_eq!(answered(&bytes, ask), Some((outcome, bytes.len())), "{told}");
+        assert_eq!(
+            answered(&bytes, ask),
+            Some((outcome, bytes.len())),
+            "{told}"
+        );
     }
 }
 
 #[test]
 fn answers_are_read_however_they_are_cut_and_garbage_never_panics() {
-    let (list, none) = (reply(200, r#"{"type":"FeatureCollection","features":[]}"#), reply(500, ""));
-    random_cuts(&[&list, &none], |bytes| answered(bytes, Ask::Items(5)).map(|a| a.1));
+    let (list, none) = (
+        reply(200, r#"{"type":"FeatureCollection","features":[]}"#),
+        reply(500, ""),
+    );
+    random_cuts(&[&list, &none], |bytes| {
+        answered(bytes, Ask::Items(5)).map(|a| a.1)
+    });
     garbage(&[&list, &none], |bytes| {
         answered(bytes, Ask::Item);
     });
     let mut input = Buffer::default();
     input.push(&list);
-    assert!(Features::default().answer(&mut input, false, None).is_err(), "nobody asked");
+    assert!(
+        Features::default().answer(&mut input, false, None).is_err(),
+        "nobody asked"
+    );
 }
 
 fn sort(most: usize) -> Sort {
-    Sort { property: "battery".into(), way: Way::Down, most }
+    Sort {
+        property: "battery".into(),
+        way: Way::Down,
+        most,
+    }
 }
 
 #[test]
@@ -60,24 +78,55 @@
     let body = r#"{"type":"FeatureCollection","features":[
             {"type":"Feature","id":1,"properties":{"battery":7}},{"type":"Feature","id":2,"properties":null},
             {"type":"Feature","id":3,"properties":{"battery":9.5}}]}"#;
-    let as_is = sorted(body.into(), &sort(9), 3, false).unwrap().offer.unwrap();
-    assert_eq!(as_is.keys, [Key::Number(7.0), Key::Missing, Key::Number(9.5)]);
+    let as_is = sorted(body.into(), &sort(9), 3, false)
+        .unwrap()
+        .offer
+        .unwrap();
+    assert_eq!(
+        as_is.keys,
+        [Key::Number(7.0), Key::Missing, Key::Number(9.5)]
+    );
     assert_eq!(as_is.matched, None, "it gave as many as were asked for");
-    assert_eq!(sorted(body.into(), &sort(9), 4, false).unwrap().offer.unwrap().matched, Some(3));
+    assert_eq!(
+        sorted(body.into(), &sort(9), 4, false)
+            .unwrap()
+            .offer
+            .unwrap()
+            .matched,
+        Some(3)
+    );
     let here = sorted(body.into(), &sort(2), 1, true).unwrap();
     let text = String::from_utf8(here.bytes).unwrap();
-    assert!(text.find("\"id\":3") < text.find("\"id\":1") && !text.contains("\"id\":2"), "{text}");
-    assert_eq!(here.offer.unwrap().matched, Some(2), "all that can be wanted is here");
+    assert!(
+        text.find("\"id\":3") < text.find("\"id\":1") && !text.contains("\"id\":2"),
+        "{text}"
+    );
+    assert_eq!(
+        here.offer.unwrap().matched,
+        Some(2),
+        "all that can be wanted is here"
+    );
     let more = body.replace("]}", r#"],"numberMatched":10001}"#);
-    assert!(sorted(more.into(), &sort(2), 1, true).is_none(), "too many to be sorted here");
+    assert!(
+        sorted(more.into(), &sort(2), 1, true).is_none(),
+        "too many to be sorted here"
+    );
 }
 
 #[test]
 fn a_data_node_that_refuses_the_order_is_asked_for_all_from_then_on() {
     let wire = Features::default();
     let host = SocketAddr::from(([127, 0, 0, 1], 9));
-    let ask = Ask::Sorted { sort: Rc::new(sort(5)), most: 5, node: None, all: false };
-    let job = Rc::new(Job { targets: [(0, "/c/items?bbox=0".to_string())].into(), ask });
+    let ask = Ask::Sorted {
+        sort: Rc::new(sort(5)),
+        most: 5,
+        node: None,
+        all: false,
+    };
+    let job = Rc::new(Job {
+        targets: [(0, "/c/items?bbox=0".to_string())].into(),
+        ask,
+    });
     let part = Dispatch {
         attempt: 1,
         job,
@@ -93,7 +142,10 @@
     assert!(out.starts_with(b"GET /c/items?bbox=0&sortby=-battery&limit=1 HTTP/1.1"));
     let mut input = Buffer::default();
     input.push(&reply(400, "{}"));
-    let answer = wire.answer(&mut input, false, names.first()).unwrap().unwrap();
+    let answer = wire
+        .answer(&mut input, false, names.first())
+        .unwrap()
+        .unwrap();
     assert_eq!(answer.outcome, Outcome::Error);
     out.clear();
     wire.call(&[part], host, &mut out);
--- a/src/upstream/receiving.rs
+++ b/src/upstream/receiving.rs
@@ -6,11 +6,17 @@
 use crate::net::{ConnId, Net, Pumped, Timer};
 
 impl<W: Wire> Pool<W> {
-    /// Notes which connections to a node are mute. Guards against those that fall silent: what is written to them is
-    /// answered by nobody, however well the node is.
+    /// Notes which connections to a node are mute. Guards against those that fall silent: what is
+    /// written to them is answered by nobody, however well the node is.
     pub(super) fn listen(&mut self, net: &Net, server: ServerId) {
-        let (now, known) = (net.clock.now(), self.by_server.get(&server).map_or(&[][..], Vec::as_slice));
-        let mute = known.iter().filter(|id| self.links.get(id).is_some_and(|l| l.mute)).count();
+        let (now, known) = (
+            net.clock.now(),
+            self.by_server.get(&server).map_or(&[][..], Vec::as_slice),
+        );
+        let mute = known
+            .iter()
+            .filter(|id| self.links.get(id).is_some_and(|l| l.mute))
+            .count();
         let usual = (self.usual.or(0.0) * MUTE) as Micros;
         let most = usual.clamp(MUTE_LEAST, MUTE_MOST) << mute.min(4);
         for id in known {
@@ -20,24 +26,37 @@
         }
     }
 
-    /// Something came on a connection: it is not mute. Others to the same node that stay mute for a while after that
-    /// are dead; closing them gives up what is out there, so that it is tried again before it is late.
+    /// Something came on a connection: it is not mute. Others to the same node that stay mute for a
+    /// while after that are dead; closing them gives up what is out there, so that it is tried
+    /// again before it is late.
     pub(super) fn spoke(&mut self, net: &mut Net, id: ConnId) {
-        let (now, Some(link)) = (net.clock.now(), self.links.get_mut(&id)) else { return };
+        let (now, Some(link)) = (net.clock.now(), self.links.get_mut(&id)) else {
+            return;
+        };
         (link.mute, link.outdone, link.greeting) = (false, None, Greeting::Done);
         let server = link.server;
-        if self.by_server.get(&server).is_none_or(|known| known.len() < 2) {
+        if self
+            .by_server
+            .get(&server)
+            .is_none_or(|known| known.len() < 2)
+        {
             return;
         }
         self.listen(net, server);
         for id in self.by_server.get(&server).cloned().unwrap_or_default() {
-            let Some(link) = self.links.get_mut(&id).filter(|l| l.mute) else { continue };
+            let Some(link) = self.links.get_mut(&id).filter(|l| l.mute) else {
+                continue;
+            };
             if now.since(*link.outdone.get_or_insert(now)) < MUTE_LEAST {
                 continue;
             }
             for out in link.calls.drain(..).flat_map(|c| c.parts) {
                 self.attempts.remove(&out.attempt);
-                self.ended.push(Ended { attempt: out.attempt, outcome: Outcome::Cancelled, value: None });
+                self.ended.push(Ended {
+                    attempt: out.attempt,
+                    outcome: Outcome::Cancelled,
+                    value: None,
+                });
             }
             self.broken(net, id);
         }
@@ -52,7 +71,9 @@
         let pumped = net.pump(id, W::CEILING);
         self.count_written(net, id);
         let read = self.read(net, id);
-        let done = net.get(id).is_none_or(|c| c.ended || c.input.bytes().len() >= W::CEILING);
+        let done = net
+            .get(id)
+            .is_none_or(|c| c.ended || c.input.bytes().len() >= W::CEILING);
         if up && net.get(id).is_some_and(|c| c.heard >= now) {
             self.spoke(net, id);
         }
@@ -68,9 +89,12 @@
 
     /// Notes whether an answer has begun that is not whole.
     pub(super) fn begun(&mut self, net: &mut Net, id: ConnId) {
-        let (now, Some(link)) = (net.clock.now(), self.links.get_mut(&id)) else { return };
+        let (now, Some(link)) = (net.clock.now(), self.links.get_mut(&id)) else {
+            return;
+        };
         match net.get(id).is_some_and(|c| !c.input.is_empty()) {
-            // Guards the next call: noise behind a good answer would be read as the beginning of its answer.
+            // Guards the next call: noise behind a good answer would be read as the beginning of
+            // its answer.
             true if link.calls.is_empty() => self.broken(net, id),
             true if link.begun.is_none() => {
                 link.begun = Some(now);
@@ -81,15 +105,25 @@
         }
     }
 
-    /// Ends a connection that brought what can't be an answer. It was one to a part that was out, which may have
-    /// run; if only one is out, to that. Behind a good answer, with nothing out, it spoils nothing.
+    /// Ends a connection that brought what can't be an answer. It was one to a part that was out,
+    /// which may have run; if only one is out, to that. Behind a good answer, with nothing out, it
+    /// spoils nothing.
     pub(super) fn spoilt(&mut self, net: &mut Net, id: ConnId, why: &str) {
-        let Some(link) = self.links.get_mut(&id) else { return };
-        self.log.push(format!("connection to server {} closed: {why}", link.server.0));
+        let Some(link) = self.links.get_mut(&id) else {
+            return;
+        };
+        self.log.push(format!(
+            "connection to server {} closed: {why}",
+            link.server.0
+        ));
         if link.calls.iter().map(|c| c.parts.len()).sum::<usize>() == 1 {
             if let Some((attempt, _)) = link.settle(None) {
                 self.attempts.remove(&attempt);
-                self.ended.push(Ended { attempt, outcome: Outcome::Error, value: None });
+                self.ended.push(Ended {
+                    attempt,
+                    outcome: Outcome::Error,
+                    value: None,
+                });
             }
         }
         self.broken(net, id);
@@ -99,17 +133,31 @@
     pub(super) fn read(&mut self, net: &mut Net, id: ConnId) -> Result<bool, String> {
         let now = net.clock.now();
         loop {
-            let Some(conn) = net.get_mut(id) else { return Ok(true) };
+            let Some(conn) = net.get_mut(id) else {
+                return Ok(true);
+            };
             let ended = conn.ended;
-            let Some(link) = self.links.get_mut(&id) else { return Ok(true) };
-            let oldest = link.calls.first().and_then(|c| c.parts.first()).map(|p| &p.part);
-            let Some(answer) = self.wire.answer(&mut conn.input, ended, oldest)? else { return Ok(false) };
+            let Some(link) = self.links.get_mut(&id) else {
+                return Ok(true);
+            };
+            let oldest = link
+                .calls
+                .first()
+                .and_then(|c| c.parts.first())
+                .map(|p| &p.part);
+            let Some(answer) = self.wire.answer(&mut conn.input, ended, oldest)? else {
+                return Ok(false);
+            };
             link.begun = None;
             match (link.settle(answer.part.as_ref()), answer.part) {
                 (Some((attempt, sent)), _) => {
                     self.usual.add(now.since(sent) as f64, USUAL_PACE);
                     self.attempts.remove(&attempt);
-                    self.ended.push(Ended { attempt, outcome: answer.outcome, value: answer.value });
+                    self.ended.push(Ended {
+                        attempt,
+                        outcome: answer.outcome,
+                        value: answer.value,
+                    });
                 }
                 // Guards the part that it was meant for, which would be waited for in vain.
                 (None, Some(part)) if !link.settled.contains(&part) => {
@@ -124,8 +172,8 @@
         }
     }
 
-    /// An answer that had begun should be whole. Guards the parts that are out on its connection: what claims more
-    /// than it brings would take their answers in.
+    /// An answer that had begun should be whole. Guards the parts that are out on its connection:
+    /// what claims more than it brings would take their answers in.
     pub fn stalled(&mut self, net: &mut Net, id: ConnId) {
         let now = net.clock.now();
         let begun = self.links.get(&id).and_then(|l| l.begun);
--- a/src/upstream/sending.rs
+++ b/src/upstream/sending.rs
@@ -19,8 +19,14 @@
         parts: Vec<Dispatch<W::Job>>,
     ) {
         let since = net.clock.now();
-        let call = Parked { server, address, parts, since };
-        // Those that wait already go first, but only a call that needs a new connection waits behind them.
+        let call = Parked {
+            server,
+            address,
+            parts,
+            since,
+        };
+        // Those that wait already go first, but only a call that needs a new connection waits
+        // behind them.
         if let Err(call) = self.place(net, call) {
             self.short(net, since);
             net.wheel.set(since.plus(PARKED), Timer::Parked(W::OWNER));
@@ -28,13 +34,20 @@
         }
     }
 
-    /// Gives a call to a connection, or ends it if its node takes none; the call again if it needs a descriptor and
-    /// there is none.
-    pub(super) fn place(&mut self, net: &mut Net, call: Parked<W::Job>) -> Result<(), Parked<W::Job>> {
+    /// Gives a call to a connection, or ends it if its node takes none; the call again if it needs
+    /// a descriptor and there is none.
+    pub(super) fn place(
+        &mut self,
+        net: &mut Net,
+        call: Parked<W::Job>,
+    ) -> Result<(), Parked<W::Job>> {
         match self.room(net, call.server, call.address) {
             Ok(id) => {
-                let Some(link) = self.links.get_mut(&id) else { return Ok(()) };
-                self.attempts.extend(call.parts.iter().map(|p| (p.attempt, id)));
+                let Some(link) = self.links.get_mut(&id) else {
+                    return Ok(());
+                };
+                self.attempts
+                    .extend(call.parts.iter().map(|p| (p.attempt, id)));
                 link.waiting.push_back(call.parts);
                 self.write(net, id);
                 Ok(())
@@ -48,21 +61,28 @@
     }
 
     pub(super) fn end_parts(&mut self, parts: &[Dispatch<W::Job>], outcome: Outcome) {
-        self.ended.extend(parts.iter().map(|p| Ended { attempt: p.attempt, outcome, value: None }));
+        self.ended.extend(parts.iter().map(|p| Ended {
+            attempt: p.attempt,
+            outcome,
+            value: None,
+        }));
     }
 
-    /// Notes that a call has to wait for a descriptor. Guards the log, which would have thousands of such lines.
+    /// Notes that a call has to wait for a descriptor. Guards the log, which would have thousands
+    /// of such lines.
     pub(super) fn short(&mut self, net: &Net, now: Time) {
         self.short += 1;
         if self.told.is_none_or(|at| now.since(at) >= TOLD) {
             let (count, why) = (self.short, net.why_short());
-            self.log.push(format!("calls that had to wait for a descriptor: {count}; {why}"));
+            self.log.push(format!(
+                "calls that had to wait for a descriptor: {count}; {why}"
+            ));
             (self.short, self.told) = (0, Some(now));
         }
     }
 
-    /// Tends the calls that wait for a descriptor: in their order they get what has become free; those that have
-    /// waited for too long are told as never sent.
+    /// Tends the calls that wait for a descriptor: in their order they get what has become free;
+    /// those that have waited for too long are told as never sent.
     pub fn tend(&mut self, net: &mut Net) {
         let now = net.clock.now();
         while let Some(call) = self.parked.pop_front() {
@@ -71,19 +91,29 @@
                 break;
             }
         }
-        while self.parked.front().is_some_and(|c| now.since(c.since) >= PARKED) {
-            let Some(call) = self.parked.pop_front() else { return };
+        while self
+            .parked
+            .front()
+            .is_some_and(|c| now.since(c.since) >= PARKED)
+        {
+            let Some(call) = self.parked.pop_front() else {
+                return;
+            };
             self.end_parts(&call.parts, Outcome::Moot);
         }
     }
 
-    /// Closes so many idle connections, those unused for longest first: second ones to a node before only ones, whose
-    /// loss costs the next call there a handshake. Tells how many were closed.
+    /// Closes so many idle connections, those unused for longest first: second ones to a node
+    /// before only ones, whose loss costs the next call there a handshake. Tells how many were
+    /// closed.
     pub fn yield_idle(&mut self, net: &mut Net, count: usize) -> usize {
         let idle = self.links.iter().filter(|(_, link)| link.idle());
         let mut idle: Vec<(bool, Time, ConnId)> = idle
             .filter_map(|(id, link)| {
-                let only = self.by_server.get(&link.server).is_none_or(|known| known.len() < 2);
+                let only = self
+                    .by_server
+                    .get(&link.server)
+                    .is_none_or(|known| known.len() < 2);
                 Some((only, net.get(*id)?.used, *id))
             })
             .collect();
@@ -97,30 +127,42 @@
     pub(super) fn write(&mut self, net: &mut Net, id: ConnId) {
         loop {
             let now = net.clock.now();
-            let (Some(link), Some(conn)) = (self.links.get_mut(&id), net.get_mut(id)) else { return };
+            let (Some(link), Some(conn)) = (self.links.get_mut(&id), net.get_mut(id)) else {
+                return;
+            };
             if !conn.up || !conn.flushed() || link.greeting == Greeting::Sent {
                 return;
             }
             if link.greeting == Greeting::Due {
-                // Guards queries that end meanwhile: a node that has yet to accept the connection, or stands still,
-                // would read their parts long after.
+                // Guards queries that end meanwhile: a node that has yet to accept the connection,
+                // or stands still, would read their parts long after.
                 let greeting = self.wire.greeting();
-                link.greeting = if greeting.is_some() { Greeting::Sent } else { Greeting::Done };
+                link.greeting = if greeting.is_some() {
+                    Greeting::Sent
+                } else {
+                    Greeting::Done
+                };
                 conn.send(&greeting.unwrap_or_default());
                 if net.flush(id, false) != Pumped::Alive {
                     return self.broken(net, id);
                 }
                 continue;
             }
-            let Some(mut parts) = link.waiting.pop_front() else { return };
-            // Guards the rule on repeats: a connection that comes up late, or a node that is slow to answer its greeting, has
-            // held this back for longer than the window bears.
+            let Some(mut parts) = link.waiting.pop_front() else {
+                return;
+            };
+            // Guards the rule on repeats: a connection that comes up late, or a node that is slow
+            // to answer its greeting, has held this back for longer than the window bears.
             let waits = self.limits.connect + PARKED;
             let late = |p: &Dispatch<W::Job>| p.leave_by.is_some_and(|at| now > at.plus(waits));
             let (kept, over): (Vec<_>, Vec<_>) = parts.drain(..).partition(|p| !late(p));
             for part in over {
                 self.attempts.remove(&part.attempt);
-                self.ended.push(Ended { attempt: part.attempt, outcome: Outcome::Moot, value: None });
+                self.ended.push(Ended {
+                    attempt: part.attempt,
+                    outcome: Outcome::Moot,
+                    value: None,
+                });
             }
             if kept.is_empty() {
                 continue;
@@ -128,10 +170,21 @@
             let parts = kept;
             let mut bytes = Vec::new();
             let names = self.wire.call(&parts, link.address, &mut bytes);
-            let out =
-                names.into_iter().zip(&parts).map(|(part, p)| Out { part, attempt: p.attempt }).collect();
+            let out = names
+                .into_iter()
+                .zip(&parts)
+                .map(|(part, p)| Out {
+                    part,
+                    attempt: p.attempt,
+                })
+                .collect();
             let unwritten = parts.iter().map(|p| p.class).collect();
-            link.calls.push(Call { sent: now, end: conn.send(&bytes), parts: out, unwritten });
+            link.calls.push(Call {
+                sent: now,
+                end: conn.send(&bytes),
+                parts: out,
+                unwritten,
+            });
             let flushed = net.flush(id, false);
             self.count_written(net, id);
             if flushed != Pumped::Alive {
@@ -140,8 +193,8 @@
         }
     }
 
-    /// A connection with room for a call: one that is up, one that is being opened, or a new one, for which an idle one
-    /// to another node is closed if need be.
+    /// A connection with room for a call: one that is up, one that is being opened, or a new one,
+    /// for which an idle one to another node is closed if need be.
     pub(super) fn room(
         &mut self,
         net: &mut Net,
@@ -149,13 +202,19 @@
         address: SocketAddr,
     ) -> Result<ConnId, Closed> {
         self.listen(net, server);
-        let (streams, known) = (self.limits.streams.max(1), self.by_server.entry(server).or_default());
+        let (streams, known) = (
+            self.limits.streams.max(1),
+            self.by_server.entry(server).or_default(),
+        );
         let fits = |id: &&ConnId| {
-            let room =
-                |l: &Link<W>| l.calls.len() + l.waiting.len() < streams && l.address == address && !l.mute;
+            let room = |l: &Link<W>| {
+                l.calls.len() + l.waiting.len() < streams && l.address == address && !l.mute
+            };
             // One that does not take what was written is left to those that wait for it.
             self.links.get(id).is_some_and(room)
-                && net.get(**id).is_some_and(|c| !c.ended && (!c.up || c.flushed()))
+                && net
+                    .get(**id)
+                    .is_some_and(|c| !c.ended && (!c.up || c.flushed()))
         };
         let up = |id: &&ConnId| net.get(**id).is_some_and(|c| c.up);
         // The oldest that is up, so that those opened for a short rush fall idle again.
@@ -165,7 +224,9 @@
         }
         let mut connected = match known.len() < LINKS {
             true => net.connect(W::OWNER, address),
-            false => Err(Denied::Failed(std::io::Error::other("too many connections to it"))),
+            false => Err(Denied::Failed(std::io::Error::other(
+                "too many connections to it",
+            ))),
         };
         if matches!(connected, Err(Denied::Lack(_))) && self.yield_idle(net, 1) > 0 {
             connected = net.connect(W::OWNER, address);
@@ -174,11 +235,14 @@
         match connected {
             Ok(id) => {
                 let (waiting, calls, settled) = (VecDeque::new(), Vec::new(), VecDeque::new());
-                // Guards memory: a node that is gone may be entered once more by what still breaks there.
+                // Guards memory: a node that is gone may be entered once more by what still breaks
+                // there.
                 let now = net.clock.now();
                 self.wary.retain(|_, until| now < *until);
                 // One beside others that are mute: the node itself may stand still.
-                let mute = known.iter().any(|id| self.links.get(id).is_some_and(|l| l.mute));
+                let mute = known
+                    .iter()
+                    .any(|id| self.links.get(id).is_some_and(|l| l.mute));
                 let wary = mute || self.wary.contains_key(&server);
                 let greeting = if wary { Greeting::Due } else { Greeting::Done };
                 let link = Link {
@@ -205,7 +269,8 @@
                 match denied {
                     Denied::Lack(_) => Err(Closed::Ours),
                     Denied::Failed(e) => {
-                        self.log.push(format!("connect to server {} failed: {e}", server.0));
+                        self.log
+                            .push(format!("connect to server {} failed: {e}", server.0));
                         Err(Closed::Theirs)
                     }
                 }
--- a/src/upstream/tests.rs
+++ b/src/upstream/tests.rs
@@ -13,7 +13,11 @@
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
 
-const LIMITS: Limits = Limits { streams: 2, connect: 250_000, idle: 30_000_000 };
+const LIMITS: Limits = Limits {
+    streams: 2,
+    connect: 250_000,
+    idle: 30_000_000,
+};
 const SERVER: ServerId = ServerId(1);
 
 struct Stage {
@@ -29,7 +33,12 @@
         let mut pool = Pool::new(Frames, limits);
         // Most tests are of a node that has just started.
         pool.beware(SERVER, Time(u64::MAX));
-        Stage { net: Net::new(64).unwrap(), pool, listener, attempts: 0 }
+        Stage {
+            net: Net::new(64).unwrap(),
+            pool,
+            listener,
+            attempts: 0,
+        }
     }
 
     /// Sends a call of one part and tells its attempt.
@@ -40,7 +49,11 @@
     fn send_to(&mut self, server: ServerId, text: &str) -> u64 {
         self.attempts += 1;
         let (attempt, shard) = (self.attempts, Shard(self.attempts as u32));
-        let job = Rc::new(Job { id: "q".into(), text: text.into(), key: None });
+        let job = Rc::new(Job {
+            id: "q".into(),
+            text: text.into(),
+            key: None,
+        });
         let part = Dispatch {
             attempt,
             job,
@@ -56,7 +69,8 @@
         attempt
     }
 
-    /// One call to each of as many servers as there are descriptors for, and the servers' ends of their connections.
+    /// One call to each of as many servers as there are descriptors for, and the servers' ends of
+    /// their connections.
     fn fill(&mut self) -> Vec<TcpStream> {
         // Answers are slow as a rule: nothing is mute while this test takes its time.
         self.pool.usual.add(60e6, 1.0);
@@ -73,7 +87,9 @@
     /// Runs the loop, tending those that wait, until something ends.
     fn tended(&mut self) -> Vec<(u64, Outcome)> {
         for _ in 0..200 {
-            self.net.wait(Some(self.net.clock.now().plus(10_000))).unwrap();
+            self.net
+                .wait(Some(self.net.clock.now().plus(10_000)))
+                .unwrap();
             self.pump();
             self.pool.tend(&mut self.net);
             let (ended, _) = self.pool.take_ended();
@@ -122,14 +138,17 @@
     /// The next connection that the pool opened; its greeting is on the way.
     fn accept_silently(&mut self) -> TcpStream {
         let (stream, _) = self.listener.accept().unwrap();
-        stream.set_read_timeout(Some(std::time::Duration::from_secs(20))).unwrap();
+        stream
+            .set_read_timeout(Some(std::time::Duration::from_secs(20)))
+            .unwrap();
         self.pump();
         stream
     }
 
     fn pump(&mut self) {
         let ids: Vec<ConnId> = self.pool.links.keys().copied().collect();
-        ids.into_iter().for_each(|id| self.pool.ready(&mut self.net, id));
+        ids.into_iter()
+            .for_each(|id| self.pool.ready(&mut self.net, id));
     }
 }
 
@@ -156,7 +175,11 @@
 /// Parts of one call, each of a query of its own.
 fn call(count: u64) -> Vec<Dispatch<Job>> {
     let part = |attempt: u64| {
-        let job = Rc::new(Job { id: format!("q{attempt}"), text: "x".into(), key: None });
+        let job = Rc::new(Job {
+            id: format!("q{attempt}"),
+            text: "x".into(),
+            key: None,
+        });
         Dispatch {
             attempt,
             job,
--- a/src/upstream/tests/descriptors.rs
+++ b/src/upstream/tests/descriptors.rs
@@ -65,7 +65,11 @@
     assert!(frame(&mut second).starts_with("R"));
     answer(&mut second, &format!("q.{} OK 1 -", stage.attempts));
     assert_eq!(stage.tended(), [(stage.attempts, Outcome::Ok)]);
-    assert_eq!(stage.pool.yield_idle(&mut stage.net, 5), 1, "none that carries a call goes");
+    assert_eq!(
+        stage.pool.yield_idle(&mut stage.net, 5),
+        1,
+        "none that carries a call goes"
+    );
     assert!(ended(&mut second));
 }
 
@@ -85,9 +89,18 @@
     let streams = stage.fill();
     let (attempt, server) = (stage.attempts, ServerId(100 + streams.len() as u32));
     stage.pool.hold_back(ServerId(1_000));
-    assert!(stage.pool.is_parked(attempt), "another node's drain moves nothing");
+    assert!(
+        stage.pool.is_parked(attempt),
+        "another node's drain moves nothing"
+    );
     stage.pool.hold_back(server);
     assert!(!stage.pool.is_parked(attempt));
-    let ended: Vec<_> = stage.pool.take_ended().0.into_iter().map(|e| (e.attempt, e.outcome)).collect();
+    let ended: Vec<_> = stage
+        .pool
+        .take_ended()
+        .0
+        .into_iter()
+        .map(|e| (e.attempt, e.outcome))
+        .collect();
     assert_eq!(ended, [(attempt, Outcome::Moot)]);
 }
--- a/src/upstream/tests/receiving.rs
+++ b/src/upstream/tests/receiving.rs
@@ -16,7 +16,11 @@
     assert_eq!(stage.ended(), [(two, Outcome::Rejected)]);
     answer(&mut stream, "q.2 OK 1 -");
     answer(&mut stream, "q.1 OK 1 -");
-    assert_eq!(stage.ended(), [(one, Outcome::Ok)], "an answer that nobody waits for any more is dropped");
+    assert_eq!(
+        stage.ended(),
+        [(one, Outcome::Ok)],
+        "an answer that nobody waits for any more is dropped"
+    );
     assert!(stage.pool.attempts.is_empty());
 }
 
@@ -34,7 +38,10 @@
     drop(stream);
     let mut ended = stage.ended();
     ended.sort_by_key(|e| e.0);
-    assert_eq!(ended, [(sent, Outcome::Reset), (unsent, Outcome::ConnectFailed)]);
+    assert_eq!(
+        ended,
+        [(sent, Outcome::Reset), (unsent, Outcome::ConnectFailed)]
+    );
 }
 
 #[test]
@@ -45,7 +52,10 @@
     frame(&mut stream);
     stream.write_all(b"\0\0\0\x04Nwhy").unwrap();
     for _ in 0..100 {
-        stage.net.wait(Some(stage.net.clock.now().plus(10_000))).unwrap();
+        stage
+            .net
+            .wait(Some(stage.net.clock.now().plus(10_000)))
+            .unwrap();
         stage.pump();
         let (ended, log) = stage.pool.take_ended();
         if let [ended] = &ended[..] {
@@ -59,7 +69,12 @@
 
 #[test]
 fn a_spoilt_answer_fails_its_part_and_ends_its_connection() {
-    for bad in [&b"\0\0\0\x0cYq.7 OK 1 -\n"[..], b"\0\0\0\x0bYq.1 ? 1 -\n", b"xxxxx", b"\0\0\0\0"] {
+    for bad in [
+        &b"\0\0\0\x0cYq.7 OK 1 -\n"[..],
+        b"\0\0\0\x0bYq.1 ? 1 -\n",
+        b"xxxxx",
+        b"\0\0\0\0",
+    ] {
         let mut stage = Stage::new(LIMITS);
         let one = stage.send("x");
         let mut stream = stage.accept();
@@ -93,11 +108,16 @@
         let mut stage = Stage::new(LIMITS);
         let one = stage.send("x");
         let mut stream = stage.accept();
-        stream.write_all(&[b"\0\0\0\x0cYq.1 OK 1 -\n", more].concat()).unwrap();
+        stream
+            .write_all(&[b"\0\0\0\x0cYq.1 OK 1 -\n", more].concat())
+            .unwrap();
         assert_eq!(stage.ended(), [(one, Outcome::Ok)], "{more:?}");
         let two = stage.send("x");
-        let mut stream =
-            if stage.pool.links.len() == 1 && more.len() == 16 { stream } else { stage.accept() };
+        let mut stream = if stage.pool.links.len() == 1 && more.len() == 16 {
+            stream
+        } else {
+            stage.accept()
+        };
         answer(&mut stream, "q.2 OK 1 -");
         assert_eq!(stage.ended(), [(two, Outcome::Ok)], "{more:?}");
     }
@@ -105,14 +125,20 @@
 
 #[test]
 fn a_connection_that_fell_silent_gets_nothing_new_until_it_speaks() {
-    let mut stage = Stage::new(Limits { streams: 32, ..LIMITS });
+    let mut stage = Stage::new(Limits {
+        streams: 32,
+        ..LIMITS
+    });
     let (one, two) = (stage.send("x"), stage.send("x"));
     let mut first = stage.accept();
     std::thread::sleep(std::time::Duration::from_micros(MUTE_LEAST));
     stage.pool.withdraw(&mut stage.net, one);
     stage.send("x");
     let mut second = stage.accept();
-    assert!(frame(&mut second).starts_with("Rq.3 "), "another connection carries it");
+    assert!(
+        frame(&mut second).starts_with("Rq.3 "),
+        "another connection carries it"
+    );
     answer(&mut first, "q.2 OK 1 -");
     assert_eq!(stage.ended(), [(two, Outcome::Ok)]);
     let four = stage.send("x");
@@ -121,21 +147,35 @@
     assert!(frame(&mut first).starts_with("Rq.4 "), "it speaks again");
     std::thread::sleep(std::time::Duration::from_micros(2 * MUTE_MOST));
     stage.pool.withdraw(&mut stage.net, four);
-    assert_eq!(stage.pool.links.len(), 1, "silent with nothing out: it is closed");
+    assert_eq!(
+        stage.pool.links.len(),
+        1,
+        "silent with nothing out: it is closed"
+    );
 }
 
 #[test]
 fn what_is_out_on_a_silent_connection_is_given_up_once_another_to_its_node_speaks() {
-    let mut stage = Stage::new(Limits { streams: 32, ..LIMITS });
+    let mut stage = Stage::new(Limits {
+        streams: 32,
+        ..LIMITS
+    });
     let one = stage.send("x");
     let _first = stage.accept();
     std::thread::sleep(std::time::Duration::from_micros(MUTE_LEAST));
     let (two, three) = (stage.send("x"), stage.send("x"));
     let mut second = stage.accept();
     answer(&mut second, "q.2 OK 1 -");
-    assert_eq!(stage.ended(), [(two, Outcome::Ok)], "the first may have been held up as well");
+    assert_eq!(
+        stage.ended(),
+        [(two, Outcome::Ok)],
+        "the first may have been held up as well"
+    );
     std::thread::sleep(std::time::Duration::from_micros(MUTE_LEAST));
     answer(&mut second, "q.3 OK 1 -");
-    assert_eq!(stage.ended(), [(three, Outcome::Ok), (one, Outcome::Cancelled)]);
+    assert_eq!(
+        stage.ended(),
+        [(three, Outcome::Ok), (one, Outcome::Cancelled)]
+    );
     assert_eq!(stage.pool.links.len(), 1);
 }
--- a/src/upstream/tests/sending.rs
+++ b/src/upstream/tests/sending.rs
@@ -15,7 +15,10 @@
     stage.listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = stage.listener.local_addr().unwrap();
     let job = Rc::new(Job::default());
-    let gone = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let gone = TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
     assert_ne!(address, gone);
     let part = Dispatch {
         attempt: 9,
@@ -34,15 +37,21 @@
 
 #[test]
 fn a_connection_that_does_not_come_up_in_time_never_ran() {
-    let mut stage = Stage::new(Limits { connect: 10_000, ..LIMITS });
+    let mut stage = Stage::new(Limits {
+        connect: 10_000,
+        ..LIMITS
+    });
     // A full backlog: connections to it neither come up nor are refused.
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-    socket.bind(&std::net::SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+    socket
+        .bind(&std::net::SocketAddr::from(([127, 0, 0, 1], 0)).into())
+        .unwrap();
     socket.listen(0).unwrap();
     stage.listener = socket.into();
     let address = stage.listener.local_addr().unwrap();
     let fill = |_| {
-        let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+        let socket =
+            socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.set_nonblocking(true).unwrap();
         let _ = socket.connect(&address.into());
         socket
@@ -66,12 +75,18 @@
     assert_eq!(stage.ended().len(), 1);
     stage.send("x");
     stage.pump();
-    assert!(frame(&mut first).starts_with("Rq.4 "), "the place that was given back is used");
+    assert!(
+        frame(&mut first).starts_with("Rq.4 "),
+        "the place that was given back is used"
+    );
 }
 
 #[test]
 fn idle_connections_are_closed_when_asked_and_before_the_node_does() {
-    let mut stage = Stage::new(Limits { idle: 100_000, ..LIMITS });
+    let mut stage = Stage::new(Limits {
+        idle: 100_000,
+        ..LIMITS
+    });
     stage.send("x");
     let mut stream = stage.accept();
     frame(&mut stream);
@@ -101,7 +116,10 @@
     stream.write_all(b"\0\0\0\x06GERROR").unwrap();
     stage.net.wait(None).unwrap();
     stage.pump();
-    assert!(frame(&mut stream).starts_with("Rq.2 "), "the first was over before the node answered");
+    assert!(
+        frame(&mut stream).starts_with("Rq.2 "),
+        "the first was over before the node answered"
+    );
 }
 
 #[test]
@@ -134,16 +152,28 @@
     let past = stage.net.clock.now().minus(1);
     (100..200).for_each(|gone| stage.pool.beware(ServerId(gone), past));
     stage.send("x");
-    assert_eq!(stage.pool.wary.len(), 1, "only the one that has just started");
+    assert_eq!(
+        stage.pool.wary.len(),
+        1,
+        "only the one that has just started"
+    );
 }
 
 #[test]
 fn a_repeat_that_its_connection_has_held_back_beyond_its_window_never_leaves() {
     for (late, leaves) in [(true, false), (false, true)] {
-        let mut stage = Stage::new(Limits { connect: 100_000, ..LIMITS });
+        let mut stage = Stage::new(Limits {
+            connect: 100_000,
+            ..LIMITS
+        });
         let now = stage.net.clock.now();
-        // The module let it leave until a while ago: what a connection may take has been added, and is over or not.
-        let leave_by = if late { now.minus(150_000) } else { now.plus(60_000_000) };
+        // The module let it leave until a while ago: what a connection may take has been added, and
+        // is over or not.
+        let leave_by = if late {
+            now.minus(150_000)
+        } else {
+            now.plus(60_000_000)
+        };
         let address = stage.listener.local_addr().unwrap();
         let mut parts = call(2);
         parts[0].leave_by = Some(leave_by);
@@ -155,8 +185,24 @@
         stage.net.wait(None).unwrap();
         stage.pump();
         let sent = frame(&mut stream);
-        assert!(sent.contains("q2.1 1 ") && sent.contains("q1.1 1 ") == leaves, "{late}: {sent}");
-        let ended: Vec<_> = stage.pool.take_ended().0.into_iter().map(|e| (e.attempt, e.outcome)).collect();
-        assert_eq!(ended, if late { vec![(1, Outcome::Moot)] } else { Vec::new() });
+        assert!(
+            sent.contains("q2.1 1 ") && sent.contains("q1.1 1 ") == leaves,
+            "{late}: {sent}"
+        );
+        let ended: Vec<_> = stage
+            .pool
+            .take_ended()
+            .0
+            .into_iter()
+            .map(|e| (e.attempt, e.outcome))
+            .collect();
+        assert_eq!(
+            ended,
+            if late {
+                vec![(1, Outcome::Moot)]
+            } else {
+                Vec::new()
+            }
+        );
     }
 }
--- a/src/upstream/tests/withdrawing.rs
+++ b/src/upstream/tests/withdrawing.rs
@@ -8,12 +8,15 @@
 /// A listener to which no connection comes up until those that fill its queue have been accepted.
 fn full_backlog() -> (TcpListener, Vec<socket2::Socket>) {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-    socket.bind(&std::net::SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+    socket
+        .bind(&std::net::SocketAddr::from(([127, 0, 0, 1], 0)).into())
+        .unwrap();
     socket.listen(0).unwrap();
     let listener: TcpListener = socket.into();
     let address = listener.local_addr().unwrap();
     let fill = |_| {
-        let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+        let socket =
+            socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.set_nonblocking(true).unwrap();
         let _ = socket.connect(&address.into());
         socket
@@ -28,7 +31,10 @@
     stage.pool.withdraw(&mut stage.net, never);
     let told = stage.send("x");
     let mut stream = stage.accept();
-    assert!(frame(&mut stream).starts_with("Rq.2 "), "the first call stayed at home");
+    assert!(
+        frame(&mut stream).starts_with("Rq.2 "),
+        "the first call stayed at home"
+    );
     stage.pool.withdraw(&mut stage.net, told);
     assert_eq!(frame(&mut stream), "Aq.2");
     answer(&mut stream, "q.2 OK 1 -");
@@ -41,12 +47,18 @@
     let (one, _) = (stage.send("x"), stage.send("x"));
     stage.pool.withdraw(&mut stage.net, one);
     let mut stream = stage.accept();
-    assert!(frame(&mut stream).starts_with("Rq.2 "), "the first was over before the connection came up");
+    assert!(
+        frame(&mut stream).starts_with("Rq.2 "),
+        "the first was over before the connection came up"
+    );
 }
 
 #[test]
 fn a_part_that_waits_for_its_connection_is_recalled_and_those_that_share_its_call_are_sent() {
-    let mut stage = Stage::new(Limits { connect: 60_000_000, ..LIMITS });
+    let mut stage = Stage::new(Limits {
+        connect: 60_000_000,
+        ..LIMITS
+    });
     stage.pool.wary.clear();
     let (listener, fillers) = full_backlog();
     let address = listener.local_addr().unwrap();
@@ -60,7 +72,10 @@
     let mut held = Vec::new();
     while frames.is_empty() {
         held.extend(listener.accept().map(|(stream, _)| stream));
-        stage.net.wait(Some(stage.net.clock.now().plus(10_000))).unwrap();
+        stage
+            .net
+            .wait(Some(stage.net.clock.now().plus(10_000)))
+            .unwrap();
         stage.pump();
         for stream in &mut held {
             stream.set_nonblocking(true).unwrap();
@@ -70,7 +85,10 @@
             }
         }
     }
-    assert!(frames[0].starts_with("Rq1.1 1 ") && frames[0].contains("xq3.1 1 "), "{frames:?}");
+    assert!(
+        frames[0].starts_with("Rq1.1 1 ") && frames[0].contains("xq3.1 1 "),
+        "{frames:?}"
+    );
     assert!(!frames[0].contains("q2."), "{frames:?}");
     assert!(!stage.pool.recall(&mut stage.net, 1), "it has left");
     assert_eq!(stage.pool.attempts.len(), 2);
@@ -82,7 +100,8 @@
         let mut stage = Stage::new(LIMITS);
         stage.pool.wary.clear();
         stage.pool.usual.add(60e6, 1.0);
-        // Far more than the system's buffers take: its last byte can't be written while nobody reads.
+        // Far more than the system's buffers take: its last byte can't be written while nobody
+        // reads.
         let attempt = stage.send(&"y".repeat(32 << 20));
         let mut stream = stage.accept_silently();
         match recalled {
@@ -94,7 +113,11 @@
         stream.read_exact(&mut length).unwrap();
         let mut rest = Vec::new();
         let _ = stream.read_to_end(&mut rest);
-        assert!(rest.len() < u32::from_be_bytes(length) as usize, "{recalled}: {} bytes", rest.len());
+        assert!(
+            rest.len() < u32::from_be_bytes(length) as usize,
+            "{recalled}: {} bytes",
+            rest.len()
+        );
         assert!(stage.pool.links.is_empty() && stage.pool.attempts.is_empty());
     }
 }
--- a/standins/src/byte_link.rs
+++ b/standins/src/byte_link.rs
@@ -1,6 +1,6 @@
-//! A stand-in for the network between two processes that carries bytes as they are, both ways, and can be cut: as behind a network that is
-//! down, nothing that was sent comes through, no end of a connection is heard of, new connections hang, and all of it comes once the
-//! link is healed.
+//! A stand-in for the network between two processes that carries bytes as they are, both ways, and
+//! can be cut: as behind a network that is down, nothing that was sent comes through, no end of a
+//! connection is heard of, new connections hang, and all of it comes once the link is healed.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -29,7 +29,10 @@
     /// When no address of loopback can be listened on.
     pub fn start(to: SocketAddr) -> std::io::Result<ByteLink> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let link = ByteLink { address: listener.local_addr()?, cut: Arc::default() };
+        let link = ByteLink {
+            address: listener.local_addr()?,
+            cut: Arc::default(),
+        };
         let cut = link.cut.clone();
         thread::spawn(move || {
             for from in listener.incoming().flatten() {
@@ -53,7 +56,9 @@
         // Nobody listens there: the other side hears of it as it would without a link.
         return drop(from.shutdown(Shutdown::Both));
     };
-    let (Ok(back_from), Ok(back_to)) = (onward.try_clone(), from.try_clone()) else { return };
+    let (Ok(back_from), Ok(back_to)) = (onward.try_clone(), from.try_clone()) else {
+        return;
+    };
     let back_cut = cut.clone();
     thread::spawn(move || carry(back_from, back_to, &back_cut));
     carry(from, onward, cut);
--- a/standins/src/byte_link/tests.rs
+++ b/standins/src/byte_link/tests.rs
@@ -10,7 +10,9 @@
 
 /// Whether nothing comes within a moment.
 fn is_silent(stream: &mut TcpStream) -> bool {
-    stream.set_read_timeout(Some(Duration::from_millis(50))).unwrap();
+    stream
+        .set_read_timeout(Some(Duration::from_millis(50)))
+        .unwrap();
     let silent = stream.read(&mut [0]).is_err();
     stream.set_read_timeout(None).unwrap();
     silent
--- a/standins/src/discovery.rs
+++ b/standins/src/discovery.rs
@@ -29,7 +29,8 @@
             let list = list.clone();
             thread::spawn(move || {
                 http::serve(stream, |stream, request| {
-                    if let Some(wait) = request.parameter("timeout_ms").and_then(|t| t.parse().ok()) {
+                    if let Some(wait) = request.parameter("timeout_ms").and_then(|t| t.parse().ok())
+                    {
                         thread::sleep(Duration::from_millis(wait));
                         let none = r#"{"generation":1,"reset":false,"instances":[]}"#;
                         return http::answer(stream, 200, "application/json", none);
--- a/standins/src/features.rs
+++ b/standins/src/features.rs
@@ -1,4 +1,5 @@
-//! A data node that speaks OGC API Features: points, filtered by bounding box, sorted where it is asked to.
+//! A data node that speaks OGC API Features: points, filtered by bounding box, sorted where it is
+//! asked to.
 
 use crate::http::{self, Request};
 use serde_json::{json, Value as Json};
@@ -16,7 +17,8 @@
     Serve,
     /// Reads requests for longitudes between these, and never answers them.
     Withhold(f64, f64),
-    /// The same for the second phase of sorted answers alone: those that ask for more than one feature.
+    /// The same for the second phase of sorted answers alone: those that ask for more than one
+    /// feature.
     WithholdDetails(f64, f64),
     /// Turns everything away.
     Busy,
@@ -76,7 +78,9 @@
 
 fn inside(feature: &Json, bounds: &[f64]) -> bool {
     let at = &feature["geometry"]["coordinates"];
-    let (Some(east), Some(north)) = (at[0].as_f64(), at[1].as_f64()) else { return false };
+    let (Some(east), Some(north)) = (at[0].as_f64(), at[1].as_f64()) else {
+        return false;
+    };
     east >= bounds[0] && north >= bounds[1] && east <= bounds[2] && north <= bounds[3]
 }
 
@@ -100,12 +104,18 @@
     /// Starts to serve these features on a listener.
     #[must_use]
     pub fn start(listener: TcpListener, features: Vec<Json>) -> Server {
-        let server = Server { features: Arc::new(features), mood: Arc::default(), ledger: Arc::default() };
+        let server = Server {
+            features: Arc::new(features),
+            mood: Arc::default(),
+            ledger: Arc::default(),
+        };
         let accepting = server.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let server = accepting.clone();
-                thread::spawn(move || http::serve(stream, |stream, request| server.handle(stream, request)));
+                thread::spawn(move || {
+                    http::serve(stream, |stream, request| server.handle(stream, request))
+                });
             }
         });
         server
@@ -119,7 +129,10 @@
     /// What it did so far.
     #[must_use]
     pub fn ledger(&self) -> Ledger {
-        self.ledger.lock().unwrap_or_else(|e| e.into_inner()).clone()
+        self.ledger
+            .lock()
+            .unwrap_or_else(|e| e.into_inner())
+            .clone()
     }
 
     /// Targets of the requests so far.
@@ -129,7 +142,11 @@
     }
 
     fn handle(&self, stream: &mut TcpStream, request: &Request) -> bool {
-        self.ledger.lock().unwrap_or_else(|e| e.into_inner()).seen.push(request.target.clone());
+        self.ledger
+            .lock()
+            .unwrap_or_else(|e| e.into_inner())
+            .seen
+            .push(request.target.clone());
         let mood = *self.mood.lock().unwrap_or_else(|e| e.into_inner());
         let sorted = request.parameter("sortby").is_some();
         let second = sorted && request.parameter("limit").is_none_or(|l| l != "1");
@@ -137,8 +154,9 @@
             let asked = bounds(request).map_or((west, east), |b| (b[0], b[2]));
             asked.0 >= west && asked.1 <= east
         };
-        let problem =
-            |stream: &mut TcpStream, status| http::answer(stream, status, "application/problem+json", "{}");
+        let problem = |stream: &mut TcpStream, status| {
+            http::answer(stream, status, "application/problem+json", "{}")
+        };
         match mood {
             Mood::Withhold(west, east) if within(west, east) => return true,
             Mood::WithholdDetails(west, east) if second && within(west, east) => return true,
@@ -150,8 +168,14 @@
             Mood::Spoil => return http::answer(stream, 200, "application/geo+json", "{\"type\":"),
             _ => {}
         }
-        let Some(body) = self.body(request, mood) else { return problem(stream, 404) };
-        self.ledger.lock().unwrap_or_else(|e| e.into_inner()).answered.push(request.target.clone());
+        let Some(body) = self.body(request, mood) else {
+            return problem(stream, 404);
+        };
+        self.ledger
+            .lock()
+            .unwrap_or_else(|e| e.into_inner())
+            .answered
+            .push(request.target.clone());
         http::answer(stream, 200, "application/geo+json", &body.to_string())
     }
 
@@ -169,10 +193,15 @@
     }
 
     fn items(&self, request: &Request, mood: Mood) -> Json {
-        let limit = request.parameter("limit").and_then(|l| l.parse().ok()).unwrap_or(10);
+        let limit = request
+            .parameter("limit")
+            .and_then(|l| l.parse().ok())
+            .unwrap_or(10);
         let bounds = bounds(request);
         let all = self.features.iter();
-        let mut found: Vec<&Json> = all.filter(|f| bounds.as_ref().is_none_or(|b| inside(f, b))).collect();
+        let mut found: Vec<&Json> = all
+            .filter(|f| bounds.as_ref().is_none_or(|b| inside(f, b)))
+            .collect();
         if let Some(order) = request.parameter("sortby") {
             let (down, property) = match order.strip_prefix('-') {
                 Some(property) => (true, property),
