--- a/standins/src/fleet_processes.rs
+++ b/standins/src/fleet_processes.rs
@@ -1,6 +1,7 @@
-//! A fleet of processes of the program `lichenswitch-fleet` on loopback: a control process and a router on each machine, with
-//! generated settings, a folder for each disk and a file for each log; started, stopped and killed by their ids. It knows
-//! the program by its command, its settings and its addresses alone.
+//! A fleet of processes of the program `lichenswitch-fleet` on loopback: a control process and a
+//! router on each machine, with generated settings, a folder for each disk and a file for each log;
+//! started, stopped and killed by their ids. It knows the program by its command, its settings and
+//! its addresses alone.
 
 pub mod demonstration;
 mod links;
@@ -50,9 +51,15 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             FleetError::NoProgram(path) => {
-                write!(f, "no program at {}: build it, or name it with --program", path.display())
+                write!(
+                    f,
+                    "no program at {}: build it, or name it with --program",
+                    path.display()
+                )
+            }
+            FleetError::NoAddresses => {
+                f.write_str("no block of loopback addresses has its ports free")
             }
-            FleetError::NoAddresses => f.write_str("no block of loopback addresses has its ports free"),
             FleetError::System(path, error) => write!(f, "{}: {error}", path.display()),
             FleetError::Ended(role, machine, status, log) => {
                 let status = status.map_or("a signal".into(), |status| format!("status {status}"));
@@ -112,16 +119,19 @@
 pub type Ended = (Role, usize, ExitStatus);
 
 impl FleetProcesses {
-    /// A fleet of so many machines with nothing started; 200 machines at most. Machine 0 is at 127.0.0.2 where that is
-    /// free, the others behind it.
+    /// A fleet of so many machines with nothing started; 200 machines at most. Machine 0 is at
+    /// 127.0.0.2 where that is free, the others behind it.
     ///
     /// # Errors
     /// When the program is missing, or there is no room for addresses or files.
     pub fn new(program: &Path, machines: usize) -> Result<FleetProcesses, FleetError> {
         static FLEETS: AtomicU32 = AtomicU32::new(0);
-        let program = program.canonicalize().map_err(|_| FleetError::NoProgram(program.into()))?;
+        let program = program
+            .canonicalize()
+            .map_err(|_| FleetError::NoProgram(program.into()))?;
         let number = FLEETS.fetch_add(1, Ordering::Relaxed);
-        let (addresses, block) = addresses(machines.min(MACHINES_MOST)).ok_or(FleetError::NoAddresses)?;
+        let (addresses, block) =
+            addresses(machines.min(MACHINES_MOST)).ok_or(FleetError::NoAddresses)?;
         let folder = std::env::temp_dir().join(format!("fleet-{}-{number}", std::process::id()));
         let (processes, grace_seconds) = (Vec::new(), GRACE_SECONDS);
         let (more_settings, links) = (String::new(), Links::default());
@@ -158,7 +168,8 @@
         self
     }
 
-    /// The same with a link between each two control processes, so that they can be cut off from each other.
+    /// The same with a link between each two control processes, so that they can be cut off from
+    /// each other.
     ///
     /// # Errors
     /// When a link can't be started.
@@ -168,7 +179,8 @@
         Ok(self)
     }
 
-    /// Cuts the control processes of these machines off from those of all others, and heals all other links between control processes.
+    /// Cuts the control processes of these machines off from those of all others, and heals all
+    /// other links between control processes.
     pub fn cut(&self, side: &[usize]) {
         self.links.cut(side);
     }
@@ -198,7 +210,10 @@
     }
 
     fn at(&self, port: u16) -> Vec<SocketAddr> {
-        self.addresses.iter().map(|address| SocketAddr::new(IpAddr::V4(*address), port)).collect()
+        self.addresses
+            .iter()
+            .map(|address| SocketAddr::new(IpAddr::V4(*address), port))
+            .collect()
     }
 
     /// The folder that holds what a process keeps.
@@ -218,8 +233,12 @@
     pub fn settings(&self, role: Role, machine: usize, first_start: bool) -> String {
         let zone = |machine: usize| format!("zone-{}", machine + 1);
         let address = self.addresses[machine];
-        let seeds: Vec<String> =
-            self.control().iter().take(3).map(|seed| format!("{:?}", seed.to_string())).collect();
+        let seeds: Vec<String> = self
+            .control()
+            .iter()
+            .take(3)
+            .map(|seed| format!("{:?}", seed.to_string()))
+            .collect();
         let (serves, listens) = match role {
             Role::Control => ("control_plane", format!("controlPlane = \"{address}:{CONTROL_PORT}\"\n")),
             Role::Router => (
@@ -227,8 +246,9 @@
                 format!("frontend = \"{address}:{FRONT_PORT}\"\nreadiness = \"{address}:{READY_PORT}\"\n"),
             ),
         };
-        let zones: String =
-            (0..self.machines()).map(|machine| format!("{} = \"loopback\"\n", zone(machine))).collect();
+        let zones: String = (0..self.machines())
+            .map(|machine| format!("{} = \"loopback\"\n", zone(machine)))
+            .collect();
         format!(
             "nodeName = \"edge-{}-1\"\nrole = \"{role}\"\nmachineClass = \"edge\"\nserves = [\"{serves}\"]\n\
              ipAddress = \"{address}\"\nzone = \"{}\"\nregion = \"loopback\"\ninternalPortRange = [{}, {}]\n\
@@ -258,7 +278,12 @@
     ///
     /// # Errors
     /// When its files can't be written or the program can't be started.
-    pub fn start(&mut self, role: Role, machine: usize, first_start: bool) -> Result<(), FleetError> {
+    pub fn start(
+        &mut self,
+        role: Role,
+        machine: usize,
+        first_start: bool,
+    ) -> Result<(), FleetError> {
         let path = self.folder.join(format!("{role}-{machine}.toml"));
         let failed = |path: &Path| {
             let path = path.to_path_buf();
@@ -266,16 +291,32 @@
         };
         std::fs::write(&path, self.settings(role, machine, first_start)).map_err(failed(&path))?;
         let log = self.log(role, machine);
-        let log_file = File::options().create(true).append(true).open(&log).map_err(failed(&log))?;
+        let log_file = File::options()
+            .create(true)
+            .append(true)
+            .open(&log)
+            .map_err(failed(&log))?;
         let twin = log_file.try_clone().map_err(failed(&log))?;
         let mut command = Command::new(&self.program);
-        command.arg(role.to_string()).current_dir(&self.folder).env_clear().env("LICHENSWITCH_CONFIG", &path);
+        command
+            .arg(role.to_string())
+            .current_dir(&self.folder)
+            .env_clear()
+            .env("LICHENSWITCH_CONFIG", &path);
         for name in ["PATH", "HOME", "LANG"] {
             command.envs(std::env::var_os(name).map(|value| (name, value)));
         }
-        let child = command.stdin(Stdio::null()).stdout(log_file).stderr(twin).spawn();
+        let child = command
+            .stdin(Stdio::null())
+            .stdout(log_file)
+            .stderr(twin)
+            .spawn();
         let child = child.map_err(failed(&self.program))?;
-        self.processes.push(Process { role, machine, child });
+        self.processes.push(Process {
+            role,
+            machine,
+            child,
+        });
         Ok(())
     }
 
@@ -295,7 +336,10 @@
     /// Ids of the processes that were started and not stopped.
     #[must_use]
     pub fn ids(&self) -> Vec<(Role, usize, u32)> {
-        self.processes.iter().map(|process| (process.role, process.machine, process.child.id())).collect()
+        self.processes
+            .iter()
+            .map(|process| (process.role, process.machine, process.child.id()))
+            .collect()
     }
 
     /// Kills a process, as a crash would; its disk stays.
@@ -307,10 +351,13 @@
 
     /// Asks a process to end, and kills it after a grace.
     pub fn stop(&mut self, role: Role, machine: usize, grace: Duration) {
-        self.end_those(Signal::TERM, grace, |process| process.role == role && process.machine == machine);
+        self.end_those(Signal::TERM, grace, |process| {
+            process.role == role && process.machine == machine
+        });
     }
 
-    /// Asks all processes to end, and kills those that still run after a grace; tells how many had to be killed.
+    /// Asks all processes to end, and kills those that still run after a grace; tells how many had
+    /// to be killed.
     pub fn stop_all(&mut self, grace: Duration) -> usize {
         self.end_those(Signal::TERM, grace, |_| true)
     }
@@ -337,25 +384,32 @@
 
     fn signal(&mut self, role: Role, machine: usize, signal: Signal) {
         let its_own = |process: &&mut Process| process.role == role && process.machine == machine;
-        self.processes.iter_mut().filter(its_own).for_each(|process| send(&mut process.child, signal));
+        self.processes
+            .iter_mut()
+            .filter(its_own)
+            .for_each(|process| send(&mut process.child, signal));
     }
 
     /// Whether this process was started and is not known to have ended.
     #[must_use]
     pub fn has(&self, role: Role, machine: usize) -> bool {
-        self.processes.iter().any(|process| process.role == role && process.machine == machine)
+        self.processes
+            .iter()
+            .any(|process| process.role == role && process.machine == machine)
     }
 
-    /// Processes that have ended since the last call and were not killed; they are no longer part of the fleet.
+    /// Processes that have ended since the last call and were not killed; they are no longer part
+    /// of the fleet.
     pub fn ended(&mut self) -> Vec<Ended> {
         let mut ended = Vec::new();
-        self.processes.retain_mut(|process| match process.child.try_wait() {
-            Ok(Some(status)) => {
-                ended.push((process.role, process.machine, status));
-                false
-            }
-            _ => true,
-        });
+        self.processes
+            .retain_mut(|process| match process.child.try_wait() {
+                Ok(Some(status)) => {
+                    ended.push((process.role, process.machine, status));
+                    false
+                }
+                _ => true,
+            });
         ended
     }
 
@@ -375,7 +429,9 @@
     /// When one has.
     pub fn check(&mut self) -> Result<(), FleetError> {
         for process in &mut self.processes {
-            let Ok(Some(status)) = process.child.try_wait() else { continue };
+            let Ok(Some(status)) = process.child.try_wait() else {
+                continue;
+            };
             let (role, machine) = (process.role, process.machine);
             let log = std::fs::read_to_string(self.log(role, machine)).unwrap_or_default();
             let end = log.lines().last().unwrap_or("(empty)").to_string();
@@ -384,9 +440,15 @@
         Ok(())
     }
 
-    fn end_those(&mut self, signal: Signal, grace: Duration, which: impl Fn(&Process) -> bool) -> usize {
-        let (mut ending, rest) =
-            std::mem::take(&mut self.processes).into_iter().partition::<Vec<_>, _>(which);
+    fn end_those(
+        &mut self,
+        signal: Signal,
+        grace: Duration,
+        which: impl Fn(&Process) -> bool,
+    ) -> usize {
+        let (mut ending, rest) = std::mem::take(&mut self.processes)
+            .into_iter()
+            .partition::<Vec<_>, _>(which);
         self.processes = rest;
         for process in &mut ending {
             send(&mut process.child, signal);
@@ -418,7 +480,8 @@
     }
 }
 
-/// Takes so many addresses of loopback, from a `.2` on, whose ports are free; they are taken for as long as the listener lives.
+/// Takes so many addresses of loopback, from a `.2` on, whose ports are free; they are taken for as
+/// long as the listener lives.
 fn addresses(count: usize) -> Option<(Vec<Ipv4Addr>, TcpListener)> {
     let start = std::process::id();
     let nets = std::iter::once((0, 0)).chain((0..500).map(|i| {
@@ -426,15 +489,21 @@
         (1 + (at / 250) as u8, 1 + (at % 250) as u8)
     }));
     let is_free = |address: &Ipv4Addr| {
-        let ports =
-            [CONTROL_PORT, FRONT_PORT, READY_PORT].into_iter().chain(INTERNAL_PORTS.0..=INTERNAL_PORTS.1);
-        ports.into_iter().all(|port| TcpListener::bind((*address, port)).is_ok())
+        let ports = [CONTROL_PORT, FRONT_PORT, READY_PORT]
+            .into_iter()
+            .chain(INTERNAL_PORTS.0..=INTERNAL_PORTS.1);
+        ports
+            .into_iter()
+            .all(|port| TcpListener::bind((*address, port)).is_ok())
     };
     for net in nets {
-        let Ok(block) = TcpListener::bind((Ipv4Addr::new(127, net.0, net.1, 254), HELD_PORT)) else {
+        let Ok(block) = TcpListener::bind((Ipv4Addr::new(127, net.0, net.1, 254), HELD_PORT))
+        else {
             continue;
         };
-        let found: Vec<_> = (0..count).map(|i| Ipv4Addr::new(127, net.0, net.1, 2 + i as u8)).collect();
+        let found: Vec<_> = (0..count)
+            .map(|i| Ipv4Addr::new(127, net.0, net.1, 2 + i as u8))
+            .collect();
         if found.iter().all(is_free) {
             return Some((found, block));
         }
--- a/standins/src/fleet_processes/demonstration.rs
+++ b/standins/src/fleet_processes/demonstration.rs
@@ -1,5 +1,6 @@
-//! A fleet from its first start to its end, in one call: three machines, four model servers, a configuration, a stream, the
-//! status, and nothing left behind. It is what `lichenswitch-demo` shows, and a test from end to end.
+//! A fleet from its first start to its end, in one call: three machines, four model servers, a
+//! configuration, a stream, the status, and nothing left behind. It is what `lichenswitch-demo`
+//! shows, and a test from end to end.
 
 use super::{FleetError, FleetProcesses, ROLES};
 use crate::model_server::{Description, ModelServer};
@@ -18,7 +19,8 @@
 const MACHINES: usize = 3;
 /// Model servers.
 const SERVERS: usize = 4;
-/// All up to the end of the stream has so long; with the last step's overrun, the status and the grace it stays below 20 s.
+/// All up to the end of the stream has so long; with the last step's overrun, the status and the
+/// grace it stays below 20 s.
 const WITHIN: Duration = Duration::from_secs(13);
 /// A silence that ends a try.
 const SILENCE: Duration = Duration::from_secs(1);
@@ -56,7 +58,9 @@
             DemonstrationError::Configuration(outcome) => {
                 write!(f, "the first configuration was not taken: {outcome:?}")
             }
-            DemonstrationError::NotServed(last) => write!(f, "no stream was served; the last try: {last}"),
+            DemonstrationError::NotServed(last) => {
+                write!(f, "no stream was served; the last try: {last}")
+            }
             DemonstrationError::Wrong(faults) => write!(f, "the stream breaks rules: {faults:?}"),
         }
     }
@@ -76,10 +80,12 @@
     }
 }
 
-/// Shows a fleet of this program on `out`, and stops all that it started; takes less than 20 s, whatever happens.
+/// Shows a fleet of this program on `out`, and stops all that it started; takes less than 20 s,
+/// whatever happens.
 ///
 /// # Errors
-/// With the first thing that failed; the ends of the logs are shown and all processes are stopped then, too.
+/// With the first thing that failed; the ends of the logs are shown and all processes are stopped
+/// then, too.
 pub fn run(program: &Path, out: &mut impl Write) -> Result<(), DemonstrationError> {
     let mut fleet = FleetProcesses::new(program, MACHINES)?;
     let shown = show(&mut fleet, out);
@@ -87,7 +93,11 @@
         show_logs(&fleet, out)?;
     }
     let killed = fleet.stop_all(GRACE);
-    writeln!(out, "stopped all processes; {killed} had to be killed after {} ms", GRACE.as_millis())?;
+    writeln!(
+        out,
+        "stopped all processes; {killed} had to be killed after {} ms",
+        GRACE.as_millis()
+    )?;
     shown
 }
 
@@ -95,18 +105,30 @@
     let until = Instant::now() + WITHIN;
     let servers = servers()?;
     fleet.start_all()?;
-    writeln!(out, "started {MACHINES} control and {MACHINES} router processes, and {SERVERS} model servers")?;
+    writeln!(
+        out,
+        "started {MACHINES} control and {MACHINES} router processes, and {SERVERS} model servers"
+    )?;
     for (role, machine, id) in fleet.ids() {
-        writeln!(out, "  {role} {machine}: process {id} at {}", fleet.addresses[machine])?;
+        writeln!(
+            out,
+            "  {role} {machine}: process {id} at {}",
+            fleet.addresses[machine]
+        )?;
     }
     let interval = Duration::from_millis(400);
-    let _registrations: Vec<_> =
-        servers.iter().map(|server| server.register(fleet.control(), interval)).collect();
+    let _registrations: Vec<_> = servers
+        .iter()
+        .map(|server| server.register(fleet.control(), interval))
+        .collect();
     configure(fleet, until, out)?;
     let router = ready(fleet, until)?;
     writeln!(out, "the router at {router} is ready")?;
     let streamed = serve(fleet, until, out)?;
-    let (events, seal) = (streamed.events.len(), streamed.head.field("response-seal").unwrap_or("none"));
+    let (events, seal) = (
+        streamed.events.len(),
+        streamed.head.field("response-seal").unwrap_or("none"),
+    );
     writeln!(out, "served: {events} events, Response-Seal {seal}")?;
     status(fleet, out)
 }
@@ -116,7 +138,11 @@
     for (role, machine) in (0..MACHINES).flat_map(|machine| ROLES.map(|role| (role, machine))) {
         let log = std::fs::read_to_string(fleet.log(role, machine)).unwrap_or_default();
         let lines: Vec<&str> = log.lines().collect();
-        writeln!(out, "{role} {machine} said {} lines, at the end:", lines.len())?;
+        writeln!(
+            out,
+            "{role} {machine} said {} lines, at the end:",
+            lines.len()
+        )?;
         for line in lines.iter().rev().take(LOG_LINES).rev() {
             writeln!(out, "  {line}")?;
         }
@@ -126,8 +152,14 @@
 
 fn servers() -> std::io::Result<Vec<ModelServer>> {
     let start = |number: usize| {
-        let (instance, zone) = (format!("i-demo-{number}"), format!("zone-{}", 1 + number % MACHINES));
-        ModelServer::start(Description::new(&instance, "model", &zone), SocketAddr::from(([127, 0, 0, 1], 0)))
+        let (instance, zone) = (
+            format!("i-demo-{number}"),
+            format!("zone-{}", 1 + number % MACHINES),
+        );
+        ModelServer::start(
+            Description::new(&instance, "model", &zone),
+            SocketAddr::from(([127, 0, 0, 1], 0)),
+        )
     };
     (0..SERVERS).map(start).collect()
 }
@@ -138,8 +170,15 @@
     out: &mut impl Write,
 ) -> Result<(), DemonstrationError> {
     let operator = Operator::new(fleet.control());
-    let body = replace(1, &[Route::new("r-help", "help.example", "/help/", "model")]);
-    let order = Order { verb: Verb::Replace, base: 0, body };
+    let body = replace(
+        1,
+        &[Route::new("r-help", "help.example", "/help/", "model")],
+    );
+    let order = Order {
+        verb: Verb::Replace,
+        base: 0,
+        body,
+    };
     let (began, mut outcome) = (Instant::now(), Outcome::Unclear);
     // In short spans, so that a process that has ended is told of at once.
     while outcome == Outcome::Unclear && Instant::now() < until {
@@ -149,7 +188,11 @@
     if outcome != Outcome::Acknowledged {
         return Err(DemonstrationError::Configuration(outcome));
     }
-    writeln!(out, "configuration 1 acknowledged after {} ms", began.elapsed().as_millis())?;
+    writeln!(
+        out,
+        "configuration 1 acknowledged after {} ms",
+        began.elapsed().as_millis()
+    )?;
     Ok(())
 }
 
@@ -179,13 +222,21 @@
             break;
         }
         fleet.check()?;
-        let attempt = format!("{:016x}", 0x9c41_d07b_e2a3_5f68_u64.wrapping_add(turn as u64));
+        let attempt = format!(
+            "{:016x}",
+            0x9c41_d07b_e2a3_5f68_u64.wrapping_add(turn as u64)
+        );
         let mut request = StreamRequest::new("help.example", "/help/1", &attempt, TOKENS);
         request.deadline_ms = DEADLINE_MS;
         let mut written = Ok(());
         let tell = |event: &crate::stream_client::Event| {
             let id = event.id.unwrap_or(0);
-            let line = writeln!(out, "  {:4} ms  event {id}: {}", event.at.as_millis(), event.data);
+            let line = writeln!(
+                out,
+                "  {:4} ms  event {id}: {}",
+                event.at.as_millis(),
+                event.data
+            );
             written = std::mem::replace(&mut written, Ok(())).and(line);
         };
         let sent = request.send(fronts[turn % fronts.len()], SILENCE, tell);
@@ -193,7 +244,11 @@
         match sent {
             Ok(streamed) if streamed.is_served() => {
                 let faults = streamed.faults(&request, &[&attempt]);
-                return if faults.is_empty() { Ok(streamed) } else { Err(DemonstrationError::Wrong(faults)) };
+                return if faults.is_empty() {
+                    Ok(streamed)
+                } else {
+                    Err(DemonstrationError::Wrong(faults))
+                };
             }
             Ok(streamed) => last = format!("status {}, {:?}", streamed.head.status(), streamed.end),
             Err(error) => last = error.to_string(),
@@ -208,7 +263,12 @@
         match Call::get("/status").send(control, Duration::from_millis(300)) {
             Ok(answer) => {
                 let text = String::from_utf8_lossy(&answer.body);
-                writeln!(out, "status of {control} ({}): {}", answer.status(), text.trim_end())?;
+                writeln!(
+                    out,
+                    "status of {control} ({}): {}",
+                    answer.status(),
+                    text.trim_end()
+                )?;
             }
             Err(error) => writeln!(out, "status of {control}: {error}")?,
         }
--- a/standins/src/fleet_processes/links.rs
+++ b/standins/src/fleet_processes/links.rs
@@ -1,12 +1,13 @@
-//! Links between the control processes of a fleet: what one says to another goes through one of them, which can be cut. Routers, clients
-//! and operators go on reaching all machines.
+//! Links between the control processes of a fleet: what one says to another goes through one of
+//! them, which can be cut. Routers, clients and operators go on reaching all machines.
 
 use crate::byte_link::ByteLink;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// The links, by the machine that connects and the one that is connected to. None where processes reach each other as they are.
+/// The links, by the machine that connects and the one that is connected to. None where processes
+/// reach each other as they are.
 #[derive(Debug, Default)]
 pub(super) struct Links {
     between: BTreeMap<(usize, usize), (SocketAddr, ByteLink)>,
@@ -34,7 +35,10 @@
 
     /// What the settings of a machine's control process say of its links.
     pub(super) fn settings(&self, machine: usize) -> String {
-        let own = self.between.iter().filter(|((from, _), _)| *from == machine);
+        let own = self
+            .between
+            .iter()
+            .filter(|((from, _), _)| *from == machine);
         let mut text = String::new();
         for (_, (address, link)) in own {
             // Writes to memory don't fail.
--- a/standins/src/fleet_processes/tests.rs
+++ b/standins/src/fleet_processes/tests.rs
@@ -1,4 +1,5 @@
-//! Processes of stand-in programs: started, told to end, killed; settings; a demonstration that can't succeed.
+//! Processes of stand-in programs: started, told to end, killed; settings; a demonstration that
+//! can't succeed.
 
 use super::demonstration::DemonstrationError;
 use super::*;
@@ -9,11 +10,13 @@
 
 impl Script {
     fn new(name: &str, text: &str) -> Script {
-        let folder = std::env::temp_dir().join(format!("fleet-script-{}-{name}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("fleet-script-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         let program = folder.join("program");
         std::fs::write(&program, format!("#!/bin/sh\n{text}\n")).expect("written");
-        std::fs::set_permissions(&program, std::fs::Permissions::from_mode(0o755)).expect("permissions");
+        std::fs::set_permissions(&program, std::fs::Permissions::from_mode(0o755))
+            .expect("permissions");
         Script(program)
     }
 }
@@ -40,8 +43,11 @@
 
 #[test]
 fn a_missing_program_is_named() {
-    let error = FleetProcesses::new(Path::new("/nonexistent/lichenswitch-fleet"), 3).expect_err("no program");
-    assert!(error.to_string().contains("/nonexistent/lichenswitch-fleet"));
+    let error = FleetProcesses::new(Path::new("/nonexistent/lichenswitch-fleet"), 3)
+        .expect_err("no program");
+    assert!(error
+        .to_string()
+        .contains("/nonexistent/lichenswitch-fleet"));
 }
 
 #[test]
@@ -63,7 +69,10 @@
 
 #[test]
 fn those_that_will_not_end_are_killed_and_so_are_those_of_a_dropped_fleet() {
-    let script = Script::new("stays", "trap '' TERM\necho up\nwhile :; do sleep 0.1; done");
+    let script = Script::new(
+        "stays",
+        "trap '' TERM\necho up\nwhile :; do sleep 0.1; done",
+    );
     let mut fleet = FleetProcesses::new(&script.0, 2).expect("a fleet");
     fleet.start(Role::Control, 0, true).expect("started");
     fleet.start(Role::Router, 1, true).expect("started");
@@ -95,15 +104,22 @@
 fn a_frozen_process_takes_its_signals_when_it_goes_on() {
     let text = "trap 'echo again' HUP\ntrap 'exit 3' TERM\necho up\nwhile :; do sleep 0.01; done";
     let script = Script::new("frozen", text);
-    let mut fleet = FleetProcesses::new(&script.0, 2).expect("a fleet").with_grace(4);
-    assert!(fleet.settings(Role::Router, 0, true).contains("gracePeriodS = 4\n"));
+    let mut fleet = FleetProcesses::new(&script.0, 2)
+        .expect("a fleet")
+        .with_grace(4);
+    assert!(fleet
+        .settings(Role::Router, 0, true)
+        .contains("gracePeriodS = 4\n"));
     fleet.start(Role::Router, 0, true).expect("started");
     fleet.start(Role::Router, 1, true).expect("started");
     let log = fleet.log(Role::Router, 0);
     wait_for(&log);
     fleet.hang_up(Role::Router, 0);
     let until = Instant::now() + Duration::from_secs(10);
-    while !std::fs::read_to_string(&log).unwrap_or_default().contains("again") {
+    while !std::fs::read_to_string(&log)
+        .unwrap_or_default()
+        .contains("again")
+    {
         assert!(Instant::now() < until, "the signal did not come");
         thread::yield_now();
     }
@@ -116,7 +132,10 @@
         assert!(Instant::now() < until, "it did not end");
         ended = fleet.ended();
     }
-    assert!(matches!(ended[..], [(Role::Router, 0, status)] if status.code() == Some(3)), "{ended:?}");
+    assert!(
+        matches!(ended[..], [(Role::Router, 0, status)] if status.code() == Some(3)),
+        "{ended:?}"
+    );
     assert!(!fleet.has(Role::Router, 0) && fleet.has(Role::Router, 1));
 }
 
@@ -124,12 +143,31 @@
 fn settings_name_the_same_seeds_and_what_the_role_serves() {
     let script = Script::new("settings", "exit 0");
     let fleet = FleetProcesses::new(&script.0, 4).expect("a fleet");
-    let (control, router) = (fleet.settings(Role::Control, 1, true), fleet.settings(Role::Router, 3, false));
-    let line = |text: &str, name: &str| text.lines().find(|line| line.starts_with(name)).map(str::to_string);
+    let (control, router) = (
+        fleet.settings(Role::Control, 1, true),
+        fleet.settings(Role::Router, 3, false),
+    );
+    let line = |text: &str, name: &str| {
+        text.lines()
+            .find(|line| line.starts_with(name))
+            .map(str::to_string)
+    };
     assert_eq!(line(&control, "seedNodes"), line(&router, "seedNodes"));
-    assert_eq!(line(&control, "seedNodes").expect("a line").matches(":8262").count(), 3);
-    assert_eq!(line(&control, "firstStart").as_deref(), Some("firstStart = true"));
-    assert_eq!(line(&router, "firstStart").as_deref(), Some("firstStart = false"));
+    assert_eq!(
+        line(&control, "seedNodes")
+            .expect("a line")
+            .matches(":8262")
+            .count(),
+        3
+    );
+    assert_eq!(
+        line(&control, "firstStart").as_deref(),
+        Some("firstStart = true")
+    );
+    assert_eq!(
+        line(&router, "firstStart").as_deref(),
+        Some("firstStart = false")
+    );
     assert!(line(&control, "controlPlane").is_some() && line(&control, "frontend").is_none());
     assert!(line(&router, "frontend").is_some() && line(&router, "controlPlane").is_none());
 }
@@ -139,7 +177,10 @@
     let script = Script::new("two", "exit 0");
     let one = FleetProcesses::new(&script.0, 3).expect("a fleet");
     let other = FleetProcesses::new(&script.0, 3).expect("another");
-    assert!(one.control().iter().all(|address| !other.control().contains(address)));
+    assert!(one
+        .control()
+        .iter()
+        .all(|address| !other.control().contains(address)));
 }
 
 #[test]
@@ -147,7 +188,13 @@
     let script = Script::new("fails", "echo no such settings; exit 7");
     let mut out = Vec::new();
     let error = demonstration::run(&script.0, &mut out).expect_err("it can't be shown");
-    assert!(matches!(error, DemonstrationError::Fleet(FleetError::Ended(_, _, Some(7), _))), "{error}");
+    assert!(
+        matches!(
+            error,
+            DemonstrationError::Fleet(FleetError::Ended(_, _, Some(7), _))
+        ),
+        "{error}"
+    );
     assert!(error.to_string().contains("no such settings"));
     assert!(String::from_utf8_lossy(&out).contains("stopped all processes; 0 had to be killed"));
 }
--- a/standins/src/frames.rs
+++ b/standins/src/frames.rs
@@ -1,5 +1,6 @@
-//! A data node that speaks frames: a length, a letter and the rest. It answers parts by a script that tells first and
-//! second phase apart, and accounts for what it answered, what was given up and what came too late.
+//! A data node that speaks frames: a length, a letter and the rest. It answers parts by a script
+//! that tells first and second phase apart, and accounts for what it answered, what was given up
+//! and what came too late.
 
 use std::collections::HashMap;
 use std::io::{Read, Write};
@@ -91,12 +92,20 @@
 fn parts(mut rest: &[u8]) -> Result<Vec<Part>, String> {
     let mut found = Vec::new();
     while !rest.is_empty() {
-        let end = rest.iter().position(|&b| b == b'\n').ok_or("a part without its line")?;
+        let end = rest
+            .iter()
+            .position(|&b| b == b'\n')
+            .ok_or("a part without its line")?;
         let line = std::str::from_utf8(&rest[..end]).map_err(|e| e.to_string())?;
         let words: Vec<&str> = line.split(' ').collect();
-        let [id, shard, list, length] = words[..] else { return Err(format!("a line of {line:?}")) };
+        let [id, shard, list, length] = words[..] else {
+            return Err(format!("a line of {line:?}"));
+        };
         let item = |name: &str| list.split(',').find_map(|i| i.strip_prefix(name));
-        let number = |text: &str| text.parse::<u64>().map_err(|_| format!("{text:?} in {line:?}"));
+        let number = |text: &str| {
+            text.parse::<u64>()
+                .map_err(|_| format!("{text:?} in {line:?}"))
+        };
         let from = item("from=").map(|all| all.split('+').filter_map(|s| s.parse().ok()).collect());
         let length = number(length)? as usize;
         found.push(Part {
@@ -119,7 +128,12 @@
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let script: Script = Arc::new(Mutex::new(Box::new(script)));
-        let node = Node { address, script, ledger: Arc::default(), aims: Arc::default() };
+        let node = Node {
+            address,
+            script,
+            ledger: Arc::default(),
+            aims: Arc::default(),
+        };
         let accepting = node.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -130,7 +144,8 @@
         Ok(node)
     }
 
-    /// From now on it notes what it answers later than this after the first part of a query came to it.
+    /// From now on it notes what it answers later than this after the first part of a query came to
+    /// it.
     pub fn note_aim(&self, aim: Duration) {
         self.aims.lock().unwrap_or_else(|e| e.into_inner()).aim = Some(aim);
     }
@@ -162,7 +177,9 @@
         self.read(stream, &mut came);
         self.books(|ledger| {
             let done = |id: &String| {
-                [&ledger.answered, &ledger.late, &ledger.given_up].iter().any(|l| l.contains(id))
+                [&ledger.answered, &ledger.late, &ledger.given_up]
+                    .iter()
+                    .any(|l| l.contains(id))
             };
             let left: Vec<String> = came.into_iter().filter(|id| !done(id)).collect();
             ledger.given_up.extend(left);
@@ -170,7 +187,9 @@
     }
 
     fn read(&self, stream: TcpStream, came: &mut Vec<String>) {
-        let Ok(writer) = stream.try_clone() else { return };
+        let Ok(writer) = stream.try_clone() else {
+            return;
+        };
         let writer = Arc::new(Mutex::new(writer));
         let mut reader = stream;
         loop {
@@ -218,8 +237,14 @@
         match fate {
             Fate::Hang => true,
             Fate::Break => false,
-            Fate::Error => write(writer, &frame(b'Y', format!("{} ERROR - -\n", part.id).as_bytes())),
-            Fate::Reject => write(writer, &frame(b'Y', format!("{} REJECTED - -\n", part.id).as_bytes())),
+            Fate::Error => write(
+                writer,
+                &frame(b'Y', format!("{} ERROR - -\n", part.id).as_bytes()),
+            ),
+            Fate::Reject => write(
+                writer,
+                &frame(b'Y', format!("{} REJECTED - -\n", part.id).as_bytes()),
+            ),
             Fate::Spoil => write(writer, &frame(b'Y', b"what\n")),
             Fate::Answer(score, after) => {
                 let (node, writer) = (self.clone(), writer.clone());
@@ -247,7 +272,11 @@
 }
 
 fn write(writer: &Mutex<TcpStream>, bytes: &[u8]) -> bool {
-    writer.lock().unwrap_or_else(|e| e.into_inner()).write_all(bytes).is_ok()
+    writer
+        .lock()
+        .unwrap_or_else(|e| e.into_inner())
+        .write_all(bytes)
+        .is_ok()
 }
 
 #[cfg(test)]
--- a/standins/src/frames/tests.rs
+++ b/standins/src/frames/tests.rs
@@ -6,11 +6,21 @@
 fn calls_are_read_as_published_and_others_are_refused() {
     let call = b"9b.3 3 d=240,k=5c 8\nc41e77d09b.4.get 4 d=99,from=3+4,whole=1 0\n";
     let found = parts(call).unwrap();
-    assert_eq!((found[0].shard, found[0].wait, &found[0].from), (3, 240, &None));
-    assert_eq!((found[1].query(), &found[1].from), ("9b", &Some(vec![3, 4])));
-    for bad in
-        [&b"9b.3 3 d=240 9\nshort"[..], b"9b.3 3 8\n", b"9b.3 x d=1 0\n", b"9b.3 3 k=1 0\n", b"no line"]
-    {
+    assert_eq!(
+        (found[0].shard, found[0].wait, &found[0].from),
+        (3, 240, &None)
+    );
+    assert_eq!(
+        (found[1].query(), &found[1].from),
+        ("9b", &Some(vec![3, 4]))
+    );
+    for bad in [
+        &b"9b.3 3 d=240 9\nshort"[..],
+        b"9b.3 3 8\n",
+        b"9b.3 x d=1 0\n",
+        b"9b.3 3 k=1 0\n",
+        b"no line",
+    ] {
         assert!(parts(bad).is_err(), "{}", String::from_utf8_lossy(bad));
     }
 }
--- a/standins/src/http.rs
+++ b/standins/src/http.rs
@@ -36,9 +36,13 @@
         httparse::Status::Complete(used) => used,
         httparse::Status::Partial => return Ok(None),
     };
-    let length = head.headers.iter().find(|h| h.name.eq_ignore_ascii_case("content-length"));
-    let length =
-        length.and_then(|h| std::str::from_utf8(h.value).ok()?.trim().parse().ok()).unwrap_or(0usize);
+    let length = head
+        .headers
+        .iter()
+        .find(|h| h.name.eq_ignore_ascii_case("content-length"));
+    let length = length
+        .and_then(|h| std::str::from_utf8(h.value).ok()?.trim().parse().ok())
+        .unwrap_or(0usize);
     let request = Request {
         method: head.method.unwrap_or_default().into(),
         target: head.path.unwrap_or_default().into(),
@@ -52,9 +56,13 @@
 
 /// Writes an answer with a JSON body; `false`: nobody takes it any more.
 pub fn answer(stream: &mut TcpStream, status: u16, kind: &str, body: &str) -> bool {
-    let head =
-        format!("HTTP/1.1 {status} Told\r\nContent-Type: {kind}\r\nContent-Length: {}\r\n\r\n", body.len());
-    stream.write_all(&[head.as_bytes(), body.as_bytes()].concat()).is_ok()
+    let head = format!(
+        "HTTP/1.1 {status} Told\r\nContent-Type: {kind}\r\nContent-Length: {}\r\n\r\n",
+        body.len()
+    );
+    stream
+        .write_all(&[head.as_bytes(), body.as_bytes()].concat())
+        .is_ok()
 }
 
 /// Reads requests from a connection until it ends; `handle` tells whether to go on.
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -1,6 +1,6 @@
-//! Scripted data nodes, model servers, operators and clients on loopback, with faults by script and a ledger of what each
-//! did. They are written from the published protocols and share no code with the brokers, so that they check their wires
-//! honestly.
+//! Scripted data nodes, model servers, operators and clients on loopback, with faults by script and
+//! a ledger of what each did. They are written from the published protocols and share no code with
+//! the brokers, so that they check their wires honestly.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/standins/src/model_server.rs
+++ b/standins/src/model_server.rs
@@ -1,5 +1,6 @@
-//! A scripted model server on loopback: it takes requests in so many slots, answers with a stream of events, tells the
-//! control machines of itself, and keeps a ledger of what came, ran and was refused. Faults come by script.
+//! A scripted model server on loopback: it takes requests in so many slots, answers with a stream
+//! of events, tells the control machines of itself, and keeps a ledger of what came, ran and was
+//! refused. Faults come by script.
 
 pub mod heartbeat;
 mod serve;
@@ -86,7 +87,8 @@
     ExtraAnswer,
     /// Bytes that are no answer follow the whole one.
     ExtraBytes,
-    /// The same whole answer comes once more, late: where the answer to the next request on the connection is due.
+    /// The same whole answer comes once more, late: where the answer to the next request on the
+    /// connection is due.
     LateAnswer,
     /// The answer bears the id of another request.
     WrongId,
@@ -149,12 +151,19 @@
 
 impl Ledger {
     fn new() -> Ledger {
-        Ledger { began: Instant::now(), entries: Arc::default() }
+        Ledger {
+            began: Instant::now(),
+            entries: Arc::default(),
+        }
     }
 
     fn note(&self, attempt: &str, what: Event) {
         let at = self.began.elapsed();
-        lock(&self.entries).push(Entry { at, attempt: attempt.into(), what });
+        lock(&self.entries).push(Entry {
+            at,
+            attempt: attempt.into(),
+            what,
+        });
     }
 
     /// When the server began.
@@ -178,7 +187,10 @@
     /// How many entries are such.
     #[must_use]
     pub fn count(&self, is_such: impl Fn(&Entry) -> bool) -> usize {
-        lock(&self.entries).iter().filter(|entry| is_such(entry)).count()
+        lock(&self.entries)
+            .iter()
+            .filter(|entry| is_such(entry))
+            .count()
     }
 }
 
@@ -258,7 +270,11 @@
         });
         let accepting = shared.clone();
         thread::spawn(move || serve::accept(&listener, &accepting));
-        Ok(ModelServer { address, ledger, shared })
+        Ok(ModelServer {
+            address,
+            ledger,
+            shared,
+        })
     }
 
     /// What the server is like.
@@ -272,7 +288,8 @@
         lock(&self.shared.script).next.extend(faults);
     }
 
-    /// From now on every request meets this fault, unless [`ModelServer::next_faults`] says otherwise.
+    /// From now on every request meets this fault, unless [`ModelServer::next_faults`] says
+    /// otherwise.
     pub fn always_fault(&self, fault: Option<Fault>) {
         lock(&self.shared.script).always = fault;
     }
@@ -291,7 +308,11 @@
 
     /// Begins to tell these control machines of itself.
     #[must_use]
-    pub fn register(&self, control: Vec<SocketAddr>, interval: Duration) -> heartbeat::Registration {
+    pub fn register(
+        &self,
+        control: Vec<SocketAddr>,
+        interval: Duration,
+    ) -> heartbeat::Registration {
         heartbeat::Registration::start(self.shared.clone(), control, interval)
     }
 
--- a/standins/src/model_server/heartbeat.rs
+++ b/standins/src/model_server/heartbeat.rs
@@ -1,4 +1,5 @@
-//! What a server says of itself to the control machines: heartbeats, that it drains, that it leaves.
+//! What a server says of itself to the control machines: heartbeats, that it drains, that it
+//! leaves.
 
 use super::{lock, Event, Shared};
 use crate::stream_client::message::{Answer, Call};
@@ -44,7 +45,11 @@
 }
 
 impl Registration {
-    pub(super) fn start(shared: Arc<Shared>, control: Vec<SocketAddr>, interval: Duration) -> Registration {
+    pub(super) fn start(
+        shared: Arc<Shared>,
+        control: Vec<SocketAddr>,
+        interval: Duration,
+    ) -> Registration {
         // Servers begin at different machines.
         let turn = u64::from(shared.address.port());
         let talk = Arc::new(Talk {
@@ -62,7 +67,11 @@
             while !beating.is_silent() {
                 beating.beat(Instant::now() + interval);
                 let rest = lock(&beating.rest);
-                drop(beating.woken.wait_timeout_while(rest, interval, |()| !beating.is_silent()));
+                drop(
+                    beating
+                        .woken
+                        .wait_timeout_while(rest, interval, |()| !beating.is_silent()),
+                );
             }
         });
         Registration { talk }
@@ -76,17 +85,26 @@
         self.talk.woken.notify_all();
     }
 
-    /// Says `draining` until that is acknowledged, for so long at most; tells whether it was. The server serves on.
+    /// Says `draining` until that is acknowledged, for so long at most; tells whether it was. The
+    /// server serves on.
     pub fn drain(&self, at_most: Duration) -> bool {
         self.talk.shared.draining.store(true, Ordering::SeqCst);
         self.talk.beat(Instant::now() + at_most)
     }
 
-    /// Says that the server leaves until that is acknowledged, for so long at most; tells whether it was.
+    /// Says that the server leaves until that is acknowledged, for so long at most; tells whether
+    /// it was.
     pub fn deregister(&self, at_most: Duration) -> bool {
         self.fall_silent();
-        let path = format!("/instances/{}/deregister", self.talk.shared.description.instance);
-        self.talk.say(&Call::post(&path, ""), Word::Deregister, Instant::now() + at_most)
+        let path = format!(
+            "/instances/{}/deregister",
+            self.talk.shared.description.instance
+        );
+        self.talk.say(
+            &Call::post(&path, ""),
+            Word::Deregister,
+            Instant::now() + at_most,
+        )
     }
 }
 
@@ -119,7 +137,11 @@
             "sequenceNumber": number,
         });
         let path = format!("/instances/{}/heartbeat", description.instance);
-        let word = if leaving { Word::Draining(number) } else { Word::Ready(number) };
+        let word = if leaving {
+            Word::Draining(number)
+        } else {
+            Word::Ready(number)
+        };
         self.say(&Call::post(&path, body.to_string()), word, until)
     }
 
@@ -128,14 +150,20 @@
             for address in self.in_turn() {
                 let began = Instant::now();
                 let answer = call.send_following(address, PATIENCE);
-                let answer = answer.ok().filter(|answer| is_acknowledgement(answer, began.elapsed()));
+                let answer = answer
+                    .ok()
+                    .filter(|answer| is_acknowledgement(answer, began.elapsed()));
                 let Some(answer) = answer else {
-                    self.shared.ledger.note("", Event::Unacknowledged(word, address));
+                    self.shared
+                        .ledger
+                        .note("", Event::Unacknowledged(word, address));
                     *lock(&self.preferred) = None;
                     self.turn.fetch_add(1, Ordering::SeqCst);
                     continue;
                 };
-                self.shared.ledger.note("", Event::Acknowledged(word, address));
+                self.shared
+                    .ledger
+                    .note("", Event::Acknowledged(word, address));
                 *lock(&self.preferred) = Some(points_to(&answer).unwrap_or(address));
                 return true;
             }
--- a/standins/src/model_server/serve.rs
+++ b/standins/src/model_server/serve.rs
@@ -16,7 +16,9 @@
         if shared.is_stopped() {
             return;
         }
-        let Ok(twin) = stream.try_clone() else { continue };
+        let Ok(twin) = stream.try_clone() else {
+            continue;
+        };
         let mut open = lock(&shared.open);
         open.retain(|stream| stream.peer_addr().is_ok());
         if open.len() >= shared.description.connections {
@@ -82,9 +84,17 @@
     fn new(stream: TcpStream, shared: Arc<Shared>) -> Option<Connection> {
         // Small writes are events: they go at once.
         stream.set_nodelay(true).ok()?;
-        stream.set_read_timeout(Some(shared.description.idle)).ok()?;
+        stream
+            .set_read_timeout(Some(shared.description.idle))
+            .ok()?;
         let to = stream.try_clone().ok()?;
-        Some(Connection { from: BufReader::new(stream), to, shared, late: Vec::new(), is_reset: false })
+        Some(Connection {
+            from: BufReader::new(stream),
+            to,
+            shared,
+            late: Vec::new(),
+            is_reset: false,
+        })
     }
 
     fn serve(mut self) {
@@ -97,7 +107,8 @@
             // One that is gone already needs no end.
             let _ = self.to.shutdown(Shutdown::Write);
         }
-        lock(&self.shared.open).retain(|stream| stream.peer_addr().ok() != self.to.peer_addr().ok());
+        lock(&self.shared.open)
+            .retain(|stream| stream.peer_addr().ok() != self.to.peer_addr().ok());
     }
 
     /// Serves one request.
@@ -139,7 +150,11 @@
             "kvTotal": 100_000,
             "handles": 0,
         });
-        self.answer(200, "Content-Type: application/json\r\n", body.to_string().as_bytes())
+        self.answer(
+            200,
+            "Content-Type: application/json\r\n",
+            body.to_string().as_bytes(),
+        )
     }
 
     fn request(&mut self, head: Head) -> After {
@@ -154,8 +169,17 @@
             shared.ledger.note(&attempt, Event::Befallen(fault));
         }
         let came = Instant::now();
-        let left = head.field("deadline-ms").and_then(|value| value.parse().ok()).map(Duration::from_millis);
-        let request = Request { attempt, came, deadline: left.map(|left| came + left), fault, head };
+        let left = head
+            .field("deadline-ms")
+            .and_then(|value| value.parse().ok())
+            .map(Duration::from_millis);
+        let request = Request {
+            attempt,
+            came,
+            deadline: left.map(|left| came + left),
+            fault,
+            head,
+        };
         if let Some(Fault::EarlyAnswer(status)) = fault {
             let after = self.refuse(&request, status);
             // The rest of the body is read on, so that the next request is found.
@@ -165,7 +189,9 @@
                 After::Close
             };
         }
-        let Ok(body) = read_body(&mut self.from, &request.head, false) else { return After::Close };
+        let Ok(body) = read_body(&mut self.from, &request.head, false) else {
+            return After::Close;
+        };
         shared.ledger.note(&request.attempt, Event::Read(body));
         if let Some(status) = self.refusal(&request) {
             return self.refuse(&request, status);
@@ -173,7 +199,9 @@
         if fault == Some(Fault::ClosedUnrun) {
             return After::Close;
         }
-        let Some(slot) = take_slot(&shared, request.deadline) else { return self.refuse(&request, 503) };
+        let Some(slot) = take_slot(&shared, request.deadline) else {
+            return self.refuse(&request, 503);
+        };
         shared.ledger.note(&request.attempt, Event::Ran);
         let after = self.run(&request);
         drop(slot);
@@ -188,7 +216,8 @@
             return Some(400);
         }
         if field("target-instance").is_some_and(|instance| instance != description.instance)
-            || field("expect-version").is_some_and(|version| version != description.version.to_string())
+            || field("expect-version")
+                .is_some_and(|version| version != description.version.to_string())
         {
             return Some(421);
         }
@@ -199,10 +228,14 @@
     }
 
     fn refuse(&mut self, request: &Request, status: u16) -> After {
-        self.shared.ledger.note(&request.attempt, Event::Refused(status));
+        self.shared
+            .ledger
+            .note(&request.attempt, Event::Refused(status));
         let instance = &self.shared.description.instance;
-        let fields =
-            format!("Attempt-Id: {}\r\nInstance-Id: {instance}\r\nNot-Executed: 1\r\n", request.attempt);
+        let fields = format!(
+            "Attempt-Id: {}\r\nInstance-Id: {instance}\r\nNot-Executed: 1\r\n",
+            request.attempt
+        );
         self.answer(status, &fields, b"")
     }
 
@@ -220,7 +253,9 @@
             }
             Some(Fault::Failed(status)) => {
                 let fields = self.stamp(request);
-                self.shared.ledger.note(&request.attempt, Event::Answered(status));
+                self.shared
+                    .ledger
+                    .note(&request.attempt, Event::Answered(status));
                 return self.answer(status, &fields, b"failed");
             }
             _ => {}
@@ -232,7 +267,10 @@
     }
 
     fn stream(&mut self, request: &Request) -> After {
-        let framed = !matches!(request.fault, Some(Fault::NoLength | Fault::NoLengthReset(_)));
+        let framed = !matches!(
+            request.fault,
+            Some(Fault::NoLength | Fault::NoLengthReset(_))
+        );
         let mut whole = self.stream_head(request, framed);
         let late = std::mem::take(&mut self.late);
         if self.to.write_all(&[late, whole.clone()].concat()).is_err() {
@@ -244,8 +282,13 @@
             if let Some(after) = self.breaks_off(request, sent, framed) {
                 return after;
             }
-            let event =
-                piece(&format!("id: {number}\ndata: {} {number}/{total}\n\n", request.attempt), framed);
+            let event = piece(
+                &format!(
+                    "id: {number}\ndata: {} {number}/{total}\n\n",
+                    request.attempt
+                ),
+                framed,
+            );
             whole.extend_from_slice(&event);
             if self.to.write_all(&event).is_err() {
                 return self.dropped(request);
@@ -263,7 +306,9 @@
             whole.extend_from_slice(b"0\r\n\r\n");
             let _ = self.to.write_all(b"0\r\n\r\n");
         }
-        self.shared.ledger.note(&request.attempt, Event::Answered(200));
+        self.shared
+            .ledger
+            .note(&request.attempt, Event::Answered(200));
         self.behind(request, &whole);
         let closes = !framed || request.head.closes() || self.shared.is_leaving();
         if closes {
@@ -275,10 +320,19 @@
 
     /// The first event to send, and the last.
     fn numbers(&self, request: &Request) -> (u64, u64) {
-        let tokens =
-            request.head.field("token-usage").and_then(|value| value.split(',').nth(1)?.parse().ok());
-        let total = tokens.unwrap_or(16u64).div_ceil(u64::from(self.shared.description.stride)).max(1);
-        let had = request.head.field("last-event-id").and_then(|value| value.parse().ok()).unwrap_or(0);
+        let tokens = request
+            .head
+            .field("token-usage")
+            .and_then(|value| value.split(',').nth(1)?.parse().ok());
+        let total = tokens
+            .unwrap_or(16u64)
+            .div_ceil(u64::from(self.shared.description.stride))
+            .max(1);
+        let had = request
+            .head
+            .field("last-event-id")
+            .and_then(|value| value.parse().ok())
+            .unwrap_or(0);
         (had + 1, total.max(had + 1))
     }
 
@@ -297,7 +351,11 @@
     }
 
     fn stream_head(&self, request: &Request, framed: bool) -> Vec<u8> {
-        let framing = if framed { "Transfer-Encoding: chunked\r\n" } else { "" };
+        let framing = if framed {
+            "Transfer-Encoding: chunked\r\n"
+        } else {
+            ""
+        };
         let closes = !framed || request.head.closes() || self.shared.is_leaving();
         let stamp = self.stamp(request);
         let rest = self.common(closes);
@@ -311,7 +369,10 @@
         let load = lock(&self.shared.load);
         let mut fields = String::new();
         if description.tells_load {
-            fields = format!("Server-Load: {},{},{}\r\n", load.running, load.waiting, description.slots);
+            fields = format!(
+                "Server-Load: {},{},{}\r\n",
+                load.running, load.waiting, description.slots
+            );
         }
         let seconds = description.idle.as_secs();
         match (closes, seconds) {
@@ -354,8 +415,16 @@
     fn answer(&mut self, status: u16, fields: &str, body: &[u8]) -> After {
         let closes = self.shared.is_leaving();
         let rest = self.common(closes);
-        let head = format!("HTTP/1.1 {status} Told\r\n{fields}{rest}Content-Length: {}\r\n\r\n", body.len());
-        let bytes = [std::mem::take(&mut self.late), head.into_bytes(), body.to_vec()].concat();
+        let head = format!(
+            "HTTP/1.1 {status} Told\r\n{fields}{rest}Content-Length: {}\r\n\r\n",
+            body.len()
+        );
+        let bytes = [
+            std::mem::take(&mut self.late),
+            head.into_bytes(),
+            body.to_vec(),
+        ]
+        .concat();
         let written = self.to.write_all(&bytes).is_ok();
         if written && !closes {
             After::Keep
@@ -367,9 +436,13 @@
     /// Works for so long; tells how it ends where the caller leaves or the deadline comes first.
     fn pause(&mut self, request: &Request, time: Duration) -> Option<After> {
         let until = Instant::now() + time;
-        let end = request.deadline.map_or(until, |deadline| deadline.min(until));
+        let end = request
+            .deadline
+            .map_or(until, |deadline| deadline.min(until));
         thread::sleep(end.saturating_duration_since(Instant::now()));
-        let late = request.deadline.is_some_and(|deadline| Instant::now() >= deadline);
+        let late = request
+            .deadline
+            .is_some_and(|deadline| Instant::now() >= deadline);
         if late || self.shared.is_stopped() || self.has_left() {
             return Some(self.dropped(request));
         }
@@ -378,7 +451,9 @@
 
     /// Says nothing until the caller leaves, the deadline comes or the server ends.
     fn wait_for_end(&mut self, request: &Request) -> After {
-        let deadline = request.deadline.unwrap_or(request.came + Duration::from_secs(30));
+        let deadline = request
+            .deadline
+            .unwrap_or(request.came + Duration::from_secs(30));
         while Instant::now() < deadline && !self.shared.is_stopped() && !self.has_left() {
             thread::sleep(Duration::from_millis(5));
         }
@@ -423,7 +498,9 @@
         load.waiting += 1;
         let left = deadline.map(|deadline| deadline.saturating_duration_since(Instant::now()));
         let left = left.unwrap_or(Duration::from_secs(30));
-        let full = |load: &mut super::Load| load.running >= shared.description.slots && !shared.is_stopped();
+        let full = |load: &mut super::Load| {
+            load.running >= shared.description.slots && !shared.is_stopped()
+        };
         let waited = shared.freed.wait_timeout_while(load, left, full);
         let (mut after, _) = waited.unwrap_or_else(|poisoned| poisoned.into_inner());
         after.waiting -= 1;
--- a/standins/src/model_server/tests.rs
+++ b/standins/src/model_server/tests.rs
@@ -1,4 +1,5 @@
-//! The model server: what it refuses, how its faults look on the wire, and what it says to control machines.
+//! The model server: what it refuses, how its faults look on the wire, and what it says to control
+//! machines.
 
 use super::heartbeat::Word;
 use super::*;
@@ -16,11 +17,14 @@
 }
 
 fn start(description: Description) -> ModelServer {
-    ModelServer::start(description, SocketAddr::from(([127, 0, 0, 1], 0))).expect("an address of loopback")
+    ModelServer::start(description, SocketAddr::from(([127, 0, 0, 1], 0)))
+        .expect("an address of loopback")
 }
 
 fn call(attempt: &str) -> Call {
-    Call::post("/a/1", "{}").with("Attempt-Id", attempt).with("Token-Usage", "8,8")
+    Call::post("/a/1", "{}")
+        .with("Attempt-Id", attempt)
+        .with("Token-Usage", "8,8")
 }
 
 fn until(what: impl Fn() -> bool) {
@@ -45,7 +49,10 @@
         let request = format!(
             "POST /a/1 HTTP/1.1\r\nHost: a\r\nAttempt-Id: {attempt}\r\nToken-Usage: 8,8\r\nContent-Length: 2\r\n\r\n{{}}"
         );
-        self.0.get_mut().write_all(request.as_bytes()).expect("written");
+        self.0
+            .get_mut()
+            .write_all(request.as_bytes())
+            .expect("written");
     }
 
     fn read(&mut self) -> Result<Answer, MessageError> {
@@ -56,7 +63,10 @@
 
     fn rest(mut self) -> Vec<u8> {
         let mut rest = Vec::new();
-        self.0.get_mut().shutdown(std::net::Shutdown::Write).expect("shut down");
+        self.0
+            .get_mut()
+            .shutdown(std::net::Shutdown::Write)
+            .expect("shut down");
         // A reset ends it as well.
         let _ = self.0.read_to_end(&mut rest);
         rest
@@ -91,9 +101,18 @@
         assert!(answer.head.field("not-executed").is_some());
     }
     server.next_faults([Some(Fault::Refused(429))]);
-    assert_eq!(call("b1").send(server.address, LONG).expect("an answer").status(), 429);
+    assert_eq!(
+        call("b1")
+            .send(server.address, LONG)
+            .expect("an answer")
+            .status(),
+        429
+    );
     assert_eq!(server.ledger.count(|entry| entry.what == Event::Ran), 0);
-    let answer = call("b1").with("Target-Instance", "i-1").send(server.address, LONG).expect("an answer");
+    let answer = call("b1")
+        .with("Target-Instance", "i-1")
+        .send(server.address, LONG)
+        .expect("an answer");
     assert_eq!(answer.status(), 200);
 }
 
@@ -110,11 +129,21 @@
     second.write("c2");
     until(|| server.load() == (1, 1));
     let third = call("c3").send(server.address, LONG).expect("an answer");
-    assert_eq!((third.status(), third.head.field("not-executed")), (503, Some("1")));
+    assert_eq!(
+        (third.status(), third.head.field("not-executed")),
+        (503, Some("1"))
+    );
     // The first caller leaves: the one that waits gets the slot.
     drop(first);
     assert_eq!(second.read().expect("an answer").status(), 200);
-    assert_eq!([server.ledger.runs("c1"), server.ledger.runs("c2"), server.ledger.runs("c3")], [1, 1, 0]);
+    assert_eq!(
+        [
+            server.ledger.runs("c1"),
+            server.ledger.runs("c2"),
+            server.ledger.runs("c3")
+        ],
+        [1, 1, 0]
+    );
 }
 
 #[test]
@@ -126,7 +155,10 @@
     let mut first = Kept::new(&server);
     first.write("d1");
     until(|| server.load() == (1, 0));
-    let late = call("d2").with("Deadline-Ms", 30).send(server.address, LONG).expect("an answer");
+    let late = call("d2")
+        .with("Deadline-Ms", 30)
+        .send(server.address, LONG)
+        .expect("an answer");
     assert_eq!((late.status(), server.ledger.runs("d2")), (503, 0));
 }
 
@@ -155,10 +187,19 @@
     server.next_faults([Some(Fault::ExtraAnswer), Some(Fault::ExtraBytes), None]);
     let mut kept = Kept::new(&server);
     kept.write("f1");
-    assert_eq!(kept.read().expect("an answer").head.field("attempt-id"), Some("f1"));
-    assert_eq!(kept.read().expect("one more").head.field("attempt-id"), Some("f1"));
+    assert_eq!(
+        kept.read().expect("an answer").head.field("attempt-id"),
+        Some("f1")
+    );
+    assert_eq!(
+        kept.read().expect("one more").head.field("attempt-id"),
+        Some("f1")
+    );
     kept.write("f2");
-    assert_eq!(kept.read().expect("an answer").head.field("attempt-id"), Some("f2"));
+    assert_eq!(
+        kept.read().expect("an answer").head.field("attempt-id"),
+        Some("f2")
+    );
     assert_eq!(kept.rest(), b"and so on\r\n");
     let mut kept = Kept::new(&server);
     kept.write("f3");
@@ -173,21 +214,37 @@
     let mut kept = Kept::new(&server);
     for (attempt, answered) in [("g1", "g1"), ("g2", "g1")] {
         kept.write(attempt);
-        assert_eq!(kept.read().expect("an answer").head.field("attempt-id"), Some(answered));
+        assert_eq!(
+            kept.read().expect("an answer").head.field("attempt-id"),
+            Some(answered)
+        );
     }
-    assert_eq!(kept.read().expect("its own").head.field("attempt-id"), Some("g2"));
+    assert_eq!(
+        kept.read().expect("its own").head.field("attempt-id"),
+        Some("g2")
+    );
 }
 
 #[test]
 fn an_answer_without_a_length_ends_with_its_connection_or_by_a_reset() {
     let server = start(quick());
-    server.next_faults([Some(Fault::NoLength), Some(Fault::NoLengthReset(1)), Some(Fault::ResetAfter(1))]);
+    server.next_faults([
+        Some(Fault::NoLength),
+        Some(Fault::NoLengthReset(1)),
+        Some(Fault::ResetAfter(1)),
+    ]);
     let whole = call("h1").send(server.address, LONG).expect("an answer");
     assert_eq!(whole.head.framing(), None);
     assert!(whole.body.ends_with(b"h1 2/2\n\n"));
     for attempt in ["h2", "h3"] {
         let cut = call(attempt).send(server.address, LONG);
-        assert_eq!(cut, Err(MessageError::Connection(std::io::ErrorKind::ConnectionReset)), "{attempt}");
+        assert_eq!(
+            cut,
+            Err(MessageError::Connection(
+                std::io::ErrorKind::ConnectionReset
+            )),
+            "{attempt}"
+        );
     }
 }
 
@@ -197,26 +254,49 @@
     server.next_faults([Some(Fault::EarlyAnswer(503))]);
     let mut kept = Kept::new(&server);
     let head = "POST /a/1 HTTP/1.1\r\nAttempt-Id: k1\r\nContent-Length: 6\r\n\r\n";
-    kept.0.get_mut().write_all(head.as_bytes()).expect("written");
+    kept.0
+        .get_mut()
+        .write_all(head.as_bytes())
+        .expect("written");
     let early = kept.read().expect("an answer before the body");
-    assert_eq!((early.status(), early.head.field("not-executed")), (503, Some("1")));
+    assert_eq!(
+        (early.status(), early.head.field("not-executed")),
+        (503, Some("1"))
+    );
     kept.0.get_mut().write_all(b"abcdef").expect("written");
     kept.write("k2");
-    assert_eq!(kept.read().expect("an answer").head.field("attempt-id"), Some("k2"));
+    assert_eq!(
+        kept.read().expect("an answer").head.field("attempt-id"),
+        Some("k2")
+    );
     assert_eq!([server.ledger.runs("k1"), server.ledger.runs("k2")], [0, 1]);
 }
 
 #[test]
 fn other_faults_look_as_named() {
     let server = start(quick());
-    server.next_faults([Some(Fault::NotHttp), Some(Fault::Failed(500)), Some(Fault::WrongId)]);
+    server.next_faults([
+        Some(Fault::NotHttp),
+        Some(Fault::Failed(500)),
+        Some(Fault::WrongId),
+    ]);
     assert!(call("l1").send(server.address, LONG).is_err());
     let failed = call("l2").send(server.address, LONG).expect("an answer");
-    assert_eq!((failed.status(), failed.head.field("not-executed")), (500, None));
+    assert_eq!(
+        (failed.status(), failed.head.field("not-executed")),
+        (500, None)
+    );
     assert!(failed.head.field("response-seal").is_some());
     let wrong = call("l3").send(server.address, LONG).expect("an answer");
     assert_ne!(wrong.head.field("attempt-id"), Some("l3"));
-    assert_eq!([server.ledger.runs("l1"), server.ledger.runs("l2"), server.ledger.runs("l3")], [1, 1, 1]);
+    assert_eq!(
+        [
+            server.ledger.runs("l1"),
+            server.ledger.runs("l2"),
+            server.ledger.runs("l3")
+        ],
+        [1, 1, 1]
+    );
 }
 
 #[test]
@@ -239,19 +319,33 @@
     kept.write("n1");
     assert!(kept.read().is_ok());
     assert!(call("n2").send(server.address, LONG).is_err());
-    until(|| server.ledger.count(|entry| entry.what == Event::ConnectionReset) == 1);
+    until(|| {
+        server
+            .ledger
+            .count(|entry| entry.what == Event::ConnectionReset)
+            == 1
+    });
     assert_eq!(server.ledger.runs("n2"), 0);
 }
 
 #[test]
 fn health_and_report_tell_the_state() {
     let server = start(quick());
-    let health = |server: &ModelServer| Call::get("/health").send(server.address, LONG).expect("an answer");
+    let health = |server: &ModelServer| {
+        Call::get("/health")
+            .send(server.address, LONG)
+            .expect("an answer")
+    };
     let good = health(&server);
-    assert_eq!((good.status(), good.head.field("instance-id")), (200, Some("i-1")));
+    assert_eq!(
+        (good.status(), good.head.field("instance-id")),
+        (200, Some("i-1"))
+    );
     server.set_well(false);
     assert_eq!(health(&server).status(), 503);
-    let report = Call::get("/report").send(server.address, LONG).expect("an answer");
+    let report = Call::get("/report")
+        .send(server.address, LONG)
+        .expect("an answer");
     let report: serde_json::Value = serde_json::from_slice(&report.body).expect("JSON");
     assert_eq!(report["activeRequests"], 0);
 }
@@ -261,12 +355,18 @@
     let refuses = ScriptedControl::start(|_, _| Reply::status(503)).expect("loopback");
     let takes = ScriptedControl::start(|_, _| Reply::body("{}")).expect("loopback");
     let server = start(quick());
-    let beats = server.register(vec![refuses.address, takes.address], Duration::from_millis(1));
+    let beats = server.register(
+        vec![refuses.address, takes.address],
+        Duration::from_millis(1),
+    );
     until(|| takes.calls().len() > 5);
     drop(beats);
     assert!(refuses.calls().len() <= 1);
     let numbers: Vec<u64> = takes.calls().iter().map(number).collect();
-    assert!(numbers.windows(2).all(|pair| pair[0] < pair[1]), "{numbers:?}");
+    assert!(
+        numbers.windows(2).all(|pair| pair[0] < pair[1]),
+        "{numbers:?}"
+    );
     assert_eq!(takes.calls()[0].path, "/instances/i-1/heartbeat");
 }
 
@@ -300,8 +400,15 @@
     // It serves on, and asks callers to leave.
     let answer = call("o1").send(server.address, LONG).expect("an answer");
     assert!(answer.status() == 200 && answer.head.closes());
-    assert_eq!(Call::get("/health").send(server.address, LONG).expect("an answer").status(), 503);
-    let acknowledged = |entry: &Entry| matches!(entry.what, Event::Acknowledged(Word::Draining(2), _));
+    assert_eq!(
+        Call::get("/health")
+            .send(server.address, LONG)
+            .expect("an answer")
+            .status(),
+        503
+    );
+    let acknowledged =
+        |entry: &Entry| matches!(entry.what, Event::Acknowledged(Word::Draining(2), _));
     assert_eq!(server.ledger.count(acknowledged), 1);
 }
 
--- a/standins/src/operator.rs
+++ b/standins/src/operator.rs
@@ -1,5 +1,6 @@
-//! A scripted operator: it sends orders to the control machines as the protocol says, the same again and elsewhere where
-//! an answer is missing, two at once on the same version, and keeps a ledger by which the answers can be judged.
+//! A scripted operator: it sends orders to the control machines as the protocol says, the same
+//! again and elsewhere where an answer is missing, two at once on the same version, and keeps a
+//! ledger by which the answers can be judged.
 
 pub mod document;
 pub mod scripted_control;
@@ -103,26 +104,40 @@
     /// An operator who knows these control machines.
     #[must_use]
     pub fn new(control: Vec<SocketAddr>) -> Operator {
-        Operator { control, ledger: Arc::default() }
+        Operator {
+            control,
+            ledger: Arc::default(),
+        }
     }
 
     fn note(&self, entry: Entry) {
-        self.ledger.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).push(entry);
+        self.ledger
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
+            .push(entry);
     }
 
     /// What happened so far.
     #[must_use]
     pub fn ledger(&self) -> Vec<Entry> {
-        self.ledger.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).clone()
+        self.ledger
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
+            .clone()
     }
 
-    /// Sends an order, first to the machine of that number, until it gets a clear answer, for so long at most.
+    /// Sends an order, first to the machine of that number, until it gets a clear answer, for so
+    /// long at most.
     #[must_use]
     pub fn send(&self, order: &Order, first: usize, at_most: Duration) -> Outcome {
         let (until, mut pause, mut others) = (Instant::now() + at_most, PAUSE, 0);
         for turn in 0.. {
             let to = self.control[(first + turn) % self.control.len()];
-            let status = order.call().send_following(to, SILENCE).ok().map(|answer| answer.status());
+            let status = order
+                .call()
+                .send_following(to, SILENCE)
+                .ok()
+                .map(|answer| answer.status());
             let outcome = match status {
                 Some(200..=299) => Some(Outcome::Acknowledged),
                 Some(412) => Some(Outcome::OtherVersion),
@@ -188,9 +203,9 @@
         None
     }
 
-    /// Judges all answers so far. Orders that were under way at the same time are in the ledger in the order of their
-    /// answers, so a read back counts only against what was acknowledged before it in the ledger: use it where reads
-    /// are not under way beside orders.
+    /// Judges all answers so far. Orders that were under way at the same time are in the ledger in
+    /// the order of their answers, so a read back counts only against what was acknowledged before
+    /// it in the ledger: use it where reads are not under way beside orders.
     #[must_use]
     pub fn faults(&self) -> Vec<Fault> {
         judge(&self.ledger())
--- a/standins/src/operator/document.rs
+++ b/standins/src/operator/document.rs
@@ -31,12 +31,23 @@
     pub fn new(name: &str, host: &str, prefix: &str, service: &str) -> Route {
         let [name, host, prefix, service] = [name, host, prefix, service].map(String::from);
         let (split, kind) = (Vec::new(), "streaming");
-        Route { name, host, prefix, service, split, kind, timeout_ms: 5_000, attempts: 2, resume: true }
+        Route {
+            name,
+            host,
+            prefix,
+            service,
+            split,
+            kind,
+            timeout_ms: 5_000,
+            attempts: 2,
+            resume: true,
+        }
     }
 
     fn services(&self) -> impl Iterator<Item = &str> {
         let one = self.split.is_empty().then_some(self.service.as_str());
-        one.into_iter().chain(self.split.iter().map(|(service, _)| service.as_str()))
+        one.into_iter()
+            .chain(self.split.iter().map(|(service, _)| service.as_str()))
     }
 
     fn json(&self) -> Value {
@@ -53,7 +64,8 @@
             "streamResume": self.resume,
             "gap_aim_ms": 300,
         });
-        let part = |(service, weight): &(String, u32)| json!({"service": service, "weight": weight});
+        let part =
+            |(service, weight): &(String, u32)| json!({"service": service, "weight": weight});
         if self.split.is_empty() {
             route["service"] = json!(self.service);
         } else {
@@ -100,7 +112,8 @@
     document.to_string()
 }
 
-/// A change to that version: these routes come, or take the place of those of the same names; those names go.
+/// A change to that version: these routes come, or take the place of those of the same names; those
+/// names go.
 #[must_use]
 pub fn update(version: u64, routes: &[Route], removed: &[&str]) -> String {
     let mut document = json!({"version": version});
@@ -116,5 +129,8 @@
 /// The version of a document; `None`: it can't be read.
 #[must_use]
 pub fn version(document: &[u8]) -> Option<u64> {
-    serde_json::from_slice::<Value>(document).ok()?.get("version")?.as_u64()
+    serde_json::from_slice::<Value>(document)
+        .ok()?
+        .get("version")?
+        .as_u64()
 }
--- a/standins/src/operator/scripted_control.rs
+++ b/standins/src/operator/scripted_control.rs
@@ -1,4 +1,5 @@
-//! A control machine by script: it answers calls as a function says, and keeps them. For tests of those who call.
+//! A control machine by script: it answers calls as a function says, and keeps them. For tests of
+//! those who call.
 
 use crate::stream_client::message::{read_body, read_head, Call};
 use std::io::{BufReader, Write};
@@ -28,13 +29,21 @@
     /// A whole answer without more than a status.
     #[must_use]
     pub fn status(status: u16) -> Reply {
-        Reply::Answer { status, fields: Vec::new(), body: String::new() }
+        Reply::Answer {
+            status,
+            fields: Vec::new(),
+            body: String::new(),
+        }
     }
 
     /// 200 with this body.
     #[must_use]
     pub fn body(body: &str) -> Reply {
-        Reply::Answer { status: 200, fields: Vec::new(), body: body.into() }
+        Reply::Answer {
+            status: 200,
+            fields: Vec::new(),
+            body: body.into(),
+        }
     }
 }
 
@@ -55,7 +64,10 @@
         reply: impl Fn(&Call, usize) -> Reply + Send + Sync + 'static,
     ) -> std::io::Result<ScriptedControl> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
-        let control = ScriptedControl { address: listener.local_addr()?, calls: Arc::default() };
+        let control = ScriptedControl {
+            address: listener.local_addr()?,
+            calls: Arc::default(),
+        };
         let (calls, reply) = (control.calls.clone(), Arc::new(reply));
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -69,7 +81,10 @@
     /// The calls so far.
     #[must_use]
     pub fn calls(&self) -> Vec<Call> {
-        self.calls.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).clone()
+        self.calls
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
+            .clone()
     }
 }
 
@@ -77,25 +92,44 @@
     let Ok(twin) = to.try_clone() else { return };
     let mut from = BufReader::new(twin);
     while let Ok(Some(head)) = read_head(&mut from) {
-        let Ok(body) = read_body(&mut from, &head, false) else { return };
+        let Ok(body) = read_body(&mut from, &head, false) else {
+            return;
+        };
         let [method, path, _] = head.first_line.clone();
-        let call = Call { method, path, fields: head.fields, body };
+        let call = Call {
+            method,
+            path,
+            fields: head.fields,
+            body,
+        };
         let before = {
-            let mut calls = calls.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+            let mut calls = calls
+                .lock()
+                .unwrap_or_else(|poisoned| poisoned.into_inner());
             calls.push(call.clone());
             calls.len() - 1
         };
-        let Reply::Answer { status, fields, body } = (match reply(&call, before) {
+        let Reply::Answer {
+            status,
+            fields,
+            body,
+        } = (match reply(&call, before) {
             Reply::Close => return,
             // The caller closes the connection when it has waited enough.
             Reply::Silence => continue,
             answer => answer,
-        }) else {
+        })
+        else {
             return;
         };
-        let fields: String = fields.iter().map(|(name, value)| format!("{name}: {value}\r\n")).collect();
-        let answer =
-            format!("HTTP/1.1 {status} Told\r\n{fields}Content-Length: {}\r\n\r\n{body}", body.len());
+        let fields: String = fields
+            .iter()
+            .map(|(name, value)| format!("{name}: {value}\r\n"))
+            .collect();
+        let answer = format!(
+            "HTTP/1.1 {status} Told\r\n{fields}Content-Length: {}\r\n\r\n{body}",
+            body.len()
+        );
         if to.write_all(answer.as_bytes()).is_err() {
             return;
         }
--- a/standins/src/operator/tests.rs
+++ b/standins/src/operator/tests.rs
@@ -8,7 +8,11 @@
 
 fn order(base: u64, version: u64) -> Order {
     let body = replace(version, &[Route::new("r", "a.example", "/a/", "s")]);
-    Order { verb: Verb::Replace, base, body }
+    Order {
+        verb: Verb::Replace,
+        base,
+        body,
+    }
 }
 
 fn control(reply: impl Fn(&Call, usize) -> Reply + Send + Sync + 'static) -> ScriptedControl {
@@ -26,7 +30,9 @@
     for calls in &sent {
         assert_eq!(calls.len(), 1);
         assert_eq!(calls[0].body, sent[0][0].body);
-        assert!(calls[0].fields.contains(&("Base-Version".into(), "0".into())));
+        assert!(calls[0]
+            .fields
+            .contains(&("Base-Version".into(), "0".into())));
     }
 }
 
@@ -49,7 +55,10 @@
 fn a_machine_that_never_answers_clearly_leaves_the_order_unclear() {
     let machine = control(|_, _| Reply::status(429));
     let operator = Operator::new(vec![machine.address]);
-    assert_eq!(operator.send(&order(0, 1), 0, Duration::from_millis(200)), Outcome::Unclear);
+    assert_eq!(
+        operator.send(&order(0, 1), 0, Duration::from_millis(200)),
+        Outcome::Unclear
+    );
     assert!(machine.calls().len() > 1);
     assert!(operator.faults().is_empty());
 }
@@ -68,15 +77,24 @@
     let second = leads(last.address);
     let first = leads(second.address);
     let before = leads(first.address);
-    let answer = order(0, 1).call().send_following(first.address, SILENCE).expect("an answer");
+    let answer = order(0, 1)
+        .call()
+        .send_following(first.address, SILENCE)
+        .expect("an answer");
     assert_eq!(answer.status(), 200);
-    let answer = order(0, 1).call().send_following(before.address, SILENCE).expect("an answer");
+    let answer = order(0, 1)
+        .call()
+        .send_following(before.address, SILENCE)
+        .expect("an answer");
     assert_eq!(answer.status(), 307);
 }
 
 #[test]
 fn two_orders_race_at_two_machines() {
-    let (one, other) = (control(|_, _| Reply::status(200)), control(|_, _| Reply::status(412)));
+    let (one, other) = (
+        control(|_, _| Reply::status(200)),
+        control(|_, _| Reply::status(412)),
+    );
     let operator = Operator::new(vec![one.address, other.address]);
     let outcomes = operator.race(&order(3, 4), &order(3, 5), LONG);
     assert_eq!(outcomes, (Outcome::Acknowledged, Outcome::OtherVersion));
@@ -97,9 +115,15 @@
 
 #[test]
 fn a_configuration_is_read_back_from_whoever_has_it() {
-    let (empty, full) = (control(|_, _| Reply::status(503)), control(|_, _| Reply::body("{\"version\":7}")));
+    let (empty, full) = (
+        control(|_, _| Reply::status(503)),
+        control(|_, _| Reply::body("{\"version\":7}")),
+    );
     let operator = Operator::new(vec![empty.address, full.address]);
-    assert_eq!(operator.describe(0, LONG), Some(b"{\"version\":7}".to_vec()));
+    assert_eq!(
+        operator.describe(0, LONG),
+        Some(b"{\"version\":7}".to_vec())
+    );
     assert_eq!(operator.ledger(), [Entry::Read(full.address, Some(7))]);
 }
 
@@ -111,8 +135,14 @@
     assert_eq!(judge(&two), [Fault::TwoOnOneVersion(3)]);
     let repeated = [taken(order(3, 4)), taken(order(4, 6)), taken(order(3, 4))];
     assert!(judge(&repeated).is_empty());
-    let refused = [taken(order(3, 4)), Entry::Answered(order(3, 4), at, Outcome::OtherVersion)];
-    assert_eq!(judge(&refused), [Fault::RefusedAfterAcknowledged(order(3, 4))]);
+    let refused = [
+        taken(order(3, 4)),
+        Entry::Answered(order(3, 4), at, Outcome::OtherVersion),
+    ];
+    assert_eq!(
+        judge(&refused),
+        [Fault::RefusedAfterAcknowledged(order(3, 4))]
+    );
     let older = [taken(order(3, 4)), Entry::Read(at, Some(3))];
     assert_eq!(judge(&older), [Fault::OlderReadBack(3, 4)]);
     let newer = [taken(order(3, 4)), Entry::Read(at, Some(9))];
@@ -123,8 +153,12 @@
 fn a_split_route_names_its_services_by_weight() {
     let mut route = Route::new("r", "a.example", "/a/", "s");
     route.split = vec![("s".into(), 70), ("t".into(), 30)];
-    let document: serde_json::Value = serde_json::from_str(&replace(1, &[route])).expect("a document");
-    assert_eq!(document["routes"][0]["trafficSplit"][1], serde_json::json!({"service": "t", "weight": 30}));
+    let document: serde_json::Value =
+        serde_json::from_str(&replace(1, &[route])).expect("a document");
+    assert_eq!(
+        document["routes"][0]["trafficSplit"][1],
+        serde_json::json!({"service": "t", "weight": 30})
+    );
     assert!(document["routes"][0].get("service").is_none());
     assert_eq!(document["services"].as_array().map(Vec::len), Some(2));
 }
@@ -132,7 +166,8 @@
 #[test]
 fn an_update_names_what_comes_and_what_goes() {
     let route = Route::new("r", "a.example", "/a/", "s");
-    let body: serde_json::Value = serde_json::from_str(&update(9, &[route], &["old"])).expect("JSON");
+    let body: serde_json::Value =
+        serde_json::from_str(&update(9, &[route], &["old"])).expect("JSON");
     assert_eq!(body["upserts"]["routes"][0]["pathPrefix"], "/a/");
     assert_eq!(body["removals"]["routes"][0], "old");
     assert_eq!(version(body.to_string().as_bytes()), Some(9));
--- a/standins/src/relay.rs
+++ b/standins/src/relay.rs
@@ -1,5 +1,6 @@
-//! A stand-in for the network between two processes, in one direction: it carries messages of a length in four bytes and
-//! so many, and can lose, delay, duplicate and hold them, break connections, or be cut. What goes back is carried as it is.
+//! A stand-in for the network between two processes, in one direction: it carries messages of a
+//! length in four bytes and so many, and can lose, delay, duplicate and hold them, break
+//! connections, or be cut. What goes back is carried as it is.
 
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -49,8 +50,17 @@
     pub fn start(to: SocketAddr, seed: u64) -> std::io::Result<Relay> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let dice = Xoshiro256PlusPlus::seed_from_u64(seed);
-        let state = State { faults: Faults::default(), dice, open: Vec::new(), carried: 0, lost: 0 };
-        let relay = Relay { address: listener.local_addr()?, state: Arc::new(Mutex::new(state)) };
+        let state = State {
+            faults: Faults::default(),
+            dice,
+            open: Vec::new(),
+            carried: 0,
+            lost: 0,
+        };
+        let relay = Relay {
+            address: listener.local_addr()?,
+            state: Arc::new(Mutex::new(state)),
+        };
         let accepting = relay.clone();
         thread::spawn(move || {
             for from in listener.incoming().flatten() {
@@ -71,7 +81,11 @@
 
     /// Breaks all connections that are open.
     pub fn reset(&self) {
-        for stream in self.state(|s| std::mem::take(&mut s.open)).iter().filter_map(Weak::upgrade) {
+        for stream in self
+            .state(|s| std::mem::take(&mut s.open))
+            .iter()
+            .filter_map(Weak::upgrade)
+        {
             // One that is gone already needs no end.
             let _ = stream.shutdown(Shutdown::Both);
         }
@@ -84,12 +98,15 @@
     }
 
     fn link(&self, from: TcpStream, to: SocketAddr) {
-        let Ok(onward) = TcpStream::connect(to) else { return drop(from.shutdown(Shutdown::Both)) };
+        let Ok(onward) = TcpStream::connect(to) else {
+            return drop(from.shutdown(Shutdown::Both));
+        };
         // Two descriptors for a connection, however many look at it.
         let (from, onward) = (Arc::new(from), Arc::new(onward));
         self.state(|s| {
             s.open.retain(|stream| stream.strong_count() > 0);
-            s.open.extend([Arc::downgrade(&from), Arc::downgrade(&onward)]);
+            s.open
+                .extend([Arc::downgrade(&from), Arc::downgrade(&onward)]);
         });
         let (back_in, back_out) = (onward.clone(), from.clone());
         thread::spawn(move || {
@@ -109,7 +126,8 @@
             if from.read_exact(&mut message).is_err() {
                 return;
             }
-            let length = u32::from_be_bytes([message[0], message[1], message[2], message[3]]) as usize;
+            let length =
+                u32::from_be_bytes([message[0], message[1], message[2], message[3]]) as usize;
             message.resize(4 + length, 0);
             if from.read_exact(&mut message[4..]).is_err() {
                 return;
@@ -119,7 +137,11 @@
             }
             let (times, delay) = self.state(|s| {
                 let lost = s.faults.cut || s.dice.random_bool(s.faults.lost);
-                let times = if lost { 0 } else { 1 + usize::from(s.dice.random_bool(s.faults.twice)) };
+                let times = if lost {
+                    0
+                } else {
+                    1 + usize::from(s.dice.random_bool(s.faults.twice))
+                };
                 s.carried += u64::from(!lost);
                 s.lost += u64::from(lost);
                 (times, s.faults.delay_ms)
--- a/standins/src/relay/tests.rs
+++ b/standins/src/relay/tests.rs
@@ -14,13 +14,22 @@
             thread::yield_now()
         }
     };
-    relay.set(Faults { cut: true, ..Faults::default() });
+    relay.set(Faults {
+        cut: true,
+        ..Faults::default()
+    });
     say(1);
     carried(1);
-    relay.set(Faults { twice: 1.0, ..Faults::default() });
+    relay.set(Faults {
+        twice: 1.0,
+        ..Faults::default()
+    });
     say(2);
     carried(2);
-    relay.set(Faults { held: true, ..Faults::default() });
+    relay.set(Faults {
+        held: true,
+        ..Faults::default()
+    });
     say(3);
     relay.set(Faults::default());
     let mut got = [0; 15];
--- a/standins/src/rig.rs
+++ b/standins/src/rig.rs
@@ -1,6 +1,6 @@
-//! Many processes of one program on loopback, with a link for each direction between any two of them, a ledger of all
-//! that they say, and faults: stopped, continued, killed, started again, links that fail. It knows the program by its
-//! command, its files and its log alone.
+//! Many processes of one program on loopback, with a link for each direction between any two of
+//! them, a ledger of all that they say, and faults: stopped, continued, killed, started again,
+//! links that fail. It knows the program by its command, its files and its log alone.
 
 use crate::relay::Relay;
 use rustix::process::{kill_process, Pid, Signal};
@@ -53,17 +53,25 @@
 impl Ledger {
     fn note(&self, began: Instant, who: usize, what: Event) {
         let mut entries = self.entries.lock().unwrap_or_else(|e| e.into_inner());
-        entries.push(Entry { at: began.elapsed(), who, what });
+        entries.push(Entry {
+            at: began.elapsed(),
+            who,
+            what,
+        });
     }
 
     /// All of it so far.
     #[must_use]
     pub fn all(&self) -> Vec<Entry> {
-        self.entries.lock().unwrap_or_else(|e| e.into_inner()).clone()
+        self.entries
+            .lock()
+            .unwrap_or_else(|e| e.into_inner())
+            .clone()
     }
 }
 
-/// The shell that starts a process ends it as soon as the rig is gone, however that ended: its standard input closes then.
+/// The shell that starts a process ends it as soon as the rig is gone, however that ended: its
+/// standard input closes then.
 const KEEPER: &str = r#"exec 3<&0; "$0" </dev/null 3<&- & p=$!; echo $p; (cat <&3 >/dev/null; kill -9 $p) 2>/dev/null & w=$!
     exec 3<&-; wait $p; s=$?; kill $w; exit $s"#;
 
@@ -73,7 +81,8 @@
 }
 
 impl Process {
-    /// Waits for its end, and tells its status. The keeper's input stays open until then: its end would kill the process.
+    /// Waits for its end, and tells its status. The keeper's input stays open until then: its end
+    /// would kill the process.
     fn wait(&mut self) -> Option<i32> {
         let input = self.keeper.stdin.take();
         let status = self.keeper.wait().ok()?.code();
@@ -96,8 +105,8 @@
     _block: TcpListener,
 }
 
-/// Where processes listen, each at an address of its own: below the ports that the system gives to connections, so that none
-/// takes a place between its choice and its use.
+/// Where processes listen, each at an address of its own: below the ports that the system gives to
+/// connections, so that none takes a place between its choice and its use.
 const PORT: u16 = 7_000;
 /// Whoever holds this port at the last address of a block has the block.
 const HELD: u16 = 6_999;
@@ -118,7 +127,8 @@
 }
 
 impl Rig {
-    /// A rig for so many processes, 253 at most, with all links sound and nothing started; chance of the links from a seed.
+    /// A rig for so many processes, 253 at most, with all links sound and nothing started; chance
+    /// of the links from a seed.
     ///
     /// # Errors
     /// When loopback or the folder for files can't be used.
@@ -128,16 +138,29 @@
         let folder = std::env::temp_dir().join(format!("rig-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
         let (net, block) = block(number)?;
-        let address = |who: usize| SocketAddr::from(([net[0], net[1], net[2], 1 + who as u8], PORT));
+        let address =
+            |who: usize| SocketAddr::from(([net[0], net[1], net[2], 1 + who as u8], PORT));
         let listens: Vec<SocketAddr> = (0..count.min(253)).map(address).collect();
         let mut links = BTreeMap::new();
-        for (from, to) in (0..count).flat_map(|a| (0..count).map(move |b| (a, b))).filter(|(a, b)| a != b) {
+        for (from, to) in (0..count)
+            .flat_map(|a| (0..count).map(move |b| (a, b)))
+            .filter(|(a, b)| a != b)
+        {
             let chance = seed ^ ((from as u64) << 32 | to as u64);
             links.insert((from, to), Relay::start(listens[to], chance)?);
         }
         let (program, processes) = (program.to_path_buf(), BTreeMap::new());
         let (began, ledger) = (Instant::now(), Ledger::default());
-        Ok(Rig { program, folder, began, listens, links, processes, ledger, _block: block })
+        Ok(Rig {
+            program,
+            folder,
+            began,
+            listens,
+            links,
+            processes,
+            ledger,
+            _block: block,
+        })
     }
 
     /// The link from one process to another.
@@ -148,7 +171,10 @@
 
     /// Cuts the link from one to another, or mends it.
     pub fn cut(&self, from: usize, to: usize, cut: bool) {
-        self.link(from, to).set(crate::relay::Faults { cut, ..Default::default() });
+        self.link(from, to).set(crate::relay::Faults {
+            cut,
+            ..Default::default()
+        });
         self.ledger.note(self.began, from, Event::Link(to, !cut));
     }
 
@@ -175,8 +201,14 @@
     pub fn start(&mut self, who: usize, environment: &[(&str, &Path)]) -> std::io::Result<()> {
         let mut command = Command::new("/bin/sh");
         command.arg("-c").arg(KEEPER).arg(&self.program);
-        command.env_remove("NODE_CONFIG").env_remove("LICHENSWITCH_CONFIG").envs(environment.iter().copied());
-        command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
+        command
+            .env_remove("NODE_CONFIG")
+            .env_remove("LICHENSWITCH_CONFIG")
+            .envs(environment.iter().copied());
+        command
+            .stdin(Stdio::piped())
+            .stdout(Stdio::piped())
+            .stderr(Stdio::piped());
         let mut keeper = command.spawn()?;
         let (Some(stdout), Some(stderr)) = (keeper.stdout.take(), keeper.stderr.take()) else {
             return Err(std::io::Error::other("no pipes"));
@@ -258,14 +290,19 @@
     "classPartial":[0.9],"minShare":[1.0],"needByClass":[1.0]}}"#;
 
 impl Rig {
-    /// Writes the files of a broker that talks with all others, by links of its own, and tells what they are: the
-    /// platform's and the operators'. `times`: further lines of its section `peers`.
+    /// Writes the files of a broker that talks with all others, by links of its own, and tells what
+    /// they are: the platform's and the operators'. `times`: further lines of its section `peers`.
     ///
     /// # Errors
     /// When they can't be written.
     pub fn broker_files(&self, who: usize, times: &str) -> std::io::Result<[PathBuf; 2]> {
         let others = (0..self.listens.len()).filter(|other| *other != who);
-        let line = |o: usize| format!("    - {{name: n{o}, address: \"{}\"}}\n", self.link(who, o).address);
+        let line = |o: usize| {
+            format!(
+                "    - {{name: n{o}, address: \"{}\"}}\n",
+                self.link(who, o).address
+            )
+        };
         let others: String = others.map(line).collect();
         let (listen, zone) = (self.listens[who], who % 3);
         let peers = format!(
@@ -274,7 +311,10 @@
         let platform = format!(
             r#"{{"name":"n{who}","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"{who}","settings":{SETTINGS}}}"#
         );
-        Ok([self.file(&format!("n{who}.json"), &platform)?, self.file(&format!("n{who}.yaml"), &peers)?])
+        Ok([
+            self.file(&format!("n{who}.json"), &platform)?,
+            self.file(&format!("n{who}.yaml"), &peers)?,
+        ])
     }
 
     /// Starts a broker with these files.
@@ -282,17 +322,26 @@
     /// # Errors
     /// When it can't be started.
     pub fn start_broker(&mut self, who: usize, files: &[PathBuf; 2]) -> std::io::Result<()> {
-        self.start(who, &[("NODE_CONFIG", &files[0]), ("LICHENSWITCH_CONFIG", &files[1])])
+        self.start(
+            who,
+            &[
+                ("NODE_CONFIG", &files[0]),
+                ("LICHENSWITCH_CONFIG", &files[1]),
+            ],
+        )
     }
 
     /// The process of a broker, by its number in the system.
     #[must_use]
     pub fn pid(&self, who: usize) -> Option<i32> {
-        self.processes.get(&who).map(|p| p.pid.as_raw_nonzero().get())
+        self.processes
+            .get(&who)
+            .map(|p| p.pid.as_raw_nonzero().get())
     }
 }
 
-/// Whom a broker knows, in order, by its lines (`fleet: nX up ...`, `fleet: nX down ...`) since its last start.
+/// Whom a broker knows, in order, by its lines (`fleet: nX up ...`, `fleet: nX down ...`) since its
+/// last start.
 #[must_use]
 pub fn known(entries: &[Entry], by: usize) -> Vec<usize> {
     let mut known = std::collections::BTreeSet::new();
@@ -313,7 +362,11 @@
 /// Whether all of these know all of these, and nobody else.
 #[must_use]
 pub fn agree(entries: &[Entry], living: &[usize]) -> bool {
-    living.iter().all(|by| known(entries, *by).iter().eq(living.iter().filter(|o| *o != by)))
+    living.iter().all(|by| {
+        known(entries, *by)
+            .iter()
+            .eq(living.iter().filter(|o| *o != by))
+    })
 }
 
 /// Of whom a line tells, and what.
@@ -331,9 +384,10 @@
     pub wrong: Vec<Entry>,
 }
 
-/// Judges what processes named `n0`, `n1`, ... said of each other (`fleet: nX down ...`): one that is declared dead must
-/// have been killed, ended, stopped, or cut off from all others in some direction, within `before` of that; or the one
-/// that declares it, cut off so itself, had no way to hear of it. That the latter had stood still excuses nothing.
+/// Judges what processes named `n0`, `n1`, ... said of each other (`fleet: nX down ...`): one that
+/// is declared dead must have been killed, ended, stopped, or cut off from all others in some
+/// direction, within `before` of that; or the one that declares it, cut off so itself, had no way
+/// to hear of it. That the latter had stood still excuses nothing.
 #[must_use]
 pub fn judge_deaths(entries: &[Entry], count: usize, before: Duration) -> Findings {
     let mut found = Findings::default();
@@ -360,7 +414,9 @@
                 }
             }
             Event::Said(line) => {
-                let Some((who, "down")) = told(line).filter(|t| t.0 < count) else { continue };
+                let Some((who, "down")) = told(line).filter(|t| t.0 < count) else {
+                    continue;
+                };
                 found.checked += 1;
                 let long_ago = |at: Duration| entry.at.saturating_sub(at) > before;
                 let reached = |who: usize| !cut_off(&cut, who) && apart[who].is_none_or(long_ago);
@@ -373,9 +429,10 @@
     found
 }
 
-/// Judges who held a duty when, by what brokers said (`duty D: held under fence N: ...`, `duty D: not held: ...`, which names
-/// how long ago a lease ran out): no two at a time, and under fences that grow. One that stands still does nothing, so
-/// it holds nothing then; once it goes on it has `wakes` to find out.
+/// Judges who held a duty when, by what brokers said (`duty D: held under fence N: ...`,
+/// `duty D: not held: ...`, which names how long ago a lease ran out): no two at a time, and under
+/// fences that grow. One that stands still does nothing, so it holds nothing then; once it goes on
+/// it has `wakes` to find out.
 #[must_use]
 pub fn judge_holders(entries: &[Entry], duty: &str, wakes: Duration) -> Findings {
     let mut found = Findings::default();
@@ -384,7 +441,10 @@
     let mut stopped: BTreeMap<usize, Duration> = BTreeMap::new();
     let mut spans: Vec<(Duration, Duration, usize)> = Vec::new();
     let (mut fence, mut fenced_by) = (0, None);
-    let (held, over) = (format!("duty {duty}: held under fence "), format!("duty {duty}: not held"));
+    let (held, over) = (
+        format!("duty {duty}: held under fence "),
+        format!("duty {duty}: not held"),
+    );
     let mut wrong: Vec<Entry> = Vec::new();
     for entry in entries {
         let who = entry.who;
@@ -397,7 +457,8 @@
             Event::Killed | Event::Ended(_) | Event::Started => ends(entry.at, &mut holds),
             Event::Stopped => drop(stopped.insert(who, entry.at)),
             Event::Continued => {
-                // What it held when it was stopped it held until then, as far as others have to do with it.
+                // What it held when it was stopped it held until then, as far as others have to do
+                // with it.
                 let at = stopped.remove(&who).unwrap_or(entry.at);
                 if holds.contains_key(&who) {
                     ends(at, &mut holds);
@@ -405,12 +466,26 @@
                 }
             }
             Event::Said(line) if line.contains(&over) => {
-                let ago = line.split("ran out ").nth(1).and_then(|rest| rest.split(' ').next()?.parse().ok());
-                ends(entry.at.saturating_sub(Duration::from_millis(ago.unwrap_or(0))), &mut holds);
+                let ago = line
+                    .split("ran out ")
+                    .nth(1)
+                    .and_then(|rest| rest.split(' ').next()?.parse().ok());
+                ends(
+                    entry
+                        .at
+                        .saturating_sub(Duration::from_millis(ago.unwrap_or(0))),
+                    &mut holds,
+                );
             }
             Event::Said(line) => {
-                let Some(rest) = line.split(&held).nth(1) else { continue };
-                let number: u64 = rest.split(':').next().and_then(|n| n.parse().ok()).unwrap_or(0);
+                let Some(rest) = line.split(&held).nth(1) else {
+                    continue;
+                };
+                let number: u64 = rest
+                    .split(':')
+                    .next()
+                    .and_then(|n| n.parse().ok())
+                    .unwrap_or(0);
                 found.checked += 1;
                 if number < fence || number == fence && fenced_by != Some(who) {
                     wrong.push(entry.clone());
@@ -423,16 +498,26 @@
     }
     // Who is not said to have let go of it holds it to the end, and beyond.
     let last = entries.last().map_or(Duration::ZERO, |e| e.at) + Duration::from_millis(1);
-    spans.extend(
-        holds.iter().map(|(who, from)| (*from, stopped.get(who).copied().unwrap_or(last).max(*from), *who)),
-    );
+    spans.extend(holds.iter().map(|(who, from)| {
+        (
+            *from,
+            stopped.get(who).copied().unwrap_or(last).max(*from),
+            *who,
+        )
+    }));
     spans.sort_unstable();
     for (i, span) in spans.iter().enumerate() {
-        let later = spans[i + 1..].iter().find(|s| s.2 != span.2 && s.0 < span.1);
+        let later = spans[i + 1..]
+            .iter()
+            .find(|s| s.2 != span.2 && s.0 < span.1);
         let what = |s: &(Duration, Duration, usize)| {
             Event::Said(format!("n{} holds {duty} beside n{}", s.2, span.2))
         };
-        wrong.extend(later.map(|s| Entry { at: s.0, who: s.2, what: what(s) }));
+        wrong.extend(later.map(|s| Entry {
+            at: s.0,
+            who: s.2,
+            what: what(s),
+        }));
     }
     found.wrong = wrong;
     found
--- a/standins/src/stream_client.rs
+++ b/standins/src/stream_client.rs
@@ -1,5 +1,5 @@
-//! A client of streams: it sends one request on a connection of its own, and tells what came, event by event, and how
-//! it ended. What it makes of that is an opinion of the published rules alone.
+//! A client of streams: it sends one request on a connection of its own, and tells what came, event
+//! by event, and how it ended. What it makes of that is an opinion of the published rules alone.
 
 pub mod message;
 
@@ -70,8 +70,8 @@
         [head.as_bytes(), b"\r\n", &self.body].concat()
     }
 
-    /// Sends the request and reads the answer to its end, telling each event as it comes; gives up after a silence of
-    /// so long.
+    /// Sends the request and reads the answer to its end, telling each event as it comes; gives up
+    /// after a silence of so long.
     ///
     /// # Errors
     /// When there is not even a head of an answer.
@@ -100,7 +100,9 @@
         let stream = TcpStream::connect_timeout(&to, silence)?;
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(silence))?;
-        Ok(ClientConnection { from: BufReader::new(stream) })
+        Ok(ClientConnection {
+            from: BufReader::new(stream),
+        })
     }
 
     /// See [`StreamRequest::send`].
@@ -129,9 +131,18 @@
     ///
     /// # Errors
     /// When there is not even a head of an answer.
-    pub fn read(&mut self, began: Instant, mut tell: impl FnMut(&Event)) -> Result<Streamed, MessageError> {
+    pub fn read(
+        &mut self,
+        began: Instant,
+        mut tell: impl FnMut(&Event),
+    ) -> Result<Streamed, MessageError> {
         let head = read_head(&mut self.from)?.ok_or(MessageError::CutShort)?;
-        let mut streamed = Streamed { head, events: Vec::new(), body: Vec::new(), end: End::Whole };
+        let mut streamed = Streamed {
+            head,
+            events: Vec::new(),
+            body: Vec::new(),
+            end: End::Whole,
+        };
         let mut held = Vec::new();
         streamed.end = loop {
             match next_piece(&mut self.from, &streamed.head, streamed.body.len()) {
@@ -168,7 +179,11 @@
     let mut piece = vec![0; most];
     let count = from.read(&mut piece)?;
     if count == 0 {
-        return if head.framing().is_some() { Err(MessageError::CutShort) } else { Ok(None) };
+        return if head.framing().is_some() {
+            Err(MessageError::CutShort)
+        } else {
+            Ok(None)
+        };
     }
     piece.truncate(count);
     Ok(Some(piece))
@@ -179,10 +194,18 @@
     let end = held.windows(2).position(|pair| pair == b"\n\n")?;
     let bytes: Vec<u8> = held.drain(..end + 2).collect();
     let text = String::from_utf8_lossy(&bytes[..end]).into_owned();
-    let field = |name: &str| text.lines().find_map(|line| line.strip_prefix(name)).map(str::trim);
+    let field = |name: &str| {
+        text.lines()
+            .find_map(|line| line.strip_prefix(name))
+            .map(str::trim)
+    };
     let id = field("id:").and_then(|id| id.parse().ok());
     let data = field("data:").unwrap_or_default().to_string();
-    Some(Event { at: began.elapsed(), id, data })
+    Some(Event {
+        at: began.elapsed(),
+        id,
+        data,
+    })
 }
 
 /// An event of a stream.
@@ -242,16 +265,26 @@
         self.head.status() == 200 && self.end == End::Whole && !self.events.is_empty()
     }
 
-    /// Judges a success that a [`ModelServer`](crate::model_server::ModelServer) gave: its data name the attempt, the number
-    /// of the event and how many there are. `attempts` are all that the stream may have been run under.
+    /// Judges a success that a [`ModelServer`](crate::model_server::ModelServer) gave: its data
+    /// name the attempt, the number of the event and how many there are. `attempts` are all that
+    /// the stream may have been run under.
     #[must_use]
     pub fn faults(&self, request: &StreamRequest, attempts: &[&str]) -> Vec<StreamFault> {
         let mut faults = Vec::new();
         if self.head.status() != 200 {
             return faults;
         }
-        faults.extend(self.head.field("response-seal").is_none().then_some(StreamFault::NoSeal));
-        if let Some(other) = self.head.field("attempt-id").filter(|id| *id != request.attempt) {
+        faults.extend(
+            self.head
+                .field("response-seal")
+                .is_none()
+                .then_some(StreamFault::NoSeal),
+        );
+        if let Some(other) = self
+            .head
+            .field("attempt-id")
+            .filter(|id| *id != request.attempt)
+        {
             faults.push(StreamFault::OtherAttempt(other.into()));
         }
         let mut before = request.last_event_id.or(Some(0));
--- a/standins/src/stream_client/message.rs
+++ b/standins/src/stream_client/message.rs
@@ -1,5 +1,5 @@
-//! As much of HTTP/1.1 as the stand-ins of a fleet need: heads, bodies with a length, in chunks or up to the end of
-//! the connection, and calls that are answered once.
+//! As much of HTTP/1.1 as the stand-ins of a fleet need: heads, bodies with a length, in chunks or
+//! up to the end of the connection, and calls that are answered once.
 
 use std::fmt;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -58,7 +58,10 @@
     /// The value of the first field of that name, in whatever case.
     #[must_use]
     pub fn field(&self, name: &str) -> Option<&str> {
-        self.fields.iter().find(|f| f.0.eq_ignore_ascii_case(name)).map(|f| f.1.as_str())
+        self.fields
+            .iter()
+            .find(|f| f.0.eq_ignore_ascii_case(name))
+            .map(|f| f.1.as_str())
     }
 
     /// The status of an answer; 0 where the first line has none.
@@ -70,16 +73,22 @@
     /// Whether the sender closes the connection after this message.
     #[must_use]
     pub fn closes(&self) -> bool {
-        self.field("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"))
+        self.field("connection")
+            .is_some_and(|value| value.eq_ignore_ascii_case("close"))
     }
 
     /// How long the body is; `None` where the head does not tell.
     #[must_use]
     pub fn framing(&self) -> Option<Framing> {
-        if self.field("transfer-encoding").is_some_and(|value| value.eq_ignore_ascii_case("chunked")) {
+        if self
+            .field("transfer-encoding")
+            .is_some_and(|value| value.eq_ignore_ascii_case("chunked"))
+        {
             return Some(Framing::Chunked);
         }
-        self.field("content-length").and_then(|value| value.trim().parse().ok()).map(Framing::Length)
+        self.field("content-length")
+            .and_then(|value| value.trim().parse().ok())
+            .map(Framing::Length)
     }
 }
 
@@ -95,7 +104,12 @@
 /// Reads a line without its end; `None`: the connection ended before the line began.
 fn line(from: &mut impl BufRead) -> Result<Option<String>, MessageError> {
     let mut bytes = Vec::new();
-    if from.by_ref().take(HEAD_BYTES as u64).read_until(b'\n', &mut bytes)? == 0 {
+    if from
+        .by_ref()
+        .take(HEAD_BYTES as u64)
+        .read_until(b'\n', &mut bytes)?
+        == 0
+    {
         return Ok(None);
     }
     if bytes.pop() != Some(b'\n') {
@@ -104,7 +118,9 @@
     if bytes.last() == Some(&b'\r') {
         bytes.pop();
     }
-    String::from_utf8(bytes).map(Some).map_err(|_| MessageError::NotHttp("a line that is no text".into()))
+    String::from_utf8(bytes)
+        .map(Some)
+        .map_err(|_| MessageError::NotHttp("a line that is no text".into()))
 }
 
 /// Reads a head; `None`: the connection ended before it began.
@@ -112,10 +128,15 @@
 /// # Errors
 /// When it is cut short, late or no head.
 pub fn read_head(from: &mut impl BufRead) -> Result<Option<Head>, MessageError> {
-    let Some(first) = line(from)? else { return Ok(None) };
+    let Some(first) = line(from)? else {
+        return Ok(None);
+    };
     let mut words = first.splitn(3, ' ').map(str::to_string);
     let mut word = || words.next().unwrap_or_default();
-    let mut head = Head { first_line: [word(), word(), word()], fields: Vec::new() };
+    let mut head = Head {
+        first_line: [word(), word(), word()],
+        fields: Vec::new(),
+    };
     // A status line begins with the version, a request line ends with it.
     if !head.first_line[0].starts_with("HTTP/1.") && !head.first_line[2].starts_with("HTTP/1.") {
         return Err(MessageError::NotHttp(first));
@@ -125,8 +146,11 @@
         if text.is_empty() {
             return Ok(Some(head));
         }
-        let (name, value) = text.split_once(':').ok_or_else(|| MessageError::NotHttp(text.clone()))?;
-        head.fields.push((name.to_string(), value.trim().to_string()));
+        let (name, value) = text
+            .split_once(':')
+            .ok_or_else(|| MessageError::NotHttp(text.clone()))?;
+        head.fields
+            .push((name.to_string(), value.trim().to_string()));
     }
 }
 
@@ -137,7 +161,8 @@
 pub fn read_chunk(from: &mut impl BufRead) -> Result<Option<Vec<u8>>, MessageError> {
     let size = line(from)?.ok_or(MessageError::CutShort)?;
     let digits = size.split(';').next().unwrap_or_default().trim();
-    let length = usize::from_str_radix(digits, 16).map_err(|_| MessageError::NotHttp(size.clone()))?;
+    let length =
+        usize::from_str_radix(digits, 16).map_err(|_| MessageError::NotHttp(size.clone()))?;
     let mut bytes = vec![0; length];
     from.read_exact(&mut bytes)?;
     let end = line(from)?.ok_or(MessageError::CutShort)?;
@@ -147,12 +172,16 @@
     Ok((length > 0).then_some(bytes))
 }
 
-/// Reads the whole body of a message; one without a length lasts up to the end of the connection where it is an answer,
-/// and has none where it is a request.
+/// Reads the whole body of a message; one without a length lasts up to the end of the connection
+/// where it is an answer, and has none where it is a request.
 ///
 /// # Errors
 /// When it is cut short, late or against the protocol.
-pub fn read_body(from: &mut impl BufRead, head: &Head, is_answer: bool) -> Result<Vec<u8>, MessageError> {
+pub fn read_body(
+    from: &mut impl BufRead,
+    head: &Head,
+    is_answer: bool,
+) -> Result<Vec<u8>, MessageError> {
     let mut body = Vec::new();
     match head.framing() {
         Some(Framing::Length(length)) => {
@@ -187,14 +216,23 @@
     /// A call that only reads.
     #[must_use]
     pub fn get(path: &str) -> Call {
-        Call { method: "GET".into(), path: path.into(), ..Call::default() }
+        Call {
+            method: "GET".into(),
+            path: path.into(),
+            ..Call::default()
+        }
     }
 
     /// A call with a JSON body.
     #[must_use]
     pub fn post(path: &str, body: impl Into<Vec<u8>>) -> Call {
         let fields = vec![("Content-Type".into(), "application/json".into())];
-        Call { method: "POST".into(), path: path.into(), fields, body: body.into() }
+        Call {
+            method: "POST".into(),
+            path: path.into(),
+            fields,
+            body: body.into(),
+        }
     }
 
     /// The same with one more field.
@@ -209,7 +247,10 @@
         for (name, value) in &self.fields {
             text += &format!("{name}: {value}\r\n");
         }
-        text += &format!("Connection: close\r\nContent-Length: {}\r\n\r\n", self.body.len());
+        text += &format!(
+            "Connection: close\r\nContent-Length: {}\r\n\r\n",
+            self.body.len()
+        );
         [text.as_bytes(), &self.body].concat()
     }
 
@@ -232,11 +273,17 @@
     ///
     /// # Errors
     /// When no whole answer comes in time.
-    pub fn send_following(&self, to: SocketAddr, patience: Duration) -> Result<Answer, MessageError> {
+    pub fn send_following(
+        &self,
+        to: SocketAddr,
+        patience: Duration,
+    ) -> Result<Answer, MessageError> {
         let (mut call, mut to) = (self.clone(), to);
         let mut answer = call.send(to, patience)?;
         for _ in 0..2 {
-            let Some((address, path)) = answer.leads_to() else { break };
+            let Some((address, path)) = answer.leads_to() else {
+                break;
+            };
             (call.path, to) = (path, address);
             answer = call.send(to, patience)?;
         }
@@ -272,7 +319,11 @@
     }
 
     fn leads_to(&self) -> Option<(SocketAddr, String)> {
-        let target = self.head.field("location").filter(|_| self.status() == 307)?.strip_prefix("http://")?;
+        let target = self
+            .head
+            .field("location")
+            .filter(|_| self.status() == 307)?
+            .strip_prefix("http://")?;
         let (address, path) = target.split_once('/')?;
         Some((address.parse().ok()?, format!("/{path}")))
     }
--- a/standins/src/stream_client/message/tests.rs
+++ b/standins/src/stream_client/message/tests.rs
@@ -14,10 +14,14 @@
 fn a_body_is_found_by_length_by_chunks_or_by_the_end() {
     let by_length = answer("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nabc").expect("whole");
     assert_eq!((by_length.0.status(), by_length.1), (200, b"ab".to_vec()));
-    let by_chunks =
-        answer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n");
+    let by_chunks = answer(
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n",
+    );
     assert_eq!(by_chunks.expect("whole").1, b"abc");
-    assert_eq!(answer("HTTP/1.1 200 OK\r\n\r\nabc").expect("whole").1, b"abc");
+    assert_eq!(
+        answer("HTTP/1.1 200 OK\r\n\r\nabc").expect("whole").1,
+        b"abc"
+    );
 }
 
 #[test]
@@ -34,10 +38,15 @@
 
 #[test]
 fn bytes_that_are_no_message_are_told_from_one() {
-    for bytes in
-        ["\u{0}\u{1} what is this\r\n\r\n", "and so on\r\n\r\n", "HTTP/1.1 200 OK\r\nno field\r\n\r\n"]
-    {
-        assert!(matches!(answer(bytes), Err(MessageError::NotHttp(_))), "{bytes:?}");
+    for bytes in [
+        "\u{0}\u{1} what is this\r\n\r\n",
+        "and so on\r\n\r\n",
+        "HTTP/1.1 200 OK\r\nno field\r\n\r\n",
+    ] {
+        assert!(
+            matches!(answer(bytes), Err(MessageError::NotHttp(_))),
+            "{bytes:?}"
+        );
     }
 }
 
@@ -45,10 +54,24 @@
 fn an_answer_leads_elsewhere_only_by_307() {
     let head = |status: &str| Head {
         first_line: ["HTTP/1.1".into(), status.into(), "Told".into()],
-        fields: vec![("Location".into(), "http://127.0.0.3:8080/configuration/replace".into())],
+        fields: vec![(
+            "Location".into(),
+            "http://127.0.0.3:8080/configuration/replace".into(),
+        )],
     };
-    let found = Answer { head: head("307"), body: Vec::new() }.leads_to();
+    let found = Answer {
+        head: head("307"),
+        body: Vec::new(),
+    }
+    .leads_to();
     let address = SocketAddr::from(([127, 0, 0, 3], 8080));
     assert_eq!(found, Some((address, "/configuration/replace".into())));
-    assert_eq!(Answer { head: head("302"), body: Vec::new() }.leads_to(), None);
+    assert_eq!(
+        Answer {
+            head: head("302"),
+            body: Vec::new()
+        }
+        .leads_to(),
+        None
+    );
 }
--- a/standins/src/stream_client/tests.rs
+++ b/standins/src/stream_client/tests.rs
@@ -8,7 +8,8 @@
 fn server() -> ModelServer {
     let mut description = Description::new("i-1", "s", "z");
     (description.first_event, description.between_events) = (Duration::ZERO, Duration::ZERO);
-    ModelServer::start(description, SocketAddr::from(([127, 0, 0, 1], 0))).expect("an address of loopback")
+    ModelServer::start(description, SocketAddr::from(([127, 0, 0, 1], 0)))
+        .expect("an address of loopback")
 }
 
 fn request(attempt: &str) -> StreamRequest {
@@ -19,7 +20,9 @@
 fn a_whole_stream_is_served_without_fault() {
     let (server, mut told) = (server(), Vec::new());
     let request = request("a1");
-    let streamed = request.send(server.address, SILENCE, |event| told.push(event.id)).expect("an answer");
+    let streamed = request
+        .send(server.address, SILENCE, |event| told.push(event.id))
+        .expect("an answer");
     assert!(streamed.is_served());
     assert_eq!(told, [Some(1), Some(2), Some(3), Some(4)]);
     assert!(streamed.faults(&request, &["a1"]).is_empty());
@@ -33,7 +36,10 @@
         let mut request = request(attempt);
         request.closes = attempt == "a3";
         let streamed = connection.send(&request, |_| {}).expect("an answer");
-        assert!(streamed.is_served() && streamed.faults(&request, &[attempt]).is_empty(), "{attempt}");
+        assert!(
+            streamed.is_served() && streamed.faults(&request, &[attempt]).is_empty(),
+            "{attempt}"
+        );
         assert_eq!(streamed.head.closes(), request.closes);
     }
     assert!(connection.send(&request("a4"), |_| {}).is_err());
@@ -44,7 +50,9 @@
     let server = server();
     let mut request = request("a2");
     request.last_event_id = Some(2);
-    let streamed = request.send(server.address, SILENCE, |_| {}).expect("an answer");
+    let streamed = request
+        .send(server.address, SILENCE, |_| {})
+        .expect("an answer");
     let ids: Vec<_> = streamed.events.iter().map(|event| event.id).collect();
     assert_eq!(ids, [Some(3), Some(4)]);
     assert!(streamed.faults(&request, &["a2"]).is_empty());
@@ -53,14 +61,26 @@
 #[test]
 fn a_stream_that_ends_early_is_not_served() {
     let server = server();
-    for (fault, events) in [(Fault::CutAfter(2), 2), (Fault::CutInside(1), 1), (Fault::CutAfter(4), 4)] {
+    for (fault, events) in [
+        (Fault::CutAfter(2), 2),
+        (Fault::CutInside(1), 1),
+        (Fault::CutAfter(4), 4),
+    ] {
         server.next_faults([Some(fault)]);
-        let streamed = request("a3").send(server.address, SILENCE, |_| {}).expect("a head");
-        assert_eq!((streamed.end, streamed.events.len()), (End::Cut, events), "{fault:?}");
+        let streamed = request("a3")
+            .send(server.address, SILENCE, |_| {})
+            .expect("a head");
+        assert_eq!(
+            (streamed.end, streamed.events.len()),
+            (End::Cut, events),
+            "{fault:?}"
+        );
         assert!(!streamed.is_served());
     }
     server.next_faults([Some(Fault::MuteAfter(1))]);
-    let streamed = request("a4").send(server.address, Duration::from_millis(500), |_| {}).expect("a head");
+    let streamed = request("a4")
+        .send(server.address, Duration::from_millis(500), |_| {})
+        .expect("a head");
     assert_eq!(streamed.end, End::Silent);
 }
 
@@ -68,13 +88,20 @@
 fn what_breaks_rules_is_found() {
     let server = server();
     let request = request("a5");
-    let good = request.send(server.address, SILENCE, |_| {}).expect("an answer");
+    let good = request
+        .send(server.address, SILENCE, |_| {})
+        .expect("an answer");
     let with = |change: &dyn Fn(&mut Streamed)| {
         let mut streamed = good.clone();
         change(&mut streamed);
         streamed.faults(&request, &["a5"])
     };
-    let unsealed = with(&|streamed| streamed.head.fields.retain(|field| field.0 != "Response-Seal"));
+    let unsealed = with(&|streamed| {
+        streamed
+            .head
+            .fields
+            .retain(|field| field.0 != "Response-Seal")
+    });
     assert_eq!(unsealed, [StreamFault::NoSeal]);
     let missing = with(&|streamed| drop(streamed.events.remove(1)));
     assert_eq!(missing, [StreamFault::Order(Some(1), Some(3))]);
@@ -85,6 +112,11 @@
     let other = with(&|streamed| streamed.events[2].data = "b7 3/4".into());
     assert_eq!(other, [StreamFault::OtherRequest("b7".into())]);
     server.next_faults([Some(Fault::WrongId)]);
-    let wrong = request.send(server.address, SILENCE, |_| {}).expect("an answer");
-    assert_eq!(wrong.faults(&request, &["a5"]), [StreamFault::OtherAttempt("0000000000000bad".into())]);
+    let wrong = request
+        .send(server.address, SILENCE, |_| {})
+        .expect("an answer");
+    assert_eq!(
+        wrong.faults(&request, &["a5"]),
+        [StreamFault::OtherAttempt("0000000000000bad".into())]
+    );
 }
--- a/stats/src/lib.rs
+++ b/stats/src/lib.rs
@@ -19,8 +19,8 @@
     }
 }
 
-/// A number from 0 to 1 that is drawn anew in each window, which begins at a point of its own for each seed. It is the same
-/// whenever it is asked for.
+/// A number from 0 to 1 that is drawn anew in each window, which begins at a point of its own for
+/// each seed. It is the same whenever it is asked for.
 #[must_use]
 pub fn drawn(seed: u64, now: Time, window: Micros) -> f64 {
     let mut rng = fastrand::Rng::with_seed(seed);
@@ -28,8 +28,8 @@
     fastrand::Rng::with_seed(rng.u64(..) ^ slice.rotate_left(40)).f64()
 }
 
-/// How little a server suits a query; the least is best. The backlog's level comes first, then the server's place in the order that each beginning
-/// has, which is the same at all instances.
+/// How little a server suits a query; the least is best. The backlog's level comes first, then the
+/// server's place in the order that each beginning has, which is the same at all instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Preference {
     level: u32,
@@ -40,7 +40,10 @@
     /// Of a query, for a server that is loaded like this.
     #[must_use]
     pub fn new(placement: &Placement, server: ServerId, load: Load) -> Preference {
-        let level = load.backlog.checked_div(placement.backlog_step).unwrap_or(0);
+        let level = load
+            .backlog
+            .checked_div(placement.backlog_step)
+            .unwrap_or(0);
         let order = match placement.prefix {
             0 => 0,
             prefix => (mixed(prefix ^ mixed(u64::from(server.0) + 1)) >> 32) as u32,
@@ -93,7 +96,8 @@
     pub step: u8,
     /// Its attempts, in order.
     pub tries: Vec<Try>,
-    /// Those of them that never left, which are none of the attempts allowed; the last met nobody there.
+    /// Those of them that never left, which are none of the attempts allowed; the last met nobody
+    /// there.
     pub unsent: usize,
     /// See `unsent`.
     pub unmet: bool,
@@ -113,7 +117,10 @@
     }
     /// Its attempts that are out.
     pub fn out(&self) -> impl Iterator<Item = u16> + '_ {
-        (0u16..).zip(&self.tries).filter(|(_, t)| t.fate == Fate::Out).map(|(i, _)| i)
+        (0u16..)
+            .zip(&self.tries)
+            .filter(|(_, t)| t.fate == Fate::Out)
+            .map(|(i, _)| i)
     }
 }
 
@@ -178,7 +185,10 @@
     /// Moves what is left of it towards `sample` by the share `pace`.
     pub fn add(&mut self, now: Time, sample: f64, pace: f64, half: f64) {
         let left = self.left(now, half);
-        *self = Aged { value: left + pace * (sample - left), at: now };
+        *self = Aged {
+            value: left + pace * (sample - left),
+            at: now,
+        };
     }
 }
 
@@ -197,7 +207,11 @@
     /// only if `edge` says so.
     pub fn count(&mut self, now: Time, window: Micros, edge: bool) -> usize {
         let start = now.minus(window);
-        while self.times.front().is_some_and(|&t| t < start || (!edge && t == start)) {
+        while self
+            .times
+            .front()
+            .is_some_and(|&t| t < start || (!edge && t == start))
+        {
             self.times.pop_front();
         }
         self.times.len()
@@ -220,19 +234,24 @@
     pub fn new(rates: &[f64], instances: u32) -> Self {
         let share = |rate: &f64| rate / f64::from(instances.max(1));
         let full = |rate: f64| (rate, (rate * QUOTA_SAVED).max(1.0), Time(0));
-        Quotas { tenants: rates.iter().map(share).map(full).collect() }
+        Quotas {
+            tenants: rates.iter().map(share).map(full).collect(),
+        }
     }
-    /// The same for another number of instances; what is saved up is cut to what the new rate allows.
+    /// The same for another number of instances; what is saved up is cut to what the new rate
+    /// allows.
     pub fn share(&mut self, rates: &[f64], instances: u32) {
         let alike = Quotas::new(rates, instances).tenants;
         for ((rate, saved, _), (new, full, _)) in self.tenants.iter_mut().zip(alike) {
             (*rate, *saved) = (new, saved.min(full));
         }
     }
-    /// Counts a query and tells whether it is within the tenant's quota; one that is beyond takes nothing from it. A
-    /// tenant that there is not has no quota to go beyond.
+    /// Counts a query and tells whether it is within the tenant's quota; one that is beyond takes
+    /// nothing from it. A tenant that there is not has no quota to go beyond.
     pub fn within(&mut self, now: Time, tenant: u32) -> bool {
-        let Some((rate, saved, at)) = self.tenants.get_mut(tenant as usize) else { return true };
+        let Some((rate, saved, at)) = self.tenants.get_mut(tenant as usize) else {
+            return true;
+        };
         let gained = *rate * now.since(*at) as f64 / 1e6;
         (*saved, *at) = ((*saved + gained).min((*rate * QUOTA_SAVED).max(1.0)), now);
         let within = *saved >= 1.0;
@@ -283,7 +302,8 @@
     pub aim_at: Time,
     /// Share of its class's worth that it has: less beyond its tenant's quota.
     pub gain: f64,
-    /// Time that it really has: to its aim, or to its end where that comes first or the aim has passed.
+    /// Time that it really has: to its aim, or to its end where that comes first or the aim has
+    /// passed.
     pub window: Micros,
     /// Which of two steps it is in, from 1.
     pub step: u8,
@@ -316,7 +336,8 @@
 }
 
 impl Query {
-    /// Whether nothing of it is out, while a part that it needs may not be sent again for now: it waits for nothing but the budget.
+    /// Whether nothing of it is out, while a part that it needs may not be sent again for now: it
+    /// waits for nothing but the budget.
     #[must_use]
     pub fn is_stranded(&self) -> bool {
         let withheld = self.agenda.idle().any(|i| self.parts[i].withheld);
@@ -341,18 +362,21 @@
     pub filled_at: Time,
     /// What is out there.
     pub calls: Vec<Call>,
-    /// What else loads it: streams that run on after their parts were answered, and the backlog of all instances.
+    /// What else loads it: streams that run on after their parts were answered, and the backlog of
+    /// all instances.
     pub load: Load,
-    /// Share of bad ends by class, the last one for what befalls all classes; empty before the first.
+    /// Share of bad ends by class, the last one for what befalls all classes; empty before the
+    /// first.
     pub faults: Vec<Aged>,
-    /// Recent answer time, how many own parts were pending when those parts were sent, and the last of them.
+    /// Recent answer time, how many own parts were pending when those parts were sent, and the last
+    /// of them.
     pub wait: Fading,
     /// See `wait`.
     pub depth: Fading,
     /// See `wait`.
     pub wait_at: Time,
-    /// Last time that something was sent to it or came from it, and whether what is pending went on a
-    /// connection that had been idle.
+    /// Last time that something was sent to it or came from it, and whether what is pending went on
+    /// a connection that had been idle.
     pub used: Time,
     /// See `used`.
     pub idle: bool,
@@ -366,7 +390,8 @@
     pub fn pending(&self) -> f64 {
         f64::from(self.calls.iter().map(|c| c.left).sum::<u32>())
     }
-    /// So many classes there are now, each the same as before or not: what was held against it for another one goes.
+    /// So many classes there are now, each the same as before or not: what was held against it for
+    /// another one goes.
     pub fn on_classes(&mut self, same: &[bool]) {
         let Some(all) = self.faults.pop() else { return };
         self.faults.resize(same.len(), Aged::default());
@@ -382,7 +407,8 @@
     (time as f64 * by) as Micros
 }
 
-/// Which parts of a query's step have to be looked at and when, so that nobody walks over all of them.
+/// Which parts of a query's step have to be looked at and when, so that nobody walks over all of
+/// them.
 #[derive(Clone, Debug, Default)]
 pub struct Agenda {
     /// Parts without an answer that have nothing out.
@@ -430,7 +456,10 @@
     /// The next look after now.
     #[must_use]
     pub fn next(&self, now: Time) -> Option<Time> {
-        self.looks.range((now, usize::MAX)..).map(|l| l.0).find(|&at| at > now)
+        self.looks
+            .range((now, usize::MAX)..)
+            .map(|l| l.0)
+            .find(|&at| at > now)
     }
 }
 
--- a/stats/src/tests.rs
+++ b/stats/src/tests.rs
@@ -8,12 +8,21 @@
     agenda.rest(2);
     agenda.look(0, Time(10));
     agenda.look(1, Time(20));
-    assert_eq!((agenda.now(Time(9)), agenda.next(Time(9))), (vec![2], Some(Time(10))));
-    assert_eq!((agenda.now(Time(10)), agenda.next(Time(10))), (vec![0, 2], Some(Time(20))));
+    assert_eq!(
+        (agenda.now(Time(9)), agenda.next(Time(9))),
+        (vec![2], Some(Time(10)))
+    );
+    assert_eq!(
+        (agenda.now(Time(10)), agenda.next(Time(10))),
+        (vec![0, 2], Some(Time(20)))
+    );
     agenda.look(0, Time(30));
     agenda.rest(1);
     agenda.settled(2);
-    assert_eq!((agenda.now(Time(29)), agenda.next(Time(0))), (vec![1], Some(Time(30))));
+    assert_eq!(
+        (agenda.now(Time(29)), agenda.next(Time(0))),
+        (vec![1], Some(Time(30)))
+    );
 }
 
 #[test]
@@ -24,20 +33,36 @@
     assert!(quotas.within(now, 0) && !quotas.within(now, 0) && quotas.within(now, 1));
     assert!(!quotas.within(now.plus(900_000), 0) && quotas.within(now.plus(1_000_000), 0));
     assert!(!quotas.within(now.plus(1_000_000), 0));
-    assert!((0..5).all(|_| quotas.within(now, 2)), "no such tenant: no quota to go beyond");
+    assert!(
+        (0..5).all(|_| quotas.within(now, 2)),
+        "no such tenant: no quota to go beyond"
+    );
 }
 
 #[test]
 fn a_server_that_more_parts_can_share_is_wanted_more_until_its_bid_is_worse() {
-    let bid = |rank| Bid { rank, joins: false, near: false };
+    let bid = |rank| Bid {
+        rank,
+        joins: false,
+        near: false,
+    };
     // Server 3 takes nothing; 1 is best for the parts 0 to 2, 2 for part 3.
-    let parts = vec![(0, vec![1, 2]), (1, vec![1, 2]), (2, vec![1, 3]), (3, vec![2, 3])];
+    let parts = vec![
+        (0, vec![1, 2]),
+        (1, vec![1, 2]),
+        (2, vec![1, 3]),
+        (3, vec![2, 3]),
+    ];
     let ranks = |server: i32| bid([None, Some(1), Some(2), None][server as usize]);
     let mut wanted = Wanted::new(parts, true, ranks);
     let mut dice = Dice::default();
     assert_eq!(wanted.best(&mut dice), Some((1, vec![0, 1, 2])));
     wanted.sent(1, &[0], bid(Some(3)));
-    assert_eq!(wanted.best(&mut dice), Some((2, vec![1, 3])), "part 1 goes to the better one now");
+    assert_eq!(
+        wanted.best(&mut dice),
+        Some((2, vec![1, 3])),
+        "part 1 goes to the better one now"
+    );
     wanted.sent(2, &[1, 3], bid(Some(3)));
     assert_eq!(wanted.best(&mut dice), Some((1, vec![2])));
     wanted.sent(1, &[2], bid(None));
@@ -48,28 +73,54 @@
 fn a_quota_that_is_shared_anew_keeps_no_more_saved_up_than_its_rate_allows() {
     let (rates, now) = ([8.0], Time(5_000_000));
     let mut quotas = Quotas::new(&rates, 1);
-    assert!((0..3).all(|_| quotas.within(now, 0)), "five are left of eight");
+    assert!(
+        (0..3).all(|_| quotas.within(now, 0)),
+        "five are left of eight"
+    );
     quotas.share(&rates, 4);
     assert!((0..2).all(|_| quotas.within(now, 0)) && !quotas.within(now, 0));
     assert!(!quotas.within(now.plus(400_000), 0) && quotas.within(now.plus(500_000), 0));
     quotas.share(&rates, 1);
-    assert!(!quotas.within(now.plus(500_000), 0), "nothing is won by the change itself");
+    assert!(
+        !quotas.within(now.plus(500_000), 0),
+        "nothing is won by the change itself"
+    );
     assert!(quotas.within(now.plus(625_000), 0));
 }
 
 fn preference(prefix: u64, backlog_step: u32, server: u32, backlog: u32) -> Preference {
-    let load = Load { streams: 0, backlog };
-    Preference::new(&Placement { prefix, backlog_step }, ServerId(server), load)
+    let load = Load {
+        streams: 0,
+        backlog,
+    };
+    Preference::new(
+        &Placement {
+            prefix,
+            backlog_step,
+        },
+        ServerId(server),
+        load,
+    )
 }
 
 #[test]
 fn a_lower_level_of_backlog_comes_before_the_order_of_a_beginning() {
-    let best = (0..10).min_by_key(|server| preference(7, 100, *server, 0)).unwrap();
-    let next = (0..10).filter(|s| *s != best).min_by_key(|server| preference(7, 100, *server, 0)).unwrap();
+    let best = (0..10)
+        .min_by_key(|server| preference(7, 100, *server, 0))
+        .unwrap();
+    let next = (0..10)
+        .filter(|s| *s != best)
+        .min_by_key(|server| preference(7, 100, *server, 0))
+        .unwrap();
     let choose = |backlog| {
-        (0..10).min_by_key(|s| preference(7, 100, *s, if *s == best { backlog } else { 0 })).unwrap()
+        (0..10)
+            .min_by_key(|s| preference(7, 100, *s, if *s == best { backlog } else { 0 }))
+            .unwrap()
     };
-    assert_eq!([choose(0), choose(99), choose(100), choose(u32::MAX)], [best, best, next, next]);
+    assert_eq!(
+        [choose(0), choose(99), choose(100), choose(u32::MAX)],
+        [best, best, next, next]
+    );
 }
 
 #[test]
--- a/stats/src/wanted.rs
+++ b/stats/src/wanted.rs
@@ -22,8 +22,8 @@
     wanted: Vec<usize>,
 }
 
-/// The open parts of a query at the servers that are best for each. A bid changes only as something is sent to its
-/// server, so that only the parts there are judged again.
+/// The open parts of a query at the servers that are best for each. A bid changes only as something
+/// is sent to its server, so that only the parts there are judged again.
 pub struct Wanted<S, R> {
     /// In the order of their servers.
     bidders: Vec<Bidder<S, R>>,
@@ -36,38 +36,65 @@
 }
 
 impl<S: Copy + Ord, R: Copy + Ord> Wanted<S, R> {
-    /// All parts, in order, with the servers that could take each; `share`: a server that more parts can share is
-    /// wanted more.
+    /// All parts, in order, with the servers that could take each; `share`: a server that more
+    /// parts can share is wanted more.
     pub fn new(parts: Vec<(usize, Vec<S>)>, share: bool, bid: impl Fn(S) -> Bid<R>) -> Self {
-        debug_assert!(parts.is_sorted_by_key(|p| p.0), "places are found by search");
-        let pairs =
-            parts.iter().enumerate().flat_map(|(at, (_, servers))| servers.iter().map(move |s| (*s, at)));
+        debug_assert!(
+            parts.is_sorted_by_key(|p| p.0),
+            "places are found by search"
+        );
+        let pairs = parts
+            .iter()
+            .enumerate()
+            .flat_map(|(at, (_, servers))| servers.iter().map(move |s| (*s, at)));
         let mut pairs: Vec<(S, usize)> = pairs.collect();
         pairs.sort_unstable();
         let mut bidders: Vec<Bidder<S, R>> = Vec::new();
-        let mut places: Vec<(usize, Vec<usize>)> =
-            parts.iter().map(|(part, servers)| (*part, Vec::with_capacity(servers.len()))).collect();
+        let mut places: Vec<(usize, Vec<usize>)> = parts
+            .iter()
+            .map(|(part, servers)| (*part, Vec::with_capacity(servers.len())))
+            .collect();
         for (server, at) in pairs {
             if bidders.last().is_none_or(|b| b.server != server) {
-                bidders.push(Bidder { server, bid: bid(server), holds: Vec::new(), wanted: Vec::new() });
+                bidders.push(Bidder {
+                    server,
+                    bid: bid(server),
+                    holds: Vec::new(),
+                    wanted: Vec::new(),
+                });
             }
             places[at].1.push(bidders.len() - 1);
-            bidders.last_mut().into_iter().for_each(|b| b.holds.push(at));
+            bidders
+                .last_mut()
+                .into_iter()
+                .for_each(|b| b.holds.push(at));
         }
-        let mut wanted = Wanted { keys: vec![0; bidders.len()], bidders, parts: places, share };
+        let mut wanted = Wanted {
+            keys: vec![0; bidders.len()],
+            bidders,
+            parts: places,
+            share,
+        };
         (0..wanted.parts.len()).for_each(|at| wanted.judge(at));
         wanted
     }
     fn set_key(&mut self, at: usize) {
         let b = &self.bidders[at];
-        let count = if self.share { b.wanted.len() } else { usize::from(!b.wanted.is_empty()) };
+        let count = if self.share {
+            b.wanted.len()
+        } else {
+            usize::from(!b.wanted.is_empty())
+        };
         let key = (count as u64) << 2 | u64::from(b.bid.joins) << 1 | u64::from(b.bid.near);
         self.keys[at] = if count > 0 { key } else { 0 };
     }
     /// Puts an open part to the servers that are best for it.
     fn judge(&mut self, part: usize) {
         let places = std::mem::take(&mut self.parts[part].1);
-        let best = places.iter().filter_map(|&b| self.bidders[b].bid.rank).min();
+        let best = places
+            .iter()
+            .filter_map(|&b| self.bidders[b].bid.rank)
+            .min();
         for &at in &places {
             let b = &mut self.bidders[at];
             let is_best = best.is_some() && b.bid.rank == best;
@@ -80,31 +107,39 @@
         }
         self.parts[part].1 = places;
     }
-    /// The server that is wanted most: of equals one that is joined, then a near one, then by chance. With the
-    /// parts that it is best for.
+    /// The server that is wanted most: of equals one that is joined, then a near one, then by
+    /// chance. With the parts that it is best for.
     pub fn best(&self, dice: &mut Dice) -> Option<(S, Vec<usize>)> {
         let most = self.keys.iter().copied().max().filter(|&k| k > 0)?;
         let mut best = (0, 0);
         for (at, &key) in self.keys.iter().enumerate().filter(|(_, &key)| key > 0) {
-            // Each open one has its draw, wanted most or not: chance does not depend on how it is looked for.
+            // Each open one has its draw, wanted most or not: chance does not depend on how it is
+            // looked for.
             let drawn = (dice.0.u32(..), at);
             if key == most && drawn >= best {
                 best = drawn;
             }
         }
         let best = &self.bidders[best.1];
-        Some((best.server, best.wanted.iter().map(|&at| self.parts[at].0).collect()))
+        Some((
+            best.server,
+            best.wanted.iter().map(|&at| self.parts[at].0).collect(),
+        ))
     }
     /// These parts were sent to a server, whose bid is now this.
     pub fn sent(&mut self, server: S, sent: &[usize], bid: Bid<R>) {
         for part in sent {
-            let Ok(place) = self.parts.binary_search_by_key(part, |p| p.0) else { continue };
+            let Ok(place) = self.parts.binary_search_by_key(part, |p| p.0) else {
+                continue;
+            };
             for at in std::mem::take(&mut self.parts[place].1) {
                 self.bidders[at].wanted.retain(|&p| p != place);
                 self.set_key(at);
             }
         }
-        let Ok(at) = self.bidders.binary_search_by_key(&server, |b| b.server) else { return };
+        let Ok(at) = self.bidders.binary_search_by_key(&server, |b| b.server) else {
+            return;
+        };
         self.bidders[at].bid = bid;
         self.set_key(at);
         let mut holds = std::mem::take(&mut self.bidders[at].holds);
--- a/testing/src/lib.rs
+++ b/testing/src/lib.rs
@@ -1,5 +1,5 @@
-//! Helpers of tests: for those of all parsers random cuts of valid messages and random garbage, by quickcheck from
-//! a fixed seed; for those of files a folder that is gone after the test.
+//! Helpers of tests: for those of all parsers random cuts of valid messages and random garbage, by
+//! quickcheck from a fixed seed; for those of files a folder that is gone after the test.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -14,8 +14,8 @@
     Gen::from_size_and_seed(64, SEED)
 }
 
-/// Feeds the messages, one after the other and cut at random, to a parser that tells how many bytes the
-/// message took once it is whole; each message must come out once, at its own last byte.
+/// Feeds the messages, one after the other and cut at random, to a parser that tells how many bytes
+/// the message took once it is whole; each message must come out once, at its own last byte.
 pub fn random_cuts(messages: &[&[u8]], mut parse: impl FnMut(&[u8]) -> Option<usize>) {
     let mut g = generator();
     for _ in 0..ROUNDS {
@@ -62,7 +62,8 @@
     pub fn new(files: &[(&str, &str)]) -> Folder {
         static COUNT: AtomicU32 = AtomicU32::new(0);
         let number = COUNT.fetch_add(1, Ordering::Relaxed);
-        let path = std::env::temp_dir().join(format!("lichenswitch-{}-{number}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("lichenswitch-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&path).unwrap();
         for (name, text) in files {
             std::fs::write(path.join(name), text).unwrap();
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -35,9 +35,19 @@
             retry_after: Some(1_000 * MS),
             budget: None,
         },
-        layout: Layout { cells: 3, width: 3, shards: u32::MAX, parts_a_call: 16 },
+        layout: Layout {
+            cells: 3,
+            width: 3,
+            shards: u32::MAX,
+            parts_a_call: 16,
+        },
         discovery: Discovery::Push,
-        cold: Cold { share: 0.25, warm_after: 15_000 * MS, fall_multiple: 2.5, fall_after: 2_000 * MS },
+        cold: Cold {
+            share: 0.25,
+            warm_after: 15_000 * MS,
+            fall_multiple: 2.5,
+            fall_after: 2_000 * MS,
+        },
         zone: 0,
         resolution: MS,
         marks_retry: false,
@@ -55,18 +65,44 @@
 }
 
 pub fn line(id: u32, cell: u32) -> Listed {
-    Listed { server: ServerId(id), cell, zone: cell, mode: Mode::Ready, started: None }
+    Listed {
+        server: ServerId(id),
+        cell,
+        zone: cell,
+        mode: Mode::Ready,
+        started: None,
+    }
 }
 
-pub fn finished(part: u64, attempt: u16, server: ServerId, outcome: Outcome, elapsed: Micros) -> Event {
-    Event::Finished { part: PartId(part), attempt, server, outcome, elapsed }
+pub fn finished(
+    part: u64,
+    attempt: u16,
+    server: ServerId,
+    outcome: Outcome,
+    elapsed: Micros,
+) -> Event {
+    Event::Finished {
+        part: PartId(part),
+        attempt,
+        server,
+        outcome,
+        elapsed,
+    }
 }
 
 impl Stage {
     /// Three servers, one in each of three cells: all hold every shard.
     pub fn new(settings: Settings) -> Stage {
-        let mut stage = Stage { broker: Coordinator::new(7, settings), now: Time(1_000_000 * MS), next: 1 };
-        stage.turn(vec![Event::List(Listing::Whole(vec![line(1, 0), line(2, 1), line(3, 2)]))]);
+        let mut stage = Stage {
+            broker: Coordinator::new(7, settings),
+            now: Time(1_000_000 * MS),
+            next: 1,
+        };
+        stage.turn(vec![Event::List(Listing::Whole(vec![
+            line(1, 0),
+            line(2, 1),
+            line(3, 2),
+        ]))]);
         stage
     }
     pub fn turn(&mut self, events: Vec<Event>) -> Vec<Action> {
--- a/tests/council.rs
+++ b/tests/council.rs
@@ -1,12 +1,13 @@
-//! Voters and holders as processes, with links between them that fail, memories that are lost, and a checker of who held a
-//! duty when.
+//! Voters and holders as processes, with links between them that fail, memories that are lost, and
+//! a checker of who held a duty when.
 
 use lichenswitch_standins::rig::{judge_holders, Entry, Event, Rig};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_lichenswitch");
-/// The most that anything here is waited for, and what one that stood still has to find out that it holds nothing.
+/// The most that anything here is waited for, and what one that stood still has to find out that it
+/// holds nothing.
 const MOST: Duration = Duration::from_secs(40);
 const WAKES: Duration = Duration::from_millis(500);
 
@@ -28,7 +29,9 @@
                 folder.display()
             )
         };
-        let files = (0..count).map(|who| rig.broker_files(who, &lines(who)).unwrap()).collect();
+        let files = (0..count)
+            .map(|who| rig.broker_files(who, &lines(who)).unwrap())
+            .collect();
         let mut council = Council { rig, files };
         (0..count).for_each(|who| council.start(who));
         council
@@ -42,12 +45,17 @@
         self.rig.folder().join(format!("memory-{who}"))
     }
 
-    /// Waits until one of these has come to hold the duty since so many lines were in the ledger, and tells who.
+    /// Waits until one of these has come to hold the duty since so many lines were in the ledger,
+    /// and tells who.
     fn holder(&self, of: &[usize], since: usize) -> usize {
         let holds = |entries: &[Entry]| holder(&entries[since..], of);
         let held = self.rig.until(MOST, |entries| holds(entries).is_some());
         let entries = self.rig.ledger.all();
-        assert!(held, "{:?}", &entries[since.max(entries.len().saturating_sub(60))..]);
+        assert!(
+            held,
+            "{:?}",
+            &entries[since.max(entries.len().saturating_sub(60))..]
+        );
         holds(&entries).unwrap()
     }
 
@@ -57,14 +65,24 @@
 
     /// Waits until a broker has said this since so many lines were in the ledger.
     fn says(&self, by: usize, since: usize, what: &str) {
-        let says = |e: &Entry| e.who == by && matches!(&e.what, Event::Said(line) if line.contains(what));
-        let said = self.rig.until(MOST, |entries| entries[since..].iter().any(says));
-        assert!(said, "n{by} never says {what:?}: {:?}", self.rig.ledger.all().iter().rfind(|e| e.who == by));
+        let says =
+            |e: &Entry| e.who == by && matches!(&e.what, Event::Said(line) if line.contains(what));
+        let said = self
+            .rig
+            .until(MOST, |entries| entries[since..].iter().any(says));
+        assert!(
+            said,
+            "n{by} never says {what:?}: {:?}",
+            self.rig.ledger.all().iter().rfind(|e| e.who == by)
+        );
     }
 
     fn cut(&self, side: &[usize], cut: bool) {
         let count = self.files.len();
-        for (a, b) in (0..count).flat_map(|a| (0..count).map(move |b| (a, b))).filter(|(a, b)| a != b) {
+        for (a, b) in (0..count)
+            .flat_map(|a| (0..count).map(move |b| (a, b)))
+            .filter(|(a, b)| a != b)
+        {
             if side.contains(&a) != side.contains(&b) {
                 self.rig.cut(a, b, cut);
             }
@@ -87,8 +105,12 @@
     let mut holds = None;
     for entry in entries.iter().filter(|e| of.contains(&e.who)) {
         match &entry.what {
-            Event::Said(line) if line.contains("duty compiler: held under fence") => holds = Some(entry.who),
-            Event::Said(line) if line.contains("duty compiler: not held") && holds == Some(entry.who) => {
+            Event::Said(line) if line.contains("duty compiler: held under fence") => {
+                holds = Some(entry.who)
+            }
+            Event::Said(line)
+                if line.contains("duty compiler: not held") && holds == Some(entry.who) =>
+            {
                 holds = None
             }
             _ => {}
@@ -109,7 +131,15 @@
     council.rig.kill(first);
     let second = council.holder(&others(5, first), since);
     council.start(first);
-    council.says(first, since, if first < 3 { "council: votes" } else { "peers: " });
+    council.says(
+        first,
+        since,
+        if first < 3 {
+            "council: votes"
+        } else {
+            "peers: "
+        },
+    );
     // The holder stands still: when it goes on it finds out by itself, before it does anything.
     let since = council.count();
     council.rig.stop(second);
@@ -122,7 +152,11 @@
     council.cut(&[third], true);
     let fourth = council.holder(&others(5, third), since);
     council.says(third, since, "duty compiler: not held");
-    council.says(third, since, "standing: doubtful: the last majority of the voters heard it");
+    council.says(
+        third,
+        since,
+        "standing: doubtful: the last majority of the voters heard it",
+    );
     let since = council.count();
     council.cut(&[third], false);
     council.says(third, since, "standing: joined: ");
@@ -137,7 +171,8 @@
 fn two_of_five_voters_can_not_grant_and_three_go_on() {
     let council = Council::new(6, 5, 2);
     let first = council.holder(&[0, 1, 2, 3, 4, 5], 0);
-    // The holder is on the side of two voters; its lease runs out there, and the three grant another.
+    // The holder is on the side of two voters; its lease runs out there, and the three grant
+    // another.
     let beside = others(5, first).pop().unwrap();
     let side = [first.min(5), beside];
     let rest: Vec<usize> = (0..6).filter(|w| !side.contains(w)).collect();
@@ -191,11 +226,17 @@
     council.rig.kill(1);
     let file = council.memory(1).join("memory");
     let bytes = std::fs::read(&file).unwrap();
-    let other = String::from_utf8_lossy(&bytes[..40]).replacen("test n1", "tset n1", 1).into_bytes();
+    let other = String::from_utf8_lossy(&bytes[..40])
+        .replacen("test n1", "tset n1", 1)
+        .into_bytes();
     std::fs::write(&file, [&other[..], &bytes[other.len()..]].concat()).unwrap();
     let since = council.count();
     council.start(1);
-    council.says(1, since, "it does not name its owner: \"test n1\" is not there; it is set aside as");
+    council.says(
+        1,
+        since,
+        "it does not name its owner: \"test n1\" is not there; it is set aside as",
+    );
     council.says(1, since, "does not vote");
     council.sound();
 }
@@ -210,7 +251,13 @@
     council.holder(&[0, 1, 2, 3], since);
     let entries = council.rig.ledger.all();
     let genesis = |e: &Entry| match &e.what {
-        Event::Said(line) => Some(line.split("genesis ").nth(1)?.split(' ').next()?.to_string()),
+        Event::Said(line) => Some(
+            line.split("genesis ")
+                .nth(1)?
+                .split(' ')
+                .next()?
+                .to_string(),
+        ),
         _ => None,
     };
     let all: std::collections::BTreeSet<String> = entries.iter().filter_map(genesis).collect();
@@ -224,14 +271,23 @@
     (0..4).for_each(|who| council.says(who, 0, "standing: joined: "));
     let since = council.count();
     council.cut(&[3], true);
-    council.says(3, since, "standing: cut off: the last majority of the voters heard it");
+    council.says(
+        3,
+        since,
+        "standing: cut off: the last majority of the voters heard it",
+    );
     council.cut(&[3], false);
     council.says(3, since, "standing: joined: ");
-    // All voters lose their memories at once: they begin anew, and the broker that knew the former genesis says so.
+    // All voters lose their memories at once: they begin anew, and the broker that knew the former
+    // genesis says so.
     (0..3).for_each(|who| council.rig.kill(who));
     (0..3).for_each(|who| std::fs::remove_dir_all(council.memory(who)).unwrap());
     let since = council.count();
     (0..3).for_each(|who| council.start(who));
-    council.says(3, since, "standing: a stranger: the fleet has begun anew: genesis");
+    council.says(
+        3,
+        since,
+        "standing: a stranger: the fleet has begun anew: genesis",
+    );
     (0..3).for_each(|who| council.says(who, since, "standing: joined: "));
 }
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -1,5 +1,5 @@
-//! Clients that rest fill the descriptors while discovery is down: at its return the list is had in time, queries are served,
-//! and meanwhile no loop spins.
+//! Clients that rest fill the descriptors while discovery is down: at its return the list is had in
+//! time, queries are served, and meanwhile no loop spins.
 
 mod platformed;
 
@@ -28,9 +28,11 @@
     fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap()
 }
 
-/// Fills the descriptors of a broker, whose settings name so many and whose system gives it so many, while discovery is down.
+/// Fills the descriptors of a broker, whose settings name so many and whose system gives it so
+/// many, while discovery is down.
 fn filled(name: &str, sockets: usize, system: usize) {
-    let path = std::env::temp_dir().join(format!("lichenswitch-{name}-{}.json", std::process::id()));
+    let path =
+        std::env::temp_dir().join(format!("lichenswitch-{name}-{}.json", std::process::id()));
     let [node, list] = [(); 2].map(|()| TcpListener::bind("127.0.0.1:0").unwrap());
     let (node_at, list_at) = (node.local_addr().unwrap(), list.local_addr().unwrap());
     // Discovery is down: its address refuses.
@@ -47,7 +49,10 @@
         lines("SERVING", 1)
     );
     std::fs::write(&path, config).unwrap();
-    let limited = format!("ulimit -n {system}; exec {}", env!("CARGO_BIN_EXE_lichenswitch"));
+    let limited = format!(
+        "ulimit -n {system}; exec {}",
+        env!("CARGO_BIN_EXE_lichenswitch")
+    );
     let mut broker = Command::new("sh")
         .args(["-c", &limited])
         .env("NODE_CONFIG", &path)
@@ -57,16 +62,24 @@
         .map(Running)
         .unwrap();
     let mut logged = BufReader::new(broker.0.stderr.take().unwrap()).lines();
-    let line = logged.find(|l| l.as_ref().unwrap().contains("listens on ")).unwrap().unwrap();
+    let line = logged
+        .find(|l| l.as_ref().unwrap().contains("listens on "))
+        .unwrap()
+        .unwrap();
     thread::spawn(move || logged.for_each(drop));
     let address = line.rsplit(' ').next().unwrap().to_string();
-    // Far more clients than there are descriptors connect and rest; half of them have asked something first.
+    // Far more clients than there are descriptors connect and rest; half of them have asked
+    // something first.
     let mut clients: Vec<TcpStream> = Vec::new();
     for i in 0..120 {
         let mut client = TcpStream::connect(&address).unwrap();
-        client.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
+        client
+            .set_read_timeout(Some(Duration::from_secs(20)))
+            .unwrap();
         if i % 2 == 0 {
-            client.write_all(b"GET /health/live HTTP/1.1\r\n\r\n").unwrap();
+            client
+                .write_all(b"GET /health/live HTTP/1.1\r\n\r\n")
+                .unwrap();
         }
         clients.push(client);
     }
@@ -89,22 +102,33 @@
             while !held.ends_with(b"\r\n\r\n") && stream.read(&mut byte).is_ok_and(|n| n > 0) {
                 held.push(byte[0]);
             }
-            let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{drains}", drains.len());
+            let text = format!(
+                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{drains}",
+                drains.len()
+            );
             let _ = stream.write_all(text.as_bytes());
             let _ = told.send(());
             // The watch goes on with this one; it is left open.
             std::mem::forget(stream);
         }
     });
-    heard.recv_timeout(Duration::from_secs(6)).expect("the list is asked for before it counts as told");
+    heard
+        .recv_timeout(Duration::from_secs(6))
+        .expect("the list is asked for before it counts as told");
     assert!(back.elapsed() < Duration::from_secs(6));
     // A query is answered at once: refused, since its only node drains.
     let mut client = TcpStream::connect(&address).unwrap();
-    client.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
+    client
+        .set_read_timeout(Some(Duration::from_secs(20)))
+        .unwrap();
     client.write_all(&query("fleet-search", "q", &[1])).unwrap();
     assert_eq!(answer(&mut client).status, 503);
     drop(clients);
-    assert!(Command::new("kill").arg(broker.0.id().to_string()).status().unwrap().success());
+    assert!(Command::new("kill")
+        .arg(broker.0.id().to_string())
+        .status()
+        .unwrap()
+        .success());
     broker.0.wait().unwrap();
     std::fs::remove_file(&path).unwrap();
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! Many brokers at the same servers, in virtual time: what one does alone is counted over all of them.
+//! Many brokers at the same servers, in virtual time: what one does alone is counted over all of
+//! them.
 
 mod common;
 
@@ -13,10 +14,12 @@
 const SILENT: Micros = Micros::MAX;
 const START: Time = Time(1_000_000 * MS);
 
-/// An answer to come: when, at which broker, of which part and attempt, from which server and after how long.
+/// An answer to come: when, at which broker, of which part and attempt, from which server and after
+/// how long.
 type Answer = (Time, usize, u64, u16, ServerId, Micros);
 
-/// Brokers that share nothing but servers in a ring, each shard held by two. Every query wants some neighbouring shards.
+/// Brokers that share nothing but servers in a ring, each shard held by two. Every query wants some
+/// neighbouring shards.
 struct Fleet {
     brokers: Vec<Coordinator>,
     cells: u32,
@@ -35,10 +38,28 @@
 impl Fleet {
     fn new(brokers: u32, cells: u32, parts: u32) -> Fleet {
         let mut set = settings(class());
-        set.layout = Layout { cells, width: 2, shards: 2 * cells, parts_a_call: 8 };
-        set.cold = Cold { share: 0.32, warm_after: 18 * SECOND, fall_multiple: 3.0, fall_after: SECOND };
+        set.layout = Layout {
+            cells,
+            width: 2,
+            shards: 2 * cells,
+            parts_a_call: 8,
+        };
+        set.cold = Cold {
+            share: 0.32,
+            warm_after: 18 * SECOND,
+            fall_multiple: 3.0,
+            fall_after: SECOND,
+        };
         set.instances = brokers;
-        let broker = |i| Coordinator::new(u64::from(i) + 1, Settings { zone: i % 3, ..set.clone() });
+        let broker = |i| {
+            Coordinator::new(
+                u64::from(i) + 1,
+                Settings {
+                    zone: i % 3,
+                    ..set.clone()
+                },
+            )
+        };
         let brokers = (0..brokers).map(broker).collect();
         let mut fleet = Fleet {
             brokers,
@@ -52,12 +73,22 @@
             attempts: BTreeMap::new(),
             sent: Vec::new(),
         };
-        fleet.list(&Listing::Whole((0..cells).map(|cell| fleet.line(cell, cell, None)).collect()));
+        fleet.list(&Listing::Whole(
+            (0..cells)
+                .map(|cell| fleet.line(cell, cell, None))
+                .collect(),
+        ));
         fleet
     }
 
     fn line(&self, id: u32, cell: u32, started: Option<Time>) -> Listed {
-        Listed { server: ServerId(id), cell, zone: cell % 3, mode: Mode::Ready, started }
+        Listed {
+            server: ServerId(id),
+            cell,
+            zone: cell % 3,
+            mode: Mode::Ready,
+            started,
+        }
     }
 
     /// Tells all brokers at once.
@@ -70,8 +101,14 @@
     /// A server is replaced: the old one is gone and the new one is cold.
     fn replace(&mut self, old: u32, new: u32) {
         let cell = old % self.cells;
-        let gone = Listed { mode: Mode::Gone, ..self.line(old, cell, None) };
-        self.list(&Listing::Changes(vec![gone, self.line(new, cell, Some(self.now))]));
+        let gone = Listed {
+            mode: Mode::Gone,
+            ..self.line(old, cell, None)
+        };
+        self.list(&Listing::Changes(vec![
+            gone,
+            self.line(new, cell, Some(self.now)),
+        ]));
     }
 
     fn turn(&mut self, broker: usize, events: Vec<Event>) {
@@ -93,9 +130,12 @@
     /// What a broker withdraws is not answered any more.
     fn cancel(&mut self, broker: usize, out: &[Action]) {
         for action in out {
-            let Action::Cancel { part, attempt } = action else { continue };
+            let Action::Cancel { part, attempt } = action else {
+                continue;
+            };
             let is_it = |a: &Reverse<Answer>| (a.0 .2, a.0 .3) == (part.0, *attempt);
-            let Some(&Reverse((due, .., server, took))) = self.answers.iter().find(|a| is_it(a)) else {
+            let Some(&Reverse((due, .., server, took))) = self.answers.iter().find(|a| is_it(a))
+            else {
                 continue;
             };
             self.answers.retain(|a| !is_it(a));
@@ -110,9 +150,19 @@
         self.next += 1 + u64::from(self.parts);
         let deadline = self.now.plus(4 * SECOND);
         let query = QueryId(id);
-        let mut events =
-            vec![Event::Query { query, number, class: 0, deadline, key: 0, again: false, tenant: u32::MAX }];
-        let (first, weight) = (self.dice.u32(0..2 * self.cells), 1.0 / f64::from(self.parts));
+        let mut events = vec![Event::Query {
+            query,
+            number,
+            class: 0,
+            deadline,
+            key: 0,
+            again: false,
+            tenant: u32::MAX,
+        }];
+        let (first, weight) = (
+            self.dice.u32(0..2 * self.cells),
+            1.0 / f64::from(self.parts),
+        );
         events.extend((0..self.parts).map(|i| Event::Part {
             part: PartId(id + 1 + u64::from(i)),
             number,
@@ -128,14 +178,20 @@
         loop {
             let gap = -(1.0 - self.dice.f64()).ln() / rate * 1e6;
             let at = self.now.plus(gap as Micros + 1);
-            while let Some(&Reverse((due, broker, part, attempt, server, took))) = self.answers.peek() {
+            while let Some(&Reverse((due, broker, part, attempt, server, took))) =
+                self.answers.peek()
+            {
                 if due > at.min(end) {
                     break;
                 }
                 self.answers.pop();
                 self.now = due;
                 let silent = self.takes.get(&server) == Some(&SILENT);
-                let outcome = if silent { Outcome::Timeout } else { Outcome::Ok };
+                let outcome = if silent {
+                    Outcome::Timeout
+                } else {
+                    Outcome::Ok
+                };
                 let event = common::finished(part, attempt, server, outcome, took);
                 self.turn(broker, vec![event]);
             }
@@ -152,8 +208,9 @@
         }
     }
 
-    /// Asserts that a server which began cold never got more in a second, for so long, than this many times what it could
-    /// do then; one that is warm is two thirds busy with `load` parts a second.
+    /// Asserts that a server which began cold never got more in a second, for so long, than this
+    /// many times what it could do then; one that is warm is two thirds busy with `load` parts a
+    /// second.
     fn not_rushed(&self, server: u32, begun: Time, time: Micros, load: f64, times: f64) {
         for ms in (0..time / MS).step_by(100) {
             let from = begun.plus(ms * MS);
@@ -168,7 +225,10 @@
 
     /// Parts sent to a server between two times.
     fn parts_to(&self, server: u32, from: Time, to: Time) -> usize {
-        self.sent.iter().filter(|s| s.2 == ServerId(server) && s.0 >= from && s.0 < to).count()
+        self.sent
+            .iter()
+            .filter(|s| s.2 == ServerId(server) && s.0 >= from && s.0 < to)
+            .count()
     }
 }
 
@@ -203,7 +263,8 @@
     fleet.play(200.0, 8 * SECOND);
     let learnt = fleet.now;
     fleet.play(200.0, 12 * SECOND);
-    // Sound ones get 60 a second. What is held against it must last until a broker would meet it again.
+    // Sound ones get 60 a second. What is held against it must last until a broker would meet it
+    // again.
     let sent = fleet.parts_to(5, learnt, fleet.now) as f64 / 12.0;
     assert!(sent < 15.0, "{sent:.1} parts a second");
     // And it is not left out for ever: once it is well, it is met again and trusted.
@@ -228,11 +289,18 @@
     }
     fleet.play(rate, 5 * SECOND);
     for (cell, at) in begun {
-        assert_eq!(fleet.parts_to(cell, at, fleet.now), 0, "nothing goes to {cell} once it is gone");
+        assert_eq!(
+            fleet.parts_to(cell, at, fleet.now),
+            0,
+            "nothing goes to {cell} once it is gone"
+        );
         fleet.not_rushed(cell + 20, at, 6 * SECOND, load, 3.0);
         let last = fleet.now.minus(2 * SECOND);
         let sent = fleet.parts_to(cell + 20, last, fleet.now);
-        assert!(sent > 30, "{cell} gets its share: {sent} parts in two seconds");
+        assert!(
+            sent > 30,
+            "{cell} gets its share: {sent} parts in two seconds"
+        );
     }
 }
 
@@ -246,13 +314,18 @@
         fleet.takes.insert(ServerId(*cell), SILENT);
     }
     let all = |fleet: &Fleet, from: Time| -> usize {
-        lost.iter().map(|cell| fleet.parts_to(*cell, from, fleet.now)).sum()
+        lost.iter()
+            .map(|cell| fleet.parts_to(*cell, from, fleet.now))
+            .sum()
     };
     fleet.play(rate, 2 * SECOND);
     let learnt = fleet.now;
     fleet.play(rate, 2 * SECOND);
     let share = all(&fleet, learnt) as f64 / (2.0 * load * lost.len() as f64);
-    assert!(share < 0.35, "{share:.2} of their usual parts two seconds after they fell silent");
+    assert!(
+        share < 0.35,
+        "{share:.2} of their usual parts two seconds after they fell silent"
+    );
     // The list tells; then they are back, each as a new machine.
     let begun = fleet.now;
     for &cell in &lost {
@@ -265,25 +338,40 @@
     }
 }
 
-/// When the first of two steps is answered in part, as a share of the aim, by one of so many brokers at three servers
-/// which it meets this often; one of four parts is silent, and so is its copy.
+/// When the first of two steps is answered in part, as a share of the aim, by one of so many
+/// brokers at three servers which it meets this often; one of four parts is silent, and so is its
+/// copy.
 fn first_step_closed_at(instances: u32, between: Micros) -> f64 {
-    let mut stage =
-        Stage::new(Settings { instances, ..settings(Class { second_step: 2, floor: 0.7, ..class() }) });
+    let mut stage = Stage::new(Settings {
+        instances,
+        ..settings(Class {
+            second_step: 2,
+            floor: 0.7,
+            ..class()
+        })
+    });
     let step = 10 * MS;
     for _ in 0..20 {
         let (id, events) = stage.query(&[0]);
         let server = sends(&stage.after(between / 3, events))[0].1;
-        stage.after(step, vec![common::finished(id + 1, 0, server, Outcome::Ok, step)]);
+        stage.after(
+            step,
+            vec![common::finished(id + 1, 0, server, Outcome::Ok, step)],
+        );
         stage.turn(vec![Event::Hangup(QueryId(id))]);
     }
     let (id, events) = stage.query(&[0, 1, 2, 3]);
     let first = sends(&stage.after(step, events));
     let begun = stage.now;
     let answers = first.iter().filter(|s| s.0 != id + 4);
-    let answers = answers.map(|s| common::finished(s.0, 0, s.1, Outcome::Ok, step)).collect();
+    let answers = answers
+        .map(|s| common::finished(s.0, 0, s.1, Outcome::Ok, step))
+        .collect();
     let mut out = stage.after(step, answers);
-    while !out.contains(&Action::Answer { query: QueryId(id), whole: false }) {
+    while !out.contains(&Action::Answer {
+        query: QueryId(id),
+        whole: false,
+    }) {
         assert!(stage.now.since(begun) < AIM, "never closed");
         out = stage.after(step, vec![Event::Wake]);
     }
@@ -292,9 +380,18 @@
 
 #[test]
 fn a_first_step_waits_less_where_many_brokers_meet_servers_seldom() {
-    let (many, few) = (first_step_closed_at(100, 3 * SECOND), first_step_closed_at(3, 3 * SECOND));
+    let (many, few) = (
+        first_step_closed_at(100, 3 * SECOND),
+        first_step_closed_at(3, 3 * SECOND),
+    );
     assert!((0.47..0.5).contains(&many), "{many}");
-    assert!((0.59..0.62).contains(&few), "three brokers wait as ever: {few}");
+    assert!(
+        (0.59..0.62).contains(&few),
+        "three brokers wait as ever: {few}"
+    );
     let often = first_step_closed_at(100, SECOND / 10);
-    assert!((0.59..0.62).contains(&often), "and so do many that meet servers often: {often}");
+    assert!(
+        (0.59..0.62).contains(&often),
+        "and so do many that meet servers often: {often}"
+    );
 }
--- a/tests/gone.rs
+++ b/tests/gone.rs
@@ -1,4 +1,5 @@
-//! Clients that have gone: no attempt begins for them any more, whatever stands between their end and the broker.
+//! Clients that have gone: no attempt begins for them any more, whatever stands between their end
+//! and the broker.
 
 mod platformed;
 
@@ -10,7 +11,9 @@
 /// Whether the broker has read all that was done before on other connections: it answers this.
 fn has_read_on(stage: &Platformed) {
     let mut probe = stage.connect();
-    probe.write_all(b"GET /health/live HTTP/1.1\r\nConnection: close\r\n\r\n").unwrap();
+    probe
+        .write_all(b"GET /health/live HTTP/1.1\r\nConnection: close\r\n\r\n")
+        .unwrap();
     assert_eq!(answer(&mut probe).status, 200);
 }
 
@@ -22,13 +25,17 @@
 
 impl Late {
     fn new() -> Late {
-        let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-        socket.bind(&std::net::SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+        let socket =
+            socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+        socket
+            .bind(&std::net::SocketAddr::from(([127, 0, 0, 1], 0)).into())
+            .unwrap();
         socket.listen(0).unwrap();
         let listener: TcpListener = socket.into();
         let address = listener.local_addr().unwrap();
         let fill = |_| {
-            let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+            let socket =
+                socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
             socket.set_nonblocking(true).unwrap();
             // It is on its way, and stays so.
             let _ = socket.connect(&address.into());
@@ -62,20 +69,37 @@
 
 /// Connections to this address that are being opened and not up.
 fn being_opened(address: SocketAddr) -> usize {
-    let SocketAddr::V4(v4) = address else { panic!("loopback") };
-    let remote = format!("{:08X}:{:04X} 02", u32::from_le_bytes(v4.ip().octets()), v4.port());
-    std::fs::read_to_string("/proc/net/tcp").unwrap().lines().filter(|l| l.contains(&remote)).count()
+    let SocketAddr::V4(v4) = address else {
+        panic!("loopback")
+    };
+    let remote = format!(
+        "{:08X}:{:04X} 02",
+        u32::from_le_bytes(v4.ip().octets()),
+        v4.port()
+    );
+    std::fs::read_to_string("/proc/net/tcp")
+        .unwrap()
+        .lines()
+        .filter(|l| l.contains(&remote))
+        .count()
 }
 
-/// The client leaves while its part waits for a connection; the connection comes up after that. With `cancel` false nodes
-/// may not be told that parts are given up, and `resolution_us` is the time between two turns of the module.
+/// The client leaves while its part waits for a connection; the connection comes up after that.
+/// With `cancel` false nodes may not be told that parts are given up, and `resolution_us` is the
+/// time between two turns of the module.
 fn leaves_before_the_connection(cancel: bool, resolution_us: u64, leave: impl Fn(TcpStream)) {
     let late = Late::new();
     let address = late.listener.local_addr().unwrap();
     let settings = SETTINGS
         .replace("\"mayCancel\":true", &format!("\"mayCancel\":{cancel}"))
-        .replace("\"resolutionUs\":5000", &format!("\"resolutionUs\":{resolution_us}"))
-        .replace("\"maxStreams\":32", "\"maxStreams\":32,\"connectTimeoutUs\":60000000")
+        .replace(
+            "\"resolutionUs\":5000",
+            &format!("\"resolutionUs\":{resolution_us}"),
+        )
+        .replace(
+            "\"maxStreams\":32",
+            "\"maxStreams\":32,\"connectTimeoutUs\":60000000",
+        )
         .replace("4000000", "40000000")
         .replace("9000000", "90000000");
     // Time enough for seldom turns.
@@ -95,11 +119,16 @@
     let mut stays = stage.connect();
     stays.write_all(&query("stays", 2)).unwrap();
     let frame = late.first_frame();
-    assert!(frame.starts_with("Rstays.2 2 ") && !frame.contains("gone"), "the first that is sent: {frame}");
+    assert!(
+        frame.starts_with("Rstays.2 2 ") && !frame.contains("gone"),
+        "the first that is sent: {frame}"
+    );
 }
 
 fn reset(stream: TcpStream) {
-    socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
+    socket2::SockRef::from(&stream)
+        .set_linger(Some(Duration::ZERO))
+        .unwrap();
 }
 
 #[test]
@@ -123,8 +152,8 @@
 fn a_client_that_sends_much_behind_its_request_and_goes_is_seen_to_have_gone() {
     for leave in [drop::<TcpStream>, reset] {
         let stage = Platformed::new();
-        // The node is known to take its time: else a connection on which nothing has come for 50 ms is taken for mute, and ended
-        // in place of the word that a part is given up.
+        // The node is known to take its time: else a connection on which nothing has come for 50 ms
+        // is taken for mute, and ended in place of the word that a part is given up.
         let mut before = stage.connect();
         before.write_all(&query("fleet-search", "b", &[1])).unwrap();
         let mut slow = stage.next();
@@ -136,12 +165,20 @@
         let got = stage.next();
         assert_eq!(got.parts(), ["g.1"]);
         // Far more than is held of any request: its end lies behind that.
-        client.set_write_timeout(Some(Duration::from_secs(1))).unwrap();
-        let sent = (0..16).map(|_| client.write_all(&[b'x'; 1 << 20])).all(|r| r.is_ok());
+        client
+            .set_write_timeout(Some(Duration::from_secs(1)))
+            .unwrap();
+        let sent = (0..16)
+            .map(|_| client.write_all(&[b'x'; 1 << 20]))
+            .all(|r| r.is_ok());
         let left = Instant::now();
         leave(client);
         assert_eq!(stage.next().frame, "Ag.1");
-        assert!(sent && left.elapsed() < Duration::from_millis(1_000), "{:?}", left.elapsed());
+        assert!(
+            sent && left.elapsed() < Duration::from_millis(1_000),
+            "{:?}",
+            left.elapsed()
+        );
     }
 }
 
@@ -155,7 +192,10 @@
     has_read_on(&stage);
     got.answer("g.1 OK 1 -\nv");
     let response = answer(&mut client);
-    assert_eq!((response.status, response.header("connection")), (200, Some("close")));
+    assert_eq!(
+        (response.status, response.header("connection")),
+        (200, Some("close"))
+    );
     assert_eq!(client.read(&mut [0; 10]).unwrap(), 0);
 }
 
@@ -163,13 +203,26 @@
 fn a_request_pipelined_behind_another_by_a_client_that_goes_is_never_sent() {
     let stage = Platformed::new();
     let mut client = stage.connect();
-    client.write_all(&query("fleet-search", "one", &[1])).unwrap();
+    client
+        .write_all(&query("fleet-search", "one", &[1]))
+        .unwrap();
     let mut got = stage.next();
-    client.write_all(&query("fleet-search", "two", &[2])).unwrap();
+    client
+        .write_all(&query("fleet-search", "two", &[2]))
+        .unwrap();
     client.shutdown(Shutdown::Write).unwrap();
-    assert_eq!(stage.next().frame, "Aone.1", "whoever ends its side has gone");
+    assert_eq!(
+        stage.next().frame,
+        "Aone.1",
+        "whoever ends its side has gone"
+    );
     got.answer("one.1 OK 1 -\nv");
     let mut other = stage.connect();
-    other.write_all(&query("fleet-search", "three", &[3])).unwrap();
-    assert!(stage.next().frame.starts_with("Rthree.3 3 "), "the next that is sent");
+    other
+        .write_all(&query("fleet-search", "three", &[3]))
+        .unwrap();
+    assert!(
+        stage.next().frame.starts_with("Rthree.3 3 "),
+        "the next that is sent"
+    );
 }
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -8,8 +8,10 @@
     let mut counts = [0; 4];
     for _ in 0..n {
         let (_, events) = stage.query(&[0]);
-        let mut open: Vec<(u64, u16, ServerId)> =
-            sends(&stage.turn(events)).into_iter().map(|(p, s)| (p, 0, s)).collect();
+        let mut open: Vec<(u64, u16, ServerId)> = sends(&stage.turn(events))
+            .into_iter()
+            .map(|(p, s)| (p, 0, s))
+            .collect();
         while let Some((part, attempt, server)) = open.pop() {
             counts[server.0 as usize] += 1;
             let (outcome, took) = act(server);
@@ -25,7 +27,13 @@
 fn a_server_that_fails_fast_does_not_attract_traffic() {
     let mut stage = Stage::new(settings(class()));
     shares(&mut stage, 30, |_| (Outcome::Ok, 20 * MS));
-    let bad = |s: ServerId| if s.0 == 1 { (Outcome::Error, MS) } else { (Outcome::Ok, 20 * MS) };
+    let bad = |s: ServerId| {
+        if s.0 == 1 {
+            (Outcome::Error, MS)
+        } else {
+            (Outcome::Ok, 20 * MS)
+        }
+    };
     let counts = shares(&mut stage, 100, bad);
     assert!(counts[1] < 12, "{counts:?}");
 }
@@ -40,7 +48,11 @@
     for _ in 0..8 {
         stage.after(
             1_000 * MS,
-            vec![Event::Probed { server: ServerId(1), outcome: Outcome::Ok, elapsed: MS }],
+            vec![Event::Probed {
+                server: ServerId(1),
+                outcome: Outcome::Ok,
+                elapsed: MS,
+            }],
         );
         shares(&mut stage, 4, |_| (Outcome::Ok, 20 * MS));
     }
@@ -63,11 +75,23 @@
 fn a_server_that_was_gone_is_met_as_a_new_one() {
     let mut stage = Stage::new(settings(class()));
     shares(&mut stage, 30, |_| (Outcome::Ok, 20 * MS));
-    shares(&mut stage, 20, |s| if s.0 == 1 { (Outcome::Error, MS) } else { (Outcome::Ok, 20 * MS) });
-    stage.after(MS, vec![Event::List(Listing::Whole(vec![line(2, 1), line(3, 2)]))]);
+    shares(&mut stage, 20, |s| {
+        if s.0 == 1 {
+            (Outcome::Error, MS)
+        } else {
+            (Outcome::Ok, 20 * MS)
+        }
+    });
+    stage.after(
+        MS,
+        vec![Event::List(Listing::Whole(vec![line(2, 1), line(3, 2)]))],
+    );
     stage.after(MS, vec![Event::List(Listing::Changes(vec![line(1, 0)]))]);
     let counts = shares(&mut stage, 30, |_| (Outcome::Ok, 20 * MS));
-    assert!(counts[1] >= 8, "what was held against it is forgotten: {counts:?}");
+    assert!(
+        counts[1] >= 8,
+        "what was held against it is forgotten: {counts:?}"
+    );
 }
 
 #[test]
@@ -75,7 +99,11 @@
     let mut stage = Stage::new(settings(class()));
     shares(&mut stage, 40, |_| (Outcome::Error, MS));
     let (_, events) = stage.query(&[0]);
-    assert_eq!(sends(&stage.turn(events)).len(), 1, "a shard's last replicas are never shut out");
+    assert_eq!(
+        sends(&stage.turn(events)).len(),
+        1,
+        "a shard's last replicas are never shut out"
+    );
 }
 
 #[test]
@@ -86,7 +114,9 @@
     stage.after(MS, vec![finished(part, 0, server, Outcome::Rejected, MS)]);
     for _ in 0..6 {
         let (_, events) = stage.query(&[0]);
-        assert!(sends(&stage.after(MS, events)).iter().all(|s| s.1 != server));
+        assert!(sends(&stage.after(MS, events))
+            .iter()
+            .all(|s| s.1 != server));
     }
 }
 
@@ -98,7 +128,8 @@
     for _ in 0..60 {
         let (_, events) = stage.query(&[0]);
         let out = stage.after(MS, events);
-        let advice = |a: &&Action| matches!(a, Action::Refuse { retry_after, .. } if *retry_after > 0);
+        let advice =
+            |a: &&Action| matches!(a, Action::Refuse { retry_after, .. } if *retry_after > 0);
         refused += out.iter().filter(advice).count();
     }
     assert!(refused > 20, "{refused} of 60");
@@ -111,7 +142,10 @@
     let mut stage = Stage::new(set.clone());
     stage.broker = lichenswitch::policy::Coordinator::new(3, set);
     let asks = |out: &[Action]| out.iter().filter(|a| **a == Action::Subscribe).count();
-    assert_eq!(asks(&stage.turn(vec![Event::List(Listing::Cached(vec![line(1, 0)]))])), 1);
+    assert_eq!(
+        asks(&stage.turn(vec![Event::List(Listing::Cached(vec![line(1, 0)]))])),
+        1
+    );
     let mut times = Vec::new();
     stage.turn(vec![Event::List(Listing::Failed)]);
     for _ in 0..2_000 {
@@ -122,9 +156,14 @@
         }
     }
     assert!((3..12).contains(&times.len()), "{times:?}");
-    assert!(times.windows(2).all(|w| w[1].since(w[0]) < 9_000 * MS), "{times:?}");
+    assert!(
+        times.windows(2).all(|w| w[1].since(w[0]) < 9_000 * MS),
+        "{times:?}"
+    );
     stage.turn(vec![Event::List(Listing::Changes(vec![]))]);
-    let later: usize = (0..2_000).map(|_| asks(&stage.after(5 * MS, vec![Event::Wake]))).sum();
+    let later: usize = (0..2_000)
+        .map(|_| asks(&stage.after(5 * MS, vec![Event::Wake])))
+        .sum();
     assert_eq!(later, 0, "a list that came ends the asking");
 }
 
@@ -147,15 +186,29 @@
     stage.turn(vec![Event::List(Listing::Whole(vec![]))]);
     let (id, events) = stage.query(&[0]);
     assert_eq!(finals(&stage.turn(events)), [(id, false)]);
-    let twice = vec![line(1, 0), Listed { mode: Mode::Gone, ..line(1, 4) }, line(1, 2)];
+    let twice = vec![
+        line(1, 0),
+        Listed {
+            mode: Mode::Gone,
+            ..line(1, 4)
+        },
+        line(1, 2),
+    ];
     stage.turn(vec![Event::List(Listing::Whole(twice))]);
     let (_, events) = stage.query(&[0]);
-    assert_eq!(sends(&stage.turn(events)).len(), 1, "the last line of a server holds");
+    assert_eq!(
+        sends(&stage.turn(events)).len(),
+        1,
+        "the last line of a server holds"
+    );
 }
 
 #[test]
 fn a_dear_first_query_does_not_shut_out_cheaper_ones() {
-    let mut set = settings(Class { worth: 50.0, ..class() });
+    let mut set = settings(Class {
+        worth: 50.0,
+        ..class()
+    });
     set.classes.push(class());
     let mut stage = Stage::new(set);
     let cheap = |stage: &mut Stage| {
@@ -168,7 +221,10 @@
         let (id, events) = cheap(&mut stage);
         let sent = sends(&stage.turn(events));
         assert_eq!(sent.len(), 1, "servers are idle");
-        stage.after(450 * MS, vec![finished(id + 1, 0, sent[0].1, Outcome::Ok, 450 * MS)]);
+        stage.after(
+            450 * MS,
+            vec![finished(id + 1, 0, sent[0].1, Outcome::Ok, 450 * MS)],
+        );
     }
 }
 
@@ -182,14 +238,26 @@
         let (id, events) = stage.query(&[0]);
         let server = sends(&stage.turn(events))[0].1;
         if late.is_some_and(|first| first != server) {
-            stage.after(20 * MS, vec![finished(id + 1, 0, server, Outcome::Ok, 20 * MS)]);
+            stage.after(
+                20 * MS,
+                vec![finished(id + 1, 0, server, Outcome::Ok, 20 * MS)],
+            );
             continue;
         }
         late = Some(server);
         let mut out = stage.after(AIM / 2, vec![Event::Wake]);
         let copy = sends(&out)[0].1;
-        out.extend(stage.after(20 * MS, vec![finished(id + 1, 1, copy, Outcome::Ok, 20 * MS)]));
-        out.extend(stage.turn(vec![finished(id + 1, 0, server, Outcome::Cancelled, AIM / 2)]));
+        out.extend(stage.after(
+            20 * MS,
+            vec![finished(id + 1, 1, copy, Outcome::Ok, 20 * MS)],
+        ));
+        out.extend(stage.turn(vec![finished(
+            id + 1,
+            0,
+            server,
+            Outcome::Cancelled,
+            AIM / 2,
+        )]));
         let told = |a: &Action| matches!(a, Action::Log(line) if line.ends_with("suspected"));
         suspected.push(out.iter().any(told));
         // What is still counted against it as pending ends meanwhile.
@@ -218,8 +286,13 @@
         let tenant = turn % 2;
         let (id, mut events) = stage.query(&[0]);
         of_tenant(&mut events, tenant);
-        let done: Vec<_> = out.extract_if(.., |o| stage.now.since(o.0) >= 700 * MS).collect();
-        events.extend(done.iter().map(|o| finished(o.1, 0, o.2, Outcome::Ok, 700 * MS)));
+        let done: Vec<_> = out
+            .extract_if(.., |o| stage.now.since(o.0) >= 700 * MS)
+            .collect();
+        events.extend(
+            done.iter()
+                .map(|o| finished(o.1, 0, o.2, Outcome::Ok, 700 * MS)),
+        );
         for (part, server) in sends(&stage.after(25 * MS, events)) {
             if part == id + 1 {
                 let_in[tenant as usize] += 1;
@@ -248,13 +321,20 @@
     let (id, sent) = ask(&mut stage, false);
     assert_eq!(sent.len(), 1, "within the quota");
     assert!(ask(&mut stage, false).1.is_empty(), "beyond it");
-    stage.after(700 * MS, vec![finished(id + 1, 0, sent[0].1, Outcome::Ok, 700 * MS)]);
+    stage.after(
+        700 * MS,
+        vec![finished(id + 1, 0, sent[0].1, Outcome::Ok, 700 * MS)],
+    );
     stage.after(350 * MS, vec![Event::Wake]);
     assert!(
         ask(&mut stage, true).1.is_empty(),
         "beyond it as its first try was, though there is a place by now"
     );
-    assert_eq!(ask(&mut stage, false).1.len(), 1, "which is left to the next one");
+    assert_eq!(
+        ask(&mut stage, false).1.len(),
+        1,
+        "which is left to the next one"
+    );
 }
 
 #[test]
@@ -266,12 +346,21 @@
     for i in 0..200u16 {
         let (id, mut events) = stage.query(&[0]);
         of_class(&mut events, i % 2);
-        let mut open: Vec<(u16, ServerId)> =
-            sends(&stage.turn(events)).into_iter().map(|s| (0, s.1)).collect();
+        let mut open: Vec<(u16, ServerId)> = sends(&stage.turn(events))
+            .into_iter()
+            .map(|s| (0, s.1))
+            .collect();
         while let Some((attempt, server)) = open.pop() {
             sent[usize::from(i % 2)][server.0 as usize] += 1;
-            let outcome = if server.0 == 1 && i % 2 == 1 { Outcome::Error } else { Outcome::Ok };
-            let out = stage.after(20 * MS, vec![finished(id + 1, attempt, server, outcome, 20 * MS)]);
+            let outcome = if server.0 == 1 && i % 2 == 1 {
+                Outcome::Error
+            } else {
+                Outcome::Ok
+            };
+            let out = stage.after(
+                20 * MS,
+                vec![finished(id + 1, attempt, server, outcome, 20 * MS)],
+            );
             open.extend(sends(&out).into_iter().map(|s| (attempt + 1, s.1)));
         }
     }
@@ -286,9 +375,15 @@
         let (_, events) = stage.query(&[0]);
         sends(&stage.turn(events)).is_empty()
     };
-    assert!(refused(&mut stage), "answers have been taking three times the aim");
+    assert!(
+        refused(&mut stage),
+        "answers have been taking three times the aim"
+    );
     stage.after(12_000 * MS, vec![Event::Wake]);
-    assert!(!refused(&mut stage), "refusals alone must not keep the jam alive");
+    assert!(
+        !refused(&mut stage),
+        "refusals alone must not keep the jam alive"
+    );
 }
 
 #[test]
@@ -300,8 +395,16 @@
         assert_eq!(sends(&stage.turn(events)).len(), 1);
         sends(&stage.after(AIM / 2, vec![Event::Wake])).len()
     };
-    assert_eq!(copies(200 * MS), 1, "half the aim is left and a fifth is needed");
-    assert_eq!(copies(800 * MS), 0, "half the aim is left and four fifths are needed");
+    assert_eq!(
+        copies(200 * MS),
+        1,
+        "half the aim is left and a fifth is needed"
+    );
+    assert_eq!(
+        copies(800 * MS),
+        0,
+        "half the aim is left and four fifths are needed"
+    );
 }
 
 #[test]
@@ -312,34 +415,48 @@
         for _ in 0..late {
             let (id, events) = stage.query(&[0]);
             let first = sends(&stage.turn(events));
-            let Some(&(part, server)) = first.first() else { break };
+            let Some(&(part, server)) = first.first() else {
+                break;
+            };
             let error = finished(part, 0, server, Outcome::Error, 550 * MS);
             let second = sends(&stage.after(550 * MS, vec![error]))[0].1;
-            stage.after(550 * MS, vec![finished(id + 1, 1, second, Outcome::Ok, 550 * MS)]);
+            stage.after(
+                550 * MS,
+                vec![finished(id + 1, 1, second, Outcome::Ok, 550 * MS)],
+            );
         }
         let (_, events) = stage.query(&[0]);
         sends(&stage.turn(events)).is_empty()
     };
     assert!(!refused_after(0), "550 ms of an aim of a second");
-    assert!(refused_after(12), "queries forecast alike came late one after another");
+    assert!(
+        refused_after(12),
+        "queries forecast alike came late one after another"
+    );
 }
 
-/// Answers each part that was sent, or breaks it where its connection had been dropped: the server was not
-/// used for a second and its connections were not closed before the send. Counts those broken and closed.
+/// Answers each part that was sent, or breaks it where its connection had been dropped: the server
+/// was not used for a second and its connections were not closed before the send. Counts those
+/// broken and closed.
 fn on_dropped_connections(stage: &mut Stage, n: usize) -> (usize, usize) {
     let (mut used, mut broken, mut closed) = ([Time(0); 4], 0, 0);
     for _ in 0..n {
         let (id, events) = stage.query(&[0]);
         let mut out = stage.after(1_200 * MS, events);
         for attempt in 0..3 {
-            let Some((_, server)) = sends(&out).first().copied() else { break };
+            let Some((_, server)) = sends(&out).first().copied() else {
+                break;
+            };
             let new = out.contains(&Action::CloseIdle(server));
             closed += usize::from(new);
             let last = std::mem::replace(&mut used[server.0 as usize], stage.now);
             let lost = !new && stage.now.since(last) > 1_000 * MS;
             broken += usize::from(lost);
             let end = if lost { Outcome::Reset } else { Outcome::Ok };
-            out = stage.after(20 * MS, vec![finished(id + 1, attempt, server, end, 20 * MS)]);
+            out = stage.after(
+                20 * MS,
+                vec![finished(id + 1, attempt, server, end, 20 * MS)],
+            );
             if !lost {
                 break;
             }
@@ -355,7 +472,11 @@
     assert!(broken <= 12, "learnt after a few: {broken} broken");
     assert!(closed >= 40, "closed before the send: {closed}");
     let (_, events) = stage.query(&[0, 1, 2]);
-    assert_eq!(sends(&stage.after(MS, events)).len(), 3, "no query of the class was taken for poison");
+    assert_eq!(
+        sends(&stage.after(MS, events)).len(),
+        3,
+        "no query of the class was taken for poison"
+    );
 }
 
 #[test]
@@ -366,13 +487,19 @@
         let out = stage.after(2_000 * MS, events);
         assert!(!out.iter().any(|a| matches!(a, Action::CloseIdle(_))));
         let server = sends(&out)[0].1;
-        stage.after(20 * MS, vec![finished(id + 1, 0, server, Outcome::Ok, 20 * MS)]);
+        stage.after(
+            20 * MS,
+            vec![finished(id + 1, 0, server, Outcome::Ok, 20 * MS)],
+        );
     }
 }
 
 #[test]
 fn an_unsafe_part_never_goes_on_a_connection_that_may_have_been_dropped() {
-    let mut stage = Stage::new(settings(Class { repeat: Repeat::Unsafe, ..class() }));
+    let mut stage = Stage::new(settings(Class {
+        repeat: Repeat::Unsafe,
+        ..class()
+    }));
     let (_, events) = stage.query(&[0]);
     let out = stage.after(2_000 * MS, events);
     let server = sends(&out)[0].1;
@@ -384,9 +511,19 @@
 #[test]
 fn a_way_to_a_zone_is_learnt_from_all_its_servers_together() {
     let mut set = settings(class());
-    set.layout = Layout { cells: 30, width: 30, shards: u32::MAX, parts_a_call: 1 };
+    set.layout = Layout {
+        cells: 30,
+        width: 30,
+        shards: u32::MAX,
+        parts_a_call: 1,
+    };
     let mut stage = Stage::new(set);
-    let lines = (0..30).map(|i| Listed { zone: i % 3, ..line(i + 1, i) }).collect();
+    let lines = (0..30)
+        .map(|i| Listed {
+            zone: i % 3,
+            ..line(i + 1, i)
+        })
+        .collect();
     stage.turn(vec![Event::List(Listing::Whole(lines))]);
     let zone = |server: ServerId| (server.0 - 1) % 3;
     let mut to_far = [0; 60];
@@ -403,12 +540,18 @@
         stage.after(100 * MS, vec![]);
     }
     let late: usize = to_far[30..].iter().sum();
-    assert!(late <= 12, "each of ten servers need not be learnt alone: {to_far:?}");
+    assert!(
+        late <= 12,
+        "each of ten servers need not be learnt alone: {to_far:?}"
+    );
 }
 
 #[test]
 fn servers_that_let_all_time_out_do_not_look_idle_to_admission() {
-    let mut set = settings(Class { late_share: 0.0, ..class() });
+    let mut set = settings(Class {
+        late_share: 0.0,
+        ..class()
+    });
     set.limits.second_copies = false;
     let mut stage = Stage::new(set);
     shares(&mut stage, 30, |_| (Outcome::Ok, 20 * MS));
@@ -422,15 +565,22 @@
             open.extend(sends(&out));
         }
         stage.after(AIM, vec![Event::Wake]);
-        let end = |&(part, server): &(u64, ServerId)| finished(part, 0, server, Outcome::Timeout, AIM);
+        let end =
+            |&(part, server): &(u64, ServerId)| finished(part, 0, server, Outcome::Timeout, AIM);
         stage.after(MS, open.iter().map(end).collect());
     }
-    assert!(turned_away >= 4, "the wait was an aim at least: {turned_away} of 24 turned away");
+    assert!(
+        turned_away >= 4,
+        "the wait was an aim at least: {turned_away} of 24 turned away"
+    );
 }
 
 #[test]
 fn a_marked_further_try_without_a_key_is_held_to_its_first_aim() {
-    let mut set = settings(Class { late_share: 0.0, ..class() });
+    let mut set = settings(Class {
+        late_share: 0.0,
+        ..class()
+    });
     set.marks_retry = true;
     let mut stage = Stage::new(set);
     let (id, events) = stage.query(&[0]);
@@ -445,6 +595,10 @@
         if let Event::Query { again, .. } = &mut events[0] {
             *again = marked;
         }
-        assert_eq!(sends(&stage.after(20 * MS, events)).len(), sent, "marked: {marked}");
+        assert_eq!(
+            sends(&stage.after(20 * MS, events)).len(),
+            sent,
+            "marked: {marked}"
+        );
     }
 }
