--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,5 +1,5 @@
-//! `.ci/tests` with a test command that is a script: what is listed in `KNOWN-RED.txt` is passed over by its exact name,
-//! run apart and told, and a list that is wrong fails.
+//! `.ci/tests` with a test command that is a script: what is listed in `KNOWN-RED.txt` is passed
+//! over by its exact name, run apart and told, and a list that is wrong fails.
 
 use std::fs;
 use std::os::unix::fs::PermissionsExt;
@@ -33,8 +33,11 @@
             None => _ = fs::remove_file(&list),
         }
         let _ = fs::remove_file(self.0.join("calls"));
-        let out: Output =
-            Command::new("bash").args([SCRIPT, "./command"]).current_dir(&self.0).output().unwrap();
+        let out: Output = Command::new("bash")
+            .args([SCRIPT, "./command"])
+            .current_dir(&self.0)
+            .output()
+            .unwrap();
         (out.status.success(), String::from_utf8(out.stdout).unwrap())
     }
 
@@ -60,18 +63,37 @@
 #[test]
 fn what_is_listed_is_passed_over_by_name_and_told_with_how_it_went() {
     let folder = Folder::new("listed");
-    let (passed, said) = folder.run(Some("a::red | the cause | issue 29\na::sound | flaky | issue 29\n"));
+    let (passed, said) = folder.run(Some(
+        "a::red | the cause | issue 29\na::sound | flaky | issue 29\n",
+    ));
     assert!(passed, "{said}");
-    assert!(folder.calls().contains("-- --exact --skip a::red --skip a::sound\n"), "{}", folder.calls());
-    assert!(said.contains("known red: a::red: fails as listed") && said.contains("the cause"), "{said}");
-    assert!(said.contains("known red: a::sound: passed this time"), "{said}");
+    assert!(
+        folder
+            .calls()
+            .contains("-- --exact --skip a::red --skip a::sound\n"),
+        "{}",
+        folder.calls()
+    );
+    assert!(
+        said.contains("known red: a::red: fails as listed") && said.contains("the cause"),
+        "{said}"
+    );
+    assert!(
+        said.contains("known red: a::sound: passed this time"),
+        "{said}"
+    );
 }
 
 #[test]
 fn a_list_that_is_too_long_names_no_test_or_tells_no_cause_fails() {
     let folder = Folder::new("wrong");
     let line = "a::red | the cause | issue 29\n";
-    for wrong in [&line.repeat(4), "a::re | the cause | issue 29\n", "a::red\n", "a::red | | issue 29\n"] {
+    for wrong in [
+        &line.repeat(4),
+        "a::re | the cause | issue 29\n",
+        "a::red\n",
+        "a::red | | issue 29\n",
+    ] {
         let (passed, said) = folder.run(Some(wrong));
         assert!(!passed && said.contains("KNOWN-RED.txt"), "{wrong}: {said}");
     }
--- a/tests/management.rs
+++ b/tests/management.rs
@@ -47,9 +47,15 @@
         let begun = Instant::now();
         let answer = asked(calls, line);
         assert!(begun.elapsed() < OWED, "{line}: {:?}", begun.elapsed());
-        assert!(answer.starts_with("ok") || answer.starts_with("fail "), "{answer}");
+        assert!(
+            answer.starts_with("ok") || answer.starts_with("fail "),
+            "{answer}"
+        );
     }
-    assert!(asked(calls, "health").starts_with("fail "), "a loop that does not come round serves nobody");
+    assert!(
+        asked(calls, "health").starts_with("fail "),
+        "a loop that does not come round serves nobody"
+    );
     drop(held);
 }
 
@@ -61,14 +67,21 @@
     for byte in b"cordon nobody\r\n" {
         stream.write_all(&[*byte]).unwrap();
     }
-    assert_eq!(whole(stream), "fail no server \"nobody\" is listed or out\n");
+    assert_eq!(
+        whole(stream),
+        "fail no server \"nobody\" is listed or out\n"
+    );
     let mut stream = operator(calls);
     stream.write_all(b"cordon").unwrap();
     stream.shutdown(std::net::Shutdown::Write).unwrap();
     assert_eq!(whole(stream), "fail cordon needs the id of a server\n");
     let mut stream = operator(calls);
     stream.write_all(b"resume\nquiesce\n").unwrap();
-    assert_eq!(whole(stream), "ok clients were not sent away\n", "each connection carries one line");
+    assert_eq!(
+        whole(stream),
+        "ok clients were not sent away\n",
+        "each connection carries one line"
+    );
     let mut stream = operator(calls);
     stream.write_all(&[b'x'; 600]).unwrap();
     assert_eq!(whole(stream), "fail the line is longer than 512 bytes\n");
@@ -86,8 +99,11 @@
 fn what_is_cordoned_gets_nothing_new_whatever_is_listed_until_one_uncordon() {
     let (watches, watched) = mpsc::channel();
     // Cold for two seconds and not very: what a node that was put back may be sent shows soon.
-    let rules = r#""rules":{"coldUs":2000000,"coldShare":0.5,"fallMultiple":3,"fallUs":1000000},"classes""#;
-    let settings = SETTINGS.replace("\"classes\"", rules).replace("4000000", "200000");
+    let rules =
+        r#""rules":{"coldUs":2000000,"coldShare":0.5,"fallMultiple":3,"fallUs":1000000},"classes""#;
+    let settings = SETTINGS
+        .replace("\"classes\"", rules)
+        .replace("4000000", "200000");
     let (broker, calls) = Platformed::managed(&settings, move |listener, list| {
         let (stream, _) = call(&listener);
         tell(&stream, list.clone());
@@ -101,14 +117,28 @@
     let mut client = broker.connect();
     let refused = |client: &mut TcpStream, id: &str| {
         client.write_all(&query("fleet-search", id, &[0])).unwrap();
-        assert_eq!(answer(client).status, 503, "{id}: nobody else holds the shard");
+        assert_eq!(
+            answer(client).status,
+            503,
+            "{id}: nobody else holds the shard"
+        );
     };
-    // The only holder is the last resort until shortly before the rule on drains, two seconds, ends that.
+    // The only holder is the last resort until shortly before the rule on drains, two seconds, ends
+    // that.
     let begun = Instant::now();
     loop {
-        client.write_all(&query("fleet-search", &format!("q{}", begun.elapsed().as_micros()), &[0])).unwrap();
+        client
+            .write_all(&query(
+                "fleet-search",
+                &format!("q{}", begun.elapsed().as_micros()),
+                &[0],
+            ))
+            .unwrap();
         match broker.got.recv_timeout(Duration::from_millis(200)) {
-            Ok(mut got) => got.parts().iter().for_each(|id| got.answer(&format!("{id} OK 1 -\nv"))),
+            Ok(mut got) => got
+                .parts()
+                .iter()
+                .for_each(|id| got.answer(&format!("{id} OK 1 -\nv"))),
             Err(_) => break,
         }
         answer(&mut client);
@@ -116,7 +146,13 @@
     }
     assert_eq!(answer(&mut client).status, 503);
     // Lists that have it as serving come in between.
-    let node_at = list.split("hostPort\":\"").nth(1).unwrap().split('"').next().unwrap();
+    let node_at = list
+        .split("hostPort\":\"")
+        .nth(1)
+        .unwrap()
+        .split('"')
+        .next()
+        .unwrap();
     tell(&watch, changed(2, node_at, "SERVING"));
     assert!(next_call(&watch).contains("since=2"));
     refused(&mut client, "after-a-change");
@@ -129,14 +165,21 @@
     // It is one that has just started, and gets its first part within its allowance.
     let begun = Instant::now();
     for id in 0.. {
-        client.write_all(&query("fleet-search", &format!("back-{id}"), &[0])).unwrap();
+        client
+            .write_all(&query("fleet-search", &format!("back-{id}"), &[0]))
+            .unwrap();
         if let Ok(mut got) = broker.got.recv_timeout(Duration::from_millis(100)) {
-            got.parts().iter().for_each(|id| got.answer(&format!("{id} OK 1 -\nv")));
+            got.parts()
+                .iter()
+                .for_each(|id| got.answer(&format!("{id} OK 1 -\nv")));
             assert_eq!(answer(&mut client).status, 200);
             break;
         }
         assert_eq!(answer(&mut client).status, 503);
-        assert!(begun.elapsed() < Duration::from_secs(5), "used again within 5 s");
+        assert!(
+            begun.elapsed() < Duration::from_secs(5),
+            "used again within 5 s"
+        );
     }
 }
 
@@ -150,7 +193,13 @@
         watches.send((stream, list)).unwrap();
     });
     let (watch, list) = watched.recv().unwrap();
-    let node_at = list.split("hostPort\":\"").nth(1).unwrap().split('"').next().unwrap();
+    let node_at = list
+        .split("hostPort\":\"")
+        .nth(1)
+        .unwrap()
+        .split('"')
+        .next()
+        .unwrap();
     asked_until(calls, "health", "ok ");
     assert!(asked(calls, "cordon s").starts_with("ok "));
     tell(&watch, changed(2, node_at, "DRAINING"));
@@ -174,27 +223,38 @@
     let (broker, calls) = Platformed::managed(SETTINGS, discovery);
     asked_until(calls, "health", "ok ");
     let [mut waits, mut rests, mut arrives, mut uses] = [(); 4].map(|()| broker.connect());
-    waits.write_all(&query("fleet-search", "waits", &[0])).unwrap();
+    waits
+        .write_all(&query("fleet-search", "waits", &[0]))
+        .unwrap();
     let mut out = broker.next();
     for stream in [&mut rests, &mut uses] {
-        stream.write_all(b"GET /health/ready HTTP/1.1\r\n\r\n").unwrap();
+        stream
+            .write_all(b"GET /health/ready HTTP/1.1\r\n\r\n")
+            .unwrap();
         let ready = answer(stream);
         assert!(ready.status == 200 && ready.keep_alive);
     }
     let begun = Instant::now();
     assert_eq!(asked(calls, "quiesce"), "ok clients are sent away\n");
     // One call later the loop has heard of it.
-    assert_eq!(asked_until(calls, "health", "fail "), "fail clients are sent away\n");
+    assert_eq!(
+        asked_until(calls, "health", "fail "),
+        "fail clients are sent away\n"
+    );
     let whole = query("fleet-search", "arrives", &[0]);
     arrives.write_all(&whole[..whole.len() - 1]).unwrap();
     // Who is here and has not heard of it is served, and told with the answer.
-    uses.write_all(&query("fleet-search", "uses", &[0])).unwrap();
+    uses.write_all(&query("fleet-search", "uses", &[0]))
+        .unwrap();
     let mut got = broker.next();
-    got.parts().iter().for_each(|id| got.answer(&format!("{id} OK 1 -\nv")));
+    got.parts()
+        .iter()
+        .for_each(|id| got.answer(&format!("{id} OK 1 -\nv")));
     let served = answer(&mut uses);
     assert!(served.status == 200 && !served.keep_alive, "{served:?}");
     let mut asks = broker.connect();
-    asks.write_all(b"GET /health/ready HTTP/1.1\r\n\r\n").unwrap();
+    asks.write_all(b"GET /health/ready HTTP/1.1\r\n\r\n")
+        .unwrap();
     let ready = answer(&mut asks);
     assert!(ready.status == 503 && !ready.keep_alive, "{ready:?}");
     let (came, after) = ended(&mut rests, begun);
@@ -203,25 +263,40 @@
         "{after:?}"
     );
     let (came, after) = ended(&mut arrives, begun);
-    assert!(came.starts_with("HTTP/1.1 503 ") && after < Duration::from_secs(2), "{after:?} {came}");
+    assert!(
+        came.starts_with("HTTP/1.1 503 ") && after < Duration::from_secs(2),
+        "{after:?} {came}"
+    );
     // Nothing new is taken any more; what was taken long before is waited for, and answered.
     let mut late = broker.connect();
-    late.write_all(&query("fleet-search", "late", &[0])).unwrap();
+    late.write_all(&query("fleet-search", "late", &[0]))
+        .unwrap();
     let refused = answer(&mut late);
     assert!(refused.status == 503 && !refused.keep_alive);
-    out.parts().iter().for_each(|id| out.answer(&format!("{id} OK 1 -\nv")));
+    out.parts()
+        .iter()
+        .for_each(|id| out.answer(&format!("{id} OK 1 -\nv")));
     let (came, _) = ended(&mut waits, begun);
-    assert!(came.starts_with("HTTP/1.1 200 ") && came.contains("connection: close"), "{came}");
-    assert!(broker.got.try_recv().is_err(), "what was refused was sent nowhere");
+    assert!(
+        came.starts_with("HTTP/1.1 200 ") && came.contains("connection: close"),
+        "{came}"
+    );
+    assert!(
+        broker.got.try_recv().is_err(),
+        "what was refused was sent nowhere"
+    );
     // Back to work.
     let begun = Instant::now();
     assert_eq!(asked(calls, "resume"), "ok back to work\n");
     asked_until(calls, "health", "ok ");
     assert!(begun.elapsed() < OWED);
     let mut back = broker.connect();
-    back.write_all(&query("fleet-search", "back", &[0])).unwrap();
+    back.write_all(&query("fleet-search", "back", &[0]))
+        .unwrap();
     let mut got = broker.next();
-    got.parts().iter().for_each(|id| got.answer(&format!("{id} OK 1 -\nv")));
+    got.parts()
+        .iter()
+        .for_each(|id| got.answer(&format!("{id} OK 1 -\nv")));
     let served = answer(&mut back);
     assert!(served.status == 200 && served.keep_alive);
 }
@@ -231,7 +306,11 @@
     let page = include_str!("../docs/operate/operation.md");
     let (_broker, calls) = Platformed::managed(SETTINGS, discovery);
     asked_until(calls, "health", "ok ");
-    let named = |text: &str| text.trim_end().replace("\"s\"", "\"ID\"").replace("ok s ", "ok ID ");
+    let named = |text: &str| {
+        text.trim_end()
+            .replace("\"s\"", "\"ID\"")
+            .replace("ok s ", "ok ID ")
+    };
     for (call, begins) in [
         ("health", "ok ready"),
         ("cordon s", "ok ID is out"),
@@ -243,19 +322,29 @@
         ("resume", "ok back to work"),
     ] {
         let told = named(&asked(calls, call));
-        assert!(told.starts_with(begins) && page.contains(&format!("`{told}`")), "{call}: {told}");
+        assert!(
+            told.starts_with(begins) && page.contains(&format!("`{told}`")),
+            "{call}: {told}"
+        );
     }
     let figures = asked(calls, "counters");
     for line in figures.lines().filter(|line| line.starts_with("svc_")) {
         let name = line.split(['{', ' ']).next().unwrap();
-        assert!(page.contains(&format!("`{name}")), "{name} is not on the page");
+        assert!(
+            page.contains(&format!("`{name}")),
+            "{name} is not on the page"
+        );
     }
 }
 
 /// The value of a figure.
 fn figure(told: &str, name: &str) -> u64 {
-    let line = told.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
-    line.unwrap_or_else(|| panic!("{name} is not in {told}")).parse().unwrap()
+    let line = told
+        .lines()
+        .find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
+    line.unwrap_or_else(|| panic!("{name} is not in {told}"))
+        .parse()
+        .unwrap()
 }
 
 /// Asks for the figures until these are so.
@@ -263,36 +352,63 @@
     let begun = Instant::now();
     loop {
         let told = asked(calls, "counters");
-        assert!(told.starts_with("ok\n") && told.ends_with("\neof\n"), "{told}");
-        if expected.iter().all(|(name, value)| figure(&told, name) == *value) {
+        assert!(
+            told.starts_with("ok\n") && told.ends_with("\neof\n"),
+            "{told}"
+        );
+        if expected
+            .iter()
+            .all(|(name, value)| figure(&told, name) == *value)
+        {
             return;
         }
-        assert!(begun.elapsed() < Duration::from_secs(5), "{expected:?} in {told}");
+        assert!(
+            begun.elapsed() < Duration::from_secs(5),
+            "{expected:?} in {told}"
+        );
     }
 }
 
 #[test]
 fn figures_tell_what_ended_how_what_is_held_and_which_nodes_are_there() {
     // Where the rule on drains allows no time a node is out at once.
-    let settings = SETTINGS.replace("\"classes\"", r#""rules":{"stopSendingWithinUs":0},"classes""#);
+    let settings = SETTINGS.replace(
+        "\"classes\"",
+        r#""rules":{"stopSendingWithinUs":0},"classes""#,
+    );
     let (broker, calls) = Platformed::managed(&settings, discovery);
     asked_until(calls, "health", "ok ");
-    let none = ["ok", "shed", "errors", "tries"].map(|n| format!("svc_{n}_total{{kind=\"network-report\"}}"));
+    let none = ["ok", "shed", "errors", "tries"]
+        .map(|n| format!("svc_{n}_total{{kind=\"network-report\"}}"));
     let none: Vec<(&str, u64)> = none.iter().map(|name| (name.as_str(), 0)).collect();
     figures_until(calls, &none);
-    figures_until(calls, &[("svc_active", 0), ("svc_pool_size", 1), ("svc_pool_ejected", 0)]);
+    figures_until(
+        calls,
+        &[
+            ("svc_active", 0),
+            ("svc_pool_size", 1),
+            ("svc_pool_ejected", 0),
+        ],
+    );
     let mut client = broker.connect();
     let mut ask = |id: &str, says: &str| {
         client.write_all(&query("fleet-search", id, &[0])).unwrap();
         let mut got = broker.next();
-        got.parts().iter().for_each(|id| got.answer(&format!("{id} {says}")));
+        got.parts()
+            .iter()
+            .for_each(|id| got.answer(&format!("{id} {says}")));
         answer(&mut client).status
     };
     assert_eq!([ask("a", "OK 1 -\nv"), ask("b", "OK 1 -\nv")], [200, 200]);
     let kind = |name: &str| format!("svc_{name}_total{{kind=\"fleet-search\"}}");
     let (ok, shed, errors, tries) = (kind("ok"), kind("shed"), kind("errors"), kind("tries"));
     let of = |values: [u64; 4]| {
-        [(&*ok, values[0]), (&*shed, values[1]), (&*errors, values[2]), (&*tries, values[3])]
+        [
+            (&*ok, values[0]),
+            (&*shed, values[1]),
+            (&*errors, values[2]),
+            (&*tries, values[3]),
+        ]
     };
     figures_until(calls, &of([2, 0, 0, 2]));
     // A part that is out: its query is held, its attempt counts as soon as it is written.
@@ -300,13 +416,25 @@
     second.write_all(&query("fleet-search", "c", &[0])).unwrap();
     let mut out = broker.next();
     figures_until(calls, &[of([2, 0, 0, 3])[3], ("svc_active", 1)]);
-    out.parts().iter().for_each(|id| out.answer(&format!("{id} OK 1 -\nv")));
+    out.parts()
+        .iter()
+        .for_each(|id| out.answer(&format!("{id} OK 1 -\nv")));
     assert_eq!(answer(&mut second).status, 200);
-    // What makes no sense has failed; with the only node out a query is refused, and nothing is sent.
-    second.write_all(&query("fleet-search", "d", &[0, 0])).unwrap();
+    // What makes no sense has failed; with the only node out a query is refused, and nothing is
+    // sent.
+    second
+        .write_all(&query("fleet-search", "d", &[0, 0]))
+        .unwrap();
     assert_eq!(answer(&mut second).status, 400);
     assert!(asked(calls, "cordon s").starts_with("ok "));
-    figures_until(calls, &[("svc_active", 0), ("svc_pool_size", 1), ("svc_pool_ejected", 1)]);
+    figures_until(
+        calls,
+        &[
+            ("svc_active", 0),
+            ("svc_pool_size", 1),
+            ("svc_pool_ejected", 1),
+        ],
+    );
     second.write_all(&query("fleet-search", "e", &[0])).unwrap();
     assert_eq!(answer(&mut second).status, 503);
     figures_until(calls, &of([3, 1, 1, 3]));
--- a/tests/ogc.rs
+++ b/tests/ogc.rs
@@ -1,5 +1,5 @@
-//! The OGC front on loopback, before small stand-in feature servers: each answer's marking is checked against the
-//! parts that were really received.
+//! The OGC front on loopback, before small stand-in feature servers: each answer's marking is
+//! checked against the parts that were really received.
 
 use lichenswitch::broker::Broker;
 use lichenswitch::config::{Ogc, Operators};
@@ -27,7 +27,8 @@
     "familyInfo":{"partsACall":8,"sets":9,"width":2,"classFetch":[5,0],"classPartial":[0.8,0.9],
       "minShare":[0.8,1.0],"needByClass":[1.0,1.0]}}"#;
 
-/// Five slices side by side, one degree wide, each held by two of five servers that know all features.
+/// Five slices side by side, one degree wide, each held by two of five servers that know all
+/// features.
 struct City {
     address: SocketAddr,
     servers: Vec<Server>,
@@ -46,17 +47,23 @@
     }
 
     fn with(teams: &str, features: Vec<Json>) -> City {
-        let listeners: Vec<TcpListener> = (0..5).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()).collect();
+        let listeners: Vec<TcpListener> = (0..5)
+            .map(|_| TcpListener::bind("127.0.0.1:0").unwrap())
+            .collect();
         let mut inventory = "zones:\n  - name: z\ncells:\n".to_string();
         (0..5).for_each(|i| inventory += &format!("  - name: c{i}\n"));
         inventory += "slices:\n";
         for i in 0..5 {
-            inventory += &format!("  - {{name: s{i}, west: {i}, south: 0, east: {}, north: 1}}\n", i + 1);
+            inventory += &format!(
+                "  - {{name: s{i}, west: {i}, south: 0, east: {}, north: 1}}\n",
+                i + 1
+            );
         }
         inventory += "nodes:\n";
         for (i, listener) in listeners.iter().enumerate() {
             let address = listener.local_addr().unwrap();
-            inventory += &format!("  - {{name: n{i}, address: \"{address}\", cell: c{i}, zone: z}}\n");
+            inventory +=
+                &format!("  - {{name: n{i}, address: \"{address}\", cell: c{i}, zone: z}}\n");
         }
         inventory += teams;
         let front = "ogc:\n  listen: 127.0.0.1:0\n  inventory: inventory.yaml\n  settings: settings.json\n  \
@@ -65,26 +72,40 @@
             - {id: network, class: network-report, wait_ms: 1200}\n";
         static COUNT: AtomicU32 = AtomicU32::new(0);
         let number = COUNT.fetch_add(1, Ordering::Relaxed);
-        let folder = std::env::temp_dir().join(format!("lichenswitch-ogc-{}-{number}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("lichenswitch-ogc-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
-        for (name, text) in
-            [("lichenswitch.yaml", front), ("inventory.yaml", &inventory), ("settings.json", SETTINGS)]
-        {
+        for (name, text) in [
+            ("lichenswitch.yaml", front),
+            ("inventory.yaml", &inventory),
+            ("settings.json", SETTINGS),
+        ] {
             std::fs::write(folder.join(name), text).unwrap();
         }
-        let servers = listeners.into_iter().map(|l| Server::start(l, features.clone())).collect();
+        let servers = listeners
+            .into_iter()
+            .map(|l| Server::start(l, features.clone()))
+            .collect();
         let (stop, signal) = UnixStream::pair().unwrap();
         let (told, address) = mpsc::channel();
         let path = folder.join("lichenswitch.yaml");
         let broker = thread::spawn(move || {
-            let front = Ogc::load(&Operators::load(&path).unwrap(), None).unwrap().unwrap();
+            let front = Ogc::load(&Operators::load(&path).unwrap(), None)
+                .unwrap()
+                .unwrap();
             let mut broker = Broker::new(None, Some(front)).unwrap();
             broker.stop_on(signal).unwrap();
             told.send(broker.addresses()[0].1).unwrap();
             broker.run().unwrap();
         });
         let address = address.recv().unwrap();
-        City { address, servers, stop: Some(stop), broker: Some(broker), folder }
+        City {
+            address,
+            servers,
+            stop: Some(stop),
+            broker: Some(broker),
+            folder,
+        }
     }
 
     fn moods(&self, mood: Mood) {
@@ -93,7 +114,9 @@
 
     fn send(&self, request: &str) -> Response {
         let mut stream = TcpStream::connect(self.address).unwrap();
-        stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
+        stream
+            .set_read_timeout(Some(Duration::from_secs(20)))
+            .unwrap();
         stream.write_all(request.as_bytes()).unwrap();
         let mut bytes = Vec::new();
         stream.read_to_end(&mut bytes).unwrap();
@@ -104,11 +127,13 @@
     }
 
     fn get(&self, target: &str) -> Response {
-        self.send(&format!("GET {target} HTTP/1.1\r\nHost: city\r\nConnection: close\r\n\r\n"))
+        self.send(&format!(
+            "GET {target} HTTP/1.1\r\nHost: city\r\nConnection: close\r\n\r\n"
+        ))
     }
 
-    /// A whole page of a city that was ill a moment ago: while its servers are taken to be slow, queries are
-    /// refused.
+    /// A whole page of a city that was ill a moment ago: while its servers are taken to be slow,
+    /// queries are refused.
     fn healed(&self, target: &str) -> (Response, Json) {
         for _ in 0..100 {
             let response = self.get(target);
@@ -125,7 +150,12 @@
     }
 
     fn checked(&self, target: &str, response: Response) -> (Response, Json) {
-        assert_eq!(response.status, 200, "{target}: {}", String::from_utf8_lossy(&response.body));
+        assert_eq!(
+            response.status,
+            200,
+            "{target}: {}",
+            String::from_utf8_lossy(&response.body)
+        );
         let body: Json = serde_json::from_slice(&response.body).unwrap();
         let features = body["features"].as_array().unwrap().len();
         assert_eq!(body["numberReturned"], features, "numberReturned is true");
@@ -149,13 +179,25 @@
 }
 
 fn ids(body: &Json) -> Vec<&str> {
-    body["features"].as_array().unwrap().iter().map(|f| f["id"].as_str().unwrap()).collect()
+    body["features"]
+        .as_array()
+        .unwrap()
+        .iter()
+        .map(|f| f["id"].as_str().unwrap())
+        .collect()
 }
 
 fn next(body: &Json) -> Option<String> {
     let links = body["links"].as_array().unwrap();
     let next = links.iter().find(|l| l["rel"] == "next")?;
-    Some(next["href"].as_str().unwrap().strip_prefix("http://city").unwrap().to_string())
+    Some(
+        next["href"]
+            .as_str()
+            .unwrap()
+            .strip_prefix("http://city")
+            .unwrap()
+            .to_string(),
+    )
 }
 
 #[test]
@@ -168,11 +210,31 @@
     };
     let landing = json("/");
     for rel in ["self", "service-desc", "conformance", "data"] {
-        let link = landing["links"].as_array().unwrap().iter().find(|l| l["rel"] == rel).unwrap();
-        json(link["href"].as_str().unwrap().strip_prefix("http://city").unwrap());
+        let link = landing["links"]
+            .as_array()
+            .unwrap()
+            .iter()
+            .find(|l| l["rel"] == rel)
+            .unwrap();
+        json(
+            link["href"]
+                .as_str()
+                .unwrap()
+                .strip_prefix("http://city")
+                .unwrap(),
+        );
     }
-    assert!(json("/conformance")["conformsTo"][0].as_str().unwrap().ends_with("/core"));
-    assert_eq!(json("/collections")["collections"].as_array().unwrap().len(), 2);
+    assert!(json("/conformance")["conformsTo"][0]
+        .as_str()
+        .unwrap()
+        .ends_with("/core"));
+    assert_eq!(
+        json("/collections")["collections"]
+            .as_array()
+            .unwrap()
+            .len(),
+        2
+    );
     assert_eq!(
         json("/collections/scooters")["extent"]["spatial"]["bbox"][0],
         serde_json::json!([0.0, 0.0, 5.0, 1.0])
@@ -192,19 +254,34 @@
     ] {
         let response = city.get(target);
         assert_eq!(response.status, status, "{target}");
-        assert_eq!(response.header("content-type"), Some("application/problem+json"));
+        assert_eq!(
+            response.header("content-type"),
+            Some("application/problem+json")
+        );
     }
     let write = city.send("POST /collections/scooters/items HTTP/1.1\r\nConnection: close\r\n\r\n");
-    assert_eq!((write.status, write.header("allow")), (405, Some("GET, HEAD")));
-    assert!(city.servers.iter().all(|s| s.seen().is_empty()), "no data node was asked for any of this");
+    assert_eq!(
+        (write.status, write.header("allow")),
+        (405, Some("GET, HEAD"))
+    );
+    assert!(
+        city.servers.iter().all(|s| s.seen().is_empty()),
+        "no data node was asked for any of this"
+    );
 }
 
 #[test]
 fn a_box_over_many_slices_gets_each_feature_once_from_the_slices_that_it_crosses() {
     let city = City::new("");
     let (_, all) = city.page("/collections/scooters/items?limit=50");
-    assert_eq!(ids(&all), ["f0", "f1", "f2", "f3", "f4", "f5", "f6", "f7", "f8"]);
-    assert_eq!((&all["complete"], &all["numberMatched"]), (&Json::Bool(true), &9.into()));
+    assert_eq!(
+        ids(&all),
+        ["f0", "f1", "f2", "f3", "f4", "f5", "f6", "f7", "f8"]
+    );
+    assert_eq!(
+        (&all["complete"], &all["numberMatched"]),
+        (&Json::Bool(true), &9.into())
+    );
     let before: usize = city.servers.iter().map(|s| s.seen().len()).sum();
     assert_eq!(before, 5, "one part for each slice");
     let (_, some) = city.page("/collections/scooters/items?bbox=0.4,0,1.7,1&limit=50");
@@ -218,7 +295,10 @@
 #[test]
 fn the_pages_of_a_list_hold_every_feature_once() {
     let city = City::new("");
-    let (mut target, mut seen) = ("/collections/scooters/items?limit=2&bbox=0,0,5,1".to_string(), Vec::new());
+    let (mut target, mut seen) = (
+        "/collections/scooters/items?limit=2&bbox=0,0,5,1".to_string(),
+        Vec::new(),
+    );
     loop {
         let (_, page) = city.page(&target);
         seen.extend(ids(&page).into_iter().map(str::to_string));
@@ -238,21 +318,39 @@
     assert_eq!(body["complete"], false);
     assert_eq!(body["missingSlices"], serde_json::json!(["s3"]));
     let expected: BTreeSet<&str> = ["f0", "f1", "f2", "f3", "f4", "f5", "f7", "f8"].into();
-    assert_eq!(ids(&body).into_iter().collect::<BTreeSet<_>>(), expected, "what the other four slices hold");
+    assert_eq!(
+        ids(&body).into_iter().collect::<BTreeSet<_>>(),
+        expected,
+        "what the other four slices hold"
+    );
     // A box that does not cross the slice is complete.
     let (_, body) = city.healed("/collections/network/items?bbox=0,0,2.5,1&limit=50");
     assert_eq!(body["complete"], true);
-    // Under a class that needs all parts there is no answer, and the client hears of it in its time.
+    // Under a class that needs all parts there is no answer, and the client hears of it in its
+    // time.
     let began = Instant::now();
     let response = city.get("/collections/scooters/items?limit=50");
     assert_eq!(response.status, 503);
-    assert!(response.header("retry-after").unwrap().parse::<u32>().unwrap() >= 1);
-    assert!(began.elapsed() < Duration::from_secs(10), "within its time, with ample room for a busy machine");
+    assert!(
+        response
+            .header("retry-after")
+            .unwrap()
+            .parse::<u32>()
+            .unwrap()
+            >= 1
+    );
+    assert!(
+        began.elapsed() < Duration::from_secs(10),
+        "within its time, with ample room for a busy machine"
+    );
     // Two of five slices missing are more than the class may leave out.
     city.moods(Mood::Withhold(2.0, 4.0));
     assert_eq!(city.get("/collections/network/items?limit=50").status, 503);
     city.moods(Mood::Serve);
-    assert_eq!(city.healed("/collections/network/items?limit=50").1["complete"], true);
+    assert_eq!(
+        city.healed("/collections/network/items?limit=50").1["complete"],
+        true
+    );
 }
 
 #[test]
@@ -263,12 +361,18 @@
         let response = city.get("/collections/scooters/items");
         assert_eq!(response.status, 503, "{mood:?}");
         assert!(response.header("retry-after").is_some());
-        assert_eq!(response.header("content-type"), Some("application/problem+json"));
+        assert_eq!(
+            response.header("content-type"),
+            Some("application/problem+json")
+        );
     }
     // One server that fails is made good by the other replica of its slices.
     city.moods(Mood::Serve);
     city.servers[2].set(Mood::Fail);
-    assert_eq!(city.healed("/collections/scooters/items?limit=50").1["complete"], true);
+    assert_eq!(
+        city.healed("/collections/scooters/items?limit=50").1["complete"],
+        true
+    );
 }
 
 #[test]
@@ -276,11 +380,18 @@
     let city = City::new("");
     let found = city.get("/collections/scooters/items/f3");
     let body: Json = serde_json::from_slice(&found.body).unwrap();
-    assert_eq!((found.status, &body["id"], &body["type"]), (200, &"f3".into(), &"Feature".into()));
+    assert_eq!(
+        (found.status, &body["id"], &body["type"]),
+        (200, &"f3".into(), &"Feature".into())
+    );
     assert_eq!(city.get("/collections/scooters/items/nothing").status, 404);
     city.moods(Mood::Withhold(0.0, 5.0));
     let unsure = city.get("/collections/network/items/nothing");
-    assert!(unsure.status == 503 && unsure.header("retry-after").is_some(), "{}", unsure.status);
+    assert!(
+        unsure.status == 503 && unsure.header("retry-after").is_some(),
+        "{}",
+        unsure.status
+    );
 }
 
 #[test]
@@ -299,25 +410,33 @@
     assert!(over.status == 429 && over.header("retry-after").is_some());
 }
 
-/// Scooters over all slices, many with equal batteries, some without any: sixteen a slice, none on a border.
+/// Scooters over all slices, many with equal batteries, some without any: sixteen a slice, none on
+/// a border.
 fn scooters() -> Vec<Json> {
     let scooter = |i: usize| {
         let east = (i % 5) as f64 + 0.1 + (i / 5) as f64 * 0.04;
         let battery = (i * 37) % 23;
-        let properties = if i.is_multiple_of(13) { json!({}) } else { json!({"battery": battery}) };
+        let properties = if i.is_multiple_of(13) {
+            json!({})
+        } else {
+            json!({"battery": battery})
+        };
         point_with(&format!("s{i}"), east, 0.5, properties)
     };
     (0..80).map(scooter).collect()
 }
 
-/// The ids that one big server would give: by battery, then by slice, then in the order of the slice.
+/// The ids that one big server would give: by battery, then by slice, then in the order of the
+/// slice.
 fn expected(down: bool) -> Vec<String> {
     let mut all = scooters();
     all.sort_by(|a, b| {
         let slice = |f: &Json| f["geometry"]["coordinates"][0].as_f64().unwrap() as u32;
         compare(a, b, "battery", down).then(slice(a).cmp(&slice(b)))
     });
-    all.iter().map(|f| f["id"].as_str().unwrap().to_string()).collect()
+    all.iter()
+        .map(|f| f["id"].as_str().unwrap().to_string())
+        .collect()
 }
 
 fn requests(city: &City) -> usize {
@@ -327,10 +446,16 @@
 #[test]
 fn sorted_pages_are_those_of_one_big_server_and_ask_only_slices_that_can_reach_them() {
     let city = City::with("", scooters());
-    for (order, down) in [("battery", false), ("%2Bbattery", false), ("+battery", false), ("-battery", true)]
-    {
-        let (mut target, mut seen) =
-            (format!("/collections/scooters/items?sortby={order}&limit=9"), Vec::new());
+    for (order, down) in [
+        ("battery", false),
+        ("%2Bbattery", false),
+        ("+battery", false),
+        ("-battery", true),
+    ] {
+        let (mut target, mut seen) = (
+            format!("/collections/scooters/items?sortby={order}&limit=9"),
+            Vec::new(),
+        );
         loop {
             let (_, page) = city.page(&target);
             assert_eq!(page["complete"], true, "{target}");
@@ -367,7 +492,10 @@
     let refused = sorted(&city);
     let (_, page) = city.healed(target);
     assert_eq!(ids(&page), expected(true)[..12]);
-    assert!(sorted(&city) - refused <= 5, "each node refuses once at most");
+    assert!(
+        sorted(&city) - refused <= 5,
+        "each node refuses once at most"
+    );
     assert!(requests(&city) > before);
 }
 
@@ -377,17 +505,32 @@
     // The first phase comes in whole; one slice's details never do.
     city.moods(Mood::WithholdDetails(1.0, 2.0));
     let (_, page) = city.page("/collections/network/items?sortby=-battery&limit=40");
-    assert_eq!((&page["complete"], &page["missingSlices"]), (&json!(false), &json!(["s1"])));
-    let answered: Vec<String> = city.servers.iter().flat_map(|s| s.ledger().answered).collect();
+    assert_eq!(
+        (&page["complete"], &page["missingSlices"]),
+        (&json!(false), &json!(["s1"]))
+    );
+    let answered: Vec<String> = city
+        .servers
+        .iter()
+        .flat_map(|s| s.ledger().answered)
+        .collect();
     let of_slice = answered.iter().filter(|t| t.contains("bbox=1%2C0%2C2%2C1"));
     assert!(
         of_slice.clone().count() > 0 && of_slice.clone().all(|t| t.ends_with("&limit=1")),
         "{answered:?}"
     );
     // A class that needs all parts gives none.
-    assert_eq!(city.get("/collections/scooters/items?sortby=-battery&limit=40").status, 503);
+    assert_eq!(
+        city.get("/collections/scooters/items?sortby=-battery&limit=40")
+            .status,
+        503
+    );
     city.moods(Mood::Serve);
-    assert_eq!(city.healed("/collections/scooters/items?sortby=-battery&limit=40").1["complete"], true);
+    assert_eq!(
+        city.healed("/collections/scooters/items?sortby=-battery&limit=40")
+            .1["complete"],
+        true
+    );
     // A slice that gives more than its bound: what the answer rests on is wrong.
     city.moods(Mood::Lie);
     let (_, page) = city.page("/collections/network/items?sortby=-battery&limit=40");
--- a/tests/ordinary_path.rs
+++ b/tests/ordinary_path.rs
@@ -1,4 +1,5 @@
-//! The design's ordinary path: choice by pending calls, shared calls, one copy at half the aim, cancel.
+//! The design's ordinary path: choice by pending calls, shared calls, one copy at half the aim,
+//! cancel.
 
 mod common;
 use common::*;
@@ -13,7 +14,11 @@
         used.push(sends(&stage.after(MS, events))[0].1);
     }
     used.sort();
-    assert_eq!(used, [ServerId(1), ServerId(2), ServerId(3)], "each idle server before any second call");
+    assert_eq!(
+        used,
+        [ServerId(1), ServerId(2), ServerId(3)],
+        "each idle server before any second call"
+    );
 }
 
 #[test]
@@ -22,9 +27,16 @@
     let (_, events) = stage.query(&[0, 1, 2]);
     let first = sends(&stage.turn(events));
     assert_eq!(first.len(), 3);
-    assert!(first.iter().all(|s| s.1 == first[0].1), "all parts travel in one call");
+    assert!(
+        first.iter().all(|s| s.1 == first[0].1),
+        "all parts travel in one call"
+    );
     let (_, events) = stage.query(&[0]);
-    assert_ne!(sends(&stage.after(MS, events))[0].1, first[0].1, "the call counts against its server");
+    assert_ne!(
+        sends(&stage.after(MS, events))[0].1,
+        first[0].1,
+        "the call counts against its server"
+    );
 }
 
 #[test]
@@ -54,14 +66,29 @@
     let mut stage = Stage::new(settings(class()));
     let (id, events) = stage.query(&[0]);
     let first = sends(&stage.turn(events))[0];
-    assert!(sends(&stage.after(AIM / 2 - MS, vec![Event::Wake])).is_empty(), "not before half the aim");
+    assert!(
+        sends(&stage.after(AIM / 2 - MS, vec![Event::Wake])).is_empty(),
+        "not before half the aim"
+    );
     let copy = sends(&stage.after(MS, vec![Event::Wake]));
     assert_eq!(copy.len(), 1);
     assert_ne!(copy[0].1, first.1, "on another replica");
-    assert!(sends(&stage.after(AIM / 4, vec![Event::Wake])).is_empty(), "only once");
-    let end = stage.after(MS, vec![finished(id + 1, 1, copy[0].1, Outcome::Ok, AIM / 4)]);
-    assert!(end.contains(&Action::Cancel { part: PartId(id + 1), attempt: 0 }));
-    assert!(end.contains(&Action::Answer { query: QueryId(id), whole: true }));
+    assert!(
+        sends(&stage.after(AIM / 4, vec![Event::Wake])).is_empty(),
+        "only once"
+    );
+    let end = stage.after(
+        MS,
+        vec![finished(id + 1, 1, copy[0].1, Outcome::Ok, AIM / 4)],
+    );
+    assert!(end.contains(&Action::Cancel {
+        part: PartId(id + 1),
+        attempt: 0
+    }));
+    assert!(end.contains(&Action::Answer {
+        query: QueryId(id),
+        whole: true
+    }));
 }
 
 #[test]
@@ -76,7 +103,11 @@
         let late = stage.after(AIM / 2, vec![Event::Wake]);
         copies += sends(&late).len();
         let mut ends = vec![finished(part, 0, server, Outcome::Ok, AIM / 2)];
-        ends.extend(sends(&late).iter().map(|&(p, s)| finished(p, 1, s, Outcome::Ok, MS)));
+        ends.extend(
+            sends(&late)
+                .iter()
+                .map(|&(p, s)| finished(p, 1, s, Outcome::Ok, MS)),
+        );
         stage.after(MS * (1 + round % 3), ends);
     }
     assert!(sent > 100 && copies >= 5, "{sent} parts, {copies} copies");
@@ -89,9 +120,16 @@
     let (id, events) = stage.query(&[0]);
     let silent = sends(&stage.turn(events))[0].1;
     stage.after(MS, vec![Event::Hangup(QueryId(id))]);
-    stage.after(MS, vec![finished(id + 1, 0, silent, Outcome::Cancelled, 2 * MS)]);
+    stage.after(
+        MS,
+        vec![finished(id + 1, 0, silent, Outcome::Cancelled, 2 * MS)],
+    );
     for _ in 0..2 {
         let (_, events) = stage.query(&[0]);
-        assert_ne!(sends(&stage.after(MS, events))[0].1, silent, "it looks no idler than its peers");
+        assert_ne!(
+            sends(&stage.after(MS, events))[0].1,
+            silent,
+            "it looks no idler than its peers"
+        );
     }
 }
--- a/tests/phases.rs
+++ b/tests/phases.rs
@@ -1,5 +1,5 @@
-//! Queries of two phases on the platform's wire, planned, before scripted data nodes: what the broker says of its
-//! answers is checked against what the data nodes say they sent.
+//! Queries of two phases on the platform's wire, planned, before scripted data nodes: what the
+//! broker says of its answers is checked against what the data nodes say they sent.
 
 use lichenswitch::broker::Broker;
 use lichenswitch::config::{Operators, Platform};
@@ -32,14 +32,19 @@
 }
 
 impl Stage {
-    /// Two data nodes that both hold every shard and go by one script, which is told the node's number.
+    /// Two data nodes that both hold every shard and go by one script, which is told the node's
+    /// number.
     fn new(script: impl Fn(usize, &Part) -> Fate + Clone + Send + 'static) -> Stage {
         let node = |i: usize| {
             let script = script.clone();
             Node::start(move |part| script(i, part)).unwrap()
         };
         let nodes: Vec<Node> = (0..2).map(node).collect();
-        let line = |(i, n): (usize, &Node)| Line { id: format!("s{i}"), address: n.address, cell: i as u32 };
+        let line = |(i, n): (usize, &Node)| Line {
+            id: format!("s{i}"),
+            address: n.address,
+            cell: i as u32,
+        };
         let lines: Vec<Line> = nodes.iter().enumerate().map(line).collect();
         let config = format!(
             r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{}","seed":"1","known":{},
@@ -54,10 +59,17 @@
             COUNT.fetch_add(1, Ordering::Relaxed)
         );
         let path = std::env::temp_dir().join(name);
-        std::fs::write(&path, "phases:\n  explain: true\n  classes:\n    - class: report\n").unwrap();
+        std::fs::write(
+            &path,
+            "phases:\n  explain: true\n  classes:\n    - class: report\n",
+        )
+        .unwrap();
         let operators = Operators::load(&path).unwrap();
         std::fs::remove_file(&path).unwrap();
-        let told = Platform::parse(&config, |_| None).unwrap().apply(&operators).unwrap();
+        let told = Platform::parse(&config, |_| None)
+            .unwrap()
+            .apply(&operators)
+            .unwrap();
         assert!(told.phases.rules[0].is_some());
         let (stop, signal) = UnixStream::pair().unwrap();
         let (tell, address) = mpsc::channel();
@@ -67,17 +79,25 @@
             tell.send(broker.addresses()[0].1).unwrap();
             broker.run().unwrap();
         });
-        Stage { address: address.recv().unwrap(), nodes, stop: Some(stop), broker: Some(broker) }
+        Stage {
+            address: address.recv().unwrap(),
+            nodes,
+            stop: Some(stop),
+            broker: Some(broker),
+        }
     }
 
     /// Sends a query of so many slices.
     fn send(&self, id: &str, slices: u32) -> TcpStream {
         let boost = 1.0 / f64::from(slices);
-        let segments: Vec<String> =
-            (0..slices).map(|s| format!(r#"{{"segment":{s},"boost":{boost}}}"#)).collect();
+        let segments: Vec<String> = (0..slices)
+            .map(|s| format!(r#"{{"segment":{s},"boost":{boost}}}"#))
+            .collect();
         let body = format!(r#"{{"segments":[{}],"text":"t"}}"#, segments.join(","));
         let mut client = TcpStream::connect(self.address).unwrap();
-        client.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
+        client
+            .set_read_timeout(Some(Duration::from_secs(20)))
+            .unwrap();
         let text = format!(
             "POST /report HTTP/1.1\r\nReq-Id: {id}\r\nReq-Kind: report\r\nReq-Deadline-Ms: 8000\r\n\
              Connection: close\r\nContent-Length: {}\r\n\r\n{body}",
@@ -103,7 +123,8 @@
     /// Parts of a query's second phase that came to any data node.
     fn second(&self, query: &str) -> Vec<Part> {
         let came = self.ledgers().into_iter().flat_map(|l| l.came);
-        came.filter(|p| p.from.is_some() && p.query() == query).collect()
+        came.filter(|p| p.from.is_some() && p.query() == query)
+            .collect()
     }
 
     /// Waits until a second phase of the query has come.
@@ -120,7 +141,11 @@
     /// Waits until all these parts were given up.
     fn until_given_up(&self, ids: &BTreeSet<String>) {
         for _ in 0..2_000 {
-            let given_up: BTreeSet<String> = self.ledgers().into_iter().flat_map(|l| l.given_up).collect();
+            let given_up: BTreeSet<String> = self
+                .ledgers()
+                .into_iter()
+                .flat_map(|l| l.given_up)
+                .collect();
             if ids.is_subset(&given_up) {
                 return;
             }
@@ -129,13 +154,20 @@
         panic!("{ids:?} were not given up");
     }
 
-    /// Checks an answer against the ledgers: each value was sent, and it is whole only if all that it needs was.
+    /// Checks an answer against the ledgers: each value was sent, and it is whole only if all that
+    /// it needs was.
     fn check(&self, query: &str, slices: u32, body: &Json) -> usize {
         let matches = body["matches"].as_array().unwrap();
-        let shards: BTreeSet<u64> = matches.iter().map(|m| m["segment"].as_u64().unwrap()).collect();
+        let shards: BTreeSet<u64> = matches
+            .iter()
+            .map(|m| m["segment"].as_u64().unwrap())
+            .collect();
         assert_eq!(shards.len(), matches.len(), "no shard twice");
-        let answered: BTreeSet<String> =
-            self.ledgers().into_iter().flat_map(|l| l.answered.into_iter().chain(l.late)).collect();
+        let answered: BTreeSet<String> = self
+            .ledgers()
+            .into_iter()
+            .flat_map(|l| l.answered.into_iter().chain(l.late))
+            .collect();
         for shard in &shards {
             assert!(
                 answered.contains(&format!("{query}.{shard}.get")),
@@ -145,11 +177,19 @@
         let second = self.second(query);
         for part in &second {
             let from = part.from.as_ref().unwrap();
-            assert!(from.len() as f64 >= 0.8 * f64::from(slices), "under the least share: {from:?}");
+            assert!(
+                from.len() as f64 >= 0.8 * f64::from(slices),
+                "under the least share: {from:?}"
+            );
             let said = |s: &u32| answered.contains(&format!("{query}.{s}"));
-            assert!(from.iter().all(said), "a shard is named that did not answer: {from:?}");
+            assert!(
+                from.iter().all(said),
+                "a shard is named that did not answer: {from:?}"
+            );
         }
-        let first_whole = second.iter().all(|p| p.from.as_ref().unwrap().len() as u32 == slices);
+        let first_whole = second
+            .iter()
+            .all(|p| p.from.as_ref().unwrap().len() as u32 == slices);
         if body["all_in"] == true {
             assert!(first_whole && shards.len() == 5, "called whole: {body}");
         }
@@ -176,7 +216,11 @@
     for i in 0..12 {
         let id = format!("a{i}");
         let (status, body) = stage.answer(stage.send(&id, 8));
-        assert_eq!((status, &body["all_in"]), (200, &Json::Bool(true)), "{body}");
+        assert_eq!(
+            (status, &body["all_in"]),
+            (200, &Json::Bool(true)),
+            "{body}"
+        );
         assert_eq!(stage.check(&id, 8, &body), 5);
         let shards: BTreeSet<u32> = stage.second(&id).iter().map(|p| p.shard).collect();
         assert_eq!(shards, (3..8).collect());
@@ -196,11 +240,18 @@
     });
     let (at, below) = (stage.send("b", 10), stage.send("c", 10));
     let (status, body) = stage.answer(at);
-    assert_eq!((status, &body["all_in"]), (200, &Json::Bool(false)), "{body}");
+    assert_eq!(
+        (status, &body["all_in"]),
+        (200, &Json::Bool(false)),
+        "{body}"
+    );
     stage.check("b", 10, &body);
     let (status, _) = stage.answer(below);
     assert!(status == 503 || status == 504, "{status}");
-    assert!(stage.second("c").is_empty(), "nothing is fetched for an answer that may not be given");
+    assert!(
+        stage.second("c").is_empty(),
+        "nothing is fetched for an answer that may not be given"
+    );
 }
 
 #[test]
@@ -214,7 +265,11 @@
         }
     });
     let (status, body) = stage.answer(stage.send("d", 8));
-    assert_eq!((status, &body["all_in"]), (200, &Json::Bool(false)), "{body}");
+    assert_eq!(
+        (status, &body["all_in"]),
+        (200, &Json::Bool(false)),
+        "{body}"
+    );
     assert_eq!(stage.check("d", 8, &body), 4);
     let (status, _) = stage.answer(stage.send("e", 8));
     assert!(status == 503 || status == 504, "{status}");
@@ -229,12 +284,22 @@
     let (status, body) = stage.answer(stage.send("f", 6));
     assert_eq!(status, 200, "{body}");
     stage.check("f", 6, &body);
-    assert!(stage.nodes[1].ledger().answered.iter().any(|id| id.ends_with(".get")));
+    assert!(stage.nodes[1]
+        .ledger()
+        .answered
+        .iter()
+        .any(|id| id.ends_with(".get")));
 }
 
 #[test]
 fn a_client_that_hangs_up_between_the_phases_has_its_parts_given_up() {
-    let stage = Stage::new(|_, part| if part.from.is_some() { Fate::Hang } else { well(part) });
+    let stage = Stage::new(|_, part| {
+        if part.from.is_some() {
+            Fate::Hang
+        } else {
+            well(part)
+        }
+    });
     let client = stage.send("g", 6);
     stage.until_second("g");
     drop(client);
@@ -252,16 +317,30 @@
     stage.until_second("h");
     drop(stage.stop.take());
     let (status, body) = stage.answer(client);
-    assert_eq!((status, &body["all_in"]), (200, &Json::Bool(true)), "{body}");
+    assert_eq!(
+        (status, &body["all_in"]),
+        (200, &Json::Bool(true)),
+        "{body}"
+    );
     stage.check("h", 6, &body);
 }
 
 #[test]
 fn a_second_phase_that_misses_the_aim_is_given_up_then_and_not_worked_on() {
-    // The second phase would be answered a second after the aim: at the aim what is left earns too little.
-    let stage = Stage::new(|_, part| if part.from.is_some() { Fate::Answer(1.0, 2_500) } else { well(part) });
+    // The second phase would be answered a second after the aim: at the aim what is left earns too
+    // little.
+    let stage = Stage::new(|_, part| {
+        if part.from.is_some() {
+            Fate::Answer(1.0, 2_500)
+        } else {
+            well(part)
+        }
+    });
     // What is written just as it is given up is allowed for by half a second.
-    stage.nodes.iter().for_each(|n| n.note_aim(Duration::from_millis(2_000)));
+    stage
+        .nodes
+        .iter()
+        .for_each(|n| n.note_aim(Duration::from_millis(2_000)));
     let (status, _) = stage.answer(stage.send("i", 6));
     assert_eq!(status, 503, "refused, harmless to try again");
     let sent: BTreeSet<String> = stage.second("i").into_iter().map(|p| p.id).collect();
@@ -269,5 +348,8 @@
     assert!(!sent.is_empty());
     stage.until_given_up(&sent);
     thread::sleep(Duration::from_millis(1_500));
-    assert!(stage.ledgers().iter().all(|l| l.after_aim.is_empty()), "worked on after the aim");
+    assert!(
+        stage.ledgers().iter().all(|l| l.after_aim.is_empty()),
+        "worked on after the aim"
+    );
 }
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -16,9 +16,15 @@
     let mut client = stage.connect();
     for round in 0..2 {
         // On one connection, twice: it stays open.
-        client.write_all(&query("fleet-search", &format!("a{round}"), &[4, 7])).unwrap();
+        client
+            .write_all(&query("fleet-search", &format!("a{round}"), &[4, 7]))
+            .unwrap();
         let frames = serve(&stage, 2);
-        assert_eq!(frames.len(), 1, "two parts of a turn to one node share a call");
+        assert_eq!(
+            frames.len(),
+            1,
+            "two parts of a turn to one node share a call"
+        );
         let response = answer(&mut client);
         assert_eq!(response.status, 200);
         assert_eq!(
@@ -32,13 +38,22 @@
 fn the_second_step_asks_the_best_shards_and_gives_their_values() {
     let stage = Platformed::new();
     let mut client = stage.connect();
-    client.write_all(&query("network-report", "b", &[1, 2, 3, 4])).unwrap();
+    client
+        .write_all(&query("network-report", "b", &[1, 2, 3, 4]))
+        .unwrap();
     serve(&stage, 4);
     let frames = serve(&stage, 2);
-    assert!(frames[0].contains("b.3.get 3 ") && frames[0].contains("b.4.get 4 "), "{frames:?}");
+    assert!(
+        frames[0].contains("b.3.get 3 ") && frames[0].contains("b.4.get 4 "),
+        "{frames:?}"
+    );
     assert!(frames[0].contains("from=1+2+3+4,whole=1"), "{frames:?}");
     let answered = text(&answer(&mut client));
-    assert!(answered.starts_with(r#"{"all_in":true"#) && answered.contains("v3") && answered.contains("v4"));
+    assert!(
+        answered.starts_with(r#"{"all_in":true"#)
+            && answered.contains("v3")
+            && answered.contains("v4")
+    );
     assert!(!answered.contains("v1") && !answered.contains("v2"));
 }
 
@@ -83,7 +98,10 @@
 fn a_client_that_goes_on_sending_is_read_to_its_end_and_has_its_answer() {
     let stage = Platformed::new();
     let mut client = stage.connect();
-    let large = format!("{}Content-Length: 60000000\r\n\r\n", head("fleet-search", "e"));
+    let large = format!(
+        "{}Content-Length: 60000000\r\n\r\n",
+        head("fleet-search", "e")
+    );
     client.write_all(large.as_bytes()).unwrap();
     for _ in 0..60 {
         client.write_all(&[b'x'; 1_000_000]).unwrap();
@@ -95,7 +113,8 @@
 fn a_client_that_never_finishes_its_request_or_sends_nothing_is_told_off_or_closed() {
     let stage = Platformed::new();
     let (mut half, mut silent) = (stage.connect(), stage.connect());
-    half.write_all(&query("fleet-search", "e", &[1])[..40]).unwrap();
+    half.write_all(&query("fleet-search", "e", &[1])[..40])
+        .unwrap();
     assert_eq!(answer(&mut half).status, 408);
     assert_eq!(silent.read(&mut [0; 10]).unwrap(), 0);
 }
@@ -106,11 +125,16 @@
     let begin = |_| {
         let mut client = stage.connect();
         let head = format!("{}Content-Length: 65000\r\n\r\n", head("fleet-search", "e"));
-        client.write_all(&[head.as_bytes(), &[b'x'; 60_000]].concat()).unwrap();
+        client
+            .write_all(&[head.as_bytes(), &[b'x'; 60_000]].concat())
+            .unwrap();
         client
     };
     let mut clients: Vec<TcpStream> = (0..40).map(begin).collect();
-    let told: Vec<u16> = clients.iter_mut().map(|client| answer(client).status).collect();
+    let told: Vec<u16> = clients
+        .iter_mut()
+        .map(|client| answer(client).status)
+        .collect();
     assert!(told.contains(&503) && told.contains(&408), "{told:?}");
 }
 
@@ -136,7 +160,11 @@
     };
     (0..4).for_each(|_| turn_away(&mut stage.next()));
     let response = answer(&mut client);
-    assert!(response.status == 503 && response.header("retry-after").is_some(), "{}", text(&response));
+    assert!(
+        response.status == 503 && response.header("retry-after").is_some(),
+        "{}",
+        text(&response)
+    );
 }
 
 #[test]
@@ -147,30 +175,52 @@
     client.write_all(&query("fleet-search", "i", &[1])).unwrap();
     let mut got = stage.next();
     drop(stage.stop.take());
-    // Readiness ends once the broker has seen the stop; connections do, and new ones, some time later.
+    // Readiness ends once the broker has seen the stop; connections do, and new ones, some time
+    // later.
     let ready = || -> Option<u16> {
         let mut probe = TcpStream::connect(stage.address).ok()?;
-        probe.write_all(b"GET /health/ready HTTP/1.1\r\nConnection: close\r\n\r\n").ok()?;
+        probe
+            .write_all(b"GET /health/ready HTTP/1.1\r\nConnection: close\r\n\r\n")
+            .ok()?;
         let mut bytes = Vec::new();
         probe.read_to_end(&mut bytes).ok()?;
-        String::from_utf8(bytes).ok()?.split(' ').nth(1)?.parse().ok()
+        String::from_utf8(bytes)
+            .ok()?
+            .split(' ')
+            .nth(1)?
+            .parse()
+            .ok()
     };
     while ready() == Some(200) {}
     got.answer("i.1 OK 1 -\nv");
     let response = answer(&mut client);
-    assert_eq!((response.status, response.header("connection")), (200, Some("keep-alive")));
+    assert_eq!(
+        (response.status, response.header("connection")),
+        (200, Some("keep-alive"))
+    );
     client.write_all(&query("fleet-search", "j", &[1])).unwrap();
     serve(&stage, 1);
     assert_eq!(answer(&mut client).status, 200);
-    assert_eq!(client.read(&mut [0; 10]).unwrap(), 0, "closed between requests");
+    assert_eq!(
+        client.read(&mut [0; 10]).unwrap(),
+        0,
+        "closed between requests"
+    );
     stage.broker.take().unwrap().join().unwrap();
-    assert!(TcpStream::connect(stage.address).is_err(), "it no longer listens");
+    assert!(
+        TcpStream::connect(stage.address).is_err(),
+        "it no longer listens"
+    );
 }
 
 #[test]
-fn what_is_open_gets_its_final_answer_before_the_process_may_be_killed_however_long_its_client_waits() {
-    // It may be killed 3.7 s after the signal where clients wait for longer than 3 s; these wait for 8 s.
-    let patient = SETTINGS.replace("4000000", "1000000").replace("\"lateShare\":0.1", "\"lateShare\":1.0");
+fn what_is_open_gets_its_final_answer_before_the_process_may_be_killed_however_long_its_client_waits(
+) {
+    // It may be killed 3.7 s after the signal where clients wait for longer than 3 s; these wait
+    // for 8 s.
+    let patient = SETTINGS
+        .replace("4000000", "1000000")
+        .replace("\"lateShare\":0.1", "\"lateShare\":1.0");
     let mut stage = Platformed::with(&patient);
     let mut client = stage.connect();
     drop(stage.stop.take());
@@ -179,13 +229,17 @@
     let held = stage.next();
     // Nobody answers.
     assert_ne!(answer(&mut client).status, 200);
-    assert!(stopped.elapsed() < Duration::from_secs(6), "and not when its client gives up");
+    assert!(
+        stopped.elapsed() < Duration::from_secs(6),
+        "and not when its client gives up"
+    );
     stage.broker.take().unwrap().join().unwrap();
     drop(held);
 }
 
-/// Answers calls until the client has its answer; false: its connection was closed instead. However slow the machine is, each
-/// request is sent on once at the most, and a request that has had its answer isn't sent on after that.
+/// Answers calls until the client has its answer; false: its connection was closed instead. However
+/// slow the machine is, each request is sent on once at the most, and a request that has had its
+/// answer isn't sent on after that.
 fn serve_until_answered(
     stage: &Platformed,
     client: &TcpStream,
@@ -196,8 +250,15 @@
     let answered = loop {
         if let Ok(mut got) = stage.got.recv_timeout(Duration::from_millis(1)) {
             let id = got.parts()[0].clone();
-            let number = id.trim_start_matches('q').trim_end_matches(".1").parse::<u32>().unwrap();
-            assert!(number <= n && sent_on.insert(id.clone()), "one call for each: {id} at {n}");
+            let number = id
+                .trim_start_matches('q')
+                .trim_end_matches(".1")
+                .parse::<u32>()
+                .unwrap();
+            assert!(
+                number <= n && sent_on.insert(id.clone()),
+                "one call for each: {id} at {n}"
+            );
             got.answer(&format!("{id} OK 1 -\nv"));
         }
         match client.peek(&mut [0]) {
@@ -213,19 +274,28 @@
 #[test]
 fn after_the_stop_every_request_on_a_connection_that_stays_open_is_served_or_refused_at_once() {
     // Aims of 0.3 s and waits of 0.6 s: what is taken ends within 1.1 s of the signal.
-    let mut stage = Platformed::with(&SETTINGS.replace("4000000", "300000").replace("9000000", "600000"));
+    let mut stage = Platformed::with(
+        &SETTINGS
+            .replace("4000000", "300000")
+            .replace("9000000", "600000"),
+    );
     let mut client = stage.connect();
     drop(stage.stop.take());
     let (mut served, mut refused, mut n) = (0, 0, 0);
     let mut sent_on = BTreeSet::new();
     loop {
         n += 1;
-        if client.write_all(&query("fleet-search", &format!("q{n}"), &[1])).is_err() {
+        if client
+            .write_all(&query("fleet-search", &format!("q{n}"), &[1]))
+            .is_err()
+        {
             break;
         }
-        // What is sent on is answered by the data node as soon as it comes there; what is not can only be a refusal.
+        // What is sent on is answered by the data node as soon as it comes there; what is not can
+        // only be a refusal.
         if !serve_until_answered(&stage, &client, n, &mut sent_on) {
-            // Closed between requests: this one was not read, and its client sends it to another broker.
+            // Closed between requests: this one was not read, and its client sends it to another
+            // broker.
             break;
         }
         let response = answer(&mut client);
@@ -234,7 +304,10 @@
             503 => refused += 1,
             status => panic!("{status}: {}", text(&response)),
         }
-        assert!(served == 0 || refused == 0 || response.status == 503, "it takes none again");
+        assert!(
+            served == 0 || refused == 0 || response.status == 503,
+            "it takes none again"
+        );
         if response.header("connection") == Some("close") {
             assert_eq!(client.read(&mut [0; 10]).unwrap(), 0, "nothing more comes");
             break;
@@ -249,7 +322,9 @@
     let (told, calls) = mpsc::channel();
     let pushed = SETTINGS.replace("subscribe", "automatic");
     let stage = Platformed::listed(&pushed, move |listener, list| {
-        let drains = list.replace("\"generation\":1", "\"generation\":2").replace("SERVING", "DRAINING");
+        let drains = list
+            .replace("\"generation\":1", "\"generation\":2")
+            .replace("SERVING", "DRAINING");
         let serves = list.replace("\"generation\":1", "\"generation\":3");
         // Each answer is held back until the test has seen the call before it.
         let (stream, first) = call(&listener);
@@ -267,14 +342,18 @@
     let next = || calls.recv_timeout(Duration::from_secs(20)).unwrap();
     assert!(next().starts_with("/registry/instances?since=1&timeout_ms="));
     assert!(next().contains("since=2"), "the watch goes on");
-    // The only node drains: nothing is sent there until the silent agent, asked anew, has told that it serves.
+    // The only node drains: nothing is sent there until the silent agent, asked anew, has told that
+    // it serves.
     let mut client = stage.connect();
     client.write_all(&query("fleet-search", "a", &[1])).unwrap();
     assert_eq!(answer(&mut client).status, 503);
     assert!(next().contains("since=2"), "asked anew");
     assert!(next().contains("since=3"));
     client.write_all(&query("fleet-search", "b", &[2])).unwrap();
-    assert!(serve(&stage, 1)[0].contains("b.2 2 "), "the first that is sent");
+    assert!(
+        serve(&stage, 1)[0].contains("b.2 2 "),
+        "the first that is sent"
+    );
     assert_eq!(answer(&mut client).status, 200);
     assert!(next().contains("since=3"), "a broken watch is begun again");
 }
--- a/tests/platformed/mod.rs
+++ b/tests/platformed/mod.rs
@@ -1,4 +1,5 @@
-//! A broker with the platform's front on loopback, before a discovery and a data node of which the test holds both ends.
+//! A broker with the platform's front on loopback, before a discovery and a data node of which the
+//! test holds both ends.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use lichenswitch::broker::Broker;
@@ -69,7 +70,13 @@
                     continue;
                 }
                 let frame = String::from_utf8(frame).unwrap();
-                if got.send(Got { frame, stream: stream.try_clone().unwrap() }).is_err() {
+                if got
+                    .send(Got {
+                        frame,
+                        stream: stream.try_clone().unwrap(),
+                    })
+                    .is_err()
+                {
                     return;
                 }
             }
@@ -114,7 +121,8 @@
         Platformed::listed(settings, discovery)
     }
 
-    /// A broker that knows a list of one node, before the discovery that is given its listener and that list.
+    /// A broker that knows a list of one node, before the discovery that is given its listener and
+    /// that list.
     pub fn listed(
         settings: &str,
         discovery: impl FnOnce(TcpListener, String) + Send + 'static,
@@ -151,7 +159,10 @@
         thread::spawn(move || data_node(node, told));
         let calls = free_address();
         let more = format!(r#""mgmt":"{calls}","#);
-        (Platformed::start_with(settings, &more, node_at, got, discovery), calls)
+        (
+            Platformed::start_with(settings, &more, node_at, got, discovery),
+            calls,
+        )
     }
 
     fn start_with(
@@ -184,12 +195,19 @@
             broker.run().unwrap();
         });
         let address = address.recv().unwrap();
-        Platformed { address, got, stop: Some(stop), broker: Some(broker) }
+        Platformed {
+            address,
+            got,
+            stop: Some(stop),
+            broker: Some(broker),
+        }
     }
 
     pub fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.address).unwrap();
-        stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
+        stream
+            .set_read_timeout(Some(Duration::from_secs(20)))
+            .unwrap();
         stream
     }
 
@@ -205,12 +223,14 @@
     }
 }
 
-/// An address that nobody listens at, and that no other test is given. Its port is below those that the system gives to
-/// connections: who tries to connect there before anybody listens would meet itself otherwise.
+/// An address that nobody listens at, and that no other test is given. Its port is below those that
+/// the system gives to connections: who tries to connect there before anybody listens would meet
+/// itself otherwise.
 pub fn free_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     loop {
-        let number = (std::process::id() % 4_000 * 4_000 + NEXT.fetch_add(1, Ordering::Relaxed)) % 16_000_000;
+        let number = (std::process::id() % 4_000 * 4_000 + NEXT.fetch_add(1, Ordering::Relaxed))
+            % 16_000_000;
         let [_, a, b, c] = (number + 65_536).to_be_bytes();
         let address = SocketAddr::from(([127, a, b, c], 7_001));
         if TcpListener::bind(address).is_ok() {
@@ -225,7 +245,9 @@
     loop {
         match TcpStream::connect(address) {
             Ok(stream) => {
-                stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
+                stream
+                    .set_read_timeout(Some(Duration::from_secs(20)))
+                    .unwrap();
                 return stream;
             }
             Err(e) => assert!(begun.elapsed() < Duration::from_secs(20), "{e}"),
@@ -247,8 +269,9 @@
     Ok(answer)
 }
 
-/// Asks until the answer begins like this. A connection may be reset before: by a process that is not there yet, or by the
-/// last holder of the address, as a process that is being started beside is for a moment.
+/// Asks until the answer begins like this. A connection may be reset before: by a process that is
+/// not there yet, or by the last holder of the address, as a process that is being started beside
+/// is for a moment.
 pub fn asked_until(address: SocketAddr, line: &str, begins: &str) -> String {
     let begun = Instant::now();
     loop {
@@ -262,8 +285,10 @@
 
 pub fn body(segments: &[u32]) -> String {
     let boost = 1.0 / segments.len() as f64;
-    let segments: Vec<String> =
-        segments.iter().map(|s| format!(r#"{{"segment":{s},"boost":{boost}}}"#)).collect();
+    let segments: Vec<String> = segments
+        .iter()
+        .map(|s| format!(r#"{{"segment":{s},"boost":{boost}}}"#))
+        .collect();
     format!(r#"{{"segments":[{}],"text":"text"}}"#, segments.join(","))
 }
 
@@ -275,7 +300,12 @@
 
 pub fn query(class: &str, id: &str, segments: &[u32]) -> Vec<u8> {
     let body = body(segments);
-    format!("{}Content-Length: {}\r\n\r\n{body}", head(class, id), body.len()).into_bytes()
+    format!(
+        "{}Content-Length: {}\r\n\r\n{body}",
+        head(class, id),
+        body.len()
+    )
+    .into_bytes()
 }
 
 /// Reads one response.
@@ -313,7 +343,9 @@
 /// The next connection to a stand-in discovery, and what is asked on it.
 pub fn call(listener: &TcpListener) -> (TcpStream, String) {
     let (stream, _) = listener.accept().unwrap();
-    stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
+    stream
+        .set_read_timeout(Some(Duration::from_secs(20)))
+        .unwrap();
     let target = next_call(&stream);
     (stream, target)
 }
@@ -325,7 +357,12 @@
         stream.read_exact(&mut byte).unwrap();
         held.push(byte[0]);
     }
-    String::from_utf8(held).unwrap().split(' ').nth(1).unwrap().into()
+    String::from_utf8(held)
+        .unwrap()
+        .split(' ')
+        .nth(1)
+        .unwrap()
+        .into()
 }
 
 pub fn tell(mut stream: &TcpStream, list: String) {
--- a/tests/programs.rs
+++ b/tests/programs.rs
@@ -33,12 +33,21 @@
         .spawn()
         .unwrap();
     let mut lines = BufReader::new(broker.stderr.take().unwrap()).lines();
-    let line = lines.find(|l| l.as_ref().unwrap().contains("listens on ")).unwrap().unwrap();
+    let line = lines
+        .find(|l| l.as_ref().unwrap().contains("listens on "))
+        .unwrap()
+        .unwrap();
     let address = line.rsplit(' ').next().unwrap();
-    let live = ask(address, "GET /health/live HTTP/1.1\r\nConnection: close\r\n\r\n");
+    let live = ask(
+        address,
+        "GET /health/live HTTP/1.1\r\nConnection: close\r\n\r\n",
+    );
     assert!(live.starts_with("HTTP/1.1 200 "), "{live}");
     // Discovery is down and no list is known: clients are not to come yet.
-    let ready = ask(address, "GET /health/ready HTTP/1.1\r\nConnection: close\r\n\r\n");
+    let ready = ask(
+        address,
+        "GET /health/ready HTTP/1.1\r\nConnection: close\r\n\r\n",
+    );
     assert!(ready.starts_with("HTTP/1.1 503 "), "{ready}");
     let bad = ask(address, "NONSENSE\r\n\r\n");
     assert!(bad.starts_with("HTTP/1.1 400 "), "{bad}");
@@ -50,15 +59,22 @@
         body.len()
     );
     let refused = ask(address, &query);
-    assert!(refused.starts_with("HTTP/1.1 503 ") && refused.contains("\r\nretry-after: "), "{refused}");
-    let killed = Command::new("kill").arg(broker.id().to_string()).status().unwrap();
+    assert!(
+        refused.starts_with("HTTP/1.1 503 ") && refused.contains("\r\nretry-after: "),
+        "{refused}"
+    );
+    let killed = Command::new("kill")
+        .arg(broker.id().to_string())
+        .status()
+        .unwrap();
     assert!(killed.success() && broker.wait().unwrap().success());
     std::fs::remove_file(&path).unwrap();
 }
 
 #[test]
 fn a_new_configuration_moves_the_broker_to_another_discovery_and_a_faulty_one_changes_nothing() {
-    let path = std::env::temp_dir().join(format!("lichenswitch-reload-{}.json", std::process::id()));
+    let path =
+        std::env::temp_dir().join(format!("lichenswitch-reload-{}.json", std::process::id()));
     let [first, second] = [(); 2].map(|()| TcpListener::bind("127.0.0.1:0").unwrap());
     let write = |discovery: &str| {
         let config = format!(
@@ -73,11 +89,20 @@
         .spawn()
         .unwrap();
     let mut lines = BufReader::new(broker.stderr.take().unwrap()).lines();
-    let mut line_with = |text: &str| lines.find(|l| l.as_ref().unwrap().contains(text)).unwrap().unwrap();
+    let mut line_with = |text: &str| {
+        lines
+            .find(|l| l.as_ref().unwrap().contains(text))
+            .unwrap()
+            .unwrap()
+    };
     let listens = line_with("listens on ");
     let _asked = first.accept().unwrap();
     let signal = |name: &str| {
-        assert!(Command::new("kill").args([name, &broker.id().to_string()]).status().unwrap().success());
+        assert!(Command::new("kill")
+            .args([name, &broker.id().to_string()])
+            .status()
+            .unwrap()
+            .success());
     };
     write("nowhere");
     signal("-HUP");
@@ -89,10 +114,21 @@
     asked.read_exact(&mut head).unwrap();
     assert_eq!(&head, b"GET /registry/instances HTTP");
     let address = listens.rsplit(' ').next().unwrap();
-    let ready = || ask(address, "GET /health/ready HTTP/1.1\r\nConnection: close\r\n\r\n");
-    assert!(ready().starts_with("HTTP/1.1 503 "), "not before the list is here");
+    let ready = || {
+        ask(
+            address,
+            "GET /health/ready HTTP/1.1\r\nConnection: close\r\n\r\n",
+        )
+    };
+    assert!(
+        ready().starts_with("HTTP/1.1 503 "),
+        "not before the list is here"
+    );
     let list = r#"{"generation":1,"reset":true,"instances":[]}"#;
-    let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
+    let answer = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}",
+        list.len()
+    );
     asked.write_all(answer.as_bytes()).unwrap();
     // The watch that follows shows that the list was read.
     let mut rest = Vec::new();
@@ -105,7 +141,10 @@
     signal("-TERM");
     signal("-HUP");
     line_with("stopping");
-    assert!(broker.wait().unwrap().success(), "a reload while it stops does not end it otherwise");
+    assert!(
+        broker.wait().unwrap().success(),
+        "a reload while it stops does not end it otherwise"
+    );
     std::fs::remove_file(&path).unwrap();
 }
 
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -45,13 +45,23 @@
         for action in actions {
             match action {
                 Action::Send { part, server, .. } => {
-                    let query = self.owed.iter().find(|(_, (_, parts))| parts.contains(&part.0));
+                    let query = self
+                        .owed
+                        .iter()
+                        .find(|(_, (_, parts))| parts.contains(&part.0));
                     assert!(query.is_some(), "sent a part of no query held");
-                    assert!(!self.barred.contains(server), "sent to a draining or gone server");
+                    assert!(
+                        !self.barred.contains(server),
+                        "sent to a draining or gone server"
+                    );
                     let cell = server.0 % set.layout.cells;
-                    let offset = (cell + set.layout.cells - self.shards[&part.0] % set.layout.cells)
+                    let offset = (cell + set.layout.cells
+                        - self.shards[&part.0] % set.layout.cells)
                         % set.layout.cells;
-                    assert!(offset < set.layout.width, "sent to a server without the shard");
+                    assert!(
+                        offset < set.layout.width,
+                        "sent to a server without the shard"
+                    );
                     let tries = self.tries.entry(part.0).or_default();
                     let out: Vec<_> = tries.iter().filter(|t| t.1).collect();
                     assert!(
@@ -67,7 +77,10 @@
                         let start = now.minus(budget.window);
                         let further = self.further.iter().filter(|&&t| t >= start).count() as f64;
                         let taken = self.taken.iter().filter(|&&t| t > start).count() as f64;
-                        assert!(further <= budget.least + budget.share * taken, "over the budget");
+                        assert!(
+                            further <= budget.least + budget.share * taken,
+                            "over the budget"
+                        );
                     }
                 }
                 Action::Answer { query, whole } => {
@@ -90,21 +103,37 @@
                 _ => {}
             }
         }
-        assert!(self.owed.values().all(|(deadline, _)| now < *deadline), "a query outlived its client");
+        assert!(
+            self.owed.values().all(|(deadline, _)| now < *deadline),
+            "a query outlived its client"
+        );
     }
 }
 
 fn list(server: u32, how: u8, now: Time) -> Listed {
     let mode = [Mode::Ready, Mode::Draining, Mode::Gone, Mode::Ready][usize::from(how)];
     let started = (how == 3).then_some(now);
-    Listed { server: ServerId(server), cell: server % 3, zone: server % 2, mode, started }
+    Listed {
+        server: ServerId(server),
+        cell: server % 3,
+        zone: server % 2,
+        mode,
+        started,
+    }
 }
 
 /// Plays the steps and returns all actions; the referee checks them turn by turn.
 fn play(steps: &[Step], seed: u64) -> Vec<Action> {
-    let mut set = settings(Class { floor: 0.8, ..class() });
+    let mut set = settings(Class {
+        floor: 0.8,
+        ..class()
+    });
     set.layout.width = 2;
-    set.limits.budget = Some(Budget { window: 2 * AIM, least: 2.0, share: 0.2 });
+    set.limits.budget = Some(Budget {
+        window: 2 * AIM,
+        least: 2.0,
+        share: 0.2,
+    });
     let mut referee = Referee::default();
     let mut now = Time(50 * AIM);
     let mut broker = Coordinator::new(seed, set.clone());
@@ -130,14 +159,20 @@
                 let weight = 1.0 / parts.len() as f64;
                 for (&part, &shard) in parts.iter().zip(shards) {
                     referee.shards.insert(part, shard);
-                    events.push(Event::Part { part: PartId(part), number, shard: Shard(shard), weight });
+                    events.push(Event::Part {
+                        part: PartId(part),
+                        number,
+                        shard: Shard(shard),
+                        weight,
+                    });
                 }
                 referee.taken.extend(vec![now; 1 + parts.len()]);
                 referee.owed.insert(id, (deadline, parts));
                 next += 1 + shards.len() as u64;
             }
             Step::End(i, how) if !referee.flying.is_empty() => {
-                let (part, attempt, server, sent) = referee.flying.swap_remove(i % referee.flying.len());
+                let (part, attempt, server, sent) =
+                    referee.flying.swap_remove(i % referee.flying.len());
                 let outcome = match how {
                     0 => Outcome::Error,
                     1 => Outcome::Rejected,
@@ -199,8 +234,15 @@
 
 #[test]
 fn two_instances_in_one_process_act_as_each_alone() {
-    let steps: Vec<Step> =
-        (0..60).map(|i| if i % 3 == 0 { Step::Query(vec![i % 5]) } else { Step::Pause(20) }).collect();
+    let steps: Vec<Step> = (0..60)
+        .map(|i| {
+            if i % 3 == 0 {
+                Step::Query(vec![i % 5])
+            } else {
+                Step::Pause(20)
+            }
+        })
+        .collect();
     let (a, b) = (play(&steps, 1), play(&steps, 2));
     let both = std::thread::scope(|s| {
         let one = s.spawn(|| play(&steps, 1));
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -67,45 +67,85 @@
     let mut stage = Stage::new(set);
     let (id, events) = stage.query(&[0, 1]);
     let sent = sends(&stage.turn(events));
-    let out = stage.after(MS, vec![finished(sent[0].0, 0, sent[0].1, Outcome::Error, MS)]);
+    let out = stage.after(
+        MS,
+        vec![finished(sent[0].0, 0, sent[0].1, Outcome::Error, MS)],
+    );
     assert_eq!(finals(&out), [(id, false)]);
-    assert!(out.contains(&Action::Cancel { part: PartId(sent[1].0), attempt: 0 }));
+    assert!(out.contains(&Action::Cancel {
+        part: PartId(sent[1].0),
+        attempt: 0
+    }));
 }
 
 #[test]
 fn nothing_is_sent_to_a_draining_or_gone_server() {
     let mut stage = Stage::new(settings(class()));
-    let drain = Listed { mode: Mode::Draining, ..line(1, 0) };
-    let gone = Listed { mode: Mode::Gone, ..line(2, 1) };
+    let drain = Listed {
+        mode: Mode::Draining,
+        ..line(1, 0)
+    };
+    let gone = Listed {
+        mode: Mode::Gone,
+        ..line(2, 1)
+    };
     stage.turn(vec![Event::List(Listing::Changes(vec![drain, gone]))]);
     for _ in 0..8 {
         let (_, events) = stage.query(&[0, 1]);
-        assert!(sends(&stage.after(MS, events)).iter().all(|s| s.1 == ServerId(3)));
+        assert!(sends(&stage.after(MS, events))
+            .iter()
+            .all(|s| s.1 == ServerId(3)));
     }
     stage.turn(vec![Event::List(Listing::Whole(vec![line(2, 1)]))]);
     let (_, events) = stage.query(&[0]);
-    assert!(sends(&stage.after(MS, events)).iter().all(|s| s.1 == ServerId(2)), "absent means gone");
+    assert!(
+        sends(&stage.after(MS, events))
+            .iter()
+            .all(|s| s.1 == ServerId(2)),
+        "absent means gone"
+    );
 }
 
 #[test]
 fn an_unsafe_part_is_sent_again_only_when_it_never_ran() {
-    let mut stage = Stage::new(settings(Class { repeat: Repeat::Unsafe, ..class() }));
+    let mut stage = Stage::new(settings(Class {
+        repeat: Repeat::Unsafe,
+        ..class()
+    }));
     let (id, events) = stage.query(&[0]);
     let first = sends(&stage.turn(events))[0];
-    let again = sends(&stage.after(MS, vec![finished(first.0, 0, first.1, Outcome::Rejected, MS)]));
+    let again = sends(&stage.after(
+        MS,
+        vec![finished(first.0, 0, first.1, Outcome::Rejected, MS)],
+    ));
     assert_eq!(again.len(), 1, "a rejected part never ran");
-    assert!(sends(&stage.after(AIM, vec![Event::Wake])).is_empty(), "never copied");
-    let out = stage.after(MS, vec![finished(first.0, 1, again[0].1, Outcome::Reset, AIM)]);
-    assert!(out.contains(&Action::Fail(QueryId(id))), "it may have run: no refusal");
+    assert!(
+        sends(&stage.after(AIM, vec![Event::Wake])).is_empty(),
+        "never copied"
+    );
+    let out = stage.after(
+        MS,
+        vec![finished(first.0, 1, again[0].1, Outcome::Reset, AIM)],
+    );
+    assert!(
+        out.contains(&Action::Fail(QueryId(id))),
+        "it may have run: no refusal"
+    );
 }
 
 #[test]
 fn a_keyed_part_is_sent_again_only_within_its_window() {
     for (wait, expected) in [(100 * MS, 1), (400 * MS, 0)] {
-        let mut stage = Stage::new(settings(Class { repeat: Repeat::Keyed(300 * MS), ..class() }));
+        let mut stage = Stage::new(settings(Class {
+            repeat: Repeat::Keyed(300 * MS),
+            ..class()
+        }));
         let (_, events) = stage.query(&[0]);
         let first = sends(&stage.turn(events))[0];
-        let again = sends(&stage.after(wait, vec![finished(first.0, 0, first.1, Outcome::Error, wait)]));
+        let again = sends(&stage.after(
+            wait,
+            vec![finished(first.0, 0, first.1, Outcome::Error, wait)],
+        ));
         assert_eq!(again.len(), expected);
     }
 }
@@ -113,13 +153,18 @@
 #[test]
 fn further_attempts_stay_within_the_budget() {
     let mut set = settings(class());
-    set.limits.budget = Some(Budget { window: 10 * AIM, least: 2.0, share: 0.0 });
+    set.limits.budget = Some(Budget {
+        window: 10 * AIM,
+        least: 2.0,
+        share: 0.0,
+    });
     let mut stage = Stage::new(set);
     let mut further = 0;
     for _ in 0..6 {
         let (_, events) = stage.query(&[0]);
         for (part, server) in sends(&stage.after(MS, events)) {
-            further += sends(&stage.after(MS, vec![finished(part, 0, server, Outcome::Error, MS)])).len();
+            further +=
+                sends(&stage.after(MS, vec![finished(part, 0, server, Outcome::Error, MS)])).len();
         }
     }
     assert_eq!(further, 2);
@@ -133,54 +178,87 @@
     for _ in 0..100 {
         stage.serve(10 * MS);
     }
-    let cold = Listed { started: Some(stage.now), ..line(3, 2) };
+    let cold = Listed {
+        started: Some(stage.now),
+        ..line(3, 2)
+    };
     stage.turn(vec![Event::List(Listing::Changes(vec![cold]))]);
     let mut counts = [0u32; 4];
     for _ in 0..200 {
         let (id, events) = stage.query(&[0]);
         for (_, server) in sends(&stage.turn(events)) {
             counts[server.0 as usize] += 1;
-            stage.after(10 * MS, vec![finished(id + 1, 0, server, Outcome::Ok, 10 * MS)]);
+            stage.after(
+                10 * MS,
+                vec![finished(id + 1, 0, server, Outcome::Ok, 10 * MS)],
+            );
         }
     }
     let warm = f64::from(counts[1] + counts[2]) / 2.0;
     assert!(f64::from(counts[3]) < 0.8 * warm, "{counts:?}");
     assert!(counts[3] > 0, "{counts:?}");
-    let only = vec![Listed { started: Some(stage.now), ..line(9, 0) }];
+    let only = vec![Listed {
+        started: Some(stage.now),
+        ..line(9, 0)
+    }];
     stage.turn(vec![Event::List(Listing::Whole(only))]);
     let mut sent = 0;
     for _ in 0..50 {
         let (_, events) = stage.query(&[0, 1, 2]);
         sent += sends(&stage.after(MS, events)).len();
     }
-    assert!(sent < 30, "150 parts in 50 ms would push it over; {sent} sent");
+    assert!(
+        sent < 30,
+        "150 parts in 50 ms would push it over; {sent} sent"
+    );
 }
 
 fn answer_of(out: &[Action]) -> Option<bool> {
-    out.iter().find_map(|a| if let Action::Answer { whole, .. } = a { Some(*whole) } else { None })
+    out.iter().find_map(|a| {
+        if let Action::Answer { whole, .. } = a {
+            Some(*whole)
+        } else {
+            None
+        }
+    })
 }
 
 #[test]
 fn a_partial_answer_comes_from_the_floor_up_and_only_when_waiting_no_longer_pays() {
     for (answered, expected) in [(4u64, Some(false)), (3, None)] {
-        let mut set = settings(Class { floor: 0.8, ..class() });
+        let mut set = settings(Class {
+            floor: 0.8,
+            ..class()
+        });
         set.limits.second_copies = false;
         let mut stage = Stage::new(set);
         let (id, events) = stage.query(&[0, 1, 2, 3, 4]);
         let sent = sends(&stage.turn(events));
         let early = |n| sent.iter().filter(move |s| s.0 <= id + n);
-        let ends = early(answered).map(|s| finished(s.0, 0, s.1, Outcome::Ok, MS)).collect();
-        assert_eq!(answer_of(&stage.after(MS, ends)), None, "a whole answer may still come");
+        let ends = early(answered)
+            .map(|s| finished(s.0, 0, s.1, Outcome::Ok, MS))
+            .collect();
+        assert_eq!(
+            answer_of(&stage.after(MS, ends)),
+            None,
+            "a whole answer may still come"
+        );
         assert_eq!(answer_of(&stage.after(AIM, vec![Event::Wake])), expected);
     }
 }
 
 #[test]
 fn a_two_step_query_is_answered_twice_and_whole_only_if_both_steps_are() {
-    let mut stage = Stage::new(settings(Class { second_step: 2, ..class() }));
+    let mut stage = Stage::new(settings(Class {
+        second_step: 2,
+        ..class()
+    }));
     let (id, events) = stage.query(&[0, 1]);
     let sent = sends(&stage.turn(events));
-    let ends = sent.iter().map(|s| finished(s.0, 0, s.1, Outcome::Ok, MS)).collect();
+    let ends = sent
+        .iter()
+        .map(|s| finished(s.0, 0, s.1, Outcome::Ok, MS))
+        .collect();
     let first = stage.after(MS, ends);
     assert_eq!(finals(&first).len(), 1);
     let more = (0..2u32).map(|i| Event::Part {
@@ -191,18 +269,33 @@
     });
     let second = sends(&stage.after(MS, more.collect()));
     assert_eq!(second.len(), 2);
-    assert_eq!(answer_of(&stage.after(MS, vec![finished(900, 0, second[0].1, Outcome::Ok, MS)])), None);
-    assert_eq!(answer_of(&stage.after(MS, vec![finished(901, 0, second[1].1, Outcome::Ok, MS)])), Some(true));
+    assert_eq!(
+        answer_of(&stage.after(MS, vec![finished(900, 0, second[0].1, Outcome::Ok, MS)])),
+        None
+    );
+    assert_eq!(
+        answer_of(&stage.after(MS, vec![finished(901, 0, second[1].1, Outcome::Ok, MS)])),
+        Some(true)
+    );
 }
 
 #[test]
 fn what_earns_nothing_after_its_aim_ends_there_and_nothing_waits_longer() {
     for (late_share, last) in [(0.0, AIM), (0.1, AIM + 3 * AIM / 10)] {
-        let mut stage = Stage::new(settings(Class { late_share, ..class() }));
+        let mut stage = Stage::new(settings(Class {
+            late_share,
+            ..class()
+        }));
         let (id, events) = stage.query(&[0]);
         let start = stage.now;
         let out = stage.turn(events);
-        let timeout = |a: &Action| if let Action::Send { timeout, .. } = a { Some(*timeout) } else { None };
+        let timeout = |a: &Action| {
+            if let Action::Send { timeout, .. } = a {
+                Some(*timeout)
+            } else {
+                None
+            }
+        };
         assert!(
             out.iter().filter_map(timeout).all(|t| t <= last),
             "the server drops it when it is worthless"
@@ -213,14 +306,21 @@
         }
         assert_eq!(all, [(id, false)]);
         let took = stage.now.since(start);
-        assert!(took <= last && took + 20 * MS > last, "ended after {took} us");
+        assert!(
+            took <= last && took + 20 * MS > last,
+            "ended after {took} us"
+        );
     }
 }
 
 /// A stage whose budget is `least` and a tenth of what is taken, over ten aims.
 fn with_budget(least: f64) -> Stage {
     let mut set = settings(class());
-    set.limits.budget = Some(Budget { window: 10 * AIM, least, share: 0.1 });
+    set.limits.budget = Some(Budget {
+        window: 10 * AIM,
+        least,
+        share: 0.1,
+    });
     set.layout.parts_a_call = 1;
     Stage::new(set)
 }
@@ -229,7 +329,10 @@
 fn resent_in_one_turn(stage: &mut Stage, n: usize) -> usize {
     let (_, events) = stage.query(&vec![0; n]);
     let sent = sends(&stage.after(MS, events));
-    let ends = sent.iter().map(|&(part, server)| finished(part, 0, server, Outcome::Error, MS)).collect();
+    let ends = sent
+        .iter()
+        .map(|&(part, server)| finished(part, 0, server, Outcome::Error, MS))
+        .collect();
     sends(&stage.after(MS, ends)).len()
 }
 
@@ -243,13 +346,19 @@
 fn at_the_edge_of_the_window_attempts_still_count_and_queries_do_not() {
     let mut stage = with_budget(2.0);
     assert_eq!(resent_in_one_turn(&mut stage, 4), 2);
-    // The next outcomes, two milliseconds on, come just as far after those attempts as the window is long.
+    // The next outcomes, two milliseconds on, come just as far after those attempts as the window
+    // is long.
     stage.after(10 * AIM - 2 * MS, vec![Event::Wake]);
     let (_, events) = stage.query(&[0, 0]);
     let (part, server) = sends(&stage.after(MS, events))[0];
     let out = stage.after(MS, vec![finished(part, 0, server, Outcome::Error, MS)]);
-    assert_eq!(sends(&out).len(), 0, "both attempts lie at the edge and count");
-    // A part that was withheld is looked at again soon, while another part of its query is out. Where nothing is out the query ends at once.
+    assert_eq!(
+        sends(&out).len(),
+        0,
+        "both attempts lie at the edge and count"
+    );
+    // A part that was withheld is looked at again soon, while another part of its query is out.
+    // Where nothing is out the query ends at once.
     let later = stage.after(200 * MS, vec![Event::Wake]);
     assert_eq!(sends(&later).len(), 1, "they are out of the window");
 }
@@ -260,7 +369,11 @@
     let (id, events) = stage.query(&[0]);
     let (part, server) = sends(&stage.after(MS, events))[0];
     let out = stage.after(MS, vec![finished(part, 0, server, Outcome::Error, MS)]);
-    assert!(out.iter().any(|a| matches!(a, Action::Refuse { query, .. } if query.0 == id)), "{out:?}");
+    assert!(
+        out.iter()
+            .any(|a| matches!(a, Action::Refuse { query, .. } if query.0 == id)),
+        "{out:?}"
+    );
 }
 
 #[test]
@@ -268,47 +381,77 @@
     let mut first = with_budget(1.0);
     assert_eq!(resent_in_one_turn(&mut first, 5), 1);
     let mut second = with_budget(1.0);
-    assert_eq!(resent_in_one_turn(&mut second, 5), 1, "nothing taken before its start raises the budget");
+    assert_eq!(
+        resent_in_one_turn(&mut second, 5),
+        1,
+        "nothing taken before its start raises the budget"
+    );
 }
 
 #[test]
 fn an_unsafe_query_is_refused_only_while_none_of_its_parts_may_have_run() {
     use Outcome::{Cancelled, ConnectFailed, Error, Rejected, Reset, Timeout};
     for outcome in [Rejected, ConnectFailed, Error, Timeout, Reset, Cancelled] {
-        let mut set = settings(Class { repeat: Repeat::Unsafe, ..class() });
+        let mut set = settings(Class {
+            repeat: Repeat::Unsafe,
+            ..class()
+        });
         set.limits.attempts = 1;
         let mut stage = Stage::new(set);
         let (id, events) = stage.query(&[0]);
         let (part, server) = sends(&stage.turn(events))[0];
         let out = stage.after(MS, vec![finished(part, 0, server, outcome, MS)]);
-        let refused = out.iter().any(|a| matches!(a, Action::Refuse { query, .. } if query.0 == id));
+        let refused = out
+            .iter()
+            .any(|a| matches!(a, Action::Refuse { query, .. } if query.0 == id));
         assert_eq!(refused, outcome.never_ran(), "{outcome:?}");
-        assert_eq!(out.contains(&Action::Fail(QueryId(id))), !refused, "{outcome:?}: it ends at once");
+        assert_eq!(
+            out.contains(&Action::Fail(QueryId(id))),
+            !refused,
+            "{outcome:?}: it ends at once"
+        );
     }
 }
 
 #[test]
 fn an_attempt_that_never_left_is_none_of_those_allowed_and_tells_nothing_of_its_server() {
-    let mut set = settings(Class { repeat: Repeat::Unsafe, ..class() });
+    let mut set = settings(Class {
+        repeat: Repeat::Unsafe,
+        ..class()
+    });
     set.limits.attempts = 1;
     let mut stage = Stage::new(set);
     let (_, events) = stage.query(&[0]);
     let (part, mut server) = sends(&stage.turn(events))[0];
     for attempt in 0..5 {
-        let out = stage.after(100 * MS, vec![finished(part, attempt, server, Outcome::Moot, 50 * MS)]);
-        assert!(!out.iter().any(|a| matches!(a, Action::Log(_))), "nobody is suspected: {out:?}");
+        let out = stage.after(
+            100 * MS,
+            vec![finished(part, attempt, server, Outcome::Moot, 50 * MS)],
+        );
+        assert!(
+            !out.iter().any(|a| matches!(a, Action::Log(_))),
+            "nobody is suspected: {out:?}"
+        );
         server = sends(&out)[0].1;
     }
     let out = stage.after(MS, vec![finished(part, 5, server, Outcome::Error, MS)]);
-    assert!(sends(&out).is_empty() && finals(&out).len() == 1, "the one that left was the only one allowed");
+    assert!(
+        sends(&out).is_empty() && finals(&out).len() == 1,
+        "the one that left was the only one allowed"
+    );
 }
 
 #[test]
-fn a_part_whose_holders_are_all_gone_is_not_tried_again_at_once_and_one_whose_holders_are_full_is() {
+fn a_part_whose_holders_are_all_gone_is_not_tried_again_at_once_and_one_whose_holders_are_full_is()
+{
     for outcome in [Outcome::ConnectFailed, Outcome::Rejected] {
         let mut set = settings(class());
         set.limits.attempts = 4;
-        set.layout = Layout { cells: 3, width: 2, ..set.layout };
+        set.layout = Layout {
+            cells: 3,
+            width: 2,
+            ..set.layout
+        };
         let mut stage = Stage::new(set);
         let (_, events) = stage.query(&[0]);
         let mut sent = sends(&stage.turn(events));
@@ -318,7 +461,10 @@
             holders.push(server);
             sent = sends(&stage.after(MS, vec![finished(part, attempt, server, outcome, MS)]));
         }
-        assert!(holders[0] != holders[1], "the other holder is tried at once");
+        assert!(
+            holders[0] != holders[1],
+            "the other holder is tried at once"
+        );
         if outcome == Outcome::Rejected {
             assert_eq!(sent.len(), 1, "a place may be free by now");
             continue;
@@ -327,7 +473,11 @@
         for _ in 0..9 {
             assert!(sends(&stage.after(10 * MS, vec![Event::Wake])).is_empty());
         }
-        assert_eq!(sends(&stage.after(20 * MS, vec![Event::Wake])).len(), 1, "after a tenth of a second");
+        assert_eq!(
+            sends(&stage.after(20 * MS, vec![Event::Wake])).len(),
+            1,
+            "after a tenth of a second"
+        );
     }
 }
 
@@ -356,21 +506,35 @@
 #[test]
 fn a_server_that_is_being_taken_out_gets_only_what_no_trusted_holder_takes() {
     let mut stage = Stage::new(settings(class()));
-    let leaving = Listed { mode: Mode::Leaving, ..line(1, 0) };
+    let leaving = Listed {
+        mode: Mode::Leaving,
+        ..line(1, 0)
+    };
     stage.turn(vec![Event::List(Listing::Changes(vec![leaving]))]);
     for _ in 0..20 {
         let (_, events) = stage.query(&[0]);
         assert!(
-            sends(&stage.turn(events)).iter().all(|s| s.1 != ServerId(1)),
+            sends(&stage.turn(events))
+                .iter()
+                .all(|s| s.1 != ServerId(1)),
             "however much the others have"
         );
     }
-    let gone = [2, 3].map(|id| Listed { mode: Mode::Gone, ..line(id, id - 1) });
+    let gone = [2, 3].map(|id| Listed {
+        mode: Mode::Gone,
+        ..line(id, id - 1)
+    });
     stage.turn(vec![Event::List(Listing::Changes(gone.into()))]);
     let (_, events) = stage.query(&[0]);
     let sent = sends(&stage.turn(events));
     assert!(!sent.is_empty() && sent.iter().all(|s| s.1 == ServerId(1)));
-    stage.turn(vec![Event::List(Listing::Changes(vec![Listed { mode: Mode::Draining, ..leaving }]))]);
+    stage.turn(vec![Event::List(Listing::Changes(vec![Listed {
+        mode: Mode::Draining,
+        ..leaving
+    }]))]);
     let (_, events) = stage.query(&[0]);
-    assert!(sends(&stage.after(100 * MS, events)).is_empty(), "and then nothing");
+    assert!(
+        sends(&stage.after(100 * MS, events)).is_empty(),
+        "and then nothing"
+    );
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,4 +1,5 @@
-//! What larger fleets and many instances brought: each failure met as a small case of the module alone.
+//! What larger fleets and many instances brought: each failure met as a small case of the module
+//! alone.
 
 mod common;
 use common::*;
@@ -8,9 +9,19 @@
 
 /// A fleet of one server for each cell, shards held by three in a row, parts that share no calls.
 fn fleet(servers: u32, mut set: Settings) -> Stage {
-    set.layout = Layout { cells: servers, width: 3, shards: u32::MAX, parts_a_call: 1 };
+    set.layout = Layout {
+        cells: servers,
+        width: 3,
+        shards: u32::MAX,
+        parts_a_call: 1,
+    };
     let mut stage = Stage::new(set);
-    let lines = (0..servers).map(|i| Listed { zone: i % 2, ..line(100 + i, i) }).collect();
+    let lines = (0..servers)
+        .map(|i| Listed {
+            zone: i % 2,
+            ..line(100 + i, i)
+        })
+        .collect();
     stage.turn(vec![Event::List(Listing::Whole(lines))]);
     stage
 }
@@ -25,8 +36,8 @@
     }
 }
 
-/// Plays a query to its end. `fate` says how an attempt of a server ends; `None`: never. Returns the servers
-/// that its attempts went to and whether it was answered.
+/// Plays a query to its end. `fate` says how an attempt of a server ends; `None`: never. Returns
+/// the servers that its attempts went to and whether it was answered.
 fn play(
     stage: &mut Stage,
     shards: &[u32],
@@ -49,7 +60,13 @@
         for action in &out {
             if let Action::Cancel { part, attempt } = action {
                 open.retain(|o| (o.0, o.1) != (part.0, *attempt));
-                events.push(finished(part.0, *attempt, ServerId(100), Outcome::Cancelled, MS));
+                events.push(finished(
+                    part.0,
+                    *attempt,
+                    ServerId(100),
+                    Outcome::Cancelled,
+                    MS,
+                ));
             }
         }
         if let Some((_, answered)) = finals(&out).first() {
@@ -63,7 +80,8 @@
         stage.now = stage.now.plus(5 * MS);
         open.retain(|&(part, attempt, server, sent)| {
             let due = fate(server).filter(|&(_, took)| stage.now >= sent.plus(took));
-            events.extend(due.map(|(outcome, took)| finished(part, attempt, server, outcome, took)));
+            events
+                .extend(due.map(|(outcome, took)| finished(part, attempt, server, outcome, took)));
             due.is_none()
         });
         out = stage.turn(events);
@@ -86,20 +104,31 @@
     assert!(!answered);
     assert!(met.len() <= 3, "one part, at most three servers: {met:?}");
     let (met, _) = play(&mut stage, &[3], 66, breaks);
-    assert!(met.is_empty(), "the same key is refused at arrival: {met:?}");
-    assert!(play(&mut stage, &[3, 4, 5], 7, well).1, "honest queries of the class are served");
+    assert!(
+        met.is_empty(),
+        "the same key is refused at arrival: {met:?}"
+    );
+    assert!(
+        play(&mut stage, &[3, 4, 5], 7, well).1,
+        "honest queries of the class are served"
+    );
 }
 
 #[test]
 fn after_poison_a_query_of_its_class_sends_one_part_ahead() {
     let mut stage = fleet(30, settings(class()));
     play(&mut stage, &[1, 2, 3], 7, well);
-    play(&mut stage, &[10, 14, 18, 22], 66, |_| Some((Outcome::Reset, 5 * MS)));
+    play(&mut stage, &[10, 14, 18, 22], 66, |_| {
+        Some((Outcome::Reset, 5 * MS))
+    });
     let (id, events) = stage.query(&[4, 5, 6, 7]);
     let first = sends(&stage.turn(events));
     assert_eq!(first.len(), 1, "one part goes ahead: {first:?}");
     let (part, server) = first[0];
-    let rest = sends(&stage.after(50 * MS, vec![finished(part, 0, server, Outcome::Ok, 50 * MS)]));
+    let rest = sends(&stage.after(
+        50 * MS,
+        vec![finished(part, 0, server, Outcome::Ok, 50 * MS)],
+    ));
     assert_eq!(rest.len(), 3, "the others of {id} follow its answer");
 }
 
@@ -117,7 +146,10 @@
     for i in 0..60 {
         met.extend(play(&mut stage, &[i % 6], 7, well).0);
     }
-    assert!(broken.iter().all(|s| met.contains(s)), "{broken:?} of {met:?}");
+    assert!(
+        broken.iter().all(|s| met.contains(s)),
+        "{broken:?} of {met:?}"
+    );
 }
 
 #[test]
@@ -127,10 +159,17 @@
         play(&mut stage, &[i, i + 3], 7, well);
     }
     let crashed = |s: ServerId| {
-        Some(if s.0.is_multiple_of(5) { (Outcome::Reset, 60 * MS) } else { (Outcome::Ok, 50 * MS) })
+        Some(if s.0.is_multiple_of(5) {
+            (Outcome::Reset, 60 * MS)
+        } else {
+            (Outcome::Ok, 50 * MS)
+        })
     };
     for i in 0..10 {
-        assert!(play(&mut stage, &[i, i + 4, i + 8, i + 12], 7, crashed).1, "victims are served elsewhere");
+        assert!(
+            play(&mut stage, &[i, i + 4, i + 8, i + 12], 7, crashed).1,
+            "victims are served elsewhere"
+        );
     }
 }
 
@@ -140,14 +179,28 @@
     for i in 0..24 {
         play(&mut stage, &[i % 12, (i + 4) % 12], 7, well);
     }
-    let mute = |s: ServerId| if s.0.is_multiple_of(3) { None } else { Some((Outcome::Ok, 50 * MS)) };
+    let mute = |s: ServerId| {
+        if s.0.is_multiple_of(3) {
+            None
+        } else {
+            Some((Outcome::Ok, 50 * MS))
+        }
+    };
     let mut late = 0;
     for i in 0..30 {
         let began = stage.now;
-        let (_, answered) = play(&mut stage, &[i % 12, (i + 3) % 12, (i + 6) % 12, (i + 9) % 12], 7, mute);
+        let (_, answered) = play(
+            &mut stage,
+            &[i % 12, (i + 3) % 12, (i + 6) % 12, (i + 9) % 12],
+            7,
+            mute,
+        );
         late += usize::from(!answered || stage.now.since(began) > AIM);
     }
-    assert!(late <= 3, "{late} of 30 late with a third of the servers silent");
+    assert!(
+        late <= 3,
+        "{late} of 30 late with a third of the servers silent"
+    );
 }
 
 #[test]
@@ -165,10 +218,22 @@
             let copies = sends(&stage.after(AIM / 2, vec![Event::Wake]));
             assert_eq!(copies.len(), 1, "a silent part is copied");
             let copy = copies[0].1;
-            stage.after(20 * MS, vec![finished(id + 1, 1, copy, Outcome::Ok, 20 * MS)]);
-            stage.turn(vec![finished(id + 1, 0, server, Outcome::Cancelled, AIM / 2)]);
+            stage.after(
+                20 * MS,
+                vec![finished(id + 1, 1, copy, Outcome::Ok, 20 * MS)],
+            );
+            stage.turn(vec![finished(
+                id + 1,
+                0,
+                server,
+                Outcome::Cancelled,
+                AIM / 2,
+            )]);
         } else {
-            stage.after(20 * MS, vec![finished(id + 1, 0, server, Outcome::Ok, 20 * MS)]);
+            stage.after(
+                20 * MS,
+                vec![finished(id + 1, 0, server, Outcome::Ok, 20 * MS)],
+            );
         }
     }
     assert!(sent[1][1] * 5 < sent[0][1], "{sent:?}");
@@ -180,11 +245,25 @@
     for i in 0..12 {
         play(&mut stage, &[i % 6], 7, well);
     }
-    let cut = |s: ServerId| if s.0 == 100 { None } else { Some((Outcome::Ok, 50 * MS)) };
+    let cut = |s: ServerId| {
+        if s.0 == 100 {
+            None
+        } else {
+            Some((Outcome::Ok, 50 * MS))
+        }
+    };
     let mut met = 0;
     for _ in 0..40 {
-        stage.turn(vec![Event::Probed { server: ServerId(100), outcome: Outcome::Ok, elapsed: MS }]);
-        met += play(&mut stage, &[4], 7, cut).0.iter().filter(|s| s.0 == 100).count();
+        stage.turn(vec![Event::Probed {
+            server: ServerId(100),
+            outcome: Outcome::Ok,
+            elapsed: MS,
+        }]);
+        met += play(&mut stage, &[4], 7, cut)
+            .0
+            .iter()
+            .filter(|s| s.0 == 100)
+            .count();
     }
     assert!(met < 10, "{met} attempts at the silent server");
 }
@@ -199,14 +278,25 @@
     if let Event::Query { deadline, .. } = &mut events[0] {
         *deadline = stage.now.plus(400 * MS);
     }
-    assert_eq!(sends(&stage.turn(events)).len(), 1, "a short patience is no further try");
+    assert_eq!(
+        sends(&stage.turn(events)).len(),
+        1,
+        "a short patience is no further try"
+    );
     assert_eq!(sends(&stage.after(150 * MS, vec![Event::Wake])).len(), 0);
-    assert_eq!(sends(&stage.after(55 * MS, vec![Event::Wake])).len(), 1, "copied at half of the 400 ms");
+    assert_eq!(
+        sends(&stage.after(55 * MS, vec![Event::Wake])).len(),
+        1,
+        "copied at half of the 400 ms"
+    );
 }
 
 /// Answer times of 320 ms: a fresh query is let in, a further try that is past its aim is not.
 fn refused_again(marks: bool, marked: bool) -> bool {
-    let mut set = settings(Class { late_share: 0.01, ..class() });
+    let mut set = settings(Class {
+        late_share: 0.01,
+        ..class()
+    });
     set.marks_retry = marks;
     let mut stage = Stage::new(set);
     for _ in 0..60 {
@@ -215,8 +305,16 @@
     stage.turn(vec![Event::List(Listing::Whole(vec![]))]);
     let (id, mut events) = stage.query(&[0]);
     with_key(&mut events, 5, false);
-    assert_eq!(finals(&stage.turn(events)), [(id, false)], "nobody holds the shard");
-    stage.turn(vec![Event::List(Listing::Whole(vec![line(1, 0), line(2, 1), line(3, 2)]))]);
+    assert_eq!(
+        finals(&stage.turn(events)),
+        [(id, false)],
+        "nobody holds the shard"
+    );
+    stage.turn(vec![Event::List(Listing::Whole(vec![
+        line(1, 0),
+        line(2, 1),
+        line(3, 2),
+    ]))]);
     stage.now = stage.now.plus(AIM);
     stage.serve(320 * MS);
     let (_, mut events) = stage.query(&[0]);
@@ -227,25 +325,43 @@
 #[test]
 fn a_further_try_is_told_by_its_mark_where_clients_mark_them() {
     assert!(refused_again(true, true), "marked: past its aim");
-    assert!(!refused_again(true, false), "not marked: fresh, though the key is the same");
-    assert!(refused_again(false, false), "no marks: told by class and key");
+    assert!(
+        !refused_again(true, false),
+        "not marked: fresh, though the key is the same"
+    );
+    assert!(
+        refused_again(false, false),
+        "no marks: told by class and key"
+    );
 }
 
-/// Parts that a cold server gets of all instances, each of so many processes, just restarted and busy, against what the
-/// rule lets it take.
+/// Parts that a cold server gets of all instances, each of so many processes, just restarted and
+/// busy, against what the rule lets it take.
 fn sent_to_a_cold_server(instances: u32, processes: u32, cold: Cold) -> f64 {
     let mut set = settings(class());
     (set.instances, set.cold) = (instances, cold);
-    set.layout = Layout { cells: 1, width: 1, shards: u32::MAX, parts_a_call: 1 };
+    set.layout = Layout {
+        cells: 1,
+        width: 1,
+        shards: u32::MAX,
+        parts_a_call: 1,
+    };
     let (answer, level) = (100 * MS, set.cold.share);
     let mut total = 0;
     for seed in 0..u64::from(instances * processes) {
         let mut broker = Coordinator::new(seed, set.clone());
         let mut now = Time(1_000_000 * MS);
-        let cold = Listed { started: Some(now), ..line(2, 0) };
+        let cold = Listed {
+            started: Some(now),
+            ..line(2, 0)
+        };
         let mut out = Vec::new();
         let known = Event::List(Listing::Cached(vec![line(1, 0)]));
-        broker.turn(now, vec![Event::Processes(Some(processes)), known], &mut out);
+        broker.turn(
+            now,
+            vec![Event::Processes(Some(processes)), known],
+            &mut out,
+        );
         let ask = |id: u64, now: Time| {
             let deadline = now.plus(4 * AIM);
             let query = Event::Query {
@@ -257,13 +373,32 @@
                 again: false,
                 tenant: u32::MAX,
             };
-            vec![query, Event::Part { part: PartId(id + 1), number: id as u32, shard: Shard(0), weight: 1.0 }]
+            vec![
+                query,
+                Event::Part {
+                    part: PartId(id + 1),
+                    number: id as u32,
+                    shard: Shard(0),
+                    weight: 1.0,
+                },
+            ]
         };
         broker.turn(now, ask(10, now), &mut out);
         now = now.plus(answer);
-        broker.turn(now, vec![finished(11, 0, ServerId(1), Outcome::Ok, answer)], &mut out);
-        let gone = Listed { mode: Mode::Gone, ..line(1, 0) };
-        broker.turn(now, vec![Event::List(Listing::Changes(vec![cold, gone]))], &mut out);
+        broker.turn(
+            now,
+            vec![finished(11, 0, ServerId(1), Outcome::Ok, answer)],
+            &mut out,
+        );
+        let gone = Listed {
+            mode: Mode::Gone,
+            ..line(1, 0)
+        };
+        broker.turn(
+            now,
+            vec![Event::List(Listing::Changes(vec![cold, gone]))],
+            &mut out,
+        );
         out.clear();
         for id in 0..set.cold.fall_after / (100 * MS) {
             broker.turn(now, ask(100 + 2 * id, now), &mut out);
@@ -273,26 +408,45 @@
     }
     // What a server that does two parts at a time can take by the rule within its window.
     let grown = (1.0 - level) * set.cold.fall_after as f64 / set.cold.warm_after as f64 / 2.0;
-    let rule = 2.0 * set.cold.fall_multiple * (level + grown) * set.cold.fall_after as f64 / answer as f64;
+    let rule =
+        2.0 * set.cold.fall_multiple * (level + grown) * set.cold.fall_after as f64 / answer as f64;
     total as f64 / rule
 }
 
 #[test]
 fn instances_just_restarted_do_not_push_a_cold_server_over_in_sum() {
-    let figures =
-        [(80, 0.25, 2.5, 2_000), (33, 0.16, 2.0, 1_500), (67, 0.2, 2.5, 3_000), (41, 0.19, 3.0, 3_000)];
+    let figures = [
+        (80, 0.25, 2.5, 2_000),
+        (33, 0.16, 2.0, 1_500),
+        (67, 0.2, 2.5, 3_000),
+        (41, 0.19, 3.0, 3_000),
+    ];
     for (instances, share, fall_multiple, fall_ms) in figures {
-        let cold = Cold { share, warm_after: 18_000 * MS, fall_multiple, fall_after: fall_ms * MS };
+        let cold = Cold {
+            share,
+            warm_after: 18_000 * MS,
+            fall_multiple,
+            fall_after: fall_ms * MS,
+        };
         let part = sent_to_a_cold_server(instances, 1, cold);
-        assert!(part > 0.0 && part < 1.0, "{instances} instances: {part} of the rule");
+        assert!(
+            part > 0.0 && part < 1.0,
+            "{instances} instances: {part} of the rule"
+        );
     }
 }
 
 #[test]
 fn processes_of_an_instance_send_a_cold_server_no_more_than_one_would() {
-    let cold = |share| Cold { share, warm_after: 18_000 * MS, fall_multiple: 3.0, fall_after: 3_000 * MS };
+    let cold = |share| Cold {
+        share,
+        warm_after: 18_000 * MS,
+        fall_multiple: 3.0,
+        fall_after: 3_000 * MS,
+    };
     for (instances, share) in [(3, 0.32), (8, 0.3), (33, 0.16)] {
-        let [one, two] = [1, 2].map(|processes| sent_to_a_cold_server(instances, processes, cold(share)));
+        let [one, two] =
+            [1, 2].map(|processes| sent_to_a_cold_server(instances, processes, cold(share)));
         assert!(
             two > 0.0 && two < 1.0 && two < one * 1.4,
             "{instances} instances: {one} and {two} of the rule"
@@ -325,7 +479,10 @@
             let shard = shards[(part - id - 1) as usize];
             assert!(holds(server, shard, 300), "{server:?} for {shard}");
         }
-        let ends = sent.iter().map(|&(p, s)| finished(p, 0, s, Outcome::Ok, 30 * MS)).collect();
+        let ends = sent
+            .iter()
+            .map(|&(p, s)| finished(p, 0, s, Outcome::Ok, 30 * MS))
+            .collect();
         stage.after(30 * MS, ends);
     }
 }
@@ -336,19 +493,33 @@
     for _ in 0..30 {
         play(&mut stage, &[0], 7, well);
     }
-    let hung = |s: ServerId| if s.0 == 100 { None } else { Some((Outcome::Ok, 900 * MS)) };
+    let hung = |s: ServerId| {
+        if s.0 == 100 {
+            None
+        } else {
+            Some((Outcome::Ok, 900 * MS))
+        }
+    };
     let mut turned_away = 0;
     for _ in 0..40 {
         let (met, answered) = play(&mut stage, &[0], 7, hung);
         turned_away += usize::from(met.is_empty() && !answered);
     }
-    assert!(turned_away > 3, "{turned_away} of 40: the holders left take nearly the whole aim");
+    assert!(
+        turned_away > 3,
+        "{turned_away} of 40: the holders left take nearly the whole aim"
+    );
 }
 
 #[test]
 fn a_shard_whose_holders_are_all_gone_gets_its_final_answer_at_once() {
     let mut stage = fleet(9, settings(class()));
-    let gone = (0..3).map(|i| Listed { mode: Mode::Gone, ..line(100 + i, i) }).collect();
+    let gone = (0..3)
+        .map(|i| Listed {
+            mode: Mode::Gone,
+            ..line(100 + i, i)
+        })
+        .collect();
     stage.turn(vec![Event::List(Listing::Changes(gone))]);
     let (id, events) = stage.query(&[0]);
     assert_eq!(finals(&stage.turn(events)), [(id, false)]);
@@ -358,16 +529,24 @@
 fn copies_that_prove_useless_dwindle_and_come_back_as_they_prove_loss() {
     let mut set = settings(class());
     set.layout.parts_a_call = 1;
-    set.limits.budget = Some(Budget { window: 10 * AIM, least: 1_000.0, share: 1.0 });
+    set.limits.budget = Some(Budget {
+        window: 10 * AIM,
+        least: 1_000.0,
+        share: 1.0,
+    });
     let mut stage = Stage::new(set);
-    // Every fourth part is late; its copy is answered at once where the first attempt was lost, else never.
+    // Every fourth part is late; its copy is answered at once where the first attempt was lost,
+    // else never.
     let mut round = |lost: bool| {
         let mut copies = 0;
         for n in 0..300 {
             let (id, events) = stage.query(&[0]);
             let first = sends(&stage.turn(events))[0].1;
             if n % 4 > 0 {
-                stage.after(50 * MS, vec![finished(id + 1, 0, first, Outcome::Ok, 50 * MS)]);
+                stage.after(
+                    50 * MS,
+                    vec![finished(id + 1, 0, first, Outcome::Ok, 50 * MS)],
+                );
                 continue;
             }
             let copy = sends(&stage.after(AIM / 2, vec![Event::Wake]));
@@ -375,11 +554,17 @@
             let other = copy.first().map(|&(_, server)| server);
             let ends = match other {
                 Some(other) if lost => {
-                    stage.after(50 * MS, vec![finished(id + 1, 1, other, Outcome::Ok, 50 * MS)]);
+                    stage.after(
+                        50 * MS,
+                        vec![finished(id + 1, 1, other, Outcome::Ok, 50 * MS)],
+                    );
                     vec![finished(id + 1, 0, first, Outcome::Cancelled, AIM * 6 / 10)]
                 }
                 _ => {
-                    stage.after(AIM / 10, vec![finished(id + 1, 0, first, Outcome::Ok, AIM * 6 / 10)]);
+                    stage.after(
+                        AIM / 10,
+                        vec![finished(id + 1, 0, first, Outcome::Ok, AIM * 6 / 10)],
+                    );
                     let withdrawn = |s| finished(id + 1, 1, s, Outcome::Cancelled, AIM / 10);
                     other.map(withdrawn).into_iter().collect()
                 }
@@ -390,17 +575,33 @@
     };
     round(false);
     let useless = round(false);
-    assert!((1..=15).contains(&useless), "a slow fleet is not helped by copies: {useless} of 75 late parts");
+    assert!(
+        (1..=15).contains(&useless),
+        "a slow fleet is not helped by copies: {useless} of 75 late parts"
+    );
     let useful = round(true);
-    assert!(useful > 60, "silence is healed beyond the tenth: {useful} of 75 late parts");
+    assert!(
+        useful > 60,
+        "silence is healed beyond the tenth: {useful} of 75 late parts"
+    );
 }
 
 /// A ring of cells of one server each, three of which hold a shard; no call is shared.
 fn ring(cells: u32) -> Stage {
     let mut set = settings(class());
-    set.layout = Layout { cells, width: 3, shards: u32::MAX, parts_a_call: 1 };
+    set.layout = Layout {
+        cells,
+        width: 3,
+        shards: u32::MAX,
+        parts_a_call: 1,
+    };
     let mut stage = Stage::new(set);
-    let lines = (0..cells).map(|i| Listed { zone: 9, ..line(i + 1, i) }).collect();
+    let lines = (0..cells)
+        .map(|i| Listed {
+            zone: 9,
+            ..line(i + 1, i)
+        })
+        .collect();
     stage.turn(vec![Event::List(Listing::Whole(lines))]);
     stage
 }
@@ -414,29 +615,41 @@
         let (id, events) = stage.query(&[rounds * 7 % 60]);
         let mut out = stage.after(150 * MS, events);
         for attempt in 0..3 {
-            let Some(&(_, server)) = sends(&out).first() else { break };
+            let Some(&(_, server)) = sends(&out).first() else {
+                break;
+            };
             let bad = server.0 % 6 == 0;
             failed += u32::from(bad);
             let end = if bad { Outcome::Error } else { Outcome::Ok };
-            out = stage.after(10 * MS, vec![finished(id + 1, attempt, server, end, 10 * MS)]);
+            out = stage.after(
+                10 * MS,
+                vec![finished(id + 1, attempt, server, end, 10 * MS)],
+            );
         }
         rounds += 1;
     }
-    assert!(failed < 230, "{failed} of 2400 parts met a server that fails all");
+    assert!(
+        failed < 230,
+        "{failed} of 2400 parts met a server that fails all"
+    );
 }
 
 #[test]
 fn a_copy_goes_to_a_querys_last_part_before_the_first_of_many() {
     let mut stage = ring(24);
     stage.serve(20 * MS);
-    // Three places are saved at the start: a silent query of twelve parts takes one, and leaves the rest.
+    // Three places are saved at the start: a silent query of twelve parts takes one, and leaves the
+    // rest.
     let (_, wide) = stage.query(&(0..12).collect::<Vec<_>>());
     stage.turn(wide);
     let wide = sends(&stage.after(AIM / 2, vec![Event::Wake])).len();
     let (_, narrow) = stage.query(&[18]);
     stage.turn(narrow);
     let narrow = sends(&stage.after(AIM / 2, vec![Event::Wake]));
-    assert!(wide <= 2, "{wide} copies for a query that lacks all its parts");
+    assert!(
+        wide <= 2,
+        "{wide} copies for a query that lacks all its parts"
+    );
     assert!(
         narrow.iter().any(|&(part, _)| part > 14),
         "the last part of the narrow one is copied: {narrow:?}"
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -52,7 +52,11 @@
         );
         std::fs::write(folder.join("config.json"), config).unwrap();
         thread::spawn(move || discovery(list, text));
-        Stage { folder, address, got }
+        Stage {
+            folder,
+            address,
+            got,
+        }
     }
 
     fn start(&self) -> Process {
@@ -70,8 +74,17 @@
             .unwrap();
         let (told, lines) = mpsc::channel();
         let stderr = BufReader::new(child.stderr.take().unwrap());
-        thread::spawn(move || stderr.lines().map_while(Result::ok).try_for_each(|line| told.send(line)));
-        Process { child, calls, lines }
+        thread::spawn(move || {
+            stderr
+                .lines()
+                .map_while(Result::ok)
+                .try_for_each(|line| told.send(line))
+        });
+        Process {
+            child,
+            calls,
+            lines,
+        }
     }
 
     /// One that says that it is ready.
@@ -91,7 +104,9 @@
 
     fn serve(&self) {
         let mut got = self.got.recv_timeout(LONG).unwrap();
-        got.parts().iter().for_each(|id| got.answer(&format!("{id} OK 1 -\nv")));
+        got.parts()
+            .iter()
+            .for_each(|id| got.answer(&format!("{id} OK 1 -\nv")));
     }
 }
 
@@ -103,14 +118,20 @@
 
 impl Process {
     fn signal(&self, name: &str) {
-        let told = Command::new("kill").args([name, &self.child.id().to_string()]).status().unwrap();
+        let told = Command::new("kill")
+            .args([name, &self.child.id().to_string()])
+            .status()
+            .unwrap();
         assert!(told.success());
     }
 
     /// Waits for a line that has this in it.
     fn says(&self, text: &str) {
         loop {
-            let line = self.lines.recv_timeout(LONG).unwrap_or_else(|e| panic!("{text}: {e}"));
+            let line = self
+                .lines
+                .recv_timeout(LONG)
+                .unwrap_or_else(|e| panic!("{text}: {e}"));
             if line.contains(text) {
                 return;
             }
@@ -138,7 +159,8 @@
     let stage = Stage::new();
     let mut old = stage.ready();
     let mut new = stage.ready();
-    // Nobody accepts: what comes waits. Then the old one is told to stop, before the new one comes round again.
+    // Nobody accepts: what comes waits. Then the old one is told to stop, before the new one comes
+    // round again.
     new.signal("-STOP");
     old.signal("-STOP");
     let mut clients: Vec<TcpStream> = (0..30).map(|i| stage.client(&format!("q{i}"))).collect();
@@ -148,10 +170,14 @@
     new.signal("-CONT");
     // Each gets a final answer; what is beyond what one data node bears is refused.
     while let Ok(mut got) = stage.got.recv_timeout(Duration::from_millis(500)) {
-        got.parts().iter().for_each(|id| got.answer(&format!("{id} OK 1 -\nv")));
+        got.parts()
+            .iter()
+            .for_each(|id| got.answer(&format!("{id} OK 1 -\nv")));
     }
     let served = clients.iter_mut().map(|client| answer(client).status);
-    let served: Vec<u16> = served.inspect(|status| assert!([200, 503].contains(status))).collect();
+    let served: Vec<u16> = served
+        .inspect(|status| assert!([200, 503].contains(status)))
+        .collect();
     assert!(served.contains(&200) && new.lives());
     assert!(old.ends().success());
 }
@@ -167,7 +193,8 @@
     old.signal("-TERM");
     old.says("new clients are left to it");
     // The broker as such is ready, whichever of its processes is asked.
-    here.write_all(b"GET /health/ready HTTP/1.1\r\n\r\n").unwrap();
+    here.write_all(b"GET /health/ready HTTP/1.1\r\n\r\n")
+        .unwrap();
     let ready = answer(&mut here);
     assert_eq!((ready.status, ready.keep_alive), (200, false), "{ready:?}");
     let mut next = stage.client("second");
@@ -189,14 +216,20 @@
     for id in 0.. {
         let mut client = stage.client(&format!("old-{id}"));
         match stage.got.recv_timeout(Duration::from_millis(100)) {
-            Ok(mut got) => got.parts().iter().for_each(|id| got.answer(&format!("{id} OK 1 -\nv"))),
+            Ok(mut got) => got
+                .parts()
+                .iter()
+                .for_each(|id| got.answer(&format!("{id} OK 1 -\nv"))),
             Err(_) => {
                 assert_eq!(answer(&mut client).status, 503);
                 break;
             }
         }
         answer(&mut client);
-        assert!(begun.elapsed() < Duration::from_millis(1_900), "the rule on drains allows two seconds");
+        assert!(
+            begun.elapsed() < Duration::from_millis(1_900),
+            "the rule on drains allows two seconds"
+        );
     }
     assert!(asked(old.calls, "uncordon nobody").starts_with("fail "));
     new.signal("-CONT");
@@ -205,7 +238,11 @@
     new.signal("-KILL");
     drop((old, new));
     let next = stage.ready();
-    assert_eq!(answer(&mut stage.client("next")).status, 503, "it is out from the first moment on");
+    assert_eq!(
+        answer(&mut stage.client("next")).status,
+        503,
+        "it is out from the first moment on"
+    );
     assert!(stage.got.try_recv().is_err());
     assert!(asked(next.calls, "uncordon s").starts_with("ok s is used again"));
 }
@@ -216,7 +253,10 @@
     let first = stage.ready();
     assert!(asked(first.calls, "cordon s").starts_with("ok "));
     drop(first);
-    let folder = std::fs::read_dir(&stage.folder).unwrap().map(|e| e.unwrap().path()).find(|p| p.is_dir());
+    let folder = std::fs::read_dir(&stage.folder)
+        .unwrap()
+        .map(|e| e.unwrap().path())
+        .find(|p| p.is_dir());
     let wanted = folder.unwrap().join("wanted");
     let whole = std::fs::read(&wanted).unwrap();
     std::fs::write(&wanted, &whole[..whole.len() - 3]).unwrap();
@@ -229,9 +269,14 @@
 
 #[test]
 fn a_start_where_both_addresses_are_in_use_waits_for_them() {
-    // Whoever is there does not share the addresses. One that was free a moment ago may have been taken by another test since.
+    // Whoever is there does not share the addresses. One that was free a moment ago may have been
+    // taken by another test since.
     let (stage, door) = std::iter::repeat_with(Stage::new)
-        .find_map(|stage| TcpListener::bind(stage.address).ok().map(|door| (stage, door)))
+        .find_map(|stage| {
+            TcpListener::bind(stage.address)
+                .ok()
+                .map(|door| (stage, door))
+        })
         .unwrap();
     let calls = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut process = stage.start_at(calls.local_addr().unwrap());
@@ -241,7 +286,10 @@
         drop(calls);
         at
     };
-    assert_eq!(asked_until(calls, "health", "fail the clients"), "fail the clients' address is in use\n");
+    assert_eq!(
+        asked_until(calls, "health", "fail the clients"),
+        "fail the clients' address is in use\n"
+    );
     assert!(process.lives());
     drop(door);
     asked_until(calls, "health", "ok ");
--- a/wire/event_stream/src/field.rs
+++ b/wire/event_stream/src/field.rs
@@ -19,7 +19,9 @@
     match line.first() {
         Some(b':') => Line::Comment,
         Some(b'i') => value_of(line, b"id").map_or(Line::Other, Line::Id),
-        Some(b'v') => value_of(line, b"versions").and_then(number).map_or(Line::Other, Line::Versions),
+        Some(b'v') => value_of(line, b"versions")
+            .and_then(number)
+            .map_or(Line::Other, Line::Versions),
         _ => Line::Other,
     }
 }
@@ -36,5 +38,9 @@
 
 fn number(value: &[u8]) -> Option<u64> {
     let digits = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
-    std::str::from_utf8(value).ok().filter(|_| digits)?.parse().ok()
+    std::str::from_utf8(value)
+        .ok()
+        .filter(|_| digits)?
+        .parse()
+        .ok()
 }
--- a/wire/event_stream/src/scanner.rs
+++ b/wire/event_stream/src/scanner.rs
@@ -4,7 +4,8 @@
 
 /// A byte order mark, which may stand at the very beginning of a stream.
 const BYTE_ORDER_MARK: &[u8] = b"\xef\xbb\xbf";
-/// Space that is kept once it has been needed (bytes); what a long event took beyond it is given back.
+/// Space that is kept once it has been needed (bytes); what a long event took beyond it is given
+/// back.
 const KEPT_BYTES: usize = 16 << 10;
 
 /// Why a stream can't be read on. What was whole before can still be passed on.
@@ -32,7 +33,8 @@
 pub struct Pushed {
     /// Events that have become whole. Comments alone make no event.
     pub events: usize,
-    /// Bytes at the start of the buffer that are whole events (and comments), those from earlier pushes included.
+    /// Bytes at the start of the buffer that are whole events (and comments), those from earlier
+    /// pushes included.
     pub whole_bytes: usize,
 }
 
@@ -90,7 +92,8 @@
     /// Takes a chunk of the stream.
     ///
     /// # Errors
-    /// When an event is too long; the events before it are whole all the same. The same error is given from then on.
+    /// When an event is too long; the events before it are whole all the same. The same error is
+    /// given from then on.
     pub fn push(&mut self, chunk: &[u8]) -> Result<Pushed, ScanError> {
         self.push_each(chunk, |_| {})
     }
@@ -99,7 +102,11 @@
     ///
     /// # Errors
     /// As [`Scanner::push`].
-    pub fn push_each(&mut self, chunk: &[u8], mut each: impl FnMut(Event<'_>)) -> Result<Pushed, ScanError> {
+    pub fn push_each(
+        &mut self,
+        chunk: &[u8],
+        mut each: impl FnMut(Event<'_>),
+    ) -> Result<Pushed, ScanError> {
         if let Some(error) = &self.error {
             return Err(error.clone());
         }
@@ -112,7 +119,10 @@
         }
         self.scanned = self.buffer.len();
         self.check_length(self.scanned)?;
-        Ok(Pushed { events, whole_bytes: self.whole })
+        Ok(Pushed {
+            events,
+            whole_bytes: self.whole,
+        })
     }
 
     /// What may be passed on: whole events.
@@ -166,7 +176,11 @@
     }
 
     /// Takes the line that ends here. `true` if it ends an event.
-    fn end_line(&mut self, end: usize, each: &mut impl FnMut(Event<'_>)) -> Result<bool, ScanError> {
+    fn end_line(
+        &mut self,
+        end: usize,
+        each: &mut impl FnMut(Event<'_>),
+    ) -> Result<bool, ScanError> {
         let start = self.line;
         self.line = self.after_line_end(end);
         self.scanned = self.line;
@@ -204,7 +218,9 @@
         match field::read(&self.buffer[start..end]) {
             Line::Comment => return,
             // An id with a zero byte is none.
-            Line::Id(value) if !value.contains(&0) => self.begun.id = Some((end - value.len(), end)),
+            Line::Id(value) if !value.contains(&0) => {
+                self.begun.id = Some((end - value.len(), end))
+            }
             Line::Versions(number) if first => self.begun.versions = Some(number),
             _ => {}
         }
@@ -224,7 +240,10 @@
             last.clear();
             last.extend_from_slice(id);
         }
-        each(Event { id, versions: begun.versions });
+        each(Event {
+            id,
+            versions: begun.versions,
+        });
         true
     }
 
@@ -233,7 +252,9 @@
         if end - self.whole <= self.limit_bytes {
             return Ok(());
         }
-        let error = ScanError::EventTooLong { limit_bytes: self.limit_bytes };
+        let error = ScanError::EventTooLong {
+            limit_bytes: self.limit_bytes,
+        };
         self.error = Some(error.clone());
         Err(error)
     }
--- a/wire/event_stream/tests/scanner.rs
+++ b/wire/event_stream/tests/scanner.rs
@@ -23,7 +23,10 @@
             count += 1;
         });
         match pushed {
-            Ok(pushed) => assert_eq!((pushed.events, pushed.whole_bytes), (count, scanner.whole().len())),
+            Ok(pushed) => assert_eq!(
+                (pushed.events, pushed.whole_bytes),
+                (count, scanner.whole().len())
+            ),
             Err(error) => told.error = Some(error),
         }
         let taken = take(scanner.whole().len());
@@ -72,7 +75,11 @@
             b"id: a\0b\n",
         ];
         let length = usize::arbitrary(g) % 24;
-        Stream((0..length).flat_map(|_| g.choose(PIECES).copied().unwrap_or_default().to_vec()).collect())
+        Stream(
+            (0..length)
+                .flat_map(|_| g.choose(PIECES).copied().unwrap_or_default().to_vec())
+                .collect(),
+        )
     }
 
     fn shrink(&self) -> Box<dyn Iterator<Item = Self>> {
@@ -85,7 +92,10 @@
     let mut places: Vec<usize> = cuts.iter().map(|cut| cut % (stream.len() + 1)).collect();
     places.extend([0, stream.len()]);
     places.sort_unstable();
-    places.windows(2).map(|pair| &stream[pair[0]..pair[1]]).collect()
+    places
+        .windows(2)
+        .map(|pair| &stream[pair[0]..pair[1]])
+        .collect()
 }
 
 #[test]
@@ -93,8 +103,16 @@
     for end in ["\n", "\r\n", "\r"] {
         let stream = format!("id: 1{end}data: a{end}{end}id: 2{end}data: b{end}{end}data: c{end}");
         let told = scan_whole(stream.as_bytes());
-        assert_eq!(ids(&told), [Some(&b"1"[..]), Some(b"2")], "line end {end:?}");
-        assert_eq!(told.partial, format!("data: c{end}").as_bytes(), "line end {end:?}");
+        assert_eq!(
+            ids(&told),
+            [Some(&b"1"[..]), Some(b"2")],
+            "line end {end:?}"
+        );
+        assert_eq!(
+            told.partial,
+            format!("data: c{end}").as_bytes(),
+            "line end {end:?}"
+        );
     }
 }
 
@@ -104,14 +122,19 @@
     assert_eq!(scanner.push(b"data: a\r\n\r").unwrap().whole_bytes, 10);
     scanner.advance(10);
     let pushed = scanner.push(b"\ndata").unwrap();
-    assert_eq!((pushed.events, scanner.whole(), scanner.partial()), (0, &b"\n"[..], &b"data"[..]));
+    assert_eq!(
+        (pushed.events, scanner.whole(), scanner.partial()),
+        (0, &b"\n"[..], &b"data"[..])
+    );
 }
 
 #[test]
 fn the_id_of_the_last_event_stays_until_another_comes() {
     let mut scanner = Scanner::new(64);
     assert_eq!(scanner.last_event_id(), None);
-    scanner.push(b"id: 41\ndata: a\n\ndata: b\n\nid: 42\ndata: c").unwrap();
+    scanner
+        .push(b"id: 41\ndata: a\n\ndata: b\n\nid: 42\ndata: c")
+        .unwrap();
     assert_eq!(scanner.last_event_id(), Some(&b"41"[..]));
     scanner.push(b"\n\n").unwrap();
     assert_eq!(scanner.last_event_id(), Some(&b"42"[..]));
@@ -127,7 +150,8 @@
 
 #[test]
 fn versions_count_as_the_first_line_of_an_event_alone() {
-    let told = scan_whole(b"versions: 3\nid: 1\n\nid: 2\nversions: 4\n\nversions:5\n\nversions: 6x\n\n");
+    let told =
+        scan_whole(b"versions: 3\nid: 1\n\nid: 2\nversions: 4\n\nversions:5\n\nversions: 6x\n\n");
     let versions: Vec<_> = told.events.iter().map(|(_, versions)| *versions).collect();
     assert_eq!(versions, [Some(3), None, Some(5), None]);
 }
@@ -135,19 +159,31 @@
 #[test]
 fn comments_pass_and_are_no_events() {
     let told = scan_whole(b": keep\n\n\n\n:\ndata: a\n\n");
-    assert_eq!((told.events.len(), told.whole.len(), told.partial.len()), (1, 21, 0));
+    assert_eq!(
+        (told.events.len(), told.whole.len(), told.partial.len()),
+        (1, 21, 0)
+    );
 }
 
 #[test]
 fn a_byte_order_mark_hides_no_id() {
-    assert_eq!(ids(&scan_whole(b"\xef\xbb\xbfid: 1\n\n")), [Some(&b"1"[..])]);
+    assert_eq!(
+        ids(&scan_whole(b"\xef\xbb\xbfid: 1\n\n")),
+        [Some(&b"1"[..])]
+    );
 }
 
 #[test]
 fn an_event_over_the_limit_is_an_error_and_those_before_it_are_whole() {
     let told = scan(&[b"id: 1\n\ndata: 0123456789\n\nid: 2\n\n"], 10, |_| 0);
-    assert_eq!((told.whole.as_slice(), told.events.len()), (&b"id: 1\n\n"[..], 1));
-    assert_eq!(told.error, Some(ScanError::EventTooLong { limit_bytes: 10 }));
+    assert_eq!(
+        (told.whole.as_slice(), told.events.len()),
+        (&b"id: 1\n\n"[..], 1)
+    );
+    assert_eq!(
+        told.error,
+        Some(ScanError::EventTooLong { limit_bytes: 10 })
+    );
 }
 
 #[test]
@@ -162,12 +198,16 @@
 #[test]
 fn cutting_anywhere_changes_nothing() {
     fn holds(stream: Stream, cuts: Vec<usize>, share: usize) -> bool {
-        let told = scan(&cut(&stream.0, &cuts), 1 << 16, |whole| whole * (share % 4) / 3);
+        let told = scan(&cut(&stream.0, &cuts), 1 << 16, |whole| {
+            whole * (share % 4) / 3
+        });
         let mut all = told.whole.clone();
         all.extend_from_slice(&told.partial);
         told == scan_whole(&stream.0) && all == stream.0
     }
-    QuickCheck::new().tests(50_000).quickcheck(holds as fn(Stream, Vec<usize>, usize) -> bool);
+    QuickCheck::new()
+        .tests(50_000)
+        .quickcheck(holds as fn(Stream, Vec<usize>, usize) -> bool);
 }
 
 #[test]
@@ -176,18 +216,24 @@
         let bytes: Vec<&[u8]> = stream.0.chunks(1).collect();
         scan(&bytes, 1 << 16, |whole| whole) == scan_whole(&stream.0)
     }
-    QuickCheck::new().tests(20_000).quickcheck(holds as fn(Stream) -> bool);
+    QuickCheck::new()
+        .tests(20_000)
+        .quickcheck(holds as fn(Stream) -> bool);
 }
 
 #[test]
 fn the_limit_falls_on_the_same_event_wherever_the_stream_is_cut() {
     fn holds(stream: Stream, cuts: Vec<usize>, limit: usize) -> bool {
         let limit = limit % 40;
-        let (cut, whole) =
-            (scan(&cut(&stream.0, &cuts), limit, |whole| whole), scan(&[&stream.0], limit, |_| 0));
+        let (cut, whole) = (
+            scan(&cut(&stream.0, &cuts), limit, |whole| whole),
+            scan(&[&stream.0], limit, |_| 0),
+        );
         (cut.events, cut.whole, cut.error) == (whole.events, whole.whole, whole.error)
     }
-    QuickCheck::new().tests(50_000).quickcheck(holds as fn(Stream, Vec<usize>, usize) -> bool);
+    QuickCheck::new()
+        .tests(50_000)
+        .quickcheck(holds as fn(Stream, Vec<usize>, usize) -> bool);
 }
 
 #[test]
@@ -195,5 +241,7 @@
     fn holds(stream: Vec<u8>, cuts: Vec<usize>) -> bool {
         scan(&cut(&stream, &cuts), 1 << 16, |whole| whole) == scan_whole(&stream)
     }
-    QuickCheck::new().tests(20_000).quickcheck(holds as fn(Vec<u8>, Vec<usize>) -> bool);
+    QuickCheck::new()
+        .tests(20_000)
+        .quickcheck(holds as fn(Vec<u8>, Vec<usize>) -> bool);
 }
--- a/wire/http/src/body.rs
+++ b/wire/http/src/body.rs
@@ -5,7 +5,8 @@
 /// The end of a body that was written in chunks.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-/// Writes a piece of a body as one chunk. Nothing is written for an empty one, which would end the body.
+/// Writes a piece of a body as one chunk. Nothing is written for an empty one, which would end the
+/// body.
 pub fn encode_chunk(piece: &[u8], out: &mut Vec<u8>) {
     if piece.is_empty() {
         return;
@@ -20,7 +21,8 @@
 pub struct Decoded<'a> {
     /// The next piece of the body; it may be empty.
     pub body: &'a [u8],
-    /// Bytes that are done with: the next call begins behind them. None: more bytes are needed, or the body is complete.
+    /// Bytes that are done with: the next call begins behind them. None: more bytes are needed, or
+    /// the body is complete.
     pub consumed: usize,
     /// The body is complete. What is behind `consumed` is no part of it.
     pub complete: bool,
@@ -45,8 +47,8 @@
     Done,
 }
 
-/// Decodes a body. It is given the bytes that have come and not been used; it gives out pieces of the body in order, and tells
-/// where the body ends.
+/// Decodes a body. It is given the bytes that have come and not been used; it gives out pieces of
+/// the body in order, and tells where the body ends.
 #[derive(Clone, Debug)]
 pub struct BodyDecoder {
     next: Next,
@@ -101,18 +103,38 @@
             match self.next {
                 Next::Rest(left) | Next::Chunk(left) => {
                     let body = self.take(left, rest);
-                    return Ok(Decoded { body, consumed: at + body.len(), complete: self.is_complete() });
+                    return Ok(Decoded {
+                        body,
+                        consumed: at + body.len(),
+                        complete: self.is_complete(),
+                    });
                 }
                 Next::Any => {
                     if rest.len() as u64 > self.room {
                         return Err(TOO_LARGE);
                     }
                     self.room -= rest.len() as u64;
-                    return Ok(Decoded { body: rest, consumed: bytes.len(), complete: false });
+                    return Ok(Decoded {
+                        body: rest,
+                        consumed: bytes.len(),
+                        complete: false,
+                    });
+                }
+                Next::Done => {
+                    return Ok(Decoded {
+                        body: &[],
+                        consumed: at,
+                        complete: true,
+                    })
                 }
-                Next::Done => return Ok(Decoded { body: &[], consumed: at, complete: true }),
                 Next::Size | Next::ChunkEnd | Next::Trailers(_) => match self.skip(rest)? {
-                    0 => return Ok(Decoded { body: &[], consumed: at, complete: false }),
+                    0 => {
+                        return Ok(Decoded {
+                            body: &[],
+                            consumed: at,
+                            complete: false,
+                        })
+                    }
                     used => at += used,
                 },
             }
@@ -133,7 +155,8 @@
         &rest[..count]
     }
 
-    /// Takes what stands between pieces; tells how many bytes that were, none where more are needed.
+    /// Takes what stands between pieces; tells how many bytes that were, none where more are
+    /// needed.
     fn skip(&mut self, rest: &[u8]) -> Result<usize, Malformed> {
         match self.next {
             Next::Size => self.size(rest),
@@ -168,7 +191,11 @@
         if size > self.room {
             return Err(TOO_LARGE);
         }
-        self.next = if size == 0 { Next::Trailers(0) } else { Next::Chunk(size) };
+        self.next = if size == 0 {
+            Next::Trailers(0)
+        } else {
+            Next::Chunk(size)
+        };
         Ok(used)
     }
 
--- a/wire/http/src/body/tests.rs
+++ b/wire/http/src/body/tests.rs
@@ -4,7 +4,8 @@
 use lichenswitch_testing::garbage;
 use quickcheck::{Gen, QuickCheck};
 
-/// Decodes a body that comes in pieces of these sizes, in turn: the body, what is left over, and whether it is complete.
+/// Decodes a body that comes in pieces of these sizes, in turn: the body, what is left over, and
+/// whether it is complete.
 fn decode(
     framing: Framing,
     most: u64,
@@ -20,7 +21,10 @@
         at = end;
         loop {
             let decoded = decoder.decode(&held)?;
-            assert!(decoded.body.len() <= decoded.consumed, "a piece is part of what it took");
+            assert!(
+                decoded.body.len() <= decoded.consumed,
+                "a piece is part of what it took"
+            );
             assert_eq!(decoded.complete, decoder.is_complete());
             body.extend_from_slice(decoded.body);
             let consumed = decoded.consumed;
@@ -36,7 +40,9 @@
 
 fn chunks(pieces: &[Vec<u8>]) -> Vec<u8> {
     let mut out = Vec::new();
-    pieces.iter().for_each(|piece| encode_chunk(piece, &mut out));
+    pieces
+        .iter()
+        .for_each(|piece| encode_chunk(piece, &mut out));
     out.extend_from_slice(LAST_CHUNK);
     out
 }
@@ -55,8 +61,13 @@
         let cuts: Vec<usize> = cuts.iter().map(|c| c % 23).collect();
         let (written, body) = (chunks(&pieces), pieces.concat());
         let most = body.len() as u64;
-        let (read, left, complete) =
-            decode(Framing::Chunked, most, &[written, behind.clone()].concat(), &cuts).unwrap();
+        let (read, left, complete) = decode(
+            Framing::Chunked,
+            most,
+            &[written, behind.clone()].concat(),
+            &cuts,
+        )
+        .unwrap();
         complete && read == body && left == behind
     });
 }
@@ -77,13 +88,25 @@
     check(|pieces, _, cuts| {
         let written = chunks(&pieces);
         let cuts: Vec<usize> = cuts.iter().map(|c| c % 23).collect();
-        let complete = |end: usize| decode(Framing::Chunked, 1 << 20, &written[..end], &cuts).unwrap().2;
-        let ends = cuts.iter().take(4).map(|c| written.len() - 1 - c.min(&(written.len() - 1)));
+        let complete = |end: usize| {
+            decode(Framing::Chunked, 1 << 20, &written[..end], &cuts)
+                .unwrap()
+                .2
+        };
+        let ends = cuts
+            .iter()
+            .take(4)
+            .map(|c| written.len() - 1 - c.min(&(written.len() - 1)));
         ends.chain([written.len() - 1]).all(|end| !complete(end)) && complete(written.len())
     });
     let written = chunks(&[vec![b'a'; 3], vec![b'b'; 40]]);
     for end in 0..written.len() {
-        assert!(!decode(Framing::Chunked, 43, &written[..end], &[1]).unwrap().2, "{end}");
+        assert!(
+            !decode(Framing::Chunked, 43, &written[..end], &[1])
+                .unwrap()
+                .2,
+            "{end}"
+        );
     }
     let mut short = BodyDecoder::new(Framing::Length(3), 9).unwrap();
     short.decode(b"ab").unwrap();
@@ -96,20 +119,48 @@
 #[test]
 fn the_end_of_the_connection_completes_a_body_that_nothing_else_ends() {
     let mut decoder = BodyDecoder::new(Framing::UntilClose, 5).unwrap();
-    assert_eq!(decoder.decode(b"abc"), Ok(Decoded { body: b"abc", consumed: 3, complete: false }));
-    assert_eq!(decoder.decode(b""), Ok(Decoded { body: b"", consumed: 0, complete: false }));
+    assert_eq!(
+        decoder.decode(b"abc"),
+        Ok(Decoded {
+            body: b"abc",
+            consumed: 3,
+            complete: false
+        })
+    );
+    assert_eq!(
+        decoder.decode(b""),
+        Ok(Decoded {
+            body: b"",
+            consumed: 0,
+            complete: false
+        })
+    );
     assert_eq!(decoder.decode(b"def"), Err(TOO_LARGE));
     decoder.end().unwrap();
     assert!(decoder.is_complete());
     let mut none = BodyDecoder::new(Framing::None, 0).unwrap();
     assert!(none.is_complete() && none.end().is_ok());
-    assert_eq!(none.decode(b"next"), Ok(Decoded { body: b"", consumed: 0, complete: true }));
+    assert_eq!(
+        none.decode(b"next"),
+        Ok(Decoded {
+            body: b"",
+            consumed: 0,
+            complete: true
+        })
+    );
 }
 
 #[test]
 fn bodies_are_bounded_as_soon_as_it_is_known() {
-    assert_eq!(BodyDecoder::new(Framing::Length(6), 5).unwrap_err(), TOO_LARGE);
-    let in_pieces = |bytes: &[u8], of| decode(Framing::Chunked, 5, bytes, &[of]).map(|_| ()).map_err(|e| e.0);
+    assert_eq!(
+        BodyDecoder::new(Framing::Length(6), 5).unwrap_err(),
+        TOO_LARGE
+    );
+    let in_pieces = |bytes: &[u8], of| {
+        decode(Framing::Chunked, 5, bytes, &[of])
+            .map(|_| ())
+            .map_err(|e| e.0)
+    };
     let chunked = |bytes: &[u8]| in_pieces(bytes, 1);
     let long = |bytes: &[u8]| in_pieces(bytes, 500);
     assert_eq!(chunked(b"5\r\nabcde\r\n0\r\n\r\n"), Ok(()));
@@ -118,8 +169,14 @@
     assert_eq!(chunked(b"ffffffffffffffff\r\n"), Err(413));
     assert_eq!(chunked(b"10000000000000000\r\n"), Err(400));
     assert_eq!(long(format!("1;{}", "x".repeat(HEAD)).as_bytes()), Err(400));
-    assert_eq!(long(format!("0\r\n{}", "T: x\r\n".repeat(HEAD / 6 + 1)).as_bytes()), Err(431));
-    assert_eq!(long(format!("0\r\n{}", "x".repeat(HEAD + 1)).as_bytes()), Err(431));
+    assert_eq!(
+        long(format!("0\r\n{}", "T: x\r\n".repeat(HEAD / 6 + 1)).as_bytes()),
+        Err(431)
+    );
+    assert_eq!(
+        long(format!("0\r\n{}", "x".repeat(HEAD + 1)).as_bytes()),
+        Err(431)
+    );
 }
 
 #[test]
@@ -132,8 +189,13 @@
     assert_eq!(refused(b"1\na\n0\n\n"), 400);
     assert_eq!(refused(b"1\r\nab\r\n"), 400, "longer than it says");
     assert_eq!(refused(b"-1\r\n"), 400);
-    let (body, left, complete) =
-        decode(Framing::Chunked, 99, b"1;x=1\r\na\r\n00\r\nT: 1\r\nU: 2\r\n\r\nnext", &[3]).unwrap();
+    let (body, left, complete) = decode(
+        Framing::Chunked,
+        99,
+        b"1;x=1\r\na\r\n00\r\nT: 1\r\nU: 2\r\n\r\nnext",
+        &[3],
+    )
+    .unwrap();
     assert!(body == b"a" && left == b"next" && complete);
 }
 
--- a/wire/http/src/head.rs
+++ b/wire/http/src/head.rs
@@ -1,7 +1,9 @@
-//! Heads of messages, read without their bodies: what a relay needs to pass a message on as it comes.
+//! Heads of messages, read without their bodies: what a relay needs to pass a message on as it
+//! comes.
 //!
-//! It owns how a body is framed and whether a connection stays open, for messages read whole as well. It promises that a head has one
-//! reading or none: what two programs could read in two ways is refused.
+//! It owns how a body is framed and whether a connection stays open, for messages read whole as
+//! well. It promises that a head has one reading or none: what two programs could read in two ways
+//! is refused.
 
 use super::Malformed;
 use httparse::{Header, Status, EMPTY_HEADER};
@@ -50,14 +52,19 @@
 
 impl Headers {
     fn copied(fields: &[Header<'_>]) -> Headers {
-        let copy =
-            |h: &Header<'_>| HeaderField { name: h.name.to_owned(), value: h.value.trim_ascii().to_vec() };
+        let copy = |h: &Header<'_>| HeaderField {
+            name: h.name.to_owned(),
+            value: h.value.trim_ascii().to_vec(),
+        };
         Headers(fields.iter().map(copy).collect())
     }
 
     /// All values of a name, in whichever case that is written.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
-        self.0.iter().filter(|h| h.name.eq_ignore_ascii_case(name)).map(|h| h.value.as_slice())
+        self.0
+            .iter()
+            .filter(|h| h.name.eq_ignore_ascii_case(name))
+            .map(|h| h.value.as_slice())
     }
 
     /// The first value of a name.
@@ -72,13 +79,15 @@
         std::str::from_utf8(self.get(name)?).ok()
     }
 
-    /// The fields that are passed on: none that concerns one connection alone, by the standard or by `Connection`. The length is
-    /// among them; whoever frames the body anew leaves it out.
+    /// The fields that are passed on: none that concerns one connection alone, by the standard or
+    /// by `Connection`. The length is among them; whoever frames the body anew leaves it out.
     pub fn end_to_end(&self) -> impl Iterator<Item = &HeaderField> {
         let named: Vec<&[u8]> = self.all("connection").flat_map(tokens).collect();
         self.0.iter().filter(move |h| {
             let name = h.name.as_bytes();
-            !HOP_BY_HOP.iter().any(|own| name.eq_ignore_ascii_case(own.as_bytes()))
+            !HOP_BY_HOP
+                .iter()
+                .any(|own| name.eq_ignore_ascii_case(own.as_bytes()))
                 && !named.iter().any(|other| name.eq_ignore_ascii_case(other))
         })
     }
@@ -122,14 +131,20 @@
     }
 }
 
-/// Reads the head of a request of at most `most` bytes; tells how many it took. `None`: more bytes are needed.
+/// Reads the head of a request of at most `most` bytes; tells how many it took. `None`: more bytes
+/// are needed.
 ///
 /// # Errors
 /// Why it can't be read, with the status that tells the client.
-pub fn parse_request_head(bytes: &[u8], most: usize) -> Result<Option<(RequestHead, usize)>, Malformed> {
+pub fn parse_request_head(
+    bytes: &[u8],
+    most: usize,
+) -> Result<Option<(RequestHead, usize)>, Malformed> {
     let mut fields = [EMPTY_HEADER; FIELDS];
     let mut head = httparse::Request::new(&mut fields);
-    let Some(used) = request_line_and_fields(&mut head, bytes, most)? else { return Ok(None) };
+    let Some(used) = request_line_and_fields(&mut head, bytes, most)? else {
+        return Ok(None);
+    };
     let framing = framing_of(head.version, head.headers)?;
     let expects = values(head.headers, "expect").any(|v| v.eq_ignore_ascii_case(b"100-continue"));
     let parsed = RequestHead {
@@ -144,8 +159,9 @@
     Ok(Some((parsed, used)))
 }
 
-/// Reads the head of a response of at most `most` bytes; tells how many it took. `None`: more bytes are needed. `to_head`: it
-/// answers a HEAD request, so that it has no body whatever its fields say.
+/// Reads the head of a response of at most `most` bytes; tells how many it took. `None`: more bytes
+/// are needed. `to_head`: it answers a HEAD request, so that it has no body whatever its fields
+/// say.
 ///
 /// # Errors
 /// Why it can't be read.
@@ -156,7 +172,9 @@
 ) -> Result<Option<(ResponseHead, usize)>, Malformed> {
     let mut fields = [EMPTY_HEADER; FIELDS];
     let mut head = httparse::Response::new(&mut fields);
-    let Some(used) = status_line_and_fields(&mut head, bytes, most)? else { return Ok(None) };
+    let Some(used) = status_line_and_fields(&mut head, bytes, most)? else {
+        return Ok(None);
+    };
     let status = head.code.unwrap_or_default();
     let framing = match framing_of(head.version, head.headers)? {
         _ if to_head || has_no_body(status) => Framing::None,
@@ -166,7 +184,15 @@
     let kept = keeps_connection(head.version, head.headers);
     // After a switch of protocols the connection speaks another one.
     let keep_alive = kept && framing != Framing::UntilClose && status != 101;
-    Ok(Some((ResponseHead { status, headers: Headers::copied(head.headers), framing, keep_alive }, used)))
+    Ok(Some((
+        ResponseHead {
+            status,
+            headers: Headers::copied(head.headers),
+            framing,
+            keep_alive,
+        },
+        used,
+    )))
 }
 
 /// Interim responses and these two have no body, whatever their fields say.
@@ -197,8 +223,8 @@
         .map_err(|_| Malformed(502, "malformed head of a response"))
 }
 
-/// The length of a head of which so many bytes are here, or `None` while it is not whole. One that is longer than `most` is refused as one with
-/// too many fields is.
+/// The length of a head of which so many bytes are here, or `None` while it is not whole. One that
+/// is longer than `most` is refused as one with too many fields is.
 fn length_of_head(
     parsed: httparse::Result<usize>,
     here: usize,
@@ -212,7 +238,10 @@
 }
 
 fn values<'a>(fields: &'a [Header<'a>], name: &'a str) -> impl Iterator<Item = &'a [u8]> {
-    fields.iter().filter(move |h| h.name.eq_ignore_ascii_case(name)).map(|h| h.value.trim_ascii())
+    fields
+        .iter()
+        .filter(move |h| h.name.eq_ignore_ascii_case(name))
+        .map(|h| h.value.trim_ascii())
 }
 
 fn tokens(value: &[u8]) -> impl Iterator<Item = &[u8]> {
@@ -221,7 +250,8 @@
 
 /// Where the body ends by the fields; [`Framing::None`] where they don't tell.
 fn framing_of(version: Option<u8>, fields: &[Header<'_>]) -> Result<Framing, Malformed> {
-    // Guards against request smuggling: programs that know the older version alone don't read the field.
+    // Guards against request smuggling: programs that know the older version alone don't read the
+    // field.
     if version == Some(0) && values(fields, "transfer-encoding").next().is_some() {
         return Err(Malformed(400, "transfer-encoding in HTTP/1.0"));
     }
@@ -230,26 +260,39 @@
 
 /// The same, whatever the version is.
 pub(crate) fn framing(fields: &[Header<'_>]) -> Result<Framing, Malformed> {
-    let mut codings = values(fields, "transfer-encoding").flat_map(tokens).peekable();
+    let mut codings = values(fields, "transfer-encoding")
+        .flat_map(tokens)
+        .peekable();
     if codings.peek().is_some() {
         // Guards against request smuggling: with both, two readers may see two different messages.
         if values(fields, "content-length").next().is_some() {
             return Err(Malformed(400, "both content-length and transfer-encoding"));
         }
-        let chunked = codings.next().is_some_and(|c| c.eq_ignore_ascii_case(b"chunked"));
+        let chunked = codings
+            .next()
+            .is_some_and(|c| c.eq_ignore_ascii_case(b"chunked"));
         return match (chunked, codings.next()) {
             (true, None) => Ok(Framing::Chunked),
             _ => Err(Malformed(501, "transfer-encoding other than chunked")),
         };
     }
     let mut lengths = values(fields, "content-length").flat_map(tokens);
-    let Some(first) = lengths.next() else { return Ok(Framing::None) };
+    let Some(first) = lengths.next() else {
+        return Ok(Framing::None);
+    };
     // The same: lengths that differ are two messages in one.
-    if lengths.any(|other| other != first) || first.is_empty() || !first.iter().all(u8::is_ascii_digit) {
+    if lengths.any(|other| other != first)
+        || first.is_empty()
+        || !first.iter().all(u8::is_ascii_digit)
+    {
         return Err(Malformed(400, "bad content-length"));
     }
-    let length = std::str::from_utf8(first).ok().and_then(|digits| digits.parse().ok());
-    length.map(Framing::Length).ok_or(Malformed(413, "content-length out of bounds"))
+    let length = std::str::from_utf8(first)
+        .ok()
+        .and_then(|digits| digits.parse().ok());
+    length
+        .map(Framing::Length)
+        .ok_or(Malformed(413, "content-length out of bounds"))
 }
 
 pub(crate) fn keeps_connection(version: Option<u8>, fields: &[Header<'_>]) -> bool {
--- a/wire/http/src/lib.rs
+++ b/wire/http/src/lib.rs
@@ -1,7 +1,8 @@
 //! HTTP/1.1 messages: requests of clients, and responses of servers that this program asks.
 //!
-//! Small messages are read whole: [`request`], [`response`]. Whoever passes a message on as it comes reads its head with
-//! [`parse_request_head`] or [`parse_response_head`] and its body with a [`BodyDecoder`].
+//! Small messages are read whole: [`request`], [`response`]. Whoever passes a message on as it
+//! comes reads its head with [`parse_request_head`] or [`parse_response_head`] and its body with a
+//! [`BodyDecoder`].
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -10,7 +11,8 @@
 
 pub use body::{encode_chunk, BodyDecoder, Decoded, LAST_CHUNK};
 pub use head::{
-    parse_request_head, parse_response_head, Framing, HeaderField, Headers, RequestHead, ResponseHead,
+    parse_request_head, parse_response_head, Framing, HeaderField, Headers, RequestHead,
+    ResponseHead,
 };
 
 use std::fmt::Write as _;
@@ -67,7 +69,12 @@
     /// What follows the first `?` of the target.
     #[must_use]
     pub fn query(&self) -> &str {
-        self.target.split_once('?').map_or("", |t| t.1).split('#').next().unwrap_or_default()
+        self.target
+            .split_once('?')
+            .map_or("", |t| t.1)
+            .split('#')
+            .next()
+            .unwrap_or_default()
     }
 }
 
@@ -82,7 +89,12 @@
     #[must_use]
     pub fn new(status: u16, kind: &str, body: impl Into<Vec<u8>>) -> Response {
         let headers = vec![("content-type".into(), kind.into())];
-        Response { status, headers, body: body.into(), keep_alive: true }
+        Response {
+            status,
+            headers,
+            body: body.into(),
+            keep_alive: true,
+        }
     }
 
     /// One more header.
@@ -102,7 +114,11 @@
             let _ = write!(head, "{name}: {value}\r\n");
         }
         let connection = if keep_alive { "keep-alive" } else { "close" };
-        let _ = write!(head, "content-length: {}\r\nconnection: {connection}\r\n\r\n", self.body.len());
+        let _ = write!(
+            head,
+            "content-length: {}\r\nconnection: {connection}\r\n\r\n",
+            self.body.len()
+        );
         let mut bytes = head.into_bytes();
         if !head_only {
             bytes.extend_from_slice(&self.body);
@@ -151,7 +167,8 @@
 
 fn text(headers: &[httparse::Header<'_>]) -> Result<Vec<(String, String)>, Malformed> {
     let one = |h: &httparse::Header<'_>| {
-        let value = std::str::from_utf8(h.value).map_err(|_| Malformed(400, "header is no text"))?;
+        let value =
+            std::str::from_utf8(h.value).map_err(|_| Malformed(400, "header is no text"))?;
         Ok((h.name.to_ascii_lowercase(), value.trim().to_string()))
     };
     headers.iter().map(one).collect()
@@ -162,7 +179,9 @@
     let mut decoder = BodyDecoder::new(framing, most as u64)?;
     if let Framing::Length(length) = framing {
         // Nothing is copied before it is here.
-        let whole = usize::try_from(length).ok().and_then(|length| rest.get(..length));
+        let whole = usize::try_from(length)
+            .ok()
+            .and_then(|length| rest.get(..length));
         return Ok(whole.map(|body| (body.to_vec(), body.len())));
     }
     let (mut body, mut at) = (Vec::new(), 0);
@@ -192,7 +211,8 @@
     };
     let headers = text(head.headers)?;
     let Some(found) = body(head::framing(head.headers)?, &bytes[used..], most)? else {
-        let waits = find(&headers, "expect").is_some_and(|v| v.eq_ignore_ascii_case("100-continue"));
+        let waits =
+            find(&headers, "expect").is_some_and(|v| v.eq_ignore_ascii_case("100-continue"));
         return Ok(Parsed::Partial(waits && bytes.len() == used));
     };
     let request = Request {
@@ -225,8 +245,18 @@
         }
         framing => body(framing, rest, most)?,
     };
-    let Some((body, length)) = found else { return Ok(Parsed::Partial(false)) };
-    Ok(Parsed::Whole(Response { status, headers, body, keep_alive }, used + length))
+    let Some((body, length)) = found else {
+        return Ok(Parsed::Partial(false));
+    };
+    Ok(Parsed::Whole(
+        Response {
+            status,
+            headers,
+            body,
+            keep_alive,
+        },
+        used + length,
+    ))
 }
 
 #[cfg(test)]
--- a/wire/keep/src/lib.rs
+++ b/wire/keep/src/lib.rs
@@ -1,13 +1,15 @@
 //! Records kept in a folder, for a voter's memory.
 //!
-//! It owns one file, `memory`, in a folder that the operators' file names. It promises: what [`Keep::append`] has returned
-//! from is there after any crash of the process or the machine, whole and in order; a record whose writing was
-//! cut off is none; a file that is damaged otherwise, or that belongs to somebody else, is set aside and never read as a
-//! memory. It touches the file system alone, and knows nothing of what the records mean.
+//! It owns one file, `memory`, in a folder that the operators' file names. It promises: what
+//! [`Keep::append`] has returned from is there after any crash of the process or the machine, whole
+//! and in order; a record whose writing was cut off is none; a file that is damaged otherwise, or
+//! that belongs to somebody else, is set aside and never read as a memory. It touches the file
+//! system alone, and knows nothing of what the records mean.
 //!
-//! The file: a line that names it, a line that names its owner, then records, each behind its length, the checksum of that
-//! and its own (CRC-32, four bytes each, most significant first). That lengths have one of their own tells a damage from an
-//! end that was cut off: what was kept behind a damaged length would be forgotten otherwise.
+//! The file: a line that names it, a line that names its owner, then records, each behind its
+//! length, the checksum of that and its own (CRC-32, four bytes each, most significant first). That
+//! lengths have one of their own tells a damage from an end that was cut off: what was kept behind
+//! a damaged length would be forgotten otherwise.
 //!
 //! ```
 //! let folder = std::env::temp_dir().join(format!("keep-example-{}", std::process::id()));
@@ -30,7 +32,8 @@
 const WORD: &str = "lichenswitch memory 1";
 /// Longest record (bytes): what claims more is damaged.
 const LONGEST: usize = 64 << 20;
-/// The file is written anew, as one record, once it has grown beyond this many bytes and four times what it began with.
+/// The file is written anew, as one record, once it has grown beyond this many bytes and four times
+/// what it began with.
 const LARGE: u64 = 1 << 20;
 
 /// What was found in a folder.
@@ -64,21 +67,29 @@
     out
 }
 
-/// The records of a file's bytes, and how many bytes at its end are a record whose writing was cut off.
+/// The records of a file's bytes, and how many bytes at its end are a record whose writing was cut
+/// off.
 fn read(mut bytes: &[u8], owner: &str) -> Result<(Vec<Vec<u8>>, usize), String> {
     for (line, what) in [(WORD, "this file"), (owner, "its owner")] {
-        let rest = bytes.strip_prefix(line.as_bytes()).and_then(|rest| rest.strip_prefix(b"\n"));
+        let rest = bytes
+            .strip_prefix(line.as_bytes())
+            .and_then(|rest| rest.strip_prefix(b"\n"));
         bytes = rest.ok_or_else(|| format!("it does not name {what}: {line:?} is not there"))?;
     }
     let mut records = Vec::new();
     loop {
-        let Some((head, rest)) = bytes.split_first_chunk::<12>() else { return Ok((records, bytes.len())) };
-        let word = |at: usize| u32::from_be_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
+        let Some((head, rest)) = bytes.split_first_chunk::<12>() else {
+            return Ok((records, bytes.len()));
+        };
+        let word =
+            |at: usize| u32::from_be_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
         let (length, place) = (word(0) as usize, records.len() + 1);
         if crc32fast::hash(&head[..4]) != word(4) || length > LONGEST {
             return Err(format!("record {place} has no length that was written"));
         }
-        let Some(record) = rest.get(..length) else { return Ok((records, bytes.len())) };
+        let Some(record) = rest.get(..length) else {
+            return Ok((records, bytes.len()));
+        };
         if crc32fast::hash(record) != word(8) {
             return Err(format!("record {place} is not what was written"));
         }
@@ -88,8 +99,9 @@
 }
 
 impl Keep {
-    /// Opens the memory of `owner` in a folder, which is made if it is not there. Whose owner is another one, or what is
-    /// damaged before its end, is set aside under a name of its own, and the memory begins empty.
+    /// Opens the memory of `owner` in a folder, which is made if it is not there. Whose owner is
+    /// another one, or what is damaged before its end, is set aside under a name of its own, and
+    /// the memory begins empty.
     ///
     /// # Errors
     /// When the folder or the file can't be read or written.
@@ -109,15 +121,26 @@
             Err(e) if e.kind() == io::ErrorKind::NotFound => {}
             Err(e) => return Err(e),
         }
-        // What was found is written anew: its torn end is gone, and the first append stands on whole records.
+        // What was found is written anew: its torn end is gone, and the first append stands on
+        // whole records.
         let (file, size) = write_anew(folder, owner, &found.records)?;
-        Ok((Keep { folder: folder.into(), owner: owner.into(), file, size, began: size }, found))
+        Ok((
+            Keep {
+                folder: folder.into(),
+                owner: owner.into(),
+                file,
+                size,
+                began: size,
+            },
+            found,
+        ))
     }
 
     /// Keeps these records, in order. Once this returns they are there for good.
     ///
     /// # Errors
-    /// When they could not be written: how much of them is there is not known then, and no more may be appended.
+    /// When they could not be written: how much of them is there is not known then, and no more may
+    /// be appended.
     pub fn append(&mut self, records: &[Vec<u8>]) -> io::Result<()> {
         let bytes: Vec<u8> = records.iter().flat_map(|r| framed(r)).collect();
         self.file.write_all(&bytes)?;
@@ -148,7 +171,11 @@
     let (path, beside) = (folder.join("memory"), folder.join("memory.new"));
     let mut bytes = format!("{WORD}\n{owner}\n").into_bytes();
     bytes.extend(records.iter().flat_map(|r| framed(r)));
-    let mut file = OpenOptions::new().write(true).create(true).truncate(true).open(&beside)?;
+    let mut file = OpenOptions::new()
+        .write(true)
+        .create(true)
+        .truncate(true)
+        .open(&beside)?;
     file.write_all(&bytes)?;
     file.sync_all()?;
     std::fs::rename(&beside, &path)?;
@@ -158,7 +185,9 @@
 }
 
 fn set_aside(folder: &Path, path: &Path) -> io::Result<PathBuf> {
-    let free = (1..).map(|n| folder.join(format!("memory.aside.{n}"))).find(|p| !p.exists());
+    let free = (1..)
+        .map(|n| folder.join(format!("memory.aside.{n}")))
+        .find(|p| !p.exists());
     let aside = free.unwrap_or_else(|| folder.join("memory.aside"));
     std::fs::rename(path, &aside)?;
     Ok(aside)
--- a/wire/keep/src/tests.rs
+++ b/wire/keep/src/tests.rs
@@ -31,15 +31,23 @@
     let folder = Folder::new("torn");
     let (mut keep, _) = Keep::open(&folder.0, "c n0").unwrap();
     let empty = folder.bytes().len();
-    some(8).chunks(3).for_each(|records| keep.append(records).unwrap());
+    some(8)
+        .chunks(3)
+        .for_each(|records| keep.append(records).unwrap());
     let whole = folder.bytes();
     let mut ends = vec![empty];
-    some(8).iter().for_each(|r| ends.push(ends.last().unwrap() + 12 + r.len()));
+    some(8)
+        .iter()
+        .for_each(|r| ends.push(ends.last().unwrap() + 12 + r.len()));
     for cut in empty..=whole.len() {
         folder.write(&whole[..cut]);
         let (mut keep, found) = Keep::open(&folder.0, "c n0").unwrap();
         let count = ends.iter().filter(|end| **end <= cut).count() - 1;
-        assert_eq!((found.records, found.torn), (some(8)[..count].to_vec(), cut - ends[count]), "{cut}");
+        assert_eq!(
+            (found.records, found.torn),
+            (some(8)[..count].to_vec(), cut - ends[count]),
+            "{cut}"
+        );
         // What comes next stands behind the last whole one.
         keep.append(&[b"next".to_vec()]).unwrap();
         let (_, found) = Keep::open(&folder.0, "c n0").unwrap();
@@ -66,11 +74,17 @@
     folder.write(&whole);
     let (_, found) = Keep::open(&folder.0, "d n0").unwrap();
     let (aside, why) = found.aside.unwrap();
-    assert!(why.contains("it does not name its owner: \"d n0\""), "{why}");
+    assert!(
+        why.contains("it does not name its owner: \"d n0\""),
+        "{why}"
+    );
     assert_eq!(std::fs::read(aside).unwrap(), whole);
     for garbage in [&b""[..], b"lichenswitch", b"\0\0\0\0\0"] {
         folder.write(garbage);
-        assert!(Keep::open(&folder.0, "c n0").unwrap().1.aside.is_some(), "{garbage:?}");
+        assert!(
+            Keep::open(&folder.0, "c n0").unwrap().1.aside.is_some(),
+            "{garbage:?}"
+        );
     }
 }
 
--- a/wire/log_writer/src/lib.rs
+++ b/wire/log_writer/src/lib.rs
@@ -1,7 +1,8 @@
 //! The lines of a log, written by a thread of its own.
 //!
-//! It owns the queue and the thread, and promises that nobody who serves waits for whoever reads the log: where that one stands still, lines are
-//! lost and counted, and the reader is told how many once it reads again. Threads and a stream are all it touches.
+//! It owns the queue and the thread, and promises that nobody who serves waits for whoever reads
+//! the log: where that one stands still, lines are lost and counted, and the reader is told how
+//! many once it reads again. Threads and a stream are all it touches.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -12,8 +13,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Bytes that are written by one call to the system, at most, unless a line alone is longer: `PIPE_BUF` of Linux. What several processes write
-/// into one pipe does not mix up to that length.
+/// Bytes that are written by one call to the system, at most, unless a line alone is longer:
+/// `PIPE_BUF` of Linux. What several processes write into one pipe does not mix up to that length.
 const MOST_AT_ONCE: usize = 4_096;
 /// At the end of the process the last lines are waited for so long, at most.
 const FINISH_WAIT: Duration = Duration::from_millis(200);
@@ -36,7 +37,11 @@
 
 impl LogWriter {
     /// A writer to `out` with room for so many lines that wait.
-    pub fn new(out: impl Write + Send + 'static, capacity: usize, lost_line: LostLine) -> LogWriter {
+    pub fn new(
+        out: impl Write + Send + 'static,
+        capacity: usize,
+        lost_line: LostLine,
+    ) -> LogWriter {
         let (queue, waiting) = mpsc::sync_channel(capacity);
         let counts = Arc::new(Counts::default());
         let shared = counts.clone();
@@ -77,7 +82,12 @@
     }
 }
 
-fn write_all(waiting: &Receiver<Vec<u8>>, counts: &Counts, lost_line: LostLine, mut out: impl Write) {
+fn write_all(
+    waiting: &Receiver<Vec<u8>>,
+    counts: &Counts,
+    lost_line: LostLine,
+    mut out: impl Write,
+) {
     let mut next = None;
     while let Some(mut lines) = next.take().or_else(|| waiting.recv().ok()) {
         let mut written = 1;
--- a/wire/log_writer/src/tests.rs
+++ b/wire/log_writer/src/tests.rs
@@ -40,7 +40,15 @@
     let (stalls, go) = mpsc::channel();
     let (begun, stands_still) = mpsc::channel();
     let writes = Writes::default();
-    let writer = LogWriter::new(Stalled { go, begun, writes: writes.clone() }, CAPACITY, lost_line);
+    let writer = LogWriter::new(
+        Stalled {
+            go,
+            begun,
+            writes: writes.clone(),
+        },
+        CAPACITY,
+        lost_line,
+    );
     writer.write_line(b"0\n".to_vec());
     stands_still.recv().unwrap();
     (writer, stalls, writes)
@@ -79,7 +87,10 @@
     drop(stalls);
     await_written(&writer);
     let writes = writes.lock().unwrap();
-    assert_eq!(String::from_utf8(writes.concat()).unwrap(), format!("0\n{}", lines.concat()));
+    assert_eq!(
+        String::from_utf8(writes.concat()).unwrap(),
+        format!("0\n{}", lines.concat())
+    );
     assert!(writes.len() < 10, "{} calls to the system", writes.len());
     for write in writes.iter() {
         assert!(write.ends_with(b"\n"), "a line was cut");
@@ -92,7 +103,11 @@
     let (writer, stalls, writes) = stalled();
     let begun = Instant::now();
     writer.finish();
-    assert!(begun.elapsed() >= FINISH_WAIT && begun.elapsed() < FINISH_WAIT * 10, "{:?}", begun.elapsed());
+    assert!(
+        begun.elapsed() >= FINISH_WAIT && begun.elapsed() < FINISH_WAIT * 10,
+        "{:?}",
+        begun.elapsed()
+    );
     drop(stalls);
     (&writer).write_all(b"last\n").unwrap();
     writer.finish();
--- a/wire/messages/src/backlog.rs
+++ b/wire/messages/src/backlog.rs
@@ -1,7 +1,9 @@
-//! Work that waits at model servers: from routers to control machines, among these, and back to routers.
+//! Work that waits at model servers: from routers to control machines, among these, and back to
+//! routers.
 //!
-//! A kind of its own beside [`Envelope`](crate::Envelope), which stays as it was. Control machines send it only once a router has, so that control
-//! machines of an earlier version, which don't know it, meet it only where routers were updated before them.
+//! A kind of its own beside [`Envelope`](crate::Envelope), which stays as it was. Control machines
+//! send it only once a router has, so that control machines of an earlier version, which don't know
+//! it, meet it only where routers were updated before them.
 
 use rkyv::{Archive, Deserialize, Serialize};
 
--- a/wire/messages/src/lib.rs
+++ b/wire/messages/src/lib.rs
@@ -1,9 +1,12 @@
-//! Messages between the processes of a fleet: control machines among themselves, and control machines and routers.
+//! Messages between the processes of a fleet: control machines among themselves, and control
+//! machines and routers.
 //!
-//! It owns the types and promises that they are plain values. What carries them is `lichenswitch-rpc`; messages of replication are
-//! types of `lichenswitch-replication` and travel as bytes in [`PeerMessage::Replication`].
+//! It owns the types and promises that they are plain values. What carries them is
+//! `lichenswitch-rpc`; messages of replication are types of `lichenswitch-replication` and travel
+//! as bytes in [`PeerMessage::Replication`].
 #![forbid(unsafe_code)]
-// The derives of `rkyv` write items of their own without documentation: what is written here has it all the same.
+// The derives of `rkyv` write items of their own without documentation: what is written here has it
+// all the same.
 #![allow(missing_docs)]
 
 mod backlog;
@@ -14,12 +17,24 @@
 pub use backlog::{BacklogReport, ServerBacklog};
 pub use tenants::{DrawAnswer, DrawRequest, DrawUnit, TenantMessage};
 
-/// Version of all messages of this package. Processes of different versions refuse each other by name.
+/// Version of all messages of this package. Processes of different versions refuse each other by
+/// name.
 pub const PROTOCOL_VERSION: u16 = 1;
 
 /// Where a committed configuration stands among all: a later one compares greater.
 #[derive(
-    Archive, Serialize, Deserialize, Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash,
+    Archive,
+    Serialize,
+    Deserialize,
+    Clone,
+    Copy,
+    Debug,
+    Default,
+    PartialEq,
+    Eq,
+    PartialOrd,
+    Ord,
+    Hash,
 )]
 #[rkyv(attr(allow(missing_docs)))]
 pub struct ConfigurationPosition {
@@ -43,7 +58,18 @@
 
 /// State of a model server. Only ever grows.
 #[derive(
-    Archive, Serialize, Deserialize, Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash,
+    Archive,
+    Serialize,
+    Deserialize,
+    Clone,
+    Copy,
+    Debug,
+    Default,
+    PartialEq,
+    Eq,
+    PartialOrd,
+    Ord,
+    Hash,
 )]
 #[rkyv(attr(allow(missing_docs)))]
 pub enum ServerState {
@@ -106,7 +132,8 @@
     },
 }
 
-/// From a control machine to a router. Everything but the heartbeat is numbered, from 1 on each connection.
+/// From a control machine to a router. Everything but the heartbeat is numbered, from 1 on each
+/// connection.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
 #[rkyv(attr(allow(missing_docs)))]
 pub enum ControlToRouter {
@@ -213,7 +240,8 @@
         /// The answer.
         answer: RelayedAnswer,
     },
-    /// News of servers, to be merged; acknowledged by [`PeerMessage::ServersMerged`] where `ack` is not 0.
+    /// News of servers, to be merged; acknowledged by [`PeerMessage::ServersMerged`] where `ack` is
+    /// not 0.
     Servers {
         /// Number to acknowledge, or 0.
         ack: u64,
@@ -227,11 +255,13 @@
         /// Its number.
         ack: u64,
     },
-    /// Servers that were heard since the last of these, by instance, with how long ago (milliseconds).
+    /// Servers that were heard since the last of these, by instance, with how long ago
+    /// (milliseconds).
     Heard(Vec<(String, u32)>),
     /// Asks for the whole table of servers.
     ServersWanted,
-    /// Servers that the sender knows from before its start alone: a last resort, and no news of them.
+    /// Servers that the sender knows from before its start alone: a last resort, and no news of
+    /// them.
     ServersRemembered(Vec<ServerRecord>),
     /// What this machine knows of its own place.
     Contact {
@@ -244,15 +274,16 @@
         /// Peers that it knows, by address.
         known: Vec<String>,
     },
-    /// The primary is confirmed by a quorum, to a control machine that holds no copy of the state: all that was committed before the
-    /// echoed moment has gone before this on the same connection.
+    /// The primary is confirmed by a quorum, to a control machine that holds no copy of the state:
+    /// all that was committed before the echoed moment has gone before this on the same connection.
     Confirmed {
         /// The receiver's last [`PeerMessage::ConfirmedHeard`] that came; none before the first.
         echo: Option<Stamp>,
     },
     /// Answer to [`PeerMessage::Confirmed`]: when it was sent.
     ConfirmedHeard(Stamp),
-    /// The newest committed configuration, from the primary to a control machine that holds no copy of the state.
+    /// The newest committed configuration, from the primary to a control machine that holds no copy
+    /// of the state.
     Configuration {
         /// Its position.
         position: ConfigurationPosition,
--- a/wire/messages/src/tenants.rs
+++ b/wire/messages/src/tenants.rs
@@ -1,7 +1,8 @@
 //! Messages about tenants: how fresh a router's configuration is, and draws on quotas.
 //!
-//! They are a kind of their own beside [`Envelope`](crate::Envelope), which stays as it was, so that processes of an earlier version read each
-//! other and this one as before. They are sent only where the configuration has tenants, which earlier versions did not know.
+//! They are a kind of their own beside [`Envelope`](crate::Envelope), which stays as it was, so
+//! that processes of an earlier version read each other and this one as before. They are sent only
+//! where the configuration has tenants, which earlier versions did not know.
 
 use crate::ConfigurationPosition;
 use rkyv::{Archive, Deserialize, Serialize};
@@ -57,8 +58,8 @@
         /// Its steady clock (microseconds); means something to it alone.
         stamp: u64,
     },
-    /// Answer of a control machine in contact: all that was acknowledged by the time of the question, but for what contact may be behind,
-    /// went before this on the same connection.
+    /// Answer of a control machine in contact: all that was acknowledged by the time of the
+    /// question, but for what contact may be behind, went before this on the same connection.
     Confirmed {
         /// Of the question.
         stamp: u64,
--- a/wire/net/src/buffer.rs
+++ b/wire/net/src/buffer.rs
@@ -47,7 +47,8 @@
         }
     }
 
-    /// Reads until there is no more, or `ceiling` bytes are held. `Ok(true)`: the other side has ended.
+    /// Reads until there is no more, or `ceiling` bytes are held. `Ok(true)`: the other side has
+    /// ended.
     pub fn fill(&mut self, from: &mut impl Read, ceiling: usize) -> io::Result<bool> {
         let mut chunk = [0; CHUNK];
         while self.bytes().len() < ceiling {
--- a/wire/net/src/connections.rs
+++ b/wire/net/src/connections.rs
@@ -2,7 +2,8 @@
 
 use super::buffer::Buffer;
 use super::{
-    Conn, ConnId, Denied, Net, Program, Pumped, EINPROGRESS, EMFILE, ENFILE, INDEX_BITS, LISTENER_KEY,
+    Conn, ConnId, Denied, Net, Program, Pumped, EINPROGRESS, EMFILE, ENFILE, INDEX_BITS,
+    LISTENER_KEY,
 };
 use lichenswitch_descriptors::{Reason, Verdict};
 use polling::{Event, PollMode};
@@ -16,26 +17,42 @@
     pub fn connect(&mut self, owner: P::Owner, address: SocketAddr) -> Result<ConnId, Denied> {
         // Guards the descriptor budget, and what one side may take of it from the others.
         match self.shares.may_open(P::side(owner)) {
-            Verdict::Open(_) => self.open(owner, address).map_err(|e| match e.raw_os_error() {
-                Some(EMFILE | ENFILE) => Denied::Lack(Reason::System),
-                _ => Denied::Failed(e),
-            }),
+            Verdict::Open(_) => self
+                .open(owner, address)
+                .map_err(|e| match e.raw_os_error() {
+                    Some(EMFILE | ENFILE) => Denied::Lack(Reason::System),
+                    _ => Denied::Failed(e),
+                }),
             Verdict::Instead(why) | Verdict::Wait(why) => Err(Denied::Lack(why)),
         }
     }
 
     pub(super) fn open(&mut self, owner: P::Owner, address: SocketAddr) -> io::Result<ConnId> {
-        let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
+        let socket = Socket::new(
+            Domain::for_address(address),
+            Type::STREAM,
+            Some(Protocol::TCP),
+        )?;
         socket.set_nonblocking(true)?;
         let up = match socket.connect(&address.into()) {
             Ok(()) => true,
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock || e.raw_os_error() == Some(EINPROGRESS) => false,
+            Err(e)
+                if e.kind() == io::ErrorKind::WouldBlock
+                    || e.raw_os_error() == Some(EINPROGRESS) =>
+            {
+                false
+            }
             Err(e) => return Err(e),
         };
         self.add(socket.into(), owner, up)
     }
 
-    pub(super) fn add(&mut self, stream: TcpStream, owner: P::Owner, up: bool) -> io::Result<ConnId> {
+    pub(super) fn add(
+        &mut self,
+        stream: TcpStream,
+        owner: P::Owner,
+        up: bool,
+    ) -> io::Result<ConnId> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
         if let Some(timeout) = P::user_timeout(owner) {
@@ -43,7 +60,10 @@
             let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(timeout));
         }
         if let Some(wait) = P::probe_after(owner) {
-            let probes = TcpKeepalive::new().with_time(wait).with_interval(wait).with_retries(1);
+            let probes = TcpKeepalive::new()
+                .with_time(wait)
+                .with_interval(wait)
+                .with_retries(1);
             // The same.
             let _ = SockRef::from(&stream).set_tcp_keepalive(&probes);
         }
@@ -54,7 +74,11 @@
         let id = ConnId((self.next << INDEX_BITS | index) % LISTENER_KEY);
         self.next += 1;
         let interest = (true, !up);
-        let event = Event { key: id.0, readable: interest.0, writable: interest.1 };
+        let event = Event {
+            key: id.0,
+            readable: interest.0,
+            writable: interest.1,
+        };
         if let Err(e) = self.poller.add_with_mode(&stream, event, PollMode::Level) {
             self.free.push(index);
             return Err(e);
@@ -92,15 +116,21 @@
 
     /// The same, to change it.
     pub fn get_mut(&mut self, id: ConnId) -> Option<&mut Conn<P::Owner>> {
-        let slot = self.slots.get_mut(id.0 & ((1 << INDEX_BITS) - 1))?.as_mut()?;
+        let slot = self
+            .slots
+            .get_mut(id.0 & ((1 << INDEX_BITS) - 1))?
+            .as_mut()?;
         (slot.0 == id).then_some(&mut slot.1)
     }
 
-    /// Lets the reading of a connection rest, or go on, whatever is pumped meanwhile: what the other side sends waits in the system, and
-    /// beyond that at the other side. While it rests and nothing is to be written nothing is reported of it, not even that it broke;
-    /// that shows once reading goes on.
+    /// Lets the reading of a connection rest, or go on, whatever is pumped meanwhile: what the
+    /// other side sends waits in the system, and beyond that at the other side. While it rests and
+    /// nothing is to be written nothing is reported of it, not even that it broke; that shows once
+    /// reading goes on.
     pub fn pause(&mut self, id: ConnId, on: bool) -> Pumped {
-        let Some(conn) = self.get_mut(id) else { return Pumped::Broken };
+        let Some(conn) = self.get_mut(id) else {
+            return Pumped::Broken;
+        };
         conn.paused = on;
         self.flush(id, false)
     }
@@ -108,7 +138,9 @@
     /// Writes what is queued and reads what has come, up to `ceiling` bytes held.
     pub fn pump(&mut self, id: ConnId, ceiling: usize) -> Pumped {
         let now = self.clock.now();
-        let Some(conn) = self.get_mut(id) else { return Pumped::Broken };
+        let Some(conn) = self.get_mut(id) else {
+            return Pumped::Broken;
+        };
         if !conn.up {
             if matches!(conn.stream.take_error(), Ok(Some(_)) | Err(_)) {
                 return Pumped::NeverUp;
@@ -122,7 +154,8 @@
         }
         let held = conn.input.bytes().len();
         let read = match conn.ended || conn.paused {
-            // Guards the loop: without a read nothing else shows that it broke, and what is broken stays ready.
+            // Guards the loop: without a read nothing else shows that it broke, and what is broken
+            // stays ready.
             true => match conn.stream.take_error() {
                 Ok(None) => Ok(conn.ended),
                 Ok(Some(e)) | Err(e) => Err(e),
@@ -143,7 +176,9 @@
     /// Writes what is queued; reading rests while `full`.
     pub fn flush(&mut self, id: ConnId, full: bool) -> Pumped {
         let now = self.clock.now();
-        let Some(conn) = self.get_mut(id) else { return Pumped::Broken };
+        let Some(conn) = self.get_mut(id) else {
+            return Pumped::Broken;
+        };
         if conn.up && !conn.output.is_empty() {
             match conn.output.drain(&mut conn.stream) {
                 Ok(n) => conn.written += n as u64,
@@ -154,20 +189,29 @@
         // An ended side stays readable for ever: to go on polling it would spin.
         let rests = full || conn.ended || conn.paused;
         let interest = (!rests, !conn.up || !conn.output.is_empty());
-        // A connection that broke is ready whatever it is asked for: one that rests is not looked at.
+        // A connection that broke is ready whatever it is asked for: one that rests is not looked
+        // at.
         let polled = !conn.paused || interest != (false, false);
         if (interest, polled) == (conn.interest, conn.polled) {
             return Pumped::Alive;
         }
         let was_polled = std::mem::replace(&mut conn.polled, polled);
         conn.interest = interest;
-        let event = Event { key: id.0, readable: interest.0, writable: interest.1 };
+        let event = Event {
+            key: id.0,
+            readable: interest.0,
+            writable: interest.1,
+        };
         let Some((_, conn)) = self.slots[id.0 & ((1 << INDEX_BITS) - 1)].as_ref() else {
             return Pumped::Broken;
         };
         let told = match (was_polled, polled) {
-            (true, true) => self.poller.modify_with_mode(&conn.stream, event, PollMode::Level),
-            (false, true) => self.poller.add_with_mode(&conn.stream, event, PollMode::Level),
+            (true, true) => self
+                .poller
+                .modify_with_mode(&conn.stream, event, PollMode::Level),
+            (false, true) => self
+                .poller
+                .add_with_mode(&conn.stream, event, PollMode::Level),
             (true, false) => self.poller.delete(&conn.stream),
             (false, false) => Ok(()),
         };
@@ -177,7 +221,8 @@
         }
     }
 
-    /// Closes a connection so that the other side sees it break: what it has read so far can't look complete.
+    /// Closes a connection so that the other side sees it break: what it has read so far can't look
+    /// complete.
     pub fn reset(&mut self, id: ConnId) {
         if let Some(conn) = self.get(id) {
             // Where that can't be had it ends as any other does.
