--- a/wire/net/src/lib.rs
+++ b/wire/net/src/lib.rs
@@ -1,8 +1,9 @@
-//! Sockets: the table of connections, the listeners, the wheel of timers and the wait for whatever is ready.
+//! Sockets: the table of connections, the listeners, the wheel of timers and the wait for whatever
+//! is ready.
 //!
-//! [`Net`] owns every descriptor of its program. A connection is opened by [`Net::connect`] or [`Net::accept`]
-//! and given back in one place, [`Net::close`]. What a program calls its connections, timers and signals is its own:
-//! [`Program`].
+//! [`Net`] owns every descriptor of its program. A connection is opened by [`Net::connect`] or
+//! [`Net::accept`] and given back in one place, [`Net::close`]. What a program calls its
+//! connections, timers and signals is its own: [`Program`].
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -37,15 +38,17 @@
     type Signal: Copy + Eq + fmt::Debug;
     /// Whose descriptors the connections of an owner count to.
     fn side(owner: Self::Owner) -> Side;
-    /// After this long without a sign that what was sent has arrived, a connection of this owner breaks. Without it the system goes on
-    /// trying for minutes where the other side has lost power or is cut off. `None`: as the system has it.
+    /// After this long without a sign that what was sent has arrived, a connection of this owner
+    /// breaks. Without it the system goes on trying for minutes where the other side has lost power
+    /// or is cut off. `None`: as the system has it.
     fn user_timeout(owner: Self::Owner) -> Option<Duration> {
         let _ = owner;
         None
     }
-    /// After this long without a byte the system asks whether the other side of a connection of this owner is still there, and breaks
-    /// the connection once it has not answered for as long again. It finds what [`Program::user_timeout`] can't: silence while nothing
-    /// is being sent. `None`: nobody asks.
+    /// After this long without a byte the system asks whether the other side of a connection of
+    /// this owner is still there, and breaks the connection once it has not answered for as long
+    /// again. It finds what [`Program::user_timeout`] can't: silence while nothing is being sent.
+    /// `None`: nobody asks.
     fn probe_after(owner: Self::Owner) -> Option<Duration> {
         let _ = owner;
         None
@@ -81,7 +84,8 @@
     Signal(Signal),
 }
 
-/// A clock that only moves forward and starts at the system's time, so that start times can be compared.
+/// A clock that only moves forward and starts at the system's time, so that start times can be
+/// compared.
 pub struct Clock {
     origin: Instant,
     unix: u64,
@@ -89,8 +93,13 @@
 
 impl Default for Clock {
     fn default() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as u64);
-        Clock { origin: Instant::now(), unix }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(0, |d| d.as_micros() as u64);
+        Clock {
+            origin: Instant::now(),
+            unix,
+        }
     }
 }
 
@@ -128,7 +137,8 @@
 }
 
 impl<Owner> Conn<Owner> {
-    /// Queues bytes and tells where they end: they are out once [`Conn::written`] has reached that point.
+    /// Queues bytes and tells where they end: they are out once [`Conn::written`] has reached that
+    /// point.
     pub fn send(&mut self, bytes: &[u8]) -> u64 {
         self.output.push(bytes);
         self.queued += bytes.len() as u64;
@@ -154,7 +164,8 @@
     pub fn flushed(&self) -> bool {
         self.output.is_empty()
     }
-    /// From now on it breaks after this long without a sign that what was sent has arrived; see [`Program::user_timeout`].
+    /// From now on it breaks after this long without a sign that what was sent has arrived; see
+    /// [`Program::user_timeout`].
     pub fn set_user_timeout(&self, timeout: Duration) {
         // Where the system has no such option, silence is noticed by whoever listens for it.
         let _ = SockRef::from(&self.stream).set_tcp_user_timeout(Some(timeout));
@@ -181,10 +192,11 @@
 const SIGNAL_KEY: usize = 1 << 49;
 const INDEX_BITS: u32 = 16;
 
-/// Connections that may wait to be accepted. Guards usual clients against many that connect at once: what
-/// overflows here comes up only after the system's next try, a second later.
+/// Connections that may wait to be accepted. Guards usual clients against many that connect at
+/// once: what overflows here comes up only after the system's next try, a second later.
 const BACKLOG: i32 = 1_024;
-/// Descriptors that are none of the connections: standard streams, poller, listeners, signal pipe and spare.
+/// Descriptors that are none of the connections: standard streams, poller, listeners, signal pipe
+/// and spare.
 const RESERVED: usize = 24;
 
 /// The table of connections, the listeners and the wheel.
@@ -235,7 +247,8 @@
     pub fn watch_signal(&mut self, signal: P::Signal, stream: UnixStream) -> io::Result<()> {
         stream.set_nonblocking(true)?;
         let key = SIGNAL_KEY + self.signals.len();
-        self.poller.add_with_mode(&stream, Event::readable(key), PollMode::Level)?;
+        self.poller
+            .add_with_mode(&stream, Event::readable(key), PollMode::Level)?;
         self.signals.push((signal, stream));
         Ok(())
     }
@@ -246,18 +259,25 @@
         let timeout = until.map(|at| Duration::from_micros(at.since(self.clock.now())));
         self.events.clear();
         match self.poller.wait(&mut self.events, timeout) {
-            // A signal ends the wait before its byte can be read: it is no fault, and the next wait brings it.
+            // A signal ends the wait before its byte can be read: it is no fault, and the next wait
+            // brings it.
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
             other => {
                 other?;
             }
         }
         let ready = |e: &Event| match e.key {
-            key if key >= SIGNAL_KEY => self.signals.get(key - SIGNAL_KEY).map(|s| Ready::Signal(s.0)),
-            key if key >= LISTENER_KEY => {
-                self.listeners.get(key - LISTENER_KEY).map(|l| Ready::Listener(l.0))
-            }
-            key => self.get(ConnId(key)).map(|c| Ready::Conn(ConnId(key), c.owner)),
+            key if key >= SIGNAL_KEY => self
+                .signals
+                .get(key - SIGNAL_KEY)
+                .map(|s| Ready::Signal(s.0)),
+            key if key >= LISTENER_KEY => self
+                .listeners
+                .get(key - LISTENER_KEY)
+                .map(|l| Ready::Listener(l.0)),
+            key => self
+                .get(ConnId(key))
+                .map(|c| Ready::Conn(ConnId(key), c.owner)),
         };
         Ok(self.events.iter().filter_map(ready).collect())
     }
@@ -271,8 +291,8 @@
                     Ok(1..) => {}
                     Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                     Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
-                    // Guards the loop: an end stays readable for ever. What was asked for is done all the same
-                    // if the pipe can't be taken out of the poller.
+                    // Guards the loop: an end stays readable for ever. What was asked for is done
+                    // all the same if the pipe can't be taken out of the poller.
                     Ok(0) | Err(_) => {
                         let _ = self.poller.delete(&*stream);
                         break;
@@ -338,9 +358,12 @@
     soft_limit(&std::fs::read_to_string("/proc/self/limits").ok()?)
 }
 
-/// The soft limit on open files in the system's table of limits; `None`: there is none, or it is not told.
+/// The soft limit on open files in the system's table of limits; `None`: there is none, or it is
+/// not told.
 fn soft_limit(table: &str) -> Option<usize> {
-    let line = table.lines().find_map(|line| line.strip_prefix("Max open files"))?;
+    let line = table
+        .lines()
+        .find_map(|line| line.strip_prefix("Max open files"))?;
     line.split_whitespace().next()?.parse().ok()
 }
 
--- a/wire/net/src/listeners.rs
+++ b/wire/net/src/listeners.rs
@@ -14,7 +14,8 @@
         self.listen_at(owner, address, true)
     }
 
-    /// The same where no other process may listen at the address at the same time; one that has ended stands in nobody's way.
+    /// The same where no other process may listen at the address at the same time; one that has
+    /// ended stands in nobody's way.
     pub fn listen_alone(&mut self, owner: P::Owner, address: SocketAddr) -> io::Result<SocketAddr> {
         self.listen_at(owner, address, false)
     }
@@ -25,7 +26,11 @@
         address: SocketAddr,
         shared: bool,
     ) -> io::Result<SocketAddr> {
-        let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
+        let socket = Socket::new(
+            Domain::for_address(address),
+            Type::STREAM,
+            Some(Protocol::TCP),
+        )?;
         // Connections of the process before may still be known to the system.
         socket.set_reuse_address(true)?;
         socket.set_reuse_port(shared)?;
@@ -39,7 +44,8 @@
     pub fn adopt(&mut self, owner: P::Owner, listener: TcpListener) -> io::Result<SocketAddr> {
         listener.set_nonblocking(true)?;
         let key = LISTENER_KEY + self.listeners.len();
-        self.poller.add_with_mode(&listener, Event::readable(key), PollMode::Level)?;
+        self.poller
+            .add_with_mode(&listener, Event::readable(key), PollMode::Level)?;
         let bound = listener.local_addr()?;
         self.listeners.push((owner, Some(listener)));
         Ok(bound)
@@ -49,13 +55,22 @@
     #[must_use]
     pub fn addresses(&self) -> Vec<(P::Owner, SocketAddr)> {
         let address = |l: &Option<TcpListener>| l.as_ref()?.local_addr().ok();
-        self.listeners.iter().filter_map(|(owner, l)| Some((*owner, address(l)?))).collect()
+        self.listeners
+            .iter()
+            .filter_map(|(owner, l)| Some((*owner, address(l)?)))
+            .collect()
     }
 
     /// Another handle of the socket that `owner` listens on.
     pub fn listener_of(&self, owner: P::Owner) -> io::Result<TcpListener> {
-        let found = self.listeners.iter().find(|l| l.0 == owner).and_then(|l| l.1.as_ref());
-        found.ok_or_else(|| io::Error::from(io::ErrorKind::NotConnected))?.try_clone()
+        let found = self
+            .listeners
+            .iter()
+            .find(|l| l.0 == owner)
+            .and_then(|l| l.1.as_ref());
+        found
+            .ok_or_else(|| io::Error::from(io::ErrorKind::NotConnected))?
+            .try_clone()
     }
 
     /// Closes the listeners of `owner`.
@@ -74,17 +89,23 @@
         owners.into_iter().for_each(|owner| self.leave(owner));
     }
 
-    /// Accepts all that wait at the listeners of `owner`. With the budget used up the rest wait until a client's
-    /// connection is given back.
+    /// Accepts all that wait at the listeners of `owner`. With the budget used up the rest wait
+    /// until a client's connection is given back.
     pub fn accept(&mut self, owner: P::Owner) -> Vec<ConnId> {
         let mut taken = Vec::new();
         let listeners = std::mem::take(&mut self.listeners);
-        for listener in listeners.iter().filter(|l| l.0 == owner).filter_map(|l| l.1.as_ref()) {
+        for listener in listeners
+            .iter()
+            .filter(|l| l.0 == owner)
+            .filter_map(|l| l.1.as_ref())
+        {
             loop {
-                // Guards the descriptor budget: over it a process fails in places that can't say so.
+                // Guards the descriptor budget: over it a process fails in places that can't say
+                // so.
                 if !self.may_open(P::side(owner)) {
                     if P::side(owner) == Side::PeersIn {
-                        // Clients don't wait for peers: one too many is closed, and comes again later.
+                        // Clients don't wait for peers: one too many is closed, and comes again
+                        // later.
                         match listener.accept() {
                             Err(e) if e.kind() != io::ErrorKind::Interrupted => break,
                             _ => continue,
@@ -97,9 +118,11 @@
                     Ok((stream, _)) => taken.extend(self.add(stream, owner, true)),
                     Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                     Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
-                    // One that left before it was accepted is no reason to leave the others waiting.
+                    // One that left before it was accepted is no reason to leave the others
+                    // waiting.
                     Err(e) if e.kind() == io::ErrorKind::ConnectionAborted => {}
-                    // Guards the loop: the system has no descriptor or memory for it, and a listener stays ready.
+                    // Guards the loop: the system has no descriptor or memory for it, and a
+                    // listener stays ready.
                     Err(_) => {
                         self.resting = true;
                         break;
@@ -114,17 +137,25 @@
         taken
     }
 
-    /// Reports listeners that have connections to accept, or not: one that stays ready would spin the loop.
+    /// Reports listeners that have connections to accept, or not: one that stays ready would spin
+    /// the loop.
     pub(super) fn attend(&mut self, on: bool) {
         for (i, (_, listener)) in self.listeners.iter().enumerate() {
             let Some(listener) = listener else { continue };
-            let event = Event { key: LISTENER_KEY + i, readable: on, writable: false };
+            let event = Event {
+                key: LISTENER_KEY + i,
+                readable: on,
+                writable: false,
+            };
             // A listener that can't be changed goes on as it is: late to accept, or busy.
-            let _ = self.poller.modify_with_mode(listener, event, PollMode::Level);
+            let _ = self
+                .poller
+                .modify_with_mode(listener, event, PollMode::Level);
         }
     }
 
-    /// Accepts again once there is room. Where the system itself had none, that shows in the next try.
+    /// Accepts again once there is room. Where the system itself had none, that shows in the next
+    /// try.
     pub fn attend_again(&mut self) {
         if self.resting && self.may_open(Side::Clients) {
             self.resting = false;
--- a/wire/net/src/tests.rs
+++ b/wire/net/src/tests.rs
@@ -41,39 +41,58 @@
 /// Whether a listener is ready within a moment.
 fn knocks(net: &mut Net) -> bool {
     let until = net.clock.now().plus(200_000);
-    net.wait(Some(until)).unwrap().contains(&Ready::Listener(Owner::Clients))
+    net.wait(Some(until))
+        .unwrap()
+        .contains(&Ready::Listener(Owner::Clients))
 }
 
 #[test]
 fn beyond_the_budget_clients_wait_until_a_connection_is_given_back() {
     let mut net = Net::new(RESERVED + 16).unwrap();
-    let address = net.listen(Owner::Clients, "127.0.0.1:0".parse().unwrap()).unwrap();
-    let _clients: Vec<TcpStream> = (0..8).map(|_| TcpStream::connect(address).unwrap()).collect();
+    let address = net
+        .listen(Owner::Clients, "127.0.0.1:0".parse().unwrap())
+        .unwrap();
+    let _clients: Vec<TcpStream> = (0..8)
+        .map(|_| TcpStream::connect(address).unwrap())
+        .collect();
     let mut open = Vec::new();
-    // Two of the 16 are discovery's, half of the others is for data nodes while it is not known how many there are.
+    // Two of the 16 are discovery's, half of the others is for data nodes while it is not known how
+    // many there are.
     while open.len() < 7 {
         assert!(knocks(&mut net));
         open.extend(net.accept(Owner::Clients));
     }
     assert!(net.accept(Owner::Clients).is_empty() && net.resting());
-    assert!(!knocks(&mut net), "a listener that can't be served does not spin the loop");
+    assert!(
+        !knocks(&mut net),
+        "a listener that can't be served does not spin the loop"
+    );
     net.close(open[0]);
     assert!(net.get(open[0]).is_none() && !net.resting() && knocks(&mut net));
     let last = net.accept(Owner::Clients);
-    assert!(last.len() == 1 && last[0] != open[0], "names are never reused");
+    assert!(
+        last.len() == 1 && last[0] != open[0],
+        "names are never reused"
+    );
 }
 
 #[test]
 fn servers_are_connected_to_while_clients_hold_all_that_is_theirs() {
     let mut net = Net::new(RESERVED + 16).unwrap();
-    let address = net.listen(Owner::Clients, "127.0.0.1:0".parse().unwrap()).unwrap();
-    let _clients: Vec<TcpStream> = (0..8).map(|_| TcpStream::connect(address).unwrap()).collect();
+    let address = net
+        .listen(Owner::Clients, "127.0.0.1:0".parse().unwrap())
+        .unwrap();
+    let _clients: Vec<TcpStream> = (0..8)
+        .map(|_| TcpStream::connect(address).unwrap())
+        .collect();
     while !net.resting() {
         assert!(knocks(&mut net));
         net.accept(Owner::Clients);
     }
     let server = TcpListener::bind("127.0.0.1:0").unwrap();
-    assert!(net.connect(Owner::Servers, server.local_addr().unwrap()).is_ok());
+    assert!(net
+        .connect(Owner::Servers, server.local_addr().unwrap())
+        .is_ok());
 }
 
 #[test]
@@ -89,9 +108,12 @@
 #[test]
 fn the_next_process_listens_where_this_one_does() {
     let [mut first, mut second] = [(); 2].map(|()| Net::new(RESERVED + 16).unwrap());
-    let address = first.listen(Owner::Clients, "127.0.0.1:0".parse().unwrap()).unwrap();
+    let address = first
+        .listen(Owner::Clients, "127.0.0.1:0".parse().unwrap())
+        .unwrap();
     assert_eq!(second.listen(Owner::Clients, address).unwrap(), address);
-    // The system deals connections out between the two; with one of them gone all come to the other.
+    // The system deals connections out between the two; with one of them gone all come to the
+    // other.
     first.stop_listening();
     let _client = TcpStream::connect(address).unwrap();
     assert!(knocks(&mut second) && second.accept(Owner::Clients).len() == 1);
@@ -101,9 +123,13 @@
 fn connected() -> (Net, ConnId, TcpStream) {
     let mut net = Net::new(RESERVED + 16).unwrap();
     let server = TcpListener::bind("127.0.0.1:0").unwrap();
-    let id = net.connect(Owner::Servers, server.local_addr().unwrap()).unwrap();
+    let id = net
+        .connect(Owner::Servers, server.local_addr().unwrap())
+        .unwrap();
     let (other, _) = server.accept().unwrap();
-    other.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
+    other
+        .set_read_timeout(Some(Duration::from_secs(5)))
+        .unwrap();
     while !net.get(id).unwrap().up {
         reported(&mut net, id);
         assert_eq!(net.pump(id, CEILING), Pumped::Alive);
@@ -116,7 +142,10 @@
 /// Whether a connection is reported within a moment.
 fn reported(net: &mut Net, id: ConnId) -> bool {
     let until = net.clock.now().plus(100_000);
-    net.wait(Some(until)).unwrap().iter().any(|r| matches!(r, Ready::Conn(other, _) if *other == id))
+    net.wait(Some(until))
+        .unwrap()
+        .iter()
+        .any(|r| matches!(r, Ready::Conn(other, _) if *other == id))
 }
 
 #[test]
@@ -127,7 +156,9 @@
     assert_eq!(socket.tcp_user_timeout().unwrap(), Some(PATIENCE));
     assert_eq!(socket.tcp_keepalive_time().unwrap(), PATIENCE);
     let mut net = Net::new(RESERVED + 16).unwrap();
-    let address = net.listen(Owner::Clients, "127.0.0.1:0".parse().unwrap()).unwrap();
+    let address = net
+        .listen(Owner::Clients, "127.0.0.1:0".parse().unwrap())
+        .unwrap();
     let _client = TcpStream::connect(address).unwrap();
     assert!(knocks(&mut net));
     let id = net.accept(Owner::Clients)[0];
@@ -162,7 +193,10 @@
     assert_eq!(net.pause(id, true), Pumped::Alive);
     other.write_all(b"abc").unwrap();
     assert!(!reported(&mut net, id) && net.get(id).unwrap().paused());
-    assert_eq!((net.pump(id, CEILING), net.get(id).unwrap().input.bytes()), (Pumped::Alive, &b""[..]));
+    assert_eq!(
+        (net.pump(id, CEILING), net.get(id).unwrap().input.bytes()),
+        (Pumped::Alive, &b""[..])
+    );
     // Writing goes on meanwhile.
     net.get_mut(id).unwrap().send(b"xy");
     assert_eq!(net.flush(id, false), Pumped::Alive);
@@ -171,14 +205,19 @@
     assert!(&got == b"xy" && !reported(&mut net, id));
     assert_eq!(net.pause(id, false), Pumped::Alive);
     assert!(reported(&mut net, id));
-    assert_eq!((net.pump(id, CEILING), net.get(id).unwrap().input.bytes()), (Pumped::Alive, &b"abc"[..]));
+    assert_eq!(
+        (net.pump(id, CEILING), net.get(id).unwrap().input.bytes()),
+        (Pumped::Alive, &b"abc"[..])
+    );
 }
 
 #[test]
 fn a_connection_that_breaks_while_it_rests_spins_no_loop_and_is_found_afterwards() {
     let (mut net, id, other) = connected();
     assert_eq!(net.pause(id, true), Pumped::Alive);
-    SockRef::from(&other).set_linger(Some(Duration::ZERO)).unwrap();
+    SockRef::from(&other)
+        .set_linger(Some(Duration::ZERO))
+        .unwrap();
     drop(other);
     assert!(!reported(&mut net, id), "nothing is to be done about it");
     assert_eq!(net.pause(id, false), Pumped::Alive);
@@ -195,7 +234,9 @@
         assert_eq!(net.flush(id, false), Pumped::Alive);
     }
     assert_eq!(net.pause(id, true), Pumped::Alive);
-    SockRef::from(&other).set_linger(Some(Duration::ZERO)).unwrap();
+    SockRef::from(&other)
+        .set_linger(Some(Duration::ZERO))
+        .unwrap();
     drop(other);
     assert!(reported(&mut net, id));
     assert_eq!(net.pump(id, CEILING), Pumped::Broken);
@@ -207,7 +248,9 @@
     other.shutdown(std::net::Shutdown::Write).unwrap();
     assert!(reported(&mut net, id));
     assert!(net.pump(id, CEILING) == Pumped::Alive && net.get(id).unwrap().ended);
-    SockRef::from(&other).set_linger(Some(Duration::ZERO)).unwrap();
+    SockRef::from(&other)
+        .set_linger(Some(Duration::ZERO))
+        .unwrap();
     drop(other);
     assert!(reported(&mut net, id));
     assert_eq!(net.pump(id, CEILING), Pumped::Broken);
@@ -235,14 +278,25 @@
     let (mut net, id, mut other) = connected();
     net.reset(id);
     assert!(net.get(id).is_none());
-    assert_eq!(other.read(&mut [0; 4]).unwrap_err().kind(), io::ErrorKind::ConnectionReset);
+    assert_eq!(
+        other.read(&mut [0; 4]).unwrap_err().kind(),
+        io::ErrorKind::ConnectionReset
+    );
 }
 
 #[test]
 fn who_listens_alone_keeps_others_out_and_leaves_the_address_to_the_next() {
     let [mut first, mut second] = [(); 2].map(|()| Net::new(RESERVED + 16).unwrap());
-    let address = first.listen_alone(Owner::Clients, "127.0.0.1:0".parse().unwrap()).unwrap();
-    assert_eq!(second.listen_alone(Owner::Clients, address).unwrap_err().kind(), io::ErrorKind::AddrInUse);
+    let address = first
+        .listen_alone(Owner::Clients, "127.0.0.1:0".parse().unwrap())
+        .unwrap();
+    assert_eq!(
+        second
+            .listen_alone(Owner::Clients, address)
+            .unwrap_err()
+            .kind(),
+        io::ErrorKind::AddrInUse
+    );
     assert!(second.listen(Owner::Clients, address).is_err());
     // A connection that this side ended first is known to the system for a minute.
     let client = TcpStream::connect(address).unwrap();
@@ -251,5 +305,8 @@
     first.close(id);
     drop(client);
     first.stop_listening();
-    assert_eq!(second.listen_alone(Owner::Clients, address).unwrap(), address);
+    assert_eq!(
+        second.listen_alone(Owner::Clients, address).unwrap(),
+        address
+    );
 }
--- a/wire/net/src/wheel.rs
+++ b/wire/net/src/wheel.rs
@@ -1,4 +1,5 @@
-//! Timers as coarse ticks on a wheel. A timer is never revoked: its owner disregards one that is stale.
+//! Timers as coarse ticks on a wheel. A timer is never revoked: its owner disregards one that is
+//! stale.
 
 use lichenswitch_interface::{Micros, Time};
 
@@ -19,7 +20,11 @@
     /// An empty wheel whose time is `now`.
     #[must_use]
     pub fn new(now: Time) -> Self {
-        Wheel { slots: (0..SLOTS).map(|_| Vec::new()).collect(), tick: now.0 / TICK, count: 0 }
+        Wheel {
+            slots: (0..SLOTS).map(|_| Vec::new()).collect(),
+            tick: now.0 / TICK,
+            count: 0,
+        }
     }
 
     /// Sets a timer. One that is already due fires at the next tick.
@@ -58,8 +63,11 @@
             return None;
         }
         // The first slot ahead that holds a timer of this turn of the wheel has the next one.
-        let ahead = (self.tick + 1..=self.tick + SLOTS as u64)
-            .find(|&tick| self.slots[tick as usize % SLOTS].iter().any(|t| t.0 == tick));
+        let ahead = (self.tick + 1..=self.tick + SLOTS as u64).find(|&tick| {
+            self.slots[tick as usize % SLOTS]
+                .iter()
+                .any(|t| t.0 == tick)
+        });
         let later = || self.slots.iter().flatten().map(|t| t.0).min();
         ahead.or_else(later).map(|tick| Time(tick * TICK))
     }
--- a/wire/rpc/src/archive.rs
+++ b/wire/rpc/src/archive.rs
@@ -26,7 +26,9 @@
 where
     T: for<'a> Serialize<HighSerializer<AlignedVec, ArenaHandle<'a>, Error>>,
 {
-    rkyv::to_bytes::<Error>(value).map(AlignedVec::into_vec).map_err(ArchiveError::Encode)
+    rkyv::to_bytes::<Error>(value)
+        .map(AlignedVec::into_vec)
+        .map_err(ArchiveError::Encode)
 }
 
 /// The value of these bytes, which are checked; they may lie at any address.
@@ -36,7 +38,8 @@
 pub fn decode<T>(bytes: &[u8]) -> Result<T, ArchiveError>
 where
     T: Archive,
-    T::Archived: for<'a> CheckBytes<HighValidator<'a, Error>> + Deserialize<T, HighDeserializer<Error>>,
+    T::Archived:
+        for<'a> CheckBytes<HighValidator<'a, Error>> + Deserialize<T, HighDeserializer<Error>>,
 {
     // An archive is read in place, and has to lie as its types demand.
     let mut aligned = AlignedVec::<16>::with_capacity(bytes.len());
--- a/wire/rpc/src/calls.rs
+++ b/wire/rpc/src/calls.rs
@@ -10,8 +10,9 @@
     context: C,
 }
 
-/// Calls by number. A number is never used twice in the life of a process, so an answer that comes late, or for a call of an earlier
-/// process, is nobody's. `T` is a point in time; `C` is what the caller keeps for the answer.
+/// Calls by number. A number is never used twice in the life of a process, so an answer that comes
+/// late, or for a call of an earlier process, is nobody's. `T` is a point in time; `C` is what the
+/// caller keeps for the answer.
 #[derive(Debug)]
 pub struct Calls<T, C> {
     next: u64,
@@ -21,7 +22,8 @@
 }
 
 impl<T: Copy + Ord, C> Calls<T, C> {
-    /// A table whose first call gets this number: a random one, so that two processes hardly ever use the same.
+    /// A table whose first call gets this number: a random one, so that two processes hardly ever
+    /// use the same.
     #[must_use]
     pub fn new(first: u64) -> Self {
         Self {
@@ -38,13 +40,25 @@
         self.next = self.next.wrapping_add(1);
         self.by_deadline.insert((deadline, id));
         self.by_beginning.insert((now, id));
-        self.waiting.insert(id, Waiting { began: now, deadline, context });
+        self.waiting.insert(
+            id,
+            Waiting {
+                began: now,
+                deadline,
+                context,
+            },
+        );
         id
     }
 
-    /// Ends the call of this number. `None` where there is none: it has been answered, has expired, or never was.
+    /// Ends the call of this number. `None` where there is none: it has been answered, has expired,
+    /// or never was.
     pub fn finish(&mut self, id: u64) -> Option<C> {
-        let Waiting { began, deadline, context } = self.waiting.remove(&id)?;
+        let Waiting {
+            began,
+            deadline,
+            context,
+        } = self.waiting.remove(&id)?;
         self.by_deadline.remove(&(deadline, id));
         self.by_beginning.remove(&(began, id));
         Some(context)
@@ -53,7 +67,12 @@
     /// Ends all calls whose deadline has come, the earliest first.
     pub fn expire(&mut self, now: T) -> Vec<C> {
         let mut expired = Vec::new();
-        while let Some((_, id)) = self.by_deadline.first().copied().filter(|(deadline, _)| *deadline <= now) {
+        while let Some((_, id)) = self
+            .by_deadline
+            .first()
+            .copied()
+            .filter(|(deadline, _)| *deadline <= now)
+        {
             expired.extend(self.finish(id));
         }
         expired
@@ -63,7 +82,10 @@
     pub fn finish_all(&mut self) -> Vec<C> {
         self.by_deadline.clear();
         self.by_beginning.clear();
-        self.waiting.drain().map(|(_, waiting)| waiting.context).collect()
+        self.waiting
+            .drain()
+            .map(|(_, waiting)| waiting.context)
+            .collect()
     }
 
     /// When the next call expires.
--- a/wire/rpc/src/frame.rs
+++ b/wire/rpc/src/frame.rs
@@ -1,4 +1,5 @@
-//! Frames: a header of 20 bytes (word, version, kind, length, checksum of the payload, checksum of the header), and the payload.
+//! Frames: a header of 20 bytes (word, version, kind, length, checksum of the payload, checksum of
+//! the header), and the payload.
 
 /// Longest payload unless another limit is set (bytes).
 pub const DEFAULT_PAYLOAD_LIMIT_BYTES: usize = 4 << 20;
@@ -7,7 +8,8 @@
 const MAGIC: [u8; 4] = *b"LSRP";
 /// Bytes from which on the word and the version are known: they lie here in all versions.
 const VERSION_END: usize = 6;
-/// Space that is kept once it has been needed (bytes); what a long frame took beyond it is given back.
+/// Space that is kept once it has been needed (bytes); what a long frame took beyond it is given
+/// back.
 const KEPT_BYTES: usize = 64 << 10;
 
 /// Why a connection can't be read or a payload not sent. The connection must be closed.
@@ -52,7 +54,13 @@
 /// When it is longer than [`DEFAULT_PAYLOAD_LIMIT_BYTES`].
 pub fn encode_frame(version: u16, kind: u16, payload: &[u8]) -> Result<Vec<u8>, FrameError> {
     let mut out = Vec::new();
-    encode_frame_into(&mut out, version, kind, payload, DEFAULT_PAYLOAD_LIMIT_BYTES)?;
+    encode_frame_into(
+        &mut out,
+        version,
+        kind,
+        payload,
+        DEFAULT_PAYLOAD_LIMIT_BYTES,
+    )?;
     Ok(out)
 }
 
@@ -67,7 +75,10 @@
     payload: &[u8],
     limit: usize,
 ) -> Result<(), FrameError> {
-    let too_long = FrameError::TooLong { bytes: payload.len(), limit };
+    let too_long = FrameError::TooLong {
+        bytes: payload.len(),
+        limit,
+    };
     let length = u32::try_from(payload.len()).map_err(|_| too_long.clone())?;
     if payload.len() > limit {
         return Err(too_long);
@@ -107,10 +118,17 @@
     /// Reads frames of one version, with payloads up to a limit.
     #[must_use]
     pub fn with_limit(version: u16, limit: usize) -> Self {
-        Self { version, limit, buffer: Vec::new(), taken: 0, error: None }
+        Self {
+            version,
+            limit,
+            buffer: Vec::new(),
+            taken: 0,
+            error: None,
+        }
     }
 
-    /// Takes bytes from the connection. All frames should be taken out before more are pushed: that bounds the memory.
+    /// Takes bytes from the connection. All frames should be taken out before more are pushed: that
+    /// bounds the memory.
     pub fn push(&mut self, bytes: &[u8]) {
         if self.error.is_some() {
             return;
@@ -137,7 +155,10 @@
             Ok(Some((kind, length))) => {
                 let start = self.taken + HEADER_BYTES;
                 self.taken = start + length;
-                Ok(Some(Frame { kind, payload: &self.buffer[start..self.taken] }))
+                Ok(Some(Frame {
+                    kind,
+                    payload: &self.buffer[start..self.taken],
+                }))
             }
             Ok(None) => Ok(None),
             Err(error) => {
@@ -167,18 +188,29 @@
     }
     let theirs = u16::from_le_bytes([bytes[4], bytes[5]]);
     if theirs != version {
-        return Err(FrameError::OtherVersion { ours: version, theirs });
+        return Err(FrameError::OtherVersion {
+            ours: version,
+            theirs,
+        });
     }
-    let Some(head) = bytes.first_chunk::<HEADER_BYTES>() else { return Ok(None) };
-    let number = |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
+    let Some(head) = bytes.first_chunk::<HEADER_BYTES>() else {
+        return Ok(None);
+    };
+    let number =
+        |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
     if crc32fast::hash(&head[..16]) != number(16) {
         return Err(FrameError::Checksum("header"));
     }
     let length = number(8) as usize;
     if length > limit {
-        return Err(FrameError::TooLong { bytes: length, limit });
+        return Err(FrameError::TooLong {
+            bytes: length,
+            limit,
+        });
     }
-    let Some(payload) = bytes.get(HEADER_BYTES..HEADER_BYTES + length) else { return Ok(None) };
+    let Some(payload) = bytes.get(HEADER_BYTES..HEADER_BYTES + length) else {
+        return Ok(None);
+    };
     if crc32fast::hash(payload) != number(12) {
         return Err(FrameError::Checksum("payload"));
     }
--- a/wire/rpc/src/lib.rs
+++ b/wire/rpc/src/lib.rs
@@ -1,7 +1,9 @@
-//! Frames between the processes of a fleet: rkyv archives behind a length, a version and a checksum.
+//! Frames between the processes of a fleet: rkyv archives behind a length, a version and a
+//! checksum.
 //!
-//! It owns the framing and the table of calls that wait for an answer. It promises: what a [`FrameReader`] gives out is a frame as it was sent, or
-//! nothing; a process of another version is refused by name; no bytes make it panic. It touches plain bytes alone.
+//! It owns the framing and the table of calls that wait for an answer. It promises: what a
+//! [`FrameReader`] gives out is a frame as it was sent, or nothing; a process of another version is
+//! refused by name; no bytes make it panic. It touches plain bytes alone.
 //!
 //! ```
 //! use lichenswitch_rpc::{decode, encode, encode_frame, FrameReader};
--- a/wire/rpc/tests/calls.rs
+++ b/wire/rpc/tests/calls.rs
@@ -14,7 +14,10 @@
     assert_eq!(calls.finish(102), None);
     assert_eq!(calls.finish(second), Some("second"));
     assert_eq!(calls.finish(second), None);
-    assert_eq!((calls.len(), calls.oldest(), calls.next_deadline()), (1, Some(0), Some(10)));
+    assert_eq!(
+        (calls.len(), calls.oldest(), calls.next_deadline()),
+        (1, Some(0), Some(10))
+    );
 }
 
 #[test]
@@ -33,7 +36,10 @@
 #[test]
 fn numbers_go_on_past_the_highest() {
     let mut calls = Calls::new(u64::MAX);
-    assert_eq!((calls.begin(0, 1, 'a'), calls.begin(0, 1, 'b')), (u64::MAX, 0));
+    assert_eq!(
+        (calls.begin(0, 1, 'a'), calls.begin(0, 1, 'b')),
+        (u64::MAX, 0)
+    );
 }
 
 #[derive(Clone, Debug)]
@@ -83,5 +89,7 @@
             }
         })
     }
-    QuickCheck::new().tests(20_000).quickcheck(holds as fn(u64, Vec<Step>) -> bool);
+    QuickCheck::new()
+        .tests(20_000)
+        .quickcheck(holds as fn(u64, Vec<Step>) -> bool);
 }
--- a/wire/rpc/tests/frames.rs
+++ b/wire/rpc/tests/frames.rs
@@ -17,7 +17,10 @@
 }
 
 fn frames_of(payloads: &[(u16, Vec<u8>)]) -> Vec<u8> {
-    payloads.iter().flat_map(|(kind, payload)| encode_frame(VERSION, *kind, payload).unwrap()).collect()
+    payloads
+        .iter()
+        .flat_map(|(kind, payload)| encode_frame(VERSION, *kind, payload).unwrap())
+        .collect()
 }
 
 /// Pushes chunks and takes out all frames.
@@ -40,7 +43,10 @@
     let mut places: Vec<usize> = cuts.iter().map(|cut| cut % (bytes.len() + 1)).collect();
     places.extend([0, bytes.len()]);
     places.sort_unstable();
-    places.windows(2).map(|pair| &bytes[pair[0]..pair[1]]).collect()
+    places
+        .windows(2)
+        .map(|pair| &bytes[pair[0]..pair[1]])
+        .collect()
 }
 
 #[test]
@@ -48,7 +54,9 @@
     fn holds(payloads: Vec<(u16, Vec<u8>)>, cuts: Vec<usize>) -> bool {
         read(&cut(&frames_of(&payloads), &cuts)) == (payloads, None)
     }
-    QuickCheck::new().tests(5_000).quickcheck(holds as fn(Vec<(u16, Vec<u8>)>, Vec<usize>) -> bool);
+    QuickCheck::new()
+        .tests(5_000)
+        .quickcheck(holds as fn(Vec<(u16, Vec<u8>)>, Vec<usize>) -> bool);
 }
 
 #[test]
@@ -63,7 +71,9 @@
         let (frames, error) = read(&cut(&bytes, &cuts));
         payloads.starts_with(&frames) && frames.len() < payloads.len() && error.is_some()
     }
-    QuickCheck::new().tests(5_000).quickcheck(holds as fn(_, _, _, _) -> bool);
+    QuickCheck::new()
+        .tests(5_000)
+        .quickcheck(holds as fn(_, _, _, _) -> bool);
 }
 
 #[test]
@@ -76,7 +86,9 @@
         let (frames, _) = read(&[&bytes]);
         frames.iter().all(|frame| payloads.contains(frame))
     }
-    QuickCheck::new().tests(5_000).quickcheck(holds as fn(_, _, _, _) -> bool);
+    QuickCheck::new()
+        .tests(5_000)
+        .quickcheck(holds as fn(_, _, _, _) -> bool);
 }
 
 #[test]
@@ -84,7 +96,9 @@
     fn holds(bytes: Vec<u8>, cuts: Vec<usize>) -> bool {
         read(&cut(&bytes, &cuts)).0.is_empty()
     }
-    QuickCheck::new().tests(50_000).quickcheck(holds as fn(Vec<u8>, Vec<usize>) -> bool);
+    QuickCheck::new()
+        .tests(50_000)
+        .quickcheck(holds as fn(Vec<u8>, Vec<usize>) -> bool);
 }
 
 #[test]
@@ -96,7 +110,10 @@
     reader.push(&frame[5..6]);
     let error = reader.next_frame().unwrap_err();
     assert_eq!(error, FrameError::OtherVersion { ours: 3, theirs: 4 });
-    assert_eq!(error.to_string(), "the other side speaks version 4 of the protocol, this side version 3");
+    assert_eq!(
+        error.to_string(),
+        "the other side speaks version 4 of the protocol, this side version 3"
+    );
 }
 
 #[test]
@@ -114,25 +131,45 @@
     let mut out = b"before".to_vec();
     assert_eq!(
         encode_frame_into(&mut out, VERSION, 0, &[0; 101], 100),
-        Err(FrameError::TooLong { bytes: 101, limit: 100 })
+        Err(FrameError::TooLong {
+            bytes: 101,
+            limit: 100
+        })
     );
     assert_eq!(out, b"before");
     let frame = encode_frame(VERSION, 0, &[0; 101]).unwrap();
     let mut reader = FrameReader::with_limit(VERSION, 100);
     reader.push(&frame[..HEADER_BYTES]);
-    assert_eq!(reader.next_frame(), Err(FrameError::TooLong { bytes: 101, limit: 100 }));
-    let whole = encode_frame(VERSION, 0, &vec![7; lichenswitch_rpc::DEFAULT_PAYLOAD_LIMIT_BYTES]).unwrap();
+    assert_eq!(
+        reader.next_frame(),
+        Err(FrameError::TooLong {
+            bytes: 101,
+            limit: 100
+        })
+    );
+    let whole = encode_frame(
+        VERSION,
+        0,
+        &vec![7; lichenswitch_rpc::DEFAULT_PAYLOAD_LIMIT_BYTES],
+    )
+    .unwrap();
     let mut reader = FrameReader::new(VERSION);
     reader.push(&whole);
     assert_matches!(reader.next_frame(), Ok(Some(frame)) if frame.payload.len() == 4 << 20);
-    assert_matches!(encode_frame(VERSION, 0, &vec![7; (4 << 20) + 1]), Err(FrameError::TooLong { .. }));
+    assert_matches!(
+        encode_frame(VERSION, 0, &vec![7; (4 << 20) + 1]),
+        Err(FrameError::TooLong { .. })
+    );
 }
 
 #[test]
 fn values_come_back_at_any_alignment() {
     let messages = [
         Message::Empty,
-        Message::Text { text: "a text that is longer than eight bytes".into(), flag: true },
+        Message::Text {
+            text: "a text that is longer than eight bytes".into(),
+            flag: true,
+        },
         Message::List(vec![(1, None), (2, Some("two".into()))]),
     ];
     for message in messages {
@@ -168,6 +205,10 @@
         }
         true
     }
-    QuickCheck::new().tests(20_000).quickcheck(any as fn(Vec<u8>) -> bool);
-    QuickCheck::new().tests(20_000).quickcheck(changed as fn(_, _, _, _) -> bool);
+    QuickCheck::new()
+        .tests(20_000)
+        .quickcheck(any as fn(Vec<u8>) -> bool);
+    QuickCheck::new()
+        .tests(20_000)
+        .quickcheck(changed as fn(_, _, _, _) -> bool);
 }
--- a/wire/storage/src/block.rs
+++ b/wire/storage/src/block.rs
@@ -2,7 +2,8 @@
 
 /// Version of the format of the files. Files of another version are set aside.
 pub const FORMAT_VERSION: u16 = 1;
-/// Blocks begin at multiples of this (bytes): no write touches a sector that holds an earlier block.
+/// Blocks begin at multiples of this (bytes): no write touches a sector that holds an earlier
+/// block.
 pub(crate) const SECTOR_BYTES: usize = 512;
 /// Length of a header (bytes).
 const HEADER_BYTES: usize = 40;
@@ -19,8 +20,8 @@
     Mark,
     /// Records.
     Records,
-    /// Nothing: it was put in the place of a block that must not count. It has the look of a block, so that a segment is known for
-    /// ours even if its writing was cut off.
+    /// Nothing: it was put in the place of a block that must not count. It has the look of a block,
+    /// so that a segment is known for ours even if its writing was cut off.
     Void,
 }
 
@@ -36,7 +37,13 @@
     }
 
     fn from_code(code: u16) -> Option<Self> {
-        let kinds = [Self::Image, Self::NoImage, Self::Mark, Self::Records, Self::Void];
+        let kinds = [
+            Self::Image,
+            Self::NoImage,
+            Self::Mark,
+            Self::Records,
+            Self::Void,
+        ];
         kinds.into_iter().find(|kind| kind.code() == code)
     }
 
@@ -69,7 +76,11 @@
     /// Nothing was ever written here.
     Empty,
     /// A whole block of this owner, and the bytes that it takes with its padding.
-    Whole { header: Header, payload: &'a [u8], size: usize },
+    Whole {
+        header: Header,
+        payload: &'a [u8],
+        size: usize,
+    },
     /// A header of this owner, whose payload is another one or cut off.
     BadPayload(Header),
     /// A header of another owner.
@@ -89,8 +100,9 @@
 
 /// Digest of the owner's word (FNV-1a).
 pub(crate) fn owner_digest(word: &str) -> u64 {
-    word.bytes()
-        .fold(0xcbf2_9ce4_8422_2325, |digest, byte| (digest ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
+    word.bytes().fold(0xcbf2_9ce4_8422_2325, |digest, byte| {
+        (digest ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
+    })
 }
 
 /// A block as it is written, its padding included. `None` for a payload that is too long.
@@ -120,16 +132,27 @@
     if sector.iter().all(|byte| *byte == 0) {
         return Reading::Empty;
     }
-    let Some(head) = rest.first_chunk::<HEADER_BYTES>() else { return Reading::Unknown };
+    let Some(head) = rest.first_chunk::<HEADER_BYTES>() else {
+        return Reading::Unknown;
+    };
     if head[..4] != MAGIC {
-        return if is_cut_off(head) { Reading::BadHeader } else { Reading::Unknown };
+        return if is_cut_off(head) {
+            Reading::BadHeader
+        } else {
+            Reading::Unknown
+        };
     }
     read_header(head, rest, owner)
 }
 
-/// Whether this is as much of the first word as a write that was cut off leaves: some of it, and zeros.
+/// Whether this is as much of the first word as a write that was cut off leaves: some of it, and
+/// zeros.
 fn is_cut_off(head: &[u8; HEADER_BYTES]) -> bool {
-    let written = head.iter().zip(MAGIC).take_while(|(byte, expected)| *byte == expected).count();
+    let written = head
+        .iter()
+        .zip(MAGIC)
+        .take_while(|(byte, expected)| *byte == expected)
+        .count();
     written > 0 && head[written..].iter().all(|byte| *byte == 0)
 }
 
@@ -144,14 +167,25 @@
     let (Some(kind), true) = (kind, crc32fast::hash(&head[..36]) == word(head, 36)) else {
         return Reading::BadHeader;
     };
-    let header = Header { kind, owner: long(head, 8), generation: long(head, 16), sequence: word(head, 24) };
+    let header = Header {
+        kind,
+        owner: long(head, 8),
+        generation: long(head, 16),
+        sequence: word(head, 24),
+    };
     if header.owner != owner {
         return Reading::OtherOwner;
     }
     let length = word(head, 28) as usize;
-    let payload = rest.get(..size_of(length)).map(|block| &block[HEADER_BYTES..HEADER_BYTES + length]);
+    let payload = rest
+        .get(..size_of(length))
+        .map(|block| &block[HEADER_BYTES..HEADER_BYTES + length]);
     match payload.filter(|payload| crc32fast::hash(payload) == word(head, 32)) {
-        Some(payload) => Reading::Whole { header, payload, size: size_of(length) },
+        Some(payload) => Reading::Whole {
+            header,
+            payload,
+            size: size_of(length),
+        },
         None => Reading::BadPayload(header),
     }
 }
@@ -168,7 +202,11 @@
 pub(crate) fn join_records(records: &[Vec<u8>]) -> Vec<u8> {
     let mut out = Vec::with_capacity(joined_length(records.iter().map(Vec::len)));
     for record in records {
-        out.extend_from_slice(&u32::try_from(record.len()).unwrap_or(u32::MAX).to_le_bytes());
+        out.extend_from_slice(
+            &u32::try_from(record.len())
+                .unwrap_or(u32::MAX)
+                .to_le_bytes(),
+        );
         out.extend_from_slice(record);
     }
     out
--- a/wire/storage/src/error.rs
+++ b/wire/storage/src/error.rs
@@ -38,7 +38,8 @@
     /// The settings make no ring.
     #[error("settings of the storage: {0}")]
     Settings(&'static str),
-    /// A job that was submitted before this one failed, and its failure had not been taken notice of.
+    /// A job that was submitted before this one failed, and its failure had not been taken notice
+    /// of.
     #[error("a job before this one failed")]
     EarlierFailed,
 }
@@ -47,11 +48,25 @@
     /// Whether the disk is full.
     #[must_use]
     pub fn is_disk_full(&self) -> bool {
-        matches!(self, Self::Io { kind: io::ErrorKind::StorageFull, .. })
+        matches!(
+            self,
+            Self::Io {
+                kind: io::ErrorKind::StorageFull,
+                ..
+            }
+        )
     }
 
     /// Adds what was tried, and on what, to an error of the system.
-    pub(crate) fn io<'a>(operation: &'static str, path: &'a Path) -> impl Fn(io::Error) -> Self + 'a {
-        move |e| Self::Io { operation, path: path.to_owned(), kind: e.kind(), message: e.to_string() }
+    pub(crate) fn io<'a>(
+        operation: &'static str,
+        path: &'a Path,
+    ) -> impl Fn(io::Error) -> Self + 'a {
+        move |e| Self::Io {
+            operation,
+            path: path.to_owned(),
+            kind: e.kind(),
+            message: e.to_string(),
+        }
     }
 }
--- a/wire/storage/src/file_system.rs
+++ b/wire/storage/src/file_system.rs
@@ -1,4 +1,5 @@
-//! The few operations on files that the storage needs, so that tests can put a disk with faults in their place.
+//! The few operations on files that the storage needs, so that tests can put a disk with faults in
+//! their place.
 
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Seek, SeekFrom, Write};
@@ -83,11 +84,18 @@
     }
 
     fn open(&self, path: &Path) -> io::Result<Box<dyn StorageFile>> {
-        Ok(Box::new(OpenOptions::new().read(true).write(true).open(path)?))
+        Ok(Box::new(
+            OpenOptions::new().read(true).write(true).open(path)?,
+        ))
     }
 
     fn create(&self, path: &Path) -> io::Result<Box<dyn StorageFile>> {
-        let file = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(path)?;
+        let file = OpenOptions::new()
+            .read(true)
+            .write(true)
+            .create(true)
+            .truncate(true)
+            .open(path)?;
         Ok(Box::new(file))
     }
 
@@ -134,7 +142,11 @@
 ///
 /// # Errors
 /// What the system says; a part may have been written then.
-pub fn write_all_at(file: &mut dyn StorageFile, mut offset: u64, mut bytes: &[u8]) -> io::Result<()> {
+pub fn write_all_at(
+    file: &mut dyn StorageFile,
+    mut offset: u64,
+    mut bytes: &[u8],
+) -> io::Result<()> {
     while !bytes.is_empty() {
         match file.write_at(offset, bytes) {
             Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
--- a/wire/storage/src/finding.rs
+++ b/wire/storage/src/finding.rs
@@ -9,7 +9,8 @@
     Owner,
     /// It is written in another version of the format.
     Format(u16),
-    /// It is no segment in any version. The remains of a segment's very first write, whose first part was lost, may look so, too.
+    /// It is no segment in any version. The remains of a segment's very first write, whose first
+    /// part was lost, may look so, too.
     Unreadable,
 }
 
@@ -25,8 +26,8 @@
         /// Number of the block within the segment.
         sequence: u32,
     },
-    /// Behind the last block lies what an older generation had written there, or a piece of it or of a write that was cut off. It is
-    /// ignored.
+    /// Behind the last block lies what an older generation had written there, or a piece of it or
+    /// of a write that was cut off. It is ignored.
     Stale {
         /// Segment, counted from 0.
         segment: usize,
@@ -49,7 +50,8 @@
         /// Whether it is the one that a newer image would have gone to.
         may_have_been_newest: bool,
     },
-    /// A block is not there, though a later one of the same generation is: acknowledged state was lost.
+    /// A block is not there, though a later one of the same generation is: acknowledged state was
+    /// lost.
     Missing {
         /// Segment, counted from 0.
         segment: usize,
@@ -58,7 +60,8 @@
         /// Number of the block within the segment.
         sequence: u32,
     },
-    /// A block can't be read, though a later one of the same generation can: acknowledged state was lost.
+    /// A block can't be read, though a later one of the same generation can: acknowledged state was
+    /// lost.
     Damaged {
         /// Segment, counted from 0.
         segment: usize,
@@ -70,7 +73,8 @@
 }
 
 impl Finding {
-    /// Whether state that had been acknowledged is lost for certain: what was recovered is older than it should be.
+    /// Whether state that had been acknowledged is lost for certain: what was recovered is older
+    /// than it should be.
     #[must_use]
     pub fn loses_state(&self) -> bool {
         matches!(self, Self::Missing { .. } | Self::Damaged { .. })
--- a/wire/storage/src/recovery.rs
+++ b/wire/storage/src/recovery.rs
@@ -8,7 +8,9 @@
 use crate::file_system::{FileSystem, StorageFile};
 use crate::finding::{Finding, ForeignReason};
 use crate::segment::{self, Beginning, Chain, Survey};
-use crate::storage::{beside_path, segment_path, Current, Recovered, Segment, Storage, StorageSettings};
+use crate::storage::{
+    beside_path, segment_path, Current, Recovered, Segment, Storage, StorageSettings,
+};
 
 /// Shortest segment (bytes).
 const SHORTEST_SEGMENT_BYTES: u64 = 4096;
@@ -46,19 +48,28 @@
         make_folders(file_system, parent)?;
     }
     match file_system.create_folder(folder) {
-        Err(e) if e.kind() != io::ErrorKind::AlreadyExists => Err(StorageError::io("create", folder)(e)),
+        Err(e) if e.kind() != io::ErrorKind::AlreadyExists => {
+            Err(StorageError::io("create", folder)(e))
+        }
         _ => Ok(()),
     }
 }
 
 fn parent_of(folder: &Path) -> Option<&Path> {
-    folder.parent().filter(|parent| !parent.as_os_str().is_empty())
+    folder
+        .parent()
+        .filter(|parent| !parent.as_os_str().is_empty())
 }
 
-/// Before the first use of a folder, makes its name and those above it last: whoever made them may have ended before its sync.
+/// Before the first use of a folder, makes its name and those above it last: whoever made them may
+/// have ended before its sync.
 fn sync_names_above(file_system: &dyn FileSystem, folder: &Path) -> Result<(), StorageError> {
     for above in folder.ancestors().skip(1) {
-        let above = if above.as_os_str().is_empty() { Path::new(".") } else { above };
+        let above = if above.as_os_str().is_empty() {
+            Path::new(".")
+        } else {
+            above
+        };
         match file_system.sync_folder(above) {
             Err(e) if !is_beyond_reach(e.kind()) => return Err(StorageError::io("sync", above)(e)),
             _ => {}
@@ -67,10 +78,16 @@
     Ok(())
 }
 
-/// Whether a folder can't be synced because it isn't this process's to change: then it has made no name in it either.
+/// Whether a folder can't be synced because it isn't this process's to change: then it has made no
+/// name in it either.
 fn is_beyond_reach(kind: io::ErrorKind) -> bool {
-    use io::ErrorKind::{InvalidInput, NotFound, PermissionDenied, ReadOnlyFilesystem, Unsupported};
-    matches!(kind, PermissionDenied | ReadOnlyFilesystem | InvalidInput | NotFound | Unsupported)
+    use io::ErrorKind::{
+        InvalidInput, NotFound, PermissionDenied, ReadOnlyFilesystem, Unsupported,
+    };
+    matches!(
+        kind,
+        PermissionDenied | ReadOnlyFilesystem | InvalidInput | NotFound | Unsupported
+    )
 }
 
 /// What is known while the segments are looked over.
@@ -109,12 +126,15 @@
 ) -> Result<Vec<Option<Box<dyn StorageFile>>>, StorageError> {
     let mut files = Vec::new();
     let mut renamed = false;
-    while files.len() < segments || storage.file_system.exists(&segment_path(&storage.folder, files.len())) {
+    while files.len() < segments
+        || storage
+            .file_system
+            .exists(&segment_path(&storage.folder, files.len()))
+    {
         let segment = files.len();
         remove_unfinished_file(storage, segment)?;
         let file = look_over(storage, segment, search)?;
-        renamed |=
-            matches!(search.findings.last(), Some(Finding::Foreign { segment: s, .. }) if *s == segment);
+        renamed |= matches!(search.findings.last(), Some(Finding::Foreign { segment: s, .. }) if *s == segment);
         files.push(file);
     }
     if renamed {
@@ -173,15 +193,24 @@
 ) -> Result<(), StorageError> {
     let path = segment_path(&storage.folder, segment);
     let aside = free_name(storage, segment);
-    storage.file_system.rename(&path, &aside).map_err(StorageError::io("set aside", &path))?;
-    search.findings.push(Finding::Foreign { segment, reason, aside });
+    storage
+        .file_system
+        .rename(&path, &aside)
+        .map_err(StorageError::io("set aside", &path))?;
+    search.findings.push(Finding::Foreign {
+        segment,
+        reason,
+        aside,
+    });
     Ok(())
 }
 
 fn free_name(storage: &Storage, segment: usize) -> PathBuf {
     let mut number = 1;
     loop {
-        let path = storage.folder.join(format!("segment-{segment}.aside-{number}"));
+        let path = storage
+            .folder
+            .join(format!("segment-{segment}.aside-{number}"));
         if !storage.file_system.exists(&path) {
             return path;
         }
@@ -200,7 +229,10 @@
             Some(file) => lengthen(file, &path, storage.segment_bytes)?,
             None => {
                 let length = storage.segment_bytes;
-                Segment { file: storage.make_file(&path, length)?, length }
+                Segment {
+                    file: storage.make_file(&path, length)?,
+                    length,
+                }
             }
         };
         storage.segments.push(file);
@@ -208,49 +240,80 @@
     sync_folder(storage)
 }
 
-fn lengthen(mut file: Box<dyn StorageFile>, path: &Path, least: u64) -> Result<Segment, StorageError> {
+fn lengthen(
+    mut file: Box<dyn StorageFile>,
+    path: &Path,
+    least: u64,
+) -> Result<Segment, StorageError> {
     let length = file.length().map_err(StorageError::io("measure", path))?;
     if length < least {
-        file.set_length(least).map_err(StorageError::io("set the length of", path))?;
+        file.set_length(least)
+            .map_err(StorageError::io("set the length of", path))?;
         file.sync().map_err(StorageError::io("sync", path))?;
     }
-    Ok(Segment { file, length: length.max(least) })
+    Ok(Segment {
+        file,
+        length: length.max(least),
+    })
 }
 
 fn sync_folder(storage: &Storage) -> Result<(), StorageError> {
-    storage.file_system.sync_folder(&storage.folder).map_err(StorageError::io("sync", &storage.folder))
+    storage
+        .file_system
+        .sync_folder(&storage.folder)
+        .map_err(StorageError::io("sync", &storage.folder))
 }
 
 /// Takes the state from the newest segment, and makes it last.
 fn take_newest(storage: &mut Storage, search: Search) -> Result<Recovered, StorageError> {
     let mut findings = search.findings;
-    let newest_generation = search.newest.as_ref().map_or(0, |(_, generation, _)| *generation);
-    if let Some((generation, segment)) = search.proven.filter(|(proven, _)| *proven > newest_generation) {
-        findings.push(Finding::Damaged { segment, generation, sequence: 0 });
+    let newest_generation = search
+        .newest
+        .as_ref()
+        .map_or(0, |(_, generation, _)| *generation);
+    if let Some((generation, segment)) = search
+        .proven
+        .filter(|(proven, _)| *proven > newest_generation)
+    {
+        findings.push(Finding::Damaged {
+            segment,
+            generation,
+            sequence: 0,
+        });
         storage.needs_image = true;
     }
     let Some((segment, generation, bytes)) = search.newest else {
         void_next(storage, 0, &search.whole)?;
-        return Ok(Recovered { findings, ..Recovered::default() });
+        return Ok(Recovered {
+            findings,
+            ..Recovered::default()
+        });
     };
     let next = (segment + 1) % storage.segments.len();
     findings.extend(
-        search.missing.into_iter().map(|missing| Finding::MissingSegment {
-            segment: missing,
-            may_have_been_newest: missing == next,
-        }),
+        search
+            .missing
+            .into_iter()
+            .map(|missing| Finding::MissingSegment {
+                segment: missing,
+                may_have_been_newest: missing == next,
+            }),
     );
     void_next(storage, next, &search.whole)?;
     let chain = segment::read_chain(&bytes, storage.owner, segment, generation);
     findings.extend(chain.finding.clone());
     storage.needs_image |= chain.finding.as_ref().is_some_and(Finding::loses_state);
     continue_chain(storage, segment, generation, &chain, &bytes)?;
-    Ok(Recovered { image: chain.image, records: chain.records, findings })
+    Ok(Recovered {
+        image: chain.image,
+        records: chain.records,
+        findings,
+    })
 }
 
-/// Makes what was found last, and what wasn't found stay away. Whoever wrote the last block may have ended before its sync, or after a
-/// sync that failed: then the disk may hold less than can be read now, or more. That the last block is there proves that
-/// all before it were synced.
+/// Makes what was found last, and what wasn't found stay away. Whoever wrote the last block may
+/// have ended before its sync, or after a sync that failed: then the disk may hold less than can be
+/// read now, or more. That the last block is there proves that all before it were synced.
 fn continue_chain(
     storage: &mut Storage,
     segment: usize,
@@ -270,12 +333,18 @@
             sequence = 2;
         }
     }
-    storage.current = Some(Current { segment, generation, offset, sequence });
+    storage.current = Some(Current {
+        segment,
+        generation,
+        offset,
+        sequence,
+    });
     Ok(())
 }
 
-/// Clears the beginning of the segment that comes next, unless it is whole, and so an older one. A beginning that was voided may
-/// read as void, and yet be whole on the disk, if the sync of its voiding failed: it would come back as the newest.
+/// Clears the beginning of the segment that comes next, unless it is whole, and so an older one. A
+/// beginning that was voided may read as void, and yet be whole on the disk, if the sync of its
+/// voiding failed: it would come back as the newest.
 fn void_next(storage: &mut Storage, next: usize, whole: &[usize]) -> Result<(), StorageError> {
     if whole.contains(&next) {
         return Ok(());
--- a/wire/storage/src/segment.rs
+++ b/wire/storage/src/segment.rs
@@ -22,15 +22,23 @@
     pub beginning: Beginning,
     /// Highest generation that any whole header names.
     pub highest_generation: u64,
-    /// Highest generation of which there is a block behind the beginning: it was synced from its beginning to there.
+    /// Highest generation of which there is a block behind the beginning: it was synced from its
+    /// beginning to there.
     pub proven_generation: u64,
 }
 
 /// Looks over all of a segment.
 pub(crate) fn survey(bytes: &[u8], owner: u64) -> Survey {
     let first = block::read_at(bytes, 0, owner);
-    let mut survey = Survey { beginning: Beginning::Empty, highest_generation: 0, proven_generation: 0 };
-    let mut ours = matches!(first, Reading::Whole { .. } | Reading::BadPayload(_) | Reading::BadHeader);
+    let mut survey = Survey {
+        beginning: Beginning::Empty,
+        highest_generation: 0,
+        proven_generation: 0,
+    };
+    let mut ours = matches!(
+        first,
+        Reading::Whole { .. } | Reading::BadPayload(_) | Reading::BadHeader
+    );
     for (_, header, _) in whole_blocks(bytes, 0, owner) {
         ours = true;
         survey.highest_generation = survey.highest_generation.max(header.generation);
@@ -39,7 +47,10 @@
         }
     }
     survey.beginning = beginning(&first, ours);
-    if let Beginning::Broken { generation: Some(generation) } = survey.beginning {
+    if let Beginning::Broken {
+        generation: Some(generation),
+    } = survey.beginning
+    {
         survey.highest_generation = survey.highest_generation.max(generation);
     }
     survey
@@ -49,13 +60,17 @@
 fn beginning(first: &Reading<'_>, ours: bool) -> Beginning {
     match *first {
         Reading::Whole { header, .. } if header.kind.is_beginning() && header.sequence == 0 => {
-            Beginning::Whole { generation: header.generation }
-        }
-        Reading::Whole { header, .. } | Reading::BadPayload(header) => {
-            Beginning::Broken { generation: Some(header.generation) }
+            Beginning::Whole {
+                generation: header.generation,
+            }
         }
+        Reading::Whole { header, .. } | Reading::BadPayload(header) => Beginning::Broken {
+            generation: Some(header.generation),
+        },
         Reading::OtherOwner if !ours => Beginning::Foreign(ForeignReason::Owner),
-        Reading::OtherFormat(version) if !ours => Beginning::Foreign(ForeignReason::Format(version)),
+        Reading::OtherFormat(version) if !ours => {
+            Beginning::Foreign(ForeignReason::Format(version))
+        }
         Reading::Unknown if !ours => Beginning::Foreign(ForeignReason::Unreadable),
         Reading::Empty => Beginning::Empty,
         _ => Beginning::Broken { generation: None },
@@ -63,7 +78,11 @@
 }
 
 /// All whole blocks of this owner from an offset on: offset, header, size.
-fn whole_blocks(bytes: &[u8], from: usize, owner: u64) -> impl Iterator<Item = (usize, Header, usize)> + '_ {
+fn whole_blocks(
+    bytes: &[u8],
+    from: usize,
+    owner: u64,
+) -> impl Iterator<Item = (usize, Header, usize)> + '_ {
     let mut offset = from;
     std::iter::from_fn(move || {
         while offset < bytes.len() {
@@ -95,9 +114,20 @@
 
 /// Reads the blocks of a segment whose beginning is whole.
 pub(crate) fn read_chain(bytes: &[u8], owner: u64, segment: usize, generation: u64) -> Chain {
-    let mut chain =
-        Chain { image: None, records: Vec::new(), offset: 0, sequence: 0, last_offset: 0, finding: None };
-    while let Reading::Whole { header, payload, size } = block::read_at(bytes, chain.offset, owner) {
+    let mut chain = Chain {
+        image: None,
+        records: Vec::new(),
+        offset: 0,
+        sequence: 0,
+        last_offset: 0,
+        finding: None,
+    };
+    while let Reading::Whole {
+        header,
+        payload,
+        size,
+    } = block::read_at(bytes, chain.offset, owner)
+    {
         if (header.generation, header.sequence) != (generation, chain.sequence)
             || !chain.take(header, payload)
         {
@@ -127,24 +157,49 @@
 }
 
 /// Says why a chain ended where it did.
-fn end_of_chain(bytes: &[u8], owner: u64, segment: usize, generation: u64, chain: &Chain) -> Option<Finding> {
+fn end_of_chain(
+    bytes: &[u8],
+    owner: u64,
+    segment: usize,
+    generation: u64,
+    chain: &Chain,
+) -> Option<Finding> {
     let sequence = chain.sequence;
     let end = block::read_at(bytes, chain.offset, owner);
-    let later =
-        whole_blocks(bytes, chain.offset, owner).any(|(_, header, _)| header.generation == generation);
+    let later = whole_blocks(bytes, chain.offset, owner)
+        .any(|(_, header, _)| header.generation == generation);
     let never_written = match &end {
         Reading::Empty => true,
-        Reading::Whole { header, .. } | Reading::BadPayload(header) => header.generation != generation,
+        Reading::Whole { header, .. } | Reading::BadPayload(header) => {
+            header.generation != generation
+        }
         _ => false,
     };
     match end {
-        _ if later && never_written => Some(Finding::Missing { segment, generation, sequence }),
-        _ if later => Some(Finding::Damaged { segment, generation, sequence }),
+        _ if later && never_written => Some(Finding::Missing {
+            segment,
+            generation,
+            sequence,
+        }),
+        _ if later => Some(Finding::Damaged {
+            segment,
+            generation,
+            sequence,
+        }),
         Reading::Empty => None,
-        Reading::BadPayload(header) if header.generation == generation => {
-            Some(Finding::Torn { segment, generation, sequence })
-        }
-        Reading::BadHeader => Some(Finding::Torn { segment, generation, sequence }),
-        _ => Some(Finding::Stale { segment, generation }),
+        Reading::BadPayload(header) if header.generation == generation => Some(Finding::Torn {
+            segment,
+            generation,
+            sequence,
+        }),
+        Reading::BadHeader => Some(Finding::Torn {
+            segment,
+            generation,
+            sequence,
+        }),
+        _ => Some(Finding::Stale {
+            segment,
+            generation,
+        }),
     }
 }
--- a/wire/storage/src/storage.rs
+++ b/wire/storage/src/storage.rs
@@ -14,7 +14,8 @@
 /// How a ring is laid out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StorageSettings {
-    /// Length of a segment (bytes), at least 4096. A segment becomes longer where an image takes more than half of it.
+    /// Length of a segment (bytes), at least 4096. A segment becomes longer where an image takes
+    /// more than half of it.
     pub segment_bytes: u64,
     /// Number of segments, at least 2. A ring that has more on disk keeps them.
     pub segments: usize,
@@ -26,7 +27,11 @@
     /// Four segments of 1 MiB.
     #[must_use]
     pub fn new(owner: &str) -> Self {
-        Self { segment_bytes: 1 << 20, segments: 4, owner: owner.to_owned() }
+        Self {
+            segment_bytes: 1 << 20,
+            segments: 4,
+            owner: owner.to_owned(),
+        }
     }
 }
 
@@ -37,7 +42,8 @@
     pub image: Option<Vec<u8>>,
     /// The records after it, in order.
     pub records: Vec<Vec<u8>>,
-    /// What was met besides. If any of them [loses state](Finding::loses_state), image and records are older than what was acknowledged.
+    /// What was met besides. If any of them [loses state](Finding::loses_state), image and records
+    /// are older than what was acknowledged.
     pub findings: Vec<Finding>,
 }
 
@@ -48,7 +54,8 @@
         self.image.is_none() && self.records.is_empty()
     }
 
-    /// Whether state that had been acknowledged is lost for certain. The disk should then be treated as a lost one.
+    /// Whether state that had been acknowledged is lost for certain. The disk should then be
+    /// treated as a lost one.
     #[must_use]
     pub fn loses_state(&self) -> bool {
         self.findings.iter().any(Finding::loses_state)
@@ -110,16 +117,24 @@
 
 impl std::fmt::Debug for Storage {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Storage").field("folder", &self.folder).field("current", &self.current).finish()
+        f.debug_struct("Storage")
+            .field("folder", &self.folder)
+            .field("current", &self.current)
+            .finish()
     }
 }
 
 impl Storage {
-    /// Opens the ring in a folder, which is made if it isn't there. What is recovered has been made to last, too.
+    /// Opens the ring in a folder, which is made if it isn't there. What is recovered has been made
+    /// to last, too.
     ///
     /// # Errors
-    /// When the settings make no ring, or the file system refuses: nothing is lost then, and it may be tried again.
-    pub fn open(folder: &Path, settings: &StorageSettings) -> Result<(Self, Recovered), StorageError> {
+    /// When the settings make no ring, or the file system refuses: nothing is lost then, and it may
+    /// be tried again.
+    pub fn open(
+        folder: &Path,
+        settings: &StorageSettings,
+    ) -> Result<(Self, Recovered), StorageError> {
         Self::open_with(Box::new(RealFileSystem), folder, settings)
     }
 
@@ -135,11 +150,17 @@
         recovery::open(file_system, folder, settings)
     }
 
-    pub(crate) fn new(file_system: Box<dyn FileSystem>, folder: &Path, settings: &StorageSettings) -> Self {
+    pub(crate) fn new(
+        file_system: Box<dyn FileSystem>,
+        folder: &Path,
+        settings: &StorageSettings,
+    ) -> Self {
         Self {
             file_system,
             folder: folder.to_owned(),
-            segment_bytes: settings.segment_bytes.next_multiple_of(block::SECTOR_BYTES as u64),
+            segment_bytes: settings
+                .segment_bytes
+                .next_multiple_of(block::SECTOR_BYTES as u64),
             owner: block::owner_digest(&settings.owner),
             segments: Vec::new(),
             current: None,
@@ -150,11 +171,13 @@
         }
     }
 
-    /// Stores records behind all others: all of them or, after an error, none. They are synced when this returns.
+    /// Stores records behind all others: all of them or, after an error, none. They are synced when
+    /// this returns.
     ///
     /// # Errors
-    /// When the segment is full or damaged, or the file system refuses. Nothing has changed then, except that after an error of
-    /// the file system the records may be found by a recovery, unless another call succeeded in between.
+    /// When the segment is full or damaged, or the file system refuses. Nothing has changed then,
+    /// except that after an error of the file system the records may be found by a recovery, unless
+    /// another call succeeded in between.
     pub fn append(&mut self, records: &[Vec<u8>]) -> Result<(), StorageError> {
         if records.is_empty() {
             return Ok(());
@@ -172,19 +195,27 @@
         if wanted > left {
             return Err(StorageError::SegmentFull { wanted, left });
         }
-        let bytes =
-            self.encode(Kind::Records, current.generation, current.sequence, &block::join_records(records))?;
+        let bytes = self.encode(
+            Kind::Records,
+            current.generation,
+            current.sequence,
+            &block::join_records(records),
+        )?;
         self.write_synced(current.segment, current.offset, &bytes)?;
-        self.current =
-            Some(Current { offset: current.offset + wanted, sequence: current.sequence + 1, ..current });
+        self.current = Some(Current {
+            offset: current.offset + wanted,
+            sequence: current.sequence + 1,
+            ..current
+        });
         Ok(())
     }
 
-    /// Stores an image in place of the image and all records so far: it is there whole, or they are. It is synced when this returns.
+    /// Stores an image in place of the image and all records so far: it is there whole, or they
+    /// are. It is synced when this returns.
     ///
     /// # Errors
-    /// When the file system refuses. What was stored before still counts then, except that a recovery may find the image,
-    /// unless another call succeeded in between.
+    /// When the file system refuses. What was stored before still counts then, except that a
+    /// recovery may find the image, unless another call succeeded in between.
     pub fn replace(&mut self, image: &[u8]) -> Result<(), StorageError> {
         self.void_unfinished()?;
         self.begin_segment(Kind::Image, image)?;
@@ -217,27 +248,43 @@
             None => (0, self.segment_bytes),
         };
         let wants_image = self.needs_image || used_bytes * 100 > segment_bytes * USED_PERCENT;
-        Usage { used_bytes, segment_bytes, disk_bytes, wants_image }
+        Usage {
+            used_bytes,
+            segment_bytes,
+            disk_bytes,
+            wants_image,
+        }
     }
 
     /// Begins the next segment of the ring: its first block, a sync, its mark, a sync.
     fn begin_segment(&mut self, kind: Kind, payload: &[u8]) -> Result<Current, StorageError> {
-        let segment = self.current.map_or(0, |current| (current.segment + 1) % self.segments.len());
+        let segment = self
+            .current
+            .map_or(0, |current| (current.segment + 1) % self.segments.len());
         let generation = self.highest_generation + 1;
         let beginning = self.encode(kind, generation, 0, payload)?;
         self.make_room(segment, beginning.len() as u64)?;
         let mark_offset = beginning.len() as u64;
         self.highest_generation = generation;
-        self.unfinished = Some(Unfinished { segment, mark_offset });
+        self.unfinished = Some(Unfinished {
+            segment,
+            mark_offset,
+        });
         self.write_synced(segment, 0, &beginning)?;
         let offset = self.write_mark(segment, generation, mark_offset)?;
         self.unfinished = None;
-        let current = Current { segment, generation, offset, sequence: 2 };
+        let current = Current {
+            segment,
+            generation,
+            offset,
+            sequence: 2,
+        };
         self.current = Some(current);
         Ok(current)
     }
 
-    /// Says on disk that the beginning of a segment has been synced. Returns where the next block goes.
+    /// Says on disk that the beginning of a segment has been synced. Returns where the next block
+    /// goes.
     pub(crate) fn write_mark(
         &mut self,
         segment: usize,
@@ -249,10 +296,17 @@
         Ok(offset + mark.len() as u64)
     }
 
-    /// Makes sure that a beginning that failed can't come back: without this, a recovery might take it for newer than
-    /// what is acknowledged from here on. The mark goes first, since a mark without a beginning would look like damage.
+    /// Makes sure that a beginning that failed can't come back: without this, a recovery might take
+    /// it for newer than what is acknowledged from here on. The mark goes first, since a mark
+    /// without a beginning would look like damage.
     fn void_unfinished(&mut self) -> Result<(), StorageError> {
-        let Some(Unfinished { segment, mark_offset }) = self.unfinished else { return Ok(()) };
+        let Some(Unfinished {
+            segment,
+            mark_offset,
+        }) = self.unfinished
+        else {
+            return Ok(());
+        };
         self.write_void(segment, mark_offset)?;
         self.write_void(segment, 0)?;
         self.unfinished = None;
@@ -265,7 +319,8 @@
         self.write_synced(segment, offset, &void)
     }
 
-    /// Makes a segment long enough for a beginning and as much again: a longer file takes its place.
+    /// Makes a segment long enough for a beginning and as much again: a longer file takes its
+    /// place.
     fn make_room(&mut self, segment: usize, beginning: u64) -> Result<(), StorageError> {
         if 2 * beginning > self.segments[segment].length {
             let length = (2 * beginning).next_multiple_of(self.segment_bytes);
@@ -275,9 +330,14 @@
     }
 
     fn put_longer(&mut self, segment: usize, length: u64) -> Result<(), StorageError> {
-        let (path, beside) = (segment_path(&self.folder, segment), beside_path(&self.folder, segment));
+        let (path, beside) = (
+            segment_path(&self.folder, segment),
+            beside_path(&self.folder, segment),
+        );
         let made = self.make_file(&beside, length).and_then(|file| {
-            self.file_system.rename(&beside, &path).map_err(StorageError::io("rename", &beside))?;
+            self.file_system
+                .rename(&beside, &path)
+                .map_err(StorageError::io("rename", &beside))?;
             Ok(file)
         });
         match made {
@@ -287,7 +347,8 @@
                 Ok(())
             }
             Err(error) => {
-                // It would take room on a full disk. If it can't be removed now, the next opening does.
+                // It would take room on a full disk. If it can't be removed now, the next opening
+                // does.
                 let _ = self.file_system.remove(&beside);
                 Err(error)
             }
@@ -295,16 +356,26 @@
     }
 
     /// A new file of zeros, synced. Its name lasts once the folder is synced.
-    pub(crate) fn make_file(&self, path: &Path, length: u64) -> Result<Box<dyn StorageFile>, StorageError> {
-        let mut file = self.file_system.create(path).map_err(StorageError::io("create", path))?;
-        file.set_length(length).map_err(StorageError::io("set the length of", path))?;
+    pub(crate) fn make_file(
+        &self,
+        path: &Path,
+        length: u64,
+    ) -> Result<Box<dyn StorageFile>, StorageError> {
+        let mut file = self
+            .file_system
+            .create(path)
+            .map_err(StorageError::io("create", path))?;
+        file.set_length(length)
+            .map_err(StorageError::io("set the length of", path))?;
         file.sync().map_err(StorageError::io("sync", path))?;
         Ok(file)
     }
 
     fn sync_names(&mut self) -> Result<(), StorageError> {
         if self.names_unsynced {
-            self.file_system.sync_folder(&self.folder).map_err(StorageError::io("sync", &self.folder))?;
+            self.file_system
+                .sync_folder(&self.folder)
+                .map_err(StorageError::io("sync", &self.folder))?;
             self.names_unsynced = false;
         }
         Ok(())
@@ -317,8 +388,15 @@
         sequence: u32,
         payload: &[u8],
     ) -> Result<Vec<u8>, StorageError> {
-        let header = Header { kind, owner: self.owner, generation, sequence };
-        block::encode(header, payload).ok_or(StorageError::TooLong { bytes: payload.len() as u64 })
+        let header = Header {
+            kind,
+            owner: self.owner,
+            generation,
+            sequence,
+        };
+        block::encode(header, payload).ok_or(StorageError::TooLong {
+            bytes: payload.len() as u64,
+        })
     }
 
     /// Writes bytes and syncs them.
@@ -330,7 +408,10 @@
     ) -> Result<(), StorageError> {
         let path = segment_path(&self.folder, segment);
         let Segment { file, length } = &mut self.segments[segment];
-        debug_assert!(offset + bytes.len() as u64 <= *length, "a block goes beyond its segment");
+        debug_assert!(
+            offset + bytes.len() as u64 <= *length,
+            "a block goes beyond its segment"
+        );
         write_all_at(file.as_mut(), offset, bytes).map_err(StorageError::io("write", &path))?;
         file.sync().map_err(StorageError::io("sync", &path))
     }
--- a/wire/storage/src/sync.rs
+++ b/wire/storage/src/sync.rs
@@ -1,4 +1,5 @@
-//! Threads and locks: the system's, and those of a scheduler that tries their interleavings in this package's own tests.
+//! Threads and locks: the system's, and those of a scheduler that tries their interleavings in this
+//! package's own tests.
 
 #[cfg(test)]
 pub(crate) use shuttle::{
--- a/wire/storage/src/writer/mod.rs
+++ b/wire/storage/src/writer/mod.rs
@@ -1,7 +1,8 @@
 //! The one thread that writes, so that a stalled disk holds up nothing else.
 //!
-//! Jobs are done in the order in which they were submitted; appends that wait together share one write and one sync. After a failure
-//! all jobs fail that were submitted before [`Writer::completions`] told of it: a record is never stored behind a gap.
+//! Jobs are done in the order in which they were submitted; appends that wait together share one
+//! write and one sync. After a failure all jobs fail that were submitted before
+//! [`Writer::completions`] told of it: a record is never stored behind a gap.
 
 use std::collections::VecDeque;
 use std::io::{self, Write};
@@ -55,10 +56,13 @@
 
 /// A lock whose holder panicked is taken all the same: each holder leaves what it guards whole.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+    mutex
+        .lock()
+        .unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-/// The submitting end of the thread that owns a [`Storage`]. None of its calls waits for the disk, but for [`Writer::close`].
+/// The submitting end of the thread that owns a [`Storage`]. None of its calls waits for the disk,
+/// but for [`Writer::close`].
 pub struct Writer {
     shared: Arc<Shared>,
     thread: Option<JoinHandle<Storage>>,
@@ -69,12 +73,15 @@
 
 impl std::fmt::Debug for Writer {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Writer").field("outstanding", &self.outstanding.len()).finish_non_exhaustive()
+        f.debug_struct("Writer")
+            .field("outstanding", &self.outstanding.len())
+            .finish_non_exhaustive()
     }
 }
 
 impl Writer {
-    /// Starts the thread. A byte is written to `wake` when there are completions to take; the other end is for the caller's loop.
+    /// Starts the thread. A byte is written to `wake` when there are completions to take; the other
+    /// end is for the caller's loop.
     ///
     /// # Errors
     /// When the stream can't be set or no thread be had.
@@ -90,21 +97,37 @@
     /// When no thread can be had.
     pub fn start_with(storage: Storage, wake: impl FnMut() + Send + 'static) -> io::Result<Self> {
         let shared = Arc::new(Shared::default());
-        let worker = Worker { shared: shared.clone(), storage, wake: Box::new(wake), failures: 0 };
-        let thread = Builder::new().name("storage".to_owned()).spawn(move || worker.run())?;
-        Ok(Self { shared, thread: Some(thread), outstanding: VecDeque::new(), failures_known: 0 })
+        let worker = Worker {
+            shared: shared.clone(),
+            storage,
+            wake: Box::new(wake),
+            failures: 0,
+        };
+        let thread = Builder::new()
+            .name("storage".to_owned())
+            .spawn(move || worker.run())?;
+        Ok(Self {
+            shared,
+            thread: Some(thread),
+            outstanding: VecDeque::new(),
+            failures_known: 0,
+        })
     }
 
     /// Hands a job to the thread. Its completion will bear the ticket.
     pub fn submit(&mut self, ticket: u64, job: Job) {
         self.outstanding.push_back(Instant::now());
-        let queued = Queued { ticket, job, failures_known: self.failures_known };
+        let queued = Queued {
+            ticket,
+            job,
+            failures_known: self.failures_known,
+        };
         lock(&self.shared.queue).jobs.push_back(queued);
         self.shared.arrived.notify_one();
     }
 
-    /// Takes what was completed since the last call, in the order of submission. Jobs that are submitted from now on take place
-    /// whatever failed before: the caller knows of it.
+    /// Takes what was completed since the last call, in the order of submission. Jobs that are
+    /// submitted from now on take place whatever failed before: the caller knows of it.
     pub fn completions(&mut self) -> Vec<Completion> {
         let completions = std::mem::take(&mut *lock(&self.shared.completions));
         self.outstanding.drain(..completions.len());
@@ -120,7 +143,8 @@
         self.outstanding.len()
     }
 
-    /// How long ago the oldest job was submitted whose completion hasn't been taken: what a stalled disk shows in.
+    /// How long ago the oldest job was submitted whose completion hasn't been taken: what a stalled
+    /// disk shows in.
     #[must_use]
     pub fn oldest_outstanding(&self) -> Option<Duration> {
         self.oldest_outstanding_at(Instant::now())
@@ -129,10 +153,13 @@
     /// The same at a given time.
     #[must_use]
     pub fn oldest_outstanding_at(&self, now: Instant) -> Option<Duration> {
-        self.outstanding.front().map(|submitted| now.saturating_duration_since(*submitted))
+        self.outstanding
+            .front()
+            .map(|submitted| now.saturating_duration_since(*submitted))
     }
 
-    /// Waits until all jobs have been done and the thread has ended, and gives the storage back. `None` if the thread had panicked.
+    /// Waits until all jobs have been done and the thread has ended, and gives the storage back.
+    /// `None` if the thread had panicked.
     pub fn close(mut self) -> Option<Storage> {
         self.end();
         self.thread.take()?.join().ok()
@@ -177,14 +204,20 @@
             if queue.closed {
                 return None;
             }
-            queue = self.shared.arrived.wait(queue).unwrap_or_else(std::sync::PoisonError::into_inner);
+            queue = self
+                .shared
+                .arrived
+                .wait(queue)
+                .unwrap_or_else(std::sync::PoisonError::into_inner);
         }
         Some(std::mem::take(&mut queue.jobs))
     }
 
     /// Does the first job, together with the appends behind it where it is one.
     fn do_next(&mut self, jobs: &mut VecDeque<Queued>) {
-        let Some(first) = jobs.pop_front() else { return };
+        let Some(first) = jobs.pop_front() else {
+            return;
+        };
         let mut tickets = vec![first.ticket];
         if first.failures_known < self.failures {
             return self.complete(&tickets, &Err(StorageError::EarlierFailed));
@@ -202,10 +235,23 @@
     }
 
     /// Adds the records of the appends that come next, as far as all fit into one block.
-    fn join_appends(&self, records: &mut Vec<Vec<u8>>, tickets: &mut Vec<u64>, jobs: &mut VecDeque<Queued>) {
+    fn join_appends(
+        &self,
+        records: &mut Vec<Vec<u8>>,
+        tickets: &mut Vec<u64>,
+        jobs: &mut VecDeque<Queued>,
+    ) {
         let mut bytes: usize = records.iter().map(Vec::len).sum();
-        while let Some(Queued { ticket, job: Job::Append(more), failures_known }) = jobs.front_mut() {
-            debug_assert!(*failures_known >= self.failures, "a submitter never knows less than it did");
+        while let Some(Queued {
+            ticket,
+            job: Job::Append(more),
+            failures_known,
+        }) = jobs.front_mut()
+        {
+            debug_assert!(
+                *failures_known >= self.failures,
+                "a submitter never knows less than it did"
+            );
             let with_more = bytes + more.iter().map(Vec::len).sum::<usize>();
             if !self.storage.fits(records.len() + more.len(), with_more) {
                 return;
@@ -219,8 +265,11 @@
 
     fn complete(&mut self, tickets: &[u64], result: &Result<Usage, StorageError>) {
         let failures = self.failures;
-        let completions =
-            tickets.iter().map(|ticket| Completion { ticket: *ticket, result: result.clone(), failures });
+        let completions = tickets.iter().map(|ticket| Completion {
+            ticket: *ticket,
+            result: result.clone(),
+            failures,
+        });
         lock(&self.shared.completions).extend(completions);
         (self.wake)();
     }
--- a/wire/storage/src/writer/tests.rs
+++ b/wire/storage/src/writer/tests.rs
@@ -40,7 +40,10 @@
 fn start(disk: &FakeDisk) -> (Writer, Arc<Bell>) {
     let bell = Arc::new(Bell::default());
     let rings = bell.clone();
-    (Writer::start_with(open(disk).0, move || rings.ring()).unwrap(), bell)
+    (
+        Writer::start_with(open(disk).0, move || rings.ring()).unwrap(),
+        bell,
+    )
 }
 
 fn wait_for(writer: &mut Writer, bell: &Bell, count: usize) -> Vec<Completion> {
@@ -53,10 +56,14 @@
 }
 
 fn tickets(completions: &[Completion]) -> Vec<u64> {
-    completions.iter().map(|completion| completion.ticket).collect()
+    completions
+        .iter()
+        .map(|completion| completion.ticket)
+        .collect()
 }
 
-/// Two appends and a wait for both: no wake-up is lost, nothing is done twice or out of order, and all is on the disk.
+/// Two appends and a wait for both: no wake-up is lost, nothing is done twice or out of order, and
+/// all is on the disk.
 fn all_is_done_once() {
     let disk = FakeDisk::new();
     let (mut writer, bell) = start(&disk);
@@ -68,8 +75,8 @@
     assert_eq!(open(&disk).1.records, [[1], [2]]);
 }
 
-/// The first append fails. Whatever the submitter has seen of that when it submits the second, what is acknowledged is what is
-/// on the disk, without a gap.
+/// The first append fails. Whatever the submitter has seen of that when it submits the second, what
+/// is acknowledged is what is on the disk, without a gap.
 fn nothing_is_stored_behind_a_gap() {
     let disk = FakeDisk::new();
     open(&disk).0.replace(b"image").unwrap();
@@ -96,14 +103,20 @@
     writer.submit(1, Job::Replace(vec![1]));
     writer.submit(2, Job::Append(vec![vec![2]]));
     let early = writer.completions();
-    assert!(early.iter().all(|completion| completion.result != Err(StorageError::EarlierFailed)));
+    assert!(early
+        .iter()
+        .all(|completion| completion.result != Err(StorageError::EarlierFailed)));
     assert!(writer.close().is_some());
     let recovered = open(&disk).1;
-    assert_eq!((recovered.image, recovered.records), (Some(vec![1]), vec![vec![2]]));
+    assert_eq!(
+        (recovered.image, recovered.records),
+        (Some(vec![1]), vec![vec![2]])
+    );
 }
 
-/// All interleavings of two threads with some twenty steps each are too many to be tried: these are drawn, by priorities that change
-/// at a few random places (which finds what takes few changes of threads), and evenly.
+/// All interleavings of two threads with some twenty steps each are too many to be tried: these are
+/// drawn, by priorities that change at a few random places (which finds what takes few changes of
+/// threads), and evenly.
 fn try_interleavings(scenario: fn()) {
     shuttle::check_pct(scenario, 4_000, 3);
     shuttle::check_random_with_seed(scenario, 1, 4_000);
--- a/wire/storage/tests/crashes.rs
+++ b/wire/storage/tests/crashes.rs
@@ -1,4 +1,5 @@
-//! After any crash, all that was acknowledged is recovered, and nothing else but what was being written.
+//! After any crash, all that was acknowledged is recovered, and nothing else but what was being
+//! written.
 
 mod support;
 
@@ -48,7 +49,12 @@
 impl Model {
     fn content(&mut self, length: usize) -> Vec<u8> {
         self.counter += 1;
-        self.counter.to_le_bytes().into_iter().cycle().take(length.max(4)).collect()
+        self.counter
+            .to_le_bytes()
+            .into_iter()
+            .cycle()
+            .take(length.max(4))
+            .collect()
     }
 
     /// Takes a step; `false` once the process has ended.
@@ -62,7 +68,10 @@
             }
             Step::Replace(length) => {
                 let image = self.content(*length);
-                after = State { image: Some(image.clone()), records: Vec::new() };
+                after = State {
+                    image: Some(image.clone()),
+                    records: Vec::new(),
+                };
                 storage.replace(&image)
             }
         };
@@ -77,8 +86,9 @@
         !disk.is_dead()
     }
 
-    /// Whether a finding takes a file of ours for somebody else's. Remains of a first write whose first part was lost may be set aside
-    /// (a short write is two, of which power may leave the second), as long as the state is right.
+    /// Whether a finding takes a file of ours for somebody else's. Remains of a first write whose
+    /// first part was lost may be set aside (a short write is two, of which power may leave the
+    /// second), as long as the state is right.
     fn is_wrong(&self, finding: &Finding) -> bool {
         let remains = self.short_writes;
         matches!(finding, Finding::Foreign { reason, .. } if !remains || *reason != ForeignReason::Unreadable)
@@ -86,12 +96,26 @@
 
     /// Judges what was recovered, and goes on from there.
     fn judge(&mut self, recovered: Recovered, about: &str) {
-        assert!(!recovered.loses_state(), "{about}: {:?}", recovered.findings);
-        let foreign = recovered.findings.iter().find(|finding| self.is_wrong(finding));
+        assert!(
+            !recovered.loses_state(),
+            "{about}: {:?}",
+            recovered.findings
+        );
+        let foreign = recovered
+            .findings
+            .iter()
+            .find(|finding| self.is_wrong(finding));
         assert_eq!(foreign, None, "{about}");
-        let state = State { image: recovered.image, records: recovered.records };
+        let state = State {
+            image: recovered.image,
+            records: recovered.records,
+        };
         let right = state == self.acknowledged || self.tried.contains(&state);
-        assert!(right, "{about}: found {state:?}, acknowledged {:?}", self.acknowledged);
+        assert!(
+            right,
+            "{about}: found {state:?}, acknowledged {:?}",
+            self.acknowledged
+        );
         (self.acknowledged, self.tried) = (state, Vec::new());
     }
 }
@@ -100,7 +124,8 @@
     Storage::open_with(Box::new(disk.clone()), Path::new(FOLDER), &small_ring())
 }
 
-/// Goes round the ring more than twice, with records of all sizes and an image that is longer than a segment.
+/// Goes round the ring more than twice, with records of all sizes and an image that is longer than
+/// a segment.
 fn script() -> Vec<Step> {
     use Step::{Append, Replace};
     vec![
@@ -127,7 +152,9 @@
 
 /// Opens the disk and takes the steps, as far as the process lives.
 fn run(disk: &FakeDisk, model: &mut Model, steps: &[Step]) {
-    let Ok((mut storage, recovered)) = open(disk) else { return };
+    let Ok((mut storage, recovered)) = open(disk) else {
+        return;
+    };
     model.judge(recovered, "first opening");
     for step in steps {
         if !model.step(disk, &mut storage, step) {
@@ -145,17 +172,27 @@
     disk.lose_power(PowerLoss::NothingLeft);
     let (mut storage, recovered) = open(disk).unwrap_or_else(|e| panic!("{about}: {e}"));
     model.judge(recovered, &about);
-    for step in [Step::Append(vec![30]), Step::Replace(900), Step::Append(vec![40, 50])] {
+    for step in [
+        Step::Append(vec![30]),
+        Step::Replace(900),
+        Step::Append(vec![40, 50]),
+    ] {
         assert!(model.step(disk, &mut storage, &step), "{about}");
         assert!(model.tried.is_empty(), "{about}");
     }
     disk.lose_power(PowerLoss::NothingLeft);
-    model.judge(open(disk).unwrap_or_else(|e| panic!("{about}: {e}")).1, &about);
+    model.judge(
+        open(disk).unwrap_or_else(|e| panic!("{about}: {e}")).1,
+        &about,
+    );
 }
 
 fn losses(seeds: u64) -> Vec<PowerLoss> {
     let random = (0..seeds).map(|seed| PowerLoss::Random(Random::new(seed + 1)));
-    [PowerLoss::NothingLeft, PowerLoss::AllLeft].into_iter().chain(random).collect()
+    [PowerLoss::NothingLeft, PowerLoss::AllLeft]
+        .into_iter()
+        .chain(random)
+        .collect()
 }
 
 fn operations_of_script() -> u64 {
@@ -220,12 +257,20 @@
         for fault in [Fault::Error, Fault::Full, Fault::Short] {
             for steps in 0..=script().len() {
                 let short_writes = fault == Fault::Short;
-                let (disk, mut model) = (FakeDisk::new(), Model { short_writes, ..Model::default() });
+                let (disk, mut model) = (
+                    FakeDisk::new(),
+                    Model {
+                        short_writes,
+                        ..Model::default()
+                    },
+                );
                 disk.set_random(Random::new(operation));
                 disk.fault_after(operation, fault);
                 run(&disk, &mut model, &script()[..steps]);
                 let about = format!("operation {operation}, {fault:?}, {steps} steps");
-                disk.lose_power(PowerLoss::Random(Random::new(operation * 100 + steps as u64)));
+                disk.lose_power(PowerLoss::Random(Random::new(
+                    operation * 100 + steps as u64,
+                )));
                 recover(&disk, model, &about);
             }
         }
@@ -236,9 +281,20 @@
 fn any_faults_and_crashes_in_any_order() {
     for seed in 0..5_000 {
         let mut random = Random::new(seed);
-        let (disk, mut model) = (FakeDisk::new(), Model { short_writes: true, ..Model::default() });
+        let (disk, mut model) = (
+            FakeDisk::new(),
+            Model {
+                short_writes: true,
+                ..Model::default()
+            },
+        );
         for life in 0..2 + random.below(5) {
-            live(&disk, &mut model, &mut random, &format!("seed {seed}, life {life}"));
+            live(
+                &disk,
+                &mut model,
+                &mut random,
+                &format!("seed {seed}, life {life}"),
+            );
         }
         disk.set_full(false);
         recover(&disk, model, &format!("seed {seed}"));
--- a/wire/storage/tests/support/file.rs
+++ b/wire/storage/tests/support/file.rs
@@ -33,7 +33,13 @@
             Outcome::Fault(Fault::Short) => 1 + disk.random().below(bytes.len()),
             Outcome::Fault(Fault::Error) => disk.random().below(bytes.len() + 1),
         };
-        disk.change(self.inode, Change::Write { offset: offset as usize, bytes: bytes[..part].to_vec() });
+        disk.change(
+            self.inode,
+            Change::Write {
+                offset: offset as usize,
+                bytes: bytes[..part].to_vec(),
+            },
+        );
         match outcome {
             Outcome::Dies | Outcome::Fault(Fault::Error) => Err(error("input/output error")),
             _ => Ok(part),
@@ -61,7 +67,9 @@
             }
             _ => {}
         }
-        let Inode { durable, pending, .. } = &mut disk.inodes[self.inode];
+        let Inode {
+            durable, pending, ..
+        } = &mut disk.inodes[self.inode];
         pending.drain(..).for_each(|change| change.apply(durable));
         disk.syncs += 1;
         Ok(())
--- a/wire/storage/tests/support/mod.rs
+++ b/wire/storage/tests/support/mod.rs
@@ -1,5 +1,6 @@
-//! A disk in memory, with the faults of a real one: writes that a loss of power leaves out or tears, names that it loses, refused writes,
-//! syncs that fail and forget what they were to sync, short writes.
+//! A disk in memory, with the faults of a real one: writes that a loss of power leaves out or
+//! tears, names that it loses, refused writes, syncs that fail and forget what they were to sync,
+//! short writes.
 #![allow(dead_code)]
 
 mod file;
@@ -26,7 +27,8 @@
 /// What happens to one operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It fails; of a write a part may have been done, of a sync each write may have been done or is forgotten.
+    /// It fails; of a write a part may have been done, of a sync each write may have been done or
+    /// is forgotten.
     Error,
     /// It is refused, as far as it needs room.
     Full,
@@ -54,13 +56,23 @@
 
     /// Does a part of it: a first part, or some of its sectors.
     fn tear(&self, content: &mut Vec<u8>, random: &mut Random) {
-        let Self::Write { offset, bytes } = self else { return self.apply(content) };
+        let Self::Write { offset, bytes } = self else {
+            return self.apply(content);
+        };
         if random.one_in(2) {
             let part = bytes[..random.below(bytes.len())].to_vec();
-            return Self::Write { offset: *offset, bytes: part }.apply(content);
+            return Self::Write {
+                offset: *offset,
+                bytes: part,
+            }
+            .apply(content);
         }
         for (number, sector) in bytes.chunks(512).enumerate().filter(|_| random.one_in(2)) {
-            Self::Write { offset: offset + 512 * number, bytes: sector.to_vec() }.apply(content);
+            Self::Write {
+                offset: offset + 512 * number,
+                bytes: sector.to_vec(),
+            }
+            .apply(content);
         }
     }
 
@@ -159,7 +171,10 @@
             self.dead = true;
             return Ok(Outcome::Dies);
         }
-        Ok(self.faults.remove(&number).map_or(Outcome::Done, Outcome::Fault))
+        Ok(self
+            .faults
+            .remove(&number)
+            .map_or(Outcome::Done, Outcome::Fault))
     }
 
     /// For operations that are done whole or not at all.
@@ -187,10 +202,13 @@
         self.pending_names.push(change);
     }
 
-    /// A failed sync forgets what it was to sync: it can be read until power is lost, and no later sync covers it.
+    /// A failed sync forgets what it was to sync: it can be read until power is lost, and no later
+    /// sync covers it.
     fn fail_sync(&mut self, inode: usize) {
         let mut random = self.random().clone();
-        let Inode { durable, pending, .. } = &mut self.inodes[inode];
+        let Inode {
+            durable, pending, ..
+        } = &mut self.inodes[inode];
         for change in pending.drain(..) {
             change.leave(durable, &mut PowerLoss::Random(random.clone()));
             random.next();
@@ -219,7 +237,8 @@
             self.folders = self.durable_folders.clone();
         }
         let folders = self.folders.clone();
-        self.durable_names.retain(|path, _| path.parent().is_some_and(|folder| folders.contains(folder)));
+        self.durable_names
+            .retain(|path, _| path.parent().is_some_and(|folder| folders.contains(folder)));
         self.names = self.durable_names.clone();
     }
 }
@@ -227,7 +246,11 @@
 impl FakeDisk {
     pub fn new() -> Self {
         let folders = BTreeSet::from([PathBuf::from("/")]);
-        let disk = Disk { folders: folders.clone(), durable_folders: folders, ..Disk::default() };
+        let disk = Disk {
+            folders: folders.clone(),
+            durable_folders: folders,
+            ..Disk::default()
+        };
         Self(Arc::new(Mutex::new(disk)))
     }
 
@@ -293,7 +316,9 @@
 
     pub fn content(&self, path: &str) -> Option<Vec<u8>> {
         let disk = self.lock();
-        disk.names.get(Path::new(path)).map(|inode| disk.inodes[*inode].visible.clone())
+        disk.names
+            .get(Path::new(path))
+            .map(|inode| disk.inodes[*inode].visible.clone())
     }
 
     /// Changes a file behind the storage's back, for good.
@@ -321,7 +346,11 @@
             return;
         };
         let inode = disk.inodes.len();
-        disk.inodes.push(Inode { visible: content.clone(), durable: content, pending: Vec::new() });
+        disk.inodes.push(Inode {
+            visible: content.clone(),
+            durable: content,
+            pending: Vec::new(),
+        });
         disk.names.insert(path.into(), inode);
         disk.durable_names.insert(path.into(), inode);
     }
@@ -350,7 +379,10 @@
             return Err(error("ended"));
         }
         let inode = *disk.names.get(path).ok_or(io::ErrorKind::NotFound)?;
-        Ok(Box::new(FakeFile { disk: self.clone(), inode }))
+        Ok(Box::new(FakeFile {
+            disk: self.clone(),
+            inode,
+        }))
     }
 
     fn create(&self, path: &Path) -> io::Result<Box<dyn StorageFile>> {
@@ -366,7 +398,10 @@
             inode
         };
         if done {
-            Ok(Box::new(FakeFile { disk: self.clone(), inode }))
+            Ok(Box::new(FakeFile {
+                disk: self.clone(),
+                inode,
+            }))
         } else {
             Err(error("ended"))
         }
@@ -404,7 +439,12 @@
         for change in std::mem::take(&mut disk.pending_names) {
             change.apply(&mut disk.durable_names);
         }
-        let folders: Vec<_> = disk.folders.iter().filter(|f| f.parent() == Some(path)).cloned().collect();
+        let folders: Vec<_> = disk
+            .folders
+            .iter()
+            .filter(|f| f.parent() == Some(path))
+            .cloned()
+            .collect();
         disk.durable_folders.extend(folders);
         Ok(())
     }
@@ -412,7 +452,11 @@
 
 /// A small ring.
 pub fn small_ring() -> StorageSettings {
-    StorageSettings { segment_bytes: 4096, segments: 3, ..StorageSettings::new("north n1") }
+    StorageSettings {
+        segment_bytes: 4096,
+        segments: 3,
+        ..StorageSettings::new("north n1")
+    }
 }
 
 pub const FOLDER: &str = "/data/storage";
--- a/wire/storage/tests/writer.rs
+++ b/wire/storage/tests/writer.rs
@@ -53,14 +53,26 @@
         writer.submit(ticket.into(), Job::Append(vec![vec![ticket]]));
     }
     let completions = wait_for(&mut writer, &mut wake, 99);
-    assert!(completions.iter().map(|completion| completion.ticket).eq(1..100));
-    assert!(completions.iter().all(|completion| completion.result.is_ok()));
+    assert!(completions
+        .iter()
+        .map(|completion| completion.ticket)
+        .eq(1..100));
+    assert!(completions
+        .iter()
+        .all(|completion| completion.result.is_ok()));
     assert!(writer.close().is_some());
     let (_, recovered) = Storage::open(&path, &settings).unwrap();
     assert_eq!(recovered.image.as_deref(), Some(&b"image"[..]));
-    assert!(recovered.records.into_iter().eq((3..100_u8).map(|ticket| vec![ticket])));
+    assert!(recovered
+        .records
+        .into_iter()
+        .eq((3..100_u8).map(|ticket| vec![ticket])));
     assert_eq!(recovered.findings, []);
-    let lengths = (0..4).map(|n| std::fs::metadata(path.join(format!("segment-{n}"))).unwrap().len());
+    let lengths = (0..4).map(|n| {
+        std::fs::metadata(path.join(format!("segment-{n}")))
+            .unwrap()
+            .len()
+    });
     assert!(lengths.eq([1 << 20; 4]));
 }
 
@@ -71,17 +83,26 @@
     std::fs::write(folder.0.join("segment-2"), "notes").unwrap();
     let (mut storage, recovered) = Storage::open(&folder.0, &small_ring()).unwrap();
     assert_eq!(recovered.findings.len(), 2);
-    assert_eq!(std::fs::read(folder.0.join("segment-2.aside-1")).unwrap(), b"notes");
+    assert_eq!(
+        std::fs::read(folder.0.join("segment-2.aside-1")).unwrap(),
+        b"notes"
+    );
     assert!(folder.0.join("segment-1.aside-1").is_dir());
     storage.replace(&[3; 9000]).unwrap();
-    assert_eq!(Storage::open(&folder.0, &small_ring()).unwrap().1.image, Some(vec![3; 9000]));
+    assert_eq!(
+        Storage::open(&folder.0, &small_ring()).unwrap().1.image,
+        Some(vec![3; 9000])
+    );
 }
 
 fn open_fake(disk: &FakeDisk) -> Storage {
-    Storage::open_with(Box::new(disk.clone()), Path::new(FOLDER), &small_ring()).unwrap().0
+    Storage::open_with(Box::new(disk.clone()), Path::new(FOLDER), &small_ring())
+        .unwrap()
+        .0
 }
 
-/// A writer whose thread waits in its first wake-up until it is let go: what is submitted meanwhile waits together.
+/// A writer whose thread waits in its first wake-up until it is let go: what is submitted meanwhile
+/// waits together.
 fn held_writer(storage: Storage) -> (Writer, mpsc::Receiver<()>, mpsc::Sender<()>) {
     let (woken, wakes) = mpsc::channel();
     let (let_go, held) = mpsc::channel::<()>();
@@ -128,8 +149,10 @@
     drop(let_go);
     (0..2).for_each(|_| wakes.recv().unwrap());
     let completions = writer.completions();
-    let results: Vec<_> =
-        completions.iter().map(|completion| (completion.ticket, &completion.result)).collect();
+    let results: Vec<_> = completions
+        .iter()
+        .map(|completion| (completion.ticket, &completion.result))
+        .collect();
     assert_matches!(
         &results[..],
         [
@@ -143,10 +166,22 @@
     );
     writer.submit(6, Job::Append(vec![vec![3]]));
     wakes.recv().unwrap();
-    assert_matches!(&writer.completions()[..], [Completion { ticket: 6, result: Ok(_), .. }]);
+    assert_matches!(
+        &writer.completions()[..],
+        [Completion {
+            ticket: 6,
+            result: Ok(_),
+            ..
+        }]
+    );
     drop(writer.close());
-    let recovered = Storage::open_with(Box::new(disk), Path::new(FOLDER), &small_ring()).unwrap().1;
-    assert_eq!((recovered.image, recovered.records), (Some(b"image".to_vec()), vec![vec![3]]));
+    let recovered = Storage::open_with(Box::new(disk), Path::new(FOLDER), &small_ring())
+        .unwrap()
+        .1;
+    assert_eq!(
+        (recovered.image, recovered.records),
+        (Some(b"image".to_vec()), vec![vec![3]])
+    );
 }
 
 #[test]
@@ -161,7 +196,9 @@
     drop(let_go);
     (0..2).for_each(|_| wakes.recv().unwrap());
     let completions = writer.completions();
-    assert!(completions[..3].iter().all(|completion| completion.result.is_ok()));
+    assert!(completions[..3]
+        .iter()
+        .all(|completion| completion.result.is_ok()));
     assert_matches!(completions[3].result, Err(StorageError::SegmentFull { .. }));
     writer.submit(4, Job::Replace(vec![2; 10]));
     assert!(writer.close().is_some());
@@ -170,7 +207,10 @@
 #[test]
 fn the_age_of_what_is_outstanding_is_told_while_the_disk_stalls() {
     let (mut writer, wakes, let_go) = held_writer(open_fake(&FakeDisk::new()));
-    assert_eq!((writer.oldest_outstanding(), writer.outstanding()), (None, 0));
+    assert_eq!(
+        (writer.oldest_outstanding(), writer.outstanding()),
+        (None, 0)
+    );
     let before = Instant::now();
     writer.submit(0, Job::Append(vec![vec![0]]));
     let after = Instant::now();
@@ -184,7 +224,10 @@
     assert_eq!(writer.outstanding(), 1);
     drop(let_go);
     wakes.recv().unwrap();
-    assert_eq!((writer.completions().len(), writer.oldest_outstanding()), (1, None));
+    assert_eq!(
+        (writer.completions().len(), writer.oldest_outstanding()),
+        (1, None)
+    );
 }
 
 #[test]
@@ -197,6 +240,8 @@
     drop(let_go);
     // The thread drops its end of the channel when it ends.
     assert!((1..=2).contains(&wakes.iter().count()));
-    let recovered = Storage::open_with(Box::new(disk), Path::new(FOLDER), &small_ring()).unwrap().1;
+    let recovered = Storage::open_with(Box::new(disk), Path::new(FOLDER), &small_ring())
+        .unwrap()
+        .1;
     assert_eq!(recovered.records, [b"1"]);
 }
