--- a/decide/agree/src/genesis.rs
+++ b/decide/consensus/src/genesis.rs
@@ -94,7 +94,7 @@
     /// it has kept.
     ///
     /// ```
-    /// use lichenswitch_agree::genesis::{Gather, Identity, Reason};
+    /// use lichenswitch_consensus::genesis::{Gather, Identity, Reason};
     /// let own = |name: &str, memory| Identity { name: name.into(), memory };
     /// let names: Vec<String> = ["a", "b", "c"].map(Into::into).into();
     /// let mut a = Gather::new(own("a", 1), &names, None);
--- a/decide/agree/src/standing.rs
+++ b/decide/consensus/src/standing.rs
@@ -4,7 +4,7 @@
 //! within a lease, whatever the network held back, and one that wakes after a stop knows that it is
 //! not.
 
-use lichenswitch_duty::Terms;
+use lichenswitch_lease::Terms;
 use lichenswitch_interface::{Micros, Time};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -80,8 +80,8 @@
 /// One broker's count of who has heard it.
 ///
 /// ```
-/// use lichenswitch_agree::standing::{Hearing, Standing};
-/// use lichenswitch_duty::Terms;
+/// use lichenswitch_consensus::standing::{Hearing, Standing};
+/// use lichenswitch_lease::Terms;
 /// use lichenswitch_interface::Time;
 ///
 /// let terms = Terms { lease: 3_000_000, drift: 20_000 };
--- a/decide/agree/src/state.rs
+++ b/decide/consensus/src/state.rs
@@ -1,7 +1,7 @@
 //! What is agreed on, entry by entry, and what follows: the grants of duties. A snapshot is the
 //! same in short.
 
-use lichenswitch_duty::grants::{Entry as Grant, Grants, Told};
+use lichenswitch_lease::grants::{Entry as Grant, Grants, Told};
 use lichenswitch_interface::Time;
 use omnipaxos::storage;
 use serde::{Deserialize, Serialize};
@@ -31,8 +31,8 @@
     /// The grants, as a voter knows them that learns of all of it now.
     ///
     /// ```
-    /// use lichenswitch_agree::state::{Entry, Snapshot};
-    /// use lichenswitch_duty::{grants::Entry as Grant, Duty, Holder};
+    /// use lichenswitch_consensus::state::{Entry, Snapshot};
+    /// use lichenswitch_lease::{grants::Entry as Grant, Duty, Holder};
     /// use lichenswitch_interface::Time;
     /// use omnipaxos::storage::Snapshot as _;
     ///
--- a/decide/agree/src/state/tests.rs
+++ b/decide/consensus/src/state/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of `state`.
 
 use super::*;
-use lichenswitch_duty::{Duty, FenceNumber, Holder};
+use lichenswitch_lease::{Duty, FenceNumber, Holder};
 use omnipaxos::storage::Snapshot as _;
 
 #[test]
--- a/decide/agree/src/voter/tests.rs
+++ b/decide/consensus/src/voter/tests.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 use crate::genesis::{Gather, Reason as Named};
-use lichenswitch_duty::{Duty, Holder};
+use lichenswitch_lease::{Duty, Holder};
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::cmp::Reverse;
--- a/decide/duty/src/grants.rs
+++ b/decide/lease/src/grants.rs
@@ -97,7 +97,7 @@
     /// What is granted, to be told to a voter that was away.
     ///
     /// ```
-    /// use lichenswitch_duty::{grants::{Entry, Grants}, Duty, Holder};
+    /// use lichenswitch_lease::{grants::{Entry, Grants}, Duty, Holder};
     /// use lichenswitch_interface::Time;
     /// let mut grants = Grants::default();
     /// let (duty, holder) = (Duty("d".into()), Holder { name: "a".into(), life: 1 });
--- a/examples/fleet/main.rs
+++ b/examples/fleet/main.rs
@@ -3,7 +3,7 @@
 //! this one is taken.
 #![forbid(unsafe_code)]
 
-use lichenswitch_standins::fleet_processes::demonstration;
+use lichenswitch_emulators::fleet_processes::demonstration;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
--- a/examples/toy-features/main.rs
+++ b/examples/toy-features/main.rs
@@ -1,7 +1,7 @@
 //! Toy data nodes for the OGC front: one for each address on the command line, all with the same
 //! few scooters. A line on standard input changes how they treat requests from then on.
 
-use lichenswitch_standins::features::{point_with, Mood, Server};
+use lichenswitch_emulators::features::{point_with, Mood, Server};
 use serde_json::json;
 use std::io::BufRead;
 use std::net::TcpListener;
--- a/lab/benches/plan.rs
+++ b/experiments/benches/plan.rs
@@ -1,10 +1,10 @@
-//! One plan of the second phase at 200 slices: `cargo bench -p lichenswitch-lab`.
+//! One plan of the second phase at 200 slices: `cargo bench -p lichenswitch-experiments`.
 
 use criterion::{criterion_group, criterion_main, BatchSize, Criterion};
 use lichenswitch::decide::phases::prune::{Bound, Key, Way};
 use lichenswitch::decide::phases::{First, Goal, Planner};
 use lichenswitch::interface::{QueryId, Time};
-use lichenswitch_lab::two_phase;
+use lichenswitch_experiments::two_phase;
 use std::hint::black_box;
 
 const SLICES: u32 = 200;
--- a/lab/src/council.rs
+++ b/experiments/src/council.rs
@@ -1,8 +1,8 @@
 //! Voters and holders as processes under faults from a seed: who held a duty when is judged. Times
 //! are real, so figures differ from run to run; the faults do not.
 
-use lichenswitch_standins::relay::Faults;
-use lichenswitch_standins::rig::{judge_holders, Entry, Event, Rig};
+use lichenswitch_emulators::relay::Faults;
+use lichenswitch_emulators::rig::{judge_holders, Entry, Event, Rig};
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
--- a/lab/src/fleet.rs
+++ b/experiments/src/fleet.rs
@@ -2,7 +2,7 @@
 //! them says of the others is judged, and what it costs is measured. Times are real, so figures
 //! differ from run to run; the faults do not.
 
-use lichenswitch_standins::rig::{agree, judge_deaths, Entry, Rig};
+use lichenswitch_emulators::rig::{agree, judge_deaths, Entry, Rig};
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use serde::Serialize;
--- a/lab/src/main.rs
+++ b/experiments/src/main.rs
@@ -1,16 +1,16 @@
-//! `cargo run --release -p lichenswitch-lab -- NAME --seed N --json FILE`: one experiment, its
+//! `cargo run --release -p lichenswitch-experiments -- NAME --seed N --json FILE`: one experiment, its
 //! table and its figures.
 #![forbid(unsafe_code)]
 
 use clap::{Args, Parser, Subcommand};
-use lichenswitch_lab::{cold, council, discovery, fleet, members, replay, scale, two_phase};
+use lichenswitch_experiments::{cold, council, discovery, fleet, members, replay, scale, two_phase};
 use serde::Serialize;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 /// Experiments on the broker's core and decisions.
 #[derive(Parser)]
-#[command(name = "lichenswitch-lab", version)]
+#[command(name = "lichenswitch-experiments", version)]
 struct Cli {
     #[command(subcommand)]
     experiment: Experiment,
@@ -210,7 +210,7 @@
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
-            eprintln!("lichenswitch-lab: {why}");
+            eprintln!("lichenswitch-experiments: {why}");
             ExitCode::FAILURE
         }
     }
--- a/lab/tests/cold.rs
+++ b/experiments/tests/cold.rs
@@ -1,7 +1,7 @@
 //! A cold server's allowance holds for the sum of all brokers, with few and many of them, even and
 //! uneven.
 
-use lichenswitch_lab::cold::{worst, Plan, BUDGETS};
+use lichenswitch_experiments::cold::{worst, Plan, BUDGETS};
 
 #[test]
 fn the_sum_of_all_brokers_stays_within_what_a_cold_server_is_allowed_but_for_chance() {
--- a/lab/tests/discovery.rs
+++ b/experiments/tests/discovery.rs
@@ -2,7 +2,7 @@
 //! all of them in time, all have heard before the change counts as told, and while it is down it is
 //! not flooded.
 
-use lichenswitch_lab::discovery::{play, Kind};
+use lichenswitch_experiments::discovery::{play, Kind};
 
 /// A fleet, and calls that discovery handles in a second before it.
 const FITS: [(u32, f64); 6] = [
--- a/lab/tests/members.rs
+++ b/experiments/tests/members.rs
@@ -1,6 +1,6 @@
 //! The same seed gives the same figures, and they are those that the operators' page promises.
 
-use lichenswitch_lab::members::play;
+use lichenswitch_experiments::members::play;
 
 #[test]
 fn a_small_fleet_finds_two_deaths_out_in_time_and_the_same_way_each_time() {
--- a/lab/tests/replay.rs
+++ b/experiments/tests/replay.rs
@@ -1,7 +1,7 @@
 //! The module decides as its last change on purpose left it: such a change takes the digests anew
-//! (`lichenswitch-lab replay`) and says so in its commit.
+//! (`lichenswitch-experiments replay`) and says so in its commit.
 
-use lichenswitch_lab::{replay, scale};
+use lichenswitch_experiments::{replay, scale};
 
 /// Seeds of days with the digest of every action on them.
 const DAYS: [(u64, &str); 12] = [
--- a/lab/tests/two_phase.rs
+++ b/experiments/tests/two_phase.rs
@@ -1,7 +1,7 @@
 //! The measurement of queries of two phases, on short days: what the planner promises holds with
 //! each seed here.
 
-use lichenswitch_lab::two_phase::{play, run, Figures};
+use lichenswitch_experiments::two_phase::{play, run, Figures};
 
 const SEEDS: [u64; 3] = [1, 2, 3];
 
--- a/fleet/src/router/backlog.rs
+++ b/fleet/src/router/backlog.rs
@@ -8,7 +8,7 @@
 use super::Router;
 use lichenswitch_interface::{Micros, ServerId, Time};
 use lichenswitch_messages::{BacklogReport, ServerBacklog};
-use lichenswitch_placement::Backlog;
+use lichenswitch_backlog::Backlog;
 use std::collections::BTreeMap;
 
 /// Between two reports at the least (microseconds).
--- a/fleet/src/router/service.rs
+++ b/fleet/src/router/service.rs
@@ -16,7 +16,7 @@
     Class, Layout, Limits, Listed, Listing, Load, Micros, Mode, Outcome, Placement, QueryId,
     Repeat, ServerId, Settings, Shard, Time, FIRST_SHARE,
 };
-use lichenswitch_placement::Backlog;
+use lichenswitch_backlog::Backlog;
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
 
--- a/soak/src/clients.rs
+++ b/soak/src/clients.rs
@@ -4,8 +4,8 @@
 use crate::operators::HOST;
 use crate::servers::BETWEEN_EVENTS;
 use fastrand::Rng;
-use lichenswitch_standins::stream_client::message::{Call, MessageError};
-use lichenswitch_standins::stream_client::{
+use lichenswitch_emulators::stream_client::message::{Call, MessageError};
+use lichenswitch_emulators::stream_client::{
     ClientConnection, End, StreamFault, StreamRequest, Streamed,
 };
 use std::net::SocketAddr;
--- a/soak/src/journal.rs
+++ b/soak/src/journal.rs
@@ -2,9 +2,9 @@
 //! beginning of the day.
 
 use crate::plan::Target;
-use lichenswitch_standins::model_server::Entry;
-use lichenswitch_standins::operator::{Order, Outcome};
-use lichenswitch_standins::stream_client::StreamFault;
+use lichenswitch_emulators::model_server::Entry;
+use lichenswitch_emulators::operator::{Order, Outcome};
+use lichenswitch_emulators::stream_client::StreamFault;
 use std::time::{Duration, Instant};
 
 /// The time of a day.
--- a/soak/src/judge.rs
+++ b/soak/src/judge.rs
@@ -7,10 +7,10 @@
 use crate::bounds::{CONFIG_APPLY, CONTACT, DRAIN_TIMEOUT, GRACE, LOSS_SLACK};
 use crate::journal::{Journal, OrderRecord, ServerRecord, TroubleKind, Try, TryEnd};
 use crate::violation::{Beside, Violation};
-use lichenswitch_standins::fleet_processes::Role;
-use lichenswitch_standins::model_server::heartbeat::Word;
-use lichenswitch_standins::model_server::{Entry, Event, Fault};
-use lichenswitch_standins::operator::{judge as judge_answers, Entry as OperatorEntry, Outcome};
+use lichenswitch_emulators::fleet_processes::Role;
+use lichenswitch_emulators::model_server::heartbeat::Word;
+use lichenswitch_emulators::model_server::{Entry, Event, Fault};
+use lichenswitch_emulators::operator::{judge as judge_answers, Entry as OperatorEntry, Outcome};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
--- a/soak/src/operators.rs
+++ b/soak/src/operators.rs
@@ -5,8 +5,8 @@
 use crate::journal::{Clock, OrderRecord, ReadRecord};
 use crate::servers::SERVICES;
 use fastrand::Rng;
-use lichenswitch_standins::operator::document::{replace, update, version, Route};
-use lichenswitch_standins::operator::{Operator, Order, Outcome, Verb};
+use lichenswitch_emulators::operator::document::{replace, update, version, Route};
+use lichenswitch_emulators::operator::{Operator, Order, Outcome, Verb};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, MutexGuard};
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -2,7 +2,7 @@
 
 use crate::bounds::{GRACE, MACHINES};
 use fastrand::Rng;
-use lichenswitch_standins::fleet_processes::Role;
+use lichenswitch_emulators::fleet_processes::Role;
 use std::time::Duration;
 
 /// A process: its role and its machine.
--- a/soak/src/processes.rs
+++ b/soak/src/processes.rs
@@ -3,7 +3,7 @@
 use crate::bounds::{CONTACT, GRACE, MACHINES};
 use crate::journal::{Clock, Journal, ProcessFault, Trouble, TroubleKind};
 use crate::plan::{Action, Target};
-use lichenswitch_standins::fleet_processes::{FleetError, FleetProcesses, Role};
+use lichenswitch_emulators::fleet_processes::{FleetError, FleetProcesses, Role};
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::time::Duration;
--- a/soak/src/violation.rs
+++ b/soak/src/violation.rs
@@ -1,8 +1,8 @@
 //! Rules that a day has broken.
 
 use crate::journal::ProcessFault;
-use lichenswitch_standins::operator::Fault;
-use lichenswitch_standins::stream_client::StreamFault;
+use lichenswitch_emulators::operator::Fault;
+use lichenswitch_emulators::stream_client::StreamFault;
 use std::time::Duration;
 use thiserror::Error;
 
--- a/soak/tests/judge.rs
+++ b/soak/tests/judge.rs
@@ -7,12 +7,12 @@
 };
 use lichenswitch_soak::judge::judge;
 use lichenswitch_soak::violation::{Beside, Violation};
-use lichenswitch_standins::fleet_processes::Role;
-use lichenswitch_standins::model_server::heartbeat::Word;
-use lichenswitch_standins::model_server::{Entry, Event, Fault};
-use lichenswitch_standins::operator::{Fault as OperatorFault, Order, Outcome, Verb};
-use lichenswitch_standins::stream_client::message::Head;
-use lichenswitch_standins::stream_client::StreamFault;
+use lichenswitch_emulators::fleet_processes::Role;
+use lichenswitch_emulators::model_server::heartbeat::Word;
+use lichenswitch_emulators::model_server::{Entry, Event, Fault};
+use lichenswitch_emulators::operator::{Fault as OperatorFault, Order, Outcome, Verb};
+use lichenswitch_emulators::stream_client::message::Head;
+use lichenswitch_emulators::stream_client::StreamFault;
 use std::time::Duration;
 
 const fn ms(milliseconds: u64) -> Duration {
--- a/soak/tests/processor_quota.rs
+++ b/soak/tests/processor_quota.rs
@@ -1,10 +1,10 @@
 //! Processes whose processor is a quota: they run for a moment, and stand still for the rest of
 //! each tenth of a second. Nobody takes that for a death.
 
-use lichenswitch_standins::fleet_processes::{FleetProcesses, Role};
-use lichenswitch_standins::operator::document::{replace, Route};
-use lichenswitch_standins::operator::{Operator, Order, Outcome, Verb};
-use lichenswitch_standins::stream_client::message::Call;
+use lichenswitch_emulators::fleet_processes::{FleetProcesses, Role};
+use lichenswitch_emulators::operator::document::{replace, Route};
+use lichenswitch_emulators::operator::{Operator, Order, Outcome, Verb};
+use lichenswitch_emulators::stream_client::message::Call;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/soak/tests/stalled_disk.rs
+++ b/soak/tests/stalled_disk.rs
@@ -2,10 +2,10 @@
 //! elsewhere at once.
 
 use lichenswitch_soak::volatile_disk::STALL_FILE;
-use lichenswitch_standins::fleet_processes::{FleetProcesses, Role};
-use lichenswitch_standins::operator::document::{replace, Route};
-use lichenswitch_standins::operator::{Operator, Order, Outcome, Verb};
-use lichenswitch_standins::stream_client::message::Call;
+use lichenswitch_emulators::fleet_processes::{FleetProcesses, Role};
+use lichenswitch_emulators::operator::document::{replace, Route};
+use lichenswitch_emulators::operator::{Operator, Order, Outcome, Verb};
+use lichenswitch_emulators::stream_client::message::Call;
 use std::io::Read;
 use std::net::{SocketAddr, TcpStream};
 use std::path::Path;
--- a/src/bin/lichenswitch-simulation/main.rs
+++ b/src/bin/lichenswitch-simulator-adapter/main.rs
@@ -134,7 +134,7 @@
     match serve(io::stdin().lock(), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(text) => {
-            eprintln!("lichenswitch-simulation: {text}");
+            eprintln!("lichenswitch-simulator-adapter: {text}");
             ExitCode::FAILURE
         }
     }
--- a/src/peer/consensus.rs
+++ b/src/peer/consensus.rs
@@ -20,7 +20,7 @@
 use crate::decide::duty::hold::{Hold, Verdict as May};
 use crate::decide::duty::{Duty, FenceNumber, Holder, Terms};
 use crate::interface::{Micros, Time};
-use lichenswitch_keep::Keep;
+use lichenswitch_record_log::Keep;
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
--- a/tests/council.rs
+++ b/tests/council.rs
@@ -1,7 +1,7 @@
 //! Voters and holders as processes, with links between them that fail, memories that are lost, and
 //! a checker of who held a duty when.
 
-use lichenswitch_standins::rig::{judge_holders, Entry, Event, Rig};
+use lichenswitch_emulators::rig::{judge_holders, Entry, Event, Rig};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
--- a/tests/ogc.rs
+++ b/tests/ogc.rs
@@ -4,7 +4,7 @@
 use lichenswitch::broker::Broker;
 use lichenswitch::config::{Ogc, Operators};
 use lichenswitch::http::{self, Parsed, Response};
-use lichenswitch_standins::features::{compare, point, point_with, Mood, Server};
+use lichenswitch_emulators::features::{compare, point, point_with, Mood, Server};
 use serde_json::{json, Value as Json};
 use std::collections::BTreeSet;
 use std::io::{Read, Write};
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -1,8 +1,8 @@
 //! Several brokers as processes, with links between them that fail: who is believed alive, and what
 //! the talk bears.
 
-use lichenswitch_standins::relay::Faults;
-use lichenswitch_standins::rig::{agree, judge_deaths, known, Entry, Event, Rig};
+use lichenswitch_emulators::relay::Faults;
+use lichenswitch_emulators::rig::{agree, judge_deaths, known, Entry, Event, Rig};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::path::{Path, PathBuf};
--- a/tests/phases.rs
+++ b/tests/phases.rs
@@ -3,8 +3,8 @@
 
 use lichenswitch::broker::Broker;
 use lichenswitch::config::{Operators, Platform};
-use lichenswitch_standins::discovery::{self, Line};
-use lichenswitch_standins::frames::{Fate, Ledger, Node, Part};
+use lichenswitch_emulators::discovery::{self, Line};
+use lichenswitch_emulators::frames::{Fate, Ledger, Node, Part};
 use serde_json::Value as Json;
 use std::collections::BTreeSet;
 use std::io::{Read, Write};
--- a/tests/programs.rs
+++ b/tests/programs.rs
@@ -162,7 +162,7 @@
 
 #[test]
 fn the_simulation_answers_an_empty_batch() {
-    let mut simulation = Command::new(env!("CARGO_BIN_EXE_lichenswitch-simulation"))
+    let mut simulation = Command::new(env!("CARGO_BIN_EXE_lichenswitch-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .spawn()
--- a/wire/keep/src/lib.rs
+++ b/wire/record_log/src/lib.rs
@@ -13,11 +13,11 @@
 //!
 //! ```
 //! let folder = std::env::temp_dir().join(format!("keep-example-{}", std::process::id()));
-//! let (mut keep, told) = lichenswitch_keep::Keep::open(&folder, "coast n0").unwrap();
+//! let (mut keep, told) = lichenswitch_record_log::Keep::open(&folder, "coast n0").unwrap();
 //! assert!(told.records.is_empty() && told.aside.is_none());
 //! keep.append(&[b"promised".to_vec()]).unwrap();
 //! drop(keep);
-//! let (_, told) = lichenswitch_keep::Keep::open(&folder, "coast n0").unwrap();
+//! let (_, told) = lichenswitch_record_log::Keep::open(&folder, "coast n0").unwrap();
 //! assert_eq!(told.records, [b"promised".to_vec()]);
 //! # std::fs::remove_dir_all(folder).unwrap();
 //! ```
