--- a/decide/consensus/src/standing.rs
+++ b/decide/consensus/src/standing.rs
@@ -4,8 +4,8 @@
 //! within a lease, whatever the network held back, and one that wakes after a stop knows that it is
 //! not.
 
-use lichenswitch_lease::Terms;
 use lichenswitch_interface::{Micros, Time};
+use lichenswitch_lease::Terms;
 use std::collections::BTreeMap;
 use std::fmt;
 
--- a/decide/consensus/src/state.rs
+++ b/decide/consensus/src/state.rs
@@ -1,8 +1,8 @@
 //! What is agreed on, entry by entry, and what follows: the grants of duties. A snapshot is the
 //! same in short.
 
-use lichenswitch_lease::grants::{Entry as Grant, Grants, Told};
 use lichenswitch_interface::Time;
+use lichenswitch_lease::grants::{Entry as Grant, Grants, Told};
 use omnipaxos::storage;
 use serde::{Deserialize, Serialize};
 
--- a/decide/consensus/src/voter.rs
+++ b/decide/consensus/src/voter.rs
@@ -4,9 +4,9 @@
 use crate::genesis::{Genesis, Identity};
 use crate::persistent_state::{take, Journal, PersistentState, Record};
 use crate::state::Entry;
+use lichenswitch_interface::{Micros, Time};
 use lichenswitch_lease::grants::{self, Grants};
 use lichenswitch_lease::Terms;
-use lichenswitch_interface::{Micros, Time};
 use omnipaxos::messages::Message;
 use omnipaxos::util::LogEntry;
 use omnipaxos::{ClusterConfig, OmniPaxos, OmniPaxosConfig, ServerConfig};
--- a/decide/control/src/calls/tests.rs
+++ b/decide/control/src/calls/tests.rs
@@ -50,7 +50,7 @@
     // The machine took itself for the primary; the replica knows better.
     assert_eq!(calls.advance(START, &Primary::Here, Some(&mut replica)), []);
     for output in replica.take_outputs() {
-        if let Output::Settled { request, outcome } = output {
+        if let Output::Completed { request, outcome } = output {
             calls.on_settled(START, request, &outcome, &mut replica, |_| Vec::new());
         }
     }
--- a/decide/control/src/primary_calls/tests.rs
+++ b/decide/control/src/primary_calls/tests.rs
@@ -55,7 +55,7 @@
             for output in self.replica.take_outputs() {
                 match output {
                     Output::Persist { ticket, .. } => last = Some(ticket),
-                    Output::Settled { request, outcome } => self.settled.push((request, outcome)),
+                    Output::Completed { request, outcome } => self.settled.push((request, outcome)),
                     _ => {}
                 }
             }
--- a/decide/replication/src/durable.rs
+++ b/decide/replication/src/durable.rs
@@ -16,7 +16,7 @@
     /// A record on top of what is there; promises its epoch as well.
     Record(Record),
     /// Everything; what was written before it is no longer needed.
-    Image(Image),
+    Snapshot(Snapshot),
 }
 
 /// One change of the image.
@@ -46,7 +46,7 @@
 /// All that a member holds.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq, Eq, Hash)]
 #[rkyv(attr(allow(missing_docs)))]
-pub struct Image {
+pub struct Snapshot {
     /// Whose disk it is.
     pub identity: Identity,
     /// Highest epoch promised.
@@ -81,7 +81,7 @@
 pub struct Recovered {
     /// The last image; `position`, `membership` and `promised` count the records and promises after
     /// it.
-    pub image: Image,
+    pub image: Snapshot,
     /// Changes of the state that came after the image, in order.
     pub changes: Vec<Vec<u8>>,
 }
@@ -154,7 +154,7 @@
 ) -> Result<(), RecoverError> {
     match item {
         DurableItem::Promise(epoch) => *promised = epoch.max(*promised),
-        DurableItem::Image(image) => {
+        DurableItem::Snapshot(image) => {
             check_image(folded.as_ref(), &image)?;
             *promised = image.promised.max(*promised);
             *folded = Some(Recovered {
@@ -177,7 +177,7 @@
     Ok(())
 }
 
-fn check_image(before: Option<&Recovered>, image: &Image) -> Result<(), RecoverError> {
+fn check_image(before: Option<&Recovered>, image: &Snapshot) -> Result<(), RecoverError> {
     let Some(before) = before else { return Ok(()) };
     if image.identity != before.image.identity {
         return Err(RecoverError::TwoIdentities {
--- a/decide/replication/src/lib.rs
+++ b/decide/replication/src/lib.rs
@@ -23,14 +23,18 @@
 mod status;
 mod types;
 
-pub use durable::{DurableItem, Image, Record, RecoverError, Recovered, Update};
+pub use durable::{DurableItem, Record, RecoverError, Recovered, Snapshot, Update};
 pub use membership::{majority_of, Membership};
-pub use message::{Append, Body, DecodeError, Held, ImageChunk, Message, Stamp, CHUNK_BYTES};
-pub use output::{HandOverReason, MembershipChange, Notice, Outcome, Output, StepDownReason};
+pub use message::{
+    Append, Body, DecodeError, Message, ProcessInstant, ReplicaVersion, SnapshotChunk, CHUNK_BYTES,
+};
+pub use output::{
+    LeadershipTransferReason, MembershipChange, Notice, Outcome, Output, StepDownReason,
+};
 pub use replica::Replica;
 #[doc(hidden)]
 pub use settings::Faults;
 pub use settings::Settings;
 pub use state::{ReplicatedState, StateError};
 pub use status::{PeerStatus, RoleKind, Status};
-pub use types::{Epoch, Identity, Member, Position, RequestId, Ticket, Time};
+pub use types::{Epoch, Identity, Member, Position, RequestId, Time, WriteId};
--- a/decide/replication/src/message.rs
+++ b/decide/replication/src/message.rs
@@ -39,7 +39,7 @@
         /// Highest epoch that the sender has promised.
         promised: Epoch,
         /// What the sender holds.
-        held: Held,
+        held: ReplicaVersion,
     },
     /// Grant me this epoch.
     Vote {
@@ -49,14 +49,14 @@
         take_over: bool,
     },
     /// The sender has promised the epoch, on disk.
-    Grant {
+    VoteGranted {
         /// As asked.
         epoch: Epoch,
         /// What the sender held when it promised.
-        held: Held,
+        held: ReplicaVersion,
     },
     /// The sender has promised a higher epoch.
-    Refusal {
+    VoteRejected {
         /// The epoch that is refused.
         epoch: Epoch,
         /// Highest epoch that the sender has promised.
@@ -77,10 +77,10 @@
         /// The sender has asked to leave.
         leaving: bool,
         /// When it was sent.
-        stamp: Stamp,
+        stamp: ProcessInstant,
     },
     /// Send me an image, from this chunk on.
-    ImageRequest {
+    SnapshotRequest {
         /// Epoch under which it is asked for.
         epoch: Epoch,
         /// Which image; the newest if none.
@@ -89,19 +89,19 @@
         next: u32,
     },
     /// A piece of an image.
-    ImageChunk(ImageChunk),
+    SnapshotChunk(SnapshotChunk),
     /// I am no member and want to be one.
-    Knock,
-    /// Answer to [`Body::Knock`]: where to knock.
-    KnockResponse {
+    JoinRequest,
+    /// Answer to [`Body::JoinRequest`]: where to knock.
+    JoinResponse {
         /// The primary that the sender knows.
         primary: Option<Member>,
         /// The members that the sender knows.
         members: Vec<Member>,
     },
     /// I want to be a member no more.
-    Leave,
-    /// Answer to [`Body::Leave`] of the primary.
+    LeaveRequest,
+    /// Answer to [`Body::LeaveRequest`] of the primary.
     LeaveResponse {
         /// Epoch of the primary.
         epoch: Epoch,
@@ -120,7 +120,7 @@
 /// Which image a member holds, and the membership in it.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq, Eq, Hash)]
 #[rkyv(attr(allow(missing_docs)))]
-pub struct Held {
+pub struct ReplicaVersion {
     /// Where the image stands.
     pub position: Position,
     /// The membership in it.
@@ -130,7 +130,7 @@
 /// A moment in the life of a process; it means something to that process alone.
 #[derive(Archive, Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[rkyv(attr(allow(missing_docs)))]
-pub struct Stamp {
+pub struct ProcessInstant {
     /// Drawn at the start of the process.
     pub process: u64,
     /// Its steady clock (microseconds).
@@ -149,7 +149,7 @@
     pub round: u64,
     /// Of the receiver's last answer that came. What is told here was true after that was sent,
     /// however late this is read.
-    pub echo: Option<Stamp>,
+    pub echo: Option<ProcessInstant>,
     /// A quorum has confirmed the primary of late.
     pub in_contact: bool,
     /// Where the primary's image stands.
@@ -165,7 +165,7 @@
 /// A piece of an image.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq, Eq, Hash)]
 #[rkyv(attr(allow(missing_docs)))]
-pub struct ImageChunk {
+pub struct SnapshotChunk {
     /// Epoch under which it was asked for.
     pub epoch: Epoch,
     /// Which image it is of.
--- a/decide/replication/src/model/ledger.rs
+++ b/decide/replication/src/model/ledger.rs
@@ -41,7 +41,7 @@
 
 /// What a client asked for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Wanted {
+pub enum ClientRequest {
     /// This change.
     Change(u64),
     /// A state that holds at least as many changes.
@@ -63,7 +63,7 @@
     pub confirmed: u64,
     /// The first thing that must not be.
     pub violation: Option<String>,
-    asked: BTreeMap<(usize, RequestId), Wanted>,
+    asked: BTreeMap<(usize, RequestId), ClientRequest>,
     last_change: u64,
 }
 
@@ -78,7 +78,7 @@
         self.violation.get_or_insert(what);
     }
 
-    pub(super) fn asked(&mut self, node: usize, request: RequestId, wanted: Wanted) {
+    pub(super) fn asked(&mut self, node: usize, request: RequestId, wanted: ClientRequest) {
         self.asked.insert((node, request), wanted);
     }
 
@@ -134,7 +134,7 @@
             return;
         };
         match (wanted, outcome) {
-            (Wanted::Change(change), Outcome::Committed(_)) => {
+            (ClientRequest::Change(change), Outcome::Committed(_)) => {
                 self.acknowledged.insert(change);
                 if !self.committed.contains(&change) {
                     self.violate(format!(
@@ -142,11 +142,12 @@
                     ));
                 }
             }
-            (Wanted::Change(change), Outcome::NotPrimary | Outcome::Rejected(_)) => {
+            (ClientRequest::Change(change), Outcome::NotPrimary | Outcome::Rejected(_)) => {
                 self.refused.insert(change);
             }
-            (Wanted::Change(_), Outcome::Unknown) | (Wanted::AtLeast(_), Outcome::NotPrimary) => {}
-            (Wanted::AtLeast(least), Outcome::Confirmed(_)) => {
+            (ClientRequest::Change(_), Outcome::Unknown)
+            | (ClientRequest::AtLeast(_), Outcome::NotPrimary) => {}
+            (ClientRequest::AtLeast(least), Outcome::Confirmed(_)) => {
                 self.confirmed += 1;
                 if history.len() < least {
                     self.violate(format!(
--- a/decide/replication/src/model/mod.rs
+++ b/decide/replication/src/model/mod.rs
@@ -3,7 +3,7 @@
 //! the replicas say. For tests and simulations only.
 //!
 //! [`World`] knows no common time: each node's clock advances by itself, so what holds here holds
-//! whatever clocks do. [`timed::Timed`] runs the same world in one virtual time, for what must
+//! whatever clocks do. [`timed::TimedWorld`] runs the same world in one virtual time, for what must
 //! *happen*.
 
 pub mod ledger;
@@ -15,7 +15,7 @@
 
 use crate::*;
 
-pub use ledger::{History, Ledger, Wanted};
+pub use ledger::{ClientRequest, History, Ledger};
 
 /// One node: a process that may be down, its disk and its clock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -29,7 +29,7 @@
     /// What is synced.
     pub disk: Vec<DurableItem>,
     /// What waits to be synced.
-    pub pending: VecDeque<(Ticket, DurableItem)>,
+    pub pending: VecDeque<(WriteId, DurableItem)>,
     /// Its identity; drawn anew with an empty disk.
     pub identity: Identity,
     /// Processes that it has had.
@@ -53,7 +53,7 @@
 
 /// Faults of the machinery round the replicas that tests plant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Machinery {
+pub struct PlantedFaults {
     /// A wiped node comes back under its old identity.
     pub wiped_keeps_identity: bool,
     /// The first node founds again after its disk was lost.
@@ -97,7 +97,7 @@
     /// Settings of all replicas.
     pub settings: Settings,
     /// Planted faults outside of the replicas.
-    pub machinery: Machinery,
+    pub machinery: PlantedFaults,
     /// The nodes.
     pub nodes: Vec<Node>,
     /// Messages on their way.
@@ -129,7 +129,7 @@
         };
         Self {
             settings,
-            machinery: Machinery::default(),
+            machinery: PlantedFaults::default(),
             nodes: (0..nodes).map(node).collect(),
             network: Vec::new(),
             ledger: Ledger::default(),
@@ -336,7 +336,8 @@
         };
         let change = self.ledger.draw_change();
         let request = replica.propose(node.clock, change.to_le_bytes().to_vec());
-        self.ledger.asked(index, request, Wanted::Change(change));
+        self.ledger
+            .asked(index, request, ClientRequest::Change(change));
         self.collect(index);
     }
 
@@ -346,7 +347,7 @@
         let Some(replica) = &mut node.replica else {
             return;
         };
-        let wanted = Wanted::AtLeast(self.ledger.committed.len());
+        let wanted = ClientRequest::AtLeast(self.ledger.committed.len());
         let request = replica.confirm(node.clock);
         self.ledger.asked(index, request, wanted);
         self.collect(index);
@@ -377,7 +378,7 @@
         match output {
             Output::Send { to, message } => self.post(index, &to, message),
             Output::Persist { ticket, item } => self.nodes[index].pending.push_back((ticket, item)),
-            Output::Settled { request, outcome } => {
+            Output::Completed { request, outcome } => {
                 let history = self.history(index);
                 self.ledger.settled(index, request, &outcome, history);
             }
@@ -437,13 +438,13 @@
 
 impl Node {
     fn write(&mut self, item: DurableItem) {
-        if matches!(item, DurableItem::Image(_)) {
+        if matches!(item, DurableItem::Snapshot(_)) {
             // What is before an image is not needed; the check of identity and order is kept by the
             // last item.
             if let Some(last) = self
                 .disk
                 .iter()
-                .rposition(|item| matches!(item, DurableItem::Image(_)))
+                .rposition(|item| matches!(item, DurableItem::Snapshot(_)))
             {
                 self.disk.drain(..last);
             }
--- a/decide/replication/src/model/timed.rs
+++ b/decide/replication/src/model/timed.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use super::walk::Dice;
+use super::walk::SeededRng;
 use super::{Envelope, World};
 use crate::*;
 
@@ -16,7 +16,7 @@
 
 /// How messages and disks behave.
 #[derive(Clone, Copy, Debug)]
-pub struct Weather {
+pub struct NetworkConditions {
     /// Least time of a message, in microseconds.
     pub latency: u64,
     /// Most time beside it.
@@ -29,7 +29,7 @@
     pub sync: u64,
 }
 
-impl Default for Weather {
+impl Default for NetworkConditions {
     fn default() -> Self {
         Self {
             latency: 250,
@@ -43,15 +43,15 @@
 
 /// A world in one virtual time.
 #[derive(Clone, Debug)]
-pub struct Timed {
+pub struct TimedWorld {
     /// The world.
     pub world: World,
     /// How messages and disks behave.
-    pub weather: Weather,
+    pub weather: NetworkConditions,
     /// The time.
     pub now: Time,
     /// Random numbers.
-    pub dice: Dice,
+    pub dice: SeededRng,
     /// Messages delivered, and their bytes.
     pub delivered: (u64, u64),
     queue: BTreeMap<(Time, u64), Event>,
@@ -62,7 +62,7 @@
     blocked: Vec<Vec<bool>>,
 }
 
-impl Timed {
+impl TimedWorld {
     /// `nodes` nodes that are down, with empty disks.
     pub fn new(settings: Settings, nodes: usize, seed: u64) -> Self {
         let mut world = World::new(settings, nodes, seed);
@@ -70,8 +70,8 @@
         Self {
             now: world.nodes[0].clock,
             world,
-            weather: Weather::default(),
-            dice: Dice(seed),
+            weather: NetworkConditions::default(),
+            dice: SeededRng(seed),
             delivered: (0, 0),
             queue: BTreeMap::new(),
             sequence: 0,
--- a/decide/replication/src/model/walk.rs
+++ b/decide/replication/src/model/walk.rs
@@ -21,9 +21,9 @@
 
 /// A small generator of random numbers (splitmix64).
 #[derive(Clone, Copy, Debug)]
-pub struct Dice(pub u64);
+pub struct SeededRng(pub u64);
 
-impl Dice {
+impl SeededRng {
     /// A number below `limit`.
     pub fn below(&mut self, limit: u64) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
@@ -119,7 +119,7 @@
 }
 
 impl Chances {
-    fn draw(dice: &mut Dice) -> Self {
+    fn draw(dice: &mut SeededRng) -> Self {
         Self {
             drop: [0, 1, 4, 10][dice.index(4)],
             repeat: [0, 1, 4][dice.index(3)],
@@ -149,13 +149,13 @@
 struct Course {
     walk: Walk,
     chances: Chances,
-    dice: Dice,
+    dice: SeededRng,
     reach: Vec<Reach>,
 }
 
 /// One walk; the world at its end. Stops at the first violation.
 pub fn walk(mut world: World, walk: Walk) -> World {
-    let mut dice = Dice(walk.seed);
+    let mut dice = SeededRng(walk.seed);
     world.network_limit = 64;
     gather(&mut world, walk.voters);
     let chances = Chances::draw(&mut dice);
--- a/decide/replication/src/output.rs
+++ b/decide/replication/src/output.rs
@@ -3,7 +3,7 @@
 use crate::durable::DurableItem;
 use crate::message::Message;
 use crate::state::StateError;
-use crate::types::{Epoch, Member, Position, RequestId, Ticket};
+use crate::types::{Epoch, Member, Position, RequestId, WriteId};
 
 /// Something that the caller has to do.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -18,12 +18,12 @@
     /// Write and sync an item after all before it, then call [`crate::Replica::on_persisted`].
     Persist {
         /// Number to answer with.
-        ticket: Ticket,
+        ticket: WriteId,
         /// The item.
         item: DurableItem,
     },
     /// The end of a request.
-    Settled {
+    Completed {
         /// Which request.
         request: RequestId,
         /// How it ended.
@@ -71,7 +71,7 @@
         reason: StepDownReason,
     },
     /// This member asks for votes.
-    Candidacy {
+    ElectionStarted {
         /// Its epoch.
         epoch: Epoch,
         /// How long no primary was heard, in microseconds.
@@ -80,18 +80,18 @@
         take_over: bool,
     },
     /// Another primary is heard for the first time.
-    PrimaryHeard {
+    PrimaryObserved {
         /// Its epoch.
         epoch: Epoch,
         /// Who it is.
         primary: Member,
     },
     /// The primary hands its part on.
-    HandsOver {
+    LeadershipTransferStarted {
         /// To whom.
         to: Member,
         /// Why.
-        reason: HandOverReason,
+        reason: LeadershipTransferReason,
     },
     /// The primary changes the membership.
     MembershipChange {
@@ -108,7 +108,7 @@
         voters: usize,
     },
     /// A voter that is silent or leaves is not removed.
-    RemovalRefused {
+    RemovalRejected {
         /// Which voter.
         voter: Member,
         /// Voters that would remain.
@@ -124,14 +124,14 @@
         position: Position,
     },
     /// A whole image was taken from a peer.
-    ImageReceived {
+    SnapshotReceived {
         /// Where it stands.
         position: Position,
         /// Its bytes.
         bytes: usize,
     },
     /// Chunks that don't come to a whole image.
-    ImageRefused {
+    SnapshotRejected {
         /// Where it should stand.
         position: Position,
         /// Why.
@@ -159,7 +159,7 @@
 
 /// Why a primary hands its part on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum HandOverReason {
+pub enum LeadershipTransferReason {
     /// It leaves.
     Leaving,
     /// Its disk has not synced for so long, in microseconds.
--- a/decide/replication/src/replica/append.rs
+++ b/decide/replication/src/replica/append.rs
@@ -22,7 +22,7 @@
             let promised = self.promised;
             self.send(
                 &from.address,
-                Body::Refusal {
+                Body::VoteRejected {
                     epoch: append.epoch,
                     promised,
                 },
@@ -61,7 +61,7 @@
             self.known = Some(known_primary(now, from, append.epoch));
             let (epoch, primary) = (append.epoch, from.clone());
             self.outputs
-                .push(Output::Notice(Notice::PrimaryHeard { epoch, primary }));
+                .push(Output::Notice(Notice::PrimaryObserved { epoch, primary }));
         }
         let contact_timeout = self.settings.contact_timeout;
         if let Some(known) = &mut self.known {
@@ -103,7 +103,7 @@
             Ok(()) => self.persist_record(now, record.clone()),
             Err(error) => {
                 // The primary has applied it to the same state; only the image can help.
-                let refused = Notice::ImageRefused {
+                let refused = Notice::SnapshotRejected {
                     position: record.position,
                     reason: error.reason,
                 };
--- a/decide/replication/src/replica/disk.rs
+++ b/decide/replication/src/replica/disk.rs
@@ -4,10 +4,10 @@
 
 use super::{Memory, Replica, Role};
 use crate::durable::{DurableItem, Record};
-use crate::message::{Body, Stamp};
+use crate::message::{Body, ProcessInstant};
 use crate::output::{Notice, Output};
 use crate::state::ReplicatedState;
-use crate::types::{Epoch, Position, Ticket, Time};
+use crate::types::{Epoch, Position, Time, WriteId};
 
 /// Most items that wait for the disk at a voter: beyond this it accepts nothing more.
 const MOST_OUTSTANDING: usize = 16;
@@ -30,7 +30,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Outstanding {
-    ticket: Ticket,
+    ticket: WriteId,
     promise: Epoch,
     position: Option<Position>,
     since: Time,
@@ -43,7 +43,7 @@
     }
 
     /// Takes in that all up to this ticket is synced; whether that is news.
-    pub(super) fn persisted(&mut self, ticket: Ticket) -> bool {
+    pub(super) fn persisted(&mut self, ticket: WriteId) -> bool {
         let mut news = false;
         while self
             .outstanding
@@ -106,7 +106,7 @@
             return;
         }
         self.disk.last_ticket += 1;
-        let ticket = Ticket(self.disk.last_ticket);
+        let ticket = WriteId(self.disk.last_ticket);
         let position = self.image.as_ref().map(|image| image.position);
         self.disk.outstanding.push_back(Outstanding {
             ticket,
@@ -119,7 +119,7 @@
 
     /// The whole image that stands for the item of this ticket and all before it, if a segment of
     /// the disk begins anew with it; none if it is no longer, or not the last, in flight.
-    pub fn image_for(&self, ticket: Ticket) -> Option<DurableItem> {
+    pub fn image_for(&self, ticket: WriteId) -> Option<DurableItem> {
         let last = self
             .disk
             .outstanding
@@ -139,7 +139,7 @@
             .map(|image: &Memory<S>| image.to_item(self.me.identity, self.promised))
     }
 
-    pub(super) fn disk_failed(&mut self, now: Time, ticket: Ticket) {
+    pub(super) fn disk_failed(&mut self, now: Time, ticket: WriteId) {
         if !self
             .disk
             .outstanding
@@ -208,7 +208,7 @@
             synced = self.image.as_ref().map(|image| image.position);
         }
         let (writable, leaving) = (self.writable(now), self.leaving.is_some());
-        let stamp = Stamp {
+        let stamp = ProcessInstant {
             process: self.process,
             clock: now.0,
         };
--- a/decide/replication/src/replica/election.rs
+++ b/decide/replication/src/replica/election.rs
@@ -5,7 +5,7 @@
 
 use super::{Memory, Replica, Role};
 use crate::membership::Membership;
-use crate::message::{Body, Held};
+use crate::message::{Body, ReplicaVersion};
 use crate::output::{Notice, Output, StepDownReason};
 use crate::state::ReplicatedState;
 use crate::types::{Epoch, Identity, Member, Position, Time};
@@ -35,14 +35,14 @@
 pub(super) struct PendingGrant {
     to: String,
     epoch: Epoch,
-    held: Held,
+    held: ReplicaVersion,
 }
 
 /// Who said yes, and what they hold.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Tally {
     asked: BTreeSet<Identity>,
-    yes: BTreeMap<Identity, (Member, Held)>,
+    yes: BTreeMap<Identity, (Member, ReplicaVersion)>,
 }
 
 /// What a tally comes to.
@@ -64,7 +64,7 @@
                 (0, position.epoch)
             }
         };
-        let key = |held: &Held| (order(held.position), held.position.number);
+        let key = |held: &ReplicaVersion| (order(held.position), held.position.number);
         let (holder, newest) = self.yes.values().max_by_key(|(_, held)| key(held))?;
         if !newest.membership.names(me) {
             return Some(Verdict::Excluded(newest.position));
@@ -267,7 +267,7 @@
         epoch: Epoch,
         supported: bool,
         promised: Epoch,
-        held: Held,
+        held: ReplicaVersion,
     ) {
         let me = self.me.identity;
         let my_position = self
@@ -296,7 +296,7 @@
             .known
             .as_ref()
             .map_or(0, |known| now.since(known.heard_at));
-        self.outputs.push(Output::Notice(Notice::Candidacy {
+        self.outputs.push(Output::Notice(Notice::ElectionStarted {
             epoch,
             silent_for,
             take_over,
@@ -402,7 +402,7 @@
         };
         if epoch < self.promised {
             let promised = self.promised;
-            self.send(&from.address, Body::Refusal { epoch, promised });
+            self.send(&from.address, Body::VoteRejected { epoch, promised });
             return;
         }
         if epoch > self.promised {
@@ -425,8 +425,8 @@
         }
     }
 
-    fn held_for_vote(&self) -> Option<Held> {
-        let empty = Held {
+    fn held_for_vote(&self) -> Option<ReplicaVersion> {
+        let empty = ReplicaVersion {
             position: Position::default(),
             membership: Membership::default(),
         };
@@ -445,7 +445,7 @@
             if self.disk.synced_promise >= grant.epoch || empty_disk {
                 self.send(
                     &grant.to,
-                    Body::Grant {
+                    Body::VoteGranted {
                         epoch: grant.epoch,
                         held: grant.held,
                     },
@@ -456,7 +456,7 @@
         }
     }
 
-    pub(super) fn on_grant(&mut self, now: Time, from: Member, epoch: Epoch, held: Held) {
+    pub(super) fn on_grant(&mut self, now: Time, from: Member, epoch: Epoch, held: ReplicaVersion) {
         let Role::Candidate(candidacy) = &mut self.role else {
             return;
         };
--- a/decide/replication/src/replica/join.rs
+++ b/decide/replication/src/replica/join.rs
@@ -56,7 +56,7 @@
         );
         addresses.remove(&self.me.address);
         for address in addresses {
-            self.send(&address, Body::Knock);
+            self.send(&address, Body::JoinRequest);
         }
     }
 
@@ -80,7 +80,7 @@
             .cloned()
             .collect();
         let primary = self.primary().cloned();
-        self.send(&from.address, Body::KnockResponse { primary, members });
+        self.send(&from.address, Body::JoinResponse { primary, members });
     }
 
     pub(super) fn on_knock_response(&mut self, primary: Option<Member>, members: Vec<Member>) {
@@ -290,7 +290,7 @@
             primary.refused.remove(&voter.identity);
         } else if primary.refused.insert(voter.identity) {
             let voter = voter.clone();
-            let refused = Notice::RemovalRefused {
+            let refused = Notice::RemovalRejected {
                 voter,
                 remaining,
                 bears: bears_now,
--- a/decide/replication/src/replica/leave.rs
+++ b/decide/replication/src/replica/leave.rs
@@ -4,7 +4,7 @@
 
 use super::{Replica, Role};
 use crate::message::Body;
-use crate::output::{HandOverReason, Notice, Output};
+use crate::output::{LeadershipTransferReason, Notice, Output};
 use crate::state::ReplicatedState;
 use crate::types::{Epoch, Member, Position, Time};
 
@@ -77,7 +77,7 @@
         }
         leaving.ask_at = now.after(interval);
         for address in self.whom_to_ask(now) {
-            self.send(&address, Body::Leave);
+            self.send(&address, Body::LeaveRequest);
         }
     }
 
@@ -167,9 +167,9 @@
         let Some(primary) = self.lead() else { return };
         let waits = self.disk.waits_for(now);
         let reason = if self.leaving.is_some() {
-            HandOverReason::Leaving
+            LeadershipTransferReason::Leaving
         } else if waits >= self.settings.disk_stall {
-            HandOverReason::DiskStalled(waits)
+            LeadershipTransferReason::DiskStalled(waits)
         } else {
             if let Some(primary) = self.lead_mut() {
                 primary.hand_over = None;
@@ -186,7 +186,7 @@
         self.hand_over(now, reason);
     }
 
-    fn hand_over(&mut self, now: Time, reason: HandOverReason) {
+    fn hand_over(&mut self, now: Time, reason: LeadershipTransferReason) {
         let next_at = now.after(2 * self.settings.retry_interval);
         let passive_until = now.after(self.settings.passive_after_hand_over);
         let to = self.successor(now);
@@ -202,7 +202,10 @@
         self.passive_until = passive_until;
         self.send(&to.address, Body::TakeOver { epoch });
         self.outputs
-            .push(Output::Notice(Notice::HandsOver { to, reason }));
+            .push(Output::Notice(Notice::LeadershipTransferStarted {
+                to,
+                reason,
+            }));
     }
 
     /// The voter that holds the most and is well; the one asked last only if there is no other.
--- a/decide/replication/src/replica/mod.rs
+++ b/decide/replication/src/replica/mod.rs
@@ -21,13 +21,13 @@
 use self::leave::Leaving;
 use self::primary::{Primary, Told};
 use self::transfer::{Served, Transfer};
-use crate::durable::{DurableItem, Image, RecoverError, Recovered, Update};
+use crate::durable::{DurableItem, RecoverError, Recovered, Snapshot, Update};
 use crate::membership::Membership;
-use crate::message::{Body, Held, Message};
+use crate::message::{Body, Message, ReplicaVersion};
 use crate::output::{Outcome, Output};
 use crate::settings::Settings;
 use crate::state::{ReplicatedState, StateError};
-use crate::types::{Epoch, Identity, Member, Position, RequestId, Ticket, Time};
+use crate::types::{Epoch, Identity, Member, Position, RequestId, Time, WriteId};
 
 /// One member: a voter, a newcomer, or the primary.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -217,8 +217,8 @@
                 self.on_pre_vote_response(now, from, epoch, supported, promised, held);
             }
             Body::Vote { epoch, take_over } => self.on_vote(now, from, epoch, take_over),
-            Body::Grant { epoch, held } => self.on_grant(now, from, epoch, held),
-            Body::Refusal { epoch, promised } => self.on_refusal(now, epoch, promised),
+            Body::VoteGranted { epoch, held } => self.on_grant(now, from, epoch, held),
+            Body::VoteRejected { epoch, promised } => self.on_refusal(now, epoch, promised),
             Body::Append(append) => self.on_append(now, from, append),
             Body::AppendResponse {
                 epoch,
@@ -237,17 +237,17 @@
                 };
                 self.on_append_response(now, from, epoch, told);
             }
-            Body::ImageRequest {
+            Body::SnapshotRequest {
                 epoch,
                 position,
                 next,
             } => {
                 self.on_image_request(now, from, epoch, position, next);
             }
-            Body::ImageChunk(chunk) => self.on_image_chunk(now, from, chunk),
-            Body::Knock => self.on_knock(now, from),
-            Body::KnockResponse { primary, members } => self.on_knock_response(primary, members),
-            Body::Leave => self.on_leave(now, from),
+            Body::SnapshotChunk(chunk) => self.on_image_chunk(now, from, chunk),
+            Body::JoinRequest => self.on_knock(now, from),
+            Body::JoinResponse { primary, members } => self.on_knock_response(primary, members),
+            Body::LeaveRequest => self.on_leave(now, from),
             Body::LeaveResponse {
                 epoch,
                 removed,
@@ -260,7 +260,7 @@
     }
 
     /// The item of this ticket, and all before it, are synced.
-    pub fn on_persisted(&mut self, now: Time, ticket: Ticket) {
+    pub fn on_persisted(&mut self, now: Time, ticket: WriteId) {
         self.check_contact(now);
         if self.disk.persisted(ticket) {
             self.after_sync(now);
@@ -269,7 +269,7 @@
 
     /// The item of this ticket could not be written or synced. Nothing that was to be written after
     /// it may be written either; the next item will be a whole image.
-    pub fn on_persist_failed(&mut self, now: Time, ticket: Ticket) {
+    pub fn on_persist_failed(&mut self, now: Time, ticket: WriteId) {
         self.check_contact(now);
         self.disk_failed(now, ticket);
     }
@@ -299,7 +299,7 @@
     }
 
     /// Asks for a change; changes are written one at a time, in order. Ends in one
-    /// [`Output::Settled`].
+    /// [`Output::Completed`].
     pub fn propose(&mut self, now: Time, change: Vec<u8>) -> RequestId {
         self.check_contact(now);
         let request = self.draw_request();
@@ -313,7 +313,7 @@
         request
     }
 
-    /// Asks for a round that begins after this call. Ends in one [`Output::Settled`].
+    /// Asks for a round that begins after this call. Ends in one [`Output::Completed`].
     pub fn confirm(&mut self, now: Time) -> RequestId {
         if !self.settings.faults.answer_from_memory {
             self.check_contact(now);
@@ -335,7 +335,7 @@
     }
 
     fn settle(&mut self, request: RequestId, outcome: Outcome) {
-        self.outputs.push(Output::Settled { request, outcome });
+        self.outputs.push(Output::Completed { request, outcome });
     }
 
     fn send(&mut self, to: &str, body: Body) {
@@ -350,9 +350,9 @@
     }
 
     /// What a grant says of the image here.
-    fn held(&self) -> Option<Held> {
+    fn held(&self) -> Option<ReplicaVersion> {
         let image = self.image.as_ref()?;
-        Some(Held {
+        Some(ReplicaVersion {
             position: image.position,
             membership: image.membership.clone(),
         })
@@ -407,7 +407,7 @@
     }
 
     fn to_item(&self, identity: Identity, promised: Epoch) -> DurableItem {
-        DurableItem::Image(Image {
+        DurableItem::Snapshot(Snapshot {
             identity,
             promised,
             position: self.position,
--- a/decide/replication/src/replica/primary.rs
+++ b/decide/replication/src/replica/primary.rs
@@ -8,7 +8,7 @@
 use super::{Memory, Replica, Role};
 use crate::durable::{Record, Update};
 use crate::membership::Membership;
-use crate::message::{Append, Body, Stamp};
+use crate::message::{Append, Body, ProcessInstant};
 use crate::output::{Notice, Outcome, Output, StepDownReason};
 use crate::state::ReplicatedState;
 use crate::types::{Epoch, Identity, Member, Position, RequestId, Time};
@@ -59,7 +59,7 @@
     /// The last record that was sent to it, and when.
     sent: Option<(Position, Time)>,
     /// When it sent the answer that came last.
-    echo: Option<Stamp>,
+    echo: Option<ProcessInstant>,
 }
 
 /// What a peer says of itself in answer to a heartbeat.
@@ -68,7 +68,7 @@
     pub(super) synced: Option<Position>,
     pub(super) writable: bool,
     pub(super) leaving: bool,
-    pub(super) stamp: Stamp,
+    pub(super) stamp: ProcessInstant,
 }
 
 impl Peer {
--- a/decide/replication/src/replica/transfer.rs
+++ b/decide/replication/src/replica/transfer.rs
@@ -7,7 +7,7 @@
 
 use super::{Memory, Replica, Role};
 use crate::membership::Membership;
-use crate::message::{aligned, encode, Body, ImageChunk, CHUNK_BYTES};
+use crate::message::{aligned, encode, Body, SnapshotChunk, CHUNK_BYTES};
 use crate::output::{Notice, Output};
 use crate::state::ReplicatedState;
 use crate::types::{Epoch, Identity, Member, Position, Time};
@@ -57,7 +57,7 @@
         next
     }
 
-    fn restart(&mut self, chunk: &ImageChunk) {
+    fn restart(&mut self, chunk: &SnapshotChunk) {
         self.position = Some(chunk.position);
         self.total = chunk.total;
         self.checksum = chunk.checksum;
@@ -118,7 +118,7 @@
         );
         self.send(
             &to,
-            Body::ImageRequest {
+            Body::SnapshotRequest {
                 epoch,
                 position,
                 next,
@@ -221,7 +221,7 @@
             let bytes = served.bytes[begin..end].to_vec();
             self.send(
                 to,
-                Body::ImageChunk(ImageChunk {
+                Body::SnapshotChunk(SnapshotChunk {
                     epoch,
                     position,
                     number,
@@ -233,7 +233,7 @@
         }
     }
 
-    pub(super) fn on_image_chunk(&mut self, now: Time, from: Member, chunk: ImageChunk) {
+    pub(super) fn on_image_chunk(&mut self, now: Time, from: Member, chunk: SnapshotChunk) {
         let Some(transfer) = &mut self.transfer else {
             return;
         };
@@ -276,15 +276,17 @@
         let bytes: Vec<u8> = transfer.chunks.into_values().flatten().collect();
         match read_content(&bytes, transfer.checksum, position) {
             Ok(image) => {
-                self.outputs.push(Output::Notice(Notice::ImageReceived {
+                self.outputs.push(Output::Notice(Notice::SnapshotReceived {
                     position,
                     bytes: bytes.len(),
                 }));
                 self.take_image(now, transfer.source.identity, transfer.epoch, image);
             }
             Err(reason) => {
-                self.outputs
-                    .push(Output::Notice(Notice::ImageRefused { position, reason }));
+                self.outputs.push(Output::Notice(Notice::SnapshotRejected {
+                    position,
+                    reason,
+                }));
             }
         }
     }
--- a/decide/replication/src/types.rs
+++ b/decide/replication/src/types.rs
@@ -121,4 +121,4 @@
 
 /// Number of an item that is to be written to disk; rises with each.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Ticket(pub u64);
+pub struct WriteId(pub u64);
--- a/decide/replication/tests/current.rs
+++ b/decide/replication/tests/current.rs
@@ -3,8 +3,8 @@
 use assert_matches::assert_matches;
 use lichenswitch_replication::model::History;
 use lichenswitch_replication::{
-    Append, Body, DurableItem, Epoch, Identity, Image, Member, Membership, Message, Output,
-    Position, Record, Recovered, Replica, ReplicatedState, Settings, Stamp, Time, Update,
+    Append, Body, DurableItem, Epoch, Identity, Member, Membership, Message, Output, Position,
+    ProcessInstant, Record, Recovered, Replica, ReplicatedState, Settings, Snapshot, Time, Update,
 };
 
 mod scenario;
@@ -36,7 +36,7 @@
 
 /// Voter 2 of three, whose disk holds the image of position 5 under the epoch of voter 1.
 fn voter() -> Replica<History> {
-    let image = DurableItem::Image(Image {
+    let image = DurableItem::Snapshot(Snapshot {
         identity: Identity(2),
         promised: EPOCH,
         position: position(5),
@@ -54,7 +54,7 @@
 
 /// The same, after it has had the answer with this stamp.
 fn echoing(
-    echo: Option<Stamp>,
+    echo: Option<ProcessInstant>,
     to: u64,
     round: u64,
     committed: u64,
@@ -80,7 +80,7 @@
 /// Voter 2, as voter 1 hears it: each heartbeat echoes its last answer.
 struct Heard {
     voter: Replica<History>,
-    echo: Option<Stamp>,
+    echo: Option<ProcessInstant>,
 }
 
 impl Heard {
@@ -99,7 +99,7 @@
 }
 
 /// When the last answer to a heartbeat among these was sent.
-fn last_answer(outputs: &[Output]) -> Option<Stamp> {
+fn last_answer(outputs: &[Output]) -> Option<ProcessInstant> {
     let stamp = |output: &Output| match output {
         Output::Send {
             message:
@@ -200,7 +200,7 @@
     let mut heard = Heard::new();
     heard.hears(at(0), 1, 5, Vec::new());
     let own = heard.echo.expect("it has answered");
-    heard.echo = Some(Stamp {
+    heard.echo = Some(ProcessInstant {
         process: own.process + 1,
         ..own
     });
@@ -215,7 +215,7 @@
     let mut timed = four(4);
     timed.commit_within(SECOND).expect("a change is committed");
     let (primary, voters) = (serving(&timed), others(&timed));
-    let is_current = |timed: &lichenswitch_replication::model::timed::Timed, index: usize| {
+    let is_current = |timed: &lichenswitch_replication::model::timed::TimedWorld, index: usize| {
         let replica = timed.world.nodes[index].replica.as_ref().unwrap();
         (replica.in_contact(timed.now), replica.is_current(timed.now))
     };
@@ -249,9 +249,11 @@
         for output in replica.take_outputs() {
             if let Output::Send {
                 to,
-                message: Message {
-                    body: Body::Knock, ..
-                },
+                message:
+                    Message {
+                        body: Body::JoinRequest,
+                        ..
+                    },
             } = output
             {
                 knocks.push(to);
@@ -386,7 +388,7 @@
         &replica.take_outputs()[..],
         [Output::Send {
             message: Message {
-                body: Body::Refusal { .. },
+                body: Body::VoteRejected { .. },
                 ..
             },
             ..
@@ -449,7 +451,7 @@
             output,
             Output::Send {
                 message: Message {
-                    body: Body::ImageRequest { .. },
+                    body: Body::SnapshotRequest { .. },
                     ..
                 },
                 ..
--- a/decide/replication/tests/disks_and_links.rs
+++ b/decide/replication/tests/disks_and_links.rs
@@ -3,7 +3,7 @@
 
 mod scenario;
 
-use lichenswitch_replication::model::timed::{Timed, Weather};
+use lichenswitch_replication::model::timed::{NetworkConditions, TimedWorld};
 use lichenswitch_replication::model::History;
 use lichenswitch_replication::{DurableItem, Notice, Settings};
 use scenario::*;
@@ -29,7 +29,7 @@
 /// Microseconds until a group whose members all start again within 0.4 s takes a change, from the
 /// moment at which a majority runs.
 fn back_within(seed: u64) -> u64 {
-    let mut timed = Timed::gathered(Settings::default(), 4, 4, seed);
+    let mut timed = TimedWorld::gathered(Settings::default(), 4, 4, seed);
     timed.commit_within(SECOND).expect("a change is committed");
     (0..4).for_each(|index| timed.crash(index));
     for index in 0..3 {
@@ -64,7 +64,8 @@
     timed
         .commit_within(SECOND)
         .expect("the next primary commits");
-    let heard = |(_, notice): &(usize, Notice)| matches!(notice, Notice::HandsOver { .. });
+    let heard =
+        |(_, notice): &(usize, Notice)| matches!(notice, Notice::LeadershipTransferStarted { .. });
     assert!(timed.world.notices.as_ref().unwrap().iter().any(heard));
     clean(&timed);
 }
@@ -180,7 +181,7 @@
     let images = timed.world.notices.take().unwrap();
     let images = images
         .iter()
-        .filter(|(_, notice)| matches!(notice, Notice::ImageReceived { .. }))
+        .filter(|(_, notice)| matches!(notice, Notice::SnapshotReceived { .. }))
         .count();
     assert_eq!(images, 1);
     clean(&timed);
@@ -213,15 +214,15 @@
 
 #[test]
 fn a_large_image_comes_through_a_network_that_loses_a_fifth() {
-    let mut timed = Timed::new(Settings::default(), 4, 9);
+    let mut timed = TimedWorld::new(Settings::default(), 4, 9);
     // 320 KB: eleven chunks.
     timed.world.founding = History {
         changes: (1_000_000..1_040_000).collect(),
     };
     timed.call(0, |world| world.found());
-    timed.weather = Weather {
+    timed.weather = NetworkConditions {
         loss: 5,
-        ..Weather::default()
+        ..NetworkConditions::default()
     };
     for index in 1..4 {
         timed.restart(index);
@@ -252,7 +253,7 @@
     timed.call(voter, |world| world.fail_sync(voter));
     timed.run_for(SECOND);
     let last = timed.world.nodes[voter].disk.last();
-    assert!(matches!(last, Some(DurableItem::Image(_))), "{last:?}");
+    assert!(matches!(last, Some(DurableItem::Snapshot(_))), "{last:?}");
     let synced = |index: usize| {
         timed.world.nodes[index]
             .replica
@@ -279,7 +280,7 @@
 #[test]
 fn what_is_acknowledged_survives_a_lost_disk_and_a_loss_of_power_in_that_moment() {
     for seed in 0..60 {
-        let mut timed = Timed::gathered(Settings::default(), 4, 5, seed);
+        let mut timed = TimedWorld::gathered(Settings::default(), 4, 5, seed);
         timed
             .commit_within(SECOND)
             .expect("a change is acknowledged");
@@ -309,7 +310,7 @@
 
 #[test]
 fn two_newcomers_take_a_large_image_while_changes_go_on() {
-    let mut timed = Timed::new(Settings::default(), 5, 9);
+    let mut timed = TimedWorld::new(Settings::default(), 5, 9);
     // 480 KB: fifteen chunks, four windows.
     timed.world.founding = History {
         changes: (1_000_000..1_060_000).collect(),
--- a/decide/replication/tests/liveness.rs
+++ b/decide/replication/tests/liveness.rs
@@ -3,8 +3,8 @@
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use lichenswitch_replication::model::timed::{Timed, Weather};
-use lichenswitch_replication::model::walk::Dice;
+use lichenswitch_replication::model::timed::{NetworkConditions, TimedWorld};
+use lichenswitch_replication::model::walk::SeededRng;
 use lichenswitch_replication::Settings;
 
 const SECOND: u64 = 1_000_000;
@@ -19,7 +19,7 @@
 }
 
 /// One fault of one node; how long it lasts. At most one node is faulty at a time.
-fn fault(timed: &mut Timed, node: usize, dice: &mut Dice) -> &'static str {
+fn fault(timed: &mut TimedWorld, node: usize, dice: &mut SeededRng) -> &'static str {
     let lasts = 100_000 + dice.below(4 * SECOND);
     match dice.below(8) {
         0 => {
@@ -72,12 +72,12 @@
 
 /// A group of `voters` through 12 faults, with changes and reads all along.
 fn run(voters: usize, seed: u64) {
-    let mut dice = Dice(seed ^ 0x5eed);
-    let mut timed = Timed::gathered(Settings::default(), voters, voters, seed);
-    timed.weather = Weather {
+    let mut dice = SeededRng(seed ^ 0x5eed);
+    let mut timed = TimedWorld::gathered(Settings::default(), voters, voters, seed);
+    timed.weather = NetworkConditions {
         loss: [0, 200, 50][dice.index(3)],
         repeat: [0, 50][dice.index(2)],
-        ..Weather::default()
+        ..NetworkConditions::default()
     };
     let mut done = Vec::new();
     for _ in 0..12 {
--- a/decide/replication/tests/planted_faults.rs
+++ b/decide/replication/tests/planted_faults.rs
@@ -3,7 +3,7 @@
 //! the one that is a matter of what happens in `scenarios.rs`.
 
 use lichenswitch_replication::model::walk::{walk, Walk};
-use lichenswitch_replication::model::{Machinery, World};
+use lichenswitch_replication::model::{PlantedFaults, World};
 use lichenswitch_replication::{Faults, Settings};
 
 /// Most seeds until a fault must have been found.
@@ -42,7 +42,7 @@
 };
 
 /// The first seed that shows the fault, and what it shows.
-fn search(faults: Faults, machinery: Machinery, profile: Profile) -> Option<(u64, String)> {
+fn search(faults: Faults, machinery: PlantedFaults, profile: Profile) -> Option<(u64, String)> {
     let Profile {
         voters,
         spares,
@@ -75,7 +75,7 @@
     })
 }
 
-fn must_find(name: &str, faults: Faults, machinery: Machinery, profile: Profile) {
+fn must_find(name: &str, faults: Faults, machinery: PlantedFaults, profile: Profile) {
     let found = search(faults, machinery, profile);
     println!("{name}: {found:?}");
     assert!(
@@ -88,7 +88,7 @@
     ($($name:ident, $profile:expr;)*) => {$(
         #[test]
         fn $name() {
-            must_find(stringify!($name), Faults { $name: true, ..Faults::default() }, Machinery::default(), $profile);
+            must_find(stringify!($name), Faults { $name: true, ..Faults::default() }, PlantedFaults::default(), $profile);
         }
     )*};
 }
@@ -112,18 +112,18 @@
         empty_disk_votes: true,
         ..Faults::default()
     };
-    let machinery = Machinery {
+    let machinery = PlantedFaults {
         wiped_keeps_identity: true,
-        ..Machinery::default()
+        ..PlantedFaults::default()
     };
     must_find("empty_disk_votes", faults, machinery, CHANGING);
 }
 
 #[test]
 fn founds_again() {
-    let machinery = Machinery {
+    let machinery = PlantedFaults {
         founds_again: true,
-        ..Machinery::default()
+        ..PlantedFaults::default()
     };
     must_find("founds_again", Faults::default(), machinery, CHANGING);
 }
--- a/decide/replication/tests/scenario/mod.rs
+++ b/decide/replication/tests/scenario/mod.rs
@@ -3,20 +3,20 @@
 
 use std::collections::BTreeSet;
 
-use lichenswitch_replication::model::timed::Timed;
+use lichenswitch_replication::model::timed::TimedWorld;
 use lichenswitch_replication::{MembershipChange, Notice, Settings};
 
 pub const SECOND: u64 = 1_000_000;
 
-pub fn four(nodes: usize) -> Timed {
-    Timed::gathered(Settings::default(), 4, nodes, 1)
+pub fn four(nodes: usize) -> TimedWorld {
+    TimedWorld::gathered(Settings::default(), 4, nodes, 1)
 }
 
-pub fn serving(timed: &Timed) -> usize {
+pub fn serving(timed: &TimedWorld) -> usize {
     timed.world.serving().expect("a primary serves")
 }
 
-pub fn others(timed: &Timed) -> Vec<usize> {
+pub fn others(timed: &TimedWorld) -> Vec<usize> {
     let primary = serving(timed);
     let named = &timed.world.nodes[primary]
         .replica
@@ -32,11 +32,11 @@
         .collect()
 }
 
-pub fn clean(timed: &Timed) {
+pub fn clean(timed: &TimedWorld) {
     assert_eq!(timed.world.ledger.violation, None);
 }
 
-pub fn changes(timed: &mut Timed) -> Vec<MembershipChange> {
+pub fn changes(timed: &mut TimedWorld) -> Vec<MembershipChange> {
     let notices = timed.world.notices.replace(Vec::new()).unwrap_or_default();
     let change = |(_, notice)| match notice {
         Notice::MembershipChange { change, .. } => Some(change),
--- a/decide/replication/tests/scenarios.rs
+++ b/decide/replication/tests/scenarios.rs
@@ -2,13 +2,13 @@
 
 mod scenario;
 
-use lichenswitch_replication::model::timed::Timed;
+use lichenswitch_replication::model::timed::TimedWorld;
 use lichenswitch_replication::{DurableItem, Epoch, Faults, MembershipChange, Notice, Settings};
 use scenario::*;
 
 #[test]
 fn a_founder_serves_alone_within_a_second() {
-    let mut timed = Timed::new(Settings::default(), 1, 7);
+    let mut timed = TimedWorld::new(Settings::default(), 1, 7);
     timed.call(0, |world| world.found());
     let served = timed.run_until(SECOND, |timed| timed.world.serving().is_some());
     assert!(served.is_some_and(|took| took < 20_000), "{served:?}");
@@ -23,7 +23,7 @@
 
 #[test]
 fn nine_come_together_and_a_tenth_is_refused() {
-    let mut timed = Timed::gathered(Settings::default(), 9, 10, 3);
+    let mut timed = TimedWorld::gathered(Settings::default(), 9, 10, 3);
     timed.restart(9);
     timed.run_for(5 * SECOND);
     assert!(timed.is_whole(9));
@@ -52,7 +52,7 @@
 #[test]
 fn a_dead_primary_is_followed_by_another() {
     for seed in 0..20 {
-        let mut timed = Timed::gathered(Settings::default(), 4, 4, seed);
+        let mut timed = TimedWorld::gathered(Settings::default(), 4, 4, seed);
         let primary = serving(&timed);
         timed.crash(primary);
         let took = timed
@@ -132,7 +132,7 @@
 
 /// The fault that is planted here makes the second replacement fatal: nobody commits any more.
 fn second_replacement(faults: Faults) -> Option<u64> {
-    let mut timed = Timed::gathered(
+    let mut timed = TimedWorld::gathered(
         Settings {
             faults,
             ..Settings::default()
@@ -196,7 +196,7 @@
 
 #[test]
 fn three_never_become_two() {
-    let mut timed = Timed::gathered(Settings::default(), 3, 3, 5);
+    let mut timed = TimedWorld::gathered(Settings::default(), 3, 3, 5);
     let lost = others(&timed)[0];
     timed.crash(lost);
     timed.run_for(20 * SECOND);
@@ -211,7 +211,7 @@
             .len(),
         3
     );
-    let refused = |(_, notice): &(usize, Notice)| matches!(notice, Notice::RemovalRefused { .. });
+    let refused = |(_, notice): &(usize, Notice)| matches!(notice, Notice::RemovalRejected { .. });
     let told = timed
         .world
         .notices
@@ -227,7 +227,7 @@
 #[test]
 fn a_primary_that_leaves_hands_over_and_is_removed() {
     for seed in 0..20 {
-        let mut timed = Timed::gathered(Settings::default(), 4, 4, seed);
+        let mut timed = TimedWorld::gathered(Settings::default(), 4, 4, seed);
         let primary = serving(&timed);
         timed.call(primary, |world| world.leave(primary));
         let left = timed.run_until(3 * SECOND, |timed| {
@@ -252,7 +252,7 @@
 
 #[test]
 fn a_leaver_that_would_leave_two_stays_on_paper() {
-    let mut timed = Timed::gathered(Settings::default(), 3, 3, 5);
+    let mut timed = TimedWorld::gathered(Settings::default(), 3, 3, 5);
     let leaver = others(&timed)[0];
     timed.call(leaver, |world| world.leave(leaver));
     let left = timed.run_until(SECOND, |timed| {
@@ -284,7 +284,7 @@
 #[test]
 fn a_leaver_whose_removal_was_the_last_act_of_a_primary_still_learns_of_it() {
     for seed in 0..20 {
-        let mut timed = Timed::gathered(Settings::default(), 5, 5, seed);
+        let mut timed = TimedWorld::gathered(Settings::default(), 5, 5, seed);
         let (primary, leaver) = (serving(&timed), others(&timed)[0]);
         timed.cut(primary, leaver);
         timed.call(leaver, |world| world.leave(leaver));
@@ -307,7 +307,7 @@
         fault_tolerance: 2,
         ..Settings::default()
     };
-    let mut timed = Timed::gathered(settings, 8, 12, 2);
+    let mut timed = TimedWorld::gathered(settings, 8, 12, 2);
     for newcomers in [[8, 9], [10, 11]] {
         let lost = others(&timed);
         let primary = serving(&timed);
--- a/decide/replication/tests/values.rs
+++ b/decide/replication/tests/values.rs
@@ -5,8 +5,8 @@
 use assert_matches::assert_matches;
 use lichenswitch_replication::model::History;
 use lichenswitch_replication::{
-    majority_of, Append, Body, DurableItem, Epoch, Identity, Image, Member, Membership, Message,
-    Position, Record, RecoverError, Recovered, Replica, ReplicatedState, Settings, Stamp,
+    majority_of, Append, Body, DurableItem, Epoch, Identity, Member, Membership, Message, Position,
+    ProcessInstant, Record, RecoverError, Recovered, Replica, ReplicatedState, Settings, Snapshot,
     StateError, Time, Update,
 };
 
@@ -41,7 +41,7 @@
     }
     .encode();
     let (identity, promised) = (Identity(1), at.epoch);
-    DurableItem::Image(Image {
+    DurableItem::Snapshot(Snapshot {
         identity,
         promised,
         position: at,
@@ -99,7 +99,7 @@
     let (head, committed) = (position(3, 9), position(3, 8));
     let (round, in_contact, records, take_image) = (77, true, Vec::new(), false);
     let to = Identity(2);
-    let echo = Some(Stamp {
+    let echo = Some(ProcessInstant {
         process: u64::MAX,
         clock: 1,
     });
@@ -131,7 +131,7 @@
 fn bytes_that_are_no_message_are_refused() {
     let bytes = Message {
         from: member(1),
-        body: Body::Knock,
+        body: Body::JoinRequest,
     }
     .encode();
     for length in 0..bytes.len() {
@@ -215,23 +215,23 @@
         Recovered::from_items([image(first), promise, record(first, second, start())]),
         Err(RecoverError::RecordBelowPromise { .. })
     );
-    let DurableItem::Image(mut foreign) = image(second) else {
+    let DurableItem::Snapshot(mut foreign) = image(second) else {
         unreachable!("an image")
     };
     foreign.identity = Identity(8);
     assert_matches!(
-        Recovered::from_items([image(first), DurableItem::Image(foreign)]),
+        Recovered::from_items([image(first), DurableItem::Snapshot(foreign)]),
         Err(RecoverError::TwoIdentities { .. })
     );
 }
 
 #[test]
 fn a_state_that_cannot_be_read_is_an_error() {
-    let DurableItem::Image(mut half) = image(position(2, 5)) else {
+    let DurableItem::Snapshot(mut half) = image(position(2, 5)) else {
         unreachable!("an image")
     };
     half.state.pop();
-    let recovered = Recovered::from_items([DurableItem::Image(half)]).expect("the items follow");
+    let recovered = Recovered::from_items([DurableItem::Snapshot(half)]).expect("the items follow");
     let replica =
         Replica::<History>::recover(Settings::default(), "here".into(), recovered, 1, Time(0));
     assert_eq!(
--- a/experiments/src/main.rs
+++ b/experiments/src/main.rs
@@ -3,7 +3,9 @@
 #![forbid(unsafe_code)]
 
 use clap::{Args, Parser, Subcommand};
-use lichenswitch_experiments::{cold, council, discovery, fleet, members, replay, scale, two_phase};
+use lichenswitch_experiments::{
+    cold, council, discovery, fleet, members, replay, scale, two_phase,
+};
 use serde::Serialize;
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/fleet/src/control/backlog.rs
+++ b/fleet/src/control/backlog.rs
@@ -7,10 +7,10 @@
 use super::links::End;
 use super::machine::Machine;
 use super::program::after;
+use lichenswitch_backlog::{BacklogTable, Changes};
 use lichenswitch_interface::{ServerId, Time};
 use lichenswitch_messages::{BacklogReport, ServerBacklog};
 use lichenswitch_net::ConnId;
-use lichenswitch_backlog::{BacklogTable, Changes};
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/fleet/src/control/group.rs
+++ b/fleet/src/control/group.rs
@@ -9,7 +9,9 @@
 use lichenswitch_control::{Eligibility, Replicated};
 use lichenswitch_interface::Time;
 use lichenswitch_replication as replication;
-use lichenswitch_replication::{DurableItem, Identity, Member, Output, Recovered, Replica, Ticket};
+use lichenswitch_replication::{
+    DurableItem, Identity, Member, Output, Recovered, Replica, WriteId,
+};
 use lichenswitch_storage::{FileSystem, Finding, Job, Storage, StorageSettings, Usage, Writer};
 use log::{info, warn};
 use std::hash::BuildHasher;
@@ -47,7 +49,7 @@
     pub(super) replica: Replica<Replicated>,
     disk: Option<Disk>,
     /// Items that are to be told as written, where there is no disk.
-    remembered: Option<Ticket>,
+    remembered: Option<WriteId>,
 }
 
 /// What a disk held.
@@ -131,7 +133,7 @@
         }
     }
 
-    fn persist(&mut self, ticket: Ticket, item: &DurableItem) {
+    fn persist(&mut self, ticket: WriteId, item: &DurableItem) {
         let Some(disk) = &mut self.disk else {
             self.remembered = Some(ticket);
             return;
@@ -145,7 +147,7 @@
             .flatten();
         let (is_image, bytes) = match &anew {
             Some(image) => (true, image.encode()),
-            None => (matches!(item, DurableItem::Image(_)), bytes),
+            None => (matches!(item, DurableItem::Snapshot(_)), bytes),
         };
         disk.submit(ticket, is_image, bytes);
     }
@@ -154,7 +156,7 @@
     pub(super) fn on_written(&mut self, now: Time) {
         let Some(disk) = &mut self.disk else { return };
         for completion in disk.writer.completions() {
-            let ticket = Ticket(completion.ticket);
+            let ticket = WriteId(completion.ticket);
             match completion.result {
                 Ok(usage) => {
                     if disk.failure.is_some() {
@@ -230,7 +232,7 @@
         self.usage.wants_image || used > self.usage.segment_bytes
     }
 
-    fn submit(&mut self, ticket: Ticket, is_image: bool, bytes: Vec<u8>) {
+    fn submit(&mut self, ticket: WriteId, is_image: bool, bytes: Vec<u8>) {
         let job = if is_image {
             // The next segment has room again; how much is told once it is written.
             (self.usage.wants_image, self.usage.used_bytes, self.handed) = (false, 0, 0);
--- a/fleet/src/control/machine.rs
+++ b/fleet/src/control/machine.rs
@@ -329,7 +329,7 @@
         for output in outputs {
             match output {
                 Output::Send { to, message } => self.send_replication(&to, &message, now),
-                Output::Settled { request, outcome } => {
+                Output::Completed { request, outcome } => {
                     if let Some(group) = &mut self.group {
                         let status = |replica: &_| status::group(replica, now).into_bytes();
                         let replica = &mut group.replica;
@@ -359,7 +359,7 @@
         // Heartbeats and answers to them are repeated, records and images come again with the next
         // heartbeat.
         match message.body {
-            Body::TakeOver { .. } | Body::Leave | Body::LeaveResponse { .. } => {
+            Body::TakeOver { .. } | Body::LeaveRequest | Body::LeaveResponse { .. } => {
                 self.links.send(&mut self.net, id, &envelope);
             }
             _ => self.links.send_repeatable(&mut self.net, id, &envelope),
--- a/fleet/src/router/backlog.rs
+++ b/fleet/src/router/backlog.rs
@@ -6,9 +6,9 @@
 use super::exchange::{Exchange, Phase};
 use super::program::Timer;
 use super::Router;
+use lichenswitch_backlog::Backlog;
 use lichenswitch_interface::{Micros, ServerId, Time};
 use lichenswitch_messages::{BacklogReport, ServerBacklog};
-use lichenswitch_backlog::Backlog;
 use std::collections::BTreeMap;
 
 /// Between two reports at the least (microseconds).
--- a/fleet/src/router/service.rs
+++ b/fleet/src/router/service.rs
@@ -11,12 +11,12 @@
 use super::prefix::Prompt;
 use super::response::ServerLoad;
 use super::servers::GROUPS;
+use lichenswitch_backlog::Backlog;
 use lichenswitch_core::{Command, Contracts, Core, Refusal, Request, Value};
 use lichenswitch_interface::{
     Class, Layout, Limits, Listed, Listing, Load, Micros, Mode, Outcome, Placement, QueryId,
     Repeat, ServerId, Settings, Shard, Time, FIRST_SHARE,
 };
-use lichenswitch_backlog::Backlog;
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
 
--- a/policy/src/lib.rs
+++ b/policy/src/lib.rs
@@ -253,7 +253,9 @@
             Event::Classes(classes) => self.set_classes(classes),
             Event::Budget(budget) => self.set.limits.budget = budget,
             Event::Load { server, load } => {
-                drop(self.servers.get_mut(&server).map(|s| s.load = load))
+                if let Some(known) = self.servers.get_mut(&server) {
+                    known.load = load;
+                }
             }
             Event::Processes(count) => {
                 self.processes = count.map_or(u32::MAX, |count| count.max(1));
--- a/simulator/src/control/mod.rs
+++ b/simulator/src/control/mod.rs
@@ -16,7 +16,7 @@
     ControlToRouter, PeerMessage, RelayedAnswer, RelayedCall, RouterToControl,
 };
 use lichenswitch_replication::{
-    DurableItem, Identity, Message, Notice, Output, Position, Replica, Ticket, Time,
+    DurableItem, Identity, Message, Notice, Output, Position, Replica, Time, WriteId,
 };
 use std::collections::BTreeSet;
 
@@ -60,7 +60,7 @@
 #[derive(Debug)]
 pub enum Effect {
     /// Write and sync.
-    Persist(Ticket, DurableItem),
+    Persist(WriteId, DurableItem),
     /// Send to the control machine at this address.
     SendPeer(String, PeerMessage),
     /// End a call from outside.
@@ -223,12 +223,12 @@
     }
 
     /// An item, and all before it, is synced.
-    pub fn on_persisted(&mut self, now: Time, ticket: Ticket) {
+    pub fn on_persisted(&mut self, now: Time, ticket: WriteId) {
         self.replica.on_persisted(now, ticket);
     }
 
     /// An item, and all behind it, was not written.
-    pub fn on_persist_failed(&mut self, now: Time, ticket: Ticket) {
+    pub fn on_persist_failed(&mut self, now: Time, ticket: WriteId) {
         self.replica.on_persist_failed(now, ticket);
     }
 
@@ -363,7 +363,7 @@
             Output::Persist { ticket, item } => Effect::Persist(ticket, item),
             Output::Committed(position) => Effect::Committed(position),
             Output::Notice(notice) => Effect::Notice(notice),
-            Output::Settled { request, outcome } => {
+            Output::Completed { request, outcome } => {
                 let status = |_: &Replica<Replicated>| Vec::new();
                 return self
                     .calls
--- a/simulator/src/disk.rs
+++ b/simulator/src/disk.rs
@@ -8,7 +8,7 @@
 use std::collections::VecDeque;
 
 use fastrand::Rng;
-use lichenswitch_replication::{DurableItem, Ticket};
+use lichenswitch_replication::{DurableItem, WriteId};
 
 /// Least time of a write with its sync, in microseconds.
 const SYNC: u64 = 800;
@@ -35,16 +35,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Finished {
     /// All up to this ticket is synced.
-    Persisted(Ticket),
+    Persisted(WriteId),
     /// The item of this ticket, and all behind it, was not written.
-    Failed(Ticket),
+    Failed(WriteId),
     /// The disk has stalled: it ends later.
     Waits,
 }
 
 #[derive(Clone, Debug)]
 struct Job {
-    ticket: Ticket,
+    ticket: WriteId,
     item: DurableItem,
 }
 
@@ -74,7 +74,7 @@
     }
 
     /// An item to be written behind all others.
-    pub fn submit(&mut self, ticket: Ticket, item: DurableItem) {
+    pub fn submit(&mut self, ticket: WriteId, item: DurableItem) {
         self.queue.push_back(Job { ticket, item });
     }
 
@@ -122,7 +122,7 @@
     }
 
     fn write(&mut self, item: DurableItem) {
-        if matches!(item, DurableItem::Image(_)) {
+        if matches!(item, DurableItem::Snapshot(_)) {
             self.items.clear();
         }
         self.items.push(item);
@@ -154,7 +154,7 @@
         let mut chain = true;
         for job in std::mem::take(&mut self.batch) {
             let present = random.bool();
-            let image = matches!(job.item, DurableItem::Image(_));
+            let image = matches!(job.item, DurableItem::Snapshot(_));
             chain = present && (chain || image);
             if chain {
                 self.write(job.item);
--- a/simulator/src/world/machines.rs
+++ b/simulator/src/world/machines.rs
@@ -1,8 +1,8 @@
 //! Control machines: their start and end, what comes to them, and what their processes want done.
 
 use lichenswitch_replication::{
-    DurableItem, Identity, Member, Notice, Position, Recovered, Replica, Settings, Status, Ticket,
-    Time,
+    DurableItem, Identity, Member, Notice, Position, Recovered, Replica, Settings, Status, Time,
+    WriteId,
 };
 
 use super::machine::{AfterEnd, Machine};
@@ -335,7 +335,7 @@
 
     /// A segment that is nearly full begins anew with everything that the item and those before it
     /// come to.
-    fn persist(&mut self, host: Host, ticket: Ticket, item: DurableItem) {
+    fn persist(&mut self, host: Host, ticket: WriteId, item: DurableItem) {
         let Some(machine) = self.machines.get_mut(&host) else {
             return;
         };
@@ -397,7 +397,7 @@
     }
 
     fn on_notice(&mut self, host: Host, notice: &Notice) {
-        if let Notice::ImageReceived { bytes, .. } = notice {
+        if let Notice::SnapshotReceived { bytes, .. } = notice {
             self.counts.images += 1;
             self.counts.largest_image = self.counts.largest_image.max(*bytes);
         }
--- a/soak/tests/judge.rs
+++ b/soak/tests/judge.rs
@@ -1,18 +1,18 @@
 //! The judge on journals with planted faults, and on such that only look like faults.
 
 use assert_matches::assert_matches;
-use lichenswitch_soak::bounds::{CONFIG_APPLY, DRAIN_TIMEOUT, GRACE};
-use lichenswitch_soak::journal::{
-    Journal, OrderRecord, ProcessFault, ReadRecord, ServerRecord, Trouble, TroubleKind, Try, TryEnd,
-};
-use lichenswitch_soak::judge::judge;
-use lichenswitch_soak::violation::{Beside, Violation};
 use lichenswitch_emulators::fleet_processes::Role;
 use lichenswitch_emulators::model_server::heartbeat::Word;
 use lichenswitch_emulators::model_server::{Entry, Event, Fault};
 use lichenswitch_emulators::operator::{Fault as OperatorFault, Order, Outcome, Verb};
 use lichenswitch_emulators::stream_client::message::Head;
 use lichenswitch_emulators::stream_client::StreamFault;
+use lichenswitch_soak::bounds::{CONFIG_APPLY, DRAIN_TIMEOUT, GRACE};
+use lichenswitch_soak::journal::{
+    Journal, OrderRecord, ProcessFault, ReadRecord, ServerRecord, Trouble, TroubleKind, Try, TryEnd,
+};
+use lichenswitch_soak::judge::judge;
+use lichenswitch_soak::violation::{Beside, Violation};
 use std::time::Duration;
 
 const fn ms(milliseconds: u64) -> Duration {
--- a/soak/tests/stalled_disk.rs
+++ b/soak/tests/stalled_disk.rs
@@ -1,11 +1,11 @@
 //! A control process that is told to end while its disk stalls: whoever is connected to it goes on
 //! elsewhere at once.
 
-use lichenswitch_soak::volatile_disk::STALL_FILE;
 use lichenswitch_emulators::fleet_processes::{FleetProcesses, Role};
 use lichenswitch_emulators::operator::document::{replace, Route};
 use lichenswitch_emulators::operator::{Operator, Order, Outcome, Verb};
 use lichenswitch_emulators::stream_client::message::Call;
+use lichenswitch_soak::volatile_disk::STALL_FILE;
 use std::io::Read;
 use std::net::{SocketAddr, TcpStream};
 use std::path::Path;
