--- a/decide/control/src/call.rs
+++ b/decide/control/src/call.rs
@@ -1,7 +1,7 @@
 //! A call of an operator, as it passes from the machine that took them to the primary.
 
 use lichenswitch_configuration::{Order, OrderKind};
-use lichenswitch_messages::{RelayedAnswer, RelayedCall};
+use lichenswitch_messages::{RelayedResponse, RelayedCall};
 use lichenswitch_replication::Time;
 
 /// A caller goes on to another control machine after a second of silence: a call that can't be
@@ -98,10 +98,10 @@
 
     /// What a call is answered that was handed to the primary and whose outcome isn't known. Only
     /// an order may have been taken.
-    pub(crate) fn unanswered(&self) -> RelayedAnswer {
+    pub(crate) fn unanswered(&self) -> RelayedResponse {
         match self {
-            Question::Order(_) => RelayedAnswer::Unknown,
-            Question::Describe | Question::Status => RelayedAnswer::NotPrimary,
+            Question::Order(_) => RelayedResponse::Unknown,
+            Question::Describe | Question::Status => RelayedResponse::NotPrimary,
         }
     }
 }
@@ -123,14 +123,14 @@
 }
 
 /// An answer with a reason in JSON.
-pub fn answer(status: u16, reason: &str) -> RelayedAnswer {
+pub fn answer(status: u16, reason: &str) -> RelayedResponse {
     let body = format!("{{\"error\":{}}}", miniserde::json::to_string(reason)).into_bytes();
-    RelayedAnswer::Answer { status, body }
+    RelayedResponse::Response { status, body }
 }
 
 /// An answer to an order that is in force.
-pub(crate) fn taken(version: u64) -> RelayedAnswer {
-    RelayedAnswer::Answer {
+pub(crate) fn taken(version: u64) -> RelayedResponse {
+    RelayedResponse::Response {
         status: 200,
         body: format!("{{\"version\":{version}}}").into_bytes(),
     }
--- a/decide/control/src/calls.rs
+++ b/decide/control/src/calls.rs
@@ -5,7 +5,7 @@
 use crate::primary_calls::{PrimaryCalls, Refusal};
 use crate::relayed_calls::{Primary, RelayedCalls, Step};
 use crate::replicated::Configured;
-use lichenswitch_messages::{RelayedAnswer, RelayedCall};
+use lichenswitch_messages::{RelayedResponse, RelayedCall};
 use lichenswitch_replication::{Outcome, Replica, RequestId, Time};
 
 /// Something that the machine has to do.
@@ -25,7 +25,7 @@
         /// The call that has ended.
         call: Call<C, A>,
         /// Its end.
-        answer: RelayedAnswer,
+        answer: RelayedResponse,
         /// It was an order that this machine refused as primary.
         refusal: Option<Refusal>,
     },
@@ -66,12 +66,12 @@
         match (&call.origin, replica.filter(|replica| replica.is_serving())) {
             (Origin::Caller(_), _) => self.relayed.take(call),
             (Origin::Peer { .. }, Some(replica)) => self.primary.take(now, call, replica),
-            (Origin::Peer { .. }, None) => self.answer(call, RelayedAnswer::NotPrimary, None),
+            (Origin::Peer { .. }, None) => self.answer(call, RelayedResponse::NotPrimary, None),
         }
     }
 
     /// The primary has answered a call that was handed on.
-    pub fn on_answer(&mut self, now: Time, from: &A, id: u64, answer: RelayedAnswer) {
+    pub fn on_answer(&mut self, now: Time, from: &A, id: u64, answer: RelayedResponse) {
         self.relayed.on_answer(now, from, id, answer);
     }
 
@@ -118,7 +118,7 @@
         for ended in self.primary.take_ended() {
             match (&ended.call.origin, &ended.answer) {
                 // Nothing was begun: another primary may take it yet.
-                (Origin::Caller(_), RelayedAnswer::NotPrimary) => {
+                (Origin::Caller(_), RelayedResponse::NotPrimary) => {
                     self.relayed.take_back(now, ended.call)
                 }
                 _ => self.answer(ended.call, ended.answer, ended.refusal),
@@ -127,7 +127,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    fn answer(&mut self, call: Call<C, A>, answer: RelayedAnswer, refusal: Option<Refusal>) {
+    fn answer(&mut self, call: Call<C, A>, answer: RelayedResponse, refusal: Option<Refusal>) {
         self.actions.push(Action::Answer {
             call,
             answer,
--- a/decide/control/src/calls/tests.rs
+++ b/decide/control/src/calls/tests.rs
@@ -34,7 +34,7 @@
             calls.advance(START, &Primary::Unknown, replica.as_mut()),
             [Action::Answer {
                 call,
-                answer: RelayedAnswer::NotPrimary,
+                answer: RelayedResponse::NotPrimary,
                 refusal: None
             }]
         );
@@ -68,7 +68,7 @@
             call: RelayedCall::Describe
         }]
     );
-    let answer = RelayedAnswer::Answer {
+    let answer = RelayedResponse::Response {
         status: 200,
         body: Vec::new(),
     };
@@ -98,7 +98,7 @@
     assert_matches!(
         &calls.advance(START, &Primary::Unknown, None::<&mut Replica<Replicated>>)[..],
         [Action::Answer {
-            answer: RelayedAnswer::NotPrimary,
+            answer: RelayedResponse::NotPrimary,
             ..
         }]
     );
--- a/decide/control/src/primary_calls.rs
+++ b/decide/control/src/primary_calls.rs
@@ -9,7 +9,7 @@
 use crate::faults::Faults;
 use crate::replicated::Configured;
 use lichenswitch_configuration::{judge, Document, Order, Verdict};
-use lichenswitch_messages::RelayedAnswer;
+use lichenswitch_messages::RelayedResponse;
 use lichenswitch_replication::{Outcome, Replica, RequestId, Time};
 use std::collections::VecDeque;
 
@@ -25,7 +25,7 @@
     /// The call.
     pub call: Call<C, A>,
     /// What whoever waits is to be told.
-    pub answer: RelayedAnswer,
+    pub answer: RelayedResponse,
     /// It was an order that was refused.
     pub refusal: Option<Refusal>,
 }
@@ -138,7 +138,7 @@
             };
             self.waiting_bytes -= call.question.weight();
             if !replica.is_serving() {
-                self.end(call, RelayedAnswer::NotPrimary);
+                self.end(call, RelayedResponse::NotPrimary);
             } else if replica.is_idle() && replica.may_take_orders(now) {
                 self.begin(now, call, replica);
             } else if call.patience() <= now {
@@ -151,7 +151,7 @@
 
     fn begin<S: Configured>(&mut self, now: Time, call: Call<C, A>, replica: &mut Replica<S>) {
         let Some(verdict) = self.verdict(&call, replica) else {
-            return self.end(call, RelayedAnswer::NotPrimary);
+            return self.end(call, RelayedResponse::NotPrimary);
         };
         let (step, request) = match verdict {
             Verdict::Change(change) => (Step::Committing, replica.propose(now, change)),
@@ -189,11 +189,11 @@
             let (_, call) = self.reads.swap_remove(place);
             let answer = match (outcome, &call.question) {
                 (Outcome::Confirmed(_), Question::Describe) => describe(replica),
-                (Outcome::Confirmed(_), _) => RelayedAnswer::Answer {
+                (Outcome::Confirmed(_), _) => RelayedResponse::Response {
                     status: 200,
                     body: status(replica),
                 },
-                _ => RelayedAnswer::NotPrimary,
+                _ => RelayedResponse::NotPrimary,
             };
             self.end(call, answer);
         }
@@ -211,10 +211,10 @@
                     .committed()
                     .map_or(0, |(_, state)| state.as_ref().version()),
             ),
-            Outcome::NotPrimary => RelayedAnswer::NotPrimary,
+            Outcome::NotPrimary => RelayedResponse::NotPrimary,
             // The state was another one than it was judged against: it is judged anew.
             Outcome::Rejected(_) => return self.judge_again(call),
-            Outcome::Unknown | Outcome::Confirmed(_) => RelayedAnswer::Unknown,
+            Outcome::Unknown | Outcome::Confirmed(_) => RelayedResponse::Unknown,
         };
         self.end(call, answer);
     }
@@ -227,14 +227,14 @@
         replica: &mut Replica<S>,
     ) {
         if !matches!(outcome, Outcome::Confirmed(_)) {
-            return self.end(call, RelayedAnswer::NotPrimary);
+            return self.end(call, RelayedResponse::NotPrimary);
         }
         if !replica.is_idle() {
             // Something is in flight that may change the verdict.
             return self.judge_again(call);
         }
         match self.verdict(&call, replica) {
-            None => self.end(call, RelayedAnswer::NotPrimary),
+            None => self.end(call, RelayedResponse::NotPrimary),
             Some(Verdict::Change(_)) => self.begin(now, call, replica),
             Some(Verdict::Taken) => {
                 let version = order(&call).map_or(0, version_of);
@@ -253,7 +253,7 @@
         self.waiting.push_front(call);
     }
 
-    fn end(&mut self, call: Call<C, A>, answer: RelayedAnswer) {
+    fn end(&mut self, call: Call<C, A>, answer: RelayedResponse) {
         self.ended.push(Ended {
             call,
             answer,
@@ -324,12 +324,12 @@
 }
 
 /// The committed configuration as an answer. It is told only after a round.
-pub fn describe<S: Configured>(replica: &Replica<S>) -> RelayedAnswer {
+pub fn describe<S: Configured>(replica: &Replica<S>) -> RelayedResponse {
     let document = replica
         .committed()
         .and_then(|(_, state)| state.as_ref().document());
     match document {
-        Some(document) => RelayedAnswer::Answer {
+        Some(document) => RelayedResponse::Response {
             status: 200,
             body: document.to_json(),
         },
--- a/decide/control/src/primary_calls/tests.rs
+++ b/decide/control/src/primary_calls/tests.rs
@@ -106,7 +106,7 @@
             self.calls.advance(self.now, &mut self.replica);
             self.settle();
         }
-        let status = |answer: RelayedAnswer| assert_matches!(answer, RelayedAnswer::Answer { status, .. } => status);
+        let status = |answer: RelayedResponse| assert_matches!(answer, RelayedResponse::Response { status, .. } => status);
         let ended = self.calls.take_ended();
         ended
             .iter()
@@ -171,7 +171,7 @@
     alone.take(Question::Describe);
     alone.settle();
     let ended = alone.calls.take_ended();
-    assert_matches!(&ended[..], [Ended { answer: RelayedAnswer::Answer { status: 200, body }, .. }] => {
+    assert_matches!(&ended[..], [Ended { answer: RelayedResponse::Response { status: 200, body }, .. }] => {
         assert!(body.starts_with(b"{\"version\":2,"));
     });
 }
@@ -199,7 +199,7 @@
     assert_eq!(ended.len(), 2);
     assert!(ended
         .iter()
-        .all(|ended| ended.answer == RelayedAnswer::NotPrimary));
+        .all(|ended| ended.answer == RelayedResponse::NotPrimary));
 }
 
 #[test]
@@ -210,7 +210,7 @@
     assert_matches!(
         &ended[..],
         [Ended {
-            answer: RelayedAnswer::Answer { status: 503, .. },
+            answer: RelayedResponse::Response { status: 503, .. },
             ..
         }]
     );
--- a/decide/control/src/relayed_calls.rs
+++ b/decide/control/src/relayed_calls.rs
@@ -5,7 +5,7 @@
 //! an order whose end isn't known has no answer.
 
 use crate::call::{answer, Call};
-use lichenswitch_messages::{RelayedAnswer, RelayedCall};
+use lichenswitch_messages::{RelayedResponse, RelayedCall};
 use lichenswitch_replication::Time;
 use std::collections::BTreeMap;
 
@@ -39,7 +39,7 @@
         call: RelayedCall,
     },
     /// Answer the caller.
-    Answer(Call<C, A>, RelayedAnswer),
+    Answer(Call<C, A>, RelayedResponse),
 }
 
 /// After a machine has said that it is not the primary, a call rests so many microseconds: whoever
@@ -118,7 +118,7 @@
             match primary {
                 _ if held.call.patience() <= now => {
                     self.steps
-                        .push(Step::Answer(held.call, RelayedAnswer::NotPrimary));
+                        .push(Step::Answer(held.call, RelayedResponse::NotPrimary));
                 }
                 Primary::Here if may_go => self.steps.push(Step::Here(held.call)),
                 Primary::At(to) if may_go => self.send(to, held.call),
@@ -139,7 +139,7 @@
     }
 
     /// The primary has answered. An answer counts only from whom the call was sent to.
-    pub fn on_answer(&mut self, now: Time, from: &A, id: u64, answer: RelayedAnswer) {
+    pub fn on_answer(&mut self, now: Time, from: &A, id: u64, answer: RelayedResponse) {
         if self.sent.get(&id).is_none_or(|sent| sent.to != *from) {
             return;
         }
@@ -147,7 +147,7 @@
             return;
         };
         match answer {
-            RelayedAnswer::NotPrimary => self.take_back(now, call),
+            RelayedResponse::NotPrimary => self.take_back(now, call),
             answer => self.steps.push(Step::Answer(call, answer)),
         }
     }
--- a/decide/control/src/relayed_calls/tests.rs
+++ b/decide/control/src/relayed_calls/tests.rs
@@ -58,7 +58,7 @@
     calls.advance(at(300), &Primary::At(peer(1)));
     let (to, id) = sent(&mut calls);
     assert_eq!(to, peer(1));
-    calls.on_answer(at(310), &peer(2), id, RelayedAnswer::Unknown);
+    calls.on_answer(at(310), &peer(2), id, RelayedResponse::Unknown);
     assert!(
         calls.take_steps().is_empty(),
         "an answer counts only from whom the call was sent to"
@@ -67,16 +67,16 @@
         at(320),
         &peer(1),
         id,
-        RelayedAnswer::Answer {
+        RelayedResponse::Response {
             status: 200,
             body: Vec::new(),
         },
     );
     assert_matches!(
         &calls.take_steps()[..],
-        [Step::Answer(_, RelayedAnswer::Answer { status: 200, .. })]
+        [Step::Answer(_, RelayedResponse::Response { status: 200, .. })]
     );
-    calls.on_answer(at(330), &peer(1), id, RelayedAnswer::Unknown);
+    calls.on_answer(at(330), &peer(1), id, RelayedResponse::Unknown);
     assert!(
         calls.take_steps().is_empty() && calls.is_empty(),
         "a call is answered once"
@@ -93,7 +93,7 @@
     calls.advance(at(650), &Primary::Unknown);
     assert_matches!(
         &calls.take_steps()[..],
-        [Step::Answer(_, RelayedAnswer::NotPrimary)]
+        [Step::Answer(_, RelayedResponse::NotPrimary)]
     );
 }
 
@@ -114,8 +114,8 @@
             .into_iter()
             .map(|step| {
                 assert_matches!(step, Step::Answer(call, answer) => match call.question {
-                    Question::Order(_) => answer == RelayedAnswer::Unknown,
-                    _ => answer == RelayedAnswer::NotPrimary,
+                    Question::Order(_) => answer == RelayedResponse::Unknown,
+                    _ => answer == RelayedResponse::NotPrimary,
                 })
             })
             .collect();
@@ -130,7 +130,7 @@
     calls.take(order(at(0)));
     calls.advance(at(0), &Primary::At(peer(1)));
     let (_, id) = sent(&mut calls);
-    calls.on_answer(at(10), &peer(1), id, RelayedAnswer::NotPrimary);
+    calls.on_answer(at(10), &peer(1), id, RelayedResponse::NotPrimary);
     calls.advance(at(20), &Primary::At(peer(2)));
     assert!(calls.take_steps().is_empty());
     assert_eq!(calls.next_wake(), Some(at(110)));
@@ -146,7 +146,7 @@
     calls.take(describe(at(0)));
     assert_matches!(
         &calls.take_steps()[..],
-        [Step::Answer(_, RelayedAnswer::Answer { status: 503, .. })]
+        [Step::Answer(_, RelayedResponse::Response { status: 503, .. })]
     );
 }
 
@@ -162,7 +162,7 @@
         .map(|step| assert_matches!(step, Step::Send { id, .. } => id))
         .collect();
     sent.iter()
-        .for_each(|id| calls.on_answer(at(50), &peer(1), *id, RelayedAnswer::NotPrimary));
+        .for_each(|id| calls.on_answer(at(50), &peer(1), *id, RelayedResponse::NotPrimary));
     // No primary is known from then on: the pauses end, and nothing can be done until the callers'
     // patience is over.
     let (mut now, mut wakes) = (at(50), 0);
@@ -198,7 +198,7 @@
             for step in calls.take_steps() {
                 if let Step::Send { to, id, .. } = step {
                     if turn % 3 != 0 {
-                        calls.on_answer(now, &to, id, RelayedAnswer::NotPrimary);
+                        calls.on_answer(now, &to, id, RelayedResponse::NotPrimary);
                     }
                 }
             }
--- a/fleet/src/control/contact.rs
+++ b/fleet/src/control/contact.rs
@@ -11,7 +11,7 @@
 use super::servers::Audience;
 use lichenswitch_control::{configuration_position, Committed};
 use lichenswitch_interface::Time;
-use lichenswitch_messages::{ControlToRouter, Envelope, PeerMessage, Stamp};
+use lichenswitch_messages::{ControlToRouter, Envelope, PeerMessage, ProcessInstant};
 use lichenswitch_net::ConnId;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -164,7 +164,7 @@
         self.tell_peers(now);
         let heard = self.servers.take_digest(now);
         if !heard.is_empty() {
-            self.send_to_peers(&PeerMessage::Heard(heard));
+            self.send_to_peers(&PeerMessage::ServersHeard(heard));
         }
         self.name_peers();
     }
@@ -232,7 +232,7 @@
     }
 
     /// A machine without a copy has answered [`PeerMessage::Confirmed`].
-    pub(super) fn on_confirmed_heard(&mut self, now: Time, from: SocketAddr, stamp: Stamp) {
+    pub(super) fn on_confirmed_heard(&mut self, now: Time, from: SocketAddr, stamp: ProcessInstant) {
         let Some(peer) = self.peers.get_mut(from) else {
             return;
         };
@@ -340,7 +340,7 @@
         }
         self.servers.settle(now);
         for (id, ack) in self.servers.take_confirmations(now) {
-            self.send_to(id, PeerMessage::ServersMerged { ack });
+            self.send_to(id, PeerMessage::ServersAck { ack });
         }
         let answers = self.servers.take_answers();
         let busy = !answers.is_empty();
--- a/fleet/src/control/feed.rs
+++ b/fleet/src/control/feed.rs
@@ -7,7 +7,7 @@
 use super::program::{after, elapsed, sooner};
 use lichenswitch_control::Committed;
 use lichenswitch_interface::Time;
-use lichenswitch_messages::Stamp;
+use lichenswitch_messages::ProcessInstant;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -54,12 +54,12 @@
     }
 
     /// A primary is confirmed; the answer that it is to echo.
-    pub(super) fn on_confirmed(&mut self, now: Time, echo: Option<Stamp>) -> Stamp {
+    pub(super) fn on_confirmed(&mut self, now: Time, echo: Option<ProcessInstant>) -> ProcessInstant {
         let own = echo.filter(|stamp| stamp.process == self.process);
         self.contact = self
             .contact
             .max(own.map(|stamp| Time(stamp.clock).min(now)));
-        Stamp {
+        ProcessInstant {
             process: self.process,
             clock: now.0,
         }
--- a/fleet/src/control/feed/tests.rs
+++ b/fleet/src/control/feed/tests.rs
@@ -41,7 +41,7 @@
     let mut feed = Feed::new(OWN);
     feed.on_confirmed(
         at(0),
-        Some(Stamp {
+        Some(ProcessInstant {
             process: OWN + 1,
             clock: at(0).0,
         }),
--- a/fleet/src/control/on_call.rs
+++ b/fleet/src/control/on_call.rs
@@ -11,7 +11,7 @@
 use lichenswitch_control::{version_in, Question, Refusal};
 use lichenswitch_http::{Request, Response};
 use lichenswitch_interface::Time;
-use lichenswitch_messages::{PeerMessage, RelayedAnswer};
+use lichenswitch_messages::{PeerMessage, RelayedResponse};
 use lichenswitch_net::ConnId;
 use lichenswitch_registry::Heartbeat;
 
@@ -172,21 +172,21 @@
         busy
     }
 
-    fn answer_call(&mut self, call: &Call, answer: RelayedAnswer) {
+    fn answer_call(&mut self, call: &Call, answer: RelayedResponse) {
         match (call.origin, answer) {
             (Origin::Peer { address, id }, answer) => {
-                self.send_to_peer(address, PeerMessage::Answer { id, answer })
+                self.send_to_peer(address, PeerMessage::CallResponse { id, answer })
             }
-            (Origin::Caller(id), RelayedAnswer::Answer { status: 503, body }) => {
+            (Origin::Caller(id), RelayedResponse::Response { status: 503, body }) => {
                 let response = Response::new(503, JSON, body).with("retry-after", "0.2");
                 self.callers.answer(&mut self.net, id, response);
             }
-            (Origin::Caller(id), RelayedAnswer::Answer { status, body }) => {
+            (Origin::Caller(id), RelayedResponse::Response { status, body }) => {
                 self.check_answer(call, status, &body);
                 self.callers
                     .answer(&mut self.net, id, Response::new(status, JSON, body));
             }
-            (Origin::Caller(id), RelayedAnswer::NotPrimary) => {
+            (Origin::Caller(id), RelayedResponse::NotPrimary) => {
                 self.callers.answer(
                     &mut self.net,
                     id,
@@ -194,7 +194,7 @@
                 );
             }
             // It may have been taken: no status would be true.
-            (Origin::Caller(id), RelayedAnswer::Unknown) => self.callers.hang_up(&mut self.net, id),
+            (Origin::Caller(id), RelayedResponse::Unknown) => self.callers.hang_up(&mut self.net, id),
         }
     }
 
--- a/fleet/src/control/on_internal.rs
+++ b/fleet/src/control/on_internal.rs
@@ -13,7 +13,7 @@
 use lichenswitch_control::{Committed, Eligibility, Question};
 use lichenswitch_interface::Time;
 use lichenswitch_messages::{
-    Envelope, PeerMessage, RelayedAnswer, RelayedCall, RouterToControl, PROTOCOL_VERSION,
+    Envelope, PeerMessage, RelayedResponse, RelayedCall, RouterToControl, PROTOCOL_VERSION,
 };
 use lichenswitch_net::ConnId;
 use lichenswitch_replication::Message;
@@ -162,7 +162,7 @@
         self.send_to(id, table);
         let remembered = self.servers.remembered();
         if !remembered.is_empty() {
-            self.send_to(id, PeerMessage::ServersRemembered(remembered));
+            self.send_to(id, PeerMessage::RememberedServers(remembered));
         }
     }
 
@@ -183,7 +183,7 @@
             PeerMessage::Hello { .. } => {}
             PeerMessage::Replication(bytes) => self.on_replication(from, &bytes, now),
             PeerMessage::Call { id, call } => self.on_relayed(from, id, call, now),
-            PeerMessage::Answer { id, answer } => {
+            PeerMessage::CallResponse { id, answer } => {
                 self.calls.on_answer(to_replica(now), &from, id, answer)
             }
             PeerMessage::Servers {
@@ -197,16 +197,16 @@
                     self.servers.on_confirmation_wanted(now, id, ack, &records);
                 }
             }
-            PeerMessage::ServersRemembered(records) => self.servers.on_remembered(now, &records),
-            PeerMessage::ServersMerged { ack } => {
+            PeerMessage::RememberedServers(records) => self.servers.on_remembered(now, &records),
+            PeerMessage::ServersAck { ack } => {
                 self.servers.on_merged(from, ack, self.is_in_contact(from))
             }
-            PeerMessage::Heard(heard) => {
+            PeerMessage::ServersHeard(heard) => {
                 if self.servers.on_heard(now, &heard) {
-                    self.send_to_peer(from, PeerMessage::ServersWanted);
+                    self.send_to_peer(from, PeerMessage::ServerTableRequest);
                 }
             }
-            PeerMessage::ServersWanted => {
+            PeerMessage::ServerTableRequest => {
                 let records = self.servers.snapshot(now);
                 self.send_to_peer(
                     from,
@@ -232,9 +232,9 @@
             }
             PeerMessage::Confirmed { echo } => {
                 let answer = self.feed.on_confirmed(now, echo);
-                self.send_to_peer(from, PeerMessage::ConfirmedHeard(answer));
+                self.send_to_peer(from, PeerMessage::ConfirmedAck(answer));
             }
-            PeerMessage::ConfirmedHeard(stamp) => self.on_confirmed_heard(now, from, stamp),
+            PeerMessage::ConfirmedAck(stamp) => self.on_confirmed_heard(now, from, stamp),
             PeerMessage::Configuration { position, document } => {
                 on_fed(&mut self.feed, position, document)
             }
@@ -270,9 +270,9 @@
             Some(question) => self.take_call(Origin::Peer { address, id }, question, now),
             None => self.send_to_peer(
                 address,
-                PeerMessage::Answer {
+                PeerMessage::CallResponse {
                     id,
-                    answer: RelayedAnswer::NotPrimary,
+                    answer: RelayedResponse::NotPrimary,
                 },
             ),
         }
--- a/fleet/src/control/peers.rs
+++ b/fleet/src/control/peers.rs
@@ -7,7 +7,7 @@
 
 use super::program::{after, elapsed, sooner};
 use lichenswitch_interface::Time;
-use lichenswitch_messages::Stamp;
+use lichenswitch_messages::ProcessInstant;
 use lichenswitch_net::ConnId;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -56,7 +56,7 @@
     /// Routers that were connected to it then.
     pub(super) routers: u32,
     /// Its last answer to the word that the primary is confirmed.
-    pub(super) stamp: Option<Stamp>,
+    pub(super) stamp: Option<ProcessInstant>,
 }
 
 /// All control machines but this one.
--- a/fleet/src/control/quotas.rs
+++ b/fleet/src/control/quotas.rs
@@ -10,7 +10,7 @@
 use crate::invariants::{self, Invariant};
 use lichenswitch_configuration::{Document, QuotaUnit, Tenant};
 use lichenswitch_interface::Time;
-use lichenswitch_messages::{DrawAnswer, DrawRequest, DrawUnit, TenantMessage};
+use lichenswitch_messages::{QuotaLeaseResponse, QuotaLeaseRequest, QuotaLeaseUnit, TenantMessage};
 use lichenswitch_net::ConnId;
 use lichenswitch_quota::{Buckets, Draw, Draws, Grant, Holder, Order, Place, Tenure, Terms};
 use std::collections::BTreeSet;
@@ -126,10 +126,10 @@
     pub(super) fn on_tenant_message(&mut self, id: ConnId, message: TenantMessage, now: Time) {
         match (message, self.links.end(id)) {
             (TenantMessage::Confirm { stamp }, Some(End::Router)) => self.confirm(id, stamp, now),
-            (TenantMessage::Draw(request), Some(End::Router | End::Peer(_))) => {
+            (TenantMessage::LeaseRequest(request), Some(End::Router | End::Peer(_))) => {
                 self.on_draw(id, request, now)
             }
-            (TenantMessage::Drawn(answer), Some(End::Peer(address))) => {
+            (TenantMessage::LeaseResponse(answer), Some(End::Peer(address))) => {
                 self.on_drawn(address, answer, now)
             }
             // Nothing that is asked for here, or from whoever has not said who it is.
@@ -147,7 +147,7 @@
         }
     }
 
-    fn on_draw(&mut self, connection: ConnId, request: DrawRequest, now: Time) {
+    fn on_draw(&mut self, connection: ConnId, request: QuotaLeaseRequest, now: Time) {
         let (origin, pass_on) = (
             DrawOrigin {
                 connection,
@@ -166,7 +166,7 @@
         self.do_quota_orders(orders);
     }
 
-    fn on_drawn(&mut self, from: SocketAddr, answer: DrawAnswer, now: Time) {
+    fn on_drawn(&mut self, from: SocketAddr, answer: QuotaLeaseResponse, now: Time) {
         let Some(from) = self.holder_at(from) else {
             return;
         };
@@ -225,7 +225,7 @@
                 } => {
                     if let Some(connection) = self.connection_to(to) {
                         let request = request_of(id, draw, pass_on);
-                        self.send_tenant_message(connection, &TenantMessage::Draw(request));
+                        self.send_tenant_message(connection, &TenantMessage::LeaseRequest(request));
                     }
                 }
                 Order::Answer { origin, grant } => self.answer_draw(origin, grant),
@@ -234,13 +234,13 @@
     }
 
     fn answer_draw(&mut self, origin: DrawOrigin, grant: Grant) {
-        let answer = DrawAnswer {
+        let answer = QuotaLeaseResponse {
             id: origin.id,
             needs: grant.needs,
             ahead: grant.ahead,
             wait_us: grant.wait,
         };
-        self.send_tenant_message(origin.connection, &TenantMessage::Drawn(answer));
+        self.send_tenant_message(origin.connection, &TenantMessage::LeaseResponse(answer));
     }
 
     fn send_tenant_message(&mut self, id: ConnId, message: &TenantMessage) {
@@ -280,10 +280,10 @@
     }
 }
 
-fn draw_of(request: DrawRequest) -> Draw {
+fn draw_of(request: QuotaLeaseRequest) -> Draw {
     let unit = match request.unit {
-        DrawUnit::Requests => QuotaUnit::Requests,
-        DrawUnit::Tokens => QuotaUnit::Tokens,
+        QuotaLeaseUnit::Requests => QuotaUnit::Requests,
+        QuotaLeaseUnit::Tokens => QuotaUnit::Tokens,
     };
     Draw {
         tenant: request.tenant,
@@ -293,12 +293,12 @@
     }
 }
 
-fn request_of(id: u64, draw: Draw, pass_on: bool) -> DrawRequest {
+fn request_of(id: u64, draw: Draw, pass_on: bool) -> QuotaLeaseRequest {
     let unit = match draw.unit {
-        QuotaUnit::Requests => DrawUnit::Requests,
-        QuotaUnit::Tokens => DrawUnit::Tokens,
+        QuotaUnit::Requests => QuotaLeaseUnit::Requests,
+        QuotaUnit::Tokens => QuotaLeaseUnit::Tokens,
     };
-    DrawRequest {
+    QuotaLeaseRequest {
         id,
         tenant: draw.tenant,
         unit,
--- a/fleet/src/router/mod.rs
+++ b/fleet/src/router/mod.rs
@@ -364,9 +364,9 @@
                         .on_confirmed(self.net.clock.now(), Time(stamp));
                 }
             }
-            TenantMessage::Drawn(answer) => self.on_drawn(answer),
+            TenantMessage::LeaseResponse(answer) => self.on_drawn(answer),
             // Only control machines are asked.
-            TenantMessage::Confirm { .. } | TenantMessage::Draw(_) => {}
+            TenantMessage::Confirm { .. } | TenantMessage::LeaseRequest(_) => {}
         }
     }
 
--- a/fleet/src/router/tenants.rs
+++ b/fleet/src/router/tenants.rs
@@ -13,7 +13,7 @@
 use crate::invariants::{self, Invariant};
 use lichenswitch_configuration::{KeyDigest, QuotaUnit, Tenant};
 use lichenswitch_interface::{Micros, Time};
-use lichenswitch_messages::{DrawAnswer, DrawRequest, DrawUnit, TenantMessage};
+use lichenswitch_messages::{QuotaLeaseResponse, QuotaLeaseRequest, QuotaLeaseUnit, TenantMessage};
 use lichenswitch_net::ConnId;
 use lichenswitch_quota::{Decided, Draw, Grant, Taken};
 use std::fmt::Write as _;
@@ -238,12 +238,12 @@
         }
         for (id, draw) in self.allowances.draws(now) {
             self.link
-                .send_tenant_message(&mut self.net, &TenantMessage::Draw(draw_request(id, draw)));
+                .send_tenant_message(&mut self.net, &TenantMessage::LeaseRequest(draw_request(id, draw)));
         }
     }
 
     /// A control machine has answered a draw.
-    pub(super) fn on_drawn(&mut self, answer: DrawAnswer) {
+    pub(super) fn on_drawn(&mut self, answer: QuotaLeaseResponse) {
         let now = self.net.clock.now();
         let grant = Grant {
             needs: answer.needs,
@@ -320,7 +320,7 @@
     }
 }
 
-fn draw_request(id: u64, draw: Draw) -> DrawRequest {
+fn draw_request(id: u64, draw: Draw) -> QuotaLeaseRequest {
     let Draw {
         tenant,
         unit,
@@ -328,10 +328,10 @@
         ahead,
     } = draw;
     let unit = match unit {
-        QuotaUnit::Requests => DrawUnit::Requests,
-        QuotaUnit::Tokens => DrawUnit::Tokens,
+        QuotaUnit::Requests => QuotaLeaseUnit::Requests,
+        QuotaUnit::Tokens => QuotaLeaseUnit::Tokens,
     };
-    DrawRequest {
+    QuotaLeaseRequest {
         id,
         tenant,
         unit,
--- a/fleet/tests/control_lost.rs
+++ b/fleet/tests/control_lost.rs
@@ -110,7 +110,7 @@
         records: vec![gone],
         whole: false,
     });
-    one.next_of(|message| matches!(message, PeerMessage::ServersMerged { ack: 7 }).then_some(()));
+    one.next_of(|message| matches!(message, PeerMessage::ServersAck { ack: 7 }).then_some(()));
     // What is sent later marks the end of what would have been told on.
     let address = machine.control_plane;
     std::thread::spawn(move || drop(call(address, "POST", "/instances/i-6/deregister", &[], "")));
--- a/fleet/tests/control_news.rs
+++ b/fleet/tests/control_news.rs
@@ -224,7 +224,7 @@
     let mut fleet = three_that_know("news-remembered", "i-1");
     let _peer = tell(
         fleet.machines[0].internal,
-        vec![PeerMessage::ServersRemembered(vec![gone("i-1")])],
+        vec![PeerMessage::RememberedServers(vec![gone("i-1")])],
     );
     std::thread::sleep(Duration::from_millis(300));
     assert_ne!(
--- a/fleet/tests/control_tenants.rs
+++ b/fleet/tests/control_tenants.rs
@@ -5,7 +5,7 @@
 
 use control_support::{call, log_of, wait_for, FakeRouter, Fleet};
 use lichenswitch_fleet::envelopes::encode_tenant_message;
-use lichenswitch_messages::{ControlToRouter, DrawAnswer, DrawRequest, DrawUnit, TenantMessage};
+use lichenswitch_messages::{ControlToRouter, QuotaLeaseResponse, QuotaLeaseRequest, QuotaLeaseUnit, TenantMessage};
 use std::time::{Duration, Instant};
 
 const REPLACE: &str = "/configuration/replace";
@@ -32,22 +32,22 @@
     fleet
 }
 
-fn draw(router: &mut FakeRouter, id: u64, tenant: &str, needs: &[u64]) -> DrawAnswer {
-    let request = DrawRequest {
+fn draw(router: &mut FakeRouter, id: u64, tenant: &str, needs: &[u64]) -> QuotaLeaseResponse {
+    let request = QuotaLeaseRequest {
         id,
         tenant: tenant.to_owned(),
         unit: if tenant == "one" {
-            DrawUnit::Requests
+            QuotaLeaseUnit::Requests
         } else {
-            DrawUnit::Tokens
+            QuotaLeaseUnit::Tokens
         },
         needs: needs.to_vec(),
         ahead: 0,
         pass_on: true,
     };
-    router.say_of_tenants(&TenantMessage::Draw(request));
+    router.say_of_tenants(&TenantMessage::LeaseRequest(request));
     match router.next_of_tenants(Duration::from_secs(5)) {
-        Some(TenantMessage::Drawn(answer)) if answer.id == id => answer,
+        Some(TenantMessage::LeaseResponse(answer)) if answer.id == id => answer,
         other => panic!("no answer to a draw: {other:?}"),
     }
 }
@@ -213,16 +213,16 @@
 fn messages_about_tenants_are_small() {
     let draw = |needs: usize| {
         let (tenant, needs) = ("tenant-name".to_owned(), vec![12_000; needs]);
-        TenantMessage::Draw(DrawRequest {
+        TenantMessage::LeaseRequest(QuotaLeaseRequest {
             id: u64::MAX,
             tenant,
-            unit: DrawUnit::Tokens,
+            unit: QuotaLeaseUnit::Tokens,
             needs,
             ahead: 0,
             pass_on: true,
         })
     };
-    let drawn = TenantMessage::Drawn(DrawAnswer {
+    let drawn = TenantMessage::LeaseResponse(QuotaLeaseResponse {
         id: u64::MAX,
         needs: 1,
         ahead: 0,
--- a/fleet/tests/support/control.rs
+++ b/fleet/tests/support/control.rs
@@ -5,7 +5,7 @@
     encode, encode_backlog_report, encode_tenant_message, EnvelopeReader, Incoming,
 };
 use lichenswitch_messages::{
-    BacklogReport, ConfigurationPosition, ControlToRouter, DrawAnswer, DrawRequest, Envelope,
+    BacklogReport, ConfigurationPosition, ControlToRouter, QuotaLeaseResponse, QuotaLeaseRequest, Envelope,
     RouterToControl, ServerRecord, TenantMessage, ROUTER_HEARTBEAT_MS,
 };
 use std::collections::BTreeMap;
@@ -27,7 +27,7 @@
     applied: Option<ConfigurationPosition>,
     acknowledged: u64,
     /// Draws that have come, and what is left to be granted; `None`: they get no answer.
-    draws: Vec<DrawRequest>,
+    draws: Vec<QuotaLeaseRequest>,
     quota: Option<u64>,
     /// Questions whether the configuration is current get no answer.
     unconfirmed: bool,
@@ -139,7 +139,7 @@
         self.state.lock().expect("lock").quota = quota;
     }
 
-    pub fn draws(&self) -> Vec<DrawRequest> {
+    pub fn draws(&self) -> Vec<QuotaLeaseRequest> {
         self.state.lock().expect("lock").draws.clone()
     }
 
@@ -218,7 +218,7 @@
                 let position = self.configuration.as_ref().map(|(position, _)| *position);
                 Some(TenantMessage::Confirmed { stamp, position })
             }
-            TenantMessage::Draw(request) => {
+            TenantMessage::LeaseRequest(request) => {
                 let (id, needs) = (request.id, request.needs.clone());
                 self.draws.push(request);
                 let left = self.quota.as_mut()?;
@@ -229,7 +229,7 @@
                         *left -= need;
                     }
                 }
-                Some(TenantMessage::Drawn(DrawAnswer {
+                Some(TenantMessage::LeaseResponse(QuotaLeaseResponse {
                     id,
                     needs: granted,
                     ahead: 0,
--- a/simulator/src/control/mod.rs
+++ b/simulator/src/control/mod.rs
@@ -13,7 +13,7 @@
     Primary, Question, View,
 };
 use lichenswitch_messages::{
-    ControlToRouter, PeerMessage, RelayedAnswer, RelayedCall, RouterToControl,
+    ControlToRouter, PeerMessage, RelayedResponse, RelayedCall, RouterToControl,
 };
 use lichenswitch_replication::{
     DurableItem, Identity, Message, Notice, Output, Position, Replica, Time, WriteId,
@@ -151,10 +151,10 @@
                             arrived: now,
                         },
                     ),
-                    None => self.end_call(origin, RelayedAnswer::NotPrimary),
+                    None => self.end_call(origin, RelayedResponse::NotPrimary),
                 }
             }
-            PeerMessage::Answer { id, answer } => {
+            PeerMessage::CallResponse { id, answer } => {
                 self.calls.on_answer(now, &from.to_owned(), id, answer)
             }
             _ => {}
@@ -190,7 +190,7 @@
     }
 
     /// The planted faults of answers from memory.
-    fn answer_without_contact(&self, question: &Question) -> Option<RelayedAnswer> {
+    fn answer_without_contact(&self, question: &Question) -> Option<RelayedResponse> {
         let (_, committed) = self.replica.committed()?;
         match order_of(question) {
             None if self.faults.describe_without_contact => Some(describe(&self.replica)),
@@ -330,10 +330,10 @@
         }
     }
 
-    fn end_call(&mut self, origin: Origin, answer: RelayedAnswer) {
+    fn end_call(&mut self, origin: Origin, answer: RelayedResponse) {
         let effect = match origin {
             Origin::Peer { address, id } => {
-                Effect::SendPeer(address, PeerMessage::Answer { id, answer })
+                Effect::SendPeer(address, PeerMessage::CallResponse { id, answer })
             }
             Origin::Caller(id) => {
                 self.open_calls.retain(|open| *open != id);
@@ -427,13 +427,13 @@
     }
 }
 
-fn reply_of(answer: RelayedAnswer) -> Reply {
+fn reply_of(answer: RelayedResponse) -> Reply {
     match answer {
-        RelayedAnswer::Answer { status, body } => Reply::Answer { status, body },
-        RelayedAnswer::NotPrimary => Reply::Answer {
+        RelayedResponse::Response { status, body } => Reply::Answer { status, body },
+        RelayedResponse::NotPrimary => Reply::Answer {
             status: 503,
             body: Vec::new(),
         },
-        RelayedAnswer::Unknown => Reply::Closed,
+        RelayedResponse::Unknown => Reply::Closed,
     }
 }
--- a/wire/messages/src/lib.rs
+++ b/wire/messages/src/lib.rs
@@ -15,7 +15,7 @@
 use rkyv::{Archive, Deserialize, Serialize};
 
 pub use backlog::{BacklogReport, ServerBacklog};
-pub use tenants::{DrawAnswer, DrawRequest, DrawUnit, TenantMessage};
+pub use tenants::{QuotaLeaseResponse, QuotaLeaseRequest, QuotaLeaseUnit, TenantMessage};
 
 /// Version of all messages of this package. Processes of different versions refuse each other by
 /// name.
@@ -49,7 +49,7 @@
 /// A moment in the life of a process; it means something to that process alone.
 #[derive(Archive, Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq)]
 #[rkyv(attr(allow(missing_docs)))]
-pub struct Stamp {
+pub struct ProcessInstant {
     /// Drawn at the start of the process.
     pub process: u64,
     /// Its steady clock (microseconds).
@@ -191,9 +191,9 @@
 /// The primary's word on a relayed call.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
 #[rkyv(attr(allow(missing_docs)))]
-pub enum RelayedAnswer {
+pub enum RelayedResponse {
     /// This answer is certain.
-    Answer {
+    Response {
         /// HTTP status.
         status: u16,
         /// Body.
@@ -234,13 +234,13 @@
         call: RelayedCall,
     },
     /// The answer to [`PeerMessage::Call`].
-    Answer {
+    CallResponse {
         /// Its number.
         id: u64,
         /// The answer.
-        answer: RelayedAnswer,
+        answer: RelayedResponse,
     },
-    /// News of servers, to be merged; acknowledged by [`PeerMessage::ServersMerged`] where `ack` is
+    /// News of servers, to be merged; acknowledged by [`PeerMessage::ServersAck`] where `ack` is
     /// not 0.
     Servers {
         /// Number to acknowledge, or 0.
@@ -251,18 +251,18 @@
         whole: bool,
     },
     /// The news of this number has been merged.
-    ServersMerged {
+    ServersAck {
         /// Its number.
         ack: u64,
     },
     /// Servers that were heard since the last of these, by instance, with how long ago
     /// (milliseconds).
-    Heard(Vec<(String, u32)>),
+    ServersHeard(Vec<(String, u32)>),
     /// Asks for the whole table of servers.
-    ServersWanted,
+    ServerTableRequest,
     /// Servers that the sender knows from before its start alone: a last resort, and no news of
     /// them.
-    ServersRemembered(Vec<ServerRecord>),
+    RememberedServers(Vec<ServerRecord>),
     /// What this machine knows of its own place.
     Contact {
         /// Whether it is in contact with a confirmed primary.
@@ -277,11 +277,11 @@
     /// The primary is confirmed by a quorum, to a control machine that holds no copy of the state:
     /// all that was committed before the echoed moment has gone before this on the same connection.
     Confirmed {
-        /// The receiver's last [`PeerMessage::ConfirmedHeard`] that came; none before the first.
-        echo: Option<Stamp>,
+        /// The receiver's last [`PeerMessage::ConfirmedAck`] that came; none before the first.
+        echo: Option<ProcessInstant>,
     },
     /// Answer to [`PeerMessage::Confirmed`]: when it was sent.
-    ConfirmedHeard(Stamp),
+    ConfirmedAck(ProcessInstant),
     /// The newest committed configuration, from the primary to a control machine that holds no copy
     /// of the state.
     Configuration {
--- a/wire/messages/src/tenants.rs
+++ b/wire/messages/src/tenants.rs
@@ -10,7 +10,7 @@
 /// What the amounts of a draw count.
 #[derive(Archive, Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq)]
 #[rkyv(attr(allow(missing_docs)))]
-pub enum DrawUnit {
+pub enum QuotaLeaseUnit {
     /// Requests.
     Requests,
     /// Tokens.
@@ -20,13 +20,13 @@
 /// Asks for a part of a tenant's quota.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq, Eq)]
 #[rkyv(attr(allow(missing_docs)))]
-pub struct DrawRequest {
+pub struct QuotaLeaseRequest {
     /// Unique in the life of the sender.
     pub id: u64,
     /// Name of the tenant.
     pub tenant: String,
     /// What the amounts count.
-    pub unit: DrawUnit,
+    pub unit: QuotaLeaseUnit,
     /// Amounts of requests that wait.
     pub needs: Vec<u64>,
     /// An amount beside them.
@@ -38,7 +38,7 @@
 /// What is granted of a draw.
 #[derive(Archive, Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq)]
 #[rkyv(attr(allow(missing_docs)))]
-pub struct DrawAnswer {
+pub struct QuotaLeaseResponse {
     /// Number of the request.
     pub id: u64,
     /// The bit of each need that is granted.
@@ -67,7 +67,7 @@
         position: Option<ConfigurationPosition>,
     },
     /// From a router or a control machine to a control machine.
-    Draw(DrawRequest),
+    LeaseRequest(QuotaLeaseRequest),
     /// Its answer.
-    Drawn(DrawAnswer),
+    LeaseResponse(QuotaLeaseResponse),
 }
