--- a/core/src/dispatch.rs
+++ b/core/src/dispatch.rs
@@ -1,7 +1,7 @@
 //! Dispatch: what the module asks for becomes commands; sends of a turn to one server share a call.
 
 use super::{Attempt, Command, Core, Dispatch};
-use lichenswitch_interface::{Action, Event, Micros, Outcome, PartId, Repeat, ServerId, Time};
+use lichenswitch_interface::{Action, Event, Micros, Outcome, PartId, RetrySafety, ServerId, Time};
 use std::collections::HashMap;
 
 /// The calls of a turn.
@@ -123,7 +123,7 @@
         // Guards the rule on repeats: what waits for its connection may leave long after it was
         // decided.
         let leave_by = match (repeat, p.ran) {
-            (Repeat::Keyed(window), Some((_, ran))) => Some(ran.plus(window)),
+            (RetrySafety::Keyed(window), Some((_, ran))) => Some(ran.plus(window)),
             _ => None,
         };
         p.ran = p.ran.or(Some((number, now)));
--- a/core/src/intake.rs
+++ b/core/src/intake.rs
@@ -70,7 +70,7 @@
             .settings
             .classes
             .iter()
-            .map(|c| c.aim.min(c.deadline))
+            .map(|c| c.latency_target.min(c.deadline))
             .min()
             .unwrap_or_default();
         self.end_by.is_none_or(|at| now.plus(shortest) <= at)
@@ -100,12 +100,12 @@
             return Err(Refusal::Stopping);
         }
         if let Some(at) = self.end_by {
-            let aim = self
+            let latency_target = self
                 .settings
                 .classes
                 .get(request.class)
-                .map_or(0, |c| c.aim);
-            if request.deadline.min(now.plus(aim)) > at {
+                .map_or(0, |c| c.latency_target);
+            if request.deadline.min(now.plus(latency_target)) > at {
                 return Err(Refusal::Stopping);
             }
             // Guards the final answer: what is open when the process is killed gets none.
--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -18,8 +18,8 @@
 mod tests;
 
 use lichenswitch_interface::{
-    Budget, Class, Event, Listing, Load, Micros, PartId, Parts, Placement, QueryId, ServerId,
-    Settings, Shard, Time, ALONE,
+    Budget, Class, Event, Load, Micros, PartId, Placement, ProcessShares, QueryId, ServerId,
+    ServerListUpdate, Settings, Shard, Time, SINGLE_PROCESS,
 };
 use lichenswitch_phases::prune::{Key, Way};
 use lichenswitch_phases::Planner;
@@ -243,7 +243,7 @@
     /// All that is taken must have ended by then.
     end_by: Option<Time>,
     /// This process's parts of what is allowed to the broker.
-    parts_of: Parts,
+    parts_of: ProcessShares,
     /// Nothing is taken for now.
     held_off: bool,
 }
@@ -280,7 +280,7 @@
             turned: Time(0),
             wake: Some(Time(0)),
             end_by: None,
-            parts_of: ALONE,
+            parts_of: SINGLE_PROCESS,
             held_off: false,
         }
     }
@@ -327,7 +327,7 @@
     }
 
     /// From now on this process has these parts of what is allowed to the broker.
-    pub fn share(&mut self, parts: Parts) {
+    pub fn share(&mut self, parts: ProcessShares) {
         if std::mem::replace(&mut self.parts_of, parts).done != parts.done {
             self.inbox.push(Event::Processes(parts.done));
         }
@@ -364,7 +364,7 @@
     }
 
     /// News of the list of servers.
-    pub fn listed(&mut self, listing: Listing) {
+    pub fn listed(&mut self, listing: ServerListUpdate) {
         self.inbox.push(Event::List(listing));
     }
 
--- a/core/src/tests.rs
+++ b/core/src/tests.rs
@@ -3,8 +3,8 @@
 
 use super::*;
 use lichenswitch_interface::{
-    Action, Budget, Class, Cold, Discovery, Layout, Limits, Listed, Mode, Outcome, Repeat,
-    FIRST_SHARE,
+    Action, Budget, Class, Discovery, Layout, Limits, ListedServer, Outcome, RetrySafety,
+    ServerMode, SlowStart, FIRST_SHARE,
 };
 
 const MS: Micros = 1_000;
@@ -12,10 +12,10 @@
 
 fn settings(second_step: u32) -> Settings {
     let class = Class {
-        aim: 1_000 * MS,
+        latency_target: 1_000 * MS,
         deadline: 4_000 * MS,
-        repeat: Repeat::Safe,
-        worth: 1.0,
+        repeat: RetrySafety::Safe,
+        value: 1.0,
         late_share: 0.1,
         need: 1.0,
         floor: 0.5,
@@ -42,7 +42,7 @@
             parts_a_call: 2,
         },
         discovery: Discovery::Push,
-        cold: Cold {
+        cold: SlowStart {
             share: 0.3,
             warm_after: 1,
             fall_multiple: 3.0,
@@ -66,14 +66,14 @@
 
     fn with(settings: Settings) -> Stage {
         let mut core = Core::new(7, settings, Contracts::default(), MEMORY);
-        let line = |id| Listed {
+        let line = |id| ListedServer {
             server: ServerId(id),
             cell: id,
             zone: 0,
-            mode: Mode::Ready,
+            mode: ServerMode::Ready,
             started: None,
         };
-        core.listed(Listing::Whole(vec![line(0), line(1)]));
+        core.listed(ServerListUpdate::Whole(vec![line(0), line(1)]));
         let mut stage = Stage {
             core,
             now: Time(1_000_000 * MS),
@@ -257,11 +257,11 @@
 #[test]
 fn before_its_end_a_core_takes_what_has_time_for_its_aim_and_ends_it_by_then() {
     let mut stage = Stage::new(0);
-    let aim = stage.core.settings().classes[0].aim;
+    let latency_target = stage.core.settings().classes[0].latency_target;
     assert!(stage.core.takes(stage.now));
     let end = stage.now.plus(4_000 * MS);
     stage.core.end_by(end);
-    stage.now = end.minus(aim);
+    stage.now = end.minus(latency_target);
     assert!(
         stage.core.takes(stage.now) && stage.take(&[0]).is_ok(),
         "its client waits for longer"
@@ -540,7 +540,7 @@
 #[test]
 fn a_keyed_repeat_may_leave_until_the_window_of_the_first_attempt_that_may_have_run_is_over() {
     let mut set = settings(0);
-    set.classes[0].repeat = Repeat::Keyed(500 * MS);
+    set.classes[0].repeat = RetrySafety::Keyed(500 * MS);
     let mut stage = Stage::with(set);
     stage.take(&[0]).unwrap();
     let first = sends(&stage.turn()).remove(0);
--- a/decide/control/src/call.rs
+++ b/decide/control/src/call.rs
@@ -1,7 +1,7 @@
 //! A call of an operator, as it passes from the machine that took them to the primary.
 
 use lichenswitch_configuration::{Order, OrderKind};
-use lichenswitch_messages::{RelayedResponse, RelayedCall};
+use lichenswitch_messages::{RelayedCall, RelayedResponse};
 use lichenswitch_replication::Time;
 
 /// A caller goes on to another control machine after a second of silence: a call that can't be
--- a/decide/control/src/calls.rs
+++ b/decide/control/src/calls.rs
@@ -5,7 +5,7 @@
 use crate::primary_calls::{PrimaryCalls, Refusal};
 use crate::relayed_calls::{Primary, RelayedCalls, Step};
 use crate::replicated::Configured;
-use lichenswitch_messages::{RelayedResponse, RelayedCall};
+use lichenswitch_messages::{RelayedCall, RelayedResponse};
 use lichenswitch_replication::{Outcome, Replica, RequestId, Time};
 
 /// Something that the machine has to do.
--- a/decide/control/src/relayed_calls.rs
+++ b/decide/control/src/relayed_calls.rs
@@ -5,7 +5,7 @@
 //! an order whose end isn't known has no answer.
 
 use crate::call::{answer, Call};
-use lichenswitch_messages::{RelayedResponse, RelayedCall};
+use lichenswitch_messages::{RelayedCall, RelayedResponse};
 use lichenswitch_replication::Time;
 use std::collections::BTreeMap;
 
--- a/decide/control/src/relayed_calls/tests.rs
+++ b/decide/control/src/relayed_calls/tests.rs
@@ -74,7 +74,10 @@
     );
     assert_matches!(
         &calls.take_steps()[..],
-        [Step::Answer(_, RelayedResponse::Response { status: 200, .. })]
+        [Step::Answer(
+            _,
+            RelayedResponse::Response { status: 200, .. }
+        )]
     );
     calls.on_answer(at(330), &peer(1), id, RelayedResponse::Unknown);
     assert!(
@@ -146,7 +149,10 @@
     calls.take(describe(at(0)));
     assert_matches!(
         &calls.take_steps()[..],
-        [Step::Answer(_, RelayedResponse::Response { status: 503, .. })]
+        [Step::Answer(
+            _,
+            RelayedResponse::Response { status: 503, .. }
+        )]
     );
 }
 
--- a/decide/management/src/processes.rs
+++ b/decide/management/src/processes.rs
@@ -5,7 +5,7 @@
 //! moment on. One that leaves its clients to another keeps what it holds, but not what it may do
 //! with servers that bear little: that goes to those that stay.
 
-pub use lichenswitch_interface::{Parts, ALONE};
+pub use lichenswitch_interface::{ProcessShares, SINGLE_PROCESS};
 
 /// What a process tells the others of itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -22,9 +22,9 @@
 
 /// This process's parts while these others are alive.
 #[must_use]
-pub fn parts(leaving: bool, others: &[Told]) -> Parts {
+pub fn parts(leaving: bool, others: &[Told]) -> ProcessShares {
     let stay = others.iter().filter(|o| !o.leaving).count() as u32;
-    Parts {
+    ProcessShares {
         held: 1 + others.len() as u32,
         done: (!leaving || stay == 0).then_some(1 + stay),
     }
--- a/decide/management/src/processes/tests.rs
+++ b/decide/management/src/processes/tests.rs
@@ -24,7 +24,7 @@
 fn limits_are_cut_into_as_many_parts_as_there_are_processes() {
     assert_eq!(
         parts(false, &[]),
-        Parts {
+        ProcessShares {
             held: 1,
             done: Some(1)
         }
@@ -33,7 +33,7 @@
     let others = [told(7, false, false), told(8, true, true)];
     assert_eq!(
         parts(false, &others),
-        Parts {
+        ProcessShares {
             held: 3,
             done: Some(3)
         }
@@ -44,14 +44,14 @@
 fn one_that_leaves_keeps_what_it_holds_and_gives_the_rest_to_those_that_stay() {
     assert_eq!(
         parts(false, &[leaves(7)]),
-        Parts {
+        ProcessShares {
             held: 2,
             done: Some(1)
         }
     );
     assert_eq!(
         parts(true, &[told(8, true, true)]),
-        Parts {
+        ProcessShares {
             held: 2,
             done: None
         }
@@ -66,14 +66,14 @@
     // Its successor is gone, or leaves too: what is still here is served.
     assert_eq!(
         parts(true, &[]),
-        Parts {
+        ProcessShares {
             held: 1,
             done: Some(1)
         }
     );
     assert_eq!(
         parts(true, &[leaves(8)]),
-        Parts {
+        ProcessShares {
             held: 2,
             done: Some(1)
         }
--- a/decide/phases/src/budget.rs
+++ b/decide/phases/src/budget.rs
@@ -70,7 +70,7 @@
     let pending = times.usual_pending;
     let one = times.later().share_within(now, left, pending);
     let least = rules.least_parts(wanted);
-    let worth = |n: usize| {
+    let value = |n: usize| {
         let share = if n == wanted {
             1.0
         } else {
@@ -79,7 +79,7 @@
         let chance = one.powi(n as i32);
         share * (chance + rules.late_share * (1.0 - chance))
     };
-    (least..=wanted).map(worth).fold(0.0, f64::max)
+    (least..=wanted).map(value).fold(0.0, f64::max)
 }
 
 /// Whether waiting for the missing parts of the first phase is worth what it takes from the second.
--- a/decide/phases/src/lib.rs
+++ b/decide/phases/src/lib.rs
@@ -113,8 +113,8 @@
                 },
             )
         };
-        let aim_at = now.plus(rules.aim);
-        let most = now.plus((rules.aim as f64 * rules.first_share) as Micros);
+        let aim_at = now.plus(rules.latency_target);
+        let most = now.plus((rules.latency_target as f64 * rules.first_share) as Micros);
         let query = Query {
             class,
             arrived: now,
@@ -249,7 +249,7 @@
         let rules = self.rules.get(q.class)?.clone()?;
         let most = q
             .arrived
-            .plus((rules.aim as f64 * rules.first_share) as Micros);
+            .plus((rules.latency_target as f64 * rules.first_share) as Micros);
         // Under the least share there is nothing to decide, and a whole first phase ends by itself.
         if q.closed || q.second || q.have + 1e-4 < rules.floor || q.have + 1e-5 >= rules.need {
             let later = (now < most && !q.closed).then_some(most);
--- a/decide/phases/src/rules.rs
+++ b/decide/phases/src/rules.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
     /// An answer within this time earns the full worth, microseconds.
-    pub aim: Micros,
+    pub latency_target: Micros,
     /// Share of the worth that is left after the aim.
     pub late_share: f64,
     /// Weight that makes a first phase whole, and the least that may be answered from.
@@ -36,7 +36,7 @@
     #[must_use]
     pub fn of(class: &Class) -> Rules {
         Rules {
-            aim: class.aim,
+            latency_target: class.latency_target,
             late_share: class.late_share,
             need: class.need,
             floor: class.floor,
@@ -65,7 +65,7 @@
     #[cfg(test)]
     pub(crate) fn test() -> Rules {
         Rules {
-            aim: 1_000_000,
+            latency_target: 1_000_000,
             late_share: 0.1,
             need: 1.0,
             floor: 0.8,
--- a/experiments/src/cold.rs
+++ b/experiments/src/cold.rs
@@ -3,8 +3,8 @@
 //! to it. Counted against what the settings allow it.
 
 use lichenswitch::interface::{
-    Action, Class, Cold, Event, Layout, Listed, Listing, Micros, Mode, Outcome, PartId, QueryId,
-    Repeat, ServerId, Settings, Shard, Time,
+    Action, Class, Event, Layout, ListedServer, Micros, Outcome, PartId, QueryId, RetrySafety,
+    ServerId, ServerListUpdate, ServerMode, Settings, Shard, SlowStart, Time,
 };
 use lichenswitch::policy::Coordinator;
 use rand::{RngExt, SeedableRng};
@@ -99,13 +99,13 @@
         }
     }
 
-    fn list(&mut self, now: Time, lines: &[Listed], whole: bool) {
+    fn list(&mut self, now: Time, lines: &[ListedServer], whole: bool) {
         for broker in 0..self.brokers.len() {
             let lines = lines.to_vec();
             let news = if whole {
-                Listing::Whole(lines)
+                ServerListUpdate::Whole(lines)
             } else {
-                Listing::Changes(lines)
+                ServerListUpdate::Changes(lines)
             };
             self.turn(now, broker, vec![Event::List(news)]);
         }
@@ -140,9 +140,9 @@
 
 fn settings(plan: &Plan) -> Settings {
     let class = Class {
-        aim: 1_500 * MS,
+        latency_target: 1_500 * MS,
         deadline: 4 * SECOND,
-        repeat: Repeat::Safe,
+        repeat: RetrySafety::Safe,
         late_share: 0.1,
         ..Settings::default().classes.remove(0)
     };
@@ -157,7 +157,7 @@
         shards: 2 * CELLS,
         parts_a_call: 8,
     };
-    set.cold = Cold {
+    set.cold = SlowStart {
         share: plan.share(),
         warm_after: 18 * SECOND,
         fall_multiple: plan.multiple,
@@ -196,14 +196,16 @@
     let parts = 3;
     let rate = capacity * plan.load * f64::from(CELLS) / f64::from(parts);
     let gap = Exp::new(rate / 1e6).expect("a sound rate");
-    let line = |id: u32, mode, started| Listed {
+    let line = |id: u32, mode, started| ListedServer {
         server: ServerId(id),
         cell: id % CELLS,
         zone: 0,
         mode,
         started,
     };
-    let all: Vec<Listed> = (0..CELLS).map(|id| line(id, Mode::Ready, None)).collect();
+    let all: Vec<ListedServer> = (0..CELLS)
+        .map(|id| line(id, ServerMode::Ready, None))
+        .collect();
     let mut now = START;
     world.list(now, &all, true);
     let (begun, end) = (START.plus(LEARN), START.plus(LEARN + LOOK));
@@ -216,8 +218,8 @@
             world.list(
                 now,
                 &[
-                    line(0, Mode::Gone, None),
-                    line(CELLS, Mode::Ready, Some(begun)),
+                    line(0, ServerMode::Gone, None),
+                    line(CELLS, ServerMode::Ready, Some(begun)),
                 ],
                 false,
             );
@@ -225,8 +227,8 @@
         if !drained && now >= begun.plus(DRAIN) {
             drained = true;
             let neighbours = [
-                line(1, Mode::Draining, None),
-                line(CELLS - 1, Mode::Draining, None),
+                line(1, ServerMode::Draining, None),
+                line(CELLS - 1, ServerMode::Draining, None),
             ];
             world.list(now, &neighbours, false);
         }
--- a/experiments/src/main.rs
+++ b/experiments/src/main.rs
@@ -30,7 +30,7 @@
     Members(Common),
     /// What all brokers together send to a server that has just started, against what it is
     /// allowed.
-    Cold(ColdArgs),
+    SlowStart(ColdArgs),
     /// How soon a fleet hears of a change after discovery was down, by the calls that it handles in
     /// a second.
     Discovery(Common),
@@ -165,7 +165,7 @@
             }
             write(&common, &all)
         }
-        Experiment::Cold(args) => {
+        Experiment::SlowStart(args) => {
             let all = cold::run(args.common.seed, args.seeds);
             print!("{}", cold::table(&all));
             write(&args.common, &all)
--- a/experiments/src/replay.rs
+++ b/experiments/src/replay.rs
@@ -3,8 +3,9 @@
 
 use crate::world::{mixed, whole_fleet, MS};
 use lichenswitch::interface::{
-    Action, Budget, Class, Cold, Discovery, Event, Layout, Limits, Listed, Listing, Mode, Outcome,
-    PartId, QueryId, Repeat, ServerId, Settings, Shard, Time, FIRST_SHARE,
+    Action, Budget, Class, Discovery, Event, Layout, Limits, ListedServer, Outcome, PartId,
+    QueryId, RetrySafety, ServerId, ServerListUpdate, ServerMode, Settings, Shard, SlowStart, Time,
+    FIRST_SHARE,
 };
 use lichenswitch::policy::Coordinator;
 use rand::{RngExt, SeedableRng};
@@ -25,12 +26,12 @@
     pub digest: String,
 }
 
-fn class(repeat: Repeat, second_step: u32, floor: f64) -> Class {
+fn class(repeat: RetrySafety, second_step: u32, floor: f64) -> Class {
     Class {
-        aim: 1_000 * MS,
+        latency_target: 1_000 * MS,
         deadline: 3_000 * MS,
         repeat,
-        worth: 1.0 + f64::from(second_step),
+        value: 1.0 + f64::from(second_step),
         late_share: 0.1,
         need: 1.0,
         floor,
@@ -50,10 +51,10 @@
     };
     Settings {
         classes: vec![
-            class(Repeat::Safe, 0, 1.0),
-            class(Repeat::Safe, 5, 0.8),
-            class(Repeat::Keyed(800 * MS), 0, 1.0),
-            class(Repeat::Unsafe, 0, 0.5),
+            class(RetrySafety::Safe, 0, 1.0),
+            class(RetrySafety::Safe, 5, 0.8),
+            class(RetrySafety::Keyed(800 * MS), 0, 1.0),
+            class(RetrySafety::Unsafe, 0, 0.5),
         ],
         limits: Limits {
             attempts: rng.random_range(1..5),
@@ -71,7 +72,7 @@
             parts_a_call: rng.random_range(1..9),
         },
         discovery: Discovery::Ask(1_000 * MS),
-        cold: Cold {
+        cold: SlowStart {
             share: 0.3,
             warm_after: 5_000 * MS,
             fall_multiple: 3.0,
@@ -112,18 +113,18 @@
         self.next
     }
 
-    fn line(&mut self, server: u32) -> Listed {
+    fn line(&mut self, server: u32) -> ListedServer {
         let mode = [
-            Mode::Ready,
-            Mode::Ready,
-            Mode::Ready,
-            Mode::Draining,
-            Mode::Gone,
+            ServerMode::Ready,
+            ServerMode::Ready,
+            ServerMode::Ready,
+            ServerMode::Draining,
+            ServerMode::Gone,
         ];
         let mode = mode[self.rng.random_range(0..5)];
         let started = self.rng.random_bool(0.3).then_some(self.now);
         let cells = self.settings.layout.cells;
-        Listed {
+        ListedServer {
             server: ServerId(server),
             cell: server % cells,
             zone: server % 3,
@@ -304,7 +305,7 @@
         if self.rng.random_bool(0.01) {
             let server = self.rng.random_range(0..self.settings.layout.cells * 2);
             let line = self.line(server);
-            events.push(Event::List(Listing::Changes(vec![line])));
+            events.push(Event::List(ServerListUpdate::Changes(vec![line])));
         }
         events.push(Event::Wake);
         self.day.events += events.len() as u64;
--- a/experiments/src/scale.rs
+++ b/experiments/src/scale.rs
@@ -4,7 +4,7 @@
 use crate::world::{Mix, Scenario, Tally, Trouble, World, MS};
 use lichenswitch::decide::phases::Planner;
 use lichenswitch::interface::{
-    Class, Cold, Discovery, Layout, Limits, Repeat, Settings, FIRST_SHARE,
+    Class, Discovery, Layout, Limits, RetrySafety, Settings, SlowStart, FIRST_SHARE,
 };
 use serde::Serialize;
 
@@ -41,10 +41,10 @@
 #[must_use]
 pub fn settings(nodes: u32, shards: u32) -> Settings {
     let class = Class {
-        aim: 1_500 * MS,
+        latency_target: 1_500 * MS,
         deadline: 4_000 * MS,
-        repeat: Repeat::Safe,
-        worth: 1.0,
+        repeat: RetrySafety::Safe,
+        value: 1.0,
         late_share: 0.1,
         need: 1.0,
         floor: 1.0,
@@ -71,7 +71,7 @@
             parts_a_call: 8,
         },
         discovery: Discovery::Push,
-        cold: Cold {
+        cold: SlowStart {
             share: 0.32,
             warm_after: 18_000 * MS,
             fall_multiple: 3.0,
--- a/experiments/src/two_phase.rs
+++ b/experiments/src/two_phase.rs
@@ -3,7 +3,7 @@
 use crate::scale;
 use crate::world::{Mix, Scenario, Tally, Trouble, World, MS};
 use lichenswitch::decide::phases::{Planner, Rules};
-use lichenswitch::interface::{Class, Layout, Repeat, Settings, FIRST_SHARE};
+use lichenswitch::interface::{Class, Layout, RetrySafety, Settings, FIRST_SHARE};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
@@ -48,12 +48,12 @@
 /// The names of the scenarios.
 pub const SCENARIOS: [&str; 4] = ["calm", "late-first", "skewed", "large"];
 
-fn class(aim: u64, deadline: u64, worth: f64, floor: f64, second_step: u32) -> Class {
+fn class(latency_target: u64, deadline: u64, value: f64, floor: f64, second_step: u32) -> Class {
     Class {
-        aim: aim * MS,
+        latency_target: latency_target * MS,
         deadline: deadline * MS,
-        repeat: Repeat::Safe,
-        worth,
+        repeat: RetrySafety::Safe,
+        value,
         late_share: 0.1,
         need: 1.0,
         floor,
--- a/experiments/src/world.rs
+++ b/experiments/src/world.rs
@@ -12,8 +12,8 @@
 use lichenswitch::decide::phases::prune::{Key, Way};
 use lichenswitch::decide::phases::Planner;
 use lichenswitch::interface::{
-    Class, Listed, Listing, Micros, Mode, Outcome, Placement, QueryId, ServerId, Settings, Shard,
-    Time,
+    Class, ListedServer, Micros, Outcome, Placement, QueryId, ServerId, ServerListUpdate,
+    ServerMode, Settings, Shard, Time,
 };
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp, LogNormal};
@@ -112,15 +112,15 @@
 
 /// The list of so many sound data nodes that take the cells in turn, and three zones.
 #[must_use]
-pub fn whole_fleet(nodes: u32, cells: u32) -> Listing {
-    let line = |id| Listed {
+pub fn whole_fleet(nodes: u32, cells: u32) -> ServerListUpdate {
+    let line = |id| ListedServer {
         server: ServerId(id),
         cell: id % cells,
         zone: id % 3,
-        mode: Mode::Ready,
+        mode: ServerMode::Ready,
         started: None,
     };
-    Listing::Whole((0..nodes).map(line).collect())
+    ServerListUpdate::Whole((0..nodes).map(line).collect())
 }
 
 impl World {
@@ -348,7 +348,7 @@
         let (serial, c) = (self.queries.len() as u32, &self.classes[class]);
         let deadline = self.now.plus((c.deadline as f64 * patience) as Micros);
         self.tally.queries += 1;
-        self.tally.asked += c.worth;
+        self.tally.asked += c.value;
         self.tally.two_phase += u64::from(c.second_step > 0);
         let weight = 1.0 / f64::from(parts);
         let request = Request {
@@ -452,7 +452,7 @@
                 work *= self.slow_first[server.0 as usize];
             }
             let call = if i == 0 { self.scenario.call } else { 0 };
-            let aim_at = held.arrived.plus(self.classes[held.class].aim);
+            let aim_at = held.arrived.plus(self.classes[held.class].latency_target);
             let task = Task {
                 attempt: part.attempt,
                 work: work as Micros + call,
@@ -536,9 +536,9 @@
         } else {
             class.partial * (first / class.need).min(1.0) * second
         };
-        let on_time = self.now.since(held.arrived) <= class.aim;
+        let on_time = self.now.since(held.arrived) <= class.latency_target;
         self.tally.on_time += u64::from(on_time);
-        self.tally.earned += class.worth * earns * if on_time { 1.0 } else { class.late_share };
+        self.tally.earned += class.value * earns * if on_time { 1.0 } else { class.late_share };
         if let Some(k) = top.filter(|_| *whole) {
             self.tally.wrong += u64::from(!self.is_right(serial, k, values));
         }
--- a/fleet/src/control/contact.rs
+++ b/fleet/src/control/contact.rs
@@ -232,7 +232,12 @@
     }
 
     /// A machine without a copy has answered [`PeerMessage::Confirmed`].
-    pub(super) fn on_confirmed_heard(&mut self, now: Time, from: SocketAddr, stamp: ProcessInstant) {
+    pub(super) fn on_confirmed_heard(
+        &mut self,
+        now: Time,
+        from: SocketAddr,
+        stamp: ProcessInstant,
+    ) {
         let Some(peer) = self.peers.get_mut(from) else {
             return;
         };
--- a/fleet/src/control/feed.rs
+++ b/fleet/src/control/feed.rs
@@ -54,7 +54,11 @@
     }
 
     /// A primary is confirmed; the answer that it is to echo.
-    pub(super) fn on_confirmed(&mut self, now: Time, echo: Option<ProcessInstant>) -> ProcessInstant {
+    pub(super) fn on_confirmed(
+        &mut self,
+        now: Time,
+        echo: Option<ProcessInstant>,
+    ) -> ProcessInstant {
         let own = echo.filter(|stamp| stamp.process == self.process);
         self.contact = self
             .contact
--- a/fleet/src/control/on_call.rs
+++ b/fleet/src/control/on_call.rs
@@ -194,7 +194,9 @@
                 );
             }
             // It may have been taken: no status would be true.
-            (Origin::Caller(id), RelayedResponse::Unknown) => self.callers.hang_up(&mut self.net, id),
+            (Origin::Caller(id), RelayedResponse::Unknown) => {
+                self.callers.hang_up(&mut self.net, id)
+            }
         }
     }
 
--- a/fleet/src/control/on_internal.rs
+++ b/fleet/src/control/on_internal.rs
@@ -13,7 +13,7 @@
 use lichenswitch_control::{Committed, Eligibility, Question};
 use lichenswitch_interface::Time;
 use lichenswitch_messages::{
-    Envelope, PeerMessage, RelayedResponse, RelayedCall, RouterToControl, PROTOCOL_VERSION,
+    Envelope, PeerMessage, RelayedCall, RelayedResponse, RouterToControl, PROTOCOL_VERSION,
 };
 use lichenswitch_net::ConnId;
 use lichenswitch_replication::Message;
--- a/fleet/src/control/quotas.rs
+++ b/fleet/src/control/quotas.rs
@@ -10,7 +10,7 @@
 use crate::invariants::{self, Invariant};
 use lichenswitch_configuration::{Document, QuotaUnit, Tenant};
 use lichenswitch_interface::Time;
-use lichenswitch_messages::{QuotaLeaseResponse, QuotaLeaseRequest, QuotaLeaseUnit, TenantMessage};
+use lichenswitch_messages::{QuotaLeaseRequest, QuotaLeaseResponse, QuotaLeaseUnit, TenantMessage};
 use lichenswitch_net::ConnId;
 use lichenswitch_quota::{Buckets, Draw, Draws, Grant, Holder, Order, Place, Tenure, Terms};
 use std::collections::BTreeSet;
--- a/fleet/src/router/servers.rs
+++ b/fleet/src/router/servers.rs
@@ -5,7 +5,7 @@
 //! final; an instance that a push leaves out stays as it was.
 
 use super::prefix::stable_hash;
-use lichenswitch_interface::{Listed, Mode, ServerId};
+use lichenswitch_interface::{ListedServer, ServerId, ServerMode};
 use lichenswitch_messages::{ServerRecord, ServerState};
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -47,14 +47,14 @@
     /// Its name.
     pub service: Rc<str>,
     /// The changed line of its list.
-    pub line: Listed,
+    pub line: ListedServer,
 }
 
 impl Change {
     /// The server takes nothing new.
     #[must_use]
     pub fn takes_nothing(&self) -> bool {
-        matches!(self.line.mode, Mode::Draining | Mode::Gone)
+        matches!(self.line.mode, ServerMode::Draining | ServerMode::Gone)
     }
 }
 
@@ -104,7 +104,7 @@
 
     /// Lines of all servers of a service that are not gone.
     #[must_use]
-    pub fn lines_of(&self, service: &str) -> Vec<Listed> {
+    pub fn lines_of(&self, service: &str) -> Vec<ListedServer> {
         let of = self
             .instances
             .values()
@@ -219,16 +219,16 @@
     }
 }
 
-fn line(instance: &Instance) -> Listed {
+fn line(instance: &Instance) -> ListedServer {
     let mode = match (instance.state, instance.unheard) {
-        (ServerState::Ready, false) => Mode::Ready,
+        (ServerState::Ready, false) => ServerMode::Ready,
         // Control may be what can't be reached: it is used where no other server will do.
-        (ServerState::Ready, true) => Mode::Leaving,
-        (ServerState::Draining, _) => Mode::Draining,
-        (ServerState::Gone, _) => Mode::Gone,
+        (ServerState::Ready, true) => ServerMode::Leaving,
+        (ServerState::Draining, _) => ServerMode::Draining,
+        (ServerState::Gone, _) => ServerMode::Gone,
     };
     let cell = instance.server.0 % GROUPS;
-    Listed {
+    ListedServer {
         server: instance.server,
         cell,
         zone: instance.zone,
--- a/fleet/src/router/servers/tests.rs
+++ b/fleet/src/router/servers/tests.rs
@@ -12,7 +12,7 @@
     }
 }
 
-fn modes(table: &ServerTable) -> Vec<Mode> {
+fn modes(table: &ServerTable) -> Vec<ServerMode> {
     table
         .lines_of("pool")
         .iter()
@@ -36,7 +36,7 @@
         order
             .iter()
             .for_each(|record| _ = table.merge(std::slice::from_ref(record)));
-        assert_eq!(modes(&table), [Mode::Draining], "{order:?}");
+        assert_eq!(modes(&table), [ServerMode::Draining], "{order:?}");
     }
 }
 
@@ -86,12 +86,12 @@
         unheard: true,
         ..record("i", ServerState::Ready, 2)
     };
-    assert_eq!(table.merge(&[unheard])[0].line.mode, Mode::Leaving);
+    assert_eq!(table.merge(&[unheard])[0].line.mode, ServerMode::Leaving);
     assert_eq!(
         table.merge(&[record("i", ServerState::Ready, 3)])[0]
             .line
             .mode,
-        Mode::Ready
+        ServerMode::Ready
     );
 }
 
--- a/fleet/src/router/service.rs
+++ b/fleet/src/router/service.rs
@@ -14,8 +14,8 @@
 use lichenswitch_backlog::Backlog;
 use lichenswitch_core::{Command, Contracts, Core, Refusal, Request, Value};
 use lichenswitch_interface::{
-    Class, Layout, Limits, Listed, Listing, Load, Micros, Mode, Outcome, Placement, QueryId,
-    Repeat, ServerId, Settings, Shard, Time, FIRST_SHARE,
+    Class, Layout, Limits, ListedServer, Load, Micros, Outcome, Placement, QueryId, RetrySafety,
+    ServerId, ServerListUpdate, ServerMode, Settings, Shard, Time, FIRST_SHARE,
 };
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
@@ -110,16 +110,16 @@
         seed: u64,
         capacity: Capacity,
         budget: RetryBudget,
-        lines: Vec<Listed>,
+        lines: Vec<ListedServer>,
     ) -> Service {
         let settings = settings(capacity, module_budget(budget, 0));
         let ready = lines
             .iter()
-            .filter(|line| line.mode == Mode::Ready)
+            .filter(|line| line.mode == ServerMode::Ready)
             .map(|line| line.server)
             .collect();
         let mut core = Core::new(seed, settings, Contracts::default(), capacity.bytes);
-        core.listed(Listing::Whole(lines));
+        core.listed(ServerListUpdate::Whole(lines));
         Service {
             name,
             core,
@@ -171,14 +171,16 @@
     }
 
     /// Lines of its list have changed.
-    pub fn listed(&mut self, lines: Vec<Listed>) {
+    pub fn listed(&mut self, lines: Vec<ListedServer>) {
         for line in &lines {
             match line.mode {
-                Mode::Ready => _ = self.ready.insert(line.server),
-                Mode::Leaving | Mode::Draining | Mode::Gone => _ = self.ready.remove(&line.server),
+                ServerMode::Ready => _ = self.ready.insert(line.server),
+                ServerMode::Leaving | ServerMode::Draining | ServerMode::Gone => {
+                    _ = self.ready.remove(&line.server)
+                }
             }
         }
-        self.core.listed(Listing::Changes(lines));
+        self.core.listed(ServerListUpdate::Changes(lines));
     }
 
     /// Takes a request; the index of its class is given back with [`Service::release`].
@@ -396,14 +398,14 @@
 /// What the module is told of a class.
 fn class(terms: &Terms) -> Class {
     Class {
-        aim: terms.target_latency,
+        latency_target: terms.target_latency,
         deadline: terms.timeout,
         repeat: if terms.idempotent {
-            Repeat::Safe
+            RetrySafety::Safe
         } else {
-            Repeat::Unsafe
+            RetrySafety::Unsafe
         },
-        worth: RANK_WORTH.powi(i32::from(terms.rank)),
+        value: RANK_WORTH.powi(i32::from(terms.rank)),
         // Nobody tells what a late answer is worth: it is waited for to its end, since silence is
         // no reason to give up sooner.
         late_share: 1.0,
--- a/fleet/src/router/service/tests.rs
+++ b/fleet/src/router/service/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use lichenswitch_interface::Mode;
+use lichenswitch_interface::ServerMode;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -14,11 +14,11 @@
 impl Stage {
     /// Two servers with so many slots, before this many routers.
     fn new(slots: Option<u32>, routers: u32) -> Stage {
-        let line = |id| Listed {
+        let line = |id| ListedServer {
             server: ServerId(id),
             cell: id,
             zone: 0,
-            mode: Mode::Ready,
+            mode: ServerMode::Ready,
             started: None,
         };
         let capacity = Capacity {
--- a/fleet/src/router/services.rs
+++ b/fleet/src/router/services.rs
@@ -6,7 +6,7 @@
 use super::servers::{Change, ServerTable};
 use super::service::Service;
 use lichenswitch_core::Command;
-use lichenswitch_interface::{Listed, ServerId, Time};
+use lichenswitch_interface::{ListedServer, ServerId, Time};
 use lichenswitch_messages::{BacklogReport, ServerBacklog};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -66,7 +66,7 @@
             let of = changes
                 .iter()
                 .filter(|change| change.service == service.name);
-            let lines: Vec<Listed> = of.map(|change| change.line).collect();
+            let lines: Vec<ListedServer> = of.map(|change| change.line).collect();
             // The module sums its list up anew each time that it is told of it.
             if !lines.is_empty() {
                 service.listed(lines);
--- a/fleet/src/router/tenants.rs
+++ b/fleet/src/router/tenants.rs
@@ -13,7 +13,7 @@
 use crate::invariants::{self, Invariant};
 use lichenswitch_configuration::{KeyDigest, QuotaUnit, Tenant};
 use lichenswitch_interface::{Micros, Time};
-use lichenswitch_messages::{QuotaLeaseResponse, QuotaLeaseRequest, QuotaLeaseUnit, TenantMessage};
+use lichenswitch_messages::{QuotaLeaseRequest, QuotaLeaseResponse, QuotaLeaseUnit, TenantMessage};
 use lichenswitch_net::ConnId;
 use lichenswitch_quota::{Decided, Draw, Grant, Taken};
 use std::fmt::Write as _;
@@ -237,8 +237,10 @@
                 .send_tenant_message(&mut self.net, &TenantMessage::Confirm { stamp: now.0 });
         }
         for (id, draw) in self.allowances.draws(now) {
-            self.link
-                .send_tenant_message(&mut self.net, &TenantMessage::LeaseRequest(draw_request(id, draw)));
+            self.link.send_tenant_message(
+                &mut self.net,
+                &TenantMessage::LeaseRequest(draw_request(id, draw)),
+            );
         }
     }
 
--- a/fleet/tests/control_tenants.rs
+++ b/fleet/tests/control_tenants.rs
@@ -5,7 +5,9 @@
 
 use control_support::{call, log_of, wait_for, FakeRouter, Fleet};
 use lichenswitch_fleet::envelopes::encode_tenant_message;
-use lichenswitch_messages::{ControlToRouter, QuotaLeaseResponse, QuotaLeaseRequest, QuotaLeaseUnit, TenantMessage};
+use lichenswitch_messages::{
+    ControlToRouter, QuotaLeaseRequest, QuotaLeaseResponse, QuotaLeaseUnit, TenantMessage,
+};
 use std::time::{Duration, Instant};
 
 const REPLACE: &str = "/configuration/replace";
--- a/fleet/tests/support/control.rs
+++ b/fleet/tests/support/control.rs
@@ -5,8 +5,8 @@
     encode, encode_backlog_report, encode_tenant_message, EnvelopeReader, Incoming,
 };
 use lichenswitch_messages::{
-    BacklogReport, ConfigurationPosition, ControlToRouter, QuotaLeaseResponse, QuotaLeaseRequest, Envelope,
-    RouterToControl, ServerRecord, TenantMessage, ROUTER_HEARTBEAT_MS,
+    BacklogReport, ConfigurationPosition, ControlToRouter, Envelope, QuotaLeaseRequest,
+    QuotaLeaseResponse, RouterToControl, ServerRecord, TenantMessage, ROUTER_HEARTBEAT_MS,
 };
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
--- a/interface/src/lib.rs
+++ b/interface/src/lib.rs
@@ -51,7 +51,7 @@
 
 /// What repeating a part of a class can do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetrySafety {
     /// Harmless.
     Safe,
     /// Dropped by the holders of the shard, within the window (from the first attempt that may have
@@ -68,13 +68,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// An answer within this time earns the full worth.
-    pub aim: Micros,
+    pub latency_target: Micros,
     /// How long a client waits, all its tries together.
     pub deadline: Micros,
     /// Whether a part may be sent again.
-    pub repeat: Repeat,
+    pub repeat: RetrySafety,
     /// Worth of a whole answer in time.
-    pub worth: f64,
+    pub value: f64,
     /// Share of the worth that is left after the aim.
     pub late_share: f64,
     /// Weight of parts that makes an answer whole.
@@ -123,7 +123,7 @@
 
 /// How a newly started server has to be treated.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Cold {
+pub struct SlowStart {
     /// Share of its capacity that it has at least at its start.
     pub share: f64,
     /// It is warm after this time at the latest.
@@ -168,7 +168,7 @@
     /// Source of the list.
     pub discovery: Discovery,
     /// Newly started servers.
-    pub cold: Cold,
+    pub cold: SlowStart,
     /// Zone of this instance.
     pub zone: u32,
     /// Shortest time between two turns.
@@ -200,10 +200,10 @@
 impl Default for Settings {
     fn default() -> Self {
         let class = Class {
-            aim: 1_000_000,
+            latency_target: 1_000_000,
             deadline: 3_000_000,
-            repeat: Repeat::Unsafe,
-            worth: 1.0,
+            repeat: RetrySafety::Unsafe,
+            value: 1.0,
             late_share: 0.0,
             need: 1.0,
             floor: 1.0,
@@ -230,7 +230,7 @@
                 parts_a_call: 1,
             },
             discovery: Discovery::Push,
-            cold: Cold {
+            cold: SlowStart {
                 share: 0.1,
                 warm_after: 30_000_000,
                 fall_multiple: 1.0,
@@ -249,7 +249,7 @@
 
 /// Parts of what is allowed to one broker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Parts {
+pub struct ProcessShares {
     /// What is held, as connections and memory, is cut into so many.
     pub held: u32,
     /// What may be done, as sends to cold servers and further attempts, is cut into so many;
@@ -258,14 +258,14 @@
 }
 
 /// Those of a process that runs alone.
-pub const ALONE: Parts = Parts {
+pub const SINGLE_PROCESS: ProcessShares = ProcessShares {
     held: 1,
     done: Some(1),
 };
 
 /// State of a server as the list has it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Mode {
+pub enum ServerMode {
     /// Takes work.
     #[default]
     Ready,
@@ -280,7 +280,7 @@
 
 /// One line of the list of servers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Listed {
+pub struct ListedServer {
     /// The server.
     pub server: ServerId,
     /// Its cell, which says what shards it holds.
@@ -288,20 +288,20 @@
     /// Its zone.
     pub zone: u32,
     /// Its state.
-    pub mode: Mode,
+    pub mode: ServerMode,
     /// Its last start; `None`: long ago.
     pub started: Option<Time>,
 }
 
 /// News of the list of servers.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Listing {
+pub enum ServerListUpdate {
     /// Changed lines only.
-    Changes(Vec<Listed>),
+    Changes(Vec<ListedServer>),
     /// The whole list: what is absent is gone.
-    Whole(Vec<Listed>),
+    Whole(Vec<ListedServer>),
     /// The whole list as this instance last held it before its start, possibly old.
-    Cached(Vec<Listed>),
+    Cached(Vec<ListedServer>),
     /// Asking failed or the subscription broke; nothing is known anew.
     Failed,
 }
@@ -429,7 +429,7 @@
         elapsed: Micros,
     },
     /// News of the list of servers.
-    List(Listing),
+    List(ServerListUpdate),
     /// The classes from now on, by index. There are never fewer than before: one that differs from
     /// what was in its place is another class, of which nothing is known yet.
     Classes(Vec<Class>),
--- a/policy/src/choice.rs
+++ b/policy/src/choice.rs
@@ -3,7 +3,7 @@
 use crate::tuned::*;
 use crate::Coordinator;
 use lichenswitch_interface::{
-    Action, Budget, Micros, Mode, Placement, QueryId, Repeat, ServerId, Shard,
+    Action, Budget, Micros, Placement, QueryId, RetrySafety, ServerId, ServerMode, Shard,
 };
 use lichenswitch_stats::{
     scaled, Aged, Bid, Call, Fate, Flight, Part, Preference, Query, Server, Try, Wanted,
@@ -36,7 +36,7 @@
             |s: &&Server| rests(s) && classes.clone().any(|class| self.rank(s, class).0 > 0);
         self.servers
             .values()
-            .filter(|s| s.mode == Mode::Ready)
+            .filter(|s| s.mode == ServerMode::Ready)
             .filter(passed_over)
             .count()
     }
@@ -70,7 +70,7 @@
             0
         };
         // One that is about to be taken out comes after all that are trusted.
-        let tier = tier.max(u8::from(s.mode == Mode::Leaving));
+        let tier = tier.max(u8::from(s.mode == ServerMode::Leaving));
         let pending =
             s.calls.iter().filter(|c| c.counts(self.now)).count() + s.load.streams as usize;
         (tier, pending + usize::from(!self.joins(s)))
@@ -156,7 +156,7 @@
             return;
         };
         let timeout = self.end_of(q).since(now).max(1);
-        let fresh = q.ahead || self.class(q).repeat == Repeat::Unsafe || self.reaped();
+        let fresh = q.ahead || self.class(q).repeat == RetrySafety::Unsafe || self.reaped();
         let copy_after = self.copy_after(q);
         let (Some(q), Some(s)) = (self.queries.get_mut(&id), self.servers.get_mut(&server)) else {
             return;
@@ -226,7 +226,7 @@
         let window = match (class.second_step > 0, q.step) {
             (false, _) => q.window,
             (true, 1) => scaled(q.window, FIRST_STEP),
-            (true, _) => q.aim_at.since(q.step_at).max(class.aim / 4),
+            (true, _) => q.aim_at.since(q.step_at).max(class.latency_target / 4),
         };
         scaled(window, COPY_SHARE)
     }
--- a/policy/src/ends.rs
+++ b/policy/src/ends.rs
@@ -2,7 +2,7 @@
 
 use crate::tuned::*;
 use crate::Coordinator;
-use lichenswitch_interface::{Action, Class, Micros, QueryId, Repeat, Time};
+use lichenswitch_interface::{Action, Class, Micros, QueryId, RetrySafety, Time};
 use lichenswitch_stats::{faded, scaled, Agenda, Fate, Part, Query, Server};
 
 impl Coordinator {
@@ -19,7 +19,7 @@
     pub(super) fn end_of(&self, q: &Query) -> Time {
         let class = self.class(q);
         let earns = q.aim_at.plus(scaled(
-            class.deadline.saturating_sub(class.aim),
+            class.deadline.saturating_sub(class.latency_target),
             class.late_share,
         ));
         q.deadline
@@ -39,14 +39,14 @@
 
     /// Whether the rules allow another attempt of a part now.
     pub(super) fn may_send(&self, q: &Query, p: &Part, copy: bool) -> bool {
-        let copies = self.set.limits.second_copies && self.class(q).repeat == Repeat::Safe;
+        let copies = self.set.limits.second_copies && self.class(q).repeat == RetrySafety::Safe;
         if p.made() >= self.set.attempts_of(q.class) as usize || copy && !copies {
             return false;
         }
         match self.class(q).repeat {
-            Repeat::Safe => true,
-            Repeat::Unsafe => p.tries.iter().all(|t| t.fate == Fate::NeverRan),
-            Repeat::Keyed(window) => {
+            RetrySafety::Safe => true,
+            RetrySafety::Unsafe => p.tries.iter().all(|t| t.fate == Fate::NeverRan),
+            RetrySafety::Keyed(window) => {
                 let first = p.tries.iter().find(|t| t.fate != Fate::NeverRan);
                 first.is_none_or(|t| self.now.since(t.sent) + 2 * self.set.resolution < window)
             }
@@ -136,7 +136,10 @@
         let first = q.step == 1 && self.class(q).second_step > 0;
         let sparse = self.set.instances as usize > self.ready && self.memory() > FAULT_HALF;
         let share = self.class(q).first_share * if sparse { FIRST_SPARSE } else { 1.0 };
-        scaled(self.class(q).aim, if first { share } else { PARTIAL_AT })
+        scaled(
+            self.class(q).latency_target,
+            if first { share } else { PARTIAL_AT },
+        )
     }
 
     pub(super) fn answer(&mut self, id: QueryId, whole: bool, out: &mut Vec<Action>) {
@@ -164,7 +167,7 @@
         let Some(q) = self.queries.get(&id) else {
             return;
         };
-        let whole_aim = q.window as f64 > ADMIT_AIM * self.class(q).aim as f64;
+        let whole_aim = q.window as f64 > ADMIT_AIM * self.class(q).latency_target as f64;
         if self.now < q.aim_at.min(self.end_of(q)) || answered && self.now <= q.aim_at {
             self.admit = (self.admit + if answered { ADMIT_STEP } else { 0.0 }).min(ADMIT_MOST);
         } else if whole_aim && q.parts.iter().any(|p| !p.tries.is_empty()) {
@@ -182,7 +185,7 @@
             .parts
             .iter()
             .all(|p| p.tries.iter().all(|t| t.fate == Fate::NeverRan));
-        if untouched || self.class(q).repeat != Repeat::Unsafe {
+        if untouched || self.class(q).repeat != RetrySafety::Unsafe {
             let half = self.set.limits.retry_after.unwrap_or(0) / 2;
             out.push(Action::Refuse {
                 query: id,
@@ -191,7 +194,7 @@
             self.away.push_back((
                 q.class,
                 q.key,
-                q.aim_at.minus(self.set.classes[q.class].aim),
+                q.aim_at.minus(self.set.classes[q.class].latency_target),
                 q.gain,
             ));
         } else {
@@ -255,7 +258,7 @@
             };
         let parts = q.parts.len() as f64 + f64::from(class.second_step) / 2.0;
         // Work is counted in parts and not by how long they take: in a jam all take long.
-        let value = class.worth
+        let value = class.value
             / if self.set.worth_by_work {
                 1.0
             } else {
--- a/policy/src/health.rs
+++ b/policy/src/health.rs
@@ -22,7 +22,10 @@
             // long.
             let (sample, pace) = match outcome {
                 Outcome::Ok => (took.min(2.0 * wait.max(norm)), WAIT_PACE),
-                Outcome::Rejected => (self.set.classes[class].aim as f64 / 2.0, LEAST_PACE),
+                Outcome::Rejected => (
+                    self.set.classes[class].latency_target as f64 / 2.0,
+                    LEAST_PACE,
+                ),
                 Outcome::Timeout | Outcome::Cancelled => (took, LEAST_PACE),
                 _ => (0.0, 0.0),
             };
--- a/policy/src/lib.rs
+++ b/policy/src/lib.rs
@@ -175,9 +175,17 @@
                 };
                 let class = usize::from(class).min(last);
                 let (aim_at, gain) = self.start_of(class, key, again, tenant);
-                let (aim, patience) = (self.set.classes[class].aim, deadline.since(self.now));
+                let (latency_target, patience) = (
+                    self.set.classes[class].latency_target,
+                    deadline.since(self.now),
+                );
                 let left = aim_at.since(self.now);
-                let window = if left > aim / 10 { left } else { aim }.min(patience);
+                let window = if left > latency_target / 10 {
+                    left
+                } else {
+                    latency_target
+                }
+                .min(patience);
                 // One part goes ahead where another query of the class was poison, if there is time
                 // for it.
                 let ahead = window as f64 > self.norms[class * 2].or(0.0) * POISON_AIMS;
@@ -316,7 +324,7 @@
             )
         };
         let (began, gain) = first.unwrap_or_else(fresh);
-        (began.plus(classes[class].aim), gain)
+        (began.plus(classes[class].latency_target), gain)
     }
 
     /// A part of the present step that is not needed any more counts as answered.
@@ -351,9 +359,10 @@
         let Some(flight) = self.flights.remove(&tried) else {
             return;
         };
-        let ghost = self
-            .now
-            .plus(scaled(self.set.classes[flight.norm / 2].aim, GHOST_AIMS));
+        let ghost = self.now.plus(scaled(
+            self.set.classes[flight.norm / 2].latency_target,
+            GHOST_AIMS,
+        ));
         if let Some(server) = self.servers.get_mut(&flight.server) {
             if let Some(call) = server.calls.iter_mut().find(|c| c.id == flight.call) {
                 call.left = call.left.saturating_sub(1);
--- a/policy/src/list.rs
+++ b/policy/src/list.rs
@@ -2,36 +2,41 @@
 
 use crate::tuned::*;
 use crate::Coordinator;
-use lichenswitch_interface::{Listed, Listing, Mode};
+use lichenswitch_interface::{ListedServer, ServerListUpdate, ServerMode};
 use lichenswitch_stats::{drawn, Server};
 use std::collections::BTreeMap;
 
 impl Coordinator {
-    pub(super) fn listed(&mut self, listing: Listing) {
-        if listing == Listing::Failed {
+    pub(super) fn listed(&mut self, listing: ServerListUpdate) {
+        if listing == ServerListUpdate::Failed {
             self.ask_at = Some(
                 self.now
                     .plus(self.ask_gap / 2 + self.rng.0.u64(0..=self.ask_gap)),
             );
             self.ask_gap = (self.ask_gap * 2).min(ASK_MOST);
-        } else if !matches!(listing, Listing::Cached(_)) {
+        } else if !matches!(listing, ServerListUpdate::Cached(_)) {
             (self.ask_at, self.ask_gap) = (None, ASK_FIRST);
         }
-        if matches!(listing, Listing::Whole(_)) {
-            self.servers.values_mut().for_each(|s| s.mode = Mode::Gone);
+        if matches!(listing, ServerListUpdate::Whole(_)) {
+            self.servers
+                .values_mut()
+                .for_each(|s| s.mode = ServerMode::Gone);
         }
-        if let Listing::Changes(lines) | Listing::Whole(lines) | Listing::Cached(lines) = listing {
+        if let ServerListUpdate::Changes(lines)
+        | ServerListUpdate::Whole(lines)
+        | ServerListUpdate::Cached(lines) = listing
+        {
             lines.iter().for_each(|line| self.list_line(line));
         }
         // Guards memory and time on long days: what is gone is forgotten once nothing is out there.
         self.servers
-            .retain(|_, s| s.mode != Mode::Gone || s.pending() > 0.0 || s.load.streams > 0);
+            .retain(|_, s| s.mode != ServerMode::Gone || s.pending() > 0.0 || s.load.streams > 0);
         // What the list changed is summed up: no decision walks the fleet.
         (self.cells, self.ready) = (BTreeMap::new(), 0);
         for (&id, s) in self
             .servers
             .iter()
-            .filter(|(_, s)| matches!(s.mode, Mode::Ready | Mode::Leaving))
+            .filter(|(_, s)| matches!(s.mode, ServerMode::Ready | ServerMode::Leaving))
         {
             self.cells
                 .entry(s.cell % self.set.layout.cells)
@@ -41,7 +46,7 @@
         }
     }
 
-    pub(super) fn list_line(&mut self, line: &Listed) {
+    pub(super) fn list_line(&mut self, line: &ListedServer) {
         // Instances start at random points of their first part, since all hear of a start at once:
         // else none would send for long, or all together. One that knows its traffic is held by
         // chance.
@@ -68,14 +73,19 @@
         let allowed =
             (age < 1.0).then_some(cold.share + (1.0 - cold.share) * age)? * cold.fall_multiple;
         // An instance that has had no answer yet knows no more than what is wanted.
-        let aim = self
+        let latency_target = self
             .set
             .classes
             .iter()
-            .map(|c| c.aim as f64)
+            .map(|c| c.latency_target as f64)
             .fold(1_000.0, f64::max);
         let norm = self.norms.iter().map(|n| n.or(0.0)).fold(0.0, f64::max);
-        let works = COLD_PARTS / if norm > 0.0 { norm.max(1_000.0) } else { aim };
+        let works = COLD_PARTS
+            / if norm > 0.0 {
+                norm.max(1_000.0)
+            } else {
+                latency_target
+            };
         let time = (now.since(self.began) + cold.fall_after) as f64 * self.ready.max(1) as f64;
         let mean = self.answered as f64 / time;
         let alike = COLD_ALIKE * works / f64::from(self.set.instances);
--- a/policy/tests/streams.rs
+++ b/policy/tests/streams.rs
@@ -9,9 +9,9 @@
 const MS: Micros = 1_000;
 const AIM: Micros = 1_000 * MS;
 
-fn class(repeat: Repeat) -> Class {
+fn class(repeat: RetrySafety) -> Class {
     Class {
-        aim: AIM,
+        latency_target: AIM,
         deadline: 10 * AIM,
         repeat,
         late_share: 1.0,
@@ -54,14 +54,14 @@
             now,
             next: 0,
         };
-        let line = |id| Listed {
+        let line = |id| ListedServer {
             server: ServerId(id),
             cell: 0,
             zone: 0,
-            mode: Mode::Ready,
+            mode: ServerMode::Ready,
             started: None,
         };
-        stage.turn(vec![Event::List(Listing::Whole(
+        stage.turn(vec![Event::List(ServerListUpdate::Whole(
             (1..=servers).map(line).collect(),
         ))]);
         stage
@@ -144,7 +144,7 @@
 
 #[test]
 fn a_part_goes_to_the_server_with_the_fewest_pending_of_all_that_are_ready() {
-    let mut stage = Stage::new(1, settings(vec![class(Repeat::Safe)]), 12);
+    let mut stage = Stage::new(1, settings(vec![class(RetrySafety::Safe)]), 12);
     let first: BTreeSet<u32> = (0..12)
         .filter_map(|_| stage.query(0).1)
         .map(|s| s.0)
@@ -163,7 +163,7 @@
 #[test]
 fn ties_are_broken_by_chance() {
     let first = |seed| {
-        Stage::new(seed, settings(vec![class(Repeat::Safe)]), 4)
+        Stage::new(seed, settings(vec![class(RetrySafety::Safe)]), 4)
             .query(0)
             .1
             .unwrap()
@@ -176,7 +176,7 @@
 #[test]
 fn of_equals_all_instances_choose_the_same_server_for_a_shared_beginning() {
     let first = |seed, prefix| {
-        let mut stage = Stage::new(seed, settings(vec![class(Repeat::Safe)]), 12);
+        let mut stage = Stage::new(seed, settings(vec![class(RetrySafety::Safe)]), 12);
         stage.query_with(0, Some(prefix)).1.unwrap().0
     };
     let mut met = BTreeMap::new();
@@ -197,7 +197,7 @@
 
 #[test]
 fn the_fewest_pending_come_before_a_shared_beginning() {
-    let mut stage = Stage::new(1, settings(vec![class(Repeat::Safe)]), 6);
+    let mut stage = Stage::new(1, settings(vec![class(RetrySafety::Safe)]), 6);
     let order: Vec<u32> = (0..6)
         .map(|_| stage.query_with(0, Some(77)).1.unwrap().0)
         .collect();
@@ -207,15 +207,15 @@
         "each has one before any has two: {order:?}"
     );
     // At another instance, with the first of them gone, the next in the order takes its place.
-    let mut other = Stage::new(2, settings(vec![class(Repeat::Safe)]), 6);
-    let gone = Listed {
+    let mut other = Stage::new(2, settings(vec![class(RetrySafety::Safe)]), 6);
+    let gone = ListedServer {
         server: ServerId(order[0]),
         cell: 0,
         zone: 0,
-        mode: Mode::Gone,
+        mode: ServerMode::Gone,
         started: None,
     };
-    other.turn(vec![Event::List(Listing::Changes(vec![gone]))]);
+    other.turn(vec![Event::List(ServerListUpdate::Changes(vec![gone]))]);
     assert_eq!(other.query_with(0, Some(77)).1, Some(ServerId(order[1])));
 }
 
@@ -232,7 +232,7 @@
 
 #[test]
 fn of_servers_with_as_few_pending_the_one_with_little_backlog_is_chosen() {
-    let mut stage = Stage::new(1, settings(vec![class(Repeat::Safe)]), 4);
+    let mut stage = Stage::new(1, settings(vec![class(RetrySafety::Safe)]), 4);
     stage.turn(vec![
         backlog(1, 500),
         backlog(2, 99),
@@ -253,7 +253,7 @@
 #[test]
 fn a_retry_goes_where_little_waits() {
     for seed in 0..20 {
-        let mut stage = Stage::new(seed, settings(vec![class(Repeat::Safe)]), 4);
+        let mut stage = Stage::new(seed, settings(vec![class(RetrySafety::Safe)]), 4);
         stage.turn(vec![
             backlog(1, 300),
             backlog(2, 0),
@@ -279,7 +279,7 @@
 
 #[test]
 fn a_part_that_may_run_twice_is_copied_at_half_its_aim_and_the_loser_is_cancelled() {
-    let mut stage = Stage::new(1, settings(vec![class(Repeat::Safe)]), 4);
+    let mut stage = Stage::new(1, settings(vec![class(RetrySafety::Safe)]), 4);
     let (part, first) = stage.query(0);
     assert_eq!(sent(&stage.after(AIM / 2 - MS, vec![])), None);
     let copy = sent(&stage.after(MS, vec![])).expect("half of the aim is over");
@@ -299,7 +299,7 @@
 
 #[test]
 fn the_copy_is_cancelled_where_the_first_attempt_answers() {
-    let mut stage = Stage::new(1, settings(vec![class(Repeat::Safe)]), 4);
+    let mut stage = Stage::new(1, settings(vec![class(RetrySafety::Safe)]), 4);
     let (part, first) = stage.query(0);
     sent(&stage.after(AIM / 2, vec![])).expect("half of the aim is over");
     let actions = stage.after(
@@ -314,7 +314,7 @@
 
 #[test]
 fn a_part_that_may_not_run_twice_is_never_copied() {
-    let mut stage = Stage::new(1, settings(vec![class(Repeat::Unsafe)]), 4);
+    let mut stage = Stage::new(1, settings(vec![class(RetrySafety::Unsafe)]), 4);
     let (part, first) = stage.query(0);
     assert_eq!(sent(&stage.after(AIM / 2, vec![])), None);
     let failed = ended(part, 0, first.unwrap(), Outcome::Error, AIM / 2);
@@ -325,7 +325,7 @@
 fn each_class_has_its_own_attempts_or_those_of_all() {
     let own = |attempts| Class {
         attempts,
-        ..class(Repeat::Safe)
+        ..class(RetrySafety::Safe)
     };
     for (place, attempts) in [(0, 1), (1, 2), (2, 3), (3, 5)] {
         let classes = vec![own(Some(1)), own(Some(2)), own(None), own(Some(5))];
@@ -353,7 +353,7 @@
 
 #[test]
 fn streams_that_run_on_count_as_pending() {
-    let mut stage = Stage::new(1, settings(vec![class(Repeat::Safe)]), 3);
+    let mut stage = Stage::new(1, settings(vec![class(RetrySafety::Safe)]), 3);
     stage.turn(vec![running(1, 3), running(2, 2), running(9, 1)]);
     let order: Vec<u32> = (0..3).map(|_| stage.query(0).1.unwrap().0).collect();
     assert_eq!(order[..2], [3, 3], "it has fewest until it has as many");
@@ -363,17 +363,17 @@
 
 #[test]
 fn a_server_that_is_gone_is_remembered_while_streams_run_there() {
-    let mut stage = Stage::new(1, settings(vec![class(Repeat::Safe)]), 2);
-    let line = |mode| Listed {
+    let mut stage = Stage::new(1, settings(vec![class(RetrySafety::Safe)]), 2);
+    let line = |mode| ListedServer {
         server: ServerId(1),
         cell: 0,
         zone: 0,
         mode,
         started: None,
     };
-    let told = |mode| Event::List(Listing::Changes(vec![line(mode)]));
-    stage.turn(vec![running(1, 5), told(Mode::Gone)]);
-    stage.turn(vec![told(Mode::Ready)]);
+    let told = |mode| Event::List(ServerListUpdate::Changes(vec![line(mode)]));
+    stage.turn(vec![running(1, 5), told(ServerMode::Gone)]);
+    stage.turn(vec![told(ServerMode::Ready)]);
     let met: Vec<u32> = (0..5).map(|_| stage.query(0).1.unwrap().0).collect();
     assert_eq!(met, [2; 5]);
 }
@@ -385,7 +385,7 @@
         least: 0.0,
         share: 0.0,
     };
-    let mut told = settings(vec![class(Repeat::Safe)]);
+    let mut told = settings(vec![class(RetrySafety::Safe)]);
     told.limits.budget = Some(none);
     let mut stage = Stage::new(1, told, 3);
     let mut again = |before: Option<Event>| {
@@ -414,13 +414,16 @@
 fn classes_come_while_it_runs_and_none_ever_goes() {
     let one = Class {
         attempts: Some(1),
-        ..class(Repeat::Safe)
+        ..class(RetrySafety::Safe)
     };
     let mut stage = Stage::new(1, settings(Vec::new()), 3);
     assert_eq!(stage.query(0).1, None, "there is no class yet");
     stage.turn(vec![Event::Classes(vec![one.clone()])]);
     let (first, server) = stage.query(0);
-    stage.turn(vec![Event::Classes(vec![one.clone(), class(Repeat::Safe)])]);
+    stage.turn(vec![Event::Classes(vec![
+        one.clone(),
+        class(RetrySafety::Safe),
+    ])]);
     stage.turn(vec![Event::Classes(vec![one])]);
     let failed =
         |part, server: Option<ServerId>| ended(part, 0, server.unwrap(), Outcome::Error, MS);
@@ -439,7 +442,7 @@
 #[test]
 fn a_class_in_the_place_of_another_begins_with_a_clean_slate() {
     for changed in [false, true] {
-        let mut stage = Stage::new(1, settings(vec![class(Repeat::Safe); 2]), 2);
+        let mut stage = Stage::new(1, settings(vec![class(RetrySafety::Safe); 2]), 2);
         // Errors of the second class make it pass the first server over.
         for _ in 0..3 {
             let (part, server) = stage.query(1);
@@ -456,13 +459,17 @@
         }
         let other = Class {
             attempts: Some(2),
-            ..class(Repeat::Safe)
+            ..class(RetrySafety::Safe)
+        };
+        let second = if changed {
+            other
+        } else {
+            class(RetrySafety::Safe)
         };
-        let second = if changed { other } else { class(Repeat::Safe) };
         stage.turn(vec![Event::Classes(vec![
-            class(Repeat::Safe),
+            class(RetrySafety::Safe),
             second,
-            class(Repeat::Safe),
+            class(RetrySafety::Safe),
         ])]);
         // The first server has fewer streams: only what is held against it speaks against it.
         assert_eq!(
@@ -486,10 +493,10 @@
         share: 0.0,
     };
     for (outcome, repeat) in [
-        (Outcome::Rejected, Repeat::Unsafe),
-        (Outcome::ConnectFailed, Repeat::Unsafe),
-        (Outcome::Rejected, Repeat::Safe),
-        (Outcome::Reset, Repeat::Safe),
+        (Outcome::Rejected, RetrySafety::Unsafe),
+        (Outcome::ConnectFailed, RetrySafety::Unsafe),
+        (Outcome::Rejected, RetrySafety::Safe),
+        (Outcome::Reset, RetrySafety::Safe),
     ] {
         let mut told = settings(vec![class(repeat)]);
         told.limits = Limits {
@@ -527,7 +534,7 @@
     let partial = Class {
         floor: 0.5,
         partial: 0.5,
-        ..class(Repeat::Safe)
+        ..class(RetrySafety::Safe)
     };
     let mut told = settings(vec![partial]);
     told.limits.budget = Some(none);
--- a/simulator/src/control/mod.rs
+++ b/simulator/src/control/mod.rs
@@ -13,7 +13,7 @@
     Primary, Question, View,
 };
 use lichenswitch_messages::{
-    ControlToRouter, PeerMessage, RelayedResponse, RelayedCall, RouterToControl,
+    ControlToRouter, PeerMessage, RelayedCall, RelayedResponse, RouterToControl,
 };
 use lichenswitch_replication::{
     DurableItem, Identity, Message, Notice, Output, Position, Replica, Time, WriteId,
--- a/src/bin/lichenswitch-simulator-adapter/codec.rs
+++ b/src/bin/lichenswitch-simulator-adapter/codec.rs
@@ -1,7 +1,7 @@
 //! Frames of the wire: batches of event records in, replies of action records out.
 
 use lichenswitch::interface::{
-    Action, Event, Listed, Mode, Outcome, PartId, QueryId, ServerId, Shard, Time,
+    Action, Event, ListedServer, Outcome, PartId, QueryId, ServerId, ServerMode, Shard, Time,
 };
 
 /// Bytes of a batch's header.
@@ -35,7 +35,7 @@
     },
     Snapshot {
         page: u8,
-        lines: Vec<Listed>,
+        lines: Vec<ListedServer>,
     },
     Roster {
         who: u32,
@@ -120,17 +120,17 @@
     })
 }
 
-fn listed(bytes: &[u8]) -> Result<Listed, String> {
+fn listed(bytes: &[u8]) -> Result<ListedServer, String> {
     let mut f = Fields { bytes, at: 4 };
     let (cell, server, since) = (f.u16(), f.u32(), f.u64());
     f.at = 20;
     let mode = match f.u8() {
-        0 => Mode::Ready,
-        2 => Mode::Draining,
-        3 => Mode::Gone,
+        0 => ServerMode::Ready,
+        2 => ServerMode::Draining,
+        3 => ServerMode::Gone,
         other => return Err(format!("unknown server mode {other}")),
     };
-    Ok(Listed {
+    Ok(ListedServer {
         server: ServerId(server),
         cell: u32::from(cell),
         zone: u32::from(f.u8()),
--- a/src/bin/lichenswitch-simulator-adapter/main.rs
+++ b/src/bin/lichenswitch-simulator-adapter/main.rs
@@ -5,7 +5,7 @@
 
 use codec::{Record, Reply, Scope, HEADER};
 use lichenswitch::config::settings;
-use lichenswitch::interface::{Action, Event, Listed, Listing};
+use lichenswitch::interface::{Action, Event, ListedServer, ServerListUpdate};
 use lichenswitch::policy::Coordinator;
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
@@ -16,7 +16,7 @@
 #[derive(Default)]
 struct Host {
     instances: BTreeMap<u32, Coordinator>,
-    pages: BTreeMap<u8, Vec<Listed>>,
+    pages: BTreeMap<u8, Vec<ListedServer>>,
 }
 
 impl Host {
@@ -58,9 +58,9 @@
         Ok(reply.encode())
     }
 
-    fn listing(&self, scope: Scope, page: u8) -> Result<Listing, String> {
+    fn listing(&self, scope: Scope, page: u8) -> Result<ServerListUpdate, String> {
         if scope == Scope::Failed {
-            return Ok(Listing::Failed);
+            return Ok(ServerListUpdate::Failed);
         }
         let lines = self
             .pages
@@ -68,9 +68,9 @@
             .ok_or_else(|| format!("list {page} was never sent"))?
             .clone();
         Ok(match scope {
-            Scope::Changes => Listing::Changes(lines),
-            Scope::Whole => Listing::Whole(lines),
-            Scope::Cached | Scope::Failed => Listing::Cached(lines),
+            Scope::Changes => ServerListUpdate::Changes(lines),
+            Scope::Whole => ServerListUpdate::Whole(lines),
+            Scope::Cached | Scope::Failed => ServerListUpdate::Cached(lines),
         })
     }
 }
--- a/src/bin/lichenswitch-simulator-adapter/tests.rs
+++ b/src/bin/lichenswitch-simulator-adapter/tests.rs
@@ -2,7 +2,9 @@
 
 use super::*;
 use codec::{decode, frame_length};
-use lichenswitch::interface::{Mode, Outcome, PartId, QueryId, Repeat, ServerId, Shard, Time};
+use lichenswitch::interface::{
+    Outcome, PartId, QueryId, RetrySafety, ServerId, ServerMode, Shard, Time,
+};
 
 const CLASSES: &str = r#"[{"deadlineUs": 2500000, "gain": 1.0, "group": "all", "idempotency": "retryable",
     "lateShare": 0.1, "name": "a", "objectiveUs": 800000, "stream": false, "windowUs": 1}]"#;
@@ -109,11 +111,11 @@
     ];
     let (now, read) = decode(&frame(123, &records, &server)).unwrap();
     assert_eq!(now, Time(123));
-    let listed = Listed {
+    let listed = ListedServer {
         server: ServerId(11),
         cell: 1,
         zone: 1,
-        mode: Mode::Draining,
+        mode: ServerMode::Draining,
         started: Some(Time(9)),
     };
     let event = |event| Record::Event { who: 2, event };
@@ -307,11 +309,11 @@
 #[test]
 fn settings_keep_what_is_needed_and_skip_unknown_keys() {
     let read = settings::parse(facts(CLASSES).as_bytes()).unwrap();
-    assert_eq!(read.classes[0].repeat, Repeat::Safe);
+    assert_eq!(read.classes[0].repeat, RetrySafety::Safe);
     assert_eq!(read.limits.budget.unwrap().window, 10_000_000);
     assert_eq!((read.zone, read.instances, read.layout.cells), (1, 3, 2));
     let keyed = settings::parse(facts(&CLASSES.replace("retryable", "dedup")).as_bytes()).unwrap();
-    assert_eq!(keyed.classes[0].repeat, Repeat::Keyed(1));
+    assert_eq!(keyed.classes[0].repeat, RetrySafety::Keyed(1));
     assert!(settings::parse(facts(&CLASSES.replace("retryable", "maybe")).as_bytes()).is_err());
     assert!(settings::parse(facts("[]").as_bytes()).is_err());
     assert!(settings::parse(
--- a/src/broker.rs
+++ b/src/broker.rs
@@ -10,7 +10,7 @@
 use crate::front::ogc::Ogc;
 use crate::front::platform::{Class, Platform};
 use crate::front::Sessions;
-use crate::interface::{self, Listing, Micros, Time};
+use crate::interface::{self, Micros, ServerListUpdate, Time};
 use crate::management::{self, ManagementHandle};
 use crate::net::{self, ConnId, Net, Owner, Ready, Signal, Timer};
 use crate::peer::group::PeerGroup;
@@ -18,7 +18,7 @@
 use crate::upstream::frames::Frames;
 use crate::upstream::ogc::Features;
 use crate::upstream::{Limits, Pool};
-use lichenswitch_management::processes::{self, Parts};
+use lichenswitch_management::processes::{self, ProcessShares};
 use std::io;
 use std::net::SocketAddr;
 use std::os::unix::net::UnixStream;
@@ -60,7 +60,7 @@
     /// This process leaves its clients to another one of the broker.
     leaving: bool,
     /// Its parts of what is allowed to the broker.
-    parts: Parts,
+    parts: ProcessShares,
     /// Reads the platform's configuration again.
     reread: Option<Reread>,
     /// When the signal to stop came.
@@ -135,7 +135,7 @@
             kept_out: false,
             stop_within: 0,
             leaving: false,
-            parts: processes::ALONE,
+            parts: processes::SINGLE_PROCESS,
             reread: None,
             stopping: None,
             crowded: false,
@@ -173,7 +173,7 @@
         core.plan_by(Planner::new(told.phases.rules), told.phases.explain);
         let known = told.known.unwrap_or_default();
         let generation = (!known.instances.is_empty()).then_some(known.generation);
-        let known = Listing::Cached(directory.whole(&known.instances));
+        let known = ServerListUpdate::Cached(directory.whole(&known.instances));
         let pool = Pool::new(Frames, limits(told.connections));
         self.unopened = Some((told.name, told.listen));
         self.open_listener()?;
@@ -207,7 +207,7 @@
             started_at_ms: 0,
         };
         let instances: Vec<Instance> = told.inventory.nodes.iter().map(line).collect();
-        core.listed(Listing::Whole(directory.whole(&instances)));
+        core.listed(ServerListUpdate::Whole(directory.whole(&instances)));
         let pool = Pool::new(Features::default(), limits(told.connections));
         let front = Ogc::new(told.title, told.collections, told.inventory.slices);
         let address = self.listen(Owner::Ogc, told.listen)?;
@@ -375,7 +375,7 @@
             .min()
     }
 
-    fn listed(&mut self, news: impl IntoIterator<Item = Listing>) {
+    fn listed(&mut self, news: impl IntoIterator<Item = ServerListUpdate>) {
         if let Some(service) = &mut self.platform {
             news.into_iter().for_each(|news| service.listed(news));
         }
--- a/src/broker/operators.rs
+++ b/src/broker/operators.rs
@@ -2,7 +2,7 @@
 
 use super::{log, Broker};
 use crate::discovery::OperatorOverrides;
-use crate::interface::{Listing, Time};
+use crate::interface::{ServerListUpdate, Time};
 use crate::management::Orders;
 use crate::net::Signal;
 use lichenswitch_management::health::Standing;
@@ -57,7 +57,7 @@
         };
         let lines = service.directory.set_overrides(overrides);
         if !lines.is_empty() {
-            self.listed([Listing::Changes(lines)]);
+            self.listed([ServerListUpdate::Changes(lines)]);
         }
     }
 
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::contract::{Contract, Contracts};
 use crate::discovery::List;
-use crate::interface::{Discovery, Layout, Micros, Repeat, Settings};
+use crate::interface::{Discovery, Layout, Micros, RetrySafety, Settings};
 use crate::inventory::{read_text, Inventory};
 use serde::Deserialize;
 use serde_saphyr::Spanned;
@@ -300,7 +300,7 @@
             })?;
             // Guards writes: a class whose parts must not be repeated at will records something,
             // and a read that was mapped to it would be taken for that.
-            if settings.classes[class].repeat != Repeat::Safe {
+            if settings.classes[class].repeat != RetrySafety::Safe {
                 let why = format!("{:?} is for writes and can't be read", told.class.value);
                 return Err(here(line, "class", why));
             }
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -2,7 +2,7 @@
 
 use super::Connections;
 use crate::interface::{
-    Budget, Class, Cold, Discovery, Layout, Limits, Micros, Repeat, Settings, FIRST_SHARE,
+    Budget, Class, Discovery, Layout, Limits, Micros, RetrySafety, Settings, SlowStart, FIRST_SHARE,
 };
 use serde::Deserialize;
 
@@ -190,7 +190,7 @@
         // Guards the rule on repeats: the window counts to when an attempt leaves, and what the
         // module sends may wait for a connection first.
         for class in &mut settings.classes {
-            if let Repeat::Keyed(window) = &mut class.repeat {
+            if let RetrySafety::Keyed(window) = &mut class.repeat {
                 *window = window.saturating_sub(allowed.connect_timeout_us + WAITS);
             }
         }
@@ -224,17 +224,17 @@
     let mut classes = Vec::with_capacity(facts.classes.len());
     for (i, c) in facts.classes.iter().enumerate() {
         let repeat = match c.idempotency.as_str() {
-            "retryable" => Repeat::Safe,
-            "dedup" => Repeat::Keyed(c.window_us),
-            "fragile" => Repeat::Unsafe,
+            "retryable" => RetrySafety::Safe,
+            "dedup" => RetrySafety::Keyed(c.window_us),
+            "fragile" => RetrySafety::Unsafe,
             other => return Err(format!("settings: unknown idempotency {other:?}")),
         };
         let missing = || format!("settings: familyInfo lacks class {i}");
         classes.push(Class {
-            aim: c.objective_us,
+            latency_target: c.objective_us,
             deadline: c.deadline_us,
             repeat,
-            worth: figure(c.gain, "gain")?,
+            value: figure(c.gain, "gain")?,
             late_share: figure(c.late_share, "lateShare")?,
             need: figure(
                 *family.need_by_class.get(i).ok_or_else(missing)?,
@@ -284,7 +284,7 @@
             "subscribe" => Discovery::Ask(rules.ask_every_us),
             other => return Err(format!("settings: unknown discovery {other:?}")),
         },
-        cold: Cold {
+        cold: SlowStart {
             share: figure(rules.cold_share, "coldShare")?,
             warm_after: rules.cold_us,
             fall_multiple: figure(rules.fall_multiple, "fallMultiple")?,
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -74,10 +74,10 @@
         );
         parse(&text).unwrap().settings.classes[0].repeat
     };
-    assert_eq!(keyed("250000", "2000000"), Repeat::Keyed(1_650_000));
+    assert_eq!(keyed("250000", "2000000"), RetrySafety::Keyed(1_650_000));
     assert_eq!(
         keyed("250000", "300000"),
-        Repeat::Keyed(0),
+        RetrySafety::Keyed(0),
         "never repeated where it may have run"
     );
 }
@@ -238,7 +238,7 @@
     let read = phases(told).unwrap();
     let rules = read.phases.rules[0].as_ref().unwrap();
     assert_eq!(
-        (rules.wanted, rules.aim, rules.floor),
+        (rules.wanted, rules.latency_target, rules.floor),
         (5, 2_500_000, 0.8),
         "the rest follows the class"
     );
--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -12,7 +12,7 @@
 use crate::decide::membership::doubt::{Doubt, Told, Verdict};
 use crate::decide::membership::pace::Pace;
 use crate::http::{self, Parsed};
-use crate::interface::{Listing, Micros, Time};
+use crate::interface::{Micros, ServerListUpdate, Time};
 use crate::net::{ConnId, Denied, Net, Owner, Pumped, Timer};
 use std::net::SocketAddr;
 
@@ -111,7 +111,7 @@
 
     /// Asks for changes from now on, as soon as the pace allows, unless that is under way. A
     /// failure to ask is reported like any other.
-    pub fn subscribe(&mut self, net: &mut Net) -> Vec<Listing> {
+    pub fn subscribe(&mut self, net: &mut Net) -> Vec<ServerListUpdate> {
         if self.call.is_some() || self.planned.is_some() {
             return Vec::new();
         }
@@ -135,7 +135,7 @@
 
     /// A call could not be made. Guards the rule on drains: discovery has not failed, and a broker
     /// that waited as if it had would not hear of a change for seconds after the others.
-    fn not_asked(&mut self, net: &mut Net, why: Unasked) -> Vec<Listing> {
+    fn not_asked(&mut self, net: &mut Net, why: Unasked) -> Vec<ServerListUpdate> {
         let Unasked::Local(why) = why else {
             return self.fail(net, "the connection broke", false);
         };
@@ -158,7 +158,7 @@
     /// Asks at another address from the next call on, which comes soon; until then a watch at the
     /// former one goes on. A call there that does not wait for changes is given up: what it would
     /// bring is asked for anew.
-    pub fn move_to(&mut self, net: &mut Net, address: SocketAddr) -> Vec<Listing> {
+    pub fn move_to(&mut self, net: &mut Net, address: SocketAddr) -> Vec<ServerListUpdate> {
         if address == self.moving.unwrap_or(self.address) {
             return Vec::new();
         }
@@ -211,7 +211,7 @@
     }
 
     /// The call has failed; `silent`: nothing came, not even a refusal.
-    fn fail(&mut self, net: &mut Net, what: &str, silent: bool) -> Vec<Listing> {
+    fn fail(&mut self, net: &mut Net, what: &str, silent: bool) -> Vec<ServerListUpdate> {
         self.hang_up(net);
         self.renews = false;
         self.doubt.on_failure();
@@ -238,12 +238,12 @@
                 "discovery: call failed after {after} ms: {what}; next in {next} ms at the soonest: {verdict}"
             ));
         }
-        vec![Listing::Failed]
+        vec![ServerListUpdate::Failed]
     }
 
     /// A doubted list was not confirmed in time: what it wants stopped is stopped. What it says of
     /// others is not believed.
-    fn unconfirmed(&mut self, directory: &mut Directory) -> Vec<Listing> {
+    fn unconfirmed(&mut self, directory: &mut Directory) -> Vec<ServerListUpdate> {
         let Some((list, _)) = self.doubted.take() else {
             return Vec::new();
         };
@@ -252,13 +252,13 @@
             list.generation
         ));
         if list.instances.is_empty() {
-            return vec![Listing::Whole(directory.whole(&[]))];
+            return vec![ServerListUpdate::Whole(directory.whole(&[]))];
         }
         let ends = list
             .instances
             .into_iter()
             .filter(|i| i.lifecycle != Lifecycle::Serving);
-        vec![Listing::Changes(
+        vec![ServerListUpdate::Changes(
             directory.changes(&ends.collect::<Vec<_>>()),
         )]
     }
@@ -272,7 +272,12 @@
     }
 
     /// A call's timer: it may be made now, its connection should be up by now, or its answer here.
-    pub fn timer(&mut self, net: &mut Net, call: u64, directory: &mut Directory) -> Vec<Listing> {
+    pub fn timer(
+        &mut self,
+        net: &mut Net,
+        call: u64,
+        directory: &mut Directory,
+    ) -> Vec<ServerListUpdate> {
         if call == CONFIRMED {
             let due = self
                 .doubted
@@ -312,7 +317,12 @@
     }
 
     /// Reads what has come. An answer is news, and the watch is renewed at once.
-    pub fn ready(&mut self, net: &mut Net, id: ConnId, directory: &mut Directory) -> Vec<Listing> {
+    pub fn ready(
+        &mut self,
+        net: &mut Net,
+        id: ConnId,
+        directory: &mut Directory,
+    ) -> Vec<ServerListUpdate> {
         if self.conn != Some(id) {
             return Vec::new();
         }
@@ -382,8 +392,8 @@
                 self.doubted = None;
                 self.generation = Some(list.generation);
                 vec![match whole {
-                    true => Listing::Whole(directory.whole(&list.instances)),
-                    false => Listing::Changes(directory.changes(&list.instances)),
+                    true => ServerListUpdate::Whole(directory.whole(&list.instances)),
+                    false => ServerListUpdate::Changes(directory.changes(&list.instances)),
                 }]
             }
             Verdict::Confirm(why, until) => {
--- a/src/discovery/directory.rs
+++ b/src/discovery/directory.rs
@@ -1,6 +1,6 @@
 //! The data nodes by name, as lists and operators tell of them.
 
-use crate::interface::{Listed, Mode, ServerId, Time};
+use crate::interface::{ListedServer, ServerId, ServerMode, Time};
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -85,21 +85,21 @@
     /// A line of the list with the overrides applied. One that was put back counts as started just
     /// then, where the list knows of no start since it was taken out: it was out so that it could
     /// be restarted, and the list may hear of that late or never.
-    fn applied(&self, name: &str, told: Listed) -> Listed {
-        if told.mode == Mode::Ready && self.out.contains(name) {
-            return Listed {
-                mode: Mode::Draining,
+    fn applied(&self, name: &str, told: ListedServer) -> ListedServer {
+        if told.mode == ServerMode::Ready && self.out.contains(name) {
+            return ListedServer {
+                mode: ServerMode::Draining,
                 ..told
             };
         }
-        if told.mode == Mode::Ready && self.leaving.contains(name) {
-            return Listed {
-                mode: Mode::Leaving,
+        if told.mode == ServerMode::Ready && self.leaving.contains(name) {
+            return ListedServer {
+                mode: ServerMode::Leaving,
                 ..told
             };
         }
         match self.back.get(name) {
-            Some((out, back)) if told.started.is_none_or(|at| at < *out) => Listed {
+            Some((out, back)) if told.started.is_none_or(|at| at < *out) => ListedServer {
                 started: Some(*back),
                 ..told
             },
@@ -114,7 +114,7 @@
     address: Option<SocketAddr>,
     cell: u32,
     /// As the list has it.
-    told: Option<Listed>,
+    told: Option<ListedServer>,
 }
 
 impl Directory {
@@ -166,7 +166,7 @@
     }
 
     /// Notes the whole list and gives it to the module in its own terms. What is absent is gone.
-    pub fn whole(&mut self, instances: &[Instance]) -> Vec<Listed> {
+    pub fn whole(&mut self, instances: &[Instance]) -> Vec<ListedServer> {
         let listed: HashSet<&str> = instances.iter().map(|i| i.instance_id.as_str()).collect();
         let absent: Vec<String> = self
             .ids
@@ -179,14 +179,14 @@
     }
 
     /// Notes changed lines and gives them to the module in its own terms.
-    pub fn changes(&mut self, instances: &[Instance]) -> Vec<Listed> {
+    pub fn changes(&mut self, instances: &[Instance]) -> Vec<ListedServer> {
         instances
             .iter()
             .filter_map(|node| self.change(node))
             .collect()
     }
 
-    fn change(&mut self, node: &Instance) -> Option<Listed> {
+    fn change(&mut self, node: &Instance) -> Option<ListedServer> {
         let deleted = node.lifecycle == Lifecycle::Deleted;
         let known = self.ids.get(&node.instance_id).copied();
         // Guards data nodes: one whose cell is not known would be sent parts of shards that it does
@@ -241,7 +241,7 @@
         if deleted {
             self.give_back(&node.instance_id);
         }
-        let told = Listed {
+        let told = ListedServer {
             server,
             cell,
             zone: self
@@ -250,10 +250,10 @@
                 .position(|z| *z == node.zone)
                 .map_or(u32::MAX, |z| z as u32),
             mode: match node.lifecycle {
-                Lifecycle::Serving => Mode::Ready,
+                Lifecycle::Serving => ServerMode::Ready,
                 // To be in a state that is not known is no reason to be sent anything.
-                Lifecycle::Draining | Lifecycle::Unknown => Mode::Draining,
-                Lifecycle::Deleted => Mode::Gone,
+                Lifecycle::Draining | Lifecycle::Unknown => ServerMode::Draining,
+                Lifecycle::Deleted => ServerMode::Gone,
             },
             started: (node.started_at_ms > 0)
                 .then_some(Time(node.started_at_ms.saturating_mul(1_000))),
@@ -265,7 +265,7 @@
     }
 
     /// Replaces the overrides, and gives the module the lines that differ by that.
-    pub fn set_overrides(&mut self, overrides: OperatorOverrides) -> Vec<Listed> {
+    pub fn set_overrides(&mut self, overrides: OperatorOverrides) -> Vec<ListedServer> {
         let before = std::mem::replace(&mut self.overrides, overrides);
         let noted = self.nodes.values().filter_map(|n| Some((&n.name, n.told?)));
         let lines = noted.map(|(name, told)| {
--- a/src/discovery/directory/tests.rs
+++ b/src/discovery/directory/tests.rs
@@ -13,7 +13,7 @@
     let first = directory.changes(&list.instances);
     assert_eq!(
         (first[0].cell, first[0].zone, first[0].mode),
-        (3, 1, Mode::Ready)
+        (3, 1, ServerMode::Ready)
     );
     assert_eq!(first[0].started, Some(Time(5_000)));
     assert_eq!(
@@ -28,7 +28,7 @@
     let second = directory.changes(std::slice::from_ref(&gone));
     assert_eq!(
         (second[0].server, second[0].mode),
-        (first[0].server, Mode::Gone)
+        (first[0].server, ServerMode::Gone)
     );
     assert!(
         directory.changes(&[gone]).is_empty(),
@@ -98,12 +98,14 @@
     let told = directory.changes(&[line("old", None, Lifecycle::Draining)]);
     assert_eq!(
         (told[0].cell, told[0].mode),
-        (3, Mode::Draining),
+        (3, ServerMode::Draining),
         "that it drains counts"
     );
     assert!(directory.take_log()[0].contains("it keeps its last one"));
     let gone = directory.changes(&[line("old", None, Lifecycle::Deleted)]);
-    assert!(gone[0].mode == Mode::Gone && directory.is_empty() && directory.take_log().is_empty());
+    assert!(
+        gone[0].mode == ServerMode::Gone && directory.is_empty() && directory.take_log().is_empty()
+    );
 }
 
 #[test]
@@ -125,7 +127,7 @@
     };
     assert_eq!(
         directory.set_overrides(out).first().map(|l| l.mode),
-        Some(Mode::Draining)
+        Some(ServerMode::Draining)
     );
     // The list hears of no restart, of one long ago, or of that for which it was out.
     let lines = directory.set_overrides(OperatorOverrides {
@@ -137,7 +139,7 @@
             .iter()
             .map(|l| (l.mode, l.started))
             .collect::<Vec<_>>(),
-        [(Mode::Ready, Some(Time(9_000_000)))]
+        [(ServerMode::Ready, Some(Time(9_000_000)))]
     );
     let mut started = |ms| directory.changes(&[node(ms)])[0].started;
     assert_eq!(
--- a/src/discovery/tests.rs
+++ b/src/discovery/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of `discovery`.
 
 use super::*;
-use crate::interface::{Listed, Mode};
+use crate::interface::{ListedServer, ServerMode};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 
@@ -10,7 +10,7 @@
          "lifecycle":"SERVING","weight":1.0,"startedAtMs":5}]}"#;
 
 /// Runs the loop until the client has news.
-fn news(net: &mut Net, client: &mut Discovery, directory: &mut Directory) -> Vec<Listing> {
+fn news(net: &mut Net, client: &mut Discovery, directory: &mut Directory) -> Vec<ServerListUpdate> {
     for _ in 0..1_000 {
         let until = net.clock.now().plus(100_000);
         for ready in net.wait(Some(until)).unwrap() {
@@ -68,7 +68,7 @@
     answer(&mut stream, 200, LIST);
     assert!(matches!(
         &news(&mut net, &mut client, &mut directory)[..],
-        [Listing::Whole(_)]
+        [ServerListUpdate::Whole(_)]
     ));
     assert!(request(&mut stream).contains("since=41"));
 }
@@ -90,13 +90,13 @@
             drop(stream);
             assert_eq!(
                 news(&mut net, &mut client, &mut directory),
-                [Listing::Failed]
+                [ServerListUpdate::Failed]
             );
         } else {
             answer(&mut stream, 200, &LIST.replace("SERVING", "DRAINING"));
             let told = news(&mut net, &mut client, &mut directory);
             assert!(
-                matches!(&told[..], [Listing::Whole(lines)] if lines[0].mode == Mode::Draining)
+                matches!(&told[..], [ServerListUpdate::Whole(lines)] if lines[0].mode == ServerMode::Draining)
             );
             assert!(client.call.is_none(), "it is not renewed there");
         }
@@ -125,7 +125,7 @@
     assert!(request(&mut stream).starts_with("GET /registry/instances HTTP/1.1\r\n"));
     answer(&mut stream, 200, LIST);
     let first = news(&mut net, &mut client, &mut directory);
-    assert!(matches!(&first[..], [Listing::Whole(lines)] if lines.len() == 1));
+    assert!(matches!(&first[..], [ServerListUpdate::Whole(lines)] if lines.len() == 1));
     assert!(request(&mut stream).starts_with("GET /registry/instances?since=41&timeout_ms=2000 "));
     answer(
         &mut stream,
@@ -134,13 +134,13 @@
     );
     assert!(matches!(
         &news(&mut net, &mut client, &mut directory)[..],
-        [Listing::Changes(_)]
+        [ServerListUpdate::Changes(_)]
     ));
     assert!(request(&mut stream).contains("since=42"));
     answer(&mut stream, 503, "");
     assert_eq!(
         news(&mut net, &mut client, &mut directory),
-        [Listing::Failed]
+        [ServerListUpdate::Failed]
     );
     assert!(
         client.planned.is_some(),
@@ -151,7 +151,7 @@
     drop(stream);
     assert_eq!(
         news(&mut net, &mut client, &mut directory),
-        [Listing::Failed]
+        [ServerListUpdate::Failed]
     );
 }
 
@@ -191,7 +191,7 @@
             }
         }
     }
-    assert_eq!(news, [Listing::Failed]);
+    assert_eq!(news, [ServerListUpdate::Failed]);
     let line = client.take_log().remove(0);
     assert!(
         line.contains("no answer") && line.contains("Silent"),
@@ -206,7 +206,9 @@
     assert!(request(&mut stream).contains("since=41&timeout_ms=100 "));
     answer(&mut stream, 200, &LIST.replace("SERVING", "DRAINING"));
     let told = self::news(&mut net, &mut client, &mut directory);
-    assert!(matches!(&told[..], [Listing::Whole(lines)] if lines[0].mode == Mode::Draining));
+    assert!(
+        matches!(&told[..], [ServerListUpdate::Whole(lines)] if lines[0].mode == ServerMode::Draining)
+    );
     drop(silent);
 }
 
@@ -234,7 +236,7 @@
     answer(&mut stream, 503, "");
     assert_eq!(
         news(&mut net, &mut client, &mut directory),
-        [Listing::Failed]
+        [ServerListUpdate::Failed]
     );
     assert!(client.take_log()[0].contains("Failed, calls spread over 480 ms"));
     let calls = client.calls;
@@ -249,7 +251,9 @@
     assert!(request(&mut stream).contains("since=41"));
     answer(&mut stream, 200, &LIST.replace("SERVING", "DRAINING"));
     let told = news(&mut net, &mut client, &mut directory);
-    assert!(matches!(&told[..], [Listing::Whole(lines)] if lines[0].mode == Mode::Draining));
+    assert!(
+        matches!(&told[..], [ServerListUpdate::Whole(lines)] if lines[0].mode == ServerMode::Draining)
+    );
     // The watch goes on at once.
     assert!(request(&mut stream).contains("since=41"));
 }
@@ -269,7 +273,7 @@
     answer(&mut stream, 200, LIST);
     assert!(matches!(
         &news(&mut net, &mut client, &mut directory)[..],
-        [Listing::Whole(_)]
+        [ServerListUpdate::Whole(_)]
     ));
     assert!(request(&mut stream).contains("since=41&timeout_ms=1000 "));
     answer(&mut stream, 200, EMPTY);
@@ -280,7 +284,7 @@
     drop(stream);
     assert_eq!(
         news(&mut net, &mut client, &mut directory),
-        [Listing::Failed]
+        [ServerListUpdate::Failed]
     );
     let pause = client.not_before.unwrap().since(net.clock.now());
     assert!(
@@ -295,7 +299,7 @@
         drop(stream);
         assert_eq!(
             news(&mut net, &mut client, &mut directory),
-            [Listing::Failed]
+            [ServerListUpdate::Failed]
         );
     }
     let lines = client.take_log();
@@ -306,7 +310,7 @@
     answer(&mut stream, 200, LIST);
     assert!(matches!(
         &news(&mut net, &mut client, &mut directory)[..],
-        [Listing::Whole(_)]
+        [ServerListUpdate::Whole(_)]
     ));
     assert_eq!(client.take_log(), ["discovery: it answers again"]);
 }
@@ -347,7 +351,9 @@
     assert!(request(&mut stream).contains("since=41"));
     answer(&mut stream, 200, &LIST.replace("SERVING", "DRAINING"));
     let told = news(&mut net, &mut client, &mut directory);
-    assert!(matches!(&told[..], [Listing::Whole(lines)] if lines[0].mode == Mode::Draining));
+    assert!(
+        matches!(&told[..], [ServerListUpdate::Whole(lines)] if lines[0].mode == ServerMode::Draining)
+    );
 }
 
 #[test]
@@ -430,7 +436,7 @@
         answer(&mut stream, 200, bad);
         assert_eq!(
             news(&mut net, &mut client, &mut directory),
-            [Listing::Failed],
+            [ServerListUpdate::Failed],
             "{bad}"
         );
         assert!(client.take_log()[0].contains("unreadable list: "), "{bad}");
@@ -453,7 +459,7 @@
         answer(&mut stream, 200, second);
         let told = news(&mut net, &mut client, &mut directory);
         assert!(
-            matches!(&told[..], [Listing::Whole(lines)] if lines.len() == left),
+            matches!(&told[..], [ServerListUpdate::Whole(lines)] if lines.len() == left),
             "{told:?}"
         );
         assert!(directory.len() == left && client.doubted.is_none());
@@ -473,7 +479,9 @@
     assert!(client.take_log()[0].contains("version 40, while 41 is held"));
     answer(&mut stream, 200, &LIST.replace("41", "7"));
     let told = news(&mut net, &mut client, &mut directory);
-    assert!(matches!(&told[..], [Listing::Whole(lines)] if lines[0].mode == Mode::Ready));
+    assert!(
+        matches!(&told[..], [ServerListUpdate::Whole(lines)] if lines[0].mode == ServerMode::Ready)
+    );
     assert!(
         request(&mut stream).contains("since=7"),
         "versions count from there"
@@ -494,15 +502,16 @@
     answer(&mut stream, 503, "");
     assert_eq!(
         news(&mut net, &mut client, &mut directory),
-        [Listing::Failed]
+        [ServerListUpdate::Failed]
     );
     while net.clock.now() < until {
         net.wait(Some(until)).unwrap();
     }
     let told = client.timer(&mut net, CONFIRMED, &mut directory);
-    let is_kept = |lines: &[Listed]| lines.len() == 1 && lines[0].mode == Mode::Draining;
+    let is_kept =
+        |lines: &[ListedServer]| lines.len() == 1 && lines[0].mode == ServerMode::Draining;
     assert!(
-        matches!(&told[..], [Listing::Changes(lines)] if is_kept(lines)),
+        matches!(&told[..], [ServerListUpdate::Changes(lines)] if is_kept(lines)),
         "{told:?}"
     );
     assert!(
@@ -530,10 +539,10 @@
         drop(stream);
         let told = news(&mut net, &mut client, &mut directory);
         match reset {
-            true => assert_eq!(told, [Listing::Failed]),
+            true => assert_eq!(told, [ServerListUpdate::Failed]),
             false => {
                 assert!(
-                    matches!(&told[..], [Listing::Whole(lines)] if lines[0].mode == Mode::Draining)
+                    matches!(&told[..], [ServerListUpdate::Whole(lines)] if lines[0].mode == ServerMode::Draining)
                 )
             }
         }
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -4,7 +4,7 @@
 use crate::contract::Breach;
 use crate::core::{Refusal, Reply, Request};
 use crate::http::{self, Response};
-use crate::interface::{Micros, Placement, Repeat, Shard, Time};
+use crate::interface::{Micros, Placement, RetrySafety, Shard, Time};
 use crate::upstream::frames::Job;
 use serde::{Deserialize, Serialize};
 use std::collections::HashSet;
@@ -15,7 +15,7 @@
     /// Its name: the first part of the path.
     pub name: String,
     /// What repeating a part of it can do.
-    pub repeat: Repeat,
+    pub repeat: RetrySafety,
     /// How long its clients wait at most.
     pub deadline: Micros,
 }
@@ -139,7 +139,7 @@
         if key.is_some_and(|key| !is_word(key)) {
             return Err(bad("Idempotency-Key is malformed".into()));
         }
-        let keyed = matches!(self.classes[class].repeat, Repeat::Keyed(_));
+        let keyed = matches!(self.classes[class].repeat, RetrySafety::Keyed(_));
         if keyed && key.is_none() {
             return Err(bad("Idempotency-Key is missing".into()));
         }
--- a/src/front/platform/tests.rs
+++ b/src/front/platform/tests.rs
@@ -14,8 +14,8 @@
     };
     Platform::new(
         vec![
-            class("search", Repeat::Safe),
-            class("close", Repeat::Keyed(9)),
+            class("search", RetrySafety::Safe),
+            class("close", RetrySafety::Keyed(9)),
         ],
         vec!["acme".into()],
     )
--- a/src/front/tests.rs
+++ b/src/front/tests.rs
@@ -92,7 +92,7 @@
 fn platform() -> crate::front::platform::Platform {
     let class = platform::Class {
         name: "a".into(),
-        repeat: crate::interface::Repeat::Safe,
+        repeat: crate::interface::RetrySafety::Safe,
         deadline: 900_000,
     };
     platform::Platform::new(vec![class], Vec::new())
--- a/src/service.rs
+++ b/src/service.rs
@@ -8,7 +8,7 @@
 use crate::core::{Command, Core};
 use crate::discovery::Directory;
 use crate::front::{Front, Sessions};
-use crate::interface::{Listed, Listing, Mode, Outcome, ServerId, Time};
+use crate::interface::{ListedServer, Outcome, ServerId, ServerListUpdate, ServerMode, Time};
 use crate::net::{ConnId, Net, Owner, Timer};
 use crate::upstream::{Pool, Wire};
 
@@ -175,19 +175,22 @@
 
     /// Takes in news of the list: the core gets it, and the pool is told of nodes that have just
     /// started.
-    pub(crate) fn listed(&mut self, news: Listing) {
-        if let Listing::Changes(lines) | Listing::Whole(lines) | Listing::Cached(lines) = &news {
+    pub(crate) fn listed(&mut self, news: ServerListUpdate) {
+        if let ServerListUpdate::Changes(lines)
+        | ServerListUpdate::Whole(lines)
+        | ServerListUpdate::Cached(lines) = &news
+        {
             let warm_after = self.core.settings().cold.warm_after;
             let (ready, ends): (Vec<_>, Vec<_>) = lines
                 .iter()
-                .partition(|line| matches!(line.mode, Mode::Ready | Mode::Leaving));
+                .partition(|line| matches!(line.mode, ServerMode::Ready | ServerMode::Leaving));
             ends.into_iter()
-                .for_each(|line: &Listed| self.pool.hold_back(line.server));
+                .for_each(|line: &ListedServer| self.pool.hold_back(line.server));
             let ready = ready.into_iter();
             let started = ready.filter_map(|line| Some((line.server, line.started?)));
             started.for_each(|(server, at)| self.pool.beware(server, at.plus(warm_after)));
             // An empty list of before the start is none: nothing can be served by it.
-            if !matches!(&news, Listing::Cached(lines) if lines.is_empty()) {
+            if !matches!(&news, ServerListUpdate::Cached(lines) if lines.is_empty()) {
                 self.front.listed();
             }
         }
--- a/stats/src/lib.rs
+++ b/stats/src/lib.rs
@@ -6,7 +6,7 @@
 
 pub use wanted::{Bid, Wanted};
 
-use lichenswitch_interface::{Load, Micros, Mode, PartId, Placement, ServerId, Shard, Time};
+use lichenswitch_interface::{Load, Micros, PartId, Placement, ServerId, ServerMode, Shard, Time};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// A seeded source of chance.
@@ -353,7 +353,7 @@
     /// See `cell`.
     pub zone: u32,
     /// See `cell`.
-    pub mode: Mode,
+    pub mode: ServerMode,
     /// Last start that the list told, while it may still be cold.
     pub cold_from: Option<Time>,
     /// Its allowance while it is cold, in parts, and when that was counted.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -9,10 +9,10 @@
 
 pub fn class() -> Class {
     Class {
-        aim: AIM,
+        latency_target: AIM,
         deadline: 4 * AIM,
-        repeat: Repeat::Safe,
-        worth: 1.0,
+        repeat: RetrySafety::Safe,
+        value: 1.0,
         late_share: 0.2,
         need: 1.0,
         floor: 1.0,
@@ -42,7 +42,7 @@
             parts_a_call: 16,
         },
         discovery: Discovery::Push,
-        cold: Cold {
+        cold: SlowStart {
             share: 0.25,
             warm_after: 15_000 * MS,
             fall_multiple: 2.5,
@@ -64,12 +64,12 @@
     next: u64,
 }
 
-pub fn line(id: u32, cell: u32) -> Listed {
-    Listed {
+pub fn line(id: u32, cell: u32) -> ListedServer {
+    ListedServer {
         server: ServerId(id),
         cell,
         zone: cell,
-        mode: Mode::Ready,
+        mode: ServerMode::Ready,
         started: None,
     }
 }
@@ -98,7 +98,7 @@
             now: Time(1_000_000 * MS),
             next: 1,
         };
-        stage.turn(vec![Event::List(Listing::Whole(vec![
+        stage.turn(vec![Event::List(ServerListUpdate::Whole(vec![
             line(1, 0),
             line(2, 1),
             line(3, 2),
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -44,7 +44,7 @@
             shards: 2 * cells,
             parts_a_call: 8,
         };
-        set.cold = Cold {
+        set.cold = SlowStart {
             share: 0.32,
             warm_after: 18 * SECOND,
             fall_multiple: 3.0,
@@ -73,7 +73,7 @@
             attempts: BTreeMap::new(),
             sent: Vec::new(),
         };
-        fleet.list(&Listing::Whole(
+        fleet.list(&ServerListUpdate::Whole(
             (0..cells)
                 .map(|cell| fleet.line(cell, cell, None))
                 .collect(),
@@ -81,18 +81,18 @@
         fleet
     }
 
-    fn line(&self, id: u32, cell: u32, started: Option<Time>) -> Listed {
-        Listed {
+    fn line(&self, id: u32, cell: u32, started: Option<Time>) -> ListedServer {
+        ListedServer {
             server: ServerId(id),
             cell,
             zone: cell % 3,
-            mode: Mode::Ready,
+            mode: ServerMode::Ready,
             started,
         }
     }
 
     /// Tells all brokers at once.
-    fn list(&mut self, news: &Listing) {
+    fn list(&mut self, news: &ServerListUpdate) {
         for broker in 0..self.brokers.len() {
             self.turn(broker, vec![Event::List(news.clone())]);
         }
@@ -101,11 +101,11 @@
     /// A server is replaced: the old one is gone and the new one is cold.
     fn replace(&mut self, old: u32, new: u32) {
         let cell = old % self.cells;
-        let gone = Listed {
-            mode: Mode::Gone,
+        let gone = ListedServer {
+            mode: ServerMode::Gone,
             ..self.line(old, cell, None)
         };
-        self.list(&Listing::Changes(vec![
+        self.list(&ServerListUpdate::Changes(vec![
             gone,
             self.line(new, cell, Some(self.now)),
         ]));
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -63,7 +63,10 @@
 #[test]
 fn a_part_that_is_lost_alone_turns_nobody_away() {
     let mut stage = Stage::new(settings(class()));
-    stage.after(MS, vec![Event::List(Listing::Whole(vec![line(1, 0)]))]);
+    stage.after(
+        MS,
+        vec![Event::List(ServerListUpdate::Whole(vec![line(1, 0)]))],
+    );
     (0..20).for_each(|_| stage.serve(20 * MS));
     let (_, events) = stage.query(&[0]);
     assert_eq!(sends(&stage.turn(events)).len(), 1);
@@ -84,9 +87,15 @@
     });
     stage.after(
         MS,
-        vec![Event::List(Listing::Whole(vec![line(2, 1), line(3, 2)]))],
+        vec![Event::List(ServerListUpdate::Whole(vec![
+            line(2, 1),
+            line(3, 2),
+        ]))],
+    );
+    stage.after(
+        MS,
+        vec![Event::List(ServerListUpdate::Changes(vec![line(1, 0)]))],
     );
-    stage.after(MS, vec![Event::List(Listing::Changes(vec![line(1, 0)]))]);
     let counts = shares(&mut stage, 30, |_| (Outcome::Ok, 20 * MS));
     assert!(
         counts[1] >= 8,
@@ -143,16 +152,20 @@
     stage.broker = lichenswitch::policy::Coordinator::new(3, set);
     let asks = |out: &[Action]| out.iter().filter(|a| **a == Action::Subscribe).count();
     assert_eq!(
-        asks(&stage.turn(vec![Event::List(Listing::Cached(vec![line(1, 0)]))])),
+        asks(
+            &stage.turn(vec![Event::List(ServerListUpdate::Cached(vec![line(
+                1, 0
+            )]))])
+        ),
         1
     );
     let mut times = Vec::new();
-    stage.turn(vec![Event::List(Listing::Failed)]);
+    stage.turn(vec![Event::List(ServerListUpdate::Failed)]);
     for _ in 0..2_000 {
         let out = stage.after(5 * MS, vec![Event::Wake]);
         if asks(&out) > 0 {
             times.push(stage.now);
-            stage.turn(vec![Event::List(Listing::Failed)]);
+            stage.turn(vec![Event::List(ServerListUpdate::Failed)]);
         }
     }
     assert!((3..12).contains(&times.len()), "{times:?}");
@@ -160,7 +173,7 @@
         times.windows(2).all(|w| w[1].since(w[0]) < 9_000 * MS),
         "{times:?}"
     );
-    stage.turn(vec![Event::List(Listing::Changes(vec![]))]);
+    stage.turn(vec![Event::List(ServerListUpdate::Changes(vec![]))]);
     let later: usize = (0..2_000)
         .map(|_| asks(&stage.after(5 * MS, vec![Event::Wake])))
         .sum();
@@ -183,18 +196,18 @@
 #[test]
 fn an_empty_or_contradictory_list_is_survived() {
     let mut stage = Stage::new(settings(class()));
-    stage.turn(vec![Event::List(Listing::Whole(vec![]))]);
+    stage.turn(vec![Event::List(ServerListUpdate::Whole(vec![]))]);
     let (id, events) = stage.query(&[0]);
     assert_eq!(finals(&stage.turn(events)), [(id, false)]);
     let twice = vec![
         line(1, 0),
-        Listed {
-            mode: Mode::Gone,
+        ListedServer {
+            mode: ServerMode::Gone,
             ..line(1, 4)
         },
         line(1, 2),
     ];
-    stage.turn(vec![Event::List(Listing::Whole(twice))]);
+    stage.turn(vec![Event::List(ServerListUpdate::Whole(twice))]);
     let (_, events) = stage.query(&[0]);
     assert_eq!(
         sends(&stage.turn(events)).len(),
@@ -206,7 +219,7 @@
 #[test]
 fn a_dear_first_query_does_not_shut_out_cheaper_ones() {
     let mut set = settings(Class {
-        worth: 50.0,
+        value: 50.0,
         ..class()
     });
     set.classes.push(class());
@@ -497,7 +510,7 @@
 #[test]
 fn an_unsafe_part_never_goes_on_a_connection_that_may_have_been_dropped() {
     let mut stage = Stage::new(settings(Class {
-        repeat: Repeat::Unsafe,
+        repeat: RetrySafety::Unsafe,
         ..class()
     }));
     let (_, events) = stage.query(&[0]);
@@ -519,12 +532,12 @@
     };
     let mut stage = Stage::new(set);
     let lines = (0..30)
-        .map(|i| Listed {
+        .map(|i| ListedServer {
             zone: i % 3,
             ..line(i + 1, i)
         })
         .collect();
-    stage.turn(vec![Event::List(Listing::Whole(lines))]);
+    stage.turn(vec![Event::List(ServerListUpdate::Whole(lines))]);
     let zone = |server: ServerId| (server.0 - 1) % 3;
     let mut to_far = [0; 60];
     for there in &mut to_far {
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -110,10 +110,15 @@
     }
 }
 
-fn list(server: u32, how: u8, now: Time) -> Listed {
-    let mode = [Mode::Ready, Mode::Draining, Mode::Gone, Mode::Ready][usize::from(how)];
+fn list(server: u32, how: u8, now: Time) -> ListedServer {
+    let mode = [
+        ServerMode::Ready,
+        ServerMode::Draining,
+        ServerMode::Gone,
+        ServerMode::Ready,
+    ][usize::from(how)];
     let started = (how == 3).then_some(now);
-    Listed {
+    ListedServer {
         server: ServerId(server),
         cell: server % 3,
         zone: server % 2,
@@ -139,7 +144,9 @@
     let mut broker = Coordinator::new(seed, set.clone());
     let mut all = Vec::new();
     let mut next = 1u64;
-    let whole = Event::List(Listing::Whole((0..6).map(|s| list(s, 0, now)).collect()));
+    let whole = Event::List(ServerListUpdate::Whole(
+        (0..6).map(|s| list(s, 0, now)).collect(),
+    ));
     let mut events = vec![whole];
     for step in steps {
         match step {
@@ -196,10 +203,10 @@
             Step::List(server, how) => {
                 let line = list(*server, *how, now);
                 match line.mode {
-                    Mode::Ready => referee.barred.remove(&line.server),
+                    ServerMode::Ready => referee.barred.remove(&line.server),
                     _ => referee.barred.insert(line.server),
                 };
-                events.push(Event::List(Listing::Changes(vec![line])));
+                events.push(Event::List(ServerListUpdate::Changes(vec![line])));
             }
             Step::Pause(_) | Step::End(..) | Step::Hangup(_) => {}
         }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -44,7 +44,7 @@
     let mut set = settings(class());
     set.layout.width = 1;
     let mut stage = Stage::new(set);
-    stage.turn(vec![Event::List(Listing::Whole(vec![line(1, 0)]))]);
+    stage.turn(vec![Event::List(ServerListUpdate::Whole(vec![line(1, 0)]))]);
     let (id, events) = stage.query(&[0, 1]);
     let out = stage.turn(events);
     assert!(
@@ -81,22 +81,24 @@
 #[test]
 fn nothing_is_sent_to_a_draining_or_gone_server() {
     let mut stage = Stage::new(settings(class()));
-    let drain = Listed {
-        mode: Mode::Draining,
+    let drain = ListedServer {
+        mode: ServerMode::Draining,
         ..line(1, 0)
     };
-    let gone = Listed {
-        mode: Mode::Gone,
+    let gone = ListedServer {
+        mode: ServerMode::Gone,
         ..line(2, 1)
     };
-    stage.turn(vec![Event::List(Listing::Changes(vec![drain, gone]))]);
+    stage.turn(vec![Event::List(ServerListUpdate::Changes(vec![
+        drain, gone,
+    ]))]);
     for _ in 0..8 {
         let (_, events) = stage.query(&[0, 1]);
         assert!(sends(&stage.after(MS, events))
             .iter()
             .all(|s| s.1 == ServerId(3)));
     }
-    stage.turn(vec![Event::List(Listing::Whole(vec![line(2, 1)]))]);
+    stage.turn(vec![Event::List(ServerListUpdate::Whole(vec![line(2, 1)]))]);
     let (_, events) = stage.query(&[0]);
     assert!(
         sends(&stage.after(MS, events))
@@ -109,7 +111,7 @@
 #[test]
 fn an_unsafe_part_is_sent_again_only_when_it_never_ran() {
     let mut stage = Stage::new(settings(Class {
-        repeat: Repeat::Unsafe,
+        repeat: RetrySafety::Unsafe,
         ..class()
     }));
     let (id, events) = stage.query(&[0]);
@@ -137,7 +139,7 @@
 fn a_keyed_part_is_sent_again_only_within_its_window() {
     for (wait, expected) in [(100 * MS, 1), (400 * MS, 0)] {
         let mut stage = Stage::new(settings(Class {
-            repeat: Repeat::Keyed(300 * MS),
+            repeat: RetrySafety::Keyed(300 * MS),
             ..class()
         }));
         let (_, events) = stage.query(&[0]);
@@ -178,11 +180,11 @@
     for _ in 0..100 {
         stage.serve(10 * MS);
     }
-    let cold = Listed {
+    let cold = ListedServer {
         started: Some(stage.now),
         ..line(3, 2)
     };
-    stage.turn(vec![Event::List(Listing::Changes(vec![cold]))]);
+    stage.turn(vec![Event::List(ServerListUpdate::Changes(vec![cold]))]);
     let mut counts = [0u32; 4];
     for _ in 0..200 {
         let (id, events) = stage.query(&[0]);
@@ -197,11 +199,11 @@
     let warm = f64::from(counts[1] + counts[2]) / 2.0;
     assert!(f64::from(counts[3]) < 0.8 * warm, "{counts:?}");
     assert!(counts[3] > 0, "{counts:?}");
-    let only = vec![Listed {
+    let only = vec![ListedServer {
         started: Some(stage.now),
         ..line(9, 0)
     }];
-    stage.turn(vec![Event::List(Listing::Whole(only))]);
+    stage.turn(vec![Event::List(ServerListUpdate::Whole(only))]);
     let mut sent = 0;
     for _ in 0..50 {
         let (_, events) = stage.query(&[0, 1, 2]);
@@ -393,7 +395,7 @@
     use Outcome::{Cancelled, ConnectFailed, Error, Rejected, Reset, Timeout};
     for outcome in [Rejected, ConnectFailed, Error, Timeout, Reset, Cancelled] {
         let mut set = settings(Class {
-            repeat: Repeat::Unsafe,
+            repeat: RetrySafety::Unsafe,
             ..class()
         });
         set.limits.attempts = 1;
@@ -416,7 +418,7 @@
 #[test]
 fn an_attempt_that_never_left_is_none_of_those_allowed_and_tells_nothing_of_its_server() {
     let mut set = settings(Class {
-        repeat: Repeat::Unsafe,
+        repeat: RetrySafety::Unsafe,
         ..class()
     });
     set.limits.attempts = 1;
@@ -506,11 +508,11 @@
 #[test]
 fn a_server_that_is_being_taken_out_gets_only_what_no_trusted_holder_takes() {
     let mut stage = Stage::new(settings(class()));
-    let leaving = Listed {
-        mode: Mode::Leaving,
+    let leaving = ListedServer {
+        mode: ServerMode::Leaving,
         ..line(1, 0)
     };
-    stage.turn(vec![Event::List(Listing::Changes(vec![leaving]))]);
+    stage.turn(vec![Event::List(ServerListUpdate::Changes(vec![leaving]))]);
     for _ in 0..20 {
         let (_, events) = stage.query(&[0]);
         assert!(
@@ -520,18 +522,20 @@
             "however much the others have"
         );
     }
-    let gone = [2, 3].map(|id| Listed {
-        mode: Mode::Gone,
+    let gone = [2, 3].map(|id| ListedServer {
+        mode: ServerMode::Gone,
         ..line(id, id - 1)
     });
-    stage.turn(vec![Event::List(Listing::Changes(gone.into()))]);
+    stage.turn(vec![Event::List(ServerListUpdate::Changes(gone.into()))]);
     let (_, events) = stage.query(&[0]);
     let sent = sends(&stage.turn(events));
     assert!(!sent.is_empty() && sent.iter().all(|s| s.1 == ServerId(1)));
-    stage.turn(vec![Event::List(Listing::Changes(vec![Listed {
-        mode: Mode::Draining,
-        ..leaving
-    }]))]);
+    stage.turn(vec![Event::List(ServerListUpdate::Changes(vec![
+        ListedServer {
+            mode: ServerMode::Draining,
+            ..leaving
+        },
+    ]))]);
     let (_, events) = stage.query(&[0]);
     assert!(
         sends(&stage.after(100 * MS, events)).is_empty(),
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -17,12 +17,12 @@
     };
     let mut stage = Stage::new(set);
     let lines = (0..servers)
-        .map(|i| Listed {
+        .map(|i| ListedServer {
             zone: i % 2,
             ..line(100 + i, i)
         })
         .collect();
-    stage.turn(vec![Event::List(Listing::Whole(lines))]);
+    stage.turn(vec![Event::List(ServerListUpdate::Whole(lines))]);
     stage
 }
 
@@ -302,7 +302,7 @@
     for _ in 0..60 {
         stage.serve(320 * MS);
     }
-    stage.turn(vec![Event::List(Listing::Whole(vec![]))]);
+    stage.turn(vec![Event::List(ServerListUpdate::Whole(vec![]))]);
     let (id, mut events) = stage.query(&[0]);
     with_key(&mut events, 5, false);
     assert_eq!(
@@ -310,7 +310,7 @@
         [(id, false)],
         "nobody holds the shard"
     );
-    stage.turn(vec![Event::List(Listing::Whole(vec![
+    stage.turn(vec![Event::List(ServerListUpdate::Whole(vec![
         line(1, 0),
         line(2, 1),
         line(3, 2),
@@ -337,7 +337,7 @@
 
 /// Parts that a cold server gets of all instances, each of so many processes, just restarted and
 /// busy, against what the rule lets it take.
-fn sent_to_a_cold_server(instances: u32, processes: u32, cold: Cold) -> f64 {
+fn sent_to_a_cold_server(instances: u32, processes: u32, cold: SlowStart) -> f64 {
     let mut set = settings(class());
     (set.instances, set.cold) = (instances, cold);
     set.layout = Layout {
@@ -351,12 +351,12 @@
     for seed in 0..u64::from(instances * processes) {
         let mut broker = Coordinator::new(seed, set.clone());
         let mut now = Time(1_000_000 * MS);
-        let cold = Listed {
+        let cold = ListedServer {
             started: Some(now),
             ..line(2, 0)
         };
         let mut out = Vec::new();
-        let known = Event::List(Listing::Cached(vec![line(1, 0)]));
+        let known = Event::List(ServerListUpdate::Cached(vec![line(1, 0)]));
         broker.turn(
             now,
             vec![Event::Processes(Some(processes)), known],
@@ -390,13 +390,13 @@
             vec![finished(11, 0, ServerId(1), Outcome::Ok, answer)],
             &mut out,
         );
-        let gone = Listed {
-            mode: Mode::Gone,
+        let gone = ListedServer {
+            mode: ServerMode::Gone,
             ..line(1, 0)
         };
         broker.turn(
             now,
-            vec![Event::List(Listing::Changes(vec![cold, gone]))],
+            vec![Event::List(ServerListUpdate::Changes(vec![cold, gone]))],
             &mut out,
         );
         out.clear();
@@ -422,7 +422,7 @@
         (41, 0.19, 3.0, 3_000),
     ];
     for (instances, share, fall_multiple, fall_ms) in figures {
-        let cold = Cold {
+        let cold = SlowStart {
             share,
             warm_after: 18_000 * MS,
             fall_multiple,
@@ -438,7 +438,7 @@
 
 #[test]
 fn processes_of_an_instance_send_a_cold_server_no_more_than_one_would() {
-    let cold = |share| Cold {
+    let cold = |share| SlowStart {
         share,
         warm_after: 18_000 * MS,
         fall_multiple: 3.0,
@@ -515,12 +515,12 @@
 fn a_shard_whose_holders_are_all_gone_gets_its_final_answer_at_once() {
     let mut stage = fleet(9, settings(class()));
     let gone = (0..3)
-        .map(|i| Listed {
-            mode: Mode::Gone,
+        .map(|i| ListedServer {
+            mode: ServerMode::Gone,
             ..line(100 + i, i)
         })
         .collect();
-    stage.turn(vec![Event::List(Listing::Changes(gone))]);
+    stage.turn(vec![Event::List(ServerListUpdate::Changes(gone))]);
     let (id, events) = stage.query(&[0]);
     assert_eq!(finals(&stage.turn(events)), [(id, false)]);
 }
@@ -597,12 +597,12 @@
     };
     let mut stage = Stage::new(set);
     let lines = (0..cells)
-        .map(|i| Listed {
+        .map(|i| ListedServer {
             zone: 9,
             ..line(i + 1, i)
         })
         .collect();
-    stage.turn(vec![Event::List(Listing::Whole(lines))]);
+    stage.turn(vec![Event::List(ServerListUpdate::Whole(lines))]);
     stage
 }
 
--- a/wire/messages/src/lib.rs
+++ b/wire/messages/src/lib.rs
@@ -15,7 +15,7 @@
 use rkyv::{Archive, Deserialize, Serialize};
 
 pub use backlog::{BacklogReport, ServerBacklog};
-pub use tenants::{QuotaLeaseResponse, QuotaLeaseRequest, QuotaLeaseUnit, TenantMessage};
+pub use tenants::{QuotaLeaseRequest, QuotaLeaseResponse, QuotaLeaseUnit, TenantMessage};
 
 /// Version of all messages of this package. Processes of different versions refuse each other by
 /// name.
