--- a/decide/quota/src/allowances.rs
+++ b/decide/quota/src/allowances.rs
@@ -5,8 +5,8 @@
 //! the router asked for it, and that a request which waits is decided within the time that it was
 //! given.
 
-use crate::draw::{Draw, Grant, MOST_NEEDS};
-use crate::figures::{Figures, Terms};
+use crate::lease::{LeaseGrant, LeaseRequest, MAX_AMOUNTS};
+use crate::tenant_quota::{QuotaBounds, TenantQuota};
 use lichenswitch_configuration::{QuotaUnit, Tenant};
 use lichenswitch_interface::{Micros, Time};
 use std::collections::{HashMap, VecDeque};
@@ -22,7 +22,7 @@
 
 /// What becomes of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum AdmissionOutcome {
     /// It may go; its grant is valid until then.
     Allowed(Time),
     /// It waits for a draw.
@@ -38,8 +38,8 @@
 pub struct Decided<W> {
     /// Which one.
     pub waiter: W,
-    /// Its end; never [`Taken::Waits`].
-    pub taken: Taken,
+    /// Its end; never [`AdmissionOutcome::Waits`].
+    pub taken: AdmissionOutcome,
 }
 
 struct Waiter<W> {
@@ -87,7 +87,7 @@
 
 /// The tenants that this router sees. `W`: a request that waits.
 pub struct Allowances<W> {
-    terms: Terms,
+    terms: QuotaBounds,
     tenants: HashMap<String, Allowance<W>>,
     next: u64,
 }
@@ -95,7 +95,7 @@
 impl<W: Copy + PartialEq> Allowances<W> {
     /// None yet. Draws get numbers above this one.
     #[must_use]
-    pub fn new(terms: Terms, first: u64) -> Allowances<W> {
+    pub fn new(terms: QuotaBounds, first: u64) -> Allowances<W> {
         Allowances {
             terms,
             tenants: HashMap::new(),
@@ -104,16 +104,23 @@
     }
 
     /// The rule has other bounds now.
-    pub fn set_terms(&mut self, terms: Terms) {
+    pub fn set_terms(&mut self, terms: QuotaBounds) {
         self.terms = terms;
     }
 
     /// A request of a tenant has come; `until`: it waits no longer than that.
-    pub fn take(&mut self, now: Time, tenant: &Tenant, need: u64, waiter: W, until: Time) -> Taken {
+    pub fn take(
+        &mut self,
+        now: Time,
+        tenant: &Tenant,
+        need: u64,
+        waiter: W,
+        until: Time,
+    ) -> AdmissionOutcome {
         let Some(quota) = &tenant.quota else {
-            return Taken::Allowed(now);
+            return AdmissionOutcome::Allowed(now);
         };
-        let validity = Figures::of(quota, &self.terms).validity;
+        let validity = TenantQuota::of(quota, &self.terms).validity;
         let allowance = self
             .tenants
             .entry(tenant.name.clone())
@@ -121,24 +128,24 @@
         allowance.prepare(now, tenant.unit, validity);
         if let Some(until) = allowance.use_lots(need) {
             allowance.recent.push_back((now, need));
-            return Taken::Allowed(until);
+            return AdmissionOutcome::Allowed(until);
         }
         if let Some(denied) = allowance.denied.filter(|denied| need >= denied.size) {
-            return Taken::Beyond(denied.wait);
+            return AdmissionOutcome::Beyond(denied.wait);
         }
         if allowance.waiting.len() >= MOST_WAITING {
-            return Taken::Unknown(RETRY);
+            return AdmissionOutcome::Unknown(RETRY);
         }
         allowance.waiting.push_back(Waiter {
             waiter: Some(waiter),
             need,
             until,
         });
-        Taken::Waits
+        AdmissionOutcome::Waits
     }
 
     /// Draws that are to be asked for now, with their numbers.
-    pub fn draws(&mut self, now: Time) -> Vec<(u64, Draw)> {
+    pub fn draws(&mut self, now: Time) -> Vec<(u64, LeaseRequest)> {
         let mut draws = Vec::new();
         for (tenant, allowance) in &mut self.tenants {
             if let Some(draw) = allowance.draw(now, tenant, self.next.wrapping_add(1)) {
@@ -150,7 +157,7 @@
     }
 
     /// A draw has been answered.
-    pub fn on_grant(&mut self, now: Time, id: u64, grant: Grant) -> Vec<Decided<W>> {
+    pub fn on_grant(&mut self, now: Time, id: u64, grant: LeaseGrant) -> Vec<Decided<W>> {
         let of_draw =
             |allowance: &&mut Allowance<W>| allowance.out.as_ref().is_some_and(|out| out.id == id);
         let allowance = self.tenants.values_mut().find(of_draw);
@@ -175,7 +182,7 @@
         self.tenants.retain(|_, allowance| !allowance.is_idle(now));
         let unknown = |waiter| Decided {
             waiter,
-            taken: Taken::Unknown(RETRY),
+            taken: AdmissionOutcome::Unknown(RETRY),
         };
         ended.into_iter().map(unknown).collect()
     }
@@ -290,7 +297,7 @@
         Some(until)
     }
 
-    fn draw(&mut self, now: Time, tenant: &str, id: u64) -> Option<Draw> {
+    fn draw(&mut self, now: Time, tenant: &str, id: u64) -> Option<LeaseRequest> {
         if self
             .out
             .as_ref()
@@ -305,7 +312,7 @@
         let needs: Vec<u64> = self
             .waiting
             .iter()
-            .take(MOST_NEEDS)
+            .take(MAX_AMOUNTS)
             .map(|waits| waits.need)
             .collect();
         self.out = Some(Out {
@@ -313,7 +320,7 @@
             asked: now,
             needs: needs.len(),
         });
-        Some(Draw {
+        Some(LeaseRequest {
             tenant: tenant.to_owned(),
             unit: self.unit,
             needs,
@@ -329,7 +336,7 @@
         }
     }
 
-    fn on_grant(&mut self, now: Time, grant: Grant) -> Vec<Decided<W>> {
+    fn on_grant(&mut self, now: Time, grant: LeaseGrant) -> Vec<Decided<W>> {
         let Some(out) = self.out.take() else {
             return Vec::new();
         };
@@ -345,12 +352,12 @@
                 break;
             };
             let taken = match grant.covers(place) {
-                true => Taken::Allowed(until),
-                false => Taken::Beyond(grant.wait.max(1)),
+                true => AdmissionOutcome::Allowed(until),
+                false => AdmissionOutcome::Beyond(grant.wait.max(1)),
             };
             match (waiter, taken) {
-                (Some(_), Taken::Allowed(_)) => self.recent.push_back((now, need)),
-                (None, Taken::Allowed(_)) => self.lots.push_back(Lot {
+                (Some(_), AdmissionOutcome::Allowed(_)) => self.recent.push_back((now, need)),
+                (None, AdmissionOutcome::Allowed(_)) => self.lots.push_back(Lot {
                     amount: need,
                     until,
                 }),
--- a/decide/quota/src/allowances/tests.rs
+++ b/decide/quota/src/allowances/tests.rs
@@ -4,7 +4,7 @@
 use lichenswitch_configuration::Document;
 use std::time::Duration;
 
-const TERMS: Terms = Terms {
+const TERMS: QuotaBounds = QuotaBounds {
     window: Duration::from_secs(8),
     overage: 0.1,
     slack: 0.0,
@@ -22,29 +22,29 @@
 }
 
 fn validity() -> Micros {
-    Figures::of(&tenants()[0].quota.expect("a quota"), &TERMS).validity
+    TenantQuota::of(&tenants()[0].quota.expect("a quota"), &TERMS).validity
 }
 
 fn new() -> Allowances<u32> {
     Allowances::new(TERMS, 0)
 }
 
-fn take(allowances: &mut Allowances<u32>, now: u64, need: u64, waiter: u32) -> Taken {
+fn take(allowances: &mut Allowances<u32>, now: u64, need: u64, waiter: u32) -> AdmissionOutcome {
     allowances.take(Time(now), &tenants()[0], need, waiter, LATER)
 }
 
 /// The draw that is sent now.
-fn sent(allowances: &mut Allowances<u32>, now: u64) -> (u64, Draw) {
+fn sent(allowances: &mut Allowances<u32>, now: u64) -> (u64, LeaseRequest) {
     let mut draws = allowances.draws(Time(now));
     assert_eq!(draws.len(), 1);
     draws.remove(0)
 }
 
-fn grant(needs: u64, ahead: u64, wait: Micros) -> Grant {
-    Grant { needs, ahead, wait }
+fn grant(needs: u64, ahead: u64, wait: Micros) -> LeaseGrant {
+    LeaseGrant { needs, ahead, wait }
 }
 
-fn ends(decided: &[Decided<u32>]) -> Vec<(u32, Taken)> {
+fn ends(decided: &[Decided<u32>]) -> Vec<(u32, AdmissionOutcome)> {
     decided
         .iter()
         .map(|decided| (decided.waiter, decided.taken))
@@ -55,22 +55,22 @@
 fn a_tenant_without_a_quota_goes_at_once() {
     assert_eq!(
         new().take(Time(5), &tenants()[1], 99, 1, LATER),
-        Taken::Allowed(Time(5))
+        AdmissionOutcome::Allowed(Time(5))
     );
 }
 
 #[test]
 fn requests_wait_for_one_draw_at_a_time() {
     let mut allowances = new();
-    assert_eq!(take(&mut allowances, 0, 10, 1), Taken::Waits);
+    assert_eq!(take(&mut allowances, 0, 10, 1), AdmissionOutcome::Waits);
     let (id, draw) = sent(&mut allowances, 0);
     assert_eq!((draw.needs, draw.tenant.as_str()), (vec![10], "a"));
-    assert_eq!(take(&mut allowances, 1, 20, 2), Taken::Waits);
+    assert_eq!(take(&mut allowances, 1, 20, 2), AdmissionOutcome::Waits);
     assert!(allowances.draws(Time(1)).is_empty());
     let until = Time(validity());
     assert_eq!(
         ends(&allowances.on_grant(Time(2), id, grant(1, 0, 0))),
-        [(1, Taken::Allowed(until))]
+        [(1, AdmissionOutcome::Allowed(until))]
     );
     assert!(
         allowances.on_grant(Time(2), id, grant(1, 0, 0)).is_empty(),
@@ -86,10 +86,16 @@
     take(&mut allowances, 0, 50, 2);
     let (id, _) = sent(&mut allowances, 0);
     let decided = allowances.on_grant(Time(1), id, grant(1, 0, 30_000));
-    assert_eq!(ends(&decided)[1], (2, Taken::Beyond(30_000)));
-    assert_eq!(take(&mut allowances, 2, 60, 3), Taken::Beyond(30_000));
-    assert_eq!(take(&mut allowances, 2, 40, 4), Taken::Waits);
-    assert_eq!(take(&mut allowances, 30_001, 60, 5), Taken::Waits);
+    assert_eq!(ends(&decided)[1], (2, AdmissionOutcome::Beyond(30_000)));
+    assert_eq!(
+        take(&mut allowances, 2, 60, 3),
+        AdmissionOutcome::Beyond(30_000)
+    );
+    assert_eq!(take(&mut allowances, 2, 40, 4), AdmissionOutcome::Waits);
+    assert_eq!(
+        take(&mut allowances, 30_001, 60, 5),
+        AdmissionOutcome::Waits
+    );
 }
 
 #[test]
@@ -103,14 +109,17 @@
     // It waits still, and is asked for anew.
     let (id, _) = sent(&mut allowances, validity());
     let granted = allowances.on_grant(Time(validity() + 1), id, grant(1, 500, 0));
-    assert_eq!(ends(&granted), [(1, Taken::Allowed(Time(2 * validity())))]);
+    assert_eq!(
+        ends(&granted),
+        [(1, AdmissionOutcome::Allowed(Time(2 * validity())))]
+    );
     assert_eq!(
         take(&mut allowances, validity() + 2, 400, 2),
-        Taken::Allowed(Time(2 * validity()))
+        AdmissionOutcome::Allowed(Time(2 * validity()))
     );
     assert_eq!(
         take(&mut allowances, 2 * validity(), 50, 3),
-        Taken::Waits,
+        AdmissionOutcome::Waits,
         "what was ahead has lapsed"
     );
 }
@@ -124,12 +133,15 @@
     assert!(allowances.leave(1) && !allowances.leave(1) && !allowances.leave(9));
     assert_eq!(allowances.waiting(), 1);
     let decided = allowances.on_grant(Time(5), id, grant(0b11, 0, 0));
-    assert_eq!(ends(&decided), [(2, Taken::Allowed(Time(validity())))]);
+    assert_eq!(
+        ends(&decided),
+        [(2, AdmissionOutcome::Allowed(Time(validity())))]
+    );
     assert_eq!(
         take(&mut allowances, 6, 10, 3),
-        Taken::Allowed(Time(validity()))
+        AdmissionOutcome::Allowed(Time(validity()))
     );
-    assert_eq!(take(&mut allowances, 6, 1, 4), Taken::Waits);
+    assert_eq!(take(&mut allowances, 6, 1, 4), AdmissionOutcome::Waits);
 }
 
 #[test]
@@ -141,10 +153,13 @@
     allowances.give_back("a", 10, Time(validity()));
     assert_eq!(
         take(&mut allowances, 6, 10, 2),
-        Taken::Allowed(Time(validity()))
+        AdmissionOutcome::Allowed(Time(validity()))
     );
     allowances.give_back("a", 10, Time(validity()));
-    assert_eq!(take(&mut allowances, validity(), 10, 3), Taken::Waits);
+    assert_eq!(
+        take(&mut allowances, validity(), 10, 3),
+        AdmissionOutcome::Waits
+    );
 }
 
 #[test]
@@ -156,11 +171,14 @@
     assert_eq!(allowances.next_wake(), Some(Time(50)));
     assert_eq!(
         ends(&allowances.expire(Time(50))),
-        [(1, Taken::Unknown(RETRY))]
+        [(1, AdmissionOutcome::Unknown(RETRY))]
     );
     // The grants still find their places.
     let decided = allowances.on_grant(Time(60), id, grant(0b10, 0, 9));
-    assert_eq!(ends(&decided), [(2, Taken::Allowed(Time(validity())))]);
+    assert_eq!(
+        ends(&decided),
+        [(2, AdmissionOutcome::Allowed(Time(validity())))]
+    );
     assert_eq!(allowances.waiting(), 0);
 }
 
@@ -192,10 +210,16 @@
 fn what_waits_and_what_is_remembered_is_bounded() {
     let mut allowances = new();
     for waiter in 0..MOST_WAITING as u32 {
-        assert_eq!(take(&mut allowances, 0, 10, waiter), Taken::Waits);
+        assert_eq!(
+            take(&mut allowances, 0, 10, waiter),
+            AdmissionOutcome::Waits
+        );
     }
-    assert_eq!(take(&mut allowances, 0, 10, 9_999), Taken::Unknown(RETRY));
-    assert_eq!(sent(&mut allowances, 0).1.needs.len(), MOST_NEEDS);
+    assert_eq!(
+        take(&mut allowances, 0, 10, 9_999),
+        AdmissionOutcome::Unknown(RETRY)
+    );
+    assert_eq!(sent(&mut allowances, 0).1.needs.len(), MAX_AMOUNTS);
     allowances.on_link_lost();
     allowances.expire(LATER);
     assert!(allowances.tenants.is_empty());
--- a/decide/quota/src/buckets.rs
+++ b/decide/quota/src/buckets.rs
@@ -1,8 +1,8 @@
 //! The parts of tenants' buckets that a machine holds.
 
-use crate::draw::{Draw, Grant, MOST_NEEDS};
-use crate::figures::{Figures, Terms};
-use crate::tenure::{Share, Tenure};
+use crate::lease::{LeaseGrant, LeaseRequest, MAX_AMOUNTS};
+use crate::ownership::{BucketShard, ShardOwnership};
+use crate::tenant_quota::{QuotaBounds, TenantQuota};
 use lichenswitch_configuration::{Quota, QuotaUnit, Tenant};
 use lichenswitch_interface::{Micros, Time};
 use std::collections::{HashMap, VecDeque};
@@ -57,7 +57,7 @@
 /// machine has seen come into being: nobody has drawn on that.
 #[derive(Clone, Debug)]
 pub struct Buckets {
-    terms: Terms,
+    terms: QuotaBounds,
     quotas: HashMap<String, Quota>,
     /// Tenants that are known, with a quota or without.
     known: HashMap<String, QuotaUnit>,
@@ -71,7 +71,7 @@
 impl Buckets {
     /// None yet.
     #[must_use]
-    pub fn new(terms: Terms) -> Buckets {
+    pub fn new(terms: QuotaBounds) -> Buckets {
         Buckets {
             terms,
             quotas: HashMap::new(),
@@ -88,7 +88,7 @@
     }
 
     /// The rule has other bounds now.
-    pub fn set_terms(&mut self, terms: Terms) {
+    pub fn set_terms(&mut self, terms: QuotaBounds) {
         self.terms = terms;
     }
 
@@ -140,30 +140,33 @@
 
     /// Whether a draw needs no bucket: its tenant has no quota.
     #[must_use]
-    pub fn is_unlimited(&self, draw: &Draw) -> bool {
+    pub fn is_unlimited(&self, draw: &LeaseRequest) -> bool {
         self.known.contains_key(&draw.tenant) && !self.quotas.contains_key(&draw.tenant)
     }
 
     /// Brings all buckets up to now. Called often: a bucket whose part went elsewhere for a while
     /// does not refill for that time.
-    pub fn advance(&mut self, now: Time, tenure: &Tenure) {
+    pub fn advance(&mut self, now: Time, tenure: &ShardOwnership) {
         for (tenant, bucket) in &mut self.buckets {
             let Some(quota) = self.quotas.get(tenant) else {
                 continue;
             };
-            let part = Part::of(&Figures::of(quota, &self.terms), tenure.share(now, tenant));
+            let part = Part::of(
+                &TenantQuota::of(quota, &self.terms),
+                tenure.share(now, tenant),
+            );
             bucket.refill(now, tenure, &part);
         }
     }
 
     /// Grants what this machine's part bears: needs in order, each whole or not at all.
-    pub fn draw(&mut self, now: Time, draw: &Draw, tenure: &Tenure) -> Grant {
+    pub fn draw(&mut self, now: Time, draw: &LeaseRequest, tenure: &ShardOwnership) -> LeaseGrant {
         if self.is_unlimited(draw) {
-            return Grant::all(draw);
+            return LeaseGrant::all(draw);
         }
-        let nothing = Grant {
+        let nothing = LeaseGrant {
             wait: UNKNOWN_WAIT,
-            ..Grant::default()
+            ..LeaseGrant::default()
         };
         let Some(quota) = self
             .quotas
@@ -173,7 +176,7 @@
             return nothing;
         };
         let part = Part::of(
-            &Figures::of(quota, &self.terms),
+            &TenantQuota::of(quota, &self.terms),
             tenure.share(now, &draw.tenant),
         );
         let bucket = self
@@ -198,11 +201,14 @@
 
     /// What tenants have used here, by name, as it stands now.
     #[must_use]
-    pub fn usage(&self, now: Time, tenure: &Tenure) -> Vec<(&str, Usage)> {
+    pub fn usage(&self, now: Time, tenure: &ShardOwnership) -> Vec<(&str, Usage)> {
         let usage = |(tenant, bucket): (&'_ String, &Bucket)| {
             let mut bucket = bucket.clone();
             if let Some(quota) = self.quotas.get(tenant) {
-                let part = Part::of(&Figures::of(quota, &self.terms), tenure.share(now, tenant));
+                let part = Part::of(
+                    &TenantQuota::of(quota, &self.terms),
+                    tenure.share(now, tenant),
+                );
                 bucket.refill(now, tenure, &part);
             }
             Usage {
@@ -242,7 +248,7 @@
 }
 
 impl Part {
-    fn of(figures: &Figures, share: Share) -> Part {
+    fn of(figures: &TenantQuota, share: BucketShard) -> Part {
         let debt = if share.first { figures.debt } else { 0.0 };
         Part {
             rate: figures.rate * share.part,
@@ -275,7 +281,7 @@
     }
 
     /// Refills up to now, or to the end of the tenure that the machine has.
-    fn refill(&mut self, now: Time, tenure: &Tenure, part: &Part) {
+    fn refill(&mut self, now: Time, tenure: &ShardOwnership, part: &Part) {
         if part.rate <= 0.0 {
             // Whoever holds the part meanwhile leaves it as it will.
             (self.level, self.unknown, self.refilled) = (0.0, true, now);
@@ -290,9 +296,9 @@
         self.refilled = self.refilled.max(now);
     }
 
-    fn grant(&mut self, draw: &Draw, part: &Part) -> Grant {
-        let mut grant = Grant::default();
-        for (place, need) in draw.needs.iter().take(MOST_NEEDS).enumerate() {
+    fn grant(&mut self, draw: &LeaseRequest, part: &Part) -> LeaseGrant {
+        let mut grant = LeaseGrant::default();
+        for (place, need) in draw.needs.iter().take(MAX_AMOUNTS).enumerate() {
             let need = *need as f64;
             if self.bears(need, part) {
                 self.take(need);
--- a/decide/quota/src/buckets/tests.rs
+++ b/decide/quota/src/buckets/tests.rs
@@ -1,12 +1,12 @@
 //! Tests of `buckets`.
 
 use super::*;
-use crate::tenure::Holder;
+use crate::ownership::OwnerId;
 use lichenswitch_configuration::Document;
 use std::time::Duration;
 
 const SECOND_US: Micros = 1_000_000;
-const TERMS: Terms = Terms {
+const TERMS: QuotaBounds = QuotaBounds {
     window: Duration::from_secs(8),
     overage: 0.1,
     slack: 0.0,
@@ -25,16 +25,16 @@
 }
 
 /// The only voter, in contact from the beginning on.
-fn tenure() -> Tenure {
-    let mut tenure = Tenure::new(Holder(1), vec![Holder(1)]);
+fn tenure() -> ShardOwnership {
+    let mut tenure = ShardOwnership::new(OwnerId(1), vec![OwnerId(1)]);
     for second in 0..100 {
         tenure.on_contact(Time(second * SECOND_US));
     }
     tenure
 }
 
-fn draw(needs: &[u64]) -> Draw {
-    Draw {
+fn draw(needs: &[u64]) -> LeaseRequest {
+    LeaseRequest {
         tenant: "a".to_owned(),
         unit: QuotaUnit::Tokens,
         needs: needs.to_vec(),
@@ -50,7 +50,7 @@
 
 /// What the first holder may go below 0.
 fn debt(rate: u32, burst: u32) -> f64 {
-    Figures::of(&limited(rate, burst)[0].quota.expect("a quota"), &TERMS).debt
+    TenantQuota::of(&limited(rate, burst)[0].quota.expect("a quota"), &TERMS).debt
 }
 
 #[test]
@@ -96,7 +96,7 @@
 #[test]
 fn a_request_larger_than_the_bucket_goes_once_that_is_full_and_is_paid_off() {
     let (mut buckets, tenure) = (buckets(1_000, 500), tenure());
-    let figures = Figures::of(&limited(1_000, 500)[0].quota.expect("a quota"), &TERMS);
+    let figures = TenantQuota::of(&limited(1_000, 500)[0].quota.expect("a quota"), &TERMS);
     let large = (figures.depth + figures.debt * 0.9) as u64;
     buckets.draw(Time(0), &draw(&[1]), &tenure);
     assert!(!buckets
@@ -117,17 +117,17 @@
 #[test]
 fn tenants_without_a_quota_are_not_counted_and_unknown_ones_wait() {
     let (mut buckets, tenure) = (buckets(1_000, 0), tenure());
-    let free = Draw {
+    let free = LeaseRequest {
         tenant: "free".to_owned(),
         ..draw(&[u64::MAX, 1])
     };
     assert!(buckets.draw(Time(0), &free, &tenure).covers_all(&free));
-    let unknown = Draw {
+    let unknown = LeaseRequest {
         tenant: "unknown".to_owned(),
         ..draw(&[1])
     };
     assert!(buckets.draw(Time(0), &unknown, &tenure).needs == 0);
-    let other_unit = Draw {
+    let other_unit = LeaseRequest {
         unit: QuotaUnit::Requests,
         ..draw(&[1])
     };
@@ -142,7 +142,7 @@
 #[test]
 fn who_holds_no_part_grants_nothing_and_gains_nothing_meanwhile() {
     let mut buckets = buckets(1_000, 1_000);
-    let mut tenure = Tenure::new(Holder(1), vec![Holder(1)]);
+    let mut tenure = ShardOwnership::new(OwnerId(1), vec![OwnerId(1)]);
     tenure.on_contact(Time(0));
     buckets.draw(Time(0), &draw(&[1]), &tenure);
     // Out of contact from 4 s on; back at 20 s.
@@ -204,7 +204,7 @@
 fn ahead_is_granted_only_out_of_plenty() {
     let (mut buckets, tenure) = (buckets(1_000, 1_000), tenure());
     buckets.draw(Time(0), &draw(&[1]), &tenure);
-    let ahead = |amount| Draw {
+    let ahead = |amount| LeaseRequest {
         ahead: amount,
         ..draw(&[10])
     };
--- a/decide/quota/src/draw.rs
+++ b/decide/quota/src/lease.rs
@@ -3,16 +3,16 @@
 use lichenswitch_configuration::QuotaUnit;
 
 /// Requests that one draw may be for: their grants are told as the bits of a number.
-pub const MOST_NEEDS: usize = 64;
+pub const MAX_AMOUNTS: usize = 64;
 
 /// What is wanted of a tenant's bucket.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Draw {
+pub struct LeaseRequest {
     /// Name of the tenant.
     pub tenant: String,
     /// What the amounts count.
     pub unit: QuotaUnit,
-    /// Amounts of requests that wait, each granted whole or not at all; [`MOST_NEEDS`] at most.
+    /// Amounts of requests that wait, each granted whole or not at all; [`MAX_AMOUNTS`] at most.
     pub needs: Vec<u64>,
     /// An amount beside them for requests that are expected, granted only while the bucket is well
     /// filled.
@@ -21,7 +21,7 @@
 
 /// What is granted of a draw.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Grant {
+pub struct LeaseGrant {
     /// The bit of each need that is granted.
     pub needs: u64,
     /// The amount that is granted ahead.
@@ -31,27 +31,27 @@
     pub wait: u64,
 }
 
-impl Grant {
+impl LeaseGrant {
     /// Whether the need at this place is granted.
     #[must_use]
     pub fn covers(&self, place: usize) -> bool {
-        place < MOST_NEEDS && self.needs & (1 << place) != 0
+        place < MAX_AMOUNTS && self.needs & (1 << place) != 0
     }
 
     /// Whether all needs of a draw are granted.
     #[must_use]
-    pub fn covers_all(&self, draw: &Draw) -> bool {
+    pub fn covers_all(&self, draw: &LeaseRequest) -> bool {
         (0..draw.needs.len()).all(|place| self.covers(place))
     }
 
     /// This grant and another one of the same draw, whose needs were those that this one left.
     #[must_use]
-    pub fn and(self, other: Grant) -> Grant {
+    pub fn and(self, other: LeaseGrant) -> LeaseGrant {
         let wait = match (self.wait, other.wait) {
             (0, wait) | (wait, 0) => wait,
             (one, two) => one.min(two),
         };
-        Grant {
+        LeaseGrant {
             needs: self.needs | other.needs,
             ahead: self.ahead.saturating_add(other.ahead),
             wait,
@@ -60,10 +60,10 @@
 
     /// Everything that a draw wants.
     #[must_use]
-    pub fn all(draw: &Draw) -> Grant {
+    pub fn all(draw: &LeaseRequest) -> LeaseGrant {
         let needs =
-            (0..draw.needs.len().min(MOST_NEEDS)).fold(0, |bits, place| bits | (1 << place));
-        Grant {
+            (0..draw.needs.len().min(MAX_AMOUNTS)).fold(0, |bits, place| bits | (1 << place));
+        LeaseGrant {
             needs,
             ahead: draw.ahead,
             wait: 0,
--- a/decide/quota/src/draws.rs
+++ b/decide/quota/src/lease_requests.rs
@@ -4,8 +4,8 @@
 //! latest, and that what is told as granted was granted by holders.
 
 use crate::buckets::Buckets;
-use crate::draw::{Draw, Grant};
-use crate::tenure::{holders, Holder, Tenure};
+use crate::lease::{LeaseGrant, LeaseRequest};
+use crate::ownership::{owners, OwnerId, ShardOwnership};
 use lichenswitch_interface::{Micros, Time};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -32,44 +32,44 @@
     /// Ask a holder.
     Ask {
         /// Which one.
-        to: Holder,
+        to: OwnerId,
         /// Names the question.
         id: u64,
         /// Whether it is to ask other holders in turn, since this machine knows of none.
         pass_on: bool,
         /// What is wanted.
-        draw: Draw,
+        draw: LeaseRequest,
     },
     /// Tell whoever asked.
     Answer {
         /// Who that is.
         origin: O,
         /// What is granted.
-        grant: Grant,
+        grant: LeaseGrant,
     },
 }
 
 /// What a machine knows when it works a draw off.
-pub struct Place<'a> {
+pub struct LeaseContext<'a> {
     /// Its own parts.
     pub buckets: &'a mut Buckets,
     /// Which parts those are.
-    pub tenure: &'a Tenure,
+    pub tenure: &'a ShardOwnership,
     /// This machine.
-    pub own: Holder,
+    pub own: OwnerId,
     /// Machines that can be asked.
-    pub reachable: &'a BTreeSet<Holder>,
+    pub reachable: &'a BTreeSet<OwnerId>,
 }
 
 struct UnderWay<O> {
     origin: O,
-    draw: Draw,
+    draw: LeaseRequest,
     /// So far.
-    grant: Grant,
+    grant: LeaseGrant,
     /// Holders that have not been asked, the last one first.
-    left: Vec<Holder>,
+    left: Vec<OwnerId>,
     /// The one that is being asked, for these needs of the draw, and until when.
-    asked: (Holder, Vec<usize>, Time),
+    asked: (OwnerId, Vec<usize>, Time),
 }
 
 /// A holder had too little for a request of this size.
@@ -79,20 +79,20 @@
 }
 
 /// Draws that are under way. `O`: who waits for the answer.
-pub struct Draws<O> {
+pub struct LeaseRequests<O> {
     under_way: BTreeMap<u64, UnderWay<O>>,
     next: u64,
-    empty: HashMap<(Holder, String), Empty>,
+    empty: HashMap<(OwnerId, String), Empty>,
     /// Holders that were passed over and have not answered since, and when they were asked.
-    unanswered: HashMap<Holder, Time>,
+    unanswered: HashMap<OwnerId, Time>,
 }
 
-impl<O> Draws<O> {
+impl<O> LeaseRequests<O> {
     /// None yet. Questions get numbers above this one, which no earlier life of the process used.
     #[must_use]
-    pub fn new(first: u64) -> Draws<O> {
+    pub fn new(first: u64) -> LeaseRequests<O> {
         let (empty, unanswered) = (HashMap::new(), HashMap::new());
-        Draws {
+        LeaseRequests {
             under_way: BTreeMap::new(),
             next: first,
             empty,
@@ -105,8 +105,8 @@
         &mut self,
         now: Time,
         origin: O,
-        draw: Draw,
-        place: &mut Place<'_>,
+        draw: LeaseRequest,
+        place: &mut LeaseContext<'_>,
     ) -> Vec<Order<O>> {
         let mut grant = place.buckets.draw(now, &draw, place.tenure);
         if grant.covers_all(&draw) || self.under_way.len() >= MOST {
@@ -132,10 +132,10 @@
     pub fn on_answer(
         &mut self,
         now: Time,
-        from: Holder,
+        from: OwnerId,
         id: u64,
-        grant: Grant,
-        place: &mut Place<'_>,
+        grant: LeaseGrant,
+        place: &mut LeaseContext<'_>,
     ) -> Vec<Order<O>> {
         // One that comes too late to be of use shows all the same that its sender is there.
         self.unanswered.remove(&from);
@@ -155,7 +155,7 @@
             .enumerate()
             .filter(|(index, _)| grant.covers(*index));
         let needs = granted.fold(0, |bits, (_, place)| bits | (1 << place));
-        waits.grant = waits.grant.and(Grant {
+        waits.grant = waits.grant.and(LeaseGrant {
             needs,
             ahead: 0,
             wait: grant.wait,
@@ -171,12 +171,17 @@
     }
 
     /// A machine can be asked no more.
-    pub fn on_lost(&mut self, now: Time, holder: Holder, place: &mut Place<'_>) -> Vec<Order<O>> {
+    pub fn on_lost(
+        &mut self,
+        now: Time,
+        holder: OwnerId,
+        place: &mut LeaseContext<'_>,
+    ) -> Vec<Order<O>> {
         self.pass_over(now, place, |asked| asked.0 == holder)
     }
 
     /// Passes over holders that have not answered in time.
-    pub fn tick(&mut self, now: Time, place: &mut Place<'_>) -> Vec<Order<O>> {
+    pub fn tick(&mut self, now: Time, place: &mut LeaseContext<'_>) -> Vec<Order<O>> {
         self.empty.retain(|_, empty| empty.until > now);
         self.unanswered
             .retain(|_, asked_at| now.since(*asked_at) < SILENT_AFTER + SILENT);
@@ -187,7 +192,7 @@
         self.pass_over(now, place, |asked| asked.2 <= now)
     }
 
-    fn is_silent(&self, now: Time, holder: Holder) -> bool {
+    fn is_silent(&self, now: Time, holder: OwnerId) -> bool {
         let silent_for = self
             .unanswered
             .get(&holder)
@@ -195,7 +200,7 @@
         (SILENT_AFTER..SILENT_AFTER + SILENT).contains(&silent_for)
     }
 
-    /// When [`Draws::tick`] has something to do.
+    /// When [`LeaseRequests::tick`] has something to do.
     #[must_use]
     pub fn next_wake(&self) -> Option<Time> {
         self.under_way.values().map(|waits| waits.asked.2).min()
@@ -204,8 +209,8 @@
     fn pass_over(
         &mut self,
         now: Time,
-        place: &mut Place<'_>,
-        is_over: impl Fn(&(Holder, Vec<usize>, Time)) -> bool,
+        place: &mut LeaseContext<'_>,
+        is_over: impl Fn(&(OwnerId, Vec<usize>, Time)) -> bool,
     ) -> Vec<Order<O>> {
         let over: Vec<u64> = self
             .under_way
@@ -225,10 +230,10 @@
     /// Holders beside this machine, in the order in which they are to be asked from the end. Draws
     /// begin at each of them in turn, so that all parts are used alike. A machine that knows no
     /// voters passes the draw on to one that may.
-    fn others(&self, now: Time, draw: &Draw, place: &Place<'_>) -> Vec<Holder> {
+    fn others(&self, now: Time, draw: &LeaseRequest, place: &LeaseContext<'_>) -> Vec<OwnerId> {
         let mut others = match place.tenure.voters() {
             [] => place.reachable.iter().copied().collect(),
-            voters => holders(&draw.tenant, voters),
+            voters => owners(&draw.tenant, voters),
         };
         if !others.is_empty() {
             let turn = self.next as usize % others.len();
@@ -243,7 +248,12 @@
         others
     }
 
-    fn go_on(&mut self, now: Time, mut waits: UnderWay<O>, place: &Place<'_>) -> Vec<Order<O>> {
+    fn go_on(
+        &mut self,
+        now: Time,
+        mut waits: UnderWay<O>,
+        place: &LeaseContext<'_>,
+    ) -> Vec<Order<O>> {
         while !waits.grant.covers_all(&waits.draw) {
             let Some(holder) = waits.left.pop() else {
                 break;
@@ -259,7 +269,7 @@
                 .iter()
                 .map(|place| waits.draw.needs[*place])
                 .collect();
-            let draw = Draw {
+            let draw = LeaseRequest {
                 needs,
                 ahead: 0,
                 ..waits.draw.clone()
@@ -283,7 +293,7 @@
     }
 
     /// Needs that are left and that a holder may have enough for.
-    fn worth_asking(&self, now: Time, holder: Holder, waits: &UnderWay<O>) -> Vec<usize> {
+    fn worth_asking(&self, now: Time, holder: OwnerId, waits: &UnderWay<O>) -> Vec<usize> {
         let empty = self
             .empty
             .get(&(holder, waits.draw.tenant.clone()))
@@ -295,7 +305,7 @@
         (0..waits.draw.needs.len()).filter(worth).collect()
     }
 
-    fn note_empty(&mut self, now: Time, holder: Holder, tenant: &str, size: u64, wait: Micros) {
+    fn note_empty(&mut self, now: Time, holder: OwnerId, tenant: &str, size: u64, wait: Micros) {
         if self.empty.len() < MOST_EMPTY {
             let empty = Empty {
                 size,
--- a/decide/quota/src/draws/tests.rs
+++ b/decide/quota/src/lease_requests/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of `draws`.
 
 use super::*;
-use crate::figures::Terms;
+use crate::tenant_quota::QuotaBounds;
 use assert_matches::assert_matches;
 use lichenswitch_configuration::{Document, QuotaUnit};
 use std::time::Duration;
@@ -11,37 +11,41 @@
 /// A machine among the voters 1 to 4 (or without a vote) that can reach some of them.
 struct Machine {
     buckets: Buckets,
-    tenure: Tenure,
-    own: Holder,
-    reachable: BTreeSet<Holder>,
-    draws: Draws<&'static str>,
+    tenure: ShardOwnership,
+    own: OwnerId,
+    reachable: BTreeSet<OwnerId>,
+    draws: LeaseRequests<&'static str>,
 }
 
 fn machine(own: u64, voters: &[u64], reachable: &[u64]) -> Machine {
     let text = br#"{"version":1,"routes":[],"services":[],"tenants":[
         {"name":"a","unit":"token_count","ratePerS":3000,"burstSize":0}]}"#;
     let document = Document::parse(text).expect("valid");
-    let mut buckets = Buckets::new(Terms {
+    let mut buckets = Buckets::new(QuotaBounds {
         window: Duration::from_secs(8),
         overage: 0.1,
         slack: 0.0,
     });
     buckets.set_tenants(Time(0), document.tenants().expect("tenants"));
-    let mut tenure = Tenure::new(Holder(own), voters.iter().copied().map(Holder).collect());
+    let mut tenure =
+        ShardOwnership::new(OwnerId(own), voters.iter().copied().map(OwnerId).collect());
     (0..20).for_each(|second| tenure.on_contact(Time(second * SECOND)));
-    let reachable = reachable.iter().copied().map(Holder).collect();
+    let reachable = reachable.iter().copied().map(OwnerId).collect();
     Machine {
         buckets,
         tenure,
-        own: Holder(own),
+        own: OwnerId(own),
         reachable,
-        draws: Draws::new(0),
+        draws: LeaseRequests::new(0),
     }
 }
 
 impl Machine {
-    fn with<T>(&mut self, act: impl FnOnce(&mut Draws<&'static str>, &mut Place<'_>) -> T) -> T {
-        let mut place = Place {
+    fn with<T>(
+        &mut self,
+        act: impl FnOnce(&mut LeaseRequests<&'static str>, &mut LeaseContext<'_>) -> T,
+    ) -> T {
+        let mut place = LeaseContext {
             buckets: &mut self.buckets,
             tenure: &self.tenure,
             own: self.own,
@@ -50,13 +54,13 @@
         act(&mut self.draws, &mut place)
     }
 
-    fn take(&mut self, now: Time, draw: Draw) -> Vec<Order<&'static str>> {
+    fn take(&mut self, now: Time, draw: LeaseRequest) -> Vec<Order<&'static str>> {
         self.with(|draws, place| draws.take(now, "router", draw, place))
     }
 }
 
-fn draw(needs: &[u64]) -> Draw {
-    Draw {
+fn draw(needs: &[u64]) -> LeaseRequest {
+    LeaseRequest {
         tenant: "a".to_owned(),
         unit: QuotaUnit::Tokens,
         needs: needs.to_vec(),
@@ -64,11 +68,11 @@
     }
 }
 
-fn asked(orders: &[Order<&'static str>]) -> (Holder, u64, Draw) {
+fn asked(orders: &[Order<&'static str>]) -> (OwnerId, u64, LeaseRequest) {
     assert_matches!(orders, [Order::Ask { to, id, draw, .. }] => (*to, *id, draw.clone()))
 }
 
-fn answer(orders: &[Order<&'static str>]) -> Grant {
+fn answer(orders: &[Order<&'static str>]) -> LeaseGrant {
     assert_matches!(orders, [Order::Answer { origin: "router", grant }] => *grant)
 }
 
@@ -84,7 +88,7 @@
     let mut relay = machine(9, &[1, 2, 3, 4], &[1, 2, 3, 4]);
     let (first, id, wanted) = asked(&relay.take(Time(0), draw(&[10, 20])));
     assert_eq!(wanted.needs, [10, 20]);
-    let granted = Grant {
+    let granted = LeaseGrant {
         needs: 0b10,
         ahead: 0,
         wait: 40_000,
@@ -92,7 +96,7 @@
     let orders = relay.with(|draws, place| draws.on_answer(Time(1), first, id, granted, place));
     let (second, id, wanted) = asked(&orders);
     assert!(second != first && wanted.needs == [10]);
-    let granted = Grant {
+    let granted = LeaseGrant {
         needs: 0b1,
         ahead: 0,
         wait: 0,
@@ -106,12 +110,12 @@
 fn an_answer_counts_once_and_only_from_whom_it_was_asked_of() {
     let mut relay = machine(9, &[1, 2, 3, 4], &[1, 2, 3, 4]);
     let (first, id, _) = asked(&relay.take(Time(0), draw(&[10])));
-    let all = Grant {
+    let all = LeaseGrant {
         needs: 1,
         ahead: 0,
         wait: 0,
     };
-    let other = Holder(first.0 % 4 + 1);
+    let other = OwnerId(first.0 % 4 + 1);
     assert!(relay
         .with(|draws, place| draws.on_answer(Time(1), other, id, all, place))
         .is_empty());
@@ -136,7 +140,7 @@
         .is_empty());
     let (third, _, _) = asked(&relay.with(|draws, place| draws.tick(due, place)));
     // What comes too late is no grant of this draw.
-    let late = Grant {
+    let late = LeaseGrant {
         needs: 1,
         ahead: 0,
         wait: 0,
@@ -162,7 +166,7 @@
         assert_ne!(first, silent);
     }
     let later = after.plus(SILENT);
-    let firsts: Vec<Holder> = (0..6)
+    let firsts: Vec<OwnerId> = (0..6)
         .map(|_| asked(&relay.take(later, draw(&[10]))).0)
         .collect();
     assert!(firsts.contains(&silent));
@@ -175,14 +179,14 @@
     let due = relay.draws.next_wake().expect("a wake");
     let (next, ..) = asked(&relay.with(|draws, place| draws.tick(due, place)));
     assert_ne!(next, still, "it is passed over");
-    let firsts = |relay: &mut Machine, now| -> Vec<Holder> {
+    let firsts = |relay: &mut Machine, now| -> Vec<OwnerId> {
         (0..6)
             .map(|_| asked(&relay.take(now, draw(&[10]))).0)
             .collect()
     };
     assert!(firsts(&mut relay, Time(99_000)).contains(&still));
     // Its answer comes too late for that draw, and in time to be trusted.
-    let late = Grant {
+    let late = LeaseGrant {
         needs: 1,
         ahead: 0,
         wait: 0,
@@ -196,7 +200,7 @@
 #[test]
 fn a_holder_that_had_too_little_is_not_asked_for_as_much_again_at_once() {
     let mut relay = machine(9, &[1], &[1]);
-    let denied = Grant {
+    let denied = LeaseGrant {
         needs: 0,
         ahead: 0,
         wait: 50_000,
--- a/decide/quota/src/lib.rs
+++ b/decide/quota/src/lib.rs
@@ -1,6 +1,6 @@
 //! Tenants' quotas: what all routers together let through for a tenant in any window.
 //!
-//! Each tenant has a token bucket that is cut into up to [`HOLDERS`] parts. A part is held by a
+//! Each tenant has a token bucket that is cut into up to [`MAX_OWNERS`] parts. A part is held by a
 //! control machine that votes, its *holder*, and refills at its share of the tenant's rate. A
 //! router draws each request, or a little ahead, from a holder before it lets the request through;
 //! what was drawn and not used lapses. Nothing that is granted is ever given back to a bucket.
@@ -10,11 +10,11 @@
 //! killed, frozen, cut off or replaced, as long as clocks run alike to 1 in 1,000 and no two
 //! machines hold a part at once. `docs/design/quota.md` derives it.
 //!
-//! - [`Figures`]: rate, depth, debt and validity of a tenant, so that the sum stays within the
+//! - [`TenantQuota`]: rate, depth, debt and validity of a tenant, so that the sum stays within the
 //!   rule.
-//! - [`Tenure`]: which machine holds which part, and until when.
+//! - [`ShardOwnership`]: which machine holds which part, and until when.
 //! - [`Buckets`]: the parts that a machine holds.
-//! - [`Draws`]: draws that a control machine passes on for routers.
+//! - [`LeaseRequests`]: draws that a control machine passes on for routers.
 //! - [`Allowances`]: a router's side.
 //!
 //! It is pure: no I/O, no clock, no threads. Time is an argument.
@@ -23,14 +23,16 @@
 
 mod allowances;
 mod buckets;
-mod draw;
-mod draws;
-mod figures;
-mod tenure;
+mod lease;
+mod lease_requests;
+mod ownership;
+mod tenant_quota;
 
-pub use allowances::{Allowances, Decided, Taken};
+pub use allowances::{AdmissionOutcome, Allowances, Decided};
 pub use buckets::{Buckets, Usage};
-pub use draw::{Draw, Grant, MOST_NEEDS};
-pub use draws::{Draws, Order, Place};
-pub use figures::{Figures, Terms};
-pub use tenure::{holders, Holder, Share, Tenure, HOLDERS, LEASE, SETTLING};
+pub use lease::{LeaseGrant, LeaseRequest, MAX_AMOUNTS};
+pub use lease_requests::{LeaseContext, LeaseRequests, Order};
+pub use ownership::{
+    owners, BucketShard, OwnerId, ShardOwnership, MAX_OWNERS, OWNERSHIP_LEASE, SETTLING_TIME,
+};
+pub use tenant_quota::{QuotaBounds, TenantQuota};
--- a/decide/quota/src/tenure.rs
+++ b/decide/quota/src/ownership.rs
@@ -2,32 +2,32 @@
 //!
 //! Holders follow from the voters of the group by rendezvous hashing. Voters change while machines
 //! don't all know it, so a machine takes a part that it did not hold before only once whoever held
-//! it can hold it no more: a holder's tenure ends [`LEASE`] after it was last in contact with a
-//! quorum, and a new one begins [`SETTLING`] after it has learnt of the voters that make it one.
+//! it can hold it no more: a holder's tenure ends [`OWNERSHIP_LEASE`] after it was last in contact with a
+//! quorum, and a new one begins [`SETTLING_TIME`] after it has learnt of the voters that make it one.
 
 use lichenswitch_interface::{Micros, Time};
 use std::cmp::Reverse;
 
 /// Parts into which a tenant's bucket is cut: enough that the loss of one leaves most of the rate,
 /// few enough that each holds large requests.
-pub const HOLDERS: usize = 3;
+pub const MAX_OWNERS: usize = 3;
 /// A machine holds its parts for so long after it was last in contact (microseconds): over an
 /// election.
-pub const LEASE: Micros = 4_000_000;
+pub const OWNERSHIP_LEASE: Micros = 4_000_000;
 /// A machine takes up a new part so long after it has learnt of it (microseconds): a lease, what
 /// contact may be behind, and some for clocks.
-pub const SETTLING: Micros = LEASE + 2_000_000;
+pub const SETTLING_TIME: Micros = OWNERSHIP_LEASE + 2_000_000;
 /// A machine that was out of contact for so long may have missed voters, among whom another one has
 /// settled (microseconds).
 const MISSED: Micros = 2_000_000;
 
 /// A machine that votes, by the identity of its disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Holder(pub u64);
+pub struct OwnerId(pub u64);
 
 /// The part of a tenant's bucket that a machine holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Share {
+pub struct BucketShard {
     /// Of rate and depth.
     pub part: f64,
     /// It is the one that may go into debt.
@@ -36,16 +36,16 @@
 
 /// The holders of a tenant's bucket, the first one first.
 #[must_use]
-pub fn holders(tenant: &str, voters: &[Holder]) -> Vec<Holder> {
-    let mut ranked: Vec<Holder> = voters.to_vec();
+pub fn owners(tenant: &str, voters: &[OwnerId]) -> Vec<OwnerId> {
+    let mut ranked: Vec<OwnerId> = voters.to_vec();
     ranked.sort_unstable_by_key(|holder| (Reverse(weight(tenant, *holder)), *holder));
     ranked.dedup();
-    ranked.truncate(HOLDERS);
+    ranked.truncate(MAX_OWNERS);
     ranked
 }
 
 /// FNV-1a over the tenant's name, mixed with the holder: the same in every process and version.
-fn weight(tenant: &str, holder: Holder) -> u64 {
+fn weight(tenant: &str, holder: OwnerId) -> u64 {
     let hash = tenant
         .bytes()
         .fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
@@ -63,21 +63,21 @@
 
 /// What a machine knows of the voters, and of its own contact with them.
 #[derive(Clone, Debug)]
-pub struct Tenure {
-    own: Holder,
-    voters: Vec<Holder>,
+pub struct ShardOwnership {
+    own: OwnerId,
+    voters: Vec<OwnerId>,
     /// Voters before, each with when they were replaced, as long as that matters.
-    earlier: Vec<(Time, Vec<Holder>)>,
+    earlier: Vec<(Time, Vec<OwnerId>)>,
     contact: Option<Time>,
     /// Since then contact has lasted without a gap that ended the tenure.
     since: Time,
 }
 
-impl Tenure {
+impl ShardOwnership {
     /// Of a machine whose disk names these voters; none where it has never voted.
     #[must_use]
-    pub fn new(own: Holder, voters: Vec<Holder>) -> Tenure {
-        Tenure {
+    pub fn new(own: OwnerId, voters: Vec<OwnerId>) -> ShardOwnership {
+        ShardOwnership {
             own,
             voters,
             earlier: Vec::new(),
@@ -87,9 +87,9 @@
     }
 
     /// These vote now, as far as this machine knows; while they change, those before and after.
-    pub fn on_voters(&mut self, now: Time, voters: &[Holder]) {
+    pub fn on_voters(&mut self, now: Time, voters: &[OwnerId]) {
         self.earlier
-            .retain(|(replaced, _)| now.since(*replaced) < SETTLING);
+            .retain(|(replaced, _)| now.since(*replaced) < SETTLING_TIME);
         if self.voters != voters {
             let before = std::mem::replace(&mut self.voters, voters.to_vec());
             self.earlier.push((now, before));
@@ -113,7 +113,7 @@
 
     /// Those that vote.
     #[must_use]
-    pub fn voters(&self) -> &[Holder] {
+    pub fn voters(&self) -> &[OwnerId] {
         &self.voters
     }
 
@@ -121,7 +121,8 @@
     /// contact.
     #[must_use]
     pub fn ends(&self) -> Time {
-        self.contact.map_or(Time(0), |contact| contact.plus(LEASE))
+        self.contact
+            .map_or(Time(0), |contact| contact.plus(OWNERSHIP_LEASE))
     }
 
     /// Since when this machine has held its parts without a gap, whichever they are.
@@ -133,34 +134,34 @@
     /// The part of a tenant's bucket that this machine holds now: the least by all voters that
     /// others may still go by.
     #[must_use]
-    pub fn share(&self, now: Time, tenant: &str) -> Share {
+    pub fn share(&self, now: Time, tenant: &str) -> BucketShard {
         if now >= self.ends() {
-            return Share::default();
+            return BucketShard::default();
         }
         let earlier = self
             .earlier
             .iter()
-            .filter(|(replaced, _)| now.since(*replaced) < SETTLING);
+            .filter(|(replaced, _)| now.since(*replaced) < SETTLING_TIME);
         let views = earlier.map(|(_, voters)| voters).chain([&self.voters]);
         let shares = views.map(|voters| self.share_of(tenant, voters));
-        shares.reduce(Share::least).unwrap_or_default()
+        shares.reduce(BucketShard::least).unwrap_or_default()
     }
 
-    fn share_of(&self, tenant: &str, voters: &[Holder]) -> Share {
-        let holders = holders(tenant, voters);
-        match holders.iter().position(|holder| *holder == self.own) {
-            Some(rank) => Share {
-                part: 1.0 / holders.len() as f64,
+    fn share_of(&self, tenant: &str, voters: &[OwnerId]) -> BucketShard {
+        let owners = owners(tenant, voters);
+        match owners.iter().position(|holder| *holder == self.own) {
+            Some(rank) => BucketShard {
+                part: 1.0 / owners.len() as f64,
                 first: rank == 0,
             },
-            None => Share::default(),
+            None => BucketShard::default(),
         }
     }
 }
 
-impl Share {
-    fn least(self, other: Share) -> Share {
-        Share {
+impl BucketShard {
+    fn least(self, other: BucketShard) -> BucketShard {
+        BucketShard {
             part: self.part.min(other.part),
             first: self.first && other.first,
         }
--- a/decide/quota/src/tenure/tests.rs
+++ b/decide/quota/src/ownership/tests.rs
@@ -4,8 +4,8 @@
 
 const SECOND: Micros = 1_000_000;
 
-fn voters(ids: &[u64]) -> Vec<Holder> {
-    ids.iter().copied().map(Holder).collect()
+fn voters(ids: &[u64]) -> Vec<OwnerId> {
+    ids.iter().copied().map(OwnerId).collect()
 }
 
 fn seconds(seconds: u64) -> Time {
@@ -16,7 +16,7 @@
 fn tenant_of(first: u64, among: &[u64]) -> String {
     (0..)
         .map(|n| format!("t{n}"))
-        .find(|name| holders(name, &voters(among))[0] == Holder(first))
+        .find(|name| owners(name, &voters(among))[0] == OwnerId(first))
         .expect("one")
 }
 
@@ -28,17 +28,17 @@
     let mut firsts = std::collections::BTreeMap::new();
     for n in 0..800 {
         let tenant = format!("tenant-{n}");
-        let holders = holders(&tenant, &eight);
-        assert_eq!(holders.len(), HOLDERS);
-        assert_eq!(holders, super::holders(&tenant, &turned));
-        *firsts.entry(holders[0]).or_insert(0) += 1;
+        let owners = owners(&tenant, &eight);
+        assert_eq!(owners.len(), MAX_OWNERS);
+        assert_eq!(owners, super::owners(&tenant, &turned));
+        *firsts.entry(owners[0]).or_insert(0) += 1;
     }
     assert!(
         firsts.values().all(|count| (60..=140).contains(count)),
         "{firsts:?}"
     );
-    assert_eq!(holders("t", &eight[..2]).len(), 2);
-    assert!(holders("t", &[]).is_empty());
+    assert_eq!(owners("t", &eight[..2]).len(), 2);
+    assert!(owners("t", &[]).is_empty());
 }
 
 #[test]
@@ -49,11 +49,11 @@
     );
     for n in 0..200 {
         let tenant = format!("tenant-{n}");
-        let before: Vec<Holder> = holders(&tenant, &eight)
+        let before: Vec<OwnerId> = owners(&tenant, &eight)
             .into_iter()
-            .filter(|h| *h != Holder(8))
+            .filter(|h| *h != OwnerId(8))
             .collect();
-        let after = holders(&tenant, &seven);
+        let after = owners(&tenant, &seven);
         assert!(before.iter().all(|holder| after.contains(holder)));
     }
 }
@@ -61,11 +61,11 @@
 #[test]
 fn a_part_is_held_for_a_lease_after_the_last_contact() {
     let tenant = tenant_of(1, &[1, 2, 3]);
-    let mut tenure = Tenure::new(Holder(1), voters(&[1, 2, 3]));
-    assert_eq!(tenure.share(seconds(1), &tenant), Share::default());
+    let mut tenure = ShardOwnership::new(OwnerId(1), voters(&[1, 2, 3]));
+    assert_eq!(tenure.share(seconds(1), &tenant), BucketShard::default());
     tenure.on_contact(seconds(1));
     assert!(tenure.share(Time(5 * SECOND - 1), &tenant).first);
-    assert_eq!(tenure.share(seconds(5), &tenant), Share::default());
+    assert_eq!(tenure.share(seconds(5), &tenant), BucketShard::default());
     assert_eq!(tenure.since(), seconds(1));
     tenure.on_contact(seconds(4));
     assert_eq!(tenure.since(), seconds(1));
@@ -77,19 +77,23 @@
 fn a_new_part_is_taken_up_only_once_nobody_can_hold_it_any_more() {
     // Voter 4 was no voter before: it waits. Voter 1 holds its part all the while.
     let tenant = tenant_of(4, &[1, 2, 4]);
-    let mut newcomer = Tenure::new(Holder(4), Vec::new());
+    let mut newcomer = ShardOwnership::new(OwnerId(4), Vec::new());
     newcomer.on_voters(seconds(10), &voters(&[1, 2, 4]));
     for now in 10..30 {
         newcomer.on_contact(seconds(now));
         newcomer.on_voters(seconds(now), &voters(&[1, 2, 4]));
         let holds = newcomer.share(seconds(now), &tenant).part > 0.0;
-        assert_eq!(holds, seconds(now) >= seconds(10).plus(SETTLING), "{now}");
+        assert_eq!(
+            holds,
+            seconds(now) >= seconds(10).plus(SETTLING_TIME),
+            "{now}"
+        );
     }
 }
 
 #[test]
 fn a_process_that_starts_again_under_the_same_voters_waits_for_contact_alone() {
-    let mut tenure = Tenure::new(Holder(1), voters(&[1, 2, 3]));
+    let mut tenure = ShardOwnership::new(OwnerId(1), voters(&[1, 2, 3]));
     tenure.on_voters(seconds(100), &voters(&[1, 2, 3]));
     tenure.on_contact(seconds(100));
     assert!(tenure.share(seconds(100), "t").part > 0.3);
@@ -98,7 +102,7 @@
 #[test]
 fn shares_never_sum_to_more_than_one_while_voters_change() {
     for seed in 0..60 {
-        walk(seed, SETTLING);
+        walk(seed, SETTLING_TIME);
     }
 }
 
@@ -111,7 +115,7 @@
 
 /// A machine of the walk below.
 struct Machine {
-    tenure: Tenure,
+    tenure: ShardOwnership,
     cut_until: Micros,
     /// The change of voters that it knows last, and when it learns of the next one.
     knows: usize,
@@ -120,7 +124,7 @@
 
 impl Machine {
     fn of(id: u64, known: &[u64], knows: usize) -> Machine {
-        let tenure = Tenure::new(Holder(id), voters(known));
+        let tenure = ShardOwnership::new(OwnerId(id), voters(known));
         Machine {
             tenure,
             cut_until: 0,
@@ -135,7 +139,7 @@
 fn walk(seed: u64, settling: Micros) {
     const STEP: Micros = 100_000;
     const LATEST: Micros = 1_400_000;
-    let skipped = SETTLING - settling;
+    let skipped = SETTLING_TIME - settling;
     let mut random = fastrand::Rng::with_seed(seed);
     let mut changes: Vec<(Micros, Vec<u64>)> = vec![(0, vec![1, 2, 3, 4])];
     let mut machines: Vec<Machine> = (1..=4)
--- a/decide/quota/src/figures.rs
+++ b/decide/quota/src/tenant_quota.rs
@@ -23,7 +23,7 @@
 
 /// The bounds of the rule.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct QuotaBounds {
     /// `quotaWindowS`.
     pub window: Duration,
     /// `quotaOverage`.
@@ -34,7 +34,7 @@
 
 /// A tenant's figures over all holders.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Figures {
+pub struct TenantQuota {
     /// Refill (units a second).
     pub rate: f64,
     /// Most that the bucket holds (units).
@@ -45,10 +45,10 @@
     pub validity: Micros,
 }
 
-impl Figures {
+impl TenantQuota {
     /// Of a tenant's quota under the rule.
     #[must_use]
-    pub fn of(quota: &Quota, terms: &Terms) -> Figures {
+    pub fn of(quota: &Quota, terms: &QuotaBounds) -> TenantQuota {
         let window = terms.window.as_secs_f64();
         let limit = quota.rate_per_s * window + quota.burst;
         // A slack above the limit itself is one of another unit.
@@ -62,7 +62,7 @@
         let most = (limit + tolerance - extra - debt).max(0.0);
         let used = quota.rate_per_s * (window + validity / SECOND) + quota.burst;
         let scale = CLOCKS * (most / used).min(1.0);
-        Figures {
+        TenantQuota {
             rate: quota.rate_per_s * scale,
             depth: quota.burst * scale + extra,
             debt,
--- a/decide/quota/src/figures/tests.rs
+++ b/decide/quota/src/tenant_quota/tests.rs
@@ -10,8 +10,8 @@
     }
 }
 
-fn terms(window_s: f64, overage: f64, slack: f64) -> Terms {
-    Terms {
+fn terms(window_s: f64, overage: f64, slack: f64) -> QuotaBounds {
+    QuotaBounds {
         window: Duration::from_secs_f64(window_s),
         overage,
         slack,
@@ -19,7 +19,7 @@
 }
 
 /// What the rule allows in a window.
-fn allowed(quota: &Quota, terms: &Terms) -> f64 {
+fn allowed(quota: &Quota, terms: &QuotaBounds) -> f64 {
     (quota.rate_per_s * terms.window.as_secs_f64() + quota.burst) * (1.0 + terms.overage)
         + terms.slack
 }
@@ -40,7 +40,7 @@
             [0.0, 0.1, 0.5][random.usize(0..3)],
             slack,
         );
-        let figures = Figures::of(&quota, &terms);
+        let figures = TenantQuota::of(&quota, &terms);
         let (most, allowed) = (
             figures.most_in(terms.window.as_secs_f64()),
             allowed(&quota, &terms),
@@ -61,7 +61,7 @@
         (5.0, 50.0),
     ] {
         for (overage, slack) in [(0.1, 140_000.0), (0.1, 0.0), (0.0, 0.0)] {
-            let figures = Figures::of(&quota(rate, burst), &terms(8.0, overage, slack));
+            let figures = TenantQuota::of(&quota(rate, burst), &terms(8.0, overage, slack));
             let least = if overage > 0.0 { 0.96 } else { 0.9 };
             assert!(
                 figures.rate >= least * rate,
@@ -81,7 +81,7 @@
         unit: QuotaUnit::Requests,
         ..quota(0.5, 0.0)
     };
-    let figures = Figures::of(&few, &terms(8.0, 0.1, 0.0));
+    let figures = TenantQuota::of(&few, &terms(8.0, 0.1, 0.0));
     assert!(
         figures.debt >= 1.0 && figures.rate > 0.3 && figures.most_in(8.0) <= 4.4,
         "{figures:?}"
@@ -90,6 +90,6 @@
 
 #[test]
 fn a_slack_of_another_unit_makes_no_quota_endless() {
-    let figures = Figures::of(&quota(5.0, 5.0), &terms(8.0, 0.1, 140_000.0));
+    let figures = TenantQuota::of(&quota(5.0, 5.0), &terms(8.0, 0.1, 140_000.0));
     assert!(figures.most_in(8.0) <= 100.0, "{figures:?}");
 }
--- a/fleet/src/control/quotas.rs
+++ b/fleet/src/control/quotas.rs
@@ -12,7 +12,10 @@
 use lichenswitch_interface::Time;
 use lichenswitch_messages::{QuotaLeaseRequest, QuotaLeaseResponse, QuotaLeaseUnit, TenantMessage};
 use lichenswitch_net::ConnId;
-use lichenswitch_quota::{Buckets, Draw, Draws, Grant, Holder, Order, Place, Tenure, Terms};
+use lichenswitch_quota::{
+    Buckets, LeaseContext, LeaseGrant, LeaseRequest, LeaseRequests, Order, OwnerId, QuotaBounds,
+    ShardOwnership,
+};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
@@ -25,23 +28,23 @@
 
 /// What a machine has to do with quotas.
 pub(super) struct Quotas {
-    pub(super) own: Holder,
-    pub(super) tenure: Tenure,
+    pub(super) own: OwnerId,
+    pub(super) tenure: ShardOwnership,
     pub(super) buckets: Buckets,
-    draws: Draws<DrawOrigin>,
+    draws: LeaseRequests<DrawOrigin>,
     /// A part has granted more than it may.
     overrun: bool,
 }
 
 impl Quotas {
     /// Of a machine that has just started, or has just taken part in the group.
-    pub(super) fn new(identity: u64, group: Option<&Group>, terms: Terms) -> Quotas {
-        let own = Holder(identity);
+    pub(super) fn new(identity: u64, group: Option<&Group>, terms: QuotaBounds) -> Quotas {
+        let own = OwnerId(identity);
         Quotas {
             own,
-            tenure: Tenure::new(own, group.map(voters).unwrap_or_default()),
+            tenure: ShardOwnership::new(own, group.map(voters).unwrap_or_default()),
             buckets: Buckets::new(terms),
-            draws: Draws::new(fastrand::u64(..)),
+            draws: LeaseRequests::new(fastrand::u64(..)),
             overrun: false,
         }
     }
@@ -54,9 +57,9 @@
     /// The draws under way, and what they are worked off with.
     fn at<'a>(
         &'a mut self,
-        reachable: &'a BTreeSet<Holder>,
-    ) -> (&'a mut Draws<DrawOrigin>, Place<'a>) {
-        let place = Place {
+        reachable: &'a BTreeSet<OwnerId>,
+    ) -> (&'a mut LeaseRequests<DrawOrigin>, LeaseContext<'a>) {
+        let place = LeaseContext {
             buckets: &mut self.buckets,
             tenure: &self.tenure,
             own: self.own,
@@ -67,12 +70,12 @@
 }
 
 /// Voters as holders, in one order.
-fn voters(group: &Group) -> Vec<Holder> {
-    let mut voters: Vec<Holder> = group
+fn voters(group: &Group) -> Vec<OwnerId> {
+    let mut voters: Vec<OwnerId> = group
         .replica
         .membership()
         .all()
-        .map(|member| Holder(member.identity.0))
+        .map(|member| OwnerId(member.identity.0))
         .collect();
     voters.sort_unstable();
     voters
@@ -170,7 +173,7 @@
         let Some(from) = self.holder_at(from) else {
             return;
         };
-        let grant = Grant {
+        let grant = LeaseGrant {
             needs: answer.needs,
             ahead: answer.ahead,
             wait: answer.wait_us,
@@ -233,7 +236,7 @@
         }
     }
 
-    fn answer_draw(&mut self, origin: DrawOrigin, grant: Grant) {
+    fn answer_draw(&mut self, origin: DrawOrigin, grant: LeaseGrant) {
         let answer = QuotaLeaseResponse {
             id: origin.id,
             needs: grant.needs,
@@ -253,23 +256,23 @@
     }
 
     /// Machines with a disk that can be asked.
-    fn reachable_holders(&self) -> BTreeSet<Holder> {
+    fn reachable_holders(&self) -> BTreeSet<OwnerId> {
         let introduced = self
             .peers
             .connected()
             .filter_map(|(_, peer)| peer.introduction.as_ref());
         introduced
             .filter(|peer| peer.eligible)
-            .map(|peer| Holder(peer.identity))
+            .map(|peer| OwnerId(peer.identity))
             .collect()
     }
 
-    fn holder_at(&self, address: SocketAddr) -> Option<Holder> {
+    fn holder_at(&self, address: SocketAddr) -> Option<OwnerId> {
         let introduction = self.peers.get(address)?.introduction.as_ref()?;
-        Some(Holder(introduction.identity))
+        Some(OwnerId(introduction.identity))
     }
 
-    fn connection_to(&self, holder: Holder) -> Option<ConnId> {
+    fn connection_to(&self, holder: OwnerId) -> Option<ConnId> {
         let is_it = |peer: &super::peers::Peer| {
             peer.introduction
                 .as_ref()
@@ -280,12 +283,12 @@
     }
 }
 
-fn draw_of(request: QuotaLeaseRequest) -> Draw {
+fn draw_of(request: QuotaLeaseRequest) -> LeaseRequest {
     let unit = match request.unit {
         QuotaLeaseUnit::Requests => QuotaUnit::Requests,
         QuotaLeaseUnit::Tokens => QuotaUnit::Tokens,
     };
-    Draw {
+    LeaseRequest {
         tenant: request.tenant,
         unit,
         needs: request.needs,
@@ -293,7 +296,7 @@
     }
 }
 
-fn request_of(id: u64, draw: Draw, pass_on: bool) -> QuotaLeaseRequest {
+fn request_of(id: u64, draw: LeaseRequest, pass_on: bool) -> QuotaLeaseRequest {
     let unit = match draw.unit {
         QuotaUnit::Requests => QuotaLeaseUnit::Requests,
         QuotaUnit::Tokens => QuotaLeaseUnit::Tokens,
--- a/fleet/src/router/options.rs
+++ b/fleet/src/router/options.rs
@@ -63,7 +63,7 @@
     /// Bounds on revocations.
     pub revocation: RevocationTerms,
     /// Bounds on quotas.
-    pub quota: lichenswitch_quota::Terms,
+    pub quota: lichenswitch_quota::QuotaBounds,
     /// Between SIGTERM and SIGKILL.
     pub grace: Duration,
 }
--- a/fleet/src/router/tenants.rs
+++ b/fleet/src/router/tenants.rs
@@ -15,7 +15,7 @@
 use lichenswitch_interface::{Micros, Time};
 use lichenswitch_messages::{QuotaLeaseRequest, QuotaLeaseResponse, QuotaLeaseUnit, TenantMessage};
 use lichenswitch_net::ConnId;
-use lichenswitch_quota::{Decided, Draw, Grant, Taken};
+use lichenswitch_quota::{AdmissionOutcome, Decided, LeaseGrant, LeaseRequest};
 use std::fmt::Write as _;
 use std::rc::Rc;
 
@@ -198,7 +198,7 @@
         let wait = (admission.terms.target_latency / WAIT_SHARE).max(LEAST_WAIT);
         let until = now.plus(wait).min(admission.deadline);
         match self.allowances.take(now, tenant, need, client, until) {
-            Taken::Allowed(valid_until) => {
+            AdmissionOutcome::Allowed(valid_until) => {
                 let name = tenant.name.clone();
                 let held = self.hold(client, request, admission);
                 if held.is_err() {
@@ -206,14 +206,14 @@
                 }
                 held
             }
-            Taken::Waits => {
+            AdmissionOutcome::Waits => {
                 self.awaiting_quota
                     .insert(client, AwaitingQuota { request, admission });
                 self.net.wheel.set(until, Timer::Quota);
                 Ok(())
             }
-            Taken::Beyond(wait) => Err(Turned::BeyondQuota(wait)),
-            Taken::Unknown(wait) => Err(Turned::Away(Some(wait))),
+            AdmissionOutcome::Beyond(wait) => Err(Turned::BeyondQuota(wait)),
+            AdmissionOutcome::Unknown(wait) => Err(Turned::Away(Some(wait))),
         }
     }
 
@@ -247,7 +247,7 @@
     /// A control machine has answered a draw.
     pub(super) fn on_drawn(&mut self, answer: QuotaLeaseResponse) {
         let now = self.net.clock.now();
-        let grant = Grant {
+        let grant = LeaseGrant {
             needs: answer.needs,
             ahead: answer.ahead,
             wait: answer.wait_us,
@@ -283,19 +283,21 @@
                 continue;
             };
             let outcome = match taken {
-                Taken::Allowed(until) => match self.check_sender(admission.sender.as_deref()) {
-                    Ok(()) => {
-                        invariants::check(
-                            self.net.clock.now() <= until.plus(TURN),
-                            Invariant::GrantIsValid,
-                        );
-                        self.hold(waiter, request, admission)
+                AdmissionOutcome::Allowed(until) => {
+                    match self.check_sender(admission.sender.as_deref()) {
+                        Ok(()) => {
+                            invariants::check(
+                                self.net.clock.now() <= until.plus(TURN),
+                                Invariant::GrantIsValid,
+                            );
+                            self.hold(waiter, request, admission)
+                        }
+                        Err(denial) => Err(Turned::of(denial)),
                     }
-                    Err(denial) => Err(Turned::of(denial)),
-                },
-                Taken::Beyond(wait) => Err(Turned::BeyondQuota(wait)),
-                Taken::Unknown(wait) => Err(Turned::Away(Some(wait))),
-                Taken::Waits => Err(Turned::Away(Some(RETRY_AFTER))),
+                }
+                AdmissionOutcome::Beyond(wait) => Err(Turned::BeyondQuota(wait)),
+                AdmissionOutcome::Unknown(wait) => Err(Turned::Away(Some(wait))),
+                AdmissionOutcome::Waits => Err(Turned::Away(Some(RETRY_AFTER))),
             };
             if let Err(turned) = outcome {
                 self.turn_away(waiter, &turned);
@@ -322,8 +324,8 @@
     }
 }
 
-fn draw_request(id: u64, draw: Draw) -> QuotaLeaseRequest {
-    let Draw {
+fn draw_request(id: u64, draw: LeaseRequest) -> QuotaLeaseRequest {
+    let LeaseRequest {
         tenant,
         unit,
         needs,
--- a/fleet/src/settings/mod.rs
+++ b/fleet/src/settings/mod.rs
@@ -140,8 +140,8 @@
 impl Bounds {
     /// The bounds on quotas.
     #[must_use]
-    pub fn quota_terms(&self) -> lichenswitch_quota::Terms {
-        lichenswitch_quota::Terms {
+    pub fn quota_terms(&self) -> lichenswitch_quota::QuotaBounds {
+        lichenswitch_quota::QuotaBounds {
             window: self.quota_window,
             overage: self.quota_overage,
             slack: self.quota_slack,
--- a/simulator/src/quotas/ledger.rs
+++ b/simulator/src/quotas/ledger.rs
@@ -1,7 +1,7 @@
 //! Every request that was let through, held against the rule.
 
 use lichenswitch_configuration::{Quota, Tenant};
-use lichenswitch_quota::Terms;
+use lichenswitch_quota::QuotaBounds;
 
 /// A window in which a tenant got more than the rule allows.
 #[derive(Clone, Debug, PartialEq)]
@@ -35,7 +35,7 @@
 impl Ledger {
     /// Of tenants under the rule.
     #[must_use]
-    pub fn new(tenants: &[Tenant], terms: &Terms) -> Ledger {
+    pub fn new(tenants: &[Tenant], terms: &QuotaBounds) -> Ledger {
         let window = terms.window.as_secs_f64();
         let line = |tenant: &Tenant| {
             let limit = tenant
--- a/simulator/src/quotas/machine.rs
+++ b/simulator/src/quotas/machine.rs
@@ -4,7 +4,8 @@
 use lichenswitch_configuration::Tenant;
 use lichenswitch_interface::Time;
 use lichenswitch_quota::{
-    Allowances, Buckets, Draw, Draws, Grant, Holder, Order, Place, Tenure, Terms,
+    Allowances, Buckets, LeaseContext, LeaseGrant, LeaseRequest, LeaseRequests, Order, OwnerId,
+    QuotaBounds, ShardOwnership,
 };
 use std::collections::BTreeSet;
 
@@ -22,25 +23,25 @@
 
 /// A control machine.
 pub(super) struct Control {
-    pub(super) own: Holder,
+    pub(super) own: OwnerId,
     pub(super) life: u64,
     drift: f64,
     pub(super) frozen_until: u64,
     pub(super) cut_until: u64,
     /// Voters that its disk names.
-    pub(super) disk: Vec<Holder>,
-    pub(super) tenure: Tenure,
+    pub(super) disk: Vec<OwnerId>,
+    pub(super) tenure: ShardOwnership,
     pub(super) buckets: Buckets,
-    draws: Draws<Origin>,
+    draws: LeaseRequests<Origin>,
 }
 
 impl Control {
     pub(super) fn start(
         place: usize,
         now: u64,
-        disk: &[Holder],
+        disk: &[OwnerId],
         tenants: &[Tenant],
-        terms: Terms,
+        terms: QuotaBounds,
         drift: f64,
         planted: Planted,
     ) -> Control {
@@ -49,7 +50,7 @@
             buckets.on_no_configuration();
         }
         buckets.set_tenants(clock_at(now, drift), tenants);
-        let own = Holder(place as u64);
+        let own = OwnerId(place as u64);
         Control {
             own,
             life: 0,
@@ -57,15 +58,15 @@
             frozen_until: 0,
             cut_until: 0,
             disk: disk.to_vec(),
-            tenure: Tenure::new(own, disk.to_vec()),
+            tenure: ShardOwnership::new(own, disk.to_vec()),
             buckets,
-            draws: Draws::new((now << 8) + place as u64),
+            draws: LeaseRequests::new((now << 8) + place as u64),
         }
     }
 
     /// It is another voter than its place says.
-    pub(super) fn renew(&mut self, disk: &[Holder]) {
-        self.tenure = Tenure::new(self.own, disk.to_vec());
+    pub(super) fn renew(&mut self, disk: &[OwnerId]) {
+        self.tenure = ShardOwnership::new(self.own, disk.to_vec());
     }
 
     pub(super) fn clock(&self, now: u64) -> Time {
@@ -77,7 +78,7 @@
         &mut self,
         now: u64,
         late: u64,
-        changes: &[(u64, Vec<Holder>)],
+        changes: &[(u64, Vec<OwnerId>)],
         planted: Planted,
     ) {
         let clock = self.clock(now);
@@ -95,7 +96,7 @@
             return;
         };
         let early = if planted == Planted::NoSettling {
-            lichenswitch_quota::SETTLING
+            lichenswitch_quota::SETTLING_TIME
         } else {
             0
         };
@@ -109,8 +110,8 @@
         &mut self,
         clock: Time,
         origin: Origin,
-        draw: Draw,
-        reachable: &BTreeSet<Holder>,
+        draw: LeaseRequest,
+        reachable: &BTreeSet<OwnerId>,
     ) -> Vec<Order<Origin>> {
         self.with(reachable, |draws, place| {
             draws.take(clock, origin, draw, place)
@@ -120,30 +121,34 @@
     pub(super) fn on_answer(
         &mut self,
         clock: Time,
-        from: Holder,
+        from: OwnerId,
         id: u64,
-        grant: Grant,
-        reachable: &BTreeSet<Holder>,
+        grant: LeaseGrant,
+        reachable: &BTreeSet<OwnerId>,
     ) -> Vec<Order<Origin>> {
         self.with(reachable, |draws, place| {
             draws.on_answer(clock, from, id, grant, place)
         })
     }
 
-    pub(super) fn tick(&mut self, clock: Time, reachable: &BTreeSet<Holder>) -> Vec<Order<Origin>> {
+    pub(super) fn tick(
+        &mut self,
+        clock: Time,
+        reachable: &BTreeSet<OwnerId>,
+    ) -> Vec<Order<Origin>> {
         self.buckets.advance(clock, &self.tenure);
         self.with(reachable, |draws, place| draws.tick(clock, place))
     }
 
     fn with<T>(
         &mut self,
-        reachable: &BTreeSet<Holder>,
-        act: impl FnOnce(&mut Draws<Origin>, &mut Place<'_>) -> T,
+        reachable: &BTreeSet<OwnerId>,
+        act: impl FnOnce(&mut LeaseRequests<Origin>, &mut LeaseContext<'_>) -> T,
     ) -> T {
         let (buckets, tenure) = (&mut self.buckets, &self.tenure);
         act(
             &mut self.draws,
-            &mut Place {
+            &mut LeaseContext {
                 buckets,
                 tenure,
                 own: self.own,
@@ -161,7 +166,7 @@
 }
 
 impl Router {
-    pub(super) fn start(terms: Terms, drift: f64, first: u64) -> Router {
+    pub(super) fn start(terms: QuotaBounds, drift: f64, first: u64) -> Router {
         Router {
             drift,
             frozen_until: 0,
--- a/simulator/src/quotas/mod.rs
+++ b/simulator/src/quotas/mod.rs
@@ -10,7 +10,9 @@
 
 use fastrand::Rng;
 use lichenswitch_configuration::{Document, Tenant};
-use lichenswitch_quota::{Decided, Draw, Grant, Holder, Order, Taken, Terms};
+use lichenswitch_quota::{
+    AdmissionOutcome, Decided, LeaseGrant, LeaseRequest, Order, OwnerId, QuotaBounds,
+};
 use machine::{Control, Router, LATEST_NEWS};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -93,19 +95,19 @@
     /// A request of a tenant comes in at a router.
     Request { tenant: usize },
     /// A draw reaches a control machine, from a router or from another one.
-    Draw {
+    LeaseRequest {
         to: usize,
         from: Sender,
         id: u64,
         pass_on: bool,
-        draw: Draw,
+        draw: LeaseRequest,
     },
     /// An answer reaches whoever asked.
-    Grant {
+    LeaseGrant {
         to: Sender,
         from: usize,
         id: u64,
-        grant: Grant,
+        grant: LeaseGrant,
     },
     /// A control machine looks at what is due.
     Tick { control: usize },
@@ -135,11 +137,11 @@
     events: BTreeMap<(u64, u64), Event>,
     planned: u64,
     tenants: Vec<Tenant>,
-    terms: Terms,
+    terms: QuotaBounds,
     control: Vec<Control>,
     routers: Vec<Router>,
     /// Voters by identity, each time that they changed.
-    changes: Vec<(u64, Vec<Holder>)>,
+    changes: Vec<(u64, Vec<OwnerId>)>,
     requests: u64,
     /// Needs of the requests that wait, by number.
     waiting: BTreeMap<u64, (usize, u64)>,
@@ -169,13 +171,13 @@
             .ok()
             .and_then(|document| document.tenants().map(<[_]>::to_vec));
         let tenants = tenants.unwrap_or_default();
-        let terms = Terms {
+        let terms = QuotaBounds {
             window: Duration::from_secs(8),
             overage: 0.1,
             slack: 20_000.0,
         };
         let mut random = Rng::with_seed(settings.seed);
-        let voters: Vec<Holder> = (0..settings.control as u64).map(Holder).collect();
+        let voters: Vec<OwnerId> = (0..settings.control as u64).map(OwnerId).collect();
         let control = (0..settings.control)
             .map(|place| {
                 Control::start(
@@ -242,14 +244,14 @@
         }
         match event {
             Event::Request { tenant } => self.request(tenant),
-            Event::Draw {
+            Event::LeaseRequest {
                 to,
                 from,
                 id,
                 pass_on,
                 draw,
             } => self.on_draw(to, from, id, pass_on, draw),
-            Event::Grant {
+            Event::LeaseGrant {
                 to,
                 from,
                 id,
@@ -262,14 +264,14 @@
 
     fn frozen_until(&self, event: &Event) -> Option<u64> {
         match event {
-            Event::Draw { to, .. } | Event::Tick { control: to } => {
+            Event::LeaseRequest { to, .. } | Event::Tick { control: to } => {
                 Some(self.control[*to].frozen_until)
             }
-            Event::Grant {
+            Event::LeaseGrant {
                 to: Sender::Control(to, _),
                 ..
             } => Some(self.control[*to].frozen_until),
-            Event::Grant {
+            Event::LeaseGrant {
                 to: Sender::Router(router),
                 ..
             } => Some(self.routers[*router].frozen_until),
@@ -322,7 +324,7 @@
                 self.now,
                 &self.control,
             );
-            self.send(Event::Draw {
+            self.send(Event::LeaseRequest {
                 to,
                 from: Sender::Router(router),
                 id,
@@ -335,19 +337,19 @@
     fn decide(&mut self, router: usize, decided: Vec<Decided<u64>>) {
         let frozen = self.routers[router].frozen_until > self.now;
         for Decided { waiter, taken } in decided {
-            if taken == Taken::Waits {
+            if taken == AdmissionOutcome::Waits {
                 continue;
             }
             let Some((tenant, need)) = self.waiting.remove(&waiter) else {
                 continue;
             };
-            if matches!(taken, Taken::Allowed(_)) && !frozen {
+            if matches!(taken, AdmissionOutcome::Allowed(_)) && !frozen {
                 self.ledger.let_through(self.now, tenant, need);
             }
         }
     }
 
-    fn on_draw(&mut self, to: usize, from: Sender, id: u64, pass_on: bool, draw: Draw) {
+    fn on_draw(&mut self, to: usize, from: Sender, id: u64, pass_on: bool, draw: LeaseRequest) {
         if self.is_unreachable(to, from) {
             return;
         }
@@ -355,7 +357,7 @@
         if !pass_on {
             let control = &mut self.control[to];
             let grant = control.buckets.draw(clock, &draw, &control.tenure);
-            return self.send(Event::Grant {
+            return self.send(Event::LeaseGrant {
                 to: from,
                 from: to,
                 id,
@@ -367,7 +369,7 @@
         self.carry_out(to, orders);
     }
 
-    fn on_grant(&mut self, to: Sender, from: usize, id: u64, grant: Grant) {
+    fn on_grant(&mut self, to: Sender, from: usize, id: u64, grant: LeaseGrant) {
         if self.is_unreachable(from, to) {
             return;
         }
@@ -399,7 +401,7 @@
                 } => {
                     let from = Sender::Control(control, self.control[control].life);
                     if let Some(to) = self.control.iter().position(|other| other.own == to) {
-                        self.send(Event::Draw {
+                        self.send(Event::LeaseRequest {
                             to,
                             from,
                             id,
@@ -409,7 +411,7 @@
                     }
                 }
                 Order::Answer { origin, grant } => {
-                    self.send(Event::Grant {
+                    self.send(Event::LeaseGrant {
                         to: origin.sender,
                         from: control,
                         id: origin.id,
@@ -425,14 +427,14 @@
         matches!(other, Sender::Control(place, _) if cut(place) || cut(control))
     }
 
-    fn voters(&self) -> Vec<Holder> {
+    fn voters(&self) -> Vec<OwnerId> {
         self.changes
             .last()
             .map(|(_, voters)| voters.clone())
             .unwrap_or_default()
     }
 
-    fn reachable(&self, from: usize) -> BTreeSet<Holder> {
+    fn reachable(&self, from: usize) -> BTreeSet<OwnerId> {
         let others = self
             .control
             .iter()
@@ -500,7 +502,7 @@
         );
         let mut own = self.control[place].own;
         if wiped {
-            (own, disk) = (Holder(1_000 * life + place as u64), Vec::new());
+            (own, disk) = (OwnerId(1_000 * life + place as u64), Vec::new());
             let before = self.control[place].own;
             let stays = self.voters().into_iter().filter(|voter| *voter != before);
             let voters = stays.chain([own]).collect();
