--- a/fleet/src/control/mod.rs
+++ b/fleet/src/control/mod.rs
@@ -1,9 +1,9 @@
 //! The role `control`: keeps the configuration with its peers, knows model servers and routers, and
 //! answers operators.
 //!
-//! One loop joins the parts. Each part is plain state ([`peers`], [`routers`], [`servers`],
-//! [`feed`]) or the edge to a package ([`calls`] to what is decided about calls, [`group`] to
-//! replication and storage, [`callers`] to HTTP, [`links`] to frames); [`machine`] hands what
+//! One loop joins the parts. Each part is plain state (`peers`, `routers`, `servers`,
+//! `feed`) or the edge to a package (`calls` to what is decided about calls, `group` to
+//! replication and storage, `callers` to HTTP, `links` to frames); `machine` hands what
 //! happens from one to the other. The loop never waits for anything but sockets: a thread of its
 //! own writes the disk.
 
--- a/fleet/src/router/backlog.rs
+++ b/fleet/src/router/backlog.rs
@@ -16,7 +16,7 @@
 
 /// What control was told last.
 #[derive(Debug, Default)]
-pub struct BacklogReports {
+pub(super) struct BacklogReports {
     told: BTreeMap<ServerId, Backlog>,
     /// A report is due at a set time.
     planned: bool,
--- a/fleet/src/router/budget.rs
+++ b/fleet/src/router/budget.rs
@@ -24,7 +24,7 @@
 
 /// What the module may spend.
 #[must_use]
-pub fn module_budget(budget: RetryBudget, routers: u32) -> Budget {
+pub(super) fn module_budget(budget: RetryBudget, routers: u32) -> Budget {
     Budget {
         window: micros(budget.window),
         least: (1.0 - RESUME_SHARE) * slack(budget, routers),
@@ -34,7 +34,7 @@
 
 /// Streams that may go on at another server.
 #[derive(Debug)]
-pub struct ResumeBudget {
+pub(super) struct ResumeBudget {
     window: Micros,
     share: f64,
     least: f64,
@@ -45,7 +45,7 @@
 impl ResumeBudget {
     /// While it is not known how many routers there are.
     #[must_use]
-    pub fn new(budget: RetryBudget) -> ResumeBudget {
+    pub(super) fn new(budget: RetryBudget) -> ResumeBudget {
         let (requests, resumes) = (WindowCounter::default(), WindowCounter::default());
         let mut new = ResumeBudget {
             window: 0,
@@ -59,19 +59,19 @@
     }
 
     /// There are so many routers now.
-    pub fn set(&mut self, budget: RetryBudget, routers: u32) {
+    pub(super) fn set(&mut self, budget: RetryBudget, routers: u32) {
         self.window = micros(budget.window).max(SLICES);
         self.share = RESUME_SHARE * budget.ratio;
         self.least = RESUME_SHARE * slack(budget, routers);
     }
 
     /// A request was taken.
-    pub fn on_request(&mut self, now: Time) {
+    pub(super) fn on_request(&mut self, now: Time) {
         self.requests.add(now, self.window);
     }
 
     /// Takes one out of it, if it bears that.
-    pub fn take(&mut self, now: Time) -> bool {
+    pub(super) fn take(&mut self, now: Time) -> bool {
         let requests = self.requests.count(now, self.window);
         let resumes = self.resumes.count(now, self.window);
         let allowed = f64::from(resumes + 1) <= self.least + self.share * f64::from(requests);
--- a/fleet/src/router/clients.rs
+++ b/fleet/src/router/clients.rs
@@ -30,7 +30,7 @@
 
 /// What a client has done.
 #[derive(Debug)]
-pub enum ClientEvent {
+pub(super) enum ClientEvent {
     /// It has sent a whole request.
     Request(ConnId, Box<ClientRequest>),
     /// It has left, or can't be written to, while its request was not answered.
@@ -70,7 +70,7 @@
 }
 
 /// The connections of clients.
-pub struct Clients {
+pub(super) struct Clients {
     open: HashMap<ConnId, Session>,
     limits: Limits,
     /// Bytes held of requests that are arriving, and the most of them.
@@ -83,7 +83,7 @@
 impl Clients {
     /// No connections yet; so many bytes are held of requests that are arriving.
     #[must_use]
-    pub fn new(most_bytes: usize) -> Clients {
+    pub(super) fn new(most_bytes: usize) -> Clients {
         let limits = Limits::default();
         Clients {
             open: HashMap::new(),
@@ -95,31 +95,31 @@
     }
 
     /// From now on these limits hold; of a request that is arriving, those from its beginning.
-    pub fn set_limits(&mut self, limits: Limits) {
+    pub(super) fn set_limits(&mut self, limits: Limits) {
         self.limits = limits;
     }
 
     /// From now on connections are closed after their answer.
-    pub fn stop(&mut self) {
+    pub(super) fn stop(&mut self) {
         self.stopping = true;
     }
 
     /// How many connections are open.
     #[must_use]
-    pub fn count(&self) -> usize {
+    pub(super) fn count(&self) -> usize {
         self.open.len()
     }
 
     /// How many clients wait for an answer, or for the rest of one.
     #[must_use]
-    pub fn waiting(&self) -> usize {
+    pub(super) fn waiting(&self) -> usize {
         let waits =
             |session: &&Session| matches!(session.state, State::Waiting | State::Answering { .. });
         self.open.values().filter(waits).count()
     }
 
     /// Accepts all that wait.
-    pub fn accept(&mut self, net: &mut Net) {
+    pub(super) fn accept(&mut self, net: &mut Net) {
         for id in net.accept(Owner::Client) {
             let since = net.clock.now();
             let session = Session {
@@ -137,7 +137,7 @@
     }
 
     /// Reads and writes what a connection is ready for.
-    pub fn ready(&mut self, net: &mut Net, id: ConnId, events: &mut Vec<ClientEvent>) {
+    pub(super) fn ready(&mut self, net: &mut Net, id: ConnId, events: &mut Vec<ClientEvent>) {
         let Some(state) = self.open.get(&id).map(|session| session.state) else {
             return net.close(id);
         };
@@ -160,7 +160,7 @@
     }
 
     /// A connection's timer: its time may be over.
-    pub fn timer(&mut self, net: &mut Net, id: ConnId, events: &mut Vec<ClientEvent>) {
+    pub(super) fn timer(&mut self, net: &mut Net, id: ConnId, events: &mut Vec<ClientEvent>) {
         let now = net.clock.now();
         let Some(session) = self.open.get_mut(&id) else {
             return;
@@ -186,7 +186,7 @@
     }
 
     /// Gives a client an answer of this program, whole.
-    pub fn answer_own(
+    pub(super) fn answer_own(
         &mut self,
         net: &mut Net,
         id: ConnId,
@@ -203,7 +203,7 @@
     }
 
     /// Gives a client a server's answer, whole: its head without the end, and its body.
-    pub fn answer_whole(
+    pub(super) fn answer_whole(
         &mut self,
         net: &mut Net,
         id: ConnId,
@@ -228,7 +228,7 @@
     }
 
     /// Begins a server's answer that is passed on as it comes: with this length, or in chunks.
-    pub fn begin(&mut self, net: &mut Net, id: ConnId, head: &[u8], length: Option<u64>) {
+    pub(super) fn begin(&mut self, net: &mut Net, id: ConnId, head: &[u8], length: Option<u64>) {
         let Some(session) = self.open.get_mut(&id) else {
             return;
         };
@@ -249,7 +249,7 @@
     }
 
     /// Passes a piece of a body on; it leaves with [`Clients::flush`].
-    pub fn pass(&mut self, net: &mut Net, id: ConnId, piece: &[u8]) {
+    pub(super) fn pass(&mut self, net: &mut Net, id: ConnId, piece: &[u8]) {
         let Some(State::Answering { chunked }) = self.open.get(&id).map(|session| session.state)
         else {
             return;
@@ -266,7 +266,12 @@
     }
 
     /// Writes what has been passed on; tells how many bytes the client has still to take.
-    pub fn flush(&mut self, net: &mut Net, id: ConnId, events: &mut Vec<ClientEvent>) -> usize {
+    pub(super) fn flush(
+        &mut self,
+        net: &mut Net,
+        id: ConnId,
+        events: &mut Vec<ClientEvent>,
+    ) -> usize {
         if net.flush(id, false) != Pumped::Alive {
             self.left(net, id, events);
             return 0;
@@ -279,7 +284,7 @@
     }
 
     /// Ends a body that is complete.
-    pub fn end(&mut self, net: &mut Net, id: ConnId, events: &mut Vec<ClientEvent>) {
+    pub(super) fn end(&mut self, net: &mut Net, id: ConnId, events: &mut Vec<ClientEvent>) {
         let Some(State::Answering { chunked }) = self.open.get(&id).map(|session| session.state)
         else {
             return;
@@ -291,13 +296,13 @@
     }
 
     /// Ends an answer that is not complete: the client sees that it was cut off.
-    pub fn cut(&mut self, net: &mut Net, id: ConnId) {
+    pub(super) fn cut(&mut self, net: &mut Net, id: ConnId) {
         self.close(net, id);
     }
 
     /// The same behind what was passed on, all of which still reaches the client: it can ask for
     /// the rest of a stream elsewhere.
-    pub fn cut_behind_written(&mut self, net: &mut Net, id: ConnId) {
+    pub(super) fn cut_behind_written(&mut self, net: &mut Net, id: ConnId) {
         let now = net.clock.now();
         let Some(session) = self.open.get_mut(&id) else {
             return;
@@ -309,7 +314,7 @@
 
     /// Ends connections that rest, an eighth of all, those that have rested for longest first.
     /// Guards clients that wait to be accepted.
-    pub fn make_room(&mut self, net: &mut Net) {
+    pub(super) fn make_room(&mut self, net: &mut Net) {
         let rests = |id: &ConnId, session: &Session| {
             let quiet = net
                 .get(*id)
@@ -330,7 +335,7 @@
 
     /// Connections on which something is still to be read, answered or written.
     #[must_use]
-    pub fn busy(&self, net: &Net) -> usize {
+    pub(super) fn busy(&self, net: &Net) -> usize {
         let unwritten = |id: &ConnId| net.get(*id).is_some_and(|conn| !conn.flushed());
         let is_busy = |id: &ConnId, session: &Session| match session.state {
             State::Reading => session.arriving || unwritten(id),
--- a/fleet/src/router/configuration.rs
+++ b/fleet/src/router/configuration.rs
@@ -13,7 +13,7 @@
 /// What a route says of its requests. A request keeps a copy to its end, whatever configuration
 /// comes meanwhile.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Terms {
+pub(super) struct Terms {
     /// Name of the route.
     pub route: Arc<str>,
     /// A request may run more than once: a safe one, or a stream that may be resumed.
@@ -53,7 +53,7 @@
 
 /// A configuration in force.
 #[derive(Debug)]
-pub struct InForce {
+pub(super) struct InForce {
     /// Its position.
     pub position: ConfigurationPosition,
     routes: Routes,
@@ -67,7 +67,7 @@
     ///
     /// # Errors
     /// What is wrong with it.
-    pub fn parse(
+    pub(super) fn parse(
         position: ConfigurationPosition,
         document: &[u8],
     ) -> Result<InForce, ConfigurationError> {
@@ -83,32 +83,32 @@
 
     /// The document.
     #[must_use]
-    pub fn document(&self) -> &Document {
+    pub(super) fn document(&self) -> &Document {
         self.routes.document()
     }
 
     /// What clients may send.
     #[must_use]
-    pub fn limits(&self) -> Limits {
+    pub(super) fn limits(&self) -> Limits {
         *self.document().limits()
     }
 
     /// The route of a request; `None`: no route takes it.
     #[must_use]
-    pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
+    pub(super) fn route(&self, host: &str, path: &str) -> Option<&Route> {
         self.routes.lookup(host, path)
     }
 
     /// The terms of a tenant's request on a route.
     #[must_use]
-    pub fn terms(&self, route: &Route, tenant: Option<&Tenant>) -> Terms {
+    pub(super) fn terms(&self, route: &Route, tenant: Option<&Tenant>) -> Terms {
         Terms::of(route, self.ranks.rank(tenant, route))
     }
 
     /// Terms of all routes that may send to a service, by the ranks that their tenants may give
     /// them.
     #[must_use]
-    pub fn terms_of(&self, service: &str) -> Vec<Terms> {
+    pub(super) fn terms_of(&self, service: &str) -> Vec<Terms> {
         let to = |route: &&Route| {
             route
                 .targets
@@ -134,19 +134,19 @@
 
 /// The configuration in force, where there is one.
 #[derive(Default)]
-pub struct Configuration {
+pub(super) struct Configuration {
     in_force: Option<InForce>,
 }
 
 impl Configuration {
     /// The configuration in force.
     #[must_use]
-    pub fn get(&self) -> Option<&InForce> {
+    pub(super) fn get(&self) -> Option<&InForce> {
         self.in_force.as_ref()
     }
 
     /// Puts a configuration in force, if its position is above that of the one which is.
-    pub fn apply(&mut self, new: InForce) -> bool {
+    pub(super) fn apply(&mut self, new: InForce) -> bool {
         let newer = self
             .in_force
             .as_ref()
--- a/fleet/src/router/control_link.rs
+++ b/fleet/src/router/control_link.rs
@@ -20,7 +20,7 @@
 
 /// After this long without a word, or without contact, another control machine is tried
 /// (microseconds): between two and three heartbeats.
-pub const SILENCE: Micros = 700_000;
+pub(super) const SILENCE: Micros = 700_000;
 /// A connection that is not up after this long is given up: links within a region take
 /// milliseconds.
 const CONNECT: Micros = 400_000;
@@ -31,7 +31,7 @@
 
 /// Who this router is, to control machines.
 #[derive(Clone, Debug)]
-pub struct Identity {
+pub(super) struct Identity {
     /// `nodeName`.
     pub node: String,
     /// Its zone.
@@ -42,7 +42,7 @@
 
 /// What came from control.
 #[derive(Debug)]
-pub enum News {
+pub(super) enum News {
     /// A configuration that may be applied, if its position is above all before it.
     Configuration(ConfigurationPosition, Vec<u8>),
     /// Records of servers, to be merged.
@@ -78,7 +78,7 @@
 }
 
 /// The link.
-pub struct ControlLink {
+pub(super) struct ControlLink {
     identity: Identity,
     candidates: Candidates,
     /// Control machines that are reached at another address than their own.
@@ -107,13 +107,16 @@
 impl ControlLink {
     /// The same, where these control machines are reached at another address than their own.
     #[must_use]
-    pub fn with_forwarders(self, forwarders: BTreeMap<SocketAddr, SocketAddr>) -> ControlLink {
+    pub(super) fn with_forwarders(
+        self,
+        forwarders: BTreeMap<SocketAddr, SocketAddr>,
+    ) -> ControlLink {
         ControlLink { forwarders, ..self }
     }
 
     /// A link that is not connected yet.
     #[must_use]
-    pub fn new(now: Time, identity: Identity, candidates: Candidates) -> ControlLink {
+    pub(super) fn new(now: Time, identity: Identity, candidates: Candidates) -> ControlLink {
         ControlLink {
             rng: fastrand::Rng::with_seed(identity.process),
             identity,
@@ -129,18 +132,18 @@
     }
 
     /// The settings name these seeds now.
-    pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
+    pub(super) fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.candidates.set_seeds(seeds);
     }
 
     /// The configuration of this position is in force now.
-    pub fn on_applied(&mut self, position: ConfigurationPosition) {
+    pub(super) fn on_applied(&mut self, position: ConfigurationPosition) {
         self.applied = Some(position);
         self.unconfirmed = None;
     }
 
     /// Looks at the link: opens it, gives it up, or takes what has waited for long enough.
-    pub fn look(&mut self, net: &mut Net) -> Vec<News> {
+    pub(super) fn look(&mut self, net: &mut Net) -> Vec<News> {
         let now = net.clock.now();
         if self.look_at.is_some_and(|at| at <= now) {
             self.look_at = None;
@@ -157,7 +160,7 @@
     }
 
     /// Reads what has come, and acknowledges what was read before.
-    pub fn ready(&mut self, net: &mut Net, id: ConnId) -> Vec<News> {
+    pub(super) fn ready(&mut self, net: &mut Net, id: ConnId) -> Vec<News> {
         let Some(connection) = self.connection.as_mut().filter(|c| c.id == id) else {
             net.close(id);
             return Vec::new();
@@ -187,7 +190,7 @@
 
     /// Acknowledges what has been applied since the last time. Called once what was read has been
     /// applied.
-    pub fn acknowledge(&mut self, net: &mut Net) {
+    pub(super) fn acknowledge(&mut self, net: &mut Net) {
         let applied = self.applied;
         let Some(connection) = self.connection.as_mut().filter(|c| c.push > c.acknowledged) else {
             return;
@@ -204,20 +207,20 @@
 
     /// Whether a connection has been given up since this was last asked: what was sent on it gets
     /// no answer.
-    pub fn take_lost(&mut self) -> bool {
+    pub(super) fn take_lost(&mut self) -> bool {
         std::mem::take(&mut self.lost)
     }
 
     /// Whether a control machine is connected, and has been told who this router is.
     #[must_use]
-    pub fn is_greeted(&self) -> bool {
+    pub(super) fn is_greeted(&self) -> bool {
         self.connection
             .as_ref()
             .is_some_and(|connection| connection.greeted)
     }
 
     /// Sends a message about tenants to the control machine that is connected.
-    pub fn send_tenant_message(&mut self, net: &mut Net, message: &TenantMessage) {
+    pub(super) fn send_tenant_message(&mut self, net: &mut Net, message: &TenantMessage) {
         let Some(connection) = &self.connection else {
             return;
         };
@@ -229,7 +232,7 @@
     }
 
     /// Tells the control machine that is connected what waits at servers.
-    pub fn send_backlog_report(&mut self, net: &mut Net, report: &BacklogReport) {
+    pub(super) fn send_backlog_report(&mut self, net: &mut Net, report: &BacklogReport) {
         let Some(connection) = &self.connection else {
             return;
         };
@@ -242,7 +245,7 @@
 
     /// Whether the configuration of this position, or a later one, is in force.
     #[must_use]
-    pub fn has_applied(&self, position: ConfigurationPosition) -> bool {
+    pub(super) fn has_applied(&self, position: ConfigurationPosition) -> bool {
         self.applied.is_some_and(|applied| applied >= position)
     }
 
--- a/fleet/src/router/counters.rs
+++ b/fleet/src/router/counters.rs
@@ -4,7 +4,7 @@
 
 /// Counts since the process began.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counters {
+pub(super) struct Counters {
     /// Answered 503 at once.
     pub away: u64,
     /// Answered 404.
@@ -19,7 +19,7 @@
 
 impl Counters {
     /// A request was answered at once.
-    pub fn on_turned(&mut self, turned: &Turned) {
+    pub(super) fn on_turned(&mut self, turned: &Turned) {
         let counter = match turned {
             Turned::Away(_) => &mut self.away,
             Turned::NoRoute => &mut self.no_route,
--- a/fleet/src/router/cut.rs
+++ b/fleet/src/router/cut.rs
@@ -13,7 +13,7 @@
 
 /// Why an answer that had begun was cut off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CutReason {
+pub(super) enum CutReason {
     /// Its server ended it like this, and it could not go on at another one.
     ServerEnded(Outcome),
     /// It went on at another server, which did not bring the rest.
--- a/fleet/src/router/exchange.rs
+++ b/fleet/src/router/exchange.rs
@@ -17,7 +17,7 @@
 
 /// How far a request has come.
 #[derive(Debug)]
-pub enum Phase {
+pub(super) enum Phase {
     /// Nothing has been answered.
     Held,
     /// An answer is being passed on.
@@ -31,7 +31,7 @@
 
 /// An answer that is being passed on.
 #[derive(Debug)]
-pub struct Relay {
+pub(super) struct Relay {
     /// The attempt that brings it.
     pub attempt: AttemptId,
     /// Its server.
@@ -44,7 +44,7 @@
 
 /// An attempt that is out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Out {
+pub(super) struct Out {
     /// The attempt.
     pub id: AttemptId,
     /// Its server.
@@ -53,7 +53,7 @@
 
 /// A request that is held.
 #[derive(Debug)]
-pub struct Exchange {
+pub(super) struct Exchange {
     /// Whose it is.
     pub client: ConnId,
     /// The request.
@@ -88,7 +88,7 @@
 
 impl Exchange {
     /// An attempt has ended in this way.
-    pub fn on_ended(&mut self, id: AttemptId, outcome: Outcome) {
+    pub(super) fn on_ended(&mut self, id: AttemptId, outcome: Outcome) {
         let before = self.out.len();
         self.out.retain(|out| out.id != id);
         let known = self.out.len() < before;
@@ -101,7 +101,7 @@
     }
 
     /// An attempt is being made.
-    pub fn on_sent(&mut self, out: Out) {
+    pub(super) fn on_sent(&mut self, out: Out) {
         self.out.push(out);
         self.may_have_run += 1;
         self.sends += 1;
@@ -109,21 +109,21 @@
 
     /// Whether the rules allow that it is sent once more.
     #[must_use]
-    pub fn may_send(&self) -> bool {
+    pub(super) fn may_send(&self) -> bool {
         (self.terms.idempotent || self.may_have_run == 0)
             && self.sends < self.terms.max_attempts.max(1)
     }
 
     /// Whether this attempt's answer is being passed on.
     #[must_use]
-    pub fn relays(&self, id: AttemptId) -> bool {
+    pub(super) fn relays(&self, id: AttemptId) -> bool {
         matches!(&self.phase, Phase::Relaying(relay) if relay.attempt == id)
     }
 }
 
 /// What a server's whole answer means for its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Meaning {
+pub(super) enum Meaning {
     /// It is the answer.
     Final,
     /// The server says that it did not run the request.
@@ -139,7 +139,7 @@
 /// be a promise in this program's mouth (408, 421, 429, 503) is not passed on as one where the
 /// server has not made it.
 #[must_use]
-pub fn meaning(head: &ResponseHead) -> Meaning {
+pub(super) fn meaning(head: &ResponseHead) -> Meaning {
     let promise = matches!(head.status, 408 | 421 | 429 | 503);
     match head.status {
         421 => Meaning::NeverRan,
@@ -152,7 +152,7 @@
 
 /// All requests that are held.
 #[derive(Default)]
-pub struct Exchanges {
+pub(super) struct Exchanges {
     held: HashMap<ExchangeId, Exchange>,
     by_client: HashMap<ConnId, ExchangeId>,
     by_attempt: HashMap<AttemptId, ExchangeId>,
@@ -163,24 +163,24 @@
 impl Exchanges {
     /// How many are held.
     #[must_use]
-    pub fn len(&self) -> usize {
+    pub(super) fn len(&self) -> usize {
         self.held.len()
     }
 
     /// Whether none is held.
     #[must_use]
-    pub fn is_empty(&self) -> bool {
+    pub(super) fn is_empty(&self) -> bool {
         self.held.is_empty()
     }
 
     /// Bytes of the requests that are held.
     #[must_use]
-    pub fn bytes(&self) -> usize {
+    pub(super) fn bytes(&self) -> usize {
         self.bytes
     }
 
     /// Adds one.
-    pub fn insert(&mut self, exchange: Exchange) -> ExchangeId {
+    pub(super) fn insert(&mut self, exchange: Exchange) -> ExchangeId {
         let id = self.next_id();
         self.next += 1;
         self.bytes += exchange.request.bytes();
@@ -191,35 +191,35 @@
 
     /// What the next one that is added will be called.
     #[must_use]
-    pub fn next_id(&self) -> ExchangeId {
+    pub(super) fn next_id(&self) -> ExchangeId {
         ExchangeId(self.next)
     }
 
     /// One that is held.
     #[must_use]
-    pub fn get(&self, id: ExchangeId) -> Option<&Exchange> {
+    pub(super) fn get(&self, id: ExchangeId) -> Option<&Exchange> {
         self.held.get(&id)
     }
 
     /// The same, to change it.
-    pub fn get_mut(&mut self, id: ExchangeId) -> Option<&mut Exchange> {
+    pub(super) fn get_mut(&mut self, id: ExchangeId) -> Option<&mut Exchange> {
         self.held.get_mut(&id)
     }
 
     /// The request of a client.
     #[must_use]
-    pub fn of_client(&self, client: ConnId) -> Option<ExchangeId> {
+    pub(super) fn of_client(&self, client: ConnId) -> Option<ExchangeId> {
         self.by_client.get(&client).copied()
     }
 
     /// The request of an attempt.
     #[must_use]
-    pub fn of_attempt(&self, attempt: AttemptId) -> Option<ExchangeId> {
+    pub(super) fn of_attempt(&self, attempt: AttemptId) -> Option<ExchangeId> {
         self.by_attempt.get(&attempt).copied()
     }
 
     /// An attempt of a request is being made.
-    pub fn on_sent(&mut self, id: ExchangeId, out: Out) {
+    pub(super) fn on_sent(&mut self, id: ExchangeId, out: Out) {
         if let Some(exchange) = self.held.get_mut(&id) {
             exchange.on_sent(out);
             self.by_attempt.insert(out.id, id);
@@ -227,7 +227,7 @@
     }
 
     /// An attempt has ended; tells its request, if that is still held.
-    pub fn on_ended(&mut self, attempt: AttemptId, outcome: Outcome) -> Option<ExchangeId> {
+    pub(super) fn on_ended(&mut self, attempt: AttemptId, outcome: Outcome) -> Option<ExchangeId> {
         let id = self.by_attempt.remove(&attempt)?;
         self.held.get_mut(&id)?.on_ended(attempt, outcome);
         Some(id)
@@ -235,7 +235,7 @@
 
     /// An attempt of a request brings its answer, which is passed on from now on. Tells the others
     /// that are out for it.
-    pub fn on_begun(&mut self, id: ExchangeId, relay: Relay) -> Vec<AttemptId> {
+    pub(super) fn on_begun(&mut self, id: ExchangeId, relay: Relay) -> Vec<AttemptId> {
         let Some(exchange) = self.held.get_mut(&id) else {
             return Vec::new();
         };
@@ -253,7 +253,7 @@
     }
 
     /// The answer that was passed on broke off: the request goes on behind this event.
-    pub fn on_broken_off(&mut self, id: ExchangeId, last_event_id: Vec<u8>) {
+    pub(super) fn on_broken_off(&mut self, id: ExchangeId, last_event_id: Vec<u8>) {
         let Some(exchange) = self.held.get_mut(&id) else {
             return;
         };
@@ -264,7 +264,7 @@
     }
 
     /// Takes one out: the one place where it is given back.
-    pub fn remove(&mut self, id: ExchangeId) -> Option<Exchange> {
+    pub(super) fn remove(&mut self, id: ExchangeId) -> Option<Exchange> {
         let exchange = self.held.remove(&id)?;
         self.bytes -= exchange.request.bytes();
         self.by_client.remove(&exchange.client);
@@ -278,13 +278,13 @@
     }
 
     /// All that are held, in no order.
-    pub fn iter(&self) -> impl Iterator<Item = &Exchange> {
+    pub(super) fn iter(&self) -> impl Iterator<Item = &Exchange> {
         self.held.values()
     }
 
     /// Their names.
     #[must_use]
-    pub fn ids(&self) -> Vec<ExchangeId> {
+    pub(super) fn ids(&self) -> Vec<ExchangeId> {
         self.held.keys().copied().collect()
     }
 }
--- a/fleet/src/router/freshness.rs
+++ b/fleet/src/router/freshness.rs
@@ -27,7 +27,7 @@
 
 /// Bounds on revocations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RevocationTerms {
+pub(super) struct RevocationTerms {
     /// `revocationStrict`: the bound holds for all machines, in touch or not.
     pub strict: bool,
     /// `revokeMs`.
@@ -36,7 +36,7 @@
 
 /// When the configuration in force was confirmed.
 #[derive(Debug)]
-pub struct Freshness {
+pub(super) struct Freshness {
     terms: RevocationTerms,
     confirmed: Option<Time>,
     asked: Option<Time>,
@@ -45,7 +45,7 @@
 impl Freshness {
     /// Never confirmed yet.
     #[must_use]
-    pub fn new(terms: RevocationTerms) -> Freshness {
+    pub(super) fn new(terms: RevocationTerms) -> Freshness {
         Freshness {
             terms,
             confirmed: None,
@@ -54,12 +54,12 @@
     }
 
     /// The settings say so now.
-    pub fn set_terms(&mut self, terms: RevocationTerms) {
+    pub(super) fn set_terms(&mut self, terms: RevocationTerms) {
         self.terms = terms;
     }
 
     /// Whether a confirmation is to be asked for now; that is taken to be done.
-    pub fn asks(&mut self, now: Time) -> bool {
+    pub(super) fn asks(&mut self, now: Time) -> bool {
         let due = self
             .asked
             .is_none_or(|asked| now.since(asked) >= ASK_INTERVAL);
@@ -70,13 +70,13 @@
     }
 
     /// The connection on which it was asked is gone: it is asked anew on the next one.
-    pub fn on_link_lost(&mut self) {
+    pub(super) fn on_link_lost(&mut self) {
         self.asked = None;
     }
 
     /// What is in force is the newest configuration that a control machine in contact knew, which
     /// was asked at this time.
-    pub fn on_confirmed(&mut self, now: Time, asked: Time) {
+    pub(super) fn on_confirmed(&mut self, now: Time, asked: Time) {
         if asked <= now {
             self.confirmed = self.confirmed.max(Some(asked));
         }
@@ -84,7 +84,7 @@
 
     /// Whether requests with a key may be served.
     #[must_use]
-    pub fn serves_keys(&self, now: Time) -> bool {
+    pub(super) fn serves_keys(&self, now: Time) -> bool {
         !self.terms.strict
             || self
                 .confirmed
@@ -93,7 +93,7 @@
 
     /// Whether a key that is not known here is surely not known to the configuration that counts.
     #[must_use]
-    pub fn is_sure(&self, now: Time) -> bool {
+    pub(super) fn is_sure(&self, now: Time) -> bool {
         self.serves_keys(now)
             && self
                 .confirmed
--- a/fleet/src/router/ids.rs
+++ b/fleet/src/router/ids.rs
@@ -2,15 +2,15 @@
 
 /// Names a request. Never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct ExchangeId(pub u64);
+pub(super) struct ExchangeId(pub u64);
 
 /// Names a service. Never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct ServiceId(pub u32);
+pub(super) struct ServiceId(pub u32);
 
 /// Names an attempt of whichever service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct AttemptId {
+pub(super) struct AttemptId {
     /// Its service.
     pub service: ServiceId,
     /// Its number there.
--- a/fleet/src/router/program.rs
+++ b/fleet/src/router/program.rs
@@ -7,11 +7,11 @@
 use std::time::Duration;
 
 /// The role, to the loop of sockets.
-pub struct Router;
+pub(super) struct Router;
 
 /// Who a connection or listener belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Owner {
+pub(super) enum Owner {
     /// Clients.
     Client,
     /// The platform, which asks whether this router is ready.
@@ -24,7 +24,7 @@
 
 /// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Timer {
+pub(super) enum Timer {
     /// The time of a request is over.
     Exchange(ExchangeId),
     /// The time that the module gave an attempt is over.
@@ -51,7 +51,7 @@
 
 /// What has come to the process beside bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Signal {
+pub(super) enum Signal {
     /// To finish what was taken, and end.
     Stop,
     /// To read the settings again.
@@ -91,7 +91,7 @@
 
 /// A server that is well acknowledges within milliseconds, as long as its system has room for what
 /// it has not read.
-pub const SERVER_USER_TIMEOUT: Duration = Duration::from_secs(3);
+pub(super) const SERVER_USER_TIMEOUT: Duration = Duration::from_secs(3);
 /// Clients give a stream up after two seconds of silence at the least: what is found by then can
 /// still go on elsewhere.
 const SERVER_PROBE: Duration = Duration::from_millis(1_000);
@@ -99,16 +99,16 @@
 const CONTROL_USER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Sockets of this role.
-pub type Net = lichenswitch_net::Net<Router>;
+pub(super) type Net = lichenswitch_net::Net<Router>;
 
 /// A duration on the clock of the loop.
 #[must_use]
-pub fn micros(duration: Duration) -> Micros {
+pub(super) fn micros(duration: Duration) -> Micros {
     Micros::try_from(duration.as_micros()).unwrap_or(Micros::MAX)
 }
 
 /// A point so much later.
 #[must_use]
-pub fn after(time: Time, wait: Duration) -> Time {
+pub(super) fn after(time: Time, wait: Duration) -> Time {
     time.plus(micros(wait))
 }
--- a/fleet/src/router/readiness.rs
+++ b/fleet/src/router/readiness.rs
@@ -17,14 +17,14 @@
 
 /// Connections of the platform.
 #[derive(Default)]
-pub struct Readiness {
+pub(super) struct Readiness {
     /// Each with whether it closes once its answer is written.
     open: HashMap<ConnId, bool>,
 }
 
 impl Readiness {
     /// Accepts all that wait.
-    pub fn accept(&mut self, net: &mut Net) {
+    pub(super) fn accept(&mut self, net: &mut Net) {
         for id in net.accept(Owner::Platform) {
             self.open.insert(id, false);
             let at = after(net.clock.now(), IDLE);
@@ -33,7 +33,7 @@
     }
 
     /// Reads questions and answers them.
-    pub fn ready(&mut self, net: &mut Net, id: ConnId, is_ready: bool) {
+    pub(super) fn ready(&mut self, net: &mut Net, id: ConnId, is_ready: bool) {
         let pumped = net.pump(id, CEILING);
         let Some(closing) = self.open.get(&id).copied() else {
             return net.close(id);
@@ -52,7 +52,7 @@
     }
 
     /// A connection's timer: it may have been idle for too long.
-    pub fn timer(&mut self, net: &mut Net, id: ConnId) {
+    pub(super) fn timer(&mut self, net: &mut Net, id: ConnId) {
         if !self.open.contains_key(&id) {
             return;
         }
--- a/fleet/src/router/request.rs
+++ b/fleet/src/router/request.rs
@@ -31,7 +31,7 @@
 
 /// What a request tells of its tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum TokenUsage {
+pub(super) enum TokenUsage {
     /// Nothing.
     #[default]
     Untold,
@@ -43,7 +43,7 @@
 
 /// A request, whole.
 #[derive(Debug, Default, PartialEq)]
-pub struct ClientRequest {
+pub(super) struct ClientRequest {
     method: String,
     target: String,
     /// Its `Host`.
@@ -70,7 +70,7 @@
 
 /// What goes with one send of a request.
 #[derive(Debug)]
-pub struct Send<'a> {
+pub(super) struct Send<'a> {
     /// What is left of its time.
     pub left: Duration,
     /// The server that is meant.
@@ -85,7 +85,7 @@
 
 /// How far the reading of a request has come.
 #[derive(Debug)]
-pub enum Progress {
+pub(super) enum Progress {
     /// More bytes are needed.
     More {
         /// The client waits to be told that it may go on; told once.
@@ -97,7 +97,7 @@
 
 /// Reads one request.
 #[derive(Debug)]
-pub struct RequestReader {
+pub(super) struct RequestReader {
     max_header_bytes: usize,
     max_body_bytes: usize,
     request: Option<(Box<ClientRequest>, BodyDecoder)>,
@@ -107,24 +107,24 @@
 impl ClientRequest {
     /// The target as it came, path and query.
     #[must_use]
-    pub fn path(&self) -> &str {
+    pub(super) fn path(&self) -> &str {
         &self.target
     }
 
     /// Whether its answer has no body.
     #[must_use]
-    pub fn is_head(&self) -> bool {
+    pub(super) fn is_head(&self) -> bool {
         self.method == "HEAD"
     }
 
     /// Bytes that it holds.
     #[must_use]
-    pub fn bytes(&self) -> usize {
+    pub(super) fn bytes(&self) -> usize {
         self.body.len() + self.passed.len() + self.target.len()
     }
 
     /// Writes its head for a server.
-    pub fn encode(&self, send: &Send<'_>, to: &mut Vec<u8>) {
+    pub(super) fn encode(&self, send: &Send<'_>, to: &mut Vec<u8>) {
         to.reserve(self.passed.len() + self.target.len() + 256);
         // Writes to memory don't fail.
         let _ = write!(to, "{} {} HTTP/1.1\r\n", self.method, self.target);
@@ -150,7 +150,7 @@
 impl RequestReader {
     /// A reader under these limits.
     #[must_use]
-    pub fn new(limits: &Limits) -> RequestReader {
+    pub(super) fn new(limits: &Limits) -> RequestReader {
         RequestReader {
             max_header_bytes: usize::try_from(limits.max_header_bytes).unwrap_or(usize::MAX),
             max_body_bytes: usize::try_from(limits.max_body_bytes).unwrap_or(usize::MAX),
@@ -161,13 +161,13 @@
 
     /// Whether the head has come.
     #[must_use]
-    pub fn has_head(&self) -> bool {
+    pub(super) fn has_head(&self) -> bool {
         self.request.is_some()
     }
 
     /// Bytes of a body that it holds.
     #[must_use]
-    pub fn held(&self) -> usize {
+    pub(super) fn held(&self) -> usize {
         self.request
             .as_ref()
             .map_or(0, |(request, _)| request.body.len())
@@ -177,7 +177,7 @@
     ///
     /// # Errors
     /// What comes is no request within the limits.
-    pub fn read(&mut self, input: &mut Buffer) -> Result<Progress, Malformed> {
+    pub(super) fn read(&mut self, input: &mut Buffer) -> Result<Progress, Malformed> {
         if self.request.is_none() && !self.read_head(input)? {
             return Ok(Progress::More {
                 expects_continue: false,
--- a/fleet/src/router/response.rs
+++ b/fleet/src/router/response.rs
@@ -18,7 +18,7 @@
 
 /// What a server tells of itself in `Server-Load`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ServerLoad {
+pub(super) struct ServerLoad {
     /// Requests that run there.
     pub running: u32,
     /// Requests that wait there.
@@ -30,7 +30,7 @@
 impl ServerLoad {
     /// Reads the header's value: running, waiting and slots, with commas between them.
     #[must_use]
-    pub fn parse(value: &str) -> Option<ServerLoad> {
+    pub(super) fn parse(value: &str) -> Option<ServerLoad> {
         let mut figures = value
             .split(',')
             .map(|figure| figure.trim().parse::<u32>().ok());
@@ -45,7 +45,7 @@
 
 /// The head of a server's answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct ResponseHead {
+pub(super) struct ResponseHead {
     /// Its status.
     pub status: u16,
     /// Header lines that are passed on.
@@ -67,7 +67,7 @@
 impl ResponseHead {
     /// Its bytes for a client, without framing, `Connection` and the empty line.
     #[must_use]
-    pub fn encode(&self) -> Vec<u8> {
+    pub(super) fn encode(&self) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(self.passed.len() + 64);
         // Writes to memory don't fail.
         let _ = write!(
@@ -83,7 +83,7 @@
 
 /// A piece of a server's answer.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Piece {
+pub(super) enum Piece {
     /// Its head.
     Head(ResponseHead),
     /// Bytes of its body.
@@ -95,11 +95,11 @@
 /// Why what came is no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("no answer in the protocol")]
-pub struct NoAnswer;
+pub(super) struct NoAnswer;
 
 /// Reads the answer to one request.
 #[derive(Debug)]
-pub struct ResponseReader {
+pub(super) struct ResponseReader {
     head_only: bool,
     body: Option<(BodyDecoder, Framing)>,
     ended: bool,
@@ -110,7 +110,7 @@
 impl ResponseReader {
     /// For the answer to this request.
     #[must_use]
-    pub fn new(request: &ClientRequest) -> ResponseReader {
+    pub(super) fn new(request: &ClientRequest) -> ResponseReader {
         let head_only = request.is_head();
         ResponseReader {
             head_only,
@@ -125,7 +125,11 @@
     ///
     /// # Errors
     /// What came is no answer, or one that was cut.
-    pub fn read(&mut self, input: &mut Buffer, ended: bool) -> Result<Option<Piece>, NoAnswer> {
+    pub(super) fn read(
+        &mut self,
+        input: &mut Buffer,
+        ended: bool,
+    ) -> Result<Option<Piece>, NoAnswer> {
         let Some((decoder, _)) = &mut self.body else {
             return self.read_head(input, ended);
         };
@@ -153,13 +157,13 @@
 
     /// Whether the server keeps the connection for another request.
     #[must_use]
-    pub fn keeps_connection(&self) -> bool {
+    pub(super) fn keeps_connection(&self) -> bool {
         self.keeps
     }
 
     /// Whether the answer tells where it ends.
     #[must_use]
-    pub fn is_framed(&self) -> bool {
+    pub(super) fn is_framed(&self) -> bool {
         self.body
             .as_ref()
             .is_some_and(|(_, framing)| *framing != Framing::UntilClose)
@@ -167,13 +171,13 @@
 
     /// For how long the server keeps idle connections, where it tells.
     #[must_use]
-    pub fn idle_time(&self) -> Option<Duration> {
+    pub(super) fn idle_time(&self) -> Option<Duration> {
         self.idle_time
     }
 
     /// Length of the body, where it is told.
     #[must_use]
-    pub fn length(&self) -> Option<u64> {
+    pub(super) fn length(&self) -> Option<u64> {
         match self.body.as_ref()?.1 {
             Framing::Length(length) => Some(length),
             Framing::None | Framing::Chunked | Framing::UntilClose => None,
@@ -247,7 +251,7 @@
 
 /// An answer of this program. It never bears a seal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct OwnAnswer {
+pub(super) struct OwnAnswer {
     status: u16,
     retry_after: Option<Micros>,
     /// The connection ends with it.
@@ -257,7 +261,7 @@
 impl OwnAnswer {
     /// This status and nothing else.
     #[must_use]
-    pub fn plain(status: u16) -> OwnAnswer {
+    pub(super) fn plain(status: u16) -> OwnAnswer {
         OwnAnswer {
             status,
             retry_after: None,
@@ -267,7 +271,7 @@
 
     /// This status, and the end of the connection.
     #[must_use]
-    pub fn closing(status: u16) -> OwnAnswer {
+    pub(super) fn closing(status: u16) -> OwnAnswer {
         OwnAnswer {
             closes: true,
             ..OwnAnswer::plain(status)
@@ -276,7 +280,7 @@
 
     /// A refusal: the request has not run and never will.
     #[must_use]
-    pub fn refused(after: Option<Micros>) -> OwnAnswer {
+    pub(super) fn refused(after: Option<Micros>) -> OwnAnswer {
         OwnAnswer {
             status: 503,
             retry_after: Some(after.unwrap_or(RETRY_AFTER).max(1_000)),
@@ -286,7 +290,7 @@
 
     /// A refusal of what is beyond a quota: the request has not run and never will.
     #[must_use]
-    pub fn beyond_quota(after: Micros) -> OwnAnswer {
+    pub(super) fn beyond_quota(after: Micros) -> OwnAnswer {
         OwnAnswer {
             status: 429,
             ..OwnAnswer::refused(Some(after))
@@ -295,7 +299,7 @@
 
     /// The same, and the end of the connection.
     #[must_use]
-    pub fn and_close(self) -> OwnAnswer {
+    pub(super) fn and_close(self) -> OwnAnswer {
         OwnAnswer {
             closes: true,
             ..self
@@ -304,7 +308,7 @@
 
     /// Its bytes; `last`: the connection ends with it.
     #[must_use]
-    pub fn encode(&self, last: bool, head_only: bool) -> Vec<u8> {
+    pub(super) fn encode(&self, last: bool, head_only: bool) -> Vec<u8> {
         let body = if head_only { "" } else { reason(self.status) };
         let mut bytes = Vec::with_capacity(128);
         // Writes to memory don't fail.
--- a/fleet/src/router/server_connections.rs
+++ b/fleet/src/router/server_connections.rs
@@ -57,7 +57,7 @@
 
 /// One attempt to be made.
 #[derive(Debug)]
-pub struct Attempt {
+pub(super) struct Attempt {
     /// Names it.
     pub id: AttemptId,
     /// Its server.
@@ -89,7 +89,7 @@
 
 /// A server's answer, whole.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Answer {
+pub(super) struct Answer {
     /// Its head.
     pub head: ResponseHead,
     /// Its body.
@@ -98,7 +98,7 @@
 
 /// A part of an answer that is passed on as it comes; of a stream of events whole events alone.
 #[derive(Debug, Default, Clone, PartialEq)]
-pub struct Part {
+pub(super) struct Part {
     /// Its bytes.
     pub bytes: Vec<u8>,
     /// The id of the last event so far.
@@ -107,7 +107,7 @@
 
 /// What became of an attempt.
 #[derive(Debug)]
-pub enum ServerEvent {
+pub(super) enum ServerEvent {
     /// It was answered, whole.
     Answered(AttemptId, Answer),
     /// An answer has begun that is passed on as it comes: its head, its length where that is told,
@@ -165,7 +165,7 @@
 
 /// All connections to servers.
 #[derive(Default)]
-pub struct ServerConnections {
+pub(super) struct ServerConnections {
     links: HashMap<ConnId, Link>,
     by_attempt: HashMap<AttemptId, ConnId>,
     /// Connections of each server, whatever they do.
@@ -176,18 +176,18 @@
 
 impl ServerConnections {
     /// What became of attempts since the last time.
-    pub fn take_events(&mut self) -> Vec<ServerEvent> {
+    pub(super) fn take_events(&mut self) -> Vec<ServerEvent> {
         std::mem::take(&mut self.events)
     }
 
     /// Whether something became of an attempt since then.
     #[must_use]
-    pub fn has_events(&self) -> bool {
+    pub(super) fn has_events(&self) -> bool {
         !self.events.is_empty()
     }
 
     /// Makes an attempt.
-    pub fn send(&mut self, net: &mut Net, attempt: Attempt) {
+    pub(super) fn send(&mut self, net: &mut Net, attempt: Attempt) {
         if let Some(id) = self.idle_connection(net, &attempt) {
             return self.write(net, id, attempt);
         }
@@ -200,7 +200,7 @@
 
     /// Gives an attempt up: its server sees the connection end. Nothing is told of it any more.
     /// `true`: not a byte of it has left.
-    pub fn withdraw(&mut self, net: &mut Net, id: AttemptId) -> bool {
+    pub(super) fn withdraw(&mut self, net: &mut Net, id: AttemptId) -> bool {
         if let Some(connection) = self.by_attempt.remove(&id) {
             let opening = matches!(self.state(connection), Some(State::Opening(_)));
             self.close(net, connection);
@@ -211,7 +211,7 @@
 
     /// A server takes nothing new: what has not left for it is told as never sent, and its idle
     /// connections are closed.
-    pub fn hold_back(&mut self, net: &mut Net, server: ServerId) {
+    pub(super) fn hold_back(&mut self, net: &mut Net, server: ServerId) {
         for attempt in self.waiting.remove(&server).unwrap_or_default() {
             self.fail(attempt.id, Outcome::Moot);
         }
@@ -229,7 +229,7 @@
     }
 
     /// Closes the connections to a server that have rested: they may have been dropped unseen.
-    pub fn close_idle(&mut self, net: &mut Net, server: ServerId) {
+    pub(super) fn close_idle(&mut self, net: &mut Net, server: ServerId) {
         let now = net.clock.now();
         for id in self.by_server.get(&server).cloned().unwrap_or_default() {
             if matches!(self.state(id), Some(State::Idle(since, _)) if now.since(*since) > FRESH) {
@@ -239,7 +239,7 @@
     }
 
     /// Reading of an attempt's answer rests, since its client is slow, or goes on.
-    pub fn pause(&mut self, net: &mut Net, id: AttemptId, on: bool) {
+    pub(super) fn pause(&mut self, net: &mut Net, id: AttemptId, on: bool) {
         let Some(&connection) = self.by_attempt.get(&id) else {
             return;
         };
@@ -249,7 +249,7 @@
     }
 
     /// Reads and writes what a connection is ready for.
-    pub fn ready(&mut self, net: &mut Net, id: ConnId) {
+    pub(super) fn ready(&mut self, net: &mut Net, id: ConnId) {
         if !self.links.contains_key(&id) {
             return net.close(id);
         }
@@ -265,7 +265,7 @@
     }
 
     /// A connection's timer: it should be up by now, or may have rested for too long.
-    pub fn timer(&mut self, net: &mut Net, id: ConnId) {
+    pub(super) fn timer(&mut self, net: &mut Net, id: ConnId) {
         let now = net.clock.now();
         let Some(link) = self.links.get_mut(&id) else {
             return;
@@ -283,7 +283,7 @@
     }
 
     /// An attempt has waited for a connection for long enough.
-    pub fn waited(&mut self, id: AttemptId) {
+    pub(super) fn waited(&mut self, id: AttemptId) {
         if self.take_waiting(id) {
             self.fail(id, Outcome::Moot);
         }
--- a/fleet/src/router/service.rs
+++ b/fleet/src/router/service.rs
@@ -46,7 +46,7 @@
 const MOST_ATTEMPTS: u32 = 16;
 
 /// A service.
-pub struct Service {
+pub(super) struct Service {
     /// Its name.
     pub name: Rc<str>,
     core: Core<ExchangeId>,
@@ -82,7 +82,7 @@
 
 /// What a service is asked for.
 #[derive(Debug)]
-pub struct Ask<'a> {
+pub(super) struct Ask<'a> {
     /// The request that is held.
     pub exchange: ExchangeId,
     /// What its route says.
@@ -105,7 +105,7 @@
 impl Service {
     /// A service whose servers are listed like this.
     #[must_use]
-    pub fn new(
+    pub(super) fn new(
         name: Rc<str>,
         seed: u64,
         capacity: Capacity,
@@ -139,7 +139,7 @@
     }
 
     /// The routes of the configuration in force that may send to it.
-    pub fn set_routes(&mut self, routes: Vec<Terms>) {
+    pub(super) fn set_routes(&mut self, routes: Vec<Terms>) {
         self.classes
             .iter_mut()
             .for_each(|slot| slot.in_force = false);
@@ -151,7 +151,7 @@
     }
 
     /// Routers that are members now: budget and connections are shared by them.
-    pub fn set_routers(&mut self, budget: RetryBudget, routers: u32) {
+    pub(super) fn set_routers(&mut self, budget: RetryBudget, routers: u32) {
         self.core.set_budget(Some(module_budget(budget, routers)));
         self.resumes.set(budget, routers);
         self.share_servers(routers);
@@ -159,19 +159,24 @@
 
     /// Connections and requests that each of its servers takes from all callers together, where
     /// that is told.
-    pub fn set_capacity(&mut self, connections: Option<u32>, slots: Option<u32>, routers: u32) {
+    pub(super) fn set_capacity(
+        &mut self,
+        connections: Option<u32>,
+        slots: Option<u32>,
+        routers: u32,
+    ) {
         (self.told_connections, self.told_slots) = (connections, slots);
         self.share_servers(routers);
     }
 
     /// Connections to each server that this router may have.
     #[must_use]
-    pub fn max_connections(&self) -> usize {
+    pub(super) fn max_connections(&self) -> usize {
         self.max_connections
     }
 
     /// Lines of its list have changed.
-    pub fn listed(&mut self, lines: Vec<ListedServer>) {
+    pub(super) fn listed(&mut self, lines: Vec<ListedServer>) {
         for line in &lines {
             match line.mode {
                 ServerMode::Ready => _ = self.ready.insert(line.server),
@@ -187,7 +192,7 @@
     ///
     /// # Errors
     /// Why it is turned away.
-    pub fn take(&mut self, now: Time, ask: &Ask<'_>) -> Result<(QueryId, u16), Refusal> {
+    pub(super) fn take(&mut self, now: Time, ask: &Ask<'_>) -> Result<(QueryId, u16), Refusal> {
         let (place, changed) = self.place(ask.terms);
         if changed {
             self.tell_classes();
@@ -214,7 +219,7 @@
     }
 
     /// Takes a stream that is to go on at another server, if the budget bears it.
-    pub fn take_resumed(&mut self, now: Time, ask: &Ask<'_>) -> Option<(QueryId, u16)> {
+    pub(super) fn take_resumed(&mut self, now: Time, ask: &Ask<'_>) -> Option<(QueryId, u16)> {
         match self.resumes.take(now) {
             true => self.take(now, ask).ok(),
             false => None,
@@ -222,31 +227,31 @@
     }
 
     /// A request of this class is held no more.
-    pub fn release(&mut self, class: u16) {
+    pub(super) fn release(&mut self, class: u16) {
         if let Some(slot) = self.classes.get_mut(usize::from(class)) {
             slot.held = slot.held.saturating_sub(1);
         }
     }
 
     /// The request that the core has a word for; it has none after that.
-    pub fn exchange_of(&mut self, query: QueryId) -> Option<ExchangeId> {
+    pub(super) fn exchange_of(&mut self, query: QueryId) -> Option<ExchangeId> {
         self.queries.remove(&query)
     }
 
     /// There is nobody left to answer.
-    pub fn hangup(&mut self, query: QueryId) {
+    pub(super) fn hangup(&mut self, query: QueryId) {
         self.queries.remove(&query);
         self.core.hangup(query);
     }
 
     /// An attempt has ended. Only its first end counts.
-    pub fn ended(&mut self, now: Time, number: u64, outcome: Outcome) {
+    pub(super) fn ended(&mut self, now: Time, number: u64, outcome: Outcome) {
         let value = (outcome == Outcome::Ok).then(Value::default);
         self.core.ended(now, number, outcome, value);
     }
 
     /// A server has told how busy it is.
-    pub fn on_load(&mut self, load: Option<ServerLoad>) {
+    pub(super) fn on_load(&mut self, load: Option<ServerLoad>) {
         let Some(load) = load else { return };
         let taken = f64::from(load.running.saturating_add(load.waiting)) / f64::from(load.slots);
         let before = self.slots_taken.unwrap_or(taken);
@@ -256,13 +261,13 @@
 
     /// A stream runs on at a server, whose first event has answered its request as far as the
     /// module is concerned.
-    pub fn stream_begun(&mut self, server: ServerId) {
+    pub(super) fn stream_begun(&mut self, server: ServerId) {
         self.loads.entry(server).or_default().streams += 1;
         self.tell_load(server);
     }
 
     /// It has ended.
-    pub fn stream_ended(&mut self, server: ServerId) {
+    pub(super) fn stream_ended(&mut self, server: ServerId) {
         let Some(loads) = self.loads.get_mut(&server) else {
             return;
         };
@@ -271,7 +276,7 @@
     }
 
     /// So much waits at a server for all routers together (tokens).
-    pub fn set_backlog(&mut self, server: ServerId, tokens: Backlog) {
+    pub(super) fn set_backlog(&mut self, server: ServerId, tokens: Backlog) {
         let loads = self.loads.entry(server).or_default();
         let before = std::mem::replace(&mut loads.backlog, tokens);
         self.backlog = self.backlog.saturating_sub(u64::from(before)) + u64::from(tokens);
@@ -279,7 +284,7 @@
     }
 
     /// Nothing is known any more of what waits for other routers.
-    pub fn forget_backlogs(&mut self) {
+    pub(super) fn forget_backlogs(&mut self) {
         let known: Vec<ServerId> = self
             .loads
             .iter()
@@ -321,18 +326,18 @@
 
     /// Whether nothing is held by it.
     #[must_use]
-    pub fn is_idle(&self) -> bool {
+    pub(super) fn is_idle(&self) -> bool {
         self.core.held_queries() == 0 && self.loads.values().all(|loads| loads.streams == 0)
     }
 
     /// When the next turn is to be taken.
     #[must_use]
-    pub fn next_turn(&self) -> Option<Time> {
+    pub(super) fn next_turn(&self) -> Option<Time> {
         self.core.next_turn()
     }
 
     /// Takes a turn if it is time.
-    pub fn turn(&mut self, now: Time) -> Vec<Command<ExchangeId>> {
+    pub(super) fn turn(&mut self, now: Time) -> Vec<Command<ExchangeId>> {
         match self.core.next_turn() {
             Some(at) if at <= now => self.core.turn(now),
             _ => Vec::new(),
--- a/fleet/src/router/services.rs
+++ b/fleet/src/router/services.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 
 /// The services.
-pub struct Services {
+pub(super) struct Services {
     all: BTreeMap<ServiceId, Service>,
     next: u32,
     seed: u64,
@@ -25,7 +25,7 @@
 impl Services {
     /// No services yet.
     #[must_use]
-    pub fn new(seed: u64, capacity: Capacity, budget: RetryBudget) -> Services {
+    pub(super) fn new(seed: u64, capacity: Capacity, budget: RetryBudget) -> Services {
         Services {
             all: BTreeMap::new(),
             next: 0,
@@ -38,7 +38,7 @@
 
     /// A configuration comes in force. Services that it does not name stay until what they hold has
     /// ended.
-    pub fn apply(&mut self, in_force: &InForce, servers: &ServerTable) {
+    pub(super) fn apply(&mut self, in_force: &InForce, servers: &ServerTable) {
         for described in in_force.document().services() {
             let id = self
                 .id_of(&described.name)
@@ -61,7 +61,7 @@
     }
 
     /// Lines of services' lists have changed.
-    pub fn listed(&mut self, changes: &[Change]) {
+    pub(super) fn listed(&mut self, changes: &[Change]) {
         for service in self.all.values_mut() {
             let of = changes
                 .iter()
@@ -75,7 +75,7 @@
     }
 
     /// So many routers are members.
-    pub fn set_routers(&mut self, routers: u32) {
+    pub(super) fn set_routers(&mut self, routers: u32) {
         if std::mem::replace(&mut self.routers, routers) != routers {
             let budget = self.budget;
             self.all
@@ -85,7 +85,7 @@
     }
 
     /// The further-try budget of the whole system.
-    pub fn set_budget(&mut self, budget: RetryBudget) {
+    pub(super) fn set_budget(&mut self, budget: RetryBudget) {
         self.budget = budget;
         let routers = self.routers;
         self.all
@@ -95,7 +95,7 @@
 
     /// The service of this name.
     #[must_use]
-    pub fn id_of(&self, name: &str) -> Option<ServiceId> {
+    pub(super) fn id_of(&self, name: &str) -> Option<ServiceId> {
         self.all
             .iter()
             .find(|(_, service)| &*service.name == name)
@@ -103,12 +103,12 @@
     }
 
     /// A service.
-    pub fn get_mut(&mut self, id: ServiceId) -> Option<&mut Service> {
+    pub(super) fn get_mut(&mut self, id: ServiceId) -> Option<&mut Service> {
         self.all.get_mut(&id)
     }
 
     /// So much waits at servers for all routers together.
-    pub fn set_backlogs(&mut self, report: &BacklogReport) {
+    pub(super) fn set_backlogs(&mut self, report: &BacklogReport) {
         for service in self.all.values_mut() {
             if report.whole {
                 service.forget_backlogs();
@@ -120,18 +120,18 @@
     }
 
     /// Nothing is known any more of what waits for other routers.
-    pub fn forget_backlogs(&mut self) {
+    pub(super) fn forget_backlogs(&mut self) {
         self.all.values_mut().for_each(Service::forget_backlogs);
     }
 
     /// When the next turn of any service is to be taken.
     #[must_use]
-    pub fn next_turn(&self) -> Option<Time> {
+    pub(super) fn next_turn(&self) -> Option<Time> {
         self.all.values().filter_map(Service::next_turn).min()
     }
 
     /// Takes the turns that are due; tells what is to be done.
-    pub fn turn(&mut self, now: Time) -> Vec<(ServiceId, Command<ExchangeId>)> {
+    pub(super) fn turn(&mut self, now: Time) -> Vec<(ServiceId, Command<ExchangeId>)> {
         let mut commands = Vec::new();
         for (id, service) in &mut self.all {
             commands.extend(service.turn(now).into_iter().map(|command| (*id, command)));
--- a/fleet/src/router/shutdown.rs
+++ b/fleet/src/router/shutdown.rs
@@ -31,7 +31,7 @@
 
 /// A shutdown under way.
 #[derive(Clone, Copy, Debug)]
-pub struct Shutdown {
+pub(super) struct Shutdown {
     /// When the process was told.
     began: Time,
     /// Listeners close then. Connections that rest are kept to the end of the process: a request
@@ -49,7 +49,7 @@
 impl Shutdown {
     /// Of a process that is told now that it is killed after the grace.
     #[must_use]
-    pub fn new(now: Time, grace: Duration) -> Shutdown {
+    pub(super) fn new(now: Time, grace: Duration) -> Shutdown {
         let reserve = RESERVE.min(grace / 4);
         let ends = after(now, grace.saturating_sub(reserve));
         Shutdown {
@@ -64,13 +64,13 @@
 
     /// When the process was told to end.
     #[must_use]
-    pub fn began(&self) -> Time {
+    pub(super) fn began(&self) -> Time {
         self.began
     }
 
     /// Whether a request is still taken whose time is over at this deadline.
     #[must_use]
-    pub fn takes(&self, now: Time, deadline: Time) -> bool {
+    pub(super) fn takes(&self, now: Time, deadline: Time) -> bool {
         now < self.closes && deadline <= self.ends
     }
 }
--- a/fleet/src/router/tenants.rs
+++ b/fleet/src/router/tenants.rs
@@ -33,7 +33,7 @@
 
 /// Who sent a request: the tenant that holds its key.
 #[derive(Debug, PartialEq)]
-pub struct Sender {
+pub(super) struct Sender {
     /// The tenant's name.
     pub tenant: String,
     /// The name as servers are told it.
@@ -44,7 +44,7 @@
 
 /// What a request was found to be before its quota is looked at.
 #[derive(Debug)]
-pub struct Admission {
+pub(super) struct Admission {
     /// What its route says, with the rank of its tenant.
     pub terms: Terms,
     /// The service that was drawn for it.
@@ -59,7 +59,7 @@
 
 /// A request that waits for its tenant's quota.
 #[derive(Debug)]
-pub struct AwaitingQuota {
+pub(super) struct AwaitingQuota {
     /// The request.
     pub request: ClientRequest,
     /// What it was found to be.
@@ -68,7 +68,7 @@
 
 /// Why a key is not served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Denial {
+pub(super) enum Denial {
     /// No tenant of the configuration that counts holds it, or the request bears none.
     NoHolder,
     /// What is known here may be out of date.
@@ -81,7 +81,7 @@
     ///
     /// # Errors
     /// The route needs a key, and no tenant holds the request's.
-    pub fn sender(
+    pub(super) fn sender(
         &self,
         public: bool,
         key: Option<KeyDigest>,
@@ -98,7 +98,7 @@
 
     /// A tenant by name.
     #[must_use]
-    pub fn tenant(&self, name: &str) -> Option<&Tenant> {
+    pub(super) fn tenant(&self, name: &str) -> Option<&Tenant> {
         self.document()
             .tenants()?
             .iter()
@@ -109,7 +109,7 @@
 impl Sender {
     /// Of a tenant.
     #[must_use]
-    pub fn new(tenant: &Tenant, key: KeyDigest) -> Sender {
+    pub(super) fn new(tenant: &Tenant, key: KeyDigest) -> Sender {
         Sender {
             tenant: tenant.name.clone(),
             header: header_value(&tenant.name),
@@ -319,7 +319,7 @@
 impl Exchange {
     /// Who sent it, where that is known.
     #[must_use]
-    pub fn sender(&self) -> Option<&Sender> {
+    pub(super) fn sender(&self) -> Option<&Sender> {
         self.sender.as_deref()
     }
 }
--- a/simulator/src/measure.rs
+++ b/simulator/src/measure.rs
@@ -9,7 +9,7 @@
 const GROUPS: [(u32, u32); 4] = [(4, 1), (5, 1), (8, 2), (9, 2)];
 
 /// Prints all tables.
-pub fn print(runs: u64) {
+pub(crate) fn print(runs: u64) {
     println!("Acknowledgement of an order, milliseconds of virtual time, from its first sending ({runs} runs each)");
     println!("| voters | orders | calm: median | calm: worst | after the primary's loss: median | worst |");
     println!("| --- | --- | --- | --- | --- | --- |");
--- a/simulator/src/world/check.rs
+++ b/simulator/src/world/check.rs
@@ -13,9 +13,9 @@
 use crate::network::Host;
 
 /// The core is stable so many microseconds after the last trouble (`contactMs`).
-pub const CONTACT: u64 = 3_000_000;
+pub(super) const CONTACT: u64 = 3_000_000;
 /// An order is acknowledged within so many microseconds of a stable core (`ackTimeoutMs`).
-pub const ACKNOWLEDGE_BOUND: u64 = 4_000_000;
+pub(super) const ACKNOWLEDGE_BOUND: u64 = 4_000_000;
 /// The same while some machines are out of reach: a caller may pick several of them first, a second
 /// each.
 const ACKNOWLEDGE_BOUND_IN_TROUBLE: u64 = 8_000_000;
--- a/src/bin/lichenswitch-simulator-adapter/codec.rs
+++ b/src/bin/lichenswitch-simulator-adapter/codec.rs
@@ -5,17 +5,17 @@
 };
 
 /// Bytes of a batch's header.
-pub const HEADER: usize = 16;
+pub(crate) const HEADER: usize = 16;
 const EVENT: usize = 56;
 const ACTION: usize = 24;
 const ENTRY: usize = 22;
 const REPLY_HEADER: usize = 8;
 /// Largest frame that is read; far above what a day sends.
-pub const LARGEST: usize = 1 << 30;
+pub(crate) const LARGEST: usize = 1 << 30;
 
 /// Kind of a list report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub(crate) enum Scope {
     Changes,
     Whole,
     Cached,
@@ -24,7 +24,7 @@
 
 /// One event record of a batch.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Record {
+pub(crate) enum Record {
     Begin {
         who: u32,
         seed: u64,
@@ -53,7 +53,7 @@
 }
 
 /// Length of the frame whose first bytes these are.
-pub fn frame_length(header: &[u8; HEADER]) -> Result<usize, String> {
+pub(crate) fn frame_length(header: &[u8; HEADER]) -> Result<usize, String> {
     let length = u32::from_le_bytes([header[0], header[1], header[2], header[3]]) as usize;
     if length < HEADER {
         return Err(format!(
@@ -266,7 +266,7 @@
 }
 
 /// Reads one whole batch: its clock and its records.
-pub fn decode(frame: &[u8]) -> Result<(Time, Vec<Record>), String> {
+pub(crate) fn decode(frame: &[u8]) -> Result<(Time, Vec<Record>), String> {
     let header: &[u8; HEADER] = frame
         .first_chunk()
         .ok_or_else(|| format!("frame of {} bytes has no whole header", frame.len()))?;
@@ -297,7 +297,7 @@
 
 /// A reply under construction.
 #[derive(Default)]
-pub struct Reply {
+pub(crate) struct Reply {
     records: Vec<u8>,
     tail: Vec<u8>,
     count: u32,
@@ -326,12 +326,12 @@
     }
 
     /// Reports that the module failed.
-    pub fn bug(&mut self, who: u32, text: &str) {
+    pub(crate) fn bug(&mut self, who: u32, text: &str) {
         self.text(89, who, text);
     }
 
     /// Appends one action of an instance.
-    pub fn action(&mut self, who: u32, action: &Action) {
+    pub(crate) fn action(&mut self, who: u32, action: &Action) {
         match action {
             Action::Send {
                 part,
@@ -364,7 +364,7 @@
     }
 
     /// The finished frame.
-    pub fn encode(self) -> Vec<u8> {
+    pub(crate) fn encode(self) -> Vec<u8> {
         let length = (REPLY_HEADER + self.records.len() + self.tail.len()) as u32;
         let mut out = Vec::with_capacity(length as usize);
         out.extend_from_slice(&self.count.to_le_bytes());
--- a/src/peer/queue.rs
+++ b/src/peer/queue.rs
@@ -9,7 +9,7 @@
 
 /// Messages for one peer, oldest first.
 #[derive(Debug, Default)]
-pub struct Queue {
+pub(super) struct Queue {
     waiting: VecDeque<(Vec<u8>, bool)>,
     bytes: usize,
     /// Messages that had to go.
@@ -19,7 +19,7 @@
 impl Queue {
     /// Adds a message; `keep`: it may not be dropped for others. `false`: there is no room, since
     /// all that waits must be kept; whoever asked has to know.
-    pub fn push(&mut self, message: Vec<u8>, keep: bool) -> bool {
+    pub(super) fn push(&mut self, message: Vec<u8>, keep: bool) -> bool {
         while self.waiting.len() >= MESSAGES || self.bytes + message.len() > BYTES {
             let Some(at) = self.waiting.iter().position(|m| !m.1) else {
                 break;
@@ -37,7 +37,7 @@
     }
 
     /// The next message to be said.
-    pub fn pop(&mut self) -> Option<Vec<u8>> {
+    pub(super) fn pop(&mut self) -> Option<Vec<u8>> {
         let message = self.waiting.pop_front()?.0;
         self.bytes -= message.len();
         Some(message)
@@ -45,12 +45,12 @@
 
     /// Whether nothing waits.
     #[must_use]
-    pub fn is_empty(&self) -> bool {
+    pub(super) fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
     /// Forgets what may be dropped: it is too old for a peer that was away.
-    pub fn forget(&mut self) {
+    pub(super) fn forget(&mut self) {
         self.dropped += self.waiting.iter().filter(|m| !m.1).count() as u64;
         self.waiting.retain(|m| m.1);
         self.bytes = self.waiting.iter().map(|m| m.0.len()).sum();
--- a/src/peer/wire.rs
+++ b/src/peer/wire.rs
@@ -6,15 +6,15 @@
 use serde::{Deserialize, Serialize};
 
 /// The version spoken here.
-pub const VERSION: u16 = 1;
+pub(super) const VERSION: u16 = 1;
 /// Longest message, without its length. Guards memory: what claims more is no peer.
-pub const LONGEST: usize = 64 * 1024;
+pub(super) const LONGEST: usize = 64 * 1024;
 /// What a greeting begins with.
 const WORD: &[u8; 18] = b"lichenswitch-peers";
 
 /// Who calls.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Greeting {
+pub(super) struct Greeting {
     /// The cluster that it belongs to.
     pub cluster: String,
     /// The broker that it is.
@@ -23,7 +23,7 @@
 
 /// What is said once the greeting is over.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Word {
+pub(super) enum Word {
     /// Of the fleet: for `decide::fleet`.
     Fleet(Vec<u8>),
     /// The greeting was not taken, and why; the connection ends.
@@ -40,21 +40,21 @@
 
 /// A greeting as it is sent.
 #[must_use]
-pub fn greeting(greeting: &Greeting) -> Vec<u8> {
+pub(super) fn greeting(greeting: &Greeting) -> Vec<u8> {
     let rest = postcard::to_stdvec(greeting).unwrap_or_default();
     framed(&[&WORD[..], &VERSION.to_be_bytes(), &rest].concat())
 }
 
 /// A message as it is sent; `None`: it is too long to be said.
 #[must_use]
-pub fn message(word: &Word) -> Option<Vec<u8>> {
+pub(super) fn message(word: &Word) -> Option<Vec<u8>> {
     let content = postcard::to_stdvec(word).ok()?;
     (content.len() <= LONGEST).then(|| framed(&content))
 }
 
 /// The first whole message of what has come, and the bytes that it took; `None`: it is not whole.
 /// Its claim is judged before its bytes are there.
-pub fn next(bytes: &[u8]) -> Result<Option<(&[u8], usize)>, String> {
+pub(super) fn next(bytes: &[u8]) -> Result<Option<(&[u8], usize)>, String> {
     let Some((head, rest)) = bytes.split_first_chunk::<4>() else {
         return Ok(None);
     };
@@ -66,7 +66,7 @@
 }
 
 /// Reads a greeting to this cluster.
-pub fn read_greeting(content: &[u8], cluster: &str) -> Result<Greeting, String> {
+pub(super) fn read_greeting(content: &[u8], cluster: &str) -> Result<Greeting, String> {
     let rest = content
         .strip_prefix(&WORD[..])
         .ok_or("no greeting of a peer")?;
@@ -88,7 +88,7 @@
 }
 
 /// Reads a message after the greeting.
-pub fn read(content: &[u8]) -> Result<Word, String> {
+pub(super) fn read(content: &[u8]) -> Result<Word, String> {
     postcard::from_bytes(content).map_err(|_| "a message that can't be read".into())
 }
 
--- a/src/service.rs
+++ b/src/service.rs
@@ -1,7 +1,7 @@
 //! A service: one front, its core and the data nodes behind it, as the broker's loop drives them.
 //!
 //! It owns the way of a query between these: what clients and data nodes send comes in by
-//! [`Service::ready`], what time brings by [`Service::timer`], and a turn carries out what the core
+//! `Service::ready`, what time brings by `Service::timer`, and a turn carries out what the core
 //! wants done.
 
 use crate::broker::log;
