--- a/fleet/src/control/server_cache/tests.rs
+++ b/fleet/src/control/server_cache/tests.rs
@@ -215,3 +215,20 @@
     assert!(is_written(&mut cache, number, &table));
     assert_eq!(read(&RealFileSystem, &folder.0.join(FILE)).unwrap(), table);
 }
+
+#[test]
+fn table_of_an_earlier_build_is_read_as_one_of_long_ago() {
+    let manifest = Path::new(env!("CARGO_MANIFEST_DIR"));
+    let earlier = manifest.join("tests/stored_data/control_node/servers");
+    let records = read(&RealFileSystem, &earlier).unwrap();
+    let found: Vec<_> = records
+        .iter()
+        .map(|record| (record.instance.as_str(), record.state, record.unheard))
+        .collect();
+    let expected = [
+        ("server-0", ServerState::Ready, true),
+        ("server-1", ServerState::Draining, true),
+        ("server-2", ServerState::Gone, true),
+    ];
+    assert_eq!(found, expected);
+}
