--- a/fleet/src/control/callers.rs
+++ b/fleet/src/control/callers.rs
@@ -7,7 +7,7 @@
 use super::program::{elapsed, Net, Owner};
 use lichenswitch_http::{request_up_to, Malformed, Parsed, Request, Response};
 use lichenswitch_interface::Time;
-use lichenswitch_net::{ConnId, Pumped};
+use lichenswitch_net::{ConnId, TransferProgress};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -67,7 +67,7 @@
 
     /// Something can be read or written. Tells the request that is whole now.
     pub(super) fn ready(&mut self, net: &mut Net, id: ConnId) -> Option<Request> {
-        if net.pump(id, CEILING) != Pumped::Alive {
+        if net.transfer(id, CEILING) != TransferProgress::Alive {
             self.close(net, id);
             return None;
         }
@@ -156,7 +156,7 @@
     pub(super) fn flush(&mut self, net: &mut Net) -> Vec<(ConnId, Request)> {
         let mut more = Vec::new();
         for id in std::mem::take(&mut self.touched) {
-            if net.flush(id, false) != Pumped::Alive {
+            if net.flush(id, false) != TransferProgress::Alive {
                 self.close(net, id);
                 continue;
             }
--- a/fleet/src/control/links.rs
+++ b/fleet/src/control/links.rs
@@ -7,7 +7,7 @@
 use crate::envelopes::{encode, EnvelopeReader, Incoming};
 use lichenswitch_interface::Time;
 use lichenswitch_messages::Envelope;
-use lichenswitch_net::{ConnId, Pumped};
+use lichenswitch_net::{ConnId, TransferProgress};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
@@ -81,7 +81,7 @@
             up: false,
             broken: None,
         };
-        let pumped = net.pump(id, CEILING);
+        let progress = net.transfer(id, CEILING);
         let (Some(link), Some(conn)) = (self.links.get_mut(&id), net.get_mut(id)) else {
             brought.broken = Some("unknown connection".to_owned());
             return brought;
@@ -100,13 +100,15 @@
             }
         }
         brought.up = conn.up && !std::mem::replace(&mut link.greeted, conn.up);
-        match pumped {
-            Pumped::Alive if conn.ended => {
+        match progress {
+            TransferProgress::Alive if conn.ended => {
                 brought.broken = Some("the other side has ended it".to_owned())
             }
-            Pumped::Alive => {}
-            Pumped::NeverUp => brought.broken = Some("it never came up".to_owned()),
-            Pumped::Broken => brought.broken = Some("it broke".to_owned()),
+            TransferProgress::Alive => {}
+            TransferProgress::NeverConnected => {
+                brought.broken = Some("it never came up".to_owned())
+            }
+            TransferProgress::Broken => brought.broken = Some("it broke".to_owned()),
         }
         brought
     }
@@ -140,7 +142,7 @@
     pub(super) fn flush(&mut self, net: &mut Net) -> Vec<ConnId> {
         let touched = std::mem::take(&mut self.touched);
         let broken = |id: &ConnId| {
-            net.flush(*id, false) != Pumped::Alive || waiting(net, *id) > LONGEST_QUEUE
+            net.flush(*id, false) != TransferProgress::Alive || waiting(net, *id) > LONGEST_QUEUE
         };
         touched.into_iter().filter(broken).collect()
     }
--- a/fleet/src/control/machine.rs
+++ b/fleet/src/control/machine.rs
@@ -84,7 +84,7 @@
             .ok_or(ControlError::NoAddress)?;
         let address = SocketAddr::new(settings.ip_address, settings.internal_ports.0);
         let mut net = Net::new(settings.limits.file_descriptors)?;
-        net.set_aside_for_peers(INTERNAL_CONNECTIONS);
+        net.reserve_for_peers(INTERNAL_CONNECTIONS);
         watch_signals(&mut net)?;
         let now = net.clock.now();
         let eligibility = eligibility(&settings);
@@ -266,7 +266,7 @@
                 _ if !conn.up => elapsed(*opened, now) > CONNECT_TIMEOUT,
                 // Routers have little to say; the system finds out when nobody is there.
                 End::Router => false,
-                End::Peer(_) | End::Unknown => elapsed(conn.heard, now) > SILENCE,
+                End::Peer(_) | End::Unknown => elapsed(conn.last_read_at, now) > SILENCE,
             }
         };
         let silent: Vec<ConnId> = self
--- a/fleet/src/control/peers/tests.rs
+++ b/fleet/src/control/peers/tests.rs
@@ -22,7 +22,7 @@
 /// So many names of connections.
 fn connections(count: usize) -> Vec<ConnId> {
     let mut net = Net::new(100).unwrap();
-    net.set_aside_for_peers(8);
+    net.reserve_for_peers(8);
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let to = listener.local_addr().unwrap();
     (0..count)
--- a/fleet/src/control/servers/tests.rs
+++ b/fleet/src/control/servers/tests.rs
@@ -45,7 +45,7 @@
 fn callers() -> Vec<ConnId> {
     let mut net = Net::new(100).unwrap();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    net.set_aside_for_peers(8);
+    net.reserve_for_peers(8);
     (0..4)
         .map(|_| {
             net.connect(Owner::Dialled, listener.local_addr().unwrap())
--- a/fleet/src/control/shutdown.rs
+++ b/fleet/src/control/shutdown.rs
@@ -49,7 +49,7 @@
         }
         // New callers go elsewhere; those that wait get their answers, each within its own
         // deadline.
-        self.net.leave(Owner::Caller);
+        self.net.close_listeners(Owner::Caller);
         let waits = !self.calls.is_empty();
         last <= now || !(waits || self.callers.is_busy(&self.net))
     }
--- a/fleet/src/router/clients.rs
+++ b/fleet/src/router/clients.rs
@@ -12,7 +12,7 @@
 use lichenswitch_configuration::Limits;
 use lichenswitch_http::{encode_chunk, LAST_CHUNK};
 use lichenswitch_interface::{Micros, Time};
-use lichenswitch_net::{ConnId, Pumped};
+use lichenswitch_net::{ConnId, TransferProgress};
 use std::collections::HashMap;
 
 /// Most bytes read ahead of a client at a time: a body goes on into its request as it comes.
@@ -141,8 +141,8 @@
         let Some(state) = self.open.get(&id).map(|session| session.state) else {
             return net.close(id);
         };
-        let pumped = net.pump(id, CEILING);
-        if pumped != Pumped::Alive || net.get(id).is_none_or(|conn| conn.ended) {
+        let progress = net.transfer(id, CEILING);
+        if progress != TransferProgress::Alive || net.get(id).is_none_or(|conn| conn.ended) {
             return self.left(net, id, events);
         }
         match state {
@@ -272,7 +272,7 @@
         id: ConnId,
         events: &mut Vec<ClientEvent>,
     ) -> usize {
-        if net.flush(id, false) != Pumped::Alive {
+        if net.flush(id, false) != TransferProgress::Alive {
             self.left(net, id, events);
             return 0;
         }
@@ -395,7 +395,7 @@
                     conn.send(b"HTTP/1.1 100 Continue\r\n\r\n");
                 }
                 // Reading rests where the ceiling was reached, and goes on now that there is room.
-                if net.flush(id, false) != Pumped::Alive {
+                if net.flush(id, false) != TransferProgress::Alive {
                     return self.left(net, id, events);
                 }
                 self.arm(net, id);
@@ -406,7 +406,7 @@
                 (session.arriving, session.state, session.since) = (false, State::Waiting, now);
                 session.last |= !request.keep_alive;
                 session.head_only = request.is_head();
-                if net.flush(id, false) != Pumped::Alive {
+                if net.flush(id, false) != TransferProgress::Alive {
                     return self.close(net, id);
                 }
                 events.push(ClientEvent::Request(id, request));
@@ -494,16 +494,16 @@
         let idle = self.limits.idle_timeout_ms.saturating_mul(1_000);
         let head = self.limits.header_timeout_ms.saturating_mul(1_000);
         Some(match session.state {
-            State::Reading if !conn.flushed() => conn.used.plus(UNREAD),
+            State::Reading if !conn.flushed() => conn.last_active_at.plus(UNREAD),
             State::Reading if session.arriving && session.reader.has_head() => {
-                conn.heard.plus(idle)
+                conn.last_read_at.plus(idle)
             }
             State::Reading if session.arriving => session.since.plus(head),
             State::Reading => session.since.plus(idle).plus(IDLE_MARGIN),
             // Its own end is the request's.
             State::Waiting => return None,
             State::Answering { .. } if conn.flushed() => return None,
-            State::Answering { .. } | State::Closing => conn.used.plus(UNREAD),
+            State::Answering { .. } | State::Closing => conn.last_active_at.plus(UNREAD),
             State::Lingering => session.since.plus(LINGER),
         })
     }
--- a/fleet/src/router/control_link.rs
+++ b/fleet/src/router/control_link.rs
@@ -14,7 +14,7 @@
     BacklogReport, ConfigurationPosition, ControlToRouter, Envelope, RouterToControl, ServerRecord,
     TenantMessage, PROTOCOL_VERSION,
 };
-use lichenswitch_net::{ConnId, Pumped};
+use lichenswitch_net::{ConnId, TransferProgress};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -165,10 +165,10 @@
             net.close(id);
             return Vec::new();
         };
-        let pumped = net.pump(id, CEILING);
+        let progress = net.transfer(id, CEILING);
         let mut news = Vec::new();
-        let mut sound =
-            pumped == Pumped::Alive && connection.greet(net, &self.identity, self.applied);
+        let mut sound = progress == TransferProgress::Alive
+            && connection.greet(net, &self.identity, self.applied);
         if sound {
             let now = net.clock.now();
             match connection.read(net, now) {
@@ -444,7 +444,7 @@
             return false;
         };
         conn.send(bytes);
-        net.flush(self.id, false) == Pumped::Alive
+        net.flush(self.id, false) == TransferProgress::Alive
     }
 
     fn read(&mut self, net: &mut Net, now: Time) -> Result<Vec<Message>, String> {
@@ -457,7 +457,7 @@
         self.reader.push(bytes);
         conn.input.consume(used);
         // Reading rests at the ceiling until this has made room.
-        if net.flush(self.id, false) != Pumped::Alive {
+        if net.flush(self.id, false) != TransferProgress::Alive {
             return Err("the connection broke".to_owned());
         }
         while let Some(incoming) = self.reader.next_message().map_err(|e| e.to_string())? {
--- a/fleet/src/router/mod.rs
+++ b/fleet/src/router/mod.rs
@@ -147,7 +147,7 @@
     pub fn new(settings: &Settings, file: Option<PathBuf>) -> Result<Router, RouterError> {
         let options = Options::of(settings)?;
         let mut net = Net::new(options.capacity.descriptors)?;
-        net.set_aside_for_peers(SET_ASIDE);
+        net.reserve_for_peers(SET_ASIDE);
         let mut rng = fastrand::Rng::new();
         let frontend = listen(&mut net, Owner::Client, options.frontend)?;
         let readiness_address = options
@@ -255,10 +255,10 @@
             self.check_due = false;
             self.check_waiting();
         }
-        if self.net.resting() {
-            self.net.attend_again();
+        if self.net.is_accept_paused() {
+            self.net.resume_accepting();
         }
-        if self.net.resting() {
+        if self.net.is_accept_paused() {
             self.clients.make_room(&mut self.net);
         }
     }
@@ -377,7 +377,7 @@
                 .hold_back(&mut self.net, change.line.server);
         }
         self.services.listed(&changes);
-        self.net.listed(self.servers.count());
+        self.net.set_listed_nodes(self.servers.count());
     }
 
     fn apply(&mut self, new: InForce) {
--- a/fleet/src/router/readiness.rs
+++ b/fleet/src/router/readiness.rs
@@ -5,7 +5,7 @@
 
 use super::program::{after, Net, Owner, Timer};
 use lichenswitch_http::{self as http, Parsed, Response};
-use lichenswitch_net::{ConnId, Pumped};
+use lichenswitch_net::{ConnId, TransferProgress};
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -34,11 +34,11 @@
 
     /// Reads questions and answers them.
     pub(super) fn ready(&mut self, net: &mut Net, id: ConnId, is_ready: bool) {
-        let pumped = net.pump(id, CEILING);
+        let progress = net.transfer(id, CEILING);
         let Some(closing) = self.open.get(&id).copied() else {
             return net.close(id);
         };
-        if pumped != Pumped::Alive || net.get(id).is_none_or(|conn| conn.ended) {
+        if progress != TransferProgress::Alive || net.get(id).is_none_or(|conn| conn.ended) {
             return self.close(net, id);
         }
         if closing {
@@ -58,7 +58,7 @@
         }
         let (now, due) = (
             net.clock.now(),
-            net.get(id).map(|conn| after(conn.used, IDLE)),
+            net.get(id).map(|conn| after(conn.last_active_at, IDLE)),
         );
         match due {
             Some(due) if due > now => net.wheel.set(due, Timer::Platform(id)),
@@ -90,7 +90,7 @@
         if let Some(conn) = net.get_mut(id) {
             conn.send(&response.encode(keep, false));
         }
-        if net.flush(id, false) != Pumped::Alive {
+        if net.flush(id, false) != TransferProgress::Alive {
             self.close(net, id);
             return false;
         }
--- a/fleet/src/router/server_connections.rs
+++ b/fleet/src/router/server_connections.rs
@@ -22,7 +22,7 @@
 use super::tenants::Sender;
 use lichenswitch_event_stream::Scanner;
 use lichenswitch_interface::{Micros, Outcome, ServerId, Time};
-use lichenswitch_net::{ConnId, Pumped};
+use lichenswitch_net::{ConnId, TransferProgress};
 use reading::Taken;
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
@@ -243,7 +243,7 @@
         let Some(&connection) = self.by_attempt.get(&id) else {
             return;
         };
-        if net.pause(connection, on) != Pumped::Alive {
+        if net.pause(connection, on) != TransferProgress::Alive {
             self.broken(net, connection);
         }
     }
@@ -253,13 +253,13 @@
         if !self.links.contains_key(&id) {
             return net.close(id);
         }
-        let pumped = net.pump(id, CEILING);
+        let progress = net.transfer(id, CEILING);
         match self.state(id) {
-            Some(State::Opening(_)) => self.opened(net, id, &pumped),
+            Some(State::Opening(_)) => self.opened(net, id, &progress),
             // Nothing is due: whatever comes belongs to nobody, and an end is an end.
-            Some(State::Idle(..)) if pumped == Pumped::Alive && is_quiet(net, id) => {}
+            Some(State::Idle(..)) if progress == TransferProgress::Alive && is_quiet(net, id) => {}
             Some(State::Idle(..)) => self.close(net, id),
-            Some(State::Busy(_)) => self.read(net, id, &pumped),
+            Some(State::Busy(_)) => self.read(net, id, &progress),
             None => {}
         }
     }
@@ -272,7 +272,7 @@
         };
         link.timer = link.timer.filter(|at| *at > now);
         match &link.state {
-            State::Opening(_) => self.opened(net, id, &Pumped::NeverUp),
+            State::Opening(_) => self.opened(net, id, &TransferProgress::NeverConnected),
             State::Idle(_, until) if *until <= now => self.close(net, id),
             State::Idle(_, until) => {
                 let until = *until;
@@ -320,9 +320,9 @@
     }
 
     /// A connection has come up, or never will.
-    fn opened(&mut self, net: &mut Net, id: ConnId, pumped: &Pumped) {
+    fn opened(&mut self, net: &mut Net, id: ConnId, progress: &TransferProgress) {
         let up = net.get(id).is_some_and(|conn| conn.up);
-        if *pumped == Pumped::Alive && !up {
+        if *progress == TransferProgress::Alive && !up {
             return;
         }
         let Some(link) = self.links.get_mut(&id) else {
@@ -334,7 +334,7 @@
             return;
         };
         // A server that speaks before it was asked speaks to nobody.
-        if *pumped == Pumped::Alive && is_quiet(net, id) {
+        if *progress == TransferProgress::Alive && is_quiet(net, id) {
             return self.write(net, id, *attempt);
         }
         self.fail(attempt.id, Outcome::ConnectFailed);
@@ -380,14 +380,14 @@
             early: false,
         }));
         self.by_attempt.insert(attempt_id, id);
-        if net.flush(id, false) != Pumped::Alive {
+        if net.flush(id, false) != TransferProgress::Alive {
             self.broken(net, id);
         }
     }
 
     /// Reads what has come for the request that is out.
-    fn read(&mut self, net: &mut Net, id: ConnId, pumped: &Pumped) {
-        let broken = *pumped != Pumped::Alive;
+    fn read(&mut self, net: &mut Net, id: ConnId, progress: &TransferProgress) {
+        let broken = *progress != TransferProgress::Alive;
         loop {
             let (Some(link), Some(conn)) = (self.links.get_mut(&id), net.get_mut(id)) else {
                 return;
@@ -418,7 +418,7 @@
             return self.broken(net, id);
         }
         // Reading may have rested at the ceiling.
-        if net.flush(id, false) != Pumped::Alive {
+        if net.flush(id, false) != TransferProgress::Alive {
             self.broken(net, id);
         }
     }
@@ -454,7 +454,7 @@
         if let Some(next) = self.next_waiting(server) {
             return self.write(net, id, next);
         }
-        if net.flush(id, false) != Pumped::Alive {
+        if net.flush(id, false) != TransferProgress::Alive {
             return self.close(net, id);
         }
         self.arm(net, id, now.plus(keep));
--- a/fleet/src/router/server_connections/pool.rs
+++ b/fleet/src/router/server_connections/pool.rs
@@ -3,7 +3,7 @@
 use super::super::program::{Net, Owner, Timer};
 use super::{is_quiet, Attempt, Link, ServerConnections, State, CONNECT, FRESH, WAIT};
 use lichenswitch_interface::{Outcome, ServerId};
-use lichenswitch_net::{ConnId, Denied, Pumped};
+use lichenswitch_net::{ConnId, ConnectError, TransferProgress};
 
 impl ServerConnections {
     /// An idle connection on which this attempt may be written; the one used last, so that others
@@ -25,7 +25,7 @@
             return None;
         }
         // The server may have ended it since the last wait.
-        if net.pump(id, 1) == Pumped::Alive && is_quiet(net, id) {
+        if net.transfer(id, 1) == TransferProgress::Alive && is_quiet(net, id) {
             return Some(id);
         }
         self.close(net, id);
@@ -34,7 +34,7 @@
 
     pub(super) fn open(&mut self, net: &mut Net, attempt: Attempt) {
         let mut connected = net.connect(Owner::Server, attempt.endpoint.address);
-        if matches!(connected, Err(Denied::Lack(_))) && self.close_any_idle(net) {
+        if matches!(connected, Err(ConnectError::NoDescriptor(_))) && self.close_any_idle(net) {
             connected = net.connect(Owner::Server, attempt.endpoint.address);
         }
         match connected {
@@ -54,12 +54,12 @@
                 );
                 self.arm(net, id, net.clock.now().plus(CONNECT));
                 if up {
-                    self.opened(net, id, &Pumped::Alive);
+                    self.opened(net, id, &TransferProgress::Alive);
                 }
             }
             // This process has no descriptor for it: the server has no part in that.
-            Err(Denied::Lack(_)) => self.fail(attempt.id, Outcome::Moot),
-            Err(Denied::Failed(_)) => self.fail(attempt.id, Outcome::ConnectFailed),
+            Err(ConnectError::NoDescriptor(_)) => self.fail(attempt.id, Outcome::Moot),
+            Err(ConnectError::Failed(_)) => self.fail(attempt.id, Outcome::ConnectFailed),
         }
     }
 
--- a/fleet/src/router/shutdown.rs
+++ b/fleet/src/router/shutdown.rs
@@ -99,7 +99,7 @@
             shutdown.closed = true;
             // Who has connected already is served or told.
             self.clients.accept(&mut self.net);
-            self.net.leave(Owner::Client);
+            self.net.close_listeners(Owner::Client);
         }
         if now >= shutdown.hands_over && !shutdown.ended {
             self.hand_streams_over(shutdown.ends);
--- a/src/broker.rs
+++ b/src/broker.rs
@@ -235,7 +235,7 @@
             .as_mut()
             .and_then(ManagementHandle::take_listener)
         {
-            Some(listener) => self.net.adopt(Owner::Platform, listener),
+            Some(listener) => self.net.listen_on(Owner::Platform, listener),
             None => self.net.listen(Owner::Platform, address),
         };
         match opened {
@@ -334,13 +334,13 @@
             }
             each_service!(self, |net, service| service.turn(net));
             self.subscribe();
-            if self.net.resting() {
-                self.net.attend_again();
+            if self.net.is_accept_paused() {
+                self.net.resume_accepting();
             }
-            if self.net.resting() {
+            if self.net.is_accept_paused() {
                 // What data nodes have borrowed goes first; where all of that carries calls, idle
                 // clients make room.
-                let (owed, mut closed) = (self.net.owed(), 0);
+                let (owed, mut closed) = (self.net.reclaimable_connections(), 0);
                 each_service!(self, |net, service| closed +=
                     service.pool.yield_idle(net, owed - closed));
                 if closed == 0 {
@@ -363,7 +363,7 @@
         // tells so.
         let room = self
             .net
-            .resting()
+            .is_accept_paused()
             .then(|| self.net.clock.now().plus(ROOM_LOOK));
         let platform = self.platform.as_ref().and_then(|s| s.core.next_turn());
         let ogc = self.ogc.as_ref().and_then(|s| s.core.next_turn());
@@ -384,8 +384,8 @@
         }
         let mut nodes = 0;
         each_service!(self, |_net, service| nodes += service.directory.len());
-        self.net.listed(nodes);
-        let bears = self.net.bears();
+        self.net.set_listed_nodes(nodes);
+        let bears = self.net.node_capacity();
         if nodes > bears && !std::mem::replace(&mut self.crowded, true) {
             log(&format!(
                 "{nodes} data nodes are listed, and limits.sockets bears {bears}: connections take turns"
--- a/src/broker/operators.rs
+++ b/src/broker/operators.rs
@@ -26,7 +26,7 @@
                 parts.held
             ));
         }
-        self.net.share(parts.held);
+        self.net.share_with_processes(parts.held);
         each_service!(self, |_net, service| {
             service.core.share(parts);
             service.sessions.share(parts.held);
--- a/src/broker/stopping.rs
+++ b/src/broker/stopping.rs
@@ -40,7 +40,7 @@
         management.withdraw_listener();
         let told = match processes::backlog_action(&management.others()) {
             BacklogAction::Leave(processes::Reason::SharedSocket(process)) => {
-                self.net.leave(Owner::Platform);
+                self.net.close_listeners(Owner::Platform);
                 Some(format!(
                     "process {process} serves at the same socket: new clients are left to it"
                 ))
--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -13,7 +13,7 @@
 use crate::decide::membership::pace::Pace;
 use crate::http::{self, Parsed};
 use crate::interface::{Micros, ServerListUpdate, Time};
-use crate::net::{ConnId, Denied, Net, Owner, Pumped, Timer};
+use crate::net::{ConnId, ConnectError, Net, Owner, Timer, TransferProgress};
 use std::net::SocketAddr;
 
 /// A connection that is not up after this long never comes up.
@@ -29,7 +29,7 @@
 /// Why a call was not made.
 enum Unasked {
     /// No connection could be begun here; discovery has no part in that.
-    Local(Denied),
+    Local(ConnectError),
     /// The connection broke.
     Broken,
 }
@@ -205,7 +205,7 @@
         self.call = Some(self.calls);
         net.wheel
             .set(self.began.plus(CONNECT), Timer::Discovery(self.calls));
-        (net.flush(conn, false) == Pumped::Alive)
+        (net.flush(conn, false) == TransferProgress::Alive)
             .then_some(())
             .ok_or(Unasked::Broken)
     }
@@ -326,12 +326,12 @@
         if self.conn != Some(id) {
             return Vec::new();
         }
-        let pumped = net.pump(id, CEILING);
+        let progress = net.transfer(id, CEILING);
         let Some(conn) = net.get_mut(id) else {
             return Vec::new();
         };
         // A reset is no end: an answer without a length that breaks off is not whole.
-        let (ended, broken) = (conn.ended, pumped != Pumped::Alive);
+        let (ended, broken) = (conn.ended, progress != TransferProgress::Alive);
         let answer = match http::response(conn.input.bytes(), ended, CEILING) {
             Ok(Parsed::Whole(answer, used)) => {
                 conn.input.consume(used);
--- a/src/discovery/tests.rs
+++ b/src/discovery/tests.rs
@@ -321,8 +321,8 @@
     loop {
         match net.connect(owner, at) {
             Ok(id) => taken.push(id),
-            Err(Denied::Lack(_)) => return taken,
-            Err(Denied::Failed(e)) => panic!("{e}"),
+            Err(ConnectError::NoDescriptor(_)) => return taken,
+            Err(ConnectError::Failed(e)) => panic!("{e}"),
         }
     }
 }
@@ -331,7 +331,7 @@
 fn discovery_has_its_place_when_data_nodes_and_clients_hold_all_they_can() {
     let [discovery, nodes] = [(); 2].map(|()| TcpListener::bind("127.0.0.1:0").unwrap());
     let (mut net, mut directory) = (Net::new(64).unwrap(), Directory::default());
-    net.listed(200);
+    net.set_listed_nodes(200);
     let at = nodes.local_addr().unwrap();
     let held =
         take_all(&mut net, Owner::Frames, at).len() + take_all(&mut net, Owner::Platform, at).len();
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -8,7 +8,7 @@
 use crate::core::{Core, Refusal, Reply, Request};
 use crate::http::{self, Parsed, Response};
 use crate::interface::{Micros, QueryId, Time};
-use crate::net::{Conn, ConnId, Net, Owner, Pumped, Timer};
+use crate::net::{Conn, ConnId, Net, Owner, Timer, TransferProgress};
 use lichenswitch_management::leave::Stage;
 use std::collections::HashMap;
 
@@ -101,7 +101,10 @@
     /// What its time limits say. Guards descriptors against clients that send nothing, never finish
     /// a request, never read an answer or never come back.
     fn due(&self, conn: &Conn, now: Time) -> Due {
-        let (age, unread) = (now.since(self.since), now.since(conn.used) >= UNREAD);
+        let (age, unread) = (
+            now.since(self.since),
+            now.since(conn.last_active_at) >= UNREAD,
+        );
         let closes = match self.state {
             State::Waiting(..) => false,
             State::Closing => unread,
@@ -204,12 +207,12 @@
         core: &mut Core<F::Job>,
     ) {
         let between = net.get(id).is_none_or(|c| c.input.is_empty());
-        let pumped = net.pump(id, CEILING);
+        let progress = net.transfer(id, CEILING);
         let now = net.clock.now();
         let Some(session) = self.open.get_mut(&id) else {
             return net.close(id);
         };
-        if pumped != Pumped::Alive || net.get(id).is_none_or(|c| c.ended) {
+        if progress != TransferProgress::Alive || net.get(id).is_none_or(|c| c.ended) {
             return self.close(net, id, core);
         }
         match session.state {
@@ -332,7 +335,7 @@
         };
         (session.state, session.since) = (if keep { State::Reading } else { State::Closing }, now);
         conn.send(&response.encode(keep, head));
-        if net.flush(id, false) != Pumped::Alive {
+        if net.flush(id, false) != TransferProgress::Alive {
             self.open.remove(&id);
             net.close(id);
         } else if !keep {
@@ -421,7 +424,15 @@
         // connections: clients may hold a third of the descriptors for requests, and what is idle
         // beyond a quarter goes before that. Not while the broker stops: nobody new comes, and who
         // is here may have no other broker to go to.
-        self.shed(net, core, if core.goes_on() { net.crowd() } else { 0 });
+        self.shed(
+            net,
+            core,
+            if core.goes_on() {
+                net.excess_client_connections()
+            } else {
+                0
+            },
+        );
         self.looks = !self.open.is_empty();
         if self.looks {
             net.wheel.set(now.plus(LOOK), Timer::Clients(owner));
--- a/src/management/mod.rs
+++ b/src/management/mod.rs
@@ -14,7 +14,7 @@
 pub use handle::ManagementHandle;
 
 use crate::interface::{Micros, Time};
-use crate::net::{Conn, ConnId, Net, Owner, Pumped, Ready};
+use crate::net::{Conn, ConnId, Net, Owner, Ready, TransferProgress};
 use folder::Folder;
 use lichenswitch_management::call::{self, Call, Change};
 use lichenswitch_management::health::{self, Standing, Unready};
@@ -202,7 +202,7 @@
                 // What was sent with the connection is read before anybody has to make room.
                 self.heard(id);
             }
-            if !self.net.resting() {
+            if !self.net.is_accept_paused() {
                 return;
             }
             let first = self
@@ -216,11 +216,11 @@
     }
 
     fn heard(&mut self, id: ConnId) {
-        let pumped = self.net.pump(id, call::LONGEST + 1);
+        let progress = self.net.transfer(id, call::LONGEST + 1);
         let (Some(caller), Some(conn)) = (self.callers.get(&id), self.net.get_mut(id)) else {
             return;
         };
-        if pumped != Pumped::Alive {
+        if progress != TransferProgress::Alive {
             return self.close(id);
         }
         if caller.answered {
@@ -269,7 +269,7 @@
             conn.send(answer.as_bytes());
         }
         match self.net.flush(id, false) {
-            Pumped::Alive => self.end(id),
+            TransferProgress::Alive => self.end(id),
             _ => self.close(id),
         }
     }
--- a/src/net.rs
+++ b/src/net.rs
@@ -2,7 +2,9 @@
 //! package `wire/net`.
 
 use crate::decide::descriptors::Side;
-pub use lichenswitch_net::{buffer, system_limit, wheel, Clock, ConnId, Denied, Program, Pumped};
+pub use lichenswitch_net::{
+    buffer, system_limit, wheel, Clock, ConnId, ConnectError, Program, TransferProgress,
+};
 
 /// The broker, as the owner of sockets.
 pub struct Broker;
--- a/src/peer/group.rs
+++ b/src/peer/group.rs
@@ -31,7 +31,7 @@
             life: now.0,
             ..told.own.clone()
         };
-        net.set_aside_for_peers(MOST);
+        net.reserve_for_peers(MOST);
         let at = net
             .listen(Owner::PeerIn, told.listen)
             .map_err(|e| format!("peers: listen: {}: {e}", told.listen))?;
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -16,7 +16,7 @@
 use crate::decide::fleet::redial::Redial;
 use crate::decide::fleet::Member;
 use crate::interface::{Micros, Time};
-use crate::net::{ConnId, Denied, Net, Owner, Pumped};
+use crate::net::{ConnId, ConnectError, Net, Owner, TransferProgress};
 use crate::stats::Dice;
 use queue::Queue;
 use std::collections::{BTreeMap, HashMap};
@@ -238,7 +238,7 @@
             self.figures.said_bytes += message.len() as u64;
             conn.send(&message);
         }
-        if net.flush(id, false) != Pumped::Alive {
+        if net.flush(id, false) != TransferProgress::Alive {
             self.lost(net, name, "it broke");
         }
     }
@@ -248,7 +248,7 @@
             return;
         };
         let mut connected = net.connect(Owner::PeerOut, address);
-        if matches!(connected, Err(Denied::Lack(_))) && self.make_room(net) {
+        if matches!(connected, Err(ConnectError::NoDescriptor(_))) && self.make_room(net) {
             connected = net.connect(Owner::PeerOut, address);
         }
         match connected {
@@ -258,7 +258,7 @@
                 if let Some(conn) = net.get_mut(id) {
                     conn.send(&wire::greeting(&self.greeting));
                 }
-                if net.flush(id, false) != Pumped::Alive {
+                if net.flush(id, false) != TransferProgress::Alive {
                     self.lost(net, name, "it broke");
                 }
             }
@@ -269,7 +269,8 @@
     /// Closes the connection to a peer that was unused for longest; `false`: there is none.
     fn make_room(&mut self, net: &mut Net) -> bool {
         let open = self.outs.values_mut().filter(|o| o.conn.is_some());
-        let oldest = open.min_by_key(|o| o.conn.and_then(|id| net.get(id)).map(|c| c.used));
+        let oldest =
+            open.min_by_key(|o| o.conn.and_then(|id| net.get(id)).map(|c| c.last_active_at));
         let closed = oldest.and_then(|out| out.conn.take());
         closed.into_iter().for_each(|id| net.close(id));
         closed.is_some()
@@ -307,7 +308,7 @@
             net.close(id);
             return Vec::new();
         };
-        let pumped = net.pump(id, wire::LONGEST);
+        let progress = net.transfer(id, wire::LONGEST);
         // A peer says nothing here but why it does not listen.
         let said = net.get(id).and_then(|c| {
             wire::next(c.input.bytes())
@@ -316,15 +317,15 @@
                 .map(|m| wire::read(m.0))
         });
         let ended = net.get(id).is_none_or(|c| c.ended);
-        match (said, pumped) {
+        match (said, progress) {
             (Some(Ok(Word::Refused(why))), _) => {
                 self.lost(net, &name, &format!("it refused: {why}"))
             }
             (Some(_), _) => self.lost(net, &name, "it said what makes no sense"),
-            (None, Pumped::NeverUp) => self.lost(net, &name, "it never came up"),
-            (None, Pumped::Broken) => self.lost(net, &name, "it broke"),
-            (None, Pumped::Alive) if ended => self.lost(net, &name, "it ended"),
-            (None, Pumped::Alive) => {
+            (None, TransferProgress::NeverConnected) => self.lost(net, &name, "it never came up"),
+            (None, TransferProgress::Broken) => self.lost(net, &name, "it broke"),
+            (None, TransferProgress::Alive) if ended => self.lost(net, &name, "it ended"),
+            (None, TransferProgress::Alive) => {
                 self.pour(net, &name);
             }
         }
@@ -334,7 +335,7 @@
     /// Reads what a peer says.
     fn listen(&mut self, net: &mut Net, id: ConnId) -> Vec<Heard> {
         let (now, mut heard) = (net.clock.now(), Vec::new());
-        let pumped = net.pump(id, 4 + wire::LONGEST);
+        let progress = net.transfer(id, 4 + wire::LONGEST);
         if now.since(self.window) >= WINDOW {
             (self.window, self.taken) = (now, 0);
         }
@@ -400,7 +401,7 @@
                 }
             }
         }
-        if pumped != Pumped::Alive || net.get(id).is_none_or(|c| c.ended) {
+        if progress != TransferProgress::Alive || net.get(id).is_none_or(|c| c.ended) {
             self.ins.remove(&id);
             net.close(id);
         }
@@ -477,7 +478,7 @@
                 }
                 continue;
             };
-            let quiet = now.since(conn.used);
+            let quiet = now.since(conn.last_active_at);
             // Guards peers that take connections and end them: only one that lasts counts as a way.
             if conn.up && conn.flushed() && now.since(out.since) >= WHOLE {
                 out.redial.on_success();
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -26,7 +26,7 @@
 impl Stage {
     fn new() -> Stage {
         let mut net = Net::new(1_024).unwrap();
-        net.set_aside_for_peers(MOST);
+        net.reserve_for_peers(MOST);
         let at = net
             .listen(Owner::PeerIn, "127.0.0.1:0".parse().unwrap())
             .unwrap();
@@ -250,7 +250,7 @@
         clients.iter().filter(|c| closed(c)).count() == 8
     });
     assert!(
-        !stage.net.resting(),
+        !stage.net.is_accept_paused(),
         "clients of the fronts do not wait for that"
     );
 }
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -267,10 +267,10 @@
             return;
         };
         let (now, idle) = (net.clock.now(), self.idle());
-        if !conn.up || link.idle() && now.since(conn.used) >= idle {
+        if !conn.up || link.idle() && now.since(conn.last_active_at) >= idle {
             return self.broken(net, id);
         }
-        let next = conn.used.plus(idle).max(now.plus(idle / 10));
+        let next = conn.last_active_at.plus(idle).max(now.plus(idle / 10));
         net.wheel.set(next, Timer::Conn(id));
     }
 
--- a/src/upstream/receiving.rs
+++ b/src/upstream/receiving.rs
@@ -3,7 +3,7 @@
 use super::link::Greeting;
 use super::{Ended, Pool, Wire, MUTE, MUTE_LEAST, MUTE_MOST, USUAL_PACE};
 use crate::interface::{Micros, Outcome, ServerId};
-use crate::net::{ConnId, Net, Pumped, Timer};
+use crate::net::{ConnId, Net, Timer, TransferProgress};
 
 impl<W: Wire> Pool<W> {
     /// Notes which connections to a node are mute. Guards against those that fall silent: what is
@@ -21,7 +21,7 @@
         let most = usual.clamp(MUTE_LEAST, MUTE_MOST) << mute.min(4);
         for id in known {
             if let (Some(link), Some(conn)) = (self.links.get_mut(id), net.get(*id)) {
-                link.mute |= link.quiet(conn.heard, now) >= most;
+                link.mute |= link.quiet(conn.last_read_at, now) >= most;
             }
         }
     }
@@ -68,18 +68,18 @@
             return;
         }
         let (up, now) = (net.get(id).is_some_and(|c| c.up), net.clock.now());
-        let pumped = net.pump(id, W::CEILING);
+        let progress = net.transfer(id, W::CEILING);
         self.count_written(net, id);
         let read = self.read(net, id);
         let done = net
             .get(id)
             .is_none_or(|c| c.ended || c.input.bytes().len() >= W::CEILING);
-        if up && net.get(id).is_some_and(|c| c.heard >= now) {
+        if up && net.get(id).is_some_and(|c| c.last_read_at >= now) {
             self.spoke(net, id);
         }
         match read {
             Err(why) => self.spoilt(net, id, &why),
-            Ok(last) if last || done || pumped != Pumped::Alive => self.broken(net, id),
+            Ok(last) if last || done || progress != TransferProgress::Alive => self.broken(net, id),
             Ok(_) => {
                 self.begun(net, id);
                 self.write(net, id);
--- a/src/upstream/sending.rs
+++ b/src/upstream/sending.rs
@@ -5,7 +5,7 @@
 use crate::core::Dispatch;
 use crate::decide::descriptors::LINKS;
 use crate::interface::{Outcome, ServerId, Time};
-use crate::net::{ConnId, Denied, Net, Pumped, Timer};
+use crate::net::{ConnId, ConnectError, Net, Timer, TransferProgress};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
@@ -73,7 +73,7 @@
     pub(super) fn short(&mut self, net: &Net, now: Time) {
         self.short += 1;
         if self.told.is_none_or(|at| now.since(at) >= TOLD) {
-            let (count, why) = (self.short, net.why_short());
+            let (count, why) = (self.short, net.node_capacity_reason());
             self.log.push(format!(
                 "calls that had to wait for a descriptor: {count}; {why}"
             ));
@@ -114,7 +114,7 @@
                     .by_server
                     .get(&link.server)
                     .is_none_or(|known| known.len() < 2);
-                Some((only, net.get(*id)?.used, *id))
+                Some((only, net.get(*id)?.last_active_at, *id))
             })
             .collect();
         idle.sort_unstable();
@@ -143,7 +143,7 @@
                     Greeting::Done
                 };
                 conn.send(&greeting.unwrap_or_default());
-                if net.flush(id, false) != Pumped::Alive {
+                if net.flush(id, false) != TransferProgress::Alive {
                     return self.broken(net, id);
                 }
                 continue;
@@ -187,7 +187,7 @@
             });
             let flushed = net.flush(id, false);
             self.count_written(net, id);
-            if flushed != Pumped::Alive {
+            if flushed != TransferProgress::Alive {
                 return self.broken(net, id);
             }
         }
@@ -224,11 +224,11 @@
         }
         let mut connected = match known.len() < LINKS {
             true => net.connect(W::OWNER, address),
-            false => Err(Denied::Failed(std::io::Error::other(
+            false => Err(ConnectError::Failed(std::io::Error::other(
                 "too many connections to it",
             ))),
         };
-        if matches!(connected, Err(Denied::Lack(_))) && self.yield_idle(net, 1) > 0 {
+        if matches!(connected, Err(ConnectError::NoDescriptor(_))) && self.yield_idle(net, 1) > 0 {
             connected = net.connect(W::OWNER, address);
         }
         let known = self.by_server.entry(server).or_default();
@@ -267,8 +267,8 @@
                     self.by_server.remove(&server);
                 }
                 match denied {
-                    Denied::Lack(_) => Err(Closed::Ours),
-                    Denied::Failed(e) => {
+                    ConnectError::NoDescriptor(_) => Err(Closed::Ours),
+                    ConnectError::Failed(e) => {
                         self.log
                             .push(format!("connect to server {} failed: {e}", server.0));
                         Err(Closed::Theirs)
--- a/src/upstream/withdrawing.rs
+++ b/src/upstream/withdrawing.rs
@@ -2,7 +2,7 @@
 
 use super::link::Out;
 use super::{Pool, Wire};
-use crate::net::{Net, Pumped};
+use crate::net::{Net, TransferProgress};
 
 impl<W: Wire> Pool<W> {
     /// Gives up an attempt: the node is told, unless its call never left.
@@ -44,7 +44,7 @@
             return self.broken(net, id);
         };
         conn.send(&bytes);
-        if net.flush(id, false) != Pumped::Alive {
+        if net.flush(id, false) != TransferProgress::Alive {
             self.broken(net, id);
         }
     }
--- a/wire/net/src/buffer.rs
+++ b/wire/net/src/buffer.rs
@@ -3,9 +3,9 @@
 use std::io::{self, Read, Write};
 
 /// Bytes read at once.
-const CHUNK: usize = 16 * 1024;
-/// A buffer that has grown beyond this gives its memory back once it is empty.
-const KEPT: usize = 32 * 1024;
+const CHUNK_BYTES: usize = 16 * 1024;
+/// A buffer that has grown beyond this many bytes gives its memory back once it is empty.
+const MAX_RETAINED_BYTES: usize = 32 * 1024;
 
 /// A queue of bytes.
 #[derive(Default)]
@@ -38,10 +38,10 @@
         if self.is_empty() {
             self.bytes.clear();
             self.start = 0;
-            if self.bytes.capacity() > KEPT {
-                self.bytes.shrink_to(CHUNK);
+            if self.bytes.capacity() > MAX_RETAINED_BYTES {
+                self.bytes.shrink_to(CHUNK_BYTES);
             }
-        } else if self.start > CHUNK {
+        } else if self.start > CHUNK_BYTES {
             self.bytes.drain(..self.start);
             self.start = 0;
         }
@@ -49,8 +49,11 @@
 
     /// Reads until there is no more, or `ceiling` bytes are held. `Ok(true)`: the other side has
     /// ended.
+    ///
+    /// # Errors
+    /// What `from` returns, but for an interruption and for having nothing to read now.
     pub fn fill(&mut self, from: &mut impl Read, ceiling: usize) -> io::Result<bool> {
-        let mut chunk = [0; CHUNK];
+        let mut chunk = [0; CHUNK_BYTES];
         while self.bytes().len() < ceiling {
             match from.read(&mut chunk) {
                 Ok(0) => return Ok(true),
@@ -63,7 +66,11 @@
         Ok(false)
     }
 
-    /// Writes as much as goes; tells how much that was.
+    /// Writes as much as `to` takes now, and returns how many bytes that was.
+    ///
+    /// # Errors
+    /// What `to` returns, but for an interruption and for taking nothing now; one that takes no
+    /// byte at all is [`io::ErrorKind::WriteZero`].
     pub fn drain(&mut self, to: &mut impl Write) -> io::Result<usize> {
         let mut written = 0;
         while !self.is_empty() {
--- a/wire/net/src/connections.rs
+++ b/wire/net/src/connections.rs
@@ -2,28 +2,36 @@
 
 use super::buffer::Buffer;
 use super::{
-    Conn, ConnId, Denied, Net, Program, Pumped, EINPROGRESS, EMFILE, ENFILE, INDEX_BITS,
-    LISTENER_KEY,
+    Conn, ConnId, ConnectError, Interest, Net, Program, TransferProgress, EINPROGRESS, EMFILE,
+    ENFILE, INDEX_BITS, LISTENER_KEY,
 };
 use lichenswitch_descriptors::{Reason, Verdict};
-use polling::{Event, PollMode};
+use polling::PollMode;
 use socket2::{Domain, Protocol, SockRef, Socket, TcpKeepalive, Type};
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
 impl<P: Program> Net<P> {
-    /// Starts to open a connection.
-    pub fn connect(&mut self, owner: P::Owner, address: SocketAddr) -> Result<ConnId, Denied> {
+    /// Starts to open a connection. It is up once [`Net::transfer`] says so.
+    ///
+    /// # Errors
+    /// [`ConnectError::NoDescriptor`] where the share of `owner` or the system has none left: try
+    /// again once a connection is closed. [`ConnectError::Failed`] where the system refused it.
+    pub fn connect(
+        &mut self,
+        owner: P::Owner,
+        address: SocketAddr,
+    ) -> Result<ConnId, ConnectError> {
         // Guards the descriptor budget, and what one side may take of it from the others.
         match self.shares.may_open(P::side(owner)) {
             Verdict::Open(_) => self
                 .open(owner, address)
                 .map_err(|e| match e.raw_os_error() {
-                    Some(EMFILE | ENFILE) => Denied::Lack(Reason::System),
-                    _ => Denied::Failed(e),
+                    Some(EMFILE | ENFILE) => ConnectError::NoDescriptor(Reason::System),
+                    _ => ConnectError::Failed(e),
                 }),
-            Verdict::Instead(why) | Verdict::Wait(why) => Err(Denied::Lack(why)),
+            Verdict::Instead(why) | Verdict::Wait(why) => Err(ConnectError::NoDescriptor(why)),
         }
     }
 
@@ -73,35 +81,30 @@
         });
         let id = ConnId((self.next << INDEX_BITS | index) % LISTENER_KEY);
         self.next += 1;
-        let interest = (true, !up);
-        let event = Event {
-            key: id.0,
-            readable: interest.0,
-            writable: interest.1,
+        let interest = Interest {
+            readable: true,
+            writable: !up,
         };
+        let event = interest.event(id);
         if let Err(e) = self.poller.add_with_mode(&stream, event, PollMode::Level) {
             self.free.push(index);
             return Err(e);
         }
         self.shares.on_opened(P::side(owner));
-        let (input, output, used) = (Buffer::default(), Buffer::default(), self.clock.now());
-        let (queued, written, ended) = (0, 0, false);
-        let heard = used;
-        let (paused, polled) = (false, true);
+        let now = self.clock.now();
         let conn = Conn {
             stream,
             owner,
-            input,
-            output,
+            input: Buffer::default(),
+            output: Buffer::default(),
             up,
-            ended,
-            queued,
-            written,
-            used,
-            heard,
-            interest,
-            paused,
-            polled,
+            ended: false,
+            queued: 0,
+            written: 0,
+            last_active_at: now,
+            last_read_at: now,
+            registered: Some(interest),
+            paused: false,
         };
         self.slots[index] = Some((id, conn));
         Ok(id)
@@ -127,97 +130,84 @@
     /// other side sends waits in the system, and beyond that at the other side. While it rests and
     /// nothing is to be written nothing is reported of it, not even that it broke; that shows once
     /// reading goes on.
-    pub fn pause(&mut self, id: ConnId, on: bool) -> Pumped {
+    pub fn pause(&mut self, id: ConnId, on: bool) -> TransferProgress {
         let Some(conn) = self.get_mut(id) else {
-            return Pumped::Broken;
+            return TransferProgress::Broken;
         };
         conn.paused = on;
         self.flush(id, false)
     }
 
-    /// Writes what is queued and reads what has come, up to `ceiling` bytes held.
-    pub fn pump(&mut self, id: ConnId, ceiling: usize) -> Pumped {
+    /// Writes what is queued and reads what has come, until `ceiling` bytes of input are buffered.
+    pub fn transfer(&mut self, id: ConnId, ceiling: usize) -> TransferProgress {
         let now = self.clock.now();
         let Some(conn) = self.get_mut(id) else {
-            return Pumped::Broken;
+            return TransferProgress::Broken;
         };
         if !conn.up {
-            if matches!(conn.stream.take_error(), Ok(Some(_)) | Err(_)) {
-                return Pumped::NeverUp;
-            }
-            // Without an error a connection that is still being opened has no peer yet.
-            if conn.stream.peer_addr().is_err() {
-                return Pumped::Alive;
+            match conn.connect_progress() {
+                ConnectProgress::Failed => return TransferProgress::NeverConnected,
+                ConnectProgress::Pending => return TransferProgress::Alive,
+                ConnectProgress::Done => conn.up = true,
             }
-            conn.up = true;
-            (conn.used, conn.heard) = (now, now);
-        }
-        let held = conn.input.bytes().len();
-        let read = match conn.ended || conn.paused {
-            // Guards the loop: without a read nothing else shows that it broke, and what is broken
-            // stays ready.
-            true => match conn.stream.take_error() {
-                Ok(None) => Ok(conn.ended),
-                Ok(Some(e)) | Err(e) => Err(e),
-            },
-            false => conn.input.fill(&mut conn.stream, ceiling),
-        };
-        if conn.input.bytes().len() > held {
-            (conn.used, conn.heard) = (now, now);
+            (conn.last_active_at, conn.last_read_at) = (now, now);
+        }
+        let buffered = conn.input.bytes().len();
+        let read = conn.read(ceiling);
+        if conn.input.bytes().len() > buffered {
+            (conn.last_active_at, conn.last_read_at) = (now, now);
         }
         match read {
             Ok(ended) => conn.ended = ended,
-            Err(_) => return Pumped::Broken,
+            Err(_) => return TransferProgress::Broken,
         }
         let full = conn.input.bytes().len() >= ceiling;
         self.flush(id, full)
     }
 
-    /// Writes what is queued; reading rests while `full`.
-    pub fn flush(&mut self, id: ConnId, full: bool) -> Pumped {
+    /// Writes what is queued; reading pauses while `full`.
+    pub fn flush(&mut self, id: ConnId, full: bool) -> TransferProgress {
         let now = self.clock.now();
         let Some(conn) = self.get_mut(id) else {
-            return Pumped::Broken;
+            return TransferProgress::Broken;
         };
         if conn.up && !conn.output.is_empty() {
             match conn.output.drain(&mut conn.stream) {
                 Ok(n) => conn.written += n as u64,
-                Err(_) => return Pumped::Broken,
+                Err(_) => return TransferProgress::Broken,
             }
-            conn.used = now;
-        }
-        // An ended side stays readable for ever: to go on polling it would spin.
-        let rests = full || conn.ended || conn.paused;
-        let interest = (!rests, !conn.up || !conn.output.is_empty());
-        // A connection that broke is ready whatever it is asked for: one that rests is not looked
-        // at.
-        let polled = !conn.paused || interest != (false, false);
-        if (interest, polled) == (conn.interest, conn.polled) {
-            return Pumped::Alive;
-        }
-        let was_polled = std::mem::replace(&mut conn.polled, polled);
-        conn.interest = interest;
-        let event = Event {
-            key: id.0,
-            readable: interest.0,
-            writable: interest.1,
-        };
-        let Some((_, conn)) = self.slots[id.0 & ((1 << INDEX_BITS) - 1)].as_ref() else {
-            return Pumped::Broken;
-        };
-        let told = match (was_polled, polled) {
-            (true, true) => self
-                .poller
-                .modify_with_mode(&conn.stream, event, PollMode::Level),
-            (false, true) => self
-                .poller
-                .add_with_mode(&conn.stream, event, PollMode::Level),
-            (true, false) => self.poller.delete(&conn.stream),
-            (false, false) => Ok(()),
+            conn.last_active_at = now;
+        }
+        let wanted = conn.wanted_events(full);
+        let registered = conn.registered;
+        if wanted == registered {
+            return TransferProgress::Alive;
+        }
+        conn.registered = wanted;
+        match self.register(id, registered, wanted) {
+            Ok(()) => TransferProgress::Alive,
+            Err(_) => TransferProgress::Broken,
+        }
+    }
+
+    /// Changes what the poller reports of a connection.
+    fn register(
+        &self,
+        id: ConnId,
+        before: Option<Interest>,
+        wanted: Option<Interest>,
+    ) -> io::Result<()> {
+        let Some(conn) = self.get(id) else {
+            return Err(io::ErrorKind::NotConnected.into());
         };
-        match told {
-            Ok(()) => Pumped::Alive,
-            Err(_) => Pumped::Broken,
+        let (poller, stream) = (&self.poller, &conn.stream);
+        match (before, wanted) {
+            (Some(_), Some(events)) => {
+                poller.modify_with_mode(stream, events.event(id), PollMode::Level)
+            }
+            (None, Some(events)) => poller.add_with_mode(stream, events.event(id), PollMode::Level),
+            (Some(_), None) => poller.delete(stream),
+            (None, None) => Ok(()),
         }
     }
 
@@ -242,7 +232,52 @@
             let _ = self.poller.delete(&conn.stream);
             self.shares.on_closed(P::side(conn.owner));
             self.free.push(index);
-            self.attend_again();
+            self.resume_accepting();
         }
     }
 }
+
+/// How far the system is with opening a connection.
+enum ConnectProgress {
+    Pending,
+    Done,
+    Failed,
+}
+
+impl<Owner> Conn<Owner> {
+    fn connect_progress(&self) -> ConnectProgress {
+        if matches!(self.stream.take_error(), Ok(Some(_)) | Err(_)) {
+            return ConnectProgress::Failed;
+        }
+        // Without an error a connection that is still being opened has no peer yet.
+        match self.stream.peer_addr() {
+            Ok(_) => ConnectProgress::Done,
+            Err(_) => ConnectProgress::Pending,
+        }
+    }
+
+    /// Reads what has come; `Ok(true)`: the other side has ended.
+    fn read(&mut self, ceiling: usize) -> io::Result<bool> {
+        if !self.ended && !self.paused {
+            return self.input.fill(&mut self.stream, ceiling);
+        }
+        // Guards the loop: without a read nothing else shows that it broke, and what is broken
+        // stays ready.
+        match self.stream.take_error() {
+            Ok(None) => Ok(self.ended),
+            Ok(Some(e)) | Err(e) => Err(e),
+        }
+    }
+
+    /// What the poller is to report of it; `full`: no more may be read now.
+    fn wanted_events(&self, full: bool) -> Option<Interest> {
+        let interest = Interest {
+            // An ended side stays readable for ever: to go on polling it would spin.
+            readable: !(full || self.ended || self.paused),
+            writable: !self.up || !self.output.is_empty(),
+        };
+        // A connection that broke is ready whatever it is asked for: one that is paused is not
+        // looked at.
+        (!self.paused || !interest.is_empty()).then_some(interest)
+    }
+}
--- a/wire/net/src/lib.rs
+++ b/wire/net/src/lib.rs
@@ -22,7 +22,7 @@
 use std::net::{TcpListener, TcpStream};
 use std::os::unix::net::UnixStream;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use wheel::Wheel;
+use wheel::TimerWheel;
 
 /// Names a connection. Never reused: a late event of a closed connection finds nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -57,18 +57,18 @@
 
 /// Why a connection could not be opened.
 #[derive(Debug)]
-pub enum Denied {
+pub enum ConnectError {
     /// This process has no descriptor for it now: the other side has no part in that.
-    Lack(Reason),
+    NoDescriptor(Reason),
     /// The system said no.
     Failed(io::Error),
 }
 
-impl fmt::Display for Denied {
+impl fmt::Display for ConnectError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Denied::Lack(why) => why.fmt(f),
-            Denied::Failed(e) => e.fmt(f),
+            ConnectError::NoDescriptor(why) => why.fmt(f),
+            ConnectError::Failed(e) => e.fmt(f),
         }
     }
 }
@@ -111,6 +111,28 @@
     }
 }
 
+/// Which events of a connection the poller is to report.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct Interest {
+    readable: bool,
+    writable: bool,
+}
+
+impl Interest {
+    fn is_empty(self) -> bool {
+        !self.readable && !self.writable
+    }
+
+    /// These events of the connection `id`, as the poller takes them.
+    fn event(self, id: ConnId) -> Event {
+        Event {
+            key: id.0,
+            readable: self.readable,
+            writable: self.writable,
+        }
+    }
+}
+
 /// One connection.
 pub struct Conn<Owner> {
     stream: TcpStream,
@@ -126,14 +148,13 @@
     queued: u64,
     written: u64,
     /// Last time that anything was written or read.
-    pub used: Time,
+    pub last_active_at: Time,
     /// Last time that anything was read, or that it came up.
-    pub heard: Time,
-    interest: (bool, bool),
-    /// Its owner wants nothing more for now.
+    pub last_read_at: Time,
+    /// What the poller reports of it now; `None`: it is not with the poller.
+    registered: Option<Interest>,
+    /// Its owner wants to read nothing more for now.
     paused: bool,
-    /// Whether the poller knows it.
-    polled: bool,
 }
 
 impl<Owner> Conn<Owner> {
@@ -177,13 +198,13 @@
     }
 }
 
-/// What a look at a connection brought.
+/// How a connection stands after bytes were moved to and from it.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Pumped {
+pub enum TransferProgress {
     /// Bytes may have been read and written.
     Alive,
     /// The connection never came up.
-    NeverUp,
+    NeverConnected,
     /// The connection broke, or there is no such connection.
     Broken,
 }
@@ -211,21 +232,27 @@
     /// In the order of their keys; `None`: closed.
     listeners: Vec<(P::Owner, Option<TcpListener>)>,
     /// Accepting rests until a client's connection is given back.
-    resting: bool,
+    is_accept_paused: bool,
     signals: Vec<(P::Signal, UnixStream)>,
     /// Timers.
-    pub wheel: Wheel<P::Timer>,
+    pub wheel: TimerWheel<P::Timer>,
     /// The clock.
     pub clock: Clock,
 }
 
 impl<P: Program> Net<P> {
-    /// A net that holds no more than `descriptors`.
+    /// A net that holds no more than `descriptors`, those of listeners and the like included.
+    ///
+    /// # Errors
+    /// Where the system gives no poller.
     pub fn new(descriptors: usize) -> io::Result<Net<P>> {
         Net::of_connections(descriptors.saturating_sub(RESERVED).max(8))
     }
 
-    /// A net of so many connections.
+    /// A net of at most so many connections.
+    ///
+    /// # Errors
+    /// Where the system gives no poller.
     pub fn of_connections(most: usize) -> io::Result<Net<P>> {
         let clock = Clock::default();
         Ok(Net {
@@ -236,14 +263,17 @@
             next: 1,
             shares: Shares::new(most),
             listeners: Vec::new(),
-            resting: false,
+            is_accept_paused: false,
             signals: Vec::new(),
-            wheel: Wheel::new(clock.now()),
+            wheel: TimerWheel::new(clock.now()),
             clock,
         })
     }
 
     /// Reports a signal whenever this stream can be read.
+    ///
+    /// # Errors
+    /// What the system returns where the stream can't be polled.
     pub fn watch_signal(&mut self, signal: P::Signal, stream: UnixStream) -> io::Result<()> {
         stream.set_nonblocking(true)?;
         let key = SIGNAL_KEY + self.signals.len();
@@ -254,6 +284,9 @@
     }
 
     /// Waits until something is ready or `until` has come.
+    ///
+    /// # Errors
+    /// What the poller returns, but for an interruption by a signal.
     pub fn wait(&mut self, until: Option<Time>) -> io::Result<Vec<Ready<P::Owner, P::Signal>>> {
         let until = [until, self.wheel.next()].into_iter().flatten().min();
         let timeout = until.map(|at| Duration::from_micros(at.since(self.clock.now())));
@@ -303,25 +336,25 @@
     }
 
     /// Sets so many descriptors aside for other brokers, in each direction.
-    pub fn set_aside_for_peers(&mut self, each: usize) {
+    pub fn reserve_for_peers(&mut self, each: usize) {
         self.shares.on_peers(each);
     }
 
     /// So many processes of this broker run side by side now: descriptors are shared by them.
-    pub fn share(&mut self, processes: u32) {
+    pub fn share_with_processes(&mut self, processes: u32) {
         self.shares.on_processes(processes);
-        self.attend_again();
+        self.resume_accepting();
     }
 
     /// So many data nodes are listed now, by all services: what is set aside for them follows.
-    pub fn listed(&mut self, nodes: usize) {
+    pub fn set_listed_nodes(&mut self, nodes: usize) {
         self.shares.on_listed(nodes);
-        self.attend_again();
+        self.resume_accepting();
     }
 
     /// How many data nodes the descriptors bear, whatever clients hold.
     #[must_use]
-    pub fn bears(&self) -> usize {
+    pub fn node_capacity(&self) -> usize {
         self.shares.bears()
     }
 
@@ -331,8 +364,8 @@
 
     /// Connections to data nodes that clients who wait have a right to: the idle among them may go.
     #[must_use]
-    pub fn owed(&self) -> usize {
-        if self.resting {
+    pub fn reclaimable_connections(&self) -> usize {
+        if self.is_accept_paused {
             self.shares.owed()
         } else {
             0
@@ -341,13 +374,13 @@
 
     /// How the descriptors stand for data nodes, in words.
     #[must_use]
-    pub fn why_short(&self) -> String {
+    pub fn node_capacity_reason(&self) -> String {
         self.shares.may_open(Side::Nodes).to_string()
     }
 
     /// Connections that clients hold beyond a quarter of all descriptors.
     #[must_use]
-    pub fn crowd(&self) -> usize {
+    pub fn excess_client_connections(&self) -> usize {
         self.shares.crowd()
     }
 }
--- a/wire/net/src/listeners.rs
+++ b/wire/net/src/listeners.rs
@@ -8,15 +8,26 @@
 use std::net::{SocketAddr, TcpListener};
 
 impl<P: Program> Net<P> {
-    /// Listens for clients; tells the address, whose port the system may have chosen.
+    /// Listens for clients, and returns the address, whose port the system may have chosen. Another
+    /// process may listen at the same address.
+    ///
+    /// # Errors
+    /// What the system returns, such as an address in use or a port that needs privileges.
     pub fn listen(&mut self, owner: P::Owner, address: SocketAddr) -> io::Result<SocketAddr> {
         // Guards an upgrade: the next process begins to listen while this one still serves.
         self.listen_at(owner, address, true)
     }
 
-    /// The same where no other process may listen at the address at the same time; one that has
-    /// ended stands in nobody's way.
-    pub fn listen_alone(&mut self, owner: P::Owner, address: SocketAddr) -> io::Result<SocketAddr> {
+    /// As [`Net::listen`], where no other process may listen at the address at the same time; one
+    /// that has ended doesn't matter.
+    ///
+    /// # Errors
+    /// What the system returns, such as an address in use or a port that needs privileges.
+    pub fn listen_exclusively(
+        &mut self,
+        owner: P::Owner,
+        address: SocketAddr,
+    ) -> io::Result<SocketAddr> {
         self.listen_at(owner, address, false)
     }
 
@@ -37,11 +48,14 @@
         socket.set_nonblocking(true)?;
         socket.bind(&address.into())?;
         socket.listen(BACKLOG)?;
-        self.adopt(owner, socket.into())
+        self.listen_on(owner, socket.into())
     }
 
-    /// Listens on a socket that listens already; tells the address.
-    pub fn adopt(&mut self, owner: P::Owner, listener: TcpListener) -> io::Result<SocketAddr> {
+    /// Takes over a socket that listens already, and returns its address.
+    ///
+    /// # Errors
+    /// What the system returns where the socket can't be polled or has no address.
+    pub fn listen_on(&mut self, owner: P::Owner, listener: TcpListener) -> io::Result<SocketAddr> {
         listener.set_nonblocking(true)?;
         let key = LISTENER_KEY + self.listeners.len();
         self.poller
@@ -62,6 +76,9 @@
     }
 
     /// Another handle of the socket that `owner` listens on.
+    ///
+    /// # Errors
+    /// [`io::ErrorKind::NotConnected`] where `owner` listens on none; else what the system returns.
     pub fn listener_of(&self, owner: P::Owner) -> io::Result<TcpListener> {
         let found = self
             .listeners
@@ -74,7 +91,7 @@
     }
 
     /// Closes the listeners of `owner`.
-    pub fn leave(&mut self, owner: P::Owner) {
+    pub fn close_listeners(&mut self, owner: P::Owner) {
         for (_, listener) in self.listeners.iter_mut().filter(|l| l.0 == owner) {
             if let Some(listener) = listener.take() {
                 // A listener that can't be taken out of the poller is taken out by its close.
@@ -86,7 +103,9 @@
     /// Closes all listeners.
     pub fn stop_listening(&mut self) {
         let owners: Vec<P::Owner> = self.listeners.iter().map(|l| l.0).collect();
-        owners.into_iter().for_each(|owner| self.leave(owner));
+        owners
+            .into_iter()
+            .for_each(|owner| self.close_listeners(owner));
     }
 
     /// Accepts all that wait at the listeners of `owner`. With the budget used up the rest wait
@@ -111,7 +130,7 @@
                             _ => continue,
                         }
                     }
-                    self.resting = true;
+                    self.is_accept_paused = true;
                     break;
                 }
                 match listener.accept() {
@@ -124,22 +143,22 @@
                     // Guards the loop: the system has no descriptor or memory for it, and a
                     // listener stays ready.
                     Err(_) => {
-                        self.resting = true;
+                        self.is_accept_paused = true;
                         break;
                     }
                 }
             }
         }
         self.listeners = listeners;
-        if self.resting {
-            self.attend(false);
+        if self.is_accept_paused {
+            self.poll_listeners(false);
         }
         taken
     }
 
     /// Reports listeners that have connections to accept, or not: one that stays ready would spin
     /// the loop.
-    pub(super) fn attend(&mut self, on: bool) {
+    pub(super) fn poll_listeners(&mut self, on: bool) {
         for (i, (_, listener)) in self.listeners.iter().enumerate() {
             let Some(listener) = listener else { continue };
             let event = Event {
@@ -156,16 +175,16 @@
 
     /// Accepts again once there is room. Where the system itself had none, that shows in the next
     /// try.
-    pub fn attend_again(&mut self) {
-        if self.resting && self.may_open(Side::Clients) {
-            self.resting = false;
-            self.attend(true);
+    pub fn resume_accepting(&mut self) {
+        if self.is_accept_paused && self.may_open(Side::Clients) {
+            self.is_accept_paused = false;
+            self.poll_listeners(true);
         }
     }
 
     /// Whether clients wait because the budget is used up.
     #[must_use]
-    pub fn resting(&self) -> bool {
-        self.resting
+    pub fn is_accept_paused(&self) -> bool {
+        self.is_accept_paused
     }
 }
--- a/wire/net/src/tests.rs
+++ b/wire/net/src/tests.rs
@@ -62,13 +62,13 @@
         assert!(knocks(&mut net));
         open.extend(net.accept(Owner::Clients));
     }
-    assert!(net.accept(Owner::Clients).is_empty() && net.resting());
+    assert!(net.accept(Owner::Clients).is_empty() && net.is_accept_paused());
     assert!(
         !knocks(&mut net),
         "a listener that can't be served does not spin the loop"
     );
     net.close(open[0]);
-    assert!(net.get(open[0]).is_none() && !net.resting() && knocks(&mut net));
+    assert!(net.get(open[0]).is_none() && !net.is_accept_paused() && knocks(&mut net));
     let last = net.accept(Owner::Clients);
     assert!(
         last.len() == 1 && last[0] != open[0],
@@ -85,7 +85,7 @@
     let _clients: Vec<TcpStream> = (0..8)
         .map(|_| TcpStream::connect(address).unwrap())
         .collect();
-    while !net.resting() {
+    while !net.is_accept_paused() {
         assert!(knocks(&mut net));
         net.accept(Owner::Clients);
     }
@@ -132,7 +132,7 @@
         .unwrap();
     while !net.get(id).unwrap().up {
         reported(&mut net, id);
-        assert_eq!(net.pump(id, CEILING), Pumped::Alive);
+        assert_eq!(net.transfer(id, CEILING), TransferProgress::Alive);
     }
     (net, id, other)
 }
@@ -175,14 +175,14 @@
     while net.get(id).unwrap().queued_unwritten() == 0 {
         net.get_mut(id).unwrap().send(&piece);
         sent += piece.len();
-        assert_eq!(net.flush(id, false), Pumped::Alive);
+        assert_eq!(net.flush(id, false), TransferProgress::Alive);
     }
     let conn = net.get(id).unwrap();
     assert_eq!(conn.queued_unwritten() + conn.written(), sent as u64);
     let reader = std::thread::spawn(move || other.read_exact(&mut vec![0; sent]).map(|()| other));
     while net.get(id).unwrap().queued_unwritten() > 0 {
         assert!(reported(&mut net, id));
-        assert_eq!(net.pump(id, CEILING), Pumped::Alive);
+        assert_eq!(net.transfer(id, CEILING), TransferProgress::Alive);
     }
     reader.join().unwrap().unwrap();
 }
@@ -190,39 +190,45 @@
 #[test]
 fn a_connection_that_rests_is_not_read_and_goes_on_where_it_was() {
     let (mut net, id, mut other) = connected();
-    assert_eq!(net.pause(id, true), Pumped::Alive);
+    assert_eq!(net.pause(id, true), TransferProgress::Alive);
     other.write_all(b"abc").unwrap();
     assert!(!reported(&mut net, id) && net.get(id).unwrap().paused());
     assert_eq!(
-        (net.pump(id, CEILING), net.get(id).unwrap().input.bytes()),
-        (Pumped::Alive, &b""[..])
+        (
+            net.transfer(id, CEILING),
+            net.get(id).unwrap().input.bytes()
+        ),
+        (TransferProgress::Alive, &b""[..])
     );
     // Writing goes on meanwhile.
     net.get_mut(id).unwrap().send(b"xy");
-    assert_eq!(net.flush(id, false), Pumped::Alive);
+    assert_eq!(net.flush(id, false), TransferProgress::Alive);
     let mut got = [0; 2];
     other.read_exact(&mut got).unwrap();
     assert!(&got == b"xy" && !reported(&mut net, id));
-    assert_eq!(net.pause(id, false), Pumped::Alive);
+    assert_eq!(net.pause(id, false), TransferProgress::Alive);
     assert!(reported(&mut net, id));
     assert_eq!(
-        (net.pump(id, CEILING), net.get(id).unwrap().input.bytes()),
-        (Pumped::Alive, &b"abc"[..])
+        (
+            net.transfer(id, CEILING),
+            net.get(id).unwrap().input.bytes()
+        ),
+        (TransferProgress::Alive, &b"abc"[..])
     );
 }
 
 #[test]
 fn a_connection_that_breaks_while_it_rests_spins_no_loop_and_is_found_afterwards() {
     let (mut net, id, other) = connected();
-    assert_eq!(net.pause(id, true), Pumped::Alive);
+    assert_eq!(net.pause(id, true), TransferProgress::Alive);
     SockRef::from(&other)
         .set_linger(Some(Duration::ZERO))
         .unwrap();
     drop(other);
     assert!(!reported(&mut net, id), "nothing is to be done about it");
-    assert_eq!(net.pause(id, false), Pumped::Alive);
+    assert_eq!(net.pause(id, false), TransferProgress::Alive);
     assert!(reported(&mut net, id));
-    assert_eq!(net.pump(id, CEILING), Pumped::Broken);
+    assert_eq!(net.transfer(id, CEILING), TransferProgress::Broken);
 }
 
 #[test]
@@ -231,15 +237,15 @@
     let piece = vec![7; 1 << 20];
     while net.get(id).unwrap().flushed() {
         net.get_mut(id).unwrap().send(&piece);
-        assert_eq!(net.flush(id, false), Pumped::Alive);
+        assert_eq!(net.flush(id, false), TransferProgress::Alive);
     }
-    assert_eq!(net.pause(id, true), Pumped::Alive);
+    assert_eq!(net.pause(id, true), TransferProgress::Alive);
     SockRef::from(&other)
         .set_linger(Some(Duration::ZERO))
         .unwrap();
     drop(other);
     assert!(reported(&mut net, id));
-    assert_eq!(net.pump(id, CEILING), Pumped::Broken);
+    assert_eq!(net.transfer(id, CEILING), TransferProgress::Broken);
 }
 
 #[test]
@@ -247,13 +253,13 @@
     let (mut net, id, other) = connected();
     other.shutdown(std::net::Shutdown::Write).unwrap();
     assert!(reported(&mut net, id));
-    assert!(net.pump(id, CEILING) == Pumped::Alive && net.get(id).unwrap().ended);
+    assert!(net.transfer(id, CEILING) == TransferProgress::Alive && net.get(id).unwrap().ended);
     SockRef::from(&other)
         .set_linger(Some(Duration::ZERO))
         .unwrap();
     drop(other);
     assert!(reported(&mut net, id));
-    assert_eq!(net.pump(id, CEILING), Pumped::Broken);
+    assert_eq!(net.transfer(id, CEILING), TransferProgress::Broken);
 }
 
 #[test]
@@ -261,7 +267,7 @@
     let (mut net, id, mut other) = connected();
     other.write_all(&vec![1; 200_000]).unwrap();
     assert!(reported(&mut net, id));
-    assert_eq!(net.pump(id, 20_000), Pumped::Alive);
+    assert_eq!(net.transfer(id, 20_000), TransferProgress::Alive);
     let held = net.get(id).unwrap().input.bytes().len();
     assert!((20_000..20_000 + 16 * 1024).contains(&held), "{held}");
     assert!(!reported(&mut net, id), "it is full");
@@ -271,7 +277,7 @@
 fn a_reset_is_no_end_and_an_end_is_no_reset() {
     let (mut net, id, mut other) = connected();
     net.get_mut(id).unwrap().send(b"abc");
-    assert_eq!(net.flush(id, false), Pumped::Alive);
+    assert_eq!(net.flush(id, false), TransferProgress::Alive);
     net.get_mut(id).unwrap().end_output();
     let mut got = Vec::new();
     assert_eq!(other.read_to_end(&mut got).map(|_| got).unwrap(), b"abc");
@@ -288,11 +294,11 @@
 fn who_listens_alone_keeps_others_out_and_leaves_the_address_to_the_next() {
     let [mut first, mut second] = [(); 2].map(|()| Net::new(RESERVED + 16).unwrap());
     let address = first
-        .listen_alone(Owner::Clients, "127.0.0.1:0".parse().unwrap())
+        .listen_exclusively(Owner::Clients, "127.0.0.1:0".parse().unwrap())
         .unwrap();
     assert_eq!(
         second
-            .listen_alone(Owner::Clients, address)
+            .listen_exclusively(Owner::Clients, address)
             .unwrap_err()
             .kind(),
         io::ErrorKind::AddrInUse
@@ -306,7 +312,7 @@
     drop(client);
     first.stop_listening();
     assert_eq!(
-        second.listen_alone(Owner::Clients, address).unwrap(),
+        second.listen_exclusively(Owner::Clients, address).unwrap(),
         address
     );
 }
--- a/wire/net/src/wheel.rs
+++ b/wire/net/src/wheel.rs
@@ -9,18 +9,18 @@
 const SLOTS: usize = 1_024;
 
 /// A wheel of timers that carry a `T`.
-pub struct Wheel<T> {
+pub struct TimerWheel<T> {
     slots: Vec<Vec<(u64, T)>>,
     /// The last tick that was worked off.
     tick: u64,
     count: usize,
 }
 
-impl<T> Wheel<T> {
+impl<T> TimerWheel<T> {
     /// An empty wheel whose time is `now`.
     #[must_use]
     pub fn new(now: Time) -> Self {
-        Wheel {
+        TimerWheel {
             slots: (0..SLOTS).map(|_| Vec::new()).collect(),
             tick: now.0 / TICK,
             count: 0,
