--- a/decide/registry/src/heartbeat.rs
+++ b/decide/registry/src/heartbeat.rs
@@ -58,7 +58,7 @@
     /// Its state; ready where it does not tell.
     pub state: ServerState,
     /// How much longer it stays slow from its start (milliseconds).
-    pub cold_remaining_ms: u64,
+    pub warm_up_remaining_ms: u64,
     /// Rises with each call; 0 where it does not tell.
     pub sequence_number: u64,
 }
@@ -87,7 +87,7 @@
             version: text(object, "version")?,
             capacity_slots: u32::try_from(count(object, "capacitySlots")?).unwrap_or(u32::MAX),
             state: state(object)?,
-            cold_remaining_ms: count(object, "coldRemainingMs")?,
+            warm_up_remaining_ms: count(object, "coldRemainingMs")?,
             sequence_number: count(object, "sequenceNumber")?,
         })
     }
@@ -103,8 +103,8 @@
             capacity_slots: self.capacity_slots,
             state: self.state,
             sequence_number: self.sequence_number,
-            cold_remaining_ms: self.cold_remaining_ms,
-            unheard: false,
+            warm_up_remaining_ms: self.warm_up_remaining_ms,
+            is_suspect: false,
         }
     }
 }
--- a/decide/registry/src/heartbeat/tests.rs
+++ b/decide/registry/src/heartbeat/tests.rs
@@ -26,7 +26,7 @@
         version: "v1".to_owned(),
         capacity_slots: 48,
         state: ServerState::Draining,
-        cold_remaining_ms: 1_201,
+        warm_up_remaining_ms: 1_201,
         sequence_number: 4,
     };
     assert_eq!(heartbeat, wanted);
@@ -35,7 +35,7 @@
         (
             record.instance.as_str(),
             record.sequence_number,
-            record.unheard
+            record.is_suspect
         ),
         ("i-1", 4, false)
     );
--- a/decide/registry/src/lattice.rs
+++ b/decide/registry/src/lattice.rs
@@ -18,7 +18,7 @@
 /// now.
 ///
 /// The greater one by state, sequence number and, last, content is the outcome; so the order of
-/// news does not matter. `unheard` is no part of the lattice: the known record keeps its own, as
+/// news does not matter. `is_suspect` is no part of the lattice: the known record keeps its own, as
 /// each control machine judges silence by itself.
 pub fn join(known: &mut ServerRecord, news: &ServerRecord) -> bool {
     debug_assert_eq!(
@@ -28,19 +28,19 @@
     if order(news, known) != Ordering::Greater {
         return false;
     }
-    let unheard = known.unheard;
+    let is_suspect = known.is_suspect;
     *known = normalized(news);
-    known.unheard = unheard && known.state != ServerState::Gone;
+    known.is_suspect = is_suspect && known.state != ServerState::Gone;
     true
 }
 
 /// Takes what a control machine has pushed to a router into the router's record, and tells whether
-/// it is another one now. A router judges no silence by itself: `unheard` is as the control machine
+/// it is another one now. A router judges no silence by itself: `is_suspect` is as the control machine
 /// says, unless the instance is gone.
 pub fn follow(known: &mut ServerRecord, pushed: &ServerRecord) -> bool {
     let joined = join(known, pushed);
-    let unheard = pushed.unheard && known.state != ServerState::Gone;
-    let judged = std::mem::replace(&mut known.unheard, unheard) != unheard;
+    let is_suspect = pushed.is_suspect && known.state != ServerState::Gone;
+    let judged = std::mem::replace(&mut known.is_suspect, is_suspect) != is_suspect;
     joined || judged
 }
 
@@ -69,7 +69,7 @@
         record.sequence_number,
         [&record.service, &record.address, &record.zone],
         record.capacity_slots,
-        record.cold_remaining_ms,
+        record.warm_up_remaining_ms,
     )
 }
 
--- a/decide/registry/src/lattice/tests.rs
+++ b/decide/registry/src/lattice/tests.rs
@@ -22,8 +22,8 @@
             capacity_slots: u32::from(pick(gen, 2)),
             state: states[usize::from(pick(gen, 3))],
             sequence_number: u64::from(pick(gen, 3)),
-            cold_remaining_ms: u64::from(pick(gen, 2)),
-            unheard: false,
+            warm_up_remaining_ms: u64::from(pick(gen, 2)),
+            is_suspect: false,
         };
         Sample(normalized(&news))
     }
@@ -103,24 +103,24 @@
 #[test]
 fn a_control_machine_keeps_its_own_judgement_of_silence() {
     let mut known = ServerRecord {
-        unheard: true,
+        is_suspect: true,
         ..record(ServerState::Ready, 1)
     };
     assert!(join(&mut known, &record(ServerState::Ready, 2)));
-    assert!(known.unheard && known.sequence_number == 2);
-    assert!(join(&mut known, &tombstone("i")) && !known.unheard);
+    assert!(known.is_suspect && known.sequence_number == 2);
+    assert!(join(&mut known, &tombstone("i")) && !known.is_suspect);
 }
 
 #[test]
 fn a_router_follows_the_judgement_of_its_control_machine() {
     let mut known = record(ServerState::Ready, 5);
     let silent = ServerRecord {
-        unheard: true,
+        is_suspect: true,
         ..record(ServerState::Ready, 3)
     };
-    assert!(follow(&mut known, &silent) && known.unheard && known.sequence_number == 5);
+    assert!(follow(&mut known, &silent) && known.is_suspect && known.sequence_number == 5);
     assert!(!follow(&mut known, &silent));
-    assert!(follow(&mut known, &record(ServerState::Ready, 5)) && !known.unheard);
+    assert!(follow(&mut known, &record(ServerState::Ready, 5)) && !known.is_suspect);
     assert!(follow(&mut known, &tombstone("i")));
     assert!(!follow(&mut known, &silent) && known == tombstone("i"));
 }
--- a/decide/registry/src/lib.rs
+++ b/decide/registry/src/lib.rs
@@ -23,5 +23,5 @@
 pub use members::{Member, Members};
 pub use table::{
     Changes, Registry, CONTEST_INTERVALS, FORGOTTEN_AFTER_US, SNAPSHOT_TOMBSTONES_US,
-    TOMBSTONE_KEPT_US, UNHEARD_INTERVALS,
+    SUSPECT_AFTER_INTERVALS, TOMBSTONE_KEPT_US,
 };
--- a/decide/registry/src/table.rs
+++ b/decide/registry/src/table.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeSet, HashMap};
 
 /// Intervals of silence after which a server is unheard: a last resort for routers.
-pub const UNHEARD_INTERVALS: u64 = 5;
+pub const SUSPECT_AFTER_INTERVALS: u64 = 5;
 
 /// Intervals for which one instance must have been silent after another at the same address was
 /// heard, to be gone. A beat may come seconds late, so the first beat of an instance that is not
@@ -40,7 +40,7 @@
     /// Instances whose records are no longer held. They are not gone: they have been silent for
     /// long, and may be heard again.
     pub forgotten: Vec<String>,
-    /// How many of the first records have changed in the lattice; with the others only `unheard`
+    /// How many of the first records have changed in the lattice; with the others only `is_suspect`
     /// has.
     lattice: usize,
 }
@@ -295,7 +295,7 @@
 
     fn take_new(&mut self, now: u64, news: &ServerRecord) -> Changes {
         let record = ServerRecord {
-            unheard: false,
+            is_suspect: false,
             ..normalized(news)
         };
         if record.state != ServerState::Gone && self.live_at(&record.address).next().is_some() {
@@ -321,7 +321,7 @@
         }
         let mut changes = Changes::default();
         changes.push_heard(&record);
-        let silent_us = if record.unheard {
+        let silent_us = if record.is_suspect {
             self.unheard_after()
         } else {
             0
@@ -350,10 +350,10 @@
             return changes;
         }
         entry.since_us = entry.since_us.max(now);
-        entry.record.unheard = false;
+        entry.record.is_suspect = false;
         if remembered || tells_more(&before, &entry.record) {
             changes.push_news(&entry.record);
-        } else if before.unheard {
+        } else if before.is_suspect {
             changes.push_heard(&entry.record);
         }
         if entry.live() && before.address != entry.record.address {
@@ -380,15 +380,15 @@
         };
         entry.since_us = entry.since_us.max(at);
         entry.remembered = false;
-        if entry.record.unheard && now.saturating_sub(entry.since_us) < unheard_after {
-            entry.record.unheard = false;
+        if entry.record.is_suspect && now.saturating_sub(entry.since_us) < unheard_after {
+            entry.record.is_suspect = false;
             changes.push_heard(&entry.record);
         }
         changes
     }
 
     fn unheard_after(&self) -> u64 {
-        self.interval_us.saturating_mul(UNHEARD_INTERVALS)
+        self.interval_us.saturating_mul(SUSPECT_AFTER_INTERVALS)
     }
 
     fn contest_after(&self) -> u64 {
@@ -479,10 +479,10 @@
         for entry in self
             .entries
             .values_mut()
-            .filter(|entry| entry.live() && !entry.record.unheard)
+            .filter(|entry| entry.live() && !entry.record.is_suspect)
         {
             if now.saturating_sub(entry.since_us.max(awake)) >= unheard_after {
-                entry.record.unheard = true;
+                entry.record.is_suspect = true;
                 fallen.push(&entry.record);
             }
         }
@@ -503,15 +503,15 @@
 fn tells_more(before: &ServerRecord, after: &ServerRecord) -> bool {
     let known = ServerRecord {
         sequence_number: after.sequence_number,
-        cold_remaining_ms: before.cold_remaining_ms.max(after.cold_remaining_ms),
-        unheard: after.unheard,
+        warm_up_remaining_ms: before.warm_up_remaining_ms.max(after.warm_up_remaining_ms),
+        is_suspect: after.is_suspect,
         ..before.clone()
     };
     let told = ServerRecord {
-        cold_remaining_ms: known.cold_remaining_ms,
+        warm_up_remaining_ms: known.warm_up_remaining_ms,
         ..after.clone()
     };
-    known != told || after.cold_remaining_ms > before.cold_remaining_ms
+    known != told || after.warm_up_remaining_ms > before.warm_up_remaining_ms
 }
 
 #[cfg(test)]
--- a/decide/registry/src/table/tests.rs
+++ b/decide/registry/src/table/tests.rs
@@ -47,8 +47,10 @@
     table.record(instance).map(|record| record.state)
 }
 
-fn unheard(table: &Registry, instance: &str) -> bool {
-    table.record(instance).is_some_and(|record| record.unheard)
+fn is_suspect(table: &Registry, instance: &str) -> bool {
+    table
+        .record(instance)
+        .is_some_and(|record| record.is_suspect)
 }
 
 #[test]
@@ -72,12 +74,12 @@
         1
     );
     let cold = Heartbeat {
-        cold_remaining_ms: 500,
+        warm_up_remaining_ms: 500,
         ..more.clone()
     };
     let at = |n, ms| Heartbeat {
         sequence_number: n,
-        cold_remaining_ms: ms,
+        warm_up_remaining_ms: ms,
         ..cold.clone()
     };
     assert_eq!(
@@ -158,7 +160,7 @@
         (1, 0),
         "each machine judges by itself"
     );
-    assert!(unheard(&table, "i"));
+    assert!(is_suspect(&table, "i"));
     assert!(
         run_to(&mut table, START + 9 * SECOND).is_empty(),
         "said once"
@@ -168,7 +170,7 @@
         (
             changes.records.len(),
             changes.news().len(),
-            unheard(&table, "i")
+            is_suspect(&table, "i")
         ),
         (1, 0, false)
     );
@@ -183,7 +185,7 @@
         .on_heartbeat(START + 4 * SECOND, "i", &beat("a:1", 6))
         .is_empty());
     run_to(&mut table, START + 5 * SECOND);
-    assert!(unheard(&table, "i"));
+    assert!(is_suspect(&table, "i"));
 }
 
 #[test]
@@ -198,17 +200,17 @@
         )
         .is_empty());
     run_to(&mut table, START + 8 * SECOND);
-    assert!(!unheard(&table, "i"));
+    assert!(!is_suspect(&table, "i"));
     run_to(&mut table, START + 9 * SECOND);
-    assert!(unheard(&table, "i"));
+    assert!(is_suspect(&table, "i"));
     let old = table.merge_heard(START + 9 * SECOND, &[("i".to_owned(), 5_000)]);
-    assert!(old.is_empty() && unheard(&table, "i"));
+    assert!(old.is_empty() && is_suspect(&table, "i"));
     let changes = table.merge_heard(START + 9 * SECOND, &[("i".to_owned(), 100)]);
     assert_eq!(
         (
             changes.records.len(),
             changes.news().len(),
-            unheard(&table, "i")
+            is_suspect(&table, "i")
         ),
         (1, 0, false)
     );
@@ -221,7 +223,7 @@
     table.on_heartbeat(START + 3 * SECOND, "i", &beat("a:1", 1));
     table.merge_heard(START + 3 * SECOND, &[("i".to_owned(), 2_900)]);
     run_to(&mut table, START + 7 * SECOND);
-    assert!(!unheard(&table, "i"));
+    assert!(!is_suspect(&table, "i"));
 }
 
 #[test]
@@ -232,14 +234,14 @@
         &[
             beat("a:1", 1).record("i"),
             ServerRecord {
-                unheard: true,
+                is_suspect: true,
                 ..beat("a:2", 1).record("j")
             },
         ],
     );
     table.merge_heard(START, &[("i".to_owned(), 50_000), ("j".to_owned(), 50_000)]);
     assert!(run_to(&mut table, START + 5 * SECOND - 1).is_empty());
-    assert!(!unheard(&table, "i") && !unheard(&table, "j"));
+    assert!(!is_suspect(&table, "i") && !is_suspect(&table, "j"));
     assert_eq!(run_to(&mut table, START + 5 * SECOND).records.len(), 2);
 }
 
@@ -437,8 +439,8 @@
             address: format!("a{}", pick(gen, 2)),
             state: states[usize::from(pick(gen, 4))],
             sequence_number: u64::from(pick(gen, 4)),
-            cold_remaining_ms: u64::from(pick(gen, 2)),
-            unheard: bool::arbitrary(gen),
+            warm_up_remaining_ms: u64::from(pick(gen, 2)),
+            is_suspect: bool::arbitrary(gen),
             ..ServerRecord::default()
         })
     }
@@ -551,7 +553,7 @@
             .collect::<Vec<_>>(),
         ["a", "b", "c"]
     );
-    assert!(!unheard(&after, "a") && state_of(&after, "b") == Some(ServerState::Draining));
+    assert!(!is_suspect(&after, "a") && state_of(&after, "b") == Some(ServerState::Draining));
     assert_eq!(
         state_of(&after, "c"),
         Some(ServerState::Gone),
@@ -566,7 +568,7 @@
     );
     run_to(&mut after, START + 5 * SECOND + SECOND / 2);
     assert!(
-        !unheard(&after, "a") && unheard(&after, "b"),
+        !is_suspect(&after, "a") && is_suspect(&after, "b"),
         "the one that was silent since the start"
     );
 }
@@ -575,14 +577,14 @@
 fn who_was_unheard_before_a_start_is_a_last_resort_until_a_beat_comes() {
     let mut after = table();
     let record = ServerRecord {
-        unheard: true,
+        is_suspect: true,
         ..beat("h:1", 7).record("a")
     };
     after.remember(START, &[record]);
-    assert!(unheard(&after, "a"));
+    assert!(is_suspect(&after, "a"));
     let heard = after.on_heartbeat(START + SECOND, "a", &beat("h:1", 8));
     assert_eq!((heard.records.len(), heard.news().len()), (1, 1));
-    assert!(!unheard(&after, "a"));
+    assert!(!is_suspect(&after, "a"));
 }
 
 #[test]
@@ -591,12 +593,12 @@
     known.on_heartbeat(START, "a", &draining("h:1", 9));
     let old = ServerRecord {
         state: ServerState::Ready,
-        unheard: false,
+        is_suspect: false,
         ..known.record("a").unwrap().clone()
     };
     assert!(known.remember(START, &[old]).is_empty());
     assert_eq!(state_of(&known, "a"), Some(ServerState::Draining));
-    assert!(!unheard(&known, "a"));
+    assert!(!is_suspect(&known, "a"));
 }
 
 #[test]
--- a/fleet/src/control/backlog.rs
+++ b/fleet/src/control/backlog.rs
@@ -62,7 +62,7 @@
             // It has not said who it is.
             Some(End::Unknown) | None => return,
         };
-        if report.whole {
+        if report.is_complete {
             self.backlogs.table.on_lost(&source);
         }
         match source {
@@ -125,5 +125,8 @@
             tokens,
         })
         .collect();
-    BacklogReport { whole, servers }
+    BacklogReport {
+        is_complete: whole,
+        servers,
+    }
 }
--- a/fleet/src/control/contact.rs
+++ b/fleet/src/control/contact.rs
@@ -164,7 +164,7 @@
         self.tell_peers(now);
         let heard = self.servers.take_digest(now);
         if !heard.is_empty() {
-            self.send_to_peers(&PeerMessage::ServersHeard(heard));
+            self.send_to_peers(&PeerMessage::HeartbeatDigest(heard));
         }
         self.name_peers();
     }
@@ -333,13 +333,13 @@
                 self.send_to_peers(&PeerMessage::Servers {
                     ack,
                     records,
-                    whole: false,
+                    is_complete: false,
                 });
             } else if !hearsay.is_empty() {
                 self.send_to_peers(&PeerMessage::Servers {
                     ack,
                     records: hearsay,
-                    whole: false,
+                    is_complete: false,
                 });
             }
         }
--- a/fleet/src/control/feed.rs
+++ b/fleet/src/control/feed.rs
@@ -62,10 +62,10 @@
         let own = echo.filter(|stamp| stamp.process == self.process);
         self.contact = self
             .contact
-            .max(own.map(|stamp| Time(stamp.clock).min(now)));
+            .max(own.map(|stamp| Time(stamp.clock_us).min(now)));
         ProcessInstant {
             process: self.process,
-            clock: now.0,
+            clock_us: now.0,
         }
     }
 
--- a/fleet/src/control/feed/tests.rs
+++ b/fleet/src/control/feed/tests.rs
@@ -43,7 +43,7 @@
         at(0),
         Some(ProcessInstant {
             process: OWN + 1,
-            clock: at(0).0,
+            clock_us: at(0).0,
         }),
     );
     assert!(!feed.is_in_contact(at(0)));
--- a/fleet/src/control/on_call.rs
+++ b/fleet/src/control/on_call.rs
@@ -174,9 +174,13 @@
 
     fn answer_call(&mut self, call: &Call, answer: RelayedResponse) {
         match (call.origin, answer) {
-            (Origin::Peer { address, id }, answer) => {
-                self.send_to_peer(address, PeerMessage::CallResponse { id, answer })
-            }
+            (Origin::Peer { address, id }, answer) => self.send_to_peer(
+                address,
+                PeerMessage::CallResponse {
+                    id,
+                    response: answer,
+                },
+            ),
             (Origin::Caller(id), RelayedResponse::Response { status: 503, body }) => {
                 let response = Response::new(503, JSON, body).with("retry-after", "0.2");
                 self.callers.answer(&mut self.net, id, response);
--- a/fleet/src/control/on_internal.rs
+++ b/fleet/src/control/on_internal.rs
@@ -157,12 +157,12 @@
         let table = PeerMessage::Servers {
             ack: 0,
             records: self.servers.snapshot(now),
-            whole: true,
+            is_complete: true,
         };
         self.send_to(id, table);
         let remembered = self.servers.remembered();
         if !remembered.is_empty() {
-            self.send_to(id, PeerMessage::RememberedServers(remembered));
+            self.send_to(id, PeerMessage::CachedServers(remembered));
         }
     }
 
@@ -183,13 +183,14 @@
             PeerMessage::Hello { .. } => {}
             PeerMessage::Replication(bytes) => self.on_replication(from, &bytes, now),
             PeerMessage::Call { id, call } => self.on_relayed(from, id, call, now),
-            PeerMessage::CallResponse { id, answer } => {
-                self.calls.on_answer(to_replica(now), &from, id, answer)
-            }
+            PeerMessage::CallResponse {
+                id,
+                response: answer,
+            } => self.calls.on_answer(to_replica(now), &from, id, answer),
             PeerMessage::Servers {
                 ack,
                 records,
-                whole,
+                is_complete: whole,
             } => {
                 self.servers
                     .on_records(now, &records, whole, self.is_in_contact(from));
@@ -197,11 +198,11 @@
                     self.servers.on_confirmation_wanted(now, id, ack, &records);
                 }
             }
-            PeerMessage::RememberedServers(records) => self.servers.on_remembered(now, &records),
+            PeerMessage::CachedServers(records) => self.servers.on_remembered(now, &records),
             PeerMessage::ServersAck { ack } => {
                 self.servers.on_merged(from, ack, self.is_in_contact(from))
             }
-            PeerMessage::ServersHeard(heard) => {
+            PeerMessage::HeartbeatDigest(heard) => {
                 if self.servers.on_heard(now, &heard) {
                     self.send_to_peer(from, PeerMessage::ServerTableRequest);
                 }
@@ -213,7 +214,7 @@
                     PeerMessage::Servers {
                         ack: 0,
                         records,
-                        whole: true,
+                        is_complete: true,
                     },
                 );
             }
@@ -272,7 +273,7 @@
                 address,
                 PeerMessage::CallResponse {
                     id,
-                    answer: RelayedResponse::NotPrimary,
+                    response: RelayedResponse::NotPrimary,
                 },
             ),
         }
--- a/fleet/src/control/routers.rs
+++ b/fleet/src/control/routers.rs
@@ -174,7 +174,7 @@
                 ControlToRouter::Servers {
                     push,
                     records: chunk.to_vec(),
-                    whole,
+                    is_complete: whole,
                 },
             )
         };
--- a/fleet/src/control/server_cache.rs
+++ b/fleet/src/control/server_cache.rs
@@ -234,7 +234,7 @@
     let mut records: Vec<ServerRecord> = decode(table.payload)?;
     records
         .iter_mut()
-        .for_each(|record| record.unheard |= age_s > TRUSTED_S);
+        .for_each(|record| record.is_suspect |= age_s > TRUSTED_S);
     Ok(records)
 }
 
--- a/fleet/src/control/server_cache/tests.rs
+++ b/fleet/src/control/server_cache/tests.rs
@@ -115,7 +115,7 @@
         record("b", ServerState::Draining),
     ];
     // A clock that was set back makes a table one of the future: it is no younger by that.
-    for (written_s, unheard) in [
+    for (written_s, is_suspect) in [
         (time_of_day_s(), false),
         (time_of_day_s() - TRUSTED_S - 2, true),
         (time_of_day_s() + TRUSTED_S + 2, true),
@@ -125,7 +125,7 @@
         let (_, found) = ServerCache::open(files(), &folder.0, Time(0), wake());
         assert_eq!(found.len(), 2);
         assert!(
-            found.iter().all(|record| record.unheard == unheard),
+            found.iter().all(|record| record.is_suspect == is_suspect),
             "written at {written_s}"
         );
     }
--- a/fleet/src/control/servers.rs
+++ b/fleet/src/control/servers.rs
@@ -407,7 +407,7 @@
             return;
         }
         let changes = self.registry.tick(now.0);
-        let silent = || changes.records.iter().filter(|record| record.unheard);
+        let silent = || changes.records.iter().filter(|record| record.is_suspect);
         if let Some(first) = silent().next() {
             log::info!(target: "control", servers = silent().count(), first = first.instance.as_str(); "servers are silent");
         }
--- a/fleet/src/control/status.rs
+++ b/fleet/src/control/status.rs
@@ -221,7 +221,7 @@
 fn servers(machine: &Machine) -> BTreeMap<String, u64> {
     let mut by_state = BTreeMap::new();
     for server in machine.servers.registry().live() {
-        let state = match (server.state, server.unheard) {
+        let state = match (server.state, server.is_suspect) {
             (ServerState::Ready, false) => "ready",
             (ServerState::Ready, true) => "ready, unheard",
             (ServerState::Draining, _) => "draining",
--- a/fleet/src/router/backlog.rs
+++ b/fleet/src/router/backlog.rs
@@ -74,7 +74,7 @@
                 self.link.send_backlog_report(
                     &mut self.net,
                     &BacklogReport {
-                        whole: false,
+                        is_complete: false,
                         servers,
                     },
                 );
--- a/fleet/src/router/control_link.rs
+++ b/fleet/src/router/control_link.rs
@@ -312,7 +312,7 @@
             ControlToRouter::Servers {
                 push,
                 records,
-                whole: _,
+                is_complete: _,
             } => {
                 connection.push = connection.push.max(push);
                 news.push(News::Servers(records));
--- a/fleet/src/router/servers.rs
+++ b/fleet/src/router/servers.rs
@@ -27,7 +27,7 @@
     zone: u32,
     state: ServerState,
     sequence_number: u64,
-    unheard: bool,
+    is_suspect: bool,
 }
 
 /// Where a server is reached, and by what name.
@@ -140,7 +140,7 @@
             zone,
             state: record.state,
             sequence_number: record.sequence_number,
-            unheard: record.unheard,
+            is_suspect: record.is_suspect,
         };
         let line = line(&instance);
         self.instances.insert(name.clone(), instance);
@@ -173,7 +173,7 @@
         let (before, was) = (line(known), known.state);
         known.sequence_number = known.sequence_number.max(record.sequence_number);
         known.address = address.or(known.address);
-        (known.zone, known.state, known.unheard) = (zone, record.state, record.unheard);
+        (known.zone, known.state, known.is_suspect) = (zone, record.state, record.is_suspect);
         let (after, service) = (line(known), known.service.clone());
         if was != ServerState::Gone && record.state == ServerState::Gone {
             self.bury(name.clone());
@@ -220,7 +220,7 @@
 }
 
 fn line(instance: &Instance) -> ListedServer {
-    let mode = match (instance.state, instance.unheard) {
+    let mode = match (instance.state, instance.is_suspect) {
         (ServerState::Ready, false) => ServerMode::Ready,
         // Control may be what can't be reached: it is used where no other server will do.
         (ServerState::Ready, true) => ServerMode::Leaving,
--- a/fleet/src/router/servers/tests.rs
+++ b/fleet/src/router/servers/tests.rs
@@ -82,11 +82,11 @@
             .is_empty(),
         "a beat is no news"
     );
-    let unheard = ServerRecord {
-        unheard: true,
+    let suspect = ServerRecord {
+        is_suspect: true,
         ..record("i", ServerState::Ready, 2)
     };
-    assert_eq!(table.merge(&[unheard])[0].line.mode, ServerMode::Leaving);
+    assert_eq!(table.merge(&[suspect])[0].line.mode, ServerMode::Leaving);
     assert_eq!(
         table.merge(&[record("i", ServerState::Ready, 3)])[0]
             .line
--- a/fleet/src/router/services.rs
+++ b/fleet/src/router/services.rs
@@ -110,7 +110,7 @@
     /// So much waits at servers for all routers together.
     pub(super) fn set_backlogs(&mut self, report: &BacklogReport) {
         for service in self.all.values_mut() {
-            if report.whole {
+            if report.is_complete {
                 service.forget_backlogs();
             }
             for ServerBacklog { server, tokens } in &report.servers {
--- a/fleet/tests/control_lost.rs
+++ b/fleet/tests/control_lost.rs
@@ -70,7 +70,14 @@
     /// Waits until it is known as connected: it is sent the whole table then.
     fn await_greeting(&mut self) {
         self.next_of(|message| {
-            matches!(message, PeerMessage::Servers { whole: true, .. }).then_some(())
+            matches!(
+                message,
+                PeerMessage::Servers {
+                    is_complete: true,
+                    ..
+                }
+            )
+            .then_some(())
         });
     }
 }
@@ -108,7 +115,7 @@
     one.say(PeerMessage::Servers {
         ack: 7,
         records: vec![gone],
-        whole: false,
+        is_complete: false,
     });
     one.next_of(|message| matches!(message, PeerMessage::ServersAck { ack: 7 }).then_some(()));
     // What is sent later marks the end of what would have been told on.
@@ -161,7 +168,11 @@
     beat(3);
     let mut router = FakeRouter::connect(fleet.machines[1].internal, "after");
     let state = router.next_of(|message| match message {
-        ControlToRouter::Servers { records, whole, .. } => state_told(&records, "i-8")
+        ControlToRouter::Servers {
+            records,
+            is_complete: whole,
+            ..
+        } => state_told(&records, "i-8")
             .map(Some)
             .or_else(|| whole.then_some(None)),
         _ => None,
@@ -377,7 +388,11 @@
         let mut router = FakeRouter::connect(fleet.machines[place].internal, "reader");
         let mut ready = Vec::new();
         router.next_of(|message| match message {
-            ControlToRouter::Servers { records, whole, .. } => {
+            ControlToRouter::Servers {
+                records,
+                is_complete: whole,
+                ..
+            } => {
                 let found = records
                     .into_iter()
                     .filter(|record| record.state == ServerState::Ready);
--- a/fleet/tests/control_news.rs
+++ b/fleet/tests/control_news.rs
@@ -224,7 +224,7 @@
     let mut fleet = three_that_know("news-remembered", "i-1");
     let _peer = tell(
         fleet.machines[0].internal,
-        vec![PeerMessage::RememberedServers(vec![gone("i-1")])],
+        vec![PeerMessage::CachedServers(vec![gone("i-1")])],
     );
     std::thread::sleep(Duration::from_millis(300));
     assert_ne!(
@@ -260,7 +260,7 @@
     router.next_of(|message| match message {
         lichenswitch_messages::ControlToRouter::Servers {
             records,
-            whole: true,
+            is_complete: true,
             ..
         } => Some(
             records
--- a/fleet/tests/control_servers.rs
+++ b/fleet/tests/control_servers.rs
@@ -29,7 +29,7 @@
     assert_matches!(near.next(), ControlToRouter::Heartbeat { in_contact: true, control, .. } => {
         assert!(control.contains(&fleet.machines[1].internal.to_string()), "{control:?}");
     });
-    assert_matches!(near.next(), ControlToRouter::Servers { push: 2, whole: true, records } if records.is_empty());
+    assert_matches!(near.next(), ControlToRouter::Servers { push: 2, is_complete: true, records } if records.is_empty());
     near.say(RouterToControl::Applied {
         push: 2,
         configuration: Some(position),
@@ -222,7 +222,7 @@
         let mut router = FakeRouter::connect(fleet.machines[place].internal, "after");
         let remembered = next_record(&mut router, "i-8");
         assert!(
-            !remembered.unheard,
+            !remembered.is_suspect,
             "it was heard a moment ago: {remembered:?}"
         );
         assert_eq!(remembered.state, ServerState::Ready);
--- a/fleet/tests/control_support/mod.rs
+++ b/fleet/tests/control_support/mod.rs
@@ -458,7 +458,7 @@
             tokens: *tokens,
         });
         let report = BacklogReport {
-            whole: false,
+            is_complete: false,
             servers: servers.collect(),
         };
         self.stream
@@ -477,7 +477,7 @@
             );
             // Heartbeats come all the while.
             if let Incoming::Backlog(report) = self.next_message() {
-                if report.whole {
+                if report.is_complete {
                     known.clear();
                 }
                 known.extend(report.servers.iter().map(|of| (of.server, of.tokens)));
--- a/fleet/tests/router_backlog.rs
+++ b/fleet/tests/router_backlog.rs
@@ -93,7 +93,7 @@
 /// Tells the router, and waits until it has taken that in.
 fn tell(rig: &Rig, server: u32, tokens: u32) {
     rig.control.tell_backlogs(&BacklogReport {
-        whole: true,
+        is_complete: true,
         servers: vec![ServerBacklog { server, tokens }],
     });
     // A push on the same connection is acknowledged once what came before it has been applied.
@@ -113,7 +113,7 @@
     rig.control.push_servers(
         of(ServerState::Ready)
             .map(|record| lichenswitch_messages::ServerRecord {
-                unheard: true,
+                is_suspect: true,
                 ..record
             })
             .collect(),
--- a/fleet/tests/router_configuration.rs
+++ b/fleet/tests/router_configuration.rs
@@ -248,12 +248,12 @@
 fn a_server_that_control_does_not_hear_is_used_only_where_no_other_is() {
     let servers = [named("i-1"), named("i-2")];
     let rig = Rig::usual(&[&servers[0], &servers[1]]);
-    let unheard = |sequence_number| {
-        let mut unheard = record(&servers[0], ServerState::Ready, sequence_number);
-        unheard.unheard = true;
-        unheard
+    let suspect = |sequence_number| {
+        let mut suspect = record(&servers[0], ServerState::Ready, sequence_number);
+        suspect.is_suspect = true;
+        suspect
     };
-    rig.control.push_servers(vec![unheard(2)]);
+    rig.control.push_servers(vec![suspect(2)]);
     rig.control.settled();
     let mut client = rig.client();
     for n in 0..12 {
--- a/fleet/tests/support/control.rs
+++ b/fleet/tests/support/control.rs
@@ -103,7 +103,7 @@
         state.send_all(&|push| ControlToRouter::Servers {
             push,
             records: records.clone(),
-            whole: false,
+            is_complete: false,
         });
     }
 
@@ -188,7 +188,7 @@
 
 impl State {
     fn on_backlog_report(&mut self, report: &BacklogReport) {
-        if report.whole {
+        if report.is_complete {
             self.backlogs.clear();
         }
         self.backlogs
@@ -265,7 +265,7 @@
         self.send_all(&|push| ControlToRouter::Servers {
             push,
             records: servers.clone(),
-            whole: true,
+            is_complete: true,
         });
         self.links.splice(0..0, others);
     }
--- a/fleet/tests/support/rig.rs
+++ b/fleet/tests/support/rig.rs
@@ -128,8 +128,8 @@
         capacity_slots: 4,
         state,
         sequence_number,
-        cold_remaining_ms: 0,
-        unheard: false,
+        warm_up_remaining_ms: 0,
+        is_suspect: false,
     }
 }
 
--- a/simulator/src/control/mod.rs
+++ b/simulator/src/control/mod.rs
@@ -154,9 +154,10 @@
                     None => self.end_call(origin, RelayedResponse::NotPrimary),
                 }
             }
-            PeerMessage::CallResponse { id, answer } => {
-                self.calls.on_answer(now, &from.to_owned(), id, answer)
-            }
+            PeerMessage::CallResponse {
+                id,
+                response: answer,
+            } => self.calls.on_answer(now, &from.to_owned(), id, answer),
             _ => {}
         }
     }
@@ -332,9 +333,13 @@
 
     fn end_call(&mut self, origin: Origin, answer: RelayedResponse) {
         let effect = match origin {
-            Origin::Peer { address, id } => {
-                Effect::SendPeer(address, PeerMessage::CallResponse { id, answer })
-            }
+            Origin::Peer { address, id } => Effect::SendPeer(
+                address,
+                PeerMessage::CallResponse {
+                    id,
+                    response: answer,
+                },
+            ),
             Origin::Caller(id) => {
                 self.open_calls.retain(|open| *open != id);
                 Effect::Reply(id, reply_of(answer))
--- a/wire/messages/src/backlog.rs
+++ b/wire/messages/src/backlog.rs
@@ -22,7 +22,7 @@
 #[rkyv(attr(allow(missing_docs)))]
 pub struct BacklogReport {
     /// Whether this is all that the sender knows; else what it said of other servers stands.
-    pub whole: bool,
+    pub is_complete: bool,
     /// Servers with what waits there now; 0: nothing any more.
     pub servers: Vec<ServerBacklog>,
 }
--- a/wire/messages/src/lib.rs
+++ b/wire/messages/src/lib.rs
@@ -53,7 +53,7 @@
     /// Drawn at the start of the process.
     pub process: u64,
     /// Its steady clock (microseconds).
-    pub clock: u64,
+    pub clock_us: u64,
 }
 
 /// State of a model server. Only ever grows.
@@ -101,9 +101,9 @@
     /// Highest sequence number heard from it.
     pub sequence_number: u64,
     /// Milliseconds for which it stays slow from its start, when that was last told.
-    pub cold_remaining_ms: u64,
+    pub warm_up_remaining_ms: u64,
     /// No control machine has heard it for several intervals; it may still serve.
-    pub unheard: bool,
+    pub is_suspect: bool,
 }
 
 /// From a router to a control machine.
@@ -162,7 +162,7 @@
         /// Records to merge.
         records: Vec<ServerRecord>,
         /// Whether this ends the first whole table of the connection.
-        whole: bool,
+        is_complete: bool,
     },
 }
 
@@ -237,8 +237,8 @@
     CallResponse {
         /// Its number.
         id: u64,
-        /// The answer.
-        answer: RelayedResponse,
+        /// The response.
+        response: RelayedResponse,
     },
     /// News of servers, to be merged; acknowledged by [`PeerMessage::ServersAck`] where `ack` is
     /// not 0.
@@ -248,7 +248,7 @@
         /// Records to merge.
         records: Vec<ServerRecord>,
         /// Whether this is the whole table of the sender.
-        whole: bool,
+        is_complete: bool,
     },
     /// The news of this number has been merged.
     ServersAck {
@@ -257,12 +257,12 @@
     },
     /// Servers that were heard since the last of these, by instance, with how long ago
     /// (milliseconds).
-    ServersHeard(Vec<(String, u32)>),
+    HeartbeatDigest(Vec<(String, u32)>),
     /// Asks for the whole table of servers.
     ServerTableRequest,
     /// Servers that the sender knows from before its start alone: a last resort, and no news of
     /// them.
-    RememberedServers(Vec<ServerRecord>),
+    CachedServers(Vec<ServerRecord>),
     /// What this machine knows of its own place.
     Contact {
         /// Whether it is in contact with a confirmed primary.
--- a/wire/messages/tests/wire_format.rs
+++ b/wire/messages/tests/wire_format.rs
@@ -66,11 +66,11 @@
 fn instant() -> ProcessInstant {
     ProcessInstant {
         process: 0x2122_2324_2526_2728,
-        clock: 1_234_567_890,
+        clock_us: 1_234_567_890,
     }
 }
 
-fn server(instance: &str, state: ServerState, unheard: bool) -> ServerRecord {
+fn server(instance: &str, state: ServerState, is_suspect: bool) -> ServerRecord {
     ServerRecord {
         instance: instance.to_owned(),
         service: "models-large".to_owned(),
@@ -79,8 +79,8 @@
         capacity_slots: 24,
         state,
         sequence_number: 9_001,
-        cold_remaining_ms: 2_500,
-        unheard,
+        warm_up_remaining_ms: 2_500,
+        is_suspect,
     }
 }
 
@@ -136,7 +136,7 @@
         to_router(ControlToRouter::Servers {
             push: 43,
             records: servers(),
-            whole,
+            is_complete: whole,
         })
     };
     vec![
@@ -167,7 +167,12 @@
 
 fn relayed_calls() -> Vec<(&'static str, WireMessage)> {
     let call = |call| peer(PeerMessage::Call { id: 51, call });
-    let answer = |answer| peer(PeerMessage::CallResponse { id: 51, answer });
+    let answer = |answer| {
+        peer(PeerMessage::CallResponse {
+            id: 51,
+            response: answer,
+        })
+    };
     vec![
         (
             "call_with_order",
@@ -206,7 +211,7 @@
         peer(PeerMessage::Servers {
             ack: 61,
             records: servers(),
-            whole,
+            is_complete: whole,
         })
     };
     let contact = |in_contact, primary: Option<&str>| {
@@ -229,7 +234,7 @@
         ("servers_ack", peer(PeerMessage::ServersAck { ack: 61 })),
         (
             "servers_heard",
-            peer(PeerMessage::ServersHeard(vec![
+            peer(PeerMessage::HeartbeatDigest(vec![
                 ("a".to_owned(), 120),
                 ("instance-two".to_owned(), 0),
             ])),
@@ -240,7 +245,7 @@
         ),
         (
             "remembered_servers",
-            peer(PeerMessage::RememberedServers(self::servers())),
+            peer(PeerMessage::CachedServers(self::servers())),
         ),
         ("contact", contact(true, Some("10.0.0.1:7000"))),
         ("no_contact", contact(false, None)),
@@ -320,7 +325,12 @@
             tokens: 0,
         },
     ];
-    let report = |whole, servers| WireMessage::Backlog(BacklogReport { whole, servers });
+    let report = |whole, servers| {
+        WireMessage::Backlog(BacklogReport {
+            is_complete: whole,
+            servers,
+        })
+    };
     vec![
         ("backlog_report", report(false, servers.clone())),
         ("complete_backlog_report", report(true, servers)),
