--- /dev/null
+++ b/decide/consensus/tests/stored_data.rs
@@ -0,0 +1,155 @@
+//! Records of a voter's state in `tests/stored_data/records.txt`, one line of hexadecimal digits
+//! each, written by the build of commit 6f1ee4c: each kind of change, as the library asks for it.
+//! Each later build reads them to the same state and writes the same bytes.
+
+use lichenswitch_consensus::genesis::{Announcement, Gather, Genesis, Identity};
+use lichenswitch_consensus::persistent_state::{PersistentState, Record};
+use lichenswitch_consensus::state::{Entry, Snapshot};
+use lichenswitch_lease::grants::Entry as Grant;
+use lichenswitch_lease::{Duty, FenceNumber, Holder};
+use omnipaxos::ballot_leader_election::Ballot;
+use omnipaxos::storage::{Snapshot as _, StopSign, Storage, StorageOp};
+use omnipaxos::ClusterConfig;
+use std::path::Path;
+
+fn identity(number: u64) -> Identity {
+    Identity {
+        name: format!("n{number}"),
+        memory: 300 + number,
+    }
+}
+
+fn genesis() -> Genesis {
+    let names: Vec<String> = (0..3).map(|i| identity(i).name).collect();
+    let mut gather = Gather::new(identity(0), &names, None);
+    for other in 1..3 {
+        gather.on_announcement(&Announcement {
+            identity: identity(other),
+            begun: None,
+        });
+    }
+    gather.genesis().unwrap().clone()
+}
+
+fn entry(number: u64) -> Entry {
+    let duty = Duty("compiler".into());
+    let holder = Holder {
+        name: "n1".into(),
+        life: 1_700_000_000_000_000,
+    };
+    let grant = match number % 3 {
+        0 => Grant::Ask(duty, holder),
+        1 => Grant::GiveBack(duty, FenceNumber(number)),
+        _ => Grant::Over(duty, FenceNumber(number), 4),
+    };
+    Entry { grant, number }
+}
+
+fn ballot(n: u32) -> Ballot {
+    Ballot {
+        config_id: 1,
+        n,
+        priority: 2,
+        pid: 3,
+    }
+}
+
+fn stop_sign() -> StopSign {
+    let next = ClusterConfig {
+        configuration_id: 2,
+        nodes: vec![1, 2, 3],
+        flexible_quorum: None,
+    };
+    StopSign::with(next, Some(vec![5]))
+}
+
+fn snapshot() -> Snapshot {
+    let mut snapshot = Snapshot::create(&[entry(3)]);
+    snapshot.merge(Snapshot::create(&[entry(6)]));
+    snapshot
+}
+
+/// A state after each kind of change, some of them in one write.
+fn written() -> PersistentState {
+    let mut state = PersistentState::default();
+    state.begin(identity(0));
+    state.begun(genesis());
+    let one_by_one = [
+        StorageOp::AppendEntry(entry(0)),
+        StorageOp::AppendEntries(vec![entry(1), entry(2)]),
+        StorageOp::AppendOnPrefix(2, vec![entry(3), entry(4), entry(5)]),
+        StorageOp::SetPromise(ballot(7)),
+        StorageOp::SetAcceptedRound(ballot(6)),
+        StorageOp::SetDecidedIndex(4),
+        StorageOp::SetSnapshot(Some(snapshot())),
+    ];
+    for op in one_by_one {
+        state.write_atomically(vec![op]).unwrap();
+    }
+    let together = vec![
+        StorageOp::Trim(1),
+        StorageOp::SetCompactedIdx(1),
+        StorageOp::SetStopsign(Some(stop_sign())),
+    ];
+    state.write_atomically(together).unwrap();
+    state
+}
+
+fn fixture() -> Vec<String> {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/stored_data/records.txt");
+    std::fs::read_to_string(path)
+        .unwrap()
+        .lines()
+        .map(str::to_owned)
+        .collect()
+}
+
+fn hex(record: &Record) -> String {
+    record.0.iter().map(|b| format!("{b:02x}")).collect()
+}
+
+fn unhex(text: &str) -> Record {
+    let digits = |at| u8::from_str_radix(&text[at..at + 2], 16).unwrap();
+    Record((0..text.len()).step_by(2).map(digits).collect())
+}
+
+/// The last line of the fixture is the whole state as one record.
+#[test]
+fn records_of_each_change_have_the_bytes_of_the_fixture() {
+    let state = written();
+    let mut records: Vec<String> = state.take_records().iter().map(hex).collect();
+    records.push(hex(&state.whole()));
+    assert_eq!(records, fixture());
+}
+
+fn assert_state(state: &PersistentState, name: &str) {
+    assert_eq!(state.identity(), Some(&identity(0)), "{name}");
+    assert_eq!(state.genesis(), Some(&genesis()), "{name}");
+    assert_eq!(state.get_log_len().unwrap(), 4, "{name}");
+    assert_eq!(
+        state.get_suffix(1).unwrap(),
+        [entry(1), entry(3), entry(4), entry(5)],
+        "{name}"
+    );
+    assert_eq!(state.get_promise().unwrap(), Some(ballot(7)), "{name}");
+    assert_eq!(
+        state.get_accepted_round().unwrap(),
+        Some(ballot(6)),
+        "{name}"
+    );
+    assert_eq!(state.get_decided_idx().unwrap(), 4, "{name}");
+    assert_eq!(state.get_compacted_idx().unwrap(), 1, "{name}");
+    assert_eq!(state.get_stopsign().unwrap(), Some(stop_sign()), "{name}");
+    assert_eq!(state.get_snapshot().unwrap(), Some(snapshot()), "{name}");
+}
+
+#[test]
+fn records_of_the_fixture_are_read_to_the_same_state() {
+    let mut records: Vec<Record> = fixture().iter().map(|line| unhex(line)).collect();
+    let whole = records.pop().unwrap();
+    assert_state(
+        &PersistentState::from_records(&records).unwrap(),
+        "one by one",
+    );
+    assert_state(&PersistentState::from_records(&[whole]).unwrap(), "whole");
+}
--- a/src/management/folder.rs
+++ b/src/management/folder.rs
@@ -322,5 +322,7 @@
     now.since(kept) >= EVERY
 }
 
+#[cfg(test)]
+mod stored_data_tests;
 #[cfg(test)]
 mod tests;
--- a/src/peer/consensus.rs
+++ b/src/peer/consensus.rs
@@ -573,5 +573,7 @@
     }
 }
 
+#[cfg(test)]
+mod stored_data_tests;
 #[cfg(test)]
 mod tests;
