--- a/fleet/src/control/server_cache/tests.rs
+++ b/fleet/src/control/server_cache/tests.rs
@@ -223,7 +223,7 @@
     let records = read(&RealFileSystem, &earlier).unwrap();
     let found: Vec<_> = records
         .iter()
-        .map(|record| (record.instance.as_str(), record.state, record.unheard))
+        .map(|record| (record.instance.as_str(), record.state, record.is_suspect))
         .collect();
     let expected = [
         ("server-0", ServerState::Ready, true),
--- a/fleet/tests/stored_data.rs
+++ b/fleet/tests/stored_data.rs
@@ -175,7 +175,7 @@
 }
 
 fn servers() -> Vec<ServerRecord> {
-    let record = |number: u64, state, unheard| ServerRecord {
+    let record = |number: u64, state, is_suspect| ServerRecord {
         instance: format!("server-{number}"),
         service: "s".to_owned(),
         address: format!("10.0.1.{number}:8000"),
@@ -183,8 +183,8 @@
         capacity_slots: 48,
         state,
         sequence_number: 1_000 + number,
-        cold_remaining_ms: 250 * number,
-        unheard,
+        warm_up_remaining_ms: 250 * number,
+        is_suspect,
     };
     vec![
         record(0, ServerState::Ready, false),
