--- a/policy/src/ends.rs
+++ b/policy/src/completion.rs
@@ -1,13 +1,13 @@
 //! Ends of queries, and their admission: what is answered, refused or failed, and when.
 
-use crate::tuned::*;
+use crate::tuning::*;
 use crate::Coordinator;
 use lichenswitch_interface::{Action, Class, Micros, QueryId, RetrySafety, Time};
-use lichenswitch_stats::{faded, scaled, Agenda, Fate, Part, Query, Server};
+use lichenswitch_stats::{remaining_share, scaled, Agenda, AttemptState, Part, Query, Server};
 
 impl Coordinator {
     pub(super) fn class(&self, q: &Query) -> &Class {
-        &self.set.classes[q.class]
+        &self.settings.classes[q.class]
     }
 
     /// Last moment for a final answer: two turns before the client leaves, or before an answer
@@ -18,48 +18,55 @@
     /// not waited for.
     pub(super) fn end_of(&self, q: &Query) -> Time {
         let class = self.class(q);
-        let earns = q.aim_at.plus(scaled(
+        let earns = q.target_at.plus(scaled(
             class.deadline.saturating_sub(class.latency_target),
             class.late_share,
         ));
         q.deadline
             .min(earns)
-            .minus(2 * self.set.resolution.max(1_000))
+            .minus(2 * self.settings.resolution.max(1_000))
     }
 
     /// Weight that is in, and weight that is in or can still come, of the present step.
     pub(super) fn weights(&self, q: &Query) -> (f64, f64) {
         let stuck = q
             .agenda
-            .idle()
+            .idle_parts()
             .map(|i| &q.parts[i])
             .filter(|p| !self.may_send(q, p, false));
-        (q.have, q.total - stuck.map(|p| p.weight).sum::<f64>())
+        (
+            q.answered_weight,
+            q.total_weight - stuck.map(|p| p.weight).sum::<f64>(),
+        )
     }
 
     /// Whether the rules allow another attempt of a part now.
     pub(super) fn may_send(&self, q: &Query, p: &Part, copy: bool) -> bool {
-        let copies = self.set.limits.second_copies && self.class(q).repeat == RetrySafety::Safe;
-        if p.made() >= self.set.attempts_of(q.class) as usize || copy && !copies {
+        let copies =
+            self.settings.limits.second_copies && self.class(q).repeat == RetrySafety::Safe;
+        if p.attempts_made() >= self.settings.attempts_of(q.class) as usize || copy && !copies {
             return false;
         }
         match self.class(q).repeat {
             RetrySafety::Safe => true,
-            RetrySafety::Unsafe => p.tries.iter().all(|t| t.fate == Fate::NeverRan),
+            RetrySafety::Unsafe => p.attempts.iter().all(|t| t.state == AttemptState::NeverRan),
             RetrySafety::Keyed(window) => {
-                let first = p.tries.iter().find(|t| t.fate != Fate::NeverRan);
-                first.is_none_or(|t| self.now.since(t.sent) + 2 * self.set.resolution < window)
+                let first = p
+                    .attempts
+                    .iter()
+                    .find(|t| t.state != AttemptState::NeverRan);
+                first.is_none_or(|t| self.now.since(t.sent) + 2 * self.settings.resolution < window)
             }
         }
     }
 
-    pub(super) fn advance(&mut self, id: QueryId, out: &mut Vec<Action>) {
+    pub(super) fn advance(&mut self, id: QueryId, actions: &mut Vec<Action>) {
         let Some(q) = self.queries.get(&id) else {
             return;
         };
         let class = self.class(q);
-        let (have, can) = self.weights(q);
-        let fresh = q.arrived == self.now && q.parts.iter().all(|p| p.tries.is_empty());
+        let (answered_weight, can) = self.weights(q);
+        let fresh = q.arrived == self.now && q.parts.iter().all(|p| p.attempts.is_empty());
         let none = q.count == 0;
         let floor = if q.step == 2 && class.floor >= class.need {
             1.0
@@ -67,37 +74,46 @@
             class.floor
         };
         let need = if q.step == 2 { 1.0 } else { class.need };
-        let (slack, late) = (1e-5, self.now >= self.end_of(q));
-        let short = q.closed
+        let (slack, is_lateness_counted) = (1e-5, self.now >= self.end_of(q));
+        let short = q.is_closing
             || self.now >= q.arrived.plus(self.partial_after(q))
             || can + slack < need
-            || late;
-        if !none && have + slack >= need {
-            return self.answer(id, true, out);
+            || is_lateness_counted;
+        if !none && answered_weight + slack >= need {
+            return self.answer(id, true, actions);
         }
-        if !none && floor < need && have + slack >= floor && short {
-            return self.answer(id, false, out);
+        if !none && floor < need && answered_weight + slack >= floor && short {
+            return self.answer(id, false, actions);
         }
         let hopeless = if none {
             q.step == 1
         } else {
             can + slack < floor
         };
-        if self.is_poison(id, out) || late || hopeless || (fresh && self.turned_away(id)) {
-            return self.give_up(id, out);
+        if self.is_poison(id, actions)
+            || is_lateness_counted
+            || hopeless
+            || (fresh && self.is_shed(id))
+        {
+            return self.give_up(id, actions);
         }
-        self.dispatch(id, out);
+        self.dispatch(id, actions);
         // It would only wait for the budget: its client is told at once, and may come back.
         if self.queries.get(&id).is_some_and(Query::is_stranded) {
-            let enough = have + slack >= floor;
+            let enough = answered_weight + slack >= floor;
             return if enough {
-                self.answer(id, false, out)
+                self.answer(id, false, actions)
             } else {
-                self.give_up(id, out)
+                self.give_up(id, actions)
             };
         }
-        let due = self.queries.get(&id).map_or(self.now, |q| self.due_of(q));
-        self.queries.entry(id).and_modify(|q| q.due = due);
+        let next_look_at = self
+            .queries
+            .get(&id)
+            .map_or(self.now, |q| self.next_look_of(q));
+        self.queries
+            .entry(id)
+            .and_modify(|q| q.next_look_at = next_look_at);
     }
 
     /// Whether a query crashes what takes it: connections to several servers broke under it and no
@@ -105,27 +121,30 @@
     /// ends, and another try of its key ends at arrival. Told from a crash of servers, whose
     /// victims get answers from others. Harm: a victim that met dead servers alone waits for an
     /// answer; honest queries of the key are refused.
-    pub(super) fn is_poison(&mut self, id: QueryId, out: &mut Vec<Action>) -> bool {
+    pub(super) fn is_poison(&mut self, id: QueryId, actions: &mut Vec<Action>) -> bool {
         let Some(q) = self.queries.get(&id) else {
             return false;
         };
-        let (class, key, now, count) = (q.class, q.key, self.now, q.broke.len());
-        if q.ahead && count >= POISON {
+        let (class, key, now, count) = (q.class, q.key, self.now, q.broken_servers.len());
+        if q.sends_one_part_ahead && count >= POISON {
             self.poison.retain(|&(_, _, at)| now.since(at) < POISON_FOR);
             self.poison.push((class, key, now));
-            out.push(Action::Log(format!(
+            actions.push(Action::Log(format!(
                 "class {class}: a query broke {count} servers"
             )));
             return true;
         }
-        if q.ahead && count + 1 == POISON && q.parts.iter().flat_map(Part::out).count() > 1 {
-            self.cancel_open(id, out);
+        if q.sends_one_part_ahead
+            && count + 1 == POISON
+            && q.parts.iter().flat_map(Part::in_flight).count() > 1
+        {
+            self.cancel_open(id, actions);
         }
-        q.arrived == now && key != 0 && self.stopped(class).any(|&(_, k, _)| k == key)
+        q.arrived == now && key != 0 && self.recent_poison(class).any(|&(_, k, _)| k == key)
     }
 
     /// The queries of a class that were stopped of late.
-    pub(super) fn stopped(&self, class: usize) -> impl Iterator<Item = &(usize, u64, Time)> {
+    pub(super) fn recent_poison(&self, class: usize) -> impl Iterator<Item = &(usize, u64, Time)> {
         self.poison
             .iter()
             .filter(move |&&(c, _, at)| c == class && self.now.since(at) < POISON_FOR)
@@ -134,7 +153,8 @@
     /// How long after its arrival a query is better answered in part than not yet.
     pub(super) fn partial_after(&self, q: &Query) -> Micros {
         let first = q.step == 1 && self.class(q).second_step > 0;
-        let sparse = self.set.instances as usize > self.ready && self.memory() > FAULT_HALF;
+        let sparse =
+            self.settings.instances as usize > self.ready && self.fault_half_life() > FAULT_HALF;
         let share = self.class(q).first_share * if sparse { FIRST_SPARSE } else { 1.0 };
         scaled(
             self.class(q).latency_target,
@@ -142,22 +162,28 @@
         )
     }
 
-    pub(super) fn answer(&mut self, id: QueryId, whole: bool, out: &mut Vec<Action>) {
+    pub(super) fn answer(&mut self, id: QueryId, whole: bool, actions: &mut Vec<Action>) {
         let Some(q) = self.queries.get_mut(&id) else {
             return;
         };
-        let two_steps = self.set.classes[q.class].second_step > 0;
+        let two_steps = self.settings.classes[q.class].second_step > 0;
         if two_steps && q.step == 1 {
-            (q.step, q.first_whole, q.step_at) = (2, whole, self.now);
-            (q.agenda, q.count, q.once, q.total, q.have) = (Agenda::default(), 0, 0, 0.0, 0.0);
-            (q.closed, q.due) = (false, self.now.plus(self.set.resolution));
-            out.push(Action::Answer { query: id, whole });
-            return self.cancel_open(id, out);
+            (q.step, q.is_first_step_complete, q.step_at) = (2, whole, self.now);
+            (
+                q.agenda,
+                q.count,
+                q.single_attempt_parts,
+                q.total_weight,
+                q.answered_weight,
+            ) = (Agenda::default(), 0, 0, 0.0, 0.0);
+            (q.is_closing, q.next_look_at) = (false, self.now.plus(self.settings.resolution));
+            actions.push(Action::Answer { query: id, whole });
+            return self.cancel_open(id, actions);
         }
-        let whole = whole && (!two_steps || q.first_whole);
+        let whole = whole && (!two_steps || q.is_first_step_complete);
         self.learn_lateness(id, true);
-        out.push(Action::Answer { query: id, whole });
-        self.forget(id, out);
+        actions.push(Action::Answer { query: id, whole });
+        self.remove_query(id, actions);
     }
 
     /// Calibrates admission by how let-in queries end. Guards against a forecast that is off on
@@ -168,15 +194,15 @@
             return;
         };
         let whole_aim = q.window as f64 > ADMIT_AIM * self.class(q).latency_target as f64;
-        if self.now < q.aim_at.min(self.end_of(q)) || answered && self.now <= q.aim_at {
+        if self.now < q.target_at.min(self.end_of(q)) || answered && self.now <= q.target_at {
             self.admit = (self.admit + if answered { ADMIT_STEP } else { 0.0 }).min(ADMIT_MOST);
-        } else if whole_aim && q.parts.iter().any(|p| !p.tries.is_empty()) {
+        } else if whole_aim && q.parts.iter().any(|p| !p.attempts.is_empty()) {
             self.admit = (self.admit * ADMIT_CUT).max(ADMIT_LEAST);
         }
     }
 
     /// Ends a query that gets no answer, at once: as a refusal where asking again is harmless.
-    pub(super) fn give_up(&mut self, id: QueryId, out: &mut Vec<Action>) {
+    pub(super) fn give_up(&mut self, id: QueryId, actions: &mut Vec<Action>) {
         self.learn_lateness(id, false);
         let Some(q) = self.queries.get(&id) else {
             return;
@@ -184,38 +210,46 @@
         let untouched = q
             .parts
             .iter()
-            .all(|p| p.tries.iter().all(|t| t.fate == Fate::NeverRan));
+            .all(|p| p.attempts.iter().all(|t| t.state == AttemptState::NeverRan));
         if untouched || self.class(q).repeat != RetrySafety::Unsafe {
-            let half = self.set.limits.retry_after.unwrap_or(0) / 2;
-            out.push(Action::Refuse {
+            let half = self.settings.limits.retry_after.unwrap_or(0) / 2;
+            actions.push(Action::Refuse {
                 query: id,
                 retry_after: half + self.rng.0.u64(0..=half),
             });
-            self.away.push_back((
+            self.refused.push_back((
                 q.class,
                 q.key,
-                q.aim_at.minus(self.set.classes[q.class].latency_target),
-                q.gain,
+                q.target_at
+                    .minus(self.settings.classes[q.class].latency_target),
+                q.value_share,
             ));
         } else {
-            out.push(Action::Fail(id));
+            actions.push(Action::Fail(id));
         }
-        self.forget(id, out);
+        self.remove_query(id, actions);
     }
 
     /// Withdraws what is still out for parts that have no answer.
-    pub(super) fn cancel_open(&self, id: QueryId, out: &mut Vec<Action>) {
-        let query = self.queries.get(&id).filter(|_| self.set.limits.cancel);
-        for p in query.into_iter().flat_map(|q| &q.parts).filter(|p| !p.done) {
-            out.extend(p.out().map(|attempt| Action::Cancel {
+    pub(super) fn cancel_open(&self, id: QueryId, actions: &mut Vec<Action>) {
+        let query = self
+            .queries
+            .get(&id)
+            .filter(|_| self.settings.limits.cancel);
+        for p in query
+            .into_iter()
+            .flat_map(|q| &q.parts)
+            .filter(|p| !p.is_answered)
+        {
+            actions.extend(p.in_flight().map(|attempt| Action::Cancel {
                 part: p.id,
                 attempt,
             }));
         }
     }
 
-    pub(super) fn forget(&mut self, id: QueryId, out: &mut Vec<Action>) {
-        self.cancel_open(id, out);
+    pub(super) fn remove_query(&mut self, id: QueryId, actions: &mut Vec<Action>) {
+        self.cancel_open(id, actions);
         let Some(q) = self.queries.remove(&id) else {
             return;
         };
@@ -233,11 +267,15 @@
     pub(super) fn expected(&self, s: &Server, class: usize) -> f64 {
         // All of it is forgotten while nothing is answered: else refusals alone would keep a past
         // jam alive.
-        let common = self.norms[class * 2].or(0.0) * faded(self.now, self.answered_at, WAIT_HALF);
-        let fading = faded(self.now, s.wait_at, WAIT_HALF);
+        let common = self.common_times[class * 2].or(0.0)
+            * remaining_share(self.now, self.answered_at, WAIT_HALF);
+        let fading = remaining_share(self.now, s.response_time_at, WAIT_HALF);
         let wait = common + fading * (s.wait.or(common) - common);
         let depth = fading * s.depth.or(0.0);
-        let held = s.calls.iter().filter(|c| c.left > 0 && c.sent > s.proved);
+        let held = s
+            .calls
+            .iter()
+            .filter(|c| c.in_flight_parts > 0 && c.sent > s.newest_answered_send);
         let oldest = held.map(|c| self.now.since(c.sent)).max().unwrap_or(0);
         (wait * (s.pending() + AT_ONCE) / (depth + AT_ONCE)).max(oldest as f64)
     }
@@ -245,7 +283,7 @@
     /// Turns a query away at its arrival when one of its parts finds all replicas too far behind.
     /// The queue that is let in is shorter for queries of less worth for their work, and beyond a
     /// tenant's quota.
-    pub(super) fn turned_away(&mut self, id: QueryId) -> bool {
+    pub(super) fn is_shed(&mut self, id: QueryId) -> bool {
         let Some(q) = self.queries.get(&id) else {
             return false;
         };
@@ -259,7 +297,7 @@
         let parts = q.parts.len() as f64 + f64::from(class.second_step) / 2.0;
         // Work is counted in parts and not by how long they take: in a jam all take long.
         let value = class.value
-            / if self.set.worth_by_work {
+            / if self.settings.worth_by_work {
                 1.0
             } else {
                 parts.max(1.0)
@@ -267,18 +305,20 @@
         let dear = (value / self.value.or(value))
             .sqrt()
             .clamp(VALUE_LEAST, VALUE_MOST)
-            * q.gain.sqrt();
+            * q.value_share.sqrt();
         let most = window * self.admit * dear;
         // Of the holders that it would be sent to: a hung one, not heard of for a while, would look
         // idle.
         let slowest = q.parts.iter().map(|p| {
-            let open = self.holders(p.shard).filter(|(_, s)| !self.closed(s));
+            let open = self
+                .replicas_of(p.shard)
+                .filter(|(_, s)| !self.has_no_allowance(s));
             let keys = open.map(|(_, s)| (self.rank(s, q.class).0, self.expected(s, q.class)));
             keys.fold((u8::MAX, f64::INFINITY), |a, b| if b < a { b } else { a })
                 .1
         });
-        let away = slowest.fold(0.0, f64::max) > most;
+        let refused = slowest.fold(0.0, f64::max) > most;
         self.value.add(value, VALUE_PACE);
-        away
+        refused
     }
 }
--- a/policy/src/health.rs
+++ b/policy/src/health.rs
@@ -1,9 +1,9 @@
 //! Health of servers: what is held against each, and against the way to its zone.
 
-use crate::tuned::*;
+use crate::tuning::*;
 use crate::Coordinator;
 use lichenswitch_interface::{Action, Micros, Outcome, ServerId};
-use lichenswitch_stats::{Aged, Flight};
+use lichenswitch_stats::{DecayingValue, InFlightAttempt};
 
 impl Coordinator {
     /// Whether an attempt of a class at a server will end well and in time, as the faded share of
@@ -12,10 +12,18 @@
     /// or connections, for one class or all, or for this instance alone. It fades, so that a real
     /// part tries again. Harm: a few unlucky parts suffice; under load the slowest are passed over
     /// in turn.
-    pub(super) fn judge(&mut self, flight: &Flight, end: (Outcome, Micros), out: &mut Vec<Action>) {
+    pub(super) fn record_outcome(
+        &mut self,
+        flight: &InFlightAttempt,
+        end: (Outcome, Micros),
+        actions: &mut Vec<Action>,
+    ) {
         let (outcome, elapsed) = end;
-        let (class, all, now) = (flight.norm / 2, self.set.classes.len(), self.now);
-        let (norm, took) = (self.norms[flight.norm].or(elapsed as f64), elapsed as f64);
+        let (class, all, now) = (flight.norm / 2, self.settings.classes.len(), self.now);
+        let (norm, took) = (
+            self.common_times[flight.norm].or(elapsed as f64),
+            elapsed as f64,
+        );
         if let Some(s) = self.servers.get_mut(&flight.server) {
             let (ok, wait) = (outcome == Outcome::Ok, s.wait.or(norm));
             // What did not answer would have taken as long at least; a full queue is half the aim
@@ -23,7 +31,7 @@
             let (sample, pace) = match outcome {
                 Outcome::Ok => (took.min(2.0 * wait.max(norm)), WAIT_PACE),
                 Outcome::Rejected => (
-                    self.set.classes[class].latency_target as f64 / 2.0,
+                    self.settings.classes[class].latency_target as f64 / 2.0,
                     LEAST_PACE,
                 ),
                 Outcome::Timeout | Outcome::Cancelled => (took, LEAST_PACE),
@@ -32,32 +40,38 @@
             if ok || sample > wait {
                 s.wait.add(sample, pace);
                 s.depth.add(flight.depth, pace);
-                s.wait_at = now;
+                s.response_time_at = now;
             }
-            (s.used, s.idle) = (if ok { now } else { s.used }, s.idle && !ok);
+            (s.last_used_at, s.on_idle_connection) = (
+                if ok { now } else { s.last_used_at },
+                s.on_idle_connection && !ok,
+            );
         }
         match outcome {
             Outcome::Ok => {
-                self.losses[usize::from(flight.idle)].add(now, 0.0, IDLE_PACE, IDLE_HALF);
+                self.losses[usize::from(flight.on_idle_connection)]
+                    .add(now, 0.0, IDLE_PACE, IDLE_HALF);
                 self.answered_at = now;
                 self.answered += 1;
-                self.norms[flight.norm].add(took.min(3.0 * norm), NORM_PACE);
-                let norm = self.norms[flight.norm].or(took);
+                self.common_times[flight.norm].add(took.min(3.0 * norm), NORM_PACE);
+                let norm = self.common_times[flight.norm].or(took);
                 let bad = ((took / norm - SLOW_FROM) / (SLOW_FULL - SLOW_FROM)).clamp(0.0, 1.0);
-                self.blame(flight.server, class, bad, SLOW_PACE, out);
-                self.blame(flight.server, all, bad, SLOW_PACE, out);
+                self.record_fault(flight.server, class, bad, SLOW_PACE, actions);
+                self.record_fault(flight.server, all, bad, SLOW_PACE, actions);
+            }
+            Outcome::Error => self.record_fault(flight.server, class, 1.0, ERROR_PACE, actions),
+            Outcome::Timeout => {
+                self.on_silence(flight.server, class, flight.on_idle_connection, actions)
             }
-            Outcome::Error => self.blame(flight.server, class, 1.0, ERROR_PACE, out),
-            Outcome::Timeout => self.silent(flight.server, class, flight.idle, out),
-            Outcome::Reset if self.lost(flight.idle, RESET_PACE) => {}
+            Outcome::Reset if self.record_loss(flight.on_idle_connection, RESET_PACE) => {}
             Outcome::Cancelled | Outcome::Moot => {}
-            _ => self.blame(flight.server, all, 1.0, BROKEN_PACE, out),
+            _ => self.record_fault(flight.server, all, 1.0, BROKEN_PACE, actions),
         }
     }
 
     /// Time that halves what is held against a server: the less often one is met, the longer it
     /// must last.
-    pub(super) fn memory(&self) -> f64 {
+    pub(super) fn fault_half_life(&self) -> f64 {
         let between =
             self.now.since(self.began) as f64 * self.ready as f64 / self.answered.max(1) as f64;
         (FAULT_PARTS * between).clamp(FAULT_HALF, MEMORY_MOST * FAULT_HALF)
@@ -66,8 +80,8 @@
     /// What is wrong with the way to a zone, where ends are far worse than at the best zone (alike
     /// is load). Guards against slow or lossy links and lost zones where an instance has too few
     /// parts to learn each server. Harm: the other zones carry more until some seconds have passed.
-    pub(super) fn way_fault(&self, zone: u32) -> f64 {
-        let share = |a: &Aged| a.left(self.now, FAULT_HALF);
+    pub(super) fn zone_fault(&self, zone: u32) -> f64 {
+        let share = |a: &DecayingValue| a.value_at(self.now, FAULT_HALF);
         let best = self.zones.values().map(share).fold(1.0, f64::min);
         let here = self.zones.get(&zone).map_or(0.0, share);
         f64::from(u8::from(here - best > ZONE_WORSE)) * here
@@ -76,38 +90,55 @@
     /// Whether connections that had been idle are lost more than others: dropped unseen. They are
     /// closed before a send then (for unsafe parts always) and no server is to blame. Harm: some
     /// new connections.
-    pub(super) fn reaped(&self) -> bool {
-        let [used, idle] = self.losses.map(|l| l.left(self.now, IDLE_HALF));
-        idle > used + IDLE_WORSE
+    pub(super) fn are_idle_connections_dropped(&self) -> bool {
+        let [last_used_at, on_idle_connection] =
+            self.losses.map(|l| l.value_at(self.now, IDLE_HALF));
+        on_idle_connection > last_used_at + IDLE_WORSE
     }
 
-    pub(super) fn silent(&mut self, id: ServerId, class: usize, idle: bool, out: &mut Vec<Action>) {
-        if !self.lost(idle, IDLE_PACE) {
-            self.blame(id, class, 1.0, LATE_PACE, out);
-            self.blame(id, self.set.classes.len(), 1.0, LATE_PACE / 2.0, out);
+    pub(super) fn on_silence(
+        &mut self,
+        id: ServerId,
+        class: usize,
+        on_idle_connection: bool,
+        actions: &mut Vec<Action>,
+    ) {
+        if !self.record_loss(on_idle_connection, IDLE_PACE) {
+            self.record_fault(id, class, 1.0, LATE_PACE, actions);
+            self.record_fault(
+                id,
+                self.settings.classes.len(),
+                1.0,
+                LATE_PACE / 2.0,
+                actions,
+            );
         }
     }
 
     /// Notes a loss, and tells whether that the connection had been idle explains it.
-    pub(super) fn lost(&mut self, idle: bool, pace: f64) -> bool {
-        self.losses[usize::from(idle)].add(self.now, 1.0, pace, IDLE_HALF);
-        idle && self.reaped()
+    pub(super) fn record_loss(&mut self, on_idle_connection: bool, pace: f64) -> bool {
+        self.losses[usize::from(on_idle_connection)].add(self.now, 1.0, pace, IDLE_HALF);
+        on_idle_connection && self.are_idle_connections_dropped()
     }
 
-    pub(super) fn blame(
+    pub(super) fn record_fault(
         &mut self,
         id: ServerId,
         which: usize,
         bad: f64,
         pace: f64,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
-        let (now, all, half) = (self.now, self.set.classes.len(), self.memory());
+        let (now, all, half) = (
+            self.now,
+            self.settings.classes.len(),
+            self.fault_half_life(),
+        );
         let Some(s) = self.servers.get_mut(&id) else {
             return;
         };
-        s.faults.resize(all + 1, Aged::default());
-        let was = s.faults[which].left(now, half);
+        s.faults.resize(all + 1, DecayingValue::default());
+        let was = s.faults[which].value_at(now, half);
         s.faults[which].add(now, bad, pace, half);
         if which == all {
             self.zones
@@ -116,13 +147,13 @@
                 .add(now, bad, ZONE_PACE, FAULT_HALF);
         }
         let faulty = FAULTY[usize::from(half > FAULT_HALF)];
-        let suspected = s.faults[which].left(now, half) > faulty;
+        let suspected = s.faults[which].value_at(now, half) > faulty;
         let word = if suspected {
             "suspected"
         } else {
             "trusted again"
         };
-        out.extend(
+        actions.extend(
             (suspected != (was > faulty)).then(|| Action::Log(format!("server {} {word}", id.0))),
         );
     }
--- a/src/decide/fleet/mod.rs
+++ b/src/decide/fleet/mod.rs
@@ -172,8 +172,8 @@
             num_members: NonZeroUsize::new(KNOCKS).unwrap_or(NonZeroUsize::MIN),
         }),
     };
-    let dice = Xoshiro256PlusPlus::seed_from_u64(seed ^ own.life);
-    Foca::new(own.clone(), config, dice, PostcardCodec)
+    let rng = Xoshiro256PlusPlus::seed_from_u64(seed ^ own.life);
+    Foca::new(own.clone(), config, rng, PostcardCodec)
 }
 
 /// One broker's view of the fleet.
--- a/src/decide/fleet/redial.rs
+++ b/src/decide/fleet/redial.rs
@@ -2,7 +2,7 @@
 //! back does not come to it all together.
 
 use crate::interface::{Micros, Time};
-use crate::stats::Dice;
+use crate::stats::SeededRng;
 
 /// First wait, and the longest (microseconds); each failure doubles it. The wait itself is drawn
 /// between half and one and a half of that.
@@ -30,9 +30,9 @@
     }
 
     /// It could not be reached, or was lost.
-    pub fn on_failure(&mut self, now: Time, dice: &mut Dice) {
+    pub fn on_failure(&mut self, now: Time, rng: &mut SeededRng) {
         self.wait = (self.wait * 2).clamp(FIRST, MOST);
-        self.not_before = now.plus(self.wait / 2 + dice.0.u64(0..=self.wait));
+        self.not_before = now.plus(self.wait / 2 + rng.0.u64(0..=self.wait));
     }
 
     /// It took what was said to it.
--- a/src/decide/fleet/redial/tests.rs
+++ b/src/decide/fleet/redial/tests.rs
@@ -4,12 +4,12 @@
 
 #[test]
 fn waits_double_up_to_a_bound_are_spread_and_end_with_a_success() {
-    let mut dice = Dice::default();
+    let mut rng = SeededRng::default();
     let mut all: Vec<Redial> = vec![Redial::default(); 100];
     for failures in 1..=12u32 {
         let usual = (FIRST << (failures - 1).min(20)).min(MOST);
         for redial in &mut all {
-            redial.on_failure(Time(0), &mut dice);
+            redial.on_failure(Time(0), &mut rng);
             assert!(
                 (usual / 2..=usual * 3 / 2).contains(&redial.at().0),
                 "{failures}: {redial:?}"
--- a/src/decide/fleet/tests.rs
+++ b/src/decide/fleet/tests.rs
@@ -143,8 +143,8 @@
 
 /// Chance from a seed.
 fn chance(seed: u64, share: f64) -> impl FnMut() -> bool {
-    let mut dice = fastrand::Rng::with_seed(seed);
-    move || dice.f64() < share
+    let mut rng = fastrand::Rng::with_seed(seed);
+    move || rng.f64() < share
 }
 
 #[test]
--- a/src/decide/membership/pace.rs
+++ b/src/decide/membership/pace.rs
@@ -9,7 +9,7 @@
 //! watch is kept up by short calls, and what fails is repeated soon.
 
 use crate::interface::{Micros, Time};
-use crate::stats::Dice;
+use crate::stats::SeededRng;
 use std::fmt;
 
 /// What a call is taken to keep discovery busy for, until failures tell otherwise (microseconds).
@@ -168,7 +168,7 @@
 /// The pace of one broker's calls.
 #[derive(Clone, Debug)]
 pub struct Pace {
-    dice: Dice,
+    rng: SeededRng,
     /// How many brokers share discovery.
     instances: u64,
     /// A broker that has not asked for so long counts as told; 0: no such time is set.
@@ -185,10 +185,10 @@
     pub fn new(seed: u64, instances: u32, ask_every: Micros) -> Pace {
         let instances = u64::from(instances.max(1));
         // The seed of the module must not make the same draws here.
-        let dice = Dice(fastrand::Rng::with_seed(seed ^ 0x5bd1_e995_9e37_79b9));
+        let rng = SeededRng(fastrand::Rng::with_seed(seed ^ 0x5bd1_e995_9e37_79b9));
         let spread = (instances * CALL).min(CYCLE);
         Pace {
-            dice,
+            rng,
             instances,
             ask_every,
             spread,
@@ -240,7 +240,7 @@
     /// together.
     fn jitter(&mut self, from: Time, within: Micros, why: Reason) -> Verdict {
         Verdict {
-            at: from.plus(self.dice.0.u64(0..=within)),
+            at: from.plus(self.rng.0.u64(0..=within)),
             why,
             spread: self.spread,
         }
@@ -336,7 +336,7 @@
     /// discovery is not too busy, and to wait as if it were would leave this broker with an old
     /// list.
     pub fn on_unmade(&mut self, now: Time) -> Verdict {
-        let at = now.plus(UNMADE + self.dice.0.u64(0..=UNMADE));
+        let at = now.plus(UNMADE + self.rng.0.u64(0..=UNMADE));
         Verdict {
             at,
             why: Reason::Unmade,
--- a/src/decide/membership/pace/tests.rs
+++ b/src/decide/membership/pace/tests.rs
@@ -211,23 +211,23 @@
         for seed in 0..50 {
             let mut pace = Pace::new(seed, instances, every);
             let patience = pace.watch().begins();
-            let mut dice = fastrand::Rng::with_seed(seed);
+            let mut rng = fastrand::Rng::with_seed(seed);
             // Whatever came before.
-            (0..dice.u64(0..20))
+            (0..rng.u64(0..20))
                 .for_each(|i| _ = pace.on_failure(Time(i * SECOND), Time(i * SECOND)));
-            (0..dice.u64(0..20)).for_each(|i| _ = pace.on_answer(Time(i * SECOND)));
+            (0..rng.u64(0..20)).for_each(|i| _ = pace.on_answer(Time(i * SECOND)));
             // The change comes just after a call has begun; it fails, soon or at the end of its
             // patience, and so does the next.
             let changed = Time(1_000 * SECOND);
             let mut began = changed;
             for _ in 0..2 {
-                let took = if dice.bool() {
+                let took = if rng.bool() {
                     patience
                 } else {
-                    dice.u64(0..=patience)
+                    rng.u64(0..=patience)
                 };
                 let failed = began.plus(took);
-                let silent = dice.bool();
+                let silent = rng.bool();
                 let next = match silent {
                     true => pace.on_silence(failed, began),
                     false => pace.on_failure(failed, began),
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -17,7 +17,7 @@
 use crate::decide::fleet::Member;
 use crate::interface::{Micros, Time};
 use crate::net::{ConnId, ConnectError, Net, Owner, TransferProgress};
-use crate::stats::Dice;
+use crate::stats::SeededRng;
 use queue::Queue;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -103,7 +103,7 @@
     ways: BTreeMap<String, SocketAddr>,
     ins: HashMap<ConnId, In>,
     outs: BTreeMap<String, Out>,
-    dice: Dice,
+    rng: SeededRng,
     /// Messages taken in since the window began; connections that rest until it ends.
     window: Time,
     taken: u32,
@@ -129,7 +129,7 @@
             ways,
             ins: HashMap::new(),
             outs: BTreeMap::new(),
-            dice: Dice(fastrand::Rng::with_seed(seed ^ 0x7065_6572)),
+            rng: SeededRng(fastrand::Rng::with_seed(seed ^ 0x7065_6572)),
             window: now,
             taken: 0,
             resting: Vec::new(),
@@ -283,7 +283,7 @@
             return;
         };
         out.conn.take().into_iter().for_each(|id| net.close(id));
-        out.redial.on_failure(now, &mut self.dice);
+        out.redial.on_failure(now, &mut self.rng);
         let before = out.queue.dropped;
         out.queue.forget();
         self.figures.dropped += out.queue.dropped - before;
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -14,7 +14,7 @@
 use crate::interface::{Micros, Outcome, ServerId, Time};
 use crate::net::buffer::Buffer;
 use crate::net::{ConnId, Net, Owner, Timer};
-use crate::stats::Fading;
+use crate::stats::DecayingMean;
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
 
@@ -139,7 +139,7 @@
     short: u64,
     told: Option<Time>,
     /// Usual time from a call to an answer.
-    usual: Fading,
+    usual: DecayingMean,
     ended: Vec<Ended>,
     /// Parts whose call was written whole since that was last told, by class.
     written: HashMap<usize, u64>,
@@ -151,7 +151,7 @@
     #[must_use]
     pub fn new(wire: W, limits: Limits) -> Self {
         let (links, by_server, attempts) = (HashMap::new(), HashMap::new(), HashMap::new());
-        let (usual, ended, log) = (Fading::default(), Vec::new(), Vec::new());
+        let (usual, ended, log) = (DecayingMean::default(), Vec::new(), Vec::new());
         let (wary, parked, short, told) = (HashMap::new(), VecDeque::new(), 0, None);
         let written = HashMap::new();
         Pool {
--- a/stats/src/lib.rs
+++ b/stats/src/lib.rs
@@ -2,27 +2,27 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod wanted;
+mod assignment;
 
-pub use wanted::{Bid, Wanted};
+pub use assignment::{PartAssignment, ServerScore};
 
 use lichenswitch_interface::{Load, Micros, PartId, Placement, ServerId, ServerMode, Shard, Time};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// A seeded source of chance.
 #[derive(Clone, Debug)]
-pub struct Dice(pub fastrand::Rng);
+pub struct SeededRng(pub fastrand::Rng);
 
-impl Default for Dice {
+impl Default for SeededRng {
     fn default() -> Self {
-        Dice(fastrand::Rng::with_seed(0))
+        SeededRng(fastrand::Rng::with_seed(0))
     }
 }
 
 /// A number from 0 to 1 that is drawn anew in each window, which begins at a point of its own for
 /// each seed. It is the same whenever it is asked for.
 #[must_use]
-pub fn drawn(seed: u64, now: Time, window: Micros) -> f64 {
+pub fn windowed_random(seed: u64, now: Time, window: Micros) -> f64 {
     let mut rng = fastrand::Rng::with_seed(seed);
     let slice = (now.0 + rng.u64(0..=window)) / window.max(1);
     fastrand::Rng::with_seed(rng.u64(..) ^ slice.rotate_left(40)).f64()
@@ -61,9 +61,9 @@
 
 /// What has become of an attempt, as far as its part may be sent again.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Fate {
+pub enum AttemptState {
     /// It is out.
-    Out,
+    InFlight,
     /// It has ended, and never ran.
     NeverRan,
     /// It has ended, and may have run.
@@ -72,7 +72,7 @@
 
 /// An attempt of a part, as the part remembers it.
 #[derive(Clone, Copy, Debug)]
-pub struct Try {
+pub struct PartAttempt {
     /// Where it was sent.
     pub server: ServerId,
     /// When.
@@ -80,7 +80,7 @@
     /// When it ended, once it has.
     pub ended: Time,
     /// What has become of it.
-    pub fate: Fate,
+    pub state: AttemptState,
 }
 
 /// A part of a query, as the module remembers it.
@@ -95,38 +95,38 @@
     /// Its step, from 1.
     pub step: u8,
     /// Its attempts, in order.
-    pub tries: Vec<Try>,
+    pub attempts: Vec<PartAttempt>,
     /// Those of them that never left, which are none of the attempts allowed; the last met nobody
     /// there.
-    pub unsent: usize,
-    /// See `unsent`.
-    pub unmet: bool,
+    pub never_left: usize,
+    /// See `never_left`.
+    pub is_unreachable: bool,
     /// It is in.
-    pub done: bool,
+    pub is_answered: bool,
     /// Its first lateness has been counted against its server.
-    pub late: bool,
+    pub is_lateness_counted: bool,
     /// Nothing of it was out, and the budget for further attempts did not let it be sent again.
-    pub withheld: bool,
+    pub is_withheld: bool,
 }
 
 impl Part {
     /// Attempts that were made.
     #[must_use]
-    pub fn made(&self) -> usize {
-        self.tries.len() - self.unsent
+    pub fn attempts_made(&self) -> usize {
+        self.attempts.len() - self.never_left
     }
     /// Its attempts that are out.
-    pub fn out(&self) -> impl Iterator<Item = u16> + '_ {
+    pub fn in_flight(&self) -> impl Iterator<Item = u16> + '_ {
         (0u16..)
-            .zip(&self.tries)
-            .filter(|(_, t)| t.fate == Fate::Out)
+            .zip(&self.attempts)
+            .filter(|(_, t)| t.state == AttemptState::InFlight)
             .map(|(i, _)| i)
     }
 }
 
 /// An attempt that is out, as its server is judged by it.
 #[derive(Clone, Copy, Debug)]
-pub struct Flight {
+pub struct InFlightAttempt {
     /// Where it was sent.
     pub server: ServerId,
     /// The call that it travelled in.
@@ -138,16 +138,16 @@
     /// Own parts pending there when it was sent.
     pub depth: f64,
     /// It went on a connection that had been idle.
-    pub idle: bool,
+    pub on_idle_connection: bool,
 }
 
 /// A mean in which older samples fade.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Fading {
+pub struct DecayingMean {
     value: Option<f64>,
 }
 
-impl Fading {
+impl DecayingMean {
     /// Moves the mean towards `sample` by the share `pace`; the first sample is taken whole.
     pub fn add(&mut self, sample: f64, pace: f64) {
         self.value = Some(self.value.map_or(sample, |v| v + pace * (sample - v)));
@@ -161,31 +161,31 @@
 
 /// What is left at `now` of something of the time `since` that halves in `half` microseconds.
 #[must_use]
-pub fn faded(now: Time, since: Time, half: f64) -> f64 {
+pub fn remaining_share(now: Time, since: Time, half: f64) -> f64 {
     0.5f64.powf(now.since(since) as f64 / half)
 }
 
 /// A figure that fades towards zero with time and moves towards its samples.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Aged {
+pub struct DecayingValue {
     value: f64,
     at: Time,
 }
 
-impl Aged {
+impl DecayingValue {
     /// What is left of it at `now` if it halves in `half` microseconds.
     #[must_use]
-    pub fn left(self, now: Time, half: f64) -> f64 {
+    pub fn value_at(self, now: Time, half: f64) -> f64 {
         // Most figures are at rest: that is told without the power.
         if self.value == 0.0 {
             return 0.0;
         }
-        self.value * faded(now, self.at, half)
+        self.value * remaining_share(now, self.at, half)
     }
     /// Moves what is left of it towards `sample` by the share `pace`.
     pub fn add(&mut self, now: Time, sample: f64, pace: f64, half: f64) {
-        let left = self.left(now, half);
-        *self = Aged {
+        let left = self.value_at(now, half);
+        *self = DecayingValue {
             value: left + pace * (sample - left),
             at: now,
         };
@@ -220,7 +220,7 @@
 
 /// What tenants may ask, in queries: each has a rate and may save up a second of it.
 #[derive(Clone, Debug, Default)]
-pub struct Quotas {
+pub struct TenantQuotas {
     /// Queries a second, those saved up, and when they were counted.
     tenants: Vec<(f64, f64, Time)>,
 }
@@ -228,20 +228,20 @@
 /// So much of its rate a tenant may save up (seconds).
 const QUOTA_SAVED: f64 = 1.0;
 
-impl Quotas {
+impl TenantQuotas {
     /// The part of one of `instances` alike instances in these rates (queries a second).
     #[must_use]
     pub fn new(rates: &[f64], instances: u32) -> Self {
         let share = |rate: &f64| rate / f64::from(instances.max(1));
         let full = |rate: f64| (rate, (rate * QUOTA_SAVED).max(1.0), Time(0));
-        Quotas {
+        TenantQuotas {
             tenants: rates.iter().map(share).map(full).collect(),
         }
     }
     /// The same for another number of instances; what is saved up is cut to what the new rate
     /// allows.
     pub fn share(&mut self, rates: &[f64], instances: u32) {
-        let alike = Quotas::new(rates, instances).tenants;
+        let alike = TenantQuotas::new(rates, instances).tenants;
         for ((rate, saved, _), (new, full, _)) in self.tenants.iter_mut().zip(alike) {
             (*rate, *saved) = (new, saved.min(full));
         }
@@ -268,18 +268,18 @@
     /// When it was sent.
     pub sent: Time,
     /// Its parts that are out, and all of them.
-    pub left: u32,
-    /// See `left`.
+    pub in_flight_parts: u32,
+    /// See `in_flight_parts`.
     pub size: u32,
     /// Set once a part ended without an answer: the call counts until then.
-    pub ghost: Option<Time>,
+    pub ghost_until: Option<Time>,
 }
 
 impl Call {
     /// Whether it is pending.
     #[must_use]
     pub fn counts(&self, now: Time) -> bool {
-        self.left > 0 || self.ghost.is_some_and(|until| until > now)
+        self.in_flight_parts > 0 || self.ghost_until.is_some_and(|until| until > now)
     }
 }
 
@@ -299,9 +299,9 @@
     /// When its client gives up.
     pub deadline: Time,
     /// When its aim is over, from the client's first try on.
-    pub aim_at: Time,
+    pub target_at: Time,
     /// Share of its class's worth that it has: less beyond its tenant's quota.
-    pub gain: f64,
+    pub value_share: f64,
     /// Time that it really has: to its aim, or to its end where that comes first or the aim has
     /// passed.
     pub window: Micros,
@@ -310,15 +310,15 @@
     /// When that step began.
     pub step_at: Time,
     /// Whether the first step was whole.
-    pub first_whole: bool,
+    pub is_first_step_complete: bool,
     /// Its present step is to end with what is in, if that is enough.
-    pub closed: bool,
+    pub is_closing: bool,
     /// One part goes ahead of the others until one has been answered.
-    pub ahead: bool,
+    pub sends_one_part_ahead: bool,
     /// Servers whose connection broke under a part of it.
-    pub broke: BTreeSet<ServerId>,
+    pub broken_servers: BTreeSet<ServerId>,
     /// When it has to be looked at again, if nothing befalls it before.
-    pub due: Time,
+    pub next_look_at: Time,
     /// Its parts, of both steps.
     pub parts: Vec<Part>,
     /// Whether a part, of whichever step, was answered.
@@ -328,11 +328,11 @@
     /// Of the present step: how many parts there are.
     pub count: usize,
     /// Of these, how many are not done with fewer than two attempts.
-    pub once: usize,
+    pub single_attempt_parts: usize,
     /// Weight of all parts of the present step.
-    pub total: f64,
+    pub total_weight: f64,
     /// Weight of those that are done.
-    pub have: f64,
+    pub answered_weight: f64,
 }
 
 impl Query {
@@ -340,8 +340,12 @@
     /// waits for nothing but the budget.
     #[must_use]
     pub fn is_stranded(&self) -> bool {
-        let withheld = self.agenda.idle().any(|i| self.parts[i].withheld);
-        withheld && self.parts.iter().all(|part| part.out().next().is_none())
+        let is_withheld = self.agenda.idle_parts().any(|i| self.parts[i].is_withheld);
+        is_withheld
+            && self
+                .parts
+                .iter()
+                .all(|part| part.in_flight().next().is_none())
     }
 }
 
@@ -355,11 +359,11 @@
     /// See `cell`.
     pub mode: ServerMode,
     /// Last start that the list told, while it may still be cold.
-    pub cold_from: Option<Time>,
+    pub slow_start_from: Option<Time>,
     /// Its allowance while it is cold, in parts, and when that was counted.
-    pub cold_tokens: f64,
-    /// See `cold_tokens`.
-    pub filled_at: Time,
+    pub slow_start_tokens: f64,
+    /// See `slow_start_tokens`.
+    pub tokens_at: Time,
     /// What is out there.
     pub calls: Vec<Call>,
     /// What else loads it: streams that run on after their parts were answered, and the backlog of
@@ -367,36 +371,36 @@
     pub load: Load,
     /// Share of bad ends by class, the last one for what befalls all classes; empty before the
     /// first.
-    pub faults: Vec<Aged>,
+    pub faults: Vec<DecayingValue>,
     /// Recent answer time, how many own parts were pending when those parts were sent, and the last
     /// of them.
-    pub wait: Fading,
+    pub wait: DecayingMean,
     /// See `wait`.
-    pub depth: Fading,
+    pub depth: DecayingMean,
     /// See `wait`.
-    pub wait_at: Time,
+    pub response_time_at: Time,
     /// Last time that something was sent to it or came from it, and whether what is pending went on
     /// a connection that had been idle.
-    pub used: Time,
-    /// See `used`.
-    pub idle: bool,
+    pub last_used_at: Time,
+    /// See `last_used_at`.
+    pub on_idle_connection: bool,
     /// When the youngest part was sent that it has answered.
-    pub proved: Time,
+    pub newest_answered_send: Time,
 }
 
 impl Server {
     /// Own parts out there.
     #[must_use]
     pub fn pending(&self) -> f64 {
-        f64::from(self.calls.iter().map(|c| c.left).sum::<u32>())
+        f64::from(self.calls.iter().map(|c| c.in_flight_parts).sum::<u32>())
     }
     /// So many classes there are now, each the same as before or not: what was held against it for
     /// another one goes.
     pub fn on_classes(&mut self, same: &[bool]) {
         let Some(all) = self.faults.pop() else { return };
-        self.faults.resize(same.len(), Aged::default());
+        self.faults.resize(same.len(), DecayingValue::default());
         let others = self.faults.iter_mut().zip(same).filter(|(_, same)| !**same);
-        others.for_each(|(fault, _)| *fault = Aged::default());
+        others.for_each(|(fault, _)| *fault = DecayingValue::default());
         self.faults.push(all);
     }
 }
@@ -407,56 +411,56 @@
     (time as f64 * by) as Micros
 }
 
-/// Which parts of a query's step have to be looked at and when, so that nobody walks over all of
-/// them.
+/// Which parts of a query's step have to be checked and when, so that no decision walks over all
+/// of them.
 #[derive(Clone, Debug, Default)]
 pub struct Agenda {
     /// Parts without an answer that have nothing out.
-    idle: BTreeSet<usize>,
+    idle_parts: BTreeSet<usize>,
     /// Parts that have something out, by the time of their next look.
-    looks: BTreeSet<(Time, usize)>,
+    checks: BTreeSet<(Time, usize)>,
     /// That time, by part.
-    at: BTreeMap<usize, Time>,
+    check_times: BTreeMap<usize, Time>,
 }
 
 impl Agenda {
     /// A part has nothing out.
-    pub fn rest(&mut self, part: usize) {
-        self.settled(part);
-        self.idle.insert(part);
+    pub fn set_idle(&mut self, part: usize) {
+        self.remove(part);
+        self.idle_parts.insert(part);
     }
     /// A part has something out and is to be looked at then.
-    pub fn look(&mut self, part: usize, at: Time) {
-        self.settled(part);
-        self.looks.insert((at, part));
-        self.at.insert(part, at);
+    pub fn schedule(&mut self, part: usize, at: Time) {
+        self.remove(part);
+        self.checks.insert((at, part));
+        self.check_times.insert(part, at);
     }
     /// A part needs nothing more.
-    pub fn settled(&mut self, part: usize) {
-        self.idle.remove(&part);
-        if let Some(at) = self.at.remove(&part) {
-            self.looks.remove(&(at, part));
+    pub fn remove(&mut self, part: usize) {
+        self.idle_parts.remove(&part);
+        if let Some(at) = self.check_times.remove(&part) {
+            self.checks.remove(&(at, part));
         }
     }
     /// Parts that have nothing out, in order.
-    pub fn idle(&self) -> impl Iterator<Item = usize> + '_ {
-        self.idle.iter().copied()
+    pub fn idle_parts(&self) -> impl Iterator<Item = usize> + '_ {
+        self.idle_parts.iter().copied()
     }
     /// Parts that have something out and whose look is due, earliest first.
-    pub fn due(&self, now: Time) -> impl Iterator<Item = usize> + '_ {
-        self.looks.range(..=(now, usize::MAX)).map(|l| l.1)
+    pub fn due_parts(&self, now: Time) -> impl Iterator<Item = usize> + '_ {
+        self.checks.range(..=(now, usize::MAX)).map(|l| l.1)
     }
     /// Parts that have nothing out or whose look is due, in order.
     #[must_use]
-    pub fn now(&self, now: Time) -> Vec<usize> {
-        let mut parts: Vec<usize> = self.idle().chain(self.due(now)).collect();
+    pub fn parts_to_check(&self, now: Time) -> Vec<usize> {
+        let mut parts: Vec<usize> = self.idle_parts().chain(self.due_parts(now)).collect();
         parts.sort_unstable();
         parts
     }
     /// The next look after now.
     #[must_use]
-    pub fn next(&self, now: Time) -> Option<Time> {
-        self.looks
+    pub fn next_check(&self, now: Time) -> Option<Time> {
+        self.checks
             .range((now, usize::MAX)..)
             .map(|l| l.0)
             .find(|&at| at > now)
--- a/stats/src/tests.rs
+++ b/stats/src/tests.rs
@@ -5,22 +5,22 @@
 #[test]
 fn an_agenda_tells_what_is_to_be_looked_at_and_when() {
     let mut agenda = Agenda::default();
-    agenda.rest(2);
-    agenda.look(0, Time(10));
-    agenda.look(1, Time(20));
+    agenda.set_idle(2);
+    agenda.schedule(0, Time(10));
+    agenda.schedule(1, Time(20));
     assert_eq!(
-        (agenda.now(Time(9)), agenda.next(Time(9))),
+        (agenda.parts_to_check(Time(9)), agenda.next_check(Time(9))),
         (vec![2], Some(Time(10)))
     );
     assert_eq!(
-        (agenda.now(Time(10)), agenda.next(Time(10))),
+        (agenda.parts_to_check(Time(10)), agenda.next_check(Time(10))),
         (vec![0, 2], Some(Time(20)))
     );
-    agenda.look(0, Time(30));
-    agenda.rest(1);
-    agenda.settled(2);
+    agenda.schedule(0, Time(30));
+    agenda.set_idle(1);
+    agenda.remove(2);
     assert_eq!(
-        (agenda.now(Time(29)), agenda.next(Time(0))),
+        (agenda.parts_to_check(Time(29)), agenda.next_check(Time(0))),
         (vec![1], Some(Time(30)))
     );
 }
@@ -28,7 +28,7 @@
 #[test]
 fn what_is_beyond_a_quota_takes_nothing_from_it() {
     // One of three instances has one query a second for each of two tenants.
-    let mut quotas = Quotas::new(&[3.0, 3.0], 3);
+    let mut quotas = TenantQuotas::new(&[3.0, 3.0], 3);
     let now = Time(5_000_000);
     assert!(quotas.within(now, 0) && !quotas.within(now, 0) && quotas.within(now, 1));
     assert!(!quotas.within(now.plus(900_000), 0) && quotas.within(now.plus(1_000_000), 0));
@@ -41,9 +41,9 @@
 
 #[test]
 fn a_server_that_more_parts_can_share_is_wanted_more_until_its_bid_is_worse() {
-    let bid = |rank| Bid {
+    let bid = |rank| ServerScore {
         rank,
-        joins: false,
+        joins_open_call: false,
         near: false,
     };
     // Server 3 takes nothing; 1 is best for the parts 0 to 2, 2 for part 3.
@@ -54,8 +54,8 @@
         (3, vec![2, 3]),
     ];
     let ranks = |server: i32| bid([None, Some(1), Some(2), None][server as usize]);
-    let mut wanted = Wanted::new(parts, true, ranks);
-    let mut dice = Dice::default();
+    let mut wanted = PartAssignment::new(parts, true, ranks);
+    let mut dice = SeededRng::default();
     assert_eq!(wanted.best(&mut dice), Some((1, vec![0, 1, 2])));
     wanted.sent(1, &[0], bid(Some(3)));
     assert_eq!(
@@ -72,7 +72,7 @@
 #[test]
 fn a_quota_that_is_shared_anew_keeps_no_more_saved_up_than_its_rate_allows() {
     let (rates, now) = ([8.0], Time(5_000_000));
-    let mut quotas = Quotas::new(&rates, 1);
+    let mut quotas = TenantQuotas::new(&rates, 1);
     assert!(
         (0..3).all(|_| quotas.within(now, 0)),
         "five are left of eight"
