--- a/decide/control/src/calls/tests.rs
+++ b/decide/control/src/calls/tests.rs
@@ -21,7 +21,7 @@
         identity: Identity(7),
         address: "10.0.0.1:7300".to_owned(),
     };
-    Replica::newcomer(Settings::default(), member, 1, START)
+    Replica::learner(Settings::default(), member, 1, START)
 }
 
 #[test]
--- a/decide/control/src/primary_calls.rs
+++ b/decide/control/src/primary_calls.rs
@@ -139,7 +139,7 @@
             self.waiting_bytes -= call.question.weight();
             if !replica.is_serving() {
                 self.end(call, RelayedResponse::NotPrimary);
-            } else if replica.is_idle() && replica.may_take_orders(now) {
+            } else if replica.is_idle() && replica.may_accept_changes(now) {
                 self.begin(now, call, replica);
             } else if call.patience() <= now {
                 self.end(call, answer(503, "the group can't take an order yet"));
--- a/decide/control/src/primary_calls/tests.rs
+++ b/decide/control/src/primary_calls/tests.rs
@@ -32,7 +32,7 @@
             identity: Identity(7),
             address: "10.0.0.1:7300".to_owned(),
         };
-        let replica = Replica::found(settings, member, Replicated::default(), 1, START);
+        let replica = Replica::bootstrap(settings, member, Replicated::default(), 1, START);
         let mut alone = Alone {
             replica,
             calls: PrimaryCalls::default(),
@@ -54,13 +54,13 @@
             let mut last = None;
             for output in self.replica.take_outputs() {
                 match output {
-                    Output::Persist { ticket, .. } => last = Some(ticket),
+                    Output::Persist { write_id, .. } => last = Some(write_id),
                     Output::Completed { request, outcome } => self.settled.push((request, outcome)),
                     _ => {}
                 }
             }
             match last {
-                Some(ticket) => self.replica.on_persisted(self.now, ticket),
+                Some(write_id) => self.replica.on_persisted(self.now, write_id),
                 None => return,
             }
         }
@@ -183,7 +183,7 @@
         identity: Identity(7),
         address: "10.0.0.1:7300".to_owned(),
     };
-    let replica = Replica::newcomer(settings, member, 1, START);
+    let replica = Replica::learner(settings, member, 1, START);
     let mut outsider = Alone {
         replica,
         calls: PrimaryCalls::default(),
--- a/decide/replication/src/lib.rs
+++ b/decide/replication/src/lib.rs
@@ -4,8 +4,8 @@
 //! It is pure: no input or output, clock or threads; time is an argument, and what is to be sent or
 //! written comes back as [`Output`]s.
 //!
-//! A caller makes a [`Replica`] by [`Replica::found`], [`Replica::recover`] or
-//! [`Replica::newcomer`], hands it what happens ([`Replica::on_message`],
+//! A caller makes a [`Replica`] by [`Replica::bootstrap`], [`Replica::recover`] or
+//! [`Replica::learner`], hands it what happens ([`Replica::on_message`],
 //! [`Replica::on_persisted`], [`Replica::tick`] at [`Replica::next_wake`]) and does, after each
 //! call and in order, what [`Replica::take_outputs`] says.
 #![forbid(unsafe_code)]
--- a/decide/replication/src/model/mod.rs
+++ b/decide/replication/src/model/mod.rs
@@ -142,11 +142,11 @@
     }
 
     /// The first node founds; the others stay down.
-    pub fn found(&mut self) {
+    pub fn bootstrap(&mut self) {
         let me = self.draw_member(0);
         let node = &mut self.nodes[0];
         node.lives += 1;
-        let replica = Replica::found(
+        let replica = Replica::bootstrap(
             self.settings.clone(),
             me,
             self.founding.clone(),
@@ -171,7 +171,7 @@
 
     fn start(&mut self, index: usize, mut replica: Replica<History>) {
         let all = self.nodes.iter().map(|node| node.address.clone()).collect();
-        replica.set_peers(all);
+        replica.add_peer_addresses(all);
         let node = &mut self.nodes[index];
         node.replica = Some(replica);
         node.leaving = false;
@@ -192,11 +192,11 @@
         let replica = match Recovered::from_items(node.disk.iter().cloned()) {
             Ok(recovered) => Replica::recover(settings, address, recovered, seed, clock),
             Err(RecoverError::Empty) if self.machinery.founds_again && index == 0 => {
-                return self.found();
+                return self.bootstrap();
             }
             Err(RecoverError::Empty) => {
                 let me = self.draw_member(index);
-                Ok(Replica::newcomer(settings, me, seed, clock))
+                Ok(Replica::learner(settings, me, seed, clock))
             }
             Err(error) => Err(error),
         };
@@ -276,12 +276,12 @@
     /// The oldest item that waits at a node is synced.
     pub fn sync(&mut self, index: usize) {
         let node = &mut self.nodes[index];
-        let Some((ticket, item)) = node.pending.pop_front() else {
+        let Some((write_id, item)) = node.pending.pop_front() else {
             return;
         };
         node.write(item);
         if let Some(replica) = &mut node.replica {
-            replica.on_persisted(node.clock, ticket);
+            replica.on_persisted(node.clock, write_id);
         }
         self.collect(index);
     }
@@ -289,12 +289,12 @@
     /// The oldest item that waits at a node can't be written, and none after it.
     pub fn fail_sync(&mut self, index: usize) {
         let node = &mut self.nodes[index];
-        let Some((ticket, _)) = node.pending.pop_front() else {
+        let Some((write_id, _)) = node.pending.pop_front() else {
             return;
         };
         node.pending.clear();
         if let Some(replica) = &mut node.replica {
-            replica.on_persist_failed(node.clock, ticket);
+            replica.on_persist_failed(node.clock, write_id);
         }
         self.collect(index);
     }
@@ -377,7 +377,9 @@
     fn take_output(&mut self, index: usize, output: Output) {
         match output {
             Output::Send { to, message } => self.post(index, &to, message),
-            Output::Persist { ticket, item } => self.nodes[index].pending.push_back((ticket, item)),
+            Output::Persist { write_id, item } => {
+                self.nodes[index].pending.push_back((write_id, item))
+            }
             Output::Completed { request, outcome } => {
                 let history = self.history(index);
                 self.ledger.settled(index, request, &outcome, history);
--- a/decide/replication/src/model/timed.rs
+++ b/decide/replication/src/model/timed.rs
@@ -88,7 +88,7 @@
     /// If it doesn't come together within 30 s.
     pub fn gathered(settings: Settings, voters: usize, nodes: usize, seed: u64) -> Self {
         let mut timed = Self::new(settings, nodes, seed);
-        timed.call(0, World::found);
+        timed.call(0, World::bootstrap);
         for index in 1..voters {
             timed.restart(index);
         }
--- a/decide/replication/src/model/walk.rs
+++ b/decide/replication/src/model/walk.rs
@@ -50,7 +50,7 @@
 /// # Panics
 /// If that takes more than 60 s of their time.
 pub fn gather(world: &mut World, voters: usize) {
-    world.found();
+    world.bootstrap();
     for index in 1..voters {
         world.restart(index);
     }
--- a/decide/replication/src/output.rs
+++ b/decide/replication/src/output.rs
@@ -18,7 +18,7 @@
     /// Write and sync an item after all before it, then call [`crate::Replica::on_persisted`].
     Persist {
         /// Number to answer with.
-        ticket: WriteId,
+        write_id: WriteId,
         /// The item.
         item: DurableItem,
     },
--- a/decide/replication/src/replica/append.rs
+++ b/decide/replication/src/replica/append.rs
@@ -15,7 +15,7 @@
         if append.to != self.me.identity {
             // It is for another disk at this address, which is gone: this member has yet to knock
             // there.
-            self.set_peers(vec![from.address]);
+            self.add_peer_addresses(vec![from.address]);
             return;
         }
         if append.epoch < self.promised {
--- a/decide/replication/src/replica/disk.rs
+++ b/decide/replication/src/replica/disk.rs
@@ -30,7 +30,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Outstanding {
-    ticket: WriteId,
+    write_id: WriteId,
     promise: Epoch,
     position: Option<Position>,
     since: Time,
@@ -43,12 +43,12 @@
     }
 
     /// Takes in that all up to this ticket is synced; whether that is news.
-    pub(super) fn persisted(&mut self, ticket: WriteId) -> bool {
+    pub(super) fn persisted(&mut self, write_id: WriteId) -> bool {
         let mut news = false;
         while self
             .outstanding
             .front()
-            .is_some_and(|first| first.ticket <= ticket)
+            .is_some_and(|first| first.write_id <= write_id)
         {
             let Some(done) = self.outstanding.pop_front() else {
                 break;
@@ -106,45 +106,45 @@
             return;
         }
         self.disk.last_ticket += 1;
-        let ticket = WriteId(self.disk.last_ticket);
+        let write_id = WriteId(self.disk.last_ticket);
         let position = self.image.as_ref().map(|image| image.position);
         self.disk.outstanding.push_back(Outstanding {
-            ticket,
+            write_id,
             promise: self.promised,
             position,
             since: now,
         });
-        self.outputs.push(Output::Persist { ticket, item });
+        self.outputs.push(Output::Persist { write_id, item });
     }
 
     /// The whole image that stands for the item of this ticket and all before it, if a segment of
     /// the disk begins anew with it; none if it is no longer, or not the last, in flight.
-    pub fn image_for(&self, ticket: WriteId) -> Option<DurableItem> {
+    pub fn snapshot_for(&self, write_id: WriteId) -> Option<DurableItem> {
         let last = self
             .disk
             .outstanding
             .back()
-            .filter(|last| last.ticket == ticket)?;
+            .filter(|last| last.write_id == write_id)?;
         debug_assert!(
             last.promise <= self.promised,
             "the disk never knows a promise that memory doesn't"
         );
-        self.durable_image()
+        self.durable_snapshot()
     }
 
     /// Everything that this member holds, as an item; also what was accepted and not yet synced.
-    pub fn durable_image(&self) -> Option<DurableItem> {
+    pub fn durable_snapshot(&self) -> Option<DurableItem> {
         self.image
             .as_ref()
             .map(|image: &Memory<S>| image.to_item(self.me.identity, self.promised))
     }
 
-    pub(super) fn disk_failed(&mut self, now: Time, ticket: WriteId) {
+    pub(super) fn disk_failed(&mut self, now: Time, write_id: WriteId) {
         if !self
             .disk
             .outstanding
             .iter()
-            .any(|item| item.ticket == ticket)
+            .any(|item| item.write_id == write_id)
         {
             return;
         }
--- a/decide/replication/src/replica/mod.rs
+++ b/decide/replication/src/replica/mod.rs
@@ -111,14 +111,14 @@
 impl<S: ReplicatedState> Replica<S> {
     /// The sole founder of a group, on an empty disk, at a first start. Its image is on disk before
     /// anything is told.
-    pub fn found(settings: Settings, me: Member, state: S, seed: u64, now: Time) -> Self {
+    pub fn bootstrap(settings: Settings, me: Member, state: S, seed: u64, now: Time) -> Self {
         let epoch = Epoch {
             counter: 1,
             primary: me.identity,
         };
         let position = Position { epoch, number: 1 };
         let membership = Membership::new([me.clone()]);
-        let mut replica = Self::newcomer(settings, me, seed, now);
+        let mut replica = Self::learner(settings, me, seed, now);
         replica.promised = epoch;
         replica.image = Some(Memory {
             position,
@@ -147,7 +147,7 @@
             identity: image.identity,
             address,
         };
-        let mut replica = Self::newcomer(settings, me, seed, now);
+        let mut replica = Self::learner(settings, me, seed, now);
         replica.promised = image.promised;
         replica.disk.recovered(image.position, image.promised);
         let (position, membership) = (image.position, image.membership);
@@ -161,7 +161,7 @@
 
     /// A member with an empty disk and a fresh identity: it knocks, and votes for nothing until it
     /// holds an image.
-    pub fn newcomer(settings: Settings, me: Member, seed: u64, now: Time) -> Self {
+    pub fn learner(settings: Settings, me: Member, seed: u64, now: Time) -> Self {
         debug_assert!(me.identity.0 != 0, "an identity is drawn before it is used");
         let mut replica = Self {
             settings,
@@ -194,7 +194,7 @@
     }
 
     /// Addresses to knock at, beside those of members it knows.
-    pub fn set_peers(&mut self, addresses: Vec<String>) {
+    pub fn add_peer_addresses(&mut self, addresses: Vec<String>) {
         self.peers.extend(addresses);
         self.peers.remove(&self.me.address);
     }
@@ -260,18 +260,18 @@
     }
 
     /// The item of this ticket, and all before it, are synced.
-    pub fn on_persisted(&mut self, now: Time, ticket: WriteId) {
+    pub fn on_persisted(&mut self, now: Time, write_id: WriteId) {
         self.check_contact(now);
-        if self.disk.persisted(ticket) {
+        if self.disk.persisted(write_id) {
             self.after_sync(now);
         }
     }
 
     /// The item of this ticket could not be written or synced. Nothing that was to be written after
     /// it may be written either; the next item will be a whole image.
-    pub fn on_persist_failed(&mut self, now: Time, ticket: WriteId) {
+    pub fn on_persist_failed(&mut self, now: Time, write_id: WriteId) {
         self.check_contact(now);
-        self.disk_failed(now, ticket);
+        self.disk_failed(now, write_id);
     }
 
     /// Time has passed; call it at [`Self::next_wake`], earlier does no harm.
--- a/decide/replication/src/replica/show.rs
+++ b/decide/replication/src/replica/show.rs
@@ -85,7 +85,7 @@
 
     /// Whether the group is large enough to take orders, or has waited for others long enough, and
     /// no voter without a disk stands beside members with one.
-    pub fn may_take_orders(&self, now: Time) -> bool {
+    pub fn may_accept_changes(&self, now: Time) -> bool {
         let Some(primary) = self.lead().filter(|primary| primary.serving) else {
             return false;
         };
@@ -112,10 +112,10 @@
             committed: self.committed.as_ref().map(|(position, _)| *position),
             membership: self.membership().clone(),
             in_contact: self.in_contact(now),
-            writable: self.writable(now),
-            leaving: self.leaving.is_some(),
+            is_writable: self.writable(now),
+            is_leaving: self.leaving.is_some(),
             peers: self.peer_statuses(now),
-            why: self.why(now),
+            not_serving_reason: self.not_serving_reason(now),
         }
     }
 
@@ -125,7 +125,7 @@
                 serving: primary.serving,
             },
             Role::Canvassing(_) | Role::Candidate(_) => RoleKind::Candidate,
-            Role::Follower if self.is_outsider() => RoleKind::Outsider,
+            Role::Follower if self.is_outsider() => RoleKind::NonVoter,
             Role::Follower => RoleKind::Voter,
         }
     }
@@ -137,17 +137,17 @@
         let status = |peer: &super::primary::Peer| PeerStatus {
             identity: peer.member.identity,
             member: peer.member.clone(),
-            votes: peer.votes,
-            silent_for: now.since(peer.heard_at),
+            is_voter: peer.votes,
+            last_contact_age_us: now.since(peer.heard_at),
             synced: peer
                 .reported
                 .filter(|position| position.epoch == primary.epoch),
-            leaving: peer.leaving,
+            is_leaving: peer.leaving,
         };
         primary.peers.values().map(status).collect()
     }
 
-    fn why(&self, now: Time) -> String {
+    fn not_serving_reason(&self, now: Time) -> String {
         match &self.role {
             Role::Primary(primary) if primary.serving => String::new(),
             Role::Primary(_) => "its first record is not committed yet".to_owned(),
--- a/decide/replication/src/replica/without_disk.rs
+++ b/decide/replication/src/replica/without_disk.rs
@@ -15,7 +15,7 @@
 impl<S: ReplicatedState> Replica<S> {
     /// Members known to have no disk, this one included where it has none. Whom the membership
     /// names stays known as such.
-    pub fn set_without_disk(&mut self, identities: BTreeSet<Identity>) {
+    pub fn set_diskless_members(&mut self, identities: BTreeSet<Identity>) {
         let known = std::mem::replace(&mut self.without_disk, identities);
         let named = known
             .into_iter()
--- a/decide/replication/src/status.rs
+++ b/decide/replication/src/status.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RoleKind {
     /// It has no vote: an empty disk, or a membership that doesn't name it.
-    Outsider,
+    NonVoter,
     /// It votes and copies.
     Voter,
     /// It asks for votes.
@@ -41,13 +41,13 @@
     /// In contact with a quorum, itself or by its primary.
     pub in_contact: bool,
     /// Its disk takes writes.
-    pub writable: bool,
+    pub is_writable: bool,
     /// It has asked to leave.
-    pub leaving: bool,
+    pub is_leaving: bool,
     /// The voters and newcomers, as a primary sees them; empty elsewhere.
     pub peers: Vec<PeerStatus>,
     /// Why it is not serving, in a sentence; empty if it is.
-    pub why: String,
+    pub not_serving_reason: String,
 }
 
 /// A peer, as a primary sees it.
@@ -56,13 +56,13 @@
     /// Who it is.
     pub member: Member,
     /// Whether it votes.
-    pub votes: bool,
+    pub is_voter: bool,
     /// Microseconds since it was last heard.
-    pub silent_for: u64,
+    pub last_contact_age_us: u64,
     /// Where its image stands, synced; none if not under this epoch.
     pub synced: Option<Position>,
     /// It has asked to leave.
-    pub leaving: bool,
+    pub is_leaving: bool,
     /// The identity, again, for tables keyed by it.
     pub identity: Identity,
 }
--- a/decide/replication/tests/current.rs
+++ b/decide/replication/tests/current.rs
@@ -268,7 +268,7 @@
 
 #[test]
 fn a_heartbeat_for_another_disk_is_not_followed_but_knocked_at() {
-    let newcomer = || Replica::<History>::newcomer(Settings::default(), member(9), 7, at(0));
+    let newcomer = || Replica::<History>::learner(Settings::default(), member(9), 7, at(0));
     let mut unheard = newcomer();
     assert_eq!(
         knocks(&mut unheard, at(0), at(1_000)),
@@ -378,7 +378,11 @@
             replica.committed().is_none() && !replica.is_current(at(0)),
             "{epoch:?}"
         );
-        assert_eq!(replica.durable_image(), before.durable_image(), "{epoch:?}");
+        assert_eq!(
+            replica.durable_snapshot(),
+            before.durable_snapshot(),
+            "{epoch:?}"
+        );
     }
     // The same message, when it is meant: an older epoch is refused, the others are followed,
     // written and shown.
@@ -412,7 +416,7 @@
 
 #[test]
 fn a_wiped_voter_at_its_old_address_is_not_fed_by_what_is_meant_for_its_old_disk() {
-    let mut replica = Replica::<History>::newcomer(
+    let mut replica = Replica::<History>::learner(
         Settings::default(),
         Member {
             identity: Identity(9),
@@ -433,7 +437,7 @@
             (replica.promised(), replica.primary()),
             (Epoch::default(), None)
         );
-        assert!(replica.durable_image().is_none() && replica.committed().is_none());
+        assert!(replica.durable_snapshot().is_none() && replica.committed().is_none());
         assert!(!replica.in_contact(now) && !replica.is_current(now));
     }
     // Nor is it kept from knocking, where the primary is.
--- a/decide/replication/tests/disks_and_links.rs
+++ b/decide/replication/tests/disks_and_links.rs
@@ -219,7 +219,7 @@
     timed.world.founding = History {
         changes: (1_000_000..1_040_000).collect(),
     };
-    timed.call(0, |world| world.found());
+    timed.call(0, |world| world.bootstrap());
     timed.weather = NetworkConditions {
         loss: 5,
         ..NetworkConditions::default()
@@ -315,7 +315,7 @@
     timed.world.founding = History {
         changes: (1_000_000..1_060_000).collect(),
     };
-    timed.call(0, |world| world.found());
+    timed.call(0, |world| world.bootstrap());
     (1..3).for_each(|index| timed.restart(index));
     assert!(timed
         .run_until(5 * SECOND, |timed| timed.is_whole(3))
--- a/decide/replication/tests/scenarios.rs
+++ b/decide/replication/tests/scenarios.rs
@@ -9,7 +9,7 @@
 #[test]
 fn a_founder_serves_alone_within_a_second() {
     let mut timed = TimedWorld::new(Settings::default(), 1, 7);
-    timed.call(0, |world| world.found());
+    timed.call(0, |world| world.bootstrap());
     let served = timed.run_until(SECOND, |timed| timed.world.serving().is_some());
     assert!(served.is_some_and(|took| took < 20_000), "{served:?}");
 }
--- a/fleet/src/control/contact.rs
+++ b/fleet/src/control/contact.rs
@@ -174,7 +174,7 @@
         if let Some(group) = &mut self.group {
             let known = self.peers.iter().filter(|(_, peer)| peer.heard().is_some());
             let known = known.map(|(address, _)| address.to_string()).collect();
-            group.replica.set_peers(known);
+            group.replica.add_peer_addresses(known);
         }
     }
 
--- a/fleet/src/control/group.rs
+++ b/fleet/src/control/group.rs
@@ -122,20 +122,20 @@
         loop {
             for output in self.replica.take_outputs() {
                 match output {
-                    Output::Persist { ticket, item } => self.persist(ticket, &item),
+                    Output::Persist { write_id, item } => self.persist(write_id, &item),
                     other => outputs.push(other),
                 }
             }
             match self.remembered.take() {
-                Some(ticket) => self.replica.on_persisted(to_replica(now), ticket),
+                Some(write_id) => self.replica.on_persisted(to_replica(now), write_id),
                 None => return outputs,
             }
         }
     }
 
-    fn persist(&mut self, ticket: WriteId, item: &DurableItem) {
+    fn persist(&mut self, write_id: WriteId, item: &DurableItem) {
         let Some(disk) = &mut self.disk else {
-            self.remembered = Some(ticket);
+            self.remembered = Some(write_id);
             return;
         };
         // A segment that is nearly full, or too full for this item, begins anew with everything
@@ -143,20 +143,20 @@
         let bytes = item.encode();
         let anew = disk
             .wants_image_before(bytes.len())
-            .then(|| self.replica.image_for(ticket))
+            .then(|| self.replica.snapshot_for(write_id))
             .flatten();
         let (is_image, bytes) = match &anew {
             Some(image) => (true, image.encode()),
             None => (matches!(item, DurableItem::Snapshot(_)), bytes),
         };
-        disk.submit(ticket, is_image, bytes);
+        disk.submit(write_id, is_image, bytes);
     }
 
     /// The writer has finished something.
     pub(super) fn on_written(&mut self, now: Time) {
         let Some(disk) = &mut self.disk else { return };
         for completion in disk.writer.completions() {
-            let ticket = WriteId(completion.ticket);
+            let write_id = WriteId(completion.write_id);
             match completion.result {
                 Ok(usage) => {
                     if disk.failure.is_some() {
@@ -166,7 +166,7 @@
                     if disk.writer.outstanding() == 0 {
                         disk.handed = 0;
                     }
-                    self.replica.on_persisted(to_replica(now), ticket);
+                    self.replica.on_persisted(to_replica(now), write_id);
                 }
                 Err(e) => {
                     // It is tried again and again; the log needs to hear of it once.
@@ -174,7 +174,7 @@
                         warn!(target: "control", error = e.to_string().as_str(); "the disk takes nothing");
                     }
                     disk.failure = Some(e.to_string());
-                    self.replica.on_persist_failed(to_replica(now), ticket);
+                    self.replica.on_persist_failed(to_replica(now), write_id);
                 }
             }
         }
@@ -232,7 +232,7 @@
         self.usage.wants_image || used > self.usage.segment_bytes
     }
 
-    fn submit(&mut self, ticket: WriteId, is_image: bool, bytes: Vec<u8>) {
+    fn submit(&mut self, write_id: WriteId, is_image: bool, bytes: Vec<u8>) {
         let job = if is_image {
             // The next segment has room again; how much is told once it is written.
             (self.usage.wants_image, self.usage.used_bytes, self.handed) = (false, 0, 0);
@@ -241,7 +241,7 @@
             self.handed += bytes.len() as u64 + BLOCK_BYTES;
             Job::Append(vec![bytes])
         };
-        self.writer.submit(ticket.0, job);
+        self.writer.submit(write_id.0, job);
     }
 }
 
@@ -347,9 +347,9 @@
     };
     if nothing && founds(settings) {
         info!(target: "control", identity = member.identity.to_string().as_str(); "founds the group");
-        return Replica::found(figures, member, Replicated::default(), seed, now);
+        return Replica::bootstrap(figures, member, Replicated::default(), seed, now);
     }
-    Replica::newcomer(figures, member, seed, now)
+    Replica::learner(figures, member, seed, now)
 }
 
 /// A number that no other member has, and none had: from the system's random numbers, the address
--- a/fleet/src/control/own_part.rs
+++ b/fleet/src/control/own_part.rs
@@ -110,7 +110,7 @@
         if self.own_part.eligibility() != Eligibility::Durable {
             without_disk.insert(group.identity());
         }
-        group.replica.set_without_disk(without_disk);
+        group.replica.set_diskless_members(without_disk);
     }
 
     /// Machines with a disk, or whose loss is counted, that are connected.
--- a/fleet/src/control/status.rs
+++ b/fleet/src/control/status.rs
@@ -167,14 +167,14 @@
     let state = replica.committed().map(|(_, state)| &state.0);
     GroupStatus {
         role: role(status.role).to_owned(),
-        why_not_serving: status.why,
+        why_not_serving: status.not_serving_reason,
         epoch: status.promised.to_string(),
         primary: status.primary.map(|member| member.address),
         head: status.head.to_string(),
         synced: status.synced.map(|at| at.to_string()),
         committed: status.committed.map(|at| at.to_string()),
         in_contact: status.in_contact,
-        writable: status.writable,
+        writable: status.is_writable,
         configuration_version: state.map_or(0, |state| state.version()),
         orders_kept: state.map_or(0, |state| state.history_len() as u64),
         voters: voters(&status.peers, &status.membership),
@@ -189,10 +189,10 @@
     let seen = |peer: &PeerStatus| VoterLine {
         identity: peer.identity.to_string(),
         address: peer.member.address.clone(),
-        votes: peer.votes,
-        silent_for_ms: Some(peer.silent_for / 1_000),
+        votes: peer.is_voter,
+        silent_for_ms: Some(peer.last_contact_age_us / 1_000),
         synced: peer.synced.map(|at| at.to_string()),
-        leaving: peer.leaving,
+        leaving: peer.is_leaving,
     };
     let named = membership
         .all()
@@ -210,7 +210,7 @@
 
 fn role(role: RoleKind) -> &'static str {
     match role {
-        RoleKind::Outsider => "outsider",
+        RoleKind::NonVoter => "outsider",
         RoleKind::Voter => "voter",
         RoleKind::Candidate => "candidate",
         RoleKind::Primary { serving: true } => "primary",
--- a/simulator/src/control/mod.rs
+++ b/simulator/src/control/mod.rs
@@ -115,9 +115,9 @@
     }
 
     /// These members have no disk.
-    pub fn set_without_disk(&mut self, identities: &BTreeSet<Identity>) {
+    pub fn set_diskless_members(&mut self, identities: &BTreeSet<Identity>) {
         self.without_disk.clone_from(identities);
-        self.replica.set_without_disk(identities.clone());
+        self.replica.set_diskless_members(identities.clone());
     }
 
     /// The replica.
@@ -224,13 +224,13 @@
     }
 
     /// An item, and all before it, is synced.
-    pub fn on_persisted(&mut self, now: Time, ticket: WriteId) {
-        self.replica.on_persisted(now, ticket);
+    pub fn on_persisted(&mut self, now: Time, write_id: WriteId) {
+        self.replica.on_persisted(now, write_id);
     }
 
     /// An item, and all behind it, was not written.
-    pub fn on_persist_failed(&mut self, now: Time, ticket: WriteId) {
-        self.replica.on_persist_failed(now, ticket);
+    pub fn on_persist_failed(&mut self, now: Time, write_id: WriteId) {
+        self.replica.on_persist_failed(now, write_id);
     }
 
     /// Told to end, at this time at the latest.
@@ -365,7 +365,7 @@
             Output::Send { to, message } => {
                 Effect::SendPeer(to, PeerMessage::Replication(message.encode()))
             }
-            Output::Persist { ticket, item } => Effect::Persist(ticket, item),
+            Output::Persist { write_id, item } => Effect::Persist(write_id, item),
             Output::Committed(position) => Effect::Committed(position),
             Output::Notice(notice) => Effect::Notice(notice),
             Output::Completed { request, outcome } => {
--- a/simulator/src/disk.rs
+++ b/simulator/src/disk.rs
@@ -44,7 +44,7 @@
 
 #[derive(Clone, Debug)]
 struct Job {
-    ticket: WriteId,
+    write_id: WriteId,
     item: DurableItem,
 }
 
@@ -74,8 +74,8 @@
     }
 
     /// An item to be written behind all others.
-    pub fn submit(&mut self, ticket: WriteId, item: DurableItem) {
-        self.queue.push_back(Job { ticket, item });
+    pub fn submit(&mut self, write_id: WriteId, item: DurableItem) {
+        self.queue.push_back(Job { write_id, item });
     }
 
     /// Begins to write what waits, if nothing is being written; tells for how many microseconds.
@@ -99,8 +99,8 @@
     /// The time of the batch has passed.
     pub fn finish(&mut self, random: &mut Rng) -> Finished {
         let tickets = (
-            self.batch.first().map(|job| job.ticket),
-            self.batch.last().map(|job| job.ticket),
+            self.batch.first().map(|job| job.write_id),
+            self.batch.last().map(|job| job.write_id),
         );
         let (Some(first), Some(last)) = tickets else {
             return Finished::Waits;
--- a/simulator/src/world/machines.rs
+++ b/simulator/src/world/machines.rs
@@ -141,7 +141,7 @@
             .machines
             .values_mut()
             .filter_map(|machine| machine.process.as_mut());
-        processes.for_each(|process| process.set_without_disk(&self.without_disk));
+        processes.for_each(|process| process.set_diskless_members(&self.without_disk));
     }
 
     fn replica(&mut self, host: Host) -> Result<Replica<Replicated>, String> {
@@ -155,8 +155,8 @@
             let member = Member { identity, address };
             let state = Replicated::new(self.settings.glue.history_lost);
             match founds {
-                true => Replica::found(settings, member, state, seed, now),
-                false => Replica::newcomer(settings, member, seed, now),
+                true => Replica::bootstrap(settings, member, state, seed, now),
+                false => Replica::learner(settings, member, seed, now),
             }
         } else {
             let items: Vec<DurableItem> = machine.disk.items().to_vec();
@@ -164,7 +164,7 @@
             Replica::recover(settings, address, recovered, seed, now)
                 .map_err(|error| error.to_string())?
         };
-        replica.set_peers(machine.seeds.clone());
+        replica.add_peer_addresses(machine.seeds.clone());
         Ok(replica)
     }
 
@@ -285,8 +285,8 @@
         let finished = machine.disk.finish(&mut self.random);
         if let Some(process) = &mut machine.process {
             match finished {
-                Finished::Persisted(ticket) => process.on_persisted(now, ticket),
-                Finished::Failed(ticket) => process.on_persist_failed(now, ticket),
+                Finished::Persisted(write_id) => process.on_persisted(now, write_id),
+                Finished::Failed(write_id) => process.on_persist_failed(now, write_id),
                 Finished::Waits => {}
             }
         }
@@ -323,7 +323,7 @@
 
     fn do_effect(&mut self, host: Host, effect: Effect) {
         match effect {
-            Effect::Persist(ticket, item) => self.persist(host, ticket, item),
+            Effect::Persist(write_id, item) => self.persist(host, write_id, item),
             Effect::SendPeer(to, message) => self.send_peer(host, &to, Packet::Peer(message)),
             Effect::Reply(id, reply) => self.reply(host, id, reply, false),
             Effect::ToRouter(id, message) => self.send_to_router(host, id, Some(message)),
@@ -335,7 +335,7 @@
 
     /// A segment that is nearly full begins anew with everything that the item and those before it
     /// come to.
-    fn persist(&mut self, host: Host, ticket: WriteId, item: DurableItem) {
+    fn persist(&mut self, host: Host, write_id: WriteId, item: DurableItem) {
         let Some(machine) = self.machines.get_mut(&host) else {
             return;
         };
@@ -344,9 +344,9 @@
             .as_ref()
             .filter(|_| machine.disk.wants_image());
         let item = whole
-            .and_then(|process| process.replica().image_for(ticket))
+            .and_then(|process| process.replica().snapshot_for(write_id))
             .unwrap_or(item);
-        machine.disk.submit(ticket, item);
+        machine.disk.submit(write_id, item);
         self.begin_write(host);
     }
 
--- a/wire/storage/src/writer/mod.rs
+++ b/wire/storage/src/writer/mod.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Completion {
     /// Its ticket.
-    pub ticket: u64,
+    pub write_id: u64,
     /// How full the storage is now, or why nothing was stored.
     pub result: Result<Usage, StorageError>,
     /// Failures of the thread up to and with this one.
@@ -35,7 +35,7 @@
 
 /// A job in the queue.
 struct Queued {
-    ticket: u64,
+    write_id: u64,
     job: Job,
     /// Failures that the submitter had been told of.
     failures_known: u64,
@@ -115,10 +115,10 @@
     }
 
     /// Hands a job to the thread. Its completion will bear the ticket.
-    pub fn submit(&mut self, ticket: u64, job: Job) {
+    pub fn submit(&mut self, write_id: u64, job: Job) {
         self.outstanding.push_back(Instant::now());
         let queued = Queued {
-            ticket,
+            write_id,
             job,
             failures_known: self.failures_known,
         };
@@ -218,7 +218,7 @@
         let Some(first) = jobs.pop_front() else {
             return;
         };
-        let mut tickets = vec![first.ticket];
+        let mut tickets = vec![first.write_id];
         if first.failures_known < self.failures {
             return self.complete(&tickets, &Err(StorageError::EarlierFailed));
         }
@@ -243,7 +243,7 @@
     ) {
         let mut bytes: usize = records.iter().map(Vec::len).sum();
         while let Some(Queued {
-            ticket,
+            write_id,
             job: Job::Append(more),
             failures_known,
         }) = jobs.front_mut()
@@ -258,15 +258,15 @@
             }
             bytes = with_more;
             records.append(more);
-            tickets.push(*ticket);
+            tickets.push(*write_id);
             jobs.pop_front();
         }
     }
 
     fn complete(&mut self, tickets: &[u64], result: &Result<Usage, StorageError>) {
         let failures = self.failures;
-        let completions = tickets.iter().map(|ticket| Completion {
-            ticket: *ticket,
+        let completions = tickets.iter().map(|write_id| Completion {
+            write_id: *write_id,
             result: result.clone(),
             failures,
         });
--- a/wire/storage/src/writer/tests.rs
+++ b/wire/storage/src/writer/tests.rs
@@ -58,7 +58,7 @@
 fn tickets(completions: &[Completion]) -> Vec<u64> {
     completions
         .iter()
-        .map(|completion| completion.ticket)
+        .map(|completion| completion.write_id)
         .collect()
 }
 
--- a/wire/storage/tests/writer.rs
+++ b/wire/storage/tests/writer.rs
@@ -49,13 +49,13 @@
     let mut writer = Writer::start(storage, waking).unwrap();
     writer.submit(1, Job::Append(vec![b"before".to_vec()]));
     writer.submit(2, Job::Replace(b"image".to_vec()));
-    for ticket in 3..100_u8 {
-        writer.submit(ticket.into(), Job::Append(vec![vec![ticket]]));
+    for write_id in 3..100_u8 {
+        writer.submit(write_id.into(), Job::Append(vec![vec![write_id]]));
     }
     let completions = wait_for(&mut writer, &mut wake, 99);
     assert!(completions
         .iter()
-        .map(|completion| completion.ticket)
+        .map(|completion| completion.write_id)
         .eq(1..100));
     assert!(completions
         .iter()
@@ -66,7 +66,7 @@
     assert!(recovered
         .records
         .into_iter()
-        .eq((3..100_u8).map(|ticket| vec![ticket])));
+        .eq((3..100_u8).map(|write_id| vec![write_id])));
     assert_eq!(recovered.findings, []);
     let lengths = (0..4).map(|n| {
         std::fs::metadata(path.join(format!("segment-{n}")))
@@ -122,8 +122,8 @@
     writer.submit(0, Job::Append(vec![vec![0]]));
     wakes.recv().unwrap();
     let before = disk.syncs();
-    for ticket in 1..=50 {
-        writer.submit(ticket, Job::Append(vec![vec![1; 10]]));
+    for write_id in 1..=50 {
+        writer.submit(write_id, Job::Append(vec![vec![1; 10]]));
     }
     drop(let_go);
     let storage = writer.close().unwrap();
@@ -138,8 +138,8 @@
     writer.submit(0, Job::Replace(b"image".to_vec()));
     wakes.recv().unwrap();
     disk.fault_after(1, Fault::Error);
-    for ticket in 1..4 {
-        writer.submit(ticket, Job::Append(vec![vec![1]]));
+    for write_id in 1..4 {
+        writer.submit(write_id, Job::Append(vec![vec![1]]));
     }
     writer.submit(4, Job::Replace(b"never".to_vec()));
     let_go.send(()).unwrap();
@@ -151,7 +151,7 @@
     let completions = writer.completions();
     let results: Vec<_> = completions
         .iter()
-        .map(|completion| (completion.ticket, &completion.result))
+        .map(|completion| (completion.write_id, &completion.result))
         .collect();
     assert_matches!(
         &results[..],
@@ -169,7 +169,7 @@
     assert_matches!(
         &writer.completions()[..],
         [Completion {
-            ticket: 6,
+            write_id: 6,
             result: Ok(_),
             ..
         }]
@@ -190,8 +190,8 @@
     let (mut writer, wakes, let_go) = held_writer(open_fake(&disk));
     writer.submit(0, Job::Replace(b"image".to_vec()));
     wakes.recv().unwrap();
-    for ticket in 1..=3 {
-        writer.submit(ticket, Job::Append(vec![vec![1; 1400]]));
+    for write_id in 1..=3 {
+        writer.submit(write_id, Job::Append(vec![vec![1; 1400]]));
     }
     drop(let_go);
     (0..2).for_each(|_| wakes.recv().unwrap());
