--- a/decide/replication/src/durable.rs
+++ b/decide/replication/src/durable.rs
@@ -81,7 +81,7 @@
 pub struct Recovered {
     /// The last image; `position`, `membership` and `promised` count the records and promises after
     /// it.
-    pub image: Snapshot,
+    pub snapshot: Snapshot,
     /// Changes of the state that came after the image, in order.
     pub changes: Vec<Vec<u8>>,
 }
@@ -142,7 +142,7 @@
             fold(&mut folded, &mut promised, item)?;
         }
         let mut recovered: Recovered = folded.ok_or(RecoverError::Empty)?;
-        recovered.image.promised = promised;
+        recovered.snapshot.promised = promised;
         Ok(recovered)
     }
 }
@@ -154,11 +154,11 @@
 ) -> Result<(), RecoverError> {
     match item {
         DurableItem::Promise(epoch) => *promised = epoch.max(*promised),
-        DurableItem::Snapshot(image) => {
-            check_image(folded.as_ref(), &image)?;
-            *promised = image.promised.max(*promised);
+        DurableItem::Snapshot(snapshot) => {
+            check_image(folded.as_ref(), &snapshot)?;
+            *promised = snapshot.promised.max(*promised);
             *folded = Some(Recovered {
-                image,
+                snapshot,
                 changes: Vec::new(),
             });
         }
@@ -166,29 +166,29 @@
             let recovered = folded.as_mut().ok_or(RecoverError::Empty)?;
             check_record(recovered, *promised, &record)?;
             *promised = record.position.epoch;
-            recovered.image.position = record.position;
+            recovered.snapshot.position = record.position;
             match record.update {
                 Update::EpochStart => {}
                 Update::Change(change) => recovered.changes.push(change),
-                Update::Membership(membership) => recovered.image.membership = membership,
+                Update::Membership(membership) => recovered.snapshot.membership = membership,
             }
         }
     }
     Ok(())
 }
 
-fn check_image(before: Option<&Recovered>, image: &Snapshot) -> Result<(), RecoverError> {
+fn check_image(before: Option<&Recovered>, snapshot: &Snapshot) -> Result<(), RecoverError> {
     let Some(before) = before else { return Ok(()) };
-    if image.identity != before.image.identity {
+    if snapshot.identity != before.snapshot.identity {
         return Err(RecoverError::TwoIdentities {
-            found: image.identity,
-            expected: before.image.identity,
+            found: snapshot.identity,
+            expected: before.snapshot.identity,
         });
     }
-    if image.position < before.image.position {
+    if snapshot.position < before.snapshot.position {
         return Err(RecoverError::ImageGoesBack {
-            found: image.position,
-            expected: before.image.position,
+            found: snapshot.position,
+            expected: before.snapshot.position,
         });
     }
     Ok(())
@@ -199,7 +199,7 @@
     promised: Epoch,
     record: &Record,
 ) -> Result<(), RecoverError> {
-    let expected = recovered.image.position;
+    let expected = recovered.snapshot.position;
     if record.previous != expected || record.position <= expected {
         let (found, previous) = (record.position, record.previous);
         return Err(RecoverError::RecordDoesNotFollow {
--- a/decide/replication/src/replica/mod.rs
+++ b/decide/replication/src/replica/mod.rs
@@ -138,7 +138,7 @@
         seed: u64,
         now: Time,
     ) -> Result<Self, RecoverError> {
-        let image = recovered.image;
+        let image = recovered.snapshot;
         let mut state = S::decode(&image.state)?;
         for change in &recovered.changes {
             state.apply(change)?;
--- a/decide/replication/tests/values.rs
+++ b/decide/replication/tests/values.rs
@@ -162,9 +162,9 @@
         promise,
     ];
     let recovered = Recovered::from_items(items).expect("they follow");
-    assert_eq!(recovered.image.position, third);
-    assert_eq!(recovered.image.promised.counter, 9);
-    assert_eq!(recovered.image.membership, membership(&[1, 2]));
+    assert_eq!(recovered.snapshot.position, third);
+    assert_eq!(recovered.snapshot.promised.counter, 9);
+    assert_eq!(recovered.snapshot.membership, membership(&[1, 2]));
     let replica =
         Replica::<History>::recover(Settings::default(), "here".into(), recovered, 1, Time(0));
     let replica = replica.expect("the state can be read");
@@ -181,7 +181,7 @@
     let (first, second) = (position(2, 5), position(4, 6));
     let recovered =
         Recovered::from_items([image(first), record(first, second, Update::EpochStart)]);
-    assert_eq!(recovered.expect("it follows").image.promised, second.epoch);
+    assert_eq!(recovered.expect("it follows").snapshot.promised, second.epoch);
 }
 
 #[test]
--- a/fleet/src/control/group.rs
+++ b/fleet/src/control/group.rs
@@ -12,7 +12,9 @@
 use lichenswitch_replication::{
     DurableItem, Identity, Member, Output, Recovered, Replica, WriteId,
 };
-use lichenswitch_storage::{FileSystem, Finding, Job, Storage, StorageSettings, Usage, Writer};
+use lichenswitch_storage::{
+    FileSystem, Finding, Storage, StorageSettings, Usage, WriteRequest, Writer,
+};
 use log::{info, warn};
 use std::hash::BuildHasher;
 use std::os::unix::net::UnixStream;
@@ -142,14 +144,14 @@
         // that this item and those before it come to.
         let bytes = item.encode();
         let anew = disk
-            .wants_image_before(bytes.len())
+            .wants_snapshot_before(bytes.len())
             .then(|| self.replica.snapshot_for(write_id))
             .flatten();
-        let (is_image, bytes) = match &anew {
-            Some(image) => (true, image.encode()),
+        let (is_snapshot, bytes) = match &anew {
+            Some(snapshot) => (true, snapshot.encode()),
             None => (matches!(item, DurableItem::Snapshot(_)), bytes),
         };
-        disk.submit(write_id, is_image, bytes);
+        disk.submit(write_id, is_snapshot, bytes);
     }
 
     /// The writer has finished something.
@@ -226,20 +228,24 @@
         })
     }
 
-    /// Whether a whole image is to be written in place of a record of these bytes.
-    fn wants_image_before(&self, bytes: usize) -> bool {
+    /// Whether a whole snapshot is to be written in place of a record of these bytes.
+    fn wants_snapshot_before(&self, bytes: usize) -> bool {
         let used = self.usage.used_bytes + self.handed + bytes as u64 + BLOCK_BYTES;
-        self.usage.wants_image || used > self.usage.segment_bytes
+        self.usage.wants_snapshot || used > self.usage.segment_bytes
     }
 
-    fn submit(&mut self, write_id: WriteId, is_image: bool, bytes: Vec<u8>) {
-        let job = if is_image {
+    fn submit(&mut self, write_id: WriteId, is_snapshot: bool, bytes: Vec<u8>) {
+        let job = if is_snapshot {
             // The next segment has room again; how much is told once it is written.
-            (self.usage.wants_image, self.usage.used_bytes, self.handed) = (false, 0, 0);
-            Job::Replace(bytes)
+            (
+                self.usage.wants_snapshot,
+                self.usage.used_bytes,
+                self.handed,
+            ) = (false, 0, 0);
+            WriteRequest::ReplaceSnapshot(bytes)
         } else {
             self.handed += bytes.len() as u64 + BLOCK_BYTES;
-            Job::Append(vec![bytes])
+            WriteRequest::Append(vec![bytes])
         };
         self.writer.submit(write_id.0, job);
     }
@@ -289,7 +295,7 @@
 
 fn read(found: &lichenswitch_storage::Recovered) -> Result<Recovered, String> {
     let items = found
-        .image
+        .snapshot
         .iter()
         .chain(&found.records)
         .map(|bytes| DurableItem::decode(bytes));
--- a/fleet/tests/stored_data.rs
+++ b/fleet/tests/stored_data.rs
@@ -198,7 +198,9 @@
     let (mut storage, _) = Storage::open(folder, &StorageSettings::new(OWNER)).expect("a ring");
     for (snapshot, items) in segments() {
         let snapshot = DurableItem::Snapshot(snapshot).encode();
-        storage.replace(&snapshot).expect("a snapshot is written");
+        storage
+            .replace_snapshot(&snapshot)
+            .expect("a snapshot is written");
         for item in items {
             storage
                 .append(&[item.encode()])
@@ -223,7 +225,7 @@
     let (_, recovered) = Storage::open(&folder.0, &settings).expect("the ring opens");
     assert_eq!(recovered.findings, []);
     let [_, (snapshot, items)] = segments();
-    let found = recovered.image.expect("a snapshot");
+    let found = recovered.snapshot.expect("a snapshot");
     assert_eq!(
         DurableItem::decode(&found),
         Ok(DurableItem::Snapshot(snapshot))
@@ -241,7 +243,7 @@
     let folder = TestFolder::with_earlier_ring("state");
     let settings = StorageSettings::new(OWNER);
     let (_, found) = Storage::open(&folder.0, &settings).expect("the ring opens");
-    let items = found.image.iter().chain(&found.records);
+    let items = found.snapshot.iter().chain(&found.records);
     let items = items.map(|bytes| DurableItem::decode(bytes).expect("an item"));
     let recovered = Recovered::from_items(items).expect("the items follow each other");
     let [_, second_state] = snapshot_states();
@@ -252,8 +254,8 @@
         membership: Membership::new([member(1), member(2), member(4)]),
         state: second_state.encode(),
     };
-    assert_eq!(recovered.image, expected);
-    let mut state = Replicated::decode(&recovered.image.state).expect("a state");
+    assert_eq!(recovered.snapshot, expected);
+    let mut state = Replicated::decode(&recovered.snapshot.state).expect("a state");
     assert_eq!(state, second_state);
     for change in &recovered.changes {
         state.apply(change).expect("the change fits");
--- a/simulator/src/disk.rs
+++ b/simulator/src/disk.rs
@@ -69,7 +69,7 @@
     }
 
     /// Whether the next item should be an image.
-    pub fn wants_image(&self) -> bool {
+    pub fn wants_snapshot(&self) -> bool {
         self.items.len() + self.batch.len() + self.queue.len() > RECORDS_BEHIND_IMAGE
     }
 
--- a/simulator/src/world/machines.rs
+++ b/simulator/src/world/machines.rs
@@ -342,7 +342,7 @@
         let whole = machine
             .process
             .as_ref()
-            .filter(|_| machine.disk.wants_image());
+            .filter(|_| machine.disk.wants_snapshot());
         let item = whole
             .and_then(|process| process.replica().snapshot_for(write_id))
             .unwrap_or(item);
--- a/soak/tests/volatile_disk.rs
+++ b/soak/tests/volatile_disk.rs
@@ -103,14 +103,14 @@
         let (mut storage, found) =
             Storage::open_with(disk, &folder.0.join("ring"), &settings).unwrap();
         assert!(!found.loses_state(), "life {life}: {:?}", found.findings);
-        let image = found.image.clone().into_iter();
-        let held: Vec<Vec<u8>> = image.chain(found.records).collect();
+        let snapshot = found.snapshot.clone().into_iter();
+        let held: Vec<Vec<u8>> = snapshot.chain(found.records).collect();
         assert!(held.ends_with(&acknowledged), "life {life}");
-        // An image stands for all before it.
+        // A snapshot stands for all before it.
         for step in 0..8 {
             let record = vec![life as u8, step];
-            if storage.wants_image() || step == 5 {
-                storage.replace(&record).unwrap();
+            if storage.wants_snapshot() || step == 5 {
+                storage.replace_snapshot(&record).unwrap();
                 acknowledged = vec![record];
             } else {
                 storage.append(std::slice::from_ref(&record)).unwrap();
--- a/wire/storage/src/block.rs
+++ b/wire/storage/src/block.rs
@@ -13,9 +13,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Kind {
     /// The image that a segment begins with.
-    Image,
+    Snapshot,
     /// The beginning of a segment of a storage that has no image yet.
-    NoImage,
+    NoSnapshot,
     /// Says that the beginning of the segment has been synced.
     Mark,
     /// Records.
@@ -28,8 +28,8 @@
 impl Kind {
     const fn code(self) -> u16 {
         match self {
-            Self::Image => 1,
-            Self::NoImage => 2,
+            Self::Snapshot => 1,
+            Self::NoSnapshot => 2,
             Self::Mark => 3,
             Self::Records => 4,
             Self::Void => 5,
@@ -38,8 +38,8 @@
 
     fn from_code(code: u16) -> Option<Self> {
         let kinds = [
-            Self::Image,
-            Self::NoImage,
+            Self::Snapshot,
+            Self::NoSnapshot,
             Self::Mark,
             Self::Records,
             Self::Void,
@@ -49,7 +49,7 @@
 
     /// Whether a segment begins with it.
     pub(crate) fn is_beginning(self) -> bool {
-        matches!(self, Self::Image | Self::NoImage)
+        matches!(self, Self::Snapshot | Self::NoSnapshot)
     }
 
     /// Whether it is only written once the beginning of its segment has been synced.
--- a/wire/storage/src/error.rs
+++ b/wire/storage/src/error.rs
@@ -28,7 +28,7 @@
     },
     /// What was recovered is damaged, and nothing may be appended to it.
     #[error("the segment is damaged: only a new image can be stored")]
-    NeedsImage,
+    NeedsSnapshot,
     /// An image or a batch of records is longer than the format allows.
     #[error("{bytes} bytes are more than a block may hold")]
     TooLong {
--- a/wire/storage/src/lib.rs
+++ b/wire/storage/src/lib.rs
@@ -1,6 +1,6 @@
 //! A ring of preallocated segment files with one writer thread.
 //!
-//! It owns the files of one folder. It promises: what [`Storage::append`] or [`Storage::replace`]
+//! It owns the files of one folder. It promises: what [`Storage::append`] or [`Storage::replace_snapshot`]
 //! has returned `Ok` from is there after any crash of the process or loss of power; what was never
 //! given to it never appears; a record that a later image replaced never returns. It touches the
 //! file system alone, through [`FileSystem`], and knows nothing of what images and records mean.
@@ -17,7 +17,7 @@
 //! image and mark are synced; the segment before it stays as it is until the ring comes round.
 //!
 //! **Failures.** A write or sync that fails advances nothing: the next attempt writes the same
-//! place again, whole. After a failed `replace` the half-finished segment is voided before anything
+//! place again, whole. After a failed `replace_snapshot` the half-finished segment is voided before anything
 //! else is acknowledged.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -40,4 +40,4 @@
 pub use file_system::{write_all_at, FileSystem, RealFileSystem, StorageFile};
 pub use finding::{Finding, ForeignReason};
 pub use storage::{Recovered, Storage, StorageSettings, Usage};
-pub use writer::{Completion, Job, Writer};
+pub use writer::{Completion, WriteRequest, Writer};
--- a/wire/storage/src/recovery.rs
+++ b/wire/storage/src/recovery.rs
@@ -280,7 +280,7 @@
             generation,
             sequence: 0,
         });
-        storage.needs_image = true;
+        storage.needs_snapshot = true;
     }
     let Some((segment, generation, bytes)) = search.newest else {
         void_next(storage, 0, &search.whole)?;
@@ -302,10 +302,10 @@
     void_next(storage, next, &search.whole)?;
     let chain = segment::read_chain(&bytes, storage.owner, segment, generation);
     findings.extend(chain.finding.clone());
-    storage.needs_image |= chain.finding.as_ref().is_some_and(Finding::loses_state);
+    storage.needs_snapshot |= chain.finding.as_ref().is_some_and(Finding::loses_state);
     continue_chain(storage, segment, generation, &chain, &bytes)?;
     Ok(Recovered {
-        image: chain.image,
+        snapshot: chain.snapshot,
         records: chain.records,
         findings,
     })
@@ -322,7 +322,7 @@
     bytes: &[u8],
 ) -> Result<(), StorageError> {
     let (mut offset, mut sequence) = (chain.offset as u64, chain.sequence);
-    if !storage.needs_image {
+    if !storage.needs_snapshot {
         let mut last = bytes[chain.last_offset..chain.offset].to_vec();
         if offset < storage.segments[segment].length {
             last.resize(last.len() + SECTOR_BYTES, 0);
--- a/wire/storage/src/segment.rs
+++ b/wire/storage/src/segment.rs
@@ -100,7 +100,7 @@
 /// The blocks of one generation, from its beginning as far as they go.
 #[derive(Debug)]
 pub(crate) struct Chain {
-    pub image: Option<Vec<u8>>,
+    pub snapshot: Option<Vec<u8>>,
     pub records: Vec<Vec<u8>>,
     /// Where the next block goes.
     pub offset: usize,
@@ -115,7 +115,7 @@
 /// Reads the blocks of a segment whose beginning is whole.
 pub(crate) fn read_chain(bytes: &[u8], owner: u64, segment: usize, generation: u64) -> Chain {
     let mut chain = Chain {
-        image: None,
+        snapshot: None,
         records: Vec::new(),
         offset: 0,
         sequence: 0,
@@ -144,8 +144,8 @@
     /// Takes the payload of the next block; `false` where it is none that belongs here.
     fn take(&mut self, header: Header, payload: &[u8]) -> bool {
         match (header.kind, self.sequence) {
-            (block::Kind::Image, 0) => self.image = Some(payload.to_vec()),
-            (block::Kind::NoImage, 0) | (block::Kind::Mark, 1) => {}
+            (block::Kind::Snapshot, 0) => self.snapshot = Some(payload.to_vec()),
+            (block::Kind::NoSnapshot, 0) | (block::Kind::Mark, 1) => {}
             (block::Kind::Records, 2..) => match block::split_records(payload) {
                 Some(records) => self.records.extend(records),
                 None => return false,
--- a/wire/storage/src/storage.rs
+++ b/wire/storage/src/storage.rs
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Recovered {
     /// The newest whole image.
-    pub image: Option<Vec<u8>>,
+    pub snapshot: Option<Vec<u8>>,
     /// The records after it, in order.
     pub records: Vec<Vec<u8>>,
     /// What was met besides. If any of them [loses state](Finding::loses_state), image and records
@@ -51,7 +51,7 @@
     /// Whether nothing was ever stored.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.image.is_none() && self.records.is_empty()
+        self.snapshot.is_none() && self.records.is_empty()
     }
 
     /// Whether state that had been acknowledged is lost for certain. The disk should then be
@@ -72,7 +72,7 @@
     /// Bytes of all segments.
     pub disk_bytes: u64,
     /// Whether the segment is nearly full: a new image should be stored.
-    pub wants_image: bool,
+    pub wants_snapshot: bool,
 }
 
 /// One file of the ring.
@@ -109,7 +109,7 @@
     /// Highest generation that was ever tried.
     pub(crate) highest_generation: u64,
     /// Damage was found: only an image may follow.
-    pub(crate) needs_image: bool,
+    pub(crate) needs_snapshot: bool,
     unfinished: Option<Unfinished>,
     /// A name was changed, and the folder not synced since.
     names_unsynced: bool,
@@ -165,7 +165,7 @@
             segments: Vec::new(),
             current: None,
             highest_generation: 0,
-            needs_image: false,
+            needs_snapshot: false,
             unfinished: None,
             names_unsynced: false,
         }
@@ -182,13 +182,13 @@
         if records.is_empty() {
             return Ok(());
         }
-        if self.needs_image {
-            return Err(StorageError::NeedsImage);
+        if self.needs_snapshot {
+            return Err(StorageError::NeedsSnapshot);
         }
         self.void_unfinished()?;
         let current = match self.current {
             Some(current) => current,
-            None => self.begin_segment(Kind::NoImage, &[])?,
+            None => self.begin_segment(Kind::NoSnapshot, &[])?,
         };
         let wanted = block::size_of(block::joined_length(records.iter().map(Vec::len))) as u64;
         let left = self.segments[current.segment].length - current.offset;
@@ -216,17 +216,17 @@
     /// # Errors
     /// When the file system refuses. What was stored before still counts then, except that a
     /// recovery may find the image, unless another call succeeded in between.
-    pub fn replace(&mut self, image: &[u8]) -> Result<(), StorageError> {
+    pub fn replace_snapshot(&mut self, snapshot: &[u8]) -> Result<(), StorageError> {
         self.void_unfinished()?;
-        self.begin_segment(Kind::Image, image)?;
-        self.needs_image = false;
+        self.begin_segment(Kind::Snapshot, snapshot)?;
+        self.needs_snapshot = false;
         Ok(())
     }
 
-    /// Whether the segment is nearly full: [`Storage::replace`] should come soon.
+    /// Whether the segment is nearly full: [`Storage::replace_snapshot`] should come soon.
     #[must_use]
-    pub fn wants_image(&self) -> bool {
-        self.usage().wants_image
+    pub fn wants_snapshot(&self) -> bool {
+        self.usage().wants_snapshot
     }
 
     /// Whether these many records of these bytes altogether fit behind the others.
@@ -247,12 +247,12 @@
             Some(current) => (current.offset, self.segments[current.segment].length),
             None => (0, self.segment_bytes),
         };
-        let wants_image = self.needs_image || used_bytes * 100 > segment_bytes * USED_PERCENT;
+        let wants_snapshot = self.needs_snapshot || used_bytes * 100 > segment_bytes * USED_PERCENT;
         Usage {
             used_bytes,
             segment_bytes,
             disk_bytes,
-            wants_image,
+            wants_snapshot,
         }
     }
 
--- a/wire/storage/src/writer/mod.rs
+++ b/wire/storage/src/writer/mod.rs
@@ -15,11 +15,11 @@
 
 /// Something to be stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Job {
+pub enum WriteRequest {
     /// Records, as [`Storage::append`] takes them.
     Append(Vec<Vec<u8>>),
-    /// An image, as [`Storage::replace`] takes it.
-    Replace(Vec<u8>),
+    /// An image, as [`Storage::replace_snapshot`] takes it.
+    ReplaceSnapshot(Vec<u8>),
 }
 
 /// The end of a job.
@@ -36,7 +36,7 @@
 /// A job in the queue.
 struct Queued {
     write_id: u64,
-    job: Job,
+    job: WriteRequest,
     /// Failures that the submitter had been told of.
     failures_known: u64,
 }
@@ -115,7 +115,7 @@
     }
 
     /// Hands a job to the thread. Its completion will bear the ticket.
-    pub fn submit(&mut self, write_id: u64, job: Job) {
+    pub fn submit(&mut self, write_id: u64, job: WriteRequest) {
         self.outstanding.push_back(Instant::now());
         let queued = Queued {
             write_id,
@@ -223,8 +223,8 @@
             return self.complete(&tickets, &Err(StorageError::EarlierFailed));
         }
         let result = match first.job {
-            Job::Replace(image) => self.storage.replace(&image),
-            Job::Append(mut records) => {
+            WriteRequest::ReplaceSnapshot(snapshot) => self.storage.replace_snapshot(&snapshot),
+            WriteRequest::Append(mut records) => {
                 self.join_appends(&mut records, &mut tickets, jobs);
                 self.storage.append(&records)
             }
@@ -244,7 +244,7 @@
         let mut bytes: usize = records.iter().map(Vec::len).sum();
         while let Some(Queued {
             write_id,
-            job: Job::Append(more),
+            job: WriteRequest::Append(more),
             failures_known,
         }) = jobs.front_mut()
         {
--- a/wire/storage/src/writer/tests.rs
+++ b/wire/storage/src/writer/tests.rs
@@ -8,7 +8,7 @@
 use shuttle::sync::{Arc, Condvar, Mutex};
 use support::{small_ring, FakeDisk, Fault, FOLDER};
 
-use super::{Completion, Job, Writer};
+use super::{Completion, WriteRequest, Writer};
 use crate::{Storage, StorageError};
 
 /// Wake-ups that the submitter can wait for.
@@ -67,8 +67,8 @@
 fn all_is_done_once() {
     let disk = FakeDisk::new();
     let (mut writer, bell) = start(&disk);
-    writer.submit(1, Job::Append(vec![vec![1]]));
-    writer.submit(2, Job::Append(vec![vec![2]]));
+    writer.submit(1, WriteRequest::Append(vec![vec![1]]));
+    writer.submit(2, WriteRequest::Append(vec![vec![2]]));
     assert_eq!(tickets(&wait_for(&mut writer, &bell, 2)), [1, 2]);
     assert_eq!(writer.outstanding(), 0);
     assert!(writer.close().is_some());
@@ -79,13 +79,13 @@
 /// is acknowledged is what is on the disk, without a gap.
 fn nothing_is_stored_behind_a_gap() {
     let disk = FakeDisk::new();
-    open(&disk).0.replace(b"image").unwrap();
+    open(&disk).0.replace_snapshot(b"image").unwrap();
     let (mut writer, bell) = start(&disk);
     disk.fault_after(0, Fault::Full);
-    writer.submit(1, Job::Append(vec![vec![1]]));
+    writer.submit(1, WriteRequest::Append(vec![vec![1]]));
     let mut completions = writer.completions();
     let knew = !completions.is_empty();
-    writer.submit(2, Job::Append(vec![vec![2]]));
+    writer.submit(2, WriteRequest::Append(vec![vec![2]]));
     let missing = 2 - completions.len();
     completions.extend(wait_for(&mut writer, &bell, missing));
     assert_eq!(tickets(&completions), [1, 2]);
@@ -100,8 +100,8 @@
 fn closing_does_what_was_submitted() {
     let disk = FakeDisk::new();
     let (mut writer, _) = start(&disk);
-    writer.submit(1, Job::Replace(vec![1]));
-    writer.submit(2, Job::Append(vec![vec![2]]));
+    writer.submit(1, WriteRequest::ReplaceSnapshot(vec![1]));
+    writer.submit(2, WriteRequest::Append(vec![vec![2]]));
     let early = writer.completions();
     assert!(early
         .iter()
@@ -109,7 +109,7 @@
     assert!(writer.close().is_some());
     let recovered = open(&disk).1;
     assert_eq!(
-        (recovered.image, recovered.records),
+        (recovered.snapshot, recovered.records),
         (Some(vec![1]), vec![vec![2]])
     );
 }
--- a/wire/storage/tests/crashes.rs
+++ b/wire/storage/tests/crashes.rs
@@ -12,13 +12,13 @@
 #[derive(Clone, Debug)]
 enum Step {
     Append(Vec<usize>),
-    Replace(usize),
+    ReplaceSnapshot(usize),
 }
 
 /// What a storage should hold.
 #[derive(Clone, Default, PartialEq, Eq)]
 struct State {
-    image: Option<Vec<u8>>,
+    snapshot: Option<Vec<u8>>,
     records: Vec<Vec<u8>>,
 }
 
@@ -29,7 +29,7 @@
         write!(
             f,
             "{:?} {:?}",
-            self.image.as_ref().map(number),
+            self.snapshot.as_ref().map(number),
             self.records.iter().map(number).collect::<Vec<_>>()
         )
     }
@@ -66,19 +66,19 @@
                 after.records.extend(records.clone());
                 storage.append(&records)
             }
-            Step::Replace(length) => {
-                let image = self.content(*length);
+            Step::ReplaceSnapshot(length) => {
+                let snapshot = self.content(*length);
                 after = State {
-                    image: Some(image.clone()),
+                    snapshot: Some(snapshot.clone()),
                     records: Vec::new(),
                 };
-                storage.replace(&image)
+                storage.replace_snapshot(&snapshot)
             }
         };
         match result {
             Ok(()) => (self.acknowledged, self.tried) = (after, Vec::new()),
             Err(StorageError::SegmentFull { .. }) => {
-                return self.step(disk, storage, &Step::Replace(300));
+                return self.step(disk, storage, &Step::ReplaceSnapshot(300));
             }
             Err(StorageError::Io { .. }) => self.tried.push(after),
             Err(other) => panic!("unexpected: {other}"),
@@ -107,7 +107,7 @@
             .find(|finding| self.is_wrong(finding));
         assert_eq!(foreign, None, "{about}");
         let state = State {
-            image: recovered.image,
+            snapshot: recovered.snapshot,
             records: recovered.records,
         };
         let right = state == self.acknowledged || self.tried.contains(&state);
@@ -127,23 +127,23 @@
 /// Goes round the ring more than twice, with records of all sizes and an image that is longer than
 /// a segment.
 fn script() -> Vec<Step> {
-    use Step::{Append, Replace};
+    use Step::{Append, ReplaceSnapshot};
     vec![
         Append(vec![10]),
-        Replace(700),
+        ReplaceSnapshot(700),
         Append(vec![20]),
         Append(vec![0, 600, 5]),
-        Replace(1500),
+        ReplaceSnapshot(1500),
         Append(vec![100, 100]),
-        Replace(100),
+        ReplaceSnapshot(100),
         Append(vec![1]),
         Append(vec![470]),
         Append(vec![1000]),
-        Replace(5000),
+        ReplaceSnapshot(5000),
         Append(vec![3000]),
         Append(vec![8]),
-        Replace(40),
-        Replace(2000),
+        ReplaceSnapshot(40),
+        ReplaceSnapshot(2000),
         Append(vec![9]),
         Append(vec![2000]),
         Append(vec![9, 9]),
@@ -174,7 +174,7 @@
     model.judge(recovered, &about);
     for step in [
         Step::Append(vec![30]),
-        Step::Replace(900),
+        Step::ReplaceSnapshot(900),
         Step::Append(vec![40, 50]),
     ] {
         assert!(model.step(disk, &mut storage, &step), "{about}");
@@ -317,7 +317,7 @@
             disk.set_full(random.one_in(12));
             let longest = [200, 2500, 6000][random.below(3)];
             let step = match random.below(3) {
-                0 => Step::Replace(random.below(longest)),
+                0 => Step::ReplaceSnapshot(random.below(longest)),
                 _ => Step::Append((0..=random.below(3)).map(|_| random.below(900)).collect()),
             };
             if !model.step(disk, &mut storage, &step) {
--- a/wire/storage/tests/findings.rs
+++ b/wire/storage/tests/findings.rs
@@ -31,7 +31,7 @@
     let disk = FakeDisk::new();
     let (mut storage, recovered) = open(&disk);
     assert!(recovered.is_empty());
-    storage.replace(b"image").unwrap();
+    storage.replace_snapshot(b"image").unwrap();
     for record in [b"1", b"2", b"3"] {
         storage.append(&[record.to_vec()]).unwrap();
     }
@@ -45,7 +45,7 @@
 #[test]
 fn what_was_written_is_found() {
     let (_, recovered) = open(&written());
-    assert_eq!(recovered.image.as_deref(), Some(&b"image"[..]));
+    assert_eq!(recovered.snapshot.as_deref(), Some(&b"image"[..]));
     assert_eq!(records(&recovered), [b"1", b"2", b"3"]);
     assert_eq!(recovered.findings, []);
 }
@@ -97,16 +97,16 @@
                 sequence: 3
             }]
         );
-        assert!(storage.wants_image());
+        assert!(storage.wants_snapshot());
         assert_eq!(
             storage.append(&[b"2".to_vec()]),
-            Err(StorageError::NeedsImage)
+            Err(StorageError::NeedsSnapshot)
         );
     }
-    open(&disk).0.replace(b"anew").unwrap();
+    open(&disk).0.replace_snapshot(b"anew").unwrap();
     let (mut storage, recovered) = open(&disk);
     assert_eq!(
-        (recovered.image.as_deref(), recovered.loses_state()),
+        (recovered.snapshot.as_deref(), recovered.loses_state()),
         (Some(&b"anew"[..]), false)
     );
     storage.append(&[b"4".to_vec()]).unwrap();
@@ -170,11 +170,11 @@
     for byte in [0, 5, 9, 17, 25, 29, 33, 37, 42] {
         let disk = written();
         let (mut storage, _) = open(&disk);
-        storage.replace(b"second").unwrap();
+        storage.replace_snapshot(b"second").unwrap();
         storage.append(&[b"old".to_vec()]).unwrap();
         disk.damage(&path(1), |bytes| bytes[byte] ^= 0x40);
         let (mut storage, recovered) = open(&disk);
-        assert_eq!(recovered.image.as_deref(), Some(&b"image"[..]));
+        assert_eq!(recovered.snapshot.as_deref(), Some(&b"image"[..]));
         let damaged = Finding::Damaged {
             segment: 1,
             generation: 2,
@@ -183,12 +183,12 @@
         assert_eq!(recovered.findings, [damaged], "byte {byte}");
         assert_eq!(
             storage.append(&[b"4".to_vec()]),
-            Err(StorageError::NeedsImage)
+            Err(StorageError::NeedsSnapshot)
         );
-        storage.replace(b"third").unwrap();
+        storage.replace_snapshot(b"third").unwrap();
         let (_, recovered) = open(&disk);
         assert_eq!(
-            (recovered.image.as_deref(), recovered.records.len()),
+            (recovered.snapshot.as_deref(), recovered.records.len()),
             (Some(&b"third"[..]), 0)
         );
         assert_eq!(
@@ -222,12 +222,12 @@
     let disk = written();
     let (mut storage, _) = open(&disk);
     disk.die_after(1);
-    assert!(storage.replace(&[7; 1500]).is_err());
+    assert!(storage.replace_snapshot(&[7; 1500]).is_err());
     disk.restart();
     disk.damage(&path(1), |bytes| bytes[2 * SECTOR..].fill(0));
     let (_, recovered) = open(&disk);
     assert_eq!(
-        (recovered.image.as_deref(), recovered.records.len()),
+        (recovered.snapshot.as_deref(), recovered.records.len()),
         (Some(&b"image"[..]), 3)
     );
     assert!(!recovered.loses_state());
@@ -238,7 +238,7 @@
     let disk = FakeDisk::new();
     let (mut storage, _) = open(&disk);
     for generation in 1..=7_u8 {
-        storage.replace(&[generation]).unwrap();
+        storage.replace_snapshot(&[generation]).unwrap();
         // The earlier the generation, the more records: those of old stay behind the new ones.
         for number in 0..7 - generation.min(5) {
             storage.append(&[vec![generation, number]]).unwrap();
@@ -246,7 +246,7 @@
     }
     let (mut storage, recovered) = open(&disk);
     assert_eq!(
-        (recovered.image, recovered.records),
+        (recovered.snapshot, recovered.records),
         (Some(vec![7]), vec![vec![7, 0], vec![7, 1]])
     );
     assert_eq!(
@@ -275,7 +275,7 @@
     let aside = Path::new(FOLDER).join("segment-0.aside-1");
     assert_matches!(&recovered.findings[..], [Finding::Foreign { segment: 0, reason: ForeignReason::Owner, aside: a }, ..] if *a == aside);
     assert_eq!(disk.content(aside.to_str().unwrap()), content);
-    storage.replace(b"south").unwrap();
+    storage.replace_snapshot(b"south").unwrap();
     let (_, recovered) = open(&disk);
     assert!(recovered.is_empty());
     assert!(disk
@@ -339,7 +339,7 @@
     let (mut storage, _) = open(&disk);
     disk.set_full(true);
     assert_matches!(storage.append(&[b"4".to_vec()]), Err(error) if error.is_disk_full());
-    assert_matches!(storage.replace(b"anew"), Err(error) if error.is_disk_full());
+    assert_matches!(storage.replace_snapshot(b"anew"), Err(error) if error.is_disk_full());
     assert_matches!(storage.append(&[b"4".to_vec()]), Err(error) if error.is_disk_full());
     disk.set_full(false);
     storage.append(&[b"5".to_vec()]).unwrap();
@@ -372,11 +372,11 @@
         let disk = written();
         let (mut storage, _) = open(&disk);
         disk.fault_after(operation, Fault::Error);
-        assert!(storage.replace(b"anew").is_err());
+        assert!(storage.replace_snapshot(b"anew").is_err());
         storage.append(&[b"4".to_vec()]).unwrap();
         let (_, recovered) = open(&disk);
         assert_eq!(
-            recovered.image.as_deref(),
+            recovered.snapshot.as_deref(),
             Some(&b"image"[..]),
             "operation {operation}"
         );
@@ -387,26 +387,26 @@
 #[test]
 fn a_segment_fills_and_an_image_makes_room() {
     let (mut storage, _) = open(&FakeDisk::new());
-    storage.replace(&[0; 900]).unwrap();
+    storage.replace_snapshot(&[0; 900]).unwrap();
     assert_eq!(storage.usage().used_bytes, 1536);
-    assert!(!storage.wants_image() && storage.fits(1, 2516) && !storage.fits(1, 2517));
+    assert!(!storage.wants_snapshot() && storage.fits(1, 2516) && !storage.fits(1, 2517));
     let full = StorageError::SegmentFull {
         wanted: 3072,
         left: 2560,
     };
     assert_eq!(storage.append(&[vec![0; 2517]]), Err(full));
     storage.append(&[vec![0; 1800]]).unwrap();
-    assert!(storage.wants_image());
-    storage.replace(&[0; 10]).unwrap();
-    assert!(!storage.wants_image());
+    assert!(storage.wants_snapshot());
+    storage.replace_snapshot(&[0; 10]).unwrap();
+    assert!(!storage.wants_snapshot());
 }
 
 #[test]
 fn a_long_image_gets_a_longer_segment_and_room_behind_it() {
     let disk = FakeDisk::new();
     let (mut storage, _) = open(&disk);
-    storage.replace(b"short").unwrap();
-    storage.replace(&[9; 10_000]).unwrap();
+    storage.replace_snapshot(b"short").unwrap();
+    storage.replace_snapshot(&[9; 10_000]).unwrap();
     let usage = storage.usage();
     assert_eq!(
         (usage.segment_bytes, usage.disk_bytes),
@@ -415,7 +415,7 @@
     storage.append(&[vec![8; 5000]]).unwrap();
     let (_, recovered) = open(&disk);
     assert_eq!(
-        (recovered.image, recovered.records),
+        (recovered.snapshot, recovered.records),
         (Some(vec![9; 10_000]), vec![vec![8; 5000]])
     );
 }
@@ -425,7 +425,7 @@
     let disk = written();
     let (mut storage, _) = open(&disk);
     disk.fault_after(1, Fault::Full);
-    assert_matches!(storage.replace(&[9; 10_000]), Err(error) if error.is_disk_full());
+    assert_matches!(storage.replace_snapshot(&[9; 10_000]), Err(error) if error.is_disk_full());
     assert_eq!(disk.names().len(), 3);
     storage.append(&[b"4".to_vec()]).unwrap();
     assert_eq!(records(&open(&disk).1), [b"1", b"2", b"3", b"4"]);
@@ -438,7 +438,7 @@
     storage.append(&[b"1".to_vec(), vec![]]).unwrap();
     let (_, recovered) = open(&disk);
     assert_eq!(
-        (recovered.image.is_none(), records(&recovered)),
+        (recovered.snapshot.is_none(), records(&recovered)),
         (true, vec![&b"1"[..], b""])
     );
 }
@@ -447,7 +447,7 @@
 fn a_ring_with_more_segments_on_disk_keeps_them() {
     let disk = FakeDisk::new();
     let (mut storage, _) = open(&disk);
-    (1..=3_u8).for_each(|image| storage.replace(&[image]).unwrap());
+    (1..=3_u8).for_each(|snapshot| storage.replace_snapshot(&[snapshot]).unwrap());
     let (mut storage, recovered) = open_as(
         &disk,
         &StorageSettings {
@@ -455,8 +455,8 @@
             ..small_ring()
         },
     );
-    assert_eq!(recovered.image, Some(vec![3]));
-    storage.replace(&[4]).unwrap();
+    assert_eq!(recovered.snapshot, Some(vec![3]));
+    storage.replace_snapshot(&[4]).unwrap();
     let (_, recovered) = open_as(
         &disk,
         &StorageSettings {
@@ -465,7 +465,7 @@
             ..small_ring()
         },
     );
-    assert_eq!(recovered.image, Some(vec![4]));
+    assert_eq!(recovered.snapshot, Some(vec![4]));
 }
 
 #[test]
--- a/wire/storage/tests/writer.rs
+++ b/wire/storage/tests/writer.rs
@@ -9,7 +9,9 @@
 use std::time::{Duration, Instant};
 
 use assert_matches::assert_matches;
-use lichenswitch_storage::{Completion, Job, Storage, StorageError, StorageSettings, Writer};
+use lichenswitch_storage::{
+    Completion, Storage, StorageError, StorageSettings, WriteRequest, Writer,
+};
 use support::{small_ring, FakeDisk, Fault, FOLDER};
 
 /// A folder of a test's own, gone when it ends.
@@ -47,10 +49,10 @@
     let (storage, _) = Storage::open(&path, &settings).unwrap();
     let (mut wake, waking) = UnixStream::pair().unwrap();
     let mut writer = Writer::start(storage, waking).unwrap();
-    writer.submit(1, Job::Append(vec![b"before".to_vec()]));
-    writer.submit(2, Job::Replace(b"image".to_vec()));
+    writer.submit(1, WriteRequest::Append(vec![b"before".to_vec()]));
+    writer.submit(2, WriteRequest::ReplaceSnapshot(b"image".to_vec()));
     for write_id in 3..100_u8 {
-        writer.submit(write_id.into(), Job::Append(vec![vec![write_id]]));
+        writer.submit(write_id.into(), WriteRequest::Append(vec![vec![write_id]]));
     }
     let completions = wait_for(&mut writer, &mut wake, 99);
     assert!(completions
@@ -62,7 +64,7 @@
         .all(|completion| completion.result.is_ok()));
     assert!(writer.close().is_some());
     let (_, recovered) = Storage::open(&path, &settings).unwrap();
-    assert_eq!(recovered.image.as_deref(), Some(&b"image"[..]));
+    assert_eq!(recovered.snapshot.as_deref(), Some(&b"image"[..]));
     assert!(recovered
         .records
         .into_iter()
@@ -88,9 +90,9 @@
         b"notes"
     );
     assert!(folder.0.join("segment-1.aside-1").is_dir());
-    storage.replace(&[3; 9000]).unwrap();
+    storage.replace_snapshot(&[3; 9000]).unwrap();
     assert_eq!(
-        Storage::open(&folder.0, &small_ring()).unwrap().1.image,
+        Storage::open(&folder.0, &small_ring()).unwrap().1.snapshot,
         Some(vec![3; 9000])
     );
 }
@@ -117,13 +119,13 @@
 fn appends_that_wait_together_share_one_sync() {
     let disk = FakeDisk::new();
     let mut storage = open_fake(&disk);
-    storage.replace(b"image").unwrap();
+    storage.replace_snapshot(b"image").unwrap();
     let (mut writer, wakes, let_go) = held_writer(storage);
-    writer.submit(0, Job::Append(vec![vec![0]]));
+    writer.submit(0, WriteRequest::Append(vec![vec![0]]));
     wakes.recv().unwrap();
     let before = disk.syncs();
     for write_id in 1..=50 {
-        writer.submit(write_id, Job::Append(vec![vec![1; 10]]));
+        writer.submit(write_id, WriteRequest::Append(vec![vec![1; 10]]));
     }
     drop(let_go);
     let storage = writer.close().unwrap();
@@ -135,17 +137,17 @@
 fn after_a_failure_all_that_waited_fails_and_what_follows_the_news_does_not() {
     let disk = FakeDisk::new();
     let (mut writer, wakes, let_go) = held_writer(open_fake(&disk));
-    writer.submit(0, Job::Replace(b"image".to_vec()));
+    writer.submit(0, WriteRequest::ReplaceSnapshot(b"image".to_vec()));
     wakes.recv().unwrap();
     disk.fault_after(1, Fault::Error);
     for write_id in 1..4 {
-        writer.submit(write_id, Job::Append(vec![vec![1]]));
+        writer.submit(write_id, WriteRequest::Append(vec![vec![1]]));
     }
-    writer.submit(4, Job::Replace(b"never".to_vec()));
+    writer.submit(4, WriteRequest::ReplaceSnapshot(b"never".to_vec()));
     let_go.send(()).unwrap();
     wakes.recv().unwrap();
     // The failure is there, but the submitter hasn't looked yet.
-    writer.submit(5, Job::Append(vec![vec![2]]));
+    writer.submit(5, WriteRequest::Append(vec![vec![2]]));
     drop(let_go);
     (0..2).for_each(|_| wakes.recv().unwrap());
     let completions = writer.completions();
@@ -164,7 +166,7 @@
             (5, Err(StorageError::EarlierFailed)),
         ]
     );
-    writer.submit(6, Job::Append(vec![vec![3]]));
+    writer.submit(6, WriteRequest::Append(vec![vec![3]]));
     wakes.recv().unwrap();
     assert_matches!(
         &writer.completions()[..],
@@ -179,7 +181,7 @@
         .unwrap()
         .1;
     assert_eq!(
-        (recovered.image, recovered.records),
+        (recovered.snapshot, recovered.records),
         (Some(b"image".to_vec()), vec![vec![3]])
     );
 }
@@ -188,10 +190,10 @@
 fn a_job_that_does_not_fit_fails_by_itself_and_a_group_is_cut_where_it_fits() {
     let disk = FakeDisk::new();
     let (mut writer, wakes, let_go) = held_writer(open_fake(&disk));
-    writer.submit(0, Job::Replace(b"image".to_vec()));
+    writer.submit(0, WriteRequest::ReplaceSnapshot(b"image".to_vec()));
     wakes.recv().unwrap();
     for write_id in 1..=3 {
-        writer.submit(write_id, Job::Append(vec![vec![1; 1400]]));
+        writer.submit(write_id, WriteRequest::Append(vec![vec![1; 1400]]));
     }
     drop(let_go);
     (0..2).for_each(|_| wakes.recv().unwrap());
@@ -200,7 +202,7 @@
         .iter()
         .all(|completion| completion.result.is_ok()));
     assert_matches!(completions[3].result, Err(StorageError::SegmentFull { .. }));
-    writer.submit(4, Job::Replace(vec![2; 10]));
+    writer.submit(4, WriteRequest::ReplaceSnapshot(vec![2; 10]));
     assert!(writer.close().is_some());
 }
 
@@ -212,10 +214,10 @@
         (None, 0)
     );
     let before = Instant::now();
-    writer.submit(0, Job::Append(vec![vec![0]]));
+    writer.submit(0, WriteRequest::Append(vec![vec![0]]));
     let after = Instant::now();
     wakes.recv().unwrap();
-    writer.submit(1, Job::Append(vec![vec![0]]));
+    writer.submit(1, WriteRequest::Append(vec![vec![0]]));
     let later = after + Duration::from_secs(5);
     let age = writer.oldest_outstanding_at(later).unwrap();
     assert!(age >= Duration::from_secs(5) && age <= later - before);
@@ -234,8 +236,8 @@
 fn a_writer_that_is_dropped_does_what_it_was_given() {
     let disk = FakeDisk::new();
     let (mut writer, wakes, let_go) = held_writer(open_fake(&disk));
-    writer.submit(0, Job::Replace(b"image".to_vec()));
-    writer.submit(1, Job::Append(vec![b"1".to_vec()]));
+    writer.submit(0, WriteRequest::ReplaceSnapshot(b"image".to_vec()));
+    writer.submit(1, WriteRequest::Append(vec![b"1".to_vec()]));
     drop(writer);
     drop(let_go);
     // The thread drops its end of the channel when it ends.
