--- a/fleet/src/router/answers.rs
+++ b/fleet/src/router/answers.rs
@@ -5,14 +5,14 @@
 //! a success leaves only as the server gave it, whole, and that every attempt's end is told to the
 //! core once.
 
-use super::cut::CutReason;
-use super::exchange::{meaning, Meaning, Out, Phase};
-use super::ids::{AttemptId, ExchangeId, ServiceId};
-use super::intake::{nearly, Turned};
+use super::cut::AbortReason;
+use super::exchange::{meaning, InFlightAttempt, RequestPhase, ResponseOutcome};
+use super::ids::{AttemptId, RequestId, ServiceId};
+use super::intake::{nearly, RejectionReason};
 use super::program::Timer;
-use super::response::OwnAnswer;
-use super::server_connections::{Answer, Attempt, ServerEvent};
-use super::tenants::Denial;
+use super::response::LocalResponse;
+use super::server_connections::{Attempt, BufferedResponse, ServerEvent};
+use super::tenants::KeyDenial;
 use super::Router;
 use lichenswitch_core::{Command, Dispatch, Reply};
 use lichenswitch_interface::{Micros, Outcome, QueryId, ServerId};
@@ -22,11 +22,13 @@
     pub(super) fn take_server_events(&mut self) {
         for event in self.connections.take_events() {
             match event {
-                ServerEvent::Answered(id, answer) => self.answered(id, answer),
-                ServerEvent::Begun(id, head, length, part) => self.begun(id, *head, length, part),
-                ServerEvent::More(id, part) => self.more(id, part),
-                ServerEvent::Completed(id, rest) => self.completed(id, &rest),
-                ServerEvent::Failed(id, outcome) => self.failed(id, outcome),
+                ServerEvent::ResponseReceived(id, answer) => self.answered(id, answer),
+                ServerEvent::StreamStarted(id, head, length, part) => {
+                    self.begun(id, *head, length, part)
+                }
+                ServerEvent::ChunkReceived(id, part) => self.more(id, part),
+                ServerEvent::StreamCompleted(id, rest) => self.completed(id, &rest),
+                ServerEvent::AttemptFailed(id, outcome) => self.failed(id, outcome),
             }
         }
     }
@@ -67,7 +69,7 @@
     }
 
     /// Makes an attempt, if the rules allow it as things stand now.
-    fn dispatch(&mut self, service: ServiceId, server: ServerId, part: &Dispatch<ExchangeId>) {
+    fn dispatch(&mut self, service: ServiceId, server: ServerId, part: &Dispatch<RequestId>) {
         let (now, id) = (self.net.clock.now(), *part.job);
         let attempt = AttemptId {
             service,
@@ -93,7 +95,7 @@
             return self.deny(id, denial);
         }
         let resume_after = match &exchange.phase {
-            Phase::Resuming { last_event_id } => Some(last_event_id.clone()),
+            RequestPhase::Resuming { last_event_id } => Some(last_event_id.clone()),
             _ => None,
         };
         let made = Attempt {
@@ -110,21 +112,21 @@
         };
         self.exchanges.on_sent(
             id,
-            Out {
+            InFlightAttempt {
                 id: attempt,
                 server,
             },
         );
         self.net
             .wheel
-            .set(now.plus(part.wait), Timer::Attempt(attempt));
+            .set(now.plus(part.wait), Timer::AttemptTimeout(attempt));
         self.connections.send(&mut self.net, made);
         self.plan_backlog_report();
     }
 
     /// The key of a request that is held is served no more: unless an attempt is out that was sent
     /// before, it ends at once.
-    fn deny(&mut self, id: ExchangeId, denial: Denial) {
+    fn deny(&mut self, id: RequestId, denial: KeyDenial) {
         let Some(exchange) = self
             .exchanges
             .get(id)
@@ -133,20 +135,22 @@
             return;
         };
         match exchange.phase {
-            Phase::Held if exchange.may_have_run > 0 => self.answer_given_up(id, None),
-            Phase::Held => {
+            RequestPhase::Pending if exchange.may_have_run > 0 => self.answer_given_up(id, None),
+            RequestPhase::Pending => {
                 if let Some(exchange) = self.finish(id) {
-                    self.turn_away(exchange.client, &Turned::of(denial));
+                    self.turn_away(exchange.client, &RejectionReason::of(denial));
                 }
             }
-            Phase::Relaying(_) | Phase::Resuming { .. } => self.cut(id, CutReason::KeyDenied),
+            RequestPhase::Relaying(_) | RequestPhase::Resuming { .. } => {
+                self.cut(id, AbortReason::KeyDenied)
+            }
         }
     }
 
     /// The time that the module gave an attempt is over.
     pub(super) fn timed_out(&mut self, id: AttemptId) {
         let waits =
-            |exchange: &super::exchange::Exchange| exchange.out.iter().any(|out| out.id == id);
+            |exchange: &super::exchange::RequestState| exchange.out.iter().any(|out| out.id == id);
         let held = self
             .exchanges
             .of_attempt(id)
@@ -181,7 +185,7 @@
     }
 
     /// A server has answered, whole.
-    fn answered(&mut self, id: AttemptId, answer: Answer) {
+    fn answered(&mut self, id: AttemptId, answer: BufferedResponse) {
         let Some(exchange_id) = self.exchanges.of_attempt(id) else {
             return;
         };
@@ -189,22 +193,27 @@
             service.on_load(answer.head.load);
         }
         match meaning(&answer.head) {
-            Meaning::NeverRan => {
+            ResponseOutcome::NotExecuted => {
                 self.exchanges.on_ended(id, Outcome::Rejected);
                 self.tell_core(id, Outcome::Rejected);
             }
-            Meaning::Failure { passes } => {
+            ResponseOutcome::Failure { passes } => {
                 self.exchanges.on_ended(id, Outcome::Error);
                 if let Some(exchange) = self.exchanges.get_mut(exchange_id).filter(|_| passes) {
                     exchange.failure = Some(answer);
                 }
                 self.tell_core(id, Outcome::Error);
             }
-            Meaning::Final => self.answered_finally(exchange_id, id, &answer),
+            ResponseOutcome::Final => self.answered_finally(exchange_id, id, &answer),
         }
     }
 
-    fn answered_finally(&mut self, exchange_id: ExchangeId, id: AttemptId, answer: &Answer) {
+    fn answered_finally(
+        &mut self,
+        exchange_id: RequestId,
+        id: AttemptId,
+        answer: &BufferedResponse,
+    ) {
         self.exchanges.on_ended(id, Outcome::Ok);
         self.tell_core(id, Outcome::Ok);
         // The module has its answer, and ends the query by itself.
@@ -216,15 +225,15 @@
             .get(exchange_id)
             .map(|exchange| &exchange.phase)
         {
-            Some(Phase::Held) => self.pass_on(exchange_id, answer),
+            Some(RequestPhase::Pending) => self.pass_on(exchange_id, answer),
             // The stream that goes on has nothing more, or can't go on here.
-            Some(Phase::Resuming { .. }) => self.resumed_whole(exchange_id, answer),
-            Some(Phase::Relaying(_)) | None => {}
+            Some(RequestPhase::Resuming { .. }) => self.resumed_whole(exchange_id, answer),
+            Some(RequestPhase::Relaying(_)) | None => {}
         }
     }
 
     /// Gives a client a server's whole answer.
-    fn pass_on(&mut self, id: ExchangeId, answer: &Answer) {
+    fn pass_on(&mut self, id: RequestId, answer: &BufferedResponse) {
         let Some(exchange) = self.finish(id) else {
             return;
         };
@@ -235,12 +244,12 @@
     }
 
     /// Takes a request out that has its answer: what else is out for it is given up.
-    pub(super) fn finish(&mut self, id: ExchangeId) -> Option<super::exchange::Exchange> {
+    pub(super) fn finish(&mut self, id: RequestId) -> Option<super::exchange::RequestState> {
         self.drop_exchange(id)
     }
 
     /// The module has ended a request, or has its answer.
-    fn decided(&mut self, id: ExchangeId, query: QueryId, reply: Reply) {
+    fn decided(&mut self, id: RequestId, query: QueryId, reply: Reply) {
         // What was answered meanwhile, or goes on under another number, is not concerned.
         let Some(exchange) = self
             .exchanges
@@ -256,15 +265,15 @@
             Reply::Failed => None,
         };
         match exchange.phase {
-            Phase::Held => self.answer_given_up(id, after),
-            Phase::Resuming { .. } => self.cut(id, CutReason::NotResumed),
-            Phase::Relaying(_) => {}
+            RequestPhase::Pending => self.answer_given_up(id, after),
+            RequestPhase::Resuming { .. } => self.cut(id, AbortReason::NotResumed),
+            RequestPhase::Relaying(_) => {}
         }
     }
 
     /// Gives a request that gets no answer from a server its final answer: a refusal only where it
     /// has not run.
-    pub(super) fn answer_given_up(&mut self, id: ExchangeId, after: Option<Micros>) {
+    pub(super) fn answer_given_up(&mut self, id: RequestId, after: Option<Micros>) {
         let now = self.net.clock.now();
         let Some(exchange) = self.finish(id) else {
             return;
@@ -285,9 +294,9 @@
             }
             _ => {
                 let answer = match ran {
-                    false => OwnAnswer::refused(after),
-                    true if nearly(exchange.deadline, now) => OwnAnswer::plain(504),
-                    true => OwnAnswer::plain(502),
+                    false => LocalResponse::refused(after),
+                    true if nearly(exchange.deadline, now) => LocalResponse::plain(504),
+                    true => LocalResponse::plain(502),
                 };
                 self.clients
                     .answer_own(&mut self.net, client, &answer, events);
--- a/fleet/src/router/backlog.rs
+++ b/fleet/src/router/backlog.rs
@@ -3,7 +3,7 @@
 //! It promises that a report says of each server what is held in the table of requests at that
 //! moment, and that nothing is sent while nothing changes.
 
-use super::exchange::{Exchange, Phase};
+use super::exchange::{RequestPhase, RequestState};
 use super::program::Timer;
 use super::Router;
 use lichenswitch_backlog::Backlog;
@@ -57,7 +57,7 @@
                 .last
                 .plus(REPORT_INTERVAL)
                 .max(self.net.clock.now());
-            self.net.wheel.set(due, Timer::Backlog);
+            self.net.wheel.set(due, Timer::BacklogReport);
         }
     }
 
@@ -95,9 +95,11 @@
 }
 
 /// What waits at each server.
-fn backlogs<'a>(exchanges: impl Iterator<Item = &'a Exchange>) -> BTreeMap<ServerId, Backlog> {
+fn backlogs<'a>(exchanges: impl Iterator<Item = &'a RequestState>) -> BTreeMap<ServerId, Backlog> {
     let mut sums = BTreeMap::new();
-    for exchange in exchanges.filter(|exchange| !matches!(exchange.phase, Phase::Relaying(_))) {
+    for exchange in
+        exchanges.filter(|exchange| !matches!(exchange.phase, RequestPhase::Relaying(_)))
+    {
         for out in &exchange.out {
             let sum: &mut Backlog = sums.entry(out.server).or_default();
             *sum = sum.saturating_add(exchange.request.prompt.own_tokens);
--- a/fleet/src/router/candidates.rs
+++ b/fleet/src/router/candidates.rs
@@ -19,24 +19,24 @@
 
 /// What is held against a control machine.
 #[derive(Clone, Copy, Debug, Default)]
-struct Failures {
+struct FailureRecord {
     in_a_row: u32,
     rests_until: Time,
 }
 
 /// The control machines that may be connected to.
-pub(super) struct Candidates {
+pub(super) struct ControlCandidates {
     machine: IpAddr,
     seeds: Vec<SocketAddr>,
     told: Vec<SocketAddr>,
-    failures: HashMap<SocketAddr, Failures>,
+    failures: HashMap<SocketAddr, FailureRecord>,
 }
 
-impl Candidates {
+impl ControlCandidates {
     /// The seeds, as long as no others are told; `machine` is the own address.
     #[must_use]
-    pub(super) fn new(machine: IpAddr, seeds: Vec<SocketAddr>) -> Candidates {
-        Candidates {
+    pub(super) fn new(machine: IpAddr, seeds: Vec<SocketAddr>) -> ControlCandidates {
+        ControlCandidates {
             machine,
             seeds,
             told: Vec::new(),
@@ -128,7 +128,7 @@
     }
 }
 
-impl Failures {
+impl FailureRecord {
     fn count(&self, now: Time) -> bool {
         now < self.rests_until.plus(FORGIVEN_AFTER)
     }
--- a/fleet/src/router/candidates/tests.rs
+++ b/fleet/src/router/candidates/tests.rs
@@ -6,8 +6,8 @@
     SocketAddr::from(([10, zone, 0, host], 7_300))
 }
 
-fn candidates(seeds: &[SocketAddr]) -> Candidates {
-    Candidates::new(IpAddr::V4(Ipv4Addr::new(10, 2, 0, 9)), seeds.to_vec())
+fn candidates(seeds: &[SocketAddr]) -> ControlCandidates {
+    ControlCandidates::new(IpAddr::V4(Ipv4Addr::new(10, 2, 0, 9)), seeds.to_vec())
 }
 
 #[test]
--- a/fleet/src/router/clients.rs
+++ b/fleet/src/router/clients.rs
@@ -6,9 +6,9 @@
 //! what is held of requests that are not whole is bounded; a connection that rests is kept for as
 //! long as the configuration says.
 
-use super::program::{Net, Owner, Timer};
-use super::request::{ClientRequest, Progress, RequestReader};
-use super::response::OwnAnswer;
+use super::program::{Net, SocketOwner, Timer};
+use super::request::{ClientRequest, RequestProgress, RequestReader};
+use super::response::LocalResponse;
 use lichenswitch_configuration::Limits;
 use lichenswitch_http::{encode_chunk, LAST_CHUNK};
 use lichenswitch_interface::{Micros, Time};
@@ -32,15 +32,15 @@
 #[derive(Debug)]
 pub(super) enum ClientEvent {
     /// It has sent a whole request.
-    Request(ConnId, Box<ClientRequest>),
+    RequestReceived(ConnId, Box<ClientRequest>),
     /// It has left, or can't be written to, while its request was not answered.
-    Left(ConnId),
+    Disconnected(ConnId),
     /// It has taken all that was written so far of an answer which goes on.
-    Drained(ConnId),
+    OutputDrained(ConnId),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum State {
+enum ConnectionPhase {
     /// Between requests, or in the midst of one that is still arriving.
     Reading,
     /// Its request is held.
@@ -54,8 +54,8 @@
     Lingering,
 }
 
-struct Session {
-    state: State,
+struct ClientConnection {
+    state: ConnectionPhase,
     reader: RequestReader,
     /// When the state began; of a request that is arriving, when its first byte came.
     since: Time,
@@ -70,8 +70,8 @@
 }
 
 /// The connections of clients.
-pub(super) struct Clients {
-    open: HashMap<ConnId, Session>,
+pub(super) struct ClientConnections {
+    open: HashMap<ConnId, ClientConnection>,
     limits: Limits,
     /// Bytes held of requests that are arriving, and the most of them.
     arriving_bytes: usize,
@@ -80,12 +80,12 @@
     stopping: bool,
 }
 
-impl Clients {
+impl ClientConnections {
     /// No connections yet; so many bytes are held of requests that are arriving.
     #[must_use]
-    pub(super) fn new(most_bytes: usize) -> Clients {
+    pub(super) fn new(most_bytes: usize) -> ClientConnections {
         let limits = Limits::default();
-        Clients {
+        ClientConnections {
             open: HashMap::new(),
             limits,
             arriving_bytes: 0,
@@ -113,17 +113,21 @@
     /// How many clients wait for an answer, or for the rest of one.
     #[must_use]
     pub(super) fn waiting(&self) -> usize {
-        let waits =
-            |session: &&Session| matches!(session.state, State::Waiting | State::Answering { .. });
+        let waits = |session: &&ClientConnection| {
+            matches!(
+                session.state,
+                ConnectionPhase::Waiting | ConnectionPhase::Answering { .. }
+            )
+        };
         self.open.values().filter(waits).count()
     }
 
     /// Accepts all that wait.
     pub(super) fn accept(&mut self, net: &mut Net) {
-        for id in net.accept(Owner::Client) {
+        for id in net.accept(SocketOwner::Client) {
             let since = net.clock.now();
-            let session = Session {
-                state: State::Reading,
+            let session = ClientConnection {
+                state: ConnectionPhase::Reading,
                 reader: RequestReader::new(&self.limits),
                 since,
                 arriving: false,
@@ -146,16 +150,16 @@
             return self.left(net, id, events);
         }
         match state {
-            State::Reading => self.read(net, id, events),
-            State::Waiting => self.overhear(net, id),
-            State::Answering { .. } => {
+            ConnectionPhase::Reading => self.read(net, id, events),
+            ConnectionPhase::Waiting => self.overhear(net, id),
+            ConnectionPhase::Answering { .. } => {
                 self.overhear(net, id);
                 if net.get(id).is_some_and(|conn| conn.flushed()) {
-                    events.push(ClientEvent::Drained(id));
+                    events.push(ClientEvent::OutputDrained(id));
                 }
             }
-            State::Closing => self.close_if_written(net, id),
-            State::Lingering => self.read_on(net, id),
+            ConnectionPhase::Closing => self.close_if_written(net, id),
+            ConnectionPhase::Lingering => self.read_on(net, id),
         }
     }
 
@@ -177,10 +181,10 @@
             .get(&id)
             .map(|session| (session.state, session.arriving))
         {
-            Some((State::Reading, true)) => {
-                self.answer_own(net, id, &OwnAnswer::closing(408), events);
+            Some((ConnectionPhase::Reading, true)) => {
+                self.answer_own(net, id, &LocalResponse::closing(408), events);
             }
-            Some((State::Reading, false)) => self.half_close(net, id),
+            Some((ConnectionPhase::Reading, false)) => self.half_close(net, id),
             _ => self.left(net, id, events),
         }
     }
@@ -190,7 +194,7 @@
         &mut self,
         net: &mut Net,
         id: ConnId,
-        answer: &OwnAnswer,
+        answer: &LocalResponse,
         events: &mut Vec<ClientEvent>,
     ) {
         let Some(session) = self.open.get_mut(&id) else {
@@ -233,7 +237,7 @@
             return;
         };
         session.last |= self.stopping;
-        session.state = State::Answering {
+        session.state = ConnectionPhase::Answering {
             chunked: length.is_none(),
         };
         let mut bytes = Vec::with_capacity(head.len() + 64);
@@ -248,9 +252,10 @@
         self.write(net, id, &bytes);
     }
 
-    /// Passes a piece of a body on; it leaves with [`Clients::flush`].
+    /// Passes a piece of a body on; it leaves with [`ClientConnections::flush`].
     pub(super) fn pass(&mut self, net: &mut Net, id: ConnId, piece: &[u8]) {
-        let Some(State::Answering { chunked }) = self.open.get(&id).map(|session| session.state)
+        let Some(ConnectionPhase::Answering { chunked }) =
+            self.open.get(&id).map(|session| session.state)
         else {
             return;
         };
@@ -285,7 +290,8 @@
 
     /// Ends a body that is complete.
     pub(super) fn end(&mut self, net: &mut Net, id: ConnId, events: &mut Vec<ClientEvent>) {
-        let Some(State::Answering { chunked }) = self.open.get(&id).map(|session| session.state)
+        let Some(ConnectionPhase::Answering { chunked }) =
+            self.open.get(&id).map(|session| session.state)
         else {
             return;
         };
@@ -307,7 +313,7 @@
         let Some(session) = self.open.get_mut(&id) else {
             return;
         };
-        (session.last, session.state, session.since) = (true, State::Closing, now);
+        (session.last, session.state, session.since) = (true, ConnectionPhase::Closing, now);
         self.arm(net, id);
         self.close_if_written(net, id);
     }
@@ -315,11 +321,11 @@
     /// Ends connections that rest, an eighth of all, those that have rested for longest first.
     /// Guards clients that wait to be accepted.
     pub(super) fn make_room(&mut self, net: &mut Net) {
-        let rests = |id: &ConnId, session: &Session| {
+        let rests = |id: &ConnId, session: &ClientConnection| {
             let quiet = net
                 .get(*id)
                 .is_some_and(|conn| conn.input.is_empty() && conn.flushed());
-            session.state == State::Reading && !session.arriving && quiet
+            session.state == ConnectionPhase::Reading && !session.arriving && quiet
         };
         let mut resting: Vec<(Time, ConnId)> = self
             .open
@@ -337,11 +343,11 @@
     #[must_use]
     pub(super) fn busy(&self, net: &Net) -> usize {
         let unwritten = |id: &ConnId| net.get(*id).is_some_and(|conn| !conn.flushed());
-        let is_busy = |id: &ConnId, session: &Session| match session.state {
-            State::Reading => session.arriving || unwritten(id),
-            State::Waiting | State::Answering { .. } => true,
-            State::Closing => unwritten(id),
-            State::Lingering => false,
+        let is_busy = |id: &ConnId, session: &ClientConnection| match session.state {
+            ConnectionPhase::Reading => session.arriving || unwritten(id),
+            ConnectionPhase::Waiting | ConnectionPhase::Answering { .. } => true,
+            ConnectionPhase::Closing => unwritten(id),
+            ConnectionPhase::Lingering => false,
         };
         self.open
             .iter()
@@ -360,9 +366,9 @@
     fn left(&mut self, net: &mut Net, id: ConnId, events: &mut Vec<ClientEvent>) {
         if matches!(
             self.open.get(&id).map(|session| session.state),
-            Some(State::Waiting | State::Answering { .. })
+            Some(ConnectionPhase::Waiting | ConnectionPhase::Answering { .. })
         ) {
-            events.push(ClientEvent::Left(id));
+            events.push(ClientEvent::Disconnected(id));
         }
         self.close(net, id);
     }
@@ -387,9 +393,14 @@
         let progress = session.reader.read(&mut conn.input);
         self.arriving_bytes = self.arriving_bytes + session.reader.held() - held;
         match progress {
-            Ok(Progress::More { expects_continue }) => {
+            Ok(RequestProgress::Incomplete { expects_continue }) => {
                 if self.arriving_bytes > self.most_bytes {
-                    return self.answer_own(net, id, &OwnAnswer::refused(None).and_close(), events);
+                    return self.answer_own(
+                        net,
+                        id,
+                        &LocalResponse::refused(None).and_close(),
+                        events,
+                    );
                 }
                 if expects_continue {
                     conn.send(b"HTTP/1.1 100 Continue\r\n\r\n");
@@ -400,20 +411,21 @@
                 }
                 self.arm(net, id);
             }
-            Ok(Progress::Whole(request)) => {
+            Ok(RequestProgress::Complete(request)) => {
                 self.arriving_bytes -= session.reader.held();
                 session.reader = RequestReader::new(&self.limits);
-                (session.arriving, session.state, session.since) = (false, State::Waiting, now);
+                (session.arriving, session.state, session.since) =
+                    (false, ConnectionPhase::Waiting, now);
                 session.last |= !request.keep_alive;
                 session.head_only = request.is_head();
                 if net.flush(id, false) != Pumped::Alive {
                     return self.close(net, id);
                 }
-                events.push(ClientEvent::Request(id, request));
+                events.push(ClientEvent::RequestReceived(id, request));
                 self.overhear(net, id);
             }
             Err(malformed) => {
-                self.answer_own(net, id, &OwnAnswer::closing(malformed.0), events);
+                self.answer_own(net, id, &LocalResponse::closing(malformed.0), events);
             }
         }
     }
@@ -451,11 +463,11 @@
         session.reader = RequestReader::new(&self.limits);
         (session.arriving, session.since) = (false, now);
         if session.last {
-            session.state = State::Closing;
+            session.state = ConnectionPhase::Closing;
             self.arm(net, id);
             return self.close_if_written(net, id);
         }
-        session.state = State::Reading;
+        session.state = ConnectionPhase::Reading;
         self.read(net, id, events);
         self.arm(net, id);
     }
@@ -476,7 +488,7 @@
             return;
         };
         conn.end_output();
-        (session.state, session.since) = (State::Lingering, now);
+        (session.state, session.since) = (ConnectionPhase::Lingering, now);
         self.read_on(net, id);
         self.arm(net, id);
     }
@@ -494,17 +506,17 @@
         let idle = self.limits.idle_timeout_ms.saturating_mul(1_000);
         let head = self.limits.header_timeout_ms.saturating_mul(1_000);
         Some(match session.state {
-            State::Reading if !conn.flushed() => conn.used.plus(UNREAD),
-            State::Reading if session.arriving && session.reader.has_head() => {
+            ConnectionPhase::Reading if !conn.flushed() => conn.used.plus(UNREAD),
+            ConnectionPhase::Reading if session.arriving && session.reader.has_head() => {
                 conn.heard.plus(idle)
             }
-            State::Reading if session.arriving => session.since.plus(head),
-            State::Reading => session.since.plus(idle).plus(IDLE_MARGIN),
+            ConnectionPhase::Reading if session.arriving => session.since.plus(head),
+            ConnectionPhase::Reading => session.since.plus(idle).plus(IDLE_MARGIN),
             // Its own end is the request's.
-            State::Waiting => return None,
-            State::Answering { .. } if conn.flushed() => return None,
-            State::Answering { .. } | State::Closing => conn.used.plus(UNREAD),
-            State::Lingering => session.since.plus(LINGER),
+            ConnectionPhase::Waiting => return None,
+            ConnectionPhase::Answering { .. } if conn.flushed() => return None,
+            ConnectionPhase::Answering { .. } | ConnectionPhase::Closing => conn.used.plus(UNREAD),
+            ConnectionPhase::Lingering => session.since.plus(LINGER),
         })
     }
 
--- a/fleet/src/router/configuration.rs
+++ b/fleet/src/router/configuration.rs
@@ -2,7 +2,7 @@
 //!
 //! It promises that the position of what is in force never goes back within a life of the process.
 
-use super::ranks::Ranks;
+use super::ranks::PriorityRanks;
 use lichenswitch_configuration::{
     ConfigurationError, Document, Keys, Limits, Route, RouteKind, Routes, Tenant,
 };
@@ -13,7 +13,7 @@
 /// What a route says of its requests. A request keeps a copy to its end, whatever configuration
 /// comes meanwhile.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct Terms {
+pub(super) struct RouteTerms {
     /// Name of the route.
     pub route: Arc<str>,
     /// A request may run more than once: a safe one, or a stream that may be resumed.
@@ -32,10 +32,10 @@
     pub max_attempts: u32,
 }
 
-impl Terms {
-    fn of(route: &Route, rank: u8) -> Terms {
+impl RouteTerms {
+    fn of(route: &Route, rank: u8) -> RouteTerms {
         let streaming = route.kind == RouteKind::Streaming;
-        Terms {
+        RouteTerms {
             route: Arc::from(route.name.as_str()),
             idempotent: route.idempotent(),
             streaming,
@@ -53,16 +53,16 @@
 
 /// A configuration in force.
 #[derive(Debug)]
-pub(super) struct InForce {
+pub(super) struct ActiveConfiguration {
     /// Its position.
     pub position: ConfigurationPosition,
     routes: Routes,
     /// Who holds which key.
     pub keys: Keys,
-    ranks: Ranks,
+    ranks: PriorityRanks,
 }
 
-impl InForce {
+impl ActiveConfiguration {
     /// Reads a document.
     ///
     /// # Errors
@@ -70,10 +70,10 @@
     pub(super) fn parse(
         position: ConfigurationPosition,
         document: &[u8],
-    ) -> Result<InForce, ConfigurationError> {
+    ) -> Result<ActiveConfiguration, ConfigurationError> {
         let document = Arc::new(Document::parse_committed(document)?);
-        let (keys, ranks) = (Keys::new(&document), Ranks::new(&document));
-        Ok(InForce {
+        let (keys, ranks) = (Keys::new(&document), PriorityRanks::new(&document));
+        Ok(ActiveConfiguration {
             position,
             keys,
             ranks,
@@ -101,14 +101,14 @@
 
     /// The terms of a tenant's request on a route.
     #[must_use]
-    pub(super) fn terms(&self, route: &Route, tenant: Option<&Tenant>) -> Terms {
-        Terms::of(route, self.ranks.rank(tenant, route))
+    pub(super) fn terms(&self, route: &Route, tenant: Option<&Tenant>) -> RouteTerms {
+        RouteTerms::of(route, self.ranks.rank(tenant, route))
     }
 
     /// Terms of all routes that may send to a service, by the ranks that their tenants may give
     /// them.
     #[must_use]
-    pub(super) fn terms_of(&self, service: &str) -> Vec<Terms> {
+    pub(super) fn terms_of(&self, service: &str) -> Vec<RouteTerms> {
         let to = |route: &&Route| {
             route
                 .targets
@@ -120,7 +120,7 @@
             self.ranks
                 .all(tenants, route)
                 .into_iter()
-                .map(|rank| Terms::of(route, rank))
+                .map(|rank| RouteTerms::of(route, rank))
                 .collect::<Vec<_>>()
         };
         self.document()
@@ -134,19 +134,19 @@
 
 /// The configuration in force, where there is one.
 #[derive(Default)]
-pub(super) struct Configuration {
-    in_force: Option<InForce>,
+pub(super) struct CurrentConfiguration {
+    in_force: Option<ActiveConfiguration>,
 }
 
-impl Configuration {
+impl CurrentConfiguration {
     /// The configuration in force.
     #[must_use]
-    pub(super) fn get(&self) -> Option<&InForce> {
+    pub(super) fn get(&self) -> Option<&ActiveConfiguration> {
         self.in_force.as_ref()
     }
 
     /// Puts a configuration in force, if its position is above that of the one which is.
-    pub(super) fn apply(&mut self, new: InForce) -> bool {
+    pub(super) fn apply(&mut self, new: ActiveConfiguration) -> bool {
         let newer = self
             .in_force
             .as_ref()
--- a/fleet/src/router/configuration/tests.rs
+++ b/fleet/src/router/configuration/tests.rs
@@ -18,13 +18,13 @@
     .into_bytes()
 }
 
-fn in_force(position: ConfigurationPosition, version: u64) -> InForce {
-    InForce::parse(position, &document(version)).expect("a configuration")
+fn in_force(position: ConfigurationPosition, version: u64) -> ActiveConfiguration {
+    ActiveConfiguration::parse(position, &document(version)).expect("a configuration")
 }
 
 #[test]
 fn what_is_in_force_never_goes_back() {
-    let mut configuration = Configuration::default();
+    let mut configuration = CurrentConfiguration::default();
     assert!(configuration.get().is_none());
     assert!(configuration.apply(in_force(position(2, 1, 5), 8)));
     for older in [
--- a/fleet/src/router/control_link.rs
+++ b/fleet/src/router/control_link.rs
@@ -6,8 +6,8 @@
 //! what is applied is acknowledged. While all control is away it keeps trying, and what has been
 //! applied stands.
 
-use super::candidates::Candidates;
-use super::program::{Net, Owner, Timer};
+use super::candidates::ControlCandidates;
+use super::program::{Net, SocketOwner, Timer};
 use crate::envelopes::{self, EnvelopeReader, Incoming};
 use lichenswitch_interface::{Micros, Time};
 use lichenswitch_messages::{
@@ -31,7 +31,7 @@
 
 /// Who this router is, to control machines.
 #[derive(Clone, Debug)]
-pub(super) struct Identity {
+pub(super) struct RouterIdentity {
     /// `nodeName`.
     pub node: String,
     /// Its zone.
@@ -42,7 +42,7 @@
 
 /// What came from control.
 #[derive(Debug)]
-pub(super) enum News {
+pub(super) enum ControlUpdate {
     /// A configuration that may be applied, if its position is above all before it.
     Configuration(ConfigurationPosition, Vec<u8>),
     /// Records of servers, to be merged.
@@ -56,13 +56,13 @@
 }
 
 /// What a control machine says.
-enum Message {
+enum ControlMessage {
     Control(ControlToRouter),
     Tenant(TenantMessage),
     Backlog(BacklogReport),
 }
 
-struct Connection {
+struct ControlConnection {
     id: ConnId,
     address: SocketAddr,
     reader: EnvelopeReader,
@@ -79,17 +79,17 @@
 
 /// The link.
 pub(super) struct ControlLink {
-    identity: Identity,
-    candidates: Candidates,
+    identity: RouterIdentity,
+    candidates: ControlCandidates,
     /// Control machines that are reached at another address than their own.
     forwarders: BTreeMap<SocketAddr, SocketAddr>,
     rng: fastrand::Rng,
-    connection: Option<Connection>,
+    connection: Option<ControlConnection>,
     started: Time,
     /// The one that is applied.
     applied: Option<ConfigurationPosition>,
     /// One from a control machine without contact, kept while there is none from another.
-    unconfirmed: Option<Offer>,
+    unconfirmed: Option<PendingConfiguration>,
     /// A look is due then.
     look_at: Option<Time>,
     /// A connection has been given up since that was last asked.
@@ -97,7 +97,7 @@
 }
 
 /// A configuration that waits to be taken.
-struct Offer {
+struct PendingConfiguration {
     /// The connection on which it came.
     from: ConnId,
     position: ConfigurationPosition,
@@ -116,7 +116,11 @@
 
     /// A link that is not connected yet.
     #[must_use]
-    pub(super) fn new(now: Time, identity: Identity, candidates: Candidates) -> ControlLink {
+    pub(super) fn new(
+        now: Time,
+        identity: RouterIdentity,
+        candidates: ControlCandidates,
+    ) -> ControlLink {
         ControlLink {
             rng: fastrand::Rng::with_seed(identity.process),
             identity,
@@ -143,7 +147,7 @@
     }
 
     /// Looks at the link: opens it, gives it up, or takes what has waited for long enough.
-    pub(super) fn look(&mut self, net: &mut Net) -> Vec<News> {
+    pub(super) fn look(&mut self, net: &mut Net) -> Vec<ControlUpdate> {
         let now = net.clock.now();
         if self.look_at.is_some_and(|at| at <= now) {
             self.look_at = None;
@@ -160,7 +164,7 @@
     }
 
     /// Reads what has come, and acknowledges what was read before.
-    pub(super) fn ready(&mut self, net: &mut Net, id: ConnId) -> Vec<News> {
+    pub(super) fn ready(&mut self, net: &mut Net, id: ConnId) -> Vec<ControlUpdate> {
         let Some(connection) = self.connection.as_mut().filter(|c| c.id == id) else {
             net.close(id);
             return Vec::new();
@@ -255,15 +259,20 @@
             .map_or_else(String::new, |c| c.address.to_string())
     }
 
-    fn take_in(&mut self, now: Time, message: Message, news: &mut Vec<News>) {
+    fn take_in(&mut self, now: Time, message: ControlMessage, news: &mut Vec<ControlUpdate>) {
         match message {
-            Message::Control(message) => self.take_control_message(now, message, news),
-            Message::Tenant(message) => news.push(News::Tenant(message)),
-            Message::Backlog(report) => news.push(News::Backlog(report)),
+            ControlMessage::Control(message) => self.take_control_message(now, message, news),
+            ControlMessage::Tenant(message) => news.push(ControlUpdate::Tenant(message)),
+            ControlMessage::Backlog(report) => news.push(ControlUpdate::Backlog(report)),
         }
     }
 
-    fn take_control_message(&mut self, now: Time, message: ControlToRouter, news: &mut Vec<News>) {
+    fn take_control_message(
+        &mut self,
+        now: Time,
+        message: ControlToRouter,
+        news: &mut Vec<ControlUpdate>,
+    ) {
         let Some(connection) = &mut self.connection else {
             return;
         };
@@ -284,7 +293,7 @@
                         .filter_map(|address| address.parse().ok())
                         .collect(),
                 );
-                news.push(News::Routers(routers));
+                news.push(ControlUpdate::Routers(routers));
                 news.extend(self.take_unconfirmed(now));
             }
             ControlToRouter::Configuration {
@@ -300,7 +309,7 @@
                         .is_some_and(|offer| offer.position > position);
                     if !older {
                         let from = connection.id;
-                        self.unconfirmed = Some(Offer {
+                        self.unconfirmed = Some(PendingConfiguration {
                             from,
                             position,
                             document,
@@ -315,7 +324,7 @@
                 whole: _,
             } => {
                 connection.push = connection.push.max(push);
-                news.push(News::Servers(records));
+                news.push(ControlUpdate::Servers(records));
             }
         }
     }
@@ -323,7 +332,7 @@
     /// A configuration that waited is taken once its sender is in contact, once another is in force
     /// already (it is committed, and newer), or once a router without any has waited for long
     /// enough.
-    fn take_unconfirmed(&mut self, now: Time) -> Option<News> {
+    fn take_unconfirmed(&mut self, now: Time) -> Option<ControlUpdate> {
         let in_contact = self
             .connection
             .as_ref()
@@ -336,7 +345,7 @@
         let offer = self
             .unconfirmed
             .take_if(|offer| may || in_contact == Some(offer.from))?;
-        Some(News::Configuration(offer.position, offer.document))
+        Some(ControlUpdate::Configuration(offer.position, offer.document))
     }
 
     fn connect(&mut self, net: &mut Net) {
@@ -345,9 +354,9 @@
         // this ends.
         while let Ok(address) = self.candidates.next(now, self.rng.u64(..)) {
             let reached_at = self.forwarders.get(&address).copied().unwrap_or(address);
-            match net.connect(Owner::Control, reached_at) {
+            match net.connect(SocketOwner::Control, reached_at) {
                 Ok(id) => {
-                    self.connection = Some(Connection::new(id, address, now));
+                    self.connection = Some(ControlConnection::new(id, address, now));
                     return;
                 }
                 Err(_) => self.candidates.on_failed(now, address, self.rng.u64(..)),
@@ -380,14 +389,14 @@
         let due = link.min(waits.unwrap_or(link)).max(now);
         if self.look_at.is_none_or(|at| due < at) {
             self.look_at = Some(due);
-            net.wheel.set(due, Timer::Control);
+            net.wheel.set(due, Timer::ControlLink);
         }
     }
 }
 
-impl Connection {
-    fn new(id: ConnId, address: SocketAddr, now: Time) -> Connection {
-        Connection {
+impl ControlConnection {
+    fn new(id: ConnId, address: SocketAddr, now: Time) -> ControlConnection {
+        ControlConnection {
             id,
             address,
             reader: EnvelopeReader::default(),
@@ -414,7 +423,7 @@
     fn greet(
         &mut self,
         net: &mut Net,
-        identity: &Identity,
+        identity: &RouterIdentity,
         configuration: Option<ConfigurationPosition>,
     ) -> bool {
         if self.greeted || net.get(self.id).is_none_or(|conn| !conn.up) {
@@ -447,7 +456,7 @@
         net.flush(self.id, false) == Pumped::Alive
     }
 
-    fn read(&mut self, net: &mut Net, now: Time) -> Result<Vec<Message>, String> {
+    fn read(&mut self, net: &mut Net, now: Time) -> Result<Vec<ControlMessage>, String> {
         let Some(conn) = net.get_mut(self.id) else {
             return Ok(Vec::new());
         };
@@ -463,10 +472,10 @@
         while let Some(incoming) = self.reader.next_message().map_err(|e| e.to_string())? {
             match incoming {
                 Incoming::Envelope(Envelope::ToRouter(message)) => {
-                    messages.push(Message::Control(message))
+                    messages.push(ControlMessage::Control(message))
                 }
-                Incoming::Tenant(message) => messages.push(Message::Tenant(message)),
-                Incoming::Backlog(report) => messages.push(Message::Backlog(report)),
+                Incoming::Tenant(message) => messages.push(ControlMessage::Tenant(message)),
+                Incoming::Backlog(report) => messages.push(ControlMessage::Backlog(report)),
                 Incoming::Envelope(Envelope::Peer(_) | Envelope::FromRouter(_)) => {
                     return Err("a message that is not for routers".to_owned())
                 }
--- a/fleet/src/router/counters.rs
+++ b/fleet/src/router/counters.rs
@@ -1,10 +1,10 @@
 //! What a router has turned away, by reason: for the log.
 
-use super::intake::Turned;
+use super::intake::RejectionReason;
 
 /// Counts since the process began.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct Counters {
+pub(super) struct RejectionCounters {
     /// Answered 503 at once.
     pub away: u64,
     /// Answered 404.
@@ -17,15 +17,15 @@
     pub malformed: u64,
 }
 
-impl Counters {
+impl RejectionCounters {
     /// A request was answered at once.
-    pub(super) fn on_turned(&mut self, turned: &Turned) {
+    pub(super) fn on_turned(&mut self, turned: &RejectionReason) {
         let counter = match turned {
-            Turned::Away(_) => &mut self.away,
-            Turned::NoRoute => &mut self.no_route,
-            Turned::NoHolder => &mut self.no_holder,
-            Turned::BeyondQuota(_) => &mut self.beyond_quota,
-            Turned::Malformed => &mut self.malformed,
+            RejectionReason::Unavailable(_) => &mut self.away,
+            RejectionReason::NoRoute => &mut self.no_route,
+            RejectionReason::UnknownKey => &mut self.no_holder,
+            RejectionReason::QuotaExceeded(_) => &mut self.beyond_quota,
+            RejectionReason::Malformed => &mut self.malformed,
         };
         *counter += 1;
     }
--- a/fleet/src/router/cut.rs
+++ b/fleet/src/router/cut.rs
@@ -5,15 +5,15 @@
 //! apart: how old the request was, how long this process had been ending, and which configuration
 //! the request was taken under.
 
-use super::exchange::Exchange;
-use super::ids::ExchangeId;
+use super::exchange::RequestState;
+use super::ids::RequestId;
 use super::Router;
 use lichenswitch_interface::{Micros, Outcome};
 use std::fmt;
 
 /// Why an answer that had begun was cut off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum CutReason {
+pub(super) enum AbortReason {
     /// Its server ended it like this, and it could not go on at another one.
     ServerEnded(Outcome),
     /// It went on at another server, which did not bring the rest.
@@ -28,35 +28,35 @@
     HandedOver,
 }
 
-impl fmt::Display for CutReason {
+impl fmt::Display for AbortReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            CutReason::ServerEnded(outcome) => write!(f, "server ended it: {outcome:?}"),
-            CutReason::NotResumed => f.write_str("not resumed at another server"),
-            CutReason::Deadline => f.write_str("deadline"),
-            CutReason::KeyDenied => f.write_str("key no longer served"),
-            CutReason::Shutdown => f.write_str("shutdown"),
-            CutReason::HandedOver => f.write_str("shutdown, to be resumed elsewhere"),
+            AbortReason::ServerEnded(outcome) => write!(f, "server ended it: {outcome:?}"),
+            AbortReason::NotResumed => f.write_str("not resumed at another server"),
+            AbortReason::Deadline => f.write_str("deadline"),
+            AbortReason::KeyDenied => f.write_str("key no longer served"),
+            AbortReason::Shutdown => f.write_str("shutdown"),
+            AbortReason::HandedOver => f.write_str("shutdown, to be resumed elsewhere"),
         }
     }
 }
 
 impl Router {
     /// Cuts an answer off that has begun.
-    pub(super) fn cut(&mut self, id: ExchangeId, reason: CutReason) {
+    pub(super) fn cut(&mut self, id: RequestId, reason: AbortReason) {
         let Some(exchange) = self.finish(id) else {
             return;
         };
         self.log_cut(&exchange, reason);
         match reason {
-            CutReason::HandedOver => self
+            AbortReason::HandedOver => self
                 .clients
                 .cut_behind_written(&mut self.net, exchange.client),
             _ => self.clients.cut(&mut self.net, exchange.client),
         }
     }
 
-    fn log_cut(&self, exchange: &Exchange, reason: CutReason) {
+    fn log_cut(&self, exchange: &RequestState, reason: AbortReason) {
         let now = self.net.clock.now();
         let in_force = self
             .configuration
--- a/fleet/src/router/exchange.rs
+++ b/fleet/src/router/exchange.rs
@@ -4,11 +4,11 @@
 //! request's runs errs on one side only: it counts as run unless every attempt is known not to have
 //! run.
 
-use super::configuration::Terms;
-use super::ids::{AttemptId, ExchangeId, ServiceId};
+use super::configuration::RouteTerms;
+use super::ids::{AttemptId, RequestId, ServiceId};
 use super::request::ClientRequest;
 use super::response::ResponseHead;
-use super::server_connections::Answer;
+use super::server_connections::BufferedResponse;
 use super::tenants::Sender;
 use lichenswitch_interface::{Outcome, QueryId, ServerId, Time};
 use lichenswitch_net::ConnId;
@@ -17,11 +17,11 @@
 
 /// How far a request has come.
 #[derive(Debug)]
-pub(super) enum Phase {
+pub(super) enum RequestPhase {
     /// Nothing has been answered.
-    Held,
+    Pending,
     /// An answer is being passed on.
-    Relaying(Relay),
+    Relaying(ActiveRelay),
     /// A stream was cut, and is to go on at another server.
     Resuming {
         /// The id of the last event that was passed on.
@@ -31,7 +31,7 @@
 
 /// An answer that is being passed on.
 #[derive(Debug)]
-pub(super) struct Relay {
+pub(super) struct ActiveRelay {
     /// The attempt that brings it.
     pub attempt: AttemptId,
     /// Its server.
@@ -44,7 +44,7 @@
 
 /// An attempt that is out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Out {
+pub(super) struct InFlightAttempt {
     /// The attempt.
     pub id: AttemptId,
     /// Its server.
@@ -53,13 +53,13 @@
 
 /// A request that is held.
 #[derive(Debug)]
-pub(super) struct Exchange {
+pub(super) struct RequestState {
     /// Whose it is.
     pub client: ConnId,
     /// The request.
     pub request: Rc<ClientRequest>,
     /// What its route said when it came.
-    pub terms: Terms,
+    pub terms: RouteTerms,
     /// The service that was drawn for it.
     pub service: ServiceId,
     /// What the core calls it, as long as it has neither its answer nor its end from there.
@@ -75,18 +75,18 @@
     /// When its time is over: the client's, or the route's.
     pub deadline: Time,
     /// How far it has come.
-    pub phase: Phase,
+    pub phase: RequestPhase,
     /// Attempts that are out.
-    pub out: Vec<Out>,
+    pub out: Vec<InFlightAttempt>,
     /// Attempts made that are not known never to have run.
     pub may_have_run: u32,
     /// Servers to which it was sent, whether it ran there or not.
     pub sends: u32,
     /// The last failure that a server answered, to be passed on if nothing better comes.
-    pub failure: Option<Answer>,
+    pub failure: Option<BufferedResponse>,
 }
 
-impl Exchange {
+impl RequestState {
     /// An attempt has ended in this way.
     pub(super) fn on_ended(&mut self, id: AttemptId, outcome: Outcome) {
         let before = self.out.len();
@@ -101,7 +101,7 @@
     }
 
     /// An attempt is being made.
-    pub(super) fn on_sent(&mut self, out: Out) {
+    pub(super) fn on_sent(&mut self, out: InFlightAttempt) {
         self.out.push(out);
         self.may_have_run += 1;
         self.sends += 1;
@@ -117,17 +117,17 @@
     /// Whether this attempt's answer is being passed on.
     #[must_use]
     pub(super) fn relays(&self, id: AttemptId) -> bool {
-        matches!(&self.phase, Phase::Relaying(relay) if relay.attempt == id)
+        matches!(&self.phase, RequestPhase::Relaying(relay) if relay.attempt == id)
     }
 }
 
 /// What a server's whole answer means for its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Meaning {
+pub(super) enum ResponseOutcome {
     /// It is the answer.
     Final,
     /// The server says that it did not run the request.
-    NeverRan,
+    NotExecuted,
     /// A failure, after which the request may have run; whether it may be passed on to the client.
     Failure {
         /// Its status is no promise that it can't keep.
@@ -139,28 +139,28 @@
 /// be a promise in this program's mouth (408, 421, 429, 503) is not passed on as one where the
 /// server has not made it.
 #[must_use]
-pub(super) fn meaning(head: &ResponseHead) -> Meaning {
+pub(super) fn meaning(head: &ResponseHead) -> ResponseOutcome {
     let promise = matches!(head.status, 408 | 421 | 429 | 503);
     match head.status {
-        421 => Meaning::NeverRan,
-        408 | 429 | 500..=599 if head.not_executed => Meaning::NeverRan,
-        _ if promise => Meaning::Failure { passes: false },
-        500..=599 => Meaning::Failure { passes: true },
-        _ => Meaning::Final,
+        421 => ResponseOutcome::NotExecuted,
+        408 | 429 | 500..=599 if head.not_executed => ResponseOutcome::NotExecuted,
+        _ if promise => ResponseOutcome::Failure { passes: false },
+        500..=599 => ResponseOutcome::Failure { passes: true },
+        _ => ResponseOutcome::Final,
     }
 }
 
 /// All requests that are held.
 #[derive(Default)]
-pub(super) struct Exchanges {
-    held: HashMap<ExchangeId, Exchange>,
-    by_client: HashMap<ConnId, ExchangeId>,
-    by_attempt: HashMap<AttemptId, ExchangeId>,
+pub(super) struct RequestTable {
+    held: HashMap<RequestId, RequestState>,
+    by_client: HashMap<ConnId, RequestId>,
+    by_attempt: HashMap<AttemptId, RequestId>,
     bytes: usize,
     next: u64,
 }
 
-impl Exchanges {
+impl RequestTable {
     /// How many are held.
     #[must_use]
     pub(super) fn len(&self) -> usize {
@@ -180,7 +180,7 @@
     }
 
     /// Adds one.
-    pub(super) fn insert(&mut self, exchange: Exchange) -> ExchangeId {
+    pub(super) fn insert(&mut self, exchange: RequestState) -> RequestId {
         let id = self.next_id();
         self.next += 1;
         self.bytes += exchange.request.bytes();
@@ -191,35 +191,35 @@
 
     /// What the next one that is added will be called.
     #[must_use]
-    pub(super) fn next_id(&self) -> ExchangeId {
-        ExchangeId(self.next)
+    pub(super) fn next_id(&self) -> RequestId {
+        RequestId(self.next)
     }
 
     /// One that is held.
     #[must_use]
-    pub(super) fn get(&self, id: ExchangeId) -> Option<&Exchange> {
+    pub(super) fn get(&self, id: RequestId) -> Option<&RequestState> {
         self.held.get(&id)
     }
 
     /// The same, to change it.
-    pub(super) fn get_mut(&mut self, id: ExchangeId) -> Option<&mut Exchange> {
+    pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut RequestState> {
         self.held.get_mut(&id)
     }
 
     /// The request of a client.
     #[must_use]
-    pub(super) fn of_client(&self, client: ConnId) -> Option<ExchangeId> {
+    pub(super) fn of_client(&self, client: ConnId) -> Option<RequestId> {
         self.by_client.get(&client).copied()
     }
 
     /// The request of an attempt.
     #[must_use]
-    pub(super) fn of_attempt(&self, attempt: AttemptId) -> Option<ExchangeId> {
+    pub(super) fn of_attempt(&self, attempt: AttemptId) -> Option<RequestId> {
         self.by_attempt.get(&attempt).copied()
     }
 
     /// An attempt of a request is being made.
-    pub(super) fn on_sent(&mut self, id: ExchangeId, out: Out) {
+    pub(super) fn on_sent(&mut self, id: RequestId, out: InFlightAttempt) {
         if let Some(exchange) = self.held.get_mut(&id) {
             exchange.on_sent(out);
             self.by_attempt.insert(out.id, id);
@@ -227,7 +227,7 @@
     }
 
     /// An attempt has ended; tells its request, if that is still held.
-    pub(super) fn on_ended(&mut self, attempt: AttemptId, outcome: Outcome) -> Option<ExchangeId> {
+    pub(super) fn on_ended(&mut self, attempt: AttemptId, outcome: Outcome) -> Option<RequestId> {
         let id = self.by_attempt.remove(&attempt)?;
         self.held.get_mut(&id)?.on_ended(attempt, outcome);
         Some(id)
@@ -235,7 +235,7 @@
 
     /// An attempt of a request brings its answer, which is passed on from now on. Tells the others
     /// that are out for it.
-    pub(super) fn on_begun(&mut self, id: ExchangeId, relay: Relay) -> Vec<AttemptId> {
+    pub(super) fn on_begun(&mut self, id: RequestId, relay: ActiveRelay) -> Vec<AttemptId> {
         let Some(exchange) = self.held.get_mut(&id) else {
             return Vec::new();
         };
@@ -248,43 +248,46 @@
         others
             .iter()
             .for_each(|other| _ = self.by_attempt.remove(other));
-        exchange.phase = Phase::Relaying(relay);
+        exchange.phase = RequestPhase::Relaying(relay);
         others
     }
 
     /// The answer that was passed on broke off: the request goes on behind this event.
-    pub(super) fn on_broken_off(&mut self, id: ExchangeId, last_event_id: Vec<u8>) {
+    pub(super) fn on_broken_off(&mut self, id: RequestId, last_event_id: Vec<u8>) {
         let Some(exchange) = self.held.get_mut(&id) else {
             return;
         };
-        let before = std::mem::replace(&mut exchange.phase, Phase::Resuming { last_event_id });
-        if let Phase::Relaying(relay) = before {
+        let before = std::mem::replace(
+            &mut exchange.phase,
+            RequestPhase::Resuming { last_event_id },
+        );
+        if let RequestPhase::Relaying(relay) = before {
             self.by_attempt.remove(&relay.attempt);
         }
     }
 
     /// Takes one out: the one place where it is given back.
-    pub(super) fn remove(&mut self, id: ExchangeId) -> Option<Exchange> {
+    pub(super) fn remove(&mut self, id: RequestId) -> Option<RequestState> {
         let exchange = self.held.remove(&id)?;
         self.bytes -= exchange.request.bytes();
         self.by_client.remove(&exchange.client);
         for out in &exchange.out {
             self.by_attempt.remove(&out.id);
         }
-        if let Phase::Relaying(relay) = &exchange.phase {
+        if let RequestPhase::Relaying(relay) = &exchange.phase {
             self.by_attempt.remove(&relay.attempt);
         }
         Some(exchange)
     }
 
     /// All that are held, in no order.
-    pub(super) fn iter(&self) -> impl Iterator<Item = &Exchange> {
+    pub(super) fn iter(&self) -> impl Iterator<Item = &RequestState> {
         self.held.values()
     }
 
     /// Their names.
     #[must_use]
-    pub(super) fn ids(&self) -> Vec<ExchangeId> {
+    pub(super) fn ids(&self) -> Vec<RequestId> {
         self.held.keys().copied().collect()
     }
 }
--- a/fleet/src/router/exchange/tests.rs
+++ b/fleet/src/router/exchange/tests.rs
@@ -9,10 +9,18 @@
 #[test]
 fn only_a_servers_own_word_says_that_a_request_never_ran() {
     for status in [408, 429, 500, 503, 504] {
-        assert_eq!(meaning(&head(status, true)), Meaning::NeverRan, "{status}");
-        assert_ne!(meaning(&head(status, false)), Meaning::NeverRan, "{status}");
+        assert_eq!(
+            meaning(&head(status, true)),
+            ResponseOutcome::NotExecuted,
+            "{status}"
+        );
+        assert_ne!(
+            meaning(&head(status, false)),
+            ResponseOutcome::NotExecuted,
+            "{status}"
+        );
     }
-    assert_eq!(meaning(&head(421, false)), Meaning::NeverRan);
+    assert_eq!(meaning(&head(421, false)), ResponseOutcome::NotExecuted);
 }
 
 #[test]
@@ -20,14 +28,14 @@
     for status in [408, 429, 503] {
         assert_eq!(
             meaning(&head(status, false)),
-            Meaning::Failure { passes: false },
+            ResponseOutcome::Failure { passes: false },
             "{status}"
         );
     }
     for status in [500, 502, 504] {
         assert_eq!(
             meaning(&head(status, false)),
-            Meaning::Failure { passes: true },
+            ResponseOutcome::Failure { passes: true },
             "{status}"
         );
     }
@@ -36,14 +44,18 @@
 #[test]
 fn every_other_answer_is_final() {
     for status in [200, 201, 206, 301, 400, 401, 404, 409, 413] {
-        assert_eq!(meaning(&head(status, false)), Meaning::Final, "{status}");
+        assert_eq!(
+            meaning(&head(status, false)),
+            ResponseOutcome::Final,
+            "{status}"
+        );
     }
     // A request without an id is refused for good.
-    assert_eq!(meaning(&head(400, true)), Meaning::Final);
+    assert_eq!(meaning(&head(400, true)), ResponseOutcome::Final);
 }
 
-fn exchange(idempotent: bool, max_attempts: u32) -> Exchange {
-    let terms = Terms {
+fn exchange(idempotent: bool, max_attempts: u32) -> RequestState {
+    let terms = RouteTerms {
         route: "r".into(),
         idempotent,
         streaming: false,
@@ -58,9 +70,9 @@
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("bind");
     let address = listener.local_addr().expect("address");
     let client = net
-        .connect(super::super::program::Owner::Client, address)
+        .connect(super::super::program::SocketOwner::Client, address)
         .expect("connect");
-    Exchange {
+    RequestState {
         client,
         request: Rc::new(ClientRequest::default()),
         terms,
@@ -71,7 +83,7 @@
         taken: Time(0),
         configuration: 1,
         deadline: Time(0),
-        phase: Phase::Held,
+        phase: RequestPhase::Pending,
         out: Vec::new(),
         may_have_run: 0,
         sends: 0,
@@ -79,8 +91,8 @@
     }
 }
 
-fn out(number: u64) -> Out {
-    Out {
+fn out(number: u64) -> InFlightAttempt {
+    InFlightAttempt {
         id: AttemptId {
             service: ServiceId(0),
             number,
--- a/fleet/src/router/freshness.rs
+++ b/fleet/src/router/freshness.rs
@@ -27,7 +27,7 @@
 
 /// Bounds on revocations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct RevocationTerms {
+pub(super) struct RevocationBounds {
     /// `revocationStrict`: the bound holds for all machines, in touch or not.
     pub strict: bool,
     /// `revokeMs`.
@@ -36,17 +36,17 @@
 
 /// When the configuration in force was confirmed.
 #[derive(Debug)]
-pub(super) struct Freshness {
-    terms: RevocationTerms,
+pub(super) struct ConfigurationFreshness {
+    terms: RevocationBounds,
     confirmed: Option<Time>,
     asked: Option<Time>,
 }
 
-impl Freshness {
+impl ConfigurationFreshness {
     /// Never confirmed yet.
     #[must_use]
-    pub(super) fn new(terms: RevocationTerms) -> Freshness {
-        Freshness {
+    pub(super) fn new(terms: RevocationBounds) -> ConfigurationFreshness {
+        ConfigurationFreshness {
             terms,
             confirmed: None,
             asked: None,
@@ -54,7 +54,7 @@
     }
 
     /// The settings say so now.
-    pub(super) fn set_terms(&mut self, terms: RevocationTerms) {
+    pub(super) fn set_terms(&mut self, terms: RevocationBounds) {
         self.terms = terms;
     }
 
--- a/fleet/src/router/freshness/tests.rs
+++ b/fleet/src/router/freshness/tests.rs
@@ -4,8 +4,8 @@
 
 const SECOND: Micros = 1_000_000;
 
-fn strict() -> Freshness {
-    Freshness::new(RevocationTerms {
+fn strict() -> ConfigurationFreshness {
+    ConfigurationFreshness::new(RevocationBounds {
         strict: true,
         within: Duration::from_secs(5),
     })
@@ -43,12 +43,12 @@
 
 #[test]
 fn without_a_strict_bound_what_is_known_is_served_while_control_is_away() {
-    let mut freshness = Freshness::new(RevocationTerms {
+    let mut freshness = ConfigurationFreshness::new(RevocationBounds {
         strict: false,
         within: Duration::from_secs(5),
     });
     assert!(freshness.serves_keys(Time(100 * SECOND)) && !freshness.is_sure(Time(100 * SECOND)));
-    freshness.set_terms(RevocationTerms {
+    freshness.set_terms(RevocationBounds {
         strict: true,
         within: Duration::ZERO,
     });
--- a/fleet/src/router/ids.rs
+++ b/fleet/src/router/ids.rs
@@ -2,7 +2,7 @@
 
 /// Names a request. Never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub(super) struct ExchangeId(pub u64);
+pub(super) struct RequestId(pub u64);
 
 /// Names a service. Never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
--- a/fleet/src/router/intake.rs
+++ b/fleet/src/router/intake.rs
@@ -4,13 +4,13 @@
 //! these refusals is a promise.
 
 use super::clients::ClientEvent;
-use super::cut::CutReason;
-use super::exchange::{Exchange, Phase};
-use super::ids::ExchangeId;
+use super::cut::AbortReason;
+use super::exchange::{RequestPhase, RequestState};
+use super::ids::RequestId;
 use super::program::{micros, Timer};
 use super::request::ClientRequest;
-use super::response::OwnAnswer;
-use super::service::Ask;
+use super::response::LocalResponse;
+use super::service::RouteRequest;
 use super::tenants::Admission;
 use super::Router;
 use lichenswitch_core::Refusal;
@@ -26,15 +26,15 @@
 
 /// Why a request is answered at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Turned {
+pub(super) enum RejectionReason {
     /// No configuration is known yet, there is no room, or this process is about to end.
-    Away(Option<Micros>),
+    Unavailable(Option<Micros>),
     /// The configuration in force has no route for it.
     NoRoute,
     /// It needs a key that a tenant holds, and bears none.
-    NoHolder,
+    UnknownKey,
     /// Its tenant sends more than its quota; when it may come back.
-    BeyondQuota(Micros),
+    QuotaExceeded(Micros),
     /// The request makes no sense.
     Malformed,
 }
@@ -45,9 +45,9 @@
         while !self.client_events.is_empty() {
             for event in std::mem::take(&mut self.client_events) {
                 match event {
-                    ClientEvent::Request(client, request) => self.take(client, *request),
-                    ClientEvent::Left(client) => self.client_left(client),
-                    ClientEvent::Drained(client) => self.client_drained(client),
+                    ClientEvent::RequestReceived(client, request) => self.take(client, *request),
+                    ClientEvent::Disconnected(client) => self.client_left(client),
+                    ClientEvent::OutputDrained(client) => self.client_drained(client),
                 }
             }
         }
@@ -60,27 +60,27 @@
     }
 
     /// Answers a request at once.
-    pub(super) fn turn_away(&mut self, client: ConnId, turned: &Turned) {
+    pub(super) fn turn_away(&mut self, client: ConnId, turned: &RejectionReason) {
         self.counters.on_turned(turned);
         let answer = match turned {
-            Turned::Away(after) => OwnAnswer::refused(*after),
-            Turned::NoRoute => OwnAnswer::plain(404),
-            Turned::NoHolder => OwnAnswer::plain(401),
-            Turned::BeyondQuota(after) => OwnAnswer::beyond_quota(*after),
-            Turned::Malformed => OwnAnswer::plain(400),
+            RejectionReason::Unavailable(after) => LocalResponse::refused(*after),
+            RejectionReason::NoRoute => LocalResponse::plain(404),
+            RejectionReason::UnknownKey => LocalResponse::plain(401),
+            RejectionReason::QuotaExceeded(after) => LocalResponse::beyond_quota(*after),
+            RejectionReason::Malformed => LocalResponse::plain(400),
         };
         self.clients
             .answer_own(&mut self.net, client, &answer, &mut self.client_events);
     }
 
-    fn admit(&mut self, client: ConnId, request: ClientRequest) -> Result<(), Turned> {
+    fn admit(&mut self, client: ConnId, request: ClientRequest) -> Result<(), RejectionReason> {
         let now = self.net.clock.now();
         let admission = self.examine(now, &request)?;
         if self
             .shutdown
             .is_some_and(|shutdown| !shutdown.takes(now, admission.deadline))
         {
-            return Err(Turned::Away(Some(RETRY_ELSEWHERE)));
+            return Err(RejectionReason::Unavailable(Some(RETRY_ELSEWHERE)));
         }
         self.check_room(&request)?;
         self.admit_by_quota(client, request, admission)
@@ -92,7 +92,7 @@
         client: ConnId,
         request: ClientRequest,
         admission: Admission,
-    ) -> Result<(), Turned> {
+    ) -> Result<(), RejectionReason> {
         let now = self.net.clock.now();
         let Admission {
             terms,
@@ -105,19 +105,21 @@
         let core = self
             .services
             .get_mut(service)
-            .ok_or(Turned::Away(Some(RETRY_AFTER)))?;
-        let ask = Ask {
+            .ok_or(RejectionReason::Unavailable(Some(RETRY_AFTER)))?;
+        let ask = RouteRequest {
             exchange: id,
             terms: &terms,
             prompt: request.prompt,
             deadline,
         };
         let (query, class) = core.take(now, &ask).map_err(|refusal| match refusal {
-            Refusal::Busy(after) => Turned::Away(after),
-            Refusal::Stopping | Refusal::Contract(_) => Turned::Away(Some(RETRY_AFTER)),
-            Refusal::Malformed(_) => Turned::Malformed,
+            Refusal::Busy(after) => RejectionReason::Unavailable(after),
+            Refusal::Stopping | Refusal::Contract(_) => {
+                RejectionReason::Unavailable(Some(RETRY_AFTER))
+            }
+            Refusal::Malformed(_) => RejectionReason::Malformed,
         })?;
-        self.exchanges.insert(Exchange {
+        self.exchanges.insert(RequestState {
             client,
             request: Rc::new(request),
             terms,
@@ -128,27 +130,31 @@
             taken: now,
             configuration,
             deadline,
-            phase: Phase::Held,
+            phase: RequestPhase::Pending,
             out: Vec::new(),
             may_have_run: 0,
             sends: 0,
             failure: None,
         });
-        self.net.wheel.set(deadline, Timer::Exchange(id));
+        self.net.wheel.set(deadline, Timer::RequestDeadline(id));
         Ok(())
     }
 
     /// The route's terms, the service, drawn once by weight, the sender, and the version of the
     /// configuration that says so.
-    fn examine(&mut self, now: Time, request: &ClientRequest) -> Result<Admission, Turned> {
+    fn examine(
+        &mut self,
+        now: Time,
+        request: &ClientRequest,
+    ) -> Result<Admission, RejectionReason> {
         let random = self.rng.u64(..);
         let in_force = self
             .configuration
             .get()
-            .ok_or(Turned::Away(Some(RETRY_AFTER)))?;
+            .ok_or(RejectionReason::Unavailable(Some(RETRY_AFTER)))?;
         let route = in_force
             .route(&request.host, request.path())
-            .ok_or(Turned::NoRoute)?;
+            .ok_or(RejectionReason::NoRoute)?;
         let sender = self.authenticate(in_force, route.public_access, request.key)?;
         let tenant = sender
             .as_ref()
@@ -157,7 +163,7 @@
         let service = self
             .services
             .id_of(route.draw(random))
-            .ok_or(Turned::Away(Some(RETRY_AFTER)))?;
+            .ok_or(RejectionReason::Unavailable(Some(RETRY_AFTER)))?;
         let deadline = now.plus(
             request
                 .deadline
@@ -174,12 +180,12 @@
     }
 
     /// Guards memory: what is held is bounded.
-    fn check_room(&self, request: &ClientRequest) -> Result<(), Turned> {
+    fn check_room(&self, request: &ClientRequest) -> Result<(), RejectionReason> {
         let capacity = self.options.capacity;
         let full = self.exchanges.len() + self.awaiting_quota.len() >= capacity.requests as usize
             || self.exchanges.bytes() + request.bytes() > capacity.bytes;
         match full {
-            true => Err(Turned::Away(Some(RETRY_AFTER))),
+            true => Err(RejectionReason::Unavailable(Some(RETRY_AFTER))),
             false => Ok(()),
         }
     }
@@ -195,7 +201,7 @@
     }
 
     /// Takes a request out of the table, and gives up all that is out for it.
-    pub(super) fn drop_exchange(&mut self, id: ExchangeId) -> Option<Exchange> {
+    pub(super) fn drop_exchange(&mut self, id: RequestId) -> Option<RequestState> {
         let mut exchange = self.exchanges.remove(id)?;
         for out in std::mem::take(&mut exchange.out) {
             if self.connections.withdraw(&mut self.net, out.id) {
@@ -203,12 +209,12 @@
             }
         }
         let service = self.services.get_mut(exchange.service);
-        if let Phase::Relaying(relay) = &exchange.phase {
+        if let RequestPhase::Relaying(relay) = &exchange.phase {
             self.connections.withdraw(&mut self.net, relay.attempt);
         }
         if let Some(service) = service {
             service.release(exchange.class);
-            if let Phase::Relaying(relay) = &exchange.phase {
+            if let RequestPhase::Relaying(relay) = &exchange.phase {
                 service.stream_ended(relay.server);
             }
             if let Some(query) = exchange.query {
@@ -219,22 +225,22 @@
     }
 
     /// The time of a request is over.
-    pub(super) fn overdue(&mut self, id: ExchangeId) {
+    pub(super) fn overdue(&mut self, id: RequestId) {
         let now = self.net.clock.now();
         if self
             .exchanges
             .get(id)
             .is_some_and(|exchange| exchange.deadline <= now)
         {
-            self.end_now(id, CutReason::Deadline);
+            self.end_now(id, AbortReason::Deadline);
         }
     }
 
     /// Gives a request its end at once: a final answer, or the cut of the one that has begun.
-    pub(super) fn end_now(&mut self, id: ExchangeId, reason: CutReason) {
+    pub(super) fn end_now(&mut self, id: RequestId, reason: AbortReason) {
         match self.exchanges.get(id).map(|exchange| &exchange.phase) {
-            Some(Phase::Held) => self.answer_given_up(id, None),
-            Some(Phase::Relaying(_) | Phase::Resuming { .. }) => self.cut(id, reason),
+            Some(RequestPhase::Pending) => self.answer_given_up(id, None),
+            Some(RequestPhase::Relaying(_) | RequestPhase::Resuming { .. }) => self.cut(id, reason),
             None => {}
         }
     }
--- a/fleet/src/router/mod.rs
+++ b/fleet/src/router/mod.rs
@@ -58,20 +58,20 @@
 use crate::invariants::{self, Invariant};
 use crate::settings::Settings;
 use backlog::BacklogReports;
-use candidates::Candidates;
-use clients::{ClientEvent, Clients};
-use configuration::{Configuration, InForce};
-use control_link::{ControlLink, Identity, News};
-use counters::Counters;
-use exchange::Exchanges;
-use freshness::Freshness;
+use candidates::ControlCandidates;
+use clients::{ClientConnections, ClientEvent};
+use configuration::{ActiveConfiguration, CurrentConfiguration};
+use control_link::{ControlLink, ControlUpdate, RouterIdentity};
+use counters::RejectionCounters;
+use exchange::RequestTable;
+use freshness::ConfigurationFreshness;
 use lichenswitch_interface::Time;
 use lichenswitch_messages::{ServerRecord, TenantMessage};
 use lichenswitch_net::ConnId;
 use lichenswitch_quota::Allowances;
 use options::Options;
-use program::{after, Net, Owner, Signal, Timer};
-use readiness::Readiness;
+use program::{after, Net, Signal, SocketOwner, Timer};
+use readiness::ReadinessEndpoint;
 use server_connections::ServerConnections;
 use servers::ServerTable;
 use services::Services;
@@ -119,21 +119,21 @@
     frontend: SocketAddr,
     readiness_address: Option<SocketAddr>,
     rng: fastrand::Rng,
-    configuration: Configuration,
+    configuration: CurrentConfiguration,
     services: Services,
     servers: ServerTable,
-    clients: Clients,
+    clients: ClientConnections,
     client_events: Vec<ClientEvent>,
     connections: ServerConnections,
-    exchanges: Exchanges,
+    exchanges: RequestTable,
     link: ControlLink,
-    readiness: Readiness,
+    readiness: ReadinessEndpoint,
     shutdown: Option<Shutdown>,
-    freshness: Freshness,
+    freshness: ConfigurationFreshness,
     allowances: Allowances<ConnId>,
     /// Requests that wait for their tenants' quotas, by client.
     awaiting_quota: HashMap<ConnId, AwaitingQuota>,
-    counters: Counters,
+    counters: RejectionCounters,
     backlog_reports: BacklogReports,
     /// The next turn ends with a check of who waits.
     check_due: bool,
@@ -149,39 +149,39 @@
         let mut net = Net::new(options.capacity.descriptors)?;
         net.set_aside_for_peers(SET_ASIDE);
         let mut rng = fastrand::Rng::new();
-        let frontend = listen(&mut net, Owner::Client, options.frontend)?;
+        let frontend = listen(&mut net, SocketOwner::Client, options.frontend)?;
         let readiness_address = options
             .readiness
-            .map(|address| listen(&mut net, Owner::Platform, address))
+            .map(|address| listen(&mut net, SocketOwner::Platform, address))
             .transpose()?;
-        let identity = Identity {
+        let identity = RouterIdentity {
             node: options.node.clone(),
             zone: options.zone.clone(),
             process: rng.u64(1..),
         };
-        let candidates = Candidates::new(options.machine, options.seeds.clone());
+        let candidates = ControlCandidates::new(options.machine, options.seeds.clone());
         let link = ControlLink::new(net.clock.now(), identity, candidates)
             .with_forwarders(settings.forwarders.clone());
         net.wheel
-            .set(after(net.clock.now(), SETTINGS_LOOK), Timer::Settings);
+            .set(after(net.clock.now(), SETTINGS_LOOK), Timer::SettingsCheck);
         Ok(Router {
             settings_file: file.map(|path| (path.clone(), modified(&path))),
             frontend,
             readiness_address,
-            configuration: Configuration::default(),
+            configuration: CurrentConfiguration::default(),
             services: Services::new(rng.u64(..), options.capacity, options.budget),
             servers: ServerTable::new(&options.zone),
-            clients: Clients::new(options.capacity.bytes),
+            clients: ClientConnections::new(options.capacity.bytes),
             client_events: Vec::new(),
             connections: ServerConnections::default(),
-            exchanges: Exchanges::default(),
+            exchanges: RequestTable::default(),
             link,
-            readiness: Readiness::default(),
+            readiness: ReadinessEndpoint::default(),
             shutdown: None,
-            freshness: Freshness::new(options.revocation),
+            freshness: ConfigurationFreshness::new(options.revocation),
             allowances: Allowances::new(options.quota, rng.u64(..)),
             awaiting_quota: HashMap::new(),
-            counters: Counters::default(),
+            counters: RejectionCounters::default(),
             backlog_reports: BacklogReports::default(),
             check_due: false,
             rng,
@@ -270,25 +270,25 @@
         invariants::check(self.clients.waiting() == held, Invariant::WaitingIsHeld);
     }
 
-    fn accept(&mut self, owner: Owner) {
+    fn accept(&mut self, owner: SocketOwner) {
         match owner {
-            Owner::Client => self.clients.accept(&mut self.net),
-            Owner::Platform => self.readiness.accept(&mut self.net),
-            Owner::Server | Owner::Control => {}
+            SocketOwner::Client => self.clients.accept(&mut self.net),
+            SocketOwner::Platform => self.readiness.accept(&mut self.net),
+            SocketOwner::Server | SocketOwner::Control => {}
         }
     }
 
-    fn ready(&mut self, id: lichenswitch_net::ConnId, owner: Owner) {
+    fn ready(&mut self, id: lichenswitch_net::ConnId, owner: SocketOwner) {
         match owner {
-            Owner::Client => self
+            SocketOwner::Client => self
                 .clients
                 .ready(&mut self.net, id, &mut self.client_events),
-            Owner::Platform => {
+            SocketOwner::Platform => {
                 let is_ready = self.is_ready();
                 self.readiness.ready(&mut self.net, id, is_ready);
             }
-            Owner::Server => self.connections.ready(&mut self.net, id),
-            Owner::Control => {
+            SocketOwner::Server => self.connections.ready(&mut self.net, id),
+            SocketOwner::Control => {
                 let news = self.link.ready(&mut self.net, id);
                 self.take_news(news);
             }
@@ -297,18 +297,18 @@
 
     fn timer(&mut self, timer: Timer) {
         match timer {
-            Timer::Exchange(id) => self.overdue(id),
-            Timer::Attempt(id) => self.timed_out(id),
+            Timer::RequestDeadline(id) => self.overdue(id),
+            Timer::AttemptTimeout(id) => self.timed_out(id),
             Timer::Client(id) => self
                 .clients
                 .timer(&mut self.net, id, &mut self.client_events),
             Timer::Platform(id) => self.readiness.timer(&mut self.net, id),
             Timer::Server(id) => self.connections.timer(&mut self.net, id),
-            Timer::Waiting(id) => self.connections.waited(id),
-            Timer::Control => self.look_at_control(),
+            Timer::ConnectionWait(id) => self.connections.waited(id),
+            Timer::ControlLink => self.look_at_control(),
             Timer::Quota => self.look_at_quota(),
-            Timer::Backlog => self.report_backlog(),
-            Timer::Settings => self.look_at_settings(),
+            Timer::BacklogReport => self.report_backlog(),
+            Timer::SettingsCheck => self.look_at_settings(),
             Timer::Shutdown => self.go_on_stopping(),
         }
     }
@@ -335,21 +335,21 @@
     }
 
     /// Applies what control has said, and acknowledges it.
-    fn take_news(&mut self, news: Vec<News>) {
+    fn take_news(&mut self, news: Vec<ControlUpdate>) {
         for news in news {
             match news {
-                News::Configuration(position, document) => {
-                    match InForce::parse(position, &document) {
+                ControlUpdate::Configuration(position, document) => {
+                    match ActiveConfiguration::parse(position, &document) {
                         Ok(new) => self.apply(new),
                         Err(e) => {
                             log::error!(position:? = position; "configuration can't be read: {e}")
                         }
                     }
                 }
-                News::Servers(records) => self.take_servers(&records),
-                News::Routers(count) => self.services.set_routers(count),
-                News::Tenant(message) => self.take_tenant_message(message),
-                News::Backlog(report) => self.services.set_backlogs(&report),
+                ControlUpdate::Servers(records) => self.take_servers(&records),
+                ControlUpdate::Routers(count) => self.services.set_routers(count),
+                ControlUpdate::Tenant(message) => self.take_tenant_message(message),
+                ControlUpdate::Backlog(report) => self.services.set_backlogs(&report),
             }
         }
         self.link.acknowledge(&mut self.net);
@@ -380,7 +380,7 @@
         self.net.listed(self.servers.count());
     }
 
-    fn apply(&mut self, new: InForce) {
+    fn apply(&mut self, new: ActiveConfiguration) {
         let (position, version) = (new.position, new.document().version());
         if !self.configuration.apply(new) {
             return;
@@ -406,9 +406,10 @@
         if changed {
             self.reload();
         }
-        self.net
-            .wheel
-            .set(after(self.net.clock.now(), SETTINGS_LOOK), Timer::Settings);
+        self.net.wheel.set(
+            after(self.net.clock.now(), SETTINGS_LOOK),
+            Timer::SettingsCheck,
+        );
     }
 
     /// Reads the settings again: seeds and the further-try budget may have changed. A faulty file
@@ -441,7 +442,11 @@
         .ok()
 }
 
-fn listen(net: &mut Net, owner: Owner, address: SocketAddr) -> Result<SocketAddr, RouterError> {
+fn listen(
+    net: &mut Net,
+    owner: SocketOwner,
+    address: SocketAddr,
+) -> Result<SocketAddr, RouterError> {
     net.listen(owner, address)
         .map_err(|source| RouterError::Listen { address, source })
 }
--- a/fleet/src/router/options.rs
+++ b/fleet/src/router/options.rs
@@ -1,7 +1,7 @@
 //! What this role takes from its settings.
 
 use super::error::RouterError;
-use super::freshness::RevocationTerms;
+use super::freshness::RevocationBounds;
 use crate::settings::Settings;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -61,7 +61,7 @@
     /// The further-try budget.
     pub budget: RetryBudget,
     /// Bounds on revocations.
-    pub revocation: RevocationTerms,
+    pub revocation: RevocationBounds,
     /// Bounds on quotas.
     pub quota: lichenswitch_quota::QuotaBounds,
     /// Between SIGTERM and SIGKILL.
@@ -88,7 +88,7 @@
                 slack: bounds.retry_slack,
                 window: bounds.budget_window,
             },
-            revocation: RevocationTerms {
+            revocation: RevocationBounds {
                 strict: bounds.revocation_strict,
                 within: bounds.revoke,
             },
--- a/fleet/src/router/program.rs
+++ b/fleet/src/router/program.rs
@@ -1,17 +1,17 @@
 //! What this role calls its connections, timers and signals.
 
-use super::ids::{AttemptId, ExchangeId};
+use super::ids::{AttemptId, RequestId};
 use lichenswitch_descriptors::Side;
 use lichenswitch_interface::{Micros, Time};
 use lichenswitch_net::{ConnId, Program};
 use std::time::Duration;
 
 /// The role, to the loop of sockets.
-pub(super) struct Router;
+pub(super) struct RouterProgram;
 
 /// Who a connection or listener belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Owner {
+pub(super) enum SocketOwner {
     /// Clients.
     Client,
     /// The platform, which asks whether this router is ready.
@@ -26,9 +26,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Timer {
     /// The time of a request is over.
-    Exchange(ExchangeId),
+    RequestDeadline(RequestId),
     /// The time that the module gave an attempt is over.
-    Attempt(AttemptId),
+    AttemptTimeout(AttemptId),
     /// A client's connection may have been idle, or slow, for too long.
     Client(ConnId),
     /// A connection of the platform may have been idle for too long.
@@ -36,15 +36,15 @@
     /// A connection to a server should be up, or may have been idle for too long.
     Server(ConnId),
     /// An attempt has waited for a connection.
-    Waiting(AttemptId),
+    ConnectionWait(AttemptId),
     /// The link to a control machine is to be looked at.
-    Control,
+    ControlLink,
     /// A request has waited for its tenant's quota.
     Quota,
     /// Control is to be told what waits at servers.
-    Backlog,
+    BacklogReport,
     /// The settings file is to be looked at.
-    Settings,
+    SettingsCheck,
     /// The next step of the shutdown is due.
     Shutdown,
 }
@@ -58,33 +58,33 @@
     Reload,
 }
 
-impl Program for Router {
-    type Owner = Owner;
+impl Program for RouterProgram {
+    type Owner = SocketOwner;
     type Timer = Timer;
     type Signal = Signal;
 
     /// Guards what waits for machines that are cut off or without power. Not for clients: one that
     /// reads slowly sends no sign either.
-    fn user_timeout(owner: Owner) -> Option<Duration> {
+    fn user_timeout(owner: SocketOwner) -> Option<Duration> {
         match owner {
-            Owner::Server => Some(SERVER_USER_TIMEOUT),
-            Owner::Control => Some(CONTROL_USER_TIMEOUT),
-            Owner::Client | Owner::Platform => None,
+            SocketOwner::Server => Some(SERVER_USER_TIMEOUT),
+            SocketOwner::Control => Some(CONTROL_USER_TIMEOUT),
+            SocketOwner::Client | SocketOwner::Platform => None,
         }
     }
 
     /// Guards streams whose server has lost power: nothing is being sent there that could go
     /// unacknowledged. A server that is only silent has a system that answers.
-    fn probe_after(owner: Owner) -> Option<Duration> {
-        (owner == Owner::Server).then_some(SERVER_PROBE)
+    fn probe_after(owner: SocketOwner) -> Option<Duration> {
+        (owner == SocketOwner::Server).then_some(SERVER_PROBE)
     }
 
-    fn side(owner: Owner) -> Side {
+    fn side(owner: SocketOwner) -> Side {
         match owner {
-            Owner::Client => Side::Clients,
-            Owner::Platform => Side::PeersIn,
-            Owner::Server => Side::Nodes,
-            Owner::Control => Side::PeersOut,
+            SocketOwner::Client => Side::Clients,
+            SocketOwner::Platform => Side::PeersIn,
+            SocketOwner::Server => Side::Nodes,
+            SocketOwner::Control => Side::PeersOut,
         }
     }
 }
@@ -99,7 +99,7 @@
 const CONTROL_USER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Sockets of this role.
-pub(super) type Net = lichenswitch_net::Net<Router>;
+pub(super) type Net = lichenswitch_net::Net<RouterProgram>;
 
 /// A duration on the clock of the loop.
 #[must_use]
--- a/fleet/src/router/ranks.rs
+++ b/fleet/src/router/ranks.rs
@@ -11,21 +11,21 @@
 pub(super) const LOWEST_RANK: u8 = 9;
 
 /// Rank of a tenant, and of a route.
-type Pair = (u32, u32);
+type RankPair = (u32, u32);
 
 /// The ranks of a configuration.
 #[derive(Debug, Default)]
-pub(super) struct Ranks {
+pub(super) struct PriorityRanks {
     /// All pairs of a configuration with tenants, the most urgent first.
-    pairs: Vec<Pair>,
+    pairs: Vec<RankPair>,
 }
 
-impl Ranks {
+impl PriorityRanks {
     /// Of a configuration.
     #[must_use]
-    pub(super) fn new(document: &Document) -> Ranks {
+    pub(super) fn new(document: &Document) -> PriorityRanks {
         let Some(tenants) = document.tenants() else {
-            return Ranks::default();
+            return PriorityRanks::default();
         };
         let tenant_ranks: BTreeSet<Option<u32>> =
             tenants.iter().map(|tenant| tenant.priority).collect();
@@ -34,7 +34,7 @@
             pairs.insert(pair(None, route));
             pairs.extend(tenant_ranks.iter().map(|rank| pair(*rank, route)));
         }
-        Ranks {
+        PriorityRanks {
             pairs: pairs.into_iter().collect(),
         }
     }
@@ -65,7 +65,7 @@
 }
 
 /// A tenant without a rank has that of the route.
-fn pair(tenant: Option<u32>, route: &Route) -> Pair {
+fn pair(tenant: Option<u32>, route: &Route) -> RankPair {
     (tenant.unwrap_or(route.priority), route.priority)
 }
 
--- a/fleet/src/router/ranks/tests.rs
+++ b/fleet/src/router/ranks/tests.rs
@@ -15,7 +15,7 @@
 }
 
 fn ranks(document: &Document, tenant: Option<usize>) -> Vec<u8> {
-    let ranks = Ranks::new(document);
+    let ranks = PriorityRanks::new(document);
     let tenant = tenant.map(|place| &document.tenants().expect("tenants")[place]);
     document
         .routes()
@@ -41,8 +41,8 @@
     );
     // Pairs in their order: (0, 0), (0, 4), (1, 0), (1, 4), (4, 4).
     assert_eq!((a, b, c), (vec![2, 3], vec![0, 1], vec![0, 4]));
-    let all =
-        Ranks::new(&document).all(document.tenants().expect("tenants"), &document.routes()[1]);
+    let all = PriorityRanks::new(&document)
+        .all(document.tenants().expect("tenants"), &document.routes()[1]);
     assert_eq!(all.into_iter().collect::<Vec<_>>(), [1, 3, 4]);
 }
 
--- a/fleet/src/router/readiness.rs
+++ b/fleet/src/router/readiness.rs
@@ -3,7 +3,7 @@
 //! It promises an answer at once, whatever else the router does, and 200 only where the caller says
 //! that the router is ready.
 
-use super::program::{after, Net, Owner, Timer};
+use super::program::{after, Net, SocketOwner, Timer};
 use lichenswitch_http::{self as http, Parsed, Response};
 use lichenswitch_net::{ConnId, Pumped};
 use std::collections::HashMap;
@@ -17,15 +17,15 @@
 
 /// Connections of the platform.
 #[derive(Default)]
-pub(super) struct Readiness {
+pub(super) struct ReadinessEndpoint {
     /// Each with whether it closes once its answer is written.
     open: HashMap<ConnId, bool>,
 }
 
-impl Readiness {
+impl ReadinessEndpoint {
     /// Accepts all that wait.
     pub(super) fn accept(&mut self, net: &mut Net) {
-        for id in net.accept(Owner::Platform) {
+        for id in net.accept(SocketOwner::Platform) {
             self.open.insert(id, false);
             let at = after(net.clock.now(), IDLE);
             net.wheel.set(at, Timer::Platform(id));
--- a/fleet/src/router/relay.rs
+++ b/fleet/src/router/relay.rs
@@ -4,12 +4,12 @@
 //! breaks off goes on at the next event of another server or is cut, but never ended as complete;
 //! and that what a slow client has not taken is bounded.
 
-use super::cut::CutReason;
-use super::exchange::{Phase, Relay};
-use super::ids::{AttemptId, ExchangeId};
+use super::cut::AbortReason;
+use super::exchange::{ActiveRelay, RequestPhase};
+use super::ids::{AttemptId, RequestId};
 use super::response::ResponseHead;
-use super::server_connections::{Answer, Part};
-use super::service::Ask;
+use super::server_connections::{BodyChunk, BufferedResponse};
+use super::service::RouteRequest;
 use super::Router;
 use lichenswitch_interface::{Micros, Outcome};
 use lichenswitch_net::ConnId;
@@ -26,7 +26,7 @@
         id: AttemptId,
         head: ResponseHead,
         length: Option<u64>,
-        part: Part,
+        part: BodyChunk,
     ) {
         // An attempt that nobody waits for has been given up, and its connection closed.
         let Some(exchange_id) = self.exchanges.of_attempt(id) else {
@@ -45,9 +45,11 @@
             return;
         };
         let resumes = match &exchange.phase {
-            Phase::Held => false,
-            Phase::Resuming { last_event_id } if goes_on(last_event_id, &head, &part) => true,
-            Phase::Resuming { .. } | Phase::Relaying(_) => {
+            RequestPhase::Pending => false,
+            RequestPhase::Resuming { last_event_id } if goes_on(last_event_id, &head, &part) => {
+                true
+            }
+            RequestPhase::Resuming { .. } | RequestPhase::Relaying(_) => {
                 // A second answer, or one that does not go on where the first broke off.
                 self.connections.withdraw(&mut self.net, id);
                 self.exchanges.on_ended(id, Outcome::Cancelled);
@@ -55,7 +57,7 @@
             }
         };
         let last_event_id = part.last_event_id.clone();
-        let relay = Relay {
+        let relay = ActiveRelay {
             attempt: id,
             server,
             last_event_id,
@@ -82,7 +84,7 @@
     }
 
     /// More of an answer that is being passed on.
-    pub(super) fn more(&mut self, id: AttemptId, part: Part) {
+    pub(super) fn more(&mut self, id: AttemptId, part: BodyChunk) {
         // An attempt that nobody waits for has been given up, and its connection closed.
         let Some(exchange_id) = self.exchanges.of_attempt(id) else {
             return;
@@ -90,7 +92,7 @@
         let Some(exchange) = self.exchanges.get_mut(exchange_id) else {
             return;
         };
-        let Phase::Relaying(relay) = &mut exchange.phase else {
+        let RequestPhase::Relaying(relay) = &mut exchange.phase else {
             return;
         };
         if part.last_event_id.is_some() {
@@ -115,19 +117,19 @@
     }
 
     /// The server of an answer that is being passed on broke off.
-    pub(super) fn broken_off(&mut self, id: ExchangeId, outcome: Outcome) {
+    pub(super) fn broken_off(&mut self, id: RequestId, outcome: Outcome) {
         if !self.resume(id) {
-            self.cut(id, CutReason::ServerEnded(outcome));
+            self.cut(id, AbortReason::ServerEnded(outcome));
         }
     }
 
     /// Asks for the rest of a stream at another server, where the rules and the budget allow it.
-    fn resume(&mut self, id: ExchangeId) -> bool {
+    fn resume(&mut self, id: RequestId) -> bool {
         let now = self.net.clock.now();
         let Some(exchange) = self.exchanges.get(id) else {
             return false;
         };
-        let Phase::Relaying(relay) = &exchange.phase else {
+        let RequestPhase::Relaying(relay) = &exchange.phase else {
             return false;
         };
         let in_time = exchange.deadline.since(now) >= RESUME_LEAST;
@@ -144,7 +146,7 @@
         let Some(service) = self.services.get_mut(exchange.service) else {
             return false;
         };
-        let ask = Ask {
+        let ask = RouteRequest {
             exchange: id,
             terms: &terms,
             prompt,
@@ -164,12 +166,12 @@
     }
 
     /// A stream that goes on elsewhere came to its end there at once, or can't go on.
-    pub(super) fn resumed_whole(&mut self, id: ExchangeId, answer: &Answer) {
+    pub(super) fn resumed_whole(&mut self, id: RequestId, answer: &BufferedResponse) {
         let nothing_more = answer.head.event_stream
             && (200..300).contains(&answer.head.status)
             && answer.body.iter().all(|byte| matches!(byte, b'\r' | b'\n'));
         if !nothing_more {
-            return self.cut(id, CutReason::NotResumed);
+            return self.cut(id, AbortReason::NotResumed);
         }
         if let Some(exchange) = self.finish(id) {
             self.clients
@@ -178,7 +180,7 @@
     }
 
     /// Writes what has been passed on; its server rests while the client is behind.
-    fn flush(&mut self, id: ExchangeId, client: ConnId) {
+    fn flush(&mut self, id: RequestId, client: ConnId) {
         let unwritten = self
             .clients
             .flush(&mut self.net, client, &mut self.client_events);
@@ -192,11 +194,11 @@
         }
     }
 
-    fn set_paused(&mut self, id: ExchangeId, on: bool) {
+    fn set_paused(&mut self, id: RequestId, on: bool) {
         let Some(exchange) = self.exchanges.get_mut(id) else {
             return;
         };
-        let Phase::Relaying(relay) = &mut exchange.phase else {
+        let RequestPhase::Relaying(relay) = &mut exchange.phase else {
             return;
         };
         if std::mem::replace(&mut relay.paused, on) != on {
@@ -207,7 +209,7 @@
 
 /// Whether an answer goes on behind this event: a stream of events whose ids are beyond it, where
 /// both are numbers.
-fn goes_on(last: &[u8], head: &ResponseHead, part: &Part) -> bool {
+fn goes_on(last: &[u8], head: &ResponseHead, part: &BodyChunk) -> bool {
     let number = |id: &[u8]| std::str::from_utf8(id).ok()?.trim().parse::<u64>().ok();
     let beyond = match (number(last), part.last_event_id.as_deref().and_then(number)) {
         (Some(last), Some(next)) => next > last,
--- a/fleet/src/router/request.rs
+++ b/fleet/src/router/request.rs
@@ -34,11 +34,11 @@
 pub(super) enum TokenUsage {
     /// Nothing.
     #[default]
-    Untold,
+    Unspecified,
     /// The sum of those of its prompt and the most to come out.
-    Told(u64),
+    Declared(u64),
     /// What is no pair of numbers, or more than can be counted.
-    Unreadable,
+    Invalid,
 }
 
 /// A request, whole.
@@ -70,7 +70,7 @@
 
 /// What goes with one send of a request.
 #[derive(Debug)]
-pub(super) struct Send<'a> {
+pub(super) struct ForwardingHeaders<'a> {
     /// What is left of its time.
     pub left: Duration,
     /// The server that is meant.
@@ -85,14 +85,14 @@
 
 /// How far the reading of a request has come.
 #[derive(Debug)]
-pub(super) enum Progress {
+pub(super) enum RequestProgress {
     /// More bytes are needed.
-    More {
+    Incomplete {
         /// The client waits to be told that it may go on; told once.
         expects_continue: bool,
     },
     /// It is whole.
-    Whole(Box<ClientRequest>),
+    Complete(Box<ClientRequest>),
 }
 
 /// Reads one request.
@@ -124,7 +124,7 @@
     }
 
     /// Writes its head for a server.
-    pub(super) fn encode(&self, send: &Send<'_>, to: &mut Vec<u8>) {
+    pub(super) fn encode(&self, send: &ForwardingHeaders<'_>, to: &mut Vec<u8>) {
         to.reserve(self.passed.len() + self.target.len() + 256);
         // Writes to memory don't fail.
         let _ = write!(to, "{} {} HTTP/1.1\r\n", self.method, self.target);
@@ -177,18 +177,18 @@
     ///
     /// # Errors
     /// What comes is no request within the limits.
-    pub(super) fn read(&mut self, input: &mut Buffer) -> Result<Progress, Malformed> {
+    pub(super) fn read(&mut self, input: &mut Buffer) -> Result<RequestProgress, Malformed> {
         if self.request.is_none() && !self.read_head(input)? {
-            return Ok(Progress::More {
+            return Ok(RequestProgress::Incomplete {
                 expects_continue: false,
             });
         }
         let whole = self.read_body(input)?;
         match self.request.take_if(|_| whole) {
-            Some((request, _)) => Ok(Progress::Whole(request)),
+            Some((request, _)) => Ok(RequestProgress::Complete(request)),
             None => {
                 let waits = std::mem::take(&mut self.expects_continue);
-                Ok(Progress::More {
+                Ok(RequestProgress::Incomplete {
                     expects_continue: waits && self.held() == 0,
                 })
             }
@@ -300,14 +300,14 @@
 /// Reads `Token-Usage`: two whole numbers with a comma between them.
 fn token_usage(value: Option<&[u8]>) -> TokenUsage {
     let Some(value) = value else {
-        return TokenUsage::Untold;
+        return TokenUsage::Unspecified;
     };
     let number = |text: &str| text.trim_matches([' ', '\t']).parse::<u64>().ok();
     let sum = std::str::from_utf8(value)
         .ok()
         .and_then(|text| text.split_once(','))
         .and_then(|(prompt, most_out)| number(prompt)?.checked_add(number(most_out)?));
-    sum.map_or(TokenUsage::Unreadable, TokenUsage::Told)
+    sum.map_or(TokenUsage::Invalid, TokenUsage::Declared)
 }
 
 #[cfg(test)]
--- a/fleet/src/router/request/tests.rs
+++ b/fleet/src/router/request/tests.rs
@@ -8,7 +8,7 @@
     })
 }
 
-fn read(bytes: &[u8]) -> Result<Progress, Malformed> {
+fn read(bytes: &[u8]) -> Result<RequestProgress, Malformed> {
     let mut input = Buffer::default();
     input.push(bytes);
     reader().read(&mut input)
@@ -16,7 +16,7 @@
 
 fn whole(bytes: &[u8]) -> ClientRequest {
     match read(bytes) {
-        Ok(Progress::Whole(request)) => *request,
+        Ok(RequestProgress::Complete(request)) => *request,
         other => panic!("not whole: {other:?}"),
     }
 }
@@ -38,12 +38,17 @@
         let (mut reader, mut input) = (reader(), Buffer::default());
         input.push(&SOUND[..cut]);
         assert!(
-            matches!(reader.read(&mut input), Ok(Progress::More { .. })),
+            matches!(
+                reader.read(&mut input),
+                Ok(RequestProgress::Incomplete { .. })
+            ),
             "cut at {cut}"
         );
         input.push(&SOUND[cut..]);
         match reader.read(&mut input) {
-            Ok(Progress::Whole(request)) => assert_eq!(*request, expected, "cut at {cut}"),
+            Ok(RequestProgress::Complete(request)) => {
+                assert_eq!(*request, expected, "cut at {cut}")
+            }
             other => panic!("cut at {cut}: {other:?}"),
         }
     }
@@ -54,7 +59,7 @@
     let request = whole(SOUND);
     let mut bytes = Vec::new();
     let left = Duration::from_micros(123_900);
-    let send = Send {
+    let send = ForwardingHeaders {
         left,
         instance: "i-9",
         priority: 2,
@@ -72,7 +77,7 @@
     );
     let mut resumed = Vec::new();
     request.encode(
-        &Send {
+        &ForwardingHeaders {
             resume_after: Some(b"31"),
             ..send
         },
@@ -115,25 +120,31 @@
     input.push(b"POST / HTTP/1.1\r\nHost: a\r\nExpect: 100-Continue\r\nContent-Length: 2\r\n\r\n");
     assert!(matches!(
         reader.read(&mut input),
-        Ok(Progress::More {
+        Ok(RequestProgress::Incomplete {
             expects_continue: true
         })
     ));
     input.push(b"o");
     assert!(matches!(
         reader.read(&mut input),
-        Ok(Progress::More {
+        Ok(RequestProgress::Incomplete {
             expects_continue: false
         })
     ));
     input.push(b"k");
-    assert!(matches!(reader.read(&mut input), Ok(Progress::Whole(_))));
+    assert!(matches!(
+        reader.read(&mut input),
+        Ok(RequestProgress::Complete(_))
+    ));
 }
 
 #[test]
 fn what_follows_a_request_stays() {
     let (mut reader, mut input) = (reader(), Buffer::default());
     input.push(b"GET / HTTP/1.1\r\nHost: a\r\n\r\nGET /next");
-    assert!(matches!(reader.read(&mut input), Ok(Progress::Whole(_))));
+    assert!(matches!(
+        reader.read(&mut input),
+        Ok(RequestProgress::Complete(_))
+    ));
     assert_eq!(input.bytes(), b"GET /next");
 }
--- a/fleet/src/router/response.rs
+++ b/fleet/src/router/response.rs
@@ -83,7 +83,7 @@
 
 /// A piece of a server's answer.
 #[derive(Debug, PartialEq, Eq)]
-pub(super) enum Piece {
+pub(super) enum ResponsePart {
     /// Its head.
     Head(ResponseHead),
     /// Bytes of its body.
@@ -95,7 +95,7 @@
 /// Why what came is no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("no answer in the protocol")]
-pub(super) struct NoAnswer;
+pub(super) struct MalformedResponse;
 
 /// Reads the answer to one request.
 #[derive(Debug)]
@@ -129,7 +129,7 @@
         &mut self,
         input: &mut Buffer,
         ended: bool,
-    ) -> Result<Option<Piece>, NoAnswer> {
+    ) -> Result<Option<ResponsePart>, MalformedResponse> {
         let Some((decoder, _)) = &mut self.body else {
             return self.read_head(input, ended);
         };
@@ -137,22 +137,24 @@
             return Ok(None);
         }
         loop {
-            let decoded = decoder.decode(input.bytes()).map_err(|_| NoAnswer)?;
+            let decoded = decoder
+                .decode(input.bytes())
+                .map_err(|_| MalformedResponse)?;
             let (bytes, used, complete) =
                 (decoded.body.to_vec(), decoded.consumed, decoded.complete);
             input.consume(used);
             if !bytes.is_empty() {
-                return Ok(Some(Piece::Body(bytes)));
+                return Ok(Some(ResponsePart::Body(bytes)));
             }
             if complete || used == 0 {
                 break;
             }
         }
         if ended {
-            decoder.end().map_err(|_| NoAnswer)?;
+            decoder.end().map_err(|_| MalformedResponse)?;
         }
         self.ended = decoder.is_complete();
-        Ok(self.ended.then_some(Piece::End))
+        Ok(self.ended.then_some(ResponsePart::End))
     }
 
     /// Whether the server keeps the connection for another request.
@@ -184,21 +186,29 @@
         }
     }
 
-    fn read_head(&mut self, input: &mut Buffer, ended: bool) -> Result<Option<Piece>, NoAnswer> {
+    fn read_head(
+        &mut self,
+        input: &mut Buffer,
+        ended: bool,
+    ) -> Result<Option<ResponsePart>, MalformedResponse> {
         loop {
             let parsed = parse_response_head(input.bytes(), MAX_HEAD, self.head_only);
-            let (head, used) = match parsed.map_err(|_| NoAnswer)? {
+            let (head, used) = match parsed.map_err(|_| MalformedResponse)? {
                 Some(parsed) => parsed,
-                None if ended => return Err(NoAnswer),
+                None if ended => return Err(MalformedResponse),
                 None => return Ok(None),
             };
             input.consume(used);
             match head.status {
                 // Nothing was asked that this could be the answer to.
-                101 => return Err(NoAnswer),
+                101 => return Err(MalformedResponse),
                 100..=199 => {}
-                200..=599 => return self.take_head(&head).map(|head| Some(Piece::Head(head))),
-                _ => return Err(NoAnswer),
+                200..=599 => {
+                    return self
+                        .take_head(&head)
+                        .map(|head| Some(ResponsePart::Head(head)))
+                }
+                _ => return Err(MalformedResponse),
             }
         }
     }
@@ -206,9 +216,9 @@
     fn take_head(
         &mut self,
         head: &lichenswitch_http::ResponseHead,
-    ) -> Result<ResponseHead, NoAnswer> {
+    ) -> Result<ResponseHead, MalformedResponse> {
         // What is held is bounded by whoever takes the pieces.
-        let decoder = BodyDecoder::new(head.framing, u64::MAX).map_err(|_| NoAnswer)?;
+        let decoder = BodyDecoder::new(head.framing, u64::MAX).map_err(|_| MalformedResponse)?;
         self.body = Some((decoder, head.framing));
         let headers = &head.headers;
         (self.keeps, self.idle_time) = (
@@ -251,18 +261,18 @@
 
 /// An answer of this program. It never bears a seal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct OwnAnswer {
+pub(super) struct LocalResponse {
     status: u16,
     retry_after: Option<Micros>,
     /// The connection ends with it.
     pub closes: bool,
 }
 
-impl OwnAnswer {
+impl LocalResponse {
     /// This status and nothing else.
     #[must_use]
-    pub(super) fn plain(status: u16) -> OwnAnswer {
-        OwnAnswer {
+    pub(super) fn plain(status: u16) -> LocalResponse {
+        LocalResponse {
             status,
             retry_after: None,
             closes: false,
@@ -271,17 +281,17 @@
 
     /// This status, and the end of the connection.
     #[must_use]
-    pub(super) fn closing(status: u16) -> OwnAnswer {
-        OwnAnswer {
+    pub(super) fn closing(status: u16) -> LocalResponse {
+        LocalResponse {
             closes: true,
-            ..OwnAnswer::plain(status)
+            ..LocalResponse::plain(status)
         }
     }
 
     /// A refusal: the request has not run and never will.
     #[must_use]
-    pub(super) fn refused(after: Option<Micros>) -> OwnAnswer {
-        OwnAnswer {
+    pub(super) fn refused(after: Option<Micros>) -> LocalResponse {
+        LocalResponse {
             status: 503,
             retry_after: Some(after.unwrap_or(RETRY_AFTER).max(1_000)),
             closes: false,
@@ -290,17 +300,17 @@
 
     /// A refusal of what is beyond a quota: the request has not run and never will.
     #[must_use]
-    pub(super) fn beyond_quota(after: Micros) -> OwnAnswer {
-        OwnAnswer {
+    pub(super) fn beyond_quota(after: Micros) -> LocalResponse {
+        LocalResponse {
             status: 429,
-            ..OwnAnswer::refused(Some(after))
+            ..LocalResponse::refused(Some(after))
         }
     }
 
     /// The same, and the end of the connection.
     #[must_use]
-    pub(super) fn and_close(self) -> OwnAnswer {
-        OwnAnswer {
+    pub(super) fn and_close(self) -> LocalResponse {
+        LocalResponse {
             closes: true,
             ..self
         }
--- a/fleet/src/router/response/tests.rs
+++ b/fleet/src/router/response/tests.rs
@@ -1,4 +1,4 @@
-use super::super::request::{Progress, RequestReader};
+use super::super::request::{RequestProgress, RequestReader};
 use super::*;
 use assert_matches::assert_matches;
 use lichenswitch_configuration::Limits;
@@ -7,7 +7,7 @@
     let mut input = Buffer::default();
     input.push(format!("{method} / HTTP/1.1\r\nHost: a\r\nAttempt-Id: x\r\n\r\n").as_bytes());
     match RequestReader::new(&Limits::default()).read(&mut input) {
-        Ok(Progress::Whole(request)) => *request,
+        Ok(RequestProgress::Complete(request)) => *request,
         other => panic!("{other:?}"),
     }
 }
@@ -18,7 +18,7 @@
     method: &str,
     parts: &[&[u8]],
     ended: bool,
-) -> Result<(Vec<Piece>, ResponseReader, Vec<u8>), NoAnswer> {
+) -> Result<(Vec<ResponsePart>, ResponseReader, Vec<u8>), MalformedResponse> {
     let (mut reader, mut input, mut pieces) = (
         ResponseReader::new(&request(method)),
         Buffer::default(),
@@ -35,11 +35,11 @@
     Ok((pieces, reader, rest))
 }
 
-fn body(pieces: &[Piece]) -> Vec<u8> {
+fn body(pieces: &[ResponsePart]) -> Vec<u8> {
     pieces
         .iter()
         .flat_map(|piece| {
-            if let Piece::Body(bytes) = piece {
+            if let ResponsePart::Body(bytes) = piece {
                 bytes.clone()
             } else {
                 Vec::new()
@@ -57,15 +57,15 @@
     for cut in 0..WHOLE.len() {
         let (pieces, reader, rest) =
             read("GET", &[&WHOLE[..cut], &WHOLE[cut..]], false).expect("an answer");
-        assert_matches!(&pieces[0], Piece::Head(head) if head.status == 200 && head.event_stream && head.sealed);
+        assert_matches!(&pieces[0], ResponsePart::Head(head) if head.status == 200 && head.event_stream && head.sealed);
         assert_eq!(
             (body(&pieces).as_slice(), pieces.last()),
-            (&b"abcde"[..], Some(&Piece::End))
+            (&b"abcde"[..], Some(&ResponsePart::End))
         );
         assert_eq!(rest, b"EXTRA", "what is behind it is left where it is");
         assert!(reader.keeps_connection() && reader.is_framed());
         assert_eq!(reader.idle_time(), Some(Duration::from_secs(8)));
-        let Piece::Head(head) = &pieces[0] else {
+        let ResponsePart::Head(head) = &pieces[0] else {
             panic!("a head comes first")
         };
         let text = String::from_utf8(head.encode()).expect("text");
@@ -89,11 +89,11 @@
     let (pieces, reader, _) = read("GET", &[bytes], true).expect("an answer");
     assert_eq!(
         (body(&pieces).as_slice(), pieces.last()),
-        (&b"some"[..], Some(&Piece::End))
+        (&b"some"[..], Some(&ResponsePart::End))
     );
     assert!(!reader.keeps_connection());
     let (pieces, ..) = read("GET", &[bytes], false).expect("the beginning of an answer");
-    assert!(!pieces.contains(&Piece::End));
+    assert!(!pieces.contains(&ResponsePart::End));
 }
 
 #[test]
@@ -137,7 +137,7 @@
     for (method, status) in [("HEAD", 200), ("GET", 204), ("GET", 304)] {
         let bytes = format!("HTTP/1.1 {status} X\r\nContent-Length: 4\r\n\r\n");
         let (pieces, reader, _) = read(method, &[bytes.as_bytes()], false).expect("an answer");
-        assert_matches!(&pieces[..], [Piece::Head(head), Piece::End] if !head.has_body);
+        assert_matches!(&pieces[..], [ResponsePart::Head(head), ResponsePart::End] if !head.has_body);
         assert!(reader.keeps_connection());
     }
 }
@@ -156,11 +156,12 @@
 
 #[test]
 fn a_refusal_tells_when_to_come_back() {
-    let text = |answer: OwnAnswer| String::from_utf8(answer.encode(false, false)).expect("text");
-    assert!(text(OwnAnswer::refused(Some(150_000))).contains("retry-after: 0.150\r\n"));
-    assert!(text(OwnAnswer::refused(None)).contains("retry-after: 0.200\r\n"));
-    assert!(!text(OwnAnswer::plain(502)).contains("retry-after"));
-    assert!(text(OwnAnswer::plain(502)).ends_with("\r\n\r\nBad Gateway"));
+    let text =
+        |answer: LocalResponse| String::from_utf8(answer.encode(false, false)).expect("text");
+    assert!(text(LocalResponse::refused(Some(150_000))).contains("retry-after: 0.150\r\n"));
+    assert!(text(LocalResponse::refused(None)).contains("retry-after: 0.200\r\n"));
+    assert!(!text(LocalResponse::plain(502)).contains("retry-after"));
+    assert!(text(LocalResponse::plain(502)).ends_with("\r\n\r\nBad Gateway"));
 }
 
 #[test]
--- a/fleet/src/router/server_connections.rs
+++ b/fleet/src/router/server_connections.rs
@@ -16,14 +16,14 @@
 
 use super::ids::AttemptId;
 use super::program::{micros, Net, Timer, SERVER_USER_TIMEOUT};
-use super::request::{ClientRequest, Send};
+use super::request::{ClientRequest, ForwardingHeaders};
 use super::response::{ResponseHead, ResponseReader};
 use super::servers::Endpoint;
 use super::tenants::Sender;
 use lichenswitch_event_stream::Scanner;
 use lichenswitch_interface::{Micros, Outcome, ServerId, Time};
 use lichenswitch_net::{ConnId, Pumped};
-use reading::Taken;
+use reading::ReadOutcome;
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 use std::time::Duration;
@@ -89,7 +89,7 @@
 
 /// A server's answer, whole.
 #[derive(Debug, Clone, PartialEq)]
-pub(super) struct Answer {
+pub(super) struct BufferedResponse {
     /// Its head.
     pub head: ResponseHead,
     /// Its body.
@@ -98,7 +98,7 @@
 
 /// A part of an answer that is passed on as it comes; of a stream of events whole events alone.
 #[derive(Debug, Default, Clone, PartialEq)]
-pub(super) struct Part {
+pub(super) struct BodyChunk {
     /// Its bytes.
     pub bytes: Vec<u8>,
     /// The id of the last event so far.
@@ -109,56 +109,56 @@
 #[derive(Debug)]
 pub(super) enum ServerEvent {
     /// It was answered, whole.
-    Answered(AttemptId, Answer),
+    ResponseReceived(AttemptId, BufferedResponse),
     /// An answer has begun that is passed on as it comes: its head, its length where that is told,
     /// and its first part.
-    Begun(AttemptId, Box<ResponseHead>, Option<u64>, Part),
+    StreamStarted(AttemptId, Box<ResponseHead>, Option<u64>, BodyChunk),
     /// More of it.
-    More(AttemptId, Part),
+    ChunkReceived(AttemptId, BodyChunk),
     /// It is complete, with these bytes.
-    Completed(AttemptId, Vec<u8>),
+    StreamCompleted(AttemptId, Vec<u8>),
     /// It ended without a complete answer.
-    Failed(AttemptId, Outcome),
+    AttemptFailed(AttemptId, Outcome),
 }
 
 /// How the body of the answer that is being read is treated.
 #[derive(Debug)]
-enum Body {
+enum BodyMode {
     /// The head has not come.
-    None,
+    AwaitingHead,
     /// Gathered until it is whole.
-    Whole(Box<ResponseHead>, Vec<u8>),
+    Buffered(Box<ResponseHead>, Vec<u8>),
     /// A stream of events; the head until the first event has come.
     Events(Option<Box<ResponseHead>>, Box<Scanner>),
     /// Passed on as it comes.
-    Passed,
+    Forwarded,
 }
 
 /// The request that is out on a connection.
 #[derive(Debug)]
-struct Current {
+struct InFlightRequest {
     attempt: Attempt,
     /// Bytes written on the connection before it, and with it.
     begins: u64,
     ends: u64,
     reader: ResponseReader,
-    body: Body,
+    body: BodyMode,
     /// The answer began before the request was written whole.
     early: bool,
 }
 
 #[derive(Debug)]
-enum State {
+enum ConnectionState {
     /// Being opened for this attempt.
     Opening(Box<Attempt>),
-    Busy(Box<Current>),
+    Busy(Box<InFlightRequest>),
     /// Since then, and of use until then.
     Idle(Time, Time),
 }
 
-struct Link {
+struct PooledConnection {
     server: ServerId,
-    state: State,
+    state: ConnectionState,
     /// A timer is set that fires then at the latest.
     timer: Option<Time>,
 }
@@ -166,7 +166,7 @@
 /// All connections to servers.
 #[derive(Default)]
 pub(super) struct ServerConnections {
-    links: HashMap<ConnId, Link>,
+    links: HashMap<ConnId, PooledConnection>,
     by_attempt: HashMap<AttemptId, ConnId>,
     /// Connections of each server, whatever they do.
     by_server: HashMap<ServerId, Vec<ConnId>>,
@@ -202,7 +202,7 @@
     /// `true`: not a byte of it has left.
     pub(super) fn withdraw(&mut self, net: &mut Net, id: AttemptId) -> bool {
         if let Some(connection) = self.by_attempt.remove(&id) {
-            let opening = matches!(self.state(connection), Some(State::Opening(_)));
+            let opening = matches!(self.state(connection), Some(ConnectionState::Opening(_)));
             self.close(net, connection);
             return opening;
         }
@@ -217,13 +217,13 @@
         }
         for id in self.by_server.get(&server).cloned().unwrap_or_default() {
             match self.state(id) {
-                Some(State::Opening(attempt)) => {
+                Some(ConnectionState::Opening(attempt)) => {
                     let attempt = attempt.id;
                     self.fail(attempt, Outcome::Moot);
                     self.close(net, id);
                 }
-                Some(State::Idle(..)) => self.close(net, id),
-                Some(State::Busy(_)) | None => {}
+                Some(ConnectionState::Idle(..)) => self.close(net, id),
+                Some(ConnectionState::Busy(_)) | None => {}
             }
         }
     }
@@ -232,7 +232,8 @@
     pub(super) fn close_idle(&mut self, net: &mut Net, server: ServerId) {
         let now = net.clock.now();
         for id in self.by_server.get(&server).cloned().unwrap_or_default() {
-            if matches!(self.state(id), Some(State::Idle(since, _)) if now.since(*since) > FRESH) {
+            if matches!(self.state(id), Some(ConnectionState::Idle(since, _)) if now.since(*since) > FRESH)
+            {
                 self.close(net, id);
             }
         }
@@ -255,11 +256,11 @@
         }
         let pumped = net.pump(id, CEILING);
         match self.state(id) {
-            Some(State::Opening(_)) => self.opened(net, id, &pumped),
+            Some(ConnectionState::Opening(_)) => self.opened(net, id, &pumped),
             // Nothing is due: whatever comes belongs to nobody, and an end is an end.
-            Some(State::Idle(..)) if pumped == Pumped::Alive && is_quiet(net, id) => {}
-            Some(State::Idle(..)) => self.close(net, id),
-            Some(State::Busy(_)) => self.read(net, id, &pumped),
+            Some(ConnectionState::Idle(..)) if pumped == Pumped::Alive && is_quiet(net, id) => {}
+            Some(ConnectionState::Idle(..)) => self.close(net, id),
+            Some(ConnectionState::Busy(_)) => self.read(net, id, &pumped),
             None => {}
         }
     }
@@ -272,13 +273,13 @@
         };
         link.timer = link.timer.filter(|at| *at > now);
         match &link.state {
-            State::Opening(_) => self.opened(net, id, &Pumped::NeverUp),
-            State::Idle(_, until) if *until <= now => self.close(net, id),
-            State::Idle(_, until) => {
+            ConnectionState::Opening(_) => self.opened(net, id, &Pumped::NeverUp),
+            ConnectionState::Idle(_, until) if *until <= now => self.close(net, id),
+            ConnectionState::Idle(_, until) => {
                 let until = *until;
                 self.arm(net, id, until);
             }
-            State::Busy(_) => {}
+            ConnectionState::Busy(_) => {}
         }
     }
 
@@ -289,13 +290,13 @@
         }
     }
 
-    fn state(&self, id: ConnId) -> Option<&State> {
+    fn state(&self, id: ConnId) -> Option<&ConnectionState> {
         self.links.get(&id).map(|link| &link.state)
     }
 
     fn fail(&mut self, id: AttemptId, outcome: Outcome) {
         self.by_attempt.remove(&id);
-        self.events.push(ServerEvent::Failed(id, outcome));
+        self.events.push(ServerEvent::AttemptFailed(id, outcome));
     }
 
     /// Takes an attempt out of those that wait; `false`: it is none of them.
@@ -329,7 +330,8 @@
             return;
         };
         let now = net.clock.now();
-        let State::Opening(attempt) = std::mem::replace(&mut link.state, State::Idle(now, now))
+        let ConnectionState::Opening(attempt) =
+            std::mem::replace(&mut link.state, ConnectionState::Idle(now, now))
         else {
             return;
         };
@@ -350,11 +352,11 @@
         };
         if left < Duration::from_millis(1) {
             // The server would find its time over.
-            link.state = State::Idle(now, now);
+            link.state = ConnectionState::Idle(now, now);
             self.fail(attempt.id, Outcome::Moot);
             return self.close(net, id);
         }
-        let send = Send {
+        let send = ForwardingHeaders {
             left,
             instance: &attempt.endpoint.instance,
             priority: attempt.priority,
@@ -370,8 +372,8 @@
         conn.send(&bytes);
         let ends = conn.send(&attempt.request.body);
         let reader = ResponseReader::new(&attempt.request);
-        let (attempt_id, body) = (attempt.id, Body::None);
-        link.state = State::Busy(Box::new(Current {
+        let (attempt_id, body) = (attempt.id, BodyMode::AwaitingHead);
+        link.state = ConnectionState::Busy(Box::new(InFlightRequest {
             attempt,
             begins,
             ends,
@@ -392,7 +394,7 @@
             let (Some(link), Some(conn)) = (self.links.get_mut(&id), net.get_mut(id)) else {
                 return;
             };
-            let State::Busy(current) = &mut link.state else {
+            let ConnectionState::Busy(current) = &mut link.state else {
                 return;
             };
             current.early |= !conn.input.is_empty() && conn.written() < current.ends;
@@ -401,13 +403,13 @@
             let ended = conn.ended && !broken;
             match current.reader.read(&mut conn.input, ended) {
                 Ok(Some(piece)) => match current.take(piece) {
-                    Taken::Nothing => {}
-                    Taken::Event(event) => self.events.push(event),
-                    Taken::Whole(event) => {
+                    ReadOutcome::Incomplete => {}
+                    ReadOutcome::Event(event) => self.events.push(event),
+                    ReadOutcome::Final(event) => {
                         self.events.push(event);
                         return self.finished(net, id);
                     }
-                    Taken::Odd => return self.broken(net, id),
+                    ReadOutcome::Mismatch => return self.broken(net, id),
                 },
                 Ok(None) => break,
                 Err(_) => return self.broken(net, id),
@@ -430,7 +432,9 @@
         let (Some(link), Some(conn)) = (self.links.get_mut(&id), net.get(id)) else {
             return;
         };
-        let State::Busy(current) = std::mem::replace(&mut link.state, State::Idle(now, now)) else {
+        let ConnectionState::Busy(current) =
+            std::mem::replace(&mut link.state, ConnectionState::Idle(now, now))
+        else {
             return;
         };
         self.by_attempt.remove(&current.attempt.id);
@@ -446,7 +450,7 @@
         if !clean || !current.reader.keeps_connection() || keep == 0 {
             return self.close(net, id);
         }
-        link.state = State::Idle(now, now.plus(keep));
+        link.state = ConnectionState::Idle(now, now.plus(keep));
         let server = link.server;
         if current.attempt.has_long_body() {
             conn.set_user_timeout(SERVER_USER_TIMEOUT);
@@ -463,7 +467,7 @@
     /// The connection broke, or brought what is no answer to its request.
     fn broken(&mut self, net: &mut Net, id: ConnId) {
         let written = net.get(id).map_or(u64::MAX, |conn| conn.written());
-        if let Some(State::Busy(current)) = self.state(id) {
+        if let Some(ConnectionState::Busy(current)) = self.state(id) {
             // Once the first byte may have gone the request may have run.
             let outcome = if written <= current.begins {
                 Outcome::ConnectFailed
--- a/fleet/src/router/server_connections/pool.rs
+++ b/fleet/src/router/server_connections/pool.rs
@@ -1,7 +1,9 @@
 //! Which connection an attempt gets: one that rests, a new one, or a place in the queue.
 
-use super::super::program::{Net, Owner, Timer};
-use super::{is_quiet, Attempt, Link, ServerConnections, State, CONNECT, FRESH, WAIT};
+use super::super::program::{Net, SocketOwner, Timer};
+use super::{
+    is_quiet, Attempt, ConnectionState, PooledConnection, ServerConnections, CONNECT, FRESH, WAIT,
+};
 use lichenswitch_interface::{Outcome, ServerId};
 use lichenswitch_net::{ConnId, Denied, Pumped};
 
@@ -12,8 +14,8 @@
         let now = net.clock.now();
         let known = self.by_server.get(&attempt.server)?;
         let idle = known.iter().filter_map(|id| match self.state(*id)? {
-            State::Idle(since, until) => Some((*since, *until, *id)),
-            State::Opening(_) | State::Busy(_) => None,
+            ConnectionState::Idle(since, until) => Some((*since, *until, *id)),
+            ConnectionState::Opening(_) | ConnectionState::Busy(_) => None,
         });
         let (since, until, id) = idle.max_by_key(|(since, ..)| *since)?;
         let most = if attempt.idempotent {
@@ -33,9 +35,9 @@
     }
 
     pub(super) fn open(&mut self, net: &mut Net, attempt: Attempt) {
-        let mut connected = net.connect(Owner::Server, attempt.endpoint.address);
+        let mut connected = net.connect(SocketOwner::Server, attempt.endpoint.address);
         if matches!(connected, Err(Denied::Lack(_))) && self.close_any_idle(net) {
-            connected = net.connect(Owner::Server, attempt.endpoint.address);
+            connected = net.connect(SocketOwner::Server, attempt.endpoint.address);
         }
         match connected {
             Ok(id) => {
@@ -43,10 +45,10 @@
                 self.by_attempt.insert(attempt.id, id);
                 self.by_server.entry(server).or_default().push(id);
                 let up = net.get(id).is_some_and(|conn| conn.up);
-                let state = State::Opening(Box::new(attempt));
+                let state = ConnectionState::Opening(Box::new(attempt));
                 self.links.insert(
                     id,
-                    Link {
+                    PooledConnection {
                         server,
                         state,
                         timer: None,
@@ -64,8 +66,10 @@
     }
 
     pub(super) fn wait(&mut self, net: &mut Net, attempt: Attempt) {
-        net.wheel
-            .set(net.clock.now().plus(WAIT), Timer::Waiting(attempt.id));
+        net.wheel.set(
+            net.clock.now().plus(WAIT),
+            Timer::ConnectionWait(attempt.id),
+        );
         self.waiting
             .entry(attempt.server)
             .or_default()
@@ -82,7 +86,7 @@
     }
 
     pub(super) fn close_one_idle(&mut self, net: &mut Net, server: ServerId) -> Option<()> {
-        let rests = |id: &&ConnId| matches!(self.state(**id), Some(State::Idle(..)));
+        let rests = |id: &&ConnId| matches!(self.state(**id), Some(ConnectionState::Idle(..)));
         let id = *self.by_server.get(&server)?.iter().find(rests)?;
         self.close(net, id);
         Some(())
@@ -91,7 +95,7 @@
     /// Closes the connection that has rested for longest, to whichever server.
     pub(super) fn close_any_idle(&mut self, net: &mut Net) -> bool {
         let idle = self.links.iter().filter_map(|(id, link)| match link.state {
-            State::Idle(since, _) => Some((since, *id)),
+            ConnectionState::Idle(since, _) => Some((since, *id)),
             _ => None,
         });
         let Some((_, id)) = idle.min() else {
--- a/fleet/src/router/server_connections/reading.rs
+++ b/fleet/src/router/server_connections/reading.rs
@@ -1,69 +1,75 @@
 //! The answer on a connection as it is read: what its pieces come to.
 
-use super::super::response::{Piece, ResponseHead};
-use super::{Answer, Body, Current, Part, ServerEvent, MAX_EVENT, MAX_WHOLE};
+use super::super::response::{ResponseHead, ResponsePart};
+use super::{
+    BodyChunk, BodyMode, BufferedResponse, InFlightRequest, ServerEvent, MAX_EVENT, MAX_WHOLE,
+};
 use lichenswitch_event_stream::Scanner;
 
 /// What a piece of an answer comes to.
-pub(super) enum Taken {
-    Nothing,
+pub(super) enum ReadOutcome {
+    Incomplete,
     Event(ServerEvent),
     /// The last of this answer.
-    Whole(ServerEvent),
+    Final(ServerEvent),
     /// It is no answer to this request.
-    Odd,
+    Mismatch,
 }
 
-impl Current {
-    pub(super) fn take(&mut self, piece: Piece) -> Taken {
+impl InFlightRequest {
+    pub(super) fn take(&mut self, piece: ResponsePart) -> ReadOutcome {
         match piece {
-            Piece::Head(head) => self.take_head(head),
-            Piece::Body(bytes) => self.take_body(&bytes),
-            Piece::End => self.take_end(),
+            ResponsePart::Head(head) => self.take_head(head),
+            ResponsePart::Body(bytes) => self.take_body(&bytes),
+            ResponsePart::End => self.take_end(),
         }
     }
 
-    pub(super) fn take_head(&mut self, head: ResponseHead) -> Taken {
+    pub(super) fn take_head(&mut self, head: ResponseHead) -> ReadOutcome {
         if head.attempt_id != self.attempt.request.attempt_id {
-            return Taken::Odd;
+            return ReadOutcome::Mismatch;
         }
         let success = (200..300).contains(&head.status);
         // A success that no server has sealed is none.
         if success && !head.sealed {
-            return Taken::Odd;
+            return ReadOutcome::Mismatch;
         }
         let head = Box::new(head);
         self.body = match success && head.event_stream {
-            true => Body::Events(Some(head), Box::new(Scanner::new(MAX_EVENT))),
-            false => Body::Whole(head, Vec::new()),
+            true => BodyMode::Events(Some(head), Box::new(Scanner::new(MAX_EVENT))),
+            false => BodyMode::Buffered(head, Vec::new()),
         };
-        Taken::Nothing
+        ReadOutcome::Incomplete
     }
 
-    pub(super) fn take_body(&mut self, bytes: &[u8]) -> Taken {
+    pub(super) fn take_body(&mut self, bytes: &[u8]) -> ReadOutcome {
         let id = self.attempt.id;
         match &mut self.body {
-            Body::None => Taken::Odd,
-            Body::Passed => Taken::Event(ServerEvent::More(id, part_of(bytes.to_vec(), None))),
-            Body::Whole(_, body) => {
+            BodyMode::AwaitingHead => ReadOutcome::Mismatch,
+            BodyMode::Forwarded => ReadOutcome::Event(ServerEvent::ChunkReceived(
+                id,
+                part_of(bytes.to_vec(), None),
+            )),
+            BodyMode::Buffered(_, body) => {
                 body.extend_from_slice(bytes);
                 if body.len() <= MAX_WHOLE {
-                    return Taken::Nothing;
+                    return ReadOutcome::Incomplete;
                 }
-                let Body::Whole(head, body) = std::mem::replace(&mut self.body, Body::Passed)
+                let BodyMode::Buffered(head, body) =
+                    std::mem::replace(&mut self.body, BodyMode::Forwarded)
                 else {
-                    return Taken::Odd;
+                    return ReadOutcome::Mismatch;
                 };
-                Taken::Event(ServerEvent::Begun(
+                ReadOutcome::Event(ServerEvent::StreamStarted(
                     id,
                     head,
                     self.reader.length(),
                     part_of(body, None),
                 ))
             }
-            Body::Events(head, scanner) => {
+            BodyMode::Events(head, scanner) => {
                 if scanner.push(bytes).is_err() {
-                    return Taken::Odd;
+                    return ReadOutcome::Mismatch;
                 }
                 let whole = scanner.whole().len();
                 // Comments before the first event are passed on with it.
@@ -72,49 +78,52 @@
                         && scanner.last_event_id().is_none()
                         && !has_field(scanner.whole()))
                 {
-                    return Taken::Nothing;
+                    return ReadOutcome::Incomplete;
                 }
                 let part = part_of(scanner.whole().to_vec(), scanner.last_event_id());
                 scanner.advance(whole);
-                Taken::Event(match head.take() {
-                    Some(head) => ServerEvent::Begun(id, head, None, part),
-                    None => ServerEvent::More(id, part),
+                ReadOutcome::Event(match head.take() {
+                    Some(head) => ServerEvent::StreamStarted(id, head, None, part),
+                    None => ServerEvent::ChunkReceived(id, part),
                 })
             }
         }
     }
 
-    pub(super) fn take_end(&mut self) -> Taken {
+    pub(super) fn take_end(&mut self) -> ReadOutcome {
         let id = self.attempt.id;
-        match std::mem::replace(&mut self.body, Body::Passed) {
-            Body::None => Taken::Odd,
-            Body::Passed => Taken::Whole(ServerEvent::Completed(id, Vec::new())),
-            Body::Whole(head, body) => {
-                Taken::Whole(ServerEvent::Answered(id, Answer { head: *head, body }))
-            }
+        match std::mem::replace(&mut self.body, BodyMode::Forwarded) {
+            BodyMode::AwaitingHead => ReadOutcome::Mismatch,
+            BodyMode::Forwarded => ReadOutcome::Final(ServerEvent::StreamCompleted(id, Vec::new())),
+            BodyMode::Buffered(head, body) => ReadOutcome::Final(ServerEvent::ResponseReceived(
+                id,
+                BufferedResponse { head: *head, body },
+            )),
             // Without a length the end of the connection is the end of the answer, and a server
             // that breaks off in the midst of an event ends it as well.
-            Body::Events(_, scanner)
+            BodyMode::Events(_, scanner)
                 if !scanner.partial().is_empty() && !self.reader.is_framed() =>
             {
-                Taken::Odd
+                ReadOutcome::Mismatch
             }
-            Body::Events(Some(head), scanner) => Taken::Whole(ServerEvent::Answered(
-                id,
-                Answer {
-                    head: *head,
-                    body: rest_of(&scanner),
-                },
-            )),
-            Body::Events(None, scanner) => {
-                Taken::Whole(ServerEvent::Completed(id, rest_of(&scanner)))
+            BodyMode::Events(Some(head), scanner) => {
+                ReadOutcome::Final(ServerEvent::ResponseReceived(
+                    id,
+                    BufferedResponse {
+                        head: *head,
+                        body: rest_of(&scanner),
+                    },
+                ))
+            }
+            BodyMode::Events(None, scanner) => {
+                ReadOutcome::Final(ServerEvent::StreamCompleted(id, rest_of(&scanner)))
             }
         }
     }
 }
 
-pub(super) fn part_of(bytes: Vec<u8>, last_event_id: Option<&[u8]>) -> Part {
-    Part {
+pub(super) fn part_of(bytes: Vec<u8>, last_event_id: Option<&[u8]>) -> BodyChunk {
+    BodyChunk {
         bytes,
         last_event_id: last_event_id.map(<[u8]>::to_vec),
     }
--- a/fleet/src/router/servers.rs
+++ b/fleet/src/router/servers.rs
@@ -43,14 +43,14 @@
 
 /// What a push changed at one service.
 #[derive(Debug, PartialEq)]
-pub(super) struct Change {
+pub(super) struct ServerChange {
     /// Its name.
     pub service: Rc<str>,
     /// The changed line of its list.
     pub line: ListedServer,
 }
 
-impl Change {
+impl ServerChange {
     /// The server takes nothing new.
     #[must_use]
     pub(super) fn takes_nothing(&self) -> bool {
@@ -79,7 +79,7 @@
     }
 
     /// Merges a push; tells the lines that changed.
-    pub(super) fn merge(&mut self, records: &[ServerRecord]) -> Vec<Change> {
+    pub(super) fn merge(&mut self, records: &[ServerRecord]) -> Vec<ServerChange> {
         records
             .iter()
             .filter_map(|record| self.merge_one(record))
@@ -118,7 +118,7 @@
         self.instances.len() - self.gone.len()
     }
 
-    fn merge_one(&mut self, record: &ServerRecord) -> Option<Change> {
+    fn merge_one(&mut self, record: &ServerRecord) -> Option<ServerChange> {
         let (service, zone) = (self.service(&record.service), self.zone(&record.zone));
         let address = record.address.parse().ok();
         if let Some((name, known)) = self.instances.get_key_value(record.instance.as_str()) {
@@ -149,7 +149,7 @@
             self.bury(name);
             return None;
         }
-        Some(Change { service, line })
+        Some(ServerChange { service, line })
     }
 
     /// The same at all routers, unless two instances share a hash: routers choose servers by it.
@@ -168,7 +168,7 @@
         record: &ServerRecord,
         address: Option<SocketAddr>,
         zone: u32,
-    ) -> Option<Change> {
+    ) -> Option<ServerChange> {
         let known = self.instances.get_mut(name)?;
         let (before, was) = (line(known), known.state);
         known.sequence_number = known.sequence_number.max(record.sequence_number);
@@ -178,7 +178,7 @@
         if was != ServerState::Gone && record.state == ServerState::Gone {
             self.bury(name.clone());
         }
-        (before != after).then_some(Change {
+        (before != after).then_some(ServerChange {
             service,
             line: after,
         })
--- a/fleet/src/router/service.rs
+++ b/fleet/src/router/service.rs
@@ -5,8 +5,8 @@
 //! meanwhile, and that every server which the module knows is known by its latest line.
 
 use super::budget::{module_budget, ResumeBudget};
-use super::configuration::Terms;
-use super::ids::ExchangeId;
+use super::configuration::RouteTerms;
+use super::ids::RequestId;
 use super::options::{Capacity, RetryBudget};
 use super::prefix::Prompt;
 use super::response::ServerLoad;
@@ -49,9 +49,9 @@
 pub(super) struct Service {
     /// Its name.
     pub name: Rc<str>,
-    core: Core<ExchangeId>,
-    classes: Vec<Slot>,
-    queries: HashMap<QueryId, ExchangeId>,
+    core: Core<RequestId>,
+    classes: Vec<RequestClass>,
+    queries: HashMap<QueryId, RequestId>,
     /// What loads each server beside what waits there for this router.
     loads: HashMap<ServerId, ServerLoads>,
     /// Sum of all backlogs (tokens).
@@ -82,11 +82,11 @@
 
 /// What a service is asked for.
 #[derive(Debug)]
-pub(super) struct Ask<'a> {
+pub(super) struct RouteRequest<'a> {
     /// The request that is held.
-    pub exchange: ExchangeId,
+    pub exchange: RequestId,
     /// What its route says.
-    pub terms: &'a Terms,
+    pub terms: &'a RouteTerms,
     /// What is known of its prompt.
     pub prompt: Prompt,
     /// When its time is over.
@@ -94,8 +94,8 @@
 }
 
 /// A class of requests: one route in one of its forms.
-struct Slot {
-    terms: Terms,
+struct RequestClass {
+    terms: RouteTerms,
     /// Requests that are held with it.
     held: u32,
     /// The configuration in force has it.
@@ -139,7 +139,7 @@
     }
 
     /// The routes of the configuration in force that may send to it.
-    pub(super) fn set_routes(&mut self, routes: Vec<Terms>) {
+    pub(super) fn set_routes(&mut self, routes: Vec<RouteTerms>) {
         self.classes
             .iter_mut()
             .for_each(|slot| slot.in_force = false);
@@ -192,7 +192,11 @@
     ///
     /// # Errors
     /// Why it is turned away.
-    pub(super) fn take(&mut self, now: Time, ask: &Ask<'_>) -> Result<(QueryId, u16), Refusal> {
+    pub(super) fn take(
+        &mut self,
+        now: Time,
+        ask: &RouteRequest<'_>,
+    ) -> Result<(QueryId, u16), Refusal> {
         let (place, changed) = self.place(ask.terms);
         if changed {
             self.tell_classes();
@@ -219,7 +223,11 @@
     }
 
     /// Takes a stream that is to go on at another server, if the budget bears it.
-    pub(super) fn take_resumed(&mut self, now: Time, ask: &Ask<'_>) -> Option<(QueryId, u16)> {
+    pub(super) fn take_resumed(
+        &mut self,
+        now: Time,
+        ask: &RouteRequest<'_>,
+    ) -> Option<(QueryId, u16)> {
         match self.resumes.take(now) {
             true => self.take(now, ask).ok(),
             false => None,
@@ -234,7 +242,7 @@
     }
 
     /// The request that the core has a word for; it has none after that.
-    pub(super) fn exchange_of(&mut self, query: QueryId) -> Option<ExchangeId> {
+    pub(super) fn exchange_of(&mut self, query: QueryId) -> Option<RequestId> {
         self.queries.remove(&query)
     }
 
@@ -337,7 +345,7 @@
     }
 
     /// Takes a turn if it is time.
-    pub(super) fn turn(&mut self, now: Time) -> Vec<Command<ExchangeId>> {
+    pub(super) fn turn(&mut self, now: Time) -> Vec<Command<RequestId>> {
         match self.core.next_turn() {
             Some(at) if at <= now => self.core.turn(now),
             _ => Vec::new(),
@@ -346,11 +354,11 @@
 
     /// The class of these terms: the one that has them, one that nobody needs any more, or a new
     /// one; `true`: the module has yet to be told of it.
-    fn place(&mut self, terms: &Terms) -> (usize, bool) {
+    fn place(&mut self, terms: &RouteTerms) -> (usize, bool) {
         if let Some(place) = self.classes.iter().position(|slot| slot.terms == *terms) {
             return (place, false);
         }
-        let slot = Slot {
+        let slot = RequestClass {
             terms: terms.clone(),
             held: 0,
             in_force: false,
@@ -401,7 +409,7 @@
 }
 
 /// What the module is told of a class.
-fn class(terms: &Terms) -> Class {
+fn class(terms: &RouteTerms) -> Class {
     Class {
         latency_target: terms.target_latency,
         deadline: terms.timeout,
--- a/fleet/src/router/service/tests.rs
+++ b/fleet/src/router/service/tests.rs
@@ -45,12 +45,12 @@
     /// Where a request with a shared beginning is sent, which is answered by a stream that runs on.
     fn stream(&mut self) -> ServerId {
         self.next += 1;
-        let exchange = ExchangeId(self.next);
+        let exchange = RequestId(self.next);
         let prompt = Prompt {
             prefix: 77,
             ..Prompt::default()
         };
-        let ask = Ask {
+        let ask = RouteRequest {
             exchange,
             terms: &terms(),
             prompt,
@@ -73,8 +73,8 @@
     }
 }
 
-fn terms() -> Terms {
-    Terms {
+fn terms() -> RouteTerms {
+    RouteTerms {
         route: Arc::from("r"),
         idempotent: true,
         streaming: true,
--- a/fleet/src/router/services.rs
+++ b/fleet/src/router/services.rs
@@ -1,9 +1,9 @@
 //! All services that the configuration in force names, or that still hold requests.
 
-use super::configuration::InForce;
-use super::ids::{ExchangeId, ServiceId};
+use super::configuration::ActiveConfiguration;
+use super::ids::{RequestId, ServiceId};
 use super::options::{Capacity, RetryBudget};
-use super::servers::{Change, ServerTable};
+use super::servers::{ServerChange, ServerTable};
 use super::service::Service;
 use lichenswitch_core::Command;
 use lichenswitch_interface::{ListedServer, ServerId, Time};
@@ -38,7 +38,7 @@
 
     /// A configuration comes in force. Services that it does not name stay until what they hold has
     /// ended.
-    pub(super) fn apply(&mut self, in_force: &InForce, servers: &ServerTable) {
+    pub(super) fn apply(&mut self, in_force: &ActiveConfiguration, servers: &ServerTable) {
         for described in in_force.document().services() {
             let id = self
                 .id_of(&described.name)
@@ -61,7 +61,7 @@
     }
 
     /// Lines of services' lists have changed.
-    pub(super) fn listed(&mut self, changes: &[Change]) {
+    pub(super) fn listed(&mut self, changes: &[ServerChange]) {
         for service in self.all.values_mut() {
             let of = changes
                 .iter()
@@ -131,7 +131,7 @@
     }
 
     /// Takes the turns that are due; tells what is to be done.
-    pub(super) fn turn(&mut self, now: Time) -> Vec<(ServiceId, Command<ExchangeId>)> {
+    pub(super) fn turn(&mut self, now: Time) -> Vec<(ServiceId, Command<RequestId>)> {
         let mut commands = Vec::new();
         for (id, service) in &mut self.all {
             commands.extend(service.turn(now).into_iter().map(|command| (*id, command)));
--- a/fleet/src/router/shutdown.rs
+++ b/fleet/src/router/shutdown.rs
@@ -9,10 +9,10 @@
 //! between two events as early as may be, so that as much as can be of its time is left for the
 //! rest.
 
-use super::cut::CutReason;
-use super::exchange::Phase;
-use super::ids::ExchangeId;
-use super::program::{after, Owner, Timer};
+use super::cut::AbortReason;
+use super::exchange::RequestPhase;
+use super::ids::RequestId;
+use super::program::{after, SocketOwner, Timer};
 use super::Router;
 use crate::invariants::{self, Invariant};
 use lichenswitch_interface::Time;
@@ -99,7 +99,7 @@
             shutdown.closed = true;
             // Who has connected already is served or told.
             self.clients.accept(&mut self.net);
-            self.net.leave(Owner::Client);
+            self.net.leave(SocketOwner::Client);
         }
         if now >= shutdown.hands_over && !shutdown.ended {
             self.hand_streams_over(shutdown.ends);
@@ -109,7 +109,7 @@
             self.refuse_awaiting_quota();
             for id in self.exchanges.ids() {
                 self.check_finished(id, shutdown.began);
-                self.end_now(id, CutReason::Shutdown);
+                self.end_now(id, AbortReason::Shutdown);
             }
         }
         self.shutdown = Some(shutdown);
@@ -123,15 +123,15 @@
                 continue;
             };
             let goes_on = exchange.terms.resumable && exchange.deadline > ends;
-            if goes_on && matches!(exchange.phase, Phase::Relaying(_)) {
-                self.cut(id, CutReason::HandedOver);
+            if goes_on && matches!(exchange.phase, RequestPhase::Relaying(_)) {
+                self.cut(id, AbortReason::HandedOver);
             }
         }
     }
 
     /// Of what is held still, all was in hand when the signal came; but for what is over at this
     /// very moment.
-    fn check_finished(&self, id: ExchangeId, began: Time) {
+    fn check_finished(&self, id: RequestId, began: Time) {
         let now = self.net.clock.now();
         let Some(exchange) = self.exchanges.get(id) else {
             return;
--- a/fleet/src/router/tenants.rs
+++ b/fleet/src/router/tenants.rs
@@ -3,10 +3,10 @@
 //! It promises that a server is told of no tenant but the one that holds the client's key, that a
 //! key is neither sent on nor logged, and that what is refused here has been sent to nobody.
 
-use super::configuration::{InForce, Terms};
-use super::exchange::Exchange;
+use super::configuration::{ActiveConfiguration, RouteTerms};
+use super::exchange::RequestState;
 use super::ids::ServiceId;
-use super::intake::Turned;
+use super::intake::RejectionReason;
 use super::program::Timer;
 use super::request::{ClientRequest, TokenUsage};
 use super::Router;
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 pub(super) struct Admission {
     /// What its route says, with the rank of its tenant.
-    pub terms: Terms,
+    pub terms: RouteTerms,
     /// The service that was drawn for it.
     pub service: ServiceId,
     /// Version of the configuration that says so.
@@ -68,14 +68,14 @@
 
 /// Why a key is not served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Denial {
+pub(super) enum KeyDenial {
     /// No tenant of the configuration that counts holds it, or the request bears none.
-    NoHolder,
+    UnknownKey,
     /// What is known here may be out of date.
-    OutOfDate,
+    StaleConfiguration,
 }
 
-impl InForce {
+impl ActiveConfiguration {
     /// The sender of a request on a route; none where the configuration asks for no key and the
     /// request bears none that is held.
     ///
@@ -85,13 +85,13 @@
         &self,
         public: bool,
         key: Option<KeyDigest>,
-    ) -> Result<Option<(&Tenant, KeyDigest)>, Denial> {
+    ) -> Result<Option<(&Tenant, KeyDigest)>, KeyDenial> {
         let Some(tenants) = self.document().tenants() else {
             return Ok(None);
         };
         let held = key.and_then(|key| Some((tenants.get(self.keys.holder(&key)?)?, key)));
         match held {
-            None if !public => Err(Denial::NoHolder),
+            None if !public => Err(KeyDenial::UnknownKey),
             held => Ok(held),
         }
     }
@@ -135,12 +135,12 @@
 }
 
 /// What a request counts as in its tenant's quota.
-fn need(tenant: &Tenant, request: &ClientRequest) -> Result<u64, Turned> {
+fn need(tenant: &Tenant, request: &ClientRequest) -> Result<u64, RejectionReason> {
     match (tenant.unit, request.tokens) {
         (QuotaUnit::Requests, _) => Ok(1),
-        (QuotaUnit::Tokens, TokenUsage::Untold) => Ok(tenant.uncached_tokens),
-        (QuotaUnit::Tokens, TokenUsage::Told(tokens)) => Ok(tokens),
-        (QuotaUnit::Tokens, TokenUsage::Unreadable) => Err(Turned::Malformed),
+        (QuotaUnit::Tokens, TokenUsage::Unspecified) => Ok(tenant.uncached_tokens),
+        (QuotaUnit::Tokens, TokenUsage::Declared(tokens)) => Ok(tokens),
+        (QuotaUnit::Tokens, TokenUsage::Invalid) => Err(RejectionReason::Malformed),
     }
 }
 
@@ -149,28 +149,30 @@
     /// by.
     pub(super) fn authenticate(
         &self,
-        in_force: &InForce,
+        in_force: &ActiveConfiguration,
         public: bool,
         key: Option<KeyDigest>,
-    ) -> Result<Option<Rc<Sender>>, Turned> {
+    ) -> Result<Option<Rc<Sender>>, RejectionReason> {
         let now = self.net.clock.now();
         match in_force.sender(public, key) {
             Ok(None) => Ok(None),
-            Ok(Some(_)) if !self.freshness.serves_keys(now) => Err(Turned::Away(Some(RETRY_AFTER))),
+            Ok(Some(_)) if !self.freshness.serves_keys(now) => {
+                Err(RejectionReason::Unavailable(Some(RETRY_AFTER)))
+            }
             Ok(Some((tenant, key))) => Ok(Some(Rc::new(Sender::new(tenant, key)))),
-            Err(_) if self.freshness.is_sure(now) => Err(Turned::NoHolder),
-            Err(_) => Err(Turned::Away(Some(RETRY_AFTER))),
+            Err(_) if self.freshness.is_sure(now) => Err(RejectionReason::UnknownKey),
+            Err(_) => Err(RejectionReason::Unavailable(Some(RETRY_AFTER))),
         }
     }
 
     /// Whether a request that was taken may be sent as things stand now: its key is held still, and
     /// that is fresh knowledge.
-    pub(super) fn check_sender(&self, sender: Option<&Sender>) -> Result<(), Denial> {
+    pub(super) fn check_sender(&self, sender: Option<&Sender>) -> Result<(), KeyDenial> {
         let (Some(sender), Some(in_force)) = (sender, self.configuration.get()) else {
             return Ok(());
         };
         if !self.freshness.serves_keys(self.net.clock.now()) {
-            return Err(Denial::OutOfDate);
+            return Err(KeyDenial::StaleConfiguration);
         }
         // Without tenants, nobody is asked for a key.
         in_force
@@ -184,7 +186,7 @@
         client: ConnId,
         request: ClientRequest,
         admission: Admission,
-    ) -> Result<(), Turned> {
+    ) -> Result<(), RejectionReason> {
         let now = self.net.clock.now();
         let tenant = admission.sender.as_ref().and_then(|sender| {
             self.configuration
@@ -212,8 +214,8 @@
                 self.net.wheel.set(until, Timer::Quota);
                 Ok(())
             }
-            AdmissionOutcome::Beyond(wait) => Err(Turned::BeyondQuota(wait)),
-            AdmissionOutcome::Unknown(wait) => Err(Turned::Away(Some(wait))),
+            AdmissionOutcome::Beyond(wait) => Err(RejectionReason::QuotaExceeded(wait)),
+            AdmissionOutcome::Unknown(wait) => Err(RejectionReason::Unavailable(Some(wait))),
         }
     }
 
@@ -272,7 +274,7 @@
         for client in waiting {
             self.allowances.leave(client);
             self.awaiting_quota.remove(&client);
-            self.turn_away(client, &Turned::Away(None));
+            self.turn_away(client, &RejectionReason::Unavailable(None));
         }
     }
 
@@ -292,12 +294,12 @@
                             );
                             self.hold(waiter, request, admission)
                         }
-                        Err(denial) => Err(Turned::of(denial)),
+                        Err(denial) => Err(RejectionReason::of(denial)),
                     }
                 }
-                AdmissionOutcome::Beyond(wait) => Err(Turned::BeyondQuota(wait)),
-                AdmissionOutcome::Unknown(wait) => Err(Turned::Away(Some(wait))),
-                AdmissionOutcome::Waits => Err(Turned::Away(Some(RETRY_AFTER))),
+                AdmissionOutcome::Beyond(wait) => Err(RejectionReason::QuotaExceeded(wait)),
+                AdmissionOutcome::Unknown(wait) => Err(RejectionReason::Unavailable(Some(wait))),
+                AdmissionOutcome::Waits => Err(RejectionReason::Unavailable(Some(RETRY_AFTER))),
             };
             if let Err(turned) = outcome {
                 self.turn_away(waiter, &turned);
@@ -306,17 +308,17 @@
     }
 }
 
-impl Turned {
+impl RejectionReason {
     /// What is told to a sender whose key is not served.
-    pub(super) fn of(denial: Denial) -> Turned {
+    pub(super) fn of(denial: KeyDenial) -> RejectionReason {
         match denial {
-            Denial::NoHolder => Turned::NoHolder,
-            Denial::OutOfDate => Turned::Away(Some(RETRY_AFTER)),
+            KeyDenial::UnknownKey => RejectionReason::UnknownKey,
+            KeyDenial::StaleConfiguration => RejectionReason::Unavailable(Some(RETRY_AFTER)),
         }
     }
 }
 
-impl Exchange {
+impl RequestState {
     /// Who sent it, where that is known.
     #[must_use]
     pub(super) fn sender(&self) -> Option<&Sender> {
--- a/fleet/src/router/tenants/tests.rs
+++ b/fleet/src/router/tenants/tests.rs
@@ -4,7 +4,7 @@
 use lichenswitch_configuration::Document;
 use lichenswitch_messages::ConfigurationPosition;
 
-fn in_force(tenants: &str) -> InForce {
+fn in_force(tenants: &str) -> ActiveConfiguration {
     let text = format!(
         "{{\"version\":1,\"routes\":[{{\"name\":\"r\",\"host\":\"h\",\"pathPrefix\":\"/\",\"service\":\"s\"}}],\
          \"services\":[{{\"name\":\"s\"}}]{tenants}}}"
@@ -14,7 +14,7 @@
         primary: 1,
         number: 1,
     };
-    InForce::parse(position, text.as_bytes()).expect("a configuration")
+    ActiveConfiguration::parse(position, text.as_bytes()).expect("a configuration")
 }
 
 fn key(text: &str) -> Option<KeyDigest> {
@@ -37,7 +37,7 @@
     let empty = in_force(",\"tenants\":[]");
     assert_eq!(
         empty.sender(false, key("any")).err(),
-        Some(Denial::NoHolder)
+        Some(KeyDenial::UnknownKey)
     );
     assert!(empty
         .sender(true, None)
@@ -57,7 +57,7 @@
     }
     assert_eq!(
         held.sender(false, key("other")).err(),
-        Some(Denial::NoHolder)
+        Some(KeyDenial::UnknownKey)
     );
     assert!(held
         .sender(true, key("other"))
@@ -90,7 +90,7 @@
     };
     let needs =
         |tokens| [&tenants[0], &tenants[1]].map(|tenant| need(tenant, &request(tokens)).ok());
-    assert_eq!(needs(TokenUsage::Untold), [Some(200), Some(1)]);
-    assert_eq!(needs(TokenUsage::Told(12_000)), [Some(12_000), Some(1)]);
-    assert_eq!(needs(TokenUsage::Unreadable), [None, Some(1)]);
+    assert_eq!(needs(TokenUsage::Unspecified), [Some(200), Some(1)]);
+    assert_eq!(needs(TokenUsage::Declared(12_000)), [Some(12_000), Some(1)]);
+    assert_eq!(needs(TokenUsage::Invalid), [None, Some(1)]);
 }
