--- /dev/null
+++ b/fleet/src/router/backlog_reports.rs
@@ -0,0 +1,62 @@
+//! What waits at servers for this router, and what of it control was sent last.
+//!
+//! It promises that nothing is sent while nothing changes.
+
+use super::request_table::{RequestPhase, RequestState};
+use lichenswitch_backlog::Backlog;
+use lichenswitch_interface::{ServerId, Time};
+use lichenswitch_messages::ServerBacklog;
+use std::collections::BTreeMap;
+
+/// What control was told last.
+#[derive(Debug, Default)]
+pub(crate) struct BacklogReports {
+    pub(crate) told: BTreeMap<ServerId, Backlog>,
+    /// A report is due at a set time.
+    pub(crate) planned: bool,
+    pub(crate) last: Time,
+}
+
+impl BacklogReports {
+    /// Servers whose backlog is another than control was told, with what it is; control is told of
+    /// them now.
+    pub(crate) fn changes(&mut self, now: BTreeMap<ServerId, Backlog>) -> Vec<ServerBacklog> {
+        let gone = self
+            .told
+            .keys()
+            .filter(|server| !now.contains_key(server))
+            .map(|server| (*server, 0));
+        let other = now
+            .iter()
+            .map(|(s, b)| (*s, *b))
+            .filter(|(s, b)| self.told.get(s) != Some(b));
+        let changes = gone
+            .chain(other)
+            .map(|(server, tokens)| ServerBacklog {
+                server: server.0,
+                tokens,
+            })
+            .collect();
+        self.told = now;
+        changes
+    }
+}
+
+/// What waits at each server.
+pub(crate) fn backlogs<'a>(
+    exchanges: impl Iterator<Item = &'a RequestState>,
+) -> BTreeMap<ServerId, Backlog> {
+    let mut sums = BTreeMap::new();
+    for exchange in
+        exchanges.filter(|exchange| !matches!(exchange.phase, RequestPhase::Relaying(_)))
+    {
+        for out in &exchange.out {
+            let sum: &mut Backlog = sums.entry(out.server).or_default();
+            *sum = sum.saturating_add(exchange.request.prompt.own_tokens);
+        }
+    }
+    sums
+}
+
+#[cfg(test)]
+mod tests;
--- a/fleet/src/router/budget.rs
+++ b/fleet/src/router/budget.rs
@@ -6,7 +6,7 @@
 //! Pure: time is an argument.
 
 use super::options::{RetryBudget, RESUME_SHARE, SLACK_SHARE};
-use super::program::micros;
+use super::time::micros;
 use lichenswitch_interface::{Budget, Micros, Time};
 
 /// The module counts a request, and its only part as well, to what was taken.
@@ -24,7 +24,7 @@
 
 /// What the module may spend.
 #[must_use]
-pub(super) fn module_budget(budget: RetryBudget, routers: u32) -> Budget {
+pub(crate) fn module_budget(budget: RetryBudget, routers: u32) -> Budget {
     Budget {
         window: micros(budget.window),
         least: (1.0 - RESUME_SHARE) * slack(budget, routers),
@@ -34,7 +34,7 @@
 
 /// Streams that may go on at another server.
 #[derive(Debug)]
-pub(super) struct ResumeBudget {
+pub(crate) struct ResumeBudget {
     window: Micros,
     share: f64,
     least: f64,
@@ -45,7 +45,7 @@
 impl ResumeBudget {
     /// While it is not known how many routers there are.
     #[must_use]
-    pub(super) fn new(budget: RetryBudget) -> ResumeBudget {
+    pub(crate) fn new(budget: RetryBudget) -> ResumeBudget {
         let (requests, resumes) = (WindowCounter::default(), WindowCounter::default());
         let mut new = ResumeBudget {
             window: 0,
@@ -59,19 +59,19 @@
     }
 
     /// There are so many routers now.
-    pub(super) fn set(&mut self, budget: RetryBudget, routers: u32) {
+    pub(crate) fn set(&mut self, budget: RetryBudget, routers: u32) {
         self.window = micros(budget.window).max(SLICES);
         self.share = RESUME_SHARE * budget.ratio;
         self.least = RESUME_SHARE * slack(budget, routers);
     }
 
     /// A request was taken.
-    pub(super) fn on_request(&mut self, now: Time) {
+    pub(crate) fn on_request(&mut self, now: Time) {
         self.requests.add(now, self.window);
     }
 
     /// Takes one out of it, if it bears that.
-    pub(super) fn take(&mut self, now: Time) -> bool {
+    pub(crate) fn take(&mut self, now: Time) -> bool {
         let requests = self.requests.count(now, self.window);
         let resumes = self.resumes.count(now, self.window);
         let allowed = f64::from(resumes + 1) <= self.least + self.share * f64::from(requests);
--- /dev/null
+++ b/fleet/src/router/client_connections/connection.rs
@@ -0,0 +1,47 @@
+//! One connection of a client: its phase, the request that is being read, and its timer.
+
+use crate::router::client_request::ClientRequest;
+use crate::router::request_reader::RequestReader;
+use lichenswitch_interface::Time;
+use lichenswitch_net::ConnId;
+
+/// What a client has done.
+#[derive(Debug)]
+pub(crate) enum ClientEvent {
+    /// It has sent a whole request.
+    RequestReceived(ConnId, Box<ClientRequest>),
+    /// It has left, or can't be written to, while its request was not answered.
+    Disconnected(ConnId),
+    /// It has taken all that was written so far of an answer which goes on.
+    OutputDrained(ConnId),
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum ConnectionPhase {
+    /// Between requests, or in the midst of one that is still arriving.
+    Reading,
+    /// Its request is held.
+    Waiting,
+    /// An answer is being passed on; whether in chunks.
+    Answering { chunked: bool },
+    /// The last answer is being written.
+    Closing,
+    /// The last answer is written: reads on to the client's end, so that the answer is not lost to
+    /// a reset.
+    Lingering,
+}
+
+pub(crate) struct ClientConnection {
+    pub(crate) state: ConnectionPhase,
+    pub(crate) reader: RequestReader,
+    /// When the state began; of a request that is arriving, when its first byte came.
+    pub(crate) since: Time,
+    /// A request is arriving.
+    pub(crate) arriving: bool,
+    /// The connection ends with the answer that is due.
+    pub(crate) last: bool,
+    /// The request that waits is answered without a body.
+    pub(crate) head_only: bool,
+    /// A timer is set that fires then at the latest.
+    pub(crate) timer: Option<Time>,
+}
--- /dev/null
+++ b/fleet/src/router/client_connections/writing.rs
@@ -0,0 +1,183 @@
+//! Responses as they are written to clients: complete, streamed, or cut off.
+
+use super::connection::{ClientEvent, ConnectionPhase};
+use super::table::ClientConnections;
+use crate::router::local_response::LocalResponse;
+use crate::router::reactor::Net;
+use crate::router::request_reader::RequestReader;
+use lichenswitch_http::{encode_chunk, LAST_CHUNK};
+use lichenswitch_net::{ConnId, Pumped};
+
+impl ClientConnections {
+    /// Gives a client an answer of this program, whole.
+    pub(crate) fn answer_own(
+        &mut self,
+        net: &mut Net,
+        id: ConnId,
+        answer: &LocalResponse,
+        events: &mut Vec<ClientEvent>,
+    ) {
+        let Some(session) = self.open.get_mut(&id) else {
+            return;
+        };
+        session.last |= answer.closes || self.stopping;
+        let (last, head_only) = (session.last, session.head_only);
+        self.write(net, id, &answer.encode(last, head_only));
+        self.answered(net, id, events);
+    }
+
+    /// Gives a client a server's answer, whole: its head without the end, and its body.
+    pub(crate) fn answer_whole(
+        &mut self,
+        net: &mut Net,
+        id: ConnId,
+        head: &[u8],
+        body: &[u8],
+        has_body: bool,
+        events: &mut Vec<ClientEvent>,
+    ) {
+        let Some(session) = self.open.get_mut(&id) else {
+            return;
+        };
+        session.last |= self.stopping;
+        let mut bytes = Vec::with_capacity(head.len() + body.len() + 64);
+        bytes.extend_from_slice(head);
+        if has_body {
+            bytes.extend_from_slice(format!("content-length: {}\r\n", body.len()).as_bytes());
+        }
+        end_head(&mut bytes, session.last);
+        bytes.extend_from_slice(body);
+        self.write(net, id, &bytes);
+        self.answered(net, id, events);
+    }
+
+    /// Begins a server's answer that is passed on as it comes: with this length, or in chunks.
+    pub(crate) fn begin(&mut self, net: &mut Net, id: ConnId, head: &[u8], length: Option<u64>) {
+        let Some(session) = self.open.get_mut(&id) else {
+            return;
+        };
+        session.last |= self.stopping;
+        session.state = ConnectionPhase::Answering {
+            chunked: length.is_none(),
+        };
+        let mut bytes = Vec::with_capacity(head.len() + 64);
+        bytes.extend_from_slice(head);
+        match length {
+            Some(length) => {
+                bytes.extend_from_slice(format!("content-length: {length}\r\n").as_bytes())
+            }
+            None => bytes.extend_from_slice(b"transfer-encoding: chunked\r\n"),
+        }
+        end_head(&mut bytes, session.last);
+        self.write(net, id, &bytes);
+    }
+
+    /// Passes a piece of a body on; it leaves with [`ClientConnections::flush`].
+    pub(crate) fn pass(&mut self, net: &mut Net, id: ConnId, piece: &[u8]) {
+        let Some(ConnectionPhase::Answering { chunked }) =
+            self.open.get(&id).map(|session| session.state)
+        else {
+            return;
+        };
+        let Some(conn) = net.get_mut(id) else { return };
+        match chunked {
+            true => {
+                let mut chunk = Vec::with_capacity(piece.len() + 16);
+                encode_chunk(piece, &mut chunk);
+                conn.send(&chunk);
+            }
+            false => _ = conn.send(piece),
+        }
+    }
+
+    /// Writes what has been passed on; tells how many bytes the client has still to take.
+    pub(crate) fn flush(
+        &mut self,
+        net: &mut Net,
+        id: ConnId,
+        events: &mut Vec<ClientEvent>,
+    ) -> usize {
+        if net.flush(id, false) != Pumped::Alive {
+            self.left(net, id, events);
+            return 0;
+        }
+        let unwritten = net.get(id).map_or(0, |conn| conn.queued_unwritten());
+        if unwritten > 0 {
+            self.arm(net, id);
+        }
+        usize::try_from(unwritten).unwrap_or(usize::MAX)
+    }
+
+    /// Ends a body that is complete.
+    pub(crate) fn end(&mut self, net: &mut Net, id: ConnId, events: &mut Vec<ClientEvent>) {
+        let Some(ConnectionPhase::Answering { chunked }) =
+            self.open.get(&id).map(|session| session.state)
+        else {
+            return;
+        };
+        if chunked {
+            self.write(net, id, LAST_CHUNK);
+        }
+        self.answered(net, id, events);
+    }
+
+    /// Ends an answer that is not complete: the client sees that it was cut off.
+    pub(crate) fn cut(&mut self, net: &mut Net, id: ConnId) {
+        self.close(net, id);
+    }
+
+    /// The same behind what was passed on, all of which still reaches the client: it can ask for
+    /// the rest of a stream elsewhere.
+    pub(crate) fn cut_behind_written(&mut self, net: &mut Net, id: ConnId) {
+        let now = net.clock.now();
+        let Some(session) = self.open.get_mut(&id) else {
+            return;
+        };
+        (session.last, session.state, session.since) = (true, ConnectionPhase::Closing, now);
+        self.arm(net, id);
+        self.close_if_written(net, id);
+    }
+
+    pub(super) fn write(&mut self, net: &mut Net, id: ConnId, bytes: &[u8]) {
+        if let Some(conn) = net.get_mut(id) {
+            conn.send(bytes);
+        }
+        // A connection that is broken is told of by the poller: nothing is to be saved of it here.
+        net.flush(id, false);
+    }
+
+    /// The answer has been written or queued: reads on, or ends the connection.
+    pub(super) fn answered(&mut self, net: &mut Net, id: ConnId, events: &mut Vec<ClientEvent>) {
+        let now = net.clock.now();
+        let Some(session) = self.open.get_mut(&id) else {
+            return;
+        };
+        self.arriving_bytes -= session.reader.held();
+        session.reader = RequestReader::new(&self.limits);
+        (session.arriving, session.since) = (false, now);
+        if session.last {
+            session.state = ConnectionPhase::Closing;
+            self.arm(net, id);
+            return self.close_if_written(net, id);
+        }
+        session.state = ConnectionPhase::Reading;
+        self.read(net, id, events);
+        self.arm(net, id);
+    }
+
+    pub(super) fn close_if_written(&mut self, net: &mut Net, id: ConnId) {
+        match net.get(id).map(|conn| conn.flushed()) {
+            Some(true) => self.half_close(net, id),
+            Some(false) => {}
+            None => self.close(net, id),
+        }
+    }
+}
+
+pub(crate) fn end_head(bytes: &mut Vec<u8>, last: bool) {
+    // A connection is kept unless something else is said.
+    if last {
+        bytes.extend_from_slice(b"connection: close\r\n");
+    }
+    bytes.extend_from_slice(b"\r\n");
+}
--- a/fleet/src/router/configuration.rs
+++ b/fleet/src/router/configuration.rs
@@ -13,7 +13,7 @@
 /// What a route says of its requests. A request keeps a copy to its end, whatever configuration
 /// comes meanwhile.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct RouteTerms {
+pub(crate) struct RouteTerms {
     /// Name of the route.
     pub route: Arc<str>,
     /// A request may run more than once: a safe one, or a stream that may be resumed.
@@ -53,7 +53,7 @@
 
 /// A configuration in force.
 #[derive(Debug)]
-pub(super) struct ActiveConfiguration {
+pub(crate) struct ActiveConfiguration {
     /// Its position.
     pub position: ConfigurationPosition,
     routes: Routes,
@@ -67,7 +67,7 @@
     ///
     /// # Errors
     /// What is wrong with it.
-    pub(super) fn parse(
+    pub(crate) fn parse(
         position: ConfigurationPosition,
         document: &[u8],
     ) -> Result<ActiveConfiguration, ConfigurationError> {
@@ -83,32 +83,32 @@
 
     /// The document.
     #[must_use]
-    pub(super) fn document(&self) -> &Document {
+    pub(crate) fn document(&self) -> &Document {
         self.routes.document()
     }
 
     /// What clients may send.
     #[must_use]
-    pub(super) fn limits(&self) -> Limits {
+    pub(crate) fn limits(&self) -> Limits {
         *self.document().limits()
     }
 
     /// The route of a request; `None`: no route takes it.
     #[must_use]
-    pub(super) fn route(&self, host: &str, path: &str) -> Option<&Route> {
+    pub(crate) fn route(&self, host: &str, path: &str) -> Option<&Route> {
         self.routes.lookup(host, path)
     }
 
     /// The terms of a tenant's request on a route.
     #[must_use]
-    pub(super) fn terms(&self, route: &Route, tenant: Option<&Tenant>) -> RouteTerms {
+    pub(crate) fn terms(&self, route: &Route, tenant: Option<&Tenant>) -> RouteTerms {
         RouteTerms::of(route, self.ranks.rank(tenant, route))
     }
 
     /// Terms of all routes that may send to a service, by the ranks that their tenants may give
     /// them.
     #[must_use]
-    pub(super) fn terms_of(&self, service: &str) -> Vec<RouteTerms> {
+    pub(crate) fn terms_of(&self, service: &str) -> Vec<RouteTerms> {
         let to = |route: &&Route| {
             route
                 .targets
@@ -134,19 +134,19 @@
 
 /// The configuration in force, where there is one.
 #[derive(Default)]
-pub(super) struct CurrentConfiguration {
+pub(crate) struct CurrentConfiguration {
     in_force: Option<ActiveConfiguration>,
 }
 
 impl CurrentConfiguration {
     /// The configuration in force.
     #[must_use]
-    pub(super) fn get(&self) -> Option<&ActiveConfiguration> {
+    pub(crate) fn get(&self) -> Option<&ActiveConfiguration> {
         self.in_force.as_ref()
     }
 
     /// Puts a configuration in force, if its position is above that of the one which is.
-    pub(super) fn apply(&mut self, new: ActiveConfiguration) -> bool {
+    pub(crate) fn apply(&mut self, new: ActiveConfiguration) -> bool {
         let newer = self
             .in_force
             .as_ref()
--- a/fleet/src/router/candidates.rs
+++ b/fleet/src/router/control_link/candidates.rs
@@ -25,7 +25,7 @@
 }
 
 /// The control machines that may be connected to.
-pub(super) struct ControlCandidates {
+pub(crate) struct ControlCandidates {
     machine: IpAddr,
     seeds: Vec<SocketAddr>,
     told: Vec<SocketAddr>,
@@ -35,7 +35,7 @@
 impl ControlCandidates {
     /// The seeds, as long as no others are told; `machine` is the own address.
     #[must_use]
-    pub(super) fn new(machine: IpAddr, seeds: Vec<SocketAddr>) -> ControlCandidates {
+    pub(crate) fn new(machine: IpAddr, seeds: Vec<SocketAddr>) -> ControlCandidates {
         ControlCandidates {
             machine,
             seeds,
@@ -45,19 +45,19 @@
     }
 
     /// The settings name these seeds now.
-    pub(super) fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
+    pub(crate) fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.seeds = seeds;
     }
 
     /// A control machine says that these can be connected to.
-    pub(super) fn on_told(&mut self, told: Vec<SocketAddr>) {
+    pub(crate) fn on_told(&mut self, told: Vec<SocketAddr>) {
         if !told.is_empty() && told != self.told {
             self.told = told;
         }
     }
 
     /// A connection to it did not come up, or brought nothing of use.
-    pub(super) fn on_failed(&mut self, now: Time, address: SocketAddr, random: u64) {
+    pub(crate) fn on_failed(&mut self, now: Time, address: SocketAddr, random: u64) {
         self.failures.retain(|_, failures| failures.count(now));
         let failures = self.failures.entry(address).or_default();
         let rest = (REST_FIRST << failures.in_a_row.min(8)).min(REST_MOST);
@@ -68,14 +68,14 @@
     }
 
     /// It is of use: whatever was held against it is forgotten.
-    pub(super) fn on_useful(&mut self, address: SocketAddr) {
+    pub(crate) fn on_useful(&mut self, address: SocketAddr) {
         self.failures.remove(&address);
     }
 
     /// The one to connect to now, or when there is one again. Of those that don't rest, those that
     /// failed least often of late, so that a near one which is up but of no use never keeps a
     /// router from the others; of these the nearest by address, and of these one by chance.
-    pub(super) fn next(&self, now: Time, random: u64) -> Result<SocketAddr, Time> {
+    pub(crate) fn next(&self, now: Time, random: u64) -> Result<SocketAddr, Time> {
         let awake = |address: &&SocketAddr| self.rests_until(**address) <= now;
         let rank = |address: &SocketAddr| {
             (
--- /dev/null
+++ b/fleet/src/router/control_link/connection.rs
@@ -0,0 +1,146 @@
+//! One connection to a control machine: handshake, messages in both directions, and its deadlines.
+
+use crate::envelopes::{self, EnvelopeReader, Incoming};
+use crate::router::reactor::Net;
+use lichenswitch_interface::{Micros, Time};
+use lichenswitch_messages::{
+    BacklogReport, ConfigurationPosition, ControlToRouter, Envelope, RouterToControl,
+    TenantMessage, PROTOCOL_VERSION,
+};
+use lichenswitch_net::{ConnId, Pumped};
+use std::net::SocketAddr;
+
+/// After this long without a word, or without contact, another control machine is tried
+/// (microseconds): between two and three heartbeats.
+pub(crate) const SILENCE: Micros = 700_000;
+
+/// A connection that is not up after this long is given up: links within a region take
+/// milliseconds.
+const CONNECT: Micros = 400_000;
+
+/// Who this router is, to control machines.
+#[derive(Clone, Debug)]
+pub(crate) struct RouterIdentity {
+    /// `nodeName`.
+    pub node: String,
+    /// Its zone.
+    pub zone: String,
+    /// Drawn at the start of the process.
+    pub process: u64,
+}
+
+/// What a control machine says.
+pub(crate) enum ControlMessage {
+    Control(ControlToRouter),
+    Tenant(TenantMessage),
+    Backlog(BacklogReport),
+}
+
+pub(crate) struct ControlConnection {
+    pub(crate) id: ConnId,
+    pub(crate) address: SocketAddr,
+    pub(crate) reader: EnvelopeReader,
+    pub(crate) greeted: bool,
+    pub(crate) opened: Time,
+    pub(crate) heard: Option<Time>,
+    /// The last time that it was in contact.
+    pub(crate) contact: Option<Time>,
+    pub(crate) in_contact: bool,
+    /// Number of the last push that came, and of the last that was acknowledged.
+    pub(crate) push: u64,
+    pub(crate) acknowledged: u64,
+}
+
+impl ControlConnection {
+    pub(super) fn new(id: ConnId, address: SocketAddr, now: Time) -> ControlConnection {
+        ControlConnection {
+            id,
+            address,
+            reader: EnvelopeReader::default(),
+            greeted: false,
+            opened: now,
+            heard: None,
+            contact: None,
+            in_contact: false,
+            push: 0,
+            acknowledged: 0,
+        }
+    }
+
+    /// When it is given up unless something comes before.
+    pub(super) fn due(&self) -> Time {
+        if !self.greeted {
+            return self.opened.plus(CONNECT);
+        }
+        let silent = self.heard.unwrap_or(self.opened).plus(SILENCE);
+        silent.min(self.contact.unwrap_or(self.opened).plus(SILENCE))
+    }
+
+    /// Says who this router is, once the connection is up; `false`: it broke.
+    pub(super) fn greet(
+        &mut self,
+        net: &mut Net,
+        identity: &RouterIdentity,
+        configuration: Option<ConfigurationPosition>,
+    ) -> bool {
+        if self.greeted || net.get(self.id).is_none_or(|conn| !conn.up) {
+            return true;
+        }
+        self.greeted = true;
+        self.opened = net.clock.now();
+        self.send(
+            net,
+            RouterToControl::Hello {
+                protocol: PROTOCOL_VERSION,
+                node: identity.node.clone(),
+                zone: identity.zone.clone(),
+                process: identity.process,
+                configuration,
+            },
+        )
+    }
+
+    pub(super) fn send(&self, net: &mut Net, message: RouterToControl) -> bool {
+        envelopes::encode(&Envelope::FromRouter(message))
+            .is_ok_and(|bytes| self.send_bytes(net, &bytes))
+    }
+
+    pub(super) fn send_bytes(&self, net: &mut Net, bytes: &[u8]) -> bool {
+        let Some(conn) = net.get_mut(self.id) else {
+            return false;
+        };
+        conn.send(bytes);
+        net.flush(self.id, false) == Pumped::Alive
+    }
+
+    pub(super) fn read(&mut self, net: &mut Net, now: Time) -> Result<Vec<ControlMessage>, String> {
+        let Some(conn) = net.get_mut(self.id) else {
+            return Ok(Vec::new());
+        };
+        let bytes = conn.input.bytes();
+        let mut messages = Vec::new();
+        let used = bytes.len();
+        self.reader.push(bytes);
+        conn.input.consume(used);
+        // Reading rests at the ceiling until this has made room.
+        if net.flush(self.id, false) != Pumped::Alive {
+            return Err("the connection broke".to_owned());
+        }
+        while let Some(incoming) = self.reader.next_message().map_err(|e| e.to_string())? {
+            match incoming {
+                Incoming::Envelope(Envelope::ToRouter(message)) => {
+                    messages.push(ControlMessage::Control(message))
+                }
+                Incoming::Tenant(message) => messages.push(ControlMessage::Tenant(message)),
+                Incoming::Backlog(report) => messages.push(ControlMessage::Backlog(report)),
+                Incoming::Envelope(Envelope::Peer(_) | Envelope::FromRouter(_)) => {
+                    return Err("a message that is not for routers".to_owned())
+                }
+            }
+        }
+        if !messages.is_empty() {
+            self.heard = Some(now);
+        }
+        Ok(messages)
+    }
+}
--- a/fleet/src/router/control_link.rs
+++ b/fleet/src/router/control_link/link.rs
@@ -1,5 +1,4 @@
-//! The connection to a control machine: it brings the configuration, the servers and the number of
-//! routers.
+//! The state of the link: which configuration was applied, which one is pending, and the connection.
 //!
 //! It promises: one connection at a time; another control machine as soon as this one is silent or
 //! without contact for [`SILENCE`]; the highest position that was applied is never gone back on;
@@ -7,42 +6,27 @@
 //! applied stands.
 
 use super::candidates::ControlCandidates;
-use super::program::{Net, SocketOwner, Timer};
-use crate::envelopes::{self, EnvelopeReader, Incoming};
+use super::connection::{ControlConnection, ControlMessage, RouterIdentity};
+use crate::envelopes::{self};
+use crate::router::reactor::{Net, SocketOwner, Timer};
 use lichenswitch_interface::{Micros, Time};
 use lichenswitch_messages::{
-    BacklogReport, ConfigurationPosition, ControlToRouter, Envelope, RouterToControl, ServerRecord,
-    TenantMessage, PROTOCOL_VERSION,
+    BacklogReport, ConfigurationPosition, ControlToRouter, RouterToControl, ServerRecord,
+    TenantMessage,
 };
 use lichenswitch_net::{ConnId, Pumped};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// After this long without a word, or without contact, another control machine is tried
-/// (microseconds): between two and three heartbeats.
-pub(super) const SILENCE: Micros = 700_000;
-/// A connection that is not up after this long is given up: links within a region take
-/// milliseconds.
-const CONNECT: Micros = 400_000;
 /// After this long without any configuration one is taken from whichever control machine answers.
-const UNCONFIRMED_AFTER: Micros = 3_000_000;
+pub(crate) const UNCONFIRMED_AFTER: Micros = 3_000_000;
+
 /// Most bytes read ahead of a control machine.
 const CEILING: usize = 256 * 1_024;
 
-/// Who this router is, to control machines.
-#[derive(Clone, Debug)]
-pub(super) struct RouterIdentity {
-    /// `nodeName`.
-    pub node: String,
-    /// Its zone.
-    pub zone: String,
-    /// Drawn at the start of the process.
-    pub process: u64,
-}
-
 /// What came from control.
 #[derive(Debug)]
-pub(super) enum ControlUpdate {
+pub(crate) enum ControlUpdate {
     /// A configuration that may be applied, if its position is above all before it.
     Configuration(ConfigurationPosition, Vec<u8>),
     /// Records of servers, to be merged.
@@ -55,30 +39,8 @@
     Backlog(BacklogReport),
 }
 
-/// What a control machine says.
-enum ControlMessage {
-    Control(ControlToRouter),
-    Tenant(TenantMessage),
-    Backlog(BacklogReport),
-}
-
-struct ControlConnection {
-    id: ConnId,
-    address: SocketAddr,
-    reader: EnvelopeReader,
-    greeted: bool,
-    opened: Time,
-    heard: Option<Time>,
-    /// The last time that it was in contact.
-    contact: Option<Time>,
-    in_contact: bool,
-    /// Number of the last push that came, and of the last that was acknowledged.
-    push: u64,
-    acknowledged: u64,
-}
-
 /// The link.
-pub(super) struct ControlLink {
+pub(crate) struct ControlLink {
     identity: RouterIdentity,
     candidates: ControlCandidates,
     /// Control machines that are reached at another address than their own.
@@ -97,7 +59,7 @@
 }
 
 /// A configuration that waits to be taken.
-struct PendingConfiguration {
+pub(crate) struct PendingConfiguration {
     /// The connection on which it came.
     from: ConnId,
     position: ConfigurationPosition,
@@ -107,7 +69,7 @@
 impl ControlLink {
     /// The same, where these control machines are reached at another address than their own.
     #[must_use]
-    pub(super) fn with_forwarders(
+    pub(crate) fn with_forwarders(
         self,
         forwarders: BTreeMap<SocketAddr, SocketAddr>,
     ) -> ControlLink {
@@ -116,7 +78,7 @@
 
     /// A link that is not connected yet.
     #[must_use]
-    pub(super) fn new(
+    pub(crate) fn new(
         now: Time,
         identity: RouterIdentity,
         candidates: ControlCandidates,
@@ -136,18 +98,18 @@
     }
 
     /// The settings name these seeds now.
-    pub(super) fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
+    pub(crate) fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.candidates.set_seeds(seeds);
     }
 
     /// The configuration of this position is in force now.
-    pub(super) fn on_applied(&mut self, position: ConfigurationPosition) {
+    pub(crate) fn on_applied(&mut self, position: ConfigurationPosition) {
         self.applied = Some(position);
         self.unconfirmed = None;
     }
 
     /// Looks at the link: opens it, gives it up, or takes what has waited for long enough.
-    pub(super) fn look(&mut self, net: &mut Net) -> Vec<ControlUpdate> {
+    pub(crate) fn look(&mut self, net: &mut Net) -> Vec<ControlUpdate> {
         let now = net.clock.now();
         if self.look_at.is_some_and(|at| at <= now) {
             self.look_at = None;
@@ -164,7 +126,7 @@
     }
 
     /// Reads what has come, and acknowledges what was read before.
-    pub(super) fn ready(&mut self, net: &mut Net, id: ConnId) -> Vec<ControlUpdate> {
+    pub(crate) fn ready(&mut self, net: &mut Net, id: ConnId) -> Vec<ControlUpdate> {
         let Some(connection) = self.connection.as_mut().filter(|c| c.id == id) else {
             net.close(id);
             return Vec::new();
@@ -194,7 +156,7 @@
 
     /// Acknowledges what has been applied since the last time. Called once what was read has been
     /// applied.
-    pub(super) fn acknowledge(&mut self, net: &mut Net) {
+    pub(crate) fn acknowledge(&mut self, net: &mut Net) {
         let applied = self.applied;
         let Some(connection) = self.connection.as_mut().filter(|c| c.push > c.acknowledged) else {
             return;
@@ -211,20 +173,20 @@
 
     /// Whether a connection has been given up since this was last asked: what was sent on it gets
     /// no answer.
-    pub(super) fn take_lost(&mut self) -> bool {
+    pub(crate) fn take_lost(&mut self) -> bool {
         std::mem::take(&mut self.lost)
     }
 
     /// Whether a control machine is connected, and has been told who this router is.
     #[must_use]
-    pub(super) fn is_greeted(&self) -> bool {
+    pub(crate) fn is_greeted(&self) -> bool {
         self.connection
             .as_ref()
             .is_some_and(|connection| connection.greeted)
     }
 
     /// Sends a message about tenants to the control machine that is connected.
-    pub(super) fn send_tenant_message(&mut self, net: &mut Net, message: &TenantMessage) {
+    pub(crate) fn send_tenant_message(&mut self, net: &mut Net, message: &TenantMessage) {
         let Some(connection) = &self.connection else {
             return;
         };
@@ -236,7 +198,7 @@
     }
 
     /// Tells the control machine that is connected what waits at servers.
-    pub(super) fn send_backlog_report(&mut self, net: &mut Net, report: &BacklogReport) {
+    pub(crate) fn send_backlog_report(&mut self, net: &mut Net, report: &BacklogReport) {
         let Some(connection) = &self.connection else {
             return;
         };
@@ -249,7 +211,7 @@
 
     /// Whether the configuration of this position, or a later one, is in force.
     #[must_use]
-    pub(super) fn has_applied(&self, position: ConfigurationPosition) -> bool {
+    pub(crate) fn has_applied(&self, position: ConfigurationPosition) -> bool {
         self.applied.is_some_and(|applied| applied >= position)
     }
 
@@ -393,97 +355,3 @@
         }
     }
 }
-
-impl ControlConnection {
-    fn new(id: ConnId, address: SocketAddr, now: Time) -> ControlConnection {
-        ControlConnection {
-            id,
-            address,
-            reader: EnvelopeReader::default(),
-            greeted: false,
-            opened: now,
-            heard: None,
-            contact: None,
-            in_contact: false,
-            push: 0,
-            acknowledged: 0,
-        }
-    }
-
-    /// When it is given up unless something comes before.
-    fn due(&self) -> Time {
-        if !self.greeted {
-            return self.opened.plus(CONNECT);
-        }
-        let silent = self.heard.unwrap_or(self.opened).plus(SILENCE);
-        silent.min(self.contact.unwrap_or(self.opened).plus(SILENCE))
-    }
-
-    /// Says who this router is, once the connection is up; `false`: it broke.
-    fn greet(
-        &mut self,
-        net: &mut Net,
-        identity: &RouterIdentity,
-        configuration: Option<ConfigurationPosition>,
-    ) -> bool {
-        if self.greeted || net.get(self.id).is_none_or(|conn| !conn.up) {
-            return true;
-        }
-        self.greeted = true;
-        self.opened = net.clock.now();
-        self.send(
-            net,
-            RouterToControl::Hello {
-                protocol: PROTOCOL_VERSION,
-                node: identity.node.clone(),
-                zone: identity.zone.clone(),
-                process: identity.process,
-                configuration,
-            },
-        )
-    }
-
-    fn send(&self, net: &mut Net, message: RouterToControl) -> bool {
-        envelopes::encode(&Envelope::FromRouter(message))
-            .is_ok_and(|bytes| self.send_bytes(net, &bytes))
-    }
-
-    fn send_bytes(&self, net: &mut Net, bytes: &[u8]) -> bool {
-        let Some(conn) = net.get_mut(self.id) else {
-            return false;
-        };
-        conn.send(bytes);
-        net.flush(self.id, false) == Pumped::Alive
-    }
-
-    fn read(&mut self, net: &mut Net, now: Time) -> Result<Vec<ControlMessage>, String> {
-        let Some(conn) = net.get_mut(self.id) else {
-            return Ok(Vec::new());
-        };
-        let bytes = conn.input.bytes();
-        let mut messages = Vec::new();
-        let used = bytes.len();
-        self.reader.push(bytes);
-        conn.input.consume(used);
-        // Reading rests at the ceiling until this has made room.
-        if net.flush(self.id, false) != Pumped::Alive {
-            return Err("the connection broke".to_owned());
-        }
-        while let Some(incoming) = self.reader.next_message().map_err(|e| e.to_string())? {
-            match incoming {
-                Incoming::Envelope(Envelope::ToRouter(message)) => {
-                    messages.push(ControlMessage::Control(message))
-                }
-                Incoming::Tenant(message) => messages.push(ControlMessage::Tenant(message)),
-                Incoming::Backlog(report) => messages.push(ControlMessage::Backlog(report)),
-                Incoming::Envelope(Envelope::Peer(_) | Envelope::FromRouter(_)) => {
-                    return Err("a message that is not for routers".to_owned())
-                }
-            }
-        }
-        if !messages.is_empty() {
-            self.heard = Some(now);
-        }
-        Ok(messages)
-    }
-}
--- a/fleet/src/router/counters.rs
+++ b/fleet/src/router/counters.rs
@@ -1,10 +1,10 @@
 //! What a router has turned away, by reason: for the log.
 
-use super::intake::RejectionReason;
+use super::rejection::RejectionReason;
 
 /// Counts since the process began.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct RejectionCounters {
+pub(crate) struct RejectionCounters {
     /// Answered 503 at once.
     pub away: u64,
     /// Answered 404.
@@ -19,7 +19,7 @@
 
 impl RejectionCounters {
     /// A request was answered at once.
-    pub(super) fn on_turned(&mut self, turned: &RejectionReason) {
+    pub(crate) fn on_turned(&mut self, turned: &RejectionReason) {
         let counter = match turned {
             RejectionReason::Unavailable(_) => &mut self.away,
             RejectionReason::NoRoute => &mut self.no_route,
--- a/fleet/src/router/freshness.rs
+++ b/fleet/src/router/freshness.rs
@@ -27,7 +27,7 @@
 
 /// Bounds on revocations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct RevocationBounds {
+pub(crate) struct RevocationBounds {
     /// `revocationStrict`: the bound holds for all machines, in touch or not.
     pub strict: bool,
     /// `revokeMs`.
@@ -36,7 +36,7 @@
 
 /// When the configuration in force was confirmed.
 #[derive(Debug)]
-pub(super) struct ConfigurationFreshness {
+pub(crate) struct ConfigurationFreshness {
     terms: RevocationBounds,
     confirmed: Option<Time>,
     asked: Option<Time>,
@@ -45,7 +45,7 @@
 impl ConfigurationFreshness {
     /// Never confirmed yet.
     #[must_use]
-    pub(super) fn new(terms: RevocationBounds) -> ConfigurationFreshness {
+    pub(crate) fn new(terms: RevocationBounds) -> ConfigurationFreshness {
         ConfigurationFreshness {
             terms,
             confirmed: None,
@@ -54,12 +54,12 @@
     }
 
     /// The settings say so now.
-    pub(super) fn set_terms(&mut self, terms: RevocationBounds) {
+    pub(crate) fn set_terms(&mut self, terms: RevocationBounds) {
         self.terms = terms;
     }
 
     /// Whether a confirmation is to be asked for now; that is taken to be done.
-    pub(super) fn asks(&mut self, now: Time) -> bool {
+    pub(crate) fn asks(&mut self, now: Time) -> bool {
         let due = self
             .asked
             .is_none_or(|asked| now.since(asked) >= ASK_INTERVAL);
@@ -70,13 +70,13 @@
     }
 
     /// The connection on which it was asked is gone: it is asked anew on the next one.
-    pub(super) fn on_link_lost(&mut self) {
+    pub(crate) fn on_link_lost(&mut self) {
         self.asked = None;
     }
 
     /// What is in force is the newest configuration that a control machine in contact knew, which
     /// was asked at this time.
-    pub(super) fn on_confirmed(&mut self, now: Time, asked: Time) {
+    pub(crate) fn on_confirmed(&mut self, now: Time, asked: Time) {
         if asked <= now {
             self.confirmed = self.confirmed.max(Some(asked));
         }
@@ -84,7 +84,7 @@
 
     /// Whether requests with a key may be served.
     #[must_use]
-    pub(super) fn serves_keys(&self, now: Time) -> bool {
+    pub(crate) fn serves_keys(&self, now: Time) -> bool {
         !self.terms.strict
             || self
                 .confirmed
@@ -93,7 +93,7 @@
 
     /// Whether a key that is not known here is surely not known to the configuration that counts.
     #[must_use]
-    pub(super) fn is_sure(&self, now: Time) -> bool {
+    pub(crate) fn is_sure(&self, now: Time) -> bool {
         self.serves_keys(now)
             && self
                 .confirmed
--- a/fleet/src/router/tenants.rs
+++ b/fleet/src/router/handlers/quota.rs
@@ -1,153 +1,41 @@
-//! Tenants at a router: whose key a request bears, and whether the tenant's quota lets it through.
+//! Keys and quotas of tenants: whether a request's key is served, and whether its tenant's quota lets it
+//! through.
 //!
-//! It promises that a server is told of no tenant but the one that holds the client's key, that a
-//! key is neither sent on nor logged, and that what is refused here has been sent to nobody.
+//! It promises that a key is neither sent on nor logged, and that what is rejected here has been sent
+//! to no server.
 
-use super::configuration::{ActiveConfiguration, RouteTerms};
-use super::exchange::RequestState;
-use super::ids::ServiceId;
-use super::intake::RejectionReason;
-use super::program::Timer;
-use super::request::{ClientRequest, TokenUsage};
-use super::Router;
 use crate::invariants::{self, Invariant};
-use lichenswitch_configuration::{KeyDigest, QuotaUnit, Tenant};
-use lichenswitch_interface::{Micros, Time};
+use crate::router::admission::{need, Admission, AwaitingQuota};
+use crate::router::client_request::ClientRequest;
+use crate::router::configuration::ActiveConfiguration;
+use crate::router::local_response::RETRY_AFTER;
+use crate::router::reactor::Timer;
+use crate::router::rejection::RejectionReason;
+use crate::router::sender::{KeyDenial, Sender};
+use crate::router::state::Router;
+use lichenswitch_configuration::{KeyDigest, QuotaUnit};
+use lichenswitch_interface::Micros;
 use lichenswitch_messages::{QuotaLeaseRequest, QuotaLeaseResponse, QuotaLeaseUnit, TenantMessage};
 use lichenswitch_net::ConnId;
 use lichenswitch_quota::{AdmissionOutcome, Decided, LeaseGrant, LeaseRequest};
-use std::fmt::Write as _;
 use std::rc::Rc;
 
 /// Part of a route's target latency that a request may wait for its quota: who is refused within a
 /// quarter of it may come back in time.
-const WAIT_SHARE: Micros = 4;
+pub(crate) const WAIT_SHARE: Micros = 4;
+
 /// It may wait so long in any case (microseconds): a holder that is gone takes 60 ms to be passed
 /// over.
-const LEAST_WAIT: Micros = 90_000;
+pub(crate) const LEAST_WAIT: Micros = 90_000;
+
 /// What a turn of the loop may take between a look at the clock and its effect (microseconds): the
 /// bounds on quotas leave room for that.
-const TURN: Micros = 250_000;
-/// Advice where it can't be told now whether a key holds (microseconds).
-const RETRY_AFTER: Micros = 200_000;
-
-/// Who sent a request: the tenant that holds its key.
-#[derive(Debug, PartialEq)]
-pub(super) struct Sender {
-    /// The tenant's name.
-    pub tenant: String,
-    /// The name as servers are told it.
-    pub header: String,
-    /// Digest of the key.
-    pub key: KeyDigest,
-}
-
-/// What a request was found to be before its quota is looked at.
-#[derive(Debug)]
-pub(super) struct Admission {
-    /// What its route says, with the rank of its tenant.
-    pub terms: RouteTerms,
-    /// The service that was drawn for it.
-    pub service: ServiceId,
-    /// Version of the configuration that says so.
-    pub configuration: u64,
-    /// Who sent it, where it bears a key that a tenant holds.
-    pub sender: Option<Rc<Sender>>,
-    /// When its time is over.
-    pub deadline: Time,
-}
-
-/// A request that waits for its tenant's quota.
-#[derive(Debug)]
-pub(super) struct AwaitingQuota {
-    /// The request.
-    pub request: ClientRequest,
-    /// What it was found to be.
-    pub admission: Admission,
-}
-
-/// Why a key is not served.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum KeyDenial {
-    /// No tenant of the configuration that counts holds it, or the request bears none.
-    UnknownKey,
-    /// What is known here may be out of date.
-    StaleConfiguration,
-}
-
-impl ActiveConfiguration {
-    /// The sender of a request on a route; none where the configuration asks for no key and the
-    /// request bears none that is held.
-    ///
-    /// # Errors
-    /// The route needs a key, and no tenant holds the request's.
-    pub(super) fn sender(
-        &self,
-        public: bool,
-        key: Option<KeyDigest>,
-    ) -> Result<Option<(&Tenant, KeyDigest)>, KeyDenial> {
-        let Some(tenants) = self.document().tenants() else {
-            return Ok(None);
-        };
-        let held = key.and_then(|key| Some((tenants.get(self.keys.holder(&key)?)?, key)));
-        match held {
-            None if !public => Err(KeyDenial::UnknownKey),
-            held => Ok(held),
-        }
-    }
-
-    /// A tenant by name.
-    #[must_use]
-    pub(super) fn tenant(&self, name: &str) -> Option<&Tenant> {
-        self.document()
-            .tenants()?
-            .iter()
-            .find(|tenant| tenant.name == name)
-    }
-}
-
-impl Sender {
-    /// Of a tenant.
-    #[must_use]
-    pub(super) fn new(tenant: &Tenant, key: KeyDigest) -> Sender {
-        Sender {
-            tenant: tenant.name.clone(),
-            header: header_value(&tenant.name),
-            key,
-        }
-    }
-}
-
-/// A name as the value of a header: what can't stand there is escaped with percent signs.
-fn header_value(name: &str) -> String {
-    let mut value = String::with_capacity(name.len());
-    let last = name.len().saturating_sub(1);
-    for (place, byte) in name.bytes().enumerate() {
-        let edge = place == 0 || place == last;
-        match byte {
-            b' ' if !edge => value.push(' '),
-            0x21..=0x7e => value.push(char::from(byte)),
-            // Writes to memory don't fail.
-            _ => _ = write!(value, "%{byte:02X}"),
-        }
-    }
-    value
-}
-
-/// What a request counts as in its tenant's quota.
-fn need(tenant: &Tenant, request: &ClientRequest) -> Result<u64, RejectionReason> {
-    match (tenant.unit, request.tokens) {
-        (QuotaUnit::Requests, _) => Ok(1),
-        (QuotaUnit::Tokens, TokenUsage::Unspecified) => Ok(tenant.uncached_tokens),
-        (QuotaUnit::Tokens, TokenUsage::Declared(tokens)) => Ok(tokens),
-        (QuotaUnit::Tokens, TokenUsage::Invalid) => Err(RejectionReason::Malformed),
-    }
-}
+pub(crate) const TURN: Micros = 250_000;
 
 impl Router {
     /// Finds the sender of a request, and checks that what is known of keys is fresh enough to go
     /// by.
-    pub(super) fn authenticate(
+    pub(crate) fn authenticate(
         &self,
         in_force: &ActiveConfiguration,
         public: bool,
@@ -167,7 +55,7 @@
 
     /// Whether a request that was taken may be sent as things stand now: its key is held still, and
     /// that is fresh knowledge.
-    pub(super) fn check_sender(&self, sender: Option<&Sender>) -> Result<(), KeyDenial> {
+    pub(crate) fn check_sender(&self, sender: Option<&Sender>) -> Result<(), KeyDenial> {
         let (Some(sender), Some(in_force)) = (sender, self.configuration.get()) else {
             return Ok(());
         };
@@ -181,7 +69,7 @@
     }
 
     /// Lets a request through if its tenant's quota allows it, or keeps it until that is known.
-    pub(super) fn admit_by_quota(
+    pub(crate) fn admit_by_quota(
         &mut self,
         client: ConnId,
         request: ClientRequest,
@@ -220,7 +108,7 @@
     }
 
     /// Sends the draws that are due, and asks whether what is in force is current.
-    pub(super) fn tell_control_of_tenants(&mut self) {
+    pub(crate) fn tell_control_of_tenants(&mut self) {
         if self.link.take_lost() {
             self.on_backlog_link_lost();
             self.allowances.on_link_lost();
@@ -247,7 +135,7 @@
     }
 
     /// A control machine has answered a draw.
-    pub(super) fn on_drawn(&mut self, answer: QuotaLeaseResponse) {
+    pub(crate) fn on_drawn(&mut self, answer: QuotaLeaseResponse) {
         let now = self.net.clock.now();
         let grant = LeaseGrant {
             needs: answer.needs,
@@ -259,7 +147,7 @@
     }
 
     /// Ends waits that have lasted for too long.
-    pub(super) fn look_at_quota(&mut self) {
+    pub(crate) fn look_at_quota(&mut self) {
         let now = self.net.clock.now();
         let ended = self.allowances.expire(now);
         self.end_waits(ended);
@@ -269,7 +157,7 @@
     }
 
     /// Refuses all that wait: this process ends.
-    pub(super) fn refuse_awaiting_quota(&mut self) {
+    pub(crate) fn refuse_awaiting_quota(&mut self) {
         let waiting: Vec<ConnId> = self.awaiting_quota.keys().copied().collect();
         for client in waiting {
             self.allowances.leave(client);
@@ -308,25 +196,7 @@
     }
 }
 
-impl RejectionReason {
-    /// What is told to a sender whose key is not served.
-    pub(super) fn of(denial: KeyDenial) -> RejectionReason {
-        match denial {
-            KeyDenial::UnknownKey => RejectionReason::UnknownKey,
-            KeyDenial::StaleConfiguration => RejectionReason::Unavailable(Some(RETRY_AFTER)),
-        }
-    }
-}
-
-impl RequestState {
-    /// Who sent it, where that is known.
-    #[must_use]
-    pub(super) fn sender(&self) -> Option<&Sender> {
-        self.sender.as_deref()
-    }
-}
-
-fn draw_request(id: u64, draw: LeaseRequest) -> QuotaLeaseRequest {
+pub(crate) fn draw_request(id: u64, draw: LeaseRequest) -> QuotaLeaseRequest {
     let LeaseRequest {
         tenant,
         unit,
@@ -346,6 +216,3 @@
         pass_on: true,
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/fleet/src/router/relay.rs
+++ b/fleet/src/router/handlers/relay.rs
@@ -4,24 +4,24 @@
 //! breaks off goes on at the next event of another server or is cut, but never ended as complete;
 //! and that what a slow client has not taken is bounded.
 
-use super::cut::AbortReason;
-use super::exchange::{ActiveRelay, RequestPhase};
-use super::ids::{AttemptId, RequestId};
-use super::response::ResponseHead;
-use super::server_connections::{BodyChunk, BufferedResponse};
-use super::service::RouteRequest;
-use super::Router;
+use crate::router::abort_reason::AbortReason;
+use crate::router::ids::{AttemptId, RequestId};
+use crate::router::request_table::{ActiveRelay, RequestPhase};
+use crate::router::server_response::{BodyChunk, BufferedResponse, ResponseHead};
+use crate::router::service::RouteRequest;
+use crate::router::state::Router;
 use lichenswitch_interface::{Micros, Outcome};
 use lichenswitch_net::ConnId;
 
 /// Reading of a server rests while its client has so many bytes still to take.
 const UNWRITTEN_MOST: usize = 128 * 1_024;
+
 /// A stream that has less time left than this is not taken up elsewhere (microseconds).
 const RESUME_LEAST: Micros = 50_000;
 
 impl Router {
     /// An answer has begun that is passed on as it comes.
-    pub(super) fn begun(
+    pub(crate) fn begun(
         &mut self,
         id: AttemptId,
         head: ResponseHead,
@@ -84,7 +84,7 @@
     }
 
     /// More of an answer that is being passed on.
-    pub(super) fn more(&mut self, id: AttemptId, part: BodyChunk) {
+    pub(crate) fn more(&mut self, id: AttemptId, part: BodyChunk) {
         // An attempt that nobody waits for has been given up, and its connection closed.
         let Some(exchange_id) = self.exchanges.of_attempt(id) else {
             return;
@@ -104,7 +104,7 @@
     }
 
     /// An answer that is being passed on is complete.
-    pub(super) fn completed(&mut self, id: AttemptId, rest: &[u8]) {
+    pub(crate) fn completed(&mut self, id: AttemptId, rest: &[u8]) {
         let Some(exchange_id) = self.exchanges.of_attempt(id) else {
             return;
         };
@@ -117,7 +117,7 @@
     }
 
     /// The server of an answer that is being passed on broke off.
-    pub(super) fn broken_off(&mut self, id: RequestId, outcome: Outcome) {
+    pub(crate) fn broken_off(&mut self, id: RequestId, outcome: Outcome) {
         if !self.resume(id) {
             self.cut(id, AbortReason::ServerEnded(outcome));
         }
@@ -166,7 +166,7 @@
     }
 
     /// A stream that goes on elsewhere came to its end there at once, or can't go on.
-    pub(super) fn resumed_whole(&mut self, id: RequestId, answer: &BufferedResponse) {
+    pub(crate) fn resumed_whole(&mut self, id: RequestId, answer: &BufferedResponse) {
         let nothing_more = answer.head.event_stream
             && (200..300).contains(&answer.head.status)
             && answer.body.iter().all(|byte| matches!(byte, b'\r' | b'\n'));
@@ -188,7 +188,7 @@
     }
 
     /// A client has taken all that was written so far.
-    pub(super) fn client_drained(&mut self, client: ConnId) {
+    pub(crate) fn client_drained(&mut self, client: ConnId) {
         if let Some(id) = self.exchanges.of_client(client) {
             self.set_paused(id, false);
         }
--- a/fleet/src/router/ids.rs
+++ b/fleet/src/router/ids.rs
@@ -2,15 +2,15 @@
 
 /// Names a request. Never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub(super) struct RequestId(pub u64);
+pub(crate) struct RequestId(pub u64);
 
 /// Names a service. Never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub(super) struct ServiceId(pub u32);
+pub(crate) struct ServiceId(pub u32);
 
 /// Names an attempt of whichever service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub(super) struct AttemptId {
+pub(crate) struct AttemptId {
     /// Its service.
     pub service: ServiceId,
     /// Its number there.
--- a/fleet/src/router/mod.rs
+++ b/fleet/src/router/mod.rs
@@ -26,71 +26,48 @@
 //! | `counters` | what was turned away, and why |
 //! | `readiness`, `shutdown`, `options` | the platform's question; the end; the settings |
 
-mod answers;
-mod backlog;
+mod abort_reason;
+mod admission;
+mod backlog_reports;
 mod budget;
-mod candidates;
-mod clients;
+mod client_connections;
+mod client_request;
 mod configuration;
 mod control_link;
 mod counters;
-mod cut;
 mod error;
-mod exchange;
 mod freshness;
+mod handlers;
+mod header_lines;
 mod ids;
-mod intake;
+mod local_response;
 mod options;
-mod prefix;
-mod program;
+mod prompt;
 mod ranks;
+mod reactor;
 mod readiness;
-mod relay;
-mod request;
-mod response;
+mod rejection;
+mod request_reader;
+mod request_table;
+mod response_outcome;
+mod response_reader;
+mod sender;
 mod server_connections;
+mod server_response;
 mod servers;
 mod service;
 mod services;
 mod shutdown;
-mod tenants;
+mod state;
+mod time;
 
-use crate::invariants::{self, Invariant};
 use crate::settings::Settings;
-use backlog::BacklogReports;
-use candidates::ControlCandidates;
-use clients::{ClientConnections, ClientEvent};
-use configuration::{ActiveConfiguration, CurrentConfiguration};
-use control_link::{ControlLink, ControlUpdate, RouterIdentity};
-use counters::RejectionCounters;
-use exchange::RequestTable;
-use freshness::ConfigurationFreshness;
-use lichenswitch_interface::Time;
-use lichenswitch_messages::{ServerRecord, TenantMessage};
-use lichenswitch_net::ConnId;
-use lichenswitch_quota::Allowances;
-use options::Options;
-use program::{after, Net, Signal, SocketOwner, Timer};
-use readiness::ReadinessEndpoint;
-use server_connections::ServerConnections;
-use servers::ServerTable;
-use services::Services;
-use shutdown::Shutdown;
 use signal_hook::consts::{SIGHUP, SIGTERM};
-use std::collections::HashMap;
-use std::net::SocketAddr;
 use std::os::unix::net::UnixStream;
 use std::path::PathBuf;
-use std::time::{Duration, SystemTime};
-use tenants::AwaitingQuota;
 
 pub use error::RouterError;
-
-/// Connections set aside for the platform's questions and for control machines, each: a question
-/// that finds none is a miss, and the platform may keep the connections of some questions open.
-const SET_ASIDE: usize = 32;
-/// How often the settings file is looked at: it may change without a signal.
-const SETTINGS_LOOK: Duration = Duration::from_secs(3);
+pub use state::Router;
 
 /// Runs the role until the process is told to end. The settings are read again from `path`.
 ///
@@ -110,343 +87,3 @@
     signal_hook::low_level::pipe::register(number, write)?;
     Ok(read)
 }
-
-/// A router.
-pub struct Router {
-    net: Net,
-    options: Options,
-    settings_file: Option<(PathBuf, Option<SystemTime>)>,
-    frontend: SocketAddr,
-    readiness_address: Option<SocketAddr>,
-    rng: fastrand::Rng,
-    configuration: CurrentConfiguration,
-    services: Services,
-    servers: ServerTable,
-    clients: ClientConnections,
-    client_events: Vec<ClientEvent>,
-    connections: ServerConnections,
-    exchanges: RequestTable,
-    link: ControlLink,
-    readiness: ReadinessEndpoint,
-    shutdown: Option<Shutdown>,
-    freshness: ConfigurationFreshness,
-    allowances: Allowances<ConnId>,
-    /// Requests that wait for their tenants' quotas, by client.
-    awaiting_quota: HashMap<ConnId, AwaitingQuota>,
-    counters: RejectionCounters,
-    backlog_reports: BacklogReports,
-    /// The next turn ends with a check of who waits.
-    check_due: bool,
-}
-
-impl Router {
-    /// A router that listens already; `file`: where its settings are read again.
-    ///
-    /// # Errors
-    /// An address can't be listened on, or the settings lack what it needs.
-    pub fn new(settings: &Settings, file: Option<PathBuf>) -> Result<Router, RouterError> {
-        let options = Options::of(settings)?;
-        let mut net = Net::new(options.capacity.descriptors)?;
-        net.set_aside_for_peers(SET_ASIDE);
-        let mut rng = fastrand::Rng::new();
-        let frontend = listen(&mut net, SocketOwner::Client, options.frontend)?;
-        let readiness_address = options
-            .readiness
-            .map(|address| listen(&mut net, SocketOwner::Platform, address))
-            .transpose()?;
-        let identity = RouterIdentity {
-            node: options.node.clone(),
-            zone: options.zone.clone(),
-            process: rng.u64(1..),
-        };
-        let candidates = ControlCandidates::new(options.machine, options.seeds.clone());
-        let link = ControlLink::new(net.clock.now(), identity, candidates)
-            .with_forwarders(settings.forwarders.clone());
-        net.wheel
-            .set(after(net.clock.now(), SETTINGS_LOOK), Timer::SettingsCheck);
-        Ok(Router {
-            settings_file: file.map(|path| (path.clone(), modified(&path))),
-            frontend,
-            readiness_address,
-            configuration: CurrentConfiguration::default(),
-            services: Services::new(rng.u64(..), options.capacity, options.budget),
-            servers: ServerTable::new(&options.zone),
-            clients: ClientConnections::new(options.capacity.bytes),
-            client_events: Vec::new(),
-            connections: ServerConnections::default(),
-            exchanges: RequestTable::default(),
-            link,
-            readiness: ReadinessEndpoint::default(),
-            shutdown: None,
-            freshness: ConfigurationFreshness::new(options.revocation),
-            allowances: Allowances::new(options.quota, rng.u64(..)),
-            awaiting_quota: HashMap::new(),
-            counters: RejectionCounters::default(),
-            backlog_reports: BacklogReports::default(),
-            check_due: false,
-            rng,
-            net,
-            options,
-        })
-    }
-
-    /// Where clients connect, and where the platform asks: ports may have been chosen by the
-    /// system.
-    #[must_use]
-    pub fn addresses(&self) -> (SocketAddr, Option<SocketAddr>) {
-        (self.frontend, self.readiness_address)
-    }
-
-    /// Ends, once all is answered, when this stream can be read.
-    ///
-    /// # Errors
-    /// The system can't watch it.
-    pub fn stop_on(&mut self, signal: UnixStream) -> Result<(), RouterError> {
-        Ok(self.net.watch_signal(Signal::Stop, signal)?)
-    }
-
-    /// Reads the settings again when this stream can be read.
-    ///
-    /// # Errors
-    /// The system can't watch it.
-    pub fn reload_on(&mut self, signal: UnixStream) -> Result<(), RouterError> {
-        Ok(self.net.watch_signal(Signal::Reload, signal)?)
-    }
-
-    /// Serves until it has been told to end and all that was read is answered.
-    ///
-    /// # Errors
-    /// The system can't wait for sockets any more.
-    pub fn serve(&mut self) -> Result<(), RouterError> {
-        self.look_at_control();
-        loop {
-            let ready = self.net.wait(self.services.next_turn())?;
-            for ready in ready {
-                match ready {
-                    lichenswitch_net::Ready::Listener(owner) => self.accept(owner),
-                    lichenswitch_net::Ready::Conn(id, owner) => self.ready(id, owner),
-                    lichenswitch_net::Ready::Signal(signal) => self.signalled(signal),
-                }
-            }
-            let now = self.net.clock.now();
-            for timer in self.net.wheel.due(now) {
-                self.timer(timer);
-            }
-            self.settle();
-            if self.is_finished() {
-                invariants::check(self.clients.waiting() == 0, Invariant::EndsAnswered);
-                return Ok(());
-            }
-        }
-    }
-
-    /// Works off all that sockets and timers have brought: requests, answers, decisions.
-    fn settle(&mut self) {
-        loop {
-            self.take_client_events();
-            self.take_server_events();
-            self.take_turns();
-            self.tell_control_of_tenants();
-            if self.client_events.is_empty() && !self.connections.has_events() {
-                break;
-            }
-        }
-        if self.check_due || cfg!(debug_assertions) {
-            self.check_due = false;
-            self.check_waiting();
-        }
-        if self.net.resting() {
-            self.net.attend_again();
-        }
-        if self.net.resting() {
-            self.clients.make_room(&mut self.net);
-        }
-    }
-
-    /// Whoever has sent a whole request, and has no answer yet, is held. Checked at each turn where
-    /// debug assertions are on, else now and then: it counts all connections.
-    fn check_waiting(&self) {
-        let held = self.exchanges.len() + self.awaiting_quota.len();
-        invariants::check(self.clients.waiting() == held, Invariant::WaitingIsHeld);
-    }
-
-    fn accept(&mut self, owner: SocketOwner) {
-        match owner {
-            SocketOwner::Client => self.clients.accept(&mut self.net),
-            SocketOwner::Platform => self.readiness.accept(&mut self.net),
-            SocketOwner::Server | SocketOwner::Control => {}
-        }
-    }
-
-    fn ready(&mut self, id: lichenswitch_net::ConnId, owner: SocketOwner) {
-        match owner {
-            SocketOwner::Client => self
-                .clients
-                .ready(&mut self.net, id, &mut self.client_events),
-            SocketOwner::Platform => {
-                let is_ready = self.is_ready();
-                self.readiness.ready(&mut self.net, id, is_ready);
-            }
-            SocketOwner::Server => self.connections.ready(&mut self.net, id),
-            SocketOwner::Control => {
-                let news = self.link.ready(&mut self.net, id);
-                self.take_news(news);
-            }
-        }
-    }
-
-    fn timer(&mut self, timer: Timer) {
-        match timer {
-            Timer::RequestDeadline(id) => self.overdue(id),
-            Timer::AttemptTimeout(id) => self.timed_out(id),
-            Timer::Client(id) => self
-                .clients
-                .timer(&mut self.net, id, &mut self.client_events),
-            Timer::Platform(id) => self.readiness.timer(&mut self.net, id),
-            Timer::Server(id) => self.connections.timer(&mut self.net, id),
-            Timer::ConnectionWait(id) => self.connections.waited(id),
-            Timer::ControlLink => self.look_at_control(),
-            Timer::Quota => self.look_at_quota(),
-            Timer::BacklogReport => self.report_backlog(),
-            Timer::SettingsCheck => self.look_at_settings(),
-            Timer::Shutdown => self.go_on_stopping(),
-        }
-    }
-
-    fn signalled(&mut self, signal: Signal) {
-        self.net.clear_signal(signal);
-        match signal {
-            Signal::Stop => self.stop(),
-            Signal::Reload => self.reload(),
-        }
-    }
-
-    /// Whether the platform may send clients.
-    fn is_ready(&self) -> bool {
-        let serves_keys = self.freshness.serves_keys(self.net.clock.now());
-        let in_force = self.configuration.get();
-        self.shutdown.is_none()
-            && in_force.is_some_and(|it| serves_keys || it.document().tenants().is_none())
-    }
-
-    fn look_at_control(&mut self) {
-        let news = self.link.look(&mut self.net);
-        self.take_news(news);
-    }
-
-    /// Applies what control has said, and acknowledges it.
-    fn take_news(&mut self, news: Vec<ControlUpdate>) {
-        for news in news {
-            match news {
-                ControlUpdate::Configuration(position, document) => {
-                    match ActiveConfiguration::parse(position, &document) {
-                        Ok(new) => self.apply(new),
-                        Err(e) => {
-                            log::error!(position:? = position; "configuration can't be read: {e}")
-                        }
-                    }
-                }
-                ControlUpdate::Servers(records) => self.take_servers(&records),
-                ControlUpdate::Routers(count) => self.services.set_routers(count),
-                ControlUpdate::Tenant(message) => self.take_tenant_message(message),
-                ControlUpdate::Backlog(report) => self.services.set_backlogs(&report),
-            }
-        }
-        self.link.acknowledge(&mut self.net);
-    }
-
-    fn take_tenant_message(&mut self, message: TenantMessage) {
-        match message {
-            TenantMessage::Confirmed { stamp, position } => {
-                // What can't be applied here leaves this router behind.
-                if position.is_none_or(|position| self.link.has_applied(position)) {
-                    self.freshness
-                        .on_confirmed(self.net.clock.now(), Time(stamp));
-                }
-            }
-            TenantMessage::LeaseResponse(answer) => self.on_drawn(answer),
-            // Only control machines are asked.
-            TenantMessage::Confirm { .. } | TenantMessage::LeaseRequest(_) => {}
-        }
-    }
-
-    fn take_servers(&mut self, records: &[ServerRecord]) {
-        let changes = self.servers.merge(records);
-        for change in changes.iter().filter(|change| change.takes_nothing()) {
-            self.connections
-                .hold_back(&mut self.net, change.line.server);
-        }
-        self.services.listed(&changes);
-        self.net.listed(self.servers.count());
-    }
-
-    fn apply(&mut self, new: ActiveConfiguration) {
-        let (position, version) = (new.position, new.document().version());
-        if !self.configuration.apply(new) {
-            return;
-        }
-        self.link.on_applied(position);
-        if let Some(in_force) = self.configuration.get() {
-            self.clients.set_limits(in_force.limits());
-            self.services.apply(in_force, &self.servers);
-        }
-        log::info!(version = version; "configuration in force");
-    }
-
-    /// The file may have changed without a signal.
-    fn look_at_settings(&mut self) {
-        self.check_due = true;
-        let changed = match &mut self.settings_file {
-            Some((path, seen)) => {
-                let now = modified(path);
-                std::mem::replace(seen, now) != now
-            }
-            None => false,
-        };
-        if changed {
-            self.reload();
-        }
-        self.net.wheel.set(
-            after(self.net.clock.now(), SETTINGS_LOOK),
-            Timer::SettingsCheck,
-        );
-    }
-
-    /// Reads the settings again: seeds and the further-try budget may have changed. A faulty file
-    /// changes nothing.
-    fn reload(&mut self) {
-        let Some((path, seen)) = &mut self.settings_file else {
-            return;
-        };
-        *seen = modified(path);
-        match Settings::read(path)
-            .map_err(|e| e.to_string())
-            .and_then(|settings| Options::of(&settings).map_err(|e| e.to_string()))
-        {
-            Ok(options) => {
-                self.link.set_seeds(options.seeds.clone());
-                self.services.set_budget(options.budget);
-                self.freshness.set_terms(options.revocation);
-                self.allowances.set_terms(options.quota);
-                self.options.grace = options.grace;
-                log::info!("settings read again");
-            }
-            Err(e) => log::warn!("settings stay as they were: {e}"),
-        }
-    }
-}
-
-fn modified(path: &std::path::Path) -> Option<SystemTime> {
-    std::fs::metadata(path)
-        .and_then(|data| data.modified())
-        .ok()
-}
-
-fn listen(
-    net: &mut Net,
-    owner: SocketOwner,
-    address: SocketAddr,
-) -> Result<SocketAddr, RouterError> {
-    net.listen(owner, address)
-        .map_err(|source| RouterError::Listen { address, source })
-}
--- a/fleet/src/router/options.rs
+++ b/fleet/src/router/options.rs
@@ -15,13 +15,13 @@
 const RESERVED_DESCRIPTORS: usize = 232;
 /// Share of `retrySlack` that all routers together use: the rest is for what their clocks and
 /// windows miss.
-pub(super) const SLACK_SHARE: f64 = 0.8;
+pub(crate) const SLACK_SHARE: f64 = 0.8;
 /// Part of the further-try budget that is kept for streams which go on at another server.
-pub(super) const RESUME_SHARE: f64 = 0.25;
+pub(crate) const RESUME_SHARE: f64 = 0.25;
 
 /// Limits on what this process holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Capacity {
+pub(crate) struct Capacity {
     /// Requests held at once.
     pub requests: u32,
     /// Bytes of requests and whole answers held.
@@ -32,7 +32,7 @@
 
 /// The further-try budget of the whole system.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct RetryBudget {
+pub(crate) struct RetryBudget {
     /// Further arrivals for each request.
     pub ratio: f64,
     /// Further arrivals beside that, of all routers together.
@@ -43,7 +43,7 @@
 
 /// What the settings say, as this role needs it.
 #[derive(Clone, Debug)]
-pub(super) struct Options {
+pub(crate) struct Options {
     /// `nodeName`.
     pub node: String,
     /// `zone`.
@@ -73,7 +73,7 @@
     ///
     /// # Errors
     /// They name no address for clients.
-    pub(super) fn of(settings: &Settings) -> Result<Options, RouterError> {
+    pub(crate) fn of(settings: &Settings) -> Result<Options, RouterError> {
         let bounds = &settings.bounds;
         Ok(Options {
             node: settings.node_name.clone(),
--- a/fleet/src/router/prefix.rs
+++ b/fleet/src/router/prompt.rs
@@ -10,7 +10,7 @@
 
 /// A hash that never changes.
 #[must_use]
-pub(super) fn stable_hash(bytes: &[u8]) -> u64 {
+pub(crate) fn stable_hash(bytes: &[u8]) -> u64 {
     hash_on(FNV_START, bytes)
 }
 
@@ -19,7 +19,7 @@
 
 /// What is known of a request's prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Prompt {
+pub(crate) struct Prompt {
     /// Names the beginning that it shares with others: all parts but the last, which belongs to the
     /// request or its session. 0: it shares nothing, or its list of parts can't be read.
     pub prefix: u64,
@@ -42,7 +42,7 @@
 impl Prompt {
     /// Reads `Model` and `Prompt-Prefix` (parts `ID:TOKENS`, joined by commas).
     #[must_use]
-    pub(super) fn read(model: Option<&[u8]>, parts: Option<&[u8]>) -> Prompt {
+    pub(crate) fn read(model: Option<&[u8]>, parts: Option<&[u8]>) -> Prompt {
         let Some(parts) = parts else {
             return Prompt::default();
         };
--- a/fleet/src/router/ranks.rs
+++ b/fleet/src/router/ranks.rs
@@ -8,14 +8,14 @@
 use std::collections::BTreeSet;
 
 /// The least urgent rank.
-pub(super) const LOWEST_RANK: u8 = 9;
+pub(crate) const LOWEST_RANK: u8 = 9;
 
 /// Rank of a tenant, and of a route.
 type RankPair = (u32, u32);
 
 /// The ranks of a configuration.
 #[derive(Debug, Default)]
-pub(super) struct PriorityRanks {
+pub(crate) struct PriorityRanks {
     /// All pairs of a configuration with tenants, the most urgent first.
     pairs: Vec<RankPair>,
 }
@@ -23,7 +23,7 @@
 impl PriorityRanks {
     /// Of a configuration.
     #[must_use]
-    pub(super) fn new(document: &Document) -> PriorityRanks {
+    pub(crate) fn new(document: &Document) -> PriorityRanks {
         let Some(tenants) = document.tenants() else {
             return PriorityRanks::default();
         };
@@ -41,13 +41,13 @@
 
     /// The rank of a tenant's requests on a route, 0 to 9.
     #[must_use]
-    pub(super) fn rank(&self, tenant: Option<&Tenant>, route: &Route) -> u8 {
+    pub(crate) fn rank(&self, tenant: Option<&Tenant>, route: &Route) -> u8 {
         self.rank_of(tenant.and_then(|tenant| tenant.priority), route)
     }
 
     /// All ranks that requests on a route may have.
     #[must_use]
-    pub(super) fn all(&self, tenants: &[Tenant], route: &Route) -> BTreeSet<u8> {
+    pub(crate) fn all(&self, tenants: &[Tenant], route: &Route) -> BTreeSet<u8> {
         let own = [self.rank_of(None, route)];
         own.into_iter()
             .chain(tenants.iter().map(|tenant| self.rank(Some(tenant), route)))
--- a/fleet/src/router/program.rs
+++ b/fleet/src/router/reactor.rs
@@ -1,17 +1,18 @@
-//! What this role calls its connections, timers and signals.
+//! The event loop's vocabulary: who owns a socket, what a timer is for, which signals are watched.
+//!
+//! It lies below everything that opens connections or sets timers, and knows names only (`ids`).
 
 use super::ids::{AttemptId, RequestId};
 use lichenswitch_descriptors::Side;
-use lichenswitch_interface::{Micros, Time};
 use lichenswitch_net::{ConnId, Program};
 use std::time::Duration;
 
 /// The role, to the loop of sockets.
-pub(super) struct RouterProgram;
+pub(crate) struct RouterProgram;
 
 /// Who a connection or listener belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum SocketOwner {
+pub(crate) enum SocketOwner {
     /// Clients.
     Client,
     /// The platform, which asks whether this router is ready.
@@ -24,7 +25,7 @@
 
 /// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Timer {
+pub(crate) enum Timer {
     /// The time of a request is over.
     RequestDeadline(RequestId),
     /// The time that the module gave an attempt is over.
@@ -51,7 +52,7 @@
 
 /// What has come to the process beside bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Signal {
+pub(crate) enum Signal {
     /// To finish what was taken, and end.
     Stop,
     /// To read the settings again.
@@ -91,24 +92,14 @@
 
 /// A server that is well acknowledges within milliseconds, as long as its system has room for what
 /// it has not read.
-pub(super) const SERVER_USER_TIMEOUT: Duration = Duration::from_secs(3);
+pub(crate) const SERVER_USER_TIMEOUT: Duration = Duration::from_secs(3);
+
 /// Clients give a stream up after two seconds of silence at the least: what is found by then can
 /// still go on elsewhere.
-const SERVER_PROBE: Duration = Duration::from_millis(1_000);
+pub(crate) const SERVER_PROBE: Duration = Duration::from_millis(1_000);
+
 /// Control machines speak four times a second.
-const CONTROL_USER_TIMEOUT: Duration = Duration::from_secs(1);
+pub(crate) const CONTROL_USER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Sockets of this role.
-pub(super) type Net = lichenswitch_net::Net<RouterProgram>;
-
-/// A duration on the clock of the loop.
-#[must_use]
-pub(super) fn micros(duration: Duration) -> Micros {
-    Micros::try_from(duration.as_micros()).unwrap_or(Micros::MAX)
-}
-
-/// A point so much later.
-#[must_use]
-pub(super) fn after(time: Time, wait: Duration) -> Time {
-    time.plus(micros(wait))
-}
+pub(crate) type Net = lichenswitch_net::Net<RouterProgram>;
--- a/fleet/src/router/readiness.rs
+++ b/fleet/src/router/readiness.rs
@@ -3,7 +3,8 @@
 //! It promises an answer at once, whatever else the router does, and 200 only where the caller says
 //! that the router is ready.
 
-use super::program::{after, Net, SocketOwner, Timer};
+use super::reactor::{Net, SocketOwner, Timer};
+use super::time::after;
 use lichenswitch_http::{self as http, Parsed, Response};
 use lichenswitch_net::{ConnId, Pumped};
 use std::collections::HashMap;
@@ -17,14 +18,14 @@
 
 /// Connections of the platform.
 #[derive(Default)]
-pub(super) struct ReadinessEndpoint {
+pub(crate) struct ReadinessEndpoint {
     /// Each with whether it closes once its answer is written.
     open: HashMap<ConnId, bool>,
 }
 
 impl ReadinessEndpoint {
     /// Accepts all that wait.
-    pub(super) fn accept(&mut self, net: &mut Net) {
+    pub(crate) fn accept(&mut self, net: &mut Net) {
         for id in net.accept(SocketOwner::Platform) {
             self.open.insert(id, false);
             let at = after(net.clock.now(), IDLE);
@@ -33,7 +34,7 @@
     }
 
     /// Reads questions and answers them.
-    pub(super) fn ready(&mut self, net: &mut Net, id: ConnId, is_ready: bool) {
+    pub(crate) fn ready(&mut self, net: &mut Net, id: ConnId, is_ready: bool) {
         let pumped = net.pump(id, CEILING);
         let Some(closing) = self.open.get(&id).copied() else {
             return net.close(id);
@@ -52,7 +53,7 @@
     }
 
     /// A connection's timer: it may have been idle for too long.
-    pub(super) fn timer(&mut self, net: &mut Net, id: ConnId) {
+    pub(crate) fn timer(&mut self, net: &mut Net, id: ConnId) {
         if !self.open.contains_key(&id) {
             return;
         }
--- a/fleet/src/router/request.rs
+++ b/fleet/src/router/request_reader.rs
@@ -1,22 +1,21 @@
-//! Requests of clients: read from their connections, and written for servers.
+//! Reads requests from clients' connections, however their bytes are cut.
 //!
-//! It promises that a server gets method, target and body as the client sent them, and every header
-//! but those that concern one connection alone and those that this program sets. A request has one
-//! reading or none: what two programs could read in two ways is refused.
+//! It promises that a request has one reading or none: what two programs could read in two ways is
+//! rejected.
 
-use super::prefix::Prompt;
-use super::tenants::Sender;
+use super::client_request::{ClientRequest, TokenUsage};
+use super::header_lines::lines;
+use super::prompt::Prompt;
 use lichenswitch_configuration::{KeyDigest, Limits};
 use lichenswitch_http::{
     parse_request_head, BodyDecoder, Framing, Headers, Malformed, RequestHead,
 };
 use lichenswitch_net::buffer::Buffer;
-use std::io::Write as _;
 use std::time::Duration;
 
 /// Headers that this program sets itself, that concern how a body travels, or that are for this
 /// program alone.
-const OWN: [&str; 8] = [
+pub(crate) const OWN: [&str; 8] = [
     "content-length",
     "deadline-ms",
     "target-instance",
@@ -26,66 +25,13 @@
     "api-key",
     "tenant",
 ];
-/// Longest time that a client may say it waits: longer ones are no different.
-const MAX_DEADLINE: Duration = Duration::from_secs(86_400);
-
-/// What a request tells of its tokens.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) enum TokenUsage {
-    /// Nothing.
-    #[default]
-    Unspecified,
-    /// The sum of those of its prompt and the most to come out.
-    Declared(u64),
-    /// What is no pair of numbers, or more than can be counted.
-    Invalid,
-}
 
-/// A request, whole.
-#[derive(Debug, Default, PartialEq)]
-pub(super) struct ClientRequest {
-    method: String,
-    target: String,
-    /// Its `Host`.
-    pub host: String,
-    /// Header lines that are passed on.
-    passed: Vec<u8>,
-    /// Its `Attempt-Id`.
-    pub attempt_id: Option<String>,
-    /// How long its client waits.
-    pub deadline: Option<Duration>,
-    /// What is known of its prompt.
-    pub prompt: Prompt,
-    /// Digest of its `Api-Key`, where it bears one.
-    pub key: Option<KeyDigest>,
-    /// Its `Token-Usage`.
-    pub tokens: TokenUsage,
-    last_event_id: Option<Vec<u8>>,
-    /// Its body.
-    pub body: Vec<u8>,
-    has_body: bool,
-    /// The connection stays open after it.
-    pub keep_alive: bool,
-}
-
-/// What goes with one send of a request.
-#[derive(Debug)]
-pub(super) struct ForwardingHeaders<'a> {
-    /// What is left of its time.
-    pub left: Duration,
-    /// The server that is meant.
-    pub instance: &'a str,
-    /// Rank of its route, 0 to 9; 0 is the most urgent.
-    pub priority: u8,
-    /// A stream goes on behind this event.
-    pub resume_after: Option<&'a [u8]>,
-    /// Who sent it.
-    pub sender: Option<&'a Sender>,
-}
+/// Longest time that a client may say it waits: longer ones are no different.
+pub(crate) const MAX_DEADLINE: Duration = Duration::from_secs(86_400);
 
 /// How far the reading of a request has come.
 #[derive(Debug)]
-pub(super) enum RequestProgress {
+pub(crate) enum RequestProgress {
     /// More bytes are needed.
     Incomplete {
         /// The client waits to be told that it may go on; told once.
@@ -97,60 +43,17 @@
 
 /// Reads one request.
 #[derive(Debug)]
-pub(super) struct RequestReader {
+pub(crate) struct RequestReader {
     max_header_bytes: usize,
     max_body_bytes: usize,
     request: Option<(Box<ClientRequest>, BodyDecoder)>,
     expects_continue: bool,
 }
 
-impl ClientRequest {
-    /// The target as it came, path and query.
-    #[must_use]
-    pub(super) fn path(&self) -> &str {
-        &self.target
-    }
-
-    /// Whether its answer has no body.
-    #[must_use]
-    pub(super) fn is_head(&self) -> bool {
-        self.method == "HEAD"
-    }
-
-    /// Bytes that it holds.
-    #[must_use]
-    pub(super) fn bytes(&self) -> usize {
-        self.body.len() + self.passed.len() + self.target.len()
-    }
-
-    /// Writes its head for a server.
-    pub(super) fn encode(&self, send: &ForwardingHeaders<'_>, to: &mut Vec<u8>) {
-        to.reserve(self.passed.len() + self.target.len() + 256);
-        // Writes to memory don't fail.
-        let _ = write!(to, "{} {} HTTP/1.1\r\n", self.method, self.target);
-        to.extend_from_slice(&self.passed);
-        let _ = write!(to, "Deadline-Ms: {}\r\n", send.left.as_millis());
-        let _ = write!(to, "Target-Instance: {}\r\n", send.instance);
-        let _ = write!(to, "Priority: {}\r\n", send.priority);
-        if let Some(sender) = send.sender {
-            let _ = write!(to, "Tenant: {}\r\n", sender.header);
-        }
-        if let Some(id) = send.resume_after.or(self.last_event_id.as_deref()) {
-            to.extend_from_slice(b"Last-Event-Id: ");
-            to.extend_from_slice(id);
-            to.extend_from_slice(b"\r\n");
-        }
-        if self.has_body {
-            let _ = write!(to, "Content-Length: {}\r\n", self.body.len());
-        }
-        to.extend_from_slice(b"\r\n");
-    }
-}
-
 impl RequestReader {
     /// A reader under these limits.
     #[must_use]
-    pub(super) fn new(limits: &Limits) -> RequestReader {
+    pub(crate) fn new(limits: &Limits) -> RequestReader {
         RequestReader {
             max_header_bytes: usize::try_from(limits.max_header_bytes).unwrap_or(usize::MAX),
             max_body_bytes: usize::try_from(limits.max_body_bytes).unwrap_or(usize::MAX),
@@ -161,13 +64,13 @@
 
     /// Whether the head has come.
     #[must_use]
-    pub(super) fn has_head(&self) -> bool {
+    pub(crate) fn has_head(&self) -> bool {
         self.request.is_some()
     }
 
     /// Bytes of a body that it holds.
     #[must_use]
-    pub(super) fn held(&self) -> usize {
+    pub(crate) fn held(&self) -> usize {
         self.request
             .as_ref()
             .map_or(0, |(request, _)| request.body.len())
@@ -177,7 +80,7 @@
     ///
     /// # Errors
     /// What comes is no request within the limits.
-    pub(super) fn read(&mut self, input: &mut Buffer) -> Result<RequestProgress, Malformed> {
+    pub(crate) fn read(&mut self, input: &mut Buffer) -> Result<RequestProgress, Malformed> {
         if self.request.is_none() && !self.read_head(input)? {
             return Ok(RequestProgress::Incomplete {
                 expects_continue: false,
@@ -234,7 +137,7 @@
     }
 }
 
-fn request_of(head: RequestHead) -> Result<ClientRequest, Malformed> {
+pub(crate) fn request_of(head: RequestHead) -> Result<ClientRequest, Malformed> {
     // Guards the choice of the route: it is made by the path that the server sees.
     if !head.target.starts_with('/') {
         return Err(Malformed(400, "target without a path"));
@@ -263,33 +166,18 @@
     })
 }
 
-/// The lines that are passed on, but for some.
-pub(super) fn lines(headers: &Headers, without: &[&str]) -> Vec<u8> {
-    let mut lines = Vec::with_capacity(512);
-    for field in headers.end_to_end() {
-        if without
-            .iter()
-            .any(|name| field.name.eq_ignore_ascii_case(name))
-        {
-            continue;
-        }
-        lines.extend_from_slice(field.name.as_bytes());
-        lines.extend_from_slice(b": ");
-        lines.extend_from_slice(&field.value);
-        lines.extend_from_slice(b"\r\n");
-    }
-    lines
-}
-
 /// The value of a header that may come once.
-fn only<'a>(headers: &'a Headers, name: &'a str) -> Result<Option<&'a str>, Malformed> {
+pub(crate) fn only<'a>(headers: &'a Headers, name: &'a str) -> Result<Option<&'a str>, Malformed> {
     let text =
         |value| std::str::from_utf8(value).map_err(|_| Malformed(400, "a header is no text"));
     only_bytes(headers, name)?.map(text).transpose()
 }
 
 /// The same, whatever its bytes are.
-fn only_bytes<'a>(headers: &'a Headers, name: &'a str) -> Result<Option<&'a [u8]>, Malformed> {
+pub(crate) fn only_bytes<'a>(
+    headers: &'a Headers,
+    name: &'a str,
+) -> Result<Option<&'a [u8]>, Malformed> {
     let mut values = headers.all(name);
     match (values.next(), values.next()) {
         (value, None) => Ok(value),
@@ -298,7 +186,7 @@
 }
 
 /// Reads `Token-Usage`: two whole numbers with a comma between them.
-fn token_usage(value: Option<&[u8]>) -> TokenUsage {
+pub(crate) fn token_usage(value: Option<&[u8]>) -> TokenUsage {
     let Some(value) = value else {
         return TokenUsage::Unspecified;
     };
--- a/fleet/src/router/request/tests.rs
+++ b/fleet/src/router/request_reader/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::router::client_request::ForwardingHeaders;
 
 fn reader() -> RequestReader {
     RequestReader::new(&Limits {
--- a/fleet/src/router/exchange.rs
+++ b/fleet/src/router/request_table.rs
@@ -1,15 +1,14 @@
-//! Requests that are held, from their last byte to the last byte of their answer.
+//! Requests in hand, from their last byte to the last byte of their response.
 //!
-//! It owns the table and what each request has met so far. It promises that what is said of a
+//! It owns the table and what each request has met so far. It promises that what is recorded of a
 //! request's runs errs on one side only: it counts as run unless every attempt is known not to have
 //! run.
 
+use super::client_request::ClientRequest;
 use super::configuration::RouteTerms;
 use super::ids::{AttemptId, RequestId, ServiceId};
-use super::request::ClientRequest;
-use super::response::ResponseHead;
-use super::server_connections::BufferedResponse;
-use super::tenants::Sender;
+use super::sender::Sender;
+use super::server_response::BufferedResponse;
 use lichenswitch_interface::{Outcome, QueryId, ServerId, Time};
 use lichenswitch_net::ConnId;
 use std::collections::HashMap;
@@ -17,7 +16,7 @@
 
 /// How far a request has come.
 #[derive(Debug)]
-pub(super) enum RequestPhase {
+pub(crate) enum RequestPhase {
     /// Nothing has been answered.
     Pending,
     /// An answer is being passed on.
@@ -31,7 +30,7 @@
 
 /// An answer that is being passed on.
 #[derive(Debug)]
-pub(super) struct ActiveRelay {
+pub(crate) struct ActiveRelay {
     /// The attempt that brings it.
     pub attempt: AttemptId,
     /// Its server.
@@ -44,7 +43,7 @@
 
 /// An attempt that is out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct InFlightAttempt {
+pub(crate) struct InFlightAttempt {
     /// The attempt.
     pub id: AttemptId,
     /// Its server.
@@ -53,7 +52,7 @@
 
 /// A request that is held.
 #[derive(Debug)]
-pub(super) struct RequestState {
+pub(crate) struct RequestState {
     /// Whose it is.
     pub client: ConnId,
     /// The request.
@@ -88,7 +87,7 @@
 
 impl RequestState {
     /// An attempt has ended in this way.
-    pub(super) fn on_ended(&mut self, id: AttemptId, outcome: Outcome) {
+    pub(crate) fn on_ended(&mut self, id: AttemptId, outcome: Outcome) {
         let before = self.out.len();
         self.out.retain(|out| out.id != id);
         let known = self.out.len() < before;
@@ -101,7 +100,7 @@
     }
 
     /// An attempt is being made.
-    pub(super) fn on_sent(&mut self, out: InFlightAttempt) {
+    pub(crate) fn on_sent(&mut self, out: InFlightAttempt) {
         self.out.push(out);
         self.may_have_run += 1;
         self.sends += 1;
@@ -109,50 +108,27 @@
 
     /// Whether the rules allow that it is sent once more.
     #[must_use]
-    pub(super) fn may_send(&self) -> bool {
+    pub(crate) fn may_send(&self) -> bool {
         (self.terms.idempotent || self.may_have_run == 0)
             && self.sends < self.terms.max_attempts.max(1)
     }
 
     /// Whether this attempt's answer is being passed on.
     #[must_use]
-    pub(super) fn relays(&self, id: AttemptId) -> bool {
+    pub(crate) fn relays(&self, id: AttemptId) -> bool {
         matches!(&self.phase, RequestPhase::Relaying(relay) if relay.attempt == id)
     }
-}
-
-/// What a server's whole answer means for its request.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum ResponseOutcome {
-    /// It is the answer.
-    Final,
-    /// The server says that it did not run the request.
-    NotExecuted,
-    /// A failure, after which the request may have run; whether it may be passed on to the client.
-    Failure {
-        /// Its status is no promise that it can't keep.
-        passes: bool,
-    },
-}
 
-/// Reads an answer's head. Only `Not-Executed` and 421 say that a request did not run. What would
-/// be a promise in this program's mouth (408, 421, 429, 503) is not passed on as one where the
-/// server has not made it.
-#[must_use]
-pub(super) fn meaning(head: &ResponseHead) -> ResponseOutcome {
-    let promise = matches!(head.status, 408 | 421 | 429 | 503);
-    match head.status {
-        421 => ResponseOutcome::NotExecuted,
-        408 | 429 | 500..=599 if head.not_executed => ResponseOutcome::NotExecuted,
-        _ if promise => ResponseOutcome::Failure { passes: false },
-        500..=599 => ResponseOutcome::Failure { passes: true },
-        _ => ResponseOutcome::Final,
+    /// Who sent it, where that is known.
+    #[must_use]
+    pub(crate) fn sender(&self) -> Option<&Sender> {
+        self.sender.as_deref()
     }
 }
 
 /// All requests that are held.
 #[derive(Default)]
-pub(super) struct RequestTable {
+pub(crate) struct RequestTable {
     held: HashMap<RequestId, RequestState>,
     by_client: HashMap<ConnId, RequestId>,
     by_attempt: HashMap<AttemptId, RequestId>,
@@ -163,24 +139,24 @@
 impl RequestTable {
     /// How many are held.
     #[must_use]
-    pub(super) fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.held.len()
     }
 
     /// Whether none is held.
     #[must_use]
-    pub(super) fn is_empty(&self) -> bool {
+    pub(crate) fn is_empty(&self) -> bool {
         self.held.is_empty()
     }
 
     /// Bytes of the requests that are held.
     #[must_use]
-    pub(super) fn bytes(&self) -> usize {
+    pub(crate) fn bytes(&self) -> usize {
         self.bytes
     }
 
     /// Adds one.
-    pub(super) fn insert(&mut self, exchange: RequestState) -> RequestId {
+    pub(crate) fn insert(&mut self, exchange: RequestState) -> RequestId {
         let id = self.next_id();
         self.next += 1;
         self.bytes += exchange.request.bytes();
@@ -191,35 +167,35 @@
 
     /// What the next one that is added will be called.
     #[must_use]
-    pub(super) fn next_id(&self) -> RequestId {
+    pub(crate) fn next_id(&self) -> RequestId {
         RequestId(self.next)
     }
 
     /// One that is held.
     #[must_use]
-    pub(super) fn get(&self, id: RequestId) -> Option<&RequestState> {
+    pub(crate) fn get(&self, id: RequestId) -> Option<&RequestState> {
         self.held.get(&id)
     }
 
     /// The same, to change it.
-    pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut RequestState> {
+    pub(crate) fn get_mut(&mut self, id: RequestId) -> Option<&mut RequestState> {
         self.held.get_mut(&id)
     }
 
     /// The request of a client.
     #[must_use]
-    pub(super) fn of_client(&self, client: ConnId) -> Option<RequestId> {
+    pub(crate) fn of_client(&self, client: ConnId) -> Option<RequestId> {
         self.by_client.get(&client).copied()
     }
 
     /// The request of an attempt.
     #[must_use]
-    pub(super) fn of_attempt(&self, attempt: AttemptId) -> Option<RequestId> {
+    pub(crate) fn of_attempt(&self, attempt: AttemptId) -> Option<RequestId> {
         self.by_attempt.get(&attempt).copied()
     }
 
     /// An attempt of a request is being made.
-    pub(super) fn on_sent(&mut self, id: RequestId, out: InFlightAttempt) {
+    pub(crate) fn on_sent(&mut self, id: RequestId, out: InFlightAttempt) {
         if let Some(exchange) = self.held.get_mut(&id) {
             exchange.on_sent(out);
             self.by_attempt.insert(out.id, id);
@@ -227,7 +203,7 @@
     }
 
     /// An attempt has ended; tells its request, if that is still held.
-    pub(super) fn on_ended(&mut self, attempt: AttemptId, outcome: Outcome) -> Option<RequestId> {
+    pub(crate) fn on_ended(&mut self, attempt: AttemptId, outcome: Outcome) -> Option<RequestId> {
         let id = self.by_attempt.remove(&attempt)?;
         self.held.get_mut(&id)?.on_ended(attempt, outcome);
         Some(id)
@@ -235,7 +211,7 @@
 
     /// An attempt of a request brings its answer, which is passed on from now on. Tells the others
     /// that are out for it.
-    pub(super) fn on_begun(&mut self, id: RequestId, relay: ActiveRelay) -> Vec<AttemptId> {
+    pub(crate) fn on_begun(&mut self, id: RequestId, relay: ActiveRelay) -> Vec<AttemptId> {
         let Some(exchange) = self.held.get_mut(&id) else {
             return Vec::new();
         };
@@ -253,7 +229,7 @@
     }
 
     /// The answer that was passed on broke off: the request goes on behind this event.
-    pub(super) fn on_broken_off(&mut self, id: RequestId, last_event_id: Vec<u8>) {
+    pub(crate) fn on_broken_off(&mut self, id: RequestId, last_event_id: Vec<u8>) {
         let Some(exchange) = self.held.get_mut(&id) else {
             return;
         };
@@ -267,7 +243,7 @@
     }
 
     /// Takes one out: the one place where it is given back.
-    pub(super) fn remove(&mut self, id: RequestId) -> Option<RequestState> {
+    pub(crate) fn remove(&mut self, id: RequestId) -> Option<RequestState> {
         let exchange = self.held.remove(&id)?;
         self.bytes -= exchange.request.bytes();
         self.by_client.remove(&exchange.client);
@@ -281,13 +257,13 @@
     }
 
     /// All that are held, in no order.
-    pub(super) fn iter(&self) -> impl Iterator<Item = &RequestState> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = &RequestState> {
         self.held.values()
     }
 
     /// Their names.
     #[must_use]
-    pub(super) fn ids(&self) -> Vec<RequestId> {
+    pub(crate) fn ids(&self) -> Vec<RequestId> {
         self.held.keys().copied().collect()
     }
 }
--- /dev/null
+++ b/fleet/src/router/response_reader.rs
@@ -0,0 +1,196 @@
+//! Reads responses from servers' connections, however their bytes are cut.
+//!
+//! It promises that a response is given out only as it came (status, body and every header but those
+//! that concern one connection alone), and that it is complete only where its framing says so, or where
+//! its connection ended in order if it has none.
+
+use super::client_request::ClientRequest;
+use super::header_lines::lines;
+use super::server_response::{ResponseHead, ServerLoad};
+use lichenswitch_http::{parse_response_head, BodyDecoder, Framing, Headers};
+use lichenswitch_net::buffer::Buffer;
+use std::time::Duration;
+
+/// Most bytes of an answer's head.
+pub(crate) const MAX_HEAD: usize = 32 * 1_024;
+
+/// A piece of a server's answer.
+#[derive(Debug, PartialEq, Eq)]
+pub(crate) enum ResponsePart {
+    /// Its head.
+    Head(ResponseHead),
+    /// Bytes of its body.
+    Body(Vec<u8>),
+    /// It is whole.
+    End,
+}
+
+/// Why what came is no answer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("no answer in the protocol")]
+pub(crate) struct MalformedResponse;
+
+/// Reads the answer to one request.
+#[derive(Debug)]
+pub(crate) struct ResponseReader {
+    head_only: bool,
+    body: Option<(BodyDecoder, Framing)>,
+    ended: bool,
+    keeps: bool,
+    idle_time: Option<Duration>,
+}
+
+impl ResponseReader {
+    /// For the answer to this request.
+    #[must_use]
+    pub(crate) fn new(request: &ClientRequest) -> ResponseReader {
+        let head_only = request.is_head();
+        ResponseReader {
+            head_only,
+            body: None,
+            ended: false,
+            keeps: false,
+            idle_time: None,
+        }
+    }
+
+    /// The next piece; `ended`: the connection has ended in order, and nothing more comes.
+    ///
+    /// # Errors
+    /// What came is no answer, or one that was cut.
+    pub(crate) fn read(
+        &mut self,
+        input: &mut Buffer,
+        ended: bool,
+    ) -> Result<Option<ResponsePart>, MalformedResponse> {
+        let Some((decoder, _)) = &mut self.body else {
+            return self.read_head(input, ended);
+        };
+        if self.ended {
+            return Ok(None);
+        }
+        loop {
+            let decoded = decoder
+                .decode(input.bytes())
+                .map_err(|_| MalformedResponse)?;
+            let (bytes, used, complete) =
+                (decoded.body.to_vec(), decoded.consumed, decoded.complete);
+            input.consume(used);
+            if !bytes.is_empty() {
+                return Ok(Some(ResponsePart::Body(bytes)));
+            }
+            if complete || used == 0 {
+                break;
+            }
+        }
+        if ended {
+            decoder.end().map_err(|_| MalformedResponse)?;
+        }
+        self.ended = decoder.is_complete();
+        Ok(self.ended.then_some(ResponsePart::End))
+    }
+
+    /// Whether the server keeps the connection for another request.
+    #[must_use]
+    pub(crate) fn keeps_connection(&self) -> bool {
+        self.keeps
+    }
+
+    /// Whether the answer tells where it ends.
+    #[must_use]
+    pub(crate) fn is_framed(&self) -> bool {
+        self.body
+            .as_ref()
+            .is_some_and(|(_, framing)| *framing != Framing::UntilClose)
+    }
+
+    /// For how long the server keeps idle connections, where it tells.
+    #[must_use]
+    pub(crate) fn idle_time(&self) -> Option<Duration> {
+        self.idle_time
+    }
+
+    /// Length of the body, where it is told.
+    #[must_use]
+    pub(crate) fn length(&self) -> Option<u64> {
+        match self.body.as_ref()?.1 {
+            Framing::Length(length) => Some(length),
+            Framing::None | Framing::Chunked | Framing::UntilClose => None,
+        }
+    }
+
+    fn read_head(
+        &mut self,
+        input: &mut Buffer,
+        ended: bool,
+    ) -> Result<Option<ResponsePart>, MalformedResponse> {
+        loop {
+            let parsed = parse_response_head(input.bytes(), MAX_HEAD, self.head_only);
+            let (head, used) = match parsed.map_err(|_| MalformedResponse)? {
+                Some(parsed) => parsed,
+                None if ended => return Err(MalformedResponse),
+                None => return Ok(None),
+            };
+            input.consume(used);
+            match head.status {
+                // Nothing was asked that this could be the answer to.
+                101 => return Err(MalformedResponse),
+                100..=199 => {}
+                200..=599 => {
+                    return self
+                        .take_head(&head)
+                        .map(|head| Some(ResponsePart::Head(head)))
+                }
+                _ => return Err(MalformedResponse),
+            }
+        }
+    }
+
+    fn take_head(
+        &mut self,
+        head: &lichenswitch_http::ResponseHead,
+    ) -> Result<ResponseHead, MalformedResponse> {
+        // What is held is bounded by whoever takes the pieces.
+        let decoder = BodyDecoder::new(head.framing, u64::MAX).map_err(|_| MalformedResponse)?;
+        self.body = Some((decoder, head.framing));
+        let headers = &head.headers;
+        (self.keeps, self.idle_time) = (
+            head.keep_alive,
+            headers.text("keep-alive").and_then(idle_time),
+        );
+        Ok(ResponseHead {
+            status: head.status,
+            passed: lines(headers, &["content-length"]),
+            attempt_id: headers.text("attempt-id").map(str::to_owned),
+            sealed: headers.get("response-seal").is_some(),
+            not_executed: headers.get("not-executed").is_some(),
+            load: headers.text("server-load").and_then(ServerLoad::parse),
+            event_stream: is_event_stream(headers),
+            has_body: head.framing != Framing::None,
+        })
+    }
+}
+
+pub(crate) fn is_event_stream(headers: &Headers) -> bool {
+    let kind = headers.text("content-type").unwrap_or_default();
+    kind.split(';')
+        .next()
+        .unwrap_or_default()
+        .trim()
+        .eq_ignore_ascii_case("text/event-stream")
+}
+
+/// The seconds of `timeout=N`.
+pub(crate) fn idle_time(value: &str) -> Option<Duration> {
+    let seconds = value.split(',').find_map(|part| {
+        let (name, seconds) = part.trim().split_once('=')?;
+        name.trim()
+            .eq_ignore_ascii_case("timeout")
+            .then(|| seconds.trim().parse::<u32>().ok())
+            .flatten()
+    });
+    seconds.map(|seconds| Duration::from_secs(u64::from(seconds)))
+}
+
+#[cfg(test)]
+mod tests;
--- a/fleet/src/router/response/tests.rs
+++ b/fleet/src/router/response_reader/tests.rs
@@ -1,5 +1,5 @@
-use super::super::request::{RequestProgress, RequestReader};
 use super::*;
+use crate::router::request_reader::{RequestProgress, RequestReader};
 use assert_matches::assert_matches;
 use lichenswitch_configuration::Limits;
 
@@ -153,38 +153,3 @@
         assert!(!reader.keeps_connection(), "{head}");
     }
 }
-
-#[test]
-fn a_refusal_tells_when_to_come_back() {
-    let text =
-        |answer: LocalResponse| String::from_utf8(answer.encode(false, false)).expect("text");
-    assert!(text(LocalResponse::refused(Some(150_000))).contains("retry-after: 0.150\r\n"));
-    assert!(text(LocalResponse::refused(None)).contains("retry-after: 0.200\r\n"));
-    assert!(!text(LocalResponse::plain(502)).contains("retry-after"));
-    assert!(text(LocalResponse::plain(502)).ends_with("\r\n\r\nBad Gateway"));
-}
-
-#[test]
-fn server_load_has_one_reading() {
-    let load = |running, waiting, slots| {
-        Some(ServerLoad {
-            running,
-            waiting,
-            slots,
-        })
-    };
-    assert_eq!(ServerLoad::parse("3,0,8"), load(3, 0, 8));
-    assert_eq!(ServerLoad::parse(" 3 , 1 , 8 "), load(3, 1, 8));
-    for value in [
-        "",
-        "3,0",
-        "3,0,8,1",
-        "3,0,0",
-        "-1,0,8",
-        "a,0,8",
-        "3,0,99999999999",
-        "3;0;8",
-    ] {
-        assert_eq!(ServerLoad::parse(value), None, "{value:?}");
-    }
-}
--- a/fleet/src/router/tenants/tests.rs
+++ b/fleet/src/router/sender/tests.rs
@@ -1,7 +1,6 @@
 //! Tests of `tenants`.
 
 use super::*;
-use lichenswitch_configuration::Document;
 use lichenswitch_messages::ConfigurationPosition;
 
 fn in_force(tenants: &str) -> ActiveConfiguration {
@@ -76,21 +75,3 @@
         assert_eq!(header_value(name), value, "{name:?}");
     }
 }
-
-#[test]
-fn a_request_counts_as_what_its_tenant_counts() {
-    let text = br#"{"version":1,"routes":[],"services":[],"tenants":[
-        {"name":"tokens","unit":"token_count","uncachedTokens":200},{"name":"requests","unit":"else"}]}"#;
-    let document = Document::parse(text).expect("valid");
-    let tenants = document.tenants().expect("tenants");
-    let request = |tokens| {
-        let mut request = ClientRequest::default();
-        request.tokens = tokens;
-        request
-    };
-    let needs =
-        |tokens| [&tenants[0], &tenants[1]].map(|tenant| need(tenant, &request(tokens)).ok());
-    assert_eq!(needs(TokenUsage::Unspecified), [Some(200), Some(1)]);
-    assert_eq!(needs(TokenUsage::Declared(12_000)), [Some(12_000), Some(1)]);
-    assert_eq!(needs(TokenUsage::Invalid), [None, Some(1)]);
-}
--- a/fleet/src/router/server_connections/reading.rs
+++ b/fleet/src/router/server_connections/in_flight.rs
@@ -1,13 +1,45 @@
-//! The answer on a connection as it is read: what its pieces come to.
+//! The request in flight on a connection, and its response as it is read.
 
-use super::super::response::{ResponseHead, ResponsePart};
-use super::{
-    BodyChunk, BodyMode, BufferedResponse, InFlightRequest, ServerEvent, MAX_EVENT, MAX_WHOLE,
-};
+use super::attempt::{Attempt, ServerEvent};
+use crate::router::response_reader::{ResponsePart, ResponseReader};
+use crate::router::server_response::{BodyChunk, BufferedResponse, ResponseHead};
 use lichenswitch_event_stream::Scanner;
 
+/// An answer that is not a stream is passed on whole up to this length, and as it comes beyond it
+/// (bytes).
+pub(crate) const MAX_WHOLE: usize = 256 * 1_024;
+
+/// Most bytes of one event.
+pub(crate) const MAX_EVENT: usize = 256 * 1_024;
+
+/// How the body of the answer that is being read is treated.
+#[derive(Debug)]
+pub(crate) enum BodyMode {
+    /// The head has not come.
+    AwaitingHead,
+    /// Gathered until it is whole.
+    Buffered(Box<ResponseHead>, Vec<u8>),
+    /// A stream of events; the head until the first event has come.
+    Events(Option<Box<ResponseHead>>, Box<Scanner>),
+    /// Passed on as it comes.
+    Forwarded,
+}
+
+/// The request that is out on a connection.
+#[derive(Debug)]
+pub(crate) struct InFlightRequest {
+    pub(crate) attempt: Attempt,
+    /// Bytes written on the connection before it, and with it.
+    pub(crate) begins: u64,
+    pub(crate) ends: u64,
+    pub(crate) reader: ResponseReader,
+    pub(crate) body: BodyMode,
+    /// The answer began before the request was written whole.
+    pub(crate) early: bool,
+}
+
 /// What a piece of an answer comes to.
-pub(super) enum ReadOutcome {
+pub(crate) enum ReadOutcome {
     Incomplete,
     Event(ServerEvent),
     /// The last of this answer.
@@ -25,7 +57,7 @@
         }
     }
 
-    pub(super) fn take_head(&mut self, head: ResponseHead) -> ReadOutcome {
+    fn take_head(&mut self, head: ResponseHead) -> ReadOutcome {
         if head.attempt_id != self.attempt.request.attempt_id {
             return ReadOutcome::Mismatch;
         }
@@ -42,7 +74,7 @@
         ReadOutcome::Incomplete
     }
 
-    pub(super) fn take_body(&mut self, bytes: &[u8]) -> ReadOutcome {
+    fn take_body(&mut self, bytes: &[u8]) -> ReadOutcome {
         let id = self.attempt.id;
         match &mut self.body {
             BodyMode::AwaitingHead => ReadOutcome::Mismatch,
@@ -90,7 +122,7 @@
         }
     }
 
-    pub(super) fn take_end(&mut self) -> ReadOutcome {
+    fn take_end(&mut self) -> ReadOutcome {
         let id = self.attempt.id;
         match std::mem::replace(&mut self.body, BodyMode::Forwarded) {
             BodyMode::AwaitingHead => ReadOutcome::Mismatch,
@@ -122,7 +154,7 @@
     }
 }
 
-pub(super) fn part_of(bytes: Vec<u8>, last_event_id: Option<&[u8]>) -> BodyChunk {
+pub(crate) fn part_of(bytes: Vec<u8>, last_event_id: Option<&[u8]>) -> BodyChunk {
     BodyChunk {
         bytes,
         last_event_id: last_event_id.map(<[u8]>::to_vec),
@@ -130,12 +162,12 @@
 }
 
 /// Whether these whole lines hold more than comments and line ends.
-pub(super) fn has_field(lines: &[u8]) -> bool {
+pub(crate) fn has_field(lines: &[u8]) -> bool {
     lines
         .split(|byte| matches!(byte, b'\n' | b'\r'))
         .any(|line| !line.is_empty() && line[0] != b':')
 }
 
-pub(super) fn rest_of(scanner: &Scanner) -> Vec<u8> {
+pub(crate) fn rest_of(scanner: &Scanner) -> Vec<u8> {
     [scanner.whole(), scanner.partial()].concat()
 }
--- a/fleet/src/router/server_connections/pool.rs
+++ b/fleet/src/router/server_connections/pool.rs
@@ -1,12 +1,25 @@
-//! Which connection an attempt gets: one that rests, a new one, or a place in the queue.
+//! Which connection an attempt gets (one that is idle, a new one, or a place in the queue), and which
+//! ones are closed.
 
-use super::super::program::{Net, SocketOwner, Timer};
-use super::{
-    is_quiet, Attempt, ConnectionState, PooledConnection, ServerConnections, CONNECT, FRESH, WAIT,
-};
-use lichenswitch_interface::{Outcome, ServerId};
+use super::attempt::Attempt;
+use super::table::{is_quiet, ConnectionState, PooledConnection, ServerConnections};
+use crate::router::ids::AttemptId;
+use crate::router::reactor::{Net, SocketOwner, Timer};
+use lichenswitch_interface::{Micros, Outcome, ServerId};
 use lichenswitch_net::{ConnId, Denied, Pumped};
 
+/// A connection that is not up after this long never comes up (microseconds). Links within a region
+/// take milliseconds; a lost opening packet is sent again after a second.
+const CONNECT: Micros = 1_000_000;
+
+/// How long a connection may have rested before a request that may not run twice is written on it
+/// (microseconds). Servers may forget idle connections without a word; those closed sooner than
+/// this tell no time in whole seconds either.
+pub(crate) const FRESH: Micros = 400_000;
+
+/// How long an attempt waits where all connections to its server are in use (microseconds).
+pub(crate) const WAIT: Micros = 100_000;
+
 impl ServerConnections {
     /// An idle connection on which this attempt may be written; the one used last, so that others
     /// fall out of use.
@@ -122,4 +135,52 @@
             self.open(net, next);
         }
     }
+
+    /// Gives an attempt up: its server sees the connection end. Nothing is told of it any more.
+    /// `true`: not a byte of it has left.
+    pub(crate) fn withdraw(&mut self, net: &mut Net, id: AttemptId) -> bool {
+        if let Some(connection) = self.by_attempt.remove(&id) {
+            let opening = matches!(self.state(connection), Some(ConnectionState::Opening(_)));
+            self.close(net, connection);
+            return opening;
+        }
+        self.take_waiting(id)
+    }
+
+    /// A server takes nothing new: what has not left for it is told as never sent, and its idle
+    /// connections are closed.
+    pub(crate) fn hold_back(&mut self, net: &mut Net, server: ServerId) {
+        for attempt in self.waiting.remove(&server).unwrap_or_default() {
+            self.fail(attempt.id, Outcome::Moot);
+        }
+        for id in self.by_server.get(&server).cloned().unwrap_or_default() {
+            match self.state(id) {
+                Some(ConnectionState::Opening(attempt)) => {
+                    let attempt = attempt.id;
+                    self.fail(attempt, Outcome::Moot);
+                    self.close(net, id);
+                }
+                Some(ConnectionState::Idle(..)) => self.close(net, id),
+                Some(ConnectionState::Busy(_)) | None => {}
+            }
+        }
+    }
+
+    /// Closes the connections to a server that have rested: they may have been dropped unseen.
+    pub(crate) fn close_idle(&mut self, net: &mut Net, server: ServerId) {
+        let now = net.clock.now();
+        for id in self.by_server.get(&server).cloned().unwrap_or_default() {
+            if matches!(self.state(id), Some(ConnectionState::Idle(since, _)) if now.since(*since) > FRESH)
+            {
+                self.close(net, id);
+            }
+        }
+    }
+
+    /// An attempt has waited for a connection for long enough.
+    pub(crate) fn waited(&mut self, id: AttemptId) {
+        if self.take_waiting(id) {
+            self.fail(id, Outcome::Moot);
+        }
+    }
 }
--- /dev/null
+++ b/fleet/src/router/server_connections/table.rs
@@ -0,0 +1,86 @@
+//! The table of connections to servers, by connection, attempt and server, and the attempts that wait
+//! for one.
+
+use super::attempt::{Attempt, ServerEvent};
+use super::in_flight::InFlightRequest;
+use crate::router::ids::AttemptId;
+use crate::router::reactor::{Net, Timer};
+use lichenswitch_interface::{Outcome, ServerId, Time};
+use lichenswitch_net::ConnId;
+use std::collections::{HashMap, VecDeque};
+
+#[derive(Debug)]
+pub(crate) enum ConnectionState {
+    /// Being opened for this attempt.
+    Opening(Box<Attempt>),
+    Busy(Box<InFlightRequest>),
+    /// Since then, and of use until then.
+    Idle(Time, Time),
+}
+
+pub(crate) struct PooledConnection {
+    pub(crate) server: ServerId,
+    pub(crate) state: ConnectionState,
+    /// A timer is set that fires then at the latest.
+    pub(crate) timer: Option<Time>,
+}
+
+/// All connections to servers.
+#[derive(Default)]
+pub(crate) struct ServerConnections {
+    pub(crate) links: HashMap<ConnId, PooledConnection>,
+    pub(crate) by_attempt: HashMap<AttemptId, ConnId>,
+    /// Connections of each server, whatever they do.
+    pub(crate) by_server: HashMap<ServerId, Vec<ConnId>>,
+    pub(crate) waiting: HashMap<ServerId, VecDeque<Attempt>>,
+    pub(crate) events: Vec<ServerEvent>,
+}
+
+impl ServerConnections {
+    /// What became of attempts since the last time.
+    pub(crate) fn take_events(&mut self) -> Vec<ServerEvent> {
+        std::mem::take(&mut self.events)
+    }
+
+    /// Whether something became of an attempt since then.
+    #[must_use]
+    pub(crate) fn has_events(&self) -> bool {
+        !self.events.is_empty()
+    }
+
+    pub(super) fn state(&self, id: ConnId) -> Option<&ConnectionState> {
+        self.links.get(&id).map(|link| &link.state)
+    }
+
+    pub(super) fn fail(&mut self, id: AttemptId, outcome: Outcome) {
+        self.by_attempt.remove(&id);
+        self.events.push(ServerEvent::AttemptFailed(id, outcome));
+    }
+
+    /// Takes an attempt out of those that wait; `false`: it is none of them.
+    pub(super) fn take_waiting(&mut self, id: AttemptId) -> bool {
+        let before = self.waiting.values().map(VecDeque::len).sum::<usize>();
+        self.waiting
+            .values_mut()
+            .for_each(|queue| queue.retain(|attempt| attempt.id != id));
+        self.waiting.retain(|_, queue| !queue.is_empty());
+        self.waiting.values().map(VecDeque::len).sum::<usize>() < before
+    }
+
+    /// Sets a connection's timer, where none is set that fires before.
+    pub(super) fn arm(&mut self, net: &mut Net, id: ConnId, at: Time) {
+        let Some(link) = self.links.get_mut(&id) else {
+            return;
+        };
+        if link.timer.is_none_or(|set| at < set) {
+            link.timer = Some(at);
+            net.wheel.set(at, Timer::Server(id));
+        }
+    }
+}
+
+/// Nothing has come on a connection, and it has not ended.
+pub(crate) fn is_quiet(net: &Net, id: ConnId) -> bool {
+    net.get(id)
+        .is_some_and(|conn| conn.input.is_empty() && !conn.ended)
+}
--- a/fleet/src/router/servers.rs
+++ b/fleet/src/router/servers.rs
@@ -4,7 +4,7 @@
 //! come in, and from whichever control machine, the result is the same; `draining` and `gone` are
 //! final; an instance that a push leaves out stays as it was.
 
-use super::prefix::stable_hash;
+use super::prompt::stable_hash;
 use lichenswitch_interface::{ListedServer, ServerId, ServerMode};
 use lichenswitch_messages::{ServerRecord, ServerState};
 use std::collections::{HashMap, VecDeque};
@@ -16,7 +16,7 @@
 const MAX_REMEMBERED_GONE: usize = 2_048;
 /// Groups that the servers of a service are dealt into. The module looks for another holder at once
 /// after a failed connection only while it has tried fewer servers than there are groups.
-pub(super) const GROUPS: u32 = 4;
+pub(crate) const GROUPS: u32 = 4;
 
 /// One instance.
 #[derive(Debug)]
@@ -32,7 +32,7 @@
 
 /// Where a server is reached, and by what name.
 #[derive(Clone, Debug)]
-pub(super) struct Endpoint {
+pub(crate) struct Endpoint {
     /// Its `instanceId`.
     pub instance: Rc<str>,
     /// Its address.
@@ -43,7 +43,7 @@
 
 /// What a push changed at one service.
 #[derive(Debug, PartialEq)]
-pub(super) struct ServerChange {
+pub(crate) struct ServerChange {
     /// Its name.
     pub service: Rc<str>,
     /// The changed line of its list.
@@ -53,14 +53,14 @@
 impl ServerChange {
     /// The server takes nothing new.
     #[must_use]
-    pub(super) fn takes_nothing(&self) -> bool {
+    pub(crate) fn takes_nothing(&self) -> bool {
         matches!(self.line.mode, ServerMode::Draining | ServerMode::Gone)
     }
 }
 
 /// The table.
 #[derive(Default)]
-pub(super) struct ServerTable {
+pub(crate) struct ServerTable {
     instances: HashMap<Rc<str>, Instance>,
     by_server: HashMap<ServerId, Rc<str>>,
     services: HashMap<Rc<str>, ()>,
@@ -71,7 +71,7 @@
 impl ServerTable {
     /// An empty table of a router in this zone, which gets number 0.
     #[must_use]
-    pub(super) fn new(zone: &str) -> ServerTable {
+    pub(crate) fn new(zone: &str) -> ServerTable {
         ServerTable {
             zones: HashMap::from([(zone.to_owned(), 0)]),
             ..ServerTable::default()
@@ -79,7 +79,7 @@
     }
 
     /// Merges a push; tells the lines that changed.
-    pub(super) fn merge(&mut self, records: &[ServerRecord]) -> Vec<ServerChange> {
+    pub(crate) fn merge(&mut self, records: &[ServerRecord]) -> Vec<ServerChange> {
         records
             .iter()
             .filter_map(|record| self.merge_one(record))
@@ -88,7 +88,7 @@
 
     /// Where a server is; `None`: it is gone, or was listed without a usable address.
     #[must_use]
-    pub(super) fn endpoint(&self, server: ServerId) -> Option<Endpoint> {
+    pub(crate) fn endpoint(&self, server: ServerId) -> Option<Endpoint> {
         let name = self.by_server.get(&server)?;
         let instance = self.instances.get(name)?;
         let address = instance
@@ -104,7 +104,7 @@
 
     /// Lines of all servers of a service that are not gone.
     #[must_use]
-    pub(super) fn lines_of(&self, service: &str) -> Vec<ListedServer> {
+    pub(crate) fn lines_of(&self, service: &str) -> Vec<ListedServer> {
         let of = self
             .instances
             .values()
@@ -114,7 +114,7 @@
 
     /// How many instances are not gone.
     #[must_use]
-    pub(super) fn count(&self) -> usize {
+    pub(crate) fn count(&self) -> usize {
         self.instances.len() - self.gone.len()
     }
 
--- a/fleet/src/router/service.rs
+++ b/fleet/src/router/service.rs
@@ -8,8 +8,8 @@
 use super::configuration::RouteTerms;
 use super::ids::RequestId;
 use super::options::{Capacity, RetryBudget};
-use super::prefix::Prompt;
-use super::response::ServerLoad;
+use super::prompt::Prompt;
+use super::server_response::ServerLoad;
 use super::servers::GROUPS;
 use lichenswitch_backlog::Backlog;
 use lichenswitch_core::{Command, Contracts, Core, Refusal, Request, Value};
@@ -46,7 +46,7 @@
 const MOST_ATTEMPTS: u32 = 16;
 
 /// A service.
-pub(super) struct Service {
+pub(crate) struct Service {
     /// Its name.
     pub name: Rc<str>,
     core: Core<RequestId>,
@@ -82,7 +82,7 @@
 
 /// What a service is asked for.
 #[derive(Debug)]
-pub(super) struct RouteRequest<'a> {
+pub(crate) struct RouteRequest<'a> {
     /// The request that is held.
     pub exchange: RequestId,
     /// What its route says.
@@ -105,7 +105,7 @@
 impl Service {
     /// A service whose servers are listed like this.
     #[must_use]
-    pub(super) fn new(
+    pub(crate) fn new(
         name: Rc<str>,
         seed: u64,
         capacity: Capacity,
@@ -139,7 +139,7 @@
     }
 
     /// The routes of the configuration in force that may send to it.
-    pub(super) fn set_routes(&mut self, routes: Vec<RouteTerms>) {
+    pub(crate) fn set_routes(&mut self, routes: Vec<RouteTerms>) {
         self.classes
             .iter_mut()
             .for_each(|slot| slot.in_force = false);
@@ -151,7 +151,7 @@
     }
 
     /// Routers that are members now: budget and connections are shared by them.
-    pub(super) fn set_routers(&mut self, budget: RetryBudget, routers: u32) {
+    pub(crate) fn set_routers(&mut self, budget: RetryBudget, routers: u32) {
         self.core.set_budget(Some(module_budget(budget, routers)));
         self.resumes.set(budget, routers);
         self.share_servers(routers);
@@ -159,7 +159,7 @@
 
     /// Connections and requests that each of its servers takes from all callers together, where
     /// that is told.
-    pub(super) fn set_capacity(
+    pub(crate) fn set_capacity(
         &mut self,
         connections: Option<u32>,
         slots: Option<u32>,
@@ -171,12 +171,12 @@
 
     /// Connections to each server that this router may have.
     #[must_use]
-    pub(super) fn max_connections(&self) -> usize {
+    pub(crate) fn max_connections(&self) -> usize {
         self.max_connections
     }
 
     /// Lines of its list have changed.
-    pub(super) fn listed(&mut self, lines: Vec<ListedServer>) {
+    pub(crate) fn listed(&mut self, lines: Vec<ListedServer>) {
         for line in &lines {
             match line.mode {
                 ServerMode::Ready => _ = self.ready.insert(line.server),
@@ -192,7 +192,7 @@
     ///
     /// # Errors
     /// Why it is turned away.
-    pub(super) fn take(
+    pub(crate) fn take(
         &mut self,
         now: Time,
         ask: &RouteRequest<'_>,
@@ -223,7 +223,7 @@
     }
 
     /// Takes a stream that is to go on at another server, if the budget bears it.
-    pub(super) fn take_resumed(
+    pub(crate) fn take_resumed(
         &mut self,
         now: Time,
         ask: &RouteRequest<'_>,
@@ -235,31 +235,31 @@
     }
 
     /// A request of this class is held no more.
-    pub(super) fn release(&mut self, class: u16) {
+    pub(crate) fn release(&mut self, class: u16) {
         if let Some(slot) = self.classes.get_mut(usize::from(class)) {
             slot.held = slot.held.saturating_sub(1);
         }
     }
 
     /// The request that the core has a word for; it has none after that.
-    pub(super) fn exchange_of(&mut self, query: QueryId) -> Option<RequestId> {
+    pub(crate) fn exchange_of(&mut self, query: QueryId) -> Option<RequestId> {
         self.queries.remove(&query)
     }
 
     /// There is nobody left to answer.
-    pub(super) fn hangup(&mut self, query: QueryId) {
+    pub(crate) fn hangup(&mut self, query: QueryId) {
         self.queries.remove(&query);
         self.core.hangup(query);
     }
 
     /// An attempt has ended. Only its first end counts.
-    pub(super) fn ended(&mut self, now: Time, number: u64, outcome: Outcome) {
+    pub(crate) fn ended(&mut self, now: Time, number: u64, outcome: Outcome) {
         let value = (outcome == Outcome::Ok).then(Value::default);
         self.core.ended(now, number, outcome, value);
     }
 
     /// A server has told how busy it is.
-    pub(super) fn on_load(&mut self, load: Option<ServerLoad>) {
+    pub(crate) fn on_load(&mut self, load: Option<ServerLoad>) {
         let Some(load) = load else { return };
         let taken = f64::from(load.running.saturating_add(load.waiting)) / f64::from(load.slots);
         let before = self.slots_taken.unwrap_or(taken);
@@ -269,13 +269,13 @@
 
     /// A stream runs on at a server, whose first event has answered its request as far as the
     /// module is concerned.
-    pub(super) fn stream_begun(&mut self, server: ServerId) {
+    pub(crate) fn stream_begun(&mut self, server: ServerId) {
         self.loads.entry(server).or_default().streams += 1;
         self.tell_load(server);
     }
 
     /// It has ended.
-    pub(super) fn stream_ended(&mut self, server: ServerId) {
+    pub(crate) fn stream_ended(&mut self, server: ServerId) {
         let Some(loads) = self.loads.get_mut(&server) else {
             return;
         };
@@ -284,7 +284,7 @@
     }
 
     /// So much waits at a server for all routers together (tokens).
-    pub(super) fn set_backlog(&mut self, server: ServerId, tokens: Backlog) {
+    pub(crate) fn set_backlog(&mut self, server: ServerId, tokens: Backlog) {
         let loads = self.loads.entry(server).or_default();
         let before = std::mem::replace(&mut loads.backlog, tokens);
         self.backlog = self.backlog.saturating_sub(u64::from(before)) + u64::from(tokens);
@@ -292,7 +292,7 @@
     }
 
     /// Nothing is known any more of what waits for other routers.
-    pub(super) fn forget_backlogs(&mut self) {
+    pub(crate) fn forget_backlogs(&mut self) {
         let known: Vec<ServerId> = self
             .loads
             .iter()
@@ -334,18 +334,18 @@
 
     /// Whether nothing is held by it.
     #[must_use]
-    pub(super) fn is_idle(&self) -> bool {
+    pub(crate) fn is_idle(&self) -> bool {
         self.core.held_queries() == 0 && self.loads.values().all(|loads| loads.streams == 0)
     }
 
     /// When the next turn is to be taken.
     #[must_use]
-    pub(super) fn next_turn(&self) -> Option<Time> {
+    pub(crate) fn next_turn(&self) -> Option<Time> {
         self.core.next_turn()
     }
 
     /// Takes a turn if it is time.
-    pub(super) fn turn(&mut self, now: Time) -> Vec<Command<RequestId>> {
+    pub(crate) fn turn(&mut self, now: Time) -> Vec<Command<RequestId>> {
         match self.core.next_turn() {
             Some(at) if at <= now => self.core.turn(now),
             _ => Vec::new(),
--- a/fleet/src/router/services.rs
+++ b/fleet/src/router/services.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 
 /// The services.
-pub(super) struct Services {
+pub(crate) struct Services {
     all: BTreeMap<ServiceId, Service>,
     next: u32,
     seed: u64,
@@ -25,7 +25,7 @@
 impl Services {
     /// No services yet.
     #[must_use]
-    pub(super) fn new(seed: u64, capacity: Capacity, budget: RetryBudget) -> Services {
+    pub(crate) fn new(seed: u64, capacity: Capacity, budget: RetryBudget) -> Services {
         Services {
             all: BTreeMap::new(),
             next: 0,
@@ -38,7 +38,7 @@
 
     /// A configuration comes in force. Services that it does not name stay until what they hold has
     /// ended.
-    pub(super) fn apply(&mut self, in_force: &ActiveConfiguration, servers: &ServerTable) {
+    pub(crate) fn apply(&mut self, in_force: &ActiveConfiguration, servers: &ServerTable) {
         for described in in_force.document().services() {
             let id = self
                 .id_of(&described.name)
@@ -61,7 +61,7 @@
     }
 
     /// Lines of services' lists have changed.
-    pub(super) fn listed(&mut self, changes: &[ServerChange]) {
+    pub(crate) fn listed(&mut self, changes: &[ServerChange]) {
         for service in self.all.values_mut() {
             let of = changes
                 .iter()
@@ -75,7 +75,7 @@
     }
 
     /// So many routers are members.
-    pub(super) fn set_routers(&mut self, routers: u32) {
+    pub(crate) fn set_routers(&mut self, routers: u32) {
         if std::mem::replace(&mut self.routers, routers) != routers {
             let budget = self.budget;
             self.all
@@ -85,7 +85,7 @@
     }
 
     /// The further-try budget of the whole system.
-    pub(super) fn set_budget(&mut self, budget: RetryBudget) {
+    pub(crate) fn set_budget(&mut self, budget: RetryBudget) {
         self.budget = budget;
         let routers = self.routers;
         self.all
@@ -95,7 +95,7 @@
 
     /// The service of this name.
     #[must_use]
-    pub(super) fn id_of(&self, name: &str) -> Option<ServiceId> {
+    pub(crate) fn id_of(&self, name: &str) -> Option<ServiceId> {
         self.all
             .iter()
             .find(|(_, service)| &*service.name == name)
@@ -103,12 +103,12 @@
     }
 
     /// A service.
-    pub(super) fn get_mut(&mut self, id: ServiceId) -> Option<&mut Service> {
+    pub(crate) fn get_mut(&mut self, id: ServiceId) -> Option<&mut Service> {
         self.all.get_mut(&id)
     }
 
     /// So much waits at servers for all routers together.
-    pub(super) fn set_backlogs(&mut self, report: &BacklogReport) {
+    pub(crate) fn set_backlogs(&mut self, report: &BacklogReport) {
         for service in self.all.values_mut() {
             if report.whole {
                 service.forget_backlogs();
@@ -120,18 +120,18 @@
     }
 
     /// Nothing is known any more of what waits for other routers.
-    pub(super) fn forget_backlogs(&mut self) {
+    pub(crate) fn forget_backlogs(&mut self) {
         self.all.values_mut().for_each(Service::forget_backlogs);
     }
 
     /// When the next turn of any service is to be taken.
     #[must_use]
-    pub(super) fn next_turn(&self) -> Option<Time> {
+    pub(crate) fn next_turn(&self) -> Option<Time> {
         self.all.values().filter_map(Service::next_turn).min()
     }
 
     /// Takes the turns that are due; tells what is to be done.
-    pub(super) fn turn(&mut self, now: Time) -> Vec<(ServiceId, Command<RequestId>)> {
+    pub(crate) fn turn(&mut self, now: Time) -> Vec<(ServiceId, Command<RequestId>)> {
         let mut commands = Vec::new();
         for (id, service) in &mut self.all {
             commands.extend(service.turn(now).into_iter().map(|command| (*id, command)));
--- /dev/null
+++ b/fleet/src/router/state.rs
@@ -0,0 +1,155 @@
+//! The state of a router: everything that its handlers work on.
+//!
+//! It lies above the types that it joins and below all handlers, which are methods on [`Router`] in
+//! `handlers`.
+
+use super::admission::AwaitingQuota;
+use super::backlog_reports::BacklogReports;
+use super::configuration::CurrentConfiguration;
+use super::counters::RejectionCounters;
+use super::error::RouterError;
+use super::freshness::ConfigurationFreshness;
+use super::options::Options;
+use super::reactor::{Net, Signal, SocketOwner, Timer};
+use super::readiness::ReadinessEndpoint;
+use super::request_table::RequestTable;
+use super::servers::ServerTable;
+use super::services::Services;
+use super::shutdown::Shutdown;
+use super::time::after;
+use crate::router::client_connections::{ClientConnections, ClientEvent};
+use crate::router::control_link::{ControlCandidates, ControlLink, RouterIdentity};
+use crate::router::server_connections::ServerConnections;
+use crate::settings::Settings;
+use lichenswitch_net::ConnId;
+use lichenswitch_quota::Allowances;
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::os::unix::net::UnixStream;
+use std::path::PathBuf;
+use std::time::{Duration, SystemTime};
+
+/// Connections set aside for the platform's questions and for control machines, each: a question
+/// that finds none is a miss, and the platform may keep the connections of some questions open.
+pub(crate) const SET_ASIDE: usize = 32;
+
+/// How often the settings file is looked at: it may change without a signal.
+pub(crate) const SETTINGS_LOOK: Duration = Duration::from_secs(3);
+
+/// A router.
+pub struct Router {
+    pub(crate) net: Net,
+    pub(crate) options: Options,
+    pub(crate) settings_file: Option<(PathBuf, Option<SystemTime>)>,
+    pub(crate) frontend: SocketAddr,
+    pub(crate) readiness_address: Option<SocketAddr>,
+    pub(crate) rng: fastrand::Rng,
+    pub(crate) configuration: CurrentConfiguration,
+    pub(crate) services: Services,
+    pub(crate) servers: ServerTable,
+    pub(crate) clients: ClientConnections,
+    pub(crate) client_events: Vec<ClientEvent>,
+    pub(crate) connections: ServerConnections,
+    pub(crate) exchanges: RequestTable,
+    pub(crate) link: ControlLink,
+    pub(crate) readiness: ReadinessEndpoint,
+    pub(crate) shutdown: Option<Shutdown>,
+    pub(crate) freshness: ConfigurationFreshness,
+    pub(crate) allowances: Allowances<ConnId>,
+    /// Requests that wait for their tenants' quotas, by client.
+    pub(crate) awaiting_quota: HashMap<ConnId, AwaitingQuota>,
+    pub(crate) counters: RejectionCounters,
+    pub(crate) backlog_reports: BacklogReports,
+    /// The next turn ends with a check of who waits.
+    pub(crate) check_due: bool,
+}
+
+impl Router {
+    /// A router that listens already; `file`: where its settings are read again.
+    ///
+    /// # Errors
+    /// An address can't be listened on, or the settings lack what it needs.
+    pub fn new(settings: &Settings, file: Option<PathBuf>) -> Result<Router, RouterError> {
+        let options = Options::of(settings)?;
+        let mut net = Net::new(options.capacity.descriptors)?;
+        net.set_aside_for_peers(SET_ASIDE);
+        let mut rng = fastrand::Rng::new();
+        let frontend = listen(&mut net, SocketOwner::Client, options.frontend)?;
+        let readiness_address = options
+            .readiness
+            .map(|address| listen(&mut net, SocketOwner::Platform, address))
+            .transpose()?;
+        let identity = RouterIdentity {
+            node: options.node.clone(),
+            zone: options.zone.clone(),
+            process: rng.u64(1..),
+        };
+        let candidates = ControlCandidates::new(options.machine, options.seeds.clone());
+        let link = ControlLink::new(net.clock.now(), identity, candidates)
+            .with_forwarders(settings.forwarders.clone());
+        net.wheel
+            .set(after(net.clock.now(), SETTINGS_LOOK), Timer::SettingsCheck);
+        Ok(Router {
+            settings_file: file.map(|path| (path.clone(), modified(&path))),
+            frontend,
+            readiness_address,
+            configuration: CurrentConfiguration::default(),
+            services: Services::new(rng.u64(..), options.capacity, options.budget),
+            servers: ServerTable::new(&options.zone),
+            clients: ClientConnections::new(options.capacity.bytes),
+            client_events: Vec::new(),
+            connections: ServerConnections::default(),
+            exchanges: RequestTable::default(),
+            link,
+            readiness: ReadinessEndpoint::default(),
+            shutdown: None,
+            freshness: ConfigurationFreshness::new(options.revocation),
+            allowances: Allowances::new(options.quota, rng.u64(..)),
+            awaiting_quota: HashMap::new(),
+            counters: RejectionCounters::default(),
+            backlog_reports: BacklogReports::default(),
+            check_due: false,
+            rng,
+            net,
+            options,
+        })
+    }
+
+    /// Where clients connect, and where the platform asks: ports may have been chosen by the
+    /// system.
+    #[must_use]
+    pub fn addresses(&self) -> (SocketAddr, Option<SocketAddr>) {
+        (self.frontend, self.readiness_address)
+    }
+
+    /// Ends, once all is answered, when this stream can be read.
+    ///
+    /// # Errors
+    /// The system can't watch it.
+    pub fn stop_on(&mut self, signal: UnixStream) -> Result<(), RouterError> {
+        Ok(self.net.watch_signal(Signal::Stop, signal)?)
+    }
+
+    /// Reads the settings again when this stream can be read.
+    ///
+    /// # Errors
+    /// The system can't watch it.
+    pub fn reload_on(&mut self, signal: UnixStream) -> Result<(), RouterError> {
+        Ok(self.net.watch_signal(Signal::Reload, signal)?)
+    }
+}
+
+pub(crate) fn modified(path: &std::path::Path) -> Option<SystemTime> {
+    std::fs::metadata(path)
+        .and_then(|data| data.modified())
+        .ok()
+}
+
+pub(crate) fn listen(
+    net: &mut Net,
+    owner: SocketOwner,
+    address: SocketAddr,
+) -> Result<SocketAddr, RouterError> {
+    net.listen(owner, address)
+        .map_err(|source| RouterError::Listen { address, source })
+}
