--- a/decide/quota/src/allowances.rs
+++ b/decide/quota/src/allowances.rs
@@ -24,22 +24,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionOutcome {
     /// It may go; its grant is valid until then.
-    Allowed(Time),
+    Admitted(Time),
     /// It waits for a draw.
-    Waits,
+    Queued,
     /// It is beyond the quota; when it may come back (microseconds).
-    Beyond(Micros),
+    OverQuota(Micros),
     /// Nobody can tell now; when it may come back (microseconds).
-    Unknown(Micros),
+    Unavailable(Micros),
 }
 
 /// What became of a request that waited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Decided<W> {
+pub struct AdmissionDecision<W> {
     /// Which one.
-    pub waiter: W,
-    /// Its end; never [`AdmissionOutcome::Waits`].
-    pub taken: AdmissionOutcome,
+    pub request: W,
+    /// Its end; never [`AdmissionOutcome::Queued`].
+    pub outcome: AdmissionOutcome,
 }
 
 struct Waiter<W> {
@@ -53,7 +53,7 @@
 struct Out {
     id: u64,
     asked: Time,
-    needs: usize,
+    amounts: usize,
 }
 
 /// What was granted beyond what is let through, and until when it may be used.
@@ -104,12 +104,12 @@
     }
 
     /// The rule has other bounds now.
-    pub fn set_terms(&mut self, terms: QuotaBounds) {
+    pub fn set_bounds(&mut self, terms: QuotaBounds) {
         self.terms = terms;
     }
 
     /// A request of a tenant has come; `until`: it waits no longer than that.
-    pub fn take(
+    pub fn admit(
         &mut self,
         now: Time,
         tenant: &Tenant,
@@ -118,7 +118,7 @@
         until: Time,
     ) -> AdmissionOutcome {
         let Some(quota) = &tenant.quota else {
-            return AdmissionOutcome::Allowed(now);
+            return AdmissionOutcome::Admitted(now);
         };
         let validity = TenantQuota::of(quota, &self.terms).validity;
         let allowance = self
@@ -128,24 +128,24 @@
         allowance.prepare(now, tenant.unit, validity);
         if let Some(until) = allowance.use_lots(need) {
             allowance.recent.push_back((now, need));
-            return AdmissionOutcome::Allowed(until);
+            return AdmissionOutcome::Admitted(until);
         }
         if let Some(denied) = allowance.denied.filter(|denied| need >= denied.size) {
-            return AdmissionOutcome::Beyond(denied.wait);
+            return AdmissionOutcome::OverQuota(denied.wait);
         }
         if allowance.waiting.len() >= MOST_WAITING {
-            return AdmissionOutcome::Unknown(RETRY);
+            return AdmissionOutcome::Unavailable(RETRY);
         }
         allowance.waiting.push_back(Waiter {
             waiter: Some(waiter),
             need,
             until,
         });
-        AdmissionOutcome::Waits
+        AdmissionOutcome::Queued
     }
 
     /// Draws that are to be asked for now, with their numbers.
-    pub fn draws(&mut self, now: Time) -> Vec<(u64, LeaseRequest)> {
+    pub fn lease_requests(&mut self, now: Time) -> Vec<(u64, LeaseRequest)> {
         let mut draws = Vec::new();
         for (tenant, allowance) in &mut self.tenants {
             if let Some(draw) = allowance.draw(now, tenant, self.next.wrapping_add(1)) {
@@ -157,7 +157,7 @@
     }
 
     /// A draw has been answered.
-    pub fn on_grant(&mut self, now: Time, id: u64, grant: LeaseGrant) -> Vec<Decided<W>> {
+    pub fn on_grant(&mut self, now: Time, id: u64, grant: LeaseGrant) -> Vec<AdmissionDecision<W>> {
         let of_draw =
             |allowance: &&mut Allowance<W>| allowance.out.as_ref().is_some_and(|out| out.id == id);
         let allowance = self.tenants.values_mut().find(of_draw);
@@ -167,7 +167,7 @@
     }
 
     /// Ends what has waited for too long, and forgets tenants that have nothing left here.
-    pub fn expire(&mut self, now: Time) -> Vec<Decided<W>> {
+    pub fn expire(&mut self, now: Time) -> Vec<AdmissionDecision<W>> {
         let mut ended = Vec::new();
         for allowance in self.tenants.values_mut() {
             for waits in allowance
@@ -180,9 +180,9 @@
             allowance.clear_left();
         }
         self.tenants.retain(|_, allowance| !allowance.is_idle(now));
-        let unknown = |waiter| Decided {
-            waiter,
-            taken: AdmissionOutcome::Unknown(RETRY),
+        let unknown = |waiter| AdmissionDecision {
+            request: waiter,
+            outcome: AdmissionOutcome::Unavailable(RETRY),
         };
         ended.into_iter().map(unknown).collect()
     }
@@ -206,7 +206,7 @@
     }
 
     /// A request that waits has been given up by its client; `false`: it is none of them.
-    pub fn leave(&mut self, waiter: W) -> bool {
+    pub fn cancel(&mut self, waiter: W) -> bool {
         for allowance in self.tenants.values_mut() {
             if let Some(waits) = allowance
                 .waiting
@@ -223,7 +223,7 @@
 
     /// A request that was let through just now has been sent to nobody: another one may use its
     /// grant as long as that is valid.
-    pub fn give_back(&mut self, tenant: &str, need: u64, valid_until: Time) {
+    pub fn return_unused(&mut self, tenant: &str, need: u64, valid_until: Time) {
         if let Some(allowance) = self.tenants.get_mut(tenant) {
             allowance.lots.push_back(Lot {
                 amount: need,
@@ -234,7 +234,7 @@
 
     /// Requests that wait.
     #[must_use]
-    pub fn waiting(&self) -> usize {
+    pub fn queued_count(&self) -> usize {
         let waits = self
             .tenants
             .values()
@@ -309,7 +309,7 @@
         if self.out.is_some() || self.waiting.is_empty() {
             return None;
         }
-        let needs: Vec<u64> = self
+        let amounts: Vec<u64> = self
             .waiting
             .iter()
             .take(MAX_AMOUNTS)
@@ -318,13 +318,13 @@
         self.out = Some(Out {
             id,
             asked: now,
-            needs: needs.len(),
+            amounts: amounts.len(),
         });
         Some(LeaseRequest {
             tenant: tenant.to_owned(),
             unit: self.unit,
-            needs,
-            ahead: self.expected(),
+            amounts,
+            prefetch_amount: self.expected(),
         })
     }
 
@@ -336,7 +336,7 @@
         }
     }
 
-    fn on_grant(&mut self, now: Time, grant: LeaseGrant) -> Vec<Decided<W>> {
+    fn on_grant(&mut self, now: Time, grant: LeaseGrant) -> Vec<AdmissionDecision<W>> {
         let Some(out) = self.out.take() else {
             return Vec::new();
         };
@@ -347,27 +347,30 @@
             return Vec::new();
         }
         let mut decided = Vec::new();
-        for place in 0..out.needs {
+        for place in 0..out.amounts {
             let Some(Waiter { waiter, need, .. }) = self.waiting.pop_front() else {
                 break;
             };
             let taken = match grant.covers(place) {
-                true => AdmissionOutcome::Allowed(until),
-                false => AdmissionOutcome::Beyond(grant.wait.max(1)),
+                true => AdmissionOutcome::Admitted(until),
+                false => AdmissionOutcome::OverQuota(grant.retry_after_us.max(1)),
             };
             match (waiter, taken) {
-                (Some(_), AdmissionOutcome::Allowed(_)) => self.recent.push_back((now, need)),
-                (None, AdmissionOutcome::Allowed(_)) => self.lots.push_back(Lot {
+                (Some(_), AdmissionOutcome::Admitted(_)) => self.recent.push_back((now, need)),
+                (None, AdmissionOutcome::Admitted(_)) => self.lots.push_back(Lot {
                     amount: need,
                     until,
                 }),
-                _ => self.note_denied(now, need, grant.wait),
+                _ => self.note_denied(now, need, grant.retry_after_us),
             }
-            decided.extend(waiter.map(|waiter| Decided { waiter, taken }));
+            decided.extend(waiter.map(|waiter| AdmissionDecision {
+                request: waiter,
+                outcome: taken,
+            }));
         }
-        if grant.ahead > 0 {
+        if grant.prefetch_amount > 0 {
             self.lots.push_back(Lot {
-                amount: grant.ahead,
+                amount: grant.prefetch_amount,
                 until,
             });
         }
@@ -394,7 +397,7 @@
     /// Takes out those that have left, but for those that a draw is out for: its grant goes by
     /// their places.
     fn clear_left(&mut self) {
-        let kept = self.out.as_ref().map_or(0, |out| out.needs);
+        let kept = self.out.as_ref().map_or(0, |out| out.amounts);
         let mut place = 0;
         self.waiting.retain(|waits| {
             place += 1;
--- a/decide/quota/src/allowances/tests.rs
+++ b/decide/quota/src/allowances/tests.rs
@@ -30,53 +30,57 @@
 }
 
 fn take(allowances: &mut Allowances<u32>, now: u64, need: u64, waiter: u32) -> AdmissionOutcome {
-    allowances.take(Time(now), &tenants()[0], need, waiter, LATER)
+    allowances.admit(Time(now), &tenants()[0], need, waiter, LATER)
 }
 
 /// The draw that is sent now.
 fn sent(allowances: &mut Allowances<u32>, now: u64) -> (u64, LeaseRequest) {
-    let mut draws = allowances.draws(Time(now));
+    let mut draws = allowances.lease_requests(Time(now));
     assert_eq!(draws.len(), 1);
     draws.remove(0)
 }
 
-fn grant(needs: u64, ahead: u64, wait: Micros) -> LeaseGrant {
-    LeaseGrant { needs, ahead, wait }
+fn grant(amounts: u64, prefetch_amount: u64, wait: Micros) -> LeaseGrant {
+    LeaseGrant {
+        granted_bits: amounts,
+        prefetch_amount,
+        retry_after_us: wait,
+    }
 }
 
-fn ends(decided: &[Decided<u32>]) -> Vec<(u32, AdmissionOutcome)> {
+fn ends(decided: &[AdmissionDecision<u32>]) -> Vec<(u32, AdmissionOutcome)> {
     decided
         .iter()
-        .map(|decided| (decided.waiter, decided.taken))
+        .map(|decided| (decided.request, decided.outcome))
         .collect()
 }
 
 #[test]
 fn a_tenant_without_a_quota_goes_at_once() {
     assert_eq!(
-        new().take(Time(5), &tenants()[1], 99, 1, LATER),
-        AdmissionOutcome::Allowed(Time(5))
+        new().admit(Time(5), &tenants()[1], 99, 1, LATER),
+        AdmissionOutcome::Admitted(Time(5))
     );
 }
 
 #[test]
 fn requests_wait_for_one_draw_at_a_time() {
     let mut allowances = new();
-    assert_eq!(take(&mut allowances, 0, 10, 1), AdmissionOutcome::Waits);
+    assert_eq!(take(&mut allowances, 0, 10, 1), AdmissionOutcome::Queued);
     let (id, draw) = sent(&mut allowances, 0);
-    assert_eq!((draw.needs, draw.tenant.as_str()), (vec![10], "a"));
-    assert_eq!(take(&mut allowances, 1, 20, 2), AdmissionOutcome::Waits);
-    assert!(allowances.draws(Time(1)).is_empty());
+    assert_eq!((draw.amounts, draw.tenant.as_str()), (vec![10], "a"));
+    assert_eq!(take(&mut allowances, 1, 20, 2), AdmissionOutcome::Queued);
+    assert!(allowances.lease_requests(Time(1)).is_empty());
     let until = Time(validity());
     assert_eq!(
         ends(&allowances.on_grant(Time(2), id, grant(1, 0, 0))),
-        [(1, AdmissionOutcome::Allowed(until))]
+        [(1, AdmissionOutcome::Admitted(until))]
     );
     assert!(
         allowances.on_grant(Time(2), id, grant(1, 0, 0)).is_empty(),
         "an answer counts once"
     );
-    assert_eq!(sent(&mut allowances, 3).1.needs, [20]);
+    assert_eq!(sent(&mut allowances, 3).1.amounts, [20]);
 }
 
 #[test]
@@ -86,15 +90,15 @@
     take(&mut allowances, 0, 50, 2);
     let (id, _) = sent(&mut allowances, 0);
     let decided = allowances.on_grant(Time(1), id, grant(1, 0, 30_000));
-    assert_eq!(ends(&decided)[1], (2, AdmissionOutcome::Beyond(30_000)));
+    assert_eq!(ends(&decided)[1], (2, AdmissionOutcome::OverQuota(30_000)));
     assert_eq!(
         take(&mut allowances, 2, 60, 3),
-        AdmissionOutcome::Beyond(30_000)
+        AdmissionOutcome::OverQuota(30_000)
     );
-    assert_eq!(take(&mut allowances, 2, 40, 4), AdmissionOutcome::Waits);
+    assert_eq!(take(&mut allowances, 2, 40, 4), AdmissionOutcome::Queued);
     assert_eq!(
         take(&mut allowances, 30_001, 60, 5),
-        AdmissionOutcome::Waits
+        AdmissionOutcome::Queued
     );
 }
 
@@ -111,15 +115,15 @@
     let granted = allowances.on_grant(Time(validity() + 1), id, grant(1, 500, 0));
     assert_eq!(
         ends(&granted),
-        [(1, AdmissionOutcome::Allowed(Time(2 * validity())))]
+        [(1, AdmissionOutcome::Admitted(Time(2 * validity())))]
     );
     assert_eq!(
         take(&mut allowances, validity() + 2, 400, 2),
-        AdmissionOutcome::Allowed(Time(2 * validity()))
+        AdmissionOutcome::Admitted(Time(2 * validity()))
     );
     assert_eq!(
         take(&mut allowances, 2 * validity(), 50, 3),
-        AdmissionOutcome::Waits,
+        AdmissionOutcome::Queued,
         "what was ahead has lapsed"
     );
 }
@@ -130,18 +134,18 @@
     take(&mut allowances, 0, 10, 1);
     take(&mut allowances, 0, 30, 2);
     let (id, _) = sent(&mut allowances, 0);
-    assert!(allowances.leave(1) && !allowances.leave(1) && !allowances.leave(9));
-    assert_eq!(allowances.waiting(), 1);
+    assert!(allowances.cancel(1) && !allowances.cancel(1) && !allowances.cancel(9));
+    assert_eq!(allowances.queued_count(), 1);
     let decided = allowances.on_grant(Time(5), id, grant(0b11, 0, 0));
     assert_eq!(
         ends(&decided),
-        [(2, AdmissionOutcome::Allowed(Time(validity())))]
+        [(2, AdmissionOutcome::Admitted(Time(validity())))]
     );
     assert_eq!(
         take(&mut allowances, 6, 10, 3),
-        AdmissionOutcome::Allowed(Time(validity()))
+        AdmissionOutcome::Admitted(Time(validity()))
     );
-    assert_eq!(take(&mut allowances, 6, 1, 4), AdmissionOutcome::Waits);
+    assert_eq!(take(&mut allowances, 6, 1, 4), AdmissionOutcome::Queued);
 }
 
 #[test]
@@ -150,36 +154,36 @@
     take(&mut allowances, 0, 10, 1);
     let (id, _) = sent(&mut allowances, 0);
     allowances.on_grant(Time(5), id, grant(1, 0, 0));
-    allowances.give_back("a", 10, Time(validity()));
+    allowances.return_unused("a", 10, Time(validity()));
     assert_eq!(
         take(&mut allowances, 6, 10, 2),
-        AdmissionOutcome::Allowed(Time(validity()))
+        AdmissionOutcome::Admitted(Time(validity()))
     );
-    allowances.give_back("a", 10, Time(validity()));
+    allowances.return_unused("a", 10, Time(validity()));
     assert_eq!(
         take(&mut allowances, validity(), 10, 3),
-        AdmissionOutcome::Waits
+        AdmissionOutcome::Queued
     );
 }
 
 #[test]
 fn who_waits_for_too_long_is_told_that_nobody_knows() {
     let mut allowances = new();
-    allowances.take(Time(0), &tenants()[0], 10, 1, Time(50));
-    allowances.take(Time(0), &tenants()[0], 20, 2, Time(90));
+    allowances.admit(Time(0), &tenants()[0], 10, 1, Time(50));
+    allowances.admit(Time(0), &tenants()[0], 20, 2, Time(90));
     let (id, _) = sent(&mut allowances, 0);
     assert_eq!(allowances.next_wake(), Some(Time(50)));
     assert_eq!(
         ends(&allowances.expire(Time(50))),
-        [(1, AdmissionOutcome::Unknown(RETRY))]
+        [(1, AdmissionOutcome::Unavailable(RETRY))]
     );
     // The grants still find their places.
     let decided = allowances.on_grant(Time(60), id, grant(0b10, 0, 9));
     assert_eq!(
         ends(&decided),
-        [(2, AdmissionOutcome::Allowed(Time(validity())))]
+        [(2, AdmissionOutcome::Admitted(Time(validity())))]
     );
-    assert_eq!(allowances.waiting(), 0);
+    assert_eq!(allowances.queued_count(), 0);
 }
 
 #[test]
@@ -190,7 +194,7 @@
     allowances.on_link_lost();
     assert!(allowances.on_grant(Time(1), id, grant(1, 0, 0)).is_empty());
     let (again, draw) = sent(&mut allowances, 2);
-    assert!(again != id && draw.needs == [10]);
+    assert!(again != id && draw.amounts == [10]);
 }
 
 #[test]
@@ -200,10 +204,10 @@
         take(&mut allowances, 0, 10, waiter);
     }
     let (id, draw) = sent(&mut allowances, 0);
-    assert_eq!((draw.needs.len(), draw.ahead), (3, 0));
+    assert_eq!((draw.amounts.len(), draw.prefetch_amount), (3, 0));
     allowances.on_grant(Time(1), id, grant(0b111, 0, 0));
     take(&mut allowances, 2, 10, 9);
-    assert_eq!(sent(&mut allowances, 2).1.ahead, 30);
+    assert_eq!(sent(&mut allowances, 2).1.prefetch_amount, 30);
 }
 
 #[test]
@@ -212,14 +216,14 @@
     for waiter in 0..MOST_WAITING as u32 {
         assert_eq!(
             take(&mut allowances, 0, 10, waiter),
-            AdmissionOutcome::Waits
+            AdmissionOutcome::Queued
         );
     }
     assert_eq!(
         take(&mut allowances, 0, 10, 9_999),
-        AdmissionOutcome::Unknown(RETRY)
+        AdmissionOutcome::Unavailable(RETRY)
     );
-    assert_eq!(sent(&mut allowances, 0).1.needs.len(), MAX_AMOUNTS);
+    assert_eq!(sent(&mut allowances, 0).1.amounts.len(), MAX_AMOUNTS);
     allowances.on_link_lost();
     allowances.expire(LATER);
     assert!(allowances.tenants.is_empty());
--- a/decide/quota/src/buckets.rs
+++ b/decide/quota/src/buckets.rs
@@ -20,7 +20,7 @@
 
 /// What a tenant has used of the parts here, for operators.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Usage {
+pub struct BucketUsage {
     /// Units granted so far.
     pub granted: f64,
     /// Needs that were not granted.
@@ -88,7 +88,7 @@
     }
 
     /// The rule has other bounds now.
-    pub fn set_terms(&mut self, terms: QuotaBounds) {
+    pub fn set_bounds(&mut self, terms: QuotaBounds) {
         self.terms = terms;
     }
 
@@ -146,26 +146,31 @@
 
     /// Brings all buckets up to now. Called often: a bucket whose part went elsewhere for a while
     /// does not refill for that time.
-    pub fn advance(&mut self, now: Time, tenure: &ShardOwnership) {
+    pub fn advance(&mut self, now: Time, ownership: &ShardOwnership) {
         for (tenant, bucket) in &mut self.buckets {
             let Some(quota) = self.quotas.get(tenant) else {
                 continue;
             };
             let part = Part::of(
                 &TenantQuota::of(quota, &self.terms),
-                tenure.share(now, tenant),
+                ownership.shard(now, tenant),
             );
-            bucket.refill(now, tenure, &part);
+            bucket.refill(now, ownership, &part);
         }
     }
 
     /// Grants what this machine's part bears: needs in order, each whole or not at all.
-    pub fn draw(&mut self, now: Time, draw: &LeaseRequest, tenure: &ShardOwnership) -> LeaseGrant {
+    pub fn lease(
+        &mut self,
+        now: Time,
+        draw: &LeaseRequest,
+        ownership: &ShardOwnership,
+    ) -> LeaseGrant {
         if self.is_unlimited(draw) {
             return LeaseGrant::all(draw);
         }
         let nothing = LeaseGrant {
-            wait: UNKNOWN_WAIT,
+            retry_after_us: UNKNOWN_WAIT,
             ..LeaseGrant::default()
         };
         let Some(quota) = self
@@ -177,13 +182,13 @@
         };
         let part = Part::of(
             &TenantQuota::of(quota, &self.terms),
-            tenure.share(now, &draw.tenant),
+            ownership.shard(now, &draw.tenant),
         );
         let bucket = self
             .buckets
             .entry(draw.tenant.clone())
             .or_insert_with(|| Bucket::new(now, draw.unit));
-        bucket.refill(now, tenure, &part);
+        bucket.refill(now, ownership, &part);
         match part.rate > 0.0 {
             true => {
                 let before = bucket.granted;
@@ -201,23 +206,23 @@
 
     /// What tenants have used here, by name, as it stands now.
     #[must_use]
-    pub fn usage(&self, now: Time, tenure: &ShardOwnership) -> Vec<(&str, Usage)> {
+    pub fn usage(&self, now: Time, ownership: &ShardOwnership) -> Vec<(&str, BucketUsage)> {
         let usage = |(tenant, bucket): (&'_ String, &Bucket)| {
             let mut bucket = bucket.clone();
             if let Some(quota) = self.quotas.get(tenant) {
                 let part = Part::of(
                     &TenantQuota::of(quota, &self.terms),
-                    tenure.share(now, tenant),
+                    ownership.shard(now, tenant),
                 );
-                bucket.refill(now, tenure, &part);
+                bucket.refill(now, ownership, &part);
             }
-            Usage {
+            BucketUsage {
                 granted: bucket.granted,
                 denied: bucket.denied,
                 level: bucket.level,
             }
         };
-        let mut all: Vec<(&str, Usage)> = self
+        let mut all: Vec<(&str, BucketUsage)> = self
             .buckets
             .iter()
             .map(|entry| (entry.0.as_str(), usage(entry)))
@@ -228,7 +233,7 @@
 
     /// Whether every part has kept within what it allows in a window since the process began.
     #[must_use]
-    pub fn are_kept(&self) -> bool {
+    pub fn are_within_bounds(&self) -> bool {
         self.buckets.values().all(|bucket| !bucket.audit.overrun)
     }
 
@@ -249,10 +254,14 @@
 
 impl Part {
     fn of(figures: &TenantQuota, share: BucketShard) -> Part {
-        let debt = if share.first { figures.debt } else { 0.0 };
+        let debt = if share.may_go_into_debt {
+            figures.debt
+        } else {
+            0.0
+        };
         Part {
-            rate: figures.rate * share.part,
-            depth: figures.depth * share.part,
+            rate: figures.rate * share.fraction,
+            depth: figures.depth * share.fraction,
             debt,
         }
     }
@@ -281,7 +290,7 @@
     }
 
     /// Refills up to now, or to the end of the tenure that the machine has.
-    fn refill(&mut self, now: Time, tenure: &ShardOwnership, part: &Part) {
+    fn refill(&mut self, now: Time, ownership: &ShardOwnership, part: &Part) {
         if part.rate <= 0.0 {
             // Whoever holds the part meanwhile leaves it as it will.
             (self.level, self.unknown, self.refilled) = (0.0, true, now);
@@ -290,33 +299,33 @@
         if std::mem::take(&mut self.unknown) {
             (self.level, self.refilled) = (-part.debt, now);
         }
-        let until = now.min(tenure.ends());
-        let passed = until.since(self.refilled.max(tenure.since())) as f64 / SECOND;
+        let until = now.min(ownership.expires_at());
+        let passed = until.since(self.refilled.max(ownership.held_since())) as f64 / SECOND;
         self.level = (self.level + part.rate * passed).min(part.depth);
         self.refilled = self.refilled.max(now);
     }
 
     fn grant(&mut self, draw: &LeaseRequest, part: &Part) -> LeaseGrant {
         let mut grant = LeaseGrant::default();
-        for (place, need) in draw.needs.iter().take(MAX_AMOUNTS).enumerate() {
+        for (place, need) in draw.amounts.iter().take(MAX_AMOUNTS).enumerate() {
             let need = *need as f64;
             if self.bears(need, part) {
                 self.take(need);
-                grant.needs |= 1 << place;
+                grant.granted_bits |= 1 << place;
             } else {
                 self.denied += 1;
                 let wait = self.wait(need, part);
-                grant.wait = if grant.wait == 0 {
+                grant.retry_after_us = if grant.retry_after_us == 0 {
                     wait
                 } else {
-                    grant.wait.min(wait)
+                    grant.retry_after_us.min(wait)
                 };
             }
         }
-        let ahead = draw.ahead as f64;
-        if grant.wait == 0 && self.level - ahead >= LEFT_AHEAD * part.depth {
-            self.take(ahead);
-            grant.ahead = draw.ahead;
+        let prefetch_amount = draw.prefetch_amount as f64;
+        if grant.retry_after_us == 0 && self.level - prefetch_amount >= LEFT_AHEAD * part.depth {
+            self.take(prefetch_amount);
+            grant.prefetch_amount = draw.prefetch_amount;
         }
         grant
     }
--- a/decide/quota/src/buckets/tests.rs
+++ b/decide/quota/src/buckets/tests.rs
@@ -25,20 +25,20 @@
 }
 
 /// The only voter, in contact from the beginning on.
-fn tenure() -> ShardOwnership {
-    let mut tenure = ShardOwnership::new(OwnerId(1), vec![OwnerId(1)]);
+fn ownership() -> ShardOwnership {
+    let mut ownership = ShardOwnership::new(OwnerId(1), vec![OwnerId(1)]);
     for second in 0..100 {
-        tenure.on_contact(Time(second * SECOND_US));
+        ownership.on_contact(Time(second * SECOND_US));
     }
-    tenure
+    ownership
 }
 
-fn draw(needs: &[u64]) -> LeaseRequest {
+fn draw(amounts: &[u64]) -> LeaseRequest {
     LeaseRequest {
         tenant: "a".to_owned(),
         unit: QuotaUnit::Tokens,
-        needs: needs.to_vec(),
-        ahead: 0,
+        amounts: amounts.to_vec(),
+        prefetch_amount: 0,
     }
 }
 
@@ -55,19 +55,19 @@
 
 #[test]
 fn a_bucket_begins_empty_refills_and_holds_no_more_than_its_depth() {
-    let (mut buckets, tenure) = (buckets(1_000, 500), tenure());
+    let (mut buckets, ownership) = (buckets(1_000, 500), ownership());
     // It begins in debt.
-    let first = buckets.draw(Time(0), &draw(&[100]), &tenure);
+    let first = buckets.lease(Time(0), &draw(&[100]), &ownership);
     let wait = (debt(1_000, 500) * 1_000.0) as u64 + 100_000;
     assert!(
-        first.needs == 0 && (wait * 9 / 10..wait * 11 / 10).contains(&first.wait),
+        first.granted_bits == 0 && (wait * 9 / 10..wait * 11 / 10).contains(&first.retry_after_us),
         "{first:?}"
     );
     assert!(buckets
-        .draw(Time(wait * 11 / 10), &draw(&[100]), &tenure)
+        .lease(Time(wait * 11 / 10), &draw(&[100]), &ownership)
         .covers(0));
     // After a long rest: depth, not all that might have come.
-    let grant = buckets.draw(Time(50 * SECOND_US), &draw(&[500, 500, 100]), &tenure);
+    let grant = buckets.lease(Time(50 * SECOND_US), &draw(&[500, 500, 100]), &ownership);
     assert!(
         grant.covers(0) && !grant.covers(1) && grant.covers(2),
         "{grant:?}"
@@ -76,14 +76,14 @@
 
 #[test]
 fn each_need_is_granted_whole_or_not_at_all() {
-    let (mut buckets, tenure) = (buckets(1_000, 0), tenure());
-    buckets.draw(Time(0), &draw(&[1]), &tenure);
-    let level = buckets.usage(Time(10 * SECOND_US), &tenure)[0].1.level;
+    let (mut buckets, ownership) = (buckets(1_000, 0), ownership());
+    buckets.lease(Time(0), &draw(&[1]), &ownership);
+    let level = buckets.usage(Time(10 * SECOND_US), &ownership)[0].1.level;
     let (most, two_thirds) = (level as u64, (level * 0.66) as u64);
-    let grant = buckets.draw(
+    let grant = buckets.lease(
         Time(10 * SECOND_US),
         &draw(&[two_thirds, two_thirds, most / 4]),
-        &tenure,
+        &ownership,
     );
     assert!(
         grant.covers(0)
@@ -95,46 +95,46 @@
 
 #[test]
 fn a_request_larger_than_the_bucket_goes_once_that_is_full_and_is_paid_off() {
-    let (mut buckets, tenure) = (buckets(1_000, 500), tenure());
+    let (mut buckets, ownership) = (buckets(1_000, 500), ownership());
     let figures = TenantQuota::of(&limited(1_000, 500)[0].quota.expect("a quota"), &TERMS);
     let large = (figures.depth + figures.debt * 0.9) as u64;
-    buckets.draw(Time(0), &draw(&[1]), &tenure);
+    buckets.lease(Time(0), &draw(&[1]), &ownership);
     assert!(!buckets
-        .draw(Time(SECOND_US / 4), &draw(&[large]), &tenure)
+        .lease(Time(SECOND_US / 4), &draw(&[large]), &ownership)
         .covers(0));
     assert!(buckets
-        .draw(Time(5 * SECOND_US), &draw(&[large]), &tenure)
+        .lease(Time(5 * SECOND_US), &draw(&[large]), &ownership)
         .covers(0));
     assert!(!buckets
-        .draw(Time(5 * SECOND_US), &draw(&[1]), &tenure)
+        .lease(Time(5 * SECOND_US), &draw(&[1]), &ownership)
         .covers(0));
     let beyond = (figures.depth + figures.debt * 1.1) as u64;
     assert!(!buckets
-        .draw(Time(50 * SECOND_US), &draw(&[beyond]), &tenure)
+        .lease(Time(50 * SECOND_US), &draw(&[beyond]), &ownership)
         .covers(0));
 }
 
 #[test]
 fn tenants_without_a_quota_are_not_counted_and_unknown_ones_wait() {
-    let (mut buckets, tenure) = (buckets(1_000, 0), tenure());
+    let (mut buckets, ownership) = (buckets(1_000, 0), ownership());
     let free = LeaseRequest {
         tenant: "free".to_owned(),
         ..draw(&[u64::MAX, 1])
     };
-    assert!(buckets.draw(Time(0), &free, &tenure).covers_all(&free));
+    assert!(buckets.lease(Time(0), &free, &ownership).covers_all(&free));
     let unknown = LeaseRequest {
         tenant: "unknown".to_owned(),
         ..draw(&[1])
     };
-    assert!(buckets.draw(Time(0), &unknown, &tenure).needs == 0);
+    assert!(buckets.lease(Time(0), &unknown, &ownership).granted_bits == 0);
     let other_unit = LeaseRequest {
         unit: QuotaUnit::Requests,
         ..draw(&[1])
     };
     assert!(
         buckets
-            .draw(Time(9 * SECOND_US), &other_unit, &tenure)
-            .needs
+            .lease(Time(9 * SECOND_US), &other_unit, &ownership)
+            .granted_bits
             == 0
     );
 }
@@ -142,92 +142,96 @@
 #[test]
 fn who_holds_no_part_grants_nothing_and_gains_nothing_meanwhile() {
     let mut buckets = buckets(1_000, 1_000);
-    let mut tenure = ShardOwnership::new(OwnerId(1), vec![OwnerId(1)]);
-    tenure.on_contact(Time(0));
-    buckets.draw(Time(0), &draw(&[1]), &tenure);
+    let mut ownership = ShardOwnership::new(OwnerId(1), vec![OwnerId(1)]);
+    ownership.on_contact(Time(0));
+    buckets.lease(Time(0), &draw(&[1]), &ownership);
     // Out of contact from 4 s on; back at 20 s.
     assert!(
         buckets
-            .draw(Time(5 * SECOND_US), &draw(&[1]), &tenure)
-            .needs
+            .lease(Time(5 * SECOND_US), &draw(&[1]), &ownership)
+            .granted_bits
             == 0
     );
-    tenure.on_contact(Time(20 * SECOND_US));
+    ownership.on_contact(Time(20 * SECOND_US));
     assert!(
         buckets
-            .draw(Time(20 * SECOND_US), &draw(&[1]), &tenure)
-            .needs
+            .lease(Time(20 * SECOND_US), &draw(&[1]), &ownership)
+            .granted_bits
             == 0
     );
     // It begins anew from nothing.
     let paid_off = Time(20 * SECOND_US + (debt(1_000, 1_000) * 1_000.0) as u64);
     assert!(
         buckets
-            .draw(paid_off.minus(SECOND_US / 20), &draw(&[1]), &tenure)
-            .needs
+            .lease(paid_off.minus(SECOND_US / 20), &draw(&[1]), &ownership)
+            .granted_bits
             == 0
     );
     assert!(buckets
-        .draw(paid_off.plus(SECOND_US / 20), &draw(&[1]), &tenure)
+        .lease(paid_off.plus(SECOND_US / 20), &draw(&[1]), &ownership)
         .covers(0));
 }
 
 #[test]
 fn a_lower_limit_takes_hold_and_a_tenant_that_comes_back_is_not_refilled() {
-    let (mut buckets, tenure) = (buckets(1_000, 1_000), tenure());
-    buckets.draw(Time(0), &draw(&[1]), &tenure);
+    let (mut buckets, ownership) = (buckets(1_000, 1_000), ownership());
+    buckets.lease(Time(0), &draw(&[1]), &ownership);
     buckets.set_tenants(Time(9 * SECOND_US), &limited(10, 10));
     assert!(!buckets
-        .draw(Time(9 * SECOND_US), &draw(&[500]), &tenure)
+        .lease(Time(9 * SECOND_US), &draw(&[500]), &ownership)
         .covers(0));
     buckets.set_tenants(Time(9 * SECOND_US), &tenants("[]"));
     buckets.set_tenants(Time(10 * SECOND_US), &limited(1_000, 1_000));
     assert!(!buckets
-        .draw(Time(10 * SECOND_US), &draw(&[1_500]), &tenure)
+        .lease(Time(10 * SECOND_US), &draw(&[1_500]), &ownership)
         .covers(0));
 }
 
 #[test]
 fn a_quota_that_is_seen_to_come_into_being_begins_full() {
-    let tenure = tenure();
+    let ownership = ownership();
     let mut buckets = Buckets::new(TERMS);
     buckets.on_no_configuration();
     buckets.set_tenants(Time(0), &limited(1_000, 1_000));
-    assert!(buckets.draw(Time(0), &draw(&[1_000]), &tenure).covers(0));
-    assert!(!buckets.draw(Time(1), &draw(&[1_000]), &tenure).covers(0));
+    assert!(buckets
+        .lease(Time(0), &draw(&[1_000]), &ownership)
+        .covers(0));
+    assert!(!buckets
+        .lease(Time(1), &draw(&[1_000]), &ownership)
+        .covers(0));
     // Not where the process has begun with it: it may have been drawn on before.
     let mut buckets = self::buckets(1_000, 1_000);
-    assert!(buckets.draw(Time(0), &draw(&[1]), &tenure).needs == 0);
+    assert!(buckets.lease(Time(0), &draw(&[1]), &ownership).granted_bits == 0);
 }
 
 #[test]
 fn ahead_is_granted_only_out_of_plenty() {
-    let (mut buckets, tenure) = (buckets(1_000, 1_000), tenure());
-    buckets.draw(Time(0), &draw(&[1]), &tenure);
-    let ahead = |amount| LeaseRequest {
-        ahead: amount,
+    let (mut buckets, ownership) = (buckets(1_000, 1_000), ownership());
+    buckets.lease(Time(0), &draw(&[1]), &ownership);
+    let prefetch_amount = |amount| LeaseRequest {
+        prefetch_amount: amount,
         ..draw(&[10])
     };
     assert_eq!(
         buckets
-            .draw(Time(20 * SECOND_US), &ahead(300), &tenure)
-            .ahead,
+            .lease(Time(20 * SECOND_US), &prefetch_amount(300), &ownership)
+            .prefetch_amount,
         300
     );
     assert_eq!(
         buckets
-            .draw(Time(20 * SECOND_US), &ahead(900), &tenure)
-            .ahead,
+            .lease(Time(20 * SECOND_US), &prefetch_amount(900), &ownership)
+            .prefetch_amount,
         0
     );
 }
 
 #[test]
 fn usage_tells_what_was_granted_and_denied() {
-    let (mut buckets, tenure) = (buckets(1_000, 1_000), tenure());
-    buckets.draw(Time(0), &draw(&[1]), &tenure);
-    buckets.draw(Time(5 * SECOND_US), &draw(&[700]), &tenure);
-    let usage = buckets.usage(Time(5 * SECOND_US), &tenure);
+    let (mut buckets, ownership) = (buckets(1_000, 1_000), ownership());
+    buckets.lease(Time(0), &draw(&[1]), &ownership);
+    buckets.lease(Time(5 * SECOND_US), &draw(&[700]), &ownership);
+    let usage = buckets.usage(Time(5 * SECOND_US), &ownership);
     assert_eq!(
         (usage[0].0, usage[0].1.granted, usage[0].1.denied),
         ("a", 700.0, 1)
--- a/decide/quota/src/lease_requests.rs
+++ b/decide/quota/src/lease_requests.rs
@@ -28,20 +28,20 @@
 
 /// Something that the machine has to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order<O> {
+pub enum LeaseAction<O> {
     /// Ask a holder.
-    Ask {
+    Request {
         /// Which one.
         to: OwnerId,
         /// Names the question.
         id: u64,
         /// Whether it is to ask other holders in turn, since this machine knows of none.
-        pass_on: bool,
+        may_forward: bool,
         /// What is wanted.
         draw: LeaseRequest,
     },
     /// Tell whoever asked.
-    Answer {
+    Respond {
         /// Who that is.
         origin: O,
         /// What is granted.
@@ -54,7 +54,7 @@
     /// Its own parts.
     pub buckets: &'a mut Buckets,
     /// Which parts those are.
-    pub tenure: &'a ShardOwnership,
+    pub ownership: &'a ShardOwnership,
     /// This machine.
     pub own: OwnerId,
     /// Machines that can be asked.
@@ -101,18 +101,18 @@
     }
 
     /// Somebody wants a draw.
-    pub fn take(
+    pub fn on_request(
         &mut self,
         now: Time,
         origin: O,
         draw: LeaseRequest,
         place: &mut LeaseContext<'_>,
-    ) -> Vec<Order<O>> {
-        let mut grant = place.buckets.draw(now, &draw, place.tenure);
+    ) -> Vec<LeaseAction<O>> {
+        let mut grant = place.buckets.lease(now, &draw, place.ownership);
         if grant.covers_all(&draw) || self.under_way.len() >= MOST {
-            return vec![Order::Answer { origin, grant }];
+            return vec![LeaseAction::Respond { origin, grant }];
         }
-        grant.ahead = 0;
+        grant.prefetch_amount = 0;
         let left = self.others(now, &draw, place);
         let asked = (place.own, Vec::new(), now);
         self.go_on(
@@ -129,14 +129,14 @@
     }
 
     /// A holder has answered. An answer counts only from whom it was asked of.
-    pub fn on_answer(
+    pub fn on_response(
         &mut self,
         now: Time,
         from: OwnerId,
         id: u64,
         grant: LeaseGrant,
         place: &mut LeaseContext<'_>,
-    ) -> Vec<Order<O>> {
+    ) -> Vec<LeaseAction<O>> {
         // One that comes too late to be of use shows all the same that its sender is there.
         self.unanswered.remove(&from);
         if self
@@ -154,34 +154,34 @@
             .iter()
             .enumerate()
             .filter(|(index, _)| grant.covers(*index));
-        let needs = granted.fold(0, |bits, (_, place)| bits | (1 << place));
+        let amounts = granted.fold(0, |bits, (_, place)| bits | (1 << place));
         waits.grant = waits.grant.and(LeaseGrant {
-            needs,
-            ahead: 0,
-            wait: grant.wait,
+            granted_bits: amounts,
+            prefetch_amount: 0,
+            retry_after_us: grant.retry_after_us,
         });
         let denied = places
             .iter()
             .enumerate()
             .filter(|(index, _)| !grant.covers(*index));
-        if let Some(size) = denied.map(|(_, place)| waits.draw.needs[*place]).min() {
-            self.note_empty(now, from, &waits.draw.tenant, size, grant.wait);
+        if let Some(size) = denied.map(|(_, place)| waits.draw.amounts[*place]).min() {
+            self.note_empty(now, from, &waits.draw.tenant, size, grant.retry_after_us);
         }
         self.go_on(now, waits, place)
     }
 
     /// A machine can be asked no more.
-    pub fn on_lost(
+    pub fn on_owner_lost(
         &mut self,
         now: Time,
         holder: OwnerId,
         place: &mut LeaseContext<'_>,
-    ) -> Vec<Order<O>> {
+    ) -> Vec<LeaseAction<O>> {
         self.pass_over(now, place, |asked| asked.0 == holder)
     }
 
     /// Passes over holders that have not answered in time.
-    pub fn tick(&mut self, now: Time, place: &mut LeaseContext<'_>) -> Vec<Order<O>> {
+    pub fn tick(&mut self, now: Time, place: &mut LeaseContext<'_>) -> Vec<LeaseAction<O>> {
         self.empty.retain(|_, empty| empty.until > now);
         self.unanswered
             .retain(|_, asked_at| now.since(*asked_at) < SILENT_AFTER + SILENT);
@@ -211,7 +211,7 @@
         now: Time,
         place: &mut LeaseContext<'_>,
         is_over: impl Fn(&(OwnerId, Vec<usize>, Time)) -> bool,
-    ) -> Vec<Order<O>> {
+    ) -> Vec<LeaseAction<O>> {
         let over: Vec<u64> = self
             .under_way
             .iter()
@@ -231,7 +231,7 @@
     /// begin at each of them in turn, so that all parts are used alike. A machine that knows no
     /// voters passes the draw on to one that may.
     fn others(&self, now: Time, draw: &LeaseRequest, place: &LeaseContext<'_>) -> Vec<OwnerId> {
-        let mut others = match place.tenure.voters() {
+        let mut others = match place.ownership.voters() {
             [] => place.reachable.iter().copied().collect(),
             voters => owners(&draw.tenant, voters),
         };
@@ -242,7 +242,7 @@
         others.retain(|holder| *holder != place.own);
         // The last ones are asked first.
         others.sort_by_key(|holder| !self.is_silent(now, *holder));
-        if place.tenure.voters().is_empty() {
+        if place.ownership.voters().is_empty() {
             others.truncate(2);
         }
         others
@@ -253,7 +253,7 @@
         now: Time,
         mut waits: UnderWay<O>,
         place: &LeaseContext<'_>,
-    ) -> Vec<Order<O>> {
+    ) -> Vec<LeaseAction<O>> {
         while !waits.grant.covers_all(&waits.draw) {
             let Some(holder) = waits.left.pop() else {
                 break;
@@ -265,28 +265,28 @@
             if places.is_empty() {
                 continue;
             }
-            let needs = places
+            let amounts = places
                 .iter()
-                .map(|place| waits.draw.needs[*place])
+                .map(|place| waits.draw.amounts[*place])
                 .collect();
             let draw = LeaseRequest {
-                needs,
-                ahead: 0,
+                amounts,
+                prefetch_amount: 0,
                 ..waits.draw.clone()
             };
             self.next = self.next.wrapping_add(1);
             let id = self.next;
             waits.asked = (holder, places, now.plus(ASK_TIMEOUT));
             self.under_way.insert(id, waits);
-            let pass_on = place.tenure.voters().is_empty();
-            return vec![Order::Ask {
+            let may_forward = place.ownership.voters().is_empty();
+            return vec![LeaseAction::Request {
                 to: holder,
                 id,
-                pass_on,
+                may_forward,
                 draw,
             }];
         }
-        vec![Order::Answer {
+        vec![LeaseAction::Respond {
             origin: waits.origin,
             grant: waits.grant,
         }]
@@ -299,10 +299,10 @@
             .get(&(holder, waits.draw.tenant.clone()))
             .filter(|empty| empty.until > now);
         let worth = |place: &usize| {
-            let need = waits.draw.needs[*place];
+            let need = waits.draw.amounts[*place];
             !waits.grant.covers(*place) && empty.is_none_or(|empty| need < empty.size)
         };
-        (0..waits.draw.needs.len()).filter(worth).collect()
+        (0..waits.draw.amounts.len()).filter(worth).collect()
     }
 
     fn note_empty(&mut self, now: Time, holder: OwnerId, tenant: &str, size: u64, wait: Micros) {
--- a/decide/quota/src/lease_requests/tests.rs
+++ b/decide/quota/src/lease_requests/tests.rs
@@ -11,7 +11,7 @@
 /// A machine among the voters 1 to 4 (or without a vote) that can reach some of them.
 struct Machine {
     buckets: Buckets,
-    tenure: ShardOwnership,
+    ownership: ShardOwnership,
     own: OwnerId,
     reachable: BTreeSet<OwnerId>,
     draws: LeaseRequests<&'static str>,
@@ -27,13 +27,13 @@
         slack: 0.0,
     });
     buckets.set_tenants(Time(0), document.tenants().expect("tenants"));
-    let mut tenure =
+    let mut ownership =
         ShardOwnership::new(OwnerId(own), voters.iter().copied().map(OwnerId).collect());
-    (0..20).for_each(|second| tenure.on_contact(Time(second * SECOND)));
+    (0..20).for_each(|second| ownership.on_contact(Time(second * SECOND)));
     let reachable = reachable.iter().copied().map(OwnerId).collect();
     Machine {
         buckets,
-        tenure,
+        ownership,
         own: OwnerId(own),
         reachable,
         draws: LeaseRequests::new(0),
@@ -47,33 +47,33 @@
     ) -> T {
         let mut place = LeaseContext {
             buckets: &mut self.buckets,
-            tenure: &self.tenure,
+            ownership: &self.ownership,
             own: self.own,
             reachable: &self.reachable,
         };
         act(&mut self.draws, &mut place)
     }
 
-    fn take(&mut self, now: Time, draw: LeaseRequest) -> Vec<Order<&'static str>> {
-        self.with(|draws, place| draws.take(now, "router", draw, place))
+    fn take(&mut self, now: Time, draw: LeaseRequest) -> Vec<LeaseAction<&'static str>> {
+        self.with(|draws, place| draws.on_request(now, "router", draw, place))
     }
 }
 
-fn draw(needs: &[u64]) -> LeaseRequest {
+fn draw(amounts: &[u64]) -> LeaseRequest {
     LeaseRequest {
         tenant: "a".to_owned(),
         unit: QuotaUnit::Tokens,
-        needs: needs.to_vec(),
-        ahead: 0,
+        amounts: amounts.to_vec(),
+        prefetch_amount: 0,
     }
 }
 
-fn asked(orders: &[Order<&'static str>]) -> (OwnerId, u64, LeaseRequest) {
-    assert_matches!(orders, [Order::Ask { to, id, draw, .. }] => (*to, *id, draw.clone()))
+fn asked(orders: &[LeaseAction<&'static str>]) -> (OwnerId, u64, LeaseRequest) {
+    assert_matches!(orders, [LeaseAction::Request { to, id, draw, .. }] => (*to, *id, draw.clone()))
 }
 
-fn answer(orders: &[Order<&'static str>]) -> LeaseGrant {
-    assert_matches!(orders, [Order::Answer { origin: "router", grant }] => *grant)
+fn answer(orders: &[LeaseAction<&'static str>]) -> LeaseGrant {
+    assert_matches!(orders, [LeaseAction::Respond { origin: "router", grant }] => *grant)
 }
 
 #[test]
@@ -87,22 +87,22 @@
 fn the_other_holders_are_asked_one_after_another_for_what_is_left() {
     let mut relay = machine(9, &[1, 2, 3, 4], &[1, 2, 3, 4]);
     let (first, id, wanted) = asked(&relay.take(Time(0), draw(&[10, 20])));
-    assert_eq!(wanted.needs, [10, 20]);
+    assert_eq!(wanted.amounts, [10, 20]);
     let granted = LeaseGrant {
-        needs: 0b10,
-        ahead: 0,
-        wait: 40_000,
+        granted_bits: 0b10,
+        prefetch_amount: 0,
+        retry_after_us: 40_000,
     };
-    let orders = relay.with(|draws, place| draws.on_answer(Time(1), first, id, granted, place));
+    let orders = relay.with(|draws, place| draws.on_response(Time(1), first, id, granted, place));
     let (second, id, wanted) = asked(&orders);
-    assert!(second != first && wanted.needs == [10]);
+    assert!(second != first && wanted.amounts == [10]);
     let granted = LeaseGrant {
-        needs: 0b1,
-        ahead: 0,
-        wait: 0,
+        granted_bits: 0b1,
+        prefetch_amount: 0,
+        retry_after_us: 0,
     };
-    let orders = relay.with(|draws, place| draws.on_answer(Time(2), second, id, granted, place));
-    assert_eq!(answer(&orders).needs, 0b11);
+    let orders = relay.with(|draws, place| draws.on_response(Time(2), second, id, granted, place));
+    assert_eq!(answer(&orders).granted_bits, 0b11);
     assert!(relay.draws.next_wake().is_none());
 }
 
@@ -111,20 +111,20 @@
     let mut relay = machine(9, &[1, 2, 3, 4], &[1, 2, 3, 4]);
     let (first, id, _) = asked(&relay.take(Time(0), draw(&[10])));
     let all = LeaseGrant {
-        needs: 1,
-        ahead: 0,
-        wait: 0,
+        granted_bits: 1,
+        prefetch_amount: 0,
+        retry_after_us: 0,
     };
     let other = OwnerId(first.0 % 4 + 1);
     assert!(relay
-        .with(|draws, place| draws.on_answer(Time(1), other, id, all, place))
+        .with(|draws, place| draws.on_response(Time(1), other, id, all, place))
         .is_empty());
     assert!(
-        answer(&relay.with(|draws, place| draws.on_answer(Time(1), first, id, all, place)))
+        answer(&relay.with(|draws, place| draws.on_response(Time(1), first, id, all, place)))
             .covers(0)
     );
     assert!(relay
-        .with(|draws, place| draws.on_answer(Time(1), first, id, all, place))
+        .with(|draws, place| draws.on_response(Time(1), first, id, all, place))
         .is_empty());
 }
 
@@ -132,7 +132,7 @@
 fn holders_that_are_lost_silent_or_out_of_reach_are_passed_over() {
     let mut relay = machine(9, &[1, 2, 3], &[1, 2, 3]);
     let (first, _, _) = asked(&relay.take(Time(0), draw(&[10])));
-    let orders = relay.with(|draws, place| draws.on_lost(Time(1), first, place));
+    let orders = relay.with(|draws, place| draws.on_owner_lost(Time(1), first, place));
     let (second, id, _) = asked(&orders);
     let due = relay.draws.next_wake().expect("a wake");
     assert!(relay
@@ -141,17 +141,17 @@
     let (third, _, _) = asked(&relay.with(|draws, place| draws.tick(due, place)));
     // What comes too late is no grant of this draw.
     let late = LeaseGrant {
-        needs: 1,
-        ahead: 0,
-        wait: 0,
+        granted_bits: 1,
+        prefetch_amount: 0,
+        retry_after_us: 0,
     };
     assert!(relay
-        .with(|draws, place| draws.on_answer(due, second, id, late, place))
+        .with(|draws, place| draws.on_response(due, second, id, late, place))
         .is_empty());
-    let orders = relay.with(|draws, place| draws.on_lost(due, third, place));
-    assert_eq!(answer(&orders).needs, 0);
+    let orders = relay.with(|draws, place| draws.on_owner_lost(due, third, place));
+    assert_eq!(answer(&orders).granted_bits, 0);
     let mut cut_off = machine(9, &[1, 2, 3], &[]);
-    assert_eq!(answer(&cut_off.take(Time(0), draw(&[10]))).needs, 0);
+    assert_eq!(answer(&cut_off.take(Time(0), draw(&[10]))).granted_bits, 0);
 }
 
 #[test]
@@ -187,12 +187,12 @@
     assert!(firsts(&mut relay, Time(99_000)).contains(&still));
     // Its answer comes too late for that draw, and in time to be trusted.
     let late = LeaseGrant {
-        needs: 1,
-        ahead: 0,
-        wait: 0,
+        granted_bits: 1,
+        prefetch_amount: 0,
+        retry_after_us: 0,
     };
     assert!(relay
-        .with(|draws, place| draws.on_answer(Time(100_000), still, id, late, place))
+        .with(|draws, place| draws.on_response(Time(100_000), still, id, late, place))
         .is_empty());
     assert!(firsts(&mut relay, Time(SILENT_AFTER + 1_000)).contains(&still));
 }
@@ -201,15 +201,18 @@
 fn a_holder_that_had_too_little_is_not_asked_for_as_much_again_at_once() {
     let mut relay = machine(9, &[1], &[1]);
     let denied = LeaseGrant {
-        needs: 0,
-        ahead: 0,
-        wait: 50_000,
+        granted_bits: 0,
+        prefetch_amount: 0,
+        retry_after_us: 50_000,
     };
     let (holder, id, _) = asked(&relay.take(Time(0), draw(&[100])));
-    relay.with(|draws, place| draws.on_answer(Time(1), holder, id, denied, place));
-    assert_eq!(answer(&relay.take(Time(2), draw(&[100, 120]))).needs, 0);
+    relay.with(|draws, place| draws.on_response(Time(1), holder, id, denied, place));
+    assert_eq!(
+        answer(&relay.take(Time(2), draw(&[100, 120]))).granted_bits,
+        0
+    );
     let (_, _, wanted) = asked(&relay.take(Time(2), draw(&[100, 99])));
-    assert_eq!(wanted.needs, [99]);
+    assert_eq!(wanted.amounts, [99]);
     relay.with(|draws, place| draws.tick(Time(60_000), place));
     asked(&relay.take(Time(60_000), draw(&[100])));
 }
@@ -218,5 +221,11 @@
 fn a_machine_that_knows_no_voters_asks_others_to_ask() {
     let mut relay = machine(9, &[], &[1, 2, 3]);
     let orders = relay.take(Time(0), draw(&[10]));
-    assert_matches!(&orders[..], [Order::Ask { pass_on: true, .. }]);
+    assert_matches!(
+        &orders[..],
+        [LeaseAction::Request {
+            may_forward: true,
+            ..
+        }]
+    );
 }
--- a/decide/quota/src/lib.rs
+++ b/decide/quota/src/lib.rs
@@ -28,11 +28,11 @@
 mod ownership;
 mod tenant_quota;
 
-pub use allowances::{AdmissionOutcome, Allowances, Decided};
-pub use buckets::{Buckets, Usage};
+pub use allowances::{AdmissionDecision, AdmissionOutcome, Allowances};
+pub use buckets::{BucketUsage, Buckets};
 pub use lease::{LeaseGrant, LeaseRequest, MAX_AMOUNTS};
-pub use lease_requests::{LeaseContext, LeaseRequests, Order};
+pub use lease_requests::{LeaseAction, LeaseContext, LeaseRequests};
 pub use ownership::{
-    owners, BucketShard, OwnerId, ShardOwnership, MAX_OWNERS, OWNERSHIP_LEASE, SETTLING_TIME,
+    owners, BucketShard, OwnerId, ShardOwnership, MAX_OWNERS, OWNERSHIP_LEASE_US, SETTLING_TIME_US,
 };
 pub use tenant_quota::{QuotaBounds, TenantQuota};
--- a/decide/quota/src/ownership.rs
+++ b/decide/quota/src/ownership.rs
@@ -2,8 +2,8 @@
 //!
 //! Holders follow from the voters of the group by rendezvous hashing. Voters change while machines
 //! don't all know it, so a machine takes a part that it did not hold before only once whoever held
-//! it can hold it no more: a holder's tenure ends [`OWNERSHIP_LEASE`] after it was last in contact with a
-//! quorum, and a new one begins [`SETTLING_TIME`] after it has learnt of the voters that make it one.
+//! it can hold it no more: a holder's tenure ends [`OWNERSHIP_LEASE_US`] after it was last in contact with a
+//! quorum, and a new one begins [`SETTLING_TIME_US`] after it has learnt of the voters that make it one.
 
 use lichenswitch_interface::{Micros, Time};
 use std::cmp::Reverse;
@@ -13,10 +13,10 @@
 pub const MAX_OWNERS: usize = 3;
 /// A machine holds its parts for so long after it was last in contact (microseconds): over an
 /// election.
-pub const OWNERSHIP_LEASE: Micros = 4_000_000;
+pub const OWNERSHIP_LEASE_US: Micros = 4_000_000;
 /// A machine takes up a new part so long after it has learnt of it (microseconds): a lease, what
 /// contact may be behind, and some for clocks.
-pub const SETTLING_TIME: Micros = OWNERSHIP_LEASE + 2_000_000;
+pub const SETTLING_TIME_US: Micros = OWNERSHIP_LEASE_US + 2_000_000;
 /// A machine that was out of contact for so long may have missed voters, among whom another one has
 /// settled (microseconds).
 const MISSED: Micros = 2_000_000;
@@ -29,9 +29,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct BucketShard {
     /// Of rate and depth.
-    pub part: f64,
+    pub fraction: f64,
     /// It is the one that may go into debt.
-    pub first: bool,
+    pub may_go_into_debt: bool,
 }
 
 /// The holders of a tenant's bucket, the first one first.
@@ -89,7 +89,7 @@
     /// These vote now, as far as this machine knows; while they change, those before and after.
     pub fn on_voters(&mut self, now: Time, voters: &[OwnerId]) {
         self.earlier
-            .retain(|(replaced, _)| now.since(*replaced) < SETTLING_TIME);
+            .retain(|(replaced, _)| now.since(*replaced) < SETTLING_TIME_US);
         if self.voters != voters {
             let before = std::mem::replace(&mut self.voters, voters.to_vec());
             self.earlier.push((now, before));
@@ -105,7 +105,7 @@
 
     /// This machine is in contact with a quorum.
     pub fn on_contact(&mut self, now: Time) {
-        if now >= self.ends() {
+        if now >= self.expires_at() {
             self.since = now;
         }
         self.contact = self.contact.max(Some(now));
@@ -120,39 +120,39 @@
     /// Until when this machine holds its parts, unless contact is renewed; 0 where it never was in
     /// contact.
     #[must_use]
-    pub fn ends(&self) -> Time {
+    pub fn expires_at(&self) -> Time {
         self.contact
-            .map_or(Time(0), |contact| contact.plus(OWNERSHIP_LEASE))
+            .map_or(Time(0), |contact| contact.plus(OWNERSHIP_LEASE_US))
     }
 
     /// Since when this machine has held its parts without a gap, whichever they are.
     #[must_use]
-    pub fn since(&self) -> Time {
+    pub fn held_since(&self) -> Time {
         self.since
     }
 
     /// The part of a tenant's bucket that this machine holds now: the least by all voters that
     /// others may still go by.
     #[must_use]
-    pub fn share(&self, now: Time, tenant: &str) -> BucketShard {
-        if now >= self.ends() {
+    pub fn shard(&self, now: Time, tenant: &str) -> BucketShard {
+        if now >= self.expires_at() {
             return BucketShard::default();
         }
         let earlier = self
             .earlier
             .iter()
-            .filter(|(replaced, _)| now.since(*replaced) < SETTLING_TIME);
+            .filter(|(replaced, _)| now.since(*replaced) < SETTLING_TIME_US);
         let views = earlier.map(|(_, voters)| voters).chain([&self.voters]);
-        let shares = views.map(|voters| self.share_of(tenant, voters));
+        let shares = views.map(|voters| self.shard_of(tenant, voters));
         shares.reduce(BucketShard::least).unwrap_or_default()
     }
 
-    fn share_of(&self, tenant: &str, voters: &[OwnerId]) -> BucketShard {
+    fn shard_of(&self, tenant: &str, voters: &[OwnerId]) -> BucketShard {
         let owners = owners(tenant, voters);
         match owners.iter().position(|holder| *holder == self.own) {
             Some(rank) => BucketShard {
-                part: 1.0 / owners.len() as f64,
-                first: rank == 0,
+                fraction: 1.0 / owners.len() as f64,
+                may_go_into_debt: rank == 0,
             },
             None => BucketShard::default(),
         }
@@ -162,8 +162,8 @@
 impl BucketShard {
     fn least(self, other: BucketShard) -> BucketShard {
         BucketShard {
-            part: self.part.min(other.part),
-            first: self.first && other.first,
+            fraction: self.fraction.min(other.fraction),
+            may_go_into_debt: self.may_go_into_debt && other.may_go_into_debt,
         }
     }
 }
--- a/decide/quota/src/ownership/tests.rs
+++ b/decide/quota/src/ownership/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `tenure`.
+//! Tests of `ownership`.
 
 use super::*;
 
@@ -61,16 +61,20 @@
 #[test]
 fn a_part_is_held_for_a_lease_after_the_last_contact() {
     let tenant = tenant_of(1, &[1, 2, 3]);
-    let mut tenure = ShardOwnership::new(OwnerId(1), voters(&[1, 2, 3]));
-    assert_eq!(tenure.share(seconds(1), &tenant), BucketShard::default());
-    tenure.on_contact(seconds(1));
-    assert!(tenure.share(Time(5 * SECOND - 1), &tenant).first);
-    assert_eq!(tenure.share(seconds(5), &tenant), BucketShard::default());
-    assert_eq!(tenure.since(), seconds(1));
-    tenure.on_contact(seconds(4));
-    assert_eq!(tenure.since(), seconds(1));
-    tenure.on_contact(seconds(9));
-    assert_eq!(tenure.since(), seconds(9));
+    let mut ownership = ShardOwnership::new(OwnerId(1), voters(&[1, 2, 3]));
+    assert_eq!(ownership.shard(seconds(1), &tenant), BucketShard::default());
+    ownership.on_contact(seconds(1));
+    assert!(
+        ownership
+            .shard(Time(5 * SECOND - 1), &tenant)
+            .may_go_into_debt
+    );
+    assert_eq!(ownership.shard(seconds(5), &tenant), BucketShard::default());
+    assert_eq!(ownership.held_since(), seconds(1));
+    ownership.on_contact(seconds(4));
+    assert_eq!(ownership.held_since(), seconds(1));
+    ownership.on_contact(seconds(9));
+    assert_eq!(ownership.held_since(), seconds(9));
 }
 
 #[test]
@@ -82,10 +86,10 @@
     for now in 10..30 {
         newcomer.on_contact(seconds(now));
         newcomer.on_voters(seconds(now), &voters(&[1, 2, 4]));
-        let holds = newcomer.share(seconds(now), &tenant).part > 0.0;
+        let holds = newcomer.shard(seconds(now), &tenant).fraction > 0.0;
         assert_eq!(
             holds,
-            seconds(now) >= seconds(10).plus(SETTLING_TIME),
+            seconds(now) >= seconds(10).plus(SETTLING_TIME_US),
             "{now}"
         );
     }
@@ -93,16 +97,16 @@
 
 #[test]
 fn a_process_that_starts_again_under_the_same_voters_waits_for_contact_alone() {
-    let mut tenure = ShardOwnership::new(OwnerId(1), voters(&[1, 2, 3]));
-    tenure.on_voters(seconds(100), &voters(&[1, 2, 3]));
-    tenure.on_contact(seconds(100));
-    assert!(tenure.share(seconds(100), "t").part > 0.3);
+    let mut ownership = ShardOwnership::new(OwnerId(1), voters(&[1, 2, 3]));
+    ownership.on_voters(seconds(100), &voters(&[1, 2, 3]));
+    ownership.on_contact(seconds(100));
+    assert!(ownership.shard(seconds(100), "t").fraction > 0.3);
 }
 
 #[test]
 fn shares_never_sum_to_more_than_one_while_voters_change() {
     for seed in 0..60 {
-        walk(seed, SETTLING_TIME);
+        walk(seed, SETTLING_TIME_US);
     }
 }
 
@@ -115,7 +119,7 @@
 
 /// A machine of the walk below.
 struct Machine {
-    tenure: ShardOwnership,
+    ownership: ShardOwnership,
     cut_until: Micros,
     /// The change of voters that it knows last, and when it learns of the next one.
     knows: usize,
@@ -124,9 +128,9 @@
 
 impl Machine {
     fn of(id: u64, known: &[u64], knows: usize) -> Machine {
-        let tenure = ShardOwnership::new(OwnerId(id), voters(known));
+        let ownership = ShardOwnership::new(OwnerId(id), voters(known));
         Machine {
-            tenure,
+            ownership,
             cut_until: 0,
             knows,
             learns_at: 0,
@@ -139,7 +143,7 @@
 fn walk(seed: u64, settling: Micros) {
     const STEP: Micros = 100_000;
     const LATEST: Micros = 1_400_000;
-    let skipped = SETTLING_TIME - settling;
+    let skipped = SETTLING_TIME_US - settling;
     let mut random = fastrand::Rng::with_seed(seed);
     let mut changes: Vec<(Micros, Vec<u64>)> = vec![(0, vec![1, 2, 3, 4])];
     let mut machines: Vec<Machine> = (1..=4)
@@ -154,7 +158,7 @@
             changes.push((now, next.clone()));
             let mut newcomer = Machine::of(id, &[], changes.len() - 1);
             newcomer
-                .tenure
+                .ownership
                 .on_voters(Time(now.saturating_sub(skipped)), &voters(&next));
             machines.push(newcomer);
         }
@@ -179,19 +183,22 @@
             if machine.knows > known {
                 let next = voters(&changes[machine.knows].1);
                 machine
-                    .tenure
+                    .ownership
                     .on_voters(Time(now.saturating_sub(skipped)), &next);
             }
-            if changes[machine.knows].1.contains(&machine.tenure.own.0) {
-                machine.tenure.on_contact(Time(now));
+            if changes[machine.knows].1.contains(&machine.ownership.own.0) {
+                machine.ownership.on_contact(Time(now));
             }
         }
         for tenant in ["a", "b", "c", "d", "e"] {
             let shares = machines
                 .iter()
-                .map(|machine| machine.tenure.share(Time(now), tenant));
-            let (sum, firsts) = shares.fold((0.0, 0), |(sum, firsts), share| {
-                (sum + share.part, firsts + usize::from(share.first))
+                .map(|machine| machine.ownership.shard(Time(now), tenant));
+            let (sum, firsts) = shares.fold((0.0, 0), |(sum, firsts), shard| {
+                (
+                    sum + shard.fraction,
+                    firsts + usize::from(shard.may_go_into_debt),
+                )
             });
             assert!(
                 sum <= 1.0 + 1e-9 && firsts <= 1,
--- a/fleet/src/control/quotas.rs
+++ b/fleet/src/control/quotas.rs
@@ -13,8 +13,8 @@
 use lichenswitch_messages::{QuotaLeaseRequest, QuotaLeaseResponse, QuotaLeaseUnit, TenantMessage};
 use lichenswitch_net::ConnId;
 use lichenswitch_quota::{
-    Buckets, LeaseContext, LeaseGrant, LeaseRequest, LeaseRequests, Order, OwnerId, QuotaBounds,
-    ShardOwnership,
+    Buckets, LeaseAction, LeaseContext, LeaseGrant, LeaseRequest, LeaseRequests, OwnerId,
+    QuotaBounds, ShardOwnership,
 };
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -29,7 +29,7 @@
 /// What a machine has to do with quotas.
 pub(super) struct Quotas {
     pub(super) own: OwnerId,
-    pub(super) tenure: ShardOwnership,
+    pub(super) ownership: ShardOwnership,
     pub(super) buckets: Buckets,
     draws: LeaseRequests<DrawOrigin>,
     /// A part has granted more than it may.
@@ -42,7 +42,7 @@
         let own = OwnerId(identity);
         Quotas {
             own,
-            tenure: ShardOwnership::new(own, group.map(voters).unwrap_or_default()),
+            ownership: ShardOwnership::new(own, group.map(voters).unwrap_or_default()),
             buckets: Buckets::new(terms),
             draws: LeaseRequests::new(fastrand::u64(..)),
             overrun: false,
@@ -61,7 +61,7 @@
     ) -> (&'a mut LeaseRequests<DrawOrigin>, LeaseContext<'a>) {
         let place = LeaseContext {
             buckets: &mut self.buckets,
-            tenure: &self.tenure,
+            ownership: &self.ownership,
             own: self.own,
             reachable,
         };
@@ -95,9 +95,9 @@
         let Some(group) = self.group.as_ref() else {
             return;
         };
-        self.quotas.tenure.on_voters(now, &voters(group));
+        self.quotas.ownership.on_voters(now, &voters(group));
         if group.votes() && group.replica.is_current(to_replica(now)) {
-            self.quotas.tenure.on_contact(now);
+            self.quotas.ownership.on_contact(now);
             if group
                 .replica
                 .committed()
@@ -128,7 +128,9 @@
     /// A message about tenants has come.
     pub(super) fn on_tenant_message(&mut self, id: ConnId, message: TenantMessage, now: Time) {
         match (message, self.links.end(id)) {
-            (TenantMessage::Confirm { stamp }, Some(End::Router)) => self.confirm(id, stamp, now),
+            (TenantMessage::Confirm { sent_at_us: stamp }, Some(End::Router)) => {
+                self.confirm(id, stamp, now)
+            }
             (TenantMessage::LeaseRequest(request), Some(End::Router | End::Peer(_))) => {
                 self.on_draw(id, request, now)
             }
@@ -146,26 +148,35 @@
         self.look_at_committed(now);
         if self.in_contact(now) {
             let position = self.committed.as_ref().map(|committed| committed.position);
-            self.send_tenant_message(id, &TenantMessage::Confirmed { stamp, position });
+            self.send_tenant_message(
+                id,
+                &TenantMessage::Confirmed {
+                    sent_at_us: stamp,
+                    position,
+                },
+            );
         }
     }
 
     fn on_draw(&mut self, connection: ConnId, request: QuotaLeaseRequest, now: Time) {
-        let (origin, pass_on) = (
+        let (origin, may_forward) = (
             DrawOrigin {
                 connection,
                 id: request.id,
             },
-            request.pass_on,
+            request.may_forward,
         );
         let draw = draw_of(request);
-        if !pass_on {
-            let grant = self.quotas.buckets.draw(now, &draw, &self.quotas.tenure);
+        if !may_forward {
+            let grant = self
+                .quotas
+                .buckets
+                .lease(now, &draw, &self.quotas.ownership);
             return self.answer_draw(origin, grant);
         }
         let reachable = self.reachable_holders();
         let (draws, mut place) = self.quotas.at(&reachable);
-        let orders = draws.take(now, origin, draw, &mut place);
+        let orders = draws.on_request(now, origin, draw, &mut place);
         self.do_quota_orders(orders);
     }
 
@@ -174,13 +185,13 @@
             return;
         };
         let grant = LeaseGrant {
-            needs: answer.needs,
-            ahead: answer.ahead,
-            wait: answer.wait_us,
+            granted_bits: answer.granted_bits,
+            prefetch_amount: answer.prefetch_amount,
+            retry_after_us: answer.retry_after_us,
         };
         let reachable = self.reachable_holders();
         let (draws, mut place) = self.quotas.at(&reachable);
-        let orders = draws.on_answer(now, from, answer.id, grant, &mut place);
+        let orders = draws.on_response(now, from, answer.id, grant, &mut place);
         self.do_quota_orders(orders);
     }
 
@@ -191,17 +202,20 @@
         };
         let reachable = self.reachable_holders();
         let (draws, mut place) = self.quotas.at(&reachable);
-        let orders = draws.on_lost(now, holder, &mut place);
+        let orders = draws.on_owner_lost(now, holder, &mut place);
         self.do_quota_orders(orders);
     }
 
     /// Brings the buckets up to now, and checks what was granted of them.
     pub(super) fn advance_buckets(&mut self, now: Time) {
         let Quotas {
-            buckets, tenure, ..
+            buckets, ownership, ..
         } = &mut self.quotas;
-        buckets.advance(now, tenure);
-        if !std::mem::replace(&mut self.quotas.overrun, !self.quotas.buckets.are_kept()) {
+        buckets.advance(now, ownership);
+        if !std::mem::replace(
+            &mut self.quotas.overrun,
+            !self.quotas.buckets.are_within_bounds(),
+        ) {
             invariants::check(!self.quotas.overrun, Invariant::PartIsKept);
         }
     }
@@ -217,21 +231,21 @@
         self.do_quota_orders(orders);
     }
 
-    fn do_quota_orders(&mut self, orders: Vec<Order<DrawOrigin>>) {
+    fn do_quota_orders(&mut self, orders: Vec<LeaseAction<DrawOrigin>>) {
         for order in orders {
             match order {
-                Order::Ask {
+                LeaseAction::Request {
                     to,
                     id,
-                    pass_on,
+                    may_forward,
                     draw,
                 } => {
                     if let Some(connection) = self.connection_to(to) {
-                        let request = request_of(id, draw, pass_on);
+                        let request = request_of(id, draw, may_forward);
                         self.send_tenant_message(connection, &TenantMessage::LeaseRequest(request));
                     }
                 }
-                Order::Answer { origin, grant } => self.answer_draw(origin, grant),
+                LeaseAction::Respond { origin, grant } => self.answer_draw(origin, grant),
             }
         }
     }
@@ -239,9 +253,9 @@
     fn answer_draw(&mut self, origin: DrawOrigin, grant: LeaseGrant) {
         let answer = QuotaLeaseResponse {
             id: origin.id,
-            needs: grant.needs,
-            ahead: grant.ahead,
-            wait_us: grant.wait,
+            granted_bits: grant.granted_bits,
+            prefetch_amount: grant.prefetch_amount,
+            retry_after_us: grant.retry_after_us,
         };
         self.send_tenant_message(origin.connection, &TenantMessage::LeaseResponse(answer));
     }
@@ -291,12 +305,12 @@
     LeaseRequest {
         tenant: request.tenant,
         unit,
-        needs: request.needs,
-        ahead: request.ahead,
+        amounts: request.amounts,
+        prefetch_amount: request.prefetch_amount,
     }
 }
 
-fn request_of(id: u64, draw: LeaseRequest, pass_on: bool) -> QuotaLeaseRequest {
+fn request_of(id: u64, draw: LeaseRequest, may_forward: bool) -> QuotaLeaseRequest {
     let unit = match draw.unit {
         QuotaUnit::Requests => QuotaLeaseUnit::Requests,
         QuotaUnit::Tokens => QuotaLeaseUnit::Tokens,
@@ -305,8 +319,8 @@
         id,
         tenant: draw.tenant,
         unit,
-        needs: draw.needs,
-        ahead: draw.ahead,
-        pass_on,
+        amounts: draw.amounts,
+        prefetch_amount: draw.prefetch_amount,
+        may_forward,
     }
 }
--- a/fleet/src/control/shutdown.rs
+++ b/fleet/src/control/shutdown.rs
@@ -70,7 +70,9 @@
                 self.settings.seed_nodes = settings.seed_nodes;
                 self.settings.heartbeat_interval = settings.heartbeat_interval;
                 self.settings.bounds = settings.bounds;
-                self.quotas.buckets.set_terms(settings.bounds.quota_terms());
+                self.quotas
+                    .buckets
+                    .set_bounds(settings.bounds.quota_terms());
             }
             Err(e) => {
                 warn!(target: "control", error = e.to_string().as_str(); "the settings file can't be used")
--- a/fleet/src/control/status.rs
+++ b/fleet/src/control/status.rs
@@ -7,7 +7,7 @@
 use lichenswitch_control::Replicated;
 use lichenswitch_interface::Time;
 use lichenswitch_messages::ServerState;
-use lichenswitch_quota::Usage;
+use lichenswitch_quota::BucketUsage;
 use lichenswitch_replication::{PeerStatus, Replica, RoleKind};
 use miniserde::Serialize;
 use std::collections::BTreeMap;
@@ -234,9 +234,9 @@
 
 fn quotas(machine: &Machine, now: Time) -> Vec<QuotaLine> {
     let quotas = &machine.quotas;
-    let usage: BTreeMap<&str, Usage> = quotas
+    let usage: BTreeMap<&str, BucketUsage> = quotas
         .buckets
-        .usage(now, &quotas.tenure)
+        .usage(now, &quotas.ownership)
         .into_iter()
         .collect();
     let line = |(tenant, quota): (&str, &Quota)| {
@@ -246,7 +246,7 @@
             unit: unit(quota.unit).to_owned(),
             rate_per_s: quota.rate_per_s,
             burst: quota.burst,
-            part: quotas.tenure.share(now, tenant).part,
+            part: quotas.ownership.shard(now, tenant).fraction,
             level: used.level,
             granted: used.granted,
             denied: used.denied,
--- a/fleet/src/router/intake.rs
+++ b/fleet/src/router/intake.rs
@@ -187,7 +187,7 @@
     /// A client has left: there is nobody to answer, and nothing more is sent for it.
     fn client_left(&mut self, client: ConnId) {
         if self.awaiting_quota.remove(&client).is_some() {
-            self.allowances.leave(client);
+            self.allowances.cancel(client);
         }
         if let Some(id) = self.exchanges.of_client(client) {
             self.drop_exchange(id);
--- a/fleet/src/router/mod.rs
+++ b/fleet/src/router/mod.rs
@@ -357,7 +357,10 @@
 
     fn take_tenant_message(&mut self, message: TenantMessage) {
         match message {
-            TenantMessage::Confirmed { stamp, position } => {
+            TenantMessage::Confirmed {
+                sent_at_us: stamp,
+                position,
+            } => {
                 // What can't be applied here leaves this router behind.
                 if position.is_none_or(|position| self.link.has_applied(position)) {
                     self.freshness
@@ -426,7 +429,7 @@
                 self.link.set_seeds(options.seeds.clone());
                 self.services.set_budget(options.budget);
                 self.freshness.set_terms(options.revocation);
-                self.allowances.set_terms(options.quota);
+                self.allowances.set_bounds(options.quota);
                 self.options.grace = options.grace;
                 log::info!("settings read again");
             }
--- a/fleet/src/router/tenants.rs
+++ b/fleet/src/router/tenants.rs
@@ -15,7 +15,7 @@
 use lichenswitch_interface::{Micros, Time};
 use lichenswitch_messages::{QuotaLeaseRequest, QuotaLeaseResponse, QuotaLeaseUnit, TenantMessage};
 use lichenswitch_net::ConnId;
-use lichenswitch_quota::{AdmissionOutcome, Decided, LeaseGrant, LeaseRequest};
+use lichenswitch_quota::{AdmissionDecision, AdmissionOutcome, LeaseGrant, LeaseRequest};
 use std::fmt::Write as _;
 use std::rc::Rc;
 
@@ -197,23 +197,23 @@
         let need = need(tenant, &request)?;
         let wait = (admission.terms.target_latency / WAIT_SHARE).max(LEAST_WAIT);
         let until = now.plus(wait).min(admission.deadline);
-        match self.allowances.take(now, tenant, need, client, until) {
-            AdmissionOutcome::Allowed(valid_until) => {
+        match self.allowances.admit(now, tenant, need, client, until) {
+            AdmissionOutcome::Admitted(valid_until) => {
                 let name = tenant.name.clone();
                 let held = self.hold(client, request, admission);
                 if held.is_err() {
-                    self.allowances.give_back(&name, need, valid_until);
+                    self.allowances.return_unused(&name, need, valid_until);
                 }
                 held
             }
-            AdmissionOutcome::Waits => {
+            AdmissionOutcome::Queued => {
                 self.awaiting_quota
                     .insert(client, AwaitingQuota { request, admission });
                 self.net.wheel.set(until, Timer::Quota);
                 Ok(())
             }
-            AdmissionOutcome::Beyond(wait) => Err(Turned::BeyondQuota(wait)),
-            AdmissionOutcome::Unknown(wait) => Err(Turned::Away(Some(wait))),
+            AdmissionOutcome::OverQuota(wait) => Err(Turned::BeyondQuota(wait)),
+            AdmissionOutcome::Unavailable(wait) => Err(Turned::Away(Some(wait))),
         }
     }
 
@@ -234,9 +234,9 @@
         let now = self.net.clock.now();
         if self.freshness.asks(now) {
             self.link
-                .send_tenant_message(&mut self.net, &TenantMessage::Confirm { stamp: now.0 });
+                .send_tenant_message(&mut self.net, &TenantMessage::Confirm { sent_at_us: now.0 });
         }
-        for (id, draw) in self.allowances.draws(now) {
+        for (id, draw) in self.allowances.lease_requests(now) {
             self.link.send_tenant_message(
                 &mut self.net,
                 &TenantMessage::LeaseRequest(draw_request(id, draw)),
@@ -248,9 +248,9 @@
     pub(super) fn on_drawn(&mut self, answer: QuotaLeaseResponse) {
         let now = self.net.clock.now();
         let grant = LeaseGrant {
-            needs: answer.needs,
-            ahead: answer.ahead,
-            wait: answer.wait_us,
+            granted_bits: answer.granted_bits,
+            prefetch_amount: answer.prefetch_amount,
+            retry_after_us: answer.retry_after_us,
         };
         let decided = self.allowances.on_grant(now, answer.id, grant);
         self.end_waits(decided);
@@ -270,20 +270,24 @@
     pub(super) fn refuse_awaiting_quota(&mut self) {
         let waiting: Vec<ConnId> = self.awaiting_quota.keys().copied().collect();
         for client in waiting {
-            self.allowances.leave(client);
+            self.allowances.cancel(client);
             self.awaiting_quota.remove(&client);
             self.turn_away(client, &Turned::Away(None));
         }
     }
 
-    fn end_waits(&mut self, decided: Vec<Decided<ConnId>>) {
-        for Decided { waiter, taken } in decided {
+    fn end_waits(&mut self, decided: Vec<AdmissionDecision<ConnId>>) {
+        for AdmissionDecision {
+            request: waiter,
+            outcome: taken,
+        } in decided
+        {
             let Some(AwaitingQuota { request, admission }) = self.awaiting_quota.remove(&waiter)
             else {
                 continue;
             };
             let outcome = match taken {
-                AdmissionOutcome::Allowed(until) => {
+                AdmissionOutcome::Admitted(until) => {
                     match self.check_sender(admission.sender.as_deref()) {
                         Ok(()) => {
                             invariants::check(
@@ -295,9 +299,9 @@
                         Err(denial) => Err(Turned::of(denial)),
                     }
                 }
-                AdmissionOutcome::Beyond(wait) => Err(Turned::BeyondQuota(wait)),
-                AdmissionOutcome::Unknown(wait) => Err(Turned::Away(Some(wait))),
-                AdmissionOutcome::Waits => Err(Turned::Away(Some(RETRY_AFTER))),
+                AdmissionOutcome::OverQuota(wait) => Err(Turned::BeyondQuota(wait)),
+                AdmissionOutcome::Unavailable(wait) => Err(Turned::Away(Some(wait))),
+                AdmissionOutcome::Queued => Err(Turned::Away(Some(RETRY_AFTER))),
             };
             if let Err(turned) = outcome {
                 self.turn_away(waiter, &turned);
@@ -328,8 +332,8 @@
     let LeaseRequest {
         tenant,
         unit,
-        needs,
-        ahead,
+        amounts,
+        prefetch_amount,
     } = draw;
     let unit = match unit {
         QuotaUnit::Requests => QuotaLeaseUnit::Requests,
@@ -339,9 +343,9 @@
         id,
         tenant,
         unit,
-        needs,
-        ahead,
-        pass_on: true,
+        amounts,
+        prefetch_amount,
+        may_forward: true,
     }
 }
 
--- a/fleet/tests/control_tenants.rs
+++ b/fleet/tests/control_tenants.rs
@@ -43,9 +43,9 @@
         } else {
             QuotaLeaseUnit::Tokens
         },
-        needs: needs.to_vec(),
-        ahead: 0,
-        pass_on: true,
+        amounts: needs.to_vec(),
+        prefetch_amount: 0,
+        may_forward: true,
     };
     router.say_of_tenants(&TenantMessage::LeaseRequest(request));
     match router.next_of_tenants(Duration::from_secs(5)) {
@@ -110,12 +110,12 @@
         ControlToRouter::Configuration { position, .. } => Some(position),
         _ => None,
     });
-    router.say_of_tenants(&TenantMessage::Confirm { stamp: 77 });
+    router.say_of_tenants(&TenantMessage::Confirm { sent_at_us: 77 });
     let confirmed = router.next_of_tenants(Duration::from_secs(5));
     assert_eq!(
         confirmed,
         Some(TenantMessage::Confirmed {
-            stamp: 77,
+            sent_at_us: 77,
             position: Some(position)
         })
     );
@@ -129,7 +129,7 @@
         });
         lost.then_some(())
     });
-    router.say_of_tenants(&TenantMessage::Confirm { stamp: 78 });
+    router.say_of_tenants(&TenantMessage::Confirm { sent_at_us: 78 });
     assert_eq!(router.next_of_tenants(Duration::from_millis(800)), None);
 }
 
@@ -141,9 +141,9 @@
         for router in routers.iter_mut() {
             id += 1;
             let answer = draw(router, id, "two", &[700, 300]);
-            granted += 700 * (answer.needs & 1) + 300 * (answer.needs >> 1 & 1);
-            denied += u64::from(answer.needs != 0b11);
-            assert!(answer.needs == 0b11 || answer.wait_us > 0);
+            granted += 700 * (answer.granted_bits & 1) + 300 * (answer.granted_bits >> 1 & 1);
+            denied += u64::from(answer.granted_bits != 0b11);
+            assert!(answer.granted_bits == 0b11 || answer.retry_after_us > 0);
         }
     }
     (granted, denied)
@@ -158,11 +158,14 @@
         .map(|machine| FakeRouter::connect(machine.internal, "router"))
         .collect();
     // A tenant without a quota is never short.
-    assert_eq!(draw(&mut routers[0], 1, "one", &[1, 1, 1]).needs, 0b111);
-    assert_eq!(draw(&mut routers[0], 2, "nobody", &[1]).needs, 0);
+    assert_eq!(
+        draw(&mut routers[0], 1, "one", &[1, 1, 1]).granted_bits,
+        0b111
+    );
+    assert_eq!(draw(&mut routers[0], 2, "nobody", &[1]).granted_bits, 0);
     // Voters that have joined take their parts up once they have settled.
     wait_for("the first grant", || {
-        (draw(&mut routers[0], 3, "two", &[100]).needs == 1).then_some(())
+        (draw(&mut routers[0], 3, "two", &[100]).granted_bits == 1).then_some(())
     });
     wait_for("all to have settled", || {
         let settled = fleet.machines.iter().all(|machine| {
@@ -190,7 +193,7 @@
     let mut fleet = group("draws-restart");
     let mut router = FakeRouter::connect(fleet.machines[0].internal, "router");
     wait_for("the first grant", || {
-        (draw(&mut router, 1, "two", &[100]).needs == 1).then_some(())
+        (draw(&mut router, 1, "two", &[100]).granted_bits == 1).then_some(())
     });
     for place in 0..3 {
         fleet.kill(place);
@@ -202,7 +205,7 @@
     let mut id = 100;
     let mut next = |needs: &[u64]| {
         id += 1;
-        draw(&mut router, id, "two", needs).needs
+        draw(&mut router, id, "two", needs).granted_bits
     };
     assert_eq!(next(&[3_000]), 0, "a bucket was full at the start");
     wait_for("a grant after the start", || {
@@ -219,23 +222,23 @@
             id: u64::MAX,
             tenant,
             unit: QuotaLeaseUnit::Tokens,
-            needs,
-            ahead: 0,
-            pass_on: true,
+            amounts: needs,
+            prefetch_amount: 0,
+            may_forward: true,
         })
     };
     let drawn = TenantMessage::LeaseResponse(QuotaLeaseResponse {
         id: u64::MAX,
-        needs: 1,
-        ahead: 0,
-        wait_us: 9,
+        granted_bits: 1,
+        prefetch_amount: 0,
+        retry_after_us: 9,
     });
     let size = |message: &TenantMessage| encode_tenant_message(message).unwrap().len();
     let sizes = [
         size(&draw(1)),
         size(&draw(10)),
         size(&drawn),
-        size(&TenantMessage::Confirm { stamp: 1 }),
+        size(&TenantMessage::Confirm { sent_at_us: 1 }),
     ];
     println!("draw of 1, of 10, answer, confirm: {sizes:?} bytes");
     assert!(
--- a/fleet/tests/router_tenants.rs
+++ b/fleet/tests/router_tenants.rs
@@ -226,18 +226,18 @@
     // Without a count of its own it is the tenant's figure; another tenant has no quota.
     assert_eq!(ask(&rig, "safe", "f3", "Api-Key: key-3\r\n").status, 200);
     assert_eq!(ask(&rig, "safe", "f4", "Api-Key: key-1\r\n").status, 200);
-    let needs: Vec<Vec<u64>> = rig
+    let amounts: Vec<Vec<u64>> = rig
         .control
         .draws()
         .iter()
-        .map(|draw| draw.needs.clone())
+        .map(|draw| draw.amounts.clone())
         .collect();
-    assert_eq!(needs, [vec![90], vec![15], vec![7]]);
+    assert_eq!(amounts, [vec![90], vec![15], vec![7]]);
     assert!(rig
         .control
         .draws()
         .iter()
-        .all(|draw| draw.tenant == "two" && draw.pass_on));
+        .all(|draw| draw.tenant == "two" && draw.may_forward));
     assert_eq!(server.seen().len(), 3);
 }
 
--- a/fleet/tests/support/control.rs
+++ b/fleet/tests/support/control.rs
@@ -214,12 +214,17 @@
 
     fn answer(&mut self, message: TenantMessage) -> Option<TenantMessage> {
         match message {
-            TenantMessage::Confirm { stamp } if self.in_contact && !self.unconfirmed => {
+            TenantMessage::Confirm { sent_at_us: stamp }
+                if self.in_contact && !self.unconfirmed =>
+            {
                 let position = self.configuration.as_ref().map(|(position, _)| *position);
-                Some(TenantMessage::Confirmed { stamp, position })
+                Some(TenantMessage::Confirmed {
+                    sent_at_us: stamp,
+                    position,
+                })
             }
             TenantMessage::LeaseRequest(request) => {
-                let (id, needs) = (request.id, request.needs.clone());
+                let (id, needs) = (request.id, request.amounts.clone());
                 self.draws.push(request);
                 let left = self.quota.as_mut()?;
                 let mut granted = 0;
@@ -231,9 +236,9 @@
                 }
                 Some(TenantMessage::LeaseResponse(QuotaLeaseResponse {
                     id,
-                    needs: granted,
-                    ahead: 0,
-                    wait_us: 250_000,
+                    granted_bits: granted,
+                    prefetch_amount: 0,
+                    retry_after_us: 250_000,
                 }))
             }
             _ => None,
--- a/simulator/src/quotas/machine.rs
+++ b/simulator/src/quotas/machine.rs
@@ -4,8 +4,8 @@
 use lichenswitch_configuration::Tenant;
 use lichenswitch_interface::Time;
 use lichenswitch_quota::{
-    Allowances, Buckets, LeaseContext, LeaseGrant, LeaseRequest, LeaseRequests, Order, OwnerId,
-    QuotaBounds, ShardOwnership,
+    Allowances, Buckets, LeaseAction, LeaseContext, LeaseGrant, LeaseRequest, LeaseRequests,
+    OwnerId, QuotaBounds, ShardOwnership,
 };
 use std::collections::BTreeSet;
 
@@ -30,7 +30,7 @@
     pub(super) cut_until: u64,
     /// Voters that its disk names.
     pub(super) disk: Vec<OwnerId>,
-    pub(super) tenure: ShardOwnership,
+    pub(super) ownership: ShardOwnership,
     pub(super) buckets: Buckets,
     draws: LeaseRequests<Origin>,
 }
@@ -58,7 +58,7 @@
             frozen_until: 0,
             cut_until: 0,
             disk: disk.to_vec(),
-            tenure: ShardOwnership::new(own, disk.to_vec()),
+            ownership: ShardOwnership::new(own, disk.to_vec()),
             buckets,
             draws: LeaseRequests::new((now << 8) + place as u64),
         }
@@ -66,7 +66,7 @@
 
     /// It is another voter than its place says.
     pub(super) fn renew(&mut self, disk: &[OwnerId]) {
-        self.tenure = ShardOwnership::new(self.own, disk.to_vec());
+        self.ownership = ShardOwnership::new(self.own, disk.to_vec());
     }
 
     pub(super) fn clock(&self, now: u64) -> Time {
@@ -83,7 +83,7 @@
     ) {
         let clock = self.clock(now);
         if planted == Planted::EndlessTenure {
-            self.tenure.on_contact(clock);
+            self.ownership.on_contact(clock);
         }
         if self.cut_until > now {
             return;
@@ -96,14 +96,14 @@
             return;
         };
         let early = if planted == Planted::NoSettling {
-            lichenswitch_quota::SETTLING_TIME
+            lichenswitch_quota::SETTLING_TIME_US
         } else {
             0
         };
-        self.tenure
+        self.ownership
             .on_voters(Time(clock.0.saturating_sub(early)), voters);
         self.disk.clone_from(voters);
-        self.tenure.on_contact(clock);
+        self.ownership.on_contact(clock);
     }
 
     pub(super) fn take(
@@ -112,9 +112,9 @@
         origin: Origin,
         draw: LeaseRequest,
         reachable: &BTreeSet<OwnerId>,
-    ) -> Vec<Order<Origin>> {
+    ) -> Vec<LeaseAction<Origin>> {
         self.with(reachable, |draws, place| {
-            draws.take(clock, origin, draw, place)
+            draws.on_request(clock, origin, draw, place)
         })
     }
 
@@ -125,9 +125,9 @@
         id: u64,
         grant: LeaseGrant,
         reachable: &BTreeSet<OwnerId>,
-    ) -> Vec<Order<Origin>> {
+    ) -> Vec<LeaseAction<Origin>> {
         self.with(reachable, |draws, place| {
-            draws.on_answer(clock, from, id, grant, place)
+            draws.on_response(clock, from, id, grant, place)
         })
     }
 
@@ -135,8 +135,8 @@
         &mut self,
         clock: Time,
         reachable: &BTreeSet<OwnerId>,
-    ) -> Vec<Order<Origin>> {
-        self.buckets.advance(clock, &self.tenure);
+    ) -> Vec<LeaseAction<Origin>> {
+        self.buckets.advance(clock, &self.ownership);
         self.with(reachable, |draws, place| draws.tick(clock, place))
     }
 
@@ -145,12 +145,12 @@
         reachable: &BTreeSet<OwnerId>,
         act: impl FnOnce(&mut LeaseRequests<Origin>, &mut LeaseContext<'_>) -> T,
     ) -> T {
-        let (buckets, tenure) = (&mut self.buckets, &self.tenure);
+        let (buckets, ownership) = (&mut self.buckets, &self.ownership);
         act(
             &mut self.draws,
             &mut LeaseContext {
                 buckets,
-                tenure,
+                ownership,
                 own: self.own,
                 reachable,
             },
--- a/simulator/src/quotas/mod.rs
+++ b/simulator/src/quotas/mod.rs
@@ -11,7 +11,8 @@
 use fastrand::Rng;
 use lichenswitch_configuration::{Document, Tenant};
 use lichenswitch_quota::{
-    AdmissionOutcome, Decided, LeaseGrant, LeaseRequest, Order, OwnerId, QuotaBounds,
+    AdmissionDecision, AdmissionOutcome, LeaseAction, LeaseGrant, LeaseRequest, OwnerId,
+    QuotaBounds,
 };
 use machine::{Control, Router, LATEST_NEWS};
 use std::collections::{BTreeMap, BTreeSet};
@@ -99,7 +100,7 @@
         to: usize,
         from: Sender,
         id: u64,
-        pass_on: bool,
+        may_forward: bool,
         draw: LeaseRequest,
     },
     /// An answer reaches whoever asked.
@@ -248,9 +249,9 @@
                 to,
                 from,
                 id,
-                pass_on,
+                may_forward,
                 draw,
-            } => self.on_draw(to, from, id, pass_on, draw),
+            } => self.on_draw(to, from, id, may_forward, draw),
             Event::LeaseGrant {
                 to,
                 from,
@@ -302,12 +303,12 @@
         let until = clock.plus(200 * MILLISECOND);
         let taken = self.routers[router]
             .allowances
-            .take(clock, &tenant, need, number, until);
+            .admit(clock, &tenant, need, number, until);
         self.decide(
             router,
-            vec![Decided {
-                waiter: number,
-                taken,
+            vec![AdmissionDecision {
+                request: number,
+                outcome: taken,
             }],
         );
         self.send_draws(router);
@@ -317,7 +318,7 @@
         let clock = self.routers[router].clock(self.now);
         let expired = self.routers[router].allowances.expire(clock);
         self.decide(router, expired);
-        for (id, draw) in self.routers[router].allowances.draws(clock) {
+        for (id, draw) in self.routers[router].allowances.lease_requests(clock) {
             let to = self.routers[router].control(
                 self.settings.control,
                 router,
@@ -328,35 +329,35 @@
                 to,
                 from: Sender::Router(router),
                 id,
-                pass_on: true,
+                may_forward: true,
                 draw,
             });
         }
     }
 
-    fn decide(&mut self, router: usize, decided: Vec<Decided<u64>>) {
+    fn decide(&mut self, router: usize, decided: Vec<AdmissionDecision<u64>>) {
         let frozen = self.routers[router].frozen_until > self.now;
-        for Decided { waiter, taken } in decided {
-            if taken == AdmissionOutcome::Waits {
+        for AdmissionDecision { request, outcome } in decided {
+            if outcome == AdmissionOutcome::Queued {
                 continue;
             }
-            let Some((tenant, need)) = self.waiting.remove(&waiter) else {
+            let Some((tenant, need)) = self.waiting.remove(&request) else {
                 continue;
             };
-            if matches!(taken, AdmissionOutcome::Allowed(_)) && !frozen {
+            if matches!(outcome, AdmissionOutcome::Admitted(_)) && !frozen {
                 self.ledger.let_through(self.now, tenant, need);
             }
         }
     }
 
-    fn on_draw(&mut self, to: usize, from: Sender, id: u64, pass_on: bool, draw: LeaseRequest) {
+    fn on_draw(&mut self, to: usize, from: Sender, id: u64, may_forward: bool, draw: LeaseRequest) {
         if self.is_unreachable(to, from) {
             return;
         }
         let clock = self.control[to].clock(self.now);
-        if !pass_on {
+        if !may_forward {
             let control = &mut self.control[to];
-            let grant = control.buckets.draw(clock, &draw, &control.tenure);
+            let grant = control.buckets.lease(clock, &draw, &control.ownership);
             return self.send(Event::LeaseGrant {
                 to: from,
                 from: to,
@@ -390,13 +391,13 @@
         }
     }
 
-    fn carry_out(&mut self, control: usize, orders: Vec<Order<Origin>>) {
+    fn carry_out(&mut self, control: usize, orders: Vec<LeaseAction<Origin>>) {
         for order in orders {
             match order {
-                Order::Ask {
+                LeaseAction::Request {
                     to,
                     id,
-                    pass_on,
+                    may_forward,
                     draw,
                 } => {
                     let from = Sender::Control(control, self.control[control].life);
@@ -405,12 +406,12 @@
                             to,
                             from,
                             id,
-                            pass_on,
+                            may_forward,
                             draw,
                         });
                     }
                 }
-                Order::Answer { origin, grant } => {
+                LeaseAction::Respond { origin, grant } => {
                     self.send(Event::LeaseGrant {
                         to: origin.sender,
                         from: control,
--- a/wire/messages/src/tenants.rs
+++ b/wire/messages/src/tenants.rs
@@ -28,11 +28,11 @@
     /// What the amounts count.
     pub unit: QuotaLeaseUnit,
     /// Amounts of requests that wait.
-    pub needs: Vec<u64>,
+    pub amounts: Vec<u64>,
     /// An amount beside them.
-    pub ahead: u64,
+    pub prefetch_amount: u64,
     /// Whether the receiver is to ask others where it has too little itself.
-    pub pass_on: bool,
+    pub may_forward: bool,
 }
 
 /// What is granted of a draw.
@@ -42,11 +42,11 @@
     /// Number of the request.
     pub id: u64,
     /// The bit of each need that is granted.
-    pub needs: u64,
+    pub granted_bits: u64,
     /// The amount that is granted ahead.
-    pub ahead: u64,
+    pub prefetch_amount: u64,
     /// When what was not granted might be (microseconds from now).
-    pub wait_us: u64,
+    pub retry_after_us: u64,
 }
 
 /// All messages about tenants.
@@ -56,13 +56,13 @@
     /// From a router: asks whether what it has in force is current.
     Confirm {
         /// Its steady clock (microseconds); means something to it alone.
-        stamp: u64,
+        sent_at_us: u64,
     },
     /// Answer of a control machine in contact: all that was acknowledged by the time of the
     /// question, but for what contact may be behind, went before this on the same connection.
     Confirmed {
         /// Of the question.
-        stamp: u64,
+        sent_at_us: u64,
         /// The newest configuration that this control machine knows to be committed.
         position: Option<ConfigurationPosition>,
     },
--- a/wire/messages/tests/wire_format.rs
+++ b/wire/messages/tests/wire_format.rs
@@ -273,24 +273,26 @@
 fn tenant_messages() -> Vec<(&'static str, WireMessage)> {
     let confirmed = |position| {
         WireMessage::Tenant(TenantMessage::Confirmed {
-            stamp: 987_654_321,
+            sent_at_us: 987_654_321,
             position,
         })
     };
-    let request = |unit, pass_on| {
+    let request = |unit, may_forward| {
         WireMessage::Tenant(TenantMessage::LeaseRequest(QuotaLeaseRequest {
             id: 71,
             tenant: "tenant-one".to_owned(),
             unit,
-            needs: vec![5, 1_000, u64::MAX],
-            ahead: 250,
-            pass_on,
+            amounts: vec![5, 1_000, u64::MAX],
+            prefetch_amount: 250,
+            may_forward,
         }))
     };
     vec![
         (
             "confirm",
-            WireMessage::Tenant(TenantMessage::Confirm { stamp: 987_654_321 }),
+            WireMessage::Tenant(TenantMessage::Confirm {
+                sent_at_us: 987_654_321,
+            }),
         ),
         ("confirmed_without_position", confirmed(None)),
         ("confirmed_with_position", confirmed(Some(position()))),
@@ -306,9 +308,9 @@
             "lease_response",
             WireMessage::Tenant(TenantMessage::LeaseResponse(QuotaLeaseResponse {
                 id: 71,
-                needs: 0b101,
-                ahead: 250,
-                wait_us: 60_000,
+                granted_bits: 0b101,
+                prefetch_amount: 250,
+                retry_after_us: 60_000,
             })),
         ),
     ]
