--- a/fleet/src/router/client_connections/reading.rs
+++ b/fleet/src/router/client_connections/reading.rs
@@ -5,7 +5,7 @@
 use crate::router::local_response::LocalResponse;
 use crate::router::reactor::Net;
 use crate::router::request_reader::{RequestProgress, RequestReader};
-use lichenswitch_net::{ConnId, Pumped};
+use lichenswitch_net::{ConnId, TransferProgress};
 
 /// Most bytes read ahead of a client at a time: a body goes on into its request as it comes.
 const CEILING: usize = 64 * 1_024;
@@ -20,8 +20,8 @@
         let Some(state) = self.open.get(&id).map(|session| session.state) else {
             return net.close(id);
         };
-        let pumped = net.pump(id, CEILING);
-        if pumped != Pumped::Alive || net.get(id).is_none_or(|conn| conn.ended) {
+        let progress = net.transfer(id, CEILING);
+        if progress != TransferProgress::Alive || net.get(id).is_none_or(|conn| conn.ended) {
             return self.left(net, id, events);
         }
         match state {
@@ -97,7 +97,7 @@
                     conn.send(b"HTTP/1.1 100 Continue\r\n\r\n");
                 }
                 // Reading rests where the ceiling was reached, and goes on now that there is room.
-                if net.flush(id, false) != Pumped::Alive {
+                if net.flush(id, false) != TransferProgress::Alive {
                     return self.left(net, id, events);
                 }
                 self.arm(net, id);
@@ -109,7 +109,7 @@
                     (false, ConnectionPhase::Waiting, now);
                 session.last |= !request.keep_alive;
                 session.head_only = request.is_head();
-                if net.flush(id, false) != Pumped::Alive {
+                if net.flush(id, false) != TransferProgress::Alive {
                     return self.close(net, id);
                 }
                 events.push(ClientEvent::RequestReceived(id, request));
--- a/fleet/src/router/client_connections/table.rs
+++ b/fleet/src/router/client_connections/table.rs
@@ -150,16 +150,18 @@
         let idle = self.limits.idle_timeout_ms.saturating_mul(1_000);
         let head = self.limits.header_timeout_ms.saturating_mul(1_000);
         Some(match session.state {
-            ConnectionPhase::Reading if !conn.flushed() => conn.used.plus(UNREAD),
+            ConnectionPhase::Reading if !conn.flushed() => conn.last_active_at.plus(UNREAD),
             ConnectionPhase::Reading if session.arriving && session.reader.has_head() => {
-                conn.heard.plus(idle)
+                conn.last_read_at.plus(idle)
             }
             ConnectionPhase::Reading if session.arriving => session.since.plus(head),
             ConnectionPhase::Reading => session.since.plus(idle).plus(IDLE_MARGIN),
             // Its own end is the request's.
             ConnectionPhase::Waiting => return None,
             ConnectionPhase::Answering { .. } if conn.flushed() => return None,
-            ConnectionPhase::Answering { .. } | ConnectionPhase::Closing => conn.used.plus(UNREAD),
+            ConnectionPhase::Answering { .. } | ConnectionPhase::Closing => {
+                conn.last_active_at.plus(UNREAD)
+            }
             ConnectionPhase::Lingering => session.since.plus(LINGER),
         })
     }
--- a/fleet/src/router/client_connections/writing.rs
+++ b/fleet/src/router/client_connections/writing.rs
@@ -6,7 +6,7 @@
 use crate::router::reactor::Net;
 use crate::router::request_reader::RequestReader;
 use lichenswitch_http::{encode_chunk, LAST_CHUNK};
-use lichenswitch_net::{ConnId, Pumped};
+use lichenswitch_net::{ConnId, TransferProgress};
 
 impl ClientConnections {
     /// Gives a client an answer of this program, whole.
@@ -97,7 +97,7 @@
         id: ConnId,
         events: &mut Vec<ClientEvent>,
     ) -> usize {
-        if net.flush(id, false) != Pumped::Alive {
+        if net.flush(id, false) != TransferProgress::Alive {
             self.left(net, id, events);
             return 0;
         }
--- a/fleet/src/router/control_link/connection.rs
+++ b/fleet/src/router/control_link/connection.rs
@@ -7,7 +7,7 @@
     BacklogReport, ConfigurationPosition, ControlToRouter, Envelope, RouterToControl,
     TenantMessage, PROTOCOL_VERSION,
 };
-use lichenswitch_net::{ConnId, Pumped};
+use lichenswitch_net::{ConnId, TransferProgress};
 use std::net::SocketAddr;
 
 /// After this long without a word, or without contact, another control machine is tried
@@ -110,7 +110,7 @@
             return false;
         };
         conn.send(bytes);
-        net.flush(self.id, false) == Pumped::Alive
+        net.flush(self.id, false) == TransferProgress::Alive
     }
 
     pub(super) fn read(&mut self, net: &mut Net, now: Time) -> Result<Vec<ControlMessage>, String> {
@@ -123,7 +123,7 @@
         self.reader.push(bytes);
         conn.input.consume(used);
         // Reading rests at the ceiling until this has made room.
-        if net.flush(self.id, false) != Pumped::Alive {
+        if net.flush(self.id, false) != TransferProgress::Alive {
             return Err("the connection broke".to_owned());
         }
         while let Some(incoming) = self.reader.next_message().map_err(|e| e.to_string())? {
--- a/fleet/src/router/control_link/link.rs
+++ b/fleet/src/router/control_link/link.rs
@@ -14,7 +14,7 @@
     BacklogReport, ConfigurationPosition, ControlToRouter, RouterToControl, ServerRecord,
     TenantMessage,
 };
-use lichenswitch_net::{ConnId, Pumped};
+use lichenswitch_net::{ConnId, TransferProgress};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -131,10 +131,10 @@
             net.close(id);
             return Vec::new();
         };
-        let pumped = net.pump(id, CEILING);
+        let progress = net.transfer(id, CEILING);
         let mut news = Vec::new();
-        let mut sound =
-            pumped == Pumped::Alive && connection.greet(net, &self.identity, self.applied);
+        let mut sound = progress == TransferProgress::Alive
+            && connection.greet(net, &self.identity, self.applied);
         if sound {
             let now = net.clock.now();
             match connection.read(net, now) {
@@ -283,7 +283,7 @@
             ControlToRouter::Servers {
                 push,
                 records,
-                whole: _,
+                is_complete: _,
             } => {
                 connection.push = connection.push.max(push);
                 news.push(ControlUpdate::Servers(records));
--- a/fleet/src/router/handlers/control_updates.rs
+++ b/fleet/src/router/handlers/control_updates.rs
@@ -35,11 +35,14 @@
 
     pub(super) fn take_tenant_message(&mut self, message: TenantMessage) {
         match message {
-            TenantMessage::Confirmed { stamp, position } => {
+            TenantMessage::Confirmed {
+                sent_at_us,
+                position,
+            } => {
                 // What can't be applied here leaves this router behind.
                 if position.is_none_or(|position| self.link.has_applied(position)) {
                     self.freshness
-                        .on_confirmed(self.net.clock.now(), Time(stamp));
+                        .on_confirmed(self.net.clock.now(), Time(sent_at_us));
                 }
             }
             TenantMessage::LeaseResponse(answer) => self.on_drawn(answer),
@@ -55,7 +58,7 @@
                 .hold_back(&mut self.net, change.line.server);
         }
         self.services.listed(&changes);
-        self.net.listed(self.servers.count());
+        self.net.set_listed_nodes(self.servers.count());
     }
 
     pub(super) fn apply(&mut self, new: ActiveConfiguration) {
--- a/fleet/src/router/handlers/event_loop.rs
+++ b/fleet/src/router/handlers/event_loop.rs
@@ -48,10 +48,10 @@
             self.check_due = false;
             self.check_waiting();
         }
-        if self.net.resting() {
-            self.net.attend_again();
+        if self.net.is_accept_paused() {
+            self.net.resume_accepting();
         }
-        if self.net.resting() {
+        if self.net.is_accept_paused() {
             self.clients.make_room(&mut self.net);
         }
     }
--- a/fleet/src/router/handlers/settings_reload.rs
+++ b/fleet/src/router/handlers/settings_reload.rs
@@ -41,7 +41,7 @@
                 self.link.set_seeds(options.seeds.clone());
                 self.services.set_budget(options.budget);
                 self.freshness.set_terms(options.revocation);
-                self.allowances.set_terms(options.quota);
+                self.allowances.set_bounds(options.quota);
                 self.options.grace = options.grace;
                 log::info!("settings read again");
             }
--- a/fleet/src/router/handlers/shutdown.rs
+++ b/fleet/src/router/handlers/shutdown.rs
@@ -47,7 +47,7 @@
             shutdown.closed = true;
             // Who has connected already is served or told.
             self.clients.accept(&mut self.net);
-            self.net.leave(SocketOwner::Client);
+            self.net.close_listeners(SocketOwner::Client);
         }
         if now >= shutdown.hands_over && !shutdown.ended {
             self.hand_streams_over(shutdown.ends);
--- a/fleet/src/router/server_connections/exchange.rs
+++ b/fleet/src/router/server_connections/exchange.rs
@@ -10,7 +10,7 @@
 use crate::router::response_reader::ResponseReader;
 use crate::router::time::micros;
 use lichenswitch_interface::{Micros, Outcome};
-use lichenswitch_net::{ConnId, Pumped};
+use lichenswitch_net::{ConnId, TransferProgress};
 use std::time::Duration;
 
 /// Most bytes read ahead of a server at a time.
@@ -41,7 +41,7 @@
         let Some(&connection) = self.by_attempt.get(&id) else {
             return;
         };
-        if net.pause(connection, on) != Pumped::Alive {
+        if net.pause(connection, on) != TransferProgress::Alive {
             self.broken(net, connection);
         }
     }
@@ -51,13 +51,14 @@
         if !self.links.contains_key(&id) {
             return net.close(id);
         }
-        let pumped = net.pump(id, CEILING);
+        let progress = net.transfer(id, CEILING);
         match self.state(id) {
-            Some(ConnectionState::Opening(_)) => self.opened(net, id, &pumped),
+            Some(ConnectionState::Opening(_)) => self.opened(net, id, &progress),
             // Nothing is due: whatever comes belongs to nobody, and an end is an end.
-            Some(ConnectionState::Idle(..)) if pumped == Pumped::Alive && is_quiet(net, id) => {}
+            Some(ConnectionState::Idle(..))
+                if progress == TransferProgress::Alive && is_quiet(net, id) => {}
             Some(ConnectionState::Idle(..)) => self.close(net, id),
-            Some(ConnectionState::Busy(_)) => self.read(net, id, &pumped),
+            Some(ConnectionState::Busy(_)) => self.read(net, id, &progress),
             None => {}
         }
     }
@@ -70,7 +71,7 @@
         };
         link.timer = link.timer.filter(|at| *at > now);
         match &link.state {
-            ConnectionState::Opening(_) => self.opened(net, id, &Pumped::NeverUp),
+            ConnectionState::Opening(_) => self.opened(net, id, &TransferProgress::NeverConnected),
             ConnectionState::Idle(_, until) if *until <= now => self.close(net, id),
             ConnectionState::Idle(_, until) => {
                 let until = *until;
@@ -81,9 +82,9 @@
     }
 
     /// A connection has come up, or never will.
-    pub(super) fn opened(&mut self, net: &mut Net, id: ConnId, pumped: &Pumped) {
+    pub(super) fn opened(&mut self, net: &mut Net, id: ConnId, progress: &TransferProgress) {
         let up = net.get(id).is_some_and(|conn| conn.up);
-        if *pumped == Pumped::Alive && !up {
+        if *progress == TransferProgress::Alive && !up {
             return;
         }
         let Some(link) = self.links.get_mut(&id) else {
@@ -96,7 +97,7 @@
             return;
         };
         // A server that speaks before it was asked speaks to nobody.
-        if *pumped == Pumped::Alive && is_quiet(net, id) {
+        if *progress == TransferProgress::Alive && is_quiet(net, id) {
             return self.write(net, id, *attempt);
         }
         self.fail(attempt.id, Outcome::ConnectFailed);
@@ -142,14 +143,14 @@
             early: false,
         }));
         self.by_attempt.insert(attempt_id, id);
-        if net.flush(id, false) != Pumped::Alive {
+        if net.flush(id, false) != TransferProgress::Alive {
             self.broken(net, id);
         }
     }
 
     /// Reads what has come for the request that is out.
-    pub(super) fn read(&mut self, net: &mut Net, id: ConnId, pumped: &Pumped) {
-        let broken = *pumped != Pumped::Alive;
+    pub(super) fn read(&mut self, net: &mut Net, id: ConnId, progress: &TransferProgress) {
+        let broken = *progress != TransferProgress::Alive;
         loop {
             let (Some(link), Some(conn)) = (self.links.get_mut(&id), net.get_mut(id)) else {
                 return;
@@ -180,7 +181,7 @@
             return self.broken(net, id);
         }
         // Reading may have rested at the ceiling.
-        if net.flush(id, false) != Pumped::Alive {
+        if net.flush(id, false) != TransferProgress::Alive {
             self.broken(net, id);
         }
     }
@@ -218,7 +219,7 @@
         if let Some(next) = self.next_waiting(server) {
             return self.write(net, id, next);
         }
-        if net.flush(id, false) != Pumped::Alive {
+        if net.flush(id, false) != TransferProgress::Alive {
             return self.close(net, id);
         }
         self.arm(net, id, now.plus(keep));
--- a/fleet/src/router/server_connections/pool.rs
+++ b/fleet/src/router/server_connections/pool.rs
@@ -6,7 +6,7 @@
 use crate::router::ids::AttemptId;
 use crate::router::reactor::{Net, SocketOwner, Timer};
 use lichenswitch_interface::{Micros, Outcome, ServerId};
-use lichenswitch_net::{ConnId, Denied, Pumped};
+use lichenswitch_net::{ConnId, ConnectError, TransferProgress};
 
 /// A connection that is not up after this long never comes up (microseconds). Links within a region
 /// take milliseconds; a lost opening packet is sent again after a second.
@@ -40,7 +40,7 @@
             return None;
         }
         // The server may have ended it since the last wait.
-        if net.pump(id, 1) == Pumped::Alive && is_quiet(net, id) {
+        if net.transfer(id, 1) == TransferProgress::Alive && is_quiet(net, id) {
             return Some(id);
         }
         self.close(net, id);
@@ -49,7 +49,7 @@
 
     pub(super) fn open(&mut self, net: &mut Net, attempt: Attempt) {
         let mut connected = net.connect(SocketOwner::Server, attempt.endpoint.address);
-        if matches!(connected, Err(Denied::Lack(_))) && self.close_any_idle(net) {
+        if matches!(connected, Err(ConnectError::NoDescriptor(_))) && self.close_any_idle(net) {
             connected = net.connect(SocketOwner::Server, attempt.endpoint.address);
         }
         match connected {
@@ -69,12 +69,12 @@
                 );
                 self.arm(net, id, net.clock.now().plus(CONNECT));
                 if up {
-                    self.opened(net, id, &Pumped::Alive);
+                    self.opened(net, id, &TransferProgress::Alive);
                 }
             }
             // This process has no descriptor for it: the server has no part in that.
-            Err(Denied::Lack(_)) => self.fail(attempt.id, Outcome::Moot),
-            Err(Denied::Failed(_)) => self.fail(attempt.id, Outcome::ConnectFailed),
+            Err(ConnectError::NoDescriptor(_)) => self.fail(attempt.id, Outcome::Moot),
+            Err(ConnectError::Failed(_)) => self.fail(attempt.id, Outcome::ConnectFailed),
         }
     }
 
--- a/fleet/src/router/state.rs
+++ b/fleet/src/router/state.rs
@@ -72,7 +72,7 @@
     pub fn new(settings: &Settings, file: Option<PathBuf>) -> Result<Router, RouterError> {
         let options = Options::of(settings)?;
         let mut net = Net::new(options.capacity.descriptors)?;
-        net.set_aside_for_peers(SET_ASIDE);
+        net.reserve_for_peers(SET_ASIDE);
         let mut rng = fastrand::Rng::new();
         let frontend = listen(&mut net, SocketOwner::Client, options.frontend)?;
         let readiness_address = options
--- a/simulator/src/control/mod.rs
+++ b/simulator/src/control/mod.rs
@@ -115,9 +115,9 @@
     }
 
     /// These members have no disk.
-    pub fn set_without_disk(&mut self, identities: &BTreeSet<Identity>) {
+    pub fn set_diskless_members(&mut self, identities: &BTreeSet<Identity>) {
         self.without_disk.clone_from(identities);
-        self.replica.set_without_disk(identities.clone());
+        self.replica.set_diskless_members(identities.clone());
     }
 
     /// The replica.
@@ -154,9 +154,10 @@
                     None => self.end_call(origin, RelayedResponse::NotPrimary),
                 }
             }
-            PeerMessage::CallResponse { id, answer } => {
-                self.calls.on_answer(now, &from.to_owned(), id, answer)
-            }
+            PeerMessage::CallResponse {
+                id,
+                response: answer,
+            } => self.calls.on_answer(now, &from.to_owned(), id, answer),
             _ => {}
         }
     }
@@ -223,13 +224,13 @@
     }
 
     /// An item, and all before it, is synced.
-    pub fn on_persisted(&mut self, now: Time, ticket: WriteId) {
-        self.replica.on_persisted(now, ticket);
+    pub fn on_persisted(&mut self, now: Time, write_id: WriteId) {
+        self.replica.on_persisted(now, write_id);
     }
 
     /// An item, and all behind it, was not written.
-    pub fn on_persist_failed(&mut self, now: Time, ticket: WriteId) {
-        self.replica.on_persist_failed(now, ticket);
+    pub fn on_persist_failed(&mut self, now: Time, write_id: WriteId) {
+        self.replica.on_persist_failed(now, write_id);
     }
 
     /// Told to end, at this time at the latest.
@@ -332,9 +333,13 @@
 
     fn end_call(&mut self, origin: Origin, answer: RelayedResponse) {
         let effect = match origin {
-            Origin::Peer { address, id } => {
-                Effect::SendPeer(address, PeerMessage::CallResponse { id, answer })
-            }
+            Origin::Peer { address, id } => Effect::SendPeer(
+                address,
+                PeerMessage::CallResponse {
+                    id,
+                    response: answer,
+                },
+            ),
             Origin::Caller(id) => {
                 self.open_calls.retain(|open| *open != id);
                 Effect::Reply(id, reply_of(answer))
@@ -360,7 +365,7 @@
             Output::Send { to, message } => {
                 Effect::SendPeer(to, PeerMessage::Replication(message.encode()))
             }
-            Output::Persist { ticket, item } => Effect::Persist(ticket, item),
+            Output::Persist { write_id, item } => Effect::Persist(write_id, item),
             Output::Committed(position) => Effect::Committed(position),
             Output::Notice(notice) => Effect::Notice(notice),
             Output::Completed { request, outcome } => {
