--- a/decide/registry/src/lib.rs
+++ b/decide/registry/src/lib.rs
@@ -6,22 +6,22 @@
 //! never ends a server. It is pure: time is an argument (microseconds of a steady clock).
 //!
 //! - [`Heartbeat`]: what a server says.
-//! - [`join`], [`tombstone`], [`follow`]: how two records of one instance become one, at control
+//! - [`merge_record`], [`tombstone`], [`merge_pushed_record`]: how two records of one instance become one, at control
 //!   machines and at routers.
 //! - [`Registry`]: the table of servers; each method returns the [`Changes`] that are to be pushed.
-//! - [`Members`]: routers by lease.
+//! - [`MembershipLeases`]: routers by lease.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 mod heartbeat;
-mod lattice;
-mod members;
+mod membership_leases;
+mod merge;
 mod table;
 
 pub use heartbeat::{Heartbeat, HeartbeatError, MAX_HEARTBEAT_BYTES};
-pub use lattice::{follow, join, tombstone};
-pub use members::{Member, Members};
+pub use membership_leases::{Member, MembershipLeases};
+pub use merge::{merge_pushed_record, merge_record, tombstone};
 pub use table::{
-    Changes, Registry, CONTEST_INTERVALS, FORGOTTEN_AFTER_US, SNAPSHOT_TOMBSTONES_US,
-    SUSPECT_AFTER_INTERVALS, TOMBSTONE_KEPT_US,
+    Changes, Registry, ADDRESS_CONFLICT_INTERVALS, EXPIRY_AFTER_US, SNAPSHOT_TOMBSTONE_MAX_AGE_US,
+    SUSPECT_AFTER_INTERVALS, TOMBSTONE_RETENTION_US,
 };
--- a/decide/registry/src/members.rs
+++ b/decide/registry/src/membership_leases.rs
@@ -19,16 +19,16 @@
 
 /// The members of a kind, by process.
 #[derive(Clone, Debug)]
-pub struct Members {
+pub struct MembershipLeases {
     lease_us: u64,
     by_process: BTreeMap<u64, Member>,
 }
 
-impl Members {
+impl MembershipLeases {
     /// None yet; a lease lasts so long (microseconds).
     #[must_use]
-    pub fn new(lease_us: u64) -> Members {
-        Members {
+    pub fn new(lease_us: u64) -> MembershipLeases {
+        MembershipLeases {
             lease_us,
             by_process: BTreeMap::new(),
         }
--- a/decide/registry/src/members/tests.rs
+++ b/decide/registry/src/membership_leases/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `members`.
+//! Tests of `membership_leases`.
 
 use super::*;
 
@@ -6,7 +6,7 @@
 
 #[test]
 fn members_join_renew_and_expire() {
-    let mut members = Members::new(LEASE);
+    let mut members = MembershipLeases::new(LEASE);
     assert_eq!(members.next_wake(), None);
     assert!(members.on_renewal(0, 1, "n1", "z"));
     assert!(members.on_renewal(500_000, 2, "n2", "z"));
@@ -29,7 +29,7 @@
 
 #[test]
 fn members_leave() {
-    let mut members = Members::new(LEASE);
+    let mut members = MembershipLeases::new(LEASE);
     members.on_renewal(0, 1, "n1", "z");
     assert!(members.on_left(1));
     assert!(!members.on_left(1));
@@ -38,7 +38,7 @@
 
 #[test]
 fn a_new_process_of_a_node_takes_the_place_of_the_old_one() {
-    let mut members = Members::new(LEASE);
+    let mut members = MembershipLeases::new(LEASE);
     members.on_renewal(0, 1, "n1", "z");
     members.on_renewal(0, 7, "n2", "z");
     assert!(members.on_renewal(10, 2, "n1", "z"));
@@ -48,7 +48,7 @@
 
 #[test]
 fn a_renewal_that_comes_late_does_not_shorten_a_lease() {
-    let mut members = Members::new(LEASE);
+    let mut members = MembershipLeases::new(LEASE);
     members.on_renewal(1_000, 1, "n1", "z");
     members.on_renewal(500, 1, "n1", "z");
     assert_eq!(members.next_wake(), Some(1_000 + LEASE));
--- a/decide/registry/src/lattice.rs
+++ b/decide/registry/src/merge.rs
@@ -20,16 +20,16 @@
 /// The greater one by state, sequence number and, last, content is the outcome; so the order of
 /// news does not matter. `is_suspect` is no part of the lattice: the known record keeps its own, as
 /// each control machine judges silence by itself.
-pub fn join(known: &mut ServerRecord, news: &ServerRecord) -> bool {
+pub fn merge_record(known: &mut ServerRecord, update: &ServerRecord) -> bool {
     debug_assert_eq!(
-        known.instance, news.instance,
+        known.instance, update.instance,
         "only records of one instance are joined"
     );
-    if order(news, known) != Ordering::Greater {
+    if order(update, known) != Ordering::Greater {
         return false;
     }
     let is_suspect = known.is_suspect;
-    *known = normalized(news);
+    *known = normalized(update);
     known.is_suspect = is_suspect && known.state != ServerState::Gone;
     true
 }
@@ -37,18 +37,18 @@
 /// Takes what a control machine has pushed to a router into the router's record, and tells whether
 /// it is another one now. A router judges no silence by itself: `is_suspect` is as the control machine
 /// says, unless the instance is gone.
-pub fn follow(known: &mut ServerRecord, pushed: &ServerRecord) -> bool {
-    let joined = join(known, pushed);
+pub fn merge_pushed_record(known: &mut ServerRecord, pushed: &ServerRecord) -> bool {
+    let joined = merge_record(known, pushed);
     let is_suspect = pushed.is_suspect && known.state != ServerState::Gone;
     let judged = std::mem::replace(&mut known.is_suspect, is_suspect) != is_suspect;
     joined || judged
 }
 
 /// A record as it is kept: gone is gone, whatever else was said with it.
-pub(crate) fn normalized(news: &ServerRecord) -> ServerRecord {
-    match news.state {
-        ServerState::Gone => tombstone(&news.instance),
-        _ => news.clone(),
+pub(crate) fn normalized(update: &ServerRecord) -> ServerRecord {
+    match update.state {
+        ServerState::Gone => tombstone(&update.instance),
+        _ => update.clone(),
     }
 }
 
--- a/decide/registry/src/lattice/tests.rs
+++ b/decide/registry/src/merge/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `lattice`.
+//! Tests of `merge`.
 
 use super::*;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -14,7 +14,7 @@
     fn arbitrary(gen: &mut Gen) -> Sample {
         let pick = |gen: &mut Gen, count: u8| u8::arbitrary(gen) % count;
         let states = [ServerState::Ready, ServerState::Draining, ServerState::Gone];
-        let news = ServerRecord {
+        let update = ServerRecord {
             instance: "i".to_owned(),
             service: format!("s{}", pick(gen, 2)),
             address: format!("a{}", pick(gen, 2)),
@@ -25,13 +25,13 @@
             warm_up_remaining_ms: u64::from(pick(gen, 2)),
             is_suspect: false,
         };
-        Sample(normalized(&news))
+        Sample(normalized(&update))
     }
 }
 
 fn joined(one: &ServerRecord, other: &ServerRecord) -> ServerRecord {
     let mut known = one.clone();
-    let changed = join(&mut known, other);
+    let changed = merge_record(&mut known, other);
     assert_eq!(changed, known != *one, "what it tells is what it did");
     known
 }
@@ -106,9 +106,9 @@
         is_suspect: true,
         ..record(ServerState::Ready, 1)
     };
-    assert!(join(&mut known, &record(ServerState::Ready, 2)));
+    assert!(merge_record(&mut known, &record(ServerState::Ready, 2)));
     assert!(known.is_suspect && known.sequence_number == 2);
-    assert!(join(&mut known, &tombstone("i")) && !known.is_suspect);
+    assert!(merge_record(&mut known, &tombstone("i")) && !known.is_suspect);
 }
 
 #[test]
@@ -118,9 +118,11 @@
         is_suspect: true,
         ..record(ServerState::Ready, 3)
     };
-    assert!(follow(&mut known, &silent) && known.is_suspect && known.sequence_number == 5);
-    assert!(!follow(&mut known, &silent));
-    assert!(follow(&mut known, &record(ServerState::Ready, 5)) && !known.is_suspect);
-    assert!(follow(&mut known, &tombstone("i")));
-    assert!(!follow(&mut known, &silent) && known == tombstone("i"));
+    assert!(
+        merge_pushed_record(&mut known, &silent) && known.is_suspect && known.sequence_number == 5
+    );
+    assert!(!merge_pushed_record(&mut known, &silent));
+    assert!(merge_pushed_record(&mut known, &record(ServerState::Ready, 5)) && !known.is_suspect);
+    assert!(merge_pushed_record(&mut known, &tombstone("i")));
+    assert!(!merge_pushed_record(&mut known, &silent) && known == tombstone("i"));
 }
--- a/decide/registry/src/table.rs
+++ b/decide/registry/src/table.rs
@@ -4,7 +4,7 @@
 //! or another machine that told it, last heard a server.
 
 use crate::heartbeat::Heartbeat;
-use crate::lattice::{join, normalized, tombstone};
+use crate::merge::{merge_record, normalized, tombstone};
 use lichenswitch_messages::{ServerRecord, ServerState};
 use std::collections::{BTreeSet, HashMap};
 
@@ -14,65 +14,67 @@
 /// Intervals for which one instance must have been silent after another at the same address was
 /// heard, to be gone. A beat may come seconds late, so the first beat of an instance that is not
 /// known may be the last of one that has ended.
-pub const CONTEST_INTERVALS: u64 = 3;
+pub const ADDRESS_CONFLICT_INTERVALS: u64 = 3;
 
 /// Silence after which a server is forgotten (microseconds).
-pub const FORGOTTEN_AFTER_US: u64 = 60_000_000;
+pub const EXPIRY_AFTER_US: u64 = 60_000_000;
 
 /// How long it is remembered that an instance is gone (microseconds): far longer than a beat may be
 /// late.
-pub const TOMBSTONE_KEPT_US: u64 = 120_000_000;
+pub const TOMBSTONE_RETENTION_US: u64 = 120_000_000;
 
 /// Age up to which a tombstone is part of a snapshot (microseconds). Shorter than it is kept, so
 /// that machines do not tell each other for ever what both have dropped.
-pub const SNAPSHOT_TOMBSTONES_US: u64 = 60_000_000;
+pub const SNAPSHOT_TOMBSTONE_MAX_AGE_US: u64 = 60_000_000;
 
 /// The least between two looks (microseconds), as a share of the interval: what is decided is late
 /// by a quarter of it at most.
-const LOOKS_IN_INTERVAL: u64 = 4;
+const TICKS_PER_INTERVAL: u64 = 4;
 
 /// What has changed, to be pushed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Changes {
     /// Records that are other ones now. For routers all of them; for other control machines those
-    /// of [`Changes::news`].
+    /// of [`Changes::update`].
     pub records: Vec<ServerRecord>,
     /// Instances whose records are no longer held. They are not gone: they have been silent for
     /// long, and may be heard again.
-    pub forgotten: Vec<String>,
+    pub expired: Vec<String>,
     /// How many of the first records have changed in the lattice; with the others only `is_suspect`
     /// has.
-    lattice: usize,
+    replicated_count: usize,
 }
 
 impl Changes {
     /// Whether nothing has changed.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.records.is_empty() && self.forgotten.is_empty()
+        self.records.is_empty() && self.expired.is_empty()
     }
 
     /// The records that are news to other control machines, which judge silence by themselves.
     #[must_use]
-    pub fn news(&self) -> &[ServerRecord] {
-        &self.records[..self.lattice]
+    pub fn updates_for_peers(&self) -> &[ServerRecord] {
+        &self.records[..self.replicated_count]
     }
 
-    fn push_news(&mut self, record: &ServerRecord) {
-        self.records.insert(self.lattice, record.clone());
-        self.lattice += 1;
+    fn push_replicated(&mut self, record: &ServerRecord) {
+        self.records.insert(self.replicated_count, record.clone());
+        self.replicated_count += 1;
     }
 
-    fn push_heard(&mut self, record: &ServerRecord) {
+    fn push_local(&mut self, record: &ServerRecord) {
         self.records.push(record.clone());
     }
 
     /// Puts others behind these.
     pub fn append(&mut self, others: Changes) {
-        let (news, heard) = others.records.split_at(others.lattice);
-        news.iter().for_each(|record| self.push_news(record));
-        heard.iter().for_each(|record| self.push_heard(record));
-        self.forgotten.extend(others.forgotten);
+        let (update, heard) = others.records.split_at(others.replicated_count);
+        update
+            .iter()
+            .for_each(|record| self.push_replicated(record));
+        heard.iter().for_each(|record| self.push_local(record));
+        self.expired.extend(others.expired);
     }
 }
 
@@ -82,15 +84,15 @@
     record: ServerRecord,
     /// When it was last heard, here or by a machine that told so; for one that is gone, when that
     /// was learnt.
-    since_us: u64,
+    last_seen_us: u64,
     /// Whether it was heard here after the last digest.
-    heard_here: bool,
+    is_due_in_digest: bool,
     /// It is known from before a start alone.
-    remembered: bool,
+    is_cached: bool,
 }
 
 impl Entry {
-    fn live(&self) -> bool {
+    fn is_live(&self) -> bool {
         self.record.state != ServerState::Gone
     }
 }
@@ -98,51 +100,51 @@
 /// The table of servers.
 #[derive(Clone, Debug)]
 pub struct Registry {
-    interval_us: u64,
+    heartbeat_interval_us: u64,
     /// Since when this machine has been awake without a pause: silence before it says nothing.
     awake_since_us: u64,
     last_tick_us: u64,
     entries: HashMap<String, Entry>,
     /// Addresses at which there may be more than one live instance.
-    contested: BTreeSet<String>,
+    contested_addresses: BTreeSet<String>,
 }
 
 impl Registry {
     /// An empty table of a machine that starts now; servers beat at this interval (microseconds).
     #[must_use]
-    pub fn new(now: u64, interval_us: u64) -> Registry {
+    pub fn new(now: u64, heartbeat_interval_us: u64) -> Registry {
         Registry {
-            interval_us: interval_us.max(1),
+            heartbeat_interval_us: heartbeat_interval_us.max(1),
             awake_since_us: now,
             last_tick_us: now,
             entries: HashMap::new(),
-            contested: BTreeSet::new(),
+            contested_addresses: BTreeSet::new(),
         }
     }
 
     /// The interval has another value now (microseconds).
-    pub fn set_interval(&mut self, interval_us: u64) {
-        self.interval_us = interval_us.max(1);
+    pub fn set_interval(&mut self, heartbeat_interval_us: u64) {
+        self.heartbeat_interval_us = heartbeat_interval_us.max(1);
     }
 
     /// A heartbeat has come here. A beat that is late, or comes from an instance that has left,
     /// changes nothing.
     pub fn on_heartbeat(&mut self, now: u64, instance: &str, heartbeat: &Heartbeat) -> Changes {
-        let news = heartbeat.record(instance);
+        let update = heartbeat.record(instance);
         let fresh = self
             .entries
             .get(instance)
-            .is_none_or(|known| is_fresh(known, &news));
-        let displaced = match self.entries.contains_key(instance) {
+            .is_none_or(|known| is_current(known, &update));
+        let superseded = match self.entries.contains_key(instance) {
             true => Vec::new(),
-            false => self.displaced_by(now, &news),
+            false => self.superseded_by(now, &update),
         };
-        let mut changes = self.take(now, &news);
+        let mut changes = self.apply(now, &update);
         if fresh {
-            changes.append(self.heard(now, instance));
+            changes.append(self.note_heartbeat(now, instance));
         }
-        for other in displaced {
-            changes.append(self.take(now, &tombstone(&other)));
+        for other in superseded {
+            changes.append(self.apply(now, &tombstone(&other)));
         }
         changes
     }
@@ -150,19 +152,20 @@
     /// A server has said that it leaves, whether it said `draining` before or not, and whether it
     /// is known or not.
     pub fn on_deregister(&mut self, now: u64, instance: &str) -> Changes {
-        self.take(now, &tombstone(instance))
+        self.apply(now, &tombstone(instance))
     }
 
     /// Another control machine has sent a record.
-    pub fn merge(&mut self, now: u64, news: &ServerRecord) -> Changes {
-        self.take(now, news)
+    pub fn merge(&mut self, now: u64, update: &ServerRecord) -> Changes {
+        self.apply(now, update)
     }
 
     /// Another control machine has sent records.
-    pub fn merge_all(&mut self, now: u64, news: &[ServerRecord]) -> Changes {
+    pub fn merge_all(&mut self, now: u64, update: &[ServerRecord]) -> Changes {
         let mut changes = Changes::default();
-        news.iter()
-            .for_each(|record| changes.append(self.take(now, record)));
+        update
+            .iter()
+            .for_each(|record| changes.append(self.apply(now, record)));
         changes
     }
 
@@ -170,13 +173,13 @@
     /// silence counted from now unless its record says that it was unheard; it is no news to other
     /// control machines, which may have forgotten it with reason. That a server was leaving or had
     /// left holds, whoever remembers it: a beat from before that may still be on its way.
-    pub fn remember(&mut self, now: u64, records: &[ServerRecord]) -> Changes {
+    pub fn restore_cached(&mut self, now: u64, records: &[ServerRecord]) -> Changes {
         let mut changes = Changes::default();
         for record in records {
             match self.entries.get(&record.instance) {
-                None => changes.append(self.remember_one(now, record)),
+                None => changes.append(self.insert_cached(now, record)),
                 Some(known) if known.record.state < record.state => {
-                    changes.append(self.take(now, record))
+                    changes.append(self.apply(now, record))
                 }
                 Some(_) => {}
             }
@@ -185,11 +188,11 @@
     }
 
     /// Another control machine has told whom it heard, and how many milliseconds ago.
-    pub fn merge_heard(&mut self, now: u64, heard: &[(String, u32)]) -> Changes {
+    pub fn merge_heartbeat_digest(&mut self, now: u64, heard: &[(String, u32)]) -> Changes {
         let mut changes = Changes::default();
         for (instance, ago_ms) in heard {
             let at = now.saturating_sub(u64::from(*ago_ms) * 1_000);
-            changes.append(self.heard_elsewhere(now, at, instance));
+            changes.append(self.note_heartbeat_at(now, at, instance));
         }
         changes
     }
@@ -197,10 +200,10 @@
     /// Looks at silence, tombstones and addresses that have more than one instance. To be called by
     /// [`Registry::next_wake`].
     pub fn tick(&mut self, now: u64) -> Changes {
-        self.notice_pause(now);
-        let mut changes = self.settle_contests(now);
-        self.drop_old(now, &mut changes);
-        self.judge_silence(now, &mut changes);
+        self.detect_pause(now);
+        let mut changes = self.resolve_address_conflicts(now);
+        self.expire(now, &mut changes);
+        self.mark_suspects(now, &mut changes);
         changes
     }
 
@@ -208,17 +211,17 @@
     #[must_use]
     pub fn next_wake(&self) -> u64 {
         self.last_tick_us
-            .saturating_add((self.interval_us / LOOKS_IN_INTERVAL).max(1))
+            .saturating_add((self.heartbeat_interval_us / TICKS_PER_INTERVAL).max(1))
     }
 
     /// Servers that are known from before a start alone, those that had left too: for routers, and
     /// for machines that know none.
     #[must_use]
-    pub fn remembered(&self) -> Vec<ServerRecord> {
+    pub fn cached_servers(&self) -> Vec<ServerRecord> {
         let mut records: Vec<_> = self
             .entries
             .values()
-            .filter(|entry| entry.remembered)
+            .filter(|entry| entry.is_cached)
             .map(|e| e.record.clone())
             .collect();
         records.sort_by(|one, other| one.instance.cmp(&other.instance));
@@ -226,12 +229,13 @@
     }
 
     /// All that a machine that starts has to know: live servers, and who has gone in the last
-    /// minute. Servers that are only [`Registry::remembered`] are no part of it.
+    /// minute. Servers that are only [`Registry::cached_servers`] are no part of it.
     #[must_use]
     pub fn snapshot(&self, now: u64) -> Vec<ServerRecord> {
         let told = |entry: &&Entry| {
-            !entry.remembered
-                && (entry.live() || now.saturating_sub(entry.since_us) < SNAPSHOT_TOMBSTONES_US)
+            !entry.is_cached
+                && (entry.is_live()
+                    || now.saturating_sub(entry.last_seen_us) < SNAPSHOT_TOMBSTONE_MAX_AGE_US)
         };
         let mut records: Vec<_> = self
             .entries
@@ -244,15 +248,15 @@
     }
 
     /// Who was heard here since this was last asked, with how many milliseconds ago.
-    pub fn take_heard_digest(&mut self, now: u64) -> Vec<(String, u32)> {
+    pub fn take_heartbeat_digest(&mut self, now: u64) -> Vec<(String, u32)> {
         let mut digest = Vec::new();
         for (instance, entry) in self
             .entries
             .iter_mut()
-            .filter(|(_, entry)| entry.heard_here && entry.live())
+            .filter(|(_, entry)| entry.is_due_in_digest && entry.is_live())
         {
-            entry.heard_here = false;
-            let ago_ms = now.saturating_sub(entry.since_us) / 1_000;
+            entry.is_due_in_digest = false;
+            let ago_ms = now.saturating_sub(entry.last_seen_us) / 1_000;
             digest.push((instance.clone(), u32::try_from(ago_ms).unwrap_or(u32::MAX)));
         }
         digest.sort();
@@ -269,7 +273,7 @@
     pub fn live(&self) -> impl Iterator<Item = &ServerRecord> {
         self.entries
             .values()
-            .filter(|entry| entry.live())
+            .filter(|entry| entry.is_live())
             .map(|entry| &entry.record)
     }
 
@@ -286,129 +290,140 @@
     }
 
     /// Takes news into the table.
-    fn take(&mut self, now: u64, news: &ServerRecord) -> Changes {
-        match self.entries.contains_key(&news.instance) {
-            true => self.take_known(now, news),
-            false => self.take_new(now, news),
+    fn apply(&mut self, now: u64, update: &ServerRecord) -> Changes {
+        match self.entries.contains_key(&update.instance) {
+            true => self.update_known(now, update),
+            false => self.insert_new(now, update),
         }
     }
 
-    fn take_new(&mut self, now: u64, news: &ServerRecord) -> Changes {
+    fn insert_new(&mut self, now: u64, update: &ServerRecord) -> Changes {
         let record = ServerRecord {
             is_suspect: false,
-            ..normalized(news)
+            ..normalized(update)
         };
         if record.state != ServerState::Gone && self.live_at(&record.address).next().is_some() {
-            self.contested.insert(record.address.clone());
+            self.contested_addresses.insert(record.address.clone());
         }
         let mut changes = Changes::default();
-        changes.push_news(&record);
+        changes.push_replicated(&record);
         let entry = Entry {
             record,
-            since_us: now,
-            heard_here: false,
-            remembered: false,
+            last_seen_us: now,
+            is_due_in_digest: false,
+            is_cached: false,
         };
-        self.entries.insert(news.instance.clone(), entry);
+        self.entries.insert(update.instance.clone(), entry);
         changes
     }
 
     /// A server that was known before the start: it may still serve, unless it had left.
-    fn remember_one(&mut self, now: u64, news: &ServerRecord) -> Changes {
-        let record = normalized(news);
+    fn insert_cached(&mut self, now: u64, update: &ServerRecord) -> Changes {
+        let record = normalized(update);
         if record.state != ServerState::Gone && self.live_at(&record.address).next().is_some() {
-            self.contested.insert(record.address.clone());
+            self.contested_addresses.insert(record.address.clone());
         }
         let mut changes = Changes::default();
-        changes.push_heard(&record);
+        changes.push_local(&record);
         let silent_us = if record.is_suspect {
-            self.unheard_after()
+            self.suspect_after_us()
         } else {
             0
         };
-        let since_us = now.saturating_sub(silent_us);
+        let last_seen_us = now.saturating_sub(silent_us);
         let entry = Entry {
             record,
-            since_us,
-            heard_here: false,
-            remembered: true,
+            last_seen_us,
+            is_due_in_digest: false,
+            is_cached: true,
         };
-        self.entries.insert(news.instance.clone(), entry);
+        self.entries.insert(update.instance.clone(), entry);
         changes
     }
 
     /// Newer news shows that the server was heard somewhere. Told on is only what matters to
     /// others: a beat that says the same again is not.
-    fn take_known(&mut self, now: u64, news: &ServerRecord) -> Changes {
+    fn update_known(&mut self, now: u64, update: &ServerRecord) -> Changes {
         let mut changes = Changes::default();
-        let Some(entry) = self.entries.get_mut(&news.instance) else {
+        let Some(entry) = self.entries.get_mut(&update.instance) else {
             return changes;
         };
         let before = entry.record.clone();
-        let remembered = std::mem::take(&mut entry.remembered);
-        if !join(&mut entry.record, news) && !remembered {
+        let is_cached = std::mem::take(&mut entry.is_cached);
+        if !merge_record(&mut entry.record, update) && !is_cached {
             return changes;
         }
-        entry.since_us = entry.since_us.max(now);
+        entry.last_seen_us = entry.last_seen_us.max(now);
         entry.record.is_suspect = false;
-        if remembered || tells_more(&before, &entry.record) {
-            changes.push_news(&entry.record);
+        if is_cached || is_update_for_peers(&before, &entry.record) {
+            changes.push_replicated(&entry.record);
         } else if before.is_suspect {
-            changes.push_heard(&entry.record);
+            changes.push_local(&entry.record);
         }
-        if entry.live() && before.address != entry.record.address {
-            self.contested.insert(entry.record.address.clone());
+        if entry.is_live() && before.address != entry.record.address {
+            self.contested_addresses
+                .insert(entry.record.address.clone());
         }
         changes
     }
 
     /// A server was heard here.
-    fn heard(&mut self, now: u64, instance: &str) -> Changes {
-        match self.entries.get_mut(instance).filter(|entry| entry.live()) {
-            Some(entry) => entry.heard_here = true,
+    fn note_heartbeat(&mut self, now: u64, instance: &str) -> Changes {
+        match self
+            .entries
+            .get_mut(instance)
+            .filter(|entry| entry.is_live())
+        {
+            Some(entry) => entry.is_due_in_digest = true,
             None => return Changes::default(),
         }
-        self.heard_elsewhere(now, now, instance)
+        self.note_heartbeat_at(now, now, instance)
     }
 
     /// A server was heard at some time, here or elsewhere.
-    fn heard_elsewhere(&mut self, now: u64, at: u64, instance: &str) -> Changes {
+    fn note_heartbeat_at(&mut self, now: u64, at: u64, instance: &str) -> Changes {
         let mut changes = Changes::default();
-        let unheard_after = self.unheard_after();
-        let Some(entry) = self.entries.get_mut(instance).filter(|entry| entry.live()) else {
+        let suspect_after_us = self.suspect_after_us();
+        let Some(entry) = self
+            .entries
+            .get_mut(instance)
+            .filter(|entry| entry.is_live())
+        else {
             return changes;
         };
-        entry.since_us = entry.since_us.max(at);
-        entry.remembered = false;
-        if entry.record.is_suspect && now.saturating_sub(entry.since_us) < unheard_after {
+        entry.last_seen_us = entry.last_seen_us.max(at);
+        entry.is_cached = false;
+        if entry.record.is_suspect && now.saturating_sub(entry.last_seen_us) < suspect_after_us {
             entry.record.is_suspect = false;
-            changes.push_heard(&entry.record);
+            changes.push_local(&entry.record);
         }
         changes
     }
 
-    fn unheard_after(&self) -> u64 {
-        self.interval_us.saturating_mul(SUSPECT_AFTER_INTERVALS)
+    fn suspect_after_us(&self) -> u64 {
+        self.heartbeat_interval_us
+            .saturating_mul(SUSPECT_AFTER_INTERVALS)
     }
 
-    fn contest_after(&self) -> u64 {
-        self.interval_us.saturating_mul(CONTEST_INTERVALS)
+    fn conflict_after_us(&self) -> u64 {
+        self.heartbeat_interval_us
+            .saturating_mul(ADDRESS_CONFLICT_INTERVALS)
     }
 
     /// Live instances at an address.
     fn live_at<'a>(&'a self, address: &'a str) -> impl Iterator<Item = &'a Entry> {
         self.entries
             .values()
-            .filter(move |entry| entry.live() && entry.record.address == address)
+            .filter(move |entry| entry.is_live() && entry.record.address == address)
     }
 
     /// Those that an instance that has just been heard for the first time ends, as it has their
     /// address. An instance that has begun later has made fewer calls; where the newcomer has made
     /// more, its beat may be a late one, and silence decides.
-    fn displaced_by(&self, now: u64, newcomer: &ServerRecord) -> Vec<String> {
+    fn superseded_by(&self, now: u64, newcomer: &ServerRecord) -> Vec<String> {
         let ended = |entry: &&Entry| {
             newcomer.sequence_number <= entry.record.sequence_number
-                || self.silence(now, entry) >= self.contest_after()
+                || self.silence(now, entry) >= self.conflict_after_us()
         };
         self.live_at(&newcomer.address)
             .filter(ended)
@@ -418,12 +433,12 @@
 
     /// How long a server has been silent while this machine could hear it.
     fn silence(&self, now: u64, entry: &Entry) -> u64 {
-        now.saturating_sub(entry.since_us.max(self.awake_since_us))
+        now.saturating_sub(entry.last_seen_us.max(self.awake_since_us))
     }
 
     /// A machine that was frozen has not heard anybody meanwhile: silence counts from its waking.
-    fn notice_pause(&mut self, now: u64) {
-        if now.saturating_sub(self.last_tick_us) > self.interval_us {
+    fn detect_pause(&mut self, now: u64) {
+        if now.saturating_sub(self.last_tick_us) > self.heartbeat_interval_us {
             self.awake_since_us = now;
         }
         self.last_tick_us = now;
@@ -431,57 +446,57 @@
 
     /// At an address with several live instances, those are gone that fell silent well before
     /// another was heard.
-    fn settle_contests(&mut self, now: u64) -> Changes {
+    fn resolve_address_conflicts(&mut self, now: u64) -> Changes {
         let mut changes = Changes::default();
-        for address in std::mem::take(&mut self.contested) {
-            for instance in self.outlived_at(&address) {
-                changes.append(self.take(now, &tombstone(&instance)));
+        for address in std::mem::take(&mut self.contested_addresses) {
+            for instance in self.superseded_at(&address) {
+                changes.append(self.apply(now, &tombstone(&instance)));
             }
             if self.live_at(&address).count() > 1 {
-                self.contested.insert(address);
+                self.contested_addresses.insert(address);
             }
         }
         changes
     }
 
-    fn outlived_at(&self, address: &str) -> Vec<String> {
+    fn superseded_at(&self, address: &str) -> Vec<String> {
         let newest = self
             .live_at(address)
-            .map(|entry| entry.since_us)
+            .map(|entry| entry.last_seen_us)
             .max()
             .unwrap_or(0);
         let outlived =
-            |entry: &&Entry| newest.saturating_sub(entry.since_us) >= self.contest_after();
+            |entry: &&Entry| newest.saturating_sub(entry.last_seen_us) >= self.conflict_after_us();
         self.live_at(address)
             .filter(outlived)
             .map(|entry| entry.record.instance.clone())
             .collect()
     }
 
-    fn drop_old(&mut self, now: u64, changes: &mut Changes) {
+    fn expire(&mut self, now: u64, changes: &mut Changes) {
         let awake = self.awake_since_us;
         self.entries.retain(|instance, entry| {
-            if !entry.live() {
-                return now.saturating_sub(entry.since_us) < TOMBSTONE_KEPT_US;
+            if !entry.is_live() {
+                return now.saturating_sub(entry.last_seen_us) < TOMBSTONE_RETENTION_US;
             }
-            let kept = now.saturating_sub(entry.since_us.max(awake)) < FORGOTTEN_AFTER_US;
+            let kept = now.saturating_sub(entry.last_seen_us.max(awake)) < EXPIRY_AFTER_US;
             if !kept {
-                changes.forgotten.push(instance.clone());
+                changes.expired.push(instance.clone());
             }
             kept
         });
-        changes.forgotten.sort();
+        changes.expired.sort();
     }
 
-    fn judge_silence(&mut self, now: u64, changes: &mut Changes) {
-        let (awake, unheard_after) = (self.awake_since_us, self.unheard_after());
+    fn mark_suspects(&mut self, now: u64, changes: &mut Changes) {
+        let (awake, suspect_after_us) = (self.awake_since_us, self.suspect_after_us());
         let mut fallen: Vec<&ServerRecord> = Vec::new();
         for entry in self
             .entries
             .values_mut()
-            .filter(|entry| entry.live() && !entry.record.is_suspect)
+            .filter(|entry| entry.is_live() && !entry.record.is_suspect)
         {
-            if now.saturating_sub(entry.since_us.max(awake)) >= unheard_after {
+            if now.saturating_sub(entry.last_seen_us.max(awake)) >= suspect_after_us {
                 entry.record.is_suspect = true;
                 fallen.push(&entry.record);
             }
@@ -489,18 +504,18 @@
         fallen.sort_by(|one, other| one.instance.cmp(&other.instance));
         fallen
             .into_iter()
-            .for_each(|record| changes.push_heard(record));
+            .for_each(|record| changes.push_local(record));
     }
 }
 
 /// Whether a beat is not older than what is known.
-fn is_fresh(known: &Entry, news: &ServerRecord) -> bool {
-    news.sequence_number >= known.record.sequence_number
+fn is_current(known: &Entry, update: &ServerRecord) -> bool {
+    update.sequence_number >= known.record.sequence_number
 }
 
 /// Whether a record tells others more than the one before: all but the number of the beat, and a
 /// cold time that only runs down.
-fn tells_more(before: &ServerRecord, after: &ServerRecord) -> bool {
+fn is_update_for_peers(before: &ServerRecord, after: &ServerRecord) -> bool {
     let known = ServerRecord {
         sequence_number: after.sequence_number,
         warm_up_remaining_ms: before.warm_up_remaining_ms.max(after.warm_up_remaining_ms),
--- a/decide/registry/src/table/tests.rs
+++ b/decide/registry/src/table/tests.rs
@@ -57,7 +57,7 @@
 fn a_first_beat_is_news_and_one_that_says_the_same_is_not() {
     let mut table = table();
     let changes = table.on_heartbeat(START, "i", &beat("a:1", 1));
-    assert_eq!(changes.news(), [beat("a:1", 1).record("i")]);
+    assert_eq!(changes.updates_for_peers(), [beat("a:1", 1).record("i")]);
     assert!(table
         .on_heartbeat(START + SECOND, "i", &beat("a:1", 2))
         .is_empty());
@@ -70,7 +70,10 @@
         ..beat("a:1", 3)
     };
     assert_eq!(
-        table.on_heartbeat(START + SECOND, "i", &more).news().len(),
+        table
+            .on_heartbeat(START + SECOND, "i", &more)
+            .updates_for_peers()
+            .len(),
         1
     );
     let cold = Heartbeat {
@@ -85,7 +88,7 @@
     assert_eq!(
         table
             .on_heartbeat(START + SECOND, "i", &at(4, 500))
-            .news()
+            .updates_for_peers()
             .len(),
         1,
         "colder than was told"
@@ -105,29 +108,37 @@
     assert_eq!(
         table
             .on_heartbeat(START, "i", &draining("a:1", 2))
-            .news()
+            .updates_for_peers()
             .len(),
         1
     );
     assert!(table.on_heartbeat(START, "i", &beat("a:1", 3)).is_empty());
     assert_eq!(state_of(&table, "i"), Some(ServerState::Draining));
-    assert_eq!(table.on_deregister(START, "i").news(), [tombstone("i")]);
+    assert_eq!(
+        table.on_deregister(START, "i").updates_for_peers(),
+        [tombstone("i")]
+    );
     for late in [beat("a:1", 1), beat("a:1", 99), draining("a:1", 100)] {
         assert!(table.on_heartbeat(START + SECOND, "i", &late).is_empty());
     }
     assert!(table.merge(START, &beat("a:1", 200).record("i")).is_empty());
     assert!(table.on_deregister(START, "i").is_empty());
     assert_eq!(table.record("i"), Some(&tombstone("i")));
-    assert!(table.take_heard_digest(START + SECOND).is_empty());
+    assert!(table.take_heartbeat_digest(START + SECOND).is_empty());
 }
 
 #[test]
 fn an_instance_may_leave_without_draining_and_without_being_known() {
     let mut table = table();
     table.on_heartbeat(START, "i", &beat("a:1", 1));
-    assert_eq!(table.on_deregister(START, "i").news(), [tombstone("i")]);
     assert_eq!(
-        table.on_deregister(START, "never-heard").news(),
+        table.on_deregister(START, "i").updates_for_peers(),
+        [tombstone("i")]
+    );
+    assert_eq!(
+        table
+            .on_deregister(START, "never-heard")
+            .updates_for_peers(),
         [tombstone("never-heard")]
     );
     assert!(table
@@ -143,7 +154,7 @@
     assert_eq!(
         table
             .on_heartbeat(START, "i", &draining("a:1", 4))
-            .news()
+            .updates_for_peers()
             .len(),
         1
     );
@@ -156,7 +167,7 @@
     assert!(run_to(&mut table, START + 5 * SECOND - 1).is_empty());
     let changes = run_to(&mut table, START + 5 * SECOND);
     assert_eq!(
-        (changes.records.len(), changes.news().len()),
+        (changes.records.len(), changes.updates_for_peers().len()),
         (1, 0),
         "each machine judges by itself"
     );
@@ -169,7 +180,7 @@
     assert_eq!(
         (
             changes.records.len(),
-            changes.news().len(),
+            changes.updates_for_peers().len(),
             is_suspect(&table, "i")
         ),
         (1, 0, false)
@@ -194,7 +205,7 @@
     table.merge(START, &beat("a:1", 1).record("i"));
     run_to(&mut table, START + 4 * SECOND);
     assert!(table
-        .merge_heard(
+        .merge_heartbeat_digest(
             START + 4 * SECOND,
             &[("i".to_owned(), 300), ("not-known".to_owned(), 0)]
         )
@@ -203,13 +214,13 @@
     assert!(!is_suspect(&table, "i"));
     run_to(&mut table, START + 9 * SECOND);
     assert!(is_suspect(&table, "i"));
-    let old = table.merge_heard(START + 9 * SECOND, &[("i".to_owned(), 5_000)]);
+    let old = table.merge_heartbeat_digest(START + 9 * SECOND, &[("i".to_owned(), 5_000)]);
     assert!(old.is_empty() && is_suspect(&table, "i"));
-    let changes = table.merge_heard(START + 9 * SECOND, &[("i".to_owned(), 100)]);
+    let changes = table.merge_heartbeat_digest(START + 9 * SECOND, &[("i".to_owned(), 100)]);
     assert_eq!(
         (
             changes.records.len(),
-            changes.news().len(),
+            changes.updates_for_peers().len(),
             is_suspect(&table, "i")
         ),
         (1, 0, false)
@@ -221,7 +232,7 @@
     let mut table = table();
     run_to(&mut table, START + 3 * SECOND);
     table.on_heartbeat(START + 3 * SECOND, "i", &beat("a:1", 1));
-    table.merge_heard(START + 3 * SECOND, &[("i".to_owned(), 2_900)]);
+    table.merge_heartbeat_digest(START + 3 * SECOND, &[("i".to_owned(), 2_900)]);
     run_to(&mut table, START + 7 * SECOND);
     assert!(!is_suspect(&table, "i"));
 }
@@ -239,7 +250,7 @@
             },
         ],
     );
-    table.merge_heard(START, &[("i".to_owned(), 50_000), ("j".to_owned(), 50_000)]);
+    table.merge_heartbeat_digest(START, &[("i".to_owned(), 50_000), ("j".to_owned(), 50_000)]);
     assert!(run_to(&mut table, START + 5 * SECOND - 1).is_empty());
     assert!(!is_suspect(&table, "i") && !is_suspect(&table, "j"));
     assert_eq!(run_to(&mut table, START + 5 * SECOND).records.len(), 2);
@@ -263,16 +274,16 @@
 fn a_server_is_forgotten_after_a_minute_and_may_come_back() {
     let mut table = table();
     table.on_heartbeat(START, "i", &beat("a:1", 1));
-    run_to(&mut table, START + FORGOTTEN_AFTER_US - 1);
+    run_to(&mut table, START + EXPIRY_AFTER_US - 1);
     assert_eq!(table.len(), 1);
-    let changes = run_to(&mut table, START + FORGOTTEN_AFTER_US);
+    let changes = run_to(&mut table, START + EXPIRY_AFTER_US);
     assert_eq!(
-        (changes.records.len(), changes.forgotten, table.is_empty()),
+        (changes.records.len(), changes.expired, table.is_empty()),
         (0, vec!["i".to_owned()], true)
     );
-    let changes = table.on_heartbeat(START + FORGOTTEN_AFTER_US, "i", &beat("a:1", 2));
+    let changes = table.on_heartbeat(START + EXPIRY_AFTER_US, "i", &beat("a:1", 2));
     assert_eq!(
-        (changes.news().len(), state_of(&table, "i")),
+        (changes.updates_for_peers().len(), state_of(&table, "i")),
         (1, Some(ServerState::Ready))
     );
 }
@@ -282,15 +293,17 @@
     let mut table = table();
     table.on_deregister(START, "i");
     assert_eq!(
-        table.snapshot(START + SNAPSHOT_TOMBSTONES_US - 1),
+        table.snapshot(START + SNAPSHOT_TOMBSTONE_MAX_AGE_US - 1),
         [tombstone("i")]
     );
-    assert!(table.snapshot(START + SNAPSHOT_TOMBSTONES_US).is_empty());
-    run_to(&mut table, START + TOMBSTONE_KEPT_US - 1);
     assert!(table
-        .on_heartbeat(START + TOMBSTONE_KEPT_US - 1, "i", &beat("a:1", 9))
+        .snapshot(START + SNAPSHOT_TOMBSTONE_MAX_AGE_US)
+        .is_empty());
+    run_to(&mut table, START + TOMBSTONE_RETENTION_US - 1);
+    assert!(table
+        .on_heartbeat(START + TOMBSTONE_RETENTION_US - 1, "i", &beat("a:1", 9))
         .is_empty());
-    assert!(run_to(&mut table, START + TOMBSTONE_KEPT_US).is_empty());
+    assert!(run_to(&mut table, START + TOMBSTONE_RETENTION_US).is_empty());
     assert!(table.is_empty());
 }
 
@@ -301,8 +314,8 @@
     table.on_heartbeat(START, "older", &draining("a:1", 50));
     table.on_heartbeat(START, "elsewhere", &beat("a:2", 40));
     let changes = table.on_heartbeat(START + 100 * MS, "new", &beat("a:1", 1));
-    assert_eq!(changes.news().len(), 3);
-    assert_eq!(changes.news()[0].instance, "new");
+    assert_eq!(changes.updates_for_peers().len(), 3);
+    assert_eq!(changes.updates_for_peers()[0].instance, "new");
     assert_eq!(state_of(&table, "old"), Some(ServerState::Gone));
     assert_eq!(state_of(&table, "older"), Some(ServerState::Gone));
     assert_eq!(state_of(&table, "new"), Some(ServerState::Ready));
@@ -319,8 +332,12 @@
 fn a_new_instance_that_has_called_more_often_ends_one_that_has_fallen_silent() {
     let mut table = table();
     table.on_heartbeat(START, "old", &beat("a:1", 1));
-    run_to(&mut table, START + CONTEST_INTERVALS * SECOND);
-    table.on_heartbeat(START + CONTEST_INTERVALS * SECOND, "new", &beat("a:1", 6));
+    run_to(&mut table, START + ADDRESS_CONFLICT_INTERVALS * SECOND);
+    table.on_heartbeat(
+        START + ADDRESS_CONFLICT_INTERVALS * SECOND,
+        "new",
+        &beat("a:1", 6),
+    );
     assert_eq!(state_of(&table, "old"), Some(ServerState::Gone));
 }
 
@@ -337,7 +354,7 @@
         table.on_heartbeat(START + second * SECOND, "owner", &beat("a:1", 3 + second));
     }
     let changes = run_to(&mut table, START + 4 * SECOND + 250 * MS);
-    assert_eq!(changes.news(), [tombstone("ended")]);
+    assert_eq!(changes.updates_for_peers(), [tombstone("ended")]);
     assert_eq!(state_of(&table, "owner"), Some(ServerState::Ready));
     run_to(&mut table, START + 8 * SECOND);
     assert_eq!(
@@ -358,9 +375,9 @@
     for tenth in 6..40 {
         let now = START + tenth * 100 * MS;
         changes.append(run_to(&mut table, now));
-        changes.append(table.merge_heard(now, &[("new".to_owned(), 50)]));
+        changes.append(table.merge_heartbeat_digest(now, &[("new".to_owned(), 50)]));
     }
-    assert_eq!(changes.news(), [tombstone("old")]);
+    assert_eq!(changes.updates_for_peers(), [tombstone("old")]);
     assert_eq!(state_of(&table, "new"), Some(ServerState::Ready));
 }
 
@@ -379,12 +396,12 @@
     table.on_heartbeat(START, "i", &beat("a:1", 1));
     table.on_heartbeat(START + 100 * MS, "j", &beat("a:2", 1));
     table.merge(START, &beat("a:3", 1).record("k"));
-    let digest = table.take_heard_digest(START + 400 * MS);
+    let digest = table.take_heartbeat_digest(START + 400 * MS);
     assert_eq!(digest, [("i".to_owned(), 400), ("j".to_owned(), 300)]);
-    assert!(table.take_heard_digest(START + 800 * MS).is_empty());
+    assert!(table.take_heartbeat_digest(START + 800 * MS).is_empty());
     table.on_heartbeat(START + 900 * MS, "i", &beat("a:1", 2));
     assert_eq!(
-        table.take_heard_digest(START + 900 * MS),
+        table.take_heartbeat_digest(START + 900 * MS),
         [("i".to_owned(), 0)]
     );
 }
@@ -399,11 +416,14 @@
     let mut empty = Registry::new(START + SECOND, SECOND);
     empty.on_heartbeat(START + SECOND, "own", &beat("a:own", 1));
     let changes = empty.merge_all(START + SECOND, &full.snapshot(START + SECOND));
-    assert_eq!((changes.news().len(), empty.live().count()), (50, 50));
+    assert_eq!(
+        (changes.updates_for_peers().len(), empty.live().count()),
+        (50, 50)
+    );
     assert!(full.merge_all(START + SECOND, &[]).is_empty());
     assert_eq!(full.live().count(), 49);
     let back = full.merge_all(START + SECOND, &empty.snapshot(START + SECOND));
-    assert_eq!(back.news(), [beat("a:own", 1).record("own")]);
+    assert_eq!(back.updates_for_peers(), [beat("a:own", 1).record("own")]);
     assert_eq!(
         full.snapshot(START + SECOND),
         empty.snapshot(START + SECOND)
@@ -446,9 +466,9 @@
     }
 }
 
-fn after<'a>(news: impl IntoIterator<Item = &'a News>) -> Vec<ServerRecord> {
+fn after<'a>(update: impl IntoIterator<Item = &'a News>) -> Vec<ServerRecord> {
     let mut table = table();
-    for record in news {
+    for record in update {
         table.merge(START, &record.0);
     }
     table.snapshot(START)
@@ -456,20 +476,26 @@
 
 #[test]
 fn the_order_of_news_and_how_often_it_comes_do_not_matter() {
-    fn holds(news: Vec<News>, turn: usize) -> bool {
-        let wanted = after(&news);
-        let turn = if news.is_empty() {
+    fn holds(update: Vec<News>, turn: usize) -> bool {
+        let wanted = after(&update);
+        let turn = if update.is_empty() {
             0
         } else {
-            turn % news.len()
+            turn % update.len()
         };
-        let turned = news[turn..].iter().chain(&news[..turn]);
-        let mut sorted = news.clone();
-        sorted.sort_by_key(|news| (news.0.sequence_number, news.0.address.clone(), news.0.state));
-        after(news.iter().rev()) == wanted
+        let turned = update[turn..].iter().chain(&update[..turn]);
+        let mut sorted = update.clone();
+        sorted.sort_by_key(|update| {
+            (
+                update.0.sequence_number,
+                update.0.address.clone(),
+                update.0.state,
+            )
+        });
+        after(update.iter().rev()) == wanted
             && after(turned) == wanted
             && after(&sorted) == wanted
-            && after(news.iter().chain(&news)) == wanted
+            && after(update.iter().chain(&update)) == wanted
     }
     let gen = Gen::from_size_and_seed(20, SEED);
     QuickCheck::new()
@@ -484,7 +510,7 @@
         let (mut one, mut other) = (table(), table());
         for record in &here {
             let changes = one.merge(START, &record.0);
-            other.merge_all(START, changes.news());
+            other.merge_all(START, changes.updates_for_peers());
         }
         there
             .iter()
@@ -503,10 +529,10 @@
 
 #[test]
 fn a_final_state_never_returns_whatever_comes() {
-    fn holds(news: Vec<(News, bool)>) -> bool {
+    fn holds(update: Vec<(News, bool)>) -> bool {
         let (mut table, mut now) = (table(), START);
         let mut highest: HashMap<String, ServerState> = HashMap::new();
-        news.iter().all(|(record, beat)| {
+        update.iter().all(|(record, beat)| {
             now += 100 * MS;
             let record = &record.0;
             match (beat, record.state) {
@@ -541,9 +567,9 @@
     before.on_heartbeat(START, "b", &draining("h:2", 3));
     before.on_deregister(START, "c");
     let mut after = table();
-    let told = after.remember(START, &before.snapshot(START));
+    let told = after.restore_cached(START, &before.snapshot(START));
     assert!(
-        told.news().is_empty(),
+        told.updates_for_peers().is_empty(),
         "others may have forgotten them with reason"
     );
     assert_eq!(
@@ -562,7 +588,7 @@
     assert_eq!(after.live().count(), 2);
     let heard = after.on_heartbeat(START + SECOND, "a", &beat("h:1", 8));
     assert_eq!(
-        (heard.records.len(), heard.news().len()),
+        (heard.records.len(), heard.updates_for_peers().len()),
         (1, 1),
         "now it is news to the others as well"
     );
@@ -580,10 +606,13 @@
         is_suspect: true,
         ..beat("h:1", 7).record("a")
     };
-    after.remember(START, &[record]);
+    after.restore_cached(START, &[record]);
     assert!(is_suspect(&after, "a"));
     let heard = after.on_heartbeat(START + SECOND, "a", &beat("h:1", 8));
-    assert_eq!((heard.records.len(), heard.news().len()), (1, 1));
+    assert_eq!(
+        (heard.records.len(), heard.updates_for_peers().len()),
+        (1, 1)
+    );
     assert!(!is_suspect(&after, "a"));
 }
 
@@ -596,7 +625,7 @@
         is_suspect: false,
         ..known.record("a").unwrap().clone()
     };
-    assert!(known.remember(START, &[old]).is_empty());
+    assert!(known.restore_cached(START, &[old]).is_empty());
     assert_eq!(state_of(&known, "a"), Some(ServerState::Draining));
     assert!(!is_suspect(&known, "a"));
 }
@@ -604,7 +633,7 @@
 #[test]
 fn what_was_known_before_a_start_is_told_apart_from_the_table() {
     let mut after = table();
-    after.remember(
+    after.restore_cached(
         START,
         &[beat("h:1", 7).record("a"), beat("h:2", 7).record("b")],
     );
@@ -617,16 +646,16 @@
             .collect::<Vec<_>>()
     };
     assert_eq!(names(after.snapshot(START + SECOND)), ["a"]);
-    assert_eq!(names(after.remembered()), ["b"]);
+    assert_eq!(names(after.cached_servers()), ["b"]);
 }
 
 #[test]
 fn what_was_known_before_a_start_is_forgotten_when_it_stays_silent() {
     let mut after = table();
     let record = beat("h:1", 7).record("a");
-    after.remember(START, &[record]);
+    after.restore_cached(START, &[record]);
     let changes = run_to(&mut after, START + 61 * SECOND);
-    assert_eq!(changes.forgotten, ["a"]);
+    assert_eq!(changes.expired, ["a"]);
 }
 
 #[test]
@@ -635,7 +664,7 @@
     before.on_heartbeat(START, "a", &beat("h:1", 7));
     before.on_deregister(START, "a");
     let mut after = table();
-    after.remember(START, &before.snapshot(START));
+    after.restore_cached(START, &before.snapshot(START));
     after.on_heartbeat(START + SECOND, "a", &beat("h:1", 6));
     assert_eq!(state_of(&after, "a"), Some(ServerState::Gone));
     assert_eq!(after.live().count(), 0);
@@ -648,8 +677,8 @@
 fn that_a_server_left_before_a_start_overrules_an_older_memory_of_it() {
     for leaving in [draining("h:1", 9).record("a"), crate::tombstone("a")] {
         let mut after = table();
-        after.remember(START, &[beat("h:1", 7).record("a")]);
-        let told = after.remember(START, std::slice::from_ref(&leaving));
+        after.restore_cached(START, &[beat("h:1", 7).record("a")]);
+        let told = after.restore_cached(START, std::slice::from_ref(&leaving));
         assert_eq!(
             told.records,
             std::slice::from_ref(&leaving),
--- a/fleet/src/control/contact.rs
+++ b/fleet/src/control/contact.rs
@@ -328,7 +328,10 @@
             self.push_all(pushes);
             // What came from another control machine was told to all by that one; that a server
             // leaves is told once more, in case it was cut off meanwhile.
-            let (records, hearsay) = (changes.news().to_vec(), self.servers.take_hearsay());
+            let (records, hearsay) = (
+                changes.updates_for_peers().to_vec(),
+                self.servers.take_hearsay(),
+            );
             if ack != 0 {
                 self.send_to_peers(&PeerMessage::Servers {
                     ack,
--- a/fleet/src/control/routers.rs
+++ b/fleet/src/control/routers.rs
@@ -8,7 +8,7 @@
 use lichenswitch_interface::Time;
 use lichenswitch_messages::{ConfigurationPosition, ControlToRouter, ServerRecord};
 use lichenswitch_net::ConnId;
-use lichenswitch_registry::Members;
+use lichenswitch_registry::MembershipLeases;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -45,7 +45,7 @@
 /// The routers of this machine.
 pub(super) struct Routers {
     connected: BTreeMap<ConnId, Router>,
-    members: Members,
+    members: MembershipLeases,
 }
 
 impl Routers {
@@ -53,7 +53,7 @@
         let lease = u64::try_from(LEASE.as_micros()).unwrap_or(u64::MAX);
         Routers {
             connected: BTreeMap::new(),
-            members: Members::new(lease),
+            members: MembershipLeases::new(lease),
         }
     }
 
--- a/fleet/src/control/servers.rs
+++ b/fleet/src/control/servers.rs
@@ -116,7 +116,7 @@
             theirs.set_nonblocking(true)?;
             let (cache, records) =
                 ServerCache::open(environment.file_system(), directory, now, theirs);
-            servers.registry.remember(now.0, &records);
+            servers.registry.restore_cached(now.0, &records);
             // Whether others hold what this machine remembers isn't known yet.
             let leaving = records
                 .into_iter()
@@ -175,7 +175,7 @@
     }
 
     fn on_call(&mut self, caller: ConnId, instance: &str, mut changes: Changes) -> Beat {
-        if changes.news().is_empty() {
+        if changes.updates_for_peers().is_empty() {
             if let Some(callers) = self.callers_that_wait_for(instance) {
                 // The same server again: it learns what becomes of its newest news.
                 callers.push(caller);
@@ -191,7 +191,7 @@
                 changes = told_again(record);
             }
         }
-        let news = !changes.news().is_empty();
+        let news = !changes.updates_for_peers().is_empty();
         self.changes.append(changes);
         if news || self.callers.iter().any(|(_, waits)| waits == instance) {
             self.callers.push((caller, instance.to_owned()));
@@ -232,7 +232,11 @@
     /// knows better, and is told on; not so what comes with a whole table, which all get that
     /// connect.
     fn note_hearsay(&mut self, changes: &Changes, whole: bool) {
-        for record in changes.news().iter().filter(|record| leaves(record)) {
+        for record in changes
+            .updates_for_peers()
+            .iter()
+            .filter(|record| leaves(record))
+        {
             self.unconfirmed.insert(record.instance.clone());
             if !whole {
                 self.hearsay.push(record.clone());
@@ -247,7 +251,7 @@
 
     /// Another control machine remembers these from before its start.
     pub(super) fn on_remembered(&mut self, now: Time, records: &[ServerRecord]) {
-        let changes = self.registry.remember(now.0, records);
+        let changes = self.registry.restore_cached(now.0, records);
         self.note_hearsay(&changes, true);
         self.changes.append(changes);
     }
@@ -255,7 +259,7 @@
     /// Another control machine has told whom it heard. Tells whether it named one that is not known
     /// here.
     pub(super) fn on_heard(&mut self, now: Time, heard: &[(String, u32)]) -> bool {
-        let changes = self.registry.merge_heard(now.0, heard);
+        let changes = self.registry.merge_heartbeat_digest(now.0, heard);
         self.changes.append(changes);
         heard
             .iter()
@@ -334,7 +338,7 @@
             counted,
             needed: missing,
         } = audience;
-        let write = leaving_write.filter(|_| changes.news().iter().any(leaves));
+        let write = leaving_write.filter(|_| changes.updates_for_peers().iter().any(leaves));
         self.waits.push(Wait {
             ack,
             instances,
@@ -411,8 +415,8 @@
         if let Some(first) = silent().next() {
             log::info!(target: "control", servers = silent().count(), first = first.instance.as_str(); "servers are silent");
         }
-        if let Some(first) = changes.forgotten.first() {
-            log::info!(target: "control", servers = changes.forgotten.len(), first = first.as_str(); "servers are forgotten");
+        if let Some(first) = changes.expired.first() {
+            log::info!(target: "control", servers = changes.expired.len(), first = first.as_str(); "servers are forgotten");
         }
         self.unconfirmed
             .retain(|instance| self.registry.record(instance).is_some());
@@ -420,7 +424,7 @@
     }
 
     pub(super) fn take_digest(&mut self, now: Time) -> Vec<(String, u32)> {
-        self.registry.take_heard_digest(now.0)
+        self.registry.take_heartbeat_digest(now.0)
     }
 
     pub(super) fn snapshot(&self, now: Time) -> Vec<ServerRecord> {
@@ -429,7 +433,7 @@
 
     /// Servers that are known from before a start alone.
     pub(super) fn remembered(&self) -> Vec<ServerRecord> {
-        self.registry.remembered()
+        self.registry.cached_servers()
     }
 
     /// All that is known, for a router that connects.
@@ -477,7 +481,7 @@
 /// The table, and behind it the servers that are only remembered.
 fn known(registry: &Registry, now: Time) -> Vec<ServerRecord> {
     let mut records = registry.snapshot(now.0);
-    records.append(&mut registry.remembered());
+    records.append(&mut registry.cached_servers());
     records
 }
 
--- a/fleet/src/control/servers/tests.rs
+++ b/fleet/src/control/servers/tests.rs
@@ -62,7 +62,7 @@
         Beat::Waits
     );
     let (changes, ack) = servers.take_changes(at(0), told(&[2, 3]));
-    assert_eq!(changes.news().len(), 1);
+    assert_eq!(changes.updates_for_peers().len(), 1);
     servers.on_merged(peer(2), ack, false);
     servers.on_merged(peer(9), ack, true);
     servers.settle(at(10));
@@ -131,7 +131,7 @@
         Beat::Waits
     );
     let (changes, ack) = servers.take_changes(at(1_200), told(&[2]));
-    assert_eq!((changes.news().len(), ack), (1, 2));
+    assert_eq!((changes.updates_for_peers().len(), ack), (1, 2));
     servers.on_merged(peer(2), ack, true);
     servers.settle(at(1_201));
     assert_eq!(servers.take_answers(), [(callers[2], true)]);
@@ -151,7 +151,10 @@
         Beat::Waits
     );
     let (changes, second) = servers.take_changes(at(10), told(&[2, 3]));
-    assert_eq!((changes.news().len(), second == first), (1, false));
+    assert_eq!(
+        (changes.updates_for_peers().len(), second == first),
+        (1, false)
+    );
     assert_ne!(
         second, 0,
         "that it has left is told under a number of its own"
@@ -194,7 +197,7 @@
         Beat::Waits
     );
     let (changes, ack) = servers.take_changes(at(100), told(&[2, 3]));
-    assert_eq!(changes.news().len(), 1);
+    assert_eq!(changes.updates_for_peers().len(), 1);
     [2, 3]
         .iter()
         .for_each(|number| servers.on_merged(peer(*number), ack, true));
@@ -231,7 +234,11 @@
         Beat::Waits
     );
     assert_eq!(
-        servers.take_changes(at(100), told(&[2, 3])).0.news().len(),
+        servers
+            .take_changes(at(100), told(&[2, 3]))
+            .0
+            .updates_for_peers()
+            .len(),
         1
     );
     // Once it is forgotten nothing is left of it.
@@ -279,7 +286,7 @@
         Beat::Waits
     );
     let (changes, ack) = servers.take_changes(at(50), needed(&[2], 1));
-    assert_eq!(changes.news().len(), 1);
+    assert_eq!(changes.updates_for_peers().len(), 1);
     servers.on_merged(peer(2), ack, true);
     servers.settle(at(51));
     assert_eq!(servers.take_answers(), [(callers[1], true)]);
