--- a/fleet/src/router/server_connections/pool.rs
+++ b/fleet/src/router/server_connections/pool.rs
@@ -1,10 +1,25 @@
-//! Which connection an attempt gets: one that rests, a new one, or a place in the queue.
+//! Which connection an attempt gets (one that is idle, a new one, or a place in the queue), and which
+//! ones are closed.
 
-use super::super::program::{Net, Owner, Timer};
-use super::{is_quiet, Attempt, Link, ServerConnections, State, CONNECT, FRESH, WAIT};
-use lichenswitch_interface::{Outcome, ServerId};
+use super::attempt::Attempt;
+use super::table::{is_quiet, ConnectionState, PooledConnection, ServerConnections};
+use crate::router::ids::AttemptId;
+use crate::router::reactor::{Net, SocketOwner, Timer};
+use lichenswitch_interface::{Micros, Outcome, ServerId};
 use lichenswitch_net::{ConnId, ConnectError, TransferProgress};
 
+/// A connection that is not up after this long never comes up (microseconds). Links within a region
+/// take milliseconds; a lost opening packet is sent again after a second.
+const CONNECT: Micros = 1_000_000;
+
+/// How long a connection may have rested before a request that may not run twice is written on it
+/// (microseconds). Servers may forget idle connections without a word; those closed sooner than
+/// this tell no time in whole seconds either.
+pub(crate) const FRESH: Micros = 400_000;
+
+/// How long an attempt waits where all connections to its server are in use (microseconds).
+pub(crate) const WAIT: Micros = 100_000;
+
 impl ServerConnections {
     /// An idle connection on which this attempt may be written; the one used last, so that others
     /// fall out of use.
@@ -12,8 +27,8 @@
         let now = net.clock.now();
         let known = self.by_server.get(&attempt.server)?;
         let idle = known.iter().filter_map(|id| match self.state(*id)? {
-            State::Idle(since, until) => Some((*since, *until, *id)),
-            State::Opening(_) | State::Busy(_) => None,
+            ConnectionState::Idle(since, until) => Some((*since, *until, *id)),
+            ConnectionState::Opening(_) | ConnectionState::Busy(_) => None,
         });
         let (since, until, id) = idle.max_by_key(|(since, ..)| *since)?;
         let most = if attempt.idempotent {
@@ -33,9 +48,9 @@
     }
 
     pub(super) fn open(&mut self, net: &mut Net, attempt: Attempt) {
-        let mut connected = net.connect(Owner::Server, attempt.endpoint.address);
+        let mut connected = net.connect(SocketOwner::Server, attempt.endpoint.address);
         if matches!(connected, Err(ConnectError::NoDescriptor(_))) && self.close_any_idle(net) {
-            connected = net.connect(Owner::Server, attempt.endpoint.address);
+            connected = net.connect(SocketOwner::Server, attempt.endpoint.address);
         }
         match connected {
             Ok(id) => {
@@ -43,10 +58,10 @@
                 self.by_attempt.insert(attempt.id, id);
                 self.by_server.entry(server).or_default().push(id);
                 let up = net.get(id).is_some_and(|conn| conn.up);
-                let state = State::Opening(Box::new(attempt));
+                let state = ConnectionState::Opening(Box::new(attempt));
                 self.links.insert(
                     id,
-                    Link {
+                    PooledConnection {
                         server,
                         state,
                         timer: None,
@@ -64,8 +79,10 @@
     }
 
     pub(super) fn wait(&mut self, net: &mut Net, attempt: Attempt) {
-        net.wheel
-            .set(net.clock.now().plus(WAIT), Timer::Waiting(attempt.id));
+        net.wheel.set(
+            net.clock.now().plus(WAIT),
+            Timer::ConnectionWait(attempt.id),
+        );
         self.waiting
             .entry(attempt.server)
             .or_default()
@@ -82,7 +99,7 @@
     }
 
     pub(super) fn close_one_idle(&mut self, net: &mut Net, server: ServerId) -> Option<()> {
-        let rests = |id: &&ConnId| matches!(self.state(**id), Some(State::Idle(..)));
+        let rests = |id: &&ConnId| matches!(self.state(**id), Some(ConnectionState::Idle(..)));
         let id = *self.by_server.get(&server)?.iter().find(rests)?;
         self.close(net, id);
         Some(())
@@ -91,7 +108,7 @@
     /// Closes the connection that has rested for longest, to whichever server.
     pub(super) fn close_any_idle(&mut self, net: &mut Net) -> bool {
         let idle = self.links.iter().filter_map(|(id, link)| match link.state {
-            State::Idle(since, _) => Some((since, *id)),
+            ConnectionState::Idle(since, _) => Some((since, *id)),
             _ => None,
         });
         let Some((_, id)) = idle.min() else {
@@ -118,4 +135,52 @@
             self.open(net, next);
         }
     }
+
+    /// Gives an attempt up: its server sees the connection end. Nothing is told of it any more.
+    /// `true`: not a byte of it has left.
+    pub(crate) fn withdraw(&mut self, net: &mut Net, id: AttemptId) -> bool {
+        if let Some(connection) = self.by_attempt.remove(&id) {
+            let opening = matches!(self.state(connection), Some(ConnectionState::Opening(_)));
+            self.close(net, connection);
+            return opening;
+        }
+        self.take_waiting(id)
+    }
+
+    /// A server takes nothing new: what has not left for it is told as never sent, and its idle
+    /// connections are closed.
+    pub(crate) fn hold_back(&mut self, net: &mut Net, server: ServerId) {
+        for attempt in self.waiting.remove(&server).unwrap_or_default() {
+            self.fail(attempt.id, Outcome::Moot);
+        }
+        for id in self.by_server.get(&server).cloned().unwrap_or_default() {
+            match self.state(id) {
+                Some(ConnectionState::Opening(attempt)) => {
+                    let attempt = attempt.id;
+                    self.fail(attempt, Outcome::Moot);
+                    self.close(net, id);
+                }
+                Some(ConnectionState::Idle(..)) => self.close(net, id),
+                Some(ConnectionState::Busy(_)) | None => {}
+            }
+        }
+    }
+
+    /// Closes the connections to a server that have rested: they may have been dropped unseen.
+    pub(crate) fn close_idle(&mut self, net: &mut Net, server: ServerId) {
+        let now = net.clock.now();
+        for id in self.by_server.get(&server).cloned().unwrap_or_default() {
+            if matches!(self.state(id), Some(ConnectionState::Idle(since, _)) if now.since(*since) > FRESH)
+            {
+                self.close(net, id);
+            }
+        }
+    }
+
+    /// An attempt has waited for a connection for long enough.
+    pub(crate) fn waited(&mut self, id: AttemptId) {
+        if self.take_waiting(id) {
+            self.fail(id, Outcome::Moot);
+        }
+    }
 }
