--- a/decide/control/src/call.rs
+++ b/decide/control/src/call.rs
@@ -1,58 +1,81 @@
-//! A call of an operator, as it passes from the machine that took them to the primary.
+//! A call of an operator, as it passes from the machine that received it to the primary.
 
+use crate::rejected_orders::RejectedOrder;
 use lichenswitch_configuration::{Order, OrderKind};
 use lichenswitch_messages::{RelayedCall, RelayedResponse};
 use lichenswitch_replication::Time;
 
-/// A caller goes on to another control machine after a second of silence: a call that can't be
-/// begun is answered before that (microseconds).
-const PATIENCE: u64 = 650_000;
-/// A call that was handed to the primary is given up after this time (microseconds).
-const RELAY_DEADLINE: u64 = 800_000;
-/// Callers wait longer for the answer to a large body, which takes longer to read and check: a
-/// millisecond for so many bytes.
+/// A call that can't be begun is answered after this time (microseconds): before its caller, after a
+/// second without a response, turns to another control machine.
+const BEGIN_TIMEOUT_US: u64 = 650_000;
+/// A call that was forwarded to the primary is given up after this time (microseconds).
+const RESPONSE_TIMEOUT_US: u64 = 800_000;
+/// Callers wait longer for the response to a large body, which takes longer to read and check: one
+/// millisecond more for each of these.
 const BYTES_PER_MILLISECOND: usize = 4 << 10;
-const MILLISECOND: u64 = 1_000;
+const MICROS_PER_MILLISECOND: u64 = 1_000;
 
-/// Who waits for the answer.
+/// Who awaits the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Origin<C, A> {
+pub enum CallOrigin<C, A> {
     /// A caller at this machine.
     Caller(C),
     /// A caller at another control machine, which relays.
     Peer {
-        /// Which one.
+        /// Address of that machine.
         address: A,
-        /// Its number of the call.
+        /// Number that it gave the call.
         id: u64,
     },
 }
 
-/// What is asked.
+/// What a call requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Question {
-    /// To take an order.
+pub enum CallKind {
+    /// To accept an order that changes the configuration.
     Order(Order),
-    /// For the newest configuration.
+    /// To return the newest configuration.
     Describe,
-    /// For the primary's view of the group.
+    /// To return the primary's view of the group.
     Status,
 }
 
-/// A call that waits for its answer.
+/// A call that awaits its response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call<C, A> {
-    /// Who waits.
-    pub origin: Origin<C, A>,
-    /// What is asked.
-    pub question: Question,
-    /// When it came to this machine.
+    /// Who awaits the response.
+    pub origin: CallOrigin<C, A>,
+    /// What it requests.
+    pub kind: CallKind,
+    /// When it arrived at this machine.
     pub arrived: Time,
 }
 
-impl Question {
-    /// Of a message; `None` if it names a path that is none.
-    pub fn of_relayed(call: RelayedCall) -> Option<Question> {
+/// A call with its response.
+#[derive(Clone, Debug, PartialEq)]
+pub struct CompletedCall<C, A> {
+    /// The call.
+    pub call: Call<C, A>,
+    /// What the caller, or the machine that relayed the call, is sent.
+    pub response: RelayedResponse,
+    /// Set when the call was an order that this machine rejected as primary.
+    pub rejection: Option<RejectedOrder>,
+}
+
+impl<C, A> CompletedCall<C, A> {
+    /// A call that completes with this response, and is no rejected order.
+    pub(crate) fn new(call: Call<C, A>, response: RelayedResponse) -> Self {
+        Self {
+            call,
+            response,
+            rejection: None,
+        }
+    }
+}
+
+impl CallKind {
+    /// From a message of another machine; `None` if it names a path that is no order's.
+    pub fn from_relayed(call: RelayedCall) -> Option<CallKind> {
         match call {
             RelayedCall::Order {
                 path,
@@ -60,21 +83,21 @@
                 body,
             } => {
                 OrderKind::of_path(&path)?;
-                Some(Question::Order(Order {
+                Some(CallKind::Order(Order {
                     path,
                     base_version,
                     body,
                 }))
             }
-            RelayedCall::Describe => Some(Question::Describe),
-            RelayedCall::Status => Some(Question::Status),
+            RelayedCall::Describe => Some(CallKind::Describe),
+            RelayedCall::Status => Some(CallKind::Status),
         }
     }
 
     /// As a message.
     pub fn to_relayed(&self) -> RelayedCall {
         match self {
-            Question::Order(Order {
+            CallKind::Order(Order {
                 path,
                 base_version,
                 body,
@@ -83,55 +106,64 @@
                 base_version: *base_version,
                 body: body.clone(),
             },
-            Question::Describe => RelayedCall::Describe,
-            Question::Status => RelayedCall::Status,
+            CallKind::Describe => RelayedCall::Describe,
+            CallKind::Status => RelayedCall::Status,
         }
     }
 
-    /// Bytes that it holds.
-    pub(crate) fn weight(&self) -> usize {
+    /// The order, if it is one.
+    pub fn as_order(&self) -> Option<&Order> {
         match self {
-            Question::Order(order) => order.body.len(),
-            Question::Describe | Question::Status => 0,
+            CallKind::Order(order) => Some(order),
+            CallKind::Describe | CallKind::Status => None,
         }
     }
 
-    /// What a call is answered that was handed to the primary and whose outcome isn't known. Only
-    /// an order may have been taken.
-    pub(crate) fn unanswered(&self) -> RelayedResponse {
+    /// Bytes of its body.
+    pub(crate) fn body_bytes(&self) -> usize {
+        self.as_order().map_or(0, |order| order.body.len())
+    }
+
+    /// The response to a call that was forwarded to the primary and whose outcome is unknown. Only
+    /// an order may have had an effect.
+    pub(crate) fn response_when_outcome_unknown(&self) -> RelayedResponse {
         match self {
-            Question::Order(_) => RelayedResponse::Unknown,
-            Question::Describe | Question::Status => RelayedResponse::NotPrimary,
+            CallKind::Order(_) => RelayedResponse::Unknown,
+            CallKind::Describe | CallKind::Status => RelayedResponse::NotPrimary,
         }
     }
 }
 
 impl<C, A> Call<C, A> {
-    /// Until when it may wait before it is begun.
-    pub fn patience(&self) -> Time {
-        self.arrived.after(PATIENCE + self.for_its_size())
+    /// When it is given up unless it has been begun.
+    pub fn begin_deadline(&self) -> Time {
+        self.arrived
+            .after(BEGIN_TIMEOUT_US + self.body_size_allowance())
     }
 
-    /// Until when the primary may answer it.
-    pub fn deadline(&self) -> Time {
-        self.arrived.after(RELAY_DEADLINE + self.for_its_size())
+    /// When it is given up unless the primary has responded.
+    pub fn response_deadline(&self) -> Time {
+        self.arrived
+            .after(RESPONSE_TIMEOUT_US + self.body_size_allowance())
     }
 
-    fn for_its_size(&self) -> u64 {
-        (self.question.weight() / BYTES_PER_MILLISECOND) as u64 * MILLISECOND
+    fn body_size_allowance(&self) -> u64 {
+        (self.kind.body_bytes() / BYTES_PER_MILLISECOND) as u64 * MICROS_PER_MILLISECOND
     }
 }
 
-/// An answer with a reason in JSON.
-pub fn answer(status: u16, reason: &str) -> RelayedResponse {
+/// A response whose body gives the reason as JSON.
+pub fn error_response(status: u16, reason: &str) -> RelayedResponse {
     let body = format!("{{\"error\":{}}}", miniserde::json::to_string(reason)).into_bytes();
     RelayedResponse::Response { status, body }
 }
 
-/// An answer to an order that is in force.
-pub(crate) fn taken(version: u64) -> RelayedResponse {
-    RelayedResponse::Response {
-        status: 200,
-        body: format!("{{\"version\":{version}}}").into_bytes(),
-    }
+/// The response to an order that is in force.
+pub(crate) fn accepted_response(version: u64) -> RelayedResponse {
+    success_response(format!("{{\"version\":{version}}}").into_bytes())
+}
+
+/// A response of status 200.
+pub(crate) fn success_response(body: Vec<u8>) -> RelayedResponse {
+    RelayedResponse::Response { status: 200, body }
 }
--- a/decide/control/src/pushes/tests.rs
+++ b/decide/control/src/configuration_pushes/tests.rs
@@ -11,8 +11,8 @@
     }
 }
 
-fn committed(number: u64) -> Committed {
-    Committed {
+fn committed(number: u64) -> CommittedConfiguration {
+    CommittedConfiguration {
         position: at(number),
         version: number,
         document: Arc::from(b"{}".as_slice()),
@@ -28,10 +28,10 @@
 }
 
 #[test]
-fn a_router_is_told_of_contact_only_after_what_is_committed() {
-    let mut pushes = Pushes::new(Some(at(3)));
+fn committed_configuration_is_pushed_before_first_heartbeat() {
+    let mut pushes = ConfigurationPushes::new(Some(at(3)));
     assert_matches!(
-        &pushes.greet(Some(&committed(4)), heartbeat())[..],
+        &pushes.initial_messages(Some(&committed(4)), heartbeat())[..],
         [ControlToRouter::Configuration { push: 1, position, .. }, ControlToRouter::Heartbeat { in_contact: true, .. }]
             if *position == at(4)
     );
@@ -39,10 +39,10 @@
 }
 
 #[test]
-fn what_a_router_holds_or_was_sent_is_not_sent_again() {
-    let mut pushes = Pushes::new(Some(at(3)));
+fn configuration_that_was_applied_or_sent_is_not_pushed_again() {
+    let mut pushes = ConfigurationPushes::new(Some(at(3)));
     assert_matches!(
-        &pushes.greet(Some(&committed(3)), heartbeat())[..],
+        &pushes.initial_messages(Some(&committed(3)), heartbeat())[..],
         [ControlToRouter::Heartbeat { .. }]
     );
     assert_matches!(
@@ -51,7 +51,7 @@
     );
     assert_matches!(pushes.configuration(&committed(4)), None);
     pushes.on_applied(Some(at(5)));
-    assert_eq!(pushes.holds(), Some(at(5)));
+    assert_eq!(pushes.applied(), Some(at(5)));
     assert_matches!(pushes.configuration(&committed(5)), None);
     assert_matches!(
         pushes.configuration(&committed(6)),
@@ -60,9 +60,9 @@
 }
 
 #[test]
-fn without_a_configuration_a_router_hears_of_contact_alone() {
+fn router_gets_only_heartbeat_without_configuration() {
     assert_matches!(
-        &Pushes::new(None).greet(None, heartbeat())[..],
+        &ConfigurationPushes::new(None).initial_messages(None, heartbeat())[..],
         [ControlToRouter::Heartbeat { .. }]
     );
 }
--- a/decide/control/src/faults.rs
+++ b/decide/control/src/faults.rs
@@ -1,10 +1,10 @@
 //! Faults that tests plant to show that they would be found.
 
-/// All off elsewhere.
+/// Planted faults in the handling of calls; all off outside tests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Faults {
-    /// A repeat is known by its version number, not by its content.
+pub struct PlantedFaults {
+    /// A repeated order is recognised by its version number, not by its content.
     pub known_by_number: bool,
-    /// The primary refuses by what it holds as committed, without a round.
+    /// The primary rejects orders by its committed state, without a confirmation round.
     pub refusal_without_contact: bool,
 }
--- /dev/null
+++ b/decide/control/src/group_membership/tests.rs
@@ -0,0 +1,105 @@
+use super::*;
+
+const SECOND: u64 = 1_000_000;
+
+fn at(seconds: u64) -> Time {
+    Time(seconds * SECOND)
+}
+
+fn member_beside(durable_voters: usize) -> GroupView {
+    GroupView {
+        is_member: true,
+        has_left: false,
+        durable_voters,
+    }
+}
+
+const NOT_MEMBER: GroupView = GroupView {
+    is_member: false,
+    has_left: false,
+    durable_voters: 0,
+};
+
+#[test]
+fn durable_machine_joins_at_once_and_stays() {
+    let mut membership = GroupMembership::new(Eligibility::Durable, at(1), 1);
+    assert_eq!(
+        membership.next_action(at(1), NOT_MEMBER),
+        Some(MembershipAction::Join)
+    );
+    assert_eq!(membership.next_action(at(100), member_beside(4)), None);
+}
+
+#[test]
+fn stand_in_joins_only_after_three_seconds_without_durable_peer() {
+    let mut membership = GroupMembership::new(Eligibility::StandIn, at(1), 1);
+    assert_eq!(membership.next_action(at(4), NOT_MEMBER), None);
+    assert_eq!(
+        membership.next_action(Time(4 * SECOND + 1), NOT_MEMBER),
+        Some(MembershipAction::Join)
+    );
+    membership.on_durable_peer(false);
+    assert_eq!(
+        (
+            membership.next_action(at(100), NOT_MEMBER),
+            membership.eligibility()
+        ),
+        (None, Eligibility::Relay)
+    );
+}
+
+#[test]
+fn stand_in_leaves_once_durable_voters_tolerate_required_losses() {
+    for (fault_tolerance, required_voters) in [(1, 3), (2, 5)] {
+        let mut membership = GroupMembership::new(Eligibility::StandIn, at(1), fault_tolerance);
+        membership.on_durable_peer(true);
+        assert_eq!(
+            membership.next_action(at(2), member_beside(0)),
+            None,
+            "it founded: it holds the state"
+        );
+        assert_eq!(
+            membership.next_action(at(2), member_beside(required_voters - 1)),
+            None
+        );
+        assert_eq!(
+            membership.next_action(at(2), member_beside(required_voters)),
+            Some(MembershipAction::Leave)
+        );
+        let left = GroupView {
+            has_left: true,
+            ..member_beside(required_voters)
+        };
+        assert_eq!(
+            membership.next_action(at(3), left),
+            Some(MembershipAction::BecomeRelay)
+        );
+        assert_eq!(
+            (
+                membership.next_action(at(9), NOT_MEMBER),
+                membership.eligibility()
+            ),
+            (None, Eligibility::Relay)
+        );
+    }
+}
+
+#[test]
+fn stand_in_leaves_fewer_durable_voters_after_gathering_timeout() {
+    let mut membership = GroupMembership::new(Eligibility::StandIn, at(1), 2);
+    assert_eq!(
+        (
+            membership.next_action(at(2), member_beside(1)),
+            membership.next_wake()
+        ),
+        (None, Some(at(7)))
+    );
+    assert_eq!(membership.next_action(at(6), member_beside(1)), None);
+    assert_eq!(
+        membership.next_action(at(7), member_beside(1)),
+        Some(MembershipAction::Leave)
+    );
+    // The one that was there is gone before it left: it holds the state alone again.
+    assert_eq!(membership.next_action(at(8), member_beside(0)), None);
+    assert_eq!(membership.next_action(at(9), member_beside(2)), None);
+}
--- a/decide/control/src/lib.rs
+++ b/decide/control/src/lib.rs
@@ -1,33 +1,38 @@
 //! What a control machine decides about the calls of operators, and about what each router is sent.
 //!
-//! It owns who answers a call and when (`docs/design/control.md`, section 4): [`Calls`] joins
-//! [`RelayedCalls`], at the machine that took a call, and [`PrimaryCalls`], at the primary;
-//! [`Pushes`] is one router's share of what is pushed; [`OwnPart`] says whether a machine takes
-//! part in the group of voters. It promises that nothing is answered from state but after a round
-//! that began once the call had come, and that no order is refused whose end isn't known.
+//! It owns who answers a call and when (`docs/design/control.md`, section 4): [`CallDispatcher`]
+//! joins [`RelayedCalls`], at the machine that received a call, and [`PrimaryCalls`], at the
+//! primary. [`ConfigurationPushes`] tracks what one router has been sent; [`GroupMembership`]
+//! decides whether a machine is a member of the group of voters. The crate promises that a call is
+//! answered from replicated state only after a confirmation round that began once the call had
+//! arrived, and that no order is rejected whose outcome is unknown.
 //!
 //! It is pure: no I/O, no clock, no threads. Time is an argument; a caller's handle and a machine's
 //! address are type parameters, so that the role `control` and the simulator run the same code.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod acknowledged;
+mod acknowledged_versions;
 mod call;
-mod calls;
+mod call_dispatcher;
+mod configuration_pushes;
 mod faults;
-mod own_part;
+mod group_membership;
 mod primary_calls;
-mod pushes;
+mod rejected_orders;
 mod relayed_calls;
-mod replicated;
+mod replicated_configuration;
 
-pub use acknowledged::{version_in, Acknowledged};
-pub use call::{answer, Call, Origin, Question};
-pub use calls::{Action, Calls};
+pub use acknowledged_versions::{parse_response_version, AcknowledgedVersions};
+pub use call::{error_response, Call, CallKind, CallOrigin, CompletedCall};
+pub use call_dispatcher::{CallAction, CallDispatcher};
+pub use configuration_pushes::{
+    configuration_position, CommittedConfiguration, ConfigurationPushes,
+};
 #[doc(hidden)]
-pub use faults::Faults;
-pub use own_part::{Change, Eligibility, OwnPart, View};
-pub use primary_calls::{describe, Ended, PrimaryCalls, Refusal, Refusals};
-pub use pushes::{configuration_position, Committed, Pushes};
-pub use relayed_calls::{Primary, RelayedCalls, Step};
-pub use replicated::{Configured, Replicated};
+pub use faults::PlantedFaults;
+pub use group_membership::{Eligibility, GroupMembership, GroupView, MembershipAction};
+pub use primary_calls::{describe_configuration, PrimaryCalls};
+pub use rejected_orders::{RejectedOrder, RejectedOrders};
+pub use relayed_calls::{PrimaryLocation, RelayAction, RelayedCalls};
+pub use replicated_configuration::{ConfigurationState, ReplicatedConfiguration};
--- a/decide/control/src/primary_calls.rs
+++ b/decide/control/src/primary_calls.rs
@@ -1,178 +1,151 @@
 //! Calls at the primary: each is answered from committed state, with nothing in flight, after a
-//! round that began once it had come.
+//! confirmation round that began once it had arrived.
 //!
-//! Orders are judged one at a time. One that changes something is answered once its record is
-//! committed; all other verdicts are told only after a round, and are judged again then. What the
-//! replica can't tell the end of has no answer.
+//! Orders are judged one at a time. An order that changes something is answered once its record is
+//! committed. Any other verdict is judged again after a confirmation round, and answered only then.
+//! An order whose outcome the replica doesn't know gets no response.
 
-use crate::call::{answer, taken, Call, Question};
-use crate::faults::Faults;
-use crate::replicated::Configured;
+use crate::call::{
+    accepted_response, error_response, success_response, Call, CallKind, CompletedCall,
+};
+use crate::faults::PlantedFaults;
+use crate::rejected_orders::RejectedOrder;
+use crate::replicated_configuration::ConfigurationState;
 use lichenswitch_configuration::{judge, Document, Order, Verdict};
 use lichenswitch_messages::RelayedResponse;
 use lichenswitch_replication::{Outcome, Replica, RequestId, Time};
 use std::collections::VecDeque;
 
-/// Orders that may wait, and the bytes of them all. Guards memory.
-const MOST_WAITING: usize = 64;
-const MOST_WAITING_BYTES: usize = 16 << 20;
-/// Refusals that are kept for operators.
-const REFUSALS_KEPT: usize = 8;
+/// Limits on the queued orders and on the bytes of their bodies. They bound memory.
+const MAX_QUEUED_ORDERS: usize = 64;
+const MAX_QUEUED_BYTES: usize = 16 << 20;
 
-/// A call with its end.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Ended<C, A> {
-    /// The call.
-    pub call: Call<C, A>,
-    /// What whoever waits is to be told.
-    pub answer: RelayedResponse,
-    /// It was an order that was refused.
-    pub refusal: Option<Refusal>,
-}
-
-/// What the order at hand waits for.
+/// What the order in progress waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Step {
-    /// That its change is committed.
-    Committing,
-    /// That a round ends which began after it came.
-    Confirming,
+enum JudgementStep {
+    /// The commit of its change.
+    AwaitingCommit,
+    /// The end of a confirmation round that began after the order had arrived.
+    AwaitingConfirmation,
 }
 
-struct Current<C, A> {
+struct OrderInProgress<C, A> {
     call: Call<C, A>,
-    step: Step,
+    step: JudgementStep,
     request: RequestId,
 }
 
-/// An order that was refused, for operators.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Refusal {
-    /// 400 or 412.
-    pub status: u16,
-    /// The version that it was to change.
-    pub base_version: u64,
-    /// Why.
-    pub reason: String,
-    /// When.
-    pub at: Time,
-}
-
-/// The last refusals, for operators.
-#[derive(Clone, Debug, Default)]
-pub struct Refusals(VecDeque<Refusal>);
-
-impl Refusals {
-    /// An order was refused.
-    pub fn note(&mut self, refusal: Refusal) {
-        if self.0.len() >= REFUSALS_KEPT {
-            self.0.pop_front();
-        }
-        self.0.push_back(refusal);
-    }
-
-    /// The oldest first.
-    pub fn iter(&self) -> impl Iterator<Item = &Refusal> {
-        self.0.iter()
-    }
-}
-
 /// Calls that this machine answers as primary.
 pub struct PrimaryCalls<C, A> {
-    waiting: VecDeque<Call<C, A>>,
-    waiting_bytes: usize,
-    current: Option<Current<C, A>>,
+    queued: VecDeque<Call<C, A>>,
+    queued_bytes: usize,
+    in_progress: Option<OrderInProgress<C, A>>,
     reads: Vec<(RequestId, Call<C, A>)>,
-    ended: Vec<Ended<C, A>>,
-    faults: Faults,
+    completed: Vec<CompletedCall<C, A>>,
+    faults: PlantedFaults,
 }
 
 impl<C, A> Default for PrimaryCalls<C, A> {
     fn default() -> Self {
-        Self::with_faults(Faults::default())
+        Self::with_faults(PlantedFaults::default())
     }
 }
 
 impl<C, A> PrimaryCalls<C, A> {
-    /// None yet, with planted faults.
+    /// Without calls, with planted faults.
     #[doc(hidden)]
-    pub fn with_faults(faults: Faults) -> Self {
+    pub fn with_faults(faults: PlantedFaults) -> Self {
         Self {
-            waiting: VecDeque::new(),
-            waiting_bytes: 0,
-            current: None,
+            queued: VecDeque::new(),
+            queued_bytes: 0,
+            in_progress: None,
             reads: Vec::new(),
-            ended: Vec::new(),
+            completed: Vec::new(),
             faults,
         }
     }
 
-    /// A call has come.
-    pub fn take<S: Configured>(&mut self, now: Time, call: Call<C, A>, replica: &mut Replica<S>) {
-        match &call.question {
-            Question::Order(_) if self.is_full(&call) => {
-                self.end(call, answer(503, "too many orders wait"));
+    /// A call has arrived.
+    pub fn take<S: ConfigurationState>(
+        &mut self,
+        now: Time,
+        call: Call<C, A>,
+        replica: &mut Replica<S>,
+    ) {
+        match &call.kind {
+            CallKind::Order(_) if self.exceeds_queue_limit(&call) => {
+                self.complete(call, error_response(503, "too many orders wait"));
             }
-            Question::Order(_) => {
-                self.waiting_bytes += call.question.weight();
-                self.waiting.push_back(call);
+            CallKind::Order(_) => {
+                self.queued_bytes += call.kind.body_bytes();
+                self.queued.push_back(call);
             }
-            Question::Describe | Question::Status => {
+            CallKind::Describe | CallKind::Status => {
                 let request = replica.confirm(now);
                 self.reads.push((request, call));
             }
         }
     }
 
-    fn is_full(&self, call: &Call<C, A>) -> bool {
-        let bytes = self.waiting_bytes + call.question.weight();
-        self.waiting.len() >= MOST_WAITING
-            || (bytes > MOST_WAITING_BYTES && !self.waiting.is_empty())
+    fn exceeds_queue_limit(&self, call: &Call<C, A>) -> bool {
+        let bytes = self.queued_bytes + call.kind.body_bytes();
+        self.queued.len() >= MAX_QUEUED_ORDERS
+            || (bytes > MAX_QUEUED_BYTES && !self.queued.is_empty())
     }
 
-    /// Begins what can be begun.
-    pub fn advance<S: Configured>(&mut self, now: Time, replica: &mut Replica<S>) {
-        while self.current.is_none() {
-            let Some(call) = self.waiting.pop_front() else {
+    /// Begins the queued orders that can be begun, and completes those that have waited too long.
+    pub fn advance<S: ConfigurationState>(&mut self, now: Time, replica: &mut Replica<S>) {
+        while self.in_progress.is_none() {
+            let Some(call) = self.queued.pop_front() else {
                 return;
             };
-            self.waiting_bytes -= call.question.weight();
+            self.queued_bytes -= call.kind.body_bytes();
             if !replica.is_serving() {
-                self.end(call, RelayedResponse::NotPrimary);
+                self.complete(call, RelayedResponse::NotPrimary);
             } else if replica.is_idle() && replica.may_take_orders(now) {
                 self.begin(now, call, replica);
-            } else if call.patience() <= now {
-                self.end(call, answer(503, "the group can't take an order yet"));
+            } else if call.begin_deadline() <= now {
+                self.complete(
+                    call,
+                    error_response(503, "the group can't take an order yet"),
+                );
             } else {
-                return self.judge_again(call);
+                return self.requeue_first(call);
             }
         }
     }
 
-    fn begin<S: Configured>(&mut self, now: Time, call: Call<C, A>, replica: &mut Replica<S>) {
+    fn begin<S: ConfigurationState>(
+        &mut self,
+        now: Time,
+        call: Call<C, A>,
+        replica: &mut Replica<S>,
+    ) {
         let Some(verdict) = self.verdict(&call, replica) else {
-            return self.end(call, RelayedResponse::NotPrimary);
+            return self.complete(call, RelayedResponse::NotPrimary);
         };
         let (step, request) = match verdict {
-            Verdict::Change(change) => (Step::Committing, replica.propose(now, change)),
+            Verdict::Change(change) => {
+                (JudgementStep::AwaitingCommit, replica.propose(now, change))
+            }
             Verdict::VersionConflict { current } if self.faults.refusal_without_contact => {
-                return self.refuse(now, call, 412, conflict(current));
+                return self.reject(now, call, 412, conflict(current));
             }
-            // What is not a change may have been decided by what is no longer true: it is told
-            // after a round only.
+            // Another primary may have committed something since: the verdict stands only after a
+            // confirmation round.
             Verdict::Taken | Verdict::VersionConflict { .. } | Verdict::Invalid(_) => {
-                (Step::Confirming, replica.confirm(now))
+                (JudgementStep::AwaitingConfirmation, replica.confirm(now))
             }
         };
-        self.current = Some(Current {
+        self.in_progress = Some(OrderInProgress {
             call,
             step,
             request,
         });
     }
 
-    /// A request to the replica has ended. `status`: the group, as the primary shows it.
-    pub fn on_settled<S: Configured>(
+    /// A request to the replica is completed. `status` renders the group as the primary sees it.
+    pub fn on_request_completed<S: ConfigurationState>(
         &mut self,
         now: Time,
         request: RequestId,
@@ -180,46 +153,46 @@
         replica: &mut Replica<S>,
         status: impl FnOnce(&Replica<S>) -> Vec<u8>,
     ) {
-        if let Some(current) = self.current.take_if(|current| current.request == request) {
-            match current.step {
-                Step::Committing => self.on_committing_ended(current.call, outcome, replica),
-                Step::Confirming => self.on_confirming_ended(now, current.call, outcome, replica),
+        if let Some(in_progress) = self
+            .in_progress
+            .take_if(|in_progress| in_progress.request == request)
+        {
+            match in_progress.step {
+                JudgementStep::AwaitingCommit => {
+                    self.on_commit_completed(in_progress.call, outcome, replica)
+                }
+                JudgementStep::AwaitingConfirmation => {
+                    self.on_confirmation_completed(now, in_progress.call, outcome, replica)
+                }
             }
-        } else if let Some(place) = self.reads.iter().position(|read| read.0 == request) {
-            let (_, call) = self.reads.swap_remove(place);
-            let answer = match (outcome, &call.question) {
-                (Outcome::Confirmed(_), Question::Describe) => describe(replica),
-                (Outcome::Confirmed(_), _) => RelayedResponse::Response {
-                    status: 200,
-                    body: status(replica),
-                },
+        } else if let Some(index) = self.reads.iter().position(|read| read.0 == request) {
+            let (_, call) = self.reads.swap_remove(index);
+            let response = match (outcome, &call.kind) {
+                (Outcome::Confirmed(_), CallKind::Describe) => describe_configuration(replica),
+                (Outcome::Confirmed(_), _) => success_response(status(replica)),
                 _ => RelayedResponse::NotPrimary,
             };
-            self.end(call, answer);
+            self.complete(call, response);
         }
     }
 
-    fn on_committing_ended<S: Configured>(
+    fn on_commit_completed<S: ConfigurationState>(
         &mut self,
         call: Call<C, A>,
         outcome: &Outcome,
         replica: &Replica<S>,
     ) {
-        let answer = match outcome {
-            Outcome::Committed(_) => taken(
-                replica
-                    .committed()
-                    .map_or(0, |(_, state)| state.as_ref().version()),
-            ),
+        let response = match outcome {
+            Outcome::Committed(_) => accepted_response(committed_version(replica)),
             Outcome::NotPrimary => RelayedResponse::NotPrimary,
-            // The state was another one than it was judged against: it is judged anew.
-            Outcome::Rejected(_) => return self.judge_again(call),
+            // The state differs from the one that the order was judged against.
+            Outcome::Rejected(_) => return self.requeue_first(call),
             Outcome::Unknown | Outcome::Confirmed(_) => RelayedResponse::Unknown,
         };
-        self.end(call, answer);
+        self.complete(call, response);
     }
 
-    fn on_confirming_ended<S: Configured>(
+    fn on_confirmation_completed<S: ConfigurationState>(
         &mut self,
         now: Time,
         call: Call<C, A>,
@@ -227,113 +200,107 @@
         replica: &mut Replica<S>,
     ) {
         if !matches!(outcome, Outcome::Confirmed(_)) {
-            return self.end(call, RelayedResponse::NotPrimary);
+            return self.complete(call, RelayedResponse::NotPrimary);
         }
         if !replica.is_idle() {
-            // Something is in flight that may change the verdict.
-            return self.judge_again(call);
+            // A change in flight may alter the verdict.
+            return self.requeue_first(call);
         }
         match self.verdict(&call, replica) {
-            None => self.end(call, RelayedResponse::NotPrimary),
+            None => self.complete(call, RelayedResponse::NotPrimary),
             Some(Verdict::Change(_)) => self.begin(now, call, replica),
             Some(Verdict::Taken) => {
-                let version = order(&call).map_or(0, version_of);
-                self.end(call, taken(version));
+                let version = call.kind.as_order().map_or(0, version_of);
+                self.complete(call, accepted_response(version));
             }
             Some(Verdict::VersionConflict { current }) => {
-                self.refuse(now, call, 412, conflict(current))
+                self.reject(now, call, 412, conflict(current))
             }
-            Some(Verdict::Invalid(error)) => self.refuse(now, call, 400, error.to_string()),
+            Some(Verdict::Invalid(error)) => self.reject(now, call, 400, error.to_string()),
         }
     }
 
-    /// It is the next to be judged, once more.
-    fn judge_again(&mut self, call: Call<C, A>) {
-        self.waiting_bytes += call.question.weight();
-        self.waiting.push_front(call);
+    /// Puts a call at the head of the queue, to be judged again.
+    fn requeue_first(&mut self, call: Call<C, A>) {
+        self.queued_bytes += call.kind.body_bytes();
+        self.queued.push_front(call);
     }
 
-    fn end(&mut self, call: Call<C, A>, answer: RelayedResponse) {
-        self.ended.push(Ended {
-            call,
-            answer,
-            refusal: None,
-        });
+    fn complete(&mut self, call: Call<C, A>, response: RelayedResponse) {
+        self.completed.push(CompletedCall::new(call, response));
     }
 
-    fn refuse(&mut self, now: Time, call: Call<C, A>, status: u16, reason: String) {
-        let base_version = order(&call).map_or(0, |order| order.base_version);
-        let answer = answer(status, &reason);
-        let refusal = Some(Refusal {
+    fn reject(&mut self, now: Time, call: Call<C, A>, status: u16, reason: String) {
+        let base_version = call.kind.as_order().map_or(0, |order| order.base_version);
+        let response = error_response(status, &reason);
+        let rejection = Some(RejectedOrder {
             status,
             base_version,
             reason,
             at: now,
         });
-        self.ended.push(Ended {
+        self.completed.push(CompletedCall {
             call,
-            answer,
-            refusal,
+            response,
+            rejection,
         });
     }
 
-    /// How an order stands to what is committed. A group that has committed nothing yet has no
-    /// state to judge by.
-    fn verdict<S: Configured>(&self, call: &Call<C, A>, replica: &Replica<S>) -> Option<Verdict> {
+    /// The verdict on an order by the committed state; `None` while nothing is committed yet.
+    fn verdict<S: ConfigurationState>(
+        &self,
+        call: &Call<C, A>,
+        replica: &Replica<S>,
+    ) -> Option<Verdict> {
         let (_, state) = replica.committed()?;
-        let (state, order) = (state.as_ref(), order(call)?);
+        let (state, order) = (state.as_ref(), call.kind.as_order()?);
         if self.faults.known_by_number && version_of(order) == state.version() {
             return Some(Verdict::Taken);
         }
         Some(judge(state, order))
     }
 
-    /// Calls that have ended since this was last asked.
-    pub fn take_ended(&mut self) -> Vec<Ended<C, A>> {
-        std::mem::take(&mut self.ended)
+    /// Takes the calls that were completed since the last take.
+    pub fn take_completed(&mut self) -> Vec<CompletedCall<C, A>> {
+        std::mem::take(&mut self.completed)
     }
 
-    /// Whether nothing waits.
+    /// Whether no call is pending.
     pub fn is_empty(&self) -> bool {
-        self.waiting.is_empty() && self.current.is_none() && self.reads.is_empty()
+        self.queued.is_empty() && self.in_progress.is_none() && self.reads.is_empty()
     }
 
-    /// When a call that waits to be begun loses its patience.
+    /// When the first queued order is given up unless it has been begun.
     pub fn next_wake(&self) -> Option<Time> {
-        self.waiting
+        self.queued
             .front()
-            .filter(|_| self.current.is_none())
-            .map(Call::patience)
+            .filter(|_| self.in_progress.is_none())
+            .map(Call::begin_deadline)
     }
 }
 
-fn order<C, A>(call: &Call<C, A>) -> Option<&Order> {
-    match &call.question {
-        Question::Order(order) => Some(order),
-        Question::Describe | Question::Status => None,
-    }
+fn committed_version<S: ConfigurationState>(replica: &Replica<S>) -> u64 {
+    let committed = replica.committed();
+    committed.map_or(0, |(_, state)| state.as_ref().version())
 }
 
 fn conflict(current: u64) -> String {
     format!("version {current} is current")
 }
 
-/// The version that an order that was taken brought; for people only.
+/// The version that an accepted order brought; for people only.
 fn version_of(order: &Order) -> u64 {
     Document::parse(&order.body).map_or(0, |document| document.version())
 }
 
-/// The committed configuration as an answer. It is told only after a round.
-pub fn describe<S: Configured>(replica: &Replica<S>) -> RelayedResponse {
+/// The committed configuration as a response. It may be sent only after a confirmation round.
+pub fn describe_configuration<S: ConfigurationState>(replica: &Replica<S>) -> RelayedResponse {
     let document = replica
         .committed()
         .and_then(|(_, state)| state.as_ref().document());
     match document {
-        Some(document) => RelayedResponse::Response {
-            status: 200,
-            body: document.to_json(),
-        },
-        None => answer(503, "there is no configuration yet"),
+        Some(document) => success_response(document.to_json()),
+        None => error_response(503, "there is no configuration yet"),
     }
 }
 
--- a/decide/control/src/primary_calls/tests.rs
+++ b/decide/control/src/primary_calls/tests.rs
@@ -1,8 +1,9 @@
 //! Tests of `primary_calls`, with a replica that is alone and remembers at once.
 
 use super::*;
-use crate::call::Origin;
-use crate::replicated::Replicated;
+use crate::call::CallOrigin;
+use crate::rejected_orders::RejectedOrders;
+use crate::replicated_configuration::ReplicatedConfiguration;
 use assert_matches::assert_matches;
 use lichenswitch_configuration::REPLACE_PATH;
 use lichenswitch_replication::{Identity, Member, Output, Settings};
@@ -12,18 +13,18 @@
 /// Handle of a caller, address of a machine.
 type PrimaryCalls = super::PrimaryCalls<u8, u8>;
 
-struct Alone {
-    replica: Replica<Replicated>,
+struct SoleVoter {
+    replica: Replica<ReplicatedConfiguration>,
     calls: PrimaryCalls,
-    refusals: Refusals,
+    rejections: RejectedOrders,
     now: Time,
-    /// What the replica has settled and nobody was told yet.
-    settled: Vec<(RequestId, Outcome)>,
+    /// Requests that the replica has completed and that were not delivered yet.
+    completions: Vec<(RequestId, Outcome)>,
 }
 
-impl Alone {
+impl SoleVoter {
     /// A sole founder that serves, and has waited long enough for others.
-    fn new() -> Alone {
+    fn new() -> SoleVoter {
         let settings = Settings {
             fault_tolerance: 0,
             ..Settings::default()
@@ -32,30 +33,38 @@
             identity: Identity(7),
             address: "10.0.0.1:7300".to_owned(),
         };
-        let replica = Replica::found(settings, member, Replicated::default(), 1, START);
-        let mut alone = Alone {
+        let replica = Replica::found(
+            settings,
+            member,
+            ReplicatedConfiguration::default(),
+            1,
+            START,
+        );
+        let mut voter = SoleVoter {
             replica,
             calls: PrimaryCalls::default(),
-            refusals: Refusals::default(),
+            rejections: RejectedOrders::default(),
             now: START,
-            settled: Vec::new(),
+            completions: Vec::new(),
         };
-        while !alone.replica.is_serving() {
-            alone.now = alone.now.after(50_000);
-            alone.replica.tick(alone.now);
-            alone.write();
+        while !voter.replica.is_serving() {
+            voter.now = voter.now.after(50_000);
+            voter.replica.tick(voter.now);
+            voter.persist();
         }
-        alone
+        voter
     }
 
-    /// Does what the replica wants written.
-    fn write(&mut self) {
+    /// Acknowledges all that the replica wants persisted.
+    fn persist(&mut self) {
         loop {
             let mut last = None;
             for output in self.replica.take_outputs() {
                 match output {
                     Output::Persist { ticket, .. } => last = Some(ticket),
-                    Output::Completed { request, outcome } => self.settled.push((request, outcome)),
+                    Output::Completed { request, outcome } => {
+                        self.completions.push((request, outcome))
+                    }
                     _ => {}
                 }
             }
@@ -66,22 +75,22 @@
         }
     }
 
-    /// Tells the calls what was settled.
-    fn settle(&mut self) {
-        self.write();
-        for (request, outcome) in std::mem::take(&mut self.settled) {
+    /// Delivers the replica's completions to the calls.
+    fn deliver_completions(&mut self) {
+        self.persist();
+        for (request, outcome) in std::mem::take(&mut self.completions) {
             self.calls
-                .on_settled(self.now, request, &outcome, &mut self.replica, |_| {
+                .on_request_completed(self.now, request, &outcome, &mut self.replica, |_| {
                     b"status".to_vec()
                 });
         }
-        self.write();
+        self.persist();
     }
 
-    fn take(&mut self, question: Question) {
+    fn take(&mut self, kind: CallKind) {
         let call = Call {
-            origin: Origin::Peer { address: 2, id: 1 },
-            question,
+            origin: CallOrigin::Peer { address: 2, id: 1 },
+            kind,
             arrived: self.now,
         };
         self.calls.take(self.now, call, &mut self.replica);
@@ -97,122 +106,126 @@
             base_version,
             body: body.into_bytes(),
         };
-        self.take(Question::Order(order));
+        self.take(CallKind::Order(order));
     }
 
-    /// Works until nothing is left; tells the statuses of what has ended.
-    fn work(&mut self) -> Vec<u16> {
-        for _ in 0..4 * MOST_WAITING {
+    /// Advances until nothing is left; returns the statuses of the completed calls.
+    fn run_to_completion(&mut self) -> Vec<u16> {
+        for _ in 0..4 * MAX_QUEUED_ORDERS {
             self.calls.advance(self.now, &mut self.replica);
-            self.settle();
+            self.deliver_completions();
         }
-        let status = |answer: RelayedResponse| assert_matches!(answer, RelayedResponse::Response { status, .. } => status);
-        let ended = self.calls.take_ended();
-        ended
+        let status = |response: RelayedResponse| assert_matches!(response, RelayedResponse::Response { status, .. } => status);
+        let completed = self.calls.take_completed();
+        completed
             .iter()
-            .filter_map(|ended| ended.refusal.clone())
-            .for_each(|refusal| self.refusals.note(refusal));
-        ended
+            .filter_map(|completed| completed.rejection.clone())
+            .for_each(|rejection| self.rejections.record(rejection));
+        completed
             .into_iter()
-            .map(|ended| status(ended.answer))
+            .map(|completed| status(completed.response))
             .collect()
     }
 }
 
 #[test]
-fn of_two_orders_on_one_version_one_wins_and_repeats_are_known() {
-    let mut alone = Alone::new();
-    alone.order(0, 2, "a");
-    alone.order(0, 2, "b");
-    alone.order(0, 2, "a");
-    assert_eq!(alone.work(), [200, 412, 200]);
-    alone.order(2, 3, "c");
-    alone.order(0, 2, "a");
-    alone.order(0, 2, "b");
-    assert_eq!(alone.work(), [200, 200, 412]);
-    let refused: Vec<_> = alone
-        .refusals
+fn conflicting_orders_have_one_winner_and_repeats_are_recognised() {
+    let mut voter = SoleVoter::new();
+    voter.order(0, 2, "a");
+    voter.order(0, 2, "b");
+    voter.order(0, 2, "a");
+    assert_eq!(voter.run_to_completion(), [200, 412, 200]);
+    voter.order(2, 3, "c");
+    voter.order(0, 2, "a");
+    voter.order(0, 2, "b");
+    assert_eq!(voter.run_to_completion(), [200, 200, 412]);
+    let refused: Vec<_> = voter
+        .rejections
         .iter()
-        .map(|refusal| (refusal.status, refusal.base_version))
+        .map(|rejection| (rejection.status, rejection.base_version))
         .collect();
     assert_eq!(refused, [(412, 0), (412, 0)]);
-    assert!(alone.calls.is_empty());
+    assert!(voter.calls.is_empty());
 }
 
 #[test]
-fn a_refusal_is_told_only_after_a_round_and_is_judged_again_then() {
-    let mut alone = Alone::new();
-    alone.order(0, 2, "a");
-    alone.calls.advance(alone.now, &mut alone.replica);
+fn rejection_is_sent_only_after_confirmation_round() {
+    let mut voter = SoleVoter::new();
+    voter.order(0, 2, "a");
+    voter.calls.advance(voter.now, &mut voter.replica);
     assert!(
-        alone.calls.take_ended().is_empty(),
+        voter.calls.take_completed().is_empty(),
         "before its record is committed an order has no answer"
     );
-    alone.settle();
-    assert_eq!(alone.calls.take_ended().len(), 1);
+    voter.deliver_completions();
+    assert_eq!(voter.calls.take_completed().len(), 1);
 
-    alone.order(5, 6, "z");
-    alone.calls.advance(alone.now, &mut alone.replica);
+    voter.order(5, 6, "z");
+    voter.calls.advance(voter.now, &mut voter.replica);
     assert!(
-        alone.calls.take_ended().is_empty(),
+        voter.calls.take_completed().is_empty(),
         "before a round has ended nobody is refused"
     );
-    alone.settle();
-    assert_eq!(alone.work(), [412]);
+    voter.deliver_completions();
+    assert_eq!(voter.run_to_completion(), [412]);
 }
 
 #[test]
-fn describe_is_what_is_committed_when_its_round_ends() {
-    let mut alone = Alone::new();
-    alone.take(Question::Describe);
-    assert_eq!(alone.work(), [503], "there is no configuration yet");
-    alone.order(0, 2, "a");
-    assert_eq!(alone.work(), [200]);
-    alone.take(Question::Describe);
-    alone.settle();
-    let ended = alone.calls.take_ended();
-    assert_matches!(&ended[..], [Ended { answer: RelayedResponse::Response { status: 200, body }, .. }] => {
+fn describe_returns_state_committed_at_end_of_its_round() {
+    let mut voter = SoleVoter::new();
+    voter.take(CallKind::Describe);
+    assert_eq!(
+        voter.run_to_completion(),
+        [503],
+        "there is no configuration yet"
+    );
+    voter.order(0, 2, "a");
+    assert_eq!(voter.run_to_completion(), [200]);
+    voter.take(CallKind::Describe);
+    voter.deliver_completions();
+    let completed = voter.calls.take_completed();
+    assert_matches!(&completed[..], [CompletedCall { response: RelayedResponse::Response { status: 200, body }, .. }] => {
         assert!(body.starts_with(b"{\"version\":2,"));
     });
 }
 
 #[test]
-fn one_that_is_not_primary_gives_all_calls_back() {
+fn machine_that_is_not_primary_returns_all_calls() {
     let settings = Settings::default();
     let member = Member {
         identity: Identity(7),
         address: "10.0.0.1:7300".to_owned(),
     };
     let replica = Replica::newcomer(settings, member, 1, START);
-    let mut outsider = Alone {
+    let mut outsider = SoleVoter {
         replica,
         calls: PrimaryCalls::default(),
-        refusals: Refusals::default(),
+        rejections: RejectedOrders::default(),
         now: START,
-        settled: Vec::new(),
+        completions: Vec::new(),
     };
     outsider.order(0, 2, "a");
-    outsider.take(Question::Describe);
+    outsider.take(CallKind::Describe);
     outsider.calls.advance(outsider.now, &mut outsider.replica);
-    outsider.settle();
-    let ended = outsider.calls.take_ended();
-    assert_eq!(ended.len(), 2);
-    assert!(ended
+    outsider.deliver_completions();
+    let completed = outsider.calls.take_completed();
+    assert_eq!(completed.len(), 2);
+    assert!(completed
         .iter()
-        .all(|ended| ended.answer == RelayedResponse::NotPrimary));
+        .all(|completed| completed.response == RelayedResponse::NotPrimary));
 }
 
 #[test]
-fn more_orders_than_memory_bears_are_refused_with_a_promise() {
-    let mut alone = Alone::new();
-    (0..=MOST_WAITING).for_each(|_| alone.order(0, 2, "a"));
-    let ended = alone.calls.take_ended();
+fn orders_beyond_queue_limit_get_503() {
+    let mut voter = SoleVoter::new();
+    (0..=MAX_QUEUED_ORDERS).for_each(|_| voter.order(0, 2, "a"));
+    let completed = voter.calls.take_completed();
     assert_matches!(
-        &ended[..],
-        [Ended {
-            answer: RelayedResponse::Response { status: 503, .. },
+        &completed[..],
+        [CompletedCall {
+            response: RelayedResponse::Response { status: 503, .. },
             ..
         }]
     );
-    assert_eq!(alone.work().len(), MOST_WAITING);
+    assert_eq!(voter.run_to_completion().len(), MAX_QUEUED_ORDERS);
 }
--- a/decide/control/src/relayed_calls.rs
+++ b/decide/control/src/relayed_calls.rs
@@ -1,206 +1,223 @@
-//! Calls that the primary has to answer, at the machine that took them: handed on as soon as a
-//! primary is known, and answered with what it says.
+//! Calls that the primary has to answer, at the machine that received them: forwarded as soon as a
+//! primary is known, and answered with its response.
 //!
-//! It promises never to refuse by itself on state: a call that can't have been taken ends with 503,
-//! an order whose end isn't known has no answer.
+//! The machine never rejects a call by its own copy of the state: a call that can't have been
+//! accepted ends with 503, and an order whose outcome is unknown gets no response.
 
-use crate::call::{answer, Call};
+use crate::call::{error_response, Call, CompletedCall};
 use lichenswitch_messages::{RelayedCall, RelayedResponse};
 use lichenswitch_replication::Time;
 use std::collections::BTreeMap;
 
-/// Calls that may be under way, and the bytes of them all. Guards memory.
-const MOST: usize = 128;
-const MOST_BYTES: usize = 16 << 20;
+/// Limits on the calls that are pending and on the bytes of their bodies. They bound memory.
+const MAX_CALLS: usize = 128;
+const MAX_QUEUED_BYTES: usize = 16 << 20;
 
 /// Where the primary is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Primary<A> {
+pub enum PrimaryLocation<A> {
     /// It is this machine.
-    Here,
+    Local,
     /// It is a machine that is connected.
-    At(A),
-    /// It is not known or can't be reached.
+    Remote(A),
+    /// It is unknown or unreachable.
     Unknown,
 }
 
-/// What is to be done with a call.
+/// What has to be done with a call.
 #[derive(Debug, PartialEq)]
-pub enum Step<C, A> {
-    /// This machine is the primary.
-    Here(Call<C, A>),
-    /// Send it there.
-    Send {
-        /// Where.
+pub enum RelayAction<C, A> {
+    /// Answer it here: this machine is the primary.
+    HandleLocally(Call<C, A>),
+    /// Send it to the primary.
+    Forward {
+        /// Address of the primary.
         to: A,
-        /// Its number.
+        /// Number of the call.
         id: u64,
-        /// What is sent.
+        /// The message.
         call: RelayedCall,
     },
-    /// Answer the caller.
-    Answer(Call<C, A>, RelayedResponse),
+    /// Respond to the caller.
+    Respond(CompletedCall<C, A>),
 }
 
-/// After a machine has said that it is not the primary, a call rests so many microseconds: whoever
-/// said so may not have heard yet who is.
-const SENT_BACK_PAUSE: u64 = 100_000;
+/// Delay before a call is forwarded again after a machine has responded that it is not the primary
+/// (microseconds): that machine may not know the new primary yet.
+const REQUEUE_DELAY_US: u64 = 100_000;
 
-/// A call, and when it may be handed on.
+/// A call that is to be forwarded, at the earliest at `not_before`.
 #[derive(Debug)]
-struct Held<C, A> {
+struct QueuedCall<C, A> {
     call: Call<C, A>,
     not_before: Time,
 }
 
-/// A call that was handed on.
+/// A call whose response is awaited from the machine at `to`.
 #[derive(Debug)]
-struct Sent<C, A> {
+struct ForwardedCall<C, A> {
     call: Call<C, A>,
     to: A,
 }
 
-/// Calls of callers at this machine.
+/// Pending calls of callers at this machine.
 pub struct RelayedCalls<C, A> {
-    held: Vec<Held<C, A>>,
-    /// By their numbers.
-    sent: BTreeMap<u64, Sent<C, A>>,
+    queued: Vec<QueuedCall<C, A>>,
+    /// By call number.
+    forwarded: BTreeMap<u64, ForwardedCall<C, A>>,
     next_id: u64,
-    steps: Vec<Step<C, A>>,
+    actions: Vec<RelayAction<C, A>>,
 }
 
 impl<C: Clone, A: Clone + PartialEq> RelayedCalls<C, A> {
-    /// None yet. Numbers are drawn above this one, which no other life of the process used.
+    /// Without calls. Forwarded calls are numbered above `first_id`, which no earlier incarnation of
+    /// the process used.
     pub fn new(first_id: u64) -> Self {
         Self {
-            held: Vec::new(),
-            sent: BTreeMap::new(),
+            queued: Vec::new(),
+            forwarded: BTreeMap::new(),
             next_id: first_id,
-            steps: Vec::new(),
+            actions: Vec::new(),
         }
     }
 
-    /// A call has come from a caller.
+    /// A call has arrived from a caller.
     pub fn take(&mut self, call: Call<C, A>) {
         let bytes: usize = self
-            .held
+            .queued
             .iter()
-            .map(|held| held.call.question.weight())
+            .map(|queued| queued.call.kind.body_bytes())
             .sum();
-        let under_way = self.held.len() + self.sent.len();
-        if under_way >= MOST || (bytes > 0 && bytes + call.question.weight() > MOST_BYTES) {
-            return self.steps.push(Step::Answer(
-                call,
-                answer(503, "too many calls are under way"),
-            ));
+        let pending = self.queued.len() + self.forwarded.len();
+        if pending >= MAX_CALLS || (bytes > 0 && bytes + call.kind.body_bytes() > MAX_QUEUED_BYTES)
+        {
+            return self.respond(call, error_response(503, "too many calls are under way"));
         }
         let not_before = call.arrived;
-        self.held.push(Held { call, not_before });
+        self.queued.push(QueuedCall { call, not_before });
     }
 
-    /// A call has come back that nobody has begun.
-    pub fn take_back(&mut self, now: Time, call: Call<C, A>) {
-        self.held.push(Held {
+    /// A call has come back that no primary has begun.
+    pub fn requeue(&mut self, now: Time, call: Call<C, A>) {
+        self.queued.push(QueuedCall {
             call,
-            not_before: now.after(SENT_BACK_PAUSE),
+            not_before: now.after(REQUEUE_DELAY_US),
         });
     }
 
-    /// Hands on what can be handed on, and ends what has waited too long.
-    pub fn advance(&mut self, now: Time, primary: &Primary<A>) {
+    /// Forwards what can be forwarded, and completes what has waited too long.
+    pub fn advance(&mut self, now: Time, primary: &PrimaryLocation<A>) {
         self.expire(now);
-        for mut held in std::mem::take(&mut self.held) {
-            let may_go = held.not_before <= now;
-            if may_go {
-                // The pause is over: what is waited for now wakes by itself.
-                held.not_before = held.call.arrived;
+        for mut queued in std::mem::take(&mut self.queued) {
+            let is_ready = queued.not_before <= now;
+            if is_ready {
+                // The delay is over: the primary that is awaited now wakes the machine by itself.
+                queued.not_before = queued.call.arrived;
             }
             match primary {
-                _ if held.call.patience() <= now => {
-                    self.steps
-                        .push(Step::Answer(held.call, RelayedResponse::NotPrimary));
+                _ if queued.call.begin_deadline() <= now => {
+                    self.respond(queued.call, RelayedResponse::NotPrimary);
+                }
+                PrimaryLocation::Local if is_ready => {
+                    self.actions.push(RelayAction::HandleLocally(queued.call))
+                }
+                PrimaryLocation::Remote(to) if is_ready => self.forward(to, queued.call),
+                PrimaryLocation::Local | PrimaryLocation::Remote(_) | PrimaryLocation::Unknown => {
+                    self.queued.push(queued)
                 }
-                Primary::Here if may_go => self.steps.push(Step::Here(held.call)),
-                Primary::At(to) if may_go => self.send(to, held.call),
-                Primary::Here | Primary::At(_) | Primary::Unknown => self.held.push(held),
             }
         }
     }
 
-    fn send(&mut self, to: &A, call: Call<C, A>) {
+    fn respond(&mut self, call: Call<C, A>, response: RelayedResponse) {
+        let completed = CompletedCall::new(call, response);
+        self.actions.push(RelayAction::Respond(completed));
+    }
+
+    fn forward(&mut self, to: &A, call: Call<C, A>) {
         self.next_id = self.next_id.wrapping_add(1);
         let (id, to) = (self.next_id, to.clone());
-        self.steps.push(Step::Send {
+        self.actions.push(RelayAction::Forward {
             to: to.clone(),
             id,
-            call: call.question.to_relayed(),
+            call: call.kind.to_relayed(),
         });
-        self.sent.insert(id, Sent { call, to });
+        self.forwarded.insert(id, ForwardedCall { call, to });
     }
 
-    /// The primary has answered. An answer counts only from whom the call was sent to.
-    pub fn on_answer(&mut self, now: Time, from: &A, id: u64, answer: RelayedResponse) {
-        if self.sent.get(&id).is_none_or(|sent| sent.to != *from) {
+    /// A response to a forwarded call. It counts only from the machine that the call was sent to.
+    pub fn on_response(&mut self, now: Time, from: &A, id: u64, response: RelayedResponse) {
+        if self
+            .forwarded
+            .get(&id)
+            .is_none_or(|forwarded| forwarded.to != *from)
+        {
             return;
         }
-        let Some(Sent { call, .. }) = self.sent.remove(&id) else {
+        let Some(ForwardedCall { call, .. }) = self.forwarded.remove(&id) else {
             return;
         };
-        match answer {
-            RelayedResponse::NotPrimary => self.take_back(now, call),
-            answer => self.steps.push(Step::Answer(call, answer)),
+        match response {
+            RelayedResponse::NotPrimary => self.requeue(now, call),
+            response => self.respond(call, response),
         }
     }
 
-    /// No connection to that machine is left, so no answer will come: what was sent there may have
-    /// been taken.
-    pub fn on_lost(&mut self, address: &A) {
-        self.give_up_if(|sent| sent.to == *address);
+    /// The last connection to that machine is closed, so no response will come; what was sent there
+    /// may have been accepted.
+    pub fn on_peer_disconnected(&mut self, address: &A) {
+        self.give_up_where(|forwarded| forwarded.to == *address);
     }
 
-    /// Ends what has waited too long.
+    /// Completes forwarded calls whose response deadline has passed.
     pub fn expire(&mut self, now: Time) {
-        self.give_up_if(|sent| sent.call.deadline() <= now);
+        self.give_up_where(|forwarded| forwarded.call.response_deadline() <= now);
     }
 
-    fn give_up_if(&mut self, ends: impl Fn(&Sent<C, A>) -> bool) {
-        let sent = std::mem::take(&mut self.sent).into_iter();
-        let (given_up, sent): (BTreeMap<_, _>, BTreeMap<_, _>) =
-            sent.partition(|(_, sent)| ends(sent));
-        self.sent = sent;
-        for Sent { call, .. } in given_up.into_values() {
-            let answer = call.question.unanswered();
-            self.steps.push(Step::Answer(call, answer));
+    fn give_up_where(&mut self, ends: impl Fn(&ForwardedCall<C, A>) -> bool) {
+        let forwarded = std::mem::take(&mut self.forwarded).into_iter();
+        let (given_up, forwarded): (BTreeMap<_, _>, BTreeMap<_, _>) =
+            forwarded.partition(|(_, forwarded)| ends(forwarded));
+        self.forwarded = forwarded;
+        for ForwardedCall { call, .. } in given_up.into_values() {
+            let response = call.kind.response_when_outcome_unknown();
+            self.respond(call, response);
         }
     }
 
-    /// What is to be done, in order.
-    pub fn take_steps(&mut self) -> Vec<Step<C, A>> {
-        std::mem::take(&mut self.steps)
+    /// Takes what has to be done, in order.
+    pub fn take_actions(&mut self) -> Vec<RelayAction<C, A>> {
+        std::mem::take(&mut self.actions)
     }
 
-    /// Whether nothing waits.
+    /// Whether no call is pending.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty() && self.sent.is_empty()
+        self.queued.is_empty() && self.forwarded.is_empty()
     }
 
-    /// When [`Self::advance`] has something to do by itself. After it, this is never in the past.
+    /// When [`Self::advance`] has something to do without a further event. After a call of it, this
+    /// is never in the past.
     pub fn next_wake(&self) -> Option<Time> {
-        let held = self.held.iter().map(Held::next_wake);
-        held.chain(self.sent.values().map(|sent| sent.call.deadline()))
+        let queued = self.queued.iter().map(QueuedCall::next_wake);
+        queued
+            .chain(
+                self.forwarded
+                    .values()
+                    .map(|forwarded| forwarded.call.response_deadline()),
+            )
             .min()
     }
 }
 
-impl<C, A> Held<C, A> {
+impl<C, A> QueuedCall<C, A> {
     fn next_wake(&self) -> Time {
-        // One that may go already waits for a primary to appear, which wakes by itself.
-        let pauses = self.not_before > self.call.arrived;
-        let patience = self.call.patience();
-        if pauses {
-            patience.min(self.not_before)
+        // A call whose delay is over waits for a primary to appear, which wakes the machine by itself.
+        let is_delayed = self.not_before > self.call.arrived;
+        let begin_deadline = self.call.begin_deadline();
+        if is_delayed {
+            begin_deadline.min(self.not_before)
         } else {
-            patience
+            begin_deadline
         }
     }
 }
--- a/decide/control/src/replicated.rs
+++ b/decide/control/src/replicated_configuration.rs
@@ -1,20 +1,20 @@
-//! The state that all voters hold.
+//! The state that all voters replicate.
 
 use lichenswitch_configuration::State;
 use lichenswitch_replication::{ReplicatedState, StateError};
 
-/// Configuration and history of orders.
+/// The configuration and the history of accepted orders.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Replicated(pub State);
+pub struct ReplicatedConfiguration(pub State);
 
-impl ReplicatedState for Replicated {
+impl ReplicatedState for ReplicatedConfiguration {
     fn encode(&self) -> Vec<u8> {
         self.0.encode()
     }
 
     fn decode(bytes: &[u8]) -> Result<Self, StateError> {
         State::decode(bytes)
-            .map(Replicated)
+            .map(ReplicatedConfiguration)
             .map_err(|e| StateError::new(e.to_string()))
     }
 
@@ -25,13 +25,13 @@
     }
 }
 
-impl AsRef<State> for Replicated {
+impl AsRef<State> for ReplicatedConfiguration {
     fn as_ref(&self) -> &State {
         &self.0
     }
 }
 
-/// A replicated state that holds a configuration and its history.
-pub trait Configured: ReplicatedState + AsRef<State> {}
+/// A replicated state that contains a configuration and its history.
+pub trait ConfigurationState: ReplicatedState + AsRef<State> {}
 
-impl<S: ReplicatedState + AsRef<State>> Configured for S {}
+impl<S: ReplicatedState + AsRef<State>> ConfigurationState for S {}
--- a/fleet/src/control/calls.rs
+++ b/fleet/src/control/calls.rs
@@ -7,10 +7,10 @@
 /// A call that waits for its answer.
 pub(super) type Call = lichenswitch_control::Call<ConnId, SocketAddr>;
 /// Who waits for the answer.
-pub(super) type Origin = lichenswitch_control::Origin<ConnId, SocketAddr>;
+pub(super) type CallOrigin = lichenswitch_control::CallOrigin<ConnId, SocketAddr>;
 /// All calls at this machine.
-pub(super) type Calls = lichenswitch_control::Calls<ConnId, SocketAddr>;
+pub(super) type CallDispatcher = lichenswitch_control::CallDispatcher<ConnId, SocketAddr>;
 /// Something that is to be done for a call.
-pub(super) type Action = lichenswitch_control::Action<ConnId, SocketAddr>;
+pub(super) type CallAction = lichenswitch_control::CallAction<ConnId, SocketAddr>;
 /// Where the primary is.
-pub(super) type Primary = lichenswitch_control::Primary<SocketAddr>;
+pub(super) type PrimaryLocation = lichenswitch_control::PrimaryLocation<SocketAddr>;
--- a/fleet/src/control/contact.rs
+++ b/fleet/src/control/contact.rs
@@ -1,7 +1,7 @@
 //! What this machine tells of itself and of what is committed: to routers, to other control
 //! machines, and to those without a copy.
 
-use super::calls::Primary;
+use super::calls::PrimaryLocation;
 use super::group::{to_replica, Group};
 use super::machine::Machine;
 use super::on_call::{beat_acknowledged, beat_refused, BeatRefusal};
@@ -9,7 +9,7 @@
 use super::program::elapsed;
 use super::routers::Push;
 use super::servers::Audience;
-use lichenswitch_control::{configuration_position, Committed};
+use lichenswitch_control::{configuration_position, CommittedConfiguration};
 use lichenswitch_interface::Time;
 use lichenswitch_messages::{ControlToRouter, Envelope, PeerMessage, ProcessInstant};
 use lichenswitch_net::ConnId;
@@ -61,7 +61,7 @@
     }
 
     /// What is committed and newer than what was pushed.
-    fn newest_committed(&self) -> Option<Committed> {
+    fn newest_committed(&self) -> Option<CommittedConfiguration> {
         let known = self.committed.as_ref().map_or(0, |known| known.version);
         if let Some((position, state)) = self
             .group
@@ -74,7 +74,7 @@
                 .filter(|document| document.version() > known)
             {
                 let (position, version) = (configuration_position(position), document.version());
-                return Some(Committed {
+                return Some(CommittedConfiguration {
                     position,
                     version,
                     document: document.to_json().into(),
@@ -147,9 +147,9 @@
     /// What this machine knows of its own place.
     pub(super) fn contact_message(&self, now: Time) -> PeerMessage {
         let primary = match self.primary(now) {
-            Primary::Here => Some(self.address),
-            Primary::At(address) => Some(address),
-            Primary::Unknown => None,
+            PrimaryLocation::Local => Some(self.address),
+            PrimaryLocation::Remote(address) => Some(address),
+            PrimaryLocation::Unknown => None,
         };
         PeerMessage::Contact {
             in_contact: self.in_contact(now),
@@ -215,7 +215,7 @@
     /// A primary in contact tells machines without a copy what is committed, and behind that that
     /// it is confirmed.
     pub(super) fn tell_relays(&mut self, now: Time) {
-        if self.primary(now) != Primary::Here || !self.in_contact(now) {
+        if self.primary(now) != PrimaryLocation::Local || !self.in_contact(now) {
             return;
         }
         self.feed_relays(now);
@@ -252,7 +252,7 @@
         let Some(committed) = self
             .committed
             .clone()
-            .filter(|_| self.primary(now) == Primary::Here)
+            .filter(|_| self.primary(now) == PrimaryLocation::Local)
         else {
             return;
         };
--- a/fleet/src/control/feed.rs
+++ b/fleet/src/control/feed.rs
@@ -5,7 +5,7 @@
 //! configuration is never gone back on.
 
 use super::program::{after, elapsed, sooner};
-use lichenswitch_control::Committed;
+use lichenswitch_control::CommittedConfiguration;
 use lichenswitch_interface::Time;
 use lichenswitch_messages::ProcessInstant;
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
     primary: Option<(SocketAddr, Time)>,
     /// When the word was sent that a confirmed primary has echoed last.
     contact: Option<Time>,
-    committed: Option<Committed>,
+    committed: Option<CommittedConfiguration>,
 }
 
 impl Feed {
@@ -75,7 +75,7 @@
     }
 
     /// The primary has sent what is committed.
-    pub(super) fn on_configuration(&mut self, committed: Committed) {
+    pub(super) fn on_configuration(&mut self, committed: CommittedConfiguration) {
         if self
             .committed
             .as_ref()
@@ -92,7 +92,7 @@
             .map(|known| known.0)
     }
 
-    pub(super) fn committed(&self) -> Option<&Committed> {
+    pub(super) fn committed(&self) -> Option<&CommittedConfiguration> {
         self.committed.as_ref()
     }
 
--- a/fleet/src/control/group.rs
+++ b/fleet/src/control/group.rs
@@ -6,7 +6,7 @@
 use super::program::{Net, Signal};
 use super::{ControlError, Environment};
 use crate::settings::Settings;
-use lichenswitch_control::{Eligibility, Replicated};
+use lichenswitch_control::{Eligibility, ReplicatedConfiguration};
 use lichenswitch_interface::Time;
 use lichenswitch_replication as replication;
 use lichenswitch_replication::{
@@ -46,7 +46,7 @@
 
 /// A replica, and where it writes.
 pub(super) struct Group {
-    pub(super) replica: Replica<Replicated>,
+    pub(super) replica: Replica<ReplicatedConfiguration>,
     disk: Option<Disk>,
     /// Items that are to be told as written, where there is no disk.
     remembered: Option<WriteId>,
@@ -322,7 +322,7 @@
     address: String,
     contents: Contents,
     now: Time,
-) -> Replica<Replicated> {
+) -> Replica<ReplicatedConfiguration> {
     let figures = replication::Settings {
         fault_tolerance: u32::try_from(settings.fault_tolerance.machines).unwrap_or(u32::MAX),
         faults: environment.faults,
@@ -347,7 +347,13 @@
     };
     if nothing && founds(settings) {
         info!(target: "control", identity = member.identity.to_string().as_str(); "founds the group");
-        return Replica::found(figures, member, Replicated::default(), seed, now);
+        return Replica::found(
+            figures,
+            member,
+            ReplicatedConfiguration::default(),
+            seed,
+            now,
+        );
     }
     Replica::newcomer(figures, member, seed, now)
 }
--- a/fleet/src/control/machine.rs
+++ b/fleet/src/control/machine.rs
@@ -2,7 +2,7 @@
 
 use super::backlog::Backlogs;
 use super::callers::Callers;
-use super::calls::{Calls, Primary};
+use super::calls::{CallDispatcher, PrimaryLocation};
 use super::contact::Told;
 use super::feed::Feed;
 use super::group::{begins, draw_identity, eligibility, of_replica, to_replica, Group};
@@ -14,7 +14,9 @@
 use super::servers::Servers;
 use super::{notices, own_part, status, ControlError, Environment, DIGEST_INTERVAL};
 use crate::settings::Settings;
-use lichenswitch_control::{Acknowledged, Committed, OwnPart, Refusals};
+use lichenswitch_control::{
+    AcknowledgedVersions, CommittedConfiguration, GroupMembership, RejectedOrders,
+};
 use lichenswitch_interface::Time;
 use lichenswitch_messages::{Envelope, PeerMessage, ROUTER_HEARTBEAT_MS};
 use lichenswitch_net::{ConnId, Ready};
@@ -42,7 +44,7 @@
     pub(super) address: SocketAddr,
     /// Of the disk; of the process where it holds no part of the group.
     pub(super) identity: u64,
-    pub(super) own_part: OwnPart,
+    pub(super) own_part: GroupMembership,
     pub(super) net: Net,
     pub(super) links: Links,
     pub(super) peers: Peers,
@@ -51,15 +53,15 @@
     pub(super) servers: Servers,
     pub(super) routers: Routers,
     pub(super) callers: Callers,
-    pub(super) calls: Calls,
+    pub(super) calls: CallDispatcher,
     pub(super) quotas: Quotas,
     pub(super) backlogs: Backlogs,
     /// What callers of this machine were told is taken.
-    pub(super) acknowledged: Acknowledged,
+    pub(super) acknowledged: AcknowledgedVersions,
     /// The last orders that were refused here.
-    pub(super) refusals: Refusals,
+    pub(super) rejected_orders: RejectedOrders,
     /// The newest configuration that is known to be committed.
-    pub(super) committed: Option<Committed>,
+    pub(super) committed: Option<CommittedConfiguration>,
     /// What others were told last.
     pub(super) told: Told,
     pub(super) next_tick: Time,
@@ -106,7 +108,7 @@
             address,
             quotas: Quotas::new(identity.0, group.as_ref(), settings.bounds.quota_terms()),
             identity: identity.0,
-            own_part: OwnPart::new(
+            own_part: GroupMembership::new(
                 eligibility,
                 to_replica(now),
                 settings.fault_tolerance.machines,
@@ -118,10 +120,10 @@
             servers,
             routers: Routers::new(),
             callers: Callers::default(),
-            calls: Calls::new(fastrand::u64(..)),
+            calls: CallDispatcher::new(fastrand::u64(..)),
             backlogs: Backlogs::default(),
-            acknowledged: Acknowledged::default(),
-            refusals: Refusals::default(),
+            acknowledged: AcknowledgedVersions::default(),
+            rejected_orders: RejectedOrders::default(),
             committed: None,
             told: Told::default(),
             next_tick: now,
@@ -333,8 +335,13 @@
                     if let Some(group) = &mut self.group {
                         let status = |replica: &_| status::group(replica, now).into_bytes();
                         let replica = &mut group.replica;
-                        self.calls
-                            .on_settled(to_replica(now), request, &outcome, replica, status);
+                        self.calls.on_request_completed(
+                            to_replica(now),
+                            request,
+                            &outcome,
+                            replica,
+                            status,
+                        );
                     }
                 }
                 Output::Notice(notice) => notices::log(&notice),
@@ -389,10 +396,10 @@
     }
 
     /// Where the primary is, and can be reached.
-    pub(super) fn primary(&self, now: Time) -> Primary {
+    pub(super) fn primary(&self, now: Time) -> PrimaryLocation {
         let group = self.group.as_ref().map(|group| &group.replica);
         if group.is_some_and(|replica| replica.is_serving()) {
-            return Primary::Here;
+            return PrimaryLocation::Local;
         }
         let known = group
             .and_then(|replica| replica.primary())
@@ -401,8 +408,8 @@
             .filter(|address| *address != self.address)
             .or_else(|| self.feed.primary(now));
         match known.filter(|address| self.peers.connection(*address).is_some()) {
-            Some(address) => Primary::At(address),
-            None => Primary::Unknown,
+            Some(address) => PrimaryLocation::Remote(address),
+            None => PrimaryLocation::Unknown,
         }
     }
 
--- a/fleet/src/control/on_call.rs
+++ b/fleet/src/control/on_call.rs
@@ -1,14 +1,14 @@
 //! Requests of servers and operators.
 
 use super::callers::error;
-use super::calls::{Action, Call, Origin};
+use super::calls::{Call, CallAction, CallOrigin};
 use super::group::to_replica;
 use super::machine::Machine;
 use super::servers::Beat;
 use super::status;
 use crate::invariants::{self, Invariant};
 use lichenswitch_configuration::{judge_alone, parse_base_version, Order, OrderKind};
-use lichenswitch_control::{version_in, Question, Refusal};
+use lichenswitch_control::{parse_response_version, CallKind, CompletedCall, RejectedOrder};
 use lichenswitch_http::{Request, Response};
 use lichenswitch_interface::Time;
 use lichenswitch_messages::{PeerMessage, RelayedResponse};
@@ -37,8 +37,8 @@
         let now = self.net.clock.now();
         let response = match target(&request.method, request.path()) {
             Target::Order => self.on_order(id, request, now),
-            Target::Describe => self.ask(id, Question::Describe, now),
-            Target::Status if request.query() == "primary" => self.ask(id, Question::Status, now),
+            Target::Describe => self.ask(id, CallKind::Describe, now),
+            Target::Status if request.query() == "primary" => self.ask(id, CallKind::Status, now),
             Target::Status => Some(Response::new(200, JSON, status::machine(self, now))),
             Target::Heartbeat(instance) => self.on_heartbeat(id, instance, request, now),
             Target::Deregister(instance) => self.on_deregister(id, instance, now),
@@ -65,14 +65,14 @@
             body: request.body.clone(),
         };
         match judge_alone(&order) {
-            Ok(()) => self.ask(id, Question::Order(order), now),
+            Ok(()) => self.ask(id, CallKind::Order(order), now),
             Err(e) => Some(self.refuse(now, base_version, e.to_string())),
         }
     }
 
     fn refuse(&mut self, now: Time, base_version: u64, reason: String) -> Response {
         let response = error(400, &reason);
-        self.on_refused(Refusal {
+        self.on_refused(RejectedOrder {
             status: 400,
             base_version,
             reason,
@@ -82,14 +82,14 @@
     }
 
     /// An order was refused, by this machine alone or as primary.
-    fn on_refused(&mut self, refusal: Refusal) {
-        log::info!(target: "control", status = refusal.status, base_version = refusal.base_version,
-            reason = refusal.reason.as_str(); "order refused");
-        self.refusals.note(refusal);
+    fn on_refused(&mut self, rejection: RejectedOrder) {
+        log::info!(target: "control", status = rejection.status, base_version = rejection.base_version,
+            reason = rejection.reason.as_str(); "order refused");
+        self.rejected_orders.record(rejection);
     }
 
-    fn ask(&mut self, id: ConnId, question: Question, now: Time) -> Option<Response> {
-        self.take_call(Origin::Caller(id), question, now);
+    fn ask(&mut self, id: ConnId, kind: CallKind, now: Time) -> Option<Response> {
+        self.take_call(CallOrigin::Caller(id), kind, now);
         None
     }
 
@@ -100,8 +100,8 @@
         request: &Request,
         now: Time,
     ) -> Option<Response> {
-        if let Err(refusal) = self.may_take_beats(now) {
-            return Some(beat_refused(refusal));
+        if let Err(rejection) = self.may_take_beats(now) {
+            return Some(beat_refused(rejection));
         }
         let heartbeat = match Heartbeat::parse(&request.body) {
             Ok(heartbeat) => heartbeat,
@@ -114,8 +114,8 @@
     }
 
     fn on_deregister(&mut self, id: ConnId, instance: &str, now: Time) -> Option<Response> {
-        if let Err(refusal) = self.may_take_beats(now) {
-            return Some(beat_refused(refusal));
+        if let Err(rejection) = self.may_take_beats(now) {
+            return Some(beat_refused(rejection));
         }
         match self.servers.on_deregister(now, id, instance) {
             Beat::Known => Some(beat_acknowledged()),
@@ -132,14 +132,14 @@
     }
 
     /// A call has come, from a caller or from another control machine.
-    pub(super) fn take_call(&mut self, origin: Origin, question: Question, now: Time) {
+    pub(super) fn take_call(&mut self, origin: CallOrigin, kind: CallKind, now: Time) {
         let now = to_replica(now);
         let replica = self.group.as_mut().map(|group| &mut group.replica);
         self.calls.take(
             now,
             Call {
                 origin,
-                question,
+                kind,
                 arrived: now,
             },
             replica,
@@ -154,18 +154,18 @@
         let busy = !actions.is_empty();
         for action in actions {
             match action {
-                Action::Send { to, id, call } => {
+                CallAction::Forward { to, id, call } => {
                     self.send_to_peer(to, PeerMessage::Call { id, call })
                 }
-                Action::Answer {
+                CallAction::Respond(CompletedCall {
                     call,
-                    answer,
-                    refusal,
-                } => {
-                    refusal
+                    response,
+                    rejection,
+                }) => {
+                    rejection
                         .into_iter()
-                        .for_each(|refusal| self.on_refused(refusal));
-                    self.answer_call(&call, answer);
+                        .for_each(|rejection| self.on_refused(rejection));
+                    self.answer_call(&call, response);
                 }
             }
         }
@@ -174,19 +174,19 @@
 
     fn answer_call(&mut self, call: &Call, answer: RelayedResponse) {
         match (call.origin, answer) {
-            (Origin::Peer { address, id }, answer) => {
+            (CallOrigin::Peer { address, id }, answer) => {
                 self.send_to_peer(address, PeerMessage::CallResponse { id, answer })
             }
-            (Origin::Caller(id), RelayedResponse::Response { status: 503, body }) => {
+            (CallOrigin::Caller(id), RelayedResponse::Response { status: 503, body }) => {
                 let response = Response::new(503, JSON, body).with("retry-after", "0.2");
                 self.callers.answer(&mut self.net, id, response);
             }
-            (Origin::Caller(id), RelayedResponse::Response { status, body }) => {
+            (CallOrigin::Caller(id), RelayedResponse::Response { status, body }) => {
                 self.check_answer(call, status, &body);
                 self.callers
                     .answer(&mut self.net, id, Response::new(status, JSON, body));
             }
-            (Origin::Caller(id), RelayedResponse::NotPrimary) => {
+            (CallOrigin::Caller(id), RelayedResponse::NotPrimary) => {
                 self.callers.answer(
                     &mut self.net,
                     id,
@@ -194,7 +194,7 @@
                 );
             }
             // It may have been taken: no status would be true.
-            (Origin::Caller(id), RelayedResponse::Unknown) => {
+            (CallOrigin::Caller(id), RelayedResponse::Unknown) => {
                 self.callers.hang_up(&mut self.net, id)
             }
         }
@@ -202,19 +202,19 @@
 
     /// Remembers what is acknowledged, and checks that no read goes back behind it.
     fn check_answer(&mut self, call: &Call, status: u16, body: &[u8]) {
-        let Some(version) = version_in(body).filter(|_| status == 200) else {
+        let Some(version) = parse_response_version(body).filter(|_| status == 200) else {
             return;
         };
-        match call.question {
-            Question::Order(_) => {
+        match call.kind {
+            CallKind::Order(_) => {
                 let now = to_replica(self.net.clock.now());
                 self.acknowledged.on_acknowledged(now, version);
             }
-            Question::Describe => {
-                let holds = self.acknowledged.allows(call.arrived, version);
+            CallKind::Describe => {
+                let holds = self.acknowledged.allows_read(call.arrived, version);
                 invariants::check(holds, Invariant::AcknowledgedIsRead);
             }
-            Question::Status => {}
+            CallKind::Status => {}
         }
     }
 }
@@ -236,8 +236,8 @@
 }
 
 /// The answer to one that is not.
-pub(super) fn beat_refused(refusal: BeatRefusal) -> Response {
-    error(503, &refusal.to_string())
+pub(super) fn beat_refused(rejection: BeatRefusal) -> Response {
+    error(503, &rejection.to_string())
 }
 
 fn target<'a>(method: &str, path: &'a str) -> Target<'a> {
--- a/fleet/src/control/on_internal.rs
+++ b/fleet/src/control/on_internal.rs
@@ -1,7 +1,7 @@
 //! Messages of other processes of the fleet.
 
 use super::backlog::Source;
-use super::calls::Origin;
+use super::calls::CallOrigin;
 use super::feed::Feed;
 use super::group::to_replica;
 use super::links::End;
@@ -10,7 +10,7 @@
 use super::routers::Hello;
 use crate::envelopes::Incoming;
 use lichenswitch_configuration::Document;
-use lichenswitch_control::{Committed, Eligibility, Question};
+use lichenswitch_control::{CallKind, CommittedConfiguration, Eligibility};
 use lichenswitch_interface::Time;
 use lichenswitch_messages::{
     Envelope, PeerMessage, RelayedCall, RelayedResponse, RouterToControl, PROTOCOL_VERSION,
@@ -184,7 +184,7 @@
             PeerMessage::Replication(bytes) => self.on_replication(from, &bytes, now),
             PeerMessage::Call { id, call } => self.on_relayed(from, id, call, now),
             PeerMessage::CallResponse { id, answer } => {
-                self.calls.on_answer(to_replica(now), &from, id, answer)
+                self.calls.on_response(to_replica(now), &from, id, answer)
             }
             PeerMessage::Servers {
                 ack,
@@ -266,8 +266,8 @@
 
     /// A call that another control machine relays.
     fn on_relayed(&mut self, address: SocketAddr, id: u64, call: RelayedCall, now: Time) {
-        match Question::of_relayed(call) {
-            Some(question) => self.take_call(Origin::Peer { address, id }, question, now),
+        match CallKind::from_relayed(call) {
+            Some(kind) => self.take_call(CallOrigin::Peer { address, id }, kind, now),
             None => self.send_to_peer(
                 address,
                 PeerMessage::CallResponse {
@@ -327,7 +327,7 @@
                 self.peers.on_closed(address, id, now);
                 if was_connected && self.peers.connection(address).is_none() {
                     info!(target: "control", address = address.to_string().as_str(), reason = reason; "peer is lost");
-                    self.calls.on_lost(&address);
+                    self.calls.on_peer_disconnected(&address);
                     self.servers.on_lost(address);
                     self.on_holder_lost(address, now);
                     self.backlogs.on_lost(Source::Peer(address));
@@ -361,7 +361,7 @@
     match Document::parse_committed(&document) {
         Ok(parsed) => {
             let version = parsed.version();
-            feed.on_configuration(Committed {
+            feed.on_configuration(CommittedConfiguration {
                 position,
                 version,
                 document: document.into(),
--- a/fleet/src/control/own_part.rs
+++ b/fleet/src/control/own_part.rs
@@ -1,5 +1,5 @@
 //! The part that a machine has in the group of voters, as it takes it and gives it up; what it has
-//! is decided by [`lichenswitch_control::OwnPart`].
+//! is decided by [`lichenswitch_control::GroupMembership`].
 
 use super::group::{to_replica, Group};
 use super::links::End;
@@ -7,7 +7,7 @@
 use super::program::{after, Net};
 use super::Environment;
 use crate::settings::Settings;
-use lichenswitch_control::{Change, Eligibility, View};
+use lichenswitch_control::{Eligibility, GroupView, MembershipAction};
 use lichenswitch_interface::Time;
 use lichenswitch_net::ConnId;
 use lichenswitch_replication::Identity;
@@ -50,23 +50,23 @@
             .group
             .as_ref()
             .is_some_and(|group| group.replica.has_left());
-        let view = View {
-            takes_part: self.group.is_some(),
+        let view = GroupView {
+            is_member: self.group.is_some(),
             has_left,
             durable_voters,
         };
-        match self.own_part.look(to_replica(now), view) {
-            Some(Change::TakePart) if self.next_try_at_disk <= now => self.take_part(now),
-            Some(Change::Leave) => {
+        match self.own_part.next_action(to_replica(now), view) {
+            Some(MembershipAction::Join) if self.next_try_at_disk <= now => self.take_part(now),
+            Some(MembershipAction::Leave) => {
                 if let Some(group) = &mut self.group {
                     group.replica.leave(to_replica(now));
                 }
             }
-            Some(Change::Relay) => {
+            Some(MembershipAction::BecomeRelay) => {
                 info!(target: "control", "leaves the group to the machines with a disk");
                 self.group = None;
             }
-            Some(Change::TakePart) | None => {}
+            Some(MembershipAction::Join) | None => {}
         }
     }
 
--- a/fleet/src/control/routers.rs
+++ b/fleet/src/control/routers.rs
@@ -4,7 +4,7 @@
 //! committed configuration, unless it has it, and the whole table of servers, and changes from then
 //! on; all that is pushed is numbered from 1 on each connection.
 
-use lichenswitch_control::{Committed, Pushes};
+use lichenswitch_control::{CommittedConfiguration, ConfigurationPushes};
 use lichenswitch_interface::Time;
 use lichenswitch_messages::{ConfigurationPosition, ControlToRouter, ServerRecord};
 use lichenswitch_net::ConnId;
@@ -25,7 +25,7 @@
     pub(super) zone: String,
     process: u64,
     /// What it has been sent, and has in force.
-    pushes: Pushes,
+    pushes: ConfigurationPushes,
     /// Number up to which it has applied all.
     pub(super) applied: u64,
 }
@@ -63,7 +63,7 @@
         now: Time,
         id: ConnId,
         hello: Hello,
-        committed: Option<&Committed>,
+        committed: Option<&CommittedConfiguration>,
         heartbeat: ControlToRouter,
         table: Vec<ServerRecord>,
     ) -> Vec<Push> {
@@ -79,8 +79,8 @@
             process,
             configuration,
         } = hello;
-        let mut pushes = Pushes::new(configuration);
-        let first = pushes.greet(committed, heartbeat);
+        let mut pushes = ConfigurationPushes::new(configuration);
+        let first = pushes.initial_messages(committed, heartbeat);
         self.connected.insert(
             id,
             Router {
@@ -140,7 +140,7 @@
     }
 
     /// A configuration has been committed: those that lack it get it.
-    pub(super) fn push_configuration(&mut self, committed: &Committed) -> Vec<Push> {
+    pub(super) fn push_configuration(&mut self, committed: &CommittedConfiguration) -> Vec<Push> {
         let push = |(id, router): (&ConnId, &mut Router)| {
             Some((*id, router.pushes.configuration(committed)?))
         };
@@ -185,6 +185,6 @@
 impl Router {
     /// The configuration that it has in force.
     pub(super) fn configuration(&self) -> Option<ConfigurationPosition> {
-        self.pushes.holds()
+        self.pushes.applied()
     }
 }
--- a/fleet/src/control/server_cache.rs
+++ b/fleet/src/control/server_cache.rs
@@ -65,7 +65,7 @@
 }
 
 /// How a write has ended; those before it have ended too.
-struct Ended {
+struct CompletedCall {
     number: WriteNumber,
     succeeded: bool,
 }
@@ -73,7 +73,7 @@
 /// The file, and what waits to be written to it.
 pub(super) struct ServerCache {
     writes: Sender<TableWrite>,
-    endings: Receiver<Ended>,
+    endings: Receiver<CompletedCall>,
     /// The last write that was handed to the thread.
     begun: WriteNumber,
     /// The last one that has ended, well or not.
@@ -184,14 +184,14 @@
         match framed(time_of_day_s(), table) {
             // Nobody writes any more: see `open`.
             Some(bytes) => drop(self.writes.send(TableWrite { number, bytes })),
-            None => self.on_ended(&Ended {
+            None => self.on_ended(&CompletedCall {
                 number,
                 succeeded: false,
             }),
         }
     }
 
-    fn on_ended(&mut self, ended: &Ended) {
+    fn on_ended(&mut self, ended: &CompletedCall) {
         self.ended = ended.number;
         match ended.succeeded {
             true => self.written = ended.number,
@@ -243,7 +243,7 @@
     files: Box<dyn FileSystem>,
     path: PathBuf,
     wake: UnixStream,
-    tell: Sender<Ended>,
+    tell: Sender<CompletedCall>,
     /// Whether the last write failed.
     failing: bool,
 }
@@ -255,7 +255,7 @@
             let succeeded = self.write(&newest.bytes);
             if self
                 .tell
-                .send(Ended {
+                .send(CompletedCall {
                     number: newest.number,
                     succeeded,
                 })
--- a/fleet/src/control/status.rs
+++ b/fleet/src/control/status.rs
@@ -4,7 +4,7 @@
 use super::machine::Machine;
 use super::program::elapsed;
 use lichenswitch_configuration::{Quota, QuotaUnit};
-use lichenswitch_control::Replicated;
+use lichenswitch_control::ReplicatedConfiguration;
 use lichenswitch_interface::Time;
 use lichenswitch_messages::ServerState;
 use lichenswitch_quota::Usage;
@@ -126,11 +126,11 @@
             .configuration()
             .map(|at| format!("{}.{:x}/{}", at.epoch, at.primary, at.number)),
     });
-    let refusals = machine.refusals.iter().map(|refusal| RefusalLine {
-        status: refusal.status,
-        base_version: refusal.base_version,
-        reason: refusal.reason.clone(),
-        ms_ago: ms_ago(of_replica(refusal.at)),
+    let rejected_orders = machine.rejected_orders.iter().map(|rejection| RefusalLine {
+        status: rejection.status,
+        base_version: rejection.base_version,
+        reason: rejection.reason.clone(),
+        ms_ago: ms_ago(of_replica(rejection.at)),
     });
     let status = MachineStatus {
         node: machine.settings.node_name.clone(),
@@ -151,18 +151,18 @@
         routers_of_fleet: machine.routers_of_fleet(),
         servers: servers(machine),
         quotas: quotas(machine, now),
-        refusals: refusals.collect(),
+        refusals: rejected_orders.collect(),
         storage: storage(machine),
     };
     miniserde::json::to_string(&status)
 }
 
 /// The state of the group as JSON, as the primary sees it.
-pub(super) fn group(replica: &Replica<Replicated>, now: Time) -> String {
+pub(super) fn group(replica: &Replica<ReplicatedConfiguration>, now: Time) -> String {
     miniserde::json::to_string(&group_status(replica, now))
 }
 
-fn group_status(replica: &Replica<Replicated>, now: Time) -> GroupStatus {
+fn group_status(replica: &Replica<ReplicatedConfiguration>, now: Time) -> GroupStatus {
     let status = replica.status(to_replica(now));
     let state = replica.committed().map(|(_, state)| &state.0);
     GroupStatus {
--- a/simulator/src/control/mod.rs
+++ b/simulator/src/control/mod.rs
@@ -7,10 +7,11 @@
 mod routers;
 mod state;
 
-use lichenswitch_configuration::{judge_alone, Order};
+use lichenswitch_configuration::judge_alone;
 use lichenswitch_control::{
-    answer, configuration_position, describe, Change, Committed, Eligibility, Faults, OwnPart,
-    Primary, Question, View,
+    configuration_position, describe_configuration, error_response, CallKind,
+    CommittedConfiguration, CompletedCall, Eligibility, GroupMembership, GroupView,
+    MembershipAction, PlantedFaults, PrimaryLocation,
 };
 use lichenswitch_messages::{
     ControlToRouter, PeerMessage, RelayedCall, RelayedResponse, RouterToControl,
@@ -25,9 +26,9 @@
 use crate::packet::{CallId, ConnectionId, Reply};
 
 type Call = lichenswitch_control::Call<CallId, String>;
-type Origin = lichenswitch_control::Origin<CallId, String>;
-type Calls = lichenswitch_control::Calls<CallId, String>;
-type Action = lichenswitch_control::Action<CallId, String>;
+type CallOrigin = lichenswitch_control::CallOrigin<CallId, String>;
+type CallDispatcher = lichenswitch_control::CallDispatcher<CallId, String>;
+type CallAction = lichenswitch_control::CallAction<CallId, String>;
 
 /// Faults of the glue that tests plant to show that they would be found. All off elsewhere.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -48,8 +49,8 @@
 
 impl GlueFaults {
     /// Those that lie in what is decided about calls.
-    fn of_calls(self) -> Faults {
-        Faults {
+    fn of_calls(self) -> PlantedFaults {
+        PlantedFaults {
             known_by_number: self.known_by_number,
             refusal_without_contact: self.refusal_without_contact,
         }
@@ -79,7 +80,7 @@
 pub struct ControlProcess {
     replica: Replica<Replicated>,
     faults: GlueFaults,
-    calls: Calls,
+    calls: CallDispatcher,
     routers: Routers,
     open_calls: Vec<CallId>,
     /// When it ends at the latest, once it was told to.
@@ -87,7 +88,7 @@
     /// Members without a disk.
     without_disk: BTreeSet<Identity>,
     /// Of a machine without a disk.
-    own_part: Option<OwnPart>,
+    group_membership: Option<GroupMembership>,
     effects: Vec<Effect>,
 }
 
@@ -98,12 +99,12 @@
         Self {
             replica,
             faults,
-            calls: Calls::with_faults(first_call, faults.of_calls()),
+            calls: CallDispatcher::with_faults(first_call, faults.of_calls()),
             routers: Routers::default(),
             open_calls: Vec::new(),
             end_at: None,
             without_disk: BTreeSet::new(),
-            own_part: None,
+            group_membership: None,
             effects: Vec::new(),
         }
     }
@@ -111,7 +112,11 @@
     /// The machine has no disk: it stands in for those with one, in a group that must bear so many
     /// losses.
     pub fn stand_in(&mut self, now: Time, tolerated: u32) {
-        self.own_part = Some(OwnPart::new(Eligibility::StandIn, now, tolerated as usize));
+        self.group_membership = Some(GroupMembership::new(
+            Eligibility::StandIn,
+            now,
+            tolerated as usize,
+        ));
     }
 
     /// These members have no disk.
@@ -138,25 +143,26 @@
                 self.replica.on_message(now, message);
             }
             PeerMessage::Call { id, call } => {
-                let origin = Origin::Peer {
+                let origin = CallOrigin::Peer {
                     address: from.to_owned(),
                     id,
                 };
-                match Question::of_relayed(call) {
-                    Some(question) => self.take_call(
+                match CallKind::from_relayed(call) {
+                    Some(kind) => self.take_call(
                         now,
                         Call {
                             origin,
-                            question,
+                            kind,
                             arrived: now,
                         },
                     ),
                     None => self.end_call(origin, RelayedResponse::NotPrimary),
                 }
             }
-            PeerMessage::CallResponse { id, answer } => {
-                self.calls.on_answer(now, &from.to_owned(), id, answer)
-            }
+            PeerMessage::CallResponse {
+                id,
+                answer: response,
+            } => self.calls.on_response(now, &from.to_owned(), id, response),
             _ => {}
         }
     }
@@ -166,23 +172,23 @@
     }
 
     /// A call from outside.
-    pub fn on_call(&mut self, now: Time, id: CallId, question: RelayedCall) {
+    pub fn on_call(&mut self, now: Time, id: CallId, kind: RelayedCall) {
         self.open_calls.push(id);
-        let origin = Origin::Caller(id);
-        let Some(question) = Question::of_relayed(question) else {
-            return self.end_call(origin, answer(400, "there is no such path"));
+        let origin = CallOrigin::Caller(id);
+        let Some(kind) = CallKind::from_relayed(kind) else {
+            return self.end_call(origin, error_response(400, "there is no such path"));
         };
-        let invalid = order_of(&question).and_then(|order| judge_alone(order).err());
+        let invalid = kind.as_order().and_then(|order| judge_alone(order).err());
         if let Some(error) = invalid {
-            return self.end_call(origin, answer(400, &error.to_string()));
+            return self.end_call(origin, error_response(400, &error.to_string()));
         }
-        match self.answer_without_contact(&question) {
-            Some(answer) => self.end_call(origin, answer),
+        match self.answer_without_contact(&kind) {
+            Some(response) => self.end_call(origin, response),
             None => self.take_call(
                 now,
                 Call {
                     origin,
-                    question,
+                    kind,
                     arrived: now,
                 },
             ),
@@ -190,14 +196,16 @@
     }
 
     /// The planted faults of answers from memory.
-    fn answer_without_contact(&self, question: &Question) -> Option<RelayedResponse> {
+    fn answer_without_contact(&self, kind: &CallKind) -> Option<RelayedResponse> {
         let (_, committed) = self.replica.committed()?;
-        match order_of(question) {
-            None if self.faults.describe_without_contact => Some(describe(&self.replica)),
+        match kind.as_order() {
+            None if self.faults.describe_without_contact => {
+                Some(describe_configuration(&self.replica))
+            }
             Some(order) if self.faults.refusal_without_contact => {
                 let other = order.base_version != committed.state().version();
                 let taken = committed.state().taken(&order.digest());
-                (other && !taken).then(|| answer(412, "by what is held here"))
+                (other && !taken).then(|| error_response(412, "by what is held here"))
             }
             _ => None,
         }
@@ -250,14 +258,16 @@
             self.calls.next_wake(),
             self.routers.next_wake(),
             self.end_at,
-            self.own_part.as_ref().and_then(OwnPart::next_wake),
+            self.group_membership
+                .as_ref()
+                .and_then(GroupMembership::next_wake),
         ];
         wakes.into_iter().flatten().min().unwrap_or(Time(u64::MAX))
     }
 
     /// Does what follows from all that came, and tells what the machine has to do.
     pub fn take_effects(&mut self, now: Time) -> Vec<Effect> {
-        let relays = self.look_at_own_part(now);
+        let relays = self.update_group_membership(now);
         self.drain(now);
         loop {
             let before = self.effects.len();
@@ -283,8 +293,8 @@
 
     /// Whether a machine without a disk has left the group to those with one: it holds nothing that
     /// matters any more.
-    fn look_at_own_part(&mut self, now: Time) -> bool {
-        let Some(own_part) = &mut self.own_part else {
+    fn update_group_membership(&mut self, now: Time) -> bool {
+        let Some(group_membership) = &mut self.group_membership else {
             return false;
         };
         let voters = &self.replica.membership().voters;
@@ -292,22 +302,22 @@
             .iter()
             .filter(|voter| !self.without_disk.contains(&voter.identity))
             .count();
-        let view = View {
-            takes_part: true,
+        let view = GroupView {
+            is_member: true,
             has_left: self.replica.has_left(),
             durable_voters,
         };
-        match own_part.look(now, view) {
-            Some(Change::Leave) => self.replica.leave(now),
-            Some(Change::Relay) => return true,
-            Some(Change::TakePart) | None => {}
+        match group_membership.next_action(now, view) {
+            Some(MembershipAction::Leave) => self.replica.leave(now),
+            Some(MembershipAction::BecomeRelay) => return true,
+            Some(MembershipAction::Join) | None => {}
         }
         false
     }
 
-    fn primary(&self) -> Primary<String> {
+    fn primary(&self) -> PrimaryLocation<String> {
         if self.replica.is_serving() {
-            return Primary::Here;
+            return PrimaryLocation::Local;
         }
         let here = &self.replica.member().address;
         match self
@@ -315,29 +325,35 @@
             .primary()
             .filter(|primary| &primary.address != here)
         {
-            Some(primary) => Primary::At(primary.address.clone()),
-            None => Primary::Unknown,
+            Some(primary) => PrimaryLocation::Remote(primary.address.clone()),
+            None => PrimaryLocation::Unknown,
         }
     }
 
-    fn do_action(&mut self, action: Action) {
+    fn do_action(&mut self, action: CallAction) {
         match action {
-            Action::Send { to, id, call } => {
+            CallAction::Forward { to, id, call } => {
                 self.effects
                     .push(Effect::SendPeer(to, PeerMessage::Call { id, call }));
             }
-            Action::Answer { call, answer, .. } => self.end_call(call.origin, answer),
+            CallAction::Respond(CompletedCall { call, response, .. }) => {
+                self.end_call(call.origin, response)
+            }
         }
     }
 
-    fn end_call(&mut self, origin: Origin, answer: RelayedResponse) {
+    fn end_call(&mut self, origin: CallOrigin, response: RelayedResponse) {
         let effect = match origin {
-            Origin::Peer { address, id } => {
-                Effect::SendPeer(address, PeerMessage::CallResponse { id, answer })
-            }
-            Origin::Caller(id) => {
+            CallOrigin::Peer { address, id } => Effect::SendPeer(
+                address,
+                PeerMessage::CallResponse {
+                    id,
+                    answer: response,
+                },
+            ),
+            CallOrigin::Caller(id) => {
                 self.open_calls.retain(|open| *open != id);
-                Effect::Reply(id, reply_of(answer))
+                Effect::Reply(id, reply_of(response))
             }
         };
         self.effects.push(effect);
@@ -365,9 +381,13 @@
             Output::Notice(notice) => Effect::Notice(notice),
             Output::Completed { request, outcome } => {
                 let status = |_: &Replica<Replicated>| Vec::new();
-                return self
-                    .calls
-                    .on_settled(now, request, &outcome, &mut self.replica, status);
+                return self.calls.on_request_completed(
+                    now,
+                    request,
+                    &outcome,
+                    &mut self.replica,
+                    status,
+                );
             }
         };
         self.effects.push(effect);
@@ -408,11 +428,11 @@
         }
     }
 
-    fn committed(&self) -> Option<Committed> {
+    fn committed(&self) -> Option<CommittedConfiguration> {
         let (position, committed) = self.replica.committed()?;
         let document = committed.state().document()?;
         let (position, version) = (configuration_position(position), document.version());
-        Some(Committed {
+        Some(CommittedConfiguration {
             position,
             version,
             document: document.to_json().into(),
@@ -420,15 +440,8 @@
     }
 }
 
-fn order_of(question: &Question) -> Option<&Order> {
-    match question {
-        Question::Order(order) => Some(order),
-        Question::Describe | Question::Status => None,
-    }
-}
-
-fn reply_of(answer: RelayedResponse) -> Reply {
-    match answer {
+fn reply_of(response: RelayedResponse) -> Reply {
+    match response {
         RelayedResponse::Response { status, body } => Reply::Answer { status, body },
         RelayedResponse::NotPrimary => Reply::Answer {
             status: 503,
--- a/simulator/src/control/routers.rs
+++ b/simulator/src/control/routers.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use lichenswitch_control::{Committed, Pushes};
+use lichenswitch_control::{CommittedConfiguration, ConfigurationPushes};
 use lichenswitch_messages::{ConfigurationPosition, ControlToRouter, ROUTER_HEARTBEAT_MS};
 use lichenswitch_replication::Time;
 
@@ -16,7 +16,7 @@
 /// The routers of this machine.
 #[derive(Debug, Default)]
 pub(super) struct Routers {
-    connected: BTreeMap<ConnectionId, Pushes>,
+    connected: BTreeMap<ConnectionId, ConfigurationPushes>,
     told_contact: bool,
     heartbeat_at: Time,
 }
@@ -26,16 +26,16 @@
     pub(super) fn on_hello(
         &mut self,
         id: ConnectionId,
-        holds: Option<ConfigurationPosition>,
+        applied: Option<ConfigurationPosition>,
         in_contact: bool,
-        committed: Option<&Committed>,
+        committed: Option<&CommittedConfiguration>,
     ) -> Vec<Push> {
-        self.connected.insert(id, Pushes::new(holds));
+        self.connected.insert(id, ConfigurationPushes::new(applied));
         let heartbeat = self.heartbeat(in_contact);
         let first = self
             .connected
             .get_mut(&id)
-            .map(|pushes| pushes.greet(committed, heartbeat));
+            .map(|pushes| pushes.initial_messages(committed, heartbeat));
         first
             .into_iter()
             .flatten()
@@ -76,8 +76,8 @@
     }
 
     /// A configuration has been committed: those that lack it get it.
-    pub(super) fn push(&mut self, committed: &Committed) -> Vec<Push> {
-        let push = |(id, pushes): (&ConnectionId, &mut Pushes)| {
+    pub(super) fn push(&mut self, committed: &CommittedConfiguration) -> Vec<Push> {
+        let push = |(id, pushes): (&ConnectionId, &mut ConfigurationPushes)| {
             Some((*id, pushes.configuration(committed)?))
         };
         self.connected.iter_mut().filter_map(push).collect()
--- a/simulator/src/control/state.rs
+++ b/simulator/src/control/state.rs
@@ -9,7 +9,7 @@
 /// What the control machines replicate, wrapped.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Replicated {
-    inner: lichenswitch_control::Replicated,
+    inner: lichenswitch_control::ReplicatedConfiguration,
     /// A planted fault: the history does not travel.
     forgets_history: bool,
 }
@@ -52,7 +52,7 @@
         let (forgets, bytes) = bytes
             .split_last()
             .ok_or_else(|| StateError::new("no bytes"))?;
-        let inner = lichenswitch_control::Replicated::decode(bytes)?;
+        let inner = lichenswitch_control::ReplicatedConfiguration::decode(bytes)?;
         Ok(Self {
             inner,
             forgets_history: *forgets == 1,
