--- a/decide/control/src/primary_calls.rs
+++ b/decide/control/src/primary_calls.rs
@@ -102,7 +102,7 @@
             self.queued_bytes -= call.kind.body_bytes();
             if !replica.is_serving() {
                 self.complete(call, RelayedResponse::NotPrimary);
-            } else if replica.is_idle() && replica.may_take_orders(now) {
+            } else if replica.is_idle() && replica.may_accept_changes(now) {
                 self.begin(now, call, replica);
             } else if call.begin_deadline() <= now {
                 self.complete(
--- a/decide/control/src/primary_calls/tests.rs
+++ b/decide/control/src/primary_calls/tests.rs
@@ -33,7 +33,7 @@
             identity: Identity(7),
             address: "10.0.0.1:7300".to_owned(),
         };
-        let replica = Replica::found(
+        let replica = Replica::bootstrap(
             settings,
             member,
             ReplicatedConfiguration::default(),
@@ -61,7 +61,7 @@
             let mut last = None;
             for output in self.replica.take_outputs() {
                 match output {
-                    Output::Persist { ticket, .. } => last = Some(ticket),
+                    Output::Persist { write_id, .. } => last = Some(write_id),
                     Output::Completed { request, outcome } => {
                         self.completions.push((request, outcome))
                     }
@@ -69,7 +69,7 @@
                 }
             }
             match last {
-                Some(ticket) => self.replica.on_persisted(self.now, ticket),
+                Some(write_id) => self.replica.on_persisted(self.now, write_id),
                 None => return,
             }
         }
@@ -196,7 +196,7 @@
         identity: Identity(7),
         address: "10.0.0.1:7300".to_owned(),
     };
-    let replica = Replica::newcomer(settings, member, 1, START);
+    let replica = Replica::learner(settings, member, 1, START);
     let mut outsider = SoleVoter {
         replica,
         calls: PrimaryCalls::default(),
--- a/fleet/src/control/on_call.rs
+++ b/fleet/src/control/on_call.rs
@@ -172,10 +172,10 @@
         busy
     }
 
-    fn answer_call(&mut self, call: &Call, answer: RelayedResponse) {
-        match (call.origin, answer) {
-            (CallOrigin::Peer { address, id }, answer) => {
-                self.send_to_peer(address, PeerMessage::CallResponse { id, answer })
+    fn answer_call(&mut self, call: &Call, response: RelayedResponse) {
+        match (call.origin, response) {
+            (CallOrigin::Peer { address, id }, response) => {
+                self.send_to_peer(address, PeerMessage::CallResponse { id, response })
             }
             (CallOrigin::Caller(id), RelayedResponse::Response { status: 503, body }) => {
                 let response = Response::new(503, JSON, body).with("retry-after", "0.2");
--- a/fleet/src/router/mod.rs
+++ b/fleet/src/router/mod.rs
@@ -147,7 +147,7 @@
     pub fn new(settings: &Settings, file: Option<PathBuf>) -> Result<Router, RouterError> {
         let options = Options::of(settings)?;
         let mut net = Net::new(options.capacity.descriptors)?;
-        net.set_aside_for_peers(SET_ASIDE);
+        net.reserve_for_peers(SET_ASIDE);
         let mut rng = fastrand::Rng::new();
         let frontend = listen(&mut net, Owner::Client, options.frontend)?;
         let readiness_address = options
@@ -255,10 +255,10 @@
             self.check_due = false;
             self.check_waiting();
         }
-        if self.net.resting() {
-            self.net.attend_again();
+        if self.net.is_accept_paused() {
+            self.net.resume_accepting();
         }
-        if self.net.resting() {
+        if self.net.is_accept_paused() {
             self.clients.make_room(&mut self.net);
         }
     }
@@ -357,7 +357,10 @@
 
     fn take_tenant_message(&mut self, message: TenantMessage) {
         match message {
-            TenantMessage::Confirmed { stamp, position } => {
+            TenantMessage::Confirmed {
+                sent_at_us: stamp,
+                position,
+            } => {
                 // What can't be applied here leaves this router behind.
                 if position.is_none_or(|position| self.link.has_applied(position)) {
                     self.freshness
@@ -377,7 +380,7 @@
                 .hold_back(&mut self.net, change.line.server);
         }
         self.services.listed(&changes);
-        self.net.listed(self.servers.count());
+        self.net.set_listed_nodes(self.servers.count());
     }
 
     fn apply(&mut self, new: InForce) {
@@ -426,7 +429,7 @@
                 self.link.set_seeds(options.seeds.clone());
                 self.services.set_budget(options.budget);
                 self.freshness.set_terms(options.revocation);
-                self.allowances.set_terms(options.quota);
+                self.allowances.set_bounds(options.quota);
                 self.options.grace = options.grace;
                 log::info!("settings read again");
             }
