--- a/fleet/src/router/ranks.rs
+++ b/fleet/src/router/ranks.rs
@@ -8,24 +8,24 @@
 use std::collections::BTreeSet;
 
 /// The least urgent rank.
-pub(super) const LOWEST_RANK: u8 = 9;
+pub(crate) const LOWEST_RANK: u8 = 9;
 
 /// Rank of a tenant, and of a route.
-type Pair = (u32, u32);
+type RankPair = (u32, u32);
 
 /// The ranks of a configuration.
 #[derive(Debug, Default)]
-pub(super) struct Ranks {
+pub(crate) struct PriorityRanks {
     /// All pairs of a configuration with tenants, the most urgent first.
-    pairs: Vec<Pair>,
+    pairs: Vec<RankPair>,
 }
 
-impl Ranks {
+impl PriorityRanks {
     /// Of a configuration.
     #[must_use]
-    pub(super) fn new(document: &Document) -> Ranks {
+    pub(crate) fn new(document: &Document) -> PriorityRanks {
         let Some(tenants) = document.tenants() else {
-            return Ranks::default();
+            return PriorityRanks::default();
         };
         let tenant_ranks: BTreeSet<Option<u32>> =
             tenants.iter().map(|tenant| tenant.priority).collect();
@@ -34,20 +34,20 @@
             pairs.insert(pair(None, route));
             pairs.extend(tenant_ranks.iter().map(|rank| pair(*rank, route)));
         }
-        Ranks {
+        PriorityRanks {
             pairs: pairs.into_iter().collect(),
         }
     }
 
     /// The rank of a tenant's requests on a route, 0 to 9.
     #[must_use]
-    pub(super) fn rank(&self, tenant: Option<&Tenant>, route: &Route) -> u8 {
+    pub(crate) fn rank(&self, tenant: Option<&Tenant>, route: &Route) -> u8 {
         self.rank_of(tenant.and_then(|tenant| tenant.priority), route)
     }
 
     /// All ranks that requests on a route may have.
     #[must_use]
-    pub(super) fn all(&self, tenants: &[Tenant], route: &Route) -> BTreeSet<u8> {
+    pub(crate) fn all(&self, tenants: &[Tenant], route: &Route) -> BTreeSet<u8> {
         let own = [self.rank_of(None, route)];
         own.into_iter()
             .chain(tenants.iter().map(|tenant| self.rank(Some(tenant), route)))
@@ -65,7 +65,7 @@
 }
 
 /// A tenant without a rank has that of the route.
-fn pair(tenant: Option<u32>, route: &Route) -> Pair {
+fn pair(tenant: Option<u32>, route: &Route) -> RankPair {
     (tenant.unwrap_or(route.priority), route.priority)
 }
 
