--- a/fleet/src/control/group.rs
+++ b/fleet/src/control/group.rs
@@ -6,7 +6,7 @@
 use super::program::{Net, Signal};
 use super::{ControlError, Environment};
 use crate::settings::Settings;
-use lichenswitch_control::{Eligibility, Replicated};
+use lichenswitch_control::{Eligibility, ReplicatedConfiguration};
 use lichenswitch_interface::Time;
 use lichenswitch_replication as replication;
 use lichenswitch_replication::{
@@ -48,7 +48,7 @@
 
 /// A replica, and where it writes.
 pub(super) struct Group {
-    pub(super) replica: Replica<Replicated>,
+    pub(super) replica: Replica<ReplicatedConfiguration>,
     disk: Option<Disk>,
     /// Items that are to be told as written, where there is no disk.
     remembered: Option<WriteId>,
@@ -328,7 +328,7 @@
     address: String,
     contents: Contents,
     now: Time,
-) -> Replica<Replicated> {
+) -> Replica<ReplicatedConfiguration> {
     let figures = replication::Settings {
         fault_tolerance: u32::try_from(settings.fault_tolerance.machines).unwrap_or(u32::MAX),
         faults: environment.faults,
@@ -353,7 +353,13 @@
     };
     if nothing && founds(settings) {
         info!(target: "control", identity = member.identity.to_string().as_str(); "founds the group");
-        return Replica::bootstrap(figures, member, Replicated::default(), seed, now);
+        return Replica::bootstrap(
+            figures,
+            member,
+            ReplicatedConfiguration::default(),
+            seed,
+            now,
+        );
     }
     Replica::learner(figures, member, seed, now)
 }
--- a/fleet/tests/stored_data.rs
+++ b/fleet/tests/stored_data.rs
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 
 use lichenswitch_configuration::{judge, Order, State, Verdict, REPLACE_PATH};
-use lichenswitch_control::Replicated;
+use lichenswitch_control::ReplicatedConfiguration;
 use lichenswitch_messages::{ServerRecord, ServerState, PROTOCOL_VERSION};
 use lichenswitch_replication::{
     DurableItem, Epoch, Identity, Member, Membership, Position, Record, Recovered, ReplicatedState,
@@ -96,14 +96,14 @@
 }
 
 /// The change that an order makes to a state.
-fn change(state: &Replicated, order: &Order) -> Vec<u8> {
+fn change(state: &ReplicatedConfiguration, order: &Order) -> Vec<u8> {
     match judge(&state.0, order) {
         Verdict::Change(change) => change,
         other => panic!("the order is not accepted: {other:?}"),
     }
 }
 
-fn after(state: &Replicated, order: &Order) -> Replicated {
+fn after(state: &ReplicatedConfiguration, order: &Order) -> ReplicatedConfiguration {
     let mut state = state.clone();
     state
         .apply(&change(&state, order))
@@ -112,14 +112,14 @@
 }
 
 /// The state in the first snapshot, and in the second.
-fn snapshot_states() -> [Replicated; 2] {
-    let first = Replicated(State::default());
+fn snapshot_states() -> [ReplicatedConfiguration; 2] {
+    let first = ReplicatedConfiguration(State::default());
     let second = after(&first, &order(0, 2, "first.example"));
     [first, second]
 }
 
 /// The state after all records.
-fn last_state() -> Replicated {
+fn last_state() -> ReplicatedConfiguration {
     let [_, second] = snapshot_states();
     after(&second, &order(2, 5, "second.example"))
 }
@@ -255,7 +255,7 @@
         state: second_state.encode(),
     };
     assert_eq!(recovered.snapshot, expected);
-    let mut state = Replicated::decode(&recovered.snapshot.state).expect("a state");
+    let mut state = ReplicatedConfiguration::decode(&recovered.snapshot.state).expect("a state");
     assert_eq!(state, second_state);
     for change in &recovered.changes {
         state.apply(change).expect("the change fits");
