--- a/policy/src/health.rs
+++ b/policy/src/health.rs
@@ -1,6 +1,11 @@
-//! Health of servers: what is held against each, and against the way to its zone.
+//! Health of servers: faults counted against each, and against the path to its zone.
 
-use crate::tuning::*;
+use crate::tuning::{
+    BROKEN_PACE, ERROR_PACE, FAULT_HALF_LIFE, FAULT_MEMORY_MAX_FACTOR, FAULT_MEMORY_PARTS,
+    FAULT_THRESHOLD, IDLE_LOSS_HALF_LIFE, IDLE_LOSS_MARGIN, IDLE_LOSS_PACE, LATE_PACE,
+    LOWER_BOUND_PACE, NORM_PACE, RESET_PACE, RESPONSE_TIME_PACE, SLOW_FROM, SLOW_FULL, SLOW_PACE,
+    ZONE_FAULT_MARGIN, ZONE_FAULT_PACE,
+};
 use crate::Coordinator;
 use lichenswitch_interface::{Action, Micros, Outcome, ServerId};
 use lichenswitch_stats::{DecayingValue, InFlightAttempt};
@@ -24,33 +29,15 @@
             self.common_times[flight.norm].or(elapsed as f64),
             elapsed as f64,
         );
-        if let Some(s) = self.servers.get_mut(&flight.server) {
-            let (ok, wait) = (outcome == Outcome::Ok, s.wait.or(norm));
-            // What did not answer would have taken as long at least; a full queue is half the aim
-            // long.
-            let (sample, pace) = match outcome {
-                Outcome::Ok => (took.min(2.0 * wait.max(norm)), WAIT_PACE),
-                Outcome::Rejected => (
-                    self.settings.classes[class].latency_target as f64 / 2.0,
-                    LEAST_PACE,
-                ),
-                Outcome::Timeout | Outcome::Cancelled => (took, LEAST_PACE),
-                _ => (0.0, 0.0),
-            };
-            if ok || sample > wait {
-                s.wait.add(sample, pace);
-                s.depth.add(flight.depth, pace);
-                s.response_time_at = now;
-            }
-            (s.last_used_at, s.on_idle_connection) = (
-                if ok { now } else { s.last_used_at },
-                s.on_idle_connection && !ok,
-            );
-        }
+        self.learn_response_time(flight, outcome, elapsed);
         match outcome {
             Outcome::Ok => {
-                self.losses[usize::from(flight.on_idle_connection)]
-                    .add(now, 0.0, IDLE_PACE, IDLE_HALF);
+                self.losses[usize::from(flight.on_idle_connection)].add(
+                    now,
+                    0.0,
+                    IDLE_LOSS_PACE,
+                    IDLE_LOSS_HALF_LIFE,
+                );
                 self.answered_at = now;
                 self.answered += 1;
                 self.common_times[flight.norm].add(took.min(3.0 * norm), NORM_PACE);
@@ -69,33 +56,64 @@
         }
     }
 
-    /// Time that halves what is held against a server: the less often one is met, the longer it
-    /// must last.
+    /// Learns from an outcome how long a server takes.
+    fn learn_response_time(&mut self, flight: &InFlightAttempt, outcome: Outcome, elapsed: Micros) {
+        let took = elapsed as f64;
+        let norm = self.common_times[flight.norm].or(took);
+        let latency_target = self.settings.classes[flight.norm / 2].latency_target;
+        let Some(s) = self.servers.get_mut(&flight.server) else {
+            return;
+        };
+        let (is_ok, known) = (outcome == Outcome::Ok, s.response_time.or(norm));
+        // What was not answered would have taken as long at least; a full queue is half the latency
+        // target long.
+        let (sample, pace) = match outcome {
+            Outcome::Ok => (took.min(2.0 * known.max(norm)), RESPONSE_TIME_PACE),
+            Outcome::Rejected => (latency_target as f64 / 2.0, LOWER_BOUND_PACE),
+            Outcome::Timeout | Outcome::Cancelled => (took, LOWER_BOUND_PACE),
+            _ => (0.0, 0.0),
+        };
+        if is_ok || sample > known {
+            s.response_time.add(sample, pace);
+            s.pending_at_send.add(flight.pending_at_send, pace);
+            s.response_time_at = self.now;
+        }
+        if is_ok {
+            s.last_used_at = self.now;
+            s.on_idle_connection = false;
+        }
+    }
+
+    /// Half-life of the faults counted against a server (microseconds): the less often a server is
+    /// met, the longer they must last.
     pub(super) fn fault_half_life(&self) -> f64 {
         let between =
             self.now.since(self.began) as f64 * self.ready as f64 / self.answered.max(1) as f64;
-        (FAULT_PARTS * between).clamp(FAULT_HALF, MEMORY_MOST * FAULT_HALF)
+        (FAULT_MEMORY_PARTS * between)
+            .clamp(FAULT_HALF_LIFE, FAULT_MEMORY_MAX_FACTOR * FAULT_HALF_LIFE)
     }
 
-    /// What is wrong with the way to a zone, where ends are far worse than at the best zone (alike
+    /// What is wrong with the path to a zone, where ends are far worse than at the best zone (alike
     /// is load). Guards against slow or lossy links and lost zones where an instance has too few
     /// parts to learn each server. Harm: the other zones carry more until some seconds have passed.
     pub(super) fn zone_fault(&self, zone: u32) -> f64 {
-        let share = |a: &DecayingValue| a.value_at(self.now, FAULT_HALF);
+        let share = |a: &DecayingValue| a.value_at(self.now, FAULT_HALF_LIFE);
         let best = self.zones.values().map(share).fold(1.0, f64::min);
         let here = self.zones.get(&zone).map_or(0.0, share);
-        f64::from(u8::from(here - best > ZONE_WORSE)) * here
+        f64::from(u8::from(here - best > ZONE_FAULT_MARGIN)) * here
     }
 
     /// Whether connections that had been idle are lost more than others: dropped unseen. They are
     /// closed before a send then (for unsafe parts always) and no server is to blame. Harm: some
     /// new connections.
     pub(super) fn are_idle_connections_dropped(&self) -> bool {
-        let [last_used_at, on_idle_connection] =
-            self.losses.map(|l| l.value_at(self.now, IDLE_HALF));
-        on_idle_connection > last_used_at + IDLE_WORSE
+        let [last_used_at, on_idle_connection] = self
+            .losses
+            .map(|l| l.value_at(self.now, IDLE_LOSS_HALF_LIFE));
+        on_idle_connection > last_used_at + IDLE_LOSS_MARGIN
     }
 
+    /// An attempt is late, or has timed out.
     pub(super) fn on_silence(
         &mut self,
         id: ServerId,
@@ -103,7 +121,7 @@
         on_idle_connection: bool,
         actions: &mut Vec<Action>,
     ) {
-        if !self.record_loss(on_idle_connection, IDLE_PACE) {
+        if !self.record_loss(on_idle_connection, IDLE_LOSS_PACE) {
             self.record_fault(id, class, 1.0, LATE_PACE, actions);
             self.record_fault(
                 id,
@@ -115,12 +133,14 @@
         }
     }
 
-    /// Notes a loss, and tells whether that the connection had been idle explains it.
+    /// Counts a loss; returns whether that the connection had been idle explains it.
     pub(super) fn record_loss(&mut self, on_idle_connection: bool, pace: f64) -> bool {
-        self.losses[usize::from(on_idle_connection)].add(self.now, 1.0, pace, IDLE_HALF);
+        self.losses[usize::from(on_idle_connection)].add(self.now, 1.0, pace, IDLE_LOSS_HALF_LIFE);
         on_idle_connection && self.are_idle_connections_dropped()
     }
 
+    /// Counts a bad end (0 to 1) against a server for a class, or for all classes; logs where that
+    /// makes it suspected, or trusted again.
     pub(super) fn record_fault(
         &mut self,
         id: ServerId,
@@ -144,9 +164,9 @@
             self.zones
                 .entry(s.zone)
                 .or_default()
-                .add(now, bad, ZONE_PACE, FAULT_HALF);
+                .add(now, bad, ZONE_FAULT_PACE, FAULT_HALF_LIFE);
         }
-        let faulty = FAULTY[usize::from(half > FAULT_HALF)];
+        let faulty = FAULT_THRESHOLD[usize::from(half > FAULT_HALF_LIFE)];
         let suspected = s.faults[which].value_at(now, half) > faulty;
         let word = if suspected {
             "suspected"
--- a/stats/src/assignment.rs
+++ b/stats/src/assignment.rs
@@ -1,155 +1,179 @@
-//! Open parts of a query, and the servers that are best for each.
+//! Assigns the open parts of a query to the servers that are best for each.
 
 use crate::SeededRng;
 
-/// What a server is to the parts of a query that it could take; the lower rank is wanted.
+/// How a server rates for the parts of a query that it could take; the lower rank is preferred.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerScore<R> {
     /// `None`: it takes nothing now.
     pub rank: Option<R>,
-    /// Whether a part joins a call that was opened already, and whether it is in the own zone.
+    /// Whether a part joins a call that was opened already.
     pub joins_open_call: bool,
-    /// See `joins_open_call`.
-    pub near: bool,
+    /// Whether it is in the zone of this instance.
+    pub is_in_zone: bool,
 }
 
 /// One server that open parts of a query could go to.
 struct Candidate<S, R> {
     server: S,
-    bid: ServerScore<R>,
-    /// Places of the parts that it could take, and of those that it is best for, both in order.
-    holds: Vec<usize>,
-    wanted: Vec<usize>,
+    score: ServerScore<R>,
+    /// Positions of the open parts that it could take, in order.
+    eligible: Vec<usize>,
+    /// Positions of the open parts that it is best for, in order.
+    preferred: Vec<usize>,
 }
 
-/// The open parts of a query at the servers that are best for each. A bid changes only as something
-/// is sent to its server, so that only the parts there are judged again.
+/// A part, and the indices of the candidates that could take it; none once it is sent.
+type OpenPart = (usize, Vec<usize>);
+
+/// The open parts of a query at the servers that are best for each. A score changes only as
+/// something is sent to its server, so that only the parts there are rated again.
 pub struct PartAssignment<S, R> {
     /// In the order of their servers.
     candidates: Vec<Candidate<S, R>>,
-    /// By bidder how much it is wanted: parts, joined, near; 0: no part is open there.
+    /// By candidate, how much a send there brings: parts, joined, in zone; 0: no part is open there.
     keys: Vec<u64>,
-    /// The parts in order, each with its bidders; none once it is sent.
-    parts: Vec<(usize, Vec<usize>)>,
+    /// In order.
+    parts: Vec<OpenPart>,
     /// Whether parts share calls.
-    share: bool,
+    shares_calls: bool,
 }
 
 impl<S: Copy + Ord, R: Copy + Ord> PartAssignment<S, R> {
-    /// All parts, in order, with the servers that could take each; `share`: a server that more
-    /// parts can share is wanted more.
+    /// All parts, in order, with the servers that could take each; `shares_calls`: a server that
+    /// more parts can share comes before others.
     pub fn new(
-        parts: Vec<(usize, Vec<S>)>,
-        share: bool,
-        bid: impl Fn(S) -> ServerScore<R>,
+        parts: &[(usize, Vec<S>)],
+        shares_calls: bool,
+        score: impl Fn(S) -> ServerScore<R>,
     ) -> Self {
         debug_assert!(
             parts.is_sorted_by_key(|p| p.0),
-            "places are found by search"
+            "positions are found by binary search"
         );
-        let pairs = parts
-            .iter()
-            .enumerate()
-            .flat_map(|(at, (_, servers))| servers.iter().map(move |s| (*s, at)));
-        let mut pairs: Vec<(S, usize)> = pairs.collect();
-        pairs.sort_unstable();
-        let mut candidates: Vec<Candidate<S, R>> = Vec::new();
-        let mut places: Vec<(usize, Vec<usize>)> = parts
-            .iter()
-            .map(|(part, servers)| (*part, Vec::with_capacity(servers.len())))
-            .collect();
-        for (server, at) in pairs {
-            if candidates.last().is_none_or(|b| b.server != server) {
-                candidates.push(Candidate {
-                    server,
-                    bid: bid(server),
-                    holds: Vec::new(),
-                    wanted: Vec::new(),
-                });
-            }
-            places[at].1.push(candidates.len() - 1);
-            candidates
-                .last_mut()
-                .into_iter()
-                .for_each(|b| b.holds.push(at));
-        }
-        let mut wanted = PartAssignment {
+        let (candidates, parts) = candidates_of(parts, score);
+        let mut assignment = PartAssignment {
             keys: vec![0; candidates.len()],
             candidates,
-            parts: places,
-            share,
+            parts,
+            shares_calls,
         };
-        (0..wanted.parts.len()).for_each(|at| wanted.judge(at));
-        wanted
+        (0..assignment.parts.len()).for_each(|at| assignment.update_preferred(at));
+        assignment
     }
+
     fn set_key(&mut self, at: usize) {
-        let b = &self.candidates[at];
-        let count = if self.share {
-            b.wanted.len()
+        let candidate = &self.candidates[at];
+        let count = if self.shares_calls {
+            candidate.preferred.len()
         } else {
-            usize::from(!b.wanted.is_empty())
+            usize::from(!candidate.preferred.is_empty())
         };
-        let key =
-            (count as u64) << 2 | u64::from(b.bid.joins_open_call) << 1 | u64::from(b.bid.near);
+        let score = &candidate.score;
+        let key = (count as u64) << 2
+            | u64::from(score.joins_open_call) << 1
+            | u64::from(score.is_in_zone);
         self.keys[at] = if count > 0 { key } else { 0 };
     }
+
     /// Puts an open part to the servers that are best for it.
-    fn judge(&mut self, part: usize) {
-        let places = std::mem::take(&mut self.parts[part].1);
-        let best = places
+    fn update_preferred(&mut self, part: usize) {
+        let indices = std::mem::take(&mut self.parts[part].1);
+        let best = indices
             .iter()
-            .filter_map(|&b| self.candidates[b].bid.rank)
+            .filter_map(|&at| self.candidates[at].score.rank)
             .min();
-        for &at in &places {
-            let b = &mut self.candidates[at];
-            let is_best = best.is_some() && b.bid.rank == best;
-            match b.wanted.binary_search(&part) {
-                Ok(place) if !is_best => drop(b.wanted.remove(place)),
-                Err(place) if is_best => b.wanted.insert(place, part),
+        for &at in &indices {
+            let candidate = &mut self.candidates[at];
+            let is_best = best.is_some() && candidate.score.rank == best;
+            match candidate.preferred.binary_search(&part) {
+                Ok(position) if !is_best => drop(candidate.preferred.remove(position)),
+                Err(position) if is_best => candidate.preferred.insert(position, part),
                 _ => continue,
             }
             self.set_key(at);
         }
-        self.parts[part].1 = places;
+        self.parts[part].1 = indices;
     }
-    /// The server that is wanted most: of equals one that is joined, then a near one, then by
-    /// chance. With the parts that it is best for.
-    pub fn best(&self, dice: &mut SeededRng) -> Option<(S, Vec<usize>)> {
-        let most = self.keys.iter().copied().max().filter(|&k| k > 0)?;
+
+    /// The server that a send brings most at, with the parts that it is best for: of equals one
+    /// whose call is joined, then one in the own zone, then by chance.
+    pub fn best(&self, rng: &mut SeededRng) -> Option<(S, Vec<usize>)> {
+        let most = self.keys.iter().copied().max().filter(|&key| key > 0)?;
         let mut best = (0, 0);
         for (at, &key) in self.keys.iter().enumerate().filter(|(_, &key)| key > 0) {
-            // Each open one has its draw, wanted most or not: chance does not depend on how it is
+            // Each open one has its draw, best or not: chance does not depend on how the best is
             // looked for.
-            let windowed_random = (dice.0.u32(..), at);
-            if key == most && windowed_random >= best {
-                best = windowed_random;
+            let draw = (rng.0.u32(..), at);
+            if key == most && draw >= best {
+                best = draw;
             }
         }
         let best = &self.candidates[best.1];
-        Some((
-            best.server,
-            best.wanted.iter().map(|&at| self.parts[at].0).collect(),
-        ))
+        let parts = best.preferred.iter().map(|&at| self.parts[at].0).collect();
+        Some((best.server, parts))
     }
-    /// These parts were sent to a server, whose bid is now this.
-    pub fn sent(&mut self, server: S, sent: &[usize], bid: ServerScore<R>) {
+
+    /// These parts were sent to a server, whose score is now this.
+    pub fn on_sent(&mut self, server: S, sent: &[usize], score: ServerScore<R>) {
         for part in sent {
-            let Ok(place) = self.parts.binary_search_by_key(part, |p| p.0) else {
-                continue;
-            };
-            for at in std::mem::take(&mut self.parts[place].1) {
-                self.candidates[at].wanted.retain(|&p| p != place);
-                self.set_key(at);
-            }
+            self.remove(*part);
         }
-        let Ok(at) = self.candidates.binary_search_by_key(&server, |b| b.server) else {
+        let Ok(at) = self.candidates.binary_search_by_key(&server, |c| c.server) else {
             return;
         };
-        self.candidates[at].bid = bid;
+        self.candidates[at].score = score;
         self.set_key(at);
-        let mut holds = std::mem::take(&mut self.candidates[at].holds);
-        holds.retain(|&part| !self.parts[part].1.is_empty());
-        holds.iter().for_each(|&part| self.judge(part));
-        self.candidates[at].holds = holds;
+        let mut eligible = std::mem::take(&mut self.candidates[at].eligible);
+        eligible.retain(|&part| !self.parts[part].1.is_empty());
+        eligible
+            .iter()
+            .for_each(|&part| self.update_preferred(part));
+        self.candidates[at].eligible = eligible;
+    }
+
+    /// A part is open no more.
+    fn remove(&mut self, part: usize) {
+        let Ok(position) = self.parts.binary_search_by_key(&part, |p| p.0) else {
+            return;
+        };
+        for at in std::mem::take(&mut self.parts[position].1) {
+            self.candidates[at].preferred.retain(|&p| p != position);
+            self.set_key(at);
+        }
+    }
+}
+
+/// The servers of all parts in order, each with the parts that it could take, and the other way
+/// round.
+fn candidates_of<S: Copy + Ord, R>(
+    parts: &[(usize, Vec<S>)],
+    score: impl Fn(S) -> ServerScore<R>,
+) -> (Vec<Candidate<S, R>>, Vec<OpenPart>) {
+    let pairs = parts
+        .iter()
+        .enumerate()
+        .flat_map(|(at, (_, servers))| servers.iter().map(move |server| (*server, at)));
+    let mut pairs: Vec<(S, usize)> = pairs.collect();
+    pairs.sort_unstable();
+    let mut candidates: Vec<Candidate<S, R>> = Vec::new();
+    let mut open: Vec<OpenPart> = parts
+        .iter()
+        .map(|(part, servers)| (*part, Vec::with_capacity(servers.len())))
+        .collect();
+    for (server, at) in pairs {
+        if candidates.last().is_none_or(|last| last.server != server) {
+            candidates.push(Candidate {
+                server,
+                score: score(server),
+                eligible: Vec::new(),
+                preferred: Vec::new(),
+            });
+        }
+        open[at].1.push(candidates.len() - 1);
+        if let Some(last) = candidates.last_mut() {
+            last.eligible.push(at);
+        }
     }
+    (candidates, open)
 }
--- /dev/null
+++ b/stats/src/random.rs
@@ -0,0 +1,22 @@
+//! Chance from a seed: the same seed gives the same draws.
+
+use lichenswitch_interface::{Micros, Time};
+
+/// A seeded source of chance.
+#[derive(Clone, Debug)]
+pub struct SeededRng(pub fastrand::Rng);
+
+impl Default for SeededRng {
+    fn default() -> Self {
+        SeededRng(fastrand::Rng::with_seed(0))
+    }
+}
+
+/// A number from 0 to 1 that is drawn anew in each window, which begins at a point of its own for
+/// each seed. It is the same whenever it is asked for.
+#[must_use]
+pub fn windowed_random(seed: u64, now: Time, window: Micros) -> f64 {
+    let mut rng = fastrand::Rng::with_seed(seed);
+    let slice = (now.0 + rng.u64(0..=window)) / window.max(1);
+    fastrand::Rng::with_seed(rng.u64(..) ^ slice.rotate_left(40)).f64()
+}
--- a/stats/src/tests.rs
+++ b/stats/src/tests.rs
@@ -1,6 +1,7 @@
 //! Tests of `stats`.
 
 use super::*;
+use lichenswitch_interface::{Load, Placement, ServerId, Time};
 
 #[test]
 fn an_agenda_tells_what_is_to_be_looked_at_and_when() {
@@ -44,7 +45,7 @@
     let bid = |rank| ServerScore {
         rank,
         joins_open_call: false,
-        near: false,
+        is_in_zone: false,
     };
     // Server 3 takes nothing; 1 is best for the parts 0 to 2, 2 for part 3.
     let parts = vec![
@@ -54,19 +55,19 @@
         (3, vec![2, 3]),
     ];
     let ranks = |server: i32| bid([None, Some(1), Some(2), None][server as usize]);
-    let mut wanted = PartAssignment::new(parts, true, ranks);
+    let mut assignment = PartAssignment::new(&parts, true, ranks);
     let mut dice = SeededRng::default();
-    assert_eq!(wanted.best(&mut dice), Some((1, vec![0, 1, 2])));
-    wanted.sent(1, &[0], bid(Some(3)));
+    assert_eq!(assignment.best(&mut dice), Some((1, vec![0, 1, 2])));
+    assignment.on_sent(1, &[0], bid(Some(3)));
     assert_eq!(
-        wanted.best(&mut dice),
+        assignment.best(&mut dice),
         Some((2, vec![1, 3])),
         "part 1 goes to the better one now"
     );
-    wanted.sent(2, &[1, 3], bid(Some(3)));
-    assert_eq!(wanted.best(&mut dice), Some((1, vec![2])));
-    wanted.sent(1, &[2], bid(None));
-    assert_eq!(wanted.best(&mut dice), None);
+    assignment.on_sent(2, &[1, 3], bid(Some(3)));
+    assert_eq!(assignment.best(&mut dice), Some((1, vec![2])));
+    assignment.on_sent(1, &[2], bid(None));
+    assert_eq!(assignment.best(&mut dice), None);
 }
 
 #[test]
