--- a/decide/replication/src/lib.rs
+++ b/decide/replication/src/lib.rs
@@ -12,6 +12,7 @@
 #![warn(missing_docs)]
 
 mod durable;
+mod faults;
 mod membership;
 mod message;
 #[cfg(feature = "model")]
@@ -23,6 +24,9 @@
 mod status;
 mod types;
 
+#[doc(hidden)]
+pub use faults::{Fault, Faults};
+
 pub use durable::{DurableItem, Record, RecoverError, Recovered, Snapshot, Update};
 pub use membership::{majority_of, Membership};
 pub use message::{
@@ -32,8 +36,6 @@
     LeadershipTransferReason, MembershipChange, Notice, Outcome, Output, StepDownReason,
 };
 pub use replica::Replica;
-#[doc(hidden)]
-pub use settings::Faults;
 pub use settings::Settings;
 pub use state::{ReplicatedState, StateError};
 pub use status::{PeerStatus, RoleKind, Status};
--- a/decide/replication/src/replica/disk.rs
+++ b/decide/replication/src/replica/disk.rs
@@ -4,6 +4,7 @@
 
 use super::{Memory, Replica, Role};
 use crate::durable::{DurableItem, Record};
+use crate::faults::Fault;
 use crate::message::{Body, ProcessInstant};
 use crate::output::{Notice, Output};
 use crate::state::ReplicatedState;
@@ -81,7 +82,7 @@
     pub(super) fn promise(&mut self, now: Time, epoch: Epoch) {
         debug_assert!(epoch > self.promised, "a promise only rises");
         self.promised = epoch;
-        if self.settings.faults.promise_not_durable {
+        if self.settings.faults.has(Fault::PromiseNotDurable) {
             self.disk.synced_promise = epoch;
         } else if self.image.is_some() {
             self.persist(now, DurableItem::Promise(epoch));
@@ -204,7 +205,7 @@
 
     pub(super) fn answer_append(&mut self, now: Time, address: &str, epoch: Epoch, round: u64) {
         let mut synced = self.disk.synced;
-        if self.settings.faults.answer_before_sync {
+        if self.settings.faults.has(Fault::RespondBeforeSync) {
             synced = self.image.as_ref().map(|image| image.position);
         }
         let (writable, leaving) = (self.writable(now), self.leaving.is_some());
--- a/decide/replication/src/replica/election.rs
+++ b/decide/replication/src/replica/election.rs
@@ -4,6 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{Memory, Replica, Role};
+use crate::faults::Fault;
 use crate::membership::Membership;
 use crate::message::{Body, ReplicaVersion};
 use crate::output::{Notice, Output, StepDownReason};
@@ -128,7 +129,7 @@
             return;
         }
         if now >= self.election_at {
-            if !self.settings.faults.election_not_put_off || self.may_campaign(now) {
+            if !self.settings.faults.has(Fault::ElectionNotPostponed) || self.may_campaign(now) {
                 self.rest_before_election(now);
             }
             self.role = Role::Follower;
@@ -201,8 +202,8 @@
         let (epoch, above) = (canvass.epoch, canvass.highest_promised);
         match canvass.tally.verdict(
             self.me.identity,
-            faults.newest_by_number,
-            faults.half_is_quorum,
+            faults.has(Fault::NewestByNumber),
+            faults.has(Fault::HalfIsQuorum),
         ) {
             None => {}
             Some(Verdict::Excluded(position)) => self.give_up(now, position),
@@ -343,8 +344,8 @@
         let (epoch, take_over) = (candidacy.epoch, candidacy.take_over);
         match candidacy.tally.verdict(
             self.me.identity,
-            faults.newest_by_number,
-            faults.half_is_quorum,
+            faults.has(Fault::NewestByNumber),
+            faults.has(Fault::HalfIsQuorum),
         ) {
             None => {}
             Some(Verdict::Excluded(position)) => self.give_up(now, position),
@@ -382,8 +383,8 @@
         let (epoch, grants) = (candidacy.epoch, candidacy.tally.yes.len());
         let verdict = candidacy.tally.verdict(
             self.me.identity,
-            faults.newest_by_number,
-            faults.half_is_quorum,
+            faults.has(Fault::NewestByNumber),
+            faults.has(Fault::HalfIsQuorum),
         );
         match verdict {
             Some(Verdict::Won(position, _)) if position == image.position => {
@@ -430,8 +431,12 @@
             position: Position::default(),
             membership: Membership::default(),
         };
-        self.held()
-            .or_else(|| self.settings.faults.empty_disk_votes.then_some(empty))
+        self.held().or_else(|| {
+            self.settings
+                .faults
+                .has(Fault::EmptyDiskVotes)
+                .then_some(empty)
+        })
     }
 
     /// Sends the grants whose promise is synced; those of epochs that a later promise overtook are
--- a/decide/replication/src/replica/join.rs
+++ b/decide/replication/src/replica/join.rs
@@ -3,6 +3,7 @@
 
 use super::primary::{Peer, Primary};
 use super::Replica;
+use crate::faults::Fault;
 use crate::membership::{majority_of, Membership};
 use crate::message::Body;
 use crate::output::{MembershipChange, Notice, Output};
@@ -161,7 +162,7 @@
         primary: &Primary,
         membership: &Membership,
     ) -> Option<MembershipChange> {
-        if self.settings.faults.never_vote_out {
+        if self.settings.faults.has(Fault::NeverRemoveVoters) {
             return None;
         }
         let ready = self.ready(now, primary);
@@ -225,7 +226,7 @@
             let peer = primary.peers.get(&voter.identity);
             peer.is_none_or(|peer| peer.answered && now.since(peer.heard_at) <= doubtful)
         });
-        let never = self.settings.faults.never_vote_out;
+        let never = self.settings.faults.has(Fault::NeverRemoveVoters);
         // Two voters bear no loss, and lose what they have with the first: a sole founder waits for
         // two.
         let waits = membership.voters.len() == 1 && new.len() == 1;
@@ -237,7 +238,7 @@
     }
 
     fn removal(&mut self, now: Time, membership: &Membership) -> Option<MembershipChange> {
-        if self.settings.faults.never_vote_out {
+        if self.settings.faults.has(Fault::NeverRemoveVoters) {
             return None;
         }
         let remove_after = self.settings.remove_after;
--- a/decide/replication/src/replica/mod.rs
+++ b/decide/replication/src/replica/mod.rs
@@ -22,6 +22,7 @@
 use self::primary::{Primary, Told};
 use self::transfer::{Served, Transfer};
 use crate::durable::{DurableItem, RecoverError, Recovered, Snapshot, Update};
+use crate::faults::Fault;
 use crate::membership::Membership;
 use crate::message::{Body, Message, ReplicaVersion};
 use crate::output::{Outcome, Output};
@@ -315,7 +316,7 @@
 
     /// Asks for a round that begins after this call. Ends in one [`Output::Completed`].
     pub fn confirm(&mut self, now: Time) -> RequestId {
-        if !self.settings.faults.answer_from_memory {
+        if !self.settings.faults.has(Fault::ConfirmFromMemory) {
             self.check_contact(now);
         }
         let request = self.draw_request();
--- a/decide/replication/src/replica/primary.rs
+++ b/decide/replication/src/replica/primary.rs
@@ -7,6 +7,7 @@
 use super::rounds::Rounds;
 use super::{Memory, Replica, Role};
 use crate::durable::{Record, Update};
+use crate::faults::Fault;
 use crate::membership::Membership;
 use crate::message::{Append, Body, ProcessInstant};
 use crate::output::{Notice, Outcome, Output, StepDownReason};
@@ -314,7 +315,7 @@
             return false;
         };
         let mut membership = image.membership.joint(voters);
-        if self.settings.faults.no_joint_record {
+        if self.settings.faults.has(Fault::NoJointRecord) {
             membership = membership.finished();
         }
         self.write(now, Update::Membership(membership), None, false);
@@ -401,7 +402,7 @@
     pub(super) fn on_append_response(&mut self, now: Time, from: Member, epoch: Epoch, told: Told) {
         let synced = told.synced;
         self.note_address(&from);
-        let any_epoch = self.settings.faults.count_old_epoch;
+        let any_epoch = self.settings.faults.has(Fault::CountEarlierEpoch);
         let Some(primary) = self
             .lead_mut()
             .filter(|primary| primary.epoch == epoch || any_epoch)
@@ -509,10 +510,10 @@
 
     fn is_quorum(&self, membership: &Membership, present: &BTreeSet<Identity>) -> bool {
         let faults = self.settings.faults;
-        let leaver_alone = faults.leaver_commits_alone && self.leaving.is_some();
-        let alone =
-            (leaver_alone || faults.primary_commits_alone) && present.contains(&self.me.identity);
-        let half = faults.half_is_quorum && half_of(membership, present);
+        let leaver_alone = faults.has(Fault::LeaverCommitsAlone) && self.leaving.is_some();
+        let alone = (leaver_alone || faults.has(Fault::PrimaryCommitsAlone))
+            && present.contains(&self.me.identity);
+        let half = faults.has(Fault::HalfIsQuorum) && half_of(membership, present);
         membership.quorum(present) || alone || half
     }
 
--- a/decide/replication/src/replica/rounds.rs
+++ b/decide/replication/src/replica/rounds.rs
@@ -4,6 +4,7 @@
 
 use super::primary::Primary;
 use super::Replica;
+use crate::faults::Fault;
 use crate::output::{Outcome, StepDownReason};
 use crate::state::ReplicatedState;
 use crate::types::{Identity, RequestId, Time};
@@ -73,10 +74,12 @@
         let Some(primary) = self.lead_mut() else {
             return self.settle(request, Outcome::NotPrimary);
         };
-        if serving && (faults.answer_from_memory || (faults.early_lease && fresh)) {
+        if serving
+            && (faults.has(Fault::ConfirmFromMemory) || (faults.has(Fault::EarlyLease) && fresh))
+        {
             return self.confirmed(request);
         }
-        let first = primary.rounds.current + u64::from(!faults.count_old_round);
+        let first = primary.rounds.current + u64::from(!faults.has(Fault::CountEarlierRound));
         let at_once = !primary.rounds.in_flight();
         primary.rounds.waiting.push_back((request, first));
         if at_once {
@@ -138,7 +141,7 @@
     /// A primary that no quorum has confirmed for too long is none: asked first of all on every
     /// call, so that one that was frozen does nothing from memory.
     pub(super) fn check_contact(&mut self, now: Time) {
-        if self.settings.faults.answer_from_memory {
+        if self.settings.faults.has(Fault::ConfirmFromMemory) {
             return;
         }
         let Some(primary) = self.lead() else { return };
--- a/decide/replication/src/replica/without_disk.rs
+++ b/decide/replication/src/replica/without_disk.rs
@@ -8,6 +8,7 @@
 use std::collections::BTreeSet;
 
 use super::Replica;
+use crate::faults::Fault;
 use crate::membership::Membership;
 use crate::state::ReplicatedState;
 use crate::types::{Identity, Member};
@@ -33,7 +34,7 @@
     pub(super) fn waits_for_disks(&self) -> bool {
         let Some(primary) = self
             .lead()
-            .filter(|_| !self.settings.faults.orders_beside_memory)
+            .filter(|_| !self.settings.faults.has(Fault::ChangesBesideDisklessVoters))
         else {
             return false;
         };
@@ -52,6 +53,8 @@
             .voters
             .iter()
             .any(|other| self.has_disk(other.identity));
-        durable && !self.has_disk(voter.identity) && !self.settings.faults.orders_beside_memory
+        durable
+            && !self.has_disk(voter.identity)
+            && !self.settings.faults.has(Fault::ChangesBesideDisklessVoters)
     }
 }
--- a/decide/replication/src/settings.rs
+++ b/decide/replication/src/settings.rs
@@ -1,5 +1,7 @@
 //! Times and limits. All times are microseconds.
 
+use crate::faults::Faults;
+
 /// Times and limits of a replica, the same at all members.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
@@ -65,42 +67,3 @@
         }
     }
 }
-
-/// Faults that the model tests plant to show that they would be found. All off, and never to be set
-/// elsewhere.
-#[doc(hidden)]
-#[allow(missing_docs)]
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Faults {
-    /// A confirmation is given at once while the last round is younger than `contact_timeout`.
-    pub early_lease: bool,
-    /// A confirmation is given from memory, without a look at the clock or a round.
-    pub answer_from_memory: bool,
-    /// A round that was begun before the call confirms it.
-    pub count_old_round: bool,
-    /// An empty disk votes.
-    pub empty_disk_votes: bool,
-    /// A voter answers before its disk has synced.
-    pub answer_before_sync: bool,
-    /// Half of the voters count as a quorum.
-    pub half_is_quorum: bool,
-    /// Nobody is voted out or replaced.
-    pub never_vote_out: bool,
-    /// The newest image is chosen by its number alone.
-    pub newest_by_number: bool,
-    /// A primary commits what it holds alone.
-    pub primary_commits_alone: bool,
-    /// A primary that leaves commits what it holds alone.
-    pub leaver_commits_alone: bool,
-    /// A change of membership is written without the joint record.
-    pub no_joint_record: bool,
-    /// A promise is answered without having been written.
-    pub promise_not_durable: bool,
-    /// A confirmation of an older epoch counts.
-    pub count_old_epoch: bool,
-    /// Orders are taken beside voters without a disk, whose votes count like all others.
-    pub orders_beside_memory: bool,
-    /// A voter whose time for an election has come, and that may not ask for one, doesn't put the
-    /// next attempt off.
-    pub election_not_put_off: bool,
-}
--- a/decide/replication/tests/exhaustive.rs
+++ b/decide/replication/tests/exhaustive.rs
@@ -7,7 +7,7 @@
 
 use lichenswitch_replication::model::walk::{calm_step, gather, settle};
 use lichenswitch_replication::model::{Action, World};
-use lichenswitch_replication::{Faults, Settings};
+use lichenswitch_replication::{Fault, Faults, Settings};
 use stateright::{Checker, Model, Property};
 
 /// What may still happen beside deliveries and syncs.
@@ -385,23 +385,14 @@
 
 #[test]
 fn an_early_lease_is_found() {
-    found(
-        "early lease",
-        two_primaries(Faults {
-            early_lease: true,
-            ..Faults::default()
-        }),
-    );
+    found("early lease", two_primaries(Faults::of(Fault::EarlyLease)));
 }
 
 #[test]
 fn an_answer_from_memory_is_found() {
     found(
         "answer from memory",
-        two_primaries(Faults {
-            answer_from_memory: true,
-            ..Faults::default()
-        }),
+        two_primaries(Faults::of(Fault::ConfirmFromMemory)),
     );
 }
 
@@ -409,10 +400,7 @@
 fn an_older_round_that_counts_is_found() {
     found(
         "older round",
-        two_primaries(Faults {
-            count_old_round: true,
-            ..Faults::default()
-        }),
+        two_primaries(Faults::of(Fault::CountEarlierRound)),
     );
 }
 
@@ -420,9 +408,6 @@
 fn an_answer_of_an_older_epoch_that_counts_is_found() {
     found(
         "older epoch",
-        twice_primary(Faults {
-            count_old_epoch: true,
-            ..Faults::default()
-        }),
+        twice_primary(Faults::of(Fault::CountEarlierEpoch)),
     );
 }
--- a/decide/replication/tests/planted_faults.rs
+++ b/decide/replication/tests/planted_faults.rs
@@ -4,7 +4,7 @@
 
 use lichenswitch_replication::model::walk::{walk, Walk};
 use lichenswitch_replication::model::{PlantedFaults, World};
-use lichenswitch_replication::{Faults, Settings};
+use lichenswitch_replication::{Fault, Faults, Settings};
 
 /// Most seeds until a fault must have been found.
 const MOST_SEEDS: u64 = 3000;
@@ -85,45 +85,43 @@
 }
 
 macro_rules! planted {
-    ($($name:ident, $profile:expr;)*) => {$(
+    ($($test:ident, $fault:ident, $profile:expr;)*) => {$(
         #[test]
-        fn $name() {
-            must_find(stringify!($name), Faults { $name: true, ..Faults::default() }, PlantedFaults::default(), $profile);
+        fn $test() {
+            let faults = Faults::of(Fault::$fault);
+            must_find(stringify!($test), faults, PlantedFaults::default(), $profile);
         }
     )*};
 }
 
 planted! {
-    early_lease, STEADY;
-    answer_from_memory, STEADY;
-    count_old_round, STEADY;
-    answer_before_sync, STEADY;
-    half_is_quorum, EVEN;
-    newest_by_number, STEADY;
-    leaver_commits_alone, CHANGING;
-    no_joint_record, CHANGING;
-    promise_not_durable, STEADY;
-    election_not_put_off, STEADY;
+    early_lease_is_found, EarlyLease, STEADY;
+    confirmation_from_memory_is_found, ConfirmFromMemory, STEADY;
+    counted_earlier_round_is_found, CountEarlierRound, STEADY;
+    response_before_sync_is_found, RespondBeforeSync, STEADY;
+    quorum_of_half_is_found, HalfIsQuorum, EVEN;
+    newest_by_number_is_found, NewestByNumber, STEADY;
+    commit_by_leaving_primary_alone_is_found, LeaverCommitsAlone, CHANGING;
+    change_without_joint_record_is_found, NoJointRecord, CHANGING;
+    promise_that_is_not_durable_is_found, PromiseNotDurable, STEADY;
+    election_not_postponed_is_found, ElectionNotPostponed, STEADY;
 }
 
 #[test]
-fn empty_disk_votes() {
-    let faults = Faults {
-        empty_disk_votes: true,
-        ..Faults::default()
-    };
+fn vote_of_empty_disk_is_found() {
+    let faults = Faults::of(Fault::EmptyDiskVotes);
     let machinery = PlantedFaults {
         wiped_keeps_identity: true,
         ..PlantedFaults::default()
     };
-    must_find("empty_disk_votes", faults, machinery, CHANGING);
+    must_find("vote_of_empty_disk", faults, machinery, CHANGING);
 }
 
 #[test]
-fn founds_again() {
+fn second_bootstrap_of_wiped_founder_is_found() {
     let machinery = PlantedFaults {
         founds_again: true,
         ..PlantedFaults::default()
     };
-    must_find("founds_again", Faults::default(), machinery, CHANGING);
+    must_find("second_bootstrap", Faults::default(), machinery, CHANGING);
 }
--- a/decide/replication/tests/scenarios.rs
+++ b/decide/replication/tests/scenarios.rs
@@ -3,7 +3,9 @@
 mod scenario;
 
 use lichenswitch_replication::model::timed::TimedWorld;
-use lichenswitch_replication::{DurableItem, Epoch, Faults, MembershipChange, Notice, Settings};
+use lichenswitch_replication::{
+    DurableItem, Epoch, Fault, Faults, MembershipChange, Notice, Settings,
+};
 use scenario::*;
 
 #[test]
@@ -160,10 +162,7 @@
 fn a_dead_voter_that_is_never_voted_out_is_found() {
     assert!(second_replacement(Faults::default()).is_some());
     assert_eq!(
-        second_replacement(Faults {
-            never_vote_out: true,
-            ..Faults::default()
-        }),
+        second_replacement(Faults::of(Fault::NeverRemoveVoters)),
         None
     );
 }
--- a/decide/replication/tests/values.rs
+++ b/decide/replication/tests/values.rs
@@ -181,7 +181,10 @@
     let (first, second) = (position(2, 5), position(4, 6));
     let recovered =
         Recovered::from_items([image(first), record(first, second, Update::EpochStart)]);
-    assert_eq!(recovered.expect("it follows").snapshot.promised, second.epoch);
+    assert_eq!(
+        recovered.expect("it follows").snapshot.promised,
+        second.epoch
+    );
 }
 
 #[test]
--- a/simulator/tests/overlaps.rs
+++ b/simulator/tests/overlaps.rs
@@ -5,6 +5,7 @@
 mod common;
 
 use common::{begun, finds, holds, nothing, CATCH_UP, SECOND};
+use lichenswitch_replication::Fault;
 use lichenswitch_simulator::callers::Pace;
 use lichenswitch_simulator::disk::DiskTrouble;
 use lichenswitch_simulator::network::Host;
@@ -226,12 +227,12 @@
     }
     finds(
         0..20,
-        |settings| settings.faults.half_is_quorum = true,
+        |settings| settings.faults.plant(Fault::HalfIsQuorum),
         overlapping,
     );
     finds(
         0..20,
-        |settings| settings.faults.never_vote_out = true,
+        |settings| settings.faults.plant(Fault::NeverRemoveVoters),
         overlapping,
     );
     finds(
@@ -246,7 +247,7 @@
 fn planted_faults_are_found_by_final_faults() {
     fn unsynced(settings: &mut WorldSettings) {
         eager(settings);
-        settings.faults.answer_before_sync = true;
+        settings.faults.plant(Fault::RespondBeforeSync);
     }
     fn forgetful(settings: &mut WorldSettings) {
         eager(settings);
--- a/simulator/tests/point_1.rs
+++ b/simulator/tests/point_1.rs
@@ -4,6 +4,7 @@
 mod common;
 
 use common::{acknowledged_between, begun, cut, finds, holds, holds_with, nothing, SECOND};
+use lichenswitch_replication::Fault;
 use lichenswitch_simulator::callers::Pace;
 use lichenswitch_simulator::disk::DiskTrouble;
 use lichenswitch_simulator::network::Host;
@@ -172,7 +173,7 @@
 #[test]
 fn a_primary_that_answers_from_memory_is_found() {
     fn plant(settings: &mut WorldSettings) {
-        settings.faults.answer_from_memory = true;
+        settings.faults.plant(Fault::ConfirmFromMemory);
         // It never steps down, and wakes for that for ever.
         settings.judges_wakes = false;
     }
@@ -220,7 +221,7 @@
 fn a_lease_instead_of_a_round_is_found() {
     fn plant(settings: &mut WorldSettings) {
         watched(settings);
-        settings.faults.early_lease = true;
+        settings.faults.plant(Fault::EarlyLease);
     }
     finds(0..20, plant, short_cuts);
 }
--- a/simulator/tests/point_3.rs
+++ b/simulator/tests/point_3.rs
@@ -4,6 +4,7 @@
 mod common;
 
 use common::{begun, finds, holds, nothing, CATCH_UP, SECOND};
+use lichenswitch_replication::Fault;
 use lichenswitch_simulator::world::{Action, Target, World, WorldSettings};
 
 /// How a machine is lost and repaired.
@@ -147,7 +148,7 @@
 fn dead_voters_that_stay_are_found() {
     finds(
         0..6,
-        |settings| settings.faults.never_vote_out = true,
+        |settings| settings.faults.plant(Fault::NeverRemoveVoters),
         five_repairs,
     );
 }
@@ -194,7 +195,7 @@
     }
     finds(
         0..20,
-        |settings| settings.faults.leaver_commits_alone = true,
+        |settings| settings.faults.plant(Fault::LeaverCommitsAlone),
         leaves,
     );
 }
--- a/simulator/tests/point_4.rs
+++ b/simulator/tests/point_4.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{acknowledged_between, begun, cut, finds, holds, holds_with, SECOND};
-use lichenswitch_replication::RoleKind;
+use lichenswitch_replication::{Fault, RoleKind};
 use lichenswitch_simulator::callers::Pace;
 use lichenswitch_simulator::disk::DiskTrouble;
 use lichenswitch_simulator::network::Host;
@@ -137,7 +137,7 @@
 fn answers_before_the_sync_are_found() {
     fn plant(settings: &mut WorldSettings) {
         busy(settings);
-        settings.faults.answer_before_sync = true;
+        settings.faults.plant(Fault::RespondBeforeSync);
     }
     holds(0..2, busy, power_lost);
     finds(0..20, plant, power_lost);
@@ -163,7 +163,7 @@
     }
     fn plant(settings: &mut WorldSettings) {
         busy(settings);
-        settings.faults.half_is_quorum = true;
+        settings.faults.plant(Fault::HalfIsQuorum);
     }
     holds(0..3, busy, halves);
     finds(0..20, plant, halves);
--- a/simulator/tests/without_disk.rs
+++ b/simulator/tests/without_disk.rs
@@ -4,6 +4,7 @@
 mod common;
 
 use common::{finds, holds, CATCH_UP, SECOND};
+use lichenswitch_replication::Fault;
 use lichenswitch_simulator::callers::Pace;
 use lichenswitch_simulator::world::{Action, Target, World, WorldSettings};
 
@@ -75,7 +76,7 @@
 fn votes_of_memory_that_count_are_found() {
     fn counted(settings: &mut WorldSettings) {
         five(settings);
-        settings.faults.orders_beside_memory = true;
+        settings.faults.plant(Fault::ChangesBesideDisklessVoters);
     }
     finds(0..16, counted, a_disk_is_lost_at_the_beginning);
 }
--- a/soak/src/bin/lichenswitch-volatile-fleet.rs
+++ b/soak/src/bin/lichenswitch-volatile-fleet.rs
@@ -6,6 +6,7 @@
 use lichenswitch_fleet::control::Environment;
 use lichenswitch_fleet::settings::{self, Settings};
 use lichenswitch_fleet::{control, logging, router};
+use lichenswitch_replication::Fault;
 use lichenswitch_soak::volatile_disk::VolatileDisk;
 use lichenswitch_storage::FileSystem;
 use std::path::Path;
@@ -51,7 +52,7 @@
     }
     match planted(path)?.as_deref() {
         None => {}
-        Some(ACKNOWLEDGES_ALONE) => environment.faults.primary_commits_alone = true,
+        Some(ACKNOWLEDGES_ALONE) => environment.faults.plant(Fault::PrimaryCommitsAlone),
         Some(other) => return Err(format!("soak.plant: there is no fault {other:?}").into()),
     }
     Ok(environment)
