--- a/decide/replication/src/durable.rs
+++ b/decide/replication/src/durable.rs
@@ -3,8 +3,8 @@
 use rkyv::{Archive, Deserialize, Serialize};
 use thiserror::Error;
 
+use crate::codec::{self, DecodeError};
 use crate::membership::Membership;
-use crate::message::{aligned, encode, DecodeError};
 use crate::types::{Epoch, Identity, Position};
 
 /// An item that is appended to the disk; items count in the order in which they were written.
@@ -62,17 +62,12 @@
 impl DurableItem {
     /// The item as bytes.
     pub fn encode(&self) -> Vec<u8> {
-        encode(self)
+        codec::encode(self)
     }
 
     /// The item that [`Self::encode`] wrote; checked.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
-        let aligned = aligned(bytes);
-        rkyv::from_bytes::<Self, rkyv::rancor::Error>(&aligned).map_err(|error| DecodeError {
-            what: "durable item",
-            len: bytes.len(),
-            reason: error.to_string(),
-        })
+        codec::decode(bytes, "durable item")
     }
 }
 
--- a/decide/replication/src/lib.rs
+++ b/decide/replication/src/lib.rs
@@ -11,6 +11,7 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod codec;
 mod durable;
 mod faults;
 mod membership;
@@ -27,10 +28,11 @@
 #[doc(hidden)]
 pub use faults::{Fault, Faults};
 
+pub use codec::DecodeError;
 pub use durable::{DurableItem, Record, RecoverError, Recovered, Snapshot, Update};
 pub use membership::{majority_of, Membership};
 pub use message::{
-    Append, Body, DecodeError, Message, ProcessInstant, ReplicaVersion, SnapshotChunk, CHUNK_BYTES,
+    Append, Body, Message, ProcessInstant, ReplicaVersion, SnapshotChunk, CHUNK_BYTES,
 };
 pub use output::{
     LeadershipTransferReason, MembershipChange, Notice, Outcome, Output, StepDownReason,
--- a/decide/replication/src/membership.rs
+++ b/decide/replication/src/membership.rs
@@ -55,7 +55,7 @@
     /// Whether `present` holds a majority of the voters, and of the outgoing ones.
     pub fn quorum(&self, present: &BTreeSet<Identity>) -> bool {
         let majority = |members: &[Member]| {
-            held(members, present) >= majority_of(members.len()) && !members.is_empty()
+            count_present(members, present) >= majority_of(members.len()) && !members.is_empty()
         };
         majority(&self.voters) && self.outgoing.as_deref().is_none_or(majority)
     }
@@ -82,7 +82,7 @@
     }
 }
 
-fn held(members: &[Member], present: &BTreeSet<Identity>) -> usize {
+fn count_present(members: &[Member], present: &BTreeSet<Identity>) -> usize {
     members
         .iter()
         .filter(|member| present.contains(&member.identity))
--- a/decide/replication/src/message.rs
+++ b/decide/replication/src/message.rs
@@ -2,8 +2,8 @@
 //! to, so that one that is late, repeated or meant for another never counts.
 
 use rkyv::{Archive, Deserialize, Serialize};
-use thiserror::Error;
 
+use crate::codec::{self, DecodeError};
 use crate::durable::Record;
 use crate::membership::Membership;
 use crate::types::{Epoch, Identity, Member, Position};
@@ -180,55 +180,14 @@
     pub bytes: Vec<u8>,
 }
 
-/// Bytes that are no message or item of this version.
-#[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("{len} bytes are no {what}: {reason}")]
-pub struct DecodeError {
-    /// What they should have been.
-    pub what: &'static str,
-    /// How many there were.
-    pub len: usize,
-    /// What the deserialiser said.
-    pub reason: String,
-}
-
 impl Message {
     /// The message as bytes.
     pub fn encode(&self) -> Vec<u8> {
-        encode(self)
+        codec::encode(self)
     }
 
     /// The message that [`Self::encode`] wrote; checked.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
-        let aligned = aligned(bytes);
-        rkyv::from_bytes::<Self, rkyv::rancor::Error>(&aligned).map_err(|error| DecodeError {
-            what: "message",
-            len: bytes.len(),
-            reason: error.to_string(),
-        })
+        codec::decode(bytes, "message")
     }
 }
-
-/// A value as bytes.
-pub(crate) fn encode<T>(value: &T) -> Vec<u8>
-where
-    T: for<'a> Serialize<
-        rkyv::api::high::HighSerializer<
-            rkyv::util::AlignedVec,
-            rkyv::ser::allocator::ArenaHandle<'a>,
-            rkyv::rancor::Error,
-        >,
-    >,
-{
-    let bytes = rkyv::to_bytes::<rkyv::rancor::Error>(value);
-    bytes
-        .expect("a plain value is serialised into memory without an error")
-        .into_vec()
-}
-
-/// A copy at the alignment that the deserialiser needs.
-pub(crate) fn aligned(bytes: &[u8]) -> rkyv::util::AlignedVec {
-    let mut copy = rkyv::util::AlignedVec::with_capacity(bytes.len());
-    copy.extend_from_slice(bytes);
-    copy
-}
--- a/decide/replication/src/replica/disk.rs
+++ b/decide/replication/src/replica/disk.rs
@@ -208,7 +208,7 @@
         if self.settings.faults.has(Fault::RespondBeforeSync) {
             synced = self.image.as_ref().map(|image| image.position);
         }
-        let (writable, leaving) = (self.writable(now), self.leaving.is_some());
+        let (writable, leaving) = (self.writable(now), self.departure.is_some());
         let stamp = ProcessInstant {
             process: self.process,
             clock: now.0,
--- a/decide/replication/src/replica/election.rs
+++ b/decide/replication/src/replica/election.rs
@@ -82,12 +82,12 @@
 
 /// The planted fault of a quorum that is too small.
 pub(super) fn half_of(membership: &Membership, present: &BTreeSet<Identity>) -> bool {
-    let held = membership
+    let present = membership
         .voters
         .iter()
         .filter(|voter| present.contains(&voter.identity))
         .count();
-    held * 2 >= membership.voters.len()
+    present * 2 >= membership.voters.len()
 }
 
 impl<S: ReplicatedState> Replica<S> {
@@ -105,7 +105,7 @@
     }
 
     fn may_campaign(&self, now: Time) -> bool {
-        let able = !self.is_outsider() && self.leaving.is_none() && now >= self.passive_until;
+        let able = !self.is_outsider() && self.departure.is_none() && now >= self.passive_until;
         able && self.writable(now) && self.disk.synced.is_some()
     }
 
--- a/decide/replication/src/replica/join.rs
+++ b/decide/replication/src/replica/join.rs
@@ -62,7 +62,7 @@
     }
 
     fn knocks(&self) -> bool {
-        self.is_outsider() && self.leaving.is_none() && self.lead().is_none()
+        self.is_outsider() && self.departure.is_none() && self.lead().is_none()
     }
 
     pub(super) fn wake_of_knock(&self) -> Option<Time> {
--- a/decide/replication/src/replica/leave.rs
+++ b/decide/replication/src/replica/leave.rs
@@ -10,8 +10,8 @@
 
 /// This member has asked to leave.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(super) struct Leaving {
-    ask_at: Time,
+pub(super) struct Departure {
+    next_request_at: Time,
     /// The primary has said that it may stop.
     may_stop: bool,
 }
@@ -35,9 +35,9 @@
     /// Begins to leave: hands on the part of the primary, then asks to be removed.
     pub fn leave(&mut self, now: Time) {
         self.check_contact(now);
-        if self.leaving.is_none() {
-            self.leaving = Some(Leaving {
-                ask_at: now,
+        if self.departure.is_none() {
+            self.departure = Some(Departure {
+                next_request_at: now,
                 may_stop: false,
             });
         }
@@ -57,25 +57,25 @@
             .as_ref()
             .is_none_or(|image| alone(&image.membership));
         let outside = self.lead().is_none() && self.is_outsider();
-        self.leaving
+        self.departure
             .as_ref()
-            .is_some_and(|leaving| leaving.may_stop || nobody_else || outside)
+            .is_some_and(|departure| departure.may_stop || nobody_else || outside)
     }
 
     pub(super) fn tick_leave(&mut self, now: Time) {
         let interval = self.settings.retry_interval;
         let leads = self.lead().is_some();
-        let Some(leaving) = self
-            .leaving
+        let Some(departure) = self
+            .departure
             .as_mut()
-            .filter(|leaving| !leaving.may_stop && !leads)
+            .filter(|departure| !departure.may_stop && !leads)
         else {
             return;
         };
-        if now < leaving.ask_at {
+        if now < departure.next_request_at {
             return;
         }
-        leaving.ask_at = now.after(interval);
+        departure.next_request_at = now.after(interval);
         for address in self.whom_to_ask(now) {
             self.send(&address, Body::LeaveRequest);
         }
@@ -101,14 +101,15 @@
 
     pub(super) fn wake_of_leave(&self) -> Option<Time> {
         let asks = self
-            .leaving
+            .departure
             .as_ref()
-            .filter(|leaving| !leaving.may_stop && self.lead().is_none());
+            .filter(|departure| !departure.may_stop && self.lead().is_none());
         let hand_over = self
             .lead()
             .and_then(|primary| primary.hand_over.as_ref())
             .map(|over| over.next_at);
-        asks.map(|leaving| leaving.ask_at).or(hand_over)
+        asks.map(|departure| departure.next_request_at)
+            .or(hand_over)
     }
 
     pub(super) fn on_leave(&mut self, now: Time, from: Member) {
@@ -157,8 +158,8 @@
         if epoch < self.promised || from.identity != epoch.primary {
             return;
         }
-        if let Some(leaving) = &mut self.leaving {
-            leaving.may_stop |= may_stop;
+        if let Some(departure) = &mut self.departure {
+            departure.may_stop |= may_stop;
         }
     }
 
@@ -166,7 +167,7 @@
     pub(super) fn tick_hand_over(&mut self, now: Time) {
         let Some(primary) = self.lead() else { return };
         let waits = self.disk.waits_for(now);
-        let reason = if self.leaving.is_some() {
+        let reason = if self.departure.is_some() {
             LeadershipTransferReason::Leaving
         } else if waits >= self.settings.disk_stall {
             LeadershipTransferReason::DiskStalled(waits)
--- a/decide/replication/src/replica/mod.rs
+++ b/decide/replication/src/replica/mod.rs
@@ -18,7 +18,7 @@
 
 use self::disk::Disk;
 use self::election::{Candidacy, Canvass, PendingGrant};
-use self::leave::Leaving;
+use self::leave::Departure;
 use self::primary::{Primary, Told};
 use self::transfer::{Served, Transfer};
 use crate::durable::{DurableItem, RecoverError, Recovered, Snapshot, Update};
@@ -65,7 +65,7 @@
     served: Option<Served>,
     /// Where an image stands whose membership doesn't name this member.
     excluded: Option<Position>,
-    leaving: Option<Leaving>,
+    departure: Option<Departure>,
     election_at: Time,
     knock_at: Time,
     passive_until: Time,
@@ -183,7 +183,7 @@
             transfer: None,
             served: None,
             excluded: None,
-            leaving: None,
+            departure: None,
             election_at: now,
             knock_at: now,
             passive_until: Time(0),
--- a/decide/replication/src/replica/primary.rs
+++ b/decide/replication/src/replica/primary.rs
@@ -510,7 +510,7 @@
 
     fn is_quorum(&self, membership: &Membership, present: &BTreeSet<Identity>) -> bool {
         let faults = self.settings.faults;
-        let leaver_alone = faults.has(Fault::LeaverCommitsAlone) && self.leaving.is_some();
+        let leaver_alone = faults.has(Fault::LeaverCommitsAlone) && self.departure.is_some();
         let alone = (leaver_alone || faults.has(Fault::PrimaryCommitsAlone))
             && present.contains(&self.me.identity);
         let half = faults.has(Fault::HalfIsQuorum) && half_of(membership, present);
--- a/decide/replication/src/replica/show.rs
+++ b/decide/replication/src/replica/show.rs
@@ -113,7 +113,7 @@
             membership: self.membership().clone(),
             in_contact: self.in_contact(now),
             is_writable: self.writable(now),
-            is_leaving: self.leaving.is_some(),
+            is_leaving: self.departure.is_some(),
             peers: self.peer_statuses(now),
             not_serving_reason: self.not_serving_reason(now),
         }
--- a/decide/replication/src/replica/transfer.rs
+++ b/decide/replication/src/replica/transfer.rs
@@ -4,12 +4,14 @@
 use std::sync::Arc;
 
 use rkyv::{Archive, Deserialize, Serialize};
+use thiserror::Error;
 
 use super::{Memory, Replica, Role};
+use crate::codec::{self, DecodeError};
 use crate::membership::Membership;
-use crate::message::{aligned, encode, Body, SnapshotChunk, CHUNK_BYTES};
+use crate::message::{Body, SnapshotChunk, CHUNK_BYTES};
 use crate::output::{Notice, Output};
-use crate::state::ReplicatedState;
+use crate::state::{ReplicatedState, StateError};
 use crate::types::{Epoch, Identity, Member, Position, Time};
 
 /// Chunks that are sent for one request.
@@ -42,7 +44,7 @@
 
 /// What travels.
 #[derive(Archive, Serialize, Deserialize)]
-struct Content {
+struct SnapshotContent {
     membership: Membership,
     state: Vec<u8>,
 }
@@ -199,11 +201,11 @@
         {
             return;
         }
-        let content = Content {
+        let content = SnapshotContent {
             membership: image.membership.clone(),
             state: image.state.encode(),
         };
-        let bytes = Arc::new(encode(&content));
+        let bytes = Arc::new(codec::encode(&content));
         let checksum = crc32fast::hash(&bytes);
         self.served = Some(Served {
             position: image.position,
@@ -274,7 +276,7 @@
             return;
         };
         let bytes: Vec<u8> = transfer.chunks.into_values().flatten().collect();
-        match read_content(&bytes, transfer.checksum, position) {
+        match decode_snapshot(&bytes, transfer.checksum, position) {
             Ok(image) => {
                 self.outputs.push(Output::Notice(Notice::SnapshotReceived {
                     position,
@@ -282,10 +284,10 @@
                 }));
                 self.take_image(now, transfer.source.identity, transfer.epoch, image);
             }
-            Err(reason) => {
+            Err(error) => {
                 self.outputs.push(Output::Notice(Notice::SnapshotRejected {
                     position,
-                    reason,
+                    reason: error.to_string(),
                 }));
             }
         }
@@ -309,17 +311,27 @@
     }
 }
 
-fn read_content<S: ReplicatedState>(
+/// Why the chunks of a snapshot don't come to one.
+#[derive(Debug, Error)]
+enum SnapshotError {
+    #[error("the checksum of its {bytes} bytes differs")]
+    Checksum { bytes: usize },
+    #[error("{}", .0.reason)]
+    Content(#[from] DecodeError),
+    #[error(transparent)]
+    State(#[from] StateError),
+}
+
+fn decode_snapshot<S: ReplicatedState>(
     bytes: &[u8],
     checksum: u32,
     position: Position,
-) -> Result<Memory<S>, String> {
+) -> Result<Memory<S>, SnapshotError> {
     if crc32fast::hash(bytes) != checksum {
-        return Err(format!("the checksum of its {} bytes differs", bytes.len()));
+        return Err(SnapshotError::Checksum { bytes: bytes.len() });
     }
-    let content = rkyv::from_bytes::<Content, rkyv::rancor::Error>(&aligned(bytes));
-    let Content { membership, state } = content.map_err(|error| error.to_string())?;
-    let state = S::decode(&state).map_err(|error| error.reason)?;
+    let SnapshotContent { membership, state } = codec::decode(bytes, "snapshot")?;
+    let state = S::decode(&state)?;
     Ok(Memory {
         position,
         membership,
