--- a/decide/replication/src/durable.rs
+++ b/decide/replication/src/durable.rs
@@ -1,4 +1,8 @@
-//! What must be on disk, and what is read back from it.
+//! The items that a member writes to its disk, and what they are recovered to.
+//!
+//! A disk holds a snapshot and, after it, records and promises, each synced before anything is said
+//! that rests on it. The encoding is that of [`crate::codec`]: the order of fields and variants is
+//! part of the format.
 
 use rkyv::{Archive, Deserialize, Serialize};
 use thiserror::Error;
@@ -11,104 +15,109 @@
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq, Eq, Hash)]
 #[rkyv(attr(allow(missing_docs)))]
 pub enum DurableItem {
-    /// No epoch below this one is accepted any more.
+    /// No epoch below this one is accepted any more (the promise of Paxos, Raft's vote).
     Promise(Epoch),
-    /// A record on top of what is there; promises its epoch as well.
+    /// A record that follows the items before it; it promises its epoch as well.
     Record(Record),
-    /// Everything; what was written before it is no longer needed.
+    /// The whole state; items before it are no longer needed.
     Snapshot(Snapshot),
 }
 
-/// One change of the image.
+/// A change of the replicated state, at its position.
+///
+/// Unlike Raft's log entries, records are not kept once they are part of a snapshot, and only one of
+/// a primary is in flight at a time.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq, Eq, Hash)]
 #[rkyv(attr(allow(missing_docs)))]
 pub struct Record {
-    /// Where it stands.
+    /// Its position.
     pub position: Position,
-    /// Where the image stands that it changes.
+    /// Position of the state that it changes.
     pub previous: Position,
-    /// What it changes.
+    /// The change.
     pub update: Update,
 }
 
-/// What a record changes.
+/// The change of a record.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq, Eq, Hash)]
 #[rkyv(attr(allow(missing_docs)))]
 pub enum Update {
-    /// Nothing: a new primary takes over what it has adopted.
+    /// None: a new primary commits the state that it has adopted (Raft's no-op entry).
     EpochStart,
-    /// The state, by a change of the caller's.
+    /// A change of the caller's state, as [`crate::ReplicatedState::apply`] takes it.
     Change(Vec<u8>),
-    /// The membership.
+    /// Another membership.
     Membership(Membership),
 }
 
-/// All that a member holds.
+/// The whole state of a member.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq, Eq, Hash)]
 #[rkyv(attr(allow(missing_docs)))]
 pub struct Snapshot {
-    /// Whose disk it is.
+    /// The member whose disk it is on.
     pub identity: Identity,
     /// Highest epoch promised.
     pub promised: Epoch,
-    /// Where it stands.
+    /// Position of the last record that is part of it.
     pub position: Position,
-    /// Who votes.
+    /// The membership at that position.
     pub membership: Membership,
-    /// The state, encoded.
+    /// The caller's state, encoded by [`crate::ReplicatedState::encode`].
     pub state: Vec<u8>,
 }
 
 impl DurableItem {
     /// The item as bytes.
+    #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         codec::encode(self)
     }
 
     /// The item that [`Self::encode`] wrote; checked.
+    ///
+    /// # Errors
+    /// The bytes are no item of this version.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         codec::decode(bytes, "durable item")
     }
 }
 
-/// What the items of a disk come to.
+/// The state that the items of a disk come to.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Recovered {
-    /// The last image; `position`, `membership` and `promised` count the records and promises after
-    /// it.
+    /// The last snapshot. Its `position`, `membership` and `promised` include the records and
+    /// promises after it; its `state` doesn't.
     pub snapshot: Snapshot,
-    /// Changes of the state that came after the image, in order.
+    /// Changes of the state in the records after the snapshot, in order.
     pub changes: Vec<Vec<u8>>,
 }
 
-/// Items that are no image.
+/// Why items come to no state.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RecoverError {
-    /// There is no image at all: an empty disk.
-    #[error("there is no image among the items: the disk is empty")]
+    /// There is no snapshot: an empty disk.
+    #[error("there is no snapshot among the items: the disk is empty")]
     Empty,
-    /// A record that doesn't stand on what is before it.
-    #[error(
-        "the record at {found} stands on {previous}, but the image before it stands at {expected}"
-    )]
+    /// A record that doesn't follow the items before it.
+    #[error("the record at {found} follows {previous}, but the items before it end at {expected}")]
     RecordDoesNotFollow {
-        /// Where the record stands.
+        /// Position of the record.
         found: Position,
-        /// What it stands on.
+        /// Position that it follows.
         previous: Position,
-        /// Where the image stood.
+        /// Position before it on the disk.
         expected: Position,
     },
-    /// An image older than what is before it.
-    #[error("an image at {found} follows one at {expected}")]
-    ImageGoesBack {
-        /// Where it stands.
+    /// A snapshot older than the items before it.
+    #[error("a snapshot at {found} follows one at {expected}")]
+    SnapshotOutOfOrder {
+        /// Position of the snapshot.
         found: Position,
-        /// Where the one before it stood.
+        /// Position before it on the disk.
         expected: Position,
     },
-    /// Images of two members on one disk.
-    #[error("an image of member {found} follows one of member {expected}")]
+    /// Snapshots of two members on one disk.
+    #[error("a snapshot of member {found} follows one of member {expected}")]
     TwoIdentities {
         /// The second.
         found: Identity,
@@ -118,9 +127,9 @@
     /// A record of an epoch below the one that was promised before it.
     #[error("a record at {found} was accepted after epoch {promised} was promised")]
     RecordBelowPromise {
-        /// Where it stands.
+        /// Position of the record.
         found: Position,
-        /// The promise.
+        /// The epoch that was promised.
         promised: Epoch,
     },
     /// The state or a change of it can't be read.
@@ -129,7 +138,10 @@
 }
 
 impl Recovered {
-    /// What items come to, in the order in which they were written.
+    /// Folds items, in the order in which they were written.
+    ///
+    /// # Errors
+    /// There is no snapshot, or an item doesn't follow those before it.
     pub fn from_items(items: impl IntoIterator<Item = DurableItem>) -> Result<Self, RecoverError> {
         let mut folded = None;
         let mut promised = Epoch::default();
@@ -150,7 +162,7 @@
     match item {
         DurableItem::Promise(epoch) => *promised = epoch.max(*promised),
         DurableItem::Snapshot(snapshot) => {
-            check_image(folded.as_ref(), &snapshot)?;
+            check_snapshot(folded.as_ref(), &snapshot)?;
             *promised = snapshot.promised.max(*promised);
             *folded = Some(Recovered {
                 snapshot,
@@ -172,7 +184,7 @@
     Ok(())
 }
 
-fn check_image(before: Option<&Recovered>, snapshot: &Snapshot) -> Result<(), RecoverError> {
+fn check_snapshot(before: Option<&Recovered>, snapshot: &Snapshot) -> Result<(), RecoverError> {
     let Some(before) = before else { return Ok(()) };
     if snapshot.identity != before.snapshot.identity {
         return Err(RecoverError::TwoIdentities {
@@ -181,7 +193,7 @@
         });
     }
     if snapshot.position < before.snapshot.position {
-        return Err(RecoverError::ImageGoesBack {
+        return Err(RecoverError::SnapshotOutOfOrder {
             found: snapshot.position,
             expected: before.snapshot.position,
         });
--- a/decide/replication/src/lib.rs
+++ b/decide/replication/src/lib.rs
@@ -1,4 +1,4 @@
-//! Replicated state without a log: epochs, images, quorums and changes of membership.
+//! Replicated state without a log: epochs, snapshots, quorums and changes of membership.
 //!
 //! It owns the algorithm of `docs/design/control.md`, sections 2 to 4, and promises what they say.
 //! It is pure: no input or output, clock or threads; time is an argument, and what is to be sent or
--- a/decide/replication/src/membership.rs
+++ b/decide/replication/src/membership.rs
@@ -1,4 +1,4 @@
-//! Who votes, and what a quorum of them is.
+//! The voters of a group, and their quorums.
 
 use std::collections::BTreeSet;
 
@@ -6,18 +6,19 @@
 
 use crate::types::{Identity, Member};
 
-/// The voters; while a change is under way, the ones before it as well.
+/// The voters; while a change is in progress, the voters before it as well (Raft's joint consensus).
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, Default, PartialEq, Eq, Hash)]
 #[rkyv(attr(allow(missing_docs)))]
 pub struct Membership {
     /// The voters, in the order of their identities.
     pub voters: Vec<Member>,
-    /// The voters before the change that is under way, if one is: then both must have a majority.
+    /// The voters before the change that is in progress, if one is: then a quorum is a majority of
+    /// both.
     pub outgoing: Option<Vec<Member>>,
 }
 
 impl Membership {
-    /// A membership that is not under change.
+    /// A membership without a change in progress.
     pub fn new(voters: impl IntoIterator<Item = Member>) -> Self {
         let mut voters: Vec<Member> = voters.into_iter().collect();
         voters.sort();
@@ -39,29 +40,35 @@
         }
     }
 
-    /// What follows a joint membership.
-    pub fn finished(&self) -> Self {
+    /// The membership that follows a joint one.
+    pub fn finalized(&self) -> Self {
         Self {
             voters: self.voters.clone(),
             outgoing: None,
         }
     }
 
-    /// Whether a change is under way.
+    /// Whether a change is in progress.
     pub fn is_joint(&self) -> bool {
         self.outgoing.is_some()
     }
 
-    /// Whether `present` holds a majority of the voters, and of the outgoing ones.
-    pub fn quorum(&self, present: &BTreeSet<Identity>) -> bool {
+    /// Whether `present` contains a majority of the voters, and of the outgoing ones.
+    pub fn is_quorum(&self, present: &BTreeSet<Identity>) -> bool {
         let majority = |members: &[Member]| {
             count_present(members, present) >= majority_of(members.len()) && !members.is_empty()
         };
         majority(&self.voters) && self.outgoing.as_deref().is_none_or(majority)
     }
 
-    /// Whether it names this identity, before or after the change that is under way.
-    pub fn names(&self, identity: Identity) -> bool {
+    /// Whether `present` contains half of the voters: a quorum that is too small, for a planted
+    /// fault.
+    pub(crate) fn is_half(&self, present: &BTreeSet<Identity>) -> bool {
+        count_present(&self.voters, present) * 2 >= self.voters.len()
+    }
+
+    /// Whether it names this identity, before or after the change that is in progress.
+    pub fn contains(&self, identity: Identity) -> bool {
         self.member(identity).is_some()
     }
 
@@ -70,15 +77,15 @@
         self.all().find(|member| member.identity == identity)
     }
 
-    /// All that it names: the voters, then those outgoing ones that don't stay.
+    /// All members that it names: the voters, then the outgoing ones that are removed.
     pub fn all(&self) -> impl Iterator<Item = &Member> {
-        let gone = self.outgoing.iter().flatten();
-        let gone = gone.filter(|old| {
+        let outgoing = self.outgoing.iter().flatten();
+        let removed = outgoing.filter(|old| {
             self.voters
                 .iter()
                 .all(|voter| voter.identity != old.identity)
         });
-        self.voters.iter().chain(gone)
+        self.voters.iter().chain(removed)
     }
 }
 
--- a/decide/replication/src/message.rs
+++ b/decide/replication/src/message.rs
@@ -1,5 +1,7 @@
-//! Messages between members. Each names its sender, and an answer the epoch and round it belongs
-//! to, so that one that is late, repeated or meant for another never counts.
+//! Messages between members.
+//!
+//! Each message names its sender, and a response names the epoch and the round that it belongs to,
+//! so that one that is late, repeated or meant for another member never counts.
 
 use rkyv::{Archive, Deserialize, Serialize};
 
@@ -8,173 +10,180 @@
 use crate::membership::Membership;
 use crate::types::{Epoch, Identity, Member, Position};
 
-/// Most bytes of an image in one message.
+/// Most bytes of a snapshot in one message.
 pub const CHUNK_BYTES: usize = 32 * 1024;
 
 /// A message from one member to another.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq, Eq, Hash)]
 #[rkyv(attr(allow(missing_docs)))]
 pub struct Message {
-    /// Who sent it, and where answers go.
+    /// The sender; responses go to its address.
     pub from: Member,
-    /// What it says.
+    /// The content.
     pub body: Body,
 }
 
-/// What a message says.
+/// The content of a message.
+///
+/// The election is Raft's with its pre-vote, except that a vote is given for an epoch whatever
+/// state the candidate has: the candidate then fetches the newest state among its voters, as a new
+/// primary of Viewstamped Replication does.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq, Eq, Hash)]
 #[rkyv(attr(allow(missing_docs)))]
 pub enum Body {
-    /// Would you grant me this epoch? Changes nothing at the receiver.
+    /// Asks whether the receiver would vote for this epoch. Changes nothing there.
     PreVote {
-        /// The epoch that would be drawn.
+        /// The epoch that would be chosen.
         epoch: Epoch,
     },
-    /// Answer to [`Body::PreVote`].
+    /// Response to [`Body::PreVote`].
     PreVoteResponse {
-        /// As asked.
+        /// The epoch of the request.
         epoch: Epoch,
-        /// Whether it would be granted.
-        supported: bool,
+        /// Whether the sender would vote for it.
+        would_grant: bool,
         /// Highest epoch that the sender has promised.
         promised: Epoch,
-        /// What the sender holds.
-        held: ReplicaVersion,
+        /// The sender's state.
+        version: ReplicaVersion,
     },
-    /// Grant me this epoch.
+    /// Asks for the receiver's vote (Raft's `RequestVote`).
     Vote {
         /// The candidate's epoch.
         epoch: Epoch,
-        /// The primary handed its part on: it may be heard still.
-        take_over: bool,
+        /// The primary has asked the candidate to take over: that a primary is in contact is then
+        /// no reason to withhold the vote.
+        is_leadership_transfer: bool,
     },
     /// The sender has promised the epoch, on disk.
     VoteGranted {
-        /// As asked.
+        /// The epoch of the request.
         epoch: Epoch,
-        /// What the sender held when it promised.
-        held: ReplicaVersion,
+        /// The sender's state when it promised.
+        version: ReplicaVersion,
     },
     /// The sender has promised a higher epoch.
     VoteRejected {
-        /// The epoch that is refused.
+        /// The epoch that is rejected.
         epoch: Epoch,
         /// Highest epoch that the sender has promised.
         promised: Epoch,
     },
-    /// A heartbeat of the primary, with records if the receiver lacks some.
+    /// A heartbeat of the primary, with the records that the receiver lacks.
     Append(Append),
-    /// Answer to [`Body::Append`], and sent again when a record has been synced.
+    /// Response to [`Body::Append`]; sent once more when a record has been synced.
     AppendResponse {
         /// Epoch of the primary.
         epoch: Epoch,
-        /// Highest round heard in that epoch: the sender confirms the epoch for it.
+        /// Highest round received in that epoch: the sender confirms the epoch for it.
         round: u64,
-        /// Where the image on the sender's disk stands, synced.
+        /// Position of the state that is synced on the sender's disk.
         synced: Option<Position>,
-        /// The sender's disk takes writes.
-        writable: bool,
-        /// The sender has asked to leave.
-        leaving: bool,
-        /// When it was sent.
-        stamp: ProcessInstant,
+        /// Whether the sender's disk takes writes.
+        is_writable: bool,
+        /// Whether the sender has asked to leave.
+        is_leaving: bool,
+        /// When it was sent, by the sender's clock.
+        sent_at: ProcessInstant,
     },
-    /// Send me an image, from this chunk on.
+    /// Asks for the chunks of a snapshot.
     SnapshotRequest {
-        /// Epoch under which it is asked for.
+        /// Epoch under which it is requested.
         epoch: Epoch,
-        /// Which image; the newest if none.
+        /// Position of the snapshot; the newest if none.
         position: Option<Position>,
-        /// Number of the first chunk that is wanted.
+        /// Index of the first chunk that is requested.
         next: u32,
     },
-    /// A piece of an image.
+    /// A chunk of a snapshot.
     SnapshotChunk(SnapshotChunk),
-    /// I am no member and want to be one.
+    /// The sender is no voter, and asks to become one.
     JoinRequest,
-    /// Answer to [`Body::JoinRequest`]: where to knock.
+    /// Response to [`Body::JoinRequest`] of a member that is not primary: where to ask.
     JoinResponse {
         /// The primary that the sender knows.
         primary: Option<Member>,
         /// The members that the sender knows.
         members: Vec<Member>,
     },
-    /// I want to be a member no more.
+    /// The sender asks to be removed.
     LeaveRequest,
-    /// Answer to [`Body::LeaveRequest`] of the primary.
+    /// Response of the primary to [`Body::LeaveRequest`].
     LeaveResponse {
         /// Epoch of the primary.
         epoch: Epoch,
         /// The committed membership doesn't name the receiver.
-        removed: bool,
-        /// It stays a member, as the rest would bear too little; it may go.
-        stays: bool,
+        is_removed: bool,
+        /// The receiver stays in the membership, as the others would bear too few losses without
+        /// it; its process may end.
+        is_retained: bool,
     },
-    /// Primary to a voter: become primary now.
+    /// From the primary to a voter: start an election now (Raft's `TimeoutNow`).
     TakeOver {
         /// Epoch of the primary.
         epoch: Epoch,
     },
 }
 
-/// Which image a member holds, and the membership in it.
+/// Which state a member has accepted.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq, Eq, Hash)]
 #[rkyv(attr(allow(missing_docs)))]
 pub struct ReplicaVersion {
-    /// Where the image stands.
+    /// Position of the state.
     pub position: Position,
-    /// The membership in it.
+    /// The membership at that position.
     pub membership: Membership,
 }
 
-/// A moment in the life of a process; it means something to that process alone.
+/// A point in time of one process; it means nothing to any other.
 #[derive(Archive, Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[rkyv(attr(allow(missing_docs)))]
 pub struct ProcessInstant {
-    /// Drawn at the start of the process.
+    /// A random number that the process chose at its start.
     pub process: u64,
-    /// Its steady clock (microseconds).
+    /// Its monotonic clock (microseconds).
     pub clock: u64,
 }
 
-/// A heartbeat of the primary, with records if the receiver lacks some.
+/// A heartbeat of the primary, with the records that the receiver lacks.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq, Eq, Hash)]
 #[rkyv(attr(allow(missing_docs)))]
 pub struct Append {
-    /// Whom it is for. A new disk at the address of an old one is not meant.
+    /// The member that it is for. Another disk at the same address is not meant.
     pub to: Identity,
     /// Epoch of the primary.
     pub epoch: Epoch,
     /// Number of the round that it asks to confirm.
     pub round: u64,
-    /// Of the receiver's last answer that came. What is told here was true after that was sent,
-    /// however late this is read.
-    pub echo: Option<ProcessInstant>,
-    /// A quorum has confirmed the primary of late.
+    /// When the receiver sent its last response that arrived. What this message says was true after
+    /// that, however late it is received.
+    pub last_response_sent_at: Option<ProcessInstant>,
+    /// A quorum has confirmed the primary recently.
     pub in_contact: bool,
-    /// Where the primary's image stands.
+    /// Position of the primary's state.
     pub head: Position,
-    /// The last position that is committed; default if none is under this epoch.
+    /// The last position that is committed; the default if none is under this epoch.
     pub committed: Position,
-    /// Records, each standing on the one before it.
+    /// Records, each following the one before it.
     pub records: Vec<Record>,
-    /// The records that the receiver lacks are no longer kept: it is to ask for the image.
-    pub take_image: bool,
+    /// The primary no longer has the records that the receiver lacks: the receiver is to request a
+    /// snapshot.
+    pub must_request_snapshot: bool,
 }
 
-/// A piece of an image.
+/// A chunk of a snapshot.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq, Eq, Hash)]
 #[rkyv(attr(allow(missing_docs)))]
 pub struct SnapshotChunk {
-    /// Epoch under which it was asked for.
+    /// Epoch under which the snapshot was requested.
     pub epoch: Epoch,
-    /// Which image it is of.
+    /// Position of the snapshot.
     pub position: Position,
-    /// Number of the chunk, from 0.
-    pub number: u32,
-    /// Chunks of the whole.
-    pub total: u32,
-    /// CRC-32 of the whole.
+    /// Index of the chunk, from 0.
+    pub index: u32,
+    /// Number of chunks of the snapshot.
+    pub count: u32,
+    /// CRC-32 of the whole snapshot.
     pub checksum: u32,
     /// The bytes, at most [`CHUNK_BYTES`].
     pub bytes: Vec<u8>,
@@ -182,11 +191,15 @@
 
 impl Message {
     /// The message as bytes.
+    #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         codec::encode(self)
     }
 
     /// The message that [`Self::encode`] wrote; checked.
+    ///
+    /// # Errors
+    /// The bytes are no message of this version.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         codec::decode(bytes, "message")
     }
--- a/decide/replication/src/model/ledger.rs
+++ b/decide/replication/src/model/ledger.rs
@@ -58,7 +58,7 @@
     /// Changes that were acknowledged.
     pub acknowledged: BTreeSet<u64>,
     /// Changes of which was said that they never will be.
-    pub refused: BTreeSet<u64>,
+    pub rejected: BTreeSet<u64>,
     /// Confirmations that were given.
     pub confirmed: u64,
     /// The first thing that must not be.
@@ -89,12 +89,12 @@
 
     /// A node calls a history committed.
     pub(super) fn committed(&mut self, node: usize, position: Position, history: &[u64]) {
-        let known = &self.committed;
-        let extends = history.len() >= known.len() && history.starts_with(known);
+        let longest = &self.committed;
+        let extends = history.len() >= longest.len() && history.starts_with(longest);
         if position >= self.position {
             if !extends {
                 self.violate(format!(
-                    "node {node} commits {history:?} at {position}, but {known:?} was committed at {}",
+                    "node {node} commits {history:?} at {position}, but {longest:?} was committed at {}",
                     self.position
                 ));
                 return;
@@ -102,9 +102,9 @@
             self.check_refused(node, history);
             self.committed = history.to_vec();
             self.position = position;
-        } else if !known.starts_with(history) {
+        } else if !longest.starts_with(history) {
             self.violate(format!(
-                "node {node} commits {history:?} at {position}, beside {known:?}"
+                "node {node} commits {history:?} at {position}, beside {longest:?}"
             ));
         }
     }
@@ -114,7 +114,7 @@
         if distinct.len() != history.len() {
             self.violate(format!("node {node} commits a change twice: {history:?}"));
         }
-        if let Some(change) = distinct.intersection(&self.refused).next() {
+        if let Some(change) = distinct.intersection(&self.rejected).next() {
             self.violate(format!(
                 "node {node} commits change {change}, of which was said that it never will be"
             ));
@@ -143,7 +143,7 @@
                 }
             }
             (ClientRequest::Change(change), Outcome::NotPrimary | Outcome::Rejected(_)) => {
-                self.refused.insert(change);
+                self.rejected.insert(change);
             }
             (ClientRequest::Change(_), Outcome::Unknown)
             | (ClientRequest::AtLeast(_), Outcome::NotPrimary) => {}
--- a/decide/replication/src/model/mod.rs
+++ b/decide/replication/src/model/mod.rs
@@ -35,7 +35,7 @@
     /// Processes that it has had.
     pub lives: u32,
     /// It has asked to leave in this life.
-    pub leaving: bool,
+    pub is_leaving: bool,
 }
 
 /// A message on its way.
@@ -125,7 +125,7 @@
             pending: VecDeque::new(),
             identity: Identity(0),
             lives: 0,
-            leaving: false,
+            is_leaving: false,
         };
         Self {
             settings,
@@ -174,7 +174,7 @@
         replica.add_peer_addresses(all);
         let node = &mut self.nodes[index];
         node.replica = Some(replica);
-        node.leaving = false;
+        node.is_leaving = false;
         self.collect(index);
     }
 
@@ -359,7 +359,7 @@
         let Some(replica) = &mut node.replica else {
             return;
         };
-        node.leaving = true;
+        node.is_leaving = true;
         replica.leave(node.clock);
         self.collect(index);
     }
--- a/decide/replication/src/model/walk.rs
+++ b/decide/replication/src/model/walk.rs
@@ -85,11 +85,11 @@
         }
         world.collect(index);
     }
-    settle(world);
+    deliver_everything(world);
 }
 
 /// Everything that is on its way to a disk or a node arrives.
-pub fn settle(world: &mut World) {
+pub fn deliver_everything(world: &mut World) {
     for _ in 0..10_000 {
         let Some(index) = world.nodes.iter().position(|node| !node.pending.is_empty()) else {
             if world.network.is_empty() {
--- a/decide/replication/src/output.rs
+++ b/decide/replication/src/output.rs
@@ -1,4 +1,4 @@
-//! What a replica wants done, and what it tells.
+//! What a replica asks its caller to do, and the events that it reports for the log.
 
 use crate::durable::DurableItem;
 use crate::message::Message;
@@ -17,31 +17,31 @@
     },
     /// Write and sync an item after all before it, then call [`crate::Replica::on_persisted`].
     Persist {
-        /// Number to answer with.
+        /// Id to call back with.
         write_id: WriteId,
         /// The item.
         item: DurableItem,
     },
-    /// The end of a request.
+    /// A request has ended.
     Completed {
-        /// Which request.
+        /// The request.
         request: RequestId,
-        /// How it ended.
+        /// Its outcome.
         outcome: Outcome,
     },
     /// [`crate::Replica::committed`] has risen to this position.
     Committed(Position),
-    /// For the log.
+    /// An event for the log.
     Notice(Notice),
 }
 
-/// How a request ended.
+/// Outcome of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
     /// The change is committed, at this position.
     Committed(Position),
-    /// A quorum has confirmed this primary in a round that began after the call; what is committed
-    /// stands here.
+    /// A quorum has confirmed this primary in a round that began after the call; the committed state
+    /// is at this position.
     Confirmed(Position),
     /// Nothing was done, and nothing ever will be.
     NotPrimary,
@@ -58,106 +58,107 @@
     BecamePrimary {
         /// Its epoch.
         epoch: Epoch,
-        /// Where the image stood that it adopted.
+        /// Position of the state that it adopted.
         adopted: Position,
-        /// Who granted.
+        /// Number of votes, its own included.
         grants: usize,
     },
-    /// This member is primary no more.
+    /// This member is no longer primary.
     SteppedDown {
         /// Its epoch.
         epoch: Epoch,
-        /// Why.
+        /// The reason.
         reason: StepDownReason,
     },
-    /// This member asks for votes.
+    /// This member requests votes.
     ElectionStarted {
         /// Its epoch.
         epoch: Epoch,
-        /// How long no primary was heard, in microseconds.
-        silent_for: u64,
-        /// The primary asked for it.
-        take_over: bool,
+        /// Time since the last message of a primary, in microseconds.
+        last_contact_age_us: u64,
+        /// Whether the primary has asked this member to take over.
+        is_leadership_transfer: bool,
     },
-    /// Another primary is heard for the first time.
+    /// The first heartbeat of another primary was received.
     PrimaryObserved {
         /// Its epoch.
         epoch: Epoch,
-        /// Who it is.
+        /// The primary.
         primary: Member,
     },
-    /// The primary hands its part on.
+    /// The primary has asked another voter to take over.
     LeadershipTransferStarted {
-        /// To whom.
+        /// The other voter.
         to: Member,
-        /// Why.
+        /// The reason.
         reason: LeadershipTransferReason,
     },
-    /// The primary changes the membership.
+    /// The primary has written a joint membership.
     MembershipChange {
-        /// Where the joint record stands.
+        /// Position of its record.
         position: Position,
-        /// What changes.
+        /// The change.
         change: MembershipChange,
     },
     /// A change of membership is finished.
     MembershipChanged {
-        /// Where the final record stands.
+        /// Position of the final record.
         position: Position,
-        /// Voters now.
+        /// Number of voters now.
         voters: usize,
     },
-    /// A voter that is silent or leaves is not removed.
+    /// A voter that is unresponsive or leaves is not removed, as the others would bear too few
+    /// losses.
     RemovalRejected {
-        /// Which voter.
+        /// The voter.
         voter: Member,
-        /// Voters that would remain.
+        /// Number of voters that would remain.
         remaining: usize,
-        /// Further losses that are borne now.
-        bears: i64,
-        /// Further losses that would be borne without it.
-        would_bear: i64,
+        /// Further losses that the membership tolerates now.
+        tolerated_losses: i64,
+        /// Further losses that it would tolerate without the voter.
+        tolerated_losses_without: i64,
     },
     /// The newest membership that was seen does not name this member.
     Excluded {
-        /// Where the image with that membership stands.
+        /// Position of the state with that membership.
         position: Position,
     },
-    /// A whole image was taken from a peer.
+    /// A snapshot was received from a peer, whole.
     SnapshotReceived {
-        /// Where it stands.
+        /// Its position.
         position: Position,
-        /// Its bytes.
+        /// Its size in bytes.
         bytes: usize,
     },
-    /// Chunks that don't come to a whole image.
+    /// Chunks that don't come to a snapshot, or a record that doesn't fit the state.
     SnapshotRejected {
-        /// Where it should stand.
+        /// Its position.
         position: Position,
-        /// Why.
+        /// The error.
         reason: String,
     },
-    /// A write has not been synced for longer than [`crate::Settings::disk_stall`].
+    /// A write has not been synced for longer than [`crate::Settings::disk_stall_timeout_us`].
     DiskStalled {
-        /// Microseconds so far.
-        outstanding_for: u64,
+        /// Age of the oldest write that is not synced, in microseconds.
+        pending_for_us: u64,
     },
-    /// A write failed; the whole image is written next.
+    /// A write failed; a snapshot is written next.
     DiskFailed,
 }
 
 /// Why a primary stepped down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum StepDownReason {
-    /// A higher epoch was told.
+    /// It learned of a higher epoch.
     HigherEpoch(Epoch),
-    /// No quorum confirmed it for so long, in microseconds.
+    /// No quorum has confirmed it for so long, in microseconds.
     NoContact(u64),
     /// The membership no longer names it.
     Excluded,
 }
 
-/// Why a primary hands its part on.
+/// Why a primary asks another voter to take over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LeadershipTransferReason {
     /// It leaves.
@@ -166,45 +167,45 @@
     DiskStalled(u64),
 }
 
-/// What changes in a membership, with the figures that led to it.
+/// A change of the membership, with the figures that led to it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum MembershipChange {
-    /// A newcomer takes the place of a voter whose disk was wiped.
+    /// A learner replaces the voter at its address, whose disk was wiped.
     ReplaceWiped {
-        /// Who goes.
+        /// The voter that is removed.
         old: Member,
-        /// Who comes.
+        /// The learner that becomes a voter.
         new: Member,
     },
-    /// A newcomer takes the place of a voter that is silent or leaves.
-    ReplaceSilent {
-        /// Who goes.
+    /// A learner replaces a voter that is unresponsive or leaves.
+    ReplaceUnresponsive {
+        /// The voter that is removed.
         old: Member,
-        /// Who comes.
+        /// The learner that becomes a voter.
         new: Member,
-        /// For how long the old one was silent, in microseconds.
-        silent_for: u64,
+        /// Time since the last contact with the old voter, in microseconds.
+        last_contact_age_us: u64,
     },
-    /// Newcomers beside the voters.
+    /// Learners become voters beside the others.
     Add {
-        /// Who comes.
+        /// The learners.
         new: Vec<Member>,
     },
-    /// A voter is silent too long.
-    RemoveSilent {
-        /// Who goes.
+    /// A voter has been unresponsive for too long.
+    RemoveUnresponsive {
+        /// The voter that is removed.
         old: Member,
-        /// For how long it was silent, in microseconds.
-        silent_for: u64,
+        /// Time since the last contact with it, in microseconds.
+        last_contact_age_us: u64,
     },
     /// A voter that asked to leave.
-    RemoveLeaver {
-        /// Who goes.
+    RemoveLeaving {
+        /// The voter that is removed.
         old: Member,
     },
     /// A voter has another address than before.
-    Move {
-        /// Where it is now.
+    ChangeAddress {
+        /// The voter with its present address.
         new: Member,
     },
 }
--- a/decide/replication/src/replica/append.rs
+++ b/decide/replication/src/replica/append.rs
@@ -1,4 +1,4 @@
-//! The side of a voter: heartbeats, records, and what is committed.
+//! A voter or learner: heartbeats, records, and what is committed.
 
 use super::{KnownPrimary, Replica, Role};
 use crate::durable::Record;
@@ -8,176 +8,188 @@
 use crate::types::{Epoch, Member, Position, Time};
 
 impl<S: ReplicatedState> Replica<S> {
-    pub(super) fn on_append(&mut self, now: Time, from: Member, append: Append) {
+    pub(super) fn on_append(&mut self, now: Time, from: &Member, append: &Append) {
         if from.identity != append.epoch.primary {
             return;
         }
         if append.to != self.me.identity {
-            // It is for another disk at this address, which is gone: this member has yet to knock
-            // there.
-            self.add_peer_addresses(vec![from.address]);
+            // It is for another disk at this address, which is lost: this member has yet to ask that
+            // primary to join.
+            self.add_peer_addresses(vec![from.address.clone()]);
             return;
         }
         if append.epoch < self.promised {
-            let promised = self.promised;
-            self.send(
-                &from.address,
-                Body::VoteRejected {
-                    epoch: append.epoch,
-                    promised,
-                },
-            );
+            let rejection = Body::VoteRejected {
+                epoch: append.epoch,
+                promised: self.promised,
+            };
+            self.send(&from.address, rejection);
             return;
         }
-        self.follow(now, &from, &append);
-        if self.writable(now) {
-            self.take_records(now, &append);
+        self.follow(now, from, append);
+        if self.is_writable(now) {
+            self.accept_records(now, append);
         }
-        self.take_committed(&append);
-        self.note_lag(now, append.committed);
-        self.consider_image(now, &from, &append);
+        self.update_committed(append);
+        self.update_lag(now, append.committed);
+        self.request_snapshot_if_needed(now, from, append);
         let round = self
-            .known
+            .known_primary
             .as_ref()
             .map_or(append.round, |known| known.round);
-        self.answer_append(now, &from.address, append.epoch, round);
+        self.respond_to_append(now, &from.address, append.epoch, round);
     }
 
-    /// Takes note of the primary. A higher epoch is obeyed at once; it is on disk with the first
-    /// record of it.
+    /// Follows the primary. A higher epoch is obeyed at once; it is on disk with its first record.
     fn follow(&mut self, now: Time, from: &Member, append: &Append) {
         if append.epoch > self.promised {
             self.step_down(now, StepDownReason::HigherEpoch(append.epoch));
             self.promised = append.epoch;
         }
         self.role = Role::Follower;
-        self.fresh = false;
+        self.awaits_first_primary = false;
         if self
-            .known
+            .known_primary
             .as_ref()
             .is_none_or(|known| known.epoch != append.epoch)
         {
-            self.transfer = None;
-            self.known = Some(known_primary(now, from, append.epoch));
-            let (epoch, primary) = (append.epoch, from.clone());
-            self.outputs
-                .push(Output::Notice(Notice::PrimaryObserved { epoch, primary }));
+            self.incoming = None;
+            self.known_primary = Some(KnownPrimary::new(now, from, append.epoch));
+            self.outputs.push(Output::Notice(Notice::PrimaryObserved {
+                epoch: append.epoch,
+                primary: from.clone(),
+            }));
         }
-        let contact_timeout = self.settings.contact_timeout;
-        if let Some(known) = &mut self.known {
-            if now.since(known.heard_at) >= contact_timeout {
-                // Whatever was committed meanwhile is not known here: only one that has caught up
-                // is current again.
-                known.behind_since = Some(Time(0));
-            }
-            known.member.address.clone_from(&from.address);
-            known.round = known.round.max(append.round);
-            known.heard_at = now;
-            if append.in_contact {
-                known.confirmed_at = Some(now);
-            }
-            let echo = append
-                .echo
-                .filter(|stamp| append.in_contact && stamp.process == self.process);
-            known.contact_at = known
-                .contact_at
-                .max(echo.map(|stamp| Time(stamp.clock).min(now)));
+        let contact_timeout_us = self.settings.contact_timeout_us;
+        if let Some(known) = &mut self.known_primary {
+            known.update(now, from, append, self.process, contact_timeout_us);
         }
-        self.rest_before_election(now);
+        self.postpone_election(now);
     }
 
-    fn take_records(&mut self, now: Time, append: &Append) {
+    fn accept_records(&mut self, now: Time, append: &Append) {
         for record in &append.records {
-            let Some(image) = &self.image else { return };
-            let follows = record.previous == image.position && record.position > image.position;
+            let Some(accepted) = &self.accepted else {
+                return;
+            };
+            let follows =
+                record.previous == accepted.position && record.position > accepted.position;
             if follows && record.position.epoch == append.epoch {
-                self.note_committed(record.previous, append.committed);
-                self.take_record(now, record);
+                self.mark_committed(record.previous, append.committed);
+                self.accept_record(now, record);
             }
         }
     }
 
-    fn take_record(&mut self, now: Time, record: &Record) {
-        let Some(image) = &mut self.image else { return };
-        match image.apply(record.position, &record.update) {
+    fn accept_record(&mut self, now: Time, record: &Record) {
+        let Some(accepted) = &mut self.accepted else {
+            return;
+        };
+        match accepted.apply(record.position, &record.update) {
             Ok(()) => self.persist_record(now, record.clone()),
             Err(error) => {
-                // The primary has applied it to the same state; only the image can help.
-                let refused = Notice::SnapshotRejected {
+                // The primary has applied it to the same state; only its snapshot can help.
+                let rejected = Notice::SnapshotRejected {
                     position: record.position,
                     reason: error.reason,
                 };
-                self.outputs.push(Output::Notice(refused));
-                if let Some(known) = self.known.clone() {
-                    self.fetch(now, known.epoch, None, known.member);
+                self.outputs.push(Output::Notice(rejected));
+                if let Some(known) = self.known_primary.clone() {
+                    self.fetch_snapshot(now, known.epoch, None, known.member);
                 }
             }
         }
     }
 
-    /// What is held may be known to be committed now: if it is of the primary's epoch, or is just
-    /// what it names.
-    fn take_committed(&mut self, append: &Append) {
-        let Some(image) = &self.image else { return };
-        let position = image.position;
+    /// The accepted state may be known to be committed now: if it is of the primary's epoch, or is
+    /// just the one that the primary names.
+    fn update_committed(&mut self, append: &Append) {
+        let Some(position) = self.accepted_position() else {
+            return;
+        };
         if position.epoch == append.epoch || position == append.committed {
-            self.note_committed(position, append.committed);
+            self.mark_committed(position, append.committed);
         }
     }
 
-    /// Takes note of since when less is known here as committed than the primary tells.
-    fn note_lag(&mut self, now: Time, committed: Position) {
-        let here = self
-            .committed
-            .as_ref()
-            .map(|(position, _)| *position)
-            .unwrap_or_default();
-        let Some(known) = &mut self.known else { return };
-        known.behind_since = (here < committed).then(|| known.behind_since.unwrap_or(now));
+    /// Remembers since when less is known here to be committed than the primary says.
+    fn update_lag(&mut self, now: Time, committed: Position) {
+        let is_behind = self.committed_position() < committed;
+        if let Some(known) = &mut self.known_primary {
+            known.behind_since = is_behind.then(|| known.behind_since.unwrap_or(now));
+        }
     }
 
-    /// The image in memory stands at `position`, on the primary's chain; everything up to
+    /// The accepted state has this position and is one that the primary has had; everything up to
     /// `committed` is committed.
-    fn note_committed(&mut self, position: Position, committed: Position) {
-        let news = self
+    fn mark_committed(&mut self, position: Position, committed: Position) {
+        let is_new = self
             .committed
             .as_ref()
             .is_none_or(|(known, _)| *known < position);
-        let Some(image) = self
-            .image
+        let Some(accepted) = self
+            .accepted
             .as_ref()
-            .filter(|_| news && position <= committed)
+            .filter(|_| is_new && position <= committed)
         else {
             return;
         };
         debug_assert_eq!(
-            image.position, position,
-            "only what is held can be taken as committed"
+            accepted.position, position,
+            "only the accepted state can be taken as committed"
         );
-        self.committed = Some((position, image.state.clone()));
+        self.committed = Some((position, accepted.state.clone()));
         self.outputs.push(Output::Committed(position));
     }
 
-    /// Asks for the image if the primary no longer has the records that are lacking.
-    fn consider_image(&mut self, now: Time, from: &Member, append: &Append) {
-        let here = self
-            .image
-            .as_ref()
-            .is_some_and(|image| image.position == append.head);
-        if append.take_image && !here && self.transfer.is_none() && self.writable(now) {
-            self.fetch(now, append.epoch, None, from.clone());
+    /// Requests a snapshot if the primary no longer has the records that are lacking.
+    fn request_snapshot_if_needed(&mut self, now: Time, from: &Member, append: &Append) {
+        let is_at_head = self.accepted_position() == Some(append.head);
+        let is_needed = append.must_request_snapshot && !is_at_head;
+        if is_needed && self.incoming.is_none() && self.is_writable(now) {
+            self.fetch_snapshot(now, append.epoch, None, from.clone());
         }
     }
 }
 
-fn known_primary(now: Time, from: &Member, epoch: Epoch) -> KnownPrimary {
-    KnownPrimary {
-        member: from.clone(),
-        epoch,
-        round: 0,
-        heard_at: now,
-        confirmed_at: None,
-        contact_at: None,
-        behind_since: Some(Time(0)),
+impl KnownPrimary {
+    /// A primary whose first heartbeat has just been received.
+    fn new(now: Time, member: &Member, epoch: Epoch) -> Self {
+        Self {
+            member: member.clone(),
+            epoch,
+            round: 0,
+            last_contact_at: now,
+            confirmed_at: None,
+            contact_at: None,
+            behind_since: Some(Time(0)),
+        }
+    }
+
+    /// Takes a heartbeat; `process` is that of this member.
+    fn update(
+        &mut self,
+        now: Time,
+        from: &Member,
+        append: &Append,
+        process: u64,
+        contact_timeout_us: u64,
+    ) {
+        if now.since(self.last_contact_at) >= contact_timeout_us {
+            // Whatever was committed meanwhile is not known here: only one that has caught up is
+            // current again.
+            self.behind_since = Some(Time(0));
+        }
+        self.member.address.clone_from(&from.address);
+        self.round = self.round.max(append.round);
+        self.last_contact_at = now;
+        if append.in_contact {
+            self.confirmed_at = Some(now);
+        }
+        let sent_at = append
+            .last_response_sent_at
+            .filter(|sent_at| append.in_contact && sent_at.process == process);
+        let contact_at = sent_at.map(|sent_at| Time(sent_at.clock).min(now));
+        self.contact_at = self.contact_at.max(contact_at);
     }
 }
--- /dev/null
+++ b/decide/replication/src/replica/disk_writes.rs
@@ -0,0 +1,226 @@
+//! The writes to the disk: which are pending, what is synced, and what waits for that.
+
+use std::collections::VecDeque;
+
+use super::{Replica, Role};
+use crate::durable::{DurableItem, Record};
+use crate::faults::Fault;
+use crate::message::{Body, ProcessInstant};
+use crate::output::{Notice, Output};
+use crate::state::ReplicatedState;
+use crate::types::{Epoch, Position, Time, WriteId};
+
+/// Most items that wait for the disk at a voter: with more it accepts no record.
+const MAX_PENDING_WRITES: usize = 16;
+
+/// The disk, as far as its writes have been confirmed.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
+pub(super) struct Disk {
+    last_write_id: u64,
+    pending_writes: VecDeque<PendingWrite>,
+    /// Position of the synced state.
+    pub(super) synced: Option<Position>,
+    /// The synced promise.
+    pub(super) synced_promise: Epoch,
+    /// Since when an item has waited to be synced.
+    unsynced_since: Option<Time>,
+    /// A write failed: a snapshot is written at this time.
+    retry_at: Option<Time>,
+    is_stall_reported: bool,
+}
+
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct PendingWrite {
+    write_id: WriteId,
+    promise: Epoch,
+    position: Option<Position>,
+    submitted_at: Time,
+}
+
+impl Disk {
+    /// The state that was read from the disk has this position and promise.
+    pub(super) fn recovered(&mut self, position: Position, promised: Epoch) {
+        self.synced = Some(position);
+        self.synced_promise = promised;
+    }
+
+    /// All items up to this one are synced. Returns whether that wasn't known.
+    pub(super) fn persisted(&mut self, write_id: WriteId) -> bool {
+        let mut has_advanced = false;
+        while self
+            .pending_writes
+            .front()
+            .is_some_and(|first| first.write_id <= write_id)
+        {
+            let Some(done) = self.pending_writes.pop_front() else {
+                break;
+            };
+            self.synced = done.position;
+            self.synced_promise = done.promise;
+            has_advanced = true;
+        }
+        if self.retry_at.is_none() {
+            self.unsynced_since = self.pending_writes.front().map(|first| first.submitted_at);
+        }
+        self.is_stall_reported &= self.unsynced_since.is_some();
+        has_advanced
+    }
+
+    /// For how long an item has waited to be synced (microseconds).
+    pub(super) fn pending_for_us(&self, now: Time) -> u64 {
+        self.unsynced_since.map_or(0, |since| now.since(since))
+    }
+}
+
+impl<S: ReplicatedState> Replica<S> {
+    /// Whether the disk takes writes: none failed, none waits too long, and few wait.
+    pub(super) fn is_writable(&self, now: Time) -> bool {
+        let is_fast = self.disk.pending_for_us(now) < self.settings.disk_stall_timeout_us;
+        is_fast
+            && self.disk.retry_at.is_none()
+            && self.disk.pending_writes.len() < MAX_PENDING_WRITES
+    }
+
+    /// Raises the promise, and writes it if there is a state that it protects.
+    pub(super) fn promise(&mut self, now: Time, epoch: Epoch) {
+        debug_assert!(epoch > self.promised, "a promise only rises");
+        self.promised = epoch;
+        if self.settings.faults.has(Fault::PromiseNotDurable) {
+            self.disk.synced_promise = epoch;
+        } else if self.accepted.is_some() {
+            self.persist(now, DurableItem::Promise(epoch));
+        }
+    }
+
+    pub(super) fn persist_record(&mut self, now: Time, record: Record) {
+        self.persist(now, DurableItem::Record(record));
+    }
+
+    /// Writes the accepted state as a snapshot.
+    pub(super) fn persist_snapshot(&mut self, now: Time) {
+        let Some(accepted) = &self.accepted else {
+            return;
+        };
+        let item = accepted.to_item(self.me.identity, self.promised);
+        self.persist(now, item);
+    }
+
+    fn persist(&mut self, now: Time, item: DurableItem) {
+        self.disk.unsynced_since.get_or_insert(now);
+        if self.disk.retry_at.is_some() {
+            // Memory is ahead; the snapshot that is written after the failure includes this item.
+            return;
+        }
+        self.disk.last_write_id += 1;
+        let write_id = WriteId(self.disk.last_write_id);
+        let position = self.accepted_position();
+        self.disk.pending_writes.push_back(PendingWrite {
+            write_id,
+            promise: self.promised,
+            position,
+            submitted_at: now,
+        });
+        self.outputs.push(Output::Persist { write_id, item });
+    }
+
+    /// A snapshot that may be written in place of the item of this id and all before it, to begin a
+    /// new segment of the disk; none if that item is no longer the last one in flight.
+    #[must_use]
+    pub fn snapshot_for(&self, write_id: WriteId) -> Option<DurableItem> {
+        let last = self
+            .disk
+            .pending_writes
+            .back()
+            .filter(|last| last.write_id == write_id)?;
+        debug_assert!(
+            last.promise <= self.promised,
+            "the disk never knows a promise that memory doesn't"
+        );
+        self.durable_snapshot()
+    }
+
+    /// The accepted state as a snapshot, whether it is synced or not; none on an empty disk.
+    #[must_use]
+    pub fn durable_snapshot(&self) -> Option<DurableItem> {
+        self.accepted
+            .as_ref()
+            .map(|accepted| accepted.to_item(self.me.identity, self.promised))
+    }
+
+    pub(super) fn disk_failed(&mut self, now: Time, write_id: WriteId) {
+        if !self
+            .disk
+            .pending_writes
+            .iter()
+            .any(|item| item.write_id == write_id)
+        {
+            return;
+        }
+        self.disk.pending_writes.clear();
+        self.disk.retry_at = Some(now.after(self.settings.retry_interval_us));
+        self.outputs.push(Output::Notice(Notice::DiskFailed));
+    }
+
+    pub(super) fn tick_disk(&mut self, now: Time) {
+        if self.disk.retry_at.is_some_and(|at| at <= now) {
+            self.disk.retry_at = None;
+            self.persist_snapshot(now);
+        }
+        let pending_for_us = self.disk.pending_for_us(now);
+        if pending_for_us >= self.settings.disk_stall_timeout_us && !self.disk.is_stall_reported {
+            self.disk.is_stall_reported = true;
+            self.outputs
+                .push(Output::Notice(Notice::DiskStalled { pending_for_us }));
+        }
+    }
+
+    pub(super) fn wake_of_disk(&self) -> Option<Time> {
+        self.disk.retry_at
+    }
+
+    /// Does what waited for the disk.
+    pub(super) fn after_sync(&mut self, now: Time) {
+        self.send_pending_grants();
+        if matches!(self.role, Role::Follower) && self.is_sole_voter() {
+            // A sole voter has nobody to wait for.
+            self.election_due_at = now;
+        }
+        match &self.role {
+            Role::Primary(_) => self.try_commit(now),
+            Role::Candidate(_) => self.request_votes(now),
+            Role::Follower | Role::PreCandidate(_) => self.report_synced(now),
+        }
+    }
+
+    fn is_sole_voter(&self) -> bool {
+        !self.is_non_voter() && self.membership().voters.len() == 1
+    }
+
+    /// Reports to the primary what is synced now.
+    fn report_synced(&mut self, now: Time) {
+        let Some(known) = self.followed_primary() else {
+            return;
+        };
+        let (address, epoch, round) = (known.member.address.clone(), known.epoch, known.round);
+        self.respond_to_append(now, &address, epoch, round);
+    }
+
+    pub(super) fn respond_to_append(&mut self, now: Time, address: &str, epoch: Epoch, round: u64) {
+        let mut synced = self.disk.synced;
+        if self.settings.faults.has(Fault::RespondBeforeSync) {
+            synced = self.accepted_position();
+        }
+        let response = Body::AppendResponse {
+            epoch,
+            round,
+            synced,
+            is_writable: self.is_writable(now),
+            is_leaving: self.departure.is_some(),
+            sent_at: ProcessInstant {
+                process: self.process,
+                clock: now.0,
+            },
+        };
+        self.send(address, response);
+    }
+}
--- /dev/null
+++ b/decide/replication/src/replica/leadership_transfer.rs
@@ -0,0 +1,94 @@
+//! A primary that leaves, or whose disk has stalled, asks another voter to take over.
+
+use super::primary_state::{LeadershipTransfer, Peer};
+use super::Replica;
+use crate::message::Body;
+use crate::output::{LeadershipTransferReason, Notice, Output};
+use crate::state::ReplicatedState;
+use crate::types::{Member, Time};
+
+/// A voter without contact for more than so many heartbeats isn't asked.
+const MAX_MISSED_HEARTBEATS: u64 = 3;
+/// Intervals between two requests of one kind that pass before another voter is asked.
+const RETRY_INTERVALS: u64 = 2;
+
+impl<S: ReplicatedState> Replica<S> {
+    pub(super) fn tick_leadership_transfer(&mut self, now: Time) {
+        let reason = self.transfer_reason(now);
+        let Some(primary) = self.as_primary_mut() else {
+            return;
+        };
+        let Some(reason) = reason else {
+            primary.leadership_transfer = None;
+            return;
+        };
+        let is_waiting = primary
+            .leadership_transfer
+            .as_ref()
+            .is_some_and(|transfer| now < transfer.next_attempt_at);
+        if !is_waiting {
+            self.transfer_leadership(now, reason);
+        }
+    }
+
+    fn transfer_reason(&self, now: Time) -> Option<LeadershipTransferReason> {
+        let pending_us = self.disk.pending_for_us(now);
+        if self.departure.is_some() {
+            Some(LeadershipTransferReason::Leaving)
+        } else if pending_us >= self.settings.disk_stall_timeout_us {
+            Some(LeadershipTransferReason::DiskStalled(pending_us))
+        } else {
+            None
+        }
+    }
+
+    fn transfer_leadership(&mut self, now: Time, reason: LeadershipTransferReason) {
+        let next_attempt_at = now.after(RETRY_INTERVALS * self.settings.retry_interval_us);
+        let passive_until = now.after(self.settings.passive_after_transfer_us);
+        let to = self.successor(now);
+        let Some(primary) = self.as_primary_mut() else {
+            return;
+        };
+        let epoch = primary.epoch;
+        primary.leadership_transfer = Some(LeadershipTransfer {
+            to: to.clone(),
+            next_attempt_at,
+        });
+        let Some(to) = to else { return };
+        self.passive_until = passive_until;
+        self.send(&to.address, Body::TakeOver { epoch });
+        let notice = Notice::LeadershipTransferStarted { to, reason };
+        self.outputs.push(Output::Notice(notice));
+    }
+
+    /// The suitable voter with the newest state; the one that was asked last only if there is no
+    /// other.
+    fn successor(&self, now: Time) -> Option<Member> {
+        let primary = self.as_primary()?;
+        let transfer = primary.leadership_transfer.as_ref();
+        let asked_last = transfer.and_then(|transfer| transfer.to.as_ref());
+        let contact_us = MAX_MISSED_HEARTBEATS * self.settings.heartbeat_interval_us;
+        let is_suitable = |peer: &Peer| {
+            let in_contact = now.since(peer.last_contact_at) < contact_us;
+            let is_able = in_contact && peer.is_writable && !peer.is_leaving;
+            is_able
+                && peer
+                    .synced
+                    .is_some_and(|position| position.epoch == primary.epoch)
+        };
+        let voters = &self.accepted.as_ref()?.membership.voters;
+        let peers = voters
+            .iter()
+            .filter_map(|voter| primary.peers.get(&voter.identity));
+        let best = peers.filter(|peer| is_suitable(peer)).max_by_key(|peer| {
+            let is_again = asked_last.is_some_and(|last| last.identity == peer.member.identity);
+            (peer.synced, !is_again)
+        });
+        best.map(|peer| peer.member.clone())
+    }
+
+    pub(super) fn wake_of_leadership_transfer(&self) -> Option<Time> {
+        let transfer = self.as_primary()?.leadership_transfer.as_ref()?;
+        Some(transfer.next_attempt_at)
+    }
+}
--- a/decide/replication/src/replica/mod.rs
+++ b/decide/replication/src/replica/mod.rs
@@ -1,26 +1,33 @@
-//! The state machine of one member: its parts, constructors and what a caller asks it.
+//! The state machine of one member: its state, its constructors and its inputs.
 //!
-//! Memory runs ahead of the disk: [`Replica::image`] is what was accepted, [`disk::Disk::synced`]
-//! what may be answered for.
+//! Each module beside this one holds the methods of one concern. `rounds` and `primary_state` hold
+//! plain state and use none of them.
+//!
+//! Memory runs ahead of the disk: `Replica::accepted` is what was accepted, `Disk::synced` what
+//! another member may rely on.
 
 mod append;
-mod disk;
+mod confirmation;
+mod disk_writes;
+mod diskless;
 mod election;
 mod join;
+mod leadership_transfer;
 mod leave;
+mod membership_change;
 mod primary;
+mod primary_state;
+mod queries;
 mod rounds;
-mod show;
-mod transfer;
-mod without_disk;
+mod snapshot_transfer;
 
 use std::collections::BTreeSet;
 
-use self::disk::Disk;
-use self::election::{Candidacy, Canvass, PendingGrant};
+use self::disk_writes::Disk;
+use self::election::{Election, PendingGrant, PreVote};
 use self::leave::Departure;
-use self::primary::{Primary, Told};
-use self::transfer::{Served, Transfer};
+use self::primary_state::{Primary, ReportedProgress};
+use self::snapshot_transfer::{CachedSnapshot, IncomingSnapshot};
 use crate::durable::{DurableItem, RecoverError, Recovered, Snapshot, Update};
 use crate::faults::Fault;
 use crate::membership::Membership;
@@ -30,7 +37,7 @@
 use crate::state::{ReplicatedState, StateError};
 use crate::types::{Epoch, Identity, Member, Position, RequestId, Time, WriteId};
 
-/// One member: a voter, a newcomer, or the primary.
+/// One member of the group: a learner, a voter, or the primary.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Replica<S> {
     settings: Settings,
@@ -39,79 +46,81 @@
     random: u64,
     /// Tells this process from others with the same disk.
     process: u64,
-    /// Addresses to knock at.
-    peers: BTreeSet<String>,
+    /// Addresses of peers, to ask for joining.
+    peer_addresses: BTreeSet<String>,
     /// Members known to have no disk.
-    without_disk: BTreeSet<Identity>,
-    /// What was accepted, perhaps not yet synced.
-    image: Option<Memory<S>>,
+    diskless_members: BTreeSet<Identity>,
+    /// The accepted state, perhaps not yet synced; none on an empty disk.
+    accepted: Option<VersionedState<S>>,
+    /// The newest state that is known to be committed.
     committed: Option<(Position, S)>,
     /// Highest epoch promised; what is synced of it is in `disk`.
     promised: Epoch,
-    /// Highest epoch of which another has said that it promised it: the next that is drawn lies
-    /// above it.
-    told: Epoch,
+    /// Highest epoch that another member has rejected a vote or heartbeat with: the next that is
+    /// chosen lies above it.
+    highest_rejecting_epoch: Epoch,
     disk: Disk,
     role: Role,
-    known: Option<KnownPrimary>,
-    /// Nobody has been heard as primary since the start: the group may have started with this
-    /// member.
-    fresh: bool,
-    /// Grants that wait for the disk.
+    known_primary: Option<KnownPrimary>,
+    /// No primary has made contact since the start: the group may have started with this member.
+    awaits_first_primary: bool,
+    /// Votes that are sent once their promise is synced.
     pending_grants: Vec<PendingGrant>,
-    /// An image that comes in.
-    transfer: Option<Transfer>,
-    /// The image that was last encoded for others.
-    served: Option<Served>,
-    /// Where an image stands whose membership doesn't name this member.
+    /// A snapshot that is being received.
+    incoming: Option<IncomingSnapshot>,
+    /// The snapshot that was last encoded for another member.
+    cached_snapshot: Option<CachedSnapshot>,
+    /// Position of a state whose membership doesn't name this member.
     excluded: Option<Position>,
     departure: Option<Departure>,
-    election_at: Time,
-    knock_at: Time,
+    election_due_at: Time,
+    next_join_request_at: Time,
+    /// It starts no election before this time, as it has transferred the leadership.
     passive_until: Time,
-    next_request: u64,
+    next_request_id: u64,
     outputs: Vec<Output>,
 }
 
-/// The image in memory.
+/// The state that this member has accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Memory<S> {
+struct VersionedState<S> {
     position: Position,
     membership: Membership,
     state: S,
 }
 
-/// The part that this member plays.
+/// The role of this member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Role {
-    /// Votes if it may, and copies.
+    /// Votes if it may, and takes records.
     Follower,
-    /// Asks whether it would be granted an epoch.
-    Canvassing(Canvass),
-    /// Asks for grants.
-    Candidate(Candidacy),
+    /// Asks whether it would get the votes.
+    PreCandidate(PreVote),
+    /// Requests votes.
+    Candidate(Election),
     Primary(Box<Primary>),
 }
 
-/// The primary that was heard under the promised epoch.
+/// The primary whose heartbeats this member follows.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct KnownPrimary {
     member: Member,
     epoch: Epoch,
-    /// Highest round heard.
+    /// Highest round received.
     round: u64,
-    heard_at: Time,
-    /// When it was last heard to say that a quorum confirms it.
+    last_contact_at: Time,
+    /// When its last heartbeat was received that said that a quorum confirms it.
     confirmed_at: Option<Time>,
-    /// When the answer was sent that it had had when it last said that a quorum confirms it.
+    /// When this member sent the response that had arrived there when a quorum last confirmed it.
     contact_at: Option<Time>,
-    /// Since when it has told of more that is committed than is known here.
+    /// Since when more is committed there than is known here.
     behind_since: Option<Time>,
 }
 
 impl<S: ReplicatedState> Replica<S> {
-    /// The sole founder of a group, on an empty disk, at a first start. Its image is on disk before
-    /// anything is told.
+    /// The sole founder of a group, on an empty disk, at the first start of all. Its snapshot is on
+    /// disk before anything is sent. `seed` is a random number.
+    #[must_use]
     pub fn bootstrap(settings: Settings, me: Member, state: S, seed: u64, now: Time) -> Self {
         let epoch = Epoch {
             counter: 1,
@@ -121,17 +130,20 @@
         let membership = Membership::new([me.clone()]);
         let mut replica = Self::learner(settings, me, seed, now);
         replica.promised = epoch;
-        replica.image = Some(Memory {
+        replica.accepted = Some(VersionedState {
             position,
             membership,
             state,
         });
-        replica.election_at = now;
-        replica.persist_image(now);
+        replica.election_due_at = now;
+        replica.persist_snapshot(now);
         replica
     }
 
-    /// A member whose disk holds an image. `address` is where it is reached now.
+    /// A member whose disk holds a state. `address` is its present address, `seed` a random number.
+    ///
+    /// # Errors
+    /// The state, or a change of it, can't be read.
     pub fn recover(
         settings: Settings,
         address: String,
@@ -139,20 +151,20 @@
         seed: u64,
         now: Time,
     ) -> Result<Self, RecoverError> {
-        let image = recovered.snapshot;
-        let mut state = S::decode(&image.state)?;
+        let accepted = recovered.snapshot;
+        let mut state = S::decode(&accepted.state)?;
         for change in &recovered.changes {
             state.apply(change)?;
         }
         let me = Member {
-            identity: image.identity,
+            identity: accepted.identity,
             address,
         };
         let mut replica = Self::learner(settings, me, seed, now);
-        replica.promised = image.promised;
-        replica.disk.recovered(image.position, image.promised);
-        let (position, membership) = (image.position, image.membership);
-        replica.image = Some(Memory {
+        replica.promised = accepted.promised;
+        replica.disk.recovered(accepted.position, accepted.promised);
+        let (position, membership) = (accepted.position, accepted.membership);
+        replica.accepted = Some(VersionedState {
             position,
             membership,
             state,
@@ -160,167 +172,177 @@
         Ok(replica)
     }
 
-    /// A member with an empty disk and a fresh identity: it knocks, and votes for nothing until it
-    /// holds an image.
+    /// A member with an empty disk and a new identity: it asks to join, and casts no vote until it
+    /// has received a state. `seed` is a random number.
+    #[must_use]
     pub fn learner(settings: Settings, me: Member, seed: u64, now: Time) -> Self {
-        debug_assert!(me.identity.0 != 0, "an identity is drawn before it is used");
+        debug_assert!(
+            me.identity.0 != 0,
+            "an identity is chosen before it is used"
+        );
         let mut replica = Self {
             settings,
             random: seed ^ me.identity.0.rotate_left(32),
             process: seed,
             me,
-            peers: BTreeSet::new(),
-            without_disk: BTreeSet::new(),
-            image: None,
+            peer_addresses: BTreeSet::new(),
+            diskless_members: BTreeSet::new(),
+            accepted: None,
             committed: None,
             promised: Epoch::default(),
-            told: Epoch::default(),
+            highest_rejecting_epoch: Epoch::default(),
             disk: Disk::default(),
             role: Role::Follower,
-            known: None,
-            fresh: true,
+            known_primary: None,
+            awaits_first_primary: true,
             pending_grants: Vec::new(),
-            transfer: None,
-            served: None,
+            incoming: None,
+            cached_snapshot: None,
             excluded: None,
             departure: None,
-            election_at: now,
-            knock_at: now,
+            election_due_at: now,
+            next_join_request_at: now,
             passive_until: Time(0),
-            next_request: 1,
+            next_request_id: 1,
             outputs: Vec::new(),
         };
-        replica.rest_before_election(now);
+        replica.postpone_election(now);
         replica
     }
 
-    /// Addresses to knock at, beside those of members it knows.
+    /// Adds addresses to ask for joining, beside those of the members that it knows.
     pub fn add_peer_addresses(&mut self, addresses: Vec<String>) {
-        self.peers.extend(addresses);
-        self.peers.remove(&self.me.address);
+        self.peer_addresses.extend(addresses);
+        self.peer_addresses.remove(&self.me.address);
     }
 
-    /// A message came in. Answers go to the address that it names as its sender's.
+    /// A message was received. Responses go to the address that it names as its sender's.
     pub fn on_message(&mut self, now: Time, message: Message) {
-        self.check_contact(now);
+        self.step_down_without_contact(now);
         let Message { from, body } = message;
         if from.identity == self.me.identity {
             return;
         }
         match body {
-            Body::PreVote { epoch } => self.on_pre_vote(now, from, epoch),
+            Body::PreVote { epoch } => self.on_pre_vote(now, &from, epoch),
             Body::PreVoteResponse {
                 epoch,
-                supported,
+                would_grant,
                 promised,
-                held,
+                version,
             } => {
-                self.on_pre_vote_response(now, from, epoch, supported, promised, held);
+                self.on_pre_vote_response(now, from, epoch, would_grant, promised, version);
             }
-            Body::Vote { epoch, take_over } => self.on_vote(now, from, epoch, take_over),
-            Body::VoteGranted { epoch, held } => self.on_grant(now, from, epoch, held),
-            Body::VoteRejected { epoch, promised } => self.on_refusal(now, epoch, promised),
-            Body::Append(append) => self.on_append(now, from, append),
+            Body::Vote {
+                epoch,
+                is_leadership_transfer,
+            } => self.on_vote(now, from, epoch, is_leadership_transfer),
+            Body::VoteGranted { epoch, version } => self.on_vote_granted(now, from, epoch, version),
+            Body::VoteRejected { epoch, promised } => self.on_vote_rejected(now, epoch, promised),
+            Body::Append(append) => self.on_append(now, &from, &append),
             Body::AppendResponse {
                 epoch,
                 round,
                 synced,
-                writable,
-                leaving,
-                stamp,
+                is_writable,
+                is_leaving,
+                sent_at,
             } => {
-                let told = Told {
+                let progress = ReportedProgress {
                     round,
                     synced,
-                    writable,
-                    leaving,
-                    stamp,
+                    is_writable,
+                    is_leaving,
+                    sent_at,
                 };
-                self.on_append_response(now, from, epoch, told);
+                self.on_append_response(now, &from, epoch, &progress);
             }
             Body::SnapshotRequest {
                 epoch,
                 position,
                 next,
             } => {
-                self.on_image_request(now, from, epoch, position, next);
+                self.on_snapshot_request(now, &from, epoch, position, next);
             }
-            Body::SnapshotChunk(chunk) => self.on_image_chunk(now, from, chunk),
-            Body::JoinRequest => self.on_knock(now, from),
-            Body::JoinResponse { primary, members } => self.on_knock_response(primary, members),
-            Body::LeaveRequest => self.on_leave(now, from),
+            Body::SnapshotChunk(chunk) => self.on_snapshot_chunk(now, &from, chunk),
+            Body::JoinRequest => self.on_join_request(now, from),
+            Body::JoinResponse { primary, members } => self.on_join_response(primary, members),
+            Body::LeaveRequest => self.on_leave_request(now, &from),
             Body::LeaveResponse {
                 epoch,
-                removed,
-                stays,
+                is_removed,
+                is_retained,
             } => {
-                self.on_leave_response(from, epoch, removed || stays);
+                self.on_leave_response(&from, epoch, is_removed || is_retained);
             }
-            Body::TakeOver { epoch } => self.on_take_over(now, from, epoch),
+            Body::TakeOver { epoch } => self.on_take_over(now, &from, epoch),
         }
     }
 
-    /// The item of this ticket, and all before it, are synced.
+    /// The item of this id, and all before it, are synced.
     pub fn on_persisted(&mut self, now: Time, write_id: WriteId) {
-        self.check_contact(now);
+        self.step_down_without_contact(now);
         if self.disk.persisted(write_id) {
             self.after_sync(now);
         }
     }
 
-    /// The item of this ticket could not be written or synced. Nothing that was to be written after
-    /// it may be written either; the next item will be a whole image.
+    /// The item of this id could not be written or synced. Nothing that was to be written after it
+    /// may be written either; the next item will be a snapshot.
     pub fn on_persist_failed(&mut self, now: Time, write_id: WriteId) {
-        self.check_contact(now);
+        self.step_down_without_contact(now);
         self.disk_failed(now, write_id);
     }
 
     /// Time has passed; call it at [`Self::next_wake`], earlier does no harm.
     pub fn tick(&mut self, now: Time) {
-        self.check_contact(now);
+        self.step_down_without_contact(now);
         self.tick_disk(now);
-        self.tick_transfer(now);
+        self.tick_snapshot_transfer(now);
         self.tick_primary(now);
         self.tick_election(now);
-        self.tick_knock(now);
+        self.tick_join(now);
         self.tick_leave(now);
     }
 
     /// When [`Self::tick`] has something to do next.
+    #[must_use]
     pub fn next_wake(&self) -> Time {
         let wakes = [
             self.wake_of_disk(),
-            self.wake_of_transfer(),
+            self.wake_of_snapshot_transfer(),
             self.wake_of_primary(),
             self.wake_of_election(),
-            self.wake_of_knock(),
+            self.wake_of_join(),
+            self.wake_of_leadership_transfer(),
             self.wake_of_leave(),
         ];
         wakes.into_iter().flatten().min().unwrap_or(Time(u64::MAX))
     }
 
-    /// Asks for a change; changes are written one at a time, in order. Ends in one
+    /// Proposes a change of the state; changes are written one at a time, in order. Ends in one
     /// [`Output::Completed`].
     pub fn propose(&mut self, now: Time, change: Vec<u8>) -> RequestId {
-        self.check_contact(now);
-        let request = self.draw_request();
-        match self.lead_mut() {
+        self.step_down_without_contact(now);
+        let request = self.allocate_request_id();
+        match self.as_primary_mut() {
             Some(primary) => {
-                primary.queue.push_back((request, change));
-                self.write_next(now);
+                primary.queued_changes.push_back((request, change));
+                self.write_next_and_broadcast(now);
             }
-            None => self.settle(request, Outcome::NotPrimary),
+            None => self.complete(request, Outcome::NotPrimary),
         }
         request
     }
 
-    /// Asks for a round that begins after this call. Ends in one [`Output::Completed`].
+    /// Asks for the confirmation that this member is still primary, by a round that begins after this
+    /// call (Raft's `ReadIndex`). Ends in one [`Output::Completed`].
     pub fn confirm(&mut self, now: Time) -> RequestId {
         if !self.settings.faults.has(Fault::ConfirmFromMemory) {
-            self.check_contact(now);
+            self.step_down_without_contact(now);
         }
-        let request = self.draw_request();
-        self.begin_confirmation(now, request);
+        let request = self.allocate_request_id();
+        self.start_confirmation(now, request);
         request
     }
 
@@ -329,13 +351,13 @@
         std::mem::take(&mut self.outputs)
     }
 
-    fn draw_request(&mut self) -> RequestId {
-        let request = RequestId(self.next_request);
-        self.next_request += 1;
+    fn allocate_request_id(&mut self) -> RequestId {
+        let request = RequestId(self.next_request_id);
+        self.next_request_id += 1;
         request
     }
 
-    fn settle(&mut self, request: RequestId, outcome: Outcome) {
+    fn complete(&mut self, request: RequestId, outcome: Outcome) {
         self.outputs.push(Output::Completed { request, outcome });
     }
 
@@ -350,31 +372,50 @@
         });
     }
 
-    /// What a grant says of the image here.
-    fn held(&self) -> Option<ReplicaVersion> {
-        let image = self.image.as_ref()?;
+    /// What a vote says of the state here.
+    fn version(&self) -> Option<ReplicaVersion> {
+        let accepted = self.accepted.as_ref()?;
         Some(ReplicaVersion {
-            position: image.position,
-            membership: image.membership.clone(),
+            position: accepted.position,
+            membership: accepted.membership.clone(),
         })
     }
 
-    fn lead(&self) -> Option<&Primary> {
+    fn accepted_position(&self) -> Option<Position> {
+        self.accepted.as_ref().map(|accepted| accepted.position)
+    }
+
+    /// Position of the committed state; the default if none is known.
+    fn committed_position(&self) -> Position {
+        self.committed
+            .as_ref()
+            .map(|(position, _)| *position)
+            .unwrap_or_default()
+    }
+
+    /// The primary whose epoch this member has promised, itself excluded.
+    fn followed_primary(&self) -> Option<&KnownPrimary> {
+        self.known_primary
+            .as_ref()
+            .filter(|known| known.epoch == self.promised)
+    }
+
+    fn as_primary(&self) -> Option<&Primary> {
         match &self.role {
             Role::Primary(primary) => Some(primary),
             _ => None,
         }
     }
 
-    fn lead_mut(&mut self) -> Option<&mut Primary> {
+    fn as_primary_mut(&mut self) -> Option<&mut Primary> {
         match &mut self.role {
             Role::Primary(primary) => Some(primary),
             _ => None,
         }
     }
 
-    /// A number that is drawn evenly below `limit`.
-    fn draw_below(&mut self, limit: u64) -> u64 {
+    /// A random number below `limit`, evenly distributed (splitmix64).
+    fn random_below(&mut self, limit: u64) -> u64 {
         self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.random;
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -382,19 +423,19 @@
         (mixed ^ (mixed >> 31)) % limit.max(1)
     }
 
-    /// Whether the newest membership seen gives this member no vote.
-    fn is_outsider(&self) -> bool {
-        let Some(image) = &self.image else {
+    /// Whether the newest membership that this member has learned of gives it no vote.
+    fn is_non_voter(&self) -> bool {
+        let Some(accepted) = &self.accepted else {
             return true;
         };
         let overruled = self
             .excluded
-            .is_some_and(|excluded| image.position <= excluded);
-        overruled || !image.membership.names(self.me.identity)
+            .is_some_and(|excluded| accepted.position <= excluded);
+        overruled || !accepted.membership.contains(self.me.identity)
     }
 }
 
-impl<S: ReplicatedState> Memory<S> {
+impl<S: ReplicatedState> VersionedState<S> {
     /// Takes one update; on an error nothing has changed.
     fn apply(&mut self, position: Position, update: &Update) -> Result<(), StateError> {
         match update {
--- a/decide/replication/src/settings.rs
+++ b/decide/replication/src/settings.rs
@@ -1,46 +1,46 @@
-//! Times and limits. All times are microseconds.
+//! Times and limits of a replica.
 
 use crate::faults::Faults;
 
-/// Times and limits of a replica, the same at all members.
+/// Times and limits of a replica; the same at all members. Times are microseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
-    /// Between two heartbeats of a primary that has nothing else to say. Default 100 ms.
-    pub heartbeat_interval: u64,
-    /// Silence of a primary after which a voter tries to become one; drawn between this and twice
-    /// this. Default 500 ms.
-    pub election_timeout: u64,
-    /// A primary that no quorum confirmed for so long steps down; others are out of contact.
-    /// Default 600 ms.
-    pub contact_timeout: u64,
-    /// A member that lacks for so long what the primary tells as committed is not current. Default
+    /// Between two heartbeats of a primary that has nothing else to send. Default 100 ms.
+    pub heartbeat_interval_us: u64,
+    /// A voter that has received no heartbeat for a random time between this and twice this starts an
+    /// election. Default 500 ms.
+    pub election_timeout_us: u64,
+    /// A primary that no quorum has confirmed for so long steps down; other members are then out of
+    /// contact. Default 600 ms.
+    pub contact_timeout_us: u64,
+    /// A member that lacks for so long what the primary says is committed is not current. Default
     /// 300 ms.
-    pub most_lag: u64,
-    /// Silence of a voter after which a newcomer may take its place. Default 1 s.
-    pub replace_after: u64,
-    /// Silence of a voter after which it is removed without a replacement. Default 5 s.
-    pub remove_after: u64,
-    /// Losses of machines, disks included, that must be borne (`faultTolerance.machines`).
-    /// Default 1.
+    pub max_commit_lag_us: u64,
+    /// A voter without contact for so long may be replaced by a learner. Default 1 s.
+    pub replace_after_us: u64,
+    /// A voter without contact for so long is removed without a replacement. Default 5 s.
+    pub remove_after_us: u64,
+    /// Losses of machines, disks included, that the group must tolerate
+    /// (`faultTolerance.machines`). Default 1.
     pub fault_tolerance: u32,
-    /// Between two requests of the same kind that had no answer (grants, chunks, knocks, requests
-    /// to leave). Default 150 ms.
-    pub retry_interval: u64,
-    /// A write that takes longer than this is a stalled disk: a primary hands its part on. Default
-    /// 1 s.
-    pub disk_stall: u64,
-    /// For so long one that handed its part on doesn't try to have it back. Default 5 s.
-    pub passive_after_hand_over: u64,
-    /// A newcomer that is silent for so long is no longer brought up to date. Default 2 s.
-    pub newcomer_timeout: u64,
-    /// A sole founder waits so long for a second newcomer before it takes one alone, since two bear
-    /// no loss. Default 2 s.
-    pub founding_wait: u64,
-    /// A group smaller than `2 * fault_tolerance + 1` takes no orders for so long after its primary
-    /// began. Default 5 s.
-    pub gathering_timeout: u64,
-    /// Most voters. Default 9.
-    pub most_voters: usize,
+    /// Between two requests of the same kind that had no response (votes, chunks, joining, leaving).
+    /// Default 150 ms.
+    pub retry_interval_us: u64,
+    /// The disk counts as stalled when a write takes longer than this: a primary then transfers the
+    /// leadership. Default 1 s.
+    pub disk_stall_timeout_us: u64,
+    /// A member that transferred the leadership starts no election for so long. Default 5 s.
+    pub passive_after_transfer_us: u64,
+    /// A learner without contact for so long is forgotten. Default 2 s.
+    pub learner_timeout_us: u64,
+    /// A sole founder waits so long for a second learner before it takes one alone, since two voters
+    /// tolerate no loss. Default 2 s.
+    pub sole_founder_wait_us: u64,
+    /// A group smaller than `2 * fault_tolerance + 1` accepts no changes for so long after its primary
+    /// was elected. Default 5 s.
+    pub bootstrap_timeout_us: u64,
+    /// Most voters of a group. Default 9.
+    pub max_voters: usize,
     /// Faults that the model tests plant.
     #[doc(hidden)]
     pub faults: Faults,
@@ -49,20 +49,20 @@
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            heartbeat_interval: 100_000,
-            election_timeout: 500_000,
-            contact_timeout: 600_000,
-            most_lag: 300_000,
-            replace_after: 1_000_000,
-            remove_after: 5_000_000,
+            heartbeat_interval_us: 100_000,
+            election_timeout_us: 500_000,
+            contact_timeout_us: 600_000,
+            max_commit_lag_us: 300_000,
+            replace_after_us: 1_000_000,
+            remove_after_us: 5_000_000,
             fault_tolerance: 1,
-            retry_interval: 150_000,
-            disk_stall: 1_000_000,
-            passive_after_hand_over: 5_000_000,
-            newcomer_timeout: 2_000_000,
-            founding_wait: 2_000_000,
-            gathering_timeout: 5_000_000,
-            most_voters: 9,
+            retry_interval_us: 150_000,
+            disk_stall_timeout_us: 1_000_000,
+            passive_after_transfer_us: 5_000_000,
+            learner_timeout_us: 2_000_000,
+            sole_founder_wait_us: 2_000_000,
+            bootstrap_timeout_us: 5_000_000,
+            max_voters: 9,
             faults: Faults::default(),
         }
     }
--- a/decide/replication/src/status.rs
+++ b/decide/replication/src/status.rs
@@ -1,50 +1,50 @@
-//! What a replica shows of itself.
+//! The status of a replica, for operators.
 
 use crate::membership::Membership;
 use crate::types::{Epoch, Identity, Member, Position};
 
-/// The part that a member plays.
+/// The role of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RoleKind {
-    /// It has no vote: an empty disk, or a membership that doesn't name it.
+    /// It has no vote: its disk is empty, or the membership doesn't name it.
     NonVoter,
-    /// It votes and copies.
+    /// It votes, and follows the primary.
     Voter,
-    /// It asks for votes.
+    /// It requests pre-votes or votes.
     Candidate,
-    /// It is primary; `serving` once its first record is committed.
+    /// It is the primary.
     Primary {
         /// Whether its first record is committed.
         serving: bool,
     },
 }
 
-/// A picture of a replica, for operators.
+/// The status of a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
-    /// Who it is.
+    /// The member.
     pub member: Member,
-    /// Its part.
+    /// Its role.
     pub role: RoleKind,
     /// Highest epoch it has promised.
     pub promised: Epoch,
-    /// The primary it knows.
+    /// The primary that it knows.
     pub primary: Option<Member>,
-    /// Where its image stands.
+    /// Position of the state that it has accepted.
     pub head: Position,
-    /// Where its image on disk stands, synced.
+    /// Position of the state that is synced on its disk.
     pub synced: Option<Position>,
-    /// What it knows to be committed.
+    /// Position of the state that it knows to be committed.
     pub committed: Option<Position>,
-    /// The membership in its image.
+    /// The membership at `head`.
     pub membership: Membership,
-    /// In contact with a quorum, itself or by its primary.
+    /// Whether it is in contact with a quorum, itself or by its primary.
     pub in_contact: bool,
-    /// Its disk takes writes.
+    /// Whether its disk takes writes.
     pub is_writable: bool,
-    /// It has asked to leave.
+    /// Whether it has asked to leave.
     pub is_leaving: bool,
-    /// The voters and newcomers, as a primary sees them; empty elsewhere.
+    /// The voters and learners, as a primary sees them; empty elsewhere.
     pub peers: Vec<PeerStatus>,
     /// Why it is not serving, in a sentence; empty if it is.
     pub not_serving_reason: String,
@@ -53,16 +53,16 @@
 /// A peer, as a primary sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerStatus {
-    /// Who it is.
+    /// The peer.
     pub member: Member,
     /// Whether it votes.
     pub is_voter: bool,
-    /// Microseconds since it was last heard.
+    /// Time since its last message (microseconds).
     pub last_contact_age_us: u64,
-    /// Where its image stands, synced; none if not under this epoch.
+    /// Position of the state that is synced on its disk; none if it is not of this epoch.
     pub synced: Option<Position>,
-    /// It has asked to leave.
+    /// Whether it has asked to leave.
     pub is_leaving: bool,
-    /// The identity, again, for tables keyed by it.
+    /// The identity of `member`, for tables keyed by it.
     pub identity: Identity,
 }
--- a/decide/replication/src/types.rs
+++ b/decide/replication/src/types.rs
@@ -1,26 +1,28 @@
-//! Plain values that all of the package speaks of: times, identities, epochs, positions.
+//! Plain values that the whole package uses: times, identities, epochs, positions.
 
 use std::fmt;
 
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// A point on the caller's steady clock, in microseconds.
+/// A point on the caller's monotonic clock, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Time(pub u64);
 
 impl Time {
     /// The time that lies `microseconds` after this one.
+    #[must_use]
     pub fn after(self, microseconds: u64) -> Time {
         Time(self.0.saturating_add(microseconds))
     }
 
     /// Microseconds from `earlier` to this time; 0 if `earlier` is later.
+    #[must_use]
     pub fn since(self, earlier: Time) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
 }
 
-/// Identity of a member, drawn when its empty disk was first used; never 0.
+/// Identity of a member; a random number that was chosen when its empty disk was first used, never 0.
 #[derive(
     Archive,
     Serialize,
@@ -44,19 +46,20 @@
     }
 }
 
-/// A member that votes, or asks to.
+/// A member: a voter, or a learner that asks to become one.
 #[derive(
     Archive, Serialize, Deserialize, Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash,
 )]
 #[rkyv(attr(allow(missing_docs)))]
 pub struct Member {
-    /// Who it is.
+    /// Its identity.
     pub identity: Identity,
     /// Where its peers reach it, `ip:port`.
     pub address: String,
 }
 
-/// A term of office; ordered, and never used by two candidates.
+/// The period of one primary (Raft's term, the view of Viewstamped Replication). Epochs are ordered;
+/// unlike a term, an epoch names its candidate, so no two candidates ever have the same one.
 #[derive(
     Archive,
     Serialize,
@@ -73,7 +76,7 @@
 )]
 #[rkyv(attr(allow(missing_docs)))]
 pub struct Epoch {
-    /// Rises with every candidacy.
+    /// Rises with every election.
     pub counter: u64,
     /// The candidate whose epoch it is.
     pub primary: Identity,
@@ -85,7 +88,7 @@
     }
 }
 
-/// Where a record stands; a later one compares greater.
+/// Position of a record; a later one compares greater.
 #[derive(
     Archive,
     Serialize,
@@ -102,9 +105,9 @@
 )]
 #[rkyv(attr(allow(missing_docs)))]
 pub struct Position {
-    /// Epoch in which it was written.
+    /// Epoch in which the record was written.
     pub epoch: Epoch,
-    /// Number, one above that of the record before it.
+    /// Number of the record, one above that of the record before it.
     pub number: u64,
 }
 
@@ -114,11 +117,11 @@
     }
 }
 
-/// Number of a call to [`crate::Replica::propose`] or [`crate::Replica::confirm`]; unique in the
-/// life of a replica.
+/// Id of a call to [`crate::Replica::propose`] or [`crate::Replica::confirm`]; unique while the
+/// process runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// Number of an item that is to be written to disk; rises with each.
+/// Id of an item that is to be written to disk; rises with each.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WriteId(pub u64);
--- a/decide/replication/tests/current.rs
+++ b/decide/replication/tests/current.rs
@@ -54,7 +54,7 @@
 
 /// The same, after it has had the answer with this stamp.
 fn echoing(
-    echo: Option<ProcessInstant>,
+    last_response_sent_at: Option<ProcessInstant>,
     to: u64,
     round: u64,
     committed: u64,
@@ -64,12 +64,12 @@
         to: Identity(to),
         epoch: EPOCH,
         round,
-        echo,
+        last_response_sent_at,
         in_contact: true,
         head: position(committed),
         committed: position(committed),
         records,
-        take_image: false,
+        must_request_snapshot: false,
     };
     Message {
         from: member(1),
@@ -78,40 +78,43 @@
 }
 
 /// Voter 2, as voter 1 hears it: each heartbeat echoes its last answer.
-struct Heard {
+struct ObservedFollower {
     voter: Replica<History>,
-    echo: Option<ProcessInstant>,
+    last_response_sent_at: Option<ProcessInstant>,
 }
 
-impl Heard {
-    fn new() -> Heard {
-        Heard {
+impl ObservedFollower {
+    fn new() -> ObservedFollower {
+        ObservedFollower {
             voter: voter(),
-            echo: None,
+            last_response_sent_at: None,
         }
     }
 
-    fn hears(&mut self, now: Time, round: u64, committed: u64, records: Vec<Record>) {
-        self.voter
-            .on_message(now, echoing(self.echo, 2, round, committed, records));
-        self.echo = last_answer(&self.voter.take_outputs()).or(self.echo);
+    fn receive_heartbeat(&mut self, now: Time, round: u64, committed: u64, records: Vec<Record>) {
+        self.voter.on_message(
+            now,
+            echoing(self.last_response_sent_at, 2, round, committed, records),
+        );
+        self.last_response_sent_at =
+            last_response(&self.voter.take_outputs()).or(self.last_response_sent_at);
     }
 }
 
 /// When the last answer to a heartbeat among these was sent.
-fn last_answer(outputs: &[Output]) -> Option<ProcessInstant> {
-    let stamp = |output: &Output| match output {
+fn last_response(outputs: &[Output]) -> Option<ProcessInstant> {
+    let sent_at = |output: &Output| match output {
         Output::Send {
             message:
                 Message {
-                    body: Body::AppendResponse { stamp, .. },
+                    body: Body::AppendResponse { sent_at, .. },
                     ..
                 },
             ..
-        } => Some(*stamp),
+        } => Some(*sent_at),
         _ => None,
     };
-    outputs.iter().filter_map(stamp).next_back()
+    outputs.iter().filter_map(sent_at).next_back()
 }
 
 /// The record of a position, that stands on the one before.
@@ -126,88 +129,88 @@
 
 #[test]
 fn one_that_lacks_what_is_committed_is_in_contact_but_current_no_more() {
-    let mut heard = Heard::new();
-    assert!(!heard.voter.is_current(at(0)), "it has heard nobody");
-    heard.hears(at(0), 1, 5, Vec::new());
+    let mut follower = ObservedFollower::new();
+    assert!(!follower.voter.is_current(at(0)), "it has heard nobody");
+    follower.receive_heartbeat(at(0), 1, 5, Vec::new());
     assert!(
-        !heard.voter.in_contact(at(0)),
+        !follower.voter.in_contact(at(0)),
         "nobody is known to have heard it"
     );
-    heard.hears(at(1), 2, 5, Vec::new());
-    assert!(heard.voter.is_current(at(1)));
+    follower.receive_heartbeat(at(1), 2, 5, Vec::new());
+    assert!(follower.voter.is_current(at(1)));
     assert_eq!(
-        heard.voter.committed().map(|(position, _)| position),
+        follower.voter.committed().map(|(position, _)| position),
         Some(position(5))
     );
 
     // From now on more is committed than comes here.
     for beat in 1..=9 {
         let now = at(100 * beat);
-        heard.hears(now, 2 + beat, 5 + beat, Vec::new());
-        assert!(heard.voter.in_contact(now), "{now:?}");
+        follower.receive_heartbeat(now, 2 + beat, 5 + beat, Vec::new());
+        assert!(follower.voter.in_contact(now), "{now:?}");
         assert_eq!(
-            heard.voter.is_current(now),
+            follower.voter.is_current(now),
             beat < 4,
             "behind since {:?}, now {now:?}",
             at(100)
         );
     }
     assert!(
-        heard.voter.is_current(at(399)) && !heard.voter.is_current(at(400)),
+        follower.voter.is_current(at(399)) && !follower.voter.is_current(at(400)),
         "the bound is {} us",
         300 * MS
     );
 
     // Part of what is lacking does not make it current, all of it does, at once.
-    heard.hears(at(1_000), 12, 8, vec![record(6)]);
-    assert!(heard.voter.in_contact(at(1_000)) && !heard.voter.is_current(at(1_000)));
-    heard.hears(at(1_010), 13, 8, vec![record(7), record(8)]);
+    follower.receive_heartbeat(at(1_000), 12, 8, vec![record(6)]);
+    assert!(follower.voter.in_contact(at(1_000)) && !follower.voter.is_current(at(1_000)));
+    follower.receive_heartbeat(at(1_010), 13, 8, vec![record(7), record(8)]);
     assert_eq!(
-        heard.voter.committed().map(|(position, _)| position),
+        follower.voter.committed().map(|(position, _)| position),
         Some(position(8))
     );
-    assert!(heard.voter.is_current(at(1_010)));
+    assert!(follower.voter.is_current(at(1_010)));
 
     // What is lacking next is counted anew, and without contact nothing is current. Contact counts
     // from the answer at 1100.
-    heard.hears(at(1_100), 14, 9, Vec::new());
-    assert!(heard.voter.is_current(at(1_399)) && !heard.voter.is_current(at(1_400)));
-    heard.hears(at(1_410), 15, 9, vec![record(9)]);
-    assert!(heard.voter.is_current(at(1_699)) && !heard.voter.is_current(at(1_700)));
-    assert!(!heard.voter.in_contact(at(1_700)));
+    follower.receive_heartbeat(at(1_100), 14, 9, Vec::new());
+    assert!(follower.voter.is_current(at(1_399)) && !follower.voter.is_current(at(1_400)));
+    follower.receive_heartbeat(at(1_410), 15, 9, vec![record(9)]);
+    assert!(follower.voter.is_current(at(1_699)) && !follower.voter.is_current(at(1_700)));
+    assert!(!follower.voter.in_contact(at(1_700)));
 }
 
 #[test]
 fn contact_counts_from_the_answer_that_is_echoed_however_late_that_is_read() {
     for (read, until) in [(10, 600), (590, 600), (600, 0), (17_000, 0)] {
-        let mut heard = Heard::new();
-        heard.hears(at(0), 1, 5, Vec::new());
-        heard.hears(at(read), 2, 5, Vec::new());
+        let mut follower = ObservedFollower::new();
+        follower.receive_heartbeat(at(0), 1, 5, Vec::new());
+        follower.receive_heartbeat(at(read), 2, 5, Vec::new());
         let in_contact: Vec<u64> = (read..read + 700)
-            .filter(|ms| heard.voter.in_contact(at(*ms)))
+            .filter(|ms| follower.voter.in_contact(at(*ms)))
             .collect();
         assert_eq!(
             in_contact,
             (read..until.max(read)).collect::<Vec<_>>(),
             "read after {read} ms"
         );
-        assert_eq!(heard.voter.is_current(at(read)), read < until);
+        assert_eq!(follower.voter.is_current(at(read)), read < until);
     }
 }
 
 #[test]
 fn an_echo_of_an_answer_of_another_process_counts_for_nothing() {
-    let mut heard = Heard::new();
-    heard.hears(at(0), 1, 5, Vec::new());
-    let own = heard.echo.expect("it has answered");
-    heard.echo = Some(ProcessInstant {
-        process: own.process + 1,
-        ..own
+    let mut follower = ObservedFollower::new();
+    follower.receive_heartbeat(at(0), 1, 5, Vec::new());
+    let sent_at = follower.last_response_sent_at.expect("it has answered");
+    follower.last_response_sent_at = Some(ProcessInstant {
+        process: sent_at.process + 1,
+        ..sent_at
     });
-    heard.hears(at(1), 2, 5, Vec::new());
-    assert!(!heard.voter.in_contact(at(1)));
-    heard.hears(at(2), 3, 5, Vec::new());
-    assert!(heard.voter.in_contact(at(2)));
+    follower.receive_heartbeat(at(1), 2, 5, Vec::new());
+    assert!(!follower.voter.in_contact(at(1)));
+    follower.receive_heartbeat(at(2), 3, 5, Vec::new());
+    assert!(follower.voter.in_contact(at(2)));
 }
 
 #[test]
@@ -241,8 +244,8 @@
 }
 
 /// Whom a replica knocks at within a time.
-fn knocks(replica: &mut Replica<History>, from: Time, until: Time) -> Vec<String> {
-    let mut knocks = Vec::new();
+fn join_requests(replica: &mut Replica<History>, from: Time, until: Time) -> Vec<String> {
+    let mut requests = Vec::new();
     let mut now = from;
     loop {
         replica.tick(now);
@@ -256,12 +259,12 @@
                     },
             } = output
             {
-                knocks.push(to);
+                requests.push(to);
             }
         }
         now = replica.next_wake();
         if now > until {
-            return knocks;
+            return requests;
         }
     }
 }
@@ -271,7 +274,7 @@
     let newcomer = || Replica::<History>::learner(Settings::default(), member(9), 7, at(0));
     let mut unheard = newcomer();
     assert_eq!(
-        knocks(&mut unheard, at(0), at(1_000)),
+        join_requests(&mut unheard, at(0), at(1_000)),
         Vec::<String>::new(),
         "it knows nobody"
     );
@@ -294,10 +297,10 @@
         [],
         "it gives no answer in the name of another"
     );
-    let knocked = knocks(&mut replica, at(0), at(1_000));
+    let requested = join_requests(&mut replica, at(0), at(1_000));
     assert!(
-        !knocked.is_empty() && knocked.iter().all(|to| *to == member(1).address),
-        "{knocked:?}"
+        !requested.is_empty() && requested.iter().all(|to| *to == member(1).address),
+        "{requested:?}"
     );
 
     // A voter whom it is not for does not follow either; one that is meant does.
@@ -309,9 +312,9 @@
         (voter.primary(), voter.in_contact(at(1))),
         (Some(&member(1)), false)
     );
-    let echo = last_answer(&voter.take_outputs());
-    assert!(echo.is_some(), "it answers");
-    voter.on_message(at(2), echoing(echo, 2, 2, 5, Vec::new()));
+    let last_response_sent_at = last_response(&voter.take_outputs());
+    assert!(last_response_sent_at.is_some(), "it answers");
+    voter.on_message(at(2), echoing(last_response_sent_at, 2, 2, 5, Vec::new()));
     assert_eq!(
         (voter.primary(), voter.in_contact(at(2))),
         (Some(&member(1)), true)
@@ -327,7 +330,7 @@
         to: Identity(to),
         epoch,
         round: 1,
-        echo: None,
+        last_response_sent_at: None,
         in_contact: true,
         head: Position { epoch, number: 9 },
         committed: number,
@@ -336,7 +339,7 @@
             previous,
             update: Update::Change(6_u64.to_le_bytes().to_vec()),
         }],
-        take_image: true,
+        must_request_snapshot: true,
     };
     Message {
         from: member(epoch.primary.0),
@@ -409,7 +412,7 @@
             "{outputs:?}"
         );
         assert_eq!(replica.promised(), epoch);
-        assert!(replica.primary().is_some() && last_answer(&outputs).is_some());
+        assert!(replica.primary().is_some() && last_response(&outputs).is_some());
         assert_eq!(replica.committed().map(|(at, _)| at.number), Some(6));
     }
 }
@@ -441,10 +444,10 @@
         assert!(!replica.in_contact(now) && !replica.is_current(now));
     }
     // Nor is it kept from knocking, where the primary is.
-    let knocked = knocks(&mut replica, at(800), at(1_600));
+    let requested = join_requests(&mut replica, at(800), at(1_600));
     assert!(
-        knocked.len() >= 4 && knocked.iter().all(|to| *to == member(1).address),
-        "{knocked:?}"
+        requested.len() >= 4 && requested.iter().all(|to| *to == member(1).address),
+        "{requested:?}"
     );
     // The primary names it once it has been told of it: then it follows, and asks for the image.
     replica.on_message(at(1_700), demanding(9, EPOCH));
--- a/decide/replication/tests/exhaustive.rs
+++ b/decide/replication/tests/exhaustive.rs
@@ -5,7 +5,7 @@
 //! still, or belongs to a frozen node. Clocks move by themselves, so elections come at any time.
 //! `REPLICATION_DEPTH` sets another depth.
 
-use lichenswitch_replication::model::walk::{calm_step, gather, settle};
+use lichenswitch_replication::model::walk::{calm_step, deliver_everything, gather};
 use lichenswitch_replication::model::{Action, World};
 use lichenswitch_replication::{Fault, Faults, Settings};
 use stateright::{Checker, Model, Property};
@@ -148,7 +148,7 @@
     gather(&mut world, voters);
     (0..5).for_each(|_| calm_step(&mut world, 10_000));
     world.act(&Action::Propose(0));
-    settle(&mut world);
+    deliver_everything(&mut world);
     world
 }
 
@@ -164,7 +164,7 @@
 /// its way from the old one.
 fn election_under_way(voters: usize, faults: Faults) -> World {
     let mut world = change_under_way(voters, faults);
-    let held = std::mem::take(&mut world.network);
+    let held_back = std::mem::take(&mut world.network);
     (1..voters).for_each(|index| world.act(&Action::Elapse(index, 200_000)));
     world.act(&Action::Tick(1));
     // The answers to its question come in; what the old primary sent is still on its way.
@@ -178,7 +178,7 @@
             world.act(&Action::Deliver(at));
         }
     }
-    world.network.extend(held);
+    world.network.extend(held_back);
     world
 }
 
@@ -216,10 +216,10 @@
     while let Some(at) = world.network.iter().position(|envelope| envelope.from == 0) {
         world.act(&Action::Deliver(at));
     }
-    let held = std::mem::take(&mut world.network);
+    let held_back = std::mem::take(&mut world.network);
     (1..3).for_each(|index| world.sync(index));
     go_on(&mut world, 1, 2);
-    world.network = held;
+    world.network = held_back;
     world
 }
 
@@ -266,13 +266,13 @@
     while let Some(at) = world.network.iter().position(|envelope| envelope.from == 0) {
         world.act(&Action::Deliver(at));
     }
-    let held = std::mem::take(&mut world.network);
+    let held_back = std::mem::take(&mut world.network);
     go_on(&mut world, 1, 2);
-    settle(&mut world);
+    deliver_everything(&mut world);
     go_on(&mut world, 0, 2);
-    settle(&mut world);
+    deliver_everything(&mut world);
     go_on(&mut world, 1, 2);
-    world.network = held;
+    world.network = held_back;
     world
 }
 
--- a/decide/replication/tests/message_bytes.rs
+++ b/decide/replication/tests/message_bytes.rs
@@ -77,21 +77,21 @@
 fn election_bodies() -> Vec<(&'static str, Body)> {
     let pre_vote_response = Body::PreVoteResponse {
         epoch: epoch(5, 3),
-        supported: true,
+        would_grant: true,
         promised: epoch(4, 2),
-        held: replica_version(),
+        version: replica_version(),
     };
     let granted = Body::VoteGranted {
         epoch: epoch(5, 3),
-        held: replica_version(),
+        version: replica_version(),
     };
     let rejected = Body::VoteRejected {
         epoch: epoch(5, 3),
         promised: epoch(6, 1),
     };
-    let vote = |take_over| Body::Vote {
+    let vote = |is_leadership_transfer| Body::Vote {
         epoch: epoch(5, 3),
-        take_over,
+        is_leadership_transfer,
     };
     vec![
         ("pre-vote", Body::PreVote { epoch: epoch(5, 3) }),
@@ -108,28 +108,28 @@
         to: member(2).identity,
         epoch: epoch(4, 2),
         round: 71,
-        echo: None,
+        last_response_sent_at: None,
         in_contact: false,
         head: position(4, 2, 20),
         committed: Position::default(),
         records: Vec::new(),
-        take_image: true,
+        must_request_snapshot: true,
     };
     let with_records = Append {
-        echo: Some(instant()),
+        last_response_sent_at: Some(instant()),
         in_contact: true,
         committed: position(4, 2, 19),
         records: records(),
-        take_image: false,
+        must_request_snapshot: false,
         ..heartbeat.clone()
     };
-    let response = |synced, writable, leaving| Body::AppendResponse {
+    let response = |synced, is_writable, is_leaving| Body::AppendResponse {
         epoch: epoch(4, 2),
         round: 71,
         synced,
-        writable,
-        leaving,
-        stamp: instant(),
+        is_writable,
+        is_leaving,
+        sent_at: instant(),
     };
     vec![
         ("append-heartbeat", Body::Append(heartbeat)),
@@ -151,8 +151,8 @@
     let chunk = SnapshotChunk {
         epoch: epoch(5, 3),
         position: position(4, 2, 20),
-        number: 1,
-        total: 3,
+        index: 1,
+        count: 3,
         checksum: 0xdead_beef,
         bytes: b"a part of a snapshot".to_vec(),
     };
@@ -165,10 +165,10 @@
 
 fn membership_bodies() -> Vec<(&'static str, Body)> {
     let join_response = |primary, members| Body::JoinResponse { primary, members };
-    let leave_response = |removed, stays| Body::LeaveResponse {
+    let leave_response = |is_removed, is_retained| Body::LeaveResponse {
         epoch: epoch(5, 3),
-        removed,
-        stays,
+        is_removed,
+        is_retained,
     };
     let members = vec![member(1), member(3)];
     vec![
--- a/decide/replication/tests/scenarios.rs
+++ b/decide/replication/tests/scenarios.rs
@@ -12,8 +12,11 @@
 fn a_founder_serves_alone_within_a_second() {
     let mut timed = TimedWorld::new(Settings::default(), 1, 7);
     timed.call(0, |world| world.bootstrap());
-    let served = timed.run_until(SECOND, |timed| timed.world.serving().is_some());
-    assert!(served.is_some_and(|took| took < 20_000), "{served:?}");
+    let served_after = timed.run_until(SECOND, |timed| timed.world.serving().is_some());
+    assert!(
+        served_after.is_some_and(|took| took < 20_000),
+        "{served_after:?}"
+    );
 }
 
 #[test]
@@ -83,7 +86,10 @@
         println!("replaced after {replaced} us");
         let changes = changes(&mut timed);
         assert!(
-            matches!(changes.last(), Some(MembershipChange::ReplaceSilent { .. })),
+            matches!(
+                changes.last(),
+                Some(MembershipChange::ReplaceUnresponsive { .. })
+            ),
             "{changes:?}"
         );
     }
@@ -186,7 +192,7 @@
     assert!(matches!(
         &changes[..],
         [
-            MembershipChange::RemoveSilent { .. },
+            MembershipChange::RemoveUnresponsive { .. },
             MembershipChange::Add { .. }
         ]
     ));
@@ -210,14 +216,15 @@
             .len(),
         3
     );
-    let refused = |(_, notice): &(usize, Notice)| matches!(notice, Notice::RemovalRejected { .. });
+    let is_rejected_removal =
+        |(_, notice): &(usize, Notice)| matches!(notice, Notice::RemovalRejected { .. });
     let told = timed
         .world
         .notices
         .as_ref()
         .unwrap()
         .iter()
-        .filter(|notice| refused(notice))
+        .filter(|notice| is_rejected_removal(notice))
         .count();
     assert_eq!(told, 1, "a refusal is told once");
     assert!(timed.commit_within(SECOND).is_some());
@@ -349,7 +356,7 @@
     assert!(timed.run_until(SECOND, |timed| timed.is_whole(4)).is_some());
     let changes = changes(&mut timed);
     assert!(
-        matches!(&changes[..], [MembershipChange::Move { .. }]),
+        matches!(&changes[..], [MembershipChange::ChangeAddress { .. }]),
         "{changes:?}"
     );
     clean(&timed);
--- a/decide/replication/tests/values.rs
+++ b/decide/replication/tests/values.rs
@@ -67,14 +67,14 @@
 #[test]
 fn a_quorum_is_more_than_half() {
     let four = membership(&[1, 2, 3, 4]);
-    assert!(!four.quorum(&present(&[1, 2])));
-    assert!(four.quorum(&present(&[1, 2, 4])));
+    assert!(!four.is_quorum(&present(&[1, 2])));
+    assert!(four.is_quorum(&present(&[1, 2, 4])));
     assert!(
-        !four.quorum(&present(&[1, 2, 7, 8, 9])),
+        !four.is_quorum(&present(&[1, 2, 7, 8, 9])),
         "others don't count"
     );
     assert!(
-        !membership(&[]).quorum(&present(&[1])),
+        !membership(&[]).is_quorum(&present(&[1])),
         "nobody is no quorum"
     );
 }
@@ -82,12 +82,12 @@
 #[test]
 fn a_joint_quorum_is_one_of_both() {
     let joint = membership(&[1, 2, 3]).joint([member(1), member(4), member(5)]);
-    assert!(!joint.quorum(&present(&[1, 2, 3])));
-    assert!(!joint.quorum(&present(&[1, 4, 5])));
-    assert!(joint.quorum(&present(&[1, 2, 4])));
+    assert!(!joint.is_quorum(&present(&[1, 2, 3])));
+    assert!(!joint.is_quorum(&present(&[1, 4, 5])));
+    assert!(joint.is_quorum(&present(&[1, 2, 4])));
     assert_eq!(joint.all().count(), 5);
-    assert!(joint.names(Identity(2)) && !joint.finished().names(Identity(2)));
-    assert!(joint.finished().quorum(&present(&[4, 5])));
+    assert!(joint.contains(Identity(2)) && !joint.finalized().contains(Identity(2)));
+    assert!(joint.finalized().is_quorum(&present(&[4, 5])));
 }
 
 #[test]
@@ -97,9 +97,9 @@
         primary: Identity(1),
     };
     let (head, committed) = (position(3, 9), position(3, 8));
-    let (round, in_contact, records, take_image) = (77, true, Vec::new(), false);
+    let (round, in_contact, records, must_request_snapshot) = (77, true, Vec::new(), false);
     let to = Identity(2);
-    let echo = Some(ProcessInstant {
+    let last_response_sent_at = Some(ProcessInstant {
         process: u64::MAX,
         clock: 1,
     });
@@ -107,12 +107,12 @@
         to,
         epoch,
         round,
-        echo,
+        last_response_sent_at,
         in_contact,
         head,
         committed,
         records,
-        take_image,
+        must_request_snapshot,
     };
     let message = Message {
         from: member(1),
@@ -208,7 +208,7 @@
     );
     assert_matches!(
         Recovered::from_items([image(second), image(first)]),
-        Err(RecoverError::ImageGoesBack { .. })
+        Err(RecoverError::SnapshotOutOfOrder { .. })
     );
     let promise = DurableItem::Promise(Epoch {
         counter: 3,
