--- a/fleet/src/control/group.rs
+++ b/fleet/src/control/group.rs
@@ -115,7 +115,7 @@
 
     /// Whether it is a voter, as far as it knows.
     pub(super) fn votes(&self) -> bool {
-        self.replica.membership().names(self.identity())
+        self.replica.membership().contains(self.identity())
     }
 
     /// What the replica wants done, but for what it wants written: that is begun here.
