--- a/core/src/answer.rs
+++ b/core/src/answer.rs
@@ -20,14 +20,18 @@
             return;
         };
         let class = &self.settings.classes[q.class];
-        let (second_step, second) = (class.second_step, q.first.is_some());
-        let step = || q.parts.iter().filter(|p| p.second == second);
+        let (second_step, is_second_step) = (class.second_step, q.first.is_some());
+        let step = || {
+            q.parts
+                .iter()
+                .filter(|p| p.is_second_step == is_second_step)
+        };
         let have: f64 = step().filter(|p| p.is_in()).map(|p| p.weight).sum();
         // Guards the rule on honest answers against a slip anywhere before it: nothing from less
         // than the floor leaves, and the mark of a whole answer is given from the parts that are
         // really here.
-        let need = if second { 1.0 } else { class.need };
-        let floor = if second && class.floor >= class.need {
+        let need = if is_second_step { 1.0 } else { class.need };
+        let floor = if is_second_step && class.floor >= class.need {
             1.0
         } else {
             class.floor
@@ -41,7 +45,7 @@
         }
         let first_whole = q.first.as_ref().is_none_or(|first| first.whole);
         let whole = whole && have + ROUNDING >= need && first_whole;
-        if second_step > 0 && !second {
+        if second_step > 0 && !is_second_step {
             return self.second_step(now, query, whole, commands);
         }
         self.served(query, whole, commands);
@@ -49,7 +53,7 @@
 
     pub(super) fn refuse(&mut self, query: QueryId, after: Micros, commands: &mut Vec<Command<J>>) {
         if let Some(q) = self.release(query) {
-            self.tallies[q.class].refused += 1;
+            self.counters[q.class].refused += 1;
             let advice = self
                 .settings
                 .limits
@@ -62,7 +66,7 @@
 
     pub(super) fn fail(&mut self, query: QueryId, commands: &mut Vec<Command<J>>) {
         if let Some(q) = self.release(query) {
-            self.tallies[q.class].failed += 1;
+            self.counters[q.class].failed += 1;
             commands.push(Command::Reply(query, Reply::Failed));
         }
     }
--- a/core/src/collect.rs
+++ b/core/src/collect.rs
@@ -15,10 +15,11 @@
         let Some(a) = self.attempts.remove(&attempt) else {
             return false;
         };
-        self.out.remove(&(a.part, a.number));
+        self.in_flight.remove(&(a.part, a.number));
         let most_bytes = self.most_bytes();
-        let place = self.parts.get(&a.part).copied();
-        let mut part = place.and_then(|(query, i)| self.queries.get_mut(&query)?.parts.get_mut(i));
+        let position = self.parts.get(&a.part).copied();
+        let mut part =
+            position.and_then(|(query, i)| self.queries.get_mut(&query)?.parts.get_mut(i));
         let load = self.load.entry(a.server).or_default();
         *load = load.saturating_sub(1);
         if *load == 0 {
@@ -26,13 +27,12 @@
         }
         let mut outcome = outcome;
         if let (Some(part), Outcome::Moot) = (&mut part, outcome) {
-            part.unsent += 1;
+            part.never_left += 1;
         }
-        if let Some(part) = part
-            .as_mut()
-            .filter(|p| outcome.never_ran() && p.ran.is_some_and(|r| r.0 == a.number))
-        {
-            part.ran = None;
+        if let Some(part) = part.as_mut().filter(|p| {
+            outcome.never_ran() && p.first_possible_run.is_some_and(|r| r.0 == a.number)
+        }) {
+            part.first_possible_run = None;
         }
         if let (Some(part), Outcome::Ok, Some(value)) = (part, outcome, value) {
             if self.bytes + value.bytes.len() > most_bytes {
--- a/core/src/contract.rs
+++ b/core/src/contract.rs
@@ -1,5 +1,4 @@
-//! Contracts of the teams that ask: the classes a team may use, its rate and its budget of further
-//! attempts.
+//! Contracts of the teams that ask: the classes a team may use, its rate and its retry budget.
 //!
 //! They are checked at intake. Without any contract configured, as on the platform, nothing is
 //! checked.
@@ -20,7 +19,7 @@
 
 /// Why a query is not taken under the contracts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Breach {
+pub enum ContractViolation {
     /// The query names no team that has a contract.
     UnknownTeam,
     /// The team's contract does not hold the class.
@@ -29,28 +28,29 @@
     Rate(Micros),
 }
 
-struct Account {
+struct TeamQuota {
     contract: Contract,
+    /// Queries that it may send now.
     tokens: f64,
-    filled: Time,
+    filled_at: Time,
 }
 
 /// The contracts of all teams.
 #[derive(Default)]
 pub struct Contracts {
-    teams: BTreeMap<String, Account>,
+    teams: BTreeMap<String, TeamQuota>,
 }
 
 /// A team may save up so many seconds of its rate.
-const SAVED: f64 = 1.0;
+const BURST_SECONDS: f64 = 1.0;
 
 impl Contracts {
     /// Contracts by the teams' names.
     #[must_use]
     pub fn new(teams: impl IntoIterator<Item = (String, Contract)>) -> Self {
-        let account = |contract: Contract| Account {
+        let account = |contract: Contract| TeamQuota {
             tokens: burst(&contract),
-            filled: Time(0),
+            filled_at: Time(0),
             contract,
         };
         Contracts {
@@ -62,26 +62,34 @@
     }
 
     /// Whether a query may be taken now; if so, it counts to the team's rate.
-    pub fn admit(&mut self, now: Time, team: Option<&str>, class: usize) -> Result<(), Breach> {
+    ///
+    /// # Errors
+    /// What of the team's contract the query violates.
+    pub fn admit(
+        &mut self,
+        now: Time,
+        team: Option<&str>,
+        class: usize,
+    ) -> Result<(), ContractViolation> {
         if self.teams.is_empty() {
             return Ok(());
         }
         let account = team
             .and_then(|team| self.teams.get_mut(team))
-            .ok_or(Breach::UnknownTeam)?;
+            .ok_or(ContractViolation::UnknownTeam)?;
         let contract = &account.contract;
         if !contract.classes.is_empty() && !contract.classes.contains(&class) {
-            return Err(Breach::Class);
+            return Err(ContractViolation::Class);
         }
         let Some(rate) = contract.rate else {
             return Ok(());
         };
-        let gained = now.since(account.filled) as f64 / 1e6 * rate;
+        let gained = now.since(account.filled_at) as f64 / 1e6 * rate;
         account.tokens = (account.tokens + gained).min(burst(contract));
-        account.filled = now;
+        account.filled_at = now;
         if account.tokens < 1.0 {
-            return Err(Breach::Rate(
-                ((1.0 - account.tokens) / rate * 1e6).ceil() as Micros
+            return Err(ContractViolation::Rate(
+                ((1.0 - account.tokens) / rate * 1e6).ceil() as Micros,
             ));
         }
         account.tokens -= 1.0;
@@ -102,7 +110,9 @@
 }
 
 fn burst(contract: &Contract) -> f64 {
-    contract.rate.map_or(1.0, |rate| (rate * SAVED).max(1.0))
+    contract
+        .rate
+        .map_or(1.0, |rate| (rate * BURST_SECONDS).max(1.0))
 }
 
 #[cfg(test)]
--- a/core/src/contract/tests.rs
+++ b/core/src/contract/tests.rs
@@ -31,12 +31,21 @@
 fn classes_and_rates_are_those_agreed() {
     let mut c = contracts();
     let now = Time(1_000_000);
-    assert_eq!(c.admit(now, None, 0), Err(Breach::UnknownTeam));
-    assert_eq!(c.admit(now, Some("else"), 0), Err(Breach::UnknownTeam));
-    assert_eq!(c.admit(now, Some("rates"), 1), Err(Breach::Class));
+    assert_eq!(c.admit(now, None, 0), Err(ContractViolation::UnknownTeam));
+    assert_eq!(
+        c.admit(now, Some("else"), 0),
+        Err(ContractViolation::UnknownTeam)
+    );
+    assert_eq!(
+        c.admit(now, Some("rates"), 1),
+        Err(ContractViolation::Class)
+    );
     assert_eq!(c.admit(now, Some("rates"), 0), Ok(()));
     assert_eq!(c.admit(now, Some("rates"), 0), Ok(()));
-    assert_eq!(c.admit(now, Some("rates"), 0), Err(Breach::Rate(500_000)));
+    assert_eq!(
+        c.admit(now, Some("rates"), 0),
+        Err(ContractViolation::Rate(500_000))
+    );
     assert_eq!(c.admit(now.plus(500_000), Some("rates"), 0), Ok(()));
     assert_eq!(c.admit(now, Some("open"), 7), Ok(()));
 }
--- a/core/src/dispatch.rs
+++ b/core/src/dispatch.rs
@@ -1,6 +1,6 @@
 //! Dispatch: what the module asks for becomes commands; sends of a turn to one server share a call.
 
-use super::{Attempt, Command, Core, Dispatch};
+use super::{Attempt, Command, Core, Dispatch, Part};
 use lichenswitch_interface::{Action, Event, Micros, Outcome, PartId, RetrySafety, ServerId, Time};
 use std::collections::HashMap;
 
@@ -13,7 +13,41 @@
     last: HashMap<ServerId, usize>,
 }
 
+impl<J> Calls<J> {
+    /// Puts an attempt into the last call to its server, where that has room, or into a new one.
+    fn add(&mut self, server: ServerId, dispatch: Dispatch<J>, most_parts: usize) {
+        match self.last.get(&server).map(|&i| &mut self.all[i].1) {
+            Some(call) if call.len() < most_parts => call.push(dispatch),
+            _ => {
+                self.last.insert(server, self.all.len());
+                self.all.push((server, vec![dispatch]));
+            }
+        }
+    }
+}
+
+/// How long an attempt is waited for. Guards the client's time: no attempt is waited for beyond it;
+/// a timeout of 0 stands for all of it.
+fn wait_of(timeout: Micros, remaining: Micros) -> Micros {
+    let remaining = remaining.max(1);
+    if timeout == 0 {
+        remaining
+    } else {
+        timeout.min(remaining)
+    }
+}
+
+/// Until when a repeat may leave. Guards the rule on repeats: what waits for its connection may leave
+/// long after it was decided.
+fn leave_by(repeat: RetrySafety, part: &Part) -> Option<Time> {
+    match (repeat, part.first_possible_run) {
+        (RetrySafety::Keyed(window), Some((_, sent))) => Some(sent.plus(window)),
+        _ => None,
+    }
+}
+
 impl<J> Core<J> {
+    /// Carries out what the module asks for in one turn.
     pub(super) fn carry_out(
         &mut self,
         now: Time,
@@ -59,6 +93,7 @@
         commands.extend(calls.map(|(server, parts)| Command::Send(server, parts)));
     }
 
+    /// Makes an attempt of a part, if the part still wants one, and puts it into a call.
     fn send(
         &mut self,
         now: Time,
@@ -67,42 +102,23 @@
         timeout: Micros,
         calls: &mut Calls<J>,
     ) {
-        let place = self.parts.get(&part).copied();
-        let Some((q, i)) = place.and_then(|(id, i)| Some((self.queries.get_mut(&id)?, i))) else {
+        let position = self.parts.get(&part).copied();
+        let query = position.and_then(|(id, i)| Some((id, self.queries.get_mut(&id)?, i)));
+        let Some((id, q, index)) = query else {
             // The query has ended before the send could be made: it never ran.
-            let attempt = 0;
-            let event = Event::Finished {
-                part,
-                attempt,
-                server,
-                outcome: Outcome::Moot,
-                elapsed: 0,
-            };
-            return self.inbox.push(event);
+            return self.report_moot(part, 0, server);
+        };
+        let class = &self.settings.classes[q.class];
+        let most_attempts = self.settings.attempts_of(q.class);
+        let Some(p) = q.parts.get_mut(index) else {
+            return;
         };
-        let (deadline, job, first, class) = (q.deadline, q.job.clone(), q.first.clone(), q.class);
-        let repeat = self.settings.classes[q.class].repeat;
-        let Some(p) = q.parts.get_mut(i) else { return };
         let number = p.attempts;
         p.attempts += 1;
         // Guards the limit on attempts: one beyond it is not sent, whatever the module says.
-        if u32::from(number - p.unsent) >= self.settings.attempts_of(q.class) || p.value.is_some() {
-            let event = Event::Finished {
-                part,
-                attempt: number,
-                server,
-                outcome: Outcome::Moot,
-                elapsed: 0,
-            };
-            return self.inbox.push(event);
+        if u32::from(number - p.never_left) >= most_attempts || p.value.is_some() {
+            return self.report_moot(part, number, server);
         }
-        // Guards the client's time: no attempt is waited for beyond it; 0 stands for all of it.
-        let left = deadline.since(now).max(1);
-        let wait = if timeout == 0 {
-            left
-        } else {
-            timeout.min(left)
-        };
         let attempt = self.next_attempt;
         self.next_attempt += 1;
         let load = self.load.entry(server).or_default();
@@ -118,36 +134,32 @@
                 pending,
             },
         );
-        self.out.insert((part, number), attempt);
-        let first = first.filter(|_| p.second);
-        // Guards the rule on repeats: what waits for its connection may leave long after it was
-        // decided.
-        let leave_by = match (repeat, p.ran) {
-            (RetrySafety::Keyed(window), Some((_, ran))) => Some(ran.plus(window)),
-            _ => None,
-        };
-        p.ran = p.ran.or(Some((number, now)));
+        self.in_flight.insert((part, number), attempt);
         let dispatch = Dispatch {
             attempt,
-            job,
-            class,
+            job: q.job.clone(),
+            class: q.class,
             shard: p.shard,
-            first,
+            first: q.first.clone().filter(|_| p.is_second_step),
             most: p.most,
-            wait,
-            leave_by,
+            wait: wait_of(timeout, q.deadline.since(now)),
+            leave_by: leave_by(class.repeat, p),
         };
-        if let Some((id, _)) = place {
-            self.planner.on_sent(now, id, p.shard.0, f64::from(pending));
-        }
-        let room = self.settings.layout.parts_a_call.max(1) as usize;
-        match calls.last.get(&server).map(|&i| &mut calls.all[i].1) {
-            Some(call) if call.len() < room => call.push(dispatch),
-            _ => {
-                calls.last.insert(server, calls.all.len());
-                calls.all.push((server, vec![dispatch]));
-            }
-        }
+        p.first_possible_run = p.first_possible_run.or(Some((number, now)));
+        self.planner.on_sent(now, id, p.shard.0, f64::from(pending));
+        let most_parts = self.settings.layout.parts_a_call.max(1) as usize;
+        calls.add(server, dispatch, most_parts);
+    }
+
+    /// Tells the module that an attempt was not made.
+    fn report_moot(&mut self, part: PartId, attempt: u16, server: ServerId) {
+        self.inbox.push(Event::Finished {
+            part,
+            attempt,
+            server,
+            outcome: Outcome::Moot,
+            elapsed: 0,
+        });
     }
 
     fn cancel(
@@ -157,18 +169,18 @@
         calls: &mut Calls<J>,
         commands: &mut Vec<Command<J>>,
     ) {
-        let Some(&attempt) = self.out.get(&which) else {
+        let Some(&attempt) = self.in_flight.get(&which) else {
             return;
         };
-        // One that was to be sent in this very turn stays at home.
-        let unsent = attempt >= calls.first;
-        if unsent {
+        // One that was to be sent in this very turn is not sent.
+        let never_left = attempt >= calls.first;
+        if never_left {
             calls
                 .all
                 .iter_mut()
                 .for_each(|(_, call)| call.retain(|d| d.attempt != attempt));
         }
-        if !unsent {
+        if !never_left {
             commands.push(Command::Withdraw(attempt));
         }
         self.ended(now, attempt, Outcome::Cancelled, None);
--- a/core/src/intake.rs
+++ b/core/src/intake.rs
@@ -1,7 +1,7 @@
-//! Intake: a query is taken and given its ids, or turned away unseen.
+//! Intake: a query is admitted and given its ids, or refused before the module sees it.
 
 use super::{Core, Part, Query, Request};
-use crate::contract::Breach;
+use crate::contract::ContractViolation;
 use lichenswitch_interface::{Event, Micros, PartId, Placement, QueryId, Shard, Time};
 use std::rc::Rc;
 
@@ -11,7 +11,7 @@
     /// Too many queries and parts are held; ask again after this long.
     Busy(Option<Micros>),
     /// The team's contract does not allow it.
-    Contract(Breach),
+    Contract(ContractViolation),
     /// The broker is about to end, sooner than the query may, or sends clients away.
     Stopping,
     /// Its parts make no sense.
@@ -23,7 +23,7 @@
 
 /// Guards data nodes and honest answers: a part for a shard that there is not, one that comes twice
 /// or weights that are no shares would be sent, turned away, and counted.
-fn sound(parts: &[(Shard, f64)], shards: u32) -> Result<(), Refusal> {
+fn check_parts(parts: &[(Shard, f64)], shards: u32) -> Result<(), Refusal> {
     let mut asked: Vec<Shard> = parts.iter().map(|p| p.0).collect();
     asked.sort_unstable();
     let twice = asked.windows(2).any(|pair| pair[0] == pair[1]);
@@ -44,23 +44,34 @@
     }
 }
 
+/// The parts with weights that sum to 1. Guards wide queries: what their clients rounded off adds up,
+/// and a sum short of 1 would look to the module like a part that can't be had, so that it answered
+/// in part as soon as the floor was in.
+fn scaled_to_one(parts: &[(Shard, f64)]) -> Vec<(Shard, f64)> {
+    let sum: f64 = parts.iter().map(|p| p.1).sum();
+    parts
+        .iter()
+        .map(|&(shard, weight)| (shard, weight / sum))
+        .collect()
+}
+
 impl<J> Core<J> {
-    /// From now on no query is open later than this, and none is taken for whose aim there is no
-    /// time left. Clients are served for as long as there is: when brokers are restarted in turn,
+    /// From now on no query is open later than this, and none is taken for whose latency
+    /// target there is no time left. Clients are served for as long as there is: when brokers are restarted in turn,
     /// some have nowhere else to go.
     pub fn end_by(&mut self, at: Time) {
-        self.end_by = Some(at);
+        self.must_end_by = Some(at);
     }
 
     /// Whether queries are refused until further notice, as they are when the broker stops.
     pub fn hold_off(&mut self, on: bool) {
-        self.held_off = on;
+        self.is_paused = on;
     }
 
     /// Whether it takes queries as if it never ended.
     #[must_use]
     pub fn goes_on(&self) -> bool {
-        self.end_by.is_none()
+        self.must_end_by.is_none()
     }
 
     /// Whether a query of some class would still be taken.
@@ -73,53 +84,55 @@
             .map(|c| c.latency_target.min(c.deadline))
             .min()
             .unwrap_or_default();
-        self.end_by.is_none_or(|at| now.plus(shortest) <= at)
+        self.must_end_by.is_none_or(|at| now.plus(shortest) <= at)
     }
 
     /// Takes a query. Its final answer comes as a command of a later turn.
+    ///
+    /// # Errors
+    /// Why the query is not taken; nothing of it has run.
     pub fn take(&mut self, now: Time, request: Request<J>) -> Result<QueryId, Refusal> {
         let class = request.class;
         let taken = self.admit(now, request);
-        if let (Err(refusal), Some(tally)) = (&taken, self.tallies.get_mut(class)) {
+        if let (Err(refusal), Some(counters)) = (&taken, self.counters.get_mut(class)) {
             match refusal {
-                Refusal::Busy(_) | Refusal::Stopping | Refusal::Contract(Breach::Rate(_)) => {
-                    tally.refused += 1
-                }
-                Refusal::Contract(_) | Refusal::Malformed(_) => tally.failed += 1,
+                Refusal::Busy(_)
+                | Refusal::Stopping
+                | Refusal::Contract(ContractViolation::Rate(_)) => counters.refused += 1,
+                Refusal::Contract(_) | Refusal::Malformed(_) => counters.failed += 1,
             }
         }
         taken
     }
 
     fn admit(&mut self, now: Time, mut request: Request<J>) -> Result<QueryId, Refusal> {
-        sound(&request.parts, self.settings.layout.shards)?;
-        if request.class >= self.settings.classes.len() {
+        check_parts(&request.parts, self.settings.layout.shards)?;
+        let Some(class) = self.settings.classes.get(request.class) else {
             return Err(Refusal::Malformed("there is no such class"));
-        }
-        if self.held_off {
+        };
+        if self.is_paused {
             return Err(Refusal::Stopping);
         }
-        if let Some(at) = self.end_by {
-            let latency_target = self
-                .settings
-                .classes
-                .get(request.class)
-                .map_or(0, |c| c.latency_target);
-            if request.deadline.min(now.plus(latency_target)) > at {
+        if let Some(at) = self.must_end_by {
+            if request.deadline.min(now.plus(class.latency_target)) > at {
                 return Err(Refusal::Stopping);
             }
             // Guards the final answer: what is open when the process is killed gets none.
             request.deadline = request.deadline.min(at);
         }
         // Guards memory: what is held is bounded, and the module never sees the query.
-        if self.held >= (self.settings.limits.held / self.parts_of.held) as usize {
-            return Err(Refusal::Busy(
-                self.settings.limits.retry_after.map(|most| most / 2),
-            ));
+        let limits = &self.settings.limits;
+        if self.held_entries >= (limits.max_held / self.process_shares.held) as usize {
+            return Err(Refusal::Busy(limits.retry_after.map(|most| most / 2)));
         }
         self.contracts
             .admit(now, request.team.as_deref(), request.class)
             .map_err(Refusal::Contract)?;
+        Ok(self.insert(now, request))
+    }
+
+    /// Gives a query that is admitted its ids, and tells the module and the planner of it.
+    fn insert(&mut self, now: Time, request: Request<J>) -> QueryId {
         let id = QueryId(self.new_id());
         self.next_number = (self.next_number + 1) % super::NUMBERS;
         let number = self.next_number;
@@ -139,39 +152,29 @@
             });
         }
         self.deadlines.insert((request.deadline, id));
-        self.queries.insert(
-            id,
-            Query {
-                number,
-                class: request.class,
-                deadline: request.deadline,
-                job: Rc::new(request.job),
-                parts: Vec::with_capacity(request.parts.len()),
-                first: None,
-                top: request.top,
-                left_out: Vec::new(),
-                doubt: false,
-            },
-        );
-        self.held += 1;
-        let two_steps = self.settings.classes[request.class].second_step > 0;
-        // Guards wide queries: what their clients rounded off adds up, and a sum short of 1 would
-        // look to the module like a part that can't be had, so that it answered in part as soon as
-        // the floor was in.
-        let sum: f64 = request.parts.iter().map(|p| p.1).sum();
-        let parts: Vec<(Shard, f64)> = request
-            .parts
-            .iter()
-            .map(|&(s, weight)| (s, weight / sum))
-            .collect();
-        if two_steps && self.planner.plans(request.class) {
+        let query = Query {
+            number,
+            class: request.class,
+            deadline: request.deadline,
+            job: Rc::new(request.job),
+            parts: Vec::with_capacity(request.parts.len()),
+            first: None,
+            top: request.top,
+            left_out: Vec::new(),
+            is_doubtful: false,
+        };
+        self.queries.insert(id, query);
+        self.held_entries += 1;
+        let parts = scaled_to_one(&request.parts);
+        let has_two_steps = self.settings.classes[request.class].second_step > 0;
+        if has_two_steps && self.planner.plans(request.class) {
             let parts: Vec<(u32, f64)> = parts.iter().map(|p| (p.0 .0, p.1)).collect();
             self.planner.on_query(now, id, request.class, &parts);
         }
         for (shard, weight) in parts {
             self.add_part(id, shard, weight, false, None);
         }
-        Ok(id)
+        id
     }
 
     /// Adds a part to a query that is held; the module hears of it in the next turn.
@@ -180,27 +183,25 @@
         query: QueryId,
         shard: Shard,
         weight: f64,
-        second: bool,
+        is_second_step: bool,
         most: Option<usize>,
     ) -> Option<PartId> {
         let part = PartId(self.new_id());
         let q = self.queries.get_mut(&query)?;
         self.parts.insert(part, (query, q.parts.len()));
-        let (value, proved) = (None, false);
-        let (attempts, unsent, ran) = (0, 0, None);
         q.parts.push(Part {
             id: part,
             shard,
             weight,
-            second,
-            attempts,
-            unsent,
-            value,
+            is_second_step,
+            attempts: 0,
+            never_left: 0,
+            value: None,
             most,
-            proved,
-            ran,
+            is_proved_unneeded: false,
+            first_possible_run: None,
         });
-        self.held += 1;
+        self.held_entries += 1;
         self.inbox.push(Event::Part {
             part,
             number: q.number,
@@ -217,12 +218,12 @@
         }
     }
 
-    /// Takes a query and its parts out of the books: the one place where they are given back.
+    /// Removes a query and its parts from the tables: the one place where they are released.
     pub(super) fn release(&mut self, query: QueryId) -> Option<Query<J>> {
         let q = self.queries.remove(&query)?;
         self.deadlines.remove(&(q.deadline, query));
         self.planner.on_end(query);
-        self.held -= 1 + q.parts.len();
+        self.held_entries -= 1 + q.parts.len();
         self.bytes -= q
             .parts
             .iter()
@@ -233,8 +234,9 @@
             self.parts.remove(&part.id);
             // Guards against parts that nobody waits for: one that still waits for a connection is
             // sent by nobody.
-            let out = (0..part.attempts).filter_map(|number| self.out.get(&(part.id, number)));
-            self.recalls.extend(out);
+            let in_flight =
+                (0..part.attempts).filter_map(|number| self.in_flight.get(&(part.id, number)));
+            self.recalls.extend(in_flight);
         }
         Some(q)
     }
--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -1,5 +1,5 @@
-//! Queries, parts, attempts and their outcomes: what stands between the fronts, the decision module
-//! and the data nodes. It knows no wire: a front hands in a [`Request`] with a job of its own kind,
+//! Queries, parts, attempts and their outcomes: what joins the fronts, the decision module and the
+//! data nodes. It knows no wire: a front hands in a [`Request`] with a job of its own kind,
 //! the upstream of the same kind carries out [`Command::Send`], and the answer goes back as a
 //! [`Reply`].
 //!
@@ -41,7 +41,7 @@
     pub key: u64,
     /// Which of equal servers it goes to.
     pub placement: Placement,
-    /// Marked by the client as a further try.
+    /// Marked by the client as a retry.
     pub again: bool,
     /// Index of the tenant that asks, among those of the settings; `u32::MAX`: none of them.
     pub tenant: u32,
@@ -94,7 +94,7 @@
     Failed,
 }
 
-/// What the second step of a query is told of its first.
+/// What the second step of a query knows of its first.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FirstStep {
     /// Shards that were in.
@@ -127,7 +127,7 @@
 
 /// What was counted of a class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct ClassCounters {
     /// Requests served, whole or in part.
     pub served: u64,
     /// Requests refused: trying again is harmless.
@@ -143,10 +143,10 @@
 pub enum Command<J> {
     /// Send these parts to a server in one call.
     Send(ServerId, Vec<Dispatch<J>>),
-    /// Give up an attempt that is out. Its outcome is already settled.
+    /// Cancel an attempt in flight. Its outcome is recorded already.
     Withdraw(u64),
-    /// The query of an attempt that is out has ended: where the attempt has not left yet it is not
-    /// to leave any more, whether or not servers may be told that one is given up.
+    /// The query of an attempt in flight has ended: where the attempt has not left yet it is not to
+    /// leave any more, whether or not cancels are sent to servers.
     Recall(u64),
     /// Close idle connections to a server.
     CloseIdle(ServerId),
@@ -162,22 +162,22 @@
     id: PartId,
     shard: Shard,
     weight: f64,
-    second: bool,
+    is_second_step: bool,
     attempts: u16,
     /// How many of them never left: they count as none.
-    unsent: u16,
+    never_left: u16,
     value: Option<Value>,
     /// Elements that are asked for, in the second step of a sorted answer.
     most: Option<usize>,
-    /// It was proved to be unneeded: it counts as in.
-    proved: bool,
+    /// Whether it was proved to be unneeded: it counts as answered.
+    is_proved_unneeded: bool,
     /// The first of its attempts that may have run, and when that was sent.
-    ran: Option<(u16, Time)>,
+    first_possible_run: Option<(u16, Time)>,
 }
 
 impl Part {
     fn is_in(&self) -> bool {
-        self.value.is_some() || self.proved
+        self.value.is_some() || self.is_proved_unneeded
     }
 }
 
@@ -192,8 +192,8 @@
     top: Option<(usize, Way)>,
     /// Shards that the second step leaves out for time.
     left_out: Vec<Shard>,
-    /// What its answer rests on has proved wrong: it is not whole.
-    doubt: bool,
+    /// Whether what its answer rests on has proved wrong: it is not complete.
+    is_doubtful: bool,
 }
 
 struct Attempt {
@@ -201,11 +201,11 @@
     number: u16,
     server: ServerId,
     sent: Time,
-    /// Own parts out at the server when it was sent.
+    /// Parts of this core in flight at the server when it was sent.
     pending: u32,
 }
 
-/// The core of one service: its decision module and the books of what is held.
+/// The core of one service: its decision module, and the queries and attempts in hand.
 pub struct Core<J> {
     settings: Settings,
     contracts: Contracts,
@@ -215,37 +215,38 @@
     explain: bool,
     /// Log lines for the next turn.
     lines: Vec<String>,
-    /// Own parts out at each server.
+    /// Parts in flight at each server.
     load: HashMap<ServerId, u32>,
     inbox: Vec<Event>,
     queries: BTreeMap<QueryId, Query<J>>,
     /// Queries by the end of their clients' patience.
     deadlines: BTreeSet<(Time, QueryId)>,
-    /// The query of each part that is held, and its place there.
+    /// The query of each part in hand, and its index there.
     parts: HashMap<PartId, (QueryId, usize)>,
     attempts: HashMap<u64, Attempt>,
-    /// Attempts that are out, by part and number.
-    out: HashMap<(PartId, u16), u64>,
-    /// Attempts that were out as their queries ended, since that was last told.
+    /// Attempts in flight, by part and number.
+    in_flight: HashMap<(PartId, u16), u64>,
+    /// Attempts that were in flight as their queries ended, not yet handed out.
     recalls: Vec<u64>,
-    /// What ended since that was last told, by class.
-    tallies: Vec<Tally>,
-    /// Queries and parts held, and bytes of their values.
-    held: usize,
+    /// What ended since the counters were last taken, by class.
+    counters: Vec<ClassCounters>,
+    /// Queries and parts in hand.
+    held_entries: usize,
+    /// Bytes of their values.
     bytes: usize,
     /// Most bytes of values held for queries that wait for further parts.
     most_bytes: usize,
     next_id: u64,
     next_attempt: u64,
     next_number: u32,
-    turned: Time,
+    last_turn_at: Time,
     wake: Option<Time>,
     /// All that is taken must have ended by then.
-    end_by: Option<Time>,
-    /// This process's parts of what is allowed to the broker.
-    parts_of: ProcessShares,
-    /// Nothing is taken for now.
-    held_off: bool,
+    must_end_by: Option<Time>,
+    /// This process's shares of what is allowed to the broker.
+    process_shares: ProcessShares,
+    /// Whether nothing is taken for now.
+    is_paused: bool,
 }
 
 /// Query numbers stay below this: the module's wire carries them as 32-bit floats.
@@ -257,7 +258,7 @@
     pub fn new(seed: u64, settings: Settings, contracts: Contracts, memory: usize) -> Self {
         Core {
             most_bytes: memory / 4,
-            tallies: vec![Tally::default(); settings.classes.len()],
+            counters: vec![ClassCounters::default(); settings.classes.len()],
             module: Coordinator::new(seed, settings.clone()),
             settings,
             contracts,
@@ -270,18 +271,18 @@
             deadlines: BTreeSet::new(),
             parts: HashMap::new(),
             attempts: HashMap::new(),
-            out: HashMap::new(),
+            in_flight: HashMap::new(),
             recalls: Vec::new(),
-            held: 0,
+            held_entries: 0,
             bytes: 0,
             next_id: 1,
             next_attempt: 1,
             next_number: 0,
-            turned: Time(0),
+            last_turn_at: Time(0),
             wake: Some(Time(0)),
-            end_by: None,
-            parts_of: SINGLE_PROCESS,
-            held_off: false,
+            must_end_by: None,
+            process_shares: SINGLE_PROCESS,
+            is_paused: false,
         }
     }
 
@@ -303,8 +304,10 @@
             classes.len() >= self.settings.classes.len(),
             "held queries know their class by its place"
         );
-        self.tallies
-            .resize(classes.len().max(self.tallies.len()), Tally::default());
+        self.counters.resize(
+            classes.len().max(self.counters.len()),
+            ClassCounters::default(),
+        );
         let kept = self
             .settings
             .classes
@@ -314,7 +317,7 @@
         self.inbox.push(Event::Classes(classes));
     }
 
-    /// The budget for further attempts from now on.
+    /// The retry budget from now on.
     pub fn set_budget(&mut self, budget: Option<Budget>) {
         if std::mem::replace(&mut self.settings.limits.budget, budget) != budget {
             self.inbox.push(Event::Budget(budget));
@@ -326,16 +329,16 @@
         self.inbox.push(Event::Load { server, load });
     }
 
-    /// From now on this process has these parts of what is allowed to the broker.
+    /// From now on this process has these shares of what is allowed to the broker.
     pub fn share(&mut self, parts: ProcessShares) {
-        if std::mem::replace(&mut self.parts_of, parts).done != parts.done {
+        if std::mem::replace(&mut self.process_shares, parts).done != parts.done {
             self.inbox.push(Event::Processes(parts.done));
         }
     }
 
     /// Most bytes of values that may be held now.
     fn most_bytes(&self) -> usize {
-        self.most_bytes / self.parts_of.held as usize
+        self.most_bytes / self.process_shares.held as usize
     }
 
     /// How many of the servers in the list are passed over by choice now.
@@ -345,15 +348,15 @@
     }
 
     /// What ended, and what was written whole, since the last time, by class.
-    pub fn take_tallies(&mut self) -> Vec<Tally> {
-        let none = vec![Tally::default(); self.tallies.len()];
-        std::mem::replace(&mut self.tallies, none)
+    pub fn take_counters(&mut self) -> Vec<ClassCounters> {
+        let none = vec![ClassCounters::default(); self.counters.len()];
+        std::mem::replace(&mut self.counters, none)
     }
 
     /// So many attempts of a class were written whole to data nodes.
     pub fn on_written(&mut self, class: usize, attempts: u64) {
-        if let Some(tally) = self.tallies.get_mut(class) {
-            tally.attempts += attempts;
+        if let Some(counters) = self.counters.get_mut(class) {
+            counters.attempts += attempts;
         }
     }
 
@@ -363,7 +366,7 @@
         self.queries.len()
     }
 
-    /// News of the list of servers.
+    /// An update of the list of servers.
     pub fn listed(&mut self, listing: ServerListUpdate) {
         self.inbox.push(Event::List(listing));
     }
@@ -372,7 +375,7 @@
     /// turn than the resolution allows.
     #[must_use]
     pub fn next_turn(&self) -> Option<Time> {
-        let soonest = self.turned.plus(self.settings.resolution);
+        let soonest = self.last_turn_at.plus(self.settings.resolution);
         if !self.inbox.is_empty() {
             return Some(soonest);
         }
@@ -384,9 +387,9 @@
             .map(|at| at.max(soonest))
     }
 
-    /// Hands all that has come to the module in one go and tells what is to be done.
+    /// Hands all that has come to the module in one go, and returns what is to be done.
     pub fn turn(&mut self, now: Time) -> Vec<Command<J>> {
-        self.turned = now;
+        self.last_turn_at = now;
         if self.wake.is_some_and(|at| at <= now) {
             self.wake = None;
             self.inbox.push(Event::Wake);
@@ -394,7 +397,7 @@
         let (mut actions, mut commands) = (Vec::new(), Vec::new());
         self.end_overdue(now, &mut commands);
         let verdicts = self.planner.on_time(now);
-        self.heed(verdicts);
+        self.apply_verdicts(verdicts);
         let events = std::mem::take(&mut self.inbox);
         self.module.turn(now, events, &mut actions);
         self.carry_out(now, actions, &mut commands);
--- a/core/src/phases.rs
+++ b/core/src/phases.rs
@@ -30,47 +30,57 @@
             f64::from(attempt.pending),
         );
         if outcome == Outcome::Ok {
-            let told = part.value.as_ref().and_then(|value| bound(shard, value));
-            let verdicts =
-                self.planner
-                    .on_answer(now, (query, shard.0), (part.second, took, pending), told);
-            return self.heed(verdicts);
+            let bound = part.value.as_ref().and_then(|value| bound(shard, value));
+            let verdicts = self.planner.on_answer(
+                now,
+                (query, shard.0),
+                (part.is_second_step, took, pending),
+                bound,
+            );
+            return self.apply_verdicts(verdicts);
         }
         let silent = matches!(outcome, Outcome::Timeout | Outcome::Cancelled);
         let gave_up = silent.then_some((took, pending));
-        self.planner
-            .on_loss(now, (query, shard.0), part.second, attempt.sent, gave_up);
+        self.planner.on_loss(
+            now,
+            (query, shard.0),
+            part.is_second_step,
+            attempt.sent,
+            gave_up,
+        );
     }
 
     /// Does what the planner says.
-    pub(super) fn heed(&mut self, verdicts: Vec<Verdict>) {
+    pub(super) fn apply_verdicts(&mut self, verdicts: Vec<Verdict>) {
         for verdict in verdicts {
-            let (id, why, tell) = match verdict {
-                Verdict::Close(id, why) => {
+            let (id, reason, tell) = match verdict {
+                Verdict::Close(id, reason) => {
                     self.inbox.push(Event::Close(id));
-                    (id, why, self.explain)
+                    (id, reason, self.explain)
                 }
-                Verdict::GiveUp(id, why) => {
+                Verdict::GiveUp(id, reason) => {
                     self.inbox.push(Event::GiveUp(id));
-                    (id, why, self.explain)
+                    (id, reason, self.explain)
                 }
-                Verdict::Unneeded(id, slice, why) => {
+                Verdict::Unneeded(id, slice, reason) => {
                     let parts = self.queries.get_mut(&id).map(|q| &mut q.parts);
-                    let part =
-                        parts.and_then(|p| p.iter_mut().find(|p| p.second && p.shard.0 == slice));
+                    let part = parts.and_then(|p| {
+                        p.iter_mut()
+                            .find(|p| p.is_second_step && p.shard.0 == slice)
+                    });
                     if let Some(part) = part {
-                        part.proved = true;
+                        part.is_proved_unneeded = true;
                         self.inbox.push(Event::Unneeded(part.id));
                     }
-                    (id, why, self.explain)
+                    (id, reason, self.explain)
                 }
-                Verdict::Doubt(id, why) => {
-                    self.queries.entry(id).and_modify(|q| q.doubt = true);
-                    (id, why, true)
+                Verdict::Doubt(id, reason) => {
+                    self.queries.entry(id).and_modify(|q| q.is_doubtful = true);
+                    (id, reason, true)
                 }
             };
             if tell {
-                self.lines.push(format!("query {}: {why}", id.0));
+                self.lines.push(format!("query {}: {reason}", id.0));
             }
         }
     }
@@ -128,9 +138,9 @@
         };
         if self.explain {
             self.lines.extend(
-                plan.why
+                plan.reasons
                     .iter()
-                    .map(|why| format!("query {}: {why}", query.0)),
+                    .map(|reason| format!("query {}: {reason}", query.0)),
             );
         }
         q.left_out = plan.left_out.iter().map(|&slice| Shard(slice)).collect();
@@ -144,15 +154,15 @@
             return self.served(query, whole, commands);
         }
         let weight = 1.0 / plan.wanted.max(1) as f64;
-        if let Some(&slice) = plan.proved.first() {
+        if let Some(&slice) = plan.unneeded.first() {
             // All that was proved to be unneeded counts as one part that is in.
-            let all = weight * plan.proved.len() as f64;
+            let all = weight * plan.unneeded.len() as f64;
             if let Some(part) = self.add_part(query, Shard(slice), all, true, None) {
                 let last = self
                     .queries
                     .get_mut(&query)
                     .and_then(|q| q.parts.last_mut());
-                last.into_iter().for_each(|p| p.proved = true);
+                last.into_iter().for_each(|p| p.is_proved_unneeded = true);
                 self.inbox.push(Event::Unneeded(part));
             }
         }
@@ -164,8 +174,8 @@
     /// Gives a query its answer from the parts that are in; `whole`: as far as its last step goes.
     pub(super) fn served(&mut self, query: QueryId, whole: bool, commands: &mut Vec<Command<J>>) {
         let Some(q) = self.release(query) else { return };
-        self.tallies[q.class].served += 1;
-        let second = q.first.is_some();
+        self.counters[q.class].served += 1;
+        let is_second_step = q.first.is_some();
         let mut gaps: Vec<Shard> = q
             .parts
             .iter()
@@ -175,16 +185,20 @@
         gaps.extend(&q.left_out);
         gaps.sort_unstable();
         gaps.dedup();
-        let whole = whole && !q.doubt && q.left_out.is_empty();
+        let whole = whole && !q.is_doubtful && q.left_out.is_empty();
         let sorted = q.top.is_some();
         let mut values: Vec<(Shard, Value)> = Vec::new();
-        for part in q.parts.into_iter().filter(|p| p.second == second || sorted) {
+        for part in q
+            .parts
+            .into_iter()
+            .filter(|p| p.is_second_step == is_second_step || sorted)
+        {
             let Some(value) = part.value else { continue };
             // Of a sorted answer a shard's second value takes the place of its first, which it
             // holds again.
             match values
                 .iter_mut()
-                .find(|v| sorted && part.second && v.0 == part.shard)
+                .find(|v| sorted && part.is_second_step && v.0 == part.shard)
             {
                 Some(first) => first.1 = value,
                 None => values.push((part.shard, value)),
--- a/core/src/tests.rs
+++ b/core/src/tests.rs
@@ -28,7 +28,7 @@
         classes: vec![class],
         limits: Limits {
             attempts: 4,
-            held: 6,
+            max_held: 6,
             cancel: true,
             probe: false,
             second_copies: true,
@@ -128,7 +128,7 @@
 #[test]
 fn a_shared_beginning_is_told_before_the_parts_that_it_concerns() {
     let mut stage = Stage::new(0);
-    for (prefix, told) in [(0, 0), (9, 1)] {
+    for (prefix, bound) in [(0, 0), (9, 1)] {
         let placement = Placement {
             prefix,
             ..Placement::default()
@@ -139,8 +139,8 @@
             ..request(stage.now, vec![(Shard(0), 1.0)])
         };
         stage.core.take(stage.now, request).unwrap();
-        let place = |wanted: fn(&Event) -> bool| stage.core.inbox.iter().position(wanted);
-        let prefixes = place(|event| {
+        let position = |wanted: fn(&Event) -> bool| stage.core.inbox.iter().position(wanted);
+        let prefixes = position(|event| {
             matches!(
                 event,
                 Event::Placement {
@@ -149,10 +149,9 @@
                 }
             )
         });
-        assert_eq!(prefixes.is_some(), told == 1, "{:?}", stage.core.inbox);
-        assert!(
-            prefixes.is_none_or(|at| Some(at) < place(|event| matches!(event, Event::Part { .. })))
-        );
+        assert_eq!(prefixes.is_some(), bound == 1, "{:?}", stage.core.inbox);
+        assert!(prefixes
+            .is_none_or(|at| Some(at) < position(|event| matches!(event, Event::Part { .. }))));
     }
 }
 
@@ -215,9 +214,9 @@
     );
     assert_eq!(
         (
-            stage.core.held,
+            stage.core.held_entries,
             stage.core.attempts.len(),
-            stage.core.out.len()
+            stage.core.in_flight.len()
         ),
         (0, 0, 0)
     );
@@ -244,7 +243,7 @@
         let taken = stage.take_parts(parts);
         assert!(matches!(taken, Err(Refusal::Malformed(_))), "{taken:?}");
     }
-    assert!(stage.core.held == 0 && stage.core.inbox.is_empty());
+    assert!(stage.core.held_entries == 0 && stage.core.inbox.is_empty());
     assert!(stage
         .take_parts(vec![
             (Shard(0), 0.33333),
@@ -279,7 +278,7 @@
 fn with_too_much_held_a_query_is_turned_away_before_the_module() {
     let mut stage = Stage::new(0);
     let first = stage.take(&[0, 1, 2, 3]).unwrap();
-    assert!(stage.core.held == 5 && stage.take(&[0]).is_ok());
+    assert!(stage.core.held_entries == 5 && stage.take(&[0]).is_ok());
     assert_eq!(stage.take(&[0]), Err(Refusal::Busy(Some(1_000 * MS))));
     stage.core.hangup(first);
     assert!(stage.take(&[0]).is_ok());
@@ -299,11 +298,11 @@
         replies(&stage.turn()).is_empty(),
         "the first step is no answer"
     );
-    let second = sends(&stage.turn());
-    let mut shards: Vec<u32> = second.iter().map(|d| d.shard.0).collect();
+    let is_second_step = sends(&stage.turn());
+    let mut shards: Vec<u32> = is_second_step.iter().map(|d| d.shard.0).collect();
     shards.sort_unstable();
     assert_eq!(shards, [0, 1], "the two best scores");
-    for send in &second {
+    for send in &is_second_step {
         let first = send.first.as_ref().unwrap();
         let mut were_in = first.shards.clone();
         were_in.sort();
@@ -360,7 +359,7 @@
         .core
         .end_overdue(stage.now.plus(2_000 * MS), &mut commands);
     assert_eq!(replies(&commands), [Reply::Failed]);
-    assert_eq!(stage.core.held, 0);
+    assert_eq!(stage.core.held_entries, 0);
 }
 
 #[test]
@@ -402,9 +401,11 @@
         "{commands:?}"
     );
     assert!(
-        stage.core.attempts.is_empty() && stage.core.out.is_empty() && stage.core.load.is_empty()
+        stage.core.attempts.is_empty()
+            && stage.core.in_flight.is_empty()
+            && stage.core.load.is_empty()
     );
-    assert_eq!((stage.core.held, stage.core.bytes), (0, 0));
+    assert_eq!((stage.core.held_entries, stage.core.bytes), (0, 0));
 }
 
 #[test]
@@ -508,7 +509,7 @@
             parts_a_call: 8,
             ..set.layout
         };
-        set.limits.held = 1_000;
+        set.limits.max_held = 1_000;
         set.classes[0].floor = floor;
         let mut stage = Stage::with(set);
         stage
@@ -529,10 +530,10 @@
             "{parts} parts: the last one can still come"
         );
         stage.end(sent[0].attempt, Outcome::Ok, 0.0);
-        let told = replies(&stage.turn());
+        let bound = replies(&stage.turn());
         assert!(
-            matches!(&told[..], [Reply::Served { whole: true, .. }]),
-            "{parts} parts: {told:?}"
+            matches!(&bound[..], [Reply::Served { whole: true, .. }]),
+            "{parts} parts: {bound:?}"
         );
     }
 }
@@ -547,11 +548,11 @@
     assert_eq!(first.leave_by, None, "nothing has run yet");
     // It never ran: the next one is as good as the first.
     stage.end(first.attempt, Outcome::ConnectFailed, 0.0);
-    let second = sends(&stage.turn()).remove(0);
+    let is_second_step = sends(&stage.turn()).remove(0);
     let sent = stage.now;
-    assert_eq!(second.leave_by, None);
+    assert_eq!(is_second_step.leave_by, None);
     stage.now = stage.now.plus(50 * MS);
-    stage.end(second.attempt, Outcome::Error, 0.0);
+    stage.end(is_second_step.attempt, Outcome::Error, 0.0);
     let third = sends(&stage.turn()).remove(0);
     assert_eq!(third.leave_by, Some(sent.plus(500 * MS)));
     // One that did not leave moves nothing.
@@ -595,7 +596,7 @@
         },
     );
     assert!(matches!(unknown, Err(Refusal::Malformed(_))), "{unknown:?}");
-    let second = stage.core.take(stage.now, request).unwrap();
+    let is_second_step = stage.core.take(stage.now, request).unwrap();
     let first = sends(&stage.turn());
     assert_eq!(first.len(), 2, "one part each: {first:?}");
     for send in first {
@@ -604,7 +605,7 @@
     let commands = stage.turn();
     let refused = commands
         .iter()
-        .any(|c| matches!(c, Command::Reply(id, Reply::Refused(_)) if *id == second));
+        .any(|c| matches!(c, Command::Reply(id, Reply::Refused(_)) if *id == is_second_step));
     assert!(refused, "its class has one attempt: {commands:?}");
     let again = sends(&commands).len();
     assert!(
@@ -614,7 +615,7 @@
     assert_eq!(
         stage
             .core
-            .take_tallies()
+            .take_counters()
             .iter()
             .map(|t| t.refused)
             .collect::<Vec<_>>(),
--- a/decide/phases/src/lib.rs
+++ b/decide/phases/src/lib.rs
@@ -16,7 +16,7 @@
 
 use budget::{Candidate, Missing, Times};
 use lichenswitch_interface::{Micros, QueryId, Time};
-use prune::{Bound, Race, Reach};
+use prune::{Bound, Race, Reach, Way};
 use std::collections::{BTreeMap, BTreeSet};
 
 pub use rules::Rules;
@@ -24,33 +24,34 @@
 
 /// One part of a query that the planner knows of.
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct PartState {
     weight: f64,
-    /// When it was last sent and what was pending there; `None`: nothing is out.
-    out: Option<(Time, f64)>,
-    done: bool,
+    /// When it was last sent and what was pending there; `None`: no attempt is in flight.
+    in_flight: Option<(Time, f64)>,
+    is_answered: bool,
 }
 
 struct Query {
     class: usize,
     arrived: Time,
-    aim_at: Time,
-    second: bool,
-    closed: bool,
-    parts: BTreeMap<u32, Held>,
-    have: f64,
-    /// Parts of a whole second phase, and those of it that need none.
+    target_at: Time,
+    is_second: bool,
+    is_closed: bool,
+    parts: BTreeMap<u32, PartState>,
+    answered_weight: f64,
+    /// Parts of a complete second phase.
     wanted: usize,
-    granted: usize,
+    /// Those of them that were proved to be unneeded.
+    unneeded_count: usize,
     race: Option<Race>,
-    /// The next look.
-    due: Option<Time>,
+    /// When it is to be looked at next.
+    next_look: Option<Time>,
 }
 
-/// How soon a first phase that could be closed is looked at again.
-const LOOK: Micros = 10_000;
+/// How soon a first phase that could be closed is looked at again (microseconds).
+const CHECK_INTERVAL: Micros = 10_000;
 /// What waiting has to bring more to be waited for.
-const MARGIN: f64 = 0.002;
+const WAITING_MARGIN: f64 = 0.002;
 
 /// The planner of one broker.
 #[derive(Default)]
@@ -58,7 +59,7 @@
     rules: Vec<Option<Rules>>,
     times: Vec<Times>,
     queries: BTreeMap<QueryId, Query>,
-    due: BTreeSet<(Time, QueryId)>,
+    next_look: BTreeSet<(Time, QueryId)>,
 }
 
 impl Planner {
@@ -82,19 +83,19 @@
     /// When the planner wants to look again.
     #[must_use]
     pub fn next(&self) -> Option<Time> {
-        self.due.first().map(|d| d.0)
+        self.next_look.first().map(|d| d.0)
     }
 
     fn set_due(&mut self, id: QueryId, at: Option<Time>) {
         let Some(q) = self.queries.get_mut(&id) else {
             return;
         };
-        if let Some(was) = q.due.take() {
-            self.due.remove(&(was, id));
+        if let Some(was) = q.next_look.take() {
+            self.next_look.remove(&(was, id));
         }
         if let Some(at) = at {
-            q.due = Some(at);
-            self.due.insert((at, id));
+            q.next_look = Some(at);
+            self.next_look.insert((at, id));
         }
     }
 
@@ -103,30 +104,23 @@
         let Some(rules) = self.rules.get(class).and_then(Option::as_ref) else {
             return;
         };
-        let held = |&(slice, weight): &(u32, f64)| {
-            (
-                slice,
-                Held {
-                    weight,
-                    out: None,
-                    done: false,
-                },
-            )
-        };
-        let aim_at = now.plus(rules.latency_target);
+        let target_at = now.plus(rules.latency_target);
         let most = now.plus((rules.latency_target as f64 * rules.first_share) as Micros);
         let query = Query {
             class,
             arrived: now,
-            aim_at,
-            second: false,
-            closed: false,
-            parts: parts.iter().map(held).collect(),
-            have: 0.0,
+            target_at,
+            is_second: false,
+            is_closed: false,
+            parts: parts
+                .iter()
+                .map(|&(slice, weight)| (slice, PartState::new(weight)))
+                .collect(),
+            answered_weight: 0.0,
             wanted: 0,
-            granted: 0,
+            unneeded_count: 0,
             race: None,
-            due: None,
+            next_look: None,
         };
         self.queries.insert(id, query);
         self.set_due(id, Some(most));
@@ -137,11 +131,11 @@
         let Some(q) = self.queries.get_mut(&id) else {
             return;
         };
-        let second = q.second;
+        let is_second = q.is_second;
         if let Some(part) = q.parts.get_mut(&slice) {
-            part.out = Some((now, pending));
+            part.in_flight = Some((now, pending));
         }
-        if let Some(times) = self.times.get_mut(q.class).filter(|_| second) {
+        if let Some(times) = self.times.get_mut(q.class).filter(|_| is_second) {
             times.usual_pending += 0.05 * (pending - times.usual_pending);
         }
     }
@@ -152,40 +146,40 @@
         &mut self,
         now: Time,
         (id, slice): (QueryId, u32),
-        (second, took, pending): (bool, Micros, f64),
-        told: Option<Bound>,
+        (is_second, took, pending): (bool, Micros, f64),
+        bound: Option<Bound>,
     ) -> Vec<Verdict> {
         let Some(q) = self.queries.get_mut(&id) else {
             return Vec::new();
         };
         if let Some(times) = self.times.get_mut(q.class) {
-            let learnt = if second {
+            let learnt = if is_second {
                 &mut times.second
             } else {
                 &mut times.first
             };
             learnt.add(now, took, pending);
         }
-        if q.second != second {
+        if q.is_second != is_second {
             return Vec::new();
         }
-        let Some(part) = q.parts.get_mut(&slice).filter(|p| !p.done) else {
+        let Some(part) = q.parts.get_mut(&slice).filter(|p| !p.is_answered) else {
             return Vec::new();
         };
-        (part.done, part.out) = (true, None);
-        q.have += part.weight;
-        if !second {
-            return self.judge_first(now, id).into_iter().collect();
+        (part.is_answered, part.in_flight) = (true, None);
+        q.answered_weight += part.weight;
+        if !is_second {
+            return self.decide_first_phase(now, id).into_iter().collect();
         }
         let mut verdicts = Vec::new();
-        if let (Some(race), Some(bound)) = (&mut q.race, told) {
-            if race.tell(slice, bound.keys, bound.matched).is_err() {
+        if let (Some(race), Some(bound)) = (&mut q.race, bound) {
+            if race.extend(slice, bound.keys, bound.matched).is_err() {
                 // Nothing that rests on bounds is proved any more.
                 q.race = None;
                 verdicts.push(Verdict::Doubt(id, Reason::WrongBound { slice }));
             }
         }
-        verdicts.extend(self.beaten(id));
+        verdicts.extend(self.drop_unneeded(id));
         verdicts
     }
 
@@ -195,7 +189,7 @@
         &mut self,
         now: Time,
         (id, slice): (QueryId, u32),
-        second: bool,
+        is_second: bool,
         sent: Time,
         gave_up: Option<(Micros, f64)>,
     ) {
@@ -203,7 +197,7 @@
             return;
         };
         if let (Some(times), Some((out, pending))) = (self.times.get_mut(q.class), gave_up) {
-            let learnt = if second {
+            let learnt = if is_second {
                 &mut times.second
             } else {
                 &mut times.first
@@ -211,8 +205,8 @@
             learnt.add_unanswered(now, out, pending);
         }
         // A copy that is out goes on: only the attempt that was sent last is forgotten.
-        if let Some(part) = q.parts.get_mut(&slice).filter(|_| q.second == second) {
-            part.out = part.out.filter(|out| out.0 != sent);
+        if let Some(part) = q.parts.get_mut(&slice).filter(|_| q.is_second == is_second) {
+            part.in_flight = part.in_flight.filter(|out| out.0 != sent);
         }
     }
 
@@ -224,59 +218,67 @@
 
     /// Looks at the queries that are due.
     pub fn on_time(&mut self, now: Time) -> Vec<Verdict> {
-        let due: Vec<QueryId> = self
-            .due
+        let next_look: Vec<QueryId> = self
+            .next_look
             .iter()
             .take_while(|d| d.0 <= now)
             .map(|d| d.1)
             .collect();
         let mut verdicts = Vec::new();
-        for id in due {
+        for id in next_look {
             self.set_due(id, None);
-            let second = self.queries.get(&id).is_some_and(|q| q.second);
-            verdicts.extend(if second {
-                self.judge_second(now, id)
+            let is_second = self.queries.get(&id).is_some_and(|q| q.is_second);
+            verdicts.extend(if is_second {
+                self.decide_second_phase(now, id)
             } else {
-                self.judge_first(now, id).into_iter().collect()
+                self.decide_first_phase(now, id).into_iter().collect()
             });
         }
         verdicts
     }
 
     /// Whether the first phase is to end now.
-    fn judge_first(&mut self, now: Time, id: QueryId) -> Option<Verdict> {
+    fn decide_first_phase(&mut self, now: Time, id: QueryId) -> Option<Verdict> {
         let q = self.queries.get(&id)?;
         let rules = self.rules.get(q.class)?.clone()?;
         let most = q
             .arrived
             .plus((rules.latency_target as f64 * rules.first_share) as Micros);
         // Under the least share there is nothing to decide, and a whole first phase ends by itself.
-        if q.closed || q.second || q.have + 1e-4 < rules.floor || q.have + 1e-5 >= rules.need {
-            let later = (now < most && !q.closed).then_some(most);
+        if q.is_closed
+            || q.is_second
+            || q.answered_weight + 1e-4 < rules.floor
+            || q.answered_weight + 1e-5 >= rules.need
+        {
+            let later = (now < most && !q.is_closed).then_some(most);
             // Past its share and still under the least: looked at again as parts come in.
             self.set_due(id, later);
             return None;
         }
-        let (took, have) = (now.since(q.arrived), q.have);
-        let why = if now >= most {
-            Some(Reason::FirstShare { took, have })
+        let (took, answered_weight) = (now.since(q.arrived), q.answered_weight);
+        let reason = if now >= most {
+            Some(Reason::FirstShare {
+                took,
+                have: answered_weight,
+            })
         } else {
             let times = self.times.get_mut(q.class)?;
             let missing: Vec<Missing> = q
                 .parts
                 .values()
-                .filter(|p| !p.done)
+                .filter(|p| !p.is_answered)
                 .map(|p| Missing {
                     weight: p.weight,
-                    out: p.out.map(|(sent, _)| now.since(sent)),
-                    pending: p.out.map_or(0.0, |o| o.1),
+                    out: p.in_flight.map(|(sent, _)| now.since(sent)),
+                    pending: p.in_flight.map_or(0.0, |o| o.1),
                 })
                 .collect();
             if times.first.known() {
-                let found = budget::prospect(&rules, times, now, q.aim_at, have, &missing);
-                let closes = found.now + MARGIN >= found.waiting;
+                let found =
+                    budget::prospect(&rules, times, now, q.target_at, answered_weight, &missing);
+                let closes = found.now + WAITING_MARGIN >= found.waiting;
                 closes.then_some(Reason::Worth {
-                    have,
+                    have: answered_weight,
                     now: found.now,
                     waiting: found.waiting,
                 })
@@ -284,50 +286,50 @@
                 None
             }
         };
-        match why {
-            Some(why) => {
-                self.queries.get_mut(&id)?.closed = true;
+        match reason {
+            Some(reason) => {
+                self.queries.get_mut(&id)?.is_closed = true;
                 self.set_due(id, None);
-                Some(Verdict::Close(id, why))
+                Some(Verdict::Close(id, reason))
             }
             None => {
-                self.set_due(id, Some(now.plus(LOOK).min(most)));
+                self.set_due(id, Some(now.plus(CHECK_INTERVAL).min(most)));
                 None
             }
         }
     }
 
-    /// The aim has passed: whether what is left can still earn enough.
-    fn judge_second(&mut self, now: Time, id: QueryId) -> Vec<Verdict> {
+    /// The latency target has passed: whether what is left can still earn enough.
+    fn decide_second_phase(&mut self, now: Time, id: QueryId) -> Vec<Verdict> {
         let Some(q) = self.queries.get(&id) else {
             return Vec::new();
         };
         let Some(rules) = self.rules.get(q.class).and_then(Option::as_ref) else {
             return Vec::new();
         };
-        if now < q.aim_at {
-            let aim_at = q.aim_at;
-            self.set_due(id, Some(aim_at));
+        if now < q.target_at {
+            let target_at = q.target_at;
+            self.set_due(id, Some(target_at));
             return Vec::new();
         }
-        let in_time = q.parts.values().filter(|p| p.done).count() + q.granted;
+        let in_time = q.parts.values().filter(|p| p.is_answered).count() + q.unneeded_count;
         // From the least share on the module answers with what is in.
         if in_time >= rules.least_parts(q.wanted) {
             return Vec::new();
         }
-        let why = Reason::TooLittle {
+        let reason = Reason::TooLittle {
             expected: rules.late_share,
             least: rules.least_gain,
         };
         if rules.late_share < rules.least_gain {
-            vec![Verdict::GiveUp(id, why)]
+            vec![Verdict::GiveUp(id, reason)]
         } else {
             Vec::new()
         }
     }
 
-    /// Parts of a sorted second phase that are out and can't change the answer any more.
-    fn beaten(&mut self, id: QueryId) -> Vec<Verdict> {
+    /// Parts of a sorted second phase that are in flight and can't change the answer any more.
+    fn drop_unneeded(&mut self, id: QueryId) -> Vec<Verdict> {
         let Some(q) = self.queries.get_mut(&id) else {
             return Vec::new();
         };
@@ -335,17 +337,17 @@
             return Vec::new();
         };
         let mut verdicts = Vec::new();
-        for (&slice, part) in q.parts.iter_mut().filter(|(_, p)| !p.done) {
+        for (&slice, part) in q.parts.iter_mut().filter(|(_, p)| !p.is_answered) {
             if matches!(race.reach(slice), Reach::Beaten | Reach::Exhausted) {
-                (part.done, part.out) = (true, None);
-                q.have += part.weight;
+                (part.is_answered, part.in_flight) = (true, None);
+                q.answered_weight += part.weight;
                 verdicts.push(Verdict::Unneeded(id, slice, Reason::Bound { slice, k }));
             }
         }
         verdicts
     }
 
-    /// The first phase has ended with these answers: what the second is to be. `pending` tells how
+    /// The first phase has ended with these answers: what the second is to be. `pending` returns how
     /// many parts of this broker wait at the server that a part for a slice would go to; `None`: no
     /// server takes it.
     pub fn between(
@@ -353,103 +355,147 @@
         now: Time,
         id: QueryId,
         goal: Goal,
-        mut firsts: Vec<First>,
+        firsts: Vec<First>,
         pending: impl Fn(u32) -> Option<f64>,
     ) -> Option<Plan> {
         let q = self.queries.get_mut(&id)?;
         let rules = self.rules.get(q.class)?.as_ref()?;
         let times = self.times.get_mut(q.class)?;
-        let (mut race, mut proved, mut order) = (None, Vec::new(), Vec::new());
-        match goal {
-            Goal::BestScores => {
-                firsts.sort_by(|a, b| b.score.total_cmp(&a.score).then(a.slice.cmp(&b.slice)));
-                order.extend(firsts.iter().take(rules.wanted).map(|f| (f.slice, None)));
-            }
-            Goal::Top(k, way) => {
-                let mut all = Race::new(k, way);
-                firsts.into_iter().for_each(|f| {
-                    let empty = Bound {
-                        slice: f.slice,
-                        keys: Vec::new(),
-                        matched: None,
-                    };
-                    all.enter(f.bound.unwrap_or(empty));
-                });
-                for (slice, reach) in all.reaches() {
-                    match reach {
-                        Reach::Elements(most) => order.push((slice, Some(most))),
-                        Reach::Unknown => order.push((slice, Some(k))),
-                        Reach::Exhausted => proved.push(slice),
-                        Reach::Beaten if rules.prune => proved.push(slice),
-                        Reach::Beaten => order.push((slice, Some(k))),
-                    }
-                }
-                race = rules.prune.then_some(all);
-            }
-        }
-        let (wanted, granted) = match goal {
-            Goal::BestScores => (order.len(), 0),
-            Goal::Top(..) => (order.len() + proved.len(), proved.len()),
+        let ranking = match goal {
+            Goal::BestScores => Ranking::by_score(firsts, rules.wanted),
+            Goal::Top(k, way) => Ranking::by_keys(firsts, k, way, rules.prune),
         };
-        let left = q.aim_at.since(now);
-        let candidates: Vec<Candidate> = order
+        let unneeded = ranking.unneeded.len();
+        let wanted = ranking.order.len() + unneeded;
+        let left = q.target_at.since(now);
+        let candidates: Vec<Candidate> = ranking
+            .order
             .iter()
             .map(|&(slice, _)| Candidate {
                 slice,
                 pending: pending(slice),
             })
             .collect();
-        let shrunk = budget::shrink(rules, times, now, left, &candidates, (wanted, granted));
+        let shrunk = budget::shrink(rules, times, now, left, &candidates, (wanted, unneeded));
         let keep: BTreeSet<u32> = shrunk.keep.iter().copied().collect();
-        let mut why = vec![Reason::Fits {
+        let mut reasons = vec![Reason::Fits {
             sent: keep.len(),
             wanted,
-            proved: proved.len(),
+            unneeded,
             left,
             weakest: shrunk.weakest,
         }];
-        let give_up = !order.is_empty() && shrunk.expected < rules.least_gain;
+        let give_up = !ranking.order.is_empty() && shrunk.expected < rules.least_gain;
         if give_up {
-            why.push(Reason::TooLittle {
+            reasons.push(Reason::TooLittle {
                 expected: shrunk.expected,
                 least: rules.least_gain,
             });
         }
-        let parts: Vec<(u32, Option<usize>)> = order
-            .iter()
-            .copied()
-            .filter(|p| keep.contains(&p.0))
-            .collect();
-        let left_out = order
-            .iter()
-            .map(|p| p.0)
-            .filter(|s| !keep.contains(s))
-            .collect();
-        let weight = 1.0 / wanted.max(1) as f64;
-        let held = |&(slice, _): &(u32, Option<usize>)| {
-            (
-                slice,
-                Held {
-                    weight,
-                    out: None,
-                    done: false,
-                },
-            )
-        };
-        (q.second, q.have, q.wanted, q.granted) = (true, weight * granted as f64, wanted, granted);
-        (q.parts, q.race) = (parts.iter().map(held).collect(), race);
-        let aim_at = q.aim_at;
-        self.set_due(id, Some(aim_at));
+        let (parts, left_out): (Vec<RankedSlice>, Vec<RankedSlice>) =
+            ranking.order.into_iter().partition(|p| keep.contains(&p.0));
+        q.begin_second(&parts, wanted, unneeded, ranking.race);
+        let target_at = q.target_at;
+        self.set_due(id, Some(target_at));
         Some(Plan {
             parts,
             wanted,
-            left_out,
-            proved,
+            left_out: left_out.into_iter().map(|p| p.0).collect(),
+            unneeded: ranking.unneeded,
             give_up,
-            why,
+            reasons,
         })
     }
 }
 
+/// A slice of the second phase, with how many elements to ask for where the answer is sorted.
+type RankedSlice = (u32, Option<usize>);
+
+/// The slices of a second phase, before it is known how many fit into its time.
+struct Ranking {
+    /// Slices that could get a part, the best first.
+    order: Vec<RankedSlice>,
+    /// Slices that were proved to be unneeded.
+    unneeded: Vec<u32>,
+    /// Set where answers of the second phase may prove further ones to be unneeded.
+    race: Option<Race>,
+}
+
+impl Ranking {
+    fn by_score(mut firsts: Vec<First>, wanted: usize) -> Ranking {
+        firsts.sort_by(|a, b| b.score.total_cmp(&a.score).then(a.slice.cmp(&b.slice)));
+        Ranking {
+            order: firsts
+                .iter()
+                .take(wanted)
+                .map(|f| (f.slice, None))
+                .collect(),
+            unneeded: Vec::new(),
+            race: None,
+        }
+    }
+
+    /// The first `k` elements by their keys; `prunes`: slices that can't have any of them get no
+    /// part.
+    fn by_keys(firsts: Vec<First>, k: usize, way: Way, prunes: bool) -> Ranking {
+        let mut race = Race::new(k, way);
+        for first in firsts {
+            let empty = Bound {
+                slice: first.slice,
+                keys: Vec::new(),
+                matched: None,
+            };
+            race.enter(first.bound.unwrap_or(empty));
+        }
+        let (mut order, mut unneeded) = (Vec::new(), Vec::new());
+        for (slice, reach) in race.reaches() {
+            match reach {
+                Reach::Elements(most) => order.push((slice, Some(most))),
+                Reach::Unknown => order.push((slice, Some(k))),
+                Reach::Exhausted => unneeded.push(slice),
+                Reach::Beaten if prunes => unneeded.push(slice),
+                Reach::Beaten => order.push((slice, Some(k))),
+            }
+        }
+        Ranking {
+            order,
+            unneeded,
+            race: prunes.then_some(race),
+        }
+    }
+}
+
+impl Query {
+    /// The second phase begins with these parts; those that are unneeded count as answered.
+    fn begin_second(
+        &mut self,
+        parts: &[RankedSlice],
+        wanted: usize,
+        unneeded: usize,
+        race: Option<Race>,
+    ) {
+        let weight = 1.0 / wanted.max(1) as f64;
+        self.is_second = true;
+        self.answered_weight = weight * unneeded as f64;
+        self.wanted = wanted;
+        self.unneeded_count = unneeded;
+        self.parts = parts
+            .iter()
+            .map(|&(slice, _)| (slice, PartState::new(weight)))
+            .collect();
+        self.race = race;
+    }
+}
+
+impl PartState {
+    fn new(weight: f64) -> PartState {
+        PartState {
+            weight,
+            in_flight: None,
+            is_answered: false,
+        }
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/decide/phases/src/prune.rs
+++ b/decide/phases/src/prune.rs
@@ -106,14 +106,17 @@
         self.k
     }
 
-    /// A slice has told its best.
+    /// A slice enters with its best.
     pub fn enter(&mut self, bound: Bound) {
         self.slices.push(bound);
     }
 
-    /// A slice has told more. `Err`: it gave something better than its best, or what can't be
-    /// compared with it; the bound was wrong, and nothing that rests on it is proved.
-    pub fn tell(
+    /// A slice has given further keys.
+    ///
+    /// # Errors
+    /// It gave something better than its best, or what can't be compared with it: the bound was wrong,
+    /// and nothing that rests on it is proved.
+    pub fn extend(
         &mut self,
         slice: u32,
         keys: Vec<Key>,
--- a/decide/phases/src/prune/tests.rs
+++ b/decide/phases/src/prune/tests.rs
@@ -76,13 +76,13 @@
 fn a_slice_that_gives_more_than_its_bound_is_found_out() {
     let mut race = race(5, Way::Down, &[&[3.0, 2.0, 1.0], &[2.0, 1.0]], 1);
     let keys = |all: &[f64]| all.iter().map(|&n| Key::Number(n)).collect::<Vec<_>>();
-    assert_eq!(race.tell(0, keys(&[3.0, 2.0, 1.0]), Some(3)), Ok(()));
+    assert_eq!(race.extend(0, keys(&[3.0, 2.0, 1.0]), Some(3)), Ok(()));
     assert_eq!(
-        race.tell(1, keys(&[4.0, 1.0]), Some(2)),
+        race.extend(1, keys(&[4.0, 1.0]), Some(2)),
         Err(WrongBound { slice: 1 })
     );
     assert_eq!(
-        race.tell(1, keys(&[2.0, 2.5]), Some(2)),
+        race.extend(1, keys(&[2.0, 2.5]), Some(2)),
         Err(WrongBound { slice: 1 }),
         "not sorted"
     );
@@ -98,7 +98,7 @@
     );
     assert_eq!(race.reach(1), Reach::Elements(2));
     let keys = [1.0, 1.1, 1.2].map(Key::Number).to_vec();
-    race.tell(0, keys, Some(4)).unwrap();
+    race.extend(0, keys, Some(4)).unwrap();
     assert_eq!(race.reach(1), Reach::Beaten);
 }
 
@@ -154,7 +154,7 @@
             asked += 1;
             let all = &slices[slice as usize];
             let given: Vec<u8> = all.iter().take(most).copied().collect();
-            race.tell(slice, given.iter().map(key).collect(), Some(all.len() as u64)).unwrap();
+            race.extend(slice, given.iter().map(key).collect(), Some(all.len() as u64)).unwrap();
             found[slice as usize] = given;
         }
         prop_assert_eq!(whole(&found, k, way), whole(&slices, k, way));
--- a/decide/phases/src/tests.rs
+++ b/decide/phases/src/tests.rs
@@ -93,7 +93,7 @@
     let [Verdict::Close(Q, Reason::Worth { now, waiting, have })] = closed[..] else {
         panic!("{closed:?}")
     };
-    assert!(now + MARGIN >= waiting && (have - 0.9).abs() < 1e-9);
+    assert!(now + WAITING_MARGIN >= waiting && (have - 0.9).abs() < 1e-9);
     assert_eq!(quick.next(), None, "closed once");
 }
 
@@ -184,7 +184,7 @@
         "the third best is the third by itself"
     );
     assert_eq!(
-        (plan.proved.len(), plan.left_out.len(), plan.wanted),
+        (plan.unneeded.len(), plan.left_out.len(), plan.wanted),
         (8, 0, 10)
     );
     let told = |keys: [f64; 3]| Bound {
@@ -246,7 +246,7 @@
         plan.parts.is_empty() && !plan.give_up && plan.left_out.is_empty(),
         "{plan:?}"
     );
-    assert_eq!(plan.proved.len(), 10);
+    assert_eq!(plan.unneeded.len(), 10);
 }
 
 #[test]
--- a/decide/phases/src/verdict.rs
+++ b/decide/phases/src/verdict.rs
@@ -30,7 +30,7 @@
         /// Parts of a whole second phase.
         wanted: usize,
         /// Slices that were proved to be unneeded.
-        proved: usize,
+        unneeded: usize,
         /// Time left to the aim, microseconds.
         left: Micros,
         /// Chance of the least likely part.
@@ -68,9 +68,9 @@
                 f,
                 "first phase closed with {have:.3} in: expected worth {now:.3} now, {waiting:.3} with waiting"
             ),
-            Reason::Fits { sent, wanted, proved, left, weakest } => write!(
+            Reason::Fits { sent, wanted, unneeded, left, weakest } => write!(
                 f,
-                "second phase of {sent} parts of {wanted}, {proved} proved unneeded: {:.0} ms left, the least likely \
+                "second phase of {sent} parts of {wanted}, {unneeded} proved unneeded: {:.0} ms left, the least likely \
                  part ends in them with {weakest:.2}",
                 ms(left)
             ),
@@ -107,11 +107,11 @@
     /// Slices that were left out for time.
     pub left_out: Vec<u32>,
     /// Slices that were proved to be unneeded.
-    pub proved: Vec<u32>,
+    pub unneeded: Vec<u32>,
     /// Set: rather than being sent, the query is given up.
     pub give_up: bool,
     /// The reasons.
-    pub why: Vec<Reason>,
+    pub reasons: Vec<Reason>,
 }
 
 /// What a slice's first answer said.
--- a/experiments/src/replay.rs
+++ b/experiments/src/replay.rs
@@ -58,7 +58,7 @@
         ],
         limits: Limits {
             attempts: rng.random_range(1..5),
-            held: 100_000,
+            max_held: 100_000,
             cancel: rng.random_bool(0.8),
             probe: false,
             second_copies: rng.random_bool(0.8),
--- a/experiments/src/scale.rs
+++ b/experiments/src/scale.rs
@@ -57,7 +57,7 @@
         classes: vec![class],
         limits: Limits {
             attempts: 4,
-            held: 1_000_000,
+            max_held: 1_000_000,
             cancel: true,
             probe: false,
             second_copies: true,
--- a/fleet/src/router/service.rs
+++ b/fleet/src/router/service.rs
@@ -437,7 +437,7 @@
         limits: Limits {
             attempts: MOST_ATTEMPTS,
             // A request and its only part.
-            held: capacity.requests.saturating_mul(2),
+            max_held: capacity.requests.saturating_mul(2),
             cancel: true,
             probe: false,
             second_copies: true,
--- a/interface/src/lib.rs
+++ b/interface/src/lib.rs
@@ -108,7 +108,7 @@
     /// Attempts for one part of a class that names none of its own.
     pub attempts: u32,
     /// Queries and parts held at once; beyond it queries are turned away unseen.
-    pub held: u32,
+    pub max_held: u32,
     /// Whether an attempt may be cancelled.
     pub cancel: bool,
     /// Whether servers may be probed.
@@ -216,7 +216,7 @@
             classes: vec![class],
             limits: Limits {
                 attempts: 1,
-                held: 1_000,
+                max_held: 1_000,
                 cancel: false,
                 probe: false,
                 second_copies: false,
--- a/src/broker/operators.rs
+++ b/src/broker/operators.rs
@@ -104,7 +104,7 @@
         for (class, attempts) in service.pool.take_written() {
             service.core.on_written(class, attempts);
         }
-        management.metrics().add(&service.core.take_tallies());
+        management.metrics().add(&service.core.take_counters());
         let ejected = service.directory.overridden_out() + service.core.avoided();
         management.metrics().set(
             service.core.held_queries(),
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -74,7 +74,7 @@
         let limits = Settings::default().limits;
         Allowed {
             max_attempts: limits.attempts,
-            most_held: limits.held,
+            most_held: limits.max_held,
             may_cancel: limits.cancel,
             may_probe: limits.probe,
             second_copies: limits.second_copies,
@@ -266,7 +266,7 @@
         classes,
         limits: Limits {
             attempts: allowed.max_attempts,
-            held: allowed.most_held,
+            max_held: allowed.most_held,
             cancel: allowed.may_cancel,
             probe: allowed.may_probe,
             second_copies: allowed.second_copies,
--- a/src/front/ogc.rs
+++ b/src/front/ogc.rs
@@ -7,7 +7,7 @@
 
 use super::{Front, Verdict};
 use crate::config::Collection;
-use crate::contract::Breach;
+use crate::contract::ContractViolation;
 use crate::core::{Refusal, Reply, Request, Value};
 use crate::decide::phases::prune::{Key, Way};
 use crate::http::{self, Response};
@@ -588,18 +588,20 @@
     fn refused(&self, refusal: Refusal) -> Response {
         match refusal {
             Refusal::Busy(after) => come_back(503, "Too busy", after),
-            Refusal::Contract(Breach::Rate(after)) => come_back(429, "Rate used up", Some(after)),
+            Refusal::Contract(ContractViolation::Rate(after)) => {
+                come_back(429, "Rate used up", Some(after))
+            }
             Refusal::Stopping => Response {
                 keep_alive: false,
                 ..come_back(503, "Stopping", None)
             },
             Refusal::Malformed(why) => problem(400, "Malformed request", why),
-            Refusal::Contract(Breach::UnknownTeam) => problem(
+            Refusal::Contract(ContractViolation::UnknownTeam) => problem(
                 403,
                 "No contract",
                 "Req-Owner names no team that has a contract",
             ),
-            Refusal::Contract(Breach::Class) => problem(
+            Refusal::Contract(ContractViolation::Class) => problem(
                 403,
                 "No contract",
                 "the team's contract does not hold this class",
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -1,7 +1,7 @@
 //! The platform's protocol: queries by POST, and the checks of the front layer.
 
 use super::{Front, Verdict};
-use crate::contract::Breach;
+use crate::contract::ContractViolation;
 use crate::core::{Refusal, Reply, Request};
 use crate::http::{self, Response};
 use crate::interface::{Micros, Placement, RetrySafety, Shard, Time};
@@ -232,7 +232,7 @@
     fn refused(&self, refusal: Refusal) -> Response {
         match refusal {
             Refusal::Busy(after) => come_back(503, after),
-            Refusal::Contract(Breach::Rate(after)) => come_back(429, Some(after)),
+            Refusal::Contract(ContractViolation::Rate(after)) => come_back(429, Some(after)),
             // Its next try shall meet another broker.
             Refusal::Stopping => Response {
                 keep_alive: false,
--- a/src/front/platform/tests.rs
+++ b/src/front/platform/tests.rs
@@ -264,7 +264,7 @@
         None
     );
     assert_eq!(front().word((), Reply::Failed).status, 504);
-    let rate = front().refused(Refusal::Contract(Breach::Rate(500_000)));
+    let rate = front().refused(Refusal::Contract(ContractViolation::Rate(500_000)));
     assert_eq!(
         (rate.status, rate.header("retry-after")),
         (429, Some("0.500"))
--- a/src/management/metrics.rs
+++ b/src/management/metrics.rs
@@ -3,7 +3,7 @@
 //! The loop adds what the core's books tell; the thread that answers operators writes them out.
 //! Both sides touch nothing but atomic numbers, so neither waits for the other.
 
-use crate::core::Tally;
+use crate::core::ClassCounters;
 use prometheus_client::encoding::{text, EncodeLabelSet};
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -77,8 +77,8 @@
     }
 
     /// Adds what the books counted since the last time, by class.
-    pub fn add(&self, tallies: &[Tally]) {
-        for (class, tally) in self.classes.iter().zip(tallies) {
+    pub fn add(&self, counters: &[ClassCounters]) {
+        for (class, tally) in self.classes.iter().zip(counters) {
             class.ok.inc_by(tally.served);
             class.shed.inc_by(tally.refused);
             class.errors.inc_by(tally.failed);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -28,7 +28,7 @@
         classes: vec![class],
         limits: Limits {
             attempts: 3,
-            held: 1_000,
+            max_held: 1_000,
             cancel: true,
             probe: true,
             second_copies: true,
