--- a/fleet/src/router/admission.rs
+++ b/fleet/src/router/admission.rs
@@ -18,7 +18,7 @@
     /// The service that was drawn for it.
     pub service: ServiceId,
     /// Version of the configuration that says so.
-    pub configuration: u64,
+    pub configuration_version: u64,
     /// Who sent it, where it bears a key that a tenant holds.
     pub sender: Option<Rc<Sender>>,
     /// When its time is over.
@@ -27,7 +27,7 @@
 
 /// A request that waits for its tenant's quota.
 #[derive(Debug)]
-pub(crate) struct AwaitingQuota {
+pub(crate) struct QuotaWaiter {
     /// The request.
     pub request: ClientRequest,
     /// What it was found to be.
@@ -35,7 +35,10 @@
 }
 
 /// What a request counts as in its tenant's quota.
-pub(crate) fn need(tenant: &Tenant, request: &ClientRequest) -> Result<u64, RejectionReason> {
+pub(crate) fn quota_demand(
+    tenant: &Tenant,
+    request: &ClientRequest,
+) -> Result<u64, RejectionReason> {
     match (tenant.unit, request.tokens) {
         (QuotaUnit::Requests, _) => Ok(1),
         (QuotaUnit::Tokens, TokenUsage::Unspecified) => Ok(tenant.uncached_tokens),
--- a/fleet/src/router/admission/tests.rs
+++ b/fleet/src/router/admission/tests.rs
@@ -12,8 +12,9 @@
         request.tokens = tokens;
         request
     };
-    let needs =
-        |tokens| [&tenants[0], &tenants[1]].map(|tenant| need(tenant, &request(tokens)).ok());
+    let needs = |tokens| {
+        [&tenants[0], &tenants[1]].map(|tenant| quota_demand(tenant, &request(tokens)).ok())
+    };
     assert_eq!(needs(TokenUsage::Unspecified), [Some(200), Some(1)]);
     assert_eq!(needs(TokenUsage::Declared(12_000)), [Some(12_000), Some(1)]);
     assert_eq!(needs(TokenUsage::Invalid), [None, Some(1)]);
--- a/fleet/src/router/backlog_reports.rs
+++ b/fleet/src/router/backlog_reports.rs
@@ -44,15 +44,13 @@
 
 /// What waits at each server.
 pub(crate) fn backlogs<'a>(
-    exchanges: impl Iterator<Item = &'a RequestState>,
+    requests: impl Iterator<Item = &'a RequestState>,
 ) -> BTreeMap<ServerId, Backlog> {
     let mut sums = BTreeMap::new();
-    for exchange in
-        exchanges.filter(|exchange| !matches!(exchange.phase, RequestPhase::Relaying(_)))
-    {
-        for out in &exchange.out {
+    for request in requests.filter(|request| !matches!(request.phase, RequestPhase::Relaying(_))) {
+        for out in &request.in_flight {
             let sum: &mut Backlog = sums.entry(out.server).or_default();
-            *sum = sum.saturating_add(exchange.request.prompt.own_tokens);
+            *sum = sum.saturating_add(request.client_request.prompt.own_tokens);
         }
     }
     sums
--- a/fleet/src/router/budget.rs
+++ b/fleet/src/router/budget.rs
@@ -5,7 +5,7 @@
 //! within its part of the slack, which is nothing while it is not known how many routers there are.
 //! Pure: time is an argument.
 
-use super::options::{RetryBudget, RESUME_SHARE, SLACK_SHARE};
+use super::options::{RetryBudget, FLEET_SLACK_SHARE, RESUME_BUDGET_SHARE};
 use super::time::micros;
 use lichenswitch_interface::{Budget, Micros, Time};
 
@@ -18,7 +18,7 @@
 fn slack(budget: RetryBudget, routers: u32) -> f64 {
     match routers {
         0 => 0.0,
-        routers => SLACK_SHARE * budget.slack / f64::from(routers),
+        routers => FLEET_SLACK_SHARE * budget.slack / f64::from(routers),
     }
 }
 
@@ -27,8 +27,8 @@
 pub(crate) fn module_budget(budget: RetryBudget, routers: u32) -> Budget {
     Budget {
         window: micros(budget.window),
-        least: (1.0 - RESUME_SHARE) * slack(budget, routers),
-        share: (1.0 - RESUME_SHARE) * budget.ratio / COUNTED,
+        least: (1.0 - RESUME_BUDGET_SHARE) * slack(budget, routers),
+        share: (1.0 - RESUME_BUDGET_SHARE) * budget.ratio / COUNTED,
     }
 }
 
@@ -61,8 +61,8 @@
     /// There are so many routers now.
     pub(crate) fn set(&mut self, budget: RetryBudget, routers: u32) {
         self.window = micros(budget.window).max(SLICES);
-        self.share = RESUME_SHARE * budget.ratio;
-        self.least = RESUME_SHARE * slack(budget, routers);
+        self.share = RESUME_BUDGET_SHARE * budget.ratio;
+        self.least = RESUME_BUDGET_SHARE * slack(budget, routers);
     }
 
     /// A request was taken.
--- a/fleet/src/router/budget/tests.rs
+++ b/fleet/src/router/budget/tests.rs
@@ -25,7 +25,7 @@
         let mut resumes = ResumeBudget::new(rule());
         resumes.set(rule(), routers);
         let taken = (0..1_000).filter(|_| resumes.take(Time(SECOND))).count();
-        assert!((module + taken as f64) * f64::from(routers) <= 200.0 * SLACK_SHARE + 1e-9);
+        assert!((module + taken as f64) * f64::from(routers) <= 200.0 * FLEET_SLACK_SHARE + 1e-9);
     }
 }
 
--- a/fleet/src/router/client_connections/connection.rs
+++ b/fleet/src/router/client_connections/connection.rs
@@ -21,9 +21,9 @@
     /// Between requests, or in the midst of one that is still arriving.
     Reading,
     /// Its request is held.
-    Waiting,
+    AwaitingResponse,
     /// An answer is being passed on; whether in chunks.
-    Answering { chunked: bool },
+    Responding { is_chunked: bool },
     /// The last answer is being written.
     Closing,
     /// The last answer is written: reads on to the client's end, so that the answer is not lost to
@@ -32,16 +32,16 @@
 }
 
 pub(crate) struct ClientConnection {
-    pub(crate) state: ConnectionPhase,
+    pub(crate) phase: ConnectionPhase,
     pub(crate) reader: RequestReader,
     /// When the state began; of a request that is arriving, when its first byte came.
-    pub(crate) since: Time,
+    pub(crate) phase_started_at: Time,
     /// A request is arriving.
-    pub(crate) arriving: bool,
+    pub(crate) is_receiving: bool,
     /// The connection ends with the answer that is due.
-    pub(crate) last: bool,
+    pub(crate) closes_after_response: bool,
     /// The request that waits is answered without a body.
-    pub(crate) head_only: bool,
+    pub(crate) is_head_request: bool,
     /// A timer is set that fires then at the latest.
-    pub(crate) timer: Option<Time>,
+    pub(crate) timer_at: Option<Time>,
 }
--- a/fleet/src/router/client_connections/reading.rs
+++ b/fleet/src/router/client_connections/reading.rs
@@ -8,85 +8,90 @@
 use lichenswitch_net::{ConnId, TransferProgress};
 
 /// Most bytes read ahead of a client at a time: a body goes on into its request as it comes.
-const CEILING: usize = 64 * 1_024;
+const READ_AHEAD_BYTES: usize = 64 * 1_024;
 
 /// Most bytes kept of what a client sends while its request waits. Behind more than that its end
 /// could not be seen.
-pub(crate) const AHEAD: usize = 32 * 1_024;
+pub(crate) const MAX_INPUT_WHILE_WAITING_BYTES: usize = 32 * 1_024;
 
 impl ClientConnections {
     /// Reads and writes what a connection is ready for.
-    pub(crate) fn ready(&mut self, net: &mut Net, id: ConnId, events: &mut Vec<ClientEvent>) {
-        let Some(state) = self.open.get(&id).map(|session| session.state) else {
+    pub(crate) fn on_ready(&mut self, net: &mut Net, id: ConnId, events: &mut Vec<ClientEvent>) {
+        let Some(state) = self.connections.get(&id).map(|connection| connection.phase) else {
             return net.close(id);
         };
-        let progress = net.transfer(id, CEILING);
+        let progress = net.transfer(id, READ_AHEAD_BYTES);
         if progress != TransferProgress::Alive || net.get(id).is_none_or(|conn| conn.ended) {
-            return self.left(net, id, events);
+            return self.disconnect(net, id, events);
         }
         match state {
-            ConnectionPhase::Reading => self.read(net, id, events),
-            ConnectionPhase::Waiting => self.overhear(net, id),
-            ConnectionPhase::Answering { .. } => {
-                self.overhear(net, id);
+            ConnectionPhase::Reading => self.read_request(net, id, events),
+            ConnectionPhase::AwaitingResponse => self.limit_input_while_waiting(net, id),
+            ConnectionPhase::Responding { .. } => {
+                self.limit_input_while_waiting(net, id);
                 if net.get(id).is_some_and(|conn| conn.flushed()) {
                     events.push(ClientEvent::OutputDrained(id));
                 }
             }
-            ConnectionPhase::Closing => self.close_if_written(net, id),
-            ConnectionPhase::Lingering => self.read_on(net, id),
+            ConnectionPhase::Closing => self.close_if_flushed(net, id),
+            ConnectionPhase::Lingering => self.discard_input(net, id),
         }
     }
 
     /// A connection's timer: its time may be over.
-    pub(crate) fn timer(&mut self, net: &mut Net, id: ConnId, events: &mut Vec<ClientEvent>) {
+    pub(crate) fn on_timer(&mut self, net: &mut Net, id: ConnId, events: &mut Vec<ClientEvent>) {
         let now = net.clock.now();
-        let Some(session) = self.open.get_mut(&id) else {
+        let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        if session.timer.is_some_and(|at| at <= now) {
-            session.timer = None;
+        if connection.timer_at.is_some_and(|at| at <= now) {
+            connection.timer_at = None;
         }
-        let Some(due) = self.due(net, id).filter(|due| *due <= now) else {
-            return self.arm(net, id);
+        let Some(due) = self.deadline(net, id).filter(|due| *due <= now) else {
+            return self.arm_timer(net, id);
         };
         debug_assert!(due <= now, "only what is due ends");
         match self
-            .open
+            .connections
             .get(&id)
-            .map(|session| (session.state, session.arriving))
+            .map(|connection| (connection.phase, connection.is_receiving))
         {
             Some((ConnectionPhase::Reading, true)) => {
-                self.answer_own(net, id, &LocalResponse::closing(408), events);
+                self.respond_locally(net, id, &LocalResponse::closing(408), events);
             }
             Some((ConnectionPhase::Reading, false)) => self.half_close(net, id),
-            _ => self.left(net, id, events),
+            _ => self.disconnect(net, id, events),
         }
     }
 
     /// Reads a request, if it is whole; the next one is read once this one is answered.
-    pub(super) fn read(&mut self, net: &mut Net, id: ConnId, events: &mut Vec<ClientEvent>) {
+    pub(super) fn read_request(
+        &mut self,
+        net: &mut Net,
+        id: ConnId,
+        events: &mut Vec<ClientEvent>,
+    ) {
         let now = net.clock.now();
-        let Some(session) = self.open.get_mut(&id) else {
+        let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
         let Some(conn) = net
             .get_mut(id)
-            .filter(|conn| !conn.input.is_empty() || session.arriving)
+            .filter(|conn| !conn.input.is_empty() || connection.is_receiving)
         else {
             return;
         };
-        if !session.arriving {
-            (session.arriving, session.since) = (true, now);
-            session.reader = RequestReader::new(&self.limits);
+        if !connection.is_receiving {
+            (connection.is_receiving, connection.phase_started_at) = (true, now);
+            connection.reader = RequestReader::new(&self.limits);
         }
-        let held = session.reader.held();
-        let progress = session.reader.read(&mut conn.input);
-        self.arriving_bytes = self.arriving_bytes + session.reader.held() - held;
+        let held = connection.reader.held();
+        let progress = connection.reader.read(&mut conn.input);
+        self.incomplete_bytes = self.incomplete_bytes + connection.reader.held() - held;
         match progress {
             Ok(RequestProgress::Incomplete { expects_continue }) => {
-                if self.arriving_bytes > self.most_bytes {
-                    return self.answer_own(
+                if self.incomplete_bytes > self.max_incomplete_bytes {
+                    return self.respond_locally(
                         net,
                         id,
                         &LocalResponse::refused(None).and_close(),
@@ -98,25 +103,28 @@
                 }
                 // Reading rests where the ceiling was reached, and goes on now that there is room.
                 if net.flush(id, false) != TransferProgress::Alive {
-                    return self.left(net, id, events);
+                    return self.disconnect(net, id, events);
                 }
-                self.arm(net, id);
+                self.arm_timer(net, id);
             }
             Ok(RequestProgress::Complete(request)) => {
-                self.arriving_bytes -= session.reader.held();
-                session.reader = RequestReader::new(&self.limits);
-                (session.arriving, session.state, session.since) =
-                    (false, ConnectionPhase::Waiting, now);
-                session.last |= !request.keep_alive;
-                session.head_only = request.is_head();
+                self.incomplete_bytes -= connection.reader.held();
+                connection.reader = RequestReader::new(&self.limits);
+                (
+                    connection.is_receiving,
+                    connection.phase,
+                    connection.phase_started_at,
+                ) = (false, ConnectionPhase::AwaitingResponse, now);
+                connection.closes_after_response |= !request.keep_alive;
+                connection.is_head_request = request.is_head();
                 if net.flush(id, false) != TransferProgress::Alive {
                     return self.close(net, id);
                 }
                 events.push(ClientEvent::RequestReceived(id, request));
-                self.overhear(net, id);
+                self.limit_input_while_waiting(net, id);
             }
             Err(malformed) => {
-                self.answer_own(net, id, &LocalResponse::closing(malformed.0), events);
+                self.respond_locally(net, id, &LocalResponse::closing(malformed.0), events);
             }
         }
     }
@@ -124,12 +132,15 @@
     /// What a client sends while it waits is kept for later, but not much of it: its end lies
     /// behind what it sent, so beyond that it is dropped, and the connection ends with the answer
     /// that is due.
-    pub(super) fn overhear(&mut self, net: &mut Net, id: ConnId) {
-        let (Some(session), Some(conn)) = (self.open.get_mut(&id), net.get_mut(id)) else {
+    pub(super) fn limit_input_while_waiting(&mut self, net: &mut Net, id: ConnId) {
+        let (Some(connection), Some(conn)) = (self.connections.get_mut(&id), net.get_mut(id))
+        else {
             return;
         };
-        if session.last || conn.input.bytes().len() > AHEAD {
-            session.last = true;
+        if connection.closes_after_response
+            || conn.input.bytes().len() > MAX_INPUT_WHILE_WAITING_BYTES
+        {
+            connection.closes_after_response = true;
             conn.input.consume(conn.input.bytes().len());
             // A connection that is broken is told of by the poller.
             net.flush(id, false);
@@ -140,16 +151,17 @@
     /// end: with bytes unread a close would reset the connection.
     pub(super) fn half_close(&mut self, net: &mut Net, id: ConnId) {
         let now = net.clock.now();
-        let (Some(session), Some(conn)) = (self.open.get_mut(&id), net.get_mut(id)) else {
+        let (Some(connection), Some(conn)) = (self.connections.get_mut(&id), net.get_mut(id))
+        else {
             return;
         };
         conn.end_output();
-        (session.state, session.since) = (ConnectionPhase::Lingering, now);
-        self.read_on(net, id);
-        self.arm(net, id);
+        (connection.phase, connection.phase_started_at) = (ConnectionPhase::Lingering, now);
+        self.discard_input(net, id);
+        self.arm_timer(net, id);
     }
 
-    pub(super) fn read_on(&mut self, net: &mut Net, id: ConnId) {
+    pub(super) fn discard_input(&mut self, net: &mut Net, id: ConnId) {
         if let Some(conn) = net.get_mut(id) {
             conn.input.consume(conn.input.bytes().len());
         }
--- a/fleet/src/router/client_connections/table.rs
+++ b/fleet/src/router/client_connections/table.rs
@@ -10,36 +10,36 @@
 
 /// Clients take up connections that have rested for up to four fifths of the idle time-out; this is
 /// kept beyond all of it, since their clocks begin later (microseconds).
-pub(crate) const IDLE_MARGIN: Micros = 1_000_000;
+pub(crate) const IDLE_TIMEOUT_MARGIN_US: Micros = 1_000_000;
 
 /// How long a client may take to end its side once its last answer is written (microseconds).
-pub(crate) const LINGER: Micros = 1_000_000;
+pub(crate) const LINGER_TIMEOUT_US: Micros = 1_000_000;
 
 /// A client that takes nothing of an answer for so long has gone (microseconds).
-pub(crate) const UNREAD: Micros = 10_000_000;
+pub(crate) const CLIENT_STALL_TIMEOUT_US: Micros = 10_000_000;
 
 /// The connections of clients.
 pub(crate) struct ClientConnections {
-    pub(crate) open: HashMap<ConnId, ClientConnection>,
+    pub(crate) connections: HashMap<ConnId, ClientConnection>,
     pub(crate) limits: Limits,
     /// Bytes held of requests that are arriving, and the most of them.
-    pub(crate) arriving_bytes: usize,
-    pub(crate) most_bytes: usize,
+    pub(crate) incomplete_bytes: usize,
+    pub(crate) max_incomplete_bytes: usize,
     /// From now on connections are closed after their answer.
-    pub(crate) stopping: bool,
+    pub(crate) is_stopping: bool,
 }
 
 impl ClientConnections {
     /// No connections yet; so many bytes are held of requests that are arriving.
     #[must_use]
-    pub(crate) fn new(most_bytes: usize) -> ClientConnections {
+    pub(crate) fn new(max_incomplete_bytes: usize) -> ClientConnections {
         let limits = Limits::default();
         ClientConnections {
-            open: HashMap::new(),
+            connections: HashMap::new(),
             limits,
-            arriving_bytes: 0,
-            most_bytes,
-            stopping: false,
+            incomplete_bytes: 0,
+            max_incomplete_bytes,
+            is_stopping: false,
         }
     }
 
@@ -49,95 +49,95 @@
     }
 
     /// From now on connections are closed after their answer.
-    pub(crate) fn stop(&mut self) {
-        self.stopping = true;
+    pub(crate) fn begin_shutdown(&mut self) {
+        self.is_stopping = true;
     }
 
     /// How many connections are open.
     #[must_use]
-    pub(crate) fn count(&self) -> usize {
-        self.open.len()
+    pub(crate) fn connection_count(&self) -> usize {
+        self.connections.len()
     }
 
     /// How many clients wait for an answer, or for the rest of one.
     #[must_use]
-    pub(crate) fn waiting(&self) -> usize {
-        let waits = |session: &&ClientConnection| {
+    pub(crate) fn waiting_count(&self) -> usize {
+        let waits = |connection: &&ClientConnection| {
             matches!(
-                session.state,
-                ConnectionPhase::Waiting | ConnectionPhase::Answering { .. }
+                connection.phase,
+                ConnectionPhase::AwaitingResponse | ConnectionPhase::Responding { .. }
             )
         };
-        self.open.values().filter(waits).count()
+        self.connections.values().filter(waits).count()
     }
 
     /// Accepts all that wait.
     pub(crate) fn accept(&mut self, net: &mut Net) {
         for id in net.accept(SocketOwner::Client) {
-            let since = net.clock.now();
-            let session = ClientConnection {
-                state: ConnectionPhase::Reading,
+            let phase_started_at = net.clock.now();
+            let connection = ClientConnection {
+                phase: ConnectionPhase::Reading,
                 reader: RequestReader::new(&self.limits),
-                since,
-                arriving: false,
-                last: false,
-                head_only: false,
-                timer: None,
+                phase_started_at,
+                is_receiving: false,
+                closes_after_response: false,
+                is_head_request: false,
+                timer_at: None,
             };
-            self.open.insert(id, session);
-            self.arm(net, id);
+            self.connections.insert(id, connection);
+            self.arm_timer(net, id);
         }
     }
 
     /// Ends connections that rest, an eighth of all, those that have rested for longest first.
     /// Guards clients that wait to be accepted.
-    pub(crate) fn make_room(&mut self, net: &mut Net) {
-        let rests = |id: &ConnId, session: &ClientConnection| {
+    pub(crate) fn close_idle_connections(&mut self, net: &mut Net) {
+        let rests = |id: &ConnId, connection: &ClientConnection| {
             let quiet = net
                 .get(*id)
                 .is_some_and(|conn| conn.input.is_empty() && conn.flushed());
-            session.state == ConnectionPhase::Reading && !session.arriving && quiet
+            connection.phase == ConnectionPhase::Reading && !connection.is_receiving && quiet
         };
         let mut resting: Vec<(Time, ConnId)> = self
-            .open
+            .connections
             .iter()
             .filter(|(id, s)| rests(id, s))
-            .map(|(id, s)| (s.since, *id))
+            .map(|(id, s)| (s.phase_started_at, *id))
             .collect();
         resting.sort_unstable();
-        for (_, id) in resting.into_iter().take(self.open.len().div_ceil(8)) {
+        for (_, id) in resting.into_iter().take(self.connections.len().div_ceil(8)) {
             self.close(net, id);
         }
     }
 
     /// Connections on which something is still to be read, answered or written.
     #[must_use]
-    pub(crate) fn busy(&self, net: &Net) -> usize {
+    pub(crate) fn busy_count(&self, net: &Net) -> usize {
         let unwritten = |id: &ConnId| net.get(*id).is_some_and(|conn| !conn.flushed());
-        let is_busy = |id: &ConnId, session: &ClientConnection| match session.state {
-            ConnectionPhase::Reading => session.arriving || unwritten(id),
-            ConnectionPhase::Waiting | ConnectionPhase::Answering { .. } => true,
+        let is_busy = |id: &ConnId, connection: &ClientConnection| match connection.phase {
+            ConnectionPhase::Reading => connection.is_receiving || unwritten(id),
+            ConnectionPhase::AwaitingResponse | ConnectionPhase::Responding { .. } => true,
             ConnectionPhase::Closing => unwritten(id),
             ConnectionPhase::Lingering => false,
         };
-        self.open
+        self.connections
             .iter()
-            .filter(|(id, session)| is_busy(id, session))
+            .filter(|(id, connection)| is_busy(id, connection))
             .count()
     }
 
     /// Closes a client's connection.
     pub(super) fn close(&mut self, net: &mut Net, id: ConnId) {
-        if let Some(session) = self.open.remove(&id) {
-            self.arriving_bytes -= session.reader.held();
+        if let Some(connection) = self.connections.remove(&id) {
+            self.incomplete_bytes -= connection.reader.held();
         }
         net.close(id);
     }
 
-    pub(super) fn left(&mut self, net: &mut Net, id: ConnId, events: &mut Vec<ClientEvent>) {
+    pub(super) fn disconnect(&mut self, net: &mut Net, id: ConnId, events: &mut Vec<ClientEvent>) {
         if matches!(
-            self.open.get(&id).map(|session| session.state),
-            Some(ConnectionPhase::Waiting | ConnectionPhase::Answering { .. })
+            self.connections.get(&id).map(|connection| connection.phase),
+            Some(ConnectionPhase::AwaitingResponse | ConnectionPhase::Responding { .. })
         ) {
             events.push(ClientEvent::Disconnected(id));
         }
@@ -145,35 +145,44 @@
     }
 
     /// When the time of a connection is over, as it stands.
-    pub(super) fn due(&self, net: &Net, id: ConnId) -> Option<Time> {
-        let (session, conn) = (self.open.get(&id)?, net.get(id)?);
+    pub(super) fn deadline(&self, net: &Net, id: ConnId) -> Option<Time> {
+        let (connection, conn) = (self.connections.get(&id)?, net.get(id)?);
         let idle = self.limits.idle_timeout_ms.saturating_mul(1_000);
         let head = self.limits.header_timeout_ms.saturating_mul(1_000);
-        Some(match session.state {
-            ConnectionPhase::Reading if !conn.flushed() => conn.last_active_at.plus(UNREAD),
-            ConnectionPhase::Reading if session.arriving && session.reader.has_head() => {
+        Some(match connection.phase {
+            ConnectionPhase::Reading if !conn.flushed() => {
+                conn.last_active_at.plus(CLIENT_STALL_TIMEOUT_US)
+            }
+            ConnectionPhase::Reading if connection.is_receiving && connection.reader.has_head() => {
                 conn.last_read_at.plus(idle)
             }
-            ConnectionPhase::Reading if session.arriving => session.since.plus(head),
-            ConnectionPhase::Reading => session.since.plus(idle).plus(IDLE_MARGIN),
+            ConnectionPhase::Reading if connection.is_receiving => {
+                connection.phase_started_at.plus(head)
+            }
+            ConnectionPhase::Reading => connection
+                .phase_started_at
+                .plus(idle)
+                .plus(IDLE_TIMEOUT_MARGIN_US),
             // Its own end is the request's.
-            ConnectionPhase::Waiting => return None,
-            ConnectionPhase::Answering { .. } if conn.flushed() => return None,
-            ConnectionPhase::Answering { .. } | ConnectionPhase::Closing => {
-                conn.last_active_at.plus(UNREAD)
+            ConnectionPhase::AwaitingResponse => return None,
+            ConnectionPhase::Responding { .. } if conn.flushed() => return None,
+            ConnectionPhase::Responding { .. } | ConnectionPhase::Closing => {
+                conn.last_active_at.plus(CLIENT_STALL_TIMEOUT_US)
             }
-            ConnectionPhase::Lingering => session.since.plus(LINGER),
+            ConnectionPhase::Lingering => connection.phase_started_at.plus(LINGER_TIMEOUT_US),
         })
     }
 
     /// Sets a connection's timer, where none is set that fires before its time is over.
-    pub(super) fn arm(&mut self, net: &mut Net, id: ConnId) {
-        let Some(due) = self.due(net, id) else { return };
-        let Some(session) = self.open.get_mut(&id) else {
+    pub(super) fn arm_timer(&mut self, net: &mut Net, id: ConnId) {
+        let Some(due) = self.deadline(net, id) else {
+            return;
+        };
+        let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        if session.timer.is_none_or(|at| due < at) {
-            session.timer = Some(due);
+        if connection.timer_at.is_none_or(|at| due < at) {
+            connection.timer_at = Some(due);
             net.wheel.set(due, Timer::Client(id));
         }
     }
--- a/fleet/src/router/client_connections/writing.rs
+++ b/fleet/src/router/client_connections/writing.rs
@@ -10,24 +10,24 @@
 
 impl ClientConnections {
     /// Gives a client an answer of this program, whole.
-    pub(crate) fn answer_own(
+    pub(crate) fn respond_locally(
         &mut self,
         net: &mut Net,
         id: ConnId,
         answer: &LocalResponse,
         events: &mut Vec<ClientEvent>,
     ) {
-        let Some(session) = self.open.get_mut(&id) else {
+        let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        session.last |= answer.closes || self.stopping;
-        let (last, head_only) = (session.last, session.head_only);
+        connection.closes_after_response |= answer.closes || self.is_stopping;
+        let (last, head_only) = (connection.closes_after_response, connection.is_head_request);
         self.write(net, id, &answer.encode(last, head_only));
-        self.answered(net, id, events);
+        self.on_response_written(net, id, events);
     }
 
     /// Gives a client a server's answer, whole: its head without the end, and its body.
-    pub(crate) fn answer_whole(
+    pub(crate) fn respond_complete(
         &mut self,
         net: &mut Net,
         id: ConnId,
@@ -36,29 +36,35 @@
         has_body: bool,
         events: &mut Vec<ClientEvent>,
     ) {
-        let Some(session) = self.open.get_mut(&id) else {
+        let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        session.last |= self.stopping;
+        connection.closes_after_response |= self.is_stopping;
         let mut bytes = Vec::with_capacity(head.len() + body.len() + 64);
         bytes.extend_from_slice(head);
         if has_body {
             bytes.extend_from_slice(format!("content-length: {}\r\n", body.len()).as_bytes());
         }
-        end_head(&mut bytes, session.last);
+        end_head(&mut bytes, connection.closes_after_response);
         bytes.extend_from_slice(body);
         self.write(net, id, &bytes);
-        self.answered(net, id, events);
+        self.on_response_written(net, id, events);
     }
 
     /// Begins a server's answer that is passed on as it comes: with this length, or in chunks.
-    pub(crate) fn begin(&mut self, net: &mut Net, id: ConnId, head: &[u8], length: Option<u64>) {
-        let Some(session) = self.open.get_mut(&id) else {
+    pub(crate) fn begin_response(
+        &mut self,
+        net: &mut Net,
+        id: ConnId,
+        head: &[u8],
+        length: Option<u64>,
+    ) {
+        let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        session.last |= self.stopping;
-        session.state = ConnectionPhase::Answering {
-            chunked: length.is_none(),
+        connection.closes_after_response |= self.is_stopping;
+        connection.phase = ConnectionPhase::Responding {
+            is_chunked: length.is_none(),
         };
         let mut bytes = Vec::with_capacity(head.len() + 64);
         bytes.extend_from_slice(head);
@@ -68,19 +74,19 @@
             }
             None => bytes.extend_from_slice(b"transfer-encoding: chunked\r\n"),
         }
-        end_head(&mut bytes, session.last);
+        end_head(&mut bytes, connection.closes_after_response);
         self.write(net, id, &bytes);
     }
 
     /// Passes a piece of a body on; it leaves with [`ClientConnections::flush`].
-    pub(crate) fn pass(&mut self, net: &mut Net, id: ConnId, piece: &[u8]) {
-        let Some(ConnectionPhase::Answering { chunked }) =
-            self.open.get(&id).map(|session| session.state)
+    pub(crate) fn write_chunk(&mut self, net: &mut Net, id: ConnId, piece: &[u8]) {
+        let Some(ConnectionPhase::Responding { is_chunked }) =
+            self.connections.get(&id).map(|connection| connection.phase)
         else {
             return;
         };
         let Some(conn) = net.get_mut(id) else { return };
-        match chunked {
+        match is_chunked {
             true => {
                 let mut chunk = Vec::with_capacity(piece.len() + 16);
                 encode_chunk(piece, &mut chunk);
@@ -98,44 +104,53 @@
         events: &mut Vec<ClientEvent>,
     ) -> usize {
         if net.flush(id, false) != TransferProgress::Alive {
-            self.left(net, id, events);
+            self.disconnect(net, id, events);
             return 0;
         }
         let unwritten = net.get(id).map_or(0, |conn| conn.queued_unwritten());
         if unwritten > 0 {
-            self.arm(net, id);
+            self.arm_timer(net, id);
         }
         usize::try_from(unwritten).unwrap_or(usize::MAX)
     }
 
     /// Ends a body that is complete.
-    pub(crate) fn end(&mut self, net: &mut Net, id: ConnId, events: &mut Vec<ClientEvent>) {
-        let Some(ConnectionPhase::Answering { chunked }) =
-            self.open.get(&id).map(|session| session.state)
+    pub(crate) fn end_response(
+        &mut self,
+        net: &mut Net,
+        id: ConnId,
+        events: &mut Vec<ClientEvent>,
+    ) {
+        let Some(ConnectionPhase::Responding { is_chunked }) =
+            self.connections.get(&id).map(|connection| connection.phase)
         else {
             return;
         };
-        if chunked {
+        if is_chunked {
             self.write(net, id, LAST_CHUNK);
         }
-        self.answered(net, id, events);
+        self.on_response_written(net, id, events);
     }
 
     /// Ends an answer that is not complete: the client sees that it was cut off.
-    pub(crate) fn cut(&mut self, net: &mut Net, id: ConnId) {
+    pub(crate) fn abort(&mut self, net: &mut Net, id: ConnId) {
         self.close(net, id);
     }
 
     /// The same behind what was passed on, all of which still reaches the client: it can ask for
     /// the rest of a stream elsewhere.
-    pub(crate) fn cut_behind_written(&mut self, net: &mut Net, id: ConnId) {
+    pub(crate) fn abort_after_flush(&mut self, net: &mut Net, id: ConnId) {
         let now = net.clock.now();
-        let Some(session) = self.open.get_mut(&id) else {
+        let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        (session.last, session.state, session.since) = (true, ConnectionPhase::Closing, now);
-        self.arm(net, id);
-        self.close_if_written(net, id);
+        (
+            connection.closes_after_response,
+            connection.phase,
+            connection.phase_started_at,
+        ) = (true, ConnectionPhase::Closing, now);
+        self.arm_timer(net, id);
+        self.close_if_flushed(net, id);
     }
 
     pub(super) fn write(&mut self, net: &mut Net, id: ConnId, bytes: &[u8]) {
@@ -147,25 +162,30 @@
     }
 
     /// The answer has been written or queued: reads on, or ends the connection.
-    pub(super) fn answered(&mut self, net: &mut Net, id: ConnId, events: &mut Vec<ClientEvent>) {
+    pub(super) fn on_response_written(
+        &mut self,
+        net: &mut Net,
+        id: ConnId,
+        events: &mut Vec<ClientEvent>,
+    ) {
         let now = net.clock.now();
-        let Some(session) = self.open.get_mut(&id) else {
+        let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        self.arriving_bytes -= session.reader.held();
-        session.reader = RequestReader::new(&self.limits);
-        (session.arriving, session.since) = (false, now);
-        if session.last {
-            session.state = ConnectionPhase::Closing;
-            self.arm(net, id);
-            return self.close_if_written(net, id);
+        self.incomplete_bytes -= connection.reader.held();
+        connection.reader = RequestReader::new(&self.limits);
+        (connection.is_receiving, connection.phase_started_at) = (false, now);
+        if connection.closes_after_response {
+            connection.phase = ConnectionPhase::Closing;
+            self.arm_timer(net, id);
+            return self.close_if_flushed(net, id);
         }
-        session.state = ConnectionPhase::Reading;
-        self.read(net, id, events);
-        self.arm(net, id);
+        connection.phase = ConnectionPhase::Reading;
+        self.read_request(net, id, events);
+        self.arm_timer(net, id);
     }
 
-    pub(super) fn close_if_written(&mut self, net: &mut Net, id: ConnId) {
+    pub(super) fn close_if_flushed(&mut self, net: &mut Net, id: ConnId) {
         match net.get(id).map(|conn| conn.flushed()) {
             Some(true) => self.half_close(net, id),
             Some(false) => {}
--- a/fleet/src/router/control_link/candidates.rs
+++ b/fleet/src/router/control_link/candidates.rs
@@ -11,24 +11,24 @@
 
 /// How long one that failed rests at first, and at the most (microseconds). The first is short: at
 /// the first start none need be listening yet.
-const REST_FIRST: Micros = 100_000;
-const REST_MOST: Micros = 2_000_000;
+const INITIAL_BACKOFF_US: Micros = 100_000;
+const MAX_BACKOFF_US: Micros = 2_000_000;
 /// So long after its rest a failure counts no more (microseconds): a near one is worth another look
 /// then.
-const FORGIVEN_AFTER: Micros = 10_000_000;
+const FAILURE_MEMORY_US: Micros = 10_000_000;
 
 /// What is held against a control machine.
 #[derive(Clone, Copy, Debug, Default)]
 struct FailureRecord {
-    in_a_row: u32,
-    rests_until: Time,
+    consecutive: u32,
+    backoff_until: Time,
 }
 
 /// The control machines that may be connected to.
 pub(crate) struct ControlCandidates {
     machine: IpAddr,
     seeds: Vec<SocketAddr>,
-    told: Vec<SocketAddr>,
+    advertised: Vec<SocketAddr>,
     failures: HashMap<SocketAddr, FailureRecord>,
 }
 
@@ -39,7 +39,7 @@
         ControlCandidates {
             machine,
             seeds,
-            told: Vec::new(),
+            advertised: Vec::new(),
             failures: HashMap::new(),
         }
     }
@@ -50,21 +50,21 @@
     }
 
     /// A control machine says that these can be connected to.
-    pub(crate) fn on_told(&mut self, told: Vec<SocketAddr>) {
-        if !told.is_empty() && told != self.told {
-            self.told = told;
+    pub(crate) fn on_advertised(&mut self, advertised: Vec<SocketAddr>) {
+        if !advertised.is_empty() && advertised != self.advertised {
+            self.advertised = advertised;
         }
     }
 
     /// A connection to it did not come up, or brought nothing of use.
     pub(crate) fn on_failed(&mut self, now: Time, address: SocketAddr, random: u64) {
-        self.failures.retain(|_, failures| failures.count(now));
+        self.failures.retain(|_, failures| failures.counts_at(now));
         let failures = self.failures.entry(address).or_default();
-        let rest = (REST_FIRST << failures.in_a_row.min(8)).min(REST_MOST);
-        failures.in_a_row += 1;
+        let backoff = (INITIAL_BACKOFF_US << failures.consecutive.min(8)).min(MAX_BACKOFF_US);
+        failures.consecutive += 1;
         // Between a half and all of it, so that routers which failed together don't come back
         // together.
-        failures.rests_until = now.plus(rest / 2 + random % (rest / 2 + 1));
+        failures.backoff_until = now.plus(backoff / 2 + random % (backoff / 2 + 1));
     }
 
     /// It is of use: whatever was held against it is forgotten.
@@ -76,16 +76,16 @@
     /// failed least often of late, so that a near one which is up but of no use never keeps a
     /// router from the others; of these the nearest by address, and of these one by chance.
     pub(crate) fn next(&self, now: Time, random: u64) -> Result<SocketAddr, Time> {
-        let awake = |address: &&SocketAddr| self.rests_until(**address) <= now;
+        let awake = |address: &&SocketAddr| self.backoff_until(**address) <= now;
         let rank = |address: &SocketAddr| {
             (
-                self.failures_in_a_row(*address, now),
-                Reverse(self.nearness(*address)),
+                self.consecutive_failures(*address, now),
+                Reverse(self.proximity(*address)),
             )
         };
         let Some(best) = self.all().filter(awake).map(rank).min() else {
-            let soonest = self.all().map(|address| self.rests_until(*address)).min();
-            return Err(soonest.unwrap_or(now.plus(REST_MOST)));
+            let soonest = self.all().map(|address| self.backoff_until(*address)).min();
+            return Err(soonest.unwrap_or(now.plus(MAX_BACKOFF_US)));
         };
         let equals: Vec<&SocketAddr> = self
             .all()
@@ -98,27 +98,30 @@
     /// Those that were told come with the seeds: a list of the past may hold none that is still
     /// there.
     fn all(&self) -> impl Iterator<Item = &SocketAddr> {
-        let seeds = self.seeds.iter().filter(|seed| !self.told.contains(seed));
-        self.told.iter().chain(seeds)
+        let seeds = self
+            .seeds
+            .iter()
+            .filter(|seed| !self.advertised.contains(seed));
+        self.advertised.iter().chain(seeds)
     }
 
-    fn failures_in_a_row(&self, address: SocketAddr, now: Time) -> u32 {
+    fn consecutive_failures(&self, address: SocketAddr, now: Time) -> u32 {
         self.failures
             .get(&address)
-            .filter(|failures| failures.count(now))
-            .map_or(0, |failures| failures.in_a_row)
+            .filter(|failures| failures.counts_at(now))
+            .map_or(0, |failures| failures.consecutive)
     }
 
-    fn rests_until(&self, address: SocketAddr) -> Time {
+    fn backoff_until(&self, address: SocketAddr) -> Time {
         self.failures
             .get(&address)
-            .map_or(Time(0), |failures| failures.rests_until)
+            .map_or(Time(0), |failures| failures.backoff_until)
     }
 
     /// Nobody tells a control machine's zone. Machines of a zone share a network as a rule, so a
     /// shared beginning of the address stands for it; where that is not so, the choice is by chance
     /// all the same.
-    fn nearness(&self, address: SocketAddr) -> u8 {
+    fn proximity(&self, address: SocketAddr) -> u8 {
         match (self.machine, address.ip()) {
             (IpAddr::V4(own), IpAddr::V4(other)) => {
                 u8::from(own.octets()[..2] == other.octets()[..2])
@@ -129,8 +132,8 @@
 }
 
 impl FailureRecord {
-    fn count(&self, now: Time) -> bool {
-        now < self.rests_until.plus(FORGIVEN_AFTER)
+    fn counts_at(&self, now: Time) -> bool {
+        now < self.backoff_until.plus(FAILURE_MEMORY_US)
     }
 }
 
--- a/fleet/src/router/control_link/candidates/tests.rs
+++ b/fleet/src/router/control_link/candidates/tests.rs
@@ -33,19 +33,19 @@
     }
     assert_eq!(tried.len(), seeds.len());
     let first = candidates.next(Time(0), 0).expect_err("all rest");
-    assert!(first.0 >= REST_FIRST / 2 && first.0 <= REST_FIRST);
+    assert!(first.0 >= INITIAL_BACKOFF_US / 2 && first.0 <= INITIAL_BACKOFF_US);
     let mut last = 0;
     for _ in 0..20 {
         for seed in seeds {
             candidates.on_failed(Time(0), seed, u64::MAX);
         }
-        let rest = candidates.next(Time(0), 0).expect_err("all rest").0;
-        assert!(rest <= REST_MOST);
-        last = rest;
+        let backoff = candidates.next(Time(0), 0).expect_err("all rest").0;
+        assert!(backoff <= MAX_BACKOFF_US);
+        last = backoff;
     }
-    assert!(last >= REST_MOST / 2);
+    assert!(last >= MAX_BACKOFF_US / 2);
     assert!(
-        candidates.next(Time(REST_MOST), 0).is_ok(),
+        candidates.next(Time(MAX_BACKOFF_US), 0).is_ok(),
         "and is tried again in time"
     );
 }
@@ -63,13 +63,13 @@
         // are over.
         now = now.plus(700_000);
         candidates.on_failed(now, next, random);
-        now = now.plus(REST_FIRST);
+        now = now.plus(INITIAL_BACKOFF_US);
     }
     assert_eq!(tried[0], near);
     assert_eq!(HashSet::from([tried[1], tried[2]]), HashSet::from(far));
     assert_eq!(candidates.next(now, 0), Ok(near), "all have failed once");
     candidates.on_failed(now, near, 0);
-    now = now.plus(REST_MOST + FORGIVEN_AFTER);
+    now = now.plus(MAX_BACKOFF_US + FAILURE_MEMORY_US);
     assert_eq!(
         candidates.next(now, 0),
         Ok(near),
@@ -80,12 +80,12 @@
 #[test]
 fn a_list_that_comes_and_goes_makes_nobody_forget_who_failed() {
     let mut candidates = candidates(&[address(1, 1)]);
-    candidates.on_told(vec![address(2, 2)]);
+    candidates.on_advertised(vec![address(2, 2)]);
     candidates.on_failed(Time(0), address(2, 2), 0);
-    candidates.on_told(vec![address(3, 3)]);
-    candidates.on_told(vec![address(2, 2), address(3, 3)]);
+    candidates.on_advertised(vec![address(3, 3)]);
+    candidates.on_advertised(vec![address(2, 2), address(3, 3)]);
     let drawn: HashSet<_> = (0..20)
-        .filter_map(|random| candidates.next(Time(REST_MOST), random).ok())
+        .filter_map(|random| candidates.next(Time(MAX_BACKOFF_US), random).ok())
         .collect();
     assert_eq!(drawn, HashSet::from([address(1, 1), address(3, 3)]));
 }
@@ -93,16 +93,16 @@
 #[test]
 fn those_that_are_told_come_beside_the_seeds_and_replace_each_other() {
     let mut candidates = candidates(&[address(1, 1)]);
-    candidates.on_told(vec![address(2, 2), address(2, 3)]);
+    candidates.on_advertised(vec![address(2, 2), address(2, 3)]);
     candidates.on_failed(Time(0), address(2, 2), 0);
     assert_eq!(candidates.next(Time(0), 0), Ok(address(2, 3)));
-    candidates.on_told(vec![address(3, 4)]);
+    candidates.on_advertised(vec![address(3, 4)]);
     let drawn: HashSet<_> = (0..20)
         .filter_map(|random| candidates.next(Time(0), random).ok())
         .collect();
     assert_eq!(drawn, HashSet::from([address(1, 1), address(3, 4)]));
     // An empty list says nothing.
-    candidates.on_told(Vec::new());
+    candidates.on_advertised(Vec::new());
     assert!((0..20).any(|random| candidates.next(Time(0), random) == Ok(address(3, 4))));
 }
 
--- a/fleet/src/router/control_link/connection.rs
+++ b/fleet/src/router/control_link/connection.rs
@@ -12,11 +12,11 @@
 
 /// After this long without a word, or without contact, another control machine is tried
 /// (microseconds): between two and three heartbeats.
-pub(crate) const SILENCE: Micros = 700_000;
+pub(crate) const CONTROL_IDLE_TIMEOUT_US: Micros = 700_000;
 
 /// A connection that is not up after this long is given up: links within a region take
 /// milliseconds.
-const CONNECT: Micros = 400_000;
+const CONNECT_TIMEOUT_US: Micros = 400_000;
 
 /// Who this router is, to control machines.
 #[derive(Clone, Debug)]
@@ -40,15 +40,15 @@
     pub(crate) id: ConnId,
     pub(crate) address: SocketAddr,
     pub(crate) reader: EnvelopeReader,
-    pub(crate) greeted: bool,
-    pub(crate) opened: Time,
-    pub(crate) heard: Option<Time>,
+    pub(crate) is_handshake_sent: bool,
+    pub(crate) opened_at: Time,
+    pub(crate) last_received_at: Option<Time>,
     /// The last time that it was in contact.
-    pub(crate) contact: Option<Time>,
-    pub(crate) in_contact: bool,
+    pub(crate) last_contact_at: Option<Time>,
+    pub(crate) is_in_contact: bool,
     /// Number of the last push that came, and of the last that was acknowledged.
-    pub(crate) push: u64,
-    pub(crate) acknowledged: u64,
+    pub(crate) last_push: u64,
+    pub(crate) last_acknowledged_push: u64,
 }
 
 impl ControlConnection {
@@ -57,37 +57,44 @@
             id,
             address,
             reader: EnvelopeReader::default(),
-            greeted: false,
-            opened: now,
-            heard: None,
-            contact: None,
-            in_contact: false,
-            push: 0,
-            acknowledged: 0,
+            is_handshake_sent: false,
+            opened_at: now,
+            last_received_at: None,
+            last_contact_at: None,
+            is_in_contact: false,
+            last_push: 0,
+            last_acknowledged_push: 0,
         }
     }
 
     /// When it is given up unless something comes before.
-    pub(super) fn due(&self) -> Time {
-        if !self.greeted {
-            return self.opened.plus(CONNECT);
+    pub(super) fn deadline(&self) -> Time {
+        if !self.is_handshake_sent {
+            return self.opened_at.plus(CONNECT_TIMEOUT_US);
         }
-        let silent = self.heard.unwrap_or(self.opened).plus(SILENCE);
-        silent.min(self.contact.unwrap_or(self.opened).plus(SILENCE))
+        let silent = self
+            .last_received_at
+            .unwrap_or(self.opened_at)
+            .plus(CONTROL_IDLE_TIMEOUT_US);
+        silent.min(
+            self.last_contact_at
+                .unwrap_or(self.opened_at)
+                .plus(CONTROL_IDLE_TIMEOUT_US),
+        )
     }
 
     /// Says who this router is, once the connection is up; `false`: it broke.
-    pub(super) fn greet(
+    pub(super) fn send_handshake(
         &mut self,
         net: &mut Net,
         identity: &RouterIdentity,
         configuration: Option<ConfigurationPosition>,
     ) -> bool {
-        if self.greeted || net.get(self.id).is_none_or(|conn| !conn.up) {
+        if self.is_handshake_sent || net.get(self.id).is_none_or(|conn| !conn.up) {
             return true;
         }
-        self.greeted = true;
-        self.opened = net.clock.now();
+        self.is_handshake_sent = true;
+        self.opened_at = net.clock.now();
         self.send(
             net,
             RouterToControl::Hello {
@@ -139,7 +146,7 @@
             }
         }
         if !messages.is_empty() {
-            self.heard = Some(now);
+            self.last_received_at = Some(now);
         }
         Ok(messages)
     }
--- a/fleet/src/router/control_link/link.rs
+++ b/fleet/src/router/control_link/link.rs
@@ -19,10 +19,10 @@
 use std::net::SocketAddr;
 
 /// After this long without any configuration one is taken from whichever control machine answers.
-pub(crate) const UNCONFIRMED_AFTER: Micros = 3_000_000;
+pub(crate) const UNCONFIRMED_WAIT_US: Micros = 3_000_000;
 
 /// Most bytes read ahead of a control machine.
-const CEILING: usize = 256 * 1_024;
+const READ_AHEAD_BYTES: usize = 256 * 1_024;
 
 /// What came from control.
 #[derive(Debug)]
@@ -47,15 +47,15 @@
     forwarders: BTreeMap<SocketAddr, SocketAddr>,
     rng: fastrand::Rng,
     connection: Option<ControlConnection>,
-    started: Time,
+    started_at: Time,
     /// The one that is applied.
     applied: Option<ConfigurationPosition>,
     /// One from a control machine without contact, kept while there is none from another.
     unconfirmed: Option<PendingConfiguration>,
     /// A look is due then.
-    look_at: Option<Time>,
+    check_at: Option<Time>,
     /// A connection has been given up since that was last asked.
-    lost: bool,
+    was_connection_lost: bool,
 }
 
 /// A configuration that waits to be taken.
@@ -89,11 +89,11 @@
             candidates,
             forwarders: BTreeMap::new(),
             connection: None,
-            started: now,
+            started_at: now,
             applied: None,
             unconfirmed: None,
-            look_at: None,
-            lost: false,
+            check_at: None,
+            was_connection_lost: false,
         }
     }
 
@@ -109,38 +109,42 @@
     }
 
     /// Looks at the link: opens it, gives it up, or takes what has waited for long enough.
-    pub(crate) fn look(&mut self, net: &mut Net) -> Vec<ControlUpdate> {
+    pub(crate) fn check(&mut self, net: &mut Net) -> Vec<ControlUpdate> {
         let now = net.clock.now();
-        if self.look_at.is_some_and(|at| at <= now) {
-            self.look_at = None;
+        if self.check_at.is_some_and(|at| at <= now) {
+            self.check_at = None;
         }
-        if self.connection.as_ref().is_some_and(|c| c.due() <= now) {
-            self.give_up(net);
+        if self
+            .connection
+            .as_ref()
+            .is_some_and(|c| c.deadline() <= now)
+        {
+            self.drop_connection(net);
         }
         if self.connection.is_none() {
             self.connect(net);
         }
-        let news = self.take_unconfirmed(now).into_iter().collect();
-        self.plan(net, now);
-        news
+        let updates = self.take_unconfirmed(now).into_iter().collect();
+        self.schedule_check(net, now);
+        updates
     }
 
     /// Reads what has come, and acknowledges what was read before.
-    pub(crate) fn ready(&mut self, net: &mut Net, id: ConnId) -> Vec<ControlUpdate> {
+    pub(crate) fn on_ready(&mut self, net: &mut Net, id: ConnId) -> Vec<ControlUpdate> {
         let Some(connection) = self.connection.as_mut().filter(|c| c.id == id) else {
             net.close(id);
             return Vec::new();
         };
-        let progress = net.transfer(id, CEILING);
-        let mut news = Vec::new();
+        let progress = net.transfer(id, READ_AHEAD_BYTES);
+        let mut updates = Vec::new();
         let mut sound = progress == TransferProgress::Alive
-            && connection.greet(net, &self.identity, self.applied);
+            && connection.send_handshake(net, &self.identity, self.applied);
         if sound {
             let now = net.clock.now();
             match connection.read(net, now) {
                 Ok(messages) => messages
                     .into_iter()
-                    .for_each(|message| self.take_in(now, message, &mut news)),
+                    .for_each(|message| self.handle_message(now, message, &mut updates)),
                 Err(reason) => {
                     log::warn!(address:% = self.address(); "control machine: {reason}");
                     sound = false;
@@ -148,41 +152,45 @@
             }
         }
         if !sound || net.get(id).is_none_or(|conn| conn.ended) {
-            self.give_up(net);
-            news.extend(self.look(net));
+            self.drop_connection(net);
+            updates.extend(self.check(net));
         }
-        news
+        updates
     }
 
     /// Acknowledges what has been applied since the last time. Called once what was read has been
     /// applied.
     pub(crate) fn acknowledge(&mut self, net: &mut Net) {
         let applied = self.applied;
-        let Some(connection) = self.connection.as_mut().filter(|c| c.push > c.acknowledged) else {
+        let Some(connection) = self
+            .connection
+            .as_mut()
+            .filter(|c| c.last_push > c.last_acknowledged_push)
+        else {
             return;
         };
-        connection.acknowledged = connection.push;
-        let word = RouterToControl::Applied {
-            push: connection.push,
+        connection.last_acknowledged_push = connection.last_push;
+        let acknowledgement = RouterToControl::Applied {
+            push: connection.last_push,
             configuration: applied,
         };
-        if !connection.send(net, word) {
-            self.give_up(net);
+        if !connection.send(net, acknowledgement) {
+            self.drop_connection(net);
         }
     }
 
     /// Whether a connection has been given up since this was last asked: what was sent on it gets
     /// no answer.
-    pub(crate) fn take_lost(&mut self) -> bool {
-        std::mem::take(&mut self.lost)
+    pub(crate) fn take_connection_lost(&mut self) -> bool {
+        std::mem::take(&mut self.was_connection_lost)
     }
 
     /// Whether a control machine is connected, and has been told who this router is.
     #[must_use]
-    pub(crate) fn is_greeted(&self) -> bool {
+    pub(crate) fn is_handshake_sent(&self) -> bool {
         self.connection
             .as_ref()
-            .is_some_and(|connection| connection.greeted)
+            .is_some_and(|connection| connection.is_handshake_sent)
     }
 
     /// Sends a message about tenants to the control machine that is connected.
@@ -193,7 +201,7 @@
         let sent = envelopes::encode_tenant_message(message)
             .is_ok_and(|bytes| connection.send_bytes(net, &bytes));
         if !sent {
-            self.give_up(net);
+            self.drop_connection(net);
         }
     }
 
@@ -205,7 +213,7 @@
         let sent = envelopes::encode_backlog_report(report)
             .is_ok_and(|bytes| connection.send_bytes(net, &bytes));
         if !sent {
-            self.give_up(net);
+            self.drop_connection(net);
         }
     }
 
@@ -221,19 +229,24 @@
             .map_or_else(String::new, |c| c.address.to_string())
     }
 
-    fn take_in(&mut self, now: Time, message: ControlMessage, news: &mut Vec<ControlUpdate>) {
+    fn handle_message(
+        &mut self,
+        now: Time,
+        message: ControlMessage,
+        updates: &mut Vec<ControlUpdate>,
+    ) {
         match message {
-            ControlMessage::Control(message) => self.take_control_message(now, message, news),
-            ControlMessage::Tenant(message) => news.push(ControlUpdate::Tenant(message)),
-            ControlMessage::Backlog(report) => news.push(ControlUpdate::Backlog(report)),
+            ControlMessage::Control(message) => self.handle_control_message(now, message, updates),
+            ControlMessage::Tenant(message) => updates.push(ControlUpdate::Tenant(message)),
+            ControlMessage::Backlog(report) => updates.push(ControlUpdate::Backlog(report)),
         }
     }
 
-    fn take_control_message(
+    fn handle_control_message(
         &mut self,
         now: Time,
         message: ControlToRouter,
-        news: &mut Vec<ControlUpdate>,
+        updates: &mut Vec<ControlUpdate>,
     ) {
         let Some(connection) = &mut self.connection else {
             return;
@@ -244,26 +257,26 @@
                 control,
                 routers,
             } => {
-                connection.in_contact = in_contact;
+                connection.is_in_contact = in_contact;
                 if in_contact {
-                    connection.contact = Some(now);
+                    connection.last_contact_at = Some(now);
                     self.candidates.on_useful(connection.address);
                 }
-                self.candidates.on_told(
+                self.candidates.on_advertised(
                     control
                         .iter()
                         .filter_map(|address| address.parse().ok())
                         .collect(),
                 );
-                news.push(ControlUpdate::Routers(routers));
-                news.extend(self.take_unconfirmed(now));
+                updates.push(ControlUpdate::Routers(routers));
+                updates.extend(self.take_unconfirmed(now));
             }
             ControlToRouter::Configuration {
                 push,
                 position,
                 document,
             } => {
-                connection.push = connection.push.max(push);
+                connection.last_push = connection.last_push.max(push);
                 if self.applied.is_none_or(|applied| applied < position) {
                     let older = self
                         .unconfirmed
@@ -277,7 +290,7 @@
                             document,
                         });
                     }
-                    news.extend(self.take_unconfirmed(now));
+                    updates.extend(self.take_unconfirmed(now));
                 }
             }
             ControlToRouter::Servers {
@@ -285,8 +298,8 @@
                 records,
                 is_complete: _,
             } => {
-                connection.push = connection.push.max(push);
-                news.push(ControlUpdate::Servers(records));
+                connection.last_push = connection.last_push.max(push);
+                updates.push(ControlUpdate::Servers(records));
             }
         }
     }
@@ -298,9 +311,9 @@
         let in_contact = self
             .connection
             .as_ref()
-            .filter(|c| c.in_contact)
+            .filter(|c| c.is_in_contact)
             .map(|c| c.id);
-        let waited = now.since(self.started) >= UNCONFIRMED_AFTER;
+        let waited = now.since(self.started_at) >= UNCONFIRMED_WAIT_US;
         let may = waited || self.applied.is_some();
         // Contact vouches for what came from the same machine: another one may have been cut off
         // for long.
@@ -326,31 +339,31 @@
         }
     }
 
-    fn give_up(&mut self, net: &mut Net) {
+    fn drop_connection(&mut self, net: &mut Net) {
         if let Some(connection) = self.connection.take() {
             self.candidates
                 .on_failed(net.clock.now(), connection.address, self.rng.u64(..));
             net.close(connection.id);
-            self.lost = true;
+            self.was_connection_lost = true;
         }
         let now = net.clock.now();
-        self.look_at = None;
-        self.plan(net, now);
+        self.check_at = None;
+        self.schedule_check(net, now);
     }
 
     /// Sets the timer for the next look, where none is set that comes before it.
-    fn plan(&mut self, net: &mut Net, now: Time) {
+    fn schedule_check(&mut self, net: &mut Net, now: Time) {
         let link = match &self.connection {
-            Some(connection) => connection.due(),
+            Some(connection) => connection.deadline(),
             None => self.candidates.next(now, 0).map_or_else(|at| at, |_| now),
         };
         let waits = self
             .unconfirmed
             .is_some()
-            .then(|| self.started.plus(UNCONFIRMED_AFTER));
+            .then(|| self.started_at.plus(UNCONFIRMED_WAIT_US));
         let due = link.min(waits.unwrap_or(link)).max(now);
-        if self.look_at.is_none_or(|at| due < at) {
-            self.look_at = Some(due);
+        if self.check_at.is_none_or(|at| due < at) {
+            self.check_at = Some(due);
             net.wheel.set(due, Timer::ControlLink);
         }
     }
--- a/fleet/src/router/counters.rs
+++ b/fleet/src/router/counters.rs
@@ -6,25 +6,25 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct RejectionCounters {
     /// Answered 503 at once.
-    pub away: u64,
+    pub unavailable: u64,
     /// Answered 404.
     pub no_route: u64,
     /// Answered 401.
-    pub no_holder: u64,
+    pub unknown_key: u64,
     /// Answered 429.
-    pub beyond_quota: u64,
+    pub quota_exceeded: u64,
     /// Answered 400 after their head was read.
     pub malformed: u64,
 }
 
 impl RejectionCounters {
     /// A request was answered at once.
-    pub(crate) fn on_turned(&mut self, turned: &RejectionReason) {
-        let counter = match turned {
-            RejectionReason::Unavailable(_) => &mut self.away,
+    pub(crate) fn on_rejected(&mut self, reason: &RejectionReason) {
+        let counter = match reason {
+            RejectionReason::Unavailable(_) => &mut self.unavailable,
             RejectionReason::NoRoute => &mut self.no_route,
-            RejectionReason::UnknownKey => &mut self.no_holder,
-            RejectionReason::QuotaExceeded(_) => &mut self.beyond_quota,
+            RejectionReason::UnknownKey => &mut self.unknown_key,
+            RejectionReason::QuotaExceeded(_) => &mut self.quota_exceeded,
             RejectionReason::Malformed => &mut self.malformed,
         };
         *counter += 1;
--- a/fleet/src/router/freshness.rs
+++ b/fleet/src/router/freshness.rs
@@ -11,25 +11,25 @@
 /// What a control machine in contact tells as newest may lack what was acknowledged within so long
 /// before (microseconds): a confirmation counts for at most 0.6 s at the primary and 0.9 s at a
 /// machine without a copy.
-const CONTACT_BEHIND: Micros = 1_500_000;
+const CONTACT_LAG_US: Micros = 1_500_000;
 /// For clocks that drift, and for what passes between a look at the clock and its effect
 /// (microseconds).
-const MARGIN: Micros = 250_000;
+const CLOCK_MARGIN_US: Micros = 250_000;
 /// The least time for which a confirmation counts (microseconds): a shorter one would lapse between
 /// two of them.
-const SHORTEST: Micros = 600_000;
+const MIN_LEASE_US: Micros = 600_000;
 /// Confirmations are asked for so often (microseconds): a heartbeat of control brings each question
 /// on its way.
-const ASK_INTERVAL: Micros = 450_000;
+const CONFIRMATION_INTERVAL_US: Micros = 450_000;
 /// Who does not hold a key is told so only within this time of a confirmation (microseconds): it
 /// may have been added since.
-const SURE: Micros = 1_200_000;
+const KEY_ABSENCE_CERTAINTY_US: Micros = 1_200_000;
 
 /// Bounds on revocations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct RevocationBounds {
     /// `revocationStrict`: the bound holds for all machines, in touch or not.
-    pub strict: bool,
+    pub is_strict: bool,
     /// `revokeMs`.
     pub within: Duration,
 }
@@ -37,72 +37,74 @@
 /// When the configuration in force was confirmed.
 #[derive(Debug)]
 pub(crate) struct ConfigurationFreshness {
-    terms: RevocationBounds,
-    confirmed: Option<Time>,
-    asked: Option<Time>,
+    bounds: RevocationBounds,
+    confirmed_at: Option<Time>,
+    requested_at: Option<Time>,
 }
 
 impl ConfigurationFreshness {
     /// Never confirmed yet.
     #[must_use]
-    pub(crate) fn new(terms: RevocationBounds) -> ConfigurationFreshness {
+    pub(crate) fn new(bounds: RevocationBounds) -> ConfigurationFreshness {
         ConfigurationFreshness {
-            terms,
-            confirmed: None,
-            asked: None,
+            bounds,
+            confirmed_at: None,
+            requested_at: None,
         }
     }
 
     /// The settings say so now.
-    pub(crate) fn set_terms(&mut self, terms: RevocationBounds) {
-        self.terms = terms;
+    pub(crate) fn set_bounds(&mut self, bounds: RevocationBounds) {
+        self.bounds = bounds;
     }
 
     /// Whether a confirmation is to be asked for now; that is taken to be done.
-    pub(crate) fn asks(&mut self, now: Time) -> bool {
+    pub(crate) fn take_confirmation_due(&mut self, now: Time) -> bool {
         let due = self
-            .asked
-            .is_none_or(|asked| now.since(asked) >= ASK_INTERVAL);
+            .requested_at
+            .is_none_or(|asked| now.since(asked) >= CONFIRMATION_INTERVAL_US);
         if due {
-            self.asked = Some(now);
+            self.requested_at = Some(now);
         }
         due
     }
 
     /// The connection on which it was asked is gone: it is asked anew on the next one.
     pub(crate) fn on_link_lost(&mut self) {
-        self.asked = None;
+        self.requested_at = None;
     }
 
     /// What is in force is the newest configuration that a control machine in contact knew, which
     /// was asked at this time.
     pub(crate) fn on_confirmed(&mut self, now: Time, asked: Time) {
         if asked <= now {
-            self.confirmed = self.confirmed.max(Some(asked));
+            self.confirmed_at = self.confirmed_at.max(Some(asked));
         }
     }
 
     /// Whether requests with a key may be served.
     #[must_use]
-    pub(crate) fn serves_keys(&self, now: Time) -> bool {
-        !self.terms.strict
+    pub(crate) fn can_serve_keys(&self, now: Time) -> bool {
+        !self.bounds.is_strict
             || self
-                .confirmed
+                .confirmed_at
                 .is_some_and(|confirmed| now.since(confirmed) < self.lease())
     }
 
     /// Whether a key that is not known here is surely not known to the configuration that counts.
     #[must_use]
-    pub(crate) fn is_sure(&self, now: Time) -> bool {
-        self.serves_keys(now)
+    pub(crate) fn can_reject_unknown_keys(&self, now: Time) -> bool {
+        self.can_serve_keys(now)
             && self
-                .confirmed
-                .is_some_and(|confirmed| now.since(confirmed) < SURE)
+                .confirmed_at
+                .is_some_and(|confirmed| now.since(confirmed) < KEY_ABSENCE_CERTAINTY_US)
     }
 
     fn lease(&self) -> Micros {
-        let within = Micros::try_from(self.terms.within.as_micros()).unwrap_or(Micros::MAX);
-        within.saturating_sub(CONTACT_BEHIND + MARGIN).max(SHORTEST)
+        let within = Micros::try_from(self.bounds.within.as_micros()).unwrap_or(Micros::MAX);
+        within
+            .saturating_sub(CONTACT_LAG_US + CLOCK_MARGIN_US)
+            .max(MIN_LEASE_US)
     }
 }
 
--- a/fleet/src/router/freshness/tests.rs
+++ b/fleet/src/router/freshness/tests.rs
@@ -6,7 +6,7 @@
 
 fn strict() -> ConfigurationFreshness {
     ConfigurationFreshness::new(RevocationBounds {
-        strict: true,
+        is_strict: true,
         within: Duration::from_secs(5),
     })
 }
@@ -14,11 +14,11 @@
 #[test]
 fn keys_are_served_only_as_long_as_a_confirmation_counts() {
     let mut freshness = strict();
-    assert!(!freshness.serves_keys(Time(9 * SECOND)));
+    assert!(!freshness.can_serve_keys(Time(9 * SECOND)));
     freshness.on_confirmed(Time(10 * SECOND), Time(9 * SECOND));
     // Counted from the question: 5 s less what contact may be behind and a margin.
-    assert!(freshness.serves_keys(Time(12_249_999)));
-    assert!(!freshness.serves_keys(Time(12_250_000)));
+    assert!(freshness.can_serve_keys(Time(12_249_999)));
+    assert!(!freshness.can_serve_keys(Time(12_250_000)));
 }
 
 #[test]
@@ -26,42 +26,51 @@
     let mut freshness = strict();
     freshness.on_confirmed(Time(9 * SECOND), Time(9 * SECOND));
     freshness.on_confirmed(Time(20 * SECOND), Time(8 * SECOND));
-    assert!(!freshness.serves_keys(Time(20 * SECOND)));
+    assert!(!freshness.can_serve_keys(Time(20 * SECOND)));
     // Nor does one from the future.
     freshness.on_confirmed(Time(20 * SECOND), Time(30 * SECOND));
-    assert!(!freshness.serves_keys(Time(20 * SECOND)));
+    assert!(!freshness.can_serve_keys(Time(20 * SECOND)));
 }
 
 #[test]
 fn a_key_is_refused_as_unknown_only_by_what_is_surely_current() {
     let mut freshness = strict();
-    assert!(!freshness.is_sure(Time(0)));
+    assert!(!freshness.can_reject_unknown_keys(Time(0)));
     freshness.on_confirmed(Time(SECOND), Time(SECOND));
-    assert!(freshness.is_sure(Time(2 * SECOND)) && freshness.serves_keys(Time(3 * SECOND)));
-    assert!(!freshness.is_sure(Time(3 * SECOND)));
+    assert!(
+        freshness.can_reject_unknown_keys(Time(2 * SECOND))
+            && freshness.can_serve_keys(Time(3 * SECOND))
+    );
+    assert!(!freshness.can_reject_unknown_keys(Time(3 * SECOND)));
 }
 
 #[test]
 fn without_a_strict_bound_what_is_known_is_served_while_control_is_away() {
     let mut freshness = ConfigurationFreshness::new(RevocationBounds {
-        strict: false,
+        is_strict: false,
         within: Duration::from_secs(5),
     });
-    assert!(freshness.serves_keys(Time(100 * SECOND)) && !freshness.is_sure(Time(100 * SECOND)));
-    freshness.set_terms(RevocationBounds {
-        strict: true,
+    assert!(
+        freshness.can_serve_keys(Time(100 * SECOND))
+            && !freshness.can_reject_unknown_keys(Time(100 * SECOND))
+    );
+    freshness.set_bounds(RevocationBounds {
+        is_strict: true,
         within: Duration::ZERO,
     });
     freshness.on_confirmed(Time(100 * SECOND), Time(100 * SECOND));
-    assert!(freshness.serves_keys(Time(100 * SECOND + SHORTEST - 1)));
-    assert!(!freshness.serves_keys(Time(100 * SECOND + SHORTEST)));
+    assert!(freshness.can_serve_keys(Time(100 * SECOND + MIN_LEASE_US - 1)));
+    assert!(!freshness.can_serve_keys(Time(100 * SECOND + MIN_LEASE_US)));
 }
 
 #[test]
 fn questions_are_paced_and_begin_anew_on_another_connection() {
     let mut freshness = strict();
-    assert!(freshness.asks(Time(0)) && !freshness.asks(Time(ASK_INTERVAL - 1)));
-    assert!(freshness.asks(Time(ASK_INTERVAL)));
+    assert!(
+        freshness.take_confirmation_due(Time(0))
+            && !freshness.take_confirmation_due(Time(CONFIRMATION_INTERVAL_US - 1))
+    );
+    assert!(freshness.take_confirmation_due(Time(CONFIRMATION_INTERVAL_US)));
     freshness.on_link_lost();
-    assert!(freshness.asks(Time(ASK_INTERVAL + 1)));
+    assert!(freshness.take_confirmation_due(Time(CONFIRMATION_INTERVAL_US + 1)));
 }
--- a/fleet/src/router/handlers/backlog.rs
+++ b/fleet/src/router/handlers/backlog.rs
@@ -7,16 +7,16 @@
 use lichenswitch_messages::BacklogReport;
 
 /// Between two reports at the least (microseconds).
-pub(crate) const REPORT_INTERVAL: Micros = 20_000;
+pub(crate) const REPORT_INTERVAL_US: Micros = 20_000;
 
 impl Router {
     /// Something was sent to a server: control is to be told soon.
-    pub(crate) fn plan_backlog_report(&mut self) {
+    pub(crate) fn schedule_backlog_report(&mut self) {
         if !std::mem::replace(&mut self.backlog_reports.planned, true) {
             let due = self
                 .backlog_reports
                 .last
-                .plus(REPORT_INTERVAL)
+                .plus(REPORT_INTERVAL_US)
                 .max(self.net.clock.now());
             self.net.wheel.set(due, Timer::BacklogReport);
         }
@@ -26,13 +26,13 @@
     pub(crate) fn report_backlog(&mut self) {
         self.backlog_reports.planned = false;
         self.backlog_reports.last = self.net.clock.now();
-        let waits = backlogs(self.exchanges.iter());
+        let waits = backlogs(self.requests.iter());
         // What waits may end at any time, and control may come back.
-        let goes_on = !waits.is_empty();
-        if self.link.is_greeted() {
+        let continues_after = !waits.is_empty();
+        if self.control_link.is_handshake_sent() {
             let servers = self.backlog_reports.changes(waits);
             if !servers.is_empty() {
-                self.link.send_backlog_report(
+                self.control_link.send_backlog_report(
                     &mut self.net,
                     &BacklogReport {
                         is_complete: false,
@@ -41,8 +41,8 @@
                 );
             }
         }
-        if goes_on {
-            self.plan_backlog_report();
+        if continues_after {
+            self.schedule_backlog_report();
         }
     }
 
@@ -51,6 +51,6 @@
     pub(crate) fn on_backlog_link_lost(&mut self) {
         self.services.forget_backlogs();
         self.backlog_reports.told.clear();
-        self.plan_backlog_report();
+        self.schedule_backlog_report();
     }
 }
--- a/fleet/src/router/handlers/dispatch.rs
+++ b/fleet/src/router/handlers/dispatch.rs
@@ -16,7 +16,7 @@
 
 impl Router {
     /// Lets the module decide, where it is time, and does what it says.
-    pub(crate) fn take_turns(&mut self) {
+    pub(crate) fn run_decision_turns(&mut self) {
         let now = self.net.clock.now();
         if self.services.next_turn().is_none_or(|at| at > now) {
             return;
@@ -25,21 +25,23 @@
             match command {
                 Command::Send(server, parts) => {
                     for part in parts {
-                        self.dispatch(service, server, &part);
+                        self.start_attempt(service, server, &part);
                     }
                 }
                 Command::Withdraw(number) | Command::Recall(number) => {
                     self.connections
                         .withdraw(&mut self.net, AttemptId { service, number });
                 }
-                Command::CloseIdle(server) => self.connections.close_idle(&mut self.net, server),
+                Command::CloseIdle(server) => {
+                    self.connections.close_stale_idle(&mut self.net, server)
+                }
                 Command::Reply(query, reply) => {
                     let id = self
                         .services
                         .get_mut(service)
-                        .and_then(|s| s.exchange_of(query));
+                        .and_then(|s| s.take_request_id(query));
                     if let Some(id) = id {
-                        self.decided(id, query, reply);
+                        self.on_decision(id, query, reply);
                     }
                 }
                 // Trust in servers changes often in trouble, on every router at once.
@@ -51,7 +53,7 @@
     }
 
     /// Makes an attempt, if the rules allow it as things stand now.
-    pub(super) fn dispatch(
+    pub(super) fn start_attempt(
         &mut self,
         service: ServiceId,
         server: ServerId,
@@ -70,18 +72,18 @@
             .services
             .get_mut(service)
             .map_or(1, |s| s.max_connections());
-        let exchange = self
-            .exchanges
+        let request = self
+            .requests
             .get(id)
-            .filter(|exchange| exchange.may_send());
-        let (Some(exchange), Some(endpoint)) = (exchange, endpoint) else {
-            return self.tell_core(attempt, Outcome::Moot);
+            .filter(|request| request.may_start_attempt());
+        let (Some(request), Some(endpoint)) = (request, endpoint) else {
+            return self.report_outcome(attempt, Outcome::Moot);
         };
-        if let Err(denial) = self.check_sender(exchange.sender()) {
-            self.tell_core(attempt, Outcome::Moot);
-            return self.deny(id, denial);
+        if let Err(denial) = self.check_sender(request.sender()) {
+            self.report_outcome(attempt, Outcome::Moot);
+            return self.on_key_denied(id, denial);
         }
-        let resume_after = match &exchange.phase {
+        let resume_after = match &request.phase {
             RequestPhase::Resuming { last_event_id } => Some(last_event_id.clone()),
             _ => None,
         };
@@ -89,15 +91,15 @@
             id: attempt,
             server,
             endpoint,
-            request: exchange.request.clone(),
-            deadline: exchange.deadline,
-            idempotent: exchange.terms.idempotent,
-            priority: exchange.terms.rank,
+            request: request.client_request.clone(),
+            deadline: request.deadline,
+            is_idempotent: request.terms.idempotent,
+            priority: request.terms.rank,
             resume_after,
-            sender: exchange.sender.clone(),
+            sender: request.sender.clone(),
             max_connections,
         };
-        self.exchanges.on_sent(
+        self.requests.on_attempt_started(
             id,
             InFlightAttempt {
                 id: attempt,
@@ -107,49 +109,51 @@
         self.net
             .wheel
             .set(now.plus(part.wait), Timer::AttemptTimeout(attempt));
-        self.connections.send(&mut self.net, made);
-        self.plan_backlog_report();
+        self.connections.start(&mut self.net, made);
+        self.schedule_backlog_report();
     }
 
     /// The key of a request that is held is served no more: unless an attempt is out that was sent
     /// before, it ends at once.
-    pub(super) fn deny(&mut self, id: RequestId, denial: KeyDenial) {
-        let Some(exchange) = self
-            .exchanges
+    pub(super) fn on_key_denied(&mut self, id: RequestId, denial: KeyDenial) {
+        let Some(request) = self
+            .requests
             .get(id)
-            .filter(|exchange| exchange.out.is_empty())
+            .filter(|request| request.in_flight.is_empty())
         else {
             return;
         };
-        match exchange.phase {
-            RequestPhase::Pending if exchange.may_have_run > 0 => self.answer_given_up(id, None),
+        match request.phase {
+            RequestPhase::Pending if request.possible_executions > 0 => {
+                self.respond_without_server(id, None)
+            }
             RequestPhase::Pending => {
-                if let Some(exchange) = self.finish(id) {
-                    self.turn_away(exchange.client, &RejectionReason::of(denial));
+                if let Some(request) = self.remove_request(id) {
+                    self.reject(request.client, &RejectionReason::of(denial));
                 }
             }
             RequestPhase::Relaying(_) | RequestPhase::Resuming { .. } => {
-                self.cut(id, AbortReason::KeyDenied)
+                self.abort_response(id, AbortReason::KeyDenied)
             }
         }
     }
 
     /// The time that the module gave an attempt is over.
-    pub(crate) fn timed_out(&mut self, id: AttemptId) {
-        let waits = |exchange: &RequestState| exchange.out.iter().any(|out| out.id == id);
+    pub(crate) fn on_attempt_timeout(&mut self, id: AttemptId) {
+        let waits = |request: &RequestState| request.in_flight.iter().any(|out| out.id == id);
         let held = self
-            .exchanges
-            .of_attempt(id)
-            .and_then(|e| self.exchanges.get(e))
+            .requests
+            .id_of_attempt(id)
+            .and_then(|e| self.requests.get(e))
             .is_some_and(waits);
         if held {
             self.connections.withdraw(&mut self.net, id);
-            self.exchanges.on_ended(id, Outcome::Timeout);
-            self.tell_core(id, Outcome::Timeout);
+            self.requests.on_attempt_ended(id, Outcome::Timeout);
+            self.report_outcome(id, Outcome::Timeout);
         }
     }
 
-    pub(crate) fn tell_core(&mut self, id: AttemptId, outcome: Outcome) {
+    pub(crate) fn report_outcome(&mut self, id: AttemptId, outcome: Outcome) {
         let now = self.net.clock.now();
         if let Some(service) = self.services.get_mut(id.service) {
             service.ended(now, id.number, outcome);
@@ -157,24 +161,24 @@
     }
 
     /// The module has ended a request, or has its answer.
-    pub(super) fn decided(&mut self, id: RequestId, query: QueryId, reply: Reply) {
+    pub(super) fn on_decision(&mut self, id: RequestId, query: QueryId, reply: Reply) {
         // What was answered meanwhile, or goes on under another number, is not concerned.
-        let Some(exchange) = self
-            .exchanges
+        let Some(request) = self
+            .requests
             .get_mut(id)
-            .filter(|e| e.query == Some(query))
+            .filter(|e| e.core_query == Some(query))
         else {
             return;
         };
-        exchange.query = None;
+        request.core_query = None;
         let after = match reply {
             Reply::Served { .. } => return,
             Reply::Refused(after) => after,
             Reply::Failed => None,
         };
-        match exchange.phase {
-            RequestPhase::Pending => self.answer_given_up(id, after),
-            RequestPhase::Resuming { .. } => self.cut(id, AbortReason::NotResumed),
+        match request.phase {
+            RequestPhase::Pending => self.respond_without_server(id, after),
+            RequestPhase::Resuming { .. } => self.abort_response(id, AbortReason::NotResumed),
             RequestPhase::Relaying(_) => {}
         }
     }
--- a/fleet/src/router/handlers/event_loop.rs
+++ b/fleet/src/router/handlers/event_loop.rs
@@ -11,59 +11,62 @@
     /// # Errors
     /// The system can't wait for sockets any more.
     pub fn serve(&mut self) -> Result<(), RouterError> {
-        self.look_at_control();
+        self.check_control_link();
         loop {
             let ready = self.net.wait(self.services.next_turn())?;
             for ready in ready {
                 match ready {
-                    lichenswitch_net::Ready::Listener(owner) => self.accept(owner),
-                    lichenswitch_net::Ready::Conn(id, owner) => self.ready(id, owner),
-                    lichenswitch_net::Ready::Signal(signal) => self.signalled(signal),
+                    lichenswitch_net::Ready::Listener(owner) => self.on_acceptable(owner),
+                    lichenswitch_net::Ready::Conn(id, owner) => self.on_socket_ready(id, owner),
+                    lichenswitch_net::Ready::Signal(signal) => self.on_signal(signal),
                 }
             }
             let now = self.net.clock.now();
             for timer in self.net.wheel.due(now) {
-                self.timer(timer);
+                self.on_timer(timer);
             }
-            self.settle();
+            self.process_pending_work();
             if self.is_finished() {
-                invariants::check(self.clients.waiting() == 0, Invariant::EndsAnswered);
+                invariants::check(self.clients.waiting_count() == 0, Invariant::EndsAnswered);
                 return Ok(());
             }
         }
     }
 
     /// Works off all that sockets and timers have brought: requests, answers, decisions.
-    pub(super) fn settle(&mut self) {
+    pub(super) fn process_pending_work(&mut self) {
         loop {
-            self.take_client_events();
-            self.take_server_events();
-            self.take_turns();
-            self.tell_control_of_tenants();
+            self.handle_client_events();
+            self.handle_server_events();
+            self.run_decision_turns();
+            self.send_tenant_messages();
             if self.client_events.is_empty() && !self.connections.has_events() {
                 break;
             }
         }
-        if self.check_due || cfg!(debug_assertions) {
-            self.check_due = false;
-            self.check_waiting();
+        if self.is_check_due || cfg!(debug_assertions) {
+            self.is_check_due = false;
+            self.check_waiting_clients();
         }
         if self.net.is_accept_paused() {
             self.net.resume_accepting();
         }
         if self.net.is_accept_paused() {
-            self.clients.make_room(&mut self.net);
+            self.clients.close_idle_connections(&mut self.net);
         }
     }
 
     /// Whoever has sent a whole request, and has no answer yet, is held. Checked at each turn where
     /// debug assertions are on, else now and then: it counts all connections.
-    pub(super) fn check_waiting(&self) {
-        let held = self.exchanges.len() + self.awaiting_quota.len();
-        invariants::check(self.clients.waiting() == held, Invariant::WaitingIsHeld);
+    pub(super) fn check_waiting_clients(&self) {
+        let held = self.requests.len() + self.quota_waiters.len();
+        invariants::check(
+            self.clients.waiting_count() == held,
+            Invariant::WaitingIsHeld,
+        );
     }
 
-    pub(super) fn accept(&mut self, owner: SocketOwner) {
+    pub(super) fn on_acceptable(&mut self, owner: SocketOwner) {
         match owner {
             SocketOwner::Client => self.clients.accept(&mut self.net),
             SocketOwner::Platform => self.readiness.accept(&mut self.net),
@@ -71,54 +74,55 @@
         }
     }
 
-    pub(super) fn ready(&mut self, id: lichenswitch_net::ConnId, owner: SocketOwner) {
+    pub(super) fn on_socket_ready(&mut self, id: lichenswitch_net::ConnId, owner: SocketOwner) {
         match owner {
-            SocketOwner::Client => self
-                .clients
-                .ready(&mut self.net, id, &mut self.client_events),
+            SocketOwner::Client => {
+                self.clients
+                    .on_ready(&mut self.net, id, &mut self.client_events)
+            }
             SocketOwner::Platform => {
                 let is_ready = self.is_ready();
                 self.readiness.ready(&mut self.net, id, is_ready);
             }
-            SocketOwner::Server => self.connections.ready(&mut self.net, id),
+            SocketOwner::Server => self.connections.on_ready(&mut self.net, id),
             SocketOwner::Control => {
-                let news = self.link.ready(&mut self.net, id);
-                self.take_news(news);
+                let updates = self.control_link.on_ready(&mut self.net, id);
+                self.apply_control_updates(updates);
             }
         }
     }
 
-    pub(super) fn timer(&mut self, timer: Timer) {
+    pub(super) fn on_timer(&mut self, timer: Timer) {
         match timer {
-            Timer::RequestDeadline(id) => self.overdue(id),
-            Timer::AttemptTimeout(id) => self.timed_out(id),
+            Timer::RequestDeadline(id) => self.on_request_deadline(id),
+            Timer::AttemptTimeout(id) => self.on_attempt_timeout(id),
             Timer::Client(id) => self
                 .clients
-                .timer(&mut self.net, id, &mut self.client_events),
+                .on_timer(&mut self.net, id, &mut self.client_events),
             Timer::Platform(id) => self.readiness.timer(&mut self.net, id),
-            Timer::Server(id) => self.connections.timer(&mut self.net, id),
-            Timer::ConnectionWait(id) => self.connections.waited(id),
-            Timer::ControlLink => self.look_at_control(),
-            Timer::Quota => self.look_at_quota(),
+            Timer::Server(id) => self.connections.on_timer(&mut self.net, id),
+            Timer::ConnectionWait(id) => self.connections.on_wait_timeout(id),
+            Timer::ControlLink => self.check_control_link(),
+            Timer::Quota => self.expire_quota_waiters(),
             Timer::BacklogReport => self.report_backlog(),
-            Timer::SettingsCheck => self.look_at_settings(),
-            Timer::Shutdown => self.go_on_stopping(),
+            Timer::SettingsCheck => self.check_settings_file(),
+            Timer::Shutdown => self.continue_shutdown(),
         }
     }
 
-    pub(super) fn signalled(&mut self, signal: Signal) {
+    pub(super) fn on_signal(&mut self, signal: Signal) {
         self.net.clear_signal(signal);
         match signal {
-            Signal::Stop => self.stop(),
-            Signal::Reload => self.reload(),
+            Signal::Stop => self.begin_shutdown(),
+            Signal::Reload => self.reload_settings(),
         }
     }
 
     /// Whether the platform may send clients.
     pub(super) fn is_ready(&self) -> bool {
-        let serves_keys = self.freshness.serves_keys(self.net.clock.now());
+        let can_serve_keys = self.freshness.can_serve_keys(self.net.clock.now());
         let in_force = self.configuration.get();
         self.shutdown.is_none()
-            && in_force.is_some_and(|it| serves_keys || it.document().tenants().is_none())
+            && in_force.is_some_and(|it| can_serve_keys || it.document().tenants().is_none())
     }
 }
--- a/fleet/src/router/handlers/intake.rs
+++ b/fleet/src/router/handlers/intake.rs
@@ -6,7 +6,7 @@
 use crate::router::admission::Admission;
 use crate::router::client_connections::ClientEvent;
 use crate::router::client_request::ClientRequest;
-use crate::router::local_response::{LocalResponse, RETRY_AFTER};
+use crate::router::local_response::{LocalResponse, DEFAULT_RETRY_AFTER_US};
 use crate::router::reactor::Timer;
 use crate::router::rejection::RejectionReason;
 use crate::router::request_table::{RequestPhase, RequestState};
@@ -20,32 +20,34 @@
 
 /// Advice to clients of a process that ends: other routers are ready now, and tries that follow go
 /// to them (microseconds).
-pub(crate) const RETRY_ELSEWHERE: Micros = 20_000;
+pub(crate) const SHUTDOWN_RETRY_AFTER_US: Micros = 20_000;
 
 impl Router {
     /// Takes in what clients have done.
-    pub(crate) fn take_client_events(&mut self) {
+    pub(crate) fn handle_client_events(&mut self) {
         while !self.client_events.is_empty() {
             for event in std::mem::take(&mut self.client_events) {
                 match event {
-                    ClientEvent::RequestReceived(client, request) => self.take(client, *request),
-                    ClientEvent::Disconnected(client) => self.client_left(client),
-                    ClientEvent::OutputDrained(client) => self.client_drained(client),
+                    ClientEvent::RequestReceived(client, request) => {
+                        self.on_request_received(client, *request)
+                    }
+                    ClientEvent::Disconnected(client) => self.on_client_disconnected(client),
+                    ClientEvent::OutputDrained(client) => self.on_client_output_drained(client),
                 }
             }
         }
     }
 
-    pub(super) fn take(&mut self, client: ConnId, request: ClientRequest) {
-        if let Err(turned) = self.admit(client, request) {
-            self.turn_away(client, &turned);
+    pub(super) fn on_request_received(&mut self, client: ConnId, request: ClientRequest) {
+        if let Err(reason) = self.admit(client, request) {
+            self.reject(client, &reason);
         }
     }
 
     /// Answers a request at once.
-    pub(crate) fn turn_away(&mut self, client: ConnId, turned: &RejectionReason) {
-        self.counters.on_turned(turned);
-        let answer = match turned {
+    pub(crate) fn reject(&mut self, client: ConnId, reason: &RejectionReason) {
+        self.counters.on_rejected(reason);
+        let answer = match reason {
             RejectionReason::Unavailable(after) => LocalResponse::refused(*after),
             RejectionReason::NoRoute => LocalResponse::plain(404),
             RejectionReason::UnknownKey => LocalResponse::plain(401),
@@ -53,7 +55,7 @@
             RejectionReason::Malformed => LocalResponse::plain(400),
         };
         self.clients
-            .answer_own(&mut self.net, client, &answer, &mut self.client_events);
+            .respond_locally(&mut self.net, client, &answer, &mut self.client_events);
     }
 
     pub(super) fn admit(
@@ -62,19 +64,19 @@
         request: ClientRequest,
     ) -> Result<(), RejectionReason> {
         let now = self.net.clock.now();
-        let admission = self.examine(now, &request)?;
+        let admission = self.resolve_route(now, &request)?;
         if self
             .shutdown
-            .is_some_and(|shutdown| !shutdown.takes(now, admission.deadline))
+            .is_some_and(|shutdown| !shutdown.accepts(now, admission.deadline))
         {
-            return Err(RejectionReason::Unavailable(Some(RETRY_ELSEWHERE)));
+            return Err(RejectionReason::Unavailable(Some(SHUTDOWN_RETRY_AFTER_US)));
         }
-        self.check_room(&request)?;
-        self.admit_by_quota(client, request, admission)
+        self.check_capacity(&request)?;
+        self.admit_within_quota(client, request, admission)
     }
 
     /// Holds a request that may go, and hands it to its service.
-    pub(crate) fn hold(
+    pub(crate) fn accept_request(
         &mut self,
         client: ConnId,
         request: ClientRequest,
@@ -84,44 +86,46 @@
         let Admission {
             terms,
             service,
-            configuration,
+            configuration_version,
             sender,
             deadline,
         } = admission;
-        let id = self.exchanges.next_id();
+        let id = self.requests.next_id();
         let core = self
             .services
             .get_mut(service)
-            .ok_or(RejectionReason::Unavailable(Some(RETRY_AFTER)))?;
-        let ask = RouteRequest {
-            exchange: id,
+            .ok_or(RejectionReason::Unavailable(Some(DEFAULT_RETRY_AFTER_US)))?;
+        let route_request = RouteRequest {
+            request_id: id,
             terms: &terms,
             prompt: request.prompt,
             deadline,
         };
-        let (query, class) = core.take(now, &ask).map_err(|refusal| match refusal {
-            Refusal::Busy(after) => RejectionReason::Unavailable(after),
-            Refusal::Stopping | Refusal::Contract(_) => {
-                RejectionReason::Unavailable(Some(RETRY_AFTER))
-            }
-            Refusal::Malformed(_) => RejectionReason::Malformed,
-        })?;
-        self.exchanges.insert(RequestState {
+        let (query, class_index) =
+            core.take(now, &route_request)
+                .map_err(|refusal| match refusal {
+                    Refusal::Busy(after) => RejectionReason::Unavailable(after),
+                    Refusal::Stopping | Refusal::Contract(_) => {
+                        RejectionReason::Unavailable(Some(DEFAULT_RETRY_AFTER_US))
+                    }
+                    Refusal::Malformed(_) => RejectionReason::Malformed,
+                })?;
+        self.requests.insert(RequestState {
             client,
-            request: Rc::new(request),
+            client_request: Rc::new(request),
             terms,
             service,
             sender,
-            query: Some(query),
-            class,
-            taken: now,
-            configuration,
+            core_query: Some(query),
+            class_index,
+            received_at: now,
+            configuration_version,
             deadline,
             phase: RequestPhase::Pending,
-            out: Vec::new(),
-            may_have_run: 0,
-            sends: 0,
-            failure: None,
+            in_flight: Vec::new(),
+            possible_executions: 0,
+            send_count: 0,
+            last_failure: None,
         });
         self.net.wheel.set(deadline, Timer::RequestDeadline(id));
         Ok(())
@@ -129,7 +133,7 @@
 
     /// The route's terms, the service, drawn once by weight, the sender, and the version of the
     /// configuration that says so.
-    pub(super) fn examine(
+    pub(super) fn resolve_route(
         &mut self,
         now: Time,
         request: &ClientRequest,
@@ -138,7 +142,7 @@
         let in_force = self
             .configuration
             .get()
-            .ok_or(RejectionReason::Unavailable(Some(RETRY_AFTER)))?;
+            .ok_or(RejectionReason::Unavailable(Some(DEFAULT_RETRY_AFTER_US)))?;
         let route = in_force
             .route(&request.host, request.path())
             .ok_or(RejectionReason::NoRoute)?;
@@ -150,40 +154,40 @@
         let service = self
             .services
             .id_of(route.draw(random))
-            .ok_or(RejectionReason::Unavailable(Some(RETRY_AFTER)))?;
+            .ok_or(RejectionReason::Unavailable(Some(DEFAULT_RETRY_AFTER_US)))?;
         let deadline = now.plus(
             request
                 .deadline
                 .map_or(terms.timeout, |left| micros(left).min(terms.timeout)),
         );
-        let configuration = in_force.document().version();
+        let configuration_version = in_force.document().version();
         Ok(Admission {
             terms,
             service,
-            configuration,
+            configuration_version,
             sender,
             deadline,
         })
     }
 
     /// Guards memory: what is held is bounded.
-    pub(super) fn check_room(&self, request: &ClientRequest) -> Result<(), RejectionReason> {
+    pub(super) fn check_capacity(&self, request: &ClientRequest) -> Result<(), RejectionReason> {
         let capacity = self.options.capacity;
-        let full = self.exchanges.len() + self.awaiting_quota.len() >= capacity.requests as usize
-            || self.exchanges.bytes() + request.bytes() > capacity.bytes;
+        let full = self.requests.len() + self.quota_waiters.len() >= capacity.max_requests as usize
+            || self.requests.buffered_bytes() + request.bytes() > capacity.max_bytes;
         match full {
-            true => Err(RejectionReason::Unavailable(Some(RETRY_AFTER))),
+            true => Err(RejectionReason::Unavailable(Some(DEFAULT_RETRY_AFTER_US))),
             false => Ok(()),
         }
     }
 
     /// A client has left: there is nobody to answer, and nothing more is sent for it.
-    pub(super) fn client_left(&mut self, client: ConnId) {
-        if self.awaiting_quota.remove(&client).is_some() {
+    pub(super) fn on_client_disconnected(&mut self, client: ConnId) {
+        if self.quota_waiters.remove(&client).is_some() {
             self.allowances.cancel(client);
         }
-        if let Some(id) = self.exchanges.of_client(client) {
-            self.drop_exchange(id);
+        if let Some(id) = self.requests.id_of_client(client) {
+            self.remove_request(id);
         }
     }
 }
--- a/fleet/src/router/handlers/quota.rs
+++ b/fleet/src/router/handlers/quota.rs
@@ -5,10 +5,10 @@
 //! to no server.
 
 use crate::invariants::{self, Invariant};
-use crate::router::admission::{need, Admission, AwaitingQuota};
+use crate::router::admission::{quota_demand, Admission, QuotaWaiter};
 use crate::router::client_request::ClientRequest;
 use crate::router::configuration::ActiveConfiguration;
-use crate::router::local_response::RETRY_AFTER;
+use crate::router::local_response::DEFAULT_RETRY_AFTER_US;
 use crate::router::reactor::Timer;
 use crate::router::rejection::RejectionReason;
 use crate::router::sender::{KeyDenial, Sender};
@@ -22,15 +22,15 @@
 
 /// Part of a route's target latency that a request may wait for its quota: who is refused within a
 /// quarter of it may come back in time.
-pub(crate) const WAIT_SHARE: Micros = 4;
+pub(crate) const QUOTA_WAIT_DIVISOR: Micros = 4;
 
 /// It may wait so long in any case (microseconds): a holder that is gone takes 60 ms to be passed
 /// over.
-pub(crate) const LEAST_WAIT: Micros = 90_000;
+pub(crate) const MIN_QUOTA_WAIT_US: Micros = 90_000;
 
 /// What a turn of the loop may take between a look at the clock and its effect (microseconds): the
 /// bounds on quotas leave room for that.
-pub(crate) const TURN: Micros = 250_000;
+pub(crate) const MAX_TURN_US: Micros = 250_000;
 
 impl Router {
     /// Finds the sender of a request, and checks that what is known of keys is fresh enough to go
@@ -44,12 +44,14 @@
         let now = self.net.clock.now();
         match in_force.sender(public, key) {
             Ok(None) => Ok(None),
-            Ok(Some(_)) if !self.freshness.serves_keys(now) => {
-                Err(RejectionReason::Unavailable(Some(RETRY_AFTER)))
+            Ok(Some(_)) if !self.freshness.can_serve_keys(now) => {
+                Err(RejectionReason::Unavailable(Some(DEFAULT_RETRY_AFTER_US)))
             }
             Ok(Some((tenant, key))) => Ok(Some(Rc::new(Sender::new(tenant, key)))),
-            Err(_) if self.freshness.is_sure(now) => Err(RejectionReason::UnknownKey),
-            Err(_) => Err(RejectionReason::Unavailable(Some(RETRY_AFTER))),
+            Err(_) if self.freshness.can_reject_unknown_keys(now) => {
+                Err(RejectionReason::UnknownKey)
+            }
+            Err(_) => Err(RejectionReason::Unavailable(Some(DEFAULT_RETRY_AFTER_US))),
         }
     }
 
@@ -59,7 +61,7 @@
         let (Some(sender), Some(in_force)) = (sender, self.configuration.get()) else {
             return Ok(());
         };
-        if !self.freshness.serves_keys(self.net.clock.now()) {
+        if !self.freshness.can_serve_keys(self.net.clock.now()) {
             return Err(KeyDenial::StaleConfiguration);
         }
         // Without tenants, nobody is asked for a key.
@@ -69,7 +71,7 @@
     }
 
     /// Lets a request through if its tenant's quota allows it, or keeps it until that is known.
-    pub(crate) fn admit_by_quota(
+    pub(crate) fn admit_within_quota(
         &mut self,
         client: ConnId,
         request: ClientRequest,
@@ -82,23 +84,27 @@
                 .and_then(|in_force| in_force.tenant(&sender.tenant))
         });
         let Some(tenant) = tenant.filter(|tenant| tenant.quota.is_some()) else {
-            return self.hold(client, request, admission);
+            return self.accept_request(client, request, admission);
         };
-        let need = need(tenant, &request)?;
-        let wait = (admission.terms.target_latency / WAIT_SHARE).max(LEAST_WAIT);
+        let quota_demand = quota_demand(tenant, &request)?;
+        let wait = (admission.terms.target_latency / QUOTA_WAIT_DIVISOR).max(MIN_QUOTA_WAIT_US);
         let until = now.plus(wait).min(admission.deadline);
-        match self.allowances.admit(now, tenant, need, client, until) {
+        match self
+            .allowances
+            .admit(now, tenant, quota_demand, client, until)
+        {
             AdmissionOutcome::Admitted(valid_until) => {
                 let name = tenant.name.clone();
-                let held = self.hold(client, request, admission);
+                let held = self.accept_request(client, request, admission);
                 if held.is_err() {
-                    self.allowances.return_unused(&name, need, valid_until);
+                    self.allowances
+                        .return_unused(&name, quota_demand, valid_until);
                 }
                 held
             }
             AdmissionOutcome::Queued => {
-                self.awaiting_quota
-                    .insert(client, AwaitingQuota { request, admission });
+                self.quota_waiters
+                    .insert(client, QuotaWaiter { request, admission });
                 self.net.wheel.set(until, Timer::Quota);
                 Ok(())
             }
@@ -108,8 +114,8 @@
     }
 
     /// Sends the draws that are due, and asks whether what is in force is current.
-    pub(crate) fn tell_control_of_tenants(&mut self) {
-        if self.link.take_lost() {
+    pub(crate) fn send_tenant_messages(&mut self) {
+        if self.control_link.take_connection_lost() {
             self.on_backlog_link_lost();
             self.allowances.on_link_lost();
             self.freshness.on_link_lost();
@@ -118,24 +124,24 @@
             .configuration
             .get()
             .is_some_and(|in_force| in_force.document().tenants().is_some());
-        if !has_tenants || !self.link.is_greeted() {
+        if !has_tenants || !self.control_link.is_handshake_sent() {
             return;
         }
         let now = self.net.clock.now();
-        if self.freshness.asks(now) {
-            self.link
+        if self.freshness.take_confirmation_due(now) {
+            self.control_link
                 .send_tenant_message(&mut self.net, &TenantMessage::Confirm { sent_at_us: now.0 });
         }
-        for (id, draw) in self.allowances.lease_requests(now) {
-            self.link.send_tenant_message(
+        for (id, lease_request) in self.allowances.lease_requests(now) {
+            self.control_link.send_tenant_message(
                 &mut self.net,
-                &TenantMessage::LeaseRequest(draw_request(id, draw)),
+                &TenantMessage::LeaseRequest(lease_request_message(id, lease_request)),
             );
         }
     }
 
     /// A control machine has answered a draw.
-    pub(crate) fn on_drawn(&mut self, answer: QuotaLeaseResponse) {
+    pub(crate) fn on_lease_response(&mut self, answer: QuotaLeaseResponse) {
         let now = self.net.clock.now();
         let grant = LeaseGrant {
             granted_bits: answer.granted_bits,
@@ -143,36 +149,36 @@
             retry_after_us: answer.retry_after_us,
         };
         let decided = self.allowances.on_grant(now, answer.id, grant);
-        self.end_waits(decided);
+        self.finish_quota_waits(decided);
     }
 
     /// Ends waits that have lasted for too long.
-    pub(crate) fn look_at_quota(&mut self) {
+    pub(crate) fn expire_quota_waiters(&mut self) {
         let now = self.net.clock.now();
         let ended = self.allowances.expire(now);
-        self.end_waits(ended);
+        self.finish_quota_waits(ended);
         if let Some(at) = self.allowances.next_wake() {
             self.net.wheel.set(at, Timer::Quota);
         }
     }
 
     /// Refuses all that wait: this process ends.
-    pub(crate) fn refuse_awaiting_quota(&mut self) {
-        let waiting: Vec<ConnId> = self.awaiting_quota.keys().copied().collect();
+    pub(crate) fn reject_quota_waiters(&mut self) {
+        let waiting: Vec<ConnId> = self.quota_waiters.keys().copied().collect();
         for client in waiting {
             self.allowances.cancel(client);
-            self.awaiting_quota.remove(&client);
-            self.turn_away(client, &RejectionReason::Unavailable(None));
+            self.quota_waiters.remove(&client);
+            self.reject(client, &RejectionReason::Unavailable(None));
         }
     }
 
-    fn end_waits(&mut self, decided: Vec<AdmissionDecision<ConnId>>) {
+    fn finish_quota_waits(&mut self, decided: Vec<AdmissionDecision<ConnId>>) {
         for AdmissionDecision {
             request: waiter,
             outcome: taken,
         } in decided
         {
-            let Some(AwaitingQuota { request, admission }) = self.awaiting_quota.remove(&waiter)
+            let Some(QuotaWaiter { request, admission }) = self.quota_waiters.remove(&waiter)
             else {
                 continue;
             };
@@ -181,10 +187,10 @@
                     match self.check_sender(admission.sender.as_deref()) {
                         Ok(()) => {
                             invariants::check(
-                                self.net.clock.now() <= until.plus(TURN),
+                                self.net.clock.now() <= until.plus(MAX_TURN_US),
                                 Invariant::GrantIsValid,
                             );
-                            self.hold(waiter, request, admission)
+                            self.accept_request(waiter, request, admission)
                         }
                         Err(denial) => Err(RejectionReason::of(denial)),
                     }
@@ -193,22 +199,24 @@
                 AdmissionOutcome::Unavailable(wait) => {
                     Err(RejectionReason::Unavailable(Some(wait)))
                 }
-                AdmissionOutcome::Queued => Err(RejectionReason::Unavailable(Some(RETRY_AFTER))),
+                AdmissionOutcome::Queued => {
+                    Err(RejectionReason::Unavailable(Some(DEFAULT_RETRY_AFTER_US)))
+                }
             };
-            if let Err(turned) = outcome {
-                self.turn_away(waiter, &turned);
+            if let Err(reason) = outcome {
+                self.reject(waiter, &reason);
             }
         }
     }
 }
 
-pub(crate) fn draw_request(id: u64, draw: LeaseRequest) -> QuotaLeaseRequest {
+pub(crate) fn lease_request_message(id: u64, lease_request: LeaseRequest) -> QuotaLeaseRequest {
     let LeaseRequest {
         tenant,
         unit,
         amounts,
         prefetch_amount,
-    } = draw;
+    } = lease_request;
     let unit = match unit {
         QuotaUnit::Requests => QuotaLeaseUnit::Requests,
         QuotaUnit::Tokens => QuotaLeaseUnit::Tokens,
--- a/fleet/src/router/handlers/relay.rs
+++ b/fleet/src/router/handlers/relay.rs
@@ -14,14 +14,14 @@
 use lichenswitch_net::ConnId;
 
 /// Reading of a server rests while its client has so many bytes still to take.
-const UNWRITTEN_MOST: usize = 128 * 1_024;
+const MAX_UNWRITTEN_BYTES: usize = 128 * 1_024;
 
 /// A stream that has less time left than this is not taken up elsewhere (microseconds).
-const RESUME_LEAST: Micros = 50_000;
+const MIN_RESUME_TIME_US: Micros = 50_000;
 
 impl Router {
     /// An answer has begun that is passed on as it comes.
-    pub(crate) fn begun(
+    pub(crate) fn on_stream_started(
         &mut self,
         id: AttemptId,
         head: ResponseHead,
@@ -29,31 +29,33 @@
         part: BodyChunk,
     ) {
         // An attempt that nobody waits for has been given up, and its connection closed.
-        let Some(exchange_id) = self.exchanges.of_attempt(id) else {
+        let Some(request_id) = self.requests.id_of_attempt(id) else {
             return;
         };
-        let Some(exchange) = self.exchanges.get_mut(exchange_id) else {
+        let Some(request) = self.requests.get_mut(request_id) else {
             return;
         };
-        let (client, service) = (exchange.client, exchange.service);
-        let Some(server) = exchange
-            .out
+        let (client, service) = (request.client, request.service);
+        let Some(server) = request
+            .in_flight
             .iter()
             .find(|out| out.id == id)
             .map(|out| out.server)
         else {
             return;
         };
-        let resumes = match &exchange.phase {
+        let resumes = match &request.phase {
             RequestPhase::Pending => false,
-            RequestPhase::Resuming { last_event_id } if goes_on(last_event_id, &head, &part) => {
+            RequestPhase::Resuming { last_event_id }
+                if continues_after(last_event_id, &head, &part) =>
+            {
                 true
             }
             RequestPhase::Resuming { .. } | RequestPhase::Relaying(_) => {
                 // A second answer, or one that does not go on where the first broke off.
                 self.connections.withdraw(&mut self.net, id);
-                self.exchanges.on_ended(id, Outcome::Cancelled);
-                return self.tell_core(id, Outcome::Error);
+                self.requests.on_attempt_ended(id, Outcome::Cancelled);
+                return self.report_outcome(id, Outcome::Error);
             }
         };
         let last_event_id = part.last_event_id.clone();
@@ -61,15 +63,15 @@
             attempt: id,
             server,
             last_event_id,
-            paused: false,
+            is_paused: false,
         };
         // The module gives the others up as well, a turn later.
-        for loser in self.exchanges.on_begun(exchange_id, relay) {
+        for loser in self.requests.on_relay_started(request_id, relay) {
             self.connections.withdraw(&mut self.net, loser);
         }
-        self.tell_core(id, Outcome::Ok);
-        if let Some(exchange) = self.exchanges.get_mut(exchange_id) {
-            exchange.query = None;
+        self.report_outcome(id, Outcome::Ok);
+        if let Some(request) = self.requests.get_mut(request_id) {
+            request.core_query = None;
         }
         if let Some(service) = self.services.get_mut(service) {
             service.on_load(head.load);
@@ -77,139 +79,145 @@
         }
         if !resumes {
             self.clients
-                .begin(&mut self.net, client, &head.encode(), length);
+                .begin_response(&mut self.net, client, &head.encode(), length);
         }
-        self.clients.pass(&mut self.net, client, &part.bytes);
-        self.flush(exchange_id, client);
+        self.clients.write_chunk(&mut self.net, client, &part.bytes);
+        self.flush_relay(request_id, client);
     }
 
     /// More of an answer that is being passed on.
-    pub(crate) fn more(&mut self, id: AttemptId, part: BodyChunk) {
+    pub(crate) fn on_chunk_received(&mut self, id: AttemptId, part: BodyChunk) {
         // An attempt that nobody waits for has been given up, and its connection closed.
-        let Some(exchange_id) = self.exchanges.of_attempt(id) else {
+        let Some(request_id) = self.requests.id_of_attempt(id) else {
             return;
         };
-        let Some(exchange) = self.exchanges.get_mut(exchange_id) else {
+        let Some(request) = self.requests.get_mut(request_id) else {
             return;
         };
-        let RequestPhase::Relaying(relay) = &mut exchange.phase else {
+        let RequestPhase::Relaying(relay) = &mut request.phase else {
             return;
         };
         if part.last_event_id.is_some() {
             relay.last_event_id = part.last_event_id;
         }
-        let client = exchange.client;
-        self.clients.pass(&mut self.net, client, &part.bytes);
-        self.flush(exchange_id, client);
+        let client = request.client;
+        self.clients.write_chunk(&mut self.net, client, &part.bytes);
+        self.flush_relay(request_id, client);
     }
 
     /// An answer that is being passed on is complete.
-    pub(crate) fn completed(&mut self, id: AttemptId, rest: &[u8]) {
-        let Some(exchange_id) = self.exchanges.of_attempt(id) else {
+    pub(crate) fn on_stream_completed(&mut self, id: AttemptId, rest: &[u8]) {
+        let Some(request_id) = self.requests.id_of_attempt(id) else {
             return;
         };
-        let Some(exchange) = self.finish(exchange_id) else {
+        let Some(request) = self.remove_request(request_id) else {
             return;
         };
-        self.clients.pass(&mut self.net, exchange.client, rest);
         self.clients
-            .end(&mut self.net, exchange.client, &mut self.client_events);
+            .write_chunk(&mut self.net, request.client, rest);
+        self.clients
+            .end_response(&mut self.net, request.client, &mut self.client_events);
     }
 
     /// The server of an answer that is being passed on broke off.
-    pub(crate) fn broken_off(&mut self, id: RequestId, outcome: Outcome) {
-        if !self.resume(id) {
-            self.cut(id, AbortReason::ServerEnded(outcome));
+    pub(crate) fn on_stream_interrupted(&mut self, id: RequestId, outcome: Outcome) {
+        if !self.resume_stream(id) {
+            self.abort_response(id, AbortReason::ServerEnded(outcome));
         }
     }
 
     /// Asks for the rest of a stream at another server, where the rules and the budget allow it.
-    fn resume(&mut self, id: RequestId) -> bool {
+    fn resume_stream(&mut self, id: RequestId) -> bool {
         let now = self.net.clock.now();
-        let Some(exchange) = self.exchanges.get(id) else {
+        let Some(request) = self.requests.get(id) else {
             return false;
         };
-        let RequestPhase::Relaying(relay) = &exchange.phase else {
+        let RequestPhase::Relaying(relay) = &request.phase else {
             return false;
         };
-        let in_time = exchange.deadline.since(now) >= RESUME_LEAST;
+        let in_time = request.deadline.since(now) >= MIN_RESUME_TIME_US;
         let Some(last_event_id) = relay.last_event_id.clone() else {
             return false;
         };
-        if !exchange.terms.resumable || !exchange.may_send() || !in_time {
+        if !request.terms.resumable || !request.may_start_attempt() || !in_time {
             return false;
         }
-        let (server, deadline, prompt) = (relay.server, exchange.deadline, exchange.request.prompt);
-        let mut terms = exchange.terms.clone();
+        let (server, deadline, prompt) = (
+            relay.server,
+            request.deadline,
+            request.client_request.prompt,
+        );
+        let mut terms = request.terms.clone();
         // The module begins anew: it gets what is left of the route's attempts.
-        terms.max_attempts -= exchange.sends.min(terms.max_attempts - 1);
-        let Some(service) = self.services.get_mut(exchange.service) else {
+        terms.max_attempts -= request.send_count.min(terms.max_attempts - 1);
+        let Some(service) = self.services.get_mut(request.service) else {
             return false;
         };
-        let ask = RouteRequest {
-            exchange: id,
+        let route_request = RouteRequest {
+            request_id: id,
             terms: &terms,
             prompt,
             deadline,
         };
-        let Some((query, class)) = service.take_resumed(now, &ask) else {
+        let Some((query, class)) = service.take_resumed(now, &route_request) else {
             return false;
         };
         service.stream_ended(server);
-        self.exchanges.on_broken_off(id, last_event_id);
-        let Some(exchange) = self.exchanges.get_mut(id) else {
+        self.requests.on_relay_interrupted(id, last_event_id);
+        let Some(request) = self.requests.get_mut(id) else {
             return false;
         };
-        service.release(std::mem::replace(&mut exchange.class, class));
-        exchange.query = Some(query);
+        service.release(std::mem::replace(&mut request.class_index, class));
+        request.core_query = Some(query);
         true
     }
 
     /// A stream that goes on elsewhere came to its end there at once, or can't go on.
-    pub(crate) fn resumed_whole(&mut self, id: RequestId, answer: &BufferedResponse) {
+    pub(crate) fn on_resumed_response(&mut self, id: RequestId, answer: &BufferedResponse) {
         let nothing_more = answer.head.event_stream
             && (200..300).contains(&answer.head.status)
             && answer.body.iter().all(|byte| matches!(byte, b'\r' | b'\n'));
         if !nothing_more {
-            return self.cut(id, AbortReason::NotResumed);
+            return self.abort_response(id, AbortReason::NotResumed);
         }
-        if let Some(exchange) = self.finish(id) {
+        if let Some(request) = self.remove_request(id) {
             self.clients
-                .end(&mut self.net, exchange.client, &mut self.client_events);
+                .end_response(&mut self.net, request.client, &mut self.client_events);
         }
     }
 
     /// Writes what has been passed on; its server rests while the client is behind.
-    fn flush(&mut self, id: RequestId, client: ConnId) {
+    fn flush_relay(&mut self, id: RequestId, client: ConnId) {
         let unwritten = self
             .clients
             .flush(&mut self.net, client, &mut self.client_events);
-        self.set_paused(id, unwritten > UNWRITTEN_MOST);
+        self.set_relay_paused(id, unwritten > MAX_UNWRITTEN_BYTES);
     }
 
     /// A client has taken all that was written so far.
-    pub(crate) fn client_drained(&mut self, client: ConnId) {
-        if let Some(id) = self.exchanges.of_client(client) {
-            self.set_paused(id, false);
+    pub(crate) fn on_client_output_drained(&mut self, client: ConnId) {
+        if let Some(id) = self.requests.id_of_client(client) {
+            self.set_relay_paused(id, false);
         }
     }
 
-    fn set_paused(&mut self, id: RequestId, on: bool) {
-        let Some(exchange) = self.exchanges.get_mut(id) else {
+    fn set_relay_paused(&mut self, id: RequestId, on: bool) {
+        let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        let RequestPhase::Relaying(relay) = &mut exchange.phase else {
+        let RequestPhase::Relaying(relay) = &mut request.phase else {
             return;
         };
-        if std::mem::replace(&mut relay.paused, on) != on {
-            self.connections.pause(&mut self.net, relay.attempt, on);
+        if std::mem::replace(&mut relay.is_paused, on) != on {
+            self.connections
+                .set_paused(&mut self.net, relay.attempt, on);
         }
     }
 }
 
 /// Whether an answer goes on behind this event: a stream of events whose ids are beyond it, where
 /// both are numbers.
-fn goes_on(last: &[u8], head: &ResponseHead, part: &BodyChunk) -> bool {
+fn continues_after(last: &[u8], head: &ResponseHead, part: &BodyChunk) -> bool {
     let number = |id: &[u8]| std::str::from_utf8(id).ok()?.trim().parse::<u64>().ok();
     let beyond = match (number(last), part.last_event_id.as_deref().and_then(number)) {
         (Some(last), Some(next)) => next > last,
--- a/fleet/src/router/handlers/responses.rs
+++ b/fleet/src/router/handlers/responses.rs
@@ -12,37 +12,37 @@
 
 impl Router {
     /// Takes in what servers have answered.
-    pub(crate) fn take_server_events(&mut self) {
+    pub(crate) fn handle_server_events(&mut self) {
         for event in self.connections.take_events() {
             match event {
-                ServerEvent::ResponseReceived(id, answer) => self.answered(id, answer),
+                ServerEvent::ResponseReceived(id, answer) => self.on_response_received(id, answer),
                 ServerEvent::StreamStarted(id, head, length, part) => {
-                    self.begun(id, *head, length, part)
+                    self.on_stream_started(id, *head, length, part)
                 }
-                ServerEvent::ChunkReceived(id, part) => self.more(id, part),
-                ServerEvent::StreamCompleted(id, rest) => self.completed(id, &rest),
-                ServerEvent::AttemptFailed(id, outcome) => self.failed(id, outcome),
+                ServerEvent::ChunkReceived(id, part) => self.on_chunk_received(id, part),
+                ServerEvent::StreamCompleted(id, rest) => self.on_stream_completed(id, &rest),
+                ServerEvent::AttemptFailed(id, outcome) => self.on_attempt_failed(id, outcome),
             }
         }
     }
 
     /// An attempt ended without an answer.
-    pub(super) fn failed(&mut self, id: AttemptId, outcome: Outcome) {
-        let relays = self.exchanges.of_attempt(id).filter(|e| {
-            self.exchanges
+    pub(super) fn on_attempt_failed(&mut self, id: AttemptId, outcome: Outcome) {
+        let relays = self.requests.id_of_attempt(id).filter(|e| {
+            self.requests
                 .get(*e)
-                .is_some_and(|exchange| exchange.relays(id))
+                .is_some_and(|request| request.is_relayed_from(id))
         });
-        if let Some(exchange) = relays {
-            return self.broken_off(exchange, outcome);
+        if let Some(request) = relays {
+            return self.on_stream_interrupted(request, outcome);
         }
-        self.exchanges.on_ended(id, outcome);
-        self.tell_core(id, outcome);
+        self.requests.on_attempt_ended(id, outcome);
+        self.report_outcome(id, outcome);
     }
 
     /// A server has answered, whole.
-    pub(super) fn answered(&mut self, id: AttemptId, answer: BufferedResponse) {
-        let Some(exchange_id) = self.exchanges.of_attempt(id) else {
+    pub(super) fn on_response_received(&mut self, id: AttemptId, answer: BufferedResponse) {
+        let Some(request_id) = self.requests.id_of_attempt(id) else {
             return;
         };
         if let Some(service) = self.services.get_mut(id.service) {
@@ -50,52 +50,48 @@
         }
         match meaning(&answer.head) {
             ResponseOutcome::NotExecuted => {
-                self.exchanges.on_ended(id, Outcome::Rejected);
-                self.tell_core(id, Outcome::Rejected);
+                self.requests.on_attempt_ended(id, Outcome::Rejected);
+                self.report_outcome(id, Outcome::Rejected);
             }
             ResponseOutcome::Failure { passes } => {
-                self.exchanges.on_ended(id, Outcome::Error);
-                if let Some(exchange) = self.exchanges.get_mut(exchange_id).filter(|_| passes) {
-                    exchange.failure = Some(answer);
+                self.requests.on_attempt_ended(id, Outcome::Error);
+                if let Some(request) = self.requests.get_mut(request_id).filter(|_| passes) {
+                    request.last_failure = Some(answer);
                 }
-                self.tell_core(id, Outcome::Error);
+                self.report_outcome(id, Outcome::Error);
             }
-            ResponseOutcome::Final => self.answered_finally(exchange_id, id, &answer),
+            ResponseOutcome::Final => self.on_final_response(request_id, id, &answer),
         }
     }
 
-    pub(super) fn answered_finally(
+    pub(super) fn on_final_response(
         &mut self,
-        exchange_id: RequestId,
+        request_id: RequestId,
         id: AttemptId,
         answer: &BufferedResponse,
     ) {
-        self.exchanges.on_ended(id, Outcome::Ok);
-        self.tell_core(id, Outcome::Ok);
+        self.requests.on_attempt_ended(id, Outcome::Ok);
+        self.report_outcome(id, Outcome::Ok);
         // The module has its answer, and ends the query by itself.
-        if let Some(exchange) = self.exchanges.get_mut(exchange_id) {
-            exchange.query = None;
+        if let Some(request) = self.requests.get_mut(request_id) {
+            request.core_query = None;
         }
-        match self
-            .exchanges
-            .get(exchange_id)
-            .map(|exchange| &exchange.phase)
-        {
-            Some(RequestPhase::Pending) => self.pass_on(exchange_id, answer),
+        match self.requests.get(request_id).map(|request| &request.phase) {
+            Some(RequestPhase::Pending) => self.forward_response(request_id, answer),
             // The stream that goes on has nothing more, or can't go on here.
-            Some(RequestPhase::Resuming { .. }) => self.resumed_whole(exchange_id, answer),
+            Some(RequestPhase::Resuming { .. }) => self.on_resumed_response(request_id, answer),
             Some(RequestPhase::Relaying(_)) | None => {}
         }
     }
 
     /// Gives a client a server's whole answer.
-    pub(super) fn pass_on(&mut self, id: RequestId, answer: &BufferedResponse) {
-        let Some(exchange) = self.finish(id) else {
+    pub(super) fn forward_response(&mut self, id: RequestId, answer: &BufferedResponse) {
+        let Some(request) = self.remove_request(id) else {
             return;
         };
         let (head, has_body) = (answer.head.encode(), answer.head.has_body);
-        let (client, events) = (exchange.client, &mut self.client_events);
+        let (client, events) = (request.client, &mut self.client_events);
         self.clients
-            .answer_whole(&mut self.net, client, &head, &answer.body, has_body, events);
+            .respond_complete(&mut self.net, client, &head, &answer.body, has_body, events);
     }
 }
--- a/fleet/src/router/handlers/settings_reload.rs
+++ b/fleet/src/router/handlers/settings_reload.rs
@@ -8,8 +8,8 @@
 
 impl Router {
     /// The file may have changed without a signal.
-    pub(super) fn look_at_settings(&mut self) {
-        self.check_due = true;
+    pub(super) fn check_settings_file(&mut self) {
+        self.is_check_due = true;
         let changed = match &mut self.settings_file {
             Some((path, seen)) => {
                 let now = modified(path);
@@ -18,7 +18,7 @@
             None => false,
         };
         if changed {
-            self.reload();
+            self.reload_settings();
         }
         self.net.wheel.set(
             after(self.net.clock.now(), SETTINGS_LOOK),
@@ -28,21 +28,21 @@
 
     /// Reads the settings again: seeds and the further-try budget may have changed. A faulty file
     /// changes nothing.
-    pub(super) fn reload(&mut self) {
+    pub(super) fn reload_settings(&mut self) {
         let Some((path, seen)) = &mut self.settings_file else {
             return;
         };
         *seen = modified(path);
         match Settings::read(path)
             .map_err(|e| e.to_string())
-            .and_then(|settings| Options::of(&settings).map_err(|e| e.to_string()))
+            .and_then(|settings| Options::from_settings(&settings).map_err(|e| e.to_string()))
         {
             Ok(options) => {
-                self.link.set_seeds(options.seeds.clone());
-                self.services.set_budget(options.budget);
-                self.freshness.set_terms(options.revocation);
+                self.control_link.set_seeds(options.seeds.clone());
+                self.services.set_budget(options.retry_budget);
+                self.freshness.set_bounds(options.revocation);
                 self.allowances.set_bounds(options.quota);
-                self.options.grace = options.grace;
+                self.options.grace_period = options.grace_period;
                 log::info!("settings read again");
             }
             Err(e) => log::warn!("settings stay as they were: {e}"),
--- a/fleet/src/router/handlers/shutdown.rs
+++ b/fleet/src/router/handlers/shutdown.rs
@@ -14,77 +14,81 @@
 use crate::router::ids::RequestId;
 use crate::router::reactor::{SocketOwner, Timer};
 use crate::router::request_table::RequestPhase;
-use crate::router::shutdown::{Shutdown, RESERVE};
+use crate::router::shutdown::{Shutdown, FINAL_ANSWER_RESERVE};
 use crate::router::state::Router;
 use crate::router::time::after;
 use lichenswitch_interface::Time;
 use std::time::Duration;
 
 /// How often a process that stops looks whether it has finished.
-pub(crate) const LOOK: Duration = Duration::from_millis(100);
+pub(crate) const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Router {
     /// The platform wants this process to end.
-    pub(crate) fn stop(&mut self) {
+    pub(crate) fn begin_shutdown(&mut self) {
         // Guards the end: it comes in time however often it is asked for.
         if self.shutdown.is_some() {
             return;
         }
         let now = self.net.clock.now();
-        self.shutdown = Some(Shutdown::new(now, self.options.grace));
-        self.clients.stop();
-        log::info!(requests = self.exchanges.len(), clients = self.clients.count(); "stopping");
-        self.net.wheel.set(after(now, LOOK), Timer::Shutdown);
+        self.shutdown = Some(Shutdown::new(now, self.options.grace_period));
+        self.clients.begin_shutdown();
+        log::info!(requests = self.requests.len(), clients = self.clients.connection_count(); "stopping");
+        self.net
+            .wheel
+            .set(after(now, SHUTDOWN_CHECK_INTERVAL), Timer::Shutdown);
     }
 
     /// Does what is due of a shutdown.
-    pub(crate) fn go_on_stopping(&mut self) {
+    pub(crate) fn continue_shutdown(&mut self) {
         let now = self.net.clock.now();
         let Some(mut shutdown) = self.shutdown else {
             return;
         };
-        if now >= shutdown.closes && !shutdown.closed {
-            shutdown.closed = true;
+        if now >= shutdown.listeners_close_at && !shutdown.are_listeners_closed {
+            shutdown.are_listeners_closed = true;
             // Who has connected already is served or told.
             self.clients.accept(&mut self.net);
             self.net.close_listeners(SocketOwner::Client);
         }
-        if now >= shutdown.hands_over && !shutdown.ended {
-            self.hand_streams_over(shutdown.ends);
+        if now >= shutdown.handover_at && !shutdown.are_requests_ended {
+            self.hand_over_streams(shutdown.ends_at);
         }
-        if now >= shutdown.ends && !shutdown.ended {
-            shutdown.ended = true;
-            self.refuse_awaiting_quota();
-            for id in self.exchanges.ids() {
-                self.check_finished(id, shutdown.began);
-                self.end_now(id, AbortReason::Shutdown);
+        if now >= shutdown.ends_at && !shutdown.are_requests_ended {
+            shutdown.are_requests_ended = true;
+            self.reject_quota_waiters();
+            for id in self.requests.ids() {
+                self.check_accepted_is_answered(id, shutdown.started_at);
+                self.end_request(id, AbortReason::Shutdown);
             }
         }
         self.shutdown = Some(shutdown);
-        self.net.wheel.set(after(now, LOOK), Timer::Shutdown);
+        self.net
+            .wheel
+            .set(after(now, SHUTDOWN_CHECK_INTERVAL), Timer::Shutdown);
     }
 
     /// Cuts the streams that their clients may go on with elsewhere, and that have time for it.
-    fn hand_streams_over(&mut self, ends: Time) {
-        for id in self.exchanges.ids() {
-            let Some(exchange) = self.exchanges.get(id) else {
+    fn hand_over_streams(&mut self, ends: Time) {
+        for id in self.requests.ids() {
+            let Some(request) = self.requests.get(id) else {
                 continue;
             };
-            let goes_on = exchange.terms.resumable && exchange.deadline > ends;
-            if goes_on && matches!(exchange.phase, RequestPhase::Relaying(_)) {
-                self.cut(id, AbortReason::HandedOver);
+            let continues_after = request.terms.resumable && request.deadline > ends;
+            if continues_after && matches!(request.phase, RequestPhase::Relaying(_)) {
+                self.abort_response(id, AbortReason::HandedOver);
             }
         }
     }
 
     /// Of what is held still, all was in hand when the signal came; but for what is over at this
     /// very moment.
-    fn check_finished(&self, id: RequestId, began: Time) {
+    fn check_accepted_is_answered(&self, id: RequestId, began: Time) {
         let now = self.net.clock.now();
-        let Some(exchange) = self.exchanges.get(id) else {
+        let Some(request) = self.requests.get(id) else {
             return;
         };
-        let holds = exchange.taken <= began || exchange.deadline <= now;
+        let holds = request.received_at <= began || request.deadline <= now;
         invariants::check(holds, Invariant::TakenIsFinished);
     }
 
@@ -93,8 +97,9 @@
         let Some(shutdown) = self.shutdown else {
             return false;
         };
-        let over = shutdown.ended && self.net.clock.now() >= after(shutdown.ends, RESERVE / 2);
-        let empty = self.exchanges.is_empty() && self.awaiting_quota.is_empty();
-        shutdown.closed && empty && (over || self.clients.busy(&self.net) == 0)
+        let over = shutdown.are_requests_ended
+            && self.net.clock.now() >= after(shutdown.ends_at, FINAL_ANSWER_RESERVE / 2);
+        let empty = self.requests.is_empty() && self.quota_waiters.is_empty();
+        shutdown.are_listeners_closed && empty && (over || self.clients.busy_count(&self.net) == 0)
     }
 }
--- a/fleet/src/router/handlers/stream_abort.rs
+++ b/fleet/src/router/handlers/stream_abort.rs
@@ -13,20 +13,20 @@
 
 impl Router {
     /// Cuts an answer off that has begun.
-    pub(crate) fn cut(&mut self, id: RequestId, reason: AbortReason) {
-        let Some(exchange) = self.finish(id) else {
+    pub(crate) fn abort_response(&mut self, id: RequestId, reason: AbortReason) {
+        let Some(request) = self.remove_request(id) else {
             return;
         };
-        self.log_cut(&exchange, reason);
+        self.log_abort(&request, reason);
         match reason {
             AbortReason::HandedOver => self
                 .clients
-                .cut_behind_written(&mut self.net, exchange.client),
-            _ => self.clients.cut(&mut self.net, exchange.client),
+                .abort_after_flush(&mut self.net, request.client),
+            _ => self.clients.abort(&mut self.net, request.client),
         }
     }
 
-    fn log_cut(&self, exchange: &RequestState, reason: AbortReason) {
+    fn log_abort(&self, request: &RequestState, reason: AbortReason) {
         let now = self.net.clock.now();
         let in_force = self
             .configuration
@@ -34,13 +34,13 @@
             .map_or(0, |in_force| in_force.document().version());
         log::info!(
             reason:% = reason,
-            attempt_id = exchange.request.attempt_id.as_deref().unwrap_or_default(),
-            route:% = exchange.terms.route,
-            resumable = exchange.terms.resumable,
-            age_ms = millis(now.since(exchange.taken)),
-            left_ms = millis(exchange.deadline.since(now)),
-            stopping_ms = self.shutdown.map_or(0, |shutdown| millis(now.since(shutdown.began()))),
-            taken_under = exchange.configuration,
+            attempt_id = request.client_request.attempt_id.as_deref().unwrap_or_default(),
+            route:% = request.terms.route,
+            resumable = request.terms.resumable,
+            age_ms = to_millis(now.since(request.received_at)),
+            left_ms = to_millis(request.deadline.since(now)),
+            stopping_ms = self.shutdown.map_or(0, |shutdown| to_millis(now.since(shutdown.started_at()))),
+            taken_under = request.configuration_version,
             in_force = in_force;
             "answer cut off"
         );
@@ -48,6 +48,6 @@
 }
 
 /// Whole milliseconds, as logs tell times.
-pub(crate) fn millis(time: Micros) -> u64 {
+pub(crate) fn to_millis(time: Micros) -> u64 {
     time / 1_000
 }
--- a/fleet/src/router/local_response.rs
+++ b/fleet/src/router/local_response.rs
@@ -5,7 +5,7 @@
 use std::io::Write as _;
 
 /// Advice where the module gives none (microseconds).
-pub(crate) const RETRY_AFTER: Micros = 200_000;
+pub(crate) const DEFAULT_RETRY_AFTER_US: Micros = 200_000;
 
 /// An answer of this program. It never bears a seal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,7 +41,7 @@
     pub(crate) fn refused(after: Option<Micros>) -> LocalResponse {
         LocalResponse {
             status: 503,
-            retry_after: Some(after.unwrap_or(RETRY_AFTER).max(1_000)),
+            retry_after: Some(after.unwrap_or(DEFAULT_RETRY_AFTER_US).max(1_000)),
             closes: false,
         }
     }
--- a/fleet/src/router/mod.rs
+++ b/fleet/src/router/mod.rs
@@ -77,7 +77,7 @@
     let mut router = Router::new(&settings, Some(path))?;
     router.stop_on(signal(SIGTERM)?)?;
     router.reload_on(signal(SIGHUP)?)?;
-    log::info!(node = settings.node_name.as_str(), frontend:% = router.frontend; "router listens");
+    log::info!(node = settings.node_name.as_str(), frontend:% = router.frontend_address; "router listens");
     router.serve()
 }
 
--- a/fleet/src/router/options.rs
+++ b/fleet/src/router/options.rs
@@ -7,27 +7,27 @@
 use std::time::Duration;
 
 /// Share of the memory that requests and answers which are held may take.
-const HELD_SHARE: u64 = 4;
+const BUFFER_MEMORY_DIVISOR: u64 = 4;
 /// What one request is taken to hold on average with its buffers (bytes): two connections and a
 /// prompt of some thousand tokens.
-const HELD_BYTES: u64 = 24 * 1_024;
+const BYTES_PER_REQUEST: u64 = 24 * 1_024;
 /// Descriptors kept for files, standard streams, poller, listeners and signals.
 const RESERVED_DESCRIPTORS: usize = 232;
 /// Share of `retrySlack` that all routers together use: the rest is for what their clocks and
 /// windows miss.
-pub(crate) const SLACK_SHARE: f64 = 0.8;
+pub(crate) const FLEET_SLACK_SHARE: f64 = 0.8;
 /// Part of the further-try budget that is kept for streams which go on at another server.
-pub(crate) const RESUME_SHARE: f64 = 0.25;
+pub(crate) const RESUME_BUDGET_SHARE: f64 = 0.25;
 
 /// Limits on what this process holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Capacity {
     /// Requests held at once.
-    pub requests: u32,
+    pub max_requests: u32,
     /// Bytes of requests and whole answers held.
-    pub bytes: usize,
+    pub max_bytes: usize,
     /// Descriptors for connections.
-    pub descriptors: usize,
+    pub max_descriptors: usize,
 }
 
 /// The further-try budget of the whole system.
@@ -55,17 +55,17 @@
     /// Internal addresses of the seeds.
     pub seeds: Vec<SocketAddr>,
     /// Address of this machine.
-    pub machine: std::net::IpAddr,
+    pub machine_address: std::net::IpAddr,
     /// Limits on what is held.
     pub capacity: Capacity,
     /// The further-try budget.
-    pub budget: RetryBudget,
+    pub retry_budget: RetryBudget,
     /// Bounds on revocations.
     pub revocation: RevocationBounds,
     /// Bounds on quotas.
     pub quota: lichenswitch_quota::QuotaBounds,
     /// Between SIGTERM and SIGKILL.
-    pub grace: Duration,
+    pub grace_period: Duration,
 }
 
 impl Options {
@@ -73,7 +73,7 @@
     ///
     /// # Errors
     /// They name no address for clients.
-    pub(crate) fn of(settings: &Settings) -> Result<Options, RouterError> {
+    pub(crate) fn from_settings(settings: &Settings) -> Result<Options, RouterError> {
         let bounds = &settings.bounds;
         Ok(Options {
             node: settings.node_name.clone(),
@@ -81,35 +81,35 @@
             frontend: settings.listen.frontend.ok_or(RouterError::NoFrontend)?,
             readiness: settings.listen.readiness,
             seeds: settings.seeds_internal(),
-            machine: settings.ip_address,
-            capacity: Capacity::of(settings),
-            budget: RetryBudget {
+            machine_address: settings.ip_address,
+            capacity: Capacity::from_settings(settings),
+            retry_budget: RetryBudget {
                 ratio: bounds.retry_budget_ratio,
                 slack: bounds.retry_slack,
                 window: bounds.budget_window,
             },
             revocation: RevocationBounds {
-                strict: bounds.revocation_strict,
+                is_strict: bounds.revocation_strict,
                 within: bounds.revoke,
             },
             quota: bounds.quota_terms(),
-            grace: bounds.grace_period,
+            grace_period: bounds.grace_period,
         })
     }
 }
 
 impl Capacity {
-    fn of(settings: &Settings) -> Capacity {
-        let bytes = settings.limits.memory_mb.max(16) * 1_024 * 1_024 / HELD_SHARE;
+    fn from_settings(settings: &Settings) -> Capacity {
+        let bytes = settings.limits.memory_mb.max(16) * 1_024 * 1_024 / BUFFER_MEMORY_DIVISOR;
         let descriptors = settings
             .limits
             .file_descriptors
             .saturating_sub(RESERVED_DESCRIPTORS)
             .max(64);
         Capacity {
-            requests: u32::try_from(bytes / HELD_BYTES).unwrap_or(u32::MAX),
-            bytes: usize::try_from(bytes).unwrap_or(usize::MAX),
-            descriptors,
+            max_requests: u32::try_from(bytes / BYTES_PER_REQUEST).unwrap_or(u32::MAX),
+            max_bytes: usize::try_from(bytes).unwrap_or(usize::MAX),
+            max_descriptors: descriptors,
         }
     }
 }
--- a/fleet/src/router/rejection.rs
+++ b/fleet/src/router/rejection.rs
@@ -1,6 +1,6 @@
 //! Why a request is answered at once, without an attempt.
 
-use super::local_response::RETRY_AFTER;
+use super::local_response::DEFAULT_RETRY_AFTER_US;
 use super::sender::KeyDenial;
 use lichenswitch_interface::Micros;
 
@@ -24,7 +24,9 @@
     pub(crate) fn of(denial: KeyDenial) -> RejectionReason {
         match denial {
             KeyDenial::UnknownKey => RejectionReason::UnknownKey,
-            KeyDenial::StaleConfiguration => RejectionReason::Unavailable(Some(RETRY_AFTER)),
+            KeyDenial::StaleConfiguration => {
+                RejectionReason::Unavailable(Some(DEFAULT_RETRY_AFTER_US))
+            }
         }
     }
 }
--- a/fleet/src/router/request_table.rs
+++ b/fleet/src/router/request_table.rs
@@ -38,7 +38,7 @@
     /// The id of the last event that was passed on.
     pub last_event_id: Option<Vec<u8>>,
     /// Its server is not read from, since the client is slow.
-    pub paused: bool,
+    pub is_paused: bool,
 }
 
 /// An attempt that is out.
@@ -56,66 +56,66 @@
     /// Whose it is.
     pub client: ConnId,
     /// The request.
-    pub request: Rc<ClientRequest>,
+    pub client_request: Rc<ClientRequest>,
     /// What its route said when it came.
     pub terms: RouteTerms,
     /// The service that was drawn for it.
     pub service: ServiceId,
     /// What the core calls it, as long as it has neither its answer nor its end from there.
-    pub query: Option<QueryId>,
+    pub core_query: Option<QueryId>,
     /// Index of its class there.
-    pub class: u16,
+    pub class_index: u16,
     /// Who sent it, where it bears a key that a tenant holds.
     pub sender: Option<Rc<Sender>>,
     /// When its last byte was read.
-    pub taken: Time,
+    pub received_at: Time,
     /// Version of the configuration that it was taken under.
-    pub configuration: u64,
+    pub configuration_version: u64,
     /// When its time is over: the client's, or the route's.
     pub deadline: Time,
     /// How far it has come.
     pub phase: RequestPhase,
     /// Attempts that are out.
-    pub out: Vec<InFlightAttempt>,
+    pub in_flight: Vec<InFlightAttempt>,
     /// Attempts made that are not known never to have run.
-    pub may_have_run: u32,
+    pub possible_executions: u32,
     /// Servers to which it was sent, whether it ran there or not.
-    pub sends: u32,
+    pub send_count: u32,
     /// The last failure that a server answered, to be passed on if nothing better comes.
-    pub failure: Option<BufferedResponse>,
+    pub last_failure: Option<BufferedResponse>,
 }
 
 impl RequestState {
     /// An attempt has ended in this way.
-    pub(crate) fn on_ended(&mut self, id: AttemptId, outcome: Outcome) {
-        let before = self.out.len();
-        self.out.retain(|out| out.id != id);
-        let known = self.out.len() < before;
+    pub(crate) fn on_attempt_ended(&mut self, id: AttemptId, outcome: Outcome) {
+        let before = self.in_flight.len();
+        self.in_flight.retain(|out| out.id != id);
+        let known = self.in_flight.len() < before;
         if known && outcome.never_ran() {
-            self.may_have_run = self.may_have_run.saturating_sub(1);
+            self.possible_executions = self.possible_executions.saturating_sub(1);
         }
         if known && outcome == Outcome::Moot {
-            self.sends = self.sends.saturating_sub(1);
+            self.send_count = self.send_count.saturating_sub(1);
         }
     }
 
     /// An attempt is being made.
-    pub(crate) fn on_sent(&mut self, out: InFlightAttempt) {
-        self.out.push(out);
-        self.may_have_run += 1;
-        self.sends += 1;
+    pub(crate) fn on_attempt_started(&mut self, out: InFlightAttempt) {
+        self.in_flight.push(out);
+        self.possible_executions += 1;
+        self.send_count += 1;
     }
 
     /// Whether the rules allow that it is sent once more.
     #[must_use]
-    pub(crate) fn may_send(&self) -> bool {
-        (self.terms.idempotent || self.may_have_run == 0)
-            && self.sends < self.terms.max_attempts.max(1)
+    pub(crate) fn may_start_attempt(&self) -> bool {
+        (self.terms.idempotent || self.possible_executions == 0)
+            && self.send_count < self.terms.max_attempts.max(1)
     }
 
     /// Whether this attempt's answer is being passed on.
     #[must_use]
-    pub(crate) fn relays(&self, id: AttemptId) -> bool {
+    pub(crate) fn is_relayed_from(&self, id: AttemptId) -> bool {
         matches!(&self.phase, RequestPhase::Relaying(relay) if relay.attempt == id)
     }
 
@@ -129,7 +129,7 @@
 /// All requests that are held.
 #[derive(Default)]
 pub(crate) struct RequestTable {
-    held: HashMap<RequestId, RequestState>,
+    requests: HashMap<RequestId, RequestState>,
     by_client: HashMap<ConnId, RequestId>,
     by_attempt: HashMap<AttemptId, RequestId>,
     bytes: usize,
@@ -140,28 +140,28 @@
     /// How many are held.
     #[must_use]
     pub(crate) fn len(&self) -> usize {
-        self.held.len()
+        self.requests.len()
     }
 
     /// Whether none is held.
     #[must_use]
     pub(crate) fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.requests.is_empty()
     }
 
     /// Bytes of the requests that are held.
     #[must_use]
-    pub(crate) fn bytes(&self) -> usize {
+    pub(crate) fn buffered_bytes(&self) -> usize {
         self.bytes
     }
 
     /// Adds one.
-    pub(crate) fn insert(&mut self, exchange: RequestState) -> RequestId {
+    pub(crate) fn insert(&mut self, request: RequestState) -> RequestId {
         let id = self.next_id();
         self.next += 1;
-        self.bytes += exchange.request.bytes();
-        self.by_client.insert(exchange.client, id);
-        self.held.insert(id, exchange);
+        self.bytes += request.client_request.bytes();
+        self.by_client.insert(request.client, id);
+        self.requests.insert(id, request);
         id
     }
 
@@ -174,49 +174,55 @@
     /// One that is held.
     #[must_use]
     pub(crate) fn get(&self, id: RequestId) -> Option<&RequestState> {
-        self.held.get(&id)
+        self.requests.get(&id)
     }
 
     /// The same, to change it.
     pub(crate) fn get_mut(&mut self, id: RequestId) -> Option<&mut RequestState> {
-        self.held.get_mut(&id)
+        self.requests.get_mut(&id)
     }
 
     /// The request of a client.
     #[must_use]
-    pub(crate) fn of_client(&self, client: ConnId) -> Option<RequestId> {
+    pub(crate) fn id_of_client(&self, client: ConnId) -> Option<RequestId> {
         self.by_client.get(&client).copied()
     }
 
     /// The request of an attempt.
     #[must_use]
-    pub(crate) fn of_attempt(&self, attempt: AttemptId) -> Option<RequestId> {
+    pub(crate) fn id_of_attempt(&self, attempt: AttemptId) -> Option<RequestId> {
         self.by_attempt.get(&attempt).copied()
     }
 
     /// An attempt of a request is being made.
-    pub(crate) fn on_sent(&mut self, id: RequestId, out: InFlightAttempt) {
-        if let Some(exchange) = self.held.get_mut(&id) {
-            exchange.on_sent(out);
+    pub(crate) fn on_attempt_started(&mut self, id: RequestId, out: InFlightAttempt) {
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.on_attempt_started(out);
             self.by_attempt.insert(out.id, id);
         }
     }
 
     /// An attempt has ended; tells its request, if that is still held.
-    pub(crate) fn on_ended(&mut self, attempt: AttemptId, outcome: Outcome) -> Option<RequestId> {
+    pub(crate) fn on_attempt_ended(
+        &mut self,
+        attempt: AttemptId,
+        outcome: Outcome,
+    ) -> Option<RequestId> {
         let id = self.by_attempt.remove(&attempt)?;
-        self.held.get_mut(&id)?.on_ended(attempt, outcome);
+        self.requests
+            .get_mut(&id)?
+            .on_attempt_ended(attempt, outcome);
         Some(id)
     }
 
     /// An attempt of a request brings its answer, which is passed on from now on. Tells the others
     /// that are out for it.
-    pub(crate) fn on_begun(&mut self, id: RequestId, relay: ActiveRelay) -> Vec<AttemptId> {
-        let Some(exchange) = self.held.get_mut(&id) else {
+    pub(crate) fn on_relay_started(&mut self, id: RequestId, relay: ActiveRelay) -> Vec<AttemptId> {
+        let Some(request) = self.requests.get_mut(&id) else {
             return Vec::new();
         };
-        let others: Vec<AttemptId> = exchange
-            .out
+        let others: Vec<AttemptId> = request
+            .in_flight
             .drain(..)
             .map(|out| out.id)
             .filter(|other| *other != relay.attempt)
@@ -224,19 +230,17 @@
         others
             .iter()
             .for_each(|other| _ = self.by_attempt.remove(other));
-        exchange.phase = RequestPhase::Relaying(relay);
+        request.phase = RequestPhase::Relaying(relay);
         others
     }
 
     /// The answer that was passed on broke off: the request goes on behind this event.
-    pub(crate) fn on_broken_off(&mut self, id: RequestId, last_event_id: Vec<u8>) {
-        let Some(exchange) = self.held.get_mut(&id) else {
+    pub(crate) fn on_relay_interrupted(&mut self, id: RequestId, last_event_id: Vec<u8>) {
+        let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let before = std::mem::replace(
-            &mut exchange.phase,
-            RequestPhase::Resuming { last_event_id },
-        );
+        let before =
+            std::mem::replace(&mut request.phase, RequestPhase::Resuming { last_event_id });
         if let RequestPhase::Relaying(relay) = before {
             self.by_attempt.remove(&relay.attempt);
         }
@@ -244,27 +248,27 @@
 
     /// Takes one out: the one place where it is given back.
     pub(crate) fn remove(&mut self, id: RequestId) -> Option<RequestState> {
-        let exchange = self.held.remove(&id)?;
-        self.bytes -= exchange.request.bytes();
-        self.by_client.remove(&exchange.client);
-        for out in &exchange.out {
+        let request = self.requests.remove(&id)?;
+        self.bytes -= request.client_request.bytes();
+        self.by_client.remove(&request.client);
+        for out in &request.in_flight {
             self.by_attempt.remove(&out.id);
         }
-        if let RequestPhase::Relaying(relay) = &exchange.phase {
+        if let RequestPhase::Relaying(relay) = &request.phase {
             self.by_attempt.remove(&relay.attempt);
         }
-        Some(exchange)
+        Some(request)
     }
 
     /// All that are held, in no order.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &RequestState> {
-        self.held.values()
+        self.requests.values()
     }
 
     /// Their names.
     #[must_use]
     pub(crate) fn ids(&self) -> Vec<RequestId> {
-        self.held.keys().copied().collect()
+        self.requests.keys().copied().collect()
     }
 }
 
--- a/fleet/src/router/request_table/tests.rs
+++ b/fleet/src/router/request_table/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn exchange(idempotent: bool, max_attempts: u32) -> RequestState {
+fn request(idempotent: bool, max_attempts: u32) -> RequestState {
     let terms = RouteTerms {
         route: "r".into(),
         idempotent,
@@ -20,20 +20,20 @@
         .expect("connect");
     RequestState {
         client,
-        request: Rc::new(ClientRequest::default()),
+        client_request: Rc::new(ClientRequest::default()),
         terms,
         service: ServiceId(0),
-        query: None,
-        class: 0,
+        core_query: None,
+        class_index: 0,
         sender: None,
-        taken: Time(0),
-        configuration: 1,
+        received_at: Time(0),
+        configuration_version: 1,
         deadline: Time(0),
         phase: RequestPhase::Pending,
-        out: Vec::new(),
-        may_have_run: 0,
-        sends: 0,
-        failure: None,
+        in_flight: Vec::new(),
+        possible_executions: 0,
+        send_count: 0,
+        last_failure: None,
     }
 }
 
@@ -58,28 +58,32 @@
         (Outcome::Error, false),
         (Outcome::Cancelled, false),
     ] {
-        let mut exchange = exchange(false, 5);
-        assert!(exchange.may_send());
-        exchange.on_sent(out(1));
-        assert!(!exchange.may_send(), "one is out");
-        exchange.on_ended(out(1).id, outcome);
+        let mut request = request(false, 5);
+        assert!(request.may_start_attempt());
+        request.on_attempt_started(out(1));
+        assert!(!request.may_start_attempt(), "one is out");
+        request.on_attempt_ended(out(1).id, outcome);
         // Told twice, it counts once.
-        exchange.on_ended(out(1).id, outcome);
-        assert_eq!(exchange.may_send(), again, "{outcome:?}");
-        assert_eq!(exchange.may_have_run, u32::from(!again), "{outcome:?}");
+        request.on_attempt_ended(out(1).id, outcome);
+        assert_eq!(request.may_start_attempt(), again, "{outcome:?}");
+        assert_eq!(
+            request.possible_executions,
+            u32::from(!again),
+            "{outcome:?}"
+        );
     }
 }
 
 #[test]
 fn no_request_is_sent_to_more_servers_than_its_route_allows() {
-    let mut exchange = exchange(true, 2);
-    exchange.on_sent(out(1));
-    assert!(exchange.may_send());
-    exchange.on_sent(out(2));
-    assert!(!exchange.may_send());
-    exchange.on_ended(out(2).id, Outcome::Reset);
-    assert!(!exchange.may_send());
+    let mut request = request(true, 2);
+    request.on_attempt_started(out(1));
+    assert!(request.may_start_attempt());
+    request.on_attempt_started(out(2));
+    assert!(!request.may_start_attempt());
+    request.on_attempt_ended(out(2).id, Outcome::Reset);
+    assert!(!request.may_start_attempt());
     // One that never left counts as none.
-    exchange.on_ended(out(1).id, Outcome::Moot);
-    assert!(exchange.may_send());
+    request.on_attempt_ended(out(1).id, Outcome::Moot);
+    assert!(request.may_start_attempt());
 }
--- a/fleet/src/router/server_connections/attempt.rs
+++ b/fleet/src/router/server_connections/attempt.rs
@@ -12,7 +12,7 @@
 /// what systems give a connection. A server that is only silent is waited for, also one that
 /// answers before it has read all: until its answer is whole nothing but the request's time ends
 /// such a connection.
-pub(crate) const LONG_BODY: usize = 32 * 1_024;
+pub(crate) const LONG_BODY_BYTES: usize = 32 * 1_024;
 
 /// One attempt to be made.
 #[derive(Debug)]
@@ -28,7 +28,7 @@
     /// When the time of the request is over.
     pub deadline: Time,
     /// It may run more than once.
-    pub idempotent: bool,
+    pub is_idempotent: bool,
     /// Rank of its route, 0 to 9; 0 is the most urgent.
     pub priority: u8,
     /// A stream goes on behind this event.
@@ -42,7 +42,7 @@
 impl Attempt {
     /// Whether its server's system may have no room for all of it.
     pub(super) fn has_long_body(&self) -> bool {
-        self.request.body.len() > LONG_BODY
+        self.request.body.len() > LONG_BODY_BYTES
     }
 }
 
--- a/fleet/src/router/server_connections/in_flight.rs
+++ b/fleet/src/router/server_connections/in_flight.rs
@@ -7,10 +7,10 @@
 
 /// An answer that is not a stream is passed on whole up to this length, and as it comes beyond it
 /// (bytes).
-pub(crate) const MAX_WHOLE: usize = 256 * 1_024;
+pub(crate) const MAX_BUFFERED_BODY_BYTES: usize = 256 * 1_024;
 
 /// Most bytes of one event.
-pub(crate) const MAX_EVENT: usize = 256 * 1_024;
+pub(crate) const MAX_EVENT_BYTES: usize = 256 * 1_024;
 
 /// How the body of the answer that is being read is treated.
 #[derive(Debug)]
@@ -30,12 +30,12 @@
 pub(crate) struct InFlightRequest {
     pub(crate) attempt: Attempt,
     /// Bytes written on the connection before it, and with it.
-    pub(crate) begins: u64,
-    pub(crate) ends: u64,
+    pub(crate) bytes_before: u64,
+    pub(crate) bytes_through: u64,
     pub(crate) reader: ResponseReader,
     pub(crate) body: BodyMode,
     /// The answer began before the request was written whole.
-    pub(crate) early: bool,
+    pub(crate) is_early_response: bool,
 }
 
 /// What a piece of an answer comes to.
@@ -68,7 +68,7 @@
         }
         let head = Box::new(head);
         self.body = match success && head.event_stream {
-            true => BodyMode::Events(Some(head), Box::new(Scanner::new(MAX_EVENT))),
+            true => BodyMode::Events(Some(head), Box::new(Scanner::new(MAX_EVENT_BYTES))),
             false => BodyMode::Buffered(head, Vec::new()),
         };
         ReadOutcome::Incomplete
@@ -80,11 +80,11 @@
             BodyMode::AwaitingHead => ReadOutcome::Mismatch,
             BodyMode::Forwarded => ReadOutcome::Event(ServerEvent::ChunkReceived(
                 id,
-                part_of(bytes.to_vec(), None),
+                body_chunk(bytes.to_vec(), None),
             )),
             BodyMode::Buffered(_, body) => {
                 body.extend_from_slice(bytes);
-                if body.len() <= MAX_WHOLE {
+                if body.len() <= MAX_BUFFERED_BODY_BYTES {
                     return ReadOutcome::Incomplete;
                 }
                 let BodyMode::Buffered(head, body) =
@@ -96,7 +96,7 @@
                     id,
                     head,
                     self.reader.length(),
-                    part_of(body, None),
+                    body_chunk(body, None),
                 ))
             }
             BodyMode::Events(head, scanner) => {
@@ -112,7 +112,7 @@
                 {
                     return ReadOutcome::Incomplete;
                 }
-                let part = part_of(scanner.whole().to_vec(), scanner.last_event_id());
+                let part = body_chunk(scanner.whole().to_vec(), scanner.last_event_id());
                 scanner.advance(whole);
                 ReadOutcome::Event(match head.take() {
                     Some(head) => ServerEvent::StreamStarted(id, head, None, part),
@@ -143,18 +143,18 @@
                     id,
                     BufferedResponse {
                         head: *head,
-                        body: rest_of(&scanner),
+                        body: remaining_bytes(&scanner),
                     },
                 ))
             }
             BodyMode::Events(None, scanner) => {
-                ReadOutcome::Final(ServerEvent::StreamCompleted(id, rest_of(&scanner)))
+                ReadOutcome::Final(ServerEvent::StreamCompleted(id, remaining_bytes(&scanner)))
             }
         }
     }
 }
 
-pub(crate) fn part_of(bytes: Vec<u8>, last_event_id: Option<&[u8]>) -> BodyChunk {
+pub(crate) fn body_chunk(bytes: Vec<u8>, last_event_id: Option<&[u8]>) -> BodyChunk {
     BodyChunk {
         bytes,
         last_event_id: last_event_id.map(<[u8]>::to_vec),
@@ -168,6 +168,6 @@
         .any(|line| !line.is_empty() && line[0] != b':')
 }
 
-pub(crate) fn rest_of(scanner: &Scanner) -> Vec<u8> {
+pub(crate) fn remaining_bytes(scanner: &Scanner) -> Vec<u8> {
     [scanner.whole(), scanner.partial()].concat()
 }
--- a/fleet/src/router/server_connections/pool.rs
+++ b/fleet/src/router/server_connections/pool.rs
@@ -10,15 +10,15 @@
 
 /// A connection that is not up after this long never comes up (microseconds). Links within a region
 /// take milliseconds; a lost opening packet is sent again after a second.
-const CONNECT: Micros = 1_000_000;
+const CONNECT_TIMEOUT_US: Micros = 1_000_000;
 
 /// How long a connection may have rested before a request that may not run twice is written on it
 /// (microseconds). Servers may forget idle connections without a word; those closed sooner than
 /// this tell no time in whole seconds either.
-pub(crate) const FRESH: Micros = 400_000;
+pub(crate) const UNSAFE_REUSE_WINDOW_US: Micros = 400_000;
 
 /// How long an attempt waits where all connections to its server are in use (microseconds).
-pub(crate) const WAIT: Micros = 100_000;
+pub(crate) const CONNECTION_WAIT_TIMEOUT_US: Micros = 100_000;
 
 impl ServerConnections {
     /// An idle connection on which this attempt may be written; the one used last, so that others
@@ -31,10 +31,10 @@
             ConnectionState::Opening(_) | ConnectionState::Busy(_) => None,
         });
         let (since, until, id) = idle.max_by_key(|(since, ..)| *since)?;
-        let most = if attempt.idempotent {
+        let most = if attempt.is_idempotent {
             until
         } else {
-            until.min(since.plus(FRESH))
+            until.min(since.plus(UNSAFE_REUSE_WINDOW_US))
         };
         if now >= most {
             return None;
@@ -47,9 +47,9 @@
         None
     }
 
-    pub(super) fn open(&mut self, net: &mut Net, attempt: Attempt) {
+    pub(super) fn open_connection(&mut self, net: &mut Net, attempt: Attempt) {
         let mut connected = net.connect(SocketOwner::Server, attempt.endpoint.address);
-        if matches!(connected, Err(ConnectError::NoDescriptor(_))) && self.close_any_idle(net) {
+        if matches!(connected, Err(ConnectError::NoDescriptor(_))) && self.close_longest_idle(net) {
             connected = net.connect(SocketOwner::Server, attempt.endpoint.address);
         }
         match connected {
@@ -59,41 +59,41 @@
                 self.by_server.entry(server).or_default().push(id);
                 let up = net.get(id).is_some_and(|conn| conn.up);
                 let state = ConnectionState::Opening(Box::new(attempt));
-                self.links.insert(
+                self.connections.insert(
                     id,
                     PooledConnection {
                         server,
                         state,
-                        timer: None,
+                        timer_at: None,
                     },
                 );
-                self.arm(net, id, net.clock.now().plus(CONNECT));
+                self.arm_timer(net, id, net.clock.now().plus(CONNECT_TIMEOUT_US));
                 if up {
-                    self.opened(net, id, &TransferProgress::Alive);
+                    self.on_opened(net, id, &TransferProgress::Alive);
                 }
             }
             // This process has no descriptor for it: the server has no part in that.
-            Err(ConnectError::NoDescriptor(_)) => self.fail(attempt.id, Outcome::Moot),
-            Err(ConnectError::Failed(_)) => self.fail(attempt.id, Outcome::ConnectFailed),
+            Err(ConnectError::NoDescriptor(_)) => self.report_failure(attempt.id, Outcome::Moot),
+            Err(ConnectError::Failed(_)) => self.report_failure(attempt.id, Outcome::ConnectFailed),
         }
     }
 
-    pub(super) fn wait(&mut self, net: &mut Net, attempt: Attempt) {
+    pub(super) fn queue(&mut self, net: &mut Net, attempt: Attempt) {
         net.wheel.set(
-            net.clock.now().plus(WAIT),
+            net.clock.now().plus(CONNECTION_WAIT_TIMEOUT_US),
             Timer::ConnectionWait(attempt.id),
         );
-        self.waiting
+        self.queued
             .entry(attempt.server)
             .or_default()
             .push_back(attempt);
     }
 
-    pub(super) fn next_waiting(&mut self, server: ServerId) -> Option<Attempt> {
-        let queue = self.waiting.get_mut(&server)?;
+    pub(super) fn next_queued(&mut self, server: ServerId) -> Option<Attempt> {
+        let queue = self.queued.get_mut(&server)?;
         let next = queue.pop_front();
         if queue.is_empty() {
-            self.waiting.remove(&server);
+            self.queued.remove(&server);
         }
         next
     }
@@ -106,11 +106,14 @@
     }
 
     /// Closes the connection that has rested for longest, to whichever server.
-    pub(super) fn close_any_idle(&mut self, net: &mut Net) -> bool {
-        let idle = self.links.iter().filter_map(|(id, link)| match link.state {
-            ConnectionState::Idle(since, _) => Some((since, *id)),
-            _ => None,
-        });
+    pub(super) fn close_longest_idle(&mut self, net: &mut Net) -> bool {
+        let idle = self
+            .connections
+            .iter()
+            .filter_map(|(id, connection)| match connection.state {
+                ConnectionState::Idle(since, _) => Some((since, *id)),
+                _ => None,
+            });
         let Some((_, id)) = idle.min() else {
             return false;
         };
@@ -122,17 +125,17 @@
     /// for a place gets it.
     pub(super) fn close(&mut self, net: &mut Net, id: ConnId) {
         net.close(id);
-        let Some(link) = self.links.remove(&id) else {
+        let Some(connection) = self.connections.remove(&id) else {
             return;
         };
-        if let Some(known) = self.by_server.get_mut(&link.server) {
+        if let Some(known) = self.by_server.get_mut(&connection.server) {
             known.retain(|other| *other != id);
             if known.is_empty() {
-                self.by_server.remove(&link.server);
+                self.by_server.remove(&connection.server);
             }
         }
-        if let Some(next) = self.next_waiting(link.server) {
-            self.open(net, next);
+        if let Some(next) = self.next_queued(connection.server) {
+            self.open_connection(net, next);
         }
     }
 
@@ -144,20 +147,20 @@
             self.close(net, connection);
             return opening;
         }
-        self.take_waiting(id)
+        self.remove_queued(id)
     }
 
     /// A server takes nothing new: what has not left for it is told as never sent, and its idle
     /// connections are closed.
-    pub(crate) fn hold_back(&mut self, net: &mut Net, server: ServerId) {
-        for attempt in self.waiting.remove(&server).unwrap_or_default() {
-            self.fail(attempt.id, Outcome::Moot);
+    pub(crate) fn stop_sending_to(&mut self, net: &mut Net, server: ServerId) {
+        for attempt in self.queued.remove(&server).unwrap_or_default() {
+            self.report_failure(attempt.id, Outcome::Moot);
         }
         for id in self.by_server.get(&server).cloned().unwrap_or_default() {
             match self.state(id) {
                 Some(ConnectionState::Opening(attempt)) => {
                     let attempt = attempt.id;
-                    self.fail(attempt, Outcome::Moot);
+                    self.report_failure(attempt, Outcome::Moot);
                     self.close(net, id);
                 }
                 Some(ConnectionState::Idle(..)) => self.close(net, id),
@@ -167,10 +170,10 @@
     }
 
     /// Closes the connections to a server that have rested: they may have been dropped unseen.
-    pub(crate) fn close_idle(&mut self, net: &mut Net, server: ServerId) {
+    pub(crate) fn close_stale_idle(&mut self, net: &mut Net, server: ServerId) {
         let now = net.clock.now();
         for id in self.by_server.get(&server).cloned().unwrap_or_default() {
-            if matches!(self.state(id), Some(ConnectionState::Idle(since, _)) if now.since(*since) > FRESH)
+            if matches!(self.state(id), Some(ConnectionState::Idle(since, _)) if now.since(*since) > UNSAFE_REUSE_WINDOW_US)
             {
                 self.close(net, id);
             }
@@ -178,9 +181,9 @@
     }
 
     /// An attempt has waited for a connection for long enough.
-    pub(crate) fn waited(&mut self, id: AttemptId) {
-        if self.take_waiting(id) {
-            self.fail(id, Outcome::Moot);
+    pub(crate) fn on_wait_timeout(&mut self, id: AttemptId) {
+        if self.remove_queued(id) {
+            self.report_failure(id, Outcome::Moot);
         }
     }
 }
--- a/fleet/src/router/server_connections/table.rs
+++ b/fleet/src/router/server_connections/table.rs
@@ -22,17 +22,17 @@
     pub(crate) server: ServerId,
     pub(crate) state: ConnectionState,
     /// A timer is set that fires then at the latest.
-    pub(crate) timer: Option<Time>,
+    pub(crate) timer_at: Option<Time>,
 }
 
 /// All connections to servers.
 #[derive(Default)]
 pub(crate) struct ServerConnections {
-    pub(crate) links: HashMap<ConnId, PooledConnection>,
+    pub(crate) connections: HashMap<ConnId, PooledConnection>,
     pub(crate) by_attempt: HashMap<AttemptId, ConnId>,
     /// Connections of each server, whatever they do.
     pub(crate) by_server: HashMap<ServerId, Vec<ConnId>>,
-    pub(crate) waiting: HashMap<ServerId, VecDeque<Attempt>>,
+    pub(crate) queued: HashMap<ServerId, VecDeque<Attempt>>,
     pub(crate) events: Vec<ServerEvent>,
 }
 
@@ -49,31 +49,33 @@
     }
 
     pub(super) fn state(&self, id: ConnId) -> Option<&ConnectionState> {
-        self.links.get(&id).map(|link| &link.state)
+        self.connections
+            .get(&id)
+            .map(|connection| &connection.state)
     }
 
-    pub(super) fn fail(&mut self, id: AttemptId, outcome: Outcome) {
+    pub(super) fn report_failure(&mut self, id: AttemptId, outcome: Outcome) {
         self.by_attempt.remove(&id);
         self.events.push(ServerEvent::AttemptFailed(id, outcome));
     }
 
     /// Takes an attempt out of those that wait; `false`: it is none of them.
-    pub(super) fn take_waiting(&mut self, id: AttemptId) -> bool {
-        let before = self.waiting.values().map(VecDeque::len).sum::<usize>();
-        self.waiting
+    pub(super) fn remove_queued(&mut self, id: AttemptId) -> bool {
+        let before = self.queued.values().map(VecDeque::len).sum::<usize>();
+        self.queued
             .values_mut()
             .for_each(|queue| queue.retain(|attempt| attempt.id != id));
-        self.waiting.retain(|_, queue| !queue.is_empty());
-        self.waiting.values().map(VecDeque::len).sum::<usize>() < before
+        self.queued.retain(|_, queue| !queue.is_empty());
+        self.queued.values().map(VecDeque::len).sum::<usize>() < before
     }
 
     /// Sets a connection's timer, where none is set that fires before.
-    pub(super) fn arm(&mut self, net: &mut Net, id: ConnId, at: Time) {
-        let Some(link) = self.links.get_mut(&id) else {
+    pub(super) fn arm_timer(&mut self, net: &mut Net, id: ConnId, at: Time) {
+        let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        if link.timer.is_none_or(|set| at < set) {
-            link.timer = Some(at);
+        if connection.timer_at.is_none_or(|set| at < set) {
+            connection.timer_at = Some(at);
             net.wheel.set(at, Timer::Server(id));
         }
     }
--- a/fleet/src/router/service.rs
+++ b/fleet/src/router/service.rs
@@ -84,7 +84,7 @@
 #[derive(Debug)]
 pub(crate) struct RouteRequest<'a> {
     /// The request that is held.
-    pub exchange: RequestId,
+    pub request_id: RequestId,
     /// What its route says.
     pub terms: &'a RouteTerms,
     /// What is known of its prompt.
@@ -118,7 +118,7 @@
             .filter(|line| line.mode == ServerMode::Ready)
             .map(|line| line.server)
             .collect();
-        let mut core = Core::new(seed, settings, Contracts::default(), capacity.bytes);
+        let mut core = Core::new(seed, settings, Contracts::default(), capacity.max_bytes);
         core.listed(ServerListUpdate::Whole(lines));
         Service {
             name,
@@ -195,17 +195,17 @@
     pub(crate) fn take(
         &mut self,
         now: Time,
-        ask: &RouteRequest<'_>,
+        route_request: &RouteRequest<'_>,
     ) -> Result<(QueryId, u16), Refusal> {
-        let (place, changed) = self.place(ask.terms);
+        let (place, changed) = self.place(route_request.terms);
         if changed {
             self.tell_classes();
         }
         let class = place as u16;
-        let placement = self.placement(ask.prompt);
+        let placement = self.placement(route_request.prompt);
         let request = Request {
             class: place,
-            deadline: ask.deadline,
+            deadline: route_request.deadline,
             key: 0,
             placement,
             again: false,
@@ -213,11 +213,11 @@
             team: None,
             parts: vec![(Shard(0), 1.0)],
             top: None,
-            job: ask.exchange,
+            job: route_request.request_id,
         };
         let query = self.core.take(now, request)?;
         self.classes[place].held += 1;
-        self.queries.insert(query, ask.exchange);
+        self.queries.insert(query, route_request.request_id);
         self.resumes.on_request(now);
         Ok((query, class))
     }
@@ -226,10 +226,10 @@
     pub(crate) fn take_resumed(
         &mut self,
         now: Time,
-        ask: &RouteRequest<'_>,
+        route_request: &RouteRequest<'_>,
     ) -> Option<(QueryId, u16)> {
         match self.resumes.take(now) {
-            true => self.take(now, ask).ok(),
+            true => self.take(now, route_request).ok(),
             false => None,
         }
     }
@@ -242,7 +242,7 @@
     }
 
     /// The request that the core has a word for; it has none after that.
-    pub(crate) fn exchange_of(&mut self, query: QueryId) -> Option<RequestId> {
+    pub(crate) fn take_request_id(&mut self, query: QueryId) -> Option<RequestId> {
         self.queries.remove(&query)
     }
 
@@ -437,7 +437,7 @@
         limits: Limits {
             attempts: MOST_ATTEMPTS,
             // A request and its only part.
-            held: capacity.requests.saturating_mul(2),
+            held: capacity.max_requests.saturating_mul(2),
             cancel: true,
             probe: false,
             second_copies: true,
--- a/fleet/src/router/service/tests.rs
+++ b/fleet/src/router/service/tests.rs
@@ -22,9 +22,9 @@
             started: None,
         };
         let capacity = Capacity {
-            requests: 100,
-            bytes: 1 << 20,
-            descriptors: 100,
+            max_requests: 100,
+            max_bytes: 1 << 20,
+            max_descriptors: 100,
         };
         let budget = RetryBudget {
             ratio: 0.2,
@@ -45,18 +45,20 @@
     /// Where a request with a shared beginning is sent, which is answered by a stream that runs on.
     fn stream(&mut self) -> ServerId {
         self.next += 1;
-        let exchange = RequestId(self.next);
+        let request = RequestId(self.next);
         let prompt = Prompt {
             prefix: 77,
             ..Prompt::default()
         };
-        let ask = RouteRequest {
-            exchange,
+        let route_request = RouteRequest {
+            request_id: request,
             terms: &terms(),
             prompt,
             deadline: self.now.plus(SECOND),
         };
-        self.service.take(self.now, &ask).expect("there is room");
+        self.service
+            .take(self.now, &route_request)
+            .expect("there is room");
         self.now = self.now.plus(SECOND / 100);
         let sent = self
             .service
--- a/fleet/src/router/state.rs
+++ b/fleet/src/router/state.rs
@@ -3,7 +3,7 @@
 //! It lies above the types that it joins and below all handlers, which are methods on [`Router`] in
 //! `handlers`.
 
-use super::admission::AwaitingQuota;
+use super::admission::QuotaWaiter;
 use super::backlog_reports::BacklogReports;
 use super::configuration::CurrentConfiguration;
 use super::counters::RejectionCounters;
@@ -41,7 +41,7 @@
     pub(crate) net: Net,
     pub(crate) options: Options,
     pub(crate) settings_file: Option<(PathBuf, Option<SystemTime>)>,
-    pub(crate) frontend: SocketAddr,
+    pub(crate) frontend_address: SocketAddr,
     pub(crate) readiness_address: Option<SocketAddr>,
     pub(crate) rng: fastrand::Rng,
     pub(crate) configuration: CurrentConfiguration,
@@ -50,18 +50,18 @@
     pub(crate) clients: ClientConnections,
     pub(crate) client_events: Vec<ClientEvent>,
     pub(crate) connections: ServerConnections,
-    pub(crate) exchanges: RequestTable,
-    pub(crate) link: ControlLink,
+    pub(crate) requests: RequestTable,
+    pub(crate) control_link: ControlLink,
     pub(crate) readiness: ReadinessEndpoint,
     pub(crate) shutdown: Option<Shutdown>,
     pub(crate) freshness: ConfigurationFreshness,
     pub(crate) allowances: Allowances<ConnId>,
     /// Requests that wait for their tenants' quotas, by client.
-    pub(crate) awaiting_quota: HashMap<ConnId, AwaitingQuota>,
+    pub(crate) quota_waiters: HashMap<ConnId, QuotaWaiter>,
     pub(crate) counters: RejectionCounters,
     pub(crate) backlog_reports: BacklogReports,
     /// The next turn ends with a check of who waits.
-    pub(crate) check_due: bool,
+    pub(crate) is_check_due: bool,
 }
 
 impl Router {
@@ -70,11 +70,11 @@
     /// # Errors
     /// An address can't be listened on, or the settings lack what it needs.
     pub fn new(settings: &Settings, file: Option<PathBuf>) -> Result<Router, RouterError> {
-        let options = Options::of(settings)?;
-        let mut net = Net::new(options.capacity.descriptors)?;
+        let options = Options::from_settings(settings)?;
+        let mut net = Net::new(options.capacity.max_descriptors)?;
         net.reserve_for_peers(SET_ASIDE);
         let mut rng = fastrand::Rng::new();
-        let frontend = listen(&mut net, SocketOwner::Client, options.frontend)?;
+        let frontend_address = listen(&mut net, SocketOwner::Client, options.frontend)?;
         let readiness_address = options
             .readiness
             .map(|address| listen(&mut net, SocketOwner::Platform, address))
@@ -84,31 +84,31 @@
             zone: options.zone.clone(),
             process: rng.u64(1..),
         };
-        let candidates = ControlCandidates::new(options.machine, options.seeds.clone());
-        let link = ControlLink::new(net.clock.now(), identity, candidates)
+        let candidates = ControlCandidates::new(options.machine_address, options.seeds.clone());
+        let control_link = ControlLink::new(net.clock.now(), identity, candidates)
             .with_forwarders(settings.forwarders.clone());
         net.wheel
             .set(after(net.clock.now(), SETTINGS_LOOK), Timer::SettingsCheck);
         Ok(Router {
             settings_file: file.map(|path| (path.clone(), modified(&path))),
-            frontend,
+            frontend_address,
             readiness_address,
             configuration: CurrentConfiguration::default(),
-            services: Services::new(rng.u64(..), options.capacity, options.budget),
+            services: Services::new(rng.u64(..), options.capacity, options.retry_budget),
             servers: ServerTable::new(&options.zone),
-            clients: ClientConnections::new(options.capacity.bytes),
+            clients: ClientConnections::new(options.capacity.max_bytes),
             client_events: Vec::new(),
             connections: ServerConnections::default(),
-            exchanges: RequestTable::default(),
-            link,
+            requests: RequestTable::default(),
+            control_link,
             readiness: ReadinessEndpoint::default(),
             shutdown: None,
             freshness: ConfigurationFreshness::new(options.revocation),
             allowances: Allowances::new(options.quota, rng.u64(..)),
-            awaiting_quota: HashMap::new(),
+            quota_waiters: HashMap::new(),
             counters: RejectionCounters::default(),
             backlog_reports: BacklogReports::default(),
-            check_due: false,
+            is_check_due: false,
             rng,
             net,
             options,
@@ -119,7 +119,7 @@
     /// system.
     #[must_use]
     pub fn addresses(&self) -> (SocketAddr, Option<SocketAddr>) {
-        (self.frontend, self.readiness_address)
+        (self.frontend_address, self.readiness_address)
     }
 
     /// Ends, once all is answered, when this stream can be read.
