--- a/fleet/src/router/backlog_reports.rs
+++ b/fleet/src/router/backlog_reports.rs
@@ -50,7 +50,7 @@
     for request in requests.filter(|request| !matches!(request.phase, RequestPhase::Relaying(_))) {
         for out in &request.in_flight {
             let sum: &mut Backlog = sums.entry(out.server).or_default();
-            *sum = sum.saturating_add(request.client_request.prompt.own_tokens);
+            *sum = sum.saturating_add(request.client_request.prompt.uncached_tokens);
         }
     }
     sums
--- a/fleet/src/router/budget.rs
+++ b/fleet/src/router/budget.rs
@@ -10,12 +10,12 @@
 use lichenswitch_interface::{Budget, Micros, Time};
 
 /// The module counts a request, and its only part as well, to what was taken.
-const COUNTED: f64 = 2.0;
+const COUNTS_PER_REQUEST: f64 = 2.0;
 /// Parts of a window that are counted by themselves.
-const SLICES: u64 = 8;
+const SLICES_PER_WINDOW: u64 = 8;
 
 /// Further arrivals beside the ratio that one of so many routers may cause in a window.
-fn slack(budget: RetryBudget, routers: u32) -> f64 {
+fn slack_share(budget: RetryBudget, routers: u32) -> f64 {
     match routers {
         0 => 0.0,
         routers => FLEET_SLACK_SHARE * budget.slack / f64::from(routers),
@@ -27,17 +27,17 @@
 pub(crate) fn module_budget(budget: RetryBudget, routers: u32) -> Budget {
     Budget {
         window: micros(budget.window),
-        least: (1.0 - RESUME_BUDGET_SHARE) * slack(budget, routers),
-        share: (1.0 - RESUME_BUDGET_SHARE) * budget.ratio / COUNTED,
+        least: (1.0 - RESUME_BUDGET_SHARE) * slack_share(budget, routers),
+        share: (1.0 - RESUME_BUDGET_SHARE) * budget.ratio / COUNTS_PER_REQUEST,
     }
 }
 
 /// Streams that may go on at another server.
 #[derive(Debug)]
 pub(crate) struct ResumeBudget {
-    window: Micros,
-    share: f64,
-    least: f64,
+    window_us: Micros,
+    ratio: f64,
+    allowance: f64,
     requests: WindowCounter,
     resumes: WindowCounter,
 }
@@ -48,35 +48,35 @@
     pub(crate) fn new(budget: RetryBudget) -> ResumeBudget {
         let (requests, resumes) = (WindowCounter::default(), WindowCounter::default());
         let mut new = ResumeBudget {
-            window: 0,
-            share: 0.0,
-            least: 0.0,
+            window_us: 0,
+            ratio: 0.0,
+            allowance: 0.0,
             requests,
             resumes,
         };
-        new.set(budget, 0);
+        new.update(budget, 0);
         new
     }
 
     /// There are so many routers now.
-    pub(crate) fn set(&mut self, budget: RetryBudget, routers: u32) {
-        self.window = micros(budget.window).max(SLICES);
-        self.share = RESUME_BUDGET_SHARE * budget.ratio;
-        self.least = RESUME_BUDGET_SHARE * slack(budget, routers);
+    pub(crate) fn update(&mut self, budget: RetryBudget, routers: u32) {
+        self.window_us = micros(budget.window).max(SLICES_PER_WINDOW);
+        self.ratio = RESUME_BUDGET_SHARE * budget.ratio;
+        self.allowance = RESUME_BUDGET_SHARE * slack_share(budget, routers);
     }
 
     /// A request was taken.
     pub(crate) fn on_request(&mut self, now: Time) {
-        self.requests.add(now, self.window);
+        self.requests.add(now, self.window_us);
     }
 
     /// Takes one out of it, if it bears that.
-    pub(crate) fn take(&mut self, now: Time) -> bool {
-        let requests = self.requests.count(now, self.window);
-        let resumes = self.resumes.count(now, self.window);
-        let allowed = f64::from(resumes + 1) <= self.least + self.share * f64::from(requests);
+    pub(crate) fn try_take(&mut self, now: Time) -> bool {
+        let requests = self.requests.count(now, self.window_us);
+        let resumes = self.resumes.count(now, self.window_us);
+        let allowed = f64::from(resumes + 1) <= self.allowance + self.ratio * f64::from(requests);
         if allowed {
-            self.resumes.add(now, self.window);
+            self.resumes.add(now, self.window_us);
         }
         allowed
     }
@@ -85,14 +85,14 @@
 /// Counts of the last window, by slices of it.
 #[derive(Debug, Default)]
 struct WindowCounter {
-    counts: [u32; SLICES as usize],
+    counts: [u32; SLICES_PER_WINDOW as usize],
     slice: u64,
 }
 
 impl WindowCounter {
     fn add(&mut self, now: Time, window: Micros) {
         self.roll(now, window);
-        self.counts[(self.slice % SLICES) as usize] += 1;
+        self.counts[(self.slice % SLICES_PER_WINDOW) as usize] += 1;
     }
 
     fn count(&mut self, now: Time, window: Micros) -> u32 {
@@ -102,10 +102,10 @@
 
     /// Forgets what is older than the window.
     fn roll(&mut self, now: Time, window: Micros) {
-        let slice = now.0 / (window / SLICES).max(1);
-        let passed = slice.saturating_sub(self.slice).min(SLICES);
+        let slice = now.0 / (window / SLICES_PER_WINDOW).max(1);
+        let passed = slice.saturating_sub(self.slice).min(SLICES_PER_WINDOW);
         for old in 0..passed {
-            self.counts[((slice - old) % SLICES) as usize] = 0;
+            self.counts[((slice - old) % SLICES_PER_WINDOW) as usize] = 0;
         }
         self.slice = self.slice.max(slice);
     }
--- a/fleet/src/router/budget/tests.rs
+++ b/fleet/src/router/budget/tests.rs
@@ -15,7 +15,7 @@
 fn nothing_of_the_slack_is_used_while_it_is_not_known_how_many_share_it() {
     assert_eq!(module_budget(rule(), 0).least, 0.0);
     let mut resumes = ResumeBudget::new(rule());
-    assert!(!resumes.take(Time(SECOND)));
+    assert!(!resumes.try_take(Time(SECOND)));
 }
 
 #[test]
@@ -23,8 +23,10 @@
     for routers in [1, 7, 93] {
         let module = module_budget(rule(), routers).least;
         let mut resumes = ResumeBudget::new(rule());
-        resumes.set(rule(), routers);
-        let taken = (0..1_000).filter(|_| resumes.take(Time(SECOND))).count();
+        resumes.update(rule(), routers);
+        let taken = (0..1_000)
+            .filter(|_| resumes.try_take(Time(SECOND)))
+            .count();
         assert!((module + taken as f64) * f64::from(routers) <= 200.0 * FLEET_SLACK_SHARE + 1e-9);
     }
 }
@@ -34,7 +36,9 @@
     let requests = 1_000;
     let mut resumes = ResumeBudget::new(rule());
     (0..requests).for_each(|_| resumes.on_request(Time(SECOND)));
-    let taken = (0..requests).filter(|_| resumes.take(Time(SECOND))).count();
+    let taken = (0..requests)
+        .filter(|_| resumes.try_take(Time(SECOND)))
+        .count();
     assert!(taken > 0);
     // The module counts each request twice.
     let module = module_budget(rule(), 0).share * 2.0 * f64::from(requests);
@@ -45,8 +49,8 @@
 fn what_was_asked_a_window_ago_counts_no_more() {
     let mut resumes = ResumeBudget::new(rule());
     (0..100).for_each(|_| resumes.on_request(Time(SECOND)));
-    assert!(resumes.take(Time(2 * SECOND)));
-    assert!(!resumes.take(Time(20 * SECOND)));
+    assert!(resumes.try_take(Time(2 * SECOND)));
+    assert!(!resumes.try_take(Time(20 * SECOND)));
     // Nor after a stop of any length.
-    assert!(!resumes.take(Time(2_000_000 * SECOND)));
+    assert!(!resumes.try_take(Time(2_000_000 * SECOND)));
 }
--- a/fleet/src/router/client_connections/reading.rs
+++ b/fleet/src/router/client_connections/reading.rs
@@ -85,16 +85,17 @@
             (connection.is_receiving, connection.phase_started_at) = (true, now);
             connection.reader = RequestReader::new(&self.limits);
         }
-        let held = connection.reader.held();
+        let held = connection.reader.buffered_body_bytes();
         let progress = connection.reader.read(&mut conn.input);
-        self.incomplete_bytes = self.incomplete_bytes + connection.reader.held() - held;
+        self.incomplete_bytes =
+            self.incomplete_bytes + connection.reader.buffered_body_bytes() - held;
         match progress {
             Ok(RequestProgress::Incomplete { expects_continue }) => {
                 if self.incomplete_bytes > self.max_incomplete_bytes {
                     return self.respond_locally(
                         net,
                         id,
-                        &LocalResponse::refused(None).and_close(),
+                        &LocalResponse::unavailable(None).with_close(),
                         events,
                     );
                 }
@@ -108,7 +109,7 @@
                 self.arm_timer(net, id);
             }
             Ok(RequestProgress::Complete(request)) => {
-                self.incomplete_bytes -= connection.reader.held();
+                self.incomplete_bytes -= connection.reader.buffered_body_bytes();
                 connection.reader = RequestReader::new(&self.limits);
                 (
                     connection.is_receiving,
--- a/fleet/src/router/client_connections/table.rs
+++ b/fleet/src/router/client_connections/table.rs
@@ -129,7 +129,7 @@
     /// Closes a client's connection.
     pub(super) fn close(&mut self, net: &mut Net, id: ConnId) {
         if let Some(connection) = self.connections.remove(&id) {
-            self.incomplete_bytes -= connection.reader.held();
+            self.incomplete_bytes -= connection.reader.buffered_body_bytes();
         }
         net.close(id);
     }
--- a/fleet/src/router/client_connections/writing.rs
+++ b/fleet/src/router/client_connections/writing.rs
@@ -20,7 +20,7 @@
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        connection.closes_after_response |= answer.closes || self.is_stopping;
+        connection.closes_after_response |= answer.closes_connection || self.is_stopping;
         let (last, head_only) = (connection.closes_after_response, connection.is_head_request);
         self.write(net, id, &answer.encode(last, head_only));
         self.on_response_written(net, id, events);
@@ -172,7 +172,7 @@
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        self.incomplete_bytes -= connection.reader.held();
+        self.incomplete_bytes -= connection.reader.buffered_body_bytes();
         connection.reader = RequestReader::new(&self.limits);
         (connection.is_receiving, connection.phase_started_at) = (false, now);
         if connection.closes_after_response {
--- a/fleet/src/router/client_request.rs
+++ b/fleet/src/router/client_request.rs
@@ -29,7 +29,7 @@
     /// Its `Host`.
     pub host: String,
     /// Header lines that are passed on.
-    pub(crate) passed: Vec<u8>,
+    pub(crate) forwarded_lines: Vec<u8>,
     /// Its `Attempt-Id`.
     pub attempt_id: Option<String>,
     /// How long its client waits.
@@ -52,9 +52,9 @@
 #[derive(Debug)]
 pub(crate) struct ForwardingHeaders<'a> {
     /// What is left of its time.
-    pub left: Duration,
+    pub remaining: Duration,
     /// The server that is meant.
-    pub instance: &'a str,
+    pub target_instance: &'a str,
     /// Rank of its route, 0 to 9; 0 is the most urgent.
     pub priority: u8,
     /// A stream goes on behind this event.
@@ -66,7 +66,7 @@
 impl ClientRequest {
     /// The target as it came, path and query.
     #[must_use]
-    pub(crate) fn path(&self) -> &str {
+    pub(crate) fn target(&self) -> &str {
         &self.target
     }
 
@@ -78,18 +78,18 @@
 
     /// Bytes that it holds.
     #[must_use]
-    pub(crate) fn bytes(&self) -> usize {
-        self.body.len() + self.passed.len() + self.target.len()
+    pub(crate) fn buffered_bytes(&self) -> usize {
+        self.body.len() + self.forwarded_lines.len() + self.target.len()
     }
 
     /// Writes its head for a server.
-    pub(crate) fn encode(&self, send: &ForwardingHeaders<'_>, to: &mut Vec<u8>) {
-        to.reserve(self.passed.len() + self.target.len() + 256);
+    pub(crate) fn encode_head(&self, send: &ForwardingHeaders<'_>, to: &mut Vec<u8>) {
+        to.reserve(self.forwarded_lines.len() + self.target.len() + 256);
         // Writes to memory don't fail.
         let _ = write!(to, "{} {} HTTP/1.1\r\n", self.method, self.target);
-        to.extend_from_slice(&self.passed);
-        let _ = write!(to, "Deadline-Ms: {}\r\n", send.left.as_millis());
-        let _ = write!(to, "Target-Instance: {}\r\n", send.instance);
+        to.extend_from_slice(&self.forwarded_lines);
+        let _ = write!(to, "Deadline-Ms: {}\r\n", send.remaining.as_millis());
+        let _ = write!(to, "Target-Instance: {}\r\n", send.target_instance);
         let _ = write!(to, "Priority: {}\r\n", send.priority);
         if let Some(sender) = send.sender {
             let _ = write!(to, "Tenant: {}\r\n", sender.header);
--- a/fleet/src/router/handlers/control_updates.rs
+++ b/fleet/src/router/handlers/control_updates.rs
@@ -25,7 +25,7 @@
                     }
                 }
                 ControlUpdate::Servers(records) => self.apply_server_records(&records),
-                ControlUpdate::Routers(count) => self.services.set_routers(count),
+                ControlUpdate::Routers(count) => self.services.set_router_count(count),
                 ControlUpdate::Tenant(message) => self.on_tenant_message(message),
                 ControlUpdate::Backlog(report) => self.services.set_backlogs(&report),
             }
@@ -53,12 +53,12 @@
 
     pub(super) fn apply_server_records(&mut self, records: &[ServerRecord]) {
         let changes = self.servers.merge(records);
-        for change in changes.iter().filter(|change| change.takes_nothing()) {
+        for change in changes.iter().filter(|change| change.accepts_no_requests()) {
             self.connections
-                .stop_sending_to(&mut self.net, change.line.server);
+                .stop_sending_to(&mut self.net, change.entry.server);
         }
-        self.services.listed(&changes);
-        self.net.set_listed_nodes(self.servers.count());
+        self.services.apply_server_changes(&changes);
+        self.net.set_listed_nodes(self.servers.live_count());
     }
 
     pub(super) fn activate_configuration(&mut self, new: ActiveConfiguration) {
--- a/fleet/src/router/handlers/dispatch.rs
+++ b/fleet/src/router/handlers/dispatch.rs
@@ -21,7 +21,7 @@
         if self.services.next_turn().is_none_or(|at| at > now) {
             return;
         }
-        for (service, command) in self.services.turn(now) {
+        for (service, command) in self.services.run_turns(now) {
             match command {
                 Command::Send(server, parts) => {
                     for part in parts {
@@ -67,7 +67,7 @@
         let endpoint = self
             .servers
             .endpoint(server)
-            .filter(|endpoint| !endpoint.leaving);
+            .filter(|endpoint| !endpoint.is_leaving);
         let max_connections = self
             .services
             .get_mut(service)
@@ -156,7 +156,7 @@
     pub(crate) fn report_outcome(&mut self, id: AttemptId, outcome: Outcome) {
         let now = self.net.clock.now();
         if let Some(service) = self.services.get_mut(id.service) {
-            service.ended(now, id.number, outcome);
+            service.on_attempt_ended(now, id.number, outcome);
         }
     }
 
--- a/fleet/src/router/handlers/intake.rs
+++ b/fleet/src/router/handlers/intake.rs
@@ -48,11 +48,11 @@
     pub(crate) fn reject(&mut self, client: ConnId, reason: &RejectionReason) {
         self.counters.on_rejected(reason);
         let answer = match reason {
-            RejectionReason::Unavailable(after) => LocalResponse::refused(*after),
-            RejectionReason::NoRoute => LocalResponse::plain(404),
-            RejectionReason::UnknownKey => LocalResponse::plain(401),
-            RejectionReason::QuotaExceeded(after) => LocalResponse::beyond_quota(*after),
-            RejectionReason::Malformed => LocalResponse::plain(400),
+            RejectionReason::Unavailable(after) => LocalResponse::unavailable(*after),
+            RejectionReason::NoRoute => LocalResponse::status_only(404),
+            RejectionReason::UnknownKey => LocalResponse::status_only(401),
+            RejectionReason::QuotaExceeded(after) => LocalResponse::too_many_requests(*after),
+            RejectionReason::Malformed => LocalResponse::status_only(400),
         };
         self.clients
             .respond_locally(&mut self.net, client, &answer, &mut self.client_events);
@@ -102,7 +102,7 @@
             deadline,
         };
         let (query, class_index) =
-            core.take(now, &route_request)
+            core.submit(now, &route_request)
                 .map_err(|refusal| match refusal {
                     Refusal::Busy(after) => RejectionReason::Unavailable(after),
                     Refusal::Stopping | Refusal::Contract(_) => {
@@ -144,7 +144,7 @@
             .get()
             .ok_or(RejectionReason::Unavailable(Some(DEFAULT_RETRY_AFTER_US)))?;
         let route = in_force
-            .route(&request.host, request.path())
+            .route(&request.host, request.target())
             .ok_or(RejectionReason::NoRoute)?;
         let sender = self.authenticate(in_force, route.public_access, request.key)?;
         let tenant = sender
@@ -174,7 +174,7 @@
     pub(super) fn check_capacity(&self, request: &ClientRequest) -> Result<(), RejectionReason> {
         let capacity = self.options.capacity;
         let full = self.requests.len() + self.quota_waiters.len() >= capacity.max_requests as usize
-            || self.requests.buffered_bytes() + request.bytes() > capacity.max_bytes;
+            || self.requests.buffered_bytes() + request.buffered_bytes() > capacity.max_bytes;
         match full {
             true => Err(RejectionReason::Unavailable(Some(DEFAULT_RETRY_AFTER_US))),
             false => Ok(()),
--- a/fleet/src/router/handlers/relay.rs
+++ b/fleet/src/router/handlers/relay.rs
@@ -74,8 +74,8 @@
             request.core_query = None;
         }
         if let Some(service) = self.services.get_mut(service) {
-            service.on_load(head.load);
-            service.stream_begun(server);
+            service.on_server_load(head.load);
+            service.on_stream_started(server);
         }
         if !resumes {
             self.clients
@@ -159,10 +159,10 @@
             prompt,
             deadline,
         };
-        let Some((query, class)) = service.take_resumed(now, &route_request) else {
+        let Some((query, class)) = service.submit_resumed(now, &route_request) else {
             return false;
         };
-        service.stream_ended(server);
+        service.on_stream_ended(server);
         self.requests.on_relay_interrupted(id, last_event_id);
         let Some(request) = self.requests.get_mut(id) else {
             return false;
--- a/fleet/src/router/handlers/request_end.rs
+++ b/fleet/src/router/handlers/request_end.rs
@@ -26,10 +26,10 @@
         if let Some(service) = service {
             service.release(request.class_index);
             if let RequestPhase::Relaying(relay) = &request.phase {
-                service.stream_ended(relay.server);
+                service.on_stream_ended(relay.server);
             }
             if let Some(query) = request.core_query {
-                service.hangup(query);
+                service.cancel(query);
             }
         }
         Some(request)
@@ -83,9 +83,9 @@
             }
             _ => {
                 let answer = match ran {
-                    false => LocalResponse::refused(after),
-                    true if is_nearly_due(request.deadline, now) => LocalResponse::plain(504),
-                    true => LocalResponse::plain(502),
+                    false => LocalResponse::unavailable(after),
+                    true if is_nearly_due(request.deadline, now) => LocalResponse::status_only(504),
+                    true => LocalResponse::status_only(502),
                 };
                 self.clients
                     .respond_locally(&mut self.net, client, &answer, events);
--- a/fleet/src/router/handlers/responses.rs
+++ b/fleet/src/router/handlers/responses.rs
@@ -46,7 +46,7 @@
             return;
         };
         if let Some(service) = self.services.get_mut(id.service) {
-            service.on_load(answer.head.load);
+            service.on_server_load(answer.head.load);
         }
         match meaning(&answer.head) {
             ResponseOutcome::NotExecuted => {
--- a/fleet/src/router/local_response.rs
+++ b/fleet/src/router/local_response.rs
@@ -13,17 +13,17 @@
     status: u16,
     retry_after: Option<Micros>,
     /// The connection ends with it.
-    pub closes: bool,
+    pub closes_connection: bool,
 }
 
 impl LocalResponse {
     /// This status and nothing else.
     #[must_use]
-    pub(crate) fn plain(status: u16) -> LocalResponse {
+    pub(crate) fn status_only(status: u16) -> LocalResponse {
         LocalResponse {
             status,
             retry_after: None,
-            closes: false,
+            closes_connection: false,
         }
     }
 
@@ -31,35 +31,35 @@
     #[must_use]
     pub(crate) fn closing(status: u16) -> LocalResponse {
         LocalResponse {
-            closes: true,
-            ..LocalResponse::plain(status)
+            closes_connection: true,
+            ..LocalResponse::status_only(status)
         }
     }
 
     /// A refusal: the request has not run and never will.
     #[must_use]
-    pub(crate) fn refused(after: Option<Micros>) -> LocalResponse {
+    pub(crate) fn unavailable(after: Option<Micros>) -> LocalResponse {
         LocalResponse {
             status: 503,
             retry_after: Some(after.unwrap_or(DEFAULT_RETRY_AFTER_US).max(1_000)),
-            closes: false,
+            closes_connection: false,
         }
     }
 
     /// A refusal of what is beyond a quota: the request has not run and never will.
     #[must_use]
-    pub(crate) fn beyond_quota(after: Micros) -> LocalResponse {
+    pub(crate) fn too_many_requests(after: Micros) -> LocalResponse {
         LocalResponse {
             status: 429,
-            ..LocalResponse::refused(Some(after))
+            ..LocalResponse::unavailable(Some(after))
         }
     }
 
     /// The same, and the end of the connection.
     #[must_use]
-    pub(crate) fn and_close(self) -> LocalResponse {
+    pub(crate) fn with_close(self) -> LocalResponse {
         LocalResponse {
-            closes: true,
+            closes_connection: true,
             ..self
         }
     }
--- a/fleet/src/router/local_response/tests.rs
+++ b/fleet/src/router/local_response/tests.rs
@@ -4,8 +4,8 @@
 fn a_refusal_tells_when_to_come_back() {
     let text =
         |answer: LocalResponse| String::from_utf8(answer.encode(false, false)).expect("text");
-    assert!(text(LocalResponse::refused(Some(150_000))).contains("retry-after: 0.150\r\n"));
-    assert!(text(LocalResponse::refused(None)).contains("retry-after: 0.200\r\n"));
-    assert!(!text(LocalResponse::plain(502)).contains("retry-after"));
-    assert!(text(LocalResponse::plain(502)).ends_with("\r\n\r\nBad Gateway"));
+    assert!(text(LocalResponse::unavailable(Some(150_000))).contains("retry-after: 0.150\r\n"));
+    assert!(text(LocalResponse::unavailable(None)).contains("retry-after: 0.200\r\n"));
+    assert!(!text(LocalResponse::status_only(502)).contains("retry-after"));
+    assert!(text(LocalResponse::status_only(502)).ends_with("\r\n\r\nBad Gateway"));
 }
--- a/fleet/src/router/prompt.rs
+++ b/fleet/src/router/prompt.rs
@@ -5,36 +5,36 @@
 //! beginning without a word between them.
 
 /// Start and factor of the hash FNV-1a, which is the same on all machines and in all versions.
-const FNV_START: u64 = 0xcbf2_9ce4_8422_2325;
-const FNV_FACTOR: u64 = 0x0000_0100_0000_01b3;
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
 /// A hash that never changes.
 #[must_use]
 pub(crate) fn stable_hash(bytes: &[u8]) -> u64 {
-    hash_on(FNV_START, bytes)
+    hash_from(FNV_OFFSET_BASIS, bytes)
 }
 
 /// Tokens that a request counts as where it tells none, and the least that any counts as.
-const LEAST_TOKENS: u32 = 1_024;
+const MIN_TOKENS: u32 = 1_024;
 
 /// What is known of a request's prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Prompt {
     /// Names the beginning that it shares with others: all parts but the last, which belongs to the
     /// request or its session. 0: it shares nothing, or its list of parts can't be read.
-    pub prefix: u64,
+    pub prefix_hash: u64,
     /// Tokens of that beginning.
     pub shared_tokens: u32,
     /// Tokens that a server has to read which keeps the beginning.
-    pub own_tokens: u32,
+    pub uncached_tokens: u32,
 }
 
 impl Default for Prompt {
     fn default() -> Self {
         Prompt {
-            prefix: 0,
+            prefix_hash: 0,
             shared_tokens: 0,
-            own_tokens: LEAST_TOKENS,
+            uncached_tokens: MIN_TOKENS,
         }
     }
 }
@@ -42,7 +42,7 @@
 impl Prompt {
     /// Reads `Model` and `Prompt-Prefix` (parts `ID:TOKENS`, joined by commas).
     #[must_use]
-    pub(crate) fn read(model: Option<&[u8]>, parts: Option<&[u8]>) -> Prompt {
+    pub(crate) fn from_headers(model: Option<&[u8]>, parts: Option<&[u8]>) -> Prompt {
         let Some(parts) = parts else {
             return Prompt::default();
         };
@@ -50,9 +50,9 @@
         let (shared, own) = end.map_or((&parts[..0], parts), |end| {
             (&parts[..end], &parts[end + 1..])
         });
-        let own_tokens = tokens_of(own).max(LEAST_TOKENS);
+        let uncached_tokens = tokens_of(own).max(MIN_TOKENS);
         let mut prompt = Prompt {
-            own_tokens,
+            uncached_tokens,
             ..Prompt::default()
         };
         if end.is_none() {
@@ -67,15 +67,15 @@
                 .unwrap_or_default();
             if id.is_empty() {
                 return Prompt {
-                    own_tokens,
+                    uncached_tokens,
                     ..Prompt::default()
                 };
             }
-            hash = hash_on(hash_on(hash, id), b",");
+            hash = hash_from(hash_from(hash, id), b",");
             prompt.shared_tokens = prompt.shared_tokens.saturating_add(tokens_of(part));
         }
         // 0 is taken.
-        prompt.prefix = hash.max(1);
+        prompt.prefix_hash = hash.max(1);
         prompt
     }
 }
@@ -93,12 +93,12 @@
 }
 
 fn model_hash(model: Option<&[u8]>) -> u64 {
-    hash_on(stable_hash(model.unwrap_or_default()), b"\n")
+    hash_from(stable_hash(model.unwrap_or_default()), b"\n")
 }
 
-fn hash_on(start: u64, bytes: &[u8]) -> u64 {
+fn hash_from(start: u64, bytes: &[u8]) -> u64 {
     bytes.iter().fold(start, |hash, byte| {
-        (hash ^ u64::from(*byte)).wrapping_mul(FNV_FACTOR)
+        (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME)
     })
 }
 
--- a/fleet/src/router/prompt/tests.rs
+++ b/fleet/src/router/prompt/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
 fn prompt(parts: &str) -> Prompt {
-    Prompt::read(Some(b"m"), Some(parts.as_bytes()))
+    Prompt::from_headers(Some(b"m"), Some(parts.as_bytes()))
 }
 
 fn of(parts: &str) -> u64 {
-    prompt(parts).prefix
+    prompt(parts).prefix_hash
 }
 
 #[test]
@@ -35,15 +35,15 @@
 fn models_share_nothing() {
     let parts = Some(&b"5c1e:800,e440:250"[..]);
     assert_ne!(
-        Prompt::read(Some(b"a"), parts).prefix,
-        Prompt::read(Some(b"b"), parts).prefix
+        Prompt::from_headers(Some(b"a"), parts).prefix_hash,
+        Prompt::from_headers(Some(b"b"), parts).prefix_hash
     );
-    assert_ne!(Prompt::read(None, parts).prefix, 0);
+    assert_ne!(Prompt::from_headers(None, parts).prefix_hash, 0);
 }
 
 #[test]
 fn what_shares_nothing_or_cannot_be_read_has_no_name() {
-    assert_eq!(Prompt::read(Some(b"m"), None), Prompt::default());
+    assert_eq!(Prompt::from_headers(Some(b"m"), None), Prompt::default());
     for parts in ["", "e440:250", ",", ",e440:250", "5c1e:800,,e440:250"] {
         assert_eq!(of(parts), 0, "{parts:?}");
     }
@@ -60,17 +60,17 @@
 #[test]
 fn tokens_are_told_apart_by_who_has_read_them() {
     let read = prompt("5c1e:800,91bd:410,e440:2500");
-    assert_eq!((read.shared_tokens, read.own_tokens), (1_210, 2_500));
+    assert_eq!((read.shared_tokens, read.uncached_tokens), (1_210, 2_500));
     // What can't be read counts for nothing in what is shared, and for the least in the whole.
     assert_eq!(
         prompt("5c1e:x,91bd,e440:-3"),
         Prompt {
             shared_tokens: 0,
-            own_tokens: LEAST_TOKENS,
+            uncached_tokens: MIN_TOKENS,
             ..prompt("5c1e:x,91bd,e440:1")
         }
     );
-    assert_eq!(prompt("e440:250000").own_tokens, 250_000);
+    assert_eq!(prompt("e440:250000").uncached_tokens, 250_000);
     assert_eq!(
         prompt("a:4294967295,b:4294967295,c:1").shared_tokens,
         u32::MAX
--- a/fleet/src/router/request_reader.rs
+++ b/fleet/src/router/request_reader.rs
@@ -4,7 +4,7 @@
 //! rejected.
 
 use super::client_request::{ClientRequest, TokenUsage};
-use super::header_lines::lines;
+use super::header_lines::forwarded_header_lines;
 use super::prompt::Prompt;
 use lichenswitch_configuration::{KeyDigest, Limits};
 use lichenswitch_http::{
@@ -15,7 +15,7 @@
 
 /// Headers that this program sets itself, that concern how a body travels, or that are for this
 /// program alone.
-pub(crate) const OWN: [&str; 8] = [
+pub(crate) const NOT_FORWARDED: [&str; 8] = [
     "content-length",
     "deadline-ms",
     "target-instance",
@@ -70,7 +70,7 @@
 
     /// Bytes of a body that it holds.
     #[must_use]
-    pub(crate) fn held(&self) -> usize {
+    pub(crate) fn buffered_body_bytes(&self) -> usize {
         self.request
             .as_ref()
             .map_or(0, |(request, _)| request.body.len())
@@ -92,7 +92,7 @@
             None => {
                 let waits = std::mem::take(&mut self.expects_continue);
                 Ok(RequestProgress::Incomplete {
-                    expects_continue: waits && self.held() == 0,
+                    expects_continue: waits && self.buffered_body_bytes() == 0,
                 })
             }
         }
@@ -149,10 +149,10 @@
     let deadline = only(headers, "deadline-ms")?.and_then(|text| text.parse::<u64>().ok());
     Ok(ClientRequest {
         host,
-        passed: lines(headers, &OWN),
+        forwarded_lines: forwarded_header_lines(headers, &NOT_FORWARDED),
         attempt_id: only(headers, "attempt-id")?.map(str::to_owned),
         deadline: deadline.map(|ms| Duration::from_millis(ms).min(MAX_DEADLINE)),
-        prompt: Prompt::read(headers.get("model"), headers.get("prompt-prefix")),
+        prompt: Prompt::from_headers(headers.get("model"), headers.get("prompt-prefix")),
         key: only_bytes(headers, "api-key")?
             .filter(|key| !key.is_empty())
             .map(KeyDigest::of),
--- a/fleet/src/router/request_reader/tests.rs
+++ b/fleet/src/router/request_reader/tests.rs
@@ -61,13 +61,13 @@
     let mut bytes = Vec::new();
     let left = Duration::from_micros(123_900);
     let send = ForwardingHeaders {
-        left,
-        instance: "i-9",
+        remaining: left,
+        target_instance: "i-9",
         priority: 2,
         resume_after: None,
         sender: None,
     };
-    request.encode(&send, &mut bytes);
+    request.encode_head(&send, &mut bytes);
     let expected: &[u8] = b"POST /a/b?c=%20 HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: x1\r\nModel: m\r\n\
         Token-Usage: 1,2\r\nPrompt-Prefix: a:1,b:2\r\nX-Raw: \xff\xfe\r\nDeadline-Ms: 123\r\nTarget-Instance: i-9\r\n\
         Priority: 2\r\n\
@@ -77,7 +77,7 @@
         String::from_utf8_lossy(expected)
     );
     let mut resumed = Vec::new();
-    request.encode(
+    request.encode_head(
         &ForwardingHeaders {
             resume_after: Some(b"31"),
             ..send
--- a/fleet/src/router/request_table.rs
+++ b/fleet/src/router/request_table.rs
@@ -159,7 +159,7 @@
     pub(crate) fn insert(&mut self, request: RequestState) -> RequestId {
         let id = self.next_id();
         self.next += 1;
-        self.bytes += request.client_request.bytes();
+        self.bytes += request.client_request.buffered_bytes();
         self.by_client.insert(request.client, id);
         self.requests.insert(id, request);
         id
@@ -249,7 +249,7 @@
     /// Takes one out: the one place where it is given back.
     pub(crate) fn remove(&mut self, id: RequestId) -> Option<RequestState> {
         let request = self.requests.remove(&id)?;
-        self.bytes -= request.client_request.bytes();
+        self.bytes -= request.client_request.buffered_bytes();
         self.by_client.remove(&request.client);
         for out in &request.in_flight {
             self.by_attempt.remove(&out.id);
--- a/fleet/src/router/response_reader.rs
+++ b/fleet/src/router/response_reader.rs
@@ -5,7 +5,7 @@
 //! its connection ended in order if it has none.
 
 use super::client_request::ClientRequest;
-use super::header_lines::lines;
+use super::header_lines::forwarded_header_lines;
 use super::server_response::{ResponseHead, ServerLoad};
 use lichenswitch_http::{parse_response_head, BodyDecoder, Framing, Headers};
 use lichenswitch_net::buffer::Buffer;
@@ -160,7 +160,7 @@
         );
         Ok(ResponseHead {
             status: head.status,
-            passed: lines(headers, &["content-length"]),
+            passed: forwarded_header_lines(headers, &["content-length"]),
             attempt_id: headers.text("attempt-id").map(str::to_owned),
             sealed: headers.get("response-seal").is_some(),
             not_executed: headers.get("not-executed").is_some(),
--- a/fleet/src/router/server_connections/exchange.rs
+++ b/fleet/src/router/server_connections/exchange.rs
@@ -121,8 +121,8 @@
             return self.close(net, id);
         }
         let send = ForwardingHeaders {
-            left,
-            instance: &attempt.endpoint.instance,
+            remaining: left,
+            target_instance: &attempt.endpoint.instance_id,
             priority: attempt.priority,
             resume_after: attempt.resume_after.as_deref(),
             sender: attempt.sender.as_deref(),
@@ -131,7 +131,7 @@
             conn.set_user_timeout(left);
         }
         let mut bytes = Vec::new();
-        attempt.request.encode(&send, &mut bytes);
+        attempt.request.encode_head(&send, &mut bytes);
         let bytes_before = conn.written();
         conn.send(&bytes);
         let bytes_through = conn.send(&attempt.request.body);
--- a/fleet/src/router/servers.rs
+++ b/fleet/src/router/servers.rs
@@ -16,7 +16,7 @@
 const MAX_REMEMBERED_GONE: usize = 2_048;
 /// Groups that the servers of a service are dealt into. The module looks for another holder at once
 /// after a failed connection only while it has tried fewer servers than there are groups.
-pub(crate) const GROUPS: u32 = 4;
+pub(crate) const SERVER_GROUPS: u32 = 4;
 
 /// One instance.
 #[derive(Debug)]
@@ -34,11 +34,11 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Endpoint {
     /// Its `instanceId`.
-    pub instance: Rc<str>,
+    pub instance_id: Rc<str>,
     /// Its address.
     pub address: SocketAddr,
     /// It takes no new requests.
-    pub leaving: bool,
+    pub is_leaving: bool,
 }
 
 /// What a push changed at one service.
@@ -47,14 +47,14 @@
     /// Its name.
     pub service: Rc<str>,
     /// The changed line of its list.
-    pub line: ListedServer,
+    pub entry: ListedServer,
 }
 
 impl ServerChange {
     /// The server takes nothing new.
     #[must_use]
-    pub(crate) fn takes_nothing(&self) -> bool {
-        matches!(self.line.mode, ServerMode::Draining | ServerMode::Gone)
+    pub(crate) fn accepts_no_requests(&self) -> bool {
+        matches!(self.entry.mode, ServerMode::Draining | ServerMode::Gone)
     }
 }
 
@@ -82,7 +82,7 @@
     pub(crate) fn merge(&mut self, records: &[ServerRecord]) -> Vec<ServerChange> {
         records
             .iter()
-            .filter_map(|record| self.merge_one(record))
+            .filter_map(|record| self.merge_record(record))
             .collect()
     }
 
@@ -94,32 +94,35 @@
         let address = instance
             .address
             .filter(|_| instance.state != ServerState::Gone)?;
-        let leaving = instance.state != ServerState::Ready;
+        let is_leaving = instance.state != ServerState::Ready;
         Some(Endpoint {
-            instance: name.clone(),
+            instance_id: name.clone(),
             address,
-            leaving,
+            is_leaving,
         })
     }
 
     /// Lines of all servers of a service that are not gone.
     #[must_use]
-    pub(crate) fn lines_of(&self, service: &str) -> Vec<ListedServer> {
+    pub(crate) fn entries_of(&self, service: &str) -> Vec<ListedServer> {
         let of = self
             .instances
             .values()
             .filter(|i| &*i.service == service && i.state != ServerState::Gone);
-        of.map(line).collect()
+        of.map(listed_entry).collect()
     }
 
     /// How many instances are not gone.
     #[must_use]
-    pub(crate) fn count(&self) -> usize {
+    pub(crate) fn live_count(&self) -> usize {
         self.instances.len() - self.gone.len()
     }
 
-    fn merge_one(&mut self, record: &ServerRecord) -> Option<ServerChange> {
-        let (service, zone) = (self.service(&record.service), self.zone(&record.zone));
+    fn merge_record(&mut self, record: &ServerRecord) -> Option<ServerChange> {
+        let (service, zone) = (
+            self.intern_service(&record.service),
+            self.zone_number(&record.zone),
+        );
         let address = record.address.parse().ok();
         if let Some((name, known)) = self.instances.get_key_value(record.instance.as_str()) {
             let older = record.state < known.state;
@@ -132,7 +135,7 @@
             return self.update(&name, record, address, zone);
         }
         let name: Rc<str> = Rc::from(record.instance.as_str());
-        let server = self.new_id(&name);
+        let server = self.assign_id(&name);
         let instance = Instance {
             server,
             service: service.clone(),
@@ -142,18 +145,18 @@
             sequence_number: record.sequence_number,
             is_suspect: record.is_suspect,
         };
-        let line = line(&instance);
+        let entry = listed_entry(&instance);
         self.instances.insert(name.clone(), instance);
         self.by_server.insert(server, name.clone());
         if record.state == ServerState::Gone {
-            self.bury(name);
+            self.remember_gone(name);
             return None;
         }
-        Some(ServerChange { service, line })
+        Some(ServerChange { service, entry })
     }
 
     /// The same at all routers, unless two instances share a hash: routers choose servers by it.
-    fn new_id(&self, instance: &str) -> ServerId {
+    fn assign_id(&self, instance: &str) -> ServerId {
         let hash = stable_hash(instance.as_bytes());
         let mut id = ServerId((hash ^ (hash >> 32)) as u32);
         while self.by_server.contains_key(&id) {
@@ -170,23 +173,23 @@
         zone: u32,
     ) -> Option<ServerChange> {
         let known = self.instances.get_mut(name)?;
-        let (before, was) = (line(known), known.state);
+        let (before, was) = (listed_entry(known), known.state);
         known.sequence_number = known.sequence_number.max(record.sequence_number);
         known.address = address.or(known.address);
         (known.zone, known.state, known.is_suspect) = (zone, record.state, record.is_suspect);
-        let (after, service) = (line(known), known.service.clone());
+        let (after, service) = (listed_entry(known), known.service.clone());
         if was != ServerState::Gone && record.state == ServerState::Gone {
-            self.bury(name.clone());
+            self.remember_gone(name.clone());
         }
         (before != after).then_some(ServerChange {
             service,
-            line: after,
+            entry: after,
         })
     }
 
     /// Remembers that an instance is gone, and forgets the one that has been gone for longest where
     /// there are too many.
-    fn bury(&mut self, name: Rc<str>) {
+    fn remember_gone(&mut self, name: Rc<str>) {
         self.gone.push_back(name);
         if self.gone.len() <= MAX_REMEMBERED_GONE {
             return;
@@ -200,7 +203,7 @@
         }
     }
 
-    fn service(&mut self, name: &str) -> Rc<str> {
+    fn intern_service(&mut self, name: &str) -> Rc<str> {
         if let Some((known, ())) = self.services.get_key_value(name) {
             return known.clone();
         }
@@ -209,7 +212,7 @@
         name
     }
 
-    fn zone(&mut self, name: &str) -> u32 {
+    fn zone_number(&mut self, name: &str) -> u32 {
         if let Some(&number) = self.zones.get(name) {
             return number;
         }
@@ -219,7 +222,7 @@
     }
 }
 
-fn line(instance: &Instance) -> ListedServer {
+fn listed_entry(instance: &Instance) -> ListedServer {
     let mode = match (instance.state, instance.is_suspect) {
         (ServerState::Ready, false) => ServerMode::Ready,
         // Control may be what can't be reached: it is used where no other server will do.
@@ -227,7 +230,7 @@
         (ServerState::Draining, _) => ServerMode::Draining,
         (ServerState::Gone, _) => ServerMode::Gone,
     };
-    let cell = instance.server.0 % GROUPS;
+    let cell = instance.server.0 % SERVER_GROUPS;
     ListedServer {
         server: instance.server,
         cell,
--- a/fleet/src/router/servers/tests.rs
+++ b/fleet/src/router/servers/tests.rs
@@ -14,7 +14,7 @@
 
 fn modes(table: &ServerTable) -> Vec<ServerMode> {
     table
-        .lines_of("pool")
+        .entries_of("pool")
         .iter()
         .map(|line| line.mode)
         .collect()
@@ -50,12 +50,12 @@
     assert!(table
         .merge(&[record("i", ServerState::Draining, 9)])
         .is_empty());
-    assert_eq!(table.count(), 0);
+    assert_eq!(table.live_count(), 0);
     table.merge(&[record("j", ServerState::Ready, 1)]);
-    let server = table.lines_of("pool")[0].server;
+    let server = table.entries_of("pool")[0].server;
     assert!(table.endpoint(server).is_some());
     let changes = table.merge(&[record("j", ServerState::Gone, 0)]);
-    assert!(changes.len() == 1 && changes[0].takes_nothing());
+    assert!(changes.len() == 1 && changes[0].accepts_no_requests());
     assert!(table.endpoint(server).is_none());
 }
 
@@ -86,23 +86,23 @@
         is_suspect: true,
         ..record("i", ServerState::Ready, 2)
     };
-    assert_eq!(table.merge(&[suspect])[0].line.mode, ServerMode::Leaving);
+    assert_eq!(table.merge(&[suspect])[0].entry.mode, ServerMode::Leaving);
     assert_eq!(
         table.merge(&[record("i", ServerState::Ready, 3)])[0]
-            .line
+            .entry
             .mode,
         ServerMode::Ready
     );
 }
 
 #[test]
-fn a_server_that_drains_is_where_it_was_and_takes_nothing() {
+fn a_server_that_drains_is_where_it_was_and_accepts_no_requests() {
     let mut table = ServerTable::new("z1");
     table.merge(&[record("i", ServerState::Ready, 1)]);
-    let server = table.lines_of("pool")[0].server;
-    assert!(!table.endpoint(server).expect("known").leaving);
+    let server = table.entries_of("pool")[0].server;
+    assert!(!table.endpoint(server).expect("known").is_leaving);
     table.merge(&[record("i", ServerState::Draining, 2)]);
-    assert!(table.endpoint(server).expect("known").leaving);
+    assert!(table.endpoint(server).expect("known").is_leaving);
 }
 
 #[test]
@@ -115,7 +115,7 @@
     };
     table.merge(&[other]);
     let mut zones: Vec<u32> = table
-        .lines_of("pool")
+        .entries_of("pool")
         .iter()
         .map(|line| line.zone)
         .collect();
@@ -133,7 +133,7 @@
             record(&name, ServerState::Gone, 1),
         ]);
     }
-    assert_eq!(table.count(), 0);
+    assert_eq!(table.live_count(), 0);
     assert_eq!(table.instances.len(), MAX_REMEMBERED_GONE);
     assert_eq!(table.by_server.len(), MAX_REMEMBERED_GONE);
 }
--- a/fleet/src/router/service.rs
+++ b/fleet/src/router/service.rs
@@ -10,7 +10,7 @@
 use super::options::{Capacity, RetryBudget};
 use super::prompt::Prompt;
 use super::server_response::ServerLoad;
-use super::servers::GROUPS;
+use super::servers::SERVER_GROUPS;
 use lichenswitch_backlog::Backlog;
 use lichenswitch_core::{Command, Contracts, Core, Refusal, Request, Value};
 use lichenswitch_interface::{
@@ -22,28 +22,28 @@
 
 /// Advice to clients that are refused is at most this long (microseconds): they heed up to a third
 /// of the time they have left, and what is served within its aim from the new try still earns.
-const RETRY_AFTER: Micros = 300_000;
+const MAX_RETRY_AFTER_US: Micros = 300_000;
 /// A route that is a rank less urgent is worth this much less in a jam.
-const RANK_WORTH: f64 = 0.8;
+const VALUE_PER_RANK: f64 = 0.8;
 /// Connections to a server that a router may have at the least, whatever its share.
-const LEAST_CONNECTIONS: usize = 2;
+const MIN_CONNECTIONS_PER_SERVER: usize = 2;
 /// The same where the operator names no most.
-const UNTOLD_CONNECTIONS: usize = 16;
+const DEFAULT_CONNECTIONS_PER_SERVER: usize = 16;
 /// How fast the part of slots taken follows what servers tell: each answer moves it by this share
 /// of the difference.
-const LOAD_PACE: f64 = 0.1;
+const LOAD_SMOOTHING: f64 = 0.1;
 /// The part of slots taken counts as this at the least, so that a router with many streams at one
 /// server still sees them.
-const LEAST_SLOTS_TAKEN: f64 = 0.05;
+const MIN_OCCUPIED_SLOTS_RATIO: f64 = 0.05;
 /// Servers are told apart by their backlogs in steps of so many tokens at the least: what is known
 /// of them is a tenth of a second old.
-const LEAST_BACKLOG_STEP: f64 = 3_072.0;
+const MIN_BACKLOG_STEP_TOKENS: f64 = 3_072.0;
 /// The same for each token of a prompt that is shared: to be read again it has to be worth the
 /// wait.
-const BACKLOG_A_SHARED_TOKEN: f64 = 20.0;
+const BACKLOG_PER_SHARED_TOKEN: f64 = 20.0;
 /// The core of a service never sees more attempts of one request than this, whatever its route
 /// says.
-const MOST_ATTEMPTS: u32 = 16;
+const MAX_ATTEMPTS: u32 = 16;
 
 /// A service.
 pub(crate) struct Service {
@@ -53,27 +53,27 @@
     classes: Vec<RequestClass>,
     queries: HashMap<QueryId, RequestId>,
     /// What loads each server beside what waits there for this router.
-    loads: HashMap<ServerId, ServerLoads>,
+    loads: HashMap<ServerId, ServerPressure>,
     /// Sum of all backlogs (tokens).
-    backlog: u64,
+    total_backlog: u64,
     /// Servers that take requests.
-    ready: BTreeSet<ServerId>,
-    resumes: ResumeBudget,
-    told_connections: Option<u32>,
-    told_slots: Option<u32>,
+    ready_servers: BTreeSet<ServerId>,
+    resume_budget: ResumeBudget,
+    configured_connections: Option<u32>,
+    configured_slots: Option<u32>,
     max_connections: usize,
     /// So many streams that run on at a server weigh as much as one request that waits for its
     /// answer there.
-    streams_a_request: u32,
+    streams_per_request: u32,
     /// This router's share of a server's slots, 1 at the least.
     slot_share: u32,
     /// Part of their slots that servers told to be taken of late; `None`: none has told it.
-    slots_taken: Option<f64>,
+    occupied_slots_ratio: Option<f64>,
 }
 
 /// What loads a server beside what waits there for this router.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct ServerLoads {
+struct ServerPressure {
     /// Streams of this router that run on there.
     streams: u32,
     /// What waits there for all routers, as control tells it.
@@ -97,9 +97,9 @@
 struct RequestClass {
     terms: RouteTerms,
     /// Requests that are held with it.
-    held: u32,
+    request_count: u32,
     /// The configuration in force has it.
-    in_force: bool,
+    is_active: bool,
 }
 
 impl Service {
@@ -112,8 +112,8 @@
         budget: RetryBudget,
         lines: Vec<ListedServer>,
     ) -> Service {
-        let settings = settings(capacity, module_budget(budget, 0));
-        let ready = lines
+        let settings = core_settings(capacity, module_budget(budget, 0));
+        let ready_servers = lines
             .iter()
             .filter(|line| line.mode == ServerMode::Ready)
             .map(|line| line.server)
@@ -126,15 +126,15 @@
             classes: Vec::new(),
             queries: HashMap::new(),
             loads: HashMap::new(),
-            backlog: 0,
-            ready,
-            resumes: ResumeBudget::new(budget),
-            told_connections: None,
-            told_slots: None,
-            max_connections: LEAST_CONNECTIONS,
-            streams_a_request: 1,
+            total_backlog: 0,
+            ready_servers,
+            resume_budget: ResumeBudget::new(budget),
+            configured_connections: None,
+            configured_slots: None,
+            max_connections: MIN_CONNECTIONS_PER_SERVER,
+            streams_per_request: 1,
             slot_share: 1,
-            slots_taken: None,
+            occupied_slots_ratio: None,
         }
     }
 
@@ -142,19 +142,19 @@
     pub(crate) fn set_routes(&mut self, routes: Vec<RouteTerms>) {
         self.classes
             .iter_mut()
-            .for_each(|slot| slot.in_force = false);
+            .for_each(|class| class.is_active = false);
         for terms in routes {
-            let (place, _) = self.place(&terms);
-            self.classes[place].in_force = true;
+            let (place, _) = self.class_index_of(&terms);
+            self.classes[place].is_active = true;
         }
-        self.tell_classes();
+        self.push_classes();
     }
 
     /// Routers that are members now: budget and connections are shared by them.
-    pub(crate) fn set_routers(&mut self, budget: RetryBudget, routers: u32) {
+    pub(crate) fn set_router_count(&mut self, budget: RetryBudget, routers: u32) {
         self.core.set_budget(Some(module_budget(budget, routers)));
-        self.resumes.set(budget, routers);
-        self.share_servers(routers);
+        self.resume_budget.update(budget, routers);
+        self.update_server_share(routers);
     }
 
     /// Connections and requests that each of its servers takes from all callers together, where
@@ -165,8 +165,8 @@
         slots: Option<u32>,
         routers: u32,
     ) {
-        (self.told_connections, self.told_slots) = (connections, slots);
-        self.share_servers(routers);
+        (self.configured_connections, self.configured_slots) = (connections, slots);
+        self.update_server_share(routers);
     }
 
     /// Connections to each server that this router may have.
@@ -176,12 +176,12 @@
     }
 
     /// Lines of its list have changed.
-    pub(crate) fn listed(&mut self, lines: Vec<ListedServer>) {
+    pub(crate) fn update_servers(&mut self, lines: Vec<ListedServer>) {
         for line in &lines {
             match line.mode {
-                ServerMode::Ready => _ = self.ready.insert(line.server),
+                ServerMode::Ready => _ = self.ready_servers.insert(line.server),
                 ServerMode::Leaving | ServerMode::Draining | ServerMode::Gone => {
-                    _ = self.ready.remove(&line.server)
+                    _ = self.ready_servers.remove(&line.server)
                 }
             }
         }
@@ -192,14 +192,14 @@
     ///
     /// # Errors
     /// Why it is turned away.
-    pub(crate) fn take(
+    pub(crate) fn submit(
         &mut self,
         now: Time,
         route_request: &RouteRequest<'_>,
     ) -> Result<(QueryId, u16), Refusal> {
-        let (place, changed) = self.place(route_request.terms);
+        let (place, changed) = self.class_index_of(route_request.terms);
         if changed {
-            self.tell_classes();
+            self.push_classes();
         }
         let class = place as u16;
         let placement = self.placement(route_request.prompt);
@@ -216,28 +216,28 @@
             job: route_request.request_id,
         };
         let query = self.core.take(now, request)?;
-        self.classes[place].held += 1;
+        self.classes[place].request_count += 1;
         self.queries.insert(query, route_request.request_id);
-        self.resumes.on_request(now);
+        self.resume_budget.on_request(now);
         Ok((query, class))
     }
 
     /// Takes a stream that is to go on at another server, if the budget bears it.
-    pub(crate) fn take_resumed(
+    pub(crate) fn submit_resumed(
         &mut self,
         now: Time,
         route_request: &RouteRequest<'_>,
     ) -> Option<(QueryId, u16)> {
-        match self.resumes.take(now) {
-            true => self.take(now, route_request).ok(),
+        match self.resume_budget.try_take(now) {
+            true => self.submit(now, route_request).ok(),
             false => None,
         }
     }
 
     /// A request of this class is held no more.
     pub(crate) fn release(&mut self, class: u16) {
-        if let Some(slot) = self.classes.get_mut(usize::from(class)) {
-            slot.held = slot.held.saturating_sub(1);
+        if let Some(class) = self.classes.get_mut(usize::from(class)) {
+            class.request_count = class.request_count.saturating_sub(1);
         }
     }
 
@@ -247,48 +247,49 @@
     }
 
     /// There is nobody left to answer.
-    pub(crate) fn hangup(&mut self, query: QueryId) {
+    pub(crate) fn cancel(&mut self, query: QueryId) {
         self.queries.remove(&query);
         self.core.hangup(query);
     }
 
     /// An attempt has ended. Only its first end counts.
-    pub(crate) fn ended(&mut self, now: Time, number: u64, outcome: Outcome) {
+    pub(crate) fn on_attempt_ended(&mut self, now: Time, number: u64, outcome: Outcome) {
         let value = (outcome == Outcome::Ok).then(Value::default);
         self.core.ended(now, number, outcome, value);
     }
 
     /// A server has told how busy it is.
-    pub(crate) fn on_load(&mut self, load: Option<ServerLoad>) {
+    pub(crate) fn on_server_load(&mut self, load: Option<ServerLoad>) {
         let Some(load) = load else { return };
         let taken = f64::from(load.running.saturating_add(load.waiting)) / f64::from(load.slots);
-        let before = self.slots_taken.unwrap_or(taken);
-        self.slots_taken = Some(before + LOAD_PACE * (taken - before));
-        self.weigh_streams();
+        let before = self.occupied_slots_ratio.unwrap_or(taken);
+        self.occupied_slots_ratio = Some(before + LOAD_SMOOTHING * (taken - before));
+        self.update_stream_weight();
     }
 
     /// A stream runs on at a server, whose first event has answered its request as far as the
     /// module is concerned.
-    pub(crate) fn stream_begun(&mut self, server: ServerId) {
+    pub(crate) fn on_stream_started(&mut self, server: ServerId) {
         self.loads.entry(server).or_default().streams += 1;
-        self.tell_load(server);
+        self.push_load(server);
     }
 
     /// It has ended.
-    pub(crate) fn stream_ended(&mut self, server: ServerId) {
+    pub(crate) fn on_stream_ended(&mut self, server: ServerId) {
         let Some(loads) = self.loads.get_mut(&server) else {
             return;
         };
         loads.streams = loads.streams.saturating_sub(1);
-        self.tell_load(server);
+        self.push_load(server);
     }
 
     /// So much waits at a server for all routers together (tokens).
     pub(crate) fn set_backlog(&mut self, server: ServerId, tokens: Backlog) {
         let loads = self.loads.entry(server).or_default();
         let before = std::mem::replace(&mut loads.backlog, tokens);
-        self.backlog = self.backlog.saturating_sub(u64::from(before)) + u64::from(tokens);
-        self.tell_load(server);
+        self.total_backlog =
+            self.total_backlog.saturating_sub(u64::from(before)) + u64::from(tokens);
+        self.push_load(server);
     }
 
     /// Nothing is known any more of what waits for other routers.
@@ -305,12 +306,12 @@
     }
 
     /// Tells the module what loads a server, and forgets it where that is nothing.
-    fn tell_load(&mut self, server: ServerId) {
+    fn push_load(&mut self, server: ServerId) {
         let loads = self.loads.get(&server).copied().unwrap_or_default();
-        if loads == ServerLoads::default() {
+        if loads == ServerPressure::default() {
             self.loads.remove(&server);
         }
-        let streams = loads.streams / self.streams_a_request;
+        let streams = loads.streams / self.streams_per_request;
         self.core.set_load(
             server,
             Load {
@@ -322,12 +323,12 @@
 
     /// Which of equal servers a request with this prompt is to go to.
     fn placement(&self, prompt: Prompt) -> Placement {
-        let mean_backlog = self.backlog as f64 / self.ready.len().max(1) as f64;
-        let shared = f64::from(prompt.shared_tokens) * BACKLOG_A_SHARED_TOKEN;
+        let mean_backlog = self.total_backlog as f64 / self.ready_servers.len().max(1) as f64;
+        let shared = f64::from(prompt.shared_tokens) * BACKLOG_PER_SHARED_TOKEN;
         // A conversion from floating point ends at the bounds of the type.
-        let backlog_step = mean_backlog.max(shared).max(LEAST_BACKLOG_STEP) as u32;
+        let backlog_step = mean_backlog.max(shared).max(MIN_BACKLOG_STEP_TOKENS) as u32;
         Placement {
-            prefix: prompt.prefix,
+            prefix: prompt.prefix_hash,
             backlog_step,
         }
     }
@@ -345,7 +346,7 @@
     }
 
     /// Takes a turn if it is time.
-    pub(crate) fn turn(&mut self, now: Time) -> Vec<Command<RequestId>> {
+    pub(crate) fn run_turn(&mut self, now: Time) -> Vec<Command<RequestId>> {
         match self.core.next_turn() {
             Some(at) if at <= now => self.core.turn(now),
             _ => Vec::new(),
@@ -354,62 +355,66 @@
 
     /// The class of these terms: the one that has them, one that nobody needs any more, or a new
     /// one; `true`: the module has yet to be told of it.
-    fn place(&mut self, terms: &RouteTerms) -> (usize, bool) {
-        if let Some(place) = self.classes.iter().position(|slot| slot.terms == *terms) {
+    fn class_index_of(&mut self, terms: &RouteTerms) -> (usize, bool) {
+        if let Some(place) = self.classes.iter().position(|class| class.terms == *terms) {
             return (place, false);
         }
-        let slot = RequestClass {
+        let class = RequestClass {
             terms: terms.clone(),
-            held: 0,
-            in_force: false,
+            request_count: 0,
+            is_active: false,
         };
         match self
             .classes
             .iter()
-            .position(|slot| slot.held == 0 && !slot.in_force)
+            .position(|class| class.request_count == 0 && !class.is_active)
         {
             Some(place) => {
-                self.classes[place] = slot;
+                self.classes[place] = class;
                 (place, true)
             }
             None => {
-                self.classes.push(slot);
+                self.classes.push(class);
                 (self.classes.len() - 1, true)
             }
         }
     }
 
-    fn tell_classes(&mut self) {
-        self.core
-            .set_classes(self.classes.iter().map(|slot| class(&slot.terms)).collect());
+    fn push_classes(&mut self) {
+        self.core.set_classes(
+            self.classes
+                .iter()
+                .map(|class| decision_class(&class.terms))
+                .collect(),
+        );
     }
 
     /// This router's share of each server.
-    fn share_servers(&mut self, routers: u32) {
+    fn update_server_share(&mut self, routers: u32) {
         let share = |all: u32| all / routers.max(1);
-        self.max_connections = match self.told_connections {
+        self.max_connections = match self.configured_connections {
             Some(most) => share(most) as usize,
-            None => UNTOLD_CONNECTIONS,
+            None => DEFAULT_CONNECTIONS_PER_SERVER,
         }
-        .max(LEAST_CONNECTIONS);
-        self.slot_share = share(self.told_slots.unwrap_or(0)).max(1);
-        self.weigh_streams();
+        .max(MIN_CONNECTIONS_PER_SERVER);
+        self.slot_share = share(self.configured_slots.unwrap_or(0)).max(1);
+        self.update_stream_weight();
     }
 
     /// A stream weighs as a request only where slots are short: as many weigh one as this router's
     /// share of a server's slots, or, where servers tell that more is free, as many as would fill
     /// that share at the part of the slots that is taken.
-    fn weigh_streams(&mut self) {
+    fn update_stream_weight(&mut self) {
         let by_load = self
-            .slots_taken
-            .map_or(1.0, |taken| 1.0 / taken.max(LEAST_SLOTS_TAKEN));
+            .occupied_slots_ratio
+            .map_or(1.0, |taken| 1.0 / taken.max(MIN_OCCUPIED_SLOTS_RATIO));
         // At most 1 / LEAST_SLOTS_TAKEN.
-        self.streams_a_request = self.slot_share.max(by_load as u32);
+        self.streams_per_request = self.slot_share.max(by_load as u32);
     }
 }
 
 /// What the module is told of a class.
-fn class(terms: &RouteTerms) -> Class {
+fn decision_class(terms: &RouteTerms) -> Class {
     Class {
         latency_target: terms.target_latency,
         deadline: terms.timeout,
@@ -418,7 +423,7 @@
         } else {
             RetrySafety::Unsafe
         },
-        value: RANK_WORTH.powi(i32::from(terms.rank)),
+        value: VALUE_PER_RANK.powi(i32::from(terms.rank)),
         // Nobody tells what a late answer is worth: it is waited for to its end, since silence is
         // no reason to give up sooner.
         late_share: 1.0,
@@ -427,26 +432,26 @@
         partial: 0.0,
         second_step: 0,
         first_share: FIRST_SHARE,
-        attempts: Some(terms.max_attempts.min(MOST_ATTEMPTS)),
+        attempts: Some(terms.max_attempts.min(MAX_ATTEMPTS)),
     }
 }
 
-fn settings(capacity: Capacity, budget: lichenswitch_interface::Budget) -> Settings {
+fn core_settings(capacity: Capacity, budget: lichenswitch_interface::Budget) -> Settings {
     Settings {
         classes: Vec::new(),
         limits: Limits {
-            attempts: MOST_ATTEMPTS,
+            attempts: MAX_ATTEMPTS,
             // A request and its only part.
             held: capacity.max_requests.saturating_mul(2),
             cancel: true,
             probe: false,
             second_copies: true,
-            retry_after: Some(RETRY_AFTER),
+            retry_after: Some(MAX_RETRY_AFTER_US),
             budget: Some(budget),
         },
         layout: Layout {
-            cells: GROUPS,
-            width: GROUPS,
+            cells: SERVER_GROUPS,
+            width: SERVER_GROUPS,
             shards: 1,
             parts_a_call: 1,
         },
--- a/fleet/src/router/service/tests.rs
+++ b/fleet/src/router/service/tests.rs
@@ -33,7 +33,7 @@
         };
         let mut service = Service::new(Rc::from("s"), 1, capacity, budget, vec![line(1), line(2)]);
         service.set_routes(vec![terms()]);
-        service.set_routers(budget, routers);
+        service.set_router_count(budget, routers);
         service.set_capacity(None, slots, routers);
         Stage {
             service,
@@ -47,7 +47,7 @@
         self.next += 1;
         let request = RequestId(self.next);
         let prompt = Prompt {
-            prefix: 77,
+            prefix_hash: 77,
             ..Prompt::default()
         };
         let route_request = RouteRequest {
@@ -57,20 +57,21 @@
             deadline: self.now.plus(SECOND),
         };
         self.service
-            .take(self.now, &route_request)
+            .submit(self.now, &route_request)
             .expect("there is room");
         self.now = self.now.plus(SECOND / 100);
         let sent = self
             .service
-            .turn(self.now)
+            .run_turn(self.now)
             .into_iter()
             .find_map(|command| match command {
                 Command::Send(server, parts) => Some((server, parts[0].attempt)),
                 _ => None,
             });
         let (server, attempt) = sent.expect("it is sent");
-        self.service.ended(self.now, attempt, Outcome::Ok);
-        self.service.stream_begun(server);
+        self.service
+            .on_attempt_ended(self.now, attempt, Outcome::Ok);
+        self.service.on_stream_started(server);
         server
     }
 }
@@ -114,7 +115,7 @@
 fn a_stream_that_has_ended_weighs_nothing() {
     let mut stage = Stage::new(None, 1);
     let first = stage.stream();
-    stage.service.stream_ended(first);
+    stage.service.on_stream_ended(first);
     assert_eq!(stage.stream(), first);
 }
 
@@ -128,25 +129,25 @@
             slots: 100,
         })
     };
-    stage.service.on_load(told(10));
-    assert_eq!(stage.service.streams_a_request, 10);
+    stage.service.on_server_load(told(10));
+    assert_eq!(stage.service.streams_per_request, 10);
     // What a single server tells moves it a little.
-    stage.service.on_load(told(100));
-    assert_eq!(stage.service.streams_a_request, 5);
-    (0..200).for_each(|_| stage.service.on_load(told(100)));
-    assert_eq!(stage.service.streams_a_request, 1);
-    (0..200).for_each(|_| stage.service.on_load(told(0)));
+    stage.service.on_server_load(told(100));
+    assert_eq!(stage.service.streams_per_request, 5);
+    (0..200).for_each(|_| stage.service.on_server_load(told(100)));
+    assert_eq!(stage.service.streams_per_request, 1);
+    (0..200).for_each(|_| stage.service.on_server_load(told(0)));
     assert_eq!(
-        stage.service.streams_a_request, 20,
+        stage.service.streams_per_request, 20,
         "a router with many streams at one server still sees them"
     );
-    stage.service.on_load(None);
-    assert_eq!(stage.service.streams_a_request, 20);
+    stage.service.on_server_load(None);
+    assert_eq!(stage.service.streams_per_request, 20);
 }
 
 fn prompt(shared_tokens: u32) -> Prompt {
     Prompt {
-        prefix: 77,
+        prefix_hash: 77,
         shared_tokens,
         ..Prompt::default()
     }
@@ -156,8 +157,8 @@
 fn levels_are_as_coarse_as_what_a_prompt_shares_is_worth() {
     let stage = Stage::new(None, 1);
     let step = |shared| stage.service.placement(prompt(shared)).backlog_step;
-    assert_eq!(step(0), LEAST_BACKLOG_STEP as u32);
-    assert_eq!(step(5_000), 5_000 * BACKLOG_A_SHARED_TOKEN as u32);
+    assert_eq!(step(0), MIN_BACKLOG_STEP_TOKENS as u32);
+    assert_eq!(step(5_000), 5_000 * BACKLOG_PER_SHARED_TOKEN as u32);
     assert_eq!(step(u32::MAX), u32::MAX);
 }
 
@@ -172,9 +173,9 @@
     stage.service.forget_backlogs();
     assert_eq!(
         stage.service.placement(prompt(0)).backlog_step,
-        LEAST_BACKLOG_STEP as u32
+        MIN_BACKLOG_STEP_TOKENS as u32
     );
-    assert_eq!(stage.service.backlog, 0);
+    assert_eq!(stage.service.total_backlog, 0);
     assert!(
         stage.service.loads.is_empty(),
         "nothing is held of servers that nothing loads"
@@ -185,11 +186,11 @@
 fn a_request_goes_where_less_waits_for_other_routers() {
     let mut stage = Stage::new(None, 1);
     let first = stage.stream();
-    stage.service.stream_ended(first);
+    stage.service.on_stream_ended(first);
     stage.service.set_backlog(first, 1_000_000);
     let second = stage.stream();
     assert_ne!(second, first);
-    stage.service.stream_ended(second);
+    stage.service.on_stream_ended(second);
     stage.service.forget_backlogs();
     assert_eq!(stage.stream(), first);
 }
