--- a/decide/control/src/pushes/tests.rs
+++ b/decide/control/src/pushes/tests.rs
@@ -22,8 +22,8 @@
 fn heartbeat() -> ControlToRouter {
     ControlToRouter::Heartbeat {
         in_contact: true,
-        control: Vec::new(),
-        routers: 1,
+        control_addresses: Vec::new(),
+        router_count: 1,
     }
 }
 
--- a/fleet/src/control/contact.rs
+++ b/fleet/src/control/contact.rs
@@ -111,8 +111,8 @@
     pub(super) fn router_heartbeat(&self, now: Time) -> ControlToRouter {
         ControlToRouter::Heartbeat {
             in_contact: self.in_contact(now),
-            control: self.control_machines(),
-            routers: self.routers_of_fleet(),
+            control_addresses: self.control_machines(),
+            router_count: self.routers_of_fleet(),
         }
     }
 
@@ -154,8 +154,8 @@
         PeerMessage::Contact {
             in_contact: self.in_contact(now),
             primary: primary.map(|address| address.to_string()),
-            routers: u32::try_from(self.routers.count()).unwrap_or(u32::MAX),
-            known: self.peers.known(),
+            connected_routers: u32::try_from(self.routers.count()).unwrap_or(u32::MAX),
+            known_peers: self.peers.known(),
         }
     }
 
--- a/fleet/src/control/on_internal.rs
+++ b/fleet/src/control/on_internal.rs
@@ -53,12 +53,12 @@
 
     fn hello(&self) -> PeerMessage {
         PeerMessage::Hello {
-            protocol: PROTOCOL_VERSION,
-            node: self.settings.node_name.clone(),
+            protocol_version: PROTOCOL_VERSION,
+            node_name: self.settings.node_name.clone(),
             address: self.address.to_string(),
             identity: self.identity,
             eligible: self.own_part.eligibility() == Eligibility::Durable,
-            known: self.peers.known(),
+            known_peers: self.peers.known(),
         }
     }
 
@@ -66,12 +66,12 @@
         match (envelope, self.links.end(id)) {
             (
                 Envelope::Peer(PeerMessage::Hello {
-                    protocol,
-                    node,
+                    protocol_version: protocol,
+                    node_name: node,
                     address,
                     identity,
                     eligible,
-                    known,
+                    known_peers: known,
                 }),
                 Some(end),
             ) => {
@@ -221,8 +221,8 @@
             PeerMessage::Contact {
                 in_contact,
                 primary,
-                routers,
-                known,
+                connected_routers: routers,
+                known_peers: known,
             } => {
                 if let Some(peer) = self.peers.get_mut(from) {
                     (peer.in_contact, peer.routers) = (in_contact, routers);
@@ -282,8 +282,8 @@
     fn on_router(&mut self, id: ConnId, message: RouterToControl, now: Time) -> Result<(), String> {
         match message {
             RouterToControl::Hello {
-                protocol,
-                node,
+                protocol_version: protocol,
+                node_name: node,
                 zone,
                 process,
                 configuration,
--- a/fleet/src/router/control_link.rs
+++ b/fleet/src/router/control_link.rs
@@ -270,8 +270,8 @@
         match message {
             ControlToRouter::Heartbeat {
                 in_contact,
-                control,
-                routers,
+                control_addresses: control,
+                router_count: routers,
             } => {
                 connection.in_contact = in_contact;
                 if in_contact {
@@ -425,8 +425,8 @@
         self.send(
             net,
             RouterToControl::Hello {
-                protocol: PROTOCOL_VERSION,
-                node: identity.node.clone(),
+                protocol_version: PROTOCOL_VERSION,
+                node_name: identity.node.clone(),
                 zone: identity.zone.clone(),
                 process: identity.process,
                 configuration,
--- a/fleet/tests/control_lost.rs
+++ b/fleet/tests/control_lost.rs
@@ -31,12 +31,12 @@
             reader: EnvelopeReader::default(),
         };
         peer.say(PeerMessage::Hello {
-            protocol: PROTOCOL_VERSION,
-            node: own.to_owned(),
+            protocol_version: PROTOCOL_VERSION,
+            node_name: own.to_owned(),
             address: own.to_owned(),
             identity,
             eligible: false,
-            known: Vec::new(),
+            known_peers: Vec::new(),
         });
         peer
     }
--- a/fleet/tests/control_news.rs
+++ b/fleet/tests/control_news.rs
@@ -177,12 +177,12 @@
 fn tell(address: SocketAddr, messages: Vec<PeerMessage>) -> TcpStream {
     let mut stream = wait_for("a control machine", || TcpStream::connect(address).ok());
     let hello = PeerMessage::Hello {
-        protocol: PROTOCOL_VERSION,
-        node: "127.0.0.1:9".to_owned(),
+        protocol_version: PROTOCOL_VERSION,
+        node_name: "127.0.0.1:9".to_owned(),
         address: "127.0.0.1:9".to_owned(),
         identity: 71,
         eligible: false,
-        known: Vec::new(),
+        known_peers: Vec::new(),
     };
     for message in std::iter::once(hello).chain(messages) {
         stream
--- a/fleet/tests/control_servers.rs
+++ b/fleet/tests/control_servers.rs
@@ -26,7 +26,7 @@
     let (push, position, document) = assert_matches!(near.next(), ControlToRouter::Configuration { push, position, document } =>
         (push, position, document));
     assert_eq!((push, document), (1, configuration(1, 1).into_bytes()));
-    assert_matches!(near.next(), ControlToRouter::Heartbeat { in_contact: true, control, .. } => {
+    assert_matches!(near.next(), ControlToRouter::Heartbeat { in_contact: true, control_addresses: control, .. } => {
         assert!(control.contains(&fleet.machines[1].internal.to_string()), "{control:?}");
     });
     assert_matches!(near.next(), ControlToRouter::Servers { push: 2, is_complete: true, records } if records.is_empty());
--- a/fleet/tests/control_support/mod.rs
+++ b/fleet/tests/control_support/mod.rs
@@ -419,8 +419,8 @@
             reader: EnvelopeReader::default(),
         };
         router.say(RouterToControl::Hello {
-            protocol: PROTOCOL_VERSION,
-            node: node.to_owned(),
+            protocol_version: PROTOCOL_VERSION,
+            node_name: node.to_owned(),
             zone: "a".to_owned(),
             process: node.len() as u64,
             configuration: None,
--- a/fleet/tests/support/control.rs
+++ b/fleet/tests/support/control.rs
@@ -203,8 +203,8 @@
         }
         let message = ControlToRouter::Heartbeat {
             in_contact,
-            control,
-            routers,
+            control_addresses: control,
+            router_count: routers,
         };
         let bytes = encode(&Envelope::ToRouter(message)).expect("encode");
         for link in &mut self.links {
--- a/simulator/src/callers/router.rs
+++ b/simulator/src/callers/router.rs
@@ -136,8 +136,8 @@
             good_at: around.now,
         });
         let hello = RouterToControl::Hello {
-            protocol: PROTOCOL_VERSION,
-            node: self.host.to_string(),
+            protocol_version: PROTOCOL_VERSION,
+            node_name: self.host.to_string(),
             zone: String::new(),
             process: u64::from(self.host.0),
             configuration: self.in_force.as_ref().map(|held| held.position),
--- a/simulator/src/control/routers.rs
+++ b/simulator/src/control/routers.rs
@@ -70,8 +70,8 @@
         let routers = self.connected.len() as u32;
         ControlToRouter::Heartbeat {
             in_contact,
-            control: Vec::new(),
-            routers,
+            control_addresses: Vec::new(),
+            router_count: routers,
         }
     }
 
--- a/wire/messages/src/backlog.rs
+++ b/wire/messages/src/backlog.rs
@@ -1,28 +1,29 @@
-//! Work that waits at model servers: from routers to control machines, among these, and back to
-//! routers.
+//! Backlogs of model servers: reported by routers to control machines, exchanged between these, and
+//! distributed to the other routers.
 //!
-//! A kind of its own beside [`Envelope`](crate::Envelope), which stays as it was. Control machines
-//! send it only once a router has, so that control machines of an earlier version, which don't know
-//! it, meet it only where routers were updated before them.
+//! A kind of its own beside [`Envelope`](crate::Envelope), whose format it leaves as it was. Control
+//! machines send it only once a router has, so that a control machine of an earlier version, which
+//! doesn't know it, receives it only where routers were updated first.
 
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// Work that waits at one server.
+/// Backlog of one server.
 #[derive(Archive, Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq)]
 #[rkyv(attr(allow(missing_docs)))]
 pub struct ServerBacklog {
-    /// The server, by the hash that all routers name it by.
+    /// Hash of the server's instance, the same at all routers.
     pub server: u32,
-    /// Tokens of prompts that were sent there and have not begun to be answered.
+    /// Prompt tokens that were sent to it and whose response has not begun; 0: none any more.
     pub tokens: u32,
 }
 
-/// What the sender knows to wait at servers.
+/// Backlogs that the sender knows of.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq, Eq)]
 #[rkyv(attr(allow(missing_docs)))]
 pub struct BacklogReport {
-    /// Whether this is all that the sender knows; else what it said of other servers stands.
+    /// Whether the sender knows of no other backlogs; otherwise what it reported of other servers
+    /// remains valid.
     pub is_complete: bool,
-    /// Servers with what waits there now; 0: nothing any more.
+    /// Servers with their current backlogs.
     pub servers: Vec<ServerBacklog>,
 }
--- a/wire/messages/src/tenants.rs
+++ b/wire/messages/src/tenants.rs
@@ -1,13 +1,13 @@
-//! Messages about tenants: how fresh a router's configuration is, and draws on quotas.
+//! Messages about tenants: whether a router's configuration is current, and leases of quotas.
 //!
-//! They are a kind of their own beside [`Envelope`](crate::Envelope), which stays as it was, so
-//! that processes of an earlier version read each other and this one as before. They are sent only
-//! where the configuration has tenants, which earlier versions did not know.
+//! A kind of its own beside [`Envelope`](crate::Envelope), whose format it leaves as it was, so that
+//! processes of an earlier version and of this one understand each other. It is sent only where the
+//! configuration has tenants, which earlier versions did not know.
 
 use crate::ConfigurationPosition;
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// What the amounts of a draw count.
+/// Unit of the amounts of a lease.
 #[derive(Archive, Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq)]
 #[rkyv(attr(allow(missing_docs)))]
 pub enum QuotaLeaseUnit {
@@ -17,35 +17,37 @@
     Tokens,
 }
 
-/// Asks for a part of a tenant's quota.
+/// Requests a lease on a tenant's quota.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq, Eq)]
 #[rkyv(attr(allow(missing_docs)))]
 pub struct QuotaLeaseRequest {
-    /// Unique in the life of the sender.
+    /// Unique in the lifetime of the sender.
     pub id: u64,
     /// Name of the tenant.
     pub tenant: String,
-    /// What the amounts count.
+    /// Unit of the amounts.
     pub unit: QuotaLeaseUnit,
-    /// Amounts of requests that wait.
+    /// Amounts of queued requests, 64 at most; each is granted in full or not at all.
     pub amounts: Vec<u64>,
-    /// An amount beside them.
+    /// An additional amount for requests that are expected soon.
     pub prefetch_amount: u64,
-    /// Whether the receiver is to ask others where it has too little itself.
+    /// Whether the receiver forwards the request to other owners where its own shard has too
+    /// little.
     pub may_forward: bool,
 }
 
-/// What is granted of a draw.
+/// What is granted of a [`QuotaLeaseRequest`].
 #[derive(Archive, Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq)]
 #[rkyv(attr(allow(missing_docs)))]
 pub struct QuotaLeaseResponse {
     /// Number of the request.
     pub id: u64,
-    /// The bit of each need that is granted.
+    /// Bit `i` is set where amount `i` is granted.
     pub granted_bits: u64,
-    /// The amount that is granted ahead.
+    /// Granted of the prefetch amount.
     pub prefetch_amount: u64,
-    /// When what was not granted might be (microseconds from now).
+    /// When the first amount that was not granted might be (microseconds from now); 0 where all
+    /// are.
     pub retry_after_us: u64,
 }
 
@@ -53,21 +55,21 @@
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq, Eq)]
 #[rkyv(attr(allow(missing_docs)))]
 pub enum TenantMessage {
-    /// From a router: asks whether what it has in force is current.
+    /// From a router: asks whether the configuration that it has in force is current.
     Confirm {
-        /// Its steady clock (microseconds); means something to it alone.
+        /// Its monotonic clock (microseconds); has a meaning for the router alone.
         sent_at_us: u64,
     },
-    /// Answer of a control machine in contact: all that was acknowledged by the time of the
-    /// question, but for what contact may be behind, went before this on the same connection.
+    /// Response of a control machine that is in contact: all that was acknowledged when the request
+    /// was sent, but for the delay that contact allows, precedes this message on its connection.
     Confirmed {
-        /// Of the question.
+        /// `sent_at_us` of the request.
         sent_at_us: u64,
         /// The newest configuration that this control machine knows to be committed.
         position: Option<ConfigurationPosition>,
     },
     /// From a router or a control machine to a control machine.
     LeaseRequest(QuotaLeaseRequest),
-    /// Its answer.
+    /// The response to it.
     LeaseResponse(QuotaLeaseResponse),
 }
--- a/wire/messages/tests/wire_format.rs
+++ b/wire/messages/tests/wire_format.rs
@@ -112,8 +112,8 @@
 fn router_messages() -> Vec<(&'static str, WireMessage)> {
     let router_hello = |configuration| {
         from_router(RouterToControl::Hello {
-            protocol: PROTOCOL_VERSION,
-            node: "router-1".to_owned(),
+            protocol_version: PROTOCOL_VERSION,
+            node_name: "router-1".to_owned(),
             zone: "zone-a".to_owned(),
             process: 0x3132_3334_3536_3738,
             configuration,
@@ -128,8 +128,8 @@
     let heartbeat = |in_contact| {
         to_router(ControlToRouter::Heartbeat {
             in_contact,
-            control: names(&["10.0.0.1:7000", "control-2.internal:7000"]),
-            routers: 3,
+            control_addresses: names(&["10.0.0.1:7000", "control-2.internal:7000"]),
+            router_count: 3,
         })
     };
     let servers = |whole| {
@@ -199,12 +199,12 @@
 fn peer_messages() -> Vec<(&'static str, WireMessage)> {
     let hello = |eligible| {
         peer(PeerMessage::Hello {
-            protocol: PROTOCOL_VERSION,
-            node: "control-1".to_owned(),
+            protocol_version: PROTOCOL_VERSION,
+            node_name: "control-1".to_owned(),
             address: "10.0.0.1:7000".to_owned(),
             identity: 0x4142_4344_4546_4748,
             eligible,
-            known: names(&["10.0.0.2:7000", "10.0.0.3:7000"]),
+            known_peers: names(&["10.0.0.2:7000", "10.0.0.3:7000"]),
         })
     };
     let servers = |whole| {
@@ -218,8 +218,8 @@
         peer(PeerMessage::Contact {
             in_contact,
             primary: primary.map(str::to_owned),
-            routers: 2,
-            known: names(&["10.0.0.2:7000"]),
+            connected_routers: 2,
+            known_peers: names(&["10.0.0.2:7000"]),
         })
     };
     vec![
