--- a/fleet/src/router/configuration.rs
+++ b/fleet/src/router/configuration.rs
@@ -2,7 +2,7 @@
 //!
 //! It promises that the position of what is in force never goes back within a life of the process.
 
-use super::ranks::Ranks;
+use super::ranks::PriorityRanks;
 use lichenswitch_configuration::{
     ConfigurationError, Document, Keys, Limits, Route, RouteKind, Routes, Tenant,
 };
@@ -13,7 +13,7 @@
 /// What a route says of its requests. A request keeps a copy to its end, whatever configuration
 /// comes meanwhile.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct Terms {
+pub(crate) struct RouteTerms {
     /// Name of the route.
     pub route: Arc<str>,
     /// A request may run more than once: a safe one, or a stream that may be resumed.
@@ -32,10 +32,10 @@
     pub max_attempts: u32,
 }
 
-impl Terms {
-    fn of(route: &Route, rank: u8) -> Terms {
+impl RouteTerms {
+    fn of(route: &Route, rank: u8) -> RouteTerms {
         let streaming = route.kind == RouteKind::Streaming;
-        Terms {
+        RouteTerms {
             route: Arc::from(route.name.as_str()),
             idempotent: route.idempotent(),
             streaming,
@@ -53,27 +53,27 @@
 
 /// A configuration in force.
 #[derive(Debug)]
-pub(super) struct InForce {
+pub(crate) struct ActiveConfiguration {
     /// Its position.
     pub position: ConfigurationPosition,
     routes: Routes,
     /// Who holds which key.
     pub keys: Keys,
-    ranks: Ranks,
+    ranks: PriorityRanks,
 }
 
-impl InForce {
+impl ActiveConfiguration {
     /// Reads a document.
     ///
     /// # Errors
     /// What is wrong with it.
-    pub(super) fn parse(
+    pub(crate) fn parse(
         position: ConfigurationPosition,
         document: &[u8],
-    ) -> Result<InForce, ConfigurationError> {
+    ) -> Result<ActiveConfiguration, ConfigurationError> {
         let document = Arc::new(Document::parse_committed(document)?);
-        let (keys, ranks) = (Keys::new(&document), Ranks::new(&document));
-        Ok(InForce {
+        let (keys, ranks) = (Keys::new(&document), PriorityRanks::new(&document));
+        Ok(ActiveConfiguration {
             position,
             keys,
             ranks,
@@ -83,32 +83,32 @@
 
     /// The document.
     #[must_use]
-    pub(super) fn document(&self) -> &Document {
+    pub(crate) fn document(&self) -> &Document {
         self.routes.document()
     }
 
     /// What clients may send.
     #[must_use]
-    pub(super) fn limits(&self) -> Limits {
+    pub(crate) fn limits(&self) -> Limits {
         *self.document().limits()
     }
 
     /// The route of a request; `None`: no route takes it.
     #[must_use]
-    pub(super) fn route(&self, host: &str, path: &str) -> Option<&Route> {
+    pub(crate) fn route(&self, host: &str, path: &str) -> Option<&Route> {
         self.routes.lookup(host, path)
     }
 
     /// The terms of a tenant's request on a route.
     #[must_use]
-    pub(super) fn terms(&self, route: &Route, tenant: Option<&Tenant>) -> Terms {
-        Terms::of(route, self.ranks.rank(tenant, route))
+    pub(crate) fn terms(&self, route: &Route, tenant: Option<&Tenant>) -> RouteTerms {
+        RouteTerms::of(route, self.ranks.rank(tenant, route))
     }
 
     /// Terms of all routes that may send to a service, by the ranks that their tenants may give
     /// them.
     #[must_use]
-    pub(super) fn terms_of(&self, service: &str) -> Vec<Terms> {
+    pub(crate) fn terms_of(&self, service: &str) -> Vec<RouteTerms> {
         let to = |route: &&Route| {
             route
                 .targets
@@ -120,7 +120,7 @@
             self.ranks
                 .all(tenants, route)
                 .into_iter()
-                .map(|rank| Terms::of(route, rank))
+                .map(|rank| RouteTerms::of(route, rank))
                 .collect::<Vec<_>>()
         };
         self.document()
@@ -134,19 +134,19 @@
 
 /// The configuration in force, where there is one.
 #[derive(Default)]
-pub(super) struct Configuration {
-    in_force: Option<InForce>,
+pub(crate) struct CurrentConfiguration {
+    in_force: Option<ActiveConfiguration>,
 }
 
-impl Configuration {
+impl CurrentConfiguration {
     /// The configuration in force.
     #[must_use]
-    pub(super) fn get(&self) -> Option<&InForce> {
+    pub(crate) fn get(&self) -> Option<&ActiveConfiguration> {
         self.in_force.as_ref()
     }
 
     /// Puts a configuration in force, if its position is above that of the one which is.
-    pub(super) fn apply(&mut self, new: InForce) -> bool {
+    pub(crate) fn apply(&mut self, new: ActiveConfiguration) -> bool {
         let newer = self
             .in_force
             .as_ref()
