--- a/fleet/src/control/on_internal.rs
+++ b/fleet/src/control/on_internal.rs
@@ -1,7 +1,7 @@
 //! Messages of other processes of the fleet.
 
 use super::backlog::Source;
-use super::calls::Origin;
+use super::calls::CallOrigin;
 use super::feed::Feed;
 use super::group::to_replica;
 use super::links::End;
@@ -10,7 +10,7 @@
 use super::routers::Hello;
 use crate::envelopes::Incoming;
 use lichenswitch_configuration::Document;
-use lichenswitch_control::{Committed, Eligibility, Question};
+use lichenswitch_control::{CallKind, CommittedConfiguration, Eligibility};
 use lichenswitch_interface::Time;
 use lichenswitch_messages::{
     Envelope, PeerMessage, RelayedCall, RelayedResponse, RouterToControl, PROTOCOL_VERSION,
@@ -53,12 +53,12 @@
 
     fn hello(&self) -> PeerMessage {
         PeerMessage::Hello {
-            protocol: PROTOCOL_VERSION,
-            node: self.settings.node_name.clone(),
+            protocol_version: PROTOCOL_VERSION,
+            node_name: self.settings.node_name.clone(),
             address: self.address.to_string(),
             identity: self.identity,
             eligible: self.own_part.eligibility() == Eligibility::Durable,
-            known: self.peers.known(),
+            known_peers: self.peers.known(),
         }
     }
 
@@ -66,12 +66,12 @@
         match (envelope, self.links.end(id)) {
             (
                 Envelope::Peer(PeerMessage::Hello {
-                    protocol,
-                    node,
+                    protocol_version: protocol,
+                    node_name: node,
                     address,
                     identity,
                     eligible,
-                    known,
+                    known_peers: known,
                 }),
                 Some(end),
             ) => {
@@ -183,10 +183,9 @@
             PeerMessage::Hello { .. } => {}
             PeerMessage::Replication(bytes) => self.on_replication(from, &bytes, now),
             PeerMessage::Call { id, call } => self.on_relayed(from, id, call, now),
-            PeerMessage::CallResponse {
-                id,
-                response: answer,
-            } => self.calls.on_answer(to_replica(now), &from, id, answer),
+            PeerMessage::CallResponse { id, response } => {
+                self.calls.on_response(to_replica(now), &from, id, response)
+            }
             PeerMessage::Servers {
                 ack,
                 records,
@@ -221,8 +220,8 @@
             PeerMessage::Contact {
                 in_contact,
                 primary,
-                routers,
-                known,
+                connected_routers: routers,
+                known_peers: known,
             } => {
                 if let Some(peer) = self.peers.get_mut(from) {
                     (peer.in_contact, peer.routers) = (in_contact, routers);
@@ -267,8 +266,8 @@
 
     /// A call that another control machine relays.
     fn on_relayed(&mut self, address: SocketAddr, id: u64, call: RelayedCall, now: Time) {
-        match Question::of_relayed(call) {
-            Some(question) => self.take_call(Origin::Peer { address, id }, question, now),
+        match CallKind::from_relayed(call) {
+            Some(kind) => self.take_call(CallOrigin::Peer { address, id }, kind, now),
             None => self.send_to_peer(
                 address,
                 PeerMessage::CallResponse {
@@ -282,8 +281,8 @@
     fn on_router(&mut self, id: ConnId, message: RouterToControl, now: Time) -> Result<(), String> {
         match message {
             RouterToControl::Hello {
-                protocol,
-                node,
+                protocol_version: protocol,
+                node_name: node,
                 zone,
                 process,
                 configuration,
@@ -328,7 +327,7 @@
                 self.peers.on_closed(address, id, now);
                 if was_connected && self.peers.connection(address).is_none() {
                     info!(target: "control", address = address.to_string().as_str(), reason = reason; "peer is lost");
-                    self.calls.on_lost(&address);
+                    self.calls.on_peer_disconnected(&address);
                     self.servers.on_lost(address);
                     self.on_holder_lost(address, now);
                     self.backlogs.on_lost(Source::Peer(address));
@@ -362,7 +361,7 @@
     match Document::parse_committed(&document) {
         Ok(parsed) => {
             let version = parsed.version();
-            feed.on_configuration(Committed {
+            feed.on_configuration(CommittedConfiguration {
                 position,
                 version,
                 document: document.into(),
--- a/fleet/src/router/control_link/connection.rs
+++ b/fleet/src/router/control_link/connection.rs
@@ -98,8 +98,8 @@
         self.send(
             net,
             RouterToControl::Hello {
-                protocol: PROTOCOL_VERSION,
-                node: identity.node.clone(),
+                protocol_version: PROTOCOL_VERSION,
+                node_name: identity.node.clone(),
                 zone: identity.zone.clone(),
                 process: identity.process,
                 configuration,
--- a/fleet/src/router/control_link/link.rs
+++ b/fleet/src/router/control_link/link.rs
@@ -254,8 +254,8 @@
         match message {
             ControlToRouter::Heartbeat {
                 in_contact,
-                control,
-                routers,
+                control_addresses: control,
+                router_count: routers,
             } => {
                 connection.is_in_contact = in_contact;
                 if in_contact {
