--- a/decide/consensus/src/genesis/tests.rs
+++ b/decide/consensus/src/bootstrap/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of `genesis`.
+//! Tests of `bootstrap`.
 
 use super::*;
 
-fn identity(name: &str, memory: u64) -> Identity {
-    Identity {
+fn identity(name: &str, storage_id: u64) -> VoterIdentity {
+    VoterIdentity {
         name: name.into(),
-        memory,
+        storage_id,
     }
 }
 
@@ -14,10 +14,10 @@
 }
 
 #[test]
-fn all_come_to_one_genesis_in_whatever_order_they_hear_of_each_other() {
+fn voters_adopt_one_genesis_in_any_order_of_announcements() {
     for order in 0..64usize {
-        let mut all: Vec<Gather> = (0..3)
-            .map(|i| Gather::new(identity(["a", "b", "c"][i], i as u64 + 1), &names(), None))
+        let mut all: Vec<Bootstrap> = (0..3)
+            .map(|i| Bootstrap::new(identity(["a", "b", "c"][i], i as u64 + 1), &names(), None))
             .collect();
         let mut chance = order as u64;
         for _ in 0..100 {
@@ -37,17 +37,17 @@
 }
 
 #[test]
-fn who_has_forgotten_votes_neither_in_the_old_genesis_nor_in_another_one() {
+fn voter_without_its_storage_votes_neither_by_the_old_genesis_nor_by_another() {
     let mut all =
-        [("a", 1), ("b", 2), ("c", 3)].map(|(n, m)| Gather::new(identity(n, m), &names(), None));
+        [("a", 1), ("b", 2), ("c", 3)].map(|(n, m)| Bootstrap::new(identity(n, m), &names(), None));
     let announcements = [0, 1, 2].map(|i| all[i].announcement());
     assert!(announcements[1..]
         .iter()
         .fold(false, |_, a| all[0].on_announcement(a)));
-    let mut late = Gather::new(identity("b", 9), &names(), None);
+    let mut late = Bootstrap::new(identity("b", 9), &names(), None);
     assert!(!late.on_announcement(&all[0].announcement()));
     assert_eq!(
-        late.why().to_string(),
+        late.status().to_string(),
         "the fleet knows b by another memory: this one does not vote"
     );
     assert!(
@@ -56,11 +56,12 @@
             && late.genesis().is_none(),
         "no second one"
     );
-    let mut stranger = Gather::new(identity("d", 4), &names(), None);
+    let mut stranger = Bootstrap::new(identity("d", 4), &names(), None);
     assert!(
-        !stranger.on_announcement(&all[0].announcement()) && stranger.why() == &Reason::Unnamed
+        !stranger.on_announcement(&all[0].announcement())
+            && stranger.status() == &BootstrapStatus::NotMember
     );
     // With its memory it comes back as it was, though nobody else is there.
-    let back = Gather::new(identity("a", 1), &names(), all[0].genesis().cloned());
+    let back = Bootstrap::new(identity("a", 1), &names(), all[0].genesis().cloned());
     assert_eq!(back.genesis(), all[0].genesis());
 }
--- a/decide/consensus/src/persistent_state.rs
+++ b/decide/consensus/src/persistent_state.rs
@@ -1,18 +1,18 @@
-//! What a voter has promised, accepted and learnt to be decided: in memory as the library wants it,
-//! and as records to be kept. The records of any number of whole writes, in order, make the same
-//! memory again.
+//! What a voter has promised, accepted and learned to be decided: in memory as the library reads it,
+//! and as the records that the caller persists. Applied in order, the records of any number of
+//! writes make the same state again.
 
-use crate::genesis::{Genesis, Identity};
-use crate::state::{Entry, Snapshot};
+use crate::genesis::{Genesis, VoterIdentity};
+use crate::log_state::{Entry, Snapshot};
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::storage::{StopSign, Storage, StorageOp, StorageResult};
 use serde::{Deserialize, Serialize};
-use std::sync::{Arc, Mutex};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// One change of what is kept.
+/// One change of the state. The order of the variants is that of stored records.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 enum Change {
-    Identity(Identity),
+    Identity(VoterIdentity),
     Genesis(Genesis),
     Append(Vec<Entry>),
     AppendAt(usize, Vec<Entry>),
@@ -25,21 +25,52 @@
     Snapshot(Option<Snapshot>),
 }
 
-/// What is to be kept of one write: all of it or nothing.
+/// The changes of one write, as they are stored: all of them or none.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record(pub Vec<u8>);
 
-/// Records that are still to be kept. The library owns the memory, so both hold this.
-pub(crate) type Journal = Arc<Mutex<Vec<Record>>>;
+impl Record {
+    fn encode(changes: &[Change]) -> Record {
+        // Plain values in memory can always be encoded.
+        Record(postcard::to_stdvec(changes).unwrap_or_default())
+    }
+
+    fn decode(&self) -> postcard::Result<Vec<Change>> {
+        postcard::from_bytes(&self.0)
+    }
+}
 
-pub(crate) fn take(journal: &Journal) -> Vec<Record> {
-    std::mem::take(&mut journal.lock().unwrap_or_else(|e| e.into_inner()))
+/// A stored record can't be decoded: it was written by a later version, or is damaged.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("record {position} of {count} can't be read")]
+pub struct UnreadableRecord {
+    /// Its position among the records, from 1.
+    pub position: usize,
+    /// How many records there are.
+    pub count: usize,
+    /// Why it can't be decoded.
+    pub source: postcard::Error,
+}
+
+/// The records that are still to be persisted. It is shared, since the library owns the state and
+/// the voter takes the records.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct PendingRecords(Arc<Mutex<Vec<Record>>>);
+
+impl PendingRecords {
+    fn lock(&self) -> MutexGuard<'_, Vec<Record>> {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    pub(crate) fn take(&self) -> Vec<Record> {
+        std::mem::take(&mut self.lock())
+    }
 }
 
 /// The persistent state of a voter: its identity, the genesis, and what it knows of the log.
 #[derive(Clone, Debug, Default)]
 pub struct PersistentState {
-    identity: Option<Identity>,
+    identity: Option<VoterIdentity>,
     genesis: Option<Genesis>,
     log: Vec<Entry>,
     promise: Option<Ballot>,
@@ -47,89 +78,90 @@
     decided: usize,
     compacted: usize,
     trimmed: usize,
-    stopped: Option<StopSign>,
+    stop_sign: Option<StopSign>,
     snapshot: Option<Snapshot>,
-    journal: Journal,
+    pending: PendingRecords,
 }
 
 impl PersistentState {
-    /// The memory that these records make.
+    /// The state that these records make.
     ///
     /// # Errors
-    /// When one of them is none, by its place among them.
-    pub fn from_records(records: &[Record]) -> Result<PersistentState, String> {
+    /// When one of them can't be decoded.
+    pub fn from_records(records: &[Record]) -> Result<PersistentState, UnreadableRecord> {
         let mut state = PersistentState::default();
-        for (place, record) in records.iter().enumerate() {
-            let known = state.extend(record);
-            known
-                .map_err(|()| format!("record {} of {} can't be read", place + 1, records.len()))?;
+        for (index, record) in records.iter().enumerate() {
+            let unreadable = |source| UnreadableRecord {
+                position: index + 1,
+                count: records.len(),
+                source,
+            };
+            state.apply_record(record).map_err(unreadable)?;
         }
         Ok(state)
     }
 
-    /// Applies a record that is kept already.
-    pub(crate) fn extend(&mut self, record: &Record) -> Result<(), ()> {
-        let changes: Vec<Change> = postcard::from_bytes(&record.0).map_err(|_| ())?;
+    /// Applies a record that is persisted already.
+    pub(crate) fn apply_record(&mut self, record: &Record) -> postcard::Result<()> {
+        let changes = record.decode()?;
         changes.into_iter().for_each(|change| self.apply(change));
         Ok(())
     }
 
-    /// Records that are still to be kept.
+    /// Takes the records that are still to be persisted, in order.
     #[must_use]
     pub fn take_records(&self) -> Vec<Record> {
-        take(&self.journal)
+        self.pending.take()
     }
 
-    /// The identity under which it was kept.
+    /// The identity of the voter whose state this is.
     #[must_use]
-    pub fn identity(&self) -> Option<&Identity> {
+    pub fn identity(&self) -> Option<&VoterIdentity> {
         self.identity.as_ref()
     }
 
-    /// The genesis, if the fleet has begun with it.
+    /// The genesis, once the voter has adopted one.
     #[must_use]
     pub fn genesis(&self) -> Option<&Genesis> {
         self.genesis.as_ref()
     }
 
-    /// Begins under this identity.
-    pub fn begin(&mut self, identity: Identity) {
-        self.note(vec![Change::Identity(identity)]);
+    /// Sets the voter's identity, when it starts without storage.
+    pub fn set_identity(&mut self, identity: VoterIdentity) {
+        self.write(vec![Change::Identity(identity)]);
     }
 
-    /// The fleet has begun with it.
-    pub fn begun(&mut self, genesis: Genesis) {
-        self.note(vec![Change::Genesis(genesis)]);
+    /// Sets the genesis, when the voter adopts it.
+    pub fn set_genesis(&mut self, genesis: Genesis) {
+        self.write(vec![Change::Genesis(genesis)]);
     }
 
-    pub(crate) fn journal(&self) -> Journal {
-        self.journal.clone()
+    pub(crate) fn pending(&self) -> PendingRecords {
+        self.pending.clone()
     }
 
-    /// All of it as one record: what stands in place of all records so far.
+    /// The complete state as one record, which stands for all records so far.
     #[must_use]
-    pub fn whole(&self) -> Record {
+    pub fn to_record(&self) -> Record {
         let mut changes = Vec::new();
         changes.extend(self.identity.clone().map(Change::Identity));
         changes.extend(self.genesis.clone().map(Change::Genesis));
         changes.push(Change::Append(self.log.clone()));
         changes.extend(self.promise.map(Change::Promise));
         changes.extend(self.accepted.map(Change::Accepted));
-        // What was trimmed is none of the entries above: it is noted without a cut.
+        // The entries above are without the trimmed ones, so that no trim is to be repeated.
         changes.push(Change::Compacted(self.compacted));
         changes.push(Change::Snapshot(self.snapshot.clone()));
-        changes.push(Change::Stopped(self.stopped.clone()));
+        changes.push(Change::Stopped(self.stop_sign.clone()));
         changes.push(Change::Decided(self.decided));
-        record(&changes)
+        Record::encode(&changes)
     }
 
-    fn note(&mut self, changes: Vec<Change>) {
-        let record = record(&changes);
+    /// Applies the changes of one write, and leaves their record to be persisted.
+    fn write(&mut self, changes: Vec<Change>) {
+        let record = Record::encode(&changes);
         changes.into_iter().for_each(|change| self.apply(change));
-        self.journal
-            .lock()
-            .unwrap_or_else(|e| e.into_inner())
-            .push(record);
+        self.pending.lock().push(record);
     }
 
     fn apply(&mut self, change: Change) {
@@ -146,21 +178,16 @@
             Change::Decided(index) => self.decided = index,
             Change::Compacted(index) => (self.compacted, self.trimmed) = (index, index),
             Change::Trim(index) => {
-                let gone = index.saturating_sub(self.trimmed).min(self.log.len());
-                self.log.drain(..gone);
+                let removed = index.saturating_sub(self.trimmed).min(self.log.len());
+                self.log.drain(..removed);
                 self.trimmed = index.max(self.trimmed);
             }
-            Change::Stopped(sign) => self.stopped = sign,
+            Change::Stopped(stop_sign) => self.stop_sign = stop_sign,
             Change::Snapshot(snapshot) => self.snapshot = snapshot,
         }
     }
 }
 
-fn record(changes: &[Change]) -> Record {
-    // Plain values in memory can always be written.
-    Record(postcard::to_stdvec(changes).unwrap_or_default())
-}
-
 impl Storage<Entry> for PersistentState {
     fn write_atomically(&mut self, ops: Vec<StorageOp<Entry>>) -> StorageResult<()> {
         let change = |op| match op {
@@ -175,7 +202,7 @@
             StorageOp::SetStopsign(sign) => Change::Stopped(sign),
             StorageOp::SetSnapshot(snapshot) => Change::Snapshot(snapshot),
         };
-        self.note(ops.into_iter().map(change).collect());
+        self.write(ops.into_iter().map(change).collect());
         Ok(())
     }
 
@@ -184,22 +211,22 @@
     }
 
     fn append_entries(&mut self, entries: Vec<Entry>) -> StorageResult<()> {
-        self.note(vec![Change::Append(entries)]);
+        self.write(vec![Change::Append(entries)]);
         Ok(())
     }
 
     fn append_on_prefix(&mut self, from_idx: usize, entries: Vec<Entry>) -> StorageResult<()> {
-        self.note(vec![Change::AppendAt(from_idx, entries)]);
+        self.write(vec![Change::AppendAt(from_idx, entries)]);
         Ok(())
     }
 
     fn set_promise(&mut self, n_prom: Ballot) -> StorageResult<()> {
-        self.note(vec![Change::Promise(n_prom)]);
+        self.write(vec![Change::Promise(n_prom)]);
         Ok(())
     }
 
     fn set_decided_idx(&mut self, ld: usize) -> StorageResult<()> {
-        self.note(vec![Change::Decided(ld)]);
+        self.write(vec![Change::Decided(ld)]);
         Ok(())
     }
 
@@ -208,7 +235,7 @@
     }
 
     fn set_accepted_round(&mut self, na: Ballot) -> StorageResult<()> {
-        self.note(vec![Change::Accepted(na)]);
+        self.write(vec![Change::Accepted(na)]);
         Ok(())
     }
 
@@ -245,21 +272,21 @@
     }
 
     fn set_stopsign(&mut self, s: Option<StopSign>) -> StorageResult<()> {
-        self.note(vec![Change::Stopped(s)]);
+        self.write(vec![Change::Stopped(s)]);
         Ok(())
     }
 
     fn get_stopsign(&self) -> StorageResult<Option<StopSign>> {
-        Ok(self.stopped.clone())
+        Ok(self.stop_sign.clone())
     }
 
     fn trim(&mut self, idx: usize) -> StorageResult<()> {
-        self.note(vec![Change::Trim(idx)]);
+        self.write(vec![Change::Trim(idx)]);
         Ok(())
     }
 
     fn set_compacted_idx(&mut self, idx: usize) -> StorageResult<()> {
-        self.note(vec![Change::Compacted(idx)]);
+        self.write(vec![Change::Compacted(idx)]);
         Ok(())
     }
 
@@ -268,7 +295,7 @@
     }
 
     fn set_snapshot(&mut self, snapshot: Option<Snapshot>) -> StorageResult<()> {
-        self.note(vec![Change::Snapshot(snapshot)]);
+        self.write(vec![Change::Snapshot(snapshot)]);
         Ok(())
     }
 
--- /dev/null
+++ b/decide/consensus/src/quorum_status/tests.rs
@@ -0,0 +1,86 @@
+//! Tests of `quorum_status`.
+
+use super::*;
+
+const TERMS: LeaseTerms = LeaseTerms {
+    lease: 3_000_000,
+    drift: 20_000,
+};
+const T: fn(u64) -> Time = |ms| Time(1_000_000_000 + ms * 1_000);
+
+fn contact_with(voters: &[&str], of: usize) -> ContactTracker {
+    let mut contact = ContactTracker::new(of, TERMS);
+    let request = contact.on_request(T(0));
+    voters.iter().for_each(|v| contact.on_answer(v, request, 5));
+    contact
+}
+
+#[test]
+fn majority_is_more_than_half_of_all_voters_and_each_counts_once() {
+    for (voters, of, is_connected) in [
+        (&["a", "b"][..], 3, true),
+        (&["a", "a", "a"], 3, false),
+        (&["a", "b"], 4, false),
+        (&["a", "b", "c"], 4, true),
+        (&["a", "b", "c"], 7, false),
+        (&["a", "b", "c", "d"], 7, true),
+    ] {
+        let (status, reason) = contact_with(voters, of).status(T(100));
+        assert_eq!(
+            status == QuorumStatus::Connected,
+            is_connected,
+            "{voters:?} of {of}: {reason}"
+        );
+    }
+}
+
+#[test]
+fn status_worsens_with_the_time_since_the_last_majority_and_recovers_by_a_later_request() {
+    let mut contact = contact_with(&["a", "b"], 3);
+    let lease = TERMS.holder_duration() / 1_000;
+    for (ms, status) in [
+        (0, QuorumStatus::Connected),
+        (lease - 1, QuorumStatus::Connected),
+        (lease + 1, QuorumStatus::Suspect),
+        (3 * lease, QuorumStatus::Suspect),
+        (3 * 3_100, QuorumStatus::Disconnected),
+        (100_000, QuorumStatus::Disconnected),
+    ] {
+        assert_eq!(contact.status(T(ms)).0, status, "{ms}");
+    }
+    assert_eq!(
+        contact.status(Time(5)).0,
+        QuorumStatus::Suspect,
+        "a clock that went back"
+    );
+    // A delayed answer counts from its request; that of a request no longer remembered counts for
+    // nothing.
+    let late = contact.on_request(T(100_000));
+    contact.on_answer("a", late, 5);
+    contact.on_answer("c", late, 5);
+    assert_eq!(
+        contact.status(T(102_000)),
+        (QuorumStatus::Connected, Reason::ReceivedBy(2, 3))
+    );
+    for ms in 1..=MAX_REMEMBERED_REQUESTS as u64 {
+        contact.on_request(T(102_000 + ms));
+    }
+    contact.on_answer("b", late, 5);
+    assert_eq!(contact.status(T(102_500)).1, Reason::ReceivedBy(2, 3));
+    assert_eq!(contact.requests.len(), MAX_REMEMBERED_REQUESTS);
+}
+
+#[test]
+fn foreign_genesis_is_permanent() {
+    let mut contact = contact_with(&["a", "b"], 3);
+    contact.on_answer("c", 1, 6);
+    assert_eq!(
+        contact.status(T(1)),
+        (QuorumStatus::ForeignGenesis, Reason::OtherGenesis(5, 6))
+    );
+    let request = contact.on_request(T(10));
+    ["a", "b"]
+        .iter()
+        .for_each(|v| contact.on_answer(v, request, 5));
+    assert_eq!(contact.status(T(11)).0, QuorumStatus::ForeignGenesis);
+}
--- a/decide/consensus/tests/stored_data.rs
+++ b/decide/consensus/tests/stored_data.rs
@@ -2,47 +2,51 @@
 //! each, written by the build of commit 6f1ee4c: each kind of change, as the library asks for it.
 //! Each later build reads them to the same state and writes the same bytes.
 
-use lichenswitch_consensus::genesis::{Announcement, Gather, Genesis, Identity};
+use lichenswitch_consensus::bootstrap::Bootstrap;
+use lichenswitch_consensus::genesis::{Announcement, Genesis, VoterIdentity};
+use lichenswitch_consensus::log_state::{Entry, Snapshot};
 use lichenswitch_consensus::persistent_state::{PersistentState, Record};
-use lichenswitch_consensus::state::{Entry, Snapshot};
-use lichenswitch_lease::grants::Entry as Grant;
-use lichenswitch_lease::{Duty, FenceNumber, Holder};
+use lichenswitch_lease::grant_table::LeaseCommand;
+use lichenswitch_lease::{FencingToken, LeaseHolder, RoleName};
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::storage::{Snapshot as _, StopSign, Storage, StorageOp};
 use omnipaxos::ClusterConfig;
 use std::path::Path;
 
-fn identity(number: u64) -> Identity {
-    Identity {
+fn identity(number: u64) -> VoterIdentity {
+    VoterIdentity {
         name: format!("n{number}"),
-        memory: 300 + number,
+        storage_id: 300 + number,
     }
 }
 
 fn genesis() -> Genesis {
     let names: Vec<String> = (0..3).map(|i| identity(i).name).collect();
-    let mut gather = Gather::new(identity(0), &names, None);
+    let mut bootstrap = Bootstrap::new(identity(0), &names, None);
     for other in 1..3 {
-        gather.on_announcement(&Announcement {
+        bootstrap.on_announcement(&Announcement {
             identity: identity(other),
-            begun: None,
+            genesis: None,
         });
     }
-    gather.genesis().unwrap().clone()
+    bootstrap.genesis().unwrap().clone()
 }
 
 fn entry(number: u64) -> Entry {
-    let duty = Duty("compiler".into());
-    let holder = Holder {
+    let role = RoleName("compiler".into());
+    let holder = LeaseHolder {
         name: "n1".into(),
-        life: 1_700_000_000_000_000,
+        incarnation: 1_700_000_000_000_000,
     };
-    let grant = match number % 3 {
-        0 => Grant::Ask(duty, holder),
-        1 => Grant::GiveBack(duty, FenceNumber(number)),
-        _ => Grant::Over(duty, FenceNumber(number), 4),
+    let command = match number % 3 {
+        0 => LeaseCommand::Acquire(role, holder),
+        1 => LeaseCommand::Release(role, FencingToken(number)),
+        _ => LeaseCommand::Expire(role, FencingToken(number), 4),
     };
-    Entry { grant, number }
+    Entry {
+        command,
+        request: number,
+    }
 }
 
 fn ballot(n: u32) -> Ballot {
@@ -72,8 +76,8 @@
 /// A state after each kind of change, some of them in one write.
 fn written() -> PersistentState {
     let mut state = PersistentState::default();
-    state.begin(identity(0));
-    state.begun(genesis());
+    state.set_identity(identity(0));
+    state.set_genesis(genesis());
     let one_by_one = [
         StorageOp::AppendEntry(entry(0)),
         StorageOp::AppendEntries(vec![entry(1), entry(2)]),
@@ -113,12 +117,12 @@
     Record((0..text.len()).step_by(2).map(digits).collect())
 }
 
-/// The last line of the fixture is the whole state as one record.
+/// The last line of the fixture is the complete state as one record.
 #[test]
 fn records_of_each_change_have_the_bytes_of_the_fixture() {
     let state = written();
     let mut records: Vec<String> = state.take_records().iter().map(hex).collect();
-    records.push(hex(&state.whole()));
+    records.push(hex(&state.to_record()));
     assert_eq!(records, fixture());
 }
 
@@ -146,10 +150,13 @@
 #[test]
 fn records_of_the_fixture_are_read_to_the_same_state() {
     let mut records: Vec<Record> = fixture().iter().map(|line| unhex(line)).collect();
-    let whole = records.pop().unwrap();
+    let complete = records.pop().unwrap();
     assert_state(
         &PersistentState::from_records(&records).unwrap(),
         "one by one",
     );
-    assert_state(&PersistentState::from_records(&[whole]).unwrap(), "whole");
+    assert_state(
+        &PersistentState::from_records(&[complete]).unwrap(),
+        "complete",
+    );
 }
--- a/decide/lease/src/lib.rs
+++ b/decide/lease/src/lib.rs
@@ -1,76 +1,76 @@
-//! Duties that only one broker holds at a time: who may hold one, for how long, and what is done
-//! about a holder that believes it still does.
+//! Leases with fencing tokens for singleton roles: a role is held by one broker at a time.
 //!
-//! A grant is a lease with a fence. Three sides, each with a clock of its own that does not stop
-//! and may run fast or slow by a stated drift, and none of which trusts the others' clocks:
+//! Three sides take part. Each has a monotonic clock of its own, which may run fast or slow by a
+//! stated drift, and none trusts the clocks of the others:
 //!
-//! - [`hold::Hold`], at the holder: it counts its lease from before it asked, less the drift, and
-//!   checks itself before each effect;
-//! - [`grants::Grants`], at the voters: what was granted follows from an agreed log; nobody else
-//!   gets a duty before its lease, and the drift, have surely passed since the voter that grants
-//!   has learnt of it;
-//! - [`fence::Fence`], at whoever receives an effect: it refuses a fence lower than one that it has
-//!   seen.
+//! - [`holder_lease::HolderLease`], at the holder: counts the lease from before its request was
+//!   sent, less the drift, and is checked before each effect;
+//! - [`grant_table::GrantTable`], at the voters: the state machine of the agreed log. A role passes
+//!   to another holder only after the lease and the drift have passed since the voter that proposes
+//!   its end has learned of the last renewal;
+//! - [`fencing::FencingGuard`], at the receiver of an effect: rejects a token lower than one that
+//!   it has seen.
 //!
-//! The first two keep two brokers from acting at once while clocks keep to the drift; the third
-//! keeps effects of an old holder from being taken where its own check came too late, whatever its
-//! clock did in between.
+//! The first two keep two brokers from acting at the same time as long as clocks stay within the
+//! drift. The third rejects what a former holder sends after its own check came too late, whatever
+//! its clock did in between.
 //!
-//! It touches plain values alone: no clock, no wire.
+//! This crate has no I/O and reads no clock: time is an argument.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod fence;
-pub mod grants;
-pub mod hold;
+pub mod fencing;
+pub mod grant_table;
+pub mod holder_lease;
 
 use lichenswitch_interface::Micros;
 use serde::{Deserialize, Serialize};
 
-/// Names a duty.
+/// Names a singleton role (the settings call it a duty).
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Duty(pub String);
+pub struct RoleName(pub String);
 
-/// The number of a grant: only grows, over all duties and voters. 0 stands for none.
+/// The number of a grant. It only grows, over all roles and voters; 0 stands for no grant.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct FenceNumber(pub u64);
+pub struct FencingToken(pub u64);
 
-/// A broker in one of its lives: one that was restarted is another holder.
+/// A process of a broker that holds a lease or requests one. A broker that was restarted is another
+/// holder.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Holder {
-    /// Its name.
+pub struct LeaseHolder {
+    /// The broker's name.
     pub name: String,
-    /// Its life.
-    pub life: u64,
+    /// The incarnation of its process: later ones are greater.
+    pub incarnation: u64,
 }
 
-/// Times of leases, the same for all brokers of a cluster.
+/// The duration of leases and the drift of clocks, the same for all brokers of a cluster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Terms {
-    /// How long a lease lasts, microseconds.
+pub struct LeaseTerms {
+    /// How long a lease lasts, in microseconds.
     pub lease: Micros,
-    /// How far a clock may run fast or slow, millionths. What is longer or shorter than that breaks
-    /// the first promise, and leaves the fences.
+    /// How far a clock may run fast or slow, in millionths. With a clock beyond that two brokers
+    /// may act at the same time, and only the fencing tokens are left.
     pub drift: u64,
 }
 
-impl Terms {
-    /// The lease as its holder counts it on a clock that may be slow: shorter by the drift.
+impl LeaseTerms {
+    /// The lease as its holder counts it, whose clock may be slow: shorter by the drift.
     #[must_use]
-    pub fn held(&self) -> Micros {
-        self.lease.saturating_sub(self.part())
+    pub fn holder_duration(&self) -> Micros {
+        self.lease.saturating_sub(self.drift_margin())
     }
 
-    /// The lease as a voter waits for its end on a clock that may be fast: longer by the drift.
+    /// The lease as a voter waits for its end, whose clock may be fast: longer by the drift.
     #[must_use]
-    pub fn awaited(&self) -> Micros {
-        self.lease.saturating_add(self.part())
+    pub fn voter_duration(&self) -> Micros {
+        self.lease.saturating_add(self.drift_margin())
     }
 
-    /// What a clock may be off in a lease; of both clocks, and rounded up.
-    fn part(&self) -> Micros {
+    /// How far both clocks together may be off during a lease, rounded up.
+    fn drift_margin(&self) -> Micros {
         (self.lease as u128 * u128::from(self.drift)).div_ceil(1_000_000) as Micros + 1
     }
 }
--- a/src/config/peers.rs
+++ b/src/config/peers.rs
@@ -1,10 +1,10 @@
 //! The section `peers` of the operators' file: brokers' talk. Without it there is none.
 
 use super::{address, Operators, Platform};
-use crate::decide::duty::Terms;
 use crate::decide::fleet::{Member, Rules};
+use crate::decide::lease::LeaseTerms;
 use crate::interface::Micros;
-use crate::peer::consensus;
+use crate::peer::consensus::ConsensusConfig;
 use serde::Deserialize;
 use serde_saphyr::Spanned;
 use std::collections::BTreeMap;
@@ -77,7 +77,7 @@
     /// For random numbers.
     pub seed: u64,
     /// The voters' log and the duties; `None`: no voters are named.
-    pub consensus: Option<consensus::Rules>,
+    pub consensus: Option<ConsensusConfig>,
 }
 
 impl Peers {
@@ -258,14 +258,14 @@
                 return Err(fault(told.referenced.line(), key, why));
             }
         }
-        let terms = Terms {
+        let terms = LeaseTerms {
             lease,
             drift: DRIFT,
         };
-        let consensus = (!voters.is_empty()).then_some(consensus::Rules {
+        let consensus = (!voters.is_empty()).then_some(ConsensusConfig {
             voters,
             folder,
-            duties,
+            roles: duties,
             terms,
         });
         Ok(Some(Peers {
--- a/src/peer/consensus.rs
+++ b/src/peer/consensus.rs
@@ -1,579 +1,385 @@
-//! The consensus of the voters on their log over the connections to peers, and the duties that this
-//! broker would like to hold.
+//! The consensus of the voters over the connections to peers, and the singleton roles that this
+//! broker is to hold.
 //!
-//! It owns the voter's file, the asks that wait for an answer, and what this broker holds. It
-//! promises: nothing is said before what it rests on is kept, a broker that can't keep does not
-//! vote, and whether it holds a duty is asked of its own lease each time. It decides nothing
-//! itself: `decide::agree` and `decide::duty` do.
+//! It owns this broker's part as a voter ([`local_voter`]), the leases of its roles
+//! ([`role_leases`]), its contact with the voters, and the requests of others that wait for the
+//! log. It promises that nothing is sent before what it depends on is durable, that a broker that
+//! can't write its state does not vote, and that whether it holds a role is checked by its own
+//! lease each time. The decisions are those of `decide::consensus` and `decide::lease`.
 
+mod config;
+mod local_voter;
 mod messages;
+mod role_leases;
 
+pub use config::{ConsensusConfig, ConsensusError};
 pub use messages::OutgoingMessages;
 
+use self::local_voter::{LocalVoter, VoterOutput};
 use self::messages::{outgoing, Message};
-use crate::decide::agree::genesis::{Announcement, Gather, Identity, Reason};
-use crate::decide::agree::persistent_state::{PersistentState, Record};
-use crate::decide::agree::standing::{Hearing, Standing};
-use crate::decide::agree::state::Entry;
-use crate::decide::agree::{Verdict, Voter};
-use crate::decide::duty::grants::{Entry as Grant, Verdict as Granted};
-use crate::decide::duty::hold::{Hold, Verdict as May};
-use crate::decide::duty::{Duty, FenceNumber, Holder, Terms};
+use self::role_leases::RoleLeases;
+use crate::decide::consensus::log_state::Entry;
+use crate::decide::consensus::quorum_status::{ContactTracker, QuorumStatus};
+use crate::decide::consensus::{Voter, VoterAction};
+use crate::decide::lease::grant_table::{LeaseCommand, Outcome};
+use crate::decide::lease::{FencingToken, LeaseHolder, RoleName};
 use crate::interface::{Micros, Time};
-use lichenswitch_record_log::Keep;
-use std::collections::BTreeMap;
-use std::path::PathBuf;
 
-/// Voters that have not begun announce themselves this often (microseconds).
-const GATHER: Micros = 500_000;
-/// How often it looks at what it holds (microseconds): a lease that runs out is told so soon after
-/// it has.
-const LOOK: Micros = 25_000;
-/// Whoever was refused a duty asks again after this many hundredths of a lease.
-const REFUSED: u64 = 30;
-/// Asks of others that wait for the log, at most, and for how many leases: whoever asked has asked
-/// again by then.
-const WAITING: usize = 256;
-const WAITS: u64 = 2;
+/// Voters without a genesis announce themselves this often (microseconds).
+const ANNOUNCEMENT_INTERVAL: Micros = 500_000;
+/// Leases and the contact with the voters are checked this often (microseconds): the end of a lease
+/// is logged so soon after it.
+const CHECK_INTERVAL: Micros = 25_000;
+/// The most requests of brokers that wait for the log, and for how many leases each waits: its
+/// sender has repeated it by then.
+const MAX_PENDING_REQUESTS: usize = 256;
+const PENDING_REQUEST_LEASES: u64 = 2;
 
-/// Voters, folder, duties and terms, as the operators' file says.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Rules {
-    /// The voters, by name.
-    pub voters: Vec<String>,
-    /// Where this broker keeps its memory, if it votes; `None`: in the process alone.
-    pub folder: Option<PathBuf>,
-    /// Duties that this broker would like to hold.
-    pub duties: Vec<String>,
-    /// How long leases last.
-    pub terms: Terms,
+/// A request of a role that was proposed here, until the log decides it.
+struct PendingRequest {
+    role: RoleName,
+    holder: LeaseHolder,
+    number: u64,
+    /// The name of the broker that waits for the answer.
+    from: String,
+    received_at: Time,
 }
 
-/// Whether this broker votes.
-enum VoterRole {
-    /// It is none of the voters.
-    Reader,
-    /// It waits for the genesis.
-    Gathers(Box<(Gather, PersistentState)>),
-    /// It votes.
-    Votes(Box<Voter>),
-    /// It does not, though it is named.
-    Abstains,
-}
-
-struct Holding {
-    hold: Hold,
-    /// Not asked for before this.
-    not_before: Time,
-    /// The fence under which it was held at the last look.
-    held: Option<FenceNumber>,
-}
-
-/// This broker's part in the consensus: as a voter, or as a broker that asks the voters.
+/// This broker's part in the consensus: as a voter, or as a broker that sends requests to the
+/// voters.
 pub struct Consensus {
-    own: Holder,
-    rules: Rules,
-    voter_role: VoterRole,
-    keep: Option<Keep>,
-    holdings: BTreeMap<Duty, Holding>,
-    /// Who has heard this broker, and how it stood at the last look.
-    hearing: Hearing,
-    stood: Option<Standing>,
-    /// A voter that knows of no grant grants none before this: see [`Consensus::begin`].
-    grants_from: Time,
-    /// Asks that were put into the log here: whose, by which number, from whom, when.
-    asks: Vec<(Duty, Holder, u64, String, Time)>,
-    /// The voter that is asked next.
-    asked: usize,
-    gather_at: Time,
-    look_at: Time,
+    own: LeaseHolder,
+    config: ConsensusConfig,
+    /// `None`: this broker is not named as a voter.
+    voter: Option<LocalVoter>,
+    roles: RoleLeases,
+    contact: ContactTracker,
+    /// The status of the contact that was logged last.
+    logged_status: Option<QuorumStatus>,
+    pending: Vec<PendingRequest>,
+    /// How many requests of roles were sent: they go to the voters in turn.
+    requests_sent: usize,
+    announce_at: Time,
+    check_at: Time,
     log: Vec<String>,
 }
 
 impl Consensus {
-    /// The part of `own` in the consensus of a cluster.
+    /// The part of the broker `own` in the consensus of a cluster.
     ///
     /// # Errors
-    /// When the folder can't be used, or holds records that this version can't read.
-    pub fn new(now: Time, cluster: &str, own: Holder, rules: Rules) -> Result<Consensus, String> {
-        let holding = || Holding {
-            hold: Hold::default(),
-            not_before: now,
-            held: None,
+    /// When the folder can't be used, or has records that this version can't read.
+    pub fn new(
+        now: Time,
+        cluster: &str,
+        own: LeaseHolder,
+        config: ConsensusConfig,
+    ) -> Result<Consensus, ConsensusError> {
+        let mut log = Vec::new();
+        let voter = match config.voters.contains(&own.name) {
+            true => Some(LocalVoter::open(now, cluster, &own, &config, &mut log)?),
+            false => None,
         };
-        let holdings = rules
-            .duties
-            .iter()
-            .map(|d| (Duty(d.clone()), holding()))
-            .collect();
-        let hearing = Hearing::new(rules.voters.len(), rules.terms);
-        let mut consensus = Consensus {
-            hearing,
-            stood: None,
-            grants_from: now,
+        Ok(Consensus {
+            voter,
+            roles: RoleLeases::new(now, &config.roles, config.terms),
+            contact: ContactTracker::new(config.voters.len(), config.terms),
+            logged_status: None,
             own,
-            rules,
-            voter_role: VoterRole::Reader,
-            keep: None,
-            holdings,
-            asks: Vec::new(),
-            asked: 0,
-            gather_at: now,
-            look_at: now,
-            log: Vec::new(),
-        };
-        if consensus.rules.voters.contains(&consensus.own.name) {
-            consensus.sit(now, cluster)?;
-        }
-        Ok(consensus)
-    }
-
-    /// Takes this voter's seat, with the memory that it has.
-    fn sit(&mut self, now: Time, cluster: &str) -> Result<(), String> {
-        let mut records = Vec::new();
-        if let Some(folder) = self.rules.folder.clone() {
-            let fault =
-                |e: &dyn std::fmt::Display| format!("peers: folder: {}: {e}", folder.display());
-            let owner = format!("{cluster} {}", self.own.name);
-            let (keep, found) = Keep::open(&folder, &owner).map_err(|e| fault(&e))?;
-            if let Some((path, why)) = &found.aside {
-                self.log.push(format!(
-                    "council: {why}; it is set aside as {}",
-                    path.display()
-                ));
-            }
-            if found.torn > 0 {
-                self.log.push(format!(
-                    "council: {} bytes whose writing was cut off are left aside",
-                    found.torn
-                ));
-            }
-            records = found.records.into_iter().map(Record).collect();
-            self.keep = Some(keep);
-        } else {
-            self.log
-                .push("council: no folder: what this voter promises ends with its process".into());
-        }
-        let mut state = PersistentState::from_records(&records)
-            .map_err(|why| format!("peers: folder: {why}"))?;
-        if state.identity().is_none() {
-            // Two lives of a broker do not begin in the same microsecond, and names tell brokers
-            // apart.
-            let name = self
-                .own
-                .name
-                .bytes()
-                .fold(0u64, |h, b| h.wrapping_mul(31).wrapping_add(u64::from(b)));
-            let memory = (self.own.life ^ name.rotate_left(40)).max(1);
-            state.begin(Identity {
-                name: self.own.name.clone(),
-                memory,
-            });
-        }
-        let Some(identity) = state.identity().cloned() else {
-            return Ok(());
-        };
-        let gather = Gather::new(identity, &self.rules.voters, state.genesis().cloned());
-        self.voter_role = VoterRole::Gathers(Box::new((gather, state)));
-        self.flush_gathering();
-        self.begin(now);
-        Ok(())
-    }
-
-    /// Keeps what the gathering has noted; without that it does not vote.
-    fn flush_gathering(&mut self) {
-        let VoterRole::Gathers(gathering) = &self.voter_role else {
-            return;
-        };
-        let records = gathering.1.take_records();
-        if !self.persist(&records) {
-            self.voter_role = VoterRole::Abstains;
-        }
-    }
-
-    /// Writes records to the file; `false`: it failed, and this broker votes no more.
-    fn persist(&mut self, records: &[Record]) -> bool {
-        let Some(keep) = &mut self.keep else {
-            return true;
-        };
-        let records: Vec<Vec<u8>> = records.iter().map(|r| r.0.clone()).collect();
-        if let Err(e) = if records.is_empty() {
-            Ok(())
-        } else {
-            keep.append(&records)
-        } {
-            self.log.push(format!(
-                "council: its folder can't be written: {e}; it does not vote from here on"
-            ));
-            return false;
-        }
-        true
+            config,
+            pending: Vec::new(),
+            requests_sent: 0,
+            announce_at: now,
+            check_at: now,
+            log,
+        })
     }
 
-    /// Votes from here on, if the genesis names it.
-    fn begin(&mut self, now: Time) {
-        let VoterRole::Gathers(gathering) = &self.voter_role else {
-            return;
-        };
-        let (gather, state) = &**gathering;
-        match (gather.why(), gather.genesis()) {
-            (Reason::Named, Some(genesis)) => {
-                let names: Vec<&str> = genesis.voters().iter().map(|v| v.name.as_str()).collect();
-                let line = format!(
-                    "council: votes, genesis {:x} ({})",
-                    genesis.digest(),
-                    names.join(", ")
-                );
-                match Voter::new(now, state.clone(), self.rules.terms) {
-                    Ok(voter) => {
-                        // Guards who still holds a duty by a genesis that all voters have
-                        // forgotten: its lease is over first.
-                        if voter.applied() == 0 {
-                            self.grants_from = now.plus(self.rules.terms.awaited());
-                        }
-                        self.log
-                            .push(format!("{line}, {} entries known", voter.applied()));
-                        self.voter_role = VoterRole::Votes(Box::new(voter));
-                    }
-                    Err(why) => {
-                        self.log.push(format!("council: does not vote: {why}"));
-                        self.voter_role = VoterRole::Abstains;
-                    }
-                }
-            }
-            (Reason::Waits(_), _) => {}
-            (why, _) => {
-                self.log.push(format!("council: does not vote: {why}"));
-                self.voter_role = VoterRole::Abstains;
-            }
-        }
-    }
-
-    /// Log lines since the last time.
+    /// Takes the log lines since the last call.
     pub fn take_log(&mut self) -> Vec<String> {
         std::mem::take(&mut self.log)
     }
 
-    /// Under which fence this broker may act for a duty now, if it may.
+    /// The token under which this broker may act in a role now, if it may.
     #[must_use]
-    pub fn may_act(&self, now: Time, duty: &Duty) -> Option<FenceNumber> {
-        match self.holdings.get(duty)?.hold.check(now, self.rules.terms) {
-            May::Act(fence, _) => Some(fence),
-            May::Refrain(_) => None,
-        }
+    pub fn fencing_token(&self, now: Time, role: &RoleName) -> Option<FencingToken> {
+        self.roles.token(now, role)
     }
 
     /// When [`Consensus::on_time`] is to be called next.
     #[must_use]
     pub fn next(&self) -> Time {
-        let mut next = Time(u64::MAX);
-        match &self.voter_role {
-            VoterRole::Votes(voter) => next = next.min(voter.next()),
-            VoterRole::Gathers(_) => next = next.min(self.gather_at),
-            VoterRole::Reader | VoterRole::Abstains => {}
-        }
-        next.min(self.look_at)
+        let voter = self.voter.as_ref();
+        let tick_at = voter.and_then(LocalVoter::voting).map(Voter::next);
+        let is_bootstrapping = voter.is_some_and(LocalVoter::is_bootstrapping);
+        let announce_at = is_bootstrapping.then_some(self.announce_at);
+        [tick_at, announce_at]
+            .into_iter()
+            .flatten()
+            .fold(self.check_at, Time::min)
     }
 
-    /// Where this broker stands among the voters.
+    /// This broker's contact with the voters.
     #[must_use]
-    pub fn standing(&self, now: Time) -> Standing {
-        self.hearing.standing(now).0
+    pub fn quorum_status(&self, now: Time) -> QuorumStatus {
+        self.contact.status(now).0
     }
 
-    /// Time has come.
+    /// Does what is due.
     pub fn on_time(&mut self, now: Time) -> OutgoingMessages {
         let mut out = OutgoingMessages::new();
-        if now >= self.look_at {
-            self.look_at = now.plus(LOOK);
-            self.look(now, &mut out);
+        if now >= self.check_at {
+            self.check_at = now.plus(CHECK_INTERVAL);
+            let status = self.check_contact(now, &mut out);
+            self.check_roles(now, status, &mut out);
         }
-        match &mut self.voter_role {
-            VoterRole::Votes(voter) => {
-                let told = voter.on_time(now);
-                self.carry(now, told, &mut out);
-            }
-            VoterRole::Gathers(gathering) if now >= self.gather_at => {
-                self.gather_at = now.plus(GATHER);
-                let announcement = Message::Announcement(gathering.0.announcement());
-                let others = self.rules.voters.iter().filter(|v| **v != self.own.name);
-                out.extend(others.map(|v| outgoing(v, &announcement)));
-            }
-            _ => {}
+        self.run_voter(now, &mut out, |voter| voter.on_time(now));
+        if now >= self.announce_at {
+            self.announce(now, &mut out);
         }
         out
     }
 
-    /// Looks at what it holds: tells what began and what is over, and asks where it is time.
-    fn look(&mut self, now: Time, out: &mut OutgoingMessages) {
-        let (standing, why) = self.hearing.standing(now);
-        // Guards the log: nothing is said of a start, before anybody could have heard it.
-        if self.stood.is_some_and(|stood| stood != standing)
-            || self.stood.is_none() && standing == Standing::Joined
-        {
-            self.log.push(format!("standing: {standing}: {why}"));
-            self.stood = Some(standing);
-        }
-        if now >= self.hearing.ask_at() {
-            let hear = Message::Hear(self.hearing.on_ask(now));
-            for voter in self.rules.voters.clone() {
-                out.extend(self.say(now, &voter, hear.clone()));
-            }
+    /// Logs the status of the contact where it has changed, and asks the voters for a confirmation
+    /// when that is due.
+    fn check_contact(&mut self, now: Time, out: &mut OutgoingMessages) -> QuorumStatus {
+        let (status, reason) = self.contact.status(now);
+        // Guards the log: nothing is logged after a start, before a voter could have answered.
+        let has_changed = match self.logged_status {
+            Some(logged) => logged != status,
+            None => status == QuorumStatus::Connected,
+        };
+        if has_changed {
+            self.log.push(format!("standing: {status}: {reason}"));
+            self.logged_status = Some(status);
         }
-        let terms = self.rules.terms;
-        let mut asks = Vec::new();
-        for (duty, holding) in &mut self.holdings {
-            // A stranger has nothing to ask of a fleet that it does not know.
-            if standing == Standing::Stranger {
-                holding.not_before = now.plus(LOOK);
-            }
-            let verdict = holding.hold.check(now, terms);
-            let held = match verdict {
-                May::Act(fence, _) => Some(fence),
-                May::Refrain(_) => None,
-            };
-            if held != holding.held {
-                self.log.push(match verdict {
-                    May::Act(fence, why) => {
-                        format!("duty {}: held under fence {}: {why}", duty.0, fence.0)
-                    }
-                    May::Refrain(why) => format!("duty {}: not held: {why}", duty.0),
-                });
-                holding.held = held;
-            }
-            if now >= holding.not_before && now >= holding.hold.ask_at(terms) {
-                asks.push((duty.clone(), holding.hold.on_ask(now)));
-            }
+        if now >= self.contact.next_request_at() {
+            let request = Message::ContactRequest(self.contact.on_request(now));
+            self.send_to_voters(now, &request, out);
         }
-        for (duty, number) in asks {
-            // One after the other in turn: a voter that is cut off, or gone, answers nobody.
-            let voter = self.rules.voters[self.asked % self.rules.voters.len()].clone();
-            self.asked += 1;
-            let ask = Message::Ask(duty, self.own.clone(), number);
-            out.extend(self.say(now, &voter, ask));
+        status
+    }
+
+    /// Logs which roles are held, and sends the requests that are due.
+    fn check_roles(&mut self, now: Time, status: QuorumStatus, out: &mut OutgoingMessages) {
+        // A broker whose voters have a genesis that it does not know requests nothing of them.
+        let not_before = (status == QuorumStatus::ForeignGenesis).then(|| now.plus(CHECK_INTERVAL));
+        for (role, number) in self.roles.update(now, not_before, &mut self.log) {
+            // To one voter after the other: one that is unreachable answers nothing.
+            let voters = &self.config.voters;
+            let voter = voters[self.requests_sent % voters.len()].clone();
+            self.requests_sent += 1;
+            let request = Message::LeaseRequest(role, self.own.clone(), number);
+            out.extend(self.send(now, &voter, request));
         }
     }
 
-    /// A message of another broker has come.
-    pub fn on_word(&mut self, now: Time, from: &str, bytes: &[u8]) -> OutgoingMessages {
+    /// Announces this voter to the others, while it waits for the genesis.
+    fn announce(&mut self, now: Time, out: &mut OutgoingMessages) {
+        let voter = self.voter.as_ref();
+        let Some(announcement) = voter.and_then(LocalVoter::bootstrap_announcement) else {
+            return;
+        };
+        self.announce_at = now.plus(ANNOUNCEMENT_INTERVAL);
+        let announcement = Message::Announcement(announcement);
+        let others = self.config.voters.iter().filter(|v| **v != self.own.name);
+        out.extend(others.map(|voter| outgoing(voter, &announcement)));
+    }
+
+    /// Handles a message of another broker.
+    pub fn on_message(&mut self, now: Time, from: &str, bytes: &[u8]) -> OutgoingMessages {
         match postcard::from_bytes::<Message>(bytes) {
-            Ok(message) => self.hear(now, from, message),
-            // It is of a version that says more: what it wants is not known here.
+            Ok(message) => self.handle(now, from, message),
+            // A later version may send messages that this one does not know.
             Err(_) => OutgoingMessages::new(),
         }
     }
 
-    /// A way to or from another broker is there again.
-    pub fn on_way(&mut self, now: Time, name: &str) -> OutgoingMessages {
+    /// A connection to or from another broker is up again.
+    pub fn on_reconnected(&mut self, now: Time, name: &str) -> OutgoingMessages {
         let mut out = OutgoingMessages::new();
-        if let VoterRole::Votes(voter) = &mut self.voter_role {
-            let told = voter.on_reconnected(now, name);
-            self.carry(now, told, &mut out);
-        }
+        self.run_voter(now, &mut out, |voter| voter.on_reconnected(now, name));
         out
     }
 
-    /// This broker stops: what it holds it gives back.
+    /// This broker stops, and releases the roles that it holds.
     pub fn on_stop(&mut self, now: Time) -> OutgoingMessages {
         let mut out = OutgoingMessages::new();
-        for (duty, holding) in std::mem::take(&mut self.holdings) {
-            let mut hold = holding.hold;
-            let held = matches!(hold.check(now, self.rules.terms), May::Act(..));
-            if let Some(fence) = hold.on_give_back().filter(|_| held) {
-                self.log
-                    .push(format!("duty {}: not held: given back", duty.0));
-                let back = Message::GiveBack(duty, fence);
-                // To all: the first that enters it counts, and this broker does not wait for
-                // answers any more.
-                let voters = self.rules.voters.clone();
-                for voter in voters {
-                    out.extend(self.say(now, &voter, back.clone()));
-                }
-            }
+        for (role, token) in self.roles.release_all(now) {
+            self.log
+                .push(format!("duty {}: not held: given back", role.0));
+            // To all voters: the first proposal counts, and this broker does not wait for answers
+            // any more.
+            self.send_to_voters(now, &Message::Release(role, token), &mut out);
         }
         out
     }
 
-    fn hear(&mut self, now: Time, from: &str, message: Message) -> OutgoingMessages {
+    fn handle(&mut self, now: Time, from: &str, message: Message) -> OutgoingMessages {
         let mut out = OutgoingMessages::new();
-        match (message, &mut self.voter_role) {
-            (Message::Announcement(announcement), VoterRole::Gathers(gathering))
-                if announcement.identity.name == from =>
-            {
-                let (gather, state) = &mut **gathering;
-                let was = gather.why().clone();
-                if let (true, Some(genesis)) =
-                    (gather.on_announcement(&announcement), gather.genesis())
-                {
-                    state.begun(genesis.clone());
-                }
-                if was != *gather.why() {
-                    self.flush_gathering();
-                    self.begin(now);
-                }
+        match message {
+            Message::Announcement(announcement) => {
+                let voter = self.voter.as_mut();
+                let answer =
+                    voter.and_then(|v| v.on_announcement(now, from, &announcement, &mut self.log));
+                out.extend(answer.map(|answer| outgoing(from, &Message::Announcement(answer))));
             }
-            (Message::Announcement(announcement), VoterRole::Votes(voter))
-                if announcement.begun.is_none() =>
-            {
-                let own = voter
-                    .genesis()
-                    .voters()
-                    .iter()
-                    .find(|v| v.name == self.own.name)
-                    .cloned();
-                let begun = Some(voter.genesis().clone());
-                out.extend(own.map(|identity| {
-                    outgoing(
-                        from,
-                        &Message::Announcement(Announcement { identity, begun }),
-                    )
-                }));
+            Message::Log(bytes) => {
+                self.run_voter(now, &mut out, |voter| voter.on_message(now, &bytes));
             }
-            (Message::Log(bytes), VoterRole::Votes(voter)) => {
-                let told = voter.on_message(now, &bytes);
-                self.carry(now, told, &mut out);
+            Message::LeaseRequest(role, holder, number) if holder.name == from => {
+                self.on_lease_request(now, from, role, holder, number, &mut out);
             }
-            (Message::Ask(duty, holder, number), VoterRole::Votes(voter))
-                if holder.name == from =>
-            {
-                // Guards the log against those who would be refused; that this voter may be behind
-                // only makes them ask again.
-                let elsewhere = voter
-                    .grants()
-                    .holder(&duty)
-                    .is_some_and(|(held_by, _)| *held_by != holder);
-                if elsewhere || now < self.grants_from {
-                    return self.say(now, from, Message::Elsewhere(duty));
-                }
-                let old = |at: Time| now.since(at) > WAITS * self.rules.terms.lease;
-                self.asks.retain(|a| !old(a.4));
-                if self.asks.len() < WAITING {
-                    self.asks
-                        .push((duty.clone(), holder.clone(), number, from.into(), now));
-                    let told = voter.on_entry(
-                        now,
-                        Entry {
-                            grant: Grant::Ask(duty, holder),
-                            number,
-                        },
-                    );
-                    self.carry(now, told, &mut out);
-                }
-            }
-            // Guards the holder: nobody else gives back what it acts under. A voter that is behind
-            // leaves it to the others.
-            (Message::GiveBack(duty, fence), VoterRole::Votes(voter))
-                if voter
-                    .grants()
-                    .holder(&duty)
-                    .is_some_and(|(held_by, _)| held_by.name == from) =>
-            {
-                let told = voter.on_entry(
-                    now,
-                    Entry {
-                        grant: Grant::GiveBack(duty, fence),
-                        number: 0,
-                    },
-                );
-                self.carry(now, told, &mut out);
+            // Only the holder may release its role.
+            Message::LeaseRequest(..) => {}
+            Message::Release(role, token) => self.on_release(now, from, role, token, &mut out),
+            Message::LeaseAnswer(role, number, token) => {
+                self.roles.on_answer(now, &role, number, token);
             }
-            (Message::Answer(duty, number, fence), _) => {
-                if let Some(holding) = self.holdings.get_mut(&duty) {
-                    match fence {
-                        Some(fence) => drop(holding.hold.on_grant(number, fence)),
-                        None => {
-                            holding.hold.on_refusal(number);
-                            holding.not_before = now.plus(self.rules.terms.lease / 100 * REFUSED);
-                        }
-                    }
+            Message::ContactRequest(number) => {
+                let genesis = self.voting().map(|voter| voter.genesis().digest());
+                if let Some(genesis) = genesis {
+                    return self.send(now, from, Message::ContactAnswer(number, genesis));
                 }
             }
-            (Message::Hear(number), VoterRole::Votes(voter)) => {
-                let heard = Message::Heard(number, voter.genesis().digest());
-                return self.say(now, from, heard);
+            Message::ContactAnswer(number, genesis) => {
+                self.contact.on_answer(from, number, genesis);
             }
-            (Message::Heard(number, genesis), _) => self.hearing.on_answer(from, number, genesis),
-            (Message::Elsewhere(duty), _) => {
-                // Who holds it knows better than a voter that was away, and asks the next one.
-                let holds = self.may_act(now, &duty).is_some();
-                let after = now.plus(self.rules.terms.lease / 100 * REFUSED);
-                if let Some(holding) = self.holdings.get_mut(&duty).filter(|_| !holds) {
-                    holding.not_before = after;
-                }
-            }
-            // Not for this broker as it is: whoever said it says it to another one.
-            _ => {}
+            Message::HeldElsewhere(role) => self.roles.on_held_elsewhere(now, &role),
         }
         out
     }
 
-    fn say(&mut self, now: Time, to: &str, message: Message) -> OutgoingMessages {
+    /// Proposes a request of a role, if this broker votes. One that would be rejected is answered
+    /// at once; if this voter has missed something, that only makes the sender ask another one.
+    fn on_lease_request(
+        &mut self,
+        now: Time,
+        from: &str,
+        role: RoleName,
+        holder: LeaseHolder,
+        number: u64,
+        out: &mut OutgoingMessages,
+    ) {
+        let Some(voter) = self.voter.as_ref() else {
+            return;
+        };
+        let Some(grants) = voter.voting().map(Voter::grants) else {
+            return;
+        };
+        let is_held_elsewhere = grants.holder(&role).is_some_and(|(h, _)| *h != holder);
+        if is_held_elsewhere || !voter.may_grant(now) {
+            out.extend(self.send(now, from, Message::HeldElsewhere(role)));
+            return;
+        }
+        let timeout = PENDING_REQUEST_LEASES * self.config.terms.lease;
+        self.pending
+            .retain(|request| now.since(request.received_at) <= timeout);
+        if self.pending.len() >= MAX_PENDING_REQUESTS {
+            return;
+        }
+        self.pending.push(PendingRequest {
+            role: role.clone(),
+            holder: holder.clone(),
+            number,
+            from: from.into(),
+            received_at: now,
+        });
+        let entry = Entry {
+            command: LeaseCommand::Acquire(role, holder),
+            request: number,
+        };
+        self.run_voter(now, out, |voter| voter.propose(now, entry));
+    }
+
+    /// Proposes the release of a role. Guards the holder: nobody else may release its role. A voter
+    /// that does not know the holder leaves the proposal to the others.
+    fn on_release(
+        &mut self,
+        now: Time,
+        from: &str,
+        role: RoleName,
+        token: FencingToken,
+        out: &mut OutgoingMessages,
+    ) {
+        let holder = self.voting().and_then(|voter| voter.grants().holder(&role));
+        if holder.is_none_or(|(holder, _)| holder.name != from) {
+            return;
+        }
+        let entry = Entry {
+            command: LeaseCommand::Release(role, token),
+            request: 0,
+        };
+        self.run_voter(now, out, |voter| voter.propose(now, entry));
+    }
+
+    fn voting(&self) -> Option<&Voter> {
+        self.voter.as_ref().and_then(LocalVoter::voting)
+    }
+
+    /// Sends a message to a broker, or handles it here if that is this one.
+    fn send(&mut self, now: Time, to: &str, message: Message) -> OutgoingMessages {
         match to == self.own.name {
-            true => self.hear(now, to, message),
+            true => self.handle(now, to, message),
             false => vec![outgoing(to, &message)],
         }
     }
 
-    /// Carries out a voter's verdicts, in order.
-    fn carry(&mut self, now: Time, told: Vec<Verdict>, out: &mut OutgoingMessages) {
-        for verdict in told {
-            match verdict {
-                Verdict::Keep(records) => {
-                    if !self.persist(&records) {
-                        // Guards the others: what could not be kept must not be told.
-                        self.voter_role = VoterRole::Abstains;
-                        return;
-                    }
-                }
-                Verdict::Send(to, bytes) => out.push(outgoing(&to.name, &Message::Log(bytes))),
-                Verdict::Decided(_, entry, granted) => self.decided(now, &entry, &granted, out),
-                Verdict::Caught(place) => {
-                    self.log
-                        .push(format!("council: caught up to entry {place} by a snapshot"));
-                }
-                Verdict::Led(who, why) => {
-                    self.log.push(format!("council: {} leads: {why}", who.name))
+    fn send_to_voters(&mut self, now: Time, message: &Message, out: &mut OutgoingMessages) {
+        for voter in self.config.voters.clone() {
+            out.extend(self.send(now, &voter, message.clone()));
+        }
+    }
+
+    /// Reports an event to the voter, if this broker votes, and passes its outputs on.
+    fn run_voter(
+        &mut self,
+        now: Time,
+        out: &mut OutgoingMessages,
+        event: impl FnOnce(&mut Voter) -> Vec<VoterAction>,
+    ) {
+        let Some(voter) = &mut self.voter else {
+            return;
+        };
+        for output in voter.run(event, &mut self.log) {
+            match output {
+                VoterOutput::Send(to, bytes) => out.push(outgoing(&to, &Message::Log(bytes))),
+                VoterOutput::Decided(entry, outcome) => {
+                    self.answer_request(now, &entry, &outcome, out);
                 }
             }
         }
-        if self.keep.as_ref().is_some_and(Keep::is_large) {
-            self.shorten();
-        }
     }
 
-    fn decided(&mut self, now: Time, entry: &Entry, granted: &Granted, out: &mut OutgoingMessages) {
-        let Grant::Ask(duty, holder) = &entry.grant else {
+    /// Answers the request that has led to a decided entry, if it was proposed here.
+    fn answer_request(
+        &mut self,
+        now: Time,
+        entry: &Entry,
+        outcome: &Outcome,
+        out: &mut OutgoingMessages,
+    ) {
+        let LeaseCommand::Acquire(role, holder) = &entry.command else {
             return;
         };
-        let waits = |a: &(Duty, Holder, u64, String, Time)| {
-            (&a.0, &a.1, a.2) == (duty, holder, entry.number)
+        let is_answered = |request: &PendingRequest| {
+            (&request.role, &request.holder, request.number) == (role, holder, entry.request)
         };
-        let Some(at) = self.asks.iter().position(waits) else {
+        let Some(index) = self.pending.iter().position(is_answered) else {
             return;
         };
-        let (duty, _, number, from, _) = self.asks.swap_remove(at);
-        let fence = match granted {
-            Granted::Granted(fence, _) | Granted::Renewed(fence) => Some(*fence),
-            _ => None,
-        };
-        out.extend(self.say(now, &from, Message::Answer(duty, number, fence)));
-    }
-
-    /// One record takes the place of all in the file.
-    fn shorten(&mut self) {
-        let (VoterRole::Votes(voter), Some(keep)) = (&self.voter_role, &mut self.keep) else {
-            return;
+        let request = self.pending.swap_remove(index);
+        let token = match outcome {
+            Outcome::Granted(token, _) | Outcome::Renewed(token) => Some(*token),
+            Outcome::Rejected(..) | Outcome::Vacated(_) | Outcome::Stale => None,
         };
-        if let Err(e) = keep.replace(&voter.memory().0) {
-            // What was kept before stays, and goes on.
-            self.log.push(format!(
-                "council: its folder's file could not be shortened: {e}"
-            ));
-        }
+        let answer = Message::LeaseAnswer(request.role, request.number, token);
+        out.extend(self.send(now, &request.from, answer));
     }
 }
 
-#[cfg(test)]
-mod stored_data_tests;
 #[cfg(test)]
 mod tests;
+
+#[cfg(test)]
+mod stored_data_tests;
--- a/src/peer/consensus/messages.rs
+++ b/src/peer/consensus/messages.rs
@@ -1,35 +1,36 @@
 //! Messages between voters, and between voters and other brokers.
 
-use crate::decide::agree::genesis::Announcement;
-use crate::decide::duty::{Duty, FenceNumber, Holder};
+use crate::decide::consensus::genesis::Announcement;
+use crate::decide::lease::{FencingToken, LeaseHolder, RoleName};
 use serde::{Deserialize, Serialize};
 
-/// Messages between voters, and between voters and other brokers. Their order is that on the wire.
+/// A message about the consensus. The order of the variants and their fields is that on the wire.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) enum Message {
-    /// What a voter announces of itself.
+    /// A voter announces its identity.
     Announcement(Announcement),
-    /// A message of the log.
+    /// A message of the log's algorithm.
     Log(Vec<u8>),
-    /// Its sender asks for a duty; the number comes back with the answer.
-    Ask(Duty, Holder, u64),
-    /// The log's answer: under which fence it is granted, if it is.
-    Answer(Duty, u64, Option<FenceNumber>),
-    /// Its sender asks whether it is heard.
-    Hear(u64),
-    /// A voter that votes has heard it: the number of its ask, and the voter's genesis.
-    Heard(u64, u64),
-    /// By what its sender knows, which may be old, somebody else holds it: nothing was entered.
-    Elsewhere(Duty),
-    /// Its sender gives a duty back.
-    GiveBack(Duty, FenceNumber),
+    /// The sender requests a role; the answer names the same number.
+    LeaseRequest(RoleName, LeaseHolder, u64),
+    /// The log's answer to the request of this number: the token if the role is granted.
+    LeaseAnswer(RoleName, u64, Option<FencingToken>),
+    /// The sender asks a voter to confirm that this request of that number was received.
+    ContactRequest(u64),
+    /// A voter that votes confirms it: the number of the request, and the digest of its genesis.
+    ContactAnswer(u64, u64),
+    /// By the sender's knowledge, which may be old, another broker holds the role: nothing was
+    /// proposed.
+    HeldElsewhere(RoleName),
+    /// The sender releases a role.
+    Release(RoleName, FencingToken),
 }
 
-/// Messages for others: the name of each receiver, and the bytes.
+/// Messages to be sent: the name of each receiver, and the bytes.
 pub type OutgoingMessages = Vec<(String, Vec<u8>)>;
 
-/// A message for somebody, as it travels.
+/// A message for a broker, encoded.
 pub(super) fn outgoing(to: &str, message: &Message) -> (String, Vec<u8>) {
-    // Plain values in memory can always be written.
+    // Plain values in memory can always be encoded.
     (to.into(), postcard::to_stdvec(message).unwrap_or_default())
 }
--- a/src/peer/consensus/stored_data_tests.rs
+++ b/src/peer/consensus/stored_data_tests.rs
@@ -2,15 +2,18 @@
 //! them to the same values and writes the same bytes.
 
 use super::*;
-use crate::decide::agree::genesis::Genesis;
+use crate::decide::consensus::bootstrap::Bootstrap;
+use crate::decide::consensus::genesis::{Announcement, Genesis, VoterIdentity};
 use crate::decide::fleet::Member;
+use crate::decide::lease::LeaseTerms;
 use crate::peer::wire::{self, Greeting, Word};
 use foca::{Codec, Header, Message as SwimMessage, PostcardCodec, State};
+use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::fs;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 
-const TERMS: Terms = Terms {
+const TERMS: LeaseTerms = LeaseTerms {
     lease: 1_000_000,
     drift: 20_000,
 };
@@ -60,48 +63,51 @@
     }
 }
 
-fn identity(number: u64) -> Identity {
-    Identity {
+fn identity(number: u64) -> VoterIdentity {
+    VoterIdentity {
         name: format!("n{number}"),
-        memory: 300 + number,
+        storage_id: 300 + number,
     }
 }
 
 fn genesis() -> Genesis {
     let names: Vec<String> = (0..3).map(|i| identity(i).name).collect();
-    let mut gather = Gather::new(identity(0), &names, None);
+    let mut bootstrap = Bootstrap::new(identity(0), &names, None);
     for other in 1..3 {
-        gather.on_announcement(&Announcement {
+        bootstrap.on_announcement(&Announcement {
             identity: identity(other),
-            begun: None,
+            genesis: None,
         });
     }
-    gather.genesis().unwrap().clone()
+    bootstrap.genesis().unwrap().clone()
 }
 
 fn consensus_messages() -> Vec<(&'static str, Message)> {
-    let (duty, fence) = (Duty("compiler".into()), FenceNumber(300));
-    let holder = Holder {
+    let (role, token) = (RoleName("compiler".into()), FencingToken(300));
+    let holder = LeaseHolder {
         name: "n1".into(),
-        life: 1_700_000_000_000_000,
+        incarnation: 1_700_000_000_000_000,
     };
-    let announcement = |begun| {
+    let announcement = |genesis| {
         Message::Announcement(Announcement {
             identity: identity(1),
-            begun,
+            genesis,
         })
     };
     vec![
         ("announcement", announcement(None)),
         ("announcement_begun", announcement(Some(genesis()))),
         ("log", Message::Log(vec![1, 2, 3])),
-        ("ask", Message::Ask(duty.clone(), holder, 7)),
-        ("answer", Message::Answer(duty.clone(), 7, Some(fence))),
-        ("answer_refused", Message::Answer(duty.clone(), 7, None)),
-        ("hear", Message::Hear(8)),
-        ("heard", Message::Heard(8, 0xcbf2_9ce4_8422_2325)),
-        ("elsewhere", Message::Elsewhere(duty.clone())),
-        ("give_back", Message::GiveBack(duty, fence)),
+        ("ask", Message::LeaseRequest(role.clone(), holder, 7)),
+        ("answer", Message::LeaseAnswer(role.clone(), 7, Some(token))),
+        (
+            "answer_refused",
+            Message::LeaseAnswer(role.clone(), 7, None),
+        ),
+        ("hear", Message::ContactRequest(8)),
+        ("heard", Message::ContactAnswer(8, 0xcbf2_9ce4_8422_2325)),
+        ("elsewhere", Message::HeldElsewhere(role.clone())),
+        ("give_back", Message::Release(role, token)),
     ]
 }
 
@@ -239,18 +245,18 @@
     let mut brokers: Vec<Consensus> = (0..3u64)
         .map(|i| {
             let folder = Some(root.join(format!("n{i}")));
-            let rules = Rules {
+            let rules = ConsensusConfig {
                 voters: voters.clone(),
                 folder,
-                duties: vec!["compiler".into()],
+                roles: vec!["compiler".into()],
                 terms: TERMS,
             };
             Consensus::new(
                 START,
                 "coast",
-                Holder {
+                LeaseHolder {
                     name: format!("n{i}"),
-                    life: 7 + i,
+                    incarnation: 7 + i,
                 },
                 rules,
             )
@@ -273,7 +279,7 @@
                 let name = format!("kind{}-{:03}", bytes[0], bytes.len());
                 sent.entry(name).or_insert_with(|| bytes.clone());
                 let to: usize = to[1..].parse().unwrap();
-                let answers = brokers[to].on_word(now, &format!("n{from}"), &bytes);
+                let answers = brokers[to].on_message(now, &format!("n{from}"), &bytes);
                 waiting.extend(answers.into_iter().map(|(next, bytes)| (to, next, bytes)));
             }
         }
@@ -297,28 +303,28 @@
     let root = std::env::temp_dir().join(format!("lichenswitch-voter-read-{}", std::process::id()));
     fs::create_dir(&root).unwrap();
     fs::copy(fixture("voter/memory"), root.join("memory")).unwrap();
-    let rules = Rules {
+    let rules = ConsensusConfig {
         voters: (0..3).map(|i| format!("n{i}")).collect(),
         folder: Some(root.clone()),
-        duties: Vec::new(),
+        roles: Vec::new(),
         terms: TERMS,
     };
-    let own = Holder {
+    let own = LeaseHolder {
         name: "n0".into(),
-        life: 99,
+        incarnation: 99,
     };
     let mut consensus = Consensus::new(START, "coast", own, rules).unwrap();
     let log = consensus.take_log();
-    let VoterRole::Votes(voter) = &consensus.voter_role else {
+    let Some(voter) = consensus.voting() else {
         panic!("it does not vote: {log:?}")
     };
     let voters: Vec<_> = voter
         .genesis()
         .voters()
         .iter()
-        .map(|v| (v.name.as_str(), v.memory))
+        .map(|v| (v.name.as_str(), v.storage_id))
         .collect();
-    let holder = voter.grants().holder(&Duty("compiler".into()));
+    let holder = voter.grants().holder(&RoleName("compiler".into()));
     let line = "council: votes, genesis fdac13be65e546d4 (n0, n1, n2), 15 entries known";
     assert_eq!(log, [line]);
     let memories = [
@@ -330,15 +336,15 @@
     assert_eq!(
         holder,
         Some((
-            &Holder {
+            &LeaseHolder {
                 name: "n1".into(),
-                life: 8
+                incarnation: 8
             },
-            FenceNumber(1)
+            FencingToken(1)
         ))
     );
     assert_eq!(voter.applied(), 15);
     let whole = lines("voter/whole_record.txt");
-    assert_eq!(hex(&voter.memory().0), hex(&whole[0].1));
+    assert_eq!(hex(&voter.persisted().0), hex(&whole[0].1));
     fs::remove_dir_all(&root).unwrap();
 }
--- a/src/peer/consensus/tests.rs
+++ b/src/peer/consensus/tests.rs
@@ -1,35 +1,36 @@
 //! Tests of `consensus`.
 
 use super::*;
+use crate::decide::lease::LeaseTerms;
 
-const TERMS: Terms = Terms {
+const TERMS: LeaseTerms = LeaseTerms {
     lease: 1_000_000,
     drift: 20_000,
 };
 const START: Time = Time(50_000_000);
 
 /// Consensus of four brokers in virtual time; messages arrive at once.
-struct Table {
+struct TestCluster {
     brokers: Vec<Consensus>,
     now: Time,
 }
 
-impl Table {
+impl TestCluster {
     /// Three voters without folders and one reader; all would like to hold the duty.
-    fn new() -> Table {
+    fn new() -> TestCluster {
         let voters: Vec<String> = (0..3).map(|i| format!("n{i}")).collect();
-        let rules = Rules {
+        let rules = ConsensusConfig {
             voters,
             folder: None,
-            duties: vec!["d".into()],
+            roles: vec!["d".into()],
             terms: TERMS,
         };
-        let own = |i: u64| Holder {
+        let holder = |i: u64| LeaseHolder {
             name: format!("n{i}"),
-            life: 7 + i,
+            incarnation: 7 + i,
         };
-        let broker = |i| Consensus::new(START, "c", own(i), rules.clone()).unwrap();
-        Table {
+        let broker = |i| Consensus::new(START, "c", holder(i), rules.clone()).unwrap();
+        TestCluster {
             brokers: (0..4).map(broker).collect(),
             now: START,
         }
@@ -42,15 +43,15 @@
             .collect();
         while let Some((from, to, bytes)) = waiting.pop() {
             let to: usize = to[1..].parse().unwrap();
-            let answers = self.brokers[to].on_word(self.now, &format!("n{from}"), &bytes);
+            let answers = self.brokers[to].on_message(self.now, &format!("n{from}"), &bytes);
             waiting.extend(answers.into_iter().map(|(next, bytes)| (to, next, bytes)));
         }
     }
 
     fn holders(&self) -> Vec<usize> {
-        let duty = Duty("d".into());
+        let role = RoleName("d".into());
         (0..4)
-            .filter(|i| self.brokers[*i].may_act(self.now, &duty).is_some())
+            .filter(|i| self.brokers[*i].fencing_token(self.now, &role).is_some())
             .collect()
     }
 
@@ -76,65 +77,67 @@
 }
 
 #[test]
-fn voters_that_know_of_no_grant_grant_none_before_a_lease_is_over_and_one_that_is_given_back_at_once(
-) {
-    let mut table = Table::new();
-    let holder = table.until_held(10_000_000).unwrap();
+fn voters_without_grants_wait_for_a_lease_and_a_released_role_is_granted_at_once() {
+    let mut cluster = TestCluster::new();
+    let holder = cluster.until_held(10_000_000).unwrap();
     assert!(
-        table.now.since(START) >= TERMS.awaited(),
+        cluster.now.since(START) >= TERMS.voter_duration(),
         "somebody may hold it by a genesis that is forgotten"
     );
-    let (other, duty) = ((holder + 1) % 4, Duty("d".into()));
-    let fence = table.brokers[holder].may_act(table.now, &duty).unwrap();
-    let back = postcard::to_stdvec(&Message::GiveBack(duty, fence)).unwrap();
-    table.deliver(
+    let (other, role) = ((holder + 1) % 4, RoleName("d".into()));
+    let token = cluster.brokers[holder]
+        .fencing_token(cluster.now, &role)
+        .unwrap();
+    let back = postcard::to_stdvec(&Message::Release(role, token)).unwrap();
+    cluster.deliver(
         other,
         (0..3).map(|v| (format!("n{v}"), back.clone())).collect(),
     );
     assert_eq!(
-        table.until_held(5_000),
+        cluster.until_held(5_000),
         Some(holder),
         "only the holder gives it back"
     );
-    assert!((0..3).all(|v| match &table.brokers[v].voter_role {
-        VoterRole::Votes(voter) => voter.grants().holder(&Duty("d".into())).is_some(),
-        _ => false,
-    }));
-    let messages = table.brokers[holder].on_stop(table.now);
-    table.deliver(holder, messages);
+    let knows_holder = |voter: &Voter| voter.grants().holder(&RoleName("d".into())).is_some();
+    assert!((0..3).all(|v| cluster.brokers[v].voting().is_some_and(knows_holder)));
+    let messages = cluster.brokers[holder].on_stop(cluster.now);
+    cluster.deliver(holder, messages);
     assert!(
-        table.holders().is_empty(),
+        cluster.holders().is_empty(),
         "nothing is done under it from here on"
     );
-    let stopped = table.now;
-    let next = table.until_held(10_000_000).unwrap();
+    let stopped = cluster.now;
+    let next = cluster.until_held(10_000_000).unwrap();
     assert!(
-        next != holder && table.now.since(stopped) < TERMS.lease,
+        next != holder && cluster.now.since(stopped) < TERMS.lease,
         "nobody waits for the end of its lease"
     );
 }
 
 #[test]
-fn one_that_was_told_nothing_new_by_a_voter_keeps_what_it_holds_and_a_stranger_asks_for_nothing() {
-    let mut table = Table::new();
-    let holder = table.until_held(10_000_000).unwrap();
-    let now = table.now;
-    let broker = &mut table.brokers[holder];
-    let elsewhere = postcard::to_stdvec(&Message::Elsewhere(Duty("d".into()))).unwrap();
-    broker.on_word(now, "n1", &elsewhere);
+fn holder_keeps_its_role_when_a_voter_knows_another_and_foreign_genesis_stops_requests() {
+    let mut cluster = TestCluster::new();
+    let holder = cluster.until_held(10_000_000).unwrap();
+    let now = cluster.now;
+    let broker = &mut cluster.brokers[holder];
+    let elsewhere = postcard::to_stdvec(&Message::HeldElsewhere(RoleName("d".into()))).unwrap();
+    broker.on_message(now, "n1", &elsewhere);
     assert!(
-        broker.may_act(now, &Duty("d".into())).is_some(),
+        broker.fencing_token(now, &RoleName("d".into())).is_some(),
         "that voter may have been away"
     );
     // Another genesis than the one it has known: its lease runs out, and it asks for none.
-    let other = postcard::to_stdvec(&Message::Heard(1, 99)).unwrap();
-    broker.on_word(now, "n1", &other);
-    assert_eq!(broker.standing(now), Standing::Stranger);
+    let other = postcard::to_stdvec(&Message::ContactAnswer(1, 99)).unwrap();
+    broker.on_message(now, "n1", &other);
+    assert_eq!(broker.quorum_status(now), QuorumStatus::ForeignGenesis);
     let mut asked = 0;
     for i in 1..400u64 {
         let at = now.plus(i * 5_000);
         for (_, bytes) in broker.on_time(at) {
-            asked += usize::from(matches!(postcard::from_bytes(&bytes), Ok(Message::Ask(..))));
+            asked += usize::from(matches!(
+                postcard::from_bytes(&bytes),
+                Ok(Message::LeaseRequest(..))
+            ));
         }
     }
     let log = broker.take_log().join("\n");
@@ -147,10 +150,10 @@
 }
 
 #[test]
-fn garbage_changes_nothing() {
-    let mut table = Table::new();
+fn garbage_has_no_effect() {
+    let mut cluster = TestCluster::new();
     crate::testing::garbage(&[&[1, 2, 3, 4, 5, 6, 7, 8]], |bytes| {
-        table.brokers[0].on_word(START, "n1", bytes);
+        cluster.brokers[0].on_message(START, "n1", bytes);
     });
-    assert!(table.until_held(10_000_000).is_some());
+    assert!(cluster.until_held(10_000_000).is_some());
 }
--- a/src/peer/group.rs
+++ b/src/peer/group.rs
@@ -4,8 +4,8 @@
 use super::consensus::{Consensus, OutgoingMessages};
 use super::{Heard, Talk, What, MOST};
 use crate::config::Peers;
-use crate::decide::duty::Holder;
 use crate::decide::fleet::{Fleet, Member, Verdict};
+use crate::decide::lease::LeaseHolder;
 use crate::interface::Time;
 use crate::net::{ConnId, Net, Owner};
 
@@ -43,14 +43,15 @@
             "peers: {} of {} in cluster {} listens on {at}",
             own.name, own.zone, told.cluster
         );
-        let holder = Holder {
+        let holder = LeaseHolder {
             name: own.name.clone(),
-            life: own.life,
+            incarnation: own.life,
         };
         let consensus = told
             .consensus
-            .map(|rules| Consensus::new(now, &told.cluster, holder, rules))
-            .transpose()?;
+            .map(|config| Consensus::new(now, &told.cluster, holder, config))
+            .transpose()
+            .map_err(|e| e.to_string())?;
         let fleet = Fleet::new(now, own, told.known.clone(), told.rules, seed);
         Ok(PeerGroup {
             talk,
@@ -146,11 +147,11 @@
                     self.carry(net, told);
                 }
                 (What::Consensus(bytes), Some(consensus)) => {
-                    let messages = consensus.on_word(now, &from.name, &bytes);
+                    let messages = consensus.on_message(now, &from.name, &bytes);
                     self.pass_on(net, messages);
                 }
                 (What::Greeting, Some(consensus)) => {
-                    let messages = consensus.on_way(now, &from.name);
+                    let messages = consensus.on_reconnected(now, &from.name);
                     self.pass_on(net, messages);
                 }
                 (What::Consensus(_) | What::Greeting, None) => {}
--- a/wire/record_log/src/lib.rs
+++ b/wire/record_log/src/lib.rs
@@ -1,24 +1,25 @@
-//! Records kept in a folder, for a voter's memory.
+//! A durable log of records in a folder, for the state of a voter.
 //!
 //! It owns one file, `memory`, in a folder that the operators' file names. It promises: what
-//! [`Keep::append`] has returned from is there after any crash of the process or the machine, whole
-//! and in order; a record whose writing was cut off is none; a file that is damaged otherwise, or
-//! that belongs to somebody else, is set aside and never read as a memory. It touches the file
-//! system alone, and knows nothing of what the records mean.
+//! [`RecordLog::append`] has returned from survives any crash of the process or the machine,
+//! complete and in order; a record whose writing was interrupted is not read; a file that is
+//! damaged otherwise, or that belongs to another owner, is set aside and never read. It knows
+//! nothing of the meaning of the records.
 //!
-//! The file: a line that names it, a line that names its owner, then records, each behind its
-//! length, the checksum of that and its own (CRC-32, four bytes each, most significant first). That
-//! lengths have one of their own tells a damage from an end that was cut off: what was kept behind
-//! a damaged length would be forgotten otherwise.
+//! The file is a line that names the format, a line that names its owner, then the records. Each
+//! record is preceded by its length, the CRC-32 of the length and the CRC-32 of the record, four
+//! bytes each, most significant first. The length has a checksum of its own to tell damage from a
+//! write that was interrupted: behind a damaged length stand records that must not be forgotten.
 //!
 //! ```
-//! let folder = std::env::temp_dir().join(format!("keep-example-{}", std::process::id()));
-//! let (mut keep, told) = lichenswitch_record_log::Keep::open(&folder, "coast n0").unwrap();
-//! assert!(told.records.is_empty() && told.aside.is_none());
-//! keep.append(&[b"promised".to_vec()]).unwrap();
-//! drop(keep);
-//! let (_, told) = lichenswitch_record_log::Keep::open(&folder, "coast n0").unwrap();
-//! assert_eq!(told.records, [b"promised".to_vec()]);
+//! use lichenswitch_record_log::RecordLog;
+//! let folder = std::env::temp_dir().join(format!("record-log-example-{}", std::process::id()));
+//! let (mut log, recovered) = RecordLog::open(&folder, "coast n0").unwrap();
+//! assert!(recovered.records.is_empty() && recovered.set_aside.is_none());
+//! log.append(&[b"promised".to_vec()]).unwrap();
+//! drop(log);
+//! let (_, recovered) = RecordLog::open(&folder, "coast n0").unwrap();
+//! assert_eq!(recovered.records, [b"promised".to_vec()]);
 //! # std::fs::remove_dir_all(folder).unwrap();
 //! ```
 #![forbid(unsafe_code)]
@@ -28,169 +29,230 @@
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
-/// What the file begins with.
-const WORD: &str = "lichenswitch memory 1";
-/// Longest record (bytes): what claims more is damaged.
-const LONGEST: usize = 64 << 20;
-/// The file is written anew, as one record, once it has grown beyond this many bytes and four times
-/// what it began with.
-const LARGE: u64 = 1 << 20;
+/// The first line of the file.
+const FORMAT: &str = "lichenswitch memory 1";
+/// The longest record (bytes): a header that claims more is damaged.
+const MAX_RECORD_BYTES: usize = 64 << 20;
+/// The length of a record's header: its length, and two checksums.
+const HEADER_BYTES: usize = 12;
+/// The file is worth rewriting as one record once it is larger than this many bytes, and than
+/// [`COMPACTION_GROWTH`] times its size when it was last written anew.
+const COMPACTION_MIN_BYTES: u64 = 1 << 20;
+const COMPACTION_GROWTH: u64 = 4;
+
+/// Why a file is not the log of its owner.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum Damage {
+    /// Its first line is not this one.
+    #[error("it does not name this file: {0:?} is not there")]
+    Format(&'static str),
+    /// Its second line does not name this owner.
+    #[error("it does not name its owner: {0:?} is not there")]
+    Owner(String),
+    /// The checksum of the length of the record at this position, from 1, is wrong.
+    #[error("record {0} has no length that was written")]
+    Length(usize),
+    /// The checksum of the record at this position, from 1, is wrong.
+    #[error("record {0} is not what was written")]
+    Record(usize),
+}
+
+/// A file that was set aside.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct SetAsideFile {
+    /// Where it is now.
+    pub path: PathBuf,
+    /// Why it was not read.
+    pub damage: Damage,
+}
 
 /// What was found in a folder.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Found {
+pub struct RecoveredRecords {
     /// The records, in order.
     pub records: Vec<Vec<u8>>,
-    /// Bytes at the end that were no whole record: their writing had been cut off.
-    pub torn: usize,
-    /// A file that was no memory of this owner's: where it was set aside, and why.
-    pub aside: Option<(PathBuf, String)>,
+    /// The number of bytes at the end of the file that are an incomplete record: its writing was
+    /// interrupted.
+    pub torn_bytes: usize,
+    /// A file that was not the log of this owner.
+    pub set_aside: Option<SetAsideFile>,
 }
 
-/// A file of records.
+/// A durable log of records, open for appending.
 #[derive(Debug)]
-pub struct Keep {
+pub struct RecordLog {
     folder: PathBuf,
     owner: String,
     file: File,
     size: u64,
-    began: u64,
+    /// Its size when it was last written anew.
+    compacted_size: u64,
 }
 
-/// A record as it is written.
-fn framed(record: &[u8]) -> Vec<u8> {
+/// A record with its header.
+fn encode(record: &[u8]) -> Vec<u8> {
     let length = (record.len() as u32).to_be_bytes();
-    let mut out = length.to_vec();
-    out.extend_from_slice(&crc32fast::hash(&length).to_be_bytes());
-    out.extend_from_slice(&crc32fast::hash(record).to_be_bytes());
-    out.extend_from_slice(record);
-    out
+    let mut bytes = length.to_vec();
+    bytes.extend_from_slice(&crc32fast::hash(&length).to_be_bytes());
+    bytes.extend_from_slice(&crc32fast::hash(record).to_be_bytes());
+    bytes.extend_from_slice(record);
+    bytes
+}
+
+/// Removes a line from the beginning of the bytes, if it is there.
+fn strip_line<'a>(bytes: &'a [u8], line: &str) -> Option<&'a [u8]> {
+    bytes.strip_prefix(line.as_bytes())?.strip_prefix(b"\n")
 }
 
-/// The records of a file's bytes, and how many bytes at its end are a record whose writing was cut
-/// off.
-fn read(mut bytes: &[u8], owner: &str) -> Result<(Vec<Vec<u8>>, usize), String> {
-    for (line, what) in [(WORD, "this file"), (owner, "its owner")] {
-        let rest = bytes
-            .strip_prefix(line.as_bytes())
-            .and_then(|rest| rest.strip_prefix(b"\n"));
-        bytes = rest.ok_or_else(|| format!("it does not name {what}: {line:?} is not there"))?;
+/// The header of a record.
+struct Header {
+    length: u32,
+    length_checksum: u32,
+    record_checksum: u32,
+}
+
+impl Header {
+    /// Splits a header off the bytes; `None`: it is incomplete.
+    fn split_from(bytes: &[u8]) -> Option<(Header, &[u8])> {
+        let (header, rest) = bytes.split_first_chunk::<HEADER_BYTES>()?;
+        let [a, b, c, d, e, f, g, h, i, j, k, l] = *header;
+        let header = Header {
+            length: u32::from_be_bytes([a, b, c, d]),
+            length_checksum: u32::from_be_bytes([e, f, g, h]),
+            record_checksum: u32::from_be_bytes([i, j, k, l]),
+        };
+        Some((header, rest))
+    }
+
+    fn is_length_sound(&self) -> bool {
+        crc32fast::hash(&self.length.to_be_bytes()) == self.length_checksum
+            && self.length as usize <= MAX_RECORD_BYTES
     }
+}
+
+/// The records of a file's bytes, and how many bytes at its end are an incomplete record.
+fn decode(bytes: &[u8], owner: &str) -> Result<(Vec<Vec<u8>>, usize), Damage> {
+    let bytes = strip_line(bytes, FORMAT).ok_or(Damage::Format(FORMAT))?;
+    let mut bytes = strip_line(bytes, owner).ok_or_else(|| Damage::Owner(owner.into()))?;
     let mut records = Vec::new();
-    loop {
-        let Some((head, rest)) = bytes.split_first_chunk::<12>() else {
-            return Ok((records, bytes.len()));
-        };
-        let word =
-            |at: usize| u32::from_be_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
-        let (length, place) = (word(0) as usize, records.len() + 1);
-        if crc32fast::hash(&head[..4]) != word(4) || length > LONGEST {
-            return Err(format!("record {place} has no length that was written"));
+    while let Some((header, rest)) = Header::split_from(bytes) {
+        let position = records.len() + 1;
+        if !header.is_length_sound() {
+            return Err(Damage::Length(position));
         }
-        let Some(record) = rest.get(..length) else {
-            return Ok((records, bytes.len()));
+        let Some((record, rest)) = rest.split_at_checked(header.length as usize) else {
+            break;
         };
-        if crc32fast::hash(record) != word(8) {
-            return Err(format!("record {place} is not what was written"));
+        if crc32fast::hash(record) != header.record_checksum {
+            return Err(Damage::Record(position));
         }
         records.push(record.to_vec());
-        bytes = &rest[length..];
+        bytes = rest;
     }
+    Ok((records, bytes.len()))
 }
 
-impl Keep {
-    /// Opens the memory of `owner` in a folder, which is made if it is not there. Whose owner is
-    /// another one, or what is damaged before its end, is set aside under a name of its own, and
-    /// the memory begins empty.
+impl RecordLog {
+    /// Opens the log of `owner` in a folder, which is created if it does not exist. A file of
+    /// another owner, or with damage before its end, is set aside under another name, and the log
+    /// begins empty.
     ///
     /// # Errors
     /// When the folder or the file can't be read or written.
-    pub fn open(folder: &Path, owner: &str) -> io::Result<(Keep, Found)> {
+    pub fn open(folder: &Path, owner: &str) -> io::Result<(RecordLog, RecoveredRecords)> {
         std::fs::create_dir_all(folder)?;
-        let path = folder.join("memory");
-        let mut found = Found::default();
-        let mut bytes = Vec::new();
-        match File::open(&path) {
-            Ok(mut file) => {
-                file.read_to_end(&mut bytes)?;
-                match read(&bytes, owner) {
-                    Ok((records, torn)) => (found.records, found.torn) = (records, torn),
-                    Err(why) => found.aside = Some((set_aside(folder, &path)?, why)),
-                }
-            }
-            Err(e) if e.kind() == io::ErrorKind::NotFound => {}
-            Err(e) => return Err(e),
-        }
-        // What was found is written anew: its torn end is gone, and the first append stands on
-        // whole records.
-        let (file, size) = write_anew(folder, owner, &found.records)?;
-        Ok((
-            Keep {
-                folder: folder.into(),
-                owner: owner.into(),
-                file,
-                size,
-                began: size,
-            },
-            found,
-        ))
+        let recovered = recover(folder, owner)?;
+        // Written anew the file is without an incomplete record, which the first append would
+        // otherwise follow.
+        let (file, size) = write_anew(folder, owner, &recovered.records)?;
+        let log = RecordLog {
+            folder: folder.into(),
+            owner: owner.into(),
+            file,
+            size,
+            compacted_size: size,
+        };
+        Ok((log, recovered))
     }
 
-    /// Keeps these records, in order. Once this returns they are there for good.
+    /// Appends records, in order. They are durable once this returns.
     ///
     /// # Errors
-    /// When they could not be written: how much of them is there is not known then, and no more may
-    /// be appended.
+    /// When they could not be written. How many of them are in the file is not known then, and
+    /// nothing more may be appended.
     pub fn append(&mut self, records: &[Vec<u8>]) -> io::Result<()> {
-        let bytes: Vec<u8> = records.iter().flat_map(|r| framed(r)).collect();
+        let bytes: Vec<u8> = records.iter().flat_map(|r| encode(r)).collect();
         self.file.write_all(&bytes)?;
         self.file.sync_data()?;
         self.size += bytes.len() as u64;
         Ok(())
     }
 
-    /// Whether the file has grown so much that one record in place of all is worth its writing.
+    /// Whether the file has grown so much that it is worth rewriting as one record.
     #[must_use]
     pub fn is_large(&self) -> bool {
-        self.size > LARGE.max(4 * self.began)
+        self.size > COMPACTION_MIN_BYTES.max(COMPACTION_GROWTH * self.compacted_size)
     }
 
-    /// Keeps one record in place of all so far: it is there whole, or they are.
+    /// Replaces all records by one. After a crash either that one is there or all the others are.
     ///
     /// # Errors
-    /// When it could not be written; what was kept before stays.
+    /// When it could not be written; the records of before remain.
     pub fn replace(&mut self, record: &[u8]) -> io::Result<()> {
         (self.file, self.size) = write_anew(&self.folder, &self.owner, &[record.to_vec()])?;
-        self.began = self.size;
+        self.compacted_size = self.size;
         Ok(())
     }
 }
 
+/// Reads the file in a folder; sets it aside if it is damaged or another owner's.
+fn recover(folder: &Path, owner: &str) -> io::Result<RecoveredRecords> {
+    let path = folder.join("memory");
+    let mut recovered = RecoveredRecords::default();
+    let mut bytes = Vec::new();
+    match File::open(&path) {
+        Ok(mut file) => file.read_to_end(&mut bytes)?,
+        Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(recovered),
+        Err(e) => return Err(e),
+    };
+    match decode(&bytes, owner) {
+        Ok((records, torn_bytes)) => {
+            (recovered.records, recovered.torn_bytes) = (records, torn_bytes);
+        }
+        Err(damage) => {
+            let path = set_aside(folder, &path)?;
+            recovered.set_aside = Some(SetAsideFile { path, damage });
+        }
+    }
+    Ok(recovered)
+}
+
 /// Writes the file beside the old one and puts it in its place.
 fn write_anew(folder: &Path, owner: &str, records: &[Vec<u8>]) -> io::Result<(File, u64)> {
-    let (path, beside) = (folder.join("memory"), folder.join("memory.new"));
-    let mut bytes = format!("{WORD}\n{owner}\n").into_bytes();
-    bytes.extend(records.iter().flat_map(|r| framed(r)));
+    let (path, new_path) = (folder.join("memory"), folder.join("memory.new"));
+    let mut bytes = format!("{FORMAT}\n{owner}\n").into_bytes();
+    bytes.extend(records.iter().flat_map(|r| encode(r)));
     let mut file = OpenOptions::new()
         .write(true)
         .create(true)
         .truncate(true)
-        .open(&beside)?;
+        .open(&new_path)?;
     file.write_all(&bytes)?;
     file.sync_all()?;
-    std::fs::rename(&beside, &path)?;
-    // The name counts only once the folder is on the disk too.
+    std::fs::rename(&new_path, &path)?;
+    // The new name is durable only once the folder is.
     File::open(folder)?.sync_all()?;
     Ok((file, bytes.len() as u64))
 }
 
+/// Renames the file to the first free name; returns that.
 fn set_aside(folder: &Path, path: &Path) -> io::Result<PathBuf> {
     let free = (1..)
         .map(|n| folder.join(format!("memory.aside.{n}")))
         .find(|p| !p.exists());
-    let aside = free.unwrap_or_else(|| folder.join("memory.aside"));
-    std::fs::rename(path, &aside)?;
-    Ok(aside)
+    let new_path = free.unwrap_or_else(|| folder.join("memory.aside"));
+    std::fs::rename(path, &new_path)?;
+    Ok(new_path)
 }
 
 #[cfg(test)]
