--- a/fleet/src/control/group.rs
+++ b/fleet/src/control/group.rs
@@ -6,13 +6,15 @@
 use super::program::{Net, Signal};
 use super::{ControlError, Environment};
 use crate::settings::Settings;
-use lichenswitch_control::{Eligibility, Replicated};
+use lichenswitch_control::{Eligibility, ReplicatedConfiguration};
 use lichenswitch_interface::Time;
 use lichenswitch_replication as replication;
 use lichenswitch_replication::{
     DurableItem, Identity, Member, Output, Recovered, Replica, WriteId,
 };
-use lichenswitch_storage::{FileSystem, Finding, Job, Storage, StorageSettings, Usage, Writer};
+use lichenswitch_storage::{
+    FileSystem, Finding, Storage, StorageSettings, Usage, WriteRequest, Writer,
+};
 use log::{info, warn};
 use std::hash::BuildHasher;
 use std::os::unix::net::UnixStream;
@@ -46,7 +48,7 @@
 
 /// A replica, and where it writes.
 pub(super) struct Group {
-    pub(super) replica: Replica<Replicated>,
+    pub(super) replica: Replica<ReplicatedConfiguration>,
     disk: Option<Disk>,
     /// Items that are to be told as written, where there is no disk.
     remembered: Option<WriteId>,
@@ -122,41 +124,41 @@
         loop {
             for output in self.replica.take_outputs() {
                 match output {
-                    Output::Persist { ticket, item } => self.persist(ticket, &item),
+                    Output::Persist { write_id, item } => self.persist(write_id, &item),
                     other => outputs.push(other),
                 }
             }
             match self.remembered.take() {
-                Some(ticket) => self.replica.on_persisted(to_replica(now), ticket),
+                Some(write_id) => self.replica.on_persisted(to_replica(now), write_id),
                 None => return outputs,
             }
         }
     }
 
-    fn persist(&mut self, ticket: WriteId, item: &DurableItem) {
+    fn persist(&mut self, write_id: WriteId, item: &DurableItem) {
         let Some(disk) = &mut self.disk else {
-            self.remembered = Some(ticket);
+            self.remembered = Some(write_id);
             return;
         };
         // A segment that is nearly full, or too full for this item, begins anew with everything
         // that this item and those before it come to.
         let bytes = item.encode();
         let anew = disk
-            .wants_image_before(bytes.len())
-            .then(|| self.replica.image_for(ticket))
+            .wants_snapshot_before(bytes.len())
+            .then(|| self.replica.snapshot_for(write_id))
             .flatten();
-        let (is_image, bytes) = match &anew {
-            Some(image) => (true, image.encode()),
+        let (is_snapshot, bytes) = match &anew {
+            Some(snapshot) => (true, snapshot.encode()),
             None => (matches!(item, DurableItem::Snapshot(_)), bytes),
         };
-        disk.submit(ticket, is_image, bytes);
+        disk.submit(write_id, is_snapshot, bytes);
     }
 
     /// The writer has finished something.
     pub(super) fn on_written(&mut self, now: Time) {
         let Some(disk) = &mut self.disk else { return };
         for completion in disk.writer.completions() {
-            let ticket = WriteId(completion.ticket);
+            let write_id = WriteId(completion.write_id);
             match completion.result {
                 Ok(usage) => {
                     if disk.failure.is_some() {
@@ -166,7 +168,7 @@
                     if disk.writer.outstanding() == 0 {
                         disk.handed = 0;
                     }
-                    self.replica.on_persisted(to_replica(now), ticket);
+                    self.replica.on_persisted(to_replica(now), write_id);
                 }
                 Err(e) => {
                     // It is tried again and again; the log needs to hear of it once.
@@ -174,7 +176,7 @@
                         warn!(target: "control", error = e.to_string().as_str(); "the disk takes nothing");
                     }
                     disk.failure = Some(e.to_string());
-                    self.replica.on_persist_failed(to_replica(now), ticket);
+                    self.replica.on_persist_failed(to_replica(now), write_id);
                 }
             }
         }
@@ -226,22 +228,26 @@
         })
     }
 
-    /// Whether a whole image is to be written in place of a record of these bytes.
-    fn wants_image_before(&self, bytes: usize) -> bool {
+    /// Whether a whole snapshot is to be written in place of a record of these bytes.
+    fn wants_snapshot_before(&self, bytes: usize) -> bool {
         let used = self.usage.used_bytes + self.handed + bytes as u64 + BLOCK_BYTES;
-        self.usage.wants_image || used > self.usage.segment_bytes
+        self.usage.wants_snapshot || used > self.usage.segment_bytes
     }
 
-    fn submit(&mut self, ticket: WriteId, is_image: bool, bytes: Vec<u8>) {
-        let job = if is_image {
+    fn submit(&mut self, write_id: WriteId, is_snapshot: bool, bytes: Vec<u8>) {
+        let job = if is_snapshot {
             // The next segment has room again; how much is told once it is written.
-            (self.usage.wants_image, self.usage.used_bytes, self.handed) = (false, 0, 0);
-            Job::Replace(bytes)
+            (
+                self.usage.wants_snapshot,
+                self.usage.used_bytes,
+                self.handed,
+            ) = (false, 0, 0);
+            WriteRequest::ReplaceSnapshot(bytes)
         } else {
             self.handed += bytes.len() as u64 + BLOCK_BYTES;
-            Job::Append(vec![bytes])
+            WriteRequest::Append(vec![bytes])
         };
-        self.writer.submit(ticket.0, job);
+        self.writer.submit(write_id.0, job);
     }
 }
 
@@ -289,7 +295,7 @@
 
 fn read(found: &lichenswitch_storage::Recovered) -> Result<Recovered, String> {
     let items = found
-        .image
+        .snapshot
         .iter()
         .chain(&found.records)
         .map(|bytes| DurableItem::decode(bytes));
@@ -322,7 +328,7 @@
     address: String,
     contents: Contents,
     now: Time,
-) -> Replica<Replicated> {
+) -> Replica<ReplicatedConfiguration> {
     let figures = replication::Settings {
         fault_tolerance: u32::try_from(settings.fault_tolerance.machines).unwrap_or(u32::MAX),
         faults: environment.faults,
@@ -347,9 +353,15 @@
     };
     if nothing && founds(settings) {
         info!(target: "control", identity = member.identity.to_string().as_str(); "founds the group");
-        return Replica::found(figures, member, Replicated::default(), seed, now);
+        return Replica::bootstrap(
+            figures,
+            member,
+            ReplicatedConfiguration::default(),
+            seed,
+            now,
+        );
     }
-    Replica::newcomer(figures, member, seed, now)
+    Replica::learner(figures, member, seed, now)
 }
 
 /// A number that no other member has, and none had: from the system's random numbers, the address
--- a/fleet/src/control/routers.rs
+++ b/fleet/src/control/routers.rs
@@ -4,11 +4,11 @@
 //! committed configuration, unless it has it, and the whole table of servers, and changes from then
 //! on; all that is pushed is numbered from 1 on each connection.
 
-use lichenswitch_control::{Committed, Pushes};
+use lichenswitch_control::{CommittedConfiguration, ConfigurationPushes};
 use lichenswitch_interface::Time;
 use lichenswitch_messages::{ConfigurationPosition, ControlToRouter, ServerRecord};
 use lichenswitch_net::ConnId;
-use lichenswitch_registry::Members;
+use lichenswitch_registry::MembershipLeases;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
     pub(super) zone: String,
     process: u64,
     /// What it has been sent, and has in force.
-    pushes: Pushes,
+    pushes: ConfigurationPushes,
     /// Number up to which it has applied all.
     pub(super) applied: u64,
 }
@@ -45,7 +45,7 @@
 /// The routers of this machine.
 pub(super) struct Routers {
     connected: BTreeMap<ConnId, Router>,
-    members: Members,
+    members: MembershipLeases,
 }
 
 impl Routers {
@@ -53,7 +53,7 @@
         let lease = u64::try_from(LEASE.as_micros()).unwrap_or(u64::MAX);
         Routers {
             connected: BTreeMap::new(),
-            members: Members::new(lease),
+            members: MembershipLeases::new(lease),
         }
     }
 
@@ -63,7 +63,7 @@
         now: Time,
         id: ConnId,
         hello: Hello,
-        committed: Option<&Committed>,
+        committed: Option<&CommittedConfiguration>,
         heartbeat: ControlToRouter,
         table: Vec<ServerRecord>,
     ) -> Vec<Push> {
@@ -79,8 +79,8 @@
             process,
             configuration,
         } = hello;
-        let mut pushes = Pushes::new(configuration);
-        let first = pushes.greet(committed, heartbeat);
+        let mut pushes = ConfigurationPushes::new(configuration);
+        let first = pushes.initial_messages(committed, heartbeat);
         self.connected.insert(
             id,
             Router {
@@ -140,7 +140,7 @@
     }
 
     /// A configuration has been committed: those that lack it get it.
-    pub(super) fn push_configuration(&mut self, committed: &Committed) -> Vec<Push> {
+    pub(super) fn push_configuration(&mut self, committed: &CommittedConfiguration) -> Vec<Push> {
         let push = |(id, router): (&ConnId, &mut Router)| {
             Some((*id, router.pushes.configuration(committed)?))
         };
@@ -174,7 +174,7 @@
                 ControlToRouter::Servers {
                     push,
                     records: chunk.to_vec(),
-                    whole,
+                    is_complete: whole,
                 },
             )
         };
@@ -185,6 +185,6 @@
 impl Router {
     /// The configuration that it has in force.
     pub(super) fn configuration(&self) -> Option<ConfigurationPosition> {
-        self.pushes.holds()
+        self.pushes.applied()
     }
 }
--- a/fleet/src/control/server_cache/tests.rs
+++ b/fleet/src/control/server_cache/tests.rs
@@ -115,7 +115,7 @@
         record("b", ServerState::Draining),
     ];
     // A clock that was set back makes a table one of the future: it is no younger by that.
-    for (written_s, unheard) in [
+    for (written_s, is_suspect) in [
         (time_of_day_s(), false),
         (time_of_day_s() - TRUSTED_S - 2, true),
         (time_of_day_s() + TRUSTED_S + 2, true),
@@ -125,7 +125,7 @@
         let (_, found) = ServerCache::open(files(), &folder.0, Time(0), wake());
         assert_eq!(found.len(), 2);
         assert!(
-            found.iter().all(|record| record.unheard == unheard),
+            found.iter().all(|record| record.is_suspect == is_suspect),
             "written at {written_s}"
         );
     }
@@ -215,3 +215,20 @@
     assert!(is_written(&mut cache, number, &table));
     assert_eq!(read(&RealFileSystem, &folder.0.join(FILE)).unwrap(), table);
 }
+
+#[test]
+fn table_of_an_earlier_build_is_read_as_one_of_long_ago() {
+    let manifest = Path::new(env!("CARGO_MANIFEST_DIR"));
+    let earlier = manifest.join("tests/stored_data/control_node/servers");
+    let records = read(&RealFileSystem, &earlier).unwrap();
+    let found: Vec<_> = records
+        .iter()
+        .map(|record| (record.instance.as_str(), record.state, record.is_suspect))
+        .collect();
+    let expected = [
+        ("server-0", ServerState::Ready, true),
+        ("server-1", ServerState::Draining, true),
+        ("server-2", ServerState::Gone, true),
+    ];
+    assert_eq!(found, expected);
+}
--- /dev/null
+++ b/fleet/src/router/client_connections/reading.rs
@@ -0,0 +1,171 @@
+//! What clients send: requests, and what arrives while a request waits for its response.
+
+use super::connection::{ClientEvent, ConnectionPhase};
+use super::table::ClientConnections;
+use crate::router::local_response::LocalResponse;
+use crate::router::reactor::Net;
+use crate::router::request_reader::{RequestProgress, RequestReader};
+use lichenswitch_net::{ConnId, TransferProgress};
+
+/// Most bytes read ahead of a client at a time: a body goes on into its request as it comes.
+const READ_AHEAD_BYTES: usize = 64 * 1_024;
+
+/// Most bytes kept of what a client sends while its request waits. Behind more than that its end
+/// could not be seen.
+pub(crate) const MAX_INPUT_WHILE_WAITING_BYTES: usize = 32 * 1_024;
+
+impl ClientConnections {
+    /// Reads and writes what a connection is ready for.
+    pub(crate) fn on_ready(&mut self, net: &mut Net, id: ConnId, events: &mut Vec<ClientEvent>) {
+        let Some(state) = self.connections.get(&id).map(|connection| connection.phase) else {
+            return net.close(id);
+        };
+        let progress = net.transfer(id, READ_AHEAD_BYTES);
+        if progress != TransferProgress::Alive || net.get(id).is_none_or(|conn| conn.ended) {
+            return self.disconnect(net, id, events);
+        }
+        match state {
+            ConnectionPhase::Reading => self.read_request(net, id, events),
+            ConnectionPhase::AwaitingResponse => self.limit_input_while_waiting(net, id),
+            ConnectionPhase::Responding { .. } => {
+                self.limit_input_while_waiting(net, id);
+                if net.get(id).is_some_and(|conn| conn.flushed()) {
+                    events.push(ClientEvent::OutputDrained(id));
+                }
+            }
+            ConnectionPhase::Closing => self.close_if_flushed(net, id),
+            ConnectionPhase::Lingering => self.discard_input(net, id),
+        }
+    }
+
+    /// A connection's timer: its time may be over.
+    pub(crate) fn on_timer(&mut self, net: &mut Net, id: ConnId, events: &mut Vec<ClientEvent>) {
+        let now = net.clock.now();
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return;
+        };
+        if connection.timer_at.is_some_and(|at| at <= now) {
+            connection.timer_at = None;
+        }
+        let Some(due) = self.deadline(net, id).filter(|due| *due <= now) else {
+            return self.arm_timer(net, id);
+        };
+        debug_assert!(due <= now, "only what is due ends");
+        match self
+            .connections
+            .get(&id)
+            .map(|connection| (connection.phase, connection.is_receiving))
+        {
+            Some((ConnectionPhase::Reading, true)) => {
+                self.respond_locally(net, id, &LocalResponse::closing(408), events);
+            }
+            Some((ConnectionPhase::Reading, false)) => self.half_close(net, id),
+            _ => self.disconnect(net, id, events),
+        }
+    }
+
+    /// Reads a request, if it is whole; the next one is read once this one is answered.
+    pub(super) fn read_request(
+        &mut self,
+        net: &mut Net,
+        id: ConnId,
+        events: &mut Vec<ClientEvent>,
+    ) {
+        let now = net.clock.now();
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return;
+        };
+        let Some(conn) = net
+            .get_mut(id)
+            .filter(|conn| !conn.input.is_empty() || connection.is_receiving)
+        else {
+            return;
+        };
+        if !connection.is_receiving {
+            (connection.is_receiving, connection.phase_started_at) = (true, now);
+            connection.reader = RequestReader::new(&self.limits);
+        }
+        let held = connection.reader.buffered_body_bytes();
+        let progress = connection.reader.read(&mut conn.input);
+        self.incomplete_bytes =
+            self.incomplete_bytes + connection.reader.buffered_body_bytes() - held;
+        match progress {
+            Ok(RequestProgress::Incomplete { expects_continue }) => {
+                if self.incomplete_bytes > self.max_incomplete_bytes {
+                    return self.respond_locally(
+                        net,
+                        id,
+                        &LocalResponse::unavailable(None).with_close(),
+                        events,
+                    );
+                }
+                if expects_continue {
+                    conn.send(b"HTTP/1.1 100 Continue\r\n\r\n");
+                }
+                // Reading rests where the ceiling was reached, and goes on now that there is room.
+                if net.flush(id, false) != TransferProgress::Alive {
+                    return self.disconnect(net, id, events);
+                }
+                self.arm_timer(net, id);
+            }
+            Ok(RequestProgress::Complete(request)) => {
+                self.incomplete_bytes -= connection.reader.buffered_body_bytes();
+                connection.reader = RequestReader::new(&self.limits);
+                (
+                    connection.is_receiving,
+                    connection.phase,
+                    connection.phase_started_at,
+                ) = (false, ConnectionPhase::AwaitingResponse, now);
+                connection.closes_after_response |= !request.keep_alive;
+                connection.is_head_request = request.is_head();
+                if net.flush(id, false) != TransferProgress::Alive {
+                    return self.close(net, id);
+                }
+                events.push(ClientEvent::RequestReceived(id, request));
+                self.limit_input_while_waiting(net, id);
+            }
+            Err(malformed) => {
+                self.respond_locally(net, id, &LocalResponse::closing(malformed.0), events);
+            }
+        }
+    }
+
+    /// What a client sends while it waits is kept for later, but not much of it: its end lies
+    /// behind what it sent, so beyond that it is dropped, and the connection ends with the answer
+    /// that is due.
+    pub(super) fn limit_input_while_waiting(&mut self, net: &mut Net, id: ConnId) {
+        let (Some(connection), Some(conn)) = (self.connections.get_mut(&id), net.get_mut(id))
+        else {
+            return;
+        };
+        if connection.closes_after_response
+            || conn.input.bytes().len() > MAX_INPUT_WHILE_WAITING_BYTES
+        {
+            connection.closes_after_response = true;
+            conn.input.consume(conn.input.bytes().len());
+            // A connection that is broken is told of by the poller.
+            net.flush(id, false);
+        }
+    }
+
+    /// Ends this side of a connection. Guards the answers before it, and a request that crosses the
+    /// end: with bytes unread a close would reset the connection.
+    pub(super) fn half_close(&mut self, net: &mut Net, id: ConnId) {
+        let now = net.clock.now();
+        let (Some(connection), Some(conn)) = (self.connections.get_mut(&id), net.get_mut(id))
+        else {
+            return;
+        };
+        conn.end_output();
+        (connection.phase, connection.phase_started_at) = (ConnectionPhase::Lingering, now);
+        self.discard_input(net, id);
+        self.arm_timer(net, id);
+    }
+
+    pub(super) fn discard_input(&mut self, net: &mut Net, id: ConnId) {
+        if let Some(conn) = net.get_mut(id) {
+            conn.input.consume(conn.input.bytes().len());
+        }
+        net.flush(id, false);
+    }
+}
--- /dev/null
+++ b/fleet/src/router/control_link/link.rs
@@ -0,0 +1,370 @@
+//! The state of the link: which configuration was applied, which one is pending, and the connection.
+//!
+//! It promises: one connection at a time; another control machine as soon as this one is silent or
+//! without contact for [`SILENCE`]; the highest position that was applied is never gone back on;
+//! what is applied is acknowledged. While all control is away it keeps trying, and what has been
+//! applied stands.
+
+use super::candidates::ControlCandidates;
+use super::connection::{ControlConnection, ControlMessage, RouterIdentity};
+use crate::envelopes::{self};
+use crate::router::reactor::{Net, SocketOwner, Timer};
+use lichenswitch_interface::{Micros, Time};
+use lichenswitch_messages::{
+    BacklogReport, ConfigurationPosition, ControlToRouter, RouterToControl, ServerRecord,
+    TenantMessage,
+};
+use lichenswitch_net::{ConnId, TransferProgress};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+/// After this long without any configuration one is taken from whichever control machine answers.
+pub(crate) const UNCONFIRMED_WAIT_US: Micros = 3_000_000;
+
+/// Most bytes read ahead of a control machine.
+const READ_AHEAD_BYTES: usize = 256 * 1_024;
+
+/// What came from control.
+#[derive(Debug)]
+pub(crate) enum ControlUpdate {
+    /// A configuration that may be applied, if its position is above all before it.
+    Configuration(ConfigurationPosition, Vec<u8>),
+    /// Records of servers, to be merged.
+    Servers(Vec<ServerRecord>),
+    /// So many routers are members.
+    Routers(u32),
+    /// A message about tenants.
+    Tenant(TenantMessage),
+    /// Work that waits at servers.
+    Backlog(BacklogReport),
+}
+
+/// The link.
+pub(crate) struct ControlLink {
+    identity: RouterIdentity,
+    candidates: ControlCandidates,
+    /// Control machines that are reached at another address than their own.
+    forwarders: BTreeMap<SocketAddr, SocketAddr>,
+    rng: fastrand::Rng,
+    connection: Option<ControlConnection>,
+    started_at: Time,
+    /// The one that is applied.
+    applied: Option<ConfigurationPosition>,
+    /// One from a control machine without contact, kept while there is none from another.
+    unconfirmed: Option<PendingConfiguration>,
+    /// A look is due then.
+    check_at: Option<Time>,
+    /// A connection has been given up since that was last asked.
+    was_connection_lost: bool,
+}
+
+/// A configuration that waits to be taken.
+pub(crate) struct PendingConfiguration {
+    /// The connection on which it came.
+    from: ConnId,
+    position: ConfigurationPosition,
+    document: Vec<u8>,
+}
+
+impl ControlLink {
+    /// The same, where these control machines are reached at another address than their own.
+    #[must_use]
+    pub(crate) fn with_forwarders(
+        self,
+        forwarders: BTreeMap<SocketAddr, SocketAddr>,
+    ) -> ControlLink {
+        ControlLink { forwarders, ..self }
+    }
+
+    /// A link that is not connected yet.
+    #[must_use]
+    pub(crate) fn new(
+        now: Time,
+        identity: RouterIdentity,
+        candidates: ControlCandidates,
+    ) -> ControlLink {
+        ControlLink {
+            rng: fastrand::Rng::with_seed(identity.process),
+            identity,
+            candidates,
+            forwarders: BTreeMap::new(),
+            connection: None,
+            started_at: now,
+            applied: None,
+            unconfirmed: None,
+            check_at: None,
+            was_connection_lost: false,
+        }
+    }
+
+    /// The settings name these seeds now.
+    pub(crate) fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
+        self.candidates.set_seeds(seeds);
+    }
+
+    /// The configuration of this position is in force now.
+    pub(crate) fn on_applied(&mut self, position: ConfigurationPosition) {
+        self.applied = Some(position);
+        self.unconfirmed = None;
+    }
+
+    /// Looks at the link: opens it, gives it up, or takes what has waited for long enough.
+    pub(crate) fn check(&mut self, net: &mut Net) -> Vec<ControlUpdate> {
+        let now = net.clock.now();
+        if self.check_at.is_some_and(|at| at <= now) {
+            self.check_at = None;
+        }
+        if self
+            .connection
+            .as_ref()
+            .is_some_and(|c| c.deadline() <= now)
+        {
+            self.drop_connection(net);
+        }
+        if self.connection.is_none() {
+            self.connect(net);
+        }
+        let updates = self.take_unconfirmed(now).into_iter().collect();
+        self.schedule_check(net, now);
+        updates
+    }
+
+    /// Reads what has come, and acknowledges what was read before.
+    pub(crate) fn on_ready(&mut self, net: &mut Net, id: ConnId) -> Vec<ControlUpdate> {
+        let Some(connection) = self.connection.as_mut().filter(|c| c.id == id) else {
+            net.close(id);
+            return Vec::new();
+        };
+        let progress = net.transfer(id, READ_AHEAD_BYTES);
+        let mut updates = Vec::new();
+        let mut sound = progress == TransferProgress::Alive
+            && connection.send_handshake(net, &self.identity, self.applied);
+        if sound {
+            let now = net.clock.now();
+            match connection.read(net, now) {
+                Ok(messages) => messages
+                    .into_iter()
+                    .for_each(|message| self.handle_message(now, message, &mut updates)),
+                Err(reason) => {
+                    log::warn!(address:% = self.address(); "control machine: {reason}");
+                    sound = false;
+                }
+            }
+        }
+        if !sound || net.get(id).is_none_or(|conn| conn.ended) {
+            self.drop_connection(net);
+            updates.extend(self.check(net));
+        }
+        updates
+    }
+
+    /// Acknowledges what has been applied since the last time. Called once what was read has been
+    /// applied.
+    pub(crate) fn acknowledge(&mut self, net: &mut Net) {
+        let applied = self.applied;
+        let Some(connection) = self
+            .connection
+            .as_mut()
+            .filter(|c| c.last_push > c.last_acknowledged_push)
+        else {
+            return;
+        };
+        connection.last_acknowledged_push = connection.last_push;
+        let acknowledgement = RouterToControl::Applied {
+            push: connection.last_push,
+            configuration: applied,
+        };
+        if !connection.send(net, acknowledgement) {
+            self.drop_connection(net);
+        }
+    }
+
+    /// Whether a connection has been given up since this was last asked: what was sent on it gets
+    /// no answer.
+    pub(crate) fn take_connection_lost(&mut self) -> bool {
+        std::mem::take(&mut self.was_connection_lost)
+    }
+
+    /// Whether a control machine is connected, and has been told who this router is.
+    #[must_use]
+    pub(crate) fn is_handshake_sent(&self) -> bool {
+        self.connection
+            .as_ref()
+            .is_some_and(|connection| connection.is_handshake_sent)
+    }
+
+    /// Sends a message about tenants to the control machine that is connected.
+    pub(crate) fn send_tenant_message(&mut self, net: &mut Net, message: &TenantMessage) {
+        let Some(connection) = &self.connection else {
+            return;
+        };
+        let sent = envelopes::encode_tenant_message(message)
+            .is_ok_and(|bytes| connection.send_bytes(net, &bytes));
+        if !sent {
+            self.drop_connection(net);
+        }
+    }
+
+    /// Tells the control machine that is connected what waits at servers.
+    pub(crate) fn send_backlog_report(&mut self, net: &mut Net, report: &BacklogReport) {
+        let Some(connection) = &self.connection else {
+            return;
+        };
+        let sent = envelopes::encode_backlog_report(report)
+            .is_ok_and(|bytes| connection.send_bytes(net, &bytes));
+        if !sent {
+            self.drop_connection(net);
+        }
+    }
+
+    /// Whether the configuration of this position, or a later one, is in force.
+    #[must_use]
+    pub(crate) fn has_applied(&self, position: ConfigurationPosition) -> bool {
+        self.applied.is_some_and(|applied| applied >= position)
+    }
+
+    fn address(&self) -> String {
+        self.connection
+            .as_ref()
+            .map_or_else(String::new, |c| c.address.to_string())
+    }
+
+    fn handle_message(
+        &mut self,
+        now: Time,
+        message: ControlMessage,
+        updates: &mut Vec<ControlUpdate>,
+    ) {
+        match message {
+            ControlMessage::Control(message) => self.handle_control_message(now, message, updates),
+            ControlMessage::Tenant(message) => updates.push(ControlUpdate::Tenant(message)),
+            ControlMessage::Backlog(report) => updates.push(ControlUpdate::Backlog(report)),
+        }
+    }
+
+    fn handle_control_message(
+        &mut self,
+        now: Time,
+        message: ControlToRouter,
+        updates: &mut Vec<ControlUpdate>,
+    ) {
+        let Some(connection) = &mut self.connection else {
+            return;
+        };
+        match message {
+            ControlToRouter::Heartbeat {
+                in_contact,
+                control_addresses: control,
+                router_count: routers,
+            } => {
+                connection.is_in_contact = in_contact;
+                if in_contact {
+                    connection.last_contact_at = Some(now);
+                    self.candidates.on_useful(connection.address);
+                }
+                self.candidates.on_advertised(
+                    control
+                        .iter()
+                        .filter_map(|address| address.parse().ok())
+                        .collect(),
+                );
+                updates.push(ControlUpdate::Routers(routers));
+                updates.extend(self.take_unconfirmed(now));
+            }
+            ControlToRouter::Configuration {
+                push,
+                position,
+                document,
+            } => {
+                connection.last_push = connection.last_push.max(push);
+                if self.applied.is_none_or(|applied| applied < position) {
+                    let older = self
+                        .unconfirmed
+                        .as_ref()
+                        .is_some_and(|offer| offer.position > position);
+                    if !older {
+                        let from = connection.id;
+                        self.unconfirmed = Some(PendingConfiguration {
+                            from,
+                            position,
+                            document,
+                        });
+                    }
+                    updates.extend(self.take_unconfirmed(now));
+                }
+            }
+            ControlToRouter::Servers {
+                push,
+                records,
+                is_complete: _,
+            } => {
+                connection.last_push = connection.last_push.max(push);
+                updates.push(ControlUpdate::Servers(records));
+            }
+        }
+    }
+
+    /// A configuration that waited is taken once its sender is in contact, once another is in force
+    /// already (it is committed, and newer), or once a router without any has waited for long
+    /// enough.
+    fn take_unconfirmed(&mut self, now: Time) -> Option<ControlUpdate> {
+        let in_contact = self
+            .connection
+            .as_ref()
+            .filter(|c| c.is_in_contact)
+            .map(|c| c.id);
+        let waited = now.since(self.started_at) >= UNCONFIRMED_WAIT_US;
+        let may = waited || self.applied.is_some();
+        // Contact vouches for what came from the same machine: another one may have been cut off
+        // for long.
+        let offer = self
+            .unconfirmed
+            .take_if(|offer| may || in_contact == Some(offer.from))?;
+        Some(ControlUpdate::Configuration(offer.position, offer.document))
+    }
+
+    fn connect(&mut self, net: &mut Net) {
+        let now = net.clock.now();
+        // Those that refuse at once are passed over in this very look; each one rests then, so that
+        // this ends.
+        while let Ok(address) = self.candidates.next(now, self.rng.u64(..)) {
+            let reached_at = self.forwarders.get(&address).copied().unwrap_or(address);
+            match net.connect(SocketOwner::Control, reached_at) {
+                Ok(id) => {
+                    self.connection = Some(ControlConnection::new(id, address, now));
+                    return;
+                }
+                Err(_) => self.candidates.on_failed(now, address, self.rng.u64(..)),
+            }
+        }
+    }
+
+    fn drop_connection(&mut self, net: &mut Net) {
+        if let Some(connection) = self.connection.take() {
+            self.candidates
+                .on_failed(net.clock.now(), connection.address, self.rng.u64(..));
+            net.close(connection.id);
+            self.was_connection_lost = true;
+        }
+        let now = net.clock.now();
+        self.check_at = None;
+        self.schedule_check(net, now);
+    }
+
+    /// Sets the timer for the next look, where none is set that comes before it.
+    fn schedule_check(&mut self, net: &mut Net, now: Time) {
+        let link = match &self.connection {
+            Some(connection) => connection.deadline(),
+            None => self.candidates.next(now, 0).map_or_else(|at| at, |_| now),
+        };
+        let waits = self
+            .unconfirmed
+            .is_some()
+            .then(|| self.started_at.plus(UNCONFIRMED_WAIT_US));
+        let due = link.min(waits.unwrap_or(link)).max(now);
+        if self.check_at.is_none_or(|at| due < at) {
+            self.check_at = Some(due);
+            net.wheel.set(due, Timer::ControlLink);
+        }
+    }
+}
--- a/fleet/src/router/counters.rs
+++ b/fleet/src/router/counters.rs
@@ -1,31 +1,31 @@
 //! What a router has turned away, by reason: for the log.
 
-use super::intake::Turned;
+use super::rejection::RejectionReason;
 
 /// Counts since the process began.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct Counters {
+pub(crate) struct RejectionCounters {
     /// Answered 503 at once.
-    pub away: u64,
+    pub unavailable: u64,
     /// Answered 404.
     pub no_route: u64,
     /// Answered 401.
-    pub no_holder: u64,
+    pub unknown_key: u64,
     /// Answered 429.
-    pub beyond_quota: u64,
+    pub quota_exceeded: u64,
     /// Answered 400 after their head was read.
     pub malformed: u64,
 }
 
-impl Counters {
+impl RejectionCounters {
     /// A request was answered at once.
-    pub(super) fn on_turned(&mut self, turned: &Turned) {
-        let counter = match turned {
-            Turned::Away(_) => &mut self.away,
-            Turned::NoRoute => &mut self.no_route,
-            Turned::NoHolder => &mut self.no_holder,
-            Turned::BeyondQuota(_) => &mut self.beyond_quota,
-            Turned::Malformed => &mut self.malformed,
+    pub(crate) fn on_rejected(&mut self, reason: &RejectionReason) {
+        let counter = match reason {
+            RejectionReason::Unavailable(_) => &mut self.unavailable,
+            RejectionReason::NoRoute => &mut self.no_route,
+            RejectionReason::UnknownKey => &mut self.unknown_key,
+            RejectionReason::QuotaExceeded(_) => &mut self.quota_exceeded,
+            RejectionReason::Malformed => &mut self.malformed,
         };
         *counter += 1;
     }
--- /dev/null
+++ b/fleet/src/router/handlers/dispatch.rs
@@ -0,0 +1,185 @@
+//! Dispatch: the decisions of the decision module are carried out.
+//!
+//! It promises that an attempt is made only if the rules allow it at that moment, and that every
+//! attempt's end is reported to the core once.
+
+use crate::router::abort_reason::AbortReason;
+use crate::router::ids::{AttemptId, RequestId, ServiceId};
+use crate::router::reactor::Timer;
+use crate::router::rejection::RejectionReason;
+use crate::router::request_table::{InFlightAttempt, RequestPhase, RequestState};
+use crate::router::sender::KeyDenial;
+use crate::router::server_connections::Attempt;
+use crate::router::state::Router;
+use lichenswitch_core::{Command, Dispatch, Reply};
+use lichenswitch_interface::{Outcome, QueryId, ServerId};
+
+impl Router {
+    /// Lets the module decide, where it is time, and does what it says.
+    pub(crate) fn run_decision_turns(&mut self) {
+        let now = self.net.clock.now();
+        if self.services.next_turn().is_none_or(|at| at > now) {
+            return;
+        }
+        for (service, command) in self.services.run_turns(now) {
+            match command {
+                Command::Send(server, parts) => {
+                    for part in parts {
+                        self.start_attempt(service, server, &part);
+                    }
+                }
+                Command::Withdraw(number) | Command::Recall(number) => {
+                    self.connections
+                        .withdraw(&mut self.net, AttemptId { service, number });
+                }
+                Command::CloseIdle(server) => {
+                    self.connections.close_stale_idle(&mut self.net, server)
+                }
+                Command::Reply(query, reply) => {
+                    let id = self
+                        .services
+                        .get_mut(service)
+                        .and_then(|s| s.take_request_id(query));
+                    if let Some(id) = id {
+                        self.on_decision(id, query, reply);
+                    }
+                }
+                // Trust in servers changes often in trouble, on every router at once.
+                Command::Log(line) => log::debug!("{line}"),
+                // Lists are pushed by control.
+                Command::Subscribe => {}
+            }
+        }
+    }
+
+    /// Makes an attempt, if the rules allow it as things stand now.
+    pub(super) fn start_attempt(
+        &mut self,
+        service: ServiceId,
+        server: ServerId,
+        part: &Dispatch<RequestId>,
+    ) {
+        let (now, id) = (self.net.clock.now(), *part.job);
+        let attempt = AttemptId {
+            service,
+            number: part.attempt,
+        };
+        let endpoint = self
+            .servers
+            .endpoint(server)
+            .filter(|endpoint| !endpoint.is_leaving);
+        let max_connections = self
+            .services
+            .get_mut(service)
+            .map_or(1, |s| s.max_connections());
+        let request = self
+            .requests
+            .get(id)
+            .filter(|request| request.may_start_attempt());
+        let (Some(request), Some(endpoint)) = (request, endpoint) else {
+            return self.report_outcome(attempt, Outcome::Moot);
+        };
+        if let Err(denial) = self.check_sender(request.sender()) {
+            self.report_outcome(attempt, Outcome::Moot);
+            return self.on_key_denied(id, denial);
+        }
+        let resume_after = match &request.phase {
+            RequestPhase::Resuming { last_event_id } => Some(last_event_id.clone()),
+            _ => None,
+        };
+        let made = Attempt {
+            id: attempt,
+            server,
+            endpoint,
+            request: request.client_request.clone(),
+            deadline: request.deadline,
+            is_idempotent: request.terms.idempotent,
+            priority: request.terms.rank,
+            resume_after,
+            sender: request.sender.clone(),
+            max_connections,
+        };
+        self.requests.on_attempt_started(
+            id,
+            InFlightAttempt {
+                id: attempt,
+                server,
+            },
+        );
+        self.net
+            .wheel
+            .set(now.plus(part.wait), Timer::AttemptTimeout(attempt));
+        self.connections.start(&mut self.net, made);
+        self.schedule_backlog_report();
+    }
+
+    /// The key of a request that is held is served no more: unless an attempt is out that was sent
+    /// before, it ends at once.
+    pub(super) fn on_key_denied(&mut self, id: RequestId, denial: KeyDenial) {
+        let Some(request) = self
+            .requests
+            .get(id)
+            .filter(|request| request.in_flight.is_empty())
+        else {
+            return;
+        };
+        match request.phase {
+            RequestPhase::Pending if request.possible_executions > 0 => {
+                self.respond_without_server(id, None)
+            }
+            RequestPhase::Pending => {
+                if let Some(request) = self.remove_request(id) {
+                    self.reject(request.client, &RejectionReason::of(denial));
+                }
+            }
+            RequestPhase::Relaying(_) | RequestPhase::Resuming { .. } => {
+                self.abort_response(id, AbortReason::KeyDenied)
+            }
+        }
+    }
+
+    /// The time that the module gave an attempt is over.
+    pub(crate) fn on_attempt_timeout(&mut self, id: AttemptId) {
+        let waits = |request: &RequestState| request.in_flight.iter().any(|out| out.id == id);
+        let held = self
+            .requests
+            .id_of_attempt(id)
+            .and_then(|e| self.requests.get(e))
+            .is_some_and(waits);
+        if held {
+            self.connections.withdraw(&mut self.net, id);
+            self.requests.on_attempt_ended(id, Outcome::Timeout);
+            self.report_outcome(id, Outcome::Timeout);
+        }
+    }
+
+    pub(crate) fn report_outcome(&mut self, id: AttemptId, outcome: Outcome) {
+        let now = self.net.clock.now();
+        if let Some(service) = self.services.get_mut(id.service) {
+            service.on_attempt_ended(now, id.number, outcome);
+        }
+    }
+
+    /// The module has ended a request, or has its answer.
+    pub(super) fn on_decision(&mut self, id: RequestId, query: QueryId, reply: Reply) {
+        // What was answered meanwhile, or goes on under another number, is not concerned.
+        let Some(request) = self
+            .requests
+            .get_mut(id)
+            .filter(|e| e.core_query == Some(query))
+        else {
+            return;
+        };
+        request.core_query = None;
+        let after = match reply {
+            Reply::Served { .. } => return,
+            Reply::Refused(after) => after,
+            Reply::Failed => None,
+        };
+        match request.phase {
+            RequestPhase::Pending => self.respond_without_server(id, after),
+            RequestPhase::Resuming { .. } => self.abort_response(id, AbortReason::NotResumed),
+            RequestPhase::Relaying(_) => {}
+        }
+    }
+}
--- a/fleet/src/router/servers.rs
+++ b/fleet/src/router/servers.rs
@@ -4,7 +4,7 @@
 //! come in, and from whichever control machine, the result is the same; `draining` and `gone` are
 //! final; an instance that a push leaves out stays as it was.
 
-use super::prefix::stable_hash;
+use super::prompt::stable_hash;
 use lichenswitch_interface::{ListedServer, ServerId, ServerMode};
 use lichenswitch_messages::{ServerRecord, ServerState};
 use std::collections::{HashMap, VecDeque};
@@ -16,7 +16,7 @@
 const MAX_REMEMBERED_GONE: usize = 2_048;
 /// Groups that the servers of a service are dealt into. The module looks for another holder at once
 /// after a failed connection only while it has tried fewer servers than there are groups.
-pub(super) const GROUPS: u32 = 4;
+pub(crate) const SERVER_GROUPS: u32 = 4;
 
 /// One instance.
 #[derive(Debug)]
@@ -27,40 +27,40 @@
     zone: u32,
     state: ServerState,
     sequence_number: u64,
-    unheard: bool,
+    is_suspect: bool,
 }
 
 /// Where a server is reached, and by what name.
 #[derive(Clone, Debug)]
-pub(super) struct Endpoint {
+pub(crate) struct Endpoint {
     /// Its `instanceId`.
-    pub instance: Rc<str>,
+    pub instance_id: Rc<str>,
     /// Its address.
     pub address: SocketAddr,
     /// It takes no new requests.
-    pub leaving: bool,
+    pub is_leaving: bool,
 }
 
 /// What a push changed at one service.
 #[derive(Debug, PartialEq)]
-pub(super) struct Change {
+pub(crate) struct ServerChange {
     /// Its name.
     pub service: Rc<str>,
     /// The changed line of its list.
-    pub line: ListedServer,
+    pub entry: ListedServer,
 }
 
-impl Change {
+impl ServerChange {
     /// The server takes nothing new.
     #[must_use]
-    pub(super) fn takes_nothing(&self) -> bool {
-        matches!(self.line.mode, ServerMode::Draining | ServerMode::Gone)
+    pub(crate) fn accepts_no_requests(&self) -> bool {
+        matches!(self.entry.mode, ServerMode::Draining | ServerMode::Gone)
     }
 }
 
 /// The table.
 #[derive(Default)]
-pub(super) struct ServerTable {
+pub(crate) struct ServerTable {
     instances: HashMap<Rc<str>, Instance>,
     by_server: HashMap<ServerId, Rc<str>>,
     services: HashMap<Rc<str>, ()>,
@@ -71,7 +71,7 @@
 impl ServerTable {
     /// An empty table of a router in this zone, which gets number 0.
     #[must_use]
-    pub(super) fn new(zone: &str) -> ServerTable {
+    pub(crate) fn new(zone: &str) -> ServerTable {
         ServerTable {
             zones: HashMap::from([(zone.to_owned(), 0)]),
             ..ServerTable::default()
@@ -79,47 +79,50 @@
     }
 
     /// Merges a push; tells the lines that changed.
-    pub(super) fn merge(&mut self, records: &[ServerRecord]) -> Vec<Change> {
+    pub(crate) fn merge(&mut self, records: &[ServerRecord]) -> Vec<ServerChange> {
         records
             .iter()
-            .filter_map(|record| self.merge_one(record))
+            .filter_map(|record| self.merge_record(record))
             .collect()
     }
 
     /// Where a server is; `None`: it is gone, or was listed without a usable address.
     #[must_use]
-    pub(super) fn endpoint(&self, server: ServerId) -> Option<Endpoint> {
+    pub(crate) fn endpoint(&self, server: ServerId) -> Option<Endpoint> {
         let name = self.by_server.get(&server)?;
         let instance = self.instances.get(name)?;
         let address = instance
             .address
             .filter(|_| instance.state != ServerState::Gone)?;
-        let leaving = instance.state != ServerState::Ready;
+        let is_leaving = instance.state != ServerState::Ready;
         Some(Endpoint {
-            instance: name.clone(),
+            instance_id: name.clone(),
             address,
-            leaving,
+            is_leaving,
         })
     }
 
     /// Lines of all servers of a service that are not gone.
     #[must_use]
-    pub(super) fn lines_of(&self, service: &str) -> Vec<ListedServer> {
+    pub(crate) fn entries_of(&self, service: &str) -> Vec<ListedServer> {
         let of = self
             .instances
             .values()
             .filter(|i| &*i.service == service && i.state != ServerState::Gone);
-        of.map(line).collect()
+        of.map(listed_entry).collect()
     }
 
     /// How many instances are not gone.
     #[must_use]
-    pub(super) fn count(&self) -> usize {
+    pub(crate) fn live_count(&self) -> usize {
         self.instances.len() - self.gone.len()
     }
 
-    fn merge_one(&mut self, record: &ServerRecord) -> Option<Change> {
-        let (service, zone) = (self.service(&record.service), self.zone(&record.zone));
+    fn merge_record(&mut self, record: &ServerRecord) -> Option<ServerChange> {
+        let (service, zone) = (
+            self.intern_service(&record.service),
+            self.zone_number(&record.zone),
+        );
         let address = record.address.parse().ok();
         if let Some((name, known)) = self.instances.get_key_value(record.instance.as_str()) {
             let older = record.state < known.state;
@@ -132,7 +135,7 @@
             return self.update(&name, record, address, zone);
         }
         let name: Rc<str> = Rc::from(record.instance.as_str());
-        let server = self.new_id(&name);
+        let server = self.assign_id(&name);
         let instance = Instance {
             server,
             service: service.clone(),
@@ -140,20 +143,20 @@
             zone,
             state: record.state,
             sequence_number: record.sequence_number,
-            unheard: record.unheard,
+            is_suspect: record.is_suspect,
         };
-        let line = line(&instance);
+        let entry = listed_entry(&instance);
         self.instances.insert(name.clone(), instance);
         self.by_server.insert(server, name.clone());
         if record.state == ServerState::Gone {
-            self.bury(name);
+            self.remember_gone(name);
             return None;
         }
-        Some(Change { service, line })
+        Some(ServerChange { service, entry })
     }
 
     /// The same at all routers, unless two instances share a hash: routers choose servers by it.
-    fn new_id(&self, instance: &str) -> ServerId {
+    fn assign_id(&self, instance: &str) -> ServerId {
         let hash = stable_hash(instance.as_bytes());
         let mut id = ServerId((hash ^ (hash >> 32)) as u32);
         while self.by_server.contains_key(&id) {
@@ -168,25 +171,25 @@
         record: &ServerRecord,
         address: Option<SocketAddr>,
         zone: u32,
-    ) -> Option<Change> {
+    ) -> Option<ServerChange> {
         let known = self.instances.get_mut(name)?;
-        let (before, was) = (line(known), known.state);
+        let (before, was) = (listed_entry(known), known.state);
         known.sequence_number = known.sequence_number.max(record.sequence_number);
         known.address = address.or(known.address);
-        (known.zone, known.state, known.unheard) = (zone, record.state, record.unheard);
-        let (after, service) = (line(known), known.service.clone());
+        (known.zone, known.state, known.is_suspect) = (zone, record.state, record.is_suspect);
+        let (after, service) = (listed_entry(known), known.service.clone());
         if was != ServerState::Gone && record.state == ServerState::Gone {
-            self.bury(name.clone());
+            self.remember_gone(name.clone());
         }
-        (before != after).then_some(Change {
+        (before != after).then_some(ServerChange {
             service,
-            line: after,
+            entry: after,
         })
     }
 
     /// Remembers that an instance is gone, and forgets the one that has been gone for longest where
     /// there are too many.
-    fn bury(&mut self, name: Rc<str>) {
+    fn remember_gone(&mut self, name: Rc<str>) {
         self.gone.push_back(name);
         if self.gone.len() <= MAX_REMEMBERED_GONE {
             return;
@@ -200,7 +203,7 @@
         }
     }
 
-    fn service(&mut self, name: &str) -> Rc<str> {
+    fn intern_service(&mut self, name: &str) -> Rc<str> {
         if let Some((known, ())) = self.services.get_key_value(name) {
             return known.clone();
         }
@@ -209,7 +212,7 @@
         name
     }
 
-    fn zone(&mut self, name: &str) -> u32 {
+    fn zone_number(&mut self, name: &str) -> u32 {
         if let Some(&number) = self.zones.get(name) {
             return number;
         }
@@ -219,15 +222,15 @@
     }
 }
 
-fn line(instance: &Instance) -> ListedServer {
-    let mode = match (instance.state, instance.unheard) {
+fn listed_entry(instance: &Instance) -> ListedServer {
+    let mode = match (instance.state, instance.is_suspect) {
         (ServerState::Ready, false) => ServerMode::Ready,
         // Control may be what can't be reached: it is used where no other server will do.
         (ServerState::Ready, true) => ServerMode::Leaving,
         (ServerState::Draining, _) => ServerMode::Draining,
         (ServerState::Gone, _) => ServerMode::Gone,
     };
-    let cell = instance.server.0 % GROUPS;
+    let cell = instance.server.0 % SERVER_GROUPS;
     ListedServer {
         server: instance.server,
         cell,
--- a/wire/messages/tests/wire_format.rs
+++ b/wire/messages/tests/wire_format.rs
@@ -66,11 +66,11 @@
 fn instant() -> ProcessInstant {
     ProcessInstant {
         process: 0x2122_2324_2526_2728,
-        clock: 1_234_567_890,
+        clock_us: 1_234_567_890,
     }
 }
 
-fn server(instance: &str, state: ServerState, unheard: bool) -> ServerRecord {
+fn server(instance: &str, state: ServerState, is_suspect: bool) -> ServerRecord {
     ServerRecord {
         instance: instance.to_owned(),
         service: "models-large".to_owned(),
@@ -79,8 +79,8 @@
         capacity_slots: 24,
         state,
         sequence_number: 9_001,
-        cold_remaining_ms: 2_500,
-        unheard,
+        warm_up_remaining_ms: 2_500,
+        is_suspect,
     }
 }
 
@@ -112,8 +112,8 @@
 fn router_messages() -> Vec<(&'static str, WireMessage)> {
     let router_hello = |configuration| {
         from_router(RouterToControl::Hello {
-            protocol: PROTOCOL_VERSION,
-            node: "router-1".to_owned(),
+            protocol_version: PROTOCOL_VERSION,
+            node_name: "router-1".to_owned(),
             zone: "zone-a".to_owned(),
             process: 0x3132_3334_3536_3738,
             configuration,
@@ -128,15 +128,15 @@
     let heartbeat = |in_contact| {
         to_router(ControlToRouter::Heartbeat {
             in_contact,
-            control: names(&["10.0.0.1:7000", "control-2.internal:7000"]),
-            routers: 3,
+            control_addresses: names(&["10.0.0.1:7000", "control-2.internal:7000"]),
+            router_count: 3,
         })
     };
     let servers = |whole| {
         to_router(ControlToRouter::Servers {
             push: 43,
             records: servers(),
-            whole,
+            is_complete: whole,
         })
     };
     vec![
@@ -167,7 +167,12 @@
 
 fn relayed_calls() -> Vec<(&'static str, WireMessage)> {
     let call = |call| peer(PeerMessage::Call { id: 51, call });
-    let answer = |answer| peer(PeerMessage::CallResponse { id: 51, answer });
+    let answer = |answer| {
+        peer(PeerMessage::CallResponse {
+            id: 51,
+            response: answer,
+        })
+    };
     vec![
         (
             "call_with_order",
@@ -194,27 +199,27 @@
 fn peer_messages() -> Vec<(&'static str, WireMessage)> {
     let hello = |eligible| {
         peer(PeerMessage::Hello {
-            protocol: PROTOCOL_VERSION,
-            node: "control-1".to_owned(),
+            protocol_version: PROTOCOL_VERSION,
+            node_name: "control-1".to_owned(),
             address: "10.0.0.1:7000".to_owned(),
             identity: 0x4142_4344_4546_4748,
             eligible,
-            known: names(&["10.0.0.2:7000", "10.0.0.3:7000"]),
+            known_peers: names(&["10.0.0.2:7000", "10.0.0.3:7000"]),
         })
     };
     let servers = |whole| {
         peer(PeerMessage::Servers {
             ack: 61,
             records: servers(),
-            whole,
+            is_complete: whole,
         })
     };
     let contact = |in_contact, primary: Option<&str>| {
         peer(PeerMessage::Contact {
             in_contact,
             primary: primary.map(str::to_owned),
-            routers: 2,
-            known: names(&["10.0.0.2:7000"]),
+            connected_routers: 2,
+            known_peers: names(&["10.0.0.2:7000"]),
         })
     };
     vec![
@@ -229,7 +234,7 @@
         ("servers_ack", peer(PeerMessage::ServersAck { ack: 61 })),
         (
             "servers_heard",
-            peer(PeerMessage::ServersHeard(vec![
+            peer(PeerMessage::HeartbeatDigest(vec![
                 ("a".to_owned(), 120),
                 ("instance-two".to_owned(), 0),
             ])),
@@ -240,7 +245,7 @@
         ),
         (
             "remembered_servers",
-            peer(PeerMessage::RememberedServers(self::servers())),
+            peer(PeerMessage::CachedServers(self::servers())),
         ),
         ("contact", contact(true, Some("10.0.0.1:7000"))),
         ("no_contact", contact(false, None)),
@@ -268,24 +273,26 @@
 fn tenant_messages() -> Vec<(&'static str, WireMessage)> {
     let confirmed = |position| {
         WireMessage::Tenant(TenantMessage::Confirmed {
-            stamp: 987_654_321,
+            sent_at_us: 987_654_321,
             position,
         })
     };
-    let request = |unit, pass_on| {
+    let request = |unit, may_forward| {
         WireMessage::Tenant(TenantMessage::LeaseRequest(QuotaLeaseRequest {
             id: 71,
             tenant: "tenant-one".to_owned(),
             unit,
-            needs: vec![5, 1_000, u64::MAX],
-            ahead: 250,
-            pass_on,
+            amounts: vec![5, 1_000, u64::MAX],
+            prefetch_amount: 250,
+            may_forward,
         }))
     };
     vec![
         (
             "confirm",
-            WireMessage::Tenant(TenantMessage::Confirm { stamp: 987_654_321 }),
+            WireMessage::Tenant(TenantMessage::Confirm {
+                sent_at_us: 987_654_321,
+            }),
         ),
         ("confirmed_without_position", confirmed(None)),
         ("confirmed_with_position", confirmed(Some(position()))),
@@ -301,9 +308,9 @@
             "lease_response",
             WireMessage::Tenant(TenantMessage::LeaseResponse(QuotaLeaseResponse {
                 id: 71,
-                needs: 0b101,
-                ahead: 250,
-                wait_us: 60_000,
+                granted_bits: 0b101,
+                prefetch_amount: 250,
+                retry_after_us: 60_000,
             })),
         ),
     ]
@@ -320,7 +327,12 @@
             tokens: 0,
         },
     ];
-    let report = |whole, servers| WireMessage::Backlog(BacklogReport { whole, servers });
+    let report = |whole, servers| {
+        WireMessage::Backlog(BacklogReport {
+            is_complete: whole,
+            servers,
+        })
+    };
     vec![
         ("backlog_report", report(false, servers.clone())),
         ("complete_backlog_report", report(true, servers)),
--- a/wire/storage/src/writer/mod.rs
+++ b/wire/storage/src/writer/mod.rs
@@ -15,18 +15,18 @@
 
 /// Something to be stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Job {
+pub enum WriteRequest {
     /// Records, as [`Storage::append`] takes them.
     Append(Vec<Vec<u8>>),
-    /// An image, as [`Storage::replace`] takes it.
-    Replace(Vec<u8>),
+    /// An image, as [`Storage::replace_snapshot`] takes it.
+    ReplaceSnapshot(Vec<u8>),
 }
 
 /// The end of a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Completion {
     /// Its ticket.
-    pub ticket: u64,
+    pub write_id: u64,
     /// How full the storage is now, or why nothing was stored.
     pub result: Result<Usage, StorageError>,
     /// Failures of the thread up to and with this one.
@@ -35,8 +35,8 @@
 
 /// A job in the queue.
 struct Queued {
-    ticket: u64,
-    job: Job,
+    write_id: u64,
+    job: WriteRequest,
     /// Failures that the submitter had been told of.
     failures_known: u64,
 }
@@ -115,10 +115,10 @@
     }
 
     /// Hands a job to the thread. Its completion will bear the ticket.
-    pub fn submit(&mut self, ticket: u64, job: Job) {
+    pub fn submit(&mut self, write_id: u64, job: WriteRequest) {
         self.outstanding.push_back(Instant::now());
         let queued = Queued {
-            ticket,
+            write_id,
             job,
             failures_known: self.failures_known,
         };
@@ -218,13 +218,13 @@
         let Some(first) = jobs.pop_front() else {
             return;
         };
-        let mut tickets = vec![first.ticket];
+        let mut tickets = vec![first.write_id];
         if first.failures_known < self.failures {
             return self.complete(&tickets, &Err(StorageError::EarlierFailed));
         }
         let result = match first.job {
-            Job::Replace(image) => self.storage.replace(&image),
-            Job::Append(mut records) => {
+            WriteRequest::ReplaceSnapshot(snapshot) => self.storage.replace_snapshot(&snapshot),
+            WriteRequest::Append(mut records) => {
                 self.join_appends(&mut records, &mut tickets, jobs);
                 self.storage.append(&records)
             }
@@ -243,8 +243,8 @@
     ) {
         let mut bytes: usize = records.iter().map(Vec::len).sum();
         while let Some(Queued {
-            ticket,
-            job: Job::Append(more),
+            write_id,
+            job: WriteRequest::Append(more),
             failures_known,
         }) = jobs.front_mut()
         {
@@ -258,15 +258,15 @@
             }
             bytes = with_more;
             records.append(more);
-            tickets.push(*ticket);
+            tickets.push(*write_id);
             jobs.pop_front();
         }
     }
 
     fn complete(&mut self, tickets: &[u64], result: &Result<Usage, StorageError>) {
         let failures = self.failures;
-        let completions = tickets.iter().map(|ticket| Completion {
-            ticket: *ticket,
+        let completions = tickets.iter().map(|write_id| Completion {
+            write_id: *write_id,
             result: result.clone(),
             failures,
         });
