--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -257,13 +257,14 @@
             .inventory
             .as_ref()
             .ok_or_else(|| format!("{name}: inventory: missing"))?;
-        let inventory = Inventory::load(&beside(&inventory.value))?;
+        let inventory =
+            Inventory::load(&beside(&inventory.value)).map_err(|error| error.to_string())?;
         let (mut settings, classes, connections) = match (&read.settings, platform) {
             (Some(told), _) => {
                 let text = read_text(&beside(&told.value))
-                    .map_err(|e| here(told.referenced.line(), "settings", e))?;
+                    .map_err(|e| here(told.referenced.line(), "settings", e.to_string()))?;
                 let site = settings::Site::parse(text.as_bytes())
-                    .map_err(|e| here(told.referenced.line(), "settings", e))?;
+                    .map_err(|e| here(told.referenced.line(), "settings", e.to_string()))?;
                 (site.settings, site.classes, site.connections)
             }
             (None, Some(p)) => (p.settings.clone(), p.classes.clone(), p.connections),
@@ -347,7 +348,9 @@
             .classes
             .iter_mut()
             .for_each(|class| class.second_step = 0);
-        let mut contracts = inventory.contracts(&classes)?;
+        let mut contracts = inventory
+            .contracts(&classes)
+            .map_err(|error| error.to_string())?;
         let phases = operators.sorted(&classes, &mut settings, &mut collections, &mut contracts)?;
         if let Some(budget) = Contracts::new(contracts.clone()).budget() {
             settings.limits.budget = Some(budget);
--- a/src/config/operators.rs
+++ b/src/config/operators.rs
@@ -80,7 +80,7 @@
 
     /// Reads the file. Paths in it start from its folder.
     pub fn load(path: &Path) -> Result<Operators, String> {
-        let text = read_text(path)?;
+        let text = read_text(path).map_err(|error| error.to_string())?;
         // A file of comments alone is an empty one.
         let empty = text
             .lines()
--- a/src/inventory/tests.rs
+++ b/src/inventory/tests.rs
@@ -38,7 +38,7 @@
 
 fn yaml(text: &str) -> Result<Inventory, String> {
     let folder = Folder::new(&[("i.yaml", text)]);
-    Inventory::load(&folder.path().join("i.yaml"))
+    Inventory::load(&folder.path().join("i.yaml")).map_err(|error| error.to_string())
 }
 
 fn csv(change: (&str, &str, &str)) -> Result<Inventory, String> {
@@ -56,7 +56,7 @@
         .iter()
         .map(|(name, text)| (*name, text.as_str()))
         .collect();
-    Inventory::load(Folder::new(&files).path())
+    Inventory::load(Folder::new(&files).path()).map_err(|error| error.to_string())
 }
 
 #[test]
@@ -71,6 +71,7 @@
     assert!(read
         .contracts(&known[..1])
         .unwrap_err()
+        .to_string()
         .contains("network-report"));
 }
 
