--- a/src/bin/lichenswitch-simulator-adapter/tests.rs
+++ b/src/bin/lichenswitch-simulator-adapter/tests.rs
@@ -45,11 +45,11 @@
     value.to_le_bytes()
 }
 
-fn begin(who: u32, text: &str) -> Vec<u8> {
+fn begin(instance: u32, text: &str) -> Vec<u8> {
     record(
         18,
         &[
-            &le(who),
+            &le(instance),
             &7u64.to_le_bytes(),
             &le(0),
             &le(text.len() as u32),
@@ -57,9 +57,9 @@
     )
 }
 
-fn request(who: u32, id: u64, shard: f32, amount: f32, deadline: u64) -> Vec<u8> {
+fn request(instance: u32, id: u64, shard: f32, amount: f32, deadline: u64) -> Vec<u8> {
     let fields: [&[u8]; 11] = [
-        &le(who),
+        &le(instance),
         &id.to_le_bytes(),
         &le(0),
         &99u64.to_le_bytes(),
@@ -118,7 +118,7 @@
         mode: ServerMode::Draining,
         started: Some(Time(9)),
     };
-    let event = |event| Record::Event { who: 2, event };
+    let event = |event| Record::Event { instance: 2, event };
     let outcome = Outcome::Reset;
     let expected = vec![
         Record::Snapshot {
@@ -126,7 +126,7 @@
             lines: vec![listed],
         },
         Record::Roster {
-            who: 2,
+            instance: 2,
             scope: Scope::Whole,
             page: 3,
         },
@@ -159,8 +159,8 @@
             elapsed: 55,
         }),
         event(Event::Wake),
-        Record::PowerOff { who: 2 },
-        Record::Ignored { who: 2 },
+        Record::PowerOff { instance: 2 },
+        Record::Ignored { instance: 2 },
     ];
     assert_eq!(read, expected);
 }
@@ -196,7 +196,7 @@
     ];
     let probed = [&le(2)[..], &le(11), &[1, 0], &le(55), &[200]];
     for bad in [record(24, &ended), record(26, &probed)] {
-        let text = decode(&frame(1, &[bad], &[])).unwrap_err();
+        let text = decode(&frame(1, &[bad], &[])).unwrap_err().to_string();
         assert!(text.contains("load report of"), "{text}");
     }
 }
@@ -279,7 +279,10 @@
         (frame(1, &[begin(1, "{}")], b"{}"), "missing field"),
     ];
     for (bytes, expected) in cases {
-        let told = Host::default().batch(&bytes).expect_err(expected);
+        let told = Host::default()
+            .handle_batch(&bytes)
+            .expect_err(expected)
+            .to_string();
         assert!(
             told.contains(expected),
             "{told:?} does not say {expected:?}"
@@ -288,7 +291,10 @@
     }
     let mut count = frame(1, &[], &[]);
     count[4] = 200;
-    assert!(decode(&count).unwrap_err().contains("do not fit"));
+    assert!(decode(&count)
+        .unwrap_err()
+        .to_string()
+        .contains("do not fit"));
     assert!(frame_length(&[0; HEADER]).is_err());
     assert!(frame_length(&[255; HEADER]).is_err());
 }
@@ -301,6 +307,7 @@
     let mut output = Vec::new();
     assert!(serve(&input[..], &mut output)
         .unwrap_err()
+        .to_string()
         .contains("input ends"));
     assert_eq!(output, [0, 0, 0, 0, 8, 0, 0, 0]);
     assert!(serve(&whole[..16], &mut Vec::new()).is_ok());
@@ -376,7 +383,7 @@
         ask.to_vec(),
     ]
     .concat();
-    let reply = host.batch(&frame(1_000_000, &first, &tail)).unwrap();
+    let reply = host.handle_batch(&frame(1_000_000, &first, &tail)).unwrap();
     assert_eq!(reply[8], 80, "the part is delivered");
     let again = [
         ask[0].clone(),
@@ -385,13 +392,13 @@
         page,
         roster,
     ];
-    let reply = host.batch(&frame(1_001_000, &again, &tail)).unwrap();
+    let reply = host.handle_batch(&frame(1_001_000, &again, &tail)).unwrap();
     assert!(
         reply[8..].chunks(24).all(|r| r[0] != 80 && r[0] != 81),
         "nothing is done for what died"
     );
     let killed = host
-        .batch(&frame(1_002_000, &[record(23, &[&le(1)])], &[]))
+        .handle_batch(&frame(1_002_000, &[record(23, &[&le(1)])], &[]))
         .unwrap();
     assert_eq!(killed, [0, 0, 0, 0, 8, 0, 0, 0]);
 }
@@ -399,7 +406,7 @@
 #[test]
 fn a_panic_in_the_module_becomes_a_fault_and_sends_nothing_else() {
     let mut reply = Reply::default();
-    guarded(6, &mut reply, |out| {
+    run_guarded(6, &mut reply, |out| {
         out.push(Action::Wake(1));
         panic!("index {} is out of range", 9);
     });
--- a/src/upstream/frames.rs
+++ b/src/upstream/frames.rs
@@ -1,6 +1,6 @@
 //! The platform's wire to data nodes: frames of a length, a letter and the rest.
 
-use super::{Answer, Wire};
+use super::{Answer, AnswerError, Wire};
 use crate::core::{Dispatch, Value};
 use crate::http;
 use crate::interface::{Micros, Outcome, Shard};
@@ -53,14 +53,14 @@
 const LETTERS: &[u8] = b"YGTN";
 
 /// The next frame, if it is whole.
-fn next(bytes: &[u8]) -> Result<Option<Frame<'_>>, String> {
+fn next(bytes: &[u8]) -> Result<Option<Frame<'_>>, AnswerError> {
     let Some(&[a, b, c, d]) = bytes.first_chunk() else {
         return Ok(None);
     };
     let length = u32::from_be_bytes([a, b, c, d]) as usize;
     // Guards memory and the loop: a frame without its letter, or one that never ends.
     if length == 0 || length > LONGEST {
-        return Err(format!("frame of {length} bytes"));
+        return Err(AnswerError::FrameLength(length));
     }
     let (content, whole) = match bytes.get(4..4 + length) {
         Some(content) => (content, true),
@@ -71,11 +71,11 @@
     };
     // What can be told from its beginning is not waited for: the rest may never come.
     if !LETTERS.contains(&letter) {
-        return Err(format!("frame with the letter {letter}"));
+        return Err(AnswerError::UnknownLetter(letter));
     }
     let line = rest.iter().take(LINE).any(|&b| b == b'\n');
     if letter == b'Y' && !line && (whole || rest.len() >= LINE) {
-        return Err("answer without its line".into());
+        return Err(AnswerError::MissingLine);
     }
     Ok(whole.then_some(Frame {
         letter,
@@ -84,11 +84,11 @@
     }))
 }
 
-fn answer(rest: &[u8]) -> Result<Answer<String>, String> {
+fn answer(rest: &[u8]) -> Result<Answer<String>, AnswerError> {
     let at = rest
         .iter()
         .position(|&b| b == b'\n')
-        .ok_or("answer without its line")?;
+        .ok_or(AnswerError::MissingLine)?;
     // The load report, the fourth word, is not read: whatever stands there, the answer is good.
     let mut words = rest[..at]
         .splitn(4, |&b| b == b' ')
@@ -96,13 +96,13 @@
     let part = words
         .next()
         .filter(|id| !id.is_empty())
-        .ok_or("answer without an id")?
+        .ok_or(AnswerError::MissingId)?
         .to_string();
     let outcome = match words.next() {
         Some("OK") => Outcome::Ok,
         Some("ERROR") => Outcome::Error,
         Some("REJECTED") => Outcome::Rejected,
-        other => return Err(format!("answer that ends {other:?}")),
+        other => return Err(AnswerError::UnknownOutcome(other.map(Into::into))),
     };
     if outcome != Outcome::Ok {
         return Ok(Answer {
@@ -117,11 +117,11 @@
         .and_then(|w| w.parse().ok())
         .filter(|s: &f64| s.is_finite());
     let (score, bytes) = (
-        score.ok_or("answer without a score")?,
+        score.ok_or(AnswerError::MissingScore)?,
         rest[at + 1..].to_vec(),
     );
     // Guards clients: a value that is no text can't be passed on unchanged.
-    std::str::from_utf8(&bytes).map_err(|_| "answer whose value is no text")?;
+    std::str::from_utf8(&bytes).map_err(|_| AnswerError::NotText)?;
     Ok(Answer {
         part: Some(part),
         outcome,
@@ -186,7 +186,7 @@
         input: &mut Buffer,
         _: bool,
         _: Option<&String>,
-    ) -> Result<Option<Answer<String>>, String> {
+    ) -> Result<Option<Answer<String>>, AnswerError> {
         loop {
             let Some(Frame {
                 letter,
@@ -201,10 +201,8 @@
                 // The answer to the greeting.
                 b'G' | b'T' => None,
                 _ => {
-                    return Err(format!(
-                        "it could not use a frame: {}",
-                        String::from_utf8_lossy(rest)
-                    ))
+                    let complaint = String::from_utf8_lossy(rest).into_owned();
+                    return Err(AnswerError::Complaint(complaint));
                 }
             };
             input.consume(length);
--- a/src/upstream/frames/tests.rs
+++ b/src/upstream/frames/tests.rs
@@ -113,7 +113,7 @@
     }
 }
 
-fn read(bytes: &[u8]) -> Result<Option<Answer<String>>, String> {
+fn read(bytes: &[u8]) -> Result<Option<Answer<String>>, AnswerError> {
     let mut input = Buffer::default();
     input.push(bytes);
     Frames.answer(&mut input, false, None)
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -3,6 +3,7 @@
 //! A [`Pool`] carries calls on connections, as many on each as allowed; a [`Wire`] writes calls and
 //! reads answers.
 
+mod error;
 pub mod frames;
 mod link;
 pub mod ogc;
@@ -18,6 +19,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
 
+pub use error::AnswerError;
 use link::Link;
 
 /// One answer read from a connection.
@@ -57,14 +59,17 @@
     ) -> Vec<Self::Name>;
     /// What tells the node that a part is given up; `None`: only the end of the connection does.
     fn give_up(&self, part: &Self::Name) -> Option<Vec<u8>>;
-    /// Reads the next answer, if it is whole; `oldest` is the part that has been out for longest.
-    /// An error is a spoilt answer, and the connection's end.
+    /// Reads the next answer, if it is complete; `oldest` is the part that has been in flight for
+    /// longest.
+    ///
+    /// # Errors
+    /// Bytes that make no answer: the connection is to be closed.
     fn answer(
         &self,
         input: &mut Buffer,
         ended: bool,
         oldest: Option<&Self::Name>,
-    ) -> Result<Option<Answer<Self::Name>>, String>;
+    ) -> Result<Option<Answer<Self::Name>>, AnswerError>;
 }
 
 /// A call that no descriptor was to be had for.
--- a/src/upstream/ogc.rs
+++ b/src/upstream/ogc.rs
@@ -1,7 +1,7 @@
 //! The wire to data nodes that speak OGC API Features: one GET for each part, one at a time on a
 //! connection.
 
-use super::{Answer, Wire};
+use super::{Answer, AnswerError, Wire};
 use crate::core::{Dispatch, Offer, Value};
 use crate::decide::phases::prune::{Key, Way};
 use crate::http::{self, Parsed, Response};
@@ -334,9 +334,9 @@
         input: &mut Buffer,
         ended: bool,
         oldest: Option<&Ask>,
-    ) -> Result<Option<Answer<Ask>>, String> {
+    ) -> Result<Option<Answer<Ask>>, AnswerError> {
         while !input.is_empty() {
-            let ask = oldest.ok_or("it sent what nobody asked for")?;
+            let ask = oldest.ok_or(AnswerError::Unrequested)?;
             match http::response(input.bytes(), ended, LONGEST) {
                 Ok(Parsed::Whole(response, used)) => {
                     input.consume(used);
@@ -354,7 +354,7 @@
                     }
                 }
                 Ok(Parsed::Partial(_)) => return Ok(None),
-                Err(http::Malformed(_, why)) => return Err(why.into()),
+                Err(http::Malformed(_, why)) => return Err(AnswerError::Http(why)),
             }
         }
         Ok(None)
--- a/src/upstream/receiving.rs
+++ b/src/upstream/receiving.rs
@@ -1,7 +1,7 @@
 //! Answers as they come, and connections that stay mute or bring what is none.
 
 use super::link::Greeting;
-use super::{Ended, Pool, Wire, MUTE, MUTE_LEAST, MUTE_MOST, USUAL_PACE};
+use super::{AnswerError, Ended, Pool, Wire, MUTE, MUTE_LEAST, MUTE_MOST, USUAL_PACE};
 use crate::interface::{Micros, Outcome, ServerId};
 use crate::net::{ConnId, Net, Timer, TransferProgress};
 
@@ -78,7 +78,7 @@
             self.spoke(net, id);
         }
         match read {
-            Err(why) => self.spoilt(net, id, &why),
+            Err(error) => self.on_invalid_answer(net, id, &error),
             Ok(last) if last || done || progress != TransferProgress::Alive => self.broken(net, id),
             Ok(_) => {
                 self.begun(net, id);
@@ -108,12 +108,12 @@
     /// Ends a connection that brought what can't be an answer. It was one to a part that was out,
     /// which may have run; if only one is out, to that. Behind a good answer, with nothing out, it
     /// spoils nothing.
-    pub(super) fn spoilt(&mut self, net: &mut Net, id: ConnId, why: &str) {
+    pub(super) fn on_invalid_answer(&mut self, net: &mut Net, id: ConnId, error: &AnswerError) {
         let Some(link) = self.links.get_mut(&id) else {
             return;
         };
         self.log.push(format!(
-            "connection to server {} closed: {why}",
+            "connection to server {} closed: {error}",
             link.server.0
         ));
         if link.calls.iter().map(|c| c.parts.len()).sum::<usize>() == 1 {
@@ -130,7 +130,7 @@
     }
 
     /// Takes in all whole answers; `true`: the connection can't be used again.
-    pub(super) fn read(&mut self, net: &mut Net, id: ConnId) -> Result<bool, String> {
+    pub(super) fn read(&mut self, net: &mut Net, id: ConnId) -> Result<bool, AnswerError> {
         let now = net.clock.now();
         loop {
             let Some(conn) = net.get_mut(id) else {
@@ -161,7 +161,7 @@
                 }
                 // Guards the part that it was meant for, which would be waited for in vain.
                 (None, Some(part)) if !link.settled.contains(&part) => {
-                    return Err("answer to a part that was never asked for".into());
+                    return Err(AnswerError::UnknownPart);
                 }
                 // Late, or a second time: it is dropped.
                 (None, _) => {}
@@ -178,7 +178,7 @@
         let now = net.clock.now();
         let begun = self.links.get(&id).and_then(|l| l.begun);
         if begun.is_some_and(|at| now.since(at) >= W::STALL) {
-            self.spoilt(net, id, "answer that never becomes whole");
+            self.on_invalid_answer(net, id, &AnswerError::Stalled);
         }
     }
 }
