--- /dev/null
+++ b/decide/quota/src/allowances/tenant.rs
@@ -0,0 +1,310 @@
+//! The allowance of one tenant at a router.
+
+use super::{AdmissionDecision, AdmissionOutcome, RETRY_AFTER_US};
+use crate::lease::{LeaseGrant, LeaseRequest, MAX_AMOUNTS};
+use lichenswitch_configuration::QuotaUnit;
+use lichenswitch_interface::{Micros, Time};
+use std::collections::VecDeque;
+
+/// How long a denial applies to further requests (microseconds).
+const DENIAL_VALIDITY_US: Micros = 60_000;
+/// Most queued requests of a tenant. Bounds memory.
+pub(super) const MAX_QUEUED: usize = 256;
+/// From so many requests within a lease's validity on, as much as they came to is leased ahead.
+const MIN_REQUESTS_FOR_PREFETCH: usize = 3;
+
+struct QueuedRequest<R> {
+    /// None once it was cancelled or has expired while a lease is in flight for it.
+    request: Option<R>,
+    amount: u64,
+    deadline: Time,
+}
+
+/// A lease request that awaits its response. It is for the first requests of the queue.
+struct InFlightLease {
+    id: u64,
+    requested_at: Time,
+    request_count: usize,
+}
+
+/// Leased tokens that no request has used yet.
+struct SurplusTokens {
+    amount: u64,
+    valid_until: Time,
+}
+
+/// The last denial.
+#[derive(Clone, Copy)]
+struct LastDenial {
+    /// It applies to requests of this amount or more.
+    min_amount: u64,
+    retry_after: Micros,
+    valid_until: Time,
+}
+
+/// What a router knows of one tenant.
+pub(super) struct TenantAllowance<R> {
+    unit: QuotaUnit,
+    lease_validity: Micros,
+    surplus: VecDeque<SurplusTokens>,
+    queue: VecDeque<QueuedRequest<R>>,
+    in_flight: Option<InFlightLease>,
+    last_denial: Option<LastDenial>,
+    /// When and how much was admitted within the last validity.
+    recent: VecDeque<(Time, u64)>,
+}
+
+impl<R: Copy + PartialEq> TenantAllowance<R> {
+    pub(super) fn new(unit: QuotaUnit) -> TenantAllowance<R> {
+        TenantAllowance {
+            unit,
+            lease_validity: 0,
+            surplus: VecDeque::new(),
+            queue: VecDeque::new(),
+            in_flight: None,
+            last_denial: None,
+            recent: VecDeque::new(),
+        }
+    }
+
+    /// Advances to now, and to the quota that is in force.
+    pub(super) fn advance(&mut self, now: Time, unit: QuotaUnit, lease_validity: Micros) {
+        self.lease_validity = lease_validity;
+        if unit != self.unit {
+            // Amounts of another unit have no meaning any more.
+            self.unit = unit;
+            self.surplus.clear();
+            self.recent.clear();
+            self.last_denial = None;
+            self.abandon_lease();
+        }
+        self.surplus.retain(|surplus| surplus.valid_until > now);
+        self.last_denial = self.last_denial.filter(|denial| denial.valid_until > now);
+        while self
+            .recent
+            .front()
+            .is_some_and(|(admitted_at, _)| now.since(*admitted_at) >= lease_validity)
+        {
+            self.recent.pop_front();
+        }
+    }
+
+    pub(super) fn admit(
+        &mut self,
+        now: Time,
+        amount: u64,
+        request: R,
+        deadline: Time,
+    ) -> AdmissionOutcome {
+        if let Some(valid_until) = self.use_surplus(amount) {
+            self.recent.push_back((now, amount));
+            return AdmissionOutcome::Admitted(valid_until);
+        }
+        if let Some(denial) = self
+            .last_denial
+            .filter(|denial| amount >= denial.min_amount)
+        {
+            return AdmissionOutcome::OverQuota(denial.retry_after);
+        }
+        if self.queue.len() >= MAX_QUEUED {
+            return AdmissionOutcome::Unavailable(RETRY_AFTER_US);
+        }
+        self.queue.push_back(QueuedRequest {
+            request: Some(request),
+            amount,
+            deadline,
+        });
+        AdmissionOutcome::Queued
+    }
+
+    /// Takes an amount of the surplus; until when its lease is valid.
+    fn use_surplus(&mut self, amount: u64) -> Option<Time> {
+        let available: u64 = self.surplus.iter().map(|surplus| surplus.amount).sum();
+        if available < amount {
+            return None;
+        }
+        let (mut open, mut valid_until) = (amount, Time(u64::MAX));
+        for surplus in &mut self.surplus {
+            let used = open.min(surplus.amount);
+            if used > 0 {
+                valid_until = valid_until.min(surplus.valid_until);
+            }
+            surplus.amount -= used;
+            open -= used;
+        }
+        self.surplus.retain(|surplus| surplus.amount > 0);
+        Some(valid_until)
+    }
+
+    pub(super) fn add_surplus(&mut self, amount: u64, valid_until: Time) {
+        self.surplus.push_back(SurplusTokens {
+            amount,
+            valid_until,
+        });
+    }
+
+    /// The lease to request now: one at a time, for the first requests of the queue.
+    pub(super) fn lease_request(
+        &mut self,
+        now: Time,
+        tenant: &str,
+        id: u64,
+    ) -> Option<LeaseRequest> {
+        let is_overdue = self
+            .in_flight
+            .as_ref()
+            .is_some_and(|lease| now.since(lease.requested_at) >= self.lease_validity);
+        if is_overdue {
+            // Its response would come too late.
+            self.abandon_lease();
+        }
+        if self.in_flight.is_some() || self.queue.is_empty() {
+            return None;
+        }
+        let amounts: Vec<u64> = self
+            .queue
+            .iter()
+            .take(MAX_AMOUNTS)
+            .map(|queued| queued.amount)
+            .collect();
+        self.in_flight = Some(InFlightLease {
+            id,
+            requested_at: now,
+            request_count: amounts.len(),
+        });
+        Some(LeaseRequest {
+            tenant: tenant.to_owned(),
+            unit: self.unit,
+            amounts,
+            prefetch_amount: self.prefetch_amount(),
+        })
+    }
+
+    /// What the next validity is expected to bring, where that is worth leasing ahead.
+    fn prefetch_amount(&self) -> u64 {
+        match self.recent.len() {
+            0..MIN_REQUESTS_FOR_PREFETCH => 0,
+            _ => self.recent.iter().map(|(_, amount)| amount).sum(),
+        }
+    }
+
+    pub(super) fn awaits_lease(&self, id: u64) -> bool {
+        self.in_flight.as_ref().is_some_and(|lease| lease.id == id)
+    }
+
+    /// The response to the lease request in flight.
+    pub(super) fn on_grant(&mut self, now: Time, grant: LeaseGrant) -> Vec<AdmissionDecision<R>> {
+        let Some(lease) = self.in_flight.take() else {
+            return Vec::new();
+        };
+        let valid_until = lease.requested_at.plus(self.lease_validity);
+        if now >= valid_until {
+            // Too late to be used: what is still queued is requested again.
+            self.drop_cancelled();
+            return Vec::new();
+        }
+        let mut decisions = Vec::new();
+        for index in 0..lease.request_count {
+            let Some(queued) = self.queue.pop_front() else {
+                break;
+            };
+            let outcome = match grant.covers(index) {
+                true => AdmissionOutcome::Admitted(valid_until),
+                false => AdmissionOutcome::OverQuota(grant.retry_after_us.max(1)),
+            };
+            match (queued.request, outcome) {
+                (Some(_), AdmissionOutcome::Admitted(_)) => {
+                    self.recent.push_back((now, queued.amount))
+                }
+                (None, AdmissionOutcome::Admitted(_)) => {
+                    self.add_surplus(queued.amount, valid_until)
+                }
+                _ => self.note_denial(now, queued.amount, grant.retry_after_us),
+            }
+            let decision = |request| AdmissionDecision { request, outcome };
+            decisions.extend(queued.request.map(decision));
+        }
+        if grant.prefetch_amount > 0 {
+            self.add_surplus(grant.prefetch_amount, valid_until);
+        }
+        decisions
+    }
+
+    fn note_denial(&mut self, now: Time, amount: u64, retry_after: Micros) {
+        let min_amount = self
+            .last_denial
+            .filter(|denial| denial.valid_until > now)
+            .map_or(amount, |denial| denial.min_amount.min(amount));
+        self.last_denial = Some(LastDenial {
+            min_amount,
+            retry_after,
+            valid_until: now.plus(retry_after.min(DENIAL_VALIDITY_US)),
+        });
+    }
+
+    /// No response to the lease request in flight is awaited any more.
+    pub(super) fn abandon_lease(&mut self) {
+        self.in_flight = None;
+        self.drop_cancelled();
+    }
+
+    /// Requests whose deadline has come; they are queued no longer.
+    pub(super) fn take_expired(&mut self, now: Time) -> Vec<R> {
+        let expired = self
+            .queue
+            .iter_mut()
+            .filter(|queued| queued.deadline <= now)
+            .filter_map(|queued| queued.request.take())
+            .collect();
+        self.drop_cancelled();
+        expired
+    }
+
+    /// Whether this request was queued; it is no longer.
+    pub(super) fn cancel(&mut self, request: R) -> bool {
+        let queued = self
+            .queue
+            .iter_mut()
+            .find(|queued| queued.request == Some(request));
+        let Some(queued) = queued else {
+            return false;
+        };
+        queued.request = None;
+        self.drop_cancelled();
+        true
+    }
+
+    /// Removes cancelled requests, but for those that a lease is in flight for: its grant goes by
+    /// their positions.
+    fn drop_cancelled(&mut self) {
+        let awaited = self
+            .in_flight
+            .as_ref()
+            .map_or(0, |lease| lease.request_count);
+        let mut position = 0;
+        self.queue.retain(|queued| {
+            position += 1;
+            position <= awaited || queued.request.is_some()
+        });
+    }
+
+    /// Deadlines of the queued requests.
+    pub(super) fn deadlines(&self) -> impl Iterator<Item = Time> + '_ {
+        self.queue
+            .iter()
+            .filter(|queued| queued.request.is_some())
+            .map(|queued| queued.deadline)
+    }
+
+    pub(super) fn is_idle(&self, now: Time) -> bool {
+        let has_no_surplus = self
+            .surplus
+            .iter()
+            .all(|surplus| surplus.valid_until <= now);
+        let has_no_recent = self
+            .recent
+            .back()
+            .is_none_or(|(admitted_at, _)| now.since(*admitted_at) >= self.lease_validity);
+        self.queue.is_empty() && self.in_flight.is_none() && has_no_surplus && has_no_recent
+    }
+}
--- a/decide/quota/src/allowances/tests.rs
+++ b/decide/quota/src/allowances/tests.rs
@@ -1,6 +1,7 @@
 //! Tests of `allowances`.
 
 use super::*;
+use crate::lease::MAX_AMOUNTS;
 use lichenswitch_configuration::Document;
 use std::time::Duration;
 
@@ -22,7 +23,7 @@
 }
 
 fn validity() -> Micros {
-    TenantQuota::of(&tenants()[0].quota.expect("a quota"), &TERMS).validity
+    TenantQuota::of(&tenants()[0].quota.expect("a quota"), &TERMS).lease_validity
 }
 
 fn new() -> Allowances<u32> {
@@ -175,7 +176,7 @@
     assert_eq!(allowances.next_wake(), Some(Time(50)));
     assert_eq!(
         ends(&allowances.expire(Time(50))),
-        [(1, AdmissionOutcome::Unavailable(RETRY))]
+        [(1, AdmissionOutcome::Unavailable(RETRY_AFTER_US))]
     );
     // The grants still find their places.
     let decided = allowances.on_grant(Time(60), id, grant(0b10, 0, 9));
@@ -213,7 +214,7 @@
 #[test]
 fn what_waits_and_what_is_remembered_is_bounded() {
     let mut allowances = new();
-    for waiter in 0..MOST_WAITING as u32 {
+    for waiter in 0..tenant::MAX_QUEUED as u32 {
         assert_eq!(
             take(&mut allowances, 0, 10, waiter),
             AdmissionOutcome::Queued
@@ -221,7 +222,7 @@
     }
     assert_eq!(
         take(&mut allowances, 0, 10, 9_999),
-        AdmissionOutcome::Unavailable(RETRY)
+        AdmissionOutcome::Unavailable(RETRY_AFTER_US)
     );
     assert_eq!(sent(&mut allowances, 0).1.amounts.len(), MAX_AMOUNTS);
     allowances.on_link_lost();
--- a/decide/quota/src/buckets.rs
+++ b/decide/quota/src/buckets.rs
@@ -1,133 +1,112 @@
-//! The parts of tenants' buckets that a machine holds.
+//! The shards of tenants' buckets that a control machine owns.
 
-use crate::lease::{LeaseGrant, LeaseRequest, MAX_AMOUNTS};
-use crate::ownership::{BucketShard, ShardOwnership};
+mod bucket;
+
+use crate::lease::{LeaseGrant, LeaseRequest};
+use crate::ownership::ShardOwnership;
 use crate::tenant_quota::{QuotaBounds, TenantQuota};
+use bucket::{Bucket, ShardBounds};
 use lichenswitch_configuration::{Quota, QuotaUnit, Tenant};
 use lichenswitch_interface::{Micros, Time};
-use std::collections::{HashMap, VecDeque};
+use std::collections::HashMap;
 
-/// Drawn ahead only while so much of the bucket is left.
-const LEFT_AHEAD: f64 = 0.5;
-/// A bucket that is full but for this part lets a request larger than itself through.
-const NEARLY_FULL: f64 = 0.99;
-/// Longest advice on when to come back (microseconds).
-const LONG_WAIT: Micros = 1_000_000;
-/// Advice to whoever finds no part here, or a tenant that is not known as it is asked for
+/// Advice where this machine owns no shard, or doesn't know the tenant as it is requested
 /// (microseconds).
-const UNKNOWN_WAIT: Micros = 200_000;
-const SECOND: f64 = 1_000_000.0;
+const NO_SHARD_RETRY_AFTER_US: Micros = 200_000;
 
-/// What a tenant has used of the parts here, for operators.
+/// What a tenant has used of the shards here, for operators.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct BucketUsage {
     /// Units granted so far.
     pub granted: f64,
-    /// Needs that were not granted.
+    /// Number of amounts that were not granted.
     pub denied: u64,
-    /// What the bucket holds now (units).
+    /// Level of the bucket now (units); below 0 while in debt.
     pub level: f64,
 }
 
-#[derive(Clone, Debug)]
-struct Bucket {
-    /// Below 0 while in debt.
-    level: f64,
-    /// What was drawn before is not known: it may be as deep in debt as it can be.
-    unknown: bool,
-    refilled: Time,
-    unit: QuotaUnit,
-    granted: f64,
-    denied: u64,
-    /// What was granted lately, and the most that the part allowed meanwhile.
-    audit: Audit,
-}
-
-/// Holds what is granted in a window against what the largest part of that time allows.
-#[derive(Clone, Debug, Default)]
-struct Audit {
-    grants: VecDeque<(Time, f64)>,
-    sum: f64,
-    allowed: f64,
-    overrun: bool,
-}
-
-/// The buckets of a machine. They begin empty, and as deep in debt as they can be, since whoever
-/// held a part before may have drawn on it just now; but for those of tenants whose quota this
-/// machine has seen come into being: nobody has drawn on that.
+/// The buckets of a machine.
+///
+/// They begin in the deepest debt, since an earlier owner may have granted that much a moment ago;
+/// but for those of tenants whose quota this machine has seen come into being: nobody has granted
+/// anything of it.
 #[derive(Clone, Debug)]
 pub struct Buckets {
-    terms: QuotaBounds,
+    bounds: QuotaBounds,
     quotas: HashMap<String, Quota>,
-    /// Tenants that are known, with a quota or without.
-    known: HashMap<String, QuotaUnit>,
+    /// Units of the tenants that are known, with a quota or without.
+    known_units: HashMap<String, QuotaUnit>,
     buckets: HashMap<String, Bucket>,
-    /// Quotas that are no more, with when they went, for as long as a window.
+    /// Quotas that were removed within the last window, with when they were.
     removed: HashMap<String, Time>,
-    /// What was committed before the next configuration is known.
-    knows_before: bool,
+    /// Whether it is known what was committed before the next configuration.
+    knows_previous_configuration: bool,
 }
 
 impl Buckets {
-    /// None yet.
+    /// Without any tenant.
     #[must_use]
-    pub fn new(terms: QuotaBounds) -> Buckets {
+    pub fn new(bounds: QuotaBounds) -> Buckets {
         Buckets {
-            terms,
+            bounds,
             quotas: HashMap::new(),
-            known: HashMap::new(),
+            known_units: HashMap::new(),
             buckets: HashMap::new(),
             removed: HashMap::new(),
-            knows_before: false,
+            knows_previous_configuration: false,
         }
     }
 
     /// This machine is in contact with a group that has no configuration yet.
     pub fn on_no_configuration(&mut self) {
-        self.knows_before = true;
+        self.knows_previous_configuration = true;
     }
 
-    /// The rule has other bounds now.
-    pub fn set_bounds(&mut self, terms: QuotaBounds) {
-        self.terms = terms;
+    /// Replaces the bounds of the rule.
+    pub fn set_bounds(&mut self, bounds: QuotaBounds) {
+        self.bounds = bounds;
     }
 
-    /// A configuration with these tenants is in force. A tenant that has gone keeps its bucket, so
-    /// that coming back does not refill it.
+    /// A configuration with these tenants is in force. A tenant that was removed keeps its bucket
+    /// for a window, so that adding it again does not refill it.
     pub fn set_tenants(&mut self, now: Time, tenants: &[Tenant]) {
-        self.known = tenants
+        self.known_units = tenants
             .iter()
             .map(|tenant| (tenant.name.clone(), tenant.unit))
             .collect();
         let quotas = tenants
             .iter()
             .filter_map(|tenant| Some((tenant.name.clone(), tenant.quota?)));
-        let before = std::mem::replace(&mut self.quotas, quotas.collect());
-        let window = Micros::try_from(self.terms.window.as_micros()).unwrap_or(Micros::MAX);
+        let previous = std::mem::replace(&mut self.quotas, quotas.collect());
+        let window = Micros::try_from(self.bounds.window.as_micros()).unwrap_or(Micros::MAX);
         self.removed
-            .retain(|_, removed| now.since(*removed) < window);
-        for (tenant, quota) in &self.quotas {
-            let is_new = self.knows_before
-                && !before.contains_key(tenant)
-                && !self.removed.contains_key(tenant);
-            if is_new && !self.buckets.contains_key(tenant) {
-                self.buckets
-                    .insert(tenant.clone(), Bucket::full(now, quota.unit));
-            }
-        }
+            .retain(|_, removed_at| now.since(*removed_at) < window);
+        self.fill_new_buckets(now, &previous);
         let quotas = &self.quotas;
-        let gone = before
+        let removed = previous
             .into_keys()
             .filter(|tenant| !quotas.contains_key(tenant));
-        self.removed.extend(gone.map(|tenant| (tenant, now)));
+        self.removed.extend(removed.map(|tenant| (tenant, now)));
         self.buckets.retain(|tenant, bucket| {
-            quotas.contains_key(tenant) || now.since(bucket.refilled) < window
+            quotas.contains_key(tenant) || now.since(bucket.refilled_at()) < window
         });
-        self.knows_before = true;
+        self.knows_previous_configuration = true;
         for (tenant, bucket) in &mut self.buckets {
-            let unit = self.known.get(tenant).copied().unwrap_or(bucket.unit);
-            if unit != bucket.unit {
-                (bucket.unit, bucket.unknown) = (unit, true);
+            if let Some(unit) = self.known_units.get(tenant) {
+                bucket.set_unit(*unit);
+            }
+        }
+    }
+
+    /// Full buckets for quotas that have come into being with this configuration.
+    fn fill_new_buckets(&mut self, now: Time, previous: &HashMap<String, Quota>) {
+        for (tenant, quota) in &self.quotas {
+            let is_new = self.knows_previous_configuration
+                && !previous.contains_key(tenant)
+                && !self.removed.contains_key(tenant);
+            if is_new && !self.buckets.contains_key(tenant) {
+                self.buckets
+                    .insert(tenant.clone(), Bucket::full(now, quota.unit));
             }
         }
     }
@@ -138,89 +117,67 @@
         !self.quotas.is_empty()
     }
 
-    /// Whether a draw needs no bucket: its tenant has no quota.
+    /// Whether a request needs no bucket: its tenant has no quota.
     #[must_use]
-    pub fn is_unlimited(&self, draw: &LeaseRequest) -> bool {
-        self.known.contains_key(&draw.tenant) && !self.quotas.contains_key(&draw.tenant)
+    pub fn is_unlimited(&self, request: &LeaseRequest) -> bool {
+        self.known_units.contains_key(&request.tenant) && !self.quotas.contains_key(&request.tenant)
     }
 
-    /// Brings all buckets up to now. Called often: a bucket whose part went elsewhere for a while
-    /// does not refill for that time.
+    /// Refills all buckets up to now. To be called often: a bucket whose shard was owned elsewhere
+    /// for a while does not refill for that time.
     pub fn advance(&mut self, now: Time, ownership: &ShardOwnership) {
         for (tenant, bucket) in &mut self.buckets {
             let Some(quota) = self.quotas.get(tenant) else {
                 continue;
             };
-            let part = Part::of(
-                &TenantQuota::of(quota, &self.terms),
-                ownership.shard(now, tenant),
-            );
-            bucket.refill(now, ownership, &part);
+            let shard = shard_bounds(quota, &self.bounds, now, tenant, ownership);
+            bucket.refill(now, ownership, &shard);
         }
     }
 
-    /// Grants what this machine's part bears: needs in order, each whole or not at all.
+    /// Grants what this machine's shard can bear: the amounts in order, each in full or not at all.
     pub fn lease(
         &mut self,
         now: Time,
-        draw: &LeaseRequest,
+        request: &LeaseRequest,
         ownership: &ShardOwnership,
     ) -> LeaseGrant {
-        if self.is_unlimited(draw) {
-            return LeaseGrant::all(draw);
+        if self.is_unlimited(request) {
+            return LeaseGrant::in_full(request);
         }
         let nothing = LeaseGrant {
-            retry_after_us: UNKNOWN_WAIT,
+            retry_after_us: NO_SHARD_RETRY_AFTER_US,
             ..LeaseGrant::default()
         };
         let Some(quota) = self
             .quotas
-            .get(&draw.tenant)
-            .filter(|quota| quota.unit == draw.unit)
+            .get(&request.tenant)
+            .filter(|quota| quota.unit == request.unit)
         else {
             return nothing;
         };
-        let part = Part::of(
-            &TenantQuota::of(quota, &self.terms),
-            ownership.shard(now, &draw.tenant),
-        );
+        let shard = shard_bounds(quota, &self.bounds, now, &request.tenant, ownership);
         let bucket = self
             .buckets
-            .entry(draw.tenant.clone())
-            .or_insert_with(|| Bucket::new(now, draw.unit));
-        bucket.refill(now, ownership, &part);
-        match part.rate > 0.0 {
-            true => {
-                let before = bucket.granted;
-                let grant = bucket.grant(draw, &part);
-                let window = self.terms.window.as_secs_f64();
-                let allowed = part.rate * window + part.depth + part.debt;
-                bucket
-                    .audit
-                    .on_granted(now, bucket.granted - before, window, allowed);
-                grant
-            }
+            .entry(request.tenant.clone())
+            .or_insert_with(|| Bucket::new(now, request.unit));
+        bucket.refill(now, ownership, &shard);
+        match shard.is_owned() {
+            true => bucket.grant(now, request, &shard, self.bounds.window.as_secs_f64()),
             false => nothing,
         }
     }
 
-    /// What tenants have used here, by name, as it stands now.
+    /// What tenants have used here, by name, as of now.
     #[must_use]
     pub fn usage(&self, now: Time, ownership: &ShardOwnership) -> Vec<(&str, BucketUsage)> {
         let usage = |(tenant, bucket): (&'_ String, &Bucket)| {
             let mut bucket = bucket.clone();
             if let Some(quota) = self.quotas.get(tenant) {
-                let part = Part::of(
-                    &TenantQuota::of(quota, &self.terms),
-                    ownership.shard(now, tenant),
-                );
-                bucket.refill(now, ownership, &part);
-            }
-            BucketUsage {
-                granted: bucket.granted,
-                denied: bucket.denied,
-                level: bucket.level,
+                let shard = shard_bounds(quota, &self.bounds, now, tenant, ownership);
+                bucket.refill(now, ownership, &shard);
             }
+            bucket.usage()
         };
         let mut all: Vec<(&str, BucketUsage)> = self
             .buckets
@@ -231,10 +188,11 @@
         all
     }
 
-    /// Whether every part has kept within what it allows in a window since the process began.
+    /// Whether every shard has granted no more in any window than its bounds allow, since the
+    /// process began.
     #[must_use]
     pub fn are_within_bounds(&self) -> bool {
-        self.buckets.values().all(|bucket| !bucket.audit.overrun)
+        self.buckets.values().all(Bucket::is_within_bounds)
     }
 
     /// Tenants that have a quota, with it.
@@ -245,129 +203,17 @@
     }
 }
 
-/// A machine's part of a tenant's figures.
-struct Part {
-    rate: f64,
-    depth: f64,
-    debt: f64,
-}
-
-impl Part {
-    fn of(figures: &TenantQuota, share: BucketShard) -> Part {
-        let debt = if share.may_go_into_debt {
-            figures.debt
-        } else {
-            0.0
-        };
-        Part {
-            rate: figures.rate * share.fraction,
-            depth: figures.depth * share.fraction,
-            debt,
-        }
-    }
-}
-
-impl Bucket {
-    fn new(now: Time, unit: QuotaUnit) -> Bucket {
-        Bucket {
-            level: 0.0,
-            unknown: true,
-            refilled: now,
-            unit,
-            granted: 0.0,
-            denied: 0,
-            audit: Audit::default(),
-        }
-    }
-
-    /// Whatever its depth is: the first refill limits it to that.
-    fn full(now: Time, unit: QuotaUnit) -> Bucket {
-        Bucket {
-            level: f64::INFINITY,
-            unknown: false,
-            ..Bucket::new(now, unit)
-        }
-    }
-
-    /// Refills up to now, or to the end of the tenure that the machine has.
-    fn refill(&mut self, now: Time, ownership: &ShardOwnership, part: &Part) {
-        if part.rate <= 0.0 {
-            // Whoever holds the part meanwhile leaves it as it will.
-            (self.level, self.unknown, self.refilled) = (0.0, true, now);
-            return;
-        }
-        if std::mem::take(&mut self.unknown) {
-            (self.level, self.refilled) = (-part.debt, now);
-        }
-        let until = now.min(ownership.expires_at());
-        let passed = until.since(self.refilled.max(ownership.held_since())) as f64 / SECOND;
-        self.level = (self.level + part.rate * passed).min(part.depth);
-        self.refilled = self.refilled.max(now);
-    }
-
-    fn grant(&mut self, draw: &LeaseRequest, part: &Part) -> LeaseGrant {
-        let mut grant = LeaseGrant::default();
-        for (place, need) in draw.amounts.iter().take(MAX_AMOUNTS).enumerate() {
-            let need = *need as f64;
-            if self.bears(need, part) {
-                self.take(need);
-                grant.granted_bits |= 1 << place;
-            } else {
-                self.denied += 1;
-                let wait = self.wait(need, part);
-                grant.retry_after_us = if grant.retry_after_us == 0 {
-                    wait
-                } else {
-                    grant.retry_after_us.min(wait)
-                };
-            }
-        }
-        let prefetch_amount = draw.prefetch_amount as f64;
-        if grant.retry_after_us == 0 && self.level - prefetch_amount >= LEFT_AHEAD * part.depth {
-            self.take(prefetch_amount);
-            grant.prefetch_amount = draw.prefetch_amount;
-        }
-        grant
-    }
-
-    fn bears(&self, need: f64, part: &Part) -> bool {
-        let larger_than_all = need > part.depth && need <= part.depth + part.debt;
-        self.level >= need || (larger_than_all && self.level >= NEARLY_FULL * part.depth)
-    }
-
-    fn take(&mut self, amount: f64) {
-        self.level -= amount;
-        self.granted += amount;
-    }
-
-    fn wait(&self, need: f64, part: &Part) -> Micros {
-        let lacking = need.min(part.depth) - self.level;
-        let wait = lacking / part.rate * SECOND;
-        (wait as Micros).clamp(1, LONG_WAIT)
-    }
-}
-
-impl Audit {
-    fn on_granted(&mut self, now: Time, amount: f64, window: f64, allowed: f64) {
-        let window = (window * SECOND) as Micros;
-        while self
-            .grants
-            .front()
-            .is_some_and(|(at, _)| now.since(*at) > window)
-        {
-            self.sum -= self.grants.pop_front().map_or(0.0, |(_, amount)| amount);
-        }
-        if self.grants.is_empty() {
-            (self.sum, self.allowed) = (0.0, 0.0);
-        }
-        self.allowed = self.allowed.max(allowed);
-        if amount > 0.0 {
-            self.grants.push_back((now, amount));
-            self.sum += amount;
-        }
-        // Sums of fractions are off by a little.
-        self.overrun |= self.sum > self.allowed * 1.000_1 + 1.0;
-    }
+fn shard_bounds(
+    quota: &Quota,
+    bounds: &QuotaBounds,
+    now: Time,
+    tenant: &str,
+    ownership: &ShardOwnership,
+) -> ShardBounds {
+    ShardBounds::of(
+        &TenantQuota::of(quota, bounds),
+        ownership.shard(now, tenant),
+    )
 }
 
 #[cfg(test)]
--- a/decide/quota/src/buckets/tests.rs
+++ b/decide/quota/src/buckets/tests.rs
@@ -50,7 +50,7 @@
 
 /// What the first holder may go below 0.
 fn debt(rate: u32, burst: u32) -> f64 {
-    TenantQuota::of(&limited(rate, burst)[0].quota.expect("a quota"), &TERMS).debt
+    TenantQuota::of(&limited(rate, burst)[0].quota.expect("a quota"), &TERMS).max_debt
 }
 
 #[test]
@@ -97,7 +97,7 @@
 fn a_request_larger_than_the_bucket_goes_once_that_is_full_and_is_paid_off() {
     let (mut buckets, ownership) = (buckets(1_000, 500), ownership());
     let figures = TenantQuota::of(&limited(1_000, 500)[0].quota.expect("a quota"), &TERMS);
-    let large = (figures.depth + figures.debt * 0.9) as u64;
+    let large = (figures.depth + figures.max_debt * 0.9) as u64;
     buckets.lease(Time(0), &draw(&[1]), &ownership);
     assert!(!buckets
         .lease(Time(SECOND_US / 4), &draw(&[large]), &ownership)
@@ -108,7 +108,7 @@
     assert!(!buckets
         .lease(Time(5 * SECOND_US), &draw(&[1]), &ownership)
         .covers(0));
-    let beyond = (figures.depth + figures.debt * 1.1) as u64;
+    let beyond = (figures.depth + figures.max_debt * 1.1) as u64;
     assert!(!buckets
         .lease(Time(50 * SECOND_US), &draw(&[beyond]), &ownership)
         .covers(0));
--- a/decide/quota/src/lease.rs
+++ b/decide/quota/src/lease.rs
@@ -1,71 +1,71 @@
-//! A draw on a tenant's bucket, and what is granted of it.
+//! A request for a lease on a tenant's bucket, and what is granted of it.
 
 use lichenswitch_configuration::QuotaUnit;
 
-/// Requests that one draw may be for: their grants are told as the bits of a number.
+/// Most amounts of one request: a grant names them by the bits of a number.
 pub const MAX_AMOUNTS: usize = 64;
 
-/// What is wanted of a tenant's bucket.
+/// Tokens that are requested of a tenant's bucket.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeaseRequest {
     /// Name of the tenant.
     pub tenant: String,
-    /// What the amounts count.
+    /// Unit of the amounts.
     pub unit: QuotaUnit,
-    /// Amounts of requests that wait, each granted whole or not at all; [`MAX_AMOUNTS`] at most.
+    /// Amounts of queued requests, [`MAX_AMOUNTS`] at most; each is granted in full or not at all.
     pub amounts: Vec<u64>,
-    /// An amount beside them for requests that are expected, granted only while the bucket is well
-    /// filled.
+    /// An additional amount for requests that are expected soon, granted only while the bucket is
+    /// well filled.
     pub prefetch_amount: u64,
 }
 
-/// What is granted of a draw.
+/// What is granted of a [`LeaseRequest`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LeaseGrant {
-    /// The bit of each need that is granted.
+    /// Bit `i` is set where amount `i` is granted.
     pub granted_bits: u64,
-    /// The amount that is granted ahead.
+    /// Granted of the prefetch amount.
     pub prefetch_amount: u64,
-    /// When the first need that is not granted might be (microseconds from now); 0 where all are
+    /// When the first amount that is not granted might be (microseconds from now); 0 where all are
     /// granted.
     pub retry_after_us: u64,
 }
 
 impl LeaseGrant {
-    /// Whether the need at this place is granted.
+    /// Whether the amount at this index is granted.
     #[must_use]
-    pub fn covers(&self, place: usize) -> bool {
-        place < MAX_AMOUNTS && self.granted_bits & (1 << place) != 0
+    pub fn covers(&self, index: usize) -> bool {
+        index < MAX_AMOUNTS && self.granted_bits & (1 << index) != 0
     }
 
-    /// Whether all needs of a draw are granted.
+    /// Whether all amounts of a request are granted.
     #[must_use]
-    pub fn covers_all(&self, draw: &LeaseRequest) -> bool {
-        (0..draw.amounts.len()).all(|place| self.covers(place))
+    pub fn covers_all(&self, request: &LeaseRequest) -> bool {
+        (0..request.amounts.len()).all(|index| self.covers(index))
     }
 
-    /// This grant and another one of the same draw, whose needs were those that this one left.
+    /// This grant together with another one of the same request, which was for the amounts that this
+    /// one had left out.
     #[must_use]
-    pub fn and(self, other: LeaseGrant) -> LeaseGrant {
-        let wait = match (self.retry_after_us, other.retry_after_us) {
+    pub fn merge(self, other: LeaseGrant) -> LeaseGrant {
+        let retry_after_us = match (self.retry_after_us, other.retry_after_us) {
             (0, wait) | (wait, 0) => wait,
             (one, two) => one.min(two),
         };
         LeaseGrant {
             granted_bits: self.granted_bits | other.granted_bits,
             prefetch_amount: self.prefetch_amount.saturating_add(other.prefetch_amount),
-            retry_after_us: wait,
+            retry_after_us,
         }
     }
 
-    /// Everything that a draw wants.
+    /// Grants all that is requested.
     #[must_use]
-    pub fn all(draw: &LeaseRequest) -> LeaseGrant {
-        let amounts =
-            (0..draw.amounts.len().min(MAX_AMOUNTS)).fold(0, |bits, place| bits | (1 << place));
+    pub fn in_full(request: &LeaseRequest) -> LeaseGrant {
+        let count = request.amounts.len().min(MAX_AMOUNTS);
         LeaseGrant {
-            granted_bits: amounts,
-            prefetch_amount: draw.prefetch_amount,
+            granted_bits: (0..count).fold(0, |bits, index| bits | (1 << index)),
+            prefetch_amount: request.prefetch_amount,
             retry_after_us: 0,
         }
     }
--- a/decide/quota/src/lease_requests.rs
+++ b/decide/quota/src/lease_requests.rs
@@ -1,318 +1,321 @@
-//! Draws at a control machine: from its own part of the bucket, and then from the other holders'.
+//! Lease requests at a control machine: served from its own shard of the bucket, then from the
+//! shards of the other owners.
 //!
-//! It promises that each draw is answered once, within [`ASK_TIMEOUT`] for each holder at the
-//! latest, and that what is told as granted was granted by holders.
+//! It promises that each request gets one response, within [`OWNER_TIMEOUT_US`] for each owner at
+//! the latest, and that what a response grants was granted by owners.
+
+mod owner_health;
 
 use crate::buckets::Buckets;
 use crate::lease::{LeaseGrant, LeaseRequest};
 use crate::ownership::{owners, OwnerId, ShardOwnership};
 use lichenswitch_interface::{Micros, Time};
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+use owner_health::OwnerHealth;
+use std::collections::{BTreeMap, BTreeSet};
 
-/// A holder that has not answered after so long is passed over (microseconds): links within a
-/// region take milliseconds.
-const ASK_TIMEOUT: Micros = 60_000;
-/// A holder that had too little is asked again after so long at the latest (microseconds).
-const EMPTY: Micros = 60_000;
-/// A holder that has not answered for so long is silent (microseconds). Longer than a tenth of a
-/// second: where the processor is a quota a process may stand still for the rest of each tenth, and
-/// is passed over meanwhile, but not taken to be gone.
-const SILENT_AFTER: Micros = 120_000;
-/// One that is silent is asked last for so long (microseconds): others find out in about that time
-/// that it is gone.
-const SILENT: Micros = 1_500_000;
-/// Draws that may be under way. Guards memory.
-const MOST: usize = 4_096;
-/// Remembered denials. Guards memory.
-const MOST_EMPTY: usize = 8_192;
+/// An owner that has not responded for so long is skipped (microseconds): links within a region
+/// take milliseconds.
+const OWNER_TIMEOUT_US: Micros = 60_000;
+/// Most requests that are pending. Bounds memory.
+const MAX_PENDING: usize = 4_096;
+/// Machines that are asked in turn by one that knows no voters.
+const MAX_FORWARDING_PEERS: usize = 2;
 
-/// Something that the machine has to do.
+/// Something that the machine has to do. `O` identifies who awaits the response.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LeaseAction<O> {
-    /// Ask a holder.
+    /// Send a request to an owner.
     Request {
         /// Which one.
         to: OwnerId,
-        /// Names the question.
+        /// Number of the request.
         id: u64,
-        /// Whether it is to ask other holders in turn, since this machine knows of none.
+        /// Whether it is to forward the request to other owners, since this machine knows of none.
         may_forward: bool,
-        /// What is wanted.
-        draw: LeaseRequest,
+        /// The request.
+        request: LeaseRequest,
     },
-    /// Tell whoever asked.
+    /// Send the response to a request.
     Respond {
-        /// Who that is.
+        /// Who awaits it.
         origin: O,
         /// What is granted.
         grant: LeaseGrant,
     },
 }
 
-/// What a machine knows when it works a draw off.
+/// What a machine knows while it serves a request.
 pub struct LeaseContext<'a> {
-    /// Its own parts.
+    /// Its own shards.
     pub buckets: &'a mut Buckets,
-    /// Which parts those are.
+    /// Which shards those are.
     pub ownership: &'a ShardOwnership,
     /// This machine.
-    pub own: OwnerId,
-    /// Machines that can be asked.
+    pub own_id: OwnerId,
+    /// Machines that can be reached.
     pub reachable: &'a BTreeSet<OwnerId>,
 }
 
-struct UnderWay<O> {
-    origin: O,
-    draw: LeaseRequest,
-    /// So far.
-    grant: LeaseGrant,
-    /// Holders that have not been asked, the last one first.
-    left: Vec<OwnerId>,
-    /// The one that is being asked, for these needs of the draw, and until when.
-    asked: (OwnerId, Vec<usize>, Time),
+/// The request to an owner that a pending request awaits.
+struct OwnerRequest {
+    owner: OwnerId,
+    /// Indexes of the amounts that it is for.
+    indexes: Vec<usize>,
+    deadline: Time,
 }
 
-/// A holder had too little for a request of this size.
-struct Empty {
-    size: u64,
-    until: Time,
+struct PendingRequest<O> {
+    origin: O,
+    request: LeaseRequest,
+    /// Granted so far.
+    grant: LeaseGrant,
+    /// Owners that have not been tried; the last one is next.
+    untried_owners: Vec<OwnerId>,
+    in_flight: OwnerRequest,
 }
 
-/// Draws that are under way. `O`: who waits for the answer.
+/// Pending requests. `O` identifies who awaits the response.
 pub struct LeaseRequests<O> {
-    under_way: BTreeMap<u64, UnderWay<O>>,
-    next: u64,
-    empty: HashMap<(OwnerId, String), Empty>,
-    /// Holders that were passed over and have not answered since, and when they were asked.
-    unanswered: HashMap<OwnerId, Time>,
+    pending: BTreeMap<u64, PendingRequest<O>>,
+    last_id: u64,
+    health: OwnerHealth,
 }
 
 impl<O> LeaseRequests<O> {
-    /// None yet. Questions get numbers above this one, which no earlier life of the process used.
+    /// Without any request. Requests to owners get numbers above `last_id`, which no earlier
+    /// incarnation of the process has used.
     #[must_use]
-    pub fn new(first: u64) -> LeaseRequests<O> {
-        let (empty, unanswered) = (HashMap::new(), HashMap::new());
+    pub fn new(last_id: u64) -> LeaseRequests<O> {
         LeaseRequests {
-            under_way: BTreeMap::new(),
-            next: first,
-            empty,
-            unanswered,
+            pending: BTreeMap::new(),
+            last_id,
+            health: OwnerHealth::default(),
         }
     }
 
-    /// Somebody wants a draw.
+    /// A request has come.
     pub fn on_request(
         &mut self,
         now: Time,
         origin: O,
-        draw: LeaseRequest,
-        place: &mut LeaseContext<'_>,
+        request: LeaseRequest,
+        context: &mut LeaseContext<'_>,
     ) -> Vec<LeaseAction<O>> {
-        let mut grant = place.buckets.lease(now, &draw, place.ownership);
-        if grant.covers_all(&draw) || self.under_way.len() >= MOST {
+        let mut grant = context.buckets.lease(now, &request, context.ownership);
+        if grant.covers_all(&request) || self.pending.len() >= MAX_PENDING {
             return vec![LeaseAction::Respond { origin, grant }];
         }
         grant.prefetch_amount = 0;
-        let left = self.others(now, &draw, place);
-        let asked = (place.own, Vec::new(), now);
-        self.go_on(
-            now,
-            UnderWay {
-                origin,
-                draw,
-                grant,
-                left,
-                asked,
-            },
-            place,
-        )
+        let untried_owners = self.candidates(now, &request, context);
+        let in_flight = OwnerRequest {
+            owner: context.own_id,
+            indexes: Vec::new(),
+            deadline: now,
+        };
+        let pending = PendingRequest {
+            origin,
+            request,
+            grant,
+            untried_owners,
+            in_flight,
+        };
+        self.try_next_owner(now, pending, context)
     }
 
-    /// A holder has answered. An answer counts only from whom it was asked of.
+    /// An owner has responded. A response counts only from the owner that the request went to.
     pub fn on_response(
         &mut self,
         now: Time,
         from: OwnerId,
         id: u64,
         grant: LeaseGrant,
-        place: &mut LeaseContext<'_>,
+        context: &mut LeaseContext<'_>,
     ) -> Vec<LeaseAction<O>> {
-        // One that comes too late to be of use shows all the same that its sender is there.
-        self.unanswered.remove(&from);
-        if self
-            .under_way
+        // A late one shows all the same that its sender is alive.
+        self.health.on_response(from);
+        let is_expected = self
+            .pending
             .get(&id)
-            .is_none_or(|waits| waits.asked.0 != from)
-        {
+            .is_some_and(|pending| pending.in_flight.owner == from);
+        if !is_expected {
             return Vec::new();
         }
-        let Some(mut waits) = self.under_way.remove(&id) else {
+        let Some(mut pending) = self.pending.remove(&id) else {
             return Vec::new();
         };
-        let places = std::mem::take(&mut waits.asked.1);
-        let granted = places
-            .iter()
+        let indexes = std::mem::take(&mut pending.in_flight.indexes);
+        let (granted, denied): (Vec<_>, Vec<_>) = indexes
+            .into_iter()
             .enumerate()
-            .filter(|(index, _)| grant.covers(*index));
-        let amounts = granted.fold(0, |bits, (_, place)| bits | (1 << place));
-        waits.grant = waits.grant.and(LeaseGrant {
-            granted_bits: amounts,
+            .partition(|(position, _)| grant.covers(*position));
+        let granted_bits = granted
+            .iter()
+            .fold(0, |bits, (_, index)| bits | (1 << index));
+        pending.grant = pending.grant.merge(LeaseGrant {
+            granted_bits,
             prefetch_amount: 0,
             retry_after_us: grant.retry_after_us,
         });
-        let denied = places
+        let denied_amounts = denied
             .iter()
-            .enumerate()
-            .filter(|(index, _)| !grant.covers(*index));
-        if let Some(size) = denied.map(|(_, place)| waits.draw.amounts[*place]).min() {
-            self.note_empty(now, from, &waits.draw.tenant, size, grant.retry_after_us);
+            .map(|(_, index)| pending.request.amounts[*index]);
+        if let Some(amount) = denied_amounts.min() {
+            let tenant = &pending.request.tenant;
+            self.health
+                .note_insufficient(now, from, tenant, amount, grant.retry_after_us);
         }
-        self.go_on(now, waits, place)
+        self.try_next_owner(now, pending, context)
     }
 
-    /// A machine can be asked no more.
+    /// A machine can be reached no more.
     pub fn on_owner_lost(
         &mut self,
         now: Time,
-        holder: OwnerId,
-        place: &mut LeaseContext<'_>,
+        owner: OwnerId,
+        context: &mut LeaseContext<'_>,
     ) -> Vec<LeaseAction<O>> {
-        self.pass_over(now, place, |asked| asked.0 == holder)
+        self.skip_owners(now, context, |in_flight| in_flight.owner == owner)
     }
 
-    /// Passes over holders that have not answered in time.
-    pub fn tick(&mut self, now: Time, place: &mut LeaseContext<'_>) -> Vec<LeaseAction<O>> {
-        self.empty.retain(|_, empty| empty.until > now);
-        self.unanswered
-            .retain(|_, asked_at| now.since(*asked_at) < SILENT_AFTER + SILENT);
-        for waits in self.under_way.values().filter(|waits| waits.asked.2 <= now) {
-            let asked_at = waits.asked.2.minus(ASK_TIMEOUT);
-            self.unanswered.entry(waits.asked.0).or_insert(asked_at);
+    /// Skips owners that have not responded in time.
+    pub fn tick(&mut self, now: Time, context: &mut LeaseContext<'_>) -> Vec<LeaseAction<O>> {
+        self.health.expire(now);
+        let overdue = self
+            .pending
+            .values()
+            .map(|pending| &pending.in_flight)
+            .filter(|in_flight| in_flight.deadline <= now);
+        for in_flight in overdue {
+            let requested_at = in_flight.deadline.minus(OWNER_TIMEOUT_US);
+            self.health.note_timeout(in_flight.owner, requested_at);
         }
-        self.pass_over(now, place, |asked| asked.2 <= now)
-    }
-
-    fn is_silent(&self, now: Time, holder: OwnerId) -> bool {
-        let silent_for = self
-            .unanswered
-            .get(&holder)
-            .map_or(0, |asked_at| now.since(*asked_at));
-        (SILENT_AFTER..SILENT_AFTER + SILENT).contains(&silent_for)
+        self.skip_owners(now, context, |in_flight| in_flight.deadline <= now)
     }
 
     /// When [`LeaseRequests::tick`] has something to do.
     #[must_use]
     pub fn next_wake(&self) -> Option<Time> {
-        self.under_way.values().map(|waits| waits.asked.2).min()
+        self.pending
+            .values()
+            .map(|pending| pending.in_flight.deadline)
+            .min()
     }
 
-    fn pass_over(
+    fn skip_owners(
         &mut self,
         now: Time,
-        place: &mut LeaseContext<'_>,
-        is_over: impl Fn(&(OwnerId, Vec<usize>, Time)) -> bool,
+        context: &mut LeaseContext<'_>,
+        is_skipped: impl Fn(&OwnerRequest) -> bool,
     ) -> Vec<LeaseAction<O>> {
-        let over: Vec<u64> = self
-            .under_way
+        let skipped: Vec<u64> = self
+            .pending
             .iter()
-            .filter(|(_, waits)| is_over(&waits.asked))
+            .filter(|(_, pending)| is_skipped(&pending.in_flight))
             .map(|(id, _)| *id)
             .collect();
-        let mut orders = Vec::new();
-        for id in over {
-            if let Some(waits) = self.under_way.remove(&id) {
-                orders.extend(self.go_on(now, waits, place));
+        let mut actions = Vec::new();
+        for id in skipped {
+            if let Some(pending) = self.pending.remove(&id) {
+                actions.extend(self.try_next_owner(now, pending, context));
             }
         }
-        orders
+        actions
     }
 
-    /// Holders beside this machine, in the order in which they are to be asked from the end. Draws
-    /// begin at each of them in turn, so that all parts are used alike. A machine that knows no
-    /// voters passes the draw on to one that may.
-    fn others(&self, now: Time, draw: &LeaseRequest, place: &LeaseContext<'_>) -> Vec<OwnerId> {
-        let mut others = match place.ownership.voters() {
-            [] => place.reachable.iter().copied().collect(),
-            voters => owners(&draw.tenant, voters),
+    /// Owners beside this machine; the last one is tried first. Requests begin at each of them in
+    /// turn, so that all shards are used alike, and at unresponsive ones last. A machine that knows
+    /// no voters forwards the request to one that may.
+    fn candidates(
+        &self,
+        now: Time,
+        request: &LeaseRequest,
+        context: &LeaseContext<'_>,
+    ) -> Vec<OwnerId> {
+        let mut candidates = match context.ownership.voters() {
+            [] => context.reachable.iter().copied().collect(),
+            voters => owners(&request.tenant, voters),
         };
-        if !others.is_empty() {
-            let turn = self.next as usize % others.len();
-            others.rotate_left(turn);
+        if !candidates.is_empty() {
+            let turn = self.last_id as usize % candidates.len();
+            candidates.rotate_left(turn);
         }
-        others.retain(|holder| *holder != place.own);
-        // The last ones are asked first.
-        others.sort_by_key(|holder| !self.is_silent(now, *holder));
-        if place.ownership.voters().is_empty() {
-            others.truncate(2);
+        candidates.retain(|owner| *owner != context.own_id);
+        candidates.sort_by_key(|owner| !self.health.is_unresponsive(now, *owner));
+        if context.ownership.voters().is_empty() {
+            candidates.truncate(MAX_FORWARDING_PEERS);
         }
-        others
+        candidates
     }
 
-    fn go_on(
+    /// Sends what is left of a request to the next owner that may have enough, or responds where
+    /// nothing or no owner is left.
+    fn try_next_owner(
         &mut self,
         now: Time,
-        mut waits: UnderWay<O>,
-        place: &LeaseContext<'_>,
+        mut pending: PendingRequest<O>,
+        context: &LeaseContext<'_>,
     ) -> Vec<LeaseAction<O>> {
-        while !waits.grant.covers_all(&waits.draw) {
-            let Some(holder) = waits.left.pop() else {
+        while !pending.grant.covers_all(&pending.request) {
+            let Some(owner) = pending.untried_owners.pop() else {
                 break;
             };
-            if !place.reachable.contains(&holder) {
+            if !context.reachable.contains(&owner) {
                 continue;
             }
-            let places = self.worth_asking(now, holder, &waits);
-            if places.is_empty() {
+            let indexes = self.indexes_for(now, owner, &pending);
+            if indexes.is_empty() {
                 continue;
             }
-            let amounts = places
-                .iter()
-                .map(|place| waits.draw.amounts[*place])
-                .collect();
-            let draw = LeaseRequest {
-                amounts,
-                prefetch_amount: 0,
-                ..waits.draw.clone()
-            };
-            self.next = self.next.wrapping_add(1);
-            let id = self.next;
-            waits.asked = (holder, places, now.plus(ASK_TIMEOUT));
-            self.under_way.insert(id, waits);
-            let may_forward = place.ownership.voters().is_empty();
-            return vec![LeaseAction::Request {
-                to: holder,
-                id,
-                may_forward,
-                draw,
-            }];
+            return vec![self.send_to_owner(now, owner, indexes, pending, context)];
         }
         vec![LeaseAction::Respond {
-            origin: waits.origin,
-            grant: waits.grant,
+            origin: pending.origin,
+            grant: pending.grant,
         }]
     }
 
-    /// Needs that are left and that a holder may have enough for.
-    fn worth_asking(&self, now: Time, holder: OwnerId, waits: &UnderWay<O>) -> Vec<usize> {
-        let empty = self
-            .empty
-            .get(&(holder, waits.draw.tenant.clone()))
-            .filter(|empty| empty.until > now);
-        let worth = |place: &usize| {
-            let need = waits.draw.amounts[*place];
-            !waits.grant.covers(*place) && empty.is_none_or(|empty| need < empty.size)
+    fn send_to_owner(
+        &mut self,
+        now: Time,
+        owner: OwnerId,
+        indexes: Vec<usize>,
+        mut pending: PendingRequest<O>,
+        context: &LeaseContext<'_>,
+    ) -> LeaseAction<O> {
+        let amounts = indexes
+            .iter()
+            .map(|index| pending.request.amounts[*index])
+            .collect();
+        let request = LeaseRequest {
+            amounts,
+            prefetch_amount: 0,
+            ..pending.request.clone()
+        };
+        self.last_id = self.last_id.wrapping_add(1);
+        let id = self.last_id;
+        pending.in_flight = OwnerRequest {
+            owner,
+            indexes,
+            deadline: now.plus(OWNER_TIMEOUT_US),
         };
-        (0..waits.draw.amounts.len()).filter(worth).collect()
+        self.pending.insert(id, pending);
+        LeaseAction::Request {
+            to: owner,
+            id,
+            may_forward: context.ownership.voters().is_empty(),
+            request,
+        }
     }
 
-    fn note_empty(&mut self, now: Time, holder: OwnerId, tenant: &str, size: u64, wait: Micros) {
-        if self.empty.len() < MOST_EMPTY {
-            let empty = Empty {
-                size,
-                until: now.plus(wait.min(EMPTY)),
-            };
-            self.empty.insert((holder, tenant.to_owned()), empty);
-        }
+    /// Indexes of the amounts that are not granted yet and that an owner may have enough for.
+    fn indexes_for(&self, now: Time, owner: OwnerId, pending: &PendingRequest<O>) -> Vec<usize> {
+        let request = &pending.request;
+        let limit = self.health.insufficient_from(now, owner, &request.tenant);
+        let is_worth_trying = |index: &usize| {
+            !pending.grant.covers(*index)
+                && limit.is_none_or(|limit| request.amounts[*index] < limit)
+        };
+        (0..request.amounts.len()).filter(is_worth_trying).collect()
     }
 }
 
--- a/decide/quota/src/lease_requests/tests.rs
+++ b/decide/quota/src/lease_requests/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `draws`.
+//! Tests of `lease_requests`.
 
 use super::*;
 use crate::tenant_quota::QuotaBounds;
@@ -48,7 +48,7 @@
         let mut place = LeaseContext {
             buckets: &mut self.buckets,
             ownership: &self.ownership,
-            own: self.own,
+            own_id: self.own,
             reachable: &self.reachable,
         };
         act(&mut self.draws, &mut place)
@@ -69,7 +69,7 @@
 }
 
 fn asked(orders: &[LeaseAction<&'static str>]) -> (OwnerId, u64, LeaseRequest) {
-    assert_matches!(orders, [LeaseAction::Request { to, id, draw, .. }] => (*to, *id, draw.clone()))
+    assert_matches!(orders, [LeaseAction::Request { to, id, request, .. }] => (*to, *id, request.clone()))
 }
 
 fn answer(orders: &[LeaseAction<&'static str>]) -> LeaseGrant {
@@ -160,12 +160,12 @@
     let (silent, _, _) = asked(&relay.take(Time(0), draw(&[10])));
     let due = relay.draws.next_wake().expect("a wake");
     relay.with(|draws, place| draws.tick(due, place));
-    let after = Time(SILENT_AFTER);
+    let after = Time(owner_health::UNRESPONSIVE_AFTER_US);
     for _ in 0..6 {
         let (first, _, _) = asked(&relay.take(after, draw(&[10])));
         assert_ne!(first, silent);
     }
-    let later = after.plus(SILENT);
+    let later = after.plus(owner_health::UNRESPONSIVE_BACKOFF_US);
     let firsts: Vec<OwnerId> = (0..6)
         .map(|_| asked(&relay.take(later, draw(&[10]))).0)
         .collect();
@@ -194,7 +194,11 @@
     assert!(relay
         .with(|draws, place| draws.on_response(Time(100_000), still, id, late, place))
         .is_empty());
-    assert!(firsts(&mut relay, Time(SILENT_AFTER + 1_000)).contains(&still));
+    assert!(firsts(
+        &mut relay,
+        Time(owner_health::UNRESPONSIVE_AFTER_US + 1_000)
+    )
+    .contains(&still));
 }
 
 #[test]
--- a/decide/quota/src/lib.rs
+++ b/decide/quota/src/lib.rs
@@ -1,20 +1,21 @@
-//! Tenants' quotas: what all routers together let through for a tenant in any window.
+//! Tenants' quotas: what all routers together admit for a tenant in any window.
 //!
-//! Each tenant has a token bucket that is cut into up to [`MAX_OWNERS`] parts. A part is held by a
-//! control machine that votes, its *holder*, and refills at its share of the tenant's rate. A
-//! router draws each request, or a little ahead, from a holder before it lets the request through;
-//! what was drawn and not used lapses. Nothing that is granted is ever given back to a bucket.
+//! Each tenant has a token bucket that is divided into up to [`MAX_OWNERS`] shards. A shard is owned
+//! by a control machine that votes and refills at its fraction of the tenant's rate. Before a router
+//! admits a request it leases the request's tokens, or a few more, from an owner; leased tokens that
+//! are not used lapse. Nothing that was granted is ever returned to a bucket.
 //!
-//! It promises: in any window of `quotaWindowS` what is let through stays within
+//! It promises: in any window of `quotaWindowS` what is admitted stays within
 //! `(ratePerS x window + burstSize) x (1 + quotaOverage) + quotaSlack`, whichever processes are
-//! killed, frozen, cut off or replaced, as long as clocks run alike to 1 in 1,000 and no two
-//! machines hold a part at once. `docs/design/quota.md` derives it.
+//! killed, suspended, partitioned or replaced, as long as clock rates agree to 1 in 1,000 and no two
+//! machines own a shard at once. `docs/design/quota.md` derives it.
 //!
-//! - [`TenantQuota`]: rate, depth, debt and validity of a tenant, so that the sum stays within the
-//!   rule.
-//! - [`ShardOwnership`]: which machine holds which part, and until when.
-//! - [`Buckets`]: the parts that a machine holds.
-//! - [`LeaseRequests`]: draws that a control machine passes on for routers.
+//! - [`TenantQuota`]: refill rate, depth, debt and lease validity of a tenant, so that the sum stays
+//!   within the rule.
+//! - [`ShardOwnership`]: which machine owns which shard, and until when.
+//! - [`Buckets`]: the shards that a control machine owns.
+//! - [`LeaseRequests`]: requests that a control machine serves for routers, from its own shard and
+//!   from those of other owners.
 //! - [`Allowances`]: a router's side.
 //!
 //! It is pure: no I/O, no clock, no threads. Time is an argument.
@@ -36,3 +37,6 @@
     owners, BucketShard, OwnerId, ShardOwnership, MAX_OWNERS, OWNERSHIP_LEASE_US, SETTLING_TIME_US,
 };
 pub use tenant_quota::{QuotaBounds, TenantQuota};
+
+/// Microseconds of a second, for rates.
+const MICROS_PER_SECOND: f64 = 1_000_000.0;
--- a/decide/quota/src/ownership/tests.rs
+++ b/decide/quota/src/ownership/tests.rs
@@ -186,7 +186,10 @@
                     .ownership
                     .on_voters(Time(now.saturating_sub(skipped)), &next);
             }
-            if changes[machine.knows].1.contains(&machine.ownership.own.0) {
+            if changes[machine.knows]
+                .1
+                .contains(&machine.ownership.own_id.0)
+            {
                 machine.ownership.on_contact(Time(now));
             }
         }
--- a/decide/quota/src/tenant_quota/tests.rs
+++ b/decide/quota/src/tenant_quota/tests.rs
@@ -64,11 +64,11 @@
             let figures = TenantQuota::of(&quota(rate, burst), &terms(8.0, overage, slack));
             let least = if overage > 0.0 { 0.96 } else { 0.9 };
             assert!(
-                figures.rate >= least * rate,
+                figures.refill_per_s >= least * rate,
                 "{rate} {burst} {overage} {slack}: {figures:?}"
             );
             assert!(
-                figures.depth + figures.debt >= 0.06 * rate * 8.0,
+                figures.depth + figures.max_debt >= 0.06 * rate * 8.0,
                 "{figures:?}"
             );
         }
@@ -83,7 +83,7 @@
     };
     let figures = TenantQuota::of(&few, &terms(8.0, 0.1, 0.0));
     assert!(
-        figures.debt >= 1.0 && figures.rate > 0.3 && figures.most_in(8.0) <= 4.4,
+        figures.max_debt >= 1.0 && figures.refill_per_s > 0.3 && figures.most_in(8.0) <= 4.4,
         "{figures:?}"
     );
 }
--- a/fleet/src/control/quotas.rs
+++ b/fleet/src/control/quotas.rs
@@ -62,7 +62,7 @@
         let place = LeaseContext {
             buckets: &mut self.buckets,
             ownership: &self.ownership,
-            own: self.own,
+            own_id: self.own,
             reachable,
         };
         (&mut self.draws, place)
@@ -238,7 +238,7 @@
                     to,
                     id,
                     may_forward,
-                    draw,
+                    request: draw,
                 } => {
                     if let Some(connection) = self.connection_to(to) {
                         let request = request_of(id, draw, may_forward);
--- a/simulator/src/quotas/machine.rs
+++ b/simulator/src/quotas/machine.rs
@@ -151,7 +151,7 @@
             &mut LeaseContext {
                 buckets,
                 ownership,
-                own: self.own,
+                own_id: self.own,
                 reachable,
             },
         )
--- a/simulator/src/quotas/mod.rs
+++ b/simulator/src/quotas/mod.rs
@@ -398,7 +398,7 @@
                     to,
                     id,
                     may_forward,
-                    draw,
+                    request: draw,
                 } => {
                     let from = Sender::Control(control, self.control[control].life);
                     if let Some(to) = self.control.iter().position(|other| other.own == to) {
