--- a/emulators/src/features.rs
+++ b/emulators/src/features.rs
@@ -55,7 +55,7 @@
 
 /// A point feature with these properties beside its name.
 #[must_use]
-pub fn point_with(id: &str, east: f64, north: f64, properties: Json) -> Json {
+pub fn point_with(id: &str, east: f64, north: f64, properties: &Json) -> Json {
     let mut all = json!({"name": id});
     if let (Some(all), Some(more)) = (all.as_object_mut(), properties.as_object()) {
         all.extend(more.clone());
@@ -67,7 +67,7 @@
 /// A point feature.
 #[must_use]
 pub fn point(id: &str, east: f64, north: f64) -> Json {
-    point_with(id, east, north, json!({}))
+    point_with(id, east, north, &json!({}))
 }
 
 fn bounds(request: &Request) -> Option<Vec<f64>> {
--- a/emulators/src/http.rs
+++ b/emulators/src/http.rs
@@ -28,7 +28,10 @@
     }
 }
 
-/// Takes the next whole request off what was read; `Err`: it is none.
+/// Takes the next complete request off what was read.
+///
+/// # Errors
+/// The bytes are no request.
 pub fn next(held: &mut Vec<u8>) -> Result<Option<Request>, String> {
     let mut headers = [httparse::EMPTY_HEADER; 64];
     let mut head = httparse::Request::new(&mut headers);
--- a/emulators/src/rig.rs
+++ b/emulators/src/rig.rs
@@ -434,6 +434,7 @@
 /// fences that grow. One that stands still does nothing, so it holds nothing then; once it goes on
 /// it has `wakes` to find out.
 #[must_use]
+#[expect(clippy::too_many_lines, reason = "one arm for each kind of line")]
 pub fn judge_holders(entries: &[Entry], duty: &str, wakes: Duration) -> Findings {
     let mut found = Findings::default();
     // Who holds since when, whether it runs, and the spans of each that are over.
--- a/examples/toy-features/main.rs
+++ b/examples/toy-features/main.rs
@@ -26,11 +26,11 @@
         std::process::exit(2);
     }
     let scooters = [
-        point_with("scooter-1", 15.95, 45.81, json!({"battery": 71})),
-        point_with("scooter-2", 15.97, 45.80, json!({"battery": 18})),
-        point_with("scooter-3", 16.00, 45.82, json!({"battery": 94})),
-        point_with("scooter-4", 16.05, 45.83, json!({"battery": 55})),
-        point_with("scooter-5", 16.12, 45.81, json!({"battery": 33})),
+        point_with("scooter-1", 15.95, 45.81, &json!({"battery": 71})),
+        point_with("scooter-2", 15.97, 45.80, &json!({"battery": 18})),
+        point_with("scooter-3", 16.00, 45.82, &json!({"battery": 94})),
+        point_with("scooter-4", 16.05, 45.83, &json!({"battery": 55})),
+        point_with("scooter-5", 16.12, 45.81, &json!({"battery": 33})),
     ];
     let start = |address: &String| {
         let listener = TcpListener::bind(address).unwrap_or_else(|e| {
--- a/experiments/src/cold.rs
+++ b/experiments/src/cold.rs
@@ -173,6 +173,10 @@
 /// Plays one start: what came beyond the allowance in the worst window in roots of that allowance,
 /// whether that broke the rule, what came as a share of the allowance, and the share of the queries
 /// that were answered.
+#[expect(
+    clippy::too_many_lines,
+    reason = "an experiment is read from top to bottom"
+)]
 fn play(seed: u64, plan: &Plan) -> (f64, bool, f64, f64) {
     let mut dice = Xoshiro256PlusPlus::seed_from_u64(seed);
     let capacity = plan.capacity;
--- a/experiments/src/council.rs
+++ b/experiments/src/council.rs
@@ -96,6 +96,7 @@
     ran
 }
 
+#[expect(clippy::too_many_lines, reason = "one arm for each fault")]
 fn befall(
     rig: &mut Rig,
     seed: u64,
--- a/experiments/src/discovery.rs
+++ b/experiments/src/discovery.rs
@@ -66,6 +66,10 @@
 
 /// Plays one return of discovery to so many brokers.
 #[must_use]
+#[expect(
+    clippy::too_many_lines,
+    reason = "an experiment is read from top to bottom"
+)]
 pub fn play(seed: u64, brokers: u32, kind: Kind) -> Figures {
     let mut paces: Vec<Pace> = (0..brokers)
         .map(|i| Pace::new(seed << 16 | u64::from(i), brokers, EVERY))
--- a/experiments/src/fleet.rs
+++ b/experiments/src/fleet.rs
@@ -90,6 +90,7 @@
     ran
 }
 
+#[expect(clippy::too_many_lines, reason = "one arm for each fault")]
 fn befall(
     rig: &mut Rig,
     dice: &mut Xoshiro256PlusPlus,
--- a/experiments/src/main.rs
+++ b/experiments/src/main.rs
@@ -115,6 +115,7 @@
     std::fs::write(path, text + "\n").map_err(|e| format!("{}: {e}", path.display()))
 }
 
+#[expect(clippy::too_many_lines, reason = "one arm for each experiment")]
 fn main() -> ExitCode {
     let result = match Cli::parse().experiment {
         Experiment::Scale(args) => {
--- a/experiments/src/two_phase.rs
+++ b/experiments/src/two_phase.rs
@@ -85,6 +85,7 @@
 
 /// The scenario with this name, and its settings.
 #[must_use]
+#[expect(clippy::too_many_lines, reason = "one arm for each scenario")]
 pub fn scenario(name: &str, seconds: f64) -> (Scenario, Settings) {
     let reports = mix(0.3, 6, 94.0);
     let searches = mix(0.7, 4, 74.0);
--- a/experiments/src/world.rs
+++ b/experiments/src/world.rs
@@ -47,8 +47,8 @@
     ended: u32,
 }
 
-#[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Happens {
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum SimulationEvent {
     Arrival,
     /// Reaches a data node.
     Reaches(u32, u64),
@@ -75,7 +75,7 @@
     core: Core<Job>,
     classes: Vec<Class>,
     now: Time,
-    heap: BinaryHeap<Reverse<(Time, u64, Happens)>>,
+    heap: BinaryHeap<Reverse<(Time, u64, SimulationEvent)>>,
     order: u64,
     arrivals: Xoshiro256PlusPlus,
     nodes: Vec<Node>,
@@ -172,11 +172,11 @@
             tally: Tally::default(),
             scenario,
         };
-        world.at(START, Happens::Arrival);
+        world.at(START, SimulationEvent::Arrival);
         world
     }
 
-    fn at(&mut self, time: Time, what: Happens) {
+    fn at(&mut self, time: Time, what: SimulationEvent) {
         self.order += 1;
         self.heap.push(Reverse((time, self.order, what)));
     }
@@ -197,7 +197,7 @@
                 self.turn();
             } else if let Some(Reverse((at, _, what))) = self.heap.pop() {
                 self.now = at;
-                self.happens(what);
+                self.on_event(what);
             } else {
                 break;
             }
@@ -205,41 +205,44 @@
         self.tally.lost += self.queries.iter().filter(|q| q.ended != 1).count() as u64;
     }
 
-    fn happens(&mut self, what: Happens) {
-        match what {
-            Happens::Arrival => self.arrive(),
-            Happens::Reaches(server, attempt) => {
+    fn on_event(&mut self, event: SimulationEvent) {
+        match event {
+            SimulationEvent::Arrival => self.arrive(),
+            SimulationEvent::Reaches(server, attempt) => {
                 let Some(flight) = self.flights.get(&attempt) else {
                     return;
                 };
                 if let Some((attempt, ends)) =
                     self.nodes[server as usize].take(self.now, flight.task)
                 {
-                    self.at(ends, Happens::Over(server, attempt));
+                    self.at(ends, SimulationEvent::Over(server, attempt));
                 }
             }
-            Happens::Over(server, attempt) if self.nodes[server as usize].runs(attempt) => {
+            SimulationEvent::Over(server, attempt) if self.nodes[server as usize].runs(attempt) => {
                 self.over(server, attempt);
-                self.at(self.now.plus(self.scenario.way), Happens::Back(attempt));
+                self.at(
+                    self.now.plus(self.scenario.way),
+                    SimulationEvent::Back(attempt),
+                );
             }
-            Happens::Over(..) => {}
-            Happens::Back(attempt) => {
+            SimulationEvent::Over(..) => {}
+            SimulationEvent::Back(attempt) => {
                 let Some(flight) = self.flights.remove(&attempt) else {
                     return;
                 };
                 let value = self.value(&flight);
                 self.ended(attempt, Outcome::Ok, Some(value));
             }
-            Happens::TimedOut(attempt) => {
+            SimulationEvent::TimedOut(attempt) => {
                 if let Some(flight) = self.flights.remove(&attempt) {
                     self.at(
                         self.now.plus(self.scenario.way),
-                        Happens::GivenUp(flight.server, attempt),
+                        SimulationEvent::GivenUp(flight.server, attempt),
                     );
                     self.ended(attempt, Outcome::Timeout, None);
                 }
             }
-            Happens::GivenUp(server, attempt) => self.over(server, attempt),
+            SimulationEvent::GivenUp(server, attempt) => self.over(server, attempt),
         }
     }
 
@@ -254,7 +257,7 @@
             self.tally.second_after_aim += cost.after_aim;
         }
         if let Some((attempt, ends)) = next {
-            self.at(ends, Happens::Over(server, attempt));
+            self.at(ends, SimulationEvent::Over(server, attempt));
         }
     }
 
@@ -335,7 +338,10 @@
             return;
         }
         let gap = Exp::new(self.scenario.rate).map_or(1.0, |d| d.sample(&mut self.arrivals));
-        self.at(self.now.plus((gap * 1e6) as Micros + 1), Happens::Arrival);
+        self.at(
+            self.now.plus((gap * 1e6) as Micros + 1),
+            SimulationEvent::Arrival,
+        );
         let mut pick = self.arrivals.random_range(0.0..1.0);
         let class = self.scenario.mix.iter().position(|m| {
             pick -= m.share;
@@ -407,7 +413,7 @@
                     if let Some(flight) = self.flights.remove(&attempt) {
                         self.at(
                             self.now.plus(self.scenario.way),
-                            Happens::GivenUp(flight.server, attempt),
+                            SimulationEvent::GivenUp(flight.server, attempt),
                         );
                     }
                 }
@@ -473,12 +479,19 @@
             );
             self.at(
                 self.now.plus(self.scenario.way),
-                Happens::Reaches(server.0, part.attempt),
+                SimulationEvent::Reaches(server.0, part.attempt),
+            );
+            self.at(
+                self.now.plus(part.wait),
+                SimulationEvent::TimedOut(part.attempt),
             );
-            self.at(self.now.plus(part.wait), Happens::TimedOut(part.attempt));
         }
     }
 
+    #[expect(
+        clippy::too_many_lines,
+        reason = "one figure after another is taken from a reply"
+    )]
     fn reply(&mut self, query: QueryId, reply: &Reply) {
         let kind = match reply {
             Reply::Served { whole, values, .. } => 10 + 2 * values.len() as u64 + u64::from(*whole),
--- a/simulator/src/control/mod.rs
+++ b/simulator/src/control/mod.rs
@@ -32,6 +32,10 @@
 
 /// Faults of the glue that tests plant to show that they would be found. All off elsewhere.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+#[expect(
+    clippy::struct_excessive_bools,
+    reason = "each fault is planted by itself"
+)]
 pub struct GlueFaults {
     /// A repeat is known by its version number, not by its content.
     pub known_by_number: bool,
@@ -136,6 +140,9 @@
     }
 
     /// A message of another control machine.
+    ///
+    /// # Panics
+    /// Where replication can't decode what it encoded.
     pub fn on_peer(&mut self, now: Time, from: &str, message: PeerMessage) {
         match message {
             PeerMessage::Replication(bytes) => {
@@ -211,14 +218,14 @@
     }
 
     /// A router has said something, or closed its connection.
-    pub fn on_router(&mut self, id: ConnectionId, now: Time, message: Option<RouterToControl>) {
+    pub fn on_router(&mut self, id: ConnectionId, now: Time, message: Option<&RouterToControl>) {
         match message {
             None => self.routers.on_closed(id),
             Some(RouterToControl::Hello { configuration, .. }) => {
                 let (in_contact, committed) = (self.in_contact(now), self.committed());
                 let pushes =
                     self.routers
-                        .on_hello(id, configuration, in_contact, committed.as_ref());
+                        .on_hello(id, *configuration, in_contact, committed.as_ref());
                 self.effects.extend(
                     pushes
                         .into_iter()
--- a/simulator/src/documents.rs
+++ b/simulator/src/documents.rs
@@ -40,6 +40,9 @@
 }
 
 /// An order that nobody may take: a route of a service that is not known.
+///
+/// # Panics
+/// Never: the body of an update is text.
 pub fn invalid(id: OrderId, base_version: u64, version: u64) -> Order {
     let order = update(id, base_version, version);
     let text = String::from_utf8(order.body).expect("the body is text");
--- a/simulator/src/main.rs
+++ b/simulator/src/main.rs
@@ -164,7 +164,7 @@
                  --episodes {episodes}{flag} --trace",
                 seed + 1
             );
-            show(walked, way, trace);
+            show(&walked, way, trace);
         } else if trace {
             end.world.trace().for_each(|line| println!("  {line}"));
         }
@@ -181,12 +181,12 @@
 }
 
 /// Walks a failing seed again with a trace, and shows its end.
-fn show(walked: Walk, way: Way, whole: bool) {
+fn show(walked: &Walk, way: Way, whole: bool) {
     let world = WorldSettings {
         trace: true,
         ..walked.world
     };
-    let end = way.walk(&Walk { world, ..walked });
+    let end = way.walk(&Walk { world, ..*walked });
     let lines: Vec<&str> = end.world.trace().collect();
     let skipped = if whole {
         0
--- a/simulator/src/world/act.rs
+++ b/simulator/src/world/act.rs
@@ -15,6 +15,7 @@
 const POWER_RETURNS: u64 = 700_000;
 
 impl World {
+    #[expect(clippy::too_many_lines, reason = "one arm for each action")]
     pub(super) fn act(&mut self, action: Action) {
         self.last_trouble = self.now();
         self.counts.faults += 1;
--- a/simulator/src/world/machine.rs
+++ b/simulator/src/world/machine.rs
@@ -16,6 +16,10 @@
 }
 
 /// A control machine.
+#[expect(
+    clippy::struct_excessive_bools,
+    reason = "what may befall a machine comes in any combination"
+)]
 pub(super) struct Machine {
     pub(super) host: Host,
     pub(super) address: String,
--- a/simulator/src/world/machines.rs
+++ b/simulator/src/world/machines.rs
@@ -219,7 +219,7 @@
             return machine.backlog.push(Event::Arrive(arrival));
         }
         if machine.process.is_none() {
-            return self.reset(arrival);
+            return self.reset(&arrival);
         }
         let now = self.now();
         let from = self
@@ -232,14 +232,14 @@
         match arrival.packet {
             Packet::Peer(message) => process.on_peer(now, &from.unwrap_or_default(), message),
             Packet::Call(id, question) => process.on_call(now, id, question),
-            Packet::FromRouter(id, message) => process.on_router(id, now, message),
+            Packet::FromRouter(id, message) => process.on_router(id, now, message.as_ref()),
             Packet::Reply(..) | Packet::ToRouter(..) => {}
         }
         self.settle(arrival.to);
     }
 
     /// Nobody listens there: the connection is reset, unless the machine has no power.
-    fn reset(&mut self, arrival: Arrival<Packet>) {
+    fn reset(&mut self, arrival: &Arrival<Packet>) {
         if self.machines[&arrival.to].dark {
             return;
         }
--- a/testing/src/lib.rs
+++ b/testing/src/lib.rs
@@ -7,7 +7,9 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU32, Ordering};
 
+/// Seed of all random cuts and garbage.
 const SEED: u64 = 0x006c_6963_6865_6e73;
+/// Random streams for each call.
 const ROUNDS: usize = 200;
 
 fn generator() -> Gen {
@@ -15,24 +17,27 @@
 }
 
 /// Feeds the messages, one after the other and cut at random, to a parser that tells how many bytes
-/// the message took once it is whole; each message must come out once, at its own last byte.
+/// the message took once it is complete; each message must come out once, at its own last byte.
+///
+/// # Panics
+/// Where a message comes out at another byte, more than once or never.
 pub fn random_cuts(messages: &[&[u8]], mut parse: impl FnMut(&[u8]) -> Option<usize>) {
     let mut g = generator();
     for _ in 0..ROUNDS {
         let picked: Vec<&[u8]> = (0..4).filter_map(|_| g.choose(messages).copied()).collect();
         let stream = picked.concat();
-        let (mut held, mut at, mut whole) = (Vec::new(), 0, Vec::new());
+        let (mut buffered, mut at, mut lengths) = (Vec::new(), 0, Vec::new());
         while at < stream.len() {
             let end = (at + 1 + usize::arbitrary(&mut g) % 40).min(stream.len());
-            held.extend_from_slice(&stream[at..end]);
+            buffered.extend_from_slice(&stream[at..end]);
             at = end;
-            while let Some(used) = parse(&held) {
-                whole.push(used);
-                held.drain(..used);
+            while let Some(used) = parse(&buffered) {
+                lengths.push(used);
+                buffered.drain(..used);
             }
         }
-        assert!(held.is_empty(), "bytes left over");
-        assert_eq!(whole, picked.iter().map(|m| m.len()).collect::<Vec<_>>());
+        assert!(buffered.is_empty(), "bytes left over");
+        assert_eq!(lengths, picked.iter().map(|m| m.len()).collect::<Vec<_>>());
     }
 }
 
@@ -58,15 +63,18 @@
 
 impl Folder {
     /// A folder that holds these files.
+    ///
+    /// # Panics
+    /// Where it can't be written.
     #[must_use]
     pub fn new(files: &[(&str, &str)]) -> Folder {
         static COUNT: AtomicU32 = AtomicU32::new(0);
         let number = COUNT.fetch_add(1, Ordering::Relaxed);
         let path =
             std::env::temp_dir().join(format!("lichenswitch-{}-{number}", std::process::id()));
-        std::fs::create_dir_all(&path).unwrap();
+        std::fs::create_dir_all(&path).expect("a folder for a test can be made");
         for (name, text) in files {
-            std::fs::write(path.join(name), text).unwrap();
+            std::fs::write(path.join(name), text).expect("a file for a test can be written");
         }
         Folder(path)
     }
--- a/tests/ogc.rs
+++ b/tests/ogc.rs
@@ -421,7 +421,7 @@
         } else {
             json!({"battery": battery})
         };
-        point_with(&format!("s{i}"), east, 0.5, properties)
+        point_with(&format!("s{i}"), east, 0.5, &properties)
     };
     (0..80).map(scooter).collect()
 }
--- a/wire/http/src/lib.rs
+++ b/wire/http/src/lib.rs
@@ -198,11 +198,17 @@
 }
 
 /// Reads a request from the bytes that a client has sent so far.
+///
+/// # Errors
+/// What makes the bytes no request, with the status to refuse them with.
 pub fn request(bytes: &[u8]) -> Result<Parsed<Request>, Malformed> {
     request_up_to(bytes, BODY)
 }
 
-/// The same, with a body of at most `most` bytes.
+/// As [`request`], with a body of at most `most` bytes.
+///
+/// # Errors
+/// What makes the bytes no request, with the status to refuse them with.
 pub fn request_up_to(bytes: &[u8], most: usize) -> Result<Parsed<Request>, Malformed> {
     let mut headers = [httparse::EMPTY_HEADER; HEADERS];
     let mut head = httparse::Request::new(&mut headers);
@@ -226,6 +232,9 @@
 }
 
 /// Reads a response with a body of at most `most` bytes; `ended`: the server sends nothing more.
+///
+/// # Errors
+/// What makes the bytes no response.
 pub fn response(bytes: &[u8], ended: bool, most: usize) -> Result<Parsed<Response>, Malformed> {
     let mut headers = [httparse::EMPTY_HEADER; HEADERS];
     let mut head = httparse::Response::new(&mut headers);
