--- a/decide/quota/src/allowances/tests.rs
+++ b/decide/quota/src/allowances/tests.rs
@@ -5,7 +5,7 @@
 use lichenswitch_configuration::Document;
 use std::time::Duration;
 
-const TERMS: QuotaBounds = QuotaBounds {
+const BOUNDS: QuotaBounds = QuotaBounds {
     window: Duration::from_secs(8),
     overage: 0.1,
     slack: 0.0,
@@ -23,22 +23,22 @@
 }
 
 fn validity() -> Micros {
-    TenantQuota::of(&tenants()[0].quota.expect("a quota"), &TERMS).lease_validity
+    TenantQuota::of(&tenants()[0].quota.expect("a quota"), &BOUNDS).lease_validity
 }
 
 fn new() -> Allowances<u32> {
-    Allowances::new(TERMS, 0)
+    Allowances::new(BOUNDS, 0)
 }
 
-fn take(allowances: &mut Allowances<u32>, now: u64, need: u64, waiter: u32) -> AdmissionOutcome {
-    allowances.admit(Time(now), &tenants()[0], need, waiter, LATER)
+fn admit(allowances: &mut Allowances<u32>, now: u64, need: u64, request: u32) -> AdmissionOutcome {
+    allowances.admit(Time(now), &tenants()[0], need, request, LATER)
 }
 
-/// The draw that is sent now.
-fn sent(allowances: &mut Allowances<u32>, now: u64) -> (u64, LeaseRequest) {
-    let mut draws = allowances.lease_requests(Time(now));
-    assert_eq!(draws.len(), 1);
-    draws.remove(0)
+/// The one lease request that is sent now.
+fn sent_lease_request(allowances: &mut Allowances<u32>, now: u64) -> (u64, LeaseRequest) {
+    let mut requests = allowances.lease_requests(Time(now));
+    assert_eq!(requests.len(), 1);
+    requests.remove(0)
 }
 
 fn grant(amounts: u64, prefetch_amount: u64, wait: Micros) -> LeaseGrant {
@@ -49,15 +49,15 @@
     }
 }
 
-fn ends(decided: &[AdmissionDecision<u32>]) -> Vec<(u32, AdmissionOutcome)> {
-    decided
+fn outcomes(decisions: &[AdmissionDecision<u32>]) -> Vec<(u32, AdmissionOutcome)> {
+    decisions
         .iter()
-        .map(|decided| (decided.request, decided.outcome))
+        .map(|decisions| (decisions.request, decisions.outcome))
         .collect()
 }
 
 #[test]
-fn a_tenant_without_a_quota_goes_at_once() {
+fn request_of_tenant_without_quota_is_admitted_at_once() {
     assert_eq!(
         new().admit(Time(5), &tenants()[1], 99, 1, LATER),
         AdmissionOutcome::Admitted(Time(5))
@@ -65,166 +65,172 @@
 }
 
 #[test]
-fn requests_wait_for_one_draw_at_a_time() {
+fn one_lease_request_is_in_flight_at_a_time() {
     let mut allowances = new();
-    assert_eq!(take(&mut allowances, 0, 10, 1), AdmissionOutcome::Queued);
-    let (id, draw) = sent(&mut allowances, 0);
-    assert_eq!((draw.amounts, draw.tenant.as_str()), (vec![10], "a"));
-    assert_eq!(take(&mut allowances, 1, 20, 2), AdmissionOutcome::Queued);
+    assert_eq!(admit(&mut allowances, 0, 10, 1), AdmissionOutcome::Queued);
+    let (id, request) = sent_lease_request(&mut allowances, 0);
+    assert_eq!((request.amounts, request.tenant.as_str()), (vec![10], "a"));
+    assert_eq!(admit(&mut allowances, 1, 20, 2), AdmissionOutcome::Queued);
     assert!(allowances.lease_requests(Time(1)).is_empty());
     let until = Time(validity());
     assert_eq!(
-        ends(&allowances.on_grant(Time(2), id, grant(1, 0, 0))),
+        outcomes(&allowances.on_grant(Time(2), id, grant(1, 0, 0))),
         [(1, AdmissionOutcome::Admitted(until))]
     );
     assert!(
         allowances.on_grant(Time(2), id, grant(1, 0, 0)).is_empty(),
         "an answer counts once"
     );
-    assert_eq!(sent(&mut allowances, 3).1.amounts, [20]);
+    assert_eq!(sent_lease_request(&mut allowances, 3).1.amounts, [20]);
 }
 
 #[test]
-fn what_is_denied_is_denied_at_once_for_a_moment() {
+fn denial_applies_to_further_requests_until_it_expires() {
     let mut allowances = new();
-    take(&mut allowances, 0, 10, 1);
-    take(&mut allowances, 0, 50, 2);
-    let (id, _) = sent(&mut allowances, 0);
-    let decided = allowances.on_grant(Time(1), id, grant(1, 0, 30_000));
-    assert_eq!(ends(&decided)[1], (2, AdmissionOutcome::OverQuota(30_000)));
+    admit(&mut allowances, 0, 10, 1);
+    admit(&mut allowances, 0, 50, 2);
+    let (id, _) = sent_lease_request(&mut allowances, 0);
+    let decisions = allowances.on_grant(Time(1), id, grant(1, 0, 30_000));
     assert_eq!(
-        take(&mut allowances, 2, 60, 3),
+        outcomes(&decisions)[1],
+        (2, AdmissionOutcome::OverQuota(30_000))
+    );
+    assert_eq!(
+        admit(&mut allowances, 2, 60, 3),
         AdmissionOutcome::OverQuota(30_000)
     );
-    assert_eq!(take(&mut allowances, 2, 40, 4), AdmissionOutcome::Queued);
+    assert_eq!(admit(&mut allowances, 2, 40, 4), AdmissionOutcome::Queued);
     assert_eq!(
-        take(&mut allowances, 30_001, 60, 5),
+        admit(&mut allowances, 30_001, 60, 5),
         AdmissionOutcome::Queued
     );
 }
 
 #[test]
-fn a_grant_is_valid_from_when_it_was_asked_for_and_no_longer() {
+fn grant_is_valid_from_its_request_until_it_expires() {
     let mut allowances = new();
-    take(&mut allowances, 0, 10, 1);
-    let (id, _) = sent(&mut allowances, 0);
+    admit(&mut allowances, 0, 10, 1);
+    let (id, _) = sent_lease_request(&mut allowances, 0);
     assert!(allowances
         .on_grant(Time(validity()), id, grant(1, 500, 0))
         .is_empty());
-    // It waits still, and is asked for anew.
-    let (id, _) = sent(&mut allowances, validity());
+    // It is still queued, and its lease is requested again.
+    let (id, _) = sent_lease_request(&mut allowances, validity());
     let granted = allowances.on_grant(Time(validity() + 1), id, grant(1, 500, 0));
     assert_eq!(
-        ends(&granted),
+        outcomes(&granted),
         [(1, AdmissionOutcome::Admitted(Time(2 * validity())))]
     );
     assert_eq!(
-        take(&mut allowances, validity() + 2, 400, 2),
+        admit(&mut allowances, validity() + 2, 400, 2),
         AdmissionOutcome::Admitted(Time(2 * validity()))
     );
     assert_eq!(
-        take(&mut allowances, 2 * validity(), 50, 3),
+        admit(&mut allowances, 2 * validity(), 50, 3),
         AdmissionOutcome::Queued,
         "what was ahead has lapsed"
     );
 }
 
 #[test]
-fn the_grant_of_who_has_left_serves_another() {
+fn grant_of_cancelled_request_is_used_by_another() {
     let mut allowances = new();
-    take(&mut allowances, 0, 10, 1);
-    take(&mut allowances, 0, 30, 2);
-    let (id, _) = sent(&mut allowances, 0);
+    admit(&mut allowances, 0, 10, 1);
+    admit(&mut allowances, 0, 30, 2);
+    let (id, _) = sent_lease_request(&mut allowances, 0);
     assert!(allowances.cancel(1) && !allowances.cancel(1) && !allowances.cancel(9));
     assert_eq!(allowances.queued_count(), 1);
-    let decided = allowances.on_grant(Time(5), id, grant(0b11, 0, 0));
+    let decisions = allowances.on_grant(Time(5), id, grant(0b11, 0, 0));
     assert_eq!(
-        ends(&decided),
+        outcomes(&decisions),
         [(2, AdmissionOutcome::Admitted(Time(validity())))]
     );
     assert_eq!(
-        take(&mut allowances, 6, 10, 3),
+        admit(&mut allowances, 6, 10, 3),
         AdmissionOutcome::Admitted(Time(validity()))
     );
-    assert_eq!(take(&mut allowances, 6, 1, 4), AdmissionOutcome::Queued);
+    assert_eq!(admit(&mut allowances, 6, 1, 4), AdmissionOutcome::Queued);
 }
 
 #[test]
-fn what_was_let_through_and_sent_to_nobody_serves_another_while_it_is_valid() {
+fn returned_tokens_are_used_by_another_request_until_they_expire() {
     let mut allowances = new();
-    take(&mut allowances, 0, 10, 1);
-    let (id, _) = sent(&mut allowances, 0);
+    admit(&mut allowances, 0, 10, 1);
+    let (id, _) = sent_lease_request(&mut allowances, 0);
     allowances.on_grant(Time(5), id, grant(1, 0, 0));
     allowances.return_unused("a", 10, Time(validity()));
     assert_eq!(
-        take(&mut allowances, 6, 10, 2),
+        admit(&mut allowances, 6, 10, 2),
         AdmissionOutcome::Admitted(Time(validity()))
     );
     allowances.return_unused("a", 10, Time(validity()));
     assert_eq!(
-        take(&mut allowances, validity(), 10, 3),
+        admit(&mut allowances, validity(), 10, 3),
         AdmissionOutcome::Queued
     );
 }
 
 #[test]
-fn who_waits_for_too_long_is_told_that_nobody_knows() {
+fn queued_request_is_unavailable_at_its_deadline() {
     let mut allowances = new();
     allowances.admit(Time(0), &tenants()[0], 10, 1, Time(50));
     allowances.admit(Time(0), &tenants()[0], 20, 2, Time(90));
-    let (id, _) = sent(&mut allowances, 0);
+    let (id, _) = sent_lease_request(&mut allowances, 0);
     assert_eq!(allowances.next_wake(), Some(Time(50)));
     assert_eq!(
-        ends(&allowances.expire(Time(50))),
+        outcomes(&allowances.expire(Time(50))),
         [(1, AdmissionOutcome::Unavailable(RETRY_AFTER_US))]
     );
-    // The grants still find their places.
-    let decided = allowances.on_grant(Time(60), id, grant(0b10, 0, 9));
+    // The bits of the grant still refer to the positions of the requests.
+    let decisions = allowances.on_grant(Time(60), id, grant(0b10, 0, 9));
     assert_eq!(
-        ends(&decided),
+        outcomes(&decisions),
         [(2, AdmissionOutcome::Admitted(Time(validity())))]
     );
     assert_eq!(allowances.queued_count(), 0);
 }
 
 #[test]
-fn another_connection_is_asked_anew() {
+fn lease_is_requested_again_after_link_is_lost() {
     let mut allowances = new();
-    take(&mut allowances, 0, 10, 1);
-    let (id, _) = sent(&mut allowances, 0);
+    admit(&mut allowances, 0, 10, 1);
+    let (id, _) = sent_lease_request(&mut allowances, 0);
     allowances.on_link_lost();
     assert!(allowances.on_grant(Time(1), id, grant(1, 0, 0)).is_empty());
-    let (again, draw) = sent(&mut allowances, 2);
-    assert!(again != id && draw.amounts == [10]);
+    let (again, request) = sent_lease_request(&mut allowances, 2);
+    assert!(again != id && request.amounts == [10]);
 }
 
 #[test]
-fn many_requests_are_drawn_for_ahead() {
+fn frequent_requests_prefetch_tokens() {
     let mut allowances = new();
-    for waiter in 0..3 {
-        take(&mut allowances, 0, 10, waiter);
+    for request in 0..3 {
+        admit(&mut allowances, 0, 10, request);
     }
-    let (id, draw) = sent(&mut allowances, 0);
-    assert_eq!((draw.amounts.len(), draw.prefetch_amount), (3, 0));
+    let (id, request) = sent_lease_request(&mut allowances, 0);
+    assert_eq!((request.amounts.len(), request.prefetch_amount), (3, 0));
     allowances.on_grant(Time(1), id, grant(0b111, 0, 0));
-    take(&mut allowances, 2, 10, 9);
-    assert_eq!(sent(&mut allowances, 2).1.prefetch_amount, 30);
+    admit(&mut allowances, 2, 10, 9);
+    assert_eq!(sent_lease_request(&mut allowances, 2).1.prefetch_amount, 30);
 }
 
 #[test]
-fn what_waits_and_what_is_remembered_is_bounded() {
+fn queue_and_idle_tenants_are_bounded() {
     let mut allowances = new();
-    for waiter in 0..tenant::MAX_QUEUED as u32 {
+    for request in 0..tenant::MAX_QUEUED as u32 {
         assert_eq!(
-            take(&mut allowances, 0, 10, waiter),
+            admit(&mut allowances, 0, 10, request),
             AdmissionOutcome::Queued
         );
     }
     assert_eq!(
-        take(&mut allowances, 0, 10, 9_999),
+        admit(&mut allowances, 0, 10, 9_999),
         AdmissionOutcome::Unavailable(RETRY_AFTER_US)
     );
-    assert_eq!(sent(&mut allowances, 0).1.amounts.len(), MAX_AMOUNTS);
+    assert_eq!(
+        sent_lease_request(&mut allowances, 0).1.amounts.len(),
+        MAX_AMOUNTS
+    );
     allowances.on_link_lost();
     allowances.expire(LATER);
     assert!(allowances.tenants.is_empty());
--- a/decide/quota/src/ownership/tests.rs
+++ b/decide/quota/src/ownership/tests.rs
@@ -12,7 +12,7 @@
     Time(seconds * SECOND)
 }
 
-/// A tenant whose first holder among these is this one.
+/// A tenant whose first owner among these is this one.
 fn tenant_of(first: u64, among: &[u64]) -> String {
     (0..)
         .map(|n| format!("t{n}"))
@@ -21,28 +21,30 @@
 }
 
 #[test]
-fn holders_are_few_and_the_same_everywhere() {
+fn owners_are_few_balanced_and_independent_of_voter_order() {
     let eight = voters(&[1, 2, 3, 4, 5, 6, 7, 8]);
-    let mut turned = eight.clone();
-    turned.rotate_left(3);
-    let mut firsts = std::collections::BTreeMap::new();
+    let mut rotated = eight.clone();
+    rotated.rotate_left(3);
+    let mut first_owners = std::collections::BTreeMap::new();
     for n in 0..800 {
         let tenant = format!("tenant-{n}");
         let owners = owners(&tenant, &eight);
         assert_eq!(owners.len(), MAX_OWNERS);
-        assert_eq!(owners, super::owners(&tenant, &turned));
-        *firsts.entry(owners[0]).or_insert(0) += 1;
+        assert_eq!(owners, super::owners(&tenant, &rotated));
+        *first_owners.entry(owners[0]).or_insert(0) += 1;
     }
     assert!(
-        firsts.values().all(|count| (60..=140).contains(count)),
-        "{firsts:?}"
+        first_owners
+            .values()
+            .all(|count| (60..=140).contains(count)),
+        "{first_owners:?}"
     );
     assert_eq!(owners("t", &eight[..2]).len(), 2);
     assert!(owners("t", &[]).is_empty());
 }
 
 #[test]
-fn the_loss_of_a_voter_moves_its_parts_alone() {
+fn loss_of_voter_moves_only_its_shards() {
     let (eight, seven) = (
         voters(&[1, 2, 3, 4, 5, 6, 7, 8]),
         voters(&[1, 2, 3, 4, 5, 6, 7]),
@@ -51,15 +53,15 @@
         let tenant = format!("tenant-{n}");
         let before: Vec<OwnerId> = owners(&tenant, &eight)
             .into_iter()
-            .filter(|h| *h != OwnerId(8))
+            .filter(|owner| *owner != OwnerId(8))
             .collect();
         let after = owners(&tenant, &seven);
-        assert!(before.iter().all(|holder| after.contains(holder)));
+        assert!(before.iter().all(|owner| after.contains(owner)));
     }
 }
 
 #[test]
-fn a_part_is_held_for_a_lease_after_the_last_contact() {
+fn shard_is_owned_for_a_lease_after_last_contact() {
     let tenant = tenant_of(1, &[1, 2, 3]);
     let mut ownership = ShardOwnership::new(OwnerId(1), voters(&[1, 2, 3]));
     assert_eq!(ownership.shard(seconds(1), &tenant), BucketShard::default());
@@ -78,17 +80,17 @@
 }
 
 #[test]
-fn a_new_part_is_taken_up_only_once_nobody_can_hold_it_any_more() {
-    // Voter 4 was no voter before: it waits. Voter 1 holds its part all the while.
+fn new_shard_is_taken_over_after_settling_time() {
+    // Voter 4 was no voter before: it waits. Voter 1 owns its shard throughout.
     let tenant = tenant_of(4, &[1, 2, 4]);
     let mut newcomer = ShardOwnership::new(OwnerId(4), Vec::new());
     newcomer.on_voters(seconds(10), &voters(&[1, 2, 4]));
     for now in 10..30 {
         newcomer.on_contact(seconds(now));
         newcomer.on_voters(seconds(now), &voters(&[1, 2, 4]));
-        let holds = newcomer.shard(seconds(now), &tenant).fraction > 0.0;
+        let is_owned = newcomer.shard(seconds(now), &tenant).fraction > 0.0;
         assert_eq!(
-            holds,
+            is_owned,
             seconds(now) >= seconds(10).plus(SETTLING_TIME_US),
             "{now}"
         );
@@ -96,7 +98,7 @@
 }
 
 #[test]
-fn a_process_that_starts_again_under_the_same_voters_waits_for_contact_alone() {
+fn restart_under_same_voters_needs_only_contact() {
     let mut ownership = ShardOwnership::new(OwnerId(1), voters(&[1, 2, 3]));
     ownership.on_voters(seconds(100), &voters(&[1, 2, 3]));
     ownership.on_contact(seconds(100));
@@ -104,15 +106,15 @@
 }
 
 #[test]
-fn shares_never_sum_to_more_than_one_while_voters_change() {
+fn fractions_never_sum_to_more_than_one_while_voters_change() {
     for seed in 0..60 {
         walk(seed, SETTLING_TIME_US);
     }
 }
 
-/// The check above is worth something: without the wait it fails.
+/// Without the settling time the walk of the test above fails.
 #[test]
-fn taking_a_part_up_at_once_would_be_found() {
+fn walk_finds_takeover_without_settling_time() {
     let found = (0..60).any(|seed| std::panic::catch_unwind(|| walk(seed, 0)).is_err());
     assert!(found);
 }
@@ -120,26 +122,26 @@
 /// A machine of the walk below.
 struct Machine {
     ownership: ShardOwnership,
-    cut_until: Micros,
+    partitioned_until: Micros,
     /// The change of voters that it knows last, and when it learns of the next one.
-    knows: usize,
-    learns_at: Micros,
+    known_change: usize,
+    next_learned_at: Micros,
 }
 
 impl Machine {
-    fn of(id: u64, known: &[u64], knows: usize) -> Machine {
+    fn of(id: u64, known: &[u64], known_change: usize) -> Machine {
         let ownership = ShardOwnership::new(OwnerId(id), voters(known));
         Machine {
             ownership,
-            cut_until: 0,
-            knows,
-            learns_at: 0,
+            partitioned_until: 0,
+            known_change,
+            next_learned_at: 0,
         }
     }
 }
 
-/// Voters change now and then; each machine learns of each change a little late, or not at all
-/// while it is cut off, when it is out of contact. `settling`: newcomers wait so long.
+/// Voters change now and then; each machine learns of each change with a delay, or not at all
+/// while it is partitioned and out of contact. `settling`: how long newcomers wait.
 fn walk(seed: u64, settling: Micros) {
     const STEP: Micros = 100_000;
     const LATEST: Micros = 1_400_000;
@@ -164,29 +166,30 @@
         }
         if random.u32(0..80) == 0 {
             let victim = random.usize(0..machines.len());
-            machines[victim].cut_until = now + random.u64(0..8 * SECOND);
+            machines[victim].partitioned_until = now + random.u64(0..8 * SECOND);
         }
         for machine in machines
             .iter_mut()
-            .filter(|machine| machine.cut_until <= now)
+            .filter(|machine| machine.partitioned_until <= now)
         {
-            let known = machine.knows;
-            while let Some((changed, _)) = changes.get(machine.knows + 1) {
-                machine.learns_at = machine.learns_at.max(changed + random.u64(0..LATEST));
-                // What is newer than this may not have come yet.
-                if machine.learns_at > now && now < changed + LATEST {
+            let known = machine.known_change;
+            while let Some((changed, _)) = changes.get(machine.known_change + 1) {
+                machine.next_learned_at =
+                    machine.next_learned_at.max(changed + random.u64(0..LATEST));
+                // A newer change may not have arrived yet.
+                if machine.next_learned_at > now && now < changed + LATEST {
                     break;
                 }
-                machine.knows += 1;
+                machine.known_change += 1;
             }
-            // Who was cut off learns of the last change alone.
-            if machine.knows > known {
-                let next = voters(&changes[machine.knows].1);
+            // A machine that was partitioned learns of the last change alone.
+            if machine.known_change > known {
+                let next = voters(&changes[machine.known_change].1);
                 machine
                     .ownership
                     .on_voters(Time(now.saturating_sub(skipped)), &next);
             }
-            if changes[machine.knows]
+            if changes[machine.known_change]
                 .1
                 .contains(&machine.ownership.own_id.0)
             {
@@ -197,15 +200,15 @@
             let shares = machines
                 .iter()
                 .map(|machine| machine.ownership.shard(Time(now), tenant));
-            let (sum, firsts) = shares.fold((0.0, 0), |(sum, firsts), shard| {
+            let (sum, first_owners) = shares.fold((0.0, 0), |(sum, first_owners), shard| {
                 (
                     sum + shard.fraction,
-                    firsts + usize::from(shard.may_go_into_debt),
+                    first_owners + usize::from(shard.may_go_into_debt),
                 )
             });
             assert!(
-                sum <= 1.0 + 1e-9 && firsts <= 1,
-                "seed {seed}, step {step}, {tenant}: {sum}, {firsts}"
+                sum <= 1.0 + 1e-9 && first_owners <= 1,
+                "seed {seed}, step {step}, {tenant}: {sum}, {first_owners}"
             );
         }
     }
--- a/decide/quota/src/tenant_quota/tests.rs
+++ b/decide/quota/src/tenant_quota/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `figures`.
+//! Tests of `tenant_quota`.
 
 use super::*;
 
@@ -10,7 +10,7 @@
     }
 }
 
-fn terms(window_s: f64, overage: f64, slack: f64) -> QuotaBounds {
+fn bounds(window_s: f64, overage: f64, slack: f64) -> QuotaBounds {
     QuotaBounds {
         window: Duration::from_secs_f64(window_s),
         overage,
@@ -19,13 +19,13 @@
 }
 
 /// What the rule allows in a window.
-fn allowed(quota: &Quota, terms: &QuotaBounds) -> f64 {
-    (quota.rate_per_s * terms.window.as_secs_f64() + quota.burst) * (1.0 + terms.overage)
-        + terms.slack
+fn allowed(quota: &Quota, bounds: &QuotaBounds) -> f64 {
+    (quota.rate_per_s * bounds.window.as_secs_f64() + quota.burst) * (1.0 + bounds.overage)
+        + bounds.slack
 }
 
 #[test]
-fn what_is_let_through_in_a_window_stays_within_the_rule_whatever_its_figures() {
+fn most_in_a_window_stays_within_the_rule_for_any_quota() {
     let seed = 0x5eed_0101;
     let mut random = fastrand::Rng::with_seed(seed);
     for case in 0..20_000 {
@@ -35,25 +35,25 @@
             rate * random.f64() * [0.0, 0.1, 1.0, 20.0][random.usize(0..4)],
         );
         let slack = [0.0, 10.0, 140_000.0, 1e9][random.usize(0..4)];
-        let terms = terms(
+        let bounds = bounds(
             1.0 + random.f64() * 30.0,
             [0.0, 0.1, 0.5][random.usize(0..3)],
             slack,
         );
-        let figures = TenantQuota::of(&quota, &terms);
+        let tenant_quota = TenantQuota::of(&quota, &bounds);
         let (most, allowed) = (
-            figures.most_in(terms.window.as_secs_f64()),
-            allowed(&quota, &terms),
+            tenant_quota.most_in(bounds.window.as_secs_f64()),
+            allowed(&quota, &bounds),
         );
         assert!(
             most <= allowed,
-            "seed {seed:x}, case {case}: {quota:?} {terms:?}: {most} of {allowed}"
+            "seed {seed:x}, case {case}: {quota:?} {bounds:?}: {most} of {allowed}"
         );
     }
 }
 
 #[test]
-fn nine_tenths_of_a_rate_and_more_are_usable() {
+fn at_least_nine_tenths_of_the_rate_are_usable() {
     for (rate, burst) in [
         (731_839.0, 731_839.0),
         (36_000.0, 36_000.0),
@@ -61,35 +61,37 @@
         (5.0, 50.0),
     ] {
         for (overage, slack) in [(0.1, 140_000.0), (0.1, 0.0), (0.0, 0.0)] {
-            let figures = TenantQuota::of(&quota(rate, burst), &terms(8.0, overage, slack));
+            let tenant_quota = TenantQuota::of(&quota(rate, burst), &bounds(8.0, overage, slack));
             let least = if overage > 0.0 { 0.96 } else { 0.9 };
             assert!(
-                figures.refill_per_s >= least * rate,
-                "{rate} {burst} {overage} {slack}: {figures:?}"
+                tenant_quota.refill_per_s >= least * rate,
+                "{rate} {burst} {overage} {slack}: {tenant_quota:?}"
             );
             assert!(
-                figures.depth + figures.max_debt >= 0.06 * rate * 8.0,
-                "{figures:?}"
+                tenant_quota.depth + tenant_quota.max_debt >= 0.06 * rate * 8.0,
+                "{tenant_quota:?}"
             );
         }
     }
 }
 
 #[test]
-fn a_request_fits_however_few_are_allowed() {
+fn one_request_fits_at_the_lowest_rate() {
     let few = Quota {
         unit: QuotaUnit::Requests,
         ..quota(0.5, 0.0)
     };
-    let figures = TenantQuota::of(&few, &terms(8.0, 0.1, 0.0));
+    let tenant_quota = TenantQuota::of(&few, &bounds(8.0, 0.1, 0.0));
     assert!(
-        figures.max_debt >= 1.0 && figures.refill_per_s > 0.3 && figures.most_in(8.0) <= 4.4,
-        "{figures:?}"
+        tenant_quota.max_debt >= 1.0
+            && tenant_quota.refill_per_s > 0.3
+            && tenant_quota.most_in(8.0) <= 4.4,
+        "{tenant_quota:?}"
     );
 }
 
 #[test]
-fn a_slack_of_another_unit_makes_no_quota_endless() {
-    let figures = TenantQuota::of(&quota(5.0, 5.0), &terms(8.0, 0.1, 140_000.0));
-    assert!(figures.most_in(8.0) <= 100.0, "{figures:?}");
+fn slack_above_the_limit_counts_as_the_limit() {
+    let tenant_quota = TenantQuota::of(&quota(5.0, 5.0), &bounds(8.0, 0.1, 140_000.0));
+    assert!(tenant_quota.most_in(8.0) <= 100.0, "{tenant_quota:?}");
 }
--- a/wire/messages/tests/wire_format.rs
+++ b/wire/messages/tests/wire_format.rs
@@ -132,11 +132,11 @@
             router_count: 3,
         })
     };
-    let servers = |whole| {
+    let servers = |is_complete| {
         to_router(ControlToRouter::Servers {
             push: 43,
             records: servers(),
-            is_complete: whole,
+            is_complete,
         })
     };
     vec![
@@ -167,10 +167,10 @@
 
 fn relayed_calls() -> Vec<(&'static str, WireMessage)> {
     let call = |call| peer(PeerMessage::Call { id: 51, call });
-    let answer = |answer| {
+    let response_to_call = |response_to_call| {
         peer(PeerMessage::CallResponse {
             id: 51,
-            response: answer,
+            response: response_to_call,
         })
     };
     vec![
@@ -186,13 +186,19 @@
         ("call_for_status", call(RelayedCall::Status)),
         (
             "response_to_call",
-            answer(RelayedResponse::Response {
+            response_to_call(RelayedResponse::Response {
                 status: 412,
                 body: b"{}".to_vec(),
             }),
         ),
-        ("response_not_primary", answer(RelayedResponse::NotPrimary)),
-        ("response_unknown", answer(RelayedResponse::Unknown)),
+        (
+            "response_not_primary",
+            response_to_call(RelayedResponse::NotPrimary),
+        ),
+        (
+            "response_unknown",
+            response_to_call(RelayedResponse::Unknown),
+        ),
     ]
 }
 
@@ -207,11 +213,11 @@
             known_peers: names(&["10.0.0.2:7000", "10.0.0.3:7000"]),
         })
     };
-    let servers = |whole| {
+    let servers = |is_complete| {
         peer(PeerMessage::Servers {
             ack: 61,
             records: servers(),
-            is_complete: whole,
+            is_complete,
         })
     };
     let contact = |in_contact, primary: Option<&str>| {
@@ -327,9 +333,9 @@
             tokens: 0,
         },
     ];
-    let report = |whole, servers| {
+    let report = |is_complete, servers| {
         WireMessage::Backlog(BacklogReport {
-            is_complete: whole,
+            is_complete,
             servers,
         })
     };
