--- a/fleet/src/router/admission.rs
+++ b/fleet/src/router/admission.rs
@@ -1,5 +1,5 @@
-//! What a request was found to be before it enters the request table: route terms, service, sender and
-//! deadline, and what it counts as in its tenant's quota.
+//! A request between its reading and the request table: its route's terms, service, sender and
+//! deadline, and how much of its tenant's quota it uses.
 
 use super::client_request::{ClientRequest, TokenUsage};
 use super::configuration::RouteTerms;
@@ -10,18 +10,18 @@
 use lichenswitch_interface::Time;
 use std::rc::Rc;
 
-/// What a request was found to be before its quota is looked at.
+/// How a request is to be served, as resolved before its quota is checked.
 #[derive(Debug)]
 pub(crate) struct Admission {
-    /// What its route says, with the rank of its tenant.
+    /// The terms of its route, with the rank of its tenant.
     pub terms: RouteTerms,
-    /// The service that was drawn for it.
+    /// The service that was chosen for it.
     pub service: ServiceId,
-    /// Version of the configuration that says so.
+    /// Version of the configuration that was used.
     pub configuration_version: u64,
-    /// Who sent it, where it bears a key that a tenant holds.
+    /// Its sender, where it bears the key of a tenant.
     pub sender: Option<Rc<Sender>>,
-    /// When its time is over.
+    /// When its time is over: the client's deadline or the route's timeout, whichever is earlier.
     pub deadline: Time,
 }
 
@@ -30,11 +30,14 @@
 pub(crate) struct QuotaWaiter {
     /// The request.
     pub request: ClientRequest,
-    /// What it was found to be.
+    /// How it is to be served.
     pub admission: Admission,
 }
 
-/// What a request counts as in its tenant's quota.
+/// How much of its tenant's quota a request uses, in the quota's unit (requests or tokens).
+///
+/// # Errors
+/// Its `Token-Usage` can't be parsed, and the quota counts tokens.
 pub(crate) fn quota_demand(
     tenant: &Tenant,
     request: &ClientRequest,
--- a/fleet/src/router/backlog_reports/tests.rs
+++ b/fleet/src/router/backlog_reports/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn told(changes: Vec<ServerBacklog>) -> Vec<(u32, u32)> {
+fn pairs(changes: Vec<ServerBacklog>) -> Vec<(u32, u32)> {
     changes
         .into_iter()
         .map(|of| (of.server, of.tokens))
@@ -10,20 +10,23 @@
 #[test]
 fn only_what_has_changed_is_told_and_what_is_gone_as_nothing() {
     let mut reports = BacklogReports::default();
-    let held = |servers: &[(u32, u32)]| {
+    let backlogs = |servers: &[(u32, u32)]| {
         servers
             .iter()
             .map(|(s, tokens)| (ServerId(*s), *tokens))
             .collect()
     };
     assert_eq!(
-        told(reports.changes(held(&[(1, 10), (2, 20)]))),
+        pairs(reports.take_changes(backlogs(&[(1, 10), (2, 20)]))),
         [(1, 10), (2, 20)]
     );
-    assert_eq!(told(reports.changes(held(&[(1, 10), (2, 20)]))), []);
     assert_eq!(
-        told(reports.changes(held(&[(2, 25), (3, 5)]))),
+        pairs(reports.take_changes(backlogs(&[(1, 10), (2, 20)]))),
+        []
+    );
+    assert_eq!(
+        pairs(reports.take_changes(backlogs(&[(2, 25), (3, 5)]))),
         [(1, 0), (2, 25), (3, 5)]
     );
-    assert_eq!(told(reports.changes(held(&[]))), [(2, 0), (3, 0)]);
+    assert_eq!(pairs(reports.take_changes(backlogs(&[]))), [(2, 0), (3, 0)]);
 }
--- a/fleet/src/router/client_connections/connection.rs
+++ b/fleet/src/router/client_connections/connection.rs
@@ -5,43 +5,45 @@
 use lichenswitch_interface::Time;
 use lichenswitch_net::ConnId;
 
-/// What a client has done.
+/// What a client has done. Every event names its connection.
 #[derive(Debug)]
 pub(crate) enum ClientEvent {
-    /// It has sent a whole request.
+    /// It has sent a complete request.
     RequestReceived(ConnId, Box<ClientRequest>),
-    /// It has left, or can't be written to, while its request was not answered.
+    /// It has disconnected, or can't be written to, before its request was answered.
     Disconnected(ConnId),
-    /// It has taken all that was written so far of an answer which goes on.
+    /// It has taken all that was written so far of a response that continues.
     OutputDrained(ConnId),
 }
 
+/// What a connection is in the middle of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionPhase {
-    /// Between requests, or in the midst of one that is still arriving.
+    /// Idle between requests, or receiving one.
     Reading,
-    /// Its request is held.
+    /// Its request is complete, and has no response yet.
     AwaitingResponse,
-    /// An answer is being passed on; whether in chunks.
+    /// A response is being forwarded, with a content length or in chunks.
     Responding { is_chunked: bool },
-    /// The last answer is being written.
+    /// The last response is being written.
     Closing,
-    /// The last answer is written: reads on to the client's end, so that the answer is not lost to
-    /// a reset.
+    /// The last response is written: input is read and dropped up to the client's end, since a close
+    /// with unread bytes would reset the connection and could lose the response.
     Lingering,
 }
 
+/// One connection of a client.
 pub(crate) struct ClientConnection {
     pub(crate) phase: ConnectionPhase,
     pub(crate) reader: RequestReader,
-    /// When the state began; of a request that is arriving, when its first byte came.
+    /// When the phase began; while a request is received, when its first byte came.
     pub(crate) phase_started_at: Time,
-    /// A request is arriving.
+    /// A request has begun and is not complete.
     pub(crate) is_receiving: bool,
-    /// The connection ends with the answer that is due.
+    /// The connection ends with the pending response.
     pub(crate) closes_after_response: bool,
-    /// The request that waits is answered without a body.
+    /// The pending response has no body.
     pub(crate) is_head_request: bool,
-    /// A timer is set that fires then at the latest.
+    /// The earliest timer that is set for it.
     pub(crate) timer_at: Option<Time>,
 }
--- a/fleet/src/router/client_connections/reading.rs
+++ b/fleet/src/router/client_connections/reading.rs
@@ -2,29 +2,30 @@
 
 use super::connection::{ClientEvent, ConnectionPhase};
 use super::table::ClientConnections;
+use crate::router::client_request::ClientRequest;
 use crate::router::local_response::LocalResponse;
 use crate::router::reactor::Net;
 use crate::router::request_reader::{RequestProgress, RequestReader};
 use lichenswitch_net::{ConnId, TransferProgress};
 
-/// Most bytes read ahead of a client at a time: a body goes on into its request as it comes.
+/// Bytes read ahead of a client at a time: a body moves into its request as it comes.
 const READ_AHEAD_BYTES: usize = 64 * 1_024;
 
-/// Most bytes kept of what a client sends while its request waits. Behind more than that its end
-/// could not be seen.
+/// Bytes kept of what a client sends while its request waits. The end of the connection could not be
+/// seen behind more than that.
 pub(crate) const MAX_INPUT_WHILE_WAITING_BYTES: usize = 32 * 1_024;
 
 impl ClientConnections {
-    /// Reads and writes what a connection is ready for.
+    /// Handles a connection that can be read or written.
     pub(crate) fn on_ready(&mut self, net: &mut Net, id: ConnId, events: &mut Vec<ClientEvent>) {
-        let Some(state) = self.connections.get(&id).map(|connection| connection.phase) else {
+        let Some(phase) = self.connections.get(&id).map(|connection| connection.phase) else {
             return net.close(id);
         };
         let progress = net.transfer(id, READ_AHEAD_BYTES);
         if progress != TransferProgress::Alive || net.get(id).is_none_or(|conn| conn.ended) {
             return self.disconnect(net, id, events);
         }
-        match state {
+        match phase {
             ConnectionPhase::Reading => self.read_request(net, id, events),
             ConnectionPhase::AwaitingResponse => self.limit_input_while_waiting(net, id),
             ConnectionPhase::Responding { .. } => {
@@ -38,7 +39,7 @@
         }
     }
 
-    /// A connection's timer: its time may be over.
+    /// Handles a connection's timer: its deadline may have passed.
     pub(crate) fn on_timer(&mut self, net: &mut Net, id: ConnId, events: &mut Vec<ClientEvent>) {
         let now = net.clock.now();
         let Some(connection) = self.connections.get_mut(&id) else {
@@ -50,7 +51,7 @@
         let Some(due) = self.deadline(net, id).filter(|due| *due <= now) else {
             return self.arm_timer(net, id);
         };
-        debug_assert!(due <= now, "only what is due ends");
+        debug_assert!(due <= now, "only expired connections end");
         match self
             .connections
             .get(&id)
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Reads a request, if it is whole; the next one is read once this one is answered.
+    /// Reads on in a request, if one has begun. The next one is read once this one is answered.
     pub(super) fn read_request(
         &mut self,
         net: &mut Net,
@@ -85,10 +86,10 @@
             (connection.is_receiving, connection.phase_started_at) = (true, now);
             connection.reader = RequestReader::new(&self.limits);
         }
-        let held = connection.reader.buffered_body_bytes();
+        let buffered_before = connection.reader.buffered_body_bytes();
         let progress = connection.reader.read(&mut conn.input);
         self.incomplete_bytes =
-            self.incomplete_bytes + connection.reader.buffered_body_bytes() - held;
+            self.incomplete_bytes + connection.reader.buffered_body_bytes() - buffered_before;
         match progress {
             Ok(RequestProgress::Incomplete { expects_continue }) => {
                 if self.incomplete_bytes > self.max_incomplete_bytes {
@@ -102,27 +103,14 @@
                 if expects_continue {
                     conn.send(b"HTTP/1.1 100 Continue\r\n\r\n");
                 }
-                // Reading rests where the ceiling was reached, and goes on now that there is room.
+                // Reading is paused at the read-ahead bound, and resumes now that there is room.
                 if net.flush(id, false) != TransferProgress::Alive {
                     return self.disconnect(net, id, events);
                 }
                 self.arm_timer(net, id);
             }
             Ok(RequestProgress::Complete(request)) => {
-                self.incomplete_bytes -= connection.reader.buffered_body_bytes();
-                connection.reader = RequestReader::new(&self.limits);
-                (
-                    connection.is_receiving,
-                    connection.phase,
-                    connection.phase_started_at,
-                ) = (false, ConnectionPhase::AwaitingResponse, now);
-                connection.closes_after_response |= !request.keep_alive;
-                connection.is_head_request = request.is_head();
-                if net.flush(id, false) != TransferProgress::Alive {
-                    return self.close(net, id);
-                }
-                events.push(ClientEvent::RequestReceived(id, request));
-                self.limit_input_while_waiting(net, id);
+                self.on_request_complete(net, id, request, events)
             }
             Err(malformed) => {
                 self.respond_locally(net, id, &LocalResponse::closing(malformed.0), events);
@@ -130,9 +118,35 @@
         }
     }
 
-    /// What a client sends while it waits is kept for later, but not much of it: its end lies
-    /// behind what it sent, so beyond that it is dropped, and the connection ends with the answer
-    /// that is due.
+    /// A request is complete: its connection waits for the response.
+    fn on_request_complete(
+        &mut self,
+        net: &mut Net,
+        id: ConnId,
+        request: Box<ClientRequest>,
+        events: &mut Vec<ClientEvent>,
+    ) {
+        let now = net.clock.now();
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return;
+        };
+        self.incomplete_bytes -= connection.reader.buffered_body_bytes();
+        connection.reader = RequestReader::new(&self.limits);
+        connection.is_receiving = false;
+        connection.phase = ConnectionPhase::AwaitingResponse;
+        connection.phase_started_at = now;
+        connection.closes_after_response |= !request.keep_alive;
+        connection.is_head_request = request.is_head();
+        if net.flush(id, false) != TransferProgress::Alive {
+            return self.close(net, id);
+        }
+        events.push(ClientEvent::RequestReceived(id, request));
+        self.limit_input_while_waiting(net, id);
+    }
+
+    /// Bounds what is kept of a client's input while its request waits: beyond the bound it is
+    /// dropped, so that the end of the connection is seen, and the connection closes with the pending
+    /// response.
     pub(super) fn limit_input_while_waiting(&mut self, net: &mut Net, id: ConnId) {
         let (Some(connection), Some(conn)) = (self.connections.get_mut(&id), net.get_mut(id))
         else {
@@ -143,13 +157,13 @@
         {
             connection.closes_after_response = true;
             conn.input.consume(conn.input.bytes().len());
-            // A connection that is broken is told of by the poller.
+            // The poller reports a broken connection.
             net.flush(id, false);
         }
     }
 
-    /// Ends this side of a connection. Guards the answers before it, and a request that crosses the
-    /// end: with bytes unread a close would reset the connection.
+    /// Ends this side of a connection. A close with unread bytes (a request that crosses the end)
+    /// would reset the connection, and could lose the responses before it.
     pub(super) fn half_close(&mut self, net: &mut Net, id: ConnId) {
         let now = net.clock.now();
         let (Some(connection), Some(conn)) = (self.connections.get_mut(&id), net.get_mut(id))
@@ -162,6 +176,7 @@
         self.arm_timer(net, id);
     }
 
+    /// Drops what has come.
     pub(super) fn discard_input(&mut self, net: &mut Net, id: ConnId) {
         if let Some(conn) = net.get_mut(id) {
             conn.input.consume(conn.input.bytes().len());
--- a/fleet/src/router/client_connections/table.rs
+++ b/fleet/src/router/client_connections/table.rs
@@ -8,29 +8,30 @@
 use lichenswitch_net::ConnId;
 use std::collections::HashMap;
 
-/// Clients take up connections that have rested for up to four fifths of the idle time-out; this is
-/// kept beyond all of it, since their clocks begin later (microseconds).
+/// Clients reuse connections that were idle for up to four fifths of the idle timeout. Connections are
+/// kept this long beyond the whole timeout, since the clients' clocks start later (microseconds).
 pub(crate) const IDLE_TIMEOUT_MARGIN_US: Micros = 1_000_000;
 
-/// How long a client may take to end its side once its last answer is written (microseconds).
+/// How long a client may take to end its side once its last response is written (microseconds).
 pub(crate) const LINGER_TIMEOUT_US: Micros = 1_000_000;
 
-/// A client that takes nothing of an answer for so long has gone (microseconds).
+/// A client that takes nothing of a response for this long is disconnected (microseconds).
 pub(crate) const CLIENT_STALL_TIMEOUT_US: Micros = 10_000_000;
 
-/// The connections of clients.
+/// The connections of clients, by id.
 pub(crate) struct ClientConnections {
     pub(crate) connections: HashMap<ConnId, ClientConnection>,
     pub(crate) limits: Limits,
-    /// Bytes held of requests that are arriving, and the most of them.
+    /// Bytes buffered of incomplete requests.
     pub(crate) incomplete_bytes: usize,
+    /// Upper bound on them.
     pub(crate) max_incomplete_bytes: usize,
-    /// From now on connections are closed after their answer.
+    /// The process shuts down: connections are closed after their response.
     pub(crate) is_stopping: bool,
 }
 
 impl ClientConnections {
-    /// No connections yet; so many bytes are held of requests that are arriving.
+    /// An empty table that buffers at most this many bytes of incomplete requests.
     #[must_use]
     pub(crate) fn new(max_incomplete_bytes: usize) -> ClientConnections {
         let limits = Limits::default();
@@ -43,12 +44,12 @@
         }
     }
 
-    /// From now on these limits hold; of a request that is arriving, those from its beginning.
+    /// Sets the limits for requests that begin from now on.
     pub(crate) fn set_limits(&mut self, limits: Limits) {
         self.limits = limits;
     }
 
-    /// From now on connections are closed after their answer.
+    /// From now on connections are closed after their response.
     pub(crate) fn begin_shutdown(&mut self) {
         self.is_stopping = true;
     }
@@ -59,7 +60,7 @@
         self.connections.len()
     }
 
-    /// How many clients wait for an answer, or for the rest of one.
+    /// How many clients wait for a response, or for the rest of one.
     #[must_use]
     pub(crate) fn waiting_count(&self) -> usize {
         let waits = |connection: &&ClientConnection| {
@@ -71,7 +72,7 @@
         self.connections.values().filter(waits).count()
     }
 
-    /// Accepts all that wait.
+    /// Accepts all pending connections.
     pub(crate) fn accept(&mut self, net: &mut Net) {
         for id in net.accept(SocketOwner::Client) {
             let phase_started_at = net.clock.now();
@@ -89,28 +90,28 @@
         }
     }
 
-    /// Ends connections that rest, an eighth of all, those that have rested for longest first.
-    /// Guards clients that wait to be accepted.
+    /// Closes up to an eighth of all connections, the longest idle first, to make room for clients
+    /// that wait to be accepted.
     pub(crate) fn close_idle_connections(&mut self, net: &mut Net) {
-        let rests = |id: &ConnId, connection: &ClientConnection| {
-            let quiet = net
+        let is_idle = |id: &ConnId, connection: &ClientConnection| {
+            let has_no_bytes = net
                 .get(*id)
                 .is_some_and(|conn| conn.input.is_empty() && conn.flushed());
-            connection.phase == ConnectionPhase::Reading && !connection.is_receiving && quiet
+            connection.phase == ConnectionPhase::Reading && !connection.is_receiving && has_no_bytes
         };
-        let mut resting: Vec<(Time, ConnId)> = self
+        let mut idle: Vec<(Time, ConnId)> = self
             .connections
             .iter()
-            .filter(|(id, s)| rests(id, s))
-            .map(|(id, s)| (s.phase_started_at, *id))
+            .filter(|(id, connection)| is_idle(id, connection))
+            .map(|(id, connection)| (connection.phase_started_at, *id))
             .collect();
-        resting.sort_unstable();
-        for (_, id) in resting.into_iter().take(self.connections.len().div_ceil(8)) {
+        idle.sort_unstable();
+        for (_, id) in idle.into_iter().take(self.connections.len().div_ceil(8)) {
             self.close(net, id);
         }
     }
 
-    /// Connections on which something is still to be read, answered or written.
+    /// How many connections have something left to be read, answered or written.
     #[must_use]
     pub(crate) fn busy_count(&self, net: &Net) -> usize {
         let unwritten = |id: &ConnId| net.get(*id).is_some_and(|conn| !conn.flushed());
@@ -126,7 +127,7 @@
             .count()
     }
 
-    /// Closes a client's connection.
+    /// Closes a connection and forgets what was buffered on it.
     pub(super) fn close(&mut self, net: &mut Net, id: ConnId) {
         if let Some(connection) = self.connections.remove(&id) {
             self.incomplete_bytes -= connection.reader.buffered_body_bytes();
@@ -134,6 +135,7 @@
         net.close(id);
     }
 
+    /// Closes a connection that has failed or ended; reports it if a response was pending.
     pub(super) fn disconnect(&mut self, net: &mut Net, id: ConnId, events: &mut Vec<ClientEvent>) {
         if matches!(
             self.connections.get(&id).map(|connection| connection.phase),
@@ -144,7 +146,7 @@
         self.close(net, id);
     }
 
-    /// When the time of a connection is over, as it stands.
+    /// When a connection times out, as it stands.
     pub(super) fn deadline(&self, net: &Net, id: ConnId) -> Option<Time> {
         let (connection, conn) = (self.connections.get(&id)?, net.get(id)?);
         let idle = self.limits.idle_timeout_ms.saturating_mul(1_000);
@@ -163,7 +165,7 @@
                 .phase_started_at
                 .plus(idle)
                 .plus(IDLE_TIMEOUT_MARGIN_US),
-            // Its own end is the request's.
+            // The request's own deadline ends it.
             ConnectionPhase::AwaitingResponse => return None,
             ConnectionPhase::Responding { .. } if conn.flushed() => return None,
             ConnectionPhase::Responding { .. } | ConnectionPhase::Closing => {
@@ -173,7 +175,7 @@
         })
     }
 
-    /// Sets a connection's timer, where none is set that fires before its time is over.
+    /// Sets a connection's timer, unless one is set that fires before its deadline.
     pub(super) fn arm_timer(&mut self, net: &mut Net, id: ConnId) {
         let Some(due) = self.deadline(net, id) else {
             return;
--- a/fleet/src/router/client_connections/writing.rs
+++ b/fleet/src/router/client_connections/writing.rs
@@ -9,24 +9,24 @@
 use lichenswitch_net::{ConnId, TransferProgress};
 
 impl ClientConnections {
-    /// Gives a client an answer of this program, whole.
+    /// Sends a response of this program.
     pub(crate) fn respond_locally(
         &mut self,
         net: &mut Net,
         id: ConnId,
-        answer: &LocalResponse,
+        response: &LocalResponse,
         events: &mut Vec<ClientEvent>,
     ) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        connection.closes_after_response |= answer.closes_connection || self.is_stopping;
-        let (last, head_only) = (connection.closes_after_response, connection.is_head_request);
-        self.write(net, id, &answer.encode(last, head_only));
+        connection.closes_after_response |= response.closes_connection || self.is_stopping;
+        let (closes, is_head) = (connection.closes_after_response, connection.is_head_request);
+        self.write(net, id, &response.encode(closes, is_head));
         self.on_response_written(net, id, events);
     }
 
-    /// Gives a client a server's answer, whole: its head without the end, and its body.
+    /// Sends a complete response of a server: its head without the empty line, and its body.
     pub(crate) fn respond_complete(
         &mut self,
         net: &mut Net,
@@ -51,7 +51,7 @@
         self.on_response_written(net, id, events);
     }
 
-    /// Begins a server's answer that is passed on as it comes: with this length, or in chunks.
+    /// Begins a response that is forwarded as it arrives: with this content length, or in chunks.
     pub(crate) fn begin_response(
         &mut self,
         net: &mut Net,
@@ -78,8 +78,8 @@
         self.write(net, id, &bytes);
     }
 
-    /// Passes a piece of a body on; it leaves with [`ClientConnections::flush`].
-    pub(crate) fn write_chunk(&mut self, net: &mut Net, id: ConnId, piece: &[u8]) {
+    /// Queues a chunk of a body; [`ClientConnections::flush`] writes it.
+    pub(crate) fn write_chunk(&mut self, net: &mut Net, id: ConnId, body: &[u8]) {
         let Some(ConnectionPhase::Responding { is_chunked }) =
             self.connections.get(&id).map(|connection| connection.phase)
         else {
@@ -88,15 +88,15 @@
         let Some(conn) = net.get_mut(id) else { return };
         match is_chunked {
             true => {
-                let mut chunk = Vec::with_capacity(piece.len() + 16);
-                encode_chunk(piece, &mut chunk);
+                let mut chunk = Vec::with_capacity(body.len() + 16);
+                encode_chunk(body, &mut chunk);
                 conn.send(&chunk);
             }
-            false => _ = conn.send(piece),
+            false => _ = conn.send(body),
         }
     }
 
-    /// Writes what has been passed on; tells how many bytes the client has still to take.
+    /// Writes what is queued; returns how many bytes are left to be written.
     pub(crate) fn flush(
         &mut self,
         net: &mut Net,
@@ -114,7 +114,7 @@
         usize::try_from(unwritten).unwrap_or(usize::MAX)
     }
 
-    /// Ends a body that is complete.
+    /// Ends a response whose body is complete.
     pub(crate) fn end_response(
         &mut self,
         net: &mut Net,
@@ -132,13 +132,13 @@
         self.on_response_written(net, id, events);
     }
 
-    /// Ends an answer that is not complete: the client sees that it was cut off.
+    /// Ends a response that is not complete: the client sees the connection close in the middle.
     pub(crate) fn abort(&mut self, net: &mut Net, id: ConnId) {
         self.close(net, id);
     }
 
-    /// The same behind what was passed on, all of which still reaches the client: it can ask for
-    /// the rest of a stream elsewhere.
+    /// The same once all that was queued is written, so that the client can ask for the rest of a
+    /// stream elsewhere.
     pub(crate) fn abort_after_flush(&mut self, net: &mut Net, id: ConnId) {
         let now = net.clock.now();
         let Some(connection) = self.connections.get_mut(&id) else {
@@ -157,11 +157,11 @@
         if let Some(conn) = net.get_mut(id) {
             conn.send(bytes);
         }
-        // A connection that is broken is told of by the poller: nothing is to be saved of it here.
+        // The poller reports a broken connection: nothing of it can be saved here.
         net.flush(id, false);
     }
 
-    /// The answer has been written or queued: reads on, or ends the connection.
+    /// A response is written or queued: reads the next request, or ends the connection.
     pub(super) fn on_response_written(
         &mut self,
         net: &mut Net,
@@ -185,6 +185,7 @@
         self.arm_timer(net, id);
     }
 
+    /// Ends a connection once its last response is written.
     pub(super) fn close_if_flushed(&mut self, net: &mut Net, id: ConnId) {
         match net.get(id).map(|conn| conn.flushed()) {
             Some(true) => self.half_close(net, id),
@@ -194,8 +195,9 @@
     }
 }
 
+/// Writes the end of a head; `last`: the connection closes after this response.
 pub(crate) fn end_head(bytes: &mut Vec<u8>, last: bool) {
-    // A connection is kept unless something else is said.
+    // HTTP/1.1 keeps a connection unless told otherwise.
     if last {
         bytes.extend_from_slice(b"connection: close\r\n");
     }
--- a/fleet/src/router/client_request.rs
+++ b/fleet/src/router/client_request.rs
@@ -92,7 +92,7 @@
         let _ = write!(to, "Target-Instance: {}\r\n", send.target_instance);
         let _ = write!(to, "Priority: {}\r\n", send.priority);
         if let Some(sender) = send.sender {
-            let _ = write!(to, "Tenant: {}\r\n", sender.header);
+            let _ = write!(to, "Tenant: {}\r\n", sender.header_value);
         }
         if let Some(id) = send.resume_after.or(self.last_event_id.as_deref()) {
             to.extend_from_slice(b"Last-Event-Id: ");
--- a/fleet/src/router/configuration.rs
+++ b/fleet/src/router/configuration.rs
@@ -17,11 +17,11 @@
     /// Name of the route.
     pub route: Arc<str>,
     /// A request may run more than once: a safe one, or a stream that may be resumed.
-    pub idempotent: bool,
+    pub is_idempotent: bool,
     /// Answers are streams of events.
-    pub streaming: bool,
+    pub is_streaming: bool,
     /// A stream that was cut may go on at another server.
-    pub resumable: bool,
+    pub is_resumable: bool,
     /// The longest that a request is held.
     pub timeout: Micros,
     /// Within which an answer earns its full worth.
@@ -37,9 +37,9 @@
         let streaming = route.kind == RouteKind::Streaming;
         RouteTerms {
             route: Arc::from(route.name.as_str()),
-            idempotent: route.idempotent(),
-            streaming,
-            resumable: streaming && route.stream_resume,
+            is_idempotent: route.idempotent(),
+            is_streaming: streaming,
+            is_resumable: streaming && route.stream_resume,
             timeout: route.timeout_ms.saturating_mul(1_000),
             target_latency: route
                 .target_latency_ms
--- a/fleet/src/router/configuration/tests.rs
+++ b/fleet/src/router/configuration/tests.rs
@@ -53,7 +53,7 @@
     let route = in_force.route("H.example:80", "/a/b?c").expect("a route");
     assert_eq!(route.draw(3), "x");
     let terms = in_force.terms(route, None);
-    assert!(terms.idempotent && terms.streaming && terms.resumable);
+    assert!(terms.is_idempotent && terms.is_streaming && terms.is_resumable);
     assert_eq!(
         (terms.timeout, terms.target_latency),
         (500_000, 500_000),
--- a/fleet/src/router/control_link/link.rs
+++ b/fleet/src/router/control_link/link.rs
@@ -7,7 +7,7 @@
 
 use super::candidates::ControlCandidates;
 use super::connection::{ControlConnection, ControlMessage, RouterIdentity};
-use crate::envelopes::{self};
+use crate::envelopes;
 use crate::router::reactor::{Net, SocketOwner, Timer};
 use lichenswitch_interface::{Micros, Time};
 use lichenswitch_messages::{
--- a/fleet/src/router/counters.rs
+++ b/fleet/src/router/counters.rs
@@ -1,11 +1,11 @@
-//! What a router has turned away, by reason: for the log.
+//! Counts of rejected requests by reason.
 
 use super::rejection::RejectionReason;
 
 /// Counts since the process began.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct RejectionCounters {
-    /// Answered 503 at once.
+    /// Answered 503.
     pub unavailable: u64,
     /// Answered 404.
     pub no_route: u64,
@@ -13,12 +13,12 @@
     pub unknown_key: u64,
     /// Answered 429.
     pub quota_exceeded: u64,
-    /// Answered 400 after their head was read.
+    /// Answered 400 after the head was read.
     pub malformed: u64,
 }
 
 impl RejectionCounters {
-    /// A request was answered at once.
+    /// A request was rejected.
     pub(crate) fn on_rejected(&mut self, reason: &RejectionReason) {
         let counter = match reason {
             RejectionReason::Unavailable(_) => &mut self.unavailable,
--- a/fleet/src/router/handlers/backlog.rs
+++ b/fleet/src/router/handlers/backlog.rs
@@ -1,36 +1,36 @@
 //! Reports to control of what waits at servers for this router.
 
-use crate::router::backlog_reports::backlogs;
+use crate::router::backlog_reports::backlogs_by_server;
 use crate::router::reactor::Timer;
 use crate::router::state::Router;
 use lichenswitch_interface::Micros;
 use lichenswitch_messages::BacklogReport;
 
-/// Between two reports at the least (microseconds).
+/// Shortest time between two reports (microseconds).
 pub(crate) const REPORT_INTERVAL_US: Micros = 20_000;
 
 impl Router {
-    /// Something was sent to a server: control is to be told soon.
+    /// Schedules a report, unless one is scheduled: an attempt was started.
     pub(crate) fn schedule_backlog_report(&mut self) {
-        if !std::mem::replace(&mut self.backlog_reports.planned, true) {
+        if !std::mem::replace(&mut self.backlog_reports.is_scheduled, true) {
             let due = self
                 .backlog_reports
-                .last
+                .last_report_at
                 .plus(REPORT_INTERVAL_US)
                 .max(self.net.clock.now());
             self.net.wheel.set(due, Timer::BacklogReport);
         }
     }
 
-    /// Tells control what waits, where that has changed.
+    /// Reports to control the backlogs that have changed.
     pub(crate) fn report_backlog(&mut self) {
-        self.backlog_reports.planned = false;
-        self.backlog_reports.last = self.net.clock.now();
-        let waits = backlogs(self.requests.iter());
-        // What waits may end at any time, and control may come back.
-        let continues_after = !waits.is_empty();
+        self.backlog_reports.is_scheduled = false;
+        self.backlog_reports.last_report_at = self.net.clock.now();
+        let backlogs = backlogs_by_server(self.requests.iter());
+        // Attempts may end at any time, and control may come back.
+        let is_any_waiting = !backlogs.is_empty();
         if self.control_link.is_handshake_sent() {
-            let servers = self.backlog_reports.changes(waits);
+            let servers = self.backlog_reports.take_changes(backlogs);
             if !servers.is_empty() {
                 self.control_link.send_backlog_report(
                     &mut self.net,
@@ -41,16 +41,16 @@
                 );
             }
         }
-        if continues_after {
+        if is_any_waiting {
             self.schedule_backlog_report();
         }
     }
 
-    /// The connection to control is gone: what came on it may be out of date, and the next control
-    /// machine knows nothing of this router.
+    /// The connection to control is lost: backlogs of other routers may be outdated, and the next
+    /// control machine knows nothing of this router's.
     pub(crate) fn on_backlog_link_lost(&mut self) {
         self.services.forget_backlogs();
-        self.backlog_reports.told.clear();
+        self.backlog_reports.last_reported.clear();
         self.schedule_backlog_report();
     }
 }
--- a/fleet/src/router/handlers/dispatch.rs
+++ b/fleet/src/router/handlers/dispatch.rs
@@ -15,7 +15,7 @@
 use lichenswitch_interface::{Outcome, QueryId, ServerId};
 
 impl Router {
-    /// Lets the module decide, where it is time, and does what it says.
+    /// Runs the decision module's turns that are due, and carries out its commands.
     pub(crate) fn run_decision_turns(&mut self) {
         let now = self.net.clock.now();
         if self.services.next_turn().is_none_or(|at| at > now) {
@@ -23,9 +23,9 @@
         }
         for (service, command) in self.services.run_turns(now) {
             match command {
-                Command::Send(server, parts) => {
-                    for part in parts {
-                        self.start_attempt(service, server, &part);
+                Command::Send(server, dispatches) => {
+                    for dispatch in dispatches {
+                        self.start_attempt(service, server, &dispatch);
                     }
                 }
                 Command::Withdraw(number) | Command::Recall(number) => {
@@ -39,12 +39,12 @@
                     let id = self
                         .services
                         .get_mut(service)
-                        .and_then(|s| s.take_request_id(query));
+                        .and_then(|service| service.take_request_id(query));
                     if let Some(id) = id {
                         self.on_decision(id, query, reply);
                     }
                 }
-                // Trust in servers changes often in trouble, on every router at once.
+                // Trust in servers changes often under faults, on every router at once.
                 Command::Log(line) => log::debug!("{line}"),
                 // Lists are pushed by control.
                 Command::Subscribe => {}
@@ -52,17 +52,17 @@
         }
     }
 
-    /// Makes an attempt, if the rules allow it as things stand now.
+    /// Starts an attempt, if the rules still allow it.
     pub(super) fn start_attempt(
         &mut self,
         service: ServiceId,
         server: ServerId,
-        part: &Dispatch<RequestId>,
+        dispatch: &Dispatch<RequestId>,
     ) {
-        let (now, id) = (self.net.clock.now(), *part.job);
+        let (now, id) = (self.net.clock.now(), *dispatch.job);
         let attempt = AttemptId {
             service,
-            number: part.attempt,
+            number: dispatch.attempt,
         };
         let endpoint = self
             .servers
@@ -71,7 +71,7 @@
         let max_connections = self
             .services
             .get_mut(service)
-            .map_or(1, |s| s.max_connections());
+            .map_or(1, |service| service.max_connections());
         let request = self
             .requests
             .get(id)
@@ -87,13 +87,13 @@
             RequestPhase::Resuming { last_event_id } => Some(last_event_id.clone()),
             _ => None,
         };
-        let made = Attempt {
+        let new_attempt = Attempt {
             id: attempt,
             server,
             endpoint,
             request: request.client_request.clone(),
             deadline: request.deadline,
-            is_idempotent: request.terms.idempotent,
+            is_idempotent: request.terms.is_idempotent,
             priority: request.terms.rank,
             resume_after,
             sender: request.sender.clone(),
@@ -108,13 +108,13 @@
         );
         self.net
             .wheel
-            .set(now.plus(part.wait), Timer::AttemptTimeout(attempt));
-        self.connections.start(&mut self.net, made);
+            .set(now.plus(dispatch.wait), Timer::AttemptTimeout(attempt));
+        self.connections.start(&mut self.net, new_attempt);
         self.schedule_backlog_report();
     }
 
-    /// The key of a request that is held is served no more: unless an attempt is out that was sent
-    /// before, it ends at once.
+    /// The key of a request was revoked, or can't be checked: the request ends at once, unless an
+    /// attempt from before is in flight.
     pub(super) fn on_key_denied(&mut self, id: RequestId, denial: KeyDenial) {
         let Some(request) = self
             .requests
@@ -129,7 +129,7 @@
             }
             RequestPhase::Pending => {
                 if let Some(request) = self.remove_request(id) {
-                    self.reject(request.client, &RejectionReason::of(denial));
+                    self.reject(request.client, &RejectionReason::from(denial));
                 }
             }
             RequestPhase::Relaying(_) | RequestPhase::Resuming { .. } => {
@@ -138,21 +138,23 @@
         }
     }
 
-    /// The time that the module gave an attempt is over.
+    /// The decision module's timeout for an attempt has passed.
     pub(crate) fn on_attempt_timeout(&mut self, id: AttemptId) {
-        let waits = |request: &RequestState| request.in_flight.iter().any(|out| out.id == id);
-        let held = self
+        let is_in_flight =
+            |request: &RequestState| request.in_flight.iter().any(|attempt| attempt.id == id);
+        let is_pending = self
             .requests
             .id_of_attempt(id)
-            .and_then(|e| self.requests.get(e))
-            .is_some_and(waits);
-        if held {
+            .and_then(|request| self.requests.get(request))
+            .is_some_and(is_in_flight);
+        if is_pending {
             self.connections.withdraw(&mut self.net, id);
             self.requests.on_attempt_ended(id, Outcome::Timeout);
             self.report_outcome(id, Outcome::Timeout);
         }
     }
 
+    /// Reports an attempt's outcome to its service's core.
     pub(crate) fn report_outcome(&mut self, id: AttemptId, outcome: Outcome) {
         let now = self.net.clock.now();
         if let Some(service) = self.services.get_mut(id.service) {
@@ -160,13 +162,13 @@
         }
     }
 
-    /// The module has ended a request, or has its answer.
+    /// The decision module has ended a request, or has its response.
     pub(super) fn on_decision(&mut self, id: RequestId, query: QueryId, reply: Reply) {
-        // What was answered meanwhile, or goes on under another number, is not concerned.
+        // A request that was answered meanwhile, or continues under another query, is not concerned.
         let Some(request) = self
             .requests
             .get_mut(id)
-            .filter(|e| e.core_query == Some(query))
+            .filter(|request| request.core_query == Some(query))
         else {
             return;
         };
--- a/fleet/src/router/handlers/event_loop.rs
+++ b/fleet/src/router/handlers/event_loop.rs
@@ -4,9 +4,10 @@
 use crate::router::error::RouterError;
 use crate::router::reactor::{Signal, SocketOwner, Timer};
 use crate::router::state::Router;
+use lichenswitch_net::{ConnId, Ready};
 
 impl Router {
-    /// Serves until it has been told to end and all that was read is answered.
+    /// Serves until a shutdown was requested and all that was read is answered.
     ///
     /// # Errors
     /// The system can't wait for sockets any more.
@@ -14,11 +15,11 @@
         self.check_control_link();
         loop {
             let ready = self.net.wait(self.services.next_turn())?;
-            for ready in ready {
-                match ready {
-                    lichenswitch_net::Ready::Listener(owner) => self.on_acceptable(owner),
-                    lichenswitch_net::Ready::Conn(id, owner) => self.on_socket_ready(id, owner),
-                    lichenswitch_net::Ready::Signal(signal) => self.on_signal(signal),
+            for event in ready {
+                match event {
+                    Ready::Listener(owner) => self.on_acceptable(owner),
+                    Ready::Conn(id, owner) => self.on_socket_ready(id, owner),
+                    Ready::Signal(signal) => self.on_signal(signal),
                 }
             }
             let now = self.net.clock.now();
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Works off all that sockets and timers have brought: requests, answers, decisions.
+    /// Processes all that sockets and timers have brought: requests, responses, decisions.
     pub(super) fn process_pending_work(&mut self) {
         loop {
             self.handle_client_events();
@@ -56,16 +57,18 @@
         }
     }
 
-    /// Whoever has sent a whole request, and has no answer yet, is held. Checked at each turn where
-    /// debug assertions are on, else now and then: it counts all connections.
+    /// Checks that each client with a complete, unanswered request has an entry in the tables of
+    /// requests. It counts all connections: with debug assertions each turn checks it, else now and
+    /// then.
     pub(super) fn check_waiting_clients(&self) {
-        let held = self.requests.len() + self.quota_waiters.len();
+        let pending = self.requests.len() + self.quota_waiters.len();
         invariants::check(
-            self.clients.waiting_count() == held,
+            self.clients.waiting_count() == pending,
             Invariant::WaitingIsHeld,
         );
     }
 
+    /// A listener has pending connections.
     pub(super) fn on_acceptable(&mut self, owner: SocketOwner) {
         match owner {
             SocketOwner::Client => self.clients.accept(&mut self.net),
@@ -74,7 +77,8 @@
         }
     }
 
-    pub(super) fn on_socket_ready(&mut self, id: lichenswitch_net::ConnId, owner: SocketOwner) {
+    /// A connection can be read or written.
+    pub(super) fn on_socket_ready(&mut self, id: ConnId, owner: SocketOwner) {
         match owner {
             SocketOwner::Client => {
                 self.clients
@@ -92,6 +96,7 @@
         }
     }
 
+    /// A timer has fired.
     pub(super) fn on_timer(&mut self, timer: Timer) {
         match timer {
             Timer::RequestDeadline(id) => self.on_request_deadline(id),
@@ -110,6 +115,7 @@
         }
     }
 
+    /// A signal has come.
     pub(super) fn on_signal(&mut self, signal: Signal) {
         self.net.clear_signal(signal);
         match signal {
@@ -118,11 +124,13 @@
         }
     }
 
-    /// Whether the platform may send clients.
+    /// Whether the platform may route clients here.
     pub(super) fn is_ready(&self) -> bool {
         let can_serve_keys = self.freshness.can_serve_keys(self.net.clock.now());
-        let in_force = self.configuration.get();
+        let active = self.configuration.get();
         self.shutdown.is_none()
-            && in_force.is_some_and(|it| can_serve_keys || it.document().tenants().is_none())
+            && active.is_some_and(|configuration| {
+                can_serve_keys || configuration.document().tenants().is_none()
+            })
     }
 }
--- a/fleet/src/router/handlers/intake.rs
+++ b/fleet/src/router/handlers/intake.rs
@@ -6,7 +6,7 @@
 use crate::router::admission::Admission;
 use crate::router::client_connections::ClientEvent;
 use crate::router::client_request::ClientRequest;
-use crate::router::local_response::{LocalResponse, DEFAULT_RETRY_AFTER_US};
+use crate::router::local_response::LocalResponse;
 use crate::router::reactor::Timer;
 use crate::router::rejection::RejectionReason;
 use crate::router::request_table::{RequestPhase, RequestState};
@@ -18,12 +18,12 @@
 use lichenswitch_net::ConnId;
 use std::rc::Rc;
 
-/// Advice to clients of a process that ends: other routers are ready now, and tries that follow go
-/// to them (microseconds).
+/// When clients of a process that shuts down may retry: other routers are ready, and get the retries
+/// (microseconds).
 pub(crate) const SHUTDOWN_RETRY_AFTER_US: Micros = 20_000;
 
 impl Router {
-    /// Takes in what clients have done.
+    /// Handles what clients have done, until nothing is left.
     pub(crate) fn handle_client_events(&mut self) {
         while !self.client_events.is_empty() {
             for event in std::mem::take(&mut self.client_events) {
@@ -38,16 +38,17 @@
         }
     }
 
+    /// A client has sent a complete request.
     pub(super) fn on_request_received(&mut self, client: ConnId, request: ClientRequest) {
         if let Err(reason) = self.admit(client, request) {
             self.reject(client, &reason);
         }
     }
 
-    /// Answers a request at once.
+    /// Answers a request at once, and counts it.
     pub(crate) fn reject(&mut self, client: ConnId, reason: &RejectionReason) {
         self.counters.on_rejected(reason);
-        let answer = match reason {
+        let response = match reason {
             RejectionReason::Unavailable(after) => LocalResponse::unavailable(*after),
             RejectionReason::NoRoute => LocalResponse::status_only(404),
             RejectionReason::UnknownKey => LocalResponse::status_only(401),
@@ -55,9 +56,10 @@
             RejectionReason::Malformed => LocalResponse::status_only(400),
         };
         self.clients
-            .respond_locally(&mut self.net, client, &answer, &mut self.client_events);
+            .respond_locally(&mut self.net, client, &response, &mut self.client_events);
     }
 
+    /// Admits a request: route, shutdown, capacity and quota are checked in this order.
     pub(super) fn admit(
         &mut self,
         client: ConnId,
@@ -75,7 +77,7 @@
         self.admit_within_quota(client, request, admission)
     }
 
-    /// Holds a request that may go, and hands it to its service.
+    /// Enters an admitted request into the table, and submits it to its service.
     pub(crate) fn accept_request(
         &mut self,
         client: ConnId,
@@ -94,7 +96,7 @@
         let core = self
             .services
             .get_mut(service)
-            .ok_or(RejectionReason::Unavailable(Some(DEFAULT_RETRY_AFTER_US)))?;
+            .ok_or(RejectionReason::RETRY_LATER)?;
         let route_request = RouteRequest {
             request_id: id,
             terms: &terms,
@@ -105,9 +107,7 @@
             core.submit(now, &route_request)
                 .map_err(|refusal| match refusal {
                     Refusal::Busy(after) => RejectionReason::Unavailable(after),
-                    Refusal::Stopping | Refusal::Contract(_) => {
-                        RejectionReason::Unavailable(Some(DEFAULT_RETRY_AFTER_US))
-                    }
+                    Refusal::Stopping | Refusal::Contract(_) => RejectionReason::RETRY_LATER,
                     Refusal::Malformed(_) => RejectionReason::Malformed,
                 })?;
         self.requests.insert(RequestState {
@@ -131,36 +131,33 @@
         Ok(())
     }
 
-    /// The route's terms, the service, drawn once by weight, the sender, and the version of the
-    /// configuration that says so.
+    /// Resolves the route's terms, the service (chosen once, by weight), the sender and the deadline.
     pub(super) fn resolve_route(
         &mut self,
         now: Time,
         request: &ClientRequest,
     ) -> Result<Admission, RejectionReason> {
         let random = self.rng.u64(..);
-        let in_force = self
+        let active = self
             .configuration
             .get()
-            .ok_or(RejectionReason::Unavailable(Some(DEFAULT_RETRY_AFTER_US)))?;
-        let route = in_force
+            .ok_or(RejectionReason::RETRY_LATER)?;
+        let route = active
             .route(&request.host, request.target())
             .ok_or(RejectionReason::NoRoute)?;
-        let sender = self.authenticate(in_force, route.public_access, request.key)?;
+        let sender = self.authenticate(active, route.public_access, request.key)?;
         let tenant = sender
             .as_ref()
-            .and_then(|sender| in_force.tenant(&sender.tenant));
-        let terms = in_force.terms(route, tenant);
+            .and_then(|sender| active.tenant(&sender.tenant));
+        let terms = active.terms(route, tenant);
         let service = self
             .services
             .id_of(route.draw(random))
-            .ok_or(RejectionReason::Unavailable(Some(DEFAULT_RETRY_AFTER_US)))?;
-        let deadline = now.plus(
-            request
-                .deadline
-                .map_or(terms.timeout, |left| micros(left).min(terms.timeout)),
-        );
-        let configuration_version = in_force.document().version();
+            .ok_or(RejectionReason::RETRY_LATER)?;
+        let deadline = now.plus(request.deadline.map_or(terms.timeout, |remaining| {
+            micros(remaining).min(terms.timeout)
+        }));
+        let configuration_version = active.document().version();
         Ok(Admission {
             terms,
             service,
@@ -170,18 +167,19 @@
         })
     }
 
-    /// Guards memory: what is held is bounded.
+    /// Bounds memory: requests in hand and their bytes are limited.
     pub(super) fn check_capacity(&self, request: &ClientRequest) -> Result<(), RejectionReason> {
         let capacity = self.options.capacity;
-        let full = self.requests.len() + self.quota_waiters.len() >= capacity.max_requests as usize
+        let is_full = self.requests.len() + self.quota_waiters.len()
+            >= capacity.max_requests as usize
             || self.requests.buffered_bytes() + request.buffered_bytes() > capacity.max_bytes;
-        match full {
-            true => Err(RejectionReason::Unavailable(Some(DEFAULT_RETRY_AFTER_US))),
+        match is_full {
+            true => Err(RejectionReason::RETRY_LATER),
             false => Ok(()),
         }
     }
 
-    /// A client has left: there is nobody to answer, and nothing more is sent for it.
+    /// A client has disconnected: its request is removed, and nothing more is sent for it.
     pub(super) fn on_client_disconnected(&mut self, client: ConnId) {
         if self.quota_waiters.remove(&client).is_some() {
             self.allowances.cancel(client);
--- a/fleet/src/router/handlers/quota.rs
+++ b/fleet/src/router/handlers/quota.rs
@@ -8,7 +8,6 @@
 use crate::router::admission::{quota_demand, Admission, QuotaWaiter};
 use crate::router::client_request::ClientRequest;
 use crate::router::configuration::ActiveConfiguration;
-use crate::router::local_response::DEFAULT_RETRY_AFTER_US;
 use crate::router::reactor::Timer;
 use crate::router::rejection::RejectionReason;
 use crate::router::sender::{KeyDenial, Sender};
@@ -20,57 +19,58 @@
 use lichenswitch_quota::{AdmissionDecision, AdmissionOutcome, LeaseGrant, LeaseRequest};
 use std::rc::Rc;
 
-/// Part of a route's target latency that a request may wait for its quota: who is refused within a
-/// quarter of it may come back in time.
+/// A request may wait for its quota for the route's target latency divided by this: a client that is
+/// rejected within a quarter of it can still retry in time.
 pub(crate) const QUOTA_WAIT_DIVISOR: Micros = 4;
 
-/// It may wait so long in any case (microseconds): a holder that is gone takes 60 ms to be passed
-/// over.
+/// It may wait this long in any case (microseconds): it takes 60 ms to pass over a shard owner that
+/// is gone.
 pub(crate) const MIN_QUOTA_WAIT_US: Micros = 90_000;
 
-/// What a turn of the loop may take between a look at the clock and its effect (microseconds): the
-/// bounds on quotas leave room for that.
+/// How long a turn of the loop may take between reading the clock and its effect (microseconds): the
+/// bounds on quotas leave room for it.
 pub(crate) const MAX_TURN_US: Micros = 250_000;
 
 impl Router {
-    /// Finds the sender of a request, and checks that what is known of keys is fresh enough to go
-    /// by.
+    /// Finds the sender of a request, and checks that the configuration is fresh enough to trust its
+    /// keys.
     pub(crate) fn authenticate(
         &self,
-        in_force: &ActiveConfiguration,
-        public: bool,
+        active: &ActiveConfiguration,
+        is_public: bool,
         key: Option<KeyDigest>,
     ) -> Result<Option<Rc<Sender>>, RejectionReason> {
         let now = self.net.clock.now();
-        match in_force.sender(public, key) {
+        match active.sender(is_public, key) {
             Ok(None) => Ok(None),
-            Ok(Some(_)) if !self.freshness.can_serve_keys(now) => {
-                Err(RejectionReason::Unavailable(Some(DEFAULT_RETRY_AFTER_US)))
-            }
+            Ok(Some(_)) if !self.freshness.can_serve_keys(now) => Err(RejectionReason::RETRY_LATER),
             Ok(Some((tenant, key))) => Ok(Some(Rc::new(Sender::new(tenant, key)))),
             Err(_) if self.freshness.can_reject_unknown_keys(now) => {
                 Err(RejectionReason::UnknownKey)
             }
-            Err(_) => Err(RejectionReason::Unavailable(Some(DEFAULT_RETRY_AFTER_US))),
+            Err(_) => Err(RejectionReason::RETRY_LATER),
         }
     }
 
-    /// Whether a request that was taken may be sent as things stand now: its key is held still, and
-    /// that is fresh knowledge.
+    /// Checks that a request in hand may still be sent: its key is known, and the configuration is
+    /// fresh.
     pub(crate) fn check_sender(&self, sender: Option<&Sender>) -> Result<(), KeyDenial> {
-        let (Some(sender), Some(in_force)) = (sender, self.configuration.get()) else {
+        let (Some(sender), Some(active)) = (sender, self.configuration.get()) else {
             return Ok(());
         };
         if !self.freshness.can_serve_keys(self.net.clock.now()) {
             return Err(KeyDenial::StaleConfiguration);
         }
-        // Without tenants, nobody is asked for a key.
-        in_force
-            .sender(in_force.document().tenants().is_none(), Some(sender.key))
+        // Without tenants no key is needed.
+        active
+            .sender(
+                active.document().tenants().is_none(),
+                Some(sender.key_digest),
+            )
             .map(drop)
     }
 
-    /// Lets a request through if its tenant's quota allows it, or keeps it until that is known.
+    /// Accepts a request if its tenant's quota allows it, or queues it until that is known.
     pub(crate) fn admit_within_quota(
         &mut self,
         client: ConnId,
@@ -81,26 +81,22 @@
         let tenant = admission.sender.as_ref().and_then(|sender| {
             self.configuration
                 .get()
-                .and_then(|in_force| in_force.tenant(&sender.tenant))
+                .and_then(|active| active.tenant(&sender.tenant))
         });
         let Some(tenant) = tenant.filter(|tenant| tenant.quota.is_some()) else {
             return self.accept_request(client, request, admission);
         };
-        let quota_demand = quota_demand(tenant, &request)?;
+        let demand = quota_demand(tenant, &request)?;
         let wait = (admission.terms.target_latency / QUOTA_WAIT_DIVISOR).max(MIN_QUOTA_WAIT_US);
         let until = now.plus(wait).min(admission.deadline);
-        match self
-            .allowances
-            .admit(now, tenant, quota_demand, client, until)
-        {
+        match self.allowances.admit(now, tenant, demand, client, until) {
             AdmissionOutcome::Admitted(valid_until) => {
                 let name = tenant.name.clone();
-                let held = self.accept_request(client, request, admission);
-                if held.is_err() {
-                    self.allowances
-                        .return_unused(&name, quota_demand, valid_until);
+                let result = self.accept_request(client, request, admission);
+                if result.is_err() {
+                    self.allowances.return_unused(&name, demand, valid_until);
                 }
-                held
+                result
             }
             AdmissionOutcome::Queued => {
                 self.quota_waiters
@@ -113,7 +109,8 @@
         }
     }
 
-    /// Sends the draws that are due, and asks whether what is in force is current.
+    /// Requests the quota leases that are due, and a confirmation that the active configuration is
+    /// the newest.
     pub(crate) fn send_tenant_messages(&mut self) {
         if self.control_link.take_connection_lost() {
             self.on_backlog_link_lost();
@@ -123,7 +120,7 @@
         let has_tenants = self
             .configuration
             .get()
-            .is_some_and(|in_force| in_force.document().tenants().is_some());
+            .is_some_and(|active| active.document().tenants().is_some());
         if !has_tenants || !self.control_link.is_handshake_sent() {
             return;
         }
@@ -140,19 +137,19 @@
         }
     }
 
-    /// A control machine has answered a draw.
-    pub(crate) fn on_lease_response(&mut self, answer: QuotaLeaseResponse) {
+    /// A control machine has answered a quota lease request.
+    pub(crate) fn on_lease_response(&mut self, response: QuotaLeaseResponse) {
         let now = self.net.clock.now();
         let grant = LeaseGrant {
-            granted_bits: answer.granted_bits,
-            prefetch_amount: answer.prefetch_amount,
-            retry_after_us: answer.retry_after_us,
+            granted_bits: response.granted_bits,
+            prefetch_amount: response.prefetch_amount,
+            retry_after_us: response.retry_after_us,
         };
-        let decided = self.allowances.on_grant(now, answer.id, grant);
-        self.finish_quota_waits(decided);
+        let decisions = self.allowances.on_grant(now, response.id, grant);
+        self.finish_quota_waits(decisions);
     }
 
-    /// Ends waits that have lasted for too long.
+    /// Ends waits for quota that have lasted too long.
     pub(crate) fn expire_quota_waiters(&mut self) {
         let now = self.net.clock.now();
         let ended = self.allowances.expire(now);
@@ -162,7 +159,7 @@
         }
     }
 
-    /// Refuses all that wait: this process ends.
+    /// Rejects all requests that wait for quota: the process shuts down.
     pub(crate) fn reject_quota_waiters(&mut self) {
         let waiting: Vec<ConnId> = self.quota_waiters.keys().copied().collect();
         for client in waiting {
@@ -172,17 +169,18 @@
         }
     }
 
-    fn finish_quota_waits(&mut self, decided: Vec<AdmissionDecision<ConnId>>) {
+    /// Accepts or rejects requests whose wait for quota has ended.
+    fn finish_quota_waits(&mut self, decisions: Vec<AdmissionDecision<ConnId>>) {
         for AdmissionDecision {
-            request: waiter,
-            outcome: taken,
-        } in decided
+            request: client,
+            outcome: decision,
+        } in decisions
         {
-            let Some(QuotaWaiter { request, admission }) = self.quota_waiters.remove(&waiter)
+            let Some(QuotaWaiter { request, admission }) = self.quota_waiters.remove(&client)
             else {
                 continue;
             };
-            let outcome = match taken {
+            let outcome = match decision {
                 AdmissionOutcome::Admitted(until) => {
                     match self.check_sender(admission.sender.as_deref()) {
                         Ok(()) => {
@@ -190,26 +188,25 @@
                                 self.net.clock.now() <= until.plus(MAX_TURN_US),
                                 Invariant::GrantIsValid,
                             );
-                            self.accept_request(waiter, request, admission)
+                            self.accept_request(client, request, admission)
                         }
-                        Err(denial) => Err(RejectionReason::of(denial)),
+                        Err(denial) => Err(RejectionReason::from(denial)),
                     }
                 }
                 AdmissionOutcome::OverQuota(wait) => Err(RejectionReason::QuotaExceeded(wait)),
                 AdmissionOutcome::Unavailable(wait) => {
                     Err(RejectionReason::Unavailable(Some(wait)))
                 }
-                AdmissionOutcome::Queued => {
-                    Err(RejectionReason::Unavailable(Some(DEFAULT_RETRY_AFTER_US)))
-                }
+                AdmissionOutcome::Queued => Err(RejectionReason::RETRY_LATER),
             };
             if let Err(reason) = outcome {
-                self.reject(waiter, &reason);
+                self.reject(client, &reason);
             }
         }
     }
 }
 
+/// The message that requests a quota lease.
 pub(crate) fn lease_request_message(id: u64, lease_request: LeaseRequest) -> QuotaLeaseRequest {
     let LeaseRequest {
         tenant,
--- a/fleet/src/router/handlers/relay.rs
+++ b/fleet/src/router/handlers/relay.rs
@@ -1,8 +1,8 @@
-//! Relay: an answer that is passed on as it comes.
+//! Relay: a response that is forwarded as it arrives.
 //!
-//! It promises that a client gets whole events in order, each at once; that an answer whose server
-//! breaks off goes on at the next event of another server or is cut, but never ended as complete;
-//! and that what a slow client has not taken is bounded.
+//! It promises that a client gets complete events in order, each at once; that a response whose
+//! server breaks off is resumed at another server behind its last event or aborted, but never ended
+//! as complete; and that the bytes buffered for a slow client are bounded.
 
 use crate::router::abort_reason::AbortReason;
 use crate::router::ids::{AttemptId, RequestId};
@@ -13,22 +13,23 @@
 use lichenswitch_interface::{Micros, Outcome};
 use lichenswitch_net::ConnId;
 
-/// Reading of a server rests while its client has so many bytes still to take.
+/// Reading from a server is paused while more bytes than this are unwritten at its client.
 const MAX_UNWRITTEN_BYTES: usize = 128 * 1_024;
 
-/// A stream that has less time left than this is not taken up elsewhere (microseconds).
+/// A stream with less time left than this is not resumed (microseconds).
 const MIN_RESUME_TIME_US: Micros = 50_000;
 
 impl Router {
-    /// An answer has begun that is passed on as it comes.
+    /// A response has begun that is forwarded as it arrives: the first one of a request, or one that
+    /// continues an interrupted stream. Any other is withdrawn.
     pub(crate) fn on_stream_started(
         &mut self,
         id: AttemptId,
         head: ResponseHead,
         length: Option<u64>,
-        part: BodyChunk,
+        chunk: BodyChunk,
     ) {
-        // An attempt that nobody waits for has been given up, and its connection closed.
+        // An attempt without a request was withdrawn, and its connection closed.
         let Some(request_id) = self.requests.id_of_attempt(id) else {
             return;
         };
@@ -39,33 +40,33 @@
         let Some(server) = request
             .in_flight
             .iter()
-            .find(|out| out.id == id)
-            .map(|out| out.server)
+            .find(|attempt| attempt.id == id)
+            .map(|attempt| attempt.server)
         else {
             return;
         };
-        let resumes = match &request.phase {
+        let is_resumed = match &request.phase {
             RequestPhase::Pending => false,
             RequestPhase::Resuming { last_event_id }
-                if continues_after(last_event_id, &head, &part) =>
+                if continues_after(last_event_id, &head, &chunk) =>
             {
                 true
             }
             RequestPhase::Resuming { .. } | RequestPhase::Relaying(_) => {
-                // A second answer, or one that does not go on where the first broke off.
+                // A second response, or one that does not continue behind the last event.
                 self.connections.withdraw(&mut self.net, id);
                 self.requests.on_attempt_ended(id, Outcome::Cancelled);
                 return self.report_outcome(id, Outcome::Error);
             }
         };
-        let last_event_id = part.last_event_id.clone();
+        let last_event_id = chunk.last_event_id.clone();
         let relay = ActiveRelay {
             attempt: id,
             server,
             last_event_id,
             is_paused: false,
         };
-        // The module gives the others up as well, a turn later.
+        // The decision module withdraws them as well, a turn later.
         for loser in self.requests.on_relay_started(request_id, relay) {
             self.connections.withdraw(&mut self.net, loser);
         }
@@ -77,17 +78,18 @@
             service.on_server_load(head.load);
             service.on_stream_started(server);
         }
-        if !resumes {
+        if !is_resumed {
             self.clients
                 .begin_response(&mut self.net, client, &head.encode(), length);
         }
-        self.clients.write_chunk(&mut self.net, client, &part.bytes);
+        self.clients
+            .write_chunk(&mut self.net, client, &chunk.bytes);
         self.flush_relay(request_id, client);
     }
 
-    /// More of an answer that is being passed on.
-    pub(crate) fn on_chunk_received(&mut self, id: AttemptId, part: BodyChunk) {
-        // An attempt that nobody waits for has been given up, and its connection closed.
+    /// A chunk of a forwarded response.
+    pub(crate) fn on_chunk_received(&mut self, id: AttemptId, chunk: BodyChunk) {
+        // An attempt without a request was withdrawn, and its connection closed.
         let Some(request_id) = self.requests.id_of_attempt(id) else {
             return;
         };
@@ -97,15 +99,16 @@
         let RequestPhase::Relaying(relay) = &mut request.phase else {
             return;
         };
-        if part.last_event_id.is_some() {
-            relay.last_event_id = part.last_event_id;
+        if chunk.last_event_id.is_some() {
+            relay.last_event_id = chunk.last_event_id;
         }
         let client = request.client;
-        self.clients.write_chunk(&mut self.net, client, &part.bytes);
+        self.clients
+            .write_chunk(&mut self.net, client, &chunk.bytes);
         self.flush_relay(request_id, client);
     }
 
-    /// An answer that is being passed on is complete.
+    /// A forwarded response is complete.
     pub(crate) fn on_stream_completed(&mut self, id: AttemptId, rest: &[u8]) {
         let Some(request_id) = self.requests.id_of_attempt(id) else {
             return;
@@ -119,14 +122,15 @@
             .end_response(&mut self.net, request.client, &mut self.client_events);
     }
 
-    /// The server of an answer that is being passed on broke off.
+    /// The server of a forwarded response has broken off.
     pub(crate) fn on_stream_interrupted(&mut self, id: RequestId, outcome: Outcome) {
         if !self.resume_stream(id) {
             self.abort_response(id, AbortReason::ServerEnded(outcome));
         }
     }
 
-    /// Asks for the rest of a stream at another server, where the rules and the budget allow it.
+    /// Requests the rest of a stream from another server, where the rules and the budget allow it;
+    /// `false` if they don't.
     fn resume_stream(&mut self, id: RequestId) -> bool {
         let now = self.net.clock.now();
         let Some(request) = self.requests.get(id) else {
@@ -135,11 +139,11 @@
         let RequestPhase::Relaying(relay) = &request.phase else {
             return false;
         };
-        let in_time = request.deadline.since(now) >= MIN_RESUME_TIME_US;
+        let has_time = request.deadline.since(now) >= MIN_RESUME_TIME_US;
         let Some(last_event_id) = relay.last_event_id.clone() else {
             return false;
         };
-        if !request.terms.resumable || !request.may_start_attempt() || !in_time {
+        if !request.terms.is_resumable || !request.may_start_attempt() || !has_time {
             return false;
         }
         let (server, deadline, prompt) = (
@@ -148,7 +152,7 @@
             request.client_request.prompt,
         );
         let mut terms = request.terms.clone();
-        // The module begins anew: it gets what is left of the route's attempts.
+        // The core starts a new query: it gets what is left of the route's attempts.
         terms.max_attempts -= request.send_count.min(terms.max_attempts - 1);
         let Some(service) = self.services.get_mut(request.service) else {
             return false;
@@ -172,12 +176,15 @@
         true
     }
 
-    /// A stream that goes on elsewhere came to its end there at once, or can't go on.
-    pub(crate) fn on_resumed_response(&mut self, id: RequestId, answer: &BufferedResponse) {
-        let nothing_more = answer.head.event_stream
-            && (200..300).contains(&answer.head.status)
-            && answer.body.iter().all(|byte| matches!(byte, b'\r' | b'\n'));
-        if !nothing_more {
+    /// A resumed stream ended without a further event, or can't be continued.
+    pub(crate) fn on_resumed_response(&mut self, id: RequestId, response: &BufferedResponse) {
+        let is_at_end = response.head.is_event_stream
+            && (200..300).contains(&response.head.status)
+            && response
+                .body
+                .iter()
+                .all(|byte| matches!(byte, b'\r' | b'\n'));
+        if !is_at_end {
             return self.abort_response(id, AbortReason::NotResumed);
         }
         if let Some(request) = self.remove_request(id) {
@@ -186,7 +193,7 @@
         }
     }
 
-    /// Writes what has been passed on; its server rests while the client is behind.
+    /// Writes what is queued; pauses reading from the server while the client is behind.
     fn flush_relay(&mut self, id: RequestId, client: ConnId) {
         let unwritten = self
             .clients
@@ -194,34 +201,37 @@
         self.set_relay_paused(id, unwritten > MAX_UNWRITTEN_BYTES);
     }
 
-    /// A client has taken all that was written so far.
+    /// A client has taken all that was written so far: reading from its server resumes.
     pub(crate) fn on_client_output_drained(&mut self, client: ConnId) {
         if let Some(id) = self.requests.id_of_client(client) {
             self.set_relay_paused(id, false);
         }
     }
 
-    fn set_relay_paused(&mut self, id: RequestId, on: bool) {
+    fn set_relay_paused(&mut self, id: RequestId, is_paused: bool) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
         let RequestPhase::Relaying(relay) = &mut request.phase else {
             return;
         };
-        if std::mem::replace(&mut relay.is_paused, on) != on {
+        if std::mem::replace(&mut relay.is_paused, is_paused) != is_paused {
             self.connections
-                .set_paused(&mut self.net, relay.attempt, on);
+                .set_paused(&mut self.net, relay.attempt, is_paused);
         }
     }
 }
 
-/// Whether an answer goes on behind this event: a stream of events whose ids are beyond it, where
-/// both are numbers.
-fn continues_after(last: &[u8], head: &ResponseHead, part: &BodyChunk) -> bool {
+/// Whether a response continues behind this event: an event stream whose first id is another one, and
+/// a larger one where both are numbers.
+fn continues_after(last: &[u8], head: &ResponseHead, chunk: &BodyChunk) -> bool {
     let number = |id: &[u8]| std::str::from_utf8(id).ok()?.trim().parse::<u64>().ok();
-    let beyond = match (number(last), part.last_event_id.as_deref().and_then(number)) {
+    let is_beyond = match (
+        number(last),
+        chunk.last_event_id.as_deref().and_then(number),
+    ) {
         (Some(last), Some(next)) => next > last,
-        _ => part.last_event_id.as_deref() != Some(last),
+        _ => chunk.last_event_id.as_deref() != Some(last),
     };
-    head.event_stream && (200..300).contains(&head.status) && beyond
+    head.is_event_stream && (200..300).contains(&head.status) && is_beyond
 }
--- a/fleet/src/router/handlers/request_end.rs
+++ b/fleet/src/router/handlers/request_end.rs
@@ -11,11 +11,11 @@
 use lichenswitch_interface::{Micros, Time};
 
 impl Router {
-    /// Takes a request out of the table, and gives up all that is out for it.
+    /// Removes a request from the table, and withdraws its attempts.
     pub(crate) fn remove_request(&mut self, id: RequestId) -> Option<RequestState> {
         let mut request = self.requests.remove(id)?;
-        for out in std::mem::take(&mut request.in_flight) {
-            if self.connections.withdraw(&mut self.net, out.id) {
+        for attempt in std::mem::take(&mut request.in_flight) {
+            if self.connections.withdraw(&mut self.net, attempt.id) {
                 request.possible_executions = request.possible_executions.saturating_sub(1);
             }
         }
@@ -35,7 +35,7 @@
         Some(request)
     }
 
-    /// The time of a request is over.
+    /// The deadline of a request has passed.
     pub(crate) fn on_request_deadline(&mut self, id: RequestId) {
         let now = self.net.clock.now();
         if self
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Gives a request its end at once: a final answer, or the cut of the one that has begun.
+    /// Ends a request at once: with a final response, or by aborting the one that has begun.
     pub(crate) fn end_request(&mut self, id: RequestId, reason: AbortReason) {
         match self.requests.get(id).map(|request| &request.phase) {
             Some(RequestPhase::Pending) => self.respond_without_server(id, None),
@@ -57,20 +57,17 @@
             None => {}
         }
     }
-}
-
-impl Router {
-    /// Gives a request that gets no answer from a server its final answer: a refusal only where it
-    /// has not run.
+    /// Answers a request that gets no response from a server: 503 only where it has not been
+    /// executed, else the last failure of a server, 504 at its deadline, or 502.
     pub(crate) fn respond_without_server(&mut self, id: RequestId, after: Option<Micros>) {
         let now = self.net.clock.now();
         let Some(request) = self.remove_request(id) else {
             return;
         };
-        let (client, ran) = (request.client, request.possible_executions > 0);
+        let (client, may_have_run) = (request.client, request.possible_executions > 0);
         let events = &mut self.client_events;
         match request.last_failure {
-            Some(failure) if ran => {
+            Some(failure) if may_have_run => {
                 let (head, has_body) = (failure.head.encode(), failure.head.has_body);
                 self.clients.respond_complete(
                     &mut self.net,
@@ -82,21 +79,21 @@
                 );
             }
             _ => {
-                let answer = match ran {
+                let response = match may_have_run {
                     false => LocalResponse::unavailable(after),
                     true if is_nearly_due(request.deadline, now) => LocalResponse::status_only(504),
                     true => LocalResponse::status_only(502),
                 };
                 self.clients
-                    .respond_locally(&mut self.net, client, &answer, events);
+                    .respond_locally(&mut self.net, client, &response, events);
             }
         }
     }
 }
 
-/// Whether a point has come, but for a moment.
-pub(crate) fn is_nearly_due(point: Time, now: Time) -> bool {
-    /// The module gives up two turns before the end.
-    const NEARLY: Micros = 10_000;
-    now.plus(NEARLY) >= point
+/// Whether a deadline has passed, or nearly.
+pub(crate) fn is_nearly_due(deadline: Time, now: Time) -> bool {
+    /// The decision module gives up two turns before the deadline (microseconds).
+    const TOLERANCE_US: Micros = 10_000;
+    now.plus(TOLERANCE_US) >= deadline
 }
--- a/fleet/src/router/handlers/settings_reload.rs
+++ b/fleet/src/router/handlers/settings_reload.rs
@@ -2,17 +2,17 @@
 
 use crate::router::options::Options;
 use crate::router::reactor::Timer;
-use crate::router::state::{modified, Router, SETTINGS_LOOK};
+use crate::router::state::{modified_at, Router, SETTINGS_CHECK_INTERVAL};
 use crate::router::time::after;
 use crate::settings::Settings;
 
 impl Router {
-    /// The file may have changed without a signal.
+    /// Reloads the settings if the file has changed without a signal.
     pub(super) fn check_settings_file(&mut self) {
         self.is_check_due = true;
         let changed = match &mut self.settings_file {
             Some((path, seen)) => {
-                let now = modified(path);
+                let now = modified_at(path);
                 std::mem::replace(seen, now) != now
             }
             None => false,
@@ -21,18 +21,18 @@
             self.reload_settings();
         }
         self.net.wheel.set(
-            after(self.net.clock.now(), SETTINGS_LOOK),
+            after(self.net.clock.now(), SETTINGS_CHECK_INTERVAL),
             Timer::SettingsCheck,
         );
     }
 
-    /// Reads the settings again: seeds and the further-try budget may have changed. A faulty file
-    /// changes nothing.
+    /// Reads the settings again: seeds, the retry budget, bounds and the grace period may have
+    /// changed. A faulty file changes nothing.
     pub(super) fn reload_settings(&mut self) {
         let Some((path, seen)) = &mut self.settings_file else {
             return;
         };
-        *seen = modified(path);
+        *seen = modified_at(path);
         match Settings::read(path)
             .map_err(|e| e.to_string())
             .and_then(|settings| Options::from_settings(&settings).map_err(|e| e.to_string()))
--- a/fleet/src/router/handlers/shutdown.rs
+++ b/fleet/src/router/handlers/shutdown.rs
@@ -1,13 +1,13 @@
 //! The end of the process: SIGTERM to exit.
 //!
-//! It promises: not ready at once; what has been read is answered; until the platform has had time
-//! to learn, new requests are taken, but only those whose time is over before this process ends, so
-//! that no answer is begun which the end would cut off; the others are refused at once, which sends
-//! their clients to another router. The process ends as soon as nothing is left, and shortly before
-//! the grace is over in any case, with a final answer for all that it held when it was told. A
-//! stream that its client may go on with elsewhere, and whose time reaches beyond that, is cut
-//! between two events as early as may be, so that as much as can be of its time is left for the
-//! rest.
+//! It promises: not ready from the signal on; every request that was read is answered. Until the
+//! platform has had time to notice, new requests are accepted, but only those whose deadline lies
+//! before the end of the process, so that no response is begun which the end would abort; others are
+//! rejected at once, which sends their clients to another router. The process ends as soon as nothing
+//! is left, and shortly before the grace period is over in any case, with a final response for all
+//! requests in hand. A stream that its client can resume elsewhere, and whose deadline lies beyond
+//! the end, is aborted between two events as early as allowed, so that most of its time is left for
+//! the rest.
 
 use crate::invariants::{self, Invariant};
 use crate::router::abort_reason::AbortReason;
@@ -20,13 +20,12 @@
 use lichenswitch_interface::Time;
 use std::time::Duration;
 
-/// How often a process that stops looks whether it has finished.
+/// How often a process that shuts down checks whether it has finished.
 pub(crate) const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Router {
-    /// The platform wants this process to end.
+    /// Starts the shutdown. Further signals change nothing: the end is never put off.
     pub(crate) fn begin_shutdown(&mut self) {
-        // Guards the end: it comes in time however often it is asked for.
         if self.shutdown.is_some() {
             return;
         }
@@ -39,7 +38,7 @@
             .set(after(now, SHUTDOWN_CHECK_INTERVAL), Timer::Shutdown);
     }
 
-    /// Does what is due of a shutdown.
+    /// Carries out the steps of the shutdown that are due.
     pub(crate) fn continue_shutdown(&mut self) {
         let now = self.net.clock.now();
         let Some(mut shutdown) = self.shutdown else {
@@ -47,7 +46,7 @@
         };
         if now >= shutdown.listeners_close_at && !shutdown.are_listeners_closed {
             shutdown.are_listeners_closed = true;
-            // Who has connected already is served or told.
+            // Clients that have connected already get a response.
             self.clients.accept(&mut self.net);
             self.net.close_listeners(SocketOwner::Client);
         }
@@ -68,38 +67,40 @@
             .set(after(now, SHUTDOWN_CHECK_INTERVAL), Timer::Shutdown);
     }
 
-    /// Cuts the streams that their clients may go on with elsewhere, and that have time for it.
-    fn hand_over_streams(&mut self, ends: Time) {
+    /// Aborts the streams that their clients can resume elsewhere, and that have time for it.
+    fn hand_over_streams(&mut self, ends_at: Time) {
         for id in self.requests.ids() {
             let Some(request) = self.requests.get(id) else {
                 continue;
             };
-            let continues_after = request.terms.resumable && request.deadline > ends;
-            if continues_after && matches!(request.phase, RequestPhase::Relaying(_)) {
+            let can_resume_elsewhere = request.terms.is_resumable && request.deadline > ends_at;
+            if can_resume_elsewhere && matches!(request.phase, RequestPhase::Relaying(_)) {
                 self.abort_response(id, AbortReason::HandedOver);
             }
         }
     }
 
-    /// Of what is held still, all was in hand when the signal came; but for what is over at this
-    /// very moment.
-    fn check_accepted_is_answered(&self, id: RequestId, began: Time) {
+    /// Checks that a request which is ended by the shutdown was received before it began, or is at its
+    /// deadline.
+    fn check_accepted_is_answered(&self, id: RequestId, started_at: Time) {
         let now = self.net.clock.now();
         let Some(request) = self.requests.get(id) else {
             return;
         };
-        let holds = request.received_at <= began || request.deadline <= now;
+        let holds = request.received_at <= started_at || request.deadline <= now;
         invariants::check(holds, Invariant::TakenIsFinished);
     }
 
-    /// Whether all that was read has been answered, and nobody new can come.
+    /// Whether all that was read has been answered, and no client can connect any more.
     pub(crate) fn is_finished(&self) -> bool {
         let Some(shutdown) = self.shutdown else {
             return false;
         };
-        let over = shutdown.are_requests_ended
+        let is_time_over = shutdown.are_requests_ended
             && self.net.clock.now() >= after(shutdown.ends_at, FINAL_ANSWER_RESERVE / 2);
-        let empty = self.requests.is_empty() && self.quota_waiters.is_empty();
-        shutdown.are_listeners_closed && empty && (over || self.clients.busy_count(&self.net) == 0)
+        let is_empty = self.requests.is_empty() && self.quota_waiters.is_empty();
+        shutdown.are_listeners_closed
+            && is_empty
+            && (is_time_over || self.clients.busy_count(&self.net) == 0)
     }
 }
--- a/fleet/src/router/handlers/stream_abort.rs
+++ b/fleet/src/router/handlers/stream_abort.rs
@@ -3,7 +3,7 @@
 //!
 //! It promises that every such end is logged once, with its reason and with what tells the reasons
 //! apart: how old the request was, how long this process had been ending, and which configuration
-//! the request was taken under.
+//! the request was received under.
 
 use crate::router::abort_reason::AbortReason;
 use crate::router::ids::RequestId;
@@ -12,7 +12,7 @@
 use lichenswitch_interface::Micros;
 
 impl Router {
-    /// Cuts an answer off that has begun.
+    /// Aborts a response that has begun, and logs why.
     pub(crate) fn abort_response(&mut self, id: RequestId, reason: AbortReason) {
         let Some(request) = self.remove_request(id) else {
             return;
@@ -28,26 +28,26 @@
 
     fn log_abort(&self, request: &RequestState, reason: AbortReason) {
         let now = self.net.clock.now();
-        let in_force = self
+        let active = self
             .configuration
             .get()
-            .map_or(0, |in_force| in_force.document().version());
+            .map_or(0, |active| active.document().version());
         log::info!(
             reason:% = reason,
             attempt_id = request.client_request.attempt_id.as_deref().unwrap_or_default(),
             route:% = request.terms.route,
-            resumable = request.terms.resumable,
+            resumable = request.terms.is_resumable,
             age_ms = to_millis(now.since(request.received_at)),
             left_ms = to_millis(request.deadline.since(now)),
             stopping_ms = self.shutdown.map_or(0, |shutdown| to_millis(now.since(shutdown.started_at()))),
             taken_under = request.configuration_version,
-            in_force = in_force;
+            active = active;
             "answer cut off"
         );
     }
 }
 
-/// Whole milliseconds, as logs tell times.
+/// Whole milliseconds, as logs show times.
 pub(crate) fn to_millis(time: Micros) -> u64 {
     time / 1_000
 }
--- a/fleet/src/router/request_table.rs
+++ b/fleet/src/router/request_table.rs
@@ -89,7 +89,7 @@
     /// An attempt has ended in this way.
     pub(crate) fn on_attempt_ended(&mut self, id: AttemptId, outcome: Outcome) {
         let before = self.in_flight.len();
-        self.in_flight.retain(|out| out.id != id);
+        self.in_flight.retain(|attempt| attempt.id != id);
         let known = self.in_flight.len() < before;
         if known && outcome.never_ran() {
             self.possible_executions = self.possible_executions.saturating_sub(1);
@@ -100,8 +100,8 @@
     }
 
     /// An attempt is being made.
-    pub(crate) fn on_attempt_started(&mut self, out: InFlightAttempt) {
-        self.in_flight.push(out);
+    pub(crate) fn on_attempt_started(&mut self, attempt: InFlightAttempt) {
+        self.in_flight.push(attempt);
         self.possible_executions += 1;
         self.send_count += 1;
     }
@@ -109,7 +109,7 @@
     /// Whether the rules allow that it is sent once more.
     #[must_use]
     pub(crate) fn may_start_attempt(&self) -> bool {
-        (self.terms.idempotent || self.possible_executions == 0)
+        (self.terms.is_idempotent || self.possible_executions == 0)
             && self.send_count < self.terms.max_attempts.max(1)
     }
 
@@ -195,10 +195,10 @@
     }
 
     /// An attempt of a request is being made.
-    pub(crate) fn on_attempt_started(&mut self, id: RequestId, out: InFlightAttempt) {
+    pub(crate) fn on_attempt_started(&mut self, id: RequestId, attempt: InFlightAttempt) {
         if let Some(request) = self.requests.get_mut(&id) {
-            request.on_attempt_started(out);
-            self.by_attempt.insert(out.id, id);
+            request.on_attempt_started(attempt);
+            self.by_attempt.insert(attempt.id, id);
         }
     }
 
@@ -224,7 +224,7 @@
         let others: Vec<AttemptId> = request
             .in_flight
             .drain(..)
-            .map(|out| out.id)
+            .map(|attempt| attempt.id)
             .filter(|other| *other != relay.attempt)
             .collect();
         others
@@ -251,8 +251,8 @@
         let request = self.requests.remove(&id)?;
         self.bytes -= request.client_request.buffered_bytes();
         self.by_client.remove(&request.client);
-        for out in &request.in_flight {
-            self.by_attempt.remove(&out.id);
+        for attempt in &request.in_flight {
+            self.by_attempt.remove(&attempt.id);
         }
         if let RequestPhase::Relaying(relay) = &request.phase {
             self.by_attempt.remove(&relay.attempt);
--- a/fleet/src/router/request_table/tests.rs
+++ b/fleet/src/router/request_table/tests.rs
@@ -3,9 +3,9 @@
 fn request(idempotent: bool, max_attempts: u32) -> RequestState {
     let terms = RouteTerms {
         route: "r".into(),
-        idempotent,
-        streaming: false,
-        resumable: false,
+        is_idempotent: idempotent,
+        is_streaming: false,
+        is_resumable: false,
         timeout: 1_000_000,
         target_latency: 1_000,
         rank: 0,
@@ -37,7 +37,7 @@
     }
 }
 
-fn out(number: u64) -> InFlightAttempt {
+fn attempt(number: u64) -> InFlightAttempt {
     InFlightAttempt {
         id: AttemptId {
             service: ServiceId(0),
@@ -60,11 +60,11 @@
     ] {
         let mut request = request(false, 5);
         assert!(request.may_start_attempt());
-        request.on_attempt_started(out(1));
+        request.on_attempt_started(attempt(1));
         assert!(!request.may_start_attempt(), "one is out");
-        request.on_attempt_ended(out(1).id, outcome);
+        request.on_attempt_ended(attempt(1).id, outcome);
         // Told twice, it counts once.
-        request.on_attempt_ended(out(1).id, outcome);
+        request.on_attempt_ended(attempt(1).id, outcome);
         assert_eq!(request.may_start_attempt(), again, "{outcome:?}");
         assert_eq!(
             request.possible_executions,
@@ -77,13 +77,13 @@
 #[test]
 fn no_request_is_sent_to_more_servers_than_its_route_allows() {
     let mut request = request(true, 2);
-    request.on_attempt_started(out(1));
+    request.on_attempt_started(attempt(1));
     assert!(request.may_start_attempt());
-    request.on_attempt_started(out(2));
+    request.on_attempt_started(attempt(2));
     assert!(!request.may_start_attempt());
-    request.on_attempt_ended(out(2).id, Outcome::Reset);
+    request.on_attempt_ended(attempt(2).id, Outcome::Reset);
     assert!(!request.may_start_attempt());
     // One that never left counts as none.
-    request.on_attempt_ended(out(1).id, Outcome::Moot);
+    request.on_attempt_ended(attempt(1).id, Outcome::Moot);
     assert!(request.may_start_attempt());
 }
--- a/fleet/src/router/response_outcome.rs
+++ b/fleet/src/router/response_outcome.rs
@@ -1,33 +1,39 @@
 //! What a complete response of a server means for its request.
 
-use super::server_response::ResponseHead;
+use super::server_response::{Execution, ResponseHead};
 
-/// What a server's whole answer means for its request.
+/// What a server's complete response means for its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ResponseOutcome {
-    /// It is the answer.
+    /// It is the final response.
     Final,
-    /// The server says that it did not run the request.
+    /// The server states that it did not execute the request.
     NotExecuted,
-    /// A failure, after which the request may have run; whether it may be passed on to the client.
+    /// A failure, after which the request may have been executed.
     Failure {
-        /// Its status is no promise that it can't keep.
-        passes: bool,
+        /// The client may see it: its status promises nothing that the server has not promised.
+        can_forward: bool,
     },
 }
 
-/// Reads an answer's head. Only `Not-Executed` and 421 say that a request did not run. What would
-/// be a promise in this program's mouth (408, 421, 429, 503) is not passed on as one where the
-/// server has not made it.
-#[must_use]
-pub(crate) fn meaning(head: &ResponseHead) -> ResponseOutcome {
-    let promise = matches!(head.status, 408 | 421 | 429 | 503);
-    match head.status {
-        421 => ResponseOutcome::NotExecuted,
-        408 | 429 | 500..=599 if head.not_executed => ResponseOutcome::NotExecuted,
-        _ if promise => ResponseOutcome::Failure { passes: false },
-        500..=599 => ResponseOutcome::Failure { passes: true },
-        _ => ResponseOutcome::Final,
+impl ResponseOutcome {
+    /// Interprets the head of a response.
+    ///
+    /// Only `Not-Executed` and 421 state that a request was not executed. A status that would be
+    /// such a promise if this program sent it (408, 421, 429, 503) is not forwarded where the server
+    /// has not made the promise.
+    #[must_use]
+    pub(crate) fn of(head: &ResponseHead) -> ResponseOutcome {
+        let is_promise = matches!(head.status, 408 | 421 | 429 | 503);
+        match head.status {
+            421 => ResponseOutcome::NotExecuted,
+            408 | 429 | 500..=599 if head.execution == Execution::Denied => {
+                ResponseOutcome::NotExecuted
+            }
+            _ if is_promise => ResponseOutcome::Failure { can_forward: false },
+            500..=599 => ResponseOutcome::Failure { can_forward: true },
+            _ => ResponseOutcome::Final,
+        }
     }
 }
 
--- a/fleet/src/router/response_outcome/tests.rs
+++ b/fleet/src/router/response_outcome/tests.rs
@@ -2,7 +2,10 @@
 
 fn head(status: u16, not_executed: bool) -> ResponseHead {
     let mut head = ResponseHead::default();
-    (head.status, head.not_executed) = (status, not_executed);
+    head.status = status;
+    if not_executed {
+        head.execution = Execution::Denied;
+    }
     head
 }
 
@@ -10,32 +13,35 @@
 fn only_a_servers_own_word_says_that_a_request_never_ran() {
     for status in [408, 429, 500, 503, 504] {
         assert_eq!(
-            meaning(&head(status, true)),
+            ResponseOutcome::of(&head(status, true)),
             ResponseOutcome::NotExecuted,
             "{status}"
         );
         assert_ne!(
-            meaning(&head(status, false)),
+            ResponseOutcome::of(&head(status, false)),
             ResponseOutcome::NotExecuted,
             "{status}"
         );
     }
-    assert_eq!(meaning(&head(421, false)), ResponseOutcome::NotExecuted);
+    assert_eq!(
+        ResponseOutcome::of(&head(421, false)),
+        ResponseOutcome::NotExecuted
+    );
 }
 
 #[test]
 fn a_promise_that_the_server_did_not_make_is_not_passed_on() {
     for status in [408, 429, 503] {
         assert_eq!(
-            meaning(&head(status, false)),
-            ResponseOutcome::Failure { passes: false },
+            ResponseOutcome::of(&head(status, false)),
+            ResponseOutcome::Failure { can_forward: false },
             "{status}"
         );
     }
     for status in [500, 502, 504] {
         assert_eq!(
-            meaning(&head(status, false)),
-            ResponseOutcome::Failure { passes: true },
+            ResponseOutcome::of(&head(status, false)),
+            ResponseOutcome::Failure { can_forward: true },
             "{status}"
         );
     }
@@ -45,11 +51,14 @@
 fn every_other_answer_is_final() {
     for status in [200, 201, 206, 301, 400, 401, 404, 409, 413] {
         assert_eq!(
-            meaning(&head(status, false)),
+            ResponseOutcome::of(&head(status, false)),
             ResponseOutcome::Final,
             "{status}"
         );
     }
     // A request without an id is refused for good.
-    assert_eq!(meaning(&head(400, true)), ResponseOutcome::Final);
+    assert_eq!(
+        ResponseOutcome::of(&head(400, true)),
+        ResponseOutcome::Final
+    );
 }
--- a/fleet/src/router/response_reader.rs
+++ b/fleet/src/router/response_reader.rs
@@ -6,7 +6,7 @@
 
 use super::client_request::ClientRequest;
 use super::header_lines::forwarded_header_lines;
-use super::server_response::{ResponseHead, ServerLoad};
+use super::server_response::{Execution, ResponseHead, ServerLoad};
 use lichenswitch_http::{parse_response_head, BodyDecoder, Framing, Headers};
 use lichenswitch_net::buffer::Buffer;
 use std::time::Duration;
@@ -160,12 +160,15 @@
         );
         Ok(ResponseHead {
             status: head.status,
-            passed: forwarded_header_lines(headers, &["content-length"]),
+            forwarded_lines: forwarded_header_lines(headers, &["content-length"]),
             attempt_id: headers.text("attempt-id").map(str::to_owned),
-            sealed: headers.get("response-seal").is_some(),
-            not_executed: headers.get("not-executed").is_some(),
+            is_sealed: headers.get("response-seal").is_some(),
+            execution: match headers.get("not-executed") {
+                Some(_) => Execution::Denied,
+                None => Execution::Unstated,
+            },
             load: headers.text("server-load").and_then(ServerLoad::parse),
-            event_stream: is_event_stream(headers),
+            is_event_stream: is_event_stream(headers),
             has_body: head.framing != Framing::None,
         })
     }
--- a/fleet/src/router/response_reader/tests.rs
+++ b/fleet/src/router/response_reader/tests.rs
@@ -57,7 +57,7 @@
     for cut in 0..WHOLE.len() {
         let (pieces, reader, rest) =
             read("GET", &[&WHOLE[..cut], &WHOLE[cut..]], false).expect("an answer");
-        assert_matches!(&pieces[0], ResponsePart::Head(head) if head.status == 200 && head.event_stream && head.sealed);
+        assert_matches!(&pieces[0], ResponsePart::Head(head) if head.status == 200 && head.is_event_stream && head.is_sealed);
         assert_eq!(
             (body(&pieces).as_slice(), pieces.last()),
             (&b"abcde"[..], Some(&ResponsePart::End))
--- a/fleet/src/router/sender.rs
+++ b/fleet/src/router/sender.rs
@@ -7,44 +7,44 @@
 use lichenswitch_configuration::{KeyDigest, Tenant};
 use std::fmt::Write as _;
 
-/// Who sent a request: the tenant that holds its key.
+/// The sender of a request.
 #[derive(Debug, PartialEq)]
 pub(crate) struct Sender {
     /// The tenant's name.
     pub tenant: String,
-    /// The name as servers are told it.
-    pub header: String,
+    /// The name as a header value for servers.
+    pub header_value: String,
     /// Digest of the key.
-    pub key: KeyDigest,
+    pub key_digest: KeyDigest,
 }
 
 /// Why a key is not served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum KeyDenial {
-    /// No tenant of the configuration that counts holds it, or the request bears none.
+    /// No tenant of the active configuration has it, or the request bears none.
     UnknownKey,
-    /// What is known here may be out of date.
+    /// The active configuration may be outdated: the key may have been revoked since.
     StaleConfiguration,
 }
 
 impl ActiveConfiguration {
-    /// The sender of a request on a route; none where the configuration asks for no key and the
-    /// request bears none that is held.
+    /// The tenant of a request's key; none where the route needs no key and the request bears none
+    /// that is known.
     ///
     /// # Errors
-    /// The route needs a key, and no tenant holds the request's.
+    /// The route needs a key, and the request's is unknown.
     pub(crate) fn sender(
         &self,
-        public: bool,
+        is_public: bool,
         key: Option<KeyDigest>,
     ) -> Result<Option<(&Tenant, KeyDigest)>, KeyDenial> {
         let Some(tenants) = self.document().tenants() else {
             return Ok(None);
         };
-        let held = key.and_then(|key| Some((tenants.get(self.keys.holder(&key)?)?, key)));
-        match held {
-            None if !public => Err(KeyDenial::UnknownKey),
-            held => Ok(held),
+        let tenant = key.and_then(|key| Some((tenants.get(self.keys.holder(&key)?)?, key)));
+        match tenant {
+            None if !is_public => Err(KeyDenial::UnknownKey),
+            tenant => Ok(tenant),
         }
     }
 
@@ -59,25 +59,25 @@
 }
 
 impl Sender {
-    /// Of a tenant.
+    /// The sender that a tenant is, with the digest of the key that was used.
     #[must_use]
-    pub(crate) fn new(tenant: &Tenant, key: KeyDigest) -> Sender {
+    pub(crate) fn new(tenant: &Tenant, key_digest: KeyDigest) -> Sender {
         Sender {
             tenant: tenant.name.clone(),
-            header: header_value(&tenant.name),
-            key,
+            header_value: header_value(&tenant.name),
+            key_digest,
         }
     }
 }
 
-/// A name as the value of a header: what can't stand there is escaped with percent signs.
+/// A name as a header value: bytes that are not allowed there are percent-encoded.
 pub(crate) fn header_value(name: &str) -> String {
     let mut value = String::with_capacity(name.len());
     let last = name.len().saturating_sub(1);
-    for (place, byte) in name.bytes().enumerate() {
-        let edge = place == 0 || place == last;
+    for (index, byte) in name.bytes().enumerate() {
+        let is_edge = index == 0 || index == last;
         match byte {
-            b' ' if !edge => value.push(' '),
+            b' ' if !is_edge => value.push(' '),
             0x21..=0x7e => value.push(char::from(byte)),
             // Writes to memory don't fail.
             _ => _ = write!(value, "%{byte:02X}"),
--- a/fleet/src/router/server_connections/in_flight.rs
+++ b/fleet/src/router/server_connections/in_flight.rs
@@ -63,11 +63,11 @@
         }
         let success = (200..300).contains(&head.status);
         // A success that no server has sealed is none.
-        if success && !head.sealed {
+        if success && !head.is_sealed {
             return ReadOutcome::Mismatch;
         }
         let head = Box::new(head);
-        self.body = match success && head.event_stream {
+        self.body = match success && head.is_event_stream {
             true => BodyMode::Events(Some(head), Box::new(Scanner::new(MAX_EVENT_BYTES))),
             false => BodyMode::Buffered(head, Vec::new()),
         };
--- a/fleet/src/router/server_response.rs
+++ b/fleet/src/router/server_response.rs
@@ -3,26 +3,26 @@
 use lichenswitch_http::reason;
 use std::io::Write as _;
 
-/// What a server tells of itself in `Server-Load`.
+/// The load that a server reports in `Server-Load`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ServerLoad {
-    /// Requests that run there.
+    /// Requests in execution.
     pub running: u32,
-    /// Requests that wait there.
+    /// Queued requests.
     pub waiting: u32,
-    /// Requests that can run there at once; never 0.
+    /// Requests that can be executed at once; never 0.
     pub slots: u32,
 }
 
 impl ServerLoad {
-    /// Reads the header's value: running, waiting and slots, with commas between them.
+    /// Parses the header's value: running, waiting and slots, separated by commas.
     #[must_use]
     pub(crate) fn parse(value: &str) -> Option<ServerLoad> {
-        let mut figures = value
+        let mut numbers = value
             .split(',')
-            .map(|figure| figure.trim().parse::<u32>().ok());
-        let (running, waiting, slots) = (figures.next()??, figures.next()??, figures.next()??);
-        (figures.next().is_none() && slots > 0).then_some(ServerLoad {
+            .map(|number| number.trim().parse::<u32>().ok());
+        let (running, waiting, slots) = (numbers.next()??, numbers.next()??, numbers.next()??);
+        (numbers.next().is_none() && slots > 0).then_some(ServerLoad {
             running,
             waiting,
             slots,
@@ -30,32 +30,42 @@
     }
 }
 
-/// The head of a server's answer.
+/// What a response states about the execution of its request.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(crate) enum Execution {
+    /// Nothing: the request may have been executed.
+    #[default]
+    Unstated,
+    /// `Not-Executed`: it was not executed and never will be.
+    Denied,
+}
+
+/// The head of a server's response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ResponseHead {
-    /// Its status.
+    /// Its status code.
     pub status: u16,
-    /// Header lines that are passed on.
-    pub(crate) passed: Vec<u8>,
+    /// Header lines that are forwarded to the client.
+    pub(crate) forwarded_lines: Vec<u8>,
     /// Its `Attempt-Id`.
     pub attempt_id: Option<String>,
     /// It bears a `Response-Seal`.
-    pub sealed: bool,
-    /// The server says that it has not run the request.
-    pub not_executed: bool,
-    /// How busy the server says that it is.
+    pub is_sealed: bool,
+    /// What it states about the execution of the request.
+    pub execution: Execution,
+    /// The server's load, where it reports it.
     pub load: Option<ServerLoad>,
     /// Its body is a stream of events.
-    pub event_stream: bool,
+    pub is_event_stream: bool,
     /// It may have a body.
     pub has_body: bool,
 }
 
 impl ResponseHead {
-    /// Its bytes for a client, without framing, `Connection` and the empty line.
+    /// Its bytes for a client, without framing headers, `Connection` and the empty line.
     #[must_use]
     pub(crate) fn encode(&self) -> Vec<u8> {
-        let mut bytes = Vec::with_capacity(self.passed.len() + 64);
+        let mut bytes = Vec::with_capacity(self.forwarded_lines.len() + 64);
         // Writes to memory don't fail.
         let _ = write!(
             bytes,
@@ -63,12 +73,12 @@
             self.status,
             reason(self.status)
         );
-        bytes.extend_from_slice(&self.passed);
+        bytes.extend_from_slice(&self.forwarded_lines);
         bytes
     }
 }
 
-/// A server's answer, whole.
+/// A complete response of a server.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct BufferedResponse {
     /// Its head.
@@ -77,12 +87,12 @@
     pub body: Vec<u8>,
 }
 
-/// A part of an answer that is passed on as it comes; of a stream of events whole events alone.
+/// A chunk of a response that is forwarded as it arrives; of an event stream, complete events only.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub(crate) struct BodyChunk {
     /// Its bytes.
     pub bytes: Vec<u8>,
-    /// The id of the last event so far.
+    /// The id of the last event so far, if any had one.
     pub last_event_id: Option<Vec<u8>>,
 }
 
--- a/fleet/src/router/service/tests.rs
+++ b/fleet/src/router/service/tests.rs
@@ -79,9 +79,9 @@
 fn terms() -> RouteTerms {
     RouteTerms {
         route: Arc::from("r"),
-        idempotent: true,
-        streaming: true,
-        resumable: true,
+        is_idempotent: true,
+        is_streaming: true,
+        is_resumable: true,
         timeout: SECOND,
         target_latency: SECOND,
         rank: 0,
--- a/fleet/src/router/services.rs
+++ b/fleet/src/router/services.rs
@@ -38,13 +38,13 @@
 
     /// A configuration comes in force. Services that it does not name stay until what they hold has
     /// ended.
-    pub(crate) fn apply(&mut self, in_force: &ActiveConfiguration, servers: &ServerTable) {
-        for described in in_force.document().services() {
+    pub(crate) fn apply(&mut self, active: &ActiveConfiguration, servers: &ServerTable) {
+        for described in active.document().services() {
             let id = self
                 .id_of(&described.name)
                 .unwrap_or_else(|| self.add(&described.name, servers));
             if let Some(service) = self.services.get_mut(&id) {
-                service.set_routes(in_force.terms_of(&described.name));
+                service.set_routes(active.terms_of(&described.name));
                 service.set_capacity(
                     described.max_connections,
                     described.capacity_slots,
@@ -52,7 +52,7 @@
                 );
             }
         }
-        let named = |service: &Service| in_force.document().service(&service.name).is_some();
+        let named = |service: &Service| active.document().service(&service.name).is_some();
         for service in self.services.values_mut().filter(|service| !named(service)) {
             service.set_routes(Vec::new());
         }
--- a/fleet/src/router/shutdown.rs
+++ b/fleet/src/router/shutdown.rs
@@ -6,37 +6,38 @@
 use lichenswitch_interface::Time;
 use std::time::Duration;
 
-/// The platform asks each second and acts on the second miss: after this long it sends nobody new.
+/// How long listeners stay open: the platform checks readiness each second and acts on the second
+/// miss, so it sends no new clients after this.
 pub(crate) const LISTEN_DURATION: Duration = Duration::from_millis(3_000);
 
-/// So long before the grace is over everything still held gets its final answer.
+/// This long before the end of the grace period all remaining requests get their final response.
 pub(crate) const FINAL_ANSWER_RESERVE: Duration = Duration::from_millis(600);
 
-/// Part of the grace after which a stream may be cut: before it, it counts as lost.
+/// Share of the grace period after which a stream may be aborted: before, it would count as lost.
 pub(crate) const HANDOVER_GRACE_SHARE: f64 = 5.0 / 6.0;
 
-/// So long after that a stream is cut (the signal may have been sent a little before it was heard).
+/// Margin added to it: the signal may have been sent a little before it was handled.
 pub(crate) const HANDOVER_MARGIN: Duration = Duration::from_millis(30);
 
 /// A shutdown under way.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Shutdown {
-    /// When the process was told.
+    /// When the signal was handled.
     pub(crate) started_at: Time,
-    /// Listeners close then. Connections that rest are kept to the end of the process: a request
-    /// that crosses their end would have been read for nothing.
+    /// When listeners close. Idle connections are kept to the end of the process: a request that
+    /// crosses their end would be lost.
     pub(crate) listeners_close_at: Time,
-    /// Streams that may go on elsewhere, and can't end here, are cut from then on.
+    /// From when on streams are aborted that can be resumed elsewhere and can't end here.
     pub(crate) handover_at: Time,
-    /// All that is still held ends then.
+    /// When all remaining requests are ended.
     pub(crate) ends_at: Time,
     pub(crate) are_listeners_closed: bool,
-    /// Everything has been ended; only bytes are still to be written.
+    /// All requests have been ended; only bytes are left to be written.
     pub(crate) are_requests_ended: bool,
 }
 
 impl Shutdown {
-    /// Of a process that is told now that it is killed after the grace.
+    /// The schedule of a process that is killed after the grace period.
     #[must_use]
     pub(crate) fn new(now: Time, grace: Duration) -> Shutdown {
         let reserve = FINAL_ANSWER_RESERVE.min(grace / 4);
@@ -52,13 +53,13 @@
         }
     }
 
-    /// When the process was told to end.
+    /// When the shutdown began.
     #[must_use]
     pub(crate) fn started_at(&self) -> Time {
         self.started_at
     }
 
-    /// Whether a request is still taken whose time is over at this deadline.
+    /// Whether a request with this deadline is still accepted.
     #[must_use]
     pub(crate) fn accepts(&self, now: Time, deadline: Time) -> bool {
         now < self.listeners_close_at && deadline <= self.ends_at
--- a/fleet/src/router/state.rs
+++ b/fleet/src/router/state.rs
@@ -31,10 +31,10 @@
 
 /// Connections set aside for the platform's questions and for control machines, each: a question
 /// that finds none is a miss, and the platform may keep the connections of some questions open.
-pub(crate) const SET_ASIDE: usize = 32;
+pub(crate) const RESERVED_PEER_CONNECTIONS: usize = 32;
 
 /// How often the settings file is looked at: it may change without a signal.
-pub(crate) const SETTINGS_LOOK: Duration = Duration::from_secs(3);
+pub(crate) const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(3);
 
 /// A router.
 pub struct Router {
@@ -72,7 +72,7 @@
     pub fn new(settings: &Settings, file: Option<PathBuf>) -> Result<Router, RouterError> {
         let options = Options::from_settings(settings)?;
         let mut net = Net::new(options.capacity.max_descriptors)?;
-        net.reserve_for_peers(SET_ASIDE);
+        net.reserve_for_peers(RESERVED_PEER_CONNECTIONS);
         let mut rng = fastrand::Rng::new();
         let frontend_address = listen(&mut net, SocketOwner::Client, options.frontend)?;
         let readiness_address = options
@@ -87,10 +87,12 @@
         let candidates = ControlCandidates::new(options.machine_address, options.seeds.clone());
         let control_link = ControlLink::new(net.clock.now(), identity, candidates)
             .with_forwarders(settings.forwarders.clone());
-        net.wheel
-            .set(after(net.clock.now(), SETTINGS_LOOK), Timer::SettingsCheck);
+        net.wheel.set(
+            after(net.clock.now(), SETTINGS_CHECK_INTERVAL),
+            Timer::SettingsCheck,
+        );
         Ok(Router {
-            settings_file: file.map(|path| (path.clone(), modified(&path))),
+            settings_file: file.map(|path| (path.clone(), modified_at(&path))),
             frontend_address,
             readiness_address,
             configuration: CurrentConfiguration::default(),
@@ -139,7 +141,7 @@
     }
 }
 
-pub(crate) fn modified(path: &std::path::Path) -> Option<SystemTime> {
+pub(crate) fn modified_at(path: &std::path::Path) -> Option<SystemTime> {
     std::fs::metadata(path)
         .and_then(|data| data.modified())
         .ok()
