--- /dev/null
+++ b/fleet/src/control/backlog_handler.rs
@@ -0,0 +1,102 @@
+//! Reports on the work that waits at servers: summed here, and sent to the other control machines
+//! and to this machine's routers.
+//!
+//! The sums are hints for choosing servers. What is lost on the way is sent again within
+//! [`SNAPSHOT_INTERVAL`].
+
+use super::backlogs::BacklogSource;
+use super::clock::after;
+use super::internal_connections::RemoteRole;
+use super::node::ControlNode;
+use lichenswitch_backlog::Changes;
+use lichenswitch_interface::{ServerId, Time};
+use lichenswitch_messages::{BacklogReport, ServerBacklog};
+use lichenswitch_net::ConnId;
+use std::time::Duration;
+
+/// Interval of reports on what has changed.
+const DELTA_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval of complete reports.
+const SNAPSHOT_INTERVAL: Duration = Duration::from_secs(2);
+
+impl ControlNode {
+    /// A router, or another control machine, reports its backlogs.
+    pub(super) fn on_backlog_report(&mut self, id: ConnId, report: &BacklogReport) {
+        let changes: Changes = report
+            .servers
+            .iter()
+            .map(|backlog| (ServerId(backlog.server), backlog.tokens))
+            .collect();
+        let source = match self.connections.remote_role(id) {
+            Some(RemoteRole::Router) => BacklogSource::Router(id),
+            Some(RemoteRole::Peer(address)) => BacklogSource::Peer(address),
+            // Its handshake has not arrived.
+            Some(RemoteRole::Unknown) | None => return,
+        };
+        if report.is_complete {
+            self.backlogs.table.on_lost(&source);
+        }
+        match source {
+            BacklogSource::Router(_) => self.backlogs.table.on_router_report(source, &changes),
+            BacklogSource::Peer(_) => self.backlogs.table.on_peer_report(source, &changes),
+        }
+    }
+
+    /// Sends what has changed, if it is time.
+    pub(super) fn send_backlogs(&mut self, now: Time) {
+        if self.backlogs.next_wake().is_none_or(|at| at > now) {
+            return;
+        }
+        self.backlogs.next_delta_at = after(now, DELTA_INTERVAL);
+        let (to_peers, to_routers) = self.backlogs.table.take_changes();
+        let peers: Vec<ConnId> = self
+            .peers
+            .connected()
+            .filter_map(|(address, _)| self.peers.connection(address))
+            .collect();
+        if self.backlogs.next_snapshot_at <= now {
+            self.backlogs.next_snapshot_at = after(now, SNAPSHOT_INTERVAL);
+            let servers = self.backlogs.table.whole_for_peer();
+            self.send_backlog_report(&peers, &backlog_report(true, servers));
+        } else if !to_peers.is_empty() {
+            self.send_backlog_report(&peers, &backlog_report(false, to_peers));
+        }
+        if !to_routers.is_empty() {
+            let routers = self.routers.connections();
+            self.send_backlog_report(&routers, &backlog_report(false, to_routers));
+        }
+    }
+
+    /// Sends a router that has connected all that is known.
+    pub(super) fn send_known_backlogs(&mut self, id: ConnId) {
+        let known = self.backlogs.table.whole_for_router();
+        if !known.is_empty() {
+            self.send_backlog_report(&[id], &backlog_report(true, known));
+        }
+    }
+
+    fn send_backlog_report(&mut self, to: &[ConnId], report: &BacklogReport) {
+        match crate::envelopes::encode_backlog_report(report) {
+            Ok(bytes) => to
+                .iter()
+                .for_each(|id| self.connections.send_bytes(&mut self.net, *id, &bytes)),
+            Err(e) => {
+                log::error!(target: "control", error = e.to_string().as_str(); "a message can't be sent");
+            }
+        }
+    }
+}
+
+fn backlog_report(is_complete: bool, changes: Changes) -> BacklogReport {
+    let servers = changes
+        .into_iter()
+        .map(|(server, tokens)| ServerBacklog {
+            server: server.0,
+            tokens,
+        })
+        .collect();
+    BacklogReport {
+        is_complete,
+        servers,
+    }
+}
--- /dev/null
+++ b/fleet/src/control/configuration_handler.rs
@@ -0,0 +1,120 @@
+//! Committed configurations: how this machine learns of them, and to whom it passes them on.
+
+use super::call_types::PrimaryLocation;
+use super::node::ControlNode;
+use super::router_table::RouterMessage;
+use lichenswitch_configuration::{Document, Tenant};
+use lichenswitch_control::{configuration_position, CommittedConfiguration};
+use lichenswitch_interface::Time;
+use lichenswitch_messages::{ConfigurationPosition, Envelope, PeerMessage};
+use log::warn;
+
+impl ControlNode {
+    /// Applies a newly committed configuration, and pushes it to routers and relays.
+    pub(super) fn apply_committed_configuration(&mut self, now: Time) {
+        let Some(newest) = self.newest_committed() else {
+            return;
+        };
+        log::info!(target: "control", version = newest.version; "configuration is committed");
+        let messages = self.routers.push_configuration(&newest);
+        self.committed = Some(newest);
+        self.update_bucket_tenants();
+        self.send_to_routers(messages);
+        self.send_configuration_to_relays(now);
+    }
+
+    /// The committed configuration, if it is newer than the one applied last.
+    fn newest_committed(&self) -> Option<CommittedConfiguration> {
+        let applied = self
+            .committed
+            .as_ref()
+            .map_or(0, |committed| committed.version);
+        if let Some((position, state)) = self
+            .group
+            .as_ref()
+            .and_then(|group| group.replica.committed())
+        {
+            if let Some(document) = state
+                .0
+                .document()
+                .filter(|document| document.version() > applied)
+            {
+                let (position, version) = (configuration_position(position), document.version());
+                return Some(CommittedConfiguration {
+                    position,
+                    version,
+                    document: document.to_json().into(),
+                });
+            }
+        }
+        self.primary_tracker
+            .committed()
+            .filter(|received| received.version > applied)
+            .cloned()
+    }
+
+    /// Applies the tenants of the committed configuration to the quota buckets.
+    pub(super) fn update_bucket_tenants(&mut self) {
+        let now = self.net.clock.now();
+        let Some(committed) = &self.committed else {
+            return;
+        };
+        match Document::parse_committed(&committed.document) {
+            Ok(document) => {
+                let tenants: &[Tenant] = document.tenants().unwrap_or_default();
+                self.quotas.buckets.set_tenants(now, tenants);
+            }
+            Err(e) => {
+                log::error!(target: "control", error = e.to_string().as_str(); "what is committed can't be read");
+            }
+        }
+    }
+
+    /// Sends messages to routers.
+    pub(super) fn send_to_routers(&mut self, messages: Vec<RouterMessage>) {
+        for (id, message) in messages {
+            self.connections
+                .send(&mut self.net, id, &Envelope::ToRouter(message));
+        }
+    }
+
+    /// As primary, sends the committed configuration to relays that lack it.
+    pub(super) fn send_configuration_to_relays(&mut self, now: Time) {
+        let Some(committed) = self
+            .committed
+            .clone()
+            .filter(|_| self.primary(now) == PrimaryLocation::Local)
+        else {
+            return;
+        };
+        for (address, id) in self.relays() {
+            if self.last_notified.relays.get(&address) != Some(&(id, committed.version)) {
+                self.last_notified
+                    .relays
+                    .insert(address, (id, committed.version));
+                let (position, document) = (committed.position, committed.document.to_vec());
+                let message = Envelope::Peer(PeerMessage::Configuration { position, document });
+                self.connections.send(&mut self.net, id, &message);
+            }
+        }
+    }
+
+    /// The primary has sent a committed configuration. One that can't be read is passed over, since
+    /// routers could not use it either.
+    pub(super) fn on_configuration(&mut self, position: ConfigurationPosition, document: Vec<u8>) {
+        match Document::parse_committed(&document) {
+            Ok(parsed) => {
+                let version = parsed.version();
+                self.primary_tracker
+                    .on_configuration(CommittedConfiguration {
+                        position,
+                        version,
+                        document: document.into(),
+                    });
+            }
+            Err(e) => {
+                warn!(target: "control", error = e.to_string().as_str(); "the primary has sent what can't be read")
+            }
+        }
+    }
+}
--- a/fleet/src/control/environment.rs
+++ b/fleet/src/control/environment.rs
@@ -1,18 +1,18 @@
-//! What a control machine runs on. Tests put a disk with faults in the place of the real one.
+//! The environment of a control machine. Tests put a disk with faults in place of the real one.
 
 use lichenswitch_replication::Faults;
 use lichenswitch_storage::{FileSystem, RealFileSystem};
 use std::sync::Arc;
 
-/// Gives each owner of files its own handle of the file system.
+/// Gives each user of files a handle of the file system.
 pub type FileSystems = Arc<dyn Fn() -> Box<dyn FileSystem>>;
 
-/// What a control machine runs on.
+/// The environment of a control machine.
 #[derive(Clone)]
 pub struct Environment {
     /// The files that hold its state.
     pub file_systems: FileSystems,
-    /// Faults that tests plant to show that they would be found. None elsewhere.
+    /// Faults that tests plant to show that they would be found; none outside tests.
     #[doc(hidden)]
     pub faults: Faults,
 }
@@ -28,6 +28,7 @@
 }
 
 impl Environment {
+    /// A new handle of the file system.
     pub(super) fn file_system(&self) -> Box<dyn FileSystem> {
         (self.file_systems)()
     }
--- a/fleet/src/control/group.rs
+++ b/fleet/src/control/group.rs
@@ -1,87 +1,58 @@
-//! The replicated state as this machine holds it: a replica, and the disk that it writes to.
+//! The replicated state of this machine: a replica, and the disk that it writes to.
 //!
-//! It owns both, and promises that what the replica wants written is written in order, and told to
-//! it only once it has been synced. Without a disk the memory of the process is what there is.
-
-use super::program::{Net, Signal};
-use super::{ControlError, Environment};
+//! It owns both, and promises that what the replica wants persisted is written in order, and
+//! reported to it only once it is synced. Without a disk the memory of the process counts as one.
+
+use super::clock::{from_replica_time, to_replica_time};
+use super::eligibility::is_founder;
+use super::environment::Environment;
+use super::error::ControlError;
+use super::group_disk::{open_ring, DiskContents, GroupDisk};
+use super::net_program::Net;
 use crate::settings::Settings;
-use lichenswitch_control::{Eligibility, ReplicatedConfiguration};
+use lichenswitch_control::ReplicatedConfiguration;
 use lichenswitch_interface::Time;
 use lichenswitch_replication as replication;
-use lichenswitch_replication::{
-    DurableItem, Identity, Member, Output, Recovered, Replica, WriteId,
-};
-use lichenswitch_storage::{FileSystem, Finding, Job, Storage, StorageSettings, Usage, Writer};
+use lichenswitch_replication::{DurableItem, Identity, Member, Output, Replica, WriteId};
+use lichenswitch_storage::Usage;
 use log::{info, warn};
 use std::hash::BuildHasher;
-use std::os::unix::net::UnixStream;
-use std::path::{Path, PathBuf};
-
-/// Why the machine of these settings takes part in the group, if it does.
-pub(super) fn eligibility(settings: &Settings) -> Eligibility {
-    let own = settings.listen.control_plane;
-    let seed = own.is_some_and(|own| settings.seed_nodes.contains(&own));
-    match settings.data_directory.is_some() || settings.loss_counted {
-        true => Eligibility::Durable,
-        false if settings.first_start && seed => Eligibility::StandIn,
-        false => Eligibility::Relay,
-    }
-}
+use std::net::SocketAddr;
+use std::time::Duration;
 
-/// Whether a machine takes part from its start on.
-pub(super) fn begins(eligibility: Eligibility, settings: &Settings) -> bool {
-    eligibility == Eligibility::Durable || (eligibility == Eligibility::StandIn && founds(settings))
-}
-
-/// Whether this machine founds the group: once in the life of a system, by one machine that all
-/// name alike.
-fn founds(settings: &Settings) -> bool {
-    settings.first_start
-        && settings
-            .listen
-            .control_plane
-            .is_some_and(|own| settings.seed_nodes.first() == Some(&own))
-}
+/// Delay before a disk that could not be opened is tried again.
+pub(super) const DISK_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Folder of the ring under the data directory.
+const RING_FOLDER: &str = "control";
 
-/// A replica, and where it writes.
+/// A replica, and its disk.
 pub(super) struct Group {
     pub(super) replica: Replica<ReplicatedConfiguration>,
-    disk: Option<Disk>,
-    /// Items that are to be told as written, where there is no disk.
-    remembered: Option<WriteId>,
-}
-
-/// What a disk held.
-enum Contents {
-    /// Nothing, ever.
-    Nothing,
-    /// What can't be used: it counts as a disk that was lost.
-    Lost,
-    /// A member.
-    Member(Box<Recovered>),
+    disk: Option<GroupDisk>,
+    /// Without a disk: the last write that has to be reported as synced.
+    unreported_write: Option<WriteId>,
 }
 
-/// The disk, by its writer.
-struct Disk {
-    writer: Writer,
-    usage: Usage,
-    /// Bytes of records that were handed over since `usage` was told.
-    handed: u64,
-    /// The last failure, until something is written again.
-    failure: Option<String>,
-}
-
-/// What a record takes on disk beyond its own bytes, at most: a header, and the rest of a sector.
-const BLOCK_BYTES: u64 = 1_024;
-/// Folder of the ring under the data directory.
-const FOLDER: &str = "control";
-/// Owner that the ring's files name.
-const OWNER: &str = "lichenswitch-fleet control";
-
 impl Group {
-    /// Starts with what the disk holds.
-    pub(super) fn start(
+    /// Opens the group. A disk that can't be used now does not end the process: the machine only
+    /// relays meanwhile.
+    pub(super) fn open(
+        settings: &Settings,
+        environment: &Environment,
+        address: SocketAddr,
+        net: &mut Net,
+        now: Time,
+    ) -> Option<Group> {
+        match Group::start(settings, environment, address.to_string(), net, now) {
+            Ok(group) => Some(group),
+            Err(e) => {
+                warn!(target: "control", error = e.to_string().as_str(); "the disk can't be used: this machine only relays for now");
+                None
+            }
+        }
+    }
+
+    fn start(
         settings: &Settings,
         environment: &Environment,
         address: String,
@@ -90,33 +61,33 @@
     ) -> Result<Group, ControlError> {
         let (storage, contents) = match &settings.data_directory {
             Some(directory) => {
-                let (storage, contents) = open(&directory.join(FOLDER), environment)?;
+                let (storage, contents) = open_ring(&directory.join(RING_FOLDER), environment)?;
                 (Some(storage), contents)
             }
-            None => (None, Contents::Nothing),
+            None => (None, DiskContents::Empty),
         };
         let disk = storage
-            .map(|storage| Disk::start(storage, net))
+            .map(|storage| GroupDisk::start(storage, net))
             .transpose()?;
-        let replica = replica(settings, environment, address, contents, now);
+        let replica = start_replica(settings, environment, address, contents, now);
         Ok(Group {
             replica,
             disk,
-            remembered: None,
+            unreported_write: None,
         })
     }
 
-    /// Of the member.
+    /// Identity of this member.
     pub(super) fn identity(&self) -> Identity {
         self.replica.member().identity
     }
 
-    /// Whether it is a voter, as far as it knows.
-    pub(super) fn votes(&self) -> bool {
+    /// Whether this member is a voter, as far as it knows.
+    pub(super) fn is_voter(&self) -> bool {
         self.replica.membership().names(self.identity())
     }
 
-    /// What the replica wants done, but for what it wants written: that is begun here.
+    /// Takes the outputs of the replica, except for writes: these are submitted here.
     pub(super) fn take_outputs(&mut self, now: Time) -> Vec<Output> {
         let mut outputs = Vec::new();
         loop {
@@ -126,8 +97,8 @@
                     other => outputs.push(other),
                 }
             }
-            match self.remembered.take() {
-                Some(write_id) => self.replica.on_persisted(to_replica(now), write_id),
+            match self.unreported_write.take() {
+                Some(write_id) => self.replica.on_persisted(to_replica_time(now), write_id),
                 None => return outputs,
             }
         }
@@ -135,203 +106,78 @@
 
     fn persist(&mut self, write_id: WriteId, item: &DurableItem) {
         let Some(disk) = &mut self.disk else {
-            self.remembered = Some(write_id);
+            self.unreported_write = Some(write_id);
             return;
         };
-        // A segment that is nearly full, or too full for this item, begins anew with everything
-        // that this item and those before it come to.
+        // A segment without room for this item is followed by a new one, which begins with a
+        // snapshot of all items up to this one.
         let bytes = item.encode();
-        let anew = disk
+        let snapshot = disk
             .wants_image_before(bytes.len())
             .then(|| self.replica.snapshot_for(write_id))
             .flatten();
-        let (is_image, bytes) = match &anew {
-            Some(image) => (true, image.encode()),
+        let (is_image, bytes) = match &snapshot {
+            Some(snapshot) => (true, snapshot.encode()),
             None => (matches!(item, DurableItem::Snapshot(_)), bytes),
         };
         disk.submit(write_id, is_image, bytes);
     }
 
-    /// The writer has finished something.
+    /// The writer of the disk has completed writes.
     pub(super) fn on_written(&mut self, now: Time) {
         let Some(disk) = &mut self.disk else { return };
-        for completion in disk.writer.completions() {
-            let write_id = WriteId(completion.write_id);
-            match completion.result {
-                Ok(usage) => {
-                    if disk.failure.is_some() {
-                        info!(target: "control", "the disk takes writes again");
-                    }
-                    (disk.usage, disk.failure) = (usage, None);
-                    if disk.writer.outstanding() == 0 {
-                        disk.handed = 0;
-                    }
-                    self.replica.on_persisted(to_replica(now), write_id);
-                }
-                Err(e) => {
-                    // It is tried again and again; the log needs to hear of it once.
-                    if disk.failure.is_none() {
-                        warn!(target: "control", error = e.to_string().as_str(); "the disk takes nothing");
-                    }
-                    disk.failure = Some(e.to_string());
-                    self.replica.on_persist_failed(to_replica(now), write_id);
-                }
+        for (write_id, is_synced) in disk.take_completed_writes() {
+            match is_synced {
+                true => self.replica.on_persisted(to_replica_time(now), write_id),
+                false => self
+                    .replica
+                    .on_persist_failed(to_replica_time(now), write_id),
             }
         }
     }
 
-    /// When the replica wants to be woken; `None`: never.
+    /// When the replica has to be woken; `None`: never.
     pub(super) fn next_wake(&self) -> Option<Time> {
-        Some(of_replica(self.replica.next_wake())).filter(|at| at.0 < u64::MAX)
+        Some(from_replica_time(self.replica.next_wake())).filter(|at| at.0 < u64::MAX)
     }
 
-    /// How full the disk is, and its last failure.
-    pub(super) fn disk(&self) -> Option<(Usage, usize, Option<&str>)> {
-        let disk = self.disk.as_ref()?;
-        Some((
-            disk.usage,
-            disk.writer.outstanding(),
-            disk.failure.as_deref(),
-        ))
+    /// How full the disk is, how many writes are outstanding, and its last failure; `None` without
+    /// a disk.
+    pub(super) fn disk_usage(&self) -> Option<(Usage, usize, Option<&str>)> {
+        self.disk.as_ref().map(GroupDisk::usage)
     }
 
-    /// Waits for what was handed to the disk. Called once, at the end of the process.
+    /// Waits until all submitted writes have ended. Called once, at the end of the process.
     pub(super) fn close(self) {
         if let Some(disk) = self.disk {
-            disk.writer.close();
+            disk.close();
         }
     }
 }
 
-/// A time, as the replica counts it.
-pub(super) fn to_replica(now: Time) -> replication::Time {
-    replication::Time(now.0)
-}
-
-/// A time of the replica, as the loop counts it.
-pub(super) fn of_replica(time: replication::Time) -> Time {
-    Time(time.0)
-}
-
-impl Disk {
-    fn start(storage: Storage, net: &mut Net) -> Result<Disk, ControlError> {
-        let (ours, theirs) = UnixStream::pair()?;
-        net.watch_signal(Signal::Written, ours)?;
-        let usage = storage.usage();
-        Ok(Disk {
-            writer: Writer::start(storage, theirs)?,
-            usage,
-            handed: 0,
-            failure: None,
-        })
-    }
-
-    /// Whether a whole image is to be written in place of a record of these bytes.
-    fn wants_image_before(&self, bytes: usize) -> bool {
-        let used = self.usage.used_bytes + self.handed + bytes as u64 + BLOCK_BYTES;
-        self.usage.wants_image || used > self.usage.segment_bytes
-    }
-
-    fn submit(&mut self, write_id: WriteId, is_image: bool, bytes: Vec<u8>) {
-        let job = if is_image {
-            // The next segment has room again; how much is told once it is written.
-            (self.usage.wants_image, self.usage.used_bytes, self.handed) = (false, 0, 0);
-            Job::Replace(bytes)
-        } else {
-            self.handed += bytes.len() as u64 + BLOCK_BYTES;
-            Job::Append(vec![bytes])
-        };
-        self.writer.submit(write_id.0, job);
-    }
-}
-
-/// Opens the ring. What is not whole is treated as a lost disk: set aside, and begun anew with
-/// another identity.
-fn open(folder: &Path, environment: &Environment) -> Result<(Storage, Contents), ControlError> {
-    let ring = || {
-        Storage::open_with(
-            environment.file_system(),
-            folder,
-            &StorageSettings::new(OWNER),
-        )
-    };
-    let (storage, found) = ring()?;
-    for finding in &found.findings {
-        warn!(target: "control", finding:? = finding; "the disk is not as it was left");
-    }
-    // A write that was cut off and never acknowledged is nothing; anything else was something once.
-    let blank = |finding: &Finding| matches!(finding, Finding::Torn { .. });
-    if found.is_empty() && found.findings.iter().all(blank) {
-        let before = aside(folder).exists();
-        return Ok((
-            storage,
-            if before {
-                Contents::Lost
-            } else {
-                Contents::Nothing
-            },
-        ));
-    }
-    match read(&found) {
-        Ok(recovered) if !found.loses_state() => {
-            Ok((storage, Contents::Member(Box::new(recovered))))
-        }
-        outcome => {
-            let reason = outcome
-                .err()
-                .unwrap_or_else(|| "acknowledged state is missing".to_owned());
-            drop(storage);
-            set_aside(folder, environment.file_system().as_ref(), &reason)?;
-            Ok((ring()?.0, Contents::Lost))
-        }
-    }
-}
-
-fn read(found: &lichenswitch_storage::Recovered) -> Result<Recovered, String> {
-    let items = found
-        .image
-        .iter()
-        .chain(&found.records)
-        .map(|bytes| DurableItem::decode(bytes));
-    let items = items
-        .collect::<Result<Vec<_>, _>>()
-        .map_err(|e| e.to_string())?;
-    Recovered::from_items(items).map_err(|e| e.to_string())
-}
-
-/// The folder gets another name. It is not deleted: a person may want to look at it. One that was
-/// set aside before goes.
-fn set_aside(folder: &Path, files: &dyn FileSystem, reason: &str) -> Result<(), ControlError> {
-    let aside = aside(folder);
-    warn!(target: "control", reason = reason, aside = aside.display().to_string().as_str(); "the disk counts as lost");
-    if aside.exists() {
-        std::fs::remove_dir_all(&aside)?;
-    }
-    files.rename(folder, &aside)?;
-    Ok(files.sync_folder(folder.parent().unwrap_or(folder))?)
-}
-
-/// Where a folder that can't be used is put.
-fn aside(folder: &Path) -> PathBuf {
-    folder.with_extension("lost")
-}
-
-fn replica(
+/// The replica of a member that the disk contains, a founder, or a learner.
+fn start_replica(
     settings: &Settings,
     environment: &Environment,
     address: String,
-    contents: Contents,
+    contents: DiskContents,
     now: Time,
 ) -> Replica<ReplicatedConfiguration> {
-    let figures = replication::Settings {
+    let replication_settings = replication::Settings {
         fault_tolerance: u32::try_from(settings.fault_tolerance.machines).unwrap_or(u32::MAX),
         faults: environment.faults,
         ..replication::Settings::default()
     };
-    let (seed, now) = (fastrand::u64(..), to_replica(now));
-    let nothing = matches!(contents, Contents::Nothing);
-    if let Contents::Member(recovered) = contents {
-        match Replica::recover(figures.clone(), address.clone(), *recovered, seed, now) {
+    let (seed, now) = (fastrand::u64(..), to_replica_time(now));
+    let is_empty = matches!(contents, DiskContents::Empty);
+    if let DiskContents::Member(recovered) = contents {
+        match Replica::recover(
+            replication_settings.clone(),
+            address.clone(),
+            *recovered,
+            seed,
+            now,
+        ) {
             Ok(replica) => {
                 info!(target: "control", identity = replica.member().identity.to_string().as_str(); "the disk holds a member");
                 return replica;
@@ -342,31 +188,31 @@
         }
     }
     let member = Member {
-        identity: draw_identity(&address),
+        identity: generate_identity(&address),
         address,
     };
-    if nothing && founds(settings) {
+    if is_empty && is_founder(settings) {
         info!(target: "control", identity = member.identity.to_string().as_str(); "founds the group");
         return Replica::bootstrap(
-            figures,
+            replication_settings,
             member,
             ReplicatedConfiguration::default(),
             seed,
             now,
         );
     }
-    Replica::learner(figures, member, seed, now)
+    Replica::learner(replication_settings, member, seed, now)
 }
 
-/// A number that no other member has, and none had: from the system's random numbers, the address
-/// and the time.
-pub(super) fn draw_identity(address: &str) -> Identity {
+/// An identity that no member has or had: from the system's random numbers, the address and the
+/// time. It is never 0.
+pub(super) fn generate_identity(address: &str) -> Identity {
     let hasher = std::collections::hash_map::RandomState::new();
-    let drawn = hasher.hash_one((
+    let identity = hasher.hash_one((
         address,
         std::process::id(),
         std::time::SystemTime::now(),
         fastrand::u64(..),
     ));
-    Identity(drawn.max(1))
+    Identity(identity.max(1))
 }
--- /dev/null
+++ b/fleet/src/control/group_membership.rs
@@ -0,0 +1,103 @@
+//! How a machine joins and leaves the group of voters, as
+//! [`lichenswitch_control::GroupMembership`] decides.
+
+use super::clock::{after, to_replica_time};
+use super::group::{Group, DISK_RETRY_DELAY};
+use super::internal_connections::RemoteRole;
+use super::node::ControlNode;
+use lichenswitch_control::{Eligibility, GroupView, MembershipAction};
+use lichenswitch_interface::Time;
+use lichenswitch_net::ConnId;
+use lichenswitch_replication::Identity;
+use log::info;
+use std::collections::BTreeSet;
+
+impl ControlNode {
+    /// Joins the group when that is due. Leaves it to machines with a disk where this one only stood
+    /// in for them.
+    pub(super) fn update_group_membership(&mut self, now: Time) {
+        let (durable, voters) = (self.durable_peers(), self.voters());
+        let durable_voters = durable
+            .iter()
+            .filter(|address| voters.contains(address))
+            .count();
+        let has_left = self
+            .group
+            .as_ref()
+            .is_some_and(|group| group.replica.has_left());
+        let view = GroupView {
+            is_member: self.group.is_some(),
+            has_left,
+            durable_voters,
+        };
+        match self
+            .group_membership
+            .next_action(to_replica_time(now), view)
+        {
+            Some(MembershipAction::Join) if self.next_disk_attempt_at <= now => {
+                self.join_group(now)
+            }
+            Some(MembershipAction::Leave) => {
+                if let Some(group) = &mut self.group {
+                    group.replica.leave(to_replica_time(now));
+                }
+            }
+            Some(MembershipAction::BecomeRelay) => {
+                info!(target: "control", "leaves the group to the machines with a disk");
+                self.group = None;
+            }
+            Some(MembershipAction::Join) | None => {}
+        }
+    }
+
+    /// Joins the group, unless the disk can't be used yet.
+    fn join_group(&mut self, now: Time) {
+        self.next_disk_attempt_at = after(now, DISK_RETRY_DELAY);
+        if self.shutdown_started_at.is_some() {
+            return;
+        }
+        self.group = Group::open(
+            &self.settings,
+            &self.environment,
+            self.address,
+            &mut self.net,
+            now,
+        );
+        let Some(group) = &self.group else { return };
+        self.identity = group.identity().0;
+        self.reset_quotas();
+        self.update_diskless_members();
+        info!(target: "control", "takes part in the group");
+        // Peers know this machine by the identity of its process: the next handshake names that of
+        // its disk.
+        let is_peer = |(_, remote_role, _): &(ConnId, RemoteRole, Time)| {
+            matches!(remote_role, RemoteRole::Peer(_))
+        };
+        let connections: Vec<ConnId> = self
+            .connections
+            .iter()
+            .filter(is_peer)
+            .map(|(id, ..)| id)
+            .collect();
+        connections
+            .into_iter()
+            .for_each(|id| self.close_connection(id, "this machine has another identity now"));
+    }
+
+    /// Passes the replica the members without a disk, as far as their handshakes have arrived.
+    pub(super) fn update_diskless_members(&mut self) {
+        let Some(group) = &mut self.group else { return };
+        let handshakes = self
+            .peers
+            .iter()
+            .filter_map(|(_, peer)| peer.handshake.as_ref());
+        let diskless = handshakes.filter(|handshake| !handshake.is_eligible);
+        let mut diskless_members: BTreeSet<Identity> = diskless
+            .map(|handshake| Identity(handshake.identity))
+            .collect();
+        if self.group_membership.eligibility() != Eligibility::Durable {
+            diskless_members.insert(group.identity());
+        }
+        group.replica.set_diskless_members(diskless_members);
+    }
+}
--- a/fleet/src/control/mod.rs
+++ b/fleet/src/control/mod.rs
@@ -1,57 +1,62 @@
-//! The role `control`: keeps the configuration with its peers, knows model servers and routers, and
-//! answers operators.
+//! The role `control`: replicates the configuration with its peers, keeps the tables of model
+//! servers and routers, and answers operators.
 //!
-//! One loop joins the parts. Each part is plain state (`peers`, `routers`, `servers`,
-//! `feed`) or the edge to a package (`calls` to what is decided about calls, `group` to
-//! replication and storage, `callers` to HTTP, `links` to frames); `machine` hands what
-//! happens from one to the other. The loop never waits for anything but sockets: a thread of its
-//! own writes the disk.
+//! One loop joins the parts. The parts are plain state (`peer_table`, `router_table`,
+//! `server_table`, `primary_tracker`, `quotas`, `backlogs`) or the edge to a package (`call_types`
+//! to the decisions about calls, `group` to replication and storage, `caller_sessions` to HTTP,
+//! `internal_connections` to frames). `node` holds them all; the handlers above it (`*_handler`,
+//! `group_membership`, `shutdown`, `settings_reload`, `status`) add what happens on an event, and
+//! `event_loop` calls them. A file uses only files below it, so that no two files know each other.
+//! The loop waits for sockets alone: threads of their own write the disk.
 
-mod backlog;
-mod callers;
-mod calls;
-mod contact;
+mod backlog_handler;
+mod backlogs;
+mod call_handler;
+mod call_types;
+mod caller_sessions;
+mod clock;
+mod configuration_handler;
+mod connection_handler;
+mod contact_handler;
+mod eligibility;
 mod environment;
-mod feed;
+mod error;
+mod event_loop;
 mod group;
-mod links;
-mod machine;
-mod notices;
-mod on_call;
-mod on_internal;
-mod own_part;
-mod peers;
-mod program;
+mod group_disk;
+mod group_membership;
+mod heartbeat_handler;
+mod internal_connections;
+mod last_notified;
+mod net_program;
+mod node;
+mod peer_handler;
+mod peer_table;
+mod pending_updates;
+mod primary_tracker;
+mod quota_handler;
 mod quotas;
-mod routers;
+mod rejections;
+mod replica_notices;
+mod replication_handler;
+mod request_target;
+mod responses;
+mod router_handler;
+mod router_table;
 mod server_cache;
-mod servers;
+mod server_table;
+mod server_update_handler;
+mod settings_file;
+mod settings_reload;
 mod shutdown;
+mod startup;
 mod status;
+mod timing;
 
 use crate::settings::Settings;
 pub use environment::{Environment, FileSystems};
+pub use error::ControlError;
 use std::path::PathBuf;
-use std::time::Duration;
-
-/// Between two words to each other control machine: two heartbeats to routers, so that one waking
-/// serves both.
-const DIGEST_INTERVAL: Duration =
-    Duration::from_millis(2 * lichenswitch_messages::ROUTER_HEARTBEAT_MS);
-
-/// Why the role ended.
-#[derive(Debug, thiserror::Error)]
-pub enum ControlError {
-    /// A system call failed that it can't do without.
-    #[error("{0}")]
-    System(#[from] std::io::Error),
-    /// The disk can't be used.
-    #[error("the disk: {0}")]
-    Storage(#[from] lichenswitch_storage::StorageError),
-    /// The settings have no address for servers and operators.
-    #[error("listenAddresses.controlPlane: is missing, and this role has nothing to listen on")]
-    NoAddress,
-}
 
 /// Runs the role until the process is told to end. The settings file is read again from `path`.
 ///
@@ -70,5 +75,5 @@
     path: PathBuf,
     environment: Environment,
 ) -> Result<(), ControlError> {
-    machine::Machine::start(settings, path, environment)?.run()
+    node::ControlNode::start(settings, path, environment)?.run()
 }
--- /dev/null
+++ b/fleet/src/control/peer_handler.rs
@@ -0,0 +1,155 @@
+//! Messages of other control machines.
+
+use super::clock::to_replica_time;
+use super::internal_connections::RemoteRole;
+use super::node::ControlNode;
+use super::peer_table::PeerHandshake;
+use super::rejections::ConnectionRejection;
+use lichenswitch_control::Eligibility;
+use lichenswitch_interface::Time;
+use lichenswitch_messages::{Envelope, PeerMessage, PROTOCOL_VERSION};
+use lichenswitch_net::ConnId;
+use log::info;
+use std::net::SocketAddr;
+
+impl ControlNode {
+    /// The handshake of this machine.
+    pub(super) fn handshake(&self) -> PeerMessage {
+        PeerMessage::Hello {
+            protocol: PROTOCOL_VERSION,
+            node: self.settings.node_name.clone(),
+            address: self.address.to_string(),
+            identity: self.identity,
+            eligible: self.group_membership.eligibility() == Eligibility::Durable,
+            known: self.peers.reached_addresses(),
+        }
+    }
+
+    /// A control machine has sent its handshake, and the addresses of others that it reached.
+    pub(super) fn on_handshake(
+        &mut self,
+        id: ConnId,
+        remote_role: RemoteRole,
+        address: SocketAddr,
+        handshake: PeerHandshake,
+        known: &[String],
+        now: Time,
+    ) -> Result<(), ConnectionRejection> {
+        if handshake.identity == self.identity || address == self.address {
+            if let RemoteRole::Peer(dialled) = remote_role {
+                self.peers.forget(dialled);
+            }
+            return Err(ConnectionRejection::OwnAddress);
+        }
+        if let RemoteRole::Peer(dialled) = remote_role {
+            if dialled != address {
+                return Err(ConnectionRejection::OtherAddress { dialled, address });
+            }
+        }
+        let was_connected = self.peers.connection(address).is_some();
+        let node = handshake.node.clone();
+        if handshake.is_eligible {
+            self.group_membership.on_durable_peer(self.group.is_some());
+        }
+        let replaced = self.peers.on_handshake(address, id, handshake, now);
+        self.update_diskless_members();
+        if remote_role == RemoteRole::Unknown {
+            self.connections
+                .set_remote_role(id, RemoteRole::Peer(address));
+            let handshake = Envelope::Peer(self.handshake());
+            self.connections.send(&mut self.net, id, &handshake);
+        }
+        if let Some(replaced) = replaced {
+            self.close_connection(replaced, "replaced by a newer one");
+        }
+        self.peers.learn_all(known, now);
+        if !was_connected {
+            info!(target: "control", node = node.as_str(), address = address.to_string().as_str(); "peer is connected");
+            self.send_initial_state(id, now);
+            self.update_replica_addresses();
+        }
+        Ok(())
+    }
+
+    /// Sends a peer what it gets first: the contact of this machine, its complete table of servers,
+    /// and behind it the servers that only the disk remembers.
+    fn send_initial_state(&mut self, id: ConnId, now: Time) {
+        let contact = self.contact_message(now);
+        self.send_to(id, contact);
+        let table = self.complete_server_table(now);
+        self.send_to(id, table);
+        let cached = self.servers.cached();
+        if !cached.is_empty() {
+            self.send_to(id, PeerMessage::CachedServers(cached));
+        }
+    }
+
+    fn complete_server_table(&self, now: Time) -> PeerMessage {
+        PeerMessage::Servers {
+            ack: 0,
+            records: self.servers.snapshot(now),
+            is_complete: true,
+        }
+    }
+
+    /// A control machine whose handshake has arrived has sent a message.
+    pub(super) fn on_peer(&mut self, from: SocketAddr, message: PeerMessage, now: Time) {
+        match message {
+            // `on_envelope` passes it to `on_handshake`.
+            PeerMessage::Hello { .. } => {}
+            PeerMessage::Replication(bytes) => self.on_replication(from, &bytes, now),
+            PeerMessage::Call { id, call } => self.on_relayed_call(from, id, call, now),
+            PeerMessage::CallResponse { id, response } => {
+                self.calls
+                    .on_response(to_replica_time(now), &from, id, response)
+            }
+            PeerMessage::Servers {
+                ack,
+                records,
+                is_complete,
+            } => {
+                let in_contact = self.is_in_contact(from);
+                self.servers
+                    .on_records(now, &records, is_complete, in_contact);
+                if let Some(id) = self.peers.connection(from).filter(|_| ack != 0) {
+                    self.servers.on_ack_requested(now, id, ack, &records);
+                }
+            }
+            PeerMessage::CachedServers(records) => self.servers.on_cached_servers(now, &records),
+            PeerMessage::ServersAck { ack } => {
+                self.servers.on_ack(from, ack, self.is_in_contact(from))
+            }
+            PeerMessage::HeartbeatDigest(digest) => {
+                if self.servers.on_heartbeat_digest(now, &digest) {
+                    self.send_to_peer(from, PeerMessage::ServerTableRequest);
+                }
+            }
+            PeerMessage::ServerTableRequest => {
+                let table = self.complete_server_table(now);
+                self.send_to_peer(from, table);
+            }
+            PeerMessage::Contact {
+                in_contact,
+                primary,
+                routers,
+                known,
+            } => {
+                if let Some(peer) = self.peers.get_mut(from) {
+                    (peer.in_contact, peer.routers) = (in_contact, routers);
+                }
+                let primary = primary.and_then(|address| address.parse().ok());
+                self.primary_tracker
+                    .on_contact(now, from, in_contact, primary);
+                self.peers.learn_all(&known, now);
+            }
+            PeerMessage::Confirmed { echo } => {
+                let instant = self.primary_tracker.on_confirmed(now, echo);
+                self.send_to_peer(from, PeerMessage::ConfirmedAck(instant));
+            }
+            PeerMessage::ConfirmedAck(instant) => self.on_confirmation_ack(now, from, instant),
+            PeerMessage::Configuration { position, document } => {
+                self.on_configuration(position, document)
+            }
+        }
+    }
+}
--- a/fleet/src/control/peers/tests.rs
+++ b/fleet/src/control/peer_table/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of `peers`.
 
-use super::super::program::{Net, Owner};
+use super::super::net_program::{Net, Owner};
 use super::*;
 
 fn at(ms: u64) -> Time {
@@ -11,11 +11,11 @@
     SocketAddr::from(([10, 0, 0, number], 7_300))
 }
 
-fn introduction() -> Introduction {
-    Introduction {
+fn handshake() -> PeerHandshake {
+    PeerHandshake {
         node: "n".to_owned(),
         identity: 5,
-        eligible: true,
+        is_eligible: true,
     }
 }
 
@@ -31,23 +31,23 @@
 }
 
 #[test]
-fn both_ends_of_a_pair_choose_the_same_connection() {
+fn both_ends_of_pair_choose_same_connection() {
     let made = connections(2);
     // The smaller address made the first one, the greater the second.
     let (by_small, by_great) = (made[0], made[1]);
-    let mut small = Peers::new(address(1), vec![address(2)], at(0));
-    let mut great = Peers::new(address(2), vec![address(1)], at(0));
-    small.on_dial(address(2), by_small, at(0));
-    great.on_dial(address(1), by_great, at(0));
+    let mut small = PeerTable::new(address(1), vec![address(2)], at(0));
+    let mut great = PeerTable::new(address(2), vec![address(1)], at(0));
+    small.on_dial_started(address(2), by_small, at(0));
+    great.on_dial_started(address(1), by_great, at(0));
     assert_eq!(
         small.connection(address(2)),
         None,
         "before the first message there is nobody to send to"
     );
-    small.on_hello(address(2), by_small, introduction(), at(1));
-    small.on_hello(address(2), by_great, introduction(), at(1));
-    great.on_hello(address(1), by_great, introduction(), at(1));
-    great.on_hello(address(1), by_small, introduction(), at(1));
+    small.on_handshake(address(2), by_small, handshake(), at(1));
+    small.on_handshake(address(2), by_great, handshake(), at(1));
+    great.on_handshake(address(1), by_great, handshake(), at(1));
+    great.on_handshake(address(1), by_small, handshake(), at(1));
     assert_eq!(small.connection(address(2)), Some(by_small));
     assert_eq!(great.connection(address(1)), Some(by_small));
 
@@ -56,30 +56,36 @@
     great.on_closed(address(1), by_small, at(2));
     assert_eq!(small.connection(address(2)), Some(by_great));
     assert_eq!(great.connection(address(1)), Some(by_great));
-    assert!(small.due(at(60_000)).is_empty() && great.due(at(60_000)).is_empty());
+    assert!(small.due_dials(at(60_000)).is_empty() && great.due_dials(at(60_000)).is_empty());
 }
 
 #[test]
-fn one_that_is_lost_is_dialled_again_soon_and_ever_more_slowly_up_to_half_a_second() {
+fn lost_peer_is_redialled_with_backoff_up_to_half_a_second() {
     let id = connections(1)[0];
-    let mut peers = Peers::new(address(1), vec![address(2)], at(0));
-    assert_eq!(peers.due(at(0)), [address(2)]);
+    let mut peers = PeerTable::new(address(1), vec![address(2)], at(0));
+    assert_eq!(peers.due_dials(at(0)), [address(2)]);
     let mut now = 0;
     for _ in 0..20 {
-        peers.on_dial(address(2), id, at(now));
-        assert!(peers.due(at(now + 10_000)).is_empty(), "one try at a time");
+        peers.on_dial_started(address(2), id, at(now));
+        assert!(
+            peers.due_dials(at(now + 10_000)).is_empty(),
+            "one try at a time"
+        );
         peers.on_closed(address(2), id, at(now));
         let next = peers.next_wake().unwrap();
         let pause = elapsed(at(now), next);
-        assert!(pause >= BACKOFF.0 / 2 && pause <= BACKOFF.1, "{pause:?}");
+        assert!(
+            pause >= MIN_REDIAL_DELAY / 2 && pause <= MAX_REDIAL_DELAY,
+            "{pause:?}"
+        );
         now = (next.0 - at(0).0).div_ceil(1_000);
     }
     assert!(now > 3_000, "it gets slower: {now} ms for 20 tries");
 }
 
 #[test]
-fn addresses_that_nobody_answers_at_are_forgotten_but_for_seeds_and_voters() {
-    let mut peers = Peers::new(address(1), vec![address(2)], at(0));
+fn unreachable_addresses_are_forgotten_except_seeds_and_voters() {
+    let mut peers = PeerTable::new(address(1), vec![address(2)], at(0));
     peers.learn_all(
         &[
             "10.0.0.3:7300".to_owned(),
@@ -90,17 +96,22 @@
     );
     peers.learn(address(1), at(0));
     assert_eq!(peers.iter().count(), 3, "its own address is no peer");
-    assert!(peers.forget_dead(&[address(4)], at(59_000)).is_empty());
-    assert_eq!(peers.forget_dead(&[address(4)], at(61_000)), [address(3)]);
+    assert!(peers
+        .forget_unreachable(&[address(4)], at(59_000))
+        .is_empty());
+    assert_eq!(
+        peers.forget_unreachable(&[address(4)], at(61_000)),
+        [address(3)]
+    );
     assert!(
-        peers.known().is_empty(),
+        peers.reached_addresses().is_empty(),
         "who was never heard is not named to others"
     );
 }
 
 #[test]
-fn talk_of_ever_more_addresses_is_bounded() {
-    let mut peers = Peers::new(address(1), vec![address(2)], at(0));
+fn number_of_learned_addresses_is_bounded() {
+    let mut peers = PeerTable::new(address(1), vec![address(2)], at(0));
     (0..200).for_each(|n| peers.learn(SocketAddr::from(([10, 1, 0, n], 7_300)), at(0)));
-    assert_eq!(peers.iter().count(), MOST);
+    assert_eq!(peers.iter().count(), MAX_PEERS);
 }
--- /dev/null
+++ b/fleet/src/control/quota_handler.rs
@@ -0,0 +1,247 @@
+//! Quotas at a control machine: joins [`lichenswitch_quota`] to connections and to the group.
+//!
+//! Owners of shards are voters, by the identity of their disks. They own their shards as long as the
+//! replica reports that they are current.
+
+use super::clock::to_replica_time;
+use super::internal_connections::RemoteRole;
+use super::node::ControlNode;
+use super::peer_table::Peer;
+use super::quotas::{voters, LeaseRequestOrigin, Quotas};
+use crate::invariants::{self, Invariant};
+use lichenswitch_configuration::QuotaUnit;
+use lichenswitch_interface::Time;
+use lichenswitch_messages::{QuotaLeaseRequest, QuotaLeaseResponse, QuotaLeaseUnit, TenantMessage};
+use lichenswitch_net::ConnId;
+use lichenswitch_quota::{LeaseAction, LeaseGrant, LeaseRequest, OwnerId};
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+
+impl ControlNode {
+    /// This machine has another identity: shards that it owned under the old one are lost to it.
+    pub(super) fn reset_quotas(&mut self) {
+        let bounds = self.settings.bounds.quota_terms();
+        self.quotas = Quotas::new(self.identity, self.group.as_ref(), bounds);
+        self.update_bucket_tenants();
+    }
+
+    /// Updates the owners of shards by the voters, and this machine's lease by its contact.
+    pub(super) fn update_shard_ownership(&mut self, now: Time) {
+        let Some(group) = self.group.as_ref() else {
+            return;
+        };
+        self.quotas.ownership.on_voters(now, &voters(group));
+        if group.is_voter() && group.replica.is_current(to_replica_time(now)) {
+            self.quotas.ownership.on_contact(now);
+            if group
+                .replica
+                .committed()
+                .is_some_and(|(_, state)| state.0.document().is_none())
+            {
+                self.quotas.buckets.on_no_configuration();
+            }
+        }
+    }
+
+    /// A message about tenants has arrived.
+    pub(super) fn on_tenant_message(&mut self, id: ConnId, message: TenantMessage, now: Time) {
+        match (message, self.connections.remote_role(id)) {
+            (TenantMessage::Confirm { sent_at_us }, Some(RemoteRole::Router)) => {
+                self.send_confirmation(id, sent_at_us, now)
+            }
+            (
+                TenantMessage::LeaseRequest(request),
+                Some(RemoteRole::Router | RemoteRole::Peer(_)),
+            ) => self.on_lease_request(id, request, now),
+            (TenantMessage::LeaseResponse(response), Some(RemoteRole::Peer(address))) => {
+                self.on_lease_response(address, response, now)
+            }
+            // Unexpected here, or its sender's handshake has not arrived.
+            _ => {}
+        }
+    }
+
+    /// Confirms to a router that the configuration that it was sent is current, if it is.
+    fn send_confirmation(&mut self, id: ConnId, sent_at_us: u64, now: Time) {
+        // A configuration that is committed by now precedes the confirmation.
+        self.apply_committed_configuration(now);
+        if self.in_contact(now) {
+            let position = self.committed.as_ref().map(|committed| committed.position);
+            self.send_tenant_message(
+                id,
+                &TenantMessage::Confirmed {
+                    sent_at_us,
+                    position,
+                },
+            );
+        }
+    }
+
+    fn on_lease_request(&mut self, connection: ConnId, request: QuotaLeaseRequest, now: Time) {
+        let (origin, may_forward) = (
+            LeaseRequestOrigin {
+                connection,
+                id: request.id,
+            },
+            request.may_forward,
+        );
+        let request = lease_request_from(request);
+        if !may_forward {
+            let grant = self
+                .quotas
+                .buckets
+                .lease(now, &request, &self.quotas.ownership);
+            return self.respond_to_lease_request(origin, grant);
+        }
+        let reachable = self.reachable_owners();
+        let (lease_requests, mut context) = self.quotas.lease_context(&reachable);
+        let actions = lease_requests.on_request(now, origin, request, &mut context);
+        self.handle_lease_actions(actions);
+    }
+
+    fn on_lease_response(&mut self, from: SocketAddr, response: QuotaLeaseResponse, now: Time) {
+        let Some(from) = self.owner_at(from) else {
+            return;
+        };
+        let grant = LeaseGrant {
+            granted_bits: response.granted_bits,
+            prefetch_amount: response.prefetch_amount,
+            retry_after_us: response.retry_after_us,
+        };
+        let reachable = self.reachable_owners();
+        let (lease_requests, mut context) = self.quotas.lease_context(&reachable);
+        let actions = lease_requests.on_response(now, from, response.id, grant, &mut context);
+        self.handle_lease_actions(actions);
+    }
+
+    /// The last connection to a control machine is closed.
+    pub(super) fn on_owner_disconnected(&mut self, address: SocketAddr, now: Time) {
+        let Some(owner) = self.owner_at(address) else {
+            return;
+        };
+        let reachable = self.reachable_owners();
+        let (lease_requests, mut context) = self.quotas.lease_context(&reachable);
+        let actions = lease_requests.on_owner_lost(now, owner, &mut context);
+        self.handle_lease_actions(actions);
+    }
+
+    /// Refills the buckets up to now, and checks that their shards have granted no more than they may.
+    pub(super) fn advance_buckets(&mut self, now: Time) {
+        let Quotas {
+            buckets, ownership, ..
+        } = &mut self.quotas;
+        buckets.advance(now, ownership);
+        if !std::mem::replace(
+            &mut self.quotas.has_overrun,
+            !self.quotas.buckets.are_within_bounds(),
+        ) {
+            invariants::check(!self.quotas.has_overrun, Invariant::PartIsKept);
+        }
+    }
+
+    /// Retries or ends pending lease requests that are due.
+    pub(super) fn advance_lease_requests(&mut self, now: Time) {
+        if self.quotas.next_wake().is_none_or(|at| at > now) {
+            return;
+        }
+        let reachable = self.reachable_owners();
+        let (lease_requests, mut context) = self.quotas.lease_context(&reachable);
+        let actions = lease_requests.tick(now, &mut context);
+        self.handle_lease_actions(actions);
+    }
+
+    fn handle_lease_actions(&mut self, actions: Vec<LeaseAction<LeaseRequestOrigin>>) {
+        for action in actions {
+            match action {
+                LeaseAction::Request {
+                    to,
+                    id,
+                    may_forward,
+                    draw: request,
+                } => {
+                    if let Some(connection) = self.connection_to(to) {
+                        let request = lease_request_message(id, request, may_forward);
+                        self.send_tenant_message(connection, &TenantMessage::LeaseRequest(request));
+                    }
+                }
+                LeaseAction::Respond { origin, grant } => {
+                    self.respond_to_lease_request(origin, grant)
+                }
+            }
+        }
+    }
+
+    fn respond_to_lease_request(&mut self, origin: LeaseRequestOrigin, grant: LeaseGrant) {
+        let response = QuotaLeaseResponse {
+            id: origin.id,
+            granted_bits: grant.granted_bits,
+            prefetch_amount: grant.prefetch_amount,
+            retry_after_us: grant.retry_after_us,
+        };
+        self.send_tenant_message(origin.connection, &TenantMessage::LeaseResponse(response));
+    }
+
+    fn send_tenant_message(&mut self, id: ConnId, message: &TenantMessage) {
+        match crate::envelopes::encode_tenant_message(message) {
+            Ok(bytes) => self.connections.send_bytes(&mut self.net, id, &bytes),
+            Err(e) => {
+                log::error!(target: "control", error = e.to_string().as_str(); "a message can't be sent");
+            }
+        }
+    }
+
+    /// Connected machines with a disk: they may own shards.
+    fn reachable_owners(&self) -> BTreeSet<OwnerId> {
+        let handshakes = self
+            .peers
+            .connected()
+            .filter_map(|(_, peer)| peer.handshake.as_ref());
+        handshakes
+            .filter(|handshake| handshake.is_eligible)
+            .map(|handshake| OwnerId(handshake.identity))
+            .collect()
+    }
+
+    fn owner_at(&self, address: SocketAddr) -> Option<OwnerId> {
+        let handshake = self.peers.get(address)?.handshake.as_ref()?;
+        Some(OwnerId(handshake.identity))
+    }
+
+    fn connection_to(&self, owner: OwnerId) -> Option<ConnId> {
+        let is_owner = |peer: &Peer| {
+            peer.handshake
+                .as_ref()
+                .is_some_and(|handshake| handshake.identity == owner.0)
+        };
+        let (address, _) = self.peers.connected().find(|(_, peer)| is_owner(peer))?;
+        self.peers.connection(address)
+    }
+}
+
+fn lease_request_from(request: QuotaLeaseRequest) -> LeaseRequest {
+    let unit = match request.unit {
+        QuotaLeaseUnit::Requests => QuotaUnit::Requests,
+        QuotaLeaseUnit::Tokens => QuotaUnit::Tokens,
+    };
+    LeaseRequest {
+        tenant: request.tenant,
+        unit,
+        amounts: request.amounts,
+        prefetch_amount: request.prefetch_amount,
+    }
+}
+
+fn lease_request_message(id: u64, request: LeaseRequest, may_forward: bool) -> QuotaLeaseRequest {
+    let unit = match request.unit {
+        QuotaUnit::Requests => QuotaLeaseUnit::Requests,
+        QuotaUnit::Tokens => QuotaLeaseUnit::Tokens,
+    };
+    QuotaLeaseRequest {
+        id,
+        tenant: request.tenant,
+        unit,
+        amounts: request.amounts,
+        prefetch_amount: request.prefetch_amount,
+        may_forward,
+    }
+}
--- a/fleet/src/control/notices.rs
+++ b/fleet/src/control/replica_notices.rs
@@ -1,4 +1,4 @@
-//! Events of the replica, for the log.
+//! Log lines for events of the replica.
 
 use lichenswitch_replication::Notice;
 use log::{debug, info, warn};
@@ -14,7 +14,7 @@
         | Notice::DiskStalled { .. } => {
             warn!(target: "replication", notice:? = notice; "{message}")
         }
-        // The group tells it once, with the reason.
+        // `group_disk` logs it once, with the reason.
         Notice::DiskFailed => debug!(target: "replication", "{message}"),
         Notice::BecamePrimary { .. }
         | Notice::ElectionStarted { .. }
--- /dev/null
+++ b/fleet/src/control/replication_handler.rs
@@ -0,0 +1,120 @@
+//! Messages and outputs of the replica.
+
+use super::clock::to_replica_time;
+use super::node::ControlNode;
+use super::{replica_notices, status};
+use lichenswitch_interface::Time;
+use lichenswitch_messages::{Envelope, PeerMessage};
+use lichenswitch_replication::{Body, Identity, Message, Output};
+use log::warn;
+use std::net::SocketAddr;
+
+impl ControlNode {
+    /// Handles the outputs of the replica. Returns whether there were any.
+    pub(super) fn handle_replica_outputs(&mut self, now: Time) -> bool {
+        let Some(group) = &mut self.group else {
+            return false;
+        };
+        let outputs = group.take_outputs(now);
+        let busy = !outputs.is_empty();
+        for output in outputs {
+            match output {
+                Output::Send { to, message } => self.send_replication(&to, &message, now),
+                Output::Completed { request, outcome } => {
+                    if let Some(group) = &mut self.group {
+                        let status = |replica: &_| status::group(replica, now).into_bytes();
+                        let replica = &mut group.replica;
+                        self.calls.on_request_completed(
+                            to_replica_time(now),
+                            request,
+                            &outcome,
+                            replica,
+                            status,
+                        );
+                    }
+                }
+                Output::Notice(notice) => replica_notices::log(&notice),
+                // Commits are applied at the end of each turn; the group has submitted the writes.
+                Output::Committed(_) | Output::Persist { .. } => {}
+            }
+        }
+        busy
+    }
+
+    /// Sends a message of the replica, if its receiver is connected.
+    fn send_replication(&mut self, to: &str, message: &Message, now: Time) {
+        let Ok(address) = to.parse() else { return };
+        self.peers.learn(address, now);
+        let Some(id) = self.peers.connection(address) else {
+            return;
+        };
+        if matches!(message.body, Body::Append(_)) && !self.is_member_or_applicant(address, now) {
+            return;
+        }
+        let envelope = Envelope::Peer(PeerMessage::Replication(message.encode()));
+        // Heartbeats and their responses are repeated, and records and snapshots are sent again
+        // after the next heartbeat.
+        match message.body {
+            Body::TakeOver { .. } | Body::LeaveRequest | Body::LeaveResponse { .. } => {
+                self.connections.send(&mut self.net, id, &envelope);
+            }
+            _ => self
+                .connections
+                .send_repeatable(&mut self.net, id, &envelope),
+        }
+    }
+
+    /// Whether the machine at an address is a member, or has applied to become one. A heartbeat for
+    /// a voter whose disk was lost would reach its replacement, which would take itself for a member
+    /// and stop applying.
+    fn is_member_or_applicant(&self, address: SocketAddr, now: Time) -> bool {
+        let handshake = self
+            .peers
+            .get(address)
+            .and_then(|peer| peer.handshake.as_ref());
+        let (Some(handshake), Some(group)) = (handshake, &self.group) else {
+            return false;
+        };
+        let identity = Identity(handshake.identity);
+        let is_member = group.replica.membership().member(identity).is_some();
+        is_member
+            || group
+                .replica
+                .status(to_replica_time(now))
+                .peers
+                .iter()
+                .any(|peer| peer.identity == identity)
+    }
+
+    /// A message of another replica has arrived. It counts only from the machine that it names as
+    /// its sender.
+    pub(super) fn on_replication(&mut self, from: SocketAddr, bytes: &[u8], now: Time) {
+        let Some(group) = &mut self.group else { return };
+        let message = match Message::decode(bytes) {
+            Ok(message) => message,
+            Err(e) => {
+                return warn!(target: "control", error = e.to_string().as_str(); "a message of replication can't be read")
+            }
+        };
+        let handshake = self
+            .peers
+            .get(from)
+            .and_then(|peer| peer.handshake.as_ref());
+        let is_sender = handshake.is_some_and(|peer| peer.identity == message.from.identity.0);
+        if is_sender && message.from.address.parse() == Ok(from) {
+            group.replica.on_message(to_replica_time(now), message);
+        }
+    }
+
+    /// Passes the replica the addresses where it may apply to join.
+    pub(super) fn update_replica_addresses(&mut self) {
+        if let Some(group) = &mut self.group {
+            let known = self
+                .peers
+                .iter()
+                .filter(|(_, peer)| peer.last_received_at().is_some());
+            let known = known.map(|(address, _)| address.to_string()).collect();
+            group.replica.add_peer_addresses(known);
+        }
+    }
+}
--- /dev/null
+++ b/fleet/src/control/router_handler.rs
@@ -0,0 +1,60 @@
+//! Messages of routers.
+
+use super::internal_connections::RemoteRole;
+use super::node::ControlNode;
+use super::rejections::{check_protocol, ConnectionRejection};
+use super::router_table::RouterHandshake;
+use lichenswitch_interface::Time;
+use lichenswitch_messages::RouterToControl;
+use lichenswitch_net::ConnId;
+
+impl ControlNode {
+    /// A router has sent a message.
+    ///
+    /// # Errors
+    /// When its connection has to be closed.
+    pub(super) fn on_router(
+        &mut self,
+        id: ConnId,
+        message: RouterToControl,
+        now: Time,
+    ) -> Result<(), ConnectionRejection> {
+        match message {
+            RouterToControl::Hello {
+                protocol,
+                node,
+                zone,
+                process,
+                configuration,
+            } => {
+                check_protocol(protocol, &node)?;
+                self.connections.set_remote_role(id, RemoteRole::Router);
+                // A configuration that was committed in this turn has to precede the first heartbeat,
+                // which reports contact.
+                self.apply_committed_configuration(now);
+                let (heartbeat, table) = (self.router_heartbeat(now), self.servers.known(now));
+                let handshake = RouterHandshake {
+                    node,
+                    zone,
+                    process,
+                    configuration,
+                };
+                let messages = self.routers.on_handshake(
+                    now,
+                    id,
+                    handshake,
+                    self.committed.as_ref(),
+                    heartbeat,
+                    &table,
+                );
+                self.send_to_routers(messages);
+                self.send_known_backlogs(id);
+            }
+            RouterToControl::Applied {
+                push,
+                configuration,
+            } => self.routers.on_applied(id, push, configuration),
+        }
+        Ok(())
+    }
+}
--- a/fleet/src/control/routers.rs
+++ b/fleet/src/control/router_table.rs
@@ -1,8 +1,8 @@
-//! Routers that are connected to this machine: what each has been sent, and what it has in force.
+//! Routers that are connected to this machine: what each has been sent, and what it has applied.
 //!
-//! It owns the members and their connections. It promises: a router that connects gets the newest
-//! committed configuration, unless it has it, and the whole table of servers, and changes from then
-//! on; all that is pushed is numbered from 1 on each connection.
+//! It owns the members and their connections. It promises that a router that connects gets the
+//! newest committed configuration, unless it has it, then the complete table of servers, and all
+//! changes from then on. Pushes are numbered from 1 on each connection.
 
 use lichenswitch_control::{CommittedConfiguration, ConfigurationPushes};
 use lichenswitch_interface::Time;
@@ -12,75 +12,76 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A router stays a member for so long without a connection: it may be on its way to another
-/// control machine.
-const LEASE: Duration = Duration::from_millis(1_000);
-/// Records in one message. Guards the loop of a router against one long message.
-const RECORDS_IN_MESSAGE: usize = 500;
+/// How long a router stays a member without a connection: it may be changing to another control
+/// machine.
+const MEMBER_LEASE: Duration = Duration::from_millis(1_000);
+/// Most records in one message, so that a long one does not block the loop of a router.
+const MAX_RECORDS_PER_MESSAGE: usize = 500;
 
-/// A router.
+/// A connected router.
 #[derive(Clone, Debug)]
 pub(super) struct Router {
     pub(super) node: String,
     pub(super) zone: String,
     process: u64,
-    /// What it has been sent, and has in force.
+    /// What it has been sent and has applied.
     pushes: ConfigurationPushes,
-    /// Number up to which it has applied all.
-    pub(super) applied: u64,
+    /// Number of the last push that it has applied; it has applied all before it.
+    pub(super) applied_push: u64,
 }
 
-/// What a router says in its first message.
+/// The first message of a router.
 #[derive(Clone, Debug)]
-pub(super) struct Hello {
+pub(super) struct RouterHandshake {
     pub(super) node: String,
     pub(super) zone: String,
     pub(super) process: u64,
     pub(super) configuration: Option<ConfigurationPosition>,
 }
 
-/// A message for a router.
-pub(super) type Push = (ConnId, ControlToRouter);
+/// A message, with the connection of the router that it is for.
+pub(super) type RouterMessage = (ConnId, ControlToRouter);
 
-/// The routers of this machine.
-pub(super) struct Routers {
+/// The routers of this machine, and their leases as members.
+pub(super) struct RouterTable {
     connected: BTreeMap<ConnId, Router>,
     members: MembershipLeases,
 }
 
-impl Routers {
-    pub(super) fn new() -> Routers {
-        let lease = u64::try_from(LEASE.as_micros()).unwrap_or(u64::MAX);
-        Routers {
+impl RouterTable {
+    /// A table without routers.
+    pub(super) fn new() -> RouterTable {
+        let lease = u64::try_from(MEMBER_LEASE.as_micros()).unwrap_or(u64::MAX);
+        RouterTable {
             connected: BTreeMap::new(),
             members: MembershipLeases::new(lease),
         }
     }
 
-    /// A router has connected. What it is to be sent first comes back.
-    pub(super) fn on_hello(
+    /// A router has connected. Returns what it has to be sent first.
+    pub(super) fn on_handshake(
         &mut self,
         now: Time,
         id: ConnId,
-        hello: Hello,
+        handshake: RouterHandshake,
         committed: Option<&CommittedConfiguration>,
         heartbeat: ControlToRouter,
-        table: Vec<ServerRecord>,
-    ) -> Vec<Push> {
+        table: &[ServerRecord],
+    ) -> Vec<RouterMessage> {
         if self
             .members
-            .on_renewal(now.0, hello.process, &hello.node, &hello.zone)
+            .on_renewal(now.0, handshake.process, &handshake.node, &handshake.zone)
         {
-            log::info!(target: "control", node = hello.node.as_str(), zone = hello.zone.as_str(); "router has connected");
+            log::info!(target: "control", node = handshake.node.as_str(), zone = handshake.zone.as_str(); "router has connected");
         }
-        let Hello {
+        let RouterHandshake {
             node,
             zone,
             process,
             configuration,
-        } = hello;
+        } = handshake;
         let mut pushes = ConfigurationPushes::new(configuration);
-        let first = pushes.initial_messages(committed, heartbeat);
+        let messages = pushes.initial_messages(committed, heartbeat);
         self.connected.insert(
             id,
             Router {
@@ -88,15 +89,16 @@
                 zone,
                 process,
                 pushes,
-                applied: 0,
+                applied_push: 0,
             },
         );
-        let mut first: Vec<Push> = first.into_iter().map(|message| (id, message)).collect();
-        first.extend(self.push_servers_to(id, &table, true));
-        first
+        let mut messages: Vec<RouterMessage> =
+            messages.into_iter().map(|message| (id, message)).collect();
+        messages.extend(self.push_servers_to(id, table, true));
+        messages
     }
 
-    /// A router has applied all up to a number.
+    /// A router has applied all pushes up to a number.
     pub(super) fn on_applied(
         &mut self,
         id: ConnId,
@@ -104,17 +106,17 @@
         configuration: Option<ConfigurationPosition>,
     ) {
         if let Some(router) = self.connected.get_mut(&id) {
-            router.applied = router.applied.max(push);
+            router.applied_push = router.applied_push.max(push);
             router.pushes.on_applied(configuration);
         }
     }
 
-    /// A router's connection is gone. Its lease runs on.
+    /// A router's connection is closed. Its lease runs on.
     pub(super) fn on_closed(&mut self, id: ConnId) {
         self.connected.remove(&id);
     }
 
-    /// Renews the leases of all that are connected, and ends the others'.
+    /// Renews the leases of connected routers, and removes members whose lease has expired.
     pub(super) fn tick(&mut self, now: Time) {
         for router in self.connected.values() {
             self.members
@@ -125,7 +127,7 @@
         }
     }
 
-    /// Routers that are members here.
+    /// Number of routers that are members here.
     pub(super) fn count(&self) -> usize {
         self.members.count()
     }
@@ -135,20 +137,24 @@
         self.connected.keys().copied().collect()
     }
 
+    /// All connected routers.
     pub(super) fn iter(&self) -> impl Iterator<Item = &Router> {
         self.connected.values()
     }
 
-    /// A configuration has been committed: those that lack it get it.
-    pub(super) fn push_configuration(&mut self, committed: &CommittedConfiguration) -> Vec<Push> {
+    /// A configuration has been committed. Returns the pushes for routers that lack it.
+    pub(super) fn push_configuration(
+        &mut self,
+        committed: &CommittedConfiguration,
+    ) -> Vec<RouterMessage> {
         let push = |(id, router): (&ConnId, &mut Router)| {
             Some((*id, router.pushes.configuration(committed)?))
         };
         self.connected.iter_mut().filter_map(push).collect()
     }
 
-    /// Records of servers have changed.
-    pub(super) fn push_servers(&mut self, records: &[ServerRecord]) -> Vec<Push> {
+    /// Records of servers have changed. Returns the pushes for all routers.
+    pub(super) fn push_servers(&mut self, records: &[ServerRecord]) -> Vec<RouterMessage> {
         if records.is_empty() {
             return Vec::new();
         }
@@ -158,23 +164,28 @@
             .collect()
     }
 
-    fn push_servers_to(&mut self, id: ConnId, records: &[ServerRecord], whole: bool) -> Vec<Push> {
+    fn push_servers_to(
+        &mut self,
+        id: ConnId,
+        records: &[ServerRecord],
+        is_complete: bool,
+    ) -> Vec<RouterMessage> {
         let Some(router) = self.connected.get_mut(&id) else {
             return Vec::new();
         };
-        let mut chunks: Vec<&[ServerRecord]> = records.chunks(RECORDS_IN_MESSAGE).collect();
+        let mut chunks: Vec<&[ServerRecord]> = records.chunks(MAX_RECORDS_PER_MESSAGE).collect();
         if chunks.is_empty() {
             chunks.push(&[]);
         }
         let last = chunks.len() - 1;
-        let message = |(place, chunk): (usize, &[ServerRecord])| {
-            let (push, whole) = (router.pushes.next_number(), whole && place == last);
+        let message = |(index, chunk): (usize, &[ServerRecord])| {
+            let (push, is_complete) = (router.pushes.next_number(), is_complete && index == last);
             (
                 id,
                 ControlToRouter::Servers {
                     push,
                     records: chunk.to_vec(),
-                    is_complete: whole,
+                    is_complete,
                 },
             )
         };
@@ -183,7 +194,7 @@
 }
 
 impl Router {
-    /// The configuration that it has in force.
+    /// The configuration that it has in force, as it last reported.
     pub(super) fn configuration(&self) -> Option<ConfigurationPosition> {
         self.pushes.applied()
     }
--- a/fleet/src/control/server_cache/tests.rs
+++ b/fleet/src/control/server_cache/tests.rs
@@ -45,10 +45,10 @@
 }
 
 /// What the file holds once a thread has written it.
-fn written(path: &Path, wanted: &[ServerRecord]) -> bool {
-    let begun = Instant::now();
-    while begun.elapsed() < Duration::from_secs(10) {
-        if read(&RealFileSystem, path).is_ok_and(|records| records == wanted) {
+fn written(path: &Path, expected: &[ServerRecord]) -> bool {
+    let started_at = Instant::now();
+    while started_at.elapsed() < Duration::from_secs(10) {
+        if read(&RealFileSystem, path).is_ok_and(|records| records == expected) {
             return true;
         }
         thread::yield_now();
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_table_is_there_again_after_a_restart() {
+fn table_is_restored_after_restart() {
     let folder = Folder::new();
     let table = vec![
         record("a", ServerState::Ready),
@@ -67,7 +67,7 @@
     assert!(found.is_empty(), "an empty disk knows nobody");
     cache.on_change();
     cache.tick(Time(0), || table.clone());
-    assert!(written(&folder.0.join(FILE), &table));
+    assert!(written(&folder.0.join(TABLE_FILE), &table));
     assert_eq!(
         ServerCache::open(files(), &folder.0, Time(0), wake()).1,
         table
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn it_is_written_once_an_interval_and_only_after_a_change() {
+fn table_is_written_once_per_interval_and_only_after_change() {
     let folder = Folder::new();
     let (mut cache, _) = ServerCache::open(files(), &folder.0, Time(0), wake());
     let mut asked = 0;
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn it_is_written_anew_after_a_while_so_that_its_age_tells_how_long_the_machine_was_away() {
+fn unchanged_table_is_written_again_after_renewal_interval() {
     let folder = Folder::new();
     let (mut cache, _) = ServerCache::open(files(), &folder.0, Time(0), wake());
     cache.tick(Time(9_900_000), || unreachable!("nothing has changed"));
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn the_servers_of_an_old_table_count_as_unheard() {
+fn servers_of_old_table_are_suspect() {
     let records = [
         record("a", ServerState::Ready),
         record("b", ServerState::Draining),
@@ -117,11 +117,15 @@
     // A clock that was set back makes a table one of the future: it is no younger by that.
     for (written_s, is_suspect) in [
         (time_of_day_s(), false),
-        (time_of_day_s() - TRUSTED_S - 2, true),
-        (time_of_day_s() + TRUSTED_S + 2, true),
+        (time_of_day_s() - MAX_TRUSTED_AGE_S - 2, true),
+        (time_of_day_s() + MAX_TRUSTED_AGE_S + 2, true),
     ] {
         let folder = Folder::new();
-        std::fs::write(folder.0.join(FILE), framed(written_s, &records).unwrap()).unwrap();
+        std::fs::write(
+            folder.0.join(TABLE_FILE),
+            framed(written_s, &records).unwrap(),
+        )
+        .unwrap();
         let (_, found) = ServerCache::open(files(), &folder.0, Time(0), wake());
         assert_eq!(found.len(), 2);
         assert!(
@@ -132,7 +136,7 @@
 }
 
 #[test]
-fn a_file_that_is_no_table_is_set_aside_and_passed_over() {
+fn invalid_file_is_set_aside_and_ignored() {
     let whole = framed(time_of_day_s(), &[record("a", ServerState::Ready)]).unwrap();
     let mut flipped = whole.clone();
     let last = flipped.len() - 1;
@@ -144,7 +148,7 @@
         b"",
     ] {
         let folder = Folder::new();
-        std::fs::write(folder.0.join(FILE), bytes).unwrap();
+        std::fs::write(folder.0.join(TABLE_FILE), bytes).unwrap();
         assert!(ServerCache::open(files(), &folder.0, Time(0), wake())
             .1
             .is_empty());
@@ -158,8 +162,8 @@
 
 /// Lets the thread write until this write is on the disk.
 fn is_written(cache: &mut ServerCache, number: WriteNumber, table: &[ServerRecord]) -> bool {
-    let begun = Instant::now();
-    while begun.elapsed() < Duration::from_secs(10) {
+    let started_at = Instant::now();
+    while started_at.elapsed() < Duration::from_secs(10) {
         cache.advance(Time(1), || table.to_vec());
         if cache.written() >= number {
             return true;
@@ -170,19 +174,22 @@
 }
 
 #[test]
-fn a_table_that_is_wanted_at_once_counts_when_it_is_on_the_disk() {
+fn requested_write_counts_once_it_is_on_disk() {
     let folder = Folder::new();
     let (mut cache, _) = ServerCache::open(files(), &folder.0, Time(0), wake());
     let number = cache.write_now();
     assert!(cache.written() < number);
     let table = vec![record("a", ServerState::Gone)];
     assert!(is_written(&mut cache, number, &table));
-    assert_eq!(read(&RealFileSystem, &folder.0.join(FILE)).unwrap(), table);
+    assert_eq!(
+        read(&RealFileSystem, &folder.0.join(TABLE_FILE)).unwrap(),
+        table
+    );
     cache.advance(Time(2), || unreachable!("nothing is wanted any more"));
 }
 
 #[test]
-fn tables_that_are_wanted_while_one_is_written_share_the_next_write() {
+fn writes_requested_during_a_write_share_the_next_one() {
     let folder = Folder::new();
     let (mut cache, _) = ServerCache::open(files(), &folder.0, Time(0), wake());
     let first = cache.write_now();
@@ -192,28 +199,34 @@
     assert!(first < second && second == third);
     let table = vec![record("a", ServerState::Gone)];
     assert!(is_written(&mut cache, third, &table));
-    assert_eq!(read(&RealFileSystem, &folder.0.join(FILE)).unwrap(), table);
+    assert_eq!(
+        read(&RealFileSystem, &folder.0.join(TABLE_FILE)).unwrap(),
+        table
+    );
 }
 
 #[test]
-fn a_write_that_fails_does_not_count_and_the_next_one_makes_up_for_it() {
+fn failed_write_does_not_count_and_next_one_covers_it() {
     let folder = Folder::new();
     let in_its_way = folder.0.join("servers.new");
     std::fs::create_dir(&in_its_way).unwrap();
     let (mut cache, _) = ServerCache::open(files(), &folder.0, Time(0), wake());
     let number = cache.write_now();
-    let begun = Instant::now();
-    while cache.ended < number && begun.elapsed() < Duration::from_secs(10) {
+    let started_at = Instant::now();
+    while cache.completed < number && started_at.elapsed() < Duration::from_secs(10) {
         cache.advance(Time(0), Vec::new);
     }
-    assert!(cache.ended == number && cache.written() < number);
+    assert!(cache.completed == number && cache.written() < number);
     // The disk takes writes again.
     std::fs::remove_dir(&in_its_way).unwrap();
     cache.tick(Time(999_999), || unreachable!("the interval is not over"));
     let table = vec![record("a", ServerState::Gone)];
     cache.tick(Time(1_000_000), || table.clone());
     assert!(is_written(&mut cache, number, &table));
-    assert_eq!(read(&RealFileSystem, &folder.0.join(FILE)).unwrap(), table);
+    assert_eq!(
+        read(&RealFileSystem, &folder.0.join(TABLE_FILE)).unwrap(),
+        table
+    );
 }
 
 #[test]
--- /dev/null
+++ b/fleet/src/control/server_table/tests.rs
@@ -0,0 +1,567 @@
+//! Tests of `servers`.
+
+use super::super::net_program::{Net, Owner};
+use super::*;
+use lichenswitch_messages::ServerState;
+
+fn at(ms: u64) -> Time {
+    Time(10_000_000 + ms * 1_000)
+}
+
+fn settings() -> Settings {
+    Settings::parse("nodeName = \"n\"\nipAddress = \"10.0.0.1\"\nzone = \"a\"\ninternalPortRange = [1, 2]\nseedNodes = []\n").unwrap()
+}
+
+fn peer(number: u8) -> SocketAddr {
+    SocketAddr::from(([10, 0, 0, number], 7_300))
+}
+
+/// One of these has to hold the news, where there are any.
+fn notified(numbers: &[u8]) -> ReplicationTargets {
+    required(numbers, numbers.len().min(1))
+}
+
+/// So many of these have to hold the news.
+fn required(numbers: &[u8], required: usize) -> ReplicationTargets {
+    let notified: BTreeSet<SocketAddr> = numbers.iter().map(|number| peer(*number)).collect();
+    ReplicationTargets {
+        counted: notified.clone(),
+        notified,
+        required,
+    }
+}
+
+fn heartbeat(sequence_number: u64, state: ServerState) -> Heartbeat {
+    Heartbeat {
+        service: "s".to_owned(),
+        address: "10.9.0.1:80".to_owned(),
+        state,
+        sequence_number,
+        ..Heartbeat::default()
+    }
+}
+
+/// Names of connections.
+fn callers() -> Vec<ConnId> {
+    let mut net = Net::new(100).unwrap();
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    net.reserve_for_peers(8);
+    (0..4)
+        .map(|_| {
+            net.connect(Owner::Dialled, listener.local_addr().unwrap())
+                .unwrap()
+        })
+        .collect()
+}
+
+#[test]
+fn update_is_acknowledged_once_another_machine_in_contact_has_it() {
+    let (callers, mut servers) = (callers(), ServerTable::new(&settings(), at(0)));
+    assert_eq!(
+        servers.on_heartbeat(at(0), callers[0], "i-1", &heartbeat(1, ServerState::Ready)),
+        HeartbeatOutcome::Pending
+    );
+    let (changes, ack) = servers.take_changes(at(0), notified(&[2, 3]));
+    assert_eq!(changes.updates_for_peers().len(), 1);
+    servers.on_ack(peer(2), ack, false);
+    servers.on_ack(peer(9), ack, true);
+    servers.advance(at(10));
+    assert!(
+        servers.take_outcomes().is_empty(),
+        "one without contact, and one that was not told, don't count"
+    );
+    servers.on_ack(peer(3), ack, true);
+    servers.advance(at(20));
+    assert_eq!(
+        servers.take_outcomes(),
+        [(callers[0], ReplicationOutcome::Replicated)]
+    );
+
+    // The next beat tells nothing new.
+    assert_eq!(
+        servers.on_heartbeat(
+            at(1_200),
+            callers[1],
+            "i-1",
+            &heartbeat(2, ServerState::Ready)
+        ),
+        HeartbeatOutcome::Acknowledged
+    );
+    assert!(!servers.has_changes());
+    // That it leaves is news again, and so is its end.
+    assert_eq!(
+        servers.on_heartbeat(
+            at(2_400),
+            callers[1],
+            "i-1",
+            &heartbeat(3, ServerState::Draining)
+        ),
+        HeartbeatOutcome::Pending
+    );
+    servers.take_changes(at(2_400), notified(&[2]));
+    assert_eq!(
+        servers.on_deregister(at(2_500), callers[2], "i-1"),
+        HeartbeatOutcome::Pending
+    );
+}
+
+#[test]
+fn one_slow_machine_delays_acknowledgement_by_100_ms_at_most() {
+    let (callers, mut servers) = (callers(), ServerTable::new(&settings(), at(0)));
+    servers.on_heartbeat(at(0), callers[0], "i-1", &heartbeat(1, ServerState::Ready));
+    let (_, ack) = servers.take_changes(at(0), notified(&[2, 3]));
+    servers.on_ack(peer(2), ack, true);
+    servers.advance(at(99));
+    assert!(servers.take_outcomes().is_empty());
+    assert_eq!(servers.next_wake(), Some(at(100)));
+    servers.advance(at(100));
+    assert_eq!(
+        servers.take_outcomes(),
+        [(callers[0], ReplicationOutcome::Replicated)]
+    );
+}
+
+#[test]
+fn update_without_acknowledgements_is_rejected_and_sent_again() {
+    let (callers, mut servers) = (callers(), ServerTable::new(&settings(), at(0)));
+    servers.on_heartbeat(at(0), callers[0], "i-1", &heartbeat(1, ServerState::Ready));
+    servers.take_changes(at(0), notified(&[2]));
+    // The same server again, while its news wait.
+    assert_eq!(
+        servers.on_heartbeat(at(50), callers[1], "i-1", &heartbeat(2, ServerState::Ready)),
+        HeartbeatOutcome::Pending
+    );
+    servers.advance(at(400));
+    assert_eq!(
+        servers.take_outcomes(),
+        [
+            (callers[0], ReplicationOutcome::NotReplicated),
+            (callers[1], ReplicationOutcome::NotReplicated)
+        ]
+    );
+
+    assert_eq!(
+        servers.on_heartbeat(
+            at(1_200),
+            callers[2],
+            "i-1",
+            &heartbeat(3, ServerState::Ready)
+        ),
+        HeartbeatOutcome::Pending
+    );
+    let (changes, ack) = servers.take_changes(at(1_200), notified(&[2]));
+    assert_eq!((changes.updates_for_peers().len(), ack), (1, 2));
+    servers.on_ack(peer(2), ack, true);
+    servers.advance(at(1_201));
+    assert_eq!(
+        servers.take_outcomes(),
+        [(callers[2], ReplicationOutcome::Replicated)]
+    );
+    assert_eq!(
+        servers.on_heartbeat(
+            at(2_400),
+            callers[3],
+            "i-1",
+            &heartbeat(4, ServerState::Ready)
+        ),
+        HeartbeatOutcome::Acknowledged
+    );
+}
+
+#[test]
+fn call_with_new_update_waits_for_that_and_not_for_older_one() {
+    let (callers, mut servers) = (callers(), ServerTable::new(&settings(), at(0)));
+    servers.on_heartbeat(at(0), callers[0], "i-1", &heartbeat(1, ServerState::Ready));
+    let (_, first) = servers.take_changes(at(0), notified(&[2, 3]));
+    assert_eq!(
+        servers.on_deregister(at(10), callers[1], "i-1"),
+        HeartbeatOutcome::Pending
+    );
+    let (changes, second) = servers.take_changes(at(10), notified(&[2, 3]));
+    assert_eq!(
+        (changes.updates_for_peers().len(), second == first),
+        (1, false)
+    );
+    assert_ne!(
+        second, 0,
+        "that it has left is told under a number of its own"
+    );
+    // Told once more while that waits, it waits for the same.
+    assert_eq!(
+        servers.on_deregister(at(15), callers[2], "i-1"),
+        HeartbeatOutcome::Pending
+    );
+
+    [2, 3]
+        .iter()
+        .for_each(|number| servers.on_ack(peer(*number), first, true));
+    servers.advance(at(20));
+    assert_eq!(
+        servers.take_outcomes(),
+        [(callers[0], ReplicationOutcome::Replicated)],
+        "nobody else is known to hold that it has left"
+    );
+    [2, 3]
+        .iter()
+        .for_each(|number| servers.on_ack(peer(*number), second, true));
+    servers.advance(at(30));
+    assert_eq!(
+        servers.take_outcomes(),
+        [
+            (callers[1], ReplicationOutcome::Replicated),
+            (callers[2], ReplicationOutcome::Replicated)
+        ]
+    );
+}
+
+#[test]
+fn departure_is_not_acknowledged_from_relayed_report() {
+    let (callers, mut servers) = (callers(), ServerTable::new(&settings(), at(0)));
+    // A machine that is cut off since has told this one, and perhaps nobody else.
+    let record = heartbeat(3, ServerState::Draining).record("i-1");
+    servers.on_records(at(0), std::slice::from_ref(&record), false, true);
+    assert_eq!(servers.take_relayed_departures(), [record], "it is told on");
+    servers.take_changes(at(0), notified(&[2, 3]));
+    assert_eq!(
+        servers.on_heartbeat(
+            at(100),
+            callers[0],
+            "i-1",
+            &heartbeat(3, ServerState::Draining)
+        ),
+        HeartbeatOutcome::Pending
+    );
+    let (changes, ack) = servers.take_changes(at(100), notified(&[2, 3]));
+    assert_eq!(changes.updates_for_peers().len(), 1);
+    [2, 3]
+        .iter()
+        .for_each(|number| servers.on_ack(peer(*number), ack, true));
+    servers.advance(at(110));
+    assert_eq!(
+        servers.take_outcomes(),
+        [(callers[0], ReplicationOutcome::Replicated)]
+    );
+    assert_eq!(
+        servers.on_heartbeat(
+            at(1_300),
+            callers[1],
+            "i-1",
+            &heartbeat(4, ServerState::Draining)
+        ),
+        HeartbeatOutcome::Acknowledged
+    );
+}
+
+#[test]
+fn departure_is_not_acknowledged_from_table_of_one_machine() {
+    let (callers, mut servers) = (callers(), ServerTable::new(&settings(), at(0)));
+    servers.on_records(
+        at(0),
+        &[lichenswitch_registry::tombstone("i-1")],
+        true,
+        true,
+    );
+    assert_eq!(
+        servers.take_relayed_departures(),
+        [],
+        "all that connect to that machine get its table"
+    );
+    servers.take_changes(at(0), notified(&[2, 3]));
+    assert_eq!(
+        servers.on_deregister(at(100), callers[0], "i-1"),
+        HeartbeatOutcome::Pending
+    );
+    assert_eq!(
+        servers
+            .take_changes(at(100), notified(&[2, 3]))
+            .0
+            .updates_for_peers()
+            .len(),
+        1
+    );
+    // Once it is forgotten nothing is left of it.
+    servers.tick(at(200_000));
+    servers.tick(at(400_000));
+    assert!(servers.registry().is_empty() && servers.under_replicated.is_empty());
+}
+
+#[test]
+fn sole_machine_acknowledges_by_itself() {
+    let (callers, mut servers) = (callers(), ServerTable::new(&settings(), at(0)));
+    servers.on_heartbeat(at(0), callers[0], "i-1", &heartbeat(1, ServerState::Ready));
+    let (changes, ack) = servers.take_changes(at(0), notified(&[]));
+    assert_eq!((changes.records.len(), ack), (1, 1));
+    servers.advance(at(0));
+    assert_eq!(
+        servers.take_outcomes(),
+        [(callers[0], ReplicationOutcome::Replicated)]
+    );
+}
+
+#[test]
+fn disconnected_machine_acknowledges_nothing_by_itself() {
+    let (callers, mut servers) = (callers(), ServerTable::new(&settings(), at(0)));
+    servers.on_deregister(at(0), callers[0], "i-1");
+    servers.take_changes(at(0), required(&[], 1));
+    servers.advance(at(0));
+    assert_eq!(
+        servers.take_outcomes(),
+        [(callers[0], ReplicationOutcome::NotReplicated)],
+        "the server goes on to another machine"
+    );
+    // Nor does one that reaches too few.
+    assert_eq!(
+        servers.on_deregister(at(20), callers[2], "i-1"),
+        HeartbeatOutcome::Pending
+    );
+    servers.take_changes(at(20), required(&[2], 2));
+    servers.advance(at(20));
+    assert_eq!(
+        servers.take_outcomes(),
+        [(callers[2], ReplicationOutcome::NotReplicated)],
+        "it needn't wait to know that"
+    );
+    // Once enough machines are connected again they are told.
+    assert_eq!(
+        servers.on_deregister(at(50), callers[1], "i-1"),
+        HeartbeatOutcome::Pending
+    );
+    let (changes, ack) = servers.take_changes(at(50), required(&[2], 1));
+    assert_eq!(changes.updates_for_peers().len(), 1);
+    servers.on_ack(peer(2), ack, true);
+    servers.advance(at(51));
+    assert_eq!(
+        servers.take_outcomes(),
+        [(callers[1], ReplicationOutcome::Replicated)]
+    );
+}
+
+#[test]
+fn update_needs_acknowledgements_of_voter_majority() {
+    let (callers, mut servers) = (callers(), ServerTable::new(&settings(), at(0)));
+    // Five of eight machines are beyond a cut that nobody has noticed yet.
+    servers.on_deregister(at(0), callers[0], "i-1");
+    let (_, ack) = servers.take_changes(at(0), required(&[2, 3, 4, 5, 6, 7, 8], 4));
+    [2, 3]
+        .iter()
+        .for_each(|number| servers.on_ack(peer(*number), ack, true));
+    servers.on_ack(peer(2), ack, true);
+    servers.on_ack(peer(4), ack, false);
+    servers.advance(at(399));
+    assert!(servers.take_outcomes().is_empty());
+    servers.advance(at(400));
+    assert_eq!(
+        servers.take_outcomes(),
+        [(callers[0], ReplicationOutcome::NotReplicated)]
+    );
+
+    // Without the cut, slow machines are not waited for once enough hold the news.
+    assert_eq!(
+        servers.on_deregister(at(500), callers[1], "i-1"),
+        HeartbeatOutcome::Pending
+    );
+    let (_, ack) = servers.take_changes(at(500), required(&[2, 3, 4, 5, 6, 7, 8], 4));
+    [2, 3, 4, 5]
+        .iter()
+        .for_each(|number| servers.on_ack(peer(*number), ack, true));
+    servers.advance(at(599));
+    assert!(servers.take_outcomes().is_empty());
+    servers.advance(at(600));
+    assert_eq!(
+        servers.take_outcomes(),
+        [(callers[1], ReplicationOutcome::Replicated)]
+    );
+}
+
+#[test]
+fn relay_is_notified_but_not_counted() {
+    let (callers, mut servers) = (callers(), ServerTable::new(&settings(), at(0)));
+    servers.on_deregister(at(0), callers[0], "i-1");
+    let targets = ReplicationTargets {
+        counted: BTreeSet::from([peer(2)]),
+        ..required(&[2, 9], 1)
+    };
+    let (_, ack) = servers.take_changes(at(0), targets);
+    servers.on_ack(peer(9), ack, true);
+    servers.advance(at(399));
+    assert!(servers.take_outcomes().is_empty());
+    servers.on_ack(peer(2), ack, true);
+    servers.advance(at(399));
+    assert_eq!(
+        servers.take_outcomes(),
+        [(callers[0], ReplicationOutcome::Replicated)]
+    );
+}
+
+#[test]
+fn starting_machine_waits_for_table_of_machine_in_contact() {
+    let mut servers = ServerTable::new(&settings(), at(0));
+    assert!(!servers.accepts_heartbeats(at(1_999)) && servers.accepts_heartbeats(at(2_000)));
+    servers.on_records(at(10), &[], true, false);
+    assert!(!servers.accepts_heartbeats(at(11)));
+    servers.on_records(at(20), &[], true, true);
+    assert!(servers.accepts_heartbeats(at(21)));
+    assert!(
+        servers.on_heartbeat_digest(at(30), &[("i-9".to_owned(), 5)]),
+        "whom it doesn't know it has to ask about"
+    );
+}
+
+/// A machine with a disk of its own that takes no table until `heal` is called.
+struct WithDisk {
+    servers: ServerTable,
+    folder: std::path::PathBuf,
+    net: Net,
+}
+
+impl WithDisk {
+    fn new(name: &str) -> WithDisk {
+        let folder =
+            std::env::temp_dir().join(format!("lichenswitch-{name}-{}", std::process::id()));
+        std::fs::create_dir_all(folder.join("servers.new")).unwrap();
+        let (mut net, settings) = (
+            Net::new(100).unwrap(),
+            Settings {
+                data_directory: Some(folder.clone()),
+                ..settings()
+            },
+        );
+        let servers =
+            ServerTable::start(&settings, &Environment::default(), &mut net, at(0)).unwrap();
+        WithDisk {
+            servers,
+            folder,
+            net,
+        }
+    }
+
+    fn heal(&self) {
+        std::fs::remove_dir(self.folder.join("servers.new")).unwrap();
+    }
+
+    /// Waits for the end of a write.
+    fn pending(&mut self) {
+        assert!(!self
+            .net
+            .wait(Some(self.net.clock.now().plus(10_000_000)))
+            .unwrap()
+            .is_empty());
+        self.net.clear_signal(Signal::TableWritten);
+    }
+}
+
+impl Drop for WithDisk {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.folder);
+    }
+}
+
+#[test]
+fn departure_is_acknowledged_to_server_only_once_on_local_disk() {
+    let (callers, mut machine) = (callers(), WithDisk::new("own-write"));
+    machine.servers.on_deregister(at(0), callers[0], "i-1");
+    let (_, ack) = machine.servers.take_changes(at(0), notified(&[2]));
+    machine.servers.on_ack(peer(2), ack, true);
+    machine.servers.advance(at(0));
+    machine.pending();
+    machine.servers.advance(at(399));
+    assert!(
+        machine.servers.take_outcomes().is_empty(),
+        "the write has failed"
+    );
+    assert_eq!(machine.servers.next_wake(), Some(at(400)));
+    machine.servers.advance(at(400));
+    assert_eq!(
+        machine.servers.take_outcomes(),
+        [(callers[0], ReplicationOutcome::NotReplicated)],
+        "the server goes on"
+    );
+
+    machine.heal();
+    assert_eq!(
+        machine.servers.on_deregister(at(500), callers[1], "i-1"),
+        HeartbeatOutcome::Pending
+    );
+    let (_, ack) = machine.servers.take_changes(at(500), notified(&[2]));
+    machine.servers.on_ack(peer(2), ack, true);
+    machine.servers.advance(at(500));
+    assert!(
+        machine.servers.take_outcomes().is_empty(),
+        "the write has not completed"
+    );
+    machine.pending();
+    machine.servers.advance(at(510));
+    assert_eq!(
+        machine.servers.take_outcomes(),
+        [(callers[1], ReplicationOutcome::Replicated)]
+    );
+}
+
+#[test]
+fn departure_is_acknowledged_to_peer_only_once_on_local_disk() {
+    let (callers, mut machine) = (callers(), WithDisk::new("peer-write"));
+    let gone = [lichenswitch_registry::tombstone("i-1")];
+    // News of a server that is ready wait for no disk.
+    let ready = [heartbeat(1, ServerState::Ready).record("i-2")];
+    for (ack, records) in [(1, &gone), (2, &ready)] {
+        machine.servers.on_records(at(0), records, false, true);
+        machine
+            .servers
+            .on_ack_requested(at(0), callers[0], ack, records);
+    }
+    machine.servers.take_changes(at(0), notified(&[2]));
+    machine.servers.advance(at(0));
+    assert_eq!(machine.servers.take_acks(at(0)), [(callers[0], 2)]);
+    machine.pending();
+    machine.servers.advance(at(10));
+    assert_eq!(
+        machine.servers.take_acks(at(10)),
+        [],
+        "the write has failed"
+    );
+
+    // Told again, which is no news here, they take a write that succeeds all the same.
+    machine.servers.on_records(at(20), &gone, false, true);
+    machine
+        .servers
+        .on_ack_requested(at(20), callers[0], 3, &gone);
+    machine.servers.advance(at(20));
+    assert_eq!(machine.servers.take_acks(at(20)), []);
+    machine.heal();
+    machine.servers.tick(at(1_000));
+    machine.pending();
+    machine.servers.advance(at(1_010));
+    assert_eq!(
+        machine.servers.take_acks(at(1_010)),
+        [(callers[0], 1), (callers[0], 3)]
+    );
+    machine
+        .servers
+        .on_ack_requested(at(1_020), callers[0], 4, &gone);
+    assert_eq!(
+        machine.servers.take_acks(at(1_020)),
+        [(callers[0], 4)],
+        "it is on the disk"
+    );
+}
+
+#[test]
+fn departure_is_acknowledged_to_peer_at_once_without_disk() {
+    let (callers, mut servers) = (callers(), ServerTable::new(&settings(), at(0)));
+    let gone = [lichenswitch_registry::tombstone("i-1")];
+    servers.on_records(at(0), &gone, false, true);
+    servers.on_ack_requested(at(0), callers[0], 1, &gone);
+    assert_eq!(servers.take_acks(at(0)), [(callers[0], 1)]);
+}
+
+#[test]
+fn acknowledgement_expires_when_write_takes_too_long() {
+    let (callers, mut machine) = (callers(), WithDisk::new("late-write"));
+    let gone = [lichenswitch_registry::tombstone("i-1")];
+    machine.servers.on_records(at(0), &gone, false, true);
+    machine
+        .servers
+        .on_ack_requested(at(0), callers[0], 1, &gone);
+    assert_eq!(machine.servers.take_acks(at(400)), []);
+    assert!(machine.servers.pending_acks.is_empty());
+}
--- /dev/null
+++ b/fleet/src/control/settings_reload.rs
@@ -0,0 +1,48 @@
+//! How a running control machine applies a changed settings file.
+
+use super::clock::after;
+use super::node::ControlNode;
+use super::settings_file::modified_at;
+use crate::settings::Settings;
+use lichenswitch_interface::Time;
+use log::{info, warn};
+use std::time::Duration;
+
+/// Interval of checks whether the settings file has changed.
+const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(2);
+
+impl ControlNode {
+    /// Reads the settings file again. A file that can't be used changes nothing.
+    pub(super) fn reload(&mut self, now: Time) {
+        self.settings_modified_at = modified_at(&self.path);
+        match Settings::read(&self.path) {
+            Ok(settings) => {
+                info!(target: "control", "settings are read again");
+                self.peers.on_seeds(settings.seeds_internal(), now);
+                self.servers.on_settings(&settings);
+                // Addresses, identity and disk stay those of the start.
+                self.settings.seed_nodes = settings.seed_nodes;
+                self.settings.heartbeat_interval = settings.heartbeat_interval;
+                self.settings.bounds = settings.bounds;
+                self.quotas
+                    .buckets
+                    .set_bounds(settings.bounds.quota_terms());
+            }
+            Err(e) => {
+                warn!(target: "control", error = e.to_string().as_str(); "the settings file can't be used")
+            }
+        }
+    }
+
+    /// Reads the settings file again if it was modified, with or without a signal.
+    pub(super) fn reload_if_changed(&mut self, now: Time) {
+        if now < self.next_settings_check_at {
+            return;
+        }
+        self.next_settings_check_at = after(now, SETTINGS_CHECK_INTERVAL);
+        let modified = modified_at(&self.path);
+        if modified.is_some() && modified != self.settings_modified_at {
+            self.reload(now);
+        }
+    }
+}
--- /dev/null
+++ b/fleet/src/control/startup.rs
@@ -0,0 +1,119 @@
+//! How a control machine starts: it reads its disk, listens, and opens the loop with empty tables.
+
+use super::backlogs::BacklogState;
+use super::call_types::CallDispatcher;
+use super::caller_sessions::CallerSessions;
+use super::clock::{after, to_replica_time};
+use super::eligibility::{eligibility, should_join_at_start};
+use super::environment::Environment;
+use super::error::ControlError;
+use super::group::{generate_identity, Group, DISK_RETRY_DELAY};
+use super::internal_connections::InternalConnections;
+use super::last_notified::LastNotified;
+use super::net_program::{Net, Owner, Signal};
+use super::node::ControlNode;
+use super::peer_table::PeerTable;
+use super::primary_tracker::PrimaryTracker;
+use super::quotas::Quotas;
+use super::router_table::RouterTable;
+use super::server_table::ServerTable;
+use super::settings_file::modified_at;
+use crate::settings::Settings;
+use lichenswitch_control::{AcknowledgedVersions, GroupMembership, RejectedOrders};
+use log::info;
+use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
+use std::io;
+use std::net::SocketAddr;
+use std::os::unix::net::UnixStream;
+use std::path::PathBuf;
+
+/// Descriptors that are reserved, in each direction, for connections of other processes.
+const RESERVED_INTERNAL_CONNECTIONS: usize = 256;
+
+impl ControlNode {
+    /// Starts a machine: reads its disk, and listens.
+    ///
+    /// # Errors
+    /// When the settings lack an address, it can't listen, or its disk can't be used.
+    pub(super) fn start(
+        settings: Settings,
+        path: PathBuf,
+        environment: Environment,
+    ) -> Result<ControlNode, ControlError> {
+        let control_plane = settings
+            .listen
+            .control_plane
+            .ok_or(ControlError::NoAddress)?;
+        let address = SocketAddr::new(settings.ip_address, settings.internal_ports.0);
+        let mut net = Net::new(settings.limits.file_descriptors)?;
+        net.reserve_for_peers(RESERVED_INTERNAL_CONNECTIONS);
+        watch_signals(&mut net)?;
+        let now = net.clock.now();
+        let eligibility = eligibility(&settings);
+        let group = match should_join_at_start(eligibility, &settings) {
+            true => Group::open(&settings, &environment, address, &mut net, now),
+            false => None,
+        };
+        let servers = ServerTable::start(&settings, &environment, &mut net, now)?;
+        // Callers get responses from the first moment: 503 as long as nothing is known.
+        net.listen(Owner::Accepted, address)?;
+        net.listen(Owner::Caller, control_plane)?;
+        let identity = group
+            .as_ref()
+            .map_or_else(|| generate_identity(&address.to_string()), Group::identity);
+        info!(target: "control", node = settings.node_name.as_str(), address = address.to_string().as_str(),
+            eligible = group.is_some(); "control machine has started");
+        let mut node = ControlNode {
+            address,
+            quotas: Quotas::new(identity.0, group.as_ref(), settings.bounds.quota_terms()),
+            identity: identity.0,
+            group_membership: GroupMembership::new(
+                eligibility,
+                to_replica_time(now),
+                settings.fault_tolerance.machines,
+            ),
+            connections: InternalConnections::default(),
+            peers: PeerTable::new(address, settings.seeds_internal(), now),
+            group,
+            primary_tracker: PrimaryTracker::new(fastrand::u64(..)),
+            servers,
+            routers: RouterTable::new(),
+            callers: CallerSessions::default(),
+            calls: CallDispatcher::new(fastrand::u64(..)),
+            backlogs: BacklogState::default(),
+            acknowledged: AcknowledgedVersions::default(),
+            rejected_orders: RejectedOrders::default(),
+            committed: None,
+            last_notified: LastNotified::default(),
+            next_tick_at: now,
+            next_digest_at: now,
+            next_settings_check_at: now,
+            next_disk_attempt_at: after(now, DISK_RETRY_DELAY),
+            shutdown_started_at: None,
+            settings_modified_at: modified_at(&path),
+            settings,
+            environment,
+            path,
+            net,
+        };
+        node.update_diskless_members();
+        // The voters that the disk names are dialled at once, whatever the seeds are.
+        node.voters()
+            .into_iter()
+            .for_each(|voter| node.peers.learn(voter, now));
+        Ok(node)
+    }
+}
+
+fn watch_signals(net: &mut Net) -> io::Result<()> {
+    for (number, signal) in [
+        (SIGTERM, Signal::Stop),
+        (SIGINT, Signal::Stop),
+        (SIGHUP, Signal::Reload),
+    ] {
+        let (ours, theirs) = UnixStream::pair()?;
+        net.watch_signal(signal, ours)?;
+        signal_hook::low_level::pipe::register(number, theirs)?;
+    }
+    Ok(())
+}
--- a/fleet/src/control/status.rs
+++ b/fleet/src/control/status.rs
@@ -1,8 +1,9 @@
-//! What a control machine shows of itself: JSON for `GET /status`, and for people.
+//! The status of a control machine: JSON for `GET /status`, read by operators.
+//!
+//! Names of fields are keys of that JSON, as `docs/operate/control.md` lists them.
 
-use super::group::{of_replica, to_replica};
-use super::machine::Machine;
-use super::program::elapsed;
+use super::clock::{elapsed, from_replica_time, to_replica_time};
+use super::node::ControlNode;
 use lichenswitch_configuration::{Quota, QuotaUnit};
 use lichenswitch_control::ReplicatedConfiguration;
 use lichenswitch_interface::Time;
@@ -13,7 +14,7 @@
 use std::collections::BTreeMap;
 
 #[derive(Serialize)]
-struct MachineStatus {
+struct NodeStatus {
     node: String,
     address: String,
     identity: String,
@@ -74,17 +75,17 @@
     configuration: Option<String>,
 }
 
-/// A tenant's quota, and what of it this machine holds: each holder shows its own part.
+/// A tenant's quota, and the shard of it that this machine owns.
 #[derive(Serialize)]
 struct QuotaLine {
     tenant: String,
     unit: String,
     rate_per_s: f64,
     burst: f64,
-    /// Part of rate and depth that is held here; 0: none.
+    /// Fraction of rate and burst that this machine owns; 0: none.
     part: f64,
-    /// What the part holds now, what was granted of it since the process began, and requests that
-    /// it could not bear.
+    /// The shard's level now, the amount granted from it since the process started, and the number
+    /// of requests that it has denied.
     level: f64,
     granted: f64,
     denied: u64,
@@ -107,63 +108,63 @@
     failure: Option<String>,
 }
 
-/// The state of a machine as JSON.
-pub(super) fn machine(machine: &Machine, now: Time) -> String {
+/// The status of a machine as JSON.
+pub(super) fn node(node: &ControlNode, now: Time) -> String {
     let ms_ago = |at: Time| u64::try_from(elapsed(at, now).as_millis()).unwrap_or(u64::MAX);
-    let peers = machine.peers.iter().map(|(address, peer)| PeerLine {
+    let peers = node.peers.iter().map(|(address, peer)| PeerLine {
         address: address.to_string(),
-        node: peer.introduction.as_ref().map(|peer| peer.node.clone()),
-        connected: machine.peers.connection(address).is_some(),
-        heard_ms_ago: peer.heard().map(ms_ago),
+        node: peer.handshake.as_ref().map(|peer| peer.node.clone()),
+        connected: node.peers.connection(address).is_some(),
+        heard_ms_ago: peer.last_received_at().map(ms_ago),
         in_contact: peer.in_contact,
         routers: peer.routers,
     });
-    let routers = machine.routers.iter().map(|router| RouterLine {
+    let routers = node.routers.iter().map(|router| RouterLine {
         node: router.node.clone(),
         zone: router.zone.clone(),
-        applied_pushes: router.applied,
+        applied_pushes: router.applied_push,
         configuration: router
             .configuration()
             .map(|at| format!("{}.{:x}/{}", at.epoch, at.primary, at.number)),
     });
-    let rejected_orders = machine.rejected_orders.iter().map(|rejection| RefusalLine {
+    let rejected_orders = node.rejected_orders.iter().map(|rejection| RefusalLine {
         status: rejection.status,
         base_version: rejection.base_version,
         reason: rejection.reason.clone(),
-        ms_ago: ms_ago(of_replica(rejection.at)),
+        ms_ago: ms_ago(from_replica_time(rejection.at)),
     });
-    let status = MachineStatus {
-        node: machine.settings.node_name.clone(),
-        address: machine.address.to_string(),
-        identity: format!("{:x}", machine.identity),
-        in_contact: machine.in_contact(now),
-        leaving: machine.leaving.is_some(),
-        configuration_version: machine
+    let status = NodeStatus {
+        node: node.settings.node_name.clone(),
+        address: node.address.to_string(),
+        identity: format!("{:x}", node.identity),
+        in_contact: node.in_contact(now),
+        leaving: node.shutdown_started_at.is_some(),
+        configuration_version: node
             .committed
             .as_ref()
             .map_or(0, |committed| committed.version),
-        group: machine
+        group: node
             .group
             .as_ref()
             .map(|group| group_status(&group.replica, now)),
         peers: peers.collect(),
         routers: routers.collect(),
-        routers_of_fleet: machine.routers_of_fleet(),
-        servers: servers(machine),
-        quotas: quotas(machine, now),
+        routers_of_fleet: node.routers_of_fleet(),
+        servers: servers(node),
+        quotas: quotas(node, now),
         refusals: rejected_orders.collect(),
-        storage: storage(machine),
+        storage: storage(node),
     };
     miniserde::json::to_string(&status)
 }
 
-/// The state of the group as JSON, as the primary sees it.
+/// The status of the group as JSON, as the primary sees it.
 pub(super) fn group(replica: &Replica<ReplicatedConfiguration>, now: Time) -> String {
     miniserde::json::to_string(&group_status(replica, now))
 }
 
 fn group_status(replica: &Replica<ReplicatedConfiguration>, now: Time) -> GroupStatus {
-    let status = replica.status(to_replica(now));
+    let status = replica.status(to_replica_time(now));
     let state = replica.committed().map(|(_, state)| &state.0);
     GroupStatus {
         role: role(status.role).to_owned(),
@@ -181,7 +182,8 @@
     }
 }
 
-/// The primary knows when each was heard; all others know only who votes.
+/// The voters. The primary knows when it last received from each; other members know the
+/// membership alone.
 fn voters(
     peers: &[PeerStatus],
     membership: &lichenswitch_replication::Membership,
@@ -218,9 +220,9 @@
     }
 }
 
-fn servers(machine: &Machine) -> BTreeMap<String, u64> {
+fn servers(node: &ControlNode) -> BTreeMap<String, u64> {
     let mut by_state = BTreeMap::new();
-    for server in machine.servers.registry().live() {
+    for server in node.servers.registry().live() {
         let state = match (server.state, server.is_suspect) {
             (ServerState::Ready, false) => "ready",
             (ServerState::Ready, true) => "ready, unheard",
@@ -232,8 +234,8 @@
     by_state
 }
 
-fn quotas(machine: &Machine, now: Time) -> Vec<QuotaLine> {
-    let quotas = &machine.quotas;
+fn quotas(node: &ControlNode, now: Time) -> Vec<QuotaLine> {
+    let quotas = &node.quotas;
     let usage: BTreeMap<&str, BucketUsage> = quotas
         .buckets
         .usage(now, &quotas.ownership)
@@ -264,8 +266,8 @@
     }
 }
 
-fn storage(machine: &Machine) -> Option<StorageLine> {
-    let (usage, outstanding, failure) = machine.group.as_ref()?.disk()?;
+fn storage(node: &ControlNode) -> Option<StorageLine> {
+    let (usage, outstanding, failure) = node.group.as_ref()?.disk_usage()?;
     Some(StorageLine {
         used_bytes: usage.used_bytes,
         segment_bytes: usage.segment_bytes,
