--- a/fleet/src/control/connection_handler.rs
+++ b/fleet/src/control/connection_handler.rs
@@ -70,16 +70,16 @@
         match (envelope, self.connections.remote_role(id)) {
             (
                 Envelope::Peer(PeerMessage::Hello {
-                    protocol,
-                    node,
+                    protocol_version,
+                    node_name: node,
                     address,
                     identity,
                     eligible,
-                    known,
+                    known_peers,
                 }),
                 Some(remote_role),
             ) => {
-                check_protocol(protocol, &node)?;
+                check_protocol(protocol_version, &node)?;
                 let Ok(address) = address.parse() else {
                     return Err(ConnectionRejection::InvalidAddress { node, address });
                 };
@@ -92,7 +92,7 @@
                         identity,
                         is_eligible: eligible,
                     },
-                    &known,
+                    &known_peers,
                     now,
                 )
             }
--- a/fleet/src/control/group.rs
+++ b/fleet/src/control/group.rs
@@ -113,14 +113,14 @@
         // snapshot of all items up to this one.
         let bytes = item.encode();
         let snapshot = disk
-            .wants_image_before(bytes.len())
+            .wants_snapshot_before(bytes.len())
             .then(|| self.replica.snapshot_for(write_id))
             .flatten();
-        let (is_image, bytes) = match &snapshot {
+        let (is_snapshot, bytes) = match &snapshot {
             Some(snapshot) => (true, snapshot.encode()),
             None => (matches!(item, DurableItem::Snapshot(_)), bytes),
         };
-        disk.submit(write_id, is_image, bytes);
+        disk.submit(write_id, is_snapshot, bytes);
     }
 
     /// The writer of the disk has completed writes.
--- a/fleet/src/control/group_disk.rs
+++ b/fleet/src/control/group_disk.rs
@@ -4,7 +4,9 @@
 use super::error::ControlError;
 use super::net_program::{Net, Signal};
 use lichenswitch_replication::{DecodeError, DurableItem, RecoverError, Recovered, WriteId};
-use lichenswitch_storage::{FileSystem, Finding, Job, Storage, StorageSettings, Usage, Writer};
+use lichenswitch_storage::{
+    FileSystem, Finding, Storage, StorageSettings, Usage, WriteRequest, Writer,
+};
 use log::{info, warn};
 use std::os::unix::net::UnixStream;
 use std::path::{Path, PathBuf};
@@ -55,25 +57,25 @@
     }
 
     /// Whether a complete snapshot has to be written in place of a record of this length.
-    pub(super) fn wants_image_before(&self, bytes: usize) -> bool {
+    pub(super) fn wants_snapshot_before(&self, bytes: usize) -> bool {
         let used =
             self.usage.used_bytes + self.submitted_bytes + bytes as u64 + BLOCK_OVERHEAD_BYTES;
-        self.usage.wants_image || used > self.usage.segment_bytes
+        self.usage.wants_snapshot || used > self.usage.segment_bytes
     }
 
     /// Submits a write: a snapshot that replaces all before it, or a record behind them.
-    pub(super) fn submit(&mut self, write_id: WriteId, is_image: bool, bytes: Vec<u8>) {
-        let job = if is_image {
+    pub(super) fn submit(&mut self, write_id: WriteId, is_snapshot: bool, bytes: Vec<u8>) {
+        let job = if is_snapshot {
             // The next segment has room again; the writer reports how much once it is written.
             (
-                self.usage.wants_image,
+                self.usage.wants_snapshot,
                 self.usage.used_bytes,
                 self.submitted_bytes,
             ) = (false, 0, 0);
-            Job::Replace(bytes)
+            WriteRequest::ReplaceSnapshot(bytes)
         } else {
             self.submitted_bytes += bytes.len() as u64 + BLOCK_OVERHEAD_BYTES;
-            Job::Append(vec![bytes])
+            WriteRequest::Append(vec![bytes])
         };
         self.writer.submit(write_id.0, job);
     }
@@ -182,7 +184,7 @@
 
 fn read(found: &lichenswitch_storage::Recovered) -> Result<Recovered, UnusableState> {
     let items = found
-        .image
+        .snapshot
         .iter()
         .chain(&found.records)
         .map(|bytes| DurableItem::decode(bytes))
--- a/fleet/src/control/peer_handler.rs
+++ b/fleet/src/control/peer_handler.rs
@@ -16,12 +16,12 @@
     /// The handshake of this machine.
     pub(super) fn handshake(&self) -> PeerMessage {
         PeerMessage::Hello {
-            protocol: PROTOCOL_VERSION,
-            node: self.settings.node_name.clone(),
+            protocol_version: PROTOCOL_VERSION,
+            node_name: self.settings.node_name.clone(),
             address: self.address.to_string(),
             identity: self.identity,
             eligible: self.group_membership.eligibility() == Eligibility::Durable,
-            known: self.peers.reached_addresses(),
+            known_peers: self.peers.reached_addresses(),
         }
     }
 
@@ -32,7 +32,7 @@
         remote_role: RemoteRole,
         address: SocketAddr,
         handshake: PeerHandshake,
-        known: &[String],
+        known_peers: &[String],
         now: Time,
     ) -> Result<(), ConnectionRejection> {
         if handshake.identity == self.identity || address == self.address {
@@ -62,7 +62,7 @@
         if let Some(replaced) = replaced {
             self.close_connection(replaced, "replaced by a newer one");
         }
-        self.peers.learn_all(known, now);
+        self.peers.learn_all(known_peers, now);
         if !was_connected {
             info!(target: "control", node = node.as_str(), address = address.to_string().as_str(); "peer is connected");
             self.send_initial_state(id, now);
@@ -131,16 +131,16 @@
             PeerMessage::Contact {
                 in_contact,
                 primary,
-                routers,
-                known,
+                connected_routers,
+                known_peers,
             } => {
                 if let Some(peer) = self.peers.get_mut(from) {
-                    (peer.in_contact, peer.routers) = (in_contact, routers);
+                    (peer.in_contact, peer.routers) = (in_contact, connected_routers);
                 }
                 let primary = primary.and_then(|address| address.parse().ok());
                 self.primary_tracker
                     .on_contact(now, from, in_contact, primary);
-                self.peers.learn_all(&known, now);
+                self.peers.learn_all(&known_peers, now);
             }
             PeerMessage::Confirmed { echo } => {
                 let instant = self.primary_tracker.on_confirmed(now, echo);
--- a/fleet/src/control/quota_handler.rs
+++ b/fleet/src/control/quota_handler.rs
@@ -157,7 +157,7 @@
                     to,
                     id,
                     may_forward,
-                    draw: request,
+                    request,
                 } => {
                     if let Some(connection) = self.connection_to(to) {
                         let request = lease_request_message(id, request, may_forward);
--- a/fleet/src/control/quotas.rs
+++ b/fleet/src/control/quotas.rs
@@ -53,7 +53,7 @@
         let context = LeaseContext {
             buckets: &mut self.buckets,
             ownership: &self.ownership,
-            own: self.owner,
+            own_id: self.owner,
             reachable,
         };
         (&mut self.lease_requests, context)
--- a/fleet/src/control/router_handler.rs
+++ b/fleet/src/control/router_handler.rs
@@ -21,13 +21,13 @@
     ) -> Result<(), ConnectionRejection> {
         match message {
             RouterToControl::Hello {
-                protocol,
-                node,
+                protocol_version,
+                node_name: node,
                 zone,
                 process,
                 configuration,
             } => {
-                check_protocol(protocol, &node)?;
+                check_protocol(protocol_version, &node)?;
                 self.connections.set_remote_role(id, RemoteRole::Router);
                 // A configuration that was committed in this turn has to precede the first heartbeat,
                 // which reports contact.
