--- a/fleet/src/router/backlog_reports.rs
+++ b/fleet/src/router/backlog_reports.rs
@@ -1,4 +1,4 @@
-//! What waits at servers for this router, and what of it control was sent last.
+//! Backlogs at servers that this router causes, and what of them was reported to control last.
 //!
 //! It promises that nothing is sent while nothing changes.
 
@@ -8,30 +8,31 @@
 use lichenswitch_messages::ServerBacklog;
 use std::collections::BTreeMap;
 
-/// What control was told last.
+/// The state of reports to control.
 #[derive(Debug, Default)]
 pub(crate) struct BacklogReports {
+    /// The backlogs that control knows of (tokens).
     pub(crate) last_reported: BTreeMap<ServerId, Backlog>,
-    /// A report is due at a set time.
+    /// A timer for the next report is set.
     pub(crate) is_scheduled: bool,
+    /// When the last report was due.
     pub(crate) last_report_at: Time,
 }
 
 impl BacklogReports {
-    /// Servers whose backlog is another than control was told, with what it is; control is told of
-    /// them now.
+    /// Backlogs that differ from what was reported last, which they replace.
     pub(crate) fn take_changes(&mut self, now: BTreeMap<ServerId, Backlog>) -> Vec<ServerBacklog> {
-        let gone = self
+        let ended = self
             .last_reported
             .keys()
             .filter(|server| !now.contains_key(server))
             .map(|server| (*server, 0));
-        let other = now
+        let changed = now
             .iter()
             .map(|(s, b)| (*s, *b))
             .filter(|(s, b)| self.last_reported.get(s) != Some(b));
-        let changes = gone
-            .chain(other)
+        let changes = ended
+            .chain(changed)
             .map(|(server, tokens)| ServerBacklog {
                 server: server.0,
                 tokens,
@@ -42,7 +43,8 @@
     }
 }
 
-/// What waits at each server.
+/// The backlog that these requests cause at each server (tokens): prompts of attempts that have not
+/// begun to be answered.
 pub(crate) fn backlogs_by_server<'a>(
     requests: impl Iterator<Item = &'a RequestState>,
 ) -> BTreeMap<ServerId, Backlog> {
--- a/fleet/src/router/control_link/connection.rs
+++ b/fleet/src/router/control_link/connection.rs
@@ -1,6 +1,6 @@
 //! One connection to a control machine: handshake, messages in both directions, and its deadlines.
 
-use crate::envelopes::{self, EnvelopeReader, Incoming};
+use crate::envelopes::{self, EnvelopeError, EnvelopeReader, Incoming};
 use crate::router::reactor::Net;
 use lichenswitch_interface::{Micros, Time};
 use lichenswitch_messages::{
@@ -10,32 +10,51 @@
 use lichenswitch_net::{ConnId, TransferProgress};
 use std::net::SocketAddr;
 
-/// After this long without a word, or without contact, another control machine is tried
+/// After this long without a message, or without contact to a quorum, another control machine is tried
 /// (microseconds): between two and three heartbeats.
 pub(crate) const CONTROL_IDLE_TIMEOUT_US: Micros = 700_000;
 
-/// A connection that is not up after this long is given up: links within a region take
-/// milliseconds.
+/// A connection that is not up after this long is dropped (microseconds): connects within a region
+/// take milliseconds.
 const CONNECT_TIMEOUT_US: Micros = 400_000;
 
-/// Who this router is, to control machines.
+/// How this router identifies itself to control machines.
 #[derive(Clone, Debug)]
 pub(crate) struct RouterIdentity {
     /// `nodeName`.
     pub node: String,
     /// Its zone.
     pub zone: String,
-    /// Drawn at the start of the process.
+    /// A random number of this process.
     pub process: u64,
 }
 
-/// What a control machine says.
+/// A message of a control machine.
 pub(crate) enum ControlMessage {
+    /// Heartbeat, configuration or servers.
     Control(ControlToRouter),
+    /// About keys and quotas.
     Tenant(TenantMessage),
+    /// About backlogs of servers.
     Backlog(BacklogReport),
 }
 
+/// Why a connection to a control machine can't be read on. The connection is dropped, and another
+/// control machine is tried.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum ControlReadError {
+    /// The connection broke.
+    #[error("the connection broke")]
+    Disconnected,
+    /// A message came that is meant for another role.
+    #[error("a message that is not for routers")]
+    Misdirected,
+    /// What came is no message.
+    #[error(transparent)]
+    Envelope(#[from] EnvelopeError),
+}
+
+/// A connection to a control machine.
 pub(crate) struct ControlConnection {
     pub(crate) id: ConnId,
     pub(crate) address: SocketAddr,
@@ -43,11 +62,12 @@
     pub(crate) is_handshake_sent: bool,
     pub(crate) opened_at: Time,
     pub(crate) last_received_at: Option<Time>,
-    /// The last time that it was in contact.
+    /// When the control machine last reported that it was in contact with a quorum.
     pub(crate) last_contact_at: Option<Time>,
     pub(crate) is_in_contact: bool,
-    /// Number of the last push that came, and of the last that was acknowledged.
+    /// Number of the last push that came.
     pub(crate) last_push: u64,
+    /// Number of the last push that was acknowledged.
     pub(crate) last_acknowledged_push: u64,
 }
 
@@ -67,23 +87,23 @@
         }
     }
 
-    /// When it is given up unless something comes before.
+    /// When it is dropped unless a message comes before.
     pub(super) fn deadline(&self) -> Time {
         if !self.is_handshake_sent {
             return self.opened_at.plus(CONNECT_TIMEOUT_US);
         }
-        let silent = self
+        let idle_deadline = self
             .last_received_at
             .unwrap_or(self.opened_at)
             .plus(CONTROL_IDLE_TIMEOUT_US);
-        silent.min(
+        idle_deadline.min(
             self.last_contact_at
                 .unwrap_or(self.opened_at)
                 .plus(CONTROL_IDLE_TIMEOUT_US),
         )
     }
 
-    /// Says who this router is, once the connection is up; `false`: it broke.
+    /// Sends the handshake once the connection is up; `false` if it broke.
     pub(super) fn send_handshake(
         &mut self,
         net: &mut Net,
@@ -107,11 +127,13 @@
         )
     }
 
+    /// Sends a message; `false` if the connection broke.
     pub(super) fn send(&self, net: &mut Net, message: RouterToControl) -> bool {
         envelopes::encode(&Envelope::FromRouter(message))
             .is_ok_and(|bytes| self.send_bytes(net, &bytes))
     }
 
+    /// Sends an encoded message; `false` if the connection broke.
     pub(super) fn send_bytes(&self, net: &mut Net, bytes: &[u8]) -> bool {
         let Some(conn) = net.get_mut(self.id) else {
             return false;
@@ -120,7 +142,15 @@
         net.flush(self.id, false) == TransferProgress::Alive
     }
 
-    pub(super) fn read(&mut self, net: &mut Net, now: Time) -> Result<Vec<ControlMessage>, String> {
+    /// Reads the messages that have come.
+    ///
+    /// # Errors
+    /// The connection broke, or brought something that is no message for a router.
+    pub(super) fn read(
+        &mut self,
+        net: &mut Net,
+        now: Time,
+    ) -> Result<Vec<ControlMessage>, ControlReadError> {
         let Some(conn) = net.get_mut(self.id) else {
             return Ok(Vec::new());
         };
@@ -129,11 +159,11 @@
         let used = bytes.len();
         self.reader.push(bytes);
         conn.input.consume(used);
-        // Reading rests at the ceiling until this has made room.
+        // Reading is paused at the read-ahead bound until this has made room.
         if net.flush(self.id, false) != TransferProgress::Alive {
-            return Err("the connection broke".to_owned());
+            return Err(ControlReadError::Disconnected);
         }
-        while let Some(incoming) = self.reader.next_message().map_err(|e| e.to_string())? {
+        while let Some(incoming) = self.reader.next_message()? {
             match incoming {
                 Incoming::Envelope(Envelope::ToRouter(message)) => {
                     messages.push(ControlMessage::Control(message))
@@ -141,7 +171,7 @@
                 Incoming::Tenant(message) => messages.push(ControlMessage::Tenant(message)),
                 Incoming::Backlog(report) => messages.push(ControlMessage::Backlog(report)),
                 Incoming::Envelope(Envelope::Peer(_) | Envelope::FromRouter(_)) => {
-                    return Err("a message that is not for routers".to_owned())
+                    return Err(ControlReadError::Misdirected)
                 }
             }
         }
--- a/fleet/src/router/control_link/link.rs
+++ b/fleet/src/router/control_link/link.rs
@@ -1,7 +1,7 @@
 //! The state of the link: which configuration was applied, which one is pending, and the connection.
 //!
 //! It promises: one connection at a time; another control machine as soon as this one is silent or
-//! without contact for [`SILENCE`]; the highest position that was applied is never gone back on;
+//! without contact for [`CONTROL_IDLE_TIMEOUT_US`](super::connection::CONTROL_IDLE_TIMEOUT_US); the highest position that was applied is never gone back on;
 //! what is applied is acknowledged. While all control is away it keeps trying, and what has been
 //! applied stands.
 
@@ -18,56 +18,57 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// After this long without any configuration one is taken from whichever control machine answers.
+/// After this long without any configuration, one of a control machine without contact is accepted
+/// (microseconds).
 pub(crate) const UNCONFIRMED_WAIT_US: Micros = 3_000_000;
 
-/// Most bytes read ahead of a control machine.
+/// Bytes read ahead of a control machine.
 const READ_AHEAD_BYTES: usize = 256 * 1_024;
 
-/// What came from control.
+/// An update from control.
 #[derive(Debug)]
 pub(crate) enum ControlUpdate {
-    /// A configuration that may be applied, if its position is above all before it.
+    /// A configuration to be applied, if its position is above that of the active one.
     Configuration(ConfigurationPosition, Vec<u8>),
     /// Records of servers, to be merged.
     Servers(Vec<ServerRecord>),
-    /// So many routers are members.
+    /// The number of routers that are members.
     Routers(u32),
     /// A message about tenants.
     Tenant(TenantMessage),
-    /// Work that waits at servers.
+    /// Backlogs of servers.
     Backlog(BacklogReport),
 }
 
-/// The link.
+/// The link to one control machine at a time.
 pub(crate) struct ControlLink {
     identity: RouterIdentity,
     candidates: ControlCandidates,
-    /// Control machines that are reached at another address than their own.
+    /// Control machines that are reached at another address, by their own.
     forwarders: BTreeMap<SocketAddr, SocketAddr>,
     rng: fastrand::Rng,
     connection: Option<ControlConnection>,
     started_at: Time,
-    /// The one that is applied.
+    /// The position of the active configuration.
     applied: Option<ConfigurationPosition>,
-    /// One from a control machine without contact, kept while there is none from another.
+    /// A newer one from a control machine without contact, kept until one with contact confirms it.
     unconfirmed: Option<PendingConfiguration>,
-    /// A look is due then.
+    /// When the next check is due.
     check_at: Option<Time>,
-    /// A connection has been given up since that was last asked.
+    /// A connection was dropped since [`ControlLink::take_connection_lost`].
     was_connection_lost: bool,
 }
 
-/// A configuration that waits to be taken.
+/// A configuration that waits to be accepted.
 pub(crate) struct PendingConfiguration {
     /// The connection on which it came.
-    from: ConnId,
+    connection: ConnId,
     position: ConfigurationPosition,
     document: Vec<u8>,
 }
 
 impl ControlLink {
-    /// The same, where these control machines are reached at another address than their own.
+    /// The same link, with these forwarders.
     #[must_use]
     pub(crate) fn with_forwarders(
         self,
@@ -97,18 +98,19 @@
         }
     }
 
-    /// The settings name these seeds now.
+    /// Sets the seeds that the settings name.
     pub(crate) fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.candidates.set_seeds(seeds);
     }
 
-    /// The configuration of this position is in force now.
+    /// The configuration of this position is active now.
     pub(crate) fn on_applied(&mut self, position: ConfigurationPosition) {
         self.applied = Some(position);
         self.unconfirmed = None;
     }
 
-    /// Looks at the link: opens it, gives it up, or takes what has waited for long enough.
+    /// Checks the link: connects, drops a connection that has timed out, or accepts a configuration
+    /// that has waited for long enough.
     pub(crate) fn check(&mut self, net: &mut Net) -> Vec<ControlUpdate> {
         let now = net.clock.now();
         if self.check_at.is_some_and(|at| at <= now) {
@@ -117,7 +119,7 @@
         if self
             .connection
             .as_ref()
-            .is_some_and(|c| c.deadline() <= now)
+            .is_some_and(|connection| connection.deadline() <= now)
         {
             self.drop_connection(net);
         }
@@ -129,43 +131,46 @@
         updates
     }
 
-    /// Reads what has come, and acknowledges what was read before.
+    /// Handles a connection that can be read or written; returns the updates that have come.
     pub(crate) fn on_ready(&mut self, net: &mut Net, id: ConnId) -> Vec<ControlUpdate> {
-        let Some(connection) = self.connection.as_mut().filter(|c| c.id == id) else {
+        let Some(connection) = self
+            .connection
+            .as_mut()
+            .filter(|connection| connection.id == id)
+        else {
             net.close(id);
             return Vec::new();
         };
         let progress = net.transfer(id, READ_AHEAD_BYTES);
         let mut updates = Vec::new();
-        let mut sound = progress == TransferProgress::Alive
+        let mut is_sound = progress == TransferProgress::Alive
             && connection.send_handshake(net, &self.identity, self.applied);
-        if sound {
+        if is_sound {
             let now = net.clock.now();
             match connection.read(net, now) {
                 Ok(messages) => messages
                     .into_iter()
                     .for_each(|message| self.handle_message(now, message, &mut updates)),
-                Err(reason) => {
-                    log::warn!(address:% = self.address(); "control machine: {reason}");
-                    sound = false;
+                Err(error) => {
+                    log::warn!(address:% = self.address(); "control machine: {error}");
+                    is_sound = false;
                 }
             }
         }
-        if !sound || net.get(id).is_none_or(|conn| conn.ended) {
+        if !is_sound || net.get(id).is_none_or(|conn| conn.ended) {
             self.drop_connection(net);
             updates.extend(self.check(net));
         }
         updates
     }
 
-    /// Acknowledges what has been applied since the last time. Called once what was read has been
-    /// applied.
+    /// Acknowledges the pushes that have come. Called once their updates have been applied.
     pub(crate) fn acknowledge(&mut self, net: &mut Net) {
         let applied = self.applied;
         let Some(connection) = self
             .connection
             .as_mut()
-            .filter(|c| c.last_push > c.last_acknowledged_push)
+            .filter(|connection| connection.last_push > connection.last_acknowledged_push)
         else {
             return;
         };
@@ -179,13 +184,12 @@
         }
     }
 
-    /// Whether a connection has been given up since this was last asked: what was sent on it gets
-    /// no answer.
+    /// Whether a connection was dropped since the last call: requests sent on it get no response.
     pub(crate) fn take_connection_lost(&mut self) -> bool {
         std::mem::take(&mut self.was_connection_lost)
     }
 
-    /// Whether a control machine is connected, and has been told who this router is.
+    /// Whether a control machine is connected, and the handshake was sent.
     #[must_use]
     pub(crate) fn is_handshake_sent(&self) -> bool {
         self.connection
@@ -205,7 +209,7 @@
         }
     }
 
-    /// Tells the control machine that is connected what waits at servers.
+    /// Sends a report of backlogs to the control machine that is connected.
     pub(crate) fn send_backlog_report(&mut self, net: &mut Net, report: &BacklogReport) {
         let Some(connection) = &self.connection else {
             return;
@@ -217,7 +221,7 @@
         }
     }
 
-    /// Whether the configuration of this position, or a later one, is in force.
+    /// Whether the configuration of this position, or a later one, is active.
     #[must_use]
     pub(crate) fn has_applied(&self, position: ConfigurationPosition) -> bool {
         self.applied.is_some_and(|applied| applied >= position)
@@ -226,7 +230,7 @@
     fn address(&self) -> String {
         self.connection
             .as_ref()
-            .map_or_else(String::new, |c| c.address.to_string())
+            .map_or_else(String::new, |connection| connection.address.to_string())
     }
 
     fn handle_message(
@@ -277,21 +281,12 @@
                 document,
             } => {
                 connection.last_push = connection.last_push.max(push);
-                if self.applied.is_none_or(|applied| applied < position) {
-                    let older = self
-                        .unconfirmed
-                        .as_ref()
-                        .is_some_and(|offer| offer.position > position);
-                    if !older {
-                        let from = connection.id;
-                        self.unconfirmed = Some(PendingConfiguration {
-                            from,
-                            position,
-                            document,
-                        });
-                    }
-                    updates.extend(self.take_unconfirmed(now));
-                }
+                let offer = PendingConfiguration {
+                    connection: connection.id,
+                    position,
+                    document,
+                };
+                updates.extend(self.offer_configuration(now, offer));
             }
             ControlToRouter::Servers {
                 push,
@@ -304,29 +299,53 @@
         }
     }
 
-    /// A configuration that waited is taken once its sender is in contact, once another is in force
+    /// Keeps a configuration that is newer than the active one, unless a still newer one is kept;
+    /// returns it if it is accepted at once.
+    fn offer_configuration(
+        &mut self,
+        now: Time,
+        offer: PendingConfiguration,
+    ) -> Option<ControlUpdate> {
+        if self
+            .applied
+            .is_some_and(|applied| applied >= offer.position)
+        {
+            return None;
+        }
+        let is_older = self
+            .unconfirmed
+            .as_ref()
+            .is_some_and(|kept| kept.position > offer.position);
+        if !is_older {
+            self.unconfirmed = Some(offer);
+        }
+        self.take_unconfirmed(now)
+    }
+
+    /// A pending configuration is accepted once its sender is in contact, once another is active
     /// already (it is committed, and newer), or once a router without any has waited for long
     /// enough.
     fn take_unconfirmed(&mut self, now: Time) -> Option<ControlUpdate> {
         let in_contact = self
             .connection
             .as_ref()
-            .filter(|c| c.is_in_contact)
-            .map(|c| c.id);
-        let waited = now.since(self.started_at) >= UNCONFIRMED_WAIT_US;
-        let may = waited || self.applied.is_some();
-        // Contact vouches for what came from the same machine: another one may have been cut off
-        // for long.
+            .filter(|connection| connection.is_in_contact)
+            .map(|connection| connection.id);
+        let has_waited = now.since(self.started_at) >= UNCONFIRMED_WAIT_US;
+        let is_accepted = has_waited || self.applied.is_some();
+        // Contact confirms only what came from the same machine: another one may have been
+        // partitioned for long.
         let offer = self
             .unconfirmed
-            .take_if(|offer| may || in_contact == Some(offer.from))?;
+            .take_if(|offer| is_accepted || in_contact == Some(offer.connection))?;
         Some(ControlUpdate::Configuration(offer.position, offer.document))
     }
 
+    /// Connects to the next candidate.
     fn connect(&mut self, net: &mut Net) {
         let now = net.clock.now();
-        // Those that refuse at once are passed over in this very look; each one rests then, so that
-        // this ends.
+        // Candidates that refuse at once are skipped in the same check; each one backs off then, so
+        // this loop ends.
         while let Ok(address) = self.candidates.next(now, self.rng.u64(..)) {
             let reached_at = self.forwarders.get(&address).copied().unwrap_or(address);
             match net.connect(SocketOwner::Control, reached_at) {
@@ -339,6 +358,7 @@
         }
     }
 
+    /// Drops the connection, and has another control machine tried at once.
     fn drop_connection(&mut self, net: &mut Net) {
         if let Some(connection) = self.connection.take() {
             self.candidates
@@ -351,17 +371,17 @@
         self.schedule_check(net, now);
     }
 
-    /// Sets the timer for the next look, where none is set that comes before it.
+    /// Sets the timer for the next check, unless one is set that fires before.
     fn schedule_check(&mut self, net: &mut Net, now: Time) {
-        let link = match &self.connection {
+        let link_due = match &self.connection {
             Some(connection) => connection.deadline(),
             None => self.candidates.next(now, 0).map_or_else(|at| at, |_| now),
         };
-        let waits = self
+        let acceptance_due = self
             .unconfirmed
             .is_some()
             .then(|| self.started_at.plus(UNCONFIRMED_WAIT_US));
-        let due = link.min(waits.unwrap_or(link)).max(now);
+        let due = link_due.min(acceptance_due.unwrap_or(link_due)).max(now);
         if self.check_at.is_none_or(|at| due < at) {
             self.check_at = Some(due);
             net.wheel.set(due, Timer::ControlLink);
--- a/fleet/src/router/handlers/relay.rs
+++ b/fleet/src/router/handlers/relay.rs
@@ -7,6 +7,7 @@
 use crate::router::abort_reason::AbortReason;
 use crate::router::ids::{AttemptId, RequestId};
 use crate::router::request_table::{ActiveRelay, RequestPhase};
+use crate::router::server_connections::StreamStart;
 use crate::router::server_response::{BodyChunk, BufferedResponse, ResponseHead};
 use crate::router::service::RouteRequest;
 use crate::router::state::Router;
@@ -22,13 +23,12 @@
 impl Router {
     /// A response has begun that is forwarded as it arrives: the first one of a request, or one that
     /// continues an interrupted stream. Any other is withdrawn.
-    pub(crate) fn on_stream_started(
-        &mut self,
-        id: AttemptId,
-        head: ResponseHead,
-        length: Option<u64>,
-        chunk: BodyChunk,
-    ) {
+    pub(crate) fn on_stream_started(&mut self, id: AttemptId, start: &StreamStart) {
+        let StreamStart {
+            head,
+            content_length,
+            first_chunk,
+        } = start;
         // An attempt without a request was withdrawn, and its connection closed.
         let Some(request_id) = self.requests.id_of_attempt(id) else {
             return;
@@ -48,7 +48,7 @@
         let is_resumed = match &request.phase {
             RequestPhase::Pending => false,
             RequestPhase::Resuming { last_event_id }
-                if continues_after(last_event_id, &head, &chunk) =>
+                if continues_after(last_event_id, head, first_chunk) =>
             {
                 true
             }
@@ -59,7 +59,7 @@
                 return self.report_outcome(id, Outcome::Error);
             }
         };
-        let last_event_id = chunk.last_event_id.clone();
+        let last_event_id = first_chunk.last_event_id.clone();
         let relay = ActiveRelay {
             attempt: id,
             server,
@@ -80,10 +80,10 @@
         }
         if !is_resumed {
             self.clients
-                .begin_response(&mut self.net, client, &head.encode(), length);
+                .begin_response(&mut self.net, client, &head.encode(), *content_length);
         }
         self.clients
-            .write_chunk(&mut self.net, client, &chunk.bytes);
+            .write_chunk(&mut self.net, client, &first_chunk.bytes);
         self.flush_relay(request_id, client);
     }
 
--- a/fleet/src/router/handlers/responses.rs
+++ b/fleet/src/router/handlers/responses.rs
@@ -18,9 +18,7 @@
                 ServerEvent::ResponseReceived(id, response) => {
                     self.on_response_received(id, response)
                 }
-                ServerEvent::StreamStarted(id, head, length, chunk) => {
-                    self.on_stream_started(id, *head, length, chunk)
-                }
+                ServerEvent::StreamStarted(id, start) => self.on_stream_started(id, &start),
                 ServerEvent::ChunkReceived(id, chunk) => self.on_chunk_received(id, chunk),
                 ServerEvent::StreamCompleted(id, rest) => self.on_stream_completed(id, &rest),
                 ServerEvent::AttemptFailed(id, outcome) => self.on_attempt_failed(id, outcome),
--- a/fleet/src/router/reactor.rs
+++ b/fleet/src/router/reactor.rs
@@ -7,15 +7,15 @@
 use lichenswitch_net::{ConnId, Program};
 use std::time::Duration;
 
-/// The role, to the loop of sockets.
+/// The role as the event loop knows it: its types of owners, timers and signals.
 pub(crate) struct RouterProgram;
 
-/// Who a connection or listener belongs to.
+/// Whom a connection or listener serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SocketOwner {
     /// Clients.
     Client,
-    /// The platform, which asks whether this router is ready.
+    /// The platform, which checks readiness.
     Platform,
     /// Model servers.
     Server,
@@ -23,39 +23,39 @@
     Control,
 }
 
-/// What a timer is for.
+/// What a timer is for. A timer that fires too early is set again by its handler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Timer {
-    /// The time of a request is over.
+    /// The deadline of a request.
     RequestDeadline(RequestId),
-    /// The time that the module gave an attempt is over.
+    /// The decision module's timeout for an attempt.
     AttemptTimeout(AttemptId),
-    /// A client's connection may have been idle, or slow, for too long.
+    /// A client's connection may have been idle, or stalled, for too long.
     Client(ConnId),
     /// A connection of the platform may have been idle for too long.
     Platform(ConnId),
     /// A connection to a server should be up, or may have been idle for too long.
     Server(ConnId),
-    /// An attempt has waited for a connection.
+    /// An attempt has waited for a connection for the longest time allowed.
     ConnectionWait(AttemptId),
-    /// The link to a control machine is to be looked at.
+    /// The link to control is to be checked.
     ControlLink,
-    /// A request has waited for its tenant's quota.
+    /// A request has waited for its tenant's quota for the longest time allowed.
     Quota,
-    /// Control is to be told what waits at servers.
+    /// Backlogs are to be reported to control.
     BacklogReport,
-    /// The settings file is to be looked at.
+    /// The settings file is to be checked for changes.
     SettingsCheck,
     /// The next step of the shutdown is due.
     Shutdown,
 }
 
-/// What has come to the process beside bytes.
+/// Signals that the loop watches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Signal {
-    /// To finish what was taken, and end.
+    /// Finish what was received, and end.
     Stop,
-    /// To read the settings again.
+    /// Read the settings again.
     Reload,
 }
 
@@ -64,8 +64,8 @@
     type Timer = Timer;
     type Signal = Signal;
 
-    /// Guards what waits for machines that are cut off or without power. Not for clients: one that
-    /// reads slowly sends no sign either.
+    /// Detects machines that are partitioned or without power. Not for clients: one that reads slowly
+    /// acknowledges nothing either.
     fn user_timeout(owner: SocketOwner) -> Option<Duration> {
         match owner {
             SocketOwner::Server => Some(SERVER_USER_TIMEOUT),
@@ -74,10 +74,10 @@
         }
     }
 
-    /// Guards streams whose server has lost power: nothing is being sent there that could go
-    /// unacknowledged. A server that is only silent has a system that answers.
+    /// Detects servers that have lost power during a stream, when nothing is sent that could go
+    /// unacknowledged. The operating system of a silent server still answers probes.
     fn probe_after(owner: SocketOwner) -> Option<Duration> {
-        (owner == SocketOwner::Server).then_some(SERVER_PROBE)
+        (owner == SocketOwner::Server).then_some(SERVER_PROBE_INTERVAL)
     }
 
     fn side(owner: SocketOwner) -> Side {
@@ -90,15 +90,15 @@
     }
 }
 
-/// A server that is well acknowledges within milliseconds, as long as its system has room for what
-/// it has not read.
+/// How long data to a server may go unacknowledged: a healthy server's system acknowledges within
+/// milliseconds, as long as its receive buffer has room.
 pub(crate) const SERVER_USER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Clients give a stream up after two seconds of silence at the least: what is found by then can
-/// still go on elsewhere.
-pub(crate) const SERVER_PROBE: Duration = Duration::from_millis(1_000);
+/// Idle time after which a server is probed: clients give a stream up after two seconds of silence at
+/// the least, so a fault that is found by then can still be resumed elsewhere.
+pub(crate) const SERVER_PROBE_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Control machines speak four times a second.
+/// How long data to a control machine may go unacknowledged: they send four times a second.
 pub(crate) const CONTROL_USER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Sockets of this role.
--- a/fleet/src/router/request_table.rs
+++ b/fleet/src/router/request_table.rs
@@ -14,34 +14,34 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// How far a request has come.
+/// How far a request has got.
 #[derive(Debug)]
 pub(crate) enum RequestPhase {
-    /// Nothing has been answered.
+    /// Nothing has been sent to its client.
     Pending,
-    /// An answer is being passed on.
+    /// A response is being forwarded.
     Relaying(ActiveRelay),
-    /// A stream was cut, and is to go on at another server.
+    /// Its stream was interrupted, and is to be resumed at another server.
     Resuming {
-        /// The id of the last event that was passed on.
+        /// The id of the last event that was forwarded.
         last_event_id: Vec<u8>,
     },
 }
 
-/// An answer that is being passed on.
+/// A response that is being forwarded.
 #[derive(Debug)]
 pub(crate) struct ActiveRelay {
-    /// The attempt that brings it.
+    /// Its attempt.
     pub attempt: AttemptId,
     /// Its server.
     pub server: ServerId,
-    /// The id of the last event that was passed on.
+    /// The id of the last event that was forwarded.
     pub last_event_id: Option<Vec<u8>>,
-    /// Its server is not read from, since the client is slow.
+    /// Reading from its server is paused, since the client is slow.
     pub is_paused: bool,
 }
 
-/// An attempt that is out.
+/// An attempt in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct InFlightAttempt {
     /// The attempt.
@@ -50,134 +50,134 @@
     pub server: ServerId,
 }
 
-/// A request that is held.
+/// A request in hand.
 #[derive(Debug)]
 pub(crate) struct RequestState {
-    /// Whose it is.
+    /// The connection of its client.
     pub client: ConnId,
     /// The request.
     pub client_request: Rc<ClientRequest>,
-    /// What its route said when it came.
+    /// The terms of its route when it was received.
     pub terms: RouteTerms,
-    /// The service that was drawn for it.
+    /// The service that was chosen for it.
     pub service: ServiceId,
-    /// What the core calls it, as long as it has neither its answer nor its end from there.
+    /// Its query in the core, until the core has its outcome or has ended it.
     pub core_query: Option<QueryId>,
-    /// Index of its class there.
+    /// Index of its request class in the service.
     pub class_index: u16,
-    /// Who sent it, where it bears a key that a tenant holds.
+    /// Its sender, where it bears the key of a tenant.
     pub sender: Option<Rc<Sender>>,
     /// When its last byte was read.
     pub received_at: Time,
-    /// Version of the configuration that it was taken under.
+    /// Version of the configuration that it was received under.
     pub configuration_version: u64,
-    /// When its time is over: the client's, or the route's.
+    /// Its deadline: the client's or the route's, whichever is earlier.
     pub deadline: Time,
-    /// How far it has come.
+    /// How far it has got.
     pub phase: RequestPhase,
-    /// Attempts that are out.
+    /// Attempts that have not ended.
     pub in_flight: Vec<InFlightAttempt>,
-    /// Attempts made that are not known never to have run.
+    /// Attempts that may have been executed: all that are not known not to have been.
     pub possible_executions: u32,
-    /// Servers to which it was sent, whether it ran there or not.
+    /// Servers to which it was sent, whether it was executed there or not.
     pub send_count: u32,
-    /// The last failure that a server answered, to be passed on if nothing better comes.
+    /// The last failure that a server sent, to be forwarded if nothing better comes.
     pub last_failure: Option<BufferedResponse>,
 }
 
 impl RequestState {
-    /// An attempt has ended in this way.
+    /// An attempt has ended with this outcome. Only its first end counts.
     pub(crate) fn on_attempt_ended(&mut self, id: AttemptId, outcome: Outcome) {
         let before = self.in_flight.len();
         self.in_flight.retain(|attempt| attempt.id != id);
-        let known = self.in_flight.len() < before;
-        if known && outcome.never_ran() {
+        let was_in_flight = self.in_flight.len() < before;
+        if was_in_flight && outcome.never_ran() {
             self.possible_executions = self.possible_executions.saturating_sub(1);
         }
-        if known && outcome == Outcome::Moot {
+        if was_in_flight && outcome == Outcome::Moot {
             self.send_count = self.send_count.saturating_sub(1);
         }
     }
 
-    /// An attempt is being made.
+    /// An attempt has been started.
     pub(crate) fn on_attempt_started(&mut self, attempt: InFlightAttempt) {
         self.in_flight.push(attempt);
         self.possible_executions += 1;
         self.send_count += 1;
     }
 
-    /// Whether the rules allow that it is sent once more.
+    /// Whether the rules allow another attempt.
     #[must_use]
     pub(crate) fn may_start_attempt(&self) -> bool {
         (self.terms.is_idempotent || self.possible_executions == 0)
             && self.send_count < self.terms.max_attempts.max(1)
     }
 
-    /// Whether this attempt's answer is being passed on.
+    /// Whether the response of this attempt is being forwarded.
     #[must_use]
     pub(crate) fn is_relayed_from(&self, id: AttemptId) -> bool {
         matches!(&self.phase, RequestPhase::Relaying(relay) if relay.attempt == id)
     }
 
-    /// Who sent it, where that is known.
+    /// Its sender, where it bears the key of a tenant.
     #[must_use]
     pub(crate) fn sender(&self) -> Option<&Sender> {
         self.sender.as_deref()
     }
 }
 
-/// All requests that are held.
+/// All requests in hand.
 #[derive(Default)]
 pub(crate) struct RequestTable {
     requests: HashMap<RequestId, RequestState>,
     by_client: HashMap<ConnId, RequestId>,
     by_attempt: HashMap<AttemptId, RequestId>,
-    bytes: usize,
-    next: u64,
+    buffered_bytes: usize,
+    next_id: u64,
 }
 
 impl RequestTable {
-    /// How many are held.
+    /// The number of requests.
     #[must_use]
     pub(crate) fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether none is held.
+    /// Whether there are none.
     #[must_use]
     pub(crate) fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// Bytes of the requests that are held.
+    /// Bytes that the requests take.
     #[must_use]
     pub(crate) fn buffered_bytes(&self) -> usize {
-        self.bytes
+        self.buffered_bytes
     }
 
-    /// Adds one.
+    /// Adds a request; returns its id.
     pub(crate) fn insert(&mut self, request: RequestState) -> RequestId {
         let id = self.next_id();
-        self.next += 1;
-        self.bytes += request.client_request.buffered_bytes();
+        self.next_id += 1;
+        self.buffered_bytes += request.client_request.buffered_bytes();
         self.by_client.insert(request.client, id);
         self.requests.insert(id, request);
         id
     }
 
-    /// What the next one that is added will be called.
+    /// The id of the next request that is added.
     #[must_use]
     pub(crate) fn next_id(&self) -> RequestId {
-        RequestId(self.next)
+        RequestId(self.next_id)
     }
 
-    /// One that is held.
+    /// A request by id.
     #[must_use]
     pub(crate) fn get(&self, id: RequestId) -> Option<&RequestState> {
         self.requests.get(&id)
     }
 
-    /// The same, to change it.
+    /// A request by id, to change it.
     pub(crate) fn get_mut(&mut self, id: RequestId) -> Option<&mut RequestState> {
         self.requests.get_mut(&id)
     }
@@ -194,7 +194,7 @@
         self.by_attempt.get(&attempt).copied()
     }
 
-    /// An attempt of a request is being made.
+    /// An attempt of a request has been started.
     pub(crate) fn on_attempt_started(&mut self, id: RequestId, attempt: InFlightAttempt) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.on_attempt_started(attempt);
@@ -202,7 +202,7 @@
         }
     }
 
-    /// An attempt has ended; tells its request, if that is still held.
+    /// An attempt has ended; returns its request, if that is still in the table.
     pub(crate) fn on_attempt_ended(
         &mut self,
         attempt: AttemptId,
@@ -215,8 +215,7 @@
         Some(id)
     }
 
-    /// An attempt of a request brings its answer, which is passed on from now on. Tells the others
-    /// that are out for it.
+    /// The response of an attempt is forwarded from now on; returns the other attempts in flight.
     pub(crate) fn on_relay_started(&mut self, id: RequestId, relay: ActiveRelay) -> Vec<AttemptId> {
         let Some(request) = self.requests.get_mut(&id) else {
             return Vec::new();
@@ -234,22 +233,22 @@
         others
     }
 
-    /// The answer that was passed on broke off: the request goes on behind this event.
+    /// The forwarded response was interrupted: the request is to be resumed behind this event.
     pub(crate) fn on_relay_interrupted(&mut self, id: RequestId, last_event_id: Vec<u8>) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let before =
+        let previous =
             std::mem::replace(&mut request.phase, RequestPhase::Resuming { last_event_id });
-        if let RequestPhase::Relaying(relay) = before {
+        if let RequestPhase::Relaying(relay) = previous {
             self.by_attempt.remove(&relay.attempt);
         }
     }
 
-    /// Takes one out: the one place where it is given back.
+    /// Removes a request with all that refers to it. Nothing else removes one.
     pub(crate) fn remove(&mut self, id: RequestId) -> Option<RequestState> {
         let request = self.requests.remove(&id)?;
-        self.bytes -= request.client_request.buffered_bytes();
+        self.buffered_bytes -= request.client_request.buffered_bytes();
         self.by_client.remove(&request.client);
         for attempt in &request.in_flight {
             self.by_attempt.remove(&attempt.id);
@@ -260,12 +259,12 @@
         Some(request)
     }
 
-    /// All that are held, in no order.
+    /// All requests, in no order.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &RequestState> {
         self.requests.values()
     }
 
-    /// Their names.
+    /// Their ids, in no order.
     #[must_use]
     pub(crate) fn ids(&self) -> Vec<RequestId> {
         self.requests.keys().copied().collect()
--- a/fleet/src/router/server_connections/attempt.rs
+++ b/fleet/src/router/server_connections/attempt.rs
@@ -8,56 +8,65 @@
 use lichenswitch_interface::{Outcome, ServerId, Time};
 use std::rc::Rc;
 
-/// A longer body may find no room at a server that has not read its beginning yet (bytes): half of
-/// what systems give a connection. A server that is only silent is waited for, also one that
-/// answers before it has read all: until its answer is whole nothing but the request's time ends
-/// such a connection.
+/// A body longer than this may fill the receive buffer of a server that does not read (bytes): half of
+/// what systems give a connection. Such a server counts as silent, not as dead: until its response is
+/// complete, only the request's deadline ends the connection.
 pub(crate) const LONG_BODY_BYTES: usize = 32 * 1_024;
 
-/// One attempt to be made.
+/// An attempt to be made at a server.
 #[derive(Debug)]
 pub(crate) struct Attempt {
-    /// Names it.
+    /// Its id.
     pub id: AttemptId,
     /// Its server.
     pub server: ServerId,
-    /// Where that is.
+    /// Where the server is reached.
     pub endpoint: Endpoint,
     /// The request.
     pub request: Rc<ClientRequest>,
-    /// When the time of the request is over.
+    /// The deadline of the request.
     pub deadline: Time,
-    /// It may run more than once.
+    /// It may be executed more than once.
     pub is_idempotent: bool,
     /// Rank of its route, 0 to 9; 0 is the most urgent.
     pub priority: u8,
-    /// A stream goes on behind this event.
+    /// The stream is to continue behind this event id.
     pub resume_after: Option<Vec<u8>>,
-    /// Who sent the request.
+    /// The sender of the request.
     pub sender: Option<Rc<Sender>>,
-    /// Connections to that server that this router may have.
+    /// How many connections to that server this router may have.
     pub max_connections: usize,
 }
 
 impl Attempt {
-    /// Whether its server's system may have no room for all of it.
+    /// Whether its body may not fit into the server's receive buffer.
     pub(super) fn has_long_body(&self) -> bool {
         self.request.body.len() > LONG_BODY_BYTES
     }
 }
 
+/// The beginning of a response that is forwarded as it arrives.
+#[derive(Debug)]
+pub(crate) struct StreamStart {
+    /// Its head.
+    pub head: ResponseHead,
+    /// The length of its body, where the server declares it.
+    pub content_length: Option<u64>,
+    /// Its first chunk.
+    pub first_chunk: BodyChunk,
+}
+
 /// What became of an attempt.
 #[derive(Debug)]
 pub(crate) enum ServerEvent {
-    /// It was answered, whole.
+    /// Its response is complete, and nothing of it was forwarded before.
     ResponseReceived(AttemptId, BufferedResponse),
-    /// An answer has begun that is passed on as it comes: its head, its length where that is told,
-    /// and its first part.
-    StreamStarted(AttemptId, Box<ResponseHead>, Option<u64>, BodyChunk),
-    /// More of it.
+    /// Its response is forwarded as it arrives from now on.
+    StreamStarted(AttemptId, Box<StreamStart>),
+    /// The next chunk of a forwarded response.
     ChunkReceived(AttemptId, BodyChunk),
-    /// It is complete, with these bytes.
+    /// A forwarded response is complete, with these last bytes.
     StreamCompleted(AttemptId, Vec<u8>),
-    /// It ended without a complete answer.
+    /// It ended without a complete response.
     AttemptFailed(AttemptId, Outcome),
 }
--- a/fleet/src/router/server_connections/exchange.rs
+++ b/fleet/src/router/server_connections/exchange.rs
@@ -9,22 +9,22 @@
 use crate::router::reactor::{Net, SERVER_USER_TIMEOUT};
 use crate::router::response_reader::ResponseReader;
 use crate::router::time::micros;
-use lichenswitch_interface::{Micros, Outcome};
+use lichenswitch_interface::{Micros, Outcome, Time};
 use lichenswitch_net::{ConnId, TransferProgress};
 use std::time::Duration;
 
-/// Most bytes read ahead of a server at a time.
+/// Bytes read ahead of a server at a time.
 const READ_AHEAD_BYTES: usize = 64 * 1_024;
 
-/// A connection whose server told no time is used again within this (microseconds): times under a
-/// second are not told.
+/// How long an idle connection is reused whose server advertises no timeout (microseconds): timeouts
+/// below a second can't be advertised.
 pub(crate) const DEFAULT_KEEP_ALIVE_US: Micros = 500_000;
 
-/// Share of the time told by a server for which its idle connections are used.
+/// Share of the timeout that a server advertises for which its idle connections are reused.
 pub(crate) const ADVERTISED_KEEP_ALIVE_SHARE: f64 = 0.75;
 
 impl ServerConnections {
-    /// Makes an attempt.
+    /// Starts an attempt: on an idle connection, a new one, or once one is free.
     pub(crate) fn start(&mut self, net: &mut Net, attempt: Attempt) {
         if let Some(id) = self.idle_connection(net, &attempt) {
             return self.write_request(net, id, attempt);
@@ -36,17 +36,17 @@
         self.open_connection(net, attempt);
     }
 
-    /// Reading of an attempt's answer rests, since its client is slow, or goes on.
-    pub(crate) fn set_paused(&mut self, net: &mut Net, id: AttemptId, on: bool) {
+    /// Pauses or resumes reading an attempt's response: its client is slow.
+    pub(crate) fn set_paused(&mut self, net: &mut Net, id: AttemptId, is_paused: bool) {
         let Some(&connection) = self.by_attempt.get(&id) else {
             return;
         };
-        if net.pause(connection, on) != TransferProgress::Alive {
+        if net.pause(connection, is_paused) != TransferProgress::Alive {
             self.on_broken(net, connection);
         }
     }
 
-    /// Reads and writes what a connection is ready for.
+    /// Handles a connection that can be read or written.
     pub(crate) fn on_ready(&mut self, net: &mut Net, id: ConnId) {
         if !self.connections.contains_key(&id) {
             return net.close(id);
@@ -54,16 +54,16 @@
         let progress = net.transfer(id, READ_AHEAD_BYTES);
         match self.state(id) {
             Some(ConnectionState::Opening(_)) => self.on_opened(net, id, &progress),
-            // Nothing is due: whatever comes belongs to nobody, and an end is an end.
-            Some(ConnectionState::Idle(..))
+            // No response is expected: whatever comes belongs to no request.
+            Some(ConnectionState::Idle { .. })
                 if progress == TransferProgress::Alive && is_quiet(net, id) => {}
-            Some(ConnectionState::Idle(..)) => self.close(net, id),
+            Some(ConnectionState::Idle { .. }) => self.close(net, id),
             Some(ConnectionState::Busy(_)) => self.read_response(net, id, &progress),
             None => {}
         }
     }
 
-    /// A connection's timer: it should be up by now, or may have rested for too long.
+    /// Handles a connection's timer: it should be up by now, or may have been idle for too long.
     pub(crate) fn on_timer(&mut self, net: &mut Net, id: ConnId) {
         let now = net.clock.now();
         let Some(connection) = self.connections.get_mut(&id) else {
@@ -74,19 +74,21 @@
             ConnectionState::Opening(_) => {
                 self.on_opened(net, id, &TransferProgress::NeverConnected)
             }
-            ConnectionState::Idle(_, until) if *until <= now => self.close(net, id),
-            ConnectionState::Idle(_, until) => {
-                let until = *until;
-                self.arm_timer(net, id, until);
+            ConnectionState::Idle { usable_until, .. } if *usable_until <= now => {
+                self.close(net, id)
+            }
+            ConnectionState::Idle { usable_until, .. } => {
+                let usable_until = *usable_until;
+                self.arm_timer(net, id, usable_until);
             }
             ConnectionState::Busy(_) => {}
         }
     }
 
-    /// A connection has come up, or never will.
+    /// A connection has come up, or has failed to.
     pub(super) fn on_opened(&mut self, net: &mut Net, id: ConnId, progress: &TransferProgress) {
-        let up = net.get(id).is_some_and(|conn| conn.up);
-        if *progress == TransferProgress::Alive && !up {
+        let is_up = net.get(id).is_some_and(|conn| conn.up);
+        if *progress == TransferProgress::Alive && !is_up {
             return;
         }
         let Some(connection) = self.connections.get_mut(&id) else {
@@ -94,11 +96,11 @@
         };
         let now = net.clock.now();
         let ConnectionState::Opening(attempt) =
-            std::mem::replace(&mut connection.state, ConnectionState::Idle(now, now))
+            std::mem::replace(&mut connection.state, unusable_at(now))
         else {
             return;
         };
-        // A server that speaks before it was asked speaks to nobody.
+        // Bytes before any request belong to no request.
         if *progress == TransferProgress::Alive && is_quiet(net, id) {
             return self.write_request(net, id, *attempt);
         }
@@ -106,32 +108,32 @@
         self.close(net, id);
     }
 
-    /// Writes a request on a connection that is up and carries nothing.
+    /// Writes a request on a connection that is up and has no request in flight.
     pub(super) fn write_request(&mut self, net: &mut Net, id: ConnId, attempt: Attempt) {
         let now = net.clock.now();
-        let left = Duration::from_micros(attempt.deadline.since(now));
+        let remaining = Duration::from_micros(attempt.deadline.since(now));
         let (Some(connection), Some(conn)) = (self.connections.get_mut(&id), net.get_mut(id))
         else {
             return self.report_failure(attempt.id, Outcome::Moot);
         };
-        if left < Duration::from_millis(1) {
-            // The server would find its time over.
-            connection.state = ConnectionState::Idle(now, now);
+        if remaining < Duration::from_millis(1) {
+            // The server would find its deadline expired.
+            connection.state = unusable_at(now);
             self.report_failure(attempt.id, Outcome::Moot);
             return self.close(net, id);
         }
-        let send = ForwardingHeaders {
-            remaining: left,
+        let headers = ForwardingHeaders {
+            remaining,
             target_instance: &attempt.endpoint.instance_id,
             priority: attempt.priority,
             resume_after: attempt.resume_after.as_deref(),
             sender: attempt.sender.as_deref(),
         };
         if attempt.has_long_body() {
-            conn.set_user_timeout(left);
+            conn.set_user_timeout(remaining);
         }
         let mut bytes = Vec::new();
-        attempt.request.encode_head(&send, &mut bytes);
+        attempt.request.encode_head(&headers, &mut bytes);
         let bytes_before = conn.written();
         conn.send(&bytes);
         let bytes_through = conn.send(&attempt.request.body);
@@ -151,9 +153,9 @@
         }
     }
 
-    /// Reads what has come for the request that is out.
+    /// Reads what has come for the request in flight.
     pub(super) fn read_response(&mut self, net: &mut Net, id: ConnId, progress: &TransferProgress) {
-        let broken = *progress != TransferProgress::Alive;
+        let is_broken = *progress != TransferProgress::Alive;
         loop {
             let (Some(connection), Some(conn)) = (self.connections.get_mut(&id), net.get_mut(id))
             else {
@@ -164,11 +166,10 @@
             };
             current.is_early_response |=
                 !conn.input.is_empty() && conn.written() < current.bytes_through;
-            // The end of a connection is the end of an answer only if the connection ended in
-            // order.
-            let ended = conn.ended && !broken;
+            // The end of a connection ends a response only if the connection closed in order.
+            let ended = conn.ended && !is_broken;
             match current.reader.read(&mut conn.input, ended) {
-                Ok(Some(piece)) => match current.take(piece) {
+                Ok(Some(part)) => match current.take(part) {
                     ReadOutcome::Incomplete => {}
                     ReadOutcome::Event(event) => self.events.push(event),
                     ReadOutcome::Final(event) => {
@@ -181,42 +182,45 @@
                 Err(_) => return self.on_broken(net, id),
             }
         }
-        let over = net.get(id).is_none_or(|conn| conn.ended);
-        if broken || over {
+        let has_ended = net.get(id).is_none_or(|conn| conn.ended);
+        if is_broken || has_ended {
             return self.on_broken(net, id);
         }
-        // Reading may have rested at the ceiling.
+        // Reading may have been paused at the read-ahead bound.
         if net.flush(id, false) != TransferProgress::Alive {
             self.on_broken(net, id);
         }
     }
 
-    /// The answer is whole: the connection rests for the next request, unless something about it
-    /// was odd.
+    /// The response is complete: the connection is kept for the next request, unless something about
+    /// it was unexpected.
     pub(super) fn on_response_complete(&mut self, net: &mut Net, id: ConnId) {
         let now = net.clock.now();
         let (Some(connection), Some(conn)) = (self.connections.get_mut(&id), net.get(id)) else {
             return;
         };
         let ConnectionState::Busy(current) =
-            std::mem::replace(&mut connection.state, ConnectionState::Idle(now, now))
+            std::mem::replace(&mut connection.state, unusable_at(now))
         else {
             return;
         };
         self.by_attempt.remove(&current.attempt.id);
-        let clean = conn.input.is_empty()
+        let is_clean = conn.input.is_empty()
             && !conn.ended
             && !current.is_early_response
             && conn.written() == current.bytes_through;
-        let told = current
+        let advertised = current
             .reader
             .idle_time()
-            .map(|told| micros(told.mul_f64(ADVERTISED_KEEP_ALIVE_SHARE)));
-        let keep = told.unwrap_or(DEFAULT_KEEP_ALIVE_US);
-        if !clean || !current.reader.keeps_connection() || keep == 0 {
+            .map(|timeout| micros(timeout.mul_f64(ADVERTISED_KEEP_ALIVE_SHARE)));
+        let keep_alive_us = advertised.unwrap_or(DEFAULT_KEEP_ALIVE_US);
+        if !is_clean || !current.reader.keeps_connection() || keep_alive_us == 0 {
             return self.close(net, id);
         }
-        connection.state = ConnectionState::Idle(now, now.plus(keep));
+        connection.state = ConnectionState::Idle {
+            since: now,
+            usable_until: now.plus(keep_alive_us),
+        };
         let server = connection.server;
         if current.attempt.has_long_body() {
             conn.set_user_timeout(SERVER_USER_TIMEOUT);
@@ -227,14 +231,14 @@
         if net.flush(id, false) != TransferProgress::Alive {
             return self.close(net, id);
         }
-        self.arm_timer(net, id, now.plus(keep));
+        self.arm_timer(net, id, now.plus(keep_alive_us));
     }
 
-    /// The connection broke, or brought what is no answer to its request.
+    /// The connection broke, or brought no valid response to its request.
     pub(super) fn on_broken(&mut self, net: &mut Net, id: ConnId) {
         let written = net.get(id).map_or(u64::MAX, |conn| conn.written());
         if let Some(ConnectionState::Busy(current)) = self.state(id) {
-            // Once the first byte may have gone the request may have run.
+            // Once its first byte may have been sent, the request may have been executed.
             let outcome = if written <= current.bytes_before {
                 Outcome::ConnectFailed
             } else {
@@ -246,3 +250,11 @@
         self.close(net, id);
     }
 }
+
+/// The state of a connection that is about to get another one, or to be closed.
+fn unusable_at(now: Time) -> ConnectionState {
+    ConnectionState::Idle {
+        since: now,
+        usable_until: now,
+    }
+}
--- a/fleet/src/router/server_connections/in_flight.rs
+++ b/fleet/src/router/server_connections/in_flight.rs
@@ -1,56 +1,61 @@
 //! The request in flight on a connection, and its response as it is read.
 
-use super::attempt::{Attempt, ServerEvent};
+use super::attempt::{Attempt, ServerEvent, StreamStart};
+use crate::router::ids::AttemptId;
 use crate::router::response_reader::{ResponsePart, ResponseReader};
 use crate::router::server_response::{BodyChunk, BufferedResponse, ResponseHead};
 use lichenswitch_event_stream::Scanner;
 
-/// An answer that is not a stream is passed on whole up to this length, and as it comes beyond it
-/// (bytes).
+/// A response that is not an event stream is buffered up to this length, and forwarded as it arrives
+/// beyond it (bytes).
 pub(crate) const MAX_BUFFERED_BODY_BYTES: usize = 256 * 1_024;
 
-/// Most bytes of one event.
+/// Longest event of a stream (bytes).
 pub(crate) const MAX_EVENT_BYTES: usize = 256 * 1_024;
 
-/// How the body of the answer that is being read is treated.
+/// How the body of the response that is being read is handled.
 #[derive(Debug)]
 pub(crate) enum BodyMode {
     /// The head has not come.
     AwaitingHead,
-    /// Gathered until it is whole.
+    /// Buffered until it is complete.
     Buffered(Box<ResponseHead>, Vec<u8>),
-    /// A stream of events; the head until the first event has come.
+    /// An event stream, with its head until the first event has come.
     Events(Option<Box<ResponseHead>>, Box<Scanner>),
-    /// Passed on as it comes.
+    /// Forwarded as it arrives.
     Forwarded,
 }
 
-/// The request that is out on a connection.
+/// The request in flight on a connection.
 #[derive(Debug)]
 pub(crate) struct InFlightRequest {
     pub(crate) attempt: Attempt,
-    /// Bytes written on the connection before it, and with it.
+    /// Bytes written on the connection before the request.
     pub(crate) bytes_before: u64,
+    /// Bytes written on it once the request is written completely.
     pub(crate) bytes_through: u64,
     pub(crate) reader: ResponseReader,
     pub(crate) body: BodyMode,
-    /// The answer began before the request was written whole.
+    /// The response began before the request was written completely.
     pub(crate) is_early_response: bool,
 }
 
-/// What a piece of an answer comes to.
+/// What a part of a response amounts to.
 pub(crate) enum ReadOutcome {
+    /// Nothing yet: more bytes are needed.
     Incomplete,
+    /// Something to report; more follows.
     Event(ServerEvent),
-    /// The last of this answer.
+    /// The last event of this response.
     Final(ServerEvent),
-    /// It is no answer to this request.
+    /// It is not a valid response to this request.
     Mismatch,
 }
 
 impl InFlightRequest {
-    pub(super) fn take(&mut self, piece: ResponsePart) -> ReadOutcome {
-        match piece {
+    /// Takes the next part of the response.
+    pub(super) fn take(&mut self, part: ResponsePart) -> ReadOutcome {
+        match part {
             ResponsePart::Head(head) => self.take_head(head),
             ResponsePart::Body(bytes) => self.take_body(&bytes),
             ResponsePart::End => self.take_end(),
@@ -61,13 +66,13 @@
         if head.attempt_id != self.attempt.request.attempt_id {
             return ReadOutcome::Mismatch;
         }
-        let success = (200..300).contains(&head.status);
-        // A success that no server has sealed is none.
-        if success && !head.is_sealed {
+        let is_success = (200..300).contains(&head.status);
+        // A success without a seal is none.
+        if is_success && !head.is_sealed {
             return ReadOutcome::Mismatch;
         }
         let head = Box::new(head);
-        self.body = match success && head.is_event_stream {
+        self.body = match is_success && head.is_event_stream {
             true => BodyMode::Events(Some(head), Box::new(Scanner::new(MAX_EVENT_BYTES))),
             false => BodyMode::Buffered(head, Vec::new()),
         };
@@ -92,9 +97,9 @@
                 else {
                     return ReadOutcome::Mismatch;
                 };
-                ReadOutcome::Event(ServerEvent::StreamStarted(
+                ReadOutcome::Event(stream_started(
                     id,
-                    head,
+                    *head,
                     self.reader.length(),
                     body_chunk(body, None),
                 ))
@@ -103,20 +108,20 @@
                 if scanner.push(bytes).is_err() {
                     return ReadOutcome::Mismatch;
                 }
-                let whole = scanner.whole().len();
-                // Comments before the first event are passed on with it.
-                if whole == 0
+                let complete_bytes = scanner.whole().len();
+                // Comments before the first event are forwarded with it.
+                if complete_bytes == 0
                     || (head.is_some()
                         && scanner.last_event_id().is_none()
                         && !has_field(scanner.whole()))
                 {
                     return ReadOutcome::Incomplete;
                 }
-                let part = body_chunk(scanner.whole().to_vec(), scanner.last_event_id());
-                scanner.advance(whole);
+                let chunk = body_chunk(scanner.whole().to_vec(), scanner.last_event_id());
+                scanner.advance(complete_bytes);
                 ReadOutcome::Event(match head.take() {
-                    Some(head) => ServerEvent::StreamStarted(id, head, None, part),
-                    None => ServerEvent::ChunkReceived(id, part),
+                    Some(head) => stream_started(id, *head, None, chunk),
+                    None => ServerEvent::ChunkReceived(id, chunk),
                 })
             }
         }
@@ -131,8 +136,8 @@
                 id,
                 BufferedResponse { head: *head, body },
             )),
-            // Without a length the end of the connection is the end of the answer, and a server
-            // that breaks off in the midst of an event ends it as well.
+            // Without framing the end of the connection is the end of the response: a server that
+            // breaks off in the middle of an event looks the same.
             BodyMode::Events(_, scanner)
                 if !scanner.partial().is_empty() && !self.reader.is_framed() =>
             {
@@ -154,6 +159,20 @@
     }
 }
 
+fn stream_started(
+    id: AttemptId,
+    head: ResponseHead,
+    content_length: Option<u64>,
+    first_chunk: BodyChunk,
+) -> ServerEvent {
+    let start = StreamStart {
+        head,
+        content_length,
+        first_chunk,
+    };
+    ServerEvent::StreamStarted(id, Box::new(start))
+}
+
 pub(crate) fn body_chunk(bytes: Vec<u8>, last_event_id: Option<&[u8]>) -> BodyChunk {
     BodyChunk {
         bytes,
@@ -161,13 +180,14 @@
     }
 }
 
-/// Whether these whole lines hold more than comments and line ends.
+/// Whether these complete lines hold more than comments and line ends.
 pub(crate) fn has_field(lines: &[u8]) -> bool {
     lines
         .split(|byte| matches!(byte, b'\n' | b'\r'))
         .any(|line| !line.is_empty() && line[0] != b':')
 }
 
+/// All that the scanner has not given out: complete events and a last incomplete one.
 pub(crate) fn remaining_bytes(scanner: &Scanner) -> Vec<u8> {
     [scanner.whole(), scanner.partial()].concat()
 }
--- a/fleet/src/router/server_connections/pool.rs
+++ b/fleet/src/router/server_connections/pool.rs
@@ -8,38 +8,41 @@
 use lichenswitch_interface::{Micros, Outcome, ServerId};
 use lichenswitch_net::{ConnId, ConnectError, TransferProgress};
 
-/// A connection that is not up after this long never comes up (microseconds). Links within a region
-/// take milliseconds; a lost opening packet is sent again after a second.
+/// A connection that is not up after this long counts as failed (microseconds). Connects within a
+/// region take milliseconds; a lost SYN is sent again after a second.
 const CONNECT_TIMEOUT_US: Micros = 1_000_000;
 
-/// How long a connection may have rested before a request that may not run twice is written on it
-/// (microseconds). Servers may forget idle connections without a word; those closed sooner than
-/// this tell no time in whole seconds either.
+/// How long a connection may have been idle when a request that is not idempotent is written on it
+/// (microseconds). Servers may drop idle connections silently; those that close sooner than this
+/// can't advertise it in whole seconds.
 pub(crate) const UNSAFE_REUSE_WINDOW_US: Micros = 400_000;
 
-/// How long an attempt waits where all connections to its server are in use (microseconds).
+/// How long an attempt waits while all connections to its server are in use (microseconds).
 pub(crate) const CONNECTION_WAIT_TIMEOUT_US: Micros = 100_000;
 
 impl ServerConnections {
-    /// An idle connection on which this attempt may be written; the one used last, so that others
+    /// An idle connection on which this attempt may be written: the last used one, so that others
     /// fall out of use.
     pub(super) fn idle_connection(&mut self, net: &mut Net, attempt: &Attempt) -> Option<ConnId> {
         let now = net.clock.now();
         let known = self.by_server.get(&attempt.server)?;
         let idle = known.iter().filter_map(|id| match self.state(*id)? {
-            ConnectionState::Idle(since, until) => Some((*since, *until, *id)),
+            ConnectionState::Idle {
+                since,
+                usable_until,
+            } => Some((*since, *usable_until, *id)),
             ConnectionState::Opening(_) | ConnectionState::Busy(_) => None,
         });
-        let (since, until, id) = idle.max_by_key(|(since, ..)| *since)?;
-        let most = if attempt.is_idempotent {
-            until
+        let (since, usable_until, id) = idle.max_by_key(|(since, ..)| *since)?;
+        let limit = if attempt.is_idempotent {
+            usable_until
         } else {
-            until.min(since.plus(UNSAFE_REUSE_WINDOW_US))
+            usable_until.min(since.plus(UNSAFE_REUSE_WINDOW_US))
         };
-        if now >= most {
+        if now >= limit {
             return None;
         }
-        // The server may have ended it since the last wait.
+        // The server may have closed it since the poller was last asked.
         if net.transfer(id, 1) == TransferProgress::Alive && is_quiet(net, id) {
             return Some(id);
         }
@@ -47,6 +50,7 @@
         None
     }
 
+    /// Opens a connection for an attempt; closes an idle one if descriptors are short.
     pub(super) fn open_connection(&mut self, net: &mut Net, attempt: Attempt) {
         let mut connected = net.connect(SocketOwner::Server, attempt.endpoint.address);
         if matches!(connected, Err(ConnectError::NoDescriptor(_))) && self.close_longest_idle(net) {
@@ -72,12 +76,13 @@
                     self.on_opened(net, id, &TransferProgress::Alive);
                 }
             }
-            // This process has no descriptor for it: the server has no part in that.
+            // This process has no descriptor left: that says nothing about the server.
             Err(ConnectError::NoDescriptor(_)) => self.report_failure(attempt.id, Outcome::Moot),
             Err(ConnectError::Failed(_)) => self.report_failure(attempt.id, Outcome::ConnectFailed),
         }
     }
 
+    /// Queues an attempt until a connection to its server is free.
     pub(super) fn queue(&mut self, net: &mut Net, attempt: Attempt) {
         net.wheel.set(
             net.clock.now().plus(CONNECTION_WAIT_TIMEOUT_US),
@@ -89,6 +94,7 @@
             .push_back(attempt);
     }
 
+    /// Takes the next attempt that waits for a connection to this server.
     pub(super) fn next_queued(&mut self, server: ServerId) -> Option<Attempt> {
         let queue = self.queued.get_mut(&server)?;
         let next = queue.pop_front();
@@ -98,20 +104,21 @@
         next
     }
 
+    /// Closes one idle connection to this server; `None` if there is none.
     pub(super) fn close_one_idle(&mut self, net: &mut Net, server: ServerId) -> Option<()> {
-        let rests = |id: &&ConnId| matches!(self.state(**id), Some(ConnectionState::Idle(..)));
-        let id = *self.by_server.get(&server)?.iter().find(rests)?;
+        let is_idle = |id: &&ConnId| matches!(self.state(**id), Some(ConnectionState::Idle { .. }));
+        let id = *self.by_server.get(&server)?.iter().find(is_idle)?;
         self.close(net, id);
         Some(())
     }
 
-    /// Closes the connection that has rested for longest, to whichever server.
+    /// Closes the longest idle connection to any server; `false` if none is idle.
     pub(super) fn close_longest_idle(&mut self, net: &mut Net) -> bool {
         let idle = self
             .connections
             .iter()
             .filter_map(|(id, connection)| match connection.state {
-                ConnectionState::Idle(since, _) => Some((since, *id)),
+                ConnectionState::Idle { since, .. } => Some((since, *id)),
                 _ => None,
             });
         let Some((_, id)) = idle.min() else {
@@ -121,8 +128,8 @@
         true
     }
 
-    /// Takes a connection out of the table: the one place where it is given back. One that waits
-    /// for a place gets it.
+    /// Closes a connection and removes it from the table. Nothing else does that. The next queued
+    /// attempt of its server gets a new one.
     pub(super) fn close(&mut self, net: &mut Net, id: ConnId) {
         net.close(id);
         let Some(connection) = self.connections.remove(&id) else {
@@ -139,19 +146,19 @@
         }
     }
 
-    /// Gives an attempt up: its server sees the connection end. Nothing is told of it any more.
-    /// `true`: not a byte of it has left.
+    /// Withdraws an attempt: its server sees the connection close, and nothing more is reported of
+    /// it. `true` if no byte of it was sent.
     pub(crate) fn withdraw(&mut self, net: &mut Net, id: AttemptId) -> bool {
         if let Some(connection) = self.by_attempt.remove(&id) {
-            let opening = matches!(self.state(connection), Some(ConnectionState::Opening(_)));
+            let was_opening = matches!(self.state(connection), Some(ConnectionState::Opening(_)));
             self.close(net, connection);
-            return opening;
+            return was_opening;
         }
         self.remove_queued(id)
     }
 
-    /// A server takes nothing new: what has not left for it is told as never sent, and its idle
-    /// connections are closed.
+    /// A server accepts no new requests: attempts that were not sent yet are reported as such, and its
+    /// idle connections are closed.
     pub(crate) fn stop_sending_to(&mut self, net: &mut Net, server: ServerId) {
         for attempt in self.queued.remove(&server).unwrap_or_default() {
             self.report_failure(attempt.id, Outcome::Moot);
@@ -163,24 +170,24 @@
                     self.report_failure(attempt, Outcome::Moot);
                     self.close(net, id);
                 }
-                Some(ConnectionState::Idle(..)) => self.close(net, id),
+                Some(ConnectionState::Idle { .. }) => self.close(net, id),
                 Some(ConnectionState::Busy(_)) | None => {}
             }
         }
     }
 
-    /// Closes the connections to a server that have rested: they may have been dropped unseen.
+    /// Closes the connections to a server that have been idle: they may have been dropped silently.
     pub(crate) fn close_stale_idle(&mut self, net: &mut Net, server: ServerId) {
         let now = net.clock.now();
         for id in self.by_server.get(&server).cloned().unwrap_or_default() {
-            if matches!(self.state(id), Some(ConnectionState::Idle(since, _)) if now.since(*since) > UNSAFE_REUSE_WINDOW_US)
+            if matches!(self.state(id), Some(ConnectionState::Idle { since, .. }) if now.since(*since) > UNSAFE_REUSE_WINDOW_US)
             {
                 self.close(net, id);
             }
         }
     }
 
-    /// An attempt has waited for a connection for long enough.
+    /// An attempt has waited for a connection for the longest time allowed.
     pub(crate) fn on_wait_timeout(&mut self, id: AttemptId) {
         if self.remove_queued(id) {
             self.report_failure(id, Outcome::Moot);
--- a/fleet/src/router/server_connections/table.rs
+++ b/fleet/src/router/server_connections/table.rs
@@ -9,19 +9,27 @@
 use lichenswitch_net::ConnId;
 use std::collections::{HashMap, VecDeque};
 
+/// What a connection is used for.
 #[derive(Debug)]
 pub(crate) enum ConnectionState {
-    /// Being opened for this attempt.
+    /// It is being opened for this attempt.
     Opening(Box<Attempt>),
+    /// A request is in flight on it.
     Busy(Box<InFlightRequest>),
-    /// Since then, and of use until then.
-    Idle(Time, Time),
+    /// It is kept for the next request.
+    Idle {
+        /// When it became idle.
+        since: Time,
+        /// How long it may be reused.
+        usable_until: Time,
+    },
 }
 
+/// A connection to a server.
 pub(crate) struct PooledConnection {
     pub(crate) server: ServerId,
     pub(crate) state: ConnectionState,
-    /// A timer is set that fires then at the latest.
+    /// The earliest timer that is set for it.
     pub(crate) timer_at: Option<Time>,
 }
 
@@ -30,36 +38,40 @@
 pub(crate) struct ServerConnections {
     pub(crate) connections: HashMap<ConnId, PooledConnection>,
     pub(crate) by_attempt: HashMap<AttemptId, ConnId>,
-    /// Connections of each server, whatever they do.
+    /// Connections of each server, in any state.
     pub(crate) by_server: HashMap<ServerId, Vec<ConnId>>,
+    /// Attempts that wait for a connection, by server.
     pub(crate) queued: HashMap<ServerId, VecDeque<Attempt>>,
+    /// What became of attempts, to be taken.
     pub(crate) events: Vec<ServerEvent>,
 }
 
 impl ServerConnections {
-    /// What became of attempts since the last time.
+    /// Takes what became of attempts since the last call.
     pub(crate) fn take_events(&mut self) -> Vec<ServerEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// Whether something became of an attempt since then.
+    /// Whether there is something to take.
     #[must_use]
     pub(crate) fn has_events(&self) -> bool {
         !self.events.is_empty()
     }
 
+    /// The state of a connection.
     pub(super) fn state(&self, id: ConnId) -> Option<&ConnectionState> {
         self.connections
             .get(&id)
             .map(|connection| &connection.state)
     }
 
+    /// Reports that an attempt ended without a complete response.
     pub(super) fn report_failure(&mut self, id: AttemptId, outcome: Outcome) {
         self.by_attempt.remove(&id);
         self.events.push(ServerEvent::AttemptFailed(id, outcome));
     }
 
-    /// Takes an attempt out of those that wait; `false`: it is none of them.
+    /// Removes an attempt from the queue; `false` if it was not queued.
     pub(super) fn remove_queued(&mut self, id: AttemptId) -> bool {
         let before = self.queued.values().map(VecDeque::len).sum::<usize>();
         self.queued
@@ -69,7 +81,7 @@
         self.queued.values().map(VecDeque::len).sum::<usize>() < before
     }
 
-    /// Sets a connection's timer, where none is set that fires before.
+    /// Sets a connection's timer, unless one is set that fires before.
     pub(super) fn arm_timer(&mut self, net: &mut Net, id: ConnId, at: Time) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
@@ -81,7 +93,7 @@
     }
 }
 
-/// Nothing has come on a connection, and it has not ended.
+/// Whether a connection has no unread bytes and has not ended.
 pub(crate) fn is_quiet(net: &Net, id: ConnId) -> bool {
     net.get(id)
         .is_some_and(|conn| conn.input.is_empty() && !conn.ended)
