--- a/fleet/src/router/backlog_reports.rs
+++ b/fleet/src/router/backlog_reports.rs
@@ -1,4 +1,4 @@
-//! What waits at servers for this router, and what of it control was sent last.
+//! Backlogs at servers that this router causes, and what of them was reported to control last.
 //!
 //! It promises that nothing is sent while nothing changes.
 
@@ -8,51 +8,51 @@
 use lichenswitch_messages::ServerBacklog;
 use std::collections::BTreeMap;
 
-/// What control was told last.
+/// The state of reports to control.
 #[derive(Debug, Default)]
 pub(crate) struct BacklogReports {
-    pub(crate) told: BTreeMap<ServerId, Backlog>,
-    /// A report is due at a set time.
-    pub(crate) planned: bool,
-    pub(crate) last: Time,
+    /// The backlogs that control knows of (tokens).
+    pub(crate) last_reported: BTreeMap<ServerId, Backlog>,
+    /// A timer for the next report is set.
+    pub(crate) is_scheduled: bool,
+    /// When the last report was due.
+    pub(crate) last_report_at: Time,
 }
 
 impl BacklogReports {
-    /// Servers whose backlog is another than control was told, with what it is; control is told of
-    /// them now.
-    pub(crate) fn changes(&mut self, now: BTreeMap<ServerId, Backlog>) -> Vec<ServerBacklog> {
-        let gone = self
-            .told
+    /// Backlogs that differ from what was reported last, which they replace.
+    pub(crate) fn take_changes(&mut self, now: BTreeMap<ServerId, Backlog>) -> Vec<ServerBacklog> {
+        let ended = self
+            .last_reported
             .keys()
             .filter(|server| !now.contains_key(server))
             .map(|server| (*server, 0));
-        let other = now
+        let changed = now
             .iter()
             .map(|(s, b)| (*s, *b))
-            .filter(|(s, b)| self.told.get(s) != Some(b));
-        let changes = gone
-            .chain(other)
+            .filter(|(s, b)| self.last_reported.get(s) != Some(b));
+        let changes = ended
+            .chain(changed)
             .map(|(server, tokens)| ServerBacklog {
                 server: server.0,
                 tokens,
             })
             .collect();
-        self.told = now;
+        self.last_reported = now;
         changes
     }
 }
 
-/// What waits at each server.
-pub(crate) fn backlogs<'a>(
-    exchanges: impl Iterator<Item = &'a RequestState>,
+/// The backlog that these requests cause at each server (tokens): prompts of attempts that have not
+/// begun to be answered.
+pub(crate) fn backlogs_by_server<'a>(
+    requests: impl Iterator<Item = &'a RequestState>,
 ) -> BTreeMap<ServerId, Backlog> {
     let mut sums = BTreeMap::new();
-    for exchange in
-        exchanges.filter(|exchange| !matches!(exchange.phase, RequestPhase::Relaying(_)))
-    {
-        for out in &exchange.out {
-            let sum: &mut Backlog = sums.entry(out.server).or_default();
-            *sum = sum.saturating_add(exchange.request.prompt.own_tokens);
+    for request in requests.filter(|request| !matches!(request.phase, RequestPhase::Relaying(_))) {
+        for attempt in &request.in_flight {
+            let sum: &mut Backlog = sums.entry(attempt.server).or_default();
+            *sum = sum.saturating_add(request.client_request.prompt.uncached_tokens);
         }
     }
     sums
--- a/fleet/src/router/client_connections/reading.rs
+++ b/fleet/src/router/client_connections/reading.rs
@@ -2,154 +2,182 @@
 
 use super::connection::{ClientEvent, ConnectionPhase};
 use super::table::ClientConnections;
+use crate::router::client_request::ClientRequest;
 use crate::router::local_response::LocalResponse;
 use crate::router::reactor::Net;
 use crate::router::request_reader::{RequestProgress, RequestReader};
 use lichenswitch_net::{ConnId, TransferProgress};
 
-/// Most bytes read ahead of a client at a time: a body goes on into its request as it comes.
-const CEILING: usize = 64 * 1_024;
+/// Bytes read ahead of a client at a time: a body moves into its request as it comes.
+const READ_AHEAD_BYTES: usize = 64 * 1_024;
 
-/// Most bytes kept of what a client sends while its request waits. Behind more than that its end
-/// could not be seen.
-pub(crate) const AHEAD: usize = 32 * 1_024;
+/// Bytes kept of what a client sends while its request waits. The end of the connection could not be
+/// seen behind more than that.
+pub(crate) const MAX_INPUT_WHILE_WAITING_BYTES: usize = 32 * 1_024;
 
 impl ClientConnections {
-    /// Reads and writes what a connection is ready for.
-    pub(crate) fn ready(&mut self, net: &mut Net, id: ConnId, events: &mut Vec<ClientEvent>) {
-        let Some(state) = self.open.get(&id).map(|session| session.state) else {
+    /// Handles a connection that can be read or written.
+    pub(crate) fn on_ready(&mut self, net: &mut Net, id: ConnId, events: &mut Vec<ClientEvent>) {
+        let Some(phase) = self.connections.get(&id).map(|connection| connection.phase) else {
             return net.close(id);
         };
-        let progress = net.transfer(id, CEILING);
+        let progress = net.transfer(id, READ_AHEAD_BYTES);
         if progress != TransferProgress::Alive || net.get(id).is_none_or(|conn| conn.ended) {
-            return self.left(net, id, events);
+            return self.disconnect(net, id, events);
         }
-        match state {
-            ConnectionPhase::Reading => self.read(net, id, events),
-            ConnectionPhase::Waiting => self.overhear(net, id),
-            ConnectionPhase::Answering { .. } => {
-                self.overhear(net, id);
+        match phase {
+            ConnectionPhase::Reading => self.read_request(net, id, events),
+            ConnectionPhase::AwaitingResponse => self.limit_input_while_waiting(net, id),
+            ConnectionPhase::Responding { .. } => {
+                self.limit_input_while_waiting(net, id);
                 if net.get(id).is_some_and(|conn| conn.flushed()) {
                     events.push(ClientEvent::OutputDrained(id));
                 }
             }
-            ConnectionPhase::Closing => self.close_if_written(net, id),
-            ConnectionPhase::Lingering => self.read_on(net, id),
+            ConnectionPhase::Closing => self.close_if_flushed(net, id),
+            ConnectionPhase::Lingering => self.discard_input(net, id),
         }
     }
 
-    /// A connection's timer: its time may be over.
-    pub(crate) fn timer(&mut self, net: &mut Net, id: ConnId, events: &mut Vec<ClientEvent>) {
+    /// Handles a connection's timer: its deadline may have passed.
+    pub(crate) fn on_timer(&mut self, net: &mut Net, id: ConnId, events: &mut Vec<ClientEvent>) {
         let now = net.clock.now();
-        let Some(session) = self.open.get_mut(&id) else {
+        let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        if session.timer.is_some_and(|at| at <= now) {
-            session.timer = None;
+        if connection.timer_at.is_some_and(|at| at <= now) {
+            connection.timer_at = None;
         }
-        let Some(due) = self.due(net, id).filter(|due| *due <= now) else {
-            return self.arm(net, id);
+        let Some(due) = self.deadline(net, id).filter(|due| *due <= now) else {
+            return self.arm_timer(net, id);
         };
-        debug_assert!(due <= now, "only what is due ends");
+        debug_assert!(due <= now, "only expired connections end");
         match self
-            .open
+            .connections
             .get(&id)
-            .map(|session| (session.state, session.arriving))
+            .map(|connection| (connection.phase, connection.is_receiving))
         {
             Some((ConnectionPhase::Reading, true)) => {
-                self.answer_own(net, id, &LocalResponse::closing(408), events);
+                self.respond_locally(net, id, &LocalResponse::closing(408), events);
             }
             Some((ConnectionPhase::Reading, false)) => self.half_close(net, id),
-            _ => self.left(net, id, events),
+            _ => self.disconnect(net, id, events),
         }
     }
 
-    /// Reads a request, if it is whole; the next one is read once this one is answered.
-    pub(super) fn read(&mut self, net: &mut Net, id: ConnId, events: &mut Vec<ClientEvent>) {
+    /// Reads on in a request, if one has begun. The next one is read once this one is answered.
+    pub(super) fn read_request(
+        &mut self,
+        net: &mut Net,
+        id: ConnId,
+        events: &mut Vec<ClientEvent>,
+    ) {
         let now = net.clock.now();
-        let Some(session) = self.open.get_mut(&id) else {
+        let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
         let Some(conn) = net
             .get_mut(id)
-            .filter(|conn| !conn.input.is_empty() || session.arriving)
+            .filter(|conn| !conn.input.is_empty() || connection.is_receiving)
         else {
             return;
         };
-        if !session.arriving {
-            (session.arriving, session.since) = (true, now);
-            session.reader = RequestReader::new(&self.limits);
+        if !connection.is_receiving {
+            (connection.is_receiving, connection.phase_started_at) = (true, now);
+            connection.reader = RequestReader::new(&self.limits);
         }
-        let held = session.reader.held();
-        let progress = session.reader.read(&mut conn.input);
-        self.arriving_bytes = self.arriving_bytes + session.reader.held() - held;
+        let buffered_before = connection.reader.buffered_body_bytes();
+        let progress = connection.reader.read(&mut conn.input);
+        self.incomplete_bytes =
+            self.incomplete_bytes + connection.reader.buffered_body_bytes() - buffered_before;
         match progress {
             Ok(RequestProgress::Incomplete { expects_continue }) => {
-                if self.arriving_bytes > self.most_bytes {
-                    return self.answer_own(
+                if self.incomplete_bytes > self.max_incomplete_bytes {
+                    return self.respond_locally(
                         net,
                         id,
-                        &LocalResponse::refused(None).and_close(),
+                        &LocalResponse::unavailable(None).with_close(),
                         events,
                     );
                 }
                 if expects_continue {
                     conn.send(b"HTTP/1.1 100 Continue\r\n\r\n");
                 }
-                // Reading rests where the ceiling was reached, and goes on now that there is room.
+                // Reading is paused at the read-ahead bound, and resumes now that there is room.
                 if net.flush(id, false) != TransferProgress::Alive {
-                    return self.left(net, id, events);
+                    return self.disconnect(net, id, events);
                 }
-                self.arm(net, id);
+                self.arm_timer(net, id);
             }
             Ok(RequestProgress::Complete(request)) => {
-                self.arriving_bytes -= session.reader.held();
-                session.reader = RequestReader::new(&self.limits);
-                (session.arriving, session.state, session.since) =
-                    (false, ConnectionPhase::Waiting, now);
-                session.last |= !request.keep_alive;
-                session.head_only = request.is_head();
-                if net.flush(id, false) != TransferProgress::Alive {
-                    return self.close(net, id);
-                }
-                events.push(ClientEvent::RequestReceived(id, request));
-                self.overhear(net, id);
+                self.on_request_complete(net, id, request, events)
             }
             Err(malformed) => {
-                self.answer_own(net, id, &LocalResponse::closing(malformed.0), events);
+                self.respond_locally(net, id, &LocalResponse::closing(malformed.0), events);
             }
         }
     }
 
-    /// What a client sends while it waits is kept for later, but not much of it: its end lies
-    /// behind what it sent, so beyond that it is dropped, and the connection ends with the answer
-    /// that is due.
-    pub(super) fn overhear(&mut self, net: &mut Net, id: ConnId) {
-        let (Some(session), Some(conn)) = (self.open.get_mut(&id), net.get_mut(id)) else {
+    /// A request is complete: its connection waits for the response.
+    fn on_request_complete(
+        &mut self,
+        net: &mut Net,
+        id: ConnId,
+        request: Box<ClientRequest>,
+        events: &mut Vec<ClientEvent>,
+    ) {
+        let now = net.clock.now();
+        let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        if session.last || conn.input.bytes().len() > AHEAD {
-            session.last = true;
+        self.incomplete_bytes -= connection.reader.buffered_body_bytes();
+        connection.reader = RequestReader::new(&self.limits);
+        connection.is_receiving = false;
+        connection.phase = ConnectionPhase::AwaitingResponse;
+        connection.phase_started_at = now;
+        connection.closes_after_response |= !request.keep_alive;
+        connection.is_head_request = request.is_head();
+        if net.flush(id, false) != TransferProgress::Alive {
+            return self.close(net, id);
+        }
+        events.push(ClientEvent::RequestReceived(id, request));
+        self.limit_input_while_waiting(net, id);
+    }
+
+    /// Bounds what is kept of a client's input while its request waits: beyond the bound it is
+    /// dropped, so that the end of the connection is seen, and the connection closes with the pending
+    /// response.
+    pub(super) fn limit_input_while_waiting(&mut self, net: &mut Net, id: ConnId) {
+        let (Some(connection), Some(conn)) = (self.connections.get_mut(&id), net.get_mut(id))
+        else {
+            return;
+        };
+        if connection.closes_after_response
+            || conn.input.bytes().len() > MAX_INPUT_WHILE_WAITING_BYTES
+        {
+            connection.closes_after_response = true;
             conn.input.consume(conn.input.bytes().len());
-            // A connection that is broken is told of by the poller.
+            // The poller reports a broken connection.
             net.flush(id, false);
         }
     }
 
-    /// Ends this side of a connection. Guards the answers before it, and a request that crosses the
-    /// end: with bytes unread a close would reset the connection.
+    /// Ends this side of a connection. A close with unread bytes (a request that crosses the end)
+    /// would reset the connection, and could lose the responses before it.
     pub(super) fn half_close(&mut self, net: &mut Net, id: ConnId) {
         let now = net.clock.now();
-        let (Some(session), Some(conn)) = (self.open.get_mut(&id), net.get_mut(id)) else {
+        let (Some(connection), Some(conn)) = (self.connections.get_mut(&id), net.get_mut(id))
+        else {
             return;
         };
         conn.end_output();
-        (session.state, session.since) = (ConnectionPhase::Lingering, now);
-        self.read_on(net, id);
-        self.arm(net, id);
+        (connection.phase, connection.phase_started_at) = (ConnectionPhase::Lingering, now);
+        self.discard_input(net, id);
+        self.arm_timer(net, id);
     }
 
-    pub(super) fn read_on(&mut self, net: &mut Net, id: ConnId) {
+    /// Drops what has come.
+    pub(super) fn discard_input(&mut self, net: &mut Net, id: ConnId) {
         if let Some(conn) = net.get_mut(id) {
             conn.input.consume(conn.input.bytes().len());
         }
--- a/fleet/src/router/client_connections/table.rs
+++ b/fleet/src/router/client_connections/table.rs
@@ -8,172 +8,183 @@
 use lichenswitch_net::ConnId;
 use std::collections::HashMap;
 
-/// Clients take up connections that have rested for up to four fifths of the idle time-out; this is
-/// kept beyond all of it, since their clocks begin later (microseconds).
-pub(crate) const IDLE_MARGIN: Micros = 1_000_000;
+/// Clients reuse connections that were idle for up to four fifths of the idle timeout. Connections are
+/// kept this long beyond the whole timeout, since the clients' clocks start later (microseconds).
+pub(crate) const IDLE_TIMEOUT_MARGIN_US: Micros = 1_000_000;
 
-/// How long a client may take to end its side once its last answer is written (microseconds).
-pub(crate) const LINGER: Micros = 1_000_000;
+/// How long a client may take to end its side once its last response is written (microseconds).
+pub(crate) const LINGER_TIMEOUT_US: Micros = 1_000_000;
 
-/// A client that takes nothing of an answer for so long has gone (microseconds).
-pub(crate) const UNREAD: Micros = 10_000_000;
+/// A client that takes nothing of a response for this long is disconnected (microseconds).
+pub(crate) const CLIENT_STALL_TIMEOUT_US: Micros = 10_000_000;
 
-/// The connections of clients.
+/// The connections of clients, by id.
 pub(crate) struct ClientConnections {
-    pub(crate) open: HashMap<ConnId, ClientConnection>,
+    pub(crate) connections: HashMap<ConnId, ClientConnection>,
     pub(crate) limits: Limits,
-    /// Bytes held of requests that are arriving, and the most of them.
-    pub(crate) arriving_bytes: usize,
-    pub(crate) most_bytes: usize,
-    /// From now on connections are closed after their answer.
-    pub(crate) stopping: bool,
+    /// Bytes buffered of incomplete requests.
+    pub(crate) incomplete_bytes: usize,
+    /// Upper bound on them.
+    pub(crate) max_incomplete_bytes: usize,
+    /// The process shuts down: connections are closed after their response.
+    pub(crate) is_stopping: bool,
 }
 
 impl ClientConnections {
-    /// No connections yet; so many bytes are held of requests that are arriving.
+    /// An empty table that buffers at most this many bytes of incomplete requests.
     #[must_use]
-    pub(crate) fn new(most_bytes: usize) -> ClientConnections {
+    pub(crate) fn new(max_incomplete_bytes: usize) -> ClientConnections {
         let limits = Limits::default();
         ClientConnections {
-            open: HashMap::new(),
+            connections: HashMap::new(),
             limits,
-            arriving_bytes: 0,
-            most_bytes,
-            stopping: false,
+            incomplete_bytes: 0,
+            max_incomplete_bytes,
+            is_stopping: false,
         }
     }
 
-    /// From now on these limits hold; of a request that is arriving, those from its beginning.
+    /// Sets the limits for requests that begin from now on.
     pub(crate) fn set_limits(&mut self, limits: Limits) {
         self.limits = limits;
     }
 
-    /// From now on connections are closed after their answer.
-    pub(crate) fn stop(&mut self) {
-        self.stopping = true;
+    /// From now on connections are closed after their response.
+    pub(crate) fn begin_shutdown(&mut self) {
+        self.is_stopping = true;
     }
 
     /// How many connections are open.
     #[must_use]
-    pub(crate) fn count(&self) -> usize {
-        self.open.len()
+    pub(crate) fn connection_count(&self) -> usize {
+        self.connections.len()
     }
 
-    /// How many clients wait for an answer, or for the rest of one.
+    /// How many clients wait for a response, or for the rest of one.
     #[must_use]
-    pub(crate) fn waiting(&self) -> usize {
-        let waits = |session: &&ClientConnection| {
+    pub(crate) fn waiting_count(&self) -> usize {
+        let waits = |connection: &&ClientConnection| {
             matches!(
-                session.state,
-                ConnectionPhase::Waiting | ConnectionPhase::Answering { .. }
+                connection.phase,
+                ConnectionPhase::AwaitingResponse | ConnectionPhase::Responding { .. }
             )
         };
-        self.open.values().filter(waits).count()
+        self.connections.values().filter(waits).count()
     }
 
-    /// Accepts all that wait.
+    /// Accepts all pending connections.
     pub(crate) fn accept(&mut self, net: &mut Net) {
         for id in net.accept(SocketOwner::Client) {
-            let since = net.clock.now();
-            let session = ClientConnection {
-                state: ConnectionPhase::Reading,
+            let phase_started_at = net.clock.now();
+            let connection = ClientConnection {
+                phase: ConnectionPhase::Reading,
                 reader: RequestReader::new(&self.limits),
-                since,
-                arriving: false,
-                last: false,
-                head_only: false,
-                timer: None,
+                phase_started_at,
+                is_receiving: false,
+                closes_after_response: false,
+                is_head_request: false,
+                timer_at: None,
             };
-            self.open.insert(id, session);
-            self.arm(net, id);
+            self.connections.insert(id, connection);
+            self.arm_timer(net, id);
         }
     }
 
-    /// Ends connections that rest, an eighth of all, those that have rested for longest first.
-    /// Guards clients that wait to be accepted.
-    pub(crate) fn make_room(&mut self, net: &mut Net) {
-        let rests = |id: &ConnId, session: &ClientConnection| {
-            let quiet = net
+    /// Closes up to an eighth of all connections, the longest idle first, to make room for clients
+    /// that wait to be accepted.
+    pub(crate) fn close_idle_connections(&mut self, net: &mut Net) {
+        let is_idle = |id: &ConnId, connection: &ClientConnection| {
+            let has_no_bytes = net
                 .get(*id)
                 .is_some_and(|conn| conn.input.is_empty() && conn.flushed());
-            session.state == ConnectionPhase::Reading && !session.arriving && quiet
+            connection.phase == ConnectionPhase::Reading && !connection.is_receiving && has_no_bytes
         };
-        let mut resting: Vec<(Time, ConnId)> = self
-            .open
+        let mut idle: Vec<(Time, ConnId)> = self
+            .connections
             .iter()
-            .filter(|(id, s)| rests(id, s))
-            .map(|(id, s)| (s.since, *id))
+            .filter(|(id, connection)| is_idle(id, connection))
+            .map(|(id, connection)| (connection.phase_started_at, *id))
             .collect();
-        resting.sort_unstable();
-        for (_, id) in resting.into_iter().take(self.open.len().div_ceil(8)) {
+        idle.sort_unstable();
+        for (_, id) in idle.into_iter().take(self.connections.len().div_ceil(8)) {
             self.close(net, id);
         }
     }
 
-    /// Connections on which something is still to be read, answered or written.
+    /// How many connections have something left to be read, answered or written.
     #[must_use]
-    pub(crate) fn busy(&self, net: &Net) -> usize {
+    pub(crate) fn busy_count(&self, net: &Net) -> usize {
         let unwritten = |id: &ConnId| net.get(*id).is_some_and(|conn| !conn.flushed());
-        let is_busy = |id: &ConnId, session: &ClientConnection| match session.state {
-            ConnectionPhase::Reading => session.arriving || unwritten(id),
-            ConnectionPhase::Waiting | ConnectionPhase::Answering { .. } => true,
+        let is_busy = |id: &ConnId, connection: &ClientConnection| match connection.phase {
+            ConnectionPhase::Reading => connection.is_receiving || unwritten(id),
+            ConnectionPhase::AwaitingResponse | ConnectionPhase::Responding { .. } => true,
             ConnectionPhase::Closing => unwritten(id),
             ConnectionPhase::Lingering => false,
         };
-        self.open
+        self.connections
             .iter()
-            .filter(|(id, session)| is_busy(id, session))
+            .filter(|(id, connection)| is_busy(id, connection))
             .count()
     }
 
-    /// Closes a client's connection.
+    /// Closes a connection and forgets what was buffered on it.
     pub(super) fn close(&mut self, net: &mut Net, id: ConnId) {
-        if let Some(session) = self.open.remove(&id) {
-            self.arriving_bytes -= session.reader.held();
+        if let Some(connection) = self.connections.remove(&id) {
+            self.incomplete_bytes -= connection.reader.buffered_body_bytes();
         }
         net.close(id);
     }
 
-    pub(super) fn left(&mut self, net: &mut Net, id: ConnId, events: &mut Vec<ClientEvent>) {
+    /// Closes a connection that has failed or ended; reports it if a response was pending.
+    pub(super) fn disconnect(&mut self, net: &mut Net, id: ConnId, events: &mut Vec<ClientEvent>) {
         if matches!(
-            self.open.get(&id).map(|session| session.state),
-            Some(ConnectionPhase::Waiting | ConnectionPhase::Answering { .. })
+            self.connections.get(&id).map(|connection| connection.phase),
+            Some(ConnectionPhase::AwaitingResponse | ConnectionPhase::Responding { .. })
         ) {
             events.push(ClientEvent::Disconnected(id));
         }
         self.close(net, id);
     }
 
-    /// When the time of a connection is over, as it stands.
-    pub(super) fn due(&self, net: &Net, id: ConnId) -> Option<Time> {
-        let (session, conn) = (self.open.get(&id)?, net.get(id)?);
+    /// When a connection times out, as it stands.
+    pub(super) fn deadline(&self, net: &Net, id: ConnId) -> Option<Time> {
+        let (connection, conn) = (self.connections.get(&id)?, net.get(id)?);
         let idle = self.limits.idle_timeout_ms.saturating_mul(1_000);
         let head = self.limits.header_timeout_ms.saturating_mul(1_000);
-        Some(match session.state {
-            ConnectionPhase::Reading if !conn.flushed() => conn.last_active_at.plus(UNREAD),
-            ConnectionPhase::Reading if session.arriving && session.reader.has_head() => {
+        Some(match connection.phase {
+            ConnectionPhase::Reading if !conn.flushed() => {
+                conn.last_active_at.plus(CLIENT_STALL_TIMEOUT_US)
+            }
+            ConnectionPhase::Reading if connection.is_receiving && connection.reader.has_head() => {
                 conn.last_read_at.plus(idle)
             }
-            ConnectionPhase::Reading if session.arriving => session.since.plus(head),
-            ConnectionPhase::Reading => session.since.plus(idle).plus(IDLE_MARGIN),
-            // Its own end is the request's.
-            ConnectionPhase::Waiting => return None,
-            ConnectionPhase::Answering { .. } if conn.flushed() => return None,
-            ConnectionPhase::Answering { .. } | ConnectionPhase::Closing => {
-                conn.last_active_at.plus(UNREAD)
+            ConnectionPhase::Reading if connection.is_receiving => {
+                connection.phase_started_at.plus(head)
+            }
+            ConnectionPhase::Reading => connection
+                .phase_started_at
+                .plus(idle)
+                .plus(IDLE_TIMEOUT_MARGIN_US),
+            // The request's own deadline ends it.
+            ConnectionPhase::AwaitingResponse => return None,
+            ConnectionPhase::Responding { .. } if conn.flushed() => return None,
+            ConnectionPhase::Responding { .. } | ConnectionPhase::Closing => {
+                conn.last_active_at.plus(CLIENT_STALL_TIMEOUT_US)
             }
-            ConnectionPhase::Lingering => session.since.plus(LINGER),
+            ConnectionPhase::Lingering => connection.phase_started_at.plus(LINGER_TIMEOUT_US),
         })
     }
 
-    /// Sets a connection's timer, where none is set that fires before its time is over.
-    pub(super) fn arm(&mut self, net: &mut Net, id: ConnId) {
-        let Some(due) = self.due(net, id) else { return };
-        let Some(session) = self.open.get_mut(&id) else {
+    /// Sets a connection's timer, unless one is set that fires before its deadline.
+    pub(super) fn arm_timer(&mut self, net: &mut Net, id: ConnId) {
+        let Some(due) = self.deadline(net, id) else {
+            return;
+        };
+        let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        if session.timer.is_none_or(|at| due < at) {
-            session.timer = Some(due);
+        if connection.timer_at.is_none_or(|at| due < at) {
+            connection.timer_at = Some(due);
             net.wheel.set(due, Timer::Client(id));
         }
     }
--- a/fleet/src/router/control_link/link.rs
+++ b/fleet/src/router/control_link/link.rs
@@ -1,13 +1,13 @@
 //! The state of the link: which configuration was applied, which one is pending, and the connection.
 //!
 //! It promises: one connection at a time; another control machine as soon as this one is silent or
-//! without contact for [`SILENCE`]; the highest position that was applied is never gone back on;
+//! without contact for [`CONTROL_IDLE_TIMEOUT_US`](super::connection::CONTROL_IDLE_TIMEOUT_US); the highest position that was applied is never gone back on;
 //! what is applied is acknowledged. While all control is away it keeps trying, and what has been
 //! applied stands.
 
 use super::candidates::ControlCandidates;
 use super::connection::{ControlConnection, ControlMessage, RouterIdentity};
-use crate::envelopes::{self};
+use crate::envelopes;
 use crate::router::reactor::{Net, SocketOwner, Timer};
 use lichenswitch_interface::{Micros, Time};
 use lichenswitch_messages::{
@@ -18,56 +18,57 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// After this long without any configuration one is taken from whichever control machine answers.
-pub(crate) const UNCONFIRMED_AFTER: Micros = 3_000_000;
+/// After this long without any configuration, one of a control machine without contact is accepted
+/// (microseconds).
+pub(crate) const UNCONFIRMED_WAIT_US: Micros = 3_000_000;
 
-/// Most bytes read ahead of a control machine.
-const CEILING: usize = 256 * 1_024;
+/// Bytes read ahead of a control machine.
+const READ_AHEAD_BYTES: usize = 256 * 1_024;
 
-/// What came from control.
+/// An update from control.
 #[derive(Debug)]
 pub(crate) enum ControlUpdate {
-    /// A configuration that may be applied, if its position is above all before it.
+    /// A configuration to be applied, if its position is above that of the active one.
     Configuration(ConfigurationPosition, Vec<u8>),
     /// Records of servers, to be merged.
     Servers(Vec<ServerRecord>),
-    /// So many routers are members.
+    /// The number of routers that are members.
     Routers(u32),
     /// A message about tenants.
     Tenant(TenantMessage),
-    /// Work that waits at servers.
+    /// Backlogs of servers.
     Backlog(BacklogReport),
 }
 
-/// The link.
+/// The link to one control machine at a time.
 pub(crate) struct ControlLink {
     identity: RouterIdentity,
     candidates: ControlCandidates,
-    /// Control machines that are reached at another address than their own.
+    /// Control machines that are reached at another address, by their own.
     forwarders: BTreeMap<SocketAddr, SocketAddr>,
     rng: fastrand::Rng,
     connection: Option<ControlConnection>,
-    started: Time,
-    /// The one that is applied.
+    started_at: Time,
+    /// The position of the active configuration.
     applied: Option<ConfigurationPosition>,
-    /// One from a control machine without contact, kept while there is none from another.
+    /// A newer one from a control machine without contact, kept until one with contact confirms it.
     unconfirmed: Option<PendingConfiguration>,
-    /// A look is due then.
-    look_at: Option<Time>,
-    /// A connection has been given up since that was last asked.
-    lost: bool,
+    /// When the next check is due.
+    check_at: Option<Time>,
+    /// A connection was dropped since [`ControlLink::take_connection_lost`].
+    was_connection_lost: bool,
 }
 
-/// A configuration that waits to be taken.
+/// A configuration that waits to be accepted.
 pub(crate) struct PendingConfiguration {
     /// The connection on which it came.
-    from: ConnId,
+    connection: ConnId,
     position: ConfigurationPosition,
     document: Vec<u8>,
 }
 
 impl ControlLink {
-    /// The same, where these control machines are reached at another address than their own.
+    /// The same link, with these forwarders.
     #[must_use]
     pub(crate) fn with_forwarders(
         self,
@@ -89,100 +90,111 @@
             candidates,
             forwarders: BTreeMap::new(),
             connection: None,
-            started: now,
+            started_at: now,
             applied: None,
             unconfirmed: None,
-            look_at: None,
-            lost: false,
+            check_at: None,
+            was_connection_lost: false,
         }
     }
 
-    /// The settings name these seeds now.
+    /// Sets the seeds that the settings name.
     pub(crate) fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.candidates.set_seeds(seeds);
     }
 
-    /// The configuration of this position is in force now.
+    /// The configuration of this position is active now.
     pub(crate) fn on_applied(&mut self, position: ConfigurationPosition) {
         self.applied = Some(position);
         self.unconfirmed = None;
     }
 
-    /// Looks at the link: opens it, gives it up, or takes what has waited for long enough.
-    pub(crate) fn look(&mut self, net: &mut Net) -> Vec<ControlUpdate> {
+    /// Checks the link: connects, drops a connection that has timed out, or accepts a configuration
+    /// that has waited for long enough.
+    pub(crate) fn check(&mut self, net: &mut Net) -> Vec<ControlUpdate> {
         let now = net.clock.now();
-        if self.look_at.is_some_and(|at| at <= now) {
-            self.look_at = None;
+        if self.check_at.is_some_and(|at| at <= now) {
+            self.check_at = None;
         }
-        if self.connection.as_ref().is_some_and(|c| c.due() <= now) {
-            self.give_up(net);
+        if self
+            .connection
+            .as_ref()
+            .is_some_and(|connection| connection.deadline() <= now)
+        {
+            self.drop_connection(net);
         }
         if self.connection.is_none() {
             self.connect(net);
         }
-        let news = self.take_unconfirmed(now).into_iter().collect();
-        self.plan(net, now);
-        news
+        let updates = self.take_unconfirmed(now).into_iter().collect();
+        self.schedule_check(net, now);
+        updates
     }
 
-    /// Reads what has come, and acknowledges what was read before.
-    pub(crate) fn ready(&mut self, net: &mut Net, id: ConnId) -> Vec<ControlUpdate> {
-        let Some(connection) = self.connection.as_mut().filter(|c| c.id == id) else {
+    /// Handles a connection that can be read or written; returns the updates that have come.
+    pub(crate) fn on_ready(&mut self, net: &mut Net, id: ConnId) -> Vec<ControlUpdate> {
+        let Some(connection) = self
+            .connection
+            .as_mut()
+            .filter(|connection| connection.id == id)
+        else {
             net.close(id);
             return Vec::new();
         };
-        let progress = net.transfer(id, CEILING);
-        let mut news = Vec::new();
-        let mut sound = progress == TransferProgress::Alive
-            && connection.greet(net, &self.identity, self.applied);
-        if sound {
+        let progress = net.transfer(id, READ_AHEAD_BYTES);
+        let mut updates = Vec::new();
+        let mut is_sound = progress == TransferProgress::Alive
+            && connection.send_handshake(net, &self.identity, self.applied);
+        if is_sound {
             let now = net.clock.now();
             match connection.read(net, now) {
                 Ok(messages) => messages
                     .into_iter()
-                    .for_each(|message| self.take_in(now, message, &mut news)),
-                Err(reason) => {
-                    log::warn!(address:% = self.address(); "control machine: {reason}");
-                    sound = false;
+                    .for_each(|message| self.handle_message(now, message, &mut updates)),
+                Err(error) => {
+                    log::warn!(address:% = self.address(); "control machine: {error}");
+                    is_sound = false;
                 }
             }
         }
-        if !sound || net.get(id).is_none_or(|conn| conn.ended) {
-            self.give_up(net);
-            news.extend(self.look(net));
+        if !is_sound || net.get(id).is_none_or(|conn| conn.ended) {
+            self.drop_connection(net);
+            updates.extend(self.check(net));
         }
-        news
+        updates
     }
 
-    /// Acknowledges what has been applied since the last time. Called once what was read has been
-    /// applied.
+    /// Acknowledges the pushes that have come. Called once their updates have been applied.
     pub(crate) fn acknowledge(&mut self, net: &mut Net) {
         let applied = self.applied;
-        let Some(connection) = self.connection.as_mut().filter(|c| c.push > c.acknowledged) else {
+        let Some(connection) = self
+            .connection
+            .as_mut()
+            .filter(|connection| connection.last_push > connection.last_acknowledged_push)
+        else {
             return;
         };
-        connection.acknowledged = connection.push;
-        let word = RouterToControl::Applied {
-            push: connection.push,
+        connection.last_acknowledged_push = connection.last_push;
+        let acknowledgement = RouterToControl::Applied {
+            push: connection.last_push,
             configuration: applied,
         };
-        if !connection.send(net, word) {
-            self.give_up(net);
+        if !connection.send(net, acknowledgement) {
+            self.drop_connection(net);
         }
     }
 
-    /// Whether a connection has been given up since this was last asked: what was sent on it gets
-    /// no answer.
-    pub(crate) fn take_lost(&mut self) -> bool {
-        std::mem::take(&mut self.lost)
+    /// Whether a connection was dropped since the last call: requests sent on it get no response.
+    pub(crate) fn take_connection_lost(&mut self) -> bool {
+        std::mem::take(&mut self.was_connection_lost)
     }
 
-    /// Whether a control machine is connected, and has been told who this router is.
+    /// Whether a control machine is connected, and the handshake was sent.
     #[must_use]
-    pub(crate) fn is_greeted(&self) -> bool {
+    pub(crate) fn is_handshake_sent(&self) -> bool {
         self.connection
             .as_ref()
-            .is_some_and(|connection| connection.greeted)
+            .is_some_and(|connection| connection.is_handshake_sent)
     }
 
     /// Sends a message about tenants to the control machine that is connected.
@@ -193,11 +205,11 @@
         let sent = envelopes::encode_tenant_message(message)
             .is_ok_and(|bytes| connection.send_bytes(net, &bytes));
         if !sent {
-            self.give_up(net);
+            self.drop_connection(net);
         }
     }
 
-    /// Tells the control machine that is connected what waits at servers.
+    /// Sends a report of backlogs to the control machine that is connected.
     pub(crate) fn send_backlog_report(&mut self, net: &mut Net, report: &BacklogReport) {
         let Some(connection) = &self.connection else {
             return;
@@ -205,11 +217,11 @@
         let sent = envelopes::encode_backlog_report(report)
             .is_ok_and(|bytes| connection.send_bytes(net, &bytes));
         if !sent {
-            self.give_up(net);
+            self.drop_connection(net);
         }
     }
 
-    /// Whether the configuration of this position, or a later one, is in force.
+    /// Whether the configuration of this position, or a later one, is active.
     #[must_use]
     pub(crate) fn has_applied(&self, position: ConfigurationPosition) -> bool {
         self.applied.is_some_and(|applied| applied >= position)
@@ -218,22 +230,27 @@
     fn address(&self) -> String {
         self.connection
             .as_ref()
-            .map_or_else(String::new, |c| c.address.to_string())
+            .map_or_else(String::new, |connection| connection.address.to_string())
     }
 
-    fn take_in(&mut self, now: Time, message: ControlMessage, news: &mut Vec<ControlUpdate>) {
+    fn handle_message(
+        &mut self,
+        now: Time,
+        message: ControlMessage,
+        updates: &mut Vec<ControlUpdate>,
+    ) {
         match message {
-            ControlMessage::Control(message) => self.take_control_message(now, message, news),
-            ControlMessage::Tenant(message) => news.push(ControlUpdate::Tenant(message)),
-            ControlMessage::Backlog(report) => news.push(ControlUpdate::Backlog(report)),
+            ControlMessage::Control(message) => self.handle_control_message(now, message, updates),
+            ControlMessage::Tenant(message) => updates.push(ControlUpdate::Tenant(message)),
+            ControlMessage::Backlog(report) => updates.push(ControlUpdate::Backlog(report)),
         }
     }
 
-    fn take_control_message(
+    fn handle_control_message(
         &mut self,
         now: Time,
         message: ControlToRouter,
-        news: &mut Vec<ControlUpdate>,
+        updates: &mut Vec<ControlUpdate>,
     ) {
         let Some(connection) = &mut self.connection else {
             return;
@@ -241,79 +258,94 @@
         match message {
             ControlToRouter::Heartbeat {
                 in_contact,
-                control,
-                routers,
+                control_addresses: control,
+                router_count: routers,
             } => {
-                connection.in_contact = in_contact;
+                connection.is_in_contact = in_contact;
                 if in_contact {
-                    connection.contact = Some(now);
+                    connection.last_contact_at = Some(now);
                     self.candidates.on_useful(connection.address);
                 }
-                self.candidates.on_told(
+                self.candidates.on_advertised(
                     control
                         .iter()
                         .filter_map(|address| address.parse().ok())
                         .collect(),
                 );
-                news.push(ControlUpdate::Routers(routers));
-                news.extend(self.take_unconfirmed(now));
+                updates.push(ControlUpdate::Routers(routers));
+                updates.extend(self.take_unconfirmed(now));
             }
             ControlToRouter::Configuration {
                 push,
                 position,
                 document,
             } => {
-                connection.push = connection.push.max(push);
-                if self.applied.is_none_or(|applied| applied < position) {
-                    let older = self
-                        .unconfirmed
-                        .as_ref()
-                        .is_some_and(|offer| offer.position > position);
-                    if !older {
-                        let from = connection.id;
-                        self.unconfirmed = Some(PendingConfiguration {
-                            from,
-                            position,
-                            document,
-                        });
-                    }
-                    news.extend(self.take_unconfirmed(now));
-                }
+                connection.last_push = connection.last_push.max(push);
+                let offer = PendingConfiguration {
+                    connection: connection.id,
+                    position,
+                    document,
+                };
+                updates.extend(self.offer_configuration(now, offer));
             }
             ControlToRouter::Servers {
                 push,
                 records,
                 is_complete: _,
             } => {
-                connection.push = connection.push.max(push);
-                news.push(ControlUpdate::Servers(records));
+                connection.last_push = connection.last_push.max(push);
+                updates.push(ControlUpdate::Servers(records));
             }
         }
     }
 
-    /// A configuration that waited is taken once its sender is in contact, once another is in force
+    /// Keeps a configuration that is newer than the active one, unless a still newer one is kept;
+    /// returns it if it is accepted at once.
+    fn offer_configuration(
+        &mut self,
+        now: Time,
+        offer: PendingConfiguration,
+    ) -> Option<ControlUpdate> {
+        if self
+            .applied
+            .is_some_and(|applied| applied >= offer.position)
+        {
+            return None;
+        }
+        let is_older = self
+            .unconfirmed
+            .as_ref()
+            .is_some_and(|kept| kept.position > offer.position);
+        if !is_older {
+            self.unconfirmed = Some(offer);
+        }
+        self.take_unconfirmed(now)
+    }
+
+    /// A pending configuration is accepted once its sender is in contact, once another is active
     /// already (it is committed, and newer), or once a router without any has waited for long
     /// enough.
     fn take_unconfirmed(&mut self, now: Time) -> Option<ControlUpdate> {
         let in_contact = self
             .connection
             .as_ref()
-            .filter(|c| c.in_contact)
-            .map(|c| c.id);
-        let waited = now.since(self.started) >= UNCONFIRMED_AFTER;
-        let may = waited || self.applied.is_some();
-        // Contact vouches for what came from the same machine: another one may have been cut off
-        // for long.
+            .filter(|connection| connection.is_in_contact)
+            .map(|connection| connection.id);
+        let has_waited = now.since(self.started_at) >= UNCONFIRMED_WAIT_US;
+        let is_accepted = has_waited || self.applied.is_some();
+        // Contact confirms only what came from the same machine: another one may have been
+        // partitioned for long.
         let offer = self
             .unconfirmed
-            .take_if(|offer| may || in_contact == Some(offer.from))?;
+            .take_if(|offer| is_accepted || in_contact == Some(offer.connection))?;
         Some(ControlUpdate::Configuration(offer.position, offer.document))
     }
 
+    /// Connects to the next candidate.
     fn connect(&mut self, net: &mut Net) {
         let now = net.clock.now();
-        // Those that refuse at once are passed over in this very look; each one rests then, so that
-        // this ends.
+        // Candidates that refuse at once are skipped in the same check; each one backs off then, so
+        // this loop ends.
         while let Ok(address) = self.candidates.next(now, self.rng.u64(..)) {
             let reached_at = self.forwarders.get(&address).copied().unwrap_or(address);
             match net.connect(SocketOwner::Control, reached_at) {
@@ -326,31 +358,32 @@
         }
     }
 
-    fn give_up(&mut self, net: &mut Net) {
+    /// Drops the connection, and has another control machine tried at once.
+    fn drop_connection(&mut self, net: &mut Net) {
         if let Some(connection) = self.connection.take() {
             self.candidates
                 .on_failed(net.clock.now(), connection.address, self.rng.u64(..));
             net.close(connection.id);
-            self.lost = true;
+            self.was_connection_lost = true;
         }
         let now = net.clock.now();
-        self.look_at = None;
-        self.plan(net, now);
+        self.check_at = None;
+        self.schedule_check(net, now);
     }
 
-    /// Sets the timer for the next look, where none is set that comes before it.
-    fn plan(&mut self, net: &mut Net, now: Time) {
-        let link = match &self.connection {
-            Some(connection) => connection.due(),
+    /// Sets the timer for the next check, unless one is set that fires before.
+    fn schedule_check(&mut self, net: &mut Net, now: Time) {
+        let link_due = match &self.connection {
+            Some(connection) => connection.deadline(),
             None => self.candidates.next(now, 0).map_or_else(|at| at, |_| now),
         };
-        let waits = self
+        let acceptance_due = self
             .unconfirmed
             .is_some()
-            .then(|| self.started.plus(UNCONFIRMED_AFTER));
-        let due = link.min(waits.unwrap_or(link)).max(now);
-        if self.look_at.is_none_or(|at| due < at) {
-            self.look_at = Some(due);
+            .then(|| self.started_at.plus(UNCONFIRMED_WAIT_US));
+        let due = link_due.min(acceptance_due.unwrap_or(link_due)).max(now);
+        if self.check_at.is_none_or(|at| due < at) {
+            self.check_at = Some(due);
             net.wheel.set(due, Timer::ControlLink);
         }
     }
--- a/fleet/src/router/handlers/quota.rs
+++ b/fleet/src/router/handlers/quota.rs
@@ -5,10 +5,9 @@
 //! to no server.
 
 use crate::invariants::{self, Invariant};
-use crate::router::admission::{need, Admission, AwaitingQuota};
+use crate::router::admission::{quota_demand, Admission, QuotaWaiter};
 use crate::router::client_request::ClientRequest;
 use crate::router::configuration::ActiveConfiguration;
-use crate::router::local_response::RETRY_AFTER;
 use crate::router::reactor::Timer;
 use crate::router::rejection::RejectionReason;
 use crate::router::sender::{KeyDenial, Sender};
@@ -20,56 +19,59 @@
 use lichenswitch_quota::{AdmissionDecision, AdmissionOutcome, LeaseGrant, LeaseRequest};
 use std::rc::Rc;
 
-/// Part of a route's target latency that a request may wait for its quota: who is refused within a
-/// quarter of it may come back in time.
-pub(crate) const WAIT_SHARE: Micros = 4;
+/// A request may wait for its quota for the route's target latency divided by this: a client that is
+/// rejected within a quarter of it can still retry in time.
+pub(crate) const QUOTA_WAIT_DIVISOR: Micros = 4;
 
-/// It may wait so long in any case (microseconds): a holder that is gone takes 60 ms to be passed
-/// over.
-pub(crate) const LEAST_WAIT: Micros = 90_000;
+/// It may wait this long in any case (microseconds): it takes 60 ms to pass over a shard owner that
+/// is gone.
+pub(crate) const MIN_QUOTA_WAIT_US: Micros = 90_000;
 
-/// What a turn of the loop may take between a look at the clock and its effect (microseconds): the
-/// bounds on quotas leave room for that.
-pub(crate) const TURN: Micros = 250_000;
+/// How long a turn of the loop may take between reading the clock and its effect (microseconds): the
+/// bounds on quotas leave room for it.
+pub(crate) const MAX_TURN_US: Micros = 250_000;
 
 impl Router {
-    /// Finds the sender of a request, and checks that what is known of keys is fresh enough to go
-    /// by.
+    /// Finds the sender of a request, and checks that the configuration is fresh enough to trust its
+    /// keys.
     pub(crate) fn authenticate(
         &self,
-        in_force: &ActiveConfiguration,
-        public: bool,
+        active: &ActiveConfiguration,
+        is_public: bool,
         key: Option<KeyDigest>,
     ) -> Result<Option<Rc<Sender>>, RejectionReason> {
         let now = self.net.clock.now();
-        match in_force.sender(public, key) {
+        match active.sender(is_public, key) {
             Ok(None) => Ok(None),
-            Ok(Some(_)) if !self.freshness.serves_keys(now) => {
-                Err(RejectionReason::Unavailable(Some(RETRY_AFTER)))
-            }
+            Ok(Some(_)) if !self.freshness.can_serve_keys(now) => Err(RejectionReason::RETRY_LATER),
             Ok(Some((tenant, key))) => Ok(Some(Rc::new(Sender::new(tenant, key)))),
-            Err(_) if self.freshness.is_sure(now) => Err(RejectionReason::UnknownKey),
-            Err(_) => Err(RejectionReason::Unavailable(Some(RETRY_AFTER))),
+            Err(_) if self.freshness.can_reject_unknown_keys(now) => {
+                Err(RejectionReason::UnknownKey)
+            }
+            Err(_) => Err(RejectionReason::RETRY_LATER),
         }
     }
 
-    /// Whether a request that was taken may be sent as things stand now: its key is held still, and
-    /// that is fresh knowledge.
+    /// Checks that a request in hand may still be sent: its key is known, and the configuration is
+    /// fresh.
     pub(crate) fn check_sender(&self, sender: Option<&Sender>) -> Result<(), KeyDenial> {
-        let (Some(sender), Some(in_force)) = (sender, self.configuration.get()) else {
+        let (Some(sender), Some(active)) = (sender, self.configuration.get()) else {
             return Ok(());
         };
-        if !self.freshness.serves_keys(self.net.clock.now()) {
+        if !self.freshness.can_serve_keys(self.net.clock.now()) {
             return Err(KeyDenial::StaleConfiguration);
         }
-        // Without tenants, nobody is asked for a key.
-        in_force
-            .sender(in_force.document().tenants().is_none(), Some(sender.key))
+        // Without tenants no key is needed.
+        active
+            .sender(
+                active.document().tenants().is_none(),
+                Some(sender.key_digest),
+            )
             .map(drop)
     }
 
-    /// Lets a request through if its tenant's quota allows it, or keeps it until that is known.
-    pub(crate) fn admit_by_quota(
+    /// Accepts a request if its tenant's quota allows it, or queues it until that is known.
+    pub(crate) fn admit_within_quota(
         &mut self,
         client: ConnId,
         request: ClientRequest,
@@ -79,26 +81,26 @@
         let tenant = admission.sender.as_ref().and_then(|sender| {
             self.configuration
                 .get()
-                .and_then(|in_force| in_force.tenant(&sender.tenant))
+                .and_then(|active| active.tenant(&sender.tenant))
         });
         let Some(tenant) = tenant.filter(|tenant| tenant.quota.is_some()) else {
-            return self.hold(client, request, admission);
+            return self.accept_request(client, request, admission);
         };
-        let need = need(tenant, &request)?;
-        let wait = (admission.terms.target_latency / WAIT_SHARE).max(LEAST_WAIT);
+        let demand = quota_demand(tenant, &request)?;
+        let wait = (admission.terms.target_latency / QUOTA_WAIT_DIVISOR).max(MIN_QUOTA_WAIT_US);
         let until = now.plus(wait).min(admission.deadline);
-        match self.allowances.admit(now, tenant, need, client, until) {
+        match self.allowances.admit(now, tenant, demand, client, until) {
             AdmissionOutcome::Admitted(valid_until) => {
                 let name = tenant.name.clone();
-                let held = self.hold(client, request, admission);
-                if held.is_err() {
-                    self.allowances.return_unused(&name, need, valid_until);
+                let result = self.accept_request(client, request, admission);
+                if result.is_err() {
+                    self.allowances.return_unused(&name, demand, valid_until);
                 }
-                held
+                result
             }
             AdmissionOutcome::Queued => {
-                self.awaiting_quota
-                    .insert(client, AwaitingQuota { request, admission });
+                self.quota_waiters
+                    .insert(client, QuotaWaiter { request, admission });
                 self.net.wheel.set(until, Timer::Quota);
                 Ok(())
             }
@@ -107,9 +109,10 @@
         }
     }
 
-    /// Sends the draws that are due, and asks whether what is in force is current.
-    pub(crate) fn tell_control_of_tenants(&mut self) {
-        if self.link.take_lost() {
+    /// Requests the quota leases that are due, and a confirmation that the active configuration is
+    /// the newest.
+    pub(crate) fn send_tenant_messages(&mut self) {
+        if self.control_link.take_connection_lost() {
             self.on_backlog_link_lost();
             self.allowances.on_link_lost();
             self.freshness.on_link_lost();
@@ -117,98 +120,100 @@
         let has_tenants = self
             .configuration
             .get()
-            .is_some_and(|in_force| in_force.document().tenants().is_some());
-        if !has_tenants || !self.link.is_greeted() {
+            .is_some_and(|active| active.document().tenants().is_some());
+        if !has_tenants || !self.control_link.is_handshake_sent() {
             return;
         }
         let now = self.net.clock.now();
-        if self.freshness.asks(now) {
-            self.link
+        if self.freshness.take_confirmation_due(now) {
+            self.control_link
                 .send_tenant_message(&mut self.net, &TenantMessage::Confirm { sent_at_us: now.0 });
         }
-        for (id, draw) in self.allowances.lease_requests(now) {
-            self.link.send_tenant_message(
+        for (id, lease_request) in self.allowances.lease_requests(now) {
+            self.control_link.send_tenant_message(
                 &mut self.net,
-                &TenantMessage::LeaseRequest(draw_request(id, draw)),
+                &TenantMessage::LeaseRequest(lease_request_message(id, lease_request)),
             );
         }
     }
 
-    /// A control machine has answered a draw.
-    pub(crate) fn on_drawn(&mut self, answer: QuotaLeaseResponse) {
+    /// A control machine has answered a quota lease request.
+    pub(crate) fn on_lease_response(&mut self, response: QuotaLeaseResponse) {
         let now = self.net.clock.now();
         let grant = LeaseGrant {
-            granted_bits: answer.granted_bits,
-            prefetch_amount: answer.prefetch_amount,
-            retry_after_us: answer.retry_after_us,
+            granted_bits: response.granted_bits,
+            prefetch_amount: response.prefetch_amount,
+            retry_after_us: response.retry_after_us,
         };
-        let decided = self.allowances.on_grant(now, answer.id, grant);
-        self.end_waits(decided);
+        let decisions = self.allowances.on_grant(now, response.id, grant);
+        self.finish_quota_waits(decisions);
     }
 
-    /// Ends waits that have lasted for too long.
-    pub(crate) fn look_at_quota(&mut self) {
+    /// Ends waits for quota that have lasted too long.
+    pub(crate) fn expire_quota_waiters(&mut self) {
         let now = self.net.clock.now();
         let ended = self.allowances.expire(now);
-        self.end_waits(ended);
+        self.finish_quota_waits(ended);
         if let Some(at) = self.allowances.next_wake() {
             self.net.wheel.set(at, Timer::Quota);
         }
     }
 
-    /// Refuses all that wait: this process ends.
-    pub(crate) fn refuse_awaiting_quota(&mut self) {
-        let waiting: Vec<ConnId> = self.awaiting_quota.keys().copied().collect();
+    /// Rejects all requests that wait for quota: the process shuts down.
+    pub(crate) fn reject_quota_waiters(&mut self) {
+        let waiting: Vec<ConnId> = self.quota_waiters.keys().copied().collect();
         for client in waiting {
             self.allowances.cancel(client);
-            self.awaiting_quota.remove(&client);
-            self.turn_away(client, &RejectionReason::Unavailable(None));
+            self.quota_waiters.remove(&client);
+            self.reject(client, &RejectionReason::Unavailable(None));
         }
     }
 
-    fn end_waits(&mut self, decided: Vec<AdmissionDecision<ConnId>>) {
+    /// Accepts or rejects requests whose wait for quota has ended.
+    fn finish_quota_waits(&mut self, decisions: Vec<AdmissionDecision<ConnId>>) {
         for AdmissionDecision {
-            request: waiter,
-            outcome: taken,
-        } in decided
+            request: client,
+            outcome: decision,
+        } in decisions
         {
-            let Some(AwaitingQuota { request, admission }) = self.awaiting_quota.remove(&waiter)
+            let Some(QuotaWaiter { request, admission }) = self.quota_waiters.remove(&client)
             else {
                 continue;
             };
-            let outcome = match taken {
+            let outcome = match decision {
                 AdmissionOutcome::Admitted(until) => {
                     match self.check_sender(admission.sender.as_deref()) {
                         Ok(()) => {
                             invariants::check(
-                                self.net.clock.now() <= until.plus(TURN),
+                                self.net.clock.now() <= until.plus(MAX_TURN_US),
                                 Invariant::GrantIsValid,
                             );
-                            self.hold(waiter, request, admission)
+                            self.accept_request(client, request, admission)
                         }
-                        Err(denial) => Err(RejectionReason::of(denial)),
+                        Err(denial) => Err(RejectionReason::from(denial)),
                     }
                 }
                 AdmissionOutcome::OverQuota(wait) => Err(RejectionReason::QuotaExceeded(wait)),
                 AdmissionOutcome::Unavailable(wait) => {
                     Err(RejectionReason::Unavailable(Some(wait)))
                 }
-                AdmissionOutcome::Queued => Err(RejectionReason::Unavailable(Some(RETRY_AFTER))),
+                AdmissionOutcome::Queued => Err(RejectionReason::RETRY_LATER),
             };
-            if let Err(turned) = outcome {
-                self.turn_away(waiter, &turned);
+            if let Err(reason) = outcome {
+                self.reject(client, &reason);
             }
         }
     }
 }
 
-pub(crate) fn draw_request(id: u64, draw: LeaseRequest) -> QuotaLeaseRequest {
+/// The message that requests a quota lease.
+pub(crate) fn lease_request_message(id: u64, lease_request: LeaseRequest) -> QuotaLeaseRequest {
     let LeaseRequest {
         tenant,
         unit,
         amounts,
         prefetch_amount,
-    } = draw;
+    } = lease_request;
     let unit = match unit {
         QuotaUnit::Requests => QuotaLeaseUnit::Requests,
         QuotaUnit::Tokens => QuotaLeaseUnit::Tokens,
--- a/fleet/src/router/request_table.rs
+++ b/fleet/src/router/request_table.rs
@@ -14,34 +14,34 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// How far a request has come.
+/// How far a request has got.
 #[derive(Debug)]
 pub(crate) enum RequestPhase {
-    /// Nothing has been answered.
+    /// Nothing has been sent to its client.
     Pending,
-    /// An answer is being passed on.
+    /// A response is being forwarded.
     Relaying(ActiveRelay),
-    /// A stream was cut, and is to go on at another server.
+    /// Its stream was interrupted, and is to be resumed at another server.
     Resuming {
-        /// The id of the last event that was passed on.
+        /// The id of the last event that was forwarded.
         last_event_id: Vec<u8>,
     },
 }
 
-/// An answer that is being passed on.
+/// A response that is being forwarded.
 #[derive(Debug)]
 pub(crate) struct ActiveRelay {
-    /// The attempt that brings it.
+    /// Its attempt.
     pub attempt: AttemptId,
     /// Its server.
     pub server: ServerId,
-    /// The id of the last event that was passed on.
+    /// The id of the last event that was forwarded.
     pub last_event_id: Option<Vec<u8>>,
-    /// Its server is not read from, since the client is slow.
-    pub paused: bool,
+    /// Reading from its server is paused, since the client is slow.
+    pub is_paused: bool,
 }
 
-/// An attempt that is out.
+/// An attempt in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct InFlightAttempt {
     /// The attempt.
@@ -50,221 +50,224 @@
     pub server: ServerId,
 }
 
-/// A request that is held.
+/// A request in hand.
 #[derive(Debug)]
 pub(crate) struct RequestState {
-    /// Whose it is.
+    /// The connection of its client.
     pub client: ConnId,
     /// The request.
-    pub request: Rc<ClientRequest>,
-    /// What its route said when it came.
+    pub client_request: Rc<ClientRequest>,
+    /// The terms of its route when it was received.
     pub terms: RouteTerms,
-    /// The service that was drawn for it.
+    /// The service that was chosen for it.
     pub service: ServiceId,
-    /// What the core calls it, as long as it has neither its answer nor its end from there.
-    pub query: Option<QueryId>,
-    /// Index of its class there.
-    pub class: u16,
-    /// Who sent it, where it bears a key that a tenant holds.
+    /// Its query in the core, until the core has its outcome or has ended it.
+    pub core_query: Option<QueryId>,
+    /// Index of its request class in the service.
+    pub class_index: u16,
+    /// Its sender, where it bears the key of a tenant.
     pub sender: Option<Rc<Sender>>,
     /// When its last byte was read.
-    pub taken: Time,
-    /// Version of the configuration that it was taken under.
-    pub configuration: u64,
-    /// When its time is over: the client's, or the route's.
+    pub received_at: Time,
+    /// Version of the configuration that it was received under.
+    pub configuration_version: u64,
+    /// Its deadline: the client's or the route's, whichever is earlier.
     pub deadline: Time,
-    /// How far it has come.
+    /// How far it has got.
     pub phase: RequestPhase,
-    /// Attempts that are out.
-    pub out: Vec<InFlightAttempt>,
-    /// Attempts made that are not known never to have run.
-    pub may_have_run: u32,
-    /// Servers to which it was sent, whether it ran there or not.
-    pub sends: u32,
-    /// The last failure that a server answered, to be passed on if nothing better comes.
-    pub failure: Option<BufferedResponse>,
+    /// Attempts that have not ended.
+    pub in_flight: Vec<InFlightAttempt>,
+    /// Attempts that may have been executed: all that are not known not to have been.
+    pub possible_executions: u32,
+    /// Servers to which it was sent, whether it was executed there or not.
+    pub send_count: u32,
+    /// The last failure that a server sent, to be forwarded if nothing better comes.
+    pub last_failure: Option<BufferedResponse>,
 }
 
 impl RequestState {
-    /// An attempt has ended in this way.
-    pub(crate) fn on_ended(&mut self, id: AttemptId, outcome: Outcome) {
-        let before = self.out.len();
-        self.out.retain(|out| out.id != id);
-        let known = self.out.len() < before;
-        if known && outcome.never_ran() {
-            self.may_have_run = self.may_have_run.saturating_sub(1);
+    /// An attempt has ended with this outcome. Only its first end counts.
+    pub(crate) fn on_attempt_ended(&mut self, id: AttemptId, outcome: Outcome) {
+        let before = self.in_flight.len();
+        self.in_flight.retain(|attempt| attempt.id != id);
+        let was_in_flight = self.in_flight.len() < before;
+        if was_in_flight && outcome.never_ran() {
+            self.possible_executions = self.possible_executions.saturating_sub(1);
         }
-        if known && outcome == Outcome::Moot {
-            self.sends = self.sends.saturating_sub(1);
+        if was_in_flight && outcome == Outcome::Moot {
+            self.send_count = self.send_count.saturating_sub(1);
         }
     }
 
-    /// An attempt is being made.
-    pub(crate) fn on_sent(&mut self, out: InFlightAttempt) {
-        self.out.push(out);
-        self.may_have_run += 1;
-        self.sends += 1;
+    /// An attempt has been started.
+    pub(crate) fn on_attempt_started(&mut self, attempt: InFlightAttempt) {
+        self.in_flight.push(attempt);
+        self.possible_executions += 1;
+        self.send_count += 1;
     }
 
-    /// Whether the rules allow that it is sent once more.
+    /// Whether the rules allow another attempt.
     #[must_use]
-    pub(crate) fn may_send(&self) -> bool {
-        (self.terms.idempotent || self.may_have_run == 0)
-            && self.sends < self.terms.max_attempts.max(1)
+    pub(crate) fn may_start_attempt(&self) -> bool {
+        (self.terms.is_idempotent || self.possible_executions == 0)
+            && self.send_count < self.terms.max_attempts.max(1)
     }
 
-    /// Whether this attempt's answer is being passed on.
+    /// Whether the response of this attempt is being forwarded.
     #[must_use]
-    pub(crate) fn relays(&self, id: AttemptId) -> bool {
+    pub(crate) fn is_relayed_from(&self, id: AttemptId) -> bool {
         matches!(&self.phase, RequestPhase::Relaying(relay) if relay.attempt == id)
     }
 
-    /// Who sent it, where that is known.
+    /// Its sender, where it bears the key of a tenant.
     #[must_use]
     pub(crate) fn sender(&self) -> Option<&Sender> {
         self.sender.as_deref()
     }
 }
 
-/// All requests that are held.
+/// All requests in hand.
 #[derive(Default)]
 pub(crate) struct RequestTable {
-    held: HashMap<RequestId, RequestState>,
+    requests: HashMap<RequestId, RequestState>,
     by_client: HashMap<ConnId, RequestId>,
     by_attempt: HashMap<AttemptId, RequestId>,
-    bytes: usize,
-    next: u64,
+    buffered_bytes: usize,
+    next_id: u64,
 }
 
 impl RequestTable {
-    /// How many are held.
+    /// The number of requests.
     #[must_use]
     pub(crate) fn len(&self) -> usize {
-        self.held.len()
+        self.requests.len()
     }
 
-    /// Whether none is held.
+    /// Whether there are none.
     #[must_use]
     pub(crate) fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.requests.is_empty()
     }
 
-    /// Bytes of the requests that are held.
+    /// Bytes that the requests take.
     #[must_use]
-    pub(crate) fn bytes(&self) -> usize {
-        self.bytes
+    pub(crate) fn buffered_bytes(&self) -> usize {
+        self.buffered_bytes
     }
 
-    /// Adds one.
-    pub(crate) fn insert(&mut self, exchange: RequestState) -> RequestId {
+    /// Adds a request; returns its id.
+    pub(crate) fn insert(&mut self, request: RequestState) -> RequestId {
         let id = self.next_id();
-        self.next += 1;
-        self.bytes += exchange.request.bytes();
-        self.by_client.insert(exchange.client, id);
-        self.held.insert(id, exchange);
+        self.next_id += 1;
+        self.buffered_bytes += request.client_request.buffered_bytes();
+        self.by_client.insert(request.client, id);
+        self.requests.insert(id, request);
         id
     }
 
-    /// What the next one that is added will be called.
+    /// The id of the next request that is added.
     #[must_use]
     pub(crate) fn next_id(&self) -> RequestId {
-        RequestId(self.next)
+        RequestId(self.next_id)
     }
 
-    /// One that is held.
+    /// A request by id.
     #[must_use]
     pub(crate) fn get(&self, id: RequestId) -> Option<&RequestState> {
-        self.held.get(&id)
+        self.requests.get(&id)
     }
 
-    /// The same, to change it.
+    /// A request by id, to change it.
     pub(crate) fn get_mut(&mut self, id: RequestId) -> Option<&mut RequestState> {
-        self.held.get_mut(&id)
+        self.requests.get_mut(&id)
     }
 
     /// The request of a client.
     #[must_use]
-    pub(crate) fn of_client(&self, client: ConnId) -> Option<RequestId> {
+    pub(crate) fn id_of_client(&self, client: ConnId) -> Option<RequestId> {
         self.by_client.get(&client).copied()
     }
 
     /// The request of an attempt.
     #[must_use]
-    pub(crate) fn of_attempt(&self, attempt: AttemptId) -> Option<RequestId> {
+    pub(crate) fn id_of_attempt(&self, attempt: AttemptId) -> Option<RequestId> {
         self.by_attempt.get(&attempt).copied()
     }
 
-    /// An attempt of a request is being made.
-    pub(crate) fn on_sent(&mut self, id: RequestId, out: InFlightAttempt) {
-        if let Some(exchange) = self.held.get_mut(&id) {
-            exchange.on_sent(out);
-            self.by_attempt.insert(out.id, id);
+    /// An attempt of a request has been started.
+    pub(crate) fn on_attempt_started(&mut self, id: RequestId, attempt: InFlightAttempt) {
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.on_attempt_started(attempt);
+            self.by_attempt.insert(attempt.id, id);
         }
     }
 
-    /// An attempt has ended; tells its request, if that is still held.
-    pub(crate) fn on_ended(&mut self, attempt: AttemptId, outcome: Outcome) -> Option<RequestId> {
+    /// An attempt has ended; returns its request, if that is still in the table.
+    pub(crate) fn on_attempt_ended(
+        &mut self,
+        attempt: AttemptId,
+        outcome: Outcome,
+    ) -> Option<RequestId> {
         let id = self.by_attempt.remove(&attempt)?;
-        self.held.get_mut(&id)?.on_ended(attempt, outcome);
+        self.requests
+            .get_mut(&id)?
+            .on_attempt_ended(attempt, outcome);
         Some(id)
     }
 
-    /// An attempt of a request brings its answer, which is passed on from now on. Tells the others
-    /// that are out for it.
-    pub(crate) fn on_begun(&mut self, id: RequestId, relay: ActiveRelay) -> Vec<AttemptId> {
-        let Some(exchange) = self.held.get_mut(&id) else {
+    /// The response of an attempt is forwarded from now on; returns the other attempts in flight.
+    pub(crate) fn on_relay_started(&mut self, id: RequestId, relay: ActiveRelay) -> Vec<AttemptId> {
+        let Some(request) = self.requests.get_mut(&id) else {
             return Vec::new();
         };
-        let others: Vec<AttemptId> = exchange
-            .out
+        let others: Vec<AttemptId> = request
+            .in_flight
             .drain(..)
-            .map(|out| out.id)
+            .map(|attempt| attempt.id)
             .filter(|other| *other != relay.attempt)
             .collect();
         others
             .iter()
             .for_each(|other| _ = self.by_attempt.remove(other));
-        exchange.phase = RequestPhase::Relaying(relay);
+        request.phase = RequestPhase::Relaying(relay);
         others
     }
 
-    /// The answer that was passed on broke off: the request goes on behind this event.
-    pub(crate) fn on_broken_off(&mut self, id: RequestId, last_event_id: Vec<u8>) {
-        let Some(exchange) = self.held.get_mut(&id) else {
+    /// The forwarded response was interrupted: the request is to be resumed behind this event.
+    pub(crate) fn on_relay_interrupted(&mut self, id: RequestId, last_event_id: Vec<u8>) {
+        let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let before = std::mem::replace(
-            &mut exchange.phase,
-            RequestPhase::Resuming { last_event_id },
-        );
-        if let RequestPhase::Relaying(relay) = before {
+        let previous =
+            std::mem::replace(&mut request.phase, RequestPhase::Resuming { last_event_id });
+        if let RequestPhase::Relaying(relay) = previous {
             self.by_attempt.remove(&relay.attempt);
         }
     }
 
-    /// Takes one out: the one place where it is given back.
+    /// Removes a request with all that refers to it. Nothing else removes one.
     pub(crate) fn remove(&mut self, id: RequestId) -> Option<RequestState> {
-        let exchange = self.held.remove(&id)?;
-        self.bytes -= exchange.request.bytes();
-        self.by_client.remove(&exchange.client);
-        for out in &exchange.out {
-            self.by_attempt.remove(&out.id);
+        let request = self.requests.remove(&id)?;
+        self.buffered_bytes -= request.client_request.buffered_bytes();
+        self.by_client.remove(&request.client);
+        for attempt in &request.in_flight {
+            self.by_attempt.remove(&attempt.id);
         }
-        if let RequestPhase::Relaying(relay) = &exchange.phase {
+        if let RequestPhase::Relaying(relay) = &request.phase {
             self.by_attempt.remove(&relay.attempt);
         }
-        Some(exchange)
+        Some(request)
     }
 
-    /// All that are held, in no order.
+    /// All requests, in no order.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &RequestState> {
-        self.held.values()
+        self.requests.values()
     }
 
-    /// Their names.
+    /// Their ids, in no order.
     #[must_use]
     pub(crate) fn ids(&self) -> Vec<RequestId> {
-        self.held.keys().copied().collect()
+        self.requests.keys().copied().collect()
     }
 }
 
--- a/fleet/src/router/state.rs
+++ b/fleet/src/router/state.rs
@@ -3,7 +3,7 @@
 //! It lies above the types that it joins and below all handlers, which are methods on [`Router`] in
 //! `handlers`.
 
-use super::admission::AwaitingQuota;
+use super::admission::QuotaWaiter;
 use super::backlog_reports::BacklogReports;
 use super::configuration::CurrentConfiguration;
 use super::counters::RejectionCounters;
@@ -31,17 +31,17 @@
 
 /// Connections set aside for the platform's questions and for control machines, each: a question
 /// that finds none is a miss, and the platform may keep the connections of some questions open.
-pub(crate) const SET_ASIDE: usize = 32;
+pub(crate) const RESERVED_PEER_CONNECTIONS: usize = 32;
 
 /// How often the settings file is looked at: it may change without a signal.
-pub(crate) const SETTINGS_LOOK: Duration = Duration::from_secs(3);
+pub(crate) const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(3);
 
 /// A router.
 pub struct Router {
     pub(crate) net: Net,
     pub(crate) options: Options,
     pub(crate) settings_file: Option<(PathBuf, Option<SystemTime>)>,
-    pub(crate) frontend: SocketAddr,
+    pub(crate) frontend_address: SocketAddr,
     pub(crate) readiness_address: Option<SocketAddr>,
     pub(crate) rng: fastrand::Rng,
     pub(crate) configuration: CurrentConfiguration,
@@ -50,18 +50,18 @@
     pub(crate) clients: ClientConnections,
     pub(crate) client_events: Vec<ClientEvent>,
     pub(crate) connections: ServerConnections,
-    pub(crate) exchanges: RequestTable,
-    pub(crate) link: ControlLink,
+    pub(crate) requests: RequestTable,
+    pub(crate) control_link: ControlLink,
     pub(crate) readiness: ReadinessEndpoint,
     pub(crate) shutdown: Option<Shutdown>,
     pub(crate) freshness: ConfigurationFreshness,
     pub(crate) allowances: Allowances<ConnId>,
     /// Requests that wait for their tenants' quotas, by client.
-    pub(crate) awaiting_quota: HashMap<ConnId, AwaitingQuota>,
+    pub(crate) quota_waiters: HashMap<ConnId, QuotaWaiter>,
     pub(crate) counters: RejectionCounters,
     pub(crate) backlog_reports: BacklogReports,
     /// The next turn ends with a check of who waits.
-    pub(crate) check_due: bool,
+    pub(crate) is_check_due: bool,
 }
 
 impl Router {
@@ -70,11 +70,11 @@
     /// # Errors
     /// An address can't be listened on, or the settings lack what it needs.
     pub fn new(settings: &Settings, file: Option<PathBuf>) -> Result<Router, RouterError> {
-        let options = Options::of(settings)?;
-        let mut net = Net::new(options.capacity.descriptors)?;
-        net.reserve_for_peers(SET_ASIDE);
+        let options = Options::from_settings(settings)?;
+        let mut net = Net::new(options.capacity.max_descriptors)?;
+        net.reserve_for_peers(RESERVED_PEER_CONNECTIONS);
         let mut rng = fastrand::Rng::new();
-        let frontend = listen(&mut net, SocketOwner::Client, options.frontend)?;
+        let frontend_address = listen(&mut net, SocketOwner::Client, options.frontend)?;
         let readiness_address = options
             .readiness
             .map(|address| listen(&mut net, SocketOwner::Platform, address))
@@ -84,31 +84,33 @@
             zone: options.zone.clone(),
             process: rng.u64(1..),
         };
-        let candidates = ControlCandidates::new(options.machine, options.seeds.clone());
-        let link = ControlLink::new(net.clock.now(), identity, candidates)
+        let candidates = ControlCandidates::new(options.machine_address, options.seeds.clone());
+        let control_link = ControlLink::new(net.clock.now(), identity, candidates)
             .with_forwarders(settings.forwarders.clone());
-        net.wheel
-            .set(after(net.clock.now(), SETTINGS_LOOK), Timer::SettingsCheck);
+        net.wheel.set(
+            after(net.clock.now(), SETTINGS_CHECK_INTERVAL),
+            Timer::SettingsCheck,
+        );
         Ok(Router {
-            settings_file: file.map(|path| (path.clone(), modified(&path))),
-            frontend,
+            settings_file: file.map(|path| (path.clone(), modified_at(&path))),
+            frontend_address,
             readiness_address,
             configuration: CurrentConfiguration::default(),
-            services: Services::new(rng.u64(..), options.capacity, options.budget),
+            services: Services::new(rng.u64(..), options.capacity, options.retry_budget),
             servers: ServerTable::new(&options.zone),
-            clients: ClientConnections::new(options.capacity.bytes),
+            clients: ClientConnections::new(options.capacity.max_bytes),
             client_events: Vec::new(),
             connections: ServerConnections::default(),
-            exchanges: RequestTable::default(),
-            link,
+            requests: RequestTable::default(),
+            control_link,
             readiness: ReadinessEndpoint::default(),
             shutdown: None,
             freshness: ConfigurationFreshness::new(options.revocation),
             allowances: Allowances::new(options.quota, rng.u64(..)),
-            awaiting_quota: HashMap::new(),
+            quota_waiters: HashMap::new(),
             counters: RejectionCounters::default(),
             backlog_reports: BacklogReports::default(),
-            check_due: false,
+            is_check_due: false,
             rng,
             net,
             options,
@@ -119,7 +121,7 @@
     /// system.
     #[must_use]
     pub fn addresses(&self) -> (SocketAddr, Option<SocketAddr>) {
-        (self.frontend, self.readiness_address)
+        (self.frontend_address, self.readiness_address)
     }
 
     /// Ends, once all is answered, when this stream can be read.
@@ -139,7 +141,7 @@
     }
 }
 
-pub(crate) fn modified(path: &std::path::Path) -> Option<SystemTime> {
+pub(crate) fn modified_at(path: &std::path::Path) -> Option<SystemTime> {
     std::fs::metadata(path)
         .and_then(|data| data.modified())
         .ok()
--- a/wire/messages/tests/wire_format.rs
+++ b/wire/messages/tests/wire_format.rs
@@ -112,8 +112,8 @@
 fn router_messages() -> Vec<(&'static str, WireMessage)> {
     let router_hello = |configuration| {
         from_router(RouterToControl::Hello {
-            protocol: PROTOCOL_VERSION,
-            node: "router-1".to_owned(),
+            protocol_version: PROTOCOL_VERSION,
+            node_name: "router-1".to_owned(),
             zone: "zone-a".to_owned(),
             process: 0x3132_3334_3536_3738,
             configuration,
@@ -128,15 +128,15 @@
     let heartbeat = |in_contact| {
         to_router(ControlToRouter::Heartbeat {
             in_contact,
-            control: names(&["10.0.0.1:7000", "control-2.internal:7000"]),
-            routers: 3,
+            control_addresses: names(&["10.0.0.1:7000", "control-2.internal:7000"]),
+            router_count: 3,
         })
     };
-    let servers = |whole| {
+    let servers = |is_complete| {
         to_router(ControlToRouter::Servers {
             push: 43,
             records: servers(),
-            is_complete: whole,
+            is_complete,
         })
     };
     vec![
@@ -167,10 +167,10 @@
 
 fn relayed_calls() -> Vec<(&'static str, WireMessage)> {
     let call = |call| peer(PeerMessage::Call { id: 51, call });
-    let answer = |answer| {
+    let response_to_call = |response_to_call| {
         peer(PeerMessage::CallResponse {
             id: 51,
-            response: answer,
+            response: response_to_call,
         })
     };
     vec![
@@ -186,40 +186,46 @@
         ("call_for_status", call(RelayedCall::Status)),
         (
             "response_to_call",
-            answer(RelayedResponse::Response {
+            response_to_call(RelayedResponse::Response {
                 status: 412,
                 body: b"{}".to_vec(),
             }),
         ),
-        ("response_not_primary", answer(RelayedResponse::NotPrimary)),
-        ("response_unknown", answer(RelayedResponse::Unknown)),
+        (
+            "response_not_primary",
+            response_to_call(RelayedResponse::NotPrimary),
+        ),
+        (
+            "response_unknown",
+            response_to_call(RelayedResponse::Unknown),
+        ),
     ]
 }
 
 fn peer_messages() -> Vec<(&'static str, WireMessage)> {
     let hello = |eligible| {
         peer(PeerMessage::Hello {
-            protocol: PROTOCOL_VERSION,
-            node: "control-1".to_owned(),
+            protocol_version: PROTOCOL_VERSION,
+            node_name: "control-1".to_owned(),
             address: "10.0.0.1:7000".to_owned(),
             identity: 0x4142_4344_4546_4748,
             eligible,
-            known: names(&["10.0.0.2:7000", "10.0.0.3:7000"]),
+            known_peers: names(&["10.0.0.2:7000", "10.0.0.3:7000"]),
         })
     };
-    let servers = |whole| {
+    let servers = |is_complete| {
         peer(PeerMessage::Servers {
             ack: 61,
             records: servers(),
-            is_complete: whole,
+            is_complete,
         })
     };
     let contact = |in_contact, primary: Option<&str>| {
         peer(PeerMessage::Contact {
             in_contact,
             primary: primary.map(str::to_owned),
-            routers: 2,
-            known: names(&["10.0.0.2:7000"]),
+            connected_routers: 2,
+            known_peers: names(&["10.0.0.2:7000"]),
         })
     };
     vec![
@@ -327,9 +333,9 @@
             tokens: 0,
         },
     ];
-    let report = |whole, servers| {
+    let report = |is_complete, servers| {
         WireMessage::Backlog(BacklogReport {
-            is_complete: whole,
+            is_complete,
             servers,
         })
     };
