--- a/fleet/tests/stored_data.rs
+++ b/fleet/tests/stored_data.rs
@@ -167,7 +167,11 @@
             Update::Change(change(&second_state, &order_of_second)),
         ),
         record(at(43), at(42), Update::Membership(with_fourth())),
-        record(at(44), at(43), Update::Membership(with_fourth().finished())),
+        record(
+            at(44),
+            at(43),
+            Update::Membership(with_fourth().finalized()),
+        ),
         DurableItem::Promise(epoch(7, 2)),
     ];
     let first_record = record(position(1, 1, 2), position(1, 1, 1), Update::EpochStart);
