--- a/decide/replication/src/model/mod.rs
+++ b/decide/replication/src/model/mod.rs
@@ -1,12 +1,12 @@
 //! A deterministic world of replicas: a network that loses, repeats and reorders, disks that sync
-//! late, crash or are lost, and clocks that run as they like. It owns the ledger that judges what
-//! the replicas say. For tests and simulations only.
+//! late, crash or are lost, and clocks that run as they like. An oracle judges what the replicas
+//! report. For tests and simulations only.
 //!
 //! [`World`] knows no common time: each node's clock advances by itself, so what holds here holds
 //! whatever clocks do. [`timed::TimedWorld`] runs the same world in one virtual time, for what must
 //! *happen*.
 
-pub mod ledger;
+pub mod oracle;
 pub mod timed;
 pub mod walk;
 
@@ -15,12 +15,12 @@
 
 use crate::*;
 
-pub use ledger::{ClientRequest, History, Ledger};
+pub use oracle::{ClientRequest, History, Oracle};
 
 /// One node: a process that may be down, its disk and its clock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Node {
-    /// Where it is reached.
+    /// Its address.
     pub address: String,
     /// Its clock.
     pub clock: Time,
@@ -30,11 +30,11 @@
     pub disk: Vec<DurableItem>,
     /// What waits to be synced.
     pub pending: VecDeque<(WriteId, DurableItem)>,
-    /// Its identity; drawn anew with an empty disk.
+    /// Its identity; chosen anew with an empty disk.
     pub identity: Identity,
-    /// Processes that it has had.
-    pub lives: u32,
-    /// It has asked to leave in this life.
+    /// Number of processes that it has had.
+    pub incarnations: u32,
+    /// It has asked to leave in this incarnation.
     pub is_leaving: bool,
 }
 
@@ -51,16 +51,16 @@
     pub message: Message,
 }
 
-/// Faults of the machinery round the replicas that tests plant.
+/// Faults outside of the replicas that tests plant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct PlantedFaults {
     /// A wiped node comes back under its old identity.
     pub wiped_keeps_identity: bool,
-    /// The first node founds again after its disk was lost.
-    pub founds_again: bool,
+    /// The first node bootstraps a new group after its disk was lost.
+    pub wiped_founder_bootstraps: bool,
 }
 
-/// Something that happens.
+/// An event, or a fault.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
     /// The message of this index arrives.
@@ -91,23 +91,23 @@
     Leave(usize),
 }
 
-/// All nodes, what is between them, and the ledger.
+/// All nodes, the network between them, and the oracle.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct World {
     /// Settings of all replicas.
     pub settings: Settings,
     /// Planted faults outside of the replicas.
-    pub machinery: PlantedFaults,
+    pub planted: PlantedFaults,
     /// The nodes.
     pub nodes: Vec<Node>,
     /// Messages on their way.
     pub network: Vec<Envelope>,
-    /// What was promised to clients.
-    pub ledger: Ledger,
+    /// Judges what is promised to clients.
+    pub oracle: Oracle,
     /// Notices of all nodes since they were last taken; kept only if asked for.
     pub notices: Option<Vec<(usize, Notice)>>,
     /// The state that the founder begins with.
-    pub founding: History,
+    pub initial_state: History,
     /// Most messages on their way; the oldest by key go first.
     pub network_limit: usize,
     seed: u64,
@@ -124,41 +124,41 @@
             disk: Vec::new(),
             pending: VecDeque::new(),
             identity: Identity(0),
-            lives: 0,
+            incarnations: 0,
             is_leaving: false,
         };
         Self {
             settings,
-            machinery: PlantedFaults::default(),
+            planted: PlantedFaults::default(),
             nodes: (0..nodes).map(node).collect(),
             network: Vec::new(),
-            ledger: Ledger::default(),
+            oracle: Oracle::default(),
             notices: None,
-            founding: History::default(),
+            initial_state: History::default(),
             network_limit: usize::MAX,
             seed,
             next_identity: 1,
         }
     }
 
-    /// The first node founds; the others stay down.
+    /// The first node bootstraps the group; the others stay down.
     pub fn bootstrap(&mut self) {
-        let me = self.draw_member(0);
+        let me = self.new_member(0);
         let node = &mut self.nodes[0];
-        node.lives += 1;
+        node.incarnations += 1;
         let replica = Replica::bootstrap(
             self.settings.clone(),
             me,
-            self.founding.clone(),
+            self.initial_state.clone(),
             self.seed,
             node.clock,
         );
         self.start(0, replica);
     }
 
-    fn draw_member(&mut self, index: usize) -> Member {
+    fn new_member(&mut self, index: usize) -> Member {
         let node = &mut self.nodes[index];
-        let keeps = self.machinery.wiped_keeps_identity && node.identity.0 != 0;
+        let keeps = self.planted.wiped_keeps_identity && node.identity.0 != 0;
         if !keeps {
             node.identity = Identity(self.next_identity);
             self.next_identity += 1;
@@ -183,19 +183,19 @@
         if self.nodes[index].replica.is_some() {
             return;
         }
-        self.nodes[index].lives += 1;
+        self.nodes[index].incarnations += 1;
         let seed = self
             .seed
-            .wrapping_add(u64::from(self.nodes[index].lives) * 7919 + index as u64);
+            .wrapping_add(u64::from(self.nodes[index].incarnations) * 7919 + index as u64);
         let (settings, node) = (self.settings.clone(), &self.nodes[index]);
         let (address, clock) = (node.address.clone(), node.clock);
         let replica = match Recovered::from_items(node.disk.iter().cloned()) {
             Ok(recovered) => Replica::recover(settings, address, recovered, seed, clock),
-            Err(RecoverError::Empty) if self.machinery.founds_again && index == 0 => {
+            Err(RecoverError::Empty) if self.planted.wiped_founder_bootstraps && index == 0 => {
                 return self.bootstrap();
             }
             Err(RecoverError::Empty) => {
-                let me = self.draw_member(index);
+                let me = self.new_member(index);
                 Ok(Replica::learner(settings, me, seed, clock))
             }
             Err(error) => Err(error),
@@ -203,23 +203,23 @@
         match replica {
             Ok(replica) => self.start(index, replica),
             Err(error) => self
-                .ledger
-                .violate(format!("node {index} can't read its disk: {error}")),
+                .oracle
+                .report_violation(format!("node {index} can't read its disk: {error}")),
         }
     }
 
-    /// Ends a node's process. Of what waited for the disk, the first `kept` items are there all the
+    /// Ends a node's process. Of what waited for the disk, the first `synced_items` items are there all the
     /// same.
-    pub fn crash(&mut self, index: usize, kept: usize) {
+    pub fn crash(&mut self, index: usize, synced_items: usize) {
         let node = &mut self.nodes[index];
-        for _ in 0..kept {
+        for _ in 0..synced_items {
             if let Some((_, item)) = node.pending.pop_front() {
                 node.write(item);
             }
         }
         node.pending.clear();
         node.replica = None;
-        self.ledger.forget(index);
+        self.oracle.forget(index);
     }
 
     /// Ends a node's process and loses its disk.
@@ -256,7 +256,7 @@
             }
             Action::Propose(index) => self.propose(*index),
             Action::Confirm(index) => self.confirm(*index),
-            Action::Crash(index, kept) => self.crash(*index, *kept),
+            Action::Crash(index, synced_items) => self.crash(*index, *synced_items),
             Action::Wipe(index) => self.wipe(*index),
             Action::Restart(index) => self.restart(*index),
             Action::Leave(index) => self.leave(*index),
@@ -309,7 +309,7 @@
         self.tick(index);
     }
 
-    /// A node is told its time. It must then have nothing left to do at that time: a process that
+    /// A node is ticked at its time. It must then have nothing left to do at that time: a process that
     /// sleeps until [`Replica::next_wake`] would be woken over and over.
     pub fn tick(&mut self, index: usize) {
         let node = &mut self.nodes[index];
@@ -322,8 +322,8 @@
         let wake = self.nodes[index].replica.as_ref().map(Replica::next_wake);
         if let Some(wake) = wake.filter(|wake| *wake <= now) {
             let (wake, now) = (wake.0, now.0);
-            self.ledger.violate(format!(
-                "node {index} was told the time {now}, and is to be woken at {wake}"
+            self.oracle.report_violation(format!(
+                "node {index} was ticked at {now}, and is to be woken at {wake}"
             ));
         }
     }
@@ -334,10 +334,10 @@
         let Some(replica) = &mut node.replica else {
             return;
         };
-        let change = self.ledger.draw_change();
+        let change = self.oracle.next_change();
         let request = replica.propose(node.clock, change.to_le_bytes().to_vec());
-        self.ledger
-            .asked(index, request, ClientRequest::Change(change));
+        self.oracle
+            .on_request(index, request, ClientRequest::Change(change));
         self.collect(index);
     }
 
@@ -347,9 +347,9 @@
         let Some(replica) = &mut node.replica else {
             return;
         };
-        let wanted = ClientRequest::AtLeast(self.ledger.committed.len());
+        let expected = ClientRequest::AtLeast(self.oracle.committed.len());
         let request = replica.confirm(node.clock);
-        self.ledger.asked(index, request, wanted);
+        self.oracle.on_request(index, request, expected);
         self.collect(index);
     }
 
@@ -364,7 +364,7 @@
         self.collect(index);
     }
 
-    /// Takes what a replica wants done.
+    /// Takes the outputs of a replica.
     pub fn collect(&mut self, index: usize) {
         let Some(replica) = &mut self.nodes[index].replica else {
             return;
@@ -376,17 +376,17 @@
 
     fn take_output(&mut self, index: usize, output: Output) {
         match output {
-            Output::Send { to, message } => self.post(index, &to, message),
+            Output::Send { to, message } => self.route(index, &to, message),
             Output::Persist { write_id, item } => {
                 self.nodes[index].pending.push_back((write_id, item))
             }
             Output::Completed { request, outcome } => {
                 let history = self.history(index);
-                self.ledger.settled(index, request, &outcome, history);
+                self.oracle.on_completed(index, request, &outcome, history);
             }
             Output::Committed(position) => {
                 let history = self.history(index);
-                self.ledger.committed(index, position, &history);
+                self.oracle.committed(index, position, &history);
             }
             Output::Notice(notice) => {
                 if let Some(notices) = &mut self.notices {
@@ -404,7 +404,7 @@
             .unwrap_or_default()
     }
 
-    fn post(&mut self, from: usize, address: &str, message: Message) {
+    fn route(&mut self, from: usize, address: &str, message: Message) {
         let Some(to) = self.nodes.iter().position(|node| node.address == address) else {
             return;
         };
@@ -425,7 +425,7 @@
         }
     }
 
-    /// The node that says it is primary and serves, of the highest epoch.
+    /// The node that serves as primary; of several, the one of the highest epoch.
     pub fn serving(&self) -> Option<usize> {
         let serves = |index: &usize| {
             self.nodes[*index]
@@ -441,7 +441,7 @@
 impl Node {
     fn write(&mut self, item: DurableItem) {
         if matches!(item, DurableItem::Snapshot(_)) {
-            // What is before an image is not needed; the check of identity and order is kept by the
+            // What is before a snapshot is not needed; the check of identity and order is kept by the
             // last item.
             if let Some(last) = self
                 .disk
--- a/decide/replication/src/model/ledger.rs
+++ b/decide/replication/src/model/oracle.rs
@@ -1,4 +1,4 @@
-//! What clients were told, and whether it may be true.
+//! What clients were promised, and whether it is true of what is committed.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// What a client asked for.
+/// The request of a client.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ClientRequest {
     /// This change.
@@ -48,96 +48,96 @@
     AtLeast(usize),
 }
 
-/// What was asked, told and committed.
+/// What was requested, acknowledged and committed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Ledger {
+pub struct Oracle {
     /// The longest history that any node has called committed.
     pub committed: Vec<u64>,
-    /// Where it stands.
+    /// Its position.
     pub position: Position,
     /// Changes that were acknowledged.
     pub acknowledged: BTreeSet<u64>,
-    /// Changes of which was said that they never will be.
+    /// Changes that clients were told will never be committed.
     pub rejected: BTreeSet<u64>,
-    /// Confirmations that were given.
+    /// Number of confirmations.
     pub confirmed: u64,
-    /// The first thing that must not be.
+    /// The first promise that was broken.
     pub violation: Option<String>,
-    asked: BTreeMap<(usize, RequestId), ClientRequest>,
+    requests: BTreeMap<(usize, RequestId), ClientRequest>,
     last_change: u64,
 }
 
-impl Ledger {
+impl Oracle {
     /// A change that no other client has.
-    pub fn draw_change(&mut self) -> u64 {
+    pub fn next_change(&mut self) -> u64 {
         self.last_change += 1;
         self.last_change
     }
 
-    pub(super) fn violate(&mut self, what: String) {
+    pub(super) fn report_violation(&mut self, what: String) {
         self.violation.get_or_insert(what);
     }
 
-    pub(super) fn asked(&mut self, node: usize, request: RequestId, wanted: ClientRequest) {
-        self.asked.insert((node, request), wanted);
+    pub(super) fn on_request(&mut self, node: usize, request: RequestId, expected: ClientRequest) {
+        self.requests.insert((node, request), expected);
     }
 
-    /// A process has ended: nobody will hear of what was asked of it.
+    /// A process has ended: its requests will never be completed.
     pub(super) fn forget(&mut self, node: usize) {
-        self.asked.retain(|(of, _), _| *of != node);
+        self.requests.retain(|(of, _), _| *of != node);
     }
 
-    /// A node calls a history committed.
+    /// A node reports a history as committed.
     pub(super) fn committed(&mut self, node: usize, position: Position, history: &[u64]) {
         let longest = &self.committed;
         let extends = history.len() >= longest.len() && history.starts_with(longest);
         if position >= self.position {
             if !extends {
-                self.violate(format!(
+                self.report_violation(format!(
                     "node {node} commits {history:?} at {position}, but {longest:?} was committed at {}",
                     self.position
                 ));
                 return;
             }
-            self.check_refused(node, history);
+            self.check_rejected(node, history);
             self.committed = history.to_vec();
             self.position = position;
         } else if !longest.starts_with(history) {
-            self.violate(format!(
+            self.report_violation(format!(
                 "node {node} commits {history:?} at {position}, beside {longest:?}"
             ));
         }
     }
 
-    fn check_refused(&mut self, node: usize, history: &[u64]) {
+    fn check_rejected(&mut self, node: usize, history: &[u64]) {
         let distinct: BTreeSet<u64> = history.iter().copied().collect();
         if distinct.len() != history.len() {
-            self.violate(format!("node {node} commits a change twice: {history:?}"));
+            self.report_violation(format!("node {node} commits a change twice: {history:?}"));
         }
         if let Some(change) = distinct.intersection(&self.rejected).next() {
-            self.violate(format!(
+            self.report_violation(format!(
                 "node {node} commits change {change}, of which was said that it never will be"
             ));
         }
     }
 
-    /// A request has ended.
-    pub(super) fn settled(
+    /// A request was completed.
+    pub(super) fn on_completed(
         &mut self,
         node: usize,
         request: RequestId,
         outcome: &Outcome,
         history: Vec<u64>,
     ) {
-        // What a process that has ended was asked is forgotten.
-        let Some(wanted) = self.asked.remove(&(node, request)) else {
+        // Requests of a process that has ended are forgotten.
+        let Some(expected) = self.requests.remove(&(node, request)) else {
             return;
         };
-        match (wanted, outcome) {
+        match (expected, outcome) {
             (ClientRequest::Change(change), Outcome::Committed(_)) => {
                 self.acknowledged.insert(change);
                 if !self.committed.contains(&change) {
-                    self.violate(format!(
+                    self.report_violation(format!(
                         "node {node} acknowledges {change}, which is not committed"
                     ));
                 }
@@ -150,13 +150,13 @@
             (ClientRequest::AtLeast(least), Outcome::Confirmed(_)) => {
                 self.confirmed += 1;
                 if history.len() < least {
-                    self.violate(format!(
+                    self.report_violation(format!(
                         "node {node} confirms {history:?}, but {least} changes were committed before it was asked"
                     ));
                 }
             }
-            (wanted, outcome) => {
-                self.violate(format!("node {node} settles {wanted:?} by {outcome:?}"))
+            (expected, outcome) => {
+                self.report_violation(format!("node {node} settles {expected:?} by {outcome:?}"))
             }
         }
     }
--- a/decide/replication/src/model/timed.rs
+++ b/decide/replication/src/model/timed.rs
@@ -7,14 +7,14 @@
 use super::{Envelope, World};
 use crate::*;
 
-/// What happens at a time.
+/// An event that is due at a time.
 #[derive(Clone, Debug)]
 enum Event {
     Deliver(Envelope),
-    Sync { node: usize, life: u32 },
+    Sync { node: usize, incarnation: u32 },
 }
 
-/// How messages and disks behave.
+/// The behaviour of the network and the disks.
 #[derive(Clone, Copy, Debug)]
 pub struct NetworkConditions {
     /// Least time of a message, in microseconds.
@@ -47,13 +47,13 @@
     /// The world.
     pub world: World,
     /// How messages and disks behave.
-    pub weather: NetworkConditions,
+    pub conditions: NetworkConditions,
     /// The time.
     pub now: Time,
     /// Random numbers.
-    pub dice: SeededRng,
-    /// Messages delivered, and their bytes.
-    pub delivered: (u64, u64),
+    pub rng: SeededRng,
+    /// Number of messages that were delivered.
+    pub delivered: u64,
     queue: BTreeMap<(Time, u64), Event>,
     sequence: u64,
     frozen_until: Vec<Time>,
@@ -70,9 +70,9 @@
         Self {
             now: world.nodes[0].clock,
             world,
-            weather: NetworkConditions::default(),
-            dice: SeededRng(seed),
-            delivered: (0, 0),
+            conditions: NetworkConditions::default(),
+            rng: SeededRng(seed),
+            delivered: 0,
             queue: BTreeMap::new(),
             sequence: 0,
             frozen_until: vec![Time(0); nodes],
@@ -85,24 +85,24 @@
     /// A group of so many voters that serves; other nodes are down.
     ///
     /// # Panics
-    /// If it doesn't come together within 30 s.
-    pub fn gathered(settings: Settings, voters: usize, nodes: usize, seed: u64) -> Self {
+    /// If the group isn't formed within 30 s.
+    pub fn with_group(settings: Settings, voters: usize, nodes: usize, seed: u64) -> Self {
         let mut timed = Self::new(settings, nodes, seed);
         timed.call(0, World::bootstrap);
         for index in 1..voters {
             timed.restart(index);
         }
-        let whole = timed.run_until(30_000_000, |timed| timed.is_whole(voters));
+        let elapsed = timed.run_until(30_000_000, |timed| timed.is_complete(voters));
         assert!(
-            whole.is_some(),
+            elapsed.is_some(),
             "{voters} voters did not come together within 30 s"
         );
         timed
     }
 
-    /// Whether a primary serves that names just so many voters, none of them under change, all of
-    /// them up.
-    pub fn is_whole(&self, voters: usize) -> bool {
+    /// Whether a primary serves whose membership has just so many voters, no change in progress and
+    /// all of them up.
+    pub fn is_complete(&self, voters: usize) -> bool {
         let Some(index) = self.world.serving() else {
             return false;
         };
@@ -126,14 +126,14 @@
     /// Ends a node's process; some of what waited for its disk is there all the same.
     pub fn crash(&mut self, index: usize) {
         let waiting = self.world.nodes[index].pending.len();
-        let kept = self.dice.index(waiting + 1);
-        self.crash_keeping(index, kept);
+        let synced_items = self.rng.index(waiting + 1);
+        self.crash_keeping(index, synced_items);
     }
 
     /// Ends a node's process; just so many of the items that waited for its disk are there all the
     /// same.
-    pub fn crash_keeping(&mut self, index: usize, kept: usize) {
-        self.world.crash(index, kept);
+    pub fn crash_keeping(&mut self, index: usize, synced_items: usize) {
+        self.world.crash(index, synced_items);
         self.syncing[index] = false;
         self.frozen_until[index] = Time(0);
     }
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Ends all cuts, freezes and stalls.
+    /// Ends all partitions, freezes and stalls.
     pub fn heal(&mut self) {
         for row in &mut self.blocked {
             row.fill(false);
@@ -202,18 +202,18 @@
         Some(self.now.since(begin))
     }
 
-    /// A client proposes at whoever serves, every 20 ms, until a change is acknowledged; how long
+    /// A client proposes at the node that serves, every 20 ms, until a change is acknowledged; how long
     /// that took.
     pub fn commit_within(&mut self, micros: u64) -> Option<u64> {
         let (begin, end) = (self.now, self.now.after(micros));
-        let before = self.world.ledger.acknowledged.len();
+        let before = self.world.oracle.acknowledged.len();
         while self.now < end {
             if let Some(index) = self.world.serving() {
                 self.call(index, |world| world.propose(index));
             }
             let left = end.since(self.now).min(20_000);
             if self
-                .run_until(left, |timed| timed.world.ledger.acknowledged.len() > before)
+                .run_until(left, |timed| timed.world.oracle.acknowledged.len() > before)
                 .is_some()
             {
                 return Some(self.now.since(begin));
@@ -236,7 +236,7 @@
         if let (Some(key), true) = (event, event_at <= wake_at) {
             self.now = self.now.max(event_at);
             if let Some(event) = self.queue.remove(&key) {
-                self.happen(event);
+                self.handle_event(event);
             }
         } else if let Some((at, index)) = wake {
             self.now = self.now.max(at);
@@ -254,29 +254,29 @@
         wakes.min()
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let index = match &event {
             Event::Deliver(envelope) => envelope.to,
             Event::Sync { node, .. } => *node,
         };
         if self.frozen_until[index] > self.now {
             let at = self.frozen_until[index];
-            return self.put(at, event);
+            return self.schedule_event(at, event);
         }
         match event {
             Event::Deliver(envelope) => {
                 if !self.blocked[envelope.from][envelope.to] {
-                    self.delivered.0 += 1;
+                    self.delivered += 1;
                     self.call(index, |world| world.deliver(envelope));
                 }
             }
-            Event::Sync { node, life } => {
-                if self.world.nodes[node].lives != life {
+            Event::Sync { node, incarnation } => {
+                if self.world.nodes[node].incarnations != incarnation {
                     return;
                 }
                 if self.stalled_until[node] > self.now {
                     let at = self.stalled_until[node];
-                    return self.put(at, Event::Sync { node, life });
+                    return self.schedule_event(at, Event::Sync { node, incarnation });
                 }
                 self.syncing[node] = false;
                 self.call(node, |world| world.sync(node));
@@ -284,37 +284,37 @@
         }
     }
 
-    fn put(&mut self, at: Time, event: Event) {
+    fn schedule_event(&mut self, at: Time, event: Event) {
         self.sequence += 1;
         self.queue.insert((at, self.sequence), event);
     }
 
-    /// Gives what was sent and is to be written its time.
+    /// Schedules the messages that were sent and the writes that are pending.
     fn schedule(&mut self) {
-        let weather = self.weather;
+        let conditions = self.conditions;
         for envelope in std::mem::take(&mut self.world.network) {
-            if weather.loss > 0 && self.dice.one_in(weather.loss) {
+            if conditions.loss > 0 && self.rng.one_in(conditions.loss) {
                 continue;
             }
-            if weather.repeat > 0 && self.dice.one_in(weather.repeat) {
+            if conditions.repeat > 0 && self.rng.one_in(conditions.repeat) {
                 let at = self
                     .now
-                    .after(weather.latency + self.dice.below(weather.jitter * 10 + 1));
-                self.put(at, Event::Deliver(envelope.clone()));
+                    .after(conditions.latency + self.rng.below(conditions.jitter * 10 + 1));
+                self.schedule_event(at, Event::Deliver(envelope.clone()));
             }
             let at = self
                 .now
-                .after(weather.latency + self.dice.below(weather.jitter + 1));
-            self.put(at, Event::Deliver(envelope));
+                .after(conditions.latency + self.rng.below(conditions.jitter + 1));
+            self.schedule_event(at, Event::Deliver(envelope));
         }
         for node in 0..self.world.nodes.len() {
             if !self.syncing[node] && !self.world.nodes[node].pending.is_empty() {
                 self.syncing[node] = true;
-                let life = self.world.nodes[node].lives;
+                let incarnation = self.world.nodes[node].incarnations;
                 let at = self
                     .now
-                    .after(weather.sync + self.dice.below(weather.sync + 1));
-                self.put(at, Event::Sync { node, life });
+                    .after(conditions.sync + self.rng.below(conditions.sync + 1));
+                self.schedule_event(at, Event::Sync { node, incarnation });
             }
         }
     }
--- a/decide/replication/src/model/walk.rs
+++ b/decide/replication/src/model/walk.rs
@@ -2,21 +2,21 @@
 
 use super::{Action, World};
 
-/// How a walk goes.
+/// The course of a walk.
 #[derive(Clone, Copy, Debug)]
 pub struct Walk {
     /// Seed of the walk.
     pub seed: u64,
     /// Voters at its beginning, 3 to 6.
     pub voters: usize,
-    /// Nodes beside them, that knock when they are started.
+    /// Nodes beside them, that ask to join when they are started.
     pub spares: usize,
     /// Actions.
     pub steps: usize,
-    /// Loss of disks.
-    pub wipes: bool,
-    /// Nodes that leave.
-    pub leaves: bool,
+    /// Whether disks are lost.
+    pub has_wipes: bool,
+    /// Whether nodes leave.
+    pub has_departures: bool,
 }
 
 /// A small generator of random numbers (splitmix64).
@@ -49,22 +49,22 @@
 ///
 /// # Panics
 /// If that takes more than 60 s of their time.
-pub fn gather(world: &mut World, voters: usize) {
+pub fn form_group(world: &mut World, voters: usize) {
     world.bootstrap();
     for index in 1..voters {
         world.restart(index);
     }
     for _ in 0..6_000 {
-        calm_step(world, 10_000);
+        step_without_faults(world, 10_000);
         let serving = world
             .serving()
             .and_then(|index| world.nodes[index].replica.as_ref());
-        let whole = |replica: &crate::Replica<_>| {
+        let is_formed = |replica: &crate::Replica<_>| {
             replica.membership().voters.len() == voters
                 && !replica.membership().is_joint()
                 && replica.is_idle()
         };
-        if serving.is_some_and(whole) {
+        if serving.is_some_and(is_formed) {
             return;
         }
     }
@@ -72,7 +72,7 @@
 }
 
 /// All clocks go on by so many microseconds, and everything that is on its way arrives.
-pub fn calm_step(world: &mut World, micros: u64) {
+pub fn step_without_faults(world: &mut World, micros: u64) {
     for index in 0..world.nodes.len() {
         let node = &mut world.nodes[index];
         node.clock = node.clock.after(micros);
@@ -115,21 +115,21 @@
     /// Steps between two changes of who is reached.
     phase: usize,
     /// Nodes out of 8 that are cut off or frozen in a phase.
-    apart: u64,
+    separated: u64,
 }
 
 impl Chances {
-    fn draw(dice: &mut SeededRng) -> Self {
+    fn draw(rng: &mut SeededRng) -> Self {
         Self {
-            drop: [0, 1, 4, 10][dice.index(4)],
-            repeat: [0, 1, 4][dice.index(3)],
-            tick: [2, 4, 8][dice.index(3)],
-            sync: [10, 30][dice.index(2)],
-            client: [4, 8][dice.index(2)],
-            fault: [0, 1, 2, 4][dice.index(4)],
-            deliver: [40, 100][dice.index(2)],
-            phase: [20, 60, 150, 400][dice.index(4)],
-            apart: [1, 2, 3][dice.index(3)],
+            drop: [0, 1, 4, 10][rng.index(4)],
+            repeat: [0, 1, 4][rng.index(3)],
+            tick: [2, 4, 8][rng.index(3)],
+            sync: [10, 30][rng.index(2)],
+            client: [4, 8][rng.index(2)],
+            fault: [0, 1, 2, 4][rng.index(4)],
+            deliver: [40, 100][rng.index(2)],
+            phase: [20, 60, 150, 400][rng.index(4)],
+            separated: [1, 2, 3][rng.index(3)],
         }
     }
 }
@@ -138,60 +138,60 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Reach {
     /// As usual.
-    Whole,
+    Connected,
     /// Its process runs; what it sends and is sent waits.
-    Cut,
+    Partitioned,
     /// Its process stands still; clients' calls reach it when the phase ends.
     Frozen,
 }
 
 /// The state of a walk beside the world.
-struct Course {
+struct WalkState {
     walk: Walk,
     chances: Chances,
-    dice: SeededRng,
+    rng: SeededRng,
     reach: Vec<Reach>,
 }
 
 /// One walk; the world at its end. Stops at the first violation.
 pub fn walk(mut world: World, walk: Walk) -> World {
-    let mut dice = SeededRng(walk.seed);
+    let mut rng = SeededRng(walk.seed);
     world.network_limit = 64;
-    gather(&mut world, walk.voters);
-    let chances = Chances::draw(&mut dice);
-    let reach = vec![Reach::Whole; world.nodes.len()];
-    let mut course = Course {
+    form_group(&mut world, walk.voters);
+    let chances = Chances::draw(&mut rng);
+    let reach = vec![Reach::Connected; world.nodes.len()];
+    let mut state = WalkState {
         walk,
         chances,
-        dice,
+        rng,
         reach,
     };
     for step in 0..walk.steps {
-        if world.ledger.violation.is_some() {
+        if world.oracle.violation.is_some() {
             break;
         }
-        if step % course.chances.phase == 0 {
-            course.next_phase(&mut world);
+        if step % state.chances.phase == 0 {
+            state.next_phase(&mut world);
         }
-        course.step(&mut world);
+        state.step(&mut world);
     }
     world
 }
 
-impl Course {
+impl WalkState {
     fn next_phase(&mut self, world: &mut World) {
         for index in 0..self.reach.len() {
             let was_frozen = self.reach[index] == Reach::Frozen;
-            let apart = self.dice.below(8) < self.chances.apart;
-            self.reach[index] = match (apart, self.dice.one_in(2)) {
-                (false, _) => Reach::Whole,
-                (true, true) => Reach::Cut,
+            let separated = self.rng.below(8) < self.chances.separated;
+            self.reach[index] = match (separated, self.rng.one_in(2)) {
+                (false, _) => Reach::Connected,
+                (true, true) => Reach::Partitioned,
                 (true, false) => Reach::Frozen,
             };
             if was_frozen {
                 // The clock went on; what comes first may be a call.
-                world.act(&Action::Elapse(index, self.dice.below(2_000_000)));
-                if self.dice.one_in(2) {
+                world.act(&Action::Elapse(index, self.rng.below(2_000_000)));
+                if self.rng.one_in(2) {
                     world.act(&Action::Confirm(index));
                 }
             }
@@ -199,7 +199,7 @@
     }
 
     fn step(&mut self, world: &mut World) {
-        let node = self.dice.index(world.nodes.len());
+        let node = self.rng.index(world.nodes.len());
         let runs = self.reach[node] != Reach::Frozen;
         let chances = self.chances;
         let table = [
@@ -210,7 +210,7 @@
             chances.drop,
             chances.repeat,
         ];
-        let mut roll = self.dice.below(table.iter().sum::<u64>() + chances.deliver);
+        let mut roll = self.rng.below(table.iter().sum::<u64>() + chances.deliver);
         let mut choice = 0;
         while choice < table.len() && roll >= table[choice] {
             roll -= table[choice];
@@ -221,7 +221,7 @@
             1 if runs => world.act(&Action::Sync(node)),
             2 => self.client(world, node),
             3 => self.fault(world, node),
-            4 => world.act(&Action::Drop(self.dice.index(world.network.len()))),
+            4 => world.act(&Action::Drop(self.rng.index(world.network.len()))),
             5 => self.message(world, true),
             _ => self.message(world, false),
         }
@@ -229,9 +229,10 @@
 
     /// One message arrives whose ends are both reached.
     fn message(&mut self, world: &mut World, again: bool) {
-        let whole = |index: usize| self.reach[index] == Reach::Whole;
+        let is_connected = |index: usize| self.reach[index] == Reach::Connected;
         let open = world.network.iter().enumerate();
-        let open = open.filter(|(_, envelope)| whole(envelope.from) && whole(envelope.to));
+        let open =
+            open.filter(|(_, envelope)| is_connected(envelope.from) && is_connected(envelope.to));
         let open: Vec<usize> = open.map(|(at, _)| at).collect();
         if open.is_empty() {
             let waits = |node: &super::Node| !node.pending.is_empty();
@@ -245,7 +246,7 @@
             }
             return;
         }
-        let at = open[self.dice.index(open.len())];
+        let at = open[self.rng.index(open.len())];
         world.act(&if again {
             Action::Repeat(at)
         } else {
@@ -261,16 +262,16 @@
         let serving: Vec<usize> = (0..world.nodes.len())
             .filter(|at| serves(world, *at))
             .collect();
-        let any = serving.is_empty() || self.dice.one_in(10);
+        let any = serving.is_empty() || self.rng.one_in(10);
         let node = if any {
             node
         } else {
-            serving[self.dice.index(serving.len())]
+            serving[self.rng.index(serving.len())]
         };
         if self.reach[node] == Reach::Frozen {
             return;
         }
-        world.act(&if self.dice.one_in(2) {
+        world.act(&if self.rng.one_in(2) {
             Action::Propose(node)
         } else {
             Action::Confirm(node)
@@ -282,21 +283,21 @@
             return world.act(&Action::Restart(node));
         }
         let waiting = world.nodes[node].pending.len();
-        match self.dice.below(14) {
-            0 | 1 => world.act(&Action::Crash(node, self.dice.index(waiting + 1))),
+        match self.rng.below(14) {
+            0 | 1 => world.act(&Action::Crash(node, self.rng.index(waiting + 1))),
             2..=5 => {
-                world.act(&Action::Crash(node, self.dice.index(waiting + 1)));
+                world.act(&Action::Crash(node, self.rng.index(waiting + 1)));
                 world.act(&Action::Restart(node));
             }
-            6 | 7 if self.walk.wipes => {
+            6 | 7 if self.walk.has_wipes => {
                 world.act(&Action::Wipe(node));
-                if self.dice.one_in(2) {
+                if self.rng.one_in(2) {
                     world.act(&Action::Restart(node));
                 }
             }
-            8 | 9 if self.walk.leaves => world.act(&Action::Leave(node)),
+            8 | 9 if self.walk.has_departures => world.act(&Action::Leave(node)),
             10 => world.act(&Action::FailSync(node)),
-            11 => world.act(&Action::Elapse(node, 300_000 + self.dice.below(1_000_000))),
+            11 => world.act(&Action::Elapse(node, 300_000 + self.rng.below(1_000_000))),
             12 => world.act(&Action::Elapse(node, 6_000_000)),
             _ => world.act(&Action::Tick(node)),
         }
--- a/decide/replication/tests/current.rs
+++ b/decide/replication/tests/current.rs
@@ -1,4 +1,4 @@
-//! Who may hand out what is held here as current, and whose heartbeats are followed.
+//! Which members may serve their committed state as current, and whose heartbeats are followed.
 
 use assert_matches::assert_matches;
 use lichenswitch_replication::model::History;
@@ -34,25 +34,25 @@
     }
 }
 
-/// Voter 2 of three, whose disk holds the image of position 5 under the epoch of voter 1.
+/// Voter 2 of three, whose disk holds a snapshot at position 5 under the epoch of voter 1.
 fn voter() -> Replica<History> {
-    let image = DurableItem::Snapshot(Snapshot {
+    let snapshot = DurableItem::Snapshot(Snapshot {
         identity: Identity(2),
         promised: EPOCH,
         position: position(5),
         membership: Membership::new([1, 2, 3].map(member)),
         state: History { changes: vec![1] }.encode(),
     });
-    let recovered = Recovered::from_items(vec![image]).unwrap();
+    let recovered = Recovered::from_items(vec![snapshot]).unwrap();
     Replica::recover(Settings::default(), member(2).address, recovered, 7, at(0)).unwrap()
 }
 
-/// A heartbeat of voter 1, which is confirmed, before it has had an answer.
+/// A heartbeat of voter 1, which is confirmed, before it has received a response.
 fn heartbeat(to: u64, round: u64, committed: u64, records: Vec<Record>) -> Message {
     echoing(None, to, round, committed, records)
 }
 
-/// The same, after it has had the answer with this stamp.
+/// The same, after it has received the response that was sent at this instant.
 fn echoing(
     last_response_sent_at: Option<ProcessInstant>,
     to: u64,
@@ -77,7 +77,7 @@
     }
 }
 
-/// Voter 2, as voter 1 hears it: each heartbeat echoes its last answer.
+/// Voter 2, and what voter 1 has received from it: each heartbeat echoes its last response.
 struct ObservedFollower {
     voter: Replica<History>,
     last_response_sent_at: Option<ProcessInstant>,
@@ -101,7 +101,7 @@
     }
 }
 
-/// When the last answer to a heartbeat among these was sent.
+/// When the last response to a heartbeat among these was sent.
 fn last_response(outputs: &[Output]) -> Option<ProcessInstant> {
     let sent_at = |output: &Output| match output {
         Output::Send {
@@ -128,13 +128,16 @@
 }
 
 #[test]
-fn one_that_lacks_what_is_committed_is_in_contact_but_current_no_more() {
+fn member_that_lacks_committed_records_is_in_contact_but_not_current() {
     let mut follower = ObservedFollower::new();
-    assert!(!follower.voter.is_current(at(0)), "it has heard nobody");
+    assert!(
+        !follower.voter.is_current(at(0)),
+        "no primary has made contact"
+    );
     follower.receive_heartbeat(at(0), 1, 5, Vec::new());
     assert!(
         !follower.voter.in_contact(at(0)),
-        "nobody is known to have heard it"
+        "no response of it is known to have arrived"
     );
     follower.receive_heartbeat(at(1), 2, 5, Vec::new());
     assert!(follower.voter.is_current(at(1)));
@@ -181,7 +184,7 @@
 }
 
 #[test]
-fn contact_counts_from_the_answer_that_is_echoed_however_late_that_is_read() {
+fn contact_starts_when_the_echoed_response_was_sent() {
     for (read, until) in [(10, 600), (590, 600), (600, 0), (17_000, 0)] {
         let mut follower = ObservedFollower::new();
         follower.receive_heartbeat(at(0), 1, 5, Vec::new());
@@ -199,7 +202,7 @@
 }
 
 #[test]
-fn an_echo_of_an_answer_of_another_process_counts_for_nothing() {
+fn echo_of_another_process_is_ignored() {
     let mut follower = ObservedFollower::new();
     follower.receive_heartbeat(at(0), 1, 5, Vec::new());
     let sent_at = follower.last_response_sent_at.expect("it has answered");
@@ -214,7 +217,7 @@
 }
 
 #[test]
-fn a_primary_is_current_as_long_as_it_is_in_contact() {
+fn primary_is_current_while_in_contact() {
     let mut timed = four(4);
     timed.commit_within(SECOND).expect("a change is committed");
     let (primary, voters) = (serving(&timed), others(&timed));
@@ -243,7 +246,7 @@
     );
 }
 
-/// Whom a replica knocks at within a time.
+/// The addresses at which a replica asks to join within a time.
 fn join_requests(replica: &mut Replica<History>, from: Time, until: Time) -> Vec<String> {
     let mut requests = Vec::new();
     let mut now = from;
@@ -270,17 +273,17 @@
 }
 
 #[test]
-fn a_heartbeat_for_another_disk_is_not_followed_but_knocked_at() {
-    let newcomer = || Replica::<History>::learner(Settings::default(), member(9), 7, at(0));
-    let mut unheard = newcomer();
+fn heartbeat_for_another_identity_is_answered_by_a_join_request() {
+    let learner = || Replica::<History>::learner(Settings::default(), member(9), 7, at(0));
+    let mut isolated = learner();
     assert_eq!(
-        join_requests(&mut unheard, at(0), at(1_000)),
+        join_requests(&mut isolated, at(0), at(1_000)),
         Vec::<String>::new(),
         "it knows nobody"
     );
 
     // Voter 2 was at this address before its disk was lost.
-    let mut replica = newcomer();
+    let mut replica = learner();
     replica.on_message(at(0), heartbeat(2, 1, 5, Vec::new()));
     assert_eq!(replica.promised(), Epoch::default());
     assert_eq!(
@@ -322,7 +325,7 @@
 }
 
 /// What a heartbeat can ask of a voter beside being followed: to take a record, and to fetch the
-/// image.
+/// snapshot.
 fn demanding(to: u64, epoch: Epoch) -> Message {
     let previous = position(5);
     let number = Position { epoch, number: 6 };
@@ -348,7 +351,7 @@
 }
 
 #[test]
-fn an_append_for_another_identity_changes_nothing_at_a_voter() {
+fn append_for_another_identity_changes_nothing_at_a_voter() {
     let later = Epoch {
         counter: 4,
         primary: Identity(3),
@@ -364,7 +367,7 @@
         assert_matches!(
             &replica.take_outputs()[..],
             [],
-            "{epoch:?}: nothing is written, shown, sent or told"
+            "{epoch:?}: nothing is written, shown, sent or reported"
         );
         assert_eq!(replica.promised(), EPOCH, "{epoch:?}");
         assert_eq!(
@@ -418,7 +421,7 @@
 }
 
 #[test]
-fn a_wiped_voter_at_its_old_address_is_not_fed_by_what_is_meant_for_its_old_disk() {
+fn wiped_voter_ignores_heartbeats_for_its_earlier_identity() {
     let mut replica = Replica::<History>::learner(
         Settings::default(),
         Member {
@@ -434,7 +437,7 @@
         assert_matches!(
             &replica.take_outputs()[..],
             [],
-            "{now:?}: it confirms no round and takes no image"
+            "{now:?}: it confirms no round and accepts no snapshot"
         );
         assert_eq!(
             (replica.promised(), replica.primary()),
@@ -449,7 +452,7 @@
         requested.len() >= 4 && requested.iter().all(|to| *to == member(1).address),
         "{requested:?}"
     );
-    // The primary names it once it has been told of it: then it follows, and asks for the image.
+    // The primary names it once it has asked to join: then it follows, and requests the snapshot.
     replica.on_message(at(1_700), demanding(9, EPOCH));
     assert_eq!(replica.primary(), Some(&member(1)));
     let outputs = replica.take_outputs();
--- a/decide/replication/tests/disks_and_links.rs
+++ b/decide/replication/tests/disks_and_links.rs
@@ -9,10 +9,10 @@
 use scenario::*;
 
 #[test]
-fn power_fails_at_all_at_once() {
+fn group_recovers_from_power_loss_of_all_members() {
     let mut timed = four(4);
     timed.commit_within(SECOND).expect("a change is committed");
-    let committed = timed.world.ledger.committed.len();
+    let committed = timed.world.oracle.committed.len();
     for index in 0..4 {
         timed.crash(index);
     }
@@ -22,14 +22,14 @@
     timed
         .commit_within(4 * SECOND)
         .expect("a change is committed again");
-    assert!(timed.world.ledger.committed.len() > committed);
+    assert!(timed.world.oracle.committed.len() > committed);
     clean(&timed);
 }
 
 /// Microseconds until a group whose members all start again within 0.4 s takes a change, from the
 /// moment at which a majority runs.
 fn back_within(seed: u64) -> u64 {
-    let mut timed = TimedWorld::gathered(Settings::default(), 4, 4, seed);
+    let mut timed = TimedWorld::with_group(Settings::default(), 4, 4, seed);
     timed.commit_within(SECOND).expect("a change is committed");
     (0..4).for_each(|index| timed.crash(index));
     for index in 0..3 {
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_group_that_starts_at_once_does_not_wait_for_a_primary_that_nobody_has_heard() {
+fn group_that_starts_together_elects_without_waiting_for_a_primary() {
     let mut taken: Vec<u64> = (100..140).map(back_within).collect();
     taken.sort_unstable();
     assert!(taken[20] < SECOND / 4, "at the median {} us", taken[20]);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_stalled_disk_at_the_primary_hands_over() {
+fn primary_with_stalled_disk_transfers_leadership() {
     let mut timed = four(4);
     let primary = serving(&timed);
     timed.stall_disk(primary, 30 * SECOND);
@@ -64,14 +64,20 @@
     timed
         .commit_within(SECOND)
         .expect("the next primary commits");
-    let heard =
+    let is_observed =
         |(_, notice): &(usize, Notice)| matches!(notice, Notice::LeadershipTransferStarted { .. });
-    assert!(timed.world.notices.as_ref().unwrap().iter().any(heard));
+    assert!(timed
+        .world
+        .notices
+        .as_ref()
+        .unwrap()
+        .iter()
+        .any(is_observed));
     clean(&timed);
 }
 
 #[test]
-fn a_stalled_disk_at_a_voter_stops_nothing() {
+fn stalled_disk_of_a_voter_blocks_nothing() {
     let mut timed = four(4);
     let (primary, voter) = (serving(&timed), others(&timed)[0]);
     timed.stall_disk(voter, 10 * SECOND);
@@ -95,7 +101,7 @@
 }
 
 #[test]
-fn one_that_is_cut_off_in_one_direction_or_both_steps_down() {
+fn primary_partitioned_in_either_direction_steps_down() {
     for both in [false, true] {
         let mut timed = four(4);
         let primary = serving(&timed);
@@ -123,7 +129,7 @@
 }
 
 #[test]
-fn one_that_hears_nobody_disturbs_nobody() {
+fn voter_that_receives_nothing_starts_no_epoch() {
     let mut timed = four(4);
     let (primary, deaf) = (serving(&timed), others(&timed)[0]);
     let epoch = timed.world.nodes[primary]
@@ -148,7 +154,7 @@
 }
 
 #[test]
-fn a_frozen_primary_wakes_as_none() {
+fn frozen_primary_resumes_as_follower() {
     let mut timed = four(4);
     let primary = serving(&timed);
     timed.freeze(primary, 3 * SECOND);
@@ -159,7 +165,7 @@
 }
 
 #[test]
-fn hundreds_of_changes_missed_cost_one_image() {
+fn member_that_missed_hundreds_of_changes_receives_one_snapshot() {
     let mut timed = four(4);
     let away = others(&timed)[0];
     timed.crash(away);
@@ -188,7 +194,7 @@
 }
 
 #[test]
-fn catches_up_while_changes_go_on() {
+fn member_catches_up_while_changes_go_on() {
     let mut timed = four(4);
     let away = others(&timed)[0];
     timed.crash(away);
@@ -213,23 +219,23 @@
 }
 
 #[test]
-fn a_large_image_comes_through_a_network_that_loses_a_fifth() {
+fn large_snapshot_is_received_with_one_message_in_five_lost() {
     let mut timed = TimedWorld::new(Settings::default(), 4, 9);
     // 320 KB: eleven chunks.
-    timed.world.founding = History {
+    timed.world.initial_state = History {
         changes: (1_000_000..1_040_000).collect(),
     };
     timed.call(0, |world| world.bootstrap());
-    timed.weather = NetworkConditions {
+    timed.conditions = NetworkConditions {
         loss: 5,
         ..NetworkConditions::default()
     };
     for index in 1..4 {
         timed.restart(index);
     }
-    let whole = timed.run_until(10 * SECOND, |timed| timed.is_whole(4));
-    println!("whole after {whole:?} us");
-    assert!(whole.is_some());
+    let elapsed = timed.run_until(10 * SECOND, |timed| timed.is_complete(4));
+    println!("complete after {elapsed:?} us");
+    assert!(elapsed.is_some());
     timed
         .commit_within(2 * SECOND)
         .expect("a change is committed");
@@ -241,7 +247,7 @@
 }
 
 #[test]
-fn a_disk_that_fails_writes_the_whole_image_next() {
+fn snapshot_is_written_after_a_failed_write() {
     let mut timed = four(4);
     timed.run_for(SECOND);
     let voter = others(&timed)[0];
@@ -267,7 +273,7 @@
 }
 
 #[test]
-fn what_was_written_survives_its_encoding() {
+fn durable_items_survive_encoding() {
     let mut timed = four(4);
     timed.commit_within(SECOND).expect("a change is committed");
     for node in &timed.world.nodes {
@@ -278,9 +284,9 @@
 }
 
 #[test]
-fn what_is_acknowledged_survives_a_lost_disk_and_a_loss_of_power_in_that_moment() {
+fn acknowledged_change_survives_lost_disk_with_power_loss() {
     for seed in 0..60 {
-        let mut timed = TimedWorld::gathered(Settings::default(), 4, 5, seed);
+        let mut timed = TimedWorld::with_group(Settings::default(), 4, 5, seed);
         timed
             .commit_within(SECOND)
             .expect("a change is acknowledged");
@@ -294,13 +300,13 @@
         }
         timed.restart(4);
         assert!(timed.commit_within(5 * SECOND).is_some(), "seed {seed}");
-        let acknowledged = &timed.world.ledger.acknowledged;
+        let acknowledged = &timed.world.oracle.acknowledged;
         assert!(acknowledged
             .iter()
-            .all(|change| timed.world.ledger.committed.contains(change)));
+            .all(|change| timed.world.oracle.committed.contains(change)));
         assert!(
             timed
-                .run_until(8 * SECOND, |timed| timed.is_whole(4))
+                .run_until(8 * SECOND, |timed| timed.is_complete(4))
                 .is_some(),
             "seed {seed}"
         );
@@ -309,16 +315,16 @@
 }
 
 #[test]
-fn two_newcomers_take_a_large_image_while_changes_go_on() {
+fn two_learners_receive_a_large_snapshot_while_changes_go_on() {
     let mut timed = TimedWorld::new(Settings::default(), 5, 9);
     // 480 KB: fifteen chunks, four windows.
-    timed.world.founding = History {
+    timed.world.initial_state = History {
         changes: (1_000_000..1_060_000).collect(),
     };
     timed.call(0, |world| world.bootstrap());
     (1..3).for_each(|index| timed.restart(index));
     assert!(timed
-        .run_until(5 * SECOND, |timed| timed.is_whole(3))
+        .run_until(5 * SECOND, |timed| timed.is_complete(3))
         .is_some());
     (3..5).for_each(|index| timed.restart(index));
     for _ in 0..150 {
--- a/decide/replication/tests/exhaustive.rs
+++ b/decide/replication/tests/exhaustive.rs
@@ -5,7 +5,7 @@
 //! still, or belongs to a frozen node. Clocks move by themselves, so elections come at any time.
 //! `REPLICATION_DEPTH` sets another depth.
 
-use lichenswitch_replication::model::walk::{calm_step, deliver_everything, gather};
+use lichenswitch_replication::model::walk::{deliver_everything, form_group, step_without_faults};
 use lichenswitch_replication::model::{Action, World};
 use lichenswitch_replication::{Fault, Faults, Settings};
 use stateright::{Checker, Model, Property};
@@ -49,7 +49,7 @@
         }
         for (index, node) in world.nodes.iter().enumerate() {
             let Some(replica) = &node.replica else {
-                if node.lives > 0 {
+                if node.incarnations > 0 {
                     actions.push(Action::Restart(index));
                 }
                 continue;
@@ -94,8 +94,8 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![Property::always(
-            "clients were told the truth",
-            |_, point: &Point| point.world.ledger.violation.is_none(),
+            "promises to clients hold",
+            |_, point: &Point| point.world.oracle.violation.is_none(),
         )]
     }
 }
@@ -129,8 +129,8 @@
         .target_max_depth(depth + 1)
         .spawn_bfs()
         .join();
-    let path = checker.discovery("clients were told the truth");
-    let violation = path.and_then(|path| path.last_state().world.ledger.violation.clone());
+    let path = checker.discovery("promises to clients hold");
+    let violation = path.and_then(|path| path.last_state().world.oracle.violation.clone());
     let states = checker.unique_state_count();
     println!("{name}: {states} states to depth {depth}, {violation:?}");
     Found { states, violation }
@@ -145,8 +145,8 @@
         nodes,
         1,
     );
-    gather(&mut world, voters);
-    (0..5).for_each(|_| calm_step(&mut world, 10_000));
+    form_group(&mut world, voters);
+    (0..5).for_each(|_| step_without_faults(&mut world, 10_000));
     world.act(&Action::Propose(0));
     deliver_everything(&mut world);
     world
@@ -169,11 +169,11 @@
     world.act(&Action::Tick(1));
     // The answers to its question come in; what the old primary sent is still on its way.
     for _ in 0..2 {
-        let apart = |from: usize, to: usize| from != 0 && to != 0;
+        let separated = |from: usize, to: usize| from != 0 && to != 0;
         while let Some(at) = world
             .network
             .iter()
-            .position(|envelope| apart(envelope.from, envelope.to))
+            .position(|envelope| separated(envelope.from, envelope.to))
         {
             world.act(&Action::Deliver(at));
         }
@@ -182,12 +182,12 @@
     world
 }
 
-/// A newcomer has its image, and the joint record that names it is on its way.
+/// A learner has its snapshot, and the joint record that names it is on its way.
 fn replacement_under_way(faults: Faults) -> World {
     let mut world = group(3, 4, faults);
     world.act(&Action::Wipe(2));
     for _ in 0..120 {
-        calm_step(&mut world, 10_000);
+        step_without_faults(&mut world, 10_000);
     }
     world.act(&Action::Restart(3));
     world.act(&Action::Tick(3));
@@ -206,7 +206,7 @@
             world.sync(index);
         }
     }
-    panic!("the newcomer is never named");
+    panic!("the learner is never named");
 }
 
 /// The first node still says that it is primary, and answers to its last round are on their way to
@@ -224,15 +224,15 @@
 }
 
 /// One node becomes primary by the grant of another, and a change of theirs is acknowledged; the
-/// third hears nothing of it.
+/// third receives nothing of it.
 fn go_on(world: &mut World, primary: usize, other: usize) {
-    let acknowledged = world.ledger.acknowledged.len();
+    let acknowledged = world.oracle.acknowledged.len();
     world.network.clear();
     world.act(&Action::Elapse(other, 2_000_000));
     world.act(&Action::Elapse(primary, 4_000_000));
     world.act(&Action::Tick(primary));
     for _ in 0..400 {
-        if world.ledger.acknowledged.len() > acknowledged {
+        if world.oracle.acknowledged.len() > acknowledged {
             return;
         }
         let both = [primary, other];
@@ -260,7 +260,7 @@
 fn twice_primary(faults: Faults) -> World {
     let mut world = group(3, 3, faults);
     for _ in 0..100 {
-        calm_step(&mut world, 10_000);
+        step_without_faults(&mut world, 10_000);
     }
     world.act(&Action::Tick(0));
     while let Some(at) = world.network.iter().position(|envelope| envelope.from == 0) {
@@ -287,7 +287,7 @@
 }
 
 #[test]
-fn a_change_among_three() {
+fn change_in_a_group_of_three() {
     sound(
         "a change among three",
         change_under_way(3, Faults::default()),
@@ -298,7 +298,7 @@
 }
 
 #[test]
-fn an_election_among_three() {
+fn election_in_a_group_of_three() {
     sound(
         "an election among three",
         election_under_way(3, Faults::default()),
@@ -309,7 +309,7 @@
 }
 
 #[test]
-fn an_election_among_four() {
+fn election_in_a_group_of_four() {
     sound(
         "an election among four",
         election_under_way(4, Faults::default()),
@@ -320,7 +320,7 @@
 }
 
 #[test]
-fn a_change_among_six() {
+fn change_in_a_group_of_six() {
     sound(
         "a change among six",
         change_under_way(6, Faults::default()),
@@ -331,7 +331,7 @@
 }
 
 #[test]
-fn a_replacement_among_three() {
+fn replacement_in_a_group_of_three() {
     let budget = Budget { wipes: 1, ..BUDGET };
     sound(
         "a replacement among three",
@@ -343,7 +343,7 @@
 }
 
 #[test]
-fn two_that_say_they_are_primary() {
+fn two_members_that_act_as_primary() {
     let budget = Budget {
         confirms: 2,
         repeats: 1,
@@ -359,7 +359,7 @@
 }
 
 #[test]
-fn one_that_is_primary_for_the_second_time() {
+fn member_that_is_primary_a_second_time() {
     let budget = Budget {
         confirms: 2,
         repeats: 1,
@@ -384,12 +384,12 @@
 }
 
 #[test]
-fn an_early_lease_is_found() {
+fn early_lease_is_found() {
     found("early lease", two_primaries(Faults::of(Fault::EarlyLease)));
 }
 
 #[test]
-fn an_answer_from_memory_is_found() {
+fn confirmation_from_memory_is_found() {
     found(
         "answer from memory",
         two_primaries(Faults::of(Fault::ConfirmFromMemory)),
@@ -397,7 +397,7 @@
 }
 
 #[test]
-fn an_older_round_that_counts_is_found() {
+fn counted_earlier_round_is_found() {
     found(
         "older round",
         two_primaries(Faults::of(Fault::CountEarlierRound)),
@@ -405,7 +405,7 @@
 }
 
 #[test]
-fn an_answer_of_an_older_epoch_that_counts_is_found() {
+fn counted_earlier_epoch_is_found() {
     found(
         "older epoch",
         twice_primary(Faults::of(Fault::CountEarlierEpoch)),
--- a/decide/replication/tests/liveness.rs
+++ b/decide/replication/tests/liveness.rs
@@ -19,9 +19,9 @@
 }
 
 /// One fault of one node; how long it lasts. At most one node is faulty at a time.
-fn fault(timed: &mut TimedWorld, node: usize, dice: &mut SeededRng) -> &'static str {
-    let lasts = 100_000 + dice.below(4 * SECOND);
-    match dice.below(8) {
+fn fault(timed: &mut TimedWorld, node: usize, rng: &mut SeededRng) -> &'static str {
+    let lasts = 100_000 + rng.below(4 * SECOND);
+    match rng.below(8) {
         0 => {
             timed.crash(node);
             timed.run_for(lasts);
@@ -72,30 +72,30 @@
 
 /// A group of `voters` through 12 faults, with changes and reads all along.
 fn run(voters: usize, seed: u64) {
-    let mut dice = SeededRng(seed ^ 0x5eed);
-    let mut timed = TimedWorld::gathered(Settings::default(), voters, voters, seed);
-    timed.weather = NetworkConditions {
-        loss: [0, 200, 50][dice.index(3)],
-        repeat: [0, 50][dice.index(2)],
+    let mut rng = SeededRng(seed ^ 0x5eed);
+    let mut timed = TimedWorld::with_group(Settings::default(), voters, voters, seed);
+    timed.conditions = NetworkConditions {
+        loss: [0, 200, 50][rng.index(3)],
+        repeat: [0, 50][rng.index(2)],
         ..NetworkConditions::default()
     };
     let mut done = Vec::new();
     for _ in 0..12 {
-        let node = dice.index(voters);
-        let before = timed.world.ledger.acknowledged.len();
-        done.push((fault(&mut timed, node, &mut dice), node));
+        let node = rng.index(voters);
+        let before = timed.world.oracle.acknowledged.len();
+        done.push((fault(&mut timed, node, &mut rng), node));
         timed.heal();
         let took = timed.commit_within(8 * SECOND);
-        let say = || format!("voters {voters}, seed {seed}, after {done:?}");
-        assert_eq!(timed.world.ledger.violation, None, "{}", say());
+        let context = || format!("voters {voters}, seed {seed}, after {done:?}");
+        assert_eq!(timed.world.oracle.violation, None, "{}", context());
         assert!(
             took.is_some(),
             "no change is committed within 8 s: {}",
-            say()
+            context()
         );
-        assert!(timed.world.ledger.acknowledged.len() > before);
-        let whole = timed.run_until(15 * SECOND, |timed| timed.is_whole(voters));
-        assert!(whole.is_some(), "not whole within 15 s: {}", say());
+        assert!(timed.world.oracle.acknowledged.len() > before);
+        let elapsed = timed.run_until(15 * SECOND, |timed| timed.is_complete(voters));
+        assert!(elapsed.is_some(), "not complete within 15 s: {}", context());
         if let Some(primary) = timed.world.serving() {
             timed.call(primary, |world| world.confirm(primary));
         }
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn groups_go_on_and_become_whole() {
+fn groups_stay_available_and_become_complete_again() {
     let first = number("REPLICATION_FIRST_SEED", 0);
     let last = first + number("REPLICATION_SEEDS", SEEDS);
     let next = AtomicU64::new(first);
--- a/decide/replication/tests/planted_faults.rs
+++ b/decide/replication/tests/planted_faults.rs
@@ -15,8 +15,8 @@
     voters: usize,
     spares: usize,
     steps: usize,
-    wipes: bool,
-    leaves: bool,
+    has_wipes: bool,
+    has_departures: bool,
 }
 
 /// A group that keeps its members: the shortest way to faults of elections, rounds and disks.
@@ -24,16 +24,16 @@
     voters: 3,
     spares: 0,
     steps: 2000,
-    wipes: false,
-    leaves: false,
+    has_wipes: false,
+    has_departures: false,
 };
 /// A group that changes its members.
 const CHANGING: Profile = Profile {
     voters: 3,
     spares: 3,
     steps: 3000,
-    wipes: true,
-    leaves: true,
+    has_wipes: true,
+    has_departures: true,
 };
 /// Four voters, half of which are no quorum.
 const EVEN: Profile = Profile {
@@ -42,13 +42,13 @@
 };
 
 /// The first seed that shows the fault, and what it shows.
-fn search(faults: Faults, machinery: PlantedFaults, profile: Profile) -> Option<(u64, String)> {
+fn search(faults: Faults, planted: PlantedFaults, profile: Profile) -> Option<(u64, String)> {
     let Profile {
         voters,
         spares,
         steps,
-        wipes,
-        leaves,
+        has_wipes,
+        has_departures,
     } = profile;
     (0..MOST_SEEDS).find_map(|seed| {
         let mut world = World::new(
@@ -59,7 +59,7 @@
             voters + spares,
             seed,
         );
-        world.machinery = machinery;
+        world.planted = planted;
         let end = walk(
             world,
             Walk {
@@ -67,16 +67,16 @@
                 voters,
                 spares,
                 steps,
-                wipes,
-                leaves,
+                has_wipes,
+                has_departures,
             },
         );
-        end.ledger.violation.map(|violation| (seed, violation))
+        end.oracle.violation.map(|violation| (seed, violation))
     })
 }
 
-fn must_find(name: &str, faults: Faults, machinery: PlantedFaults, profile: Profile) {
-    let found = search(faults, machinery, profile);
+fn must_find(name: &str, faults: Faults, planted: PlantedFaults, profile: Profile) {
+    let found = search(faults, planted, profile);
     println!("{name}: {found:?}");
     assert!(
         found.is_some(),
@@ -110,18 +110,18 @@
 #[test]
 fn vote_of_empty_disk_is_found() {
     let faults = Faults::of(Fault::EmptyDiskVotes);
-    let machinery = PlantedFaults {
+    let planted = PlantedFaults {
         wiped_keeps_identity: true,
         ..PlantedFaults::default()
     };
-    must_find("vote_of_empty_disk", faults, machinery, CHANGING);
+    must_find("vote_of_empty_disk", faults, planted, CHANGING);
 }
 
 #[test]
 fn second_bootstrap_of_wiped_founder_is_found() {
-    let machinery = PlantedFaults {
-        founds_again: true,
+    let planted = PlantedFaults {
+        wiped_founder_bootstraps: true,
         ..PlantedFaults::default()
     };
-    must_find("second_bootstrap", Faults::default(), machinery, CHANGING);
+    must_find("second_bootstrap", Faults::default(), planted, CHANGING);
 }
--- a/decide/replication/tests/scenario/mod.rs
+++ b/decide/replication/tests/scenario/mod.rs
@@ -9,7 +9,7 @@
 pub const SECOND: u64 = 1_000_000;
 
 pub fn four(nodes: usize) -> TimedWorld {
-    TimedWorld::gathered(Settings::default(), 4, nodes, 1)
+    TimedWorld::with_group(Settings::default(), 4, nodes, 1)
 }
 
 pub fn serving(timed: &TimedWorld) -> usize {
@@ -33,7 +33,7 @@
 }
 
 pub fn clean(timed: &TimedWorld) {
-    assert_eq!(timed.world.ledger.violation, None);
+    assert_eq!(timed.world.oracle.violation, None);
 }
 
 pub fn changes(timed: &mut TimedWorld) -> Vec<MembershipChange> {
--- a/decide/replication/tests/scenarios.rs
+++ b/decide/replication/tests/scenarios.rs
@@ -9,7 +9,7 @@
 use scenario::*;
 
 #[test]
-fn a_founder_serves_alone_within_a_second() {
+fn sole_founder_serves_within_a_second() {
     let mut timed = TimedWorld::new(Settings::default(), 1, 7);
     timed.call(0, |world| world.bootstrap());
     let served_after = timed.run_until(SECOND, |timed| timed.world.serving().is_some());
@@ -20,32 +20,32 @@
 }
 
 #[test]
-fn four_come_together_within_a_second() {
+fn four_members_form_a_group_within_a_second() {
     let timed = four(4);
     println!("four voters after {} us", timed.now.0 - SECOND);
     assert!(timed.now.0 - SECOND < SECOND, "{}", timed.now.0);
 }
 
 #[test]
-fn nine_come_together_and_a_tenth_is_refused() {
-    let mut timed = TimedWorld::gathered(Settings::default(), 9, 10, 3);
+fn nine_members_form_a_group_and_a_tenth_is_not_added() {
+    let mut timed = TimedWorld::with_group(Settings::default(), 9, 10, 3);
     timed.restart(9);
     timed.run_for(5 * SECOND);
-    assert!(timed.is_whole(9));
+    assert!(timed.is_complete(9));
     clean(&timed);
 }
 
 #[test]
-fn a_change_and_a_read_take_a_round() {
+fn change_and_confirmation_take_one_round() {
     let mut timed = four(4);
     let took = timed.commit_within(SECOND).expect("a change is committed");
     println!("a change took {took} us");
     assert!(took < 5_000, "{took}");
     let primary = serving(&timed);
     timed.call(primary, |world| world.confirm(primary));
-    let before = timed.world.ledger.confirmed;
+    let before = timed.world.oracle.confirmed;
     let took = timed
-        .run_until(SECOND, |timed| timed.world.ledger.confirmed > before)
+        .run_until(SECOND, |timed| timed.world.oracle.confirmed > before)
         .expect("it is confirmed");
     println!("a confirmation took {took} us");
     // A round takes at most 1,000 us here; the one that tells of the commit is still in flight and
@@ -55,9 +55,9 @@
 }
 
 #[test]
-fn a_dead_primary_is_followed_by_another() {
+fn lost_primary_is_succeeded_by_another() {
     for seed in 0..20 {
-        let mut timed = TimedWorld::gathered(Settings::default(), 4, 4, seed);
+        let mut timed = TimedWorld::with_group(Settings::default(), 4, 4, seed);
         let primary = serving(&timed);
         timed.crash(primary);
         let took = timed
@@ -69,19 +69,19 @@
 }
 
 #[test]
-fn two_losses_right_after_one_another_and_two_more() {
+fn two_losses_in_a_row_are_tolerated_twice() {
     let mut timed = four(8);
-    for newcomer in 4..8 {
+    for learner in 4..8 {
         let lost = others(&timed)[0];
         timed.wipe(lost);
         timed.run_for(SECOND / 2);
-        timed.restart(newcomer);
+        timed.restart(learner);
         assert!(
             timed.commit_within(3 * SECOND).is_some(),
-            "before {newcomer} has its place"
+            "before {learner} has its place"
         );
         let replaced = timed
-            .run_until(3 * SECOND, |timed| timed.is_whole(4))
+            .run_until(3 * SECOND, |timed| timed.is_complete(4))
             .expect("it takes the place");
         println!("replaced after {replaced} us");
         let changes = changes(&mut timed);
@@ -98,19 +98,19 @@
 }
 
 #[test]
-fn a_newcomer_in_the_moment_of_a_loss_stands_beside_the_dead_one_until_that_is_removed() {
+fn learner_added_during_a_loss_stays_beside_the_lost_voter_until_its_removal() {
     let mut timed = four(6);
-    for newcomer in [4, 5] {
+    for learner in [4, 5] {
         let lost = others(&timed)[0];
         timed.wipe(lost);
-        timed.restart(newcomer);
+        timed.restart(learner);
         timed.run_for(SECOND / 10);
         assert!(timed.commit_within(SECOND / 10).is_some());
     }
-    let whole = timed.run_until(10 * SECOND, |timed| timed.is_whole(4));
+    let elapsed = timed.run_until(10 * SECOND, |timed| timed.is_complete(4));
     assert!(
-        whole.is_some(),
-        "the dead ones are gone: {:?}",
+        elapsed.is_some(),
+        "the lost ones are removed: {:?}",
         changes(&mut timed)
     );
     assert!(timed.commit_within(SECOND).is_some());
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_wiped_disk_at_the_same_address_is_replaced_in_one_step() {
+fn wiped_voter_at_the_same_address_is_replaced_in_one_step() {
     let mut timed = four(4);
     changes(&mut timed);
     for _ in 0..3 {
@@ -126,7 +126,7 @@
         timed.wipe(lost);
         timed.restart(lost);
         let replaced = timed
-            .run_until(SECOND, |timed| timed.is_whole(4))
+            .run_until(SECOND, |timed| timed.is_complete(4))
             .expect("it takes its place again");
         println!("replaced after {replaced} us");
         let changes = changes(&mut timed);
@@ -140,7 +140,7 @@
 
 /// The fault that is planted here makes the second replacement fatal: nobody commits any more.
 fn second_replacement(faults: Faults) -> Option<u64> {
-    let mut timed = TimedWorld::gathered(
+    let mut timed = TimedWorld::with_group(
         Settings {
             faults,
             ..Settings::default()
@@ -149,10 +149,10 @@
         6,
         1,
     );
-    for newcomer in [4, 5] {
+    for learner in [4, 5] {
         let lost = others(&timed).into_iter().min()?;
         timed.wipe(lost);
-        timed.restart(newcomer);
+        timed.restart(learner);
         timed.run_for(3 * SECOND);
     }
     // Both losses are borne and repaired: the next one is like the first.
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_dead_voter_that_is_never_voted_out_is_found() {
+fn lost_voter_that_is_never_removed_is_found() {
     assert!(second_replacement(Faults::default()).is_some());
     assert_eq!(
         second_replacement(Faults::of(Fault::NeverRemoveVoters)),
@@ -174,18 +174,18 @@
 }
 
 #[test]
-fn a_silent_voter_is_removed_and_comes_back_under_its_identity() {
+fn unresponsive_voter_is_removed_and_rejoins_under_its_identity() {
     let mut timed = four(4);
     changes(&mut timed);
     let lost = others(&timed)[0];
     timed.crash(lost);
     assert!(timed
-        .run_until(8 * SECOND, |timed| timed.is_whole(3))
+        .run_until(8 * SECOND, |timed| timed.is_complete(3))
         .is_some_and(|took| took > 4 * SECOND));
     let identity = timed.world.nodes[lost].identity;
     timed.restart(lost);
     assert!(timed
-        .run_until(5 * SECOND, |timed| timed.is_whole(4))
+        .run_until(5 * SECOND, |timed| timed.is_complete(4))
         .is_some());
     assert_eq!(timed.world.nodes[lost].identity, identity);
     let changes = changes(&mut timed);
@@ -200,8 +200,8 @@
 }
 
 #[test]
-fn three_never_become_two() {
-    let mut timed = TimedWorld::gathered(Settings::default(), 3, 3, 5);
+fn group_of_three_never_shrinks_to_two() {
+    let mut timed = TimedWorld::with_group(Settings::default(), 3, 3, 5);
     let lost = others(&timed)[0];
     timed.crash(lost);
     timed.run_for(20 * SECOND);
@@ -218,7 +218,7 @@
     );
     let is_rejected_removal =
         |(_, notice): &(usize, Notice)| matches!(notice, Notice::RemovalRejected { .. });
-    let told = timed
+    let reported = timed
         .world
         .notices
         .as_ref()
@@ -226,14 +226,14 @@
         .iter()
         .filter(|notice| is_rejected_removal(notice))
         .count();
-    assert_eq!(told, 1, "a refusal is told once");
+    assert_eq!(reported, 1, "a rejection is reported once");
     assert!(timed.commit_within(SECOND).is_some());
 }
 
 #[test]
-fn a_primary_that_leaves_hands_over_and_is_removed() {
+fn leaving_primary_transfers_leadership_and_is_removed() {
     for seed in 0..20 {
-        let mut timed = TimedWorld::gathered(Settings::default(), 4, 4, seed);
+        let mut timed = TimedWorld::with_group(Settings::default(), 4, 4, seed);
         let primary = serving(&timed);
         timed.call(primary, |world| world.leave(primary));
         let left = timed.run_until(3 * SECOND, |timed| {
@@ -251,14 +251,14 @@
             .commit_within(SECOND)
             .expect("the next primary commits");
         assert!(took < 50_000, "seed {seed}: {took}");
-        assert!(timed.is_whole(3), "seed {seed}");
+        assert!(timed.is_complete(3), "seed {seed}");
         clean(&timed);
     }
 }
 
 #[test]
-fn a_leaver_that_would_leave_two_stays_on_paper() {
-    let mut timed = TimedWorld::gathered(Settings::default(), 3, 3, 5);
+fn member_whose_removal_would_leave_two_stays_in_the_membership() {
+    let mut timed = TimedWorld::with_group(Settings::default(), 3, 3, 5);
     let leaver = others(&timed)[0];
     timed.call(leaver, |world| world.leave(leaver));
     let left = timed.run_until(SECOND, |timed| {
@@ -268,11 +268,11 @@
             .is_some_and(|replica| replica.has_left())
     });
     assert!(left.is_some());
-    assert!(timed.is_whole(3));
+    assert!(timed.is_complete(3));
 }
 
 #[test]
-fn all_restart_one_after_the_other() {
+fn all_members_restart_one_after_the_other() {
     let mut timed = four(4);
     for index in 0..4 {
         timed.call(index, |world| world.leave(index));
@@ -280,7 +280,7 @@
         timed.crash(index);
         timed.run_for(SECOND / 2);
         timed.restart(index);
-        let back = timed.run_until(10 * SECOND, |timed| timed.is_whole(4));
+        let back = timed.run_until(10 * SECOND, |timed| timed.is_complete(4));
         assert!(back.is_some(), "{index} is back");
         assert!(timed.commit_within(2 * SECOND).is_some());
     }
@@ -288,9 +288,9 @@
 }
 
 #[test]
-fn a_leaver_whose_removal_was_the_last_act_of_a_primary_still_learns_of_it() {
+fn leaving_member_learns_of_its_removal_by_a_primary_that_was_lost() {
     for seed in 0..20 {
-        let mut timed = TimedWorld::gathered(Settings::default(), 5, 5, seed);
+        let mut timed = TimedWorld::with_group(Settings::default(), 5, 5, seed);
         let (primary, leaver) = (serving(&timed), others(&timed)[0]);
         timed.cut(primary, leaver);
         timed.call(leaver, |world| world.leave(leaver));
@@ -308,12 +308,12 @@
 }
 
 #[test]
-fn eight_bear_the_loss_of_two_at_once_and_of_two_more() {
+fn group_of_eight_tolerates_two_losses_at_once_and_two_more() {
     let settings = Settings {
         fault_tolerance: 2,
         ..Settings::default()
     };
-    let mut timed = TimedWorld::gathered(settings, 8, 12, 2);
+    let mut timed = TimedWorld::with_group(settings, 8, 12, 2);
     for newcomers in [[8, 9], [10, 11]] {
         let lost = others(&timed);
         let primary = serving(&timed);
@@ -326,14 +326,14 @@
         }
         assert!(timed.commit_within(3 * SECOND).is_some());
         assert!(timed
-            .run_until(5 * SECOND, |timed| timed.is_whole(8))
+            .run_until(5 * SECOND, |timed| timed.is_complete(8))
             .is_some());
     }
     clean(&timed);
 }
 
 #[test]
-fn a_voter_that_comes_back_at_another_address_keeps_its_identity() {
+fn voter_at_another_address_keeps_its_identity() {
     let mut timed = four(4);
     changes(&mut timed);
     let moved = others(&timed)[0];
@@ -353,7 +353,9 @@
         })
     });
     assert!(named.is_some());
-    assert!(timed.run_until(SECOND, |timed| timed.is_whole(4)).is_some());
+    assert!(timed
+        .run_until(SECOND, |timed| timed.is_complete(4))
+        .is_some());
     let changes = changes(&mut timed);
     assert!(
         matches!(&changes[..], [MembershipChange::ChangeAddress { .. }]),
@@ -363,7 +365,7 @@
 }
 
 #[test]
-fn one_that_promised_a_far_epoch_and_was_removed_comes_back() {
+fn removed_member_with_a_much_higher_promise_rejoins() {
     for counter in [2, 100] {
         let mut timed = four(4);
         let away = others(&timed)[2];
@@ -374,10 +376,10 @@
             .disk
             .push(DurableItem::Promise(Epoch { counter, primary }));
         assert!(timed
-            .run_until(8 * SECOND, |timed| timed.is_whole(3))
+            .run_until(8 * SECOND, |timed| timed.is_complete(3))
             .is_some());
         timed.restart(away);
-        let back = timed.run_until(10 * SECOND, |timed| timed.is_whole(4));
+        let back = timed.run_until(10 * SECOND, |timed| timed.is_complete(4));
         println!("back after {back:?} us");
         assert!(back.is_some(), "epoch {counter}");
         assert!(timed.commit_within(SECOND).is_some());
--- a/decide/replication/tests/values.rs
+++ b/decide/replication/tests/values.rs
@@ -35,7 +35,7 @@
     }
 }
 
-fn image(at: Position) -> DurableItem {
+fn snapshot(at: Position) -> DurableItem {
     let state = History {
         changes: vec![1, 2],
     }
@@ -59,13 +59,13 @@
 }
 
 #[test]
-fn majorities() {
-    let majorities: Vec<usize> = (1..=9).map(majority_of).collect();
-    assert_eq!(majorities, [1, 2, 2, 3, 3, 4, 4, 5, 5]);
+fn majority_of_each_size() {
+    let majority_of_each_size: Vec<usize> = (1..=9).map(majority_of).collect();
+    assert_eq!(majority_of_each_size, [1, 2, 2, 3, 3, 4, 4, 5, 5]);
 }
 
 #[test]
-fn a_quorum_is_more_than_half() {
+fn quorum_is_more_than_half() {
     let four = membership(&[1, 2, 3, 4]);
     assert!(!four.is_quorum(&present(&[1, 2])));
     assert!(four.is_quorum(&present(&[1, 2, 4])));
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_joint_quorum_is_one_of_both() {
+fn joint_quorum_needs_a_majority_of_both() {
     let joint = membership(&[1, 2, 3]).joint([member(1), member(4), member(5)]);
     assert!(!joint.is_quorum(&present(&[1, 2, 3])));
     assert!(!joint.is_quorum(&present(&[1, 4, 5])));
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_heartbeat_is_small_and_survives_its_encoding() {
+fn heartbeat_is_small_and_survives_encoding() {
     let epoch = Epoch {
         counter: 3,
         primary: Identity(1),
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_message_are_refused() {
+fn bytes_that_are_no_message_are_rejected() {
     let bytes = Message {
         from: member(1),
         body: Body::JoinRequest,
@@ -137,9 +137,9 @@
     for length in 0..bytes.len() {
         assert!(Message::decode(&bytes[..length]).is_err(), "{length} bytes");
     }
-    let mut dice = fastrand::Rng::with_seed(5);
+    let mut rng = fastrand::Rng::with_seed(5);
     for _ in 0..10_000 {
-        let noise: Vec<u8> = (0..dice.usize(0..300)).map(|_| dice.u8(..)).collect();
+        let noise: Vec<u8> = (0..rng.usize(0..300)).map(|_| rng.u8(..)).collect();
         // Whatever comes out, nothing panics.
         let _ = Message::decode(&noise);
         let _ = DurableItem::decode(&noise);
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn records_and_promises_fold_into_the_image() {
+fn records_and_promises_fold_into_the_snapshot() {
     let (first, second, third) = (position(2, 5), position(2, 6), position(4, 7));
     let change = Update::Change(3u64.to_le_bytes().to_vec());
     let promise = DurableItem::Promise(Epoch {
@@ -156,7 +156,7 @@
     });
     let members = Update::Membership(membership(&[1, 2]));
     let items = [
-        image(first),
+        snapshot(first),
         record(first, second, change),
         record(second, third, members),
         promise,
@@ -177,10 +177,10 @@
 }
 
 #[test]
-fn a_record_of_an_epoch_implies_its_promise() {
+fn record_of_an_epoch_implies_its_promise() {
     let (first, second) = (position(2, 5), position(4, 6));
     let recovered =
-        Recovered::from_items([image(first), record(first, second, Update::EpochStart)]);
+        Recovered::from_items([snapshot(first), record(first, second, Update::EpochStart)]);
     assert_eq!(
         recovered.expect("it follows").snapshot.promised,
         second.epoch
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn what_does_not_follow_is_no_state() {
+fn items_that_do_not_follow_are_rejected() {
     let (first, second) = (position(2, 5), position(2, 6));
     let start = || Update::EpochStart;
     assert_matches!(Recovered::from_items([]), Err(RecoverError::Empty));
@@ -198,16 +198,16 @@
     );
     let skipped = record(position(2, 6), position(2, 7), start());
     assert_matches!(
-        Recovered::from_items([image(first), skipped]),
+        Recovered::from_items([snapshot(first), skipped]),
         Err(RecoverError::RecordDoesNotFollow { .. })
     );
     let back = record(first, position(1, 6), start());
     assert_matches!(
-        Recovered::from_items([image(first), back]),
+        Recovered::from_items([snapshot(first), back]),
         Err(RecoverError::RecordDoesNotFollow { .. })
     );
     assert_matches!(
-        Recovered::from_items([image(second), image(first)]),
+        Recovered::from_items([snapshot(second), snapshot(first)]),
         Err(RecoverError::SnapshotOutOfOrder { .. })
     );
     let promise = DurableItem::Promise(Epoch {
@@ -215,23 +215,23 @@
         primary: Identity(1),
     });
     assert_matches!(
-        Recovered::from_items([image(first), promise, record(first, second, start())]),
+        Recovered::from_items([snapshot(first), promise, record(first, second, start())]),
         Err(RecoverError::RecordBelowPromise { .. })
     );
-    let DurableItem::Snapshot(mut foreign) = image(second) else {
-        unreachable!("an image")
+    let DurableItem::Snapshot(mut foreign) = snapshot(second) else {
+        unreachable!("a snapshot")
     };
     foreign.identity = Identity(8);
     assert_matches!(
-        Recovered::from_items([image(first), DurableItem::Snapshot(foreign)]),
+        Recovered::from_items([snapshot(first), DurableItem::Snapshot(foreign)]),
         Err(RecoverError::TwoIdentities { .. })
     );
 }
 
 #[test]
-fn a_state_that_cannot_be_read_is_an_error() {
-    let DurableItem::Snapshot(mut half) = image(position(2, 5)) else {
-        unreachable!("an image")
+fn unreadable_state_is_an_error() {
+    let DurableItem::Snapshot(mut half) = snapshot(position(2, 5)) else {
+        unreachable!("a snapshot")
     };
     half.state.pop();
     let recovered = Recovered::from_items([DurableItem::Snapshot(half)]).expect("the items follow");
--- a/decide/replication/tests/walks.rs
+++ b/decide/replication/tests/walks.rs
@@ -1,4 +1,4 @@
-//! Random walks over all orders of events: nothing that clients were told may turn out wrong.
+//! Random walks over all orders of events: nothing that clients were promised may turn out wrong.
 //!
 //! `REPLICATION_SEEDS` sets the walks of each kind, `REPLICATION_FIRST_SEED` the first; a failure
 //! names its seed.
@@ -35,11 +35,11 @@
         let world = World::new(Settings::default(), kind.voters + kind.spares, seed);
         let end = walk(world, Walk { seed, ..kind });
         assert_eq!(
-            end.ledger.violation, None,
+            end.oracle.violation, None,
             "{name}, REPLICATION_FIRST_SEED={seed} REPLICATION_SEEDS=1"
         );
-        acknowledged.fetch_add(end.ledger.acknowledged.len(), Ordering::Relaxed);
-        confirmed.fetch_add(end.ledger.confirmed, Ordering::Relaxed);
+        acknowledged.fetch_add(end.oracle.acknowledged.len(), Ordering::Relaxed);
+        confirmed.fetch_add(end.oracle.confirmed, Ordering::Relaxed);
     };
     std::thread::scope(|scope| {
         for _ in 0..THREADS {
@@ -68,8 +68,8 @@
     voters: 3,
     spares: 0,
     steps: 2000,
-    wipes: false,
-    leaves: false,
+    has_wipes: false,
+    has_departures: false,
 };
 /// A group that changes its members.
 const CHANGING: Walk = Walk {
@@ -77,17 +77,17 @@
     voters: 4,
     spares: 2,
     steps: 3000,
-    wipes: true,
-    leaves: true,
+    has_wipes: true,
+    has_departures: true,
 };
 
 #[test]
-fn three_that_stay() {
+fn three_steady_members() {
     walks("three that stay", STEADY);
 }
 
 #[test]
-fn four_that_stay() {
+fn four_steady_members() {
     walks(
         "four that stay",
         Walk {
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn five_that_stay() {
+fn five_steady_members() {
     walks(
         "five that stay",
         Walk {
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn three_that_change() {
+fn three_changing_members() {
     walks(
         "three that change",
         Walk {
@@ -121,12 +121,12 @@
 }
 
 #[test]
-fn four_that_change() {
+fn four_changing_members() {
     walks("four that change", CHANGING);
 }
 
 #[test]
-fn six_that_change() {
+fn six_changing_members() {
     walks(
         "six that change",
         Walk {
