--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -15,6 +15,7 @@
 use crate::interface::{Micros, ServerListUpdate, Time};
 use crate::net::{ConnId, ConnectError, Net, Owner, Timer, TransferProgress};
 use std::net::SocketAddr;
+use thiserror::Error;
 
 /// A connection that is not up after this long never comes up.
 const CONNECT: Micros = 500_000;
@@ -330,7 +331,7 @@
         let Some(conn) = net.get_mut(id) else {
             return Vec::new();
         };
-        // A reset is no end: an answer without a length that breaks off is not whole.
+        // A reset is no end: an answer without a length that breaks off is not complete.
         let (ended, broken) = (conn.ended, progress != TransferProgress::Alive);
         let answer = match http::response(conn.input.bytes(), ended, CEILING) {
             Ok(Parsed::Whole(answer, used)) => {
@@ -346,25 +347,17 @@
                 return Vec::new();
             }
             _ => {
-                return self.fail(
-                    net,
-                    "the connection broke, or what came is no answer",
-                    false,
-                )
+                let reason = "the connection broke, or what came is no answer";
+                return self.fail(net, reason, false);
             }
         };
         if self.call.take().is_none() {
             self.hang_up(net);
             return Vec::new();
         }
-        let list = match answer.status {
-            200 => serde_json::from_slice::<List>(&answer.body)
-                .map_err(|e| format!("unreadable list: {e}")),
-            status => Err(format!("answered with {status}")),
-        };
-        let list = match list {
+        let list = match read_list(&answer) {
             Ok(list) => list,
-            Err(what) => return self.fail(net, &what, false),
+            Err(error) => return self.fail(net, &error.to_string(), false),
         };
         self.renews = true;
         if ended || broken || !answer.keep_alive {
@@ -378,13 +371,26 @@
         if self.moving.is_none() {
             self.not_before = Some(next);
         }
+        let mut updates = self.on_list(net, now, list, directory);
+        updates.extend(self.subscribe(net));
+        updates
+    }
+
+    /// Takes a list that has come, or asks for a whole one to confirm it.
+    fn on_list(
+        &mut self,
+        net: &mut Net,
+        now: Time,
+        list: List,
+        directory: &mut Directory,
+    ) -> Vec<ServerListUpdate> {
         let whole = list.reset || self.generation.is_none();
         let told = Told {
             generation: list.generation,
             whole,
             lines: list.instances.len(),
         };
-        let mut news = match self
+        match self
             .doubt
             .on_list(now, told, self.generation, directory.len())
         {
@@ -396,11 +402,11 @@
                     false => ServerListUpdate::Changes(directory.changes(&list.instances)),
                 }]
             }
-            Verdict::Confirm(why, until) => {
+            Verdict::Confirm(reason, until) => {
                 self.log.push(format!(
-                    "discovery: a list is doubted, the whole one is asked for: {why}"
+                    "discovery: a list is doubted, the whole one is asked for: {reason}"
                 ));
-                // Of several in a row the first one's time counts: it was heard then.
+                // Of several in a row the first one's time counts: it was received then.
                 let until = self
                     .doubted
                     .as_ref()
@@ -410,9 +416,23 @@
                 net.wheel.set(until, Timer::Discovery(CONFIRMED));
                 Vec::new()
             }
-        };
-        news.extend(self.subscribe(net));
-        news
+        }
+    }
+}
+
+/// Why an answer of discovery is no list.
+#[derive(Debug, Error)]
+enum ListError {
+    #[error("unreadable list: {0}")]
+    Unreadable(#[from] serde_json::Error),
+    #[error("answered with {0}")]
+    Status(u16),
+}
+
+fn read_list(answer: &http::Response) -> Result<List, ListError> {
+    match answer.status {
+        200 => Ok(serde_json::from_slice(&answer.body)?),
+        status => Err(ListError::Status(status)),
     }
 }
 
--- a/src/discovery/directory.rs
+++ b/src/discovery/directory.rs
@@ -189,49 +189,11 @@
     fn change(&mut self, node: &Instance) -> Option<ListedServer> {
         let deleted = node.lifecycle == Lifecycle::Deleted;
         let known = self.ids.get(&node.instance_id).copied();
-        // Guards data nodes: one whose cell is not known would be sent parts of shards that it does
-        // not hold. One that is known keeps its cell, since whether it drains counts.
-        let told = node
-            .cell
-            .filter(|cell| self.cells.is_none_or(|cells| *cell < cells));
-        let noted = known
-            .and_then(|server| self.nodes.get(&server))
-            .map(|n| n.cell);
-        if told.is_none() && !deleted {
-            let what = node.cell.map_or("no cell".into(), |cell| {
-                format!("cell {cell}, which there is not")
-            });
-            let then = if noted.is_some() {
-                "it keeps its last one"
-            } else {
-                "the line is left aside"
-            };
-            self.log.push(format!(
-                "discovery: {} has {what}: {then}",
-                node.instance_id
-            ));
-        }
-        let cell = match told.or(noted) {
-            Some(cell) => cell,
-            None if deleted && known.is_some() => 0,
-            None => return None,
-        };
+        let cell = self.cell_of(node, known)?;
         let server = match known {
             Some(server) => server,
             None if deleted => return None,
-            None => {
-                let server = ServerId(self.next);
-                self.next += 1;
-                self.ids.insert(node.instance_id.clone(), server);
-                let new = Node {
-                    name: node.instance_id.clone(),
-                    address: None,
-                    cell,
-                    told: None,
-                };
-                self.nodes.insert(server, new);
-                server
-            }
+            None => self.add(&node.instance_id, cell),
         };
         if let Some(noted) = self.nodes.get_mut(&server) {
             noted.cell = cell;
@@ -241,7 +203,7 @@
         if deleted {
             self.give_back(&node.instance_id);
         }
-        let told = ListedServer {
+        let line = ListedServer {
             server,
             cell,
             zone: self
@@ -259,9 +221,54 @@
                 .then_some(Time(node.started_at_ms.saturating_mul(1_000))),
         };
         if let Some(noted) = self.nodes.get_mut(&server) {
-            noted.told = Some(told);
+            noted.told = Some(line);
+        }
+        Some(self.overrides.applied(&node.instance_id, line))
+    }
+
+    /// The cell of a line, or the last one of its node where the line has none that there is;
+    /// `None`: the line can't be used.
+    fn cell_of(&mut self, node: &Instance, known: Option<ServerId>) -> Option<u32> {
+        let deleted = node.lifecycle == Lifecycle::Deleted;
+        // Guards data nodes: one whose cell is not known would be sent parts of shards that it does
+        // not hold. One that is known keeps its cell, since whether it drains counts.
+        let listed = node
+            .cell
+            .filter(|cell| self.cells.is_none_or(|cells| *cell < cells));
+        let last = known
+            .and_then(|server| self.nodes.get(&server))
+            .map(|n| n.cell);
+        if listed.is_none() && !deleted {
+            let what = node.cell.map_or("no cell".into(), |cell| {
+                format!("cell {cell}, which there is not")
+            });
+            let then = if last.is_some() {
+                "it keeps its last one"
+            } else {
+                "the line is left aside"
+            };
+            self.log.push(format!(
+                "discovery: {} has {what}: {then}",
+                node.instance_id
+            ));
         }
-        Some(self.overrides.applied(&node.instance_id, told))
+        let unlisted = (deleted && known.is_some()).then_some(0);
+        listed.or(last).or(unlisted)
+    }
+
+    /// Gives a new node its number.
+    fn add(&mut self, id: &str, cell: u32) -> ServerId {
+        let server = ServerId(self.next);
+        self.next += 1;
+        self.ids.insert(id.into(), server);
+        let node = Node {
+            name: id.into(),
+            address: None,
+            cell,
+            told: None,
+        };
+        self.nodes.insert(server, node);
+        server
     }
 
     /// Replaces the overrides, and gives the module the lines that differ by that.
--- a/src/front/ogc.rs
+++ b/src/front/ogc.rs
@@ -216,78 +216,26 @@
         })
     }
 
+    /// A page of a collection's features.
     fn page(
         &self,
         base: &str,
         collection: &Collection,
         query: &str,
     ) -> Result<(Job, Context), Fault> {
-        let known = [
-            "bbox", "bbox-crs", "datetime", "limit", "offset", "sortby", "f",
-        ];
-        let found = parameters(query, &known)?;
-        if found.get("bbox-crs").is_some_and(|crs| crs != CRS84) {
-            return Err(bad(format!("bbox-crs: only {CRS84}")));
-        }
-        let limit = number(&found, "limit", LIMIT)?;
-        if limit == 0 {
-            return Err(bad("limit: 1 at least"));
-        }
-        let limit = limit.min(LIMIT_MOST);
-        let offset = number(&found, "offset", 0)?;
-        if offset.saturating_add(limit) > REACH {
-            return Err(bad(format!("offset: paging goes through {REACH} features")));
-        }
-        let order = found.get("sortby").map(|text| order(text)).transpose()?;
-        let bbox = found.get("bbox").map(|text| bounds(text)).transpose()?;
-        let datetime = found
-            .get("datetime")
-            .map(|text| datetime(text))
-            .transpose()?;
-        // One more than the page needs tells whether another page follows.
-        let most = offset + limit + 1;
-        let mut targets = BTreeMap::new();
-        for (shard, slice) in (0..).zip(&self.slices) {
-            let area = bbox.map_or(Some(slice.bounds), |bbox| shared(bbox, slice.bounds));
-            let Some([west, south, east, north]) = area else {
-                continue;
-            };
-            let mut query = form_urlencoded::Serializer::new(String::new());
-            query.append_pair("bbox", &format!("{west},{south},{east},{north}"));
-            query.extend_pairs(datetime.iter().map(|d| ("datetime", d)));
-            // Of a sorted answer the wire says how many: that depends on the step.
-            if order.is_none() {
-                query.append_pair("limit", &most.to_string());
-            }
-            let path = format!(
-                "/collections/{}/items?{}",
-                encoded(&collection.id),
-                query.finish()
-            );
-            targets.insert(shard, path);
-        }
-        let repeated = ["bbox", "bbox-crs", "f"].iter();
-        let mut repeated: Vec<(String, String)> = repeated
-            .filter_map(|&n| Some((n.to_string(), found.get(n)?.clone())))
-            .collect();
-        repeated.extend(datetime.map(|d| ("datetime".to_string(), d)));
-        repeated.extend(
-            found
-                .get("sortby")
-                .map(|s| ("sortby".to_string(), s.replace(' ', "+"))),
-        );
-        let address = format!("{base}/collections/{}", encoded(&collection.id));
-        let asked = targets.keys().map(|&shard| self.named(shard)).collect();
-        let way = order.as_ref().map(|o| o.1);
+        let page = PageQuery::read(query)?;
+        // One more than the page needs shows whether another page follows.
+        let most = page.offset + page.limit + 1;
+        let targets = self.targets(collection, &page, most);
         let context = Context::Page {
-            address,
-            repeated,
-            offset,
-            limit,
-            asked,
-            way,
+            address: format!("{base}/collections/{}", encoded(&collection.id)),
+            repeated: page.repeated,
+            offset: page.offset,
+            limit: page.limit,
+            asked: targets.keys().map(|&shard| self.named(shard)).collect(),
+            way: page.order.as_ref().map(|o| o.1),
         };
-        let ask = match order {
+        let ask = match page.order {
             None => Ask::Items(most),
             Some((property, way)) => {
                 // A feature on a border comes from both slices and counts once: some more make up
@@ -308,6 +256,38 @@
         Ok((Job { targets, ask }, context))
     }
 
+    /// The path and query for each slice that the box meets.
+    fn targets(
+        &self,
+        collection: &Collection,
+        page: &PageQuery,
+        most: usize,
+    ) -> BTreeMap<u32, String> {
+        let mut targets = BTreeMap::new();
+        for (shard, slice) in (0..).zip(&self.slices) {
+            let area = page
+                .bbox
+                .map_or(Some(slice.bounds), |bbox| shared(bbox, slice.bounds));
+            let Some([west, south, east, north]) = area else {
+                continue;
+            };
+            let mut query = form_urlencoded::Serializer::new(String::new());
+            query.append_pair("bbox", &format!("{west},{south},{east},{north}"));
+            query.extend_pairs(page.datetime.iter().map(|d| ("datetime", d)));
+            // Of a sorted answer the wire says how many: that depends on the step.
+            if page.order.is_none() {
+                query.append_pair("limit", &most.to_string());
+            }
+            let path = format!(
+                "/collections/{}/items?{}",
+                encoded(&collection.id),
+                query.finish()
+            );
+            targets.insert(shard, path);
+        }
+        targets
+    }
+
     /// A feature by its id may be in any slice: all are asked.
     fn item(&self, base: &str, collection: &Collection, id: &str) -> (Job, Context) {
         let (collection, id) = (encoded(&collection.id), encoded(id));
@@ -335,15 +315,8 @@
             return Err((405, "this interface is for reading".into()));
         }
         let base = base(request);
-        let decoded = |part: &str| percent_decode_str(part).decode_utf8().map(Into::into);
-        let parts: Result<Vec<String>, _> = path
-            .trim_matches('/')
-            .split('/')
-            .filter(|p| !p.is_empty())
-            .map(decoded)
-            .collect();
-        let parts = parts.map_err(|_| bad("the path is no text"))?;
-        let parts: Vec<&str> = parts.iter().map(String::as_str).collect();
+        let segments = segments(path)?;
+        let segments: Vec<&str> = segments.iter().map(String::as_str).collect();
         let lookup = |id: &str| {
             let found = self.collections.iter().find(|c| c.id == id);
             found.ok_or_else(|| (404, format!("there is no collection {id:?}")))
@@ -352,7 +325,7 @@
             parameters(request.query(), &["f"])?;
             Ok(Verdict::Reply(Response::new(200, kind, body.to_string())))
         };
-        let (collection, (job, context)) = match parts[..] {
+        let (collection, (job, context)) = match segments[..] {
             [] => return plain(JSON, self.landing(&base)),
             ["api"] => return plain(OPENAPI, self.api()),
             ["conformance"] => return plain(JSON, json!({"conformsTo": CONFORMS})),
@@ -378,37 +351,110 @@
             _ => return Err((404, "there is nothing here".into())),
         };
         if job.targets.is_empty() {
-            // Nothing lies in the box: the answer is whole and empty.
+            // Nothing lies in the box: the answer is complete and empty.
             return Ok(Verdict::Reply(word(context, true, &[], &[])));
         }
-        let weight = 1.0 / job.targets.len() as f64;
-        let top = match &job.ask {
-            Ask::Sorted { sort, .. } => Some((sort.most, sort.way)),
-            _ => None,
-        };
-        Ok(Verdict::Take(
-            Box::new(Request {
-                class: if top.is_some() {
-                    collection.sorted
-                } else {
-                    collection.class
-                },
-                deadline: now.plus(collection.wait),
-                key: 0,
-                placement: Placement::default(),
-                again: false,
-                tenant: u32::MAX,
-                team: request.header("req-owner").map(str::to_string),
-                parts: job
-                    .targets
-                    .keys()
-                    .map(|&shard| (Shard(shard), weight))
-                    .collect(),
-                top,
-                job,
-            }),
-            context,
-        ))
+        let team = request.header("req-owner").map(str::to_string);
+        let request = Box::new(query_of(now, collection, job, team));
+        Ok(Verdict::Take(request, context))
+    }
+}
+
+/// The segments of a path, decoded.
+fn segments(path: &str) -> Result<Vec<String>, Fault> {
+    path.trim_matches('/')
+        .split('/')
+        .filter(|segment| !segment.is_empty())
+        .map(|segment| percent_decode_str(segment).decode_utf8().map(Into::into))
+        .collect::<Result<_, _>>()
+        .map_err(|_| bad("the path is no text"))
+}
+
+/// The query for a job, a part for each of its slices.
+fn query_of(now: Time, collection: &Collection, job: Job, team: Option<String>) -> Request<Job> {
+    let weight = 1.0 / job.targets.len() as f64;
+    let top = match &job.ask {
+        Ask::Sorted { sort, .. } => Some((sort.most, sort.way)),
+        _ => None,
+    };
+    Request {
+        class: if top.is_some() {
+            collection.sorted
+        } else {
+            collection.class
+        },
+        deadline: now.plus(collection.wait),
+        key: 0,
+        placement: Placement::default(),
+        again: false,
+        tenant: u32::MAX,
+        team,
+        parts: job
+            .targets
+            .keys()
+            .map(|&shard| (Shard(shard), weight))
+            .collect(),
+        top,
+        job,
+    }
+}
+
+/// The query of a request for a page of features.
+struct PageQuery {
+    /// Features of the page.
+    limit: usize,
+    /// Features before the page.
+    offset: usize,
+    /// The property that the features are sorted by, and which way.
+    order: Option<(String, Way)>,
+    bbox: Option<Bounds>,
+    datetime: Option<String>,
+    /// Parameters that links to other pages repeat.
+    repeated: Vec<(String, String)>,
+}
+
+impl PageQuery {
+    fn read(query: &str) -> Result<PageQuery, Fault> {
+        let known = [
+            "bbox", "bbox-crs", "datetime", "limit", "offset", "sortby", "f",
+        ];
+        let found = parameters(query, &known)?;
+        if found.get("bbox-crs").is_some_and(|crs| crs != CRS84) {
+            return Err(bad(format!("bbox-crs: only {CRS84}")));
+        }
+        let limit = number(&found, "limit", LIMIT)?;
+        if limit == 0 {
+            return Err(bad("limit: 1 at least"));
+        }
+        let limit = limit.min(LIMIT_MOST);
+        let offset = number(&found, "offset", 0)?;
+        if offset.saturating_add(limit) > REACH {
+            return Err(bad(format!("offset: paging goes through {REACH} features")));
+        }
+        let order = found.get("sortby").map(|text| order(text)).transpose()?;
+        let bbox = found.get("bbox").map(|text| bounds(text)).transpose()?;
+        let datetime = found
+            .get("datetime")
+            .map(|text| datetime(text))
+            .transpose()?;
+        let repeated = ["bbox", "bbox-crs", "f"].iter();
+        let mut repeated: Vec<(String, String)> = repeated
+            .filter_map(|&name| Some((name.to_string(), found.get(name)?.clone())))
+            .collect();
+        repeated.extend(datetime.clone().map(|d| ("datetime".to_string(), d)));
+        repeated.extend(
+            found
+                .get("sortby")
+                .map(|sort| ("sortby".to_string(), sort.replace(' ', "+"))),
+        );
+        Ok(PageQuery {
+            limit,
+            offset,
+            order,
+            bbox,
+            datetime,
+            repeated,
+        })
     }
 }
 
@@ -488,6 +534,7 @@
     )
 }
 
+/// The response to a query; `whole`: its core says that nothing is missing.
 fn word(context: Context, whole: bool, values: &[(Shard, Value)], gaps: &[Shard]) -> Response {
     let missing = |asked: Vec<(u32, String)>| -> Vec<String> {
         let lacks =
@@ -507,72 +554,112 @@
             asked,
             way,
         } => {
-            let missing = missing(asked);
-            let (features, all) = match way {
-                None => (merged(values), true),
-                Some(way) => ranked(values, way),
-            };
-            let counted = features.len();
-            // Guards honesty: whatever was said before, an answer that lacks a slice is not
-            // complete, nor a sorted page that features on borders have made too short while slices
-            // have more.
-            let whole = whole && missing.is_empty() && (all || counted > offset + limit);
-            let href = |offset: usize| {
-                let mut query = form_urlencoded::Serializer::new(String::new());
-                query
-                    .extend_pairs(&repeated)
-                    .append_pair("limit", &limit.to_string());
-                query.append_pair("offset", &offset.to_string());
-                format!("{address}/items?{}", query.finish())
-            };
-            let mut links = vec![
-                link(&href(offset), "self", GEOJSON),
-                link(&address, "collection", JSON),
-            ];
-            if counted > offset + limit {
-                links.push(link(&href(offset + limit), "next", GEOJSON));
-            }
-            if offset > 0 {
-                links.push(link(&href(offset.saturating_sub(limit)), "prev", GEOJSON));
-            }
-            let page: Vec<&RawValue> = features.into_iter().skip(offset).take(limit).collect();
-            let body = serde_json::to_string(&Page {
-                r#type: "FeatureCollection",
-                number_returned: page.len(),
-                number_matched: (whole && all && counted <= offset + limit).then_some(counted),
-                complete: whole,
-                missing_slices: missing,
-                links,
-                features: page,
-            });
-            let Ok(body) = body else {
-                return problem(500, "Internal error", "the page can't be written");
+            let links = PageLinks {
+                address,
+                repeated,
+                offset,
+                limit,
             };
-            marked(Response::new(200, GEOJSON, body), whole)
+            page_response(&links, way, whole, values, missing(asked))
         }
         Context::Item { address, id, asked } => {
             let whole = whole && missing(asked).is_empty();
-            let found = values
-                .iter()
-                .find_map(|v| serde_json::from_slice::<Map<String, Json>>(&v.1.bytes).ok());
-            match found {
-                // One feature is whole by itself, whichever slices are missing.
-                Some(mut feature) => {
-                    let own = link(&format!("{address}/items/{id}"), "self", GEOJSON);
-                    feature.insert(
-                        "links".into(),
-                        json!([own, link(&address, "collection", JSON)]),
-                    );
-                    marked(
-                        Response::new(200, GEOJSON, Json::Object(feature).to_string()),
-                        true,
-                    )
-                }
-                None if whole => problem(404, "Not found", "there is no such feature"),
-                // It may be in a slice that did not answer.
-                None => come_back(503, "Not all slices answered", None),
-            }
+            item_response(&address, &id, whole, values)
+        }
+    }
+}
+
+/// What the links between the pages of an answer need.
+struct PageLinks {
+    /// Address of the collection.
+    address: String,
+    /// Parameters that all pages have.
+    repeated: Vec<(String, String)>,
+    offset: usize,
+    limit: usize,
+}
+
+impl PageLinks {
+    fn href(&self, offset: usize) -> String {
+        let mut query = form_urlencoded::Serializer::new(String::new());
+        query
+            .extend_pairs(&self.repeated)
+            .append_pair("limit", &self.limit.to_string());
+        query.append_pair("offset", &offset.to_string());
+        format!("{}/items?{}", self.address, query.finish())
+    }
+
+    /// Links of a page; `counted`: features that are known, of all pages.
+    fn links(&self, counted: usize) -> Vec<Json> {
+        let (offset, limit) = (self.offset, self.limit);
+        let mut links = vec![
+            link(&self.href(offset), "self", GEOJSON),
+            link(&self.address, "collection", JSON),
+        ];
+        if counted > offset + limit {
+            links.push(link(&self.href(offset + limit), "next", GEOJSON));
+        }
+        if offset > 0 {
+            links.push(link(
+                &self.href(offset.saturating_sub(limit)),
+                "prev",
+                GEOJSON,
+            ));
+        }
+        links
+    }
+}
+
+fn page_response(
+    links: &PageLinks,
+    way: Option<Way>,
+    whole: bool,
+    values: &[(Shard, Value)],
+    missing: Vec<String>,
+) -> Response {
+    let (offset, limit) = (links.offset, links.limit);
+    let (features, all) = match way {
+        None => (merged(values), true),
+        Some(way) => ranked(values, way),
+    };
+    let counted = features.len();
+    // Guards honesty: whatever was said before, an answer that lacks a slice is not complete, nor a
+    // sorted page that features on borders have made too short while slices have more.
+    let whole = whole && missing.is_empty() && (all || counted > offset + limit);
+    let page: Vec<&RawValue> = features.into_iter().skip(offset).take(limit).collect();
+    let body = serde_json::to_string(&Page {
+        r#type: "FeatureCollection",
+        number_returned: page.len(),
+        number_matched: (whole && all && counted <= offset + limit).then_some(counted),
+        complete: whole,
+        missing_slices: missing,
+        links: links.links(counted),
+        features: page,
+    });
+    let Ok(body) = body else {
+        return problem(500, "Internal error", "the page can't be written");
+    };
+    marked(Response::new(200, GEOJSON, body), whole)
+}
+
+fn item_response(address: &str, id: &str, whole: bool, values: &[(Shard, Value)]) -> Response {
+    let found = values
+        .iter()
+        .find_map(|v| serde_json::from_slice::<Map<String, Json>>(&v.1.bytes).ok());
+    match found {
+        // One feature is complete by itself, whichever slices are missing.
+        Some(mut feature) => {
+            let itself = link(&format!("{address}/items/{id}"), "self", GEOJSON);
+            feature.insert(
+                "links".into(),
+                json!([itself, link(address, "collection", JSON)]),
+            );
+            let body = Json::Object(feature).to_string();
+            marked(Response::new(200, GEOJSON, body), true)
         }
+        None if whole => problem(404, "Not found", "there is no such feature"),
+        // It may be in a slice that did not answer.
+        None => come_back(503, "Not all slices answered", None),
     }
 }
 
--- a/src/upstream/sending.rs
+++ b/src/upstream/sending.rs
@@ -148,43 +148,14 @@
                 }
                 continue;
             }
-            let Some(mut parts) = link.waiting.pop_front() else {
+            let Some(parts) = link.waiting.pop_front() else {
                 return;
             };
-            // Guards the rule on repeats: a connection that comes up late, or a node that is slow
-            // to answer its greeting, has held this back for longer than the window bears.
-            let waits = self.limits.connect + PARKED;
-            let late = |p: &Dispatch<W::Job>| p.leave_by.is_some_and(|at| now > at.plus(waits));
-            let (kept, over): (Vec<_>, Vec<_>) = parts.drain(..).partition(|p| !late(p));
-            for part in over {
-                self.attempts.remove(&part.attempt);
-                self.ended.push(Ended {
-                    attempt: part.attempt,
-                    outcome: Outcome::Moot,
-                    value: None,
-                });
-            }
-            if kept.is_empty() {
+            let parts = self.drop_late(now, parts);
+            if parts.is_empty() {
                 continue;
             }
-            let parts = kept;
-            let mut bytes = Vec::new();
-            let names = self.wire.call(&parts, link.address, &mut bytes);
-            let out = names
-                .into_iter()
-                .zip(&parts)
-                .map(|(part, p)| Out {
-                    part,
-                    attempt: p.attempt,
-                })
-                .collect();
-            let unwritten = parts.iter().map(|p| p.class).collect();
-            link.calls.push(Call {
-                sent: now,
-                end: conn.send(&bytes),
-                parts: out,
-                unwritten,
-            });
+            self.write_call(net, now, id, &parts);
             let flushed = net.flush(id, false);
             self.count_written(net, id);
             if flushed != TransferProgress::Alive {
@@ -193,6 +164,47 @@
         }
     }
 
+    /// Ends the parts that may not leave any more, and returns the others. Guards the rule on
+    /// repeats: a connection that comes up late, or a node that is slow to answer its greeting, has
+    /// held a call back for longer than the window bears.
+    fn drop_late(&mut self, now: Time, parts: Vec<Dispatch<W::Job>>) -> Vec<Dispatch<W::Job>> {
+        let waits = self.limits.connect + PARKED;
+        let is_late = |p: &Dispatch<W::Job>| p.leave_by.is_some_and(|at| now > at.plus(waits));
+        let (late, rest): (Vec<_>, Vec<_>) = parts.into_iter().partition(is_late);
+        for part in late {
+            self.attempts.remove(&part.attempt);
+            self.ended.push(Ended {
+                attempt: part.attempt,
+                outcome: Outcome::Moot,
+                value: None,
+            });
+        }
+        rest
+    }
+
+    /// Queues a call on a connection.
+    fn write_call(&mut self, net: &mut Net, now: Time, id: ConnId, parts: &[Dispatch<W::Job>]) {
+        let (Some(link), Some(conn)) = (self.links.get_mut(&id), net.get_mut(id)) else {
+            return;
+        };
+        let mut bytes = Vec::new();
+        let names = self.wire.call(parts, link.address, &mut bytes);
+        let out = names
+            .into_iter()
+            .zip(parts)
+            .map(|(part, p)| Out {
+                part,
+                attempt: p.attempt,
+            })
+            .collect();
+        link.calls.push(Call {
+            sent: now,
+            end: conn.send(&bytes),
+            parts: out,
+            unwritten: parts.iter().map(|p| p.class).collect(),
+        });
+    }
+
     /// A connection with room for a call: one that is up, one that is being opened, or a new one,
     /// for which an idle one to another node is closed if need be.
     pub(super) fn room(
@@ -231,49 +243,58 @@
         if matches!(connected, Err(ConnectError::NoDescriptor(_))) && self.yield_idle(net, 1) > 0 {
             connected = net.connect(W::OWNER, address);
         }
-        let known = self.by_server.entry(server).or_default();
         match connected {
             Ok(id) => {
-                let (waiting, calls, settled) = (VecDeque::new(), Vec::new(), VecDeque::new());
-                // Guards memory: a node that is gone may be entered once more by what still breaks
-                // there.
-                let now = net.clock.now();
-                self.wary.retain(|_, until| now < *until);
-                // One beside others that are mute: the node itself may stand still.
-                let mute = known
-                    .iter()
-                    .any(|id| self.links.get(id).is_some_and(|l| l.mute));
-                let wary = mute || self.wary.contains_key(&server);
-                let greeting = if wary { Greeting::Due } else { Greeting::Done };
-                let link = Link {
-                    server,
-                    address,
-                    waiting,
-                    calls,
-                    greeting,
-                    settled,
-                    begun: None,
-                    mute: false,
-                    outdone: None,
-                };
-                known.push(id);
-                self.links.insert(id, link);
-                let at = net.clock.now().plus(self.limits.connect);
-                net.wheel.set(at, Timer::Conn(id));
+                self.add_link(net, server, address, id);
                 Ok(id)
             }
-            Err(denied) => {
-                if known.is_empty() {
-                    self.by_server.remove(&server);
-                }
-                match denied {
-                    ConnectError::NoDescriptor(_) => Err(Closed::Ours),
-                    ConnectError::Failed(e) => {
-                        self.log
-                            .push(format!("connect to server {} failed: {e}", server.0));
-                        Err(Closed::Theirs)
-                    }
-                }
+            Err(error) => Err(self.not_connected(server, error)),
+        }
+    }
+
+    /// Adds a connection that is being opened.
+    fn add_link(&mut self, net: &mut Net, server: ServerId, address: SocketAddr, id: ConnId) {
+        let now = net.clock.now();
+        // Guards memory: a node that is gone may be entered once more by what still breaks there.
+        self.wary.retain(|_, until| now < *until);
+        let known = self.by_server.entry(server).or_default();
+        // One beside others that are mute: the node itself may stand still.
+        let is_beside_mute = known
+            .iter()
+            .any(|id| self.links.get(id).is_some_and(|l| l.mute));
+        let greeting = if is_beside_mute || self.wary.contains_key(&server) {
+            Greeting::Due
+        } else {
+            Greeting::Done
+        };
+        known.push(id);
+        let link = Link {
+            server,
+            address,
+            waiting: VecDeque::new(),
+            calls: Vec::new(),
+            greeting,
+            settled: VecDeque::new(),
+            begun: None,
+            mute: false,
+            outdone: None,
+        };
+        self.links.insert(id, link);
+        let at = net.clock.now().plus(self.limits.connect);
+        net.wheel.set(at, Timer::Conn(id));
+    }
+
+    /// No connection could be opened.
+    fn not_connected(&mut self, server: ServerId, error: ConnectError) -> Closed {
+        if self.by_server.get(&server).is_none_or(Vec::is_empty) {
+            self.by_server.remove(&server);
+        }
+        match error {
+            ConnectError::NoDescriptor(_) => Closed::Ours,
+            ConnectError::Failed(e) => {
+                self.log
+                    .push(format!("connect to server {} failed: {e}", server.0));
+                Closed::Theirs
             }
         }
     }
