--- a/experiments/src/discovery.rs
+++ b/experiments/src/discovery.rs
@@ -2,7 +2,7 @@
 //! calls at its own pace, and discovery handles one call after another and fails those that have
 //! waited for too long.
 
-use lichenswitch::decide::membership::pace::Pace;
+use lichenswitch::decide::discovery::call_pacer::CallPacer;
 use lichenswitch::interface::{Micros, Time};
 use serde::Serialize;
 use std::collections::VecDeque;
@@ -67,15 +67,15 @@
 /// Plays one return of discovery to so many brokers.
 #[must_use]
 pub fn play(seed: u64, brokers: u32, kind: Kind) -> Figures {
-    let mut paces: Vec<Pace> = (0..brokers)
-        .map(|i| Pace::new(seed << 16 | u64::from(i), brokers, EVERY))
+    let mut pacers: Vec<CallPacer> = (0..brokers)
+        .map(|i| CallPacer::new(seed << 16 | u64::from(i), brokers, EVERY))
         .collect();
-    let patience = paces[0].watch().begins();
+    let patience = pacers[0].watch_times().first_timeout();
     // All watches end as discovery goes down; each of them was answered often before.
     let mut states: Vec<State> = Vec::new();
-    for pace in &mut paces {
-        (0..50).for_each(|_| _ = pace.on_answer(DOWN));
-        states.push(State::Waits(pace.on_failure(DOWN, DOWN).at));
+    for pacer in &mut pacers {
+        (0..50).for_each(|_| _ = pacer.on_answer(DOWN));
+        states.push(State::Waits(pacer.on_failure(DOWN, DOWN).at));
     }
     let (mut queue, mut free) = (VecDeque::<(Time, usize)>::new(), BACK);
     let (mut refused, mut calls, mut failed) = (0_usize, 0, 0);
@@ -87,7 +87,7 @@
             match *state {
                 State::Waits(at) if at <= now && now < BACK => {
                     refused += 1;
-                    *state = State::Waits(paces[i].on_failure(now, now).at);
+                    *state = State::Waits(pacers[i].on_failure(now, now).at);
                 }
                 State::Waits(at) if at <= now => {
                     calls += 1;
@@ -96,11 +96,11 @@
                 }
                 State::Out(began) if now.since(began) >= patience => {
                     failed += 1;
-                    *state = State::Waits(paces[i].on_silence(now, began).at);
+                    *state = State::Waits(pacers[i].on_silence(now, began).at);
                 }
                 State::Out(began) if now.since(began) >= kind.fails_after_ms * MS => {
                     failed += 1;
-                    *state = State::Waits(paces[i].on_failure(now, began).at);
+                    *state = State::Waits(pacers[i].on_failure(now, began).at);
                 }
                 _ => {}
             }
@@ -113,7 +113,7 @@
             if waits {
                 heard.push(now.since(BACK));
                 states[i] = State::Told;
-                paces[i].on_answer(now);
+                pacers[i].on_answer(now);
             }
             if waits || kind.works_in_vain {
                 free = free.max(now.minus(MS)).plus(handles);
--- a/experiments/src/members.rs
+++ b/experiments/src/members.rs
@@ -2,7 +2,7 @@
 //! fleet: brokers that talk over a network which loses one message in a hundred, and of which one
 //! after the other dies.
 
-use lichenswitch::decide::fleet::{Fleet, Member, Rules, Verdict};
+use lichenswitch::decide::failure_detector::{FailureDetector, Member, SwimConfig, Verdict};
 use lichenswitch::interface::{Micros, Time};
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -49,7 +49,7 @@
 type Way = Reverse<(Time, u64, usize, Vec<u8>)>;
 
 struct World {
-    fleets: Vec<Option<Fleet>>,
+    fleets: Vec<Option<FailureDetector>>,
     timers: BinaryHeap<Reverse<(Time, usize)>>,
     ways: BinaryHeap<Way>,
     dice: Xoshiro256PlusPlus,
@@ -62,19 +62,19 @@
 impl World {
     fn new(seed: u64, count: usize) -> World {
         let address = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
-        let member = |i: usize, life| Member {
+        let member = |i: usize, incarnation| Member {
             name: format!("n{i}"),
             address,
             zone: String::new(),
-            life,
+            incarnation,
         };
         let fleet = |i: usize| {
             let seeds = (0..SEEDS.min(count)).map(|s| member(s, 0)).collect();
-            Some(Fleet::new(
+            Some(FailureDetector::new(
                 START,
                 member(i, START.0),
                 seeds,
-                Rules::default(),
+                SwimConfig::default(),
                 seed ^ (i as u64) << 20,
             ))
         };
--- a/src/broker.rs
+++ b/src/broker.rs
@@ -4,7 +4,7 @@
 use crate::config;
 use crate::contract::Contracts;
 use crate::core::Core;
-use crate::decide::membership::pace::Pace;
+use crate::decide::discovery::call_pacer::CallPacer;
 use crate::decide::phases::Planner;
 use crate::discovery::{Directory, Discovery, Instance, Lifecycle};
 use crate::front::ogc::Ogc;
@@ -13,7 +13,7 @@
 use crate::interface::{self, Micros, ServerListUpdate, Time};
 use crate::management::{self, ManagementHandle};
 use crate::net::{self, ConnId, Net, Owner, Ready, Signal, Timer};
-use crate::peer::group::PeerGroup;
+use crate::peer::group::{JoinError, PeerGroup};
 use crate::service::Service;
 use crate::upstream::frames::Frames;
 use crate::upstream::ogc::Features;
@@ -165,9 +165,9 @@
         });
         let pace = match told.settings.discovery {
             interface::Discovery::Ask(every) => {
-                Pace::new(told.seed, told.settings.instances, every)
+                CallPacer::new(told.seed, told.settings.instances, every)
             }
-            interface::Discovery::Push => Pace::at_agent(told.seed),
+            interface::Discovery::Push => CallPacer::for_agent(told.seed),
         };
         let mut core = Core::new(told.seed, told.settings, Contracts::default(), told.memory);
         core.plan_by(Planner::new(told.phases.rules), told.phases.explain);
@@ -271,7 +271,7 @@
     ///
     /// # Errors
     /// When the address for them can't be listened on.
-    pub fn join(&mut self, told: config::Peers) -> Result<(), String> {
+    pub fn join(&mut self, told: config::Peers) -> Result<(), JoinError> {
         self.peers = Some(PeerGroup::new(&mut self.net, told)?);
         Ok(())
     }
@@ -309,7 +309,7 @@
                     Ready::Conn(id, Owner::PeerIn | Owner::PeerOut) => {
                         self.peers
                             .iter_mut()
-                            .for_each(|c| c.ready(&mut self.net, id));
+                            .for_each(|c| c.on_ready(&mut self.net, id));
                     }
                     Ready::Listener(owner) => each_service!(self, |net, service| {
                         if service.owner == owner {
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -173,7 +173,9 @@
 
     /// Takes over what the operators' file says of the platform's classes.
     pub fn apply(mut self, operators: &Operators) -> Result<Platform, String> {
-        self.phases = operators.phases(&self.classes, &mut self.settings)?;
+        self.phases = operators
+            .phases(&self.classes, &mut self.settings)
+            .map_err(|e| e.to_string())?;
         Ok(self)
     }
 }
@@ -249,7 +251,7 @@
             return Ok(None);
         };
         let at = |line: u64| format!("{name}:{line}: ");
-        let here = |line: u64, key: &str, why: String| operators.fault(line, key, &why);
+        let here = |line: u64, key: &str, why: String| operators.fault(line, key, &why).to_string();
         let beside = |other: &Path| path.parent().unwrap_or(Path::new("")).join(other);
         let line = listen.referenced.line();
         let address = address(&listen.value, "listen").map_err(|why| at(line) + &why)?;
@@ -348,7 +350,9 @@
             .iter_mut()
             .for_each(|class| class.second_step = 0);
         let mut contracts = inventory.contracts(&classes)?;
-        let phases = operators.sorted(&classes, &mut settings, &mut collections, &mut contracts)?;
+        let phases = operators
+            .sorted(&classes, &mut settings, &mut collections, &mut contracts)
+            .map_err(|e| e.to_string())?;
         if let Some(budget) = Contracts::new(contracts.clone()).budget() {
             settings.limits.budget = Some(budget);
         }
--- a/src/config/operators.rs
+++ b/src/config/operators.rs
@@ -57,6 +57,36 @@
     pub explain: bool,
 }
 
+/// Why the operators' file can't be used.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum OperatorsError {
+    /// It can't be read.
+    #[error("{0}")]
+    File(String),
+    /// It is not of the right form.
+    #[error("{}:{line}: {reason}", path.display())]
+    Syntax {
+        /// The file.
+        path: PathBuf,
+        /// The line, from 1; 0: not known.
+        line: u64,
+        /// What the parser says.
+        reason: String,
+    },
+    /// The value of a key is missing or wrong.
+    #[error("{}:{line}: {key}: {reason}", path.display())]
+    Value {
+        /// The file.
+        path: PathBuf,
+        /// The line, from 1; 0: the key is missing.
+        line: u64,
+        /// The key.
+        key: String,
+        /// What is wrong with it.
+        reason: String,
+    },
+}
+
 /// The operators' file, read and of the right form.
 #[derive(Default)]
 pub struct Operators {
@@ -69,7 +99,7 @@
 impl Operators {
     /// Reads the file; without one, all sections are off. One that the environment names has to be
     /// there.
-    pub fn from_env(env: impl Fn(&str) -> Option<String>) -> Result<Operators, String> {
+    pub fn from_env(env: impl Fn(&str) -> Option<String>) -> Result<Operators, OperatorsError> {
         let told = env("LICHENSWITCH_CONFIG").map(PathBuf::from);
         let path = told.clone().unwrap_or_else(|| FILE.into());
         if told.is_none() && !path.exists() {
@@ -79,8 +109,8 @@
     }
 
     /// Reads the file. Paths in it start from its folder.
-    pub fn load(path: &Path) -> Result<Operators, String> {
-        let text = read_text(path)?;
+    pub fn load(path: &Path) -> Result<Operators, OperatorsError> {
+        let text = read_text(path).map_err(OperatorsError::File)?;
         // A file of comments alone is an empty one.
         let empty = text
             .lines()
@@ -88,13 +118,10 @@
         let read: File = if empty {
             File::default()
         } else {
-            serde_saphyr::from_str(&text).map_err(|e| {
-                let line = e.location().map_or(0, |l| l.line());
-                format!(
-                    "{}:{line}: {}",
-                    path.display(),
-                    e.to_string().lines().next().unwrap_or_default()
-                )
+            serde_saphyr::from_str(&text).map_err(|e| OperatorsError::Syntax {
+                path: path.into(),
+                line: e.location().map_or(0, |l| l.line()),
+                reason: e.to_string().lines().next().unwrap_or_default().into(),
             })?
         };
         Ok(Operators {
@@ -105,13 +132,23 @@
         })
     }
 
-    /// A message about a key in a line of the file.
-    pub(super) fn fault(&self, line: u64, key: &str, why: &str) -> String {
-        format!("{}:{line}: {key}: {why}", self.path.display())
+    /// The error that the value of a key in a line of the file is wrong; line 0: it is missing.
+    pub(super) fn fault(&self, line: u64, key: &str, reason: &str) -> OperatorsError {
+        OperatorsError::Value {
+            path: self.path.clone(),
+            line,
+            key: key.into(),
+            reason: reason.into(),
+        }
     }
 
     /// A share, checked.
-    fn share(&self, told: Option<&Spanned<f64>>, key: &str, otherwise: f64) -> Result<f64, String> {
+    fn share(
+        &self,
+        told: Option<&Spanned<f64>>,
+        key: &str,
+        otherwise: f64,
+    ) -> Result<f64, OperatorsError> {
         let Some(told) = told else {
             return Ok(otherwise);
         };
@@ -127,7 +164,11 @@
 
     /// The rules for two phases of these classes; what they may take of the aim goes into the
     /// settings.
-    pub fn phases(&self, classes: &[String], settings: &mut Settings) -> Result<Phases, String> {
+    pub fn phases(
+        &self,
+        classes: &[String],
+        settings: &mut Settings,
+    ) -> Result<Phases, OperatorsError> {
         let Some(told) = &self.phases else {
             return Ok(Phases::default());
         };
@@ -158,7 +199,11 @@
 
     /// The rules of a class, from its entry or by default; its share of the aim goes into the
     /// settings.
-    fn rules(&self, entry: Option<&PhasesClass>, class: &mut Class) -> Result<Rules, String> {
+    fn rules(
+        &self,
+        entry: Option<&PhasesClass>,
+        class: &mut Class,
+    ) -> Result<Rules, OperatorsError> {
         let told =
             |pick: fn(&PhasesClass) -> &Option<Spanned<f64>>| entry.and_then(|e| pick(e).as_ref());
         class.first_share =
@@ -180,7 +225,7 @@
         settings: &mut Settings,
         collections: &mut [Collection],
         contracts: &mut [(String, Contract)],
-    ) -> Result<Phases, String> {
+    ) -> Result<Phases, OperatorsError> {
         let entries = self.phases.as_ref().map_or(&[][..], |told| &told.classes);
         if let Some(e) = entries.iter().find(|e| !classes.contains(&e.class.value)) {
             let why = format!("there is no class {:?}", e.class.value);
--- a/src/config/peers.rs
+++ b/src/config/peers.rs
@@ -1,7 +1,9 @@
-//! The section `peers` of the operators' file: brokers' talk. Without it there is none.
+//! The section `peers` of the operators' file: the protocol between brokers. Without the section there
+//! is none.
 
+use super::operators::OperatorsError;
 use super::{address, Operators, Platform};
-use crate::decide::fleet::{Member, Rules};
+use crate::decide::failure_detector::{Member, SwimConfig};
 use crate::decide::lease::LeaseTerms;
 use crate::interface::Micros;
 use crate::peer::consensus::ConsensusConfig;
@@ -9,20 +11,22 @@
 use serde_saphyr::Spanned;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 use std::path::PathBuf;
 
-/// Longest name of a cluster, broker or zone, in bytes: they travel with messages.
-const NAME: usize = 64;
-/// Bounds of the times, milliseconds.
-const PROBE: (u64, u64) = (20, 60_000);
-const SUSPICION: (u64, u64) = (100, 600_000);
-const LEASE: (u64, u64) = (500, 600_000);
+/// The longest name of a cluster, broker or zone (bytes): names travel with messages.
+const MAX_NAME_BYTES: usize = 64;
+/// Bounds of the times (milliseconds).
+const PROBE_MS: RangeInclusive<u64> = 20..=60_000;
+const SUSPICION_MS: RangeInclusive<u64> = 100..=600_000;
+const LEASE_MS: RangeInclusive<u64> = 500..=600_000;
 /// How many voters there may be: one of three may fail, three of seven.
-const VOTERS: (usize, usize) = (3, 7);
-/// Default lease (microseconds), and how far clocks may be off, millionths: two hundred times what
-/// crystals are, since clocks of virtual machines are slewed.
-const USUAL_LEASE: Micros = 3_000_000;
-const DRIFT: u64 = 20_000;
+const VOTERS: RangeInclusive<usize> = 3..=7;
+/// The default duration of a lease (microseconds).
+const DEFAULT_LEASE: Micros = 3_000_000;
+/// How far clocks may be off, in millionths: two hundred times what crystals are, since the clocks
+/// of virtual machines are slewed.
+const CLOCK_DRIFT: u64 = 20_000;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -60,30 +64,31 @@
     zone: Option<Spanned<String>>,
 }
 
-/// How this broker talks with others.
+/// How this broker takes part in the protocol between brokers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Peers {
-    /// Whom it talks with: those of the same cluster.
+    /// The cluster: brokers of others are rejected.
     pub cluster: String,
-    /// Where it listens for them.
+    /// Where it listens for other brokers.
     pub listen: SocketAddr,
-    /// Its name, zone and the address that it tells others; its life begins with its start.
+    /// Its name, its zone and the address that others are told; its incarnation begins with its
+    /// start.
     pub own: Member,
-    /// Some others, by which it finds the fleet. Their addresses hold here, whatever they say of
-    /// themselves.
+    /// Some other brokers, by which it finds the cluster. Their addresses hold here, whatever they
+    /// say of themselves.
     pub known: Vec<Member>,
-    /// How the fleet is watched.
-    pub rules: Rules,
+    /// The times of the failure detector.
+    pub swim: SwimConfig,
     /// For random numbers.
     pub seed: u64,
-    /// The voters' log and the duties; `None`: no voters are named.
+    /// The consensus; `None`: no voters are named.
     pub consensus: Option<ConsensusConfig>,
 }
 
 impl Peers {
-    /// Where the known ones are reached, by name.
+    /// The addresses of the known brokers, by name.
     #[must_use]
-    pub fn ways(&self) -> BTreeMap<String, SocketAddr> {
+    pub fn routes(&self) -> BTreeMap<String, SocketAddr> {
         self.known
             .iter()
             .map(|m| (m.name.clone(), m.address))
@@ -91,198 +96,268 @@
     }
 
     /// Reads the section; `None` where there is none. Name and zone are by default the platform's.
+    ///
+    /// # Errors
+    /// At the first value that is missing, out of bounds or contradicts another one.
     pub fn load(
         operators: &Operators,
         platform: Option<&Platform>,
-    ) -> Result<Option<Peers>, String> {
-        let Some(read) = &operators.peers else {
+    ) -> Result<Option<Peers>, OperatorsError> {
+        let Some(file) = &operators.peers else {
             return Ok(None);
         };
-        let fault = |line: u64, key: &str, why: &str| operators.fault(line, key, why);
-        let named = |told: &Spanned<String>, key: &str| {
-            let text = told.value.trim();
-            if text.is_empty() || text.len() > NAME {
-                return Err(fault(
-                    told.referenced.line(),
-                    key,
-                    &format!("{text:?} has not 1 to {NAME} bytes"),
-                ));
+        let reader = SectionReader { operators, file };
+        let listen = reader.address(&file.listen, "listen")?;
+        let own = reader.own(listen, platform)?;
+        let mut known = reader.known()?;
+        // The same file may serve all brokers: a broker need not know itself.
+        known.retain(|m| m.name != own.name);
+        let swim = reader.swim()?;
+        let consensus = reader.consensus(&own, &known)?;
+        Ok(Some(Peers {
+            cluster: reader.name(&file.cluster, "cluster")?,
+            listen,
+            own,
+            known,
+            swim,
+            seed: platform.map_or(0, |p| p.seed),
+            consensus,
+        }))
+    }
+}
+
+/// Reads and checks the values of the section.
+struct SectionReader<'a> {
+    operators: &'a Operators,
+    file: &'a PeersFile,
+}
+
+/// The line of a value.
+fn line<T>(value: &Spanned<T>) -> u64 {
+    value.referenced.line()
+}
+
+impl SectionReader<'_> {
+    fn fault<T>(&self, value: &Spanned<T>, key: &str, reason: &str) -> OperatorsError {
+        self.operators.fault(line(value), key, reason)
+    }
+
+    /// A name of a cluster, broker, zone or role.
+    fn name(&self, value: &Spanned<String>, key: &str) -> Result<String, OperatorsError> {
+        let text = value.value.trim();
+        if text.is_empty() || text.len() > MAX_NAME_BYTES {
+            let reason = format!("{text:?} has not 1 to {MAX_NAME_BYTES} bytes");
+            return Err(self.fault(value, key, &reason));
+        }
+        Ok(text.to_string())
+    }
+
+    /// Names that differ from each other.
+    fn names(&self, values: &[Spanned<String>], key: &str) -> Result<Vec<String>, OperatorsError> {
+        let mut names: Vec<String> = Vec::new();
+        for value in values {
+            let name = self.name(value, key)?;
+            if names.contains(&name) {
+                let reason = format!("{name:?} is there twice");
+                return Err(self.fault(value, key, &reason));
             }
-            Ok(text.to_string())
+            names.push(name);
+        }
+        Ok(names)
+    }
+
+    /// A name, by default the platform's.
+    fn name_or_platform(
+        &self,
+        value: Option<&Spanned<String>>,
+        key: &str,
+        platform: Option<&String>,
+    ) -> Result<String, OperatorsError> {
+        let missing = || {
+            self.operators
+                .fault(0, key, "missing, and so is NODE_CONFIG")
         };
-        let at = |told: &Spanned<String>, key: &str| {
-            let line = told.referenced.line();
-            let address =
-                address(&told.value, key).map_err(|why| operators.fault(line, "peers", &why))?;
-            match address.ip().is_unspecified() && key != "listen" || address.port() == 0 {
-                true => Err(fault(
-                    line,
-                    key,
-                    &format!("{address} is nowhere to connect to"),
-                )),
-                false => Ok(address),
-            }
+        match value {
+            Some(value) => self.name(value, key),
+            None => platform.cloned().ok_or_else(missing),
+        }
+    }
+
+    /// An address with a port; only `listen` may stand for every address of the machine.
+    fn address(&self, value: &Spanned<String>, key: &str) -> Result<SocketAddr, OperatorsError> {
+        let address =
+            address(&value.value, key).map_err(|reason| self.fault(value, "peers", &reason))?;
+        let is_any = address.ip().is_unspecified() && key != "listen";
+        if is_any || address.port() == 0 {
+            let reason = format!("{address} is nowhere to connect to");
+            return Err(self.fault(value, key, &reason));
+        }
+        Ok(address)
+    }
+
+    /// A time in milliseconds within bounds, in microseconds.
+    fn time(
+        &self,
+        value: Option<&Spanned<u64>>,
+        key: &str,
+        bounds: &RangeInclusive<u64>,
+        default: Micros,
+    ) -> Result<Micros, OperatorsError> {
+        let Some(value) = value else {
+            return Ok(default);
         };
-        let or_platform =
-            |told: &Option<Spanned<String>>, key: &str, platform: Option<&String>| match told {
-                Some(told) => named(told, key),
-                None => platform
-                    .cloned()
-                    .ok_or_else(|| operators.fault(0, key, "missing, and so is NODE_CONFIG")),
-            };
-        let listen = at(&read.listen, "listen")?;
-        let advertised = match &read.advertise {
-            Some(told) => at(told, "advertise")?,
+        if !bounds.contains(&value.value) {
+            let (least, most) = (bounds.start(), bounds.end());
+            let reason = format!("{} is not within {least} to {most}", value.value);
+            return Err(self.fault(value, key, &reason));
+        }
+        Ok(value.value * 1_000)
+    }
+
+    /// This broker as others are told.
+    fn own(
+        &self,
+        listen: SocketAddr,
+        platform: Option<&Platform>,
+    ) -> Result<Member, OperatorsError> {
+        let file = self.file;
+        let advertised = match &file.advertise {
+            Some(value) => self.address(value, "advertise")?,
             None if listen.ip().is_unspecified() => {
-                let why = "missing, and listen names no one address";
-                return Err(fault(read.listen.referenced.line(), "advertise", why));
+                let reason = "missing, and listen names no one address";
+                return Err(self.fault(&file.listen, "advertise", reason));
             }
             None => listen,
         };
+        let name = platform.map(|p| &p.name);
         let zone = platform.and_then(|p| p.zones.get(p.settings.zone as usize));
-        let own = Member {
-            name: or_platform(&read.name, "name", platform.map(|p| &p.name))?,
+        Ok(Member {
+            name: self.name_or_platform(file.name.as_ref(), "name", name)?,
             address: advertised,
-            zone: or_platform(&read.zone, "zone", zone)?,
-            life: 0,
-        };
+            zone: self.name_or_platform(file.zone.as_ref(), "zone", zone)?,
+            incarnation: 0,
+        })
+    }
+
+    /// The brokers that the file names.
+    fn known(&self) -> Result<Vec<Member>, OperatorsError> {
         let mut known: Vec<Member> = Vec::new();
-        for told in &read.known {
-            let name = named(&told.name, "name")?;
+        for entry in &self.file.known {
+            let name = self.name(&entry.name, "name")?;
             if known.iter().any(|m| m.name == name) {
-                return Err(fault(
-                    told.name.referenced.line(),
-                    "name",
-                    &format!("{name:?} is there twice"),
-                ));
+                let reason = format!("{name:?} is there twice");
+                return Err(self.fault(&entry.name, "name", &reason));
             }
-            let zone = told
-                .zone
-                .as_ref()
-                .map_or(Ok(String::new()), |zone| named(zone, "zone"))?;
+            let zone = match &entry.zone {
+                Some(zone) => self.name(zone, "zone")?,
+                None => String::new(),
+            };
             known.push(Member {
                 name,
-                address: at(&told.address, "address")?,
+                address: self.address(&entry.address, "address")?,
                 zone,
-                life: 0,
+                incarnation: 0,
             });
         }
-        // The same file may serve all brokers: a broker need not know itself.
-        known.retain(|m| m.name != own.name);
-        let usual = Rules::default();
-        let time = |told: &Option<Spanned<u64>>,
-                    key: &str,
-                    (least, most): (u64, u64),
-                    usual: Micros| match told {
-            Some(t) if t.value < least || t.value > most => Err(fault(
-                t.referenced.line(),
-                key,
-                &format!("{} is not within {least} to {most}", t.value),
-            )),
-            told => Ok(told.as_ref().map_or(usual, |t| t.value * 1_000)),
-        };
-        let probe = time(&read.probe_ms, "probe_ms", PROBE, usual.probe)?;
-        let suspicion = time(
-            &read.suspicion_ms,
+        Ok(known)
+    }
+
+    /// The times of the failure detector.
+    fn swim(&self) -> Result<SwimConfig, OperatorsError> {
+        let (file, default) = (self.file, SwimConfig::default());
+        let probe_interval = self.time(
+            file.probe_ms.as_ref(),
+            "probe_ms",
+            &PROBE_MS,
+            default.probe_interval,
+        )?;
+        let suspicion_timeout = self.time(
+            file.suspicion_ms.as_ref(),
             "suspicion_ms",
-            SUSPICION,
-            usual.suspicion,
+            &SUSPICION_MS,
+            default.suspicion_timeout,
         )?;
-        if suspicion < 2 * probe {
-            let line = read
-                .suspicion_ms
-                .as_ref()
-                .or(read.probe_ms.as_ref())
-                .map_or(0, |t| t.referenced.line());
-            let why = format!(
+        if suspicion_timeout < 2 * probe_interval {
+            let value = file.suspicion_ms.as_ref().or(file.probe_ms.as_ref());
+            let reason = format!(
                 "{} ms is less than two probes of {} ms: nobody could refute it",
-                suspicion / 1_000,
-                probe / 1_000
+                suspicion_timeout / 1_000,
+                probe_interval / 1_000
             );
-            return Err(fault(line, "suspicion_ms", &why));
+            let line = value.map_or(0, line);
+            return Err(self.operators.fault(line, "suspicion_ms", &reason));
         }
-        let patience = usual.patience * probe / usual.probe;
-        let lease = time(&read.lease_ms, "lease_ms", LEASE, USUAL_LEASE)?;
-        let names = |told: &[Spanned<String>], key: &str| {
-            let mut names: Vec<String> = Vec::new();
-            for name in told {
-                let line = name.referenced.line();
-                let name = named(name, key)?;
-                if names.contains(&name) {
-                    return Err(fault(line, key, &format!("{name:?} is there twice")));
-                }
-                names.push(name);
-            }
-            Ok(names)
-        };
-        let (voters, duties) = (
-            names(&read.voters, "voters")?,
-            names(&read.duties, "duties")?,
-        );
-        let folder = read.folder.as_ref().map(|told| match told.value.trim() {
-            "" => Err(fault(
-                told.referenced.line(),
-                "folder",
-                "it names no folder",
-            )),
-            path => Ok(PathBuf::from(path)),
-        });
+        Ok(SwimConfig {
+            probe_interval,
+            probe_timeout: default.probe_timeout * probe_interval / default.probe_interval,
+            suspicion_timeout,
+            ..default
+        })
+    }
+
+    /// The voters, and this broker's storage and roles; `None`: no voters are named.
+    fn consensus(
+        &self,
+        own: &Member,
+        known: &[Member],
+    ) -> Result<Option<ConsensusConfig>, OperatorsError> {
+        let file = self.file;
+        let lease = self.time(file.lease_ms.as_ref(), "lease_ms", &LEASE_MS, DEFAULT_LEASE)?;
+        let voters = self.names(&file.voters, "voters")?;
+        let roles = self.names(&file.duties, "duties")?;
+        let folder = file.folder.as_ref().map(|value| self.folder(value));
         let folder = folder.transpose()?;
-        let first = read.voters.first().map_or(0, |v| v.referenced.line());
-        if !voters.is_empty() && !(VOTERS.0..=VOTERS.1).contains(&voters.len()) {
-            let why = format!(
-                "{} are named, {} to {} can agree",
-                voters.len(),
-                VOTERS.0,
-                VOTERS.1
-            );
-            return Err(fault(first, "voters", &why));
-        }
-        let knows = |name: &String| *name == own.name || known.iter().any(|m| m.name == *name);
-        if let Some((name, told)) = voters
-            .iter()
-            .zip(&read.voters)
-            .find(|(name, _)| !knows(name))
-        {
-            let why = format!("{name:?} is not among known: nobody could find it");
-            return Err(fault(told.referenced.line(), "voters", &why));
-        }
-        if voters.is_empty() {
-            let orphan = read
-                .duties
-                .first()
-                .map(|d| (d, "duties"))
-                .or(read.folder.as_ref().map(|f| (f, "folder")));
-            if let Some((told, key)) = orphan {
-                let why = "there are no voters to agree on anything: name three to seven";
-                return Err(fault(told.referenced.line(), key, why));
-            }
-        }
+        self.check_voters(&voters, own, known)?;
         let terms = LeaseTerms {
             lease,
-            drift: DRIFT,
+            drift: CLOCK_DRIFT,
         };
-        let consensus = (!voters.is_empty()).then_some(ConsensusConfig {
+        Ok((!voters.is_empty()).then_some(ConsensusConfig {
             voters,
             folder,
-            roles: duties,
+            roles,
             terms,
-        });
-        Ok(Some(Peers {
-            consensus,
-            cluster: named(&read.cluster, "cluster")?,
-            listen,
-            own,
-            known,
-            rules: Rules {
-                probe,
-                patience,
-                suspicion,
-                ..usual
-            },
-            seed: platform.map_or(0, |p| p.seed),
         }))
     }
+
+    fn folder(&self, value: &Spanned<String>) -> Result<PathBuf, OperatorsError> {
+        match value.value.trim() {
+            "" => Err(self.fault(value, "folder", "it names no folder")),
+            path => Ok(PathBuf::from(path)),
+        }
+    }
+
+    /// There are enough voters and not too many, each of them is known, and nothing is set that
+    /// needs voters where there are none.
+    fn check_voters(
+        &self,
+        voters: &[String],
+        own: &Member,
+        known: &[Member],
+    ) -> Result<(), OperatorsError> {
+        let file = self.file;
+        let Some(first) = file.voters.first() else {
+            let roles = file.duties.first().map(|value| (value, "duties"));
+            let folder = file.folder.as_ref().map(|value| (value, "folder"));
+            let Some((value, key)) = roles.or(folder) else {
+                return Ok(());
+            };
+            let reason = "there are no voters to agree on anything: name three to seven";
+            return Err(self.fault(value, key, reason));
+        };
+        if !VOTERS.contains(&voters.len()) {
+            let (count, least, most) = (voters.len(), VOTERS.start(), VOTERS.end());
+            let reason = format!("{count} are named, {least} to {most} can agree");
+            return Err(self.fault(first, "voters", &reason));
+        }
+        let is_known = |name: &String| *name == own.name || known.iter().any(|m| m.name == *name);
+        let mut named = voters.iter().zip(&file.voters);
+        if let Some((name, value)) = named.find(|(name, _)| !is_known(name)) {
+            let reason = format!("{name:?} is not among known: nobody could find it");
+            return Err(self.fault(value, "voters", &reason));
+        }
+        Ok(())
+    }
 }
 
 #[cfg(test)]
--- a/src/config/peers/tests.rs
+++ b/src/config/peers/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::testing::Folder;
 
-fn load(text: &str) -> Result<Option<Peers>, String> {
+fn load(text: &str) -> Result<Option<Peers>, OperatorsError> {
     let folder = Folder::new(&[("f.yaml", text)]);
     Peers::load(&Operators::load(&folder.path().join("f.yaml"))?, None)
 }
@@ -12,12 +12,12 @@
         - {name: n0, address: \"127.0.0.1:9000\"}\n    - {name: n1, address: \"127.0.0.1:9001\", zone: b}\n";
 
 #[test]
-fn the_section_is_read_with_its_defaults_and_a_broker_does_not_know_itself() {
+fn section_is_read_with_its_defaults_and_without_the_broker_itself() {
     assert_eq!(load("phases:\n  explain: false\n"), Ok(None));
     let peers = load(SOUND).unwrap().unwrap();
     assert_eq!(
-        (peers.known.len(), peers.known[0].name.as_str(), peers.rules),
-        (1, "n1", Rules::default())
+        (peers.known.len(), peers.known[0].name.as_str(), peers.swim),
+        (1, "n1", SwimConfig::default())
     );
     assert_eq!(peers.own.address, peers.listen);
     let quick = load(&format!("{SOUND}  probe_ms: 100\n  suspicion_ms: 400\n"))
@@ -25,17 +25,17 @@
         .unwrap();
     assert_eq!(
         (
-            quick.rules.probe,
-            quick.rules.patience,
-            quick.rules.suspicion
+            quick.swim.probe_interval,
+            quick.swim.probe_timeout,
+            quick.swim.suspicion_timeout
         ),
         (100_000, 30_000, 400_000)
     );
 }
 
 #[test]
-fn each_fault_is_told_with_its_line_and_key() {
-    let long = "n".repeat(NAME + 1);
+fn error_names_line_and_key() {
+    let long = "n".repeat(MAX_NAME_BYTES + 1);
     let cases = [
         (
             "cluster: c",
@@ -111,8 +111,8 @@
         ),
         ("  zone: a\n", "  zone: a\n  colour: red\n", "f.yaml:6: "),
     ];
-    for (from, to, why) in cases {
-        let told = load(&SOUND.replacen(from, to, 1)).unwrap_err();
-        assert!(told.contains(why), "{told}, not {why}");
+    for (from, to, reason) in cases {
+        let error = load(&SOUND.replacen(from, to, 1)).unwrap_err().to_string();
+        assert!(error.contains(reason), "{error}, not {reason}");
     }
 }
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -132,7 +132,7 @@
     ];
     let folder = Folder::new(&files);
     Ogc::load(
-        &Operators::load(&folder.path().join("lichenswitch.yaml"))?,
+        &Operators::load(&folder.path().join("lichenswitch.yaml")).map_err(|e| e.to_string())?,
         None,
     )
 }
@@ -225,7 +225,9 @@
 
 fn phases(text: &str) -> Result<Platform, String> {
     let folder = Folder::new(&[("lichenswitch.yaml", text)]);
-    parse(TWO_STEPS)?.apply(&Operators::load(&folder.path().join("lichenswitch.yaml"))?)
+    parse(TWO_STEPS)?.apply(
+        &Operators::load(&folder.path().join("lichenswitch.yaml")).map_err(|e| e.to_string())?,
+    )
 }
 
 #[test]
--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -3,14 +3,14 @@
 //! The decision module says when to ask and how long to wait after a failure at least; where lists
 //! are pushed to an agent of this machine it says nothing, and the watch is kept up from the start
 //! on. A watch that was answered is renewed here. None of it is done before
-//! `decide::membership::pace` allows it: a small fleet's calls go at once, so that its watches go
+//! `decide::discovery::call_pacer` allows it: a small fleet's calls go at once, so that its watches go
 //! on, a large one's are spread.
 mod directory;
 
 pub use directory::{Directory, Instance, Lifecycle, List, OperatorOverrides};
 
-use crate::decide::membership::doubt::{Doubt, Told, Verdict};
-use crate::decide::membership::pace::Pace;
+use crate::decide::discovery::call_pacer::CallPacer;
+use crate::decide::discovery::list_validator::{ListValidator, ReceivedList, Verdict};
 use crate::http::{self, Parsed};
 use crate::interface::{Micros, ServerListUpdate, Time};
 use crate::net::{ConnId, ConnectError, Net, Owner, Timer, TransferProgress};
@@ -49,12 +49,12 @@
     renews: bool,
     /// Calls that failed since one was answered.
     failed: u32,
-    pace: Pace,
+    pacer: CallPacer,
     /// The next call is not made before this; unset until the first.
     not_before: Option<Time>,
     /// A call is to be made by the timer of this number.
     planned: Option<u64>,
-    doubt: Doubt,
+    validator: ListValidator,
     /// A list that waits to be confirmed, and until when.
     doubted: Option<(List, Time)>,
     /// Where discovery is to be asked from the next call on; until then a watch at the former
@@ -66,10 +66,10 @@
 impl Discovery {
     /// A client that has asked nothing yet.
     #[must_use]
-    pub fn new(address: SocketAddr, generation: Option<u64>, pace: Pace) -> Self {
+    pub fn new(address: SocketAddr, generation: Option<u64>, pacer: CallPacer) -> Self {
         let (conn, call, calls, began) = (None, None, 0, Time(0));
         let (not_before, planned) = (None, None);
-        let (doubt, doubted, log) = (Doubt::new(STOP_WITHIN), None, Vec::new());
+        let (validator, doubted, log) = (ListValidator::new(STOP_WITHIN), None, Vec::new());
         Discovery {
             address,
             generation,
@@ -79,10 +79,10 @@
             began,
             renews: false,
             failed: 0,
-            pace,
+            pacer,
             not_before,
             planned,
-            doubt,
+            validator,
             doubted,
             moving: None,
             log,
@@ -93,7 +93,7 @@
     #[must_use]
     pub fn stopping_within(self, micros: Micros) -> Self {
         Discovery {
-            doubt: Doubt::new(micros),
+            validator: ListValidator::new(micros),
             ..self
         }
     }
@@ -101,7 +101,7 @@
     /// Whether it is to ask again without being told to.
     #[must_use]
     pub fn goes_on(&self) -> bool {
-        self.pace.goes_on()
+        self.pacer.renews_by_itself()
     }
 
     /// Log lines since the last time.
@@ -123,7 +123,7 @@
         let (now, known) = (net.clock.now(), self.generation.is_some());
         let at = *self
             .not_before
-            .get_or_insert_with(|| self.pace.on_start(now, known).at);
+            .get_or_insert_with(|| self.pacer.on_start(now, known).at);
         if at > now {
             self.plan(net, at);
             return Vec::new();
@@ -139,7 +139,7 @@
         let Unasked::Local(why) = why else {
             return self.fail(net, "the connection broke", false);
         };
-        let verdict = self.pace.on_unmade(net.clock.now());
+        let verdict = self.pacer.on_unsent(net.clock.now());
         self.log.push(format!(
             "discovery: no call could be made: {why}; {verdict}"
         ));
@@ -163,7 +163,7 @@
             return Vec::new();
         }
         self.moving = Some(address);
-        let at = self.pace.on_move(net.clock.now()).at;
+        let at = self.pacer.on_move(net.clock.now()).at;
         if self.generation.is_none() {
             self.hang_up(net);
         }
@@ -189,7 +189,12 @@
         self.conn = Some(conn);
         let target = match self.generation {
             Some(since) => {
-                let wait = self.pace.watch().times(self.renews, true).0 / 1_000;
+                let wait = self
+                    .pacer
+                    .watch_times()
+                    .wait_and_margin(self.renews, true)
+                    .0
+                    / 1_000;
                 format!("/registry/instances?since={since}&timeout_ms={wait}")
             }
             None => "/registry/instances".into(),
@@ -214,11 +219,11 @@
     fn fail(&mut self, net: &mut Net, what: &str, silent: bool) -> Vec<ServerListUpdate> {
         self.hang_up(net);
         self.renews = false;
-        self.doubt.on_failure();
+        self.validator.on_failure();
         let (now, began) = (net.clock.now(), self.began);
         let mut verdict = match silent {
-            true => self.pace.on_silence(now, began),
-            false => self.pace.on_failure(now, began),
+            true => self.pacer.on_silence(now, began),
+            false => self.pacer.on_failure(now, began),
         };
         match self.not_before {
             // The former address may fail as it likes: the call to the next one stands.
@@ -233,7 +238,7 @@
         let (after, next) = (now.since(self.began) / 1_000, verdict.at.since(now) / 1_000);
         self.failed += 1;
         // Guards the log: an agent that is down is asked ten times a second.
-        if self.failed == 1 || !self.pace.goes_on() {
+        if self.failed == 1 || !self.pacer.renews_by_itself() {
             self.log.push(format!(
                 "discovery: call failed after {after} ms: {what}; next in {next} ms at the soonest: {verdict}"
             ));
@@ -301,9 +306,9 @@
             return Vec::new();
         }
         let (wait, patience) = self
-            .pace
-            .watch()
-            .times(self.renews, self.generation.is_some());
+            .pacer
+            .watch_times()
+            .wait_and_margin(self.renews, self.generation.is_some());
         let end = self.began.plus(wait + patience);
         let up = self.conn.and_then(|id| net.get(id)).is_some_and(|c| c.up);
         if !up {
@@ -374,21 +379,21 @@
         if std::mem::take(&mut self.failed) > 0 {
             self.log.push("discovery: it answers again".into());
         }
-        let next = self.pace.on_answer(now).at;
+        let next = self.pacer.on_answer(now).at;
         if self.moving.is_none() {
             self.not_before = Some(next);
         }
         let whole = list.reset || self.generation.is_none();
-        let told = Told {
+        let received = ReceivedList {
             generation: list.generation,
-            whole,
+            is_complete: whole,
             lines: list.instances.len(),
         };
         let mut news = match self
-            .doubt
-            .on_list(now, told, self.generation, directory.len())
+            .validator
+            .on_list(now, received, self.generation, directory.len())
         {
-            Verdict::Take(_) => {
+            Verdict::Accept(_) => {
                 self.doubted = None;
                 self.generation = Some(list.generation);
                 vec![match whole {
--- a/src/discovery/tests.rs
+++ b/src/discovery/tests.rs
@@ -47,7 +47,7 @@
 fn another_address_is_asked_for_the_whole_list_at_once() {
     let [old, new] = [(); 2].map(|()| TcpListener::bind("127.0.0.1:0").unwrap());
     let (mut net, mut directory) = (Net::new(64).unwrap(), Directory::default());
-    let mut client = Discovery::new(old.local_addr().unwrap(), Some(41), Pace::new(1, 3, 0));
+    let mut client = Discovery::new(old.local_addr().unwrap(), Some(41), CallPacer::new(1, 3, 0));
     client.subscribe(&mut net);
     let (mut left, _) = old.accept().unwrap();
     assert!(
@@ -77,7 +77,7 @@
 fn until_another_address_is_asked_the_watch_at_the_former_one_brings_its_news_and_may_end() {
     for ends in [false, true] {
         let (mut net, mut client, mut directory, _old, mut stream) =
-            watching_of(Pace::new(1, 300, 10_000_000));
+            watching_of(CallPacer::new(1, 300, 10_000_000));
         let new = TcpListener::bind("127.0.0.1:0").unwrap();
         let moved = net.clock.now();
         client.move_to(&mut net, new.local_addr().unwrap());
@@ -117,7 +117,11 @@
 fn a_watch_is_renewed_at_once_and_a_failure_is_told() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (mut net, mut directory) = (Net::new(64).unwrap(), Directory::default());
-    let mut client = Discovery::new(listener.local_addr().unwrap(), None, Pace::new(1, 3, 0));
+    let mut client = Discovery::new(
+        listener.local_addr().unwrap(),
+        None,
+        CallPacer::new(1, 3, 0),
+    );
     assert!(client.subscribe(&mut net).is_empty());
     let (mut stream, _) = listener.accept().unwrap();
     net.wait(Some(net.clock.now().plus(1_000_000))).unwrap();
@@ -180,7 +184,7 @@
 #[test]
 fn a_watch_that_falls_silent_is_opened_anew_in_time_whoever_asks_and_what_it_missed_is_read() {
     let (mut net, mut client, mut directory, listener, silent) =
-        watching_of(Pace::new(1, 300, 10_000_000));
+        watching_of(CallPacer::new(1, 300, 10_000_000));
     let begun = client.began;
     let mut news = Vec::new();
     while news.is_empty() {
@@ -216,7 +220,7 @@
 fn one_of_many_brokers_asks_when_its_turn_has_come_and_only_once() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (mut net, mut directory) = (Net::new(64).unwrap(), Directory::default());
-    let pace = Pace::new(5, 4, 0);
+    let pace = CallPacer::new(5, 4, 0);
     let first = pace.clone().on_start(Time(0), true).at;
     assert!(first > Time(10_000), "this seed has to wait");
     let mut client = Discovery::new(listener.local_addr().unwrap(), Some(41), pace);
@@ -263,7 +267,11 @@
 ) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (mut net, mut directory) = (Net::new(64).unwrap(), Directory::default());
-    let client = Discovery::new(listener.local_addr().unwrap(), None, Pace::at_agent(1));
+    let client = Discovery::new(
+        listener.local_addr().unwrap(),
+        None,
+        CallPacer::for_agent(1),
+    );
     let mut client = client.stopping_within(500_000);
     assert!(client.goes_on() && client.subscribe(&mut net).is_empty());
     let (mut stream, _) = listener.accept().unwrap();
@@ -342,7 +350,7 @@
     let mut client = Discovery::new(
         discovery.local_addr().unwrap(),
         Some(41),
-        Pace::new(1, 3, 0),
+        CallPacer::new(1, 3, 0),
     );
     assert!(client.subscribe(&mut net).is_empty() && client.call == Some(1));
     let (mut stream, _) = discovery.accept().unwrap();
@@ -364,7 +372,7 @@
     let held = take_all(&mut net, Owner::Discovery, at);
     let others: Vec<TcpStream> = held.iter().map(|_| listener.accept().unwrap().0).collect();
     // One of 300 brokers: after a failure it would wait for up to 2.1 s.
-    let mut client = Discovery::new(at, None, Pace::new(1, 300, 10_000_000));
+    let mut client = Discovery::new(at, None, CallPacer::new(1, 300, 10_000_000));
     assert!(client.subscribe(&mut net).is_empty() && client.call.is_none());
     let (now, next) = (net.clock.now(), client.not_before.unwrap());
     assert!(client.planned.is_some() && next.since(now) <= 200_000);
@@ -386,11 +394,11 @@
 /// A client that holds version 41 with one node and watches, and its discovery's end of the
 /// connection.
 fn watching() -> (Net, Discovery, Directory, TcpListener, TcpStream) {
-    watching_of(Pace::new(1, 3, 0))
+    watching_of(CallPacer::new(1, 3, 0))
 }
 
 /// The same at a pace.
-fn watching_of(pace: Pace) -> (Net, Discovery, Directory, TcpListener, TcpStream) {
+fn watching_of(pace: CallPacer) -> (Net, Discovery, Directory, TcpListener, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (mut net, mut directory) = (Net::new(64).unwrap(), Directory::default().with_cells(8));
     let mut client = Discovery::new(listener.local_addr().unwrap(), None, pace);
@@ -557,7 +565,8 @@
         // Discovery is down: its address refuses.
         drop(listener);
         let (mut net, mut directory) = (Net::new(64).unwrap(), Directory::default());
-        let mut client = Discovery::new(address, Some(41), Pace::new(7, instances, 10_000_000));
+        let mut client =
+            Discovery::new(address, Some(41), CallPacer::new(7, instances, 10_000_000));
         client.not_before = Some(net.clock.now());
         let mut refused = client.subscribe(&mut net).len();
         // No other call of the module's comes: the client goes on by itself.
--- a/src/main.rs
+++ b/src/main.rs
@@ -21,19 +21,21 @@
     let [stop, reload] =
         [SIGTERM, SIGHUP].map(|number| signal(number).map_err(|e| format!("signal: {e}")));
     let env = |name: &str| std::env::var(name).ok();
-    let operators = Operators::from_env(env)?;
+    let operators = Operators::from_env(env).map_err(|e| e.to_string())?;
     let platform = Platform::from_env(env)?
         .map(|told| told.apply(&operators))
         .transpose()?;
     let ogc = Ogc::load(&operators, platform.as_ref())?;
-    let peers = Peers::load(&operators, platform.as_ref())?;
+    let peers = Peers::load(&operators, platform.as_ref()).map_err(|e| e.to_string())?;
     let management = platform
         .as_ref()
         .and_then(|told| ManagementHandle::open(told).transpose())
         .transpose();
     let management = management.map_err(|e| e.to_string())?;
     let mut broker = Broker::managed(platform, ogc, management)?;
-    peers.map_or(Ok(()), |told| broker.join(told))?;
+    if let Some(peers) = peers {
+        broker.join(peers).map_err(|e| e.to_string())?;
+    };
     broker.stop_on(stop?).map_err(|e| format!("signal: {e}"))?;
     let reread = Box::new(move || Platform::from_env(env));
     broker
--- a/src/peer/consensus/stored_data_tests.rs
+++ b/src/peer/consensus/stored_data_tests.rs
@@ -4,9 +4,9 @@
 use super::*;
 use crate::decide::consensus::bootstrap::Bootstrap;
 use crate::decide::consensus::genesis::{Announcement, Genesis, VoterIdentity};
-use crate::decide::fleet::Member;
+use crate::decide::failure_detector::Member;
 use crate::decide::lease::LeaseTerms;
-use crate::peer::wire::{self, Greeting, Word};
+use crate::peer::wire::{self, Frame, Greeting};
 use foca::{Codec, Header, Message as SwimMessage, PostcardCodec, State};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -59,7 +59,7 @@
         name: format!("n{number}"),
         address,
         zone: "a".into(),
-        life: 5 + number,
+        incarnation: 5 + number,
     }
 }
 
@@ -135,23 +135,30 @@
         cluster: "coast".into(),
         from: member(1),
     };
-    let words = [
-        ("fleet", Word::Fleet(vec![7; 3])),
-        ("refused", Word::Refused("no".into())),
-        ("consensus", Word::Consensus(vec![8, 9])),
+    let frames = [
+        ("fleet", Frame::Swim(vec![7; 3])),
+        ("refused", Frame::Rejected("no".into())),
+        ("consensus", Frame::Consensus(vec![8, 9])),
     ];
-    let mut encoded = vec![("greeting".to_owned(), wire::greeting(&greeting))];
+    let mut encoded = vec![("greeting".to_owned(), wire::encode_greeting(&greeting))];
     encoded.extend(
-        words
+        frames
             .iter()
-            .map(|(name, word)| ((*name).to_owned(), wire::message(word).unwrap())),
+            .map(|(name, frame)| ((*name).to_owned(), wire::encode_frame(frame).unwrap())),
     );
     compare("peer_frames.txt", &encoded);
     let stored = lines("peer_frames.txt");
-    let content = |at: usize| wire::next(&stored[at].1).unwrap().unwrap().0;
-    assert_eq!(wire::read_greeting(content(0), "coast").unwrap(), greeting);
-    for (at, (name, word)) in words.iter().enumerate() {
-        assert_eq!(wire::read(content(at + 1)).unwrap(), *word, "{name}");
+    let content = |at: usize| wire::split_frame(&stored[at].1).unwrap().unwrap().0;
+    assert_eq!(
+        wire::decode_greeting(content(0), "coast").unwrap(),
+        greeting
+    );
+    for (at, (name, frame)) in frames.iter().enumerate() {
+        assert_eq!(
+            wire::decode_frame(content(at + 1)).unwrap(),
+            *frame,
+            "{name}"
+        );
     }
 }
 
--- a/src/peer/group.rs
+++ b/src/peer/group.rs
@@ -1,19 +1,37 @@
-//! The group of peer brokers: the connections to them and the membership view that they carry, for
-//! the broker's loop.
+//! The group of peer brokers, for the broker's loop: the protocol between them, the failure detector
+//! and the consensus that it carries.
 
-use super::consensus::{Consensus, OutgoingMessages};
-use super::{Heard, Talk, What, MOST};
+use super::consensus::{Consensus, ConsensusError, OutgoingMessages};
+use super::{Delivery, Payload, PeerProtocol, ReceivedMessage, MAX_CONNECTIONS};
 use crate::config::Peers;
-use crate::decide::fleet::{Fleet, Member, Verdict};
+use crate::decide::failure_detector::{FailureDetector, Member, Verdict};
 use crate::decide::lease::LeaseHolder;
 use crate::interface::Time;
 use crate::net::{ConnId, Net, Owner};
+use std::io;
+use std::net::SocketAddr;
 
-/// This broker's part in its peer group.
+/// Why a broker can't join its group.
+#[derive(Debug, thiserror::Error)]
+pub enum JoinError {
+    /// The address for other brokers can't be listened on.
+    #[error("peers: listen: {address}: {source}")]
+    Listen {
+        /// The address that the operators' file names.
+        address: SocketAddr,
+        /// What the system says.
+        source: io::Error,
+    },
+    /// Its folder can't be used.
+    #[error(transparent)]
+    Consensus(#[from] ConsensusError),
+}
+
+/// This broker's part in its group.
 pub struct PeerGroup {
-    talk: Talk,
-    fleet: Fleet,
-    /// The voters' log and the duties, where the operators' file names voters.
+    protocol: PeerProtocol,
+    detector: FailureDetector,
+    /// The consensus, where the operators' file names voters.
     consensus: Option<Consensus>,
     /// Peers that the file names.
     known: Vec<Member>,
@@ -21,50 +39,52 @@
 }
 
 impl PeerGroup {
-    /// A broker that listens for others already; tells where in its log.
+    /// Joins the group, and listens for its other brokers; logs the address.
     ///
     /// # Errors
     /// When the address can't be listened on, or the folder can't be used.
-    pub fn new(net: &mut Net, told: Peers) -> Result<PeerGroup, String> {
+    pub fn new(net: &mut Net, config: Peers) -> Result<PeerGroup, JoinError> {
         let now = net.clock.now();
         let own = Member {
-            life: now.0,
-            ..told.own.clone()
+            incarnation: now.0,
+            ..config.own.clone()
         };
-        net.reserve_for_peers(MOST);
-        let at = net
-            .listen(Owner::PeerIn, told.listen)
-            .map_err(|e| format!("peers: listen: {}: {e}", told.listen))?;
-        let ways = told.ways();
-        // The life makes two starts of one broker draw otherwise.
-        let seed = told.seed ^ own.life;
-        let talk = Talk::new(now, told.cluster.clone(), own.clone(), ways, seed);
+        net.reserve_for_peers(MAX_CONNECTIONS);
+        let listening_at =
+            net.listen(Owner::PeerIn, config.listen)
+                .map_err(|source| JoinError::Listen {
+                    address: config.listen,
+                    source,
+                })?;
         let line = format!(
-            "peers: {} of {} in cluster {} listens on {at}",
-            own.name, own.zone, told.cluster
+            "peers: {} of {} in cluster {} listens on {listening_at}",
+            own.name, own.zone, config.cluster
         );
+        // By the incarnation two starts of a broker draw other random numbers.
+        let seed = config.seed ^ own.incarnation;
+        let routes = config.routes();
+        let protocol = PeerProtocol::new(now, config.cluster.clone(), own.clone(), routes, seed);
         let holder = LeaseHolder {
             name: own.name.clone(),
-            incarnation: own.life,
+            incarnation: own.incarnation,
         };
-        let consensus = told
+        let consensus = config
             .consensus
-            .map(|config| Consensus::new(now, &told.cluster, holder, config))
-            .transpose()
-            .map_err(|e| e.to_string())?;
-        let fleet = Fleet::new(now, own, told.known.clone(), told.rules, seed);
+            .map(|consensus| Consensus::new(now, &config.cluster, holder, consensus))
+            .transpose()?;
+        let detector = FailureDetector::new(now, own, config.known.clone(), config.swim, seed);
         Ok(PeerGroup {
-            talk,
-            fleet,
+            protocol,
+            detector,
             consensus,
-            known: told.known,
+            known: config.known,
             log: vec![line],
         })
     }
 
-    /// Log lines since the last time.
+    /// Takes the log lines since the last call.
     pub fn take_log(&mut self) -> Vec<String> {
-        let mut lines = self.talk.take_log();
+        let mut lines = self.protocol.take_log();
         lines.append(&mut self.log);
         lines.extend(self.consensus.iter_mut().flat_map(Consensus::take_log));
         lines
@@ -73,111 +93,109 @@
     /// When [`PeerGroup::on_time`] is to be called next.
     #[must_use]
     pub fn next(&self) -> Time {
-        let consensus = self
-            .consensus
-            .as_ref()
-            .map_or(Time(u64::MAX), Consensus::next);
-        self.talk.next().min(self.fleet.next()).min(consensus)
+        let next = self.protocol.next().min(self.detector.next());
+        let consensus = self.consensus.as_ref().map(Consensus::next);
+        consensus.map_or(next, |at| next.min(at))
     }
 
-    /// Does what is due. To be called before what is ready is read: messages that had to wait since
-    /// this process stood still are no sign that their senders did.
+    /// Does what is due. To be called before connections that are ready are read: that messages had
+    /// to wait since this process was paused is no sign of a failure of their senders.
     pub fn on_time(&mut self, net: &mut Net) {
         let now = net.clock.now();
-        if self.fleet.next() <= now {
-            let told = self.fleet.on_time(now);
-            self.carry(net, told);
+        if self.detector.next() <= now {
+            let verdicts = self.detector.on_time(now);
+            self.carry_out(net, verdicts);
         }
-        if self.talk.next() <= now {
-            let heard = self.talk.on_time(net);
-            self.hear(net, heard);
+        if self.protocol.next() <= now {
+            let messages = self.protocol.on_time(net);
+            self.handle(net, messages);
         }
         if let Some(consensus) = self.consensus.as_mut().filter(|c| c.next() <= now) {
             let messages = consensus.on_time(now);
-            self.pass_on(net, messages);
+            self.send_consensus(net, messages);
         }
     }
 
     /// Peers wait to be accepted.
     pub fn accept(&mut self, net: &mut Net) {
         let ids = net.accept(Owner::PeerIn);
-        self.talk.accepted(net, ids);
+        self.protocol.on_accepted(net, ids);
     }
 
-    /// A connection of the talk is ready.
-    pub fn ready(&mut self, net: &mut Net, id: ConnId) {
-        let heard = self.talk.ready(net, id);
-        self.hear(net, heard);
+    /// A connection of the protocol is ready.
+    pub fn on_ready(&mut self, net: &mut Net, id: ConnId) {
+        let messages = self.protocol.on_ready(net, id);
+        self.handle(net, messages);
     }
 
-    /// This broker stops: the others are told.
+    /// This broker stops, and tells some others.
     pub fn on_stop(&mut self, net: &mut Net) {
         let now = net.clock.now();
-        let messages = self
-            .consensus
-            .as_mut()
-            .map(|c| c.on_stop(now))
-            .unwrap_or_default();
-        self.pass_on(net, messages);
-        let told = self.fleet.on_stop(now);
-        self.carry(net, told);
+        let consensus = self.consensus.as_mut();
+        let messages = consensus.map(|c| c.on_stop(now)).unwrap_or_default();
+        self.send_consensus(net, messages);
+        let verdicts = self.detector.on_stop(now);
+        self.carry_out(net, verdicts);
     }
 
-    /// Sends the messages of the consensus to those whom they are for.
-    fn pass_on(&mut self, net: &mut Net, messages: OutgoingMessages) {
+    /// Sends the messages of the consensus.
+    fn send_consensus(&mut self, net: &mut Net, messages: OutgoingMessages) {
         for (name, bytes) in messages {
-            let known = self
-                .fleet
-                .alive()
-                .get(&name)
-                .or_else(|| self.known.iter().find(|m| m.name == name));
-            // Of whom nothing is known, nobody waits: the log says it again.
+            let alive = self.detector.alive().get(&name);
+            let known = alive.or_else(|| self.known.iter().find(|m| m.name == name));
+            // Messages to a broker that is not known are lost: the log sends them again.
             if let Some(to) = known.cloned() {
-                self.talk.say_consensus(net, &to, bytes);
+                self.protocol.send_consensus(net, &to, bytes);
             }
         }
     }
 
-    fn hear(&mut self, net: &mut Net, heard: Vec<Heard>) {
-        for Heard { from, what } in heard {
+    fn handle(&mut self, net: &mut Net, messages: Vec<ReceivedMessage>) {
+        for ReceivedMessage { from, payload } in messages {
             let now = net.clock.now();
-            match (what, &mut self.consensus) {
-                (What::Fleet(bytes), _) => {
-                    let told = self.fleet.on_message(now, &bytes);
-                    self.carry(net, told);
+            match (payload, &mut self.consensus) {
+                (Payload::Swim(bytes), _) => {
+                    let verdicts = self.detector.on_message(now, &bytes);
+                    self.carry_out(net, verdicts);
                 }
-                (What::Consensus(bytes), Some(consensus)) => {
+                (Payload::Consensus(bytes), Some(consensus)) => {
                     let messages = consensus.on_message(now, &from.name, &bytes);
-                    self.pass_on(net, messages);
+                    self.send_consensus(net, messages);
                 }
-                (What::Greeting, Some(consensus)) => {
+                (Payload::Greeting, Some(consensus)) => {
                     let messages = consensus.on_reconnected(now, &from.name);
-                    self.pass_on(net, messages);
+                    self.send_consensus(net, messages);
                 }
-                (What::Consensus(_) | What::Greeting, None) => {}
+                (Payload::Consensus(_) | Payload::Greeting, None) => {}
             }
         }
     }
 
-    fn carry(&mut self, net: &mut Net, told: Vec<Verdict>) {
-        for verdict in told {
+    fn carry_out(&mut self, net: &mut Net, verdicts: Vec<Verdict>) {
+        for verdict in verdicts {
             match verdict {
-                // What the fleet says is about this moment: it may be dropped.
-                Verdict::Send(to, bytes) => drop(self.talk.say(net, &to, bytes, false)),
-                Verdict::Up(who, why) => self.note(&who, "up", &why.to_string()),
-                Verdict::Down(who, why) => self.note(&who, "down", &why.to_string()),
-                Verdict::Renewed(own, why) => {
-                    self.note(&own, "renewed", &why.to_string());
-                    self.talk.renew(own);
+                // The detector's messages are about the present moment.
+                Verdict::Send(to, bytes) => {
+                    self.protocol
+                        .send_swim(net, &to, bytes, Delivery::Droppable);
+                }
+                Verdict::Up(member, reason) => self.log_change(&member, "up", &reason.to_string()),
+                Verdict::Down(member, reason) => {
+                    self.log_change(&member, "down", &reason.to_string());
+                }
+                Verdict::Renewed(own, reason) => {
+                    self.log_change(&own, "renewed", &reason.to_string());
+                    self.protocol.renew(own);
                 }
             }
         }
     }
 
-    fn note(&mut self, who: &Member, what: &str, why: &str) {
-        let (name, life, alive) = (&who.name, who.life, self.fleet.alive().len() + 1);
+    fn log_change(&mut self, member: &Member, change: &str, reason: &str) {
+        let (name, incarnation) = (&member.name, member.incarnation);
+        let alive = self.detector.alive().len() + 1;
         self.log.push(format!(
-            "fleet: {name} {what} (life {life}): {why}; {alive} alive"
+            "fleet: {name} {change} (life {incarnation}): {reason}; {alive} alive"
         ));
     }
 }
--- a/src/peer/wire.rs
+++ b/src/peer/wire.rs
@@ -1,95 +1,127 @@
-//! How brokers' words look on a connection: a length of four bytes, most significant first, then so
-//! many. The first message is a greeting that every version can read: a fixed word and the version,
-//! then the rest in that version's form. All others are records, written by `postcard`.
+//! Frames on a connection between brokers: a length of four bytes, most significant first, then so
+//! many bytes. The first frame is a greeting that every version can read: a fixed word and the
+//! version, then the rest in the form of that version. All others are encoded by `postcard`.
 
-use crate::decide::fleet::Member;
+use crate::decide::failure_detector::Member;
 use serde::{Deserialize, Serialize};
 
-/// The version spoken here.
+/// The version of the protocol.
 pub(super) const VERSION: u16 = 1;
-/// Longest message, without its length. Guards memory: what claims more is no peer.
-pub(super) const LONGEST: usize = 64 * 1024;
-/// What a greeting begins with.
-const WORD: &[u8; 18] = b"lichenswitch-peers";
+/// The longest frame, without its length (bytes). Guards memory: no peer sends a longer one.
+pub(super) const MAX_FRAME_BYTES: usize = 64 * 1024;
+/// The beginning of a greeting.
+const GREETING_PREFIX: &[u8; 18] = b"lichenswitch-peers";
 
-/// Who calls.
+/// The first frame of a connection, by the broker that has opened it. The order of the fields is
+/// that on the wire.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Greeting {
-    /// The cluster that it belongs to.
+    /// The cluster that the broker belongs to.
     pub cluster: String,
-    /// The broker that it is.
+    /// The broker.
     pub from: Member,
 }
 
-/// What is said once the greeting is over.
+/// A frame after the greeting. The order of the variants is that on the wire.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) enum Word {
-    /// Of the fleet: for `decide::fleet`.
-    Fleet(Vec<u8>),
-    /// The greeting was not taken, and why; the connection ends.
-    Refused(String),
-    /// Of the consensus: for `peer::consensus`.
+pub(super) enum Frame {
+    /// A message of the failure detector.
+    Swim(Vec<u8>),
+    /// The greeting or a frame was rejected for this reason; the connection ends.
+    Rejected(String),
+    /// A message of the consensus.
     Consensus(Vec<u8>),
 }
 
-fn framed(content: &[u8]) -> Vec<u8> {
-    let mut out = (content.len() as u32).to_be_bytes().to_vec();
-    out.extend_from_slice(content);
-    out
+/// Why the bytes of a peer are rejected.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub(super) enum WireError {
+    /// A frame is empty, or longer than any may be.
+    #[error("a message of {0} bytes, {MAX_FRAME_BYTES} at most")]
+    Length(usize),
+    /// The first frame is not a greeting.
+    #[error("no greeting of a peer")]
+    NoGreeting,
+    /// The greeting ends before its version.
+    #[error("a greeting without a version")]
+    NoVersion,
+    /// The greeting is of this other version.
+    #[error("it speaks version {0}, here it is {VERSION}")]
+    Version(u16),
+    /// The greeting can't be decoded.
+    #[error("a greeting that can't be read")]
+    UnreadableGreeting,
+    /// The peer is of the first cluster, this broker of the second.
+    #[error("it is of cluster {0:?}, this is {1:?}")]
+    Cluster(String, String),
+    /// A frame after the greeting can't be decoded.
+    #[error("a message that can't be read")]
+    UnreadableFrame,
 }
 
-/// A greeting as it is sent.
+fn with_length(content: &[u8]) -> Vec<u8> {
+    let mut bytes = (content.len() as u32).to_be_bytes().to_vec();
+    bytes.extend_from_slice(content);
+    bytes
+}
+
+/// Encodes a greeting.
 #[must_use]
-pub(super) fn greeting(greeting: &Greeting) -> Vec<u8> {
+pub(super) fn encode_greeting(greeting: &Greeting) -> Vec<u8> {
     let rest = postcard::to_stdvec(greeting).unwrap_or_default();
-    framed(&[&WORD[..], &VERSION.to_be_bytes(), &rest].concat())
+    with_length(&[&GREETING_PREFIX[..], &VERSION.to_be_bytes(), &rest].concat())
 }
 
-/// A message as it is sent; `None`: it is too long to be said.
+/// Encodes a frame; `None`: it is too long to be sent.
 #[must_use]
-pub(super) fn message(word: &Word) -> Option<Vec<u8>> {
-    let content = postcard::to_stdvec(word).ok()?;
-    (content.len() <= LONGEST).then(|| framed(&content))
+pub(super) fn encode_frame(frame: &Frame) -> Option<Vec<u8>> {
+    let content = postcard::to_stdvec(frame).ok()?;
+    (content.len() <= MAX_FRAME_BYTES).then(|| with_length(&content))
 }
 
-/// The first whole message of what has come, and the bytes that it took; `None`: it is not whole.
-/// Its claim is judged before its bytes are there.
-pub(super) fn next(bytes: &[u8]) -> Result<Option<(&[u8], usize)>, String> {
-    let Some((head, rest)) = bytes.split_first_chunk::<4>() else {
+/// The content of the first frame in these bytes, and how many bytes it takes with its length;
+/// `None`: it is incomplete.
+///
+/// # Errors
+/// When its length is out of bounds, which is found before the rest of it has arrived.
+pub(super) fn split_frame(bytes: &[u8]) -> Result<Option<(&[u8], usize)>, WireError> {
+    let Some((length, rest)) = bytes.split_first_chunk::<4>() else {
         return Ok(None);
     };
-    let length = u32::from_be_bytes(*head) as usize;
-    if length == 0 || length > LONGEST {
-        return Err(format!("a message of {length} bytes, {LONGEST} at most"));
+    let length = u32::from_be_bytes(*length) as usize;
+    if length == 0 || length > MAX_FRAME_BYTES {
+        return Err(WireError::Length(length));
     }
     Ok(rest.get(..length).map(|content| (content, 4 + length)))
 }
 
-/// Reads a greeting to this cluster.
-pub(super) fn read_greeting(content: &[u8], cluster: &str) -> Result<Greeting, String> {
+/// Decodes a greeting to this cluster.
+///
+/// # Errors
+/// When it is not one, or is of another version or cluster.
+pub(super) fn decode_greeting(content: &[u8], cluster: &str) -> Result<Greeting, WireError> {
     let rest = content
-        .strip_prefix(&WORD[..])
-        .ok_or("no greeting of a peer")?;
-    let (version, rest) = rest
-        .split_first_chunk::<2>()
-        .ok_or("a greeting without a version")?;
+        .strip_prefix(&GREETING_PREFIX[..])
+        .ok_or(WireError::NoGreeting)?;
+    let (version, rest) = rest.split_first_chunk::<2>().ok_or(WireError::NoVersion)?;
     let version = u16::from_be_bytes(*version);
     if version != VERSION {
-        return Err(format!("it speaks version {version}, here it is {VERSION}"));
+        return Err(WireError::Version(version));
     }
-    let read: Greeting = postcard::from_bytes(rest).map_err(|_| "a greeting that can't be read")?;
-    if read.cluster != cluster {
-        return Err(format!(
-            "it is of cluster {:?}, this is {cluster:?}",
-            read.cluster
-        ));
+    let greeting: Greeting =
+        postcard::from_bytes(rest).map_err(|_| WireError::UnreadableGreeting)?;
+    if greeting.cluster != cluster {
+        return Err(WireError::Cluster(greeting.cluster, cluster.into()));
     }
-    Ok(read)
+    Ok(greeting)
 }
 
-/// Reads a message after the greeting.
-pub(super) fn read(content: &[u8]) -> Result<Word, String> {
-    postcard::from_bytes(content).map_err(|_| "a message that can't be read".into())
+/// Decodes a frame after the greeting.
+///
+/// # Errors
+/// When it is of another version, or none.
+pub(super) fn decode_frame(content: &[u8]) -> Result<Frame, WireError> {
+    postcard::from_bytes(content).map_err(|_| WireError::UnreadableFrame)
 }
 
 #[cfg(test)]
--- a/src/peer/wire/tests.rs
+++ b/src/peer/wire/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::testing;
 
-fn sound() -> Greeting {
+fn greeting() -> Greeting {
     let address = "127.0.0.1:9000".parse().unwrap();
     Greeting {
         cluster: "c".into(),
@@ -11,47 +11,52 @@
             name: "n0".into(),
             address,
             zone: "a".into(),
-            life: 5,
+            incarnation: 5,
         },
     }
 }
 
 #[test]
-fn greetings_and_messages_come_out_as_they_went_in_however_they_are_cut() {
-    let messages = [
-        greeting(&sound()),
-        message(&Word::Fleet(vec![7; 300])).unwrap(),
-        message(&Word::Refused("no".into())).unwrap(),
+fn greetings_and_frames_are_decoded_as_encoded_however_they_are_split() {
+    let frames = [
+        encode_greeting(&greeting()),
+        encode_frame(&Frame::Swim(vec![7; 300])).unwrap(),
+        encode_frame(&Frame::Rejected("no".into())).unwrap(),
     ];
-    let parts: Vec<&[u8]> = messages.iter().map(Vec::as_slice).collect();
-    testing::random_cuts(&parts, |held| next(held).unwrap().map(|m| m.1));
-    let (content, _) = next(&messages[0]).unwrap().unwrap();
-    assert_eq!(read_greeting(content, "c"), Ok(sound()));
-    assert!(read_greeting(content, "d")
+    let slices: Vec<&[u8]> = frames.iter().map(Vec::as_slice).collect();
+    testing::random_cuts(&slices, |received| {
+        split_frame(received).unwrap().map(|m| m.1)
+    });
+    let (content, _) = split_frame(&frames[0]).unwrap().unwrap();
+    assert_eq!(decode_greeting(content, "c"), Ok(greeting()));
+    assert!(decode_greeting(content, "d")
         .unwrap_err()
+        .to_string()
         .contains("of cluster \"c\", this is \"d\""));
     let mut newer = content.to_vec();
     newer[19] = 2;
-    assert!(read_greeting(&newer, "c")
+    assert!(decode_greeting(&newer, "c")
         .unwrap_err()
+        .to_string()
         .contains("speaks version 2, here it is 1"));
-    let (content, _) = next(&messages[1]).unwrap().unwrap();
-    assert_eq!(read(content), Ok(Word::Fleet(vec![7; 300])));
-    testing::garbage(&parts, |bytes| {
-        if let Ok(Some((content, used))) = next(bytes) {
+    let (content, _) = split_frame(&frames[1]).unwrap().unwrap();
+    assert_eq!(decode_frame(content), Ok(Frame::Swim(vec![7; 300])));
+    testing::garbage(&slices, |bytes| {
+        if let Ok(Some((content, used))) = split_frame(bytes) {
             assert!(used <= bytes.len());
-            let _ = (read(content), read_greeting(content, "c"));
+            let _ = (decode_frame(content), decode_greeting(content, "c"));
         }
     });
 }
 
 #[test]
-fn claims_beyond_the_longest_are_refused_before_their_bytes_come() {
-    assert!(next(&[0, 0, 0]).unwrap().is_none());
-    for claim in [0u32, LONGEST as u32 + 1, 100 << 20, u32::MAX] {
-        assert!(next(&claim.to_be_bytes())
+fn length_out_of_bounds_is_rejected_before_the_bytes_arrive() {
+    assert!(split_frame(&[0, 0, 0]).unwrap().is_none());
+    for claim in [0u32, MAX_FRAME_BYTES as u32 + 1, 100 << 20, u32::MAX] {
+        assert!(split_frame(&claim.to_be_bytes())
             .unwrap_err()
+            .to_string()
             .contains("bytes, 65536 at most"));
     }
-    assert!(message(&Word::Fleet(vec![0; LONGEST])).is_none());
+    assert!(encode_frame(&Frame::Swim(vec![0; MAX_FRAME_BYTES])).is_none());
 }
