--- a/decide/replication/src/lib.rs
+++ b/decide/replication/src/lib.rs
@@ -1,4 +1,4 @@
-//! Replicated state without a log: epochs, images, quorums and changes of membership.
+//! Replicated state without a log: epochs, snapshots, quorums and changes of membership.
 //!
 //! It owns the algorithm of `docs/design/control.md`, sections 2 to 4, and promises what they say.
 //! It is pure: no input or output, clock or threads; time is an argument, and what is to be sent or
@@ -11,7 +11,9 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod codec;
 mod durable;
+mod faults;
 mod membership;
 mod message;
 #[cfg(feature = "model")]
@@ -23,17 +25,19 @@
 mod status;
 mod types;
 
+#[doc(hidden)]
+pub use faults::{Fault, Faults};
+
+pub use codec::DecodeError;
 pub use durable::{DurableItem, Record, RecoverError, Recovered, Snapshot, Update};
 pub use membership::{majority_of, Membership};
 pub use message::{
-    Append, Body, DecodeError, Message, ProcessInstant, ReplicaVersion, SnapshotChunk, CHUNK_BYTES,
+    Append, Body, Message, ProcessInstant, ReplicaVersion, SnapshotChunk, CHUNK_BYTES,
 };
 pub use output::{
     LeadershipTransferReason, MembershipChange, Notice, Outcome, Output, StepDownReason,
 };
 pub use replica::Replica;
-#[doc(hidden)]
-pub use settings::Faults;
 pub use settings::Settings;
 pub use state::{ReplicatedState, StateError};
 pub use status::{PeerStatus, RoleKind, Status};
--- a/fleet/src/router/service.rs
+++ b/fleet/src/router/service.rs
@@ -418,7 +418,7 @@
     Class {
         latency_target: terms.target_latency,
         deadline: terms.timeout,
-        repeat: if terms.idempotent {
+        repeat: if terms.is_idempotent {
             RetrySafety::Safe
         } else {
             RetrySafety::Unsafe
@@ -442,7 +442,7 @@
         limits: Limits {
             attempts: MAX_ATTEMPTS,
             // A request and its only part.
-            held: capacity.max_requests.saturating_mul(2),
+            max_held: capacity.max_requests.saturating_mul(2),
             cancel: true,
             probe: false,
             second_copies: true,
--- a/src/config/operators.rs
+++ b/src/config/operators.rs
@@ -6,7 +6,7 @@
 use crate::contract::Contract;
 use crate::decide::phases::Rules;
 use crate::interface::{Class, Settings};
-use crate::inventory::read_text;
+use crate::inventory::{read_text, ReadError};
 use serde::Deserialize;
 use serde_saphyr::Spanned;
 use std::path::{Path, PathBuf};
@@ -58,11 +58,11 @@
 }
 
 /// Why the operators' file can't be used.
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[derive(Debug, thiserror::Error)]
 pub enum OperatorsError {
     /// It can't be read.
-    #[error("{0}")]
-    File(String),
+    #[error(transparent)]
+    File(#[from] ReadError),
     /// It is not of the right form.
     #[error("{}:{line}: {reason}", path.display())]
     Syntax {
@@ -110,7 +110,7 @@
 
     /// Reads the file. Paths in it start from its folder.
     pub fn load(path: &Path) -> Result<Operators, OperatorsError> {
-        let text = read_text(path).map_err(OperatorsError::File)?;
+        let text = read_text(path)?;
         // A file of comments alone is an empty one.
         let empty = text
             .lines()
--- a/src/config/peers/tests.rs
+++ b/src/config/peers/tests.rs
@@ -13,7 +13,7 @@
 
 #[test]
 fn section_is_read_with_its_defaults_and_without_the_broker_itself() {
-    assert_eq!(load("phases:\n  explain: false\n"), Ok(None));
+    assert_eq!(load("phases:\n  explain: false\n").unwrap(), None);
     let peers = load(SOUND).unwrap().unwrap();
     assert_eq!(
         (peers.known.len(), peers.known[0].name.as_str(), peers.swim),
