--- a/fleet/src/control/group.rs
+++ b/fleet/src/control/group.rs
@@ -84,7 +84,7 @@
 
     /// Whether this member is a voter, as far as it knows.
     pub(super) fn is_voter(&self) -> bool {
-        self.replica.membership().names(self.identity())
+        self.replica.membership().contains(self.identity())
     }
 
     /// Takes the outputs of the replica, except for writes: these are submitted here.
