--- a/wire/storage/src/block.rs
+++ b/wire/storage/src/block.rs
@@ -1,4 +1,4 @@
-//! A block: the unit that is written and synced whole.
+//! A block: the unit that is written and synced at once, with its header and checksums.
 
 /// Version of the format of the files. Files of another version are set aside.
 pub const FORMAT_VERSION: u16 = 1;
@@ -9,28 +9,28 @@
 const HEADER_BYTES: usize = 40;
 const MAGIC: [u8; 4] = *b"LSWS";
 
-/// What a block holds.
+/// The content of a block.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Kind {
-    /// The image that a segment begins with.
+pub(crate) enum BlockKind {
+    /// The snapshot that a segment starts with.
     Snapshot,
-    /// The beginning of a segment of a storage that has no image yet.
+    /// The start of a segment of a storage that has no snapshot yet.
     NoSnapshot,
-    /// Says that the beginning of the segment has been synced.
-    Mark,
+    /// Says that the start of the segment has been synced.
+    SyncMarker,
     /// Records.
     Records,
-    /// Nothing: it was put in the place of a block that must not count. It has the look of a block,
-    /// so that a segment is known for ours even if its writing was cut off.
+    /// Nothing: it was written over a block that must not count. It has the form of a block, so that
+    /// the segment is known to be this owner's even if the write was torn.
     Void,
 }
 
-impl Kind {
+impl BlockKind {
     const fn code(self) -> u16 {
         match self {
             Self::Snapshot => 1,
             Self::NoSnapshot => 2,
-            Self::Mark => 3,
+            Self::SyncMarker => 3,
             Self::Records => 4,
             Self::Void => 5,
         }
@@ -40,29 +40,29 @@
         let kinds = [
             Self::Snapshot,
             Self::NoSnapshot,
-            Self::Mark,
+            Self::SyncMarker,
             Self::Records,
             Self::Void,
         ];
         kinds.into_iter().find(|kind| kind.code() == code)
     }
 
-    /// Whether a segment begins with it.
-    pub(crate) fn is_beginning(self) -> bool {
+    /// Whether a segment starts with it.
+    pub(crate) fn starts_segment(self) -> bool {
         matches!(self, Self::Snapshot | Self::NoSnapshot)
     }
 
-    /// Whether it is only written once the beginning of its segment has been synced.
-    pub(crate) fn proves_beginning(self) -> bool {
-        matches!(self, Self::Mark | Self::Records)
+    /// Whether it is only written once the start of its segment has been synced.
+    pub(crate) fn proves_start_synced(self) -> bool {
+        matches!(self, Self::SyncMarker | Self::Records)
     }
 }
 
-/// What is said of a payload.
+/// The header of a block: what its payload is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Header {
-    pub kind: Kind,
-    /// Digest of the owner's word.
+    pub kind: BlockKind,
+    /// Digest of the owner's name.
     pub owner: u64,
     /// Generation of the segment.
     pub generation: u64,
@@ -70,13 +70,13 @@
     pub sequence: u32,
 }
 
-/// What lies at an offset.
+/// What was read at an offset of a segment.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) enum Reading<'a> {
+pub(crate) enum BlockRead<'a> {
     /// Nothing was ever written here.
     Empty,
     /// A whole block of this owner, and the bytes that it takes with its padding.
-    Whole {
+    Complete {
         header: Header,
         payload: &'a [u8],
         size: usize,
@@ -98,9 +98,9 @@
     (HEADER_BYTES + payload).next_multiple_of(SECTOR_BYTES)
 }
 
-/// Digest of the owner's word (FNV-1a).
-pub(crate) fn owner_digest(word: &str) -> u64 {
-    word.bytes().fold(0xcbf2_9ce4_8422_2325, |digest, byte| {
+/// Digest of an owner's name (FNV-1a).
+pub(crate) fn owner_digest(owner: &str) -> u64 {
+    owner.bytes().fold(0xcbf2_9ce4_8422_2325, |digest, byte| {
         (digest ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
     })
 }
@@ -126,28 +126,28 @@
 }
 
 /// Reads what lies at an offset of a segment.
-pub(crate) fn read_at(bytes: &[u8], offset: usize, owner: u64) -> Reading<'_> {
+pub(crate) fn read_at(bytes: &[u8], offset: usize, owner: u64) -> BlockRead<'_> {
     let rest = bytes.get(offset..).unwrap_or_default();
     let sector = &rest[..rest.len().min(SECTOR_BYTES)];
     if sector.iter().all(|byte| *byte == 0) {
-        return Reading::Empty;
+        return BlockRead::Empty;
     }
     let Some(head) = rest.first_chunk::<HEADER_BYTES>() else {
-        return Reading::Unknown;
+        return BlockRead::Unknown;
     };
     if head[..4] != MAGIC {
-        return if is_cut_off(head) {
-            Reading::BadHeader
+        return if is_partly_written(head) {
+            BlockRead::BadHeader
         } else {
-            Reading::Unknown
+            BlockRead::Unknown
         };
     }
     read_header(head, rest, owner)
 }
 
-/// Whether this is as much of the first word as a write that was cut off leaves: some of it, and
+/// Whether this is as much of the magic bytes as a torn write leaves: some of them, and
 /// zeros.
-fn is_cut_off(head: &[u8; HEADER_BYTES]) -> bool {
+fn is_partly_written(head: &[u8; HEADER_BYTES]) -> bool {
     let written = head
         .iter()
         .zip(MAGIC)
@@ -156,46 +156,46 @@
     written > 0 && head[written..].iter().all(|byte| *byte == 0)
 }
 
-/// Reads a block whose header begins with the right word.
-fn read_header<'a>(head: &[u8; HEADER_BYTES], rest: &'a [u8], owner: u64) -> Reading<'a> {
+/// Reads a block whose header begins with the magic bytes.
+fn read_header<'a>(head: &[u8; HEADER_BYTES], rest: &'a [u8], owner: u64) -> BlockRead<'a> {
     let version = u16::from_le_bytes([head[4], head[5]]);
     // No version 0 was ever written: it is a header that was cut off.
     if version != FORMAT_VERSION && version != 0 {
-        return Reading::OtherFormat(version);
+        return BlockRead::OtherFormat(version);
     }
-    let kind = Kind::from_code(u16::from_le_bytes([head[6], head[7]]));
-    let (Some(kind), true) = (kind, crc32fast::hash(&head[..36]) == word(head, 36)) else {
-        return Reading::BadHeader;
+    let kind = BlockKind::from_code(u16::from_le_bytes([head[6], head[7]]));
+    let (Some(kind), true) = (kind, crc32fast::hash(&head[..36]) == read_u32(head, 36)) else {
+        return BlockRead::BadHeader;
     };
     let header = Header {
         kind,
-        owner: long(head, 8),
-        generation: long(head, 16),
-        sequence: word(head, 24),
+        owner: read_u64(head, 8),
+        generation: read_u64(head, 16),
+        sequence: read_u32(head, 24),
     };
     if header.owner != owner {
-        return Reading::OtherOwner;
+        return BlockRead::OtherOwner;
     }
-    let length = word(head, 28) as usize;
+    let length = read_u32(head, 28) as usize;
     let payload = rest
         .get(..size_of(length))
         .map(|block| &block[HEADER_BYTES..HEADER_BYTES + length]);
-    match payload.filter(|payload| crc32fast::hash(payload) == word(head, 32)) {
-        Some(payload) => Reading::Whole {
+    match payload.filter(|payload| crc32fast::hash(payload) == read_u32(head, 32)) {
+        Some(payload) => BlockRead::Complete {
             header,
             payload,
             size: size_of(length),
         },
-        None => Reading::BadPayload(header),
+        None => BlockRead::BadPayload(header),
     }
 }
 
-fn word(bytes: &[u8; HEADER_BYTES], at: usize) -> u32 {
+fn read_u32(bytes: &[u8; HEADER_BYTES], at: usize) -> u32 {
     u32::from_le_bytes([bytes[at], bytes[at + 1], bytes[at + 2], bytes[at + 3]])
 }
 
-fn long(bytes: &[u8; HEADER_BYTES], at: usize) -> u64 {
-    u64::from(word(bytes, at)) | u64::from(word(bytes, at + 4)) << 32
+fn read_u64(bytes: &[u8; HEADER_BYTES], at: usize) -> u64 {
+    u64::from(read_u32(bytes, at)) | u64::from(read_u32(bytes, at + 4)) << 32
 }
 
 /// Records as the payload of one block.
--- a/wire/storage/src/error.rs
+++ b/wire/storage/src/error.rs
@@ -1,15 +1,15 @@
-//! What can go wrong.
+//! The error of this package.
 
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Why nothing was stored. Whatever it says, what was acknowledged before stands.
+/// Why nothing was stored. In every case, what was acknowledged before is still stored.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StorageError {
     /// The file system refused. The same call may be made again.
     #[error("cannot {operation} {}: {message}", path.display())]
     Io {
-        /// What was tried.
+        /// What was attempted.
         operation: &'static str,
         /// On which file or folder.
         path: PathBuf,
@@ -18,29 +18,28 @@
         /// The system's words.
         message: String,
     },
-    /// The records don't fit behind the others: a new image makes room.
-    #[error("{wanted} bytes do not fit into the {left} bytes that are left of the segment: replace the image first")]
+    /// The records don't fit after the others: write a new snapshot first.
+    #[error("{required} bytes do not fit into the {remaining} bytes that remain of the segment: write a snapshot first")]
     SegmentFull {
         /// Bytes that the block of records takes.
-        wanted: u64,
-        /// Bytes that are left.
-        left: u64,
+        required: u64,
+        /// Bytes that remain.
+        remaining: u64,
     },
     /// What was recovered is damaged, and nothing may be appended to it.
-    #[error("the segment is damaged: only a new image can be stored")]
+    #[error("the segment is damaged: only a new snapshot can be stored")]
     NeedsSnapshot,
-    /// An image or a batch of records is longer than the format allows.
+    /// A snapshot or a batch of records is longer than the format allows.
     #[error("{bytes} bytes are more than a block may hold")]
     TooLong {
         /// Its length.
         bytes: u64,
     },
-    /// The settings make no ring.
+    /// The settings are invalid.
     #[error("settings of the storage: {0}")]
     Settings(&'static str),
-    /// A job that was submitted before this one failed, and its failure had not been taken notice
-    /// of.
-    #[error("a job before this one failed")]
+    /// A write that was submitted before this one failed, and its completion had not been taken yet.
+    #[error("a write that was submitted before this one failed")]
     EarlierFailed,
 }
 
@@ -57,7 +56,7 @@
         )
     }
 
-    /// Adds what was tried, and on what, to an error of the system.
+    /// Adds the operation and its path to an error of the system.
     pub(crate) fn io<'a>(
         operation: &'static str,
         path: &'a Path,
--- a/wire/storage/src/file_system.rs
+++ b/wire/storage/src/file_system.rs
@@ -5,72 +5,72 @@
 use std::io::{self, Read, Seek, SeekFrom, Write};
 use std::path::Path;
 
-/// Operations on names. All of them may block.
+/// Operations on the names of files and folders. All of them may block.
 pub trait FileSystem: Send {
-    /// Makes one folder whose parent is there.
+    /// Creates one folder whose parent exists.
     ///
     /// # Errors
-    /// What the system says; `AlreadyExists` where it is there.
+    /// The error of the system; `AlreadyExists` if it exists.
     fn create_folder(&self, path: &Path) -> io::Result<()>;
-    /// Whether the name is there.
+    /// Whether the name exists.
     fn exists(&self, path: &Path) -> bool;
-    /// Opens a file that is there, for reading and writing.
+    /// Opens an existing file for reading and writing.
     ///
     /// # Errors
-    /// What the system says; `NotFound` where there is none.
+    /// The error of the system; `NotFound` if there is none.
     fn open(&self, path: &Path) -> io::Result<Box<dyn StorageFile>>;
-    /// Makes an empty file, in place of one that is there.
+    /// Creates an empty file; one of this name is emptied.
     ///
     /// # Errors
-    /// What the system says.
+    /// The error of the system.
     fn create(&self, path: &Path) -> io::Result<Box<dyn StorageFile>>;
-    /// Gives a file another name, in place of one that has it.
+    /// Renames a file; one of the new name is replaced.
     ///
     /// # Errors
-    /// What the system says.
+    /// The error of the system.
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()>;
     /// Removes a file.
     ///
     /// # Errors
-    /// What the system says.
+    /// The error of the system.
     fn remove(&self, path: &Path) -> io::Result<()>;
-    /// Makes all names in a folder last.
+    /// Makes all names in a folder durable.
     ///
     /// # Errors
-    /// What the system says.
+    /// The error of the system.
     fn sync_folder(&self, path: &Path) -> io::Result<()>;
 }
 
 /// An open file. All operations may block.
 pub trait StorageFile: Send {
-    /// Its length in bytes.
+    /// Length (bytes).
     ///
     /// # Errors
-    /// What the system says.
+    /// The error of the system.
     fn length(&mut self) -> io::Result<u64>;
-    /// All of its bytes.
+    /// Reads all of it.
     ///
     /// # Errors
-    /// What the system says.
+    /// The error of the system.
     fn read_all(&mut self) -> io::Result<Vec<u8>>;
     /// Writes at an offset; may write less, and says how much.
     ///
     /// # Errors
-    /// What the system says.
+    /// The error of the system.
     fn write_at(&mut self, offset: u64, bytes: &[u8]) -> io::Result<usize>;
-    /// Cuts it, or lengthens it with zeros.
+    /// Truncates it, or extends it with zeros.
     ///
     /// # Errors
-    /// What the system says.
+    /// The error of the system.
     fn set_length(&mut self, length: u64) -> io::Result<()>;
-    /// Makes all that was written last.
+    /// Makes all that was written durable.
     ///
     /// # Errors
-    /// What the system says: what was written since the last sync must then be written again.
+    /// The error of the system: what was written since the last sync must then be written again.
     fn sync(&mut self) -> io::Result<()>;
 }
 
-/// The files of this machine.
+/// The file system of the operating system.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RealFileSystem;
 
@@ -141,7 +141,7 @@
 /// Writes all of `bytes`, in as many writes as it takes.
 ///
 /// # Errors
-/// What the system says; a part may have been written then.
+/// The error of the system; a part may have been written then.
 pub fn write_all_at(
     file: &mut dyn StorageFile,
     mut offset: u64,
--- a/wire/storage/src/finding.rs
+++ b/wire/storage/src/finding.rs
@@ -1,8 +1,8 @@
-//! What was found on the disk beside the state.
+//! What recovery found on the disk beside the state.
 
 use std::path::PathBuf;
 
-/// Why a file is not this owner's.
+/// Why a file doesn't belong to this owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ForeignReason {
     /// It names another owner.
@@ -14,10 +14,10 @@
     Unreadable,
 }
 
-/// What recovery met, besides the state that it returns.
+/// What recovery found on the disk, besides the state that it returns.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Finding {
-    /// A write that was cut off before its sync. It was never acknowledged, and is dropped.
+    /// A torn write: it was cut off before its sync. It was never acknowledged, and is dropped.
     Torn {
         /// Segment, counted from 0.
         segment: usize,
@@ -26,28 +26,28 @@
         /// Number of the block within the segment.
         sequence: u32,
     },
-    /// Behind the last block lies what an older generation had written there, or a piece of it or
-    /// of a write that was cut off. It is ignored.
+    /// After the last block there are remains of an older generation, or of a torn write. They are
+    /// ignored.
     Stale {
         /// Segment, counted from 0.
         segment: usize,
         /// The generation in force.
         generation: u64,
     },
-    /// A file that isn't this owner's; it was renamed and not read.
+    /// A file of another owner; it was renamed and not read.
     Foreign {
         /// Segment, counted from 0.
         segment: usize,
-        /// Why it isn't.
+        /// Why it isn't this owner's.
         reason: ForeignReason,
         /// Its name now.
         aside: PathBuf,
     },
-    /// The file of a segment was not there, though others were. It was made anew.
+    /// The file of a segment was not there, though others were. It was created anew.
     MissingSegment {
         /// Segment, counted from 0.
         segment: usize,
-        /// Whether it is the one that a newer image would have gone to.
+        /// Whether it is the one that a newer snapshot would have gone to.
         may_have_been_newest: bool,
     },
     /// A block is not there, though a later one of the same generation is: acknowledged state was
--- a/wire/storage/src/segment.rs
+++ b/wire/storage/src/segment.rs
@@ -1,84 +1,89 @@
-//! What the bytes of one segment say.
+//! Reading the bytes of one segment.
 
-use crate::block::{self, Header, Reading, SECTOR_BYTES};
+use crate::block::{self, BlockRead, Header, SECTOR_BYTES};
 use crate::finding::{Finding, ForeignReason};
 
-/// The beginning of a segment.
+/// The start of a segment: its first block.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) enum Beginning {
+pub(crate) enum SegmentStart {
     /// Nothing was ever written.
     Empty,
-    /// A whole image, or a whole beginning without one.
-    Whole { generation: u64 },
-    /// Its writing was cut off, or it has been damaged since.
-    Broken { generation: Option<u64> },
-    /// It belongs to somebody else.
+    /// A complete snapshot, or a complete start without one.
+    Complete { generation: u64 },
+    /// Its write was torn, or it has been damaged since.
+    Incomplete { generation: Option<u64> },
+    /// It belongs to another owner.
     Foreign(ForeignReason),
 }
 
-/// What a look over a whole segment tells.
+/// The result of the scan of a segment.
 #[derive(Debug)]
-pub(crate) struct Survey {
-    pub beginning: Beginning,
-    /// Highest generation that any whole header names.
+pub(crate) struct SegmentScan {
+    pub start: SegmentStart,
+    /// Highest generation that any complete block names.
     pub highest_generation: u64,
-    /// Highest generation of which there is a block behind the beginning: it was synced from its
-    /// beginning to there.
+    /// Highest generation of which there is a block after the start: it was synced from its start to
+    /// there.
     pub proven_generation: u64,
 }
 
-/// Looks over all of a segment.
-pub(crate) fn survey(bytes: &[u8], owner: u64) -> Survey {
+/// Scans all of a segment.
+pub(crate) fn scan(bytes: &[u8], owner: u64) -> SegmentScan {
     let first = block::read_at(bytes, 0, owner);
-    let mut survey = Survey {
-        beginning: Beginning::Empty,
+    let mut scan = SegmentScan {
+        start: SegmentStart::Empty,
         highest_generation: 0,
         proven_generation: 0,
     };
-    let mut ours = matches!(
+    let mut is_ours = matches!(
         first,
-        Reading::Whole { .. } | Reading::BadPayload(_) | Reading::BadHeader
+        BlockRead::Complete { .. } | BlockRead::BadPayload(_) | BlockRead::BadHeader
     );
-    for (_, header, _) in whole_blocks(bytes, 0, owner) {
-        ours = true;
-        survey.highest_generation = survey.highest_generation.max(header.generation);
-        if header.kind.proves_beginning() {
-            survey.proven_generation = survey.proven_generation.max(header.generation);
+    for (_, header, _) in complete_blocks(bytes, 0, owner) {
+        is_ours = true;
+        scan.highest_generation = scan.highest_generation.max(header.generation);
+        if header.kind.proves_start_synced() {
+            scan.proven_generation = scan.proven_generation.max(header.generation);
         }
     }
-    survey.beginning = beginning(&first, ours);
-    if let Beginning::Broken {
+    scan.start = segment_start(&first, is_ours);
+    if let SegmentStart::Incomplete {
         generation: Some(generation),
-    } = survey.beginning
+    } = scan.start
     {
-        survey.highest_generation = survey.highest_generation.max(generation);
+        scan.highest_generation = scan.highest_generation.max(generation);
     }
-    survey
+    scan
 }
 
-/// What the first block makes of a segment. One that has blocks of ours anywhere is never foreign.
-fn beginning(first: &Reading<'_>, ours: bool) -> Beginning {
+/// The start of a segment by its first block. A segment with blocks of this owner anywhere is never
+/// foreign.
+fn segment_start(first: &BlockRead<'_>, is_ours: bool) -> SegmentStart {
     match *first {
-        Reading::Whole { header, .. } if header.kind.is_beginning() && header.sequence == 0 => {
-            Beginning::Whole {
+        BlockRead::Complete { header, .. }
+            if header.kind.starts_segment() && header.sequence == 0 =>
+        {
+            SegmentStart::Complete {
                 generation: header.generation,
             }
         }
-        Reading::Whole { header, .. } | Reading::BadPayload(header) => Beginning::Broken {
-            generation: Some(header.generation),
-        },
-        Reading::OtherOwner if !ours => Beginning::Foreign(ForeignReason::Owner),
-        Reading::OtherFormat(version) if !ours => {
-            Beginning::Foreign(ForeignReason::Format(version))
+        BlockRead::Complete { header, .. } | BlockRead::BadPayload(header) => {
+            SegmentStart::Incomplete {
+                generation: Some(header.generation),
+            }
+        }
+        BlockRead::OtherOwner if !is_ours => SegmentStart::Foreign(ForeignReason::Owner),
+        BlockRead::OtherFormat(version) if !is_ours => {
+            SegmentStart::Foreign(ForeignReason::Format(version))
         }
-        Reading::Unknown if !ours => Beginning::Foreign(ForeignReason::Unreadable),
-        Reading::Empty => Beginning::Empty,
-        _ => Beginning::Broken { generation: None },
+        BlockRead::Unknown if !is_ours => SegmentStart::Foreign(ForeignReason::Unreadable),
+        BlockRead::Empty => SegmentStart::Empty,
+        _ => SegmentStart::Incomplete { generation: None },
     }
 }
 
-/// All whole blocks of this owner from an offset on: offset, header, size.
-fn whole_blocks(
+/// All complete blocks of this owner from an offset on: offset, header, size.
+fn complete_blocks(
     bytes: &[u8],
     from: usize,
     owner: u64,
@@ -87,7 +92,7 @@
     std::iter::from_fn(move || {
         while offset < bytes.len() {
             let at = offset;
-            if let Reading::Whole { header, size, .. } = block::read_at(bytes, at, owner) {
+            if let BlockRead::Complete { header, size, .. } = block::read_at(bytes, at, owner) {
                 offset += size;
                 return Some((at, header, size));
             }
@@ -97,24 +102,24 @@
     })
 }
 
-/// The blocks of one generation, from its beginning as far as they go.
+/// The blocks of one generation, from its start as far as they follow each other.
 #[derive(Debug)]
-pub(crate) struct Chain {
+pub(crate) struct BlockChain {
     pub snapshot: Option<Vec<u8>>,
     pub records: Vec<Vec<u8>>,
     /// Where the next block goes.
     pub offset: usize,
     /// Number of the next block.
     pub sequence: u32,
-    /// Where the last whole block begins.
+    /// Where the last complete block begins.
     pub last_offset: usize,
     /// What ended the chain, where it wasn't the end of what was written.
     pub finding: Option<Finding>,
 }
 
-/// Reads the blocks of a segment whose beginning is whole.
-pub(crate) fn read_chain(bytes: &[u8], owner: u64, segment: usize, generation: u64) -> Chain {
-    let mut chain = Chain {
+/// Reads the blocks of a segment whose start is complete.
+pub(crate) fn read_chain(bytes: &[u8], owner: u64, segment: usize, generation: u64) -> BlockChain {
+    let mut chain = BlockChain {
         snapshot: None,
         records: Vec::new(),
         offset: 0,
@@ -122,31 +127,31 @@
         last_offset: 0,
         finding: None,
     };
-    while let Reading::Whole {
+    while let BlockRead::Complete {
         header,
         payload,
         size,
     } = block::read_at(bytes, chain.offset, owner)
     {
         if (header.generation, header.sequence) != (generation, chain.sequence)
-            || !chain.take(header, payload)
+            || !chain.add(header, payload)
         {
             break;
         }
         (chain.last_offset, chain.offset) = (chain.offset, chain.offset + size);
         chain.sequence += 1;
     }
-    chain.finding = end_of_chain(bytes, owner, segment, generation, &chain);
+    chain.finding = chain_end_finding(bytes, owner, segment, generation, &chain);
     chain
 }
 
-impl Chain {
-    /// Takes the payload of the next block; `false` where it is none that belongs here.
-    fn take(&mut self, header: Header, payload: &[u8]) -> bool {
+impl BlockChain {
+    /// Adds the payload of the next block; `false` if it doesn't belong here.
+    fn add(&mut self, header: Header, payload: &[u8]) -> bool {
         match (header.kind, self.sequence) {
-            (block::Kind::Snapshot, 0) => self.snapshot = Some(payload.to_vec()),
-            (block::Kind::NoSnapshot, 0) | (block::Kind::Mark, 1) => {}
-            (block::Kind::Records, 2..) => match block::split_records(payload) {
+            (block::BlockKind::Snapshot, 0) => self.snapshot = Some(payload.to_vec()),
+            (block::BlockKind::NoSnapshot, 0) | (block::BlockKind::SyncMarker, 1) => {}
+            (block::BlockKind::Records, 2..) => match block::split_records(payload) {
                 Some(records) => self.records.extend(records),
                 None => return false,
             },
@@ -156,43 +161,43 @@
     }
 }
 
-/// Says why a chain ended where it did.
-fn end_of_chain(
+/// Why a chain ends where it does; none at the end of what was written.
+fn chain_end_finding(
     bytes: &[u8],
     owner: u64,
     segment: usize,
     generation: u64,
-    chain: &Chain,
+    chain: &BlockChain,
 ) -> Option<Finding> {
     let sequence = chain.sequence;
     let end = block::read_at(bytes, chain.offset, owner);
-    let later = whole_blocks(bytes, chain.offset, owner)
+    let has_later_block = complete_blocks(bytes, chain.offset, owner)
         .any(|(_, header, _)| header.generation == generation);
-    let never_written = match &end {
-        Reading::Empty => true,
-        Reading::Whole { header, .. } | Reading::BadPayload(header) => {
+    let is_unwritten = match &end {
+        BlockRead::Empty => true,
+        BlockRead::Complete { header, .. } | BlockRead::BadPayload(header) => {
             header.generation != generation
         }
         _ => false,
     };
     match end {
-        _ if later && never_written => Some(Finding::Missing {
+        _ if has_later_block && is_unwritten => Some(Finding::Missing {
             segment,
             generation,
             sequence,
         }),
-        _ if later => Some(Finding::Damaged {
+        _ if has_later_block => Some(Finding::Damaged {
             segment,
             generation,
             sequence,
         }),
-        Reading::Empty => None,
-        Reading::BadPayload(header) if header.generation == generation => Some(Finding::Torn {
+        BlockRead::Empty => None,
+        BlockRead::BadPayload(header) if header.generation == generation => Some(Finding::Torn {
             segment,
             generation,
             sequence,
         }),
-        Reading::BadHeader => Some(Finding::Torn {
+        BlockRead::BadHeader => Some(Finding::Torn {
             segment,
             generation,
             sequence,
--- a/wire/storage/src/storage.rs
+++ b/wire/storage/src/storage.rs
@@ -1,25 +1,25 @@
-//! The ring: where the next block goes, and what to do after a failure.
+//! The ring: where the next block goes, and what is done after a failure.
 
 use std::path::{Path, PathBuf};
 
-use crate::block::{self, Header, Kind};
+use crate::block::{self, BlockKind, Header};
 use crate::error::StorageError;
 use crate::file_system::{write_all_at, FileSystem, RealFileSystem, StorageFile};
 use crate::finding::Finding;
 use crate::recovery;
 
-/// Share of a segment that may be used before an image is wanted (percent).
+/// Share of a segment that may be used before a snapshot is wanted (percent).
 const USED_PERCENT: u64 = 75;
 
-/// How a ring is laid out.
+/// The layout of a ring.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StorageSettings {
-    /// Length of a segment (bytes), at least 4096. A segment becomes longer where an image takes
-    /// more than half of it.
+    /// Length of a segment (bytes), at least 4096. A segment becomes longer if a snapshot
+    /// takes more than half of it.
     pub segment_bytes: u64,
     /// Number of segments, at least 2. A ring that has more on disk keeps them.
     pub segments: usize,
-    /// Whose files these are. Files that name another owner are set aside.
+    /// Name of the owner of the files. Files that name another owner are set aside.
     pub owner: String,
 }
 
@@ -38,12 +38,12 @@
 /// What was found when a storage was opened.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Recovered {
-    /// The newest whole image.
+    /// The newest complete snapshot.
     pub snapshot: Option<Vec<u8>>,
     /// The records after it, in order.
     pub records: Vec<Vec<u8>>,
-    /// What was met besides. If any of them [loses state](Finding::loses_state), image and records
-    /// are older than what was acknowledged.
+    /// What was found besides. If any of them [loses state](Finding::loses_state), snapshot and
+    /// records are older than what was acknowledged.
     pub findings: Vec<Finding>,
 }
 
@@ -65,13 +65,13 @@
 /// How full a storage is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Bytes of the present segment that are used.
+    /// Bytes of the current segment that are used.
     pub used_bytes: u64,
-    /// Length of the present segment (bytes).
+    /// Length of the current segment (bytes).
     pub segment_bytes: u64,
     /// Bytes of all segments.
     pub disk_bytes: u64,
-    /// Whether the segment is nearly full: a new image should be stored.
+    /// Whether the segment is nearly full: a new snapshot should be stored.
     pub wants_snapshot: bool,
 }
 
@@ -83,7 +83,7 @@
 
 /// The segment that is being appended to.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Current {
+pub(crate) struct CurrentSegment {
     pub segment: usize,
     pub generation: u64,
     /// Where the next block goes, and its number.
@@ -91,11 +91,11 @@
     pub sequence: u32,
 }
 
-/// A segment whose beginning was being written when a write failed.
+/// A segment whose start was being written when a write failed.
 #[derive(Clone, Copy, Debug)]
 struct Unfinished {
     segment: usize,
-    mark_offset: u64,
+    marker_offset: u64,
 }
 
 /// A ring of segments in a folder. All of its calls may block for as long as the disk does.
@@ -105,14 +105,14 @@
     pub(crate) segment_bytes: u64,
     pub(crate) owner: u64,
     pub(crate) segments: Vec<Segment>,
-    pub(crate) current: Option<Current>,
-    /// Highest generation that was ever tried.
+    pub(crate) current: Option<CurrentSegment>,
+    /// Highest generation that was ever attempted.
     pub(crate) highest_generation: u64,
-    /// Damage was found: only an image may follow.
+    /// Damage was found: only a snapshot may follow.
     pub(crate) needs_snapshot: bool,
     unfinished: Option<Unfinished>,
-    /// A name was changed, and the folder not synced since.
-    names_unsynced: bool,
+    /// A name was changed, and the folder has not been synced since.
+    has_unsynced_names: bool,
 }
 
 impl std::fmt::Debug for Storage {
@@ -125,12 +125,12 @@
 }
 
 impl Storage {
-    /// Opens the ring in a folder, which is made if it isn't there. What is recovered has been made
-    /// to last, too.
+    /// Opens the ring in a folder, which is created if it isn't there. What is recovered has been
+    /// synced, too.
     ///
     /// # Errors
-    /// When the settings make no ring, or the file system refuses: nothing is lost then, and it may
-    /// be tried again.
+    /// The settings are invalid, or the file system refuses: nothing is lost then, and it may be
+    /// attempted again.
     pub fn open(
         folder: &Path,
         settings: &StorageSettings,
@@ -167,15 +167,15 @@
             highest_generation: 0,
             needs_snapshot: false,
             unfinished: None,
-            names_unsynced: false,
+            has_unsynced_names: false,
         }
     }
 
-    /// Stores records behind all others: all of them or, after an error, none. They are synced when
+    /// Stores records after all others: all of them or, after an error, none. They are synced when
     /// this returns.
     ///
     /// # Errors
-    /// When the segment is full or damaged, or the file system refuses. Nothing has changed then,
+    /// The segment is full or damaged, or the file system refuses. Nothing has changed then,
     /// except that after an error of the file system the records may be found by a recovery, unless
     /// another call succeeded in between.
     pub fn append(&mut self, records: &[Vec<u8>]) -> Result<(), StorageError> {
@@ -188,37 +188,40 @@
         self.void_unfinished()?;
         let current = match self.current {
             Some(current) => current,
-            None => self.begin_segment(Kind::NoSnapshot, &[])?,
+            None => self.start_segment(BlockKind::NoSnapshot, &[])?,
         };
-        let wanted = block::size_of(block::joined_length(records.iter().map(Vec::len))) as u64;
-        let left = self.segments[current.segment].length - current.offset;
-        if wanted > left {
-            return Err(StorageError::SegmentFull { wanted, left });
+        let required = block::size_of(block::joined_length(records.iter().map(Vec::len))) as u64;
+        let remaining = self.segments[current.segment].length - current.offset;
+        if required > remaining {
+            return Err(StorageError::SegmentFull {
+                required,
+                remaining,
+            });
         }
         let bytes = self.encode(
-            Kind::Records,
+            BlockKind::Records,
             current.generation,
             current.sequence,
             &block::join_records(records),
         )?;
         self.write_synced(current.segment, current.offset, &bytes)?;
-        self.current = Some(Current {
-            offset: current.offset + wanted,
+        self.current = Some(CurrentSegment {
+            offset: current.offset + required,
             sequence: current.sequence + 1,
             ..current
         });
         Ok(())
     }
 
-    /// Stores an image in place of the image and all records so far: it is there whole, or they
-    /// are. It is synced when this returns.
+    /// Stores a snapshot in place of the snapshot and all records so far: after a crash either it is
+    /// there, or they are. It is synced when this returns.
     ///
     /// # Errors
-    /// When the file system refuses. What was stored before still counts then, except that a
-    /// recovery may find the image, unless another call succeeded in between.
+    /// The file system refuses. What was stored before still counts then, except that a recovery may
+    /// find the snapshot, unless another call succeeded in between.
     pub fn replace_snapshot(&mut self, snapshot: &[u8]) -> Result<(), StorageError> {
         self.void_unfinished()?;
-        self.begin_segment(Kind::Snapshot, snapshot)?;
+        self.start_segment(BlockKind::Snapshot, snapshot)?;
         self.needs_snapshot = false;
         Ok(())
     }
@@ -229,13 +232,13 @@
         self.usage().wants_snapshot
     }
 
-    /// Whether these many records of these bytes altogether fit behind the others.
+    /// Whether so many records, of so many bytes altogether, fit after the others.
     #[must_use]
     pub fn fits(&self, records: usize, bytes: usize) -> bool {
-        let wanted = block::size_of(bytes + 4 * records) as u64;
+        let required = block::size_of(bytes + 4 * records) as u64;
         match self.current {
-            Some(current) => wanted <= self.segments[current.segment].length - current.offset,
-            None => wanted + 2 * block::SECTOR_BYTES as u64 <= self.segment_bytes,
+            Some(current) => required <= self.segments[current.segment].length - current.offset,
+            None => required + 2 * block::SECTOR_BYTES as u64 <= self.segment_bytes,
         }
     }
 
@@ -256,24 +259,28 @@
         }
     }
 
-    /// Begins the next segment of the ring: its first block, a sync, its mark, a sync.
-    fn begin_segment(&mut self, kind: Kind, payload: &[u8]) -> Result<Current, StorageError> {
+    /// Starts the next segment of the ring: its first block, a sync, its sync marker, a sync.
+    fn start_segment(
+        &mut self,
+        kind: BlockKind,
+        payload: &[u8],
+    ) -> Result<CurrentSegment, StorageError> {
         let segment = self
             .current
             .map_or(0, |current| (current.segment + 1) % self.segments.len());
         let generation = self.highest_generation + 1;
-        let beginning = self.encode(kind, generation, 0, payload)?;
-        self.make_room(segment, beginning.len() as u64)?;
-        let mark_offset = beginning.len() as u64;
+        let start = self.encode(kind, generation, 0, payload)?;
+        self.ensure_capacity(segment, start.len() as u64)?;
+        let marker_offset = start.len() as u64;
         self.highest_generation = generation;
         self.unfinished = Some(Unfinished {
             segment,
-            mark_offset,
+            marker_offset,
         });
-        self.write_synced(segment, 0, &beginning)?;
-        let offset = self.write_mark(segment, generation, mark_offset)?;
+        self.write_synced(segment, 0, &start)?;
+        let offset = self.write_sync_marker(segment, generation, marker_offset)?;
         self.unfinished = None;
-        let current = Current {
+        let current = CurrentSegment {
             segment,
             generation,
             offset,
@@ -283,80 +290,88 @@
         Ok(current)
     }
 
-    /// Says on disk that the beginning of a segment has been synced. Returns where the next block
-    /// goes.
-    pub(crate) fn write_mark(
+    /// Says on disk that the start of a segment has been synced. Returns the offset of the next
+    /// block.
+    pub(crate) fn write_sync_marker(
         &mut self,
         segment: usize,
         generation: u64,
         offset: u64,
     ) -> Result<u64, StorageError> {
-        let mark = self.encode(Kind::Mark, generation, 1, &[])?;
-        self.write_synced(segment, offset, &mark)?;
-        Ok(offset + mark.len() as u64)
+        let marker = self.encode(BlockKind::SyncMarker, generation, 1, &[])?;
+        self.write_synced(segment, offset, &marker)?;
+        Ok(offset + marker.len() as u64)
     }
 
-    /// Makes sure that a beginning that failed can't come back: without this, a recovery might take
-    /// it for newer than what is acknowledged from here on. The mark goes first, since a mark
-    /// without a beginning would look like damage.
+    /// Makes sure that a start whose write failed can't come back: without this, a recovery might
+    /// take it for newer than what is acknowledged from here on. The marker goes first, since a
+    /// marker without a start would look like damage.
     fn void_unfinished(&mut self) -> Result<(), StorageError> {
         let Some(Unfinished {
             segment,
-            mark_offset,
+            marker_offset,
         }) = self.unfinished
         else {
             return Ok(());
         };
-        self.write_void(segment, mark_offset)?;
+        self.write_void(segment, marker_offset)?;
         self.write_void(segment, 0)?;
         self.unfinished = None;
         Ok(())
     }
 
-    /// Puts nothing in the place of a block.
+    /// Writes a void block over a block.
     pub(crate) fn write_void(&mut self, segment: usize, offset: u64) -> Result<(), StorageError> {
-        let void = self.encode(Kind::Void, 0, 0, &[])?;
+        let void = self.encode(BlockKind::Void, 0, 0, &[])?;
         self.write_synced(segment, offset, &void)
     }
 
-    /// Makes a segment long enough for a beginning and as much again: a longer file takes its
-    /// place.
-    fn make_room(&mut self, segment: usize, beginning: u64) -> Result<(), StorageError> {
-        if 2 * beginning > self.segments[segment].length {
-            let length = (2 * beginning).next_multiple_of(self.segment_bytes);
-            self.put_longer(segment, length)?;
+    /// Makes sure that a segment is long enough for its first block and as much again: a longer file
+    /// takes its place if not.
+    fn ensure_capacity(
+        &mut self,
+        segment: usize,
+        first_block_bytes: u64,
+    ) -> Result<(), StorageError> {
+        if 2 * first_block_bytes > self.segments[segment].length {
+            let length = (2 * first_block_bytes).next_multiple_of(self.segment_bytes);
+            self.replace_with_longer_file(segment, length)?;
         }
-        self.sync_names()
+        self.sync_changed_names()
     }
 
-    fn put_longer(&mut self, segment: usize, length: u64) -> Result<(), StorageError> {
-        let (path, beside) = (
+    fn replace_with_longer_file(
+        &mut self,
+        segment: usize,
+        length: u64,
+    ) -> Result<(), StorageError> {
+        let (path, temporary) = (
             segment_path(&self.folder, segment),
-            beside_path(&self.folder, segment),
+            temporary_path(&self.folder, segment),
         );
-        let made = self.make_file(&beside, length).and_then(|file| {
+        let created = self.create_file(&temporary, length).and_then(|file| {
             self.file_system
-                .rename(&beside, &path)
-                .map_err(StorageError::io("rename", &beside))?;
+                .rename(&temporary, &path)
+                .map_err(StorageError::io("rename", &temporary))?;
             Ok(file)
         });
-        match made {
+        match created {
             Ok(file) => {
                 self.segments[segment] = Segment { file, length };
-                self.names_unsynced = true;
+                self.has_unsynced_names = true;
                 Ok(())
             }
             Err(error) => {
-                // It would take room on a full disk. If it can't be removed now, the next opening
-                // does.
-                let _ = self.file_system.remove(&beside);
+                // It would take space on a full disk. If it can't be removed now, the next opening
+                // removes it.
+                let _ = self.file_system.remove(&temporary);
                 Err(error)
             }
         }
     }
 
-    /// A new file of zeros, synced. Its name lasts once the folder is synced.
-    pub(crate) fn make_file(
+    /// A new file of zeros, synced. Its name is durable once the folder is synced.
+    pub(crate) fn create_file(
         &self,
         path: &Path,
         length: u64,
@@ -371,19 +386,24 @@
         Ok(file)
     }
 
-    fn sync_names(&mut self) -> Result<(), StorageError> {
-        if self.names_unsynced {
-            self.file_system
-                .sync_folder(&self.folder)
-                .map_err(StorageError::io("sync", &self.folder))?;
-            self.names_unsynced = false;
+    fn sync_changed_names(&mut self) -> Result<(), StorageError> {
+        if self.has_unsynced_names {
+            self.sync_folder()?;
+            self.has_unsynced_names = false;
         }
         Ok(())
     }
 
+    /// Makes the names of all files durable.
+    pub(crate) fn sync_folder(&self) -> Result<(), StorageError> {
+        self.file_system
+            .sync_folder(&self.folder)
+            .map_err(StorageError::io("sync", &self.folder))
+    }
+
     fn encode(
         &self,
-        kind: Kind,
+        kind: BlockKind,
         generation: u64,
         sequence: u32,
         payload: &[u8],
@@ -423,6 +443,6 @@
 }
 
 /// Name under which a segment's longer file is prepared.
-pub(crate) fn beside_path(folder: &Path, segment: usize) -> PathBuf {
+pub(crate) fn temporary_path(folder: &Path, segment: usize) -> PathBuf {
     folder.join(format!("segment-{segment}.new"))
 }
--- a/wire/storage/src/sync.rs
+++ b/wire/storage/src/sync.rs
@@ -1,4 +1,4 @@
-//! Threads and locks: the system's, and those of a scheduler that tries their interleavings in this
+//! Threads and locks: the system's, or those of a scheduler that explores interleavings in this
 //! package's own tests.
 
 #[cfg(test)]
--- a/wire/storage/src/writer/mod.rs
+++ b/wire/storage/src/writer/mod.rs
@@ -1,8 +1,8 @@
 //! The one thread that writes, so that a stalled disk holds up nothing else.
 //!
-//! Jobs are done in the order in which they were submitted; appends that wait together share one
-//! write and one sync. After a failure all jobs fail that were submitted before
-//! [`Writer::completions`] told of it: a record is never stored behind a gap.
+//! Requests are executed in the order in which they were submitted; appends that wait together share
+//! one write and one sync. After a failure all requests fail that were submitted before
+//! [`Writer::completions`] returned it: a record is never stored after a gap.
 
 use std::collections::VecDeque;
 use std::io::{self, Write};
@@ -13,19 +13,19 @@
 use crate::storage::{Storage, Usage};
 use crate::sync::{Arc, Builder, Condvar, JoinHandle, Mutex, MutexGuard};
 
-/// Something to be stored.
+/// A request to store something.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WriteRequest {
     /// Records, as [`Storage::append`] takes them.
     Append(Vec<Vec<u8>>),
-    /// An image, as [`Storage::replace_snapshot`] takes it.
+    /// A snapshot, as [`Storage::replace_snapshot`] takes it.
     ReplaceSnapshot(Vec<u8>),
 }
 
-/// The end of a job.
+/// The result of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Completion {
-    /// Its ticket.
+    /// The id that it was submitted with.
     pub write_id: u64,
     /// How full the storage is now, or why nothing was stored.
     pub result: Result<Usage, StorageError>,
@@ -33,17 +33,17 @@
     failures: u64,
 }
 
-/// A job in the queue.
-struct Queued {
+/// A request in the queue.
+struct QueuedWrite {
     write_id: u64,
-    job: WriteRequest,
-    /// Failures that the submitter had been told of.
+    request: WriteRequest,
+    /// Failures whose completions the submitter had taken.
     failures_known: u64,
 }
 
 #[derive(Default)]
 struct Queue {
-    jobs: VecDeque<Queued>,
+    requests: VecDeque<QueuedWrite>,
     closed: bool,
 }
 
@@ -54,7 +54,7 @@
     completions: Mutex<Vec<Completion>>,
 }
 
-/// A lock whose holder panicked is taken all the same: each holder leaves what it guards whole.
+/// Locks a mutex, also one that is poisoned: every holder leaves the value consistent.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex
         .lock()
@@ -66,7 +66,7 @@
 pub struct Writer {
     shared: Arc<Shared>,
     thread: Option<JoinHandle<Storage>>,
-    /// When each job was submitted whose completion hasn't been taken, oldest first.
+    /// When each request was submitted whose completion hasn't been taken, oldest first.
     outstanding: VecDeque<Instant>,
     failures_known: u64,
 }
@@ -84,17 +84,17 @@
     /// end is for the caller's loop.
     ///
     /// # Errors
-    /// When the stream can't be set or no thread be had.
+    /// The stream can't be made non-blocking, or no thread can be started.
     pub fn start(storage: Storage, wake: UnixStream) -> io::Result<Self> {
         wake.set_nonblocking(true)?;
-        // A stream that is full wakes its reader anyhow, and one that has been closed has none.
+        // A stream that is full wakes its reader anyhow, and a closed one has no reader.
         Self::start_with(storage, move || drop((&wake).write(&[1])))
     }
 
     /// Starts the thread with another way to wake the caller; it must not block.
     ///
     /// # Errors
-    /// When no thread can be had.
+    /// No thread can be started.
     pub fn start_with(storage: Storage, wake: impl FnMut() + Send + 'static) -> io::Result<Self> {
         let shared = Arc::new(Shared::default());
         let worker = Worker {
@@ -114,20 +114,20 @@
         })
     }
 
-    /// Hands a job to the thread. Its completion will bear the ticket.
-    pub fn submit(&mut self, write_id: u64, job: WriteRequest) {
+    /// Submits a request to the thread. Its completion will have this id.
+    pub fn submit(&mut self, write_id: u64, request: WriteRequest) {
         self.outstanding.push_back(Instant::now());
-        let queued = Queued {
+        let queued = QueuedWrite {
             write_id,
-            job,
+            request,
             failures_known: self.failures_known,
         };
-        lock(&self.shared.queue).jobs.push_back(queued);
+        lock(&self.shared.queue).requests.push_back(queued);
         self.shared.arrived.notify_one();
     }
 
-    /// Takes what was completed since the last call, in the order of submission. Jobs that are
-    /// submitted from now on take place whatever failed before: the caller knows of it.
+    /// Takes the completions since the last call, in the order of submission. Requests that are
+    /// submitted from now on are executed whatever failed before: the caller knows of it.
     pub fn completions(&mut self) -> Vec<Completion> {
         let completions = std::mem::take(&mut *lock(&self.shared.completions));
         self.outstanding.drain(..completions.len());
@@ -137,14 +137,13 @@
         completions
     }
 
-    /// Number of jobs whose completion hasn't been taken.
+    /// Number of requests whose completion hasn't been taken.
     #[must_use]
     pub fn outstanding(&self) -> usize {
         self.outstanding.len()
     }
 
-    /// How long ago the oldest job was submitted whose completion hasn't been taken: what a stalled
-    /// disk shows in.
+    /// Age of the oldest request whose completion hasn't been taken; it shows a stalled disk.
     #[must_use]
     pub fn oldest_outstanding(&self) -> Option<Duration> {
         self.oldest_outstanding_at(Instant::now())
@@ -158,8 +157,8 @@
             .map(|submitted| now.saturating_duration_since(*submitted))
     }
 
-    /// Waits until all jobs have been done and the thread has ended, and gives the storage back.
-    /// `None` if the thread had panicked.
+    /// Waits until all requests have been executed and the thread has ended, and returns the storage;
+    /// none if the thread has panicked.
     pub fn close(mut self) -> Option<Storage> {
         self.end();
         self.thread.take()?.join().ok()
@@ -172,35 +171,35 @@
 }
 
 impl Drop for Writer {
-    /// Lets the thread end once it has done what was submitted, without waiting for it.
+    /// Lets the thread end once it has executed what was submitted, without waiting for it.
     fn drop(&mut self) {
         self.end();
     }
 }
 
-/// The thread's end.
+/// The thread.
 struct Worker {
     shared: Arc<Shared>,
     storage: Storage,
     wake: Box<dyn FnMut() + Send>,
-    /// Jobs, or groups of them, that the storage refused.
+    /// Number of requests, or groups of them, that failed.
     failures: u64,
 }
 
 impl Worker {
     fn run(mut self) -> Storage {
-        while let Some(mut jobs) = self.wait_for_jobs() {
-            while !jobs.is_empty() {
-                self.do_next(&mut jobs);
+        while let Some(mut requests) = self.wait_for_requests() {
+            while !requests.is_empty() {
+                self.execute_next(&mut requests);
             }
         }
         self.storage
     }
 
-    /// All jobs that wait, or `None` once there will be none.
-    fn wait_for_jobs(&self) -> Option<VecDeque<Queued>> {
+    /// All requests in the queue, or `None` once there will be no more.
+    fn wait_for_requests(&self) -> Option<VecDeque<QueuedWrite>> {
         let mut queue = lock(&self.shared.queue);
-        while queue.jobs.is_empty() {
+        while queue.requests.is_empty() {
             if queue.closed {
                 return None;
             }
@@ -210,43 +209,43 @@
                 .wait(queue)
                 .unwrap_or_else(std::sync::PoisonError::into_inner);
         }
-        Some(std::mem::take(&mut queue.jobs))
+        Some(std::mem::take(&mut queue.requests))
     }
 
-    /// Does the first job, together with the appends behind it where it is one.
-    fn do_next(&mut self, jobs: &mut VecDeque<Queued>) {
-        let Some(first) = jobs.pop_front() else {
+    /// Executes the first request, together with the appends after it if it is one.
+    fn execute_next(&mut self, requests: &mut VecDeque<QueuedWrite>) {
+        let Some(first) = requests.pop_front() else {
             return;
         };
-        let mut tickets = vec![first.write_id];
+        let mut write_ids = vec![first.write_id];
         if first.failures_known < self.failures {
-            return self.complete(&tickets, &Err(StorageError::EarlierFailed));
+            return self.complete(&write_ids, &Err(StorageError::EarlierFailed));
         }
-        let result = match first.job {
+        let result = match first.request {
             WriteRequest::ReplaceSnapshot(snapshot) => self.storage.replace_snapshot(&snapshot),
             WriteRequest::Append(mut records) => {
-                self.join_appends(&mut records, &mut tickets, jobs);
+                self.merge_appends(&mut records, &mut write_ids, requests);
                 self.storage.append(&records)
             }
         };
         self.failures += u64::from(result.is_err());
         let usage = self.storage.usage();
-        self.complete(&tickets, &result.map(|()| usage));
+        self.complete(&write_ids, &result.map(|()| usage));
     }
 
-    /// Adds the records of the appends that come next, as far as all fit into one block.
-    fn join_appends(
+    /// Adds the records of the appends that follow, as far as all fit into one block.
+    fn merge_appends(
         &self,
         records: &mut Vec<Vec<u8>>,
-        tickets: &mut Vec<u64>,
-        jobs: &mut VecDeque<Queued>,
+        write_ids: &mut Vec<u64>,
+        requests: &mut VecDeque<QueuedWrite>,
     ) {
         let mut bytes: usize = records.iter().map(Vec::len).sum();
-        while let Some(Queued {
+        while let Some(QueuedWrite {
             write_id,
-            job: WriteRequest::Append(more),
+            request: WriteRequest::Append(more),
             failures_known,
-        }) = jobs.front_mut()
+        }) = requests.front_mut()
         {
             debug_assert!(
                 *failures_known >= self.failures,
@@ -258,14 +257,14 @@
             }
             bytes = with_more;
             records.append(more);
-            tickets.push(*write_id);
-            jobs.pop_front();
+            write_ids.push(*write_id);
+            requests.pop_front();
         }
     }
 
-    fn complete(&mut self, tickets: &[u64], result: &Result<Usage, StorageError>) {
+    fn complete(&mut self, write_ids: &[u64], result: &Result<Usage, StorageError>) {
         let failures = self.failures;
-        let completions = tickets.iter().map(|write_id| Completion {
+        let completions = write_ids.iter().map(|write_id| Completion {
             write_id: *write_id,
             result: result.clone(),
             failures,
--- a/wire/storage/src/writer/tests.rs
+++ b/wire/storage/src/writer/tests.rs
@@ -1,4 +1,4 @@
-//! The two threads under a scheduler that tries their interleavings.
+//! The two threads under a scheduler that explores their interleavings.
 
 #[path = "../../tests/support/mod.rs"]
 mod support;
@@ -55,7 +55,7 @@
     completions
 }
 
-fn tickets(completions: &[Completion]) -> Vec<u64> {
+fn write_ids(completions: &[Completion]) -> Vec<u64> {
     completions
         .iter()
         .map(|completion| completion.write_id)
@@ -64,12 +64,12 @@
 
 /// Two appends and a wait for both: no wake-up is lost, nothing is done twice or out of order, and
 /// all is on the disk.
-fn all_is_done_once() {
+fn each_request_is_executed_once() {
     let disk = FakeDisk::new();
     let (mut writer, bell) = start(&disk);
     writer.submit(1, WriteRequest::Append(vec![vec![1]]));
     writer.submit(2, WriteRequest::Append(vec![vec![2]]));
-    assert_eq!(tickets(&wait_for(&mut writer, &bell, 2)), [1, 2]);
+    assert_eq!(write_ids(&wait_for(&mut writer, &bell, 2)), [1, 2]);
     assert_eq!(writer.outstanding(), 0);
     assert!(writer.close().is_some());
     assert_eq!(open(&disk).1.records, [[1], [2]]);
@@ -77,9 +77,9 @@
 
 /// The first append fails. Whatever the submitter has seen of that when it submits the second, what
 /// is acknowledged is what is on the disk, without a gap.
-fn nothing_is_stored_behind_a_gap() {
+fn nothing_is_stored_after_a_gap() {
     let disk = FakeDisk::new();
-    open(&disk).0.replace_snapshot(b"image").unwrap();
+    open(&disk).0.replace_snapshot(b"state").unwrap();
     let (mut writer, bell) = start(&disk);
     disk.fault_after(0, Fault::Full);
     writer.submit(1, WriteRequest::Append(vec![vec![1]]));
@@ -88,7 +88,7 @@
     writer.submit(2, WriteRequest::Append(vec![vec![2]]));
     let missing = 2 - completions.len();
     completions.extend(wait_for(&mut writer, &bell, missing));
-    assert_eq!(tickets(&completions), [1, 2]);
+    assert_eq!(write_ids(&completions), [1, 2]);
     assert!(completions[0].result.is_err());
     assert_eq!(completions[1].result.is_ok(), knew);
     assert!(writer.close().is_some());
@@ -97,7 +97,7 @@
 }
 
 /// The writer is closed at any point: what was submitted is done first.
-fn closing_does_what_was_submitted() {
+fn closing_executes_submitted_requests() {
     let disk = FakeDisk::new();
     let (mut writer, _) = start(&disk);
     writer.submit(1, WriteRequest::ReplaceSnapshot(vec![1]));
@@ -117,22 +117,22 @@
 /// All interleavings of two threads with some twenty steps each are too many to be tried: these are
 /// drawn, by priorities that change at a few random places (which finds what takes few changes of
 /// threads), and evenly.
-fn try_interleavings(scenario: fn()) {
+fn check_interleavings(scenario: fn()) {
     shuttle::check_pct(scenario, 4_000, 3);
     shuttle::check_random_with_seed(scenario, 1, 4_000);
 }
 
 #[test]
-fn interleavings_do_all_once() {
-    try_interleavings(all_is_done_once);
+fn each_request_is_executed_once_in_every_interleaving() {
+    check_interleavings(each_request_is_executed_once);
 }
 
 #[test]
-fn interleavings_of_a_failure_leave_no_gap() {
-    try_interleavings(nothing_is_stored_behind_a_gap);
+fn failure_leaves_no_gap_in_any_interleaving() {
+    check_interleavings(nothing_is_stored_after_a_gap);
 }
 
 #[test]
-fn interleavings_of_closing_lose_nothing() {
-    try_interleavings(closing_does_what_was_submitted);
+fn closing_loses_nothing_in_any_interleaving() {
+    check_interleavings(closing_executes_submitted_requests);
 }
--- a/wire/storage/tests/crashes.rs
+++ b/wire/storage/tests/crashes.rs
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug, Default)]
 struct Model {
     acknowledged: State,
-    tried: Vec<State>,
+    attempted: Vec<State>,
     /// Makes all contents differ.
     counter: u32,
     /// Whether writes may be short.
@@ -76,11 +76,11 @@
             }
         };
         match result {
-            Ok(()) => (self.acknowledged, self.tried) = (after, Vec::new()),
+            Ok(()) => (self.acknowledged, self.attempted) = (after, Vec::new()),
             Err(StorageError::SegmentFull { .. }) => {
                 return self.step(disk, storage, &Step::ReplaceSnapshot(300));
             }
-            Err(StorageError::Io { .. }) => self.tried.push(after),
+            Err(StorageError::Io { .. }) => self.attempted.push(after),
             Err(other) => panic!("unexpected: {other}"),
         }
         !disk.is_dead()
@@ -110,13 +110,13 @@
             snapshot: recovered.snapshot,
             records: recovered.records,
         };
-        let right = state == self.acknowledged || self.tried.contains(&state);
+        let right = state == self.acknowledged || self.attempted.contains(&state);
         assert!(
             right,
             "{about}: found {state:?}, acknowledged {:?}",
             self.acknowledged
         );
-        (self.acknowledged, self.tried) = (state, Vec::new());
+        (self.acknowledged, self.attempted) = (state, Vec::new());
     }
 }
 
@@ -124,7 +124,7 @@
     Storage::open_with(Box::new(disk.clone()), Path::new(FOLDER), &small_ring())
 }
 
-/// Goes round the ring more than twice, with records of all sizes and an image that is longer than
+/// Goes round the ring more than twice, with records of all sizes and a snapshot that is longer than
 /// a segment.
 fn script() -> Vec<Step> {
     use Step::{Append, ReplaceSnapshot};
@@ -169,7 +169,7 @@
     drop(storage);
     model.judge(recovered, about);
     let about = format!("{about}, then all that is not synced is lost");
-    disk.lose_power(PowerLoss::NothingLeft);
+    disk.lose_power(PowerLoss::KeepNothing);
     let (mut storage, recovered) = open(disk).unwrap_or_else(|e| panic!("{about}: {e}"));
     model.judge(recovered, &about);
     for step in [
@@ -178,9 +178,9 @@
         Step::Append(vec![40, 50]),
     ] {
         assert!(model.step(disk, &mut storage, &step), "{about}");
-        assert!(model.tried.is_empty(), "{about}");
+        assert!(model.attempted.is_empty(), "{about}");
     }
-    disk.lose_power(PowerLoss::NothingLeft);
+    disk.lose_power(PowerLoss::KeepNothing);
     model.judge(
         open(disk).unwrap_or_else(|e| panic!("{about}: {e}")).1,
         &about,
@@ -189,7 +189,7 @@
 
 fn losses(seeds: u64) -> Vec<PowerLoss> {
     let random = (0..seeds).map(|seed| PowerLoss::Random(Random::new(seed + 1)));
-    [PowerLoss::NothingLeft, PowerLoss::AllLeft]
+    [PowerLoss::KeepNothing, PowerLoss::KeepAll]
         .into_iter()
         .chain(random)
         .collect()
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn power_is_lost_at_each_operation() {
+fn state_survives_power_loss_at_each_operation() {
     for operation in 0..operations_of_script() {
         let (disk, mut model) = (FakeDisk::new(), Model::default());
         disk.die_after(operation);
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn the_process_is_killed_at_each_operation() {
+fn state_survives_a_kill_at_each_operation() {
     for operation in 0..operations_of_script() {
         let (disk, mut model) = (FakeDisk::new(), Model::default());
         disk.die_after(operation);
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn power_is_lost_at_each_operation_of_a_recovery_too() {
+fn state_survives_power_loss_at_each_operation_of_a_recovery() {
     for operation in 0..operations_of_script() {
         let (disk, mut model) = (FakeDisk::new(), Model::default());
         disk.die_after(operation);
@@ -252,7 +252,7 @@
 }
 
 #[test]
-fn each_operation_fails_once_and_power_is_lost_after_each_step_that_follows() {
+fn state_survives_power_loss_after_a_failed_operation() {
     for operation in 0..operations_of_script() {
         for fault in [Fault::Error, Fault::Full, Fault::Short] {
             for steps in 0..=script().len() {
@@ -278,7 +278,7 @@
 }
 
 #[test]
-fn any_faults_and_crashes_in_any_order() {
+fn state_survives_random_faults_and_crashes() {
     for seed in 0..5_000 {
         let mut random = Random::new(seed);
         let (disk, mut model) = (
@@ -328,8 +328,8 @@
     disk.set_full(false);
     match random.below(4) {
         0 => disk.restart(),
-        1 => disk.lose_power(PowerLoss::NothingLeft),
-        2 => disk.lose_power(PowerLoss::AllLeft),
+        1 => disk.lose_power(PowerLoss::KeepNothing),
+        2 => disk.lose_power(PowerLoss::KeepAll),
         _ => disk.lose_power(PowerLoss::Random(random.clone())),
     }
 }
--- a/wire/storage/tests/findings.rs
+++ b/wire/storage/tests/findings.rs
@@ -1,4 +1,4 @@
-//! Torn, missing, stale, foreign and damaged content are told apart, and none of it is taken for
+//! Torn, missing, stale, foreign and damaged content is distinguished, and none of it is taken for
 //! state.
 
 mod support;
@@ -25,13 +25,13 @@
     format!("{FOLDER}/segment-{segment}")
 }
 
-/// A disk with an image (in segment 0, one sector, a mark behind it) and three records, a sector
+/// A disk with a snapshot (in segment 0, one sector, a marker after it) and three records, a sector
 /// each.
 fn written() -> FakeDisk {
     let disk = FakeDisk::new();
     let (mut storage, recovered) = open(&disk);
     assert!(recovered.is_empty());
-    storage.replace_snapshot(b"image").unwrap();
+    storage.replace_snapshot(b"state").unwrap();
     for record in [b"1", b"2", b"3"] {
         storage.append(&[record.to_vec()]).unwrap();
     }
@@ -43,15 +43,15 @@
 }
 
 #[test]
-fn what_was_written_is_found() {
+fn written_state_is_recovered() {
     let (_, recovered) = open(&written());
-    assert_eq!(recovered.snapshot.as_deref(), Some(&b"image"[..]));
+    assert_eq!(recovered.snapshot.as_deref(), Some(&b"state"[..]));
     assert_eq!(records(&recovered), [b"1", b"2", b"3"]);
     assert_eq!(recovered.findings, []);
 }
 
 #[test]
-fn a_last_record_that_is_cut_off_is_torn() {
+fn partial_last_record_is_torn() {
     let disk = written();
     disk.damage(&path(0), |bytes| bytes[4 * SECTOR + 41..].fill(0));
     let (mut storage, recovered) = open(&disk);
@@ -69,18 +69,18 @@
 }
 
 #[test]
-fn a_record_that_was_not_found_stays_away_though_the_disk_has_it() {
+fn unread_record_never_returns_though_the_disk_has_it() {
     let disk = written();
     disk.hide(&path(0), |bytes| bytes[4 * SECTOR + 41..].fill(0));
     assert_eq!(records(&open(&disk).1), [b"1", b"2"]);
-    disk.lose_power(PowerLoss::NothingLeft);
+    disk.lose_power(PowerLoss::KeepNothing);
     let (_, recovered) = open(&disk);
     assert_eq!(records(&recovered), [b"1", b"2"]);
     assert_eq!(recovered.findings, []);
 }
 
 #[test]
-fn a_record_that_is_damaged_before_others_is_damage_and_only_an_image_may_follow() {
+fn damaged_record_before_others_allows_only_a_snapshot() {
     let disk = written();
     disk.damage(&path(0), |bytes| bytes[3 * SECTOR + 44] ^= 1);
     for _ in 0..2 {
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_record_in_the_place_of_another_is_damage() {
+fn record_at_the_offset_of_another_is_damage() {
     let disk = written();
     disk.damage(&path(0), |bytes| {
         bytes.copy_within(3 * SECTOR..4 * SECTOR, 4 * SECTOR)
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_record_that_is_missing_before_others_is_told_so() {
+fn missing_record_before_others_is_reported() {
     let disk = written();
     disk.damage(&path(0), |bytes| bytes[3 * SECTOR..4 * SECTOR].fill(0));
     let (_, recovered) = open(&disk);
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn a_header_that_is_damaged_before_others_is_damage() {
+fn damaged_header_before_others_is_damage() {
     for byte in [0, 4, 6, 9, 20, 26, 30, 34, 38] {
         let disk = written();
         disk.damage(&path(0), |bytes| bytes[2 * SECTOR + byte] ^= 0x40);
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn an_image_that_is_damaged_never_lets_the_one_before_it_pass_for_newest() {
+fn damaged_snapshot_never_makes_the_previous_one_the_newest() {
     for byte in [0, 5, 9, 17, 25, 29, 33, 37, 42] {
         let disk = written();
         let (mut storage, _) = open(&disk);
@@ -174,7 +174,7 @@
         storage.append(&[b"old".to_vec()]).unwrap();
         disk.damage(&path(1), |bytes| bytes[byte] ^= 0x40);
         let (mut storage, recovered) = open(&disk);
-        assert_eq!(recovered.snapshot.as_deref(), Some(&b"image"[..]));
+        assert_eq!(recovered.snapshot.as_deref(), Some(&b"state"[..]));
         let damaged = Finding::Damaged {
             segment: 1,
             generation: 2,
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn all_images_that_are_damaged_are_damage() {
+fn damage_of_all_snapshots_is_reported() {
     let disk = written();
     disk.damage(&path(0), |bytes| bytes[42] ^= 1);
     let (_, recovered) = open(&disk);
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn an_image_that_was_cut_off_leaves_the_one_before_it() {
+fn partial_snapshot_leaves_the_previous_one() {
     let disk = written();
     let (mut storage, _) = open(&disk);
     disk.die_after(1);
@@ -228,7 +228,7 @@
     let (_, recovered) = open(&disk);
     assert_eq!(
         (recovered.snapshot.as_deref(), recovered.records.len()),
-        (Some(&b"image"[..]), 3)
+        (Some(&b"state"[..]), 3)
     );
     assert!(!recovered.loses_state());
 }
@@ -239,7 +239,7 @@
     let (mut storage, _) = open(&disk);
     for generation in 1..=7_u8 {
         storage.replace_snapshot(&[generation]).unwrap();
-        // The earlier the generation, the more records: those of old stay behind the new ones.
+        // The earlier the generation, the more records: old ones remain after the new ones.
         for number in 0..7 - generation.min(5) {
             storage.append(&[vec![generation, number]]).unwrap();
         }
@@ -261,7 +261,7 @@
 }
 
 #[test]
-fn files_of_another_owner_are_set_aside_whole() {
+fn files_of_another_owner_are_set_aside_unchanged() {
     let disk = written();
     let content = disk.content(&path(0));
     let (mut storage, recovered) = open_as(
@@ -285,11 +285,11 @@
 }
 
 #[test]
-fn another_format_and_what_is_no_segment_are_set_aside() {
-    let mut later = b"LSWS\x02\x00 of a later version".to_vec();
-    later.resize(4096, 1);
+fn files_of_another_format_or_of_none_are_set_aside() {
+    let mut has_later_block = b"LSWS\x02\x00 of a later version".to_vec();
+    has_later_block.resize(4096, 1);
     let cases = [
-        (later, ForeignReason::Format(2)),
+        (has_later_block, ForeignReason::Format(2)),
         (b"notes\n".to_vec(), ForeignReason::Unreadable),
     ];
     for (content, reason) in cases {
@@ -316,7 +316,7 @@
 }
 
 #[test]
-fn a_file_that_is_missing_is_told_and_made_anew() {
+fn missing_file_is_reported_and_created_anew() {
     for (segment, may_have_been_newest) in [(1, true), (2, false)] {
         let disk = written();
         disk.put(&path(segment), None);
@@ -334,7 +334,7 @@
 }
 
 #[test]
-fn a_full_disk_refuses_and_what_was_stored_stays() {
+fn full_disk_rejects_writes_and_keeps_the_stored_state() {
     let disk = written();
     let (mut storage, _) = open(&disk);
     disk.set_full(true);
@@ -348,7 +348,7 @@
 }
 
 #[test]
-fn after_a_sync_that_failed_the_bytes_are_written_again() {
+fn bytes_are_written_again_after_a_failed_sync() {
     let disk = written();
     let (mut storage, _) = open(&disk);
     for _ in 0..3 {
@@ -362,12 +362,12 @@
         );
     }
     storage.append(&[vec![4; 1000]]).unwrap();
-    disk.lose_power(PowerLoss::NothingLeft);
+    disk.lose_power(PowerLoss::KeepNothing);
     assert_eq!(open(&disk).1.records[3..], [vec![4; 1000]]);
 }
 
 #[test]
-fn an_image_that_failed_after_its_sync_never_returns_once_records_follow_the_old_one() {
+fn failed_snapshot_never_returns_once_records_follow_the_previous_one() {
     for operation in 0..4 {
         let disk = written();
         let (mut storage, _) = open(&disk);
@@ -377,7 +377,7 @@
         let (_, recovered) = open(&disk);
         assert_eq!(
             recovered.snapshot.as_deref(),
-            Some(&b"image"[..]),
+            Some(&b"state"[..]),
             "operation {operation}"
         );
         assert_eq!(records(&recovered), [b"1", b"2", b"3", b"4"]);
@@ -385,14 +385,14 @@
 }
 
 #[test]
-fn a_segment_fills_and_an_image_makes_room() {
+fn snapshot_follows_a_full_segment() {
     let (mut storage, _) = open(&FakeDisk::new());
     storage.replace_snapshot(&[0; 900]).unwrap();
     assert_eq!(storage.usage().used_bytes, 1536);
     assert!(!storage.wants_snapshot() && storage.fits(1, 2516) && !storage.fits(1, 2517));
     let full = StorageError::SegmentFull {
-        wanted: 3072,
-        left: 2560,
+        required: 3072,
+        remaining: 2560,
     };
     assert_eq!(storage.append(&[vec![0; 2517]]), Err(full));
     storage.append(&[vec![0; 1800]]).unwrap();
@@ -402,7 +402,7 @@
 }
 
 #[test]
-fn a_long_image_gets_a_longer_segment_and_room_behind_it() {
+fn long_snapshot_gets_a_longer_segment_with_space_after_it() {
     let disk = FakeDisk::new();
     let (mut storage, _) = open(&disk);
     storage.replace_snapshot(b"short").unwrap();
@@ -421,7 +421,7 @@
 }
 
 #[test]
-fn a_long_image_on_a_full_disk_leaves_nothing_behind() {
+fn long_snapshot_on_a_full_disk_leaves_no_file() {
     let disk = written();
     let (mut storage, _) = open(&disk);
     disk.fault_after(1, Fault::Full);
@@ -432,7 +432,7 @@
 }
 
 #[test]
-fn records_may_come_before_any_image() {
+fn records_are_stored_before_any_snapshot() {
     let disk = FakeDisk::new();
     let (mut storage, _) = open(&disk);
     storage.append(&[b"1".to_vec(), vec![]]).unwrap();
@@ -444,7 +444,7 @@
 }
 
 #[test]
-fn a_ring_with_more_segments_on_disk_keeps_them() {
+fn ring_with_more_segments_on_disk_keeps_them() {
     let disk = FakeDisk::new();
     let (mut storage, _) = open(&disk);
     (1..=3_u8).for_each(|snapshot| storage.replace_snapshot(&[snapshot]).unwrap());
@@ -469,7 +469,7 @@
 }
 
 #[test]
-fn settings_that_make_no_ring_are_refused() {
+fn invalid_settings_are_rejected() {
     for settings in [
         StorageSettings {
             segments: 1,
--- a/wire/storage/tests/support/file.rs
+++ b/wire/storage/tests/support/file.rs
@@ -27,7 +27,7 @@
             return Err(io::ErrorKind::StorageFull.into());
         }
         let outcome = disk.begin()?;
-        let part = match outcome {
+        let written = match outcome {
             Outcome::Done | Outcome::Dies => bytes.len(),
             Outcome::Fault(Fault::Full) => return Err(io::ErrorKind::StorageFull.into()),
             Outcome::Fault(Fault::Short) => 1 + disk.random().below(bytes.len()),
@@ -37,12 +37,12 @@
             self.inode,
             Change::Write {
                 offset: offset as usize,
-                bytes: bytes[..part].to_vec(),
+                bytes: bytes[..written].to_vec(),
             },
         );
         match outcome {
             Outcome::Dies | Outcome::Fault(Fault::Error) => Err(error("input/output error")),
-            _ => Ok(part),
+            _ => Ok(written),
         }
     }
 
--- a/wire/storage/tests/support/mod.rs
+++ b/wire/storage/tests/support/mod.rs
@@ -18,8 +18,8 @@
 /// What a loss of power leaves of what was not synced.
 #[derive(Clone, Debug)]
 pub enum PowerLoss {
-    NothingLeft,
-    AllLeft,
+    KeepNothing,
+    KeepAll,
     /// Each write and each name by itself.
     Random(Random),
 }
@@ -60,10 +60,10 @@
             return self.apply(content);
         };
         if random.one_in(2) {
-            let part = bytes[..random.below(bytes.len())].to_vec();
+            let written = bytes[..random.below(bytes.len())].to_vec();
             return Self::Write {
                 offset: *offset,
-                bytes: part,
+                bytes: written,
             }
             .apply(content);
         }
@@ -76,10 +76,10 @@
         }
     }
 
-    fn leave(&self, content: &mut Vec<u8>, power: &mut PowerLoss) {
+    fn apply_power_loss(&self, content: &mut Vec<u8>, power: &mut PowerLoss) {
         match power {
-            PowerLoss::NothingLeft => {}
-            PowerLoss::AllLeft => self.apply(content),
+            PowerLoss::KeepNothing => {}
+            PowerLoss::KeepAll => self.apply(content),
             PowerLoss::Random(random) => match random.below(3) {
                 0 => {}
                 1 => self.apply(content),
@@ -178,8 +178,8 @@
     }
 
     /// For operations that are done whole or not at all.
-    fn begin_simple(&mut self, needs_room: bool) -> io::Result<bool> {
-        if needs_room && self.full && !self.dead {
+    fn begin_simple(&mut self, needs_space: bool) -> io::Result<bool> {
+        if needs_space && self.full && !self.dead {
             self.operations += 1;
             return Err(io::ErrorKind::StorageFull.into());
         }
@@ -187,7 +187,7 @@
             Outcome::Done | Outcome::Fault(Fault::Short) => Ok(true),
             Outcome::Dies => Ok(false),
             Outcome::Fault(Fault::Error) => Err(error("input/output error")),
-            Outcome::Fault(Fault::Full) if needs_room => Err(io::ErrorKind::StorageFull.into()),
+            Outcome::Fault(Fault::Full) if needs_space => Err(io::ErrorKind::StorageFull.into()),
             Outcome::Fault(Fault::Full) => Ok(true),
         }
     }
@@ -210,7 +210,7 @@
             durable, pending, ..
         } = &mut self.inodes[inode];
         for change in pending.drain(..) {
-            change.leave(durable, &mut PowerLoss::Random(random.clone()));
+            change.apply_power_loss(durable, &mut PowerLoss::Random(random.clone()));
             random.next();
         }
         self.random = Some(random);
@@ -219,21 +219,21 @@
     fn lose_power(&mut self, mut power: PowerLoss) {
         for inode in &mut self.inodes {
             for change in std::mem::take(&mut inode.pending) {
-                change.leave(&mut inode.durable, &mut power);
+                change.apply_power_loss(&mut inode.durable, &mut power);
             }
             inode.visible = inode.durable.clone();
         }
         for change in std::mem::take(&mut self.pending_names) {
             let left = match &mut power {
-                PowerLoss::NothingLeft => false,
-                PowerLoss::AllLeft => true,
+                PowerLoss::KeepNothing => false,
+                PowerLoss::KeepAll => true,
                 PowerLoss::Random(random) => random.one_in(2),
             };
             if left {
                 change.apply(&mut self.durable_names);
             }
         }
-        if !matches!(power, PowerLoss::AllLeft) {
+        if !matches!(power, PowerLoss::KeepAll) {
             self.folders = self.durable_folders.clone();
         }
         let folders = self.folders.clone();
@@ -321,7 +321,7 @@
             .map(|inode| disk.inodes[*inode].visible.clone())
     }
 
-    /// Changes a file behind the storage's back, for good.
+    /// Changes a file without the storage, durably.
     pub fn damage(&self, path: &str, change: impl FnOnce(&mut Vec<u8>)) {
         let mut disk = self.lock();
         let inode = disk.names[Path::new(path)];
@@ -337,7 +337,7 @@
         change(&mut disk.inodes[inode].visible);
     }
 
-    /// Puts a file there, or takes it away, for good.
+    /// Creates a file, or removes it, durably.
     pub fn put(&self, path: &str, content: Option<Vec<u8>>) {
         let mut disk = self.lock();
         let Some(content) = content else {
--- a/wire/storage/tests/writer.rs
+++ b/wire/storage/tests/writer.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn jobs_are_done_in_order_and_are_there_after_a_restart() {
+fn requests_are_executed_in_order_and_survive_a_restart() {
     let folder = Folder::new("order");
     let path = folder.0.join("below");
     let settings = StorageSettings::new("north n1");
@@ -50,7 +50,7 @@
     let (mut wake, waking) = UnixStream::pair().unwrap();
     let mut writer = Writer::start(storage, waking).unwrap();
     writer.submit(1, WriteRequest::Append(vec![b"before".to_vec()]));
-    writer.submit(2, WriteRequest::ReplaceSnapshot(b"image".to_vec()));
+    writer.submit(2, WriteRequest::ReplaceSnapshot(b"state".to_vec()));
     for write_id in 3..100_u8 {
         writer.submit(write_id.into(), WriteRequest::Append(vec![vec![write_id]]));
     }
@@ -64,7 +64,7 @@
         .all(|completion| completion.result.is_ok()));
     assert!(writer.close().is_some());
     let (_, recovered) = Storage::open(&path, &settings).unwrap();
-    assert_eq!(recovered.snapshot.as_deref(), Some(&b"image"[..]));
+    assert_eq!(recovered.snapshot.as_deref(), Some(&b"state"[..]));
     assert!(recovered
         .records
         .into_iter()
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn what_is_no_segment_is_set_aside_on_real_files_too() {
+fn real_file_that_is_no_segment_is_set_aside() {
     let folder = Folder::new("aside");
     std::fs::create_dir_all(folder.0.join("segment-1")).unwrap();
     std::fs::write(folder.0.join("segment-2"), "notes").unwrap();
@@ -105,7 +105,7 @@
 
 /// A writer whose thread waits in its first wake-up until it is let go: what is submitted meanwhile
 /// waits together.
-fn held_writer(storage: Storage) -> (Writer, mpsc::Receiver<()>, mpsc::Sender<()>) {
+fn paused_writer(storage: Storage) -> (Writer, mpsc::Receiver<()>, mpsc::Sender<()>) {
     let (woken, wakes) = mpsc::channel();
     let (let_go, held) = mpsc::channel::<()>();
     let wake = move || {
@@ -116,11 +116,11 @@
 }
 
 #[test]
-fn appends_that_wait_together_share_one_sync() {
+fn queued_appends_share_one_sync() {
     let disk = FakeDisk::new();
     let mut storage = open_fake(&disk);
-    storage.replace_snapshot(b"image").unwrap();
-    let (mut writer, wakes, let_go) = held_writer(storage);
+    storage.replace_snapshot(b"state").unwrap();
+    let (mut writer, wakes, let_go) = paused_writer(storage);
     writer.submit(0, WriteRequest::Append(vec![vec![0]]));
     wakes.recv().unwrap();
     let before = disk.syncs();
@@ -134,10 +134,10 @@
 }
 
 #[test]
-fn after_a_failure_all_that_waited_fails_and_what_follows_the_news_does_not() {
+fn failure_fails_queued_requests_and_none_after_its_completion() {
     let disk = FakeDisk::new();
-    let (mut writer, wakes, let_go) = held_writer(open_fake(&disk));
-    writer.submit(0, WriteRequest::ReplaceSnapshot(b"image".to_vec()));
+    let (mut writer, wakes, let_go) = paused_writer(open_fake(&disk));
+    writer.submit(0, WriteRequest::ReplaceSnapshot(b"state".to_vec()));
     wakes.recv().unwrap();
     disk.fault_after(1, Fault::Error);
     for write_id in 1..4 {
@@ -182,15 +182,15 @@
         .1;
     assert_eq!(
         (recovered.snapshot, recovered.records),
-        (Some(b"image".to_vec()), vec![vec![3]])
+        (Some(b"state".to_vec()), vec![vec![3]])
     );
 }
 
 #[test]
-fn a_job_that_does_not_fit_fails_by_itself_and_a_group_is_cut_where_it_fits() {
+fn request_that_does_not_fit_fails_alone_and_groups_are_split() {
     let disk = FakeDisk::new();
-    let (mut writer, wakes, let_go) = held_writer(open_fake(&disk));
-    writer.submit(0, WriteRequest::ReplaceSnapshot(b"image".to_vec()));
+    let (mut writer, wakes, let_go) = paused_writer(open_fake(&disk));
+    writer.submit(0, WriteRequest::ReplaceSnapshot(b"state".to_vec()));
     wakes.recv().unwrap();
     for write_id in 1..=3 {
         writer.submit(write_id, WriteRequest::Append(vec![vec![1; 1400]]));
@@ -207,8 +207,8 @@
 }
 
 #[test]
-fn the_age_of_what_is_outstanding_is_told_while_the_disk_stalls() {
-    let (mut writer, wakes, let_go) = held_writer(open_fake(&FakeDisk::new()));
+fn age_of_the_oldest_request_grows_while_the_disk_stalls() {
+    let (mut writer, wakes, let_go) = paused_writer(open_fake(&FakeDisk::new()));
     assert_eq!(
         (writer.oldest_outstanding(), writer.outstanding()),
         (None, 0)
@@ -218,11 +218,11 @@
     let after = Instant::now();
     wakes.recv().unwrap();
     writer.submit(1, WriteRequest::Append(vec![vec![0]]));
-    let later = after + Duration::from_secs(5);
-    let age = writer.oldest_outstanding_at(later).unwrap();
-    assert!(age >= Duration::from_secs(5) && age <= later - before);
+    let has_later_block = after + Duration::from_secs(5);
+    let age = writer.oldest_outstanding_at(has_later_block).unwrap();
+    assert!(age >= Duration::from_secs(5) && age <= has_later_block - before);
     assert_eq!(writer.completions().len(), 1);
-    assert!(writer.oldest_outstanding_at(later).unwrap() < age);
+    assert!(writer.oldest_outstanding_at(has_later_block).unwrap() < age);
     assert_eq!(writer.outstanding(), 1);
     drop(let_go);
     wakes.recv().unwrap();
@@ -233,10 +233,10 @@
 }
 
 #[test]
-fn a_writer_that_is_dropped_does_what_it_was_given() {
+fn dropped_writer_executes_submitted_requests() {
     let disk = FakeDisk::new();
-    let (mut writer, wakes, let_go) = held_writer(open_fake(&disk));
-    writer.submit(0, WriteRequest::ReplaceSnapshot(b"image".to_vec()));
+    let (mut writer, wakes, let_go) = paused_writer(open_fake(&disk));
+    writer.submit(0, WriteRequest::ReplaceSnapshot(b"state".to_vec()));
     writer.submit(1, WriteRequest::Append(vec![b"1".to_vec()]));
     drop(writer);
     drop(let_go);
