--- a/src/bin/lichenswitch-simulator-adapter/main.rs
+++ b/src/bin/lichenswitch-simulator-adapter/main.rs
@@ -4,7 +4,7 @@
 mod codec;
 
 use codec::{CodecError, Record, Reply, Scope, HEADER};
-use lichenswitch::config::settings;
+use lichenswitch::config::settings::{self, SettingsError};
 use lichenswitch::interface::{Action, Event, ListedServer, ServerListUpdate};
 use lichenswitch::policy::Coordinator;
 use std::collections::BTreeMap;
@@ -18,8 +18,8 @@
 enum AdapterError {
     #[error(transparent)]
     Codec(#[from] CodecError),
-    #[error("{0}")]
-    Settings(String),
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
     #[error("event for instance {0}, which has not begun")]
     UnknownInstance(u32),
     #[error("list {0} was never sent")]
@@ -54,14 +54,8 @@
                     facts,
                 } => {
                     inbox.insert(instance, Vec::new());
-                    self.instances.insert(
-                        instance,
-                        Coordinator::new(
-                            seed,
-                            settings::parse(&facts)
-                                .map_err(|e| AdapterError::Settings(e.to_string()))?,
-                        ),
-                    );
+                    self.instances
+                        .insert(instance, Coordinator::new(seed, settings::parse(&facts)?));
                 }
                 Record::PowerOff { instance } => {
                     inbox.remove(&instance);
--- a/src/bin/lichenswitch-simulator-adapter/tests.rs
+++ b/src/bin/lichenswitch-simulator-adapter/tests.rs
@@ -349,7 +349,9 @@
     ] {
         let text = facts(CLASSES);
         assert!(text.contains(good));
-        let told = settings::parse(text.replace(good, bad).as_bytes()).unwrap_err();
+        let told = settings::parse(text.replace(good, bad).as_bytes())
+            .unwrap_err()
+            .to_string();
         assert!(told.starts_with("settings: "), "{told}");
     }
 }
--- a/src/broker.rs
+++ b/src/broker.rs
@@ -1,7 +1,7 @@
 //! The broker: one loop that gathers what is ready, hands it to the decision module in one go, and
 //! carries out what came back.
 
-use crate::config;
+use crate::config::{self, ConfigError};
 use crate::contract::Contracts;
 use crate::core::Core;
 use crate::decide::discovery::call_pacer::CallPacer;
@@ -22,6 +22,7 @@
 use std::io;
 use std::net::SocketAddr;
 use std::os::unix::net::UnixStream;
+use thiserror::Error;
 
 /// New connections keep arriving for so long after the signal to stop: the front layer learns of it
 /// late.
@@ -36,6 +37,30 @@
 /// How often a broker that stops looks whether it has finished.
 const STOP_LOOK: Micros = 20_000;
 
+/// Why the broker can't serve.
+#[derive(Debug, Error)]
+pub enum BrokerError {
+    /// Neither front is configured.
+    #[error(
+        "NODE_CONFIG: not set, and deploy/lichenswitch.yaml has no ogc.listen: nothing to serve"
+    )]
+    NothingToServe,
+    /// The system gives no poller.
+    #[error("poller: {0}")]
+    Poller(io::Error),
+    /// The management thread's signals can't be watched.
+    #[error("orders: {0}")]
+    Orders(io::Error),
+    /// An address can't be listened on.
+    #[error("listen: {address}: {source}")]
+    Listen {
+        /// The address.
+        address: SocketAddr,
+        /// What the system says.
+        source: io::Error,
+    },
+}
+
 /// Writes a line for the operators.
 pub fn log(line: &str) {
     crate::log_writer::writer().write_line(format!("lichenswitch: {line}\n").into_bytes());
@@ -70,7 +95,7 @@
 }
 
 /// Reads the platform's configuration; `None`: there is none any more.
-type Reread = Box<dyn FnMut() -> Result<Option<config::Platform>, String>>;
+type Reread = Box<dyn FnMut() -> Result<Option<config::Platform>, ConfigError>>;
 
 /// Does the same with each service that there is.
 macro_rules! each_service {
@@ -91,24 +116,27 @@
 
 impl Broker {
     /// A broker that listens already: once this returns, clients are served.
+    ///
+    /// # Errors
+    /// There is nothing to serve, or the system refuses a poller or an address.
     pub fn new(
         platform: Option<config::Platform>,
         ogc: Option<config::Ogc>,
-    ) -> Result<Broker, String> {
+    ) -> Result<Broker, BrokerError> {
         Broker::managed(platform, ogc, None)
     }
 
-    /// The same with operators who call.
+    /// As [`Broker::new`], with a management interface for operators.
+    ///
+    /// # Errors
+    /// There is nothing to serve, or the system refuses a poller or an address.
     pub fn managed(
         platform: Option<config::Platform>,
         ogc: Option<config::Ogc>,
         mut management: Option<ManagementHandle>,
-    ) -> Result<Broker, String> {
+    ) -> Result<Broker, BrokerError> {
         if platform.is_none() && ogc.is_none() {
-            return Err(
-                "NODE_CONFIG: not set, and deploy/lichenswitch.yaml has no ogc.listen: nothing to serve"
-                    .into(),
-            );
+            return Err(BrokerError::NothingToServe);
         }
         let sockets = platform
             .as_ref()
@@ -119,10 +147,10 @@
         let set_aside = management
             .as_ref()
             .map_or(0, |_| management::set_aside(sockets));
-        let mut net = Net::new(sockets - set_aside).map_err(|e| format!("poller: {e}"))?;
+        let mut net = Net::new(sockets - set_aside).map_err(BrokerError::Poller)?;
         if let Some(woken) = management.as_mut().and_then(ManagementHandle::take_woken) {
             net.watch_signal(Signal::Orders, woken)
-                .map_err(|e| format!("orders: {e}"))?;
+                .map_err(BrokerError::Orders)?;
         }
         let mut broker = Broker {
             net,
@@ -147,7 +175,7 @@
         Ok(broker)
     }
 
-    fn serve_platform(&mut self, told: config::Platform) -> Result<(), String> {
+    fn serve_platform(&mut self, told: config::Platform) -> Result<(), BrokerError> {
         let classes = told.classes.iter().zip(&told.settings.classes);
         let classes = classes
             .map(|(name, c)| Class {
@@ -189,7 +217,7 @@
         Ok(())
     }
 
-    fn serve_ogc(&mut self, told: config::Ogc) -> Result<(), String> {
+    fn serve_ogc(&mut self, told: config::Ogc) -> Result<(), BrokerError> {
         let mut directory = Directory::new(told.inventory.zones);
         let mut core = Core::new(
             told.seed,
@@ -224,7 +252,7 @@
     }
 
     /// Listens for the platform's clients, if it does not yet.
-    fn open_listener(&mut self) -> Result<(), String> {
+    fn open_listener(&mut self) -> Result<(), BrokerError> {
         let Some((name, address)) = self.unopened.take() else {
             return Ok(());
         };
@@ -250,7 +278,7 @@
             }
             Err(e) => {
                 self.unopened = Some((name, address));
-                return Err(format!("listen: {address}: {e}"));
+                return Err(BrokerError::Listen { address, source: e });
             }
         }
         if let (Some(management), Ok(listener)) =
@@ -261,10 +289,10 @@
         Ok(())
     }
 
-    fn listen(&mut self, owner: Owner, address: SocketAddr) -> Result<SocketAddr, String> {
+    fn listen(&mut self, owner: Owner, address: SocketAddr) -> Result<SocketAddr, BrokerError> {
         self.net
             .listen(owner, address)
-            .map_err(|e| format!("listen: {address}: {e}"))
+            .map_err(|source| BrokerError::Listen { address, source })
     }
 
     /// Talks with other brokers from now on.
@@ -283,17 +311,26 @@
     }
 
     /// Ends the loop, when its work is done, once this stream can be read.
+    ///
+    /// # Errors
+    /// The stream can't be polled.
     pub fn stop_on(&mut self, signal: UnixStream) -> io::Result<()> {
         self.net.watch_signal(Signal::Stop, signal)
     }
 
-    /// Takes over the configuration that `reread` brings whenever this stream can be read.
+    /// Takes over the configuration that `reread` returns whenever this stream can be read.
+    ///
+    /// # Errors
+    /// The stream can't be polled.
     pub fn reload_on(&mut self, signal: UnixStream, reread: Reread) -> io::Result<()> {
         self.reread = Some(reread);
         self.net.watch_signal(Signal::Reload, signal)
     }
 
-    /// Serves until it is told to stop and all that was taken is finished.
+    /// Serves until the signal to stop has come and all that was taken is finished.
+    ///
+    /// # Errors
+    /// The poller fails.
     pub fn run(&mut self) -> io::Result<()> {
         loop {
             let until = self.next_turn();
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,19 +1,27 @@
 //! Configuration: the one place where environment, JSON and files of `deploy/` are read, checked
-//! and given defaults. Every message names the faulty key.
-
+//! and given defaults.
+//!
+//! - [`Platform`]: the platform's file, by `NODE_CONFIG`, and the environment;
+//! - [`Operators`]: the operators' file, with the sections [`Ogc`], [`Peers`] and [`Phases`];
+//! - [`settings`]: the settings of the decision module, which the platform's file holds.
+//!
+//! A [`ConfigError`] names the faulty key.
+
+mod error;
+mod ogc;
 pub mod operators;
 pub mod peers;
 pub mod settings;
 
+pub use error::{AddressError, ConfigError};
+pub use ogc::{Collection, Ogc};
 pub use operators::{Operators, Phases};
 pub use peers::Peers;
 
-use crate::contract::{Contract, Contracts};
 use crate::discovery::List;
-use crate::interface::{Discovery, Layout, Micros, RetrySafety, Settings};
-use crate::inventory::{read_text, Inventory};
+use crate::interface::{Micros, Settings};
+use crate::inventory::read_text;
 use serde::Deserialize;
-use serde_saphyr::Spanned;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
@@ -28,7 +36,7 @@
     pub idle: u64,
 }
 
-/// What the broker on the platform is told.
+/// The configuration of the broker on the platform.
 #[derive(Clone, Debug)]
 pub struct Platform {
     /// Its name.
@@ -59,32 +67,21 @@
     pub connections: Connections,
     /// Names of the tenants, in the order of the module's quotas.
     pub tenants: Vec<String>,
-    /// Within this after it was told that a node drains or is gone, nothing new goes there
+    /// Within this after a node was listed as draining or gone, nothing new goes there
     /// (microseconds).
     pub stop_within: Micros,
     /// How queries of two phases are planned.
     pub phases: Phases,
 }
 
-/// A collection that clients of the OGC front may read.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Collection {
-    /// Its id in paths.
-    pub id: String,
-    /// Its title.
-    pub title: String,
-    /// Index of the class under whose rules it is read.
-    pub class: usize,
-    /// The same for sorted answers, which take two steps.
-    pub sorted: usize,
-    /// How long a client is taken to wait.
-    pub wait: Micros,
-}
-
-/// Descriptors that a broker may hold where it is told no limit, and at most.
+/// Descriptors that a broker may hold where no limit is set, and at most.
 pub const SOCKETS: usize = 1_024;
-/// Megabytes that a broker may use where it is told no limit.
+/// Megabytes that a broker may use where no limit is set.
 pub const MEMORY: usize = 192;
+/// Fewest descriptors that a broker can work with.
+const LEAST_SOCKETS: usize = 64;
+/// Fewest megabytes that a broker can work with.
+const LEAST_MEMORY: usize = 16;
 
 #[derive(Deserialize)]
 struct File {
@@ -106,57 +103,76 @@
 }
 
 /// Reads an address.
-pub(crate) fn address(text: &str, key: &str) -> Result<SocketAddr, String> {
-    text.parse()
-        .map_err(|_| format!("{key}: {text:?} is no address of the form IP:PORT"))
+pub(crate) fn address(text: &str) -> Result<SocketAddr, AddressError> {
+    text.parse().map_err(|_| AddressError { text: text.into() })
+}
+
+/// Reads the address that a key of the platform's file holds.
+fn address_of(key: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
+    address(text).map_err(|error| ConfigError::Value {
+        key,
+        reason: error.to_string(),
+    })
 }
 
 impl Platform {
     /// Reads the configuration from the environment and the file that it names; `None` without such
     /// a file.
-    pub fn from_env(env: impl Fn(&str) -> Option<String>) -> Result<Option<Platform>, String> {
+    ///
+    /// # Errors
+    /// The file can't be read, or what is wrong with a key.
+    pub fn from_env(env: impl Fn(&str) -> Option<String>) -> Result<Option<Platform>, ConfigError> {
         let Some(path) = env("NODE_CONFIG") else {
             return Ok(None);
         };
-        let text = read_text(Path::new(&path)).map_err(|e| format!("NODE_CONFIG: {e}"))?;
+        let text = read_text(Path::new(&path))?;
         Platform::parse(&text, env).map(Some)
     }
 
     /// Reads the configuration from its JSON text; the environment stands in for what the text
     /// lacks.
-    pub fn parse(text: &str, env: impl Fn(&str) -> Option<String>) -> Result<Platform, String> {
-        let file: File = serde_json::from_str(text).map_err(|e| format!("NODE_CONFIG: {e}"))?;
-        let told = |value: Option<String>, key: &str, variable: &str| {
+    ///
+    /// # Errors
+    /// The text is no JSON of the right form, or what is wrong with a key.
+    pub fn parse(
+        text: &str,
+        env: impl Fn(&str) -> Option<String>,
+    ) -> Result<Platform, ConfigError> {
+        let file: File = serde_json::from_str(text)?;
+        let required = |value: Option<String>, key: &'static str, variable: &'static str| {
             value
                 .or_else(|| env(variable))
-                .ok_or_else(|| format!("{key}: missing, and so is {variable}"))
+                .ok_or(ConfigError::Missing { key, variable })
         };
-        let listen = told(file.listen, "listen", "NODE_LISTEN")?;
-        let discovery = told(file.discovery, "discovery", "NODE_DISCOVERY")?;
+        let listen = required(file.listen, "listen", "NODE_LISTEN")?;
+        let discovery = required(file.discovery, "discovery", "NODE_DISCOVERY")?;
         let management = file.mgmt.or_else(|| env("NODE_MGMT"));
-        let seed = file.seed.unwrap_or_else(|| "0".into());
-        let seed = u64::from_str_radix(&seed, 16)
-            .map_err(|_| format!("seed: {seed:?} is not hexadecimal"))?;
-        let sockets = file.limits.sockets.unwrap_or(SOCKETS).min(SOCKETS);
-        if sockets < 64 {
-            return Err(format!("limits.sockets: {sockets} is too few, 64 at least"));
-        }
-        let memory = file.limits.memory_mb.unwrap_or(MEMORY);
-        if memory < 16 {
-            return Err(format!(
-                "limits.memory_mb: {memory} is too few, 16 at least"
-            ));
-        }
-        let facts = file.settings.ok_or("settings: missing")?;
+        let seed = seed(file.seed)?;
+        let sockets = at_least(
+            "limits.sockets",
+            file.limits.sockets.unwrap_or(SOCKETS).min(SOCKETS),
+            LEAST_SOCKETS,
+        )?;
+        let memory = at_least(
+            "limits.memory_mb",
+            file.limits.memory_mb.unwrap_or(MEMORY),
+            LEAST_MEMORY,
+        )?;
+        let facts = file.settings.ok_or_else(|| ConfigError::Value {
+            key: "settings",
+            reason: "missing".into(),
+        })?;
         let site = settings::Site::parse(facts.get().as_bytes())?;
         Ok(Platform {
-            name: told(file.name, "name", "NODE_NAME")?,
-            listen: address(&listen, "listen")?,
-            discovery: address(&discovery, "discovery")?,
+            name: required(file.name, "name", "NODE_NAME")?,
+            listen: address_of("listen", &listen)?,
+            discovery: address_of("discovery", &discovery)?,
             scratch: env("TMPDIR")
-                .filter(|told| !told.is_empty())
+                .filter(|folder| !folder.is_empty())
                 .map(PathBuf::from),
-            management: management.map(|told| address(&told, "mgmt")).transpose()?,
+            management: management
+                .map(|text| address_of("mgmt", &text))
+                .transpose()?,
             seed,
             sockets,
             memory: memory.saturating_mul(1 << 20),
@@ -172,209 +188,32 @@
     }
 
     /// Takes over what the operators' file says of the platform's classes.
-    pub fn apply(mut self, operators: &Operators) -> Result<Platform, String> {
-        self.phases = operators
-            .phases(&self.classes, &mut self.settings)
-            .map_err(|e| e.to_string())?;
+    ///
+    /// # Errors
+    /// What is wrong with the section `phases`.
+    pub fn apply(mut self, operators: &Operators) -> Result<Platform, ConfigError> {
+        self.phases = operators.phases(&self.classes, &mut self.settings)?;
         Ok(self)
     }
 }
 
-/// What the OGC front is told.
-#[derive(Clone, Debug)]
-pub struct Ogc {
-    /// Where clients connect.
-    pub listen: SocketAddr,
-    /// Title of the landing page.
-    pub title: String,
-    /// Collections that clients may read.
-    pub collections: Vec<Collection>,
-    /// Slices, cells, data nodes and teams.
-    pub inventory: Inventory,
-    /// The module's settings, with the inventory's layout.
-    pub settings: Settings,
-    /// Contracts of the teams.
-    pub contracts: Vec<(String, Contract)>,
-    /// For random numbers.
-    pub seed: u64,
-    /// Most memory, in bytes; both fronts share it where both serve.
-    pub memory: usize,
-    /// Connections to data nodes.
-    pub connections: Connections,
-    /// How sorted answers are planned.
-    pub phases: Phases,
-}
-
-/// Replicas of a slice where the file tells none.
-const REPLICAS: u32 = 2;
-
-#[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
-struct OgcFile {
-    listen: Option<Spanned<String>>,
-    #[serde(default)]
-    title: Option<String>,
-    #[serde(default)]
-    inventory: Option<Spanned<PathBuf>>,
-    #[serde(default)]
-    settings: Option<Spanned<PathBuf>>,
-    #[serde(default)]
-    replicas: Option<Spanned<u32>>,
-    #[serde(default)]
-    zone: Option<Spanned<String>>,
-    #[serde(default)]
-    collections: Vec<CollectionFile>,
-}
-
-#[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
-struct CollectionFile {
-    id: Spanned<String>,
-    #[serde(default)]
-    title: Option<String>,
-    class: Spanned<String>,
-    #[serde(default)]
-    wait_ms: Option<Spanned<u64>>,
+/// The seed of random numbers, hexadecimal; 0 where there is none.
+fn seed(text: Option<String>) -> Result<u64, ConfigError> {
+    let text = text.unwrap_or_else(|| "0".into());
+    u64::from_str_radix(&text, 16).map_err(|_| ConfigError::Value {
+        key: "seed",
+        reason: format!("{text:?} is not hexadecimal"),
+    })
 }
 
-impl Ogc {
-    /// Reads the section `ogc` of the operators' file; `None` where there is none, or where it
-    /// names no address to listen on. Its settings are those of a file that it names, or else the
-    /// platform's.
-    pub fn load(operators: &Operators, platform: Option<&Platform>) -> Result<Option<Ogc>, String> {
-        let Some(read) = &operators.ogc else {
-            return Ok(None);
-        };
-        let path = operators.path.as_path();
-        let name = path.display();
-        let Some(listen) = &read.listen else {
-            return Ok(None);
-        };
-        let at = |line: u64| format!("{name}:{line}: ");
-        let here = |line: u64, key: &str, why: String| operators.fault(line, key, &why).to_string();
-        let beside = |other: &Path| path.parent().unwrap_or(Path::new("")).join(other);
-        let line = listen.referenced.line();
-        let address = address(&listen.value, "listen").map_err(|why| at(line) + &why)?;
-        let inventory = read
-            .inventory
-            .as_ref()
-            .ok_or_else(|| format!("{name}: inventory: missing"))?;
-        let inventory =
-            Inventory::load(&beside(&inventory.value)).map_err(|error| error.to_string())?;
-        let (mut settings, classes, connections) = match (&read.settings, platform) {
-            (Some(told), _) => {
-                let text = read_text(&beside(&told.value))
-                    .map_err(|e| here(told.referenced.line(), "settings", e.to_string()))?;
-                let site = settings::Site::parse(text.as_bytes())
-                    .map_err(|e| here(told.referenced.line(), "settings", e.to_string()))?;
-                (site.settings, site.classes, site.connections)
-            }
-            (None, Some(p)) => (p.settings.clone(), p.classes.clone(), p.connections),
-            (None, None) => {
-                return Err(format!("{name}: settings: missing, and so is NODE_CONFIG"))
-            }
-        };
-        let cells = inventory.cells.len() as u32;
-        let (replicas, line) = read
-            .replicas
-            .as_ref()
-            .map_or((REPLICAS, 0), |r| (r.value, r.referenced.line()));
-        if replicas == 0 || replicas > cells {
-            return Err(here(
-                line,
-                "replicas",
-                format!("{replicas}, but there are {cells} cells"),
-            ));
-        }
-        let mut collections: Vec<Collection> = Vec::new();
-        for told in &read.collections {
-            let (id, line) = (&told.id.value, told.id.referenced.line());
-            if id.is_empty() || collections.iter().any(|c| c.id == *id) {
-                return Err(here(line, "id", format!("{id:?} is empty or there twice")));
-            }
-            let line = told.class.referenced.line();
-            let class = classes.iter().position(|c| *c == told.class.value);
-            let class = class.ok_or_else(|| {
-                here(
-                    line,
-                    "class",
-                    format!("there is no class {:?}", told.class.value),
-                )
-            })?;
-            // Guards writes: a class whose parts must not be repeated at will records something,
-            // and a read that was mapped to it would be taken for that.
-            if settings.classes[class].repeat != RetrySafety::Safe {
-                let why = format!("{:?} is for writes and can't be read", told.class.value);
-                return Err(here(line, "class", why));
-            }
-            let most = settings.classes[class].deadline;
-            let wait = match &told.wait_ms {
-                Some(wait) if wait.value == 0 || wait.value.saturating_mul(1_000) > most => {
-                    let why = format!(
-                        "{} is not within the class's {} ms",
-                        wait.value,
-                        most / 1_000
-                    );
-                    return Err(here(wait.referenced.line(), "wait_ms", why));
-                }
-                wait => wait.as_ref().map_or(most, |wait| wait.value * 1_000),
-            };
-            let title = told.title.clone().unwrap_or_else(|| id.clone());
-            collections.push(Collection {
-                id: id.clone(),
-                title,
-                class,
-                sorted: class,
-                wait,
-            });
-        }
-        if collections.is_empty() {
-            return Err(format!("{name}: collections: there are none"));
-        }
-        if let Some(zone) = &read.zone {
-            let found = inventory.zones.iter().position(|z| *z == zone.value);
-            let why = format!("there is no zone {:?} in the inventory", zone.value);
-            settings.zone = found.ok_or_else(|| here(zone.referenced.line(), "zone", why))? as u32;
-        }
-        // The inventory is the list of data nodes, a GET holds one part, and the standard has no
-        // second step.
-        settings.discovery = Discovery::Push;
-        let shards = inventory.slices.len() as u32;
-        settings.layout = Layout {
-            cells,
-            width: replicas,
-            shards,
-            parts_a_call: 1,
-        };
-        settings
-            .classes
-            .iter_mut()
-            .for_each(|class| class.second_step = 0);
-        let mut contracts = inventory
-            .contracts(&classes)
-            .map_err(|error| error.to_string())?;
-        let phases = operators
-            .sorted(&classes, &mut settings, &mut collections, &mut contracts)
-            .map_err(|e| e.to_string())?;
-        if let Some(budget) = Contracts::new(contracts.clone()).budget() {
-            settings.limits.budget = Some(budget);
-        }
-        Ok(Some(Ogc {
-            listen: address,
-            title: read.title.clone().unwrap_or_else(|| "lichenswitch".into()),
-            collections,
-            inventory,
-            settings,
-            contracts,
-            seed: platform.map_or(0, |p| p.seed),
-            memory: platform.map_or(MEMORY << 20, |p| p.memory),
-            connections: Connections {
-                streams: 1,
-                ..connections
-            },
-            phases,
-        }))
+fn at_least(key: &'static str, value: usize, least: usize) -> Result<usize, ConfigError> {
+    if value < least {
+        return Err(ConfigError::Value {
+            key,
+            reason: format!("{value} is too few, {least} at least"),
+        });
     }
+    Ok(value)
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/src/config/ogc.rs
@@ -0,0 +1,276 @@
+//! The section `ogc` of the operators' file: the front for OGC API Features.
+
+use super::operators::OperatorsError;
+use super::{address, settings, ConfigError, Connections, Operators, Phases, Platform, MEMORY};
+use crate::contract::{Contract, Contracts};
+use crate::interface::{Class, Discovery, Layout, Micros, RetrySafety, Settings};
+use crate::inventory::{read_text, Inventory};
+use serde::Deserialize;
+use serde_saphyr::Spanned;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+
+/// A collection that clients of the OGC front may read.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Collection {
+    /// Its id in paths.
+    pub id: String,
+    /// Its title.
+    pub title: String,
+    /// Index of the class under whose rules it is read.
+    pub class: usize,
+    /// The same for sorted answers, which take two steps.
+    pub sorted: usize,
+    /// How long a client is taken to wait.
+    pub wait: Micros,
+}
+
+/// The configuration of the OGC front.
+#[derive(Clone, Debug)]
+pub struct Ogc {
+    /// Where clients connect.
+    pub listen: SocketAddr,
+    /// Title of the landing page.
+    pub title: String,
+    /// Collections that clients may read.
+    pub collections: Vec<Collection>,
+    /// Slices, cells, data nodes and teams.
+    pub inventory: Inventory,
+    /// The module's settings, with the inventory's layout.
+    pub settings: Settings,
+    /// Contracts of the teams.
+    pub contracts: Vec<(String, Contract)>,
+    /// For random numbers.
+    pub seed: u64,
+    /// Most memory, in bytes; both fronts share it where both serve.
+    pub memory: usize,
+    /// Connections to data nodes.
+    pub connections: Connections,
+    /// How sorted answers are planned.
+    pub phases: Phases,
+}
+
+/// Replicas of a slice where the file gives none.
+const REPLICAS: u32 = 2;
+
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+pub(super) struct OgcFile {
+    pub(super) listen: Option<Spanned<String>>,
+    #[serde(default)]
+    title: Option<String>,
+    #[serde(default)]
+    inventory: Option<Spanned<PathBuf>>,
+    #[serde(default)]
+    settings: Option<Spanned<PathBuf>>,
+    #[serde(default)]
+    replicas: Option<Spanned<u32>>,
+    #[serde(default)]
+    zone: Option<Spanned<String>>,
+    #[serde(default)]
+    collections: Vec<CollectionFile>,
+}
+
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+struct CollectionFile {
+    id: Spanned<String>,
+    #[serde(default)]
+    title: Option<String>,
+    class: Spanned<String>,
+    #[serde(default)]
+    wait_ms: Option<Spanned<u64>>,
+}
+
+impl Ogc {
+    /// Reads the section `ogc` of the operators' file; `None` where there is none, or where it
+    /// names no address to listen on. Its settings are those of a file that it names, or else the
+    /// platform's.
+    ///
+    /// # Errors
+    /// What is wrong with a key of the section, its settings or its inventory.
+    pub fn load(
+        operators: &Operators,
+        platform: Option<&Platform>,
+    ) -> Result<Option<Ogc>, ConfigError> {
+        let Some(read) = &operators.ogc else {
+            return Ok(None);
+        };
+        let Some(listen) = &read.listen else {
+            return Ok(None);
+        };
+        let section = Section { operators, read };
+        let listen = address(&listen.value)
+            .map_err(|error| section.fault(listen, "listen", &error.to_string()))?;
+        let inventory = section.inventory()?;
+        let (mut settings, classes, connections) = section.settings(platform)?;
+        let replicas = section.replicas(&inventory)?;
+        let mut collections = section.collections(&classes, &settings.classes)?;
+        if let Some(zone) = &read.zone {
+            settings.zone = section.zone(zone, &inventory)?;
+        }
+        // The inventory is the list of data nodes, a GET holds one part, and the standard has no
+        // second step.
+        settings.discovery = Discovery::Push;
+        settings.layout = Layout {
+            cells: inventory.cells.len() as u32,
+            width: replicas,
+            shards: inventory.slices.len() as u32,
+            parts_a_call: 1,
+        };
+        for class in &mut settings.classes {
+            class.second_step = 0;
+        }
+        let mut contracts = inventory.contracts(&classes)?;
+        let phases = operators.sorted(&classes, &mut settings, &mut collections, &mut contracts)?;
+        if let Some(budget) = Contracts::new(contracts.clone()).budget() {
+            settings.limits.budget = Some(budget);
+        }
+        Ok(Some(Ogc {
+            listen,
+            title: read.title.clone().unwrap_or_else(|| "lichenswitch".into()),
+            collections,
+            inventory,
+            settings,
+            contracts,
+            seed: platform.map_or(0, |p| p.seed),
+            memory: platform.map_or(MEMORY << 20, |p| p.memory),
+            connections: Connections {
+                streams: 1,
+                ..connections
+            },
+            phases,
+        }))
+    }
+}
+
+/// The section as it was read, and the file that it stands in.
+struct Section<'a> {
+    operators: &'a Operators,
+    read: &'a OgcFile,
+}
+
+impl Section<'_> {
+    /// The error that names the line of a value.
+    fn fault<T>(&self, value: &Spanned<T>, key: &str, reason: &str) -> OperatorsError {
+        self.operators.fault(value.referenced.line(), key, reason)
+    }
+
+    /// The error that names a key alone.
+    fn key_error(&self, key: &'static str, reason: &'static str) -> ConfigError {
+        ConfigError::OgcKey {
+            file: self.operators.path.display().to_string(),
+            key,
+            reason,
+        }
+    }
+
+    /// Paths in the file start from its folder.
+    fn beside(&self, other: &PathBuf) -> PathBuf {
+        let folder = self.operators.path.parent();
+        folder.map_or_else(|| other.clone(), |folder| folder.join(other))
+    }
+
+    fn inventory(&self) -> Result<Inventory, ConfigError> {
+        let Some(path) = &self.read.inventory else {
+            return Err(self.key_error("inventory", "missing"));
+        };
+        Ok(Inventory::load(&self.beside(&path.value))?)
+    }
+
+    /// The settings, the names of their classes, and the limits of connections.
+    fn settings(
+        &self,
+        platform: Option<&Platform>,
+    ) -> Result<(Settings, Vec<String>, Connections), ConfigError> {
+        let Some(path) = &self.read.settings else {
+            return platform
+                .map(|p| (p.settings.clone(), p.classes.clone(), p.connections))
+                .ok_or_else(|| self.key_error("settings", "missing, and so is NODE_CONFIG"));
+        };
+        let text = read_text(&self.beside(&path.value))
+            .map_err(|error| self.fault(path, "settings", &error.to_string()))?;
+        let site = settings::Site::parse(text.as_bytes())
+            .map_err(|error| self.fault(path, "settings", &error.to_string()))?;
+        Ok((site.settings, site.classes, site.connections))
+    }
+
+    fn replicas(&self, inventory: &Inventory) -> Result<u32, OperatorsError> {
+        let cells = inventory.cells.len() as u32;
+        let (replicas, line) = self
+            .read
+            .replicas
+            .as_ref()
+            .map_or((REPLICAS, 0), |r| (r.value, r.referenced.line()));
+        if replicas == 0 || replicas > cells {
+            let reason = format!("{replicas}, but there are {cells} cells");
+            return Err(self.operators.fault(line, "replicas", &reason));
+        }
+        Ok(replicas)
+    }
+
+    fn zone(&self, zone: &Spanned<String>, inventory: &Inventory) -> Result<u32, OperatorsError> {
+        let position = inventory.zones.iter().position(|z| *z == zone.value);
+        let reason = format!("there is no zone {:?} in the inventory", zone.value);
+        position
+            .map(|number| number as u32)
+            .ok_or_else(|| self.fault(zone, "zone", &reason))
+    }
+
+    fn collections(
+        &self,
+        names: &[String],
+        classes: &[Class],
+    ) -> Result<Vec<Collection>, ConfigError> {
+        let mut collections: Vec<Collection> = Vec::new();
+        for read in &self.read.collections {
+            let id = &read.id.value;
+            if id.is_empty() || collections.iter().any(|c| c.id == *id) {
+                let reason = format!("{id:?} is empty or there twice");
+                return Err(self.fault(&read.id, "id", &reason).into());
+            }
+            collections.push(self.collection(read, names, classes)?);
+        }
+        if collections.is_empty() {
+            return Err(self.key_error("collections", "there are none"));
+        }
+        Ok(collections)
+    }
+
+    fn collection(
+        &self,
+        read: &CollectionFile,
+        names: &[String],
+        classes: &[Class],
+    ) -> Result<Collection, OperatorsError> {
+        let name = &read.class.value;
+        let class = names.iter().position(|known| known == name);
+        let class = class.ok_or_else(|| {
+            self.fault(&read.class, "class", &format!("there is no class {name:?}"))
+        })?;
+        // Guards writes: a class whose parts must not be repeated at will records something, and a
+        // read that was mapped to it would be taken for that.
+        if classes[class].repeat != RetrySafety::Safe {
+            let reason = format!("{name:?} is for writes and can't be read");
+            return Err(self.fault(&read.class, "class", &reason));
+        }
+        let most = classes[class].deadline;
+        let wait = match &read.wait_ms {
+            Some(wait) if wait.value == 0 || wait.value.saturating_mul(1_000) > most => {
+                let most_ms = most / 1_000;
+                let reason = format!("{} is not within the class's {most_ms} ms", wait.value);
+                return Err(self.fault(wait, "wait_ms", &reason));
+            }
+            Some(wait) => wait.value * 1_000,
+            None => most,
+        };
+        let id = read.id.value.clone();
+        Ok(Collection {
+            title: read.title.clone().unwrap_or_else(|| id.clone()),
+            id,
+            class,
+            sorted: class,
+            wait,
+        })
+    }
+}
--- a/src/config/operators.rs
+++ b/src/config/operators.rs
@@ -1,8 +1,9 @@
 //! The operators' file, `deploy/lichenswitch.yaml`: what the platform does not tell. Each section
 //! is off when it is absent, and so is all when the file is.
 
+use super::ogc::OgcFile;
 use super::peers::PeersFile;
-use super::{Collection, OgcFile};
+use super::Collection;
 use crate::contract::Contract;
 use crate::decide::phases::Rules;
 use crate::interface::{Class, Settings};
--- a/src/config/peers.rs
+++ b/src/config/peers.rs
@@ -185,8 +185,8 @@
 
     /// An address with a port; only `listen` may stand for every address of the machine.
     fn address(&self, value: &Spanned<String>, key: &str) -> Result<SocketAddr, OperatorsError> {
-        let address =
-            address(&value.value, key).map_err(|reason| self.fault(value, "peers", &reason))?;
+        let address = address(&value.value)
+            .map_err(|error| self.fault(value, "peers", &format!("{key}: {error}")))?;
         let is_any = address.ip().is_unspecified() && key != "listen";
         if is_any || address.port() == 0 {
             let reason = format!("{address} is nowhere to connect to");
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -5,10 +5,47 @@
     Budget, Class, Discovery, Layout, Limits, Micros, RetrySafety, Settings, SlowStart, FIRST_SHARE,
 };
 use serde::Deserialize;
+use thiserror::Error;
+
+/// Why the settings can't be used.
+#[derive(Debug, Error)]
+pub enum SettingsError {
+    /// They are no JSON of the right form.
+    #[error("settings: {0}")]
+    Json(#[from] serde_json::Error),
+    /// A class has no name.
+    #[error("settings: classes[{0}].name is missing")]
+    UnnamedClass(usize),
+    /// There is no class.
+    #[error("settings: no classes")]
+    NoClasses,
+    /// There are no cells, or no shard is held anywhere.
+    #[error("settings: sets and width must be above 0")]
+    EmptyLayout,
+    /// A list that has an entry for each class lacks one.
+    #[error("settings: familyInfo lacks class {0}")]
+    MissingClass(usize),
+    /// A number is below zero or not finite.
+    #[error("settings: {key} is {value}")]
+    Number {
+        /// The key.
+        key: &'static str,
+        /// The number.
+        value: f64,
+    },
+    /// A word that the settings don't know.
+    #[error("settings: unknown {key} {value:?}")]
+    UnknownWord {
+        /// The key.
+        key: &'static str,
+        /// The word.
+        value: String,
+    },
+}
 
 /// An attempt may wait so long for a descriptor and a turn beside its connection (microseconds).
-const WAITS: Micros = 100_000;
-/// The rule on drains where the settings don't tell it (microseconds).
+const MAX_DESCRIPTOR_WAIT: Micros = 100_000;
+/// The rule on drains where the settings don't give it (microseconds).
 const STOP_WITHIN: Micros = 2_000_000;
 
 #[derive(Deserialize)]
@@ -56,6 +93,10 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase", default)]
+#[expect(
+    clippy::struct_excessive_bools,
+    reason = "permissions of the settings, each with its key"
+)]
 struct Allowed {
     max_attempts: u32,
     most_held: u32,
@@ -147,12 +188,12 @@
     }
 }
 
-/// A figure that can't be below zero (JSON text holds none that is not finite).
-fn figure(value: f64, name: &str) -> Result<f64, String> {
+/// A number that can't be below zero (JSON text holds none that is not finite).
+fn number(value: f64, key: &'static str) -> Result<f64, SettingsError> {
     if value.is_finite() && value >= 0.0 {
         Ok(value)
     } else {
-        Err(format!("settings: {name} is {value}"))
+        Err(SettingsError::Number { key, value })
     }
 }
 
@@ -175,11 +216,14 @@
 
 impl Site {
     /// Reads the JSON text of the settings; the broker can't do without the names of the classes.
-    pub fn parse(text: &[u8]) -> Result<Site, String> {
-        let facts: Facts = serde_json::from_slice(text).map_err(|e| format!("settings: {e}"))?;
+    ///
+    /// # Errors
+    /// The text is no JSON of the right form, or what is wrong with a key.
+    pub fn parse(text: &[u8]) -> Result<Site, SettingsError> {
+        let facts: Facts = serde_json::from_slice(text)?;
         let mut settings = module(&facts)?;
         if let Some(i) = facts.classes.iter().position(|c| c.name.is_empty()) {
-            return Err(format!("settings: classes[{i}].name is missing"));
+            return Err(SettingsError::UnnamedClass(i));
         }
         let allowed = &facts.allowed;
         let connections = Connections {
@@ -191,7 +235,7 @@
         // module sends may wait for a connection first.
         for class in &mut settings.classes {
             if let RetrySafety::Keyed(window) = &mut class.repeat {
-                *window = window.saturating_sub(allowed.connect_timeout_us + WAITS);
+                *window = window.saturating_sub(allowed.connect_timeout_us + MAX_DESCRIPTOR_WAIT);
             }
         }
         let classes = facts.classes.into_iter().map(|c| c.name).collect();
@@ -208,60 +252,31 @@
     }
 }
 
-/// Turns the JSON text of the settings into the module's own.
-pub fn parse(text: &[u8]) -> Result<Settings, String> {
-    module(&serde_json::from_slice(text).map_err(|e| format!("settings: {e}"))?)
+/// Turns the JSON text of the settings into the module's.
+///
+/// # Errors
+/// The text is no JSON of the right form, or what is wrong with a key.
+pub fn parse(text: &[u8]) -> Result<Settings, SettingsError> {
+    module(&serde_json::from_slice(text)?)
 }
 
-fn module(facts: &Facts) -> Result<Settings, String> {
+fn module(facts: &Facts) -> Result<Settings, SettingsError> {
     let (family, rules, allowed) = (&facts.family_info, &facts.rules, &facts.allowed);
     if family.sets == 0 || family.width == 0 {
-        return Err("settings: sets and width must be above 0".into());
+        return Err(SettingsError::EmptyLayout);
     }
     if facts.classes.is_empty() {
-        return Err("settings: no classes".into());
-    }
-    let mut classes = Vec::with_capacity(facts.classes.len());
-    for (i, c) in facts.classes.iter().enumerate() {
-        let repeat = match c.idempotency.as_str() {
-            "retryable" => RetrySafety::Safe,
-            "dedup" => RetrySafety::Keyed(c.window_us),
-            "fragile" => RetrySafety::Unsafe,
-            other => return Err(format!("settings: unknown idempotency {other:?}")),
-        };
-        let missing = || format!("settings: familyInfo lacks class {i}");
-        classes.push(Class {
-            latency_target: c.objective_us,
-            deadline: c.deadline_us,
-            repeat,
-            value: figure(c.gain, "gain")?,
-            late_share: figure(c.late_share, "lateShare")?,
-            need: figure(
-                *family.need_by_class.get(i).ok_or_else(missing)?,
-                "needByClass",
-            )?,
-            floor: figure(*family.min_share.get(i).ok_or_else(missing)?, "minShare")?,
-            partial: figure(
-                *family.class_partial.get(i).ok_or_else(missing)?,
-                "classPartial",
-            )?,
-            second_step: *family.class_fetch.get(i).ok_or_else(missing)?,
-            first_share: FIRST_SHARE,
-            attempts: None,
-        });
+        return Err(SettingsError::NoClasses);
     }
-    let least = figure(rules.min_extra.unwrap_or(0.0), "minExtra")?;
-    let share = figure(rules.further_ratio.unwrap_or(0.0), "furtherRatio")?;
-    let budget = rules.budget_span_us.map(|window| Budget {
-        window,
-        least,
-        share,
-    });
-    let quotas = facts
-        .tenants
-        .iter()
-        .map(|t| figure(t.quota_per_s, "quotaPerS"));
-    let quotas = quotas.collect::<Result<_, _>>()?;
+    let classes = facts.classes.iter().enumerate();
+    let classes = classes
+        .map(|(i, facts)| class(i, facts, family))
+        .collect::<Result<_, _>>()?;
+    let budget = budget(rules)?;
+    let quotas = facts.tenants.iter();
+    let quotas = quotas
+        .map(|tenant| number(tenant.quota_per_s, "quotaPerS"))
+        .collect::<Result<_, _>>()?;
     Ok(Settings {
         classes,
         limits: Limits {
@@ -279,15 +294,11 @@
             shards: family.shards.unwrap_or(u32::MAX),
             parts_a_call: family.parts_a_call.max(1),
         },
-        discovery: match facts.discovery.as_str() {
-            "automatic" => Discovery::Push,
-            "subscribe" => Discovery::Ask(rules.ask_every_us),
-            other => return Err(format!("settings: unknown discovery {other:?}")),
-        },
+        discovery: discovery(&facts.discovery, rules.ask_every_us)?,
         cold: SlowStart {
-            share: figure(rules.cold_share, "coldShare")?,
+            share: number(rules.cold_share, "coldShare")?,
             warm_after: rules.cold_us,
-            fall_multiple: figure(rules.fall_multiple, "fallMultiple")?,
+            fall_multiple: number(rules.fall_multiple, "fallMultiple")?,
             fall_after: rules.fall_us,
         },
         zone: facts.zone,
@@ -296,6 +307,63 @@
         worth_by_work: facts.worth_by == "work",
         instances: facts.peers_total.max(1),
         quotas,
-        over_quota: figure(facts.over_share_worth.unwrap_or(1.0), "overShareWorth")?,
+        over_quota: number(facts.over_share_worth.unwrap_or(1.0), "overShareWorth")?,
+    })
+}
+
+fn class(i: usize, facts: &ClassFacts, family: &FamilyInfo) -> Result<Class, SettingsError> {
+    let of_class = |list: &[f64], key| {
+        let value = list.get(i).ok_or(SettingsError::MissingClass(i))?;
+        number(*value, key)
+    };
+    let repeat = repeat(facts)?;
+    Ok(Class {
+        latency_target: facts.objective_us,
+        deadline: facts.deadline_us,
+        repeat,
+        value: number(facts.gain, "gain")?,
+        late_share: number(facts.late_share, "lateShare")?,
+        need: of_class(&family.need_by_class, "needByClass")?,
+        floor: of_class(&family.min_share, "minShare")?,
+        partial: of_class(&family.class_partial, "classPartial")?,
+        second_step: *family
+            .class_fetch
+            .get(i)
+            .ok_or(SettingsError::MissingClass(i))?,
+        first_share: FIRST_SHARE,
+        attempts: None,
     })
 }
+
+fn repeat(facts: &ClassFacts) -> Result<RetrySafety, SettingsError> {
+    match facts.idempotency.as_str() {
+        "retryable" => Ok(RetrySafety::Safe),
+        "dedup" => Ok(RetrySafety::Keyed(facts.window_us)),
+        "fragile" => Ok(RetrySafety::Unsafe),
+        other => Err(SettingsError::UnknownWord {
+            key: "idempotency",
+            value: other.into(),
+        }),
+    }
+}
+
+fn budget(rules: &Rules) -> Result<Option<Budget>, SettingsError> {
+    let least = number(rules.min_extra.unwrap_or(0.0), "minExtra")?;
+    let share = number(rules.further_ratio.unwrap_or(0.0), "furtherRatio")?;
+    Ok(rules.budget_span_us.map(|window| Budget {
+        window,
+        least,
+        share,
+    }))
+}
+
+fn discovery(word: &str, ask_every_us: u64) -> Result<Discovery, SettingsError> {
+    match word {
+        "automatic" => Ok(Discovery::Push),
+        "subscribe" => Ok(Discovery::Ask(ask_every_us)),
+        other => Err(SettingsError::UnknownWord {
+            key: "discovery",
+            value: other.into(),
+        }),
+    }
+}
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::interface::{Discovery, Layout, RetrySafety};
 use crate::testing::Folder;
 
 const CONFIG: &str = r#"{"name":"n3","listen":"127.0.0.1:8080","discovery":"127.0.0.1:8500",
@@ -11,7 +12,7 @@
         "minShare":[1.0],"needByClass":[1.0]}}}"#;
 
 fn parse(text: &str) -> Result<Platform, String> {
-    Platform::parse(text, |_| None)
+    Platform::parse(text, |_| None).map_err(|error| error.to_string())
 }
 
 #[test]
@@ -117,6 +118,7 @@
     let missing = |name: &str| (name == "NODE_CONFIG").then(|| "/no/such/file".to_string());
     assert!(Platform::from_env(missing)
         .unwrap_err()
+        .to_string()
         .contains("NODE_CONFIG"));
 }
 
@@ -135,6 +137,7 @@
         &Operators::load(&folder.path().join("lichenswitch.yaml")).map_err(|e| e.to_string())?,
         None,
     )
+    .map_err(|error| error.to_string())
 }
 
 #[test]
@@ -225,9 +228,12 @@
 
 fn phases(text: &str) -> Result<Platform, String> {
     let folder = Folder::new(&[("lichenswitch.yaml", text)]);
-    parse(TWO_STEPS)?.apply(
-        &Operators::load(&folder.path().join("lichenswitch.yaml")).map_err(|e| e.to_string())?,
-    )
+    parse(TWO_STEPS)?
+        .apply(
+            &Operators::load(&folder.path().join("lichenswitch.yaml"))
+                .map_err(|e| e.to_string())?,
+        )
+        .map_err(|error| error.to_string())
 }
 
 #[test]
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,13 +1,16 @@
-//! The real broker: reads its configuration and serves until it is told to stop.
+//! The broker: reads its configuration and serves until the signal to stop.
 #![forbid(unsafe_code)]
 
-use lichenswitch::broker::Broker;
-use lichenswitch::config::{Ogc, Operators, Peers, Platform};
-use lichenswitch::management::ManagementHandle;
+use lichenswitch::broker::{Broker, BrokerError};
+use lichenswitch::config::operators::OperatorsError;
+use lichenswitch::config::{ConfigError, Ogc, Operators, Peers, Platform};
+use lichenswitch::management::{self, ManagementHandle};
+use lichenswitch::peer::group::JoinError;
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use std::io::{self, Write};
 use std::os::unix::net::UnixStream;
 use std::process::ExitCode;
+use thiserror::Error;
 
 /// A stream that can be read once the signal has come.
 fn signal(number: i32) -> io::Result<UnixStream> {
@@ -16,47 +19,64 @@
     Ok(read)
 }
 
-fn serve() -> Result<(), String> {
+/// Why the program ends before it is told to.
+#[derive(Debug, Error)]
+enum ServeError {
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    #[error(transparent)]
+    Operators(#[from] OperatorsError),
+    #[error(transparent)]
+    Management(#[from] management::Failure),
+    #[error(transparent)]
+    Broker(#[from] BrokerError),
+    #[error(transparent)]
+    Join(#[from] JoinError),
+    #[error("signal: {0}")]
+    Signal(io::Error),
+    #[error("loop: {0}")]
+    Loop(io::Error),
+}
+
+fn serve() -> Result<(), ServeError> {
     // Before all else: a signal that nobody waits for ends the program.
-    let [stop, reload] =
-        [SIGTERM, SIGHUP].map(|number| signal(number).map_err(|e| format!("signal: {e}")));
+    let [stop, reload] = [SIGTERM, SIGHUP].map(|number| signal(number).map_err(ServeError::Signal));
     let env = |name: &str| std::env::var(name).ok();
-    let operators = Operators::from_env(env).map_err(|e| e.to_string())?;
+    let operators = Operators::from_env(env)?;
     let platform = Platform::from_env(env)?
-        .map(|told| told.apply(&operators))
+        .map(|platform| platform.apply(&operators))
         .transpose()?;
     let ogc = Ogc::load(&operators, platform.as_ref())?;
-    let peers = Peers::load(&operators, platform.as_ref()).map_err(|e| e.to_string())?;
+    let peers = Peers::load(&operators, platform.as_ref())?;
     let management = platform
         .as_ref()
-        .and_then(|told| ManagementHandle::open(told).transpose())
-        .transpose();
-    let management = management.map_err(|e| e.to_string())?;
+        .and_then(|platform| ManagementHandle::open(platform).transpose())
+        .transpose()?;
     let mut broker = Broker::managed(platform, ogc, management)?;
     if let Some(peers) = peers {
-        broker.join(peers).map_err(|e| e.to_string())?;
-    };
-    broker.stop_on(stop?).map_err(|e| format!("signal: {e}"))?;
+        broker.join(peers)?;
+    }
+    broker.stop_on(stop?).map_err(ServeError::Signal)?;
     let reread = Box::new(move || Platform::from_env(env));
     broker
         .reload_on(reload?, reread)
-        .map_err(|e| format!("signal: {e}"))?;
-    broker.run().map_err(|e| format!("loop: {e}"))
+        .map_err(ServeError::Signal)?;
+    broker.run().map_err(ServeError::Loop)
 }
 
 /// Lines of the parts that log by level, as JSON.
 fn log_lines() {
-    let line = |to: &mut env_logger::fmt::Formatter, record: &log::Record| {
+    let line = |to: &mut env_logger::fmt::Formatter, record: &log::Record<'_>| {
         let at = std::time::SystemTime::now()
             .duration_since(std::time::UNIX_EPOCH)
             .unwrap_or_default();
-        let told = serde_json::json!({
+        let text = serde_json::json!({
             "at": at.as_micros() as f64 / 1e6,
             "level": record.level().as_str(),
             "part": record.target(),
             "line": record.args().to_string(),
         });
-        writeln!(to, "{told}")
+        writeln!(to, "{text}")
     };
     let mut lines = env_logger::Builder::new();
     lines
@@ -76,8 +96,8 @@
     lichenswitch::log_writer::writer().finish();
     match served {
         Ok(()) => ExitCode::SUCCESS,
-        Err(text) => {
-            eprintln!("lichenswitch: {text}");
+        Err(error) => {
+            eprintln!("lichenswitch: {error}");
             ExitCode::FAILURE
         }
     }
