--- a/fleet/src/main.rs
+++ b/fleet/src/main.rs
@@ -68,7 +68,7 @@
     };
     match command {
         Command::Router { settings } => role(settings, |settings, path| {
-            router::run(settings, path).map_err(Box::from)
+            router::run(&settings, path).map_err(Box::from)
         }),
         Command::Control { settings } => role(settings, |settings, path| {
             control::run(settings, path).map_err(Box::from)
--- a/fleet/src/router/abort_reason.rs
+++ b/fleet/src/router/abort_reason.rs
@@ -3,20 +3,20 @@
 use lichenswitch_interface::Outcome;
 use std::fmt;
 
-/// Why an answer that had begun was cut off.
+/// Why a response that had begun was aborted. Its text is the `reason` of the log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AbortReason {
-    /// Its server ended it like this, and it could not go on at another one.
+    /// Its server ended it with this outcome, and it could not be resumed at another one.
     ServerEnded(Outcome),
-    /// It went on at another server, which did not bring the rest.
+    /// It was to be resumed at another server, which did not send the rest.
     NotResumed,
-    /// The time of the request was over.
+    /// The deadline of the request had passed.
     Deadline,
-    /// It was to go on at another server, and its key is served no more.
+    /// It was to be resumed at another server, and its key is no longer served.
     KeyDenied,
-    /// This process ends.
+    /// This process shuts down.
     Shutdown,
-    /// This process ends, and the client may go on behind the last event at another router.
+    /// This process shuts down, and the client can resume the stream at another router.
     HandedOver,
 }
 
--- a/fleet/src/router/budget.rs
+++ b/fleet/src/router/budget.rs
@@ -1,20 +1,19 @@
-//! This router's share of the further-try budget: what the module may spend, and what is kept for
-//! streams that go on elsewhere.
+//! This router's share of the retry budget: what the decision module may spend on retries and hedges,
+//! and what is kept for streams that are resumed at another server.
 //!
-//! It promises that both together stay within the rule's ratio on this router's own requests and
-//! within its part of the slack, which is nothing while it is not known how many routers there are.
-//! Pure: time is an argument.
+//! It promises that both together stay within the configured ratio of this router's requests plus its
+//! share of the slack, which is 0 while the number of routers is unknown. Pure: time is an argument.
 
 use super::options::{RetryBudget, FLEET_SLACK_SHARE, RESUME_BUDGET_SHARE};
 use super::time::micros;
 use lichenswitch_interface::{Budget, Micros, Time};
 
-/// The module counts a request, and its only part as well, to what was taken.
+/// The decision module counts a request twice: itself, and its only part.
 const COUNTS_PER_REQUEST: f64 = 2.0;
-/// Parts of a window that are counted by themselves.
+/// Slices of a window that are counted separately.
 const SLICES_PER_WINDOW: u64 = 8;
 
-/// Further arrivals beside the ratio that one of so many routers may cause in a window.
+/// Retries beside the ratio that one of this many routers may cause in a window.
 fn slack_share(budget: RetryBudget, routers: u32) -> f64 {
     match routers {
         0 => 0.0,
@@ -22,9 +21,9 @@
     }
 }
 
-/// What the module may spend.
+/// The share of the decision module.
 #[must_use]
-pub(crate) fn module_budget(budget: RetryBudget, routers: u32) -> Budget {
+pub(crate) fn decision_budget(budget: RetryBudget, routers: u32) -> Budget {
     Budget {
         window: micros(budget.window),
         least: (1.0 - RESUME_BUDGET_SHARE) * slack_share(budget, routers),
@@ -32,7 +31,7 @@
     }
 }
 
-/// Streams that may go on at another server.
+/// The share of resumed streams.
 #[derive(Debug)]
 pub(crate) struct ResumeBudget {
     window_us: Micros,
@@ -43,7 +42,7 @@
 }
 
 impl ResumeBudget {
-    /// While it is not known how many routers there are.
+    /// The share while the number of routers is unknown.
     #[must_use]
     pub(crate) fn new(budget: RetryBudget) -> ResumeBudget {
         let (requests, resumes) = (WindowCounter::default(), WindowCounter::default());
@@ -58,31 +57,32 @@
         new
     }
 
-    /// There are so many routers now.
+    /// Recomputes the share for this many routers.
     pub(crate) fn update(&mut self, budget: RetryBudget, routers: u32) {
         self.window_us = micros(budget.window).max(SLICES_PER_WINDOW);
         self.ratio = RESUME_BUDGET_SHARE * budget.ratio;
         self.allowance = RESUME_BUDGET_SHARE * slack_share(budget, routers);
     }
 
-    /// A request was taken.
+    /// A request was accepted.
     pub(crate) fn on_request(&mut self, now: Time) {
         self.requests.add(now, self.window_us);
     }
 
-    /// Takes one out of it, if it bears that.
+    /// Spends one resumption, if the budget allows it; `false` if it doesn't.
     pub(crate) fn try_take(&mut self, now: Time) -> bool {
         let requests = self.requests.count(now, self.window_us);
         let resumes = self.resumes.count(now, self.window_us);
-        let allowed = f64::from(resumes + 1) <= self.allowance + self.ratio * f64::from(requests);
-        if allowed {
+        let is_allowed =
+            f64::from(resumes + 1) <= self.allowance + self.ratio * f64::from(requests);
+        if is_allowed {
             self.resumes.add(now, self.window_us);
         }
-        allowed
+        is_allowed
     }
 }
 
-/// Counts of the last window, by slices of it.
+/// A count over a sliding window, by slices.
 #[derive(Debug, Default)]
 struct WindowCounter {
     counts: [u32; SLICES_PER_WINDOW as usize],
--- a/fleet/src/router/budget/tests.rs
+++ b/fleet/src/router/budget/tests.rs
@@ -13,7 +13,7 @@
 
 #[test]
 fn nothing_of_the_slack_is_used_while_it_is_not_known_how_many_share_it() {
-    assert_eq!(module_budget(rule(), 0).least, 0.0);
+    assert_eq!(decision_budget(rule(), 0).least, 0.0);
     let mut resumes = ResumeBudget::new(rule());
     assert!(!resumes.try_take(Time(SECOND)));
 }
@@ -21,7 +21,7 @@
 #[test]
 fn all_routers_together_stay_within_the_slack() {
     for routers in [1, 7, 93] {
-        let module = module_budget(rule(), routers).least;
+        let module = decision_budget(rule(), routers).least;
         let mut resumes = ResumeBudget::new(rule());
         resumes.update(rule(), routers);
         let taken = (0..1_000)
@@ -41,7 +41,7 @@
         .count();
     assert!(taken > 0);
     // The module counts each request twice.
-    let module = module_budget(rule(), 0).share * 2.0 * f64::from(requests);
+    let module = decision_budget(rule(), 0).share * 2.0 * f64::from(requests);
     assert!(module + taken as f64 <= 0.2 * f64::from(requests) + 1e-9);
 }
 
--- a/fleet/src/router/client_request.rs
+++ b/fleet/src/router/client_request.rs
@@ -9,57 +9,61 @@
 use std::io::Write as _;
 use std::time::Duration;
 
-/// What a request tells of its tokens.
+/// The tokens that a request declares in `Token-Usage`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum TokenUsage {
-    /// Nothing.
+    /// No header.
     #[default]
     Unspecified,
-    /// The sum of those of its prompt and the most to come out.
+    /// The sum of its prompt's tokens and the most that may be generated.
     Declared(u64),
-    /// What is no pair of numbers, or more than can be counted.
+    /// No pair of numbers, or a sum that overflows.
     Invalid,
 }
 
-/// A request, whole.
+/// A complete request of a client.
 #[derive(Debug, Default, PartialEq)]
 pub(crate) struct ClientRequest {
+    /// Its method.
     pub(crate) method: String,
+    /// Its target, path and query.
     pub(crate) target: String,
     /// Its `Host`.
     pub host: String,
-    /// Header lines that are passed on.
+    /// Header lines that are forwarded to servers.
     pub(crate) forwarded_lines: Vec<u8>,
     /// Its `Attempt-Id`.
     pub attempt_id: Option<String>,
-    /// How long its client waits.
+    /// How long its client waits (`Deadline-Ms`).
     pub deadline: Option<Duration>,
-    /// What is known of its prompt.
+    /// What its headers declare of its prompt.
     pub prompt: Prompt,
     /// Digest of its `Api-Key`, where it bears one.
     pub key: Option<KeyDigest>,
     /// Its `Token-Usage`.
     pub tokens: TokenUsage,
+    /// Its `Last-Event-Id`: the client resumes a stream behind it.
     pub(crate) last_event_id: Option<Vec<u8>>,
     /// Its body.
     pub body: Vec<u8>,
+    /// It was framed with a body, maybe an empty one.
     pub(crate) has_body: bool,
-    /// The connection stays open after it.
+    /// Whether the client keeps the connection open after it.
     pub keep_alive: bool,
 }
 
-/// What goes with one send of a request.
+/// The headers that this program sets on each send of a request.
 #[derive(Debug)]
 pub(crate) struct ForwardingHeaders<'a> {
-    /// What is left of its time.
+    /// The time left to its deadline.
     pub remaining: Duration,
-    /// The server that is meant.
+    /// The instance that the request is sent to.
     pub target_instance: &'a str,
     /// Rank of its route, 0 to 9; 0 is the most urgent.
     pub priority: u8,
-    /// A stream goes on behind this event.
+    /// The stream is to continue behind this event id.
     pub resume_after: Option<&'a [u8]>,
-    /// Who sent it.
+    /// Its sender.
     pub sender: Option<&'a Sender>,
 }
 
@@ -70,31 +74,31 @@
         &self.target
     }
 
-    /// Whether its answer has no body.
+    /// Whether its response has no body.
     #[must_use]
     pub(crate) fn is_head(&self) -> bool {
         self.method == "HEAD"
     }
 
-    /// Bytes that it holds.
+    /// Bytes that it takes in memory.
     #[must_use]
     pub(crate) fn buffered_bytes(&self) -> usize {
         self.body.len() + self.forwarded_lines.len() + self.target.len()
     }
 
     /// Writes its head for a server.
-    pub(crate) fn encode_head(&self, send: &ForwardingHeaders<'_>, to: &mut Vec<u8>) {
+    pub(crate) fn encode_head(&self, headers: &ForwardingHeaders<'_>, to: &mut Vec<u8>) {
         to.reserve(self.forwarded_lines.len() + self.target.len() + 256);
         // Writes to memory don't fail.
         let _ = write!(to, "{} {} HTTP/1.1\r\n", self.method, self.target);
         to.extend_from_slice(&self.forwarded_lines);
-        let _ = write!(to, "Deadline-Ms: {}\r\n", send.remaining.as_millis());
-        let _ = write!(to, "Target-Instance: {}\r\n", send.target_instance);
-        let _ = write!(to, "Priority: {}\r\n", send.priority);
-        if let Some(sender) = send.sender {
+        let _ = write!(to, "Deadline-Ms: {}\r\n", headers.remaining.as_millis());
+        let _ = write!(to, "Target-Instance: {}\r\n", headers.target_instance);
+        let _ = write!(to, "Priority: {}\r\n", headers.priority);
+        if let Some(sender) = headers.sender {
             let _ = write!(to, "Tenant: {}\r\n", sender.header_value);
         }
-        if let Some(id) = send.resume_after.or(self.last_event_id.as_deref()) {
+        if let Some(id) = headers.resume_after.or(self.last_event_id.as_deref()) {
             to.extend_from_slice(b"Last-Event-Id: ");
             to.extend_from_slice(id);
             to.extend_from_slice(b"\r\n");
--- a/fleet/src/router/configuration.rs
+++ b/fleet/src/router/configuration.rs
@@ -1,6 +1,6 @@
-//! The configuration in force, and what a request keeps of it to its end.
+//! The active configuration, and the terms of a route that a request keeps to its end.
 //!
-//! It promises that the position of what is in force never goes back within a life of the process.
+//! It promises that the position of the active configuration never decreases while the process runs.
 
 use super::ranks::PriorityRanks;
 use lichenswitch_configuration::{
@@ -10,25 +10,25 @@
 use lichenswitch_messages::ConfigurationPosition;
 use std::sync::Arc;
 
-/// What a route says of its requests. A request keeps a copy to its end, whatever configuration
-/// comes meanwhile.
+/// The terms of a route. A request keeps a copy to its end, whatever configuration becomes active
+/// meanwhile.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct RouteTerms {
     /// Name of the route.
     pub route: Arc<str>,
-    /// A request may run more than once: a safe one, or a stream that may be resumed.
+    /// A request may be executed more than once: it is safe, or a stream that may be resumed.
     pub is_idempotent: bool,
-    /// Answers are streams of events.
+    /// Responses are event streams.
     pub is_streaming: bool,
-    /// A stream that was cut may go on at another server.
+    /// An interrupted stream may be resumed at another server.
     pub is_resumable: bool,
-    /// The longest that a request is held.
+    /// The longest time to the final response.
     pub timeout: Micros,
-    /// Within which an answer earns its full worth.
+    /// The latency up to which a response has its full value.
     pub target_latency: Micros,
-    /// Its rank, 0 to 9; 0 is highest.
+    /// Its rank, 0 to 9; 0 is the most urgent.
     pub rank: u8,
-    /// Servers to which one try may be sent.
+    /// How many servers a request may be sent to.
     pub max_attempts: u32,
 }
 
@@ -51,19 +51,19 @@
     }
 }
 
-/// A configuration in force.
+/// An operator's configuration, indexed for lookups.
 #[derive(Debug)]
 pub(crate) struct ActiveConfiguration {
     /// Its position.
     pub position: ConfigurationPosition,
     routes: Routes,
-    /// Who holds which key.
+    /// The tenant of each key.
     pub keys: Keys,
     ranks: PriorityRanks,
 }
 
 impl ActiveConfiguration {
-    /// Reads a document.
+    /// Parses a document.
     ///
     /// # Errors
     /// What is wrong with it.
@@ -87,13 +87,13 @@
         self.routes.document()
     }
 
-    /// What clients may send.
+    /// Limits on what clients may send.
     #[must_use]
     pub(crate) fn limits(&self) -> Limits {
         *self.document().limits()
     }
 
-    /// The route of a request; `None`: no route takes it.
+    /// The route of a request, if there is one.
     #[must_use]
     pub(crate) fn route(&self, host: &str, path: &str) -> Option<&Route> {
         self.routes.lookup(host, path)
@@ -105,20 +105,20 @@
         RouteTerms::of(route, self.ranks.rank(tenant, route))
     }
 
-    /// Terms of all routes that may send to a service, by the ranks that their tenants may give
+    /// The terms of all routes that may send to a service, one for each rank that tenants may give
     /// them.
     #[must_use]
     pub(crate) fn terms_of(&self, service: &str) -> Vec<RouteTerms> {
-        let to = |route: &&Route| {
+        let sends_to_service = |route: &&Route| {
             route
                 .targets
                 .iter()
-                .any(|t| t.service == service && t.weight > 0.0)
+                .any(|target| target.service == service && target.weight > 0.0)
         };
         let tenants = self.document().tenants().unwrap_or_default();
         let of_route = |route: &Route| {
             self.ranks
-                .all(tenants, route)
+                .ranks_of_route(tenants, route)
                 .into_iter()
                 .map(|rank| RouteTerms::of(route, rank))
                 .collect::<Vec<_>>()
@@ -126,35 +126,35 @@
         self.document()
             .routes()
             .iter()
-            .filter(to)
+            .filter(sends_to_service)
             .flat_map(of_route)
             .collect()
     }
 }
 
-/// The configuration in force, where there is one.
+/// The active configuration, once there is one.
 #[derive(Default)]
 pub(crate) struct CurrentConfiguration {
-    in_force: Option<ActiveConfiguration>,
+    active: Option<ActiveConfiguration>,
 }
 
 impl CurrentConfiguration {
-    /// The configuration in force.
+    /// The active configuration.
     #[must_use]
     pub(crate) fn get(&self) -> Option<&ActiveConfiguration> {
-        self.in_force.as_ref()
+        self.active.as_ref()
     }
 
-    /// Puts a configuration in force, if its position is above that of the one which is.
+    /// Activates a configuration, if its position is above that of the active one; `true` if so.
     pub(crate) fn apply(&mut self, new: ActiveConfiguration) -> bool {
-        let newer = self
-            .in_force
+        let is_newer = self
+            .active
             .as_ref()
-            .is_none_or(|known| known.position < new.position);
-        if newer {
-            self.in_force = Some(new);
+            .is_none_or(|active| active.position < new.position);
+        if is_newer {
+            self.active = Some(new);
         }
-        newer
+        is_newer
     }
 }
 
--- a/fleet/src/router/error.rs
+++ b/fleet/src/router/error.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Why the role ended.
+/// Why the role can't start, or can't go on.
 #[derive(Debug, thiserror::Error)]
 pub enum RouterError {
     /// A system call failed that it can't do without.
--- a/fleet/src/router/freshness/tests.rs
+++ b/fleet/src/router/freshness/tests.rs
@@ -59,8 +59,8 @@
         within: Duration::ZERO,
     });
     freshness.on_confirmed(Time(100 * SECOND), Time(100 * SECOND));
-    assert!(freshness.can_serve_keys(Time(100 * SECOND + MIN_LEASE_US - 1)));
-    assert!(!freshness.can_serve_keys(Time(100 * SECOND + MIN_LEASE_US)));
+    assert!(freshness.can_serve_keys(Time(100 * SECOND + MIN_VALIDITY_US - 1)));
+    assert!(!freshness.can_serve_keys(Time(100 * SECOND + MIN_VALIDITY_US)));
 }
 
 #[test]
--- a/fleet/src/router/handlers/control_updates.rs
+++ b/fleet/src/router/handlers/control_updates.rs
@@ -27,7 +27,7 @@
                 }
                 ControlUpdate::Servers(records) => self.apply_server_records(&records),
                 ControlUpdate::Routers(count) => self.services.set_router_count(count),
-                ControlUpdate::Tenant(message) => self.on_tenant_message(message),
+                ControlUpdate::Tenant(message) => self.on_tenant_message(&message),
                 ControlUpdate::Backlog(report) => self.services.set_backlogs(&report),
             }
         }
@@ -35,7 +35,7 @@
     }
 
     /// A message about tenants: a confirmation of the configuration, or quota leases.
-    pub(super) fn on_tenant_message(&mut self, message: TenantMessage) {
+    pub(super) fn on_tenant_message(&mut self, message: &TenantMessage) {
         match message {
             TenantMessage::Confirmed {
                 sent_at_us,
@@ -44,7 +44,7 @@
                 // A position that could not be applied confirms nothing.
                 if position.is_none_or(|position| self.control_link.has_applied(position)) {
                     self.freshness
-                        .on_confirmed(self.net.clock.now(), Time(sent_at_us));
+                        .on_confirmed(self.net.clock.now(), Time(*sent_at_us));
                 }
             }
             TenantMessage::LeaseResponse(response) => self.on_lease_response(response),
--- a/fleet/src/router/handlers/dispatch.rs
+++ b/fleet/src/router/handlers/dispatch.rs
@@ -41,7 +41,7 @@
                         .get_mut(service)
                         .and_then(|service| service.take_request_id(query));
                     if let Some(id) = id {
-                        self.on_decision(id, query, reply);
+                        self.on_decision(id, query, &reply);
                     }
                 }
                 // Trust in servers changes often under faults, on every router at once.
@@ -163,7 +163,7 @@
     }
 
     /// The decision module has ended a request, or has its response.
-    pub(super) fn on_decision(&mut self, id: RequestId, query: QueryId, reply: Reply) {
+    pub(super) fn on_decision(&mut self, id: RequestId, query: QueryId, reply: &Reply) {
         // A request that was answered meanwhile, or continues under another query, is not concerned.
         let Some(request) = self
             .requests
@@ -175,7 +175,7 @@
         request.core_query = None;
         let after = match reply {
             Reply::Served { .. } => return,
-            Reply::Refused(after) => after,
+            Reply::Refused(after) => *after,
             Reply::Failed => None,
         };
         match request.phase {
--- a/fleet/src/router/handlers/event_loop.rs
+++ b/fleet/src/router/handlers/event_loop.rs
@@ -86,7 +86,7 @@
             }
             SocketOwner::Platform => {
                 let is_ready = self.is_ready();
-                self.readiness.ready(&mut self.net, id, is_ready);
+                self.readiness.on_ready(&mut self.net, id, is_ready);
             }
             SocketOwner::Server => self.connections.on_ready(&mut self.net, id),
             SocketOwner::Control => {
@@ -104,7 +104,7 @@
             Timer::Client(id) => self
                 .clients
                 .on_timer(&mut self.net, id, &mut self.client_events),
-            Timer::Platform(id) => self.readiness.timer(&mut self.net, id),
+            Timer::Platform(id) => self.readiness.on_timer(&mut self.net, id),
             Timer::Server(id) => self.connections.on_timer(&mut self.net, id),
             Timer::ConnectionWait(id) => self.connections.on_wait_timeout(id),
             Timer::ControlLink => self.check_control_link(),
--- a/fleet/src/router/handlers/quota.rs
+++ b/fleet/src/router/handlers/quota.rs
@@ -138,7 +138,7 @@
     }
 
     /// A control machine has answered a quota lease request.
-    pub(crate) fn on_lease_response(&mut self, response: QuotaLeaseResponse) {
+    pub(crate) fn on_lease_response(&mut self, response: &QuotaLeaseResponse) {
         let now = self.net.clock.now();
         let grant = LeaseGrant {
             granted_bits: response.granted_bits,
--- a/fleet/src/router/header_lines.rs
+++ b/fleet/src/router/header_lines.rs
@@ -2,7 +2,7 @@
 
 use lichenswitch_http::Headers;
 
-/// The lines that are passed on, but for some.
+/// The lines of end-to-end headers, but for these.
 pub(crate) fn forwarded_header_lines(headers: &Headers, without: &[&str]) -> Vec<u8> {
     let mut lines = Vec::with_capacity(512);
     for field in headers.end_to_end() {
--- a/fleet/src/router/ids.rs
+++ b/fleet/src/router/ids.rs
@@ -1,14 +1,14 @@
-//! Names of requests, services and attempts: plain numbers, below everything that passes them on.
+//! Ids of requests, services and attempts: plain numbers, below everything that passes them on.
 
-/// Names a request. Never used twice.
+/// Id of a request. Never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) struct RequestId(pub u64);
 
-/// Names a service. Never used twice.
+/// Id of a service. Never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) struct ServiceId(pub u32);
 
-/// Names an attempt of whichever service.
+/// Id of an attempt of any service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) struct AttemptId {
     /// Its service.
--- a/fleet/src/router/local_response.rs
+++ b/fleet/src/router/local_response.rs
@@ -1,33 +1,33 @@
-//! Responses of this program itself. They never bear a seal.
+//! Responses that this program makes itself.
 
 use lichenswitch_http::reason;
 use lichenswitch_interface::Micros;
 use std::io::Write as _;
 
-/// Advice where the module gives none (microseconds).
+/// `Retry-After` where the core gives none (microseconds).
 pub(crate) const DEFAULT_RETRY_AFTER_US: Micros = 200_000;
 
-/// An answer of this program. It never bears a seal.
+/// A response that this program makes itself. It never bears a `Response-Seal`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LocalResponse {
     status: u16,
-    retry_after: Option<Micros>,
-    /// The connection ends with it.
+    retry_after_us: Option<Micros>,
+    /// The connection closes with it.
     pub closes_connection: bool,
 }
 
 impl LocalResponse {
-    /// This status and nothing else.
+    /// A response with nothing but a status.
     #[must_use]
     pub(crate) fn status_only(status: u16) -> LocalResponse {
         LocalResponse {
             status,
-            retry_after: None,
+            retry_after_us: None,
             closes_connection: false,
         }
     }
 
-    /// This status, and the end of the connection.
+    /// A response with nothing but a status, which closes the connection.
     #[must_use]
     pub(crate) fn closing(status: u16) -> LocalResponse {
         LocalResponse {
@@ -36,17 +36,17 @@
         }
     }
 
-    /// A refusal: the request has not run and never will.
+    /// 503: the request has not been executed and never will be.
     #[must_use]
     pub(crate) fn unavailable(after: Option<Micros>) -> LocalResponse {
         LocalResponse {
             status: 503,
-            retry_after: Some(after.unwrap_or(DEFAULT_RETRY_AFTER_US).max(1_000)),
+            retry_after_us: Some(after.unwrap_or(DEFAULT_RETRY_AFTER_US).max(1_000)),
             closes_connection: false,
         }
     }
 
-    /// A refusal of what is beyond a quota: the request has not run and never will.
+    /// 429: its tenant is over quota; the request has not been executed and never will be.
     #[must_use]
     pub(crate) fn too_many_requests(after: Micros) -> LocalResponse {
         LocalResponse {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The same, and the end of the connection.
+    /// The same, which closes the connection.
     #[must_use]
     pub(crate) fn with_close(self) -> LocalResponse {
         LocalResponse {
@@ -64,10 +64,14 @@
         }
     }
 
-    /// Its bytes; `last`: the connection ends with it.
+    /// Its bytes; `closes`: the connection closes with it.
     #[must_use]
-    pub(crate) fn encode(&self, last: bool, head_only: bool) -> Vec<u8> {
-        let body = if head_only { "" } else { reason(self.status) };
+    pub(crate) fn encode(&self, closes: bool, is_head_request: bool) -> Vec<u8> {
+        let body = if is_head_request {
+            ""
+        } else {
+            reason(self.status)
+        };
         let mut bytes = Vec::with_capacity(128);
         // Writes to memory don't fail.
         let _ = write!(
@@ -76,7 +80,7 @@
             self.status,
             reason(self.status)
         );
-        if let Some(after) = self.retry_after {
+        if let Some(after) = self.retry_after_us {
             let _ = write!(bytes, "retry-after: {:.3}\r\n", after as f64 / 1e6);
         }
         let _ = write!(
@@ -84,7 +88,7 @@
             "content-type: text/plain\r\ncontent-length: {}\r\n",
             body.len()
         );
-        bytes.extend_from_slice(if last {
+        bytes.extend_from_slice(if closes {
             b"connection: close\r\n\r\n"
         } else {
             b"\r\n"
--- a/fleet/src/router/mod.rs
+++ b/fleet/src/router/mod.rs
@@ -1,30 +1,34 @@
-//! The role `router`: takes clients, decides, and relays the answers of model servers.
+//! The role `router`: accepts clients' requests, decides where to send them, and forwards the responses
+//! of model servers.
 //!
-//! One process on each edge machine, one thread, one loop over its sockets. It owns what joins the
-//! parts below it, and promises what the rules ask of a router:
+//! One process on each edge machine, one thread, one event loop over its sockets. It promises:
 //!
-//! - a request is read whole, gets its route from one configuration and keeps that one to its end
-//!   (`intake`);
-//! - it gets exactly one final answer, at the route's time-out at the latest; a refusal is a
-//!   promise (`answers`);
-//! - a stream is passed on as it comes, whole events only, and what ends early cannot look complete
-//!   (`relay`);
-//! - what control says is merged, never gone back on, and goes on to hold while control is away
+//! - a request is read completely, gets its route from one configuration and keeps its terms to the end
+//!   (`handlers::intake`);
+//! - it gets exactly one final response, at the route's timeout at the latest; a 503 or 429 of this
+//!   program means that it has not been executed (`handlers::request_end`);
+//! - a stream is forwarded as it arrives, complete events only, and one that ends early never looks
+//!   complete (`handlers::relay`, `handlers::stream_abort`);
+//! - updates from control are merged, never reverted, and stay valid while control is unreachable
 //!   (`control_link`, `servers`);
-//! - SIGTERM ends it only once all that was read is answered, within the grace (`shutdown`).
+//! - after SIGTERM it ends only once all that was read is answered, within the grace period
+//!   (`handlers::shutdown`).
 //!
-//! | part | what |
+//! Imports go one way, without circles: ids and time; plain types; tables of connections, requests and
+//! servers; `state`, which holds them all; `handlers`, the methods of [`Router`] by concern.
+//!
+//! | module | what it holds |
 //! | --- | --- |
-//! | `clients`, `request` | connections of clients; requests as they are read and sent on |
-//! | `server_connections`, `response` | connections to servers; answers as they are read |
-//! | `exchange`, `ids` | the table of requests that are held; names of requests, services and attempts |
-//! | `configuration`, `service` | routes; a service's core with the decision module |
-//! | `intake`, `answers`, `relay`, `cut` | from a request to attempts; from attempts to an answer; streams; the end of one that can't be brought to its end |
-//! | `control_link`, `candidates`, `servers` | the connection to control; what is known of servers |
-//! | `backlog` | what waits at servers for this router, told to control |
-//! | `tenants`, `freshness` | whose key a request bears, and what its quota says; how old that knowledge is |
-//! | `counters` | what was turned away, and why |
-//! | `readiness`, `shutdown`, `options` | the platform's question; the end; the settings |
+//! | `ids`, `time`, `reactor` | ids; conversions of durations; owners of sockets, timers and signals |
+//! | `client_connections`, `client_request`, `request_reader` | connections of clients; requests as they are read and written for servers |
+//! | `server_connections`, `server_response`, `response_reader`, `response_outcome` | connections to servers; responses as they are read, and what they mean |
+//! | `local_response`, `rejection`, `counters` | responses of this program; why a request is rejected, and how often |
+//! | `request_table`, `admission`, `sender`, `prompt` | requests in hand; how one is to be served; its tenant; its prompt |
+//! | `configuration`, `freshness`, `ranks` | the active configuration, how long ago it was confirmed, ranks of requests |
+//! | `service`, `services`, `servers`, `budget` | a service's core with the decision module; the servers; the retry budget |
+//! | `control_link`, `backlog_reports` | the connection to control; backlogs as they are reported to it |
+//! | `readiness`, `shutdown`, `abort_reason` | the platform's check; the schedule of the end; why a response was cut off |
+//! | `state`, `handlers` | all of the above in one value; what is done with it, along the way of a request |
 
 mod abort_reason;
 mod admission;
@@ -69,19 +73,19 @@
 pub use error::RouterError;
 pub use state::Router;
 
-/// Runs the role until the process is told to end. The settings are read again from `path`.
+/// Runs the role until SIGTERM, and reads the settings again from `path` on SIGHUP.
 ///
 /// # Errors
-/// A system call failed that it can't do without, or the settings lack what it needs.
-pub fn run(settings: Settings, path: PathBuf) -> Result<(), RouterError> {
-    let mut router = Router::new(&settings, Some(path))?;
+/// A necessary system call failed, or the settings lack what the role needs.
+pub fn run(settings: &Settings, path: PathBuf) -> Result<(), RouterError> {
+    let mut router = Router::new(settings, Some(path))?;
     router.stop_on(signal(SIGTERM)?)?;
     router.reload_on(signal(SIGHUP)?)?;
     log::info!(node = settings.node_name.as_str(), frontend:% = router.frontend_address; "router listens");
     router.serve()
 }
 
-/// A stream that can be read once the signal has come.
+/// A stream that can be read once the signal was received.
 fn signal(number: i32) -> std::io::Result<UnixStream> {
     let (read, write) = UnixStream::pair()?;
     signal_hook::low_level::pipe::register(number, write)?;
--- a/fleet/src/router/options.rs
+++ b/fleet/src/router/options.rs
@@ -1,4 +1,4 @@
-//! What this role takes from its settings.
+//! The settings as this role uses them.
 
 use super::error::RouterError;
 use super::freshness::RevocationBounds;
@@ -6,42 +6,42 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Share of the memory that requests and answers which are held may take.
+/// The memory of the process divided by this may be used for requests and responses.
 const BUFFER_MEMORY_DIVISOR: u64 = 4;
-/// What one request is taken to hold on average with its buffers (bytes): two connections and a
-/// prompt of some thousand tokens.
+/// Average memory of a request with its buffers (bytes): two connections and a prompt of some thousand
+/// tokens.
 const BYTES_PER_REQUEST: u64 = 24 * 1_024;
-/// Descriptors kept for files, standard streams, poller, listeners and signals.
+/// Descriptors reserved for files, standard streams, poller, listeners and signals.
 const RESERVED_DESCRIPTORS: usize = 232;
-/// Share of `retrySlack` that all routers together use: the rest is for what their clocks and
-/// windows miss.
+/// Share of `retrySlack` that all routers together use: the rest covers differences of their clocks
+/// and windows.
 pub(crate) const FLEET_SLACK_SHARE: f64 = 0.8;
-/// Part of the further-try budget that is kept for streams which go on at another server.
+/// Share of the retry budget that is kept for streams which are resumed at another server.
 pub(crate) const RESUME_BUDGET_SHARE: f64 = 0.25;
 
-/// Limits on what this process holds.
+/// Limits on what this process has in hand.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Capacity {
-    /// Requests held at once.
+    /// Requests at once.
     pub max_requests: u32,
-    /// Bytes of requests and whole answers held.
+    /// Bytes of buffered requests and responses.
     pub max_bytes: usize,
     /// Descriptors for connections.
     pub max_descriptors: usize,
 }
 
-/// The further-try budget of the whole system.
+/// The retry budget of the whole system.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct RetryBudget {
-    /// Further arrivals for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Further arrivals beside that, of all routers together.
+    /// Retries beside that, of all routers together, in a window.
     pub slack: f64,
     /// The window of both.
     pub window: Duration,
 }
 
-/// What the settings say, as this role needs it.
+/// The settings as this role uses them.
 #[derive(Clone, Debug)]
 pub(crate) struct Options {
     /// `nodeName`.
@@ -50,15 +50,15 @@
     pub zone: String,
     /// Where clients connect.
     pub frontend: SocketAddr,
-    /// Where the platform asks whether this router is ready.
+    /// Where the platform checks readiness.
     pub readiness: Option<SocketAddr>,
     /// Internal addresses of the seeds.
     pub seeds: Vec<SocketAddr>,
     /// Address of this machine.
     pub machine_address: std::net::IpAddr,
-    /// Limits on what is held.
+    /// Limits on what is in hand.
     pub capacity: Capacity,
-    /// The further-try budget.
+    /// The retry budget.
     pub retry_budget: RetryBudget,
     /// Bounds on revocations.
     pub revocation: RevocationBounds,
@@ -69,7 +69,7 @@
 }
 
 impl Options {
-    /// Of settings.
+    /// Takes from settings what this role uses.
     ///
     /// # Errors
     /// They name no address for clients.
--- a/fleet/src/router/prompt.rs
+++ b/fleet/src/router/prompt.rs
@@ -1,10 +1,10 @@
-//! Prompts: the beginning that they share, which model servers keep once they have read it, and how
-//! much is left to be read.
+//! Prompts: the shared prefix, which model servers keep in their prefix cache, and the tokens that are
+//! left to be prefilled.
 //!
-//! It promises the same names at all routers, so that these choose the same server for the same
-//! beginning without a word between them.
+//! It promises the same prefix hash at all routers, so that they choose the same server for the same
+//! prefix without coordination.
 
-/// Start and factor of the hash FNV-1a, which is the same on all machines and in all versions.
+/// Offset basis and prime of the hash FNV-1a, which is the same on all machines and in all versions.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
@@ -14,18 +14,18 @@
     hash_from(FNV_OFFSET_BASIS, bytes)
 }
 
-/// Tokens that a request counts as where it tells none, and the least that any counts as.
+/// Tokens that a request counts as where it declares none, and the least that any counts as.
 const MIN_TOKENS: u32 = 1_024;
 
-/// What is known of a request's prompt.
+/// What a request's headers declare of its prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Prompt {
-    /// Names the beginning that it shares with others: all parts but the last, which belongs to the
-    /// request or its session. 0: it shares nothing, or its list of parts can't be read.
+    /// Hash of its shared prefix: all parts but the last, which belongs to the request or its session.
+    /// 0: it shares nothing, or its list of parts can't be parsed.
     pub prefix_hash: u64,
-    /// Tokens of that beginning.
+    /// Tokens of the shared prefix.
     pub shared_tokens: u32,
-    /// Tokens that a server has to read which keeps the beginning.
+    /// Tokens left to be prefilled by a server that has the prefix cached.
     pub uncached_tokens: u32,
 }
 
@@ -40,17 +40,17 @@
 }
 
 impl Prompt {
-    /// Reads `Model` and `Prompt-Prefix` (parts `ID:TOKENS`, joined by commas).
+    /// Parses `Model` and `Prompt-Prefix` (parts `ID:TOKENS`, separated by commas).
     #[must_use]
     pub(crate) fn from_headers(model: Option<&[u8]>, parts: Option<&[u8]>) -> Prompt {
         let Some(parts) = parts else {
             return Prompt::default();
         };
         let end = parts.iter().rposition(|byte| *byte == b',');
-        let (shared, own) = end.map_or((&parts[..0], parts), |end| {
+        let (shared, last) = end.map_or((&parts[..0], parts), |end| {
             (&parts[..end], &parts[end + 1..])
         });
-        let uncached_tokens = tokens_of(own).max(MIN_TOKENS);
+        let uncached_tokens = tokens_of(last).max(MIN_TOKENS);
         let mut prompt = Prompt {
             uncached_tokens,
             ..Prompt::default()
@@ -74,13 +74,13 @@
             hash = hash_from(hash_from(hash, id), b",");
             prompt.shared_tokens = prompt.shared_tokens.saturating_add(tokens_of(part));
         }
-        // 0 is taken.
+        // 0 stands for no prefix.
         prompt.prefix_hash = hash.max(1);
         prompt
     }
 }
 
-/// The tokens of a part; 0 where they can't be read.
+/// The tokens of a part; 0 where they can't be parsed.
 fn tokens_of(part: &[u8]) -> u32 {
     let tokens = part
         .splitn(2, |byte| *byte == b':')
--- a/fleet/src/router/ranks.rs
+++ b/fleet/src/router/ranks.rs
@@ -1,8 +1,7 @@
-//! Ranks of requests: that of their tenant goes before that of their route, which orders the
-//! requests of tenants of one rank.
+//! Ranks of requests: first by the rank of the tenant, then by that of the route.
 //!
-//! Servers and the module know ten ranks. Where a configuration has tenants, its pairs of ranks are
-//! numbered in their order.
+//! Servers and the decision module know ten ranks. Where a configuration has tenants, its pairs of
+//! (tenant rank, route rank) are numbered in order.
 
 use lichenswitch_configuration::{Document, Route, Tenant};
 use std::collections::BTreeSet;
@@ -21,7 +20,7 @@
 }
 
 impl PriorityRanks {
-    /// Of a configuration.
+    /// The ranks of a configuration.
     #[must_use]
     pub(crate) fn new(document: &Document) -> PriorityRanks {
         let Some(tenants) = document.tenants() else {
@@ -45,19 +44,20 @@
         self.rank_of(tenant.and_then(|tenant| tenant.priority), route)
     }
 
-    /// All ranks that requests on a route may have.
+    /// All ranks that requests on a route may have, with and without a tenant.
     #[must_use]
-    pub(crate) fn all(&self, tenants: &[Tenant], route: &Route) -> BTreeSet<u8> {
-        let own = [self.rank_of(None, route)];
-        own.into_iter()
+    pub(crate) fn ranks_of_route(&self, tenants: &[Tenant], route: &Route) -> BTreeSet<u8> {
+        let without_tenant = [self.rank_of(None, route)];
+        without_tenant
+            .into_iter()
             .chain(tenants.iter().map(|tenant| self.rank(Some(tenant), route)))
             .collect()
     }
 
     fn rank_of(&self, tenant: Option<u32>, route: &Route) -> u8 {
         let rank = match self.pairs.binary_search(&pair(tenant, route)) {
-            Ok(place) => place,
-            // Without tenants, the route's own.
+            Ok(index) => index,
+            // Without tenants it is that of the route.
             Err(_) => route.priority as usize,
         };
         u8::try_from(rank).unwrap_or(LOWEST_RANK).min(LOWEST_RANK)
--- a/fleet/src/router/ranks/tests.rs
+++ b/fleet/src/router/ranks/tests.rs
@@ -42,7 +42,7 @@
     // Pairs in their order: (0, 0), (0, 4), (1, 0), (1, 4), (4, 4).
     assert_eq!((a, b, c), (vec![2, 3], vec![0, 1], vec![0, 4]));
     let all = PriorityRanks::new(&document)
-        .all(document.tenants().expect("tenants"), &document.routes()[1]);
+        .ranks_of_route(document.tenants().expect("tenants"), &document.routes()[1]);
     assert_eq!(all.into_iter().collect::<Vec<_>>(), [1, 3, 4]);
 }
 
--- a/fleet/src/router/readiness.rs
+++ b/fleet/src/router/readiness.rs
@@ -1,7 +1,7 @@
-//! The platform's question whether this router is ready: `GET /readiness`.
+//! The platform's readiness check: `GET /readiness`.
 //!
-//! It promises an answer at once, whatever else the router does, and 200 only where the caller says
-//! that the router is ready.
+//! It promises a response at once, whatever else the router does, and 200 only where the router is
+//! ready.
 
 use super::reactor::{Net, SocketOwner, Timer};
 use super::time::after;
@@ -10,33 +10,33 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Most bytes held of a question.
-const CEILING: usize = 8 * 1_024;
-/// A connection on which nothing came for so long is closed: the platform asks each second.
-const IDLE: Duration = Duration::from_secs(10);
+/// Longest request (bytes).
+const MAX_REQUEST_BYTES: usize = 8 * 1_024;
+/// An idle connection is closed after this: the platform asks each second.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 const PATH: &str = "/readiness";
 
 /// Connections of the platform.
 #[derive(Default)]
 pub(crate) struct ReadinessEndpoint {
-    /// Each with whether it closes once its answer is written.
-    open: HashMap<ConnId, bool>,
+    /// By id, whether it closes once its response is written.
+    closing: HashMap<ConnId, bool>,
 }
 
 impl ReadinessEndpoint {
-    /// Accepts all that wait.
+    /// Accepts all pending connections.
     pub(crate) fn accept(&mut self, net: &mut Net) {
         for id in net.accept(SocketOwner::Platform) {
-            self.open.insert(id, false);
-            let at = after(net.clock.now(), IDLE);
+            self.closing.insert(id, false);
+            let at = after(net.clock.now(), IDLE_TIMEOUT);
             net.wheel.set(at, Timer::Platform(id));
         }
     }
 
-    /// Reads questions and answers them.
-    pub(crate) fn ready(&mut self, net: &mut Net, id: ConnId, is_ready: bool) {
-        let progress = net.transfer(id, CEILING);
-        let Some(closing) = self.open.get(&id).copied() else {
+    /// Handles a connection that can be read or written.
+    pub(crate) fn on_ready(&mut self, net: &mut Net, id: ConnId, is_ready: bool) {
+        let progress = net.transfer(id, MAX_REQUEST_BYTES);
+        let Some(closing) = self.closing.get(&id).copied() else {
             return net.close(id);
         };
         if progress != TransferProgress::Alive || net.get(id).is_none_or(|conn| conn.ended) {
@@ -52,14 +52,15 @@
         }
     }
 
-    /// A connection's timer: it may have been idle for too long.
-    pub(crate) fn timer(&mut self, net: &mut Net, id: ConnId) {
-        if !self.open.contains_key(&id) {
+    /// Handles a connection's timer: it may have been idle for too long.
+    pub(crate) fn on_timer(&mut self, net: &mut Net, id: ConnId) {
+        if !self.closing.contains_key(&id) {
             return;
         }
         let (now, due) = (
             net.clock.now(),
-            net.get(id).map(|conn| after(conn.last_active_at, IDLE)),
+            net.get(id)
+                .map(|conn| after(conn.last_active_at, IDLE_TIMEOUT)),
         );
         match due {
             Some(due) if due > now => net.wheel.set(due, Timer::Platform(id)),
@@ -67,7 +68,7 @@
         }
     }
 
-    /// The next whole question, answered; nothing while there is none.
+    /// The response to the next complete request, and whether the connection is kept.
     fn read(&self, net: &mut Net, id: ConnId, is_ready: bool) -> Option<(Response, bool)> {
         let conn = net.get_mut(id)?;
         match http::request(conn.input.bytes()) {
@@ -75,7 +76,7 @@
                 conn.input.consume(used);
                 Some((answer(&request, is_ready), request.keep_alive))
             }
-            Ok(Parsed::Partial(_)) if conn.input.bytes().len() < CEILING => None,
+            Ok(Parsed::Partial(_)) if conn.input.bytes().len() < MAX_REQUEST_BYTES => None,
             Ok(Parsed::Partial(_)) => {
                 Some((Response::new(413, "text/plain", "too large\n"), false))
             }
@@ -86,7 +87,7 @@
         }
     }
 
-    /// `false`: nothing more is read of this connection.
+    /// Writes a response; `false` if nothing more is to be read from this connection.
     fn write(&mut self, net: &mut Net, id: ConnId, response: &Response, keep: bool) -> bool {
         if let Some(conn) = net.get_mut(id) {
             conn.send(&response.encode(keep, false));
@@ -96,7 +97,7 @@
             return false;
         }
         if !keep {
-            self.open.insert(id, true);
+            self.closing.insert(id, true);
             self.close_if_written(net, id);
         }
         keep
@@ -109,7 +110,7 @@
     }
 
     fn close(&mut self, net: &mut Net, id: ConnId) {
-        self.open.remove(&id);
+        self.closing.remove(&id);
         net.close(id);
     }
 }
--- a/fleet/src/router/request_reader.rs
+++ b/fleet/src/router/request_reader.rs
@@ -26,18 +26,18 @@
     "tenant",
 ];
 
-/// Longest time that a client may say it waits: longer ones are no different.
+/// Upper bound on a client's deadline: longer ones are shortened to it.
 pub(crate) const MAX_DEADLINE: Duration = Duration::from_secs(86_400);
 
-/// How far the reading of a request has come.
+/// How far the reading of a request has got.
 #[derive(Debug)]
 pub(crate) enum RequestProgress {
     /// More bytes are needed.
     Incomplete {
-        /// The client waits to be told that it may go on; told once.
+        /// The client waits for `100 Continue`. Reported once.
         expects_continue: bool,
     },
-    /// It is whole.
+    /// It is complete.
     Complete(Box<ClientRequest>),
 }
 
@@ -68,7 +68,7 @@
         self.request.is_some()
     }
 
-    /// Bytes of a body that it holds.
+    /// Bytes of the body that are buffered.
     #[must_use]
     pub(crate) fn buffered_body_bytes(&self) -> usize {
         self.request
@@ -76,29 +76,29 @@
             .map_or(0, |(request, _)| request.body.len())
     }
 
-    /// Reads on.
+    /// Reads on in the request.
     ///
     /// # Errors
-    /// What comes is no request within the limits.
+    /// What comes is no valid request, or exceeds the limits.
     pub(crate) fn read(&mut self, input: &mut Buffer) -> Result<RequestProgress, Malformed> {
         if self.request.is_none() && !self.read_head(input)? {
             return Ok(RequestProgress::Incomplete {
                 expects_continue: false,
             });
         }
-        let whole = self.read_body(input)?;
-        match self.request.take_if(|_| whole) {
+        let is_complete = self.read_body(input)?;
+        match self.request.take_if(|_| is_complete) {
             Some((request, _)) => Ok(RequestProgress::Complete(request)),
             None => {
-                let waits = std::mem::take(&mut self.expects_continue);
+                let expects_continue = std::mem::take(&mut self.expects_continue);
                 Ok(RequestProgress::Incomplete {
-                    expects_continue: waits && self.buffered_body_bytes() == 0,
+                    expects_continue: expects_continue && self.buffered_body_bytes() == 0,
                 })
             }
         }
     }
 
-    /// `false`: it is not whole yet.
+    /// `false` while more bytes are needed.
     fn read_head(&mut self, input: &mut Buffer) -> Result<bool, Malformed> {
         let parsed = parse_request_head(input.bytes(), self.max_header_bytes)?;
         let Some((head, used)) = parsed else {
@@ -109,7 +109,7 @@
             .split(|byte| *byte == b'\r')
             .next()
             .unwrap_or_default();
-        // What is passed on as it comes needs chunks, which older clients can't read.
+        // Forwarding a stream needs chunked encoding, which older clients can't read.
         if !line.ends_with(b"HTTP/1.1") {
             return Err(Malformed(505, "version"));
         }
@@ -120,7 +120,7 @@
         Ok(true)
     }
 
-    /// `false`: it is not whole yet.
+    /// `false` while more bytes are needed.
     fn read_body(&mut self, input: &mut Buffer) -> Result<bool, Malformed> {
         let Some((request, decoder)) = &mut self.request else {
             return Ok(false);
@@ -138,7 +138,7 @@
 }
 
 pub(crate) fn request_of(head: RequestHead) -> Result<ClientRequest, Malformed> {
-    // Guards the choice of the route: it is made by the path that the server sees.
+    // The route is chosen by the path that the server sees.
     if !head.target.starts_with('/') {
         return Err(Malformed(400, "target without a path"));
     }
@@ -166,14 +166,14 @@
     })
 }
 
-/// The value of a header that may come once.
+/// The value of a header that must not be repeated.
 pub(crate) fn only<'a>(headers: &'a Headers, name: &'a str) -> Result<Option<&'a str>, Malformed> {
     let text =
         |value| std::str::from_utf8(value).map_err(|_| Malformed(400, "a header is no text"));
     only_bytes(headers, name)?.map(text).transpose()
 }
 
-/// The same, whatever its bytes are.
+/// The same as bytes, which may be no text.
 pub(crate) fn only_bytes<'a>(
     headers: &'a Headers,
     name: &'a str,
@@ -185,7 +185,7 @@
     }
 }
 
-/// Reads `Token-Usage`: two whole numbers with a comma between them.
+/// Parses `Token-Usage`: two whole numbers separated by a comma.
 pub(crate) fn token_usage(value: Option<&[u8]>) -> TokenUsage {
     let Some(value) = value else {
         return TokenUsage::Unspecified;
@@ -194,7 +194,7 @@
     let sum = std::str::from_utf8(value)
         .ok()
         .and_then(|text| text.split_once(','))
-        .and_then(|(prompt, most_out)| number(prompt)?.checked_add(number(most_out)?));
+        .and_then(|(prompt, max_output)| number(prompt)?.checked_add(number(max_output)?));
     sum.map_or(TokenUsage::Invalid, TokenUsage::Declared)
 }
 
--- a/fleet/src/router/response_reader.rs
+++ b/fleet/src/router/response_reader.rs
@@ -11,53 +11,53 @@
 use lichenswitch_net::buffer::Buffer;
 use std::time::Duration;
 
-/// Most bytes of an answer's head.
-pub(crate) const MAX_HEAD: usize = 32 * 1_024;
+/// Longest head of a response (bytes).
+pub(crate) const MAX_HEAD_BYTES: usize = 32 * 1_024;
 
-/// A piece of a server's answer.
+/// A part of a server's response.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum ResponsePart {
     /// Its head.
     Head(ResponseHead),
     /// Bytes of its body.
     Body(Vec<u8>),
-    /// It is whole.
+    /// It is complete.
     End,
 }
 
-/// Why what came is no answer.
+/// What came is no valid response. The connection must be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("no answer in the protocol")]
+#[error("no valid response")]
 pub(crate) struct MalformedResponse;
 
-/// Reads the answer to one request.
+/// Reads the response to one request.
 #[derive(Debug)]
 pub(crate) struct ResponseReader {
-    head_only: bool,
+    is_head_request: bool,
     body: Option<(BodyDecoder, Framing)>,
-    ended: bool,
-    keeps: bool,
+    is_ended: bool,
+    keeps_alive: bool,
     idle_time: Option<Duration>,
 }
 
 impl ResponseReader {
-    /// For the answer to this request.
+    /// A reader for the response to this request.
     #[must_use]
     pub(crate) fn new(request: &ClientRequest) -> ResponseReader {
-        let head_only = request.is_head();
+        let is_head_request = request.is_head();
         ResponseReader {
-            head_only,
+            is_head_request,
             body: None,
-            ended: false,
-            keeps: false,
+            is_ended: false,
+            keeps_alive: false,
             idle_time: None,
         }
     }
 
-    /// The next piece; `ended`: the connection has ended in order, and nothing more comes.
+    /// The next part, if it has come; `ended`: the connection has closed in order.
     ///
     /// # Errors
-    /// What came is no answer, or one that was cut.
+    /// What came is no valid response, or one that ends early.
     pub(crate) fn read(
         &mut self,
         input: &mut Buffer,
@@ -66,7 +66,7 @@
         let Some((decoder, _)) = &mut self.body else {
             return self.read_head(input, ended);
         };
-        if self.ended {
+        if self.is_ended {
             return Ok(None);
         }
         loop {
@@ -86,17 +86,17 @@
         if ended {
             decoder.end().map_err(|_| MalformedResponse)?;
         }
-        self.ended = decoder.is_complete();
-        Ok(self.ended.then_some(ResponsePart::End))
+        self.is_ended = decoder.is_complete();
+        Ok(self.is_ended.then_some(ResponsePart::End))
     }
 
     /// Whether the server keeps the connection for another request.
     #[must_use]
     pub(crate) fn keeps_connection(&self) -> bool {
-        self.keeps
+        self.keeps_alive
     }
 
-    /// Whether the answer tells where it ends.
+    /// Whether the response declares where it ends.
     #[must_use]
     pub(crate) fn is_framed(&self) -> bool {
         self.body
@@ -104,15 +104,15 @@
             .is_some_and(|(_, framing)| *framing != Framing::UntilClose)
     }
 
-    /// For how long the server keeps idle connections, where it tells.
+    /// How long the server keeps idle connections, where it advertises that.
     #[must_use]
     pub(crate) fn idle_time(&self) -> Option<Duration> {
         self.idle_time
     }
 
-    /// Length of the body, where it is told.
+    /// Length of the body, where it is declared.
     #[must_use]
-    pub(crate) fn length(&self) -> Option<u64> {
+    pub(crate) fn content_length(&self) -> Option<u64> {
         match self.body.as_ref()?.1 {
             Framing::Length(length) => Some(length),
             Framing::None | Framing::Chunked | Framing::UntilClose => None,
@@ -125,7 +125,7 @@
         ended: bool,
     ) -> Result<Option<ResponsePart>, MalformedResponse> {
         loop {
-            let parsed = parse_response_head(input.bytes(), MAX_HEAD, self.head_only);
+            let parsed = parse_response_head(input.bytes(), MAX_HEAD_BYTES, self.is_head_request);
             let (head, used) = match parsed.map_err(|_| MalformedResponse)? {
                 Some(parsed) => parsed,
                 None if ended => return Err(MalformedResponse),
@@ -133,7 +133,7 @@
             };
             input.consume(used);
             match head.status {
-                // Nothing was asked that this could be the answer to.
+                // No upgrade was requested.
                 101 => return Err(MalformedResponse),
                 100..=199 => {}
                 200..=599 => {
@@ -150,11 +150,11 @@
         &mut self,
         head: &lichenswitch_http::ResponseHead,
     ) -> Result<ResponseHead, MalformedResponse> {
-        // What is held is bounded by whoever takes the pieces.
+        // The caller bounds what is buffered.
         let decoder = BodyDecoder::new(head.framing, u64::MAX).map_err(|_| MalformedResponse)?;
         self.body = Some((decoder, head.framing));
         let headers = &head.headers;
-        (self.keeps, self.idle_time) = (
+        (self.keeps_alive, self.idle_time) = (
             head.keep_alive,
             headers.text("keep-alive").and_then(idle_time),
         );
--- a/fleet/src/router/server_connections/in_flight.rs
+++ b/fleet/src/router/server_connections/in_flight.rs
@@ -100,7 +100,7 @@
                 ReadOutcome::Event(stream_started(
                     id,
                     *head,
-                    self.reader.length(),
+                    self.reader.content_length(),
                     body_chunk(body, None),
                 ))
             }
--- a/fleet/src/router/servers.rs
+++ b/fleet/src/router/servers.rs
@@ -1,8 +1,8 @@
-//! What this router knows of model servers, merged from all that control machines push.
+//! The table of model servers, merged from the records that control machines push.
 //!
-//! It owns the table of instances. It promises that the table is a lattice: whatever order records
-//! come in, and from whichever control machine, the result is the same; `draining` and `gone` are
-//! final; an instance that a push leaves out stays as it was.
+//! It promises that the merge is a join: in whatever order records come, and from whichever control
+//! machine, the result is the same; `draining` and `gone` are final; an instance that a push leaves
+//! out stays as it was.
 
 use super::prompt::stable_hash;
 use lichenswitch_interface::{ListedServer, ServerId, ServerMode};
@@ -11,14 +11,14 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Instances that are gone and still remembered, so that a late record revives none. Control
-/// forgets them after a minute; this many are the restarts of the largest fleet in ten.
+/// How many instances that are gone are remembered, so that no late record revives one. Control
+/// forgets them after a minute; this many are the restarts of the largest fleet in ten minutes.
 const MAX_REMEMBERED_GONE: usize = 2_048;
-/// Groups that the servers of a service are dealt into. The module looks for another holder at once
-/// after a failed connection only while it has tried fewer servers than there are groups.
+/// Groups that the servers of a service are divided into. After a failed connection the decision
+/// module retries at once only while it has tried fewer servers than there are groups.
 pub(crate) const SERVER_GROUPS: u32 = 4;
 
-/// One instance.
+/// One instance of a model server.
 #[derive(Debug)]
 struct Instance {
     server: ServerId,
@@ -30,35 +30,35 @@
     is_suspect: bool,
 }
 
-/// Where a server is reached, and by what name.
+/// Where a server is reached, and its instance id.
 #[derive(Clone, Debug)]
 pub(crate) struct Endpoint {
     /// Its `instanceId`.
     pub instance_id: Rc<str>,
     /// Its address.
     pub address: SocketAddr,
-    /// It takes no new requests.
+    /// It accepts no new requests.
     pub is_leaving: bool,
 }
 
-/// What a push changed at one service.
+/// A change of a service's list of servers.
 #[derive(Debug, PartialEq)]
 pub(crate) struct ServerChange {
-    /// Its name.
+    /// Name of the service.
     pub service: Rc<str>,
-    /// The changed line of its list.
+    /// The changed entry.
     pub entry: ListedServer,
 }
 
 impl ServerChange {
-    /// The server takes nothing new.
+    /// Whether the server accepts no new requests.
     #[must_use]
     pub(crate) fn accepts_no_requests(&self) -> bool {
         matches!(self.entry.mode, ServerMode::Draining | ServerMode::Gone)
     }
 }
 
-/// The table.
+/// The table of instances.
 #[derive(Default)]
 pub(crate) struct ServerTable {
     instances: HashMap<Rc<str>, Instance>,
@@ -69,7 +69,7 @@
 }
 
 impl ServerTable {
-    /// An empty table of a router in this zone, which gets number 0.
+    /// An empty table of a router in this zone, which gets the number 0.
     #[must_use]
     pub(crate) fn new(zone: &str) -> ServerTable {
         ServerTable {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Merges a push; tells the lines that changed.
+    /// Merges records; returns the entries that changed.
     pub(crate) fn merge(&mut self, records: &[ServerRecord]) -> Vec<ServerChange> {
         records
             .iter()
@@ -86,7 +86,7 @@
             .collect()
     }
 
-    /// Where a server is; `None`: it is gone, or was listed without a usable address.
+    /// Where a server is reached; `None` if it is gone, or was listed without a usable address.
     #[must_use]
     pub(crate) fn endpoint(&self, server: ServerId) -> Option<Endpoint> {
         let name = self.by_server.get(&server)?;
@@ -102,14 +102,14 @@
         })
     }
 
-    /// Lines of all servers of a service that are not gone.
+    /// The entries of all servers of a service that are not gone.
     #[must_use]
     pub(crate) fn entries_of(&self, service: &str) -> Vec<ListedServer> {
-        let of = self
+        let of_service = self
             .instances
             .values()
             .filter(|i| &*i.service == service && i.state != ServerState::Gone);
-        of.map(listed_entry).collect()
+        of_service.map(listed_entry).collect()
     }
 
     /// How many instances are not gone.
@@ -125,8 +125,8 @@
         );
         let address = record.address.parse().ok();
         if let Some((name, known)) = self.instances.get_key_value(record.instance.as_str()) {
-            let older = record.state < known.state;
-            if older
+            let is_older = record.state < known.state;
+            if is_older
                 || (record.state == known.state && record.sequence_number < known.sequence_number)
             {
                 return None;
@@ -155,7 +155,8 @@
         Some(ServerChange { service, entry })
     }
 
-    /// The same at all routers, unless two instances share a hash: routers choose servers by it.
+    /// The id of an instance: the same at all routers, unless two instances share a hash, since routers
+    /// choose servers by it.
     fn assign_id(&self, instance: &str) -> ServerId {
         let hash = stable_hash(instance.as_bytes());
         let mut id = ServerId((hash ^ (hash >> 32)) as u32);
@@ -173,12 +174,12 @@
         zone: u32,
     ) -> Option<ServerChange> {
         let known = self.instances.get_mut(name)?;
-        let (before, was) = (listed_entry(known), known.state);
+        let (before, previous_state) = (listed_entry(known), known.state);
         known.sequence_number = known.sequence_number.max(record.sequence_number);
         known.address = address.or(known.address);
         (known.zone, known.state, known.is_suspect) = (zone, record.state, record.is_suspect);
         let (after, service) = (listed_entry(known), known.service.clone());
-        if was != ServerState::Gone && record.state == ServerState::Gone {
+        if previous_state != ServerState::Gone && record.state == ServerState::Gone {
             self.remember_gone(name.clone());
         }
         (before != after).then_some(ServerChange {
@@ -187,8 +188,7 @@
         })
     }
 
-    /// Remembers that an instance is gone, and forgets the one that has been gone for longest where
-    /// there are too many.
+    /// Remembers that an instance is gone, and forgets the longest gone one where there are too many.
     fn remember_gone(&mut self, name: Rc<str>) {
         self.gone.push_back(name);
         if self.gone.len() <= MAX_REMEMBERED_GONE {
@@ -225,7 +225,7 @@
 fn listed_entry(instance: &Instance) -> ListedServer {
     let mode = match (instance.state, instance.is_suspect) {
         (ServerState::Ready, false) => ServerMode::Ready,
-        // Control may be what can't be reached: it is used where no other server will do.
+        // Control may be what can't be reached: it is used only where no other server is available.
         (ServerState::Ready, true) => ServerMode::Leaving,
         (ServerState::Draining, _) => ServerMode::Draining,
         (ServerState::Gone, _) => ServerMode::Gone,
--- a/fleet/src/router/service.rs
+++ b/fleet/src/router/service.rs
@@ -1,10 +1,10 @@
-//! One service: its core with the decision module, and what joins them to routes, servers and
-//! attempts.
+//! One service: its core with the decision module, and what they are told of routes, servers, loads
+//! and budgets.
 //!
-//! It promises that a request keeps the class it was taken with, whatever configuration comes
-//! meanwhile, and that every server which the module knows is known by its latest line.
+//! It promises that a request keeps the class that it was submitted with, whatever configuration
+//! becomes active meanwhile, and that the core has the latest list of servers.
 
-use super::budget::{module_budget, ResumeBudget};
+use super::budget::{decision_budget, ResumeBudget};
 use super::configuration::RouteTerms;
 use super::ids::RequestId;
 use super::options::{Capacity, RetryBudget};
@@ -20,29 +20,25 @@
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
 
-/// Advice to clients that are refused is at most this long (microseconds): they heed up to a third
-/// of the time they have left, and what is served within its aim from the new try still earns.
+/// Longest `Retry-After` for rejected clients (microseconds): they heed up to a third of their remaining
+/// time, and a retry that is served within its latency target still has value.
 const MAX_RETRY_AFTER_US: Micros = 300_000;
-/// A route that is a rank less urgent is worth this much less in a jam.
+/// Under overload the value of a request falls by this factor with each rank.
 const VALUE_PER_RANK: f64 = 0.8;
-/// Connections to a server that a router may have at the least, whatever its share.
+/// Connections to a server that a router may always have, whatever its share.
 const MIN_CONNECTIONS_PER_SERVER: usize = 2;
-/// The same where the operator names no most.
+/// The same where the operator configures no bound.
 const DEFAULT_CONNECTIONS_PER_SERVER: usize = 16;
-/// How fast the part of slots taken follows what servers tell: each answer moves it by this share
-/// of the difference.
+/// Smoothing of the occupied-slots ratio: each report moves it by this share of the difference.
 const LOAD_SMOOTHING: f64 = 0.1;
-/// The part of slots taken counts as this at the least, so that a router with many streams at one
-/// server still sees them.
+/// Lower bound on the occupied-slots ratio, so that many streams at one server still count.
 const MIN_OCCUPIED_SLOTS_RATIO: f64 = 0.05;
-/// Servers are told apart by their backlogs in steps of so many tokens at the least: what is known
-/// of them is a tenth of a second old.
+/// Smallest step in which backlogs of servers are compared (tokens): the reports are a tenth of a second
+/// old.
 const MIN_BACKLOG_STEP_TOKENS: f64 = 3_072.0;
-/// The same for each token of a prompt that is shared: to be read again it has to be worth the
-/// wait.
+/// The same for each shared token of a prompt: prefilling it again has to be worth the wait (tokens).
 const BACKLOG_PER_SHARED_TOKEN: f64 = 20.0;
-/// The core of a service never sees more attempts of one request than this, whatever its route
-/// says.
+/// Upper bound on the attempts of a request, whatever its route says.
 const MAX_ATTEMPTS: u32 = 16;
 
 /// A service.
@@ -52,74 +48,73 @@
     core: Core<RequestId>,
     classes: Vec<RequestClass>,
     queries: HashMap<QueryId, RequestId>,
-    /// What loads each server beside what waits there for this router.
+    /// The load of each server beside this router's pending attempts.
     loads: HashMap<ServerId, ServerPressure>,
     /// Sum of all backlogs (tokens).
     total_backlog: u64,
-    /// Servers that take requests.
+    /// Servers that accept requests.
     ready_servers: BTreeSet<ServerId>,
     resume_budget: ResumeBudget,
     configured_connections: Option<u32>,
     configured_slots: Option<u32>,
     max_connections: usize,
-    /// So many streams that run on at a server weigh as much as one request that waits for its
-    /// answer there.
+    /// How many running streams at a server weigh as much as one pending request.
     streams_per_request: u32,
-    /// This router's share of a server's slots, 1 at the least.
+    /// This router's share of a server's slots, at least 1.
     slot_share: u32,
-    /// Part of their slots that servers told to be taken of late; `None`: none has told it.
+    /// Smoothed ratio of occupied slots that servers report; `None` before the first report.
     occupied_slots_ratio: Option<f64>,
 }
 
-/// What loads a server beside what waits there for this router.
+/// The load of a server beside this router's pending attempts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct ServerPressure {
-    /// Streams of this router that run on there.
+    /// Streams of this router that are being forwarded from it.
     streams: u32,
-    /// What waits there for all routers, as control tells it.
+    /// Backlog of all routers there, as control reports it (tokens).
     backlog: Backlog,
 }
 
-/// What a service is asked for.
+/// A request as it is submitted to a service.
 #[derive(Debug)]
 pub(crate) struct RouteRequest<'a> {
-    /// The request that is held.
+    /// Its id.
     pub request_id: RequestId,
-    /// What its route says.
+    /// The terms of its route.
     pub terms: &'a RouteTerms,
-    /// What is known of its prompt.
+    /// What its headers declare of its prompt.
     pub prompt: Prompt,
-    /// When its time is over.
+    /// Its deadline.
     pub deadline: Time,
 }
 
-/// A class of requests: one route in one of its forms.
+/// A class of requests: one route in one version and rank.
 struct RequestClass {
     terms: RouteTerms,
-    /// Requests that are held with it.
+    /// Requests in hand of this class.
     request_count: u32,
-    /// The configuration in force has it.
+    /// The active configuration has it.
     is_active: bool,
 }
 
 impl Service {
-    /// A service whose servers are listed like this.
+    /// A service with these servers.
     #[must_use]
     pub(crate) fn new(
         name: Rc<str>,
         seed: u64,
         capacity: Capacity,
         budget: RetryBudget,
-        lines: Vec<ListedServer>,
+        servers: Vec<ListedServer>,
     ) -> Service {
-        let settings = core_settings(capacity, module_budget(budget, 0));
-        let ready_servers = lines
+        let settings = core_settings(capacity, decision_budget(budget, 0));
+        let ready_servers = servers
             .iter()
-            .filter(|line| line.mode == ServerMode::Ready)
-            .map(|line| line.server)
+            .filter(|server| server.mode == ServerMode::Ready)
+            .map(|server| server.server)
             .collect();
         let mut core = Core::new(seed, settings, Contracts::default(), capacity.max_bytes);
-        core.listed(ServerListUpdate::Whole(lines));
+        core.listed(ServerListUpdate::Whole(servers));
         Service {
             name,
             core,
@@ -138,27 +133,27 @@
         }
     }
 
-    /// The routes of the configuration in force that may send to it.
+    /// Sets the terms of the active configuration's routes that may send to it.
     pub(crate) fn set_routes(&mut self, routes: Vec<RouteTerms>) {
         self.classes
             .iter_mut()
             .for_each(|class| class.is_active = false);
         for terms in routes {
-            let (place, _) = self.class_index_of(&terms);
-            self.classes[place].is_active = true;
+            let (index, _) = self.class_index_of(&terms);
+            self.classes[index].is_active = true;
         }
         self.push_classes();
     }
 
-    /// Routers that are members now: budget and connections are shared by them.
+    /// Sets the number of routers, which share the budget and the connections.
     pub(crate) fn set_router_count(&mut self, budget: RetryBudget, routers: u32) {
-        self.core.set_budget(Some(module_budget(budget, routers)));
+        self.core.set_budget(Some(decision_budget(budget, routers)));
         self.resume_budget.update(budget, routers);
         self.update_server_share(routers);
     }
 
-    /// Connections and requests that each of its servers takes from all callers together, where
-    /// that is told.
+    /// Sets how many connections and requests each of its servers accepts from all callers together,
+    /// where that is configured.
     pub(crate) fn set_capacity(
         &mut self,
         connections: Option<u32>,
@@ -169,42 +164,42 @@
         self.update_server_share(routers);
     }
 
-    /// Connections to each server that this router may have.
+    /// How many connections this router may have to each server.
     #[must_use]
     pub(crate) fn max_connections(&self) -> usize {
         self.max_connections
     }
 
-    /// Lines of its list have changed.
-    pub(crate) fn update_servers(&mut self, lines: Vec<ListedServer>) {
-        for line in &lines {
-            match line.mode {
-                ServerMode::Ready => _ = self.ready_servers.insert(line.server),
+    /// Applies changes of its list of servers.
+    pub(crate) fn update_servers(&mut self, servers: Vec<ListedServer>) {
+        for server in &servers {
+            match server.mode {
+                ServerMode::Ready => _ = self.ready_servers.insert(server.server),
                 ServerMode::Leaving | ServerMode::Draining | ServerMode::Gone => {
-                    _ = self.ready_servers.remove(&line.server)
+                    _ = self.ready_servers.remove(&server.server)
                 }
             }
         }
-        self.core.listed(ServerListUpdate::Changes(lines));
+        self.core.listed(ServerListUpdate::Changes(servers));
     }
 
-    /// Takes a request; the index of its class is given back with [`Service::release`].
+    /// Submits a request to the core; its class is to be released with [`Service::release`].
     ///
     /// # Errors
-    /// Why it is turned away.
+    /// Why the core rejects it.
     pub(crate) fn submit(
         &mut self,
         now: Time,
         route_request: &RouteRequest<'_>,
     ) -> Result<(QueryId, u16), Refusal> {
-        let (place, changed) = self.class_index_of(route_request.terms);
-        if changed {
+        let (index, is_new) = self.class_index_of(route_request.terms);
+        if is_new {
             self.push_classes();
         }
-        let class = place as u16;
+        let class_index = index as u16;
         let placement = self.placement(route_request.prompt);
         let request = Request {
-            class: place,
+            class: index,
             deadline: route_request.deadline,
             key: 0,
             placement,
@@ -216,13 +211,13 @@
             job: route_request.request_id,
         };
         let query = self.core.take(now, request)?;
-        self.classes[place].request_count += 1;
+        self.classes[index].request_count += 1;
         self.queries.insert(query, route_request.request_id);
         self.resume_budget.on_request(now);
-        Ok((query, class))
+        Ok((query, class_index))
     }
 
-    /// Takes a stream that is to go on at another server, if the budget bears it.
+    /// Submits a stream that is to be resumed, if the budget allows it.
     pub(crate) fn submit_resumed(
         &mut self,
         now: Time,
@@ -234,19 +229,19 @@
         }
     }
 
-    /// A request of this class is held no more.
-    pub(crate) fn release(&mut self, class: u16) {
-        if let Some(class) = self.classes.get_mut(usize::from(class)) {
+    /// A request of this class has ended.
+    pub(crate) fn release(&mut self, class_index: u16) {
+        if let Some(class) = self.classes.get_mut(usize::from(class_index)) {
             class.request_count = class.request_count.saturating_sub(1);
         }
     }
 
-    /// The request that the core has a word for; it has none after that.
+    /// The request of a query that the core replies to, and ends with it.
     pub(crate) fn take_request_id(&mut self, query: QueryId) -> Option<RequestId> {
         self.queries.remove(&query)
     }
 
-    /// There is nobody left to answer.
+    /// Cancels a query: its request has ended.
     pub(crate) fn cancel(&mut self, query: QueryId) {
         self.queries.remove(&query);
         self.core.hangup(query);
@@ -258,23 +253,22 @@
         self.core.ended(now, number, outcome, value);
     }
 
-    /// A server has told how busy it is.
+    /// A server has reported its load.
     pub(crate) fn on_server_load(&mut self, load: Option<ServerLoad>) {
         let Some(load) = load else { return };
-        let taken = f64::from(load.running.saturating_add(load.waiting)) / f64::from(load.slots);
-        let before = self.occupied_slots_ratio.unwrap_or(taken);
-        self.occupied_slots_ratio = Some(before + LOAD_SMOOTHING * (taken - before));
+        let occupied = f64::from(load.running.saturating_add(load.waiting)) / f64::from(load.slots);
+        let before = self.occupied_slots_ratio.unwrap_or(occupied);
+        self.occupied_slots_ratio = Some(before + LOAD_SMOOTHING * (occupied - before));
         self.update_stream_weight();
     }
 
-    /// A stream runs on at a server, whose first event has answered its request as far as the
-    /// module is concerned.
+    /// A stream is forwarded from a server. For the core its request was served by the first event.
     pub(crate) fn on_stream_started(&mut self, server: ServerId) {
         self.loads.entry(server).or_default().streams += 1;
         self.push_load(server);
     }
 
-    /// It has ended.
+    /// A forwarded stream has ended.
     pub(crate) fn on_stream_ended(&mut self, server: ServerId) {
         let Some(loads) = self.loads.get_mut(&server) else {
             return;
@@ -283,7 +277,7 @@
         self.push_load(server);
     }
 
-    /// So much waits at a server for all routers together (tokens).
+    /// Sets the backlog of all routers at a server (tokens).
     pub(crate) fn set_backlog(&mut self, server: ServerId, tokens: Backlog) {
         let loads = self.loads.entry(server).or_default();
         let before = std::mem::replace(&mut loads.backlog, tokens);
@@ -292,7 +286,7 @@
         self.push_load(server);
     }
 
-    /// Nothing is known any more of what waits for other routers.
+    /// Forgets the backlogs of other routers.
     pub(crate) fn forget_backlogs(&mut self) {
         let known: Vec<ServerId> = self
             .loads
@@ -305,7 +299,7 @@
             .for_each(|server| self.set_backlog(server, 0));
     }
 
-    /// Tells the module what loads a server, and forgets it where that is nothing.
+    /// Passes the load of a server on to the core, and forgets it where it is 0.
     fn push_load(&mut self, server: ServerId) {
         let loads = self.loads.get(&server).copied().unwrap_or_default();
         if loads == ServerPressure::default() {
@@ -321,7 +315,7 @@
         );
     }
 
-    /// Which of equal servers a request with this prompt is to go to.
+    /// How to choose between equal servers for a request with this prompt.
     fn placement(&self, prompt: Prompt) -> Placement {
         let mean_backlog = self.total_backlog as f64 / self.ready_servers.len().max(1) as f64;
         let shared = f64::from(prompt.shared_tokens) * BACKLOG_PER_SHARED_TOKEN;
@@ -333,19 +327,19 @@
         }
     }
 
-    /// Whether nothing is held by it.
+    /// Whether it has no requests and no streams.
     #[must_use]
     pub(crate) fn is_idle(&self) -> bool {
         self.core.held_queries() == 0 && self.loads.values().all(|loads| loads.streams == 0)
     }
 
-    /// When the next turn is to be taken.
+    /// When the next decision turn is due.
     #[must_use]
     pub(crate) fn next_turn(&self) -> Option<Time> {
         self.core.next_turn()
     }
 
-    /// Takes a turn if it is time.
+    /// Runs a decision turn if it is due.
     pub(crate) fn run_turn(&mut self, now: Time) -> Vec<Command<RequestId>> {
         match self.core.next_turn() {
             Some(at) if at <= now => self.core.turn(now),
@@ -353,11 +347,11 @@
         }
     }
 
-    /// The class of these terms: the one that has them, one that nobody needs any more, or a new
-    /// one; `true`: the module has yet to be told of it.
+    /// The index of the class with these terms (an existing one, an unused one, or a new one), and
+    /// whether the core has to be told of it.
     fn class_index_of(&mut self, terms: &RouteTerms) -> (usize, bool) {
-        if let Some(place) = self.classes.iter().position(|class| class.terms == *terms) {
-            return (place, false);
+        if let Some(index) = self.classes.iter().position(|class| class.terms == *terms) {
+            return (index, false);
         }
         let class = RequestClass {
             terms: terms.clone(),
@@ -369,9 +363,9 @@
             .iter()
             .position(|class| class.request_count == 0 && !class.is_active)
         {
-            Some(place) => {
-                self.classes[place] = class;
-                (place, true)
+            Some(index) => {
+                self.classes[index] = class;
+                (index, true)
             }
             None => {
                 self.classes.push(class);
@@ -389,7 +383,7 @@
         );
     }
 
-    /// This router's share of each server.
+    /// Recomputes this router's share of each server.
     fn update_server_share(&mut self, routers: u32) {
         let share = |all: u32| all / routers.max(1);
         self.max_connections = match self.configured_connections {
@@ -401,19 +395,18 @@
         self.update_stream_weight();
     }
 
-    /// A stream weighs as a request only where slots are short: as many weigh one as this router's
-    /// share of a server's slots, or, where servers tell that more is free, as many as would fill
-    /// that share at the part of the slots that is taken.
+    /// Recomputes how many streams weigh as much as a pending request: this router's share of a
+    /// server's slots, or more where servers report free slots.
     fn update_stream_weight(&mut self) {
         let by_load = self
             .occupied_slots_ratio
-            .map_or(1.0, |taken| 1.0 / taken.max(MIN_OCCUPIED_SLOTS_RATIO));
+            .map_or(1.0, |occupied| 1.0 / occupied.max(MIN_OCCUPIED_SLOTS_RATIO));
         // At most 1 / LEAST_SLOTS_TAKEN.
         self.streams_per_request = self.slot_share.max(by_load as u32);
     }
 }
 
-/// What the module is told of a class.
+/// A class as the decision module knows it.
 fn decision_class(terms: &RouteTerms) -> Class {
     Class {
         latency_target: terms.target_latency,
@@ -424,8 +417,8 @@
             RetrySafety::Unsafe
         },
         value: VALUE_PER_RANK.powi(i32::from(terms.rank)),
-        // Nobody tells what a late answer is worth: it is waited for to its end, since silence is
-        // no reason to give up sooner.
+        // The value of a late response is unknown: it is waited for to the deadline, since silence
+        // is no reason to give up sooner.
         late_share: 1.0,
         need: 1.0,
         floor: 1.0,
--- a/fleet/src/router/services.rs
+++ b/fleet/src/router/services.rs
@@ -1,4 +1,4 @@
-//! All services that the configuration in force names, or that still hold requests.
+//! All services that the active configuration names, or that still have requests.
 
 use super::configuration::ActiveConfiguration;
 use super::ids::{RequestId, ServiceId};
@@ -18,7 +18,7 @@
     seed: u64,
     capacity: Capacity,
     budget: RetryBudget,
-    /// Routers that are members; 0 while that is not known.
+    /// Routers that are members; 0 while that is unknown.
     router_count: u32,
 }
 
@@ -36,45 +36,48 @@
         }
     }
 
-    /// A configuration comes in force. Services that it does not name stay until what they hold has
-    /// ended.
+    /// Applies a configuration. Services that it does not name stay until their requests have ended.
     pub(crate) fn apply(&mut self, active: &ActiveConfiguration, servers: &ServerTable) {
-        for described in active.document().services() {
+        for description in active.document().services() {
             let id = self
-                .id_of(&described.name)
-                .unwrap_or_else(|| self.add(&described.name, servers));
+                .id_of(&description.name)
+                .unwrap_or_else(|| self.add(&description.name, servers));
             if let Some(service) = self.services.get_mut(&id) {
-                service.set_routes(active.terms_of(&described.name));
+                service.set_routes(active.terms_of(&description.name));
                 service.set_capacity(
-                    described.max_connections,
-                    described.capacity_slots,
+                    description.max_connections,
+                    description.capacity_slots,
                     self.router_count,
                 );
             }
         }
-        let named = |service: &Service| active.document().service(&service.name).is_some();
-        for service in self.services.values_mut().filter(|service| !named(service)) {
+        let is_named = |service: &Service| active.document().service(&service.name).is_some();
+        for service in self
+            .services
+            .values_mut()
+            .filter(|service| !is_named(service))
+        {
             service.set_routes(Vec::new());
         }
         self.services
-            .retain(|_, service| named(service) || !service.is_idle());
+            .retain(|_, service| is_named(service) || !service.is_idle());
     }
 
-    /// Lines of services' lists have changed.
+    /// Passes changes of servers on to their services.
     pub(crate) fn apply_server_changes(&mut self, changes: &[ServerChange]) {
         for service in self.services.values_mut() {
-            let of = changes
+            let of_service = changes
                 .iter()
                 .filter(|change| change.service == service.name);
-            let lines: Vec<ListedServer> = of.map(|change| change.entry).collect();
-            // The module sums its list up anew each time that it is told of it.
-            if !lines.is_empty() {
-                service.update_servers(lines);
+            let entries: Vec<ListedServer> = of_service.map(|change| change.entry).collect();
+            // Each update makes the core recompute its list.
+            if !entries.is_empty() {
+                service.update_servers(entries);
             }
         }
     }
 
-    /// So many routers are members.
+    /// Sets the number of routers that are members.
     pub(crate) fn set_router_count(&mut self, routers: u32) {
         if std::mem::replace(&mut self.router_count, routers) != routers {
             let budget = self.budget;
@@ -84,7 +87,7 @@
         }
     }
 
-    /// The further-try budget of the whole system.
+    /// Sets the retry budget of the whole system.
     pub(crate) fn set_budget(&mut self, budget: RetryBudget) {
         self.budget = budget;
         let routers = self.router_count;
@@ -93,7 +96,7 @@
             .for_each(|service| service.set_router_count(budget, routers));
     }
 
-    /// The service of this name.
+    /// The id of the service of this name.
     #[must_use]
     pub(crate) fn id_of(&self, name: &str) -> Option<ServiceId> {
         self.services
@@ -107,7 +110,7 @@
         self.services.get_mut(&id)
     }
 
-    /// So much waits at servers for all routers together.
+    /// Sets the backlogs of all routers at servers.
     pub(crate) fn set_backlogs(&mut self, report: &BacklogReport) {
         for service in self.services.values_mut() {
             if report.is_complete {
@@ -119,20 +122,20 @@
         }
     }
 
-    /// Nothing is known any more of what waits for other routers.
+    /// Forgets the backlogs of other routers.
     pub(crate) fn forget_backlogs(&mut self) {
         self.services
             .values_mut()
             .for_each(Service::forget_backlogs);
     }
 
-    /// When the next turn of any service is to be taken.
+    /// When the next decision turn of any service is due.
     #[must_use]
     pub(crate) fn next_turn(&self) -> Option<Time> {
         self.services.values().filter_map(Service::next_turn).min()
     }
 
-    /// Takes the turns that are due; tells what is to be done.
+    /// Runs the decision turns that are due; returns the core's commands.
     pub(crate) fn run_turns(&mut self, now: Time) -> Vec<(ServiceId, Command<RequestId>)> {
         let mut commands = Vec::new();
         for (id, service) in &mut self.services {
--- a/fleet/src/router/state.rs
+++ b/fleet/src/router/state.rs
@@ -29,14 +29,14 @@
 use std::path::PathBuf;
 use std::time::{Duration, SystemTime};
 
-/// Connections set aside for the platform's questions and for control machines, each: a question
-/// that finds none is a miss, and the platform may keep the connections of some questions open.
+/// Connections reserved for the platform's checks and for control machines, each: a check that finds
+/// none is a miss, and the platform may keep the connections of some checks open.
 pub(crate) const RESERVED_PEER_CONNECTIONS: usize = 32;
 
-/// How often the settings file is looked at: it may change without a signal.
+/// How often the settings file is checked: it may change without a signal.
 pub(crate) const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(3);
 
-/// A router.
+/// A router: its sockets, what it knows, and the requests in hand.
 pub struct Router {
     pub(crate) net: Net,
     pub(crate) options: Options,
@@ -60,12 +60,12 @@
     pub(crate) quota_waiters: HashMap<ConnId, QuotaWaiter>,
     pub(crate) counters: RejectionCounters,
     pub(crate) backlog_reports: BacklogReports,
-    /// The next turn ends with a check of who waits.
+    /// The next turn of the loop checks that all waiting clients are in the tables.
     pub(crate) is_check_due: bool,
 }
 
 impl Router {
-    /// A router that listens already; `file`: where its settings are read again.
+    /// A router that listens already; its settings are read again from `file`.
     ///
     /// # Errors
     /// An address can't be listened on, or the settings lack what it needs.
@@ -117,14 +117,14 @@
         })
     }
 
-    /// Where clients connect, and where the platform asks: ports may have been chosen by the
-    /// system.
+    /// Where clients connect, and where the platform checks readiness: the system may have chosen the
+    /// ports.
     #[must_use]
     pub fn addresses(&self) -> (SocketAddr, Option<SocketAddr>) {
         (self.frontend_address, self.readiness_address)
     }
 
-    /// Ends, once all is answered, when this stream can be read.
+    /// Shuts down when this stream can be read.
     ///
     /// # Errors
     /// The system can't watch it.
@@ -141,12 +141,14 @@
     }
 }
 
+/// When a file was last modified, if that can be told.
 pub(crate) fn modified_at(path: &std::path::Path) -> Option<SystemTime> {
     std::fs::metadata(path)
         .and_then(|data| data.modified())
         .ok()
 }
 
+/// Listens on an address; returns the one that was bound.
 pub(crate) fn listen(
     net: &mut Net,
     owner: SocketOwner,
--- a/soak/src/bin/lichenswitch-volatile-fleet.rs
+++ b/soak/src/bin/lichenswitch-volatile-fleet.rs
@@ -34,7 +34,7 @@
     let path = settings::path(None)?;
     let settings = Settings::read(&path)?;
     match role {
-        Some("router") => Ok(router::run(settings, path)?),
+        Some("router") => Ok(router::run(&settings, path)?),
         Some("control") => {
             let environment = environment(&settings, &path)?;
             Ok(control::run_on(settings, path, environment)?)
