--- a/decide/backlog/src/backlog/tests.rs
+++ b/decide/backlog/src/backlog/tests.rs
@@ -4,7 +4,7 @@
 const B: ServerId = ServerId(2);
 
 #[test]
-fn routers_hear_the_sum_of_all_and_peers_that_of_the_own_routers() {
+fn routers_get_total_sum_and_peers_that_of_own_routers() {
     let mut table = BacklogTable::default();
     table.on_router_report("router 1", &[(A, 100), (B, 7)]);
     table.on_router_report("router 2", &[(A, 50)]);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn what_a_source_reported_ends_with_it() {
+fn lost_source_is_removed_from_sums() {
     let mut table = BacklogTable::default();
     table.on_router_report("router 1", &[(A, 100)]);
     table.on_peer_report("peer", &[(B, 30)]);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn sums_do_not_overflow() {
+fn sums_saturate() {
     let mut table = BacklogTable::default();
     table.on_router_report(1, &[(A, u32::MAX)]);
     table.on_router_report(2, &[(A, u32::MAX)]);
@@ -46,7 +46,7 @@
 /// Whoever follows the changes, or gets the whole at any time and follows from there, knows the
 /// same as whoever sums all reports.
 #[test]
-fn changes_lead_to_the_same_table_as_the_whole() {
+fn changes_and_snapshot_lead_to_same_table() {
     for seed in 0..200 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut table = BacklogTable::default();
--- a/fleet/src/logging/tests.rs
+++ b/fleet/src/logging/tests.rs
@@ -4,7 +4,7 @@
 use log::{Level, Record};
 
 #[test]
-fn an_event_is_one_line_of_json_with_its_fields() {
+fn record_is_one_json_line_with_its_fields() {
     let fields = [
         ("epoch", log::kv::Value::from(7)),
         ("why", log::kv::Value::from("a \"cut\"\nhere")),
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn lines_that_were_lost_are_told_as_an_event() {
+fn lost_lines_are_reported_as_a_record() {
     let line = "{\"level\":\"WARN\",\"message\":\"lines of the log were lost\",\"lines\":3}\n";
     assert_eq!(lost_line(3), line);
 }
--- a/fleet/src/router/admission/tests.rs
+++ b/fleet/src/router/admission/tests.rs
@@ -2,7 +2,7 @@
 use lichenswitch_configuration::Document;
 
 #[test]
-fn a_request_counts_as_what_its_tenant_counts() {
+fn quota_demand_follows_unit_of_tenant() {
     let text = br#"{"version":1,"routes":[],"services":[],"tenants":[
         {"name":"tokens","unit":"token_count","uncachedTokens":200},{"name":"requests","unit":"else"}]}"#;
     let document = Document::parse(text).expect("valid");
--- a/fleet/src/router/backlog_reports/tests.rs
+++ b/fleet/src/router/backlog_reports/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn only_what_has_changed_is_told_and_what_is_gone_as_nothing() {
+fn only_changes_are_reported_and_ended_backlogs_as_zero() {
     let mut reports = BacklogReports::default();
     let backlogs = |servers: &[(u32, u32)]| {
         servers
--- a/fleet/src/router/budget/tests.rs
+++ b/fleet/src/router/budget/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn nothing_of_the_slack_is_used_while_it_is_not_known_how_many_share_it() {
+fn slack_is_unused_while_router_count_is_unknown() {
     assert_eq!(decision_budget(rule(), 0).least, 0.0);
     let mut resumes = ResumeBudget::new(rule());
     assert!(!resumes.try_take(Time(SECOND)));
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn both_together_stay_within_the_ratio() {
+fn decision_and_resume_budget_stay_within_the_ratio() {
     let requests = 1_000;
     let mut resumes = ResumeBudget::new(rule());
     (0..requests).for_each(|_| resumes.on_request(Time(SECOND)));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn what_was_asked_a_window_ago_counts_no_more() {
+fn requests_older_than_window_are_forgotten() {
     let mut resumes = ResumeBudget::new(rule());
     (0..100).for_each(|_| resumes.on_request(Time(SECOND)));
     assert!(resumes.try_take(Time(2 * SECOND)));
--- a/fleet/src/router/configuration/tests.rs
+++ b/fleet/src/router/configuration/tests.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn what_is_in_force_never_goes_back() {
+fn active_position_never_decreases() {
     let mut configuration = CurrentConfiguration::default();
     assert!(configuration.get().is_none());
     assert!(configuration.apply(in_force(position(2, 1, 5), 8)));
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_request_keeps_what_its_route_says() {
+fn terms_are_taken_from_route() {
     let in_force = in_force(position(1, 1, 1), 1);
     let route = in_force.route("H.example:80", "/a/b?c").expect("a route");
     assert_eq!(route.draw(3), "x");
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_service_without_weight_has_no_routes() {
+fn service_without_weight_has_no_terms() {
     let in_force = in_force(position(1, 1, 1), 1);
     assert_eq!(
         (in_force.terms_of("x").len(), in_force.terms_of("y").len()),
--- a/fleet/src/router/control_link/candidates/tests.rs
+++ b/fleet/src/router/control_link/candidates/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn the_nearest_comes_first_and_equals_by_chance() {
+fn nearest_candidate_is_first_and_ties_are_random() {
     let near = candidates(&[address(1, 1), address(2, 1), address(3, 1)]);
     assert!((0..20).all(|random| near.next(Time(0), random) == Ok(address(2, 1))));
     let far = candidates(&[address(1, 1), address(3, 1), address(4, 1)]);
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn each_one_is_tried_at_once_and_rests_for_longer_each_time_that_it_fails() {
+fn candidates_are_tried_at_once_and_backoff_grows() {
     let seeds = [address(1, 1), address(2, 1), address(3, 1)];
     let mut candidates = candidates(&seeds);
     let mut tried = HashSet::new();
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_near_one_that_is_of_no_use_keeps_nobody_from_the_others() {
+fn useless_near_candidate_does_not_block_others() {
     let (near, far) = (address(2, 1), [address(1, 1), address(3, 1)]);
     let mut candidates = candidates(&[near, far[0], far[1]]);
     let mut now = Time(0);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_list_that_comes_and_goes_makes_nobody_forget_who_failed() {
+fn changing_list_keeps_failures() {
     let mut candidates = candidates(&[address(1, 1)]);
     candidates.on_advertised(vec![address(2, 2)]);
     candidates.on_failed(Time(0), address(2, 2), 0);
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn those_that_are_told_come_beside_the_seeds_and_replace_each_other() {
+fn advertised_candidates_extend_seeds_and_replace_older_ones() {
     let mut candidates = candidates(&[address(1, 1)]);
     candidates.on_advertised(vec![address(2, 2), address(2, 3)]);
     candidates.on_failed(Time(0), address(2, 2), 0);
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn one_that_was_of_use_is_forgiven() {
+fn useful_candidate_loses_its_failures() {
     let mut candidates = candidates(&[address(1, 1)]);
     candidates.on_failed(Time(0), address(1, 1), 0);
     candidates.on_useful(address(1, 1));
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn without_any_there_is_a_next_time_all_the_same() {
+fn empty_candidate_list_has_a_next_time() {
     assert!(candidates(&[])
         .next(Time(5), 0)
         .is_err_and(|at| at > Time(5)));
--- a/fleet/src/router/freshness/tests.rs
+++ b/fleet/src/router/freshness/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn keys_are_served_only_as_long_as_a_confirmation_counts() {
+fn keys_are_served_only_while_confirmation_is_valid() {
     let mut freshness = strict();
     assert!(!freshness.can_serve_keys(Time(9 * SECOND)));
     freshness.on_confirmed(Time(10 * SECOND), Time(9 * SECOND));
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_confirmation_that_was_held_up_lengthens_nothing() {
+fn delayed_confirmation_extends_nothing() {
     let mut freshness = strict();
     freshness.on_confirmed(Time(9 * SECOND), Time(9 * SECOND));
     freshness.on_confirmed(Time(20 * SECOND), Time(8 * SECOND));
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_key_is_refused_as_unknown_only_by_what_is_surely_current() {
+fn unknown_key_is_rejected_only_by_current_configuration() {
     let mut freshness = strict();
     assert!(!freshness.can_reject_unknown_keys(Time(0)));
     freshness.on_confirmed(Time(SECOND), Time(SECOND));
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn without_a_strict_bound_what_is_known_is_served_while_control_is_away() {
+fn without_strict_bound_keys_are_served_while_control_is_unreachable() {
     let mut freshness = ConfigurationFreshness::new(RevocationBounds {
         is_strict: false,
         within: Duration::from_secs(5),
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn questions_are_paced_and_begin_anew_on_another_connection() {
+fn confirmation_requests_are_paced_and_restart_on_new_connection() {
     let mut freshness = strict();
     assert!(
         freshness.take_confirmation_due(Time(0))
--- a/fleet/src/router/local_response/tests.rs
+++ b/fleet/src/router/local_response/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_refusal_tells_when_to_come_back() {
+fn unavailable_response_has_retry_after() {
     let text =
         |answer: LocalResponse| String::from_utf8(answer.encode(false, false)).expect("text");
     assert!(text(LocalResponse::unavailable(Some(150_000))).contains("retry-after: 0.150\r\n"));
--- a/fleet/src/router/prompt/tests.rs
+++ b/fleet/src/router/prompt/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn the_last_part_is_the_requests_own() {
+fn last_part_is_not_shared() {
     assert_eq!(
         of("5c1e:800,91bd:410,e440:250"),
         of("5c1e:800,91bd:410,0001:99")
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn models_share_nothing() {
+fn different_models_share_no_prefix() {
     let parts = Some(&b"5c1e:800,e440:250"[..]);
     assert_ne!(
         Prompt::from_headers(Some(b"a"), parts).prefix_hash,
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn what_shares_nothing_or_cannot_be_read_has_no_name() {
+fn unshared_or_invalid_prompt_has_no_prefix_hash() {
     assert_eq!(Prompt::from_headers(Some(b"m"), None), Prompt::default());
     for parts in ["", "e440:250", ",", ",e440:250", "5c1e:800,,e440:250"] {
         assert_eq!(of(parts), 0, "{parts:?}");
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn the_hash_is_the_same_in_all_versions() {
+fn stable_hash_never_changes() {
     // The published test values of FNV-1a with 64 bits.
     assert_eq!(stable_hash(b""), 0xcbf2_9ce4_8422_2325);
     assert_eq!(stable_hash(b"a"), 0xaf63_dc4c_8601_ec8c);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn tokens_are_told_apart_by_who_has_read_them() {
+fn shared_and_uncached_tokens_are_separated() {
     let read = prompt("5c1e:800,91bd:410,e440:2500");
     assert_eq!((read.shared_tokens, read.uncached_tokens), (1_210, 2_500));
     // What can't be read counts for nothing in what is shared, and for the least in the whole.
--- a/fleet/src/router/ranks/tests.rs
+++ b/fleet/src/router/ranks/tests.rs
@@ -25,12 +25,12 @@
 }
 
 #[test]
-fn without_tenants_a_route_has_its_own_rank() {
+fn without_tenants_routes_keep_their_rank() {
     assert_eq!(ranks(&document(""), None), [0, 4]);
 }
 
 #[test]
-fn the_rank_of_a_tenant_goes_before_that_of_the_route() {
+fn tenant_rank_precedes_route_rank() {
     let document = document(
         ",\"tenants\":[{\"name\":\"a\",\"priority\":1},{\"name\":\"b\",\"priority\":0},{\"name\":\"c\"}]",
     );
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn there_are_ten_ranks_however_many_a_configuration_names() {
+fn ranks_are_capped_at_ten() {
     let many: Vec<String> = (0..40)
         .map(|rank| format!("{{\"name\":\"t{rank}\",\"priority\":{rank}}}"))
         .collect();
--- a/fleet/src/router/request_reader/tests.rs
+++ b/fleet/src/router/request_reader/tests.rs
@@ -27,7 +27,7 @@
     X-Raw: \xff\xfe\r\nLast-Event-Id: 7\r\nContent-Length: 4\r\n\r\nbody";
 
 #[test]
-fn a_request_is_the_same_wherever_it_is_cut() {
+fn request_is_the_same_at_any_split() {
     let expected = whole(SOUND);
     assert_eq!(expected.deadline, Some(Duration::from_millis(250)));
     assert_eq!(
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_server_gets_what_the_client_sent_and_what_this_program_sets() {
+fn encoded_head_has_client_headers_and_own_headers() {
     let request = whole(SOUND);
     let mut bytes = Vec::new();
     let left = Duration::from_micros(123_900);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn what_is_outside_the_limits_or_has_two_readings_is_refused() {
+fn oversized_or_ambiguous_request_is_rejected() {
     let long = format!(
         "GET / HTTP/1.1\r\nHost: h\r\nX: {}\r\n\r\n",
         "x".repeat(1_100)
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_client_that_waits_to_go_on_is_told_once() {
+fn expect_continue_is_reported_once() {
     let (mut reader, mut input) = (reader(), Buffer::default());
     input.push(b"POST / HTTP/1.1\r\nHost: a\r\nExpect: 100-Continue\r\nContent-Length: 2\r\n\r\n");
     assert!(matches!(
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn what_follows_a_request_stays() {
+fn bytes_behind_a_request_stay_buffered() {
     let (mut reader, mut input) = (reader(), Buffer::default());
     input.push(b"GET / HTTP/1.1\r\nHost: a\r\n\r\nGET /next");
     assert!(matches!(
--- a/fleet/src/router/request_table/tests.rs
+++ b/fleet/src/router/request_table/tests.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_request_that_may_not_run_twice_is_sent_again_only_after_proof() {
+fn unsafe_request_is_retried_only_if_known_unexecuted() {
     for (outcome, again) in [
         (Outcome::Rejected, true),
         (Outcome::ConnectFailed, true),
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn no_request_is_sent_to_more_servers_than_its_route_allows() {
+fn send_count_is_bounded_by_max_attempts() {
     let mut request = request(true, 2);
     request.on_attempt_started(attempt(1));
     assert!(request.may_start_attempt());
--- a/fleet/src/router/response_outcome/tests.rs
+++ b/fleet/src/router/response_outcome/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn only_a_servers_own_word_says_that_a_request_never_ran() {
+fn only_explicit_statement_means_not_executed() {
     for status in [408, 429, 500, 503, 504] {
         assert_eq!(
             ResponseOutcome::of(&head(status, true)),
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_promise_that_the_server_did_not_make_is_not_passed_on() {
+fn unpromised_status_is_not_forwarded() {
     for status in [408, 429, 503] {
         assert_eq!(
             ResponseOutcome::of(&head(status, false)),
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn every_other_answer_is_final() {
+fn other_statuses_are_final() {
     for status in [200, 201, 206, 301, 400, 401, 404, 409, 413] {
         assert_eq!(
             ResponseOutcome::of(&head(status, false)),
--- a/fleet/src/router/response_reader/tests.rs
+++ b/fleet/src/router/response_reader/tests.rs
@@ -53,7 +53,7 @@
     Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\nEXTRA";
 
 #[test]
-fn an_answer_is_the_same_wherever_it_is_cut() {
+fn response_is_the_same_at_any_split() {
     for cut in 0..WHOLE.len() {
         let (pieces, reader, rest) =
             read("GET", &[&WHOLE[..cut], &WHOLE[cut..]], false).expect("an answer");
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn an_answer_without_a_length_is_whole_with_an_orderly_end_alone() {
+fn response_without_length_completes_only_at_orderly_close() {
     let bytes: &[u8] = b"HTTP/1.1 200 OK\r\nAttempt-Id: x\r\n\r\nsome";
     let (pieces, reader, _) = read("GET", &[bytes], true).expect("an answer");
     assert_eq!(
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn what_is_cut_is_no_answer() {
+fn truncated_response_is_malformed() {
     let cut: [&[u8]; 4] = [
         b"HTTP/1.1 200 OK\r\nAttempt-Id: x\r\nContent-Length: 9\r\n\r\nsome",
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nsome\r\n",
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn what_is_no_answer_is_none() {
+fn invalid_response_is_malformed() {
     let none: [&[u8]; 6] = [
         b"garbage\r\n\r\n",
         b"HTTP/1.1 101 Switching\r\n\r\n",
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn answers_without_a_body_have_none_whatever_they_say() {
+fn bodiless_responses_ignore_declared_length() {
     for (method, status) in [("HEAD", 200), ("GET", 204), ("GET", 304)] {
         let bytes = format!("HTTP/1.1 {status} X\r\nContent-Length: 4\r\n\r\n");
         let (pieces, reader, _) = read(method, &[bytes.as_bytes()], false).expect("an answer");
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_server_that_closes_says_so() {
+fn connection_header_decides_reuse() {
     for head in [
         "HTTP/1.1 200 OK\r\nConnection: Close\r\n",
         "HTTP/1.0 200 OK\r\n",
--- a/fleet/src/router/sender/tests.rs
+++ b/fleet/src/router/sender/tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_configuration_without_tenants_asks_for_no_key_and_knows_none() {
+fn configuration_without_tenants_needs_no_key() {
     let none = in_force("");
     assert!(none
         .sender(false, None)
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn an_empty_list_of_tenants_closes_all_routes_that_are_not_public() {
+fn empty_tenant_list_closes_all_private_routes() {
     let empty = in_force(",\"tenants\":[]");
     assert_eq!(
         empty.sender(false, key("any")).err(),
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_key_names_its_holder_on_public_routes_as_well() {
+fn key_identifies_tenant_on_public_routes_too() {
     let held =
         in_force(r#","tenants":[{"name":"a","apiKeys":["k"]},{"name":"last","apiKeys":[]}]"#);
     for public in [false, true] {
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_name_becomes_one_header_value_whatever_it_holds() {
+fn tenant_name_is_encoded_as_one_header_value() {
     for (name, value) in [
         ("kaje80", "kaje80"),
         ("two words", "two words"),
--- a/fleet/src/router/server_response/tests.rs
+++ b/fleet/src/router/server_response/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn server_load_has_one_reading() {
+fn server_load_is_parsed_strictly() {
     let load = |running, waiting, slots| {
         Some(ServerLoad {
             running,
--- a/fleet/src/router/servers/tests.rs
+++ b/fleet/src/router/servers/tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn whatever_the_order_of_records_the_outcome_is_the_same() {
+fn merge_is_independent_of_record_order() {
     let records = [
         record("i", ServerState::Ready, 1),
         record("i", ServerState::Ready, 7),
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn what_is_gone_stays_gone_also_if_that_is_the_first_word_of_it() {
+fn gone_is_final_even_as_first_record() {
     let mut table = ServerTable::new("z1");
     assert!(table.merge(&[record("i", ServerState::Gone, 0)]).is_empty());
     assert!(table
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn the_tombstone_of_an_instance_names_the_service_that_it_was_of() {
+fn gone_entry_keeps_service_of_instance() {
     let mut table = ServerTable::new("z1");
     table.merge(&[record("i", ServerState::Ready, 1)]);
     let bare = ServerRecord {
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn only_what_changed_is_told() {
+fn merge_returns_only_changes() {
     let mut table = ServerTable::new("z1");
     assert_eq!(table.merge(&[record("i", ServerState::Ready, 1)]).len(), 1);
     assert!(
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_server_that_drains_is_where_it_was_and_accepts_no_requests() {
+fn draining_server_keeps_address_and_accepts_no_requests() {
     let mut table = ServerTable::new("z1");
     table.merge(&[record("i", ServerState::Ready, 1)]);
     let server = table.entries_of("pool")[0].server;
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn zones_are_numbered_with_the_own_one_first() {
+fn own_zone_has_number_zero() {
     let mut table = ServerTable::new("z2");
     table.merge(&[record("i", ServerState::Ready, 1)]);
     let other = ServerRecord {
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn memory_of_those_that_are_gone_is_bounded() {
+fn gone_instances_are_remembered_up_to_a_bound() {
     let mut table = ServerTable::new("z1");
     for n in 0..MAX_REMEMBERED_GONE + 100 {
         let name = format!("i{n}");
--- a/fleet/src/router/service/tests.rs
+++ b/fleet/src/router/service/tests.rs
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn streams_of_a_beginning_stay_together_up_to_a_routers_share_of_a_servers_slots() {
+fn streams_of_one_prefix_stay_together_up_to_slot_share() {
     assert_eq!(streams_together(Some(64), 8), 8);
     assert_eq!(streams_together(Some(64), 4), 16);
     // Shares of less than two slots, or none that is told: each stream weighs as much as a request
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_stream_that_has_ended_weighs_nothing() {
+fn ended_stream_has_no_weight() {
     let mut stage = Stage::new(None, 1);
     let first = stage.stream();
     stage.service.on_stream_ended(first);
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn streams_weigh_little_while_servers_tell_that_most_slots_are_free() {
+fn streams_weigh_little_while_most_slots_are_free() {
     let mut stage = Stage::new(Some(64), 72);
     let told = |running| {
         Some(ServerLoad {
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn levels_are_as_coarse_as_what_a_prompt_shares_is_worth() {
+fn backlog_step_grows_with_shared_tokens() {
     let stage = Stage::new(None, 1);
     let step = |shared| stage.service.placement(prompt(shared)).backlog_step;
     assert_eq!(step(0), MIN_BACKLOG_STEP_TOKENS as u32);
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn levels_are_no_finer_than_what_waits_at_a_server_on_average() {
+fn backlog_step_is_at_least_mean_backlog() {
     let mut stage = Stage::new(None, 1);
     stage.service.set_backlog(ServerId(1), 90_000);
     stage.service.set_backlog(ServerId(2), 10_000);
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn a_request_goes_where_less_waits_for_other_routers() {
+fn request_goes_to_server_with_less_backlog() {
     let mut stage = Stage::new(None, 1);
     let first = stage.stream();
     stage.service.on_stream_ended(first);
--- a/fleet/tests/router_backlog.rs
+++ b/fleet/tests/router_backlog.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_router_tells_what_waits_while_it_waits() {
+fn backlog_is_reported_while_attempts_are_pending() {
     let server = server("i-1");
     let rig = Rig::with(&[&server], 6_000, 2_000, 1);
     let mut client = rig.client();
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn what_waits_is_told_anew_on_another_connection() {
+fn backlog_is_reported_again_on_new_connection() {
     let server = server("i-1");
     let rig = Rig::with(&[&server], 6_000, 2_000, 1);
     let mut client = rig.client();
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn requests_go_where_less_waits_for_other_routers() {
+fn requests_prefer_servers_with_less_backlog_of_other_routers() {
     let servers = [server("i-1"), server("i-2")];
     let rig = Rig::with(&[&servers[0], &servers[1]], 6_000, 2_000, 1);
     let mut client = rig.client();
--- a/fleet/tests/router_clients.rs
+++ b/fleet/tests/router_clients.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_while_it_waits_ends_its_attempt_within_half_a_second() {
+fn disconnect_while_waiting_ends_attempt_within_half_a_second() {
     for kind in ["safe", "unsafe", "stream", "resume"] {
         let (tell, told) = mpsc::channel();
         let tell = Mutex::new(tell);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_its_stream_ends_it_within_half_a_second_and_nothing_more_is_sent() {
+fn disconnect_during_stream_ends_it_within_half_a_second() {
     let (tell, told) = mpsc::channel();
     let tell = Mutex::new(tell);
     let script = move |seen: &support::server::Seen, talk: &mut support::server::Talk| {
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn while_no_configuration_is_known_every_request_is_refused() {
+fn requests_without_configuration_are_rejected() {
     let rig = Rig::bare();
     assert_eq!(rig.router.readiness_status(), 503);
     let mut client = rig.client();
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn other_questions_than_readiness_are_answered_as_what_they_are() {
+fn readiness_listener_rejects_other_paths_and_methods() {
     let rig = Rig::bare();
     let mut platform = Client::connect(rig.router.readiness);
     assert_eq!(
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn the_platform_is_answered_however_many_connections_it_leaves_open() {
+fn readiness_is_answered_despite_many_open_connections() {
     let rig = Rig::usual(&[]);
     let mut open: Vec<Client> = (0..20)
         .map(|_| Client::connect(rig.router.readiness))
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_connection_is_kept_for_many_requests_and_as_long_as_it_may_rest() {
+fn connection_is_kept_for_many_requests_up_to_idle_timeout() {
     let server = echo("i-1");
     let rig = Rig::usual(&[&server]);
     let mut client = rig.client();
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn a_body_in_chunks_arrives_as_it_was_sent() {
+fn chunked_body_arrives_unchanged() {
     let server = echo("i-1");
     let rig = Rig::usual(&[&server]);
     let mut client = rig.client();
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn a_client_that_waits_to_be_told_to_go_on_is_told() {
+fn expect_continue_is_answered() {
     let server = echo("i-1");
     let rig = Rig::usual(&[&server]);
     let mut client = rig.client();
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn what_could_be_read_in_two_ways_is_refused_and_reaches_no_server() {
+fn ambiguous_requests_are_rejected_and_reach_no_server() {
     let server = echo("i-1");
     let rig = Rig::usual(&[&server]);
     let smuggled = "GET /safe/inner HTTP/1.1\r\nHost: fleet.example\r\nAttempt-Id: inner\r\n\r\n";
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn what_is_larger_than_the_limits_is_told_so() {
+fn requests_over_the_limits_get_their_status() {
     let server = echo("i-1");
     let rig = Rig::usual(&[&server]);
     let head = format!(
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn a_head_that_does_not_come_whole_is_given_up() {
+fn incomplete_head_times_out() {
     let rig = Rig::usual(&[]);
     let mut client = rig.client();
     client.send("GET /safe/item HTTP/1.1\r\nHost: fl");
@@ -273,7 +273,7 @@
 }
 
 #[test]
-fn a_client_that_asks_for_the_end_of_the_connection_gets_it() {
+fn connection_close_is_honoured() {
     let server = echo("i-1");
     let rig = Rig::usual(&[&server]);
     let mut client = rig.client();
@@ -286,7 +286,7 @@
 }
 
 #[test]
-fn an_answer_to_head_has_no_body() {
+fn response_to_head_has_no_body() {
     let server = Server::start("i-1", |seen, talk| {
         let id = seen.id();
         talk.write(format!(
@@ -310,7 +310,7 @@
 }
 
 #[test]
-fn random_bytes_never_end_the_router() {
+fn random_bytes_never_stop_the_router() {
     let server = echo("i-1");
     let rig = Rig::usual(&[&server]);
     let mut rng = fastrand::Rng::with_seed(7);
--- a/fleet/tests/router_configuration.rs
+++ b/fleet/tests/router_configuration.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn the_final_answer_comes_at_the_routes_time_out() {
+fn final_response_comes_at_route_timeout() {
     let server = Server::start("i-1", |_, talk| {
         talk.closes_within(Duration::from_secs(5));
         Next::Close
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_new_version_is_in_force_at_once_and_a_request_keeps_the_one_it_came_under() {
+fn new_version_is_active_at_once_and_requests_keep_theirs() {
     let server = Server::start("i-1", |seen, talk| {
         if seen.target.starts_with("/safe/") {
             talk.closes_within(Duration::from_millis(400));
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn an_older_position_is_refused_wherever_it_comes_from() {
+fn older_position_is_rejected_from_any_control_machine() {
     let server = named("i-1");
     let rig = Rig::usual(&[&server]);
     rig.control.push_at(
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_document_that_cannot_be_read_changes_nothing() {
+fn unreadable_document_changes_nothing() {
     let server = named("i-1");
     let rig = Rig::usual(&[&server]);
     rig.control
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_takes_a_request_and_weights_are_drawn() {
+fn longest_prefix_of_host_matches_and_weights_are_sampled() {
     let servers = [named("i-a"), named("i-b"), named("i-c")];
     let rig = Rig::bare();
     let records = ["a", "b", "c"]
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn a_server_that_drains_or_is_gone_gets_nothing_new_and_is_never_revived() {
+fn draining_or_gone_server_gets_no_requests_and_is_never_revived() {
     let servers = [named("i-1"), named("i-2")];
     let rig = Rig::usual(&[&servers[0], &servers[1]]);
     let mut client = rig.client();
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn a_server_that_control_does_not_hear_is_used_only_where_no_other_is() {
+fn suspect_server_is_used_only_without_alternative() {
     let servers = [named("i-1"), named("i-2")];
     let rig = Rig::usual(&[&servers[0], &servers[1]]);
     let suspect = |sequence_number| {
@@ -274,7 +274,7 @@
 }
 
 #[test]
-fn servers_that_a_push_leaves_out_stay() {
+fn servers_missing_in_a_push_stay() {
     let servers = [named("i-1"), named("i-2")];
     let rig = Rig::usual(&[&servers[0], &servers[1]]);
     rig.control
@@ -289,7 +289,7 @@
 }
 
 #[test]
-fn while_control_is_away_what_is_known_goes_on() {
+fn routing_continues_while_control_is_unreachable() {
     let server = named("i-1");
     let rig = Rig::usual(&[&server]);
     rig.control.set_silent(true);
@@ -305,7 +305,7 @@
 }
 
 #[test]
-fn another_control_machine_is_tried_when_one_is_silent_or_without_contact() {
+fn other_control_machine_is_tried_on_silence_or_lost_contact() {
     let port = free_port();
     let ips = [Ipv4Addr::new(127, 0, 0, 1), Ipv4Addr::new(127, 0, 0, 2)];
     let control = ips.map(|ip| Control::at(SocketAddr::from((ip, port))));
@@ -337,7 +337,7 @@
 }
 
 #[test]
-fn without_contact_a_configuration_is_taken_only_after_three_seconds() {
+fn configuration_without_contact_is_accepted_after_three_seconds() {
     let control = Control::at(SocketAddr::from(([127, 0, 0, 1], 0)));
     control.set_contact(false);
     control.push_configuration(1, &document(1, 3_000, 1_000, 2));
@@ -360,7 +360,7 @@
 }
 
 #[test]
-fn contact_of_one_control_machine_does_not_vouch_for_what_another_offered() {
+fn contact_of_one_control_machine_does_not_confirm_another_offer() {
     let [without, with] = [2, 3].map(|last| Control::at(SocketAddr::from(([127, 0, 0, last], 0))));
     without.set_contact(false);
     without.push_configuration(5, &document(5, 3_000, 1_000, 2));
@@ -390,7 +390,7 @@
 }
 
 #[test]
-fn without_contact_the_newest_of_those_offered_is_taken() {
+fn newest_offer_without_contact_is_accepted() {
     let control = Control::at(SocketAddr::from(([127, 0, 0, 1], 0)));
     control.set_contact(false);
     control.push_configuration(5, &document(5, 3_000, 1_000, 2));
@@ -409,7 +409,7 @@
 }
 
 #[test]
-fn another_control_machine_that_lags_does_not_take_back_what_is_in_force() {
+fn lagging_control_machine_does_not_revert_configuration() {
     let server = named("i-1");
     let [newer, older] = [2, 3].map(|last| Control::at(SocketAddr::from(([127, 0, 0, last], 0))));
     let old = document_of(9, &[route("r", "/other/", "fleet.example", &[("pool", 1)])]);
@@ -446,7 +446,7 @@
 }
 
 #[test]
-fn a_router_that_starts_before_control_finds_it_soon() {
+fn router_started_before_control_connects_soon() {
     let port = free_port();
     let router = Running::start(&settings_text(&[Ipv4Addr::LOCALHOST], port, ""), None);
     std::thread::sleep(Duration::from_millis(700));
@@ -463,7 +463,7 @@
 }
 
 #[test]
-fn seeds_that_change_are_used_after_a_signal_and_without_one() {
+fn changed_seeds_are_used_with_and_without_signal() {
     for with_signal in [true, false] {
         let port = free_port();
         let path = std::env::temp_dir().join(format!(
--- a/fleet/tests/router_end.rs
+++ b/fleet/tests/router_end.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn what_is_in_flight_at_sigterm_is_answered_and_the_router_is_not_ready() {
+fn requests_in_flight_at_sigterm_are_answered_and_readiness_fails() {
     let server = slow(Duration::from_millis(600));
     let mut rig = Rig::usual(&[&server]);
     assert_eq!(rig.router.readiness_status(), 200);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_stream_in_flight_at_sigterm_ends_whole() {
+fn stream_in_flight_at_sigterm_completes() {
     let server = Server::start("i-1", |seen, talk| {
         talk.stream_head(seen);
         for id in 1..=10 {
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn what_cannot_end_in_time_gets_its_final_answer_before_the_grace_is_over() {
+fn overlong_requests_get_final_response_within_grace() {
     let server = slow(Duration::from_secs(30));
     let mut rig = Rig::with(&[&server], 30_000, 10_000, 1);
     let mut held = rig.client();
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_router_without_work_ends_when_the_platform_has_had_its_time() {
+fn idle_router_exits_once_platform_has_noticed() {
     let mut rig = Rig::usual(&[]);
     // A connection that rests holds nothing up.
     let _resting = rig.client();
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn what_an_ending_router_may_not_bring_to_its_end_is_refused_at_once() {
+fn requests_beyond_shutdown_are_rejected_at_once() {
     let server = Server::endless("i-1", Duration::from_millis(200));
     let mut rig = Rig::with(&[&server], 30_000, 1_000, 1);
     let mut kept = rig.client();
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn what_must_be_over_before_an_ending_router_ends_is_still_served() {
+fn requests_due_before_exit_are_served_during_shutdown() {
     let server = slow(Duration::from_millis(300));
     let mut rig = Rig::with(&[&server], 30_000, 1_000, 1);
     rig.router.stop();
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn a_stream_that_may_go_on_elsewhere_is_cut_between_events_as_early_as_may_be() {
+fn resumable_stream_is_handed_over_between_events() {
     let server = Server::endless("i-1", Duration::from_millis(50));
     let mut rig = Rig::with(&[&server], 30_000, 1_000, 1);
     let mut clients: Vec<Client> = ["resume", "stream"].map(|_| rig.client()).into();
--- a/fleet/tests/router_lost.rs
+++ b/fleet/tests/router_lost.rs
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn a_storm_of_configurations_ends_no_request_and_no_stream() {
+fn frequent_configurations_end_no_request_and_no_stream() {
     let servers: Vec<Arc<Server>> = ["i-1", "i-2", "i-3", "i-4"]
         .map(|instance| Arc::new(worker(instance)))
         .into();
@@ -297,7 +297,7 @@
 }
 
 #[test]
-fn a_request_keeps_its_time_when_its_route_gets_less_or_goes() {
+fn request_keeps_its_timeout_when_route_shrinks_or_vanishes() {
     let server = worker("i-1");
     let rig = Rig::with(&[&server], 6_000, 2_000, 1);
     let held: Vec<Connection> = [
@@ -327,7 +327,7 @@
 }
 
 #[test]
-fn a_server_that_leaves_finishes_what_it_runs() {
+fn draining_server_finishes_running_requests() {
     let ways: [&[ServerState]; 3] = [
         &[ServerState::Draining],
         &[ServerState::Gone],
@@ -435,7 +435,7 @@
 }
 
 #[test]
-fn a_request_that_crosses_the_end_of_a_kept_connection_reaches_no_server() {
+fn request_crossing_keep_alive_end_reaches_no_server() {
     let server = Arc::new(worker("i-1"));
     let idle =
         document(1, 6_000, 2_000, 1).replace("\"idleTimeoutMs\":3000", "\"idleTimeoutMs\":100");
@@ -486,7 +486,7 @@
 }
 
 #[test]
-fn connections_that_make_room_for_others_carry_no_request_that_was_passed_on() {
+fn connections_closed_for_capacity_carry_no_forwarded_request() {
     let server = Arc::new(worker("i-1"));
     let few = ("fileDescriptors = 1000", "fileDescriptors = 300");
     let (_control, router) = router_with(&[&server], few, &document(1, 6_000, 2_000, 1));
@@ -525,7 +525,7 @@
 }
 
 #[test]
-fn a_stream_whose_client_rests_ends_whole_though_its_server_and_its_route_go() {
+fn stream_of_paused_client_completes_after_server_and_route_vanish() {
     let server = Server::start("i-1", |seen, talk| {
         talk.stream_head(seen);
         wide_stream().chunks(64_000).for_each(|piece| {
@@ -565,7 +565,7 @@
 }
 
 #[test]
-fn a_settings_file_that_changes_or_cannot_be_read_ends_nothing() {
+fn changed_or_unreadable_settings_end_no_request() {
     let server = worker("i-1");
     let control = Control::at(SocketAddr::from(([127, 0, 0, 1], 0)));
     let text = settings_text(&[Ipv4Addr::LOCALHOST], control.address.port(), "");
--- a/fleet/tests/router_process.rs
+++ b/fleet/tests/router_process.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_router_is_a_process_that_heeds_its_signals() {
+fn router_process_handles_its_signals() {
     let server = Server::start("i-1", |seen, talk| {
         talk.closes_within(Duration::from_millis(300));
         talk.answer(seen, 200, "", "done");
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_router_without_an_address_for_clients_says_so() {
+fn missing_frontend_address_is_reported() {
     let text =
         settings_text(&[std::net::Ipv4Addr::LOCALHOST], 7_300, "").replace("frontend", "other");
     let path = std::env::temp_dir().join(format!("router-faulty-{}.toml", std::process::id()));
--- a/fleet/tests/router_random.rs
+++ b/fleet/tests/router_random.rs
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn no_rule_is_broken_whatever_servers_do() {
+fn no_contract_is_violated_under_random_server_behaviour() {
     let one = std::env::var("ROUTER_SEED")
         .ok()
         .and_then(|seed| seed.parse().ok());
--- a/fleet/tests/router_server_faults.rs
+++ b/fleet/tests/router_server_faults.rs
@@ -12,7 +12,7 @@
 use support::server::{event, Next, Server};
 
 #[test]
-fn a_whole_answer_is_passed_on_unchanged() {
+fn complete_response_is_forwarded_unchanged() {
     let server = Server::start("i-1", |seen, talk| {
         talk.answer(
             seen,
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_failure_of_the_server_is_passed_on_with_its_seal() {
+fn server_failure_is_forwarded_with_its_seal() {
     let server = Server::start("i-1", |seen, talk| {
         talk.answer(seen, 500, "", "it failed");
         Next::Keep
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn an_answer_that_is_cut_is_no_answer() {
+fn truncated_response_is_not_forwarded() {
     let cuts = [Next::Close, Next::Reset];
     for next in cuts {
         let server = Server::start("i-1", move |seen, talk| {
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn an_answer_without_a_length_is_whole_only_if_its_connection_ends_in_order() {
+fn response_without_length_needs_orderly_close() {
     for (next, status) in [(Next::Close, 200), (Next::Reset, 502)] {
         let server = Server::start("i-1", move |seen, talk| {
             talk.write(format!(
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn what_comes_behind_an_answer_belongs_to_no_request() {
+fn bytes_behind_a_response_belong_to_no_request() {
     let server = Server::start("i-1", |seen, talk| {
         if seen.id() == "a1" {
             let stale =
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn an_extra_answer_that_comes_late_is_dropped_with_its_connection() {
+fn late_extra_response_is_dropped_with_its_connection() {
     let server = Server::start("i-1", |seen, talk| {
         match seen.id() {
             // In the place where this answer is due the one to another request comes.
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn an_answer_to_another_request_is_nobodys() {
+fn response_to_another_request_is_dropped() {
     let server = Server::start("i-1", |_, talk| {
         talk.write(
             "HTTP/1.1 200 OK\r\nAttempt-Id: zz\r\nResponse-Seal: s\r\nContent-Length: 2\r\n\r\nno",
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_answer_are_none() {
+fn malformed_responses_are_not_forwarded() {
     let server = Server::start("i-1", |_, talk| {
         talk.write("\x16\x03\x01garbage\r\n\r\n");
         Next::Keep
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn a_connection_on_which_the_answer_came_before_the_body_was_read_is_not_used_again() {
+fn connection_with_early_response_is_not_reused() {
     // It answers as soon as it has the head, and reads on later.
     let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
     let address = listener.local_addr().expect("address");
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn a_request_that_may_not_run_twice_is_sent_once_whatever_happens() {
+fn unsafe_request_is_sent_once_under_any_fault() {
     for (next, patience) in [
         (Next::Close, 0),
         (Next::Reset, 0),
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn silence_after_an_unsafe_request_ends_at_the_time_out_without_a_promise() {
+fn silence_after_unsafe_request_ends_at_timeout_without_promise() {
     let script = |_: &support::server::Seen, talk: &mut support::server::Talk| {
         talk.closes_within(Duration::from_secs(5));
         Next::Close
@@ -309,7 +309,7 @@
 }
 
 #[test]
-fn an_idle_connection_that_was_dropped_unseen_carries_no_unsafe_request() {
+fn silently_dropped_connection_carries_no_unsafe_request() {
     // After its first answer it forgets the connection without a word: whatever is next sent on it
     // is reset.
     let server = Server::start("i-1", |seen, talk| {
@@ -337,7 +337,7 @@
 }
 
 #[test]
-fn a_request_that_no_server_takes_is_refused_and_has_not_run() {
+fn request_rejected_by_all_servers_is_refused_unexecuted() {
     let script = |seen: &support::server::Seen, talk: &mut support::server::Talk| {
         talk.answer(seen, 503, "Not-Executed: 1\r\n", "full");
         Next::Keep
@@ -368,7 +368,7 @@
 }
 
 #[test]
-fn a_refusal_that_the_server_did_not_promise_is_none() {
+fn unpromised_refusal_of_server_is_not_forwarded() {
     for status in [503, 429, 408] {
         let server = Server::start("i-1", move |seen, talk| {
             talk.answer(seen, status, "", "busy");
@@ -381,7 +381,7 @@
 }
 
 #[test]
-fn an_unsafe_request_that_one_server_rejected_is_sent_to_another() {
+fn rejected_unsafe_request_is_sent_to_another_server() {
     let refused = Arc::new(AtomicUsize::new(0));
     let script = |refused: Arc<AtomicUsize>| {
         move |seen: &support::server::Seen, talk: &mut support::server::Talk| {
@@ -403,7 +403,7 @@
 }
 
 #[test]
-fn a_request_for_which_no_connection_comes_up_is_refused_or_sent_elsewhere() {
+fn failed_connects_lead_to_other_server_or_refusal() {
     let good = Server::start("i-2", |seen, talk| {
         talk.answer(seen, 200, "", "done");
         Next::Keep
@@ -434,7 +434,7 @@
 }
 
 #[test]
-fn a_silent_server_is_copied_at_half_the_aim_and_the_loser_is_cancelled() {
+fn silent_server_is_hedged_at_half_target_and_loser_cancelled() {
     let turn = Arc::new(AtomicUsize::new(0));
     let (tell, told) = std::sync::mpsc::channel::<bool>();
     let script = |turn: Arc<AtomicUsize>, tell: std::sync::mpsc::Sender<bool>| {
@@ -492,7 +492,7 @@
 }
 
 #[test]
-fn no_more_servers_than_max_attempts_get_a_request() {
+fn at_most_max_attempts_servers_get_a_request() {
     let script = |_: &support::server::Seen, talk: &mut support::server::Talk| {
         talk.closes_within(Duration::from_millis(5));
         Next::Reset
@@ -514,7 +514,7 @@
 }
 
 #[test]
-fn a_router_that_does_not_know_how_many_there_are_spends_only_its_ratio() {
+fn unknown_router_count_limits_retries_to_the_ratio() {
     let script = |_: &support::server::Seen, talk: &mut support::server::Talk| {
         talk.closes_within(Duration::from_millis(2));
         Next::Reset
@@ -541,7 +541,7 @@
 }
 
 #[test]
-fn a_server_whose_connections_are_bounded_gets_no_more() {
+fn connection_bound_of_server_is_kept() {
     let server = Server::start("i-1", |seen, talk| {
         talk.closes_within(Duration::from_millis(80));
         talk.answer(seen, 200, "", "ok");
--- a/fleet/tests/router_shutdown.rs
+++ b/fleet/tests/router_shutdown.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_request_whose_body_ends_after_the_signal_is_answered_whole() {
+fn request_body_ending_after_signal_is_answered() {
     let server = quick();
     let mut rig = Rig::with(&[&server], 30_000, 1_000, 1);
     let mut short = rig.client();
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_body_that_ends_after_the_listener_has_closed_is_refused_and_not_reset() {
+fn body_ending_after_listener_close_is_rejected_without_reset() {
     let server = quick();
     let mut rig = Rig::with(&[&server], 30_000, 1_000, 1);
     let mut late = rig.client();
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn pipelined_requests_of_an_ending_router_get_the_answers_that_are_due() {
+fn pipelined_requests_during_shutdown_get_their_responses() {
     let server = Server::start("i-1", |seen, talk| {
         talk.closes_within(Duration::from_millis(700));
         talk.answer(seen, 200, "Keep-Alive: timeout=9\r\n", "done");
@@ -95,7 +95,7 @@
 
 /// The answer is whole at the router well before the end; its client reads slowly.
 #[test]
-fn an_answer_that_is_whole_before_the_end_reaches_a_slow_client_whole() {
+fn complete_response_reaches_slow_client_during_shutdown() {
     let server = Server::start("i-1", |seen, talk| {
         let body = "x".repeat(24 << 20);
         talk.answer(seen, 200, "Keep-Alive: timeout=9\r\n", &body);
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_stream_up_to_its_deadline_just_before_the_end_violates_nothing() {
+fn stream_with_deadline_just_before_exit_violates_no_invariant() {
     let server = Server::endless("i-1", Duration::from_millis(50));
     let mut rig = Rig::with(&[&server], 30_000, 1_000, 1);
     let began = stop(&mut rig);
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn a_router_of_a_short_grace_ends_within_it_and_answers_all() {
+fn short_grace_period_is_kept_and_all_are_answered() {
     for grace in [1_u64, 2, 3] {
         let server = Server::start("i-1", |seen, talk| {
             talk.closes_within(Duration::from_secs(20));
@@ -197,7 +197,7 @@
 
 /// The server answers before it has read the body, and reads on when it has said all.
 #[test]
-fn a_stream_whose_server_reads_a_long_body_behind_it_ends_whole() {
+fn stream_completes_while_server_still_reads_long_body() {
     const EVENTS: u64 = 25;
     let server = Server::start("i-1", |seen, talk| {
         talk.stream_head(seen);
@@ -227,7 +227,7 @@
 /// After a long body the connection breaks as soon as others when its server goes dark: the next
 /// request is not waited for.
 #[test]
-fn a_connection_that_carried_a_long_body_serves_the_next_request() {
+fn connection_after_long_body_is_reused() {
     let server = quick();
     let rig = Rig::with(&[&server], 30_000, 1_000, 1);
     let mut client = rig.client();
@@ -240,7 +240,7 @@
 /// Clients that pipeline, expect to be told to go on, ask for heads, and leave at any point. The
 /// rig checks that no invariant was broken.
 #[test]
-fn whatever_clients_do_as_many_wait_as_are_held() {
+fn waiting_clients_match_requests_in_hand_under_random_clients() {
     use std::io::Write;
     let server = Server::start("i-1", |seen, talk| {
         match seen.target.as_str() {
--- a/fleet/tests/router_streams.rs
+++ b/fleet/tests/router_streams.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_calm_stream_is_passed_on_whole_with_head_and_seal() {
+fn undisturbed_stream_is_forwarded_with_head_and_seal() {
     let server = Server::start("i-1", |seen, talk| {
         talk.stream_head(seen);
         (1..=5).for_each(|id| talk.event(id));
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn each_event_is_passed_on_as_it_comes_and_never_a_piece_of_one() {
+fn events_are_forwarded_at_once_and_only_complete() {
     let (go, gone) = mpsc::channel::<()>();
     let gone = Mutex::new(gone);
     let server = Server::start("i-1", move |seen, talk| {
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_stream_that_is_cut_does_not_look_complete() {
+fn truncated_stream_does_not_look_complete() {
     for reset in [false, true] {
         let server = Server::start("i-1", move |seen, talk| {
             talk.stream_head(seen);
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_stream_without_a_length_is_complete_only_at_an_orderly_end_between_events() {
+fn unframed_stream_completes_only_at_orderly_close_between_events() {
     let ends = [
         (Next::Close, "", true),
         (Next::Close, "id: 2\ndata: half", false),
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn a_resumable_stream_goes_on_at_another_server_inside_the_same_answer() {
+fn resumable_stream_continues_at_another_server_in_same_response() {
     let began = Arc::new(AtomicUsize::new(0));
     let script = |began: Arc<AtomicUsize>| {
         move |seen: &support::server::Seen, talk: &mut support::server::Talk| {
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn a_stream_that_may_not_go_on_elsewhere_is_not_sent_again() {
+fn non_resumable_stream_is_not_sent_again() {
     let server = Server::start("i-1", |seen, talk| {
         talk.stream_head(seen);
         talk.event(1);
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn a_stream_ends_at_its_routes_time_out_without_looking_complete() {
+fn stream_ends_at_route_timeout_without_looking_complete() {
     let server = Server::start("i-1", |seen, talk| {
         talk.stream_head(seen);
         for id in 1..200 {
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn a_client_that_does_not_read_holds_its_server_up_and_no_memory() {
+fn client_that_does_not_read_pauses_its_server_and_takes_no_memory() {
     let written = Arc::new(AtomicUsize::new(0));
     let counted = written.clone();
     let server = Server::start("i-1", move |seen, talk| {
--- a/fleet/tests/router_tenants.rs
+++ b/fleet/tests/router_tenants.rs
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_server_is_told_the_tenant_and_never_the_key() {
+fn server_gets_tenant_and_never_the_key() {
     let server = echo();
     let rig = rig(&[&server], ONE);
     for (id, headers) in [
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn who_holds_no_key_is_refused_and_public_routes_are_open() {
+fn unknown_key_is_rejected_and_public_routes_are_open() {
     let server = echo();
     let rig = rig(&[&server], ONE);
     for (id, headers) in [
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn the_rank_of_a_tenant_goes_before_that_of_the_route() {
+fn tenant_rank_precedes_route_rank() {
     let server = echo();
     let rig = rig(
         &[&server],
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn a_key_that_is_taken_away_is_dead_and_a_new_one_works() {
+fn revoked_key_stops_working_and_new_one_works() {
     let server = echo();
     let rig = rig(&[&server], ONE);
     assert_eq!(ask(&rig, "safe", "c1", "Api-Key: key-1\r\n").status, 200);
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn a_request_whose_key_is_taken_away_is_not_sent_again() {
+fn request_with_revoked_key_is_not_sent_again() {
     // The first attempt is turned away by its server once the key is gone.
     let server = Server::start("i-1", |seen, talk| {
         talk.closes_within(Duration::from_millis(600));
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn keys_are_served_no_longer_than_what_is_known_of_them_counts() {
+fn keys_are_served_only_while_configuration_is_fresh() {
     let server = echo();
     let rig = rig(&[&server], ONE);
     rig.control.set_confirms(false);
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn what_is_beyond_a_quota_is_refused_at_once_with_when_to_come_back() {
+fn request_over_quota_is_rejected_with_retry_after() {
     let server = echo();
     let rig = rig(&[&server], &format!("{ONE},{LIMITED}"));
     rig.control.set_quota(Some(100));
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn token_usage_that_can_t_be_read_is_refused_where_it_counts() {
+fn invalid_token_usage_is_rejected_for_token_quotas() {
     let server = echo();
     let rig = rig(&[&server], &format!("{ONE},{LIMITED}"));
     rig.control.set_quota(Some(1_000_000));
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn a_request_waits_for_its_quota_no_longer_than_a_quarter_of_its_aim() {
+fn quota_wait_is_at_most_a_quarter_of_latency_target() {
     let server = echo();
     let rig = rig(&[&server], LIMITED);
     let reply = ask(&rig, "safe", "h1", "Api-Key: key-3\r\n");
@@ -290,7 +290,7 @@
 }
 
 #[test]
-fn draws_go_to_another_connection_where_one_is_lost() {
+fn lease_requests_are_repeated_on_new_connection() {
     let server = echo();
     let rig = rig(&[&server], LIMITED);
     let mut client = rig.client();
@@ -302,7 +302,7 @@
 }
 
 #[test]
-fn a_router_that_ends_answers_who_waits_for_a_quota() {
+fn shutdown_answers_requests_waiting_for_quota() {
     let server = echo();
     let mut rig = rig(&[&server], LIMITED);
     let mut client = rig.client();
@@ -314,7 +314,7 @@
 }
 
 #[test]
-fn a_stream_that_goes_on_elsewhere_bears_the_tenant_and_no_key() {
+fn resumed_stream_carries_tenant_and_no_key() {
     let broken = Server::start("i-1", |seen, talk| {
         talk.stream_head(seen);
         talk.event(1);
--- a/fleet/tests/router_waiting.rs
+++ b/fleet/tests/router_waiting.rs
@@ -13,7 +13,7 @@
 const READ_WITH_HEAD: usize = 16_384;
 
 #[test]
-fn an_attempt_that_never_left_is_made_again_whatever_the_budget() {
+fn unsent_attempt_is_repeated_regardless_of_budget() {
     let server = Server::start("i-1", |seen, talk| {
         std::thread::sleep(Duration::from_millis(250));
         talk.answer(seen, 200, "Keep-Alive: timeout=9\r\n", "done");
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_server_that_reads_a_long_body_late_is_waited_for() {
+fn server_reading_long_body_late_is_awaited() {
     let server = Server::start("i-1", |seen, talk| {
         // Its queue is long. The system holds some of the body, and no more of it goes out.
         std::thread::sleep(Duration::from_millis(4_500));
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_request_that_waits_for_a_connection_is_served_though_its_service_goes_and_comes() {
+fn request_waiting_for_connection_survives_service_removal() {
     let server = Server::start("i-1", |seen, talk| {
         std::thread::sleep(Duration::from_millis(600));
         talk.answer(seen, 200, "Keep-Alive: timeout=9\r\n", "done");
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn what_was_rejected_is_refused_at_once_where_no_further_try_is_allowed() {
+fn rejected_request_is_refused_at_once_without_retry_budget() {
     let server = Server::start("i-1", |seen, talk| {
         talk.answer(
             seen,
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn what_met_nobody_is_refused_at_once_where_no_further_try_is_allowed() {
+fn unconnected_request_is_refused_at_once_without_retry_budget() {
     let mut server = Server::start("i-1", |_, _| Next::Close);
     // Nobody listens there.
     server.address.set_port(support::rig::free_port());
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn what_failed_is_told_at_once_where_no_further_try_is_allowed() {
+fn failed_request_is_answered_at_once_without_retry_budget() {
     let server = Server::start("i-1", |_, _| Next::Reset);
     let rig = without_budget(&[&server]);
     for kind in KINDS {
--- a/wire/event_stream/tests/scanner.rs
+++ b/wire/event_stream/tests/scanner.rs
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn all_line_ends_end_events() {
+fn all_line_endings_end_events() {
     for end in ["\n", "\r\n", "\r"] {
         let stream = format!("id: 1{end}data: a{end}{end}id: 2{end}data: b{end}{end}data: c{end}");
         let told = scan_whole(stream.as_bytes());
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_line_end_that_is_cut_goes_with_its_event() {
+fn split_line_ending_belongs_to_its_event() {
     let mut scanner = Scanner::new(64);
     assert_eq!(scanner.push(b"data: a\r\n\r").unwrap().whole_bytes, 10);
     scanner.advance(10);
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn the_id_of_the_last_event_stays_until_another_comes() {
+fn last_event_id_stays_until_next_id() {
     let mut scanner = Scanner::new(64);
     assert_eq!(scanner.last_event_id(), None);
     scanner
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn the_last_of_two_ids_counts_and_one_with_a_zero_byte_does_not() {
+fn last_id_wins_and_id_with_zero_byte_is_ignored() {
     assert_eq!(
         ids(&scan_whole(b"id: 1\nid:2\n\nid: 3\nid: 4\0\n\nid\n\n")),
         [Some(&b"2"[..]), Some(b"3"), Some(b"")]
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn versions_count_as_the_first_line_of_an_event_alone() {
+fn versions_field_counts_only_as_first_line() {
     let told =
         scan_whole(b"versions: 3\nid: 1\n\nid: 2\nversions: 4\n\nversions:5\n\nversions: 6x\n\n");
     let versions: Vec<_> = told.events.iter().map(|(_, versions)| *versions).collect();
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn comments_pass_and_are_no_events() {
+fn comments_are_forwarded_and_are_no_events() {
     let told = scan_whole(b": keep\n\n\n\n:\ndata: a\n\n");
     assert_eq!(
         (told.events.len(), told.whole.len(), told.partial.len()),
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn a_byte_order_mark_hides_no_id() {
+fn byte_order_mark_hides_no_id() {
     assert_eq!(
         ids(&scan_whole(b"\xef\xbb\xbfid: 1\n\n")),
         [Some(&b"1"[..])]
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn an_event_over_the_limit_is_an_error_and_those_before_it_are_whole() {
+fn event_over_limit_is_an_error_and_earlier_ones_are_complete() {
     let told = scan(&[b"id: 1\n\ndata: 0123456789\n\nid: 2\n\n"], 10, |_| 0);
     assert_eq!(
         (told.whole.as_slice(), told.events.len()),
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn memory_is_bounded_by_the_limit_and_a_chunk() {
+fn memory_is_bounded_by_limit_and_chunk() {
     let mut scanner = Scanner::new(1000);
     let refused = (0..).find(|_| scanner.push(&[b'x'; 100]).is_err());
     assert_eq!(refused, Some(10));
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn cutting_anywhere_changes_nothing() {
+fn any_split_gives_same_events() {
     fn holds(stream: Stream, cuts: Vec<usize>, share: usize) -> bool {
         let told = scan(&cut(&stream.0, &cuts), 1 << 16, |whole| {
             whole * (share % 4) / 3
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn cutting_after_each_byte_changes_nothing() {
+fn split_after_each_byte_gives_same_events() {
     fn holds(stream: Stream) -> bool {
         let bytes: Vec<&[u8]> = stream.0.chunks(1).collect();
         scan(&bytes, 1 << 16, |whole| whole) == scan_whole(&stream.0)
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn the_limit_falls_on_the_same_event_wherever_the_stream_is_cut() {
+fn limit_applies_to_same_event_at_any_split() {
     fn holds(stream: Stream, cuts: Vec<usize>, limit: usize) -> bool {
         let limit = limit % 40;
         let (cut, whole) = (
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn any_bytes_are_scanned() {
+fn arbitrary_bytes_are_scanned() {
     fn holds(stream: Vec<u8>, cuts: Vec<usize>) -> bool {
         scan(&cut(&stream, &cuts), 1 << 16, |whole| whole) == scan_whole(&stream)
     }
