--- a/decide/configuration/src/document.rs
+++ b/decide/configuration/src/document.rs
@@ -1,17 +1,17 @@
-//! A whole configuration: kept as it came, with typed views that have passed every check.
+//! A complete configuration: kept as it was received, with typed views that have passed every check.
 
 use crate::error::{shown, ConfigurationError};
 use crate::json::{
-    distinct_fields, elements, fields, value_of, version_of, whole, write_string, wrong, Fields,
+    distinct_fields, parse_complete, value_of, version_of, write_string, wrong_type, Fields,
     MAX_DOCUMENT_BYTES,
 };
 use crate::limits::Limits;
-use crate::route::Route;
+use crate::named_list::{parse_items, upsert_items, FieldContent, Item};
+use crate::route::{check_distinct_prefixes, Route};
 use crate::service::Service;
-use crate::tenant::{check_keys, Tenant};
+use crate::tenant::{check_distinct_keys, check_unnamed_tenants, Tenant};
 use crate::update::{Removal, Update, Upsert};
-use miniserde::json::Value;
-use std::collections::{HashMap, HashSet};
+use std::collections::HashSet;
 
 /// A configuration that has passed every check that does not depend on the one before it.
 #[derive(Clone, Debug)]
@@ -24,35 +24,17 @@
     limits: Limits,
 }
 
-/// Reads the tenants of the fields of a document.
-type ReadTenants = fn(&[Field]) -> Result<Option<Vec<Tenant>>, ConfigurationError>;
+/// Parses the tenants of the fields of a document.
+type ParseTenants = fn(&[Field]) -> Result<Option<Vec<Tenant>>, ConfigurationError>;
 
-/// A field of the document, at its place.
+/// A field of the document, in the operator's order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Field {
     name: String,
-    content: Content,
+    content: FieldContent,
 }
 
-/// What a field holds.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Content {
-    /// A list whose items all have names of their own.
-    Named(Vec<Item>),
-    /// Anything else, as it came.
-    Text(String),
-}
-
-/// An item of a named list.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Item {
-    /// Its name.
-    pub(crate) name: String,
-    /// All of it, as it came.
-    pub(crate) text: String,
-}
-
-/// Two documents are equal if they are handed out as the same text.
+/// Two documents are equal if they are handed back as the same text.
 impl PartialEq for Document {
     fn eq(&self, other: &Document) -> bool {
         self.fields == other.fields
@@ -60,51 +42,54 @@
 }
 
 impl Document {
-    /// Reads and checks a whole configuration.
+    /// Parses and checks a complete configuration.
     ///
     /// # Errors
-    /// What is wrong with it, by name.
+    /// Returns the first reason for which it is invalid.
     pub fn parse(body: &[u8]) -> Result<Document, ConfigurationError> {
-        Document::read(body, read_tenants)
+        Document::parse_with(body, parse_tenants)
     }
 
-    /// Reads a configuration that was committed, maybe by a program that did not know of tenants:
-    /// where `tenants` can't be read, nobody holds a key.
+    /// Parses a configuration that was committed, maybe by a program that did not know tenants:
+    /// where `tenants` are invalid, no key belongs to a tenant.
     ///
     /// # Errors
-    /// What is wrong with all else of it, by name.
+    /// Returns the first reason for which anything else of it is invalid.
     pub fn parse_committed(body: &[u8]) -> Result<Document, ConfigurationError> {
-        let closed = |kept: &[Field]| read_tenants(kept).or(Ok(Some(Vec::new())));
-        Document::parse(body).or_else(|_| Document::read(body, closed))
+        let or_no_keys = |fields: &[Field]| parse_tenants(fields).or(Ok(Some(Vec::new())));
+        Document::parse(body).or_else(|_| Document::parse_with(body, or_no_keys))
     }
 
-    fn read(body: &[u8], read_tenants: ReadTenants) -> Result<Document, ConfigurationError> {
-        let (text, value) = whole(body)?;
-        let place = "the configuration";
-        let version = version_of(&Fields::new(place.to_owned(), &value)?)?;
-        let mut kept = Vec::new();
-        for (name, text) in distinct_fields(place, text)? {
-            let content = content_of(&name, text)?;
-            kept.push(Field { name, content });
+    fn parse_with(
+        body: &[u8],
+        parse_tenants: ParseTenants,
+    ) -> Result<Document, ConfigurationError> {
+        let (text, value) = parse_complete(body)?;
+        let location = "the configuration";
+        let version = version_of(&Fields::new(location.to_owned(), &value)?)?;
+        let mut fields = Vec::new();
+        for (name, text) in distinct_fields(location, text)? {
+            let content = FieldContent::parse(&name, text)?;
+            fields.push(Field { name, content });
         }
-        Document::build(version, kept, read_tenants)
+        Document::build(version, fields, parse_tenants)
     }
 
-    /// Makes the typed views, and checks all that joins several items.
+    /// Parses the typed views, and checks whatever involves several items.
     fn build(
         version: u64,
-        kept: Vec<Field>,
-        read_tenants: ReadTenants,
+        fields: Vec<Field>,
+        parse_tenants: ParseTenants,
     ) -> Result<Document, ConfigurationError> {
         let document = Document {
             version,
-            routes: read_items(items(&kept, "routes")?, Route::read)?,
-            services: read_items(items(&kept, "services")?, Service::read)?,
-            tenants: read_tenants(&kept)?,
-            limits: read_limits(&kept)?,
-            fields: kept,
+            routes: parse_items(required_items(&fields, "routes")?, Route::parse)?,
+            services: parse_items(required_items(&fields, "services")?, Service::parse)?,
+            tenants: parse_tenants(&fields)?,
+            limits: parse_limits(&fields)?,
+            fields,
         };
-        check_places(&document.routes)?;
+        check_distinct_prefixes(&document.routes)?;
         document.check_services()?;
         Ok(document)
     }
@@ -128,37 +113,34 @@
         Ok(())
     }
 
-    /// The configuration that an update makes of this one. Removals come first, so that an item
-    /// that is removed and given anew is there; a replaced item stays at its place, a new one goes
-    /// to the end.
+    /// Applies an update. Removals come first, so that an item that is removed and upserted is
+    /// there; a replaced item keeps its position, a new one is appended.
     ///
     /// # Errors
-    /// What is wrong with the outcome, by name; a version that is not above this one.
+    /// Returns the first reason for which the result is invalid, or that its version is not above
+    /// this one.
     pub fn apply_update(&self, update: &Update) -> Result<Document, ConfigurationError> {
         self.check_successor(update.version())?;
-        let mut kept = self.fields.clone();
+        let mut fields = self.fields.clone();
         for removal in update.removals() {
-            remove(&mut kept, removal)?;
+            remove(&mut fields, removal)?;
         }
         for upsert in update.upserts() {
-            put(&mut kept, upsert)?;
+            apply_upsert(&mut fields, upsert)?;
         }
-        set_version(&mut kept, update.version());
-        let document = Document::build(update.version(), kept, read_tenants)?;
+        set_version(&mut fields, update.version());
+        let document = Document::build(update.version(), fields, parse_tenants)?;
         let bytes = document.to_json().len();
         if bytes > MAX_DOCUMENT_BYTES {
             return Err(ConfigurationError::TooLarge {
                 bytes,
-                most: MAX_DOCUMENT_BYTES,
+                limit: MAX_DOCUMENT_BYTES,
             });
         }
         Ok(document)
     }
 
-    /// Whether a version may follow this one.
-    ///
-    /// # Errors
-    /// It is not above this one.
+    /// Checks that a version may follow this one.
     pub(crate) fn check_successor(&self, version: u64) -> Result<(), ConfigurationError> {
         match version > self.version {
             true => Ok(()),
@@ -200,13 +182,13 @@
         self.tenants.as_deref()
     }
 
-    /// What clients may send.
+    /// Limits of what clients may send.
     #[must_use]
     pub fn limits(&self) -> &Limits {
         &self.limits
     }
 
-    /// The whole configuration: every field and item as it came, in order.
+    /// The complete configuration: every field and item as it was received, in order.
     #[must_use]
     pub fn to_json(&self) -> Vec<u8> {
         let mut out = String::from("{");
@@ -223,168 +205,54 @@
     }
 }
 
-impl Content {
-    fn write(&self, out: &mut String) {
-        let items = match self {
-            Content::Text(text) => return out.push_str(text),
-            Content::Named(items) => items,
-        };
-        out.push('[');
-        for (index, item) in items.iter().enumerate() {
-            if index > 0 {
-                out.push(',');
-            }
-            out.push_str(&item.text);
-        }
-        out.push(']');
-    }
-}
-
-/// What a field of the document holds. Routes and services must be named lists; other lists are so
-/// where all their items have names.
-pub(crate) fn content_of(field: &str, text: &str) -> Result<Content, ConfigurationError> {
-    let needed = matches!(field, "routes" | "services");
-    let Some(parts) = elements(text) else {
-        return match needed {
-            true => Err(wrong("the configuration", field, "a list")),
-            false => Ok(Content::Text(text.to_owned())),
-        };
-    };
-    match named_items(field, &parts) {
-        Ok(items) => Ok(Content::Named(items)),
-        Err(_) if !needed => Ok(Content::Text(text.to_owned())),
-        Err(error) => Err(error),
-    }
-}
-
-/// The items of a named list.
-pub(crate) fn named_items(list: &str, parts: &[&str]) -> Result<Vec<Item>, ConfigurationError> {
-    let mut seen = HashSet::with_capacity(parts.len());
-    let mut items = Vec::with_capacity(parts.len());
-    for (index, part) in parts.iter().enumerate() {
-        let name = name_of(list, index, part)?;
-        if !seen.insert(name.clone()) {
-            return Err(ConfigurationError::DuplicateName {
-                list: shown(list),
-                name: shown(&name),
-            });
-        }
-        items.push(Item {
-            name,
-            text: (*part).to_owned(),
-        });
-    }
-    Ok(items)
-}
-
-fn name_of(list: &str, index: usize, part: &str) -> Result<String, ConfigurationError> {
-    let place = || format!("item {index} of `{list}`");
-    if fields(part).is_none() {
-        return Err(wrong(&place(), "", "an object"));
-    }
-    let found = distinct_fields(&place(), part)?;
-    let name = found
-        .into_iter()
-        .find(|(field, _)| field == "name")
-        .map(|(_, text)| value_of(text))
-        .transpose()?;
-    match name {
-        Some(Value::String(name)) if !name.is_empty() => Ok(name),
-        Some(Value::Number(_) | Value::Bool(_) | Value::Array(_) | Value::Object(_)) => {
-            Err(wrong(&place(), "name", "a text"))
-        }
-        _ => Err(ConfigurationError::MissingName {
-            list: shown(list),
-            index,
-        }),
-    }
-}
-
-/// The items of a list that a configuration must have.
-fn items<'a>(kept: &'a [Field], name: &str) -> Result<&'a [Item], ConfigurationError> {
-    match kept
+fn content_of<'a>(fields: &'a [Field], name: &str) -> Option<&'a FieldContent> {
+    fields
         .iter()
         .find(|field| field.name == name)
         .map(|field| &field.content)
-    {
-        Some(Content::Named(items)) => Ok(items),
-        Some(Content::Text(_)) => Err(wrong("the configuration", name, "a list")),
+}
+
+/// The items of a list that a configuration must have.
+fn required_items<'a>(fields: &'a [Field], name: &str) -> Result<&'a [Item], ConfigurationError> {
+    match content_of(fields, name) {
+        Some(FieldContent::Named(items)) => Ok(items),
+        Some(FieldContent::Text(_)) => Err(wrong_type("the configuration", name, "a list")),
         None => Err(ConfigurationError::MissingField {
-            place: "the configuration".to_owned(),
+            location: "the configuration".to_owned(),
             field: name.to_owned(),
         }),
     }
 }
 
-/// The typed views of items.
-pub(crate) fn read_items<T>(
-    items: &[Item],
-    read: impl Fn(&str, &Value) -> Result<T, ConfigurationError>,
-) -> Result<Vec<T>, ConfigurationError> {
-    items
-        .iter()
-        .map(|item| read(&item.name, &value_of(&item.text)?))
-        .collect()
-}
-
-fn read_limits(kept: &[Field]) -> Result<Limits, ConfigurationError> {
-    match kept
-        .iter()
-        .find(|field| field.name == "limits")
-        .map(|field| &field.content)
-    {
+fn parse_limits(fields: &[Field]) -> Result<Limits, ConfigurationError> {
+    match content_of(fields, "limits") {
         None => Ok(Limits::default()),
-        Some(Content::Text(text)) if text == "null" => Ok(Limits::default()),
-        Some(Content::Text(text)) => Limits::read(&value_of(text)?),
-        Some(Content::Named(_)) => Err(wrong("the configuration", "limits", "an object")),
+        Some(FieldContent::Text(text)) if text == "null" => Ok(Limits::default()),
+        Some(FieldContent::Text(text)) => Limits::parse(&value_of(text)?),
+        Some(FieldContent::Named(_)) => Err(wrong_type("the configuration", "limits", "an object")),
     }
 }
 
 /// The tenants, where there is such a list.
-fn read_tenants(kept: &[Field]) -> Result<Option<Vec<Tenant>>, ConfigurationError> {
-    match kept
-        .iter()
-        .find(|field| field.name == "tenants")
-        .map(|field| &field.content)
-    {
-        Some(Content::Named(items)) => {
-            let tenants = read_items(items, Tenant::read)?;
-            check_keys(&tenants)?;
+fn parse_tenants(fields: &[Field]) -> Result<Option<Vec<Tenant>>, ConfigurationError> {
+    match content_of(fields, "tenants") {
+        Some(FieldContent::Named(items)) => {
+            let tenants = parse_items(items, Tenant::parse)?;
+            check_distinct_keys(&tenants)?;
             Ok(Some(tenants))
         }
-        Some(Content::Text(text)) => not_tenants(text).map(|()| None),
+        Some(FieldContent::Text(text)) => check_unnamed_tenants(text).map(|()| None),
         None => Ok(None),
     }
 }
 
-/// What is wrong with `tenants` that are no named list; nothing with `null`.
-pub(crate) fn not_tenants(text: &str) -> Result<(), ConfigurationError> {
-    match elements(text) {
-        _ if text == "null" => Ok(()),
-        Some(parts) => named_items("tenants", &parts).map(drop),
-        None => Err(wrong("the configuration", "tenants", "a list")),
-    }
-}
-
-/// No two routes may have the same host and prefix.
-pub(crate) fn check_places(routes: &[Route]) -> Result<(), ConfigurationError> {
-    let mut taken = HashMap::with_capacity(routes.len());
-    for route in routes {
-        if let Some(first) = taken.insert((&route.host, &route.path_prefix), &route.name) {
-            let (first, second) = (shown(first), shown(&route.name));
-            return Err(ConfigurationError::SamePlace { first, second });
-        }
-    }
-    Ok(())
-}
-
-/// Takes names out of a list. Those that are not there are passed over: what the operator wants
-/// holds.
-fn remove(kept: &mut [Field], removal: &Removal) -> Result<(), ConfigurationError> {
-    let Some(field) = kept.iter_mut().find(|field| field.name == removal.list) else {
+/// Removes names from a list. Names that are not there are ignored: the result is what the operator
+/// wants.
+fn remove(fields: &mut [Field], removal: &Removal) -> Result<(), ConfigurationError> {
+    let Some(field) = fields.iter_mut().find(|field| field.name == removal.list) else {
         return Ok(());
     };
-    let Content::Named(items) = &mut field.content else {
+    let FieldContent::Named(items) = &mut field.content else {
         return Err(ConfigurationError::NotANamedList {
             list: shown(&removal.list),
         });
@@ -393,21 +261,21 @@
     Ok(())
 }
 
-/// Puts the items of a list in by name, or a field that is no such list in whole.
-fn put(kept: &mut Vec<Field>, upsert: &Upsert) -> Result<(), ConfigurationError> {
-    let Some(field) = kept.iter_mut().find(|field| field.name == upsert.field) else {
-        kept.push(Field {
+/// Upserts the items of a named list, or replaces a field that is none.
+fn apply_upsert(fields: &mut Vec<Field>, upsert: &Upsert) -> Result<(), ConfigurationError> {
+    let Some(field) = fields.iter_mut().find(|field| field.name == upsert.field) else {
+        fields.push(Field {
             name: upsert.field.clone(),
             content: upsert.content.clone(),
         });
         return Ok(());
     };
     match (&mut field.content, &upsert.content) {
-        (Content::Named(items), Content::Named(new)) => put_items(items, new),
-        (Content::Text(text), Content::Named(_)) if text == "null" => {
+        (FieldContent::Named(items), FieldContent::Named(new)) => upsert_items(items, new),
+        (FieldContent::Text(text), FieldContent::Named(_)) if text == "null" => {
             field.content = upsert.content.clone()
         }
-        (Content::Text(_), Content::Text(_)) => field.content = upsert.content.clone(),
+        (FieldContent::Text(_), FieldContent::Text(_)) => field.content = upsert.content.clone(),
         _ => {
             return Err(ConfigurationError::NotANamedList {
                 list: shown(&upsert.field),
@@ -417,28 +285,11 @@
     Ok(())
 }
 
-fn put_items(items: &mut Vec<Item>, new: &[Item]) {
-    let mut places: HashMap<String, usize> = items
-        .iter()
-        .enumerate()
-        .map(|(place, item)| (item.name.clone(), place))
-        .collect();
-    for item in new {
-        match places.get(&item.name) {
-            Some(place) => items[*place] = item.clone(),
-            None => {
-                places.insert(item.name.clone(), items.len());
-                items.push(item.clone());
-            }
-        }
-    }
-}
-
-fn set_version(kept: &mut [Field], version: u64) {
-    let field = kept.iter_mut().find(|field| field.name == "version");
-    debug_assert!(field.is_some(), "a document that was read has a version");
+fn set_version(fields: &mut [Field], version: u64) {
+    let field = fields.iter_mut().find(|field| field.name == "version");
+    debug_assert!(field.is_some(), "a document that was parsed has a version");
     if let Some(field) = field {
-        field.content = Content::Text(version.to_string());
+        field.content = FieldContent::Text(version.to_string());
     }
 }
 
--- a/decide/configuration/src/document/tests.rs
+++ b/decide/configuration/src/document/tests.rs
@@ -73,7 +73,10 @@
         (one.max_attempts, one.session_affinity, one.stream_resume),
         (2, true, true)
     );
-    assert_eq!((one.gap_aim_ms, one.idempotent()), (Some(300), true));
+    assert_eq!(
+        (one.event_gap_target_ms, one.is_idempotent()),
+        (Some(300), true)
+    );
     let weights: Vec<f64> = document.routes()[1]
         .targets
         .iter()
@@ -120,7 +123,7 @@
     let two = format!("{},{}", route("r", "/a/", "s"), route("q", "/a/", "s"));
     assert_eq!(
         parse("1", &two, service).unwrap_err(),
-        ConfigurationError::SamePlace {
+        ConfigurationError::DuplicatePrefix {
             first: "r".to_owned(),
             second: "q".to_owned()
         }
@@ -158,7 +161,7 @@
     let both = format!("{},{upper}", route("r", "/a/", "s"));
     assert_matches!(
         parse("1", &both, "{\"name\":\"s\"}"),
-        Err(ConfigurationError::SamePlace { .. })
+        Err(ConfigurationError::DuplicatePrefix { .. })
     );
 }
 
@@ -268,13 +271,13 @@
         r#"{"version":8,"limits":{"maxHeaderBytes":1,"maxBodyBytes":2,"headerTimeoutMs":3,"idleTimeoutMs":4}}"#,
     ] {
         let after = full().apply_update(&update(text)).expect("valid");
-        let wanted = Limits {
+        let expected = Limits {
             max_header_bytes: 1,
             max_body_bytes: 2,
             header_timeout_ms: 3,
             idle_timeout_ms: 4,
         };
-        assert_eq!(*after.limits(), wanted);
+        assert_eq!(*after.limits(), expected);
     }
 }
 
@@ -295,14 +298,14 @@
     let (route, service) = ("r-two".to_owned(), "xama2".to_owned());
     assert_eq!(error, ConfigurationError::UnknownService { route, service });
     for version in [6, 7] {
-        let wanted = ConfigurationError::VersionNotAbove {
+        let expected = ConfigurationError::VersionNotAbove {
             version,
             current: 7,
         };
-        assert_eq!(refused(&format!("{{\"version\":{version}}}")), wanted);
+        assert_eq!(refused(&format!("{{\"version\":{version}}}")), expected);
     }
     let same = r#"{"version":9,"upserts":{"routes":[{"name":"n","host":"FICU95.example","pathPrefix":"/pufi791/","service":"xama2"}]}}"#;
-    assert_matches!(refused(same), ConfigurationError::SamePlace { .. });
+    assert_matches!(refused(same), ConfigurationError::DuplicatePrefix { .. });
     assert_matches!(
         refused(r#"{"version":9,"removals":{"limits":["maxBodyBytes"]}}"#),
         ConfigurationError::NotANamedList { .. }
@@ -352,12 +355,12 @@
 /// A valid configuration with some bytes changed, taken out or put in.
 fn mangled(edits: &[(u16, u8, u8)]) -> Vec<u8> {
     let mut bytes = FULL.as_bytes().to_vec();
-    for (place, byte, how) in edits {
-        let place = usize::from(*place) % bytes.len().max(1);
+    for (location, byte, how) in edits {
+        let location = usize::from(*location) % bytes.len().max(1);
         match how % 3 {
-            0 if !bytes.is_empty() => bytes[place] = *byte,
-            1 if !bytes.is_empty() => drop(bytes.remove(place)),
-            _ => bytes.insert(place.min(bytes.len()), *byte),
+            0 if !bytes.is_empty() => bytes[location] = *byte,
+            1 if !bytes.is_empty() => drop(bytes.remove(location)),
+            _ => bytes.insert(location.min(bytes.len()), *byte),
         }
     }
     bytes
@@ -391,6 +394,6 @@
     let deep = "{\"version\":".repeat(MAX_DEPTH * 1_000);
     assert_eq!(
         Document::parse(deep.as_bytes()),
-        Err(ConfigurationError::TooDeep { most: MAX_DEPTH })
+        Err(ConfigurationError::TooDeep { limit: MAX_DEPTH })
     );
 }
--- a/decide/configuration/src/error.rs
+++ b/decide/configuration/src/error.rs
@@ -9,45 +9,45 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ConfigurationError {
     /// Longer than [`MAX_DOCUMENT_BYTES`](crate::MAX_DOCUMENT_BYTES).
-    #[error("the configuration has {bytes} bytes, and {most} are the most")]
+    #[error("the configuration has {bytes} bytes, and {limit} are the most")]
     TooLarge {
         /// Its length.
         bytes: usize,
         /// The bound.
-        most: usize,
+        limit: usize,
     },
     /// Nested deeper than [`MAX_DEPTH`](crate::MAX_DEPTH).
-    #[error("the configuration is nested deeper than {most} levels")]
+    #[error("the configuration is nested deeper than {limit} levels")]
     TooDeep {
         /// The bound.
-        most: usize,
+        limit: usize,
     },
     /// Not UTF-8, not JSON, or cut short.
     #[error("the configuration is not whole JSON in UTF-8")]
     Unreadable,
     /// A field is not there.
-    #[error("{place} has no `{field}`")]
+    #[error("{location} has no `{field}`")]
     MissingField {
         /// Where.
-        place: String,
+        location: String,
         /// Which.
         field: String,
     },
     /// A field is of another type than it has to be.
-    #[error("`{field}` of {place} is not {wanted}")]
+    #[error("`{field}` of {location} is not {expected}")]
     WrongType {
         /// Where.
-        place: String,
+        location: String,
         /// Which.
         field: String,
         /// What it has to be.
-        wanted: &'static str,
+        expected: &'static str,
     },
     /// A field is given twice in one object.
-    #[error("{place} has `{field}` twice")]
+    #[error("{location} has `{field}` twice")]
     DuplicateField {
         /// Where.
-        place: String,
+        location: String,
         /// Which.
         field: String,
     },
@@ -83,7 +83,7 @@
     },
     /// Two routes have the same host and prefix.
     #[error("routes `{first}` and `{second}` have the same host and prefix")]
-    SamePlace {
+    DuplicatePrefix {
         /// The one that stands first.
         first: String,
         /// The other.
@@ -99,13 +99,13 @@
     },
     /// The prefix of a route does not begin and end with a slash.
     #[error("the prefix of route `{route}` does not begin and end with a slash")]
-    Prefix {
+    InvalidPrefix {
         /// The route.
         route: String,
     },
     /// The weights of a route add up to 0.
     #[error("the weights of route `{route}` add up to 0")]
-    NoWeight {
+    ZeroWeight {
         /// The route.
         route: String,
     },
@@ -117,7 +117,7 @@
     },
     /// The time-out of a route is 0.
     #[error("the time-out of route `{route}` is 0")]
-    NoTimeout {
+    ZeroTimeout {
         /// The route.
         route: String,
     },
@@ -129,10 +129,10 @@
         /// The one that it has to be above.
         current: u64,
     },
-    /// `Base-Version` is missing.
+    /// `VersionMismatch-Version` is missing.
     #[error("the call has no `Base-Version`")]
     MissingBaseVersion,
-    /// `Base-Version` is not a whole number.
+    /// `VersionMismatch-Version` is not a whole number.
     #[error("`Base-Version` is not a whole number")]
     UnreadableBaseVersion,
     /// The path is not one of an order.
--- /dev/null
+++ b/decide/configuration/src/evaluation/tests.rs
@@ -0,0 +1,239 @@
+//! Tests of `evaluation`.
+
+use super::*;
+use crate::order::{REPLACE_PATH, UPDATE_PATH};
+use assert_matches::assert_matches;
+
+/// A configuration of one route, distinguished from others of its version by the time-out.
+fn configuration(version: u64, timeout_ms: u64) -> String {
+    format!(
+        r#"{{"version":{version},"routes":[{{"name":"r","host":"h","pathPrefix":"/a/","timeoutMs":{timeout_ms},"service":"s"}}],"services":[{{"name":"s"}}]}}"#
+    )
+}
+
+fn replace(base_version: u64, body: &str) -> Order {
+    Order {
+        path: REPLACE_PATH.to_owned(),
+        base_version,
+        body: body.as_bytes().to_vec(),
+    }
+}
+
+fn update(base_version: u64, body: &str) -> Order {
+    Order {
+        path: UPDATE_PATH.to_owned(),
+        base_version,
+        body: body.as_bytes().to_vec(),
+    }
+}
+
+/// Evaluates an order, applies its change, and returns the verdict.
+fn submit(state: &mut State, order: &Order) -> Verdict {
+    let verdict = evaluate(state, order);
+    if let Verdict::Change(change) = &verdict {
+        state
+            .apply(change)
+            .expect("a change that was just evaluated applies");
+    }
+    verdict
+}
+
+fn assert_accepted(state: &mut State, order: &Order) {
+    assert_matches!(submit(state, order), Verdict::Change(_));
+}
+
+/// A state in which version 5 is current.
+fn at_five() -> State {
+    let mut state = State::default();
+    assert_accepted(&mut state, &replace(0, &configuration(5, 10)));
+    state
+}
+
+#[test]
+fn a_repeat_is_taken_though_newer_ones_have_followed() {
+    let mut state = State::default();
+    let first = replace(0, &configuration(5, 10));
+    let second = update(
+        5,
+        "{\"version\":6,\"upserts\":{\"services\":[{\"name\":\"t\"}]}}",
+    );
+    assert_accepted(&mut state, &first);
+    assert_accepted(&mut state, &second);
+    for version in 7..300 {
+        assert_accepted(
+            &mut state,
+            &replace(version - 1, &configuration(version, version)),
+        );
+    }
+    let before = state.clone();
+    for order in [&first, &second] {
+        assert_eq!(submit(&mut state, order), Verdict::AlreadyApplied);
+    }
+    assert_eq!(state, before);
+}
+
+#[test]
+fn another_order_with_the_same_number_and_base_conflicts() {
+    let mut state = at_five();
+    let (one, other) = (
+        replace(5, &configuration(7, 10)),
+        replace(5, &configuration(7, 11)),
+    );
+    assert_accepted(&mut state, &one);
+    assert_eq!(
+        submit(&mut state, &other),
+        Verdict::VersionConflict { current: 7 }
+    );
+    assert_eq!(submit(&mut state, &one), Verdict::AlreadyApplied);
+    let spaced = replace(5, &format!("{} ", configuration(7, 10)));
+    assert_eq!(
+        submit(&mut state, &spaced),
+        Verdict::VersionConflict { current: 7 }
+    );
+}
+
+#[test]
+fn another_base_conflicts_whether_it_is_older_or_newer() {
+    let mut state = at_five();
+    assert_eq!(
+        submit(&mut state, &replace(0, &configuration(9, 1))),
+        Verdict::VersionConflict { current: 5 }
+    );
+    assert_eq!(
+        submit(&mut state, &update(8, "{\"version\":9}")),
+        Verdict::VersionConflict { current: 5 }
+    );
+    assert_eq!(
+        submit(&mut State::default(), &replace(3, &configuration(4, 1))),
+        Verdict::VersionConflict { current: 0 }
+    );
+}
+
+/// Bodies of every kind that operators are known to send by mistake, on top of version 5.
+fn bad_bodies() -> Vec<(&'static str, String)> {
+    let good = configuration(7, 10);
+    let second =
+        r#"},{"name":"q","host":"h","pathPrefix":"/a/","timeoutMs":9,"service":"s"}],"services""#;
+    let split = r#""trafficSplit":[{"service":"s","weight":0},{"service":"s","weight":0}]"#;
+    vec![
+        ("cut_short", good[..good.len() / 2].to_owned()),
+        (
+            "unknown_service",
+            good.replace("\"service\":\"s\"", "\"service\":\"nowhere\""),
+        ),
+        ("same_place", good.replace("}],\"services\"", second)),
+        ("no_weight", good.replace("\"service\":\"s\"", split)),
+        ("no_timeout", configuration(7, 0)),
+        ("old_version", configuration(4, 10)),
+        (
+            "same_version",
+            configuration(5, 10).replace("\"timeoutMs\":10", "\"timeoutMs\":11"),
+        ),
+    ]
+}
+
+#[test]
+fn bad_configurations_of_every_kind_are_invalid_and_change_nothing() {
+    let mut state = at_five();
+    let before = state.clone();
+    for (kind, body) in bad_bodies() {
+        let order = replace(5, &body);
+        assert_matches!(submit(&mut state, &order), Verdict::Invalid(_), "{kind}");
+        assert_matches!(validate(&order), Err(_), "{kind}");
+    }
+    assert_eq!(state, before);
+}
+
+#[test]
+fn bad_updates_of_every_kind_are_invalid_and_change_nothing() {
+    let mut state = at_five();
+    let before = state.clone();
+    let route = |fields: &str| {
+        format!("{{\"version\":7,\"upserts\":{{\"routes\":[{{\"name\":\"q\",\"host\":\"h\",{fields}}}]}}}}")
+    };
+    let bodies = [
+        ("cut_short", "{\"version\":7,\"upserts\":{".to_owned(), true),
+        (
+            "unknown_service",
+            route("\"pathPrefix\":\"/b/\",\"service\":\"nowhere\""),
+            false,
+        ),
+        (
+            "same_place",
+            route("\"pathPrefix\":\"/a/\",\"service\":\"s\""),
+            false,
+        ),
+        (
+            "no_weight",
+            route("\"pathPrefix\":\"/b/\",\"trafficSplit\":[{\"service\":\"s\",\"weight\":0}]"),
+            true,
+        ),
+        (
+            "no_timeout",
+            route("\"pathPrefix\":\"/b/\",\"service\":\"s\",\"timeoutMs\":0"),
+            true,
+        ),
+        ("old_version", "{\"version\":4}".to_owned(), true),
+        ("same_version", "{\"version\":5}".to_owned(), true),
+        (
+            "a service that is used",
+            "{\"version\":7,\"removals\":{\"services\":[\"s\"]}}".to_owned(),
+            false,
+        ),
+    ];
+    for (kind, body, alone) in bodies {
+        let order = update(5, &body);
+        assert_matches!(submit(&mut state, &order), Verdict::Invalid(_), "{kind}");
+        assert_eq!(validate(&order).is_err(), alone, "{kind}");
+    }
+    assert_eq!(state, before);
+}
+
+#[test]
+fn what_is_invalid_in_itself_is_so_whatever_the_base_and_never_taken_later() {
+    let mut state = at_five();
+    let order = replace(3, &configuration(4, 0));
+    assert_matches!(
+        submit(&mut state, &order),
+        Verdict::Invalid(ConfigurationError::ZeroTimeout { .. })
+    );
+    let order = replace(9, &configuration(9, 1));
+    let expected = ConfigurationError::VersionNotAbove {
+        version: 9,
+        current: 9,
+    };
+    assert_eq!(
+        submit(&mut state, &order),
+        Verdict::Invalid(expected.clone())
+    );
+    assert_eq!(validate(&order), Err(expected));
+}
+
+#[test]
+fn what_is_valid_in_itself_is_left_to_the_primary() {
+    for order in [
+        replace(5, &configuration(7, 10)),
+        update(5, "{\"version\":7,\"removals\":{\"services\":[\"s\"]}}"),
+    ] {
+        assert_eq!(validate(&order), Ok(()));
+    }
+}
+
+#[test]
+fn an_update_before_any_configuration_and_an_unknown_path_are_invalid() {
+    let mut state = State::default();
+    let first = update(0, "{\"version\":1}");
+    assert_eq!(
+        submit(&mut state, &first),
+        Verdict::Invalid(ConfigurationError::NothingToUpdate)
+    );
+    let elsewhere = Order {
+        path: "/configuration/other".to_owned(),
+        ..first
+    };
+    assert_eq!(
+        evaluate(&state, &elsewhere),
+        Verdict::Invalid(ConfigurationError::UnknownPath)
+    );
+    assert_eq!(validate(&elsewhere), Err(ConfigurationError::UnknownPath));
+}
--- a/decide/configuration/src/json.rs
+++ b/decide/configuration/src/json.rs
@@ -15,16 +15,16 @@
 pub const MAX_DEPTH: usize = 64;
 
 /// The text of a body that is whole JSON within the bounds, and its value.
-pub(crate) fn whole(body: &[u8]) -> Result<(&str, Value), ConfigurationError> {
+pub(crate) fn parse_complete(body: &[u8]) -> Result<(&str, Value), ConfigurationError> {
     if body.len() > MAX_DOCUMENT_BYTES {
         return Err(ConfigurationError::TooLarge {
             bytes: body.len(),
-            most: MAX_DOCUMENT_BYTES,
+            limit: MAX_DOCUMENT_BYTES,
         });
     }
     let text = std::str::from_utf8(body).map_err(|_| ConfigurationError::Unreadable)?;
-    if deeper_than(text.as_bytes(), MAX_DEPTH) {
-        return Err(ConfigurationError::TooDeep { most: MAX_DEPTH });
+    if is_nested_deeper_than(text.as_bytes(), MAX_DEPTH) {
+        return Err(ConfigurationError::TooDeep { limit: MAX_DEPTH });
     }
     Ok((text, value_of(text)?))
 }
@@ -41,7 +41,7 @@
 
 /// Whether brackets outside strings open deeper than this. Holds for texts that are not JSON as
 /// well.
-fn deeper_than(bytes: &[u8], most: usize) -> bool {
+fn is_nested_deeper_than(bytes: &[u8], limit: usize) -> bool {
     let (mut at, mut depth) = (0, 0_usize);
     while at < bytes.len() {
         match bytes[at] {
@@ -50,7 +50,7 @@
             b'}' | b']' => depth = depth.saturating_sub(1),
             _ => {}
         }
-        if depth > most {
+        if depth > limit {
             return true;
         }
         at += 1;
@@ -123,52 +123,52 @@
 }
 
 /// Past a byte, with space on both sides of it.
-fn past(bytes: &[u8], at: usize, wanted: u8) -> Option<usize> {
+fn skip_token(bytes: &[u8], at: usize, expected: u8) -> Option<usize> {
     let at = skip_space(bytes, at);
-    (*bytes.get(at)? == wanted).then(|| skip_space(bytes, at + 1))
+    (*bytes.get(at)? == expected).then(|| skip_space(bytes, at + 1))
 }
 
 /// The elements of an array as they came; nothing where the text is not an array.
-pub(crate) fn elements(text: &str) -> Option<Vec<&str>> {
+pub(crate) fn array_elements(text: &str) -> Option<Vec<&str>> {
     let bytes = text.as_bytes();
-    let mut at = past(bytes, 0, b'[')?;
+    let mut at = skip_token(bytes, 0, b'[')?;
     let mut found = Vec::new();
     while *bytes.get(at)? != b']' {
         let end = value_end(bytes, at)?;
         found.push(text.get(at..end)?);
         at = skip_space(bytes, end);
-        at = past(bytes, at, b',').unwrap_or(at);
+        at = skip_token(bytes, at, b',').unwrap_or(at);
     }
     Some(found)
 }
 
 /// The fields of an object as they came, by their names; nothing where the text is not an object.
-pub(crate) fn fields(text: &str) -> Option<Vec<(String, &str)>> {
+pub(crate) fn object_fields(text: &str) -> Option<Vec<(String, &str)>> {
     let bytes = text.as_bytes();
-    let mut at = past(bytes, 0, b'{')?;
+    let mut at = skip_token(bytes, 0, b'{')?;
     let mut found = Vec::new();
     while *bytes.get(at)? != b'}' {
         let name_end = value_end(bytes, at)?;
         let name: String = from_str(text.get(at..name_end)?).ok()?;
-        at = past(bytes, name_end, b':')?;
+        at = skip_token(bytes, name_end, b':')?;
         let end = value_end(bytes, at)?;
         found.push((name, text.get(at..end)?));
         at = skip_space(bytes, end);
-        at = past(bytes, at, b',').unwrap_or(at);
+        at = skip_token(bytes, at, b',').unwrap_or(at);
     }
     Some(found)
 }
 
 /// The fields of an object as they came; an error where it is none, or gives one twice.
 pub(crate) fn distinct_fields<'a>(
-    place: &str,
+    location: &str,
     text: &'a str,
 ) -> Result<Vec<(String, &'a str)>, ConfigurationError> {
-    let found = fields(text).ok_or_else(|| wrong(place, "", "an object"))?;
+    let found = object_fields(text).ok_or_else(|| wrong_type(location, "", "an object"))?;
     let mut seen = HashSet::with_capacity(found.len());
     match found.iter().find(|(name, _)| !seen.insert(name)) {
         Some((name, _)) => Err(ConfigurationError::DuplicateField {
-            place: shown(place),
+            location: shown(location),
             field: shown(name),
         }),
         None => Ok(found),
@@ -176,27 +176,34 @@
 }
 
 /// The error for a field of another type.
-pub(crate) fn wrong(place: &str, field: &str, wanted: &'static str) -> ConfigurationError {
+pub(crate) fn wrong_type(
+    location: &str,
+    field: &str,
+    expected: &'static str,
+) -> ConfigurationError {
     ConfigurationError::WrongType {
-        place: shown(place),
+        location: shown(location),
         field: shown(field),
-        wanted,
+        expected,
     }
 }
 
 /// The fields of an object by type. `null` stands for a field that is not there.
 pub(crate) struct Fields<'a> {
     /// What the object is, for errors.
-    place: String,
+    location: String,
     object: &'a Object,
 }
 
 impl<'a> Fields<'a> {
     /// Of an object that stands at a place; an error where it is none.
-    pub(crate) fn new(place: String, value: &'a Value) -> Result<Fields<'a>, ConfigurationError> {
+    pub(crate) fn new(
+        location: String,
+        value: &'a Value,
+    ) -> Result<Fields<'a>, ConfigurationError> {
         match value {
-            Value::Object(object) => Ok(Fields { place, object }),
-            _ => Err(wrong(&place, "", "an object")),
+            Value::Object(object) => Ok(Fields { location, object }),
+            _ => Err(wrong_type(&location, "", "an object")),
         }
     }
 
@@ -212,12 +219,12 @@
         match self.get(field) {
             None => Ok(None),
             Some(Value::String(text)) => Ok(Some(text)),
-            Some(_) => Err(wrong(&self.place, field, "a text")),
+            Some(_) => Err(wrong_type(&self.location, field, "a text")),
         }
     }
 
     /// A text that is not empty.
-    pub(crate) fn needed_text(&self, field: &str) -> Result<&'a str, ConfigurationError> {
+    pub(crate) fn required_text(&self, field: &str) -> Result<&'a str, ConfigurationError> {
         self.text(field)?
             .filter(|text| !text.is_empty())
             .ok_or_else(|| self.missing(field))
@@ -228,7 +235,7 @@
         match self.get(field) {
             None => Ok(false),
             Some(Value::Bool(flag)) => Ok(*flag),
-            Some(_) => Err(wrong(&self.place, field, "true or false")),
+            Some(_) => Err(wrong_type(&self.location, field, "true or false")),
         }
     }
 
@@ -238,12 +245,12 @@
             None => Ok(None),
             Some(Value::Number(Number::U64(n))) => Ok(Some(*n)),
             Some(Value::Number(Number::F64(x))) if *x >= 0.0 => Ok(Some(x.ceil() as u64)),
-            Some(_) => Err(wrong(&self.place, field, "a number of 0 or more")),
+            Some(_) => Err(wrong_type(&self.location, field, "a number of 0 or more")),
         }
     }
 
     /// A number of 0 or more that is held in 32 bits; larger ones become the largest.
-    pub(crate) fn small_count(&self, field: &str) -> Result<Option<u32>, ConfigurationError> {
+    pub(crate) fn count_u32(&self, field: &str) -> Result<Option<u32>, ConfigurationError> {
         Ok(self
             .count(field)?
             .map(|n| u32::try_from(n).unwrap_or(u32::MAX)))
@@ -256,7 +263,7 @@
             Some(Value::Number(Number::U64(n))) => Ok(Some(*n as f64)),
             Some(Value::Number(Number::I64(n))) => Ok(Some(*n as f64)),
             Some(Value::Number(Number::F64(x))) => Ok(Some(*x)),
-            Some(_) => Err(wrong(&self.place, field, "a number")),
+            Some(_) => Err(wrong_type(&self.location, field, "a number")),
         }
     }
 
@@ -265,14 +272,14 @@
         match self.get(field) {
             None => Ok(None),
             Some(Value::Array(list)) => Ok(Some(list)),
-            Some(_) => Err(wrong(&self.place, field, "a list")),
+            Some(_) => Err(wrong_type(&self.location, field, "a list")),
         }
     }
 
     /// The error for a field that is not there.
     pub(crate) fn missing(&self, field: &str) -> ConfigurationError {
         ConfigurationError::MissingField {
-            place: shown(&self.place),
+            location: shown(&self.location),
             field: shown(field),
         }
     }
@@ -283,7 +290,7 @@
     match fields.get("version") {
         None => Err(fields.missing("version")),
         Some(Value::Number(Number::U64(version))) => Ok(*version),
-        Some(_) => Err(wrong(&fields.place, "version", "a whole number")),
+        Some(_) => Err(wrong_type(&fields.location, "version", "a whole number")),
     }
 }
 
--- a/decide/configuration/src/json/tests.rs
+++ b/decide/configuration/src/json/tests.rs
@@ -10,20 +10,20 @@
 fn the_parts_of_a_text_are_cut_out_as_they_came() {
     let text =
         "\n{ \"a\" : [ 1.50 , {\"b\":\"]},\\\"\"} , [] ] ,\"c\\u0041\":260000.0,\"d\":null , \"e\": \"x\"}\t";
-    let found = fields(text).expect("an object");
-    let wanted = [
+    let found = object_fields(text).expect("an object");
+    let expected = [
         ("a", "[ 1.50 , {\"b\":\"]},\\\"\"} , [] ]"),
         ("cA", "260000.0"),
         ("d", "null"),
         ("e", "\"x\""),
     ];
-    assert_eq!(found, wanted.map(|(name, text)| (name.to_owned(), text)));
+    assert_eq!(found, expected.map(|(name, text)| (name.to_owned(), text)));
     assert_eq!(
-        elements(found[0].1),
+        array_elements(found[0].1),
         Some(vec!["1.50", "{\"b\":\"]},\\\"\"}", "[]"])
     );
-    assert_eq!(elements("[]"), Some(Vec::new()));
-    assert_eq!(fields("{ }"), Some(Vec::new()));
+    assert_eq!(array_elements("[]"), Some(Vec::new()));
+    assert_eq!(object_fields("{ }"), Some(Vec::new()));
 }
 
 #[test]
@@ -31,36 +31,36 @@
     for text in [
         "", "1", "\"{\"", "null", "[", "{", "{\"a\"", "{\"a\":", "[1", "[\"a",
     ] {
-        assert_eq!(fields(text), None, "{text}");
+        assert_eq!(object_fields(text), None, "{text}");
     }
     for text in ["", "{}", "7", "[", "[1", "[\"a", "[[1]"] {
-        assert_eq!(elements(text), None, "{text}");
+        assert_eq!(array_elements(text), None, "{text}");
     }
 }
 
 #[test]
 fn nesting_is_counted_outside_strings_and_bounded() {
     let nested = |depth: usize| format!("{}{}", "[".repeat(depth), "]".repeat(depth));
-    assert!(whole(nested(MAX_DEPTH).as_bytes()).is_ok());
+    assert!(parse_complete(nested(MAX_DEPTH).as_bytes()).is_ok());
     assert_eq!(
-        whole(nested(MAX_DEPTH + 1).as_bytes()).unwrap_err(),
-        ConfigurationError::TooDeep { most: MAX_DEPTH }
+        parse_complete(nested(MAX_DEPTH + 1).as_bytes()).unwrap_err(),
+        ConfigurationError::TooDeep { limit: MAX_DEPTH }
     );
-    assert!(whole(format!("\"{}\"", "[".repeat(1_000)).as_bytes()).is_ok());
+    assert!(parse_complete(format!("\"{}\"", "[".repeat(1_000)).as_bytes()).is_ok());
     let open = "[{\"a\":".repeat(1_000_000);
     assert_eq!(
-        whole(open.as_bytes()).unwrap_err(),
-        ConfigurationError::TooDeep { most: MAX_DEPTH }
+        parse_complete(open.as_bytes()).unwrap_err(),
+        ConfigurationError::TooDeep { limit: MAX_DEPTH }
     );
 }
 
 #[test]
 fn what_is_too_long_or_not_utf_8_or_cut_short_is_refused() {
     let long = vec![b' '; MAX_DOCUMENT_BYTES + 1];
-    let (bytes, most) = (MAX_DOCUMENT_BYTES + 1, MAX_DOCUMENT_BYTES);
+    let (bytes, limit) = (MAX_DOCUMENT_BYTES + 1, MAX_DOCUMENT_BYTES);
     assert_eq!(
-        whole(&long).unwrap_err(),
-        ConfigurationError::TooLarge { bytes, most }
+        parse_complete(&long).unwrap_err(),
+        ConfigurationError::TooLarge { bytes, limit }
     );
     for body in [
         &b"\xff{}"[..],
@@ -73,7 +73,7 @@
         b"\"a",
     ] {
         assert_eq!(
-            whole(body).unwrap_err(),
+            parse_complete(body).unwrap_err(),
             ConfigurationError::Unreadable,
             "{body:?}"
         );
@@ -83,8 +83,11 @@
 #[test]
 fn a_field_that_is_given_twice_is_named() {
     let error = distinct_fields("the thing", "{\"a\":1,\"b\":2,\"\\u0061\":3}").unwrap_err();
-    let (place, field) = ("the thing".to_owned(), "a".to_owned());
-    assert_eq!(error, ConfigurationError::DuplicateField { place, field });
+    let (location, field) = ("the thing".to_owned(), "a".to_owned());
+    assert_eq!(
+        error,
+        ConfigurationError::DuplicateField { location, field }
+    );
 }
 
 /// Texts of the signs that JSON is made of, so that many of them nearly are JSON.
@@ -102,8 +105,8 @@
 fn cutting_never_panics_and_agrees_with_the_parser_on_whole_texts() {
     fn holds(picks: Vec<u8>) -> bool {
         let text = nearly_json(&picks);
-        let (object, array) = (fields(&text), elements(&text));
-        match whole(text.as_bytes()) {
+        let (object, array) = (object_fields(&text), array_elements(&text));
+        match parse_complete(text.as_bytes()) {
             Ok((_, Value::Array(list))) => array.is_some_and(|parts| parts.len() == list.len()),
             Ok((_, Value::Object(found))) => {
                 object.is_some_and(|parts| parts.iter().all(|(name, _)| found.contains_key(name)))
--- a/decide/configuration/src/limits.rs
+++ b/decide/configuration/src/limits.rs
@@ -31,7 +31,7 @@
 
 impl Limits {
     /// Of the object under `limits`.
-    pub(crate) fn read(value: &Value) -> Result<Limits, ConfigurationError> {
+    pub(crate) fn parse(value: &Value) -> Result<Limits, ConfigurationError> {
         let fields = Fields::new("limits".to_owned(), value)?;
         let usual = Limits::default();
         Ok(Limits {
--- a/decide/configuration/src/route.rs
+++ b/decide/configuration/src/route.rs
@@ -1,11 +1,12 @@
 //! A route: which requests it takes, how they may be treated, and which services they go to.
 
 use crate::error::{shown, ConfigurationError};
-use crate::json::{wrong, Fields};
+use crate::json::{wrong_type, Fields};
 use miniserde::json::Value;
+use std::collections::HashMap;
 
 /// How long a request may be held where the operator gives no time-out (milliseconds).
-const USUAL_TIMEOUT_MS: u64 = 60_000;
+const DEFAULT_TIMEOUT_MS: u64 = 60_000;
 
 /// What may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -21,7 +22,7 @@
 }
 
 impl RouteKind {
-    fn read(word: Option<&str>) -> RouteKind {
+    fn parse(word: Option<&str>) -> RouteKind {
         match word {
             Some("safe") => RouteKind::Safe,
             Some("unsafe") => RouteKind::Unsafe,
@@ -32,7 +33,7 @@
 
     /// Whether requests of this kind may run more than once, whatever else the route says.
     #[must_use]
-    pub fn repeatable(self) -> bool {
+    pub fn is_idempotent(self) -> bool {
         self == RouteKind::Safe
     }
 }
@@ -76,28 +77,28 @@
     pub stream_resume: bool,
     /// The longest pause between events that keeps an answer in time (milliseconds), where that is
     /// told.
-    pub gap_aim_ms: Option<u64>,
+    pub event_gap_target_ms: Option<u64>,
 }
 
 impl Route {
     /// Of an item of `routes`.
-    pub(crate) fn read(name: &str, value: &Value) -> Result<Route, ConfigurationError> {
+    pub(crate) fn parse(name: &str, value: &Value) -> Result<Route, ConfigurationError> {
         let fields = Fields::new(format!("route `{name}`"), value)?;
-        let timeout_ms = fields.count("timeoutMs")?.unwrap_or(USUAL_TIMEOUT_MS);
+        let timeout_ms = fields.count("timeoutMs")?.unwrap_or(DEFAULT_TIMEOUT_MS);
         let route = Route {
             name: name.to_owned(),
-            host: fields.needed_text("host")?.to_ascii_lowercase(),
-            path_prefix: fields.needed_text("pathPrefix")?.to_owned(),
-            kind: RouteKind::read(fields.text("kind")?),
+            host: fields.required_text("host")?.to_ascii_lowercase(),
+            path_prefix: fields.required_text("pathPrefix")?.to_owned(),
+            kind: RouteKind::parse(fields.text("kind")?),
             timeout_ms,
             target_latency_ms: fields.count("targetLatencyMs")?.unwrap_or(timeout_ms),
-            priority: fields.small_count("priority")?.unwrap_or(0),
+            priority: fields.count_u32("priority")?.unwrap_or(0),
             targets: targets(name, &fields)?,
-            max_attempts: fields.small_count("maxAttempts")?.unwrap_or(1).max(1),
+            max_attempts: fields.count_u32("maxAttempts")?.unwrap_or(1).max(1),
             public_access: matches!(fields.get("publicAccess"), Some(Value::Bool(true))),
             session_affinity: fields.flag("sessionAffinity")?,
             stream_resume: fields.flag("streamResume")?,
-            gap_aim_ms: fields.count("gap_aim_ms")?,
+            event_gap_target_ms: fields.count("gap_aim_ms")?,
         };
         route.check()?;
         Ok(route)
@@ -107,16 +108,16 @@
     fn check(&self) -> Result<(), ConfigurationError> {
         let route = || shown(&self.name);
         if !self.path_prefix.starts_with('/') || !self.path_prefix.ends_with('/') {
-            return Err(ConfigurationError::Prefix { route: route() });
+            return Err(ConfigurationError::InvalidPrefix { route: route() });
         }
         if self.timeout_ms == 0 {
-            return Err(ConfigurationError::NoTimeout { route: route() });
+            return Err(ConfigurationError::ZeroTimeout { route: route() });
         }
         if self.targets.iter().any(|target| target.weight < 0.0) {
             return Err(ConfigurationError::NegativeWeight { route: route() });
         }
         if self.total_weight() <= 0.0 {
-            return Err(ConfigurationError::NoWeight { route: route() });
+            return Err(ConfigurationError::ZeroWeight { route: route() });
         }
         Ok(())
     }
@@ -127,14 +128,14 @@
 
     /// Whether a request may run more than once: a safe one, or a stream that may be resumed.
     #[must_use]
-    pub fn idempotent(&self) -> bool {
-        self.kind.repeatable() || (self.kind == RouteKind::Streaming && self.stream_resume)
+    pub fn is_idempotent(&self) -> bool {
+        self.kind.is_idempotent() || (self.kind == RouteKind::Streaming && self.stream_resume)
     }
 
     /// The service of one request, drawn by weight with a number that is even over all of its
     /// range. A service without weight is never drawn.
     #[must_use]
-    pub fn draw(&self, random: u64) -> &str {
+    pub fn pick_service(&self, random: u64) -> &str {
         let share = (random >> 11) as f64 / (1_u64 << 53) as f64;
         let mut left = share * self.total_weight();
         let weighted = self.targets.iter().filter(|target| target.weight > 0.0);
@@ -176,17 +177,30 @@
         .number("weight")?
         .ok_or_else(|| fields.missing("weight"))?;
     if !weight.is_finite() {
-        return Err(wrong(
+        return Err(wrong_type(
             &format!("trafficSplit of route `{route}`"),
             "weight",
             "a finite number",
         ));
     }
     Ok(WeightedService {
-        service: fields.needed_text("service")?.to_owned(),
+        service: fields.required_text("service")?.to_owned(),
         weight,
     })
 }
 
+/// Checks that no two routes have the same host and prefix.
+pub(crate) fn check_distinct_prefixes(routes: &[Route]) -> Result<(), ConfigurationError> {
+    let mut names_by_prefix = HashMap::with_capacity(routes.len());
+    for route in routes {
+        if let Some(first) = names_by_prefix.insert((&route.host, &route.path_prefix), &route.name)
+        {
+            let (first, second) = (shown(first), shown(&route.name));
+            return Err(ConfigurationError::DuplicatePrefix { first, second });
+        }
+    }
+    Ok(())
+}
+
 #[cfg(test)]
 mod tests;
--- a/decide/configuration/src/route/tests.rs
+++ b/decide/configuration/src/route/tests.rs
@@ -7,7 +7,7 @@
 /// A route with these fields beside its host and prefix.
 fn read(fields: &str) -> Result<Route, ConfigurationError> {
     let text = format!("{{\"name\":\"r\",\"host\":\"A.example\",\"pathPrefix\":\"/p/\"{fields}}}");
-    Route::read("r", &value_of(&text).expect("JSON"))
+    Route::parse("r", &value_of(&text).expect("JSON"))
 }
 
 fn split(parts: &[(&str, f64)]) -> String {
@@ -31,19 +31,19 @@
     );
     assert_eq!(route.targets, [target]);
     assert_eq!(route.target_latency_ms, route.timeout_ms);
-    assert!(!route.idempotent() && route.gap_aim_ms.is_none());
+    assert!(!route.is_idempotent() && route.event_gap_target_ms.is_none());
 }
 
 #[test]
 fn kinds_tell_what_may_be_repeated() {
     let kind = |fields: &str| read(&format!(",\"service\":\"s\",{fields}")).expect("valid");
-    assert!(kind("\"kind\":\"safe\"").idempotent());
-    assert!(!kind("\"kind\":\"unsafe\",\"streamResume\":true").idempotent());
-    assert!(!kind("\"kind\":\"streaming\"").idempotent());
-    assert!(kind("\"kind\":\"streaming\",\"streamResume\":true").idempotent());
+    assert!(kind("\"kind\":\"safe\"").is_idempotent());
+    assert!(!kind("\"kind\":\"unsafe\",\"streamResume\":true").is_idempotent());
+    assert!(!kind("\"kind\":\"streaming\"").is_idempotent());
+    assert!(kind("\"kind\":\"streaming\",\"streamResume\":true").is_idempotent());
     let keyed = kind("\"kind\":\"keyed\"");
     assert_eq!(
-        (keyed.kind, keyed.idempotent()),
+        (keyed.kind, keyed.is_idempotent()),
         (RouteKind::Unknown, false)
     );
 }
@@ -53,7 +53,7 @@
     let route = read(",\"service\":\"s\",\"timeoutMs\":3000.0,\"priority\":2,\"gap_aim_ms\":0.25")
         .expect("valid");
     assert_eq!(
-        (route.timeout_ms, route.priority, route.gap_aim_ms),
+        (route.timeout_ms, route.priority, route.event_gap_target_ms),
         (3_000, 2, Some(1))
     );
 }
@@ -64,27 +64,27 @@
     let cases = [
         (
             read(",\"service\":\"s\",\"timeoutMs\":0"),
-            ConfigurationError::NoTimeout { route: name() },
+            ConfigurationError::ZeroTimeout { route: name() },
         ),
         (
             read(",\"service\":\"s\",\"timeoutMs\":0.0"),
-            ConfigurationError::NoTimeout { route: name() },
+            ConfigurationError::ZeroTimeout { route: name() },
         ),
         (
             read(&split(&[("s", 0.0), ("t", 0.0)])),
-            ConfigurationError::NoWeight { route: name() },
+            ConfigurationError::ZeroWeight { route: name() },
         ),
         (
             read(&split(&[])),
-            ConfigurationError::NoWeight { route: name() },
+            ConfigurationError::ZeroWeight { route: name() },
         ),
         (
             read(&split(&[("s", 5.0), ("t", -1.0)])),
             ConfigurationError::NegativeWeight { route: name() },
         ),
     ];
-    for (outcome, wanted) in cases {
-        assert_eq!(outcome, Err(wanted));
+    for (outcome, expected) in cases {
+        assert_eq!(outcome, Err(expected));
     }
     for fields in [
         ",\"service\":7",
@@ -108,13 +108,13 @@
 fn a_prefix_begins_and_ends_with_a_slash() {
     let read = |prefix: &str| {
         let text = format!("{{\"host\":\"h\",\"pathPrefix\":\"{prefix}\",\"service\":\"s\"}}");
-        Route::read("r", &value_of(&text).expect("JSON"))
+        Route::parse("r", &value_of(&text).expect("JSON"))
     };
     assert!(read("/").is_ok() && read("/a/b/").is_ok());
     for prefix in ["a/", "/a", "a"] {
         assert_eq!(
             read(prefix),
-            Err(ConfigurationError::Prefix {
+            Err(ConfigurationError::InvalidPrefix {
                 route: "r".to_owned()
             })
         );
@@ -133,16 +133,19 @@
     .expect("valid");
     let draws = 1_000_u64;
     let step = u64::MAX / draws;
-    let drawn: Vec<&str> = (0..draws).map(|n| route.draw(n * step)).collect();
+    let drawn: Vec<&str> = (0..draws).map(|n| route.pick_service(n * step)).collect();
     let times = |service: &str| drawn.iter().filter(|drawn| **drawn == service).count();
     assert_eq!((times("none"), times("last")), (0, 0));
     assert!((899..=901).contains(&times("most")), "{}", times("most"));
     assert_eq!(times("most") + times("few"), 1_000);
-    assert_eq!((route.draw(0), route.draw(u64::MAX)), ("most", "few"));
+    assert_eq!(
+        (route.pick_service(0), route.pick_service(u64::MAX)),
+        ("most", "few")
+    );
 }
 
 #[test]
 fn a_service_without_weight_is_not_drawn_where_the_sum_of_weights_was_rounded() {
     let route = read(&split(&[("a", 0.1), ("b", 0.2), ("c", 0.3), ("none", 0.0)])).expect("valid");
-    assert_eq!(route.draw(u64::MAX), "c");
+    assert_eq!(route.pick_service(u64::MAX), "c");
 }
--- a/decide/configuration/src/routes.rs
+++ b/decide/configuration/src/routes.rs
@@ -29,18 +29,18 @@
     #[must_use]
     pub fn new(document: Arc<Document>) -> Routes {
         let mut hosts: HashMap<String, Prefixes> = HashMap::new();
-        for (place, route) in document.routes().iter().enumerate() {
+        for (location, route) in document.routes().iter().enumerate() {
             hosts
                 .entry(route.host.clone())
                 .or_default()
-                .add(&route.path_prefix, place);
+                .add(&route.path_prefix, location);
         }
         hosts
             .values_mut()
             .for_each(|prefixes| prefixes.sorted.sort());
         let services = document.services().iter().enumerate();
         let services = services
-            .map(|(place, service)| (service.name.clone(), place))
+            .map(|(location, service)| (service.name.clone(), location))
             .collect();
         Routes {
             hosts,
@@ -60,8 +60,8 @@
     /// route has the host with that port, the port is left out. A query does not count.
     #[must_use]
     pub fn lookup(&self, host: &str, path: &str) -> Option<&Route> {
-        let place = self.prefixes(host)?.longest_of(path)?;
-        self.document.routes().get(place)
+        let location = self.prefixes(host)?.longest_of(path)?;
+        self.document.routes().get(location)
     }
 
     fn prefixes(&self, host: &str) -> Option<&Prefixes> {
@@ -79,8 +79,8 @@
 }
 
 impl Prefixes {
-    fn add(&mut self, prefix: &str, place: usize) {
-        self.sorted.push((prefix.to_owned(), place));
+    fn add(&mut self, prefix: &str, location: usize) {
+        self.sorted.push((prefix.to_owned(), location));
         self.longest = self.longest.max(prefix.len());
     }
 
@@ -117,8 +117,8 @@
 /// The host before its port; nothing where there is no port.
 fn without_port(host: &str) -> Option<&str> {
     let (name, port) = host.rsplit_once(':')?;
-    let whole = !name.contains(':') || name.ends_with(']');
-    (whole && port.bytes().all(|byte| byte.is_ascii_digit())).then_some(name)
+    let parse_complete = !name.contains(':') || name.ends_with(']');
+    (parse_complete && port.bytes().all(|byte| byte.is_ascii_digit())).then_some(name)
 }
 
 #[cfg(test)]
--- a/decide/configuration/src/service.rs
+++ b/decide/configuration/src/service.rs
@@ -5,7 +5,7 @@
 use miniserde::json::Value;
 
 /// Path of the health check where the operator names none.
-const USUAL_HEALTH_CHECK: &str = "/health";
+const DEFAULT_HEALTH_CHECK_PATH: &str = "/health";
 
 /// A service of model servers.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -30,7 +30,7 @@
 
 impl Service {
     /// Of an item of `services`.
-    pub(crate) fn read(name: &str, value: &Value) -> Result<Service, ConfigurationError> {
+    pub(crate) fn parse(name: &str, value: &Value) -> Result<Service, ConfigurationError> {
         let fields = Fields::new(format!("service `{name}`"), value)?;
         let engine = fields.get("engine");
         let engine = engine
@@ -42,11 +42,10 @@
             .filter(|path| !path.is_empty());
         Ok(Service {
             name: name.to_owned(),
-            health_check_path: path.unwrap_or(USUAL_HEALTH_CHECK).to_owned(),
-            max_connections: fields.small_count("maxConnections")?,
+            health_check_path: path.unwrap_or(DEFAULT_HEALTH_CHECK_PATH).to_owned(),
+            max_connections: fields.count_u32("maxConnections")?,
             tls_enabled: fields.flag("tlsEnabled")?,
-            capacity_slots: engine
-                .map_or(Ok(None), |engine| engine.small_count("capacitySlots"))?,
+            capacity_slots: engine.map_or(Ok(None), |engine| engine.count_u32("capacitySlots"))?,
             kv_token_capacity: engine.map_or(Ok(None), |engine| engine.count("kvTokenCapacity"))?,
             kv_token_bytes: engine.map_or(Ok(None), |engine| engine.count("kvTokenBytes"))?,
             models: engine.map_or(Ok(Vec::new()), models)?,
--- a/decide/configuration/src/state.rs
+++ b/decide/configuration/src/state.rs
@@ -1,44 +1,45 @@
-//! What the control machines replicate: the configuration, and the digests of all orders that were
-//! taken.
+//! The state that the control machines replicate: the configuration, and the digests of the orders
+//! that were applied.
 
 use crate::document::Document;
 use crate::error::ConfigurationError;
 use crate::json::MAX_DOCUMENT_BYTES;
-use crate::order::{Checked, OrderDigest, OrderKind};
+use crate::order::{OrderDigest, OrderKind};
+use crate::validated_order::ValidatedOrder;
 use std::collections::VecDeque;
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Most digests that are kept; the oldest go first. Three long days of 7,000 changes.
+/// Most digests in the history; the oldest are dropped first. Three long days of 7,000 changes.
 pub const MAX_HISTORY: usize = 20_000;
 
 /// First byte of every encoded state and change.
 const FORMAT: u8 = 1;
 
-/// Why bytes are no state, or a change can't be applied.
+/// Why a state can't be decoded, or a change not be applied.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StateError {
-    /// Written in a format that is not known here.
+    /// The bytes have an unknown format.
     #[error("format {0} is not known; this program writes format {FORMAT}")]
-    Format(u8),
+    UnknownFormat(u8),
     /// The bytes end too early.
     #[error("the bytes end too early")]
-    Short,
-    /// Bytes are left over.
+    Truncated,
+    /// Bytes follow the end of the state.
     #[error("{0} bytes are left over")]
-    LeftOver(usize),
-    /// A mark has a value that is not known.
+    TrailingBytes(usize),
+    /// A change has an unknown code of its kind.
     #[error("mark {0} is not known")]
-    Mark(u8),
-    /// More digests than are ever kept.
+    UnknownKind(u8),
+    /// More digests than the history ever has.
     #[error("{0} digests are more than {MAX_HISTORY}")]
-    History(usize),
+    HistoryTooLong(usize),
     /// The configuration, or the order of a change, is invalid.
     #[error("the configuration is invalid: {0}")]
-    Configuration(#[from] ConfigurationError),
+    InvalidConfiguration(#[from] ConfigurationError),
     /// A change builds on another version.
     #[error("the change builds on version {base}, and {current} is current")]
-    Base {
+    VersionMismatch {
         /// Version that it builds on.
         base: u64,
         /// The current one.
@@ -50,7 +51,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct State {
     document: Option<Arc<Document>>,
-    /// Digests of the orders that were taken, the oldest first.
+    /// Digests of the orders that were applied, the oldest first.
     history: VecDeque<OrderDigest>,
 }
 
@@ -61,7 +62,7 @@
         self.document.as_deref()
     }
 
-    /// The configuration, to be shared.
+    /// The configuration, shared.
     #[must_use]
     pub fn shared_document(&self) -> Option<Arc<Document>> {
         self.document.clone()
@@ -73,62 +74,62 @@
         self.document().map_or(0, Document::version)
     }
 
-    /// Whether exactly this order has been taken.
+    /// Whether exactly this order has been applied.
     #[must_use]
-    pub fn taken(&self, digest: &OrderDigest) -> bool {
-        // The newest first: a repeat follows its order closely. All of them are 320 KB, which takes
-        // some microseconds.
-        self.history.iter().rev().any(|taken| taken == digest)
+    pub fn has_applied(&self, digest: &OrderDigest) -> bool {
+        // The newest first: a repetition follows its order closely. All of them are 320 KB, which
+        // takes some microseconds.
+        self.history.iter().rev().any(|applied| applied == digest)
     }
 
-    /// Digests that are kept.
+    /// Number of digests in the history.
     #[must_use]
     pub fn history_len(&self) -> usize {
         self.history.len()
     }
 
-    /// The change that an order makes: the order as it came, since that is small and gives the same
-    /// outcome everywhere.
+    /// Encodes the change of an order: the order as it was received, since that is small and has the
+    /// same result everywhere.
     pub(crate) fn change(kind: OrderKind, base_version: u64, body: &[u8]) -> Vec<u8> {
         let mut out = Vec::with_capacity(10 + body.len());
         out.push(FORMAT);
-        out.push(mark_of(kind));
+        out.push(code_of(kind));
         out.extend_from_slice(&base_version.to_le_bytes());
         out.extend_from_slice(body);
         out
     }
 
-    /// Applies a change of [`judge`](crate::judge). The same changes in the same order give the
-    /// same state everywhere.
+    /// Applies a change of [`evaluate`](crate::evaluate). The same changes in the same order result
+    /// in the same state everywhere.
     ///
     /// # Errors
-    /// It does not fit; the state is as it was.
+    /// The change doesn't fit the state, which is then unchanged.
     pub fn apply(&mut self, change: &[u8]) -> Result<(), StateError> {
-        let mut reader = Reader { bytes: change };
+        let mut reader = ByteReader { bytes: change };
         reader.format()?;
-        let kind = kind_of(reader.byte()?)?;
+        let kind = kind_of_code(reader.byte()?)?;
         let base = reader.number()?;
         let body = reader.bytes;
         if base != self.version() {
-            return Err(StateError::Base {
+            return Err(StateError::VersionMismatch {
                 base,
                 current: self.version(),
             });
         }
-        let document = Checked::read(kind, base, body)?.outcome(self.document())?;
+        let document = ValidatedOrder::parse(kind, base, body)?.apply_to(self.document())?;
         self.document = Some(Arc::new(document));
-        self.remember(OrderDigest::of(kind.path(), base, body));
+        self.record(OrderDigest::of(kind.path(), base, body));
         Ok(())
     }
 
-    fn remember(&mut self, digest: OrderDigest) {
+    fn record(&mut self, digest: OrderDigest) {
         if self.history.len() >= MAX_HISTORY {
             self.history.pop_front();
         }
         self.history.push_back(digest);
     }
 
-    /// The whole state: format, length of the configuration (0 where there is none), the
+    /// Encodes the state: format, length of the configuration (0 where there is none), the
     /// configuration, number of digests, digests.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
@@ -145,23 +146,23 @@
         out
     }
 
-    /// Reads what [`State::encode`] wrote.
+    /// Decodes what [`State::encode`] returned.
     ///
     /// # Errors
     /// The bytes are no such state.
     pub fn decode(bytes: &[u8]) -> Result<State, StateError> {
-        let mut reader = Reader { bytes };
+        let mut reader = ByteReader { bytes };
         reader.format()?;
-        let document = read_document(&mut reader)?;
-        let history = read_history(&mut reader)?;
+        let document = decode_document(&mut reader)?;
+        let history = decode_history(&mut reader)?;
         match reader.bytes.len() {
             0 => Ok(State { document, history }),
-            left => Err(StateError::LeftOver(left)),
+            count => Err(StateError::TrailingBytes(count)),
         }
     }
 }
 
-fn read_document(reader: &mut Reader<'_>) -> Result<Option<Arc<Document>>, StateError> {
+fn decode_document(reader: &mut ByteReader<'_>) -> Result<Option<Arc<Document>>, StateError> {
     let length = reader.length()?;
     debug_assert!(
         MAX_DOCUMENT_BYTES < u32::MAX as usize,
@@ -173,10 +174,10 @@
     }
 }
 
-fn read_history(reader: &mut Reader<'_>) -> Result<VecDeque<OrderDigest>, StateError> {
+fn decode_history(reader: &mut ByteReader<'_>) -> Result<VecDeque<OrderDigest>, StateError> {
     let count = reader.length()?;
     if count > MAX_HISTORY {
-        return Err(StateError::History(count));
+        return Err(StateError::HistoryTooLong(count));
     }
     let bytes = reader.take(count * OrderDigest::BYTES)?;
     let digests = bytes.chunks_exact(OrderDigest::BYTES);
@@ -186,38 +187,38 @@
         .collect())
 }
 
-fn mark_of(kind: OrderKind) -> u8 {
+fn code_of(kind: OrderKind) -> u8 {
     match kind {
         OrderKind::Replace => 1,
         OrderKind::Update => 2,
     }
 }
 
-fn kind_of(mark: u8) -> Result<OrderKind, StateError> {
-    match mark {
+fn kind_of_code(code: u8) -> Result<OrderKind, StateError> {
+    match code {
         1 => Ok(OrderKind::Replace),
         2 => Ok(OrderKind::Update),
-        _ => Err(StateError::Mark(mark)),
+        _ => Err(StateError::UnknownKind(code)),
     }
 }
 
-/// Takes encoded bytes apart.
-struct Reader<'a> {
+/// Reads encoded values from bytes.
+struct ByteReader<'a> {
     bytes: &'a [u8],
 }
 
-impl<'a> Reader<'a> {
+impl<'a> ByteReader<'a> {
     fn take(&mut self, length: usize) -> Result<&'a [u8], StateError> {
         let (taken, left) = self
             .bytes
             .split_at_checked(length)
-            .ok_or(StateError::Short)?;
+            .ok_or(StateError::Truncated)?;
         self.bytes = left;
         Ok(taken)
     }
 
     fn array<const N: usize>(&mut self) -> Result<[u8; N], StateError> {
-        self.take(N)?.try_into().map_err(|_| StateError::Short)
+        self.take(N)?.try_into().map_err(|_| StateError::Truncated)
     }
 
     fn byte(&mut self) -> Result<u8, StateError> {
@@ -235,7 +236,7 @@
     fn format(&mut self) -> Result<(), StateError> {
         match self.byte()? {
             FORMAT => Ok(()),
-            other => Err(StateError::Format(other)),
+            other => Err(StateError::UnknownFormat(other)),
         }
     }
 }
--- a/decide/configuration/src/state/tests.rs
+++ b/decide/configuration/src/state/tests.rs
@@ -1,7 +1,8 @@
 //! Tests of `state`.
 
 use super::*;
-use crate::order::{judge, Order, Verdict, REPLACE_PATH, UPDATE_PATH};
+use crate::evaluation::{evaluate, Verdict};
+use crate::order::{Order, REPLACE_PATH, UPDATE_PATH};
 use assert_matches::assert_matches;
 use quickcheck::{Gen, QuickCheck};
 
@@ -31,7 +32,7 @@
 }
 
 fn change(state: &State, order: &Order) -> Vec<u8> {
-    match judge(state, order) {
+    match evaluate(state, order) {
         Verdict::Change(change) => change,
         other => panic!("not to be taken: {other:?}"),
     }
@@ -63,7 +64,11 @@
     assert_eq!((decoded.version(), decoded.history_len()), (40, 40));
     for version in 0..40 {
         let order = if version == 0 { first() } else { next(version) };
-        assert_eq!(judge(&decoded, &order), Verdict::Taken, "{version}");
+        assert_eq!(
+            evaluate(&decoded, &order),
+            Verdict::AlreadyApplied,
+            "{version}"
+        );
     }
     assert_eq!(decoded.encode(), state.encode());
 }
@@ -96,10 +101,10 @@
 fn the_history_is_bounded_and_the_oldest_go_first() {
     let digest = |n: usize| OrderDigest::of("", n as u64, b"");
     let mut state = State::default();
-    (0..MAX_HISTORY + 10).for_each(|n| state.remember(digest(n)));
+    (0..MAX_HISTORY + 10).for_each(|n| state.record(digest(n)));
     assert_eq!(state.history_len(), MAX_HISTORY);
-    assert!(!state.taken(&digest(0)) && !state.taken(&digest(9)));
-    assert!(state.taken(&digest(10)) && state.taken(&digest(MAX_HISTORY + 9)));
+    assert!(!state.has_applied(&digest(0)) && !state.has_applied(&digest(9)));
+    assert!(state.has_applied(&digest(10)) && state.has_applied(&digest(MAX_HISTORY + 9)));
     let decoded = State::decode(&state.encode()).expect("a state");
     assert_eq!(decoded.history, state.history);
 }
@@ -110,15 +115,15 @@
     let before = state.clone();
     assert_eq!(
         state.apply(&changes[2]),
-        Err(StateError::Base {
+        Err(StateError::VersionMismatch {
             base: 2,
             current: 3
         })
     );
-    assert_eq!(state.apply(&[]), Err(StateError::Short));
-    assert_eq!(state.apply(&[9]), Err(StateError::Format(9)));
-    assert_eq!(state.apply(&[1, 7]), Err(StateError::Mark(7)));
-    assert_eq!(state.apply(&[1, 1, 0]), Err(StateError::Short));
+    assert_eq!(state.apply(&[]), Err(StateError::Truncated));
+    assert_eq!(state.apply(&[9]), Err(StateError::UnknownFormat(9)));
+    assert_eq!(state.apply(&[1, 7]), Err(StateError::UnknownKind(7)));
+    assert_eq!(state.apply(&[1, 1, 0]), Err(StateError::Truncated));
     let bad = State::change(
         OrderKind::Update,
         3,
@@ -126,7 +131,7 @@
     );
     assert_matches!(
         state.apply(&bad),
-        Err(StateError::Configuration(
+        Err(StateError::InvalidConfiguration(
             ConfigurationError::UnknownService { .. }
         ))
     );
@@ -140,25 +145,27 @@
     for length in 0..bytes.len() {
         assert_eq!(
             State::decode(&bytes[..length]),
-            Err(StateError::Short),
+            Err(StateError::Truncated),
             "{length}"
         );
     }
     let longer = [&bytes[..], &[0, 0]].concat();
-    assert_eq!(State::decode(&longer), Err(StateError::LeftOver(2)));
+    assert_eq!(State::decode(&longer), Err(StateError::TrailingBytes(2)));
     let mut other = bytes.clone();
     other[0] = 2;
-    assert_eq!(State::decode(&other), Err(StateError::Format(2)));
+    assert_eq!(State::decode(&other), Err(StateError::UnknownFormat(2)));
     let mut many = vec![1, 0, 0, 0, 0];
     many.extend_from_slice(&(MAX_HISTORY as u32 + 1).to_le_bytes());
     assert_eq!(
         State::decode(&many),
-        Err(StateError::History(MAX_HISTORY + 1))
+        Err(StateError::HistoryTooLong(MAX_HISTORY + 1))
     );
     let torn = [&[1, 1, 0, 0, 0][..], b"{", &[0, 0, 0, 0]].concat();
     assert_eq!(
         State::decode(&torn),
-        Err(StateError::Configuration(ConfigurationError::Unreadable))
+        Err(StateError::InvalidConfiguration(
+            ConfigurationError::Unreadable
+        ))
     );
 }
 
--- a/decide/configuration/src/tenant.rs
+++ b/decide/configuration/src/tenant.rs
@@ -1,18 +1,19 @@
-//! A tenant: who its clients are by their API keys, and what they may send together.
+//! A tenant: its clients by their API keys, and what they may send together.
 
 use crate::error::{shown, ConfigurationError};
-use crate::json::{wrong, Fields};
-use crate::keys::KeyDigest;
+use crate::json::{array_elements, wrong_type, Fields};
+use crate::key_digest::KeyDigest;
+use crate::named_list::named_items;
 use miniserde::json::Value;
 use std::collections::HashMap;
 
-/// The word under `unit` for tenants whose requests are counted by their tokens.
+/// `unit` of tenants whose requests are counted by their tokens.
 const TOKENS: &str = "token_count";
 
-/// What a tenant's quota counts.
+/// Unit of a tenant's quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum QuotaUnit {
-    /// Each request is one.
+    /// Each request counts as one.
     Requests,
     /// Each request counts as its tokens.
     Tokens,
@@ -21,46 +22,46 @@
 /// The most that the clients of a tenant may send, over all routers together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
-    /// What is counted.
+    /// Unit of rate and burst.
     pub unit: QuotaUnit,
-    /// So many a second; above 0.
+    /// Units a second; above 0.
     pub rate_per_s: f64,
-    /// So many above that at once.
+    /// Units above the rate that may come at once.
     pub burst: f64,
 }
 
-/// A tenant that has passed the checks that need no other item.
+/// A tenant, as the operator describes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
     /// Its name.
     pub name: String,
-    /// The digests of its keys, each once. The keys themselves are kept in the document alone.
+    /// The distinct digests of its keys. The keys themselves are in the document alone.
     pub keys: Vec<KeyDigest>,
-    /// Rank of its requests, which goes before that of their route; 0 is highest.
+    /// Rank of its requests, which takes precedence over that of their route; 0 is highest.
     pub priority: Option<u32>,
-    /// Its quota; none where the operator names no rate, or 0.
+    /// Its quota; none where the operator sets no rate, or 0.
     pub quota: Option<Quota>,
-    /// What its quota counts.
+    /// Unit of its quota.
     pub unit: QuotaUnit,
-    /// Tokens that a request counts as which does not tell its own.
+    /// Tokens that a request without a `Token-Usage` counts as.
     pub uncached_tokens: u64,
 }
 
 impl Tenant {
-    /// Of an item of `tenants`.
-    pub(crate) fn read(name: &str, value: &Value) -> Result<Tenant, ConfigurationError> {
-        let place = format!("tenant `{name}`");
-        let fields = Fields::new(place.clone(), value)?;
+    /// Parses an item of `tenants`.
+    pub(crate) fn parse(name: &str, value: &Value) -> Result<Tenant, ConfigurationError> {
+        let location = format!("tenant `{name}`");
+        let fields = Fields::new(location.clone(), value)?;
         let unit = match fields.text("unit")? {
             Some(TOKENS) => QuotaUnit::Tokens,
             _ => QuotaUnit::Requests,
         };
-        let rate_per_s = amount(&fields, &place, "ratePerS")?;
-        let burst = amount(&fields, &place, "burstSize")?;
+        let rate_per_s = amount(&fields, &location, "ratePerS")?;
+        let burst = amount(&fields, &location, "burstSize")?;
         Ok(Tenant {
             name: name.to_owned(),
-            keys: keys(&fields, &place)?,
-            priority: fields.small_count("priority")?,
+            keys: parse_keys(&fields, &location)?,
+            priority: fields.count_u32("priority")?,
             quota: (rate_per_s > 0.0).then_some(Quota {
                 unit,
                 rate_per_s,
@@ -72,24 +73,24 @@
     }
 }
 
-/// An amount of 0 or more; 0 where it is not there.
-fn amount(fields: &Fields<'_>, place: &str, field: &str) -> Result<f64, ConfigurationError> {
+/// An amount of 0 or more; 0 where it is missing.
+fn amount(fields: &Fields<'_>, location: &str, field: &str) -> Result<f64, ConfigurationError> {
     let amount = fields.number(field)?.unwrap_or(0.0);
     match amount.is_finite() && amount >= 0.0 {
         true => Ok(amount),
-        false => Err(wrong(place, field, "a finite number of 0 or more")),
+        false => Err(wrong_type(location, field, "a finite number of 0 or more")),
     }
 }
 
-fn keys(fields: &Fields<'_>, place: &str) -> Result<Vec<KeyDigest>, ConfigurationError> {
+fn parse_keys(fields: &Fields<'_>, location: &str) -> Result<Vec<KeyDigest>, ConfigurationError> {
     let mut keys = Vec::new();
     for key in fields.list("apiKeys")?.unwrap_or_default() {
         let Value::String(key) = key else {
-            return Err(wrong(place, "apiKeys", "a list of texts"));
+            return Err(wrong_type(location, "apiKeys", "a list of texts"));
         };
         if key.is_empty() {
-            return Err(wrong(
-                place,
+            return Err(wrong_type(
+                location,
                 "apiKeys",
                 "a list of texts that are not empty",
             ));
@@ -102,12 +103,12 @@
     Ok(keys)
 }
 
-/// No key may be held by two tenants. Names them, never the key.
-pub(crate) fn check_keys(tenants: &[Tenant]) -> Result<(), ConfigurationError> {
-    let mut holders: HashMap<KeyDigest, &str> = HashMap::new();
+/// Checks that no key belongs to two tenants. The error names them, never the key.
+pub(crate) fn check_distinct_keys(tenants: &[Tenant]) -> Result<(), ConfigurationError> {
+    let mut names_by_key: HashMap<KeyDigest, &str> = HashMap::new();
     for tenant in tenants {
         for key in &tenant.keys {
-            if let Some(first) = holders.insert(*key, &tenant.name) {
+            if let Some(first) = names_by_key.insert(*key, &tenant.name) {
                 let (first, second) = (shown(first), shown(&tenant.name));
                 return Err(ConfigurationError::SharedKey { first, second });
             }
@@ -116,5 +117,14 @@
     Ok(())
 }
 
+/// Checks `tenants` that are no named list: only `null` is valid. The error says why it is none.
+pub(crate) fn check_unnamed_tenants(text: &str) -> Result<(), ConfigurationError> {
+    match array_elements(text) {
+        _ if text == "null" => Ok(()),
+        Some(elements) => named_items("tenants", &elements).map(drop),
+        None => Err(wrong_type("the configuration", "tenants", "a list")),
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/decide/configuration/src/update.rs
+++ b/decide/configuration/src/update.rs
@@ -1,12 +1,14 @@
 //! A change of named items, as the operator sends it.
 
-use crate::document::{check_places, content_of, named_items, not_tenants, read_items, Content};
 use crate::error::ConfigurationError;
-use crate::json::{distinct_fields, elements, value_of, version_of, whole, wrong, Fields};
+use crate::json::{
+    array_elements, distinct_fields, parse_complete, value_of, version_of, wrong_type, Fields,
+};
 use crate::limits::Limits;
-use crate::route::Route;
+use crate::named_list::{named_items, parse_items, FieldContent};
+use crate::route::{check_distinct_prefixes, Route};
 use crate::service::Service;
-use crate::tenant::{check_keys, Tenant};
+use crate::tenant::{check_distinct_keys, check_unnamed_tenants, Tenant};
 use miniserde::json::Value;
 
 /// An update that has passed the checks that need no configuration.
@@ -17,66 +19,66 @@
     removals: Vec<Removal>,
 }
 
-/// Items to add or to replace by name; or a field that is no named list, whole.
+/// Items to add or to replace by name; or a field that is no named list, to be replaced.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Upsert {
-    /// The field of the configuration.
+    /// Name of the field of the configuration.
     pub(crate) field: String,
-    /// What to put there.
-    pub(crate) content: Content,
+    /// Its items or its new content.
+    pub(crate) content: FieldContent,
 }
 
-/// Names to take out of a list.
+/// Items to remove by name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Removal {
-    /// The field of the configuration.
+    /// Name of the list in the configuration.
     pub(crate) list: String,
-    /// The names.
+    /// Names of the items.
     pub(crate) names: Vec<String>,
 }
 
 impl Update {
-    /// Reads an update, and checks what is wrong whatever it is applied to.
+    /// Parses an update, and checks what doesn't depend on the configuration that it is applied to.
     ///
     /// # Errors
-    /// What is wrong with it, by name.
+    /// Returns the first reason for which it is invalid.
     pub fn parse(body: &[u8]) -> Result<Update, ConfigurationError> {
-        let (text, value) = whole(body)?;
-        let place = "the update";
+        let (text, value) = parse_complete(body)?;
+        let location = "the update";
         let mut update = Update {
-            version: version_of(&Fields::new(place.to_owned(), &value)?)?,
+            version: version_of(&Fields::new(location.to_owned(), &value)?)?,
             upserts: Vec::new(),
             removals: Vec::new(),
         };
-        for (name, text) in distinct_fields(place, text)? {
-            update.take(&name, text)?;
+        for (name, text) in distinct_fields(location, text)? {
+            update.parse_field(&name, text)?;
         }
         update.upserts.iter().try_for_each(Upsert::check)?;
         Ok(update)
     }
 
-    /// Takes a field of the update; fields that are not known are passed over.
-    fn take(&mut self, name: &str, text: &str) -> Result<(), ConfigurationError> {
+    /// Parses a field of the update; unknown ones are ignored.
+    fn parse_field(&mut self, name: &str, text: &str) -> Result<(), ConfigurationError> {
         match name {
-            "upserts" if text != "null" => self.take_upserts(text),
-            "removals" if text != "null" => self.take_removals(text),
-            "limits" if text != "null" => self.put_upsert("limits", text),
+            "upserts" if text != "null" => self.parse_upserts(text),
+            "removals" if text != "null" => self.parse_removals(text),
+            "limits" if text != "null" => self.parse_upsert("limits", text),
             _ => Ok(()),
         }
     }
 
-    fn take_upserts(&mut self, text: &str) -> Result<(), ConfigurationError> {
+    fn parse_upserts(&mut self, text: &str) -> Result<(), ConfigurationError> {
         for (field, text) in distinct_fields("upserts", text)? {
-            self.put_upsert(&field, text)?;
+            self.parse_upsert(&field, text)?;
         }
         Ok(())
     }
 
-    fn put_upsert(&mut self, field: &str, text: &str) -> Result<(), ConfigurationError> {
+    fn parse_upsert(&mut self, field: &str, text: &str) -> Result<(), ConfigurationError> {
         if field == "version" {
-            return Err(wrong("upserts", field, "a list of items"));
+            return Err(wrong_type("upserts", field, "a list of items"));
         }
-        let content = content_of(field, text)?;
+        let content = FieldContent::parse(field, text)?;
         self.upserts.push(Upsert {
             field: field.to_owned(),
             content,
@@ -84,15 +86,15 @@
         Ok(())
     }
 
-    fn take_removals(&mut self, text: &str) -> Result<(), ConfigurationError> {
+    fn parse_removals(&mut self, text: &str) -> Result<(), ConfigurationError> {
         for (list, text) in distinct_fields("removals", text)? {
-            let names = names(&list, text)?;
+            let names = removed_names(&list, text)?;
             self.removals.push(Removal { list, names });
         }
         Ok(())
     }
 
-    /// Version of the configuration that it makes.
+    /// Version of the configuration that it results in.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.version
@@ -108,30 +110,40 @@
 }
 
 impl Upsert {
-    /// What is wrong with the items by themselves and with each other.
+    /// Checks the items by themselves and against each other.
     fn check(&self) -> Result<(), ConfigurationError> {
         match (self.field.as_str(), &self.content) {
-            ("routes", Content::Named(items)) => check_places(&read_items(items, Route::read)?),
-            ("services", Content::Named(items)) => read_items(items, Service::read).map(drop),
-            ("tenants", Content::Text(text)) => not_tenants(text),
-            ("tenants", Content::Named(items)) => check_keys(&read_items(items, Tenant::read)?),
-            ("limits", Content::Text(text)) => Limits::read(&value_of(text)?).map(drop),
+            ("routes", FieldContent::Named(items)) => {
+                check_distinct_prefixes(&parse_items(items, Route::parse)?)
+            }
+            ("services", FieldContent::Named(items)) => {
+                parse_items(items, Service::parse).map(drop)
+            }
+            ("tenants", FieldContent::Text(text)) => check_unnamed_tenants(text),
+            ("tenants", FieldContent::Named(items)) => {
+                check_distinct_keys(&parse_items(items, Tenant::parse)?)
+            }
+            ("limits", FieldContent::Text(text)) => Limits::parse(&value_of(text)?).map(drop),
             _ => Ok(()),
         }
     }
 }
 
-/// A list of names; an item with a name stands for that name.
-fn names(list: &str, text: &str) -> Result<Vec<String>, ConfigurationError> {
-    let parts = elements(text).ok_or_else(|| wrong("removals", list, "a list of names"))?;
-    parts.iter().map(|part| removed_name(list, part)).collect()
+/// The names of a list of names; an item with a name stands for its name.
+fn removed_names(list: &str, text: &str) -> Result<Vec<String>, ConfigurationError> {
+    let elements =
+        array_elements(text).ok_or_else(|| wrong_type("removals", list, "a list of names"))?;
+    elements
+        .iter()
+        .map(|element| removed_name(list, element))
+        .collect()
 }
 
-fn removed_name(list: &str, part: &str) -> Result<String, ConfigurationError> {
-    match value_of(part)? {
+fn removed_name(list: &str, element: &str) -> Result<String, ConfigurationError> {
+    match value_of(element)? {
         Value::String(name) => Ok(name),
-        Value::Object(_) => Ok(named_items(list, &[part])?.remove(0).name),
-        _ => Err(wrong("removals", list, "a list of names")),
+        Value::Object(_) => Ok(named_items(list, &[element])?.remove(0).name),
+        _ => Err(wrong_type("removals", list, "a list of names")),
     }
 }
 
--- a/decide/configuration/src/update/tests.rs
+++ b/decide/configuration/src/update/tests.rs
@@ -30,11 +30,11 @@
 fn removals_are_names_or_items_with_names() {
     let update =
         parse("{\"version\":3,\"removals\":{\"routes\":[\"a\",{\"name\":\"b\"}]}}").expect("valid");
-    let wanted = Removal {
+    let expected = Removal {
         list: "routes".to_owned(),
         names: vec!["a".to_owned(), "b".to_owned()],
     };
-    assert_eq!(update.removals(), [wanted]);
+    assert_eq!(update.removals(), [expected]);
 }
 
 #[test]
@@ -45,11 +45,11 @@
     assert!(parse(&route(",\"service\":\"unknown-here\"")).is_ok());
     assert_matches!(
         parse(&route(",\"service\":\"s\",\"timeoutMs\":0")),
-        Err(ConfigurationError::NoTimeout { route }) if route == "r"
+        Err(ConfigurationError::ZeroTimeout { route }) if route == "r"
     );
     assert_matches!(
         parse(&route(",\"trafficSplit\":[{\"service\":\"s\",\"weight\":0}]")),
-        Err(ConfigurationError::NoWeight { route }) if route == "r"
+        Err(ConfigurationError::ZeroWeight { route }) if route == "r"
     );
     for text in [
         "{\"version\":3,\"upserts\":[]}",
--- a/decide/configuration/tests/stored_format.rs
+++ b/decide/configuration/tests/stored_format.rs
@@ -5,7 +5,7 @@
 //! know a repeated order by the same digest.
 
 use lichenswitch_configuration::{
-    judge, Order, OrderDigest, State, Verdict, REPLACE_PATH, UPDATE_PATH,
+    evaluate, Order, OrderDigest, State, Verdict, REPLACE_PATH, UPDATE_PATH,
 };
 
 const FIXTURE: &str = include_str!("fixtures/stored_format.hex");
@@ -56,7 +56,7 @@
 }
 
 fn apply(state: &mut State, order: &Order) -> Vec<u8> {
-    let Verdict::Change(change) = judge(state, order) else {
+    let Verdict::Change(change) = evaluate(state, order) else {
         panic!("the order was not accepted");
     };
     state.apply(&change).expect("a change that fits");
--- a/decide/control/src/primary_calls.rs
+++ b/decide/control/src/primary_calls.rs
@@ -11,7 +11,7 @@
 use crate::faults::PlantedFaults;
 use crate::rejected_orders::RejectedOrder;
 use crate::replicated_configuration::ConfigurationState;
-use lichenswitch_configuration::{judge, Document, Order, Verdict};
+use lichenswitch_configuration::{evaluate, Document, Order, Verdict};
 use lichenswitch_messages::RelayedResponse;
 use lichenswitch_replication::{Outcome, Replica, RequestId, Time};
 use std::collections::VecDeque;
@@ -133,7 +133,7 @@
             }
             // Another primary may have committed something since: the verdict stands only after a
             // confirmation round.
-            Verdict::Taken | Verdict::VersionConflict { .. } | Verdict::Invalid(_) => {
+            Verdict::AlreadyApplied | Verdict::VersionConflict { .. } | Verdict::Invalid(_) => {
                 (JudgementStep::AwaitingConfirmation, replica.confirm(now))
             }
         };
@@ -209,7 +209,7 @@
         match self.verdict(&call, replica) {
             None => self.complete(call, RelayedResponse::NotPrimary),
             Some(Verdict::Change(_)) => self.begin(now, call, replica),
-            Some(Verdict::Taken) => {
+            Some(Verdict::AlreadyApplied) => {
                 let version = call.kind.as_order().map_or(0, version_of);
                 self.complete(call, accepted_response(version));
             }
@@ -255,9 +255,9 @@
         let (_, state) = replica.committed()?;
         let (state, order) = (state.as_ref(), call.kind.as_order()?);
         if self.faults.known_by_number && version_of(order) == state.version() {
-            return Some(Verdict::Taken);
+            return Some(Verdict::AlreadyApplied);
         }
-        Some(judge(state, order))
+        Some(evaluate(state, order))
     }
 
     /// Takes the calls that were completed since the last take.
--- a/fleet/src/control/call_handler.rs
+++ b/fleet/src/control/call_handler.rs
@@ -7,7 +7,7 @@
 use super::responses::{error_response, JSON_CONTENT_TYPE, RETRY_AFTER_S};
 use super::status;
 use crate::invariants::{self, Invariant};
-use lichenswitch_configuration::{judge_alone, parse_base_version, Order};
+use lichenswitch_configuration::{parse_base_version, validate, Order};
 use lichenswitch_control::{parse_response_version, CallKind, CompletedCall, RejectedOrder};
 use lichenswitch_http::{Request, Response};
 use lichenswitch_interface::Time;
@@ -55,7 +55,7 @@
             base_version,
             body: request.body.clone(),
         };
-        match judge_alone(&order) {
+        match validate(&order) {
             Ok(()) => self.submit_call(id, CallKind::Order(order), now),
             Err(e) => Some(self.reject_order(now, base_version, e.to_string())),
         }
--- a/fleet/src/router/configuration.rs
+++ b/fleet/src/router/configuration.rs
@@ -4,7 +4,7 @@
 
 use super::ranks::PriorityRanks;
 use lichenswitch_configuration::{
-    ConfigurationError, Document, Keys, Limits, Route, RouteKind, Routes, Tenant,
+    ConfigurationError, Document, KeyIndex, Limits, Route, RouteKind, Routes, Tenant,
 };
 use lichenswitch_interface::Micros;
 use lichenswitch_messages::ConfigurationPosition;
@@ -37,7 +37,7 @@
         let streaming = route.kind == RouteKind::Streaming;
         RouteTerms {
             route: Arc::from(route.name.as_str()),
-            is_idempotent: route.idempotent(),
+            is_idempotent: route.is_idempotent(),
             is_streaming: streaming,
             is_resumable: streaming && route.stream_resume,
             timeout: route.timeout_ms.saturating_mul(1_000),
@@ -58,7 +58,7 @@
     pub position: ConfigurationPosition,
     routes: Routes,
     /// Who holds which key.
-    pub keys: Keys,
+    pub keys: KeyIndex,
     ranks: PriorityRanks,
 }
 
@@ -72,7 +72,7 @@
         document: &[u8],
     ) -> Result<ActiveConfiguration, ConfigurationError> {
         let document = Arc::new(Document::parse_committed(document)?);
-        let (keys, ranks) = (Keys::new(&document), PriorityRanks::new(&document));
+        let (keys, ranks) = (KeyIndex::new(&document), PriorityRanks::new(&document));
         Ok(ActiveConfiguration {
             position,
             keys,
--- a/fleet/src/router/configuration/tests.rs
+++ b/fleet/src/router/configuration/tests.rs
@@ -51,7 +51,7 @@
 fn a_request_keeps_what_its_route_says() {
     let in_force = in_force(position(1, 1, 1), 1);
     let route = in_force.route("H.example:80", "/a/b?c").expect("a route");
-    assert_eq!(route.draw(3), "x");
+    assert_eq!(route.pick_service(3), "x");
     let terms = in_force.terms(route, None);
     assert!(terms.is_idempotent && terms.is_streaming && terms.is_resumable);
     assert_eq!(
--- a/fleet/src/router/handlers/intake.rs
+++ b/fleet/src/router/handlers/intake.rs
@@ -152,7 +152,7 @@
         let terms = active.terms(route, tenant);
         let service = self
             .services
-            .id_of(route.draw(random))
+            .id_of(route.pick_service(random))
             .ok_or(RejectionReason::RETRY_LATER)?;
         let deadline = now.plus(request.deadline.map_or(terms.timeout, |remaining| {
             micros(remaining).min(terms.timeout)
--- a/fleet/src/router/sender.rs
+++ b/fleet/src/router/sender.rs
@@ -41,7 +41,7 @@
         let Some(tenants) = self.document().tenants() else {
             return Ok(None);
         };
-        let tenant = key.and_then(|key| Some((tenants.get(self.keys.holder(&key)?)?, key)));
+        let tenant = key.and_then(|key| Some((tenants.get(self.keys.tenant_index(&key)?)?, key)));
         match tenant {
             None if !is_public => Err(KeyDenial::UnknownKey),
             tenant => Ok(tenant),
--- a/simulator/src/control/mod.rs
+++ b/simulator/src/control/mod.rs
@@ -7,7 +7,7 @@
 mod routers;
 mod state;
 
-use lichenswitch_configuration::judge_alone;
+use lichenswitch_configuration::validate;
 use lichenswitch_control::{
     configuration_position, describe_configuration, error_response, CallKind,
     CommittedConfiguration, CompletedCall, Eligibility, GroupMembership, GroupView,
@@ -184,7 +184,7 @@
         let Some(kind) = CallKind::from_relayed(kind) else {
             return self.end_call(origin, error_response(400, "there is no such path"));
         };
-        let invalid = kind.as_order().and_then(|order| judge_alone(order).err());
+        let invalid = kind.as_order().and_then(|order| validate(order).err());
         if let Some(error) = invalid {
             return self.end_call(origin, error_response(400, &error.to_string()));
         }
@@ -210,7 +210,7 @@
             }
             Some(order) if self.faults.refusal_without_contact => {
                 let other = order.base_version != committed.state().version();
-                let taken = committed.state().taken(&order.digest());
+                let taken = committed.state().has_applied(&order.digest());
                 (other && !taken).then(|| error_response(412, "by what is held here"))
             }
             _ => None,
--- a/simulator/src/ledger.rs
+++ b/simulator/src/ledger.rs
@@ -383,8 +383,9 @@
 
     /// Judges the state that the group holds at the end.
     pub fn check_end(&mut self, state: &State) {
-        let lost =
-            |entry: &OrderEntry| entry.acknowledged_at.is_some() && !state.taken(&entry.digest);
+        let lost = |entry: &OrderEntry| {
+            entry.acknowledged_at.is_some() && !state.has_applied(&entry.digest)
+        };
         let lost: Vec<OrderId> = self
             .orders()
             .filter(|(_, entry)| lost(entry))
