--- a/fleet/src/control/backlog_handler.rs
+++ b/fleet/src/control/backlog_handler.rs
@@ -81,7 +81,7 @@
                 .iter()
                 .for_each(|id| self.connections.send_bytes(&mut self.net, *id, &bytes)),
             Err(e) => {
-                log::error!(target: "control", error = e.to_string().as_str(); "a message can't be sent");
+                log::error!(target: "control", error = e.to_string().as_str(); "message can't be encoded");
             }
         }
     }
--- a/fleet/src/control/call_handler.rs
+++ b/fleet/src/control/call_handler.rs
@@ -76,7 +76,7 @@
     /// This machine has rejected an order, as primary or as invalid whatever the state.
     fn on_order_rejected(&mut self, rejection: RejectedOrder) {
         log::info!(target: "control", status = rejection.status, base_version = rejection.base_version,
-            reason = rejection.reason.as_str(); "order refused");
+            reason = rejection.reason.as_str(); "order rejected");
         self.rejected_orders.record(rejection);
     }
 
--- a/fleet/src/control/configuration_handler.rs
+++ b/fleet/src/control/configuration_handler.rs
@@ -15,7 +15,7 @@
         let Some(newest) = self.newest_committed() else {
             return;
         };
-        log::info!(target: "control", version = newest.version; "configuration is committed");
+        log::info!(target: "control", version = newest.version; "configuration committed");
         let messages = self.routers.push_configuration(&newest);
         self.committed = Some(newest);
         self.update_bucket_tenants();
@@ -65,7 +65,7 @@
                 self.quotas.buckets.set_tenants(now, tenants);
             }
             Err(e) => {
-                log::error!(target: "control", error = e.to_string().as_str(); "what is committed can't be read");
+                log::error!(target: "control", error = e.to_string().as_str(); "committed configuration can't be read");
             }
         }
     }
@@ -113,7 +113,7 @@
                     });
             }
             Err(e) => {
-                warn!(target: "control", error = e.to_string().as_str(); "the primary has sent what can't be read")
+                warn!(target: "control", error = e.to_string().as_str(); "configuration from the primary can't be read")
             }
         }
     }
--- a/fleet/src/control/connection_handler.rs
+++ b/fleet/src/control/connection_handler.rs
@@ -168,7 +168,7 @@
     pub(super) fn forget_unreachable_peers(&mut self, now: Time) {
         let voters = self.voters();
         for address in self.peers.forget_unreachable(&voters, now) {
-            info!(target: "control", address = address.to_string().as_str(); "peer is forgotten");
+            info!(target: "control", address = address.to_string().as_str(); "peer forgotten");
         }
     }
 
@@ -180,7 +180,7 @@
                 let was_connected = self.peers.connection(address).is_some();
                 self.peers.on_closed(address, id, now);
                 if was_connected && self.peers.connection(address).is_none() {
-                    info!(target: "control", address = address.to_string().as_str(), reason = reason; "peer is lost");
+                    info!(target: "control", address = address.to_string().as_str(), reason = reason; "peer disconnected");
                     self.calls.on_peer_disconnected(&address);
                     self.servers.on_peer_disconnected(address);
                     self.on_owner_disconnected(address, now);
--- a/fleet/src/control/contact_handler.rs
+++ b/fleet/src/control/contact_handler.rs
@@ -24,7 +24,7 @@
         if std::mem::replace(&mut self.last_notified.in_contact, in_contact) == in_contact {
             return;
         }
-        log::info!(target: "control", in_contact = in_contact; "contact has changed");
+        log::info!(target: "control", in_contact = in_contact; "contact changed");
         self.send_router_heartbeats(now);
         self.send_contact_to_peers(now);
     }
--- a/fleet/src/control/event_loop.rs
+++ b/fleet/src/control/event_loop.rs
@@ -31,7 +31,7 @@
             self.run_due_work();
             self.process_until_idle();
         }
-        info!(target: "control", "control machine ends");
+        info!(target: "control", "control machine stopped");
         let ControlNode { net, group, .. } = self;
         // Callers and peers turn to other machines at once, however long the disk still takes.
         drop(net);
--- a/fleet/src/control/group.rs
+++ b/fleet/src/control/group.rs
@@ -46,7 +46,7 @@
         match Group::start(settings, environment, address.to_string(), net, now) {
             Ok(group) => Some(group),
             Err(e) => {
-                warn!(target: "control", error = e.to_string().as_str(); "the disk can't be used: this machine only relays for now");
+                warn!(target: "control", error = e.to_string().as_str(); "disk can't be used, this machine only relays for now");
                 None
             }
         }
@@ -179,11 +179,11 @@
             now,
         ) {
             Ok(replica) => {
-                info!(target: "control", identity = replica.member().identity.to_string().as_str(); "the disk holds a member");
+                info!(target: "control", identity = replica.member().identity.to_string().as_str(); "member recovered from the disk");
                 return replica;
             }
             Err(e) => {
-                warn!(target: "control", error = e.to_string().as_str(); "what the disk holds can't be read")
+                warn!(target: "control", error = e.to_string().as_str(); "state on the disk can't be read")
             }
         }
     }
@@ -192,7 +192,7 @@
         address,
     };
     if is_empty && is_founder(settings) {
-        info!(target: "control", identity = member.identity.to_string().as_str(); "founds the group");
+        info!(target: "control", identity = member.identity.to_string().as_str(); "founding the group");
         return Replica::bootstrap(
             replication_settings,
             member,
--- a/fleet/src/control/group_disk.rs
+++ b/fleet/src/control/group_disk.rs
@@ -88,7 +88,7 @@
             match completion.result {
                 Ok(usage) => {
                     if self.failure.is_some() {
-                        info!(target: "control", "the disk takes writes again");
+                        info!(target: "control", "disk writes succeed again");
                     }
                     (self.usage, self.failure) = (usage, None);
                     if self.writer.outstanding() == 0 {
@@ -98,7 +98,7 @@
                 Err(e) => {
                     // The write is retried again and again, but logged once.
                     if self.failure.is_none() {
-                        warn!(target: "control", error = e.to_string().as_str(); "the disk takes nothing");
+                        warn!(target: "control", error = e.to_string().as_str(); "disk write failed");
                     }
                     self.failure = Some(e.to_string());
                 }
@@ -141,7 +141,7 @@
     };
     let (storage, found) = ring()?;
     for finding in &found.findings {
-        warn!(target: "control", finding:? = finding; "the disk is not as it was left");
+        warn!(target: "control", finding:? = finding; "damage found on the disk");
     }
     // A torn write was never acknowledged; any other finding means that there was state once.
     let is_torn_write = |finding: &Finding| matches!(finding, Finding::Torn { .. });
--- a/fleet/src/control/group_membership.rs
+++ b/fleet/src/control/group_membership.rs
@@ -43,7 +43,7 @@
                 }
             }
             Some(MembershipAction::BecomeRelay) => {
-                info!(target: "control", "leaves the group to the machines with a disk");
+                info!(target: "control", "left the group to the machines with a disk");
                 self.group = None;
             }
             Some(MembershipAction::Join) | None => {}
@@ -67,7 +67,7 @@
         self.identity = group.identity().0;
         self.reset_quotas();
         self.update_diskless_members();
-        info!(target: "control", "takes part in the group");
+        info!(target: "control", "joined the group");
         // Peers know this machine by the identity of its process: the next handshake names that of
         // its disk.
         let is_peer = |(_, remote_role, _): &(ConnId, RemoteRole, Time)| {
--- a/fleet/src/control/internal_connections.rs
+++ b/fleet/src/control/internal_connections.rs
@@ -126,7 +126,7 @@
         match encode(envelope) {
             Ok(bytes) => self.send_bytes(net, id, &bytes),
             Err(e) => {
-                log::error!(target: "control", error = e.to_string().as_str(); "a message can't be sent")
+                log::error!(target: "control", error = e.to_string().as_str(); "message can't be encoded")
             }
         }
     }
--- a/fleet/src/control/peer_handler.rs
+++ b/fleet/src/control/peer_handler.rs
@@ -64,7 +64,7 @@
         }
         self.peers.learn_all(known_peers, now);
         if !was_connected {
-            info!(target: "control", node = node.as_str(), address = address.to_string().as_str(); "peer is connected");
+            info!(target: "control", node = node.as_str(), address = address.to_string().as_str(); "peer connected");
             self.send_initial_state(id, now);
             self.update_replica_addresses();
         }
--- a/fleet/src/control/quota_handler.rs
+++ b/fleet/src/control/quota_handler.rs
@@ -185,7 +185,7 @@
         match crate::envelopes::encode_tenant_message(message) {
             Ok(bytes) => self.connections.send_bytes(&mut self.net, id, &bytes),
             Err(e) => {
-                log::error!(target: "control", error = e.to_string().as_str(); "a message can't be sent");
+                log::error!(target: "control", error = e.to_string().as_str(); "message can't be encoded");
             }
         }
     }
--- a/fleet/src/control/replica_notices.rs
+++ b/fleet/src/control/replica_notices.rs
@@ -30,18 +30,18 @@
 
 fn message(notice: &Notice) -> &'static str {
     match notice {
-        Notice::BecamePrimary { .. } => "is primary",
-        Notice::SteppedDown { .. } => "is primary no more",
-        Notice::ElectionStarted { .. } => "asks for votes",
-        Notice::PrimaryObserved { .. } => "hears another primary",
-        Notice::LeadershipTransferStarted { .. } => "hands the part of the primary on",
-        Notice::MembershipChange { .. } => "changes the voters",
-        Notice::MembershipChanged { .. } => "has changed the voters",
-        Notice::RemovalRejected { .. } => "keeps a voter that is silent or leaves",
-        Notice::Excluded { .. } => "is no voter any more",
-        Notice::SnapshotReceived { .. } => "has received the whole state",
-        Notice::SnapshotRejected { .. } => "has refused a state that is not whole",
-        Notice::DiskStalled { .. } => "waits for its disk",
-        Notice::DiskFailed => "can't write its disk",
+        Notice::BecamePrimary { .. } => "became primary",
+        Notice::SteppedDown { .. } => "stepped down as primary",
+        Notice::ElectionStarted { .. } => "election started",
+        Notice::PrimaryObserved { .. } => "another primary observed",
+        Notice::LeadershipTransferStarted { .. } => "leadership transfer started",
+        Notice::MembershipChange { .. } => "membership change started",
+        Notice::MembershipChanged { .. } => "membership change completed",
+        Notice::RemovalRejected { .. } => "removal of a voter rejected",
+        Notice::Excluded { .. } => "excluded from the voters",
+        Notice::SnapshotReceived { .. } => "snapshot received",
+        Notice::SnapshotRejected { .. } => "snapshot rejected",
+        Notice::DiskStalled { .. } => "disk write stalled",
+        Notice::DiskFailed => "disk failed",
     }
 }
--- a/fleet/src/control/replication_handler.rs
+++ b/fleet/src/control/replication_handler.rs
@@ -93,7 +93,7 @@
         let message = match Message::decode(bytes) {
             Ok(message) => message,
             Err(e) => {
-                return warn!(target: "control", error = e.to_string().as_str(); "a message of replication can't be read")
+                return warn!(target: "control", error = e.to_string().as_str(); "replication message can't be decoded")
             }
         };
         let handshake = self
--- a/fleet/src/control/router_table.rs
+++ b/fleet/src/control/router_table.rs
@@ -72,7 +72,7 @@
             .members
             .on_renewal(now.0, handshake.process, &handshake.node, &handshake.zone)
         {
-            log::info!(target: "control", node = handshake.node.as_str(), zone = handshake.zone.as_str(); "router has connected");
+            log::info!(target: "control", node = handshake.node.as_str(), zone = handshake.zone.as_str(); "router connected");
         }
         let RouterHandshake {
             node,
@@ -123,7 +123,7 @@
                 .on_renewal(now.0, router.process, &router.node, &router.zone);
         }
         for member in self.members.tick(now.0) {
-            log::info!(target: "control", node = member.node.as_str(); "router has gone");
+            log::info!(target: "control", node = member.node.as_str(); "router lease expired");
         }
     }
 
--- a/fleet/src/control/server_cache.rs
+++ b/fleet/src/control/server_cache.rs
@@ -100,7 +100,7 @@
         let records = match read(files.as_ref(), &path) {
             Ok(records) => records,
             Err(e) => {
-                log::warn!(target: "control", error = e.to_string().as_str(); "the table of servers on disk is passed over");
+                log::warn!(target: "control", error = e.to_string().as_str(); "table of servers on disk is ignored");
                 // If it can't be renamed, it stays until the next table replaces it.
                 let _ = files.rename(&path, &path.with_extension("aside"));
                 Vec::new()
@@ -285,7 +285,7 @@
         let failed_before = std::mem::replace(&mut self.is_failing, outcome.is_err());
         // The write is retried again and again, but logged once.
         if let Some(e) = outcome.as_ref().err().filter(|_| !failed_before) {
-            log::warn!(target: "control", error = e.to_string().as_str(); "the table of servers can't be written");
+            log::warn!(target: "control", error = e.to_string().as_str(); "table of servers can't be written");
         }
         outcome.is_ok()
     }
--- a/fleet/src/control/server_table.rs
+++ b/fleet/src/control/server_table.rs
@@ -371,10 +371,10 @@
         let changes = self.registry.tick(now.0);
         let silent = || changes.records.iter().filter(|record| record.is_suspect);
         if let Some(first) = silent().next() {
-            log::info!(target: "control", servers = silent().count(), first = first.instance.as_str(); "servers are silent");
+            log::info!(target: "control", servers = silent().count(), first = first.instance.as_str(); "servers are suspect");
         }
         if let Some(first) = changes.expired.first() {
-            log::info!(target: "control", servers = changes.expired.len(), first = first.as_str(); "servers are forgotten");
+            log::info!(target: "control", servers = changes.expired.len(), first = first.as_str(); "servers expired");
         }
         self.under_replicated
             .retain(|instance| self.registry.record(instance).is_some());
--- a/fleet/src/control/settings_reload.rs
+++ b/fleet/src/control/settings_reload.rs
@@ -17,7 +17,7 @@
         self.settings_modified_at = modified_at(&self.path);
         match Settings::read(&self.path) {
             Ok(settings) => {
-                info!(target: "control", "settings are read again");
+                info!(target: "control", "settings reloaded");
                 self.peers.on_seeds(settings.seeds_internal(), now);
                 self.servers.on_settings(&settings);
                 // Addresses, identity and disk stay those of the start.
@@ -29,7 +29,7 @@
                     .set_bounds(settings.bounds.quota_terms());
             }
             Err(e) => {
-                warn!(target: "control", error = e.to_string().as_str(); "the settings file can't be used")
+                warn!(target: "control", error = e.to_string().as_str(); "settings file can't be used")
             }
         }
     }
--- a/fleet/src/control/shutdown.rs
+++ b/fleet/src/control/shutdown.rs
@@ -18,7 +18,7 @@
         if self.shutdown_started_at.is_some() {
             return;
         }
-        info!(target: "control", "is told to end");
+        info!(target: "control", "shutdown started");
         self.shutdown_started_at = Some(now);
         if let Some(group) = &mut self.group {
             group.replica.leave(to_replica_time(now));
--- a/fleet/src/control/startup.rs
+++ b/fleet/src/control/startup.rs
@@ -62,7 +62,7 @@
             .as_ref()
             .map_or_else(|| generate_identity(&address.to_string()), Group::identity);
         info!(target: "control", node = settings.node_name.as_str(), address = address.to_string().as_str(),
-            eligible = group.is_some(); "control machine has started");
+            eligible = group.is_some(); "control machine started");
         let mut node = ControlNode {
             address,
             quotas: Quotas::new(identity.0, group.as_ref(), settings.bounds.quota_terms()),
