--- a/fleet/tests/control_founders.rs
+++ b/fleet/tests/control_founders.rs
@@ -2,41 +2,48 @@
 
 mod control_support;
 
-use control_support::{call, configuration, Fleet, PATIENCE};
+use control_support::{call, configuration, ControlFleet, WAIT_TIMEOUT};
 use std::time::{Duration, Instant};
 
 const REPLACE: &str = "/configuration/replace";
 
-/// What the machines with a disk answer in the end.
-fn read_back(fleet: &Fleet, place: usize, expected: &str) -> String {
-    let address = fleet.machines[place].control_plane;
-    let (began, mut read) = (Instant::now(), String::new());
-    while began.elapsed() < PATIENCE && read != expected {
+/// The configuration that the machines with a disk return in the end.
+fn final_configuration(fleet: &ControlFleet, index: usize, expected: &str) -> String {
+    let address = fleet.machines[index].control_plane;
+    let (started_at, mut read) = (Instant::now(), String::new());
+    while started_at.elapsed() < WAIT_TIMEOUT && read != expected {
         read = call(address, "GET", "/configuration/describe", &[], "")
-            .map_or_else(|error| error.to_string(), |answer| answer.body);
+            .map_or_else(|error| error.to_string(), |response| response.body);
         std::thread::sleep(Duration::from_millis(100));
     }
     read
 }
 
-fn killed_after(name: &str, disks: &[bool], rest: Duration) -> String {
-    let mut fleet = Fleet::of(name, disks);
+fn configuration_after_founder_is_killed(name: &str, disks: &[bool], delay: Duration) -> String {
+    let mut fleet = ControlFleet::of(name, disks);
     fleet.start_first();
-    assert_eq!(fleet.order(REPLACE, 0, &configuration(1, 1)).status, 200);
-    std::thread::sleep(rest);
+    assert_eq!(
+        fleet.send_order(REPLACE, 0, &configuration(1, 1)).status,
+        200
+    );
+    std::thread::sleep(delay);
     fleet.kill(0);
-    read_back(&fleet, disks.len() - 1, &configuration(1, 1))
+    final_configuration(&fleet, disks.len() - 1, &configuration(1, 1))
 }
 
 #[test]
-fn the_first_acknowledgement_outlives_a_founder_without_a_disk() {
-    let read = killed_after("founders-f1", &[false, true, true, true], Duration::ZERO);
+fn first_acknowledged_order_survives_diskless_founder() {
+    let read = configuration_after_founder_is_killed(
+        "founders-f1",
+        &[false, true, true, true],
+        Duration::ZERO,
+    );
     assert_eq!(read, configuration(1, 1));
 }
 
 #[test]
-fn the_first_acknowledgement_outlives_a_founder_without_a_disk_that_goes_a_little_later() {
-    let read = killed_after(
+fn first_acknowledged_order_survives_diskless_founder_lost_a_second_later() {
+    let read = configuration_after_founder_is_killed(
         "founders-f2",
         &[false, true, true, true],
         Duration::from_millis(1_000),
@@ -45,8 +52,8 @@
 }
 
 #[test]
-fn a_group_with_disks_goes_on_once_its_founder_without_a_disk_is_gone() {
-    let read = killed_after(
+fn group_with_disks_survives_loss_of_diskless_founder() {
+    let read = configuration_after_founder_is_killed(
         "founders-f3",
         &[false, true, true, true],
         Duration::from_secs(5),
@@ -55,8 +62,8 @@
 }
 
 #[test]
-fn seeds_without_a_disk_make_way_for_machines_with_one() {
-    let read = killed_after(
+fn diskless_seeds_yield_to_durable_machines() {
+    let read = configuration_after_founder_is_killed(
         "founders-f4",
         &[false, false, false, true, true, true],
         Duration::from_secs(6),
@@ -65,11 +72,14 @@
 }
 
 #[test]
-fn nothing_is_acknowledged_while_a_founder_without_a_disk_votes_beside_disks() {
-    let mut fleet = Fleet::of("founders-f6", &[false, true, true, true, true]);
+fn no_order_is_acknowledged_while_diskless_founder_votes_beside_disks() {
+    let mut fleet = ControlFleet::of("founders-f6", &[false, true, true, true, true]);
     fleet.start_first();
-    assert_eq!(fleet.order(REPLACE, 0, &configuration(1, 1)).status, 200);
-    let voters: Vec<String> = (1..5).map(|place| fleet.status(place)).collect();
+    assert_eq!(
+        fleet.send_order(REPLACE, 0, &configuration(1, 1)).status,
+        200
+    );
+    let voters: Vec<String> = (1..5).map(|index| fleet.status(index)).collect();
     let founder = format!("{}\",\"votes\":true", fleet.machines[0].internal);
     assert!(
         voters.iter().all(|status| !status.contains(&founder)),
@@ -77,37 +87,41 @@
     );
 }
 
-/// Machines with a disk come after all machines that started first.
+/// Machines with a disk start after all those that started first.
 #[test]
-fn machines_with_a_disk_that_come_late_take_the_group_over() {
-    let mut fleet = Fleet::of("founders-f5", &[false, false, false, true, true, true]);
-    (0..3).for_each(|place| fleet.start(place, true));
-    assert_eq!(fleet.order_at_first(), 200);
+fn late_durable_machines_take_over_group() {
+    let mut fleet = ControlFleet::of("founders-f5", &[false, false, false, true, true, true]);
+    (0..3).for_each(|index| fleet.start(index, true));
+    assert_eq!(fleet.order_from_first_three(), 200);
     std::thread::sleep(Duration::from_secs(5));
-    (3..6).for_each(|place| fleet.start(place, true));
+    (3..6).for_each(|index| fleet.start(index, true));
     std::thread::sleep(Duration::from_secs(6));
-    (0..3).for_each(|place| fleet.kill(place));
+    (0..3).for_each(|index| fleet.kill(index));
     assert_eq!(
-        read_back(&fleet, 5, &configuration(1, 1)),
+        final_configuration(&fleet, 5, &configuration(1, 1)),
         configuration(1, 1)
     );
 }
 
-trait First {
-    fn order_at_first(&self) -> u16;
+trait OrderFromFirst {
+    fn order_from_first_three(&self) -> u16;
 }
 
-impl First for Fleet {
-    /// Only the first three run.
-    fn order_at_first(&self) -> u16 {
-        let began = Instant::now();
-        while began.elapsed() < PATIENCE {
+impl OrderFromFirst for ControlFleet {
+    /// Sends the first order while only the first three machines run.
+    fn order_from_first_three(&self) -> u16 {
+        let started_at = Instant::now();
+        while started_at.elapsed() < WAIT_TIMEOUT {
             for machine in &self.machines[..3] {
-                let answer =
-                    control_support::order(machine.control_plane, REPLACE, 0, &configuration(1, 1));
-                if let Ok(answer) = answer {
-                    if answer.status != 503 {
-                        return answer.status;
+                let response = control_support::send_order(
+                    machine.control_plane,
+                    REPLACE,
+                    0,
+                    &configuration(1, 1),
+                );
+                if let Ok(response) = response {
+                    if response.status != 503 {
+                        return response.status;
                     }
                 }
             }
--- a/fleet/tests/control_program.rs
+++ b/fleet/tests/control_program.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn settings_that_can_not_be_used_end_each_role_with_2_and_all_faults_named() {
+fn unusable_settings_exit_with_2_and_name_all_faults() {
     let path = file(
         "bad",
         "nodeName = 3\nzone = \"a\"\ninternalPortRange = [1]\n[limits]\nmemoryMb = \"x\"\n",
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn arguments_that_are_not_known_end_with_2_and_help_with_0() {
+fn unknown_arguments_exit_with_2_and_help_with_0() {
     assert_eq!(run(&["serve"], None).status.code(), Some(2));
     assert_eq!(run(&["control", "--speed"], None).status.code(), Some(2));
     let help = run(&["--help"], None);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn files_are_checked_by_what_they_are() {
+fn check_recognises_kind_of_file() {
     let settings = file(
         "good.toml",
         "nodeName = \"n\"\nipAddress = \"10.0.0.1\"\nzone = \"a\"\ninternalPortRange = [7300, 7315]\nseedNodes = []\n",
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn nobody_who_answers_is_said_to_be_down() {
+fn status_reports_unreachable_machine() {
     let free = std::net::TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
--- a/fleet/tests/control_servers.rs
+++ b/fleet/tests/control_servers.rs
@@ -3,7 +3,9 @@
 mod control_support;
 
 use assert_matches::assert_matches;
-use control_support::{beat, call, configuration, wait_for, Answer, FakeRouter, Fleet};
+use control_support::{
+    call, configuration, send_heartbeat, wait_for, ControlFleet, FakeRouter, HttpResponse,
+};
 use lichenswitch_messages::{ControlToRouter, RouterToControl, ServerState};
 use std::fs::{self, File};
 use std::net::SocketAddr;
@@ -14,14 +16,17 @@
 const REPLACE: &str = "/configuration/replace";
 
 #[test]
-fn beats_are_acknowledged_and_reach_the_routers_of_all_machines() {
-    let mut fleet = Fleet::of("beats", &[true, true, true]);
+fn heartbeats_are_acknowledged_and_reach_routers_of_all_machines() {
+    let mut fleet = ControlFleet::of("beats", &[true, true, true]);
     fleet.start_first();
-    assert_eq!(fleet.order(REPLACE, 0, &configuration(1, 1)).status, 200);
+    assert_eq!(
+        fleet.send_order(REPLACE, 0, &configuration(1, 1)).status,
+        200
+    );
     fleet.await_voters(fleet.primary(&[0, 1, 2]), 3);
 
-    // A router gets the configuration first, then the word on contact, by which it takes the former
-    // as current, then the whole table.
+    // A router gets the configuration first, then the heartbeat by whose contact it takes the former
+    // as current, then the complete table.
     let mut near = FakeRouter::connect(fleet.machines[0].internal, "near");
     let (push, position, document) = assert_matches!(near.next(), ControlToRouter::Configuration { push, position, document } =>
         (push, position, document));
@@ -30,19 +35,19 @@
         assert!(control.contains(&fleet.machines[1].internal.to_string()), "{control:?}");
     });
     assert_matches!(near.next(), ControlToRouter::Servers { push: 2, is_complete: true, records } if records.is_empty());
-    near.say(RouterToControl::Applied {
+    near.send(RouterToControl::Applied {
         push: 2,
         configuration: Some(position),
     });
     let mut far = FakeRouter::connect(fleet.machines[2].internal, "further");
 
     let address = fleet.machines[0].control_plane;
-    let taken = wait_for("a beat", || {
-        beat(address, "i-1", "ready", 1)
+    let accepted = wait_for("a beat", || {
+        send_heartbeat(address, "i-1", "ready", 1)
             .ok()
-            .filter(|answer| answer.status == 200)
+            .filter(|response| response.status == 200)
     });
-    assert_eq!(taken.body, "{}");
+    assert_eq!(accepted.body, "{}");
     for router in [&mut near, &mut far] {
         let record = next_record(router, "i-1");
         assert_eq!(
@@ -51,11 +56,11 @@
         );
     }
 
-    // Another machine takes the next beats; draining and the end reach all.
+    // Another machine gets the next heartbeats; draining and deregistration reach all.
     let other = fleet.machines[1].control_plane;
     await_table(other);
-    assert_acknowledged(&beat(other, "i-1", "ready", 2).unwrap());
-    assert_acknowledged(&beat(other, "i-1", "draining", 3).unwrap());
+    assert_acknowledged(&send_heartbeat(other, "i-1", "ready", 2).unwrap());
+    assert_acknowledged(&send_heartbeat(other, "i-1", "draining", 3).unwrap());
     for router in [&mut near, &mut far] {
         assert_eq!(next_record(router, "i-1").state, ServerState::Draining);
     }
@@ -68,8 +73,8 @@
     for router in [&mut near, &mut far] {
         assert_eq!(next_record(router, "i-1").state, ServerState::Gone);
     }
-    // A beat that comes late brings nobody back.
-    assert_acknowledged(&beat(other, "i-1", "ready", 2).unwrap());
+    // A late heartbeat does not bring a server back.
+    assert_acknowledged(&send_heartbeat(other, "i-1", "ready", 2).unwrap());
     assert_eq!(
         call(other, "POST", "/instances/i-1/heartbeat", &[], "{")
             .unwrap()
@@ -78,9 +83,12 @@
     );
 
     // A new configuration is pushed, and what is in force is shown.
-    assert_eq!(fleet.order(REPLACE, 1, &configuration(2, 2)).status, 200);
+    assert_eq!(
+        fleet.send_order(REPLACE, 1, &configuration(2, 2)).status,
+        200
+    );
     for router in [&mut near, &mut far] {
-        let document = router.next_of(|message| match message {
+        let document = router.next_matching(|message| match message {
             ControlToRouter::Configuration { document, .. } => Some(document),
             _ => None,
         });
@@ -88,7 +96,7 @@
     }
     wait_for("both routers are counted everywhere", || {
         (0..3)
-            .all(|place| fleet.status(place).contains("\"routers_of_fleet\":2"))
+            .all(|index| fleet.status(index).contains("\"routers_of_fleet\":2"))
             .then_some(())
     });
     let shown = format!(
@@ -98,33 +106,36 @@
     assert!(fleet.status(0).contains(&shown), "{}", fleet.status(0));
 }
 
-/// Waits while a machine that has just started refuses heartbeats for want of the table: all that
-/// started together greeted each other before any of them was in contact, and a table counts only
-/// from a machine in contact. Any other refusal is a failure.
+/// Waits while a machine that has just started rejects heartbeats for lack of the table: machines
+/// that started together sent each other their tables before any was in contact, and a table counts
+/// only from a machine in contact. Any other rejection is a failure.
 fn await_table(control_plane: SocketAddr) {
     wait_for("the table of servers", || {
-        let answer = beat(control_plane, "i-1", "ready", 2).unwrap();
-        let waits = answer.status == 503 && answer.body.contains("has not got the table");
-        assert!(waits || answer.status == 200, "{answer:?}");
+        let response = send_heartbeat(control_plane, "i-1", "ready", 2).unwrap();
+        let waits = response.status == 503 && response.body.contains("has not got the table");
+        assert!(waits || response.status == 200, "{response:?}");
         (!waits).then_some(())
     });
 }
 
-fn assert_acknowledged(answer: &Answer) {
-    assert_eq!(answer.status, 200, "{answer:?}");
+fn assert_acknowledged(response: &HttpResponse) {
+    assert_eq!(response.status, 200, "{response:?}");
 }
 
 #[test]
-fn a_machine_that_starts_takes_the_table_of_the_others() {
-    let mut fleet = Fleet::of("table", &[true, true, true]);
+fn starting_machine_gets_server_table_of_others() {
+    let mut fleet = ControlFleet::of("table", &[true, true, true]);
     fleet.start_first();
-    assert_eq!(fleet.order(REPLACE, 0, &configuration(1, 1)).status, 200);
+    assert_eq!(
+        fleet.send_order(REPLACE, 0, &configuration(1, 1)).status,
+        200
+    );
     fleet.await_voters(fleet.primary(&[0, 1, 2]), 3);
     let address = fleet.machines[0].control_plane;
     wait_for("a beat", || {
-        beat(address, "i-7", "ready", 1)
+        send_heartbeat(address, "i-7", "ready", 1)
             .ok()
-            .filter(|answer| answer.status == 200)
+            .filter(|response| response.status == 200)
     });
     fleet.kill(2);
     fleet.start(2, false);
@@ -132,17 +143,17 @@
     assert_eq!(next_record(&mut router, "i-7").state, ServerState::Ready);
 }
 
-/// What a server sees of a machine that starts later than the others: refusals with their reason,
-/// each of which the next machine makes up for. The server is never taken out, so no request misses
-/// it.
+/// A server at a machine that starts later than the others gets rejections with their reason, and an
+/// acknowledgement from the next machine. It is never removed, so no request misses it.
 #[test]
-fn heartbeats_that_a_machine_refuses_after_its_start_cost_no_request() {
-    let mut fleet = Fleet::of("later", &[true, true, true]);
+fn heartbeats_rejected_after_start_remove_no_server() {
+    let mut fleet = ControlFleet::of("later", &[true, true, true]);
     fleet.start(0, true);
     fleet.start(1, true);
-    let [near, later] = [0, 2].map(|place| fleet.machines[place].control_plane);
-    let ready =
-        |address, sequence| beat(address, "i-1", "ready", sequence).map(|answer| answer.status);
+    let [near, later] = [0, 2].map(|index| fleet.machines[index].control_plane);
+    let ready = |address, sequence| {
+        send_heartbeat(address, "i-1", "ready", sequence).map(|response| response.status)
+    };
     wait_for("a beat", || {
         ready(near, 1).ok().filter(|status| *status == 200)
     });
@@ -150,10 +161,10 @@
     assert_eq!(next_record(&mut router, "i-1").state, ServerState::Ready);
     fleet.start(2, true);
     let (mut sequence, mut refused) = (2, 0);
-    let began = Instant::now();
+    let started_at = Instant::now();
     while ready(later, sequence).ok() != Some(200) {
         assert!(
-            began.elapsed() < control_support::PATIENCE,
+            started_at.elapsed() < control_support::WAIT_TIMEOUT,
             "it takes beats in the end"
         );
         let took = Instant::now();
@@ -172,11 +183,11 @@
     assert!(refused > 0, "it refuses, or does not listen, at first");
     let mut late = FakeRouter::connect(fleet.machines[2].internal, "late");
     assert_eq!(next_record(&mut late, "i-1").state, ServerState::Ready);
-    // What the router was told meanwhile: the server is there, all along.
+    // Meanwhile no update has removed the server at the router.
     // Its name has another length, which is part of the address that the test gives it.
-    let told = beat(near, "other", "ready", 1).unwrap();
-    assert_acknowledged(&told);
-    router.next_of(|message| {
+    let progress = send_heartbeat(near, "other", "ready", 1).unwrap();
+    assert_acknowledged(&progress);
+    router.next_matching(|message| {
         let ControlToRouter::Servers { records, .. } = message else {
             return None;
         };
@@ -194,32 +205,35 @@
 }
 
 #[test]
-fn after_all_machines_were_killed_routers_hear_of_servers_before_these_beat_again() {
-    let mut fleet = Fleet::of("remembered", &[true, true, false]);
+fn cached_servers_reach_routers_after_all_machines_are_killed() {
+    let mut fleet = ControlFleet::of("remembered", &[true, true, false]);
     fleet.start_first();
-    assert_eq!(fleet.order(REPLACE, 0, &configuration(1, 1)).status, 200);
+    assert_eq!(
+        fleet.send_order(REPLACE, 0, &configuration(1, 1)).status,
+        200
+    );
     let address = fleet.machines[0].control_plane;
     wait_for("a beat", || {
-        beat(address, "i-8", "ready", 1)
+        send_heartbeat(address, "i-8", "ready", 1)
             .ok()
-            .filter(|answer| answer.status == 200)
+            .filter(|response| response.status == 200)
     });
     let tables: Vec<_> = [0, 1]
         .iter()
-        .map(|place| Path::new(&fleet.machines[*place].folder).join("data/servers"))
+        .map(|index| Path::new(&fleet.machines[*index].folder).join("data/servers"))
         .collect();
     wait_for("both tables on disk", || {
         tables
             .iter()
-            .all(|table| holds(table, b"i-8"))
+            .all(|table| contains(table, b"i-8"))
             .then_some(())
     });
 
-    (0..3).for_each(|place| fleet.kill(place));
-    (0..3).for_each(|place| fleet.start(place, false));
-    // Machine 2 has no disk: it hears of the server from the others.
-    for place in [0, 2] {
-        let mut router = FakeRouter::connect(fleet.machines[place].internal, "after");
+    (0..3).for_each(|index| fleet.kill(index));
+    (0..3).for_each(|index| fleet.start(index, false));
+    // Machine 2 has no disk: it gets the record from the others.
+    for index in [0, 2] {
+        let mut router = FakeRouter::connect(fleet.machines[index].internal, "after");
         let remembered = next_record(&mut router, "i-8");
         assert!(
             !remembered.is_suspect,
@@ -227,14 +241,14 @@
         );
         assert_eq!(remembered.state, ServerState::Ready);
     }
-    // Its next beat is news to all.
+    // Its next heartbeat is an update for all.
     let mut router = FakeRouter::connect(fleet.machines[1].internal, "later");
     wait_for("a beat", || {
-        beat(address, "i-8", "ready", 2)
+        send_heartbeat(address, "i-8", "ready", 2)
             .ok()
-            .filter(|answer| answer.status == 200)
+            .filter(|response| response.status == 200)
     });
-    router.next_of(|message| match message {
+    router.next_matching(|message| match message {
         ControlToRouter::Servers { records, .. } => records
             .into_iter()
             .find(|record| record.instance == "i-8" && record.sequence_number == 2),
@@ -243,12 +257,16 @@
 }
 
 /// Whether a file holds these bytes.
-fn holds(path: &Path, wanted: &[u8]) -> bool {
-    fs::read(path).is_ok_and(|bytes| bytes.windows(wanted.len()).any(|window| window == wanted))
+fn contains(path: &Path, expected: &[u8]) -> bool {
+    fs::read(path).is_ok_and(|bytes| {
+        bytes
+            .windows(expected.len())
+            .any(|window| window == expected)
+    })
 }
 
 fn next_record(router: &mut FakeRouter, instance: &str) -> lichenswitch_messages::ServerRecord {
-    router.next_of(|message| match message {
+    router.next_matching(|message| match message {
         ControlToRouter::Servers { records, .. } => records
             .into_iter()
             .find(|record| record.instance == instance),
@@ -258,10 +276,13 @@
 
 /// One machine of three can't write its table, once `block` has put something where the new file is
 /// to be, until `clear` takes it away.
-fn machine_whose_table_is_not_written(name: &str, block: fn(&Path) -> bool, clear: fn(&Path)) {
-    let mut fleet = Fleet::of(name, &[true, true, true]);
+fn check_departure_without_disk_write(name: &str, block: fn(&Path) -> bool, clear: fn(&Path)) {
+    let mut fleet = ControlFleet::of(name, &[true, true, true]);
     fleet.start_first();
-    assert_eq!(fleet.order(REPLACE, 0, &configuration(1, 1)).status, 200);
+    assert_eq!(
+        fleet.send_order(REPLACE, 0, &configuration(1, 1)).status,
+        200
+    );
     fleet.await_voters(fleet.primary(&[0, 1, 2]), 3);
     let in_its_way = fleet.machines[0].folder.join("data").join("servers.new");
     wait_for("a moment without a write", || {
@@ -272,11 +293,11 @@
         fleet.machines[1].control_plane,
     );
     wait_for("a beat", || {
-        beat(mute, "i-1", "ready", 1)
+        send_heartbeat(mute, "i-1", "ready", 1)
             .ok()
-            .filter(|answer| answer.status == 200)
+            .filter(|response| response.status == 200)
     });
-    let began = Instant::now();
+    let started_at = Instant::now();
     assert_eq!(
         call(mute, "POST", "/instances/i-1/deregister", &[], "")
             .unwrap()
@@ -284,12 +305,12 @@
         503
     );
     assert!(
-        began.elapsed() < Duration::from_secs(1),
+        started_at.elapsed() < Duration::from_secs(1),
         "the server goes on in time: {:?}",
-        began.elapsed()
+        started_at.elapsed()
     );
-    // The others are enough, and wait for it no longer than for any slow machine.
-    let began = Instant::now();
+    // The others suffice, and wait for it no longer than for any slow machine.
+    let started_at = Instant::now();
     assert_eq!(
         call(other, "POST", "/instances/i-1/deregister", &[], "")
             .unwrap()
@@ -297,26 +318,26 @@
         200
     );
     assert!(
-        began.elapsed() < Duration::from_secs(1),
+        started_at.elapsed() < Duration::from_secs(1),
         "{:?}",
-        began.elapsed()
+        started_at.elapsed()
     );
     clear(&in_its_way);
     wait_for("the disk to take writes again", || {
-        let answer = call(mute, "POST", "/instances/i-1/deregister", &[], "");
-        answer.ok().filter(|answer| answer.status == 200)
+        let response = call(mute, "POST", "/instances/i-1/deregister", &[], "");
+        response.ok().filter(|response| response.status == 200)
     });
 }
 
 #[test]
-fn that_a_server_leaves_is_not_taken_by_a_machine_whose_disk_refuses_it() {
+fn departure_is_not_acknowledged_when_disk_write_fails() {
     let block = |path: &Path| fs::create_dir(path).is_ok();
-    machine_whose_table_is_not_written("full-disk", block, |path| fs::remove_dir(path).unwrap());
+    check_departure_without_disk_write("full-disk", block, |path| fs::remove_dir(path).unwrap());
 }
 
 #[test]
-fn that_a_server_leaves_is_not_taken_by_a_machine_whose_disk_stalls() {
-    // Whoever opens a pipe to write waits for a reader.
+fn departure_is_not_acknowledged_when_disk_stalls() {
+    // Opening a pipe for writing blocks until there is a reader.
     let block = |path: &Path| {
         Command::new("mkfifo")
             .arg(path)
@@ -325,7 +346,7 @@
             .status
             .success()
     };
-    machine_whose_table_is_not_written("stalled-disk", block, |path| {
+    check_departure_without_disk_write("stalled-disk", block, |path| {
         let reader = File::open(path).unwrap();
         fs::remove_file(path).unwrap();
         drop(reader);
--- a/fleet/tests/control_settings.rs
+++ b/fleet/tests/control_settings.rs
@@ -39,7 +39,7 @@
 "#;
 
 #[test]
-fn a_file_of_the_platform_is_read_and_unknown_fields_are_ignored() {
+fn platform_settings_are_read_and_unknown_fields_ignored() {
     let settings = Settings::parse(GOOD).unwrap();
     assert_eq!(settings.node_name, "edge-a-1");
     assert_eq!(settings.internal_ports, (7300, 7315));
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn all_faults_are_named_at_once_by_their_keys() {
+fn all_invalid_settings_are_named_by_key() {
     let bad = GOOD
         .replace("nodeName", "nodename")
         .replace("\"10.1.0.10\"", "\"here\"")
@@ -86,12 +86,12 @@
 }
 
 #[test]
-fn what_is_no_toml_is_said_to_be_none() {
+fn invalid_toml_is_reported() {
     assert_matches!(Settings::parse("= 3"), Err(SettingsError::Syntax(_)));
 }
 
 #[test]
-fn other_processes_are_reached_through_the_forwarders_that_are_named() {
+fn processes_are_reached_through_configured_forwarders() {
     let address = |text: &str| text.parse::<SocketAddr>().unwrap();
     let settings = Settings::parse(&format!(
         "{GOOD}[forwarders]\n\"10.2.0.14:7300\" = \"10.9.0.1:40000\"\n"
--- a/fleet/tests/control_support/mod.rs
+++ b/fleet/tests/control_support/mod.rs
@@ -17,20 +17,20 @@
 use std::sync::atomic::{AtomicU16, Ordering};
 use std::time::{Duration, Instant};
 
-/// Patience of all waits.
-pub const PATIENCE: Duration = Duration::from_secs(15);
+/// Timeout of all waits.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// A group of control machines.
-pub struct Fleet {
+pub struct ControlFleet {
     pub folder: PathBuf,
-    pub machines: Vec<Machine>,
+    pub machines: Vec<ControlProcess>,
     /// Ports of all machines: for callers, and for each other.
     ports: (u16, u16),
     net: u16,
 }
 
 /// A control machine.
-pub struct Machine {
+pub struct ControlProcess {
     pub ip: String,
     pub control_plane: SocketAddr,
     pub internal: SocketAddr,
@@ -41,9 +41,9 @@
 
 static NETS: AtomicU16 = AtomicU16::new(0);
 
-impl Fleet {
-    /// Machines that have not started yet.
-    pub fn of(name: &str, disks: &[bool]) -> Fleet {
+impl ControlFleet {
+    /// Machines that are not started yet, one for each entry of `disks`.
+    pub fn of(name: &str, disks: &[bool]) -> ControlFleet {
         let net = (std::process::id() as u16 % 200) * 8 + NETS.fetch_add(1, Ordering::Relaxed);
         let folder =
             std::env::temp_dir().join(format!("lichenswitch-fleet-{name}-{}", std::process::id()));
@@ -52,7 +52,7 @@
             .map(|n| format!("127.{}.{}.{n}", 1 + net / 250, 1 + net % 250))
             .collect();
         let ports = free_ports(&ips);
-        let machine = |(ip, disk): (&String, &bool)| Machine {
+        let machine = |(ip, disk): (&String, &bool)| ControlProcess {
             ip: ip.clone(),
             control_plane: format!("{ip}:{}", ports.0).parse().unwrap(),
             internal: format!("{ip}:{}", ports.1).parse().unwrap(),
@@ -61,7 +61,7 @@
             process: None,
         };
         let machines = ips.iter().zip(disks).map(machine).collect();
-        Fleet {
+        ControlFleet {
             folder,
             machines,
             ports,
@@ -71,20 +71,20 @@
 
     /// Starts all machines for the first time.
     pub fn start_first(&mut self) {
-        for place in 0..self.machines.len() {
-            self.start(place, true);
+        for index in 0..self.machines.len() {
+            self.start(index, true);
         }
     }
 
     /// Starts one machine.
-    pub fn start(&mut self, place: usize, first: bool) {
+    pub fn start(&mut self, index: usize, first: bool) {
         let seeds = self
             .machines
             .iter()
             .take(3)
             .map(|m| format!("\"{}\"", m.control_plane))
             .collect::<Vec<_>>();
-        let machine = &mut self.machines[place];
+        let machine = &mut self.machines[index];
         fs::create_dir_all(machine.folder.join("data")).unwrap();
         let settings = settings(machine, self.ports, &seeds.join(","), first);
         let path = machine.folder.join("settings.toml");
@@ -104,27 +104,27 @@
         machine.process = Some(process);
     }
 
-    /// Ends a machine without warning.
-    pub fn kill(&mut self, place: usize) {
-        let mut process = self.machines[place].process.take().unwrap();
+    /// Kills a machine.
+    pub fn kill(&mut self, index: usize) {
+        let mut process = self.machines[index].process.take().unwrap();
         process.kill().unwrap();
         process.wait().unwrap();
     }
 
-    /// Whether a machine was started and not ended since.
-    pub fn is_running(&self, place: usize) -> bool {
-        self.machines[place].process.is_some()
+    /// Whether a machine runs.
+    pub fn is_running(&self, index: usize) -> bool {
+        self.machines[index].process.is_some()
     }
 
     /// Empties the disk of a machine that does not run.
-    pub fn wipe(&mut self, place: usize) {
-        assert!(self.machines[place].process.is_none());
-        fs::remove_dir_all(self.machines[place].folder.join("data")).unwrap();
+    pub fn wipe(&mut self, index: usize) {
+        assert!(self.machines[index].process.is_none());
+        fs::remove_dir_all(self.machines[index].folder.join("data")).unwrap();
     }
 
-    /// Tells a machine that its settings have changed, with other seeds.
-    pub fn reload(&mut self, place: usize, seeds: &[SocketAddr]) {
-        let machine = &self.machines[place];
+    /// Changes the seeds of a machine, and signals it to read its settings again.
+    pub fn reload(&mut self, index: usize, seeds: &[SocketAddr]) {
+        let machine = &self.machines[index];
         let seeds = seeds
             .iter()
             .map(|seed| format!("\"{seed}\""))
@@ -138,34 +138,34 @@
         signal(machine.process.as_ref().unwrap(), "HUP");
     }
 
-    /// Tells a machine to end, and waits for it.
-    pub fn stop(&mut self, place: usize) -> (ExitStatus, Duration) {
-        let mut process = self.machines[place].process.take().unwrap();
-        let began = Instant::now();
+    /// Terminates a machine, and waits for its exit.
+    pub fn stop(&mut self, index: usize) -> (ExitStatus, Duration) {
+        let mut process = self.machines[index].process.take().unwrap();
+        let started_at = Instant::now();
         signal(&process, "TERM");
         let status = process.wait().unwrap();
-        (status, began.elapsed())
+        (status, started_at.elapsed())
     }
 
-    /// Freezes a machine, or lets it go on.
-    pub fn freeze(&mut self, place: usize, frozen: bool) {
+    /// Freezes a machine, or resumes it.
+    pub fn freeze(&mut self, index: usize, frozen: bool) {
         signal(
-            self.machines[place].process.as_ref().unwrap(),
+            self.machines[index].process.as_ref().unwrap(),
             if frozen { "STOP" } else { "CONT" },
         );
     }
 
-    /// Sends an order to the machines in turn until one gives a clear answer, as operators do.
-    pub fn order(&self, path: &str, base: u64, body: &str) -> Answer {
-        let began = Instant::now();
-        let mut place = 0;
-        while began.elapsed() < PATIENCE {
-            let machine = &self.machines[place % self.machines.len()];
-            match order(machine.control_plane, path, base, body) {
-                Ok(answer) if answer.status != 503 => return answer,
+    /// Sends an order to the machines in turn until one gives a definite response, as operators do.
+    pub fn send_order(&self, path: &str, base: u64, body: &str) -> HttpResponse {
+        let started_at = Instant::now();
+        let mut index = 0;
+        while started_at.elapsed() < WAIT_TIMEOUT {
+            let machine = &self.machines[index % self.machines.len()];
+            match send_order(machine.control_plane, path, base, body) {
+                Ok(response) if response.status != 503 => return response,
                 _ => std::thread::sleep(Duration::from_millis(50)),
             }
-            place += 1;
+            index += 1;
         }
         panic!(
             "no clear answer to an order; logs in {}",
@@ -173,21 +173,21 @@
         );
     }
 
-    /// Reads the configuration from one machine, with patience.
-    pub fn describe(&self, place: usize) -> String {
-        let address = self.machines[place].control_plane;
-        let answer = wait_for("describe", || {
+    /// Reads the configuration from one machine, and retries until it succeeds.
+    pub fn describe(&self, index: usize) -> String {
+        let address = self.machines[index].control_plane;
+        let response = wait_for("describe", || {
             call(address, "GET", "/configuration/describe", &[], "")
                 .ok()
                 .filter(|a| a.status == 200)
         });
-        answer.body
+        response.body
     }
 
     /// The status of one machine.
-    pub fn status(&self, place: usize) -> String {
+    pub fn status(&self, index: usize) -> String {
         call(
-            self.machines[place].control_plane,
+            self.machines[index].control_plane,
             "GET",
             "/status",
             &[],
@@ -197,50 +197,50 @@
         .unwrap_or_default()
     }
 
-    /// Which machine is the primary, once all of these agree.
-    pub fn primary(&self, places: &[usize]) -> usize {
+    /// The index of the primary, once all of these machines agree on it.
+    pub fn primary(&self, indices: &[usize]) -> usize {
         wait_for("a primary", || {
-            let named = |place: &usize| text_of(&self.status(*place), "primary");
-            let first = named(&places[0])
-                .filter(|first| places.iter().all(|p| named(p).as_ref() == Some(first)))?;
+            let named = |index: &usize| text_of(&self.status(*index), "primary");
+            let first = named(&indices[0])
+                .filter(|first| indices.iter().all(|p| named(p).as_ref() == Some(first)))?;
             let found = self
                 .machines
                 .iter()
                 .position(|machine| machine.internal.to_string() == first)?;
-            places.contains(&found).then_some(found)
+            indices.contains(&found).then_some(found)
         })
     }
 
-    /// Waits until a machine counts so many voters.
-    pub fn await_voters(&self, place: usize, voters: usize) {
+    /// Waits until a machine reports this number of voters.
+    pub fn await_voters(&self, index: usize, voters: usize) {
         wait_for(&format!("{voters} voters"), || {
-            (self.status(place).matches("\"votes\":true").count() == voters).then_some(())
+            (self.status(index).matches("\"votes\":true").count() == voters).then_some(())
         });
     }
 
-    /// Waits until all machines vote with the disks that they have now, and none else does.
-    pub fn await_whole(&self) {
-        let places: Vec<usize> = (0..self.machines.len()).collect();
+    /// Waits until the voters are all machines, each with its present disk, and no others.
+    pub fn await_all_voters(&self) {
+        let indices: Vec<usize> = (0..self.machines.len()).collect();
         wait_for("all machines vote", || {
-            let identities: Vec<String> = places
+            let identities: Vec<String> = indices
                 .iter()
-                .filter_map(|place| text_of(&self.status(*place), "identity"))
+                .filter_map(|index| text_of(&self.status(*index), "identity"))
                 .collect();
-            let primary = places
+            let primary = indices
                 .iter()
-                .map(|place| self.status(*place))
+                .map(|index| self.status(*index))
                 .find(|status| status.contains("\"role\":\"primary\""))?;
             let line = |identity: &String| format!("\"identity\":\"{identity}\",\"address\"");
-            let votes = identities.len() == places.len()
+            let votes = identities.len() == indices.len()
                 && identities
                     .iter()
                     .all(|identity| primary.contains(&line(identity)));
-            (votes && primary.matches("\"votes\":true").count() == places.len()).then_some(())
+            (votes && primary.matches("\"votes\":true").count() == indices.len()).then_some(())
         });
     }
 }
 
-impl Drop for Fleet {
+impl Drop for ControlFleet {
     fn drop(&mut self) {
         for machine in &mut self.machines {
             if let Some(mut process) = machine.process.take() {
@@ -263,7 +263,7 @@
     assert!(sent.success());
 }
 
-fn settings(machine: &Machine, ports: (u16, u16), seeds: &str, first: bool) -> String {
+fn settings(machine: &ControlProcess, ports: (u16, u16), seeds: &str, first: bool) -> String {
     let data = machine.folder.join("data");
     let disk = if machine.disk {
         format!("dataDirectory = {:?}\n", data.display().to_string())
@@ -300,27 +300,32 @@
     (one, other)
 }
 
-/// Asks again and again until there is an answer.
-pub fn wait_for<T>(what: &str, mut ask: impl FnMut() -> Option<T>) -> T {
-    let began = Instant::now();
-    while began.elapsed() < PATIENCE {
-        if let Some(found) = ask() {
+/// Polls until there is a result.
+pub fn wait_for<T>(what: &str, mut call_once: impl FnMut() -> Option<T>) -> T {
+    let started_at = Instant::now();
+    while started_at.elapsed() < WAIT_TIMEOUT {
+        if let Some(found) = call_once() {
             return found;
         }
         std::thread::sleep(Duration::from_millis(20));
     }
-    panic!("{what}: not within {PATIENCE:?}");
+    panic!("{what}: not within {WAIT_TIMEOUT:?}");
 }
 
-/// What a call was answered.
+/// The response to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct HttpResponse {
     pub status: u16,
     pub body: String,
 }
 
 /// Sends an order to one machine.
-pub fn order(address: SocketAddr, path: &str, base: u64, body: &str) -> io::Result<Answer> {
+pub fn send_order(
+    address: SocketAddr,
+    path: &str,
+    base: u64,
+    body: &str,
+) -> io::Result<HttpResponse> {
     call(
         address,
         "POST",
@@ -330,14 +335,14 @@
     )
 }
 
-/// A call on a connection of its own. A second of silence is an error, as for operators.
+/// A call on a new connection. A second without a response is an error, as for operators.
 pub fn call(
     address: SocketAddr,
     method: &str,
     path: &str,
     headers: &[String],
     body: &str,
-) -> io::Result<Answer> {
+) -> io::Result<HttpResponse> {
     let mut stream = TcpStream::connect_timeout(&address, Duration::from_secs(1))?;
     stream.set_read_timeout(Some(Duration::from_secs(1)))?;
     let mut head = format!(
@@ -348,23 +353,28 @@
         .iter()
         .for_each(|header| head.push_str(&format!("{header}\r\n")));
     stream.write_all(format!("{head}\r\n{body}").as_bytes())?;
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer)?;
-    let status = answer
+    let mut response = String::new();
+    stream.read_to_string(&mut response)?;
+    let status = response
         .split(' ')
         .nth(1)
         .and_then(|status| status.parse().ok());
-    let (Some(status), Some((_, body))) = (status, answer.split_once("\r\n\r\n")) else {
+    let (Some(status), Some((_, body))) = (status, response.split_once("\r\n\r\n")) else {
         return Err(io::ErrorKind::UnexpectedEof.into());
     };
-    Ok(Answer {
+    Ok(HttpResponse {
         status,
         body: body.to_owned(),
     })
 }
 
 /// A heartbeat of a server.
-pub fn beat(address: SocketAddr, instance: &str, state: &str, sequence: u64) -> io::Result<Answer> {
+pub fn send_heartbeat(
+    address: SocketAddr,
+    instance: &str,
+    state: &str,
+    sequence: u64,
+) -> io::Result<HttpResponse> {
     let body = format!(
         "{{\"service\":\"pool\",\"address\":\"10.0.0.9:{}\",\"zone\":\"a\",\"version\":\"v1\",\"capacitySlots\":4,\"state\":\"{state}\",\
          \"coldRemainingMs\":0,\"sequenceNumber\":{sequence}}}",
@@ -379,13 +389,13 @@
     )
 }
 
-/// The text of a field of JSON, where it stands first.
+/// The first text field of this name in JSON.
 pub fn text_of(json: &str, field: &str) -> Option<String> {
-    let rest = json.split_once(&format!("\"{field}\":\""))?.1;
-    Some(rest.split_once('"')?.0.to_owned())
+    let delay = json.split_once(&format!("\"{field}\":\""))?.1;
+    Some(delay.split_once('"')?.0.to_owned())
 }
 
-/// A configuration with so many routes.
+/// A configuration with this number of routes.
 pub fn configuration(version: u64, routes: usize) -> String {
     let routes: Vec<String> = (0..routes)
         .map(|n| {
@@ -410,15 +420,15 @@
 }
 
 impl FakeRouter {
-    /// Connects and says who it is.
+    /// Connects, and sends the handshake.
     pub fn connect(address: SocketAddr, node: &str) -> FakeRouter {
         let stream = wait_for("a control machine", || TcpStream::connect(address).ok());
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         let mut router = FakeRouter {
             stream,
             reader: EnvelopeReader::default(),
         };
-        router.say(RouterToControl::Hello {
+        router.send(RouterToControl::Hello {
             protocol_version: PROTOCOL_VERSION,
             node_name: node.to_owned(),
             zone: "a".to_owned(),
@@ -428,13 +438,13 @@
         router
     }
 
-    pub fn say(&mut self, message: RouterToControl) {
+    pub fn send(&mut self, message: RouterToControl) {
         self.stream
             .write_all(&encode(&Envelope::FromRouter(message)).unwrap())
             .unwrap();
     }
 
-    pub fn say_of_tenants(&mut self, message: &TenantMessage) {
+    pub fn send_tenant_message(&mut self, message: &TenantMessage) {
         self.stream
             .write_all(&encode_tenant_message(message).unwrap())
             .unwrap();
@@ -444,15 +454,15 @@
         loop {
             match self.next_message() {
                 Incoming::Envelope(Envelope::ToRouter(message)) => return message,
-                // Other routers may have something that waits.
+                // Backlogs of other routers' requests.
                 Incoming::Backlog(_) => {}
                 other => panic!("not for a router: {other:?}"),
             }
         }
     }
 
-    /// Says what waits at servers.
-    pub fn say_backlogs(&mut self, servers: &[(u32, u32)]) {
+    /// Reports backlogs of servers.
+    pub fn send_backlogs(&mut self, servers: &[(u32, u32)]) {
         let servers = servers.iter().map(|(server, tokens)| ServerBacklog {
             server: *server,
             tokens: *tokens,
@@ -466,16 +476,16 @@
             .unwrap();
     }
 
-    /// Follows what is told of backlogs until it is this.
-    pub fn await_backlogs(&mut self, known: &mut BTreeMap<u32, u32>, wanted: &[(u32, u32)]) {
-        let wanted: BTreeMap<u32, u32> = wanted.iter().copied().collect();
-        let began = Instant::now();
-        while *known != wanted {
+    /// Applies reports of backlogs until they add up to `expected`.
+    pub fn await_backlogs(&mut self, known: &mut BTreeMap<u32, u32>, expected: &[(u32, u32)]) {
+        let expected: BTreeMap<u32, u32> = expected.iter().copied().collect();
+        let started_at = Instant::now();
+        while *known != expected {
             assert!(
-                began.elapsed() < PATIENCE,
-                "{known:?} is known, not {wanted:?}"
+                started_at.elapsed() < WAIT_TIMEOUT,
+                "{known:?} is known, not {expected:?}"
             );
-            // Heartbeats come all the while.
+            // Heartbeats arrive in between.
             if let Incoming::Backlog(report) = self.next_message() {
                 if report.is_complete {
                     known.clear();
@@ -486,11 +496,11 @@
         }
     }
 
-    /// The next message about tenants that comes within a time.
-    pub fn next_of_tenants(&mut self, time: Duration) -> Option<TenantMessage> {
-        let began = Instant::now();
-        while began.elapsed() < time {
-            // Heartbeats come all the while.
+    /// The next message about tenants that arrives within a time.
+    pub fn next_tenant_message(&mut self, time: Duration) -> Option<TenantMessage> {
+        let started_at = Instant::now();
+        while started_at.elapsed() < time {
+            // Heartbeats arrive in between.
             if let Incoming::Tenant(message) = self.next_message() {
                 return Some(message);
             }
@@ -510,10 +520,10 @@
         }
     }
 
-    /// The next message of a kind.
-    pub fn next_of<T>(&mut self, mut pick: impl FnMut(ControlToRouter) -> Option<T>) -> T {
-        let began = Instant::now();
-        while began.elapsed() < PATIENCE {
+    /// The next message that matches.
+    pub fn next_matching<T>(&mut self, mut pick: impl FnMut(ControlToRouter) -> Option<T>) -> T {
+        let started_at = Instant::now();
+        while started_at.elapsed() < WAIT_TIMEOUT {
             if let Some(found) = pick(self.next()) {
                 return found;
             }
@@ -523,6 +533,6 @@
 }
 
 /// The lines of a machine's log.
-pub fn log_of(machine: &Machine) -> String {
+pub fn log_of(machine: &ControlProcess) -> String {
     fs::read_to_string(Path::new(&machine.folder).join("log")).unwrap_or_default()
 }
--- a/fleet/tests/control_tenants.rs
+++ b/fleet/tests/control_tenants.rs
@@ -1,9 +1,8 @@
-//! Tenants at control machines: what is valid, what routers are told is current, and draws on
-//! quotas.
+//! Tenants at control machines: validation, confirmations to routers, and quota leases.
 
 mod control_support;
 
-use control_support::{call, log_of, wait_for, FakeRouter, Fleet};
+use control_support::{call, log_of, wait_for, ControlFleet, FakeRouter};
 use lichenswitch_fleet::envelopes::encode_tenant_message;
 use lichenswitch_messages::{
     ControlToRouter, QuotaLeaseRequest, QuotaLeaseResponse, QuotaLeaseUnit, TenantMessage,
@@ -23,18 +22,25 @@
 }
 
 /// A group that has this configuration in force.
-fn group(name: &str) -> Fleet {
-    let mut fleet = Fleet::of(name, &[true, true, true]);
+fn group(name: &str) -> ControlFleet {
+    let mut fleet = ControlFleet::of(name, &[true, true, true]);
     fleet.start_first();
     assert_eq!(
-        fleet.order(REPLACE, 0, &configuration(1, TENANTS)).status,
+        fleet
+            .send_order(REPLACE, 0, &configuration(1, TENANTS))
+            .status,
         200
     );
     fleet.await_voters(fleet.primary(&[0, 1, 2]), 3);
     fleet
 }
 
-fn draw(router: &mut FakeRouter, id: u64, tenant: &str, needs: &[u64]) -> QuotaLeaseResponse {
+fn request_lease(
+    router: &mut FakeRouter,
+    id: u64,
+    tenant: &str,
+    needs: &[u64],
+) -> QuotaLeaseResponse {
     let request = QuotaLeaseRequest {
         id,
         tenant: tenant.to_owned(),
@@ -47,18 +53,18 @@
         prefetch_amount: 0,
         may_forward: true,
     };
-    router.say_of_tenants(&TenantMessage::LeaseRequest(request));
-    match router.next_of_tenants(Duration::from_secs(5)) {
-        Some(TenantMessage::LeaseResponse(answer)) if answer.id == id => answer,
+    router.send_tenant_message(&TenantMessage::LeaseRequest(request));
+    match router.next_tenant_message(Duration::from_secs(5)) {
+        Some(TenantMessage::LeaseResponse(response)) if response.id == id => response,
         other => panic!("no answer to a draw: {other:?}"),
     }
 }
 
 #[test]
-fn a_key_that_two_tenants_hold_is_refused_by_name_and_the_old_configuration_stays() {
+fn duplicate_tenant_key_is_rejected_by_name_and_configuration_stays() {
     let fleet = group("shared-key");
     let shared = r#"[{"name":"one","apiKeys":["secret-1"]},{"name":"two","apiKeys":["secret-1"]}]"#;
-    let refused = fleet.order(REPLACE, 1, &configuration(2, shared));
+    let refused = fleet.send_order(REPLACE, 1, &configuration(2, shared));
     assert_eq!(refused.status, 400);
     assert!(
         refused.body.contains("apiKeys") && refused.body.contains("one"),
@@ -67,9 +73,9 @@
     );
     // Only with what is in force already.
     let upsert = r#"{"version":2,"upserts":{"tenants":[{"name":"three","apiKeys":["secret-2"]}]}}"#;
-    assert_eq!(fleet.order(UPDATE, 1, upsert).status, 400);
+    assert_eq!(fleet.send_order(UPDATE, 1, upsert).status, 400);
     let negative = r#"[{"name":"one","ratePerS":-1}]"#;
-    let refused = fleet.order(REPLACE, 1, &configuration(2, negative));
+    let refused = fleet.send_order(REPLACE, 1, &configuration(2, negative));
     assert!(
         refused.status == 400 && refused.body.contains("ratePerS"),
         "{}",
@@ -103,15 +109,15 @@
 }
 
 #[test]
-fn a_router_is_told_that_what_it_was_sent_is_current_only_by_a_machine_in_contact() {
+fn router_gets_confirmation_only_from_machine_in_contact() {
     let mut fleet = group("confirm");
     let mut router = FakeRouter::connect(fleet.machines[0].internal, "router");
-    let position = router.next_of(|message| match message {
+    let position = router.next_matching(|message| match message {
         ControlToRouter::Configuration { position, .. } => Some(position),
         _ => None,
     });
-    router.say_of_tenants(&TenantMessage::Confirm { sent_at_us: 77 });
-    let confirmed = router.next_of_tenants(Duration::from_secs(5));
+    router.send_tenant_message(&TenantMessage::Confirm { sent_at_us: 77 });
+    let confirmed = router.next_tenant_message(Duration::from_secs(5));
     assert_eq!(
         confirmed,
         Some(TenantMessage::Confirmed {
@@ -119,38 +125,38 @@
             position: Some(position)
         })
     );
-    // Without a majority nobody vouches for anything.
+    // Without a majority no machine confirms anything.
     fleet.kill(1);
     fleet.kill(2);
     wait_for("contact to be lost", || {
-        let lost = router.next_of(|message| match message {
+        let lost = router.next_matching(|message| match message {
             ControlToRouter::Heartbeat { in_contact, .. } => Some(!in_contact),
             _ => None,
         });
         lost.then_some(())
     });
-    router.say_of_tenants(&TenantMessage::Confirm { sent_at_us: 78 });
-    assert_eq!(router.next_of_tenants(Duration::from_millis(800)), None);
+    router.send_tenant_message(&TenantMessage::Confirm { sent_at_us: 78 });
+    assert_eq!(router.next_tenant_message(Duration::from_millis(800)), None);
 }
 
-/// Draws on the tenant `two` at all routers by turns for a time, far beyond its quota; what was
-/// granted, and draws that were not granted in full.
-fn draw_for(routers: &mut [FakeRouter], length: Duration) -> (u64, u64) {
-    let (began, mut granted, mut denied, mut id) = (Instant::now(), 0, 0, 10);
-    while began.elapsed() < length {
+/// Requests leases of the tenant `two` at all routers in turn, far beyond its quota. Returns the
+/// amount granted, and the number of requests that were not granted in full.
+fn request_leases_for(routers: &mut [FakeRouter], length: Duration) -> (u64, u64) {
+    let (started_at, mut granted, mut denied, mut id) = (Instant::now(), 0, 0, 10);
+    while started_at.elapsed() < length {
         for router in routers.iter_mut() {
             id += 1;
-            let answer = draw(router, id, "two", &[700, 300]);
-            granted += 700 * (answer.granted_bits & 1) + 300 * (answer.granted_bits >> 1 & 1);
-            denied += u64::from(answer.granted_bits != 0b11);
-            assert!(answer.granted_bits == 0b11 || answer.retry_after_us > 0);
+            let response = request_lease(router, id, "two", &[700, 300]);
+            granted += 700 * (response.granted_bits & 1) + 300 * (response.granted_bits >> 1 & 1);
+            denied += u64::from(response.granted_bits != 0b11);
+            assert!(response.granted_bits == 0b11 || response.retry_after_us > 0);
         }
     }
     (granted, denied)
 }
 
 #[test]
-fn draws_are_granted_within_the_quota_whichever_machine_is_asked() {
+fn leases_stay_within_quota_at_any_machine() {
     let fleet = group("draws");
     let mut routers: Vec<FakeRouter> = fleet
         .machines
@@ -159,13 +165,16 @@
         .collect();
     // A tenant without a quota is never short.
     assert_eq!(
-        draw(&mut routers[0], 1, "one", &[1, 1, 1]).granted_bits,
+        request_lease(&mut routers[0], 1, "one", &[1, 1, 1]).granted_bits,
         0b111
     );
-    assert_eq!(draw(&mut routers[0], 2, "nobody", &[1]).granted_bits, 0);
-    // Voters that have joined take their parts up once they have settled.
+    assert_eq!(
+        request_lease(&mut routers[0], 2, "nobody", &[1]).granted_bits,
+        0
+    );
+    // Voters that have joined own their shards after a while.
     wait_for("the first grant", || {
-        (draw(&mut routers[0], 3, "two", &[100]).granted_bits == 1).then_some(())
+        (request_lease(&mut routers[0], 3, "two", &[100]).granted_bits == 1).then_some(())
     });
     wait_for("all to have settled", || {
         let settled = fleet.machines.iter().all(|machine| {
@@ -174,11 +183,11 @@
         });
         settled.then_some(())
     });
-    // Whoever takes a part up begins in debt: it is paid off within two seconds here.
-    draw_for(&mut routers, Duration::from_secs(2));
-    let began = Instant::now();
-    let (granted, denied) = draw_for(&mut routers, Duration::from_secs(3));
-    let (rate, took) = (30_000.0, began.elapsed().as_secs_f64());
+    // A new owner of a shard starts in debt, which is paid off within two seconds here.
+    request_leases_for(&mut routers, Duration::from_secs(2));
+    let started_at = Instant::now();
+    let (granted, denied) = request_leases_for(&mut routers, Duration::from_secs(3));
+    let (rate, took) = (30_000.0, started_at.elapsed().as_secs_f64());
     // Without bounds in the settings there is no overage; what was saved up is a validity's worth
     // at the most.
     assert!(
@@ -189,23 +198,23 @@
 }
 
 #[test]
-fn who_starts_again_begins_with_nothing_and_goes_on_at_the_rate() {
+fn restarted_owner_starts_with_empty_bucket_and_refills_at_rate() {
     let mut fleet = group("draws-restart");
     let mut router = FakeRouter::connect(fleet.machines[0].internal, "router");
     wait_for("the first grant", || {
-        (draw(&mut router, 1, "two", &[100]).granted_bits == 1).then_some(())
+        (request_lease(&mut router, 1, "two", &[100]).granted_bits == 1).then_some(())
     });
-    for place in 0..3 {
-        fleet.kill(place);
+    for index in 0..3 {
+        fleet.kill(index);
     }
-    for place in 0..3 {
-        fleet.start(place, false);
+    for index in 0..3 {
+        fleet.start(index, false);
     }
     let mut router = FakeRouter::connect(fleet.machines[0].internal, "router-2");
     let mut id = 100;
     let mut next = |needs: &[u64]| {
         id += 1;
-        draw(&mut router, id, "two", needs).granted_bits
+        request_lease(&mut router, id, "two", needs).granted_bits
     };
     assert_eq!(next(&[3_000]), 0, "a bucket was full at the start");
     wait_for("a grant after the start", || {
@@ -215,8 +224,8 @@
 
 /// Bytes on an internal connection; `docs/CAPACITY.md` goes by them.
 #[test]
-fn messages_about_tenants_are_small() {
-    let draw = |needs: usize| {
+fn tenant_messages_are_small() {
+    let request_lease = |needs: usize| {
         let (tenant, needs) = ("tenant-name".to_owned(), vec![12_000; needs]);
         TenantMessage::LeaseRequest(QuotaLeaseRequest {
             id: u64::MAX,
@@ -235,8 +244,8 @@
     });
     let size = |message: &TenantMessage| encode_tenant_message(message).unwrap().len();
     let sizes = [
-        size(&draw(1)),
-        size(&draw(10)),
+        size(&request_lease(1)),
+        size(&request_lease(10)),
         size(&drawn),
         size(&TenantMessage::Confirm { sent_at_us: 1 }),
     ];
--- a/fleet/tests/router_with_control.rs
+++ b/fleet/tests/router_with_control.rs
@@ -4,7 +4,7 @@
 mod control_support;
 mod support;
 
-use control_support::{call, wait_for, Fleet};
+use control_support::{call, wait_for, ControlFleet};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 use support::client::{request, Client};
@@ -36,7 +36,7 @@
 
 #[test]
 fn orders_and_heartbeats_reach_clients_and_a_lost_control_machine_is_missed_by_nobody() {
-    let mut fleet = Fleet::of("with-router", &[true, true, true]);
+    let mut fleet = ControlFleet::of("with-router", &[true, true, true]);
     fleet.start_first();
     let ips: Vec<std::net::Ipv4Addr> = fleet
         .machines
@@ -51,7 +51,7 @@
 
     assert_eq!(
         fleet
-            .order("/configuration/replace", 0, &document(1, 3_000, 1_000, 2))
+            .send_order("/configuration/replace", 0, &document(1, 3_000, 1_000, 2))
             .status,
         200
     );
@@ -111,7 +111,7 @@
                  \"targetLatencyMs\":1000,\"priority\":0,\"service\":\"pool\",\"maxAttempts\":2}";
     assert_eq!(
         fleet
-            .order(
+            .send_order(
                 "/configuration/replace",
                 1,
                 &document_of(2, &[route.to_owned()])
