--- a/fleet/src/control/peer_handler.rs
+++ b/fleet/src/control/peer_handler.rs
@@ -7,7 +7,7 @@
 use super::rejections::ConnectionRejection;
 use lichenswitch_control::Eligibility;
 use lichenswitch_interface::Time;
-use lichenswitch_messages::{Envelope, PeerMessage, PROTOCOL_VERSION};
+use lichenswitch_messages::{Envelope, PeerMessage, ServerRecord, PROTOCOL_VERSION};
 use lichenswitch_net::ConnId;
 use log::info;
 use std::net::SocketAddr;
@@ -107,14 +107,7 @@
                 ack,
                 records,
                 is_complete,
-            } => {
-                let in_contact = self.is_in_contact(from);
-                self.servers
-                    .on_records(now, &records, is_complete, in_contact);
-                if let Some(id) = self.peers.connection(from).filter(|_| ack != 0) {
-                    self.servers.on_ack_requested(now, id, ack, &records);
-                }
-            }
+            } => self.on_server_records(from, ack, &records, is_complete, now),
             PeerMessage::CachedServers(records) => self.servers.on_cached_servers(now, &records),
             PeerMessage::ServersAck { ack } => {
                 self.servers.on_ack(from, ack, self.is_in_contact(from))
@@ -134,10 +127,10 @@
                 connected_routers,
                 known_peers,
             } => {
+                let primary = primary.and_then(|address| address.parse().ok());
                 if let Some(peer) = self.peers.get_mut(from) {
                     (peer.in_contact, peer.routers) = (in_contact, connected_routers);
                 }
-                let primary = primary.and_then(|address| address.parse().ok());
                 self.primary_tracker
                     .on_contact(now, from, in_contact, primary);
                 self.peers.learn_all(&known_peers, now);
@@ -152,4 +145,22 @@
             }
         }
     }
+
+    /// A control machine has sent records of servers. It waits for an acknowledgement, unless `ack`
+    /// is 0.
+    fn on_server_records(
+        &mut self,
+        from: SocketAddr,
+        ack: u64,
+        records: &[ServerRecord],
+        is_complete: bool,
+        now: Time,
+    ) {
+        let in_contact = self.is_in_contact(from);
+        self.servers
+            .on_records(now, records, is_complete, in_contact);
+        if let Some(id) = self.peers.connection(from).filter(|_| ack != 0) {
+            self.servers.on_ack_requested(now, id, ack, records);
+        }
+    }
 }
--- a/fleet/src/control/startup.rs
+++ b/fleet/src/control/startup.rs
@@ -19,7 +19,8 @@
 use super::server_table::ServerTable;
 use super::settings_file::modified_at;
 use crate::settings::Settings;
-use lichenswitch_control::{AcknowledgedVersions, GroupMembership, RejectedOrders};
+use lichenswitch_control::{AcknowledgedVersions, Eligibility, GroupMembership, RejectedOrders};
+use lichenswitch_interface::Time;
 use log::info;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::io;
@@ -30,6 +31,16 @@
 /// Descriptors that are reserved, in each direction, for connections of other processes.
 const RESERVED_INTERNAL_CONNECTIONS: usize = 256;
 
+/// What a machine has opened before its state is assembled.
+struct OpenedParts {
+    address: SocketAddr,
+    eligibility: Eligibility,
+    net: Net,
+    group: Option<Group>,
+    servers: ServerTable,
+    started_at: Time,
+}
+
 impl ControlNode {
     /// Starts a machine: reads its disk, and listens.
     ///
@@ -40,30 +51,37 @@
         path: PathBuf,
         environment: Environment,
     ) -> Result<ControlNode, ControlError> {
-        let control_plane = settings
-            .listen
-            .control_plane
-            .ok_or(ControlError::NoAddress)?;
-        let address = SocketAddr::new(settings.ip_address, settings.internal_ports.0);
-        let mut net = Net::new(settings.limits.file_descriptors)?;
-        net.reserve_for_peers(RESERVED_INTERNAL_CONNECTIONS);
-        watch_signals(&mut net)?;
-        let now = net.clock.now();
-        let eligibility = eligibility(&settings);
-        let group = match should_join_at_start(eligibility, &settings) {
-            true => Group::open(&settings, &environment, address, &mut net, now),
-            false => None,
-        };
-        let servers = ServerTable::start(&settings, &environment, &mut net, now)?;
-        // Callers get responses from the first moment: 503 as long as nothing is known.
-        net.listen(Owner::Accepted, address)?;
-        net.listen(Owner::Caller, control_plane)?;
+        let parts = open_parts(&settings, &environment)?;
+        let now = parts.started_at;
+        let mut node = ControlNode::assemble(settings, path, environment, parts);
+        node.update_diskless_members();
+        // The voters that the disk names are dialled at once, whatever the seeds are.
+        node.voters()
+            .into_iter()
+            .for_each(|voter| node.peers.learn(voter, now));
+        Ok(node)
+    }
+
+    fn assemble(
+        settings: Settings,
+        path: PathBuf,
+        environment: Environment,
+        parts: OpenedParts,
+    ) -> ControlNode {
+        let OpenedParts {
+            address,
+            eligibility,
+            net,
+            group,
+            servers,
+            started_at: now,
+        } = parts;
         let identity = group
             .as_ref()
             .map_or_else(|| generate_identity(&address.to_string()), Group::identity);
         info!(target: "control", node = settings.node_name.as_str(), address = address.to_string().as_str(),
             eligible = group.is_some(); "control machine started");
-        let mut node = ControlNode {
+        ControlNode {
             address,
             quotas: Quotas::new(identity.0, group.as_ref(), settings.bounds.quota_terms()),
             identity: identity.0,
@@ -95,16 +113,40 @@
             environment,
             path,
             net,
-        };
-        node.update_diskless_members();
-        // The voters that the disk names are dialled at once, whatever the seeds are.
-        node.voters()
-            .into_iter()
-            .for_each(|voter| node.peers.learn(voter, now));
-        Ok(node)
+        }
     }
 }
 
+/// Opens the sockets, the group and the table of servers, and listens last.
+fn open_parts(settings: &Settings, environment: &Environment) -> Result<OpenedParts, ControlError> {
+    let control_plane = settings
+        .listen
+        .control_plane
+        .ok_or(ControlError::NoAddress)?;
+    let address = SocketAddr::new(settings.ip_address, settings.internal_ports.0);
+    let mut net = Net::new(settings.limits.file_descriptors)?;
+    net.reserve_for_peers(RESERVED_INTERNAL_CONNECTIONS);
+    watch_signals(&mut net)?;
+    let now = net.clock.now();
+    let eligibility = eligibility(settings);
+    let group = match should_join_at_start(eligibility, settings) {
+        true => Group::open(settings, environment, address, &mut net, now),
+        false => None,
+    };
+    let servers = ServerTable::start(settings, environment, &mut net, now)?;
+    // Callers get responses from the first moment: 503 as long as nothing is known.
+    net.listen(Owner::Accepted, address)?;
+    net.listen(Owner::Caller, control_plane)?;
+    Ok(OpenedParts {
+        address,
+        eligibility,
+        net,
+        group,
+        servers,
+        started_at: now,
+    })
+}
+
 fn watch_signals(net: &mut Net) -> io::Result<()> {
     for (number, signal) in [
         (SIGTERM, Signal::Stop),
--- a/fleet/src/main.rs
+++ b/fleet/src/main.rs
@@ -74,7 +74,7 @@
             control::run(settings, path).map_err(Box::from)
         }),
         Command::Status { settings, address } => {
-            shown(status::ask(settings, address), ExitCode::FAILURE)
+            shown(status::fetch(settings, address), ExitCode::FAILURE)
         }
         Command::Check { file } => shown(check::check(&file), ExitCode::from(EXIT_UNUSABLE)),
     }
--- a/fleet/src/status.rs
+++ b/fleet/src/status.rs
@@ -1,4 +1,4 @@
-//! `status`: asks a control machine how it and the fleet stand.
+//! The command `status`: fetches the status of a control machine.
 
 use crate::settings::{self, Settings, SettingsError};
 use lichenswitch_http::{response, Malformed, Parsed, Response};
@@ -7,12 +7,12 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// A machine that does not answer within this time counts as down.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// Longest answer (bytes).
-const LONGEST: usize = 16 << 20;
+/// A machine that does not respond within this time counts as down.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Longest response that is accepted.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// Why there is no answer.
+/// Why no status can be shown.
 #[derive(Debug, thiserror::Error)]
 pub enum StatusError {
     /// No address was given, and the settings can't be used.
@@ -26,10 +26,10 @@
     Unreachable {
         /// Its address.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the system.
         source: io::Error,
     },
-    /// It answers something else.
+    /// Its response is no status.
     #[error("{address}: the answer can't be read: {reason}")]
     Unreadable {
         /// Its address.
@@ -39,20 +39,23 @@
     },
 }
 
-/// Asks the control machine at `address`, or the first one of the settings that answers. JSON comes
-/// back.
+/// Fetches the status, as JSON, from the control machine at `address`, or from the first one in the
+/// settings that responds.
 ///
 /// # Errors
-/// When none answers; the last reason.
-pub fn ask(option: Option<PathBuf>, address: Option<SocketAddr>) -> Result<String, StatusError> {
+/// The last reason, when none responds.
+pub fn fetch(
+    settings_path: Option<PathBuf>,
+    address: Option<SocketAddr>,
+) -> Result<String, StatusError> {
     let addresses = match address {
         Some(address) => vec![address],
-        None => named(option)?,
+        None => addresses_in_settings(settings_path)?,
     };
     let mut last = StatusError::NoAddress;
     for address in addresses {
-        match ask_one(address) {
-            Ok(answer) => return Ok(answer),
+        match fetch_from(address) {
+            Ok(status) => return Ok(status),
             Err(e) => last = e,
         }
     }
@@ -60,8 +63,8 @@
 }
 
 /// Control machines that the settings name, this one first.
-fn named(option: Option<PathBuf>) -> Result<Vec<SocketAddr>, StatusError> {
-    let settings = Settings::read(&settings::path(option)?)?;
+fn addresses_in_settings(settings_path: Option<PathBuf>) -> Result<Vec<SocketAddr>, StatusError> {
+    let settings = Settings::read(&settings::path(settings_path)?)?;
     Ok(settings
         .listen
         .control_plane
@@ -70,10 +73,11 @@
         .collect())
 }
 
-fn ask_one(address: SocketAddr) -> Result<String, StatusError> {
-    let bytes = exchange(address).map_err(|source| StatusError::Unreachable { address, source })?;
+fn fetch_from(address: SocketAddr) -> Result<String, StatusError> {
+    let bytes =
+        request_status(address).map_err(|source| StatusError::Unreachable { address, source })?;
     let unreadable = |reason| StatusError::Unreadable { address, reason };
-    match response(&bytes, true, LONGEST) {
+    match response(&bytes, true, MAX_RESPONSE_BYTES) {
         Ok(Parsed::Whole(
             Response {
                 status: 200, body, ..
@@ -86,14 +90,16 @@
     }
 }
 
-fn exchange(address: SocketAddr) -> io::Result<Vec<u8>> {
-    let mut stream = TcpStream::connect_timeout(&address, PATIENCE)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
+fn request_status(address: SocketAddr) -> io::Result<Vec<u8>> {
+    let mut stream = TcpStream::connect_timeout(&address, RESPONSE_TIMEOUT)?;
+    stream.set_read_timeout(Some(RESPONSE_TIMEOUT))?;
     write!(
         stream,
         "GET /status HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n\r\n"
     )?;
     let mut bytes = Vec::new();
-    stream.take(LONGEST as u64).read_to_end(&mut bytes)?;
+    stream
+        .take(MAX_RESPONSE_BYTES as u64)
+        .read_to_end(&mut bytes)?;
     Ok(bytes)
 }
