--- a/emulators/src/frames.rs
+++ b/emulators/src/frames.rs
@@ -8,6 +8,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
+use thiserror::Error;
 
 /// What becomes of a part.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -88,33 +89,52 @@
     out
 }
 
+/// Why a call can't be read.
+#[derive(Debug, Error)]
+enum CallError {
+    #[error("a part without its line")]
+    MissingLine,
+    #[error(transparent)]
+    NotText(#[from] std::str::Utf8Error),
+    #[error("a line of {0:?}")]
+    Line(String),
+    #[error("{text:?} in {line:?}")]
+    Number { text: String, line: String },
+    #[error("a part without d")]
+    MissingWait,
+    #[error("a part cut short")]
+    CutShort,
+}
+
 /// The parts of one call: for each a line `ID SHARD LIST LENGTH`, then so many bytes.
-fn parts(mut rest: &[u8]) -> Result<Vec<Part>, String> {
+fn parts(mut rest: &[u8]) -> Result<Vec<Part>, CallError> {
     let mut found = Vec::new();
     while !rest.is_empty() {
         let end = rest
             .iter()
             .position(|&b| b == b'\n')
-            .ok_or("a part without its line")?;
-        let line = std::str::from_utf8(&rest[..end]).map_err(|e| e.to_string())?;
+            .ok_or(CallError::MissingLine)?;
+        let line = std::str::from_utf8(&rest[..end])?;
         let words: Vec<&str> = line.split(' ').collect();
         let [id, shard, list, length] = words[..] else {
-            return Err(format!("a line of {line:?}"));
+            return Err(CallError::Line(line.into()));
         };
         let item = |name: &str| list.split(',').find_map(|i| i.strip_prefix(name));
         let number = |text: &str| {
-            text.parse::<u64>()
-                .map_err(|_| format!("{text:?} in {line:?}"))
+            text.parse::<u64>().map_err(|_| CallError::Number {
+                text: text.into(),
+                line: line.into(),
+            })
         };
         let from = item("from=").map(|all| all.split('+').filter_map(|s| s.parse().ok()).collect());
         let length = number(length)? as usize;
         found.push(Part {
             id: id.into(),
             shard: number(shard)? as u32,
-            wait: number(item("d=").ok_or("a part without d")?)?,
+            wait: number(item("d=").ok_or(CallError::MissingWait)?)?,
             from,
         });
-        rest = rest.get(end + 1 + length..).ok_or("a part cut short")?;
+        rest = rest.get(end + 1 + length..).ok_or(CallError::CutShort)?;
     }
     Ok(found)
 }
@@ -215,8 +235,8 @@
                         came.extend(parts.iter().map(|p| p.id.clone()));
                         parts.into_iter().all(|part| self.take(&writer, part))
                     }
-                    Err(why) => {
-                        write(&writer, &frame(b'N', why.as_bytes()));
+                    Err(error) => {
+                        write(&writer, &frame(b'N', error.to_string().as_bytes()));
                         false
                     }
                 },
--- a/emulators/src/http.rs
+++ b/emulators/src/http.rs
@@ -32,10 +32,10 @@
 ///
 /// # Errors
 /// The bytes are no request.
-pub fn next(held: &mut Vec<u8>) -> Result<Option<Request>, String> {
+pub fn next(held: &mut Vec<u8>) -> Result<Option<Request>, httparse::Error> {
     let mut headers = [httparse::EMPTY_HEADER; 64];
     let mut head = httparse::Request::new(&mut headers);
-    let used = match head.parse(held).map_err(|e| e.to_string())? {
+    let used = match head.parse(held)? {
         httparse::Status::Complete(used) => used,
         httparse::Status::Partial => return Ok(None),
     };
--- a/experiments/src/council.rs
+++ b/experiments/src/council.rs
@@ -1,6 +1,7 @@
 //! Voters and holders as processes under faults from a seed: who held a duty when is judged. Times
 //! are real, so figures differ from run to run; the faults do not.
 
+use crate::ExperimentError;
 use lichenswitch_emulators::relay::Faults;
 use lichenswitch_emulators::rig::{judge_holders, Entry, Event, Rig};
 use rand::seq::SliceRandom;
@@ -85,13 +86,13 @@
     voters: usize,
     faults: usize,
     ledger: Option<&Path>,
-) -> Result<Report, String> {
-    let mut rig = Rig::new(program, brokers, seed).map_err(|e| e.to_string())?;
+) -> Result<Report, ExperimentError> {
+    let mut rig = Rig::new(program, brokers, seed)?;
     let ran = befall(&mut rig, seed, brokers, voters.min(brokers), faults);
     if let Some(path) = ledger {
         let line = |e: &Entry| format!("{:.3} n{} {:?}\n", e.at.as_secs_f64(), e.who, e.what);
         let lines: String = rig.ledger.all().iter().map(line).collect();
-        std::fs::write(path, lines).map_err(|e| format!("{}: {e}", path.display()))?;
+        std::fs::write(path, lines).map_err(ExperimentError::write(path))?;
     }
     ran
 }
@@ -103,7 +104,7 @@
     brokers: usize,
     voters: usize,
     faults: usize,
-) -> Result<Report, String> {
+) -> Result<Report, ExperimentError> {
     let mut dice = Xoshiro256PlusPlus::seed_from_u64(seed);
     let mut report = Report {
         seed,
@@ -120,16 +121,18 @@
             "  probe_ms: 200\n  suspicion_ms: 1500\n  voters: [{names}]\n  folder: {}\n  duties: [d]\n  lease_ms: {LEASE_MS}\n",
             folder.display()
         );
-        files.push(rig.broker_files(who, &lines).map_err(|e| e.to_string())?);
+        files.push(rig.broker_files(who, &lines)?);
     }
     for (who, files) in files.iter().enumerate() {
-        rig.start_broker(who, files).map_err(|e| e.to_string())?;
+        rig.start_broker(who, files)?;
     }
     let comes = |rig: &Rig, since: usize, what: &str| match rig
         .until(MOST, |e| holder(&e[since..]).is_some())
     {
         true => Ok(()),
-        false => Err(format!("nobody holds the duty after {what}")),
+        false => Err(ExperimentError::Unmet(format!(
+            "nobody holds the duty after {what}"
+        ))),
     };
     comes(rig, 0, "the start")?;
     let all: Vec<usize> = (0..brokers).collect();
@@ -155,8 +158,7 @@
                     let _ = std::fs::remove_dir_all(folder(rig, who));
                 }
                 report.kills += 1;
-                rig.start_broker(who, &files[who])
-                    .map_err(|e| e.to_string())?;
+                rig.start_broker(who, &files[who])?;
             }
             2 => {
                 report.stops += 1;
--- a/experiments/src/fleet.rs
+++ b/experiments/src/fleet.rs
@@ -2,6 +2,7 @@
 //! them says of the others is judged, and what it costs is measured. Times are real, so figures
 //! differ from run to run; the faults do not.
 
+use crate::ExperimentError;
 use lichenswitch_emulators::rig::{agree, judge_deaths, Entry, Rig};
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -78,14 +79,14 @@
     brokers: usize,
     faults: usize,
     ledger: Option<&Path>,
-) -> Result<Report, String> {
+) -> Result<Report, ExperimentError> {
     let mut dice = Xoshiro256PlusPlus::seed_from_u64(seed);
-    let mut rig = Rig::new(program, brokers, seed).map_err(|e| e.to_string())?;
+    let mut rig = Rig::new(program, brokers, seed)?;
     let ran = befall(&mut rig, &mut dice, seed, brokers, faults);
     if let Some(path) = ledger {
         let line = |e: &Entry| format!("{:.3} n{} {:?}\n", e.at.as_secs_f64(), e.who, e.what);
         let lines: String = rig.ledger.all().iter().map(line).collect();
-        std::fs::write(path, lines).map_err(|e| format!("{}: {e}", path.display()))?;
+        std::fs::write(path, lines).map_err(ExperimentError::write(path))?;
     }
     ran
 }
@@ -97,22 +98,24 @@
     seed: u64,
     brokers: usize,
     faults: usize,
-) -> Result<Report, String> {
+) -> Result<Report, ExperimentError> {
     let mut report = Report {
         seed,
         brokers,
         ..Report::default()
     };
     let files: Result<Vec<_>, _> = (0..brokers).map(|who| rig.broker_files(who, "")).collect();
-    let files = files.map_err(|e| e.to_string())?;
+    let files = files?;
     for (who, files) in files.iter().enumerate() {
-        rig.start_broker(who, files).map_err(|e| e.to_string())?;
+        rig.start_broker(who, files)?;
     }
     let all: Vec<usize> = (0..brokers).collect();
     let knows =
         |rig: &Rig, living: &[usize], what: &str| match rig.until(MOST, |e| agree(e, living)) {
             true => Ok(()),
-            false => Err(format!("{living:?} do not know each other after {what}")),
+            false => Err(ExperimentError::Unmet(format!(
+                "{living:?} do not know each other after {what}"
+            ))),
         };
     let listen = |rig: &Rig| {
         rig.ledger
@@ -122,7 +125,7 @@
             .count()
     };
     if !rig.until(MOST, |_| listen(rig) == brokers) {
-        return Err("not all brokers listen".into());
+        return Err(ExperimentError::Unmet("not all brokers listen".into()));
     }
     report.started_ms = rig.now().as_millis() as u64;
     knows(rig, &all, "the start")?;
@@ -140,8 +143,7 @@
                 rig.kill(who);
                 knows(rig, &living, "a kill")?;
                 report.missed_ms.push((rig.now() - at).as_millis() as u64);
-                rig.start_broker(who, &files[who])
-                    .map_err(|e| e.to_string())?;
+                rig.start_broker(who, &files[who])?;
             }
             1 => {
                 report.stops += 1;
--- a/experiments/src/lib.rs
+++ b/experiments/src/lib.rs
@@ -5,6 +5,7 @@
 pub mod cold;
 pub mod council;
 pub mod discovery;
+mod error;
 pub mod fleet;
 pub mod members;
 pub mod node;
@@ -12,3 +13,5 @@
 pub mod scale;
 pub mod two_phase;
 pub mod world;
+
+pub use error::ExperimentError;
--- a/experiments/src/main.rs
+++ b/experiments/src/main.rs
@@ -4,7 +4,7 @@
 
 use clap::{Args, Parser, Subcommand};
 use lichenswitch_experiments::{
-    cold, council, discovery, fleet, members, replay, scale, two_phase,
+    cold, council, discovery, fleet, members, replay, scale, two_phase, ExperimentError,
 };
 use serde::Serialize;
 use std::path::PathBuf;
@@ -107,12 +107,12 @@
     scenario: Option<String>,
 }
 
-fn write(common: &Common, report: &impl Serialize) -> Result<(), String> {
+fn write(common: &Common, report: &impl Serialize) -> Result<(), ExperimentError> {
     let Some(path) = &common.json else {
         return Ok(());
     };
-    let text = serde_json::to_string(report).map_err(|e| e.to_string())?;
-    std::fs::write(path, text + "\n").map_err(|e| format!("{}: {e}", path.display()))
+    let text = serde_json::to_string(report)?;
+    std::fs::write(path, text + "\n").map_err(ExperimentError::write(path))
 }
 
 #[expect(clippy::too_many_lines, reason = "one arm for each experiment")]
--- a/simulator/src/world/machines.rs
+++ b/simulator/src/world/machines.rs
@@ -1,8 +1,8 @@
 //! Control machines: their start and end, what comes to them, and what their processes want done.
 
 use lichenswitch_replication::{
-    DurableItem, Identity, Member, Notice, Position, Recovered, Replica, Settings, Status, Time,
-    WriteId,
+    DurableItem, Identity, Member, Notice, Position, RecoverError, Recovered, Replica, Settings,
+    Status, Time, WriteId,
 };
 
 use super::machine::{AfterEnd, Machine};
@@ -111,7 +111,7 @@
                 return self
                     .ledger
                     .violations
-                    .push(Violation::DiskUnreadable(host, reason))
+                    .push(Violation::DiskUnreadable(host, reason.to_string()))
             }
         };
         self.last_trouble = now;
@@ -144,7 +144,7 @@
         processes.for_each(|process| process.set_diskless_members(&self.without_disk));
     }
 
-    fn replica(&mut self, host: Host) -> Result<Replica<Replicated>, String> {
+    fn replica(&mut self, host: Host) -> Result<Replica<Replicated>, RecoverError> {
         let now = self.now();
         let (seed, identity) = (self.random.u64(..), Identity(self.random.u64(1..)));
         let settings = self.replication_settings();
@@ -160,9 +160,8 @@
             }
         } else {
             let items: Vec<DurableItem> = machine.disk.items().to_vec();
-            let recovered = Recovered::from_items(items).map_err(|error| error.to_string())?;
-            Replica::recover(settings, address, recovered, seed, now)
-                .map_err(|error| error.to_string())?
+            let recovered = Recovered::from_items(items)?;
+            Replica::recover(settings, address, recovered, seed, now)?
         };
         replica.add_peer_addresses(machine.seeds.clone());
         Ok(replica)
