--- a/simulator/src/control/mod.rs
+++ b/simulator/src/control/mod.rs
@@ -39,7 +39,7 @@
 pub struct GlueFaults {
     /// A repeat is known by its version number, not by its content.
     pub known_by_number: bool,
-    /// The history of orders does not travel with an image.
+    /// The history of orders is not part of a snapshot.
     pub history_lost: bool,
     /// `describe` is answered by whoever is asked, from what it holds as committed.
     pub describe_without_contact: bool,
--- a/simulator/src/disk.rs
+++ b/simulator/src/disk.rs
@@ -1,7 +1,7 @@
 //! A disk under one control process: a queue that is written and synced batch by batch, with
 //! troubles and losses of power.
 //!
-//! It keeps the promises of `lichenswitch-storage` (an image takes the place of all before it once
+//! It keeps the promises of `lichenswitch-storage` (a snapshot replaces all before it once
 //! it is whole; a torn or missing record ends the chain; what is found at a start is synced before
 //! it is used), and nothing beyond them.
 
@@ -11,11 +11,11 @@
 use lichenswitch_replication::{DurableItem, WriteId};
 
 /// Least time of a write with its sync, in microseconds.
-const SYNC: u64 = 800;
+const SYNC_US: u64 = 800;
 /// Most that is added to it at random.
-const SYNC_JITTER: u64 = 1_500;
-/// Most records behind an image; then the next write is to be an image.
-const RECORDS_BEHIND_IMAGE: usize = 40;
+const SYNC_JITTER_US: u64 = 1_500;
+/// Most records after a snapshot; then the next write is to be a snapshot.
+const MAX_RECORDS_AFTER_SNAPSHOT: usize = 40;
 
 /// What is wrong with a disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -34,16 +34,16 @@
 /// How a batch ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Finished {
-    /// All up to this ticket is synced.
+    /// All items up to this one are synced.
     Persisted(WriteId),
-    /// The item of this ticket, and all behind it, was not written.
+    /// This item, and all after it, were not written.
     Failed(WriteId),
-    /// The disk has stalled: it ends later.
+    /// The disk has stalled: the batch ends later.
     Waits,
 }
 
 #[derive(Clone, Debug)]
-struct Job {
+struct PendingWrite {
     write_id: WriteId,
     item: DurableItem,
 }
@@ -52,8 +52,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct Disk {
     items: Vec<DurableItem>,
-    queue: VecDeque<Job>,
-    batch: Vec<Job>,
+    queue: VecDeque<PendingWrite>,
+    batch: Vec<PendingWrite>,
     trouble: DiskTrouble,
 }
 
@@ -68,14 +68,14 @@
         self.items.is_empty()
     }
 
-    /// Whether the next item should be an image.
+    /// Whether the next item should be a snapshot.
     pub fn wants_snapshot(&self) -> bool {
-        self.items.len() + self.batch.len() + self.queue.len() > RECORDS_BEHIND_IMAGE
+        self.items.len() + self.batch.len() + self.queue.len() > MAX_RECORDS_AFTER_SNAPSHOT
     }
 
-    /// An item to be written behind all others.
+    /// Submits an item, to be written after all others.
     pub fn submit(&mut self, write_id: WriteId, item: DurableItem) {
-        self.queue.push_back(Job { write_id, item });
+        self.queue.push_back(PendingWrite { write_id, item });
     }
 
     /// Begins to write what waits, if nothing is being written; tells for how many microseconds.
@@ -93,14 +93,14 @@
         } else {
             0
         };
-        SYNC + random.u64(0..SYNC_JITTER) + slow
+        SYNC_US + random.u64(0..SYNC_JITTER_US) + slow
     }
 
     /// The time of the batch has passed.
     pub fn finish(&mut self, random: &mut Rng) -> Finished {
         let tickets = (
-            self.batch.first().map(|job| job.write_id),
-            self.batch.last().map(|job| job.write_id),
+            self.batch.first().map(|pending| pending.write_id),
+            self.batch.last().map(|pending| pending.write_id),
         );
         let (Some(first), Some(last)) = tickets else {
             return Finished::Waits;
@@ -113,8 +113,8 @@
                 Finished::Failed(first)
             }
             DiskTrouble::None | DiskTrouble::Slow(_) => {
-                for job in std::mem::take(&mut self.batch) {
-                    self.write(job.item);
+                for pending in std::mem::take(&mut self.batch) {
+                    self.write(pending.item);
                 }
                 Finished::Persisted(last)
             }
@@ -152,12 +152,12 @@
     /// Of the batch, a part reaches the disk.
     fn tear(&mut self, random: &mut Rng) {
         let mut chain = true;
-        for job in std::mem::take(&mut self.batch) {
+        for pending in std::mem::take(&mut self.batch) {
             let present = random.bool();
-            let image = matches!(job.item, DurableItem::Snapshot(_));
-            chain = present && (chain || image);
+            let is_snapshot = matches!(pending.item, DurableItem::Snapshot(_));
+            chain = present && (chain || is_snapshot);
             if chain {
-                self.write(job.item);
+                self.write(pending.item);
             }
         }
     }
--- a/simulator/src/measure.rs
+++ b/simulator/src/measure.rs
@@ -105,7 +105,7 @@
         .for_each(lichenswitch_simulator::callers::Operator::stop);
     world.run_for(6 * SECOND);
     let bytes = world.state_bytes();
-    let (host, images) = (world.resolve(Target::Other(1)), world.counts.images);
+    let (host, snapshots) = (world.resolve(Target::Other(1)), world.counts.snapshots);
     let Some(host) = host else { return };
     world.act_after(0, Action::Wipe(Target::This(host)));
     let started = run_until(&mut world, |world| {
@@ -113,13 +113,13 @@
             .status(host)
             .is_some_and(|status| status.synced.is_none())
     });
-    let held = run_until(&mut world, |world| world.counts.images > images);
+    let held = run_until(&mut world, |world| world.counts.snapshots > snapshots);
     let took = started
         .zip(held)
         .map_or(f64::NAN, |(started, held)| held.since(started) as f64 / 1e3);
     println!(
         "| {changes} | {bytes} | {} | {took:.1} |",
-        world.counts.largest_image
+        world.counts.largest_snapshot
     );
 }
 
--- a/simulator/src/world/machines.rs
+++ b/simulator/src/world/machines.rs
@@ -397,8 +397,8 @@
 
     fn on_notice(&mut self, host: Host, notice: &Notice) {
         if let Notice::SnapshotReceived { bytes, .. } = notice {
-            self.counts.images += 1;
-            self.counts.largest_image = self.counts.largest_image.max(*bytes);
+            self.counts.snapshots += 1;
+            self.counts.largest_snapshot = self.counts.largest_snapshot.max(*bytes);
         }
         self.note(|| format!("{host} {notice:?}"));
     }
--- a/simulator/src/world/mod.rs
+++ b/simulator/src/world/mod.rs
@@ -116,10 +116,10 @@
     pub bytes: u64,
     /// Faults that were brought about.
     pub faults: u64,
-    /// Largest image that was taken from a peer, in bytes.
-    pub largest_image: usize,
-    /// Images that were taken from a peer.
-    pub images: u64,
+    /// Largest snapshot that was received from a peer, in bytes.
+    pub largest_snapshot: usize,
+    /// Snapshots that were received from a peer.
+    pub snapshots: u64,
 }
 
 /// A run.
