--- a/decide/replication/src/lib.rs
+++ b/decide/replication/src/lib.rs
@@ -40,5 +40,5 @@
 pub use replica::Replica;
 pub use settings::Settings;
 pub use state::{ReplicatedState, StateError};
-pub use status::{PeerStatus, RoleKind, Status};
+pub use status::{MemberRole, PeerStatus, Status};
 pub use types::{Epoch, Identity, Member, Position, RequestId, Time, WriteId};
--- a/decide/replication/src/model/walk.rs
+++ b/decide/replication/src/model/walk.rs
@@ -119,7 +119,7 @@
 }
 
 impl Chances {
-    fn draw(rng: &mut SeededRng) -> Self {
+    fn random(rng: &mut SeededRng) -> Self {
         Self {
             drop: [0, 1, 4, 10][rng.index(4)],
             repeat: [0, 1, 4][rng.index(3)],
@@ -158,7 +158,7 @@
     let mut rng = SeededRng(walk.seed);
     world.network_limit = 64;
     form_group(&mut world, walk.voters);
-    let chances = Chances::draw(&mut rng);
+    let chances = Chances::random(&mut rng);
     let reach = vec![Reach::Connected; world.nodes.len()];
     let mut state = WalkState {
         walk,
--- a/decide/replication/src/replica/queries.rs
+++ b/decide/replication/src/replica/queries.rs
@@ -4,7 +4,7 @@
 use super::{Replica, Role};
 use crate::membership::Membership;
 use crate::state::ReplicatedState;
-use crate::status::{PeerStatus, RoleKind, Status};
+use crate::status::{MemberRole, PeerStatus, Status};
 use crate::types::{Epoch, Member, Position, Time};
 
 static NO_MEMBERSHIP: Membership = Membership {
@@ -111,7 +111,7 @@
     pub fn status(&self, now: Time) -> Status {
         Status {
             member: self.me.clone(),
-            role: self.role_kind(),
+            role: self.member_role(),
             promised: self.promised,
             primary: self.primary().cloned(),
             head: self.accepted_position().unwrap_or_default(),
@@ -126,14 +126,14 @@
         }
     }
 
-    fn role_kind(&self) -> RoleKind {
+    fn member_role(&self) -> MemberRole {
         match &self.role {
-            Role::Primary(primary) => RoleKind::Primary {
+            Role::Primary(primary) => MemberRole::Primary {
                 serving: primary.is_serving,
             },
-            Role::PreCandidate(_) | Role::Candidate(_) => RoleKind::Candidate,
-            Role::Follower if self.is_non_voter() => RoleKind::NonVoter,
-            Role::Follower => RoleKind::Voter,
+            Role::PreCandidate(_) | Role::Candidate(_) => MemberRole::Candidate,
+            Role::Follower if self.is_non_voter() => MemberRole::NonVoter,
+            Role::Follower => MemberRole::Voter,
         }
     }
 
--- a/decide/replication/src/status.rs
+++ b/decide/replication/src/status.rs
@@ -5,7 +5,7 @@
 
 /// The role of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum RoleKind {
+pub enum MemberRole {
     /// It has no vote: its disk is empty, or the membership doesn't name it.
     NonVoter,
     /// It votes, and follows the primary.
@@ -25,7 +25,7 @@
     /// The member.
     pub member: Member,
     /// Its role.
-    pub role: RoleKind,
+    pub role: MemberRole,
     /// Highest epoch it has promised.
     pub promised: Epoch,
     /// The primary that it knows.
--- a/decide/replication/tests/current.rs
+++ b/decide/replication/tests/current.rs
@@ -147,13 +147,13 @@
     );
 
     // From now on more is committed than comes here.
-    for beat in 1..=9 {
-        let now = at(100 * beat);
-        follower.receive_heartbeat(now, 2 + beat, 5 + beat, Vec::new());
+    for number in 1..=9 {
+        let now = at(100 * number);
+        follower.receive_heartbeat(now, 2 + number, 5 + number, Vec::new());
         assert!(follower.voter.in_contact(now), "{now:?}");
         assert_eq!(
             follower.voter.is_current(now),
-            beat < 4,
+            number < 4,
             "behind since {:?}, now {now:?}",
             at(100)
         );
@@ -446,7 +446,7 @@
         assert!(replica.durable_snapshot().is_none() && replica.committed().is_none());
         assert!(!replica.in_contact(now) && !replica.is_current(now));
     }
-    // Nor is it kept from knocking, where the primary is.
+    // Nor does that keep it from asking the primary to join.
     let requested = join_requests(&mut replica, at(800), at(1_600));
     assert!(
         requested.len() >= 4 && requested.iter().all(|to| *to == member(1).address),
@@ -456,7 +456,7 @@
     replica.on_message(at(1_700), demanding(9, EPOCH));
     assert_eq!(replica.primary(), Some(&member(1)));
     let outputs = replica.take_outputs();
-    let asks = |output: &Output| {
+    let is_snapshot_request = |output: &Output| {
         matches!(
             output,
             Output::Send {
@@ -468,5 +468,5 @@
             }
         )
     };
-    assert!(outputs.iter().any(asks), "{outputs:?}");
+    assert!(outputs.iter().any(is_snapshot_request), "{outputs:?}");
 }
--- a/decide/replication/tests/exhaustive.rs
+++ b/decide/replication/tests/exhaustive.rs
@@ -10,6 +10,9 @@
 use lichenswitch_replication::{Fault, Faults, Settings};
 use stateright::{Checker, Model, Property};
 
+mod environment;
+use environment::number;
+
 /// What may still happen beside deliveries and syncs.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Budget {
@@ -116,10 +119,7 @@
 }
 
 fn search(name: &str, world: World, budget: Budget, depth: usize) -> Found {
-    let depth = std::env::var("REPLICATION_DEPTH")
-        .ok()
-        .and_then(|text| text.parse().ok())
-        .unwrap_or(depth);
+    let depth = number("REPLICATION_DEPTH", depth);
     let model = Search {
         beginning: Point { world, budget },
     };
@@ -153,7 +153,7 @@
 }
 
 /// The others no longer hear the primary; a change is on its way from it.
-fn change_under_way(voters: usize, faults: Faults) -> World {
+fn change_in_progress(voters: usize, faults: Faults) -> World {
     let mut world = group(voters, voters, faults);
     world.act(&Action::Propose(0));
     (1..voters).for_each(|index| world.act(&Action::Elapse(index, 900_000)));
@@ -162,8 +162,8 @@
 
 /// The others no longer hear the primary, and one of them has just drawn an epoch; a change is on
 /// its way from the old one.
-fn election_under_way(voters: usize, faults: Faults) -> World {
-    let mut world = change_under_way(voters, faults);
+fn election_in_progress(voters: usize, faults: Faults) -> World {
+    let mut world = change_in_progress(voters, faults);
     let held_back = std::mem::take(&mut world.network);
     (1..voters).for_each(|index| world.act(&Action::Elapse(index, 200_000)));
     world.act(&Action::Tick(1));
@@ -183,7 +183,7 @@
 }
 
 /// A learner has its snapshot, and the joint record that names it is on its way.
-fn replacement_under_way(faults: Faults) -> World {
+fn replacement_in_progress(faults: Faults) -> World {
     let mut world = group(3, 4, faults);
     world.act(&Action::Wipe(2));
     for _ in 0..120 {
@@ -212,7 +212,7 @@
 /// The first node still says that it is primary, and answers to its last round are on their way to
 /// it; the two others have gone on, and a change of theirs is acknowledged.
 fn two_primaries(faults: Faults) -> World {
-    let mut world = change_under_way(3, faults);
+    let mut world = change_in_progress(3, faults);
     while let Some(at) = world.network.iter().position(|envelope| envelope.from == 0) {
         world.act(&Action::Deliver(at));
     }
@@ -290,7 +290,7 @@
 fn change_in_a_group_of_three() {
     sound(
         "a change among three",
-        change_under_way(3, Faults::default()),
+        change_in_progress(3, Faults::default()),
         BUDGET,
         6,
         10_000,
@@ -301,7 +301,7 @@
 fn election_in_a_group_of_three() {
     sound(
         "an election among three",
-        election_under_way(3, Faults::default()),
+        election_in_progress(3, Faults::default()),
         BUDGET,
         5,
         10_000,
@@ -312,7 +312,7 @@
 fn election_in_a_group_of_four() {
     sound(
         "an election among four",
-        election_under_way(4, Faults::default()),
+        election_in_progress(4, Faults::default()),
         BUDGET,
         5,
         10_000,
@@ -323,7 +323,7 @@
 fn change_in_a_group_of_six() {
     sound(
         "a change among six",
-        change_under_way(6, Faults::default()),
+        change_in_progress(6, Faults::default()),
         BUDGET,
         4,
         5_000,
@@ -335,7 +335,7 @@
     let budget = Budget { wipes: 1, ..BUDGET };
     sound(
         "a replacement among three",
-        replacement_under_way(Faults::default()),
+        replacement_in_progress(Faults::default()),
         budget,
         5,
         5_000,
--- a/decide/replication/tests/liveness.rs
+++ b/decide/replication/tests/liveness.rs
@@ -7,17 +7,13 @@
 use lichenswitch_replication::model::walk::SeededRng;
 use lichenswitch_replication::Settings;
 
+mod environment;
+use environment::number;
+
 const SECOND: u64 = 1_000_000;
 /// Groups if the environment doesn't say (`REPLICATION_SEEDS`).
 const SEEDS: u64 = 200;
 
-fn number(name: &str, otherwise: u64) -> u64 {
-    std::env::var(name)
-        .ok()
-        .and_then(|value| value.parse().ok())
-        .unwrap_or(otherwise)
-}
-
 /// One fault of one node; how long it lasts. At most one node is faulty at a time.
 fn fault(timed: &mut TimedWorld, node: usize, rng: &mut SeededRng) -> &'static str {
     let lasts = 100_000 + rng.below(4 * SECOND);
--- a/decide/replication/tests/walks.rs
+++ b/decide/replication/tests/walks.rs
@@ -9,18 +9,14 @@
 use lichenswitch_replication::model::World;
 use lichenswitch_replication::Settings;
 
+mod environment;
+use environment::number;
+
 /// Walks of each kind if the environment doesn't say.
 const SEEDS: u64 = 1000;
 /// Threads that walk.
 const THREADS: usize = 4;
 
-fn number(name: &str, otherwise: u64) -> u64 {
-    std::env::var(name)
-        .ok()
-        .and_then(|value| value.parse().ok())
-        .unwrap_or(otherwise)
-}
-
 /// Walks with every seed; what was done in all of them.
 fn walks(name: &str, kind: Walk) {
     let first = number("REPLICATION_FIRST_SEED", 0);
--- a/fleet/src/control/status.rs
+++ b/fleet/src/control/status.rs
@@ -9,7 +9,7 @@
 use lichenswitch_interface::Time;
 use lichenswitch_messages::ServerState;
 use lichenswitch_quota::BucketUsage;
-use lichenswitch_replication::{PeerStatus, Replica, RoleKind};
+use lichenswitch_replication::{PeerStatus, Replica, MemberRole};
 use miniserde::Serialize;
 use std::collections::BTreeMap;
 
@@ -210,13 +210,13 @@
     peers.iter().map(seen).chain(named).collect()
 }
 
-fn role(role: RoleKind) -> &'static str {
+fn role(role: MemberRole) -> &'static str {
     match role {
-        RoleKind::NonVoter => "outsider",
-        RoleKind::Voter => "voter",
-        RoleKind::Candidate => "candidate",
-        RoleKind::Primary { serving: true } => "primary",
-        RoleKind::Primary { serving: false } => "primary, not serving yet",
+        MemberRole::NonVoter => "outsider",
+        MemberRole::Voter => "voter",
+        MemberRole::Candidate => "candidate",
+        MemberRole::Primary { serving: true } => "primary",
+        MemberRole::Primary { serving: false } => "primary, not serving yet",
     }
 }
 
--- a/simulator/tests/point_4.rs
+++ b/simulator/tests/point_4.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{acknowledged_between, begun, cut, finds, holds, holds_with, SECOND};
-use lichenswitch_replication::{Fault, RoleKind};
+use lichenswitch_replication::{Fault, MemberRole};
 use lichenswitch_simulator::callers::Pace;
 use lichenswitch_simulator::disk::DiskTrouble;
 use lichenswitch_simulator::network::Host;
@@ -109,7 +109,7 @@
         world.run_for(200);
         let elected = |host: &Host| {
             let role = world.status(*host).map(|status| status.role);
-            role == Some(RoleKind::Primary { serving: false })
+            role == Some(MemberRole::Primary { serving: false })
         };
         if let Some(host) = world.core().into_iter().find(elected) {
             return Some(host);
--- a/wire/storage/src/recovery.rs
+++ b/wire/storage/src/recovery.rs
@@ -5,7 +5,7 @@
 
 use crate::block::SECTOR_BYTES;
 use crate::error::StorageError;
-use crate::file_system::{FileSystem, StorageFile};
+use crate::file_system::{FileSystem, RealFileSystem, StorageFile};
 use crate::finding::Finding;
 use crate::ring_scan::{scan_ring, NewestSegment, RingScan};
 use crate::segment::{self, BlockChain};
@@ -14,27 +14,47 @@
 /// Least length of a segment (bytes).
 const MIN_SEGMENT_BYTES: u64 = 4096;
 
-/// Opens the ring in a folder.
-pub(crate) fn open(
-    file_system: Box<dyn FileSystem>,
-    folder: &Path,
-    settings: &StorageSettings,
-) -> Result<(Storage, Recovered), StorageError> {
-    if settings.segments < 2 {
-        return Err(StorageError::Settings("a ring has at least two segments"));
+impl Storage {
+    /// Opens the ring in a folder, which is created if it isn't there. What is recovered has been
+    /// synced, too.
+    ///
+    /// # Errors
+    /// The settings are invalid, or the file system refuses: nothing is lost then, and it may be
+    /// attempted again.
+    pub fn open(
+        folder: &Path,
+        settings: &StorageSettings,
+    ) -> Result<(Self, Recovered), StorageError> {
+        Self::open_with(Box::new(RealFileSystem), folder, settings)
     }
-    if settings.segment_bytes < MIN_SEGMENT_BYTES {
-        return Err(StorageError::Settings("a segment has at least 4096 bytes"));
-    }
-    create_folders(file_system.as_ref(), folder)?;
-    if !(0..settings.segments).any(|segment| file_system.exists(&segment_path(folder, segment))) {
-        sync_names_above(file_system.as_ref(), folder)?;
+
+    /// Opens the ring in a folder of another file system.
+    ///
+    /// # Errors
+    /// As [`Storage::open`].
+    pub fn open_with(
+        file_system: Box<dyn FileSystem>,
+        folder: &Path,
+        settings: &StorageSettings,
+    ) -> Result<(Self, Recovered), StorageError> {
+        if settings.segments < 2 {
+            return Err(StorageError::Settings("a ring has at least two segments"));
+        }
+        if settings.segment_bytes < MIN_SEGMENT_BYTES {
+            return Err(StorageError::Settings("a segment has at least 4096 bytes"));
+        }
+        create_folders(file_system.as_ref(), folder)?;
+        let is_new = !(0..settings.segments)
+            .any(|segment| file_system.exists(&segment_path(folder, segment)));
+        if is_new {
+            sync_names_above(file_system.as_ref(), folder)?;
+        }
+        let mut storage = Self::new(file_system, folder, settings);
+        let (scan, files) = scan_ring(&mut storage, settings.segments)?;
+        create_missing_files(&mut storage, files)?;
+        let recovered = recover_newest(&mut storage, scan)?;
+        Ok((storage, recovered))
     }
-    let mut storage = Storage::new(file_system, folder, settings);
-    let (scan, files) = scan_ring(&mut storage, settings.segments)?;
-    create_missing_files(&mut storage, files)?;
-    let recovered = recover_newest(&mut storage, scan)?;
-    Ok((storage, recovered))
 }
 
 /// Creates a folder and those above it.
--- a/wire/storage/src/storage.rs
+++ b/wire/storage/src/storage.rs
@@ -4,9 +4,8 @@
 
 use crate::block::{self, BlockKind, Header};
 use crate::error::StorageError;
-use crate::file_system::{write_all_at, FileSystem, RealFileSystem, StorageFile};
+use crate::file_system::{write_all_at, FileSystem, StorageFile};
 use crate::finding::Finding;
-use crate::recovery;
 
 /// Share of a segment that may be used before a snapshot is wanted (percent).
 const USED_PERCENT: u64 = 75;
@@ -125,31 +124,7 @@
 }
 
 impl Storage {
-    /// Opens the ring in a folder, which is created if it isn't there. What is recovered has been
-    /// synced, too.
-    ///
-    /// # Errors
-    /// The settings are invalid, or the file system refuses: nothing is lost then, and it may be
-    /// attempted again.
-    pub fn open(
-        folder: &Path,
-        settings: &StorageSettings,
-    ) -> Result<(Self, Recovered), StorageError> {
-        Self::open_with(Box::new(RealFileSystem), folder, settings)
-    }
-
-    /// Opens the ring in a folder of another file system.
-    ///
-    /// # Errors
-    /// As [`Storage::open`].
-    pub fn open_with(
-        file_system: Box<dyn FileSystem>,
-        folder: &Path,
-        settings: &StorageSettings,
-    ) -> Result<(Self, Recovered), StorageError> {
-        recovery::open(file_system, folder, settings)
-    }
-
+    /// A storage whose files have not been opened yet.
     pub(crate) fn new(
         file_system: Box<dyn FileSystem>,
         folder: &Path,
