--- a/decide/configuration/src/document/tests.rs
+++ b/decide/configuration/src/document/tests.rs
@@ -8,7 +8,7 @@
 /// Seed of the random tests: a failure comes again with the same command.
 const SEED: u64 = 0x5eed_0002;
 
-/// A configuration of every kind of field, with some that are not known here.
+/// A configuration of every kind of field, with some unknown ones.
 const FULL: &str = r#"{
   "version": 7, "note": {"by": "someone", "at": 1.10},
   "routes": [
@@ -35,7 +35,7 @@
     String::from_utf8(document.to_json()).expect("UTF-8")
 }
 
-/// A configuration of these routes and services, given as the insides of their lists.
+/// A configuration of these routes and services, given as the contents of their lists.
 fn parse(version: &str, routes: &str, services: &str) -> Result<Document, ConfigurationError> {
     let text = format!("{{\"version\":{version},\"routes\":[{routes}],\"services\":[{services}]}}");
     Document::parse(text.as_bytes())
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn the_typed_views_say_what_was_sent() {
+fn typed_views_have_the_values_that_were_sent() {
     let document = full();
     assert_eq!(
         (
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_configuration_is_handed_back_whole_in_order_and_to_the_digit() {
+fn configuration_is_preserved_in_order_and_to_the_digit() {
     let text = text_of(&full());
     let spaceless = |text: &str| text.split_whitespace().collect::<String>();
     assert_eq!(spaceless(&text), spaceless(FULL));
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn what_is_invalid_is_refused_by_name() {
+fn invalid_configuration_is_rejected_with_its_reason() {
     let service = "{\"name\":\"s\"}";
     let error = parse("1", &route("r", "/a/", "t"), service).unwrap_err();
     assert_eq!(
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn hosts_that_differ_only_in_case_are_the_same_place() {
+fn hosts_that_differ_only_in_case_are_duplicates() {
     let upper = route("q", "/a/", "s").replace("\"h\"", "\"H\"");
     let both = format!("{},{upper}", route("r", "/a/", "s"));
     assert_matches!(
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn versions_and_lists_have_their_types() {
+fn version_and_lists_of_wrong_type_are_rejected() {
     for version in [
         "-1",
         "1.5",
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn a_field_that_comes_twice_makes_it_invalid() {
+fn duplicate_field_is_rejected() {
     let text = "{\"version\":1,\"version\":2,\"routes\":[],\"services\":[]}";
     assert_matches!(
         Document::parse(text.as_bytes()),
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn an_update_replaces_at_the_place_adds_at_the_end_and_removes() {
+fn update_replaces_in_position_appends_and_removes() {
     let update = update(
         r#"{"version":9,"upserts":{"services":[{"name":"new1"}],
             "routes":[{"name":"r-two","host":"h","pathPrefix":"/z/","timeoutMs":1.50,"service":"new1","own":0.10},
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn limits_are_replaced_whole_under_upserts_or_beside_them() {
+fn limits_are_replaced_under_upserts_or_beside_them() {
     for text in [
         r#"{"version":8,"upserts":{"limits":{"maxHeaderBytes":1,"maxBodyBytes":2,"headerTimeoutMs":3,"idleTimeoutMs":4}}}"#,
         r#"{"version":8,"limits":{"maxHeaderBytes":1,"maxBodyBytes":2,"headerTimeoutMs":3,"idleTimeoutMs":4}}"#,
@@ -282,7 +282,7 @@
 }
 
 #[test]
-fn an_item_that_is_removed_and_given_anew_is_there() {
+fn item_removed_and_upserted_is_there() {
     let text = r#"{"version":8,"removals":{"services":["xama2"]},"upserts":{"services":[{"name":"xama2","maxConnections":1}]}}"#;
     let after = full().apply_update(&update(text)).expect("valid");
     assert_eq!(
@@ -292,9 +292,9 @@
 }
 
 #[test]
-fn an_update_whose_outcome_is_invalid_is_refused() {
-    let refused = |text: &str| full().apply_update(&update(text)).unwrap_err();
-    let error = refused(r#"{"version":9,"removals":{"services":["xama2"]}}"#);
+fn update_with_invalid_result_is_rejected() {
+    let rejection = |text: &str| full().apply_update(&update(text)).unwrap_err();
+    let error = rejection(r#"{"version":9,"removals":{"services":["xama2"]}}"#);
     let (route, service) = ("r-two".to_owned(), "xama2".to_owned());
     assert_eq!(error, ConfigurationError::UnknownService { route, service });
     for version in [6, 7] {
@@ -302,23 +302,23 @@
             version,
             current: 7,
         };
-        assert_eq!(refused(&format!("{{\"version\":{version}}}")), expected);
+        assert_eq!(rejection(&format!("{{\"version\":{version}}}")), expected);
     }
     let same = r#"{"version":9,"upserts":{"routes":[{"name":"n","host":"FICU95.example","pathPrefix":"/pufi791/","service":"xama2"}]}}"#;
-    assert_matches!(refused(same), ConfigurationError::DuplicatePrefix { .. });
+    assert_matches!(rejection(same), ConfigurationError::DuplicatePrefix { .. });
     assert_matches!(
-        refused(r#"{"version":9,"removals":{"limits":["maxBodyBytes"]}}"#),
+        rejection(r#"{"version":9,"removals":{"limits":["maxBodyBytes"]}}"#),
         ConfigurationError::NotANamedList { .. }
     );
     assert_matches!(
-        refused(r#"{"version":9,"upserts":{"pools":7}}"#),
+        rejection(r#"{"version":9,"upserts":{"pools":7}}"#),
         ConfigurationError::NotANamedList { .. }
     );
     assert_eq!(full().version(), 7);
 }
 
 #[test]
-fn updates_can_not_grow_a_configuration_past_the_bound() {
+fn update_above_the_size_limit_is_rejected() {
     let filler = "x".repeat(MAX_DOCUMENT_BYTES * 2 / 3);
     let text = |list: &str| {
         format!(
@@ -336,7 +336,7 @@
 }
 
 #[test]
-fn every_text_that_is_cut_short_is_refused() {
+fn truncated_configuration_is_rejected() {
     for length in 0..FULL.len() {
         assert!(
             Document::parse(&FULL.as_bytes()[..length]).is_err(),
@@ -346,13 +346,13 @@
 }
 
 #[test]
-fn names_in_errors_are_short_whatever_was_sent() {
+fn names_in_errors_are_shortened() {
     let long = "n".repeat(100_000);
     let error = parse("1", &route(&long, "/a/", "t"), "").unwrap_err();
     assert!(error.to_string().len() < 300);
 }
 
-/// A valid configuration with some bytes changed, taken out or put in.
+/// A valid configuration with some bytes changed, removed or inserted.
 fn mangled(edits: &[(u16, u8, u8)]) -> Vec<u8> {
     let mut bytes = FULL.as_bytes().to_vec();
     for (location, byte, how) in edits {
@@ -367,7 +367,7 @@
 }
 
 #[test]
-fn no_bytes_make_it_panic_and_what_is_taken_is_handed_back() {
+fn mutated_bytes_never_panic_and_accepted_ones_are_preserved() {
     fn holds(edits: Vec<(u16, u8, u8)>) -> bool {
         match Document::parse(&mangled(&edits)) {
             Ok(document) => Document::parse(&document.to_json()) == Ok(document),
@@ -382,7 +382,7 @@
 }
 
 #[test]
-fn random_bytes_and_deep_nests_never_panic() {
+fn random_bytes_and_deep_nesting_never_panic() {
     fn holds(bytes: Vec<u8>) -> bool {
         Document::parse(&bytes).is_err() && Update::parse(&bytes).is_err()
     }
--- a/decide/configuration/src/error.rs
+++ b/decide/configuration/src/error.rs
@@ -2,10 +2,11 @@
 
 use thiserror::Error;
 
-/// Longest name that an error repeats (characters): a message stays short whatever was sent.
-const NAME_SHOWN: usize = 80;
+/// Longest name that an error repeats (characters), so that messages stay short.
+const MAX_SHOWN_CHARS: usize = 80;
 
-/// Why a configuration or an order is invalid. Each names the thing that is wrong.
+/// Why a configuration or an order is invalid. Each names the item and the field. The operator gets
+/// the message as the body of the response.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ConfigurationError {
     /// Longer than [`MAX_DOCUMENT_BYTES`](crate::MAX_DOCUMENT_BYTES).
@@ -13,42 +14,42 @@
     TooLarge {
         /// Its length.
         bytes: usize,
-        /// The bound.
+        /// The limit.
         limit: usize,
     },
     /// Nested deeper than [`MAX_DEPTH`](crate::MAX_DEPTH).
     #[error("the configuration is nested deeper than {limit} levels")]
     TooDeep {
-        /// The bound.
+        /// The limit.
         limit: usize,
     },
-    /// Not UTF-8, not JSON, or cut short.
+    /// Not UTF-8, not JSON, or truncated.
     #[error("the configuration is not whole JSON in UTF-8")]
     Unreadable,
-    /// A field is not there.
+    /// A required field is missing.
     #[error("{location} has no `{field}`")]
     MissingField {
-        /// Where.
+        /// The object.
         location: String,
-        /// Which.
+        /// Name of the field.
         field: String,
     },
-    /// A field is of another type than it has to be.
+    /// A field has the wrong type.
     #[error("`{field}` of {location} is not {expected}")]
     WrongType {
-        /// Where.
+        /// The object.
         location: String,
-        /// Which.
+        /// Name of the field.
         field: String,
-        /// What it has to be.
+        /// The type that it has to have.
         expected: &'static str,
     },
-    /// A field is given twice in one object.
+    /// An object has a field twice.
     #[error("{location} has `{field}` twice")]
     DuplicateField {
-        /// Where.
+        /// The object.
         location: String,
-        /// Which.
+        /// Name of the field.
         field: String,
     },
     /// An item of a list has no name, or an empty one.
@@ -56,10 +57,10 @@
     MissingName {
         /// The list.
         list: String,
-        /// Which item, from 0.
+        /// Index of the item, from 0.
         index: usize,
     },
-    /// Two items of a list have one name.
+    /// Two items of a list have the same name.
     #[error("`{list}` has `{name}` twice")]
     DuplicateName {
         /// The list.
@@ -67,13 +68,13 @@
         /// The name.
         name: String,
     },
-    /// An update changes by name what is not a list of named items.
+    /// An update changes items by name in a field that is not a list of named items.
     #[error("`{list}` is not a list of named items")]
     NotANamedList {
         /// The field.
         list: String,
     },
-    /// A route names a service that is not there.
+    /// A route names a service that does not exist.
     #[error("route `{route}` names the service `{service}`, which is not known")]
     UnknownService {
         /// The route.
@@ -84,17 +85,17 @@
     /// Two routes have the same host and prefix.
     #[error("routes `{first}` and `{second}` have the same host and prefix")]
     DuplicatePrefix {
-        /// The one that stands first.
+        /// The first one.
         first: String,
-        /// The other.
+        /// The second one.
         second: String,
     },
-    /// Two tenants have the same key. The key itself is a secret, and not named.
+    /// Two tenants have the same key. The key itself is a secret and not part of the error.
     #[error("tenants `{first}` and `{second}` have a key of `apiKeys` in common")]
     SharedKey {
-        /// The one that stands first.
+        /// The first one.
         first: String,
-        /// The other.
+        /// The second one.
         second: String,
     },
     /// The prefix of a route does not begin and end with a slash.
@@ -126,13 +127,13 @@
     VersionNotAbove {
         /// Version of the configuration.
         version: u64,
-        /// The one that it has to be above.
+        /// The version that it has to be above.
         current: u64,
     },
-    /// `VersionMismatch-Version` is missing.
+    /// `Base-Version` is missing.
     #[error("the call has no `Base-Version`")]
     MissingBaseVersion,
-    /// `VersionMismatch-Version` is not a whole number.
+    /// `Base-Version` is not a whole number.
     #[error("`Base-Version` is not a whole number")]
     UnreadableBaseVersion,
     /// The path is not one of an order.
@@ -143,7 +144,7 @@
     NothingToUpdate,
 }
 
-/// A name as an error repeats it.
+/// A name as errors show it: shortened.
 pub(crate) fn shown(name: &str) -> String {
-    name.chars().take(NAME_SHOWN).collect()
+    name.chars().take(MAX_SHOWN_CHARS).collect()
 }
--- a/decide/configuration/src/evaluation/tests.rs
+++ b/decide/configuration/src/evaluation/tests.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_repeat_is_taken_though_newer_ones_have_followed() {
+fn repeated_order_is_already_applied_after_newer_ones() {
     let mut state = State::default();
     let first = replace(0, &configuration(5, 10));
     let second = update(
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn another_order_with_the_same_number_and_base_conflicts() {
+fn other_order_with_same_version_and_base_conflicts() {
     let mut state = at_five();
     let (one, other) = (
         replace(5, &configuration(7, 10)),
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn another_base_conflicts_whether_it_is_older_or_newer() {
+fn older_and_newer_base_versions_conflict() {
     let mut state = at_five();
     assert_eq!(
         submit(&mut state, &replace(0, &configuration(9, 1))),
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn bad_configurations_of_every_kind_are_invalid_and_change_nothing() {
+fn invalid_configurations_are_rejected_and_change_nothing() {
     let mut state = at_five();
     let before = state.clone();
     for (kind, body) in bad_bodies() {
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn bad_updates_of_every_kind_are_invalid_and_change_nothing() {
+fn invalid_updates_are_rejected_and_change_nothing() {
     let mut state = at_five();
     let before = state.clone();
     let route = |fields: &str| {
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn what_is_invalid_in_itself_is_so_whatever_the_base_and_never_taken_later() {
+fn order_invalid_by_itself_is_invalid_on_any_base() {
     let mut state = at_five();
     let order = replace(3, &configuration(4, 0));
     assert_matches!(
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn what_is_valid_in_itself_is_left_to_the_primary() {
+fn order_valid_by_itself_passes_validation() {
     for order in [
         replace(5, &configuration(7, 10)),
         update(5, "{\"version\":7,\"removals\":{\"services\":[\"s\"]}}"),
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn an_update_before_any_configuration_and_an_unknown_path_are_invalid() {
+fn update_without_configuration_and_unknown_path_are_invalid() {
     let mut state = State::default();
     let first = update(0, "{\"version\":1}");
     assert_eq!(
--- a/decide/configuration/src/json.rs
+++ b/decide/configuration/src/json.rs
@@ -1,20 +1,21 @@
-//! JSON within bounds: texts that are whole, their parts as they came, and fields by type.
+//! JSON within limits: complete texts, their elements and fields as they were received, and fields
+//! by type.
 //!
-//! `miniserde` decides what is JSON. The parts of a text are cut out of it unchanged, so that
-//! whatever is kept is kept to the digit.
+//! `miniserde` decides what is JSON. Elements and fields are slices of the text, so that numbers are
+//! preserved to the digit.
 
 use crate::error::{shown, ConfigurationError};
 use miniserde::json::{from_str, Number, Object, Value};
 use std::collections::HashSet;
 
-/// Longest configuration or order that is read (bytes). The largest deployments have about 1 KB a
-/// route.
+/// Longest configuration or order that is accepted (bytes). The largest deployments have about 1 KB
+/// a route.
 pub const MAX_DOCUMENT_BYTES: usize = 8 << 20;
 
-/// Deepest nesting that is read. The documents of the operators have 5 levels.
+/// Deepest nesting that is accepted. Operators' documents have 5 levels.
 pub const MAX_DEPTH: usize = 64;
 
-/// The text of a body that is whole JSON within the bounds, and its value.
+/// The text of a body that is complete JSON within the limits, and its value.
 pub(crate) fn parse_complete(body: &[u8]) -> Result<(&str, Value), ConfigurationError> {
     if body.len() > MAX_DOCUMENT_BYTES {
         return Err(ConfigurationError::TooLarge {
@@ -39,8 +40,7 @@
     out.push_str(&miniserde::json::to_string(text));
 }
 
-/// Whether brackets outside strings open deeper than this. Holds for texts that are not JSON as
-/// well.
+/// Whether brackets outside strings are nested deeper than this; also for texts that are not JSON.
 fn is_nested_deeper_than(bytes: &[u8], limit: usize) -> bool {
     let (mut at, mut depth) = (0, 0_usize);
     while at < bytes.len() {
@@ -58,7 +58,7 @@
     false
 }
 
-/// Just past the string that begins here.
+/// The position after the string that begins here.
 fn string_end(bytes: &[u8], start: usize) -> Option<usize> {
     let mut at = start + 1;
     while at < bytes.len() {
@@ -71,8 +71,8 @@
     None
 }
 
-/// Just past the value that begins here. A value has a byte at least, so that whoever goes from
-/// value to value gets on.
+/// The position after the value that begins here. A value has at least one byte, so that a loop over
+/// values makes progress.
 fn value_end(bytes: &[u8], start: usize) -> Option<usize> {
     match bytes.get(start)? {
         b'"' => string_end(bytes, start),
@@ -84,12 +84,12 @@
 fn scalar_end(bytes: &[u8], start: usize) -> Option<usize> {
     let length = bytes[start..]
         .iter()
-        .position(|byte| ends_scalar(*byte))
+        .position(|byte| is_scalar_end(*byte))
         .unwrap_or(bytes.len() - start);
     (length > 0).then_some(start + length)
 }
 
-fn ends_scalar(byte: u8) -> bool {
+fn is_scalar_end(byte: u8) -> bool {
     matches!(byte, b',' | b']' | b'}') || is_space(byte)
 }
 
@@ -97,7 +97,7 @@
     matches!(byte, b' ' | b'\t' | b'\r' | b'\n')
 }
 
-/// Just past the array or object that begins here.
+/// The position after the array or object that begins here.
 fn bracket_end(bytes: &[u8], start: usize) -> Option<usize> {
     let (mut at, mut depth) = (start, 0_usize);
     while at < bytes.len() {
@@ -122,60 +122,60 @@
     at
 }
 
-/// Past a byte, with space on both sides of it.
-fn skip_token(bytes: &[u8], at: usize, expected: u8) -> Option<usize> {
+/// The position after this token and the space around it; `None` where it is not there.
+fn skip_token(bytes: &[u8], at: usize, token: u8) -> Option<usize> {
     let at = skip_space(bytes, at);
-    (*bytes.get(at)? == expected).then(|| skip_space(bytes, at + 1))
+    (*bytes.get(at)? == token).then(|| skip_space(bytes, at + 1))
 }
 
-/// The elements of an array as they came; nothing where the text is not an array.
+/// The elements of an array as they were received; `None` where the text is not an array.
 pub(crate) fn array_elements(text: &str) -> Option<Vec<&str>> {
     let bytes = text.as_bytes();
     let mut at = skip_token(bytes, 0, b'[')?;
-    let mut found = Vec::new();
+    let mut elements = Vec::new();
     while *bytes.get(at)? != b']' {
         let end = value_end(bytes, at)?;
-        found.push(text.get(at..end)?);
+        elements.push(text.get(at..end)?);
         at = skip_space(bytes, end);
         at = skip_token(bytes, at, b',').unwrap_or(at);
     }
-    Some(found)
+    Some(elements)
 }
 
-/// The fields of an object as they came, by their names; nothing where the text is not an object.
+/// The fields of an object as they were received, by name; `None` where the text is not an object.
 pub(crate) fn object_fields(text: &str) -> Option<Vec<(String, &str)>> {
     let bytes = text.as_bytes();
     let mut at = skip_token(bytes, 0, b'{')?;
-    let mut found = Vec::new();
+    let mut fields = Vec::new();
     while *bytes.get(at)? != b'}' {
         let name_end = value_end(bytes, at)?;
         let name: String = from_str(text.get(at..name_end)?).ok()?;
         at = skip_token(bytes, name_end, b':')?;
         let end = value_end(bytes, at)?;
-        found.push((name, text.get(at..end)?));
+        fields.push((name, text.get(at..end)?));
         at = skip_space(bytes, end);
         at = skip_token(bytes, at, b',').unwrap_or(at);
     }
-    Some(found)
+    Some(fields)
 }
 
-/// The fields of an object as they came; an error where it is none, or gives one twice.
+/// The fields of an object as they were received; an error where it is none, or has one twice.
 pub(crate) fn distinct_fields<'a>(
     location: &str,
     text: &'a str,
 ) -> Result<Vec<(String, &'a str)>, ConfigurationError> {
-    let found = object_fields(text).ok_or_else(|| wrong_type(location, "", "an object"))?;
-    let mut seen = HashSet::with_capacity(found.len());
-    match found.iter().find(|(name, _)| !seen.insert(name)) {
+    let fields = object_fields(text).ok_or_else(|| wrong_type(location, "", "an object"))?;
+    let mut seen = HashSet::with_capacity(fields.len());
+    match fields.iter().find(|(name, _)| !seen.insert(name)) {
         Some((name, _)) => Err(ConfigurationError::DuplicateField {
             location: shown(location),
             field: shown(name),
         }),
-        None => Ok(found),
+        None => Ok(fields),
     }
 }
 
-/// The error for a field of another type.
+/// The error for a field of the wrong type.
 pub(crate) fn wrong_type(
     location: &str,
     field: &str,
@@ -188,15 +188,15 @@
     }
 }
 
-/// The fields of an object by type. `null` stands for a field that is not there.
+/// Typed access to the fields of an object. `null` counts as a missing field.
 pub(crate) struct Fields<'a> {
-    /// What the object is, for errors.
+    /// Name of the object, for errors.
     location: String,
     object: &'a Object,
 }
 
 impl<'a> Fields<'a> {
-    /// Of an object that stands at a place; an error where it is none.
+    /// Access to this value under a name for errors; an error where it is no object.
     pub(crate) fn new(
         location: String,
         value: &'a Value,
@@ -214,7 +214,7 @@
             .filter(|value| !matches!(value, Value::Null))
     }
 
-    /// A text, where there is one.
+    /// An optional string.
     pub(crate) fn text(&self, field: &str) -> Result<Option<&'a str>, ConfigurationError> {
         match self.get(field) {
             None => Ok(None),
@@ -223,14 +223,14 @@
         }
     }
 
-    /// A text that is not empty.
+    /// A required string that is not empty.
     pub(crate) fn required_text(&self, field: &str) -> Result<&'a str, ConfigurationError> {
         self.text(field)?
             .filter(|text| !text.is_empty())
             .ok_or_else(|| self.missing(field))
     }
 
-    /// True or false, false where it is not there.
+    /// A boolean; false where it is missing.
     pub(crate) fn flag(&self, field: &str) -> Result<bool, ConfigurationError> {
         match self.get(field) {
             None => Ok(false),
@@ -239,7 +239,7 @@
         }
     }
 
-    /// A number of 0 or more; fractions are rounded up, so that only 0 is 0.
+    /// An optional number of 0 or more; fractions are rounded up, so that only 0 becomes 0.
     pub(crate) fn count(&self, field: &str) -> Result<Option<u64>, ConfigurationError> {
         match self.get(field) {
             None => Ok(None),
@@ -249,14 +249,14 @@
         }
     }
 
-    /// A number of 0 or more that is held in 32 bits; larger ones become the largest.
+    /// An optional number of 0 or more, limited to 32 bits.
     pub(crate) fn count_u32(&self, field: &str) -> Result<Option<u32>, ConfigurationError> {
         Ok(self
             .count(field)?
             .map(|n| u32::try_from(n).unwrap_or(u32::MAX)))
     }
 
-    /// Any number.
+    /// An optional number.
     pub(crate) fn number(&self, field: &str) -> Result<Option<f64>, ConfigurationError> {
         match self.get(field) {
             None => Ok(None),
@@ -267,7 +267,7 @@
         }
     }
 
-    /// A list, where there is one.
+    /// An optional list.
     pub(crate) fn list(&self, field: &str) -> Result<Option<&'a [Value]>, ConfigurationError> {
         match self.get(field) {
             None => Ok(None),
@@ -276,7 +276,7 @@
         }
     }
 
-    /// The error for a field that is not there.
+    /// The error for a missing field.
     pub(crate) fn missing(&self, field: &str) -> ConfigurationError {
         ConfigurationError::MissingField {
             location: shown(&self.location),
--- a/decide/configuration/src/json/tests.rs
+++ b/decide/configuration/src/json/tests.rs
@@ -7,19 +7,22 @@
 const SEED: u64 = 0x5eed_0001;
 
 #[test]
-fn the_parts_of_a_text_are_cut_out_as_they_came() {
+fn fields_and_elements_are_returned_unchanged() {
     let text =
         "\n{ \"a\" : [ 1.50 , {\"b\":\"]},\\\"\"} , [] ] ,\"c\\u0041\":260000.0,\"d\":null , \"e\": \"x\"}\t";
-    let found = object_fields(text).expect("an object");
+    let lookup_result = object_fields(text).expect("an object");
     let expected = [
         ("a", "[ 1.50 , {\"b\":\"]},\\\"\"} , [] ]"),
         ("cA", "260000.0"),
         ("d", "null"),
         ("e", "\"x\""),
     ];
-    assert_eq!(found, expected.map(|(name, text)| (name.to_owned(), text)));
     assert_eq!(
-        array_elements(found[0].1),
+        lookup_result,
+        expected.map(|(name, text)| (name.to_owned(), text))
+    );
+    assert_eq!(
+        array_elements(lookup_result[0].1),
         Some(vec!["1.50", "{\"b\":\"]},\\\"\"}", "[]"])
     );
     assert_eq!(array_elements("[]"), Some(Vec::new()));
@@ -27,7 +30,7 @@
 }
 
 #[test]
-fn what_is_no_object_or_array_has_no_parts() {
+fn text_that_is_no_object_or_array_has_no_fields_or_elements() {
     for text in [
         "", "1", "\"{\"", "null", "[", "{", "{\"a\"", "{\"a\":", "[1", "[\"a",
     ] {
@@ -39,7 +42,7 @@
 }
 
 #[test]
-fn nesting_is_counted_outside_strings_and_bounded() {
+fn nesting_is_limited_and_counted_outside_strings() {
     let nested = |depth: usize| format!("{}{}", "[".repeat(depth), "]".repeat(depth));
     assert!(parse_complete(nested(MAX_DEPTH).as_bytes()).is_ok());
     assert_eq!(
@@ -55,7 +58,7 @@
 }
 
 #[test]
-fn what_is_too_long_or_not_utf_8_or_cut_short_is_refused() {
+fn too_long_non_utf8_and_truncated_bodies_are_rejected() {
     let long = vec![b' '; MAX_DOCUMENT_BYTES + 1];
     let (bytes, limit) = (MAX_DOCUMENT_BYTES + 1, MAX_DOCUMENT_BYTES);
     assert_eq!(
@@ -81,7 +84,7 @@
 }
 
 #[test]
-fn a_field_that_is_given_twice_is_named() {
+fn duplicate_field_is_named() {
     let error = distinct_fields("the thing", "{\"a\":1,\"b\":2,\"\\u0061\":3}").unwrap_err();
     let (location, field) = ("the thing".to_owned(), "a".to_owned());
     assert_eq!(
@@ -90,7 +93,7 @@
     );
 }
 
-/// Texts of the signs that JSON is made of, so that many of them nearly are JSON.
+/// Texts of the characters of JSON, so that many of them are almost JSON.
 fn nearly_json(picks: &[u8]) -> String {
     let signs = [
         "{", "}", "[", "]", ",", ":", "\"", "\\", "\"a\"", "1", "-2.5e3", "null", "true", " ", "u",
@@ -102,15 +105,19 @@
 }
 
 #[test]
-fn cutting_never_panics_and_agrees_with_the_parser_on_whole_texts() {
+fn slicing_never_panics_and_agrees_with_the_parser() {
     fn holds(picks: Vec<u8>) -> bool {
         let text = nearly_json(&picks);
         let (object, array) = (object_fields(&text), array_elements(&text));
         match parse_complete(text.as_bytes()) {
-            Ok((_, Value::Array(list))) => array.is_some_and(|parts| parts.len() == list.len()),
-            Ok((_, Value::Object(found))) => {
-                object.is_some_and(|parts| parts.iter().all(|(name, _)| found.contains_key(name)))
+            Ok((_, Value::Array(list))) => {
+                array.is_some_and(|elements| elements.len() == list.len())
             }
+            Ok((_, Value::Object(lookup_result))) => object.is_some_and(|elements| {
+                elements
+                    .iter()
+                    .all(|(name, _)| lookup_result.contains_key(name))
+            }),
             Ok(_) => object.is_none() && array.is_none(),
             Err(_) => true,
         }
--- a/decide/configuration/src/limits.rs
+++ b/decide/configuration/src/limits.rs
@@ -1,24 +1,24 @@
-//! What a client may send, and how long it may take.
+//! Limits on what a client may send, and on how long it may take.
 
 use crate::error::ConfigurationError;
 use crate::json::Fields;
 use miniserde::json::Value;
 
-/// What a client may send, and how long it may take or stay idle.
+/// Limits on what a client may send, and on how long it may take or stay idle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Most bytes of a request's head.
+    /// Longest head of a request (bytes).
     pub max_header_bytes: u64,
-    /// Most bytes of a request's body.
+    /// Longest body of a request (bytes).
     pub max_body_bytes: u64,
-    /// How long a head may take to come (milliseconds).
+    /// How long the head of a request may take to arrive (milliseconds).
     pub header_timeout_ms: u64,
-    /// How long a connection may rest (milliseconds).
+    /// How long a connection may stay idle (milliseconds).
     pub idle_timeout_ms: u64,
 }
 
 impl Default for Limits {
-    /// What holds where the operator says nothing: the figures of the protocol's example.
+    /// The limits where the operator sets none: those of the protocol's example.
     fn default() -> Self {
         Limits {
             max_header_bytes: 16_384,
@@ -30,23 +30,23 @@
 }
 
 impl Limits {
-    /// Of the object under `limits`.
+    /// Parses the object `limits`.
     pub(crate) fn parse(value: &Value) -> Result<Limits, ConfigurationError> {
         let fields = Fields::new("limits".to_owned(), value)?;
-        let usual = Limits::default();
+        let default = Limits::default();
         Ok(Limits {
             max_header_bytes: fields
                 .count("maxHeaderBytes")?
-                .unwrap_or(usual.max_header_bytes),
+                .unwrap_or(default.max_header_bytes),
             max_body_bytes: fields
                 .count("maxBodyBytes")?
-                .unwrap_or(usual.max_body_bytes),
+                .unwrap_or(default.max_body_bytes),
             header_timeout_ms: fields
                 .count("headerTimeoutMs")?
-                .unwrap_or(usual.header_timeout_ms),
+                .unwrap_or(default.header_timeout_ms),
             idle_timeout_ms: fields
                 .count("idleTimeoutMs")?
-                .unwrap_or(usual.idle_timeout_ms),
+                .unwrap_or(default.idle_timeout_ms),
         })
     }
 }
--- a/decide/configuration/src/route.rs
+++ b/decide/configuration/src/route.rs
@@ -1,29 +1,29 @@
-//! A route: which requests it takes, how they may be treated, and which services they go to.
+//! A route: which requests it matches, how they may be handled, and which services they go to.
 
 use crate::error::{shown, ConfigurationError};
 use crate::json::{wrong_type, Fields};
 use miniserde::json::Value;
 use std::collections::HashMap;
 
-/// How long a request may be held where the operator gives no time-out (milliseconds).
+/// Time-out of a request where the operator sets none (milliseconds).
 const DEFAULT_TIMEOUT_MS: u64 = 60_000;
 
-/// What may be repeated.
+/// Whether and how requests may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RouteKind {
-    /// Requests may run more than once.
+    /// Idempotent: requests may run more than once.
     Safe,
-    /// Requests may run once for each try of the client.
+    /// A request may run once for each attempt of the client.
     Unsafe,
-    /// Answers are streams of events; to be treated as unsafe, unless the route resumes streams.
+    /// Responses are event streams; to be treated as unsafe, unless the route resumes streams.
     Streaming,
-    /// A kind that is not known here, or none: to be treated as unsafe.
+    /// An unknown kind, or none: to be treated as unsafe.
     Unknown,
 }
 
 impl RouteKind {
-    fn parse(word: Option<&str>) -> RouteKind {
-        match word {
+    fn parse(kind: Option<&str>) -> RouteKind {
+        match kind {
             Some("safe") => RouteKind::Safe,
             Some("unsafe") => RouteKind::Unsafe,
             Some("streaming") => RouteKind::Streaming,
@@ -31,57 +31,56 @@
         }
     }
 
-    /// Whether requests of this kind may run more than once, whatever else the route says.
+    /// Whether requests of this kind may run more than once, whatever the other fields of the route.
     #[must_use]
     pub fn is_idempotent(self) -> bool {
         self == RouteKind::Safe
     }
 }
 
-/// A service that a route's requests go to, with its share.
+/// A service that a route's requests go to, with its weight.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WeightedService {
     /// Name of the service.
     pub service: String,
-    /// Its share, against the sum of all.
+    /// Its weight, relative to the sum of all.
     pub weight: f64,
 }
 
-/// A route that has passed the checks that need no other item.
+/// A route that has passed the checks that involve no other item.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// Its name.
     pub name: String,
-    /// Host whose requests it takes, in lower case.
+    /// Host whose requests it matches, in lower case.
     pub host: String,
-    /// Prefix of the paths that it takes; begins and ends with a slash.
+    /// Prefix of the paths that it matches; begins and ends with a slash.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Whether and how requests may be repeated.
     pub kind: RouteKind,
-    /// The longest that a request may be held (milliseconds); never 0.
+    /// Time-out of a request (milliseconds); never 0.
     pub timeout_ms: u64,
-    /// Within which an answer earns its full worth (milliseconds); the time-out where the operator
-    /// says nothing.
+    /// Latency up to which a response has its full value (milliseconds); the time-out where the
+    /// operator sets none.
     pub target_latency_ms: u64,
     /// Its rank; 0 is highest.
     pub priority: u32,
-    /// Where its requests go; the weights add up to more than 0.
+    /// The services that its requests go to; the weights add up to more than 0.
     pub targets: Vec<WeightedService>,
-    /// The most servers to which one try may be sent; at least 1.
+    /// Most servers to which one attempt of a client may be sent; at least 1.
     pub max_attempts: u32,
-    /// Whether its requests need no key (`publicAccess`); only where that is `true`.
+    /// Whether its requests need no key: `publicAccess` is `true`.
     pub public_access: bool,
-    /// Whether requests bear the parts of their prompts, which servers keep.
+    /// Whether requests name the chunks of their prompts, which servers cache.
     pub session_affinity: bool,
-    /// Whether a stream may be taken up at another server.
+    /// Whether a stream may be resumed at another server.
     pub stream_resume: bool,
-    /// The longest pause between events that keeps an answer in time (milliseconds), where that is
-    /// told.
+    /// Longest gap between the events of a response that meets its target (milliseconds), if set.
     pub event_gap_target_ms: Option<u64>,
 }
 
 impl Route {
-    /// Of an item of `routes`.
+    /// Parses an item of `routes`.
     pub(crate) fn parse(name: &str, value: &Value) -> Result<Route, ConfigurationError> {
         let fields = Fields::new(format!("route `{name}`"), value)?;
         let timeout_ms = fields.count("timeoutMs")?.unwrap_or(DEFAULT_TIMEOUT_MS);
@@ -93,7 +92,7 @@
             timeout_ms,
             target_latency_ms: fields.count("targetLatencyMs")?.unwrap_or(timeout_ms),
             priority: fields.count_u32("priority")?.unwrap_or(0),
-            targets: targets(name, &fields)?,
+            targets: parse_targets(name, &fields)?,
             max_attempts: fields.count_u32("maxAttempts")?.unwrap_or(1).max(1),
             public_access: matches!(fields.get("publicAccess"), Some(Value::Bool(true))),
             session_affinity: fields.flag("sessionAffinity")?,
@@ -104,7 +103,7 @@
         Ok(route)
     }
 
-    /// What must hold whatever else the configuration says.
+    /// Checks what involves no other item of the configuration.
     fn check(&self) -> Result<(), ConfigurationError> {
         let route = || shown(&self.name);
         if !self.path_prefix.starts_with('/') || !self.path_prefix.ends_with('/') {
@@ -132,36 +131,40 @@
         self.kind.is_idempotent() || (self.kind == RouteKind::Streaming && self.stream_resume)
     }
 
-    /// The service of one request, drawn by weight with a number that is even over all of its
-    /// range. A service without weight is never drawn.
+    /// Picks the service of one request by weight, with a random number that is uniform over its
+    /// range. A service without weight is never picked.
     #[must_use]
     pub fn pick_service(&self, random: u64) -> &str {
-        let share = (random >> 11) as f64 / (1_u64 << 53) as f64;
-        let mut left = share * self.total_weight();
+        let fraction = (random >> 11) as f64 / (1_u64 << 53) as f64;
+        let mut remaining = fraction * self.total_weight();
         let weighted = self.targets.iter().filter(|target| target.weight > 0.0);
-        let mut drawn = "";
+        let mut picked = "";
         for target in weighted {
-            drawn = &target.service;
-            if left < target.weight {
+            picked = &target.service;
+            if remaining < target.weight {
                 break;
             }
-            left -= target.weight;
+            remaining -= target.weight;
         }
         debug_assert!(
-            !drawn.is_empty(),
+            !picked.is_empty(),
             "the weights of a checked route add up to more than 0"
         );
-        drawn
+        picked
     }
 }
 
-/// Where a route's requests go: its `trafficSplit`, or else all to its `service`.
-fn targets(name: &str, fields: &Fields<'_>) -> Result<Vec<WeightedService>, ConfigurationError> {
+/// The services of a route: its `trafficSplit`, or else its `service` alone.
+fn parse_targets(
+    name: &str,
+    fields: &Fields<'_>,
+) -> Result<Vec<WeightedService>, ConfigurationError> {
     let single = fields.text("service")?;
     match (fields.list("trafficSplit")?, single) {
-        (Some(split), _) if !split.is_empty() => {
-            split.iter().map(|part| weighted(name, part)).collect()
-        }
+        (Some(split), _) if !split.is_empty() => split
+            .iter()
+            .map(|element| parse_target(name, element))
+            .collect(),
         (_, Some(service)) => Ok(vec![WeightedService {
             service: service.to_owned(),
             weight: 1.0,
@@ -171,8 +174,8 @@
     }
 }
 
-fn weighted(route: &str, part: &Value) -> Result<WeightedService, ConfigurationError> {
-    let fields = Fields::new(format!("trafficSplit of route `{route}`"), part)?;
+fn parse_target(route: &str, element: &Value) -> Result<WeightedService, ConfigurationError> {
+    let fields = Fields::new(format!("trafficSplit of route `{route}`"), element)?;
     let weight = fields
         .number("weight")?
         .ok_or_else(|| fields.missing("weight"))?;
--- a/decide/configuration/src/route/tests.rs
+++ b/decide/configuration/src/route/tests.rs
@@ -10,16 +10,16 @@
     Route::parse("r", &value_of(&text).expect("JSON"))
 }
 
-fn split(parts: &[(&str, f64)]) -> String {
-    let parts: Vec<_> = parts
+fn split(elements: &[(&str, f64)]) -> String {
+    let elements: Vec<_> = elements
         .iter()
         .map(|(service, weight)| format!("{{\"service\":\"{service}\",\"weight\":{weight}}}"))
         .collect();
-    format!(",\"trafficSplit\":[{}]", parts.join(","))
+    format!(",\"trafficSplit\":[{}]", elements.join(","))
 }
 
 #[test]
-fn a_route_that_says_little_gets_what_is_safe() {
+fn route_without_optional_fields_has_safe_defaults() {
     let route = read(",\"service\":\"s\"").expect("valid");
     let target = WeightedService {
         service: "s".to_owned(),
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn kinds_tell_what_may_be_repeated() {
+fn route_kind_determines_idempotence() {
     let kind = |fields: &str| read(&format!(",\"service\":\"s\",{fields}")).expect("valid");
     assert!(kind("\"kind\":\"safe\"").is_idempotent());
     assert!(!kind("\"kind\":\"unsafe\",\"streamResume\":true").is_idempotent());
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn numbers_may_be_written_with_a_fraction() {
+fn numbers_with_fractions_are_accepted() {
     let route = read(",\"service\":\"s\",\"timeoutMs\":3000.0,\"priority\":2,\"gap_aim_ms\":0.25")
         .expect("valid");
     assert_eq!(
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_named() {
+fn invalid_route_is_rejected_with_its_reason() {
     let name = || "r".to_owned();
     let cases = [
         (
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_prefix_begins_and_ends_with_a_slash() {
+fn prefix_without_slashes_is_rejected() {
     let read = |prefix: &str| {
         let text = format!("{{\"host\":\"h\",\"pathPrefix\":\"{prefix}\",\"service\":\"s\"}}");
         Route::parse("r", &value_of(&text).expect("JSON"))
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn services_are_drawn_by_weight_and_never_without_weight() {
+fn services_are_picked_by_weight_and_never_without() {
     let route = read(&split(&[
         ("none", 0.0),
         ("most", 90.0),
@@ -131,10 +131,10 @@
         ("last", 0.0),
     ]))
     .expect("valid");
-    let draws = 1_000_u64;
-    let step = u64::MAX / draws;
-    let drawn: Vec<&str> = (0..draws).map(|n| route.pick_service(n * step)).collect();
-    let times = |service: &str| drawn.iter().filter(|drawn| **drawn == service).count();
+    let picks = 1_000_u64;
+    let step = u64::MAX / picks;
+    let picked: Vec<&str> = (0..picks).map(|n| route.pick_service(n * step)).collect();
+    let times = |service: &str| picked.iter().filter(|picked| **picked == service).count();
     assert_eq!((times("none"), times("last")), (0, 0));
     assert!((899..=901).contains(&times("most")), "{}", times("most"));
     assert_eq!(times("most") + times("few"), 1_000);
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_service_without_weight_is_not_drawn_where_the_sum_of_weights_was_rounded() {
+fn service_without_weight_is_not_picked_when_the_sum_is_rounded() {
     let route = read(&split(&[("a", 0.1), ("b", 0.2), ("c", 0.3), ("none", 0.0)])).expect("valid");
     assert_eq!(route.pick_service(u64::MAX), "c");
 }
--- a/decide/configuration/src/routes.rs
+++ b/decide/configuration/src/routes.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes.
+//! Which route matches a request.
 
 use crate::document::Document;
 use crate::route::Route;
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// A lookup by host and path, built once for each configuration.
+/// Look-up of routes by host and path. Built once for each configuration.
 #[derive(Clone, Debug)]
 pub struct Routes {
     document: Arc<Document>,
@@ -18,29 +18,29 @@
 /// The prefixes of one host.
 #[derive(Clone, Debug, Default)]
 struct Prefixes {
-    /// Each with its route's place in the document, sorted by prefix.
+    /// Each with the index of its route in the document, sorted by prefix.
     sorted: Vec<(String, usize)>,
     /// Length of the longest (bytes).
-    longest: usize,
+    max_length: usize,
 }
 
 impl Routes {
-    /// Of a configuration.
+    /// The routes of a configuration.
     #[must_use]
     pub fn new(document: Arc<Document>) -> Routes {
         let mut hosts: HashMap<String, Prefixes> = HashMap::new();
-        for (location, route) in document.routes().iter().enumerate() {
+        for (index, route) in document.routes().iter().enumerate() {
             hosts
                 .entry(route.host.clone())
                 .or_default()
-                .add(&route.path_prefix, location);
+                .add(&route.path_prefix, index);
         }
         hosts
             .values_mut()
             .for_each(|prefixes| prefixes.sorted.sort());
         let services = document.services().iter().enumerate();
         let services = services
-            .map(|(location, service)| (service.name.clone(), location))
+            .map(|(index, service)| (service.name.clone(), index))
             .collect();
         Routes {
             hosts,
@@ -56,12 +56,12 @@
     }
 
     /// The route of a request by its `Host` header and its path: the one of that host with the
-    /// longest prefix. Hosts are compared without regard to case, and first as they came; where no
-    /// route has the host with that port, the port is left out. A query does not count.
+    /// longest prefix. Hosts are compared case-insensitively, and first with their port; where no
+    /// route has the host with that port, without it. The query is ignored.
     #[must_use]
     pub fn lookup(&self, host: &str, path: &str) -> Option<&Route> {
-        let location = self.prefixes(host)?.longest_of(path)?;
-        self.document.routes().get(location)
+        let index = self.prefixes(host)?.longest_match(path)?;
+        self.document.routes().get(index)
     }
 
     fn prefixes(&self, host: &str) -> Option<&Prefixes> {
@@ -79,26 +79,26 @@
 }
 
 impl Prefixes {
-    fn add(&mut self, prefix: &str, location: usize) {
-        self.sorted.push((prefix.to_owned(), location));
-        self.longest = self.longest.max(prefix.len());
+    fn add(&mut self, prefix: &str, index: usize) {
+        self.sorted.push((prefix.to_owned(), index));
+        self.max_length = self.max_length.max(prefix.len());
     }
 
-    /// Every prefix ends with a slash, so only what ends with one in the path can be a prefix of
-    /// it.
-    fn longest_of(&self, path: &str) -> Option<usize> {
+    /// Index of the route with the longest prefix of a path. Every prefix ends with a slash, so only
+    /// what ends with one in the path can be a prefix of it.
+    fn longest_match(&self, path: &str) -> Option<usize> {
         let path = path.split(['?', '#']).next().unwrap_or_default().as_bytes();
-        let bounded = &path[..path.len().min(self.longest)];
+        let bounded = &path[..path.len().min(self.max_length)];
         let ends = bounded
             .iter()
             .enumerate()
             .rev()
             .filter(|(_, byte)| **byte == b'/');
         ends.map(|(last, _)| &path[..=last])
-            .find_map(|candidate| self.place_of(candidate))
+            .find_map(|candidate| self.index_of(candidate))
     }
 
-    fn place_of(&self, candidate: &[u8]) -> Option<usize> {
+    fn index_of(&self, candidate: &[u8]) -> Option<usize> {
         let found = self
             .sorted
             .binary_search_by(|(prefix, _)| prefix.as_bytes().cmp(candidate))
@@ -114,11 +114,11 @@
     }
 }
 
-/// The host before its port; nothing where there is no port.
+/// The host before its port; `None` where there is no port.
 fn without_port(host: &str) -> Option<&str> {
     let (name, port) = host.rsplit_once(':')?;
-    let parse_complete = !name.contains(':') || name.ends_with(']');
-    (parse_complete && port.bytes().all(|byte| byte.is_ascii_digit())).then_some(name)
+    let is_port = !name.contains(':') || name.ends_with(']');
+    (is_port && port.bytes().all(|byte| byte.is_ascii_digit())).then_some(name)
 }
 
 #[cfg(test)]
--- a/decide/configuration/src/routes/tests.rs
+++ b/decide/configuration/src/routes/tests.rs
@@ -7,8 +7,8 @@
 const SEED: u64 = 0x5eed_0004;
 
 /// A lookup of routes that are named by their host and prefix.
-fn routes(places: &[(&str, &str)]) -> Routes {
-    let routes: Vec<String> = places
+fn routes(indexes: &[(&str, &str)]) -> Routes {
+    let routes: Vec<String> = indexes
         .iter()
         .map(|(host, prefix)| {
             format!(r#"{{"name":"{host}{prefix}","host":"{host}","pathPrefix":"{prefix}","service":"s"}}"#)
@@ -21,12 +21,12 @@
     Routes::new(Arc::new(Document::parse(text.as_bytes()).expect("valid")))
 }
 
-fn found<'a>(routes: &'a Routes, host: &str, path: &str) -> Option<&'a str> {
+fn lookup_result<'a>(routes: &'a Routes, host: &str, path: &str) -> Option<&'a str> {
     routes.lookup(host, path).map(|route| route.name.as_str())
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_wins() {
+fn longest_prefix_of_the_host_matches() {
     let routes = routes(&[
         ("h", "/a/"),
         ("h", "/a/b/"),
@@ -34,28 +34,28 @@
         ("g", "/"),
         ("g", "/a/b/c/d/e/"),
     ]);
-    assert_eq!(found(&routes, "h", "/a/x"), Some("h/a/"));
-    assert_eq!(found(&routes, "h", "/a/b/x/y"), Some("h/a/b/"));
-    assert_eq!(found(&routes, "h", "/a/b"), Some("h/a/"));
-    assert_eq!(found(&routes, "h", "/a/bc/d"), Some("h/a/"));
-    assert_eq!(found(&routes, "h", "/a/bc/d/"), Some("h/a/bc/d/"));
-    assert_eq!(found(&routes, "g", "/a/b/x"), Some("g/"));
+    assert_eq!(lookup_result(&routes, "h", "/a/x"), Some("h/a/"));
+    assert_eq!(lookup_result(&routes, "h", "/a/b/x/y"), Some("h/a/b/"));
+    assert_eq!(lookup_result(&routes, "h", "/a/b"), Some("h/a/"));
+    assert_eq!(lookup_result(&routes, "h", "/a/bc/d"), Some("h/a/"));
+    assert_eq!(lookup_result(&routes, "h", "/a/bc/d/"), Some("h/a/bc/d/"));
+    assert_eq!(lookup_result(&routes, "g", "/a/b/x"), Some("g/"));
     for path in ["/", "/a", "/b/", "", "a/", "//a/"] {
-        assert_eq!(found(&routes, "h", path), None, "{path}");
+        assert_eq!(lookup_result(&routes, "h", path), None, "{path}");
     }
-    assert_eq!(found(&routes, "f", "/a/"), None);
+    assert_eq!(lookup_result(&routes, "f", "/a/"), None);
 }
 
 #[test]
-fn a_query_is_no_part_of_the_path() {
+fn query_is_ignored() {
     let routes = routes(&[("h", "/a/"), ("h", "/a/b/")]);
-    assert_eq!(found(&routes, "h", "/a/?/b/"), Some("h/a/"));
-    assert_eq!(found(&routes, "h", "/a?x=/a/"), None);
-    assert_eq!(found(&routes, "h", "/a/b/?q"), Some("h/a/b/"));
+    assert_eq!(lookup_result(&routes, "h", "/a/?/b/"), Some("h/a/"));
+    assert_eq!(lookup_result(&routes, "h", "/a?x=/a/"), None);
+    assert_eq!(lookup_result(&routes, "h", "/a/b/?q"), Some("h/a/b/"));
 }
 
 #[test]
-fn hosts_are_found_without_regard_to_case_and_with_or_without_their_port() {
+fn host_matches_in_any_case_with_and_without_port() {
     let routes = routes(&[
         ("Nony24.Example", "/a/"),
         ("b.example:8080", "/a/"),
@@ -70,18 +70,25 @@
         "nony24.example:",
     ] {
         assert_eq!(
-            found(&routes, host, "/a/"),
+            lookup_result(&routes, host, "/a/"),
             Some("Nony24.Example/a/"),
             "{host}"
         );
     }
     assert_eq!(
-        found(&routes, "b.example:8080", "/a/"),
+        lookup_result(&routes, "b.example:8080", "/a/"),
         Some("b.example:8080/a/")
     );
-    assert_eq!(found(&routes, "b.example:81", "/a/"), Some("b.example/"));
+    assert_eq!(
+        lookup_result(&routes, "b.example:81", "/a/"),
+        Some("b.example/")
+    );
     for host in ["[::1]", "[::1]:80"] {
-        assert_eq!(found(&routes, host, "/a/"), Some("[::1]/a/"), "{host}");
+        assert_eq!(
+            lookup_result(&routes, host, "/a/"),
+            Some("[::1]/a/"),
+            "{host}"
+        );
     }
     for host in [
         "",
@@ -91,12 +98,12 @@
         "other",
         "nony24.example.",
     ] {
-        assert_eq!(found(&routes, host, "/a/"), None, "{host}");
+        assert_eq!(lookup_result(&routes, host, "/a/"), None, "{host}");
     }
 }
 
 #[test]
-fn services_are_found_by_name() {
+fn service_is_found_by_name() {
     let routes = routes(&[]);
     assert_eq!(
         routes.service("s").map(|service| service.name.as_str()),
@@ -107,31 +114,34 @@
 }
 
 #[test]
-fn a_lookup_agrees_with_a_look_at_every_route() {
-    /// Paths of few signs, so that many share their beginnings.
+fn lookup_agrees_with_a_linear_search() {
+    /// Paths of few characters, so that many have common prefixes.
     fn path(picks: &[u8]) -> String {
         picks
             .iter()
             .map(|pick| ['/', 'a', 'b'][usize::from(*pick) % 3])
             .collect()
     }
-    fn holds(prefixes: Vec<Vec<u8>>, asked: Vec<u8>) -> bool {
+    fn holds(prefixes: Vec<Vec<u8>>, picked_service: Vec<u8>) -> bool {
         let mut prefixes: Vec<String> = prefixes
             .iter()
             .map(|picks| format!("/{}/", path(picks)))
             .collect();
         prefixes.sort();
         prefixes.dedup();
-        let places: Vec<(&str, &str)> = prefixes
+        let indexes: Vec<(&str, &str)> = prefixes
             .iter()
             .map(|prefix| ("h", prefix.as_str()))
             .collect();
-        let (routes, asked) = (routes(&places), format!("/{}", path(&asked)));
+        let (routes, picked_service) = (routes(&indexes), format!("/{}", path(&picked_service)));
         let longest = prefixes
             .iter()
-            .filter(|prefix| asked.starts_with(*prefix))
+            .filter(|prefix| picked_service.starts_with(*prefix))
             .max_by_key(|prefix| prefix.len());
-        routes.lookup("h", &asked).map(|route| &route.path_prefix) == longest
+        routes
+            .lookup("h", &picked_service)
+            .map(|route| &route.path_prefix)
+            == longest
     }
     let gen = Gen::from_size_and_seed(8, SEED);
     QuickCheck::new()
--- a/decide/configuration/src/service.rs
+++ b/decide/configuration/src/service.rs
@@ -4,7 +4,7 @@
 use crate::json::Fields;
 use miniserde::json::Value;
 
-/// Path of the health check where the operator names none.
+/// Path of the health check where the operator sets none.
 const DEFAULT_HEALTH_CHECK_PATH: &str = "/health";
 
 /// A service of model servers.
@@ -14,22 +14,22 @@
     pub name: String,
     /// Path of the health check at its servers.
     pub health_check_path: String,
-    /// Connections that each of its servers takes, where that is told.
+    /// Connections that each of its servers accepts, if set.
     pub max_connections: Option<u32>,
-    /// Whether its servers speak TLS.
+    /// Whether its servers use TLS.
     pub tls_enabled: bool,
-    /// Requests that each of its servers works on at the same time, where that is told.
+    /// Requests that each of its servers processes concurrently, if set.
     pub capacity_slots: Option<u32>,
-    /// Tokens that the cache of each of its servers holds, where that is told.
+    /// Tokens that the cache of each of its servers holds, if set.
     pub kv_token_capacity: Option<u64>,
-    /// Bytes of a cached token, where that is told.
+    /// Bytes of a cached token, if set.
     pub kv_token_bytes: Option<u64>,
-    /// Names of the models that its servers may hold.
+    /// Names of the models that its servers may load.
     pub models: Vec<String>,
 }
 
 impl Service {
-    /// Of an item of `services`.
+    /// Parses an item of `services`.
     pub(crate) fn parse(name: &str, value: &Value) -> Result<Service, ConfigurationError> {
         let fields = Fields::new(format!("service `{name}`"), value)?;
         let engine = fields.get("engine");
@@ -48,13 +48,13 @@
             capacity_slots: engine.map_or(Ok(None), |engine| engine.count_u32("capacitySlots"))?,
             kv_token_capacity: engine.map_or(Ok(None), |engine| engine.count("kvTokenCapacity"))?,
             kv_token_bytes: engine.map_or(Ok(None), |engine| engine.count("kvTokenBytes"))?,
-            models: engine.map_or(Ok(Vec::new()), models)?,
+            models: engine.map_or(Ok(Vec::new()), model_names)?,
         })
     }
 }
 
-/// The names under `models`; those without a name are passed over, as nothing here needs them.
-fn models(engine: &Fields<'_>) -> Result<Vec<String>, ConfigurationError> {
+/// The names of the items of `models`; items without a name are ignored, since nothing needs them.
+fn model_names(engine: &Fields<'_>) -> Result<Vec<String>, ConfigurationError> {
     let list = engine.list("models")?.unwrap_or_default();
     Ok(list.iter().filter_map(model_name).collect())
 }
--- a/decide/configuration/src/state/tests.rs
+++ b/decide/configuration/src/state/tests.rs
@@ -44,14 +44,14 @@
     for version in 0..orders {
         let order = if version == 0 { first() } else { next(version) };
         let change = change(&state, &order);
-        state.apply(&change).expect("it was judged");
+        state.apply(&change).expect("it was evaluated");
         changes.push(change);
     }
     (state, changes)
 }
 
 #[test]
-fn an_empty_state_survives() {
+fn empty_state_survives_encoding() {
     let state = State::default();
     assert_eq!(State::decode(&state.encode()), Ok(state));
 }
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn the_same_changes_give_the_same_state_byte_by_byte_wherever_they_are_taken_up() {
+fn same_changes_result_in_the_same_bytes_from_any_snapshot() {
     let (state, changes) = after(30);
     let mut other = State::default();
     for (count, change) in changes.iter().enumerate() {
@@ -91,14 +91,14 @@
 }
 
 #[test]
-fn a_change_of_an_update_carries_the_update_alone() {
+fn change_of_update_has_only_the_update() {
     let (state, _) = after(1);
     let order = next(1);
     assert_eq!(change(&state, &order).len(), 10 + order.body.len());
 }
 
 #[test]
-fn the_history_is_bounded_and_the_oldest_go_first() {
+fn history_is_bounded_and_drops_the_oldest() {
     let digest = |n: usize| OrderDigest::of("", n as u64, b"");
     let mut state = State::default();
     (0..MAX_HISTORY + 10).for_each(|n| state.record(digest(n)));
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_change_that_does_not_fit_leaves_the_state_as_it_was() {
+fn change_that_does_not_fit_leaves_the_state_unchanged() {
     let (mut state, changes) = after(3);
     let before = state.clone();
     assert_eq!(
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_state_are_told_apart() {
+fn invalid_bytes_have_distinct_errors() {
     let (state, _) = after(3);
     let bytes = state.encode();
     for length in 0..bytes.len() {
@@ -170,14 +170,14 @@
 }
 
 #[test]
-fn no_bytes_make_it_panic() {
+fn arbitrary_bytes_never_panic() {
     fn holds(bytes: Vec<u8>, edits: Vec<(u16, u8)>) -> bool {
         let (mut state, changes) = after(2);
         let (mut encoded, mut change) = (state.encode(), changes[1].clone());
-        for (place, byte) in edits {
+        for (index, byte) in edits {
             let (one, other) = (
-                usize::from(place) % encoded.len(),
-                usize::from(place) % change.len(),
+                usize::from(index) % encoded.len(),
+                usize::from(index) % change.len(),
             );
             (encoded[one], change[other]) = (byte, byte);
         }
--- a/decide/configuration/src/tenant/tests.rs
+++ b/decide/configuration/src/tenant/tests.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_tenant_is_read_as_the_operator_wrote_it() {
+fn tenant_has_the_values_that_were_sent() {
     let document = parse(
         r#"[{"name":"kaje80","apiKeys":["one","two","one"],"priority":1,"unit":"token_count",
              "uncachedTokens":200,"ratePerS":731839,"burstSize":5.5,"later":{}}]"#,
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn no_rate_is_no_limit_and_no_unit_counts_requests() {
+fn tenant_without_rate_has_no_quota_and_without_unit_counts_requests() {
     for rate in ["", ",\"ratePerS\":0", ",\"ratePerS\":null,\"burstSize\":9"] {
         let document = parse(&format!("[{{\"name\":\"a\",\"apiKeys\":[]{rate}}}]")).expect("valid");
         let tenant = &document.tenants().expect("tenants")[0];
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_configuration_without_tenants_asks_nobody_for_a_key() {
+fn configuration_without_tenants_needs_no_key() {
     let none = Document::parse(br#"{"version":1,"routes":[],"services":[]}"#).expect("valid");
     assert!(none.tenants().is_none());
     assert!(parse("null").expect("valid").tenants().is_none());
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_key_that_two_tenants_hold_is_invalid_and_is_not_told() {
+fn key_of_two_tenants_is_rejected_and_not_shown() {
     let error =
         parse(r#"[{"name":"a","apiKeys":["secret"]},{"name":"b","apiKeys":["x","secret"]}]"#)
             .expect_err("invalid");
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn figures_that_are_negative_or_endless_are_invalid() {
+fn negative_and_infinite_amounts_are_rejected() {
     for (field, value) in [
         ("ratePerS", "-1"),
         ("ratePerS", "1e999"),
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn tenants_that_are_no_list_of_named_items_are_invalid() {
+fn tenants_without_names_are_rejected() {
     for tenants in [
         "{}",
         "7",
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn updates_add_and_take_keys() {
+fn update_adds_and_removes_keys() {
     let moved =
         update(r#""upserts":{"tenants":[{"name":"a","apiKeys":["k3"]},{"name":"b","apiKeys":["k1","k2"]}]}"#)
             .expect("valid");
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn what_an_older_program_took_unchecked_is_read_and_nobody_holds_a_key() {
+fn committed_invalid_tenants_are_accepted_without_keys() {
     let shared = text(r#"[{"name":"a","apiKeys":["k"]},{"name":"b","apiKeys":["k"]}]"#);
     for old in [
         shared.as_str(),
--- a/decide/configuration/src/update/tests.rs
+++ b/decide/configuration/src/update/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn an_update_may_say_little_and_unknown_fields_are_passed_over() {
+fn update_without_changes_is_valid_and_unknown_fields_are_ignored() {
     for text in [
         "{\"version\":3}",
         "{\"version\":3,\"upserts\":null,\"removals\":null,\"limits\":null}",
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn removals_are_names_or_items_with_names() {
+fn removals_are_names_or_named_items() {
     let update =
         parse("{\"version\":3,\"removals\":{\"routes\":[\"a\",{\"name\":\"b\"}]}}").expect("valid");
     let expected = Removal {
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn what_is_wrong_whatever_it_is_applied_to_is_refused() {
+fn update_invalid_by_itself_is_rejected() {
     let route = |fields: &str| {
         format!("{{\"version\":3,\"upserts\":{{\"routes\":[{{\"name\":\"r\",\"host\":\"h\",\"pathPrefix\":\"/a/\"{fields}}}]}}}}")
     };
