--- a/fleet/src/check.rs
+++ b/fleet/src/check.rs
@@ -1,12 +1,12 @@
-//! `check FILE`: whether a settings file or an operator's configuration could be used.
+//! The command `check FILE`: whether a settings file or an operator's configuration is valid.
 
 use crate::settings::{Settings, SettingsError};
 use lichenswitch_configuration::{ConfigurationError, Document};
 use std::path::Path;
 
-/// What a file is, where it can be used.
+/// A valid file, by its kind.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Checked {
+pub enum CheckedFile {
     /// Settings of a process.
     Settings {
         /// Its `nodeName`.
@@ -16,53 +16,53 @@
     Configuration {
         /// Its version.
         version: u64,
-        /// Its routes.
+        /// The number of its routes.
         routes: usize,
-        /// Its services.
+        /// The number of its services.
         services: usize,
     },
 }
 
-/// Why a file can't be used.
+/// Why a file is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum CheckError {
-    /// It can't be read.
+    /// The file can't be read.
     #[error("{0}")]
     Read(#[from] std::io::Error),
-    /// As settings.
+    /// It is no valid settings file.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
-    /// As a configuration.
+    /// It is no valid configuration.
     #[error("configuration: {0}")]
     Configuration(#[from] ConfigurationError),
 }
 
-/// Checks a file: what begins with a brace is a configuration, all else is settings.
+/// Checks a file: one that begins with a brace is a configuration, any other is settings.
 ///
 /// # Errors
-/// What is wrong with it, by name.
-pub fn check(path: &Path) -> Result<Checked, CheckError> {
+/// What is wrong with it, by field.
+pub fn check(path: &Path) -> Result<CheckedFile, CheckError> {
     let bytes = std::fs::read(path)?;
     if bytes.trim_ascii_start().starts_with(b"{") {
         let document = Document::parse(&bytes)?;
         let (routes, services) = (document.routes().len(), document.services().len());
-        return Ok(Checked::Configuration {
+        return Ok(CheckedFile::Configuration {
             version: document.version(),
             routes,
             services,
         });
     }
     let settings = Settings::parse(&String::from_utf8_lossy(&bytes))?;
-    Ok(Checked::Settings {
+    Ok(CheckedFile::Settings {
         node: settings.node_name,
     })
 }
 
-impl std::fmt::Display for Checked {
+impl std::fmt::Display for CheckedFile {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Checked::Settings { node } => write!(f, "settings of {node} can be used"),
-            Checked::Configuration {
+            CheckedFile::Settings { node } => write!(f, "settings of {node} can be used"),
+            CheckedFile::Configuration {
                 version,
                 routes,
                 services,
--- a/fleet/src/control/call_handler.rs
+++ b/fleet/src/control/call_handler.rs
@@ -190,7 +190,7 @@
             }
             CallKind::Describe => {
                 let is_recent_enough = self.acknowledged.allows_read(call.arrived, version);
-                invariants::check(is_recent_enough, Invariant::AcknowledgedIsRead);
+                invariants::check(is_recent_enough, Invariant::AcknowledgedConfigurationIsRead);
             }
             CallKind::Status => {}
         }
--- a/fleet/src/control/connection_handler.rs
+++ b/fleet/src/control/connection_handler.rs
@@ -19,7 +19,7 @@
     pub(super) fn dial(&mut self, address: SocketAddr, now: Time) {
         match self
             .net
-            .connect(Owner::Dialled, self.settings.reached_at(address))
+            .connect(Owner::Dialled, self.settings.reachable_address(address))
         {
             Ok(id) => {
                 self.connections.insert(id, RemoteRole::Peer(address), now);
--- a/fleet/src/control/quota_handler.rs
+++ b/fleet/src/control/quota_handler.rs
@@ -20,7 +20,7 @@
 impl ControlNode {
     /// This machine has another identity: shards that it owned under the old one are lost to it.
     pub(super) fn reset_quotas(&mut self) {
-        let bounds = self.settings.bounds.quota_terms();
+        let bounds = self.settings.bounds.quota_bounds();
         self.quotas = Quotas::new(self.identity, self.group.as_ref(), bounds);
         self.update_bucket_tenants();
     }
@@ -135,7 +135,7 @@
             &mut self.quotas.has_overrun,
             !self.quotas.buckets.are_within_bounds(),
         ) {
-            invariants::check(!self.quotas.has_overrun, Invariant::PartIsKept);
+            invariants::check(!self.quotas.has_overrun, Invariant::ShardQuotaIsKept);
         }
     }
 
--- a/fleet/src/control/settings_reload.rs
+++ b/fleet/src/control/settings_reload.rs
@@ -18,7 +18,7 @@
         match Settings::read(&self.path) {
             Ok(settings) => {
                 info!(target: "control", "settings are read again");
-                self.peers.on_seeds(settings.seeds_internal(), now);
+                self.peers.on_seeds(settings.internal_seed_addresses(), now);
                 self.servers.on_settings(&settings);
                 // Addresses, identity and disk stay those of the start.
                 self.settings.seed_nodes = settings.seed_nodes;
@@ -26,7 +26,7 @@
                 self.settings.bounds = settings.bounds;
                 self.quotas
                     .buckets
-                    .set_bounds(settings.bounds.quota_terms());
+                    .set_bounds(settings.bounds.quota_bounds());
             }
             Err(e) => {
                 warn!(target: "control", error = e.to_string().as_str(); "the settings file can't be used")
--- a/fleet/src/control/startup.rs
+++ b/fleet/src/control/startup.rs
@@ -41,10 +41,10 @@
         environment: Environment,
     ) -> Result<ControlNode, ControlError> {
         let control_plane = settings
-            .listen
+            .listen_addresses
             .control_plane
             .ok_or(ControlError::NoAddress)?;
-        let address = SocketAddr::new(settings.ip_address, settings.internal_ports.0);
+        let address = SocketAddr::new(settings.ip_address, settings.internal_port_range.first);
         let mut net = Net::new(settings.limits.file_descriptors)?;
         net.reserve_for_peers(RESERVED_INTERNAL_CONNECTIONS);
         watch_signals(&mut net)?;
@@ -65,7 +65,7 @@
             eligible = group.is_some(); "control machine has started");
         let mut node = ControlNode {
             address,
-            quotas: Quotas::new(identity.0, group.as_ref(), settings.bounds.quota_terms()),
+            quotas: Quotas::new(identity.0, group.as_ref(), settings.bounds.quota_bounds()),
             identity: identity.0,
             group_membership: GroupMembership::new(
                 eligibility,
@@ -73,7 +73,7 @@
                 settings.fault_tolerance.machines,
             ),
             connections: InternalConnections::default(),
-            peers: PeerTable::new(address, settings.seeds_internal(), now),
+            peers: PeerTable::new(address, settings.internal_seed_addresses(), now),
             group,
             primary_tracker: PrimaryTracker::new(fastrand::u64(..)),
             servers,
--- a/fleet/src/envelopes.rs
+++ b/fleet/src/envelopes.rs
@@ -1,13 +1,13 @@
 //! Messages on internal connections: an [`Envelope`], a [`TenantMessage`] or a [`BacklogReport`] in
 //! a frame, the same for all roles.
 //!
-//! It owns what both ends must agree on (version, kind and longest frame), and promises that what
-//! is read was sent so by a process of this program.
+//! It owns what both ends must agree on (version, kinds and longest frame), and promises that what is
+//! read was sent like that by a process of this program.
 
 use lichenswitch_messages::{BacklogReport, Envelope, TenantMessage, PROTOCOL_VERSION};
 use lichenswitch_rpc::{ArchiveError, FrameError, FrameReader};
 
-/// Kind of the frames of envelopes, which say themselves what is in them.
+/// Kind of the frames of envelopes, whose variants tell the message.
 const ENVELOPE: u16 = 1;
 /// Kind of the frames of messages about tenants.
 const TENANT_MESSAGE: u16 = 2;
@@ -16,7 +16,7 @@
 /// Longest payload (bytes): an order with a body of 4 MiB, and what goes with it.
 pub const PAYLOAD_LIMIT_BYTES: usize = 5 << 20;
 
-/// Why a connection can't be read, or a message not be sent.
+/// Why a connection can't be read on, or a message can't be sent. The connection must be closed.
 #[derive(Debug, thiserror::Error)]
 pub enum EnvelopeError {
     /// What came is no frame of this program.
@@ -33,7 +33,7 @@
 /// A message as bytes for a connection.
 ///
 /// # Errors
-/// When it is too long.
+/// It is too long.
 pub fn encode(envelope: &Envelope) -> Result<Vec<u8>, EnvelopeError> {
     framed(ENVELOPE, &lichenswitch_rpc::encode(envelope)?)
 }
@@ -41,7 +41,7 @@
 /// A message about tenants as bytes for a connection.
 ///
 /// # Errors
-/// When it is too long.
+/// It is too long.
 pub fn encode_tenant_message(message: &TenantMessage) -> Result<Vec<u8>, EnvelopeError> {
     framed(TENANT_MESSAGE, &lichenswitch_rpc::encode(message)?)
 }
@@ -49,7 +49,7 @@
 /// A report of backlogs as bytes for a connection.
 ///
 /// # Errors
-/// When it is too long.
+/// It is too long.
 pub fn encode_backlog_report(report: &BacklogReport) -> Result<Vec<u8>, EnvelopeError> {
     framed(BACKLOG_REPORT, &lichenswitch_rpc::encode(report)?)
 }
@@ -66,18 +66,18 @@
     Ok(bytes)
 }
 
-/// What a frame holds.
+/// The message of a frame.
 #[derive(Debug, PartialEq)]
 pub enum Incoming {
     /// An envelope.
     Envelope(Envelope),
     /// A message about tenants.
     Tenant(TenantMessage),
-    /// Work that waits at servers.
+    /// Backlogs of servers.
     Backlog(BacklogReport),
 }
 
-/// Finds the messages in what a connection brings, cut anywhere.
+/// Finds the messages in the bytes of a connection, however they are split.
 #[derive(Debug)]
 pub struct EnvelopeReader {
     frames: FrameReader,
@@ -92,15 +92,15 @@
 }
 
 impl EnvelopeReader {
-    /// Takes bytes from the connection.
+    /// Appends bytes from the connection.
     pub fn push(&mut self, bytes: &[u8]) {
         self.frames.push(bytes);
     }
 
-    /// The next whole message, or `None` until more bytes come.
+    /// The next complete message, or `None` until more bytes come.
     ///
     /// # Errors
-    /// When what came is no message. The connection must be closed then.
+    /// What came is no message. The connection must be closed.
     pub fn next_message(&mut self) -> Result<Option<Incoming>, EnvelopeError> {
         let Some(frame) = self.frames.next_frame()? else {
             return Ok(None);
--- a/fleet/src/invariants.rs
+++ b/fleet/src/invariants.rs
@@ -1,55 +1,54 @@
-//! What must hold in a running process, whatever fails beside it.
+//! Invariants of a running process, which hold whatever fails around it.
 //!
-//! Each invariant is checked where a break of it could be seen. A break is counted for the life of
+//! Each invariant is checked where a violation could be seen. A violation is counted for the life of
 //! the process and logged as an error that begins with `invariant violated`; the process goes on,
-//! since whoever it serves is better off with it. The tests and the soak expect a count of zero.
+//! since its clients are better off with it. The tests and the soak expect a count of zero.
 
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering};
 
 static VIOLATIONS: AtomicU64 = AtomicU64::new(0);
 
-/// What must hold.
+/// An invariant. Its text follows `invariant violated: ` in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
-    /// A router that ends cuts off nothing that it took after it was told to end.
-    TakenIsFinished,
-    /// Each request that was read whole is held until it is answered: so many clients wait as
-    /// requests are held.
-    WaitingIsHeld,
-    /// A request of a tenant with a quota goes on only while the grant that it goes by is valid.
-    GrantIsValid,
-    /// A control machine grants no more of a bucket in a window than its part allows.
-    PartIsKept,
-    /// A router ends once no client waits for an answer.
-    EndsAnswered,
-    /// A configuration that is read is no older than what the same machine had acknowledged before
-    /// the read came.
-    AcknowledgedIsRead,
+    /// A router that shuts down aborts no request that it accepted after the signal.
+    AcceptedRequestIsFinished,
+    /// Each complete request is in the tables until it is answered: as many clients wait as there are
+    /// requests.
+    WaitingClientIsTracked,
+    /// A request of a tenant with a quota is accepted only while its quota lease is valid.
+    QuotaLeaseIsValid,
+    /// A control machine leases no more of a quota in a window than its shard allows.
+    ShardQuotaIsKept,
+    /// A router exits only when no client waits for a response.
+    ExitIsAnswered,
+    /// A read returns a configuration no older than what the same machine had acknowledged before.
+    AcknowledgedConfigurationIsRead,
 }
 
 impl fmt::Display for Invariant {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Invariant::TakenIsFinished => {
+            Invariant::AcceptedRequestIsFinished => {
                 "a request taken after the signal to end was cut off by the end"
             }
-            Invariant::WaitingIsHeld => {
+            Invariant::WaitingClientIsTracked => {
                 "clients that wait and requests that are held differ in number"
             }
-            Invariant::GrantIsValid => "a request was let through on a grant that had lapsed",
-            Invariant::PartIsKept => {
+            Invariant::QuotaLeaseIsValid => "a request was let through on a grant that had lapsed",
+            Invariant::ShardQuotaIsKept => {
                 "more was granted of a tenant's quota than this machine's part"
             }
-            Invariant::EndsAnswered => "the process ends while clients wait for an answer",
-            Invariant::AcknowledgedIsRead => {
+            Invariant::ExitIsAnswered => "the process ends while clients wait for an answer",
+            Invariant::AcknowledgedConfigurationIsRead => {
                 "a configuration was read that is older than an acknowledged one"
             }
         })
     }
 }
 
-/// Counts and logs a break, if `holds` is false.
+/// Counts and logs a violation, if `holds` is false.
 pub fn check(holds: bool, invariant: Invariant) {
     if !holds {
         VIOLATIONS.fetch_add(1, Ordering::Relaxed);
@@ -57,7 +56,7 @@
     }
 }
 
-/// Breaks so far in this process.
+/// Violations so far in this process.
 #[must_use]
 pub fn violations() -> u64 {
     VIOLATIONS.load(Ordering::Relaxed)
--- a/fleet/src/logging.rs
+++ b/fleet/src/logging.rs
@@ -1,8 +1,8 @@
-//! The log: JSON lines on standard error, one an event, with `time`, `level`, `target`, `message`
-//! and the fields that the event names.
+//! The log: JSON lines on standard error, one per record, with `time`, `level`, `target`, `message` and
+//! the keys of the record.
 //!
-//! It promises that a reader who stalls holds nobody up: `lichenswitch_log_writer` writes the
-//! lines, and those that find no room are lost and counted.
+//! It promises that a stalled reader blocks no thread: `lichenswitch_log_writer` writes the lines, and
+//! those that don't fit its queue are dropped and counted.
 
 mod json;
 
@@ -13,13 +13,13 @@
 use time::format_description::well_known::Rfc3339;
 use time::OffsetDateTime;
 
-/// Lines that wait to be written, at most.
-const LINES_WAITING: usize = 1_024;
+/// Lines that may be queued to be written.
+const MAX_QUEUED_LINES: usize = 1_024;
 
 static WRITER: LazyLock<LogWriter> =
-    LazyLock::new(|| LogWriter::new(io::stderr(), LINES_WAITING, lost_line));
+    LazyLock::new(|| LogWriter::new(io::stderr(), MAX_QUEUED_LINES, lost_line));
 
-/// Sets the log up. Called once, before the first event.
+/// Sets up the log. Called once, before the first record.
 pub fn start() {
     let mut logger = env_logger::Builder::new();
     logger
@@ -30,17 +30,19 @@
     let _ = logger.try_init();
 }
 
-/// Waits until what was said so far is written, but not for long. Called at the end of the process.
+/// Waits until all records so far are written, but not for long. Called at the end of the process.
 pub fn finish() {
     WRITER.finish();
 }
 
+/// The line that reports dropped lines.
 fn lost_line(lost: u64) -> String {
     format!("{{\"level\":\"WARN\",\"message\":\"lines of the log were lost\",\"lines\":{lost}}}\n")
 }
 
+/// One record as a line.
 fn line(record: &Record<'_>) -> Vec<u8> {
-    // The time of day serves readers only. Without it a line is still a line.
+    // The time of day serves readers only: a line without it is still useful.
     let time = OffsetDateTime::now_utc()
         .format(&Rfc3339)
         .unwrap_or_default();
@@ -49,7 +51,7 @@
     line.text("level", record.level().as_str());
     line.text("target", record.target());
     line.text("message", &record.args().to_string());
-    // A field that can't be shown is left out; the others stand.
+    // A key whose value can't be formatted is left out.
     let _ = record.key_values().visit(&mut line);
     line.into_line()
 }
--- a/fleet/src/logging/json.rs
+++ b/fleet/src/logging/json.rs
@@ -16,6 +16,7 @@
 }
 
 impl Object {
+    /// Adds a string.
     pub(super) fn text(&mut self, key: &str, value: &str) {
         let value = miniserde::json::to_string(value);
         self.raw(key, &value);
@@ -30,6 +31,7 @@
         self.text.push_str(json);
     }
 
+    /// The object with its line end.
     pub(super) fn into_line(mut self) -> Vec<u8> {
         self.text.push_str("}\n");
         self.text.into_bytes()
--- a/fleet/src/main.rs
+++ b/fleet/src/main.rs
@@ -1,8 +1,7 @@
-//! The program of the fleet: a subcommand a role, and the command line for operators.
+//! The program of the fleet: a subcommand for each role, and commands for operators.
 //!
-//! Exit codes: 0 when it was told to end, or has shown what was asked; 1 when a role can't go on,
-//! or when nobody answers; 2 when its settings or its arguments can't be used, or what was checked
-//! can't be.
+//! Exit codes: 0 after SIGTERM, or when a command has succeeded; 1 when a role can't go on, or no
+//! control machine answers; 2 when settings, arguments or a checked file are invalid.
 #![forbid(unsafe_code)]
 
 use bpaf::Bpaf;
@@ -50,47 +49,51 @@
     },
 }
 
-/// Exit code for settings, arguments or checked files that can't be used.
-const EXIT_UNUSABLE: u8 = 2;
+/// Exit code for invalid settings, arguments or checked files.
+const EXIT_INVALID_INPUT: u8 = 2;
 
 fn main() -> ExitCode {
     let command = match command().run_inner(bpaf::Args::current_args()) {
         Ok(command) => command,
         Err(failure) => {
             failure.print_message(100);
-            // Help that was asked for is no failure.
+            // Requested help is no failure.
             return if failure.exit_code() == 0 {
                 ExitCode::SUCCESS
             } else {
-                ExitCode::from(EXIT_UNUSABLE)
+                ExitCode::from(EXIT_INVALID_INPUT)
             };
         }
     };
     match command {
-        Command::Router { settings } => role(settings, |settings, path| {
+        Command::Router { settings } => run_role(settings, |settings, path| {
             router::run(&settings, path).map_err(Box::from)
         }),
-        Command::Control { settings } => role(settings, |settings, path| {
+        Command::Control { settings } => run_role(settings, |settings, path| {
             control::run(settings, path).map_err(Box::from)
         }),
         Command::Status { settings, address } => {
-            shown(status::ask(settings, address), ExitCode::FAILURE)
+            print_result(status::ask(settings, address), ExitCode::FAILURE)
+        }
+        Command::Check { file } => {
+            print_result(check::check(&file), ExitCode::from(EXIT_INVALID_INPUT))
         }
-        Command::Check { file } => shown(check::check(&file), ExitCode::from(EXIT_UNUSABLE)),
     }
 }
 
-type Failure = Box<dyn std::error::Error>;
+/// Why a role ended.
+type RoleError = Box<dyn std::error::Error>;
 
-fn role(
+/// Runs a role: settings first, then the log.
+fn run_role(
     option: Option<PathBuf>,
-    run: impl FnOnce(Settings, PathBuf) -> Result<(), Failure>,
+    run: impl FnOnce(Settings, PathBuf) -> Result<(), RoleError>,
 ) -> ExitCode {
-    let (settings, path) = match read(option) {
-        Ok(read) => read,
+    let (settings, path) = match read_settings(option) {
+        Ok(settings) => settings,
         Err(e) => {
             eprintln!("lichenswitch-fleet: settings: {e}");
-            return ExitCode::from(EXIT_UNUSABLE);
+            return ExitCode::from(EXIT_INVALID_INPUT);
         }
     };
     logging::start();
@@ -106,19 +109,19 @@
     }
 }
 
-fn read(option: Option<PathBuf>) -> Result<(Settings, PathBuf), SettingsError> {
+fn read_settings(option: Option<PathBuf>) -> Result<(Settings, PathBuf), SettingsError> {
     let path = settings::path(option)?;
     Ok((Settings::read(&path)?, path))
 }
 
-/// Shows the answer, or why there is none, which ends with `failure`.
-fn shown<T: std::fmt::Display, E: std::fmt::Display>(
+/// Prints the result of a command, or its error, which exits with `failure`.
+fn print_result<T: std::fmt::Display, E: std::fmt::Display>(
     outcome: Result<T, E>,
     failure: ExitCode,
 ) -> ExitCode {
     match outcome {
-        Ok(answer) => {
-            println!("{answer}");
+        Ok(result) => {
+            println!("{result}");
             ExitCode::SUCCESS
         }
         Err(e) => {
--- a/fleet/src/router/control_link/link.rs
+++ b/fleet/src/router/control_link/link.rs
@@ -347,8 +347,8 @@
         // Candidates that refuse at once are skipped in the same check; each one backs off then, so
         // this loop ends.
         while let Ok(address) = self.candidates.next(now, self.rng.u64(..)) {
-            let reached_at = self.forwarders.get(&address).copied().unwrap_or(address);
-            match net.connect(SocketOwner::Control, reached_at) {
+            let reachable_address = self.forwarders.get(&address).copied().unwrap_or(address);
+            match net.connect(SocketOwner::Control, reachable_address) {
                 Ok(id) => {
                     self.connection = Some(ControlConnection::new(id, address, now));
                     return;
--- a/fleet/src/router/handlers/event_loop.rs
+++ b/fleet/src/router/handlers/event_loop.rs
@@ -28,7 +28,7 @@
             }
             self.process_pending_work();
             if self.is_finished() {
-                invariants::check(self.clients.waiting_count() == 0, Invariant::EndsAnswered);
+                invariants::check(self.clients.waiting_count() == 0, Invariant::ExitIsAnswered);
                 return Ok(());
             }
         }
@@ -64,7 +64,7 @@
         let pending = self.requests.len() + self.quota_waiters.len();
         invariants::check(
             self.clients.waiting_count() == pending,
-            Invariant::WaitingIsHeld,
+            Invariant::WaitingClientIsTracked,
         );
     }
 
--- a/fleet/src/router/handlers/quota.rs
+++ b/fleet/src/router/handlers/quota.rs
@@ -186,7 +186,7 @@
                         Ok(()) => {
                             invariants::check(
                                 self.net.clock.now() <= until.plus(MAX_TURN_US),
-                                Invariant::GrantIsValid,
+                                Invariant::QuotaLeaseIsValid,
                             );
                             self.accept_request(client, request, admission)
                         }
--- a/fleet/src/router/handlers/shutdown.rs
+++ b/fleet/src/router/handlers/shutdown.rs
@@ -88,7 +88,7 @@
             return;
         };
         let holds = request.received_at <= started_at || request.deadline <= now;
-        invariants::check(holds, Invariant::TakenIsFinished);
+        invariants::check(holds, Invariant::AcceptedRequestIsFinished);
     }
 
     /// Whether all that was read has been answered, and no client can connect any more.
--- a/fleet/src/router/options.rs
+++ b/fleet/src/router/options.rs
@@ -78,9 +78,12 @@
         Ok(Options {
             node: settings.node_name.clone(),
             zone: settings.zone.clone(),
-            frontend: settings.listen.frontend.ok_or(RouterError::NoFrontend)?,
-            readiness: settings.listen.readiness,
-            seeds: settings.seeds_internal(),
+            frontend: settings
+                .listen_addresses
+                .frontend
+                .ok_or(RouterError::NoFrontend)?,
+            readiness: settings.listen_addresses.readiness,
+            seeds: settings.internal_seed_addresses(),
             machine_address: settings.ip_address,
             capacity: Capacity::from_settings(settings),
             retry_budget: RetryBudget {
@@ -89,10 +92,10 @@
                 window: bounds.budget_window,
             },
             revocation: RevocationBounds {
-                is_strict: bounds.revocation_strict,
+                is_strict: bounds.is_revocation_strict,
                 within: bounds.revoke,
             },
-            quota: bounds.quota_terms(),
+            quota: bounds.quota_bounds(),
             grace_period: bounds.grace_period,
         })
     }
--- a/fleet/src/settings/fields.rs
+++ b/fleet/src/settings/fields.rs
@@ -1,38 +1,42 @@
-//! Fields of a settings file, one by one, so that every fault is found and named by its key.
+//! The fields of a settings file, read one by one, so that every invalid one is found and named by its
+//! key.
 
-use super::Fault;
+use super::error::FieldError;
 use serde::de::DeserializeOwned;
 use std::time::Duration;
 use toml::{Table, Value};
 
-/// A table that is being read, and the faults so far.
+/// A table that is being read, and the invalid fields so far.
 pub(super) struct Fields<'a> {
     table: &'a Table,
     prefix: String,
-    faults: Vec<Fault>,
+    errors: Vec<FieldError>,
 }
 
-/// An hour and a day are far above any figure of the pages: what is larger is a slip of the pen.
-const MOST_SECONDS: f64 = 86_400.0;
+/// Longest duration that is accepted: every documented one is far below an hour.
+const MAX_SECONDS: f64 = 86_400.0;
 
 impl<'a> Fields<'a> {
+    /// The fields of a whole file.
     pub(super) fn new(table: &'a Table) -> Fields<'a> {
         Fields {
             table,
             prefix: String::new(),
-            faults: Vec::new(),
+            errors: Vec::new(),
         }
     }
 
-    pub(super) fn into_faults(self) -> Vec<Fault> {
-        self.faults
+    /// All invalid fields.
+    pub(super) fn into_errors(self) -> Vec<FieldError> {
+        self.errors
     }
 
-    pub(super) fn fault(&mut self, key: &str, reason: impl Into<String>) {
+    /// Reports an invalid field, unless it was reported already.
+    pub(super) fn report(&mut self, key: &str, reason: impl Into<String>) {
         let key = format!("{}{key}", self.prefix);
-        // A field that is missing is not also named for what it would have to be.
-        if self.faults.iter().all(|fault| fault.key != key) {
-            self.faults.push(Fault {
+        // A missing field is not reported again for its type.
+        if self.errors.iter().all(|error| error.key != key) {
+            self.errors.push(FieldError {
                 key,
                 reason: reason.into(),
             });
@@ -44,7 +48,7 @@
         match self.table.get(key)?.clone().try_into() {
             Ok(value) => Some(value),
             Err(e) => {
-                self.fault(key, one_line(&e.to_string()));
+                self.report(key, one_line(&e.to_string()));
                 None
             }
         }
@@ -55,29 +59,29 @@
         self.required_or(key, T::default())
     }
 
-    /// A field that must be there; `instead` is what the faulty record holds.
-    pub(super) fn required_or<T: DeserializeOwned>(&mut self, key: &str, instead: T) -> T {
+    /// A field that must be there; `fallback` is what an invalid record gets.
+    pub(super) fn required_or<T: DeserializeOwned>(&mut self, key: &str, fallback: T) -> T {
         if !self.table.contains_key(key) {
-            self.fault(key, "is missing");
+            self.report(key, "is missing");
         }
-        self.optional(key).unwrap_or(instead)
+        self.optional(key).unwrap_or(fallback)
     }
 
-    /// A number, whole or not, that is not below 0.
+    /// A number, integral or not, of at least 0.
     pub(super) fn number(&mut self, key: &str, default: f64) -> f64 {
         let number = match self.table.get(key) {
             None => return default,
-            Some(Value::Integer(whole)) => *whole as f64,
-            Some(Value::Float(fraction)) => *fraction,
+            Some(Value::Integer(integer)) => *integer as f64,
+            Some(Value::Float(float)) => *float,
             Some(other) => {
-                self.fault(key, format!("must be a number, not {}", other.type_str()));
+                self.report(key, format!("must be a number, not {}", other.type_str()));
                 return default;
             }
         };
         if number.is_finite() && number >= 0.0 {
             return number;
         }
-        self.fault(key, "must not be below 0");
+        self.report(key, "must not be below 0");
         default
     }
 
@@ -91,33 +95,33 @@
         self.duration(key, f64::from(default), 1_000.0)
     }
 
-    fn duration(&mut self, key: &str, default: f64, in_a_second: f64) -> Duration {
-        let seconds = self.number(key, default) / in_a_second;
-        if seconds <= MOST_SECONDS {
+    fn duration(&mut self, key: &str, default: f64, units_per_second: f64) -> Duration {
+        let seconds = self.number(key, default) / units_per_second;
+        if seconds <= MAX_SECONDS {
             return Duration::from_secs_f64(seconds);
         }
-        self.fault(key, "is longer than a day");
+        self.report(key, "is longer than a day");
         Duration::ZERO
     }
 
-    /// A table inside this one; an absent one is empty.
-    pub(super) fn within<T>(&mut self, key: &str, read: impl FnOnce(&mut Fields<'_>) -> T) -> T {
+    /// A table inside this one; a missing one is empty.
+    pub(super) fn table<T>(&mut self, key: &str, read: impl FnOnce(&mut Fields<'_>) -> T) -> T {
         let empty = Table::new();
         let table = match self.table.get(key) {
             Some(Value::Table(table)) => table,
             None => &empty,
             Some(other) => {
-                self.fault(key, format!("must be a table, not {}", other.type_str()));
+                self.report(key, format!("must be a table, not {}", other.type_str()));
                 &empty
             }
         };
         let mut inner = Fields {
             table,
             prefix: format!("{}{key}.", self.prefix),
-            faults: Vec::new(),
+            errors: Vec::new(),
         };
         let value = read(&mut inner);
-        self.faults.append(&mut inner.faults);
+        self.errors.append(&mut inner.errors);
         value
     }
 }
--- a/fleet/src/status.rs
+++ b/fleet/src/status.rs
@@ -63,7 +63,7 @@
 fn named(option: Option<PathBuf>) -> Result<Vec<SocketAddr>, StatusError> {
     let settings = Settings::read(&settings::path(option)?)?;
     Ok(settings
-        .listen
+        .listen_addresses
         .control_plane
         .into_iter()
         .chain(settings.seed_nodes)
--- a/fleet/tests/control_settings.rs
+++ b/fleet/tests/control_settings.rs
@@ -1,7 +1,7 @@
 //! Settings: what is read, and that all faults of a file are named at once.
 
 use assert_matches::assert_matches;
-use lichenswitch_fleet::settings::{Settings, SettingsError};
+use lichenswitch_fleet::settings::{PortRange, Settings, SettingsError};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -42,16 +42,25 @@
 fn a_file_of_the_platform_is_read_and_unknown_fields_are_ignored() {
     let settings = Settings::parse(GOOD).unwrap();
     assert_eq!(settings.node_name, "edge-a-1");
-    assert_eq!(settings.internal_ports, (7300, 7315));
     assert_eq!(
-        settings.seeds_internal()[1],
+        settings.internal_port_range,
+        PortRange {
+            first: 7_300,
+            last: 7_315
+        }
+    );
+    assert_eq!(
+        settings.internal_seed_addresses()[1],
         "10.2.0.14:7300".parse::<SocketAddr>().unwrap()
     );
-    assert_eq!(settings.listen.control_plane, "10.1.0.10:8262".parse().ok());
-    assert_eq!(settings.listen.frontend, None);
+    assert_eq!(
+        settings.listen_addresses.control_plane,
+        "10.1.0.10:8262".parse().ok()
+    );
+    assert_eq!(settings.listen_addresses.frontend, None);
     assert_eq!(settings.fault_tolerance.machines, 2);
     assert_eq!(settings.bounds.grace_period, Duration::from_secs(8));
-    assert!(settings.first_start && settings.loss_counted);
+    assert!(settings.is_first_start && settings.is_loss_counted);
     assert!((settings.bounds.retry_slack - 58.0).abs() < f64::EPSILON);
 }
 
@@ -98,11 +107,11 @@
     ))
     .unwrap();
     assert_eq!(
-        settings.reached_at(address("10.2.0.14:7300")),
+        settings.reachable_address(address("10.2.0.14:7300")),
         address("10.9.0.1:40000")
     );
     assert_eq!(
-        settings.reached_at(address("10.3.0.18:7300")),
+        settings.reachable_address(address("10.3.0.18:7300")),
         address("10.3.0.18:7300")
     );
     let faulty = format!("{GOOD}[forwarders]\n\"10.2.0.14\" = \"10.9.0.1:40000\"\n");
