--- a/fleet/src/main.rs
+++ b/fleet/src/main.rs
@@ -73,7 +73,7 @@
             control::run(settings, path).map_err(Box::from)
         }),
         Command::Status { settings, address } => {
-            print_result(status::ask(settings, address), ExitCode::FAILURE)
+            print_result(status::fetch(settings, address), ExitCode::FAILURE)
         }
         Command::Check { file } => {
             print_result(check::check(&file), ExitCode::from(EXIT_INVALID_INPUT))
