--- a/core/src/intake.rs
+++ b/core/src/intake.rs
@@ -64,7 +64,7 @@
     }
 
     /// Whether queries are refused until further notice, as they are when the broker stops.
-    pub fn hold_off(&mut self, on: bool) {
+    pub fn pause_intake(&mut self, on: bool) {
         self.is_paused = on;
     }
 
--- a/src/broker.rs
+++ b/src/broker.rs
@@ -383,7 +383,7 @@
                 if closed == 0 {
                     each_service!(self, |net, service| service
                         .sessions
-                        .make_room(net, &mut service.core));
+                        .evict_idle(net, &mut service.core));
                 }
             }
             self.tell_standing();
@@ -453,7 +453,10 @@
             .is_some_and(|s| std::mem::take(&mut s.subscribe));
         // The module asks for nothing where lists are pushed: what the agent of this machine holds
         // is fetched all the same.
-        asked |= self.discovery.as_ref().is_some_and(Discovery::goes_on);
+        asked |= self
+            .discovery
+            .as_ref()
+            .is_some_and(Discovery::keeps_watching);
         if let (true, Some(discovery)) = (asked, &mut self.discovery) {
             let news = discovery.subscribe(&mut self.net);
             self.listed(news);
--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -18,17 +18,17 @@
 use thiserror::Error;
 
 /// A connection that is not up after this long never comes up.
-const CONNECT: Micros = 500_000;
+const CONNECT_TIMEOUT: Micros = 500_000;
 /// Within this after it was told that a node drains or is gone, a broker stops sending to it, where
 /// nothing else is set.
 const STOP_WITHIN: Micros = 2_000_000;
 /// The number of the timer that ends a doubted list's time; calls are numbered from 1.
 const CONFIRMED: u64 = 0;
 /// Longest list that is read.
-const CEILING: usize = 4 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 
 /// Why a call was not made.
-enum Unasked {
+enum CallNotMade {
     /// No connection could be begun here; discovery has no part in that.
     Local(ConnectError),
     /// The connection broke.
@@ -57,7 +57,7 @@
     planned: Option<u64>,
     validator: ListValidator,
     /// A list that waits to be confirmed, and until when.
-    doubted: Option<(List, Time)>,
+    unconfirmed_list: Option<(List, Time)>,
     /// Where discovery is to be asked from the next call on; until then a watch at the former
     /// address goes on.
     moving: Option<SocketAddr>,
@@ -70,7 +70,8 @@
     pub fn new(address: SocketAddr, generation: Option<u64>, pacer: CallPacer) -> Self {
         let (conn, call, calls, began) = (None, None, 0, Time(0));
         let (not_before, planned) = (None, None);
-        let (validator, doubted, log) = (ListValidator::new(STOP_WITHIN), None, Vec::new());
+        let (validator, unconfirmed_list, log) =
+            (ListValidator::new(STOP_WITHIN), None, Vec::new());
         Discovery {
             address,
             generation,
@@ -84,7 +85,7 @@
             not_before,
             planned,
             validator,
-            doubted,
+            unconfirmed_list,
             moving: None,
             log,
         }
@@ -101,7 +102,7 @@
 
     /// Whether it is to ask again without being told to.
     #[must_use]
-    pub fn goes_on(&self) -> bool {
+    pub fn keeps_watching(&self) -> bool {
         self.pacer.renews_by_itself()
     }
 
@@ -119,7 +120,7 @@
         if let Some(address) = self.moving.take() {
             // The whole list is asked for: versions count from where they were told.
             (self.address, self.generation, self.renews) = (address, None, false);
-            self.hang_up(net);
+            self.close_connection(net);
         }
         let (now, known) = (net.clock.now(), self.generation.is_some());
         let at = *self
@@ -129,20 +130,20 @@
             self.plan(net, at);
             return Vec::new();
         }
-        self.ask(net)
+        self.call(net)
             .err()
-            .map_or_else(Vec::new, |why| self.not_asked(net, why))
+            .map_or_else(Vec::new, |reason| self.on_call_not_made(net, reason))
     }
 
     /// A call could not be made. Guards the rule on drains: discovery has not failed, and a broker
     /// that waited as if it had would not hear of a change for seconds after the others.
-    fn not_asked(&mut self, net: &mut Net, why: Unasked) -> Vec<ServerListUpdate> {
-        let Unasked::Local(why) = why else {
+    fn on_call_not_made(&mut self, net: &mut Net, reason: CallNotMade) -> Vec<ServerListUpdate> {
+        let CallNotMade::Local(reason) = reason else {
             return self.fail(net, "the connection broke", false);
         };
         let verdict = self.pacer.on_unsent(net.clock.now());
         self.log.push(format!(
-            "discovery: no call could be made: {why}; {verdict}"
+            "discovery: no call could be made: {reason}; {verdict}"
         ));
         self.not_before = Some(verdict.at);
         self.plan(net, verdict.at);
@@ -166,14 +167,14 @@
         self.moving = Some(address);
         let at = self.pacer.on_move(net.clock.now()).at;
         if self.generation.is_none() {
-            self.hang_up(net);
+            self.close_connection(net);
         }
         self.not_before = Some(at);
         self.plan(net, at);
         Vec::new()
     }
 
-    fn ask(&mut self, net: &mut Net) -> Result<(), Unasked> {
+    fn call(&mut self, net: &mut Net) -> Result<(), CallNotMade> {
         self.began = net.clock.now();
         let conn = match self
             .conn
@@ -182,9 +183,9 @@
             Some(id) => id,
             None => {
                 // One that can't be used any more is given back before its place is needed.
-                self.hang_up(net);
+                self.close_connection(net);
                 net.connect(Owner::Discovery, self.address)
-                    .map_err(Unasked::Local)?
+                    .map_err(CallNotMade::Local)?
             }
         };
         self.conn = Some(conn);
@@ -205,24 +206,26 @@
             self.address
         );
         net.get_mut(conn)
-            .ok_or(Unasked::Broken)?
+            .ok_or(CallNotMade::Broken)?
             .send(request.as_bytes());
         self.calls += 1;
         self.call = Some(self.calls);
-        net.wheel
-            .set(self.began.plus(CONNECT), Timer::Discovery(self.calls));
+        net.wheel.set(
+            self.began.plus(CONNECT_TIMEOUT),
+            Timer::Discovery(self.calls),
+        );
         (net.flush(conn, false) == TransferProgress::Alive)
             .then_some(())
-            .ok_or(Unasked::Broken)
+            .ok_or(CallNotMade::Broken)
     }
 
-    /// The call has failed; `silent`: nothing came, not even a refusal.
-    fn fail(&mut self, net: &mut Net, what: &str, silent: bool) -> Vec<ServerListUpdate> {
-        self.hang_up(net);
+    /// The call has failed; `nothing_received`: nothing came, not even a refusal.
+    fn fail(&mut self, net: &mut Net, what: &str, nothing_received: bool) -> Vec<ServerListUpdate> {
+        self.close_connection(net);
         self.renews = false;
         self.validator.on_failure();
         let (now, began) = (net.clock.now(), self.began);
-        let mut verdict = match silent {
+        let mut verdict = match nothing_received {
             true => self.pacer.on_silence(now, began),
             false => self.pacer.on_failure(now, began),
         };
@@ -249,8 +252,8 @@
 
     /// A doubted list was not confirmed in time: what it wants stopped is stopped. What it says of
     /// others is not believed.
-    fn unconfirmed(&mut self, directory: &mut Directory) -> Vec<ServerListUpdate> {
-        let Some((list, _)) = self.doubted.take() else {
+    fn on_confirmation_timeout(&mut self, directory: &mut Directory) -> Vec<ServerListUpdate> {
+        let Some((list, _)) = self.unconfirmed_list.take() else {
             return Vec::new();
         };
         self.log.push(format!(
@@ -270,7 +273,7 @@
     }
 
     /// Ends the connection: the one place where it is given back.
-    fn hang_up(&mut self, net: &mut Net) {
+    fn close_connection(&mut self, net: &mut Net) {
         self.call = None;
         if let Some(id) = self.conn.take() {
             net.close(id);
@@ -286,11 +289,11 @@
     ) -> Vec<ServerListUpdate> {
         if call == CONFIRMED {
             let due = self
-                .doubted
+                .unconfirmed_list
                 .as_ref()
                 .is_some_and(|(_, at)| net.clock.now() >= *at);
             return if due {
-                self.unconfirmed(directory)
+                self.on_confirmation_timeout(directory)
             } else {
                 Vec::new()
             };
@@ -299,7 +302,7 @@
             self.planned = None;
             if self.moving.is_some() {
                 // What is out at the former address is given up for the call to the next one.
-                self.hang_up(net);
+                self.close_connection(net);
             }
             return self.subscribe(net);
         }
@@ -332,23 +335,25 @@
         if self.conn != Some(id) {
             return Vec::new();
         }
-        let progress = net.transfer(id, CEILING);
+        let progress = net.transfer(id, MAX_RESPONSE_BYTES);
         let Some(conn) = net.get_mut(id) else {
             return Vec::new();
         };
         // A reset is no end: an answer without a length that breaks off is not complete.
         let (ended, broken) = (conn.ended, progress != TransferProgress::Alive);
-        let answer = match http::response(conn.input.bytes(), ended, CEILING) {
+        let answer = match http::response(conn.input.bytes(), ended, MAX_RESPONSE_BYTES) {
             Ok(Parsed::Whole(answer, used)) => {
                 conn.input.consume(used);
                 answer
             }
-            Ok(Parsed::Partial(_)) if !ended && !broken && conn.input.bytes().len() < CEILING => {
+            Ok(Parsed::Partial(_))
+                if !ended && !broken && conn.input.bytes().len() < MAX_RESPONSE_BYTES =>
+            {
                 return Vec::new();
             }
             // Between two calls it may end without any harm.
             _ if self.call.is_none() => {
-                self.hang_up(net);
+                self.close_connection(net);
                 return Vec::new();
             }
             _ => {
@@ -357,7 +362,7 @@
             }
         };
         if self.call.take().is_none() {
-            self.hang_up(net);
+            self.close_connection(net);
             return Vec::new();
         }
         let list = match read_list(&answer) {
@@ -366,7 +371,7 @@
         };
         self.renews = true;
         if ended || broken || !answer.keep_alive {
-            self.hang_up(net);
+            self.close_connection(net);
         }
         let now = net.clock.now();
         if std::mem::take(&mut self.failed) > 0 {
@@ -400,7 +405,7 @@
             .on_list(now, received, self.generation, directory.len())
         {
             Verdict::Accept(_) => {
-                self.doubted = None;
+                self.unconfirmed_list = None;
                 self.generation = Some(list.generation);
                 vec![match whole {
                     true => ServerListUpdate::Whole(directory.whole(&list.instances)),
@@ -413,11 +418,11 @@
                 ));
                 // Of several in a row the first one's time counts: it was received then.
                 let until = self
-                    .doubted
+                    .unconfirmed_list
                     .as_ref()
                     .map_or(until, |(_, first)| until.min(*first));
                 // The whole list is asked for; the timer is one that no call has.
-                (self.generation, self.doubted) = (None, Some((list, until)));
+                (self.generation, self.unconfirmed_list) = (None, Some((list, until)));
                 net.wheel.set(until, Timer::Discovery(CONFIRMED));
                 Vec::new()
             }
--- a/src/discovery/directory.rs
+++ b/src/discovery/directory.rs
@@ -85,25 +85,25 @@
     /// A line of the list with the overrides applied. One that was put back counts as started just
     /// then, where the list knows of no start since it was taken out: it was out so that it could
     /// be restarted, and the list may hear of that late or never.
-    fn applied(&self, name: &str, told: ListedServer) -> ListedServer {
-        if told.mode == ServerMode::Ready && self.out.contains(name) {
+    fn applied(&self, name: &str, line: ListedServer) -> ListedServer {
+        if line.mode == ServerMode::Ready && self.out.contains(name) {
             return ListedServer {
                 mode: ServerMode::Draining,
-                ..told
+                ..line
             };
         }
-        if told.mode == ServerMode::Ready && self.leaving.contains(name) {
+        if line.mode == ServerMode::Ready && self.leaving.contains(name) {
             return ListedServer {
                 mode: ServerMode::Leaving,
-                ..told
+                ..line
             };
         }
         match self.back.get(name) {
-            Some((out, back)) if told.started.is_none_or(|at| at < *out) => ListedServer {
+            Some((out, back)) if line.started.is_none_or(|at| at < *out) => ListedServer {
                 started: Some(*back),
-                ..told
+                ..line
             },
-            _ => told,
+            _ => line,
         }
     }
 }
@@ -114,7 +114,7 @@
     address: Option<SocketAddr>,
     cell: u32,
     /// As the list has it.
-    told: Option<ListedServer>,
+    line: Option<ListedServer>,
 }
 
 impl Directory {
@@ -221,7 +221,7 @@
                 .then_some(Time(node.started_at_ms.saturating_mul(1_000))),
         };
         if let Some(noted) = self.nodes.get_mut(&server) {
-            noted.told = Some(line);
+            noted.line = Some(line);
         }
         Some(self.overrides.applied(&node.instance_id, line))
     }
@@ -265,7 +265,7 @@
             name: id.into(),
             address: None,
             cell,
-            told: None,
+            line: None,
         };
         self.nodes.insert(server, node);
         server
@@ -274,11 +274,11 @@
     /// Replaces the overrides, and gives the module the lines that differ by that.
     pub fn set_overrides(&mut self, overrides: OperatorOverrides) -> Vec<ListedServer> {
         let before = std::mem::replace(&mut self.overrides, overrides);
-        let noted = self.nodes.values().filter_map(|n| Some((&n.name, n.told?)));
-        let lines = noted.map(|(name, told)| {
+        let noted = self.nodes.values().filter_map(|n| Some((&n.name, n.line?)));
+        let lines = noted.map(|(name, line)| {
             (
-                before.applied(name, told),
-                self.overrides.applied(name, told),
+                before.applied(name, line),
+                self.overrides.applied(name, line),
             )
         });
         lines
--- a/src/discovery/tests.rs
+++ b/src/discovery/tests.rs
@@ -273,7 +273,7 @@
         CallPacer::for_agent(1),
     );
     let mut client = client.stopping_within(500_000);
-    assert!(client.goes_on() && client.subscribe(&mut net).is_empty());
+    assert!(client.keeps_watching() && client.subscribe(&mut net).is_empty());
     let (mut stream, _) = listener.accept().unwrap();
     net.wait(Some(net.clock.now().plus(1_000_000))).unwrap();
     client.ready(&mut net, client.conn.unwrap(), &mut directory);
@@ -287,7 +287,7 @@
     answer(&mut stream, 200, EMPTY);
     let heard = net.clock.now();
     asks_whole(&mut net, &mut client, &mut directory, &mut stream);
-    let until = client.doubted.as_ref().unwrap().1;
+    let until = client.unconfirmed_list.as_ref().unwrap().1;
     assert!(until.since(heard) >= 250_000 && until.since(net.clock.now()) <= 250_000);
     drop(stream);
     assert_eq!(
@@ -470,7 +470,7 @@
             matches!(&told[..], [ServerListUpdate::Whole(lines)] if lines.len() == left),
             "{told:?}"
         );
-        assert!(directory.len() == left && client.doubted.is_none());
+        assert!(directory.len() == left && client.unconfirmed_list.is_none());
     }
 }
 
@@ -502,7 +502,7 @@
     let (mut net, mut client, mut directory, _listener, mut stream) = watching();
     answer(&mut stream, 200, &back);
     asks_whole(&mut net, &mut client, &mut directory, &mut stream);
-    let until = client.doubted.as_ref().unwrap().1;
+    let until = client.unconfirmed_list.as_ref().unwrap().1;
     assert!(
         client.timer(&mut net, CONFIRMED, &mut directory).is_empty(),
         "there is time yet"
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -31,9 +31,9 @@
     /// Words the refusal of a query that was not taken.
     fn refused(&self, refusal: Refusal) -> Response;
     /// Words the final answer of a query.
-    fn word(&mut self, context: Self::Context, reply: Reply) -> Response;
+    fn format_reply(&mut self, context: Self::Context, reply: Reply) -> Response;
     /// Words the answer to what can't be read.
-    fn malformed(&self, status: u16, why: &str) -> Response;
+    fn malformed(&self, status: u16, reason: &str) -> Response;
     /// Whether the broker is about to end.
     fn stop(&mut self);
     /// Whether clients are sent away. A front that tells whether it is ready says that it is not
@@ -46,24 +46,24 @@
 
 /// Most bytes held of a client's requests: a body in small chunks is larger on the wire than in
 /// memory.
-const CEILING: usize = http::HEAD + 2 * http::BODY;
+const MAX_BUFFERED_BYTES: usize = http::HEAD + 2 * http::BODY;
 /// A request must have arrived whole so long after its first byte; the first one, after its
 /// connection.
-const ARRIVAL: Micros = 2_000_000;
+const REQUEST_TIMEOUT: Micros = 2_000_000;
 /// How long a client may take to end its side once the last answer is written.
-const LINGER: Micros = 3_000_000;
+const LINGER_TIMEOUT: Micros = 3_000_000;
 /// The same while the broker ends: it may be killed 0.2 s after the last moment of an answer.
-const STOP_LINGER: Micros = 400_000;
+const SHUTDOWN_LINGER_TIMEOUT: Micros = 400_000;
 /// A client that takes nothing of an answer for so long has gone.
-const UNREAD: Micros = 10_000_000;
+const WRITE_TIMEOUT: Micros = 10_000_000;
 /// A connection between requests is closed after this long.
-const IDLE: Micros = 30_000_000;
+const IDLE_TIMEOUT: Micros = 30_000_000;
 /// How often all connections are looked at.
-const LOOK: Micros = 100_000;
+const SWEEP_INTERVAL: Micros = 100_000;
 /// Where many are open, a connection that has sent nothing, or between requests, may go after this
 /// long, and one whose request is still arriving, or that lingers, after the second.
-const SPARED: Micros = 100_000;
-const SPARED_BUSY: Micros = 500_000;
+const EVICTABLE_AFTER: Micros = 100_000;
+const BUSY_EVICTABLE_AFTER: Micros = 500_000;
 
 #[derive(Debug, PartialEq)]
 enum State {
@@ -82,52 +82,67 @@
     /// When it came, the last answer was written, or the first byte of the next request came.
     since: Time,
     /// A whole request has come on it.
-    asked: bool,
+    requested_slices: bool,
     /// `100 Continue` was sent for the request that is arriving.
     continued: bool,
 }
 
 /// What becomes of a connection that was looked at.
-enum Due {
-    Stays,
+enum SessionAction {
+    Keep,
     /// Its request took too long to arrive: the client is told so.
-    ToldOff,
+    RejectLate,
     /// It rests, and ends without a loss.
-    Ends,
-    Closes,
+    HalfClose,
+    Close,
 }
 
 impl Session {
     /// What its time limits say. Guards descriptors against clients that send nothing, never finish
     /// a request, never read an answer or never come back.
-    fn due(&self, conn: &Conn, now: Time) -> Due {
+    fn action_at(&self, conn: &Conn, now: Time) -> SessionAction {
         let (age, unread) = (
             now.since(self.since),
-            now.since(conn.last_active_at) >= UNREAD,
+            now.since(conn.last_active_at) >= WRITE_TIMEOUT,
         );
         let closes = match self.state {
             State::Waiting(..) => false,
             State::Closing => unread,
-            State::Lingering => age >= LINGER,
+            State::Lingering => age >= LINGER_TIMEOUT,
             State::Reading if !conn.flushed() => unread,
-            State::Reading if !conn.input.is_empty() && age >= ARRIVAL => return Due::ToldOff,
+            State::Reading if !conn.input.is_empty() && age >= REQUEST_TIMEOUT => {
+                return SessionAction::RejectLate
+            }
             State::Reading if !conn.input.is_empty() => false,
-            State::Reading if age >= if self.asked { IDLE } else { ARRIVAL } => return Due::Ends,
+            State::Reading
+                if age
+                    >= if self.requested_slices {
+                        IDLE_TIMEOUT
+                    } else {
+                        REQUEST_TIMEOUT
+                    } =>
+            {
+                return SessionAction::HalfClose
+            }
             State::Reading => false,
         };
         if closes {
-            Due::Closes
+            SessionAction::Close
         } else {
-            Due::Stays
+            SessionAction::Keep
         }
     }
 
     /// How soon it goes where many are open; `None`: it stays. Those that never asked go first.
-    fn spared(&self, conn: &Conn, now: Time) -> Option<(bool, Time)> {
+    fn eviction_key(&self, conn: &Conn, now: Time) -> Option<(bool, Time)> {
         let between = self.state == State::Reading && conn.input.is_empty();
         let stays = matches!(self.state, State::Waiting(..) | State::Closing) || !conn.flushed();
-        let least = if between { SPARED } else { SPARED_BUSY };
-        (!stays && now.since(self.since) >= least).then_some((self.asked, self.since))
+        let least = if between {
+            EVICTABLE_AFTER
+        } else {
+            BUSY_EVICTABLE_AFTER
+        };
+        (!stays && now.since(self.since) >= least).then_some((self.requested_slices, self.since))
     }
 }
 
@@ -188,13 +203,14 @@
             Session {
                 state: State::Reading,
                 since,
-                asked: false,
+                requested_slices: false,
                 continued: false,
             },
         );
         if !self.looks {
             self.looks = true;
-            net.wheel.set(since.plus(LOOK), Timer::Clients(owner));
+            net.wheel
+                .set(since.plus(SWEEP_INTERVAL), Timer::Clients(owner));
         }
     }
 
@@ -207,7 +223,7 @@
         core: &mut Core<F::Job>,
     ) {
         let between = net.get(id).is_none_or(|c| c.input.is_empty());
-        let progress = net.transfer(id, CEILING);
+        let progress = net.transfer(id, MAX_BUFFERED_BYTES);
         let now = net.clock.now();
         let Some(session) = self.open.get_mut(&id) else {
             return net.close(id);
@@ -217,7 +233,7 @@
         }
         match session.state {
             State::Reading => {
-                if between && session.asked {
+                if between && session.requested_slices {
                     session.since = now;
                 }
                 self.requests(net, id, front, core);
@@ -234,7 +250,8 @@
     /// due.
     fn overhear(&mut self, net: &mut Net, id: ConnId) {
         let held = net.get(id).map_or(0, |conn| conn.input.bytes().len());
-        if held < CEILING && (held <= http::HEAD || self.bytes(net) <= self.most_bytes()) {
+        if held < MAX_BUFFERED_BYTES && (held <= http::HEAD || self.bytes(net) <= self.most_bytes())
+        {
             return;
         }
         let Some(session) = self.open.get_mut(&id) else {
@@ -274,12 +291,16 @@
                 Ok(Parsed::Whole(request, used)) => (request, used),
                 Ok(Parsed::Partial(waits)) => {
                     let held = conn.input.bytes().len();
-                    if held >= CEILING {
-                        return self.tell_off(net, id, &front.malformed(413, "request too large"));
+                    if held >= MAX_BUFFERED_BYTES {
+                        return self.reject_and_close(
+                            net,
+                            id,
+                            &front.malformed(413, "request too large"),
+                        );
                     }
                     // Guards memory against many large requests that arrive at once.
                     if held > http::HEAD && self.bytes(net) > self.most_bytes() {
-                        return self.tell_off(
+                        return self.reject_and_close(
                             net,
                             id,
                             &front.malformed(503, "too much is arriving"),
@@ -296,12 +317,12 @@
                     }
                     return;
                 }
-                Err(http::Malformed(status, why)) => {
-                    return self.tell_off(net, id, &front.malformed(status, why));
+                Err(http::Malformed(status, reason)) => {
+                    return self.reject_and_close(net, id, &front.malformed(status, reason));
                 }
             };
             conn.input.consume(used);
-            (session.continued, session.asked) = (false, true);
+            (session.continued, session.requested_slices) = (false, true);
             let now = net.clock.now();
             let head = request.method == "HEAD";
             let response = match front.read(now, &request) {
@@ -344,7 +365,7 @@
     }
 
     /// Answers what can't be read, and ends the connection once the client has seen it.
-    fn tell_off(&mut self, net: &mut Net, id: ConnId, response: &Response) {
+    fn reject_and_close(&mut self, net: &mut Net, id: ConnId, response: &Response) {
         self.write(net, id, response, false, false);
     }
 
@@ -390,7 +411,7 @@
         let Some((id, context)) = self.waiting.remove(&query) else {
             return;
         };
-        let response = front.word(context, reply);
+        let response = front.format_reply(context, reply);
         let Some(State::Waiting(_, keep, head)) = self.open.get(&id).map(|s| &s.state) else {
             return;
         };
@@ -408,16 +429,25 @@
         core: &mut Core<F::Job>,
     ) {
         let now = net.clock.now();
-        let due = |id: &ConnId, s: &Session| net.get(*id).map_or(Due::Closes, |c| s.due(c, now));
-        let due: Vec<_> = self.open.iter().map(|(id, s)| (*id, due(id, s))).collect();
-        for (id, due) in due {
-            match due {
-                Due::Stays => {}
-                Due::ToldOff => {
-                    self.tell_off(net, id, &front.malformed(408, "the request took too long"))
-                }
-                Due::Ends => self.half_close(net, id),
-                Due::Closes => self.close(net, id, core),
+        let action_at = |id: &ConnId, s: &Session| {
+            net.get(*id)
+                .map_or(SessionAction::Close, |c| s.action_at(c, now))
+        };
+        let action_at: Vec<_> = self
+            .open
+            .iter()
+            .map(|(id, s)| (*id, action_at(id, s)))
+            .collect();
+        for (id, action_at) in action_at {
+            match action_at {
+                SessionAction::Keep => {}
+                SessionAction::RejectLate => self.reject_and_close(
+                    net,
+                    id,
+                    &front.malformed(408, "the request took too long"),
+                ),
+                SessionAction::HalfClose => self.half_close(net, id),
+                SessionAction::Close => self.close(net, id, core),
             }
         }
         // Guards usual clients, which find no place while others ask once and keep their
@@ -435,7 +465,8 @@
         );
         self.looks = !self.open.is_empty();
         if self.looks {
-            net.wheel.set(now.plus(LOOK), Timer::Clients(owner));
+            net.wheel
+                .set(now.plus(SWEEP_INTERVAL), Timer::Clients(owner));
         }
     }
 
@@ -453,7 +484,7 @@
     }
 
     /// Makes room for those that wait to be accepted: an eighth of the connections at a time.
-    pub fn make_room<J>(&mut self, net: &mut Net, core: &mut Core<J>) {
+    pub fn evict_idle<J>(&mut self, net: &mut Net, core: &mut Core<J>) {
         self.shed(net, core, self.open.len().div_ceil(8));
     }
 
@@ -464,10 +495,11 @@
             return;
         }
         let now = net.clock.now();
-        let spared = |(id, s): (&ConnId, &Session)| Some((s.spared(net.get(*id)?, now)?, *id));
-        let mut spared: Vec<_> = self.open.iter().filter_map(spared).collect();
-        spared.sort_unstable();
-        for (_, id) in spared.into_iter().take(count) {
+        let eviction_key =
+            |(id, s): (&ConnId, &Session)| Some((s.eviction_key(net.get(*id)?, now)?, *id));
+        let mut eviction_key: Vec<_> = self.open.iter().filter_map(eviction_key).collect();
+        eviction_key.sort_unstable();
+        for (_, id) in eviction_key.into_iter().take(count) {
             self.close(net, id, core);
         }
     }
@@ -482,7 +514,7 @@
     ) {
         if std::mem::replace(&mut self.away, stage) != stage {
             front.send_away(stage != Stage::Served);
-            core.hold_off(stage == Stage::Refused);
+            core.pause_intake(stage == Stage::Refused);
         }
         if stage >= Stage::Closed {
             self.close_unused(net, core);
@@ -499,7 +531,7 @@
             let answer = front.malformed(503, "clients are sent away");
             arriving
                 .into_iter()
-                .for_each(|id| self.tell_off(net, id, &answer));
+                .for_each(|id| self.reject_and_close(net, id, &answer));
         }
     }
 
@@ -520,7 +552,9 @@
         for (id, session) in &self.open {
             match session.state {
                 State::Reading if unused(id) => rest.push(*id),
-                State::Lingering if now.since(session.since) >= STOP_LINGER => over.push(*id),
+                State::Lingering if now.since(session.since) >= SHUTDOWN_LINGER_TIMEOUT => {
+                    over.push(*id)
+                }
                 _ => {}
             }
         }
--- a/src/front/ogc.rs
+++ b/src/front/ogc.rs
@@ -13,7 +13,7 @@
 use crate::http::{self, Response};
 use crate::interface::{Micros, Placement, Shard, Time};
 use crate::inventory::{Bounds, Slice};
-use crate::upstream::ogc::{Ask, Feature, Job, List, Sort};
+use crate::upstream::ogc::{ExpectedBody, Feature, Job, List, Sort};
 use percent_encoding::{percent_decode_str, utf8_percent_encode, AsciiSet, NON_ALPHANUMERIC};
 use serde::Serialize;
 use serde_json::value::RawValue;
@@ -115,7 +115,7 @@
         /// Features of the page.
         limit: usize,
         /// Numbers and names of the slices asked.
-        asked: Vec<(u32, String)>,
+        requested_slices: Vec<(u32, String)>,
         /// Which way it is sorted, if it is.
         way: Option<Way>,
     },
@@ -126,7 +126,7 @@
         /// The feature's id as it stands in the path.
         id: String,
         /// Numbers and names of the slices asked.
-        asked: Vec<(u32, String)>,
+        requested_slices: Vec<(u32, String)>,
     },
 }
 
@@ -232,16 +232,16 @@
             repeated: page.repeated,
             offset: page.offset,
             limit: page.limit,
-            asked: targets.keys().map(|&shard| self.named(shard)).collect(),
+            requested_slices: targets.keys().map(|&shard| self.named(shard)).collect(),
             way: page.order.as_ref().map(|o| o.1),
         };
-        let ask = match page.order {
-            None => Ask::Items(most),
+        let expected = match page.order {
+            None => ExpectedBody::Items(most),
             Some((property, way)) => {
                 // A feature on a border comes from both slices and counts once: some more make up
                 // for that.
                 let most = most + BORDER;
-                Ask::Sorted {
+                ExpectedBody::Sorted {
                     sort: Rc::new(Sort {
                         property,
                         way,
@@ -253,7 +253,7 @@
                 }
             }
         };
-        Ok((Job { targets, ask }, context))
+        Ok((Job { targets, expected }, context))
     }
 
     /// The path and query for each slice that the box meets.
@@ -292,10 +292,10 @@
     fn item(&self, base: &str, collection: &Collection, id: &str) -> (Job, Context) {
         let (collection, id) = (encoded(&collection.id), encoded(id));
         let target = format!("/collections/{collection}/items/{id}");
-        let asked: Vec<(u32, String)> = (0..self.slices.len() as u32)
+        let requested_slices: Vec<(u32, String)> = (0..self.slices.len() as u32)
             .map(|shard| self.named(shard))
             .collect();
-        let targets = asked
+        let targets = requested_slices
             .iter()
             .map(|slice| (slice.0, target.clone()))
             .collect();
@@ -303,9 +303,13 @@
         (
             Job {
                 targets,
-                ask: Ask::Item,
+                expected: ExpectedBody::Item,
+            },
+            Context::Item {
+                address,
+                id,
+                requested_slices,
             },
-            Context::Item { address, id, asked },
         )
     }
 
@@ -352,7 +356,7 @@
         };
         if job.targets.is_empty() {
             // Nothing lies in the box: the answer is complete and empty.
-            return Ok(Verdict::Reply(word(context, true, &[], &[])));
+            return Ok(Verdict::Reply(format_reply(context, true, &[], &[])));
         }
         let team = request.header("req-owner").map(str::to_string);
         let request = Box::new(query_of(now, collection, job, team));
@@ -373,8 +377,8 @@
 /// The query for a job, a part for each of its slices.
 fn query_of(now: Time, collection: &Collection, job: Job, team: Option<String>) -> Request<Job> {
     let weight = 1.0 / job.targets.len() as f64;
-    let top = match &job.ask {
-        Ask::Sorted { sort, .. } => Some((sort.most, sort.way)),
+    let top = match &job.expected {
+        ExpectedBody::Sorted { sort, .. } => Some((sort.most, sort.way)),
         _ => None,
     };
     Request {
@@ -535,11 +539,16 @@
 }
 
 /// The response to a query; `whole`: its core says that nothing is missing.
-fn word(context: Context, whole: bool, values: &[(Shard, Value)], gaps: &[Shard]) -> Response {
-    let missing = |asked: Vec<(u32, String)>| -> Vec<String> {
+fn format_reply(
+    context: Context,
+    whole: bool,
+    values: &[(Shard, Value)],
+    gaps: &[Shard],
+) -> Response {
+    let missing = |requested_slices: Vec<(u32, String)>| -> Vec<String> {
         let lacks =
             |shard: u32| gaps.contains(&Shard(shard)) || !values.iter().any(|v| v.0 .0 == shard);
-        asked
+        requested_slices
             .into_iter()
             .filter(|slice| lacks(slice.0))
             .map(|slice| slice.1)
@@ -551,7 +560,7 @@
             repeated,
             offset,
             limit,
-            asked,
+            requested_slices,
             way,
         } => {
             let links = PageLinks {
@@ -560,10 +569,14 @@
                 offset,
                 limit,
             };
-            page_response(&links, way, whole, values, missing(asked))
+            page_response(&links, way, whole, values, missing(requested_slices))
         }
-        Context::Item { address, id, asked } => {
-            let whole = whole && missing(asked).is_empty();
+        Context::Item {
+            address,
+            id,
+            requested_slices,
+        } => {
+            let whole = whole && missing(requested_slices).is_empty();
             item_response(&address, &id, whole, values)
         }
     }
@@ -682,7 +695,7 @@
                 keep_alive: false,
                 ..come_back(503, "Stopping", None)
             },
-            Refusal::Malformed(why) => problem(400, "Malformed request", why),
+            Refusal::Malformed(reason) => problem(400, "Malformed request", reason),
             Refusal::Contract(ContractViolation::UnknownTeam) => problem(
                 403,
                 "No contract",
@@ -696,20 +709,20 @@
         }
     }
 
-    fn word(&mut self, context: Context, reply: Reply) -> Response {
+    fn format_reply(&mut self, context: Context, reply: Reply) -> Response {
         match reply {
             Reply::Served {
                 whole,
                 values,
                 gaps,
-            } => word(context, whole, &values, &gaps),
+            } => format_reply(context, whole, &values, &gaps),
             Reply::Refused(after) => come_back(503, "Refused", after),
             Reply::Failed => problem(504, "Given up", "the data nodes did not answer in time"),
         }
     }
 
-    fn malformed(&self, status: u16, why: &str) -> Response {
-        problem(status, "Malformed request", why)
+    fn malformed(&self, status: u16, reason: &str) -> Response {
+        problem(status, "Malformed request", reason)
     }
 
     fn stop(&mut self) {}
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -44,7 +44,7 @@
 impl Taken {
     /// Notes an id; `false`: it was taken of late. Guards the query that has it: its parts are
     /// named by it.
-    fn note(&mut self, now: Time, id: &str) -> bool {
+    fn record_id(&mut self, now: Time, id: &str) -> bool {
         if now.since(self.since) >= self.open {
             let [recent, older] = &mut self.ids;
             *older = std::mem::take(recent);
@@ -110,7 +110,7 @@
     }
 
     fn query(&mut self, now: Time, request: &http::Request) -> Result<Request<Job>, (u16, String)> {
-        let bad = |why: String| (400, why);
+        let bad = |reason: String| (400, reason);
         let name = request
             .path()
             .trim_start_matches('/')
@@ -125,7 +125,7 @@
         if request.header("req-kind").is_some_and(|kind| kind != name) {
             return Err(bad("Req-Kind is not the class of the path".into()));
         }
-        let id = request.header("req-id").filter(|id| is_word(id));
+        let id = request.header("req-id").filter(|id| is_token(id));
         let id = id.ok_or_else(|| bad("Req-Id is missing or malformed".into()))?;
         let wait: u64 = request
             .header("req-deadline-ms")
@@ -136,7 +136,7 @@
         // Guards what is held: no query is, longer than its class's clients wait.
         let wait = (wait * 1_000).min(self.classes[class].deadline);
         let key = request.header("idempotency-key");
-        if key.is_some_and(|key| !is_word(key)) {
+        if key.is_some_and(|key| !is_token(key)) {
             return Err(bad("Idempotency-Key is malformed".into()));
         }
         let keyed = matches!(self.classes[class].repeat, RetrySafety::Keyed(_));
@@ -145,7 +145,7 @@
         }
         let body: Body =
             serde_json::from_slice(&request.body).map_err(|e| bad(format!("body: {e}")))?;
-        if !self.taken.note(now, id) {
+        if !self.taken.record_id(now, id) {
             return Err((409, "Req-Id is that of another query".into()));
         }
         let owner = request.header("req-owner");
@@ -177,16 +177,17 @@
 /// 0: not told.
 fn subject(cookie: Option<&str>, segments: &[Segment]) -> u64 {
     let pairs = cookie.into_iter().flat_map(|c| c.split(';'));
-    let told = pairs
+    let expected = pairs
         .filter_map(|pair| pair.trim().strip_prefix("k="))
         .next();
-    let told = told.or_else(|| segments.iter().find_map(|s| s.affinity.as_deref()));
-    told.and_then(|hex| u64::from_str_radix(hex, 16).ok())
+    let expected = expected.or_else(|| segments.iter().find_map(|s| s.affinity.as_deref()));
+    expected
+        .and_then(|hex| u64::from_str_radix(hex, 16).ok())
         .unwrap_or(0)
 }
 
 /// Whether a text can stand in a line of a frame, where spaces and commas part words.
-fn is_word(text: &str) -> bool {
+fn is_token(text: &str) -> bool {
     let sound = |b: u8| b.is_ascii_graphic() && b != b',';
     !text.is_empty() && text.len() <= LONGEST && text.bytes().all(sound)
 }
@@ -223,8 +224,8 @@
             "/health/live" | "/health/ready" => Verdict::Reply(plain(200, "ok")),
             _ => match self.query(now, request) {
                 Ok(query) => Verdict::Take(Box::new(query), ()),
-                Err((405, why)) => Verdict::Reply(plain(405, &why).with("allow", "POST")),
-                Err((status, why)) => Verdict::Reply(plain(status, &why)),
+                Err((405, reason)) => Verdict::Reply(plain(405, &reason).with("allow", "POST")),
+                Err((status, reason)) => Verdict::Reply(plain(status, &reason)),
             },
         }
     }
@@ -238,12 +239,12 @@
                 keep_alive: false,
                 ..come_back(503, None)
             },
-            Refusal::Malformed(why) => plain(400, why),
+            Refusal::Malformed(reason) => plain(400, reason),
             Refusal::Contract(_) => plain(403, "no contract for this"),
         }
     }
 
-    fn word(&mut self, (): (), reply: Reply) -> Response {
+    fn format_reply(&mut self, (): (), reply: Reply) -> Response {
         match reply {
             Reply::Served { whole, values, .. } => {
                 let matches = values
@@ -266,8 +267,8 @@
         }
     }
 
-    fn malformed(&self, status: u16, why: &str) -> Response {
-        plain(status, why)
+    fn malformed(&self, status: u16, reason: &str) -> Response {
+        plain(status, reason)
     }
 
     fn stop(&mut self) {
--- a/src/front/platform/tests.rs
+++ b/src/front/platform/tests.rs
@@ -86,15 +86,15 @@
         ("k=11112222333344445", BODY, 0),
         ("", BODY, 0),
     ] {
-        let asked = query(&[("cookie", cookie)], "/close", body);
-        let Verdict::Take(taken, ()) = front().read(Time(0), &asked) else {
+        let requested_slices = query(&[("cookie", cookie)], "/close", body);
+        let Verdict::Take(taken, ()) = front().read(Time(0), &requested_slices) else {
             panic!("{cookie}")
         };
         assert_eq!(taken.key, key, "{cookie}");
     }
     for (owner, tenant) in [("acme", 0), ("other", u32::MAX), ("", u32::MAX)] {
-        let asked = query(&[("req-owner", owner)], "/close", BODY);
-        let Verdict::Take(taken, ()) = front().read(Time(0), &asked) else {
+        let requested_slices = query(&[("req-owner", owner)], "/close", BODY);
+        let Verdict::Take(taken, ()) = front().read(Time(0), &requested_slices) else {
             panic!("{owner}")
         };
         assert_eq!(taken.tenant, tenant, "{owner}");
@@ -241,7 +241,7 @@
             offer: None,
         },
     )];
-    let served = front().word(
+    let served = front().format_reply(
         (),
         Reply::Served {
             whole: false,
@@ -254,16 +254,18 @@
         served.body,
         br#"{"all_in":false,"matches":[{"segment":3,"payload":"5be2"}]}"#
     );
-    let refused = front().word((), Reply::Refused(Some(734_000)));
+    let refused = front().format_reply((), Reply::Refused(Some(734_000)));
     assert_eq!(
         (refused.status, refused.header("retry-after")),
         (503, Some("0.734"))
     );
     assert_eq!(
-        front().word((), Reply::Refused(None)).header("retry-after"),
+        front()
+            .format_reply((), Reply::Refused(None))
+            .header("retry-after"),
         None
     );
-    assert_eq!(front().word((), Reply::Failed).status, 504);
+    assert_eq!(front().format_reply((), Reply::Failed).status, 504);
     let rate = front().refused(Refusal::Contract(ContractViolation::Rate(500_000)));
     assert_eq!(
         (rate.status, rate.header("retry-after")),
--- a/src/front/tests.rs
+++ b/src/front/tests.rs
@@ -38,17 +38,17 @@
     let now = net.clock.now();
     for (i, id) in ids.iter().enumerate() {
         let session = sessions.open.get_mut(id).unwrap();
-        (session.since, session.asked) = (now.minus(SPARED_BUSY), i > 0);
+        (session.since, session.requested_slices) = (now.minus(BUSY_EVICTABLE_AFTER), i > 0);
         if i == 1 {
             session.state = State::Waiting(QueryId(1), true, false);
         }
     }
-    sessions.make_room(&mut net, &mut core);
+    sessions.evict_idle(&mut net, &mut core);
     assert!(
         sessions.open.len() == 7 && net.get(ids[0]).is_none(),
         "the one that never asked"
     );
-    (0..20).for_each(|_| sessions.make_room(&mut net, &mut core));
+    (0..20).for_each(|_| sessions.evict_idle(&mut net, &mut core));
     assert_eq!(sessions.open.keys().copied().collect::<Vec<_>>(), [ids[1]]);
     clients
         .iter()
@@ -63,7 +63,7 @@
     let now = net.clock.now();
     for (id, i) in ids.iter().zip(0..) {
         let session = sessions.open.get_mut(id).unwrap();
-        (session.since, session.asked) = (now.minus(SPARED * (40 - i)), true);
+        (session.since, session.requested_slices) = (now.minus(EVICTABLE_AFTER * (40 - i)), true);
     }
     let front = crate::front::platform::Platform::new(Vec::new(), Vec::new());
     core.end_by(now);
@@ -174,7 +174,7 @@
         let mut core = Core::new(1, Settings::default(), Contracts::default(), 32 << 20);
         let (mut client, mut front) = crossing(&mut net, &mut sessions, &mut core);
         if idle {
-            let long = net.clock.now().minus(IDLE);
+            let long = net.clock.now().minus(IDLE_TIMEOUT);
             sessions.open.values_mut().for_each(|s| s.since = long);
             sessions.look(&mut net, Owner::Platform, &front, &mut core);
         } else {
@@ -216,7 +216,7 @@
         1,
         "there is time yet"
     );
-    let early = net.clock.now().minus(STOP_LINGER);
+    let early = net.clock.now().minus(SHUTDOWN_LINGER_TIMEOUT);
     sessions.open.get_mut(&ids[0]).unwrap().since = early;
     assert_eq!(sessions.close_unused(&mut net, &mut core), 0);
     assert!(net.get(ids[0]).is_none());
--- a/src/service.rs
+++ b/src/service.rs
@@ -168,8 +168,8 @@
     /// falls idle.
     pub(crate) fn leave_gone(&mut self, net: &mut Net) {
         for server in self.directory.take_gone() {
-            self.pool.hold_back(server);
-            self.pool.leave(net, server);
+            self.pool.drop_unsent(server);
+            self.pool.forget_node(net, server);
         }
     }
 
@@ -185,10 +185,10 @@
                 .iter()
                 .partition(|line| matches!(line.mode, ServerMode::Ready | ServerMode::Leaving));
             ends.into_iter()
-                .for_each(|line: &ListedServer| self.pool.hold_back(line.server));
+                .for_each(|line: &ListedServer| self.pool.drop_unsent(line.server));
             let ready = ready.into_iter();
             let started = ready.filter_map(|line| Some((line.server, line.started?)));
-            started.for_each(|(server, at)| self.pool.beware(server, at.plus(warm_after)));
+            started.for_each(|(server, at)| self.pool.greet_until(server, at.plus(warm_after)));
             // An empty list of before the start is none: nothing can be served by it.
             if !matches!(&news, ServerListUpdate::Cached(lines) if lines.is_empty()) {
                 self.front.listed();
--- a/src/upstream/error.rs
+++ b/src/upstream/error.rs
@@ -11,7 +11,7 @@
     FrameLength(usize),
     /// A frame of a letter that data nodes don't send.
     #[error("frame with the letter {0}")]
-    UnknownLetter(u8),
+    UnknownFrameType(u8),
     /// An answer without the line that says what it answers.
     #[error("answer without its line")]
     MissingLine,
--- a/src/upstream/frames.rs
+++ b/src/upstream/frames.rs
@@ -27,9 +27,9 @@
 /// Longest frame that is read: no client's answer holds a longer value.
 const LONGEST: usize = http::BODY + LINE;
 
-fn frame(letter: u8, rest: &[u8], out: &mut Vec<u8>) {
+fn frame(frame_type: u8, rest: &[u8], out: &mut Vec<u8>) {
     out.extend_from_slice(&(rest.len() as u32 + 1).to_be_bytes());
-    out.push(letter);
+    out.push(frame_type);
     out.extend_from_slice(rest);
 }
 
@@ -43,14 +43,14 @@
 
 /// A frame that is whole.
 struct Frame<'a> {
-    letter: u8,
+    frame_type: u8,
     rest: &'a [u8],
     /// Bytes that it takes with its length.
     length: usize,
 }
 
 /// Letters of frames that data nodes send: answers, to probes too, and complaints.
-const LETTERS: &[u8] = b"YGTN";
+const NODE_FRAME_TYPES: &[u8] = b"YGTN";
 
 /// The next frame, if it is whole.
 fn next(bytes: &[u8]) -> Result<Option<Frame<'_>>, AnswerError> {
@@ -66,19 +66,19 @@
         Some(content) => (content, true),
         None => (&bytes[4..], false),
     };
-    let Some((&letter, rest)) = content.split_first() else {
+    let Some((&frame_type, rest)) = content.split_first() else {
         return Ok(None);
     };
     // What can be told from its beginning is not waited for: the rest may never come.
-    if !LETTERS.contains(&letter) {
-        return Err(AnswerError::UnknownLetter(letter));
+    if !NODE_FRAME_TYPES.contains(&frame_type) {
+        return Err(AnswerError::UnknownFrameType(frame_type));
     }
     let line = rest.iter().take(LINE).any(|&b| b == b'\n');
-    if letter == b'Y' && !line && (whole || rest.len() >= LINE) {
+    if frame_type == b'Y' && !line && (whole || rest.len() >= LINE) {
         return Err(AnswerError::MissingLine);
     }
     Ok(whole.then_some(Frame {
-        letter,
+        frame_type,
         rest,
         length: 4 + length,
     }))
@@ -138,8 +138,8 @@
     type Job = Job;
     type Name = String;
     const OWNER: Owner = Owner::Frames;
-    const CEILING: usize = 2 * LONGEST;
-    const STALL: Micros = 1_000_000;
+    const MAX_INPUT_BYTES: usize = 2 * LONGEST;
+    const RESPONSE_TIMEOUT: Micros = 1_000_000;
 
     /// A probe: its answer tells nothing of the node's health, but that the connection is served.
     fn greeting(&self) -> Option<Vec<u8>> {
@@ -189,14 +189,14 @@
     ) -> Result<Option<Answer<String>>, AnswerError> {
         loop {
             let Some(Frame {
-                letter,
+                frame_type,
                 rest,
                 length,
             }) = next(input.bytes())?
             else {
                 return Ok(None);
             };
-            let found = match letter {
+            let found = match frame_type {
                 b'Y' => Some(answer(rest)?),
                 // The answer to the greeting.
                 b'G' | b'T' => None,
--- a/src/upstream/frames/tests.rs
+++ b/src/upstream/frames/tests.rs
@@ -83,13 +83,13 @@
 fn garbage_and_complaints_end_the_connection_and_never_panic() {
     let answers = answers();
     // What bad data nodes send besides: a wrong end, a wrong letter, a wrong length, and 3 GB.
-    let spoilt: [&[u8]; 4] = [
+    let invalid: [&[u8]; 4] = [
         b"\0\0\0\x0cYq.3 ? 1 -\nv",
         b"\0\0\0\x06\x01q.3 O",
         b"\0\0\0\x03Yq.3 OK 1 -\n",
         b"\xb2\xd0^\0Yq.3",
     ];
-    let messages = [&[&answers[0][..], &answers[1]], &spoilt[..]].concat();
+    let messages = [&[&answers[0][..], &answers[1]], &invalid[..]].concat();
     garbage(&messages, |bytes| {
         let mut input = Buffer::default();
         input.push(bytes);
--- a/src/upstream/link.rs
+++ b/src/upstream/link.rs
@@ -8,10 +8,10 @@
 use std::net::SocketAddr;
 
 /// Settled parts that are remembered for a connection.
-const SETTLED: usize = 256;
+const MAX_REMEMBERED_PARTS: usize = 256;
 
 /// An attempt that is out on a connection.
-pub(super) struct Out<N> {
+pub(super) struct InFlightPart<N> {
     pub(super) part: N,
     pub(super) attempt: u64,
 }
@@ -21,7 +21,7 @@
     pub(super) sent: Time,
     /// Where its bytes end among all that are written there.
     pub(super) end: u64,
-    pub(super) parts: Vec<Out<N>>,
+    pub(super) parts: Vec<InFlightPart<N>>,
     /// Classes of the parts that it was made of, until they are counted as written.
     pub(super) unwritten: Vec<usize>,
 }
@@ -44,14 +44,14 @@
     pub(super) greeting: Greeting,
     /// The last parts that were given up or answered: what still comes for them is late, not
     /// spoilt.
-    pub(super) settled: VecDeque<W::Name>,
+    pub(super) recently_completed: VecDeque<W::Name>,
     /// When an answer began that is not whole yet.
-    pub(super) begun: Option<Time>,
+    pub(super) response_started_at: Option<Time>,
     /// Nothing has come on it for long though a part was out: it may be dead, and gets nothing new
     /// until it speaks.
     pub(super) mute: bool,
     /// While it was mute another connection to the node has spoken, first at this time.
-    pub(super) outdone: Option<Time>,
+    pub(super) other_active_since: Option<Time>,
 }
 
 impl<W: Wire> Link<W> {
@@ -60,7 +60,7 @@
     }
 
     /// How long nothing has come on it while a part or its greeting was out.
-    pub(super) fn quiet(&self, heard: Time, now: Time) -> Micros {
+    pub(super) fn silent_for(&self, heard: Time, now: Time) -> Micros {
         let greets = (self.greeting == Greeting::Sent).then_some(heard);
         let since = self
             .calls
@@ -72,8 +72,8 @@
 
     /// Takes a part out of the books, as `None` the oldest, and tells its attempt and when it was
     /// sent.
-    pub(super) fn settle(&mut self, part: Option<&W::Name>) -> Option<(u64, Time)> {
-        let is_it = |p: &Out<W::Name>| part.is_none_or(|part| *part == p.part);
+    pub(super) fn complete_part(&mut self, part: Option<&W::Name>) -> Option<(u64, Time)> {
+        let is_it = |p: &InFlightPart<W::Name>| part.is_none_or(|part| *part == p.part);
         let at = self.calls.iter().position(|c| c.parts.iter().any(is_it))?;
         let call = &mut self.calls[at];
         let (out, sent) = (
@@ -88,7 +88,7 @@
     }
 
     /// Takes a part out that has not left yet; `false`: it has, or is not here.
-    pub(super) fn keep_home(&mut self, attempt: u64) -> bool {
+    pub(super) fn remove_unsent(&mut self, attempt: u64) -> bool {
         let holds = |call: &Vec<Dispatch<W::Job>>| call.iter().any(|p| p.attempt == attempt);
         let Some(at) = self.waiting.iter().position(holds) else {
             return false;
@@ -101,9 +101,9 @@
     }
 
     pub(super) fn remember(&mut self, part: W::Name) {
-        if self.settled.len() >= SETTLED {
-            self.settled.pop_front();
+        if self.recently_completed.len() >= MAX_REMEMBERED_PARTS {
+            self.recently_completed.pop_front();
         }
-        self.settled.push_back(part);
+        self.recently_completed.push_back(part);
     }
 }
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -44,9 +44,9 @@
     /// Whose connections these are.
     const OWNER: Owner;
     /// Most bytes held of answers that are not whole.
-    const CEILING: usize;
+    const MAX_INPUT_BYTES: usize;
     /// An answer that has begun is whole after this long, or never.
-    const STALL: Micros;
+    const RESPONSE_TIMEOUT: Micros;
     /// What a new connection to a node that may stand still begins with, where the node answers
     /// that; no call is written before it has.
     fn greeting(&self) -> Option<Vec<u8>>;
@@ -81,11 +81,11 @@
 }
 
 /// Why there is no connection for a call.
-enum Closed {
+enum NoConnection {
     /// This process has no descriptor left for it.
-    Ours,
+    NoDescriptor,
     /// The node takes none, or holds too many that bring nothing.
-    Theirs,
+    NodeRefuses,
 }
 
 /// How an attempt ended that was given to a pool.
@@ -113,20 +113,20 @@
 /// A connection on which nothing comes for this many usual answer times though a part is out,
 /// within these bounds, is taken for mute; each one that is mute already doubles that for the
 /// others to the same node.
-const MUTE: f64 = 8.0;
-const MUTE_LEAST: Micros = 50_000;
-const MUTE_MOST: Micros = 1_000_000;
+const MUTE_FACTOR: f64 = 8.0;
+const MUTE_MIN: Micros = 50_000;
+const MUTE_MAX: Micros = 1_000_000;
 /// How fast the usual answer time is learnt.
-const USUAL_PACE: f64 = 0.02;
+const RESPONSE_TIME_PACE: f64 = 0.02;
 /// A call that finds no descriptor waits for one for so long: well under half of any aim, after
 /// which the module would take its silence for the node's. Its parts are then told as never sent,
 /// and the module may choose anew.
-const PARKED: Micros = 50_000;
+const MAX_DESCRIPTOR_WAIT: Micros = 50_000;
 /// After a connection was left or broke under a part, new ones to that node are greeted for so
 /// long.
-const WARY: Micros = 10_000_000;
+const GREETING_PERIOD: Micros = 10_000_000;
 /// Lines that calls had to wait for a descriptor come this long apart at least.
-const TOLD: Micros = 5_000_000;
+const SHORTAGE_LOG_INTERVAL: Micros = 5_000_000;
 
 /// Connections to all data nodes of one wire.
 pub struct Pool<W: Wire> {
@@ -137,14 +137,14 @@
     /// The connection that each attempt is out on.
     attempts: HashMap<u64, ConnId>,
     /// Nodes whose new connections are greeted, and until when.
-    wary: HashMap<ServerId, Time>,
+    greeted_until: HashMap<ServerId, Time>,
     /// Calls that wait for a descriptor, oldest first.
     parked: VecDeque<Parked<W::Job>>,
     /// Calls that had to wait since that was last logged, and when it was.
-    short: u64,
-    told: Option<Time>,
+    shortages: u64,
+    shortage_logged_at: Option<Time>,
     /// Usual time from a call to an answer.
-    usual: DecayingMean,
+    usual_response_time: DecayingMean,
     ended: Vec<Ended>,
     /// Parts whose call was written whole since that was last told, by class.
     written: HashMap<usize, u64>,
@@ -156,8 +156,9 @@
     #[must_use]
     pub fn new(wire: W, limits: Limits) -> Self {
         let (links, by_server, attempts) = (HashMap::new(), HashMap::new(), HashMap::new());
-        let (usual, ended, log) = (DecayingMean::default(), Vec::new(), Vec::new());
-        let (wary, parked, short, told) = (HashMap::new(), VecDeque::new(), 0, None);
+        let (usual_response_time, ended, log) = (DecayingMean::default(), Vec::new(), Vec::new());
+        let (greeted_until, parked, shortages, shortage_logged_at) =
+            (HashMap::new(), VecDeque::new(), 0, None);
         let written = HashMap::new();
         Pool {
             wire,
@@ -165,11 +166,11 @@
             links,
             by_server,
             attempts,
-            wary,
+            greeted_until,
             parked,
-            short,
-            told,
-            usual,
+            shortages,
+            shortage_logged_at,
+            usual_response_time,
             ended,
             written,
             log,
@@ -179,18 +180,18 @@
     /// New connections to this node are greeted until then: it has just started, or connections to
     /// it broke. A greeting is work for the node and, where each of many brokers opens many
     /// connections, a good part of all its work.
-    pub fn beware(&mut self, server: ServerId, until: Time) {
-        let at = self.wary.entry(server).or_insert(until);
+    pub fn greet_until(&mut self, server: ServerId, until: Time) {
+        let at = self.greeted_until.entry(server).or_insert(until);
         *at = until.max(*at);
     }
 
     /// This node drains or is gone: what still waits to leave for it is ended as never sent, so
     /// that the module may choose anew. Guards the rule on drains: a connection, a greeting or a
     /// descriptor may be waited for, for longer than it allows.
-    pub fn hold_back(&mut self, server: ServerId) {
-        let mut held = Vec::new();
+    pub fn drop_unsent(&mut self, server: ServerId) {
+        let mut unsent = Vec::new();
         for id in self.by_server.get(&server).into_iter().flatten() {
-            held.extend(
+            unsent.extend(
                 self.links
                     .get_mut(id)
                     .into_iter()
@@ -203,16 +204,17 @@
             .partition(|c| c.server == server);
         self.parked = others;
         let here: VecDeque<Parked<W::Job>> = here;
-        held.extend(here.into_iter().flat_map(|call| call.parts));
-        held.iter()
+        unsent.extend(here.into_iter().flat_map(|call| call.parts));
+        unsent
+            .iter()
             .for_each(|p| _ = self.attempts.remove(&p.attempt));
-        self.end_parts(&held, Outcome::Moot);
+        self.end_parts(&unsent, Outcome::Moot);
     }
 
     /// Forgets what is known of a node that is gone, and closes the connections to it that carry
     /// nothing.
-    pub fn leave(&mut self, net: &mut Net, server: ServerId) {
-        self.wary.remove(&server);
+    pub fn forget_node(&mut self, net: &mut Net, server: ServerId) {
+        self.greeted_until.remove(&server);
         self.close_idle(net, server);
     }
 
@@ -311,7 +313,7 @@
             }
         }
         if carried {
-            self.beware(server, net.clock.now().plus(WARY));
+            self.greet_until(server, net.clock.now().plus(GREETING_PERIOD));
         }
         self.drop_link(net, id);
     }
--- a/src/upstream/ogc.rs
+++ b/src/upstream/ogc.rs
@@ -23,7 +23,7 @@
     /// The path and query for each shard; of a sorted answer without order and limit.
     pub targets: BTreeMap<u32, String>,
     /// What is expected back.
-    pub ask: Ask,
+    pub expected: ExpectedBody,
 }
 
 /// How an answer is sorted.
@@ -39,7 +39,7 @@
 
 /// What is expected back.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Ask {
+pub enum ExpectedBody {
     /// A feature collection with the first so many features.
     Items(usize),
     /// A feature, or none.
@@ -58,9 +58,9 @@
     },
 }
 
-impl Default for Ask {
+impl Default for ExpectedBody {
     fn default() -> Self {
-        Ask::Items(1)
+        ExpectedBody::Items(1)
     }
 }
 
@@ -206,16 +206,18 @@
 }
 
 /// Whether a body is what was asked for.
-fn fits(body: &[u8], ask: &Ask) -> bool {
-    match *ask {
-        Ask::Item => serde_json::from_slice(body).is_ok_and(|f: Feature<'_>| f.kind == "Feature"),
-        Ask::Items(most) | Ask::Sorted { most, .. } => {
+fn fits(body: &[u8], expected: &ExpectedBody) -> bool {
+    match *expected {
+        ExpectedBody::Item => {
+            serde_json::from_slice(body).is_ok_and(|f: Feature<'_>| f.kind == "Feature")
+        }
+        ExpectedBody::Items(most) | ExpectedBody::Sorted { most, .. } => {
             List::read(body).is_some_and(|list| !list.cut_short(most))
         }
     }
 }
 
-fn judge(response: Response, ask: &Ask) -> (Outcome, Option<Value>) {
+fn judge(response: Response, expected: &ExpectedBody) -> (Outcome, Option<Value>) {
     let value = |bytes| {
         Some(Value {
             score: 0.0,
@@ -224,18 +226,18 @@
         })
     };
     match response.status {
-        200 => match ask {
-            Ask::Sorted {
+        200 => match expected {
+            ExpectedBody::Sorted {
                 sort, most, all, ..
             } => match sorted(response.body, sort, *most, *all) {
                 Some(value) => (Outcome::Ok, Some(value)),
                 None => (Outcome::Error, None),
             },
-            ask if fits(&response.body, ask) => (Outcome::Ok, value(response.body)),
+            expected if fits(&response.body, expected) => (Outcome::Ok, value(response.body)),
             _ => (Outcome::Error, None),
         },
         // This slice does not have the feature: that is an answer.
-        404 if *ask == Ask::Item => (Outcome::Ok, value(Vec::new())),
+        404 if *expected == ExpectedBody::Item => (Outcome::Ok, value(Vec::new())),
         // The node turned it away; what is read may be asked elsewhere in any case.
         429 | 503 => (Outcome::Rejected, None),
         _ => (Outcome::Error, None),
@@ -245,9 +247,9 @@
 impl Features {
     /// What a part asks a data node for: of a sorted answer the best alone at first, then as many
     /// as can matter.
-    fn asked(&self, part: &Dispatch<Job>, host: SocketAddr) -> Ask {
-        let Ask::Sorted { sort, .. } = &part.job.ask else {
-            return part.job.ask.clone();
+    fn asked(&self, part: &Dispatch<Job>, host: SocketAddr) -> ExpectedBody {
+        let ExpectedBody::Sorted { sort, .. } = &part.job.expected else {
+            return part.job.expected.clone();
         };
         let first = part.first.is_none();
         let most = if first {
@@ -256,7 +258,7 @@
             part.most.unwrap_or(sort.most)
         };
         let all = self.unsorted.borrow().contains(&host);
-        Ask::Sorted {
+        ExpectedBody::Sorted {
             sort: sort.clone(),
             most,
             node: Some(host),
@@ -266,15 +268,15 @@
 
     /// A data node that refuses the order as such is asked for all from then on. The part goes
     /// elsewhere, or there again, as any that ended with an error.
-    fn remember(&self, status: u16, ask: &Ask) {
+    fn remember(&self, status: u16, expected: &ExpectedBody) {
         if let (
             400 | 501,
-            Ask::Sorted {
+            ExpectedBody::Sorted {
                 node: Some(node),
                 all: false,
                 ..
             },
-        ) = (status, ask)
+        ) = (status, expected)
         {
             let mut unsorted = self.unsorted.borrow_mut();
             // Guards memory; what is forgotten is learnt again by one refusal.
@@ -288,27 +290,32 @@
 
 impl Wire for Features {
     type Job = Job;
-    type Name = Ask;
+    type Name = ExpectedBody;
     const OWNER: Owner = Owner::Features;
-    const CEILING: usize = LONGEST + http::HEAD;
-    const STALL: Micros = 30_000_000;
+    const MAX_INPUT_BYTES: usize = LONGEST + http::HEAD;
+    const RESPONSE_TIMEOUT: Micros = 30_000_000;
 
     /// Each request costs the node as much as another: there is no cheaper one to begin with.
     fn greeting(&self) -> Option<Vec<u8>> {
         None
     }
 
-    fn call(&self, parts: &[Dispatch<Job>], host: SocketAddr, out: &mut Vec<u8>) -> Vec<Ask> {
+    fn call(
+        &self,
+        parts: &[Dispatch<Job>],
+        host: SocketAddr,
+        out: &mut Vec<u8>,
+    ) -> Vec<ExpectedBody> {
         let mut write = |part: &Dispatch<Job>| {
             let target = part
                 .job
                 .targets
                 .get(&part.shard.0)
                 .map_or("/", String::as_str);
-            let ask = self.asked(part, host);
-            let order = match &ask {
-                Ask::Sorted { all: true, .. } => format!("&limit={ALL}"),
-                Ask::Sorted { sort, most, .. } => {
+            let expected = self.asked(part, host);
+            let order = match &expected {
+                ExpectedBody::Sorted { all: true, .. } => format!("&limit={ALL}"),
+                ExpectedBody::Sorted { sort, most, .. } => {
                     let sign = if sort.way == Way::Down { "-" } else { "" };
                     let mut query = form_urlencoded::Serializer::new(String::new());
                     query.append_pair("sortby", &format!("{sign}{}", sort.property));
@@ -320,12 +327,12 @@
                 "GET {target}{order} HTTP/1.1\r\nhost: {host}\r\naccept: application/geo+json\r\n\r\n"
             );
             out.extend_from_slice(head.as_bytes());
-            ask
+            expected
         };
         parts.iter().map(&mut write).collect()
     }
 
-    fn give_up(&self, _: &Ask) -> Option<Vec<u8>> {
+    fn give_up(&self, _: &ExpectedBody) -> Option<Vec<u8>> {
         None
     }
 
@@ -333,18 +340,18 @@
         &self,
         input: &mut Buffer,
         ended: bool,
-        oldest: Option<&Ask>,
-    ) -> Result<Option<Answer<Ask>>, AnswerError> {
+        oldest: Option<&ExpectedBody>,
+    ) -> Result<Option<Answer<ExpectedBody>>, AnswerError> {
         while !input.is_empty() {
-            let ask = oldest.ok_or(AnswerError::Unrequested)?;
+            let expected = oldest.ok_or(AnswerError::Unrequested)?;
             match http::response(input.bytes(), ended, LONGEST) {
                 Ok(Parsed::Whole(response, used)) => {
                     input.consume(used);
                     // An interim answer is followed by the real one.
                     if response.status >= 200 {
                         let last = !response.keep_alive;
-                        self.remember(response.status, ask);
-                        let (outcome, value) = judge(response, ask);
+                        self.remember(response.status, expected);
+                        let (outcome, value) = judge(response, expected);
                         return Ok(Some(Answer {
                             part: None,
                             outcome,
@@ -354,7 +361,7 @@
                     }
                 }
                 Ok(Parsed::Partial(_)) => return Ok(None),
-                Err(http::Malformed(_, why)) => return Err(AnswerError::Http(why)),
+                Err(http::Malformed(_, reason)) => return Err(AnswerError::Http(reason)),
             }
         }
         Ok(None)
--- a/src/upstream/ogc/tests.rs
+++ b/src/upstream/ogc/tests.rs
@@ -3,11 +3,11 @@
 use super::*;
 use crate::testing::{garbage, random_cuts};
 
-fn answered(bytes: &[u8], ask: Ask) -> Option<(Outcome, usize)> {
+fn answered(bytes: &[u8], expected: ExpectedBody) -> Option<(Outcome, usize)> {
     let mut input = Buffer::default();
     input.push(bytes);
     let found = Features::default()
-        .answer(&mut input, false, Some(&ask))
+        .answer(&mut input, false, Some(&expected))
         .ok()??;
     Some((found.outcome, bytes.len() - input.bytes().len()))
 }
@@ -22,25 +22,25 @@
     let more = list.replace("]}", r#"],"links":[{"rel":"next"}]}"#);
     let known = list.replace("]}", r#"],"numberMatched":9}"#);
     let feature = r#"{"type":"Feature","id":1}"#;
-    for (status, body, ask, outcome) in [
-        (200, list, Ask::Items(5), Outcome::Ok),
-        (200, &more, Ask::Items(1), Outcome::Ok),
-        (200, &more, Ask::Items(5), Outcome::Error),
-        (200, &known, Ask::Items(5), Outcome::Error),
-        (200, feature, Ask::Items(5), Outcome::Error),
-        (200, feature, Ask::Item, Outcome::Ok),
-        (404, "", Ask::Item, Outcome::Ok),
-        (404, "", Ask::Items(5), Outcome::Error),
-        (503, "", Ask::Item, Outcome::Rejected),
-        (500, "", Ask::Item, Outcome::Error),
-        (200, "not json", Ask::Item, Outcome::Error),
+    for (status, body, expected, outcome) in [
+        (200, list, ExpectedBody::Items(5), Outcome::Ok),
+        (200, &more, ExpectedBody::Items(1), Outcome::Ok),
+        (200, &more, ExpectedBody::Items(5), Outcome::Error),
+        (200, &known, ExpectedBody::Items(5), Outcome::Error),
+        (200, feature, ExpectedBody::Items(5), Outcome::Error),
+        (200, feature, ExpectedBody::Item, Outcome::Ok),
+        (404, "", ExpectedBody::Item, Outcome::Ok),
+        (404, "", ExpectedBody::Items(5), Outcome::Error),
+        (503, "", ExpectedBody::Item, Outcome::Rejected),
+        (500, "", ExpectedBody::Item, Outcome::Error),
+        (200, "not json", ExpectedBody::Item, Outcome::Error),
     ] {
         let bytes = reply(status, body);
-        let told = format!("{status} {body} {ask:?}");
+        let shortage_logged_at = format!("{status} {body} {expected:?}");
         assert_eq!(
-            answered(&bytes, ask),
+            answered(&bytes, expected),
             Some((outcome, bytes.len())),
-            "{told}"
+            "{shortage_logged_at}"
         );
     }
 }
@@ -52,10 +52,10 @@
         reply(500, ""),
     );
     random_cuts(&[&list, &none], |bytes| {
-        answered(bytes, Ask::Items(5)).map(|a| a.1)
+        answered(bytes, ExpectedBody::Items(5)).map(|a| a.1)
     });
     garbage(&[&list, &none], |bytes| {
-        answered(bytes, Ask::Item);
+        answered(bytes, ExpectedBody::Item);
     });
     let mut input = Buffer::default();
     input.push(&list);
@@ -117,7 +117,7 @@
 fn a_data_node_that_refuses_the_order_is_asked_for_all_from_then_on() {
     let wire = Features::default();
     let host = SocketAddr::from(([127, 0, 0, 1], 9));
-    let ask = Ask::Sorted {
+    let expected = ExpectedBody::Sorted {
         sort: Rc::new(sort(5)),
         most: 5,
         node: None,
@@ -125,7 +125,7 @@
     };
     let job = Rc::new(Job {
         targets: [(0, "/c/items?bbox=0".to_string())].into(),
-        ask,
+        expected,
     });
     let part = Dispatch {
         attempt: 1,
--- a/src/upstream/receiving.rs
+++ b/src/upstream/receiving.rs
@@ -1,14 +1,14 @@
 //! Answers as they come, and connections that stay mute or bring what is none.
 
 use super::link::Greeting;
-use super::{AnswerError, Ended, Pool, Wire, MUTE, MUTE_LEAST, MUTE_MOST, USUAL_PACE};
+use super::{AnswerError, Ended, Pool, Wire, MUTE_FACTOR, MUTE_MAX, MUTE_MIN, RESPONSE_TIME_PACE};
 use crate::interface::{Micros, Outcome, ServerId};
 use crate::net::{ConnId, Net, Timer, TransferProgress};
 
 impl<W: Wire> Pool<W> {
     /// Notes which connections to a node are mute. Guards against those that fall silent: what is
     /// written to them is answered by nobody, however well the node is.
-    pub(super) fn listen(&mut self, net: &Net, server: ServerId) {
+    pub(super) fn mark_mute(&mut self, net: &Net, server: ServerId) {
         let (now, known) = (
             net.clock.now(),
             self.by_server.get(&server).map_or(&[][..], Vec::as_slice),
@@ -17,11 +17,11 @@
             .iter()
             .filter(|id| self.links.get(id).is_some_and(|l| l.mute))
             .count();
-        let usual = (self.usual.or(0.0) * MUTE) as Micros;
-        let most = usual.clamp(MUTE_LEAST, MUTE_MOST) << mute.min(4);
+        let usual_response_time = (self.usual_response_time.or(0.0) * MUTE_FACTOR) as Micros;
+        let most = usual_response_time.clamp(MUTE_MIN, MUTE_MAX) << mute.min(4);
         for id in known {
             if let (Some(link), Some(conn)) = (self.links.get_mut(id), net.get(*id)) {
-                link.mute |= link.quiet(conn.last_read_at, now) >= most;
+                link.mute |= link.silent_for(conn.last_read_at, now) >= most;
             }
         }
     }
@@ -29,11 +29,11 @@
     /// Something came on a connection: it is not mute. Others to the same node that stay mute for a
     /// while after that are dead; closing them gives up what is out there, so that it is tried
     /// again before it is late.
-    pub(super) fn spoke(&mut self, net: &mut Net, id: ConnId) {
+    pub(super) fn on_activity(&mut self, net: &mut Net, id: ConnId) {
         let (now, Some(link)) = (net.clock.now(), self.links.get_mut(&id)) else {
             return;
         };
-        (link.mute, link.outdone, link.greeting) = (false, None, Greeting::Done);
+        (link.mute, link.other_active_since, link.greeting) = (false, None, Greeting::Done);
         let server = link.server;
         if self
             .by_server
@@ -42,12 +42,12 @@
         {
             return;
         }
-        self.listen(net, server);
+        self.mark_mute(net, server);
         for id in self.by_server.get(&server).cloned().unwrap_or_default() {
             let Some(link) = self.links.get_mut(&id).filter(|l| l.mute) else {
                 continue;
             };
-            if now.since(*link.outdone.get_or_insert(now)) < MUTE_LEAST {
+            if now.since(*link.other_active_since.get_or_insert(now)) < MUTE_MIN {
                 continue;
             }
             for out in link.calls.drain(..).flat_map(|c| c.parts) {
@@ -68,27 +68,27 @@
             return;
         }
         let (up, now) = (net.get(id).is_some_and(|c| c.up), net.clock.now());
-        let progress = net.transfer(id, W::CEILING);
+        let progress = net.transfer(id, W::MAX_INPUT_BYTES);
         self.count_written(net, id);
         let read = self.read(net, id);
         let done = net
             .get(id)
-            .is_none_or(|c| c.ended || c.input.bytes().len() >= W::CEILING);
+            .is_none_or(|c| c.ended || c.input.bytes().len() >= W::MAX_INPUT_BYTES);
         if up && net.get(id).is_some_and(|c| c.last_read_at >= now) {
-            self.spoke(net, id);
+            self.on_activity(net, id);
         }
         match read {
             Err(error) => self.on_invalid_answer(net, id, &error),
             Ok(last) if last || done || progress != TransferProgress::Alive => self.broken(net, id),
             Ok(_) => {
-                self.begun(net, id);
+                self.response_started_at(net, id);
                 self.write(net, id);
             }
         }
     }
 
     /// Notes whether an answer has begun that is not whole.
-    pub(super) fn begun(&mut self, net: &mut Net, id: ConnId) {
+    pub(super) fn response_started_at(&mut self, net: &mut Net, id: ConnId) {
         let (now, Some(link)) = (net.clock.now(), self.links.get_mut(&id)) else {
             return;
         };
@@ -96,12 +96,13 @@
             // Guards the next call: noise behind a good answer would be read as the beginning of
             // its answer.
             true if link.calls.is_empty() => self.broken(net, id),
-            true if link.begun.is_none() => {
-                link.begun = Some(now);
-                net.wheel.set(now.plus(W::STALL), Timer::Answer(id));
+            true if link.response_started_at.is_none() => {
+                link.response_started_at = Some(now);
+                net.wheel
+                    .set(now.plus(W::RESPONSE_TIMEOUT), Timer::Answer(id));
             }
             true => {}
-            false => link.begun = None,
+            false => link.response_started_at = None,
         }
     }
 
@@ -117,7 +118,7 @@
             link.server.0
         ));
         if link.calls.iter().map(|c| c.parts.len()).sum::<usize>() == 1 {
-            if let Some((attempt, _)) = link.settle(None) {
+            if let Some((attempt, _)) = link.complete_part(None) {
                 self.attempts.remove(&attempt);
                 self.ended.push(Ended {
                     attempt,
@@ -148,10 +149,11 @@
             let Some(answer) = self.wire.answer(&mut conn.input, ended, oldest)? else {
                 return Ok(false);
             };
-            link.begun = None;
-            match (link.settle(answer.part.as_ref()), answer.part) {
+            link.response_started_at = None;
+            match (link.complete_part(answer.part.as_ref()), answer.part) {
                 (Some((attempt, sent)), _) => {
-                    self.usual.add(now.since(sent) as f64, USUAL_PACE);
+                    self.usual_response_time
+                        .add(now.since(sent) as f64, RESPONSE_TIME_PACE);
                     self.attempts.remove(&attempt);
                     self.ended.push(Ended {
                         attempt,
@@ -160,7 +162,7 @@
                     });
                 }
                 // Guards the part that it was meant for, which would be waited for in vain.
-                (None, Some(part)) if !link.settled.contains(&part) => {
+                (None, Some(part)) if !link.recently_completed.contains(&part) => {
                     return Err(AnswerError::UnknownPart);
                 }
                 // Late, or a second time: it is dropped.
@@ -176,8 +178,8 @@
     /// what claims more than it brings would take their answers in.
     pub fn stalled(&mut self, net: &mut Net, id: ConnId) {
         let now = net.clock.now();
-        let begun = self.links.get(&id).and_then(|l| l.begun);
-        if begun.is_some_and(|at| now.since(at) >= W::STALL) {
+        let response_started_at = self.links.get(&id).and_then(|l| l.response_started_at);
+        if response_started_at.is_some_and(|at| now.since(at) >= W::RESPONSE_TIMEOUT) {
             self.on_invalid_answer(net, id, &AnswerError::Stalled);
         }
     }
--- a/src/upstream/sending.rs
+++ b/src/upstream/sending.rs
@@ -1,7 +1,7 @@
 //! Calls on their way out: the connection for each, and what waits for one.
 
-use super::link::{Call, Greeting, Link, Out};
-use super::{Closed, Ended, Parked, Pool, Wire, PARKED, TOLD};
+use super::link::{Call, Greeting, InFlightPart, Link};
+use super::{Ended, NoConnection, Parked, Pool, Wire, MAX_DESCRIPTOR_WAIT, SHORTAGE_LOG_INTERVAL};
 use crate::core::Dispatch;
 use crate::decide::descriptors::LINKS;
 use crate::interface::{Outcome, ServerId, Time};
@@ -28,8 +28,9 @@
         // Those that wait already go first, but only a call that needs a new connection waits
         // behind them.
         if let Err(call) = self.place(net, call) {
-            self.short(net, since);
-            net.wheel.set(since.plus(PARKED), Timer::Parked(W::OWNER));
+            self.shortages(net, since);
+            net.wheel
+                .set(since.plus(MAX_DESCRIPTOR_WAIT), Timer::Parked(W::OWNER));
             self.parked.push_back(call);
         }
     }
@@ -41,7 +42,7 @@
         net: &mut Net,
         call: Parked<W::Job>,
     ) -> Result<(), Parked<W::Job>> {
-        match self.room(net, call.server, call.address) {
+        match self.connection_for_call(net, call.server, call.address) {
             Ok(id) => {
                 let Some(link) = self.links.get_mut(&id) else {
                     return Ok(());
@@ -52,11 +53,11 @@
                 self.write(net, id);
                 Ok(())
             }
-            Err(Closed::Theirs) => {
+            Err(NoConnection::NodeRefuses) => {
                 self.end_parts(&call.parts, Outcome::ConnectFailed);
                 Ok(())
             }
-            Err(Closed::Ours) => Err(call),
+            Err(NoConnection::NoDescriptor) => Err(call),
         }
     }
 
@@ -70,14 +71,17 @@
 
     /// Notes that a call has to wait for a descriptor. Guards the log, which would have thousands
     /// of such lines.
-    pub(super) fn short(&mut self, net: &Net, now: Time) {
-        self.short += 1;
-        if self.told.is_none_or(|at| now.since(at) >= TOLD) {
-            let (count, why) = (self.short, net.node_capacity_reason());
+    pub(super) fn shortages(&mut self, net: &Net, now: Time) {
+        self.shortages += 1;
+        if self
+            .shortage_logged_at
+            .is_none_or(|at| now.since(at) >= SHORTAGE_LOG_INTERVAL)
+        {
+            let (count, reason) = (self.shortages, net.node_capacity_reason());
             self.log.push(format!(
-                "calls that had to wait for a descriptor: {count}; {why}"
+                "calls that had to wait for a descriptor: {count}; {reason}"
             ));
-            (self.short, self.told) = (0, Some(now));
+            (self.shortages, self.shortage_logged_at) = (0, Some(now));
         }
     }
 
@@ -94,7 +98,7 @@
         while self
             .parked
             .front()
-            .is_some_and(|c| now.since(c.since) >= PARKED)
+            .is_some_and(|c| now.since(c.since) >= MAX_DESCRIPTOR_WAIT)
         {
             let Some(call) = self.parked.pop_front() else {
                 return;
@@ -168,7 +172,7 @@
     /// repeats: a connection that comes up late, or a node that is slow to answer its greeting, has
     /// held a call back for longer than the window bears.
     fn drop_late(&mut self, now: Time, parts: Vec<Dispatch<W::Job>>) -> Vec<Dispatch<W::Job>> {
-        let waits = self.limits.connect + PARKED;
+        let waits = self.limits.connect + MAX_DESCRIPTOR_WAIT;
         let is_late = |p: &Dispatch<W::Job>| p.leave_by.is_some_and(|at| now > at.plus(waits));
         let (late, rest): (Vec<_>, Vec<_>) = parts.into_iter().partition(is_late);
         for part in late {
@@ -192,7 +196,7 @@
         let out = names
             .into_iter()
             .zip(parts)
-            .map(|(part, p)| Out {
+            .map(|(part, p)| InFlightPart {
                 part,
                 attempt: p.attempt,
             })
@@ -207,23 +211,23 @@
 
     /// A connection with room for a call: one that is up, one that is being opened, or a new one,
     /// for which an idle one to another node is closed if need be.
-    pub(super) fn room(
+    pub(super) fn connection_for_call(
         &mut self,
         net: &mut Net,
         server: ServerId,
         address: SocketAddr,
-    ) -> Result<ConnId, Closed> {
-        self.listen(net, server);
+    ) -> Result<ConnId, NoConnection> {
+        self.mark_mute(net, server);
         let (streams, known) = (
             self.limits.streams.max(1),
             self.by_server.entry(server).or_default(),
         );
         let fits = |id: &&ConnId| {
-            let room = |l: &Link<W>| {
+            let connection_for_call = |l: &Link<W>| {
                 l.calls.len() + l.waiting.len() < streams && l.address == address && !l.mute
             };
             // One that does not take what was written is left to those that wait for it.
-            self.links.get(id).is_some_and(room)
+            self.links.get(id).is_some_and(connection_for_call)
                 && net
                     .get(**id)
                     .is_some_and(|c| !c.ended && (!c.up || c.flushed()))
@@ -256,13 +260,13 @@
     fn add_link(&mut self, net: &mut Net, server: ServerId, address: SocketAddr, id: ConnId) {
         let now = net.clock.now();
         // Guards memory: a node that is gone may be entered once more by what still breaks there.
-        self.wary.retain(|_, until| now < *until);
+        self.greeted_until.retain(|_, until| now < *until);
         let known = self.by_server.entry(server).or_default();
         // One beside others that are mute: the node itself may stand still.
         let is_beside_mute = known
             .iter()
             .any(|id| self.links.get(id).is_some_and(|l| l.mute));
-        let greeting = if is_beside_mute || self.wary.contains_key(&server) {
+        let greeting = if is_beside_mute || self.greeted_until.contains_key(&server) {
             Greeting::Due
         } else {
             Greeting::Done
@@ -274,10 +278,10 @@
             waiting: VecDeque::new(),
             calls: Vec::new(),
             greeting,
-            settled: VecDeque::new(),
-            begun: None,
+            recently_completed: VecDeque::new(),
+            response_started_at: None,
             mute: false,
-            outdone: None,
+            other_active_since: None,
         };
         self.links.insert(id, link);
         let at = net.clock.now().plus(self.limits.connect);
@@ -285,16 +289,16 @@
     }
 
     /// No connection could be opened.
-    fn not_connected(&mut self, server: ServerId, error: ConnectError) -> Closed {
+    fn not_connected(&mut self, server: ServerId, error: ConnectError) -> NoConnection {
         if self.by_server.get(&server).is_none_or(Vec::is_empty) {
             self.by_server.remove(&server);
         }
         match error {
-            ConnectError::NoDescriptor(_) => Closed::Ours,
+            ConnectError::NoDescriptor(_) => NoConnection::NoDescriptor,
             ConnectError::Failed(e) => {
                 self.log
                     .push(format!("connect to server {} failed: {e}", server.0));
-                Closed::Theirs
+                NoConnection::NodeRefuses
             }
         }
     }
--- a/src/upstream/tests.rs
+++ b/src/upstream/tests.rs
@@ -32,7 +32,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let mut pool = Pool::new(Frames, limits);
         // Most tests are of a node that has just started.
-        pool.beware(SERVER, Time(u64::MAX));
+        pool.greet_until(SERVER, Time(u64::MAX));
         Stage {
             net: Net::new(64).unwrap(),
             pool,
@@ -73,7 +73,7 @@
     /// their connections.
     fn fill(&mut self) -> Vec<TcpStream> {
         // Answers are slow as a rule: nothing is mute while this test takes its time.
-        self.pool.usual.add(60e6, 1.0);
+        self.pool.usual_response_time.add(60e6, 1.0);
         let mut streams = Vec::new();
         while self.pool.parked.is_empty() {
             self.send_to(ServerId(100 + streams.len() as u32), "x");
--- a/src/upstream/tests/descriptors.rs
+++ b/src/upstream/tests/descriptors.rs
@@ -88,12 +88,12 @@
     let mut stage = Stage::new(LIMITS);
     let streams = stage.fill();
     let (attempt, server) = (stage.attempts, ServerId(100 + streams.len() as u32));
-    stage.pool.hold_back(ServerId(1_000));
+    stage.pool.drop_unsent(ServerId(1_000));
     assert!(
         stage.pool.is_parked(attempt),
         "another node's drain moves nothing"
     );
-    stage.pool.hold_back(server);
+    stage.pool.drop_unsent(server);
     assert!(!stage.pool.is_parked(attempt));
     let ended: Vec<_> = stage
         .pool
--- a/src/upstream/tests/receiving.rs
+++ b/src/upstream/tests/receiving.rs
@@ -2,7 +2,7 @@
 
 use super::{answer, frame, Limits, Stage, LIMITS};
 use crate::interface::Outcome;
-use crate::upstream::{MUTE_LEAST, MUTE_MOST};
+use crate::upstream::{MUTE_MAX, MUTE_MIN};
 use std::io::Write;
 
 #[test]
@@ -28,7 +28,7 @@
 fn a_connection_that_ends_after_the_frame_is_a_reset_and_before_its_last_byte_it_is_not() {
     let mut stage = Stage::new(LIMITS);
     // Answers are slow as a rule: it is not mute while this test takes its time.
-    stage.pool.usual.add(60e6, 1.0);
+    stage.pool.usual_response_time.add(60e6, 1.0);
     let sent = stage.send("x");
     let mut stream = stage.accept();
     frame(&mut stream);
@@ -131,7 +131,7 @@
     });
     let (one, two) = (stage.send("x"), stage.send("x"));
     let mut first = stage.accept();
-    std::thread::sleep(std::time::Duration::from_micros(MUTE_LEAST));
+    std::thread::sleep(std::time::Duration::from_micros(MUTE_MIN));
     stage.pool.withdraw(&mut stage.net, one);
     stage.send("x");
     let mut second = stage.accept();
@@ -145,7 +145,7 @@
     (0..2).for_each(|_| drop(frame(&mut first)));
     assert_eq!(frame(&mut first), "Aq.1");
     assert!(frame(&mut first).starts_with("Rq.4 "), "it speaks again");
-    std::thread::sleep(std::time::Duration::from_micros(2 * MUTE_MOST));
+    std::thread::sleep(std::time::Duration::from_micros(2 * MUTE_MAX));
     stage.pool.withdraw(&mut stage.net, four);
     assert_eq!(
         stage.pool.links.len(),
@@ -162,7 +162,7 @@
     });
     let one = stage.send("x");
     let _first = stage.accept();
-    std::thread::sleep(std::time::Duration::from_micros(MUTE_LEAST));
+    std::thread::sleep(std::time::Duration::from_micros(MUTE_MIN));
     let (two, three) = (stage.send("x"), stage.send("x"));
     let mut second = stage.accept();
     answer(&mut second, "q.2 OK 1 -");
@@ -171,7 +171,7 @@
         [(two, Outcome::Ok)],
         "the first may have been held up as well"
     );
-    std::thread::sleep(std::time::Duration::from_micros(MUTE_LEAST));
+    std::thread::sleep(std::time::Duration::from_micros(MUTE_MIN));
     answer(&mut second, "q.3 OK 1 -");
     assert_eq!(
         stage.ended(),
--- a/src/upstream/tests/sending.rs
+++ b/src/upstream/tests/sending.rs
@@ -125,7 +125,7 @@
 #[test]
 fn only_nodes_that_may_stand_still_are_greeted() {
     let mut stage = Stage::new(LIMITS);
-    stage.pool.leave(&mut stage.net, SERVER);
+    stage.pool.forget_node(&mut stage.net, SERVER);
     let first = stage.send("x");
     let (mut node, _) = stage.listener.accept().unwrap();
     assert!(stage.ended().is_empty());
@@ -150,10 +150,10 @@
 fn what_is_held_of_nodes_that_are_gone_ends_with_its_time() {
     let mut stage = Stage::new(LIMITS);
     let past = stage.net.clock.now().minus(1);
-    (100..200).for_each(|gone| stage.pool.beware(ServerId(gone), past));
+    (100..200).for_each(|gone| stage.pool.greet_until(ServerId(gone), past));
     stage.send("x");
     assert_eq!(
-        stage.pool.wary.len(),
+        stage.pool.greeted_until.len(),
         1,
         "only the one that has just started"
     );
--- a/src/upstream/tests/withdrawing.rs
+++ b/src/upstream/tests/withdrawing.rs
@@ -29,13 +29,13 @@
     let mut stage = Stage::new(LIMITS);
     let never = stage.send("x");
     stage.pool.withdraw(&mut stage.net, never);
-    let told = stage.send("x");
+    let shortage_logged_at = stage.send("x");
     let mut stream = stage.accept();
     assert!(
         frame(&mut stream).starts_with("Rq.2 "),
         "the first call stayed at home"
     );
-    stage.pool.withdraw(&mut stage.net, told);
+    stage.pool.withdraw(&mut stage.net, shortage_logged_at);
     assert_eq!(frame(&mut stream), "Aq.2");
     answer(&mut stream, "q.2 OK 1 -");
     assert!(stage.ended().is_empty(), "too late: it was given up");
@@ -59,7 +59,7 @@
         connect: 60_000_000,
         ..LIMITS
     });
-    stage.pool.wary.clear();
+    stage.pool.greeted_until.clear();
     let (listener, fillers) = full_backlog();
     let address = listener.local_addr().unwrap();
     stage.pool.send(&mut stage.net, SERVER, address, call(3));
@@ -69,15 +69,15 @@
     // The connection comes up: the other two leave, in one call.
     let mut frames = Vec::new();
     listener.set_nonblocking(true).unwrap();
-    let mut held = Vec::new();
+    let mut unsent = Vec::new();
     while frames.is_empty() {
-        held.extend(listener.accept().map(|(stream, _)| stream));
+        unsent.extend(listener.accept().map(|(stream, _)| stream));
         stage
             .net
             .wait(Some(stage.net.clock.now().plus(10_000)))
             .unwrap();
         stage.pump();
-        for stream in &mut held {
+        for stream in &mut unsent {
             stream.set_nonblocking(true).unwrap();
             if matches!(stream.peek(&mut [0; 4]), Ok(4)) {
                 stream.set_nonblocking(false).unwrap();
@@ -98,8 +98,8 @@
 fn a_call_whose_last_byte_has_not_left_never_begins_once_its_part_is_recalled_or_withdrawn() {
     for recalled in [true, false] {
         let mut stage = Stage::new(LIMITS);
-        stage.pool.wary.clear();
-        stage.pool.usual.add(60e6, 1.0);
+        stage.pool.greeted_until.clear();
+        stage.pool.usual_response_time.add(60e6, 1.0);
         // Far more than the system's buffers take: its last byte can't be written while nobody
         // reads.
         let attempt = stage.send(&"y".repeat(32 << 20));
@@ -129,7 +129,7 @@
     // Its greeting is on the way: both calls wait for the answer. Then the drain is told.
     let mut stream = stage.accept_silently();
     assert_eq!(frame(&mut stream), "G");
-    stage.pool.hold_back(SERVER);
+    stage.pool.drop_unsent(SERVER);
     assert_eq!(stage.ended(), [(one, Outcome::Moot), (two, Outcome::Moot)]);
     assert!(stage.pool.attempts.is_empty());
     stream.write_all(b"\0\0\0\x03GOK").unwrap();
--- a/src/upstream/withdrawing.rs
+++ b/src/upstream/withdrawing.rs
@@ -1,6 +1,6 @@
 //! Attempts that are given up, or taken back before they leave.
 
-use super::link::Out;
+use super::link::InFlightPart;
 use super::{Pool, Wire};
 use crate::net::{Net, TransferProgress};
 
@@ -11,15 +11,15 @@
             return self.unpark(attempt);
         };
         if let Some(server) = self.links.get(&id).map(|l| l.server) {
-            self.listen(net, server);
+            self.mark_mute(net, server);
         }
         let (Some(link), Some(conn)) = (self.links.get_mut(&id), net.get_mut(id)) else {
             return;
         };
-        if link.keep_home(attempt) {
+        if link.remove_unsent(attempt) {
             return;
         }
-        let is_it = |p: &Out<W::Name>| p.attempt == attempt;
+        let is_it = |p: &InFlightPart<W::Name>| p.attempt == attempt;
         let Some(at) = link.calls.iter().position(|c| c.parts.iter().any(is_it)) else {
             return;
         };
@@ -38,9 +38,9 @@
             link.remember(part);
             return self.broken(net, id);
         }
-        let told = self.wire.give_up(&part);
+        let shortage_logged_at = self.wire.give_up(&part);
         link.remember(part);
-        let Some(bytes) = told.filter(|_| !(link.mute && link.idle())) else {
+        let Some(bytes) = shortage_logged_at.filter(|_| !(link.mute && link.idle())) else {
             return self.broken(net, id);
         };
         conn.send(&bytes);
@@ -61,7 +61,7 @@
         let Some(link) = self.links.get_mut(&id) else {
             return false;
         };
-        if link.keep_home(attempt) {
+        if link.remove_unsent(attempt) {
             self.attempts.remove(&attempt);
             return true;
         }
