--- a/wire/rpc/src/archive.rs
+++ b/wire/rpc/src/archive.rs
@@ -1,4 +1,4 @@
-//! Values as bytes.
+//! Values as `rkyv` archives.
 
 use rkyv::api::high::{HighDeserializer, HighSerializer, HighValidator};
 use rkyv::bytecheck::CheckBytes;
@@ -7,21 +7,21 @@
 use rkyv::util::AlignedVec;
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// A value that couldn't be turned into bytes, or bytes that are no such value.
+/// Why a value can't be encoded, or bytes not be decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum ArchiveError {
-    /// The value can't be serialised.
+    /// A value can't be serialised.
     #[error("cannot serialise a message: {0}")]
     Encode(Error),
-    /// The bytes are no such value.
+    /// Bytes are no archive of the requested type.
     #[error("cannot read a message: {0}")]
     Decode(Error),
 }
 
-/// A value as bytes.
+/// Encodes a value.
 ///
 /// # Errors
-/// When it can't be serialised.
+/// [`ArchiveError::Encode`] when it can't be serialised.
 pub fn encode<T>(value: &T) -> Result<Vec<u8>, ArchiveError>
 where
     T: for<'a> Serialize<HighSerializer<AlignedVec, ArenaHandle<'a>, Error>>,
@@ -31,17 +31,17 @@
         .map_err(ArchiveError::Encode)
 }
 
-/// The value of these bytes, which are checked; they may lie at any address.
+/// Decodes a value. The bytes are validated, and may have any alignment.
 ///
 /// # Errors
-/// When they are no such value.
+/// [`ArchiveError::Decode`] when they are no archive of this type.
 pub fn decode<T>(bytes: &[u8]) -> Result<T, ArchiveError>
 where
     T: Archive,
     T::Archived:
         for<'a> CheckBytes<HighValidator<'a, Error>> + Deserialize<T, HighDeserializer<Error>>,
 {
-    // An archive is read in place, and has to lie as its types demand.
+    // An archive is read in place, and has to be aligned as its types demand.
     let mut aligned = AlignedVec::<16>::with_capacity(bytes.len());
     aligned.extend_from_slice(bytes);
     rkyv::from_bytes::<T, Error>(&aligned).map_err(ArchiveError::Decode)
--- a/wire/rpc/src/frame.rs
+++ b/wire/rpc/src/frame.rs
@@ -1,40 +1,42 @@
-//! Frames: a header of 20 bytes (word, version, kind, length, checksum of the payload, checksum of
-//! the header), and the payload.
+//! Frames: a header of 20 bytes (magic, version, kind, length, checksum of the payload, checksum of
+//! the header; integers in little-endian order), and the payload.
 
 /// Longest payload unless another limit is set (bytes).
 pub const DEFAULT_PAYLOAD_LIMIT_BYTES: usize = 4 << 20;
 /// Length of a header (bytes).
 pub const HEADER_BYTES: usize = 20;
 const MAGIC: [u8; 4] = *b"LSRP";
-/// Bytes from which on the word and the version are known: they lie here in all versions.
+/// Offsets of the fields of a header. Magic and version are at the same offsets in all versions.
 const VERSION_END: usize = 6;
-/// Space that is kept once it has been needed (bytes); what a long frame took beyond it is given
-/// back.
-const KEPT_BYTES: usize = 64 << 10;
+const LENGTH_OFFSET: usize = 8;
+const PAYLOAD_CHECKSUM_OFFSET: usize = 12;
+const HEADER_CHECKSUM_OFFSET: usize = 16;
+/// Capacity up to which an empty buffer is kept (bytes); that of a longer frame is released.
+const MAX_RETAINED_BYTES: usize = 64 << 10;
 
-/// Why a connection can't be read or a payload not sent. The connection must be closed.
+/// Why a connection can't be read, or a payload not be sent. The connection must be closed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// What came is no frame.
+    /// The received bytes are no frame: the peer uses another protocol.
     #[error("the other side does not speak this protocol")]
-    NotOurs,
-    /// The other side is of another version.
+    UnknownProtocol,
+    /// The peer has another version of the protocol.
     #[error("the other side speaks version {theirs} of the protocol, this side version {ours}")]
-    OtherVersion {
-        /// Version of this side.
+    VersionMismatch {
+        /// Version of this process.
         ours: u16,
-        /// Version of the other side.
+        /// Version of the peer.
         theirs: u16,
     },
-    /// A header or payload isn't what was sent.
+    /// A header or payload is corrupt.
     #[error("the checksum of a frame's {0} is wrong")]
     Checksum(&'static str),
     /// A payload is too long.
     #[error("a payload of {bytes} bytes is over the limit of {limit} bytes")]
     TooLong {
-        /// Its length.
+        /// Its length (bytes).
         bytes: usize,
-        /// The limit.
+        /// The limit (bytes).
         limit: usize,
     },
 }
@@ -42,16 +44,16 @@
 /// A frame that was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Frame<'a> {
-    /// What the payload is, by the sender's word.
+    /// Kind of the payload, as the sender declares it.
     pub kind: u16,
     /// Its bytes.
     pub payload: &'a [u8],
 }
 
-/// A payload as a frame.
+/// Encodes a payload as a frame.
 ///
 /// # Errors
-/// When it is longer than [`DEFAULT_PAYLOAD_LIMIT_BYTES`].
+/// [`FrameError::TooLong`] when it is longer than [`DEFAULT_PAYLOAD_LIMIT_BYTES`].
 pub fn encode_frame(version: u16, kind: u16, payload: &[u8]) -> Result<Vec<u8>, FrameError> {
     let mut out = Vec::new();
     encode_frame_into(
@@ -64,10 +66,10 @@
     Ok(out)
 }
 
-/// Adds a payload as a frame to a buffer.
+/// Appends a payload as a frame to a buffer.
 ///
 /// # Errors
-/// When it is longer than the limit; nothing is added then.
+/// [`FrameError::TooLong`] when it is longer than the limit; nothing is appended then.
 pub fn encode_frame_into(
     out: &mut Vec<u8>,
     version: u16,
@@ -96,68 +98,68 @@
     Ok(())
 }
 
-/// Finds the frames in what a connection brings, cut anywhere.
+/// Splits the bytes of a connection, which arrive in any chunks, into frames.
 #[derive(Debug)]
 pub struct FrameReader {
     version: u16,
     limit: usize,
     buffer: Vec<u8>,
-    /// Bytes at the start of the buffer that belong to frames which were given out.
-    taken: usize,
-    /// Nothing is read after an error.
+    /// Bytes at the start of the buffer that belong to frames which were returned.
+    consumed: usize,
+    /// The first error; nothing is read after it.
     error: Option<FrameError>,
 }
 
 impl FrameReader {
-    /// Reads frames of one version, with payloads up to [`DEFAULT_PAYLOAD_LIMIT_BYTES`].
+    /// A reader of frames of one version, with payloads up to [`DEFAULT_PAYLOAD_LIMIT_BYTES`].
     #[must_use]
     pub fn new(version: u16) -> Self {
         Self::with_limit(version, DEFAULT_PAYLOAD_LIMIT_BYTES)
     }
 
-    /// Reads frames of one version, with payloads up to a limit.
+    /// A reader of frames of one version, with payloads up to a limit (bytes).
     #[must_use]
     pub fn with_limit(version: u16, limit: usize) -> Self {
         Self {
             version,
             limit,
             buffer: Vec::new(),
-            taken: 0,
+            consumed: 0,
             error: None,
         }
     }
 
-    /// Takes bytes from the connection. All frames should be taken out before more are pushed: that
-    /// bounds the memory.
+    /// Adds received bytes. All complete frames should be read before more bytes are pushed, which
+    /// bounds memory.
     pub fn push(&mut self, bytes: &[u8]) {
         if self.error.is_some() {
             return;
         }
-        self.drop_taken();
+        self.discard_consumed();
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Bytes that were pushed and not given out.
+    /// Number of bytes that were pushed and are not part of a returned frame.
     #[must_use]
     pub fn pending(&self) -> usize {
-        self.buffer.len() - self.taken
+        self.buffer.len() - self.consumed
     }
 
-    /// The next whole frame, or `None` until more bytes come.
+    /// The next complete frame, or `None` until more bytes are pushed.
     ///
     /// # Errors
-    /// When what came is no frame of this version. The same error is given from then on.
+    /// When the bytes are no frame of this version. The same error is returned from then on.
     pub fn next_frame(&mut self) -> Result<Option<Frame<'_>>, FrameError> {
         if let Some(error) = &self.error {
             return Err(error.clone());
         }
-        match read(&self.buffer[self.taken..], self.version, self.limit) {
+        match parse_frame(&self.buffer[self.consumed..], self.version, self.limit) {
             Ok(Some((kind, length))) => {
-                let start = self.taken + HEADER_BYTES;
-                self.taken = start + length;
+                let start = self.consumed + HEADER_BYTES;
+                self.consumed = start + length;
                 Ok(Some(Frame {
                     kind,
-                    payload: &self.buffer[start..self.taken],
+                    payload: &self.buffer[start..self.consumed],
                 }))
             }
             Ok(None) => Ok(None),
@@ -168,40 +170,50 @@
         }
     }
 
-    fn drop_taken(&mut self) {
-        self.buffer.drain(..self.taken);
-        self.taken = 0;
-        if self.buffer.is_empty() && self.buffer.capacity() > KEPT_BYTES {
+    fn discard_consumed(&mut self) {
+        self.buffer.drain(..self.consumed);
+        self.consumed = 0;
+        if self.buffer.is_empty() && self.buffer.capacity() > MAX_RETAINED_BYTES {
             self.buffer = Vec::new();
         }
     }
 }
 
-/// Kind and payload length of the whole frame that bytes begin with; `None` while it isn't whole.
-fn read(bytes: &[u8], version: u16, limit: usize) -> Result<Option<(u16, usize)>, FrameError> {
-    let word = &bytes[..bytes.len().min(MAGIC.len())];
-    if !MAGIC.starts_with(word) {
-        return Err(FrameError::NotOurs);
+/// Kind and payload length of the frame that bytes begin with; `None` while it is incomplete.
+fn parse_frame(
+    bytes: &[u8],
+    version: u16,
+    limit: usize,
+) -> Result<Option<(u16, usize)>, FrameError> {
+    let magic = &bytes[..bytes.len().min(MAGIC.len())];
+    if !MAGIC.starts_with(magic) {
+        return Err(FrameError::UnknownProtocol);
     }
     if bytes.len() < VERSION_END {
         return Ok(None);
     }
     let theirs = u16::from_le_bytes([bytes[4], bytes[5]]);
     if theirs != version {
-        return Err(FrameError::OtherVersion {
+        return Err(FrameError::VersionMismatch {
             ours: version,
             theirs,
         });
     }
-    let Some(head) = bytes.first_chunk::<HEADER_BYTES>() else {
+    let Some(header) = bytes.first_chunk::<HEADER_BYTES>() else {
         return Ok(None);
     };
-    let number =
-        |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
-    if crc32fast::hash(&head[..16]) != number(16) {
+    let number = |offset: usize| {
+        u32::from_le_bytes([
+            header[offset],
+            header[offset + 1],
+            header[offset + 2],
+            header[offset + 3],
+        ])
+    };
+    if crc32fast::hash(&header[..HEADER_CHECKSUM_OFFSET]) != number(HEADER_CHECKSUM_OFFSET) {
         return Err(FrameError::Checksum("header"));
     }
-    let length = number(8) as usize;
+    let length = number(LENGTH_OFFSET) as usize;
     if length > limit {
         return Err(FrameError::TooLong {
             bytes: length,
@@ -211,8 +223,8 @@
     let Some(payload) = bytes.get(HEADER_BYTES..HEADER_BYTES + length) else {
         return Ok(None);
     };
-    if crc32fast::hash(payload) != number(12) {
+    if crc32fast::hash(payload) != number(PAYLOAD_CHECKSUM_OFFSET) {
         return Err(FrameError::Checksum("payload"));
     }
-    Ok(Some((u16::from_le_bytes([head[6], head[7]]), length)))
+    Ok(Some((u16::from_le_bytes([header[6], header[7]]), length)))
 }
--- a/wire/rpc/src/lib.rs
+++ b/wire/rpc/src/lib.rs
@@ -1,9 +1,9 @@
-//! Frames between the processes of a fleet: rkyv archives behind a length, a version and a
-//! checksum.
+//! Framing between the processes of a fleet: `rkyv` archives behind a length, a version and
+//! checksums.
 //!
-//! It owns the framing and the table of calls that wait for an answer. It promises: what a
-//! [`FrameReader`] gives out is a frame as it was sent, or nothing; a process of another version is
-//! refused by name; no bytes make it panic. It touches plain bytes alone.
+//! It owns the framing and a table of pending calls. It promises that what a [`FrameReader`] returns
+//! is a frame as it was sent, or nothing; that a process of another version is rejected with an error
+//! that names both versions; and that no input makes it panic. It does no I/O.
 //!
 //! ```
 //! use lichenswitch_rpc::{decode, encode, encode_frame, FrameReader};
@@ -17,12 +17,12 @@
 #![warn(missing_docs)]
 
 mod archive;
-mod calls;
 mod frame;
+mod pending_calls;
 
 pub use archive::{decode, encode, ArchiveError};
-pub use calls::Calls;
 pub use frame::{
     encode_frame, encode_frame_into, Frame, FrameError, FrameReader, DEFAULT_PAYLOAD_LIMIT_BYTES,
     HEADER_BYTES,
 };
+pub use pending_calls::PendingCalls;
--- a/wire/rpc/tests/frames.rs
+++ b/wire/rpc/tests/frames.rs
@@ -1,4 +1,4 @@
-//! A reader gives out what was sent, or nothing.
+//! A reader returns frames as they were sent, or nothing.
 
 use assert_matches::assert_matches;
 use lichenswitch_rpc::{
@@ -8,7 +8,7 @@
 
 const VERSION: u16 = 3;
 
-/// A value with what can be wrong in an archive: a choice, text, lists, a flag.
+/// A value with everything that can be invalid in an archive: variants, text, lists, a flag.
 #[derive(rkyv::Archive, rkyv::Serialize, rkyv::Deserialize, Clone, Debug, PartialEq)]
 enum Message {
     Empty,
@@ -23,7 +23,7 @@
         .collect()
 }
 
-/// Pushes chunks and takes out all frames.
+/// Pushes chunks and reads all frames.
 fn read(chunks: &[&[u8]]) -> (Vec<(u16, Vec<u8>)>, Option<FrameError>) {
     let (mut reader, mut frames) = (FrameReader::with_limit(VERSION, 1 << 16), Vec::new());
     for chunk in chunks {
@@ -39,20 +39,23 @@
     (frames, None)
 }
 
-fn cut<'a>(bytes: &'a [u8], cuts: &[usize]) -> Vec<&'a [u8]> {
-    let mut places: Vec<usize> = cuts.iter().map(|cut| cut % (bytes.len() + 1)).collect();
-    places.extend([0, bytes.len()]);
-    places.sort_unstable();
-    places
+fn split<'a>(bytes: &'a [u8], boundaries: &[usize]) -> Vec<&'a [u8]> {
+    let mut positions: Vec<usize> = boundaries
+        .iter()
+        .map(|boundary| boundary % (bytes.len() + 1))
+        .collect();
+    positions.extend([0, bytes.len()]);
+    positions.sort_unstable();
+    positions
         .windows(2)
         .map(|pair| &bytes[pair[0]..pair[1]])
         .collect()
 }
 
 #[test]
-fn frames_come_as_they_were_sent_wherever_they_are_cut() {
-    fn holds(payloads: Vec<(u16, Vec<u8>)>, cuts: Vec<usize>) -> bool {
-        read(&cut(&frames_of(&payloads), &cuts)) == (payloads, None)
+fn frames_are_returned_as_sent_whatever_the_chunks() {
+    fn holds(payloads: Vec<(u16, Vec<u8>)>, boundaries: Vec<usize>) -> bool {
+        read(&split(&frames_of(&payloads), &boundaries)) == (payloads, None)
     }
     QuickCheck::new()
         .tests(5_000)
@@ -60,15 +63,20 @@
 }
 
 #[test]
-fn a_changed_byte_gives_an_error_and_no_frame_that_was_not_sent() {
-    fn holds(payloads: Vec<(u16, Vec<u8>)>, place: usize, change: u8, cuts: Vec<usize>) -> bool {
+fn changed_byte_is_an_error_and_returns_no_other_frame() {
+    fn holds(
+        payloads: Vec<(u16, Vec<u8>)>,
+        position: usize,
+        change: u8,
+        boundaries: Vec<usize>,
+    ) -> bool {
         let mut bytes = frames_of(&payloads);
         if bytes.is_empty() || change == 0 {
             return true;
         }
-        let place = place % bytes.len();
-        bytes[place] ^= change;
-        let (frames, error) = read(&cut(&bytes, &cuts));
+        let position = position % bytes.len();
+        bytes[position] ^= change;
+        let (frames, error) = read(&split(&bytes, &boundaries));
         payloads.starts_with(&frames) && frames.len() < payloads.len() && error.is_some()
     }
     QuickCheck::new()
@@ -77,12 +85,17 @@
 }
 
 #[test]
-fn bytes_that_are_missing_or_too_many_give_no_frame_that_was_not_sent() {
-    fn holds(payloads: Vec<(u16, Vec<u8>)>, place: usize, gone: usize, more: Vec<u8>) -> bool {
+fn missing_or_additional_bytes_return_no_other_frame() {
+    fn holds(
+        payloads: Vec<(u16, Vec<u8>)>,
+        position: usize,
+        removed: usize,
+        inserted: Vec<u8>,
+    ) -> bool {
         let mut bytes = frames_of(&payloads);
-        let start = place % (bytes.len() + 1);
-        let end = (start + gone % 64).min(bytes.len());
-        bytes.splice(start..end, more);
+        let start = position % (bytes.len() + 1);
+        let end = (start + removed % 64).min(bytes.len());
+        bytes.splice(start..end, inserted);
         let (frames, _) = read(&[&bytes]);
         frames.iter().all(|frame| payloads.contains(frame))
     }
@@ -92,9 +105,9 @@
 }
 
 #[test]
-fn any_bytes_give_no_frame() {
-    fn holds(bytes: Vec<u8>, cuts: Vec<usize>) -> bool {
-        read(&cut(&bytes, &cuts)).0.is_empty()
+fn random_bytes_return_no_frame() {
+    fn holds(bytes: Vec<u8>, boundaries: Vec<usize>) -> bool {
+        read(&split(&bytes, &boundaries)).0.is_empty()
     }
     QuickCheck::new()
         .tests(50_000)
@@ -102,14 +115,14 @@
 }
 
 #[test]
-fn another_version_is_refused_by_name_from_its_sixth_byte() {
+fn other_version_is_rejected_at_its_sixth_byte() {
     let frame = encode_frame(4, 0, b"").unwrap();
     let mut reader = FrameReader::new(VERSION);
     reader.push(&frame[..5]);
     assert_eq!(reader.next_frame(), Ok(None));
     reader.push(&frame[5..6]);
     let error = reader.next_frame().unwrap_err();
-    assert_eq!(error, FrameError::OtherVersion { ours: 3, theirs: 4 });
+    assert_eq!(error, FrameError::VersionMismatch { ours: 3, theirs: 4 });
     assert_eq!(
         error.to_string(),
         "the other side speaks version 4 of the protocol, this side version 3"
@@ -117,17 +130,17 @@
 }
 
 #[test]
-fn another_protocol_is_refused_from_its_first_byte() {
+fn other_protocol_is_rejected_at_its_first_byte() {
     let mut reader = FrameReader::new(VERSION);
     reader.push(b"G");
-    assert_eq!(reader.next_frame(), Err(FrameError::NotOurs));
+    assert_eq!(reader.next_frame(), Err(FrameError::UnknownProtocol));
     reader.push(&encode_frame(VERSION, 0, b"").unwrap());
-    assert_eq!(reader.next_frame(), Err(FrameError::NotOurs));
+    assert_eq!(reader.next_frame(), Err(FrameError::UnknownProtocol));
     assert_eq!(reader.pending(), 1);
 }
 
 #[test]
-fn a_payload_over_the_limit_is_refused_on_both_sides() {
+fn payload_above_the_limit_is_rejected_by_sender_and_receiver() {
     let mut out = b"before".to_vec();
     assert_eq!(
         encode_frame_into(&mut out, VERSION, 0, &[0; 101], 100),
@@ -147,14 +160,14 @@
             limit: 100
         })
     );
-    let whole = encode_frame(
+    let longest = encode_frame(
         VERSION,
         0,
         &vec![7; lichenswitch_rpc::DEFAULT_PAYLOAD_LIMIT_BYTES],
     )
     .unwrap();
     let mut reader = FrameReader::new(VERSION);
-    reader.push(&whole);
+    reader.push(&longest);
     assert_matches!(reader.next_frame(), Ok(Some(frame)) if frame.payload.len() == 4 << 20);
     assert_matches!(
         encode_frame(VERSION, 0, &vec![7; (4 << 20) + 1]),
@@ -163,7 +176,7 @@
 }
 
 #[test]
-fn values_come_back_at_any_alignment() {
+fn values_are_decoded_at_any_alignment() {
     let messages = [
         Message::Empty,
         Message::Text {
@@ -183,7 +196,7 @@
 }
 
 #[test]
-fn any_bytes_are_a_value_or_an_error() {
+fn arbitrary_bytes_decode_to_a_value_or_an_error() {
     fn any(bytes: Vec<u8>) -> bool {
         let _ = decode::<Message>(&bytes);
         true
@@ -192,16 +205,16 @@
         text: String,
         list: Vec<(u64, Option<String>)>,
         changes: Vec<(usize, u8)>,
-        cut: usize,
+        start: usize,
     ) -> bool {
         for message in [Message::Text { text, flag: false }, Message::List(list)] {
             let mut bytes = encode(&message).unwrap();
-            for (place, change) in &changes {
-                let place = place % bytes.len();
-                bytes[place] ^= change;
+            for (position, change) in &changes {
+                let position = position % bytes.len();
+                bytes[position] ^= change;
             }
             let _ = decode::<Message>(&bytes);
-            let _ = decode::<Message>(&bytes[cut % bytes.len()..]);
+            let _ = decode::<Message>(&bytes[start % bytes.len()..]);
         }
         true
     }
--- a/wire/rpc/tests/calls.rs
+++ b/wire/rpc/tests/pending_calls.rs
@@ -1,13 +1,13 @@
-//! An answer goes to the call of its number, once.
+//! A response ends the call of its number, once.
 
 use std::collections::BTreeMap;
 
-use lichenswitch_rpc::Calls;
+use lichenswitch_rpc::PendingCalls;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 #[test]
-fn an_answer_ends_its_call_once_and_another_number_is_nobodys() {
-    let mut calls = Calls::new(100);
+fn response_ends_its_call_once_and_unknown_number_ends_none() {
+    let mut calls = PendingCalls::new(100);
     let (first, second) = (calls.begin(0, 10, "first"), calls.begin(1, 10, "second"));
     assert_eq!((first, second), (100, 101));
     assert_eq!(calls.finish(99), None);
@@ -21,8 +21,8 @@
 }
 
 #[test]
-fn an_answer_that_comes_after_its_deadline_is_nobodys() {
-    let mut calls = Calls::new(0);
+fn response_after_deadline_ends_no_call() {
+    let mut calls = PendingCalls::new(0);
     let late = calls.begin(0, 10, 'a');
     calls.begin(0, 20, 'c');
     calls.begin(0, 9, 'b');
@@ -34,8 +34,8 @@
 }
 
 #[test]
-fn numbers_go_on_past_the_highest() {
-    let mut calls = Calls::new(u64::MAX);
+fn numbers_wrap_around() {
+    let mut calls = PendingCalls::new(u64::MAX);
     assert_eq!(
         (calls.begin(0, 1, 'a'), calls.begin(0, 1, 'b')),
         (u64::MAX, 0)
@@ -44,48 +44,48 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Begin { lasts: u8 },
-    Finish { back: u8 },
-    Expire { later: u8 },
+    Begin { timeout: u8 },
+    Finish { age: u8 },
+    Expire { elapsed: u8 },
 }
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Self {
         let by = u8::arbitrary(g) % 8;
         match u8::arbitrary(g) % 3 {
-            0 => Step::Begin { lasts: by },
-            1 => Step::Finish { back: by },
-            _ => Step::Expire { later: by },
+            0 => Step::Begin { timeout: by },
+            1 => Step::Finish { age: by },
+            _ => Step::Expire { elapsed: by },
         }
     }
 }
 
 #[test]
-fn the_table_does_as_a_plain_map_does() {
+fn pending_calls_agree_with_a_plain_map() {
     fn holds(first: u64, steps: Vec<Step>) -> bool {
-        let (mut calls, mut plain, mut now) = (Calls::new(first), BTreeMap::new(), 0_u64);
-        let mut begun = 0_u64;
+        let (mut calls, mut model, mut now) = (PendingCalls::new(first), BTreeMap::new(), 0_u64);
+        let mut begun_count = 0_u64;
         steps.into_iter().all(|step| match step {
-            Step::Begin { lasts } => {
-                let id = calls.begin(now, now + u64::from(lasts), begun);
-                plain.insert(begun, now + u64::from(lasts));
-                begun += 1;
-                id == first.wrapping_add(begun - 1)
+            Step::Begin { timeout } => {
+                let id = calls.begin(now, now + u64::from(timeout), begun_count);
+                model.insert(begun_count, now + u64::from(timeout));
+                begun_count += 1;
+                id == first.wrapping_add(begun_count - 1)
             }
-            Step::Finish { back } => {
-                let which = begun.wrapping_sub(u64::from(back));
-                let expected = plain.remove(&which).map(|_| which);
-                calls.finish(first.wrapping_add(which)) == expected
+            Step::Finish { age } => {
+                let index = begun_count.wrapping_sub(u64::from(age));
+                let expected = model.remove(&index).map(|_| index);
+                calls.finish(first.wrapping_add(index)) == expected
             }
-            Step::Expire { later } => {
-                now += u64::from(later);
-                let mut expected: Vec<_> = plain.iter().map(|(id, at)| (*at, *id)).collect();
+            Step::Expire { elapsed } => {
+                now += u64::from(elapsed);
+                let mut expected: Vec<_> = model.iter().map(|(id, at)| (*at, *id)).collect();
                 expected.retain(|(at, _)| *at <= now);
-                plain.retain(|_, at| *at > now);
-                // By deadline, and among equals by number.
+                model.retain(|_, at| *at > now);
+                // By deadline, and at equal deadlines by number.
                 expected.sort_unstable_by_key(|(at, id)| (*at, first.wrapping_add(*id)));
                 let ids: Vec<_> = expected.into_iter().map(|(_, id)| id).collect();
-                calls.expire(now) == ids && calls.len() == plain.len()
+                calls.expire(now) == ids && calls.len() == model.len()
             }
         })
     }
