--- a/decide/backlog/src/backlog.rs
+++ b/decide/backlog/src/backlog.rs
@@ -1,113 +1,120 @@
-//! Work that waits at servers, summed over routers.
+//! Backlogs of servers, summed over routers.
 //!
-//! Each router reports, by server, the tokens of its requests that were sent there and have not
-//! begun to be answered. A control machine sums what its routers report, tells other control
-//! machines that sum, and its routers the sum over all control machines.
+//! Each router reports, by server, the prompt tokens of its requests that were sent there and have not
+//! begun to be answered. A control machine sums what its routers report, sends that sum to other
+//! control machines, and sends its routers the sum over all control machines.
 
 use lichenswitch_interface::ServerId;
 use std::collections::{BTreeMap, HashMap};
 
-/// Work that waits at a server (tokens). 0: nothing is known to wait.
+/// The backlog of a server (tokens). 0: nothing is known to be pending.
 pub type Backlog = u32;
-/// Servers whose backlog is another than was told last.
-pub type Changes = Vec<(ServerId, Backlog)>;
+/// Servers whose backlog has changed, with its new value.
+pub type BacklogChanges = Vec<(ServerId, Backlog)>;
 
-/// What one audience was told last.
+/// The backlogs that were last reported to one kind of receiver.
 #[derive(Debug, Default)]
-struct Told(BTreeMap<ServerId, Backlog>);
+struct LastReported(BTreeMap<ServerId, Backlog>);
 
-/// Sums of what sources report. `S` names a source: a router, or another control machine.
+/// Sums of the backlogs that sources report. `S` identifies a source: a router, or another control
+/// machine.
 #[derive(Debug)]
 pub struct BacklogTable<S> {
-    routers: HashMap<S, BTreeMap<ServerId, Backlog>>,
-    peers: HashMap<S, BTreeMap<ServerId, Backlog>>,
-    to_peers: Told,
-    to_routers: Told,
-    changed: bool,
+    /// What each router reported last.
+    by_router: HashMap<S, BTreeMap<ServerId, Backlog>>,
+    /// What each control machine reported last.
+    by_peer: HashMap<S, BTreeMap<ServerId, Backlog>>,
+    /// Sent to other control machines.
+    last_to_peers: LastReported,
+    /// Sent to routers.
+    last_to_routers: LastReported,
+    has_changed: bool,
 }
 
 impl<S> Default for BacklogTable<S> {
     fn default() -> Self {
         BacklogTable {
-            routers: HashMap::new(),
-            peers: HashMap::new(),
-            to_peers: Told::default(),
-            to_routers: Told::default(),
-            changed: false,
+            by_router: HashMap::new(),
+            by_peer: HashMap::new(),
+            last_to_peers: LastReported::default(),
+            last_to_routers: LastReported::default(),
+            has_changed: false,
         }
     }
 }
 
 impl<S: Eq + std::hash::Hash> BacklogTable<S> {
-    /// A router reports these; what it reported of others stands.
+    /// A router reports these backlogs. What it reported of other servers stays.
     pub fn on_router_report(&mut self, source: S, changes: &[(ServerId, Backlog)]) {
-        apply(self.routers.entry(source).or_default(), changes);
-        self.changed = true;
+        apply(self.by_router.entry(source).or_default(), changes);
+        self.has_changed = true;
     }
 
-    /// Another control machine reports these sums of its routers; what it reported of others
-    /// stands.
+    /// Another control machine reports these sums over its routers. What it reported of other servers
+    /// stays.
     pub fn on_peer_report(&mut self, source: S, changes: &[(ServerId, Backlog)]) {
-        apply(self.peers.entry(source).or_default(), changes);
-        self.changed = true;
+        apply(self.by_peer.entry(source).or_default(), changes);
+        self.has_changed = true;
     }
 
-    /// A source is gone, and what it reported with it.
+    /// A source is lost: what it reported is removed.
     pub fn on_lost(&mut self, source: &S) {
-        self.changed |= self.routers.remove(source).is_some() | self.peers.remove(source).is_some();
+        self.has_changed |=
+            self.by_router.remove(source).is_some() | self.by_peer.remove(source).is_some();
     }
 
-    /// Whether anything was reported since changes were last taken.
+    /// Whether anything was reported since [`BacklogTable::take_changes`].
     #[must_use]
     pub fn has_changed(&self) -> bool {
-        self.changed
+        self.has_changed
     }
 
-    /// What other control machines, and what routers, are to be told now.
-    pub fn take_changes(&mut self) -> (Changes, Changes) {
-        self.changed = false;
+    /// The changes to be sent now to other control machines, and to routers.
+    pub fn take_changes(&mut self) -> (BacklogChanges, BacklogChanges) {
+        self.has_changed = false;
         let mut sums = BTreeMap::new();
-        self.routers
+        self.by_router
             .values()
             .for_each(|reported| add(&mut sums, reported));
-        let to_peers = self.to_peers.update(&sums);
-        self.peers
+        let to_peers = self.last_to_peers.update(&sums);
+        self.by_peer
             .values()
             .for_each(|reported| add(&mut sums, reported));
-        (to_peers, self.to_routers.update(&sums))
+        (to_peers, self.last_to_routers.update(&sums))
     }
 
-    /// All that other control machines have been told: for one that has just connected.
+    /// All that was sent to other control machines: for one that has just connected.
     #[must_use]
-    pub fn whole_for_peer(&self) -> Changes {
-        self.to_peers.whole()
+    pub fn snapshot_for_peer(&self) -> BacklogChanges {
+        self.last_to_peers.snapshot()
     }
 
-    /// All that routers have been told: for one that has just connected.
+    /// All that was sent to routers: for one that has just connected.
     #[must_use]
-    pub fn whole_for_router(&self) -> Changes {
-        self.to_routers.whole()
+    pub fn snapshot_for_router(&self) -> BacklogChanges {
+        self.last_to_routers.snapshot()
     }
 }
 
-impl Told {
-    fn update(&mut self, sums: &BTreeMap<ServerId, Backlog>) -> Changes {
-        let gone = self
+impl LastReported {
+    /// Replaces it by these sums; returns what has changed, with 0 for what is gone.
+    fn update(&mut self, sums: &BTreeMap<ServerId, Backlog>) -> BacklogChanges {
+        let ended = self
             .0
             .keys()
             .filter(|server| !sums.contains_key(server))
             .map(|server| (*server, 0));
-        let mut changes: Changes = gone.collect();
+        let mut changes: BacklogChanges = ended.collect();
         changes.extend(
             sums.iter()
-                .map(|(s, b)| (*s, *b))
-                .filter(|(s, b)| self.0.get(s) != Some(b)),
+                .map(|(server, backlog)| (*server, *backlog))
+                .filter(|(server, backlog)| self.0.get(server) != Some(backlog)),
         );
         apply(&mut self.0, &changes);
         changes
     }
 
-    fn whole(&self) -> Changes {
+    fn snapshot(&self) -> BacklogChanges {
         self.0
             .iter()
             .map(|(server, backlog)| (*server, *backlog))
@@ -115,6 +122,7 @@
     }
 }
 
+/// Applies changes to a table, in which 0 is no entry.
 fn apply(known: &mut BTreeMap<ServerId, Backlog>, changes: &[(ServerId, Backlog)]) {
     for (server, backlog) in changes {
         match backlog {
@@ -124,6 +132,7 @@
     }
 }
 
+/// Adds what one source reported.
 fn add(sums: &mut BTreeMap<ServerId, Backlog>, reported: &BTreeMap<ServerId, Backlog>) {
     for (server, backlog) in reported {
         let sum = sums.entry(*server).or_insert(0);
--- a/decide/backlog/src/backlog/tests.rs
+++ b/decide/backlog/src/backlog/tests.rs
@@ -31,7 +31,7 @@
     assert_eq!(table.take_changes(), (vec![(A, 0)], vec![(A, 0)]));
     table.on_lost(&"peer");
     assert_eq!(table.take_changes(), (vec![], vec![(B, 0)]));
-    table.on_lost(&"nobody");
+    table.on_lost(&"unknown");
     assert!(!table.has_changed());
 }
 
@@ -43,15 +43,15 @@
     assert_eq!(table.take_changes().1, vec![(A, u32::MAX)]);
 }
 
-/// Whoever follows the changes, or gets the whole at any time and follows from there, knows the
-/// same as whoever sums all reports.
+/// A receiver that follows the changes, or gets a snapshot at any time and follows from there, knows the
+/// same as the sum of all reports.
 #[test]
 fn changes_and_snapshot_lead_to_same_table() {
     for seed in 0..200 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut table = BacklogTable::default();
         let mut reported: HashMap<u8, BTreeMap<ServerId, Backlog>> = HashMap::new();
-        let (mut peers_know, mut routers_know) = (BTreeMap::new(), BTreeMap::new());
+        let (mut known_to_peers, mut known_to_routers) = (BTreeMap::new(), BTreeMap::new());
         for _ in 0..200 {
             let source = rng.u8(..6);
             match rng.u8(..10) {
@@ -60,14 +60,14 @@
                     reported.remove(&source);
                 }
                 1 => {
-                    (peers_know, routers_know) = (BTreeMap::new(), BTreeMap::new());
-                    apply(&mut peers_know, &table.whole_for_peer());
-                    apply(&mut routers_know, &table.whole_for_router());
+                    (known_to_peers, known_to_routers) = (BTreeMap::new(), BTreeMap::new());
+                    apply(&mut known_to_peers, &table.snapshot_for_peer());
+                    apply(&mut known_to_routers, &table.snapshot_for_router());
                 }
                 2 | 3 => {
                     let (to_peers, to_routers) = table.take_changes();
-                    apply(&mut peers_know, &to_peers);
-                    apply(&mut routers_know, &to_routers);
+                    apply(&mut known_to_peers, &to_peers);
+                    apply(&mut known_to_routers, &to_routers);
                 }
                 _ => {
                     let changes = [(ServerId(rng.u32(..5)), rng.u32(..3) * 10)];
@@ -81,8 +81,8 @@
             }
         }
         let (to_peers, to_routers) = table.take_changes();
-        apply(&mut peers_know, &to_peers);
-        apply(&mut routers_know, &to_routers);
+        apply(&mut known_to_peers, &to_peers);
+        apply(&mut known_to_routers, &to_routers);
         let sum = |wanted: &dyn Fn(u8) -> bool| {
             let mut sums = BTreeMap::new();
             reported
@@ -91,7 +91,7 @@
                 .for_each(|(_, r)| add(&mut sums, r));
             sums
         };
-        assert_eq!(peers_know, sum(&|source| source < 3), "seed {seed}");
-        assert_eq!(routers_know, sum(&|_| true), "seed {seed}");
+        assert_eq!(known_to_peers, sum(&|source| source < 3), "seed {seed}");
+        assert_eq!(known_to_routers, sum(&|_| true), "seed {seed}");
     }
 }
--- a/fleet/src/control/backlog_handler.rs
+++ b/fleet/src/control/backlog_handler.rs
@@ -8,7 +8,7 @@
 use super::clock::after;
 use super::internal_connections::RemoteRole;
 use super::node::ControlNode;
-use lichenswitch_backlog::Changes;
+use lichenswitch_backlog::BacklogChanges;
 use lichenswitch_interface::{ServerId, Time};
 use lichenswitch_messages::{BacklogReport, ServerBacklog};
 use lichenswitch_net::ConnId;
@@ -22,7 +22,7 @@
 impl ControlNode {
     /// A router, or another control machine, reports its backlogs.
     pub(super) fn on_backlog_report(&mut self, id: ConnId, report: &BacklogReport) {
-        let changes: Changes = report
+        let changes: BacklogChanges = report
             .servers
             .iter()
             .map(|backlog| (ServerId(backlog.server), backlog.tokens))
@@ -56,7 +56,7 @@
             .collect();
         if self.backlogs.next_snapshot_at <= now {
             self.backlogs.next_snapshot_at = after(now, SNAPSHOT_INTERVAL);
-            let servers = self.backlogs.table.whole_for_peer();
+            let servers = self.backlogs.table.snapshot_for_peer();
             self.send_backlog_report(&peers, &backlog_report(true, servers));
         } else if !to_peers.is_empty() {
             self.send_backlog_report(&peers, &backlog_report(false, to_peers));
@@ -69,7 +69,7 @@
 
     /// Sends a router that has connected all that is known.
     pub(super) fn send_known_backlogs(&mut self, id: ConnId) {
-        let known = self.backlogs.table.whole_for_router();
+        let known = self.backlogs.table.snapshot_for_router();
         if !known.is_empty() {
             self.send_backlog_report(&[id], &backlog_report(true, known));
         }
@@ -87,7 +87,7 @@
     }
 }
 
-fn backlog_report(is_complete: bool, changes: Changes) -> BacklogReport {
+fn backlog_report(is_complete: bool, changes: BacklogChanges) -> BacklogReport {
     let servers = changes
         .into_iter()
         .map(|(server, tokens)| ServerBacklog {
--- a/fleet/src/router/server_connections/in_flight.rs
+++ b/fleet/src/router/server_connections/in_flight.rs
@@ -108,16 +108,16 @@
                 if scanner.push(bytes).is_err() {
                     return ReadOutcome::Mismatch;
                 }
-                let complete_bytes = scanner.whole().len();
+                let complete_bytes = scanner.complete().len();
                 // Comments before the first event are forwarded with it.
                 if complete_bytes == 0
                     || (head.is_some()
                         && scanner.last_event_id().is_none()
-                        && !has_field(scanner.whole()))
+                        && !has_field(scanner.complete()))
                 {
                     return ReadOutcome::Incomplete;
                 }
-                let chunk = body_chunk(scanner.whole().to_vec(), scanner.last_event_id());
+                let chunk = body_chunk(scanner.complete().to_vec(), scanner.last_event_id());
                 scanner.advance(complete_bytes);
                 ReadOutcome::Event(match head.take() {
                     Some(head) => stream_started(id, *head, None, chunk),
@@ -189,5 +189,5 @@
 
 /// All that the scanner has not given out: complete events and a last incomplete one.
 pub(crate) fn remaining_bytes(scanner: &Scanner) -> Vec<u8> {
-    [scanner.whole(), scanner.partial()].concat()
+    [scanner.complete(), scanner.partial()].concat()
 }
--- a/wire/event_stream/tests/scanner.rs
+++ b/wire/event_stream/tests/scanner.rs
@@ -1,59 +1,61 @@
-//! Events, ids and bytes are the same wherever a stream is cut.
+//! Events, ids and bytes are the same however a stream is split.
 
 use lichenswitch_event_stream::{Event, ScanError, Scanner};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
-/// All that a scanner tells of a stream.
+/// All that a scanner reports of a stream.
 #[derive(Debug, Default, PartialEq, Eq)]
-struct Told {
+struct ScanResult {
     events: Vec<(Option<Vec<u8>>, Option<u64>)>,
-    whole: Vec<u8>,
+    complete: Vec<u8>,
     partial: Vec<u8>,
     last_event_id: Option<Vec<u8>>,
     error: Option<ScanError>,
 }
 
-/// Scans chunks; `take` says how much of what is whole is passed on after each.
-fn scan(chunks: &[&[u8]], limit: usize, take: impl Fn(usize) -> usize) -> Told {
-    let (mut scanner, mut told) = (Scanner::new(limit), Told::default());
+/// Scans chunks; `take` says how many of the complete bytes are forwarded after each.
+fn scan(chunks: &[&[u8]], limit: usize, take: impl Fn(usize) -> usize) -> ScanResult {
+    let (mut scanner, mut result) = (Scanner::new(limit), ScanResult::default());
     for chunk in chunks {
         let mut count = 0;
-        let pushed = scanner.push_each(chunk, |Event { id, versions }| {
-            told.events.push((id.map(<[u8]>::to_vec), versions));
+        let outcome = scanner.push_each(chunk, |Event { id, versions }| {
+            result.events.push((id.map(<[u8]>::to_vec), versions));
             count += 1;
         });
-        match pushed {
-            Ok(pushed) => assert_eq!(
-                (pushed.events, pushed.whole_bytes),
-                (count, scanner.whole().len())
+        match outcome {
+            Ok(outcome) => assert_eq!(
+                (outcome.events, outcome.complete_bytes),
+                (count, scanner.complete().len())
             ),
-            Err(error) => told.error = Some(error),
+            Err(error) => result.error = Some(error),
         }
-        let taken = take(scanner.whole().len());
-        told.whole.extend_from_slice(&scanner.whole()[..taken]);
+        let taken = take(scanner.complete().len());
+        result
+            .complete
+            .extend_from_slice(&scanner.complete()[..taken]);
         scanner.advance(taken);
     }
-    told.whole.extend_from_slice(scanner.whole());
-    told.partial = scanner.partial().to_vec();
-    told.last_event_id = scanner.last_event_id().map(<[u8]>::to_vec);
-    told
+    result.complete.extend_from_slice(scanner.complete());
+    result.partial = scanner.partial().to_vec();
+    result.last_event_id = scanner.last_event_id().map(<[u8]>::to_vec);
+    result
 }
 
-fn scan_whole(stream: &[u8]) -> Told {
+fn scan_unsplit(stream: &[u8]) -> ScanResult {
     scan(&[stream], 1 << 16, |_| 0)
 }
 
-fn ids(told: &Told) -> Vec<Option<&[u8]>> {
-    told.events.iter().map(|(id, _)| id.as_deref()).collect()
+fn ids(result: &ScanResult) -> Vec<Option<&[u8]>> {
+    result.events.iter().map(|(id, _)| id.as_deref()).collect()
 }
 
-/// A stream made of pieces that matter to a scanner.
+/// A stream of fragments that matter to a scanner.
 #[derive(Clone, Debug)]
 struct Stream(Vec<u8>);
 
 impl Arbitrary for Stream {
     fn arbitrary(g: &mut Gen) -> Self {
-        const PIECES: &[&[u8]] = &[
+        const FRAGMENTS: &[&[u8]] = &[
             b"\n",
             b"\r",
             b"\r\n",
@@ -77,7 +79,7 @@
         let length = usize::arbitrary(g) % 24;
         Stream(
             (0..length)
-                .flat_map(|_| g.choose(PIECES).copied().unwrap_or_default().to_vec())
+                .flat_map(|_| g.choose(FRAGMENTS).copied().unwrap_or_default().to_vec())
                 .collect(),
         )
     }
@@ -87,12 +89,15 @@
     }
 }
 
-/// A stream cut at these places.
-fn cut<'a>(stream: &'a [u8], cuts: &[usize]) -> Vec<&'a [u8]> {
-    let mut places: Vec<usize> = cuts.iter().map(|cut| cut % (stream.len() + 1)).collect();
-    places.extend([0, stream.len()]);
-    places.sort_unstable();
-    places
+/// A stream that is split at these offsets.
+fn split<'a>(stream: &'a [u8], positions: &[usize]) -> Vec<&'a [u8]> {
+    let mut offsets: Vec<usize> = positions
+        .iter()
+        .map(|split| split % (stream.len() + 1))
+        .collect();
+    offsets.extend([0, stream.len()]);
+    offsets.sort_unstable();
+    offsets
         .windows(2)
         .map(|pair| &stream[pair[0]..pair[1]])
         .collect()
@@ -102,14 +107,14 @@
 fn all_line_endings_end_events() {
     for end in ["\n", "\r\n", "\r"] {
         let stream = format!("id: 1{end}data: a{end}{end}id: 2{end}data: b{end}{end}data: c{end}");
-        let told = scan_whole(stream.as_bytes());
+        let result = scan_unsplit(stream.as_bytes());
         assert_eq!(
-            ids(&told),
+            ids(&result),
             [Some(&b"1"[..]), Some(b"2")],
             "line end {end:?}"
         );
         assert_eq!(
-            told.partial,
+            result.partial,
             format!("data: c{end}").as_bytes(),
             "line end {end:?}"
         );
@@ -119,11 +124,11 @@
 #[test]
 fn split_line_ending_belongs_to_its_event() {
     let mut scanner = Scanner::new(64);
-    assert_eq!(scanner.push(b"data: a\r\n\r").unwrap().whole_bytes, 10);
+    assert_eq!(scanner.push(b"data: a\r\n\r").unwrap().complete_bytes, 10);
     scanner.advance(10);
-    let pushed = scanner.push(b"\ndata").unwrap();
+    let outcome = scanner.push(b"\ndata").unwrap();
     assert_eq!(
-        (pushed.events, scanner.whole(), scanner.partial()),
+        (outcome.events, scanner.complete(), scanner.partial()),
         (0, &b"\n"[..], &b"data"[..])
     );
 }
@@ -143,24 +148,32 @@
 #[test]
 fn last_id_wins_and_id_with_zero_byte_is_ignored() {
     assert_eq!(
-        ids(&scan_whole(b"id: 1\nid:2\n\nid: 3\nid: 4\0\n\nid\n\n")),
+        ids(&scan_unsplit(b"id: 1\nid:2\n\nid: 3\nid: 4\0\n\nid\n\n")),
         [Some(&b"2"[..]), Some(b"3"), Some(b"")]
     );
 }
 
 #[test]
 fn versions_field_counts_only_as_first_line() {
-    let told =
-        scan_whole(b"versions: 3\nid: 1\n\nid: 2\nversions: 4\n\nversions:5\n\nversions: 6x\n\n");
-    let versions: Vec<_> = told.events.iter().map(|(_, versions)| *versions).collect();
+    let result =
+        scan_unsplit(b"versions: 3\nid: 1\n\nid: 2\nversions: 4\n\nversions:5\n\nversions: 6x\n\n");
+    let versions: Vec<_> = result
+        .events
+        .iter()
+        .map(|(_, versions)| *versions)
+        .collect();
     assert_eq!(versions, [Some(3), None, Some(5), None]);
 }
 
 #[test]
 fn comments_are_forwarded_and_are_no_events() {
-    let told = scan_whole(b": keep\n\n\n\n:\ndata: a\n\n");
+    let result = scan_unsplit(b": keep\n\n\n\n:\ndata: a\n\n");
     assert_eq!(
-        (told.events.len(), told.whole.len(), told.partial.len()),
+        (
+            result.events.len(),
+            result.complete.len(),
+            result.partial.len()
+        ),
         (1, 21, 0)
     );
 }
@@ -168,20 +181,20 @@
 #[test]
 fn byte_order_mark_hides_no_id() {
     assert_eq!(
-        ids(&scan_whole(b"\xef\xbb\xbfid: 1\n\n")),
+        ids(&scan_unsplit(b"\xef\xbb\xbfid: 1\n\n")),
         [Some(&b"1"[..])]
     );
 }
 
 #[test]
 fn event_over_limit_is_an_error_and_earlier_ones_are_complete() {
-    let told = scan(&[b"id: 1\n\ndata: 0123456789\n\nid: 2\n\n"], 10, |_| 0);
+    let result = scan(&[b"id: 1\n\ndata: 0123456789\n\nid: 2\n\n"], 10, |_| 0);
     assert_eq!(
-        (told.whole.as_slice(), told.events.len()),
+        (result.complete.as_slice(), result.events.len()),
         (&b"id: 1\n\n"[..], 1)
     );
     assert_eq!(
-        told.error,
+        result.error,
         Some(ScanError::EventTooLong { limit_bytes: 10 })
     );
 }
@@ -197,13 +210,13 @@
 
 #[test]
 fn any_split_gives_same_events() {
-    fn holds(stream: Stream, cuts: Vec<usize>, share: usize) -> bool {
-        let told = scan(&cut(&stream.0, &cuts), 1 << 16, |whole| {
-            whole * (share % 4) / 3
+    fn holds(stream: Stream, positions: Vec<usize>, share: usize) -> bool {
+        let result = scan(&split(&stream.0, &positions), 1 << 16, |complete| {
+            complete * (share % 4) / 3
         });
-        let mut all = told.whole.clone();
-        all.extend_from_slice(&told.partial);
-        told == scan_whole(&stream.0) && all == stream.0
+        let mut all = result.complete.clone();
+        all.extend_from_slice(&result.partial);
+        result == scan_unsplit(&stream.0) && all == stream.0
     }
     QuickCheck::new()
         .tests(50_000)
@@ -214,7 +227,7 @@
 fn split_after_each_byte_gives_same_events() {
     fn holds(stream: Stream) -> bool {
         let bytes: Vec<&[u8]> = stream.0.chunks(1).collect();
-        scan(&bytes, 1 << 16, |whole| whole) == scan_whole(&stream.0)
+        scan(&bytes, 1 << 16, |complete| complete) == scan_unsplit(&stream.0)
     }
     QuickCheck::new()
         .tests(20_000)
@@ -223,13 +236,14 @@
 
 #[test]
 fn limit_applies_to_same_event_at_any_split() {
-    fn holds(stream: Stream, cuts: Vec<usize>, limit: usize) -> bool {
+    fn holds(stream: Stream, positions: Vec<usize>, limit: usize) -> bool {
         let limit = limit % 40;
-        let (cut, whole) = (
-            scan(&cut(&stream.0, &cuts), limit, |whole| whole),
+        let (split, complete) = (
+            scan(&split(&stream.0, &positions), limit, |complete| complete),
             scan(&[&stream.0], limit, |_| 0),
         );
-        (cut.events, cut.whole, cut.error) == (whole.events, whole.whole, whole.error)
+        (split.events, split.complete, split.error)
+            == (complete.events, complete.complete, complete.error)
     }
     QuickCheck::new()
         .tests(50_000)
@@ -238,8 +252,8 @@
 
 #[test]
 fn arbitrary_bytes_are_scanned() {
-    fn holds(stream: Vec<u8>, cuts: Vec<usize>) -> bool {
-        scan(&cut(&stream, &cuts), 1 << 16, |whole| whole) == scan_whole(&stream)
+    fn holds(stream: Vec<u8>, positions: Vec<usize>) -> bool {
+        scan(&split(&stream, &positions), 1 << 16, |complete| complete) == scan_unsplit(&stream)
     }
     QuickCheck::new()
         .tests(20_000)
