--- a/decide/configuration/src/evaluation/tests.rs
+++ b/decide/configuration/src/evaluation/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of `evaluation`.
 
 use super::*;
-use crate::order::{REPLACE_PATH, UPDATE_PATH};
+use crate::order::tests::{replace, update};
 use assert_matches::assert_matches;
 
 /// A configuration of one route, distinguished from others of its version by the time-out.
@@ -11,22 +11,6 @@
     )
 }
 
-fn replace(base_version: u64, body: &str) -> Order {
-    Order {
-        path: REPLACE_PATH.to_owned(),
-        base_version,
-        body: body.as_bytes().to_vec(),
-    }
-}
-
-fn update(base_version: u64, body: &str) -> Order {
-    Order {
-        path: UPDATE_PATH.to_owned(),
-        base_version,
-        body: body.as_bytes().to_vec(),
-    }
-}
-
 /// Evaluates an order, applies its change, and returns the verdict.
 fn submit(state: &mut State, order: &Order) -> Verdict {
     let verdict = evaluate(state, order);
--- a/decide/configuration/src/order.rs
+++ b/decide/configuration/src/order.rs
@@ -99,4 +99,4 @@
 }
 
 #[cfg(test)]
-mod tests;
+pub(crate) mod tests;
--- a/decide/configuration/src/order/tests.rs
+++ b/decide/configuration/src/order/tests.rs
@@ -2,7 +2,8 @@
 
 use super::*;
 
-fn replace(base_version: u64, body: &str) -> Order {
+/// An order that brings a configuration.
+pub(crate) fn replace(base_version: u64, body: &str) -> Order {
     Order {
         path: REPLACE_PATH.to_owned(),
         base_version,
@@ -10,7 +11,8 @@
     }
 }
 
-fn update(base_version: u64, body: &str) -> Order {
+/// An order that changes items.
+pub(crate) fn update(base_version: u64, body: &str) -> Order {
     Order {
         path: UPDATE_PATH.to_owned(),
         base_version,
--- a/decide/quota/src/allowances.rs
+++ b/decide/quota/src/allowances.rs
@@ -6,38 +6,14 @@
 
 mod tenant;
 
+use crate::admission::{AdmissionDecision, AdmissionOutcome, RETRY_AFTER_US};
 use crate::lease::{LeaseGrant, LeaseRequest};
 use crate::tenant_quota::{QuotaBounds, TenantQuota};
 use lichenswitch_configuration::Tenant;
-use lichenswitch_interface::{Micros, Time};
+use lichenswitch_interface::Time;
 use std::collections::HashMap;
 use tenant::TenantAllowance;
 
-/// Advice where too many requests are queued, or no control machine responds (microseconds).
-const RETRY_AFTER_US: Micros = 100_000;
-
-/// What becomes of a request.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AdmissionOutcome {
-    /// It is admitted; its lease is valid until then.
-    Admitted(Time),
-    /// It is queued for a lease.
-    Queued,
-    /// It exceeds the quota; when to retry (microseconds).
-    OverQuota(Micros),
-    /// No decision is possible now; when to retry (microseconds).
-    Unavailable(Micros),
-}
-
-/// The decision on a request that was queued. `R` identifies requests.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AdmissionDecision<R> {
-    /// Which request.
-    pub request: R,
-    /// Its outcome; never [`AdmissionOutcome::Queued`].
-    pub outcome: AdmissionOutcome,
-}
-
 /// The allowances of all tenants that have sent requests to this router. `R` identifies requests.
 pub struct Allowances<R> {
     bounds: QuotaBounds,
--- a/decide/quota/src/allowances/tenant.rs
+++ b/decide/quota/src/allowances/tenant.rs
@@ -1,6 +1,6 @@
 //! The allowance of one tenant at a router.
 
-use super::{AdmissionDecision, AdmissionOutcome, RETRY_AFTER_US};
+use crate::admission::{AdmissionDecision, AdmissionOutcome, RETRY_AFTER_US};
 use crate::lease::{LeaseGrant, LeaseRequest, MAX_AMOUNTS};
 use lichenswitch_configuration::QuotaUnit;
 use lichenswitch_interface::{Micros, Time};
--- a/decide/quota/src/allowances/tests.rs
+++ b/decide/quota/src/allowances/tests.rs
@@ -3,6 +3,7 @@
 use super::*;
 use crate::lease::MAX_AMOUNTS;
 use lichenswitch_configuration::Document;
+use lichenswitch_interface::Micros;
 use std::time::Duration;
 
 const BOUNDS: QuotaBounds = QuotaBounds {
--- a/decide/quota/src/buckets.rs
+++ b/decide/quota/src/buckets.rs
@@ -10,21 +10,12 @@
 use lichenswitch_interface::{Micros, Time};
 use std::collections::HashMap;
 
+pub use bucket::BucketUsage;
+
 /// Advice where this machine owns no shard, or doesn't know the tenant as it is requested
 /// (microseconds).
 const NO_SHARD_RETRY_AFTER_US: Micros = 200_000;
 
-/// What a tenant has used of the shards here, for operators.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct BucketUsage {
-    /// Units granted so far.
-    pub granted: f64,
-    /// Number of amounts that were not granted.
-    pub denied: u64,
-    /// Level of the bucket now (units); below 0 while in debt.
-    pub level: f64,
-}
-
 /// The buckets of a machine.
 ///
 /// They begin in the deepest debt, since an earlier owner may have granted that much a moment ago;
--- a/decide/quota/src/buckets/bucket.rs
+++ b/decide/quota/src/buckets/bucket.rs
@@ -1,6 +1,5 @@
 //! The token bucket of one shard, and the audit of what it grants.
 
-use super::BucketUsage;
 use crate::lease::{LeaseGrant, LeaseRequest, MAX_AMOUNTS};
 use crate::ownership::{BucketShard, ShardOwnership};
 use crate::tenant_quota::TenantQuota;
@@ -48,6 +47,17 @@
     }
 }
 
+/// What a tenant has used of the shards here, for operators.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct BucketUsage {
+    /// Units granted so far.
+    pub granted: f64,
+    /// Number of amounts that were not granted.
+    pub denied: u64,
+    /// Level of the bucket now (units); below 0 while in debt.
+    pub level: f64,
+}
+
 /// A token bucket.
 #[derive(Clone, Debug)]
 pub(super) struct Bucket {
--- a/decide/quota/src/lib.rs
+++ b/decide/quota/src/lib.rs
@@ -22,6 +22,7 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod admission;
 mod allowances;
 mod buckets;
 mod lease;
@@ -29,7 +30,8 @@
 mod ownership;
 mod tenant_quota;
 
-pub use allowances::{AdmissionDecision, AdmissionOutcome, Allowances};
+pub use admission::{AdmissionDecision, AdmissionOutcome};
+pub use allowances::Allowances;
 pub use buckets::{BucketUsage, Buckets};
 pub use lease::{LeaseGrant, LeaseRequest, MAX_AMOUNTS};
 pub use lease_requests::{LeaseAction, LeaseContext, LeaseRequests};
--- a/decide/registry/src/lib.rs
+++ b/decide/registry/src/lib.rs
@@ -19,12 +19,14 @@
 mod membership_leases;
 mod merge;
 mod table;
+mod timing;
 
 pub use changes::Changes;
 pub use heartbeat::{Heartbeat, HeartbeatError, MAX_HEARTBEAT_BYTES};
 pub use membership_leases::{Member, MembershipLeases};
 pub use merge::{merge_pushed_record, merge_record, tombstone};
-pub use table::{
-    Registry, ADDRESS_CONFLICT_INTERVALS, EXPIRY_AFTER_US, SNAPSHOT_TOMBSTONE_MAX_AGE_US,
+pub use table::Registry;
+pub use timing::{
+    ADDRESS_CONFLICT_INTERVALS, EXPIRY_AFTER_US, SNAPSHOT_TOMBSTONE_MAX_AGE_US,
     SUSPECT_AFTER_INTERVALS, TOMBSTONE_RETENTION_US,
 };
--- a/decide/registry/src/table.rs
+++ b/decide/registry/src/table.rs
@@ -9,20 +9,10 @@
 use crate::changes::Changes;
 use crate::heartbeat::Heartbeat;
 use crate::merge::{merge_record, normalized, tombstone};
+use crate::timing::{SNAPSHOT_TOMBSTONE_MAX_AGE_US, TICKS_PER_INTERVAL};
 use lichenswitch_messages::{ServerRecord, ServerState};
 use std::collections::{BTreeSet, HashMap};
 
-pub use address_conflicts::ADDRESS_CONFLICT_INTERVALS;
-pub use timeouts::{EXPIRY_AFTER_US, SUSPECT_AFTER_INTERVALS, TOMBSTONE_RETENTION_US};
-
-/// Greatest age at which a tombstone is part of a snapshot (microseconds). Less than
-/// [`TOMBSTONE_RETENTION_US`], so that machines don't send each other for ever what both have
-/// dropped.
-pub const SNAPSHOT_TOMBSTONE_MAX_AGE_US: u64 = 60_000_000;
-
-/// Ticks of the table in a heartbeat interval: a decision is late by a quarter of it at most.
-const TICKS_PER_INTERVAL: u64 = 4;
-
 /// A server, with when its last heartbeat came.
 #[derive(Clone, Debug)]
 struct Entry {
@@ -244,32 +234,26 @@
         }
     }
 
+    /// A server that becomes known by an update.
     fn insert_new(&mut self, now: u64, update: &ServerRecord) -> Changes {
         let record = ServerRecord {
             is_suspect: false,
             ..normalized(update)
         };
-        if record.state != ServerState::Gone && self.live_at(&record.address).next().is_some() {
-            self.contested_addresses.insert(record.address.clone());
-        }
         let mut changes = Changes::default();
         changes.push_replicated(&record);
-        let entry = Entry {
+        self.insert(Entry {
             record,
             last_seen_us: now,
             is_due_in_digest: false,
             is_cached: false,
-        };
-        self.entries.insert(update.instance.clone(), entry);
+        });
         changes
     }
 
     /// A server that was stored before the start: it may still serve, unless it was gone.
-    fn insert_cached(&mut self, now: u64, update: &ServerRecord) -> Changes {
-        let record = normalized(update);
-        if record.state != ServerState::Gone && self.live_at(&record.address).next().is_some() {
-            self.contested_addresses.insert(record.address.clone());
-        }
+    fn insert_cached(&mut self, now: u64, stored: &ServerRecord) -> Changes {
+        let record = normalized(stored);
         let mut changes = Changes::default();
         changes.push_local(&record);
         let elapsed_us = if record.is_suspect {
@@ -277,17 +261,23 @@
         } else {
             0
         };
-        let last_seen_us = now.saturating_sub(elapsed_us);
-        let entry = Entry {
+        self.insert(Entry {
             record,
-            last_seen_us,
+            last_seen_us: now.saturating_sub(elapsed_us),
             is_due_in_digest: false,
             is_cached: true,
-        };
-        self.entries.insert(update.instance.clone(), entry);
+        });
         changes
     }
 
+    fn insert(&mut self, entry: Entry) {
+        if entry.is_live() && self.live_at(&entry.record.address).next().is_some() {
+            self.contested_addresses
+                .insert(entry.record.address.clone());
+        }
+        self.entries.insert(entry.record.instance.clone(), entry);
+    }
+
     /// A newer update shows that a heartbeat came somewhere. Only what matters to others is sent on:
     /// a heartbeat that repeats the one before is not.
     fn update_known(&mut self, now: u64, update: &ServerRecord) -> Changes {
--- a/decide/registry/src/table/address_conflicts.rs
+++ b/decide/registry/src/table/address_conflicts.rs
@@ -3,13 +3,9 @@
 use super::{Entry, Registry};
 use crate::changes::Changes;
 use crate::merge::tombstone;
+use crate::timing::ADDRESS_CONFLICT_INTERVALS;
 use lichenswitch_messages::ServerRecord;
 
-/// Heartbeat intervals: an instance is gone when its last heartbeat precedes that of another
-/// instance at its address by so many. A heartbeat may be delayed by seconds, so the first one of an
-/// unknown instance may be the last one of an instance that has ended.
-pub const ADDRESS_CONFLICT_INTERVALS: u64 = 3;
-
 impl Registry {
     fn conflict_after_us(&self) -> u64 {
         self.heartbeat_interval_us
--- a/decide/registry/src/table/tests.rs
+++ b/decide/registry/src/table/tests.rs
@@ -1,6 +1,7 @@
 //! Tests of `table`.
 
 use super::*;
+use crate::timing::{ADDRESS_CONFLICT_INTERVALS, EXPIRY_AFTER_US, TOMBSTONE_RETENTION_US};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 /// Seed of the random tests: a failure comes again with the same command.
--- a/decide/registry/src/table/timeouts.rs
+++ b/decide/registry/src/table/timeouts.rs
@@ -3,19 +3,9 @@
 
 use super::Registry;
 use crate::changes::Changes;
+use crate::timing::{EXPIRY_AFTER_US, SUSPECT_AFTER_INTERVALS, TOMBSTONE_RETENTION_US};
 use lichenswitch_messages::ServerRecord;
 
-/// Heartbeat intervals without a heartbeat after which a server is suspect: a last resort for
-/// routers.
-pub const SUSPECT_AFTER_INTERVALS: u64 = 5;
-
-/// Time without a heartbeat after which a server is dropped (microseconds).
-pub const EXPIRY_AFTER_US: u64 = 60_000_000;
-
-/// How long the tombstone of an instance is kept (microseconds): far longer than a heartbeat may be
-/// delayed.
-pub const TOMBSTONE_RETENTION_US: u64 = 120_000_000;
-
 impl Registry {
     pub(super) fn suspect_after_us(&self) -> u64 {
         self.heartbeat_interval_us
--- a/simulator/src/quotas/mod.rs
+++ b/simulator/src/quotas/mod.rs
@@ -17,7 +17,7 @@
     AdmissionDecision, AdmissionOutcome, LeaseAction, LeaseGrant, LeaseRequest, OwnerId,
     QuotaBounds,
 };
-use node::{ControlNode, Router, MAX_CONTACT_DELAY};
+use node::{ControlNode, LeaseOrigin, Requester, Router, MAX_CONTACT_DELAY};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -54,20 +54,6 @@
     Fault,
 }
 
-/// The process that sent a lease request; of a control machine, the incarnation.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Requester {
-    Router(usize),
-    ControlNode(usize, u64),
-}
-
-/// The process that awaits a lease at a control machine, with its number of the request.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct LeaseOrigin {
-    requester: Requester,
-    id: u64,
-}
-
 /// The fleet.
 pub struct Fleet {
     settings: Settings,
@@ -100,21 +86,29 @@
     (fleet.history.overrun(), fleet.history)
 }
 
+/// A tenant with a large quota of tokens, one with a small one, and one whose requests are counted.
+fn tenants() -> Vec<Tenant> {
+    let text = br#"{"version":1,"routes":[],"services":[],"tenants":[
+        {"name":"large","unit":"token_count","ratePerS":60000,"burstSize":60000},
+        {"name":"small","unit":"token_count","ratePerS":9000,"burstSize":0},
+        {"name":"few","ratePerS":20,"burstSize":5}]}"#;
+    let tenants = Document::parse(text)
+        .ok()
+        .and_then(|document| document.tenants().map(<[_]>::to_vec));
+    tenants.unwrap_or_default()
+}
+
+fn bounds() -> QuotaBounds {
+    QuotaBounds {
+        window: Duration::from_secs(8),
+        overage: 0.1,
+        slack: 20_000.0,
+    }
+}
+
 impl Fleet {
     fn new(settings: Settings) -> Fleet {
-        let text = br#"{"version":1,"routes":[],"services":[],"tenants":[
-            {"name":"large","unit":"token_count","ratePerS":60000,"burstSize":60000},
-            {"name":"small","unit":"token_count","ratePerS":9000,"burstSize":0},
-            {"name":"few","ratePerS":20,"burstSize":5}]}"#;
-        let tenants = Document::parse(text)
-            .ok()
-            .and_then(|document| document.tenants().map(<[_]>::to_vec));
-        let tenants = tenants.unwrap_or_default();
-        let bounds = QuotaBounds {
-            window: Duration::from_secs(8),
-            overage: 0.1,
-            slack: 20_000.0,
-        };
+        let (tenants, bounds) = (tenants(), bounds());
         let mut random = Rng::with_seed(settings.seed);
         let voters: Vec<OwnerId> = (0..settings.control as u64).map(OwnerId).collect();
         let control = (0..settings.control)
--- a/simulator/src/quotas/node.rs
+++ b/simulator/src/quotas/node.rs
@@ -1,6 +1,6 @@
 //! The machines of the simulated fleet, each with its own clock.
 
-use super::{LeaseOrigin, PlantedBug};
+use super::settings::PlantedBug;
 use lichenswitch_configuration::Tenant;
 use lichenswitch_interface::Time;
 use lichenswitch_quota::{
@@ -21,6 +21,20 @@
     Time((now as f64 * rate) as u64 + (drift * 3_600e6) as u64)
 }
 
+/// The process that sent a lease request; of a control machine, the incarnation.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Requester {
+    Router(usize),
+    ControlNode(usize, u64),
+}
+
+/// The process that awaits a lease at a control machine, with its number of the request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct LeaseOrigin {
+    pub(super) requester: Requester,
+    pub(super) id: u64,
+}
+
 /// A control machine.
 pub(super) struct ControlNode {
     pub(super) id: OwnerId,
--- a/wire/rpc/src/frame.rs
+++ b/wire/rpc/src/frame.rs
@@ -179,12 +179,34 @@
     }
 }
 
+/// What a header says of its payload.
+struct Header {
+    kind: u16,
+    length: usize,
+    payload_checksum: u32,
+}
+
 /// Kind and payload length of the frame that bytes begin with; `None` while it is incomplete.
 fn parse_frame(
     bytes: &[u8],
     version: u16,
     limit: usize,
 ) -> Result<Option<(u16, usize)>, FrameError> {
+    let Some(header) = parse_header(bytes, version, limit)? else {
+        return Ok(None);
+    };
+    let Some(payload) = bytes.get(HEADER_BYTES..HEADER_BYTES + header.length) else {
+        return Ok(None);
+    };
+    if crc32fast::hash(payload) != header.payload_checksum {
+        return Err(FrameError::Checksum("payload"));
+    }
+    Ok(Some((header.kind, header.length)))
+}
+
+/// The header that bytes begin with; `None` while it is incomplete. Magic and version are checked as
+/// soon as they are there.
+fn parse_header(bytes: &[u8], version: u16, limit: usize) -> Result<Option<Header>, FrameError> {
     let magic = &bytes[..bytes.len().min(MAGIC.len())];
     if !MAGIC.starts_with(magic) {
         return Err(FrameError::UnknownProtocol);
@@ -220,11 +242,9 @@
             limit,
         });
     }
-    let Some(payload) = bytes.get(HEADER_BYTES..HEADER_BYTES + length) else {
-        return Ok(None);
-    };
-    if crc32fast::hash(payload) != number(PAYLOAD_CHECKSUM_OFFSET) {
-        return Err(FrameError::Checksum("payload"));
-    }
-    Ok(Some((u16::from_le_bytes([header[6], header[7]]), length)))
+    Ok(Some(Header {
+        kind: u16::from_le_bytes([header[6], header[7]]),
+        length,
+        payload_checksum: number(PAYLOAD_CHECKSUM_OFFSET),
+    }))
 }
