--- a/decide/control/src/call_dispatcher.rs
+++ b/decide/control/src/call_dispatcher.rs
@@ -17,7 +17,7 @@
         to: A,
         /// Number of the call, chosen by this machine.
         id: u64,
-        /// What the primary is asked.
+        /// The call, as a message.
         call: RelayedCall,
     },
     /// Respond to the caller, or to the machine that relayed the call.
--- a/decide/control/src/group_membership.rs
+++ b/decide/control/src/group_membership.rs
@@ -29,7 +29,7 @@
 pub struct GroupView {
     /// This machine is a member of the group.
     pub is_member: bool,
-    /// It has asked to leave, and its leave is complete.
+    /// Its requested leave is complete.
     pub has_left: bool,
     /// Voters with a disk that are connected.
     pub durable_voters: usize,
@@ -40,7 +40,7 @@
 pub enum MembershipAction {
     /// Join the group.
     Join,
-    /// Ask to leave the group: machines with a disk hold the state.
+    /// Request to leave the group: machines with a disk hold the state.
     Leave,
     /// Drop the replica: from now on this machine only relays.
     BecomeRelay,
--- a/decide/control/src/group_membership/tests.rs
+++ b/decide/control/src/group_membership/tests.rs
@@ -99,7 +99,7 @@
         membership.next_action(at(7), member_beside(1)),
         Some(MembershipAction::Leave)
     );
-    // The one that was there is gone before it left: it holds the state alone again.
+    // The durable voter is gone before this machine has left: it holds the state alone again.
     assert_eq!(membership.next_action(at(8), member_beside(0)), None);
     assert_eq!(membership.next_action(at(9), member_beside(2)), None);
 }
--- a/fleet/src/control/contact_handler.rs
+++ b/fleet/src/control/contact_handler.rs
@@ -1,4 +1,4 @@
-//! Contact with the group, and what other control machines and routers are told about it.
+//! Contact with the group, and how it is reported to other control machines and to routers.
 
 use super::call_types::PrimaryLocation;
 use super::clock::to_replica_time;
--- a/fleet/src/control/mod.rs
+++ b/fleet/src/control/mod.rs
@@ -58,7 +58,7 @@
 pub use error::ControlError;
 use std::path::PathBuf;
 
-/// Runs the role until the process is told to end. The settings file is read again from `path`.
+/// Runs the role until a signal ends the process. The settings file is read again from `path`.
 ///
 /// # Errors
 /// When it can't listen, or can't use its disk at the start.
@@ -66,7 +66,7 @@
     run_on(settings, path, Environment::default())
 }
 
-/// The same on other files than those of this machine.
+/// Runs the role as [`run`] does, in another environment.
 ///
 /// # Errors
 /// As [`run`].
--- a/fleet/src/control/peer_table/tests.rs
+++ b/fleet/src/control/peer_table/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `peers`.
+//! Tests of `peer_table`.
 
 use super::super::net_program::{Net, Owner};
 use super::*;
@@ -19,7 +19,7 @@
     }
 }
 
-/// So many names of connections.
+/// Ids of connections.
 fn connections(count: usize) -> Vec<ConnId> {
     let mut net = Net::new(100).unwrap();
     net.reserve_for_peers(8);
@@ -32,9 +32,9 @@
 
 #[test]
 fn both_ends_of_pair_choose_same_connection() {
-    let made = connections(2);
-    // The smaller address made the first one, the greater the second.
-    let (by_small, by_great) = (made[0], made[1]);
+    let dialled = connections(2);
+    // The smaller address dialled the first one, the greater the second.
+    let (by_small, by_great) = (dialled[0], dialled[1]);
     let mut small = PeerTable::new(address(1), vec![address(2)], at(0));
     let mut great = PeerTable::new(address(2), vec![address(1)], at(0));
     small.on_dial_started(address(2), by_small, at(0));
@@ -42,7 +42,7 @@
     assert_eq!(
         small.connection(address(2)),
         None,
-        "before the first message there is nobody to send to"
+        "messages are sent only after the handshake"
     );
     small.on_handshake(address(2), by_small, handshake(), at(1));
     small.on_handshake(address(2), by_great, handshake(), at(1));
@@ -69,18 +69,18 @@
         peers.on_dial_started(address(2), id, at(now));
         assert!(
             peers.due_dials(at(now + 10_000)).is_empty(),
-            "one try at a time"
+            "one attempt at a time"
         );
         peers.on_closed(address(2), id, at(now));
         let next = peers.next_wake().unwrap();
-        let pause = elapsed(at(now), next);
+        let delay = elapsed(at(now), next);
         assert!(
-            pause >= MIN_REDIAL_DELAY / 2 && pause <= MAX_REDIAL_DELAY,
-            "{pause:?}"
+            delay >= MIN_REDIAL_DELAY / 2 && delay <= MAX_REDIAL_DELAY,
+            "{delay:?}"
         );
         now = (next.0 - at(0).0).div_ceil(1_000);
     }
-    assert!(now > 3_000, "it gets slower: {now} ms for 20 tries");
+    assert!(now > 3_000, "it gets slower: {now} ms for 20 attempts");
 }
 
 #[test]
@@ -105,7 +105,7 @@
     );
     assert!(
         peers.reached_addresses().is_empty(),
-        "who was never heard is not named to others"
+        "an address that was never reached is not reported to others"
     );
 }
 
--- a/fleet/src/control/primary_tracker/tests.rs
+++ b/fleet/src/control/primary_tracker/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-const OWN: u64 = 7;
+const THIS_PROCESS: u64 = 7;
 const MS: u64 = 1_000;
 
 fn at(ms: u64) -> Time {
@@ -13,12 +13,9 @@
 
 #[test]
 fn contact_counts_from_sending_of_echoed_acknowledgement() {
-    let mut tracker = PrimaryTracker::new(OWN);
+    let mut tracker = PrimaryTracker::new(THIS_PROCESS);
     let first = tracker.on_confirmed(at(0), None);
-    assert!(
-        !tracker.is_in_contact(at(0)),
-        "the primary may have said it long ago"
-    );
+    assert!(!tracker.is_in_contact(at(0)), "the confirmation may be old");
     tracker.on_confirmed(at(250), Some(first));
     assert!(
         tracker.is_in_contact(at(250))
@@ -30,21 +27,21 @@
 
 #[test]
 fn confirmation_that_is_read_late_gives_no_contact() {
-    let mut tracker = PrimaryTracker::new(OWN);
+    let mut tracker = PrimaryTracker::new(THIS_PROCESS);
     let first = tracker.on_confirmed(at(0), None);
     let before = tracker.on_confirmed(at(250), Some(first));
-    // The process stands still for twenty seconds, and then reads what came at its beginning.
+    // The process is frozen for twenty seconds, and then reads what arrived at their beginning.
     tracker.on_confirmed(at(20_000), Some(before));
     assert!(!tracker.is_in_contact(at(20_000)));
 }
 
 #[test]
 fn echo_to_earlier_process_gives_no_contact() {
-    let mut tracker = PrimaryTracker::new(OWN);
+    let mut tracker = PrimaryTracker::new(THIS_PROCESS);
     tracker.on_confirmed(
         at(0),
         Some(ProcessInstant {
-            process: OWN + 1,
+            process: THIS_PROCESS + 1,
             clock_us: at(0).0,
         }),
     );
@@ -53,14 +50,14 @@
 
 #[test]
 fn address_of_primary_gives_no_contact() {
-    let mut tracker = PrimaryTracker::new(OWN);
+    let mut tracker = PrimaryTracker::new(THIS_PROCESS);
     tracker.on_contact(at(0), primary(), true, Some(primary()));
     assert_eq!(
         (tracker.primary(at(599)), tracker.primary(at(600))),
         (Some(primary()), None)
     );
     assert!(!tracker.is_in_contact(at(0)));
-    // One that says that it is confirmed no more ends contact at once.
+    // A primary that reports lost contact ends contact at once.
     let first = tracker.on_confirmed(at(0), None);
     tracker.on_confirmed(at(10), Some(first));
     assert!(tracker.is_in_contact(at(20)));
--- a/fleet/src/control/server_cache/tests.rs
+++ b/fleet/src/control/server_cache/tests.rs
@@ -39,12 +39,12 @@
     Box::new(RealFileSystem)
 }
 
-/// Where a writer wakes nobody.
+/// A stream whose reader does not matter.
 fn wake() -> UnixStream {
     UnixStream::pair().unwrap().0
 }
 
-/// What the file holds once a thread has written it.
+/// Whether the file contains these records, once the thread has written it.
 fn written(path: &Path, expected: &[ServerRecord]) -> bool {
     let started_at = Instant::now();
     while started_at.elapsed() < Duration::from_secs(10) {
@@ -64,7 +64,7 @@
         record("b", ServerState::Draining),
     ];
     let (mut cache, found) = ServerCache::open(files(), &folder.0, Time(0), wake());
-    assert!(found.is_empty(), "an empty disk knows nobody");
+    assert!(found.is_empty(), "an empty disk contains no records");
     cache.on_change();
     cache.tick(Time(0), || table.clone());
     assert!(written(&folder.0.join(TABLE_FILE), &table));
@@ -78,10 +78,10 @@
 fn table_is_written_once_per_interval_and_only_after_change() {
     let folder = Folder::new();
     let (mut cache, _) = ServerCache::open(files(), &folder.0, Time(0), wake());
-    let mut asked = 0;
+    let mut written_tables = 0;
     let mut tick = |cache: &mut ServerCache, now| {
         cache.tick(now, || {
-            asked += 1;
+            written_tables += 1;
             Vec::new()
         });
     };
@@ -92,7 +92,7 @@
     tick(&mut cache, Time(500_000));
     tick(&mut cache, Time(1_100_000));
     tick(&mut cache, Time(9_000_000));
-    assert_eq!(asked, 2);
+    assert_eq!(written_tables, 2);
 }
 
 #[test]
@@ -100,12 +100,12 @@
     let folder = Folder::new();
     let (mut cache, _) = ServerCache::open(files(), &folder.0, Time(0), wake());
     cache.tick(Time(9_900_000), || unreachable!("nothing has changed"));
-    let mut asked = false;
+    let mut is_written_again = false;
     cache.tick(Time(10_000_000), || {
-        asked = true;
+        is_written_again = true;
         Vec::new()
     });
-    assert!(asked);
+    assert!(is_written_again);
 }
 
 #[test]
@@ -114,7 +114,7 @@
         record("a", ServerState::Ready),
         record("b", ServerState::Draining),
     ];
-    // A clock that was set back makes a table one of the future: it is no younger by that.
+    // A table from the future, after the clock was set back, is not trusted either.
     for (written_s, is_suspect) in [
         (time_of_day_s(), false),
         (time_of_day_s() - MAX_TRUSTED_AGE_S - 2, true),
@@ -137,12 +137,12 @@
 
 #[test]
 fn invalid_file_is_set_aside_and_ignored() {
-    let whole = framed(time_of_day_s(), &[record("a", ServerState::Ready)]).unwrap();
-    let mut flipped = whole.clone();
+    let complete = framed(time_of_day_s(), &[record("a", ServerState::Ready)]).unwrap();
+    let mut flipped = complete.clone();
     let last = flipped.len() - 1;
     flipped[last] ^= 1;
     for bytes in [
-        &whole[..whole.len() - 1],
+        &complete[..complete.len() - 1],
         &flipped[..],
         b"something else",
         b"",
@@ -155,12 +155,12 @@
         assert_eq!(
             std::fs::read(folder.0.join("servers.aside")).unwrap(),
             bytes,
-            "it is kept for a person"
+            "it is kept for an operator"
         );
     }
 }
 
-/// Lets the thread write until this write is on the disk.
+/// Whether this write gets to the disk.
 fn is_written(cache: &mut ServerCache, number: WriteNumber, table: &[ServerRecord]) -> bool {
     let started_at = Instant::now();
     while started_at.elapsed() < Duration::from_secs(10) {
@@ -185,7 +185,7 @@
         read(&RealFileSystem, &folder.0.join(TABLE_FILE)).unwrap(),
         table
     );
-    cache.advance(Time(2), || unreachable!("nothing is wanted any more"));
+    cache.advance(Time(2), || unreachable!("no write is requested any more"));
 }
 
 #[test]
@@ -194,7 +194,7 @@
     let (mut cache, _) = ServerCache::open(files(), &folder.0, Time(0), wake());
     let first = cache.write_now();
     cache.advance(Time(0), Vec::new);
-    // The first one is under way: it may lack what is known by now.
+    // The first write is in progress: it may lack the latest records.
     let (second, third) = (cache.write_now(), cache.write_now());
     assert!(first < second && second == third);
     let table = vec![record("a", ServerState::Gone)];
@@ -208,8 +208,8 @@
 #[test]
 fn failed_write_does_not_count_and_next_one_covers_it() {
     let folder = Folder::new();
-    let in_its_way = folder.0.join("servers.new");
-    std::fs::create_dir(&in_its_way).unwrap();
+    let obstacle = folder.0.join("servers.new");
+    std::fs::create_dir(&obstacle).unwrap();
     let (mut cache, _) = ServerCache::open(files(), &folder.0, Time(0), wake());
     let number = cache.write_now();
     let started_at = Instant::now();
@@ -217,8 +217,8 @@
         cache.advance(Time(0), Vec::new);
     }
     assert!(cache.completed == number && cache.written() < number);
-    // The disk takes writes again.
-    std::fs::remove_dir(&in_its_way).unwrap();
+    // The disk accepts writes again.
+    std::fs::remove_dir(&obstacle).unwrap();
     cache.tick(Time(999_999), || unreachable!("the interval is not over"));
     let table = vec![record("a", ServerState::Gone)];
     cache.tick(Time(1_000_000), || table.clone());
--- a/fleet/src/control/server_table.rs
+++ b/fleet/src/control/server_table.rs
@@ -290,7 +290,7 @@
     }
 
     /// Takes the changes that have to be sent, and the number under which the update goes to the
-    /// `targets`, or 0 if nobody waits for its outcome.
+    /// `targets`, or 0 if no caller awaits its outcome.
     pub(super) fn take_changes(
         &mut self,
         now: Time,
--- a/fleet/src/control/server_table/tests.rs
+++ b/fleet/src/control/server_table/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `servers`.
+//! Tests of `server_table`.
 
 use super::super::net_program::{Net, Owner};
 use super::*;
@@ -16,13 +16,13 @@
     SocketAddr::from(([10, 0, 0, number], 7_300))
 }
 
-/// One of these has to hold the news, where there are any.
-fn notified(numbers: &[u8]) -> ReplicationTargets {
-    required(numbers, numbers.len().min(1))
+/// Any one of these machines has to acknowledge an update, if there are any.
+fn any_of(numbers: &[u8]) -> ReplicationTargets {
+    targets_requiring(numbers, numbers.len().min(1))
 }
 
-/// So many of these have to hold the news.
-fn required(numbers: &[u8], required: usize) -> ReplicationTargets {
+/// This number of these machines have to acknowledge an update.
+fn targets_requiring(numbers: &[u8], required: usize) -> ReplicationTargets {
     let notified: BTreeSet<SocketAddr> = numbers.iter().map(|number| peer(*number)).collect();
     ReplicationTargets {
         counted: notified.clone(),
@@ -41,7 +41,7 @@
     }
 }
 
-/// Names of connections.
+/// Ids of connections.
 fn callers() -> Vec<ConnId> {
     let mut net = Net::new(100).unwrap();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -61,14 +61,14 @@
         servers.on_heartbeat(at(0), callers[0], "i-1", &heartbeat(1, ServerState::Ready)),
         HeartbeatOutcome::Pending
     );
-    let (changes, ack) = servers.take_changes(at(0), notified(&[2, 3]));
+    let (changes, ack) = servers.take_changes(at(0), any_of(&[2, 3]));
     assert_eq!(changes.updates_for_peers().len(), 1);
     servers.on_ack(peer(2), ack, false);
     servers.on_ack(peer(9), ack, true);
     servers.advance(at(10));
     assert!(
         servers.take_outcomes().is_empty(),
-        "one without contact, and one that was not told, don't count"
+        "acknowledgements without contact, or of machines that were not notified, don't count"
     );
     servers.on_ack(peer(3), ack, true);
     servers.advance(at(20));
@@ -77,7 +77,7 @@
         [(callers[0], ReplicationOutcome::Replicated)]
     );
 
-    // The next beat tells nothing new.
+    // The next heartbeat brings no update.
     assert_eq!(
         servers.on_heartbeat(
             at(1_200),
@@ -88,7 +88,7 @@
         HeartbeatOutcome::Acknowledged
     );
     assert!(!servers.has_changes());
-    // That it leaves is news again, and so is its end.
+    // Its draining is an update again, and so is its end.
     assert_eq!(
         servers.on_heartbeat(
             at(2_400),
@@ -98,7 +98,7 @@
         ),
         HeartbeatOutcome::Pending
     );
-    servers.take_changes(at(2_400), notified(&[2]));
+    servers.take_changes(at(2_400), any_of(&[2]));
     assert_eq!(
         servers.on_deregister(at(2_500), callers[2], "i-1"),
         HeartbeatOutcome::Pending
@@ -109,7 +109,7 @@
 fn one_slow_machine_delays_acknowledgement_by_100_ms_at_most() {
     let (callers, mut servers) = (callers(), ServerTable::new(&settings(), at(0)));
     servers.on_heartbeat(at(0), callers[0], "i-1", &heartbeat(1, ServerState::Ready));
-    let (_, ack) = servers.take_changes(at(0), notified(&[2, 3]));
+    let (_, ack) = servers.take_changes(at(0), any_of(&[2, 3]));
     servers.on_ack(peer(2), ack, true);
     servers.advance(at(99));
     assert!(servers.take_outcomes().is_empty());
@@ -125,8 +125,8 @@
 fn update_without_acknowledgements_is_rejected_and_sent_again() {
     let (callers, mut servers) = (callers(), ServerTable::new(&settings(), at(0)));
     servers.on_heartbeat(at(0), callers[0], "i-1", &heartbeat(1, ServerState::Ready));
-    servers.take_changes(at(0), notified(&[2]));
-    // The same server again, while its news wait.
+    servers.take_changes(at(0), any_of(&[2]));
+    // The same server again, while its update is pending.
     assert_eq!(
         servers.on_heartbeat(at(50), callers[1], "i-1", &heartbeat(2, ServerState::Ready)),
         HeartbeatOutcome::Pending
@@ -149,7 +149,7 @@
         ),
         HeartbeatOutcome::Pending
     );
-    let (changes, ack) = servers.take_changes(at(1_200), notified(&[2]));
+    let (changes, ack) = servers.take_changes(at(1_200), any_of(&[2]));
     assert_eq!((changes.updates_for_peers().len(), ack), (1, 2));
     servers.on_ack(peer(2), ack, true);
     servers.advance(at(1_201));
@@ -172,21 +172,18 @@
 fn call_with_new_update_waits_for_that_and_not_for_older_one() {
     let (callers, mut servers) = (callers(), ServerTable::new(&settings(), at(0)));
     servers.on_heartbeat(at(0), callers[0], "i-1", &heartbeat(1, ServerState::Ready));
-    let (_, first) = servers.take_changes(at(0), notified(&[2, 3]));
+    let (_, first) = servers.take_changes(at(0), any_of(&[2, 3]));
     assert_eq!(
         servers.on_deregister(at(10), callers[1], "i-1"),
         HeartbeatOutcome::Pending
     );
-    let (changes, second) = servers.take_changes(at(10), notified(&[2, 3]));
+    let (changes, second) = servers.take_changes(at(10), any_of(&[2, 3]));
     assert_eq!(
         (changes.updates_for_peers().len(), second == first),
         (1, false)
     );
-    assert_ne!(
-        second, 0,
-        "that it has left is told under a number of its own"
-    );
-    // Told once more while that waits, it waits for the same.
+    assert_ne!(second, 0, "the departure is sent under another number");
+    // A repeat while that is pending gets the same outcome.
     assert_eq!(
         servers.on_deregister(at(15), callers[2], "i-1"),
         HeartbeatOutcome::Pending
@@ -199,7 +196,7 @@
     assert_eq!(
         servers.take_outcomes(),
         [(callers[0], ReplicationOutcome::Replicated)],
-        "nobody else is known to hold that it has left"
+        "no other machine is known to have the departure"
     );
     [2, 3]
         .iter()
@@ -217,11 +214,11 @@
 #[test]
 fn departure_is_not_acknowledged_from_relayed_report() {
     let (callers, mut servers) = (callers(), ServerTable::new(&settings(), at(0)));
-    // A machine that is cut off since has told this one, and perhaps nobody else.
+    // The reporting machine may have been cut off before it reached any other one.
     let record = heartbeat(3, ServerState::Draining).record("i-1");
     servers.on_records(at(0), std::slice::from_ref(&record), false, true);
-    assert_eq!(servers.take_relayed_departures(), [record], "it is told on");
-    servers.take_changes(at(0), notified(&[2, 3]));
+    assert_eq!(servers.take_relayed_departures(), [record], "it is relayed");
+    servers.take_changes(at(0), any_of(&[2, 3]));
     assert_eq!(
         servers.on_heartbeat(
             at(100),
@@ -231,7 +228,7 @@
         ),
         HeartbeatOutcome::Pending
     );
-    let (changes, ack) = servers.take_changes(at(100), notified(&[2, 3]));
+    let (changes, ack) = servers.take_changes(at(100), any_of(&[2, 3]));
     assert_eq!(changes.updates_for_peers().len(), 1);
     [2, 3]
         .iter()
@@ -266,20 +263,20 @@
         [],
         "all that connect to that machine get its table"
     );
-    servers.take_changes(at(0), notified(&[2, 3]));
+    servers.take_changes(at(0), any_of(&[2, 3]));
     assert_eq!(
         servers.on_deregister(at(100), callers[0], "i-1"),
         HeartbeatOutcome::Pending
     );
     assert_eq!(
         servers
-            .take_changes(at(100), notified(&[2, 3]))
+            .take_changes(at(100), any_of(&[2, 3]))
             .0
             .updates_for_peers()
             .len(),
         1
     );
-    // Once it is forgotten nothing is left of it.
+    // Once the record has expired nothing is left of it.
     servers.tick(at(200_000));
     servers.tick(at(400_000));
     assert!(servers.registry().is_empty() && servers.under_replicated.is_empty());
@@ -289,7 +286,7 @@
 fn sole_machine_acknowledges_by_itself() {
     let (callers, mut servers) = (callers(), ServerTable::new(&settings(), at(0)));
     servers.on_heartbeat(at(0), callers[0], "i-1", &heartbeat(1, ServerState::Ready));
-    let (changes, ack) = servers.take_changes(at(0), notified(&[]));
+    let (changes, ack) = servers.take_changes(at(0), any_of(&[]));
     assert_eq!((changes.records.len(), ack), (1, 1));
     servers.advance(at(0));
     assert_eq!(
@@ -302,31 +299,31 @@
 fn disconnected_machine_acknowledges_nothing_by_itself() {
     let (callers, mut servers) = (callers(), ServerTable::new(&settings(), at(0)));
     servers.on_deregister(at(0), callers[0], "i-1");
-    servers.take_changes(at(0), required(&[], 1));
+    servers.take_changes(at(0), targets_requiring(&[], 1));
     servers.advance(at(0));
     assert_eq!(
         servers.take_outcomes(),
         [(callers[0], ReplicationOutcome::NotReplicated)],
         "the server goes on to another machine"
     );
-    // Nor does one that reaches too few.
+    // Nor does a machine that reaches too few others.
     assert_eq!(
         servers.on_deregister(at(20), callers[2], "i-1"),
         HeartbeatOutcome::Pending
     );
-    servers.take_changes(at(20), required(&[2], 2));
+    servers.take_changes(at(20), targets_requiring(&[2], 2));
     servers.advance(at(20));
     assert_eq!(
         servers.take_outcomes(),
         [(callers[2], ReplicationOutcome::NotReplicated)],
-        "it needn't wait to know that"
+        "the outcome is known at once"
     );
-    // Once enough machines are connected again they are told.
+    // Once enough machines are connected again they are notified.
     assert_eq!(
         servers.on_deregister(at(50), callers[1], "i-1"),
         HeartbeatOutcome::Pending
     );
-    let (changes, ack) = servers.take_changes(at(50), required(&[2], 1));
+    let (changes, ack) = servers.take_changes(at(50), targets_requiring(&[2], 1));
     assert_eq!(changes.updates_for_peers().len(), 1);
     servers.on_ack(peer(2), ack, true);
     servers.advance(at(51));
@@ -339,9 +336,9 @@
 #[test]
 fn update_needs_acknowledgements_of_voter_majority() {
     let (callers, mut servers) = (callers(), ServerTable::new(&settings(), at(0)));
-    // Five of eight machines are beyond a cut that nobody has noticed yet.
+    // Five of eight machines are beyond a partition that is not detected yet.
     servers.on_deregister(at(0), callers[0], "i-1");
-    let (_, ack) = servers.take_changes(at(0), required(&[2, 3, 4, 5, 6, 7, 8], 4));
+    let (_, ack) = servers.take_changes(at(0), targets_requiring(&[2, 3, 4, 5, 6, 7, 8], 4));
     [2, 3]
         .iter()
         .for_each(|number| servers.on_ack(peer(*number), ack, true));
@@ -355,12 +352,12 @@
         [(callers[0], ReplicationOutcome::NotReplicated)]
     );
 
-    // Without the cut, slow machines are not waited for once enough hold the news.
+    // Without the partition, slow machines are not awaited once enough have acknowledged.
     assert_eq!(
         servers.on_deregister(at(500), callers[1], "i-1"),
         HeartbeatOutcome::Pending
     );
-    let (_, ack) = servers.take_changes(at(500), required(&[2, 3, 4, 5, 6, 7, 8], 4));
+    let (_, ack) = servers.take_changes(at(500), targets_requiring(&[2, 3, 4, 5, 6, 7, 8], 4));
     [2, 3, 4, 5]
         .iter()
         .for_each(|number| servers.on_ack(peer(*number), ack, true));
@@ -379,7 +376,7 @@
     servers.on_deregister(at(0), callers[0], "i-1");
     let targets = ReplicationTargets {
         counted: BTreeSet::from([peer(2)]),
-        ..required(&[2, 9], 1)
+        ..targets_requiring(&[2, 9], 1)
     };
     let (_, ack) = servers.take_changes(at(0), targets);
     servers.on_ack(peer(9), ack, true);
@@ -403,19 +400,19 @@
     assert!(servers.accepts_heartbeats(at(21)));
     assert!(
         servers.on_heartbeat_digest(at(30), &[("i-9".to_owned(), 5)]),
-        "whom it doesn't know it has to ask about"
+        "it has to request the record of an unknown server"
     );
 }
 
-/// A machine with a disk of its own that takes no table until `heal` is called.
-struct WithDisk {
+/// A machine whose disk fails writes of the table until `heal` is called.
+struct MachineWithDisk {
     servers: ServerTable,
     folder: std::path::PathBuf,
     net: Net,
 }
 
-impl WithDisk {
-    fn new(name: &str) -> WithDisk {
+impl MachineWithDisk {
+    fn new(name: &str) -> MachineWithDisk {
         let folder =
             std::env::temp_dir().join(format!("lichenswitch-{name}-{}", std::process::id()));
         std::fs::create_dir_all(folder.join("servers.new")).unwrap();
@@ -428,7 +425,7 @@
         );
         let servers =
             ServerTable::start(&settings, &Environment::default(), &mut net, at(0)).unwrap();
-        WithDisk {
+        MachineWithDisk {
             servers,
             folder,
             net,
@@ -439,8 +436,8 @@
         std::fs::remove_dir(self.folder.join("servers.new")).unwrap();
     }
 
-    /// Waits for the end of a write.
-    fn pending(&mut self) {
+    /// Waits until a write has completed.
+    fn await_write(&mut self) {
         assert!(!self
             .net
             .wait(Some(self.net.clock.now().plus(10_000_000)))
@@ -450,7 +447,7 @@
     }
 }
 
-impl Drop for WithDisk {
+impl Drop for MachineWithDisk {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
@@ -458,12 +455,12 @@
 
 #[test]
 fn departure_is_acknowledged_to_server_only_once_on_local_disk() {
-    let (callers, mut machine) = (callers(), WithDisk::new("own-write"));
+    let (callers, mut machine) = (callers(), MachineWithDisk::new("own-write"));
     machine.servers.on_deregister(at(0), callers[0], "i-1");
-    let (_, ack) = machine.servers.take_changes(at(0), notified(&[2]));
+    let (_, ack) = machine.servers.take_changes(at(0), any_of(&[2]));
     machine.servers.on_ack(peer(2), ack, true);
     machine.servers.advance(at(0));
-    machine.pending();
+    machine.await_write();
     machine.servers.advance(at(399));
     assert!(
         machine.servers.take_outcomes().is_empty(),
@@ -482,14 +479,14 @@
         machine.servers.on_deregister(at(500), callers[1], "i-1"),
         HeartbeatOutcome::Pending
     );
-    let (_, ack) = machine.servers.take_changes(at(500), notified(&[2]));
+    let (_, ack) = machine.servers.take_changes(at(500), any_of(&[2]));
     machine.servers.on_ack(peer(2), ack, true);
     machine.servers.advance(at(500));
     assert!(
         machine.servers.take_outcomes().is_empty(),
         "the write has not completed"
     );
-    machine.pending();
+    machine.await_write();
     machine.servers.advance(at(510));
     assert_eq!(
         machine.servers.take_outcomes(),
@@ -499,9 +496,9 @@
 
 #[test]
 fn departure_is_acknowledged_to_peer_only_once_on_local_disk() {
-    let (callers, mut machine) = (callers(), WithDisk::new("peer-write"));
+    let (callers, mut machine) = (callers(), MachineWithDisk::new("peer-write"));
     let gone = [lichenswitch_registry::tombstone("i-1")];
-    // News of a server that is ready wait for no disk.
+    // An update about a ready server waits for no write.
     let ready = [heartbeat(1, ServerState::Ready).record("i-2")];
     for (ack, records) in [(1, &gone), (2, &ready)] {
         machine.servers.on_records(at(0), records, false, true);
@@ -509,10 +506,10 @@
             .servers
             .on_ack_requested(at(0), callers[0], ack, records);
     }
-    machine.servers.take_changes(at(0), notified(&[2]));
+    machine.servers.take_changes(at(0), any_of(&[2]));
     machine.servers.advance(at(0));
     assert_eq!(machine.servers.take_acks(at(0)), [(callers[0], 2)]);
-    machine.pending();
+    machine.await_write();
     machine.servers.advance(at(10));
     assert_eq!(
         machine.servers.take_acks(at(10)),
@@ -520,7 +517,7 @@
         "the write has failed"
     );
 
-    // Told again, which is no news here, they take a write that succeeds all the same.
+    // A repeat, which is no update here, waits for the next successful write all the same.
     machine.servers.on_records(at(20), &gone, false, true);
     machine
         .servers
@@ -529,7 +526,7 @@
     assert_eq!(machine.servers.take_acks(at(20)), []);
     machine.heal();
     machine.servers.tick(at(1_000));
-    machine.pending();
+    machine.await_write();
     machine.servers.advance(at(1_010));
     assert_eq!(
         machine.servers.take_acks(at(1_010)),
@@ -556,7 +553,7 @@
 
 #[test]
 fn acknowledgement_expires_when_write_takes_too_long() {
-    let (callers, mut machine) = (callers(), WithDisk::new("late-write"));
+    let (callers, mut machine) = (callers(), MachineWithDisk::new("late-write"));
     let gone = [lichenswitch_registry::tombstone("i-1")];
     machine.servers.on_records(at(0), &gone, false, true);
     machine
--- a/simulator/src/control/mod.rs
+++ b/simulator/src/control/mod.rs
@@ -41,13 +41,13 @@
     pub known_by_number: bool,
     /// The history of orders does not travel with an image.
     pub history_lost: bool,
-    /// `describe` is answered by whoever is asked, from what it holds as committed.
+    /// `describe` is answered by any machine, from its own committed state.
     pub describe_without_contact: bool,
-    /// Whoever is asked refuses an order by what it holds as committed.
+    /// Any machine rejects an order by its own committed state.
     pub refusal_without_contact: bool,
-    /// What is pushed to routers is said to be current, whatever contact there is.
+    /// Pushes to routers are reported as current, whether in contact or not.
     pub always_in_contact: bool,
-    /// A machine that hears the primary but falls behind says that it is in contact.
+    /// A machine that hears the primary but lags reports that it is in contact.
     pub contact_while_behind: bool,
 }
 
@@ -87,7 +87,7 @@
     calls: CallDispatcher,
     routers: Routers,
     open_calls: Vec<CallId>,
-    /// When it ends at the latest, once it was told to.
+    /// When it ends at the latest, during a shutdown.
     end_at: Option<Time>,
     /// Members without a disk.
     without_disk: BTreeSet<Identity>,
@@ -217,7 +217,7 @@
         }
     }
 
-    /// A router has said something, or closed its connection.
+    /// A router has sent a message, or (`None`) closed its connection.
     pub fn on_router(&mut self, id: ConnectionId, now: Time, message: Option<&RouterToControl>) {
         match message {
             None => self.routers.on_closed(id),
@@ -271,7 +271,7 @@
         wakes.into_iter().flatten().min().unwrap_or(Time(u64::MAX))
     }
 
-    /// Does what follows from all that came, and tells what the machine has to do.
+    /// Handles all that has arrived, and returns what the machine has to do.
     pub fn take_effects(&mut self, now: Time) -> Vec<Effect> {
         let relays = self.update_group_membership(now);
         self.drain(now);
