--- a/fleet/src/control/startup.rs
+++ b/fleet/src/control/startup.rs
@@ -83,7 +83,7 @@
             eligible = group.is_some(); "control machine started");
         ControlNode {
             address,
-            quotas: Quotas::new(identity.0, group.as_ref(), settings.bounds.quota_terms()),
+            quotas: Quotas::new(identity.0, group.as_ref(), settings.bounds.quota_bounds()),
             identity: identity.0,
             group_membership: GroupMembership::new(
                 eligibility,
@@ -91,7 +91,7 @@
                 settings.fault_tolerance.machines,
             ),
             connections: InternalConnections::default(),
-            peers: PeerTable::new(address, settings.seeds_internal(), now),
+            peers: PeerTable::new(address, settings.internal_seed_addresses(), now),
             group,
             primary_tracker: PrimaryTracker::new(fastrand::u64(..)),
             servers,
@@ -120,10 +120,10 @@
 /// Opens the sockets, the group and the table of servers, and listens last.
 fn open_parts(settings: &Settings, environment: &Environment) -> Result<OpenedParts, ControlError> {
     let control_plane = settings
-        .listen
+        .listen_addresses
         .control_plane
         .ok_or(ControlError::NoAddress)?;
-    let address = SocketAddr::new(settings.ip_address, settings.internal_ports.0);
+    let address = SocketAddr::new(settings.ip_address, settings.internal_port_range.first);
     let mut net = Net::new(settings.limits.file_descriptors)?;
     net.reserve_for_peers(RESERVED_INTERNAL_CONNECTIONS);
     watch_signals(&mut net)?;
