--- a/core/src/tests.rs
+++ b/core/src/tests.rs
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_shared_beginning_is_told_before_the_parts_that_it_concerns() {
+fn shared_prefix_precedes_its_parts() {
     let mut stage = Stage::new(0);
     for (prefix, bound) in [(0, 0), (9, 1)] {
         let placement = Placement {
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn a_whole_answer_holds_every_part_and_frees_what_was_held() {
+fn complete_answer_has_every_part_and_releases_the_query() {
     let mut stage = Stage::new(0);
     stage.take(&[0, 1]).unwrap();
     for send in sends(&stage.turn()) {
@@ -254,7 +254,7 @@
 }
 
 #[test]
-fn before_its_end_a_core_takes_what_has_time_for_its_aim_and_ends_it_by_then() {
+fn ending_core_admits_only_what_meets_its_target_in_time() {
     let mut stage = Stage::new(0);
     let latency_target = stage.core.settings().classes[0].latency_target;
     assert!(stage.core.takes(stage.now));
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn the_second_step_goes_to_the_best_scores_and_tells_of_the_first() {
+fn second_step_asks_the_best_scores_and_names_the_first() {
     let mut stage = Stage::new(2);
     stage.take(&[0, 1, 2]).unwrap();
     let mut expected = Vec::new();
@@ -325,7 +325,7 @@
 }
 
 #[test]
-fn the_mark_of_a_whole_answer_is_given_from_the_parts_that_are_here() {
+fn completeness_is_judged_by_the_parts_present() {
     let mut stage = Stage::new(0);
     let query = stage.take(&[0, 1]).unwrap();
     let send = &sends(&stage.turn())[0];
@@ -363,7 +363,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_has_its_attempts_withdrawn_and_gets_no_answer() {
+fn hangup_cancels_attempts_and_sends_no_answer() {
     let mut stage = Stage::new(0);
     let query = stage.take(&[0]).unwrap();
     let send = &sends(&stage.turn())[0];
@@ -376,7 +376,7 @@
 }
 
 #[test]
-fn attempts_of_a_query_that_has_ended_are_recalled_at_once_and_leave_nothing_in_the_books() {
+fn ended_query_recalls_its_attempts_and_leaves_no_state() {
     let mut set = settings(0);
     set.limits.cancel = false;
     let mut stage = Stage::with(set);
@@ -473,7 +473,7 @@
 }
 
 #[test]
-fn attempts_that_never_left_are_none_of_the_four_and_the_fifth_that_left_is_not_made() {
+fn attempts_that_never_left_do_not_count_to_the_limit() {
     let mut stage = Stage::new(0);
     stage.take(&[0]).unwrap();
     let mut made = 0;
@@ -496,7 +496,7 @@
 /// Clients tell weights to six places: of 87 equal parts the sum is 0.99998, of 200 unequal ones it
 /// may be 0.0001 off.
 #[test]
-fn a_wide_query_whose_rounded_weights_miss_1_is_waited_for_and_whole() {
+fn wide_query_with_rounded_weights_is_answered_completely() {
     for (parts, weight, floor) in [
         (87, 0.011_494, 0.8),
         (87, 0.011_494, 1.0),
@@ -539,7 +539,7 @@
 }
 
 #[test]
-fn a_keyed_repeat_may_leave_until_the_window_of_the_first_attempt_that_may_have_run_is_over() {
+fn keyed_repeat_may_leave_until_the_first_attempts_window_ends() {
     let mut set = settings(0);
     set.classes[0].repeat = RetrySafety::Keyed(500 * MS);
     let mut stage = Stage::with(set);
--- a/decide/descriptors/src/tests.rs
+++ b/decide/descriptors/src/tests.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn clients_that_take_all_they_get_leave_data_nodes_their_share_and_discovery_its_place() {
+fn greedy_clients_leave_nodes_their_share_and_discovery_its_reserve() {
     for (nodes, descriptors) in sizes() {
         let mut shares = shares(nodes, descriptors);
         let all = descriptors - DISCOVERY;
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn data_nodes_borrow_what_clients_leave_and_owe_it_to_those_that_come() {
+fn nodes_borrow_unused_client_descriptors_and_return_them() {
     for (nodes, descriptors) in sizes() {
         let mut shares = shares(nodes, descriptors);
         let open = fill(&mut shares, Side::Nodes);
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn the_nodes_that_some_descriptors_bear_stay_within_the_share_and_one_more_does_not() {
+fn node_capacity_is_the_largest_count_within_the_share() {
     for descriptors in [64, 256, 568, 1_024, 4_096] {
         let most = shares(1, descriptors).bears();
         let fits = |nodes| {
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn processes_side_by_side_have_equal_parts_and_what_is_open_beyond_goes_as_it_falls_idle() {
+fn processes_share_descriptors_equally_and_return_the_excess() {
     let mut shares = shares(10, 362);
     assert_eq!(fill(&mut shares, Side::Clients), 270);
     shares.on_processes(2);
--- a/decide/phases/src/budget/tests.rs
+++ b/decide/phases/src/budget/tests.rs
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn waiting_is_worth_it_while_there_is_time_and_not_when_the_second_phase_needs_it() {
+fn waiting_pays_until_the_second_phase_needs_the_time() {
     let mut times = times();
     let missing = [Missing {
         weight: 0.1,
--- a/decide/phases/src/tests.rs
+++ b/decide/phases/src/tests.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn the_later_the_first_phase_the_smaller_the_second_and_none_is_sent_that_cannot_help() {
+fn later_first_phase_shrinks_the_second() {
     let (mut counts, mut given_up) = (Vec::new(), Vec::new());
     for at in [500, 700, 900, 990] {
         let mut planner = planner(Rules::test());
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_first_phase_is_closed_when_waiting_costs_more_than_it_brings_and_not_before() {
+fn first_phase_closes_once_waiting_costs_more_than_it_brings() {
     let mut quick = planner(Rules::test());
     assert_eq!(
         first_phase(&mut quick, 9, 150 * MS),
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn without_anything_learnt_only_the_largest_share_closes_and_all_parts_go() {
+fn untrained_planner_closes_at_the_share_and_sends_all_parts() {
     let mut fresh = Planner::new(vec![Some(Rules::test()), None]);
     assert!(fresh.plans(0) && !fresh.plans(1) && !fresh.plans(2));
     assert_eq!(first_phase(&mut fresh, 9, 300 * MS), []);
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_query_whose_second_phase_is_under_the_least_share_at_the_aim_is_given_up_and_others_are_not() {
+fn second_phase_below_the_floor_at_the_target_is_given_up() {
     for (came, late_share, expected) in [(3, 0.1, 1), (4, 0.1, 0), (3, 0.5, 0)] {
         let mut planner = planner(Rules {
             late_share,
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn a_sorted_answer_asks_only_slices_that_can_reach_it_and_withdraws_those_that_no_longer_can() {
+fn sorted_answer_asks_and_keeps_only_slices_that_can_contribute() {
     let mut planner = planner(Rules::test());
     first_phase(&mut planner, 10, 150 * MS);
     let firsts: Vec<First> = (0..10).map(|s| bound(s, f64::from(s), 9)).collect();
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn reasons_are_told_with_their_figures() {
+fn reasons_include_their_figures() {
     let why = Reason::Worth {
         have: 0.9,
         now: 0.5,
--- a/experiments/tests/cold.rs
+++ b/experiments/tests/cold.rs
@@ -4,7 +4,7 @@
 use lichenswitch_experiments::cold::{worst, Plan, BUDGETS};
 
 #[test]
-fn the_sum_of_all_brokers_stays_within_what_a_cold_server_is_allowed_but_for_chance() {
+fn all_brokers_together_stay_within_a_slow_start_allowance() {
     for brokers in [2, 5, 20, 30, 100] {
         for (budget, capacity, multiple) in BUDGETS {
             let plan = Plan {
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn brokers_that_have_had_no_answer_yet_do_not_take_a_cold_server_for_a_fast_one() {
+fn brokers_without_answers_do_not_overload_a_slow_start_server() {
     // 300 brokers before slow servers: most have asked for nothing when one starts.
     let (budget, capacity, multiple) = BUDGETS[0];
     let plan = Plan {
--- a/experiments/tests/discovery.rs
+++ b/experiments/tests/discovery.rs
@@ -15,7 +15,7 @@
 ];
 
 #[test]
-fn wherever_discovery_can_answer_all_in_time_all_have_heard_when_a_change_counts_as_told() {
+fn change_reaches_all_brokers_in_time_where_discovery_can_answer() {
     for (brokers, rate) in FITS {
         for seed in 100..110 {
             let figures = play(
--- a/experiments/tests/two_phase.rs
+++ b/experiments/tests/two_phase.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn late_first_phases_leave_next_to_no_work_after_the_aim_and_cost_no_worth() {
+fn late_first_phases_leave_little_work_after_the_target() {
     for seed in SEEDS {
         let (off, on) = both(seed, "late-first", 150.0);
         let (wasted, was) = (on.second_waste_after_aim_ms, off.second_waste_after_aim_ms);
--- a/policy/tests/streams.rs
+++ b/policy/tests/streams.rs
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn of_equals_all_instances_choose_the_same_server_for_a_shared_beginning() {
+fn all_instances_choose_the_same_server_for_a_shared_prefix() {
     let first = |seed, prefix| {
         let mut stage = Stage::new(seed, settings(vec![class(RetrySafety::Safe)]), 12);
         stage.query_with(0, Some(prefix)).1.unwrap().0
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn of_servers_with_as_few_pending_the_one_with_little_backlog_is_chosen() {
+fn lowest_backlog_breaks_ties_of_pending_requests() {
     let mut stage = Stage::new(1, settings(vec![class(RetrySafety::Safe)]), 4);
     stage.turn(vec![
         backlog(1, 500),
@@ -278,7 +278,7 @@
 }
 
 #[test]
-fn a_part_that_may_run_twice_is_copied_at_half_its_aim_and_the_loser_is_cancelled() {
+fn safe_part_is_hedged_at_half_its_target_and_the_loser_cancelled() {
     let mut stage = Stage::new(1, settings(vec![class(RetrySafety::Safe)]), 4);
     let (part, first) = stage.query(0);
     assert_eq!(sent(&stage.after(AIM / 2 - MS, vec![])), None);
@@ -486,7 +486,7 @@
 }
 
 #[test]
-fn a_query_that_waits_for_the_budget_alone_gets_its_final_answer_at_once() {
+fn query_waiting_only_for_the_retry_budget_ends_at_once() {
     let none = Budget {
         window: 1_000 * MS,
         least: 0.0,
@@ -525,7 +525,7 @@
 }
 
 #[test]
-fn a_part_that_the_budget_withholds_ends_its_query_once_nothing_else_is_out() {
+fn part_withheld_by_the_budget_ends_its_query_when_nothing_is_in_flight() {
     let none = Budget {
         window: 1_000 * MS,
         least: 0.0,
--- a/simulator/src/world/machines.rs
+++ b/simulator/src/world/machines.rs
@@ -131,12 +131,12 @@
             self.without_disk.insert(identity);
         }
         machine.process = Some(process);
-        self.tell_who_lacks_a_disk();
+        self.notify_diskless_members();
         self.note(|| format!("{host} starts as {identity}"));
         self.settle(host);
     }
 
-    fn tell_who_lacks_a_disk(&mut self) {
+    fn notify_diskless_members(&mut self) {
         let processes = self
             .machines
             .values_mut()
--- a/simulator/tests/away.rs
+++ b/simulator/tests/away.rs
@@ -46,16 +46,16 @@
 }
 
 #[test]
-fn the_first_heartbeat_after_a_cut_makes_nobody_current_who_lacks_changes() {
+fn first_heartbeat_after_a_partition_does_not_make_a_lagging_voter_current() {
     holds(0..10, nothing, cut_off);
 }
 
 #[test]
-fn heartbeats_that_were_held_up_make_nobody_current() {
+fn delayed_heartbeats_do_not_make_a_voter_current() {
     holds(0..10, nothing, held_up);
 }
 
 #[test]
-fn heartbeats_that_are_read_late_make_nobody_current() {
+fn heartbeats_read_late_do_not_make_a_voter_current() {
     holds(0..10, nothing, frozen);
 }
--- a/simulator/tests/point_1.rs
+++ b/simulator/tests/point_1.rs
@@ -75,24 +75,24 @@
 }
 
 #[test]
-fn a_primary_that_is_cut_off_misleads_nobody() {
+fn partitioned_primary_serves_no_stale_state() {
     holds_with(0..4, four_operators, full_cut, goes_on);
     holds_with(0..4, four_operators, full_cut_held, goes_on);
 }
 
 #[test]
-fn one_way_cuts_mislead_nobody() {
+fn one_way_partitions_cause_no_stale_reads() {
     holds_with(0..4, four_operators, unheard, goes_on);
     holds_with(0..4, four_operators, deaf, goes_on);
 }
 
 #[test]
-fn a_partial_cut_misleads_nobody() {
+fn partial_partition_causes_no_stale_reads() {
     holds_with(0..4, four_operators, partial, goes_on);
 }
 
 #[test]
-fn a_frozen_primary_misleads_nobody() {
+fn frozen_primary_serves_no_stale_state() {
     holds_with(0..4, four_operators, frozen, goes_on);
 }
 
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn a_copy_that_is_behind_misleads_nobody() {
+fn lagging_replica_serves_no_stale_state() {
     holds(0..10, nothing, behind);
 }
 
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn short_cuts_mislead_nobody() {
+fn short_partitions_cause_no_stale_reads() {
     holds_with(0..2, watched, short_cuts, |_| {});
 }
 
--- a/simulator/tests/without_disk.rs
+++ b/simulator/tests/without_disk.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn what_is_acknowledged_first_outlives_a_disk_and_the_power_of_all_others() {
+fn first_acknowledgement_survives_a_disk_loss_and_a_power_loss() {
     holds(0..16, five, a_disk_is_lost_at_the_beginning);
 }
 
--- a/soak/tests/processor_quota.rs
+++ b/soak/tests/processor_quota.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn nobody_is_taken_to_be_gone_who_stands_still_for_the_rest_of_a_tenth_of_a_second() {
+fn process_paused_below_a_tenth_of_a_second_is_not_taken_for_dead() {
     let program = Path::new(env!("CARGO_BIN_EXE_lichenswitch-volatile-fleet"));
     let mut fleet = FleetProcesses::new(program, MACHINES).unwrap();
     (0..MACHINES).for_each(|machine| fleet.start(Role::Control, machine, true).unwrap());
--- a/src/bin/lichenswitch-simulator-adapter/tests.rs
+++ b/src/bin/lichenswitch-simulator-adapter/tests.rs
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn malformed_frames_are_told_plainly() {
+fn malformed_frames_are_named_in_errors() {
     let text = facts(CLASSES);
     let cases: Vec<(Vec<u8>, &str)> = vec![
         (vec![1, 2, 3], "no whole header"),
@@ -332,7 +332,7 @@
 }
 
 #[test]
-fn absent_settings_are_the_safe_ones_and_absurd_ones_end_with_a_plain_message() {
+fn absent_settings_are_safe_and_absurd_ones_are_rejected() {
     let bare = r#"{"classes": [{"deadlineUs": 9, "gain": 1, "idempotency": "fragile", "objectiveUs": 5}],
         "discovery": "automatic", "familyInfo": {"partsACall": 1, "sets": 1, "width": 1, "classFetch": [0],
         "classPartial": [0], "minShare": [1], "needByClass": [1]}}"#;
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn tenants_and_the_rule_on_drains_are_read_and_absent_ones_have_their_defaults() {
+fn tenants_and_drain_rule_are_read_with_defaults() {
     let read = parse(CONFIG).unwrap();
     assert_eq!(
         (
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn the_module_is_told_a_window_that_leaves_time_for_a_connection() {
+fn keyed_window_leaves_time_for_a_connection() {
     let keyed = |connect: &str, window: &str| {
         let class = format!(r#""idempotency":"dedup","windowUs":{window}"#);
         let text = CONFIG.replace(r#""idempotency":"retryable""#, &class);
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn a_faulty_ogc_front_is_told_by_line_and_key() {
+fn faulty_ogc_section_is_named_by_line_and_key() {
     for (good, bad, told) in [
         ("127.0.0.1:8090", "here", "lichenswitch.yaml:3: listen"),
         (
@@ -269,7 +269,7 @@
 }
 
 #[test]
-fn faulty_rules_of_phases_are_told_by_line_and_key() {
+fn faulty_phase_rules_are_named_by_line_and_key() {
     let good =
         "phases:\n  classes:\n    - class: report\n      probability: 0.9\n      least_gain: 0.1\n";
     assert!(phases(good).is_ok());
--- a/src/discovery/directory/tests.rs
+++ b/src/discovery/directory/tests.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn what_is_known_of_a_node_goes_with_it_and_its_number_is_not_used_again() {
+fn departed_node_is_forgotten_and_its_number_not_reused() {
     let list: List = serde_json::from_str(LIST).unwrap();
     let mut directory = Directory::default();
     let node = |i: u32| Instance {
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_line_without_a_known_cell_is_left_aside_and_one_that_is_known_keeps_its_cell() {
+fn line_without_a_known_cell_is_ignored_or_keeps_the_last_cell() {
     let list: List = serde_json::from_str(LIST).unwrap();
     let mut directory = Directory::default().with_cells(8);
     let line = |id: &str, cell, lifecycle| Instance {
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn what_was_put_back_counts_as_just_started_unless_the_list_knows_of_a_start_since_it_was_out() {
+fn uncordoned_node_counts_as_just_started_unless_the_list_has_a_start() {
     let mut directory = Directory::new(vec!["a".into()]);
     let node = |started_at_ms| Instance {
         instance_id: "s".into(),
--- a/src/discovery/tests.rs
+++ b/src/discovery/tests.rs
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn until_another_address_is_asked_the_watch_at_the_former_one_brings_its_news_and_may_end() {
+fn watch_at_the_former_address_goes_on_until_the_new_one_is_called() {
     for ends in [false, true] {
         let (mut net, mut client, mut directory, _old, mut stream) =
             watching_of(CallPacer::new(1, 300, 10_000_000));
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_watch_is_renewed_at_once_and_a_failure_is_told() {
+fn watch_is_renewed_at_once_and_a_failure_reported() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (mut net, mut directory) = (Net::new(64).unwrap(), Directory::default());
     let mut client = Discovery::new(
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn a_watch_that_falls_silent_is_opened_anew_in_time_whoever_asks_and_what_it_missed_is_read() {
+fn silent_watch_is_reopened_in_time_and_missed_changes_are_read() {
     let (mut net, mut client, mut directory, listener, silent) =
         watching_of(CallPacer::new(1, 300, 10_000_000));
     let begun = client.began;
@@ -263,8 +263,7 @@
 }
 
 #[test]
-fn an_agent_of_the_own_machine_is_asked_again_soon_and_its_doubted_lists_are_settled_within_the_rule(
-) {
+fn local_agent_is_called_again_soon_and_its_doubtful_lists_are_confirmed() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (mut net, mut directory) = (Net::new(64).unwrap(), Directory::default());
     let client = Discovery::new(
@@ -336,7 +335,7 @@
 }
 
 #[test]
-fn discovery_has_its_place_when_data_nodes_and_clients_hold_all_they_can() {
+fn discovery_keeps_its_reserve_when_all_other_descriptors_are_used() {
     let [discovery, nodes] = [(); 2].map(|()| TcpListener::bind("127.0.0.1:0").unwrap());
     let (mut net, mut directory) = (Net::new(64).unwrap(), Directory::default());
     net.set_listed_nodes(200);
@@ -365,7 +364,7 @@
 }
 
 #[test]
-fn a_call_that_can_not_be_begun_is_no_failure_of_discovery_and_is_made_soon() {
+fn call_without_a_descriptor_is_no_discovery_failure_and_is_retried_soon() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut net = Net::new(64).unwrap();
     let at = listener.local_addr().unwrap();
@@ -432,7 +431,7 @@
 const EMPTY: &str = r#"{"generation":42,"reset":true,"instances":[]}"#;
 
 #[test]
-fn an_unreadable_list_changes_nothing_and_is_told() {
+fn unreadable_list_changes_nothing_and_is_reported() {
     for bad in [
         "",
         "{",
@@ -475,7 +474,7 @@
 }
 
 #[test]
-fn a_list_that_goes_back_is_confirmed_and_its_drains_are_kept_if_nobody_confirms_it() {
+fn older_list_is_confirmed_and_its_drains_hold_without_confirmation() {
     let back = LIST
         .replace("41", "40")
         .replace("true", "false")
@@ -531,7 +530,7 @@
 /// What discovery sends before it resets the connection: a list without a length, whose last bytes
 /// are spaces that tell nothing of whether more was to come.
 #[test]
-fn an_answer_without_length_that_is_reset_is_no_list_and_one_that_ends_is() {
+fn response_without_length_is_a_list_if_it_ends_and_none_if_it_is_reset() {
     for reset in [true, false] {
         let (mut net, mut client, mut directory, _listener, mut stream) = watching();
         let drains = LIST.replace("SERVING", "DRAINING");
@@ -558,7 +557,7 @@
 }
 
 #[test]
-fn a_refused_call_is_repeated_soon_without_being_asked_for_and_a_drain_is_read_in_time() {
+fn refused_call_is_repeated_soon_and_a_drain_read_in_time() {
     for instances in [1, 6, 300] {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -82,7 +82,7 @@
     /// When it came, the last answer was written, or the first byte of the next request came.
     since: Time,
     /// A whole request has come on it.
-    requested_slices: bool,
+    has_sent_request: bool,
     /// `100 Continue` was sent for the request that is arriving.
     continued: bool,
 }
@@ -116,7 +116,7 @@
             State::Reading if !conn.input.is_empty() => false,
             State::Reading
                 if age
-                    >= if self.requested_slices {
+                    >= if self.has_sent_request {
                         IDLE_TIMEOUT
                     } else {
                         REQUEST_TIMEOUT
@@ -142,7 +142,7 @@
         } else {
             BUSY_EVICTABLE_AFTER
         };
-        (!stays && now.since(self.since) >= least).then_some((self.requested_slices, self.since))
+        (!stays && now.since(self.since) >= least).then_some((self.has_sent_request, self.since))
     }
 }
 
@@ -203,7 +203,7 @@
             Session {
                 state: State::Reading,
                 since,
-                requested_slices: false,
+                has_sent_request: false,
                 continued: false,
             },
         );
@@ -233,7 +233,7 @@
         }
         match session.state {
             State::Reading => {
-                if between && session.requested_slices {
+                if between && session.has_sent_request {
                     session.since = now;
                 }
                 self.requests(net, id, front, core);
@@ -322,7 +322,7 @@
                 }
             };
             conn.input.consume(used);
-            (session.continued, session.requested_slices) = (false, true);
+            (session.continued, session.has_sent_request) = (false, true);
             let now = net.clock.now();
             let head = request.method == "HEAD";
             let response = match front.read(now, &request) {
--- a/src/front/platform/tests.rs
+++ b/src/front/platform/tests.rs
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn the_cookie_tells_what_a_query_is_about_and_its_owner_which_tenant_asks() {
+fn cookie_gives_the_key_and_owner_the_tenant() {
     let affine = BODY.replace("\"work\":9000", "\"affinity\":\"00000000000000ff\"");
     for (cookie, body, key) in [
         ("k=7f3a9c21e0b4d655", BODY, 0x7f3a_9c21_e0b4_d655),
@@ -86,15 +86,15 @@
         ("k=11112222333344445", BODY, 0),
         ("", BODY, 0),
     ] {
-        let requested_slices = query(&[("cookie", cookie)], "/close", body);
-        let Verdict::Take(taken, ()) = front().read(Time(0), &requested_slices) else {
+        let request = query(&[("cookie", cookie)], "/close", body);
+        let Verdict::Take(taken, ()) = front().read(Time(0), &request) else {
             panic!("{cookie}")
         };
         assert_eq!(taken.key, key, "{cookie}");
     }
     for (owner, tenant) in [("acme", 0), ("other", u32::MAX), ("", u32::MAX)] {
-        let requested_slices = query(&[("req-owner", owner)], "/close", BODY);
-        let Verdict::Take(taken, ()) = front().read(Time(0), &requested_slices) else {
+        let request = query(&[("req-owner", owner)], "/close", BODY);
+        let Verdict::Take(taken, ()) = front().read(Time(0), &request) else {
             panic!("{owner}")
         };
         assert_eq!(taken.tenant, tenant, "{owner}");
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn readiness_begins_with_a_list_and_ends_with_the_stop_and_life_does_not() {
+fn readiness_lasts_from_the_first_list_to_the_stop() {
     let mut front = front();
     let health = |front: &mut Platform, path: &str| {
         let request = http::Request {
--- a/src/front/tests.rs
+++ b/src/front/tests.rs
@@ -31,14 +31,14 @@
 }
 
 #[test]
-fn those_that_never_asked_make_room_before_any_other_and_open_queries_stay() {
+fn connections_without_requests_are_evicted_first_and_open_queries_stay() {
     let (mut net, mut sessions) = (Net::new(64).unwrap(), Sessions::<()>::new(32 << 20));
     let mut core = Core::<()>::new(1, Settings::default(), Contracts::default(), 32 << 20);
     let (clients, ids) = connected(&mut net, &mut sessions, 8);
     let now = net.clock.now();
     for (i, id) in ids.iter().enumerate() {
         let session = sessions.open.get_mut(id).unwrap();
-        (session.since, session.requested_slices) = (now.minus(BUSY_EVICTABLE_AFTER), i > 0);
+        (session.since, session.has_sent_request) = (now.minus(BUSY_EVICTABLE_AFTER), i > 0);
         if i == 1 {
             session.state = State::Waiting(QueryId(1), true, false);
         }
@@ -63,7 +63,7 @@
     let now = net.clock.now();
     for (id, i) in ids.iter().zip(0..) {
         let session = sessions.open.get_mut(id).unwrap();
-        (session.since, session.requested_slices) = (now.minus(EVICTABLE_AFTER * (40 - i)), true);
+        (session.since, session.has_sent_request) = (now.minus(EVICTABLE_AFTER * (40 - i)), true);
     }
     let front = crate::front::platform::Platform::new(Vec::new(), Vec::new());
     core.end_by(now);
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn a_request_that_crosses_the_end_of_a_resting_connection_is_sent_by_nobody_and_resets_nothing() {
+fn request_crossing_an_idle_close_is_not_sent_and_resets_nothing() {
     for idle in [true, false] {
         let (mut net, mut sessions) = (Net::new(64).unwrap(), Sessions::<()>::new(32 << 20));
         let mut core = Core::new(1, Settings::default(), Contracts::default(), 32 << 20);
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn a_client_that_never_ends_its_side_is_closed_in_time_while_the_broker_stops() {
+fn client_that_keeps_its_side_open_is_closed_in_time_at_shutdown() {
     let (mut net, mut sessions) = (Net::new(64).unwrap(), Sessions::<()>::new(32 << 20));
     let mut core = Core::<Job>::new(1, Settings::default(), Contracts::default(), 32 << 20);
     let (clients, ids) = connected(&mut net, &mut sessions, 1);
--- a/src/upstream/ogc/tests.rs
+++ b/src/upstream/ogc/tests.rs
@@ -36,11 +36,11 @@
         (200, "not json", ExpectedBody::Item, Outcome::Error),
     ] {
         let bytes = reply(status, body);
-        let shortage_logged_at = format!("{status} {body} {expected:?}");
+        let case = format!("{status} {body} {expected:?}");
         assert_eq!(
             answered(&bytes, expected),
             Some((outcome, bytes.len())),
-            "{shortage_logged_at}"
+            "{case}"
         );
     }
 }
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_sorted_answer_tells_its_keys_and_one_that_is_not_sorted_is_sorted_here() {
+fn sorted_answer_gives_its_keys_and_an_unsorted_one_is_sorted_here() {
     let body = r#"{"type":"FeatureCollection","features":[
             {"type":"Feature","id":1,"properties":{"battery":7}},{"type":"Feature","id":2,"properties":null},
             {"type":"Feature","id":3,"properties":{"battery":9.5}}]}"#;
--- a/src/upstream/tests/descriptors.rs
+++ b/src/upstream/tests/descriptors.rs
@@ -5,7 +5,7 @@
 use std::net::TcpStream;
 
 #[test]
-fn a_call_without_a_descriptor_waits_and_is_told_as_never_sent() {
+fn call_without_a_descriptor_waits_and_ends_as_never_sent() {
     let mut stage = Stage::new(LIMITS);
     let streams = stage.fill();
     let open = streams.len();
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn the_connection_unused_for_longest_makes_room_and_a_second_one_to_a_node_before_that() {
+fn least_recently_used_connection_is_closed_after_second_ones() {
     let mut stage = Stage::new(LIMITS);
     let mut streams = stage.fill();
     let late = stage.attempts;
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn what_waits_for_a_descriptor_for_a_node_that_drains_is_told_as_never_sent() {
+fn call_waiting_for_a_draining_node_ends_as_never_sent() {
     let mut stage = Stage::new(LIMITS);
     let streams = stage.fill();
     let (attempt, server) = (stage.attempts, ServerId(100 + streams.len() as u32));
--- a/src/upstream/tests/receiving.rs
+++ b/src/upstream/tests/receiving.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_connection_that_ends_after_the_frame_is_a_reset_and_before_its_last_byte_it_is_not() {
+fn connection_end_counts_as_reset_only_after_the_whole_frame_was_written() {
     let mut stage = Stage::new(LIMITS);
     // Answers are slow as a rule: it is not mute while this test takes its time.
     stage.pool.usual_response_time.add(60e6, 1.0);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_node_that_can_not_use_a_frame_is_told_in_the_log() {
+fn node_complaint_about_a_frame_is_logged() {
     let mut stage = Stage::new(LIMITS);
     let attempt = stage.send("x");
     let mut stream = stage.accept();
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn an_answer_that_never_becomes_whole_is_not_waited_for() {
+fn incomplete_answer_is_not_waited_for() {
     let mut stage = Stage::new(LIMITS);
     let one = stage.send("x");
     let mut stream = stage.accept();
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn what_is_out_on_a_silent_connection_is_given_up_once_another_to_its_node_speaks() {
+fn mute_connection_is_given_up_once_another_to_its_node_is_active() {
     let mut stage = Stage::new(Limits {
         streams: 32,
         ..LIMITS
--- a/src/upstream/tests/sending.rs
+++ b/src/upstream/tests/sending.rs
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_repeat_that_its_connection_has_held_back_beyond_its_window_never_leaves() {
+fn repeat_delayed_beyond_its_window_is_not_sent() {
     for (late, leaves) in [(true, false), (false, true)] {
         let mut stage = Stage::new(Limits {
             connect: 100_000,
--- a/src/upstream/tests/withdrawing.rs
+++ b/src/upstream/tests/withdrawing.rs
@@ -25,17 +25,17 @@
 }
 
 #[test]
-fn what_is_given_up_is_told_to_the_node_unless_it_never_left() {
+fn cancel_reaches_the_node_unless_the_call_never_left() {
     let mut stage = Stage::new(LIMITS);
     let never = stage.send("x");
     stage.pool.withdraw(&mut stage.net, never);
-    let shortage_logged_at = stage.send("x");
+    let case = stage.send("x");
     let mut stream = stage.accept();
     assert!(
         frame(&mut stream).starts_with("Rq.2 "),
         "the first call stayed at home"
     );
-    stage.pool.withdraw(&mut stage.net, shortage_logged_at);
+    stage.pool.withdraw(&mut stage.net, case);
     assert_eq!(frame(&mut stream), "Aq.2");
     answer(&mut stream, "q.2 OK 1 -");
     assert!(stage.ended().is_empty(), "too late: it was given up");
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_part_that_waits_for_its_connection_is_recalled_and_those_that_share_its_call_are_sent() {
+fn recalled_part_is_not_sent_while_others_of_its_call_are() {
     let mut stage = Stage::new(Limits {
         connect: 60_000_000,
         ..LIMITS
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_call_whose_last_byte_has_not_left_never_begins_once_its_part_is_recalled_or_withdrawn() {
+fn partly_written_call_never_begins_once_its_part_is_recalled() {
     for recalled in [true, false] {
         let mut stage = Stage::new(LIMITS);
         stage.pool.greeted_until.clear();
--- a/stats/src/tests.rs
+++ b/stats/src/tests.rs
@@ -4,7 +4,7 @@
 use lichenswitch_interface::{Load, Placement, ServerId, Time};
 
 #[test]
-fn an_agenda_tells_what_is_to_be_looked_at_and_when() {
+fn agenda_gives_parts_to_check_and_the_next_check() {
     let mut agenda = Agenda::default();
     agenda.set_idle(2);
     agenda.schedule(0, Time(10));
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_server_that_more_parts_can_share_is_wanted_more_until_its_bid_is_worse() {
+fn server_shared_by_more_parts_is_preferred_until_its_score_is_worse() {
     let bid = |rank| ServerScore {
         rank,
         joins_open_call: false,
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_quota_that_is_shared_anew_keeps_no_more_saved_up_than_its_rate_allows() {
+fn reshared_quota_keeps_no_more_than_its_new_burst() {
     let (rates, now) = ([8.0], Time(5_000_000));
     let mut quotas = TenantQuotas::new(&rates, 1);
     assert!(
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn without_a_step_backlogs_are_not_told_apart_and_without_a_beginning_all_are_equal() {
+fn without_step_or_prefix_all_servers_are_equal() {
     assert_eq!(preference(7, 0, 1, 0), preference(7, 0, 1, u32::MAX));
     assert_eq!(preference(0, 0, 1, 5), preference(0, 0, 2, 9));
     assert!(preference(0, 10, 1, 9) < preference(0, 10, 2, 10));
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn a_slow_server_that_each_broker_meets_seldom_is_not_tried_by_all_of_them_in_turn() {
+fn slow_server_met_seldom_is_not_tried_by_every_broker() {
     let mut fleet = Fleet::new(100, 20, 6);
     fleet.takes.insert(ServerId(5), 400 * MS);
     fleet.play(200.0, 8 * SECOND);
@@ -277,7 +277,7 @@
 }
 
 #[test]
-fn six_in_ten_servers_replaced_within_seven_seconds_leave_nothing_behind_and_are_not_rushed() {
+fn replacing_six_in_ten_servers_leaves_no_state_and_no_rush() {
     let mut fleet = Fleet::new(100, 20, 6);
     let (rate, load) = (200.0, 60.0);
     fleet.play(rate, 5 * SECOND);
@@ -305,7 +305,7 @@
 }
 
 #[test]
-fn parts_move_off_a_zone_that_falls_silent_and_its_return_is_not_rushed() {
+fn silent_zone_is_avoided_and_its_return_not_rushed() {
     let mut fleet = Fleet::new(100, 21, 6);
     let (rate, load) = (200.0, 57.0);
     fleet.play(rate, 5 * SECOND);
--- a/tests/gone.rs
+++ b/tests/gone.rs
@@ -132,12 +132,12 @@
 }
 
 #[test]
-fn a_part_that_waits_for_a_connection_is_never_sent_once_its_client_has_gone() {
+fn part_waiting_for_a_connection_is_not_sent_after_its_client_left() {
     leaves_before_the_connection(true, 5_000, drop);
 }
 
 #[test]
-fn nor_where_nodes_may_not_be_told_that_parts_are_given_up() {
+fn part_waiting_for_a_connection_is_not_sent_where_cancels_are_not_allowed() {
     leaves_before_the_connection(false, 5_000, drop);
     leaves_before_the_connection(false, 5_000, reset);
 }
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn a_client_that_sends_much_behind_its_request_and_goes_is_seen_to_have_gone() {
+fn departed_client_with_unread_input_is_noticed() {
     for leave in [drop::<TcpStream>, reset] {
         let stage = Platformed::new();
         // The node is known to take its time: else a connection on which nothing has come for 50 ms
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn a_client_that_sends_much_behind_its_request_and_stays_has_its_answer_and_then_the_end() {
+fn client_that_sends_on_gets_its_answer_then_the_end() {
     let stage = Platformed::new();
     let mut client = stage.connect();
     client.write_all(&query("fleet-search", "g", &[1])).unwrap();
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn a_request_pipelined_behind_another_by_a_client_that_goes_is_never_sent() {
+fn pipelined_request_of_a_departed_client_is_not_sent() {
     let stage = Platformed::new();
     let mut client = stage.connect();
     client
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_part_that_is_lost_alone_turns_nobody_away() {
+fn single_lost_part_causes_no_rejections() {
     let mut stage = Stage::new(settings(class()));
     stage.after(
         MS,
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn a_server_that_is_met_often_is_passed_over_when_it_is_late_twice_and_not_once() {
+fn frequently_met_server_is_avoided_after_two_late_answers() {
     let mut stage = Stage::new(settings(class()));
     (0..30).for_each(|_| stage.serve(20 * MS));
     let mut late: Option<ServerId> = None;
@@ -287,7 +287,7 @@
 }
 
 #[test]
-fn under_load_what_a_tenant_asks_beyond_its_quota_makes_room_for_the_others() {
+fn load_beyond_a_tenants_quota_is_shed_first() {
     let mut set = settings(class());
     // This one of three instances has 40 and 4 a second of them; both tenants ask for 20.
     (set.quotas, set.over_quota) = (vec![120.0, 12.0], 0.2);
@@ -317,7 +317,7 @@
 }
 
 #[test]
-fn a_further_try_keeps_the_gain_of_its_first_and_takes_nothing_from_the_quota() {
+fn client_retry_keeps_its_first_value_and_uses_no_quota() {
     let mut set = settings(class());
     // This one of three instances has one a second of them.
     (set.quotas, set.over_quota, set.marks_retry) = (vec![3.0], 0.2, true);
@@ -479,7 +479,7 @@
 }
 
 #[test]
-fn connections_dropped_while_idle_are_neither_poison_nor_a_servers_fault() {
+fn idle_connection_drops_are_no_poison_and_no_server_fault() {
     let mut stage = Stage::new(settings(class()));
     let (broken, closed) = on_dropped_connections(&mut stage, 100);
     assert!(broken <= 12, "learnt after a few: {broken} broken");
@@ -508,7 +508,7 @@
 }
 
 #[test]
-fn an_unsafe_part_never_goes_on_a_connection_that_may_have_been_dropped() {
+fn unsafe_part_never_uses_a_connection_that_may_be_dropped() {
     let mut stage = Stage::new(settings(Class {
         repeat: RetrySafety::Unsafe,
         ..class()
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn without_a_list_the_test_command_runs_as_it_is_and_its_verdict_counts() {
+fn without_a_list_the_test_command_runs_unchanged() {
     let folder = Folder::new("none");
     assert!(!folder.run(None).0, "a test fails");
     assert_eq!(folder.calls(), "\n");
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn what_is_listed_is_passed_over_by_name_and_told_with_how_it_went() {
+fn listed_tests_are_skipped_by_name_and_reported() {
     let folder = Folder::new("listed");
     let (passed, said) = folder.run(Some(
         "a::red | the cause | issue 29\na::sound | flaky | issue 29\n",
--- a/tests/ogc.rs
+++ b/tests/ogc.rs
@@ -271,7 +271,7 @@
 }
 
 #[test]
-fn a_box_over_many_slices_gets_each_feature_once_from_the_slices_that_it_crosses() {
+fn box_over_many_slices_returns_each_feature_once() {
     let city = City::new("");
     let (_, all) = city.page("/collections/scooters/items?limit=50");
     assert_eq!(
@@ -311,7 +311,7 @@
 }
 
 #[test]
-fn an_answer_that_lacks_a_withheld_part_is_marked_partial_or_not_given() {
+fn answer_without_a_withheld_part_is_partial_or_refused() {
     let city = City::new("");
     city.moods(Mood::Withhold(3.0, 4.0));
     let (_, body) = city.page("/collections/network/items?limit=50");
@@ -376,7 +376,7 @@
 }
 
 #[test]
-fn a_feature_is_found_by_its_id_and_its_absence_is_told_only_when_it_is_sure() {
+fn feature_absence_is_reported_only_when_certain() {
     let city = City::new("");
     let found = city.get("/collections/scooters/items/f3");
     let body: Json = serde_json::from_slice(&found.body).unwrap();
@@ -444,7 +444,7 @@
 }
 
 #[test]
-fn sorted_pages_are_those_of_one_big_server_and_ask_only_slices_that_can_reach_them() {
+fn sorted_pages_equal_those_of_one_server_and_ask_few_slices() {
     let city = City::with("", scooters());
     for (order, down) in [
         ("battery", false),
@@ -479,7 +479,7 @@
 }
 
 #[test]
-fn data_nodes_that_cannot_sort_are_asked_for_all_and_this_is_remembered() {
+fn nodes_that_cannot_sort_are_remembered_and_asked_for_all() {
     let city = City::with("", scooters());
     city.moods(Mood::CantSort);
     let target = "/collections/scooters/items?sortby=-battery&limit=12";
@@ -500,7 +500,7 @@
 }
 
 #[test]
-fn a_sorted_answer_that_lacks_details_is_partial_and_one_whose_bounds_lie_is_not_complete() {
+fn sorted_answer_with_missing_details_or_wrong_bounds_is_incomplete() {
     let city = City::with("", scooters());
     // The first phase comes in whole; one slice's details never do.
     city.moods(Mood::WithholdDetails(1.0, 2.0));
@@ -538,7 +538,7 @@
 }
 
 #[test]
-fn details_come_from_the_other_replica_when_one_breaks_between_the_phases() {
+fn second_phase_uses_the_other_replica_when_one_breaks() {
     let city = City::with("", scooters());
     city.servers[2].set(Mood::DieInSecond);
     let (_, page) = city.healed("/collections/scooters/items?sortby=battery&limit=30");
--- a/tests/phases.rs
+++ b/tests/phases.rs
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn all_at_once_is_whole_and_details_come_from_the_best() {
+fn unplanned_second_phase_asks_the_best_scores() {
     let stage = Stage::new(|_, part| well(part));
     // Enough queries for times to be learnt: the answers stay the same.
     for i in 0..12 {
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn a_withheld_first_part_makes_the_answer_partial_at_the_least_share_and_below_it_there_is_none() {
+fn withheld_first_part_gives_a_partial_answer_down_to_the_floor() {
     // Of ten slices two are withheld by all: exactly the least share. Of the other query three are.
     let stage = Stage::new(|_, part| {
         let withheld = if part.query() == "b" { 2 } else { 3 };
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn details_that_fail_at_the_least_share_leave_no_answer_and_one_less_leaves_a_partial_one() {
+fn failed_details_below_the_floor_leave_no_answer() {
     // Details of one shard, or of two, fail wherever they are asked for.
     let stage = Stage::new(|_, part| {
         let failing = if part.query() == "d" { 7..8 } else { 6..8 };
@@ -276,7 +276,7 @@
 }
 
 #[test]
-fn a_replica_that_breaks_between_the_phases_is_made_good_by_the_other() {
+fn broken_replica_between_phases_is_replaced_by_the_other() {
     let stage = Stage::new(|node, part| match (node, &part.from) {
         (0, Some(_)) => Fate::Break,
         _ => well(part),
@@ -326,7 +326,7 @@
 }
 
 #[test]
-fn a_second_phase_that_misses_the_aim_is_given_up_then_and_not_worked_on() {
+fn second_phase_that_misses_its_target_is_given_up() {
     // The second phase would be answered a second after the aim: at the aim what is left earns too
     // little.
     let stage = Stage::new(|_, part| {
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_body_over_64_kib_is_told_off_and_others_are_still_served() {
+fn body_over_64_kib_is_rejected_and_others_are_served() {
     let stage = Platformed::new();
     let mut client = stage.connect();
     let large = format!("{}Content-Length: 65537\r\n\r\n", head("fleet-search", "e"));
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_client_that_goes_on_sending_is_read_to_its_end_and_has_its_answer() {
+fn client_that_keeps_sending_is_read_to_its_end_and_answered() {
     let stage = Platformed::new();
     let mut client = stage.connect();
     let large = format!(
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_client_that_never_finishes_its_request_or_sends_nothing_is_told_off_or_closed() {
+fn unfinished_request_is_rejected_and_a_silent_client_closed() {
     let stage = Platformed::new();
     let (mut half, mut silent) = (stage.connect(), stage.connect());
     half.write_all(&query("fleet-search", "e", &[1])[..40])
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn requests_that_arrive_at_once_take_a_share_of_the_memory_and_no_more() {
+fn concurrent_requests_stay_within_their_memory_share() {
     let stage = Platformed::new();
     let begin = |_| {
         let mut client = stage.connect();
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_query_is_refused_at_once_when_every_attempt_was_turned_away() {
+fn query_is_refused_at_once_when_every_attempt_was_rejected() {
     let stage = Platformed::new();
     let mut client = stage.connect();
     client.write_all(&query("fleet-search", "h", &[1])).unwrap();
@@ -214,8 +214,7 @@
 }
 
 #[test]
-fn what_is_open_gets_its_final_answer_before_the_process_may_be_killed_however_long_its_client_waits(
-) {
+fn open_queries_are_answered_before_the_process_may_be_killed() {
     // It may be killed 3.7 s after the signal where clients wait for longer than 3 s; these wait
     // for 8 s.
     let patient = SETTINGS
@@ -272,7 +271,7 @@
 }
 
 #[test]
-fn after_the_stop_every_request_on_a_connection_that_stays_open_is_served_or_refused_at_once() {
+fn requests_after_the_stop_are_served_or_refused_at_once() {
     // Aims of 0.3 s and waits of 0.6 s: what is taken ends within 1.1 s of the signal.
     let mut stage = Platformed::with(
         &SETTINGS
@@ -318,7 +317,7 @@
 }
 
 #[test]
-fn where_lists_are_pushed_the_watch_is_kept_up_from_the_start_and_a_drain_is_heeded() {
+fn pushed_lists_keep_the_watch_from_the_start_and_drains_apply() {
     let (told, calls) = mpsc::channel();
     let pushed = SETTINGS.replace("subscribe", "automatic");
     let stage = Platformed::listed(&pushed, move |listener, list| {
--- a/tests/programs.rs
+++ b/tests/programs.rs
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_new_configuration_moves_the_broker_to_another_discovery_and_a_faulty_one_changes_nothing() {
+fn reload_moves_to_another_discovery_and_a_faulty_file_changes_nothing() {
     let path =
         std::env::temp_dir().join(format!("lichenswitch-reload-{}.json", std::process::id()));
     let [first, second] = [(); 2].map(|()| TcpListener::bind("127.0.0.1:0").unwrap());
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn outcomes_after_the_end_and_a_hangup_in_the_same_turn_change_nothing() {
+fn late_outcomes_and_hangups_in_the_same_turn_change_nothing() {
     let mut stage = Stage::new(settings(class()));
     let (id, events) = stage.query(&[0]);
     let server = sends(&stage.turn(events))[0].1;
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_query_with_a_part_that_failed_for_good_ends_at_once_and_cancels_the_rest() {
+fn query_with_a_finally_failed_part_ends_at_once_and_cancels_the_rest() {
     let mut set = settings(class());
     set.limits.attempts = 1;
     let mut stage = Stage::new(set);
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn a_partial_answer_comes_from_the_floor_up_and_only_when_waiting_no_longer_pays() {
+fn partial_answer_needs_the_floor_and_no_gain_from_waiting() {
     for (answered, expected) in [(4u64, Some(false)), (3, None)] {
         let mut set = settings(Class {
             floor: 0.8,
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn a_two_step_query_is_answered_twice_and_whole_only_if_both_steps_are() {
+fn two_step_query_is_complete_only_if_both_steps_are() {
     let mut stage = Stage::new(settings(Class {
         second_step: 2,
         ..class()
@@ -282,7 +282,7 @@
 }
 
 #[test]
-fn what_earns_nothing_after_its_aim_ends_there_and_nothing_waits_longer() {
+fn query_worthless_after_its_target_ends_there() {
     for (late_share, last) in [(0.0, AIM), (0.1, AIM + 3 * AIM / 10)] {
         let mut stage = Stage::new(settings(Class {
             late_share,
@@ -391,7 +391,7 @@
 }
 
 #[test]
-fn an_unsafe_query_is_refused_only_while_none_of_its_parts_may_have_run() {
+fn unsafe_query_is_refused_only_if_no_part_may_have_run() {
     use Outcome::{Cancelled, ConnectFailed, Error, Rejected, Reset, Timeout};
     for outcome in [Rejected, ConnectFailed, Error, Timeout, Reset, Cancelled] {
         let mut set = settings(Class {
@@ -416,7 +416,7 @@
 }
 
 #[test]
-fn an_attempt_that_never_left_is_none_of_those_allowed_and_tells_nothing_of_its_server() {
+fn attempt_that_never_left_counts_neither_as_attempt_nor_as_fault() {
     let mut set = settings(Class {
         repeat: RetrySafety::Unsafe,
         ..class()
@@ -444,8 +444,7 @@
 }
 
 #[test]
-fn a_part_whose_holders_are_all_gone_is_not_tried_again_at_once_and_one_whose_holders_are_full_is()
-{
+fn unreachable_replicas_are_retried_later_and_full_ones_at_once() {
     for outcome in [Outcome::ConnectFailed, Outcome::Rejected] {
         let mut set = settings(class());
         set.limits.attempts = 4;
@@ -484,7 +483,7 @@
 }
 
 #[test]
-fn where_no_second_copies_are_allowed_a_retry_waits_until_the_server_has_heard_of_the_end() {
+fn without_hedging_a_retry_waits_for_the_cancel_to_arrive() {
     for outcome in [Outcome::Cancelled, Outcome::Reset] {
         for copies in [false, true] {
             let mut set = settings(class());
@@ -506,7 +505,7 @@
 }
 
 #[test]
-fn a_server_that_is_being_taken_out_gets_only_what_no_trusted_holder_takes() {
+fn leaving_server_gets_only_what_no_healthy_replica_takes() {
     let mut stage = Stage::new(settings(class()));
     let leaving = ListedServer {
         mode: ServerMode::Leaving,
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -323,7 +323,7 @@
 }
 
 #[test]
-fn a_further_try_is_told_by_its_mark_where_clients_mark_them() {
+fn client_retry_is_recognised_by_its_mark() {
     assert!(refused_again(true, true), "marked: past its aim");
     assert!(
         !refused_again(true, false),
@@ -437,7 +437,7 @@
 }
 
 #[test]
-fn processes_of_an_instance_send_a_cold_server_no_more_than_one_would() {
+fn processes_of_an_instance_share_one_slow_start_allowance() {
     let cold = |share| SlowStart {
         share,
         warm_after: 18_000 * MS,
@@ -455,7 +455,7 @@
 }
 
 #[test]
-fn traffic_of_one_zone_goes_to_the_other_when_its_own_servers_are_busy() {
+fn busy_zone_sends_its_traffic_to_the_other() {
     let mut set = settings(class());
     set.layout.parts_a_call = 1;
     let mut stage = Stage::new(set);
@@ -512,7 +512,7 @@
 }
 
 #[test]
-fn a_shard_whose_holders_are_all_gone_gets_its_final_answer_at_once() {
+fn query_without_replicas_is_answered_at_once() {
     let mut stage = fleet(9, settings(class()));
     let gone = (0..3)
         .map(|i| ListedServer {
@@ -526,7 +526,7 @@
 }
 
 #[test]
-fn copies_that_prove_useless_dwindle_and_come_back_as_they_prove_loss() {
+fn useless_hedges_decrease_and_return_as_losses_are_proved() {
     let mut set = settings(class());
     set.layout.parts_a_call = 1;
     set.limits.budget = Some(Budget {
@@ -607,7 +607,7 @@
 }
 
 #[test]
-fn what_a_seldom_met_server_did_is_not_forgotten_before_the_next_part() {
+fn faults_of_a_seldom_met_server_last_until_its_next_part() {
     let mut stage = ring(60);
     // A sixth of the servers fails all; an instance meets each every ten seconds or so.
     let (mut failed, mut rounds) = (0, 0);
--- a/wire/http/src/body/tests.rs
+++ b/wire/http/src/body/tests.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_body_of_a_told_length_ends_there_wherever_it_is_cut() {
+fn body_with_content_length_ends_there_however_it_is_split() {
     check(|pieces, behind, cuts| {
         let cuts: Vec<usize> = cuts.iter().map(|c| c % 23).collect();
         let body = pieces.concat();
--- a/wire/http/src/head/tests.rs
+++ b/wire/http/src/head/tests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn heads_are_whole_only_at_their_last_byte_however_they_are_cut() {
+fn head_is_complete_only_at_its_last_byte() {
     random_cuts(&[POST, CHUNKS], |bytes| {
         Some(parse_request_head(bytes, MOST).unwrap()?.1)
     });
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_request_is_told_as_it_came() {
+fn request_head_is_parsed_unchanged() {
     let head = request(POST);
     assert_eq!(
         (head.method.as_str(), head.target.as_str()),
--- a/wire/http/src/tests.rs
+++ b/wire/http/src/tests.rs
@@ -8,7 +8,7 @@
     b"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1;e=1\r\nc\r\n0\r\nT: 1\r\n\r\n";
 
 #[test]
-fn messages_are_whole_only_at_their_last_byte_however_they_are_cut() {
+fn message_is_complete_only_at_its_last_byte() {
     random_cuts(&[POST, CHUNKS], |bytes| match request(bytes).unwrap() {
         Parsed::Partial(_) => None,
         Parsed::Whole(r, used) => {
--- a/wire/net/src/tests.rs
+++ b/wire/net/src/tests.rs
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn what_is_sent_leaves_at_once_and_a_silent_peer_is_found_where_the_owner_says_so() {
+fn sent_bytes_leave_at_once_and_a_silent_peer_is_detected_by_owner() {
     let (net, id, _other) = connected();
     let socket = SockRef::from(&net.get(id).unwrap().stream);
     assert!(socket.tcp_nodelay().unwrap() && socket.keepalive().unwrap());
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn what_the_other_side_has_not_taken_is_told() {
+fn unread_bytes_of_the_peer_are_reported() {
     let (mut net, id, mut other) = connected();
     let piece = vec![7; 1 << 20];
     let mut sent = 0;
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn a_connection_that_breaks_while_it_rests_spins_no_loop_and_is_found_afterwards() {
+fn broken_paused_connection_spins_no_loop_and_is_found_later() {
     let (mut net, id, other) = connected();
     assert_eq!(net.pause(id, true), TransferProgress::Alive);
     SockRef::from(&other)
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn a_connection_that_breaks_while_something_is_written_is_found_though_it_rests() {
+fn broken_paused_connection_with_output_is_found() {
     let (mut net, id, other) = connected();
     let piece = vec![7; 1 << 20];
     while net.get(id).unwrap().flushed() {
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn who_listens_alone_keeps_others_out_and_leaves_the_address_to_the_next() {
+fn exclusive_listener_keeps_others_out_until_it_closes() {
     let [mut first, mut second] = [(); 2].map(|()| Net::new(RESERVED + 16).unwrap());
     let address = first
         .listen_exclusively(Owner::Clients, "127.0.0.1:0".parse().unwrap())
