--- a/decide/management/src/call.rs
+++ b/decide/management/src/call.rs
@@ -1,73 +1,75 @@
 //! The line of an operator's call.
 
-/// Longest line that is read, its end included (bytes).
-pub const LONGEST: usize = 512;
-/// Longest id of a server (bytes).
-pub const LONGEST_ID: usize = 200;
+/// The longest line that is read, its end included (bytes).
+pub const MAX_LINE_BYTES: usize = 512;
+/// The longest id of a server (bytes).
+pub const MAX_ID_BYTES: usize = 200;
+/// The most characters of a faulty word that an error repeats.
+const MAX_QUOTED_CHARS: usize = 40;
 
-/// What an operator asks for.
+/// A call of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
     /// Whether this process is ready to serve.
     Health,
-    /// The figures.
+    /// The metrics.
     Counters,
-    /// To change the wanted state.
+    /// Change the desired state.
     Change(Change),
 }
 
-/// A change of the wanted state.
+/// A change of the desired state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Take this server out.
+    /// Take this server out of service.
     Cordon(String),
-    /// Use this server again.
+    /// Put this server back into service.
     Uncordon(String),
     /// Send clients away.
     Quiesce,
-    /// Back to work.
+    /// Serve clients again.
     Resume,
 }
 
-/// Why a line is no call.
+/// Why a line is not a call.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unread {
-    /// There is nothing in it.
+pub enum ParseError {
+    /// It has no word.
     #[error("the line is empty; calls are {CALLS}")]
     Empty,
     /// It is longer than any call.
-    #[error("the line is longer than {LONGEST} bytes")]
+    #[error("the line is longer than {MAX_LINE_BYTES} bytes")]
     TooLong,
-    /// It is no text.
+    /// It is not text.
     #[error("the line is no UTF-8 text")]
-    NoText,
-    /// There is no such call.
+    NotText,
+    /// There is no call of this name.
     #[error("there is no call {0:?}; calls are {CALLS}")]
-    Unknown(String),
-    /// The call names a server, and this one does not.
+    UnknownCall(String),
+    /// This call needs the id of a server.
     #[error("{0} needs the id of a server")]
-    NoId(&'static str),
-    /// It says more than the call takes.
+    MissingId(&'static str),
+    /// This call is followed by a word too many.
     #[error("{0} takes nothing more than that, and there is {1:?}")]
-    Surplus(&'static str, String),
-    /// What should be an id can't be one.
-    #[error("an id is longer than {LONGEST_ID} bytes")]
+    SurplusWord(&'static str, String),
+    /// The id is too long for one.
+    #[error("an id is longer than {MAX_ID_BYTES} bytes")]
     LongId,
 }
 
 const CALLS: &str = "health, counters, cordon ID, uncordon ID, quiesce and resume";
 
-/// Reads a line, with or without its end.
+/// Parses a line, with or without its end.
 ///
 /// # Errors
-/// When it is no call, with the reason in a sentence.
-pub fn read(line: &[u8]) -> Result<Call, Unread> {
-    if line.len() > LONGEST {
-        return Err(Unread::TooLong);
+/// When it is not a call, with the reason in a sentence.
+pub fn parse(line: &[u8]) -> Result<Call, ParseError> {
+    if line.len() > MAX_LINE_BYTES {
+        return Err(ParseError::TooLong);
     }
-    let text = std::str::from_utf8(line).map_err(|_| Unread::NoText)?;
+    let text = std::str::from_utf8(line).map_err(|_| ParseError::NotText)?;
     let mut words = text.split_ascii_whitespace();
-    let verb = words.next().ok_or(Unread::Empty)?;
+    let verb = words.next().ok_or(ParseError::Empty)?;
     let (name, call): (_, fn(String) -> Call) = match verb {
         "health" => ("health", |_| Call::Health),
         "counters" => ("counters", |_| Call::Counters),
@@ -75,20 +77,25 @@
         "resume" => ("resume", |_| Call::Change(Change::Resume)),
         "cordon" => ("cordon", |id| Call::Change(Change::Cordon(id))),
         "uncordon" => ("uncordon", |id| Call::Change(Change::Uncordon(id))),
-        other => return Err(Unread::Unknown(other.chars().take(40).collect())),
+        other => return Err(ParseError::UnknownCall(quoted(other))),
     };
     let id = match name {
-        "cordon" | "uncordon" => words.next().ok_or(Unread::NoId(name))?,
+        "cordon" | "uncordon" => words.next().ok_or(ParseError::MissingId(name))?,
         _ => "",
     };
-    if id.len() > LONGEST_ID {
-        return Err(Unread::LongId);
+    if id.len() > MAX_ID_BYTES {
+        return Err(ParseError::LongId);
     }
     match words.next() {
-        Some(more) => Err(Unread::Surplus(name, more.chars().take(40).collect())),
+        Some(surplus) => Err(ParseError::SurplusWord(name, quoted(surplus))),
         None => Ok(call(id.into())),
     }
 }
 
+/// The beginning of a word, for an error.
+fn quoted(word: &str) -> String {
+    word.chars().take(MAX_QUOTED_CHARS).collect()
+}
+
 #[cfg(test)]
 mod tests;
--- a/decide/management/src/call/tests.rs
+++ b/decide/management/src/call/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn each_call_is_read_with_or_without_its_end() {
+fn each_call_is_parsed_with_or_without_its_line_end() {
     for (line, call) in [
         ("health\n", Call::Health),
         ("counters\r\n", Call::Counters),
@@ -15,13 +15,13 @@
             Call::Change(Change::Uncordon("s-1".into())),
         ),
     ] {
-        assert_eq!(read(line.as_bytes()), Ok(call), "{line:?}");
+        assert_eq!(parse(line.as_bytes()), Ok(call), "{line:?}");
     }
 }
 
 #[test]
-fn what_is_no_call_is_told_in_a_sentence() {
-    for (line, says) in [
+fn faulty_line_is_rejected_with_a_sentence() {
+    for (line, expected) in [
         (&b""[..], "the line is empty; calls are "),
         (b" \r\n", "the line is empty; calls are "),
         (
@@ -37,11 +37,14 @@
         ),
         (b"health now", "health takes nothing more than that"),
         (b"cordon \xff\xfe", "the line is no UTF-8 text"),
-        (&[b'a'; LONGEST + 1], "the line is longer than 512 bytes"),
+        (
+            &[b'a'; MAX_LINE_BYTES + 1],
+            "the line is longer than 512 bytes",
+        ),
     ] {
-        let told = read(line).expect_err("no call").to_string();
-        assert!(told.starts_with(says), "{told}");
+        let error = parse(line).expect_err("no call").to_string();
+        assert!(error.starts_with(expected), "{error}");
     }
-    let long = format!("cordon {}", "x".repeat(LONGEST_ID + 1));
-    assert_eq!(read(long.as_bytes()), Err(Unread::LongId));
+    let long = format!("cordon {}", "x".repeat(MAX_ID_BYTES + 1));
+    assert_eq!(parse(long.as_bytes()), Err(ParseError::LongId));
 }
--- a/decide/management/src/health.rs
+++ b/decide/management/src/health.rs
@@ -2,59 +2,74 @@
 
 use lichenswitch_interface::{Micros, Time};
 
-/// A loop that has not come round for so long serves nobody.
-pub const STUCK: Micros = 2_000_000;
+/// A loop that has not completed a turn for this long serves nobody (microseconds).
+pub const STUCK_TIMEOUT: Micros = 2_000_000;
 
-/// How a process stands.
+/// How far a process is from its end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Standing {
+pub enum Lifecycle {
+    /// It was not asked to stop.
+    #[default]
+    Running,
+    /// It finishes what it has accepted.
+    Stopping,
+    /// It stops, and leaves new clients to another process of the broker.
+    Leaving,
+}
+
+/// What the loop of a process reports of it.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct HealthStatus {
     /// It listens for clients.
-    pub listens: bool,
+    pub is_listening: bool,
     /// It has a list of servers.
-    pub listed: bool,
-    /// It was told to stop.
-    pub stopping: bool,
-    /// It leaves its clients to another process of the broker.
-    pub leaving: bool,
+    pub has_server_list: bool,
+    /// How far it is from its end.
+    pub lifecycle: Lifecycle,
     /// Clients are sent away.
-    pub away: bool,
-    /// When its loop last came round.
-    pub beat: Time,
+    pub is_quiesced: bool,
+    /// When its loop last completed a turn.
+    pub last_turn_at: Time,
 }
 
-/// Why it is not ready.
+/// Why a process is not ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unready {
+pub enum NotReadyReason {
     /// It waits for the clients' address.
     #[error("the clients' address is in use")]
     NotListening,
-    /// No list came yet.
+    /// No list of servers has arrived.
     #[error("no list of servers yet")]
-    NoList,
-    /// It is about to end.
+    NoServerList,
+    /// It was asked to stop.
     #[error("stopping")]
     Stopping,
-    /// By an operator's call.
+    /// An operator has called `quiesce`.
     #[error("clients are sent away")]
-    Away,
-    /// Its loop stands still.
+    Quiesced,
+    /// Its loop has not completed a turn for this long (milliseconds).
     #[error("the loop has not come round for {0} ms")]
     Stuck(u64),
 }
 
-/// Whether it is ready.
+/// Whether a process is ready.
 ///
 /// # Errors
 /// The first reason why it is not.
-pub fn ready(now: Time, standing: &Standing) -> Result<(), Unready> {
-    let silent = now.since(standing.beat);
-    match standing {
-        Standing { stopping: true, .. } => Err(Unready::Stopping),
-        Standing { listens: false, .. } => Err(Unready::NotListening),
-        Standing { listed: false, .. } => Err(Unready::NoList),
-        Standing { away: true, .. } => Err(Unready::Away),
-        _ if silent >= STUCK => Err(Unready::Stuck(silent / 1_000)),
-        _ => Ok(()),
+pub fn check_ready(now: Time, status: &HealthStatus) -> Result<(), NotReadyReason> {
+    let elapsed = now.since(status.last_turn_at);
+    if status.lifecycle != Lifecycle::Running {
+        Err(NotReadyReason::Stopping)
+    } else if !status.is_listening {
+        Err(NotReadyReason::NotListening)
+    } else if !status.has_server_list {
+        Err(NotReadyReason::NoServerList)
+    } else if status.is_quiesced {
+        Err(NotReadyReason::Quiesced)
+    } else if elapsed >= STUCK_TIMEOUT {
+        Err(NotReadyReason::Stuck(elapsed / 1_000))
+    } else {
+        Ok(())
     }
 }
 
--- a/decide/management/src/health/tests.rs
+++ b/decide/management/src/health/tests.rs
@@ -3,47 +3,53 @@
 use super::*;
 
 #[test]
-fn a_process_is_ready_when_it_listens_has_a_list_and_comes_round() {
-    let well = Standing {
-        listens: true,
-        listed: true,
-        beat: Time(5_000_000),
-        ..Standing::default()
+fn process_is_ready_when_it_listens_has_a_server_list_and_its_loop_turns() {
+    let ready = HealthStatus {
+        is_listening: true,
+        has_server_list: true,
+        last_turn_at: Time(5_000_000),
+        ..HealthStatus::default()
     };
     let now = Time(5_100_000);
-    assert_eq!(ready(now, &well), Ok(()));
-    for (standing, why) in [
+    assert_eq!(check_ready(now, &ready), Ok(()));
+    for (status, reason) in [
         (
-            Standing {
-                listens: false,
-                ..well
+            HealthStatus {
+                is_listening: false,
+                ..ready
             },
-            Unready::NotListening,
+            NotReadyReason::NotListening,
         ),
         (
-            Standing {
-                listed: false,
-                ..well
+            HealthStatus {
+                has_server_list: false,
+                ..ready
             },
-            Unready::NoList,
+            NotReadyReason::NoServerList,
         ),
-        (Standing { away: true, ..well }, Unready::Away),
         (
-            Standing {
-                stopping: true,
-                away: true,
-                ..well
+            HealthStatus {
+                is_quiesced: true,
+                ..ready
             },
-            Unready::Stopping,
+            NotReadyReason::Quiesced,
         ),
         (
-            Standing {
-                beat: Time(1_000_000),
-                ..well
+            HealthStatus {
+                lifecycle: Lifecycle::Stopping,
+                is_quiesced: true,
+                ..ready
             },
-            Unready::Stuck(4_100),
+            NotReadyReason::Stopping,
+        ),
+        (
+            HealthStatus {
+                last_turn_at: Time(1_000_000),
+                ..ready
+            },
+            NotReadyReason::Stuck(4_100),
         ),
     ] {
-        assert_eq!(ready(now, &standing), Err(why));
+        assert_eq!(check_ready(now, &status), Err(reason));
     }
 }
--- a/decide/management/src/processes.rs
+++ b/decide/management/src/processes.rs
@@ -1,94 +1,93 @@
 //! Several processes of one broker, as they run side by side during an upgrade.
 //!
-//! For limits and rules they count as one broker. So each takes an equal part of what is allowed to
-//! one for as long as it sees another; a process that has just begun takes its part from its first
-//! moment on. One that leaves its clients to another keeps what it holds, but not what it may do
-//! with servers that bear little: that goes to those that stay.
+//! For limits and rules they count as one broker. So each takes an equal share of what is allowed to
+//! one for as long as it sees another; a process that has just started takes its share from its
+//! first moment on. One that leaves its clients to another keeps its share of what it holds, but not
+//! of what it may do with servers that bear little: that goes to those that stay.
 
 pub use lichenswitch_interface::{ProcessShares, SINGLE_PROCESS};
 
-/// What a process tells the others of itself.
+/// What a process reports of itself to the others.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Told {
-    /// Its number.
+pub struct ProcessStatus {
+    /// Its process id.
     pub process: u32,
-    /// It serves: it has a list of servers and takes clients.
-    pub ready: bool,
-    /// It listens on the very socket of the one before, so that what waits there is its own too.
+    /// It has a list of servers and serves clients.
+    pub is_ready: bool,
+    /// It listens on the very socket of the process before it, so that the backlog is its own too.
     pub shares_socket: bool,
-    /// It was told to stop, and leaves its clients to another one that serves.
-    pub leaving: bool,
+    /// It was asked to stop, and leaves its clients to another one that serves.
+    pub is_leaving: bool,
 }
 
-/// This process's parts while these others are alive.
+/// This process's shares while these others run.
 #[must_use]
-pub fn parts(leaving: bool, others: &[Told]) -> ProcessShares {
-    let stay = others.iter().filter(|o| !o.leaving).count() as u32;
+pub fn shares(is_leaving: bool, others: &[ProcessStatus]) -> ProcessShares {
+    let staying = others.iter().filter(|o| !o.is_leaving).count() as u32;
     ProcessShares {
         held: 1 + others.len() as u32,
-        done: (!leaving || stay == 0).then_some(1 + stay),
+        done: (!is_leaving || staying == 0).then_some(1 + staying),
     }
 }
 
-/// What a process that is told to stop does with the backlog of its listener: the clients that wait
+/// What a process that is asked to stop does with the backlog of its listener: the clients that wait
 /// to be accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BacklogAction {
-    /// They are another one's too: it leaves them at once, and its own clients have somewhere else
-    /// to go.
+    /// Leave it to another process at once, to which its own clients can go too.
     Leave(Reason),
-    /// It takes them for as long as clients may still come.
+    /// Accept it for as long as clients may still connect.
     Serve(Reason),
 }
 
-/// The reason.
+/// The reason of a [`BacklogAction`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
     /// This process serves at the same socket.
     SharedSocket(u32),
-    /// This one is ready too, but at a socket of its own: what waits at this one would be reset
-    /// with it.
+    /// This process is ready too, but at a socket of its own: the backlog here would be reset.
     OwnSocket(u32),
-    /// Nobody else is ready.
-    Alone,
+    /// No other process is ready.
+    NoSuccessor,
 }
 
 /// What to do with the backlog at the stop.
 #[must_use]
-pub fn backlog_action(others: &[Told]) -> BacklogAction {
-    let ready = || others.iter().filter(|o| o.ready && !o.leaving);
-    match (ready().find(|o| o.shares_socket), ready().next()) {
+pub fn backlog_action(others: &[ProcessStatus]) -> BacklogAction {
+    let mut successors = others.iter().filter(|o| o.is_ready && !o.is_leaving);
+    let first = successors.clone().next();
+    match (successors.find(|o| o.shares_socket), first) {
         (Some(o), _) => BacklogAction::Leave(Reason::SharedSocket(o.process)),
         (None, Some(o)) => BacklogAction::Serve(Reason::OwnSocket(o.process)),
-        (None, None) => BacklogAction::Serve(Reason::Alone),
+        (None, None) => BacklogAction::Serve(Reason::NoSuccessor),
     }
 }
 
-impl Told {
-    /// As it is written for the others.
+impl ProcessStatus {
+    /// The line that is written for the others: the process id, then the flags as 0 or 1.
     #[must_use]
-    pub fn line(&self) -> String {
-        let [ready, shares_socket, leaving] =
-            [self.ready, self.shares_socket, self.leaving].map(u8::from);
-        format!("{} {ready} {shares_socket} {leaving}\n", self.process)
+    pub fn to_line(&self) -> String {
+        let [is_ready, shares_socket, is_leaving] =
+            [self.is_ready, self.shares_socket, self.is_leaving].map(u8::from);
+        format!("{} {is_ready} {shares_socket} {is_leaving}\n", self.process)
     }
 
-    /// Reads such a line. What can't be read is somebody who is there and not ready: it may be
-    /// about to write.
+    /// Parses the line of a process. One that can't be parsed is that of a process that runs and is
+    /// not ready: it may be about to write.
     #[must_use]
-    pub fn read(process: u32, line: &str) -> Told {
+    pub fn from_line(process: u32, line: &str) -> ProcessStatus {
         let words: Vec<&str> = line.split_ascii_whitespace().collect();
-        let [ready, shares_socket, leaving] = match words[..] {
-            [told, ready, shares_socket, leaving] if told.parse() == Ok(process) => {
-                [ready, shares_socket, leaving].map(|flag| flag == "1")
+        let [is_ready, shares_socket, is_leaving] = match words[..] {
+            [id, is_ready, shares_socket, is_leaving] if id.parse() == Ok(process) => {
+                [is_ready, shares_socket, is_leaving].map(|flag| flag == "1")
             }
             _ => [false; 3],
         };
-        Told {
+        ProcessStatus {
             process,
-            ready,
+            is_ready,
             shares_socket,
-            leaving,
+            is_leaving,
         }
     }
 }
--- a/src/broker.rs
+++ b/src/broker.rs
@@ -118,9 +118,12 @@
         let sockets = sockets.min(net::system_limit().unwrap_or(sockets));
         let set_aside = management
             .as_ref()
-            .map_or(0, |_| management::set_aside(sockets));
+            .map_or(0, |_| management::reserved_descriptors(sockets));
         let mut net = Net::new(sockets - set_aside).map_err(|e| format!("poller: {e}"))?;
-        if let Some(woken) = management.as_mut().and_then(ManagementHandle::take_woken) {
+        if let Some(woken) = management
+            .as_mut()
+            .and_then(ManagementHandle::take_wake_stream)
+        {
             net.watch_signal(Signal::Orders, woken)
                 .map_err(|e| format!("orders: {e}"))?;
         }
@@ -380,7 +383,7 @@
             news.into_iter().for_each(|news| service.listed(news));
         }
         if let (Some(management), Some(service)) = (&self.management, &self.platform) {
-            management.on_listed(service.directory.names());
+            management.report_servers(service.directory.names());
         }
         let mut nodes = 0;
         each_service!(self, |_net, service| nodes += service.directory.len());
--- a/src/broker/operators.rs
+++ b/src/broker/operators.rs
@@ -5,10 +5,10 @@
 use crate::interface::{ServerListUpdate, Time};
 use crate::management::Orders;
 use crate::net::Signal;
-use lichenswitch_management::health::Standing;
-use lichenswitch_management::leave;
+use lichenswitch_management::desired_state;
+use lichenswitch_management::health::{HealthStatus, Lifecycle};
 use lichenswitch_management::processes;
-use lichenswitch_management::wanted;
+use lichenswitch_management::quiesce;
 
 impl Broker {
     /// Takes this process's part of what the broker may do.
@@ -16,7 +16,7 @@
         let Some(management) = &self.management else {
             return;
         };
-        let parts = processes::parts(self.leaving, &management.orders().others);
+        let parts = processes::shares(self.leaving, &management.orders().others);
         if std::mem::replace(&mut self.parts, parts) != parts {
             let done = parts
                 .done
@@ -63,16 +63,18 @@
 
     /// Operators' overrides, as the directory takes them.
     pub(super) fn overrides(&self, orders: &Orders, now: Time) -> OperatorOverrides {
-        let wanted = &orders.wanted;
-        let cordoned = wanted
+        let desired = &orders.desired;
+        let cordoned = desired
             .cordoned
             .iter()
             .map(|(id, since)| (id.clone(), Time(*since)));
-        let is_out = |cordoned: &(String, Time)| wanted::is_out(cordoned.1, now, self.stop_within);
+        let is_out = |cordoned: &(String, Time)| {
+            desired_state::is_out_of_service(cordoned.1, now, self.stop_within)
+        };
         let (out, leaving): (Vec<_>, Vec<_>) = cordoned.partition(is_out);
         let ids = |of: Vec<(String, Time)>| of.into_iter().map(|(id, _)| id).collect();
-        let back = wanted
-            .back
+        let back = desired
+            .uncordoned
             .iter()
             .map(|(id, (out, at))| (id.clone(), (Time(*out), Time(*at))));
         OperatorOverrides {
@@ -87,8 +89,8 @@
         let (Some(management), Some(service)) = (&self.management, &mut self.platform) else {
             return;
         };
-        let stage = leave::stage(
-            management.orders().wanted.quiesced.map(Time),
+        let stage = quiesce::stage(
+            management.orders().desired.quiesced_at.map(Time),
             self.net.clock.now(),
         );
         service
@@ -134,19 +136,18 @@
         let (Some(management), Some(service)) = (&mut self.management, &self.platform) else {
             return;
         };
-        let (listens, listed) = (self.unopened.is_none(), service.front.is_listed());
-        let stopping = self.stopping.is_some();
-        let away = management.orders().wanted.quiesced.is_some();
-        management.on_standing(
-            now,
-            Standing {
-                listens,
-                listed,
-                stopping,
-                leaving: self.leaving,
-                away,
-                beat: now,
-            },
-        );
+        let lifecycle = match self.stopping {
+            None => Lifecycle::Running,
+            Some(_) if self.leaving => Lifecycle::Leaving,
+            Some(_) => Lifecycle::Stopping,
+        };
+        let status = HealthStatus {
+            is_listening: self.unopened.is_none(),
+            has_server_list: service.front.is_listed(),
+            lifecycle,
+            is_quiesced: management.orders().desired.quiesced_at.is_some(),
+            last_turn_at: now,
+        };
+        management.report_status(now, status);
     }
 }
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -9,7 +9,7 @@
 use crate::http::{self, Parsed, Response};
 use crate::interface::{Micros, QueryId, Time};
 use crate::net::{Conn, ConnId, Net, Owner, Timer, TransferProgress};
-use lichenswitch_management::leave::Stage;
+use lichenswitch_management::quiesce::QuiesceStage;
 use std::collections::HashMap;
 
 /// What a front makes of a request.
@@ -143,7 +143,7 @@
     looks: bool,
     stopping: bool,
     /// Whether clients are sent away, and how far that has come.
-    away: Stage,
+    away: QuiesceStage,
 }
 
 impl<C> Sessions<C> {
@@ -158,7 +158,7 @@
             processes: 1,
             looks: false,
             stopping: false,
-            away: Stage::Served,
+            away: QuiesceStage::Serving,
         }
     }
 
@@ -327,8 +327,10 @@
         keep_alive: bool,
         head: bool,
     ) {
-        let keep =
-            keep_alive && response.keep_alive && !self.stopping && self.away == Stage::Served;
+        let keep = keep_alive
+            && response.keep_alive
+            && !self.stopping
+            && self.away == QuiesceStage::Serving;
         let now = net.clock.now();
         let (Some(session), Some(conn)) = (self.open.get_mut(&id), net.get_mut(id)) else {
             return;
@@ -476,18 +478,18 @@
     pub fn send_away<F: Front<Context = C>>(
         &mut self,
         net: &mut Net,
-        stage: Stage,
+        stage: QuiesceStage,
         front: &mut F,
         core: &mut Core<F::Job>,
     ) {
         if std::mem::replace(&mut self.away, stage) != stage {
-            front.send_away(stage != Stage::Served);
-            core.hold_off(stage == Stage::Refused);
+            front.send_away(stage != QuiesceStage::Serving);
+            core.hold_off(stage == QuiesceStage::Rejecting);
         }
-        if stage >= Stage::Closed {
+        if stage >= QuiesceStage::ClosingIdle {
             self.close_unused(net, core);
         }
-        if stage == Stage::Refused {
+        if stage == QuiesceStage::Rejecting {
             // What is still arriving would be a request of just now when it is whole.
             let arriving = |s: &Session| s.state == State::Reading;
             let arriving: Vec<_> = self
--- a/src/management/folder/stored_data_tests.rs
+++ b/src/management/folder/stored_data_tests.rs
@@ -13,24 +13,24 @@
         .join(name)
 }
 
-fn wanted() -> Wanted {
-    Wanted {
+fn state() -> DesiredState {
+    DesiredState {
         revision: 7,
         cordoned: BTreeMap::from([("data-1".into(), 1_699_999_990_000_000)]),
-        back: BTreeMap::from([(
+        uncordoned: BTreeMap::from([(
             "data-2".into(),
             (1_699_999_900_000_000, 1_699_999_950_000_000),
         )]),
-        quiesced: Some(1_699_999_999_000_000),
+        quiesced_at: Some(1_699_999_999_000_000),
     }
 }
 
-fn process() -> Told {
-    Told {
+fn process() -> ProcessStatus {
+    ProcessStatus {
         process: 4_000_000_001,
-        ready: true,
+        is_ready: true,
         shares_socket: false,
-        leaving: true,
+        is_leaving: true,
     }
 }
 
@@ -41,7 +41,7 @@
         std::process::id()
     ));
     fs::create_dir(&root).unwrap();
-    let mut folder = Folder::open(&root, OWNER).unwrap();
+    let mut folder = SharedFolder::open(&root, OWNER).unwrap();
     assert_eq!(
         folder.path().file_name().unwrap(),
         "lichenswitch-n0127.0.0.11-8f2c7e64"
@@ -49,24 +49,24 @@
     for name in ["wanted", "process-4000000001"] {
         fs::copy(stored(name), folder.path().join(name)).unwrap();
     }
-    assert_eq!(folder.read(KEPT_AT).unwrap(), Some(wanted()));
-    let lives = File::open(folder.path().join("process-4000000001")).unwrap();
-    lives.try_lock().unwrap();
+    assert_eq!(folder.read_if_changed(KEPT_AT).unwrap(), Some(state()));
+    let running = File::open(folder.path().join("process-4000000001")).unwrap();
+    running.try_lock().unwrap();
     assert_eq!(folder.others().unwrap(), [process()]);
-    drop(lives);
+    drop(running);
     let door = folder.handover_path(process().process);
     fs::write(&door, "").unwrap();
     assert_eq!(folder.others().unwrap(), [], "its file is locked by nobody");
     assert!(!door.exists() && !folder.path().join("process-4000000001").exists());
     // The same state is written to the same bytes.
     fs::remove_file(folder.path().join("wanted")).unwrap();
-    let kept = folder
-        .change(KEPT_AT, &wanted(), |held| Ok::<_, ()>(Some(held.clone())))
+    let applied = folder
+        .change(KEPT_AT, &state(), |known| Ok::<_, ()>(Some(known.clone())))
         .unwrap();
-    assert!(kept.is_some_and(|(state, result)| state == wanted() && result.is_ok()));
+    assert!(applied.is_some_and(|change| change.state == state() && change.stored.is_ok()));
     let read = |path: PathBuf| fs::read_to_string(path).unwrap();
     assert_eq!(read(folder.path().join("wanted")), read(stored("wanted")));
-    let presence = present(folder.path(), process()).unwrap();
+    let presence = create_status_file(folder.path(), process()).unwrap();
     assert_eq!(
         read(folder.path().join("process-4000000001")),
         read(stored("process-4000000001"))
--- a/src/management/folder/tests.rs
+++ b/src/management/folder/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use assert_matches::assert_matches;
 use lichenswitch_management::call::Change;
-use lichenswitch_management::wanted::{Refused, Verdict};
+use lichenswitch_management::desired_state::{ChangeError, Verdict};
 use std::sync::atomic::{AtomicU32, Ordering};
 
 const NOW: Time = Time(1_700_000_000_000_000);
@@ -31,36 +31,38 @@
     }
 }
 
-fn told(process: u32) -> Told {
-    Told {
+fn status(process: u32) -> ProcessStatus {
+    ProcessStatus {
         process,
-        ready: true,
+        is_ready: true,
         shares_socket: true,
-        leaving: false,
+        is_leaving: false,
     }
 }
 
-fn other(folder: &Folder, process: u32) -> File {
-    present(folder.path(), told(process)).unwrap()
+fn running_process(folder: &SharedFolder, process: u32) -> File {
+    create_status_file(folder.path(), status(process)).unwrap()
 }
 
-fn cordon(id: &'static str) -> impl FnOnce(&Wanted) -> Result<Option<Wanted>, Refused> {
-    move |wanted| match wanted.on_change(NOW, &Change::Cordon(id.into()), |_| true)? {
-        Verdict::Set(next, _) => Ok(Some(next)),
-        Verdict::Same(_) => Ok(None),
+fn cordon(
+    id: &'static str,
+) -> impl FnOnce(&DesiredState) -> Result<Option<DesiredState>, ChangeError> {
+    move |state| match state.on_change(NOW, &Change::Cordon(id.into()), |_| true)? {
+        Verdict::Changed(next, _) => Ok(Some(next)),
+        Verdict::Unchanged(_) => Ok(None),
     }
 }
 
 #[test]
-fn others_are_there_for_as_long_as_they_live_whatever_ends_them() {
+fn other_processes_are_listed_for_as_long_as_they_run() {
     let root = Root::new();
-    let folder = Folder::open(&root.0, "n0 127.0.0.1:1").unwrap();
+    let folder = SharedFolder::open(&root.0, "n0 127.0.0.1:1").unwrap();
     assert_eq!(folder.others().unwrap(), [], "not oneself");
-    let lives = other(&folder, 1);
+    let running = running_process(&folder, 1);
     fs::write(folder.handover_path(1), "").unwrap();
-    assert_eq!(folder.others().unwrap(), [told(1)]);
+    assert_eq!(folder.others().unwrap(), [status(1)]);
     // The kernel gives the lock back with the process.
-    drop(lives);
+    drop(running);
     assert_eq!(folder.others().unwrap(), []);
     assert!(
         !folder.path().join("process-1").exists() && !folder.handover_path(1).exists(),
@@ -69,39 +71,39 @@
 }
 
 #[test]
-fn a_process_that_is_about_to_write_is_there_and_not_ready() {
+fn process_without_a_complete_line_runs_and_is_not_ready() {
     let root = Root::new();
-    let folder = Folder::open(&root.0, "n0").unwrap();
-    let lives = other(&folder, 1);
-    lives.set_len(1).unwrap();
+    let folder = SharedFolder::open(&root.0, "n0").unwrap();
+    let running = running_process(&folder, 1);
+    running.set_len(1).unwrap();
     assert_eq!(
         folder.others().unwrap(),
-        [Told {
+        [ProcessStatus {
             process: 1,
-            ..Told::default()
+            ..ProcessStatus::default()
         }]
     );
 }
 
 #[test]
-fn what_a_process_tells_is_told_again_when_somebody_has_taken_its_file() {
+fn status_is_published_again_when_its_file_was_removed() {
     let root = Root::new();
-    let mut folder = Folder::open(&root.0, "n0").unwrap();
+    let mut folder = SharedFolder::open(&root.0, "n0").unwrap();
     let path = folder
         .path()
         .join(format!("process-{}", std::process::id()));
     folder
-        .tell(Told {
-            ready: true,
-            ..Told::default()
+        .publish(ProcessStatus {
+            is_ready: true,
+            ..ProcessStatus::default()
         })
         .unwrap();
     assert!(fs::read_to_string(&path).unwrap().ends_with(" 1 0 0\n"));
     fs::remove_file(&path).unwrap();
     folder
-        .tell(Told {
-            ready: true,
-            ..Told::default()
+        .publish(ProcessStatus {
+            is_ready: true,
+            ..ProcessStatus::default()
         })
         .unwrap();
     assert!(fs::read_to_string(&path).unwrap().ends_with(" 1 0 0\n"));
@@ -114,116 +116,133 @@
 }
 
 #[test]
-fn changes_of_two_processes_are_both_kept_and_each_is_read_once() {
+fn changes_of_two_processes_are_both_stored_and_each_is_read_once() {
     let root = Root::new();
-    let mut folder = Folder::open(&root.0, "n0").unwrap();
-    let held = Wanted::default();
-    let (first, kept) = folder.change(NOW, &held, cordon("a")).unwrap().unwrap();
-    kept.unwrap();
+    let mut folder = SharedFolder::open(&root.0, "n0").unwrap();
+    let known = DesiredState::default();
+    let first = folder.change(NOW, &known, cordon("a")).unwrap().unwrap();
+    first.stored.unwrap();
+    let first = first.state;
     // This one has not heard of the first change, as another process would not have.
-    let (second, kept) = folder.change(NOW, &held, cordon("b")).unwrap().unwrap();
-    kept.unwrap();
+    let second = folder.change(NOW, &known, cordon("b")).unwrap().unwrap();
+    second.stored.unwrap();
+    let second = second.state;
     assert_eq!((first.revision, second.revision), (1, 2));
     assert_eq!(second.cordoned.keys().collect::<Vec<_>>(), ["a", "b"]);
-    assert_eq!(folder.read(NOW).unwrap(), Some(second));
-    assert_eq!(folder.read(NOW).unwrap(), None);
+    assert_eq!(folder.read_if_changed(NOW).unwrap(), Some(second));
+    assert_eq!(folder.read_if_changed(NOW).unwrap(), None);
     assert_eq!(
-        folder.change(NOW, &held, cordon("a")).unwrap().map(|c| c.0),
+        folder
+            .change(NOW, &known, cordon("a"))
+            .unwrap()
+            .map(|change| change.state),
         None,
         "it is out already"
     );
-    let refused = folder.change(NOW, &held, |_| Err::<Option<Wanted>, _>(Refused::TooMany));
-    assert_matches!(refused, Err(Refused::TooMany));
+    let rejected = folder.change(NOW, &known, |_| {
+        Err::<Option<DesiredState>, _>(ChangeError::TooMany)
+    });
+    assert_matches!(rejected, Err(ChangeError::TooMany));
 }
 
 #[test]
-fn a_state_that_could_not_be_kept_before_is_not_undone_by_an_older_one() {
+fn older_stored_state_does_not_undo_a_newer_one() {
     let root = Root::new();
-    let mut folder = Folder::open(&root.0, "n0").unwrap();
+    let mut folder = SharedFolder::open(&root.0, "n0").unwrap();
     folder
-        .change(NOW, &Wanted::default(), cordon("a"))
+        .change(NOW, &DesiredState::default(), cordon("a"))
         .unwrap()
         .unwrap()
-        .1
+        .stored
         .unwrap();
-    let held = Wanted {
+    let known = DesiredState {
         revision: 7,
-        ..Wanted::default()
+        ..DesiredState::default()
     };
-    let (next, _) = folder.change(NOW, &held, cordon("b")).unwrap().unwrap();
+    let AppliedChange { state: next, .. } =
+        folder.change(NOW, &known, cordon("b")).unwrap().unwrap();
     assert_eq!((next.revision, next.cordoned.len()), (8, 1));
 }
 
 #[test]
-fn a_process_that_stands_still_in_a_change_holds_the_next_one_up_for_a_moment_only() {
+fn stuck_change_of_another_process_delays_the_next_one_by_the_timeout() {
     let root = Root::new();
-    let mut folder = Folder::open(&root.0, "n0").unwrap();
+    let mut folder = SharedFolder::open(&root.0, "n0").unwrap();
     let holds = File::create(folder.path().join("lock")).unwrap();
     holds.lock().unwrap();
-    let begun = Instant::now();
+    let started_at = Instant::now();
     folder
-        .change(NOW, &Wanted::default(), cordon("a"))
+        .change(NOW, &DesiredState::default(), cordon("a"))
         .unwrap()
         .unwrap()
-        .1
+        .stored
         .unwrap();
-    assert!(begun.elapsed() >= CHANGE && begun.elapsed() < 2 * CHANGE);
+    assert!(started_at.elapsed() >= LOCK_TIMEOUT && started_at.elapsed() < 2 * LOCK_TIMEOUT);
 }
 
 #[test]
-fn torn_foreign_and_old_files_are_no_state_and_said_once() {
+fn damaged_foreign_or_expired_state_is_an_error_once() {
     let root = Root::new();
-    let mut folder = Folder::open(&root.0, "n0").unwrap();
-    let wanted = Wanted {
+    let mut folder = SharedFolder::open(&root.0, "n0").unwrap();
+    let state = DesiredState {
         revision: 3,
-        ..Wanted::default()
+        ..DesiredState::default()
     };
-    let whole = wanted.encode("n0", NOW);
+    let complete = state.encode("n0", NOW);
     for bytes in [
-        &whole[..whole.len() / 2],
+        &complete[..complete.len() / 2],
         b"",
         b"hello\n",
-        &wanted.encode("n1", NOW),
-        &wanted.encode("n0", Time(0)),
+        &state.encode("n1", NOW),
+        &state.encode("n0", Time(0)),
     ] {
-        fs::write(folder.wanted(), bytes).unwrap();
-        folder.seen = None;
-        assert_matches!(folder.read(NOW), Err(Failure::NoState(..)));
-        assert_eq!(folder.read(NOW).unwrap(), None);
-        let (next, _) = folder
-            .change(NOW, &Wanted::default(), cordon("a"))
+        fs::write(folder.state_path(), bytes).unwrap();
+        folder.last_read = None;
+        assert_matches!(folder.read_if_changed(NOW), Err(FolderError::State(..)));
+        assert_eq!(folder.read_if_changed(NOW).unwrap(), None);
+        let AppliedChange { state: next, .. } = folder
+            .change(NOW, &DesiredState::default(), cordon("a"))
             .unwrap()
             .unwrap();
         assert_eq!(next.revision, 1, "the next change begins anew");
-        folder.seen = None;
-        assert_eq!(folder.read(NOW).unwrap(), Some(next));
+        folder.last_read = None;
+        assert_eq!(folder.read_if_changed(NOW).unwrap(), Some(next));
     }
 }
 
 #[test]
-fn what_can_not_be_kept_is_wanted_all_the_same_and_told() {
+fn change_that_can_not_be_stored_is_applied_and_reported() {
     let root = Root::new();
-    let mut folder = Folder::open(&root.0, "n0").unwrap();
-    fs::create_dir(folder.wanted()).unwrap();
-    let (next, kept) = folder
-        .change(NOW, &Wanted::default(), cordon("a"))
+    let mut folder = SharedFolder::open(&root.0, "n0").unwrap();
+    fs::create_dir(folder.state_path()).unwrap();
+    let AppliedChange {
+        state: next,
+        stored,
+    } = folder
+        .change(NOW, &DesiredState::default(), cordon("a"))
         .unwrap()
         .unwrap();
     assert_eq!(next.cordoned.len(), 1);
-    assert_matches!(kept, Err(Failure::System(..)));
+    assert_matches!(stored, Err(FolderError::System(..)));
 }
 
 #[test]
-fn a_folder_that_is_not_this_users_own_is_not_used() {
+fn folder_of_another_user_is_rejected() {
     let root = Root::new();
     let elsewhere = root.0.join("elsewhere");
     fs::create_dir(&elsewhere).unwrap();
-    let path = Folder::open(&root.0, "n0").unwrap().path().to_path_buf();
+    let path = SharedFolder::open(&root.0, "n0")
+        .unwrap()
+        .path()
+        .to_path_buf();
     fs::remove_dir_all(&path).unwrap();
     std::os::unix::fs::symlink(&elsewhere, &path).unwrap();
-    assert_matches!(Folder::open(&root.0, "n0"), Err(Failure::NotOurs(_)));
     assert_matches!(
-        Folder::open(&root.0.join("nowhere"), "n0"),
-        Err(Failure::System(..))
+        SharedFolder::open(&root.0, "n0"),
+        Err(FolderError::NotOwned(_))
+    );
+    assert_matches!(
+        SharedFolder::open(&root.0.join("nowhere"), "n0"),
+        Err(FolderError::System(..))
     );
 }
--- a/src/management/handover/tests.rs
+++ b/src/management/handover/tests.rs
@@ -11,17 +11,17 @@
     std::env::temp_dir().join(format!("lichenswitch-{name}-{}", std::process::id()))
 }
 
-/// A client that has connected and asked, and that nobody has accepted.
-fn waits(listener: &TcpListener) -> TcpStream {
+/// A client that has connected and sent a request, and that nobody has accepted.
+fn waiting_client(listener: &TcpListener) -> TcpStream {
     let mut client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     client.write_all(b"?").unwrap();
     client
 }
 
 #[test]
-fn a_listener_that_is_closed_resets_what_waits_there() {
+fn closed_listener_resets_its_backlog() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut client = waits(&listener);
+    let mut client = waiting_client(&listener);
     drop(listener);
     assert_eq!(
         client.read(&mut [0]).unwrap_err().kind(),
@@ -30,11 +30,11 @@
 }
 
 #[test]
-fn what_waits_at_a_socket_that_was_handed_over_is_served_by_the_next() {
+fn backlog_of_a_handed_over_socket_is_served_by_the_next_process() {
     let path = path("handed");
     let offers = UnixListener::bind(&path).unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut client = waits(&listener);
+    let mut client = waiting_client(&listener);
     let before = thread::spawn(move || {
         offer(&offers.accept().unwrap().0, &listener).unwrap();
         drop(listener);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn who_offers_nothing_or_is_not_there_hands_nothing_over() {
+fn process_without_an_offer_hands_nothing_over() {
     let path = path("refused");
     assert!(take(&path).is_err());
     let offers = UnixListener::bind(&path).unwrap();
--- a/src/management/metrics.rs
+++ b/src/management/metrics.rs
@@ -1,7 +1,7 @@
-//! The figures that operators read, in the text form of OpenMetrics.
+//! The metrics that operators read, in the text form of OpenMetrics.
 //!
-//! The loop adds what the core's books tell; the thread that answers operators writes them out.
-//! Both sides touch nothing but atomic numbers, so neither waits for the other.
+//! The loop adds the counters of the core; the management thread encodes them. Both sides only use
+//! atomic numbers, so neither waits for the other.
 
 use crate::core::ClassCounters;
 use prometheus_client::encoding::{text, EncodeLabelSet};
@@ -20,10 +20,10 @@
     ok: Counter,
     shed: Counter,
     errors: Counter,
-    tries: Counter,
+    attempts: Counter,
 }
 
-/// All figures.
+/// All metrics.
 pub struct Metrics {
     registry: Registry,
     classes: Vec<Class>,
@@ -33,7 +33,7 @@
 }
 
 impl Metrics {
-    /// Figures that begin at 0, for these classes in the order of the settings.
+    /// Metrics that start at 0, for these classes in the order of the settings.
     #[must_use]
     pub fn new(classes: &[String]) -> Metrics {
         let mut registry = Registry::with_prefix("svc");
@@ -45,7 +45,7 @@
         let ok = family("ok", "Requests served");
         let shed = family("shed", "Requests refused");
         let errors = family("errors", "Requests failed");
-        let tries = family("tries", "Attempts written whole to shard servers");
+        let attempts = family("tries", "Attempts written whole to shard servers");
         let of = |family: &Family<Kind, Counter>, kind: &String| {
             family.get_or_create(&Kind { kind: kind.clone() }).clone()
         };
@@ -53,7 +53,7 @@
             ok: of(&ok, kind),
             shed: of(&shed, kind),
             errors: of(&errors, kind),
-            tries: of(&tries, kind),
+            attempts: of(&attempts, kind),
         };
         let classes = classes.iter().map(class).collect();
         let mut gauge = |name: &str, help: &str| {
@@ -76,17 +76,17 @@
         }
     }
 
-    /// Adds what the books counted since the last time, by class.
+    /// Adds what was counted since the last call, by class.
     pub fn add(&self, counters: &[ClassCounters]) {
-        for (class, tally) in self.classes.iter().zip(counters) {
-            class.ok.inc_by(tally.served);
-            class.shed.inc_by(tally.refused);
-            class.errors.inc_by(tally.failed);
-            class.tries.inc_by(tally.attempts);
+        for (class, count) in self.classes.iter().zip(counters) {
+            class.ok.inc_by(count.served);
+            class.shed.inc_by(count.refused);
+            class.errors.inc_by(count.failed);
+            class.attempts.inc_by(count.attempts);
         }
     }
 
-    /// Sets what is so now.
+    /// Sets the gauges.
     pub fn set(&self, active: usize, pool_size: usize, pool_ejected: usize) {
         for (gauge, value) in [
             (&self.active, active),
