--- a/fleet/src/control/settings_reload.rs
+++ b/fleet/src/control/settings_reload.rs
@@ -17,8 +17,8 @@
         self.settings_modified_at = modified_at(&self.path);
         match Settings::read(&self.path) {
             Ok(settings) => {
-                info!(target: "control", "settings are read again");
-                self.peers.on_seeds(settings.seeds_internal(), now);
+                info!(target: "control", "settings reloaded");
+                self.peers.on_seeds(settings.internal_seed_addresses(), now);
                 self.servers.on_settings(&settings);
                 // Addresses, identity and disk stay those of the start.
                 self.settings.seed_nodes = settings.seed_nodes;
@@ -26,10 +26,10 @@
                 self.settings.bounds = settings.bounds;
                 self.quotas
                     .buckets
-                    .set_bounds(settings.bounds.quota_terms());
+                    .set_bounds(settings.bounds.quota_bounds());
             }
             Err(e) => {
-                warn!(target: "control", error = e.to_string().as_str(); "the settings file can't be used")
+                warn!(target: "control", error = e.to_string().as_str(); "settings file can't be used")
             }
         }
     }
--- a/fleet/src/router/ranks/tests.rs
+++ b/fleet/src/router/ranks/tests.rs
@@ -25,12 +25,12 @@
 }
 
 #[test]
-fn without_tenants_a_route_has_its_own_rank() {
+fn without_tenants_routes_keep_their_rank() {
     assert_eq!(ranks(&document(""), None), [0, 4]);
 }
 
 #[test]
-fn the_rank_of_a_tenant_goes_before_that_of_the_route() {
+fn tenant_rank_precedes_route_rank() {
     let document = document(
         ",\"tenants\":[{\"name\":\"a\",\"priority\":1},{\"name\":\"b\",\"priority\":0},{\"name\":\"c\"}]",
     );
@@ -42,12 +42,12 @@
     // Pairs in their order: (0, 0), (0, 4), (1, 0), (1, 4), (4, 4).
     assert_eq!((a, b, c), (vec![2, 3], vec![0, 1], vec![0, 4]));
     let all = PriorityRanks::new(&document)
-        .all(document.tenants().expect("tenants"), &document.routes()[1]);
+        .ranks_of_route(document.tenants().expect("tenants"), &document.routes()[1]);
     assert_eq!(all.into_iter().collect::<Vec<_>>(), [1, 3, 4]);
 }
 
 #[test]
-fn there_are_ten_ranks_however_many_a_configuration_names() {
+fn ranks_are_capped_at_ten() {
     let many: Vec<String> = (0..40)
         .map(|rank| format!("{{\"name\":\"t{rank}\",\"priority\":{rank}}}"))
         .collect();
