--- a/fleet/src/router/backlog_reports.rs
+++ b/fleet/src/router/backlog_reports.rs
@@ -12,11 +12,11 @@
 #[derive(Debug, Default)]
 pub(crate) struct BacklogReports {
     /// The backlogs that control knows of (tokens).
-    pub(crate) last_reported: BTreeMap<ServerId, Backlog>,
+    pub last_reported: BTreeMap<ServerId, Backlog>,
     /// A timer for the next report is set.
-    pub(crate) is_scheduled: bool,
+    pub is_scheduled: bool,
     /// When the last report was due.
-    pub(crate) last_report_at: Time,
+    pub last_report_at: Time,
 }
 
 impl BacklogReports {
--- a/fleet/src/router/client_connections/connection.rs
+++ b/fleet/src/router/client_connections/connection.rs
@@ -34,16 +34,16 @@
 
 /// One connection of a client.
 pub(crate) struct ClientConnection {
-    pub(crate) phase: ConnectionPhase,
-    pub(crate) reader: RequestReader,
+    pub phase: ConnectionPhase,
+    pub reader: RequestReader,
     /// When the phase began; while a request is received, when its first byte came.
-    pub(crate) phase_started_at: Time,
+    pub phase_started_at: Time,
     /// A request has begun and is not complete.
-    pub(crate) is_receiving: bool,
+    pub is_receiving: bool,
     /// The connection ends with the pending response.
-    pub(crate) closes_after_response: bool,
+    pub closes_after_response: bool,
     /// The pending response has no body.
-    pub(crate) is_head_request: bool,
+    pub is_head_request: bool,
     /// The earliest timer that is set for it.
-    pub(crate) timer_at: Option<Time>,
+    pub timer_at: Option<Time>,
 }
--- a/fleet/src/router/client_connections/reading.rs
+++ b/fleet/src/router/client_connections/reading.rs
@@ -13,7 +13,7 @@
 
 /// Bytes kept of what a client sends while its request waits. The end of the connection could not be
 /// seen behind more than that.
-pub(crate) const MAX_INPUT_WHILE_WAITING_BYTES: usize = 32 * 1_024;
+const MAX_INPUT_WHILE_WAITING_BYTES: usize = 32 * 1_024;
 
 impl ClientConnections {
     /// Handles a connection that can be read or written.
--- a/fleet/src/router/client_connections/table.rs
+++ b/fleet/src/router/client_connections/table.rs
@@ -10,24 +10,24 @@
 
 /// Clients reuse connections that were idle for up to four fifths of the idle timeout. Connections are
 /// kept this long beyond the whole timeout, since the clients' clocks start later (microseconds).
-pub(crate) const IDLE_TIMEOUT_MARGIN_US: Micros = 1_000_000;
+const IDLE_TIMEOUT_MARGIN_US: Micros = 1_000_000;
 
 /// How long a client may take to end its side once its last response is written (microseconds).
-pub(crate) const LINGER_TIMEOUT_US: Micros = 1_000_000;
+const LINGER_TIMEOUT_US: Micros = 1_000_000;
 
 /// A client that takes nothing of a response for this long is disconnected (microseconds).
-pub(crate) const CLIENT_STALL_TIMEOUT_US: Micros = 10_000_000;
+const CLIENT_STALL_TIMEOUT_US: Micros = 10_000_000;
 
 /// The connections of clients, by id.
 pub(crate) struct ClientConnections {
-    pub(crate) connections: HashMap<ConnId, ClientConnection>,
-    pub(crate) limits: Limits,
+    pub connections: HashMap<ConnId, ClientConnection>,
+    pub limits: Limits,
     /// Bytes buffered of incomplete requests.
-    pub(crate) incomplete_bytes: usize,
+    pub incomplete_bytes: usize,
     /// Upper bound on them.
-    pub(crate) max_incomplete_bytes: usize,
+    pub max_incomplete_bytes: usize,
     /// The process shuts down: connections are closed after their response.
-    pub(crate) is_stopping: bool,
+    pub is_stopping: bool,
 }
 
 impl ClientConnections {
--- a/fleet/src/router/client_connections/writing.rs
+++ b/fleet/src/router/client_connections/writing.rs
@@ -196,7 +196,7 @@
 }
 
 /// Writes the end of a head; `last`: the connection closes after this response.
-pub(crate) fn end_head(bytes: &mut Vec<u8>, last: bool) {
+fn end_head(bytes: &mut Vec<u8>, last: bool) {
     // HTTP/1.1 keeps a connection unless told otherwise.
     if last {
         bytes.extend_from_slice(b"connection: close\r\n");
--- a/fleet/src/router/client_request.rs
+++ b/fleet/src/router/client_request.rs
@@ -25,13 +25,13 @@
 #[derive(Debug, Default, PartialEq)]
 pub(crate) struct ClientRequest {
     /// Its method.
-    pub(crate) method: String,
+    pub method: String,
     /// Its target, path and query.
-    pub(crate) target: String,
+    pub target: String,
     /// Its `Host`.
     pub host: String,
     /// Header lines that are forwarded to servers.
-    pub(crate) forwarded_lines: Vec<u8>,
+    pub forwarded_lines: Vec<u8>,
     /// Its `Attempt-Id`.
     pub attempt_id: Option<String>,
     /// How long its client waits (`Deadline-Ms`).
@@ -43,11 +43,11 @@
     /// Its `Token-Usage`.
     pub tokens: TokenUsage,
     /// Its `Last-Event-Id`: the client resumes a stream behind it.
-    pub(crate) last_event_id: Option<Vec<u8>>,
+    pub last_event_id: Option<Vec<u8>>,
     /// Its body.
     pub body: Vec<u8>,
     /// It was framed with a body, maybe an empty one.
-    pub(crate) has_body: bool,
+    pub has_body: bool,
     /// Whether the client keeps the connection open after it.
     pub keep_alive: bool,
 }
--- a/fleet/src/router/control_link/connection.rs
+++ b/fleet/src/router/control_link/connection.rs
@@ -56,19 +56,19 @@
 
 /// A connection to a control machine.
 pub(crate) struct ControlConnection {
-    pub(crate) id: ConnId,
-    pub(crate) address: SocketAddr,
-    pub(crate) reader: EnvelopeReader,
-    pub(crate) is_handshake_sent: bool,
-    pub(crate) opened_at: Time,
-    pub(crate) last_received_at: Option<Time>,
+    pub id: ConnId,
+    pub address: SocketAddr,
+    pub reader: EnvelopeReader,
+    pub is_handshake_sent: bool,
+    pub opened_at: Time,
+    pub last_received_at: Option<Time>,
     /// When the control machine last reported that it was in contact with a quorum.
-    pub(crate) last_contact_at: Option<Time>,
-    pub(crate) is_in_contact: bool,
+    pub last_contact_at: Option<Time>,
+    pub is_in_contact: bool,
     /// Number of the last push that came.
-    pub(crate) last_push: u64,
+    pub last_push: u64,
     /// Number of the last push that was acknowledged.
-    pub(crate) last_acknowledged_push: u64,
+    pub last_acknowledged_push: u64,
 }
 
 impl ControlConnection {
--- a/fleet/src/router/control_link/link.rs
+++ b/fleet/src/router/control_link/link.rs
@@ -20,7 +20,7 @@
 
 /// After this long without any configuration, one of a control machine without contact is accepted
 /// (microseconds).
-pub(crate) const UNCONFIRMED_WAIT_US: Micros = 3_000_000;
+const UNCONFIRMED_WAIT_US: Micros = 3_000_000;
 
 /// Bytes read ahead of a control machine.
 const READ_AHEAD_BYTES: usize = 256 * 1_024;
--- a/fleet/src/router/handlers/backlog.rs
+++ b/fleet/src/router/handlers/backlog.rs
@@ -7,7 +7,7 @@
 use lichenswitch_messages::BacklogReport;
 
 /// Shortest time between two reports (microseconds).
-pub(crate) const REPORT_INTERVAL_US: Micros = 20_000;
+const REPORT_INTERVAL_US: Micros = 20_000;
 
 impl Router {
     /// Schedules a report, unless one is scheduled: an attempt was started.
--- a/fleet/src/router/handlers/intake.rs
+++ b/fleet/src/router/handlers/intake.rs
@@ -20,7 +20,7 @@
 
 /// When clients of a process that shuts down may retry: other routers are ready, and get the retries
 /// (microseconds).
-pub(crate) const SHUTDOWN_RETRY_AFTER_US: Micros = 20_000;
+const SHUTDOWN_RETRY_AFTER_US: Micros = 20_000;
 
 impl Router {
     /// Handles what clients have done, until nothing is left.
--- a/fleet/src/router/handlers/quota.rs
+++ b/fleet/src/router/handlers/quota.rs
@@ -21,15 +21,15 @@
 
 /// A request may wait for its quota for the route's target latency divided by this: a client that is
 /// rejected within a quarter of it can still retry in time.
-pub(crate) const QUOTA_WAIT_DIVISOR: Micros = 4;
+const QUOTA_WAIT_DIVISOR: Micros = 4;
 
 /// It may wait this long in any case (microseconds): it takes 60 ms to pass over a shard owner that
 /// is gone.
-pub(crate) const MIN_QUOTA_WAIT_US: Micros = 90_000;
+const MIN_QUOTA_WAIT_US: Micros = 90_000;
 
 /// How long a turn of the loop may take between reading the clock and its effect (microseconds): the
 /// bounds on quotas leave room for it.
-pub(crate) const MAX_TURN_US: Micros = 250_000;
+const MAX_TURN_US: Micros = 250_000;
 
 impl Router {
     /// Finds the sender of a request, and checks that the configuration is fresh enough to trust its
@@ -207,7 +207,7 @@
 }
 
 /// The message that requests a quota lease.
-pub(crate) fn lease_request_message(id: u64, lease_request: LeaseRequest) -> QuotaLeaseRequest {
+fn lease_request_message(id: u64, lease_request: LeaseRequest) -> QuotaLeaseRequest {
     let LeaseRequest {
         tenant,
         unit,
--- a/fleet/src/router/handlers/request_end.rs
+++ b/fleet/src/router/handlers/request_end.rs
@@ -92,7 +92,7 @@
 }
 
 /// Whether a deadline has passed, or nearly.
-pub(crate) fn is_nearly_due(deadline: Time, now: Time) -> bool {
+fn is_nearly_due(deadline: Time, now: Time) -> bool {
     /// The decision module gives up two turns before the deadline (microseconds).
     const TOLERANCE_US: Micros = 10_000;
     now.plus(TOLERANCE_US) >= deadline
--- a/fleet/src/router/handlers/shutdown.rs
+++ b/fleet/src/router/handlers/shutdown.rs
@@ -21,7 +21,7 @@
 use std::time::Duration;
 
 /// How often a process that shuts down checks whether it has finished.
-pub(crate) const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Router {
     /// Starts the shutdown. Further signals change nothing: the end is never put off.
--- a/fleet/src/router/handlers/stream_abort.rs
+++ b/fleet/src/router/handlers/stream_abort.rs
@@ -48,6 +48,6 @@
 }
 
 /// Whole milliseconds, as logs show times.
-pub(crate) fn to_millis(time: Micros) -> u64 {
+fn to_millis(time: Micros) -> u64 {
     time / 1_000
 }
--- a/fleet/src/router/ranks.rs
+++ b/fleet/src/router/ranks.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 
 /// The least urgent rank.
-pub(crate) const LOWEST_RANK: u8 = 9;
+const LOWEST_RANK: u8 = 9;
 
 /// Rank of a tenant, and of a route.
 type RankPair = (u32, u32);
--- a/fleet/src/router/reactor.rs
+++ b/fleet/src/router/reactor.rs
@@ -96,10 +96,10 @@
 
 /// Idle time after which a server is probed: clients give a stream up after two seconds of silence at
 /// the least, so a fault that is found by then can still be resumed elsewhere.
-pub(crate) const SERVER_PROBE_INTERVAL: Duration = Duration::from_millis(1_000);
+const SERVER_PROBE_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// How long data to a control machine may go unacknowledged: they send four times a second.
-pub(crate) const CONTROL_USER_TIMEOUT: Duration = Duration::from_secs(1);
+const CONTROL_USER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Sockets of this role.
 pub(crate) type Net = lichenswitch_net::Net<RouterProgram>;
--- a/fleet/src/router/request_reader.rs
+++ b/fleet/src/router/request_reader.rs
@@ -15,7 +15,7 @@
 
 /// Headers that this program sets itself, that concern how a body travels, or that are for this
 /// program alone.
-pub(crate) const NOT_FORWARDED: [&str; 8] = [
+const NOT_FORWARDED: [&str; 8] = [
     "content-length",
     "deadline-ms",
     "target-instance",
@@ -27,7 +27,7 @@
 ];
 
 /// Upper bound on a client's deadline: longer ones are shortened to it.
-pub(crate) const MAX_DEADLINE: Duration = Duration::from_secs(86_400);
+const MAX_DEADLINE: Duration = Duration::from_secs(86_400);
 
 /// How far the reading of a request has got.
 #[derive(Debug)]
@@ -137,7 +137,7 @@
     }
 }
 
-pub(crate) fn request_of(head: RequestHead) -> Result<ClientRequest, Malformed> {
+fn request_of(head: RequestHead) -> Result<ClientRequest, Malformed> {
     // The route is chosen by the path that the server sees.
     if !head.target.starts_with('/') {
         return Err(Malformed(400, "target without a path"));
@@ -174,10 +174,7 @@
 }
 
 /// The same as bytes, which may be no text.
-pub(crate) fn only_bytes<'a>(
-    headers: &'a Headers,
-    name: &'a str,
-) -> Result<Option<&'a [u8]>, Malformed> {
+fn only_bytes<'a>(headers: &'a Headers, name: &'a str) -> Result<Option<&'a [u8]>, Malformed> {
     let mut values = headers.all(name);
     match (values.next(), values.next()) {
         (value, None) => Ok(value),
@@ -186,7 +183,7 @@
 }
 
 /// Parses `Token-Usage`: two whole numbers separated by a comma.
-pub(crate) fn token_usage(value: Option<&[u8]>) -> TokenUsage {
+fn token_usage(value: Option<&[u8]>) -> TokenUsage {
     let Some(value) = value else {
         return TokenUsage::Unspecified;
     };
--- a/fleet/src/router/response_reader.rs
+++ b/fleet/src/router/response_reader.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// Longest head of a response (bytes).
-pub(crate) const MAX_HEAD_BYTES: usize = 32 * 1_024;
+const MAX_HEAD_BYTES: usize = 32 * 1_024;
 
 /// A part of a server's response.
 #[derive(Debug, PartialEq, Eq)]
--- a/fleet/src/router/server_connections/attempt.rs
+++ b/fleet/src/router/server_connections/attempt.rs
@@ -11,7 +11,7 @@
 /// A body longer than this may fill the receive buffer of a server that does not read (bytes): half of
 /// what systems give a connection. Such a server counts as silent, not as dead: until its response is
 /// complete, only the request's deadline ends the connection.
-pub(crate) const LONG_BODY_BYTES: usize = 32 * 1_024;
+const LONG_BODY_BYTES: usize = 32 * 1_024;
 
 /// An attempt to be made at a server.
 #[derive(Debug)]
--- a/fleet/src/router/server_connections/exchange.rs
+++ b/fleet/src/router/server_connections/exchange.rs
@@ -18,10 +18,10 @@
 
 /// How long an idle connection is reused whose server advertises no timeout (microseconds): timeouts
 /// below a second can't be advertised.
-pub(crate) const DEFAULT_KEEP_ALIVE_US: Micros = 500_000;
+const DEFAULT_KEEP_ALIVE_US: Micros = 500_000;
 
 /// Share of the timeout that a server advertises for which its idle connections are reused.
-pub(crate) const ADVERTISED_KEEP_ALIVE_SHARE: f64 = 0.75;
+const ADVERTISED_KEEP_ALIVE_SHARE: f64 = 0.75;
 
 impl ServerConnections {
     /// Starts an attempt: on an idle connection, a new one, or once one is free.
--- a/fleet/src/router/server_connections/in_flight.rs
+++ b/fleet/src/router/server_connections/in_flight.rs
@@ -8,10 +8,10 @@
 
 /// A response that is not an event stream is buffered up to this length, and forwarded as it arrives
 /// beyond it (bytes).
-pub(crate) const MAX_BUFFERED_BODY_BYTES: usize = 256 * 1_024;
+const MAX_BUFFERED_BODY_BYTES: usize = 256 * 1_024;
 
 /// Longest event of a stream (bytes).
-pub(crate) const MAX_EVENT_BYTES: usize = 256 * 1_024;
+const MAX_EVENT_BYTES: usize = 256 * 1_024;
 
 /// How the body of the response that is being read is handled.
 #[derive(Debug)]
@@ -29,15 +29,15 @@
 /// The request in flight on a connection.
 #[derive(Debug)]
 pub(crate) struct InFlightRequest {
-    pub(crate) attempt: Attempt,
+    pub attempt: Attempt,
     /// Bytes written on the connection before the request.
-    pub(crate) bytes_before: u64,
+    pub bytes_before: u64,
     /// Bytes written on it once the request is written completely.
-    pub(crate) bytes_through: u64,
-    pub(crate) reader: ResponseReader,
-    pub(crate) body: BodyMode,
+    pub bytes_through: u64,
+    pub reader: ResponseReader,
+    pub body: BodyMode,
     /// The response began before the request was written completely.
-    pub(crate) is_early_response: bool,
+    pub is_early_response: bool,
 }
 
 /// What a part of a response amounts to.
@@ -173,7 +173,7 @@
     ServerEvent::StreamStarted(id, Box::new(start))
 }
 
-pub(crate) fn body_chunk(bytes: Vec<u8>, last_event_id: Option<&[u8]>) -> BodyChunk {
+fn body_chunk(bytes: Vec<u8>, last_event_id: Option<&[u8]>) -> BodyChunk {
     BodyChunk {
         bytes,
         last_event_id: last_event_id.map(<[u8]>::to_vec),
@@ -181,13 +181,13 @@
 }
 
 /// Whether these complete lines hold more than comments and line ends.
-pub(crate) fn has_field(lines: &[u8]) -> bool {
+fn has_field(lines: &[u8]) -> bool {
     lines
         .split(|byte| matches!(byte, b'\n' | b'\r'))
         .any(|line| !line.is_empty() && line[0] != b':')
 }
 
 /// All that the scanner has not given out: complete events and a last incomplete one.
-pub(crate) fn remaining_bytes(scanner: &Scanner) -> Vec<u8> {
+fn remaining_bytes(scanner: &Scanner) -> Vec<u8> {
     [scanner.complete(), scanner.partial()].concat()
 }
--- a/fleet/src/router/server_connections/pool.rs
+++ b/fleet/src/router/server_connections/pool.rs
@@ -15,10 +15,10 @@
 /// How long a connection may have been idle when a request that is not idempotent is written on it
 /// (microseconds). Servers may drop idle connections silently; those that close sooner than this
 /// can't advertise it in whole seconds.
-pub(crate) const UNSAFE_REUSE_WINDOW_US: Micros = 400_000;
+const UNSAFE_REUSE_WINDOW_US: Micros = 400_000;
 
 /// How long an attempt waits while all connections to its server are in use (microseconds).
-pub(crate) const CONNECTION_WAIT_TIMEOUT_US: Micros = 100_000;
+const CONNECTION_WAIT_TIMEOUT_US: Micros = 100_000;
 
 impl ServerConnections {
     /// An idle connection on which this attempt may be written: the last used one, so that others
--- a/fleet/src/router/server_connections/table.rs
+++ b/fleet/src/router/server_connections/table.rs
@@ -27,23 +27,23 @@
 
 /// A connection to a server.
 pub(crate) struct PooledConnection {
-    pub(crate) server: ServerId,
-    pub(crate) state: ConnectionState,
+    pub server: ServerId,
+    pub state: ConnectionState,
     /// The earliest timer that is set for it.
-    pub(crate) timer_at: Option<Time>,
+    pub timer_at: Option<Time>,
 }
 
 /// All connections to servers.
 #[derive(Default)]
 pub(crate) struct ServerConnections {
-    pub(crate) connections: HashMap<ConnId, PooledConnection>,
-    pub(crate) by_attempt: HashMap<AttemptId, ConnId>,
+    pub connections: HashMap<ConnId, PooledConnection>,
+    pub by_attempt: HashMap<AttemptId, ConnId>,
     /// Connections of each server, in any state.
-    pub(crate) by_server: HashMap<ServerId, Vec<ConnId>>,
+    pub by_server: HashMap<ServerId, Vec<ConnId>>,
     /// Attempts that wait for a connection, by server.
-    pub(crate) queued: HashMap<ServerId, VecDeque<Attempt>>,
+    pub queued: HashMap<ServerId, VecDeque<Attempt>>,
     /// What became of attempts, to be taken.
-    pub(crate) events: Vec<ServerEvent>,
+    pub events: Vec<ServerEvent>,
 }
 
 impl ServerConnections {
--- a/fleet/src/router/server_response.rs
+++ b/fleet/src/router/server_response.rs
@@ -46,7 +46,7 @@
     /// Its status code.
     pub status: u16,
     /// Header lines that are forwarded to the client.
-    pub(crate) forwarded_lines: Vec<u8>,
+    pub forwarded_lines: Vec<u8>,
     /// Its `Attempt-Id`.
     pub attempt_id: Option<String>,
     /// It bears a `Response-Seal`.
--- a/fleet/src/router/shutdown.rs
+++ b/fleet/src/router/shutdown.rs
@@ -8,32 +8,32 @@
 
 /// How long listeners stay open: the platform checks readiness each second and acts on the second
 /// miss, so it sends no new clients after this.
-pub(crate) const LISTEN_DURATION: Duration = Duration::from_millis(3_000);
+const LISTEN_DURATION: Duration = Duration::from_millis(3_000);
 
 /// This long before the end of the grace period all remaining requests get their final response.
 pub(crate) const FINAL_ANSWER_RESERVE: Duration = Duration::from_millis(600);
 
 /// Share of the grace period after which a stream may be aborted: before, it would count as lost.
-pub(crate) const HANDOVER_GRACE_SHARE: f64 = 5.0 / 6.0;
+const HANDOVER_GRACE_SHARE: f64 = 5.0 / 6.0;
 
 /// Margin added to it: the signal may have been sent a little before it was handled.
-pub(crate) const HANDOVER_MARGIN: Duration = Duration::from_millis(30);
+const HANDOVER_MARGIN: Duration = Duration::from_millis(30);
 
 /// A shutdown under way.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Shutdown {
     /// When the signal was handled.
-    pub(crate) started_at: Time,
+    pub started_at: Time,
     /// When listeners close. Idle connections are kept to the end of the process: a request that
     /// crosses their end would be lost.
-    pub(crate) listeners_close_at: Time,
+    pub listeners_close_at: Time,
     /// From when on streams are aborted that can be resumed elsewhere and can't end here.
-    pub(crate) handover_at: Time,
+    pub handover_at: Time,
     /// When all remaining requests are ended.
-    pub(crate) ends_at: Time,
-    pub(crate) are_listeners_closed: bool,
+    pub ends_at: Time,
+    pub are_listeners_closed: bool,
     /// All requests have been ended; only bytes are left to be written.
-    pub(crate) are_requests_ended: bool,
+    pub are_requests_ended: bool,
 }
 
 impl Shutdown {
--- a/fleet/src/router/state.rs
+++ b/fleet/src/router/state.rs
@@ -31,7 +31,7 @@
 
 /// Connections reserved for the platform's checks and for control machines, each: a check that finds
 /// none is a miss, and the platform may keep the connections of some checks open.
-pub(crate) const RESERVED_PEER_CONNECTIONS: usize = 32;
+const RESERVED_PEER_CONNECTIONS: usize = 32;
 
 /// How often the settings file is checked: it may change without a signal.
 pub(crate) const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(3);
--- a/fleet/tests/router_with_control.rs
+++ b/fleet/tests/router_with_control.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn orders_and_heartbeats_reach_clients_and_a_lost_control_machine_is_missed_by_nobody() {
+fn orders_and_heartbeats_take_effect_despite_lost_control_machine() {
     let mut fleet = ControlFleet::of("with-router", &[true, true, true]);
     fleet.start_first();
     let ips: Vec<std::net::Ipv4Addr> = fleet
