--- a/fleet/src/router/mod.rs
+++ b/fleet/src/router/mod.rs
@@ -25,7 +25,8 @@
 //! | `local_response`, `rejection`, `counters` | responses of this program; why a request is rejected, and how often |
 //! | `request_table`, `admission`, `sender`, `prompt` | requests in hand; how one is to be served; its tenant; its prompt |
 //! | `configuration`, `freshness`, `ranks` | the active configuration, how long ago it was confirmed, ranks of requests |
-//! | `service`, `services`, `servers`, `budget` | a service's core with the decision module; the servers; the retry budget |
+//! | `service`, `services`, `request_classes`, `server_share` | a service's core with the decision module; its classes of requests; this router's share of its servers |
+//! | `servers`, `budget` | the table of servers; the retry budget |
 //! | `control_link`, `backlog_reports` | the connection to control; backlogs as they are reported to it |
 //! | `readiness`, `shutdown`, `abort_reason` | the platform's check; the schedule of the end; why a response was cut off |
 //! | `state`, `handlers` | all of the above in one value; what is done with it, along the way of a request |
@@ -51,6 +52,7 @@
 mod reactor;
 mod readiness;
 mod rejection;
+mod request_classes;
 mod request_reader;
 mod request_table;
 mod response_outcome;
@@ -58,6 +60,7 @@
 mod sender;
 mod server_connections;
 mod server_response;
+mod server_share;
 mod servers;
 mod service;
 mod services;
--- a/fleet/src/router/service.rs
+++ b/fleet/src/router/service.rs
@@ -9,13 +9,15 @@
 use super::ids::RequestId;
 use super::options::{Capacity, RetryBudget};
 use super::prompt::Prompt;
+use super::request_classes::{RequestClasses, MAX_ATTEMPTS};
 use super::server_response::ServerLoad;
+use super::server_share::ServerShare;
 use super::servers::SERVER_GROUPS;
 use lichenswitch_backlog::Backlog;
 use lichenswitch_core::{Command, Contracts, Core, Refusal, Request, Value};
 use lichenswitch_interface::{
-    Class, Layout, Limits, ListedServer, Load, Micros, Outcome, Placement, QueryId, RetrySafety,
-    ServerId, ServerListUpdate, ServerMode, Settings, Shard, Time, FIRST_SHARE,
+    Layout, Limits, ListedServer, Load, Micros, Outcome, Placement, QueryId, ServerId,
+    ServerListUpdate, ServerMode, Settings, Shard, Time,
 };
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
@@ -23,30 +25,18 @@
 /// Longest `Retry-After` for rejected clients (microseconds): they heed up to a third of their remaining
 /// time, and a retry that is served within its latency target still has value.
 const MAX_RETRY_AFTER_US: Micros = 300_000;
-/// Under overload the value of a request falls by this factor with each rank.
-const VALUE_PER_RANK: f64 = 0.8;
-/// Connections to a server that a router may always have, whatever its share.
-const MIN_CONNECTIONS_PER_SERVER: usize = 2;
-/// The same where the operator configures no bound.
-const DEFAULT_CONNECTIONS_PER_SERVER: usize = 16;
-/// Smoothing of the occupied-slots ratio: each report moves it by this share of the difference.
-const LOAD_SMOOTHING: f64 = 0.1;
-/// Lower bound on the occupied-slots ratio, so that many streams at one server still count.
-const MIN_OCCUPIED_SLOTS_RATIO: f64 = 0.05;
 /// Smallest step in which backlogs of servers are compared (tokens): the reports are a tenth of a second
 /// old.
 const MIN_BACKLOG_STEP_TOKENS: f64 = 3_072.0;
 /// The same for each shared token of a prompt: prefilling it again has to be worth the wait (tokens).
 const BACKLOG_PER_SHARED_TOKEN: f64 = 20.0;
-/// Upper bound on the attempts of a request, whatever its route says.
-const MAX_ATTEMPTS: u32 = 16;
 
 /// A service.
 pub(crate) struct Service {
     /// Its name.
     pub name: Rc<str>,
     core: Core<RequestId>,
-    classes: Vec<RequestClass>,
+    classes: RequestClasses,
     queries: HashMap<QueryId, RequestId>,
     /// The load of each server beside this router's pending attempts.
     loads: HashMap<ServerId, ServerPressure>,
@@ -55,15 +45,7 @@
     /// Servers that accept requests.
     ready_servers: BTreeSet<ServerId>,
     resume_budget: ResumeBudget,
-    configured_connections: Option<u32>,
-    configured_slots: Option<u32>,
-    max_connections: usize,
-    /// How many running streams at a server weigh as much as one pending request.
-    streams_per_request: u32,
-    /// This router's share of a server's slots, at least 1.
-    slot_share: u32,
-    /// Smoothed ratio of occupied slots that servers report; `None` before the first report.
-    occupied_slots_ratio: Option<f64>,
+    share: ServerShare,
 }
 
 /// The load of a server beside this router's pending attempts.
@@ -88,15 +70,6 @@
     pub deadline: Time,
 }
 
-/// A class of requests: one route in one version and rank.
-struct RequestClass {
-    terms: RouteTerms,
-    /// Requests in hand of this class.
-    request_count: u32,
-    /// The active configuration has it.
-    is_active: bool,
-}
-
 impl Service {
     /// A service with these servers.
     #[must_use]
@@ -118,30 +91,19 @@
         Service {
             name,
             core,
-            classes: Vec::new(),
+            classes: RequestClasses::default(),
             queries: HashMap::new(),
             loads: HashMap::new(),
             total_backlog: 0,
             ready_servers,
             resume_budget: ResumeBudget::new(budget),
-            configured_connections: None,
-            configured_slots: None,
-            max_connections: MIN_CONNECTIONS_PER_SERVER,
-            streams_per_request: 1,
-            slot_share: 1,
-            occupied_slots_ratio: None,
+            share: ServerShare::default(),
         }
     }
 
     /// Sets the terms of the active configuration's routes that may send to it.
     pub(crate) fn set_routes(&mut self, routes: Vec<RouteTerms>) {
-        self.classes
-            .iter_mut()
-            .for_each(|class| class.is_active = false);
-        for terms in routes {
-            let (index, _) = self.class_index_of(&terms);
-            self.classes[index].is_active = true;
-        }
+        self.classes.set_active(routes);
         self.push_classes();
     }
 
@@ -149,7 +111,7 @@
     pub(crate) fn set_router_count(&mut self, budget: RetryBudget, routers: u32) {
         self.core.set_budget(Some(decision_budget(budget, routers)));
         self.resume_budget.update(budget, routers);
-        self.update_server_share(routers);
+        self.share.set_router_count(routers);
     }
 
     /// Sets how many connections and requests each of its servers accepts from all callers together,
@@ -160,14 +122,13 @@
         slots: Option<u32>,
         routers: u32,
     ) {
-        (self.configured_connections, self.configured_slots) = (connections, slots);
-        self.update_server_share(routers);
+        self.share.configure(connections, slots, routers);
     }
 
     /// How many connections this router may have to each server.
     #[must_use]
     pub(crate) fn max_connections(&self) -> usize {
-        self.max_connections
+        self.share.max_connections()
     }
 
     /// Applies changes of its list of servers.
@@ -192,7 +153,7 @@
         now: Time,
         route_request: &RouteRequest<'_>,
     ) -> Result<(QueryId, u16), Refusal> {
-        let (index, is_new) = self.class_index_of(route_request.terms);
+        let (index, is_new) = self.classes.index_of(route_request.terms);
         if is_new {
             self.push_classes();
         }
@@ -211,7 +172,7 @@
             job: route_request.request_id,
         };
         let query = self.core.take(now, request)?;
-        self.classes[index].request_count += 1;
+        self.classes.acquire(index);
         self.queries.insert(query, route_request.request_id);
         self.resume_budget.on_request(now);
         Ok((query, class_index))
@@ -231,9 +192,7 @@
 
     /// A request of this class has ended.
     pub(crate) fn release(&mut self, class_index: u16) {
-        if let Some(class) = self.classes.get_mut(usize::from(class_index)) {
-            class.request_count = class.request_count.saturating_sub(1);
-        }
+        self.classes.release(usize::from(class_index));
     }
 
     /// The request of a query that the core replies to, and ends with it.
@@ -255,11 +214,9 @@
 
     /// A server has reported its load.
     pub(crate) fn on_server_load(&mut self, load: Option<ServerLoad>) {
-        let Some(load) = load else { return };
-        let occupied = f64::from(load.running.saturating_add(load.waiting)) / f64::from(load.slots);
-        let before = self.occupied_slots_ratio.unwrap_or(occupied);
-        self.occupied_slots_ratio = Some(before + LOAD_SMOOTHING * (occupied - before));
-        self.update_stream_weight();
+        if let Some(load) = load {
+            self.share.on_server_load(load);
+        }
     }
 
     /// A stream is forwarded from a server. For the core its request was served by the first event.
@@ -305,7 +262,7 @@
         if loads == ServerPressure::default() {
             self.loads.remove(&server);
         }
-        let streams = loads.streams / self.streams_per_request;
+        let streams = loads.streams / self.share.streams_per_request();
         self.core.set_load(
             server,
             Load {
@@ -347,88 +304,13 @@
         }
     }
 
-    /// The index of the class with these terms (an existing one, an unused one, or a new one), and
-    /// whether the core has to be told of it.
-    fn class_index_of(&mut self, terms: &RouteTerms) -> (usize, bool) {
-        if let Some(index) = self.classes.iter().position(|class| class.terms == *terms) {
-            return (index, false);
-        }
-        let class = RequestClass {
-            terms: terms.clone(),
-            request_count: 0,
-            is_active: false,
-        };
-        match self
-            .classes
-            .iter()
-            .position(|class| class.request_count == 0 && !class.is_active)
-        {
-            Some(index) => {
-                self.classes[index] = class;
-                (index, true)
-            }
-            None => {
-                self.classes.push(class);
-                (self.classes.len() - 1, true)
-            }
-        }
-    }
-
+    /// Passes the classes on to the core.
     fn push_classes(&mut self) {
-        self.core.set_classes(
-            self.classes
-                .iter()
-                .map(|class| decision_class(&class.terms))
-                .collect(),
-        );
-    }
-
-    /// Recomputes this router's share of each server.
-    fn update_server_share(&mut self, routers: u32) {
-        let share = |all: u32| all / routers.max(1);
-        self.max_connections = match self.configured_connections {
-            Some(most) => share(most) as usize,
-            None => DEFAULT_CONNECTIONS_PER_SERVER,
-        }
-        .max(MIN_CONNECTIONS_PER_SERVER);
-        self.slot_share = share(self.configured_slots.unwrap_or(0)).max(1);
-        self.update_stream_weight();
-    }
-
-    /// Recomputes how many streams weigh as much as a pending request: this router's share of a
-    /// server's slots, or more where servers report free slots.
-    fn update_stream_weight(&mut self) {
-        let by_load = self
-            .occupied_slots_ratio
-            .map_or(1.0, |occupied| 1.0 / occupied.max(MIN_OCCUPIED_SLOTS_RATIO));
-        // At most 1 / LEAST_SLOTS_TAKEN.
-        self.streams_per_request = self.slot_share.max(by_load as u32);
-    }
-}
-
-/// A class as the decision module knows it.
-fn decision_class(terms: &RouteTerms) -> Class {
-    Class {
-        latency_target: terms.target_latency,
-        deadline: terms.timeout,
-        repeat: if terms.is_idempotent {
-            RetrySafety::Safe
-        } else {
-            RetrySafety::Unsafe
-        },
-        value: VALUE_PER_RANK.powi(i32::from(terms.rank)),
-        // The value of a late response is unknown: it is waited for to the deadline, since silence
-        // is no reason to give up sooner.
-        late_share: 1.0,
-        need: 1.0,
-        floor: 1.0,
-        partial: 0.0,
-        second_step: 0,
-        first_share: FIRST_SHARE,
-        attempts: Some(terms.max_attempts.min(MAX_ATTEMPTS)),
+        self.core.set_classes(self.classes.for_decisions());
     }
 }
 
+/// The settings of a service's core.
 fn core_settings(capacity: Capacity, budget: lichenswitch_interface::Budget) -> Settings {
     Settings {
         classes: Vec::new(),
--- a/fleet/src/router/service/tests.rs
+++ b/fleet/src/router/service/tests.rs
@@ -130,19 +130,20 @@
         })
     };
     stage.service.on_server_load(told(10));
-    assert_eq!(stage.service.streams_per_request, 10);
+    assert_eq!(stage.service.share.streams_per_request(), 10);
     // What a single server tells moves it a little.
     stage.service.on_server_load(told(100));
-    assert_eq!(stage.service.streams_per_request, 5);
+    assert_eq!(stage.service.share.streams_per_request(), 5);
     (0..200).for_each(|_| stage.service.on_server_load(told(100)));
-    assert_eq!(stage.service.streams_per_request, 1);
+    assert_eq!(stage.service.share.streams_per_request(), 1);
     (0..200).for_each(|_| stage.service.on_server_load(told(0)));
     assert_eq!(
-        stage.service.streams_per_request, 20,
+        stage.service.share.streams_per_request(),
+        20,
         "a router with many streams at one server still sees them"
     );
     stage.service.on_server_load(None);
-    assert_eq!(stage.service.streams_per_request, 20);
+    assert_eq!(stage.service.share.streams_per_request(), 20);
 }
 
 fn prompt(shared_tokens: u32) -> Prompt {
