--- a/fleet/src/status.rs
+++ b/fleet/src/status.rs
@@ -66,7 +66,7 @@
 fn addresses_in_settings(settings_path: Option<PathBuf>) -> Result<Vec<SocketAddr>, StatusError> {
     let settings = Settings::read(&settings::path(settings_path)?)?;
     Ok(settings
-        .listen
+        .listen_addresses
         .control_plane
         .into_iter()
         .chain(settings.seed_nodes)
--- a/src/main.rs
+++ b/src/main.rs
@@ -27,7 +27,7 @@
     #[error(transparent)]
     Operators(#[from] OperatorsError),
     #[error(transparent)]
-    Management(#[from] management::Failure),
+    Management(#[from] management::ManagementError),
     #[error(transparent)]
     Broker(#[from] BrokerError),
     #[error(transparent)]
