--- a/decide/replication/src/model/mod.rs
+++ b/decide/replication/src/model/mod.rs
@@ -426,7 +426,7 @@
     }
 
     /// The node that serves as primary; of several, the one of the highest epoch.
-    pub fn serving(&self) -> Option<usize> {
+    pub fn serving_node(&self) -> Option<usize> {
         let serves = |index: &usize| {
             self.nodes[*index]
                 .replica
--- a/decide/replication/src/model/timed.rs
+++ b/decide/replication/src/model/timed.rs
@@ -103,7 +103,7 @@
     /// Whether a primary serves whose membership has just so many voters, no change in progress and
     /// all of them up.
     pub fn is_complete(&self, voters: usize) -> bool {
-        let Some(index) = self.world.serving() else {
+        let Some(index) = self.world.serving_node() else {
             return false;
         };
         let Some(replica) = self.world.nodes[index].replica.as_ref() else {
@@ -156,15 +156,15 @@
     }
 
     /// What `from` sends doesn't reach `to`.
-    pub fn cut(&mut self, from: usize, to: usize) {
+    pub fn block_link(&mut self, from: usize, to: usize) {
         self.blocked[from][to] = true;
     }
 
     /// A node and all others don't reach each other.
     pub fn isolate(&mut self, index: usize) {
         for other in 0..self.blocked.len() {
-            self.cut(index, other);
-            self.cut(other, index);
+            self.block_link(index, other);
+            self.block_link(other, index);
         }
     }
 
@@ -208,7 +208,7 @@
         let (begin, end) = (self.now, self.now.after(micros));
         let before = self.world.oracle.acknowledged.len();
         while self.now < end {
-            if let Some(index) = self.world.serving() {
+            if let Some(index) = self.world.serving_node() {
                 self.call(index, |world| world.propose(index));
             }
             let left = end.since(self.now).min(20_000);
--- a/decide/replication/src/model/walk.rs
+++ b/decide/replication/src/model/walk.rs
@@ -57,7 +57,7 @@
     for _ in 0..6_000 {
         step_without_faults(world, 10_000);
         let serving = world
-            .serving()
+            .serving_node()
             .and_then(|index| world.nodes[index].replica.as_ref());
         let is_formed = |replica: &crate::Replica<_>| {
             replica.membership().voters.len() == voters
--- a/decide/replication/tests/current.rs
+++ b/decide/replication/tests/current.rs
@@ -8,7 +8,7 @@
 };
 
 mod scenario;
-use scenario::{four, others, serving, SECOND};
+use scenario::{group_of_four, other_voters, serving_node, SECOND};
 
 const MS: u64 = 1_000;
 const EPOCH: Epoch = Epoch {
@@ -218,9 +218,9 @@
 
 #[test]
 fn primary_is_current_while_in_contact() {
-    let mut timed = four(4);
+    let mut timed = group_of_four(4);
     timed.commit_within(SECOND).expect("a change is committed");
-    let (primary, voters) = (serving(&timed), others(&timed));
+    let (primary, voters) = (serving_node(&timed), other_voters(&timed));
     let is_current = |timed: &lichenswitch_replication::model::timed::TimedWorld, index: usize| {
         let replica = timed.world.nodes[index].replica.as_ref().unwrap();
         (replica.in_contact(timed.now), replica.is_current(timed.now))
@@ -233,7 +233,7 @@
     timed.run_for(650 * MS);
     assert_eq!(is_current(&timed, primary), (false, false));
     timed.commit_within(3 * SECOND).expect("the others go on");
-    let next = serving(&timed);
+    let next = serving_node(&timed);
     assert!(next != primary && voters.contains(&next));
     assert_eq!(is_current(&timed, next), (true, true));
     assert_eq!(is_current(&timed, primary), (false, false));
--- a/decide/replication/tests/disks_and_links.rs
+++ b/decide/replication/tests/disks_and_links.rs
@@ -10,7 +10,7 @@
 
 #[test]
 fn group_recovers_from_power_loss_of_all_members() {
-    let mut timed = four(4);
+    let mut timed = group_of_four(4);
     timed.commit_within(SECOND).expect("a change is committed");
     let committed = timed.world.oracle.committed.len();
     for index in 0..4 {
@@ -23,7 +23,7 @@
         .commit_within(4 * SECOND)
         .expect("a change is committed again");
     assert!(timed.world.oracle.committed.len() > committed);
-    clean(&timed);
+    assert_no_violation(&timed);
 }
 
 /// Microseconds until a group whose members all start again within 0.4 s takes a change, from the
@@ -39,7 +39,7 @@
     let taken = timed
         .commit_within(4 * SECOND)
         .expect("a change is committed again");
-    clean(&timed);
+    assert_no_violation(&timed);
     taken
 }
 
@@ -53,14 +53,14 @@
 
 #[test]
 fn primary_with_stalled_disk_transfers_leadership() {
-    let mut timed = four(4);
-    let primary = serving(&timed);
+    let mut timed = group_of_four(4);
+    let primary = serving_node(&timed);
     timed.stall_disk(primary, 30 * SECOND);
     timed
         .commit_within(SECOND)
         .expect("the others' disks are enough");
     timed.run_for(3 * SECOND);
-    assert_ne!(serving(&timed), primary);
+    assert_ne!(serving_node(&timed), primary);
     timed
         .commit_within(SECOND)
         .expect("the next primary commits");
@@ -73,20 +73,20 @@
         .unwrap()
         .iter()
         .any(is_observed));
-    clean(&timed);
+    assert_no_violation(&timed);
 }
 
 #[test]
 fn stalled_disk_of_a_voter_blocks_nothing() {
-    let mut timed = four(4);
-    let (primary, voter) = (serving(&timed), others(&timed)[0]);
+    let mut timed = group_of_four(4);
+    let (primary, voter) = (serving_node(&timed), other_voters(&timed)[0]);
     timed.stall_disk(voter, 10 * SECOND);
     for _ in 0..200 {
         assert!(timed
             .commit_within(SECOND)
             .is_some_and(|took| took < 50_000));
     }
-    assert_eq!(serving(&timed), primary);
+    assert_eq!(serving_node(&timed), primary);
     timed.run_for(12 * SECOND);
     let head = |index: usize| {
         timed.world.nodes[index]
@@ -97,18 +97,18 @@
             .synced
     };
     assert_eq!(head(voter), head(primary), "it has caught up");
-    clean(&timed);
+    assert_no_violation(&timed);
 }
 
 #[test]
 fn primary_partitioned_in_either_direction_steps_down() {
     for both in [false, true] {
-        let mut timed = four(4);
-        let primary = serving(&timed);
-        for other in others(&timed) {
-            timed.cut(other, primary);
+        let mut timed = group_of_four(4);
+        let primary = serving_node(&timed);
+        for other in other_voters(&timed) {
+            timed.block_link(other, primary);
             if both {
-                timed.cut(primary, other);
+                timed.block_link(primary, other);
             }
         }
         timed.run_for(650_000);
@@ -116,7 +116,7 @@
         assert!(!replica.is_serving() && !replica.in_contact(timed.now));
         let took = timed.commit_within(3 * SECOND).expect("others go on");
         assert!(took < 2 * SECOND, "{took}");
-        assert_ne!(serving(&timed), primary);
+        assert_ne!(serving_node(&timed), primary);
         timed.heal();
         timed.run_for(2 * SECOND);
         assert!(timed.world.nodes[primary]
@@ -124,21 +124,21 @@
             .as_ref()
             .unwrap()
             .in_contact(timed.now));
-        clean(&timed);
+        assert_no_violation(&timed);
     }
 }
 
 #[test]
 fn voter_that_receives_nothing_starts_no_epoch() {
-    let mut timed = four(4);
-    let (primary, deaf) = (serving(&timed), others(&timed)[0]);
+    let mut timed = group_of_four(4);
+    let (primary, isolated_receiver) = (serving_node(&timed), other_voters(&timed)[0]);
     let epoch = timed.world.nodes[primary]
         .replica
         .as_ref()
         .unwrap()
         .promised();
     for other in 0..4 {
-        timed.cut(other, deaf);
+        timed.block_link(other, isolated_receiver);
     }
     timed.run_for(4 * SECOND);
     timed.heal();
@@ -155,19 +155,19 @@
 
 #[test]
 fn frozen_primary_resumes_as_follower() {
-    let mut timed = four(4);
-    let primary = serving(&timed);
+    let mut timed = group_of_four(4);
+    let primary = serving_node(&timed);
     timed.freeze(primary, 3 * SECOND);
     timed.commit_within(3 * SECOND).expect("others go on");
-    assert_ne!(serving(&timed), primary);
+    assert_ne!(serving_node(&timed), primary);
     timed.run_for(3 * SECOND);
-    clean(&timed);
+    assert_no_violation(&timed);
 }
 
 #[test]
 fn member_that_missed_hundreds_of_changes_receives_one_snapshot() {
-    let mut timed = four(4);
-    let away = others(&timed)[0];
+    let mut timed = group_of_four(4);
+    let away = other_voters(&timed)[0];
     timed.crash(away);
     for _ in 0..500 {
         timed.commit_within(SECOND).expect("a change is committed");
@@ -183,20 +183,20 @@
             .status(timed.now)
             .synced
     };
-    assert_eq!(head(away), head(serving(&timed)));
+    assert_eq!(head(away), head(serving_node(&timed)));
     let images = timed.world.notices.take().unwrap();
     let images = images
         .iter()
         .filter(|(_, notice)| matches!(notice, Notice::SnapshotReceived { .. }))
         .count();
     assert_eq!(images, 1);
-    clean(&timed);
+    assert_no_violation(&timed);
 }
 
 #[test]
 fn member_catches_up_while_changes_go_on() {
-    let mut timed = four(4);
-    let away = others(&timed)[0];
+    let mut timed = group_of_four(4);
+    let away = other_voters(&timed)[0];
     timed.crash(away);
     for _ in 0..300 {
         timed.commit_within(SECOND).expect("a change is committed");
@@ -214,8 +214,8 @@
             .status(timed.now)
             .head
     };
-    assert!(position(serving(&timed)).number - position(away).number <= 1);
-    clean(&timed);
+    assert!(position(serving_node(&timed)).number - position(away).number <= 1);
+    assert_no_violation(&timed);
 }
 
 #[test]
@@ -243,15 +243,15 @@
         let bytes: usize = node.disk.iter().map(|item| item.encode().len()).sum();
         assert!(bytes > 320_000, "{} holds {bytes} bytes", node.address);
     }
-    clean(&timed);
+    assert_no_violation(&timed);
 }
 
 #[test]
 fn snapshot_is_written_after_a_failed_write() {
-    let mut timed = four(4);
+    let mut timed = group_of_four(4);
     timed.run_for(SECOND);
-    let voter = others(&timed)[0];
-    let primary = serving(&timed);
+    let voter = other_voters(&timed)[0];
+    let primary = serving_node(&timed);
     timed.call(primary, |world| world.propose(primary));
     timed
         .run_until(SECOND, |timed| !timed.world.nodes[voter].pending.is_empty())
@@ -269,12 +269,12 @@
             .synced
     };
     assert_eq!(synced(voter), synced(primary));
-    clean(&timed);
+    assert_no_violation(&timed);
 }
 
 #[test]
 fn durable_items_survive_encoding() {
-    let mut timed = four(4);
+    let mut timed = group_of_four(4);
     timed.commit_within(SECOND).expect("a change is committed");
     for node in &timed.world.nodes {
         for item in &node.disk {
@@ -310,7 +310,7 @@
                 .is_some(),
             "seed {seed}"
         );
-        clean(&timed);
+        assert_no_violation(&timed);
     }
 }
 
@@ -332,7 +332,7 @@
             .commit_within(SECOND)
             .is_some_and(|took| took < 50_000));
     }
-    let primary = serving(&timed);
+    let primary = serving_node(&timed);
     let membership = timed.world.nodes[primary]
         .replica
         .as_ref()
@@ -344,5 +344,5 @@
         5,
         "both came in while changes went on"
     );
-    clean(&timed);
+    assert_no_violation(&timed);
 }
--- a/decide/replication/tests/exhaustive.rs
+++ b/decide/replication/tests/exhaustive.rs
@@ -26,26 +26,26 @@
 
 /// A world, and what may still happen in it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Point {
+struct SearchState {
     world: World,
     budget: Budget,
 }
 
 /// The search from one beginning.
 struct Search {
-    beginning: Point,
+    initial: SearchState,
 }
 
 impl Model for Search {
-    type State = Point;
+    type State = SearchState;
     type Action = Action;
 
-    fn init_states(&self) -> Vec<Point> {
-        vec![self.beginning.clone()]
+    fn init_states(&self) -> Vec<SearchState> {
+        vec![self.initial.clone()]
     }
 
-    fn actions(&self, point: &Point, actions: &mut Vec<Action>) {
-        let (world, budget) = (&point.world, &point.budget);
+    fn actions(&self, state: &SearchState, actions: &mut Vec<Action>) {
+        let (world, budget) = (&state.world, &state.budget);
         actions.extend((0..world.network.len()).map(Action::Deliver));
         if budget.repeats > 0 {
             actions.extend((0..world.network.len()).map(Action::Repeat));
@@ -79,8 +79,8 @@
         }
     }
 
-    fn next_state(&self, point: &Point, action: Action) -> Option<Point> {
-        let mut next = point.clone();
+    fn next_state(&self, state: &SearchState, action: Action) -> Option<SearchState> {
+        let mut next = state.clone();
         let budget = &mut next.budget;
         match &action {
             Action::Tick(_) => budget.ticks -= 1,
@@ -92,13 +92,13 @@
             _ => {}
         }
         next.world.act(&action);
-        (next != *point).then_some(next)
+        (next != *state).then_some(next)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![Property::always(
             "promises to clients hold",
-            |_, point: &Point| point.world.oracle.violation.is_none(),
+            |_, state: &SearchState| state.world.oracle.violation.is_none(),
         )]
     }
 }
@@ -113,15 +113,15 @@
 };
 
 /// What a search came to.
-struct Found {
+struct SearchResult {
     states: usize,
     violation: Option<String>,
 }
 
-fn search(name: &str, world: World, budget: Budget, depth: usize) -> Found {
+fn search(name: &str, world: World, budget: Budget, depth: usize) -> SearchResult {
     let depth = number("REPLICATION_DEPTH", depth);
     let model = Search {
-        beginning: Point { world, budget },
+        initial: SearchState { world, budget },
     };
     let checker = model
         .checker()
@@ -133,7 +133,7 @@
     let violation = path.and_then(|path| path.last_state().world.oracle.violation.clone());
     let states = checker.unique_state_count();
     println!("{name}: {states} states to depth {depth}, {violation:?}");
-    Found { states, violation }
+    SearchResult { states, violation }
 }
 
 fn group(voters: usize, nodes: usize, faults: Faults) -> World {
@@ -218,14 +218,14 @@
     }
     let held_back = std::mem::take(&mut world.network);
     (1..3).for_each(|index| world.sync(index));
-    go_on(&mut world, 1, 2);
+    elect_and_commit(&mut world, 1, 2);
     world.network = held_back;
     world
 }
 
 /// One node becomes primary by the grant of another, and a change of theirs is acknowledged; the
 /// third receives nothing of it.
-fn go_on(world: &mut World, primary: usize, other: usize) {
+fn elect_and_commit(world: &mut World, primary: usize, other: usize) {
     let acknowledged = world.oracle.acknowledged.len();
     world.network.clear();
     world.act(&Action::Elapse(other, 2_000_000));
@@ -267,28 +267,28 @@
         world.act(&Action::Deliver(at));
     }
     let held_back = std::mem::take(&mut world.network);
-    go_on(&mut world, 1, 2);
+    elect_and_commit(&mut world, 1, 2);
     deliver_everything(&mut world);
-    go_on(&mut world, 0, 2);
+    elect_and_commit(&mut world, 0, 2);
     deliver_everything(&mut world);
-    go_on(&mut world, 1, 2);
+    elect_and_commit(&mut world, 1, 2);
     world.network = held_back;
     world
 }
 
-fn sound(name: &str, world: World, budget: Budget, depth: usize, least: usize) {
-    let found = search(name, world, budget, depth);
-    assert_eq!(found.violation, None, "{name}");
+fn assert_no_violation(name: &str, world: World, budget: Budget, depth: usize, min_states: usize) {
+    let result = search(name, world, budget, depth);
+    assert_eq!(result.violation, None, "{name}");
     assert!(
-        found.states >= least,
+        result.states >= min_states,
         "{name}: only {} states",
-        found.states
+        result.states
     );
 }
 
 #[test]
 fn change_in_a_group_of_three() {
-    sound(
+    assert_no_violation(
         "a change among three",
         change_in_progress(3, Faults::default()),
         BUDGET,
@@ -299,7 +299,7 @@
 
 #[test]
 fn election_in_a_group_of_three() {
-    sound(
+    assert_no_violation(
         "an election among three",
         election_in_progress(3, Faults::default()),
         BUDGET,
@@ -310,7 +310,7 @@
 
 #[test]
 fn election_in_a_group_of_four() {
-    sound(
+    assert_no_violation(
         "an election among four",
         election_in_progress(4, Faults::default()),
         BUDGET,
@@ -321,7 +321,7 @@
 
 #[test]
 fn change_in_a_group_of_six() {
-    sound(
+    assert_no_violation(
         "a change among six",
         change_in_progress(6, Faults::default()),
         BUDGET,
@@ -333,7 +333,7 @@
 #[test]
 fn replacement_in_a_group_of_three() {
     let budget = Budget { wipes: 1, ..BUDGET };
-    sound(
+    assert_no_violation(
         "a replacement among three",
         replacement_in_progress(Faults::default()),
         budget,
@@ -349,7 +349,7 @@
         repeats: 1,
         ..BUDGET
     };
-    sound(
+    assert_no_violation(
         "two that say they are primary",
         two_primaries(Faults::default()),
         budget,
@@ -365,7 +365,7 @@
         repeats: 1,
         ..BUDGET
     };
-    sound(
+    assert_no_violation(
         "one that is primary for the second time",
         twice_primary(Faults::default()),
         budget,
@@ -374,23 +374,23 @@
     );
 }
 
-fn found(name: &str, world: World) {
-    let found = search(name, world, BUDGET, 4);
+fn assert_found(name: &str, world: World) {
+    let result = search(name, world, BUDGET, 4);
     assert!(
-        found.violation.is_some(),
+        result.violation.is_some(),
         "{name} is not found among {} states",
-        found.states
+        result.states
     );
 }
 
 #[test]
 fn early_lease_is_found() {
-    found("early lease", two_primaries(Faults::of(Fault::EarlyLease)));
+    assert_found("early lease", two_primaries(Faults::of(Fault::EarlyLease)));
 }
 
 #[test]
 fn confirmation_from_memory_is_found() {
-    found(
+    assert_found(
         "answer from memory",
         two_primaries(Faults::of(Fault::ConfirmFromMemory)),
     );
@@ -398,7 +398,7 @@
 
 #[test]
 fn counted_earlier_round_is_found() {
-    found(
+    assert_found(
         "older round",
         two_primaries(Faults::of(Fault::CountEarlierRound)),
     );
@@ -406,7 +406,7 @@
 
 #[test]
 fn counted_earlier_epoch_is_found() {
-    found(
+    assert_found(
         "older epoch",
         twice_primary(Faults::of(Fault::CountEarlierEpoch)),
     );
--- a/decide/replication/tests/liveness.rs
+++ b/decide/replication/tests/liveness.rs
@@ -38,17 +38,17 @@
         3 => {
             timed.isolate(node);
             timed.run_for(lasts);
-            "cut"
+            "partition"
         }
         4 => {
-            (0..timed.world.nodes.len()).for_each(|other| timed.cut(other, node));
+            (0..timed.world.nodes.len()).for_each(|other| timed.block_link(other, node));
             timed.run_for(lasts);
-            "deaf"
+            "receives nothing"
         }
         5 => {
-            (0..timed.world.nodes.len()).for_each(|other| timed.cut(node, other));
+            (0..timed.world.nodes.len()).for_each(|other| timed.block_link(node, other));
             timed.run_for(lasts);
-            "mute"
+            "sends nothing"
         }
         6 => {
             timed.stall_disk(node, lasts);
@@ -92,7 +92,7 @@
         assert!(timed.world.oracle.acknowledged.len() > before);
         let elapsed = timed.run_until(15 * SECOND, |timed| timed.is_complete(voters));
         assert!(elapsed.is_some(), "not complete within 15 s: {}", context());
-        if let Some(primary) = timed.world.serving() {
+        if let Some(primary) = timed.world.serving_node() {
             timed.call(primary, |world| world.confirm(primary));
         }
     }
--- a/decide/replication/tests/scenario/mod.rs
+++ b/decide/replication/tests/scenario/mod.rs
@@ -8,16 +8,16 @@
 
 pub const SECOND: u64 = 1_000_000;
 
-pub fn four(nodes: usize) -> TimedWorld {
+pub fn group_of_four(nodes: usize) -> TimedWorld {
     TimedWorld::with_group(Settings::default(), 4, nodes, 1)
 }
 
-pub fn serving(timed: &TimedWorld) -> usize {
-    timed.world.serving().expect("a primary serves")
+pub fn serving_node(timed: &TimedWorld) -> usize {
+    timed.world.serving_node().expect("a primary serves")
 }
 
-pub fn others(timed: &TimedWorld) -> Vec<usize> {
-    let primary = serving(timed);
+pub fn other_voters(timed: &TimedWorld) -> Vec<usize> {
+    let primary = serving_node(timed);
     let named = &timed.world.nodes[primary]
         .replica
         .as_ref()
@@ -32,11 +32,11 @@
         .collect()
 }
 
-pub fn clean(timed: &TimedWorld) {
+pub fn assert_no_violation(timed: &TimedWorld) {
     assert_eq!(timed.world.oracle.violation, None);
 }
 
-pub fn changes(timed: &mut TimedWorld) -> Vec<MembershipChange> {
+pub fn membership_changes(timed: &mut TimedWorld) -> Vec<MembershipChange> {
     let notices = timed.world.notices.replace(Vec::new()).unwrap_or_default();
     let change = |(_, notice)| match notice {
         Notice::MembershipChange { change, .. } => Some(change),
--- a/decide/replication/tests/scenarios.rs
+++ b/decide/replication/tests/scenarios.rs
@@ -12,7 +12,7 @@
 fn sole_founder_serves_within_a_second() {
     let mut timed = TimedWorld::new(Settings::default(), 1, 7);
     timed.call(0, |world| world.bootstrap());
-    let served_after = timed.run_until(SECOND, |timed| timed.world.serving().is_some());
+    let served_after = timed.run_until(SECOND, |timed| timed.world.serving_node().is_some());
     assert!(
         served_after.is_some_and(|took| took < 20_000),
         "{served_after:?}"
@@ -21,7 +21,7 @@
 
 #[test]
 fn four_members_form_a_group_within_a_second() {
-    let timed = four(4);
+    let timed = group_of_four(4);
     println!("four voters after {} us", timed.now.0 - SECOND);
     assert!(timed.now.0 - SECOND < SECOND, "{}", timed.now.0);
 }
@@ -32,16 +32,16 @@
     timed.restart(9);
     timed.run_for(5 * SECOND);
     assert!(timed.is_complete(9));
-    clean(&timed);
+    assert_no_violation(&timed);
 }
 
 #[test]
 fn change_and_confirmation_take_one_round() {
-    let mut timed = four(4);
+    let mut timed = group_of_four(4);
     let took = timed.commit_within(SECOND).expect("a change is committed");
     println!("a change took {took} us");
     assert!(took < 5_000, "{took}");
-    let primary = serving(&timed);
+    let primary = serving_node(&timed);
     timed.call(primary, |world| world.confirm(primary));
     let before = timed.world.oracle.confirmed;
     let took = timed
@@ -51,28 +51,28 @@
     // A round takes at most 1,000 us here; the one that tells of the commit is still in flight and
     // doesn't count.
     assert!(took <= 2_000, "{took}");
-    clean(&timed);
+    assert_no_violation(&timed);
 }
 
 #[test]
 fn lost_primary_is_succeeded_by_another() {
     for seed in 0..20 {
         let mut timed = TimedWorld::with_group(Settings::default(), 4, 4, seed);
-        let primary = serving(&timed);
+        let primary = serving_node(&timed);
         timed.crash(primary);
         let took = timed
             .commit_within(5 * SECOND)
             .expect("another primary commits");
         assert!(took < 2 * SECOND, "seed {seed}: {took}");
-        clean(&timed);
+        assert_no_violation(&timed);
     }
 }
 
 #[test]
 fn two_losses_in_a_row_are_tolerated_twice() {
-    let mut timed = four(8);
+    let mut timed = group_of_four(8);
     for learner in 4..8 {
-        let lost = others(&timed)[0];
+        let lost = other_voters(&timed)[0];
         timed.wipe(lost);
         timed.run_for(SECOND / 2);
         timed.restart(learner);
@@ -84,24 +84,24 @@
             .run_until(3 * SECOND, |timed| timed.is_complete(4))
             .expect("it takes the place");
         println!("replaced after {replaced} us");
-        let changes = changes(&mut timed);
+        let membership_changes = membership_changes(&mut timed);
         assert!(
             matches!(
-                changes.last(),
+                membership_changes.last(),
                 Some(MembershipChange::ReplaceUnresponsive { .. })
             ),
-            "{changes:?}"
+            "{membership_changes:?}"
         );
     }
     assert!(timed.commit_within(SECOND).is_some());
-    clean(&timed);
+    assert_no_violation(&timed);
 }
 
 #[test]
 fn learner_added_during_a_loss_stays_beside_the_lost_voter_until_its_removal() {
-    let mut timed = four(6);
+    let mut timed = group_of_four(6);
     for learner in [4, 5] {
-        let lost = others(&timed)[0];
+        let lost = other_voters(&timed)[0];
         timed.wipe(lost);
         timed.restart(learner);
         timed.run_for(SECOND / 10);
@@ -111,31 +111,34 @@
     assert!(
         elapsed.is_some(),
         "the lost ones are removed: {:?}",
-        changes(&mut timed)
+        membership_changes(&mut timed)
     );
     assert!(timed.commit_within(SECOND).is_some());
-    clean(&timed);
+    assert_no_violation(&timed);
 }
 
 #[test]
 fn wiped_voter_at_the_same_address_is_replaced_in_one_step() {
-    let mut timed = four(4);
-    changes(&mut timed);
+    let mut timed = group_of_four(4);
+    membership_changes(&mut timed);
     for _ in 0..3 {
-        let lost = others(&timed)[0];
+        let lost = other_voters(&timed)[0];
         timed.wipe(lost);
         timed.restart(lost);
         let replaced = timed
             .run_until(SECOND, |timed| timed.is_complete(4))
             .expect("it takes its place again");
         println!("replaced after {replaced} us");
-        let changes = changes(&mut timed);
+        let membership_changes = membership_changes(&mut timed);
         assert!(
-            matches!(&changes[..], [MembershipChange::ReplaceWiped { .. }]),
-            "{changes:?}"
+            matches!(
+                &membership_changes[..],
+                [MembershipChange::ReplaceWiped { .. }]
+            ),
+            "{membership_changes:?}"
         );
     }
-    clean(&timed);
+    assert_no_violation(&timed);
 }
 
 /// The fault that is planted here makes the second replacement fatal: nobody commits any more.
@@ -150,13 +153,13 @@
         1,
     );
     for learner in [4, 5] {
-        let lost = others(&timed).into_iter().min()?;
+        let lost = other_voters(&timed).into_iter().min()?;
         timed.wipe(lost);
         timed.restart(learner);
         timed.run_for(3 * SECOND);
     }
     // Both losses are borne and repaired: the next one is like the first.
-    let lost = others(&timed)
+    let lost = other_voters(&timed)
         .into_iter()
         .find(|index| timed.world.nodes[*index].replica.is_some())?;
     timed.wipe(lost);
@@ -175,9 +178,9 @@
 
 #[test]
 fn unresponsive_voter_is_removed_and_rejoins_under_its_identity() {
-    let mut timed = four(4);
-    changes(&mut timed);
-    let lost = others(&timed)[0];
+    let mut timed = group_of_four(4);
+    membership_changes(&mut timed);
+    let lost = other_voters(&timed)[0];
     timed.crash(lost);
     assert!(timed
         .run_until(8 * SECOND, |timed| timed.is_complete(3))
@@ -188,24 +191,24 @@
         .run_until(5 * SECOND, |timed| timed.is_complete(4))
         .is_some());
     assert_eq!(timed.world.nodes[lost].identity, identity);
-    let changes = changes(&mut timed);
+    let membership_changes = membership_changes(&mut timed);
     assert!(matches!(
-        &changes[..],
+        &membership_changes[..],
         [
             MembershipChange::RemoveUnresponsive { .. },
             MembershipChange::Add { .. }
         ]
     ));
-    clean(&timed);
+    assert_no_violation(&timed);
 }
 
 #[test]
 fn group_of_three_never_shrinks_to_two() {
     let mut timed = TimedWorld::with_group(Settings::default(), 3, 3, 5);
-    let lost = others(&timed)[0];
+    let lost = other_voters(&timed)[0];
     timed.crash(lost);
     timed.run_for(20 * SECOND);
-    let primary = serving(&timed);
+    let primary = serving_node(&timed);
     assert_eq!(
         timed.world.nodes[primary]
             .replica
@@ -234,7 +237,7 @@
 fn leaving_primary_transfers_leadership_and_is_removed() {
     for seed in 0..20 {
         let mut timed = TimedWorld::with_group(Settings::default(), 4, 4, seed);
-        let primary = serving(&timed);
+        let primary = serving_node(&timed);
         timed.call(primary, |world| world.leave(primary));
         let left = timed.run_until(3 * SECOND, |timed| {
             timed.world.nodes[primary]
@@ -252,14 +255,14 @@
             .expect("the next primary commits");
         assert!(took < 50_000, "seed {seed}: {took}");
         assert!(timed.is_complete(3), "seed {seed}");
-        clean(&timed);
+        assert_no_violation(&timed);
     }
 }
 
 #[test]
 fn member_whose_removal_would_leave_two_stays_in_the_membership() {
     let mut timed = TimedWorld::with_group(Settings::default(), 3, 3, 5);
-    let leaver = others(&timed)[0];
+    let leaver = other_voters(&timed)[0];
     timed.call(leaver, |world| world.leave(leaver));
     let left = timed.run_until(SECOND, |timed| {
         timed.world.nodes[leaver]
@@ -273,7 +276,7 @@
 
 #[test]
 fn all_members_restart_one_after_the_other() {
-    let mut timed = four(4);
+    let mut timed = group_of_four(4);
     for index in 0..4 {
         timed.call(index, |world| world.leave(index));
         timed.run_for(SECOND);
@@ -284,15 +287,15 @@
         assert!(back.is_some(), "{index} is back");
         assert!(timed.commit_within(2 * SECOND).is_some());
     }
-    clean(&timed);
+    assert_no_violation(&timed);
 }
 
 #[test]
 fn leaving_member_learns_of_its_removal_by_a_primary_that_was_lost() {
     for seed in 0..20 {
         let mut timed = TimedWorld::with_group(Settings::default(), 5, 5, seed);
-        let (primary, leaver) = (serving(&timed), others(&timed)[0]);
-        timed.cut(primary, leaver);
+        let (primary, leaver) = (serving_node(&timed), other_voters(&timed)[0]);
+        timed.block_link(primary, leaver);
         timed.call(leaver, |world| world.leave(leaver));
         timed.run_for(SECOND / 10);
         timed.crash(primary);
@@ -303,7 +306,7 @@
                 .is_some_and(|replica| replica.has_left())
         });
         assert!(left.is_some(), "seed {seed}");
-        clean(&timed);
+        assert_no_violation(&timed);
     }
 }
 
@@ -315,8 +318,8 @@
     };
     let mut timed = TimedWorld::with_group(settings, 8, 12, 2);
     for newcomers in [[8, 9], [10, 11]] {
-        let lost = others(&timed);
-        let primary = serving(&timed);
+        let lost = other_voters(&timed);
+        let primary = serving_node(&timed);
         for index in [primary, lost[0]] {
             timed.wipe(index);
         }
@@ -329,21 +332,21 @@
             .run_until(5 * SECOND, |timed| timed.is_complete(8))
             .is_some());
     }
-    clean(&timed);
+    assert_no_violation(&timed);
 }
 
 #[test]
 fn voter_at_another_address_keeps_its_identity() {
-    let mut timed = four(4);
-    changes(&mut timed);
-    let moved = others(&timed)[0];
+    let mut timed = group_of_four(4);
+    membership_changes(&mut timed);
+    let moved = other_voters(&timed)[0];
     timed.crash(moved);
     timed.world.nodes[moved].address = "elsewhere".to_owned();
     timed.restart(moved);
     let named = timed.run_until(5 * SECOND, |timed| {
         let primary = timed
             .world
-            .serving()
+            .serving_node()
             .and_then(|index| timed.world.nodes[index].replica.as_ref());
         primary.is_some_and(|replica| {
             replica
@@ -356,19 +359,22 @@
     assert!(timed
         .run_until(SECOND, |timed| timed.is_complete(4))
         .is_some());
-    let changes = changes(&mut timed);
+    let membership_changes = membership_changes(&mut timed);
     assert!(
-        matches!(&changes[..], [MembershipChange::ChangeAddress { .. }]),
-        "{changes:?}"
+        matches!(
+            &membership_changes[..],
+            [MembershipChange::ChangeAddress { .. }]
+        ),
+        "{membership_changes:?}"
     );
-    clean(&timed);
+    assert_no_violation(&timed);
 }
 
 #[test]
 fn removed_member_with_a_much_higher_promise_rejoins() {
     for counter in [2, 100] {
-        let mut timed = four(4);
-        let away = others(&timed)[2];
+        let mut timed = group_of_four(4);
+        let away = other_voters(&timed)[2];
         timed.crash(away);
         // It had drawn an epoch and lost its process before it asked for it.
         let primary = timed.world.nodes[away].identity;
@@ -383,6 +389,6 @@
         println!("back after {back:?} us");
         assert!(back.is_some(), "epoch {counter}");
         assert!(timed.commit_within(SECOND).is_some());
-        clean(&timed);
+        assert_no_violation(&timed);
     }
 }
