--- a/decide/registry/src/table.rs
+++ b/decide/registry/src/table.rs
@@ -10,7 +10,7 @@
 use crate::heartbeat::Heartbeat;
 use crate::merge::{merge_record, normalized, tombstone};
 use crate::timing::{SNAPSHOT_TOMBSTONE_MAX_AGE_US, TICKS_PER_INTERVAL};
-use lichenswitch_messages::{ServerRecord, ServerState};
+use lichenswitch_messages::{HeartbeatAge, ServerRecord, ServerState};
 use std::collections::{BTreeSet, HashMap};
 
 /// A server, with when its last heartbeat came.
@@ -123,13 +123,12 @@
         changes
     }
 
-    /// Another control machine has reported from which servers heartbeats came, and how many
-    /// milliseconds ago.
-    pub fn merge_heartbeat_digest(&mut self, now: u64, digest: &[(String, u32)]) -> Changes {
+    /// Another control machine has reported from which servers heartbeats came.
+    pub fn merge_heartbeat_digest(&mut self, now: u64, digest: &[HeartbeatAge]) -> Changes {
         let mut changes = Changes::default();
-        for (instance, ago_ms) in digest {
-            let at = now.saturating_sub(u64::from(*ago_ms) * 1_000);
-            changes.append(self.note_heartbeat_at(now, at, instance));
+        for heartbeat in digest {
+            let at = now.saturating_sub(u64::from(heartbeat.age_ms) * 1_000);
+            changes.append(self.note_heartbeat_at(now, at, &heartbeat.instance));
         }
         changes
     }
@@ -184,8 +183,9 @@
         records
     }
 
-    /// Servers whose heartbeats came here since the last digest, with how many milliseconds ago.
-    pub fn take_heartbeat_digest(&mut self, now: u64) -> Vec<(String, u32)> {
+    /// The last heartbeats of the servers whose heartbeats came here since the last digest, by
+    /// instance.
+    pub fn take_heartbeat_digest(&mut self, now: u64) -> Vec<HeartbeatAge> {
         let mut digest = Vec::new();
         for (instance, entry) in self
             .entries
@@ -193,8 +193,11 @@
             .filter(|(_, entry)| entry.is_due_in_digest && entry.is_live())
         {
             entry.is_due_in_digest = false;
-            let ago_ms = now.saturating_sub(entry.last_seen_us) / 1_000;
-            digest.push((instance.clone(), u32::try_from(ago_ms).unwrap_or(u32::MAX)));
+            let age_ms = now.saturating_sub(entry.last_seen_us) / 1_000;
+            digest.push(HeartbeatAge {
+                instance: instance.clone(),
+                age_ms: u32::try_from(age_ms).unwrap_or(u32::MAX),
+            });
         }
         digest.sort();
         digest
--- a/decide/registry/src/table/tests.rs
+++ b/decide/registry/src/table/tests.rs
@@ -29,6 +29,13 @@
     }
 }
 
+fn heartbeat_age(instance: &str, age_ms: u32) -> HeartbeatAge {
+    HeartbeatAge {
+        instance: instance.to_owned(),
+        age_ms,
+    }
+}
+
 fn table() -> Registry {
     Registry::new(START, SECOND)
 }
@@ -219,16 +226,16 @@
     assert!(table
         .merge_heartbeat_digest(
             START + 4 * SECOND,
-            &[("i".to_owned(), 300), ("not-known".to_owned(), 0)]
+            &[heartbeat_age("i", 300), heartbeat_age("not-known", 0)]
         )
         .is_empty());
     tick_until(&mut table, START + 8 * SECOND);
     assert!(!is_suspect(&table, "i"));
     tick_until(&mut table, START + 9 * SECOND);
     assert!(is_suspect(&table, "i"));
-    let old = table.merge_heartbeat_digest(START + 9 * SECOND, &[("i".to_owned(), 5_000)]);
+    let old = table.merge_heartbeat_digest(START + 9 * SECOND, &[heartbeat_age("i", 5_000)]);
     assert!(old.is_empty() && is_suspect(&table, "i"));
-    let changes = table.merge_heartbeat_digest(START + 9 * SECOND, &[("i".to_owned(), 100)]);
+    let changes = table.merge_heartbeat_digest(START + 9 * SECOND, &[heartbeat_age("i", 100)]);
     assert_eq!(
         (
             changes.records.len(),
@@ -244,7 +251,7 @@
     let mut table = table();
     tick_until(&mut table, START + 3 * SECOND);
     table.on_heartbeat(START + 3 * SECOND, "i", &heartbeat("a:1", 1));
-    table.merge_heartbeat_digest(START + 3 * SECOND, &[("i".to_owned(), 2_900)]);
+    table.merge_heartbeat_digest(START + 3 * SECOND, &[heartbeat_age("i", 2_900)]);
     tick_until(&mut table, START + 7 * SECOND);
     assert!(!is_suspect(&table, "i"));
 }
@@ -262,7 +269,10 @@
             },
         ],
     );
-    table.merge_heartbeat_digest(START, &[("i".to_owned(), 50_000), ("j".to_owned(), 50_000)]);
+    table.merge_heartbeat_digest(
+        START,
+        &[heartbeat_age("i", 50_000), heartbeat_age("j", 50_000)],
+    );
     assert!(tick_until(&mut table, START + 5 * SECOND - 1).is_empty());
     assert!(!is_suspect(&table, "i") && !is_suspect(&table, "j"));
     assert_eq!(tick_until(&mut table, START + 5 * SECOND).records.len(), 2);
@@ -392,7 +402,7 @@
     for tenth in 6..40 {
         let now = START + tenth * 100 * MS;
         changes.append(tick_until(&mut table, now));
-        changes.append(table.merge_heartbeat_digest(now, &[("new".to_owned(), 50)]));
+        changes.append(table.merge_heartbeat_digest(now, &[heartbeat_age("new", 50)]));
     }
     assert_eq!(changes.updates_for_peers(), [tombstone("old")]);
     assert_eq!(state_of(&table, "new"), Some(ServerState::Ready));
@@ -414,12 +424,12 @@
     table.on_heartbeat(START + 100 * MS, "j", &heartbeat("a:2", 1));
     table.merge(START, &heartbeat("a:3", 1).record("k"));
     let digest = table.take_heartbeat_digest(START + 400 * MS);
-    assert_eq!(digest, [("i".to_owned(), 400), ("j".to_owned(), 300)]);
+    assert_eq!(digest, [heartbeat_age("i", 400), heartbeat_age("j", 300)]);
     assert!(table.take_heartbeat_digest(START + 800 * MS).is_empty());
     table.on_heartbeat(START + 900 * MS, "i", &heartbeat("a:1", 2));
     assert_eq!(
         table.take_heartbeat_digest(START + 900 * MS),
-        [("i".to_owned(), 0)]
+        [heartbeat_age("i", 0)]
     );
 }
 
--- a/fleet/src/control/server_table.rs
+++ b/fleet/src/control/server_table.rs
@@ -17,7 +17,7 @@
 };
 use crate::settings::Settings;
 use lichenswitch_interface::Time;
-use lichenswitch_messages::{ServerRecord, ServerState};
+use lichenswitch_messages::{HeartbeatAge, ServerRecord, ServerState};
 use lichenswitch_net::ConnId;
 use lichenswitch_registry::{Changes, Heartbeat, Registry};
 use std::collections::BTreeSet;
@@ -236,12 +236,12 @@
 
     /// Another control machine has sent the instances whose heartbeats it received. Returns whether
     /// one of them is unknown here.
-    pub(super) fn on_heartbeat_digest(&mut self, now: Time, digest: &[(String, u32)]) -> bool {
+    pub(super) fn on_heartbeat_digest(&mut self, now: Time, digest: &[HeartbeatAge]) -> bool {
         let changes = self.registry.merge_heartbeat_digest(now.0, digest);
         self.changes.append(changes);
         digest
             .iter()
-            .any(|(instance, _)| self.registry.record(instance).is_none())
+            .any(|heartbeat| self.registry.record(&heartbeat.instance).is_none())
     }
 
     /// Another control machine waits on this connection for the acknowledgement of its update.
@@ -382,7 +382,7 @@
     }
 
     /// Takes the instances whose heartbeats were received since the last take.
-    pub(super) fn take_heartbeat_digest(&mut self, now: Time) -> Vec<(String, u32)> {
+    pub(super) fn take_heartbeat_digest(&mut self, now: Time) -> Vec<HeartbeatAge> {
         self.registry.take_heartbeat_digest(now.0)
     }
 
--- a/fleet/src/control/server_table/tests.rs
+++ b/fleet/src/control/server_table/tests.rs
@@ -399,7 +399,13 @@
     servers.on_records(at(20), &[], true, true);
     assert!(servers.accepts_heartbeats(at(21)));
     assert!(
-        servers.on_heartbeat_digest(at(30), &[("i-9".to_owned(), 5)]),
+        servers.on_heartbeat_digest(
+            at(30),
+            &[lichenswitch_messages::HeartbeatAge {
+                instance: "i-9".to_owned(),
+                age_ms: 5
+            }]
+        ),
         "it has to request the record of an unknown server"
     );
 }
--- a/simulator/src/quotas/mod.rs
+++ b/simulator/src/quotas/mod.rs
@@ -55,7 +55,7 @@
 }
 
 /// The fleet.
-pub struct Fleet {
+struct Fleet {
     settings: Settings,
     random: Rng,
     now: u64,
--- a/wire/messages/src/lib.rs
+++ b/wire/messages/src/lib.rs
@@ -25,7 +25,7 @@
 pub use configuration::ConfigurationPosition;
 pub use peer::{PeerMessage, ProcessInstant, RelayedCall, RelayedResponse};
 pub use router::{ControlToRouter, RouterToControl, ROUTER_HEARTBEAT_MS};
-pub use servers::{ServerRecord, ServerState};
+pub use servers::{HeartbeatAge, ServerRecord, ServerState};
 pub use tenants::{QuotaLeaseRequest, QuotaLeaseResponse, QuotaLeaseUnit, TenantMessage};
 
 /// Version of all messages of this package. Processes of different versions reject each other with
--- a/wire/messages/src/peer.rs
+++ b/wire/messages/src/peer.rs
@@ -1,6 +1,6 @@
 //! Messages between control machines.
 
-use crate::{ConfigurationPosition, ServerRecord};
+use crate::{ConfigurationPosition, HeartbeatAge, ServerRecord};
 use rkyv::{Archive, Deserialize, Serialize};
 
 /// An instant on the clock of one process; it has a meaning for that process alone.
@@ -99,9 +99,8 @@
         /// Their number.
         ack: u64,
     },
-    /// Servers that sent a heartbeat to the sender since its last digest: instance, and
-    /// milliseconds since the heartbeat.
-    HeartbeatDigest(Vec<(String, u32)>),
+    /// Servers that sent a heartbeat to the sender since its last digest.
+    HeartbeatDigest(Vec<HeartbeatAge>),
     /// Requests the complete table of servers.
     ServerTableRequest,
     /// Servers that the sender knows only from the table that it had stored before its start: a
--- a/wire/messages/src/servers.rs
+++ b/wire/messages/src/servers.rs
@@ -53,3 +53,14 @@
     /// may still serve.
     pub is_suspect: bool,
 }
+
+/// The last heartbeat of a server, as an item of a
+/// [`HeartbeatDigest`](crate::PeerMessage::HeartbeatDigest).
+#[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+#[rkyv(attr(allow(missing_docs)))]
+pub struct HeartbeatAge {
+    /// `instanceId` of the server.
+    pub instance: String,
+    /// Time since the heartbeat (milliseconds).
+    pub age_ms: u32,
+}
--- a/wire/messages/tests/wire_format.rs
+++ b/wire/messages/tests/wire_format.rs
@@ -5,9 +5,10 @@
 //! bytes can't work beside one of before. Values are written down here, in the same order.
 
 use lichenswitch_messages::{
-    BacklogReport, ConfigurationPosition, ControlToRouter, Envelope, PeerMessage, ProcessInstant,
-    QuotaLeaseRequest, QuotaLeaseResponse, QuotaLeaseUnit, RelayedCall, RelayedResponse,
-    RouterToControl, ServerBacklog, ServerRecord, ServerState, TenantMessage, PROTOCOL_VERSION,
+    BacklogReport, ConfigurationPosition, ControlToRouter, Envelope, HeartbeatAge, PeerMessage,
+    ProcessInstant, QuotaLeaseRequest, QuotaLeaseResponse, QuotaLeaseUnit, RelayedCall,
+    RelayedResponse, RouterToControl, ServerBacklog, ServerRecord, ServerState, TenantMessage,
+    PROTOCOL_VERSION,
 };
 use lichenswitch_rpc::{decode, encode, encode_frame, FrameReader, HEADER_BYTES};
 
@@ -84,6 +85,13 @@
     }
 }
 
+fn heartbeat_age(instance: &str, age_ms: u32) -> HeartbeatAge {
+    HeartbeatAge {
+        instance: instance.to_owned(),
+        age_ms,
+    }
+}
+
 /// One server in each state; names on both sides of the length that is stored in place.
 fn servers() -> Vec<ServerRecord> {
     vec![
@@ -241,8 +249,8 @@
         (
             "servers_heard",
             peer(PeerMessage::HeartbeatDigest(vec![
-                ("a".to_owned(), 120),
-                ("instance-two".to_owned(), 0),
+                heartbeat_age("a", 120),
+                heartbeat_age("instance-two", 0),
             ])),
         ),
         (
