--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -11,12 +11,14 @@
 mod ogc;
 pub mod operators;
 pub mod peers;
+mod phases;
 pub mod settings;
 
 pub use error::{AddressError, ConfigError};
 pub use ogc::{Collection, Ogc};
-pub use operators::{Operators, Phases};
+pub use operators::{Operators, OperatorsError};
 pub use peers::Peers;
+pub use phases::Phases;
 
 use crate::discovery::List;
 use crate::interface::{Micros, Settings};
--- a/src/config/ogc.rs
+++ b/src/config/ogc.rs
@@ -122,7 +122,12 @@
             class.second_step = 0;
         }
         let mut contracts = inventory.contracts(&classes)?;
-        let phases = operators.sorted(&classes, &mut settings, &mut collections, &mut contracts)?;
+        let phases = operators.add_sorted_classes(
+            &classes,
+            &mut settings,
+            &mut collections,
+            &mut contracts,
+        )?;
         if let Some(budget) = Contracts::new(contracts.clone()).budget() {
             settings.limits.budget = Some(budget);
         }
