--- a/tests/consensus.rs
+++ b/tests/consensus.rs
@@ -1,28 +1,28 @@
-//! Voters and holders as processes, with links between them that fail, memories that are lost, and
-//! a checker of who held a duty when.
+//! Voters and lease holders as processes, with links between them that fail, storage that is lost,
+//! and a checker of which broker held a role when.
 
 use lichenswitch_emulators::rig::{judge_holders, Entry, Event, Rig};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_lichenswitch");
-/// The most that anything here is waited for, and what one that stood still has to find out that it
-/// holds nothing.
-const MOST: Duration = Duration::from_secs(40);
-const WAKES: Duration = Duration::from_millis(500);
+/// The longest wait of these tests, and the time in which a broker that was paused has to find out
+/// that it holds nothing.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
+const RESUME_TIMEOUT: Duration = Duration::from_millis(500);
 
-struct Council {
+struct TestCluster {
     rig: Rig,
     files: Vec<[PathBuf; 2]>,
 }
 
-impl Council {
-    /// So many brokers, of which the first `voters` vote; all would like to hold the duty.
-    fn new(count: usize, voters: usize, seed: u64) -> Council {
+impl TestCluster {
+    /// This many brokers, of which the first `voters` vote; all are to hold the role if they can.
+    fn new(count: usize, voters: usize, seed: u64) -> TestCluster {
         let rig = Rig::new(Path::new(PROGRAM), count, seed).unwrap();
         let names: Vec<String> = (0..voters).map(|v| format!("n{v}")).collect();
-        let lines = |who: usize| {
-            let folder = rig.folder().join(format!("memory-{who}"));
+        let lines = |broker: usize| {
+            let folder = rig.folder().join(format!("memory-{broker}"));
             format!(
                 "  probe_ms: 200\n  suspicion_ms: 1500\n  voters: [{}]\n  folder: {}\n  duties: [compiler]\n  lease_ms: 1500\n",
                 names.join(", "),
@@ -30,68 +30,72 @@
             )
         };
         let files = (0..count)
-            .map(|who| rig.broker_files(who, &lines(who)).unwrap())
+            .map(|broker| rig.broker_files(broker, &lines(broker)).unwrap())
             .collect();
-        let mut council = Council { rig, files };
-        (0..count).for_each(|who| council.start(who));
-        council
+        let mut cluster = TestCluster { rig, files };
+        (0..count).for_each(|broker| cluster.start(broker));
+        cluster
     }
 
-    fn start(&mut self, who: usize) {
-        self.rig.start_broker(who, &self.files[who]).unwrap();
+    fn start(&mut self, broker: usize) {
+        self.rig.start_broker(broker, &self.files[broker]).unwrap();
     }
 
-    fn memory(&self, who: usize) -> PathBuf {
-        self.rig.folder().join(format!("memory-{who}"))
+    fn storage(&self, broker: usize) -> PathBuf {
+        self.rig.folder().join(format!("memory-{broker}"))
     }
 
-    /// Waits until one of these has come to hold the duty since so many lines were in the ledger,
-    /// and tells who.
-    fn holder(&self, of: &[usize], since: usize) -> usize {
-        let holds = |entries: &[Entry]| holder(&entries[since..], of);
-        let held = self.rig.until(MOST, |entries| holds(entries).is_some());
+    /// Waits until one of these brokers holds the role, by the entries of the ledger from `since` on;
+    /// returns which one.
+    fn wait_for_holder(&self, of: &[usize], since: usize) -> usize {
+        let holds = |entries: &[Entry]| current_holder(&entries[since..], of);
+        let is_held = self
+            .rig
+            .until(WAIT_TIMEOUT, |entries| holds(entries).is_some());
         let entries = self.rig.ledger.all();
         assert!(
-            held,
+            is_held,
             "{:?}",
             &entries[since.max(entries.len().saturating_sub(60))..]
         );
         holds(&entries).unwrap()
     }
 
-    fn count(&self) -> usize {
+    fn entry_count(&self) -> usize {
         self.rig.ledger.all().len()
     }
 
-    /// Waits until a broker has said this since so many lines were in the ledger.
-    fn says(&self, by: usize, since: usize, what: &str) {
-        let says =
-            |e: &Entry| e.who == by && matches!(&e.what, Event::Said(line) if line.contains(what));
-        let said = self
+    /// Waits until a broker has logged this, by the entries of the ledger from `since` on.
+    fn wait_for_log(&self, broker: usize, since: usize, text: &str) {
+        let says = |e: &Entry| {
+            e.who == broker && matches!(&e.what, Event::Said(line) if line.contains(text))
+        };
+        let is_logged = self
             .rig
-            .until(MOST, |entries| entries[since..].iter().any(says));
+            .until(WAIT_TIMEOUT, |entries| entries[since..].iter().any(says));
         assert!(
-            said,
-            "n{by} never says {what:?}: {:?}",
-            self.rig.ledger.all().iter().rfind(|e| e.who == by)
+            is_logged,
+            "n{broker} never logs {text:?}: {:?}",
+            self.rig.ledger.all().iter().rfind(|e| e.who == broker)
         );
     }
 
-    fn cut(&self, side: &[usize], cut: bool) {
+    fn set_partition(&self, side: &[usize], is_cut: bool) {
         let count = self.files.len();
         for (a, b) in (0..count)
             .flat_map(|a| (0..count).map(move |b| (a, b)))
             .filter(|(a, b)| a != b)
         {
             if side.contains(&a) != side.contains(&b) {
-                self.rig.cut(a, b, cut);
+                self.rig.cut(a, b, is_cut);
             }
         }
     }
 
-    /// No two held the duty at a time, and fences grew; tells how many times it was taken over.
-    fn sound(&self) -> usize {
-        let found = judge_holders(&self.rig.ledger.all(), "compiler", WAKES);
+    /// No two brokers held the role at a time, and tokens grew; returns how many times it was taken
+    /// over.
+    fn check_holders(&self) -> usize {
+        let found = judge_holders(&self.rig.ledger.all(), "compiler", RESUME_TIMEOUT);
         let told = |e: &&Entry| !matches!(&e.what, Event::Said(l) if l.contains("fleet:") || l.contains("discovery"));
         let entries = self.rig.ledger.all();
         let around: Vec<&Entry> = entries.iter().filter(told).collect();
@@ -100,38 +104,38 @@
     }
 }
 
-/// The last of these brokers that says it holds the duty, and has not said since that it does not.
-fn holder(entries: &[Entry], of: &[usize]) -> Option<usize> {
-    let mut holds = None;
+/// The last of these brokers that has logged that it holds the role, and not since that it does not.
+fn current_holder(entries: &[Entry], of: &[usize]) -> Option<usize> {
+    let mut holder = None;
     for entry in entries.iter().filter(|e| of.contains(&e.who)) {
         match &entry.what {
             Event::Said(line) if line.contains("duty compiler: held under fence") => {
-                holds = Some(entry.who)
+                holder = Some(entry.who)
             }
             Event::Said(line)
-                if line.contains("duty compiler: not held") && holds == Some(entry.who) =>
+                if line.contains("duty compiler: not held") && holder == Some(entry.who) =>
             {
-                holds = None
+                holder = None
             }
             _ => {}
         }
     }
-    holds
+    holder
 }
 
-fn others(count: usize, who: usize) -> Vec<usize> {
-    (0..count).filter(|o| *o != who).collect()
+fn others(count: usize, broker: usize) -> Vec<usize> {
+    (0..count).filter(|o| *o != broker).collect()
 }
 
 #[test]
-fn one_holds_a_duty_whoever_is_killed_stopped_or_cut_off() {
-    let mut council = Council::new(5, 3, 1);
-    let first = council.holder(&[0, 1, 2, 3, 4], 0);
-    let since = council.count();
-    council.rig.kill(first);
-    let second = council.holder(&others(5, first), since);
-    council.start(first);
-    council.says(
+fn role_has_one_holder_through_crash_pause_partition_and_stop() {
+    let mut cluster = TestCluster::new(5, 3, 1);
+    let first = cluster.wait_for_holder(&[0, 1, 2, 3, 4], 0);
+    let since = cluster.entry_count();
+    cluster.rig.kill(first);
+    let second = cluster.wait_for_holder(&others(5, first), since);
+    cluster.start(first);
+    cluster.wait_for_log(
         first,
         since,
         if first < 3 {
@@ -140,116 +144,118 @@
             "peers: "
         },
     );
-    // The holder stands still: when it goes on it finds out by itself, before it does anything.
-    let since = council.count();
-    council.rig.stop(second);
-    let third = council.holder(&others(5, second), since);
-    let since = council.count();
-    council.rig.go_on(second);
-    council.says(second, since, "duty compiler: not held");
-    // The holder is cut off: its lease runs out before anybody else has one.
-    let since = council.count();
-    council.cut(&[third], true);
-    let fourth = council.holder(&others(5, third), since);
-    council.says(third, since, "duty compiler: not held");
-    council.says(
+    // The holder is paused: when it resumes it finds out by itself, before it does anything.
+    let since = cluster.entry_count();
+    cluster.rig.stop(second);
+    let third = cluster.wait_for_holder(&others(5, second), since);
+    let since = cluster.entry_count();
+    cluster.rig.go_on(second);
+    cluster.wait_for_log(second, since, "duty compiler: not held");
+    // The holder is partitioned off: its lease expires before another broker has one.
+    let since = cluster.entry_count();
+    cluster.set_partition(&[third], true);
+    let fourth = cluster.wait_for_holder(&others(5, third), since);
+    cluster.wait_for_log(third, since, "duty compiler: not held");
+    cluster.wait_for_log(
         third,
         since,
         "standing: doubtful: the last majority of the voters heard it",
     );
-    let since = council.count();
-    council.cut(&[third], false);
-    council.says(third, since, "standing: joined: ");
-    // One that is asked to end gives it back: nobody waits for the end of its lease.
-    let since = council.count();
-    assert_eq!(council.rig.end(fourth), Some(0));
-    council.holder(&others(5, fourth), since);
-    assert!(council.sound() >= 5);
+    let since = cluster.entry_count();
+    cluster.set_partition(&[third], false);
+    cluster.wait_for_log(third, since, "standing: joined: ");
+    // A holder that is asked to stop releases the role: nobody waits for the end of its lease.
+    let since = cluster.entry_count();
+    assert_eq!(cluster.rig.end(fourth), Some(0));
+    cluster.wait_for_holder(&others(5, fourth), since);
+    assert!(cluster.check_holders() >= 5);
 }
 
 #[test]
-fn two_of_five_voters_can_not_grant_and_three_go_on() {
-    let council = Council::new(6, 5, 2);
-    let first = council.holder(&[0, 1, 2, 3, 4, 5], 0);
-    // The holder is on the side of two voters; its lease runs out there, and the three grant
-    // another.
+fn minority_of_voters_grants_nothing_and_majority_goes_on() {
+    let cluster = TestCluster::new(6, 5, 2);
+    let first = cluster.wait_for_holder(&[0, 1, 2, 3, 4, 5], 0);
+    // The holder is on the side of two voters; its lease expires there, and the three grant another.
     let beside = others(5, first).pop().unwrap();
     let side = [first.min(5), beside];
     let rest: Vec<usize> = (0..6).filter(|w| !side.contains(w)).collect();
     let voters_left = rest.iter().filter(|w| **w < 5).count();
     assert!(voters_left >= 3);
-    let since = council.count();
-    council.cut(&side, true);
-    let second = council.holder(&rest, since);
-    council.says(first, since, "duty compiler: not held");
-    let held_there = council.rig.ledger.all()[since..].iter().any(|e| {
+    let since = cluster.entry_count();
+    cluster.set_partition(&side, true);
+    let second = cluster.wait_for_holder(&rest, since);
+    cluster.wait_for_log(first, since, "duty compiler: not held");
+    let is_held_there = cluster.rig.ledger.all()[since..].iter().any(|e| {
         side.contains(&e.who) && matches!(&e.what, Event::Said(l) if l.contains("held under fence"))
     });
-    assert!(!held_there, "two voters grant nothing");
-    council.cut(&side, false);
-    // It goes on: whoever holds it then is followed by one of all.
-    let since = council.count();
-    council.rig.stop(second);
-    council.holder(&others(6, second), since);
-    assert!(council.sound() >= 3);
+    assert!(!is_held_there, "two voters grant nothing");
+    cluster.set_partition(&side, false);
+    // It goes on: the next holder is any broker.
+    let since = cluster.entry_count();
+    cluster.rig.stop(second);
+    cluster.wait_for_holder(&others(6, second), since);
+    assert!(cluster.check_holders() >= 3);
 }
 
 #[test]
-fn voters_that_have_lost_their_memory_do_not_vote_and_those_with_a_torn_end_do() {
-    let mut council = Council::new(5, 5, 3);
-    council.holder(&[0, 1, 2, 3, 4], 0);
-    // One comes back without its folder, then a second: the three that remember go on.
-    for forgets in [3, 4] {
-        council.rig.kill(forgets);
-        std::fs::remove_dir_all(council.memory(forgets)).unwrap();
-        let since = council.count();
-        council.start(forgets);
-        council.says(forgets, since, "does not vote: the fleet knows");
+fn voters_without_their_storage_do_not_vote_and_those_with_a_torn_file_do() {
+    let mut cluster = TestCluster::new(5, 5, 3);
+    cluster.wait_for_holder(&[0, 1, 2, 3, 4], 0);
+    // One returns without its storage, then a second: the three others go on.
+    for voter in [3, 4] {
+        cluster.rig.kill(voter);
+        std::fs::remove_dir_all(cluster.storage(voter)).unwrap();
+        let since = cluster.entry_count();
+        cluster.start(voter);
+        cluster.wait_for_log(voter, since, "does not vote: the fleet knows");
     }
-    // One whose writing was cut off votes on.
-    council.rig.kill(0);
-    let file = council.memory(0).join("memory");
+    // One whose last write was interrupted goes on voting.
+    cluster.rig.kill(0);
+    let file = cluster.storage(0).join("memory");
     let mut bytes = std::fs::read(&file).unwrap();
     bytes.extend([0, 0, 1]);
     std::fs::write(&file, bytes).unwrap();
-    let since = council.count();
-    council.start(0);
-    council.says(0, since, "3 bytes whose writing was cut off are left aside");
-    council.says(0, since, "council: votes, genesis");
-    let (holder, since) = (council.holder(&[0, 1, 2, 3, 4], 0), council.count());
-    council.rig.stop(holder);
+    let since = cluster.entry_count();
+    cluster.start(0);
+    cluster.wait_for_log(0, since, "3 bytes whose writing was cut off are left aside");
+    cluster.wait_for_log(0, since, "council: votes, genesis");
+    let (holder, since) = (
+        cluster.wait_for_holder(&[0, 1, 2, 3, 4], 0),
+        cluster.entry_count(),
+    );
+    cluster.rig.stop(holder);
     if holder > 2 {
-        council.holder(&others(5, holder), since);
+        cluster.wait_for_holder(&others(5, holder), since);
     }
-    council.rig.go_on(holder);
-    // A folder of another cluster is set aside, and is none.
-    council.rig.kill(1);
-    let file = council.memory(1).join("memory");
+    cluster.rig.go_on(holder);
+    // A file of another cluster is set aside.
+    cluster.rig.kill(1);
+    let file = cluster.storage(1).join("memory");
     let bytes = std::fs::read(&file).unwrap();
     let other = String::from_utf8_lossy(&bytes[..40])
         .replacen("test n1", "tset n1", 1)
         .into_bytes();
     std::fs::write(&file, [&other[..], &bytes[other.len()..]].concat()).unwrap();
-    let since = council.count();
-    council.start(1);
-    council.says(
+    let since = cluster.entry_count();
+    cluster.start(1);
+    cluster.wait_for_log(
         1,
         since,
         "it does not name its owner: \"test n1\" is not there; it is set aside as",
     );
-    council.says(1, since, "does not vote");
-    council.sound();
+    cluster.wait_for_log(1, since, "does not vote");
+    cluster.check_holders();
 }
 
 #[test]
-fn all_killed_at_once_and_started_together_go_on_under_the_same_genesis_and_greater_fences() {
-    let mut council = Council::new(4, 3, 4);
-    council.holder(&[0, 1, 2, 3], 0);
-    (0..4).for_each(|who| council.rig.kill(who));
-    let since = council.count();
-    (0..4).for_each(|who| council.start(who));
-    council.holder(&[0, 1, 2, 3], since);
-    let entries = council.rig.ledger.all();
+fn restart_of_all_brokers_keeps_the_genesis_and_tokens_grow() {
+    let mut cluster = TestCluster::new(4, 3, 4);
+    cluster.wait_for_holder(&[0, 1, 2, 3], 0);
+    (0..4).for_each(|broker| cluster.rig.kill(broker));
+    let since = cluster.entry_count();
+    (0..4).for_each(|broker| cluster.start(broker));
+    cluster.wait_for_holder(&[0, 1, 2, 3], since);
+    let entries = cluster.rig.ledger.all();
     let genesis = |e: &Entry| match &e.what {
         Event::Said(line) => Some(
             line.split("genesis ")
@@ -262,32 +268,32 @@
     };
     let all: std::collections::BTreeSet<String> = entries.iter().filter_map(genesis).collect();
     assert_eq!(all.len(), 1, "{all:?}");
-    assert!(council.sound() >= 2);
+    assert!(cluster.check_holders() >= 2);
 }
 
 #[test]
-fn who_is_cut_off_knows_it_and_a_fleet_that_has_begun_anew_is_a_stranger_to_who_knew_the_former() {
-    let mut council = Council::new(4, 3, 5);
-    (0..4).for_each(|who| council.says(who, 0, "standing: joined: "));
-    let since = council.count();
-    council.cut(&[3], true);
-    council.says(
+fn partitioned_broker_reports_it_and_a_new_genesis_is_foreign_to_those_of_the_former() {
+    let mut cluster = TestCluster::new(4, 3, 5);
+    (0..4).for_each(|broker| cluster.wait_for_log(broker, 0, "standing: joined: "));
+    let since = cluster.entry_count();
+    cluster.set_partition(&[3], true);
+    cluster.wait_for_log(
         3,
         since,
         "standing: cut off: the last majority of the voters heard it",
     );
-    council.cut(&[3], false);
-    council.says(3, since, "standing: joined: ");
-    // All voters lose their memories at once: they begin anew, and the broker that knew the former
-    // genesis says so.
-    (0..3).for_each(|who| council.rig.kill(who));
-    (0..3).for_each(|who| std::fs::remove_dir_all(council.memory(who)).unwrap());
-    let since = council.count();
-    (0..3).for_each(|who| council.start(who));
-    council.says(
+    cluster.set_partition(&[3], false);
+    cluster.wait_for_log(3, since, "standing: joined: ");
+    // All voters lose their storage at once: they come to a new genesis, and the broker that knew the
+    // former one reports it.
+    (0..3).for_each(|broker| cluster.rig.kill(broker));
+    (0..3).for_each(|broker| std::fs::remove_dir_all(cluster.storage(broker)).unwrap());
+    let since = cluster.entry_count();
+    (0..3).for_each(|broker| cluster.start(broker));
+    cluster.wait_for_log(
         3,
         since,
         "standing: a stranger: the fleet has begun anew: genesis",
     );
-    (0..3).for_each(|who| council.says(who, since, "standing: joined: "));
+    (0..3).for_each(|broker| cluster.wait_for_log(broker, since, "standing: joined: "));
 }
--- a/tests/management.rs
+++ b/tests/management.rs
@@ -1,4 +1,4 @@
-//! Operators' calls: answered in time whatever the loop and other callers do, and heeded.
+//! Operators' calls: answered in time whatever the loop and other callers do, and carried out.
 
 mod platformed;
 
@@ -10,11 +10,11 @@
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
 
-/// An answer is owed within this time.
-const OWED: Duration = Duration::from_secs(1);
+/// An answer is to be sent within this time.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A management thread whose broker's loop never runs.
-fn management_alone() -> (ManagementHandle, SocketAddr) {
+fn management_without_loop() -> (ManagementHandle, SocketAddr) {
     let calls = free_address();
     let config = format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","mgmt":"{calls}","discovery":"127.0.0.1:1","settings":{SETTINGS}}}"#
@@ -23,15 +23,15 @@
     (ManagementHandle::open(&platform).unwrap().unwrap(), calls)
 }
 
-fn whole(mut stream: TcpStream) -> String {
+fn read_answer(mut stream: TcpStream) -> String {
     let mut answer = String::new();
     stream.read_to_string(&mut answer).unwrap();
     answer
 }
 
 #[test]
-fn calls_are_answered_in_time_though_the_loop_stands_still_and_hundreds_hold_connections() {
-    let (_management, calls) = management_alone();
+fn calls_are_answered_in_time_beside_a_stuck_loop_and_hundreds_of_connections() {
+    let (_management, calls) = management_without_loop();
     drop(operator(calls));
     let held: Vec<TcpStream> = (0..300)
         .map(|i| {
@@ -44,9 +44,13 @@
         })
         .collect();
     for line in ["health", "nonsense", "cordon s", "counters"] {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let answer = asked(calls, line);
-        assert!(begun.elapsed() < OWED, "{line}: {:?}", begun.elapsed());
+        assert!(
+            started_at.elapsed() < ANSWER_TIMEOUT,
+            "{line}: {:?}",
+            started_at.elapsed()
+        );
         assert!(
             answer.starts_with("ok") || answer.starts_with("fail "),
             "{answer}"
@@ -60,35 +64,41 @@
 }
 
 #[test]
-fn a_line_may_come_in_pieces_without_its_end_or_with_more_behind_it() {
-    let (_management, calls) = management_alone();
+fn line_is_read_in_pieces_without_its_end_or_with_more_after_it() {
+    let (_management, calls) = management_without_loop();
     let mut stream = operator(calls);
     stream.set_nodelay(true).unwrap();
     for byte in b"cordon nobody\r\n" {
         stream.write_all(&[*byte]).unwrap();
     }
     assert_eq!(
-        whole(stream),
+        read_answer(stream),
         "fail no server \"nobody\" is listed or out\n"
     );
     let mut stream = operator(calls);
     stream.write_all(b"cordon").unwrap();
     stream.shutdown(std::net::Shutdown::Write).unwrap();
-    assert_eq!(whole(stream), "fail cordon needs the id of a server\n");
+    assert_eq!(
+        read_answer(stream),
+        "fail cordon needs the id of a server\n"
+    );
     let mut stream = operator(calls);
     stream.write_all(b"resume\nquiesce\n").unwrap();
     assert_eq!(
-        whole(stream),
+        read_answer(stream),
         "ok clients were not sent away\n",
         "each connection carries one line"
     );
     let mut stream = operator(calls);
     stream.write_all(&[b'x'; 600]).unwrap();
-    assert_eq!(whole(stream), "fail the line is longer than 512 bytes\n");
+    assert_eq!(
+        read_answer(stream),
+        "fail the line is longer than 512 bytes\n"
+    );
 }
 
-/// One change of the list, for the watch that is out.
-fn changed(generation: u64, node_at: &str, lifecycle: &str) -> String {
+/// A change of the list, for the watch that waits.
+fn list_change(generation: u64, node_at: &str, lifecycle: &str) -> String {
     format!(
         r#"{{"generation":{generation},"reset":false,"instances":[{{"instanceId":"s","hostPort":"{node_at}","zone":"a",
         "machineType":"m","cell":0,"lifecycle":"{lifecycle}","weight":1.0,"startedAtMs":0}}]}}"#
@@ -96,8 +106,8 @@
 }
 
 #[test]
-fn what_is_cordoned_gets_nothing_new_whatever_is_listed_until_one_uncordon() {
-    let (watches, watched) = mpsc::channel();
+fn cordoned_node_gets_nothing_new_until_one_uncordon() {
+    let (sender, watches) = mpsc::channel();
     // Cold for two seconds and not very: what a node that was put back may be sent shows soon.
     let rules =
         r#""rules":{"coldUs":2000000,"coldShare":0.5,"fallMultiple":3,"fallUs":1000000},"classes""#;
@@ -108,14 +118,14 @@
         let (stream, _) = call(&listener);
         tell(&stream, list.clone());
         assert!(next_call(&stream).contains("since=1"));
-        watches.send((stream, list)).unwrap();
+        sender.send((stream, list)).unwrap();
     });
-    let (watch, list) = watched.recv().unwrap();
+    let (watch, list) = watches.recv().unwrap();
     asked_until(calls, "health", "ok ");
     assert_eq!(asked(calls, "cordon s"), "ok s is out\n");
     assert_eq!(asked(calls, "cordon s"), "ok s is out already\n");
     let mut client = broker.connect();
-    let refused = |client: &mut TcpStream, id: &str| {
+    let assert_rejected = |client: &mut TcpStream, id: &str| {
         client.write_all(&query("fleet-search", id, &[0])).unwrap();
         assert_eq!(
             answer(client).status,
@@ -125,12 +135,12 @@
     };
     // The only holder is the last resort until shortly before the rule on drains, two seconds, ends
     // that.
-    let begun = Instant::now();
+    let started_at = Instant::now();
     loop {
         client
             .write_all(&query(
                 "fleet-search",
-                &format!("q{}", begun.elapsed().as_micros()),
+                &format!("q{}", started_at.elapsed().as_micros()),
                 &[0],
             ))
             .unwrap();
@@ -142,7 +152,7 @@
             Err(_) => break,
         }
         answer(&mut client);
-        assert!(begun.elapsed() < Duration::from_millis(1_500));
+        assert!(started_at.elapsed() < Duration::from_millis(1_500));
     }
     assert_eq!(answer(&mut client).status, 503);
     // Lists that have it as serving come in between.
@@ -153,17 +163,17 @@
         .split('"')
         .next()
         .unwrap();
-    tell(&watch, changed(2, node_at, "SERVING"));
+    tell(&watch, list_change(2, node_at, "SERVING"));
     assert!(next_call(&watch).contains("since=2"));
-    refused(&mut client, "after-a-change");
+    assert_rejected(&mut client, "after-a-change");
     tell(&watch, list.replace("\"generation\":1", "\"generation\":3"));
     assert!(next_call(&watch).contains("since=3"));
-    refused(&mut client, "after-a-whole-list");
+    assert_rejected(&mut client, "after-a-whole-list");
     assert!(broker.got.try_recv().is_err());
     assert!(asked(calls, "uncordon s").starts_with("ok s is used again"));
     assert_eq!(asked(calls, "uncordon s"), "ok s was not out\n");
     // It is one that has just started, and gets its first part within its allowance.
-    let begun = Instant::now();
+    let started_at = Instant::now();
     for id in 0.. {
         client
             .write_all(&query("fleet-search", &format!("back-{id}"), &[0]))
@@ -177,22 +187,22 @@
         }
         assert_eq!(answer(&mut client).status, 503);
         assert!(
-            begun.elapsed() < Duration::from_secs(5),
+            started_at.elapsed() < Duration::from_secs(5),
             "used again within 5 s"
         );
     }
 }
 
 #[test]
-fn what_drains_by_the_list_drains_after_the_uncordon_too() {
-    let (watches, watched) = mpsc::channel();
+fn node_that_drains_by_the_list_drains_after_the_uncordon_too() {
+    let (sender, watches) = mpsc::channel();
     let (broker, calls) = Platformed::managed(SETTINGS, move |listener: TcpListener, list| {
         let (stream, _) = call(&listener);
         tell(&stream, list.clone());
         next_call(&stream);
-        watches.send((stream, list)).unwrap();
+        sender.send((stream, list)).unwrap();
     });
-    let (watch, list) = watched.recv().unwrap();
+    let (watch, list) = watches.recv().unwrap();
     let node_at = list
         .split("hostPort\":\"")
         .nth(1)
@@ -202,7 +212,7 @@
         .unwrap();
     asked_until(calls, "health", "ok ");
     assert!(asked(calls, "cordon s").starts_with("ok "));
-    tell(&watch, changed(2, node_at, "DRAINING"));
+    tell(&watch, list_change(2, node_at, "DRAINING"));
     next_call(&watch);
     assert!(asked(calls, "uncordon s").starts_with("ok "));
     let mut client = broker.connect();
@@ -211,85 +221,90 @@
     assert!(broker.got.try_recv().is_err());
 }
 
-/// How a connection ends: what came on it, within what time since then.
-fn ended(stream: &mut TcpStream, since: Instant) -> (String, Duration) {
-    let mut came = Vec::new();
-    stream.read_to_end(&mut came).unwrap();
-    (String::from_utf8(came).unwrap(), since.elapsed())
+/// What arrives on a connection until its end, and the time until then.
+fn read_to_end(stream: &mut TcpStream, started_at: Instant) -> (String, Duration) {
+    let mut received = Vec::new();
+    stream.read_to_end(&mut received).unwrap();
+    (String::from_utf8(received).unwrap(), started_at.elapsed())
 }
 
 #[test]
-fn clients_that_are_sent_away_are_told_then_closed_and_nothing_read_is_lost() {
+fn quiesced_clients_are_notified_then_closed_and_no_accepted_request_is_lost() {
     let (broker, calls) = Platformed::managed(SETTINGS, discovery);
     asked_until(calls, "health", "ok ");
-    let [mut waits, mut rests, mut arrives, mut uses] = [(); 4].map(|()| broker.connect());
-    waits
+    let [mut waiting, mut idle, mut arriving, mut active] = [(); 4].map(|()| broker.connect());
+    waiting
         .write_all(&query("fleet-search", "waits", &[0]))
         .unwrap();
-    let mut out = broker.next();
-    for stream in [&mut rests, &mut uses] {
+    let mut pending = broker.next();
+    for stream in [&mut idle, &mut active] {
         stream
             .write_all(b"GET /health/ready HTTP/1.1\r\n\r\n")
             .unwrap();
         let ready = answer(stream);
         assert!(ready.status == 200 && ready.keep_alive);
     }
-    let begun = Instant::now();
+    let started_at = Instant::now();
     assert_eq!(asked(calls, "quiesce"), "ok clients are sent away\n");
-    // One call later the loop has heard of it.
+    // One call later the loop follows it.
     assert_eq!(
         asked_until(calls, "health", "fail "),
         "fail clients are sent away\n"
     );
-    let whole = query("fleet-search", "arrives", &[0]);
-    arrives.write_all(&whole[..whole.len() - 1]).unwrap();
-    // Who is here and has not heard of it is served, and told with the answer.
-    uses.write_all(&query("fleet-search", "uses", &[0]))
+    let request = query("fleet-search", "arrives", &[0]);
+    arriving.write_all(&request[..request.len() - 1]).unwrap();
+    // A client that does not know of it is served, and notified with the answer.
+    active
+        .write_all(&query("fleet-search", "uses", &[0]))
         .unwrap();
     let mut got = broker.next();
     got.parts()
         .iter()
         .for_each(|id| got.answer(&format!("{id} OK 1 -\nv")));
-    let served = answer(&mut uses);
+    let served = answer(&mut active);
     assert!(served.status == 200 && !served.keep_alive, "{served:?}");
-    let mut asks = broker.connect();
-    asks.write_all(b"GET /health/ready HTTP/1.1\r\n\r\n")
+    let mut prober = broker.connect();
+    prober
+        .write_all(b"GET /health/ready HTTP/1.1\r\n\r\n")
         .unwrap();
-    let ready = answer(&mut asks);
+    let ready = answer(&mut prober);
     assert!(ready.status == 503 && !ready.keep_alive, "{ready:?}");
-    let (came, after) = ended(&mut rests, begun);
+    let (received, elapsed) = read_to_end(&mut idle, started_at);
     assert!(
-        came.is_empty() && after >= Duration::from_millis(500) && after < Duration::from_secs(2),
-        "{after:?}"
+        received.is_empty()
+            && elapsed >= Duration::from_millis(500)
+            && elapsed < Duration::from_secs(2),
+        "{elapsed:?}"
     );
-    let (came, after) = ended(&mut arrives, begun);
+    let (received, elapsed) = read_to_end(&mut arriving, started_at);
     assert!(
-        came.starts_with("HTTP/1.1 503 ") && after < Duration::from_secs(2),
-        "{after:?} {came}"
+        received.starts_with("HTTP/1.1 503 ") && elapsed < Duration::from_secs(2),
+        "{elapsed:?} {received}"
     );
-    // Nothing new is taken any more; what was taken long before is waited for, and answered.
+    // Nothing new is accepted any more; what was accepted long before is waited for, and answered.
     let mut late = broker.connect();
     late.write_all(&query("fleet-search", "late", &[0]))
         .unwrap();
-    let refused = answer(&mut late);
-    assert!(refused.status == 503 && !refused.keep_alive);
-    out.parts()
+    let rejected = answer(&mut late);
+    assert!(rejected.status == 503 && !rejected.keep_alive);
+    pending
+        .parts()
         .iter()
-        .for_each(|id| out.answer(&format!("{id} OK 1 -\nv")));
-    let (came, _) = ended(&mut waits, begun);
+        .for_each(|id| pending.answer(&format!("{id} OK 1 -\nv")));
+    let (received, _) = read_to_end(&mut waiting, started_at);
     assert!(
-        came.starts_with("HTTP/1.1 200 ") && came.contains("connection: close"),
-        "{came}"
+        received.starts_with("HTTP/1.1 200 ") && received.contains("connection: close"),
+        "{received}"
     );
     assert!(
         broker.got.try_recv().is_err(),
-        "what was refused was sent nowhere"
+        "a rejected query is not sent on"
     );
     // Back to work.
-    let begun = Instant::now();
+    let started_at = Instant::now();
     assert_eq!(asked(calls, "resume"), "ok back to work\n");
     asked_until(calls, "health", "ok ");
-    assert!(begun.elapsed() < OWED);
+    assert!(started_at.elapsed() < ANSWER_TIMEOUT);
     let mut back = broker.connect();
     back.write_all(&query("fleet-search", "back", &[0]))
         .unwrap();
@@ -302,7 +317,7 @@
 }
 
 #[test]
-fn the_answers_are_those_of_the_operators_page() {
+fn answers_are_those_of_the_operators_page() {
     let page = include_str!("../docs/operate/operation.md");
     let (_broker, calls) = Platformed::managed(SETTINGS, discovery);
     asked_until(calls, "health", "ok ");
@@ -311,7 +326,7 @@
             .replace("\"s\"", "\"ID\"")
             .replace("ok s ", "ok ID ")
     };
-    for (call, begins) in [
+    for (call, expected) in [
         ("health", "ok ready"),
         ("cordon s", "ok ID is out"),
         ("cordon s", "ok ID is out already"),
@@ -321,14 +336,14 @@
         ("quiesce", "ok clients are sent away"),
         ("resume", "ok back to work"),
     ] {
-        let told = named(&asked(calls, call));
+        let answer = named(&asked(calls, call));
         assert!(
-            told.starts_with(begins) && page.contains(&format!("`{told}`")),
-            "{call}: {told}"
+            answer.starts_with(expected) && page.contains(&format!("`{answer}`")),
+            "{call}: {answer}"
         );
     }
-    let figures = asked(calls, "counters");
-    for line in figures.lines().filter(|line| line.starts_with("svc_")) {
+    let metrics = asked(calls, "counters");
+    for line in metrics.lines().filter(|line| line.starts_with("svc_")) {
         let name = line.split(['{', ' ']).next().unwrap();
         assert!(
             page.contains(&format!("`{name}")),
@@ -337,40 +352,40 @@
     }
 }
 
-/// The value of a figure.
-fn figure(told: &str, name: &str) -> u64 {
-    let line = told
+/// The value of a metric.
+fn metric(text: &str, name: &str) -> u64 {
+    let line = text
         .lines()
         .find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
-    line.unwrap_or_else(|| panic!("{name} is not in {told}"))
+    line.unwrap_or_else(|| panic!("{name} is not in {text}"))
         .parse()
         .unwrap()
 }
 
-/// Asks for the figures until these are so.
-fn figures_until(calls: SocketAddr, expected: &[(&str, u64)]) {
-    let begun = Instant::now();
+/// Reads the metrics until these have the expected values.
+fn wait_for_metrics(calls: SocketAddr, expected: &[(&str, u64)]) {
+    let started_at = Instant::now();
     loop {
-        let told = asked(calls, "counters");
+        let text = asked(calls, "counters");
         assert!(
-            told.starts_with("ok\n") && told.ends_with("\neof\n"),
-            "{told}"
+            text.starts_with("ok\n") && text.ends_with("\neof\n"),
+            "{text}"
         );
         if expected
             .iter()
-            .all(|(name, value)| figure(&told, name) == *value)
+            .all(|(name, value)| metric(&text, name) == *value)
         {
             return;
         }
         assert!(
-            begun.elapsed() < Duration::from_secs(5),
-            "{expected:?} in {told}"
+            started_at.elapsed() < Duration::from_secs(5),
+            "{expected:?} in {text}"
         );
     }
 }
 
 #[test]
-fn figures_tell_what_ended_how_what_is_held_and_which_nodes_are_there() {
+fn metrics_count_requests_by_their_end_and_show_active_ones_and_nodes() {
     // Where the rule on drains allows no time a node is out at once.
     let settings = SETTINGS.replace(
         "\"classes\"",
@@ -381,8 +396,8 @@
     let none = ["ok", "shed", "errors", "tries"]
         .map(|n| format!("svc_{n}_total{{kind=\"network-report\"}}"));
     let none: Vec<(&str, u64)> = none.iter().map(|name| (name.as_str(), 0)).collect();
-    figures_until(calls, &none);
-    figures_until(
+    wait_for_metrics(calls, &none);
+    wait_for_metrics(
         calls,
         &[
             ("svc_active", 0),
@@ -391,15 +406,21 @@
         ],
     );
     let mut client = broker.connect();
-    let mut ask = |id: &str, says: &str| {
+    let mut query_status = |id: &str, answered: &str| {
         client.write_all(&query("fleet-search", id, &[0])).unwrap();
         let mut got = broker.next();
         got.parts()
             .iter()
-            .for_each(|id| got.answer(&format!("{id} {says}")));
+            .for_each(|id| got.answer(&format!("{id} {answered}")));
         answer(&mut client).status
     };
-    assert_eq!([ask("a", "OK 1 -\nv"), ask("b", "OK 1 -\nv")], [200, 200]);
+    assert_eq!(
+        [
+            query_status("a", "OK 1 -\nv"),
+            query_status("b", "OK 1 -\nv")
+        ],
+        [200, 200]
+    );
     let kind = |name: &str| format!("svc_{name}_total{{kind=\"fleet-search\"}}");
     let (ok, shed, errors, tries) = (kind("ok"), kind("shed"), kind("errors"), kind("tries"));
     let of = |values: [u64; 4]| {
@@ -410,15 +431,16 @@
             (&*tries, values[3]),
         ]
     };
-    figures_until(calls, &of([2, 0, 0, 2]));
+    wait_for_metrics(calls, &of([2, 0, 0, 2]));
     // A part that is out: its query is held, its attempt counts as soon as it is written.
     let mut second = broker.connect();
     second.write_all(&query("fleet-search", "c", &[0])).unwrap();
-    let mut out = broker.next();
-    figures_until(calls, &[of([2, 0, 0, 3])[3], ("svc_active", 1)]);
-    out.parts()
+    let mut pending = broker.next();
+    wait_for_metrics(calls, &[of([2, 0, 0, 3])[3], ("svc_active", 1)]);
+    pending
+        .parts()
         .iter()
-        .for_each(|id| out.answer(&format!("{id} OK 1 -\nv")));
+        .for_each(|id| pending.answer(&format!("{id} OK 1 -\nv")));
     assert_eq!(answer(&mut second).status, 200);
     // What makes no sense has failed; with the only node out a query is refused, and nothing is
     // sent.
@@ -427,7 +449,7 @@
         .unwrap();
     assert_eq!(answer(&mut second).status, 400);
     assert!(asked(calls, "cordon s").starts_with("ok "));
-    figures_until(
+    wait_for_metrics(
         calls,
         &[
             ("svc_active", 0),
@@ -437,5 +459,5 @@
     );
     second.write_all(&query("fleet-search", "e", &[0])).unwrap();
     assert_eq!(answer(&mut second).status, 503);
-    figures_until(calls, &of([3, 1, 1, 3]));
+    wait_for_metrics(calls, &of([3, 1, 1, 3]));
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -12,24 +12,24 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const LONG: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A broker's surroundings: its configuration, its folder, discovery and one data node.
-struct Stage {
+/// A broker: its configuration, its folder, a discovery and one data node.
+struct TestBroker {
     folder: PathBuf,
     address: SocketAddr,
-    got: Receiver<Got>,
+    requests: Receiver<Got>,
 }
 
-/// A process of it.
+/// A process of the broker.
 struct Process {
     child: Child,
     calls: SocketAddr,
     lines: Receiver<String>,
 }
 
-impl Stage {
-    fn new() -> Stage {
+impl TestBroker {
+    fn new() -> TestBroker {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
         let name = format!("lichenswitch-upgrade-{}-{number}", std::process::id());
@@ -37,8 +37,8 @@
         std::fs::create_dir(&folder).unwrap();
         let [node, list] = [(); 2].map(|()| TcpListener::bind("127.0.0.1:0").unwrap());
         let (node_at, list_at) = (node.local_addr().unwrap(), list.local_addr().unwrap());
-        let (told, got) = mpsc::channel();
-        thread::spawn(move || data_node(node, told));
+        let (sender, requests) = mpsc::channel();
+        thread::spawn(move || data_node(node, sender));
         let text = format!(
             r#"{{"generation":1,"reset":true,"instances":[{{"instanceId":"s","hostPort":"{node_at}","zone":"a",
             "machineType":"m","cell":0,"lifecycle":"SERVING","weight":1.0,"startedAtMs":0}}]}}"#
@@ -52,10 +52,10 @@
         );
         std::fs::write(folder.join("config.json"), config).unwrap();
         thread::spawn(move || discovery(list, text));
-        Stage {
+        TestBroker {
             folder,
             address,
-            got,
+            requests,
         }
     }
 
@@ -72,13 +72,13 @@
             .stderr(Stdio::piped())
             .spawn()
             .unwrap();
-        let (told, lines) = mpsc::channel();
+        let (sender, lines) = mpsc::channel();
         let stderr = BufReader::new(child.stderr.take().unwrap());
         thread::spawn(move || {
             stderr
                 .lines()
                 .map_while(Result::ok)
-                .try_for_each(|line| told.send(line))
+                .try_for_each(|line| sender.send(line))
         });
         Process {
             child,
@@ -87,30 +87,31 @@
         }
     }
 
-    /// One that says that it is ready.
-    fn ready(&self) -> Process {
+    /// A process that is ready.
+    fn start_ready(&self) -> Process {
         let process = self.start();
         asked_until(process.calls, "health", "ok ");
         process
     }
 
-    /// A client that has asked, on a connection of its own.
-    fn client(&self, id: &str) -> TcpStream {
+    /// A client that has sent a query, on a connection of its own.
+    fn query_client(&self, id: &str) -> TcpStream {
         let mut stream = TcpStream::connect(self.address).unwrap();
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         stream.write_all(&query("fleet-search", id, &[0])).unwrap();
         stream
     }
 
-    fn serve(&self) {
-        let mut got = self.got.recv_timeout(LONG).unwrap();
+    /// Answers one request at the data node.
+    fn answer_one(&self) {
+        let mut got = self.requests.recv_timeout(WAIT_TIMEOUT).unwrap();
         got.parts()
             .iter()
             .for_each(|id| got.answer(&format!("{id} OK 1 -\nv")));
     }
 }
 
-impl Drop for Stage {
+impl Drop for TestBroker {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
@@ -118,19 +119,19 @@
 
 impl Process {
     fn signal(&self, name: &str) {
-        let told = Command::new("kill")
+        let status = Command::new("kill")
             .args([name, &self.child.id().to_string()])
             .status()
             .unwrap();
-        assert!(told.success());
+        assert!(status.success());
     }
 
-    /// Waits for a line that has this in it.
-    fn says(&self, text: &str) {
+    /// Waits for a log line with this text.
+    fn wait_for_log(&self, text: &str) {
         loop {
             let line = self
                 .lines
-                .recv_timeout(LONG)
+                .recv_timeout(WAIT_TIMEOUT)
                 .unwrap_or_else(|e| panic!("{text}: {e}"));
             if line.contains(text) {
                 return;
@@ -138,11 +139,11 @@
         }
     }
 
-    fn ends(&mut self) -> ExitStatus {
+    fn wait_for_exit(&mut self) -> ExitStatus {
         self.child.wait().unwrap()
     }
 
-    fn lives(&mut self) -> bool {
+    fn is_running(&mut self) -> bool {
         self.child.try_wait().unwrap().is_none()
     }
 }
@@ -155,21 +156,23 @@
 }
 
 #[test]
-fn what_waits_at_the_door_of_the_process_that_stops_is_served_by_the_other() {
-    let stage = Stage::new();
-    let mut old = stage.ready();
-    let mut new = stage.ready();
+fn backlog_of_a_stopping_process_is_served_by_the_other() {
+    let broker = TestBroker::new();
+    let mut old = broker.start_ready();
+    let mut new = broker.start_ready();
     // Nobody accepts: what comes waits. Then the old one is told to stop, before the new one comes
     // round again.
     new.signal("-STOP");
     old.signal("-STOP");
-    let mut clients: Vec<TcpStream> = (0..30).map(|i| stage.client(&format!("q{i}"))).collect();
+    let mut clients: Vec<TcpStream> = (0..30)
+        .map(|i| broker.query_client(&format!("q{i}")))
+        .collect();
     old.signal("-TERM");
     old.signal("-CONT");
-    old.says("new clients are left to it");
+    old.wait_for_log("new clients are left to it");
     new.signal("-CONT");
     // Each gets a final answer; what is beyond what one data node bears is refused.
-    while let Ok(mut got) = stage.got.recv_timeout(Duration::from_millis(500)) {
+    while let Ok(mut got) = broker.requests.recv_timeout(Duration::from_millis(500)) {
         got.parts()
             .iter()
             .for_each(|id| got.answer(&format!("{id} OK 1 -\nv")));
@@ -178,44 +181,45 @@
     let served: Vec<u16> = served
         .inspect(|status| assert!([200, 503].contains(status)))
         .collect();
-    assert!(served.contains(&200) && new.lives());
-    assert!(old.ends().success());
+    assert!(served.contains(&200) && new.is_running());
+    assert!(old.wait_for_exit().success());
 }
 
 #[test]
-fn the_one_that_stops_serves_who_is_here_and_sends_them_to_the_other_for_the_next_time() {
-    let stage = Stage::new();
-    let mut old = stage.ready();
-    let mut here = stage.client("first");
-    stage.serve();
-    assert!(answer(&mut here).keep_alive);
-    let new = stage.ready();
+fn stopping_process_serves_its_clients_and_sends_them_to_the_other() {
+    let broker = TestBroker::new();
+    let mut old = broker.start_ready();
+    let mut client = broker.query_client("first");
+    broker.answer_one();
+    assert!(answer(&mut client).keep_alive);
+    let new = broker.start_ready();
     old.signal("-TERM");
-    old.says("new clients are left to it");
+    old.wait_for_log("new clients are left to it");
     // The broker as such is ready, whichever of its processes is asked.
-    here.write_all(b"GET /health/ready HTTP/1.1\r\n\r\n")
+    client
+        .write_all(b"GET /health/ready HTTP/1.1\r\n\r\n")
         .unwrap();
-    let ready = answer(&mut here);
+    let ready = answer(&mut client);
     assert_eq!((ready.status, ready.keep_alive), (200, false), "{ready:?}");
-    let mut next = stage.client("second");
-    stage.serve();
+    let mut next = broker.query_client("second");
+    broker.answer_one();
     assert_eq!(answer(&mut next).status, 200);
-    assert!(old.ends().success());
+    assert!(old.wait_for_exit().success());
     drop(new);
 }
 
 #[test]
-fn what_is_set_by_hand_holds_in_both_processes_over_the_upgrade_and_over_a_crash() {
-    let stage = Stage::new();
-    let old = stage.ready();
-    let new = stage.ready();
+fn desired_state_holds_in_both_processes_and_survives_a_crash() {
+    let broker = TestBroker::new();
+    let old = broker.start_ready();
+    let new = broker.start_ready();
     assert!(asked(new.calls, "cordon s").starts_with("ok "));
     // The old one alone serves now; it has heard of it.
     new.signal("-STOP");
-    let begun = Instant::now();
+    let started_at = Instant::now();
     for id in 0.. {
-        let mut client = stage.client(&format!("old-{id}"));
-        match stage.got.recv_timeout(Duration::from_millis(100)) {
+        let mut client = broker.query_client(&format!("old-{id}"));
+        match broker.requests.recv_timeout(Duration::from_millis(100)) {
             Ok(mut got) => got
                 .parts()
                 .iter()
@@ -227,7 +231,7 @@
         }
         answer(&mut client);
         assert!(
-            begun.elapsed() < Duration::from_millis(1_900),
+            started_at.elapsed() < Duration::from_millis(1_900),
             "the rule on drains allows two seconds"
         );
     }
@@ -237,50 +241,50 @@
     old.signal("-KILL");
     new.signal("-KILL");
     drop((old, new));
-    let next = stage.ready();
+    let next = broker.start_ready();
     assert_eq!(
-        answer(&mut stage.client("next")).status,
+        answer(&mut broker.query_client("next")).status,
         503,
         "it is out from the first moment on"
     );
-    assert!(stage.got.try_recv().is_err());
+    assert!(broker.requests.try_recv().is_err());
     assert!(asked(next.calls, "uncordon s").starts_with("ok s is used again"));
 }
 
 #[test]
-fn a_torn_state_is_no_state_and_no_reason_to_end() {
-    let stage = Stage::new();
-    let first = stage.ready();
+fn damaged_state_is_ignored() {
+    let broker = TestBroker::new();
+    let first = broker.start_ready();
     assert!(asked(first.calls, "cordon s").starts_with("ok "));
     drop(first);
-    let folder = std::fs::read_dir(&stage.folder)
+    let folder = std::fs::read_dir(&broker.folder)
         .unwrap()
         .map(|e| e.unwrap().path())
         .find(|p| p.is_dir());
-    let wanted = folder.unwrap().join("wanted");
-    let whole = std::fs::read(&wanted).unwrap();
-    std::fs::write(&wanted, &whole[..whole.len() - 3]).unwrap();
-    let next = stage.ready();
-    next.says("its checksum is not that of its content");
-    let mut client = stage.client("1");
-    stage.serve();
+    let path = folder.unwrap().join("wanted");
+    let complete = std::fs::read(&path).unwrap();
+    std::fs::write(&path, &complete[..complete.len() - 3]).unwrap();
+    let next = broker.start_ready();
+    next.wait_for_log("its checksum is not that of its content");
+    let mut client = broker.query_client("1");
+    broker.answer_one();
     assert_eq!(answer(&mut client).status, 200);
 }
 
 #[test]
-fn a_start_where_both_addresses_are_in_use_waits_for_them() {
+fn start_waits_for_addresses_in_use() {
     // Whoever is there does not share the addresses. One that was free a moment ago may have been
     // taken by another test since.
-    let (stage, door) = std::iter::repeat_with(Stage::new)
-        .find_map(|stage| {
-            TcpListener::bind(stage.address)
+    let (broker, listener) = std::iter::repeat_with(TestBroker::new)
+        .find_map(|broker| {
+            TcpListener::bind(broker.address)
                 .ok()
-                .map(|door| (stage, door))
+                .map(|listener| (broker, listener))
         })
         .unwrap();
     let calls = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut process = stage.start_at(calls.local_addr().unwrap());
-    process.says("is in use");
+    let mut process = broker.start_at(calls.local_addr().unwrap());
+    process.wait_for_log("is in use");
     let calls = {
         let at = calls.local_addr().unwrap();
         drop(calls);
@@ -290,10 +294,10 @@
         asked_until(calls, "health", "fail the clients"),
         "fail the clients' address is in use\n"
     );
-    assert!(process.lives());
-    drop(door);
+    assert!(process.is_running());
+    drop(listener);
     asked_until(calls, "health", "ok ");
-    let mut client = stage.client("1");
-    stage.serve();
+    let mut client = broker.query_client("1");
+    broker.answer_one();
     assert_eq!(answer(&mut client).status, 200);
 }
