--- a/decide/configuration/src/document.rs
+++ b/decide/configuration/src/document.rs
@@ -191,17 +191,17 @@
     /// The complete configuration: every field and item as it was received, in order.
     #[must_use]
     pub fn to_json(&self) -> Vec<u8> {
-        let mut out = String::from("{");
+        let mut json = String::from("{");
         for (index, field) in self.fields.iter().enumerate() {
             if index > 0 {
-                out.push(',');
+                json.push(',');
             }
-            write_string(&mut out, &field.name);
-            out.push(':');
-            field.content.write(&mut out);
+            write_string(&mut json, &field.name);
+            json.push(':');
+            field.content.write(&mut json);
         }
-        out.push('}');
-        out.into_bytes()
+        json.push('}');
+        json.into_bytes()
     }
 }
 
--- a/decide/configuration/src/document/tests.rs
+++ b/decide/configuration/src/document/tests.rs
@@ -368,7 +368,7 @@
 
 #[test]
 fn mutated_bytes_never_panic_and_accepted_ones_are_preserved() {
-    fn holds(edits: Vec<(u16, u8, u8)>) -> bool {
+    fn property(edits: Vec<(u16, u8, u8)>) -> bool {
         match Document::parse(&mangled(&edits)) {
             Ok(document) => Document::parse(&document.to_json()) == Ok(document),
             Err(error) => error.to_string().len() < 400,
@@ -378,19 +378,19 @@
     QuickCheck::new()
         .rng(gen)
         .tests(5_000)
-        .quickcheck(holds as fn(Vec<(u16, u8, u8)>) -> bool);
+        .quickcheck(property as fn(Vec<(u16, u8, u8)>) -> bool);
 }
 
 #[test]
 fn random_bytes_and_deep_nesting_never_panic() {
-    fn holds(bytes: Vec<u8>) -> bool {
+    fn property(bytes: Vec<u8>) -> bool {
         Document::parse(&bytes).is_err() && Update::parse(&bytes).is_err()
     }
     let gen = Gen::from_size_and_seed(200, SEED);
     QuickCheck::new()
         .rng(gen)
         .tests(5_000)
-        .quickcheck(holds as fn(Vec<u8>) -> bool);
+        .quickcheck(property as fn(Vec<u8>) -> bool);
     let deep = "{\"version\":".repeat(MAX_DEPTH * 1_000);
     assert_eq!(
         Document::parse(deep.as_bytes()),
--- a/decide/configuration/src/json.rs
+++ b/decide/configuration/src/json.rs
@@ -36,8 +36,8 @@
 }
 
 /// Appends a string as JSON.
-pub(crate) fn write_string(out: &mut String, text: &str) {
-    out.push_str(&miniserde::json::to_string(text));
+pub(crate) fn write_string(json: &mut String, text: &str) {
+    json.push_str(&miniserde::json::to_string(text));
 }
 
 /// Whether brackets outside strings are nested deeper than this; also for texts that are not JSON.
--- a/decide/configuration/src/json/tests.rs
+++ b/decide/configuration/src/json/tests.rs
@@ -106,7 +106,7 @@
 
 #[test]
 fn slicing_never_panics_and_agrees_with_the_parser() {
-    fn holds(picks: Vec<u8>) -> bool {
+    fn property(picks: Vec<u8>) -> bool {
         let text = nearly_json(&picks);
         let (object, array) = (object_fields(&text), array_elements(&text));
         match parse_complete(text.as_bytes()) {
@@ -126,5 +126,5 @@
     QuickCheck::new()
         .rng(gen)
         .tests(20_000)
-        .quickcheck(holds as fn(Vec<u8>) -> bool);
+        .quickcheck(property as fn(Vec<u8>) -> bool);
 }
--- a/decide/configuration/src/named_list.rs
+++ b/decide/configuration/src/named_list.rs
@@ -42,19 +42,19 @@
     }
 
     /// Appends the content as JSON.
-    pub(crate) fn write(&self, out: &mut String) {
+    pub(crate) fn write(&self, json: &mut String) {
         let items = match self {
-            FieldContent::Text(text) => return out.push_str(text),
+            FieldContent::Text(text) => return json.push_str(text),
             FieldContent::Named(items) => items,
         };
-        out.push('[');
+        json.push('[');
         for (index, item) in items.iter().enumerate() {
             if index > 0 {
-                out.push(',');
+                json.push(',');
             }
-            out.push_str(&item.text);
+            json.push_str(&item.text);
         }
-        out.push(']');
+        json.push(']');
     }
 }
 
--- a/decide/configuration/src/routes/tests.rs
+++ b/decide/configuration/src/routes/tests.rs
@@ -122,7 +122,7 @@
             .map(|pick| ['/', 'a', 'b'][usize::from(*pick) % 3])
             .collect()
     }
-    fn holds(prefixes: Vec<Vec<u8>>, picked_service: Vec<u8>) -> bool {
+    fn property(prefixes: Vec<Vec<u8>>, picked_service: Vec<u8>) -> bool {
         let mut prefixes: Vec<String> = prefixes
             .iter()
             .map(|picks| format!("/{}/", path(picks)))
@@ -147,5 +147,5 @@
     QuickCheck::new()
         .rng(gen)
         .tests(3_000)
-        .quickcheck(holds as fn(Vec<Vec<u8>>, Vec<u8>) -> bool);
+        .quickcheck(property as fn(Vec<Vec<u8>>, Vec<u8>) -> bool);
 }
--- a/decide/configuration/src/state.rs
+++ b/decide/configuration/src/state.rs
@@ -91,12 +91,12 @@
     /// Encodes the change of an order: the order as it was received, since that is small and has the
     /// same result everywhere.
     pub(crate) fn change(kind: OrderKind, base_version: u64, body: &[u8]) -> Vec<u8> {
-        let mut out = Vec::with_capacity(10 + body.len());
-        out.push(FORMAT);
-        out.push(code_of(kind));
-        out.extend_from_slice(&base_version.to_le_bytes());
-        out.extend_from_slice(body);
-        out
+        let mut bytes = Vec::with_capacity(10 + body.len());
+        bytes.push(FORMAT);
+        bytes.push(code_of(kind));
+        bytes.extend_from_slice(&base_version.to_le_bytes());
+        bytes.extend_from_slice(body);
+        bytes
     }
 
     /// Applies a change of [`evaluate`](crate::evaluate). The same changes in the same order result
@@ -134,16 +134,16 @@
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         let document = self.document().map(Document::to_json).unwrap_or_default();
-        let mut out =
+        let mut bytes =
             Vec::with_capacity(9 + document.len() + self.history.len() * OrderDigest::BYTES);
-        out.push(FORMAT);
-        out.extend_from_slice(&(document.len() as u32).to_le_bytes());
-        out.extend_from_slice(&document);
-        out.extend_from_slice(&(self.history.len() as u32).to_le_bytes());
+        bytes.push(FORMAT);
+        bytes.extend_from_slice(&(document.len() as u32).to_le_bytes());
+        bytes.extend_from_slice(&document);
+        bytes.extend_from_slice(&(self.history.len() as u32).to_le_bytes());
         for digest in &self.history {
-            out.extend_from_slice(&digest.0);
+            bytes.extend_from_slice(&digest.0);
         }
-        out
+        bytes
     }
 
     /// Decodes what [`State::encode`] returned.
@@ -209,12 +209,12 @@
 
 impl<'a> ByteReader<'a> {
     fn take(&mut self, length: usize) -> Result<&'a [u8], StateError> {
-        let (taken, left) = self
+        let (value, remaining) = self
             .bytes
             .split_at_checked(length)
             .ok_or(StateError::Truncated)?;
-        self.bytes = left;
-        Ok(taken)
+        self.bytes = remaining;
+        Ok(value)
     }
 
     fn array<const N: usize>(&mut self) -> Result<[u8; N], StateError> {
--- a/decide/configuration/src/state/tests.rs
+++ b/decide/configuration/src/state/tests.rs
@@ -171,7 +171,7 @@
 
 #[test]
 fn arbitrary_bytes_never_panic() {
-    fn holds(bytes: Vec<u8>, edits: Vec<(u16, u8)>) -> bool {
+    fn property(bytes: Vec<u8>, edits: Vec<(u16, u8)>) -> bool {
         let (mut state, changes) = after(2);
         let (mut encoded, mut change) = (state.encode(), changes[1].clone());
         for (index, byte) in edits {
@@ -191,5 +191,5 @@
     QuickCheck::new()
         .rng(gen)
         .tests(3_000)
-        .quickcheck(holds as fn(Vec<u8>, Vec<(u16, u8)>) -> bool);
+        .quickcheck(property as fn(Vec<u8>, Vec<(u16, u8)>) -> bool);
 }
--- a/decide/quota/src/allowances/tenant.rs
+++ b/decide/quota/src/allowances/tenant.rs
@@ -219,7 +219,7 @@
                 (None, AdmissionOutcome::Admitted(_)) => {
                     self.add_surplus(queued.amount, valid_until)
                 }
-                _ => self.note_denial(now, queued.amount, grant.retry_after_us),
+                _ => self.record_denial(now, queued.amount, grant.retry_after_us),
             }
             let decision = |request| AdmissionDecision { request, outcome };
             decisions.extend(queued.request.map(decision));
@@ -230,7 +230,7 @@
         decisions
     }
 
-    fn note_denial(&mut self, now: Time, amount: u64, retry_after: Micros) {
+    fn record_denial(&mut self, now: Time, amount: u64, retry_after: Micros) {
         let min_amount = self
             .last_denial
             .filter(|denial| denial.valid_until > now)
--- a/decide/quota/src/buckets/bucket.rs
+++ b/decide/quota/src/buckets/bucket.rs
@@ -129,7 +129,7 @@
         }
         let until = now.min(ownership.expires_at());
         let elapsed_s =
-            until.since(self.refilled_at.max(ownership.held_since())) as f64 / MICROS_PER_SECOND;
+            until.since(self.refilled_at.max(ownership.owned_since())) as f64 / MICROS_PER_SECOND;
         self.level = (self.level + shard.refill_per_s * elapsed_s).min(shard.depth);
         self.refilled_at = self.refilled_at.max(now);
     }
--- a/decide/quota/src/lease_requests.rs
+++ b/decide/quota/src/lease_requests.rs
@@ -162,7 +162,7 @@
         if let Some(amount) = denied_amounts.min() {
             let tenant = &pending.request.tenant;
             self.health
-                .note_insufficient(now, from, tenant, amount, grant.retry_after_us);
+                .record_insufficient(now, from, tenant, amount, grant.retry_after_us);
         }
         self.try_next_owner(now, pending, context)
     }
@@ -187,7 +187,7 @@
             .filter(|in_flight| in_flight.deadline <= now);
         for in_flight in overdue {
             let requested_at = in_flight.deadline.minus(OWNER_TIMEOUT_US);
-            self.health.note_timeout(in_flight.owner, requested_at);
+            self.health.record_timeout(in_flight.owner, requested_at);
         }
         self.skip_owners(now, context, |in_flight| in_flight.deadline <= now)
     }
--- a/decide/quota/src/lease_requests/owner_health.rs
+++ b/decide/quota/src/lease_requests/owner_health.rs
@@ -36,12 +36,12 @@
     }
 
     /// An owner did not respond in time to a request of then.
-    pub(super) fn note_timeout(&mut self, owner: OwnerId, requested_at: Time) {
+    pub(super) fn record_timeout(&mut self, owner: OwnerId, requested_at: Time) {
         self.unanswered.entry(owner).or_insert(requested_at);
     }
 
     /// An owner denied this amount, and advised when to retry.
-    pub(super) fn note_insufficient(
+    pub(super) fn record_insufficient(
         &mut self,
         now: Time,
         owner: OwnerId,
--- a/decide/quota/src/ownership.rs
+++ b/decide/quota/src/ownership.rs
@@ -80,7 +80,7 @@
     previous_voters: Vec<(Time, Vec<OwnerId>)>,
     last_contact: Option<Time>,
     /// Since then contact has lasted without a gap that ended the ownership.
-    held_since: Time,
+    owned_since: Time,
 }
 
 impl ShardOwnership {
@@ -92,7 +92,7 @@
             voters,
             previous_voters: Vec::new(),
             last_contact: None,
-            held_since: Time(0),
+            owned_since: Time(0),
         }
     }
 
@@ -116,7 +116,7 @@
     /// This machine is in contact with a quorum.
     pub fn on_contact(&mut self, now: Time) {
         if now >= self.expires_at() {
-            self.held_since = now;
+            self.owned_since = now;
         }
         self.last_contact = self.last_contact.max(Some(now));
     }
@@ -137,8 +137,8 @@
 
     /// Since when this machine has owned its shards without a gap, whichever they are.
     #[must_use]
-    pub fn held_since(&self) -> Time {
-        self.held_since
+    pub fn owned_since(&self) -> Time {
+        self.owned_since
     }
 
     /// The shard of a tenant's bucket that this machine owns now: what it owns by all sets of voters
--- a/decide/quota/src/ownership/tests.rs
+++ b/decide/quota/src/ownership/tests.rs
@@ -72,11 +72,11 @@
             .may_go_into_debt
     );
     assert_eq!(ownership.shard(seconds(5), &tenant), BucketShard::default());
-    assert_eq!(ownership.held_since(), seconds(1));
+    assert_eq!(ownership.owned_since(), seconds(1));
     ownership.on_contact(seconds(4));
-    assert_eq!(ownership.held_since(), seconds(1));
+    assert_eq!(ownership.owned_since(), seconds(1));
     ownership.on_contact(seconds(9));
-    assert_eq!(ownership.held_since(), seconds(9));
+    assert_eq!(ownership.owned_since(), seconds(9));
 }
 
 #[test]
--- a/decide/registry/src/heartbeat/tests.rs
+++ b/decide/registry/src/heartbeat/tests.rs
@@ -108,7 +108,7 @@
 
 #[test]
 fn arbitrary_bytes_never_panic() {
-    fn holds(edits: Vec<(u16, u8)>, bytes: Vec<u8>) -> bool {
+    fn property(edits: Vec<(u16, u8)>, bytes: Vec<u8>) -> bool {
         let mut text = FULL.as_bytes().to_vec();
         for (index, byte) in edits {
             let index = usize::from(index) % text.len();
@@ -123,7 +123,7 @@
     QuickCheck::new()
         .rng(gen)
         .tests(5_000)
-        .quickcheck(holds as fn(Vec<(u16, u8)>, Vec<u8>) -> bool);
+        .quickcheck(property as fn(Vec<(u16, u8)>, Vec<u8>) -> bool);
     assert_eq!(
         parse(&"[".repeat(MAX_HEARTBEAT_BYTES)),
         Err(HeartbeatError::Unreadable)
--- a/decide/registry/src/membership_leases.rs
+++ b/decide/registry/src/membership_leases.rs
@@ -54,7 +54,7 @@
     }
 
     /// A process has left; returns whether it was a member.
-    pub fn on_left(&mut self, process: u64) -> bool {
+    pub fn on_departed(&mut self, process: u64) -> bool {
         self.by_process.remove(&process).is_some()
     }
 
--- a/decide/registry/src/membership_leases/tests.rs
+++ b/decide/registry/src/membership_leases/tests.rs
@@ -19,9 +19,13 @@
         .map(|member| member.process)
         .collect();
     assert_eq!((expired, members.count()), (vec![2], 1));
-    let left = members.iter().next().expect("one is left");
+    let remaining = members.iter().next().expect("one is left");
     assert_eq!(
-        (left.node.as_str(), left.joined_us, left.renewed_us),
+        (
+            remaining.node.as_str(),
+            remaining.joined_us,
+            remaining.renewed_us
+        ),
         ("n1", 0, 1_000_000)
     );
     assert!(members.on_renewal(3_000_000, 2, "n2", "z"), "it joins anew");
@@ -31,8 +35,8 @@
 fn member_leaves_once() {
     let mut members = MembershipLeases::new(LEASE);
     members.on_renewal(0, 1, "n1", "z");
-    assert!(members.on_left(1));
-    assert!(!members.on_left(1));
+    assert!(members.on_departed(1));
+    assert!(!members.on_departed(1));
     assert_eq!(members.count(), 0);
 }
 
--- a/decide/registry/src/merge/tests.rs
+++ b/decide/registry/src/merge/tests.rs
@@ -50,29 +50,29 @@
 
 #[test]
 fn merge_is_commutative() {
-    fn holds(a: Sample, b: Sample) -> bool {
+    fn property(a: Sample, b: Sample) -> bool {
         merged(&a.0, &b.0) == merged(&b.0, &a.0)
     }
-    check(holds as fn(Sample, Sample) -> bool);
+    check(property as fn(Sample, Sample) -> bool);
 }
 
 #[test]
 fn merge_is_associative() {
-    fn holds(a: Sample, b: Sample, c: Sample) -> bool {
+    fn property(a: Sample, b: Sample, c: Sample) -> bool {
         merged(&merged(&a.0, &b.0), &c.0) == merged(&a.0, &merged(&b.0, &c.0))
     }
-    check(holds as fn(Sample, Sample, Sample) -> bool);
+    check(property as fn(Sample, Sample, Sample) -> bool);
 }
 
 #[test]
 fn merge_is_idempotent_and_state_never_decreases() {
-    fn holds(a: Sample, b: Sample) -> bool {
+    fn property(a: Sample, b: Sample) -> bool {
         let both = merged(&a.0, &b.0);
         merged(&both, &a.0) == both
             && merged(&both, &b.0) == both
             && both.state >= a.0.state.max(b.0.state)
     }
-    check(holds as fn(Sample, Sample) -> bool);
+    check(property as fn(Sample, Sample) -> bool);
 }
 
 fn record(state: ServerState, sequence_number: u64) -> ServerRecord {
--- a/decide/registry/src/table.rs
+++ b/decide/registry/src/table.rs
@@ -77,7 +77,7 @@
         };
         let mut changes = self.apply(now, &update);
         if is_current {
-            changes.append(self.note_heartbeat(now, instance));
+            changes.append(self.record_heartbeat(now, instance));
         }
         for other in superseded {
             changes.append(self.apply(now, &tombstone(&other)));
@@ -128,7 +128,7 @@
         let mut changes = Changes::default();
         for heartbeat in digest {
             let at = now.saturating_sub(u64::from(heartbeat.age_ms) * 1_000);
-            changes.append(self.note_heartbeat_at(now, at, &heartbeat.instance));
+            changes.append(self.record_heartbeat_at(now, at, &heartbeat.instance));
         }
         changes
     }
@@ -308,7 +308,7 @@
     }
 
     /// A heartbeat came here.
-    fn note_heartbeat(&mut self, now: u64, instance: &str) -> Changes {
+    fn record_heartbeat(&mut self, now: u64, instance: &str) -> Changes {
         match self
             .entries
             .get_mut(instance)
@@ -317,11 +317,11 @@
             Some(entry) => entry.is_due_in_digest = true,
             None => return Changes::default(),
         }
-        self.note_heartbeat_at(now, now, instance)
+        self.record_heartbeat_at(now, now, instance)
     }
 
     /// A heartbeat came at some time, here or elsewhere.
-    fn note_heartbeat_at(&mut self, now: u64, at: u64, instance: &str) -> Changes {
+    fn record_heartbeat_at(&mut self, now: u64, at: u64, instance: &str) -> Changes {
         let mut changes = Changes::default();
         let suspect_after_us = self.suspect_after_us();
         let Some(entry) = self
--- a/decide/registry/src/table/tests.rs
+++ b/decide/registry/src/table/tests.rs
@@ -506,7 +506,7 @@
 
 #[test]
 fn order_and_repetition_of_updates_do_not_matter() {
-    fn holds(updates: Vec<Update>, turn: usize) -> bool {
+    fn property(updates: Vec<Update>, turn: usize) -> bool {
         let expected = after(&updates);
         let turn = if updates.is_empty() {
             0
@@ -531,12 +531,12 @@
     QuickCheck::new()
         .rng(gen)
         .tests(5_000)
-        .quickcheck(holds as fn(Vec<Update>, usize) -> bool);
+        .quickcheck(property as fn(Vec<Update>, usize) -> bool);
 }
 
 #[test]
 fn machines_that_push_changes_have_equal_states_after_one_exchange_of_tables() {
-    fn holds(here: Vec<Update>, there: Vec<Update>) -> bool {
+    fn property(here: Vec<Update>, there: Vec<Update>) -> bool {
         let (mut one, mut other) = (table(), table());
         for record in &here {
             let changes = one.merge(START, &record.0);
@@ -554,12 +554,12 @@
     QuickCheck::new()
         .rng(gen)
         .tests(5_000)
-        .quickcheck(holds as fn(Vec<Update>, Vec<Update>) -> bool);
+        .quickcheck(property as fn(Vec<Update>, Vec<Update>) -> bool);
 }
 
 #[test]
 fn gone_instance_never_returns_whatever_arrives() {
-    fn holds(updates: Vec<(Update, bool)>) -> bool {
+    fn property(updates: Vec<(Update, bool)>) -> bool {
         let (mut table, mut now) = (table(), START);
         let mut highest: HashMap<String, ServerState> = HashMap::new();
         updates.iter().all(|(record, heartbeat)| {
@@ -587,7 +587,7 @@
     QuickCheck::new()
         .rng(gen)
         .tests(5_000)
-        .quickcheck(holds as fn(Vec<(Update, bool)>) -> bool);
+        .quickcheck(property as fn(Vec<(Update, bool)>) -> bool);
 }
 
 #[test]
@@ -597,13 +597,14 @@
     before.on_heartbeat(START, "b", &draining("h:2", 3));
     before.on_deregister(START, "c");
     let mut after = table();
-    let told = after.restore_cached(START, &before.snapshot(START));
+    let restored = after.restore_cached(START, &before.snapshot(START));
     assert!(
-        told.updates_for_peers().is_empty(),
+        restored.updates_for_peers().is_empty(),
         "others may have dropped them with reason"
     );
     assert_eq!(
-        told.records
+        restored
+            .records
             .iter()
             .map(|record| record.instance.as_str())
             .collect::<Vec<_>>(),
@@ -616,9 +617,12 @@
         "a gone instance stays gone"
     );
     assert_eq!(after.live().count(), 2);
-    let heard = after.on_heartbeat(START + SECOND, "a", &heartbeat("h:1", 8));
+    let heartbeat_changes = after.on_heartbeat(START + SECOND, "a", &heartbeat("h:1", 8));
     assert_eq!(
-        (heard.records.len(), heard.updates_for_peers().len()),
+        (
+            heartbeat_changes.records.len(),
+            heartbeat_changes.updates_for_peers().len()
+        ),
         (1, 1),
         "now it is an update for peers as well"
     );
@@ -638,9 +642,12 @@
     };
     after.restore_cached(START, &[record]);
     assert!(is_suspect(&after, "a"));
-    let heard = after.on_heartbeat(START + SECOND, "a", &heartbeat("h:1", 8));
+    let heartbeat_changes = after.on_heartbeat(START + SECOND, "a", &heartbeat("h:1", 8));
     assert_eq!(
-        (heard.records.len(), heard.updates_for_peers().len()),
+        (
+            heartbeat_changes.records.len(),
+            heartbeat_changes.updates_for_peers().len()
+        ),
         (1, 1)
     );
     assert!(!is_suspect(&after, "a"));
@@ -711,9 +718,9 @@
     for leaving in [draining("h:1", 9).record("a"), crate::tombstone("a")] {
         let mut after = table();
         after.restore_cached(START, &[heartbeat("h:1", 7).record("a")]);
-        let told = after.restore_cached(START, std::slice::from_ref(&leaving));
+        let restored = after.restore_cached(START, std::slice::from_ref(&leaving));
         assert_eq!(
-            told.records,
+            restored.records,
             std::slice::from_ref(&leaving),
             "it is pushed to routers"
         );
--- a/fleet/src/control/status.rs
+++ b/fleet/src/control/status.rs
@@ -9,7 +9,7 @@
 use lichenswitch_interface::Time;
 use lichenswitch_messages::ServerState;
 use lichenswitch_quota::BucketUsage;
-use lichenswitch_replication::{PeerStatus, Replica, MemberRole};
+use lichenswitch_replication::{MemberRole, PeerStatus, Replica};
 use miniserde::Serialize;
 use std::collections::BTreeMap;
 
--- a/wire/rpc/src/frame.rs
+++ b/wire/rpc/src/frame.rs
@@ -55,15 +55,15 @@
 /// # Errors
 /// [`FrameError::TooLong`] when it is longer than [`DEFAULT_PAYLOAD_LIMIT_BYTES`].
 pub fn encode_frame(version: u16, kind: u16, payload: &[u8]) -> Result<Vec<u8>, FrameError> {
-    let mut out = Vec::new();
+    let mut buffer = Vec::new();
     encode_frame_into(
-        &mut out,
+        &mut buffer,
         version,
         kind,
         payload,
         DEFAULT_PAYLOAD_LIMIT_BYTES,
     )?;
-    Ok(out)
+    Ok(buffer)
 }
 
 /// Appends a payload as a frame to a buffer.
@@ -71,7 +71,7 @@
 /// # Errors
 /// [`FrameError::TooLong`] when it is longer than the limit; nothing is appended then.
 pub fn encode_frame_into(
-    out: &mut Vec<u8>,
+    buffer: &mut Vec<u8>,
     version: u16,
     kind: u16,
     payload: &[u8],
@@ -85,16 +85,16 @@
     if payload.len() > limit {
         return Err(too_long);
     }
-    let start = out.len();
-    out.reserve(HEADER_BYTES + payload.len());
-    out.extend_from_slice(&MAGIC);
-    out.extend_from_slice(&version.to_le_bytes());
-    out.extend_from_slice(&kind.to_le_bytes());
-    out.extend_from_slice(&length.to_le_bytes());
-    out.extend_from_slice(&crc32fast::hash(payload).to_le_bytes());
-    let checksum = crc32fast::hash(&out[start..]);
-    out.extend_from_slice(&checksum.to_le_bytes());
-    out.extend_from_slice(payload);
+    let start = buffer.len();
+    buffer.reserve(HEADER_BYTES + payload.len());
+    buffer.extend_from_slice(&MAGIC);
+    buffer.extend_from_slice(&version.to_le_bytes());
+    buffer.extend_from_slice(&kind.to_le_bytes());
+    buffer.extend_from_slice(&length.to_le_bytes());
+    buffer.extend_from_slice(&crc32fast::hash(payload).to_le_bytes());
+    let checksum = crc32fast::hash(&buffer[start..]);
+    buffer.extend_from_slice(&checksum.to_le_bytes());
+    buffer.extend_from_slice(payload);
     Ok(())
 }
 
--- a/wire/rpc/tests/frames.rs
+++ b/wire/rpc/tests/frames.rs
@@ -54,17 +54,17 @@
 
 #[test]
 fn frames_are_returned_as_sent_whatever_the_chunks() {
-    fn holds(payloads: Vec<(u16, Vec<u8>)>, boundaries: Vec<usize>) -> bool {
+    fn property(payloads: Vec<(u16, Vec<u8>)>, boundaries: Vec<usize>) -> bool {
         read(&split(&frames_of(&payloads), &boundaries)) == (payloads, None)
     }
     QuickCheck::new()
         .tests(5_000)
-        .quickcheck(holds as fn(Vec<(u16, Vec<u8>)>, Vec<usize>) -> bool);
+        .quickcheck(property as fn(Vec<(u16, Vec<u8>)>, Vec<usize>) -> bool);
 }
 
 #[test]
 fn changed_byte_is_an_error_and_returns_no_other_frame() {
-    fn holds(
+    fn property(
         payloads: Vec<(u16, Vec<u8>)>,
         position: usize,
         change: u8,
@@ -81,12 +81,12 @@
     }
     QuickCheck::new()
         .tests(5_000)
-        .quickcheck(holds as fn(_, _, _, _) -> bool);
+        .quickcheck(property as fn(_, _, _, _) -> bool);
 }
 
 #[test]
 fn missing_or_additional_bytes_return_no_other_frame() {
-    fn holds(
+    fn property(
         payloads: Vec<(u16, Vec<u8>)>,
         position: usize,
         removed: usize,
@@ -101,17 +101,17 @@
     }
     QuickCheck::new()
         .tests(5_000)
-        .quickcheck(holds as fn(_, _, _, _) -> bool);
+        .quickcheck(property as fn(_, _, _, _) -> bool);
 }
 
 #[test]
 fn random_bytes_return_no_frame() {
-    fn holds(bytes: Vec<u8>, boundaries: Vec<usize>) -> bool {
+    fn property(bytes: Vec<u8>, boundaries: Vec<usize>) -> bool {
         read(&split(&bytes, &boundaries)).0.is_empty()
     }
     QuickCheck::new()
         .tests(50_000)
-        .quickcheck(holds as fn(Vec<u8>, Vec<usize>) -> bool);
+        .quickcheck(property as fn(Vec<u8>, Vec<usize>) -> bool);
 }
 
 #[test]
@@ -141,15 +141,15 @@
 
 #[test]
 fn payload_above_the_limit_is_rejected_by_sender_and_receiver() {
-    let mut out = b"before".to_vec();
+    let mut buffer = b"before".to_vec();
     assert_eq!(
-        encode_frame_into(&mut out, VERSION, 0, &[0; 101], 100),
+        encode_frame_into(&mut buffer, VERSION, 0, &[0; 101], 100),
         Err(FrameError::TooLong {
             bytes: 101,
             limit: 100
         })
     );
-    assert_eq!(out, b"before");
+    assert_eq!(buffer, b"before");
     let frame = encode_frame(VERSION, 0, &[0; 101]).unwrap();
     let mut reader = FrameReader::with_limit(VERSION, 100);
     reader.push(&frame[..HEADER_BYTES]);
--- a/wire/rpc/tests/pending_calls.rs
+++ b/wire/rpc/tests/pending_calls.rs
@@ -62,7 +62,7 @@
 
 #[test]
 fn pending_calls_agree_with_a_plain_map() {
-    fn holds(first: u64, steps: Vec<Step>) -> bool {
+    fn property(first: u64, steps: Vec<Step>) -> bool {
         let (mut calls, mut model, mut now) = (PendingCalls::new(first), BTreeMap::new(), 0_u64);
         let mut begun_count = 0_u64;
         steps.into_iter().all(|step| match step {
@@ -91,5 +91,5 @@
     }
     QuickCheck::new()
         .tests(20_000)
-        .quickcheck(holds as fn(u64, Vec<Step>) -> bool);
+        .quickcheck(property as fn(u64, Vec<Step>) -> bool);
 }
