--- a/decide/replication/src/replica/election.rs
+++ b/decide/replication/src/replica/election.rs
@@ -236,7 +236,7 @@
 
     /// The newest state doesn't name this member: it asks to join instead.
     fn on_excluded(&mut self, now: Time, position: Position) {
-        self.excluded = Some(position);
+        self.excluded_at = Some(position);
         self.role = Role::Follower;
         self.incoming = None;
         self.next_join_request_at = now;
--- a/decide/replication/src/replica/mod.rs
+++ b/decide/replication/src/replica/mod.rs
@@ -43,7 +43,7 @@
     settings: Settings,
     me: Member,
     /// State of the generator of random numbers.
-    random: u64,
+    rng_state: u64,
     /// Tells this process from others with the same disk.
     process: u64,
     /// Addresses of peers, to ask for joining.
@@ -71,7 +71,7 @@
     /// The snapshot that was last encoded for another member.
     cached_snapshot: Option<CachedSnapshot>,
     /// Position of a state whose membership doesn't name this member.
-    excluded: Option<Position>,
+    excluded_at: Option<Position>,
     departure: Option<Departure>,
     election_due_at: Time,
     next_join_request_at: Time,
@@ -182,7 +182,7 @@
         );
         let mut replica = Self {
             settings,
-            random: seed ^ me.identity.0.rotate_left(32),
+            rng_state: seed ^ me.identity.0.rotate_left(32),
             process: seed,
             me,
             peer_addresses: BTreeSet::new(),
@@ -198,7 +198,7 @@
             pending_grants: Vec::new(),
             incoming: None,
             cached_snapshot: None,
-            excluded: None,
+            excluded_at: None,
             departure: None,
             election_due_at: now,
             next_join_request_at: now,
@@ -416,8 +416,8 @@
 
     /// A random number below `limit`, evenly distributed (splitmix64).
     fn random_below(&mut self, limit: u64) -> u64 {
-        self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut mixed = self.random;
+        self.rng_state = self.rng_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mut mixed = self.rng_state;
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         (mixed ^ (mixed >> 31)) % limit.max(1)
@@ -429,8 +429,8 @@
             return true;
         };
         let overruled = self
-            .excluded
-            .is_some_and(|excluded| accepted.position <= excluded);
+            .excluded_at
+            .is_some_and(|excluded_at| accepted.position <= excluded_at);
         overruled || !accepted.membership.contains(self.me.identity)
     }
 }
