--- a/src/broker.rs
+++ b/src/broker.rs
@@ -302,7 +302,7 @@
     ///
     /// # Errors
     /// When the address for them can't be listened on.
-    pub fn join(&mut self, told: config::Peers) -> Result<(), JoinError> {
+    pub fn join(&mut self, told: config::PeersConfig) -> Result<(), JoinError> {
         self.peers = Some(PeerGroup::new(&mut self.net, told)?);
         Ok(())
     }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -2,7 +2,7 @@
 //! and given defaults.
 //!
 //! - [`Platform`]: the platform's file, by `NODE_CONFIG`, and the environment;
-//! - [`Operators`]: the operators' file, with the sections [`Ogc`], [`Peers`] and [`Phases`];
+//! - [`Operators`]: the operators' file, with the sections [`Ogc`], [`PeersConfig`] and [`Phases`];
 //! - [`settings`]: the settings of the decision module, which the platform's file holds.
 //!
 //! A [`ConfigError`] names the faulty key.
@@ -14,10 +14,10 @@
 mod phases;
 pub mod settings;
 
+pub use crate::peer::PeersConfig;
 pub use error::{AddressError, ConfigError};
 pub use ogc::{Collection, Ogc};
 pub use operators::{Operators, OperatorsError};
-pub use peers::Peers;
 pub use phases::Phases;
 
 use crate::discovery::List;
--- a/src/config/peers.rs
+++ b/src/config/peers.rs
@@ -7,9 +7,9 @@
 use crate::decide::lease::LeaseTerms;
 use crate::interface::Micros;
 use crate::peer::consensus::ConsensusConfig;
+use crate::peer::PeersConfig;
 use serde::Deserialize;
 use serde_saphyr::Spanned;
-use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 use std::path::PathBuf;
@@ -64,37 +64,7 @@
     zone: Option<Spanned<String>>,
 }
 
-/// How this broker takes part in the protocol between brokers.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Peers {
-    /// The cluster: brokers of others are rejected.
-    pub cluster: String,
-    /// Where it listens for other brokers.
-    pub listen: SocketAddr,
-    /// Its name, its zone and the address that others are told; its incarnation begins with its
-    /// start.
-    pub own: Member,
-    /// Some other brokers, by which it finds the cluster. Their addresses hold here, whatever they
-    /// say of themselves.
-    pub known: Vec<Member>,
-    /// The times of the failure detector.
-    pub swim: SwimConfig,
-    /// For random numbers.
-    pub seed: u64,
-    /// The consensus; `None`: no voters are named.
-    pub consensus: Option<ConsensusConfig>,
-}
-
-impl Peers {
-    /// The addresses of the known brokers, by name.
-    #[must_use]
-    pub fn routes(&self) -> BTreeMap<String, SocketAddr> {
-        self.known
-            .iter()
-            .map(|m| (m.name.clone(), m.address))
-            .collect()
-    }
-
+impl PeersConfig {
     /// Reads the section; `None` where there is none. Name and zone are by default the platform's.
     ///
     /// # Errors
@@ -102,7 +72,7 @@
     pub fn load(
         operators: &Operators,
         platform: Option<&Platform>,
-    ) -> Result<Option<Peers>, OperatorsError> {
+    ) -> Result<Option<PeersConfig>, OperatorsError> {
         let Some(file) = &operators.peers else {
             return Ok(None);
         };
@@ -114,7 +84,7 @@
         known.retain(|m| m.name != own.name);
         let swim = reader.swim()?;
         let consensus = reader.consensus(&own, &known)?;
-        Ok(Some(Peers {
+        Ok(Some(PeersConfig {
             cluster: reader.name(&file.cluster, "cluster")?,
             listen,
             own,
--- a/src/config/peers/tests.rs
+++ b/src/config/peers/tests.rs
@@ -3,9 +3,9 @@
 use super::*;
 use crate::testing::Folder;
 
-fn load(text: &str) -> Result<Option<Peers>, OperatorsError> {
+fn load(text: &str) -> Result<Option<PeersConfig>, OperatorsError> {
     let folder = Folder::new(&[("f.yaml", text)]);
-    Peers::load(&Operators::load(&folder.path().join("f.yaml"))?, None)
+    PeersConfig::load(&Operators::load(&folder.path().join("f.yaml"))?, None)
 }
 
 const SOUND: &str = "peers:\n  cluster: c\n  listen: 127.0.0.1:9000\n  name: n0\n  zone: a\n  known:\n    \
--- a/src/decide/failure_detector.rs
+++ b/src/decide/failure_detector.rs
@@ -14,98 +14,22 @@
 //!
 //! Messages go in and verdicts come out; how messages travel is not known here.
 
+mod member;
 pub mod reconnect_backoff;
+mod swim;
+
+pub use member::Member;
+pub use swim::SwimConfig;
 
 use crate::interface::{Micros, Time};
-use foca::{
-    AccumulatingRuntime, Codec, Config, Foca, Header, Identity, Message, NoCustomBroadcast,
-};
-use foca::{OwnedNotification, PeriodicParams, PostcardCodec, State, Timer};
-use rand_xoshiro::rand_core::SeedableRng;
-use rand_xoshiro::Xoshiro256PlusPlus;
-use serde::{Deserialize, Serialize};
+use foca::{AccumulatingRuntime, OwnedNotification, State, Timer};
 use std::collections::BTreeMap;
 use std::fmt;
-use std::net::SocketAddr;
-use std::num::{NonZeroU8, NonZeroUsize};
-use std::time::Duration;
-
-/// A broker as others know it. The order of the fields is that on the wire.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Member {
-    /// Its name, the same after a restart.
-    pub name: String,
-    /// Where it listens for other brokers.
-    pub address: SocketAddr,
-    /// Its zone.
-    pub zone: String,
-    /// The incarnation of its process, microseconds of Unix time at its start: later ones are
-    /// greater. The incarnation of SWIM, by which a member refutes a suspicion, is another number
-    /// and the library's.
-    pub incarnation: u64,
-}
-
-impl Identity for Member {
-    type Addr = String;
-
-    fn renew(&self) -> Option<Self> {
-        Some(Member {
-            incarnation: self.incarnation + 1,
-            ..self.clone()
-        })
-    }
-
-    fn addr(&self) -> String {
-        self.name.clone()
-    }
-
-    fn win_addr_conflict(&self, adversary: &Self) -> bool {
-        self.incarnation > adversary.incarnation
-    }
-}
-
-/// The times of the protocol.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct SwimConfig {
-    /// The period in which a member is probed: another one each time, all in turn (microseconds).
-    pub probe_interval: Micros,
-    /// After this long without an answer others are asked to probe the member (microseconds); half
-    /// of `probe_interval` at most.
-    pub probe_timeout: Micros,
-    /// How many others are asked.
-    pub indirect_probes: usize,
-    /// A suspected member that does not refute the suspicion within this is declared dead
-    /// (microseconds).
-    pub suspicion_timeout: Micros,
-}
-
-impl Default for SwimConfig {
-    fn default() -> Self {
-        SwimConfig {
-            probe_interval: 500_000,
-            probe_timeout: 150_000,
-            indirect_probes: 3,
-            suspicion_timeout: 2_000_000,
-        }
-    }
-}
+use swim::{is_answer, new_swim, Swim};
 
 /// A call that comes later than this after it was due shows that this process was paused
 /// (microseconds): several times what a busy turn of the loop takes.
 const PAUSE_THRESHOLD: Micros = 250_000;
-/// A member that was declared dead is remembered as such for this long, so that old messages do not
-/// bring it back.
-const DEAD_MEMBER_RETENTION: Duration = Duration::from_secs(60);
-/// The longest message (bytes): some tens of updates fit.
-const MAX_PACKET_BYTES: usize = 1_400;
-/// How many times each member passes an update on: three times in each [`GOSSIP_INTERVAL`], so for
-/// longer than a suspicion lasts by default. Guards a member that was partitioned and returns: it
-/// learns of the suspicion in time to refute it.
-const MAX_TRANSMISSIONS: u8 = 40;
-/// Updates are sent to some members this often, beside the probes (microseconds).
-const GOSSIP_INTERVAL: Micros = 200_000;
-/// The number of members that updates are sent to at a time.
-const GOSSIP_FANOUT: usize = 3;
 /// A broker is isolated once nobody has answered it for this many probes, or for the time of a
 /// suspicion where that is shorter: a suspicion of its own is older then, whoever else has failed.
 const ISOLATION_PROBES: u64 = 4;
@@ -159,33 +83,6 @@
     Renewed(Member, Reason),
 }
 
-type Swim = Foca<Member, PostcardCodec, Xoshiro256PlusPlus, NoCustomBroadcast>;
-
-/// The library's state of a broker that knows no other member yet.
-fn new_swim(own: &Member, config: SwimConfig, seed: u64) -> Swim {
-    let probe_interval = config.probe_interval.max(2);
-    let nonzero = |count| NonZeroUsize::new(count).unwrap_or(NonZeroUsize::MIN);
-    let library_config = Config {
-        probe_period: Duration::from_micros(probe_interval),
-        probe_rtt: Duration::from_micros(config.probe_timeout.clamp(1, probe_interval / 2)),
-        num_indirect_probes: nonzero(config.indirect_probes),
-        max_transmissions: NonZeroU8::new(MAX_TRANSMISSIONS).unwrap_or(NonZeroU8::MIN),
-        suspect_to_down_after: Duration::from_micros(config.suspicion_timeout.max(1)),
-        remove_down_after: Some(DEAD_MEMBER_RETENTION),
-        max_packet_size: nonzero(MAX_PACKET_BYTES),
-        notify_down_members: true,
-        periodic_announce: None,
-        periodic_announce_to_down_members: None,
-        // Updates go to some members beside the probes: a suspicion is refuted well before its end.
-        periodic_gossip: Some(PeriodicParams {
-            frequency: Duration::from_micros(GOSSIP_INTERVAL),
-            num_members: nonzero(GOSSIP_FANOUT),
-        }),
-    };
-    let rng = Xoshiro256PlusPlus::seed_from_u64(seed ^ own.incarnation);
-    Foca::new(own.clone(), library_config, rng, PostcardCodec)
-}
-
 /// One broker's view of the members.
 pub struct FailureDetector {
     swim: Swim,
@@ -441,16 +338,5 @@
     }
 }
 
-/// Whether a message is the answer to one of this broker.
-fn is_answer(bytes: &[u8]) -> bool {
-    let header: Result<Header<Member>, _> = PostcardCodec.decode_header(bytes);
-    header.is_ok_and(|header| {
-        matches!(
-            header.message,
-            Message::Ack(_) | Message::ForwardedAck { .. } | Message::Feed
-        )
-    })
-}
-
 #[cfg(test)]
 mod tests;
--- a/src/decide/failure_detector/tests.rs
+++ b/src/decide/failure_detector/tests.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 use std::collections::BinaryHeap;
+use std::net::SocketAddr;
 
 const SECOND: Micros = 1_000_000;
 const START: Time = Time(1_000 * SECOND);
--- a/src/main.rs
+++ b/src/main.rs
@@ -3,7 +3,7 @@
 
 use lichenswitch::broker::{Broker, BrokerError};
 use lichenswitch::config::operators::OperatorsError;
-use lichenswitch::config::{ConfigError, Ogc, Operators, Peers, Platform};
+use lichenswitch::config::{ConfigError, Ogc, Operators, PeersConfig, Platform};
 use lichenswitch::management::{self, ManagementHandle};
 use lichenswitch::peer::group::JoinError;
 use signal_hook::consts::{SIGHUP, SIGTERM};
@@ -47,7 +47,7 @@
         .map(|platform| platform.apply(&operators))
         .transpose()?;
     let ogc = Ogc::load(&operators, platform.as_ref())?;
-    let peers = Peers::load(&operators, platform.as_ref())?;
+    let peers = PeersConfig::load(&operators, platform.as_ref())?;
     let management = platform
         .as_ref()
         .and_then(|platform| ManagementHandle::open(platform).transpose())
--- a/src/management.rs
+++ b/src/management.rs
@@ -2,7 +2,7 @@
 //! never waits.
 //!
 //! The thread owns its listener, its callers and the desired state; the loop that serves clients
-//! owns all else. They exchange state through [`shared`], where neither holds a lock for longer than
+//! owns all else. They exchange state through `shared`, where neither holds a lock for longer than
 //! a copy takes. So an answer is sent in time however busy the loop is, and however many callers
 //! hold connections without a complete call.
 
--- a/src/management/folder.rs
+++ b/src/management/folder.rs
@@ -274,12 +274,7 @@
         let path = self.state_path();
         let new_path = self.path.join(format!("wanted-{}", self.status.process));
         let replace = || {
-            let mut file = OpenOptions::new()
-                .create(true)
-                .truncate(true)
-                .write(true)
-                .mode(0o600)
-                .open(&new_path)?;
+            let mut file = create_private(&new_path)?;
             file.write_all(&state.encode(&self.owner, now))?;
             fs::rename(&new_path, &path)
         };
@@ -356,12 +351,7 @@
 /// Creates a process's file, which is locked before others can see it.
 fn create_status_file(folder: &Path, status: ProcessStatus) -> io::Result<File> {
     let new_path = folder.join(format!(".process-{}", status.process));
-    let mut file = OpenOptions::new()
-        .create(true)
-        .truncate(true)
-        .write(true)
-        .mode(0o600)
-        .open(&new_path)?;
+    let mut file = create_private(&new_path)?;
     file.try_lock().map_err(|e| match e {
         TryLockError::Error(e) => e,
         TryLockError::WouldBlock => io::Error::other("another process has its number"),
@@ -371,6 +361,16 @@
     Ok(file)
 }
 
+/// Creates an empty file that only this user can read.
+fn create_private(path: &Path) -> io::Result<File> {
+    OpenOptions::new()
+        .create(true)
+        .truncate(true)
+        .write(true)
+        .mode(0o600)
+        .open(path)
+}
+
 fn overwrite(file: &mut File, line: &str) -> io::Result<()> {
     file.seek(SeekFrom::Start(0))?;
     file.write_all(line.as_bytes())
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -8,6 +8,7 @@
 //! frames, or does not read is disconnected with a log line that tells the reason; lost connections
 //! are opened again after random delays, and only if something is to be sent.
 
+mod config;
 pub mod consensus;
 pub mod group;
 mod inbound;
@@ -16,6 +17,7 @@
 mod send_queue;
 mod wire;
 
+pub use config::PeersConfig;
 pub use inbound::{Payload, ReceivedMessage};
 pub use journal::PeerStats;
 pub use send_queue::Delivery;
--- a/src/peer/consensus.rs
+++ b/src/peer/consensus.rs
@@ -1,8 +1,8 @@
 //! The consensus of the voters over the connections to peers, and the singleton roles that this
 //! broker is to hold.
 //!
-//! It owns this broker's part as a voter ([`local_voter`]), the leases of its roles
-//! ([`role_leases`]), its contact with the voters, and the requests of others that wait for the
+//! It owns this broker's part as a voter (`local_voter`), the leases of its roles
+//! (`role_leases`), its contact with the voters, and the requests of others that wait for the
 //! log. It promises that nothing is sent before what it depends on is durable, that a broker that
 //! can't write its state does not vote, and that whether it holds a role is checked by its own
 //! lease each time. The decisions are those of `decide::consensus` and `decide::lease`.
--- a/src/peer/group.rs
+++ b/src/peer/group.rs
@@ -2,8 +2,7 @@
 //! and the consensus that it carries.
 
 use super::consensus::{Consensus, ConsensusError, OutgoingMessages};
-use super::{Delivery, Payload, PeerProtocol, ReceivedMessage, MAX_CONNECTIONS};
-use crate::config::Peers;
+use super::{Delivery, Payload, PeerProtocol, PeersConfig, ReceivedMessage, MAX_CONNECTIONS};
 use crate::decide::failure_detector::{FailureDetector, Member, Verdict};
 use crate::decide::lease::LeaseHolder;
 use crate::interface::Time;
@@ -43,7 +42,7 @@
     ///
     /// # Errors
     /// When the address can't be listened on, or the folder can't be used.
-    pub fn new(net: &mut Net, config: Peers) -> Result<PeerGroup, JoinError> {
+    pub fn new(net: &mut Net, config: PeersConfig) -> Result<PeerGroup, JoinError> {
         let now = net.clock.now();
         let own = Member {
             incarnation: now.0,
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -214,7 +214,7 @@
     for _ in 0..2_000 {
         let now = test.run_once().len();
         assert!(now <= MAX_FRAMES_PER_WINDOW as usize + 1, "{now} at once");
-        rested |= !test.protocol.inbound.resume_at().is_none();
+        rested |= test.protocol.inbound.resume_at().is_some();
         received += now;
         if received == all {
             break;
