--- a/fleet/src/control/connection_handler.rs
+++ b/fleet/src/control/connection_handler.rs
@@ -2,7 +2,7 @@
 
 use super::backlogs::BacklogSource;
 use super::clock::elapsed;
-use super::internal_connections::RemoteRole;
+use super::internal_connections::{ConnectionInfo, RemoteRole};
 use super::net_program::Owner;
 use super::node::ControlNode;
 use super::peer_table::{PeerHandshake, CONNECT_TIMEOUT, PEER_IDLE_TIMEOUT};
@@ -49,7 +49,7 @@
             }
         }
         if let Some(reason) = events.close_reason {
-            self.close_connection(id, &reason);
+            self.close_connection(id, &reason.to_string());
         }
     }
 
@@ -141,12 +141,12 @@
     /// Closes connections that are idle for too long, or that never came up.
     pub(super) fn close_idle_connections(&mut self, now: Time) {
         let net = &self.net;
-        let idle = |(id, remote_role, opened_at): &(ConnId, RemoteRole, Time)| {
-            let Some(conn) = net.get(*id) else {
+        let is_idle = |connection: &ConnectionInfo| {
+            let Some(conn) = net.get(connection.id) else {
                 return true;
             };
-            match remote_role {
-                _ if !conn.up => elapsed(*opened_at, now) > CONNECT_TIMEOUT,
+            match connection.remote_role {
+                _ if !conn.up => elapsed(connection.opened_at, now) > CONNECT_TIMEOUT,
                 // Routers send little; the TCP user timeout finds out when one has failed.
                 RemoteRole::Router => false,
                 RemoteRole::Peer(_) | RemoteRole::Unknown => {
@@ -157,8 +157,8 @@
         let idle: Vec<ConnId> = self
             .connections
             .iter()
-            .filter(idle)
-            .map(|(id, ..)| id)
+            .filter(is_idle)
+            .map(|connection| connection.id)
             .collect();
         idle.into_iter()
             .for_each(|id| self.close_connection(id, "silent for too long"));
--- a/fleet/src/control/group.rs
+++ b/fleet/src/control/group.rs
@@ -7,14 +7,13 @@
 use super::eligibility::is_founder;
 use super::environment::Environment;
 use super::error::ControlError;
-use super::group_disk::{open_ring, DiskContents, GroupDisk};
+use super::group_disk::{open_ring, DiskContents, DiskStatus, GroupDisk};
 use super::net_program::Net;
 use crate::settings::Settings;
 use lichenswitch_control::ReplicatedConfiguration;
 use lichenswitch_interface::Time;
 use lichenswitch_replication as replication;
 use lichenswitch_replication::{DurableItem, Identity, Member, Output, Replica, WriteId};
-use lichenswitch_storage::Usage;
 use log::{info, warn};
 use std::hash::BuildHasher;
 use std::net::SocketAddr;
@@ -126,12 +125,12 @@
     /// The writer of the disk has completed writes.
     pub(super) fn on_written(&mut self, now: Time) {
         let Some(disk) = &mut self.disk else { return };
-        for (write_id, is_synced) in disk.take_completed_writes() {
-            match is_synced {
-                true => self.replica.on_persisted(to_replica_time(now), write_id),
+        for write in disk.take_completed_writes() {
+            match write.is_synced {
+                true => self.replica.on_persisted(to_replica_time(now), write.id),
                 false => self
                     .replica
-                    .on_persist_failed(to_replica_time(now), write_id),
+                    .on_persist_failed(to_replica_time(now), write.id),
             }
         }
     }
@@ -141,10 +140,9 @@
         Some(from_replica_time(self.replica.next_wake())).filter(|at| at.0 < u64::MAX)
     }
 
-    /// How full the disk is, how many writes are outstanding, and its last failure; `None` without
-    /// a disk.
-    pub(super) fn disk_usage(&self) -> Option<(Usage, usize, Option<&str>)> {
-        self.disk.as_ref().map(GroupDisk::usage)
+    /// The state of the disk; `None` without one.
+    pub(super) fn disk_status(&self) -> Option<DiskStatus<'_>> {
+        self.disk.as_ref().map(GroupDisk::status)
     }
 
     /// Waits until all submitted writes have ended. Called once, at the end of the process.
--- a/fleet/src/control/group_disk.rs
+++ b/fleet/src/control/group_disk.rs
@@ -26,8 +26,23 @@
     Member(Box<Recovered>),
 }
 
-/// A write that has ended: its number, and whether it is synced.
-pub(super) type CompletedWrite = (WriteId, bool);
+/// A write that has ended.
+pub(super) struct CompletedWrite {
+    /// Its number.
+    pub(super) id: WriteId,
+    /// Whether it is synced; otherwise it has failed.
+    pub(super) is_synced: bool,
+}
+
+/// The state of the disk, as `status` shows it.
+pub(super) struct DiskStatus<'a> {
+    /// How full the ring is.
+    pub(super) usage: Usage,
+    /// Writes that have not ended.
+    pub(super) outstanding_writes: usize,
+    /// The last failure, until a write succeeds again.
+    pub(super) failure: Option<&'a str>,
+}
 
 /// The disk, by way of its writer.
 pub(super) struct GroupDisk {
@@ -103,18 +118,21 @@
                     self.failure = Some(e.to_string());
                 }
             }
-            completed.push((WriteId(completion.write_id), is_synced));
+            completed.push(CompletedWrite {
+                id: WriteId(completion.write_id),
+                is_synced,
+            });
         }
         completed
     }
 
-    /// How full the disk is, how many writes are outstanding, and its last failure.
-    pub(super) fn usage(&self) -> (Usage, usize, Option<&str>) {
-        (
-            self.usage,
-            self.writer.outstanding(),
-            self.failure.as_deref(),
-        )
+    /// The state of the disk.
+    pub(super) fn status(&self) -> DiskStatus<'_> {
+        DiskStatus {
+            usage: self.usage,
+            outstanding_writes: self.writer.outstanding(),
+            failure: self.failure.as_deref(),
+        }
     }
 
     /// Waits until all submitted writes have ended.
--- a/fleet/src/control/group_membership.rs
+++ b/fleet/src/control/group_membership.rs
@@ -70,14 +70,11 @@
         info!(target: "control", "joined the group");
         // Peers know this machine by the identity of its process: the next handshake names that of
         // its disk.
-        let is_peer = |(_, remote_role, _): &(ConnId, RemoteRole, Time)| {
-            matches!(remote_role, RemoteRole::Peer(_))
-        };
         let connections: Vec<ConnId> = self
             .connections
             .iter()
-            .filter(is_peer)
-            .map(|(id, ..)| id)
+            .filter(|connection| matches!(connection.remote_role, RemoteRole::Peer(_)))
+            .map(|connection| connection.id)
             .collect();
         connections
             .into_iter()
--- a/fleet/src/control/internal_connections.rs
+++ b/fleet/src/control/internal_connections.rs
@@ -4,7 +4,7 @@
 //! reader takes no more memory than [`MAX_QUEUED_BYTES`].
 
 use super::net_program::Net;
-use crate::envelopes::{encode, EnvelopeReader, Incoming};
+use crate::envelopes::{encode, EnvelopeError, EnvelopeReader, Incoming};
 use lichenswitch_interface::Time;
 use lichenswitch_messages::Envelope;
 use lichenswitch_net::{ConnId, TransferProgress};
@@ -37,6 +37,17 @@
     is_established: bool,
 }
 
+/// One connection, as seen from outside.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct ConnectionInfo {
+    /// Its id.
+    pub(super) id: ConnId,
+    /// The role of the process at its other end.
+    pub(super) remote_role: RemoteRole,
+    /// When it was accepted, or dialled.
+    pub(super) opened_at: Time,
+}
+
 /// All connections between processes.
 #[derive(Default)]
 pub(super) struct InternalConnections {
@@ -44,6 +55,26 @@
     dirty: BTreeSet<ConnId>,
 }
 
+/// Why a connection has to be closed.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum CloseReason {
+    /// There is no such connection.
+    #[error("unknown connection")]
+    UnknownConnection,
+    /// Bytes that are no message have arrived.
+    #[error(transparent)]
+    Envelope(#[from] EnvelopeError),
+    /// The other end has closed it.
+    #[error("the other side has ended it")]
+    EndedByPeer,
+    /// It could not be established.
+    #[error("it never came up")]
+    NeverConnected,
+    /// Reading or writing has failed.
+    #[error("it broke")]
+    Broken,
+}
+
 /// What has happened on a connection.
 pub(super) struct ConnectionEvents {
     /// Messages that have arrived, in order.
@@ -51,7 +82,7 @@
     /// Whether it has come up just now.
     pub(super) has_connected: bool,
     /// Why it has to be closed, if it has.
-    pub(super) close_reason: Option<String>,
+    pub(super) close_reason: Option<CloseReason>,
 }
 
 impl InternalConnections {
@@ -90,7 +121,7 @@
         let progress = net.transfer(id, MAX_READ_AHEAD_BYTES);
         let (Some(connection), Some(conn)) = (self.connections.get_mut(&id), net.get_mut(id))
         else {
-            events.close_reason = Some("unknown connection".to_owned());
+            events.close_reason = Some(CloseReason::UnknownConnection);
             return events;
         };
         let bytes = conn.input.bytes().len();
@@ -101,7 +132,7 @@
                 Ok(Some(message)) => events.messages.push(message),
                 Ok(None) => break,
                 Err(e) => {
-                    events.close_reason = Some(e.to_string());
+                    events.close_reason = Some(e.into());
                     break;
                 }
             }
@@ -110,13 +141,13 @@
             conn.up && !std::mem::replace(&mut connection.is_established, conn.up);
         match progress {
             TransferProgress::Alive if conn.ended => {
-                events.close_reason = Some("the other side has ended it".to_owned())
+                events.close_reason = Some(CloseReason::EndedByPeer)
             }
             TransferProgress::Alive => {}
             TransferProgress::NeverConnected => {
-                events.close_reason = Some("it never came up".to_owned())
+                events.close_reason = Some(CloseReason::NeverConnected)
             }
-            TransferProgress::Broken => events.close_reason = Some("it broke".to_owned()),
+            TransferProgress::Broken => events.close_reason = Some(CloseReason::Broken),
         }
         events
     }
@@ -156,11 +187,15 @@
         dirty.into_iter().filter(close_reason).collect()
     }
 
-    /// All connections, with the role of the other end and when they were opened.
-    pub(super) fn iter(&self) -> impl Iterator<Item = (ConnId, RemoteRole, Time)> + '_ {
+    /// All connections.
+    pub(super) fn iter(&self) -> impl Iterator<Item = ConnectionInfo> + '_ {
         self.connections
             .iter()
-            .map(|(id, connection)| (*id, connection.remote_role, connection.opened_at))
+            .map(|(id, connection)| ConnectionInfo {
+                id: *id,
+                remote_role: connection.remote_role,
+                opened_at: connection.opened_at,
+            })
     }
 
     /// Closes a connection. Returns the role of its other end.
--- a/fleet/src/control/status.rs
+++ b/fleet/src/control/status.rs
@@ -267,12 +267,12 @@
 }
 
 fn storage(node: &ControlNode) -> Option<StorageLine> {
-    let (usage, outstanding, failure) = node.group.as_ref()?.disk_usage()?;
+    let disk = node.group.as_ref()?.disk_status()?;
     Some(StorageLine {
-        used_bytes: usage.used_bytes,
-        segment_bytes: usage.segment_bytes,
-        disk_bytes: usage.disk_bytes,
-        outstanding_writes: outstanding as u64,
-        failure: failure.map(str::to_owned),
+        used_bytes: disk.usage.used_bytes,
+        segment_bytes: disk.usage.segment_bytes,
+        disk_bytes: disk.usage.disk_bytes,
+        outstanding_writes: disk.outstanding_writes as u64,
+        failure: disk.failure.map(str::to_owned),
     })
 }
