--- a/decide/registry/src/table.rs
+++ b/decide/registry/src/table.rs
@@ -9,20 +9,10 @@
 use crate::changes::Changes;
 use crate::heartbeat::Heartbeat;
 use crate::merge::{merge_record, normalized, tombstone};
-use lichenswitch_messages::{ServerRecord, ServerState};
+use crate::timing::{SNAPSHOT_TOMBSTONE_MAX_AGE_US, TICKS_PER_INTERVAL};
+use lichenswitch_messages::{HeartbeatAge, ServerRecord, ServerState};
 use std::collections::{BTreeSet, HashMap};
 
-pub use address_conflicts::ADDRESS_CONFLICT_INTERVALS;
-pub use timeouts::{EXPIRY_AFTER_US, SUSPECT_AFTER_INTERVALS, TOMBSTONE_RETENTION_US};
-
-/// Greatest age at which a tombstone is part of a snapshot (microseconds). Less than
-/// [`TOMBSTONE_RETENTION_US`], so that machines don't send each other for ever what both have
-/// dropped.
-pub const SNAPSHOT_TOMBSTONE_MAX_AGE_US: u64 = 60_000_000;
-
-/// Ticks of the table in a heartbeat interval: a decision is late by a quarter of it at most.
-const TICKS_PER_INTERVAL: u64 = 4;
-
 /// A server, with when its last heartbeat came.
 #[derive(Clone, Debug)]
 struct Entry {
@@ -87,7 +77,7 @@
         };
         let mut changes = self.apply(now, &update);
         if is_current {
-            changes.append(self.note_heartbeat(now, instance));
+            changes.append(self.record_heartbeat(now, instance));
         }
         for other in superseded {
             changes.append(self.apply(now, &tombstone(&other)));
@@ -133,13 +123,12 @@
         changes
     }
 
-    /// Another control machine has reported from which servers heartbeats came, and how many
-    /// milliseconds ago.
-    pub fn merge_heartbeat_digest(&mut self, now: u64, digest: &[(String, u32)]) -> Changes {
+    /// Another control machine has reported from which servers heartbeats came.
+    pub fn merge_heartbeat_digest(&mut self, now: u64, digest: &[HeartbeatAge]) -> Changes {
         let mut changes = Changes::default();
-        for (instance, ago_ms) in digest {
-            let at = now.saturating_sub(u64::from(*ago_ms) * 1_000);
-            changes.append(self.note_heartbeat_at(now, at, instance));
+        for heartbeat in digest {
+            let at = now.saturating_sub(u64::from(heartbeat.age_ms) * 1_000);
+            changes.append(self.record_heartbeat_at(now, at, &heartbeat.instance));
         }
         changes
     }
@@ -194,8 +183,9 @@
         records
     }
 
-    /// Servers whose heartbeats came here since the last digest, with how many milliseconds ago.
-    pub fn take_heartbeat_digest(&mut self, now: u64) -> Vec<(String, u32)> {
+    /// The last heartbeats of the servers whose heartbeats came here since the last digest, by
+    /// instance.
+    pub fn take_heartbeat_digest(&mut self, now: u64) -> Vec<HeartbeatAge> {
         let mut digest = Vec::new();
         for (instance, entry) in self
             .entries
@@ -203,8 +193,11 @@
             .filter(|(_, entry)| entry.is_due_in_digest && entry.is_live())
         {
             entry.is_due_in_digest = false;
-            let ago_ms = now.saturating_sub(entry.last_seen_us) / 1_000;
-            digest.push((instance.clone(), u32::try_from(ago_ms).unwrap_or(u32::MAX)));
+            let age_ms = now.saturating_sub(entry.last_seen_us) / 1_000;
+            digest.push(HeartbeatAge {
+                instance: instance.clone(),
+                age_ms: u32::try_from(age_ms).unwrap_or(u32::MAX),
+            });
         }
         digest.sort();
         digest
@@ -244,32 +237,26 @@
         }
     }
 
+    /// A server that becomes known by an update.
     fn insert_new(&mut self, now: u64, update: &ServerRecord) -> Changes {
         let record = ServerRecord {
             is_suspect: false,
             ..normalized(update)
         };
-        if record.state != ServerState::Gone && self.live_at(&record.address).next().is_some() {
-            self.contested_addresses.insert(record.address.clone());
-        }
         let mut changes = Changes::default();
         changes.push_replicated(&record);
-        let entry = Entry {
+        self.insert(Entry {
             record,
             last_seen_us: now,
             is_due_in_digest: false,
             is_cached: false,
-        };
-        self.entries.insert(update.instance.clone(), entry);
+        });
         changes
     }
 
     /// A server that was stored before the start: it may still serve, unless it was gone.
-    fn insert_cached(&mut self, now: u64, update: &ServerRecord) -> Changes {
-        let record = normalized(update);
-        if record.state != ServerState::Gone && self.live_at(&record.address).next().is_some() {
-            self.contested_addresses.insert(record.address.clone());
-        }
+    fn insert_cached(&mut self, now: u64, stored: &ServerRecord) -> Changes {
+        let record = normalized(stored);
         let mut changes = Changes::default();
         changes.push_local(&record);
         let elapsed_us = if record.is_suspect {
@@ -277,17 +264,23 @@
         } else {
             0
         };
-        let last_seen_us = now.saturating_sub(elapsed_us);
-        let entry = Entry {
+        self.insert(Entry {
             record,
-            last_seen_us,
+            last_seen_us: now.saturating_sub(elapsed_us),
             is_due_in_digest: false,
             is_cached: true,
-        };
-        self.entries.insert(update.instance.clone(), entry);
+        });
         changes
     }
 
+    fn insert(&mut self, entry: Entry) {
+        if entry.is_live() && self.live_at(&entry.record.address).next().is_some() {
+            self.contested_addresses
+                .insert(entry.record.address.clone());
+        }
+        self.entries.insert(entry.record.instance.clone(), entry);
+    }
+
     /// A newer update shows that a heartbeat came somewhere. Only what matters to others is sent on:
     /// a heartbeat that repeats the one before is not.
     fn update_known(&mut self, now: u64, update: &ServerRecord) -> Changes {
@@ -315,7 +308,7 @@
     }
 
     /// A heartbeat came here.
-    fn note_heartbeat(&mut self, now: u64, instance: &str) -> Changes {
+    fn record_heartbeat(&mut self, now: u64, instance: &str) -> Changes {
         match self
             .entries
             .get_mut(instance)
@@ -324,11 +317,11 @@
             Some(entry) => entry.is_due_in_digest = true,
             None => return Changes::default(),
         }
-        self.note_heartbeat_at(now, now, instance)
+        self.record_heartbeat_at(now, now, instance)
     }
 
     /// A heartbeat came at some time, here or elsewhere.
-    fn note_heartbeat_at(&mut self, now: u64, at: u64, instance: &str) -> Changes {
+    fn record_heartbeat_at(&mut self, now: u64, at: u64, instance: &str) -> Changes {
         let mut changes = Changes::default();
         let suspect_after_us = self.suspect_after_us();
         let Some(entry) = self
--- a/decide/replication/src/model/walk.rs
+++ b/decide/replication/src/model/walk.rs
@@ -57,7 +57,7 @@
     for _ in 0..6_000 {
         step_without_faults(world, 10_000);
         let serving = world
-            .serving()
+            .serving_node()
             .and_then(|index| world.nodes[index].replica.as_ref());
         let is_formed = |replica: &crate::Replica<_>| {
             replica.membership().voters.len() == voters
@@ -119,7 +119,7 @@
 }
 
 impl Chances {
-    fn draw(rng: &mut SeededRng) -> Self {
+    fn random(rng: &mut SeededRng) -> Self {
         Self {
             drop: [0, 1, 4, 10][rng.index(4)],
             repeat: [0, 1, 4][rng.index(3)],
@@ -158,7 +158,7 @@
     let mut rng = SeededRng(walk.seed);
     world.network_limit = 64;
     form_group(&mut world, walk.voters);
-    let chances = Chances::draw(&mut rng);
+    let chances = Chances::random(&mut rng);
     let reach = vec![Reach::Connected; world.nodes.len()];
     let mut state = WalkState {
         walk,
--- a/src/broker.rs
+++ b/src/broker.rs
@@ -146,9 +146,12 @@
         let sockets = sockets.min(net::system_limit().unwrap_or(sockets));
         let set_aside = management
             .as_ref()
-            .map_or(0, |_| management::set_aside(sockets));
+            .map_or(0, |_| management::reserved_descriptors(sockets));
         let mut net = Net::new(sockets - set_aside).map_err(BrokerError::Poller)?;
-        if let Some(woken) = management.as_mut().and_then(ManagementHandle::take_woken) {
+        if let Some(woken) = management
+            .as_mut()
+            .and_then(ManagementHandle::take_wake_stream)
+        {
             net.watch_signal(Signal::Orders, woken)
                 .map_err(BrokerError::Orders)?;
         }
@@ -299,7 +302,7 @@
     ///
     /// # Errors
     /// When the address for them can't be listened on.
-    pub fn join(&mut self, told: config::Peers) -> Result<(), JoinError> {
+    pub fn join(&mut self, told: config::PeersConfig) -> Result<(), JoinError> {
         self.peers = Some(PeerGroup::new(&mut self.net, told)?);
         Ok(())
     }
@@ -383,7 +386,7 @@
                 if closed == 0 {
                     each_service!(self, |net, service| service
                         .sessions
-                        .make_room(net, &mut service.core));
+                        .evict_idle(net, &mut service.core));
                 }
             }
             self.tell_standing();
@@ -417,7 +420,7 @@
             news.into_iter().for_each(|news| service.listed(news));
         }
         if let (Some(management), Some(service)) = (&self.management, &self.platform) {
-            management.on_listed(service.directory.names());
+            management.report_servers(service.directory.names());
         }
         let mut nodes = 0;
         each_service!(self, |_net, service| nodes += service.directory.len());
@@ -453,7 +456,10 @@
             .is_some_and(|s| std::mem::take(&mut s.subscribe));
         // The module asks for nothing where lists are pushed: what the agent of this machine holds
         // is fetched all the same.
-        asked |= self.discovery.as_ref().is_some_and(Discovery::goes_on);
+        asked |= self
+            .discovery
+            .as_ref()
+            .is_some_and(Discovery::keeps_watching);
         if let (true, Some(discovery)) = (asked, &mut self.discovery) {
             let news = discovery.subscribe(&mut self.net);
             self.listed(news);
