--- a/decide/lease/src/holder_lease/tests.rs
+++ b/decide/lease/src/holder_lease/tests.rs
@@ -131,7 +131,7 @@
         Permission::Refrain(Reason::Superseded(FencingToken(5))),
         "at once"
     );
-    // A grant that was on its way is older than what was seen, and gives nothing.
+    // A grant in flight is older than the token that was seen, and gives no lease.
     let request = lease.on_request(T(200));
     assert!(!lease.on_grant(request, FencingToken(4)));
     assert_eq!(
--- a/src/decide/discovery/call_pacer/tests.rs
+++ b/src/decide/discovery/call_pacer/tests.rs
@@ -5,15 +5,24 @@
 
 const SECOND: Micros = 1_000_000;
 
-/// A discovery that works off one call after another and fails those that have waited for 2 s, in
-/// whose queue the failed ones stay; a watch that is renewed within 200 ms goes on. News comes
-/// every second from the third to the tenth. Tells the calls made, the failed, and how old at the
-/// worst and in the mean the list of a broker was from the fifth second on (seconds).
-fn run_day(brokers: u32, serve: Micros, is_paced: bool) -> (usize, usize, f64, f64) {
+/// What the calls of a fleet led to.
+struct Outcome {
+    calls: usize,
+    failed_calls: usize,
+    /// How old the list of a broker was from the fifth second on, at the worst and in the mean
+    /// (seconds).
+    max_age_s: f64,
+    mean_age_s: f64,
+}
+
+/// A discovery that handles one call after another and fails those that have waited for 2 s, in
+/// whose queue the failed ones stay; a watch that is renewed within 200 ms goes on. The list changes
+/// every second from the third to the tenth.
+fn run_discovery(brokers: u32, call_cost: Micros, is_paced: bool) -> Outcome {
     let mut pacers: Vec<CallPacer> = (0..brokers)
         .map(|i| CallPacer::new(u64::from(i), brokers, DEFAULT_CALL_INTERVAL))
         .collect();
-    // Calls to come, the latest last; calls that wait; watches; when each broker was last told all.
+    // Calls to be made, the latest last; calls that wait; watches; when each broker was up to date.
     let mut calls: BinaryHeap<std::cmp::Reverse<(Time, usize)>> = BinaryHeap::new();
     let (mut queue, mut watches): (VecDeque<(Time, usize)>, Vec<usize>) =
         (VecDeque::new(), Vec::new());
@@ -54,7 +63,7 @@
             let Some((at, i)) = queue.pop_front() else {
                 break;
             };
-            idle_at = idle_at.max(now).plus(serve);
+            idle_at = idle_at.max(now).plus(call_cost);
             if now.since(at) < 2 * SECOND {
                 watches.push(i);
             }
@@ -76,47 +85,58 @@
             }
         }
     }
-    (
-        calls_made,
-        calls_failed,
-        worst as f64 / 1e6,
-        sum as f64 / 1e6 / f64::from(looks),
-    )
+    Outcome {
+        calls: calls_made,
+        failed_calls: calls_failed,
+        max_age_s: worst as f64 / 1e6,
+        mean_age_s: sum as f64 / 1e6 / f64::from(looks),
+    }
 }
 
 #[test]
 fn hundred_brokers_stay_up_to_date_with_a_discovery_that_they_could_overload() {
-    let (_, calls_failed, _, mean) = run_day(100, 60_000, false);
+    let unpaced = run_discovery(100, 60_000, false);
     assert!(
-        calls_failed > 300 && mean > 5.0,
-        "at once they fail together, {calls_failed} times, {mean:.1} s behind"
+        unpaced.failed_calls > 300 && unpaced.mean_age_s > 5.0,
+        "at once they fail together, {} times, {:.1} s behind",
+        unpaced.failed_calls,
+        unpaced.mean_age_s
     );
-    let (calls_made, calls_failed, worst, mean) = run_day(100, 60_000, true);
+    let paced = run_discovery(100, 60_000, true);
     assert!(
-        calls_made < 120 && calls_failed == 0,
-        "{calls_failed} of {calls_made} failed"
+        paced.calls < 120 && paced.failed_calls == 0,
+        "{} of {} failed",
+        paced.failed_calls,
+        paced.calls
     );
     assert!(
-        mean < 0.5,
-        "{mean:.1} s behind in the mean, {worst:.1} s at the worst"
+        paced.mean_age_s < 0.5,
+        "{:.1} s behind in the mean, {:.1} s at the worst",
+        paced.mean_age_s,
+        paced.max_age_s
     );
 }
 
 #[test]
 fn discovery_too_slow_for_its_fleet_is_called_no_more_than_the_rule_on_drains_requires() {
-    // A call fails after 2 s there, so that of a cycle REOPEN is left: half of that in the mean.
-    // The first calls are spread.
-    let (calls_made, calls_failed, ..) = run_day(100, 120_000, true);
+    // A call fails after 2 s there, so that REOPEN_DELAY is left of a cycle: half of that in the
+    // mean. The first calls are spread.
+    let paced = run_discovery(100, 120_000, true);
     let each = |time: f64| 100.0 * time / (2e6 + REOPEN_DELAY as f64 / 2.0);
     let (least, most) = (each(12e6 - 6e6) * 0.8, each(12e6));
     assert!(
-        (least..most).contains(&(calls_made as f64)),
-        "{calls_made} of {most:.0} at the most"
+        (least..most).contains(&(paced.calls as f64)),
+        "{} of {most:.0} at the most",
+        paced.calls
     );
-    let (unpaced_calls, unpaced_failures, ..) = run_day(100, 120_000, false);
+    let unpaced = run_discovery(100, 120_000, false);
     assert!(
-        calls_made * 5 < unpaced_calls * 3 && calls_failed * 2 < unpaced_failures + 1,
-        "{calls_failed} of {calls_made} failed, {unpaced_failures} of {unpaced_calls}"
+        paced.calls * 5 < unpaced.calls * 3 && paced.failed_calls * 2 < unpaced.failed_calls + 1,
+        "{} of {} failed, {} of {}",
+        paced.failed_calls,
+        paced.calls,
+        unpaced.failed_calls,
+        unpaced.calls
     );
 }
 
@@ -129,7 +149,7 @@
             (now, now)
         );
     }
-    // After a failure even these are spread: what is down is not asked in a spin.
+    // After a failure even these are spread: a discovery that is down is not called in a busy loop.
     let waits: Vec<Micros> = (0..100)
         .map(|_| pacer.on_failure(Time(5), Time(5)).at.since(Time(5)))
         .collect();
@@ -161,7 +181,7 @@
         assert_eq!(pacer.on_move(now).at, now);
         assert!(pacer.on_unsent(now).at.since(now) <= RENEWAL_GAP);
     }
-    // One that is silent is asked anew in time.
+    // A silent one is called again in time.
     let watch_times = pacer.watch_times();
     assert!(
         watch_times.renewal_wait + watch_times.renewal_margin + RENEWAL_GAP < 2 * SECOND,
--- a/src/decide/failure_detector/tests.rs
+++ b/src/decide/failure_detector/tests.rs
@@ -191,7 +191,7 @@
             first >= 2 * SECOND,
             "nobody is declared dead without having been suspected: {first}"
         );
-        // It comes back without memory, under a later life.
+        // It returns without state, with a later incarnation.
         network.detectors[1] = FailureDetector::new(
             network.now,
             member(1, network.now.0),
@@ -213,7 +213,7 @@
     network.run(120 * SECOND);
     assert!(
         network.is_consistent() && network.deaths_declared() == 0,
-        "helpers ask: {:?}",
+        "others probe: {:?}",
         network.changes.last()
     );
 }
@@ -293,7 +293,7 @@
     network.run(SECOND + SECOND / 2);
     assert!(
         network.is_consistent(),
-        "without any suspicion, which takes 2 s"
+        "without a suspicion, which takes 2 s"
     );
 }
 
@@ -372,7 +372,7 @@
             .count();
         assert_eq!(
             of_it, 0,
-            "offset {offset}: it was back in time to refute it"
+            "offset {offset}: it returned in time to refute it"
         );
         assert!(network.is_consistent(), "offset {offset}");
     }
@@ -388,7 +388,7 @@
         network.run((20 + seed) * SECOND + seed * 37_000);
         assert!(network.is_consistent());
         network.changes.clear();
-        // What it says is lost, what others say comes; every third time nothing comes either.
+        // Its messages are lost, those of others arrive; every third time those are lost too.
         let (from, until) = (network.now, network.now.plus(length * 1_000));
         let both = seed % 3 == 0;
         network.delivers = Box::new(move |now, by, to| {
--- a/src/management/folder/tests.rs
+++ b/src/management/folder/tests.rs
@@ -123,7 +123,7 @@
     let first = folder.change(NOW, &known, cordon("a")).unwrap().unwrap();
     first.stored.unwrap();
     let first = first.state;
-    // This one has not heard of the first change, as another process would not have.
+    // The first change is not known here, as at another process.
     let second = folder.change(NOW, &known, cordon("b")).unwrap().unwrap();
     second.stored.unwrap();
     let second = second.state;
--- a/src/peer/consensus/tests.rs
+++ b/src/peer/consensus/tests.rs
@@ -16,10 +16,10 @@
 }
 
 impl TestCluster {
-    /// Three voters without folders and one reader; all would like to hold the duty.
+    /// Three voters without folders and one broker that does not vote; all are to hold the role.
     fn new() -> TestCluster {
         let voters: Vec<String> = (0..3).map(|i| format!("n{i}")).collect();
-        let rules = ConsensusConfig {
+        let config = ConsensusConfig {
             voters,
             folder: None,
             roles: vec!["d".into()],
@@ -29,7 +29,7 @@
             name: format!("n{i}"),
             incarnation: 7 + i,
         };
-        let broker = |i| Consensus::new(START, "c", holder(i), rules.clone()).unwrap();
+        let broker = |i| Consensus::new(START, "c", holder(i), config.clone()).unwrap();
         TestCluster {
             brokers: (0..4).map(broker).collect(),
             now: START,
@@ -55,9 +55,9 @@
             .collect()
     }
 
-    /// Goes on until somebody holds the duty, for so long at most; tells who.
-    fn until_held(&mut self, most: Micros) -> Option<usize> {
-        let end = self.now.plus(most);
+    /// Runs until a broker holds the role, for this long at most; returns which one.
+    fn run_until_held(&mut self, timeout: Micros) -> Option<usize> {
+        let end = self.now.plus(timeout);
         while self.now < end {
             self.now = self.now.plus(5_000);
             for i in 0..4 {
@@ -79,35 +79,32 @@
 #[test]
 fn voters_without_grants_wait_for_a_lease_and_a_released_role_is_granted_at_once() {
     let mut cluster = TestCluster::new();
-    let holder = cluster.until_held(10_000_000).unwrap();
+    let holder = cluster.run_until_held(10_000_000).unwrap();
     assert!(
         cluster.now.since(START) >= TERMS.voter_duration(),
-        "somebody may hold it by a genesis that is forgotten"
+        "a broker may hold it by a genesis that was lost"
     );
     let (other, role) = ((holder + 1) % 4, RoleName("d".into()));
     let token = cluster.brokers[holder]
         .fencing_token(cluster.now, &role)
         .unwrap();
-    let back = postcard::to_stdvec(&Message::Release(role, token)).unwrap();
+    let release = postcard::to_stdvec(&Message::Release(role, token)).unwrap();
     cluster.deliver(
         other,
-        (0..3).map(|v| (format!("n{v}"), back.clone())).collect(),
+        (0..3).map(|v| (format!("n{v}"), release.clone())).collect(),
     );
     assert_eq!(
-        cluster.until_held(5_000),
+        cluster.run_until_held(5_000),
         Some(holder),
-        "only the holder gives it back"
+        "only the holder may release it"
     );
     let knows_holder = |voter: &Voter| voter.grants().holder(&RoleName("d".into())).is_some();
     assert!((0..3).all(|v| cluster.brokers[v].voting().is_some_and(knows_holder)));
     let messages = cluster.brokers[holder].on_stop(cluster.now);
     cluster.deliver(holder, messages);
-    assert!(
-        cluster.holders().is_empty(),
-        "nothing is done under it from here on"
-    );
+    assert!(cluster.holders().is_empty(), "the lease has ended");
     let stopped = cluster.now;
-    let next = cluster.until_held(10_000_000).unwrap();
+    let next = cluster.run_until_held(10_000_000).unwrap();
     assert!(
         next != holder && cluster.now.since(stopped) < TERMS.lease,
         "nobody waits for the end of its lease"
@@ -117,24 +114,24 @@
 #[test]
 fn holder_keeps_its_role_when_a_voter_knows_another_and_foreign_genesis_stops_requests() {
     let mut cluster = TestCluster::new();
-    let holder = cluster.until_held(10_000_000).unwrap();
+    let holder = cluster.run_until_held(10_000_000).unwrap();
     let now = cluster.now;
     let broker = &mut cluster.brokers[holder];
     let elsewhere = postcard::to_stdvec(&Message::HeldElsewhere(RoleName("d".into()))).unwrap();
     broker.on_message(now, "n1", &elsewhere);
     assert!(
         broker.fencing_token(now, &RoleName("d".into())).is_some(),
-        "that voter may have been away"
+        "that voter may have missed the grant"
     );
-    // Another genesis than the one it has known: its lease runs out, and it asks for none.
+    // Another genesis than the one it has known: its lease expires, and it requests none.
     let other = postcard::to_stdvec(&Message::ContactAnswer(1, 99)).unwrap();
     broker.on_message(now, "n1", &other);
     assert_eq!(broker.quorum_status(now), QuorumStatus::ForeignGenesis);
-    let mut asked = 0;
+    let mut requests = 0;
     for i in 1..400u64 {
         let at = now.plus(i * 5_000);
         for (_, bytes) in broker.on_time(at) {
-            asked += usize::from(matches!(
+            requests += usize::from(matches!(
                 postcard::from_bytes(&bytes),
                 Ok(Message::LeaseRequest(..))
             ));
@@ -146,7 +143,7 @@
             && log.contains("duty d: not held: the lease ran out"),
         "{log}"
     );
-    assert_eq!(asked, 0);
+    assert_eq!(requests, 0);
 }
 
 #[test]
@@ -155,5 +152,5 @@
     crate::testing::garbage(&[&[1, 2, 3, 4, 5, 6, 7, 8]], |bytes| {
         cluster.brokers[0].on_message(START, "n1", bytes);
     });
-    assert!(cluster.until_held(10_000_000).is_some());
+    assert!(cluster.run_until_held(10_000_000).is_some());
 }
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -72,14 +72,14 @@
         received
     }
 
-    fn until(&mut self, payload: &str, mut done: impl FnMut(&mut TestPeer) -> bool) {
+    fn run_until(&mut self, event: &str, mut done: impl FnMut(&mut TestPeer) -> bool) {
         for _ in 0..2_000 {
             self.run_once();
             if done(self) {
                 return;
             }
         }
-        panic!("{payload} never came");
+        panic!("{event} never came");
     }
 
     /// The connection that the protocol has opened, with its greeting read.
@@ -157,26 +157,26 @@
         test.protocol
             .send_swim(&mut test.net, &peer, b"x".to_vec(), Required);
         let waits = test.protocol.outbound.peers["q"].backoff.ready_at();
-        test.until("a failure", |s| {
+        test.run_until("a failure", |s| {
             s.protocol.outbound.peers["q"].backoff.ready_at() > waits
         });
     }
     let log = test.protocol.take_log();
     assert_eq!(log.len(), 1, "{log:?}");
     assert!(log[0].starts_with("peer q: can't be spoken to: "));
-    assert_eq!(test.protocol.stats().dropped, 0, "what must be kept is");
+    assert_eq!(test.protocol.stats().dropped, 0, "required frames are kept");
     let listener = TcpListener::bind(away).unwrap();
     listener.set_nonblocking(true).unwrap();
     let mut taken = None;
-    test.until("a call", |_| {
+    test.run_until("a connection", |_| {
         taken = listener.accept().ok();
         taken.is_some()
     });
-    test.until("a line", |s| !s.protocol.journal.log.is_empty());
+    test.run_until("a line", |s| !s.protocol.journal.log.is_empty());
     assert_eq!(test.protocol.take_log(), ["peer q: can be spoken to again"]);
     assert!(
         test.protocol.outbound.peers["q"].queue.is_empty(),
-        "what was kept is said"
+        "required frames are sent"
     );
 }
 
@@ -193,13 +193,10 @@
         test.run_once();
         turns += 1;
     }
-    assert!(refused > 0, "what must be kept is refused in the end");
+    assert!(refused > 0, "required frames are rejected in the end");
     let conn = test.protocol.outbound.peers["p"].conn.unwrap();
     assert!(!test.net.get(conn).unwrap().flushed());
-    assert!(
-        !test.send(&large, Droppable),
-        "and so is what may be dropped"
-    );
+    assert!(!test.send(&large, Droppable), "and so are droppable ones");
     assert!(test.protocol.stats().dropped > 0);
 }
 
@@ -234,7 +231,7 @@
         test.protocol
             .send_swim(&mut test.net, &peer, b"x".to_vec(), Droppable);
         let name = peer.name;
-        test.until("a call", |s| {
+        test.run_until("a connection", |s| {
             s.protocol.outbound.peers[&name].queue.is_empty()
         });
     }
@@ -254,7 +251,7 @@
     let clients: Vec<TcpStream> = (0..MAX_CONNECTIONS + 8)
         .map(|_| TcpStream::connect(test.at).unwrap())
         .collect();
-    test.until("all of them", |s| {
+    test.run_until("all of them", |s| {
         s.protocol.inbound.len() == MAX_CONNECTIONS
     });
     let closed = |c: &TcpStream| {
@@ -262,12 +259,12 @@
             .unwrap();
         matches!((&mut &*c).read(&mut [0]), Ok(0))
     };
-    test.until("the end of the others", |_| {
+    test.run_until("the end of the others", |_| {
         clients.iter().filter(|c| closed(c)).count() == 8
     });
     assert!(
         !test.net.is_accept_paused(),
-        "clients of the fronts do not wait for that"
+        "clients of the fronts are still accepted"
     );
 }
 
@@ -279,7 +276,7 @@
     stream
         .write_all(&wire::encode_frame(&Frame::Rejected("not you".into())).unwrap())
         .unwrap();
-    test.until("a line", |s| !s.protocol.journal.log.is_empty());
+    test.run_until("a line", |s| !s.protocol.journal.log.is_empty());
     assert_eq!(
         test.protocol.take_log(),
         ["peer p: can't be spoken to: it refused: not you"]
