--- a/simulator/src/callers/mod.rs
+++ b/simulator/src/callers/mod.rs
@@ -10,8 +10,8 @@
 pub use self::operator::{Operator, Pace};
 pub use self::reader::Reader;
 pub use self::router::{Router, APPLY_BOUND};
-use crate::ledger::Ledger;
 use crate::network::Host;
+use crate::oracle::Oracle;
 use crate::packet::{CallId, ConnectionId, Packet};
 
 /// A caller goes on to another machine after so many microseconds of silence.
@@ -24,7 +24,7 @@
     /// Random numbers.
     pub random: &'a mut Rng,
     /// Where orders are registered and calls are noted.
-    pub ledger: &'a mut Ledger,
+    pub oracle: &'a mut Oracle,
     /// The control machines on the operators' list, which lags.
     pub listed: &'a [Host],
     /// Last number of a call or connection.
--- a/simulator/src/callers/operator.rs
+++ b/simulator/src/callers/operator.rs
@@ -6,8 +6,8 @@
 
 use super::{Surroundings, CALL_TIMEOUT};
 use crate::documents::{self, version_of, OrderId};
-use crate::ledger::Asked;
 use crate::network::Host;
+use crate::oracle::CallPurpose;
 use crate::packet::{CallId, Packet, Reply};
 
 /// Least pause after a failure, in microseconds; it doubles to [`MOST_BACKOFF`].
@@ -170,7 +170,7 @@
         let broken = known > 0 && lot >= 100 - self.pace.invalid;
         let whole = known == 0 || around.random.u32(0..3) == 0;
         around
-            .ledger
+            .oracle
             .register(!broken, version, |id| match (broken, whole) {
                 (true, _) => documents::invalid(id, known, version),
                 (false, true) => documents::replacement(id, known, version),
@@ -179,14 +179,14 @@
     }
 
     fn send(&mut self, around: &mut Surroundings<'_>) {
-        let (asked, question) = match self.task {
+        let (purpose, question) = match self.task {
             Task::Rest => return,
-            Task::Describe => (Asked::Describe, RelayedCall::Describe),
+            Task::Describe => (CallPurpose::Describe, RelayedCall::Describe),
             Task::Order(id) => {
-                let order = around.ledger.order(id).order.clone();
+                let order = around.oracle.order(id).order.clone();
                 let (path, base_version, body) = (order.path, order.base_version, order.body);
                 (
-                    Asked::Order(id),
+                    CallPurpose::Order(id),
                     RelayedCall::Order {
                         path,
                         base_version,
@@ -204,7 +204,7 @@
         };
         self.last = Some(target);
         let call = around.new_call();
-        around.ledger.on_call(around.now, call, asked);
+        around.oracle.on_call(around.now, call, purpose);
         self.in_flight = Some(InFlight {
             call,
             sent: around.now,
@@ -239,7 +239,7 @@
     }
 
     fn on_taken(&mut self, around: &mut Surroundings<'_>, id: OrderId) {
-        self.known = self.known.max(Some(around.ledger.order(id).version));
+        self.known = self.known.max(Some(around.oracle.order(id).version));
         if !self.taken.contains(&id) {
             self.taken.push(id);
         }
--- a/simulator/src/callers/reader.rs
+++ b/simulator/src/callers/reader.rs
@@ -4,8 +4,8 @@
 use lichenswitch_replication::Time;
 
 use super::{Surroundings, CALL_TIMEOUT};
-use crate::ledger::Asked;
 use crate::network::Host;
+use crate::oracle::CallPurpose;
 use crate::packet::{CallId, Packet, Reply};
 
 /// Most rest between two questions, in microseconds.
@@ -44,7 +44,9 @@
             return;
         };
         let call = around.new_call();
-        around.ledger.on_call(around.now, call, Asked::Describe);
+        around
+            .oracle
+            .on_call(around.now, call, CallPurpose::Describe);
         self.in_flight = Some((call, around.now));
         around
             .outgoing
--- a/simulator/src/callers/router.rs
+++ b/simulator/src/callers/router.rs
@@ -204,10 +204,10 @@
             return self.keep_offer(held);
         }
         if self.in_force.is_none() && in_contact {
-            let long_ago = Time(around.now.0.saturating_sub(APPLY_BOUND));
+            let acknowledged_by = Time(around.now.0.saturating_sub(APPLY_BOUND));
             around
-                .ledger
-                .on_handed_as_current(self.host, &held.document, long_ago);
+                .oracle
+                .on_served_as_current(self.host, &held.document, acknowledged_by);
         }
         self.apply(around, held);
     }
@@ -248,7 +248,7 @@
             return;
         }
         around
-            .ledger
+            .oracle
             .on_in_force(self.host, self.version(), &held.document);
         around.notes.push(format!("puts {} in force", held.version));
         self.in_force = Some(held);
--- a/simulator/src/lib.rs
+++ b/simulator/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! It runs the code that decides ([`lichenswitch_replication`], [`lichenswitch_configuration`]) in
 //! control processes whose glue follows `docs/design/control.md`, section 4, on a network and disks
-//! with faults, under operators, readers and routers. A [`ledger::Ledger`] judges every answer. The
+//! with faults, under operators, readers and routers. An [`oracle::Oracle`] judges every response. The
 //! same seed gives the same run, event by event.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -11,8 +11,8 @@
 pub mod control;
 pub mod disk;
 pub mod documents;
-pub mod ledger;
 pub mod network;
+pub mod oracle;
 pub mod overlaps;
 pub mod packet;
 pub mod quotas;
--- a/simulator/src/main.rs
+++ b/simulator/src/main.rs
@@ -17,7 +17,7 @@
 #[derive(Bpaf, Clone, Debug)]
 #[bpaf(options)]
 enum Command {
-    /// Random walks: faults one after another, judged by a ledger.
+    /// Random walks: faults one after another, judged by an oracle.
     #[bpaf(command)]
     Walk {
         /// Seeds, FIRST..BEYOND.
@@ -154,7 +154,7 @@
         };
         let walked = Walk { world, episodes };
         let end = way.walk(&walked);
-        acknowledged += end.world.ledger.acknowledgements().len();
+        acknowledged += end.world.oracle.acknowledgements().len();
         faults += end.world.counts.faults;
         if let Some(violation) = &end.violation {
             failed += 1;
--- a/simulator/src/measure.rs
+++ b/simulator/src/measure.rs
@@ -41,7 +41,7 @@
 /// Times from the first sending of orders to the acknowledgement, for those first sent in a stretch
 /// of time; sorted.
 fn waits(world: &World, from: Time, to: Time) -> Vec<u64> {
-    let waited = world.ledger.orders().filter_map(|(_, entry)| {
+    let waited = world.oracle.orders().filter_map(|(_, entry)| {
         let (sent, acknowledged) = (entry.sent_at?, entry.acknowledged_at?);
         (from..to).contains(&sent).then(|| acknowledged.since(sent))
     });
@@ -60,7 +60,7 @@
         let loss = world.now();
         world.act_after(0, Action::PowerLossFor(Target::Primary, 20 * SECOND));
         world.run_for(10 * SECOND);
-        assert_eq!(world.ledger.violations.first(), None, "seed {seed}");
+        assert_eq!(world.oracle.violations.first(), None, "seed {seed}");
         calm.extend(waits(&world, begin, Time(loss.0 - SECOND)));
         lost.extend(waits(&world, Time(loss.0 - 10_000), loss.after(SECOND)));
     }
@@ -97,7 +97,7 @@
         operators: 1,
         ..WorldSettings::new(1)
     });
-    while world.ledger.acknowledgements().len() < changes {
+    while world.oracle.acknowledgements().len() < changes {
         world.run_for(SECOND / 10);
     }
     world
--- a/simulator/src/ledger.rs
+++ b/simulator/src/oracle.rs
@@ -1,7 +1,8 @@
-//! What the control machines told, and the rules by which it is judged.
+//! The oracle: it records what the control machines answer and commit, and judges it by rules that
+//! must always hold.
 //!
-//! An answer counts from the moment in which it is given, also if it is lost on its way: that is
-//! stricter than what callers see.
+//! A response counts from the moment in which it is sent, also if it is lost on its way: that is
+//! stricter than what callers see. Every broken rule becomes a [`Violation`], in order.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hasher};
@@ -15,80 +16,80 @@
 use crate::network::Host;
 use crate::packet::{CallId, Reply};
 
-/// A rule that was broken.
+/// A rule that was broken. Durations are in milliseconds of virtual time.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Violation {
-    /// Two changes on one version were acknowledged.
+    /// Two orders with the same base version were both acknowledged.
     #[error("orders {0:?} and {1:?} on version {2} were both acknowledged")]
-    TwoOnOneBase(OrderId, OrderId, u64),
-    /// An order was acknowledged and refused.
-    #[error("order {0:?} was acknowledged, and refused with {1}")]
-    AcknowledgedAndRefused(OrderId, u16),
-    /// An order that nobody may take was acknowledged.
+    ConflictingOrdersAcknowledged(OrderId, OrderId, u64),
+    /// An order was both acknowledged and rejected (with this HTTP status).
+    #[error("order {0:?} was acknowledged, and rejected with {1}")]
+    AcknowledgedAndRejected(OrderId, u16),
+    /// An invalid order was acknowledged.
     #[error("order {0:?} is invalid, and was acknowledged")]
-    InvalidAcknowledged(OrderId),
-    /// A proper order was called invalid.
-    #[error("order {0:?} is proper, and was refused with {1}")]
-    ProperRefused(OrderId, u16),
-    /// `describe` is older than what was told before it was asked.
+    InvalidOrderAcknowledged(OrderId),
+    /// A valid order was rejected as invalid (with this HTTP status).
+    #[error("order {0:?} is valid, and was rejected with {1}")]
+    ValidOrderRejected(OrderId, u16),
+    /// `describe` returned a version older than one reported before the call was sent.
     #[error(
-        "describe at {machine} told version {told}, and {known} had been told before it was asked"
+        "describe at {machine} returned version {returned}, and {known} had been reported before the call"
     )]
-    DescribeOld {
-        /// Who answered.
+    StaleDescribe {
+        /// The machine that responded.
         machine: Host,
-        /// Version that was told.
-        told: u64,
-        /// Version that had been told before.
+        /// Version that it returned.
+        returned: u64,
+        /// Newest version that had been reported before.
         known: u64,
     },
-    /// `describe` is not what was committed under its version.
-    #[error("describe at {0} told a version {1} that was never committed so")]
-    DescribeForeign(Host, u64),
-    /// Two states were committed under one number.
+    /// `describe` returned a document that was not committed under its version.
+    #[error("describe at {0} returned a version {1} that was never committed so")]
+    UncommittedDescribe(Host, u64),
+    /// Two different states were committed under one record number.
     #[error("at number {number}, {here:?} was committed at {machine}, and {there:?} elsewhere")]
-    TwoStates {
+    DivergentCommit {
         /// Number of the record.
         number: u64,
-        /// Who committed.
+        /// The machine that committed.
         machine: Host,
-        /// Its position.
+        /// The position that it committed.
         here: Position,
-        /// The one that was committed first.
+        /// The position that was committed there first.
         there: Position,
     },
-    /// A configuration is in force that was refused or never committed.
-    #[error("order {1:?} is in force at router {0}, and was refused or never committed")]
-    LostInForce(Host, OrderId),
-    /// An order was refused that is in force at a router.
-    #[error("order {0:?} was refused, and is in force")]
-    RefusedInForce(OrderId),
-    /// A router went back.
+    /// A router has a configuration in force that was rejected or never committed.
+    #[error("order {1:?} is in force at router {0}, and was rejected or never committed")]
+    UncommittedInForce(Host, OrderId),
+    /// An order was rejected that is in force at a router.
+    #[error("order {0:?} was rejected, and is in force")]
+    RejectedInForce(OrderId),
+    /// A router replaced its configuration by an older one.
     #[error("router {router} went from version {from} to {to}")]
-    RouterWentBack {
+    RouterVersionRegressed {
         /// The router.
         router: Host,
-        /// What it had in force.
+        /// Version that it had in force.
         from: u64,
-        /// What it has.
+        /// Version that it has in force now.
         to: u64,
     },
-    /// A configuration was handed to a starting router as current, and was old.
+    /// A starting router was served an old configuration as the current one.
     #[error(
-        "router {router} was handed version {handed} as current, and {known} had been in force for long"
+        "router {router} was served version {served} as current, and {known} had been acknowledged long before"
     )]
-    HandedOld {
+    StaleConfigurationServed {
         /// The router.
         router: Host,
-        /// What it was handed.
-        handed: u64,
-        /// What had been acknowledged.
+        /// Version that it was served.
+        served: u64,
+        /// Newest version that had been acknowledged long enough before.
         known: u64,
     },
-    /// An acknowledged order is not there at the end.
-    #[error("order {0:?} was acknowledged, and is gone")]
-    Lost(OrderId),
-    /// An order had no acknowledgement in time though the core was stable.
+    /// An acknowledged order is missing from the state at the end.
+    #[error("order {0:?} was acknowledged, and is missing")]
+    AcknowledgedOrderLost(OrderId),
+    /// An order was not acknowledged in time though the core was stable (milliseconds).
     #[error("order {0:?} has waited {1} ms with a stable core")]
     OrderOverdue(OrderId, u64),
     /// A router lacks an acknowledged change though the core was stable.
@@ -100,113 +101,113 @@
         router: Host,
         /// What it has in force.
         has: Option<u64>,
-        /// What it lacks.
+        /// Acknowledged version that it lacks.
         lacks: u64,
-        /// For how long (milliseconds).
+        /// Time since the acknowledgement, in milliseconds.
         ago: u64,
     },
     /// A process can't read its own disk.
     #[error("{0} can't read its disk: {1}")]
     DiskUnreadable(Host, String),
-    /// A process wakes again and again without need.
+    /// A process wakes again and again with nothing to do.
     #[error("{0} was woken {1} times in 100 ms")]
-    Spins(Host, u32),
-    /// The read at the end gave nothing.
+    ExcessiveWakes(Host, u32),
+    /// No committed state could be read at the end.
     #[error("nothing could be read back at the end")]
-    NothingReadBack,
+    FinalReadFailed,
     /// A member did not catch up within the bound.
-    #[error("{machine} stands at {stands:?}, and the group at {group:?}")]
-    NotCaughtUp {
+    #[error("{machine} has committed {committed_here:?}, and the group {group:?}")]
+    MemberNotCaughtUp {
         /// The machine.
         machine: Host,
-        /// Where it stands.
-        stands: Option<Position>,
-        /// Where the group stands.
+        /// The position committed at the machine.
+        committed_here: Option<Position>,
+        /// The position committed at the primary.
         group: Option<Position>,
     },
 }
 
-/// An order, and what was told about it.
+/// An order, and the responses to it so far.
 #[derive(Clone, Debug)]
 pub struct OrderEntry {
     /// The order.
     pub order: Order,
     digest: OrderDigest,
-    /// Version that it brings.
+    /// Version of the configuration once the order is applied.
     pub version: u64,
-    proper: bool,
+    valid: bool,
     /// When it was sent first.
     pub sent_at: Option<Time>,
     /// When it was acknowledged first.
     pub acknowledged_at: Option<Time>,
-    refused: bool,
+    rejected: bool,
 }
 
-/// What a call asks.
+/// What a call requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asked {
-    /// To take an order.
+pub enum CallPurpose {
+    /// To apply an order.
     Order(OrderId),
-    /// For the newest configuration.
+    /// To return the newest configuration.
     Describe,
 }
 
 #[derive(Clone, Debug)]
 struct OpenCall {
-    asked: Asked,
-    /// Version that had been told when it was sent.
+    purpose: CallPurpose,
+    /// Newest version that had been reported when the call was sent.
     known: u64,
 }
 
-/// All that was told.
+/// What was answered and committed, and the violations found in it.
 #[derive(Debug, Default)]
-pub struct Ledger {
+pub struct Oracle {
     orders: Vec<OrderEntry>,
     calls: BTreeMap<CallId, OpenCall>,
     by_base: BTreeMap<u64, OrderId>,
     /// Highest version that was acknowledged or described.
-    told: u64,
+    newest_reported: u64,
     /// Versions that were acknowledged, with the time; both rise.
     acknowledged: Vec<(Time, u64)>,
     committed: BTreeMap<u64, (Position, u64)>,
     documents: BTreeMap<u64, u64>,
     in_force: BTreeSet<OrderId>,
-    /// What was broken, in order.
+    /// Rules that were broken, in order.
     pub violations: Vec<Violation>,
-    /// Answers given, by status; 0: a connection ended without one.
+    /// Responses by HTTP status; 0: the connection closed without one.
     pub answers: BTreeMap<u16, u64>,
 }
 
-impl Ledger {
-    /// A new order, made by its number.
+impl Oracle {
+    /// Registers a new order, which `make` builds from its id; returns the id.
     pub fn register(
         &mut self,
-        proper: bool,
+        valid: bool,
         version: u64,
         make: impl FnOnce(OrderId) -> Order,
     ) -> OrderId {
         let id = OrderId(self.orders.len() as u32);
         let order = make(id);
         let digest = order.digest();
-        let (sent_at, acknowledged_at, refused) = (None, None, false);
+        let (sent_at, acknowledged_at, rejected) = (None, None, false);
         self.orders.push(OrderEntry {
             order,
             digest,
             version,
-            proper,
+            valid,
             sent_at,
             acknowledged_at,
-            refused,
+            rejected,
         });
         id
     }
 
-    /// An order.
+    /// The entry of an order.
     pub fn order(&self, id: OrderId) -> &OrderEntry {
         &self.orders[id.0 as usize]
     }
 
-    /// All orders.
+    /// All orders, in the order of registration.
     pub fn orders(&self) -> impl Iterator<Item = (OrderId, &OrderEntry)> {
         self.orders
             .iter()
@@ -214,21 +215,21 @@
             .map(|(number, entry)| (OrderId(number as u32), entry))
     }
 
-    /// A call is sent.
-    pub fn on_call(&mut self, now: Time, id: CallId, asked: Asked) {
-        if let Asked::Order(order) = asked {
+    /// Records a call that is being sent.
+    pub fn on_call(&mut self, now: Time, id: CallId, purpose: CallPurpose) {
+        if let CallPurpose::Order(order) = purpose {
             self.orders[order.0 as usize].sent_at.get_or_insert(now);
         }
         self.calls.insert(
             id,
             OpenCall {
-                asked,
-                known: self.told,
+                purpose,
+                known: self.newest_reported,
             },
         );
     }
 
-    /// A control machine ends a call; whether it acknowledges an order.
+    /// Records a control machine's response to a call; returns whether it acknowledges an order.
     pub fn on_reply(&mut self, now: Time, machine: Host, id: CallId, reply: &Reply) -> bool {
         let Some(call) = self.calls.remove(&id) else {
             return false;
@@ -238,71 +239,73 @@
             Reply::Closed => (0, &[]),
         };
         *self.answers.entry(status).or_default() += 1;
-        match (call.asked, status) {
-            (Asked::Order(order), 200) => self.on_acknowledged(now, order),
-            (Asked::Order(order), 400..=499) => self.on_refused(order, status),
-            (Asked::Describe, 200) => self.on_described(machine, call.known, body),
+        match (call.purpose, status) {
+            (CallPurpose::Order(order), 200) => self.on_acknowledged(now, order),
+            (CallPurpose::Order(order), 400..=499) => self.on_rejected(order, status),
+            (CallPurpose::Describe, 200) => self.on_described(machine, call.known, body),
             _ => {}
         }
-        matches!((call.asked, status), (Asked::Order(_), 200))
+        matches!((call.purpose, status), (CallPurpose::Order(_), 200))
     }
 
     fn on_acknowledged(&mut self, now: Time, id: OrderId) {
         let entry = &mut self.orders[id.0 as usize];
         let (base, version) = (entry.order.base_version, entry.version);
-        if !entry.proper {
-            self.violations.push(Violation::InvalidAcknowledged(id));
+        if !entry.valid {
+            self.violations
+                .push(Violation::InvalidOrderAcknowledged(id));
         }
-        if entry.refused {
+        if entry.rejected {
             self.violations
-                .push(Violation::AcknowledgedAndRefused(id, 412));
+                .push(Violation::AcknowledgedAndRejected(id, 412));
         }
         if entry.acknowledged_at.is_none() {
             entry.acknowledged_at = Some(now);
-            if version > self.told_acknowledged() {
+            if version > self.newest_acknowledged() {
                 self.acknowledged.push((now, version));
             }
         }
-        self.told = self.told.max(version);
+        self.newest_reported = self.newest_reported.max(version);
         let first = *self.by_base.entry(base).or_insert(id);
         if first != id {
             self.violations
-                .push(Violation::TwoOnOneBase(first, id, base));
+                .push(Violation::ConflictingOrdersAcknowledged(first, id, base));
         }
     }
 
-    fn on_refused(&mut self, id: OrderId, status: u16) {
+    fn on_rejected(&mut self, id: OrderId, status: u16) {
         let entry = &mut self.orders[id.0 as usize];
-        entry.refused = true;
+        entry.rejected = true;
         if entry.acknowledged_at.is_some() {
             self.violations
-                .push(Violation::AcknowledgedAndRefused(id, status));
+                .push(Violation::AcknowledgedAndRejected(id, status));
         }
-        if entry.proper && status != 412 {
-            self.violations.push(Violation::ProperRefused(id, status));
+        if entry.valid && status != 412 {
+            self.violations
+                .push(Violation::ValidOrderRejected(id, status));
         }
         if self.in_force.contains(&id) {
-            self.violations.push(Violation::RefusedInForce(id));
+            self.violations.push(Violation::RejectedInForce(id));
         }
     }
 
     fn on_described(&mut self, machine: Host, known: u64, body: &[u8]) {
-        let told = version_of(body).unwrap_or(0);
-        if told < known {
-            self.violations.push(Violation::DescribeOld {
+        let returned = version_of(body).unwrap_or(0);
+        if returned < known {
+            self.violations.push(Violation::StaleDescribe {
                 machine,
-                told,
+                returned,
                 known,
             });
         }
-        if self.documents.get(&told) != Some(&hash(body)) {
+        if self.documents.get(&returned) != Some(&hash(body)) {
             self.violations
-                .push(Violation::DescribeForeign(machine, told));
+                .push(Violation::UncommittedDescribe(machine, returned));
         }
-        self.told = self.told.max(told);
+        self.newest_reported = self.newest_reported.max(returned);
     }
 
-    /// A control machine knows a position as committed.
+    /// Records and checks a position that a control machine considers committed.
     pub fn on_committed(&mut self, machine: Host, position: Position, replicated: &Replicated) {
         let digest = hash(&replicated.encode());
         let (there, first) = *self
@@ -311,7 +314,7 @@
             .or_insert((position, digest));
         if there != position || first != digest {
             let (number, here) = (position.number, position);
-            self.violations.push(Violation::TwoStates {
+            self.violations.push(Violation::DivergentCommit {
                 number,
                 machine,
                 here,
@@ -325,7 +328,7 @@
         }
     }
 
-    /// A router has put a configuration in force.
+    /// Checks a configuration that a router puts in force; `before`: the version it had in force.
     pub fn on_in_force(&mut self, router: Host, before: Option<u64>, document: &[u8]) {
         let (Some(to), Some(order)) = (version_of(document), order_of(document)) else {
             return;
@@ -333,23 +336,24 @@
         self.in_force.insert(order);
         if let Some(from) = before.filter(|from| *from > to) {
             self.violations
-                .push(Violation::RouterWentBack { router, from, to });
+                .push(Violation::RouterVersionRegressed { router, from, to });
         }
         let committed = self.documents.get(&to) == Some(&hash(document));
-        if self.order(order).refused || !committed {
-            self.violations.push(Violation::LostInForce(router, order));
+        if self.order(order).rejected || !committed {
+            self.violations
+                .push(Violation::UncommittedInForce(router, order));
         }
     }
 
-    /// A starting router was handed a configuration as current by a machine that said it was in
-    /// contact.
-    pub fn on_handed_as_current(&mut self, router: Host, document: &[u8], long_ago: Time) {
-        let handed = version_of(document).unwrap_or(0);
-        let known = self.acknowledged_before(long_ago);
-        if handed < known {
-            self.violations.push(Violation::HandedOld {
+    /// Checks a configuration that a machine in contact served to a starting router as current: it
+    /// may not be older than what was acknowledged by `acknowledged_by`.
+    pub fn on_served_as_current(&mut self, router: Host, document: &[u8], acknowledged_by: Time) {
+        let served = version_of(document).unwrap_or(0);
+        let known = self.acknowledged_before(acknowledged_by);
+        if served < known {
+            self.violations.push(Violation::StaleConfigurationServed {
                 router,
-                handed,
+                served,
                 known,
             });
         }
@@ -377,22 +381,22 @@
     }
 
     /// Newest version that was acknowledged.
-    pub fn told_acknowledged(&self) -> u64 {
+    pub fn newest_acknowledged(&self) -> u64 {
         self.acknowledged.last().map_or(0, |last| last.1)
     }
 
-    /// Judges the state that the group holds at the end.
+    /// Checks that the group's final state includes every acknowledged order.
     pub fn check_end(&mut self, state: &State) {
-        let lost = |entry: &OrderEntry| {
+        let is_lost = |entry: &OrderEntry| {
             entry.acknowledged_at.is_some() && !state.has_applied(&entry.digest)
         };
         let lost: Vec<OrderId> = self
             .orders()
-            .filter(|(_, entry)| lost(entry))
+            .filter(|(_, entry)| is_lost(entry))
             .map(|(id, _)| id)
             .collect();
         self.violations
-            .extend(lost.into_iter().map(Violation::Lost));
+            .extend(lost.into_iter().map(Violation::AcknowledgedOrderLost));
     }
 }
 
--- a/simulator/src/walk.rs
+++ b/simulator/src/walk.rs
@@ -4,8 +4,8 @@
 use fastrand::Rng;
 
 use crate::disk::DiskTrouble;
-use crate::ledger::Violation;
 use crate::network::Harm;
+use crate::oracle::Violation;
 use crate::world::{Action, CutKind, Target, World, WorldSettings};
 
 /// Before the next loss of a disk, all that was lost has been back for so many microseconds
@@ -79,14 +79,14 @@
     world.run_for(4 * SECOND + random.u64(0..2 * SECOND));
     for _ in 0..walk.episodes {
         episode(&mut world, &mut random);
-        if !world.ledger.violations.is_empty() {
+        if !world.oracle.violations.is_empty() {
             break;
         }
     }
-    if world.ledger.violations.is_empty() {
+    if world.oracle.violations.is_empty() {
         close(&mut world, &mut random);
     }
-    let violation = world.ledger.violations.first().cloned();
+    let violation = world.oracle.violations.first().cloned();
     WalkEnd { violation, world }
 }
 
--- a/simulator/src/world/around.rs
+++ b/simulator/src/world/around.rs
@@ -121,7 +121,7 @@
         let mut around = Surroundings {
             now: self.scheduler.now(),
             random: &mut self.random,
-            ledger: &mut self.ledger,
+            oracle: &mut self.oracle,
             listed: &listed,
             last_number: &mut self.last_number,
             outgoing: Vec::new(),
--- a/simulator/src/world/check.rs
+++ b/simulator/src/world/check.rs
@@ -9,8 +9,8 @@
 use crate::callers::APPLY_BOUND;
 use crate::disk::DiskTrouble;
 use crate::documents::OrderId;
-use crate::ledger::Violation;
 use crate::network::Host;
+use crate::oracle::Violation;
 
 /// The core is stable so many microseconds after the last trouble (`contactMs`).
 pub(super) const CONTACT: u64 = 3_000_000;
@@ -59,7 +59,9 @@
     fn check_wakes(&mut self) {
         for (host, times) in std::mem::take(&mut self.woken) {
             if times > MOST_WAKES && self.settings.judges_wakes {
-                self.ledger.violations.push(Violation::Spins(host, times));
+                self.oracle
+                    .violations
+                    .push(Violation::ExcessiveWakes(host, times));
             }
         }
         debug_assert_eq!(CHECK_INTERVAL, 100_000, "the bound is for 100 ms");
@@ -108,8 +110,8 @@
 
     fn check_orders(&mut self, stable_since: Time, majority: &BTreeSet<Host>) {
         let now = self.now();
-        let whole = majority.len() == self.core().len();
-        let bound = if whole {
+        let is_complete = majority.len() == self.core().len();
+        let bound = if is_complete {
             ACKNOWLEDGE_BOUND
         } else {
             ACKNOWLEDGE_BOUND_IN_TROUBLE
@@ -125,7 +127,7 @@
         });
         let overdue: Vec<(OrderId, u64)> = overdue.collect();
         for (order, waited) in overdue {
-            self.ledger
+            self.oracle
                 .violations
                 .push(Violation::OrderOverdue(order, waited));
         }
@@ -140,9 +142,9 @@
             .filter(|(host, _)| self.in_touch(**host, majority))
         {
             let has = router.version();
-            let lacks = self.ledger.acknowledged_before(Time(now.0 - APPLY_BOUND));
+            let lacks = self.oracle.acknowledged_before(Time(now.0 - APPLY_BOUND));
             let missing = lacks > has.unwrap_or(0);
-            let Some(acknowledged) = self.ledger.acknowledged_at(lacks).filter(|_| missing) else {
+            let Some(acknowledged) = self.oracle.acknowledged_at(lacks).filter(|_| missing) else {
                 continue;
             };
             let ago = now.since(acknowledged.max(stable_since).max(router.started));
@@ -155,7 +157,7 @@
                 });
             }
         }
-        self.ledger.violations.extend(late);
+        self.oracle.violations.extend(late);
     }
 
     /// A member that the primary reaches, and whose disk is well, holds what is committed, but for
@@ -176,17 +178,18 @@
             .filter(|host| self.reaches_both_ways(*host, primary));
         for machine in core.collect::<Vec<Host>>() {
             let well = self.machines[&machine].disk.trouble() == DiskTrouble::None;
-            let stands = self.status(machine).and_then(|status| status.committed);
-            let behind = number.saturating_sub(stands.map_or(0, |position| position.number));
+            let committed_here = self.status(machine).and_then(|status| status.committed);
+            let behind =
+                number.saturating_sub(committed_here.map_or(0, |position| position.number));
             if well && behind > 2 {
-                late.push(Violation::NotCaughtUp {
+                late.push(Violation::MemberNotCaughtUp {
                     machine,
-                    stands,
+                    committed_here,
                     group,
                 });
             }
         }
-        self.ledger.violations.extend(late);
+        self.oracle.violations.extend(late);
     }
 
     /// Runs until the core is stable, then judges what the group holds.
@@ -196,24 +199,24 @@
             .values_mut()
             .for_each(crate::callers::Operator::stop);
         self.run_for(ACKNOWLEDGE_BOUND + APPLY_BOUND);
-        if !self.ledger.violations.is_empty() {
+        if !self.oracle.violations.is_empty() {
             return;
         }
-        let held = self.primary().and_then(|host| self.committed(host));
-        match held.map(|(_, replicated)| replicated.state().clone()) {
+        let committed = self.primary().and_then(|host| self.committed(host));
+        match committed.map(|(_, replicated)| replicated.state().clone()) {
             Some(state) => self.check_state(&state),
-            None => self.ledger.violations.push(Violation::NothingReadBack),
+            None => self.oracle.violations.push(Violation::FinalReadFailed),
         }
     }
 
     fn check_state(&mut self, state: &State) {
-        self.ledger.check_end(state);
-        let (told, version) = (self.ledger.told_acknowledged(), state.version());
-        if version < told {
-            self.ledger.violations.push(Violation::DescribeOld {
+        self.oracle.check_end(state);
+        let (newest_acknowledged, version) = (self.oracle.newest_acknowledged(), state.version());
+        if version < newest_acknowledged {
+            self.oracle.violations.push(Violation::StaleDescribe {
                 machine: Host(0),
-                told: version,
-                known: told,
+                returned: version,
+                known: newest_acknowledged,
             });
         }
     }
--- a/simulator/src/world/machines.rs
+++ b/simulator/src/world/machines.rs
@@ -9,8 +9,8 @@
 use super::{Event, World, FIRST_MACHINE};
 use crate::control::{ControlProcess, Effect, Replicated};
 use crate::disk::Finished;
-use crate::ledger::Violation;
 use crate::network::{Arrival, Host};
+use crate::oracle::Violation;
 use crate::packet::{CallId, Packet, Reply};
 
 /// Zones of the machines.
@@ -109,7 +109,7 @@
             Ok(replica) => replica,
             Err(reason) => {
                 return self
-                    .ledger
+                    .oracle
                     .violations
                     .push(Violation::DiskUnreadable(host, reason.to_string()))
             }
@@ -367,7 +367,7 @@
     /// Ends a call; where the machine has no power, nobody hears of it.
     pub(super) fn reply(&mut self, host: Host, id: CallId, reply: Reply, dark: bool) {
         let now = self.now();
-        let acknowledged = self.ledger.on_reply(now, host, id, &reply);
+        let acknowledged = self.oracle.on_reply(now, host, id, &reply);
         let caller = self.caller_of(id);
         if let Some(caller) = caller.filter(|_| !dark && !self.replies_lost) {
             self.send(host, caller, Packet::Reply(id, reply), false);
@@ -391,7 +391,7 @@
             .committed()
             .filter(|(here, _)| *here == position)
         {
-            self.ledger.on_committed(host, here, replicated);
+            self.oracle.on_committed(host, here, replicated);
         }
     }
 
--- a/simulator/src/world/mod.rs
+++ b/simulator/src/world/mod.rs
@@ -16,8 +16,8 @@
 use self::machine::Machine;
 use crate::callers::{Operator, Pace, Reader, Router};
 use crate::control::GlueFaults;
-use crate::ledger::Ledger;
 use crate::network::{Arrival, CutId, Host, Network};
+use crate::oracle::Oracle;
 use crate::packet::Packet;
 use crate::scheduler::Scheduler;
 
@@ -126,8 +126,8 @@
 pub struct World {
     /// What it consists of.
     pub settings: WorldSettings,
-    /// What was told, and what was broken.
-    pub ledger: Ledger,
+    /// What was answered, and which rules were broken.
+    pub oracle: Oracle,
     /// What was counted.
     pub counts: Counts,
     scheduler: Scheduler<Event>,
@@ -163,7 +163,7 @@
         let mut random = Rng::with_seed(settings.seed);
         let network = Network::new(random.u64(..));
         let mut world = Self {
-            ledger: Ledger::default(),
+            oracle: Oracle::default(),
             counts: Counts::default(),
             scheduler: Scheduler::new(BEGIN),
             random,
@@ -201,7 +201,7 @@
     /// Runs for so many microseconds, or until a rule is broken.
     pub fn run_for(&mut self, microseconds: u64) {
         let until = self.now().after(microseconds);
-        while self.ledger.violations.is_empty() {
+        while self.oracle.violations.is_empty() {
             let Some(event) = self.scheduler.next(until) else {
                 return;
             };
--- a/simulator/tests/common/mod.rs
+++ b/simulator/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! What the tests of the five points share.
 #![allow(dead_code)]
 
-use lichenswitch_simulator::ledger::Violation;
+use lichenswitch_simulator::oracle::Violation;
 use lichenswitch_simulator::world::{Action, CutKind, Target, World, WorldSettings};
 
 /// A second of virtual time.
@@ -29,14 +29,14 @@
 ) {
     for seed in seeds {
         let world = scenario(settings(seed, change));
-        if let Some(violation) = world.ledger.violations.first() {
+        if let Some(violation) = world.oracle.violations.first() {
             show(scenario(WorldSettings {
                 trace: true,
                 ..settings(seed, change)
             }));
             panic!("seed {seed}: {violation}");
         }
-        let acknowledged = world.ledger.acknowledgements().len();
+        let acknowledged = world.oracle.acknowledgements().len();
         assert!(
             acknowledged > 20,
             "seed {seed}: only {acknowledged} changes were acknowledged"
@@ -63,7 +63,7 @@
 pub fn acknowledged_between(world: &World, from: u64, to: u64) -> usize {
     let within = |at: u64| (from * SECOND..to * SECOND).contains(&at);
     world
-        .ledger
+        .oracle
         .acknowledgements()
         .iter()
         .filter(|(at, _)| within(at.0))
@@ -78,7 +78,7 @@
 ) -> Violation {
     let found = seeds.clone().find_map(|seed| {
         let violation = scenario(settings(seed, plant))
-            .ledger
+            .oracle
             .violations
             .first()
             .cloned()?;
--- a/simulator/tests/point_3.rs
+++ b/simulator/tests/point_3.rs
@@ -34,7 +34,7 @@
     world.run_for(3 * SECOND);
     for _ in 0..20 {
         let since = world.now().since(world.last_trouble());
-        if since >= CATCH_UP || !world.ledger.violations.is_empty() {
+        if since >= CATCH_UP || !world.oracle.violations.is_empty() {
             return;
         }
         world.run_for(CATCH_UP - since);
@@ -64,7 +64,7 @@
     for first in REPAIRS {
         for second in REPAIRS {
             let world = repaired(settings.clone(), &[first, second], targets);
-            if let Some(violation) = world.ledger.violations.first() {
+            if let Some(violation) = world.oracle.violations.first() {
                 println!("{first:?} then {second:?}: {violation}");
                 return world;
             }
