--- a/simulator/src/callers/mod.rs
+++ b/simulator/src/callers/mod.rs
@@ -1,4 +1,4 @@
-//! Who calls the control machines from outside: operators, readers, routers.
+//! Callers of the control machines: operators, readers, routers.
 
 mod operator;
 mod reader;
@@ -9,33 +9,33 @@
 
 pub use self::operator::{Operator, Pace};
 pub use self::reader::Reader;
-pub use self::router::{Router, APPLY_BOUND};
+pub use self::router::{Router, APPLY_BOUND_US};
 use crate::network::Host;
 use crate::oracle::Oracle;
 use crate::packet::{CallId, ConnectionId, Packet};
 
-/// A caller goes on to another machine after so many microseconds of silence.
-pub const CALL_TIMEOUT: u64 = 1_000_000;
+/// Microseconds without a response after which a caller tries another machine.
+pub const CALL_TIMEOUT_US: u64 = 1_000_000;
 
-/// What a caller may use while it acts.
-pub struct Surroundings<'a> {
+/// What a caller may use while it handles an event.
+pub struct CallerContext<'a> {
     /// The time.
     pub now: Time,
     /// Random numbers.
     pub random: &'a mut Rng,
     /// Where orders are registered and calls are noted.
     pub oracle: &'a mut Oracle,
-    /// The control machines on the operators' list, which lags.
+    /// The control machines on the callers' list, which lags behind the group.
     pub listed: &'a [Host],
     /// Last number of a call or connection.
     pub last_number: &'a mut u64,
-    /// What is to be sent, and where.
+    /// Packets to send, with their destinations.
     pub outgoing: Vec<(Host, Packet)>,
     /// For the trace.
     pub notes: Vec<String>,
 }
 
-impl Surroundings<'_> {
+impl CallerContext<'_> {
     fn new_call(&mut self) -> CallId {
         *self.last_number += 1;
         CallId(*self.last_number)
--- a/simulator/src/callers/operator.rs
+++ b/simulator/src/callers/operator.rs
@@ -4,15 +4,15 @@
 use lichenswitch_messages::RelayedCall;
 use lichenswitch_replication::Time;
 
-use super::{Surroundings, CALL_TIMEOUT};
+use super::{CallerContext, CALL_TIMEOUT_US};
 use crate::documents::{self, version_of, OrderId};
 use crate::network::Host;
 use crate::oracle::CallPurpose;
 use crate::packet::{CallId, Packet, Reply};
 
-/// Least pause after a failure, in microseconds; it doubles to [`MOST_BACKOFF`].
-const LEAST_BACKOFF: u64 = 30_000;
-const MOST_BACKOFF: u64 = 400_000;
+/// Least pause after a failure, in microseconds; it doubles to [`MAX_BACKOFF_US`].
+const MIN_BACKOFF_US: u64 = 30_000;
+const MAX_BACKOFF_US: u64 = 400_000;
 
 /// How fast an operator works, and what it sends.
 #[derive(Clone, Copy, Debug)]
@@ -88,7 +88,7 @@
             task_since: begins_at,
             in_flight: None,
             wake_at: begins_at,
-            backoff: LEAST_BACKOFF,
+            backoff: MIN_BACKOFF_US,
             last: None,
             first: None,
             taken: Vec::new(),
@@ -111,13 +111,13 @@
         self.stopped = true;
     }
 
-    /// Whether nothing is at hand.
-    pub fn rests(&self) -> bool {
+    /// Whether it has no task in progress.
+    pub fn is_idle(&self) -> bool {
         self.task == Task::Rest
     }
 
-    /// The order that waits for its first clear answer, and since when.
-    pub fn waits(&self) -> Option<(OrderId, Time)> {
+    /// The order in progress that has had no definite response, and when it was first sent.
+    pub fn pending_order(&self) -> Option<(OrderId, Time)> {
         match self.task {
             Task::Order(id) => Some((id, self.task_since)),
             Task::Rest | Task::Describe => None,
@@ -126,50 +126,51 @@
 
     /// When [`Self::on_wake`] has something to do.
     pub fn next_wake(&self) -> Time {
-        self.in_flight
-            .map_or(self.wake_at, |in_flight| in_flight.sent.after(CALL_TIMEOUT))
+        self.in_flight.map_or(self.wake_at, |in_flight| {
+            in_flight.sent.after(CALL_TIMEOUT_US)
+        })
     }
 
     /// Time has passed.
-    pub fn on_wake(&mut self, around: &mut Surroundings<'_>) {
-        let silent = self
+    pub fn on_wake(&mut self, context: &mut CallerContext<'_>) {
+        let timed_out = self
             .in_flight
-            .is_some_and(|in_flight| around.now.since(in_flight.sent) >= CALL_TIMEOUT);
-        if silent {
+            .is_some_and(|in_flight| context.now.since(in_flight.sent) >= CALL_TIMEOUT_US);
+        if timed_out {
             self.in_flight = None;
-            self.wake_at = around.now;
+            self.wake_at = context.now;
         }
-        if self.in_flight.is_some() || around.now < self.wake_at {
+        if self.in_flight.is_some() || context.now < self.wake_at {
             return;
         }
         if self.task == Task::Rest {
-            self.begin(around);
+            self.begin(context);
         }
-        self.send(around);
+        self.send(context);
     }
 
-    fn begin(&mut self, around: &mut Surroundings<'_>) {
+    fn begin(&mut self, context: &mut CallerContext<'_>) {
         if self.stopped {
             self.wake_at = Time(u64::MAX);
             return;
         }
-        self.task_since = around.now;
+        self.task_since = context.now;
         self.last = None;
         self.task = match self.known {
             None => Task::Describe,
-            Some(known) => Task::Order(self.next_order(around, known)),
+            Some(known) => Task::Order(self.next_order(context, known)),
         };
     }
 
-    fn next_order(&mut self, around: &mut Surroundings<'_>, known: u64) -> OrderId {
-        let lot = around.random.u32(0..100);
-        if lot < self.pace.repeats && !self.taken.is_empty() {
-            return self.taken[around.random.usize(0..self.taken.len())];
+    fn next_order(&mut self, context: &mut CallerContext<'_>, known: u64) -> OrderId {
+        let percentile = context.random.u32(0..100);
+        if percentile < self.pace.repeats && !self.taken.is_empty() {
+            return self.taken[context.random.usize(0..self.taken.len())];
         }
-        let version = known + around.random.u64(1..=self.pace.most_step);
-        let broken = known > 0 && lot >= 100 - self.pace.invalid;
-        let whole = known == 0 || around.random.u32(0..3) == 0;
-        around
+        let version = known + context.random.u64(1..=self.pace.most_step);
+        let broken = known > 0 && percentile >= 100 - self.pace.invalid;
+        let whole = known == 0 || context.random.u32(0..3) == 0;
+        context
             .oracle
             .register(!broken, version, |id| match (broken, whole) {
                 (true, _) => documents::invalid(id, known, version),
@@ -178,12 +179,12 @@
             })
     }
 
-    fn send(&mut self, around: &mut Surroundings<'_>) {
-        let (purpose, question) = match self.task {
+    fn send(&mut self, context: &mut CallerContext<'_>) {
+        let (purpose, call_body) = match self.task {
             Task::Rest => return,
             Task::Describe => (CallPurpose::Describe, RelayedCall::Describe),
             Task::Order(id) => {
-                let order = around.oracle.order(id).order.clone();
+                let order = context.oracle.order(id).order.clone();
                 let (path, base_version, body) = (order.path, order.base_version, order.body);
                 (
                     CallPurpose::Order(id),
@@ -197,23 +198,25 @@
         };
         let first = self
             .first
-            .filter(|first| self.last.is_none() && around.listed.contains(first));
-        let Some(target) = first.or_else(|| around.another(self.last)) else {
-            self.wake_at = around.now.after(MOST_BACKOFF);
+            .filter(|first| self.last.is_none() && context.listed.contains(first));
+        let Some(target) = first.or_else(|| context.another(self.last)) else {
+            self.wake_at = context.now.after(MAX_BACKOFF_US);
             return;
         };
         self.last = Some(target);
-        let call = around.new_call();
-        around.oracle.on_call(around.now, call, purpose);
+        let call = context.new_call();
+        context.oracle.on_call(context.now, call, purpose);
         self.in_flight = Some(InFlight {
             call,
-            sent: around.now,
+            sent: context.now,
         });
-        around.outgoing.push((target, Packet::Call(call, question)));
+        context
+            .outgoing
+            .push((target, Packet::Call(call, call_body)));
     }
 
     /// A call has ended.
-    pub fn on_reply(&mut self, around: &mut Surroundings<'_>, call: CallId, reply: &Reply) {
+    pub fn on_reply(&mut self, context: &mut CallerContext<'_>, call: CallId, reply: &Reply) {
         if self
             .in_flight
             .is_none_or(|in_flight| in_flight.call != call)
@@ -222,51 +225,51 @@
         }
         self.in_flight = None;
         match (self.task, reply) {
-            (Task::Order(id), Reply::Answer { status: 200, .. }) => self.on_taken(around, id),
-            (Task::Order(_), Reply::Answer { status: 412, .. }) => self.begin_describe(around),
+            (Task::Order(id), Reply::Answer { status: 200, .. }) => self.on_taken(context, id),
+            (Task::Order(_), Reply::Answer { status: 412, .. }) => self.begin_describe(context),
             (
                 Task::Order(_),
                 Reply::Answer {
                     status: 400..=499, ..
                 },
-            ) => self.rest(around),
+            ) => self.rest(context),
             (Task::Describe, Reply::Answer { status: 200, body }) => {
                 self.known = version_of(body);
-                self.rest(around);
+                self.rest(context);
             }
-            _ => self.back_off(around),
+            _ => self.back_off(context),
         }
     }
 
-    fn on_taken(&mut self, around: &mut Surroundings<'_>, id: OrderId) {
-        self.known = self.known.max(Some(around.oracle.order(id).version));
+    fn on_taken(&mut self, context: &mut CallerContext<'_>, id: OrderId) {
+        self.known = self.known.max(Some(context.oracle.order(id).version));
         if !self.taken.contains(&id) {
             self.taken.push(id);
         }
-        self.rest(around);
+        self.rest(context);
     }
 
-    fn begin_describe(&mut self, around: &Surroundings<'_>) {
+    fn begin_describe(&mut self, context: &CallerContext<'_>) {
         self.task = Task::Describe;
-        self.backoff = LEAST_BACKOFF;
-        self.wake_at = around.now;
+        self.backoff = MIN_BACKOFF_US;
+        self.wake_at = context.now;
     }
 
-    fn rest(&mut self, around: &mut Surroundings<'_>) {
+    fn rest(&mut self, context: &mut CallerContext<'_>) {
         self.task = Task::Rest;
-        self.backoff = LEAST_BACKOFF;
-        let rest = around
+        self.backoff = MIN_BACKOFF_US;
+        let rest = context
             .random
             .u64(self.pace.least_rest..=self.pace.most_rest);
-        let at = around.now.after(rest);
+        let at = context.now.after(rest);
         let step = self.pace.in_step.max(1);
         self.wake_at = Time(at.0.div_ceil(step) * step);
     }
 
-    fn back_off(&mut self, around: &mut Surroundings<'_>) {
-        self.wake_at = around
+    fn back_off(&mut self, context: &mut CallerContext<'_>) {
+        self.wake_at = context
             .now
-            .after(self.backoff / 2 + around.random.u64(0..=self.backoff / 2));
-        self.backoff = (self.backoff * 2).min(MOST_BACKOFF);
+            .after(self.backoff / 2 + context.random.u64(0..=self.backoff / 2));
+        self.backoff = (self.backoff * 2).min(MAX_BACKOFF_US);
     }
 }
--- a/simulator/src/callers/router.rs
+++ b/simulator/src/callers/router.rs
@@ -6,32 +6,32 @@
 };
 use lichenswitch_replication::Time;
 
-use super::Surroundings;
+use super::CallerContext;
 use crate::documents::version_of;
 use crate::network::Host;
 use crate::packet::{ConnectionId, Packet};
 
-/// A control machine that is silent or without contact for so many microseconds is left.
-const SILENCE: u64 = 700_000;
-/// A router that starts takes an unconfirmed configuration after so many microseconds.
-const UNCONFIRMED_AFTER: u64 = 3_000_000;
-/// Between two connections, in microseconds.
-const RETRY: u64 = 50_000;
+/// Microseconds without a heartbeat in contact after which a router leaves its control machine.
+const CONTACT_TIMEOUT_US: u64 = 700_000;
+/// Microseconds after its start from which a router applies an unconfirmed configuration.
+const UNCONFIRMED_APPLY_DELAY_US: u64 = 3_000_000;
+/// Between closing a connection and opening the next, in microseconds.
+const RECONNECT_DELAY_US: u64 = 50_000;
 /// A configuration that was acknowledged so many microseconds ago is to be in force
 /// (`configApplyMs`).
-pub const APPLY_BOUND: u64 = 2_000_000;
+pub const APPLY_BOUND_US: u64 = 2_000_000;
 
 #[derive(Debug)]
 struct Connection {
     id: ConnectionId,
     to: Host,
     in_contact: bool,
-    /// When it was last heard to be in contact; when it was made, before that.
-    good_at: Time,
+    /// When the last heartbeat in contact arrived; before the first, when the connection was made.
+    last_in_contact_at: Time,
 }
 
 #[derive(Clone, Debug)]
-struct Held {
+struct ReceivedConfiguration {
     position: ConfigurationPosition,
     version: u64,
     document: Vec<u8>,
@@ -41,15 +41,15 @@
 #[derive(Debug)]
 pub struct Router {
     host: Host,
-    /// When this life of its process began.
+    /// When this process started.
     pub started: Time,
     connection: Option<Connection>,
     retry_at: Time,
     last: Option<Host>,
     first: Option<Host>,
-    in_force: Option<Held>,
+    in_force: Option<ReceivedConfiguration>,
     /// What it was offered without contact, while it had nothing, and on which connection.
-    offered: Option<(ConnectionId, Held)>,
+    offered: Option<(ConnectionId, ReceivedConfiguration)>,
     /// Configurations that were put in force.
     pub applied: u64,
 }
@@ -72,7 +72,9 @@
 
     /// The version in force.
     pub fn version(&self) -> Option<u64> {
-        self.in_force.as_ref().map(|held| held.version)
+        self.in_force
+            .as_ref()
+            .map(|configuration| configuration.version)
     }
 
     /// The control machine that it is connected to.
@@ -84,65 +86,68 @@
     pub fn next_wake(&self) -> Time {
         let connection = self.connection.as_ref();
         let wake = connection.map_or(self.retry_at, |connection| {
-            connection.good_at.after(SILENCE)
+            connection.last_in_contact_at.after(CONTACT_TIMEOUT_US)
         });
         match self.offered {
-            Some(_) => wake.min(self.started.after(UNCONFIRMED_AFTER)),
+            Some(_) => wake.min(self.started.after(UNCONFIRMED_APPLY_DELAY_US)),
             None => wake,
         }
     }
 
     /// Time has passed.
-    pub fn on_wake(&mut self, around: &mut Surroundings<'_>) {
+    pub fn on_wake(&mut self, context: &mut CallerContext<'_>) {
         let bad = self
             .connection
             .as_ref()
-            .filter(|c| around.now.since(c.good_at) >= SILENCE);
+            .filter(|c| context.now.since(c.last_in_contact_at) >= CONTACT_TIMEOUT_US);
         if let Some((id, to)) = bad.map(|connection| (connection.id, connection.to)) {
-            around
+            context
                 .notes
                 .push(format!("leaves {to}: silent or without contact"));
-            around.outgoing.push((to, Packet::FromRouter(id, None)));
-            self.close(around.now);
+            context.outgoing.push((to, Packet::FromRouter(id, None)));
+            self.close(context.now);
         }
-        if around.now.since(self.started) >= UNCONFIRMED_AFTER {
+        if context.now.since(self.started) >= UNCONFIRMED_APPLY_DELAY_US {
             if let Some((_, offered)) = self.offered.take() {
-                self.apply(around, offered);
+                self.apply(context, offered);
             }
         }
-        if self.connection.is_none() && around.now >= self.retry_at {
-            self.connect(around);
+        if self.connection.is_none() && context.now >= self.retry_at {
+            self.connect(context);
         }
     }
 
     fn close(&mut self, now: Time) {
         self.connection = None;
-        self.retry_at = now.after(RETRY);
+        self.retry_at = now.after(RECONNECT_DELAY_US);
     }
 
-    fn connect(&mut self, around: &mut Surroundings<'_>) {
-        self.retry_at = around.now.after(RETRY);
+    fn connect(&mut self, context: &mut CallerContext<'_>) {
+        self.retry_at = context.now.after(RECONNECT_DELAY_US);
         let first = self.first.take();
-        let Some(to) = first.or_else(|| around.another(self.last)) else {
+        let Some(to) = first.or_else(|| context.another(self.last)) else {
             return;
         };
         self.last = Some(to);
-        around.notes.push(format!("connects to {to}"));
-        let id = around.new_connection();
+        context.notes.push(format!("connects to {to}"));
+        let id = context.new_connection();
         self.connection = Some(Connection {
             id,
             to,
             in_contact: false,
-            good_at: around.now,
+            last_in_contact_at: context.now,
         });
         let hello = RouterToControl::Hello {
             protocol_version: PROTOCOL_VERSION,
             node_name: self.host.to_string(),
             zone: String::new(),
             process: u64::from(self.host.0),
-            configuration: self.in_force.as_ref().map(|held| held.position),
+            configuration: self
+                .in_force
+                .as_ref()
+                .map(|configuration| configuration.position),
         };
-        around
+        context
             .outgoing
             .push((to, Packet::FromRouter(id, Some(hello))));
     }
@@ -150,7 +155,7 @@
     /// The control machine has said something, or closed the connection.
     pub fn on_message(
         &mut self,
-        around: &mut Surroundings<'_>,
+        context: &mut CallerContext<'_>,
         id: ConnectionId,
         message: Option<ControlToRouter>,
     ) {
@@ -162,12 +167,12 @@
             return;
         };
         match message {
-            None => self.close(around.now),
+            None => self.close(context.now),
             Some(ControlToRouter::Heartbeat { in_contact, .. }) => {
                 connection.in_contact = in_contact;
                 if in_contact {
-                    connection.good_at = around.now;
-                    self.take_offered(around);
+                    connection.last_in_contact_at = context.now;
+                    self.take_offered(context);
                 }
             }
             Some(ControlToRouter::Configuration {
@@ -175,8 +180,8 @@
             }) => {
                 let version = version_of(&document).unwrap_or(0);
                 self.on_configuration(
-                    around,
-                    Held {
+                    context,
+                    ReceivedConfiguration {
                         position,
                         version,
                         document,
@@ -187,71 +192,79 @@
         }
     }
 
-    fn on_configuration(&mut self, around: &mut Surroundings<'_>, held: Held) {
+    fn on_configuration(
+        &mut self,
+        context: &mut CallerContext<'_>,
+        configuration: ReceivedConfiguration,
+    ) {
         let newer = self
             .in_force
             .as_ref()
-            .is_none_or(|before| before.position < held.position);
+            .is_none_or(|before| before.position < configuration.position);
         let in_contact = self
             .connection
             .as_ref()
             .is_some_and(|connection| connection.in_contact);
-        let late = around.now.since(self.started) >= UNCONFIRMED_AFTER;
+        let late = context.now.since(self.started) >= UNCONFIRMED_APPLY_DELAY_US;
         if !newer {
             return;
         }
         if self.in_force.is_none() && !in_contact && !late {
-            return self.keep_offer(held);
+            return self.store_offer(configuration);
         }
         if self.in_force.is_none() && in_contact {
-            let acknowledged_by = Time(around.now.0.saturating_sub(APPLY_BOUND));
-            around
-                .oracle
-                .on_served_as_current(self.host, &held.document, acknowledged_by);
+            let acknowledged_by = Time(context.now.0.saturating_sub(APPLY_BOUND_US));
+            context.oracle.on_served_as_current(
+                self.host,
+                &configuration.document,
+                acknowledged_by,
+            );
         }
-        self.apply(around, held);
+        self.apply(context, configuration);
     }
 
-    fn keep_offer(&mut self, held: Held) {
+    fn store_offer(&mut self, configuration: ReceivedConfiguration) {
         let newest = self
             .offered
             .as_ref()
-            .is_none_or(|(_, before)| before.position < held.position);
+            .is_none_or(|(_, before)| before.position < configuration.position);
         let connection = self
             .connection
             .as_ref()
             .filter(|_| newest)
             .map(|connection| connection.id);
         if let Some(connection) = connection {
-            self.offered = Some((connection, held));
+            self.offered = Some((connection, configuration));
         }
     }
 
     /// What was offered by this machine before it was in contact is current now. What another
     /// offered may be old.
-    fn take_offered(&mut self, around: &mut Surroundings<'_>) {
+    fn take_offered(&mut self, context: &mut CallerContext<'_>) {
         let here = self.connection.as_ref().map(|connection| connection.id);
         if let Some((_, offered)) = self
             .offered
             .take_if(|(connection, _)| Some(*connection) == here)
         {
-            self.on_configuration(around, offered);
+            self.on_configuration(context, offered);
         }
     }
 
-    fn apply(&mut self, around: &mut Surroundings<'_>, held: Held) {
+    fn apply(&mut self, context: &mut CallerContext<'_>, configuration: ReceivedConfiguration) {
         if self
             .in_force
             .as_ref()
-            .is_some_and(|before| before.position >= held.position)
+            .is_some_and(|before| before.position >= configuration.position)
         {
             return;
         }
-        around
+        context
             .oracle
-            .on_in_force(self.host, self.version(), &held.document);
-        around.notes.push(format!("puts {} in force", held.version));
-        self.in_force = Some(held);
+            .on_in_force(self.host, self.version(), &configuration.document);
+        context
+            .notes
+            .push(format!("puts {} in force", configuration.version));
+        self.in_force = Some(configuration);
         self.offered = None;
         self.applied += 1;
     }
--- a/simulator/src/disk.rs
+++ b/simulator/src/disk.rs
@@ -1,8 +1,8 @@
-//! A disk under one control process: a queue that is written and synced batch by batch, with
-//! troubles and losses of power.
+//! The simulated disk of one control process: a queue that is written and synced batch by batch,
+//! with faults and losses of power.
 //!
 //! It keeps the promises of `lichenswitch-storage` (a snapshot replaces all before it once
-//! it is whole; a torn or missing record ends the chain; what is found at a start is synced before
+//! it is complete; a torn or missing record ends the chain; what is found at a start is synced before
 //! it is used), and nothing beyond them.
 
 use std::collections::VecDeque;
@@ -12,34 +12,34 @@
 
 /// Least time of a write with its sync, in microseconds.
 const SYNC_US: u64 = 800;
-/// Most that is added to it at random.
+/// Upper bound of the random addition to it, in microseconds.
 const SYNC_JITTER_US: u64 = 1_500;
-/// Most records after a snapshot; then the next write is to be a snapshot.
+/// Most records after a snapshot; beyond, the next write should be a snapshot.
 const MAX_RECORDS_AFTER_SNAPSHOT: usize = 40;
 
-/// What is wrong with a disk.
+/// A fault of a disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum DiskTrouble {
-    /// Nothing.
+pub enum DiskFault {
+    /// None: the disk is healthy.
     #[default]
     None,
     /// Each sync takes so many microseconds more.
     Slow(u64),
-    /// Nothing ends until the trouble does.
+    /// No batch ends until the fault does.
     Stalled,
     /// Every write fails.
     Full,
 }
 
-/// How a batch ended.
+/// The outcome of a batch whose time has passed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Finished {
+pub enum BatchOutcome {
     /// All items up to this one are synced.
     Persisted(WriteId),
     /// This item, and all after it, were not written.
     Failed(WriteId),
     /// The disk has stalled: the batch ends later.
-    Waits,
+    Stalled,
 }
 
 #[derive(Clone, Debug)]
@@ -48,17 +48,17 @@
     item: DurableItem,
 }
 
-/// A disk.
+/// A simulated disk.
 #[derive(Clone, Debug, Default)]
 pub struct Disk {
     items: Vec<DurableItem>,
     queue: VecDeque<PendingWrite>,
     batch: Vec<PendingWrite>,
-    trouble: DiskTrouble,
+    fault: DiskFault,
 }
 
 impl Disk {
-    /// What is found at a start.
+    /// The items that a starting process finds.
     pub fn items(&self) -> &[DurableItem] {
         &self.items
     }
@@ -78,8 +78,9 @@
         self.queue.push_back(PendingWrite { write_id, item });
     }
 
-    /// Begins to write what waits, if nothing is being written; tells for how many microseconds.
-    pub fn begin(&mut self, random: &mut Rng) -> Option<u64> {
+    /// Begins to write the queue as one batch, if none is in progress; returns its duration in
+    /// microseconds.
+    pub fn begin_batch(&mut self, random: &mut Rng) -> Option<u64> {
         if !self.batch.is_empty() || self.queue.is_empty() {
             return None;
         }
@@ -88,7 +89,7 @@
     }
 
     fn duration(&self, random: &mut Rng) -> u64 {
-        let slow = if let DiskTrouble::Slow(more) = self.trouble {
+        let slow = if let DiskFault::Slow(more) = self.fault {
             more
         } else {
             0
@@ -96,27 +97,27 @@
         SYNC_US + random.u64(0..SYNC_JITTER_US) + slow
     }
 
-    /// The time of the batch has passed.
-    pub fn finish(&mut self, random: &mut Rng) -> Finished {
-        let tickets = (
+    /// Ends the batch, whose time has passed.
+    pub fn finish_batch(&mut self, random: &mut Rng) -> BatchOutcome {
+        let write_ids = (
             self.batch.first().map(|pending| pending.write_id),
             self.batch.last().map(|pending| pending.write_id),
         );
-        let (Some(first), Some(last)) = tickets else {
-            return Finished::Waits;
+        let (Some(first), Some(last)) = write_ids else {
+            return BatchOutcome::Stalled;
         };
-        match self.trouble {
-            DiskTrouble::Stalled => Finished::Waits,
-            DiskTrouble::Full => {
+        match self.fault {
+            DiskFault::Stalled => BatchOutcome::Stalled,
+            DiskFault::Full => {
                 self.tear(random);
                 self.queue.clear();
-                Finished::Failed(first)
+                BatchOutcome::Failed(first)
             }
-            DiskTrouble::None | DiskTrouble::Slow(_) => {
+            DiskFault::None | DiskFault::Slow(_) => {
                 for pending in std::mem::take(&mut self.batch) {
                     self.write(pending.item);
                 }
-                Finished::Persisted(last)
+                BatchOutcome::Persisted(last)
             }
         }
     }
@@ -128,16 +129,16 @@
         self.items.push(item);
     }
 
-    /// Sets what is wrong; tells after how many microseconds a batch that had stalled ends.
-    pub fn set_trouble(&mut self, trouble: DiskTrouble, random: &mut Rng) -> Option<u64> {
-        let stalled = self.trouble == DiskTrouble::Stalled && !self.batch.is_empty();
-        self.trouble = trouble;
+    /// Sets the fault; returns after how many microseconds a batch that had stalled ends.
+    pub fn set_fault(&mut self, fault: DiskFault, random: &mut Rng) -> Option<u64> {
+        let stalled = self.fault == DiskFault::Stalled && !self.batch.is_empty();
+        self.fault = fault;
         stalled.then(|| self.duration(random))
     }
 
-    /// What is wrong.
-    pub fn trouble(&self) -> DiskTrouble {
-        self.trouble
+    /// The fault at present.
+    pub fn fault(&self) -> DiskFault {
+        self.fault
     }
 
     /// The process ends, or power is lost: what was being written is present, missing or torn.
@@ -149,20 +150,20 @@
         self.tear(random);
     }
 
-    /// Of the batch, a part reaches the disk.
+    /// A random part of the batch reaches the disk; a missing record ends the chain.
     fn tear(&mut self, random: &mut Rng) {
-        let mut chain = true;
+        let mut chain_intact = true;
         for pending in std::mem::take(&mut self.batch) {
             let present = random.bool();
             let is_snapshot = matches!(pending.item, DurableItem::Snapshot(_));
-            chain = present && (chain || is_snapshot);
-            if chain {
+            chain_intact = present && (chain_intact || is_snapshot);
+            if chain_intact {
                 self.write(pending.item);
             }
         }
     }
 
-    /// All is gone.
+    /// Erases everything, faults included.
     pub fn wipe(&mut self) {
         *self = Self::default();
     }
--- a/simulator/src/main.rs
+++ b/simulator/src/main.rs
@@ -88,10 +88,10 @@
             overlaps,
             trace,
         } => {
-            let way = if overlaps {
-                Way::Overlapping
+            let schedule = if overlaps {
+                FaultSchedule::Overlapping
             } else {
-                Way::OneByOne
+                FaultSchedule::OneByOne
             };
             let world = WorldSettings {
                 voters,
@@ -101,7 +101,7 @@
                 trace,
                 ..WorldSettings::new(seeds.first)
             };
-            walk_seeds(seeds, &Walk { world, episodes }, way)
+            walk_seeds(seeds, &Walk { world, episodes }, schedule)
         }
         Command::Measure { runs } => {
             measure::print(runs);
@@ -110,25 +110,25 @@
     }
 }
 
-/// How faults follow each other.
+/// How the faults of a walk are scheduled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
-    /// Within what must be borne.
+enum FaultSchedule {
+    /// One after another, within what must be tolerated.
     OneByOne,
-    /// Beyond it, but for the disks.
+    /// Overlapping, beyond what must be tolerated, but for the disks.
     Overlapping,
 }
 
-impl Way {
+impl FaultSchedule {
     fn walk(self, walked: &Walk) -> WalkEnd {
         match self {
-            Way::OneByOne => walk(walked),
-            Way::Overlapping => overlaps::walk(walked),
+            FaultSchedule::OneByOne => walk(walked),
+            FaultSchedule::Overlapping => overlaps::walk(walked),
         }
     }
 }
 
-fn walk_seeds(seeds: SeedRange, like: &Walk, way: Way) -> ExitCode {
+fn walk_seeds(seeds: SeedRange, like: &Walk, schedule: FaultSchedule) -> ExitCode {
     let mut failed = 0;
     let (mut acknowledged, mut faults) = (0, 0);
     let WorldSettings {
@@ -141,7 +141,7 @@
     } = like.world;
     let (episodes, flag) = (
         like.episodes,
-        if way == Way::Overlapping {
+        if schedule == FaultSchedule::Overlapping {
             " --overlaps"
         } else {
             ""
@@ -153,7 +153,7 @@
             ..like.world.clone()
         };
         let walked = Walk { world, episodes };
-        let end = way.walk(&walked);
+        let end = schedule.walk(&walked);
         acknowledged += end.world.oracle.acknowledgements().len();
         faults += end.world.counts.faults;
         if let Some(violation) = &end.violation {
@@ -164,7 +164,7 @@
                  --episodes {episodes}{flag} --trace",
                 seed + 1
             );
-            show(&walked, way, trace);
+            print_failing_walk(&walked, schedule, trace);
         } else if trace {
             end.world.trace().for_each(|line| println!("  {line}"));
         }
@@ -181,14 +181,14 @@
 }
 
 /// Walks a failing seed again with a trace, and shows its end.
-fn show(walked: &Walk, way: Way, whole: bool) {
+fn print_failing_walk(walked: &Walk, schedule: FaultSchedule, full_trace: bool) {
     let world = WorldSettings {
         trace: true,
         ..walked.world
     };
-    let end = way.walk(&Walk { world, ..*walked });
+    let end = schedule.walk(&Walk { world, ..*walked });
     let lines: Vec<&str> = end.world.trace().collect();
-    let skipped = if whole {
+    let skipped = if full_trace {
         0
     } else {
         lines.len().saturating_sub(TRACE_SHOWN)
--- a/simulator/src/measure.rs
+++ b/simulator/src/measure.rs
@@ -4,7 +4,7 @@
 use lichenswitch_simulator::callers::Pace;
 use lichenswitch_simulator::world::{Action, Target, World, WorldSettings};
 
-const SECOND: u64 = 1_000_000;
+const SECOND_US: u64 = 1_000_000;
 /// Sizes of groups that are measured, with the losses that each must bear.
 const GROUPS: [(u32, u32); 4] = [(4, 1), (5, 1), (8, 2), (9, 2)];
 
@@ -40,7 +40,7 @@
 
 /// Times from the first sending of orders to the acknowledgement, for those first sent in a stretch
 /// of time; sorted.
-fn waits(world: &World, from: Time, to: Time) -> Vec<u64> {
+fn acknowledgement_times_us(world: &World, from: Time, to: Time) -> Vec<u64> {
     let waited = world.oracle.orders().filter_map(|(_, entry)| {
         let (sent, acknowledged) = (entry.sent_at?, entry.acknowledged_at?);
         (from..to).contains(&sent).then(|| acknowledged.since(sent))
@@ -51,31 +51,42 @@
 }
 
 fn print_acknowledgements(runs: u64, voters: u32, tolerate: u32) {
-    let (mut calm, mut lost) = (Vec::new(), Vec::new());
+    let (mut calm, mut after_loss) = (Vec::new(), Vec::new());
     for seed in 0..runs {
         let mut world = World::new(group(seed, voters, tolerate));
-        world.run_for(5 * SECOND);
+        world.run_for(5 * SECOND_US);
         let begin = world.now();
-        world.run_for(20 * SECOND);
+        world.run_for(20 * SECOND_US);
         let loss = world.now();
-        world.act_after(0, Action::PowerLossFor(Target::Primary, 20 * SECOND));
-        world.run_for(10 * SECOND);
+        world.act_after(0, Action::PowerLossFor(Target::Primary, 20 * SECOND_US));
+        world.run_for(10 * SECOND_US);
         assert_eq!(world.oracle.violations.first(), None, "seed {seed}");
-        calm.extend(waits(&world, begin, Time(loss.0 - SECOND)));
-        lost.extend(waits(&world, Time(loss.0 - 10_000), loss.after(SECOND)));
+        calm.extend(acknowledgement_times_us(
+            &world,
+            begin,
+            Time(loss.0 - SECOND_US),
+        ));
+        after_loss.extend(acknowledgement_times_us(
+            &world,
+            Time(loss.0 - 10_000),
+            loss.after(SECOND_US),
+        ));
     }
     calm.sort_unstable();
-    lost.sort_unstable();
-    let orders = calm.len() + lost.len();
-    let (calm, lost) = (shown(&calm), shown(&lost));
+    after_loss.sort_unstable();
+    let orders = calm.len() + after_loss.len();
+    let (calm, after_loss) = (
+        format_median_and_worst(&calm),
+        format_median_and_worst(&after_loss),
+    );
     println!(
         "| {voters} | {orders} | {} | {} | {} | {} |",
-        calm.0, calm.1, lost.0, lost.1
+        calm.0, calm.1, after_loss.0, after_loss.1
     );
 }
 
 /// Median and worst, in milliseconds.
-fn shown(sorted: &[u64]) -> (String, String) {
+fn format_median_and_worst(sorted: &[u64]) -> (String, String) {
     let milliseconds =
         |at: Option<&u64>| at.map_or("-".to_owned(), |at| format!("{:.1}", *at as f64 / 1e3));
     (
@@ -98,12 +109,12 @@
         ..WorldSettings::new(1)
     });
     while world.oracle.acknowledgements().len() < changes {
-        world.run_for(SECOND / 10);
+        world.run_for(SECOND_US / 10);
     }
     world
         .operators_mut()
         .for_each(lichenswitch_simulator::callers::Operator::stop);
-    world.run_for(6 * SECOND);
+    world.run_for(6 * SECOND_US);
     let bytes = world.state_bytes();
     let (host, snapshots) = (world.resolve(Target::Other(1)), world.counts.snapshots);
     let Some(host) = host else { return };
@@ -113,10 +124,12 @@
             .status(host)
             .is_some_and(|status| status.synced.is_none())
     });
-    let held = run_until(&mut world, |world| world.counts.snapshots > snapshots);
+    let received = run_until(&mut world, |world| world.counts.snapshots > snapshots);
     let took = started
-        .zip(held)
-        .map_or(f64::NAN, |(started, held)| held.since(started) as f64 / 1e3);
+        .zip(received)
+        .map_or(f64::NAN, |(started, received)| {
+            received.since(started) as f64 / 1e3
+        });
     println!(
         "| {changes} | {bytes} | {} | {took:.1} |",
         world.counts.largest_snapshot
@@ -148,7 +161,7 @@
 /// Messages and bytes a second and machine, at so many changes a second.
 fn traffic(voters: u32, tolerate: u32, changes: Option<u64>) -> (f64, f64) {
     let seconds = 20;
-    let rest = changes.map_or(SECOND, |changes| SECOND / changes);
+    let rest = changes.map_or(SECOND_US, |changes| SECOND_US / changes);
     let pace = Pace {
         least_rest: rest,
         most_rest: rest,
@@ -163,15 +176,15 @@
         readers: 0,
         ..settings
     });
-    world.run_for(8 * SECOND);
+    world.run_for(8 * SECOND_US);
     if changes.is_none() {
         world
             .operators_mut()
             .for_each(lichenswitch_simulator::callers::Operator::stop);
-        world.run_for(3 * SECOND);
+        world.run_for(3 * SECOND_US);
     }
     let before = world.counts.clone();
-    world.run_for(seconds * SECOND);
+    world.run_for(seconds * SECOND_US);
     let per = |count: u64| count as f64 / seconds as f64 / f64::from(voters);
     (
         per(world.counts.messages - before.messages),
--- a/simulator/src/world/act.rs
+++ b/simulator/src/world/act.rs
@@ -1,4 +1,4 @@
-//! Faults, as they come about.
+//! How each fault begins and ends.
 
 use std::collections::BTreeSet;
 
@@ -6,18 +6,18 @@
 
 use super::machine::AfterEnd;
 use super::{Action, CutKind, Event, Target, Undo, World};
-use crate::disk::DiskTrouble;
+use crate::disk::DiskFault;
 use crate::network::{Harm, Host};
 
-/// `gracePeriodS`, with half a second to spare.
-const GRACE: u64 = 7_500_000;
-/// A machine without power has it again after this and up to as much more.
-const POWER_RETURNS: u64 = 700_000;
+/// `gracePeriodS` with half a second to spare, in microseconds.
+const GRACE_PERIOD_US: u64 = 7_500_000;
+/// Least time without power, in microseconds; up to as much again is added at random.
+const POWER_RETURN_DELAY_US: u64 = 700_000;
 
 impl World {
     #[expect(clippy::too_many_lines, reason = "one arm for each action")]
     pub(super) fn act(&mut self, action: Action) {
-        self.last_trouble = self.now();
+        self.last_fault_change_at = self.now();
         self.counts.faults += 1;
         self.note(|| format!("== {action}"));
         match action {
@@ -55,9 +55,9 @@
             } => {
                 self.cut(&targets, kind, duration, holds, callers_bound);
             }
-            Action::Disk(target, trouble, duration) => {
+            Action::Disk(target, fault, duration) => {
                 self.each(&[target], |world, host| {
-                    world.trouble_disk(host, trouble, duration)
+                    world.start_disk_fault(host, fault, duration)
                 });
             }
             Action::KillAll => self.core().into_iter().for_each(|host| self.kill(host)),
@@ -128,7 +128,7 @@
 
     fn lose_power(&mut self, host: Host, duration: Option<u64>) {
         self.stop(host, true);
-        let usual = POWER_RETURNS + self.random.u64(0..POWER_RETURNS);
+        let usual = POWER_RETURN_DELAY_US + self.random.u64(0..POWER_RETURN_DELAY_US);
         self.scheduler
             .after(duration.unwrap_or(usual), Event::Start(host));
     }
@@ -153,7 +153,7 @@
         };
         machine.after_end = after_end;
         if let Some(process) = &mut machine.process {
-            process.on_terminate(now, now.after(GRACE));
+            process.on_terminate(now, now.after(GRACE_PERIOD_US));
         }
         self.settle(host);
     }
@@ -181,19 +181,20 @@
         self.wake_machine(host);
     }
 
-    fn trouble_disk(&mut self, host: Host, trouble: DiskTrouble, duration: u64) {
-        self.set_disk(host, trouble);
+    fn start_disk_fault(&mut self, host: Host, fault: DiskFault, duration: u64) {
+        self.set_disk_fault(host, fault);
         self.scheduler
             .after(duration, Event::Undo(Undo::Disk(host)));
     }
 
-    fn set_disk(&mut self, host: Host, trouble: DiskTrouble) {
+    fn set_disk_fault(&mut self, host: Host, fault: DiskFault) {
         let Some(machine) = self.machines.get_mut(&host) else {
             return;
         };
-        let life = machine.life;
-        if let Some(ends) = machine.disk.set_trouble(trouble, &mut self.random) {
-            self.scheduler.after(ends, Event::DiskDone(host, life));
+        let incarnation = machine.incarnation;
+        if let Some(ends) = machine.disk.set_fault(fault, &mut self.random) {
+            self.scheduler
+                .after(ends, Event::DiskDone(host, incarnation));
         }
     }
 
@@ -223,10 +224,10 @@
             .collect();
         let mut links = links_between(&side, &rest, kind);
         for caller in self.callers() {
-            let lot = self.random.u32(0..100);
-            let beyond = match lot {
-                _ if lot < callers_bound => &rest,
-                _ if lot < 2 * callers_bound => &side,
+            let percentile = self.random.u32(0..100);
+            let beyond = match percentile {
+                _ if percentile < callers_bound => &rest,
+                _ if percentile < 2 * callers_bound => &side,
                 _ => continue,
             };
             links.extend(
@@ -252,7 +253,7 @@
 
     pub(super) fn undo(&mut self, undo: Undo) {
         let now: Time = self.now();
-        self.last_trouble = now;
+        self.last_fault_change_at = now;
         self.note(|| format!("== end of {undo:?}"));
         match undo {
             Undo::Thaw(host) => self.thaw(host),
@@ -261,7 +262,7 @@
                     self.scheduler.at(arrival.at, Event::Arrive(arrival));
                 }
             }
-            Undo::Disk(host) => self.set_disk(host, DiskTrouble::None),
+            Undo::Disk(host) => self.set_disk_fault(host, DiskFault::None),
             Undo::Harm => {
                 self.harmed = false;
                 self.network.set_harm(Harm::default());
--- a/simulator/src/world/action.rs
+++ b/simulator/src/world/action.rs
@@ -2,10 +2,10 @@
 
 use std::fmt;
 
-use crate::disk::DiskTrouble;
+use crate::disk::DiskFault;
 use crate::network::{Harm, Host};
 
-/// Which machine a fault is for; settled when it comes about.
+/// The machine that a fault applies to; resolved when the fault begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
     /// The primary.
@@ -63,8 +63,8 @@
         /// Of 100 callers, so many reach only the targets, and as many only the rest.
         callers_bound: u32,
     },
-    /// A disk is in trouble for so long.
-    Disk(Target, DiskTrouble, u64),
+    /// A disk is faulty for so long.
+    Disk(Target, DiskFault, u64),
     /// All processes are killed.
     KillAll,
     /// All machines lose power.
--- a/simulator/src/world/around.rs
+++ b/simulator/src/world/callers.rs
@@ -4,7 +4,7 @@
 use lichenswitch_messages::RelayedCall;
 
 use super::{World, FIRST_OPERATOR, FIRST_READER, FIRST_ROUTER};
-use crate::callers::{Operator, Pace, Reader, Router, Surroundings};
+use crate::callers::{CallerContext, Operator, Pace, Reader, Router};
 use crate::network::{Arrival, Host};
 use crate::packet::{CallId, ConnectionId, Packet};
 
@@ -91,34 +91,34 @@
     }
 
     pub(super) fn wake_caller(&mut self, host: Host) {
-        self.with_caller(host, |caller, around| match caller {
-            Caller::Operator(operator) => operator.on_wake(around),
-            Caller::Reader(reader) => reader.on_wake(around),
-            Caller::Router(router) => router.on_wake(around),
+        self.with_caller(host, |caller, context| match caller {
+            Caller::Operator(operator) => operator.on_wake(context),
+            Caller::Reader(reader) => reader.on_wake(context),
+            Caller::Router(router) => router.on_wake(context),
         });
     }
 
     pub(super) fn on_caller_arrival(&mut self, arrival: Arrival<Packet>) {
-        self.with_caller(arrival.to, |caller, around| {
+        self.with_caller(arrival.to, |caller, context| {
             match (caller, arrival.packet) {
                 (Caller::Operator(operator), Packet::Reply(id, reply)) => {
-                    operator.on_reply(around, id, &reply)
+                    operator.on_reply(context, id, &reply)
                 }
                 (Caller::Reader(reader), Packet::Reply(id, reply)) => {
-                    reader.on_reply(around, id, &reply)
+                    reader.on_reply(context, id, &reply)
                 }
                 (Caller::Router(router), Packet::ToRouter(id, message)) => {
-                    router.on_message(around, id, message)
+                    router.on_message(context, id, message)
                 }
                 _ => {}
             }
         });
     }
 
-    fn with_caller(&mut self, host: Host, act: impl FnOnce(Caller<'_>, &mut Surroundings<'_>)) {
+    fn with_caller(&mut self, host: Host, act: impl FnOnce(Caller<'_>, &mut CallerContext<'_>)) {
         let listed = self.listed();
         let before = self.last_number;
-        let mut around = Surroundings {
+        let mut context = CallerContext {
             now: self.scheduler.now(),
             random: &mut self.random,
             oracle: &mut self.oracle,
@@ -128,20 +128,20 @@
             notes: Vec::new(),
         };
         let wake = if let Some(operator) = self.operators.get_mut(&host) {
-            act(Caller::Operator(operator), &mut around);
+            act(Caller::Operator(operator), &mut context);
             operator.next_wake()
         } else if let Some(reader) = self.readers.get_mut(&host) {
-            act(Caller::Reader(reader), &mut around);
+            act(Caller::Reader(reader), &mut context);
             reader.next_wake()
         } else if let Some(router) = self.routers.get_mut(&host) {
-            act(Caller::Router(router), &mut around);
+            act(Caller::Router(router), &mut context);
             router.next_wake()
         } else {
             return;
         };
         let (outgoing, notes) = (
-            std::mem::take(&mut around.outgoing),
-            std::mem::take(&mut around.notes),
+            std::mem::take(&mut context.outgoing),
+            std::mem::take(&mut context.notes),
         );
         notes
             .into_iter()
@@ -160,7 +160,7 @@
         self.wake_at(host, wake);
     }
 
-    /// Who made a call.
+    /// The caller that made a call.
     pub(super) fn caller_of(&self, id: CallId) -> Option<Host> {
         self.owners.get(&id.0).copied()
     }
@@ -182,7 +182,7 @@
     }
 }
 
-/// One that calls.
+/// A caller of any kind, borrowed for one event.
 enum Caller<'a> {
     Operator(&'a mut Operator),
     Reader(&'a mut Reader),
--- a/simulator/src/world/check.rs
+++ b/simulator/src/world/check.rs
@@ -1,37 +1,37 @@
-//! What must hold at all times, and at the end.
+//! Invariants: those checked every 100 ms, and those checked at the end of a run.
 
 use std::collections::BTreeSet;
 
 use lichenswitch_configuration::State;
 use lichenswitch_replication::Time;
 
-use super::{World, CHECK_INTERVAL, LIST_LAG};
-use crate::callers::APPLY_BOUND;
-use crate::disk::DiskTrouble;
+use super::{World, CHECK_INTERVAL_US, LIST_LAG_US};
+use crate::callers::APPLY_BOUND_US;
+use crate::disk::DiskFault;
 use crate::documents::OrderId;
 use crate::network::Host;
 use crate::oracle::Violation;
 
-/// The core is stable so many microseconds after the last trouble (`contactMs`).
-pub(super) const CONTACT: u64 = 3_000_000;
+/// The core is stable so many microseconds after the last fault or recovery (`contactMs`).
+pub(super) const CONTACT_TIMEOUT_US: u64 = 3_000_000;
 /// An order is acknowledged within so many microseconds of a stable core (`ackTimeoutMs`).
-pub(super) const ACKNOWLEDGE_BOUND: u64 = 4_000_000;
+pub(super) const ACKNOWLEDGE_BOUND_US: u64 = 4_000_000;
 /// The same while some machines are out of reach: a caller may pick several of them first, a second
 /// each.
-const ACKNOWLEDGE_BOUND_IN_TROUBLE: u64 = 8_000_000;
-/// Wakes within one interval of a process that has something to do.
-const MOST_WAKES: u32 = 2_000;
+const DEGRADED_ACKNOWLEDGE_BOUND_US: u64 = 8_000_000;
+/// Most wakes of one process within one check interval.
+const MAX_WAKES_PER_CHECK: u32 = 2_000;
 /// Within so many microseconds of a stable core, every member has what is committed (`catchUpS`).
-const CATCH_UP_BOUND: u64 = 4_000_000;
+const CATCH_UP_BOUND_US: u64 = 4_000_000;
 
 impl World {
     pub(super) fn check(&mut self) {
         self.keep_list();
         self.check_wakes();
         if self.harmed || self.service_may_rest {
-            self.last_trouble = self.now();
+            self.last_fault_change_at = self.now();
         }
-        let stable_since = self.last_trouble.after(CONTACT);
+        let stable_since = self.last_fault_change_at.after(CONTACT_TIMEOUT_US);
         let majority = self.connected_majority();
         if majority.is_empty() || self.now() < stable_since {
             return;
@@ -51,20 +51,20 @@
             .filter(|machine| !machine.removed && machine.process.is_some());
         let list: Vec<Host> = list.map(|machine| machine.host).collect();
         self.lists.push_back((now, list));
-        while self.lists.len() > 1 && now.since(self.lists[1].0) >= LIST_LAG {
+        while self.lists.len() > 1 && now.since(self.lists[1].0) >= LIST_LAG_US {
             self.lists.pop_front();
         }
     }
 
     fn check_wakes(&mut self) {
         for (host, times) in std::mem::take(&mut self.woken) {
-            if times > MOST_WAKES && self.settings.judges_wakes {
+            if times > MAX_WAKES_PER_CHECK && self.settings.judges_wakes {
                 self.oracle
                     .violations
                     .push(Violation::ExcessiveWakes(host, times));
             }
         }
-        debug_assert_eq!(CHECK_INTERVAL, 100_000, "the bound is for 100 ms");
+        debug_assert_eq!(CHECK_INTERVAL_US, 100_000, "the bound is for 100 ms");
     }
 
     /// Machines that run and reach each other both ways, if those with a sound disk are more than
@@ -88,10 +88,10 @@
             .map(reached)
             .max_by_key(BTreeSet::len)
             .unwrap_or_default();
-        let well = largest
+        let is_disk_healthy = largest
             .iter()
-            .filter(|host| self.machines[host].disk.trouble() == DiskTrouble::None);
-        if well.count() * 2 > core.len() {
+            .filter(|host| self.machines[host].disk.fault() == DiskFault::None);
+        if is_disk_healthy.count() * 2 > core.len() {
             return largest;
         }
         BTreeSet::new()
@@ -101,7 +101,7 @@
         self.network.reaches(one, other) && self.network.reaches(other, one)
     }
 
-    fn in_touch(&self, caller: Host, majority: &BTreeSet<Host>) -> bool {
+    fn reaches_all(&self, caller: Host, majority: &BTreeSet<Host>) -> bool {
         !self.replies_lost
             && majority
                 .iter()
@@ -112,16 +112,16 @@
         let now = self.now();
         let is_complete = majority.len() == self.core().len();
         let bound = if is_complete {
-            ACKNOWLEDGE_BOUND
+            ACKNOWLEDGE_BOUND_US
         } else {
-            ACKNOWLEDGE_BOUND_IN_TROUBLE
+            DEGRADED_ACKNOWLEDGE_BOUND_US
         };
         let overdue = self
             .operators
             .iter()
-            .filter(|(host, _)| self.in_touch(**host, majority));
+            .filter(|(host, _)| self.reaches_all(**host, majority));
         let overdue = overdue.filter_map(|(_, operator)| {
-            let (order, since) = operator.waits()?;
+            let (order, since) = operator.pending_order()?;
             let waited = now.since(since.max(stable_since));
             (waited > bound).then_some((order, waited / 1_000))
         });
@@ -139,16 +139,18 @@
         for (host, router) in self
             .routers
             .iter()
-            .filter(|(host, _)| self.in_touch(**host, majority))
+            .filter(|(host, _)| self.reaches_all(**host, majority))
         {
             let has = router.version();
-            let lacks = self.oracle.acknowledged_before(Time(now.0 - APPLY_BOUND));
+            let lacks = self
+                .oracle
+                .acknowledged_before(Time(now.0 - APPLY_BOUND_US));
             let missing = lacks > has.unwrap_or(0);
             let Some(acknowledged) = self.oracle.acknowledged_at(lacks).filter(|_| missing) else {
                 continue;
             };
             let ago = now.since(acknowledged.max(stable_since).max(router.started));
-            if ago > APPLY_BOUND {
+            if ago > APPLY_BOUND_US {
                 late.push(Violation::RouterOverdue {
                     router: *host,
                     has,
@@ -160,13 +162,13 @@
         self.oracle.violations.extend(late);
     }
 
-    /// A member that the primary reaches, and whose disk is well, holds what is committed, but for
+    /// A member that the primary reaches, and whose disk is healthy, has what is committed, but for
     /// what is on its way.
     fn check_members(&mut self, stable_since: Time) {
         let Some(primary) = self.primary() else {
             return;
         };
-        if self.now() < stable_since.after(CATCH_UP_BOUND) {
+        if self.now() < stable_since.after(CATCH_UP_BOUND_US) {
             return;
         }
         let group = self.status(primary).and_then(|status| status.committed);
@@ -177,11 +179,11 @@
             .into_iter()
             .filter(|host| self.reaches_both_ways(*host, primary));
         for machine in core.collect::<Vec<Host>>() {
-            let well = self.machines[&machine].disk.trouble() == DiskTrouble::None;
+            let is_disk_healthy = self.machines[&machine].disk.fault() == DiskFault::None;
             let committed_here = self.status(machine).and_then(|status| status.committed);
             let behind =
                 number.saturating_sub(committed_here.map_or(0, |position| position.number));
-            if well && behind > 2 {
+            if is_disk_healthy && behind > 2 {
                 late.push(Violation::MemberNotCaughtUp {
                     machine,
                     committed_here,
@@ -194,11 +196,11 @@
 
     /// Runs until the core is stable, then judges what the group holds.
     pub fn finish(&mut self) {
-        self.run_for(CONTACT + ACKNOWLEDGE_BOUND + APPLY_BOUND);
+        self.run_for(CONTACT_TIMEOUT_US + ACKNOWLEDGE_BOUND_US + APPLY_BOUND_US);
         self.operators
             .values_mut()
             .for_each(crate::callers::Operator::stop);
-        self.run_for(ACKNOWLEDGE_BOUND + APPLY_BOUND);
+        self.run_for(ACKNOWLEDGE_BOUND_US + APPLY_BOUND_US);
         if !self.oracle.violations.is_empty() {
             return;
         }
--- a/simulator/src/world/machines.rs
+++ b/simulator/src/world/machines.rs
@@ -1,4 +1,5 @@
-//! Control machines: their start and end, what comes to them, and what their processes want done.
+//! Control machines: their start and end, the events that reach them, and the effects that their
+//! processes request.
 
 use lichenswitch_replication::{
     DurableItem, Identity, Member, Notice, Position, RecoverError, Recovered, Replica, Settings,
@@ -8,7 +9,7 @@
 use super::machine::{AfterEnd, Machine};
 use super::{Event, World, FIRST_MACHINE};
 use crate::control::{ControlProcess, Effect, Replicated};
-use crate::disk::Finished;
+use crate::disk::BatchOutcome;
 use crate::network::{Arrival, Host};
 use crate::oracle::Violation;
 use crate::packet::{CallId, Packet, Reply};
@@ -16,11 +17,12 @@
 /// Zones of the machines.
 const ZONES: u32 = 4;
 /// All machines start within so many microseconds.
-const START_SPREAD: u64 = 300_000;
+const START_SPREAD_US: u64 = 300_000;
 /// Machines that `seedNodes` names.
 const SEEDS: usize = 3;
-/// A process that was killed is started again after this and up to as much more.
-const RESTART: u64 = 150_000;
+/// Least time before a killed process restarts, in microseconds; up to twice as much is added at
+/// random.
+const RESTART_DELAY_US: u64 = 150_000;
 
 impl World {
     pub(super) fn set_up_machines(&mut self) {
@@ -43,7 +45,7 @@
             if let Some(machine) = self.machines.get_mut(host) {
                 machine.seeds.clone_from(&seeds);
             }
-            let after = self.random.u64(0..START_SPREAD);
+            let after = self.random.u64(0..START_SPREAD_US);
             self.scheduler.after(after, Event::Start(*host));
         }
         self.lists.push_back((self.now(), hosts));
@@ -114,12 +116,12 @@
                     .push(Violation::DiskUnreadable(host, reason.to_string()))
             }
         };
-        self.last_trouble = now;
+        self.last_fault_change_at = now;
         let (glue, tolerated) = (self.settings.glue, self.settings.tolerate);
         let Some(machine) = self.machines.get_mut(&host) else {
             return;
         };
-        machine.life += 1;
+        machine.incarnation += 1;
         machine.first_start = false;
         machine.dark = false;
         machine.after_end = AfterEnd::Restart;
@@ -178,11 +180,11 @@
     /// A process ends: killed, or because power is lost (`dark`). What was under way ends with a
     /// reset, or with nothing.
     pub(super) fn stop(&mut self, host: Host, dark: bool) {
-        self.last_trouble = self.now();
+        self.last_fault_change_at = self.now();
         let Some(machine) = self.machines.get_mut(&host) else {
             return;
         };
-        machine.life += 1;
+        machine.incarnation += 1;
         machine.dark = dark;
         machine.frozen = false;
         machine.backlog.clear();
@@ -206,7 +208,7 @@
 
     /// Starts a process again after the usual delay.
     pub(super) fn restart(&mut self, host: Host) {
-        let after = RESTART + self.random.u64(0..2 * RESTART);
+        let after = RESTART_DELAY_US + self.random.u64(0..2 * RESTART_DELAY_US);
         self.scheduler.after(after, Event::Start(host));
     }
 
@@ -237,7 +239,7 @@
         self.settle(arrival.to);
     }
 
-    /// Nobody listens there: the connection is reset, unless the machine has no power.
+    /// No process listens there: the connection is reset, unless the machine has no power.
     fn reset(&mut self, arrival: &Arrival<Packet>) {
         if self.machines[&arrival.to].dark {
             return;
@@ -269,24 +271,24 @@
         self.settle(host);
     }
 
-    pub(super) fn on_disk_done(&mut self, host: Host, life: u64) {
+    pub(super) fn on_disk_done(&mut self, host: Host, incarnation: u64) {
         let now = self.now();
         let Some(machine) = self
             .machines
             .get_mut(&host)
-            .filter(|machine| machine.life == life)
+            .filter(|machine| machine.incarnation == incarnation)
         else {
             return;
         };
         if machine.frozen {
-            return machine.backlog.push(Event::DiskDone(host, life));
+            return machine.backlog.push(Event::DiskDone(host, incarnation));
         }
-        let finished = machine.disk.finish(&mut self.random);
+        let finished = machine.disk.finish_batch(&mut self.random);
         if let Some(process) = &mut machine.process {
             match finished {
-                Finished::Persisted(write_id) => process.on_persisted(now, write_id),
-                Finished::Failed(write_id) => process.on_persist_failed(now, write_id),
-                Finished::Waits => {}
+                BatchOutcome::Persisted(write_id) => process.on_persisted(now, write_id),
+                BatchOutcome::Failed(write_id) => process.on_persist_failed(now, write_id),
+                BatchOutcome::Stalled => {}
             }
         }
         self.begin_write(host);
@@ -297,13 +299,14 @@
         let Some(machine) = self.machines.get_mut(&host) else {
             return;
         };
-        let life = machine.life;
-        if let Some(duration) = machine.disk.begin(&mut self.random) {
-            self.scheduler.after(duration, Event::DiskDone(host, life));
+        let incarnation = machine.incarnation;
+        if let Some(duration) = machine.disk.begin_batch(&mut self.random) {
+            self.scheduler
+                .after(duration, Event::DiskDone(host, incarnation));
         }
     }
 
-    /// Does what a process wants done.
+    /// Carries out the effects that a process requests.
     pub(super) fn settle(&mut self, host: Host) {
         let now = self.now();
         let Some(process) = self.process(host) else {
@@ -364,7 +367,7 @@
         }
     }
 
-    /// Ends a call; where the machine has no power, nobody hears of it.
+    /// Ends a call; where the machine has no power, no response is sent.
     pub(super) fn reply(&mut self, host: Host, id: CallId, reply: Reply, dark: bool) {
         let now = self.now();
         let acknowledged = self.oracle.on_reply(now, host, id, &reply);
@@ -418,7 +421,7 @@
 
     /// A machine is gone for good.
     pub(super) fn remove(&mut self, host: Host) {
-        self.last_trouble = self.now();
+        self.last_fault_change_at = self.now();
         if let Some(machine) = self.machines.get_mut(&host) {
             machine.removed = true;
             machine.dark = true;
@@ -468,8 +471,8 @@
         committed.map_or(0, |(_, replicated)| replicated.state().encode().len())
     }
 
-    /// When something last went wrong or came back.
-    pub fn last_trouble(&self) -> Time {
-        self.last_trouble
+    /// When a fault last began or ended.
+    pub fn last_fault_change_at(&self) -> Time {
+        self.last_fault_change_at
     }
 }
--- a/simulator/src/world/mod.rs
+++ b/simulator/src/world/mod.rs
@@ -2,7 +2,7 @@
 
 mod act;
 mod action;
-mod around;
+mod callers;
 mod check;
 mod machine;
 mod machines;
@@ -21,19 +21,19 @@
 use crate::packet::Packet;
 use crate::scheduler::Scheduler;
 
-/// Where a run begins; not 0, as a time of 0 may be taken for none.
+/// Virtual time at which a run begins; not 0, as a time of 0 may be taken for none.
 const BEGIN: Time = Time(1_000_000);
-/// Between two looks at what must hold at all times.
-const CHECK_INTERVAL: u64 = 100_000;
+/// Between two checks of what must always hold, in microseconds.
+const CHECK_INTERVAL_US: u64 = 100_000;
 /// Numbers of hosts.
 const FIRST_MACHINE: u32 = 1;
 const FIRST_OPERATOR: u32 = 1_000;
 const FIRST_READER: u32 = 2_000;
 const FIRST_ROUTER: u32 = 3_000;
 /// The operators' list lags by so many microseconds (`seedLagS`).
-const LIST_LAG: u64 = 3_000_000;
-/// Lines of the trace that are kept.
-const MOST_TRACE: usize = 100_000;
+const LIST_LAG_US: u64 = 3_000_000;
+/// Most lines of the trace that are kept; older ones are dropped.
+const MAX_TRACE_LINES: usize = 100_000;
 
 /// What a run consists of.
 #[derive(Clone, Debug)]
@@ -85,7 +85,7 @@
     }
 }
 
-/// What happens at a time.
+/// An event of virtual time.
 #[derive(Debug)]
 enum Event {
     Arrive(Arrival<Packet>),
@@ -143,9 +143,9 @@
     last_number: u64,
     /// Members that were started without a disk.
     without_disk: BTreeSet<Identity>,
-    /// Who made a call or connection.
+    /// The caller of each call and connection, by its number.
     owners: BTreeMap<u64, Host>,
-    last_trouble: Time,
+    last_fault_change_at: Time,
     harmed: bool,
     replies_lost: bool,
     /// A fault that is brought about with the next acknowledgement.
@@ -178,7 +178,7 @@
             last_number: 0,
             without_disk: BTreeSet::new(),
             owners: BTreeMap::new(),
-            last_trouble: BEGIN,
+            last_fault_change_at: BEGIN,
             harmed: false,
             replies_lost: false,
             armed: None,
@@ -213,13 +213,13 @@
         match event {
             Event::Arrive(arrival) => self.on_arrival(arrival),
             Event::Wake(host, at) => self.on_wake(host, at),
-            Event::DiskDone(host, life) => self.on_disk_done(host, life),
+            Event::DiskDone(host, incarnation) => self.on_disk_done(host, incarnation),
             Event::Start(host) => self.start(host),
             Event::Act(action) => self.act(action),
             Event::Undo(undo) => self.undo(undo),
             Event::Check => {
                 self.check();
-                self.scheduler.after(CHECK_INTERVAL, Event::Check);
+                self.scheduler.after(CHECK_INTERVAL_US, Event::Check);
             }
         }
     }
@@ -242,9 +242,9 @@
 
     /// From now on service may rest, or may no more. Nothing acknowledged may be lost or shown in
     /// an older state either way.
-    pub fn let_service_rest(&mut self, rests: bool) {
-        self.service_may_rest = rests;
-        self.last_trouble = self.now();
+    pub fn let_service_rest(&mut self, may_rest: bool) {
+        self.service_may_rest = may_rest;
+        self.last_fault_change_at = self.now();
     }
 
     /// Brings a fault about with the next acknowledgement, or at once if one waits for that
@@ -270,7 +270,7 @@
         if !self.settings.trace {
             return;
         }
-        if self.trace.len() >= MOST_TRACE {
+        if self.trace.len() >= MAX_TRACE_LINES {
             self.trace.pop_front();
         }
         let now = self.now();
--- a/simulator/tests/overlaps.rs
+++ b/simulator/tests/overlaps.rs
@@ -7,7 +7,7 @@
 use common::{begun, finds, holds, nothing, CATCH_UP, SECOND};
 use lichenswitch_replication::Fault;
 use lichenswitch_simulator::callers::Pace;
-use lichenswitch_simulator::disk::DiskTrouble;
+use lichenswitch_simulator::disk::DiskFault;
 use lichenswitch_simulator::network::Host;
 use lichenswitch_simulator::overlaps;
 use lichenswitch_simulator::walk::Walk;
@@ -133,9 +133,9 @@
 fn bad_disks(settings: WorldSettings) -> World {
     let mut world = begun(settings);
     let troubles = [
-        DiskTrouble::Full,
-        DiskTrouble::Stalled,
-        DiskTrouble::Slow(400_000),
+        DiskFault::Full,
+        DiskFault::Stalled,
+        DiskFault::Slow(400_000),
     ];
     for (one, two) in troubles
         .into_iter()
--- a/simulator/tests/point_1.rs
+++ b/simulator/tests/point_1.rs
@@ -6,7 +6,7 @@
 use common::{acknowledged_between, begun, cut, finds, holds, holds_with, nothing, SECOND};
 use lichenswitch_replication::Fault;
 use lichenswitch_simulator::callers::Pace;
-use lichenswitch_simulator::disk::DiskTrouble;
+use lichenswitch_simulator::disk::DiskFault;
 use lichenswitch_simulator::network::Host;
 use lichenswitch_simulator::world::{Action, CutKind, Target, World, WorldSettings};
 
@@ -149,7 +149,7 @@
     let mut world = begun(settings);
     let primary = world.primary().expect("a primary serves");
     let other = Target::This(if primary == Host(1) { Host(2) } else { Host(1) });
-    world.act_after(0, Action::Disk(other, DiskTrouble::Full, 15 * SECOND));
+    world.act_after(0, Action::Disk(other, DiskFault::Full, 15 * SECOND));
     (1..5).for_each(|round| world.act_after(round * 3 * SECOND, Action::RestartRouters(other)));
     world.run_for(20 * SECOND);
     world.finish();
--- a/simulator/tests/point_3.rs
+++ b/simulator/tests/point_3.rs
@@ -33,7 +33,7 @@
 fn run_until_caught_up(world: &mut World) {
     world.run_for(3 * SECOND);
     for _ in 0..20 {
-        let since = world.now().since(world.last_trouble());
+        let since = world.now().since(world.last_fault_change_at());
         if since >= CATCH_UP || !world.oracle.violations.is_empty() {
             return;
         }
--- a/simulator/tests/point_4.rs
+++ b/simulator/tests/point_4.rs
@@ -6,7 +6,7 @@
 use common::{acknowledged_between, begun, cut, finds, holds, holds_with, SECOND};
 use lichenswitch_replication::{Fault, MemberRole};
 use lichenswitch_simulator::callers::Pace;
-use lichenswitch_simulator::disk::DiskTrouble;
+use lichenswitch_simulator::disk::DiskFault;
 use lichenswitch_simulator::network::Host;
 use lichenswitch_simulator::world::{Action, CutKind, Target, World, WorldSettings};
 
@@ -26,17 +26,17 @@
     world.act_after(0, Action::Kill(Target::Primary));
     world.act_after(
         4 * SECOND,
-        Action::Disk(Target::Other(1), DiskTrouble::Full, 5 * SECOND),
+        Action::Disk(Target::Other(1), DiskFault::Full, 5 * SECOND),
     );
     world.act_after(8 * SECOND, Action::PowerLoss(Target::Other(1)));
     world.act_after(
         12 * SECOND,
-        Action::Disk(Target::Primary, DiskTrouble::Stalled, 5 * SECOND),
+        Action::Disk(Target::Primary, DiskFault::Stalled, 5 * SECOND),
     );
     world.act_after(19 * SECOND, Action::Kill(Target::Primary));
     world.act_after(
         22 * SECOND,
-        Action::Disk(Target::Primary, DiskTrouble::Full, 4 * SECOND),
+        Action::Disk(Target::Primary, DiskFault::Full, 4 * SECOND),
     );
     world.act_after(28 * SECOND, Action::PowerOffAll);
     world.run_for(34 * SECOND);
