--- a/fleet/tests/router_configuration.rs
+++ b/fleet/tests/router_configuration.rs
@@ -7,14 +7,16 @@
 use std::time::Duration;
 use support::client::request;
 use support::control::{position, Control};
-use support::rig::{document, document_of, free_port, record, settings_text, Rig, Running};
-use support::server::{Next, Server};
+use support::harness::{
+    document, document_of, free_port, record, settings_text, RouterHarness, RouterThread,
+};
+use support::server::{NextAction, Server};
 
 fn named(instance: &str) -> Server {
     let name = instance.to_owned();
-    Server::start(instance, move |seen, talk| {
-        talk.answer(seen, 200, "Keep-Alive: timeout=9\r\n", &name);
-        Next::Keep
+    Server::start(instance, move |received, connection| {
+        connection.respond(received, 200, "Keep-Alive: timeout=9\r\n", &name);
+        NextAction::Keep
     })
 }
 
@@ -32,13 +34,13 @@
 
 #[test]
 fn final_response_comes_at_route_timeout() {
-    let server = Server::start("i-1", |_, talk| {
-        talk.closes_within(Duration::from_secs(5));
-        Next::Close
+    let server = Server::start("i-1", |_, connection| {
+        connection.closes_within(Duration::from_secs(5));
+        NextAction::Close
     });
-    let rig = Rig::with(&[&server], 500, 400, 1);
+    let harness = RouterHarness::with(&[&server], 500, 400, 1);
     for kind in ["safe", "unsafe", "stream", "resume"] {
-        let reply = rig.client().ask(request(
+        let reply = harness.client().round_trip(request(
             "POST",
             kind,
             &format!("a-{kind}"),
@@ -47,47 +49,54 @@
         ));
         assert_eq!(reply.status, 504, "{kind}");
         assert!(
-            reply.took >= Duration::from_millis(450),
+            reply.elapsed >= Duration::from_millis(450),
             "{kind}: {:?}",
-            reply.took
+            reply.elapsed
         );
         assert!(
-            reply.took <= Duration::from_millis(750),
+            reply.elapsed <= Duration::from_millis(750),
             "{kind}: {:?}",
-            reply.took
+            reply.elapsed
         );
     }
-    assert!(server.seen().iter().all(|seen| seen.deadline_ms() <= 500));
+    assert!(server
+        .received()
+        .iter()
+        .all(|received| received.deadline_ms() <= 500));
 }
 
 #[test]
 fn new_version_is_active_at_once_and_requests_keep_theirs() {
-    let server = Server::start("i-1", |seen, talk| {
-        if seen.target.starts_with("/safe/") {
-            talk.closes_within(Duration::from_millis(400));
+    let server = Server::start("i-1", |received, connection| {
+        if received.target.starts_with("/safe/") {
+            connection.closes_within(Duration::from_millis(400));
         }
-        talk.answer(seen, 200, "", "ok");
-        Next::Keep
+        connection.respond(received, 200, "", "ok");
+        NextAction::Keep
     });
-    let rig = Rig::usual(&[&server]);
-    let mut held = rig.client();
+    let harness = RouterHarness::with_defaults(&[&server]);
+    let mut held = harness.client();
     held.send(request("GET", "safe", "a1", "", ""));
-    support::until("it is held", || server.times("a1") == 1);
+    support::wait_until("it is held", || server.request_count("a1") == 1);
     let changed = document_of(
         2,
         &[route("r-new", "/new/", "fleet.example", &[("pool", 1)])],
     );
-    rig.control.push_configuration(2, &changed);
-    support::until("it is in force", || {
-        rig.control.applied() == Some(position(2))
+    harness.control.push_configuration(2, &changed);
+    support::wait_until("it is in force", || {
+        harness.control.applied() == Some(position(2))
     });
     assert_eq!(
-        rig.client().ask(request("GET", "new", "a2", "", "")).status,
+        harness
+            .client()
+            .round_trip(request("GET", "new", "a2", "", ""))
+            .status,
         200
     );
     assert_eq!(
-        rig.client()
-            .ask(request("GET", "safe", "a3", "", ""))
+        harness
+            .client()
+            .round_trip(request("GET", "safe", "a3", "", ""))
             .status,
         404
     );
@@ -97,8 +106,8 @@
 #[test]
 fn older_position_is_rejected_from_any_control_machine() {
     let server = named("i-1");
-    let rig = Rig::usual(&[&server]);
-    rig.control.push_at(
+    let harness = RouterHarness::with_defaults(&[&server]);
+    harness.control.push_at(
         ConfigurationPosition {
             epoch: 3,
             primary: 7,
@@ -111,10 +120,12 @@
         primary: 7,
         number: 1,
     };
-    support::until("it is in force", || rig.control.applied() == Some(newest));
+    support::wait_until("it is in force", || {
+        harness.control.applied() == Some(newest)
+    });
     // A higher number of an older epoch is older; so is a higher version in it.
     let old = document_of(9, &[route("r", "/other/", "fleet.example", &[("pool", 1)])]);
-    rig.control.push_at(
+    harness.control.push_at(
         ConfigurationPosition {
             epoch: 2,
             primary: 9,
@@ -122,28 +133,31 @@
         },
         &old,
     );
-    rig.control.settled();
-    assert_eq!(rig.control.applied(), Some(newest));
+    harness.control.wait_until_acknowledged();
+    assert_eq!(harness.control.applied(), Some(newest));
     assert_eq!(
-        rig.client()
-            .ask(request("GET", "safe", "a1", "", ""))
+        harness
+            .client()
+            .round_trip(request("GET", "safe", "a1", "", ""))
             .status,
         200
     );
     assert_eq!(
-        rig.client()
-            .ask(request("GET", "other", "a2", "", ""))
+        harness
+            .client()
+            .round_trip(request("GET", "other", "a2", "", ""))
             .status,
         404
     );
     // The same after the connection was lost: it says what it has, and goes back for nobody.
-    rig.control.drop_links();
-    support::until("it is back", || rig.control.hellos() >= 2);
-    rig.control.settled();
-    assert_eq!(rig.control.applied(), Some(newest));
+    harness.control.drop_links();
+    support::wait_until("it is back", || harness.control.handshake_count() >= 2);
+    harness.control.wait_until_acknowledged();
+    assert_eq!(harness.control.applied(), Some(newest));
     assert_eq!(
-        rig.client()
-            .ask(request("GET", "safe", "a3", "", ""))
+        harness
+            .client()
+            .round_trip(request("GET", "safe", "a3", "", ""))
             .status,
         200
     );
@@ -152,14 +166,16 @@
 #[test]
 fn unreadable_document_changes_nothing() {
     let server = named("i-1");
-    let rig = Rig::usual(&[&server]);
-    rig.control
+    let harness = RouterHarness::with_defaults(&[&server]);
+    harness
+        .control
         .push_configuration(2, "{\"version\":2,\"routes\":[{]");
-    rig.control.settled();
-    assert_eq!(rig.control.applied(), Some(position(1)));
+    harness.control.wait_until_acknowledged();
+    assert_eq!(harness.control.applied(), Some(position(1)));
     assert_eq!(
-        rig.client()
-            .ask(request("GET", "safe", "a1", "", ""))
+        harness
+            .client()
+            .round_trip(request("GET", "safe", "a1", "", ""))
             .status,
         200
     );
@@ -168,7 +184,7 @@
 #[test]
 fn longest_prefix_of_host_matches_and_weights_are_sampled() {
     let servers = [named("i-a"), named("i-b"), named("i-c")];
-    let rig = Rig::bare();
+    let harness = RouterHarness::without_configuration();
     let records = ["a", "b", "c"]
         .iter()
         .zip(&servers)
@@ -177,7 +193,7 @@
             record.service = (*service).to_owned();
             record
         });
-    rig.control.push_servers(records.collect());
+    harness.control.push_servers(records.collect());
     let document = format!(
         "{{\"version\":1,\"routes\":[{}],\"services\":[{{\"name\":\"a\"}},{{\"name\":\"b\"}},{{\"name\":\"c\"}}]}}",
         [
@@ -187,11 +203,11 @@
         ]
         .join(",")
     );
-    rig.control.push_configuration(1, &document);
-    support::until("it is in force", || rig.control.applied().is_some());
-    let mut client = rig.client();
-    let mut ask = |host: &str, path: &str, id: usize| {
-        let reply = client.ask(format!(
+    harness.control.push_configuration(1, &document);
+    support::wait_until("it is in force", || harness.control.applied().is_some());
+    let mut client = harness.client();
+    let mut round_trip = |host: &str, path: &str, id: usize| {
+        let reply = client.round_trip(format!(
             "GET {path} HTTP/1.1\r\nHost: {host}\r\nAttempt-Id: a{id}\r\n\r\n"
         ));
         assert_eq!(reply.status, 200, "{host}{path}");
@@ -199,76 +215,84 @@
     };
     for n in 0..20 {
         assert_eq!(
-            ask("one.example", "/x/1", n),
+            round_trip("one.example", "/x/1", n),
             "i-a",
             "a service without weight gets nothing"
         );
     }
-    assert_eq!(ask("one.example", "/x/y/1?/x/", 30), "i-b");
-    assert_eq!(ask("ONE.example:80", "/x/yy/1", 31), "i-a");
-    let drawn: Vec<String> = (0..40)
-        .map(|n| ask("two.example", "/x/1", 100 + n))
+    assert_eq!(round_trip("one.example", "/x/y/1?/x/", 30), "i-b");
+    assert_eq!(round_trip("ONE.example:80", "/x/yy/1", 31), "i-a");
+    let sampled_service: Vec<String> = (0..40)
+        .map(|n| round_trip("two.example", "/x/1", 100 + n))
         .collect();
-    assert!(drawn.iter().any(|name| name == "i-a") && drawn.iter().any(|name| name == "i-c"));
-    assert!(drawn.iter().all(|name| name != "i-b"));
+    assert!(
+        sampled_service.iter().any(|name| name == "i-a")
+            && sampled_service.iter().any(|name| name == "i-c")
+    );
+    assert!(sampled_service.iter().all(|name| name != "i-b"));
 }
 
 #[test]
 fn draining_or_gone_server_gets_no_requests_and_is_never_revived() {
     let servers = [named("i-1"), named("i-2")];
-    let rig = Rig::usual(&[&servers[0], &servers[1]]);
-    let mut client = rig.client();
+    let harness = RouterHarness::with_defaults(&[&servers[0], &servers[1]]);
+    let mut client = harness.client();
     for n in 0..12 {
         assert_eq!(
             client
-                .ask(request("GET", "safe", &format!("a{n}"), "", ""))
+                .round_trip(request("GET", "safe", &format!("a{n}"), "", ""))
                 .status,
             200
         );
     }
-    assert!(!servers[0].seen().is_empty(), "both are used");
+    assert!(!servers[0].received().is_empty(), "both are used");
     for (state, late) in [(ServerState::Draining, 9), (ServerState::Gone, 99)] {
-        let before = servers[0].seen().len();
-        rig.control
+        let before = servers[0].received().len();
+        harness
+            .control
             .push_servers(vec![record(&servers[0], state, 5)]);
-        rig.control.settled();
+        harness.control.wait_until_acknowledged();
         // A beat of before that comes late revives nobody.
-        rig.control
+        harness
+            .control
             .push_servers(vec![record(&servers[0], ServerState::Ready, late)]);
-        rig.control.settled();
+        harness.control.wait_until_acknowledged();
         for n in 0..12 {
-            let reply = client.ask(request("GET", "safe", &format!("{state:?}{n}"), "", ""));
+            let reply = client.round_trip(request("GET", "safe", &format!("{state:?}{n}"), "", ""));
             assert_eq!(reply.text(), "i-2");
         }
-        assert_eq!(servers[0].seen().len(), before, "{state:?}");
+        assert_eq!(servers[0].received().len(), before, "{state:?}");
     }
 }
 
 #[test]
 fn suspect_server_is_used_only_without_alternative() {
     let servers = [named("i-1"), named("i-2")];
-    let rig = Rig::usual(&[&servers[0], &servers[1]]);
+    let harness = RouterHarness::with_defaults(&[&servers[0], &servers[1]]);
     let suspect = |sequence_number| {
         let mut suspect = record(&servers[0], ServerState::Ready, sequence_number);
         suspect.is_suspect = true;
         suspect
     };
-    rig.control.push_servers(vec![suspect(2)]);
-    rig.control.settled();
-    let mut client = rig.client();
+    harness.control.push_servers(vec![suspect(2)]);
+    harness.control.wait_until_acknowledged();
+    let mut client = harness.client();
     for n in 0..12 {
         assert_eq!(
             client
-                .ask(request("GET", "safe", &format!("a{n}"), "", ""))
+                .round_trip(request("GET", "safe", &format!("a{n}"), "", ""))
                 .text(),
             "i-2"
         );
     }
-    rig.control
+    harness
+        .control
         .push_servers(vec![record(&servers[1], ServerState::Gone, 9)]);
-    rig.control.settled();
+    harness.control.wait_until_acknowledged();
     assert_eq!(
-        client.ask(request("GET", "safe", "b", "", "")).text(),
+        client
+            .round_trip(request("GET", "safe", "b", "", ""))
+            .text(),
         "i-1"
     );
 }
@@ -276,13 +300,15 @@
 #[test]
 fn servers_missing_in_a_push_stay() {
     let servers = [named("i-1"), named("i-2")];
-    let rig = Rig::usual(&[&servers[0], &servers[1]]);
-    rig.control
+    let harness = RouterHarness::with_defaults(&[&servers[0], &servers[1]]);
+    harness
+        .control
         .push_servers(vec![record(&servers[1], ServerState::Gone, 2)]);
-    rig.control.settled();
+    harness.control.wait_until_acknowledged();
     assert_eq!(
-        rig.client()
-            .ask(request("GET", "safe", "a1", "", ""))
+        harness
+            .client()
+            .round_trip(request("GET", "safe", "a1", "", ""))
             .text(),
         "i-1"
     );
@@ -291,14 +317,15 @@
 #[test]
 fn routing_continues_while_control_is_unreachable() {
     let server = named("i-1");
-    let rig = Rig::usual(&[&server]);
-    rig.control.set_silent(true);
-    rig.control.drop_links();
+    let harness = RouterHarness::with_defaults(&[&server]);
+    harness.control.set_silent(true);
+    harness.control.drop_links();
     std::thread::sleep(Duration::from_millis(1_000));
-    assert_eq!(rig.router.readiness_status(), 200);
+    assert_eq!(harness.router.readiness_status(), 200);
     assert_eq!(
-        rig.client()
-            .ask(request("GET", "safe", "a1", "", ""))
+        harness
+            .client()
+            .round_trip(request("GET", "safe", "a1", "", ""))
             .status,
         200
     );
@@ -311,22 +338,24 @@
     let control = ips.map(|ip| Control::at(SocketAddr::from((ip, port))));
     control[0].push_configuration(1, &document(1, 3_000, 1_000, 2));
     control[1].push_configuration(1, &document(1, 3_000, 1_000, 2));
-    let router = Running::start(&settings_text(&ips, port, ""), None);
-    support::until("it is in force", || {
+    let router = RouterThread::start(&settings_text(&ips, port, ""), None);
+    support::wait_until("it is in force", || {
         control.iter().any(|c| c.applied().is_some())
     });
     for round in 0..2 {
-        let at = usize::from(control[1].hellos() > control[0].hellos());
-        let others = control[1 - at].hellos();
+        let at = usize::from(control[1].handshake_count() > control[0].handshake_count());
+        let others = control[1 - at].handshake_count();
         match round {
             0 => control[at].set_silent(true),
             _ => control[at].set_contact(false),
         }
-        support::until("it is at the other", || control[1 - at].hellos() > others);
+        support::wait_until("it is at the other", || {
+            control[1 - at].handshake_count() > others
+        });
         control[at].set_silent(false);
         control[at].set_contact(true);
-        support::until("they differ again", || {
-            control[0].hellos() != control[1].hellos() || {
+        support::wait_until("they differ again", || {
+            control[0].handshake_count() != control[1].handshake_count() || {
                 control[1 - at].drop_links();
                 std::thread::sleep(Duration::from_millis(300));
                 false
@@ -342,11 +371,11 @@
     control.set_contact(false);
     control.push_configuration(1, &document(1, 3_000, 1_000, 2));
     let began = std::time::Instant::now();
-    let router = Running::start(
+    let router = RouterThread::start(
         &settings_text(&[Ipv4Addr::LOCALHOST], control.address.port(), ""),
         None,
     );
-    support::until("it is in force", || router.readiness_status() == 200);
+    support::wait_until("it is in force", || router.readiness_status() == 200);
     assert!(
         began.elapsed() >= Duration::from_millis(2_900),
         "{:?}",
@@ -367,13 +396,13 @@
     without.set_control(vec![with.address.to_string()]);
     let began = std::time::Instant::now();
     let seed = Ipv4Addr::new(127, 0, 0, 2);
-    let router = Running::start(&settings_text(&[seed], without.address.port(), ""), None);
-    without.settled();
+    let router = RouterThread::start(&settings_text(&[seed], without.address.port(), ""), None);
+    without.wait_until_acknowledged();
     assert_eq!(without.applied(), None, "nobody in contact has offered it");
     // It leaves the one without contact. What it acknowledges here came after the word that this
     // one is in contact.
-    support::until("it is at the other", || with.hellos() > 0);
-    with.settled();
+    support::wait_until("it is at the other", || with.handshake_count() > 0);
+    with.wait_until_acknowledged();
     assert_eq!((with.applied(), router.readiness_status()), (None, 503));
     let judged = began.elapsed();
     assert!(
@@ -382,7 +411,7 @@
     );
     // What this one offers itself is taken at once.
     with.push_configuration(6, &document(6, 3_000, 1_000, 2));
-    with.settled();
+    with.wait_until_acknowledged();
     assert_eq!(
         (with.applied(), router.readiness_status()),
         (Some(position(6)), 200)
@@ -394,14 +423,14 @@
     let control = Control::at(SocketAddr::from(([127, 0, 0, 1], 0)));
     control.set_contact(false);
     control.push_configuration(5, &document(5, 3_000, 1_000, 2));
-    let router = Running::start(
+    let router = RouterThread::start(
         &settings_text(&[Ipv4Addr::LOCALHOST], control.address.port(), ""),
         None,
     );
-    control.settled();
+    control.wait_until_acknowledged();
     // From now on each connection offers the older one, with a higher version.
     control.push_configuration(3, &document(9, 3_000, 1_000, 2));
-    support::until("one is in force", || control.applied().is_some());
+    support::wait_until("one is in force", || control.applied().is_some());
     assert_eq!(
         (control.applied(), router.readiness_status()),
         (Some(position(5)), 200)
@@ -418,16 +447,16 @@
     newer.push_configuration(5, &document(5, 3_000, 1_000, 2));
     newer.set_control(vec![older.address.to_string()]);
     let seed = Ipv4Addr::new(127, 0, 0, 2);
-    let router = Running::start(&settings_text(&[seed], newer.address.port(), ""), None);
-    support::until("it is in force", || newer.applied() == Some(position(5)));
-    newer.settled();
+    let router = RouterThread::start(&settings_text(&[seed], newer.address.port(), ""), None);
+    support::wait_until("it is in force", || newer.applied() == Some(position(5)));
+    newer.wait_until_acknowledged();
     newer.set_contact(false);
     for in_contact in [false, true] {
         older.set_contact(in_contact);
-        let before = older.hellos();
+        let before = older.handshake_count();
         older.drop_links();
-        support::until("it is at the other", || older.hellos() > before);
-        older.settled();
+        support::wait_until("it is at the other", || older.handshake_count() > before);
+        older.wait_until_acknowledged();
         assert_eq!(
             older.applied(),
             Some(position(5)),
@@ -435,10 +464,15 @@
         );
         let mut client = support::client::Client::connect(router.frontend);
         let id = format!("a-{in_contact}");
-        assert_eq!(client.ask(request("GET", "safe", &id, "", "")).status, 200);
         assert_eq!(
             client
-                .ask(request("GET", "other", &format!("{id}-other"), "", ""))
+                .round_trip(request("GET", "safe", &id, "", ""))
+                .status,
+            200
+        );
+        assert_eq!(
+            client
+                .round_trip(request("GET", "other", &format!("{id}-other"), "", ""))
                 .status,
             404
         );
@@ -448,13 +482,13 @@
 #[test]
 fn router_started_before_control_connects_soon() {
     let port = free_port();
-    let router = Running::start(&settings_text(&[Ipv4Addr::LOCALHOST], port, ""), None);
+    let router = RouterThread::start(&settings_text(&[Ipv4Addr::LOCALHOST], port, ""), None);
     std::thread::sleep(Duration::from_millis(700));
     assert_eq!(router.readiness_status(), 503);
     let control = Control::at(SocketAddr::from(([127, 0, 0, 1], port)));
     control.push_configuration(1, &document(1, 3_000, 1_000, 2));
     let began = std::time::Instant::now();
-    support::until("it is in force", || control.applied().is_some());
+    support::wait_until("it is in force", || control.applied().is_some());
     assert!(
         began.elapsed() < Duration::from_millis(2_500),
         "{:?}",
@@ -472,7 +506,7 @@
         ));
         let nobody = settings_text(&[Ipv4Addr::new(127, 0, 0, 9)], port, "");
         std::fs::write(&path, &nobody).expect("write");
-        let mut router = Running::start(&nobody, Some(path.clone()));
+        let mut router = RouterThread::start(&nobody, Some(path.clone()));
         let control = Control::at(SocketAddr::from(([127, 0, 0, 3], port)));
         control.push_configuration(1, &document(1, 3_000, 1_000, 2));
         std::fs::write(
@@ -483,7 +517,7 @@
         if with_signal {
             router.reload();
         }
-        support::until("it is in force", || control.applied().is_some());
+        support::wait_until("it is in force", || control.applied().is_some());
         // A file that can't be read changes nothing.
         std::fs::write(&path, "nodeName = ").expect("write");
         router.reload();
--- a/fleet/tests/router_end.rs
+++ b/fleet/tests/router_end.rs
@@ -4,30 +4,30 @@
 
 use std::time::{Duration, Instant};
 use support::client::{request, Client};
-use support::rig::Rig;
-use support::server::{event, Next, Server};
+use support::harness::RouterHarness;
+use support::server::{event, NextAction, Server};
 
 fn slow(time: Duration) -> Server {
-    Server::start("i-1", move |seen, talk| {
-        talk.closes_within(time);
-        talk.answer(seen, 200, "Keep-Alive: timeout=9\r\n", "done");
-        Next::Keep
+    Server::start("i-1", move |received, connection| {
+        connection.closes_within(time);
+        connection.respond(received, 200, "Keep-Alive: timeout=9\r\n", "done");
+        NextAction::Keep
     })
 }
 
 #[test]
 fn requests_in_flight_at_sigterm_are_answered_and_readiness_fails() {
     let server = slow(Duration::from_millis(600));
-    let mut rig = Rig::usual(&[&server]);
-    assert_eq!(rig.router.readiness_status(), 200);
-    let mut held = rig.client();
+    let mut harness = RouterHarness::with_defaults(&[&server]);
+    assert_eq!(harness.router.readiness_status(), 200);
+    let mut held = harness.client();
     held.send(request("POST", "unsafe", "a1", "", "x"));
-    support::until("it is held", || server.times("a1") == 1);
-    rig.router.stop();
-    let mut late = Client::connect(rig.router.frontend);
-    assert_eq!(rig.router.readiness_status(), 503);
+    support::wait_until("it is held", || server.request_count("a1") == 1);
+    harness.router.stop();
+    let mut late = Client::connect(harness.router.frontend);
+    assert_eq!(harness.router.readiness_status(), 503);
     // New clients are served until the platform has learnt of it.
-    let reply = late.ask(request("POST", "unsafe", "a2", "", "x"));
+    let reply = late.round_trip(request("POST", "unsafe", "a2", "", "x"));
     assert_eq!(
         (reply.status, reply.text(), reply.header("connection")),
         (200, "done", Some("close"))
@@ -40,43 +40,43 @@
     assert_eq!(reply.header("connection"), Some("close"));
     assert!(held.ends_within(Duration::from_secs(3)));
     assert!(
-        rig.router.ends_within(Duration::from_secs(5)),
+        harness.router.ends_within(Duration::from_secs(5)),
         "it ends once the platform has had its time"
     );
 }
 
 #[test]
 fn stream_in_flight_at_sigterm_completes() {
-    let server = Server::start("i-1", |seen, talk| {
-        talk.stream_head(seen);
+    let server = Server::start("i-1", |received, connection| {
+        connection.stream_head(received);
         for id in 1..=10 {
-            talk.event(id);
-            talk.closes_within(Duration::from_millis(400));
+            connection.event(id);
+            connection.closes_within(Duration::from_millis(400));
         }
-        talk.end();
-        Next::Keep
+        connection.end();
+        NextAction::Keep
     });
-    let mut rig = Rig::with(&[&server], 8_000, 1_000, 1);
-    let mut client = rig.client();
+    let mut harness = RouterHarness::with(&[&server], 8_000, 1_000, 1);
+    let mut client = harness.client();
     client.send(request("POST", "stream", "a1", "", "x"));
     client.head().expect("a head");
-    rig.router.stop();
+    harness.router.stop();
     for id in 1..=10 {
         assert_eq!(client.chunk(), Ok(Some(event(id).into_bytes())));
     }
     assert_eq!(client.chunk(), Ok(None));
-    assert!(rig.router.ends_within(Duration::from_secs(5)));
+    assert!(harness.router.ends_within(Duration::from_secs(5)));
 }
 
 #[test]
 fn overlong_requests_get_final_response_within_grace() {
     let server = slow(Duration::from_secs(30));
-    let mut rig = Rig::with(&[&server], 30_000, 10_000, 1);
-    let mut held = rig.client();
+    let mut harness = RouterHarness::with(&[&server], 30_000, 10_000, 1);
+    let mut held = harness.client();
     held.send(request("POST", "unsafe", "a1", "", "x"));
-    support::until("it is held", || server.times("a1") == 1);
+    support::wait_until("it is held", || server.request_count("a1") == 1);
     let began = Instant::now();
-    rig.router.stop();
+    harness.router.stop();
     let reply = held.reply();
     assert_eq!(reply.status, 502, "it may have run");
     assert!(
@@ -84,20 +84,20 @@
         "{:?}",
         began.elapsed()
     );
-    assert!(rig
+    assert!(harness
         .router
         .ends_within(Duration::from_secs(8).saturating_sub(began.elapsed())));
 }
 
 #[test]
 fn idle_router_exits_once_platform_has_noticed() {
-    let mut rig = Rig::usual(&[]);
+    let mut harness = RouterHarness::with_defaults(&[]);
     // A connection that rests holds nothing up.
-    let _resting = rig.client();
+    let _resting = harness.client();
     let began = Instant::now();
-    rig.router.stop();
-    rig.router.stop();
-    assert!(rig.router.ends_within(Duration::from_secs(5)));
+    harness.router.stop();
+    harness.router.stop();
+    assert!(harness.router.ends_within(Duration::from_secs(5)));
     assert!(
         began.elapsed() >= Duration::from_millis(2_900),
         "{:?}",
@@ -108,20 +108,21 @@
 #[test]
 fn requests_beyond_shutdown_are_rejected_at_once() {
     let server = Server::endless("i-1", Duration::from_millis(200));
-    let mut rig = Rig::with(&[&server], 30_000, 1_000, 1);
-    let mut kept = rig.client();
+    let mut harness = RouterHarness::with(&[&server], 30_000, 1_000, 1);
+    let mut kept = harness.client();
     assert_eq!(
-        kept.ask(request("GET", "nowhere", "a0", "", "")).status,
+        kept.round_trip(request("GET", "nowhere", "a0", "", ""))
+            .status,
         404
     );
-    let mut new = rig.client();
-    rig.router.stop();
-    support::until("the platform is told", || {
-        rig.router.readiness_status() == 503
+    let mut new = harness.client();
+    harness.router.stop();
+    support::wait_until("the platform is told", || {
+        harness.router.readiness_status() == 503
     });
     for (client, id) in [(&mut kept, "a1"), (&mut new, "a2")] {
         let began = Instant::now();
-        let reply = client.ask(request("POST", "stream", id, "", "x"));
+        let reply = client.round_trip(request("POST", "stream", id, "", "x"));
         assert_eq!(
             (reply.status, reply.complete),
             (503, true),
@@ -136,20 +137,20 @@
             "{:?}",
             began.elapsed()
         );
-        assert_eq!(server.times(id), 0, "a refusal is a promise");
+        assert_eq!(server.request_count(id), 0, "a refusal is a promise");
     }
 }
 
 #[test]
 fn requests_due_before_exit_are_served_during_shutdown() {
     let server = slow(Duration::from_millis(300));
-    let mut rig = Rig::with(&[&server], 30_000, 1_000, 1);
-    rig.router.stop();
-    support::until("the platform is told", || {
-        rig.router.readiness_status() == 503
+    let mut harness = RouterHarness::with(&[&server], 30_000, 1_000, 1);
+    harness.router.stop();
+    support::wait_until("the platform is told", || {
+        harness.router.readiness_status() == 503
     });
-    let mut client = rig.client();
-    let reply = client.ask(request(
+    let mut client = harness.client();
+    let reply = client.round_trip(request(
         "POST",
         "unsafe",
         "a1",
@@ -181,14 +182,14 @@
 #[test]
 fn resumable_stream_is_handed_over_between_events() {
     let server = Server::endless("i-1", Duration::from_millis(50));
-    let mut rig = Rig::with(&[&server], 30_000, 1_000, 1);
-    let mut clients: Vec<Client> = ["resume", "stream"].map(|_| rig.client()).into();
+    let mut harness = RouterHarness::with(&[&server], 30_000, 1_000, 1);
+    let mut clients: Vec<Client> = ["resume", "stream"].map(|_| harness.client()).into();
     for (client, kind) in clients.iter_mut().zip(["resume", "stream"]) {
         client.send(request("POST", kind, kind, "", "x"));
         client.head().expect("a head");
     }
     // One whose time is over before the router ends is left to its end.
-    let mut short = rig.client();
+    let mut short = harness.client();
     short.send(request(
         "POST",
         "resume",
@@ -198,7 +199,7 @@
     ));
     short.head().expect("a head");
     let began = Instant::now();
-    rig.router.stop();
+    harness.router.stop();
     let ends: Vec<Duration> = std::thread::scope(|scope| {
         let followed: Vec<_> = clients
             .iter_mut()
@@ -208,9 +209,9 @@
         followed
             .into_iter()
             .map(|follower| {
-                let (ids, took) = follower.join().expect("a client");
+                let (ids, elapsed) = follower.join().expect("a client");
                 assert!(ids.len() > 50, "{}", ids.len());
-                took
+                elapsed
             })
             .collect()
     });
--- a/fleet/tests/router_lost.rs
+++ b/fleet/tests/router_lost.rs
@@ -14,8 +14,8 @@
 use std::time::Duration;
 use support::client::request;
 use support::control::Control;
-use support::rig::{document, record, settings_text, Rig, Running};
-use support::server::{event, Next, Server};
+use support::harness::{document, record, settings_text, RouterHarness, RouterThread};
+use support::server::{event, NextAction, Server};
 
 /// Events of a long stream, and the pause between them.
 const EVENTS: u64 = 12;
@@ -48,12 +48,12 @@
         let stream = TcpStream::connect(address).expect("connect");
         stream.set_nodelay(true).expect("nodelay");
         stream
-            .set_read_timeout(Some(support::PATIENCE))
+            .set_read_timeout(Some(support::TEST_TIMEOUT))
             .expect("timeout");
         Connection(stream)
     }
 
-    fn ask(&mut self, request: &str) -> End {
+    fn round_trip(&mut self, request: &str) -> End {
         // One that is closed already shows when it is read from.
         let _ = self.0.write_all(request.as_bytes());
         self.end()
@@ -108,24 +108,26 @@
 /// A server with work of several kinds, by the `Work` of the request: a long stream, an answer that
 /// takes time, one that is passed on as it comes, or one at once.
 fn worker(instance: &str) -> Server {
-    Server::start(instance, |seen, talk| {
-        match seen.header("work") {
+    Server::start(instance, |received, connection| {
+        match received.header("work") {
             Some("stream") => {
-                talk.stream_head(seen);
+                connection.stream_head(received);
                 (1..=EVENTS).for_each(|id| {
-                    talk.event(id);
+                    connection.event(id);
                     std::thread::sleep(PAUSE);
                 });
-                talk.end();
+                connection.end();
             }
             Some("slow") => {
                 std::thread::sleep(PAUSE * 8);
-                talk.answer(seen, 200, "Keep-Alive: timeout=9\r\n", "done");
+                connection.respond(received, 200, "Keep-Alive: timeout=9\r\n", "done");
             }
-            Some("large") => talk.answer(seen, 200, "Keep-Alive: timeout=9\r\n", &large_answer()),
-            _ => talk.answer(seen, 200, "Keep-Alive: timeout=9\r\n", "done"),
+            Some("large") => {
+                connection.respond(received, 200, "Keep-Alive: timeout=9\r\n", &large_answer())
+            }
+            _ => connection.respond(received, 200, "Keep-Alive: timeout=9\r\n", "done"),
         }
-        Next::Keep
+        NextAction::Keep
     })
 }
 
@@ -145,7 +147,7 @@
 }
 
 /// A configuration drawn from all that operators change.
-fn drawn(rng: &mut fastrand::Rng, version: u64) -> String {
+fn sampled_service(rng: &mut fastrand::Rng, version: u64) -> String {
     let services = [&["pool"][..], &["other"], &["pool", "other"]][rng.usize(..3)];
     let kinds = ["safe", "unsafe", "streaming"];
     let mut routes = Vec::new();
@@ -219,8 +221,8 @@
         ][rng.usize(..6)];
         let body = "x".repeat(rng.usize(1..60_000));
         let headers = format!("Work: {work}\r\nDeadline-Ms: 20000\r\n");
-        let end = connection.ask(&request("POST", kind, &id, &headers, &body));
-        let reached = servers.iter().any(|server| server.times(&id) > 0);
+        let end = connection.round_trip(&request("POST", kind, &id, &headers, &body));
+        let reached = servers.iter().any(|server| server.request_count(&id) > 0);
         // Besides: no route at that moment, or no server; a request that crosses the end of a kept
         // connection.
         let served = matches!(&end, End::Answered { status: 200, body } if *body == expected(work));
@@ -250,17 +252,17 @@
     let servers: Vec<Arc<Server>> = ["i-1", "i-2", "i-3", "i-4"]
         .map(|instance| Arc::new(worker(instance)))
         .into();
-    let rig = Rig::with(&[], 20_000, 2_000, 2);
+    let harness = RouterHarness::with(&[], 20_000, 2_000, 2);
     let of = |server: usize| ["pool", "other"][server % 2];
     let records = (0..4)
         .map(|at| of_service(&servers[at], of(at), ServerState::Ready, 1))
         .collect();
-    rig.control.push_servers(records);
-    rig.control.settled();
+    harness.control.push_servers(records);
+    harness.control.wait_until_acknowledged();
     let over = Arc::new(AtomicBool::new(false));
     let clients: Vec<_> = (0..24)
         .map(|number| {
-            let (address, servers, over) = (rig.router.frontend, servers.clone(), over.clone());
+            let (address, servers, over) = (harness.router.frontend, servers.clone(), over.clone());
             std::thread::spawn(move || client(address, &servers, number, &over))
         })
         .collect();
@@ -268,14 +270,15 @@
     let asked = || {
         servers
             .iter()
-            .map(|server| server.seen().len())
+            .map(|server| server.received().len())
             .sum::<usize>()
     };
     // On a machine that is loaded the clients get fewer turns in the same time: the storm lasts
     // until they have had enough.
     for version in (2..802).take_while(|version| *version < 82 || asked() <= 200) {
-        rig.control
-            .push_configuration(version, &drawn(&mut rng, version));
+        harness
+            .control
+            .push_configuration(version, &sampled_service(&mut rng, version));
         std::thread::sleep(Duration::from_millis(100));
     }
     over.store(true, Ordering::SeqCst);
@@ -288,18 +291,18 @@
 }
 
 /// Sends a request of this kind, named by it, and waits until its server has it.
-fn hold(rig: &Rig, server: &Server, kind: &str, work: &str) -> Connection {
-    let mut connection = Connection::open(rig.router.frontend);
+fn hold(harness: &RouterHarness, server: &Server, kind: &str, work: &str) -> Connection {
+    let mut connection = Connection::open(harness.router.frontend);
     let text = request("POST", kind, kind, &format!("Work: {work}\r\n"), "x");
     connection.0.write_all(text.as_bytes()).expect("send");
-    support::until("it is held", || server.times(kind) == 1);
+    support::wait_until("it is held", || server.request_count(kind) == 1);
     connection
 }
 
 #[test]
 fn request_keeps_its_timeout_when_route_shrinks_or_vanishes() {
     let server = worker("i-1");
-    let rig = Rig::with(&[&server], 6_000, 2_000, 1);
+    let harness = RouterHarness::with(&[&server], 6_000, 2_000, 1);
     let held: Vec<Connection> = [
         ("stream", "stream"),
         ("resume", "stream"),
@@ -307,14 +310,19 @@
         ("safe", "slow"),
     ]
     .into_iter()
-    .map(|(kind, work)| hold(&rig, &server, kind, work))
+    .map(|(kind, work)| hold(&harness, &server, kind, work))
     .collect();
-    rig.control.push_configuration(2, &document(2, 100, 50, 1));
-    rig.control.settled();
-    rig.control
+    harness
+        .control
+        .push_configuration(2, &document(2, 100, 50, 1));
+    harness.control.wait_until_acknowledged();
+    harness
+        .control
         .push_configuration(3, "{\"version\":3,\"routes\":[],\"services\":[]}");
-    rig.control.settled();
-    rig.control.push_configuration(4, &document(4, 100, 50, 1));
+    harness.control.wait_until_acknowledged();
+    harness
+        .control
+        .push_configuration(4, &document(4, 100, 50, 1));
     for (mut connection, work) in held.into_iter().zip(["stream", "stream", "slow", "slow"]) {
         assert_eq!(
             connection.end(),
@@ -335,7 +343,7 @@
     ];
     for way in ways {
         let server = worker("i-1");
-        let rig = Rig::with(&[&server], 6_000, 2_000, 3);
+        let harness = RouterHarness::with(&[&server], 6_000, 2_000, 3);
         let held: Vec<(Connection, &str)> = [
             ("resume", "stream"),
             ("stream", "stream"),
@@ -344,24 +352,26 @@
         ]
         .into_iter()
         .map(|(kind, work)| {
-            let connection = hold(&rig, &server, kind, work);
+            let connection = hold(&harness, &server, kind, work);
             (connection, work)
         })
         .collect();
         for (at, state) in way.iter().enumerate() {
-            rig.control
+            harness
+                .control
                 .push_servers(vec![record(&server, *state, at as u64 + 2)]);
-            rig.control.settled();
+            harness.control.wait_until_acknowledged();
         }
         // Its address goes to a server of another service, and its own service goes.
         let heir = ServerRecord {
             instance: "i-9".into(),
             ..of_service(&server, "other", ServerState::Ready, 1)
         };
-        rig.control.push_servers(vec![heir]);
-        rig.control
+        harness.control.push_servers(vec![heir]);
+        harness
+            .control
             .push_configuration(2, &document(2, 6_000, 2_000, 3).replace("pool", "other"));
-        rig.control.settled();
+        harness.control.wait_until_acknowledged();
         for (mut connection, work) in held {
             assert_eq!(
                 connection.end(),
@@ -372,16 +382,20 @@
                 "{way:?}"
             );
         }
-        assert_eq!(server.seen().len(), 4, "each was sent once");
+        assert_eq!(server.received().len(), 4, "each was sent once");
     }
 }
 
 /// A router that no rig builds, with these lines of its settings exchanged.
-fn router_with(servers: &[&Server], exchange: (&str, &str), document: &str) -> (Control, Running) {
+fn router_with(
+    servers: &[&Server],
+    exchange: (&str, &str),
+    document: &str,
+) -> (Control, RouterThread) {
     let control = Control::at(SocketAddr::from(([127, 0, 0, 1], 0)));
     let text = settings_text(&[Ipv4Addr::LOCALHOST], control.address.port(), "");
     assert!(text.contains(exchange.0), "the settings have the line");
-    let router = Running::start(&text.replace(exchange.0, exchange.1), None);
+    let router = RouterThread::start(&text.replace(exchange.0, exchange.1), None);
     control.push_servers(
         servers
             .iter()
@@ -389,28 +403,33 @@
             .collect(),
     );
     control.push_configuration(1, document);
-    support::until("the configuration is in force", || {
+    support::wait_until("the configuration is in force", || {
         control.applied().is_some()
     });
-    control.settled();
+    control.wait_until_acknowledged();
     (control, router)
 }
 
 /// Asks on a connection; tells whether the request reached the server, and how it ended.
-fn ask_once(connection: &mut Connection, server: &Server, id: &str) -> (bool, End) {
-    let end = connection.ask(&request("POST", "unsafe", id, "", "x"));
+fn round_trip_once(connection: &mut Connection, server: &Server, id: &str) -> (bool, End) {
+    let end = connection.round_trip(&request("POST", "unsafe", id, "", "x"));
     // Where it was closed without an answer a request on its way would be there by now.
     if end == End::Closed {
         std::thread::sleep(Duration::from_millis(50));
     }
-    (server.times(id) > 0, end)
+    (server.request_count(id) > 0, end)
 }
 
 /// The same on a connection that has carried a request and has rested since.
-fn ask_after_rest(address: SocketAddr, server: &Server, id: &str, rest: Duration) -> (bool, End) {
+fn round_trip_after_idle(
+    address: SocketAddr,
+    server: &Server,
+    id: &str,
+    rest: Duration,
+) -> (bool, End) {
     let mut connection = connection_that_was_used(address, server, id);
     std::thread::sleep(rest);
-    ask_once(&mut connection, server, id)
+    round_trip_once(&mut connection, server, id)
 }
 
 /// A connection whose first request was answered. On a machine that is loaded that one may be
@@ -420,7 +439,7 @@
     for attempt in 0..40 {
         let mut connection = Connection::open(address);
         let first = format!("{id}-first-{attempt}");
-        match ask_once(&mut connection, server, &first) {
+        match round_trip_once(&mut connection, server, &first) {
             (true, end) if end.is_status(&[200]) => return connection,
             (reached, end) => {
                 assert!(!reached, "{first} was passed on: {end:?}");
@@ -450,7 +469,7 @@
                 let rest =
                     due - Duration::from_millis(30) + Duration::from_micros(500) * number as u32;
                 let id = format!("r{round}-{number}");
-                std::thread::spawn(move || (ask_after_rest(address, &server, &id, rest), id))
+                std::thread::spawn(move || (round_trip_after_idle(address, &server, &id, rest), id))
             })
             .collect();
         for client in clients {
@@ -476,7 +495,7 @@
     for round in 0..30 {
         std::thread::sleep(Duration::from_millis(rng.u64(..40)));
         let id = format!("m{number}-{round}");
-        let (reached, end) = ask_once(&mut connection, server, &id);
+        let (reached, end) = round_trip_once(&mut connection, server, &id);
         if !end.is_status(&[200]) || rng.u8(..4) == 0 {
             connection = Connection::open(address);
         }
@@ -526,32 +545,34 @@
 
 #[test]
 fn stream_of_paused_client_completes_after_server_and_route_vanish() {
-    let server = Server::start("i-1", |seen, talk| {
-        talk.stream_head(seen);
+    let server = Server::start("i-1", |received, connection| {
+        connection.stream_head(received);
         wide_stream().chunks(64_000).for_each(|piece| {
-            talk.write(format!("{:x}\r\n", piece.len()));
-            talk.write(piece);
-            talk.write("\r\n");
+            connection.write(format!("{:x}\r\n", piece.len()));
+            connection.write(piece);
+            connection.write("\r\n");
         });
-        talk.end();
+        connection.end();
         // It leaves as soon as it has handed everything over.
-        Next::Close
+        NextAction::Close
     });
-    let rig = Rig::with(&[&server], 20_000, 2_000, 1);
+    let harness = RouterHarness::with(&[&server], 20_000, 2_000, 1);
     for kind in ["stream", "resume", "safe"] {
-        let mut connection = Connection::open(rig.router.frontend);
+        let mut connection = Connection::open(harness.router.frontend);
         connection
             .0
             .write_all(request("POST", kind, kind, "", "x").as_bytes())
             .expect("send");
-        support::until("it runs", || server.times(kind) == 1);
+        support::wait_until("it runs", || server.request_count(kind) == 1);
         std::thread::sleep(Duration::from_millis(500));
         if kind == "safe" {
-            rig.control
+            harness
+                .control
                 .push_servers(vec![record(&server, ServerState::Gone, 2)]);
-            rig.control
+            harness
+                .control
                 .push_configuration(2, "{\"version\":2,\"routes\":[],\"services\":[]}");
-            rig.control.settled();
+            harness.control.wait_until_acknowledged();
         }
         std::thread::sleep(Duration::from_millis(2_500));
         let end = connection.end();
@@ -571,10 +592,10 @@
     let text = settings_text(&[Ipv4Addr::LOCALHOST], control.address.port(), "");
     let path = std::env::temp_dir().join(format!("router-lost-{}.toml", std::process::id()));
     std::fs::write(&path, &text).expect("write");
-    let mut router = Running::start(&text, Some(path.clone()));
+    let mut router = RouterThread::start(&text, Some(path.clone()));
     control.push_servers(vec![record(&server, ServerState::Ready, 1)]);
     control.push_configuration(1, &document(1, 6_000, 2_000, 1));
-    support::until("the configuration is in force", || {
+    support::wait_until("the configuration is in force", || {
         control.applied().is_some()
     });
     let held: Vec<(Connection, &str)> =
@@ -584,7 +605,7 @@
                 let mut connection = Connection::open(router.frontend);
                 let text = request("POST", kind, kind, &format!("Work: {work}\r\n"), "x");
                 connection.0.write_all(text.as_bytes()).expect("send");
-                support::until("it is held", || server.times(kind) == 1);
+                support::wait_until("it is held", || server.request_count(kind) == 1);
                 (connection, work)
             })
             .collect();
@@ -606,13 +627,13 @@
         std::fs::write(&path, content).expect("write");
         router.reload();
         assert!(kept
-            .ask(&request("POST", "unsafe", &format!("k{round}"), "", "x"))
+            .round_trip(&request("POST", "unsafe", &format!("k{round}"), "", "x"))
             .is_status(&[200]));
     }
     std::fs::remove_file(&path).expect("remove");
     router.reload();
     assert!(kept
-        .ask(&request("POST", "unsafe", "k-last", "", "x"))
+        .round_trip(&request("POST", "unsafe", "k-last", "", "x"))
         .is_status(&[200]));
     for (mut connection, work) in held {
         assert_eq!(
--- a/fleet/tests/router_process.rs
+++ b/fleet/tests/router_process.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 use support::client::{request, Client};
 use support::control::Control;
-use support::rig::{document, free_port, record, settings_text};
-use support::server::{Next, Server};
+use support::harness::{document, free_port, record, settings_text};
+use support::server::{NextAction, Server};
 
 /// Ends the process with the test, however that ends.
 struct Process(Child);
@@ -32,10 +32,10 @@
 
 #[test]
 fn router_process_handles_its_signals() {
-    let server = Server::start("i-1", |seen, talk| {
-        talk.closes_within(Duration::from_millis(300));
-        talk.answer(seen, 200, "", "done");
-        Next::Keep
+    let server = Server::start("i-1", |received, connection| {
+        connection.closes_within(Duration::from_millis(300));
+        connection.respond(received, 200, "", "done");
+        NextAction::Keep
     });
     let control = Control::at(SocketAddr::from(([127, 0, 0, 1], 0)));
     control.push_servers(vec![record(
@@ -58,10 +58,10 @@
         .spawn()
         .expect("start");
     let mut process = Process(child);
-    support::until("it is in force", || control.applied().is_some());
+    support::wait_until("it is in force", || control.applied().is_some());
     let mut client = Client::connect(SocketAddr::from(([127, 0, 0, 1], frontend)));
     client.send(request("POST", "unsafe", "a1", "", "x"));
-    support::until("it is held", || server.times("a1") == 1);
+    support::wait_until("it is held", || server.request_count("a1") == 1);
     process.signal("-HUP");
     process.signal("-TERM");
     let reply = client.reply();
@@ -70,7 +70,7 @@
         (200, "done", Some("close"))
     );
     let mut ended = None;
-    support::until("it ends", || {
+    support::wait_until("it ends", || {
         ended = process.0.try_wait().expect("wait");
         ended.is_some()
     });
--- a/fleet/tests/router_random.rs
+++ b/fleet/tests/router_random.rs
@@ -8,8 +8,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use support::client::{request, Client};
-use support::rig::Rig;
-use support::server::{event, Next, Seen, Server, Talk};
+use support::harness::RouterHarness;
+use support::server::{event, NextAction, ReceivedRequest, Server, ServerConnection};
 
 const EVENTS: u64 = 6;
 const KINDS: [&str; 4] = ["safe", "unsafe", "stream", "resume"];
@@ -22,23 +22,28 @@
 }
 
 /// Answers, or fails, as chance has it. What it runs is counted before it answers.
-fn act(rng: &mut fastrand::Rng, runs: &Runs, seen: &Seen, talk: &mut Talk) -> Next {
-    let id = seen.id().to_owned();
+fn act(
+    rng: &mut fastrand::Rng,
+    runs: &Runs,
+    received: &ReceivedRequest,
+    connection: &mut ServerConnection,
+) -> NextAction {
+    let id = received.id().to_owned();
     match rng.u32(0..100) {
         0..8 => {
             let status = if rng.bool() { 503 } else { 429 };
-            talk.answer(seen, status, "Not-Executed: 1\r\n", "full");
-            return Next::Keep;
+            connection.respond(received, status, "Not-Executed: 1\r\n", "full");
+            return NextAction::Keep;
         }
         8..12 => {
-            talk.answer(seen, 421, "", "another");
-            return Next::Keep;
+            connection.respond(received, 421, "", "another");
+            return NextAction::Keep;
         }
-        12..15 => return Next::Close,
-        15..18 => return Next::Reset,
+        12..15 => return NextAction::Close,
+        15..18 => return NextAction::Reset,
         _ => {}
     }
-    let from = seen
+    let from = received
         .header("last-event-id")
         .map_or(0, |last| last.parse().expect("a number"));
     runs.lock()
@@ -47,95 +52,108 @@
         .or_default()
         .push(from);
     match rng.u32(0..100) {
-        0..6 => return Next::Close,
-        6..12 => return Next::Reset,
+        0..6 => return NextAction::Close,
+        6..12 => return NextAction::Reset,
         12..16 => {
-            talk.closes_within(Duration::from_millis(rng.u64(1..900)));
-            return Next::Close;
+            connection.closes_within(Duration::from_millis(rng.u64(1..900)));
+            return NextAction::Close;
         }
         16..20 => {
-            talk.write("HTTP/1.1 200 OK\r\nAttempt-Id: other\r\nResponse-Seal: seal-other\r\nContent-Length: 3\r\n\r\nbad");
-            return Next::Keep;
+            connection.write("HTTP/1.1 200 OK\r\nAttempt-Id: other\r\nResponse-Seal: seal-other\r\nContent-Length: 3\r\n\r\nbad");
+            return NextAction::Keep;
         }
         20..23 => {
-            talk.write("\0\0 no answer \r\n\r\n");
-            return Next::Keep;
+            connection.write("\0\0 no answer \r\n\r\n");
+            return NextAction::Keep;
         }
         23..27 => {
-            talk.answer(seen, 500, "", "it failed");
-            return Next::Keep;
+            connection.respond(received, 500, "", "it failed");
+            return NextAction::Keep;
         }
         27..30 => {
-            talk.answer(seen, 503, "", "not said to be unrun");
-            return Next::Keep;
+            connection.respond(received, 503, "", "not said to be unrun");
+            return NextAction::Keep;
         }
         _ => {}
     }
-    if seen.target.starts_with("/stream") || seen.target.starts_with("/resume") {
-        stream(rng, seen, talk, from)
+    if received.target.starts_with("/stream") || received.target.starts_with("/resume") {
+        stream(rng, received, connection, from)
     } else {
-        whole(rng, seen, talk)
+        whole(rng, received, connection)
     }
 }
 
-fn stream(rng: &mut fastrand::Rng, seen: &Seen, talk: &mut Talk, from: u64) -> Next {
-    talk.stream_head(seen);
+fn stream(
+    rng: &mut fastrand::Rng,
+    received: &ReceivedRequest,
+    connection: &mut ServerConnection,
+    from: u64,
+) -> NextAction {
+    connection.stream_head(received);
     for id in from + 1..=EVENTS {
         match rng.u32(0..100) {
-            0..3 => return Next::Close,
-            3..6 => return Next::Reset,
+            0..3 => return NextAction::Close,
+            3..6 => return NextAction::Reset,
             6..9 => {
-                talk.chunk(&event(id)[..7]);
-                return Next::Close;
+                connection.chunk(&event(id)[..7]);
+                return NextAction::Close;
             }
-            9..20 => _ = talk.closes_within(Duration::from_millis(rng.u64(1..20))),
+            9..20 => _ = connection.closes_within(Duration::from_millis(rng.u64(1..20))),
             _ => {}
         }
-        talk.event(id);
+        connection.event(id);
     }
-    talk.end();
-    after(rng, talk)
+    connection.end();
+    after(rng, connection)
 }
 
-fn whole(rng: &mut fastrand::Rng, seen: &Seen, talk: &mut Talk) -> Next {
-    let body = body_of(seen.id());
+fn whole(
+    rng: &mut fastrand::Rng,
+    received: &ReceivedRequest,
+    connection: &mut ServerConnection,
+) -> NextAction {
+    let body = body_of(received.id());
     match rng.u32(0..100) {
         0..8 => {
             let half = &body[..body.len() / 2];
-            talk.write(format!(
+            connection.write(format!(
                 "HTTP/1.1 200 OK\r\nAttempt-Id: {0}\r\nResponse-Seal: seal-{0}\r\nContent-Length: {1}\r\n\r\n{half}",
-                seen.id(),
+                received.id(),
                 body.len()
             ));
-            return if rng.bool() { Next::Close } else { Next::Reset };
+            return if rng.bool() {
+                NextAction::Close
+            } else {
+                NextAction::Reset
+            };
         }
         8..12 => {
-            talk.write(format!(
+            connection.write(format!(
                 "HTTP/1.1 200 OK\r\nAttempt-Id: {0}\r\nResponse-Seal: seal-{0}\r\n\r\n{body}",
-                seen.id()
+                received.id()
             ));
-            return Next::Close;
+            return NextAction::Close;
         }
         _ => {}
     }
-    talk.answer(seen, 200, "", &body);
-    after(rng, talk)
+    connection.respond(received, 200, "", &body);
+    after(rng, connection)
 }
 
 /// What may come behind an answer that was whole.
-fn after(rng: &mut fastrand::Rng, talk: &mut Talk) -> Next {
+fn after(rng: &mut fastrand::Rng, connection: &mut ServerConnection) -> NextAction {
     match rng.u32(0..100) {
         0..8 => {
             let late = rng.bool();
             if late {
-                talk.closes_within(Duration::from_millis(30));
+                connection.closes_within(Duration::from_millis(30));
             }
-            talk.write("HTTP/1.1 200 OK\r\nAttempt-Id: extra\r\nResponse-Seal: seal-extra\r\nContent-Length: 5\r\n\r\nextra");
-            Next::Keep
+            connection.write("HTTP/1.1 200 OK\r\nAttempt-Id: extra\r\nResponse-Seal: seal-extra\r\nContent-Length: 5\r\n\r\nextra");
+            NextAction::Keep
         }
-        8..12 => Next::Close,
-        12..16 => Next::Reset,
-        _ => Next::Keep,
+        8..12 => NextAction::Close,
+        12..16 => NextAction::Reset,
+        _ => NextAction::Keep,
     }
 }
 
@@ -147,14 +165,14 @@
                 runs.clone(),
                 Mutex::new(fastrand::Rng::with_seed(seed * 31 + n)),
             );
-            Server::start(&format!("i-{n}"), move |seen, talk| {
+            Server::start(&format!("i-{n}"), move |received, connection| {
                 let mut rng = rng.lock().expect("lock").fork();
-                act(&mut rng, &runs, seen, talk)
+                act(&mut rng, &runs, received, connection)
             })
         })
         .collect();
-    let rig = Rig::with(&servers.iter().collect::<Vec<_>>(), 800, 200, 3);
-    let frontend = rig.router.frontend;
+    let harness = RouterHarness::with(&servers.iter().collect::<Vec<_>>(), 800, 200, 3);
+    let frontend = harness.router.frontend;
     let clients: Vec<_> = (0..12)
         .map(|n| {
             std::thread::spawn(move || {
@@ -172,7 +190,7 @@
                         tried.push((kind, id, None));
                         continue;
                     }
-                    let reply = client.ask(bytes);
+                    let reply = client.round_trip(bytes);
                     if !reply.complete || reply.header("connection") == Some("close") {
                         client = Client::connect(frontend);
                     }
@@ -197,7 +215,7 @@
                 ran.len()
             );
         }
-        let sent: usize = servers.iter().map(|server| server.times(id)).sum();
+        let sent: usize = servers.iter().map(|server| server.request_count(id)).sum();
         assert!(sent <= 3, "seed {seed}: {id} was sent to {sent} servers");
         let Some(reply) = reply else { continue };
         let seal = format!("seal-{id}");
@@ -240,9 +258,9 @@
             status => panic!("seed {seed}: {kind} {id} got {status}"),
         }
         assert!(
-            reply.took < Duration::from_millis(1_000),
+            reply.elapsed < Duration::from_millis(1_000),
             "seed {seed}: {id} took {:?}",
-            reply.took
+            reply.elapsed
         );
     }
     assert!(
--- a/fleet/tests/router_shutdown.rs
+++ b/fleet/tests/router_shutdown.rs
@@ -4,22 +4,22 @@
 
 use std::time::{Duration, Instant};
 use support::client::{request, Client};
-use support::rig::Rig;
-use support::server::{event, Next, Server};
+use support::harness::RouterHarness;
+use support::server::{event, NextAction, Server};
 
 fn quick() -> Server {
-    Server::start("i-1", |seen, talk| {
-        talk.answer(seen, 200, "Keep-Alive: timeout=9\r\n", "done");
-        Next::Keep
+    Server::start("i-1", |received, connection| {
+        connection.respond(received, 200, "Keep-Alive: timeout=9\r\n", "done");
+        NextAction::Keep
     })
 }
 
 /// Waits until the router has taken in that it is to end.
-fn stop(rig: &mut Rig) -> Instant {
-    rig.router.stop();
+fn stop(harness: &mut RouterHarness) -> Instant {
+    harness.router.stop();
     let began = Instant::now();
-    support::until("the platform is told", || {
-        rig.router.readiness_status() == 503
+    support::wait_until("the platform is told", || {
+        harness.router.readiness_status() == 503
     });
     began
 }
@@ -34,28 +34,28 @@
 #[test]
 fn request_body_ending_after_signal_is_answered() {
     let server = quick();
-    let mut rig = Rig::with(&[&server], 30_000, 1_000, 1);
-    let mut short = rig.client();
-    let mut long = rig.client();
+    let mut harness = RouterHarness::with(&[&server], 30_000, 1_000, 1);
+    let mut short = harness.client();
+    let mut long = harness.client();
     short.send(head_of("a1", "Deadline-Ms: 2000\r\n", 4));
     long.send(head_of("a2", "Deadline-Ms: 20000\r\n", 4));
-    stop(&mut rig);
+    stop(&mut harness);
     std::thread::sleep(Duration::from_millis(500));
     short.send("body");
     long.send("body");
     let (one, other) = (short.reply(), long.reply());
     assert_eq!((one.status, one.complete), (200, true));
     assert_eq!((other.status, other.complete), (503, true));
-    assert_eq!(server.times("a2"), 0);
+    assert_eq!(server.request_count("a2"), 0);
 }
 
 #[test]
 fn body_ending_after_listener_close_is_rejected_without_reset() {
     let server = quick();
-    let mut rig = Rig::with(&[&server], 30_000, 1_000, 1);
-    let mut late = rig.client();
+    let mut harness = RouterHarness::with(&[&server], 30_000, 1_000, 1);
+    let mut late = harness.client();
     late.send(head_of("a1", "Deadline-Ms: 1000\r\n", 4));
-    stop(&mut rig);
+    stop(&mut harness);
     std::thread::sleep(Duration::from_millis(1_800));
     late.send("bo");
     std::thread::sleep(Duration::from_millis(1_800));
@@ -66,21 +66,21 @@
 
 #[test]
 fn pipelined_requests_during_shutdown_get_their_responses() {
-    let server = Server::start("i-1", |seen, talk| {
-        talk.closes_within(Duration::from_millis(700));
-        talk.answer(seen, 200, "Keep-Alive: timeout=9\r\n", "done");
-        Next::Keep
+    let server = Server::start("i-1", |received, connection| {
+        connection.closes_within(Duration::from_millis(700));
+        connection.respond(received, 200, "Keep-Alive: timeout=9\r\n", "done");
+        NextAction::Keep
     });
-    let mut rig = Rig::with(&[&server], 30_000, 1_000, 1);
-    let mut client = rig.client();
+    let mut harness = RouterHarness::with(&[&server], 30_000, 1_000, 1);
+    let mut client = harness.client();
     let two = format!(
         "{}{}",
         request("POST", "unsafe", "a1", "", "x"),
         request("POST", "unsafe", "a2", "Deadline-Ms: 20000\r\n", "x")
     );
     client.send(two);
-    support::until("it is held", || server.times("a1") == 1);
-    stop(&mut rig);
+    support::wait_until("it is held", || server.request_count("a1") == 1);
+    stop(&mut harness);
     let first = client.reply();
     assert_eq!(
         (first.status, first.complete, first.header("connection")),
@@ -90,19 +90,19 @@
         client.ends_within(Duration::from_secs(3)),
         "the second was not read"
     );
-    assert_eq!(server.times("a2"), 0);
+    assert_eq!(server.request_count("a2"), 0);
 }
 
 /// The answer is whole at the router well before the end; its client reads slowly.
 #[test]
 fn complete_response_reaches_slow_client_during_shutdown() {
-    let server = Server::start("i-1", |seen, talk| {
+    let server = Server::start("i-1", |received, connection| {
         let body = "x".repeat(24 << 20);
-        talk.answer(seen, 200, "Keep-Alive: timeout=9\r\n", &body);
-        Next::Keep
+        connection.respond(received, 200, "Keep-Alive: timeout=9\r\n", &body);
+        NextAction::Keep
     });
-    let mut rig = Rig::with(&[&server], 30_000, 1_000, 1);
-    let mut client = rig.client();
+    let mut harness = RouterHarness::with(&[&server], 30_000, 1_000, 1);
+    let mut client = harness.client();
     client.send(request(
         "POST",
         "unsafe",
@@ -110,9 +110,9 @@
         "Deadline-Ms: 4000\r\n",
         "x",
     ));
-    support::until("it is held", || server.times("a1") == 1);
+    support::wait_until("it is held", || server.request_count("a1") == 1);
     std::thread::sleep(Duration::from_millis(300));
-    let began = stop(&mut rig);
+    let began = stop(&mut harness);
     // It reads within its deadline.
     std::thread::sleep(Duration::from_millis(3_000).saturating_sub(began.elapsed()));
     let reply = client.reply();
@@ -125,12 +125,12 @@
 #[test]
 fn stream_with_deadline_just_before_exit_violates_no_invariant() {
     let server = Server::endless("i-1", Duration::from_millis(50));
-    let mut rig = Rig::with(&[&server], 30_000, 1_000, 1);
-    let began = stop(&mut rig);
+    let mut harness = RouterHarness::with(&[&server], 30_000, 1_000, 1);
+    let began = stop(&mut harness);
     let mut clients = Vec::new();
     for left in [7_300_u64, 7_380, 7_390, 7_395, 7_398, 7_399, 7_400] {
         let left = left.saturating_sub(u64::try_from(began.elapsed().as_millis()).unwrap());
-        let mut client = rig.client();
+        let mut client = harness.client();
         client.send(request(
             "POST",
             "stream",
@@ -144,29 +144,30 @@
         .iter_mut()
         .map(|client| client.head().expect("a head").status)
         .collect();
-    assert!(rig.router.ends_within(Duration::from_secs(8)));
+    assert!(harness.router.ends_within(Duration::from_secs(8)));
     assert!(statuses.contains(&200), "{statuses:?}");
 }
 
 #[test]
 fn short_grace_period_is_kept_and_all_are_answered() {
     for grace in [1_u64, 2, 3] {
-        let server = Server::start("i-1", |seen, talk| {
-            talk.closes_within(Duration::from_secs(20));
-            talk.answer(seen, 200, "", "done");
-            Next::Close
+        let server = Server::start("i-1", |received, connection| {
+            connection.closes_within(Duration::from_secs(20));
+            connection.respond(received, 200, "", "done");
+            NextAction::Close
         });
         let text = format!("gracePeriodS = {grace}\n");
-        let mut rig = graced(&server, &text);
-        let mut held = rig.client();
+        let mut harness = graced(&server, &text);
+        let mut held = harness.client();
         held.send(request("POST", "unsafe", "a1", "", "x"));
-        support::until("it is held", || server.times("a1") == 1);
+        support::wait_until("it is held", || server.request_count("a1") == 1);
         let began = Instant::now();
-        rig.router.stop();
+        harness.router.stop();
         let reply = held.reply();
         assert_eq!((reply.status, reply.complete), (502, true), "grace {grace}");
         assert!(
-            rig.router
+            harness
+                .router
                 .ends_within(Duration::from_secs(grace).saturating_sub(began.elapsed())),
             "{grace}"
         );
@@ -174,43 +175,44 @@
 }
 
 /// A router with this much grace.
-fn graced(server: &Server, grace: &str) -> Rig {
+fn graced(server: &Server, grace: &str) -> RouterHarness {
     use std::net::{Ipv4Addr, SocketAddr};
     let control = support::control::Control::at(SocketAddr::from(([127, 0, 0, 1], 0)));
-    let text = support::rig::settings_text(&[Ipv4Addr::LOCALHOST], control.address.port(), "")
+    let text = support::harness::settings_text(&[Ipv4Addr::LOCALHOST], control.address.port(), "")
         .replace("gracePeriodS = 8\n", grace);
-    let router = support::rig::Running::start(&text, None);
-    let rig = Rig { control, router };
-    rig.control.push_servers(vec![support::rig::record(
+    let router = support::harness::RouterThread::start(&text, None);
+    let harness = RouterHarness { control, router };
+    harness.control.push_servers(vec![support::harness::record(
         server,
         lichenswitch_messages::ServerState::Ready,
         1,
     )]);
-    rig.control
-        .push_configuration(1, &support::rig::document(1, 30_000, 1_000, 1));
-    support::until("the configuration is in force", || {
-        rig.control.applied().is_some()
+    harness
+        .control
+        .push_configuration(1, &support::harness::document(1, 30_000, 1_000, 1));
+    support::wait_until("the configuration is in force", || {
+        harness.control.applied().is_some()
     });
-    rig.control.settled();
-    rig
+    harness.control.wait_until_acknowledged();
+    harness
 }
 
 /// The server answers before it has read the body, and reads on when it has said all.
 #[test]
 fn stream_completes_while_server_still_reads_long_body() {
     const EVENTS: u64 = 25;
-    let server = Server::start("i-1", |seen, talk| {
-        talk.stream_head(seen);
+    let server = Server::start("i-1", |received, connection| {
+        connection.stream_head(received);
         for id in 1..=EVENTS {
-            talk.event(id);
+            connection.event(id);
             std::thread::sleep(Duration::from_millis(200));
         }
-        talk.end();
-        talk.closes_within(Duration::from_secs(2));
-        Next::Close
+        connection.end();
+        connection.closes_within(Duration::from_secs(2));
+        NextAction::Close
     });
-    let rig = Rig::with(&[&server], 30_000, 1_000, 1);
-    let mut client: Client = rig.client();
+    let harness = RouterHarness::with(&[&server], 30_000, 1_000, 1);
+    let mut client: Client = harness.client();
     let body = "x".repeat(3 << 20);
     client.send(request("POST", "stream", "a1", "Early: yes\r\n", &body));
     assert_eq!(client.head().expect("a head").status, 200);
@@ -229,10 +231,10 @@
 #[test]
 fn connection_after_long_body_is_reused() {
     let server = quick();
-    let rig = Rig::with(&[&server], 30_000, 1_000, 1);
-    let mut client = rig.client();
+    let harness = RouterHarness::with(&[&server], 30_000, 1_000, 1);
+    let mut client = harness.client();
     for (id, size) in [("a1", 1 << 20), ("a2", 1), ("a3", 100 << 10), ("a4", 1)] {
-        let reply = client.ask(request("POST", "unsafe", id, "", &"x".repeat(size)));
+        let reply = client.round_trip(request("POST", "unsafe", id, "", &"x".repeat(size)));
         assert_eq!((reply.status, reply.complete), (200, true), "{id}");
     }
 }
@@ -242,26 +244,26 @@
 #[test]
 fn waiting_clients_match_requests_in_hand_under_random_clients() {
     use std::io::Write;
-    let server = Server::start("i-1", |seen, talk| {
-        match seen.target.as_str() {
+    let server = Server::start("i-1", |received, connection| {
+        match received.target.as_str() {
             "/stream/item" => {
-                talk.stream_head(seen);
+                connection.stream_head(received);
                 for id in 1..=5 {
-                    talk.event(id);
-                    talk.closes_within(Duration::from_millis(7));
+                    connection.event(id);
+                    connection.closes_within(Duration::from_millis(7));
                 }
-                talk.end();
+                connection.end();
             }
-            _ if seen.method == "HEAD" => talk.write(format!(
+            _ if received.method == "HEAD" => connection.write(format!(
                 "HTTP/1.1 200 OK\r\nAttempt-Id: {id}\r\nResponse-Seal: s\r\nContent-Length: 5\r\n\r\n",
-                id = seen.id()
+                id = received.id()
             )),
-            _ => talk.answer(seen, 200, "", &"y".repeat(40_000)),
+            _ => connection.respond(received, 200, "", &"y".repeat(40_000)),
         }
-        Next::Keep
+        NextAction::Keep
     });
-    let mut rig = Rig::usual(&[&server]);
-    let address = rig.router.frontend;
+    let mut harness = RouterHarness::with_defaults(&[&server]);
+    let address = harness.router.frontend;
     let clients: Vec<_> = (0..8_u64)
         .map(|number| {
             std::thread::spawn(move || {
@@ -301,10 +303,10 @@
         })
         .collect();
     std::thread::sleep(Duration::from_millis(700));
-    rig.router.stop();
+    harness.router.stop();
     clients
         .into_iter()
         .for_each(|client| client.join().unwrap_or(()));
-    assert!(rig.router.ends_within(Duration::from_secs(9)));
+    assert!(harness.router.ends_within(Duration::from_secs(9)));
     assert_eq!(lichenswitch_fleet::invariants::violations(), 0);
 }
--- a/fleet/tests/router_with_control.rs
+++ b/fleet/tests/router_with_control.rs
@@ -8,10 +8,10 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 use support::client::{request, Client};
-use support::rig::{document, document_of, settings_text, Running};
-use support::server::{Next, Server};
+use support::harness::{document, document_of, settings_text, RouterThread};
+use support::server::{NextAction, Server};
 
-fn beat(control: SocketAddr, server: &Server, state: &str, sequence_number: u64) -> u16 {
+fn send_heartbeats(control: SocketAddr, server: &Server, state: &str, sequence_number: u64) -> u16 {
     let body = format!(
         "{{\"service\":\"pool\",\"address\":\"{}\",\"zone\":\"a\",\"version\":\"v1\",\"capacitySlots\":4,\"state\":\"{state}\",\
          \"coldRemainingMs\":0,\"sequenceNumber\":{sequence_number}}}",
@@ -28,9 +28,9 @@
 
 fn named(instance: &str) -> Server {
     let name = instance.to_owned();
-    Server::start(instance, move |seen, talk| {
-        talk.answer(seen, 200, "", &name);
-        Next::Keep
+    Server::start(instance, move |received, connection| {
+        connection.respond(received, 200, "", &name);
+        NextAction::Keep
     })
 }
 
@@ -43,7 +43,7 @@
         .iter()
         .map(|machine| machine.ip.parse().expect("an address"))
         .collect();
-    let mut router = Running::start(
+    let mut router = RouterThread::start(
         &settings_text(&ips, fleet.machines[0].internal.port(), ""),
         None,
     );
@@ -58,7 +58,7 @@
     let servers = [named("i-1"), named("i-2")];
     for server in &servers {
         assert_eq!(
-            beat(fleet.machines[0].control_plane, server, "ready", 1),
+            send_heartbeats(fleet.machines[0].control_plane, server, "ready", 1),
             200
         );
     }
@@ -68,31 +68,31 @@
     let mut client = Client::connect(router.frontend);
     wait_for("both servers are used", || {
         let id = format!("a{}", fastrand::u64(..));
-        client.ask(request("GET", "safe", &id, "", ""));
+        client.round_trip(request("GET", "safe", &id, "", ""));
         servers
             .iter()
-            .all(|server| !server.seen().is_empty())
+            .all(|server| !server.received().is_empty())
             .then_some(())
     });
 
     // A server that says that it leaves gets nothing once that is acknowledged and has had its
     // time.
     assert_eq!(
-        beat(fleet.machines[1].control_plane, &servers[0], "draining", 2),
+        send_heartbeats(fleet.machines[1].control_plane, &servers[0], "draining", 2),
         200
     );
     let began = Instant::now();
     wait_for("nothing goes there", || {
-        let before = servers[0].seen().len();
+        let before = servers[0].received().len();
         for n in 0..10 {
             assert_eq!(
                 client
-                    .ask(request("GET", "safe", &format!("d{n}"), "", ""))
+                    .round_trip(request("GET", "safe", &format!("d{n}"), "", ""))
                     .status,
                 200
             );
         }
-        (servers[0].seen().len() == before).then_some(())
+        (servers[0].received().len() == before).then_some(())
     });
     assert!(
         began.elapsed() < Duration::from_millis(2_000),
@@ -104,7 +104,9 @@
     let primary = fleet.primary(&[0, 1, 2]);
     fleet.kill(primary);
     assert_eq!(
-        client.ask(request("GET", "safe", "k", "", "")).text(),
+        client
+            .round_trip(request("GET", "safe", "k", "", ""))
+            .text(),
         "i-2"
     );
     let route = "{\"name\":\"r-new\",\"host\":\"fleet.example\",\"pathPrefix\":\"/new/\",\"kind\":\"safe\",\"timeoutMs\":3000,\
@@ -122,7 +124,7 @@
     let acknowledged = Instant::now();
     wait_for("the new version is in force", || {
         (client
-            .ask(request(
+            .round_trip(request(
                 "GET",
                 "new",
                 &format!("n{}", fastrand::u64(..)),
--- a/fleet/tests/support/client.rs
+++ b/fleet/tests/support/client.rs
@@ -1,20 +1,20 @@
 //! A client of the router.
 
-use super::PATIENCE;
+use super::TEST_TIMEOUT;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// An answer as a client saw it.
+/// A response as a client received it.
 #[derive(Clone, Debug)]
 pub struct Reply {
     pub status: u16,
     /// Names in lower case.
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
-    /// It ended as its framing says that it ends.
+    /// It ended as its framing declares.
     pub complete: bool,
-    pub took: Duration,
+    pub elapsed: Duration,
 }
 
 impl Reply {
@@ -56,7 +56,9 @@
 impl Client {
     pub fn connect(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).expect("connect");
-        stream.set_read_timeout(Some(PATIENCE)).expect("timeout");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("timeout");
         stream.set_nodelay(true).expect("nodelay");
         Client {
             stream,
@@ -70,13 +72,13 @@
         self.stream.write_all(bytes.as_ref()).expect("send");
     }
 
-    /// One request and its answer.
-    pub fn ask(&mut self, bytes: impl AsRef<[u8]>) -> Reply {
+    /// Sends a request, and reads its response.
+    pub fn round_trip(&mut self, bytes: impl AsRef<[u8]>) -> Reply {
         self.send(bytes);
         self.reply()
     }
 
-    fn more(&mut self) -> bool {
+    fn read_more(&mut self) -> bool {
         let mut bytes = [0; 16_384];
         match self.stream.read(&mut bytes) {
             Ok(0) => false,
@@ -91,7 +93,7 @@
                 ) =>
             {
                 panic!(
-                    "no answer in time; so far: {:?}",
+                    "no response in time; so far: {:?}",
                     String::from_utf8_lossy(&self.input)
                 )
             }
@@ -105,13 +107,13 @@
                 let line: Vec<u8> = self.input.drain(..at + 2).take(at).collect();
                 return Some(String::from_utf8(line).expect("a line of text"));
             }
-            if !self.more() {
+            if !self.read_more() {
                 return None;
             }
         }
     }
 
-    /// The head of the next answer; nothing if the connection ends before.
+    /// The head of the next response; `None` if the connection ends before.
     pub fn head(&mut self) -> Option<Reply> {
         let first = self.line()?;
         let status = first.split(' ').nth(1)?.parse().expect("a status");
@@ -123,21 +125,21 @@
             };
             headers.push((name.to_ascii_lowercase(), value.trim().to_owned()));
         }
-        let took = self.sent.elapsed();
+        let elapsed = self.sent.elapsed();
         Some(Reply {
             status,
             headers,
             body: Vec::new(),
             complete: false,
-            took,
+            elapsed,
         })
     }
 
-    /// The next chunk of a body; `Ok(None)` at its end, `Err` where it is cut.
+    /// The next chunk of a body; `Ok(None)` at its end, `Err` where it is truncated.
     pub fn chunk(&mut self) -> Result<Option<Vec<u8>>, ()> {
         let size = usize::from_str_radix(self.line().ok_or(())?.trim(), 16).expect("a chunk size");
         while self.input.len() < size + 2 {
-            if !self.more() {
+            if !self.read_more() {
                 return Err(());
             }
         }
@@ -164,7 +166,7 @@
         match length {
             Some(length) => {
                 while self.input.len() < length {
-                    if !self.more() {
+                    if !self.read_more() {
                         reply.body = self.input.split_off(0);
                         return;
                     }
@@ -173,20 +175,20 @@
                 reply.complete = true;
             }
             None if reply.status == 204 => reply.complete = true,
-            None => panic!("an answer without framing"),
+            None => panic!("a response without framing"),
         }
     }
 
-    /// The next answer.
+    /// The next response.
     pub fn reply(&mut self) -> Reply {
         let mut reply = self
             .head()
-            .expect("an answer before the end of the connection");
+            .expect("a response before the end of the connection");
         if (100..200).contains(&reply.status) {
             return reply;
         }
         self.body(&mut reply);
-        reply.took = self.sent.elapsed();
+        reply.elapsed = self.sent.elapsed();
         reply
     }
 
@@ -196,7 +198,7 @@
         let mut bytes = [0; 1_024];
         let read = self.stream.read(&mut bytes);
         self.stream
-            .set_read_timeout(Some(PATIENCE))
+            .set_read_timeout(Some(TEST_TIMEOUT))
             .expect("timeout");
         match read {
             Ok(0) => self.input.is_empty(),
--- a/fleet/tests/support/control.rs
+++ b/fleet/tests/support/control.rs
@@ -1,6 +1,6 @@
 //! A scripted control machine.
 
-use super::until;
+use super::wait_until;
 use lichenswitch_fleet::envelopes::{
     encode, encode_backlog_report, encode_tenant_message, EnvelopeReader, Incoming,
 };
@@ -17,21 +17,22 @@
 #[derive(Default)]
 struct State {
     in_contact: bool,
-    silent: bool,
+    is_silent: bool,
     routers: u32,
     control: Vec<String>,
     configuration: Option<(ConfigurationPosition, Vec<u8>)>,
     servers: Vec<ServerRecord>,
     links: Vec<Link>,
-    hellos: usize,
+    handshake_count: usize,
     applied: Option<ConfigurationPosition>,
     acknowledged: u64,
-    /// Draws that have come, and what is left to be granted; `None`: they get no answer.
-    draws: Vec<QuotaLeaseRequest>,
+    /// Lease requests that have come.
+    lease_requests: Vec<QuotaLeaseRequest>,
+    /// Tokens left to be leased; `None`: lease requests get no response.
     quota: Option<u64>,
-    /// Questions whether the configuration is current get no answer.
-    unconfirmed: bool,
-    /// What the router says that waits, by server.
+    /// Requests for confirmation get no response.
+    ignores_confirmations: bool,
+    /// Backlogs that the router reports, by server.
     backlogs: BTreeMap<u32, u32>,
 }
 
@@ -70,10 +71,10 @@
                 std::thread::spawn(move || serve(stream, &shared));
             }
         });
-        let beating = state.clone();
+        let heartbeat_state = state.clone();
         std::thread::spawn(move || loop {
             std::thread::sleep(Duration::from_millis(ROUTER_HEARTBEAT_MS));
-            beating.lock().expect("lock").beat();
+            heartbeat_state.lock().expect("lock").send_heartbeats();
         });
         Control { address, state }
     }
@@ -110,17 +111,17 @@
     pub fn set_contact(&self, on: bool) {
         let mut state = self.state.lock().expect("lock");
         state.in_contact = on;
-        state.beat();
+        state.send_heartbeats();
     }
 
     pub fn set_silent(&self, on: bool) {
-        self.state.lock().expect("lock").silent = on;
+        self.state.lock().expect("lock").is_silent = on;
     }
 
     pub fn set_routers(&self, routers: u32) {
         let mut state = self.state.lock().expect("lock");
         state.routers = routers;
-        state.beat();
+        state.send_heartbeats();
     }
 
     pub fn set_control(&self, control: Vec<String>) {
@@ -134,40 +135,40 @@
         }
     }
 
-    /// So much is granted from now on; `None`: draws get no answer.
+    /// Sets the tokens left to be leased; `None`: lease requests get no response.
     pub fn set_quota(&self, quota: Option<u64>) {
         self.state.lock().expect("lock").quota = quota;
     }
 
-    pub fn draws(&self) -> Vec<QuotaLeaseRequest> {
-        self.state.lock().expect("lock").draws.clone()
+    pub fn lease_requests(&self) -> Vec<QuotaLeaseRequest> {
+        self.state.lock().expect("lock").lease_requests.clone()
     }
 
-    /// Whether questions about the configuration are answered.
-    pub fn set_confirms(&self, on: bool) {
-        self.state.lock().expect("lock").unconfirmed = !on;
+    /// Sets whether requests for confirmation are answered.
+    pub fn set_confirmations(&self, on: bool) {
+        self.state.lock().expect("lock").ignores_confirmations = !on;
     }
 
-    /// What the router says that waits, by server.
+    /// Backlogs that the router reports, by server.
     pub fn backlogs(&self) -> BTreeMap<u32, u32> {
         self.state.lock().expect("lock").backlogs.clone()
     }
 
-    /// Forgets what the router has said of it.
+    /// Forgets what the router has reported.
     pub fn forget_backlogs(&self) {
         self.state.lock().expect("lock").backlogs.clear();
     }
 
-    /// Tells routers what waits at servers.
-    pub fn tell_backlogs(&self, report: &BacklogReport) {
+    /// Sends backlogs of servers to routers.
+    pub fn push_backlogs(&self, report: &BacklogReport) {
         let bytes = encode_backlog_report(report).expect("encode");
         for link in &mut self.state.lock().expect("lock").links {
             let _ = link.stream.write_all(&bytes);
         }
     }
 
-    pub fn hellos(&self) -> usize {
-        self.state.lock().expect("lock").hellos
+    pub fn handshake_count(&self) -> usize {
+        self.state.lock().expect("lock").handshake_count
     }
 
     pub fn applied(&self) -> Option<ConfigurationPosition> {
@@ -175,8 +176,8 @@
     }
 
     /// Waits until the last push on each link is acknowledged.
-    pub fn settled(&self) {
-        until("the router has acknowledged", || {
+    pub fn wait_until_acknowledged(&self) {
+        wait_until("the router has acknowledged", || {
             let state = self.state.lock().expect("lock");
             state
                 .links
@@ -196,9 +197,9 @@
         self.backlogs.retain(|_, tokens| *tokens > 0);
     }
 
-    fn beat(&mut self) {
+    fn send_heartbeats(&mut self) {
         let (in_contact, control, routers) = (self.in_contact, self.control.clone(), self.routers);
-        if self.silent {
+        if self.is_silent {
             return;
         }
         let message = ControlToRouter::Heartbeat {
@@ -212,10 +213,10 @@
         }
     }
 
-    fn answer(&mut self, message: TenantMessage) -> Option<TenantMessage> {
+    fn respond(&mut self, message: TenantMessage) -> Option<TenantMessage> {
         match message {
             TenantMessage::Confirm { sent_at_us: stamp }
-                if self.in_contact && !self.unconfirmed =>
+                if self.in_contact && !self.ignores_confirmations =>
             {
                 let position = self.configuration.as_ref().map(|(position, _)| *position);
                 Some(TenantMessage::Confirmed {
@@ -225,7 +226,7 @@
             }
             TenantMessage::LeaseRequest(request) => {
                 let (id, needs) = (request.id, request.amounts.clone());
-                self.draws.push(request);
+                self.lease_requests.push(request);
                 let left = self.quota.as_mut()?;
                 let mut granted = 0;
                 for (place, need) in needs.into_iter().enumerate() {
@@ -253,13 +254,13 @@
         }
     }
 
-    fn greet(&mut self, stream: TcpStream) {
-        self.hellos += 1;
+    fn on_handshake(&mut self, stream: TcpStream) {
+        self.handshake_count += 1;
         self.acknowledged = 0;
         let (configuration, servers) = (self.configuration.clone(), self.servers.clone());
         let others = std::mem::take(&mut self.links);
         self.links.push(Link { stream, push: 0 });
-        self.beat();
+        self.send_heartbeats();
         if let Some((position, document)) = configuration {
             self.send_all(&|push| ControlToRouter::Configuration {
                 push,
@@ -292,7 +293,7 @@
                     ..
                 })) => {
                     state.applied = configuration;
-                    state.greet(stream.try_clone().expect("clone"));
+                    state.on_handshake(stream.try_clone().expect("clone"));
                 }
                 Incoming::Envelope(Envelope::FromRouter(RouterToControl::Applied {
                     push,
@@ -301,13 +302,13 @@
                     (state.acknowledged, state.applied) = (push, configuration);
                 }
                 Incoming::Tenant(message) => {
-                    if let Some(answer) = state.answer(message) {
+                    if let Some(answer) = state.respond(message) {
                         let bytes = encode_tenant_message(&answer).expect("encode");
                         let _ = stream.write_all(&bytes);
                     }
                 }
                 Incoming::Backlog(report) => state.on_backlog_report(&report),
-                Incoming::Envelope(_) => panic!("only routers speak here"),
+                Incoming::Envelope(_) => panic!("only routers connect here"),
             }
         }
     }
--- a/fleet/tests/support/rig.rs
+++ b/fleet/tests/support/harness.rs
@@ -1,8 +1,8 @@
-//! A router in a thread, with its control machine.
+//! A router in a thread, with a scripted control machine.
 
 use super::control::Control;
 use super::server::Server;
-use super::{until, within};
+use super::{holds_within, wait_until};
 use lichenswitch_fleet::router::Router;
 use lichenswitch_fleet::settings::Settings;
 use lichenswitch_messages::{ServerRecord, ServerState};
@@ -14,13 +14,14 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-pub struct Rig {
+/// A router with a scripted control machine.
+pub struct RouterHarness {
     pub control: Control,
-    pub router: Running,
+    pub router: RouterThread,
 }
 
 /// A router in a thread.
-pub struct Running {
+pub struct RouterThread {
     pub frontend: SocketAddr,
     pub readiness: SocketAddr,
     stop: UnixStream,
@@ -37,20 +38,20 @@
 }
 
 /// Text of a settings file for seeds at this internal port.
-pub fn settings_text(seeds: &[Ipv4Addr], internal_port: u16, more: &str) -> String {
+pub fn settings_text(seeds: &[Ipv4Addr], internal_port: u16, extra: &str) -> String {
     let seeds: Vec<String> = seeds.iter().map(|ip| format!("\"{ip}:1\"")).collect();
     format!(
         "nodeName = \"edge-1\"\nrole = \"router\"\nipAddress = \"127.0.0.1\"\nzone = \"z1\"\nregion = \"r\"\n\
          internalPortRange = [{internal_port}, {internal_port}]\nseedNodes = [{}]\n\
          [listenAddresses]\nfrontend = \"127.0.0.1:0\"\nreadiness = \"127.0.0.1:0\"\n\
          [limits]\ncpuShare = 0.5\nmemoryMb = 78\nfileDescriptors = 1000\n\
-         [bounds]\nretryBudgetRatio = 0.2\nbudgetWindowS = 10\nretrySlack = 200\ngracePeriodS = 8\n{more}",
+         [bounds]\nretryBudgetRatio = 0.2\nbudgetWindowS = 10\nretrySlack = 200\ngracePeriodS = 8\n{extra}",
         seeds.join(", ")
     )
 }
 
-impl Drop for Running {
-    /// No test leaves a broken invariant behind.
+impl Drop for RouterThread {
+    /// No test leaves a violated invariant behind.
     fn drop(&mut self) {
         if !std::thread::panicking() {
             assert_eq!(
@@ -62,22 +63,22 @@
     }
 }
 
-impl Running {
-    pub fn start(text: &str, file: Option<PathBuf>) -> Running {
+impl RouterThread {
+    pub fn start(text: &str, file: Option<PathBuf>) -> RouterThread {
         let settings = Settings::parse(text).expect("settings");
         let (stop, stopped) = UnixStream::pair().expect("pair");
         let (reload, reloaded) = UnixStream::pair().expect("pair");
-        let (tell, told) = mpsc::channel();
+        let (sender, receiver) = mpsc::channel();
         let thread = std::thread::spawn(move || {
             let mut router = Router::new(&settings, file).map_err(|e| e.to_string())?;
             router.stop_on(stopped).map_err(|e| e.to_string())?;
             router.reload_on(reloaded).map_err(|e| e.to_string())?;
-            tell.send(router.addresses()).map_err(|e| e.to_string())?;
+            sender.send(router.addresses()).map_err(|e| e.to_string())?;
             router.serve().map_err(|e| e.to_string())
         });
-        let (frontend, readiness) = told.recv().expect("the router starts");
+        let (frontend, readiness) = receiver.recv().expect("the router starts");
         let readiness = readiness.expect("an address for readiness");
-        Running {
+        RouterThread {
             frontend,
             readiness,
             stop,
@@ -96,7 +97,7 @@
 
     /// Whether the process would have ended by then.
     pub fn ends_within(&mut self, time: Duration) -> bool {
-        let ended = within(time, || {
+        let ended = holds_within(time, || {
             self.thread.as_ref().is_none_or(JoinHandle::is_finished)
         });
         if ended {
@@ -110,11 +111,11 @@
         ended
     }
 
-    /// What the platform is told.
+    /// The status that the platform gets.
     pub fn readiness_status(&self) -> u16 {
         let mut client = super::client::Client::connect(self.readiness);
         client
-            .ask("GET /readiness HTTP/1.1\r\nHost: x\r\n\r\n")
+            .round_trip("GET /readiness HTTP/1.1\r\nHost: x\r\n\r\n")
             .status
     }
 }
@@ -160,38 +161,44 @@
     )
 }
 
-impl Rig {
-    /// A router that knows nothing yet.
-    pub fn bare() -> Rig {
+impl RouterHarness {
+    /// A router without servers and configuration.
+    pub fn without_configuration() -> RouterHarness {
         let control = Control::at(SocketAddr::from(([127, 0, 0, 1], 0)));
         let text = settings_text(&[Ipv4Addr::LOCALHOST], control.address.port(), "");
-        Rig {
-            router: Running::start(&text, None),
+        RouterHarness {
+            router: RouterThread::start(&text, None),
             control,
         }
     }
 
-    /// A router with servers and a configuration of these figures in force.
-    pub fn with(servers: &[&Server], timeout_ms: u64, target_ms: u64, max_attempts: u32) -> Rig {
-        let rig = Rig::bare();
-        rig.control.push_servers(
+    /// A router with servers and an active configuration with these bounds.
+    pub fn with(
+        servers: &[&Server],
+        timeout_ms: u64,
+        target_ms: u64,
+        max_attempts: u32,
+    ) -> RouterHarness {
+        let harness = RouterHarness::without_configuration();
+        harness.control.push_servers(
             servers
                 .iter()
                 .map(|s| record(s, ServerState::Ready, 1))
                 .collect(),
         );
-        rig.control
+        harness
+            .control
             .push_configuration(1, &document(1, timeout_ms, target_ms, max_attempts));
-        until("the configuration is in force", || {
-            rig.control.applied().is_some()
+        wait_until("the configuration is active", || {
+            harness.control.applied().is_some()
         });
-        rig.control.settled();
-        rig
+        harness.control.wait_until_acknowledged();
+        harness
     }
 
-    /// The usual figures: 3 s, an aim of 1 s, two attempts.
-    pub fn usual(servers: &[&Server]) -> Rig {
-        Rig::with(servers, 3_000, 1_000, 2)
+    /// The same with a timeout of 3 s, a latency target of 1 s and two attempts.
+    pub fn with_defaults(servers: &[&Server]) -> RouterHarness {
+        RouterHarness::with(servers, 3_000, 1_000, 2)
     }
 
     pub fn client(&self) -> super::client::Client {
--- a/fleet/tests/support/mod.rs
+++ b/fleet/tests/support/mod.rs
@@ -1,33 +1,33 @@
-//! What the tests of the router share: a router in a thread, a scripted control machine, scripted
-//! servers and a client, all on loopback.
+//! What the tests of the router share: a router in a thread (`harness`), a scripted control machine,
+//! scripted model servers and a client, all on loopback.
 //!
-//! Nothing here sleeps for a result: whatever is waited for is waited for with a deadline.
+//! Nothing here sleeps for a result: every wait has a condition and a deadline.
 #![allow(dead_code, missing_docs)]
 
 pub mod client;
 pub mod control;
-pub mod rig;
+pub mod harness;
 pub mod server;
 
 use std::time::{Duration, Instant};
 
-/// How long anything is waited for before a test fails.
-pub const PATIENCE: Duration = Duration::from_secs(10);
+/// How long a test waits for anything before it fails.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Waits until something holds.
+/// Waits until a condition holds.
 ///
 /// # Panics
-/// When it does not in time.
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
-    let deadline = Instant::now() + PATIENCE;
+/// It does not hold in time.
+pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
+    let deadline = Instant::now() + TEST_TIMEOUT;
     while !holds() {
         assert!(Instant::now() < deadline, "waited in vain until {what}");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// Whether something comes to hold within a time.
-pub fn within(time: Duration, mut holds: impl FnMut() -> bool) -> bool {
+/// Whether a condition comes to hold within a time.
+pub fn holds_within(time: Duration, mut holds: impl FnMut() -> bool) -> bool {
     let deadline = Instant::now() + time;
     while Instant::now() < deadline {
         if holds() {
--- a/fleet/tests/support/server.rs
+++ b/fleet/tests/support/server.rs
@@ -5,9 +5,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// A request as a server saw it.
+/// A request as a server received it.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ReceivedRequest {
     /// Number of its connection.
     pub connection: usize,
     pub method: String,
@@ -18,7 +18,7 @@
     pub at: Instant,
 }
 
-impl Seen {
+impl ReceivedRequest {
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -37,30 +37,30 @@
     }
 }
 
-/// The connection that a script answers on.
-pub struct Talk {
+/// The connection on which a script responds.
+pub struct ServerConnection {
     pub stream: TcpStream,
     pub number: usize,
 }
 
-impl Talk {
+impl ServerConnection {
     pub fn write(&mut self, bytes: impl AsRef<[u8]>) {
-        // A router that has gone is seen by what the test checks.
+        // The test's own checks detect a router that is gone.
         let _ = self.stream.write_all(bytes.as_ref());
     }
 
-    /// A whole answer with a length.
-    pub fn answer(&mut self, seen: &Seen, status: u16, headers: &str, body: &str) {
-        let id = seen.id();
+    /// A complete response with a length.
+    pub fn respond(&mut self, received: &ReceivedRequest, status: u16, headers: &str, body: &str) {
+        let id = received.id();
         self.write(format!(
             "HTTP/1.1 {status} X\r\nAttempt-Id: {id}\r\nResponse-Seal: seal-{id}\r\n{headers}Content-Length: {}\r\n\r\n{body}",
             body.len()
         ));
     }
 
-    /// The head of a stream of events.
-    pub fn stream_head(&mut self, seen: &Seen) {
-        let id = seen.id();
+    /// The head of an event stream.
+    pub fn stream_head(&mut self, received: &ReceivedRequest) {
+        let id = received.id();
         self.write(format!(
             "HTTP/1.1 200 OK\r\nAttempt-Id: {id}\r\nResponse-Seal: seal-{id}\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
         ));
@@ -117,9 +117,9 @@
     format!("id: {id}\ndata: piece {id}\n\n")
 }
 
-/// What becomes of the connection after a request.
+/// What a script does with the connection after a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum NextAction {
     Keep,
     Close,
     Reset,
@@ -128,23 +128,23 @@
 pub struct Server {
     pub address: SocketAddr,
     pub instance: String,
-    seen: Arc<Mutex<Vec<Seen>>>,
+    received: Arc<Mutex<Vec<ReceivedRequest>>>,
     connections: Arc<Mutex<usize>>,
 }
 
-type Script = dyn Fn(&Seen, &mut Talk) -> Next + Send + Sync;
+type Script = dyn Fn(&ReceivedRequest, &mut ServerConnection) -> NextAction + Send + Sync;
 
 impl Server {
-    /// A server that answers by a script, a request at a time on each connection.
+    /// A server that runs a script for each request, one at a time on each connection.
     pub fn start(
         instance: &str,
-        script: impl Fn(&Seen, &mut Talk) -> Next + Send + Sync + 'static,
+        script: impl Fn(&ReceivedRequest, &mut ServerConnection) -> NextAction + Send + Sync + 'static,
     ) -> Server {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
         let address = listener.local_addr().expect("address");
-        let (seen, connections) = (Arc::new(Mutex::new(Vec::new())), Arc::new(Mutex::new(0)));
+        let (received, connections) = (Arc::new(Mutex::new(Vec::new())), Arc::new(Mutex::new(0)));
         let script: Arc<Script> = Arc::new(script);
-        let (all, count) = (seen.clone(), connections.clone());
+        let (all, count) = (received.clone(), connections.clone());
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let number = {
@@ -153,39 +153,44 @@
                     *count
                 };
                 let (script, all) = (script.clone(), all.clone());
-                std::thread::spawn(move || serve(Talk { stream, number }, &*script, &all));
+                std::thread::spawn(move || {
+                    serve(ServerConnection { stream, number }, &*script, &all)
+                });
             }
         });
         Server {
             address,
             instance: instance.to_owned(),
-            seen,
+            received,
             connections,
         }
     }
 
     /// A server whose streams have an event after each pause, and no end.
     pub fn endless(instance: &str, pause: Duration) -> Server {
-        Server::start(instance, move |seen, talk| {
-            talk.stream_head(seen);
+        Server::start(instance, move |received, connection| {
+            connection.stream_head(received);
             for id in 1.. {
-                talk.event(id);
-                if talk.closes_within(pause) {
+                connection.event(id);
+                if connection.closes_within(pause) {
                     break;
                 }
             }
-            Next::Close
+            NextAction::Close
         })
     }
 
-    /// What it has seen so far.
-    pub fn seen(&self) -> Vec<Seen> {
-        self.seen.lock().expect("lock").clone()
+    /// The requests that it has received so far.
+    pub fn received(&self) -> Vec<ReceivedRequest> {
+        self.received.lock().expect("lock").clone()
     }
 
-    /// How often it has seen a request of this id.
-    pub fn times(&self, id: &str) -> usize {
-        self.seen().iter().filter(|seen| seen.id() == id).count()
+    /// How often it has received a request of this id.
+    pub fn request_count(&self, id: &str) -> usize {
+        self.received()
+            .iter()
+            .filter(|received| received.id() == id)
+            .count()
     }
 
     /// Connections that were made to it.
@@ -194,22 +199,22 @@
     }
 }
 
-fn serve(mut talk: Talk, script: &Script, all: &Mutex<Vec<Seen>>) {
+fn serve(mut connection: ServerConnection, script: &Script, all: &Mutex<Vec<ReceivedRequest>>) {
     let mut input = Vec::new();
     loop {
-        let Some(seen) = read(&mut talk, &mut input) else {
+        let Some(received) = read(&mut connection, &mut input) else {
             return;
         };
-        all.lock().expect("lock").push(seen.clone());
-        match script(&seen, &mut talk) {
-            Next::Keep => {}
-            Next::Close => return,
-            Next::Reset => return talk.reset(),
+        all.lock().expect("lock").push(received.clone());
+        match script(&received, &mut connection) {
+            NextAction::Keep => {}
+            NextAction::Close => return,
+            NextAction::Reset => return connection.reset(),
         }
     }
 }
 
-fn more(stream: &mut TcpStream, input: &mut Vec<u8>) -> bool {
+fn read_more(stream: &mut TcpStream, input: &mut Vec<u8>) -> bool {
     stream.set_read_timeout(None).expect("timeout");
     let mut bytes = [0; 16_384];
     match stream.read(&mut bytes) {
@@ -221,14 +226,13 @@
     }
 }
 
-/// A request with its body. A script that wants to answer before the body says so in the header
-/// `Early`.
-fn read(talk: &mut Talk, input: &mut Vec<u8>) -> Option<Seen> {
+/// Reads a request with its body; without it if the request has the header `Early`.
+fn read(connection: &mut ServerConnection, input: &mut Vec<u8>) -> Option<ReceivedRequest> {
     let end = loop {
         if let Some(at) = input.windows(4).position(|four| four == b"\r\n\r\n") {
             break at + 4;
         }
-        if !more(&mut talk.stream, input) {
+        if !read_more(&mut connection.stream, input) {
             return None;
         }
     };
@@ -240,25 +244,25 @@
         .filter_map(|line| line.split_once(':'))
         .map(|(name, value)| (name.to_ascii_lowercase(), value.trim().to_owned()))
         .collect();
-    let mut seen = Seen {
-        connection: talk.number,
+    let mut received = ReceivedRequest {
+        connection: connection.number,
         method,
         target,
         headers,
         body: Vec::new(),
         at: Instant::now(),
     };
-    let length = seen
+    let length = received
         .header("content-length")
         .map_or(0, |value| value.parse().expect("a length"));
-    if seen.header("early").is_some() {
-        return Some(seen);
+    if received.header("early").is_some() {
+        return Some(received);
     }
     while input.len() < length {
-        if !more(&mut talk.stream, input) {
+        if !read_more(&mut connection.stream, input) {
             return None;
         }
     }
-    seen.body = input.drain(..length).collect();
-    Some(seen)
+    received.body = input.drain(..length).collect();
+    Some(received)
 }
