--- a/experiments/src/council.rs
+++ b/experiments/src/council.rs
@@ -1,5 +1,5 @@
-//! Voters and holders as processes under faults from a seed: who held a duty when is judged. Times
-//! are real, so figures differ from run to run; the faults do not.
+//! Voters and lease holders as processes under faults from a seed: which broker held a role when is
+//! checked. Times are real, so figures differ from run to run; the faults do not.
 
 use crate::ExperimentError;
 use lichenswitch_emulators::relay::Faults;
@@ -8,14 +8,22 @@
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use serde::Serialize;
-use std::path::Path;
+use std::ops::Range;
+use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Leases, and how long a process that stood still has to find out.
+/// The duration of leases, and the time in which a process that was paused has to find out that it
+/// holds nothing.
 const LEASE_MS: u64 = 1_500;
-const WAKES: Duration = Duration::from_millis(500);
-/// The longest that a holder is waited for.
-const MOST: Duration = Duration::from_secs(30);
+const RESUME_TIMEOUT: Duration = Duration::from_millis(500);
+/// The longest wait for a holder.
+const HOLDER_TIMEOUT: Duration = Duration::from_secs(30);
+/// The probability that a fault is the holder's, where there is one.
+const HOLDER_FAULT_PROBABILITY: f64 = 0.6;
+/// The probability that a link is among those that are cut.
+const LINK_CUT_PROBABILITY: f64 = 0.7;
+/// How long a fault lasts (milliseconds).
+const FAULT_MS: Range<u64> = 100..5_000;
 
 /// The figures of a run.
 #[derive(Clone, Debug, Default, Serialize)]
@@ -26,9 +34,9 @@
     pub brokers: usize,
     /// See `brokers`.
     pub voters: usize,
-    /// Faults by kind: killed, killed without its folder, stopped, split, ways cut, all ways rough
-    /// (a fifth of the messages lost, a fifth doubled, all late), what one says held back and let
-    /// go all together.
+    /// Faults by kind: killed, killed and its folder removed, paused, partitioned, links cut, all
+    /// links impaired (a fifth of the messages lost, a fifth duplicated, all delayed), the messages
+    /// of one broker withheld and delivered all together.
     pub kills: usize,
     /// See `kills`.
     pub forgot: usize,
@@ -42,12 +50,11 @@
     pub rough: usize,
     /// See `kills`.
     pub held: usize,
-    /// Times that the duty was said to be held.
+    /// How many times a broker logged that it holds the role.
     pub checked: usize,
-    /// Two that held it at a time, or a fence that did not grow.
+    /// How many times two brokers held it, or a token did not grow.
     pub double_held: usize,
-    /// From a fault to the next holder's word, where the holder was befallen, milliseconds, in
-    /// order.
+    /// From a fault of the holder to the line of the next one, milliseconds, in order.
     pub taken_over_ms: Vec<u64>,
     /// Messages that links carried and lost.
     pub carried: u64,
@@ -55,26 +62,26 @@
     pub lost: u64,
 }
 
-/// Who said last that it holds the duty and did not take it back, of those that run.
-fn holder(entries: &[Entry]) -> Option<usize> {
-    let mut holds = None;
+/// The broker that has logged last that it holds the role, and not since that it does not, of those
+/// that run.
+fn current_holder(entries: &[Entry]) -> Option<usize> {
+    let mut holder = None;
     for entry in entries {
         match &entry.what {
             Event::Said(line) if line.contains("duty d: held under fence") => {
-                holds = Some(entry.who)
+                holder = Some(entry.who);
             }
-            Event::Said(line) if line.contains("duty d: not held") && holds == Some(entry.who) => {
-                holds = None
+            Event::Said(line) if line.contains("duty d: not held") && holder == Some(entry.who) => {
+                holder = None;
             }
-            Event::Killed if holds == Some(entry.who) => holds = None,
+            Event::Killed if holder == Some(entry.who) => holder = None,
             _ => {}
         }
     }
-    holds
+    holder
 }
 
-/// Starts so many brokers, of which the first vote, and lets faults befall them one after the
-/// other.
+/// Starts this many brokers, of which the first vote, and injects faults one after the other.
 ///
 /// # Errors
 /// When a process can't be started, no holder comes after a fault that leaves a majority, or the
@@ -87,175 +94,240 @@
     faults: usize,
     ledger: Option<&Path>,
 ) -> Result<Report, ExperimentError> {
-    let mut rig = Rig::new(program, brokers, seed)?;
-    let ran = befall(&mut rig, seed, brokers, voters.min(brokers), faults);
+    let rig = Rig::new(program, brokers, seed)?;
+    let mut experiment = Experiment::new(rig, seed, brokers, voters.min(brokers));
+    let result = experiment.run(faults);
     if let Some(path) = ledger {
         let line = |e: &Entry| format!("{:.3} n{} {:?}\n", e.at.as_secs_f64(), e.who, e.what);
-        let lines: String = rig.ledger.all().iter().map(line).collect();
+        let entries = experiment.rig.ledger.all();
+        let lines: String = entries.iter().map(line).collect();
         std::fs::write(path, lines).map_err(ExperimentError::write(path))?;
     }
-    ran
+    result.map(|()| experiment.report)
 }
 
-#[expect(clippy::too_many_lines, reason = "one arm for each fault")]
-fn befall(
-    rig: &mut Rig,
-    seed: u64,
-    brokers: usize,
-    voters: usize,
-    faults: usize,
-) -> Result<Report, ExperimentError> {
-    let mut dice = Xoshiro256PlusPlus::seed_from_u64(seed);
-    let mut report = Report {
-        seed,
-        brokers,
-        voters,
-        ..Report::default()
-    };
-    let names: Vec<String> = (0..voters).map(|v| format!("n{v}")).collect();
-    let folder = |rig: &Rig, who: usize| rig.folder().join(format!("memory-{who}"));
-    let mut files = Vec::new();
-    for who in 0..brokers {
-        let (names, folder) = (names.join(", "), folder(rig, who));
-        let lines = format!(
-            "  probe_ms: 200\n  suspicion_ms: 1500\n  voters: [{names}]\n  folder: {}\n  duties: [d]\n  lease_ms: {LEASE_MS}\n",
-            folder.display()
-        );
-        files.push(rig.broker_files(who, &lines)?);
+/// The brokers, and the report so far.
+struct Experiment {
+    rig: Rig,
+    rng: Xoshiro256PlusPlus,
+    report: Report,
+    files: Vec<[PathBuf; 2]>,
+    /// How many voters may still lose their storage: a majority has to keep theirs.
+    losable_storages: usize,
+}
+
+impl Experiment {
+    fn new(rig: Rig, seed: u64, brokers: usize, voters: usize) -> Experiment {
+        Experiment {
+            rig,
+            rng: Xoshiro256PlusPlus::seed_from_u64(seed),
+            report: Report {
+                seed,
+                brokers,
+                voters,
+                ..Report::default()
+            },
+            files: Vec::new(),
+            losable_storages: (voters - 1) / 2,
+        }
     }
-    for (who, files) in files.iter().enumerate() {
-        rig.start_broker(who, files)?;
+
+    fn run(&mut self, faults: usize) -> Result<(), ExperimentError> {
+        self.start_all()?;
+        self.wait_for_holder(0, "the start")?;
+        for _ in 0..faults {
+            self.inject_fault()?;
+        }
+        self.complete_report();
+        Ok(())
     }
-    let comes = |rig: &Rig, since: usize, what: &str| match rig
-        .until(MOST, |e| holder(&e[since..]).is_some())
-    {
-        true => Ok(()),
-        false => Err(ExperimentError::Unmet(format!(
-            "nobody holds the duty after {what}"
-        ))),
-    };
-    comes(rig, 0, "the start")?;
-    let all: Vec<usize> = (0..brokers).collect();
-    // Voters that may still forget: a majority has to remember.
-    let mut forgettable = (voters - 1) / 2;
-    for _ in 0..faults {
-        // As often as not it is the holder whom it befalls.
-        let held_by = holder(&rig.ledger.all());
-        let drawn = dice.random_range(0..brokers);
-        let who = held_by.filter(|_| dice.random_bool(0.6)).unwrap_or(drawn);
-        let (since, at, befalls) = (rig.ledger.all().len(), rig.now(), held_by == Some(who));
-        let pause = Duration::from_millis(dice.random_range(100..5_000));
-        let over = |rig: &Rig| {
-            rig.until(pause, |_| false);
-        };
-        match dice.random_range(0..7) {
-            kind @ 0..=1 => {
-                rig.kill(who);
-                over(rig);
-                if kind == 1 && who < voters && forgettable > 0 {
-                    (forgettable, report.forgot) = (forgettable - 1, report.forgot + 1);
-                    // One that had not kept anything yet has nothing to forget.
-                    let _ = std::fs::remove_dir_all(folder(rig, who));
-                }
-                report.kills += 1;
-                rig.start_broker(who, &files[who])?;
-            }
-            2 => {
-                report.stops += 1;
-                rig.stop(who);
-                over(rig);
-                rig.go_on(who);
-            }
-            3 => {
-                report.splits += 1;
-                let mut side = all.clone();
-                side.shuffle(&mut dice);
-                side.truncate(brokers / 2);
-                side.retain(|s| *s != who);
-                side.push(who);
-                let across = |a: usize, b: usize| side.contains(&a) != side.contains(&b);
-                let ways = || all.iter().flat_map(|a| all.iter().map(move |b| (*a, *b)));
-                ways()
-                    .filter(|(a, b)| across(*a, *b))
-                    .for_each(|(a, b)| rig.cut(a, b, true));
-                over(rig);
-                ways()
-                    .filter(|(a, b)| across(*a, *b))
-                    .for_each(|(a, b)| rig.cut(a, b, false));
-            }
-            4 => {
-                report.rough += 1;
-                let ways = || {
-                    all.iter()
-                        .flat_map(|a| all.iter().map(move |b| (*a, *b)))
-                        .filter(|(a, b)| a != b)
-                };
-                let rough = Faults {
-                    lost: 0.2,
-                    twice: 0.2,
-                    delay_ms: 20,
-                    ..Faults::default()
-                };
-                ways().for_each(|(a, b)| rig.link(a, b).set(rough));
-                over(rig);
-                ways().for_each(|(a, b)| rig.link(a, b).set(Faults::default()));
-            }
-            5 => {
-                report.held += 1;
-                let to: Vec<usize> = all.iter().filter(|t| **t != who).copied().collect();
-                to.iter().for_each(|t| {
-                    rig.link(who, *t).set(Faults {
-                        held: true,
-                        ..Faults::default()
-                    })
-                });
-                over(rig);
-                to.iter()
-                    .for_each(|t| rig.link(who, *t).set(Faults::default()));
-            }
-            _ => {
-                report.ways += 1;
-                let to: Vec<usize> = all
-                    .iter()
-                    .filter(|t| **t != who && dice.random_bool(0.7))
-                    .copied()
-                    .collect();
-                to.iter().for_each(|t| rig.cut(who, *t, true));
-                over(rig);
-                to.iter().for_each(|t| rig.cut(who, *t, false));
-            }
+
+    fn start_all(&mut self) -> Result<(), ExperimentError> {
+        let voters: Vec<String> = (0..self.report.voters).map(|v| format!("n{v}")).collect();
+        let voters = voters.join(", ");
+        for broker in 0..self.report.brokers {
+            let lines = format!(
+                "  probe_ms: 200\n  suspicion_ms: 1500\n  voters: [{voters}]\n  folder: {}\n  duties: [d]\n  lease_ms: {LEASE_MS}\n",
+                self.folder(broker).display()
+            );
+            self.files.push(self.rig.broker_files(broker, &lines)?);
+        }
+        for (broker, files) in self.files.iter().enumerate() {
+            self.rig.start_broker(broker, files)?;
+        }
+        Ok(())
+    }
+
+    fn folder(&self, broker: usize) -> PathBuf {
+        self.rig.folder().join(format!("memory-{broker}"))
+    }
+
+    fn brokers(&self) -> Range<usize> {
+        0..self.report.brokers
+    }
+
+    /// All links, by their two brokers.
+    fn links(&self) -> Vec<(usize, usize)> {
+        self.brokers()
+            .flat_map(|a| self.brokers().map(move |b| (a, b)))
+            .filter(|(a, b)| a != b)
+            .collect()
+    }
+
+    /// Waits until a broker holds the role, by the entries of the ledger from `since` on.
+    fn wait_for_holder(&self, since: usize, event: &str) -> Result<(), ExperimentError> {
+        let is_held = |entries: &[Entry]| current_holder(&entries[since..]).is_some();
+        match self.rig.until(HOLDER_TIMEOUT, is_held) {
+            true => Ok(()),
+            false => Err(ExperimentError::Unmet(format!(
+                "nobody holds the duty after {event}"
+            ))),
+        }
+    }
+
+    /// Injects a fault from the seed, as often as not at the holder, and waits for its end.
+    fn inject_fault(&mut self) -> Result<(), ExperimentError> {
+        let holder = current_holder(&self.rig.ledger.all());
+        let any = self.rng.random_range(0..self.report.brokers);
+        let broker = holder
+            .filter(|_| self.rng.random_bool(HOLDER_FAULT_PROBABILITY))
+            .unwrap_or(any);
+        let (since, injected_at) = (self.rig.ledger.all().len(), self.rig.now());
+        let duration = Duration::from_millis(self.rng.random_range(FAULT_MS));
+        match self.rng.random_range(0..7) {
+            0 => self.crash(broker, duration, false)?,
+            1 => self.crash(broker, duration, true)?,
+            2 => self.pause(broker, duration),
+            3 => self.partition(broker, duration),
+            4 => self.impair_links(duration),
+            5 => self.withhold_messages(broker, duration),
+            _ => self.cut_links(broker, duration),
         }
-        if befalls {
-            let began = rig.until(MOST, |e| {
-                holder(&e[since..]).is_some() || holder(e) == held_by
-            });
-            let next = rig.ledger.all()[since..]
-                .iter()
-                .find_map(|e| match &e.what {
-                    Event::Said(line) if line.contains("held under fence") => Some(e.at),
-                    _ => None,
-                });
-            report
-                .taken_over_ms
-                .extend(next.filter(|_| began).map(|t| (t - at).as_millis() as u64));
+        if holder == Some(broker) {
+            self.report_takeover(holder, since, injected_at);
         }
-        if holder(&rig.ledger.all()).is_none() {
-            comes(
-                rig,
-                rig.ledger.all().len().min(since),
-                "a fault that is over",
-            )?;
+        if current_holder(&self.rig.ledger.all()).is_none() {
+            let since = self.rig.ledger.all().len().min(since);
+            self.wait_for_holder(since, "a fault that is over")?;
+        }
+        Ok(())
+    }
+
+    /// Lets a fault last.
+    fn wait(&self, duration: Duration) {
+        self.rig.until(duration, |_| false);
+    }
+
+    fn crash(
+        &mut self,
+        broker: usize,
+        duration: Duration,
+        loses_storage: bool,
+    ) -> Result<(), ExperimentError> {
+        self.rig.kill(broker);
+        self.wait(duration);
+        if loses_storage && broker < self.report.voters && self.losable_storages > 0 {
+            self.losable_storages -= 1;
+            self.report.forgot += 1;
+            // A voter that has not stored anything yet has no folder.
+            let _ = std::fs::remove_dir_all(self.folder(broker));
         }
+        self.report.kills += 1;
+        self.rig.start_broker(broker, &self.files[broker])?;
+        Ok(())
     }
-    let found = judge_holders(&rig.ledger.all(), "d", WAKES);
-    (report.checked, report.double_held) = (found.checked, found.wrong.len());
-    let pairs = all
-        .iter()
-        .flat_map(|a| all.iter().map(move |b| (*a, *b)))
-        .filter(|(a, b)| a != b);
-    for (carried, lost) in pairs.map(|(a, b)| rig.link(a, b).counts()) {
-        (report.carried, report.lost) = (report.carried + carried, report.lost + lost);
+
+    fn pause(&mut self, broker: usize, duration: Duration) {
+        self.report.stops += 1;
+        self.rig.stop(broker);
+        self.wait(duration);
+        self.rig.go_on(broker);
+    }
+
+    /// Cuts the links between two halves; the broker is in the first one.
+    fn partition(&mut self, broker: usize, duration: Duration) {
+        self.report.splits += 1;
+        let mut side: Vec<usize> = self.brokers().collect();
+        side.shuffle(&mut self.rng);
+        side.truncate(self.report.brokers / 2);
+        side.retain(|s| *s != broker);
+        side.push(broker);
+        let mut across = self.links();
+        across.retain(|(a, b)| side.contains(a) != side.contains(b));
+        self.cut(&across, duration);
+    }
+
+    fn impair_links(&mut self, duration: Duration) {
+        self.report.rough += 1;
+        let impaired = Faults {
+            lost: 0.2,
+            twice: 0.2,
+            delay_ms: 20,
+            ..Faults::default()
+        };
+        let links = self.links();
+        self.set_links(&links, impaired, duration);
+    }
+
+    fn withhold_messages(&mut self, broker: usize, duration: Duration) {
+        self.report.held += 1;
+        let withheld = Faults {
+            held: true,
+            ..Faults::default()
+        };
+        let mut links = self.links();
+        links.retain(|(from, _)| *from == broker);
+        self.set_links(&links, withheld, duration);
+    }
+
+    /// Cuts some of the links on which a broker sends.
+    fn cut_links(&mut self, broker: usize, duration: Duration) {
+        self.report.ways += 1;
+        let mut links = self.links();
+        links.retain(|(from, _)| *from == broker && self.rng.random_bool(LINK_CUT_PROBABILITY));
+        self.cut(&links, duration);
+    }
+
+    fn cut(&self, links: &[(usize, usize)], duration: Duration) {
+        links.iter().for_each(|(a, b)| self.rig.cut(*a, *b, true));
+        self.wait(duration);
+        links.iter().for_each(|(a, b)| self.rig.cut(*a, *b, false));
+    }
+
+    fn set_links(&self, links: &[(usize, usize)], faults: Faults, duration: Duration) {
+        let set = |faults| {
+            for (a, b) in links {
+                self.rig.link(*a, *b).set(faults);
+            }
+        };
+        set(faults);
+        self.wait(duration);
+        set(Faults::default());
+    }
+
+    /// Reports how long after a fault of the holder another broker held the role.
+    fn report_takeover(&mut self, holder: Option<usize>, since: usize, injected_at: Duration) {
+        let is_over = self.rig.until(HOLDER_TIMEOUT, |entries| {
+            current_holder(&entries[since..]).is_some() || current_holder(entries) == holder
+        });
+        let entries = self.rig.ledger.all();
+        let held_at = entries[since..].iter().find_map(|entry| match &entry.what {
+            Event::Said(line) if line.contains("held under fence") => Some(entry.at),
+            _ => None,
+        });
+        let takeover = held_at.filter(|_| is_over).map(|at| at - injected_at);
+        let takeover_ms = takeover.map(|elapsed| elapsed.as_millis() as u64);
+        self.report.taken_over_ms.extend(takeover_ms);
+    }
+
+    fn complete_report(&mut self) {
+        let found = judge_holders(&self.rig.ledger.all(), "d", RESUME_TIMEOUT);
+        (self.report.checked, self.report.double_held) = (found.checked, found.wrong.len());
+        for (a, b) in self.links() {
+            let (carried, lost) = self.rig.link(a, b).counts();
+            self.report.carried += carried;
+            self.report.lost += lost;
+        }
+        self.report.taken_over_ms.sort_unstable();
     }
-    report.taken_over_ms.sort_unstable();
-    Ok(report)
 }
