--- a/simulator/src/callers/mod.rs
+++ b/simulator/src/callers/mod.rs
@@ -32,7 +32,7 @@
     /// What is to be sent, and where.
     pub outgoing: Vec<(Host, Packet)>,
     /// For the trace.
-    pub notes: Vec<String>,
+    pub records: Vec<String>,
 }
 
 impl Surroundings<'_> {
--- a/simulator/src/callers/operator.rs
+++ b/simulator/src/callers/operator.rs
@@ -6,7 +6,7 @@
 
 use super::{Surroundings, CALL_TIMEOUT};
 use crate::documents::{self, version_of, OrderId};
-use crate::ledger::Asked;
+use crate::ledger::RequestedRead;
 use crate::network::Host;
 use crate::packet::{CallId, Packet, Reply};
 
@@ -117,7 +117,7 @@
     }
 
     /// The order that waits for its first clear answer, and since when.
-    pub fn waits(&self) -> Option<(OrderId, Time)> {
+    pub fn wait_times(&self) -> Option<(OrderId, Time)> {
         match self.task {
             Task::Order(id) => Some((id, self.task_since)),
             Task::Rest | Task::Describe => None,
@@ -162,12 +162,12 @@
     }
 
     fn next_order(&mut self, around: &mut Surroundings<'_>, known: u64) -> OrderId {
-        let lot = around.random.u32(0..100);
-        if lot < self.pace.repeats && !self.taken.is_empty() {
+        let random_share = around.random.u32(0..100);
+        if random_share < self.pace.repeats && !self.taken.is_empty() {
             return self.taken[around.random.usize(0..self.taken.len())];
         }
         let version = known + around.random.u64(1..=self.pace.most_step);
-        let broken = known > 0 && lot >= 100 - self.pace.invalid;
+        let broken = known > 0 && random_share >= 100 - self.pace.invalid;
         let whole = known == 0 || around.random.u32(0..3) == 0;
         around
             .ledger
@@ -179,14 +179,14 @@
     }
 
     fn send(&mut self, around: &mut Surroundings<'_>) {
-        let (asked, question) = match self.task {
+        let (requested, question) = match self.task {
             Task::Rest => return,
-            Task::Describe => (Asked::Describe, RelayedCall::Describe),
+            Task::Describe => (RequestedRead::Describe, RelayedCall::Describe),
             Task::Order(id) => {
                 let order = around.ledger.order(id).order.clone();
                 let (path, base_version, body) = (order.path, order.base_version, order.body);
                 (
-                    Asked::Order(id),
+                    RequestedRead::Order(id),
                     RelayedCall::Order {
                         path,
                         base_version,
@@ -204,7 +204,7 @@
         };
         self.last = Some(target);
         let call = around.new_call();
-        around.ledger.on_call(around.now, call, asked);
+        around.ledger.on_call(around.now, call, requested);
         self.in_flight = Some(InFlight {
             call,
             sent: around.now,
--- a/simulator/src/callers/reader.rs
+++ b/simulator/src/callers/reader.rs
@@ -4,7 +4,7 @@
 use lichenswitch_replication::Time;
 
 use super::{Surroundings, CALL_TIMEOUT};
-use crate::ledger::Asked;
+use crate::ledger::RequestedRead;
 use crate::network::Host;
 use crate::packet::{CallId, Packet, Reply};
 
@@ -44,7 +44,9 @@
             return;
         };
         let call = around.new_call();
-        around.ledger.on_call(around.now, call, Asked::Describe);
+        around
+            .ledger
+            .on_call(around.now, call, RequestedRead::Describe);
         self.in_flight = Some((call, around.now));
         around
             .outgoing
--- a/simulator/src/callers/router.rs
+++ b/simulator/src/callers/router.rs
@@ -12,7 +12,7 @@
 use crate::packet::{ConnectionId, Packet};
 
 /// A control machine that is silent or without contact for so many microseconds is left.
-const SILENCE: u64 = 700_000;
+const RESPONSE_TIMEOUT: u64 = 700_000;
 /// A router that starts takes an unconfirmed configuration after so many microseconds.
 const UNCONFIRMED_AFTER: u64 = 3_000_000;
 /// Between two connections, in microseconds.
@@ -31,7 +31,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Held {
+struct PausedMessages {
     position: ConfigurationPosition,
     version: u64,
     document: Vec<u8>,
@@ -47,9 +47,9 @@
     retry_at: Time,
     last: Option<Host>,
     first: Option<Host>,
-    in_force: Option<Held>,
+    in_force: Option<PausedMessages>,
     /// What it was offered without contact, while it had nothing, and on which connection.
-    offered: Option<(ConnectionId, Held)>,
+    offered: Option<(ConnectionId, PausedMessages)>,
     /// Configurations that were put in force.
     pub applied: u64,
 }
@@ -72,7 +72,7 @@
 
     /// The version in force.
     pub fn version(&self) -> Option<u64> {
-        self.in_force.as_ref().map(|held| held.version)
+        self.in_force.as_ref().map(|paused| paused.version)
     }
 
     /// The control machine that it is connected to.
@@ -84,7 +84,7 @@
     pub fn next_wake(&self) -> Time {
         let connection = self.connection.as_ref();
         let wake = connection.map_or(self.retry_at, |connection| {
-            connection.good_at.after(SILENCE)
+            connection.good_at.after(RESPONSE_TIMEOUT)
         });
         match self.offered {
             Some(_) => wake.min(self.started.after(UNCONFIRMED_AFTER)),
@@ -97,10 +97,10 @@
         let bad = self
             .connection
             .as_ref()
-            .filter(|c| around.now.since(c.good_at) >= SILENCE);
+            .filter(|c| around.now.since(c.good_at) >= RESPONSE_TIMEOUT);
         if let Some((id, to)) = bad.map(|connection| (connection.id, connection.to)) {
             around
-                .notes
+                .records
                 .push(format!("leaves {to}: silent or without contact"));
             around.outgoing.push((to, Packet::FromRouter(id, None)));
             self.close(around.now);
@@ -127,7 +127,7 @@
             return;
         };
         self.last = Some(to);
-        around.notes.push(format!("connects to {to}"));
+        around.records.push(format!("connects to {to}"));
         let id = around.new_connection();
         self.connection = Some(Connection {
             id,
@@ -140,7 +140,7 @@
             node_name: self.host.to_string(),
             zone: String::new(),
             process: u64::from(self.host.0),
-            configuration: self.in_force.as_ref().map(|held| held.position),
+            configuration: self.in_force.as_ref().map(|paused| paused.position),
         };
         around
             .outgoing
@@ -176,7 +176,7 @@
                 let version = version_of(&document).unwrap_or(0);
                 self.on_configuration(
                     around,
-                    Held {
+                    PausedMessages {
                         position,
                         version,
                         document,
@@ -187,11 +187,11 @@
         }
     }
 
-    fn on_configuration(&mut self, around: &mut Surroundings<'_>, held: Held) {
+    fn on_configuration(&mut self, around: &mut Surroundings<'_>, paused: PausedMessages) {
         let newer = self
             .in_force
             .as_ref()
-            .is_none_or(|before| before.position < held.position);
+            .is_none_or(|before| before.position < paused.position);
         let in_contact = self
             .connection
             .as_ref()
@@ -201,29 +201,29 @@
             return;
         }
         if self.in_force.is_none() && !in_contact && !late {
-            return self.keep_offer(held);
+            return self.keep_offer(paused);
         }
         if self.in_force.is_none() && in_contact {
             let long_ago = Time(around.now.0.saturating_sub(APPLY_BOUND));
             around
                 .ledger
-                .on_handed_as_current(self.host, &held.document, long_ago);
+                .on_handed_as_current(self.host, &paused.document, long_ago);
         }
-        self.apply(around, held);
+        self.apply(around, paused);
     }
 
-    fn keep_offer(&mut self, held: Held) {
+    fn keep_offer(&mut self, paused: PausedMessages) {
         let newest = self
             .offered
             .as_ref()
-            .is_none_or(|(_, before)| before.position < held.position);
+            .is_none_or(|(_, before)| before.position < paused.position);
         let connection = self
             .connection
             .as_ref()
             .filter(|_| newest)
             .map(|connection| connection.id);
         if let Some(connection) = connection {
-            self.offered = Some((connection, held));
+            self.offered = Some((connection, paused));
         }
     }
 
@@ -239,19 +239,21 @@
         }
     }
 
-    fn apply(&mut self, around: &mut Surroundings<'_>, held: Held) {
+    fn apply(&mut self, around: &mut Surroundings<'_>, paused: PausedMessages) {
         if self
             .in_force
             .as_ref()
-            .is_some_and(|before| before.position >= held.position)
+            .is_some_and(|before| before.position >= paused.position)
         {
             return;
         }
         around
             .ledger
-            .on_in_force(self.host, self.version(), &held.document);
-        around.notes.push(format!("puts {} in force", held.version));
-        self.in_force = Some(held);
+            .on_in_force(self.host, self.version(), &paused.document);
+        around
+            .records
+            .push(format!("puts {} in force", paused.version));
+        self.in_force = Some(paused);
         self.offered = None;
         self.applied += 1;
     }
--- a/simulator/src/disk.rs
+++ b/simulator/src/disk.rs
@@ -19,7 +19,7 @@
 
 /// What is wrong with a disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum DiskTrouble {
+pub enum DiskFault {
     /// Nothing.
     #[default]
     None,
@@ -39,7 +39,7 @@
     /// This item, and all after it, were not written.
     Failed(WriteId),
     /// The disk has stalled: the batch ends later.
-    Waits,
+    WaitTimes,
 }
 
 #[derive(Clone, Debug)]
@@ -54,7 +54,7 @@
     items: Vec<DurableItem>,
     queue: VecDeque<PendingWrite>,
     batch: Vec<PendingWrite>,
-    trouble: DiskTrouble,
+    fault: DiskFault,
 }
 
 impl Disk {
@@ -88,7 +88,7 @@
     }
 
     fn duration(&self, random: &mut Rng) -> u64 {
-        let slow = if let DiskTrouble::Slow(more) = self.trouble {
+        let slow = if let DiskFault::Slow(more) = self.fault {
             more
         } else {
             0
@@ -103,16 +103,16 @@
             self.batch.last().map(|pending| pending.write_id),
         );
         let (Some(first), Some(last)) = tickets else {
-            return Finished::Waits;
+            return Finished::WaitTimes;
         };
-        match self.trouble {
-            DiskTrouble::Stalled => Finished::Waits,
-            DiskTrouble::Full => {
+        match self.fault {
+            DiskFault::Stalled => Finished::WaitTimes,
+            DiskFault::Full => {
                 self.tear(random);
                 self.queue.clear();
                 Finished::Failed(first)
             }
-            DiskTrouble::None | DiskTrouble::Slow(_) => {
+            DiskFault::None | DiskFault::Slow(_) => {
                 for pending in std::mem::take(&mut self.batch) {
                     self.write(pending.item);
                 }
@@ -129,15 +129,15 @@
     }
 
     /// Sets what is wrong; tells after how many microseconds a batch that had stalled ends.
-    pub fn set_trouble(&mut self, trouble: DiskTrouble, random: &mut Rng) -> Option<u64> {
-        let stalled = self.trouble == DiskTrouble::Stalled && !self.batch.is_empty();
-        self.trouble = trouble;
+    pub fn set_fault(&mut self, fault: DiskFault, random: &mut Rng) -> Option<u64> {
+        let stalled = self.fault == DiskFault::Stalled && !self.batch.is_empty();
+        self.fault = fault;
         stalled.then(|| self.duration(random))
     }
 
     /// What is wrong.
-    pub fn trouble(&self) -> DiskTrouble {
-        self.trouble
+    pub fn fault(&self) -> DiskFault {
+        self.fault
     }
 
     /// The process ends, or power is lost: what was being written is present, missing or torn.
--- a/simulator/src/ledger.rs
+++ b/simulator/src/ledger.rs
@@ -32,13 +32,13 @@
     ProperRefused(OrderId, u16),
     /// `describe` is older than what was told before it was asked.
     #[error(
-        "describe at {machine} told version {told}, and {known} had been told before it was asked"
+        "describe at {machine} told version {reported}, and {known} had been told before it was asked"
     )]
     DescribeOld {
         /// Who answered.
         machine: Host,
         /// Version that was told.
-        told: u64,
+        reported: u64,
         /// Version that had been told before.
         known: u64,
     },
@@ -144,7 +144,7 @@
 
 /// What a call asks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asked {
+pub enum RequestedRead {
     /// To take an order.
     Order(OrderId),
     /// For the newest configuration.
@@ -153,7 +153,7 @@
 
 #[derive(Clone, Debug)]
 struct OpenCall {
-    asked: Asked,
+    requested: RequestedRead,
     /// Version that had been told when it was sent.
     known: u64,
 }
@@ -165,7 +165,7 @@
     calls: BTreeMap<CallId, OpenCall>,
     by_base: BTreeMap<u64, OrderId>,
     /// Highest version that was acknowledged or described.
-    told: u64,
+    reported: u64,
     /// Versions that were acknowledged, with the time; both rise.
     acknowledged: Vec<(Time, u64)>,
     committed: BTreeMap<u64, (Position, u64)>,
@@ -215,15 +215,15 @@
     }
 
     /// A call is sent.
-    pub fn on_call(&mut self, now: Time, id: CallId, asked: Asked) {
-        if let Asked::Order(order) = asked {
+    pub fn on_call(&mut self, now: Time, id: CallId, requested: RequestedRead) {
+        if let RequestedRead::Order(order) = requested {
             self.orders[order.0 as usize].sent_at.get_or_insert(now);
         }
         self.calls.insert(
             id,
             OpenCall {
-                asked,
-                known: self.told,
+                requested,
+                known: self.reported,
             },
         );
     }
@@ -238,13 +238,13 @@
             Reply::Closed => (0, &[]),
         };
         *self.answers.entry(status).or_default() += 1;
-        match (call.asked, status) {
-            (Asked::Order(order), 200) => self.on_acknowledged(now, order),
-            (Asked::Order(order), 400..=499) => self.on_refused(order, status),
-            (Asked::Describe, 200) => self.on_described(machine, call.known, body),
+        match (call.requested, status) {
+            (RequestedRead::Order(order), 200) => self.on_acknowledged(now, order),
+            (RequestedRead::Order(order), 400..=499) => self.on_refused(order, status),
+            (RequestedRead::Describe, 200) => self.on_described(machine, call.known, body),
             _ => {}
         }
-        matches!((call.asked, status), (Asked::Order(_), 200))
+        matches!((call.requested, status), (RequestedRead::Order(_), 200))
     }
 
     fn on_acknowledged(&mut self, now: Time, id: OrderId) {
@@ -259,11 +259,11 @@
         }
         if entry.acknowledged_at.is_none() {
             entry.acknowledged_at = Some(now);
-            if version > self.told_acknowledged() {
+            if version > self.reported_acknowledged() {
                 self.acknowledged.push((now, version));
             }
         }
-        self.told = self.told.max(version);
+        self.reported = self.reported.max(version);
         let first = *self.by_base.entry(base).or_insert(id);
         if first != id {
             self.violations
@@ -287,19 +287,19 @@
     }
 
     fn on_described(&mut self, machine: Host, known: u64, body: &[u8]) {
-        let told = version_of(body).unwrap_or(0);
-        if told < known {
+        let reported = version_of(body).unwrap_or(0);
+        if reported < known {
             self.violations.push(Violation::DescribeOld {
                 machine,
-                told,
+                reported,
                 known,
             });
         }
-        if self.documents.get(&told) != Some(&hash(body)) {
+        if self.documents.get(&reported) != Some(&hash(body)) {
             self.violations
-                .push(Violation::DescribeForeign(machine, told));
+                .push(Violation::DescribeForeign(machine, reported));
         }
-        self.told = self.told.max(told);
+        self.reported = self.reported.max(reported);
     }
 
     /// A control machine knows a position as committed.
@@ -377,7 +377,7 @@
     }
 
     /// Newest version that was acknowledged.
-    pub fn told_acknowledged(&self) -> u64 {
+    pub fn reported_acknowledged(&self) -> u64 {
         self.acknowledged.last().map_or(0, |last| last.1)
     }
 
--- a/simulator/src/measure.rs
+++ b/simulator/src/measure.rs
@@ -40,7 +40,7 @@
 
 /// Times from the first sending of orders to the acknowledgement, for those first sent in a stretch
 /// of time; sorted.
-fn waits(world: &World, from: Time, to: Time) -> Vec<u64> {
+fn wait_times(world: &World, from: Time, to: Time) -> Vec<u64> {
     let waited = world.ledger.orders().filter_map(|(_, entry)| {
         let (sent, acknowledged) = (entry.sent_at?, entry.acknowledged_at?);
         (from..to).contains(&sent).then(|| acknowledged.since(sent))
@@ -61,8 +61,12 @@
         world.act_after(0, Action::PowerLossFor(Target::Primary, 20 * SECOND));
         world.run_for(10 * SECOND);
         assert_eq!(world.ledger.violations.first(), None, "seed {seed}");
-        calm.extend(waits(&world, begin, Time(loss.0 - SECOND)));
-        lost.extend(waits(&world, Time(loss.0 - 10_000), loss.after(SECOND)));
+        calm.extend(wait_times(&world, begin, Time(loss.0 - SECOND)));
+        lost.extend(wait_times(
+            &world,
+            Time(loss.0 - 10_000),
+            loss.after(SECOND),
+        ));
     }
     calm.sort_unstable();
     lost.sort_unstable();
@@ -113,10 +117,10 @@
             .status(host)
             .is_some_and(|status| status.synced.is_none())
     });
-    let held = run_until(&mut world, |world| world.counts.snapshots > snapshots);
-    let took = started
-        .zip(held)
-        .map_or(f64::NAN, |(started, held)| held.since(started) as f64 / 1e3);
+    let paused = run_until(&mut world, |world| world.counts.snapshots > snapshots);
+    let took = started.zip(paused).map_or(f64::NAN, |(started, paused)| {
+        paused.since(started) as f64 / 1e3
+    });
     println!(
         "| {changes} | {bytes} | {} | {took:.1} |",
         world.counts.largest_snapshot
@@ -124,9 +128,9 @@
 }
 
 /// Runs until something holds, at most 20 s; when it held.
-fn run_until(world: &mut World, holds: impl Fn(&World) -> bool) -> Option<Time> {
+fn run_until(world: &mut World, satisfies: impl Fn(&World) -> bool) -> Option<Time> {
     for _ in 0..200_000 {
-        if holds(world) {
+        if satisfies(world) {
             return Some(world.now());
         }
         world.run_for(100);
--- a/simulator/src/network.rs
+++ b/simulator/src/network.rs
@@ -50,7 +50,7 @@
 struct Cut {
     links: BTreeSet<(Host, Host)>,
     /// What is sent meanwhile comes when the cut ends; else it is lost.
-    holds: bool,
+    satisfies: bool,
 }
 
 /// A message that arrives.
@@ -74,7 +74,7 @@
     harm: Harm,
     cuts: BTreeMap<CutId, Cut>,
     next_cut: u64,
-    held: Vec<(CutId, Host, Host, P)>,
+    paused: Vec<(CutId, Host, Host, P)>,
     last: BTreeMap<(Host, Host), Time>,
 }
 
@@ -87,13 +87,13 @@
             harm: Harm::default(),
             cuts: BTreeMap::new(),
             next_cut: 0,
-            held: Vec::new(),
+            paused: Vec::new(),
             last: BTreeMap::new(),
         }
     }
 
     /// Where a host stands.
-    pub fn place(&mut self, host: Host, zone: u32) {
+    pub fn position(&mut self, host: Host, zone: u32) {
         self.zones.insert(host, zone);
     }
 
@@ -103,20 +103,20 @@
     }
 
     /// Cuts links.
-    pub fn cut(&mut self, links: BTreeSet<(Host, Host)>, holds: bool) -> CutId {
+    pub fn cut(&mut self, links: BTreeSet<(Host, Host)>, satisfies: bool) -> CutId {
         self.next_cut += 1;
         let id = CutId(self.next_cut);
-        self.cuts.insert(id, Cut { links, holds });
+        self.cuts.insert(id, Cut { links, satisfies });
         id
     }
 
     /// Ends a cut; what it held up arrives.
     pub fn heal(&mut self, now: Time, id: CutId) -> Vec<Arrival<P>> {
         self.cuts.remove(&id);
-        let (released, held) = std::mem::take(&mut self.held)
+        let (released, paused) = std::mem::take(&mut self.paused)
             .into_iter()
-            .partition(|held| held.0 == id);
-        self.held = held;
+            .partition(|paused| paused.0 == id);
+        self.paused = paused;
         let released: Vec<(CutId, Host, Host, P)> = released;
         released
             .into_iter()
@@ -134,7 +134,7 @@
             .cuts
             .iter()
             .filter(|(_, cut)| cut.links.contains(&(from, to)));
-        cuts.next().map(|(id, cut)| (*id, cut.holds))
+        cuts.next().map(|(id, cut)| (*id, cut.satisfies))
     }
 
     /// Sends a message; where it may be `lossy`, harm applies to it in full.
@@ -146,9 +146,9 @@
         packet: P,
         lossy: bool,
     ) -> Vec<Arrival<P>> {
-        if let Some((cut, holds)) = self.blocking(from, to) {
-            if holds {
-                self.held.push((cut, from, to, packet));
+        if let Some((cut, satisfies)) = self.blocking(from, to) {
+            if satisfies {
+                self.paused.push((cut, from, to, packet));
             }
             return Vec::new();
         }
--- a/simulator/src/overlaps.rs
+++ b/simulator/src/overlaps.rs
@@ -4,7 +4,7 @@
 
 use fastrand::Rng;
 
-use crate::disk::DiskTrouble;
+use crate::disk::DiskFault;
 use crate::network::Host;
 use crate::walk::{walk_by, Walk, WalkEnd};
 use crate::world::{Action, CutKind, Target, World};
@@ -41,15 +41,15 @@
     world.let_service_rest(true);
     let mut disks = world.settings.tolerate;
     for _ in 0..random.u32(2..=MOST_FAULTS) {
-        let action = draw(world, random, &mut disks);
+        let action = choose(world, random, &mut disks);
         world.act_after(random.u64(0..ROUND), action);
     }
     if random.bool() {
-        let action = draw(world, random, &mut disks);
+        let action = choose(world, random, &mut disks);
         world.act_after_acknowledgement(action);
     }
     if random.bool() {
-        let action = draw(world, random, &mut disks);
+        let action = choose(world, random, &mut disks);
         world.act_after_order(random.u64(AFTER_ORDER), action);
     }
     world.run_for(ROUND + LONGEST + SECOND);
@@ -61,11 +61,11 @@
 }
 
 /// The next fault; takes the disks that it costs from what is left of them.
-fn draw(world: &World, random: &mut Rng, disks: &mut u32) -> Action {
-    let target = draw_target(world, random);
+fn choose(world: &World, random: &mut Rng, disks: &mut u32) -> Action {
+    let target = choose_target(world, random);
     let duration = random.u64(100 * MILLISECOND..LONGEST);
     if *disks > 0 && random.u32(0..3) == 0 {
-        return draw_disk_loss(world, random, disks);
+        return choose_disk_loss(world, random, disks);
     }
     match random.u32(0..16) {
         0 => Action::Kill(target),
@@ -74,16 +74,16 @@
         5 => Action::KillAll,
         6 => Action::PowerOffAll,
         7 => Action::Freeze(target, duration),
-        8 | 9 => draw_halves(world, random, duration),
+        8 | 9 => choose_halves(world, random, duration),
         10 => Action::Terminate(target),
         11 => Action::LoseReplies(duration),
         12 => Action::Lure(target, random.u32(1..4)),
-        _ => Action::Disk(target, draw_trouble(random), duration),
+        _ => Action::Disk(target, choose_fault(random), duration),
     }
 }
 
-fn draw_disk_loss(world: &World, random: &mut Rng, disks: &mut u32) -> Action {
-    let target = draw_target(world, random);
+fn choose_disk_loss(world: &World, random: &mut Rng, disks: &mut u32) -> Action {
+    let target = choose_target(world, random);
     match random.u32(0..5) {
         0 => {
             let targets = distinct(world, random, *disks as usize);
@@ -102,7 +102,7 @@
 }
 
 /// Both halves are reached by all others.
-fn draw_halves(world: &World, random: &mut Rng, duration: u64) -> Action {
+fn choose_halves(world: &World, random: &mut Rng, duration: u64) -> Action {
     let half = world.core().len() / 2;
     let targets = distinct(world, random, half)
         .into_iter()
@@ -112,7 +112,7 @@
         targets,
         kind: CutKind::Full,
         duration,
-        holds: random.bool(),
+        satisfies: random.bool(),
         callers_bound: 0,
     }
 }
@@ -124,7 +124,7 @@
     hosts
 }
 
-fn draw_target(world: &World, random: &mut Rng) -> Target {
+fn choose_target(world: &World, random: &mut Rng) -> Target {
     match random.u32(0..4) {
         0 => Target::Primary,
         1 => Target::Oldest,
@@ -133,11 +133,11 @@
     }
 }
 
-fn draw_trouble(random: &mut Rng) -> DiskTrouble {
+fn choose_fault(random: &mut Rng) -> DiskFault {
     match random.u32(0..3) {
-        0 => DiskTrouble::Full,
-        1 => DiskTrouble::Stalled,
-        _ => DiskTrouble::Slow(random.u64(20 * MILLISECOND..900 * MILLISECOND)),
+        0 => DiskFault::Full,
+        1 => DiskFault::Stalled,
+        _ => DiskFault::Slow(random.u64(20 * MILLISECOND..900 * MILLISECOND)),
     }
 }
 
@@ -146,7 +146,7 @@
 fn close(world: &mut World, random: &mut Rng) {
     if random.bool() {
         let duration = random.u64(SECOND..4 * SECOND);
-        let halves = draw_halves(world, random, duration);
+        let halves = choose_halves(world, random, duration);
         world.let_service_rest(true);
         world.act_after(0, halves);
         world.run_for(duration + 1);
--- a/simulator/src/walk.rs
+++ b/simulator/src/walk.rs
@@ -3,7 +3,7 @@
 
 use fastrand::Rng;
 
-use crate::disk::DiskTrouble;
+use crate::disk::DiskFault;
 use crate::ledger::Violation;
 use crate::network::Harm;
 use crate::world::{Action, CutKind, Target, World, WorldSettings};
@@ -57,7 +57,7 @@
 /// Walks in episodes of one fault after another.
 pub fn walk(walk: &Walk) -> WalkEnd {
     let episode = |world: &mut World, random: &mut Rng| {
-        let episode = draw_episode(random, &walk.world);
+        let episode = choose_episode(random, &walk.world);
         play(world, random, episode);
     };
     walk_by(
@@ -92,7 +92,7 @@
 
 fn play(world: &mut World, random: &mut Rng, episode: Episode) {
     if episode.loses_disks {
-        let since = world.now().since(world.last_trouble());
+        let since = world.now().since(world.last_fault_at());
         world.run_for((CATCH_UP + SECOND / 10).saturating_sub(since));
     }
     for action in episode.actions {
@@ -110,8 +110,8 @@
     world.run_for(rest);
 }
 
-fn draw_episode(random: &mut Rng, settings: &WorldSettings) -> Episode {
-    let target = draw_target(random);
+fn choose_episode(random: &mut Rng, settings: &WorldSettings) -> Episode {
+    let target = choose_target(random);
     match random.u32(0..18) {
         0 => Episode::new(Action::Kill(target), SECOND),
         1 => Episode::new(Action::PowerLoss(target), 2 * SECOND),
@@ -125,16 +125,16 @@
             9 * SECOND,
         ),
         5 => Episode::new(Action::Terminate(target), 8 * SECOND),
-        6 | 7 => draw_freeze(random, target),
-        8..=10 => draw_cut(random, settings),
-        11 | 12 => draw_disk(random, target),
+        6 | 7 => choose_freeze(random, target),
+        8..=10 => choose_partition(random, settings),
+        11 | 12 => choose_disk_fault(random, target),
         13 => Episode::new(Action::KillAll, 2 * SECOND),
         14 => Episode::new(Action::PowerOffAll, 3 * SECOND),
         15 => {
             let duration = random.u64(SECOND / 2..5 * SECOND);
             Episode::new(Action::LoseReplies(duration), duration)
         }
-        16 => draw_harm(random),
+        16 => choose_network_fault(random),
         _ => Episode {
             actions: vec![
                 Action::Lure(target, random.u32(1..4)),
@@ -146,7 +146,7 @@
     }
 }
 
-fn draw_target(random: &mut Rng) -> Target {
+fn choose_target(random: &mut Rng) -> Target {
     match random.u32(0..5) {
         0 | 1 => Target::Primary,
         2 => Target::Oldest,
@@ -154,15 +154,15 @@
     }
 }
 
-fn draw_freeze(random: &mut Rng, target: Target) -> Episode {
+fn choose_freeze(random: &mut Rng, target: Target) -> Episode {
     let duration = random.u64(SECOND / 4..20 * SECOND);
     Episode::new(Action::Freeze(target, duration), duration)
 }
 
-fn draw_cut(random: &mut Rng, settings: &WorldSettings) -> Episode {
+fn choose_partition(random: &mut Rng, settings: &WorldSettings) -> Episode {
     let most = (settings.voters - 1) / 2;
     let others = random.u32(0..most.max(1));
-    let mut targets = vec![draw_target(random)];
+    let mut targets = vec![choose_target(random)];
     targets.extend((0..others).map(|_| Target::Other(random.u32(0..16))));
     let kinds = [
         CutKind::Full,
@@ -173,13 +173,13 @@
     ];
     let kind = kinds[random.usize(0..kinds.len())];
     let duration = random.u64(SECOND / 2..20 * SECOND);
-    let (holds, callers_bound) = (random.bool(), random.u32(0..40));
+    let (satisfies, callers_bound) = (random.bool(), random.u32(0..40));
     let first = targets[0];
     let cut = Action::Cut {
         targets,
         kind,
         duration,
-        holds,
+        satisfies,
         callers_bound,
     };
     let mut actions = vec![cut];
@@ -193,17 +193,17 @@
     }
 }
 
-fn draw_disk(random: &mut Rng, target: Target) -> Episode {
-    let trouble = match random.u32(0..3) {
-        0 => DiskTrouble::Full,
-        1 => DiskTrouble::Stalled,
-        _ => DiskTrouble::Slow(random.u64(20_000..900_000)),
+fn choose_disk_fault(random: &mut Rng, target: Target) -> Episode {
+    let fault = match random.u32(0..3) {
+        0 => DiskFault::Full,
+        1 => DiskFault::Stalled,
+        _ => DiskFault::Slow(random.u64(20_000..900_000)),
     };
     let duration = random.u64(SECOND..15 * SECOND);
-    Episode::new(Action::Disk(target, trouble, duration), duration)
+    Episode::new(Action::Disk(target, fault, duration), duration)
 }
 
-fn draw_harm(random: &mut Rng) -> Episode {
+fn choose_network_fault(random: &mut Rng) -> Episode {
     let loss = random.u32(0..150);
     let (repeat, reorder, delay) = (
         random.u32(0..150),
--- a/simulator/src/world/act.rs
+++ b/simulator/src/world/act.rs
@@ -6,7 +6,7 @@
 
 use super::machine::AfterEnd;
 use super::{Action, CutKind, Event, Target, Undo, World};
-use crate::disk::DiskTrouble;
+use crate::disk::DiskFault;
 use crate::network::{Harm, Host};
 
 /// `gracePeriodS`, with half a second to spare.
@@ -17,9 +17,9 @@
 impl World {
     #[expect(clippy::too_many_lines, reason = "one arm for each action")]
     pub(super) fn act(&mut self, action: Action) {
-        self.last_trouble = self.now();
+        self.last_fault_at = self.now();
         self.counts.faults += 1;
-        self.note(|| format!("== {action}"));
+        self.record(|| format!("== {action}"));
         match action {
             Action::Kill(target) => self.each(&[target], |world, host| world.kill(host)),
             Action::PowerLoss(target) => {
@@ -50,14 +50,14 @@
                 targets,
                 kind,
                 duration,
-                holds,
+                satisfies,
                 callers_bound,
             } => {
-                self.cut(&targets, kind, duration, holds, callers_bound);
+                self.cut(&targets, kind, duration, satisfies, callers_bound);
             }
-            Action::Disk(target, trouble, duration) => {
+            Action::Disk(target, fault, duration) => {
                 self.each(&[target], |world, host| {
-                    world.trouble_disk(host, trouble, duration)
+                    world.fault_disk(host, fault, duration)
                 });
             }
             Action::KillAll => self.core().into_iter().for_each(|host| self.kill(host)),
@@ -155,7 +155,7 @@
         if let Some(process) = &mut machine.process {
             process.on_terminate(now, now.after(GRACE));
         }
-        self.settle(host);
+        self.deliver_pending(host);
     }
 
     fn freeze(&mut self, host: Host, duration: u64) {
@@ -181,19 +181,20 @@
         self.wake_machine(host);
     }
 
-    fn trouble_disk(&mut self, host: Host, trouble: DiskTrouble, duration: u64) {
-        self.set_disk(host, trouble);
+    fn fault_disk(&mut self, host: Host, fault: DiskFault, duration: u64) {
+        self.set_disk(host, fault);
         self.scheduler
             .after(duration, Event::Undo(Undo::Disk(host)));
     }
 
-    fn set_disk(&mut self, host: Host, trouble: DiskTrouble) {
+    fn set_disk(&mut self, host: Host, fault: DiskFault) {
         let Some(machine) = self.machines.get_mut(&host) else {
             return;
         };
-        let life = machine.life;
-        if let Some(ends) = machine.disk.set_trouble(trouble, &mut self.random) {
-            self.scheduler.after(ends, Event::DiskDone(host, life));
+        let incarnation = machine.incarnation;
+        if let Some(ends) = machine.disk.set_fault(fault, &mut self.random) {
+            self.scheduler
+                .after(ends, Event::DiskDone(host, incarnation));
         }
     }
 
@@ -212,7 +213,7 @@
         targets: &[Target],
         kind: CutKind,
         duration: u64,
-        holds: bool,
+        satisfies: bool,
         callers_bound: u32,
     ) {
         let side: BTreeSet<Host> = self.resolve_all(targets).into_iter().collect();
@@ -223,10 +224,10 @@
             .collect();
         let mut links = links_between(&side, &rest, kind);
         for caller in self.callers() {
-            let lot = self.random.u32(0..100);
-            let beyond = match lot {
-                _ if lot < callers_bound => &rest,
-                _ if lot < 2 * callers_bound => &side,
+            let random_share = self.random.u32(0..100);
+            let beyond = match random_share {
+                _ if random_share < callers_bound => &rest,
+                _ if random_share < 2 * callers_bound => &side,
                 _ => continue,
             };
             links.extend(
@@ -235,7 +236,7 @@
                     .flat_map(|host| [(caller, *host), (*host, caller)]),
             );
         }
-        let id = self.network.cut(links, holds);
+        let id = self.network.cut(links, satisfies);
         self.scheduler.after(duration, Event::Undo(Undo::Heal(id)));
     }
 
@@ -252,8 +253,8 @@
 
     pub(super) fn undo(&mut self, undo: Undo) {
         let now: Time = self.now();
-        self.last_trouble = now;
-        self.note(|| format!("== end of {undo:?}"));
+        self.last_fault_at = now;
+        self.record(|| format!("== end of {undo:?}"));
         match undo {
             Undo::Thaw(host) => self.thaw(host),
             Undo::Heal(id) => {
@@ -261,7 +262,7 @@
                     self.scheduler.at(arrival.at, Event::Arrive(arrival));
                 }
             }
-            Undo::Disk(host) => self.set_disk(host, DiskTrouble::None),
+            Undo::Disk(host) => self.set_disk(host, DiskFault::None),
             Undo::Harm => {
                 self.harmed = false;
                 self.network.set_harm(Harm::default());
--- a/simulator/src/world/action.rs
+++ b/simulator/src/world/action.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use crate::disk::DiskTrouble;
+use crate::disk::DiskFault;
 use crate::network::{Harm, Host};
 
 /// Which machine a fault is for; settled when it comes about.
@@ -59,12 +59,12 @@
         /// For how long.
         duration: u64,
         /// What is sent meanwhile comes at the end.
-        holds: bool,
+        satisfies: bool,
         /// Of 100 callers, so many reach only the targets, and as many only the rest.
         callers_bound: u32,
     },
     /// A disk is in trouble for so long.
-    Disk(Target, DiskTrouble, u64),
+    Disk(Target, DiskFault, u64),
     /// All processes are killed.
     KillAll,
     /// All machines lose power.
--- a/simulator/src/world/around.rs
+++ b/simulator/src/world/around.rs
@@ -28,7 +28,7 @@
             self.routers.insert(host, Router::start(host, now, None));
         }
         for host in self.callers() {
-            self.network.place(host, host.0 % ZONES);
+            self.network.position(host, host.0 % ZONES);
             self.wake_at(host, now);
         }
     }
@@ -74,7 +74,7 @@
             .map_or(FIRST_ROUTER, |host| host.0);
         let host = Host(last + 1);
         let now = self.now();
-        self.network.place(host, host.0 % ZONES);
+        self.network.position(host, host.0 % ZONES);
         self.routers.insert(host, Router::start(host, now, first));
         self.wake_at(host, now);
         host
@@ -125,7 +125,7 @@
             listed: &listed,
             last_number: &mut self.last_number,
             outgoing: Vec::new(),
-            notes: Vec::new(),
+            records: Vec::new(),
         };
         let wake = if let Some(operator) = self.operators.get_mut(&host) {
             act(Caller::Operator(operator), &mut around);
@@ -139,13 +139,13 @@
         } else {
             return;
         };
-        let (outgoing, notes) = (
+        let (outgoing, records) = (
             std::mem::take(&mut around.outgoing),
-            std::mem::take(&mut around.notes),
+            std::mem::take(&mut around.records),
         );
-        notes
+        records
             .into_iter()
-            .for_each(|note| self.note(|| format!("{host} {note}")));
+            .for_each(|record| self.record(|| format!("{host} {record}")));
         let numbers = before + 1..=self.last_number;
         for number in numbers {
             self.owners.insert(number, host);
--- a/simulator/src/world/check.rs
+++ b/simulator/src/world/check.rs
@@ -7,7 +7,7 @@
 
 use super::{World, CHECK_INTERVAL, LIST_LAG};
 use crate::callers::APPLY_BOUND;
-use crate::disk::DiskTrouble;
+use crate::disk::DiskFault;
 use crate::documents::OrderId;
 use crate::ledger::Violation;
 use crate::network::Host;
@@ -18,7 +18,7 @@
 pub(super) const ACKNOWLEDGE_BOUND: u64 = 4_000_000;
 /// The same while some machines are out of reach: a caller may pick several of them first, a second
 /// each.
-const ACKNOWLEDGE_BOUND_IN_TROUBLE: u64 = 8_000_000;
+const ACKNOWLEDGE_BOUND_UNDER_FAULTS: u64 = 8_000_000;
 /// Wakes within one interval of a process that has something to do.
 const MOST_WAKES: u32 = 2_000;
 /// Within so many microseconds of a stable core, every member has what is committed (`catchUpS`).
@@ -29,9 +29,9 @@
         self.keep_list();
         self.check_wakes();
         if self.harmed || self.service_may_rest {
-            self.last_trouble = self.now();
+            self.last_fault_at = self.now();
         }
-        let stable_since = self.last_trouble.after(CONTACT);
+        let stable_since = self.last_fault_at.after(CONTACT);
         let majority = self.connected_majority();
         if majority.is_empty() || self.now() < stable_since {
             return;
@@ -88,7 +88,7 @@
             .unwrap_or_default();
         let well = largest
             .iter()
-            .filter(|host| self.machines[host].disk.trouble() == DiskTrouble::None);
+            .filter(|host| self.machines[host].disk.fault() == DiskFault::None);
         if well.count() * 2 > core.len() {
             return largest;
         }
@@ -112,14 +112,14 @@
         let bound = if whole {
             ACKNOWLEDGE_BOUND
         } else {
-            ACKNOWLEDGE_BOUND_IN_TROUBLE
+            ACKNOWLEDGE_BOUND_UNDER_FAULTS
         };
         let overdue = self
             .operators
             .iter()
             .filter(|(host, _)| self.in_touch(**host, majority));
         let overdue = overdue.filter_map(|(_, operator)| {
-            let (order, since) = operator.waits()?;
+            let (order, since) = operator.wait_times()?;
             let waited = now.since(since.max(stable_since));
             (waited > bound).then_some((order, waited / 1_000))
         });
@@ -175,7 +175,7 @@
             .into_iter()
             .filter(|host| self.reaches_both_ways(*host, primary));
         for machine in core.collect::<Vec<Host>>() {
-            let well = self.machines[&machine].disk.trouble() == DiskTrouble::None;
+            let well = self.machines[&machine].disk.fault() == DiskFault::None;
             let stands = self.status(machine).and_then(|status| status.committed);
             let behind = number.saturating_sub(stands.map_or(0, |position| position.number));
             if well && behind > 2 {
@@ -199,8 +199,8 @@
         if !self.ledger.violations.is_empty() {
             return;
         }
-        let held = self.primary().and_then(|host| self.committed(host));
-        match held.map(|(_, replicated)| replicated.state().clone()) {
+        let paused = self.primary().and_then(|host| self.committed(host));
+        match paused.map(|(_, replicated)| replicated.state().clone()) {
             Some(state) => self.check_state(&state),
             None => self.ledger.violations.push(Violation::NothingReadBack),
         }
@@ -208,12 +208,12 @@
 
     fn check_state(&mut self, state: &State) {
         self.ledger.check_end(state);
-        let (told, version) = (self.ledger.told_acknowledged(), state.version());
-        if version < told {
+        let (reported, version) = (self.ledger.reported_acknowledged(), state.version());
+        if version < reported {
             self.ledger.violations.push(Violation::DescribeOld {
                 machine: Host(0),
-                told: version,
-                known: told,
+                reported: version,
+                known: reported,
             });
         }
     }
--- a/simulator/src/world/machine.rs
+++ b/simulator/src/world/machine.rs
@@ -29,7 +29,7 @@
     pub(super) without_disk: bool,
     pub(super) process: Option<ControlProcess>,
     /// Rises with each start and end of a process: what belongs to an earlier one is passed over.
-    pub(super) life: u64,
+    pub(super) incarnation: u64,
     /// The process does not run; what comes waits.
     pub(super) frozen: bool,
     pub(super) backlog: Vec<Event>,
@@ -51,7 +51,7 @@
             disk: Disk::default(),
             without_disk: false,
             process: None,
-            life: 0,
+            incarnation: 0,
             frozen: false,
             backlog: Vec::new(),
             dark: false,
--- a/simulator/src/world/machines.rs
+++ b/simulator/src/world/machines.rs
@@ -50,7 +50,7 @@
     }
 
     fn add_machine(&mut self, host: Host, zone: u32, first_start: bool) {
-        self.network.place(host, zone);
+        self.network.position(host, zone);
         self.machines
             .insert(host, Machine::new(host, zone, first_start));
     }
@@ -114,12 +114,12 @@
                     .push(Violation::DiskUnreadable(host, reason.to_string()))
             }
         };
-        self.last_trouble = now;
+        self.last_fault_at = now;
         let (glue, tolerated) = (self.settings.glue, self.settings.tolerate);
         let Some(machine) = self.machines.get_mut(&host) else {
             return;
         };
-        machine.life += 1;
+        machine.incarnation += 1;
         machine.first_start = false;
         machine.dark = false;
         machine.after_end = AfterEnd::Restart;
@@ -132,8 +132,8 @@
         }
         machine.process = Some(process);
         self.notify_diskless_members();
-        self.note(|| format!("{host} starts as {identity}"));
-        self.settle(host);
+        self.record(|| format!("{host} starts as {identity}"));
+        self.deliver_pending(host);
     }
 
     fn notify_diskless_members(&mut self) {
@@ -178,11 +178,11 @@
     /// A process ends: killed, or because power is lost (`dark`). What was under way ends with a
     /// reset, or with nothing.
     pub(super) fn stop(&mut self, host: Host, dark: bool) {
-        self.last_trouble = self.now();
+        self.last_fault_at = self.now();
         let Some(machine) = self.machines.get_mut(&host) else {
             return;
         };
-        machine.life += 1;
+        machine.incarnation += 1;
         machine.dark = dark;
         machine.frozen = false;
         machine.backlog.clear();
@@ -201,7 +201,7 @@
         for connection in connections.into_iter().filter(|_| !dark) {
             self.send_to_router(host, connection, None);
         }
-        self.note(|| format!("{host} ends{}", if dark { " without power" } else { "" }));
+        self.record(|| format!("{host} ends{}", if dark { " without power" } else { "" }));
     }
 
     /// Starts a process again after the usual delay.
@@ -234,7 +234,7 @@
             Packet::FromRouter(id, message) => process.on_router(id, now, message.as_ref()),
             Packet::Reply(..) | Packet::ToRouter(..) => {}
         }
-        self.settle(arrival.to);
+        self.deliver_pending(arrival.to);
     }
 
     /// Nobody listens there: the connection is reset, unless the machine has no power.
@@ -266,45 +266,46 @@
         if let Some(process) = self.process(host) {
             process.tick(now);
         }
-        self.settle(host);
+        self.deliver_pending(host);
     }
 
-    pub(super) fn on_disk_done(&mut self, host: Host, life: u64) {
+    pub(super) fn on_disk_done(&mut self, host: Host, incarnation: u64) {
         let now = self.now();
         let Some(machine) = self
             .machines
             .get_mut(&host)
-            .filter(|machine| machine.life == life)
+            .filter(|machine| machine.incarnation == incarnation)
         else {
             return;
         };
         if machine.frozen {
-            return machine.backlog.push(Event::DiskDone(host, life));
+            return machine.backlog.push(Event::DiskDone(host, incarnation));
         }
         let finished = machine.disk.finish(&mut self.random);
         if let Some(process) = &mut machine.process {
             match finished {
                 Finished::Persisted(write_id) => process.on_persisted(now, write_id),
                 Finished::Failed(write_id) => process.on_persist_failed(now, write_id),
-                Finished::Waits => {}
+                Finished::WaitTimes => {}
             }
         }
         self.begin_write(host);
-        self.settle(host);
+        self.deliver_pending(host);
     }
 
     fn begin_write(&mut self, host: Host) {
         let Some(machine) = self.machines.get_mut(&host) else {
             return;
         };
-        let life = machine.life;
+        let incarnation = machine.incarnation;
         if let Some(duration) = machine.disk.begin(&mut self.random) {
-            self.scheduler.after(duration, Event::DiskDone(host, life));
+            self.scheduler
+                .after(duration, Event::DiskDone(host, incarnation));
         }
     }
 
     /// Does what a process wants done.
-    pub(super) fn settle(&mut self, host: Host) {
+    pub(super) fn deliver_pending(&mut self, host: Host) {
         let now = self.now();
         let Some(process) = self.process(host) else {
             return;
@@ -400,7 +401,7 @@
             self.counts.snapshots += 1;
             self.counts.largest_snapshot = self.counts.largest_snapshot.max(*bytes);
         }
-        self.note(|| format!("{host} {notice:?}"));
+        self.record(|| format!("{host} {notice:?}"));
     }
 
     /// The process has ended by itself, as it was told to.
@@ -418,12 +419,12 @@
 
     /// A machine is gone for good.
     pub(super) fn remove(&mut self, host: Host) {
-        self.last_trouble = self.now();
+        self.last_fault_at = self.now();
         if let Some(machine) = self.machines.get_mut(&host) {
             machine.removed = true;
             machine.dark = true;
         }
-        self.note(|| format!("{host} is removed"));
+        self.record(|| format!("{host} is removed"));
     }
 
     /// Machines that have not been removed.
@@ -469,7 +470,7 @@
     }
 
     /// When something last went wrong or came back.
-    pub fn last_trouble(&self) -> Time {
-        self.last_trouble
+    pub fn last_fault_at(&self) -> Time {
+        self.last_fault_at
     }
 }
--- a/simulator/src/world/mod.rs
+++ b/simulator/src/world/mod.rs
@@ -145,7 +145,7 @@
     without_disk: BTreeSet<Identity>,
     /// Who made a call or connection.
     owners: BTreeMap<u64, Host>,
-    last_trouble: Time,
+    last_fault_at: Time,
     harmed: bool,
     replies_lost: bool,
     /// A fault that is brought about with the next acknowledgement.
@@ -178,7 +178,7 @@
             last_number: 0,
             without_disk: BTreeSet::new(),
             owners: BTreeMap::new(),
-            last_trouble: BEGIN,
+            last_fault_at: BEGIN,
             harmed: false,
             replies_lost: false,
             armed: None,
@@ -213,7 +213,7 @@
         match event {
             Event::Arrive(arrival) => self.on_arrival(arrival),
             Event::Wake(host, at) => self.on_wake(host, at),
-            Event::DiskDone(host, life) => self.on_disk_done(host, life),
+            Event::DiskDone(host, incarnation) => self.on_disk_done(host, incarnation),
             Event::Start(host) => self.start(host),
             Event::Act(action) => self.act(action),
             Event::Undo(undo) => self.undo(undo),
@@ -244,7 +244,7 @@
     /// an older state either way.
     pub fn let_service_rest(&mut self, rests: bool) {
         self.service_may_rest = rests;
-        self.last_trouble = self.now();
+        self.last_fault_at = self.now();
     }
 
     /// Brings a fault about with the next acknowledgement, or at once if one waits for that
@@ -266,7 +266,7 @@
         self.trace.iter().map(String::as_str)
     }
 
-    fn note(&mut self, text: impl FnOnce() -> String) {
+    fn record(&mut self, text: impl FnOnce() -> String) {
         if !self.settings.trace {
             return;
         }
--- a/simulator/tests/away.rs
+++ b/simulator/tests/away.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{begun, cut, holds, nothing, SECOND};
+use common::{begun, cut, nothing, satisfies, SECOND};
 use lichenswitch_simulator::network::Host;
 use lichenswitch_simulator::world::{Action, CutKind, Target, World, WorldSettings};
 
@@ -35,7 +35,7 @@
 }
 
 /// What is sent to it meanwhile comes at the end.
-fn held_up(settings: WorldSettings) -> World {
+fn delayed(settings: WorldSettings) -> World {
     away(settings, |other| {
         cut(vec![other], CutKind::Full, AWAY, true)
     })
@@ -47,15 +47,15 @@
 
 #[test]
 fn first_heartbeat_after_a_partition_does_not_make_a_lagging_voter_current() {
-    holds(0..10, nothing, cut_off);
+    satisfies(0..10, nothing, cut_off);
 }
 
 #[test]
 fn delayed_heartbeats_do_not_make_a_voter_current() {
-    holds(0..10, nothing, held_up);
+    satisfies(0..10, nothing, delayed);
 }
 
 #[test]
 fn heartbeats_read_late_do_not_make_a_voter_current() {
-    holds(0..10, nothing, frozen);
+    satisfies(0..10, nothing, frozen);
 }
--- a/simulator/tests/common/mod.rs
+++ b/simulator/tests/common/mod.rs
@@ -16,12 +16,12 @@
 const TRACE_SHOWN: usize = 80;
 
 /// Runs a scenario for each seed; none may break a rule.
-pub fn holds(seeds: std::ops::Range<u64>, change: fn(&mut WorldSettings), scenario: Scenario) {
-    holds_with(seeds, change, scenario, |_| {});
+pub fn satisfies(seeds: std::ops::Range<u64>, change: fn(&mut WorldSettings), scenario: Scenario) {
+    satisfies_with(seeds, change, scenario, |_| {});
 }
 
 /// The same, with a look at each run.
-pub fn holds_with(
+pub fn satisfies_with(
     seeds: std::ops::Range<u64>,
     change: fn(&mut WorldSettings),
     scenario: Scenario,
@@ -105,12 +105,12 @@
 }
 
 /// A cut of these machines from all others, with a fifth of the callers on each side.
-pub fn cut(targets: Vec<Target>, kind: CutKind, duration: u64, holds: bool) -> Action {
+pub fn cut(targets: Vec<Target>, kind: CutKind, duration: u64, satisfies: bool) -> Action {
     Action::Cut {
         targets,
         kind,
         duration,
-        holds,
+        satisfies,
         callers_bound: 20,
     }
 }
--- a/simulator/tests/overlaps.rs
+++ b/simulator/tests/overlaps.rs
@@ -4,10 +4,10 @@
 
 mod common;
 
-use common::{begun, finds, holds, nothing, CATCH_UP, SECOND};
+use common::{begun, finds, nothing, satisfies, CATCH_UP, SECOND};
 use lichenswitch_replication::Fault;
 use lichenswitch_simulator::callers::Pace;
-use lichenswitch_simulator::disk::DiskTrouble;
+use lichenswitch_simulator::disk::DiskFault;
 use lichenswitch_simulator::network::Host;
 use lichenswitch_simulator::overlaps;
 use lichenswitch_simulator::walk::Walk;
@@ -79,14 +79,14 @@
         let targets = std::iter::once(Target::Primary)
             .chain((1..half).map(Target::Other))
             .collect();
-        let (kind, duration, holds) = (CutKind::Full, 3 * SECOND, round % 2 == 0);
+        let (kind, duration, satisfies) = (CutKind::Full, 3 * SECOND, round % 2 == 0);
         world.act_after(
             0,
             Action::Cut {
                 targets,
                 kind,
                 duration,
-                holds,
+                satisfies,
                 callers_bound: 0,
             },
         );
@@ -133,21 +133,21 @@
 fn bad_disks(settings: WorldSettings) -> World {
     let mut world = begun(settings);
     let troubles = [
-        DiskTrouble::Full,
-        DiskTrouble::Stalled,
-        DiskTrouble::Slow(400_000),
+        DiskFault::Full,
+        DiskFault::Stalled,
+        DiskFault::Slow(400_000),
     ];
     for (one, two) in troubles
         .into_iter()
         .zip([1, 2, 0].map(|other| troubles[other]))
     {
-        for places in [
+        for positions in [
             [Target::Primary, Target::Other(0)],
             [Target::Other(0), Target::Other(1)],
         ] {
             world.let_service_rest(true);
-            world.act_after(0, Action::Disk(places[0], one, 3 * SECOND));
-            world.act_after(1, Action::Disk(places[1], two, 2 * SECOND));
+            world.act_after(0, Action::Disk(positions[0], one, 3 * SECOND));
+            world.act_after(1, Action::Disk(positions[1], two, 2 * SECOND));
             world.act_after(1_500_000, Action::Kill(Target::Primary));
             world.run_for(2_500_000);
             world.act_after_acknowledgement(Action::WipeAndPowerOff(vec![Target::Oldest]));
@@ -184,14 +184,14 @@
 
 #[test]
 fn walks_with_overlapping_losses() {
-    holds(0..3, nothing, overlapping);
-    holds(100..101, eager, overlapping);
-    holds(200..202, three, overlapping);
+    satisfies(0..3, nothing, overlapping);
+    satisfies(100..101, eager, overlapping);
+    satisfies(200..202, three, overlapping);
 }
 
 #[test]
 fn walks_of_eight_with_two_disks_to_lose() {
-    holds(
+    satisfies(
         300..301,
         |settings| (settings.voters, settings.tolerate) = (8, 2),
         overlapping,
@@ -200,23 +200,23 @@
 
 #[test]
 fn final_faults_round_an_order() {
-    holds(0..1, eager, final_faults);
-    holds(2..3, three, final_faults);
+    satisfies(0..1, eager, final_faults);
+    satisfies(2..3, three, final_faults);
 }
 
 #[test]
 fn halves_with_orders_under_way_and_a_wipe_after_them() {
-    holds(0..2, eager, halves_and_a_wipe);
+    satisfies(0..2, eager, halves_and_a_wipe);
 }
 
 #[test]
 fn a_disk_is_lost_while_another_machine_is_away() {
-    holds(0..2, eager, wiped_while_another_is_away);
+    satisfies(0..2, eager, wiped_while_another_is_away);
 }
 
 #[test]
 fn several_bad_disks_round_an_acknowledgement() {
-    holds(0..2, eager, bad_disks);
+    satisfies(0..2, eager, bad_disks);
 }
 
 #[test]
@@ -264,7 +264,7 @@
 
 #[test]
 fn two_disks_are_lost_after_four_machines_were_dark_for_long() {
-    holds(
+    satisfies(
         0..4,
         |settings| (settings.voters, settings.tolerate) = (8, 2),
         dark_for_long_and_two_disks_lost,
--- a/simulator/tests/point_1.rs
+++ b/simulator/tests/point_1.rs
@@ -3,20 +3,20 @@
 
 mod common;
 
-use common::{acknowledged_between, begun, cut, finds, holds, holds_with, nothing, SECOND};
+use common::{acknowledged_between, begun, cut, finds, nothing, satisfies, satisfies_with, SECOND};
 use lichenswitch_replication::Fault;
 use lichenswitch_simulator::callers::Pace;
-use lichenswitch_simulator::disk::DiskTrouble;
+use lichenswitch_simulator::disk::DiskFault;
 use lichenswitch_simulator::network::Host;
 use lichenswitch_simulator::world::{Action, CutKind, Target, World, WorldSettings};
 
 /// The primary is cut off; a third of operators and readers go there first; routers start during
 /// the cut with its address first.
-fn primary_cut(settings: WorldSettings, kind: CutKind, held: bool) -> World {
+fn primary_cut(settings: WorldSettings, kind: CutKind, paused: bool) -> World {
     let mut world = begun(settings);
     let primary = world.primary().map_or(Target::Primary, Target::This);
     world.act_after(0, Action::Lure(primary, 3));
-    world.act_after(0, cut(vec![primary], kind, 20 * SECOND, held));
+    world.act_after(0, cut(vec![primary], kind, 20 * SECOND, paused));
     world.act_after(SECOND, Action::RestartRouters(primary));
     world.act_after(6 * SECOND, Action::RestartRouters(primary));
     world.run_for(22 * SECOND);
@@ -43,7 +43,7 @@
     primary_cut(settings, CutKind::Full, false)
 }
 
-fn full_cut_held(settings: WorldSettings) -> World {
+fn full_partition_with_pauses(settings: WorldSettings) -> World {
     primary_cut(settings, CutKind::Full, true)
 }
 
@@ -76,24 +76,24 @@
 
 #[test]
 fn partitioned_primary_serves_no_stale_state() {
-    holds_with(0..4, four_operators, full_cut, goes_on);
-    holds_with(0..4, four_operators, full_cut_held, goes_on);
+    satisfies_with(0..4, four_operators, full_cut, goes_on);
+    satisfies_with(0..4, four_operators, full_partition_with_pauses, goes_on);
 }
 
 #[test]
 fn one_way_partitions_cause_no_stale_reads() {
-    holds_with(0..4, four_operators, unheard, goes_on);
-    holds_with(0..4, four_operators, deaf, goes_on);
+    satisfies_with(0..4, four_operators, unheard, goes_on);
+    satisfies_with(0..4, four_operators, deaf, goes_on);
 }
 
 #[test]
 fn partial_partition_causes_no_stale_reads() {
-    holds_with(0..4, four_operators, partial, goes_on);
+    satisfies_with(0..4, four_operators, partial, goes_on);
 }
 
 #[test]
 fn frozen_primary_serves_no_stale_state() {
-    holds_with(0..4, four_operators, frozen, goes_on);
+    satisfies_with(0..4, four_operators, frozen, goes_on);
 }
 
 #[test]
@@ -108,7 +108,7 @@
         world.finish();
         world
     }
-    holds_with(
+    satisfies_with(
         0..2,
         |settings| (settings.voters, settings.tolerate, settings.operators) = (8, 2, 4),
         three,
@@ -149,7 +149,7 @@
     let mut world = begun(settings);
     let primary = world.primary().expect("a primary serves");
     let other = Target::This(if primary == Host(1) { Host(2) } else { Host(1) });
-    world.act_after(0, Action::Disk(other, DiskTrouble::Full, 15 * SECOND));
+    world.act_after(0, Action::Disk(other, DiskFault::Full, 15 * SECOND));
     (1..5).for_each(|round| world.act_after(round * 3 * SECOND, Action::RestartRouters(other)));
     world.run_for(20 * SECOND);
     world.finish();
@@ -158,7 +158,7 @@
 
 #[test]
 fn lagging_replica_serves_no_stale_state() {
-    holds(0..10, nothing, behind);
+    satisfies(0..10, nothing, behind);
 }
 
 #[test]
@@ -186,14 +186,14 @@
     for _ in 0..12 {
         let primary = world.primary().map_or(Target::Primary, Target::This);
         world.act_after(0, Action::Lure(primary, 2));
-        let (targets, kind, duration, holds) = (vec![primary], CutKind::Full, 1_500_000, false);
+        let (targets, kind, duration, satisfies) = (vec![primary], CutKind::Full, 1_500_000, false);
         world.act_after(
             1,
             Action::Cut {
                 targets,
                 kind,
                 duration,
-                holds,
+                satisfies,
                 callers_bound: 0,
             },
         );
@@ -214,7 +214,7 @@
 
 #[test]
 fn short_partitions_cause_no_stale_reads() {
-    holds_with(0..2, watched, short_cuts, |_| {});
+    satisfies_with(0..2, watched, short_cuts, |_| {});
 }
 
 #[test]
--- a/simulator/tests/point_2.rs
+++ b/simulator/tests/point_2.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{begun, cut, finds, holds, SECOND};
+use common::{begun, cut, finds, satisfies, SECOND};
 use lichenswitch_simulator::callers::Pace;
 use lichenswitch_simulator::world::{Action, CutKind, Target, World, WorldSettings};
 
@@ -49,7 +49,7 @@
 
 #[test]
 fn races_and_lost_answers_keep_orders_apart() {
-    holds(0..6, racing, answers_lost);
+    satisfies(0..6, racing, answers_lost);
 }
 
 #[test]
--- a/simulator/tests/point_3.rs
+++ b/simulator/tests/point_3.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{begun, finds, holds, nothing, CATCH_UP, SECOND};
+use common::{begun, finds, nothing, satisfies, CATCH_UP, SECOND};
 use lichenswitch_replication::Fault;
 use lichenswitch_simulator::world::{Action, Target, World, WorldSettings};
 
@@ -33,7 +33,7 @@
 fn run_until_caught_up(world: &mut World) {
     world.run_for(3 * SECOND);
     for _ in 0..20 {
-        let since = world.now().since(world.last_trouble());
+        let since = world.now().since(world.last_fault_at());
         if since >= CATCH_UP || !world.ledger.violations.is_empty() {
             return;
         }
@@ -105,23 +105,23 @@
 
 #[test]
 fn four_voters_bear_all_pairs_of_repairs_of_the_primary() {
-    holds(0..1, nothing, pairs_of_the_primary);
+    satisfies(0..1, nothing, pairs_of_the_primary);
 }
 
 #[test]
 fn four_voters_bear_all_pairs_of_repairs_of_the_oldest() {
-    holds(1..2, nothing, pairs_of_the_oldest);
+    satisfies(1..2, nothing, pairs_of_the_oldest);
 }
 
 #[test]
 fn four_voters_bear_three_repairs_in_a_row() {
-    holds(0..4, nothing, three_repairs);
-    holds(0..2, nothing, five_repairs);
+    satisfies(0..4, nothing, three_repairs);
+    satisfies(0..2, nothing, five_repairs);
 }
 
 #[test]
 fn eight_voters_bear_two_at_once() {
-    holds(0..2, eight, two_at_once);
+    satisfies(0..2, eight, two_at_once);
 }
 
 /// The smallest form: a machine whose seeds are all gone loses its disk, and comes back at its
@@ -141,7 +141,7 @@
 
 #[test]
 fn a_wiped_disk_joins_though_its_seeds_are_gone() {
-    holds(0..2, nothing, wiped_with_dead_seeds);
+    satisfies(0..2, nothing, wiped_with_dead_seeds);
 }
 
 #[test]
@@ -168,7 +168,7 @@
         world.finish();
         world
     }
-    holds(0..4, nothing, wipes);
+    satisfies(0..4, nothing, wipes);
 }
 
 #[test]
@@ -182,7 +182,7 @@
                     targets: vec![Target::Primary],
                     kind: lichenswitch_simulator::world::CutKind::Full,
                     duration: 3 * SECOND,
-                    holds: false,
+                    satisfies: false,
                     callers_bound: 0,
                 },
             );
--- a/simulator/tests/point_4.rs
+++ b/simulator/tests/point_4.rs
@@ -3,10 +3,10 @@
 
 mod common;
 
-use common::{acknowledged_between, begun, cut, finds, holds, holds_with, SECOND};
+use common::{acknowledged_between, begun, cut, finds, satisfies, satisfies_with, SECOND};
 use lichenswitch_replication::{Fault, RoleKind};
 use lichenswitch_simulator::callers::Pace;
-use lichenswitch_simulator::disk::DiskTrouble;
+use lichenswitch_simulator::disk::DiskFault;
 use lichenswitch_simulator::network::Host;
 use lichenswitch_simulator::world::{Action, CutKind, Target, World, WorldSettings};
 
@@ -26,17 +26,17 @@
     world.act_after(0, Action::Kill(Target::Primary));
     world.act_after(
         4 * SECOND,
-        Action::Disk(Target::Other(1), DiskTrouble::Full, 5 * SECOND),
+        Action::Disk(Target::Other(1), DiskFault::Full, 5 * SECOND),
     );
     world.act_after(8 * SECOND, Action::PowerLoss(Target::Other(1)));
     world.act_after(
         12 * SECOND,
-        Action::Disk(Target::Primary, DiskTrouble::Stalled, 5 * SECOND),
+        Action::Disk(Target::Primary, DiskFault::Stalled, 5 * SECOND),
     );
     world.act_after(19 * SECOND, Action::Kill(Target::Primary));
     world.act_after(
         22 * SECOND,
-        Action::Disk(Target::Primary, DiskTrouble::Full, 4 * SECOND),
+        Action::Disk(Target::Primary, DiskFault::Full, 4 * SECOND),
     );
     world.act_after(28 * SECOND, Action::PowerOffAll);
     world.run_for(34 * SECOND);
@@ -120,17 +120,17 @@
 
 #[test]
 fn a_storm_of_changes_around_kills_and_bad_disks() {
-    holds_with(0..4, busy, storm, stormed);
+    satisfies_with(0..4, busy, storm, stormed);
 }
 
 #[test]
 fn a_member_that_was_away_catches_up() {
-    holds(0..4, busy, away);
+    satisfies(0..4, busy, away);
 }
 
 #[test]
 fn primaries_that_are_not_heard_leave_nothing_behind() {
-    holds(0..3, busy, unheard_primaries);
+    satisfies(0..3, busy, unheard_primaries);
 }
 
 #[test]
@@ -139,7 +139,7 @@
         busy(settings);
         settings.faults.plant(Fault::RespondBeforeSync);
     }
-    holds(0..2, busy, power_lost);
+    satisfies(0..2, busy, power_lost);
     finds(0..20, plant, power_lost);
 }
 
@@ -165,6 +165,6 @@
         busy(settings);
         settings.faults.plant(Fault::HalfIsQuorum);
     }
-    holds(0..3, busy, halves);
+    satisfies(0..3, busy, halves);
     finds(0..20, plant, halves);
 }
--- a/simulator/tests/without_disk.rs
+++ b/simulator/tests/without_disk.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{finds, holds, CATCH_UP, SECOND};
+use common::{finds, satisfies, CATCH_UP, SECOND};
 use lichenswitch_replication::Fault;
 use lichenswitch_simulator::callers::Pace;
 use lichenswitch_simulator::world::{Action, Target, World, WorldSettings};
@@ -32,13 +32,13 @@
 /// Right after the first acknowledgements a disk is lost with the power of all others, the
 /// founder's among them.
 fn a_disk_is_lost_at_the_beginning(settings: WorldSettings) -> World {
-    let places = [
+    let positions = [
         Target::Primary,
         Target::Other(0),
         Target::Other(1),
         Target::Other(2),
     ];
-    let target = places[settings.seed as usize % places.len()];
+    let target = positions[settings.seed as usize % positions.len()];
     let mut world = World::new(settings);
     world.let_service_rest(true);
     world.act_after_acknowledgement(Action::WipeAndPowerOff(vec![target]));
@@ -64,12 +64,12 @@
 
 #[test]
 fn first_acknowledgement_survives_a_disk_loss_and_a_power_loss() {
-    holds(0..16, five, a_disk_is_lost_at_the_beginning);
+    satisfies(0..16, five, a_disk_is_lost_at_the_beginning);
 }
 
 #[test]
 fn a_group_goes_on_without_its_founder() {
-    holds(0..4, five, the_founder_goes);
+    satisfies(0..4, five, the_founder_goes);
 }
 
 #[test]
--- a/soak/src/bounds.rs
+++ b/soak/src/bounds.rs
@@ -13,6 +13,6 @@
 /// `drainTimeoutMs`: a server that has said that it leaves gets requests for so long.
 pub const DRAIN_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// `lossSlackMs`: a connection may cross a request for so long.
-pub const LOSS_SLACK: Duration = Duration::from_millis(200);
+pub const LOSS_MARGIN: Duration = Duration::from_millis(200);
 /// `recoveryS`: after a loss of all, service is back.
 pub const RECOVERY: Duration = Duration::from_secs(12);
--- a/soak/src/clients.rs
+++ b/soak/src/clients.rs
@@ -1,6 +1,6 @@
 //! The clients of a day, and the platform that tells them which routers are ready.
 
-use crate::journal::{Clock, Try, TryEnd};
+use crate::journal::{ClientRequest, Clock, RequestEnd};
 use crate::operators::HOST;
 use crate::servers::BETWEEN_EVENTS;
 use fastrand::Rng;
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 
 /// Clients give a request up after so long without a byte.
-const SILENCE: Duration = Duration::from_secs(5);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 /// The platform asks each router so often whether it is ready; a router that misses twice gets
 /// nobody new.
 const QUESTION: Duration = Duration::from_secs(1);
@@ -122,7 +122,7 @@
     misses: Vec<AtomicU32>,
     numbers: AtomicU64,
     stopped: AtomicBool,
-    tries: Mutex<Vec<Try>>,
+    client_requests: Mutex<Vec<ClientRequest>>,
 }
 
 impl Clients {
@@ -137,7 +137,7 @@
             misses,
             numbers,
             stopped,
-            tries: Mutex::default(),
+            client_requests: Mutex::default(),
         }
     }
 
@@ -152,29 +152,33 @@
 
     /// All requests so far.
     #[must_use]
-    pub fn tries(&self) -> Vec<Try> {
-        self.tries.lock().unwrap_or_else(|e| e.into_inner()).clone()
+    pub fn client_requests(&self) -> Vec<ClientRequest> {
+        self.client_requests
+            .lock()
+            .unwrap_or_else(|e| e.into_inner())
+            .clone()
     }
 
     /// Asks a router whether it is ready, until the clients are stopped.
     pub fn watch(&self, machine: usize, readiness: SocketAddr) {
         while !self.is_stopped() {
-            let asked = Instant::now();
+            let queried = Instant::now();
             let answer = Call::get("/readiness").send(readiness, QUESTION);
             if answer.is_ok_and(|answer| answer.status() == 200) {
                 self.misses[machine].store(0, Ordering::SeqCst);
             } else {
                 self.misses[machine].fetch_add(1, Ordering::SeqCst);
             }
-            thread::sleep(QUESTION.saturating_sub(asked.elapsed()));
+            thread::sleep(QUESTION.saturating_sub(queried.elapsed()));
         }
     }
 
     /// Asks by this habit until the clients are stopped.
-    pub fn ask(&self, habit: Habit, random: &mut Rng) {
+    pub fn query(&self, habit: Habit, random: &mut Rng) {
         while !self.is_stopped() {
             let machine = self.choose(random);
-            let Ok(mut connection) = ClientConnection::open(self.fronts[machine], SILENCE) else {
+            let Ok(mut connection) = ClientConnection::open(self.fronts[machine], RESPONSE_TIMEOUT)
+            else {
                 thread::sleep(Duration::from_millis(50));
                 continue;
             };
@@ -200,13 +204,13 @@
     /// One short request to this router; tells whether it was served.
     #[must_use]
     pub fn is_served_by(&self, machine: usize) -> bool {
-        let opened = ClientConnection::open(self.fronts[machine], SILENCE);
+        let opened = ClientConnection::open(self.fronts[machine], RESPONSE_TIMEOUT);
         let sent = opened
             .ok()
             .and_then(|mut connection| self.send(&mut connection, Habit::Safe, Some(1)));
         sent.is_some_and(|sent| {
-            let served = sent.end == TryEnd::Answered(200);
-            self.note(sent, machine, 0, Habit::Safe);
+            let served = sent.end == RequestEnd::Answered(200);
+            self.record(sent, machine, 0, Habit::Safe);
             served
         })
     }
@@ -226,8 +230,8 @@
             return false;
         };
         let (end, goes_on) = (sent.end, sent.goes_on);
-        self.note(sent, machine, turn, habit);
-        if matches!(end, TryEnd::Answered(status) if status >= 300) {
+        self.record(sent, machine, turn, habit);
+        if matches!(end, RequestEnd::Answered(status) if status >= 300) {
             thread::sleep(REFUSED);
         }
         goes_on
@@ -253,7 +257,7 @@
             return Some(Sent {
                 attempt,
                 at,
-                end: TryEnd::Left,
+                end: RequestEnd::Left,
                 faults: Vec::new(),
                 goes_on: false,
             });
@@ -264,8 +268,8 @@
             .as_ref()
             .map(|answer| answer.faults(&request, &[&attempt]))
             .unwrap_or_default();
-        let goes_on =
-            matches!(end, TryEnd::Answered(_)) && answer.is_ok_and(|answer| !answer.head.closes());
+        let goes_on = matches!(end, RequestEnd::Answered(_))
+            && answer.is_ok_and(|answer| !answer.head.closes());
         Some(Sent {
             attempt,
             at,
@@ -275,7 +279,7 @@
         })
     }
 
-    fn note(&self, sent: Sent, machine: usize, turn: u32, habit: Habit) {
+    fn record(&self, sent: Sent, machine: usize, turn: u32, habit: Habit) {
         let Sent {
             attempt,
             at: sent,
@@ -285,7 +289,7 @@
         } = sent;
         let (idempotent, time_left, ended) =
             (habit.is_idempotent(), habit.deadline(), self.clock.now());
-        let one = Try {
+        let one = ClientRequest {
             attempt,
             machine,
             idempotent,
@@ -296,7 +300,7 @@
             end,
             faults,
         };
-        self.tries
+        self.client_requests
             .lock()
             .unwrap_or_else(|e| e.into_inner())
             .push(one);
@@ -307,19 +311,19 @@
 struct Sent {
     attempt: String,
     at: Duration,
-    end: TryEnd,
+    end: RequestEnd,
     faults: Vec<StreamFault>,
     goes_on: bool,
 }
 
-fn end(answer: &Result<Streamed, MessageError>) -> TryEnd {
+fn end(answer: &Result<Streamed, MessageError>) -> RequestEnd {
     match answer {
         Ok(answer) => match answer.end {
-            End::Whole => TryEnd::Answered(answer.head.status()),
-            End::Cut => TryEnd::Cut,
-            End::Silent => TryEnd::Silent,
+            End::Whole => RequestEnd::Answered(answer.head.status()),
+            End::Cut => RequestEnd::Cut,
+            End::Silent => RequestEnd::Silent,
         },
-        Err(MessageError::Silence) => TryEnd::Silent,
-        Err(_) => TryEnd::NoAnswer,
+        Err(MessageError::Silence) => RequestEnd::Silent,
+        Err(_) => RequestEnd::NoAnswer,
     }
 }
--- a/soak/src/day.rs
+++ b/soak/src/day.rs
@@ -27,7 +27,7 @@
 /// Traffic goes on so long after the final fault's restarts.
 const AFTERWARDS: Duration = Duration::from_secs(3);
 /// Between two requests that show whether a router serves again.
-const PROBE: Duration = Duration::from_millis(100);
+const PROBE_INTERVAL: Duration = Duration::from_millis(100);
 /// Rests between an operator's orders, at most: of the one who always works, and of the one who at
 /// times races it.
 const RESTS: [Duration; 2] = [Duration::from_millis(300), Duration::from_millis(1_500)];
@@ -75,7 +75,7 @@
     let inside = processes.finish();
     outside.process_faults.extend(inside.process_faults);
     Ok(Journal {
-        troubles: inside.troubles,
+        faults: inside.faults,
         ..outside
     })
 }
@@ -115,10 +115,10 @@
     });
     let (final_reads, servers, process_faults) = (played?, day.servers.finish(), day.faults);
     let (orders, reads) = operators.records();
-    let (troubles, tries) = (Vec::new(), clients.tries());
+    let (faults, client_requests) = (Vec::new(), clients.client_requests());
     Ok(Journal {
-        troubles,
-        tries,
+        faults,
+        client_requests,
         servers,
         orders,
         reads,
@@ -161,7 +161,7 @@
 }
 
 /// Where the primary is, by the status of a control machine.
-fn primary_told_by(address: SocketAddr) -> Option<IpAddr> {
+fn primary_reported_by(address: SocketAddr) -> Option<IpAddr> {
     let status = Call::get("/status")
         .send(address, Duration::from_millis(300))
         .ok()?;
@@ -218,7 +218,7 @@
         }
         for habit in HABITS {
             let mut random = self.random.fork();
-            scope.spawn(move || clients.ask(habit, &mut random));
+            scope.spawn(move || clients.query(habit, &mut random));
         }
         let mut random = self.random.fork();
         scope.spawn(move || operators.read(&mut random));
@@ -235,7 +235,7 @@
             (Action::CutPrimary(time), _) => {
                 if let Some(primary) = self.primary() {
                     self.processes.cut(&[primary], time);
-                    self.operators.draw_to(primary, time);
+                    self.operators.generate_until(primary, time);
                 }
                 return Ok(());
             }
@@ -256,7 +256,9 @@
     /// The machine of the primary, as far as anybody tells.
     fn primary(&self) -> Option<usize> {
         let control = self.processes.fleet().control();
-        let primary = control.iter().find_map(|address| primary_told_by(*address));
+        let primary = control
+            .iter()
+            .find_map(|address| primary_reported_by(*address));
         control
             .iter()
             .position(|address| Some(address.ip()) == primary)
@@ -267,7 +269,7 @@
         if let Some(primary) = self.isolated {
             for other in (0..MACHINES).filter(|other| *other != primary) {
                 self.processes
-                    .act(Action::Pause((Role::Control, other), time))?;
+                    .act(Action::ProcessPause((Role::Control, other), time))?;
             }
         }
         Ok(())
@@ -290,7 +292,7 @@
         operators: &'scope Operators,
     ) -> Result<Vec<ReadRecord>, DayError> {
         let read = |machine| scope.spawn(move || operators.read_back(machine, RECOVERY + CONTACT));
-        let reads = self.ask_each(read)?;
+        let reads = self.query_each(read)?;
         let missing = (0..MACHINES).filter(|machine| reads[*machine].is_none());
         self.faults.extend(missing.map(ProcessFault::NotReadBack));
         Ok(reads.into_iter().flatten().collect())
@@ -303,11 +305,11 @@
     ) -> Result<(), DayError> {
         let until = self.clock.now() + RECOVERY;
         let clock = self.clock;
-        let served = self.ask_each(|machine| {
+        let served = self.query_each(|machine| {
             scope.spawn(move || {
                 let mut served = clients.is_served_by(machine);
                 while !served && clock.now() < until {
-                    thread::sleep(PROBE);
+                    thread::sleep(PROBE_INTERVAL);
                     served = clients.is_served_by(machine);
                 }
                 served
@@ -319,14 +321,14 @@
     }
 
     /// Asks each machine something on a thread of its own, and goes on meanwhile.
-    fn ask_each<'scope, T: Default>(
+    fn query_each<'scope, T: Default>(
         &mut self,
-        ask: impl Fn(usize) -> ScopedJoinHandle<'scope, T>,
+        query: impl Fn(usize) -> ScopedJoinHandle<'scope, T>,
     ) -> Result<Vec<T>, DayError> {
-        let asked: Vec<_> = (0..MACHINES).map(ask).collect();
-        self.go_on_until(|_| asked.iter().all(ScopedJoinHandle::is_finished))?;
+        let queried: Vec<_> = (0..MACHINES).map(query).collect();
+        self.go_on_until(|_| queried.iter().all(ScopedJoinHandle::is_finished))?;
         // A thread that panicked has said so, and found nothing.
-        Ok(asked
+        Ok(queried
             .into_iter()
             .map(|thread| thread.join().unwrap_or_default())
             .collect())
--- a/soak/src/journal.rs
+++ b/soak/src/journal.rs
@@ -33,7 +33,7 @@
 
 /// Something that was done to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TroubleKind {
+pub enum FaultKind {
     /// SIGTERM, and its start after it.
     Terminated,
     /// SIGHUP.
@@ -48,19 +48,19 @@
     Cut,
 }
 
-impl TroubleKind {
+impl FaultKind {
     /// Whether an operator does this on purpose, and nothing may be lost by it.
     #[must_use]
     pub fn is_planned(self) -> bool {
-        matches!(self, TroubleKind::Terminated | TroubleKind::HungUp)
+        matches!(self, FaultKind::Terminated | FaultKind::HungUp)
     }
 }
 
-/// See [`TroubleKind`].
+/// See [`FaultKind`].
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Trouble {
+pub struct InjectedFault {
     /// What.
-    pub kind: TroubleKind,
+    pub kind: FaultKind,
     /// To which process.
     pub target: Target,
     /// When it began.
@@ -71,7 +71,7 @@
 
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TryEnd {
+pub enum RequestEnd {
     /// A whole answer with this status.
     Answered(u16),
     /// The answer had begun, and its connection ended.
@@ -86,7 +86,7 @@
 
 /// A request of a client: one that was written whole.
 #[derive(Clone, Debug)]
-pub struct Try {
+pub struct ClientRequest {
     /// `Attempt-Id`.
     pub attempt: String,
     /// The machine whose router took the connection.
@@ -102,7 +102,7 @@
     /// The least of `Deadline-Ms` and the least `timeoutMs` that its route ever has.
     pub time_left: Duration,
     /// How it ended.
-    pub end: TryEnd,
+    pub end: RequestEnd,
     /// What is wrong with what came.
     pub faults: Vec<StreamFault>,
 }
@@ -170,9 +170,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct Journal {
     /// What was done to processes.
-    pub troubles: Vec<Trouble>,
+    pub faults: Vec<InjectedFault>,
     /// Requests.
-    pub tries: Vec<Try>,
+    pub client_requests: Vec<ClientRequest>,
     /// Model servers.
     pub servers: Vec<ServerRecord>,
     /// Orders, by their number.
@@ -189,9 +189,9 @@
     /// Whether an unplanned trouble touches this time.
     #[must_use]
     pub fn is_troubled(&self, from: Duration, to: Duration) -> bool {
-        let touches = |trouble: &Trouble| trouble.from <= to && trouble.to >= from;
-        self.troubles
+        let touches = |fault: &InjectedFault| fault.from <= to && fault.to >= from;
+        self.faults
             .iter()
-            .any(|trouble| !trouble.kind.is_planned() && touches(trouble))
+            .any(|fault| !fault.kind.is_planned() && touches(fault))
     }
 }
--- a/soak/src/judge.rs
+++ b/soak/src/judge.rs
@@ -4,8 +4,8 @@
 //! of the configuration count without a comparison with other times, and losses beside nothing
 //! count too.
 
-use crate::bounds::{CONFIG_APPLY, CONTACT, DRAIN_TIMEOUT, GRACE, LOSS_SLACK};
-use crate::journal::{Journal, OrderRecord, ServerRecord, TroubleKind, Try, TryEnd};
+use crate::bounds::{CONFIG_APPLY, CONTACT, DRAIN_TIMEOUT, GRACE, LOSS_MARGIN};
+use crate::journal::{ClientRequest, FaultKind, Journal, OrderRecord, RequestEnd, ServerRecord};
 use crate::violation::{Beside, Violation};
 use lichenswitch_emulators::fleet_processes::Role;
 use lichenswitch_emulators::model_server::heartbeat::Word;
@@ -17,7 +17,7 @@
 /// A request that ends so shortly before its time is over has used it up.
 const NEARLY: Duration = Duration::from_millis(250);
 /// A configuration is news for so long after its acknowledgement.
-const NEWS: Duration = CONFIG_APPLY.saturating_add(Duration::from_secs(1));
+const UPDATE_INTERVAL: Duration = CONFIG_APPLY.saturating_add(Duration::from_secs(1));
 /// SIGTERM explains a loss for so long.
 const TERMINATION: Duration = GRACE.saturating_add(Duration::from_secs(1));
 /// A request sent so soon after SIGTERM may be cut in the last sixth of the grace.
@@ -38,7 +38,7 @@
         .cloned()
         .map(Violation::Process)
         .collect();
-    for one in &journal.tries {
+    for one in &journal.client_requests {
         violations.extend(lost(journal, &runs, one));
         let wrong = |fault| Violation::WrongAnswer(one.attempt.clone(), fault);
         violations.extend(one.faults.iter().cloned().map(wrong));
@@ -127,16 +127,16 @@
 }
 
 /// Whether a request was lost, and beside what.
-fn lost(journal: &Journal, runs: &Runs, one: &Try) -> Option<Violation> {
+fn lost(journal: &Journal, runs: &Runs, one: &ClientRequest) -> Option<Violation> {
     let end = match one.end {
-        TryEnd::Answered(_) | TryEnd::Left => return None,
-        TryEnd::Cut => "a cut answer",
-        TryEnd::NoAnswer => "a closed connection",
-        TryEnd::Silent => "silence",
+        RequestEnd::Answered(_) | RequestEnd::Left => return None,
+        RequestEnd::Cut => "a cut answer",
+        RequestEnd::NoAnswer => "a closed connection",
+        RequestEnd::Silent => "silence",
     };
     let run = runs.0.get(&one.attempt);
     let spent = one.ended.saturating_sub(one.sent);
-    let crossed = run.is_none_or(|run| !run.arrived) && spent <= LOSS_SLACK;
+    let crossed = run.is_none_or(|run| !run.arrived) && spent <= LOSS_MARGIN;
     let used_up = spent + NEARLY >= one.time_left;
     let broke_off = run.is_some_and(|run| run.broke_off);
     if crossed
@@ -160,28 +160,26 @@
 }
 
 /// The planned work beside which it was lost; `None`: the rules excuse it.
-fn beside(journal: &Journal, run: Option<&Run>, one: &Try) -> Option<Beside> {
+fn beside(journal: &Journal, run: Option<&Run>, one: &ClientRequest) -> Option<Beside> {
     let mine = journal
-        .troubles
+        .faults
         .iter()
-        .filter(|trouble| trouble.target == (Role::Router, one.machine));
+        .filter(|fault| fault.target == (Role::Router, one.machine));
     let (mut excused, mut beside) = (false, None);
-    for trouble in mine.filter(|trouble| trouble.from <= one.ended) {
-        let since = one.ended.saturating_sub(trouble.from);
-        match trouble.kind {
-            TroubleKind::Terminated
-                if since <= TERMINATION && !is_late_work(trouble.from, run, one) =>
+    for fault in mine.filter(|fault| fault.from <= one.ended) {
+        let since = one.ended.saturating_sub(fault.from);
+        match fault.kind {
+            FaultKind::Terminated
+                if since <= TERMINATION && !is_late_work(fault.from, run, one) =>
             {
                 return Some(Beside::Termination(since));
             }
             // Nobody could know when it was taken that it would not end in the grace.
-            TroubleKind::Terminated
-                if since <= TERMINATION && one.sent <= trouble.from + SIGNALLED =>
-            {
+            FaultKind::Terminated if since <= TERMINATION && one.sent <= fault.from + SIGNALLED => {
                 return None
             }
-            TroubleKind::Terminated if since <= TERMINATION => excused = true,
-            TroubleKind::HungUp if one.sent <= trouble.from + CONFIG_APPLY => {
+            FaultKind::Terminated if since <= TERMINATION => excused = true,
+            FaultKind::HungUp if one.sent <= fault.from + CONFIG_APPLY => {
                 beside = Some(Beside::HangUp)
             }
             _ => {}
@@ -199,7 +197,7 @@
 
 /// Whether a server was still at work in the last sixth of the grace on a request that was sent in
 /// its beginning.
-fn is_late_work(terminated: Duration, run: Option<&Run>, one: &Try) -> bool {
+fn is_late_work(terminated: Duration, run: Option<&Run>, one: &ClientRequest) -> bool {
     let until = run
         .map_or(Duration::ZERO, |run| run.worked_until)
         .min(one.ended);
@@ -207,22 +205,24 @@
 }
 
 /// Whether a configuration came into force, or may have, while a request was under way.
-fn is_news(order: &OrderRecord, one: &Try) -> bool {
+fn is_news(order: &OrderRecord, one: &ClientRequest) -> bool {
     let refused = order
         .outcomes
         .iter()
         .any(|outcome| matches!(outcome, Outcome::OtherVersion));
-    let until = order.acknowledged.map_or(Duration::MAX, |at| at + NEWS);
+    let until = order
+        .acknowledged
+        .map_or(Duration::MAX, |at| at + UPDATE_INTERVAL);
     !refused && order.sent <= one.ended && until >= one.sent
 }
 
 /// What the rules on runs say of a request.
-fn run_wrongly(runs: &Runs, one: &Try) -> Option<Violation> {
+fn run_wrongly(runs: &Runs, one: &ClientRequest) -> Option<Violation> {
     let ran = runs.0.get(&one.attempt).map_or(0, |run| run.runs);
     match one.end {
         _ if one.idempotent => None,
         _ if ran > 1 => Some(Violation::RanTwice(one.attempt.clone(), ran)),
-        TryEnd::Answered(status) if ran > 0 && PROMISES.contains(&status) => {
+        RequestEnd::Answered(status) if ran > 0 && PROMISES.contains(&status) => {
             Some(Violation::RefusedAndRan(one.attempt.clone(), status))
         }
         _ => None,
@@ -230,12 +230,13 @@
 }
 
 fn unasked(journal: &Journal) -> Vec<Violation> {
-    let asked: BTreeSet<&str> = journal
-        .tries
+    let queried: BTreeSet<&str> = journal
+        .client_requests
         .iter()
         .map(|one| one.attempt.as_str())
         .collect();
-    let ran = |entry: &&Entry| entry.what == Event::Ran && !asked.contains(entry.attempt.as_str());
+    let ran =
+        |entry: &&Entry| entry.what == Event::Ran && !queried.contains(entry.attempt.as_str());
     let entries = journal.servers.iter().flat_map(|server| &server.entries);
     entries
         .filter(ran)
@@ -279,16 +280,20 @@
 /// unplanned any control machine, for `contactMs`. Planned work on control machines is no excuse
 /// here: each hands on what it knows before it ends.
 fn is_in_touch(journal: &Journal, attempt: &str, at: Duration) -> bool {
-    let Some(one) = journal.tries.iter().find(|one| one.attempt == attempt) else {
+    let Some(one) = journal
+        .client_requests
+        .iter()
+        .find(|one| one.attempt == attempt)
+    else {
         return true;
     };
-    journal.troubles.iter().all(|trouble| {
-        let (role, machine) = trouble.target;
+    journal.faults.iter().all(|fault| {
+        let (role, machine) = fault.target;
         let concerns = match role {
-            Role::Router => machine == one.machine && trouble.kind != TroubleKind::HungUp,
-            Role::Control => !trouble.kind.is_planned(),
+            Role::Router => machine == one.machine && fault.kind != FaultKind::HungUp,
+            Role::Control => !fault.kind.is_planned(),
         };
-        let touches = trouble.from <= at && trouble.to.saturating_add(CONTACT) >= at;
+        let touches = fault.from <= at && fault.to.saturating_add(CONTACT) >= at;
         !(concerns && touches)
     })
 }
@@ -375,11 +380,11 @@
             .max()
             .unwrap_or(0);
         if read.version < known {
-            let (machine, sent, told) = (read.machine, read.sent, read.version);
+            let (machine, sent, reported) = (read.machine, read.sent, read.version);
             violations.push(Violation::ReadOld {
                 machine,
                 sent,
-                told,
+                reported,
                 known,
             });
         }
@@ -396,10 +401,10 @@
         let other = read.version == newest.version && read.order != newest.number;
         if older || other {
             let (known, order) = (newest.version, newest.number);
-            let (machine, told) = (read.machine, read.version);
+            let (machine, reported) = (read.machine, read.version);
             violations.push(Violation::ConfigurationLost {
                 machine,
-                told,
+                reported,
                 known,
                 order,
             });
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -4,7 +4,7 @@
 
 use bpaf::Bpaf;
 use lichenswitch_soak::day::{play, DayError, Stage};
-use lichenswitch_soak::journal::{Journal, TryEnd};
+use lichenswitch_soak::journal::{Journal, RequestEnd};
 use lichenswitch_soak::judge::judge;
 use lichenswitch_soak::plan::Plan;
 use lichenswitch_soak::violation::Violation;
@@ -119,7 +119,7 @@
 
 /// Plays a day and prints its verdict; tells whether no rule was broken.
 fn is_sound(seed: u64, options: &Options, interrupted: &AtomicBool) -> bool {
-    let plan = Plan::draw(seed, Duration::from_secs(options.seconds));
+    let plan = Plan::generate_order(seed, Duration::from_secs(options.seconds));
     let folder = options
         .logs
         .join(format!("seed-{seed}-{}", std::process::id()));
@@ -183,9 +183,9 @@
         Err(error) => return format!("seed {seed}: could not be played: {error}"),
     };
     let mut ends: BTreeMap<String, usize> = BTreeMap::new();
-    for one in &journal.tries {
+    for one in &journal.client_requests {
         let end = match one.end {
-            TryEnd::Answered(status) => status.to_string(),
+            RequestEnd::Answered(status) => status.to_string(),
             other => format!("{other:?}"),
         };
         *ends.entry(end).or_default() += 1;
@@ -214,9 +214,13 @@
 fn brief(journal: &Journal) -> Journal {
     let mut brief = journal.clone();
     brief
-        .tries
-        .retain(|one| !matches!(one.end, TryEnd::Answered(_)) || !one.faults.is_empty());
-    let kept: Vec<String> = brief.tries.iter().map(|one| one.attempt.clone()).collect();
+        .client_requests
+        .retain(|one| !matches!(one.end, RequestEnd::Answered(_)) || !one.faults.is_empty());
+    let kept: Vec<String> = brief
+        .client_requests
+        .iter()
+        .map(|one| one.attempt.clone())
+        .collect();
     for server in &mut brief.servers {
         server.entries.retain(|entry| kept.contains(&entry.attempt));
     }
--- a/soak/src/operators.rs
+++ b/soak/src/operators.rs
@@ -116,7 +116,7 @@
 }
 
 #[derive(Default)]
-struct Book {
+struct OrderHistory {
     orders: Vec<OrderRecord>,
     variants: Vec<Variant>,
     /// The newest that is known to be in force: version, and place of its order.
@@ -131,26 +131,26 @@
     control: Vec<SocketAddr>,
     stopped: AtomicBool,
     /// The machine that orders go to first, and until when.
-    drawn_to: Mutex<Option<(usize, Duration)>>,
-    book: Mutex<Book>,
+    generated_until: Mutex<Option<(usize, Duration)>>,
+    history: Mutex<OrderHistory>,
 }
 
 impl Operators {
     /// Operators who know these control machines.
     #[must_use]
     pub fn new(clock: Clock, control: Vec<SocketAddr>) -> Operators {
-        let (stopped, drawn_to) = (AtomicBool::new(false), Mutex::default());
+        let (stopped, generated_until) = (AtomicBool::new(false), Mutex::default());
         Operators {
             clock,
             control,
             stopped,
-            drawn_to,
-            book: Mutex::default(),
+            generated_until,
+            history: Mutex::default(),
         }
     }
 
-    fn book(&self) -> MutexGuard<'_, Book> {
-        self.book.lock().unwrap_or_else(|e| e.into_inner())
+    fn history(&self) -> MutexGuard<'_, OrderHistory> {
+        self.history.lock().unwrap_or_else(|e| e.into_inner())
     }
 
     /// No operator begins anything more.
@@ -163,16 +163,22 @@
     }
 
     /// Orders go to this machine first for so long.
-    pub fn draw_to(&self, machine: usize, time: Duration) {
+    pub fn generate_until(&self, machine: usize, time: Duration) {
         let until = self.clock.now() + time;
-        *self.drawn_to.lock().unwrap_or_else(|e| e.into_inner()) = Some((machine, until));
+        *self
+            .generated_until
+            .lock()
+            .unwrap_or_else(|e| e.into_inner()) = Some((machine, until));
     }
 
     /// The machine that an order goes to first.
     fn first_machine(&self, random: &mut Rng) -> usize {
-        let drawn_to = *self.drawn_to.lock().unwrap_or_else(|e| e.into_inner());
-        let drawn_to = drawn_to.filter(|(_, until)| self.clock.now() < *until);
-        drawn_to.map_or_else(
+        let generated_until = *self
+            .generated_until
+            .lock()
+            .unwrap_or_else(|e| e.into_inner());
+        let generated_until = generated_until.filter(|(_, until)| self.clock.now() < *until);
+        generated_until.map_or_else(
             || random.usize(0..self.control.len()),
             |(machine, _)| machine,
         )
@@ -181,14 +187,14 @@
     /// How many acknowledgements came.
     #[must_use]
     pub fn acknowledged(&self) -> u64 {
-        self.book().acknowledged
+        self.history().acknowledged
     }
 
     /// All orders and reads so far.
     #[must_use]
     pub fn records(&self) -> (Vec<OrderRecord>, Vec<ReadRecord>) {
-        let book = self.book();
-        (book.orders.clone(), book.reads.clone())
+        let history = self.history();
+        (history.orders.clone(), history.reads.clone())
     }
 
     /// Brings the first configuration; tells whether it was acknowledged in this time.
@@ -201,10 +207,10 @@
             base: 0,
             body,
         };
-        self.book()
+        self.history()
             .enter(order.clone(), 1, variant, self.clock.now());
         let outcome = Operator::new(self.control.clone()).send(&order, 0, at_most);
-        self.note(0, outcome);
+        self.record(0, outcome);
         outcome == Outcome::Acknowledged
     }
 
@@ -212,8 +218,8 @@
     pub fn change(&self, rest: Duration, random: &mut Rng) {
         let operator = Operator::new(self.control.clone());
         while !self.is_stopped() {
-            let place = self.draw(random);
-            self.send(&operator, place, random);
+            let order_index = self.generate_order(random);
+            self.send(&operator, order_index, random);
             if random.u32(0..5) == 0 {
                 self.repeat(&operator, random);
             }
@@ -223,12 +229,12 @@
 
     /// Draws a new order on top of what is known, and tells its place. Two operators may draw the
     /// same version.
-    fn draw(&self, random: &mut Rng) -> usize {
+    fn generate_order(&self, random: &mut Rng) -> usize {
         let within = random.bool();
         // Drawn and entered in one go: numbers tell orders apart.
-        let mut book = self.book();
-        let (base, place) = book.known.unwrap_or((0, 0));
-        let variant = book.variants[place].next(book.next_number(), within, random);
+        let mut history = self.history();
+        let (base, order_index) = history.known.unwrap_or((0, 0));
+        let variant = history.variants[order_index].next(history.next_number(), within, random);
         let version = base + random.u64(1..4);
         let (verb, body) = if within {
             let changed: Vec<Route> = variant
@@ -240,7 +246,7 @@
         } else {
             (Verb::Replace, replace(version, &variant.routes()))
         };
-        book.enter(
+        history.enter(
             Order { verb, base, body },
             version,
             variant,
@@ -249,15 +255,15 @@
     }
 
     /// Sends an order until it has a clear answer; at times its first answer is lost on the way.
-    fn send(&self, operator: &Operator, place: usize, random: &mut Rng) {
-        let order = self.book().orders[place].order.clone();
+    fn send(&self, operator: &Operator, order_index: usize, random: &mut Rng) {
+        let order = self.history().orders[order_index].order.clone();
         let first = self.first_machine(random);
         if random.u32(0..4) == 0 {
             // One that can't be sent there is sent elsewhere all the same.
             let _ = operator.send_and_leave(&order, first + 1);
         }
         let outcome = operator.send(&order, first, PATIENCE);
-        self.note(place, outcome);
+        self.record(order_index, outcome);
         if outcome != Outcome::Acknowledged {
             self.look(operator, random);
         }
@@ -266,31 +272,31 @@
     /// Repeats an order that was acknowledged, to any machine.
     fn repeat(&self, operator: &Operator, random: &mut Rng) {
         let acknowledged: Vec<usize> = {
-            let book = self.book();
-            let taken = book
+            let history = self.history();
+            let taken = history
                 .orders
                 .iter()
                 .enumerate()
                 .filter(|(_, order)| order.acknowledged.is_some());
-            taken.map(|(place, _)| place).collect()
+            taken.map(|(order_index, _)| order_index).collect()
         };
-        let Some(place) = random.choice(acknowledged.iter().rev().take(REPEATABLE)) else {
+        let Some(order_index) = random.choice(acknowledged.iter().rev().take(REPEATABLE)) else {
             return;
         };
-        let order = self.book().orders[*place].order.clone();
+        let order = self.history().orders[*order_index].order.clone();
         let outcome = operator.send(&order, random.usize(0..self.control.len()), PATIENCE);
-        self.note(*place, outcome);
+        self.record(*order_index, outcome);
     }
 
-    fn note(&self, place: usize, outcome: Outcome) {
+    fn record(&self, order_index: usize, outcome: Outcome) {
         let now = self.clock.now();
-        let mut book = self.book();
-        book.orders[place].outcomes.push(outcome);
-        if outcome == Outcome::Acknowledged && book.orders[place].acknowledged.is_none() {
-            book.orders[place].acknowledged = Some(now);
-            book.acknowledged += 1;
-            let version = book.orders[place].version;
-            book.learn(version, place);
+        let mut history = self.history();
+        history.orders[order_index].outcomes.push(outcome);
+        if outcome == Outcome::Acknowledged && history.orders[order_index].acknowledged.is_none() {
+            history.orders[order_index].acknowledged = Some(now);
+            history.acknowledged += 1;
+            let version = history.orders[order_index].version;
+            history.learn(version, order_index);
         }
     }
 
@@ -300,11 +306,11 @@
         let document = operator.describe(machine, PATIENCE);
         let Some(document) = document else { return };
         if let (Some(version), Some(number)) = (version(&document), order_in(&document)) {
-            let mut book = self.book();
+            let mut history = self.history();
             // Orders are numbered from 1.
-            let place = usize::try_from(number - 1).unwrap_or(usize::MAX);
-            if place < book.orders.len() {
-                book.learn(version, place);
+            let order_index = usize::try_from(number - 1).unwrap_or(usize::MAX);
+            if order_index < history.orders.len() {
+                history.learn(version, order_index);
             }
         }
     }
@@ -315,7 +321,7 @@
         while !self.is_stopped() {
             let machine = random.usize(0..self.control.len());
             if let Some(read) = self.read_at(&operator, machine, machine, Duration::ZERO) {
-                self.book().reads.push(read);
+                self.history().reads.push(read);
             }
             thread::sleep(Duration::from_millis(random.u64(20..200)));
         }
@@ -354,7 +360,7 @@
     }
 }
 
-impl Book {
+impl OrderHistory {
     fn next_number(&self) -> u64 {
         self.orders.len() as u64 + 1
     }
@@ -373,9 +379,9 @@
         self.orders.len() - 1
     }
 
-    fn learn(&mut self, version: u64, place: usize) {
+    fn learn(&mut self, version: u64, order_index: usize) {
         if self.known.is_none_or(|(known, _)| known < version) {
-            self.known = Some((version, place));
+            self.known = Some((version, order_index));
         }
     }
 }
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -21,7 +21,7 @@
     /// The same to a control process, which comes back with an empty disk.
     Wipe(usize, Duration),
     /// SIGSTOP to a process, and SIGCONT so long after.
-    Pause(Target, Duration),
+    ProcessPause(Target, Duration),
     /// SIGKILL to all processes, which are started again so long after; the control process of that
     /// machine with an empty disk.
     KillAll(Option<usize>, Duration),
@@ -65,28 +65,28 @@
 /// Cuts begin so long before the end of a day at the most.
 const CUTS_WITHIN: Duration = Duration::from_millis(4_000);
 /// The longest pause of a process: beyond the silences after which the others do without it.
-const PAUSE_MOST: u64 = 4_500;
+const MAX_PAUSE: u64 = 4_500;
 
 impl Plan {
     /// The day of this seed.
     #[must_use]
-    pub fn draw(seed: u64, length: Duration) -> Plan {
-        let mut draw = Draw {
+    pub fn generate_order(seed: u64, length: Duration) -> Plan {
+        let mut generate_order = Draw {
             rng: Rng::with_seed(seed),
             length,
             wiped: false,
             actions: Vec::new(),
         };
-        draw.planned_moment();
-        draw.servers_troubles();
-        draw.unplanned_moment();
-        draw.cuts();
-        let final_fault = draw.final_fault();
-        draw.actions.sort();
+        generate_order.planned_moment();
+        generate_order.servers_troubles();
+        generate_order.unplanned_moment();
+        generate_order.cuts();
+        let final_fault = generate_order.final_fault();
+        generate_order.actions.sort();
         Plan {
             seed,
             length,
-            actions: draw.actions,
+            actions: generate_order.actions,
             final_fault,
             volatile_disks: seed % 3 != 2,
         }
@@ -132,11 +132,11 @@
         }
         for _ in 0..self.rng.usize(2..=4) {
             let at = begin + self.milliseconds(0, 5_000);
-            let (machine, place) = (self.rng.usize(0..MACHINES), self.rng.usize(0..SERVERS));
+            let (machine, order_index) = (self.rng.usize(0..MACHINES), self.rng.usize(0..SERVERS));
             let action = match self.rng.u32(0..5) {
                 0 | 1 => Action::HangUp(machine),
-                2 | 3 => Action::Drain(place),
-                _ => Action::Deregister(place),
+                2 | 3 => Action::Drain(order_index),
+                _ => Action::Deregister(order_index),
             };
             self.add(at, action);
         }
@@ -147,16 +147,16 @@
     fn servers_troubles(&mut self) {
         for _ in 0..4 {
             let at = self.length.mul_f64(0.6 * self.rng.f64());
-            let (place, seed) = (self.rng.usize(0..SERVERS), self.rng.u64(..));
-            self.add(at, Action::ServerFaults(place, seed));
+            let (order_index, seed) = (self.rng.usize(0..SERVERS), self.rng.u64(..));
+            self.add(at, Action::ServerFaults(order_index, seed));
         }
         for _ in 0..2 {
             let at = self.length.mul_f64(0.3 + 0.15 * self.rng.f64());
-            let place = self.rng.usize(0..SERVERS);
+            let order_index = self.rng.usize(0..SERVERS);
             let leaves = if self.rng.bool() {
-                Action::Drain(place)
+                Action::Drain(order_index)
             } else {
-                Action::Deregister(place)
+                Action::Deregister(order_index)
             };
             self.add(at, leaves);
         }
@@ -167,13 +167,13 @@
         let begin = self.length.mul_f64(0.65 + 0.1 * self.rng.f64());
         for _ in 0..self.rng.usize(2..=3) {
             let at = begin + self.milliseconds(0, 1_500);
-            let action = self.trouble();
+            let action = self.fault();
             self.add(at, action);
         }
     }
 
-    fn trouble(&mut self) -> Action {
-        let (machine, place) = (self.rng.usize(0..MACHINES), self.rng.usize(0..SERVERS));
+    fn fault(&mut self) -> Action {
+        let (machine, order_index) = (self.rng.usize(0..MACHINES), self.rng.usize(0..SERVERS));
         let role = if self.rng.u32(0..3) == 0 {
             Role::Router
         } else {
@@ -182,15 +182,15 @@
         let rest = self.milliseconds(100, 2_000);
         match self.rng.u32(0..12) {
             0..=2 => Action::Kill((role, machine), rest),
-            3..=5 => Action::Pause((role, machine), self.milliseconds(200, PAUSE_MOST)),
+            3..=5 => Action::ProcessPause((role, machine), self.milliseconds(200, MAX_PAUSE)),
             6 | 7 => Action::Restart(machine, rest),
             8 if !self.wiped => {
                 self.wiped = true;
                 Action::Wipe(machine, rest)
             }
-            9 => Action::Crash(place),
+            9 => Action::Crash(order_index),
             10 => Action::KillAll(None, rest),
-            _ => Action::ServerFaults(place, self.rng.u64(..)),
+            _ => Action::ServerFaults(order_index, self.rng.u64(..)),
         }
     }
 
--- a/soak/src/processes.rs
+++ b/soak/src/processes.rs
@@ -1,7 +1,7 @@
 //! The fleet's processes over a day: what is done to them, their restarts, and the record of both.
 
 use crate::bounds::{CONTACT, GRACE, MACHINES};
-use crate::journal::{Clock, Journal, ProcessFault, Trouble, TroubleKind};
+use crate::journal::{Clock, FaultKind, InjectedFault, Journal, ProcessFault};
 use crate::plan::{Action, Target};
 use lichenswitch_emulators::fleet_processes::{FleetError, FleetProcesses, Role};
 use std::collections::BTreeMap;
@@ -100,14 +100,14 @@
                 for target in [(Role::Control, machine), (Role::Router, machine)] {
                     // One that has no handler yet would end of it.
                     if self.runs(target) && !self.is_starting(target) {
-                        self.note(TroubleKind::HungUp, target, Some(self.clock.now()));
+                        self.record(FaultKind::HungUp, target, Some(self.clock.now()));
                         self.fleet.hang_up(target.0, target.1);
                     }
                 }
             }
-            Action::Kill(target, rest) => self.kill(TroubleKind::Killed, target, rest),
+            Action::Kill(target, rest) => self.kill(FaultKind::Killed, target, rest),
             Action::Wipe(machine, rest) => self.wipe(machine, rest)?,
-            Action::Pause(target, time) => self.pause(target, time),
+            Action::ProcessPause(target, time) => self.process_pause(target, time),
             Action::KillAll(wiped, rest) => self.kill_all(wiped, rest)?,
             _ => return Ok(false),
         }
@@ -130,9 +130,9 @@
             .any(|(_, whom, step)| *whom == target && matches!(step, Step::Resume))
     }
 
-    fn note(&mut self, kind: TroubleKind, target: Target, to: Option<Duration>) {
+    fn record(&mut self, kind: FaultKind, target: Target, to: Option<Duration>) {
         let from = self.clock.now();
-        self.journal.troubles.push(Trouble {
+        self.journal.faults.push(InjectedFault {
             kind,
             target,
             from,
@@ -143,12 +143,12 @@
     /// What befell a process is over.
     fn close(&mut self, target: Target) {
         let now = self.clock.now();
-        let open = |trouble: &&mut Trouble| trouble.target == target && trouble.to == Duration::MAX;
+        let open = |fault: &&mut InjectedFault| fault.target == target && fault.to == Duration::MAX;
         self.journal
-            .troubles
+            .faults
             .iter_mut()
             .filter(open)
-            .for_each(|trouble| trouble.to = now);
+            .for_each(|fault| fault.to = now);
     }
 
     fn terminate(&mut self, target: Target, rest: Duration) {
@@ -157,7 +157,7 @@
         if busy || !self.runs(target) {
             return;
         }
-        self.note(TroubleKind::Terminated, target, None);
+        self.record(FaultKind::Terminated, target, None);
         self.ending.insert(
             target,
             Ending {
@@ -168,11 +168,11 @@
         self.fleet.terminate(target.0, target.1);
     }
 
-    fn kill(&mut self, kind: TroubleKind, target: Target, rest: Duration) {
+    fn kill(&mut self, kind: FaultKind, target: Target, rest: Duration) {
         if !self.runs(target) {
             return;
         }
-        self.note(kind, target, None);
+        self.record(kind, target, None);
         self.fleet.kill(target.0, target.1);
         self.ending.remove(&target);
         self.later
@@ -182,7 +182,7 @@
 
     fn wipe(&mut self, machine: usize, rest: Duration) -> Result<(), FleetError> {
         let target = (Role::Control, machine);
-        self.kill(TroubleKind::Wiped, target, rest);
+        self.kill(FaultKind::Wiped, target, rest);
         self.fleet.wipe(target.0, target.1)
     }
 
@@ -190,9 +190,9 @@
         for (role, machine) in targets() {
             let is_wiped = role == Role::Control && Some(machine) == wiped;
             let kind = if is_wiped {
-                TroubleKind::Wiped
+                FaultKind::Wiped
             } else {
-                TroubleKind::Killed
+                FaultKind::Killed
             };
             let spread = SPREAD * u32::try_from(machine).unwrap_or(0);
             self.kill(kind, (role, machine), rest + spread);
@@ -200,11 +200,11 @@
         wiped.map_or(Ok(()), |machine| self.fleet.wipe(Role::Control, machine))
     }
 
-    fn pause(&mut self, target: Target, time: Duration) {
+    fn process_pause(&mut self, target: Target, time: Duration) {
         if !self.runs(target) || self.ending.contains_key(&target) || self.is_paused(target) {
             return;
         }
-        self.note(TroubleKind::Paused, target, None);
+        self.record(FaultKind::Paused, target, None);
         self.fleet.pause(target.0, target.1);
         self.later
             .push((self.clock.now() + time, target, Step::Resume));
@@ -218,7 +218,7 @@
             .retain(|(_, _, step)| !matches!(step, Step::Heal));
         self.fleet.cut(side);
         for machine in side {
-            self.note(TroubleKind::Cut, (Role::Control, *machine), Some(until));
+            self.record(FaultKind::Cut, (Role::Control, *machine), Some(until));
         }
         if let Some(machine) = side.first() {
             self.later
@@ -237,12 +237,12 @@
     /// When a process can't be started.
     pub fn tick(&mut self) -> Result<(), FleetError> {
         let now = self.clock.now();
-        let (due, later) = std::mem::take(&mut self.later)
+        let (due_at, later) = std::mem::take(&mut self.later)
             .into_iter()
             .partition(|(at, ..)| *at <= now);
         self.later = later;
-        let due: Vec<(Duration, Target, Step)> = due;
-        for (_, target, step) in due {
+        let due_at: Vec<(Duration, Target, Step)> = due_at;
+        for (_, target, step) in due_at {
             if matches!(step, Step::Heal) {
                 self.fleet.cut(&[]);
                 continue;
--- a/soak/src/servers.rs
+++ b/soak/src/servers.rs
@@ -23,7 +23,7 @@
 /// A server that says that it leaves waits so long for the acknowledgement, and ends all the same.
 const ACKNOWLEDGEMENT: Duration = Duration::from_secs(3);
 /// Threads of a server that has ended note their ends within this.
-const SETTLE: Duration = Duration::from_millis(200);
+const SETTLE_TIME: Duration = Duration::from_millis(200);
 /// Requests that meet a fault, in one trouble.
 const FAULTS: usize = 6;
 
@@ -54,18 +54,19 @@
             leaving,
             past: Arc::default(),
         };
-        for place in 0..SERVERS {
-            let server = servers.one(place)?;
+        for order_index in 0..SERVERS {
+            let server = servers.one(order_index)?;
             servers.running.push(server);
         }
         Ok(servers)
     }
 
-    fn one(&mut self, place: usize) -> std::io::Result<Running> {
+    fn one(&mut self, order_index: usize) -> std::io::Result<Running> {
         self.number += 1;
-        let service = SERVICES[usize::from(place >= FIRST)];
-        let name = format!("i-{place}-{}", self.number);
-        let mut description = Description::new(&name, service, &format!("zone-{}", 1 + place % 4));
+        let service = SERVICES[usize::from(order_index >= FIRST)];
+        let name = format!("i-{order_index}-{}", self.number);
+        let mut description =
+            Description::new(&name, service, &format!("zone-{}", 1 + order_index % 4));
         description.between_events = BETWEEN_EVENTS;
         let server = ModelServer::start(description, SocketAddr::from(([127, 0, 0, 1], 0)))?;
         let registration = server.register(self.control.clone(), HEARTBEAT);
@@ -79,21 +80,25 @@
     pub fn act(&mut self, action: Action, random: &mut Rng) -> std::io::Result<()> {
         let on = DRAIN_TIMEOUT + Duration::from_millis(random.u64(50..2_500));
         match action {
-            Action::Drain(place) => self.replace(place, move |(server, registration)| {
-                registration.drain(ACKNOWLEDGEMENT);
-                thread::sleep(on);
-                registration.deregister(ACKNOWLEDGEMENT);
-                server
-            }),
-            Action::Deregister(place) => self.replace(place, move |(server, registration)| {
-                registration.deregister(ACKNOWLEDGEMENT);
-                thread::sleep(on);
-                server
-            }),
-            Action::Crash(place) => self.replace(place, |(server, _)| server),
-            Action::ServerFaults(place, seed) => {
+            Action::Drain(order_index) => {
+                self.replace(order_index, move |(server, registration)| {
+                    registration.drain(ACKNOWLEDGEMENT);
+                    thread::sleep(on);
+                    registration.deregister(ACKNOWLEDGEMENT);
+                    server
+                })
+            }
+            Action::Deregister(order_index) => {
+                self.replace(order_index, move |(server, registration)| {
+                    registration.deregister(ACKNOWLEDGEMENT);
+                    thread::sleep(on);
+                    server
+                })
+            }
+            Action::Crash(order_index) => self.replace(order_index, |(server, _)| server),
+            Action::ServerFaults(order_index, seed) => {
                 let mut random = Rng::with_seed(seed);
-                let server = &self.running[place].0;
+                let server = &self.running[order_index].0;
                 server.next_faults((0..FAULTS).map(|_| fault(&mut random)));
                 Ok(())
             }
@@ -104,17 +109,17 @@
     /// Starts a successor; the server ends once `leave` is through.
     fn replace(
         &mut self,
-        place: usize,
+        order_index: usize,
         leave: impl FnOnce(Running) -> ModelServer + Send + 'static,
     ) -> std::io::Result<()> {
-        let successor = self.one(place)?;
-        let leaver = std::mem::replace(&mut self.running[place], successor);
+        let successor = self.one(order_index)?;
+        let leaver = std::mem::replace(&mut self.running[order_index], successor);
         let (clock, past) = (self.clock, self.past.clone());
         self.leaving.push(thread::spawn(move || {
             let server = leave(leaver);
             let stopped = Some(clock.now());
             server.crash();
-            thread::sleep(SETTLE);
+            thread::sleep(SETTLE_TIME);
             past.lock()
                 .unwrap_or_else(|e| e.into_inner())
                 .push(record(&server, clock, stopped));
--- a/soak/src/violation.rs
+++ b/soak/src/violation.rs
@@ -74,7 +74,7 @@
     RefusedInForce(u64),
     /// A configuration that was read is older than one that had long been acknowledged.
     #[error(
-        "CONFIG: version {told} was read at machine {machine} at {sent:.3?}; {known} had been acknowledged"
+        "CONFIG: version {reported} was read at machine {machine} at {sent:.3?}; {known} had been acknowledged"
     )]
     ReadOld {
         /// Who answered.
@@ -82,19 +82,19 @@
         /// When it was asked.
         sent: Duration,
         /// What it told.
-        told: u64,
+        reported: u64,
         /// What had been acknowledged.
         known: u64,
     },
     /// What was acknowledged is gone at the end of the day.
     #[error(
-        "LOST: version {known} (order {order}) was acknowledged, and machine {machine} has {told} at the end"
+        "LOST: version {known} (order {order}) was acknowledged, and machine {machine} has {reported} at the end"
     )]
     ConfigurationLost {
         /// Who answered.
         machine: usize,
         /// What it told.
-        told: u64,
+        reported: u64,
         /// What had been acknowledged.
         known: u64,
         /// By this order.
--- a/soak/tests/judge.rs
+++ b/soak/tests/judge.rs
@@ -9,7 +9,8 @@
 use lichenswitch_emulators::stream_client::StreamFault;
 use lichenswitch_soak::bounds::{CONFIG_APPLY, DRAIN_TIMEOUT, GRACE};
 use lichenswitch_soak::journal::{
-    Journal, OrderRecord, ProcessFault, ReadRecord, ServerRecord, Trouble, TroubleKind, Try, TryEnd,
+    ClientRequest, FaultKind, InjectedFault, Journal, OrderRecord, ProcessFault, ReadRecord,
+    RequestEnd, ServerRecord,
 };
 use lichenswitch_soak::judge::judge;
 use lichenswitch_soak::violation::{Beside, Violation};
@@ -20,8 +21,8 @@
 }
 
 /// A request of router 1 that its client saw end so.
-fn request(sent: u64, ended: u64, end: TryEnd) -> Try {
-    Try {
+fn request(sent: u64, ended: u64, end: RequestEnd) -> ClientRequest {
+    ClientRequest {
         attempt: "a1".into(),
         machine: 1,
         idempotent: false,
@@ -34,8 +35,8 @@
     }
 }
 
-fn trouble(kind: TroubleKind, role: Role, machine: usize, from: u64, to: u64) -> Trouble {
-    Trouble {
+fn fault(kind: FaultKind, role: Role, machine: usize, from: u64, to: u64) -> InjectedFault {
+    InjectedFault {
         kind,
         target: (role, machine),
         from: ms(from),
@@ -107,10 +108,10 @@
 #[test]
 fn a_request_cut_early_in_the_grace_is_lost() {
     let journal = Journal {
-        tries: vec![request(10_000, 12_000, TryEnd::Cut)],
+        client_requests: vec![request(10_000, 12_000, RequestEnd::Cut)],
         servers: vec![worked(10_010, 12_000)],
-        troubles: vec![trouble(
-            TroubleKind::Terminated,
+        faults: vec![fault(
+            FaultKind::Terminated,
             Role::Router,
             1,
             11_000,
@@ -124,11 +125,11 @@
 #[test]
 fn work_in_the_last_sixth_of_the_grace_excuses_what_was_sent_early() {
     let late = 11_000 + GRACE.as_millis() as u64 * 9 / 10;
-    let terminated = trouble(TroubleKind::Terminated, Role::Router, 1, 11_000, 20_000);
+    let terminated = fault(FaultKind::Terminated, Role::Router, 1, 11_000, 20_000);
     let mut journal = Journal {
-        tries: vec![request(11_500, late, TryEnd::Cut)],
+        client_requests: vec![request(11_500, late, RequestEnd::Cut)],
         servers: vec![worked(11_510, late)],
-        troubles: vec![terminated],
+        faults: vec![terminated],
         ..Journal::default()
     };
     assert_eq!(beside(&journal), []);
@@ -136,46 +137,46 @@
     // SIGTERM.
     journal.orders = vec![order(1, 0, 1, 12_000, &[Outcome::Acknowledged])];
     assert_eq!(beside(&journal), [Beside::Configuration]);
-    journal.tries[0].sent = ms(11_030);
+    journal.client_requests[0].sent = ms(11_030);
     assert_eq!(beside(&journal), [Beside::Configuration]);
-    journal.tries[0].sent = ms(11_010);
+    journal.client_requests[0].sent = ms(11_010);
     assert_eq!(beside(&journal), []);
     // Sent later than in the first three seconds: no excuse.
-    journal.tries[0].sent = ms(14_100);
+    journal.client_requests[0].sent = ms(14_100);
     assert_matches!(beside(&journal)[..], [Beside::Termination(_)]);
 }
 
 #[test]
 fn an_unplanned_trouble_from_contact_before_the_request_excuses_a_loss() {
     let mut journal = Journal {
-        tries: vec![request(10_000, 11_000, TryEnd::NoAnswer)],
+        client_requests: vec![request(10_000, 11_000, RequestEnd::NoAnswer)],
         ..Journal::default()
     };
     assert_eq!(beside(&journal), [Beside::Nothing]);
-    journal.troubles = vec![trouble(TroubleKind::Killed, Role::Control, 3, 6_000, 7_100)];
+    journal.faults = vec![fault(FaultKind::Killed, Role::Control, 3, 6_000, 7_100)];
     assert_eq!(beside(&journal), []);
-    journal.troubles = vec![trouble(TroubleKind::Killed, Role::Control, 3, 6_000, 6_900)];
+    journal.faults = vec![fault(FaultKind::Killed, Role::Control, 3, 6_000, 6_900)];
     assert_eq!(beside(&journal), [Beside::Nothing]);
 }
 
 #[test]
 fn a_request_that_crosses_the_end_of_its_connection_is_not_lost() {
     let mut journal = Journal {
-        tries: vec![request(10_000, 10_100, TryEnd::NoAnswer)],
+        client_requests: vec![request(10_000, 10_100, RequestEnd::NoAnswer)],
         ..Journal::default()
     };
     assert_eq!(beside(&journal), []);
     journal.servers = vec![worked(10_010, 10_100)];
     assert_eq!(beside(&journal), [Beside::Nothing]);
     journal.servers.clear();
-    journal.tries[0].ended = ms(10_300);
+    journal.client_requests[0].ended = ms(10_300);
     assert_eq!(beside(&journal), [Beside::Nothing]);
 }
 
 #[test]
 fn what_the_server_broke_off_or_the_time_ended_is_not_lost() {
     let mut journal = Journal {
-        tries: vec![request(10_000, 12_000, TryEnd::Cut)],
+        client_requests: vec![request(10_000, 12_000, RequestEnd::Cut)],
         servers: vec![server(&[
             (10_010, Event::Arrived(Head::default())),
             (10_010, Event::Befallen(Fault::CutAfter(2))),
@@ -190,19 +191,19 @@
     journal.servers[0].stopped = Some(ms(11_990));
     assert_eq!(beside(&journal), []);
     journal.servers = vec![worked(10_010, 12_000)];
-    journal.tries[0].time_left = ms(2_100);
+    journal.client_requests[0].time_left = ms(2_100);
     assert_eq!(beside(&journal), []);
 }
 
 #[test]
 fn a_loss_beside_a_configuration_counts_up_to_seven_tenths_of_its_time() {
     let mut journal = Journal {
-        tries: vec![request(10_000, 16_000, TryEnd::Silent)],
+        client_requests: vec![request(10_000, 16_000, RequestEnd::Silent)],
         orders: vec![order(1, 0, 1, 11_000, &[Outcome::Unclear])],
         ..Journal::default()
     };
     assert_eq!(beside(&journal), [Beside::Configuration]);
-    journal.tries[0].ended = ms(16_400);
+    journal.client_requests[0].ended = ms(16_400);
     assert_eq!(beside(&journal), []);
     // An order that was refused is beside nothing.
     journal.orders = vec![order(1, 0, 1, 11_000, &[Outcome::OtherVersion])];
@@ -212,14 +213,8 @@
 #[test]
 fn a_loss_after_a_hang_up_counts() {
     let journal = Journal {
-        tries: vec![request(12_900, 14_000, TryEnd::Cut)],
-        troubles: vec![trouble(
-            TroubleKind::HungUp,
-            Role::Router,
-            1,
-            11_000,
-            11_000,
-        )],
+        client_requests: vec![request(12_900, 14_000, RequestEnd::Cut)],
+        faults: vec![fault(FaultKind::HungUp, Role::Router, 1, 11_000, 11_000)],
         ..Journal::default()
     };
     assert_eq!(beside(&journal), [Beside::HangUp]);
@@ -228,7 +223,7 @@
 #[test]
 fn runs_and_answers_that_break_promises_are_found() {
     let mut journal = Journal {
-        tries: vec![request(10_000, 10_100, TryEnd::Answered(503))],
+        client_requests: vec![request(10_000, 10_100, RequestEnd::Answered(503))],
         servers: vec![worked(10_010, 10_050)],
         ..Journal::default()
     };
@@ -238,14 +233,14 @@
     );
     journal.servers.push(worked(10_060, 10_090));
     assert_eq!(judge(&journal), [Violation::RanTwice("a1".into(), 2)]);
-    journal.tries[0].idempotent = true;
+    journal.client_requests[0].idempotent = true;
     assert_eq!(judge(&journal), []);
-    journal.tries[0].faults = vec![StreamFault::EndsEarly];
+    journal.client_requests[0].faults = vec![StreamFault::EndsEarly];
     assert_eq!(
         judge(&journal),
         [Violation::WrongAnswer("a1".into(), StreamFault::EndsEarly)]
     );
-    journal.tries.clear();
+    journal.client_requests.clear();
     assert_matches!(
         judge(&journal)[..],
         [Violation::Unasked(_), Violation::Unasked(_)]
@@ -262,15 +257,15 @@
         (late, Event::Ran),
     ];
     let mut journal = Journal {
-        tries: vec![request(late - 10, late + 100, TryEnd::Answered(200))],
+        client_requests: vec![request(late - 10, late + 100, RequestEnd::Answered(200))],
         servers: vec![server(&entries)],
         ..Journal::default()
     };
     assert_matches!(&judge(&journal)[..], [Violation::SentToLeaver { late, .. }] if *late == DRAIN_TIMEOUT + ms(100));
     // Its machine was not in touch; another machine's router does not matter.
-    journal.troubles = vec![trouble(TroubleKind::Paused, Role::Router, 1, 500, 900)];
+    journal.faults = vec![fault(FaultKind::Paused, Role::Router, 1, 500, 900)];
     assert_eq!(judge(&journal), []);
-    journal.troubles = vec![trouble(TroubleKind::Paused, Role::Router, 2, 500, 900)];
+    journal.faults = vec![fault(FaultKind::Paused, Role::Router, 2, 500, 900)];
     assert_matches!(judge(&journal)[..], [Violation::SentToLeaver { .. }]);
     journal.servers[0].entries[1].at = ms(2_900);
     assert_eq!(judge(&journal), []);
@@ -348,7 +343,7 @@
     assert_matches!(
         judge(&during(read(late, 1, 1)))[..],
         [Violation::ReadOld {
-            told: 1,
+            reported: 1,
             known: 3,
             ..
         }]
@@ -362,7 +357,7 @@
     assert_matches!(
         judge(&at_end(read(1_500, 1, 1)))[..],
         [Violation::ConfigurationLost {
-            told: 1,
+            reported: 1,
             known: 3,
             ..
         }]
--- a/soak/tests/plan.rs
+++ b/soak/tests/plan.rs
@@ -15,15 +15,21 @@
 #[test]
 fn a_seed_draws_the_same_day_again() {
     for seed in 0..50 {
-        assert_eq!(Plan::draw(seed, LENGTH), Plan::draw(seed, LENGTH));
+        assert_eq!(
+            Plan::generate_order(seed, LENGTH),
+            Plan::generate_order(seed, LENGTH)
+        );
     }
-    assert_ne!(Plan::draw(1, LENGTH).actions, Plan::draw(2, LENGTH).actions);
+    assert_ne!(
+        Plan::generate_order(1, LENGTH).actions,
+        Plan::generate_order(2, LENGTH).actions
+    );
 }
 
 #[test]
 fn one_disk_is_lost_on_a_day_at_the_most() {
     for seed in 0..500 {
-        let plan = Plan::draw(seed, LENGTH);
+        let plan = Plan::generate_order(seed, LENGTH);
         let lost = plan
             .actions
             .iter()
@@ -36,17 +42,17 @@
 
 #[test]
 fn all_that_can_befall_a_fleet_is_drawn_by_some_seed() {
-    let mut drawn = Vec::new();
+    let mut generated = Vec::new();
     for seed in 0..100 {
-        let plan = Plan::draw(seed, LENGTH);
+        let plan = Plan::generate_order(seed, LENGTH);
         assert!(
             plan.actions.iter().all(|(at, _)| *at <= LENGTH),
             "seed {seed}"
         );
         assert!(plan.actions.is_sorted(), "seed {seed}");
-        drawn.extend(plan.actions.iter().map(|(_, action)| *action));
+        generated.extend(plan.actions.iter().map(|(_, action)| *action));
     }
-    let kinds: BTreeSet<String> = drawn
+    let kinds: BTreeSet<String> = generated
         .iter()
         .map(|action| format!("{:?}", discriminant(action)))
         .collect();
@@ -56,7 +62,7 @@
 #[test]
 fn two_troubles_or_three_fall_into_one_moment() {
     for seed in 0..100 {
-        let plan = Plan::draw(seed, LENGTH);
+        let plan = Plan::generate_order(seed, LENGTH);
         let moment = LENGTH.mul_f64(0.65)..LENGTH.mul_f64(0.95);
         let is_cut =
             |action: &Action| matches!(action, Action::CutPrimary(_) | Action::CutHalves(..));
--- a/soak/tests/processor_quota.rs
+++ b/soak/tests/processor_quota.rs
@@ -14,7 +14,7 @@
 const MACHINES: usize = 4;
 /// Of each tenth of a second a process runs so long, and stands still for the rest.
 const RUNS: Duration = Duration::from_millis(15);
-const STANDS_STILL: Duration = Duration::from_millis(85);
+const PAUSE_DURATION: Duration = Duration::from_millis(85);
 const PATIENCE: Duration = Duration::from_secs(15);
 
 fn order(version: u64) -> Order {
@@ -31,7 +31,7 @@
 fn group(address: SocketAddr) -> (String, String) {
     let began = Instant::now();
     loop {
-        if let Some(group) = group_told(address) {
+        if let Some(group) = group_reported(address) {
             return group;
         }
         assert!(began.elapsed() < PATIENCE, "no primary is known");
@@ -39,7 +39,7 @@
     }
 }
 
-fn group_told(address: SocketAddr) -> Option<(String, String)> {
+fn group_reported(address: SocketAddr) -> Option<(String, String)> {
     let status = Call::get("/status").send(address, PATIENCE).ok()?;
     let status: serde_json::Value = serde_json::from_slice(&status.body).ok()?;
     let text = |field: &str| Some(status["group"][field].as_str()?.to_owned());
@@ -63,9 +63,9 @@
             let mut version = 1;
             while began.elapsed() < Duration::from_secs(4) {
                 version += 1;
-                let place = version as usize % MACHINES;
+                let order_index = version as usize % MACHINES;
                 assert_eq!(
-                    operator.send(&order(version), place, PATIENCE),
+                    operator.send(&order(version), order_index, PATIENCE),
                     Outcome::Acknowledged
                 );
             }
@@ -74,7 +74,7 @@
         });
         while !over.load(Ordering::SeqCst) && !sent.is_finished() {
             (0..MACHINES).for_each(|machine| fleet.pause(Role::Control, machine));
-            thread::sleep(STANDS_STILL);
+            thread::sleep(PAUSE_DURATION);
             (0..MACHINES).for_each(|machine| fleet.resume(Role::Control, machine));
             thread::sleep(RUNS);
         }
--- a/soak/tests/stalled_disk.rs
+++ b/soak/tests/stalled_disk.rs
@@ -16,7 +16,7 @@
 /// When it ends at the latest, and a heartbeat's interval later.
 const CLOSED_WITHIN: Duration = Duration::from_millis(2_500 + 400);
 /// Of the processes and this test on a busy machine.
-const SLACK: Duration = Duration::from_millis(500);
+const MARGIN: Duration = Duration::from_millis(500);
 const PATIENCE: Duration = Duration::from_secs(15);
 
 /// An order for this version, on top of the one before it.
@@ -74,14 +74,14 @@
     let caller = TcpStream::connect(control[stalled]).unwrap();
     let internal = SocketAddr::new(control[stalled].ip(), 7_300);
     let peer = TcpStream::connect(internal).unwrap();
-    let told = Instant::now();
+    let reported = Instant::now();
     fleet.terminate(Role::Control, stalled);
-    let (caller, peer) = (open_for(caller, told), open_for(peer, told));
+    let (caller, peer) = (open_for(caller, reported), open_for(peer, reported));
     assert!(
-        caller < CLOSED_WITHIN + SLACK,
+        caller < CLOSED_WITHIN + MARGIN,
         "a caller waited for {caller:?}"
     );
-    assert!(peer < CLOSED_WITHIN + SLACK, "a peer waited for {peer:?}");
+    assert!(peer < CLOSED_WITHIN + MARGIN, "a peer waited for {peer:?}");
     assert!(
         TcpStream::connect(internal).is_err(),
         "nobody connects any more"
--- a/soak/tests/volatile_disk.rs
+++ b/soak/tests/volatile_disk.rs
@@ -98,17 +98,21 @@
         ..StorageSettings::new("test")
     };
     let mut acknowledged: Vec<Vec<u8>> = Vec::new();
-    for life in 0..60_u64 {
-        let disk = Box::new(VolatileDisk::new(&folder.0, life));
+    for incarnation in 0..60_u64 {
+        let disk = Box::new(VolatileDisk::new(&folder.0, incarnation));
         let (mut storage, found) =
             Storage::open_with(disk, &folder.0.join("ring"), &settings).unwrap();
-        assert!(!found.loses_state(), "life {life}: {:?}", found.findings);
+        assert!(
+            !found.loses_state(),
+            "life {incarnation}: {:?}",
+            found.findings
+        );
         let snapshot = found.snapshot.clone().into_iter();
         let held: Vec<Vec<u8>> = snapshot.chain(found.records).collect();
-        assert!(held.ends_with(&acknowledged), "life {life}");
+        assert!(held.ends_with(&acknowledged), "life {incarnation}");
         // A snapshot stands for all before it.
         for step in 0..8 {
-            let record = vec![life as u8, step];
+            let record = vec![incarnation as u8, step];
             if storage.wants_snapshot() || step == 5 {
                 storage.replace_snapshot(&record).unwrap();
                 acknowledged = vec![record];
