--- a/decide/registry/src/table.rs
+++ b/decide/registry/src/table.rs
@@ -10,7 +10,7 @@
 use crate::heartbeat::Heartbeat;
 use crate::merge::{merge_record, normalized, tombstone};
 use crate::timing::{SNAPSHOT_TOMBSTONE_MAX_AGE_US, TICKS_PER_INTERVAL};
-use lichenswitch_messages::{ServerRecord, ServerState};
+use lichenswitch_messages::{HeartbeatAge, ServerRecord, ServerState};
 use std::collections::{BTreeSet, HashMap};
 
 /// A server, with when its last heartbeat came.
@@ -77,7 +77,7 @@
         };
         let mut changes = self.apply(now, &update);
         if is_current {
-            changes.append(self.note_heartbeat(now, instance));
+            changes.append(self.record_heartbeat(now, instance));
         }
         for other in superseded {
             changes.append(self.apply(now, &tombstone(&other)));
@@ -123,13 +123,12 @@
         changes
     }
 
-    /// Another control machine has reported from which servers heartbeats came, and how many
-    /// milliseconds ago.
-    pub fn merge_heartbeat_digest(&mut self, now: u64, digest: &[(String, u32)]) -> Changes {
+    /// Another control machine has reported from which servers heartbeats came.
+    pub fn merge_heartbeat_digest(&mut self, now: u64, digest: &[HeartbeatAge]) -> Changes {
         let mut changes = Changes::default();
-        for (instance, ago_ms) in digest {
-            let at = now.saturating_sub(u64::from(*ago_ms) * 1_000);
-            changes.append(self.note_heartbeat_at(now, at, instance));
+        for heartbeat in digest {
+            let at = now.saturating_sub(u64::from(heartbeat.age_ms) * 1_000);
+            changes.append(self.record_heartbeat_at(now, at, &heartbeat.instance));
         }
         changes
     }
@@ -184,8 +183,9 @@
         records
     }
 
-    /// Servers whose heartbeats came here since the last digest, with how many milliseconds ago.
-    pub fn take_heartbeat_digest(&mut self, now: u64) -> Vec<(String, u32)> {
+    /// The last heartbeats of the servers whose heartbeats came here since the last digest, by
+    /// instance.
+    pub fn take_heartbeat_digest(&mut self, now: u64) -> Vec<HeartbeatAge> {
         let mut digest = Vec::new();
         for (instance, entry) in self
             .entries
@@ -193,8 +193,11 @@
             .filter(|(_, entry)| entry.is_due_in_digest && entry.is_live())
         {
             entry.is_due_in_digest = false;
-            let ago_ms = now.saturating_sub(entry.last_seen_us) / 1_000;
-            digest.push((instance.clone(), u32::try_from(ago_ms).unwrap_or(u32::MAX)));
+            let age_ms = now.saturating_sub(entry.last_seen_us) / 1_000;
+            digest.push(HeartbeatAge {
+                instance: instance.clone(),
+                age_ms: u32::try_from(age_ms).unwrap_or(u32::MAX),
+            });
         }
         digest.sort();
         digest
@@ -305,7 +308,7 @@
     }
 
     /// A heartbeat came here.
-    fn note_heartbeat(&mut self, now: u64, instance: &str) -> Changes {
+    fn record_heartbeat(&mut self, now: u64, instance: &str) -> Changes {
         match self
             .entries
             .get_mut(instance)
@@ -314,11 +317,11 @@
             Some(entry) => entry.is_due_in_digest = true,
             None => return Changes::default(),
         }
-        self.note_heartbeat_at(now, now, instance)
+        self.record_heartbeat_at(now, now, instance)
     }
 
     /// A heartbeat came at some time, here or elsewhere.
-    fn note_heartbeat_at(&mut self, now: u64, at: u64, instance: &str) -> Changes {
+    fn record_heartbeat_at(&mut self, now: u64, at: u64, instance: &str) -> Changes {
         let mut changes = Changes::default();
         let suspect_after_us = self.suspect_after_us();
         let Some(entry) = self
--- a/decide/replication/tests/current.rs
+++ b/decide/replication/tests/current.rs
@@ -8,7 +8,7 @@
 };
 
 mod scenario;
-use scenario::{four, others, serving, SECOND};
+use scenario::{group_of_four, other_voters, serving_node, SECOND};
 
 const MS: u64 = 1_000;
 const EPOCH: Epoch = Epoch {
@@ -147,13 +147,13 @@
     );
 
     // From now on more is committed than comes here.
-    for beat in 1..=9 {
-        let now = at(100 * beat);
-        follower.receive_heartbeat(now, 2 + beat, 5 + beat, Vec::new());
+    for number in 1..=9 {
+        let now = at(100 * number);
+        follower.receive_heartbeat(now, 2 + number, 5 + number, Vec::new());
         assert!(follower.voter.in_contact(now), "{now:?}");
         assert_eq!(
             follower.voter.is_current(now),
-            beat < 4,
+            number < 4,
             "behind since {:?}, now {now:?}",
             at(100)
         );
@@ -218,9 +218,9 @@
 
 #[test]
 fn primary_is_current_while_in_contact() {
-    let mut timed = four(4);
+    let mut timed = group_of_four(4);
     timed.commit_within(SECOND).expect("a change is committed");
-    let (primary, voters) = (serving(&timed), others(&timed));
+    let (primary, voters) = (serving_node(&timed), other_voters(&timed));
     let is_current = |timed: &lichenswitch_replication::model::timed::TimedWorld, index: usize| {
         let replica = timed.world.nodes[index].replica.as_ref().unwrap();
         (replica.in_contact(timed.now), replica.is_current(timed.now))
@@ -233,7 +233,7 @@
     timed.run_for(650 * MS);
     assert_eq!(is_current(&timed, primary), (false, false));
     timed.commit_within(3 * SECOND).expect("the others go on");
-    let next = serving(&timed);
+    let next = serving_node(&timed);
     assert!(next != primary && voters.contains(&next));
     assert_eq!(is_current(&timed, next), (true, true));
     assert_eq!(is_current(&timed, primary), (false, false));
@@ -446,7 +446,7 @@
         assert!(replica.durable_snapshot().is_none() && replica.committed().is_none());
         assert!(!replica.in_contact(now) && !replica.is_current(now));
     }
-    // Nor is it kept from knocking, where the primary is.
+    // Nor does that keep it from asking the primary to join.
     let requested = join_requests(&mut replica, at(800), at(1_600));
     assert!(
         requested.len() >= 4 && requested.iter().all(|to| *to == member(1).address),
@@ -456,7 +456,7 @@
     replica.on_message(at(1_700), demanding(9, EPOCH));
     assert_eq!(replica.primary(), Some(&member(1)));
     let outputs = replica.take_outputs();
-    let asks = |output: &Output| {
+    let is_snapshot_request = |output: &Output| {
         matches!(
             output,
             Output::Send {
@@ -468,5 +468,5 @@
             }
         )
     };
-    assert!(outputs.iter().any(asks), "{outputs:?}");
+    assert!(outputs.iter().any(is_snapshot_request), "{outputs:?}");
 }
--- a/decide/replication/tests/exhaustive.rs
+++ b/decide/replication/tests/exhaustive.rs
@@ -10,6 +10,9 @@
 use lichenswitch_replication::{Fault, Faults, Settings};
 use stateright::{Checker, Model, Property};
 
+mod environment;
+use environment::number;
+
 /// What may still happen beside deliveries and syncs.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Budget {
@@ -23,26 +26,26 @@
 
 /// A world, and what may still happen in it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Point {
+struct SearchState {
     world: World,
     budget: Budget,
 }
 
 /// The search from one beginning.
 struct Search {
-    beginning: Point,
+    initial: SearchState,
 }
 
 impl Model for Search {
-    type State = Point;
+    type State = SearchState;
     type Action = Action;
 
-    fn init_states(&self) -> Vec<Point> {
-        vec![self.beginning.clone()]
+    fn init_states(&self) -> Vec<SearchState> {
+        vec![self.initial.clone()]
     }
 
-    fn actions(&self, point: &Point, actions: &mut Vec<Action>) {
-        let (world, budget) = (&point.world, &point.budget);
+    fn actions(&self, state: &SearchState, actions: &mut Vec<Action>) {
+        let (world, budget) = (&state.world, &state.budget);
         actions.extend((0..world.network.len()).map(Action::Deliver));
         if budget.repeats > 0 {
             actions.extend((0..world.network.len()).map(Action::Repeat));
@@ -76,8 +79,8 @@
         }
     }
 
-    fn next_state(&self, point: &Point, action: Action) -> Option<Point> {
-        let mut next = point.clone();
+    fn next_state(&self, state: &SearchState, action: Action) -> Option<SearchState> {
+        let mut next = state.clone();
         let budget = &mut next.budget;
         match &action {
             Action::Tick(_) => budget.ticks -= 1,
@@ -89,13 +92,13 @@
             _ => {}
         }
         next.world.act(&action);
-        (next != *point).then_some(next)
+        (next != *state).then_some(next)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![Property::always(
             "promises to clients hold",
-            |_, point: &Point| point.world.oracle.violation.is_none(),
+            |_, state: &SearchState| state.world.oracle.violation.is_none(),
         )]
     }
 }
@@ -110,18 +113,15 @@
 };
 
 /// What a search came to.
-struct Found {
+struct SearchResult {
     states: usize,
     violation: Option<String>,
 }
 
-fn search(name: &str, world: World, budget: Budget, depth: usize) -> Found {
-    let depth = std::env::var("REPLICATION_DEPTH")
-        .ok()
-        .and_then(|text| text.parse().ok())
-        .unwrap_or(depth);
+fn search(name: &str, world: World, budget: Budget, depth: usize) -> SearchResult {
+    let depth = number("REPLICATION_DEPTH", depth);
     let model = Search {
-        beginning: Point { world, budget },
+        initial: SearchState { world, budget },
     };
     let checker = model
         .checker()
@@ -133,7 +133,7 @@
     let violation = path.and_then(|path| path.last_state().world.oracle.violation.clone());
     let states = checker.unique_state_count();
     println!("{name}: {states} states to depth {depth}, {violation:?}");
-    Found { states, violation }
+    SearchResult { states, violation }
 }
 
 fn group(voters: usize, nodes: usize, faults: Faults) -> World {
@@ -153,7 +153,7 @@
 }
 
 /// The others no longer hear the primary; a change is on its way from it.
-fn change_under_way(voters: usize, faults: Faults) -> World {
+fn change_in_progress(voters: usize, faults: Faults) -> World {
     let mut world = group(voters, voters, faults);
     world.act(&Action::Propose(0));
     (1..voters).for_each(|index| world.act(&Action::Elapse(index, 900_000)));
@@ -162,8 +162,8 @@
 
 /// The others no longer hear the primary, and one of them has just drawn an epoch; a change is on
 /// its way from the old one.
-fn election_under_way(voters: usize, faults: Faults) -> World {
-    let mut world = change_under_way(voters, faults);
+fn election_in_progress(voters: usize, faults: Faults) -> World {
+    let mut world = change_in_progress(voters, faults);
     let held_back = std::mem::take(&mut world.network);
     (1..voters).for_each(|index| world.act(&Action::Elapse(index, 200_000)));
     world.act(&Action::Tick(1));
@@ -183,7 +183,7 @@
 }
 
 /// A learner has its snapshot, and the joint record that names it is on its way.
-fn replacement_under_way(faults: Faults) -> World {
+fn replacement_in_progress(faults: Faults) -> World {
     let mut world = group(3, 4, faults);
     world.act(&Action::Wipe(2));
     for _ in 0..120 {
@@ -212,20 +212,20 @@
 /// The first node still says that it is primary, and answers to its last round are on their way to
 /// it; the two others have gone on, and a change of theirs is acknowledged.
 fn two_primaries(faults: Faults) -> World {
-    let mut world = change_under_way(3, faults);
+    let mut world = change_in_progress(3, faults);
     while let Some(at) = world.network.iter().position(|envelope| envelope.from == 0) {
         world.act(&Action::Deliver(at));
     }
     let held_back = std::mem::take(&mut world.network);
     (1..3).for_each(|index| world.sync(index));
-    go_on(&mut world, 1, 2);
+    elect_and_commit(&mut world, 1, 2);
     world.network = held_back;
     world
 }
 
 /// One node becomes primary by the grant of another, and a change of theirs is acknowledged; the
 /// third receives nothing of it.
-fn go_on(world: &mut World, primary: usize, other: usize) {
+fn elect_and_commit(world: &mut World, primary: usize, other: usize) {
     let acknowledged = world.oracle.acknowledged.len();
     world.network.clear();
     world.act(&Action::Elapse(other, 2_000_000));
@@ -267,30 +267,30 @@
         world.act(&Action::Deliver(at));
     }
     let held_back = std::mem::take(&mut world.network);
-    go_on(&mut world, 1, 2);
+    elect_and_commit(&mut world, 1, 2);
     deliver_everything(&mut world);
-    go_on(&mut world, 0, 2);
+    elect_and_commit(&mut world, 0, 2);
     deliver_everything(&mut world);
-    go_on(&mut world, 1, 2);
+    elect_and_commit(&mut world, 1, 2);
     world.network = held_back;
     world
 }
 
-fn sound(name: &str, world: World, budget: Budget, depth: usize, least: usize) {
-    let found = search(name, world, budget, depth);
-    assert_eq!(found.violation, None, "{name}");
+fn assert_no_violation(name: &str, world: World, budget: Budget, depth: usize, min_states: usize) {
+    let result = search(name, world, budget, depth);
+    assert_eq!(result.violation, None, "{name}");
     assert!(
-        found.states >= least,
+        result.states >= min_states,
         "{name}: only {} states",
-        found.states
+        result.states
     );
 }
 
 #[test]
 fn change_in_a_group_of_three() {
-    sound(
+    assert_no_violation(
         "a change among three",
-        change_under_way(3, Faults::default()),
+        change_in_progress(3, Faults::default()),
         BUDGET,
         6,
         10_000,
@@ -299,9 +299,9 @@
 
 #[test]
 fn election_in_a_group_of_three() {
-    sound(
+    assert_no_violation(
         "an election among three",
-        election_under_way(3, Faults::default()),
+        election_in_progress(3, Faults::default()),
         BUDGET,
         5,
         10_000,
@@ -310,9 +310,9 @@
 
 #[test]
 fn election_in_a_group_of_four() {
-    sound(
+    assert_no_violation(
         "an election among four",
-        election_under_way(4, Faults::default()),
+        election_in_progress(4, Faults::default()),
         BUDGET,
         5,
         10_000,
@@ -321,9 +321,9 @@
 
 #[test]
 fn change_in_a_group_of_six() {
-    sound(
+    assert_no_violation(
         "a change among six",
-        change_under_way(6, Faults::default()),
+        change_in_progress(6, Faults::default()),
         BUDGET,
         4,
         5_000,
@@ -333,9 +333,9 @@
 #[test]
 fn replacement_in_a_group_of_three() {
     let budget = Budget { wipes: 1, ..BUDGET };
-    sound(
+    assert_no_violation(
         "a replacement among three",
-        replacement_under_way(Faults::default()),
+        replacement_in_progress(Faults::default()),
         budget,
         5,
         5_000,
@@ -349,7 +349,7 @@
         repeats: 1,
         ..BUDGET
     };
-    sound(
+    assert_no_violation(
         "two that say they are primary",
         two_primaries(Faults::default()),
         budget,
@@ -365,7 +365,7 @@
         repeats: 1,
         ..BUDGET
     };
-    sound(
+    assert_no_violation(
         "one that is primary for the second time",
         twice_primary(Faults::default()),
         budget,
@@ -374,23 +374,23 @@
     );
 }
 
-fn found(name: &str, world: World) {
-    let found = search(name, world, BUDGET, 4);
+fn assert_found(name: &str, world: World) {
+    let result = search(name, world, BUDGET, 4);
     assert!(
-        found.violation.is_some(),
+        result.violation.is_some(),
         "{name} is not found among {} states",
-        found.states
+        result.states
     );
 }
 
 #[test]
 fn early_lease_is_found() {
-    found("early lease", two_primaries(Faults::of(Fault::EarlyLease)));
+    assert_found("early lease", two_primaries(Faults::of(Fault::EarlyLease)));
 }
 
 #[test]
 fn confirmation_from_memory_is_found() {
-    found(
+    assert_found(
         "answer from memory",
         two_primaries(Faults::of(Fault::ConfirmFromMemory)),
     );
@@ -398,7 +398,7 @@
 
 #[test]
 fn counted_earlier_round_is_found() {
-    found(
+    assert_found(
         "older round",
         two_primaries(Faults::of(Fault::CountEarlierRound)),
     );
@@ -406,7 +406,7 @@
 
 #[test]
 fn counted_earlier_epoch_is_found() {
-    found(
+    assert_found(
         "older epoch",
         twice_primary(Faults::of(Fault::CountEarlierEpoch)),
     );
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -2,7 +2,7 @@
 //! and given defaults.
 //!
 //! - [`Platform`]: the platform's file, by `NODE_CONFIG`, and the environment;
-//! - [`Operators`]: the operators' file, with the sections [`Ogc`], [`Peers`] and [`Phases`];
+//! - [`Operators`]: the operators' file, with the sections [`Ogc`], [`PeersConfig`] and [`Phases`];
 //! - [`settings`]: the settings of the decision module, which the platform's file holds.
 //!
 //! A [`ConfigError`] names the faulty key.
@@ -11,12 +11,14 @@
 mod ogc;
 pub mod operators;
 pub mod peers;
+mod phases;
 pub mod settings;
 
+pub use crate::peer::PeersConfig;
 pub use error::{AddressError, ConfigError};
 pub use ogc::{Collection, Ogc};
-pub use operators::{Operators, Phases};
-pub use peers::Peers;
+pub use operators::{Operators, OperatorsError};
+pub use phases::Phases;
 
 use crate::discovery::List;
 use crate::interface::{Micros, Settings};
