--- a/fleet/src/control/primary_tracker.rs
+++ b/fleet/src/control/primary_tracker.rs
@@ -18,11 +18,18 @@
 /// itself counts as confirmed, what this machine serves is 1.5 s old at the most.
 const CONTACT_LEASE: Duration = Duration::from_millis(900);
 
+/// A report of the primary's address.
+#[derive(Clone, Copy)]
+struct PrimaryHint {
+    address: SocketAddr,
+    reported_at: Time,
+}
+
 /// The primary, contact with it, and the configuration that it has sent.
 pub(super) struct PrimaryTracker {
     /// Identifies this process, so that an echo to an earlier one does not count.
     process: u64,
-    primary: Option<(SocketAddr, Time)>,
+    primary: Option<PrimaryHint>,
     /// When the acknowledgement was sent that a confirmed primary has echoed last.
     contact_at: Option<Time>,
     committed: Option<CommittedConfiguration>,
@@ -48,8 +55,11 @@
         primary: Option<SocketAddr>,
     ) {
         if in_contact && primary == Some(from) {
-            self.primary = Some((from, now));
-        } else if self.primary.is_some_and(|known| known.0 == from) {
+            self.primary = Some(PrimaryHint {
+                address: from,
+                reported_at: now,
+            });
+        } else if self.primary.is_some_and(|hint| hint.address == from) {
             (self.primary, self.contact_at) = (None, None);
         }
     }
@@ -90,8 +100,8 @@
     /// The address of the primary that was in contact recently.
     pub(super) fn primary(&self, now: Time) -> Option<SocketAddr> {
         self.primary
-            .filter(|known| elapsed(known.1, now) < PRIMARY_HINT_TTL)
-            .map(|known| known.0)
+            .filter(|hint| elapsed(hint.reported_at, now) < PRIMARY_HINT_TTL)
+            .map(|hint| hint.address)
     }
 
     /// The newest configuration that the primary has sent.
@@ -109,7 +119,9 @@
 
     /// When the primary or contact times out.
     pub(super) fn next_wake(&self) -> Option<Time> {
-        let primary_ends = self.primary.map(|known| after(known.1, PRIMARY_HINT_TTL));
+        let primary_ends = self
+            .primary
+            .map(|hint| after(hint.reported_at, PRIMARY_HINT_TTL));
         earlier(
             primary_ends,
             self.contact_at.map(|at| after(at, CONTACT_LEASE)),
--- a/fleet/src/control/quota_handler.rs
+++ b/fleet/src/control/quota_handler.rs
@@ -13,7 +13,9 @@
 use lichenswitch_interface::Time;
 use lichenswitch_messages::{QuotaLeaseRequest, QuotaLeaseResponse, QuotaLeaseUnit, TenantMessage};
 use lichenswitch_net::ConnId;
-use lichenswitch_quota::{LeaseAction, LeaseGrant, LeaseRequest, OwnerId};
+use lichenswitch_quota::{
+    LeaseAction, LeaseContext, LeaseGrant, LeaseRequest, LeaseRequests, OwnerId,
+};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
@@ -78,13 +80,11 @@
     }
 
     fn on_lease_request(&mut self, connection: ConnId, request: QuotaLeaseRequest, now: Time) {
-        let (origin, may_forward) = (
-            LeaseRequestOrigin {
-                connection,
-                id: request.id,
-            },
-            request.may_forward,
-        );
+        let origin = LeaseRequestOrigin {
+            connection,
+            id: request.id,
+        };
+        let may_forward = request.may_forward;
         let request = lease_request_from(request);
         if !may_forward {
             let grant = self
@@ -93,10 +93,9 @@
                 .lease(now, &request, &self.quotas.ownership);
             return self.respond_to_lease_request(origin, grant);
         }
-        let reachable = self.reachable_owners();
-        let (lease_requests, mut context) = self.quotas.lease_context(&reachable);
-        let actions = lease_requests.on_request(now, origin, request, &mut context);
-        self.handle_lease_actions(actions);
+        self.update_lease_requests(|lease_requests, context| {
+            lease_requests.on_request(now, origin, request, context)
+        });
     }
 
     fn on_lease_response(&mut self, from: SocketAddr, response: QuotaLeaseResponse, now: Time) {
@@ -108,10 +107,9 @@
             prefetch_amount: response.prefetch_amount,
             retry_after_us: response.retry_after_us,
         };
-        let reachable = self.reachable_owners();
-        let (lease_requests, mut context) = self.quotas.lease_context(&reachable);
-        let actions = lease_requests.on_response(now, from, response.id, grant, &mut context);
-        self.handle_lease_actions(actions);
+        self.update_lease_requests(|lease_requests, context| {
+            lease_requests.on_response(now, from, response.id, grant, context)
+        });
     }
 
     /// The last connection to a control machine is closed.
@@ -119,10 +117,9 @@
         let Some(owner) = self.owner_at(address) else {
             return;
         };
-        let reachable = self.reachable_owners();
-        let (lease_requests, mut context) = self.quotas.lease_context(&reachable);
-        let actions = lease_requests.on_owner_lost(now, owner, &mut context);
-        self.handle_lease_actions(actions);
+        self.update_lease_requests(|lease_requests, context| {
+            lease_requests.on_owner_lost(now, owner, context)
+        });
     }
 
     /// Refills the buckets up to now, and checks that their shards have granted no more than they may.
@@ -144,9 +141,20 @@
         if self.quotas.next_wake().is_none_or(|at| at > now) {
             return;
         }
+        self.update_lease_requests(|lease_requests, context| lease_requests.tick(now, context));
+    }
+
+    /// Updates the pending lease requests, and does what follows from it.
+    fn update_lease_requests(
+        &mut self,
+        update: impl FnOnce(
+            &mut LeaseRequests<LeaseRequestOrigin>,
+            &mut LeaseContext<'_>,
+        ) -> Vec<LeaseAction<LeaseRequestOrigin>>,
+    ) {
         let reachable = self.reachable_owners();
         let (lease_requests, mut context) = self.quotas.lease_context(&reachable);
-        let actions = lease_requests.tick(now, &mut context);
+        let actions = update(lease_requests, &mut context);
         self.handle_lease_actions(actions);
     }
 
--- a/fleet/src/control/server_table.rs
+++ b/fleet/src/control/server_table.rs
@@ -8,13 +8,11 @@
 //! update about a departure only once it is written there: until then it neither acknowledges it to
 //! others nor counts itself.
 
+use super::clock::after;
 use super::environment::Environment;
+use super::net_program::{Net, Signal};
 use super::pending_updates::{PendingAck, PendingUpdate, ReplicationOutcome, ReplicationTargets};
 use super::server_cache::{ServerCache, WriteNumber};
-use super::{
-    clock::after,
-    net_program::{Net, Signal},
-};
 use crate::settings::Settings;
 use lichenswitch_interface::Time;
 use lichenswitch_messages::{HeartbeatAge, ServerRecord, ServerState};
