--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -289,34 +289,7 @@
             };
             let (request, used) = match http::request(conn.input.bytes()) {
                 Ok(Parsed::Whole(request, used)) => (request, used),
-                Ok(Parsed::Partial(waits)) => {
-                    let held = conn.input.bytes().len();
-                    if held >= MAX_BUFFERED_BYTES {
-                        return self.reject_and_close(
-                            net,
-                            id,
-                            &front.malformed(413, "request too large"),
-                        );
-                    }
-                    // Guards memory against many large requests that arrive at once.
-                    if held > http::HEAD && self.bytes(net) > self.most_bytes() {
-                        return self.reject_and_close(
-                            net,
-                            id,
-                            &front.malformed(503, "too much is arriving"),
-                        );
-                    }
-                    let (Some(session), Some(conn)) = (self.open.get_mut(&id), net.get_mut(id))
-                    else {
-                        return;
-                    };
-                    if waits && !session.continued {
-                        session.continued = true;
-                        conn.send(b"HTTP/1.1 100 Continue\r\n\r\n");
-                        net.flush(id, false);
-                    }
-                    return;
-                }
+                Ok(Parsed::Partial(waits)) => return self.on_partial(net, id, front, waits),
                 Err(http::Malformed(status, reason)) => {
                     return self.reject_and_close(net, id, &front.malformed(status, reason));
                 }
@@ -340,6 +313,34 @@
         }
     }
 
+    /// A request is still arriving; `waits`: its client waits for `100 Continue`.
+    fn on_partial<F: Front<Context = C>>(
+        &mut self,
+        net: &mut Net,
+        id: ConnId,
+        front: &F,
+        waits: bool,
+    ) {
+        let buffered = net.get(id).map_or(0, |conn| conn.input.bytes().len());
+        if buffered >= MAX_BUFFERED_BYTES {
+            let response = front.malformed(413, "request too large");
+            return self.reject_and_close(net, id, &response);
+        }
+        // Guards memory against many large requests that arrive at once.
+        if buffered > http::HEAD && self.bytes(net) > self.most_bytes() {
+            let response = front.malformed(503, "too much is arriving");
+            return self.reject_and_close(net, id, &response);
+        }
+        let (Some(session), Some(conn)) = (self.open.get_mut(&id), net.get_mut(id)) else {
+            return;
+        };
+        if waits && !session.continued {
+            session.continued = true;
+            conn.send(b"HTTP/1.1 100 Continue\r\n\r\n");
+            net.flush(id, false);
+        }
+    }
+
     fn write(
         &mut self,
         net: &mut Net,
