--- a/decide/registry/src/table/tests.rs
+++ b/decide/registry/src/table/tests.rs
@@ -29,6 +29,13 @@
     }
 }
 
+fn heartbeat_age(instance: &str, age_ms: u32) -> HeartbeatAge {
+    HeartbeatAge {
+        instance: instance.to_owned(),
+        age_ms,
+    }
+}
+
 fn table() -> Registry {
     Registry::new(START, SECOND)
 }
@@ -219,16 +226,16 @@
     assert!(table
         .merge_heartbeat_digest(
             START + 4 * SECOND,
-            &[("i".to_owned(), 300), ("not-known".to_owned(), 0)]
+            &[heartbeat_age("i", 300), heartbeat_age("not-known", 0)]
         )
         .is_empty());
     tick_until(&mut table, START + 8 * SECOND);
     assert!(!is_suspect(&table, "i"));
     tick_until(&mut table, START + 9 * SECOND);
     assert!(is_suspect(&table, "i"));
-    let old = table.merge_heartbeat_digest(START + 9 * SECOND, &[("i".to_owned(), 5_000)]);
+    let old = table.merge_heartbeat_digest(START + 9 * SECOND, &[heartbeat_age("i", 5_000)]);
     assert!(old.is_empty() && is_suspect(&table, "i"));
-    let changes = table.merge_heartbeat_digest(START + 9 * SECOND, &[("i".to_owned(), 100)]);
+    let changes = table.merge_heartbeat_digest(START + 9 * SECOND, &[heartbeat_age("i", 100)]);
     assert_eq!(
         (
             changes.records.len(),
@@ -244,7 +251,7 @@
     let mut table = table();
     tick_until(&mut table, START + 3 * SECOND);
     table.on_heartbeat(START + 3 * SECOND, "i", &heartbeat("a:1", 1));
-    table.merge_heartbeat_digest(START + 3 * SECOND, &[("i".to_owned(), 2_900)]);
+    table.merge_heartbeat_digest(START + 3 * SECOND, &[heartbeat_age("i", 2_900)]);
     tick_until(&mut table, START + 7 * SECOND);
     assert!(!is_suspect(&table, "i"));
 }
@@ -262,7 +269,10 @@
             },
         ],
     );
-    table.merge_heartbeat_digest(START, &[("i".to_owned(), 50_000), ("j".to_owned(), 50_000)]);
+    table.merge_heartbeat_digest(
+        START,
+        &[heartbeat_age("i", 50_000), heartbeat_age("j", 50_000)],
+    );
     assert!(tick_until(&mut table, START + 5 * SECOND - 1).is_empty());
     assert!(!is_suspect(&table, "i") && !is_suspect(&table, "j"));
     assert_eq!(tick_until(&mut table, START + 5 * SECOND).records.len(), 2);
@@ -392,7 +402,7 @@
     for tenth in 6..40 {
         let now = START + tenth * 100 * MS;
         changes.append(tick_until(&mut table, now));
-        changes.append(table.merge_heartbeat_digest(now, &[("new".to_owned(), 50)]));
+        changes.append(table.merge_heartbeat_digest(now, &[heartbeat_age("new", 50)]));
     }
     assert_eq!(changes.updates_for_peers(), [tombstone("old")]);
     assert_eq!(state_of(&table, "new"), Some(ServerState::Ready));
@@ -414,12 +424,12 @@
     table.on_heartbeat(START + 100 * MS, "j", &heartbeat("a:2", 1));
     table.merge(START, &heartbeat("a:3", 1).record("k"));
     let digest = table.take_heartbeat_digest(START + 400 * MS);
-    assert_eq!(digest, [("i".to_owned(), 400), ("j".to_owned(), 300)]);
+    assert_eq!(digest, [heartbeat_age("i", 400), heartbeat_age("j", 300)]);
     assert!(table.take_heartbeat_digest(START + 800 * MS).is_empty());
     table.on_heartbeat(START + 900 * MS, "i", &heartbeat("a:1", 2));
     assert_eq!(
         table.take_heartbeat_digest(START + 900 * MS),
-        [("i".to_owned(), 0)]
+        [heartbeat_age("i", 0)]
     );
 }
 
@@ -496,7 +506,7 @@
 
 #[test]
 fn order_and_repetition_of_updates_do_not_matter() {
-    fn holds(updates: Vec<Update>, turn: usize) -> bool {
+    fn property(updates: Vec<Update>, turn: usize) -> bool {
         let expected = after(&updates);
         let turn = if updates.is_empty() {
             0
@@ -521,12 +531,12 @@
     QuickCheck::new()
         .rng(gen)
         .tests(5_000)
-        .quickcheck(holds as fn(Vec<Update>, usize) -> bool);
+        .quickcheck(property as fn(Vec<Update>, usize) -> bool);
 }
 
 #[test]
 fn machines_that_push_changes_have_equal_states_after_one_exchange_of_tables() {
-    fn holds(here: Vec<Update>, there: Vec<Update>) -> bool {
+    fn property(here: Vec<Update>, there: Vec<Update>) -> bool {
         let (mut one, mut other) = (table(), table());
         for record in &here {
             let changes = one.merge(START, &record.0);
@@ -544,12 +554,12 @@
     QuickCheck::new()
         .rng(gen)
         .tests(5_000)
-        .quickcheck(holds as fn(Vec<Update>, Vec<Update>) -> bool);
+        .quickcheck(property as fn(Vec<Update>, Vec<Update>) -> bool);
 }
 
 #[test]
 fn gone_instance_never_returns_whatever_arrives() {
-    fn holds(updates: Vec<(Update, bool)>) -> bool {
+    fn property(updates: Vec<(Update, bool)>) -> bool {
         let (mut table, mut now) = (table(), START);
         let mut highest: HashMap<String, ServerState> = HashMap::new();
         updates.iter().all(|(record, heartbeat)| {
@@ -577,7 +587,7 @@
     QuickCheck::new()
         .rng(gen)
         .tests(5_000)
-        .quickcheck(holds as fn(Vec<(Update, bool)>) -> bool);
+        .quickcheck(property as fn(Vec<(Update, bool)>) -> bool);
 }
 
 #[test]
@@ -587,13 +597,14 @@
     before.on_heartbeat(START, "b", &draining("h:2", 3));
     before.on_deregister(START, "c");
     let mut after = table();
-    let told = after.restore_cached(START, &before.snapshot(START));
+    let restored = after.restore_cached(START, &before.snapshot(START));
     assert!(
-        told.updates_for_peers().is_empty(),
+        restored.updates_for_peers().is_empty(),
         "others may have dropped them with reason"
     );
     assert_eq!(
-        told.records
+        restored
+            .records
             .iter()
             .map(|record| record.instance.as_str())
             .collect::<Vec<_>>(),
@@ -606,9 +617,12 @@
         "a gone instance stays gone"
     );
     assert_eq!(after.live().count(), 2);
-    let heard = after.on_heartbeat(START + SECOND, "a", &heartbeat("h:1", 8));
+    let heartbeat_changes = after.on_heartbeat(START + SECOND, "a", &heartbeat("h:1", 8));
     assert_eq!(
-        (heard.records.len(), heard.updates_for_peers().len()),
+        (
+            heartbeat_changes.records.len(),
+            heartbeat_changes.updates_for_peers().len()
+        ),
         (1, 1),
         "now it is an update for peers as well"
     );
@@ -628,9 +642,12 @@
     };
     after.restore_cached(START, &[record]);
     assert!(is_suspect(&after, "a"));
-    let heard = after.on_heartbeat(START + SECOND, "a", &heartbeat("h:1", 8));
+    let heartbeat_changes = after.on_heartbeat(START + SECOND, "a", &heartbeat("h:1", 8));
     assert_eq!(
-        (heard.records.len(), heard.updates_for_peers().len()),
+        (
+            heartbeat_changes.records.len(),
+            heartbeat_changes.updates_for_peers().len()
+        ),
         (1, 1)
     );
     assert!(!is_suspect(&after, "a"));
@@ -701,9 +718,9 @@
     for leaving in [draining("h:1", 9).record("a"), crate::tombstone("a")] {
         let mut after = table();
         after.restore_cached(START, &[heartbeat("h:1", 7).record("a")]);
-        let told = after.restore_cached(START, std::slice::from_ref(&leaving));
+        let restored = after.restore_cached(START, std::slice::from_ref(&leaving));
         assert_eq!(
-            told.records,
+            restored.records,
             std::slice::from_ref(&leaving),
             "it is pushed to routers"
         );
--- a/decide/replication/tests/liveness.rs
+++ b/decide/replication/tests/liveness.rs
@@ -7,17 +7,13 @@
 use lichenswitch_replication::model::walk::SeededRng;
 use lichenswitch_replication::Settings;
 
+mod environment;
+use environment::number;
+
 const SECOND: u64 = 1_000_000;
 /// Groups if the environment doesn't say (`REPLICATION_SEEDS`).
 const SEEDS: u64 = 200;
 
-fn number(name: &str, otherwise: u64) -> u64 {
-    std::env::var(name)
-        .ok()
-        .and_then(|value| value.parse().ok())
-        .unwrap_or(otherwise)
-}
-
 /// One fault of one node; how long it lasts. At most one node is faulty at a time.
 fn fault(timed: &mut TimedWorld, node: usize, rng: &mut SeededRng) -> &'static str {
     let lasts = 100_000 + rng.below(4 * SECOND);
@@ -42,17 +38,17 @@
         3 => {
             timed.isolate(node);
             timed.run_for(lasts);
-            "cut"
+            "partition"
         }
         4 => {
-            (0..timed.world.nodes.len()).for_each(|other| timed.cut(other, node));
+            (0..timed.world.nodes.len()).for_each(|other| timed.block_link(other, node));
             timed.run_for(lasts);
-            "deaf"
+            "receives nothing"
         }
         5 => {
-            (0..timed.world.nodes.len()).for_each(|other| timed.cut(node, other));
+            (0..timed.world.nodes.len()).for_each(|other| timed.block_link(node, other));
             timed.run_for(lasts);
-            "mute"
+            "sends nothing"
         }
         6 => {
             timed.stall_disk(node, lasts);
@@ -96,7 +92,7 @@
         assert!(timed.world.oracle.acknowledged.len() > before);
         let elapsed = timed.run_until(15 * SECOND, |timed| timed.is_complete(voters));
         assert!(elapsed.is_some(), "not complete within 15 s: {}", context());
-        if let Some(primary) = timed.world.serving() {
+        if let Some(primary) = timed.world.serving_node() {
             timed.call(primary, |world| world.confirm(primary));
         }
     }
