--- a/fleet/src/router/admission/tests.rs
+++ b/fleet/src/router/admission/tests.rs
@@ -7,10 +7,9 @@
         {"name":"tokens","unit":"token_count","uncachedTokens":200},{"name":"requests","unit":"else"}]}"#;
     let document = Document::parse(text).expect("valid");
     let tenants = document.tenants().expect("tenants");
-    let request = |tokens| {
-        let mut request = ClientRequest::default();
-        request.tokens = tokens;
-        request
+    let request = |tokens| ClientRequest {
+        tokens,
+        ..ClientRequest::default()
     };
     let needs = |tokens| {
         [&tenants[0], &tenants[1]].map(|tenant| quota_demand(tenant, &request(tokens)).ok())
--- a/fleet/src/router/control_link/candidates/tests.rs
+++ b/fleet/src/router/control_link/candidates/tests.rs
@@ -15,8 +15,8 @@
     let near = candidates(&[address(1, 1), address(2, 1), address(3, 1)]);
     assert!((0..20).all(|random| near.next(Time(0), random) == Ok(address(2, 1))));
     let far = candidates(&[address(1, 1), address(3, 1), address(4, 1)]);
-    let drawn: HashSet<_> = (0..20).map(|random| far.next(Time(0), random)).collect();
-    assert_eq!(drawn.len(), 3);
+    let choices: HashSet<_> = (0..20).map(|random| far.next(Time(0), random)).collect();
+    assert_eq!(choices.len(), 3);
 }
 
 #[test]
@@ -84,10 +84,10 @@
     candidates.on_failed(Time(0), address(2, 2), 0);
     candidates.on_advertised(vec![address(3, 3)]);
     candidates.on_advertised(vec![address(2, 2), address(3, 3)]);
-    let drawn: HashSet<_> = (0..20)
+    let choices: HashSet<_> = (0..20)
         .filter_map(|random| candidates.next(Time(MAX_BACKOFF_US), random).ok())
         .collect();
-    assert_eq!(drawn, HashSet::from([address(1, 1), address(3, 3)]));
+    assert_eq!(choices, HashSet::from([address(1, 1), address(3, 3)]));
 }
 
 #[test]
@@ -97,10 +97,10 @@
     candidates.on_failed(Time(0), address(2, 2), 0);
     assert_eq!(candidates.next(Time(0), 0), Ok(address(2, 3)));
     candidates.on_advertised(vec![address(3, 4)]);
-    let drawn: HashSet<_> = (0..20)
+    let choices: HashSet<_> = (0..20)
         .filter_map(|random| candidates.next(Time(0), random).ok())
         .collect();
-    assert_eq!(drawn, HashSet::from([address(1, 1), address(3, 4)]));
+    assert_eq!(choices, HashSet::from([address(1, 1), address(3, 4)]));
     // An empty list says nothing.
     candidates.on_advertised(Vec::new());
     assert!((0..20).any(|random| candidates.next(Time(0), random) == Ok(address(3, 4))));
--- a/fleet/src/router/ranks/tests.rs
+++ b/fleet/src/router/ranks/tests.rs
@@ -16,7 +16,7 @@
 
 fn ranks(document: &Document, tenant: Option<usize>) -> Vec<u8> {
     let ranks = PriorityRanks::new(document);
-    let tenant = tenant.map(|place| &document.tenants().expect("tenants")[place]);
+    let tenant = tenant.map(|index| &document.tenants().expect("tenants")[index]);
     document
         .routes()
         .iter()
--- a/fleet/src/router/request_reader/tests.rs
+++ b/fleet/src/router/request_reader/tests.rs
@@ -15,29 +15,29 @@
     reader().read(&mut input)
 }
 
-fn whole(bytes: &[u8]) -> ClientRequest {
+fn read_complete(bytes: &[u8]) -> ClientRequest {
     match read(bytes) {
         Ok(RequestProgress::Complete(request)) => *request,
         other => panic!("not whole: {other:?}"),
     }
 }
 
-const SOUND: &[u8] = b"POST /a/b?c=%20 HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: x1\r\nDeadline-Ms: 250\r\n\
+const VALID_REQUEST: &[u8] = b"POST /a/b?c=%20 HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: x1\r\nDeadline-Ms: 250\r\n\
     Model: m\r\nToken-Usage: 1,2\r\nPrompt-Prefix: a:1,b:2\r\nTarget-Instance: theirs\r\nKeep-Alive: 5\r\n\
     X-Raw: \xff\xfe\r\nLast-Event-Id: 7\r\nContent-Length: 4\r\n\r\nbody";
 
 #[test]
 fn request_is_the_same_at_any_split() {
-    let expected = whole(SOUND);
+    let expected = read_complete(VALID_REQUEST);
     assert_eq!(expected.deadline, Some(Duration::from_millis(250)));
     assert_eq!(
         (expected.attempt_id.as_deref(), expected.host.as_str()),
         (Some("x1"), "h.example")
     );
     assert!(expected.keep_alive);
-    for cut in 0..SOUND.len() {
+    for cut in 0..VALID_REQUEST.len() {
         let (mut reader, mut input) = (reader(), Buffer::default());
-        input.push(&SOUND[..cut]);
+        input.push(&VALID_REQUEST[..cut]);
         assert!(
             matches!(
                 reader.read(&mut input),
@@ -45,7 +45,7 @@
             ),
             "cut at {cut}"
         );
-        input.push(&SOUND[cut..]);
+        input.push(&VALID_REQUEST[cut..]);
         match reader.read(&mut input) {
             Ok(RequestProgress::Complete(request)) => {
                 assert_eq!(*request, expected, "cut at {cut}")
@@ -57,7 +57,7 @@
 
 #[test]
 fn encoded_head_has_client_headers_and_own_headers() {
-    let request = whole(SOUND);
+    let request = read_complete(VALID_REQUEST);
     let mut bytes = Vec::new();
     let left = Duration::from_micros(123_900);
     let send = ForwardingHeaders {
--- a/fleet/src/router/response_outcome/tests.rs
+++ b/fleet/src/router/response_outcome/tests.rs
@@ -1,12 +1,15 @@
 use super::*;
 
 fn head(status: u16, not_executed: bool) -> ResponseHead {
-    let mut head = ResponseHead::default();
-    head.status = status;
-    if not_executed {
-        head.execution = Execution::Denied;
+    let execution = match not_executed {
+        true => Execution::Denied,
+        false => Execution::Unstated,
+    };
+    ResponseHead {
+        status,
+        execution,
+        ..ResponseHead::default()
     }
-    head
 }
 
 #[test]
--- a/fleet/src/router/sender/tests.rs
+++ b/fleet/src/router/sender/tests.rs
@@ -45,20 +45,20 @@
 
 #[test]
 fn key_identifies_tenant_on_public_routes_too() {
-    let held =
+    let configuration =
         in_force(r#","tenants":[{"name":"a","apiKeys":["k"]},{"name":"last","apiKeys":[]}]"#);
     for public in [false, true] {
-        let sender = held
+        let sender = configuration
             .sender(public, key("k"))
             .expect("served")
             .expect("a tenant");
         assert_eq!(sender.0.name, "a");
     }
     assert_eq!(
-        held.sender(false, key("other")).err(),
+        configuration.sender(false, key("other")).err(),
         Some(KeyDenial::UnknownKey)
     );
-    assert!(held
+    assert!(configuration
         .sender(true, key("other"))
         .is_ok_and(|sender| sender.is_none()));
 }
--- a/fleet/src/router/service/tests.rs
+++ b/fleet/src/router/service/tests.rs
@@ -122,21 +122,21 @@
 #[test]
 fn streams_weigh_little_while_most_slots_are_free() {
     let mut stage = Stage::new(Some(64), 72);
-    let told = |running| {
+    let load_of = |running| {
         Some(ServerLoad {
             running,
             waiting: 0,
             slots: 100,
         })
     };
-    stage.service.on_server_load(told(10));
+    stage.service.on_server_load(load_of(10));
     assert_eq!(stage.service.share.streams_per_request(), 10);
     // What a single server tells moves it a little.
-    stage.service.on_server_load(told(100));
+    stage.service.on_server_load(load_of(100));
     assert_eq!(stage.service.share.streams_per_request(), 5);
-    (0..200).for_each(|_| stage.service.on_server_load(told(100)));
+    (0..200).for_each(|_| stage.service.on_server_load(load_of(100)));
     assert_eq!(stage.service.share.streams_per_request(), 1);
-    (0..200).for_each(|_| stage.service.on_server_load(told(0)));
+    (0..200).for_each(|_| stage.service.on_server_load(load_of(0)));
     assert_eq!(
         stage.service.share.streams_per_request(),
         20,
--- a/fleet/tests/router_configuration.rs
+++ b/fleet/tests/router_configuration.rs
@@ -222,14 +222,13 @@
     }
     assert_eq!(round_trip("one.example", "/x/y/1?/x/", 30), "i-b");
     assert_eq!(round_trip("ONE.example:80", "/x/yy/1", 31), "i-a");
-    let sampled_service: Vec<String> = (0..40)
+    let instances: Vec<String> = (0..40)
         .map(|n| round_trip("two.example", "/x/1", 100 + n))
         .collect();
     assert!(
-        sampled_service.iter().any(|name| name == "i-a")
-            && sampled_service.iter().any(|name| name == "i-c")
+        instances.iter().any(|name| name == "i-a") && instances.iter().any(|name| name == "i-c")
     );
-    assert!(sampled_service.iter().all(|name| name != "i-b"));
+    assert!(instances.iter().all(|name| name != "i-b"));
 }
 
 #[test]
--- a/fleet/tests/router_end.rs
+++ b/fleet/tests/router_end.rs
@@ -7,7 +7,7 @@
 use support::harness::RouterHarness;
 use support::server::{event, NextAction, Server};
 
-fn slow(time: Duration) -> Server {
+fn slow_server(time: Duration) -> Server {
     Server::start("i-1", move |received, connection| {
         connection.closes_within(time);
         connection.respond(received, 200, "Keep-Alive: timeout=9\r\n", "done");
@@ -17,7 +17,7 @@
 
 #[test]
 fn requests_in_flight_at_sigterm_are_answered_and_readiness_fails() {
-    let server = slow(Duration::from_millis(600));
+    let server = slow_server(Duration::from_millis(600));
     let mut harness = RouterHarness::with_defaults(&[&server]);
     assert_eq!(harness.router.readiness_status(), 200);
     let mut held = harness.client();
@@ -70,7 +70,7 @@
 
 #[test]
 fn overlong_requests_get_final_response_within_grace() {
-    let server = slow(Duration::from_secs(30));
+    let server = slow_server(Duration::from_secs(30));
     let mut harness = RouterHarness::with(&[&server], 30_000, 10_000, 1);
     let mut held = harness.client();
     held.send(request("POST", "unsafe", "a1", "", "x"));
@@ -143,7 +143,7 @@
 
 #[test]
 fn requests_due_before_exit_are_served_during_shutdown() {
-    let server = slow(Duration::from_millis(300));
+    let server = slow_server(Duration::from_millis(300));
     let mut harness = RouterHarness::with(&[&server], 30_000, 1_000, 1);
     harness.router.stop();
     support::wait_until("the platform is told", || {
--- a/fleet/tests/router_lost.rs
+++ b/fleet/tests/router_lost.rs
@@ -73,7 +73,7 @@
                 _ if input.is_empty() => return End::Closed,
                 _ => return End::Cut { got: input.len() },
             }
-            if let Some((status, body)) = whole(&input) {
+            if let Some((status, body)) = complete_response(&input) {
                 return End::Answered { status, body };
             }
         }
@@ -81,7 +81,7 @@
 }
 
 /// Status and body of an answer, once it is complete.
-fn whole(input: &[u8]) -> Option<(u16, Vec<u8>)> {
+fn complete_response(input: &[u8]) -> Option<(u16, Vec<u8>)> {
     let (head, used) = parse_response_head(input, 32_768, false).expect("an answer")?;
     let mut decoder = BodyDecoder::new(head.framing, u64::MAX).expect("a framing");
     let (mut rest, mut body) = (&input[used..], Vec::new());
@@ -107,7 +107,7 @@
 
 /// A server with work of several kinds, by the `Work` of the request: a long stream, an answer that
 /// takes time, one that is passed on as it comes, or one at once.
-fn worker(instance: &str) -> Server {
+fn start_worker(instance: &str) -> Server {
     Server::start(instance, |received, connection| {
         match received.header("work") {
             Some("stream") => {
@@ -139,7 +139,12 @@
     }
 }
 
-fn of_service(server: &Server, service: &str, state: ServerState, number: u64) -> ServerRecord {
+fn record_of_service(
+    server: &Server,
+    service: &str,
+    state: ServerState,
+    number: u64,
+) -> ServerRecord {
     ServerRecord {
         service: service.into(),
         ..record(server, state, number)
@@ -147,7 +152,7 @@
 }
 
 /// A configuration drawn from all that operators change.
-fn sampled_service(rng: &mut fastrand::Rng, version: u64) -> String {
+fn random_document(rng: &mut fastrand::Rng, version: u64) -> String {
     let services = [&["pool"][..], &["other"], &["pool", "other"]][rng.usize(..3)];
     let kinds = ["safe", "unsafe", "streaming"];
     let mut routes = Vec::new();
@@ -250,12 +255,12 @@
 #[test]
 fn frequent_configurations_end_no_request_and_no_stream() {
     let servers: Vec<Arc<Server>> = ["i-1", "i-2", "i-3", "i-4"]
-        .map(|instance| Arc::new(worker(instance)))
+        .map(|instance| Arc::new(start_worker(instance)))
         .into();
     let harness = RouterHarness::with(&[], 20_000, 2_000, 2);
     let of = |server: usize| ["pool", "other"][server % 2];
     let records = (0..4)
-        .map(|at| of_service(&servers[at], of(at), ServerState::Ready, 1))
+        .map(|at| record_of_service(&servers[at], of(at), ServerState::Ready, 1))
         .collect();
     harness.control.push_servers(records);
     harness.control.wait_until_acknowledged();
@@ -278,7 +283,7 @@
     for version in (2..802).take_while(|version| *version < 82 || asked() <= 200) {
         harness
             .control
-            .push_configuration(version, &sampled_service(&mut rng, version));
+            .push_configuration(version, &random_document(&mut rng, version));
         std::thread::sleep(Duration::from_millis(100));
     }
     over.store(true, Ordering::SeqCst);
@@ -291,7 +296,7 @@
 }
 
 /// Sends a request of this kind, named by it, and waits until its server has it.
-fn hold(harness: &RouterHarness, server: &Server, kind: &str, work: &str) -> Connection {
+fn start_request(harness: &RouterHarness, server: &Server, kind: &str, work: &str) -> Connection {
     let mut connection = Connection::open(harness.router.frontend);
     let text = request("POST", kind, kind, &format!("Work: {work}\r\n"), "x");
     connection.0.write_all(text.as_bytes()).expect("send");
@@ -301,7 +306,7 @@
 
 #[test]
 fn request_keeps_its_timeout_when_route_shrinks_or_vanishes() {
-    let server = worker("i-1");
+    let server = start_worker("i-1");
     let harness = RouterHarness::with(&[&server], 6_000, 2_000, 1);
     let held: Vec<Connection> = [
         ("stream", "stream"),
@@ -310,7 +315,7 @@
         ("safe", "slow"),
     ]
     .into_iter()
-    .map(|(kind, work)| hold(&harness, &server, kind, work))
+    .map(|(kind, work)| start_request(&harness, &server, kind, work))
     .collect();
     harness
         .control
@@ -342,7 +347,7 @@
         &[ServerState::Draining, ServerState::Gone],
     ];
     for way in ways {
-        let server = worker("i-1");
+        let server = start_worker("i-1");
         let harness = RouterHarness::with(&[&server], 6_000, 2_000, 3);
         let held: Vec<(Connection, &str)> = [
             ("resume", "stream"),
@@ -352,7 +357,7 @@
         ]
         .into_iter()
         .map(|(kind, work)| {
-            let connection = hold(&harness, &server, kind, work);
+            let connection = start_request(&harness, &server, kind, work);
             (connection, work)
         })
         .collect();
@@ -365,7 +370,7 @@
         // Its address goes to a server of another service, and its own service goes.
         let heir = ServerRecord {
             instance: "i-9".into(),
-            ..of_service(&server, "other", ServerState::Ready, 1)
+            ..record_of_service(&server, "other", ServerState::Ready, 1)
         };
         harness.control.push_servers(vec![heir]);
         harness
@@ -455,7 +460,7 @@
 
 #[test]
 fn request_crossing_keep_alive_end_reaches_no_server() {
-    let server = Arc::new(worker("i-1"));
+    let server = Arc::new(start_worker("i-1"));
     let idle =
         document(1, 6_000, 2_000, 1).replace("\"idleTimeoutMs\":3000", "\"idleTimeoutMs\":100");
     let (_control, router) = router_with(&[&server], ("[limits]", "[limits]"), &idle);
@@ -488,7 +493,11 @@
 }
 
 /// Requests of one client on connections that it keeps for as long as it can.
-fn press(address: SocketAddr, server: &Server, number: u64) -> Vec<(String, bool, End)> {
+fn request_while_connections_close(
+    address: SocketAddr,
+    server: &Server,
+    number: u64,
+) -> Vec<(String, bool, End)> {
     let mut rng = fastrand::Rng::with_seed(number);
     let mut connection = Connection::open(address);
     let mut ends = Vec::new();
@@ -506,14 +515,14 @@
 
 #[test]
 fn connections_closed_for_capacity_carry_no_forwarded_request() {
-    let server = Arc::new(worker("i-1"));
+    let server = Arc::new(start_worker("i-1"));
     let few = ("fileDescriptors = 1000", "fileDescriptors = 300");
     let (_control, router) = router_with(&[&server], few, &document(1, 6_000, 2_000, 1));
     let (mut closed, mut served) = (0, 0);
     let clients: Vec<_> = (0..120)
         .map(|number: u64| {
             let (server, address) = (server.clone(), router.frontend);
-            std::thread::spawn(move || press(address, &server, number))
+            std::thread::spawn(move || request_while_connections_close(address, &server, number))
         })
         .collect();
     for (id, reached, end) in clients
@@ -576,9 +585,10 @@
         }
         std::thread::sleep(Duration::from_millis(2_500));
         let end = connection.end();
-        let whole = matches!(&end, End::Answered { status: 200, body } if *body == wide_stream());
+        let complete_response =
+            matches!(&end, End::Answered { status: 200, body } if *body == wide_stream());
         assert!(
-            whole,
+            complete_response,
             "{kind}: {:?}",
             matches!(end, End::Closed | End::Cut { .. }).then_some(end)
         );
@@ -587,7 +597,7 @@
 
 #[test]
 fn changed_or_unreadable_settings_end_no_request() {
-    let server = worker("i-1");
+    let server = start_worker("i-1");
     let control = Control::at(SocketAddr::from(([127, 0, 0, 1], 0)));
     let text = settings_text(&[Ipv4Addr::LOCALHOST], control.address.port(), "");
     let path = std::env::temp_dir().join(format!("router-lost-{}.toml", std::process::id()));
--- a/fleet/tests/router_random.rs
+++ b/fleet/tests/router_random.rs
@@ -22,7 +22,7 @@
 }
 
 /// Answers, or fails, as chance has it. What it runs is counted before it answers.
-fn act(
+fn respond_randomly(
     rng: &mut fastrand::Rng,
     runs: &Runs,
     received: &ReceivedRequest,
@@ -79,7 +79,7 @@
     if received.target.starts_with("/stream") || received.target.starts_with("/resume") {
         stream(rng, received, connection, from)
     } else {
-        whole(rng, received, connection)
+        respond_completely(rng, received, connection)
     }
 }
 
@@ -104,10 +104,10 @@
         connection.event(id);
     }
     connection.end();
-    after(rng, connection)
+    after_response(rng, connection)
 }
 
-fn whole(
+fn respond_completely(
     rng: &mut fastrand::Rng,
     received: &ReceivedRequest,
     connection: &mut ServerConnection,
@@ -137,11 +137,11 @@
         _ => {}
     }
     connection.respond(received, 200, "", &body);
-    after(rng, connection)
+    after_response(rng, connection)
 }
 
 /// What may come behind an answer that was whole.
-fn after(rng: &mut fastrand::Rng, connection: &mut ServerConnection) -> NextAction {
+fn after_response(rng: &mut fastrand::Rng, connection: &mut ServerConnection) -> NextAction {
     match rng.u32(0..100) {
         0..8 => {
             let late = rng.bool();
@@ -157,7 +157,7 @@
     }
 }
 
-fn play(seed: u64) {
+fn run_seed(seed: u64) {
     let runs: Runs = Arc::default();
     let servers: Vec<Server> = (0..4)
         .map(|n| {
@@ -167,7 +167,7 @@
             );
             Server::start(&format!("i-{n}"), move |received, connection| {
                 let mut rng = rng.lock().expect("lock").fork();
-                act(&mut rng, &runs, received, connection)
+                respond_randomly(&mut rng, &runs, received, connection)
             })
         })
         .collect();
@@ -280,7 +280,7 @@
         .ok()
         .and_then(|seed| seed.parse().ok());
     match one {
-        Some(seed) => play(seed),
-        None => (1..=6).for_each(play),
+        Some(seed) => run_seed(seed),
+        None => (1..=6).for_each(run_seed),
     }
 }
--- a/fleet/tests/router_shutdown.rs
+++ b/fleet/tests/router_shutdown.rs
@@ -7,7 +7,7 @@
 use support::harness::RouterHarness;
 use support::server::{event, NextAction, Server};
 
-fn quick() -> Server {
+fn echo_server() -> Server {
     Server::start("i-1", |received, connection| {
         connection.respond(received, 200, "Keep-Alive: timeout=9\r\n", "done");
         NextAction::Keep
@@ -33,7 +33,7 @@
 
 #[test]
 fn request_body_ending_after_signal_is_answered() {
-    let server = quick();
+    let server = echo_server();
     let mut harness = RouterHarness::with(&[&server], 30_000, 1_000, 1);
     let mut short = harness.client();
     let mut long = harness.client();
@@ -51,7 +51,7 @@
 
 #[test]
 fn body_ending_after_listener_close_is_rejected_without_reset() {
-    let server = quick();
+    let server = echo_server();
     let mut harness = RouterHarness::with(&[&server], 30_000, 1_000, 1);
     let mut late = harness.client();
     late.send(head_of("a1", "Deadline-Ms: 1000\r\n", 4));
@@ -157,7 +157,7 @@
             NextAction::Close
         });
         let text = format!("gracePeriodS = {grace}\n");
-        let mut harness = graced(&server, &text);
+        let mut harness = harness_with_grace(&server, &text);
         let mut held = harness.client();
         held.send(request("POST", "unsafe", "a1", "", "x"));
         support::wait_until("it is held", || server.request_count("a1") == 1);
@@ -175,7 +175,7 @@
 }
 
 /// A router with this much grace.
-fn graced(server: &Server, grace: &str) -> RouterHarness {
+fn harness_with_grace(server: &Server, grace: &str) -> RouterHarness {
     use std::net::{Ipv4Addr, SocketAddr};
     let control = support::control::Control::at(SocketAddr::from(([127, 0, 0, 1], 0)));
     let text = support::harness::settings_text(&[Ipv4Addr::LOCALHOST], control.address.port(), "")
@@ -230,7 +230,7 @@
 /// request is not waited for.
 #[test]
 fn connection_after_long_body_is_reused() {
-    let server = quick();
+    let server = echo_server();
     let harness = RouterHarness::with(&[&server], 30_000, 1_000, 1);
     let mut client = harness.client();
     for (id, size) in [("a1", 1 << 20), ("a2", 1), ("a3", 100 << 10), ("a4", 1)] {
