--- a/emulators/src/rig/tests.rs
+++ b/emulators/src/rig/tests.rs
@@ -2,11 +2,11 @@
 
 use super::*;
 
-fn entry(at: u64, who: usize, what: Event) -> Entry {
+fn entry(at: u64, process: usize, event: Event) -> Entry {
     Entry {
         at: Duration::from_secs(at),
-        who,
-        what,
+        process,
+        event,
     }
 }
 
@@ -14,25 +14,25 @@
     entry(
         at,
         by,
-        Event::Said(format!("lichenswitch: fleet: n{of} down (life 1): silent")),
+        Event::Logged(format!("lichenswitch: fleet: n{of} down (life 1): silent")),
     )
 }
 
 /// The checker is checked: it must find what was planted, and nothing else.
 #[test]
-fn planted_holders_at_a_time_and_fences_that_do_not_grow_are_found() {
-    let held = |at, who, fence: u64| {
+fn overlapping_holders_and_non_growing_fencing_tokens_are_found() {
+    let held = |at, process, fence: u64| {
         entry(
             at,
-            who,
-            Event::Said(format!("x: duty d: held under fence {fence}: y")),
+            process,
+            Event::Logged(format!("x: duty d: held under fence {fence}: y")),
         )
     };
-    let over = |at, who, ago: u64| {
+    let over = |at, process, ago: u64| {
         entry(
             at,
-            who,
-            Event::Said(format!(
+            process,
+            Event::Logged(format!(
                 "x: duty d: not held: the lease ran out {ago} ms ago"
             )),
         )
@@ -90,9 +90,11 @@
 }
 
 #[test]
-fn a_planted_wrong_death_is_found_and_explained_ones_are_not() {
+fn unexplained_death_is_found_and_explained_deaths_are_not() {
     let before = Duration::from_secs(5);
-    let start: Vec<Entry> = (0..3).map(|who| entry(0, who, Event::Started)).collect();
+    let start: Vec<Entry> = (0..3)
+        .map(|process| entry(0, process, Event::Started))
+        .collect();
     let judge = |more: &[Entry]| {
         let found = judge_deaths(&[&start, more].concat(), 3, before);
         (found.checked, found.wrong.len())
@@ -142,7 +144,7 @@
         (1, 1)
     );
     assert_eq!(
-        judge(&[entry(5, 0, Event::Said("fleet: n9 down".into()))]),
+        judge(&[entry(5, 0, Event::Logged("fleet: n9 down".into()))]),
         (0, 0)
     );
 }
--- a/experiments/src/council.rs
+++ b/experiments/src/council.rs
@@ -59,14 +59,16 @@
 fn holder(entries: &[Entry]) -> Option<usize> {
     let mut holds = None;
     for entry in entries {
-        match &entry.what {
-            Event::Said(line) if line.contains("duty d: held under fence") => {
-                holds = Some(entry.who)
+        match &entry.event {
+            Event::Logged(line) if line.contains("duty d: held under fence") => {
+                holds = Some(entry.process)
             }
-            Event::Said(line) if line.contains("duty d: not held") && holds == Some(entry.who) => {
+            Event::Logged(line)
+                if line.contains("duty d: not held") && holds == Some(entry.process) =>
+            {
                 holds = None
             }
-            Event::Killed if holds == Some(entry.who) => holds = None,
+            Event::Killed if holds == Some(entry.process) => holds = None,
             _ => {}
         }
     }
@@ -90,7 +92,7 @@
     let mut rig = Rig::new(program, brokers, seed)?;
     let ran = befall(&mut rig, seed, brokers, voters.min(brokers), faults);
     if let Some(path) = ledger {
-        let line = |e: &Entry| format!("{:.3} n{} {:?}\n", e.at.as_secs_f64(), e.who, e.what);
+        let line = |e: &Entry| format!("{:.3} n{} {:?}\n", e.at.as_secs_f64(), e.process, e.event);
         let lines: String = rig.ledger.all().iter().map(line).collect();
         std::fs::write(path, lines).map_err(ExperimentError::write(path))?;
     }
@@ -164,7 +166,7 @@
                 report.stops += 1;
                 rig.stop(who);
                 over(rig);
-                rig.go_on(who);
+                rig.resume(who);
             }
             3 => {
                 report.splits += 1;
@@ -231,8 +233,8 @@
             });
             let next = rig.ledger.all()[since..]
                 .iter()
-                .find_map(|e| match &e.what {
-                    Event::Said(line) if line.contains("held under fence") => Some(e.at),
+                .find_map(|e| match &e.event {
+                    Event::Logged(line) if line.contains("held under fence") => Some(e.at),
                     _ => None,
                 });
             report
--- a/experiments/src/fleet.rs
+++ b/experiments/src/fleet.rs
@@ -3,7 +3,7 @@
 //! differ from run to run; the faults do not.
 
 use crate::ExperimentError;
-use lichenswitch_emulators::rig::{agree, judge_deaths, Entry, Rig};
+use lichenswitch_emulators::rig::{judge_deaths, members_agree, Entry, Rig};
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use serde::Serialize;
@@ -84,7 +84,7 @@
     let mut rig = Rig::new(program, brokers, seed)?;
     let ran = befall(&mut rig, &mut dice, seed, brokers, faults);
     if let Some(path) = ledger {
-        let line = |e: &Entry| format!("{:.3} n{} {:?}\n", e.at.as_secs_f64(), e.who, e.what);
+        let line = |e: &Entry| format!("{:.3} n{} {:?}\n", e.at.as_secs_f64(), e.process, e.event);
         let lines: String = rig.ledger.all().iter().map(line).collect();
         std::fs::write(path, lines).map_err(ExperimentError::write(path))?;
     }
@@ -110,13 +110,14 @@
         rig.start_broker(who, files)?;
     }
     let all: Vec<usize> = (0..brokers).collect();
-    let knows =
-        |rig: &Rig, living: &[usize], what: &str| match rig.until(MOST, |e| agree(e, living)) {
-            true => Ok(()),
-            false => Err(ExperimentError::Unmet(format!(
-                "{living:?} do not know each other after {what}"
-            ))),
-        };
+    let knows = |rig: &Rig, living: &[usize], what: &str| match rig
+        .until(MOST, |e| members_agree(e, living))
+    {
+        true => Ok(()),
+        false => Err(ExperimentError::Unmet(format!(
+            "{living:?} do not know each other after {what}"
+        ))),
+    };
     let listen = |rig: &Rig| {
         rig.ledger
             .all()
@@ -149,7 +150,7 @@
                 report.stops += 1;
                 rig.stop(who);
                 knows(rig, &living, "a stop")?;
-                rig.go_on(who);
+                rig.resume(who);
             }
             2 => {
                 report.cuts += 1;
--- a/tests/consensus.rs
+++ b/tests/consensus.rs
@@ -68,7 +68,7 @@
     /// Waits until a broker has logged this, by the entries of the ledger from `since` on.
     fn wait_for_log(&self, broker: usize, since: usize, text: &str) {
         let says = |e: &Entry| {
-            e.who == broker && matches!(&e.what, Event::Said(line) if line.contains(text))
+            e.process == broker && matches!(&e.event, Event::Logged(line) if line.contains(text))
         };
         let is_logged = self
             .rig
@@ -76,7 +76,7 @@
         assert!(
             is_logged,
             "n{broker} never logs {text:?}: {:?}",
-            self.rig.ledger.all().iter().rfind(|e| e.who == broker)
+            self.rig.ledger.all().iter().rfind(|e| e.process == broker)
         );
     }
 
@@ -96,7 +96,7 @@
     /// over.
     fn check_holders(&self) -> usize {
         let found = judge_holders(&self.rig.ledger.all(), "compiler", RESUME_TIMEOUT);
-        let told = |e: &&Entry| !matches!(&e.what, Event::Said(l) if l.contains("fleet:") || l.contains("discovery"));
+        let told = |e: &&Entry| !matches!(&e.event, Event::Logged(l) if l.contains("fleet:") || l.contains("discovery"));
         let entries = self.rig.ledger.all();
         let around: Vec<&Entry> = entries.iter().filter(told).collect();
         assert!(found.wrong.is_empty(), "{:#?}: {around:#?}", found.wrong);
@@ -107,13 +107,13 @@
 /// The last of these brokers that has logged that it holds the role, and not since that it does not.
 fn current_holder(entries: &[Entry], of: &[usize]) -> Option<usize> {
     let mut holder = None;
-    for entry in entries.iter().filter(|e| of.contains(&e.who)) {
-        match &entry.what {
-            Event::Said(line) if line.contains("duty compiler: held under fence") => {
-                holder = Some(entry.who)
+    for entry in entries.iter().filter(|e| of.contains(&e.process)) {
+        match &entry.event {
+            Event::Logged(line) if line.contains("duty compiler: held under fence") => {
+                holder = Some(entry.process)
             }
-            Event::Said(line)
-                if line.contains("duty compiler: not held") && holder == Some(entry.who) =>
+            Event::Logged(line)
+                if line.contains("duty compiler: not held") && holder == Some(entry.process) =>
             {
                 holder = None
             }
@@ -149,7 +149,7 @@
     cluster.rig.stop(second);
     let third = cluster.wait_for_holder(&others(5, second), since);
     let since = cluster.entry_count();
-    cluster.rig.go_on(second);
+    cluster.rig.resume(second);
     cluster.wait_for_log(second, since, "duty compiler: not held");
     // The holder is partitioned off: its lease expires before another broker has one.
     let since = cluster.entry_count();
@@ -186,7 +186,8 @@
     let second = cluster.wait_for_holder(&rest, since);
     cluster.wait_for_log(first, since, "duty compiler: not held");
     let is_held_there = cluster.rig.ledger.all()[since..].iter().any(|e| {
-        side.contains(&e.who) && matches!(&e.what, Event::Said(l) if l.contains("held under fence"))
+        side.contains(&e.process)
+            && matches!(&e.event, Event::Logged(l) if l.contains("held under fence"))
     });
     assert!(!is_held_there, "two voters grant nothing");
     cluster.set_partition(&side, false);
@@ -227,7 +228,7 @@
     if holder > 2 {
         cluster.wait_for_holder(&others(5, holder), since);
     }
-    cluster.rig.go_on(holder);
+    cluster.rig.resume(holder);
     // A file of another cluster is set aside.
     cluster.rig.kill(1);
     let file = cluster.storage(1).join("memory");
@@ -256,8 +257,8 @@
     (0..4).for_each(|broker| cluster.start(broker));
     cluster.wait_for_holder(&[0, 1, 2, 3], since);
     let entries = cluster.rig.ledger.all();
-    let genesis = |e: &Entry| match &e.what {
-        Event::Said(line) => Some(
+    let genesis = |e: &Entry| match &e.event {
+        Event::Logged(line) => Some(
             line.split("genesis ")
                 .nth(1)?
                 .split(' ')
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -2,7 +2,7 @@
 //! alive, and what the protocol withstands.
 
 use lichenswitch_emulators::relay::Faults;
-use lichenswitch_emulators::rig::{agree, judge_deaths, known, Entry, Event, Rig};
+use lichenswitch_emulators::rig::{judge_deaths, known_members, members_agree, Entry, Event, Rig};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::path::{Path, PathBuf};
@@ -50,14 +50,14 @@
     fn wait_for_views(&self, living: &[usize]) {
         let agreed = self
             .rig
-            .until(WAIT_TIMEOUT, |entries| agree(entries, living));
+            .until(WAIT_TIMEOUT, |entries| members_agree(entries, living));
         let entries = self.rig.ledger.all();
         let views: Vec<_> = living
             .iter()
-            .map(|broker| known(&entries, *broker))
+            .map(|broker| known_members(&entries, *broker))
             .collect();
         // The last lines tell why.
-        let last = |broker: &usize| entries.iter().rfind(|e| e.who == *broker).cloned();
+        let last = |broker: &usize| entries.iter().rfind(|e| e.process == *broker).cloned();
         let last: Vec<_> = living.iter().map(last).collect();
         assert!(agreed, "{living:?} know {views:?}: {last:?}");
     }
@@ -72,8 +72,9 @@
 
 /// How many lines of a broker have this text.
 fn count_lines(entries: &[Entry], broker: usize, text: &str) -> usize {
-    let says =
-        |e: &&Entry| e.who == broker && matches!(&e.what, Event::Said(line) if line.contains(text));
+    let says = |e: &&Entry| {
+        e.process == broker && matches!(&e.event, Event::Logged(line) if line.contains(text))
+    };
     entries.iter().filter(says).count()
 }
 
@@ -102,11 +103,11 @@
     fleet.wait_for_views(&[0, 1, 2, 3, 4]);
     fleet.rig.stop(3);
     fleet.wait_for_views(&[0, 1, 2, 4]);
-    fleet.rig.go_on(3);
+    fleet.rig.resume(3);
     fleet.wait_for_views(&[0, 1, 2, 3, 4]);
     let entries = fleet.rig.ledger.all();
     let deaths_by_it =
-        |e: &&Entry| e.who == 3 && matches!(&e.what, Event::Said(l) if l.contains(" down "));
+        |e: &&Entry| e.process == 3 && matches!(&e.event, Event::Logged(l) if l.contains(" down "));
     assert_eq!(
         entries.iter().filter(deaths_by_it).count(),
         0,
@@ -192,7 +193,7 @@
     let fleet = TestFleet::new(2, 5);
     fleet.wait_for_views(&[0, 1]);
     let send = |bytes: &[u8]| {
-        let mut stream = TcpStream::connect(fleet.rig.listens[0]).unwrap();
+        let mut stream = TcpStream::connect(fleet.rig.addresses[0]).unwrap();
         stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         stream.write_all(bytes).unwrap();
         stream
@@ -242,7 +243,7 @@
     }
     // The protocol goes on, also beside many connections on which nothing is sent.
     let _idle: Vec<TcpStream> = (0..60)
-        .map(|_| TcpStream::connect(fleet.rig.listens[0]).unwrap())
+        .map(|_| TcpStream::connect(fleet.rig.addresses[0]).unwrap())
         .collect();
     let carried = fleet.rig.link(0, 1).counts().0;
     assert!(fleet
@@ -266,7 +267,7 @@
         0,
         "n0 listens on"
     ) == 1));
-    assert!(TcpStream::connect(fleet.rig.listens[0]).is_err());
+    assert!(TcpStream::connect(fleet.rig.addresses[0]).is_err());
     assert_eq!(fleet.rig.end(0), Some(0));
     let entries = fleet.rig.ledger.all();
     assert_eq!(
