--- a/emulators/src/byte_link.rs
+++ b/emulators/src/byte_link.rs
@@ -1,6 +1,6 @@
-//! A stand-in for the network between two processes that carries bytes as they are, both ways, and
-//! can be cut: as behind a network that is down, nothing that was sent comes through, no end of a
-//! connection is heard of, new connections hang, and all of it comes once the link is healed.
+//! Emulates the network between two processes: bytes are forwarded unchanged in both directions, and
+//! the link can be partitioned. During a partition no bytes and no end of a connection get through,
+//! and new connections hang; all of it is delivered once the link is healed.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -9,17 +9,17 @@
 use std::thread;
 use std::time::Duration;
 
-/// How often a link that is cut looks whether it is healed.
-const LOOK: Duration = Duration::from_millis(3);
-/// Bytes that are carried at a time.
-const PIECE: usize = 32 * 1_024;
+/// Interval at which a partitioned link checks whether it is healed.
+const HEAL_POLL_INTERVAL: Duration = Duration::from_millis(3);
+/// The most bytes that are forwarded at a time.
+const CHUNK_BYTES: usize = 32 * 1_024;
 
-/// A link to one address.
+/// A link to one address. Its threads end with the process.
 #[derive(Clone, Debug)]
 pub struct ByteLink {
-    /// Where the other side connects instead.
+    /// The address to which the other side connects instead.
     pub address: SocketAddr,
-    cut: Arc<AtomicBool>,
+    is_partitioned: Arc<AtomicBool>,
 }
 
 impl ByteLink {
@@ -31,56 +31,56 @@
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let link = ByteLink {
             address: listener.local_addr()?,
-            cut: Arc::default(),
+            is_partitioned: Arc::default(),
         };
-        let cut = link.cut.clone();
+        let is_partitioned = link.is_partitioned.clone();
         thread::spawn(move || {
             for from in listener.incoming().flatten() {
-                let cut = cut.clone();
-                thread::spawn(move || join(from, to, &cut));
+                let is_partitioned = is_partitioned.clone();
+                thread::spawn(move || connect_through(from, to, &is_partitioned));
             }
         });
         Ok(link)
     }
 
-    /// Cuts the link, or heals it.
-    pub fn set_cut(&self, cut: bool) {
-        self.cut.store(cut, Ordering::SeqCst);
+    /// Partitions the link, or heals it.
+    pub fn set_partitioned(&self, is_partitioned: bool) {
+        self.is_partitioned.store(is_partitioned, Ordering::SeqCst);
     }
 }
 
-/// Joins a connection to a new one to this address.
-fn join(from: TcpStream, to: SocketAddr, cut: &Arc<AtomicBool>) {
-    wait(cut);
-    let Ok(onward) = TcpStream::connect(to) else {
-        // Nobody listens there: the other side hears of it as it would without a link.
+/// Connects to `to`, and forwards bytes between the two connections.
+fn connect_through(from: TcpStream, to: SocketAddr, is_partitioned: &Arc<AtomicBool>) {
+    wait_until_healed(is_partitioned);
+    let Ok(upstream) = TcpStream::connect(to) else {
+        // Nobody listens there: the connection ends, much as it would be refused without a link.
         return drop(from.shutdown(Shutdown::Both));
     };
-    let (Ok(back_from), Ok(back_to)) = (onward.try_clone(), from.try_clone()) else {
+    let (Ok(back_from), Ok(back_to)) = (upstream.try_clone(), from.try_clone()) else {
         return;
     };
-    let back_cut = cut.clone();
-    thread::spawn(move || carry(back_from, back_to, &back_cut));
-    carry(from, onward, cut);
+    let back_is_partitioned = is_partitioned.clone();
+    thread::spawn(move || forward(back_from, back_to, &back_is_partitioned));
+    forward(from, upstream, is_partitioned);
 }
 
-/// Carries bytes one way until either end is over.
-fn carry(mut from: TcpStream, mut to: TcpStream, cut: &AtomicBool) {
-    let mut piece = vec![0; PIECE];
+/// Forwards bytes in one direction until either end closes.
+fn forward(mut from: TcpStream, mut to: TcpStream, is_partitioned: &AtomicBool) {
+    let mut chunk = vec![0; CHUNK_BYTES];
     loop {
-        let read = from.read(&mut piece).unwrap_or(0);
-        wait(cut);
-        if read == 0 || to.write_all(&piece[..read]).is_err() {
+        let read = from.read(&mut chunk).unwrap_or(0);
+        wait_until_healed(is_partitioned);
+        if read == 0 || to.write_all(&chunk[..read]).is_err() {
             break;
         }
     }
-    // An end that is gone already needs none.
+    // Closing an end that is gone already fails, which is fine.
     let _ = (from.shutdown(Shutdown::Read), to.shutdown(Shutdown::Write));
 }
 
-fn wait(cut: &AtomicBool) {
-    while cut.load(Ordering::SeqCst) {
-        thread::sleep(LOOK);
+fn wait_until_healed(is_partitioned: &AtomicBool) {
+    while is_partitioned.load(Ordering::SeqCst) {
+        thread::sleep(HEAL_POLL_INTERVAL);
     }
 }
 
--- a/emulators/src/byte_link/tests.rs
+++ b/emulators/src/byte_link/tests.rs
@@ -8,7 +8,7 @@
     (end, link)
 }
 
-/// Whether nothing comes within a moment.
+/// Whether nothing arrives within 50 ms.
 fn is_silent(stream: &mut TcpStream) -> bool {
     stream
         .set_read_timeout(Some(Duration::from_millis(50)))
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn what_is_sent_over_a_cut_comes_both_ways_once_it_is_healed() {
+fn bytes_sent_during_partition_arrive_both_ways_after_healing() {
     let (end, link) = linked();
     let mut from = TcpStream::connect(link.address).unwrap();
     let (mut to, _) = end.accept().unwrap();
@@ -27,11 +27,11 @@
     from.write_all(b"ab").unwrap();
     to.read_exact(&mut got).unwrap();
     assert_eq!(&got, b"ab");
-    link.set_cut(true);
+    link.set_partitioned(true);
     from.write_all(b"cd").unwrap();
     to.write_all(b"ef").unwrap();
     assert!(is_silent(&mut to) && is_silent(&mut from));
-    link.set_cut(false);
+    link.set_partitioned(false);
     to.read_exact(&mut got).unwrap();
     assert_eq!(&got, b"cd");
     from.read_exact(&mut got).unwrap();
@@ -39,13 +39,13 @@
 }
 
 #[test]
-fn the_end_of_a_connection_is_not_heard_over_a_cut() {
+fn connection_end_during_partition_is_seen_only_after_healing() {
     let (end, link) = linked();
     let from = TcpStream::connect(link.address).unwrap();
     let (mut to, _) = end.accept().unwrap();
-    link.set_cut(true);
+    link.set_partitioned(true);
     drop(from);
     assert!(is_silent(&mut to));
-    link.set_cut(false);
+    link.set_partitioned(false);
     assert_eq!(to.read(&mut [0]).unwrap_or(0), 0);
 }
--- a/emulators/src/discovery.rs
+++ b/emulators/src/discovery.rs
@@ -1,13 +1,14 @@
-//! The platform's discovery: the whole list when asked, and watches that wait.
+//! Emulates the platform's discovery with a constant list: it returns the complete list, and lets
+//! watches wait until their timeout.
 
 use crate::http;
 use std::net::{SocketAddr, TcpListener};
 use std::thread;
 use std::time::Duration;
 
-/// One line of the list.
+/// A data node in the list.
 #[derive(Clone, Debug)]
-pub struct Line {
+pub struct Instance {
     /// Id of the data node.
     pub id: String,
     /// Where it listens.
@@ -16,12 +17,12 @@
     pub cell: u32,
 }
 
-/// Serves a list that does not change, for as long as the process; tells where.
+/// Serves a constant list for as long as the process runs, and returns its address.
 ///
 /// # Errors
 /// When no address of loopback can be listened on.
-pub fn start(lines: &[Line]) -> std::io::Result<SocketAddr> {
-    let list = list(lines);
+pub fn start(instances: &[Instance]) -> std::io::Result<SocketAddr> {
+    let list = list(instances);
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
     thread::spawn(move || {
@@ -33,9 +34,9 @@
                     {
                         thread::sleep(Duration::from_millis(wait));
                         let none = r#"{"generation":1,"reset":false,"instances":[]}"#;
-                        return http::answer(stream, 200, "application/json", none);
+                        return http::respond(stream, 200, "application/json", none);
                     }
-                    http::answer(stream, 200, "application/json", &list)
+                    http::respond(stream, 200, "application/json", &list)
                 });
             });
         }
@@ -43,13 +44,13 @@
     Ok(address)
 }
 
-/// The list as discovery words it.
+/// The list in discovery's JSON format.
 #[must_use]
-pub fn list(lines: &[Line]) -> String {
-    let line = |l: &Line| {
-        serde_json::json!({"instanceId": l.id, "hostPort": l.address.to_string(), "zone": "a", "machineType": "m",
-            "cell": l.cell, "lifecycle": "SERVING", "weight": 1.0, "startedAtMs": 0})
+pub fn list(instances: &[Instance]) -> String {
+    let instance_json = |instance: &Instance| {
+        serde_json::json!({"instanceId": instance.id, "hostPort": instance.address.to_string(), "zone": "a", "machineType": "m",
+            "cell": instance.cell, "lifecycle": "SERVING", "weight": 1.0, "startedAtMs": 0})
     };
-    let instances: Vec<_> = lines.iter().map(line).collect();
+    let instances: Vec<_> = instances.iter().map(instance_json).collect();
     serde_json::json!({"generation": 1, "reset": true, "instances": instances}).to_string()
 }
--- a/emulators/src/features.rs
+++ b/emulators/src/features.rs
@@ -155,7 +155,7 @@
             asked.0 >= west && asked.1 <= east
         };
         let problem = |stream: &mut TcpStream, status| {
-            http::answer(stream, status, "application/problem+json", "{}")
+            http::respond(stream, status, "application/problem+json", "{}")
         };
         match mood {
             Mood::Withhold(west, east) if within(west, east) => return true,
@@ -165,7 +165,7 @@
             Mood::CantSort if sorted => return problem(stream, 400),
             Mood::DieInSecond if second => return false,
             Mood::LateFirst(ms) if sorted && !second => thread::sleep(Duration::from_millis(ms)),
-            Mood::Spoil => return http::answer(stream, 200, "application/geo+json", "{\"type\":"),
+            Mood::Spoil => return http::respond(stream, 200, "application/geo+json", "{\"type\":"),
             _ => {}
         }
         let Some(body) = self.body(request, mood) else {
@@ -176,7 +176,7 @@
             .unwrap_or_else(|e| e.into_inner())
             .answered
             .push(request.target.clone());
-        http::answer(stream, 200, "application/geo+json", &body.to_string())
+        http::respond(stream, 200, "application/geo+json", &body.to_string())
     }
 
     fn body(&self, request: &Request, mood: Mood) -> Option<Json> {
--- a/emulators/src/fleet_processes.rs
+++ b/emulators/src/fleet_processes.rs
@@ -181,8 +181,8 @@
 
     /// Cuts the control processes of these machines off from those of all others, and heals all
     /// other links between control processes.
-    pub fn cut(&self, side: &[usize]) {
-        self.links.cut(side);
+    pub fn partition(&self, side: &[usize]) {
+        self.links.partition(side);
     }
 
     /// How many machines it has.
--- a/emulators/src/fleet_processes/links.rs
+++ b/emulators/src/fleet_processes/links.rs
@@ -1,20 +1,20 @@
-//! Links between the control processes of a fleet: what one says to another goes through one of
-//! them, which can be cut. Routers, clients and operators go on reaching all machines.
+//! Links between the control processes of a fleet: their connections to each other go through these
+//! links, which can be partitioned. Routers, clients and operators still reach all machines.
 
 use crate::byte_link::ByteLink;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// The links, by the machine that connects and the one that is connected to. None where processes
-/// reach each other as they are.
+/// The links, by the machine that connects and the one that is connected to. Empty where processes
+/// connect to each other directly.
 #[derive(Debug, Default)]
 pub(super) struct Links {
     between: BTreeMap<(usize, usize), (SocketAddr, ByteLink)>,
 }
 
 impl Links {
-    /// Links between machines at these addresses, each to the other's control process.
+    /// Starts a link from each machine at these addresses to every other one's control process.
     pub(super) fn between(addresses: &[Ipv4Addr], port: u16) -> std::io::Result<Links> {
         let mut between = BTreeMap::new();
         for from in 0..addresses.len() {
@@ -26,14 +26,14 @@
         Ok(Links { between })
     }
 
-    /// Cuts all links between these machines and the others, and heals the rest.
-    pub(super) fn cut(&self, side: &[usize]) {
+    /// Partitions all links between the machines of `side` and the others, and heals the rest.
+    pub(super) fn partition(&self, side: &[usize]) {
         for ((from, to), (_, link)) in &self.between {
-            link.set_cut(side.contains(from) != side.contains(to));
+            link.set_partitioned(side.contains(from) != side.contains(to));
         }
     }
 
-    /// What the settings of a machine's control process say of its links.
+    /// The section of a control process's settings that lists its links; empty without links.
     pub(super) fn settings(&self, machine: usize) -> String {
         let own = self
             .between
--- a/emulators/src/http.rs
+++ b/emulators/src/http.rs
@@ -1,4 +1,4 @@
-//! As much of HTTP/1.1 as a data node needs: requests with a length, answers with one.
+//! The subset of HTTP/1.1 that a data node needs: requests and responses with a `Content-Length`.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -8,7 +8,7 @@
 pub struct Request {
     /// Its method.
     pub method: String,
-    /// Its target as it came.
+    /// Its target as received.
     pub target: String,
 }
 
@@ -28,14 +28,14 @@
     }
 }
 
-/// Takes the next complete request off what was read.
+/// Removes the next complete request from the buffer; `None`: there is none yet.
 ///
 /// # Errors
-/// The bytes are no request.
-pub fn next(held: &mut Vec<u8>) -> Result<Option<Request>, httparse::Error> {
+/// When the bytes are no request.
+pub fn take_request(buffer: &mut Vec<u8>) -> Result<Option<Request>, httparse::Error> {
     let mut headers = [httparse::EMPTY_HEADER; 64];
     let mut head = httparse::Request::new(&mut headers);
-    let used = match head.parse(held)? {
+    let used = match head.parse(buffer)? {
         httparse::Status::Complete(used) => used,
         httparse::Status::Partial => return Ok(None),
     };
@@ -50,15 +50,15 @@
         method: head.method.unwrap_or_default().into(),
         target: head.path.unwrap_or_default().into(),
     };
-    if held.len() < used + length {
+    if buffer.len() < used + length {
         return Ok(None);
     }
-    held.drain(..used + length);
+    buffer.drain(..used + length);
     Ok(Some(request))
 }
 
-/// Writes an answer with a JSON body; `false`: nobody takes it any more.
-pub fn answer(stream: &mut TcpStream, status: u16, kind: &str, body: &str) -> bool {
+/// Writes a response with this content type and body; `false`: the connection is gone.
+pub fn respond(stream: &mut TcpStream, status: u16, kind: &str, body: &str) -> bool {
     let head = format!(
         "HTTP/1.1 {status} Told\r\nContent-Type: {kind}\r\nContent-Length: {}\r\n\r\n",
         body.len()
@@ -68,16 +68,16 @@
         .is_ok()
 }
 
-/// Reads requests from a connection until it ends; `handle` tells whether to go on.
+/// Reads requests from a connection until it ends, or `handle` returns `false`.
 pub fn serve(mut stream: TcpStream, mut handle: impl FnMut(&mut TcpStream, &Request) -> bool) {
-    let (mut held, mut chunk) = (Vec::new(), [0; 4096]);
+    let (mut buffer, mut chunk) = (Vec::new(), [0; 4096]);
     loop {
         match stream.read(&mut chunk) {
-            Ok(n) if n > 0 => held.extend_from_slice(&chunk[..n]),
+            Ok(n) if n > 0 => buffer.extend_from_slice(&chunk[..n]),
             _ => return,
         }
         loop {
-            match next(&mut held) {
+            match take_request(&mut buffer) {
                 Ok(Some(request)) if handle(&mut stream, &request) => {}
                 Ok(None) => break,
                 _ => return,
--- a/emulators/src/model_server.rs
+++ b/emulators/src/model_server.rs
@@ -137,9 +137,9 @@
     /// A connection more than it takes was reset.
     ConnectionReset,
     /// A control machine acknowledged what the server said of itself.
-    Acknowledged(heartbeat::Word, SocketAddr),
+    Acknowledged(heartbeat::ServerReport, SocketAddr),
     /// A control machine did not.
-    Unacknowledged(heartbeat::Word, SocketAddr),
+    Unacknowledged(heartbeat::ServerReport, SocketAddr),
 }
 
 /// What happened at a server, in order.
--- a/emulators/src/model_server/heartbeat.rs
+++ b/emulators/src/model_server/heartbeat.rs
@@ -1,5 +1,5 @@
-//! What a server says of itself to the control machines: heartbeats, that it drains, that it
-//! leaves.
+//! Reports of a model server to the control machines: heartbeats with its state (`ready` or
+//! `draining`), and its deregistration.
 
 use super::{lock, Event, Shared};
 use crate::stream_client::message::{Answer, Call};
@@ -9,39 +9,43 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// An acknowledgement counts if it comes within this.
-pub const PATIENCE: Duration = Duration::from_secs(1);
-/// The most that an acknowledgement may hold.
-const ANSWER_BYTES: usize = 4 * 1024;
+/// An acknowledgement counts if it arrives within this time.
+pub const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Delay between two rounds over all control machines.
+const ROUND_INTERVAL: Duration = Duration::from_millis(50);
+/// The greatest size of an acknowledgement's body.
+const MAX_RESPONSE_BYTES: usize = 4 * 1024;
 
-/// What was said.
+/// What a server reports of itself.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Word {
+pub enum ServerReport {
     /// `ready`, with this sequence number.
     Ready(u64),
     /// `draining`, with this sequence number.
     Draining(u64),
-    /// That it leaves.
+    /// Its deregistration.
     Deregister,
 }
 
-/// A server's talk with the control machines. Dropped, it falls silent.
+/// A server's registration with the control machines: a thread reports its state at an interval.
+/// Dropping it stops the heartbeats.
 #[derive(Debug)]
 pub struct Registration {
-    talk: Arc<Talk>,
+    reporter: Arc<Reporter>,
 }
 
 #[derive(Debug)]
-struct Talk {
+struct Reporter {
     shared: Arc<Shared>,
     control: Vec<SocketAddr>,
-    /// The machine that is called first: the one that answered last, or that it pointed to.
+    /// The machine that is called first: the one that acknowledged last, or the one named by its
+    /// `heartbeatEndpoint`.
     preferred: Mutex<Option<SocketAddr>>,
     turn: AtomicU64,
     sequence_number: AtomicU64,
-    silent: AtomicBool,
-    rest: Mutex<()>,
-    woken: Condvar,
+    stopped: AtomicBool,
+    sleep_lock: Mutex<()>,
+    wake_up: Condvar,
 }
 
 impl Registration {
@@ -50,59 +54,59 @@
         control: Vec<SocketAddr>,
         interval: Duration,
     ) -> Registration {
-        // Servers begin at different machines.
+        // Spreads the first calls of the servers over the machines.
         let turn = u64::from(shared.address.port());
-        let talk = Arc::new(Talk {
+        let reporter = Arc::new(Reporter {
             shared,
             control,
             preferred: Mutex::default(),
             turn: AtomicU64::new(turn),
             sequence_number: AtomicU64::new(0),
-            silent: AtomicBool::new(false),
-            rest: Mutex::default(),
-            woken: Condvar::new(),
+            stopped: AtomicBool::new(false),
+            sleep_lock: Mutex::default(),
+            wake_up: Condvar::new(),
         });
-        let beating = talk.clone();
+        let reporting = reporter.clone();
         thread::spawn(move || {
-            while !beating.is_silent() {
-                beating.beat(Instant::now() + interval);
-                let rest = lock(&beating.rest);
+            while !reporting.is_stopped() {
+                reporting.send_state(Instant::now() + interval);
+                let sleep_lock = lock(&reporting.sleep_lock);
                 drop(
-                    beating
-                        .woken
-                        .wait_timeout_while(rest, interval, |()| !beating.is_silent()),
+                    reporting
+                        .wake_up
+                        .wait_timeout_while(sleep_lock, interval, |()| !reporting.is_stopped()),
                 );
             }
         });
-        Registration { talk }
+        Registration { reporter }
     }
 
-    /// Says no more heartbeats; the server serves on.
-    pub fn fall_silent(&self) {
-        let rest = lock(&self.talk.rest);
-        self.talk.silent.store(true, Ordering::SeqCst);
-        drop(rest);
-        self.talk.woken.notify_all();
+    /// Stops the heartbeats; the server goes on serving.
+    pub fn stop_heartbeats(&self) {
+        let sleep_lock = lock(&self.reporter.sleep_lock);
+        self.reporter.stopped.store(true, Ordering::SeqCst);
+        drop(sleep_lock);
+        self.reporter.wake_up.notify_all();
     }
 
-    /// Says `draining` until that is acknowledged, for so long at most; tells whether it was. The
-    /// server serves on.
+    /// Reports `draining` until that is acknowledged, for `at_most`; returns whether it was. The
+    /// server goes on serving.
     pub fn drain(&self, at_most: Duration) -> bool {
-        self.talk.shared.draining.store(true, Ordering::SeqCst);
-        self.talk.beat(Instant::now() + at_most)
+        self.reporter.shared.draining.store(true, Ordering::SeqCst);
+        self.reporter.send_state(Instant::now() + at_most)
     }
 
-    /// Says that the server leaves until that is acknowledged, for so long at most; tells whether
-    /// it was.
+    /// Stops the heartbeats, and deregisters the server until that is acknowledged, for `at_most`;
+    /// returns whether it was.
     pub fn deregister(&self, at_most: Duration) -> bool {
-        self.fall_silent();
+        self.stop_heartbeats();
         let path = format!(
             "/instances/{}/deregister",
-            self.talk.shared.description.instance
+            self.reporter.shared.description.instance
         );
-        self.talk.say(
+        self.reporter.send_until_acknowledged(
             &Call::post(&path, ""),
-            Word::Deregister,
+            ServerReport::Deregister,
             Instant::now() + at_most,
         )
     }
@@ -110,19 +114,20 @@
 
 impl Drop for Registration {
     fn drop(&mut self) {
-        self.fall_silent();
+        self.stop_heartbeats();
     }
 }
 
-impl Talk {
-    fn is_silent(&self) -> bool {
-        self.silent.load(Ordering::SeqCst) || self.shared.is_stopped()
+impl Reporter {
+    fn is_stopped(&self) -> bool {
+        self.stopped.load(Ordering::SeqCst) || self.shared.is_stopped()
     }
 
-    /// Says how the server is, to one control machine after another until one acknowledges it.
-    fn beat(&self, until: Instant) -> bool {
+    /// Reports the server's state to one control machine after another until one acknowledges it;
+    /// returns whether one did before the deadline.
+    fn send_state(&self, deadline: Instant) -> bool {
         let number = self.sequence_number.fetch_add(1, Ordering::SeqCst) + 1;
-        let leaving = self.shared.is_leaving();
+        let draining = self.shared.is_leaving();
         let description = &self.shared.description;
         let body = serde_json::json!({
             "service": description.service,
@@ -130,51 +135,56 @@
             "zone": description.zone,
             "version": "v1",
             "capacitySlots": description.slots,
-            "state": if leaving { "draining" } else { "ready" },
+            "state": if draining { "draining" } else { "ready" },
             "coldRemainingMs": 0,
             "stage": "both",
             "models": [{"name": "m", "version": description.version, "adapters": []}],
             "sequenceNumber": number,
         });
         let path = format!("/instances/{}/heartbeat", description.instance);
-        let word = if leaving {
-            Word::Draining(number)
+        let report = if draining {
+            ServerReport::Draining(number)
         } else {
-            Word::Ready(number)
+            ServerReport::Ready(number)
         };
-        self.say(&Call::post(&path, body.to_string()), word, until)
+        self.send_until_acknowledged(&Call::post(&path, body.to_string()), report, deadline)
     }
 
-    fn say(&self, call: &Call, word: Word, until: Instant) -> bool {
+    fn send_until_acknowledged(
+        &self,
+        call: &Call,
+        report: ServerReport,
+        deadline: Instant,
+    ) -> bool {
         loop {
-            for address in self.in_turn() {
+            for address in self.control_machines_in_turn() {
                 let began = Instant::now();
-                let answer = call.send_following(address, PATIENCE);
+                let answer = call.send_following(address, ACKNOWLEDGEMENT_TIMEOUT);
                 let answer = answer
                     .ok()
                     .filter(|answer| is_acknowledgement(answer, began.elapsed()));
                 let Some(answer) = answer else {
                     self.shared
                         .ledger
-                        .note("", Event::Unacknowledged(word, address));
+                        .note("", Event::Unacknowledged(report, address));
                     *lock(&self.preferred) = None;
                     self.turn.fetch_add(1, Ordering::SeqCst);
                     continue;
                 };
                 self.shared
                     .ledger
-                    .note("", Event::Acknowledged(word, address));
-                *lock(&self.preferred) = Some(points_to(&answer).unwrap_or(address));
+                    .note("", Event::Acknowledged(report, address));
+                *lock(&self.preferred) = Some(heartbeat_endpoint(&answer).unwrap_or(address));
                 return true;
             }
-            if Instant::now() >= until || self.shared.is_stopped() {
+            if Instant::now() >= deadline || self.shared.is_stopped() {
                 return false;
             }
-            thread::sleep(Duration::from_millis(50));
+            thread::sleep(ROUND_INTERVAL);
         }
     }
 
-    fn in_turn(&self) -> Vec<SocketAddr> {
+    fn control_machines_in_turn(&self) -> Vec<SocketAddr> {
         let turn = self.turn.load(Ordering::SeqCst) as usize;
         let mut all: Vec<SocketAddr> = lock(&self.preferred).iter().copied().collect();
         let count = self.control.len();
@@ -189,10 +199,12 @@
 }
 
 fn is_acknowledgement(answer: &Answer, took: Duration) -> bool {
-    (200..300).contains(&answer.status()) && took <= PATIENCE && answer.body.len() <= ANSWER_BYTES
+    (200..300).contains(&answer.status())
+        && took <= ACKNOWLEDGEMENT_TIMEOUT
+        && answer.body.len() <= MAX_RESPONSE_BYTES
 }
 
-fn points_to(answer: &Answer) -> Option<SocketAddr> {
+fn heartbeat_endpoint(answer: &Answer) -> Option<SocketAddr> {
     let body: serde_json::Value = serde_json::from_slice(&answer.body).ok()?;
     body.get("heartbeatEndpoint")?.as_str()?.parse().ok()
 }
--- a/emulators/src/model_server/tests.rs
+++ b/emulators/src/model_server/tests.rs
@@ -1,7 +1,7 @@
 //! The model server: what it refuses, how its faults look on the wire, and what it says to control
 //! machines.
 
-use super::heartbeat::Word;
+use super::heartbeat::ServerReport;
 use super::*;
 use crate::operator::scripted_control::{Reply, ScriptedControl};
 use crate::stream_client::message::{read_body, read_head, Answer, Call, MessageError};
@@ -407,8 +407,12 @@
             .status(),
         503
     );
-    let acknowledged =
-        |entry: &Entry| matches!(entry.what, Event::Acknowledged(Word::Draining(2), _));
+    let acknowledged = |entry: &Entry| {
+        matches!(
+            entry.what,
+            Event::Acknowledged(ServerReport::Draining(2), _)
+        )
+    };
     assert_eq!(server.ledger.count(acknowledged), 1);
 }
 
--- a/emulators/src/operator.rs
+++ b/emulators/src/operator.rs
@@ -1,6 +1,6 @@
-//! A scripted operator: it sends orders to the control machines as the protocol says, the same
-//! again and elsewhere where an answer is missing, two at once on the same version, and keeps a
-//! ledger by which the answers can be judged.
+//! A scripted operator: it sends orders to the control machines by the published protocol, repeats an
+//! order at other machines while a response is missing, can race two orders on the same version, and
+//! keeps a ledger from which [`judge`] checks the responses.
 
 pub mod document;
 pub mod scripted_control;
@@ -12,17 +12,17 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Silence after which the operator goes on to another machine.
-const SILENCE: Duration = Duration::from_secs(1);
-/// Its first pause between machines; each is longer by half, up to [`PAUSE_MOST`].
-const PAUSE: Duration = Duration::from_millis(20);
-/// The longest pause.
-const PAUSE_MOST: Duration = Duration::from_millis(500);
+/// Time without a response after which the operator goes on to another machine.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
+/// First backoff between two machines; each next one is longer by half, up to [`MAX_BACKOFF`].
+const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
+/// The longest backoff.
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
-/// What an order does.
+/// The kind of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Verb {
-    /// Brings a whole configuration.
+    /// Replaces the whole configuration.
     Replace,
     /// Changes named items.
     Update,
@@ -39,7 +39,7 @@
     }
 }
 
-/// An order: the same one is the same in all of these.
+/// An order; two are the same if all of these are.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Order {
     /// What it does.
@@ -56,33 +56,33 @@
     }
 }
 
-/// What became of an order, as far as the operator knows.
+/// The outcome of an order, as far as the operator knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// 200.
     Acknowledged,
     /// 412: another version is current.
     OtherVersion,
-    /// Refused for good with this status.
+    /// Rejected for good with this status.
     Refused(u16),
-    /// No clear answer in time: it may be in force or not.
+    /// No clear response in time: the order may be in force or not.
     Unclear,
 }
 
-/// Something that the operator did or got.
+/// Something that the operator sent or received.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Entry {
-    /// An order got this clear answer from this machine.
+    /// This machine responded to an order with this clear outcome.
     Answered(Order, SocketAddr, Outcome),
-    /// A machine gave no clear answer: a status that says to go on, or none.
+    /// A machine gave no clear response: a status that asks for a retry, or none at all.
     NoAnswer(Order, SocketAddr, Option<u16>),
-    /// The order was sent there, and the operator left before the answer.
-    Left(Order, SocketAddr),
+    /// The order was sent there, and the operator closed the connection before the response.
+    Abandoned(Order, SocketAddr),
     /// The configuration read back from there has this version.
     Read(SocketAddr, Option<u64>),
 }
 
-/// What is wrong with the answers by the published rules.
+/// A response that breaks the published rules.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
     /// Two different orders on this version were both acknowledged.
@@ -101,7 +101,7 @@
 }
 
 impl Operator {
-    /// An operator who knows these control machines.
+    /// An operator that uses these control machines.
     #[must_use]
     pub fn new(control: Vec<SocketAddr>) -> Operator {
         Operator {
@@ -110,14 +110,14 @@
         }
     }
 
-    fn note(&self, entry: Entry) {
+    fn record(&self, entry: Entry) {
         self.ledger
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner())
             .push(entry);
     }
 
-    /// What happened so far.
+    /// All entries so far.
     #[must_use]
     pub fn ledger(&self) -> Vec<Entry> {
         self.ledger
@@ -126,16 +126,17 @@
             .clone()
     }
 
-    /// Sends an order, first to the machine of that number, until it gets a clear answer, for so
-    /// long at most.
+    /// Sends an order, to the machine with the index `first` first, until it gets a clear response,
+    /// for `at_most`.
     #[must_use]
     pub fn send(&self, order: &Order, first: usize, at_most: Duration) -> Outcome {
-        let (until, mut pause, mut others) = (Instant::now() + at_most, PAUSE, 0);
+        let (deadline, mut backoff, mut other_rejections) =
+            (Instant::now() + at_most, INITIAL_BACKOFF, 0);
         for turn in 0.. {
             let to = self.control[(first + turn) % self.control.len()];
             let status = order
                 .call()
-                .send_following(to, SILENCE)
+                .send_following(to, RESPONSE_TIMEOUT)
                 .ok()
                 .map(|answer| answer.status());
             let outcome = match status {
@@ -143,37 +144,38 @@
                 Some(412) => Some(Outcome::OtherVersion),
                 Some(status @ (400 | 409 | 413 | 422)) => Some(Outcome::Refused(status)),
                 Some(status @ 400..=499) if status != 408 && status != 429 => {
-                    others += 1;
-                    (others == 3).then_some(Outcome::Refused(status))
+                    other_rejections += 1;
+                    (other_rejections == 3).then_some(Outcome::Refused(status))
                 }
                 _ => None,
             };
             if let Some(outcome) = outcome {
-                self.note(Entry::Answered(order.clone(), to, outcome));
+                self.record(Entry::Answered(order.clone(), to, outcome));
                 return outcome;
             }
-            self.note(Entry::NoAnswer(order.clone(), to, status));
-            if Instant::now() + pause >= until {
+            self.record(Entry::NoAnswer(order.clone(), to, status));
+            if Instant::now() + backoff >= deadline {
                 break;
             }
-            thread::sleep(pause);
-            pause = (pause * 3 / 2).min(PAUSE_MOST);
+            thread::sleep(backoff);
+            backoff = (backoff * 3 / 2).min(MAX_BACKOFF);
         }
         Outcome::Unclear
     }
 
-    /// Sends an order to the machine of that number and leaves before its answer.
+    /// Sends an order to the machine with the index `to`, and closes the connection before its
+    /// response.
     ///
     /// # Errors
     /// When it could not be sent.
-    pub fn send_and_leave(&self, order: &Order, to: usize) -> Result<(), MessageError> {
+    pub fn send_without_waiting(&self, order: &Order, to: usize) -> Result<(), MessageError> {
         let to = self.control[to % self.control.len()];
-        order.call().send_and_leave(to, SILENCE)?;
-        self.note(Entry::Left(order.clone(), to));
+        order.call().send_without_waiting(to, RESPONSE_TIMEOUT)?;
+        self.record(Entry::Abandoned(order.clone(), to));
         Ok(())
     }
 
-    /// Sends two orders at the same time, to two machines where there are as many.
+    /// Sends two orders at the same time, to two machines where there are two.
     #[must_use]
     pub fn race(&self, one: &Order, other: &Order, at_most: Duration) -> (Outcome, Outcome) {
         thread::scope(|scope| {
@@ -183,29 +185,29 @@
         })
     }
 
-    /// Reads the configuration back, from the machine of that number first, for so long at most.
+    /// Reads the configuration back, from the machine with the index `first` first, for `at_most`.
     #[must_use]
     pub fn describe(&self, first: usize, at_most: Duration) -> Option<Vec<u8>> {
-        let (until, mut pause) = (Instant::now() + at_most, PAUSE);
+        let (deadline, mut backoff) = (Instant::now() + at_most, INITIAL_BACKOFF);
         for turn in 0.. {
             let to = self.control[(first + turn) % self.control.len()];
-            let answer = Call::get("/configuration/describe").send_following(to, SILENCE);
+            let answer = Call::get("/configuration/describe").send_following(to, RESPONSE_TIMEOUT);
             if let Some(answer) = answer.ok().filter(|answer| answer.status() == 200) {
-                self.note(Entry::Read(to, document::version(&answer.body)));
+                self.record(Entry::Read(to, document::version(&answer.body)));
                 return Some(answer.body);
             }
-            if Instant::now() + pause >= until {
+            if Instant::now() + backoff >= deadline {
                 return None;
             }
-            thread::sleep(pause);
-            pause = (pause * 3 / 2).min(PAUSE_MOST);
+            thread::sleep(backoff);
+            backoff = (backoff * 3 / 2).min(MAX_BACKOFF);
         }
         None
     }
 
-    /// Judges all answers so far. Orders that were under way at the same time are in the ledger in
-    /// the order of their answers, so a read back counts only against what was acknowledged before
-    /// it in the ledger: use it where reads are not under way beside orders.
+    /// Checks all responses so far. Concurrent orders stand in the ledger in the order of their
+    /// responses, and a read is compared with what was acknowledged before it in the ledger: use
+    /// this only where no read runs beside an order.
     #[must_use]
     pub fn faults(&self) -> Vec<Fault> {
         judge(&self.ledger())
--- a/emulators/src/operator/tests.rs
+++ b/emulators/src/operator/tests.rs
@@ -79,12 +79,12 @@
     let before = leads(first.address);
     let answer = order(0, 1)
         .call()
-        .send_following(first.address, SILENCE)
+        .send_following(first.address, RESPONSE_TIMEOUT)
         .expect("an answer");
     assert_eq!(answer.status(), 200);
     let answer = order(0, 1)
         .call()
-        .send_following(before.address, SILENCE)
+        .send_following(before.address, RESPONSE_TIMEOUT)
         .expect("an answer");
     assert_eq!(answer.status(), 307);
 }
@@ -105,7 +105,9 @@
 fn an_order_that_is_left_has_reached_the_machine() {
     let machine = control(|_, _| Reply::status(200));
     let operator = Operator::new(vec![machine.address]);
-    operator.send_and_leave(&order(0, 1), 0).expect("sent");
+    operator
+        .send_without_waiting(&order(0, 1), 0)
+        .expect("sent");
     let until = Instant::now() + LONG;
     while machine.calls().is_empty() && Instant::now() < until {
         thread::yield_now();
--- a/emulators/src/relay.rs
+++ b/emulators/src/relay.rs
@@ -1,6 +1,6 @@
-//! A stand-in for the network between two processes, in one direction: it carries messages of a
-//! length in four bytes and so many, and can lose, delay, duplicate and hold them, break
-//! connections, or be cut. What goes back is carried as it is.
+//! Emulates the network between two processes, in one direction: it forwards messages that begin with
+//! their length in four bytes (big-endian), and can drop, delay, duplicate and pause them, reset
+//! connections, or be partitioned. Bytes in the opposite direction are forwarded unchanged.
 
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -10,52 +10,55 @@
 use std::thread;
 use std::time::Duration;
 
-/// What befalls the messages of a link. The default is that nothing does.
+/// Interval at which a paused relay checks whether it may go on.
+const PAUSE_POLL_INTERVAL: Duration = Duration::from_millis(5);
+
+/// The faults of a relay. By default there are none.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Faults {
-    /// All messages are lost, without a word: connections stay open.
-    pub cut: bool,
-    /// Messages wait until this is over, and come then: late, all together.
-    pub held: bool,
-    /// Each message takes so many milliseconds longer.
+    /// All messages are dropped silently: connections stay open.
+    pub is_partitioned: bool,
+    /// Messages are delayed until the pause is over, and delivered together then.
+    pub is_paused: bool,
+    /// Delay of each message in milliseconds.
     pub delay_ms: u64,
-    /// Share of the messages that are lost.
-    pub lost: f64,
-    /// Share of the messages that come twice.
-    pub twice: f64,
+    /// Share of the messages that are dropped, 0 to 1.
+    pub loss_share: f64,
+    /// Share of the messages that are delivered twice, 0 to 1.
+    pub duplicate_share: f64,
 }
 
 struct State {
     faults: Faults,
-    dice: Xoshiro256PlusPlus,
-    open: Vec<Weak<TcpStream>>,
-    /// Messages carried, and lost.
-    carried: u64,
-    lost: u64,
+    rng: Xoshiro256PlusPlus,
+    open_connections: Vec<Weak<TcpStream>>,
+    /// Numbers of messages forwarded and dropped.
+    forwarded: u64,
+    dropped: u64,
 }
 
-/// A link in one direction.
+/// An emulated network link in one direction. Its threads end with the process.
 #[derive(Clone)]
 pub struct Relay {
-    /// Where the sender connects instead.
+    /// The address to which the sender connects instead.
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
 }
 
 impl Relay {
-    /// Starts a link to an address, with chance from a seed.
+    /// Starts a relay to an address; its random faults follow from `seed`.
     ///
     /// # Errors
     /// When no address of loopback can be listened on.
     pub fn start(to: SocketAddr, seed: u64) -> std::io::Result<Relay> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let dice = Xoshiro256PlusPlus::seed_from_u64(seed);
+        let rng = Xoshiro256PlusPlus::seed_from_u64(seed);
         let state = State {
             faults: Faults::default(),
-            dice,
-            open: Vec::new(),
-            carried: 0,
-            lost: 0,
+            rng,
+            open_connections: Vec::new(),
+            forwarded: 0,
+            dropped: 0,
         };
         let relay = Relay {
             address: listener.local_addr()?,
@@ -64,7 +67,7 @@
         let accepting = relay.clone();
         thread::spawn(move || {
             for from in listener.incoming().flatten() {
-                accepting.link(from, to);
+                accepting.accept_connection(from, to);
             }
         });
         Ok(relay)
@@ -74,38 +77,39 @@
         with(&mut self.state.lock().unwrap_or_else(|e| e.into_inner()))
     }
 
-    /// From now on these faults hold.
+    /// Replaces the faults.
     pub fn set(&self, faults: Faults) {
         self.state(|s| s.faults = faults);
     }
 
-    /// Breaks all connections that are open.
+    /// Closes all open connections in both directions.
     pub fn reset(&self) {
         for stream in self
-            .state(|s| std::mem::take(&mut s.open))
+            .state(|s| std::mem::take(&mut s.open_connections))
             .iter()
             .filter_map(Weak::upgrade)
         {
-            // One that is gone already needs no end.
+            // Closing a connection that is gone already fails, which is fine.
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
-    /// Messages carried and lost so far.
+    /// Numbers of messages forwarded and dropped so far.
     #[must_use]
-    pub fn counts(&self) -> (u64, u64) {
-        self.state(|s| (s.carried, s.lost))
+    pub fn message_counts(&self) -> (u64, u64) {
+        self.state(|s| (s.forwarded, s.dropped))
     }
 
-    fn link(&self, from: TcpStream, to: SocketAddr) {
+    fn accept_connection(&self, from: TcpStream, to: SocketAddr) {
         let Ok(onward) = TcpStream::connect(to) else {
             return drop(from.shutdown(Shutdown::Both));
         };
-        // Two descriptors for a connection, however many look at it.
+        // Shared, so that a connection takes two descriptors however many threads use it.
         let (from, onward) = (Arc::new(from), Arc::new(onward));
         self.state(|s| {
-            s.open.retain(|stream| stream.strong_count() > 0);
-            s.open
+            s.open_connections
+                .retain(|stream| stream.strong_count() > 0);
+            s.open_connections
                 .extend([Arc::downgrade(&from), Arc::downgrade(&onward)]);
         });
         let (back_in, back_out) = (onward.clone(), from.clone());
@@ -115,12 +119,12 @@
         });
         let relay = self.clone();
         thread::spawn(move || {
-            relay.carry(&from, &onward);
+            relay.forward(&from, &onward);
             let _ = onward.shutdown(Shutdown::Both);
         });
     }
 
-    fn carry(&self, mut from: &TcpStream, mut to: &TcpStream) {
+    fn forward(&self, mut from: &TcpStream, mut to: &TcpStream) {
         loop {
             let mut message = vec![0; 4];
             if from.read_exact(&mut message).is_err() {
@@ -132,18 +136,18 @@
             if from.read_exact(&mut message[4..]).is_err() {
                 return;
             }
-            while self.state(|s| s.faults.held) {
-                thread::sleep(Duration::from_millis(5));
+            while self.state(|s| s.faults.is_paused) {
+                thread::sleep(PAUSE_POLL_INTERVAL);
             }
             let (times, delay) = self.state(|s| {
-                let lost = s.faults.cut || s.dice.random_bool(s.faults.lost);
-                let times = if lost {
+                let dropped = s.faults.is_partitioned || s.rng.random_bool(s.faults.loss_share);
+                let times = if dropped {
                     0
                 } else {
-                    1 + usize::from(s.dice.random_bool(s.faults.twice))
+                    1 + usize::from(s.rng.random_bool(s.faults.duplicate_share))
                 };
-                s.carried += u64::from(!lost);
-                s.lost += u64::from(lost);
+                s.forwarded += u64::from(!dropped);
+                s.dropped += u64::from(dropped);
                 (times, s.faults.delay_ms)
             });
             thread::sleep(Duration::from_millis(delay));
--- a/emulators/src/relay/tests.rs
+++ b/emulators/src/relay/tests.rs
@@ -3,39 +3,39 @@
 use super::*;
 
 #[test]
-fn messages_are_carried_lost_held_and_doubled_as_told() {
+fn messages_are_forwarded_dropped_paused_and_duplicated_as_set() {
     let end = TcpListener::bind("127.0.0.1:0").unwrap();
     let relay = Relay::start(end.local_addr().unwrap(), 1).unwrap();
     let mut from = TcpStream::connect(relay.address).unwrap();
     let (mut to, _) = end.accept().unwrap();
-    let mut say = |byte: u8| from.write_all(&[0, 0, 0, 1, byte]).unwrap();
+    let mut send = |byte: u8| from.write_all(&[0, 0, 0, 1, byte]).unwrap();
     let carried = |least| {
-        while relay.counts().0 + relay.counts().1 < least {
+        while relay.message_counts().0 + relay.message_counts().1 < least {
             thread::yield_now()
         }
     };
     relay.set(Faults {
-        cut: true,
+        is_partitioned: true,
         ..Faults::default()
     });
-    say(1);
+    send(1);
     carried(1);
     relay.set(Faults {
-        twice: 1.0,
+        duplicate_share: 1.0,
         ..Faults::default()
     });
-    say(2);
+    send(2);
     carried(2);
     relay.set(Faults {
-        held: true,
+        is_paused: true,
         ..Faults::default()
     });
-    say(3);
+    send(3);
     relay.set(Faults::default());
     let mut got = [0; 15];
     to.read_exact(&mut got).unwrap();
     assert_eq!([got[4], got[9], got[14]], [2, 2, 3]);
-    assert_eq!(relay.counts(), (2, 1));
+    assert_eq!(relay.message_counts(), (2, 1));
     relay.reset();
     assert_eq!(to.read(&mut [0]).unwrap_or(0), 0, "both ends are over");
 }
--- a/emulators/src/rig.rs
+++ b/emulators/src/rig.rs
@@ -184,7 +184,7 @@
     /// Cuts the link from one process to another, or restores it.
     pub fn cut(&self, from: usize, to: usize, cut: bool) {
         self.link(from, to).set(crate::relay::Faults {
-            cut,
+            is_partitioned: cut,
             ..Default::default()
         });
         self.ledger
--- a/emulators/src/stream_client/message.rs
+++ b/emulators/src/stream_client/message.rs
@@ -294,7 +294,11 @@
     ///
     /// # Errors
     /// When it could not even be sent.
-    pub fn send_and_leave(&self, to: SocketAddr, patience: Duration) -> Result<(), MessageError> {
+    pub fn send_without_waiting(
+        &self,
+        to: SocketAddr,
+        patience: Duration,
+    ) -> Result<(), MessageError> {
         let mut stream = TcpStream::connect_timeout(&to, patience)?;
         stream.set_write_timeout(Some(patience))?;
         stream.write_all(&self.bytes(&to.to_string()))?;
--- a/experiments/src/council.rs
+++ b/experiments/src/council.rs
@@ -262,8 +262,8 @@
     fn impair_links(&mut self, duration: Duration) {
         self.report.rough += 1;
         let impaired = Faults {
-            lost: 0.2,
-            twice: 0.2,
+            loss_share: 0.2,
+            duplicate_share: 0.2,
             delay_ms: 20,
             ..Faults::default()
         };
@@ -274,7 +274,7 @@
     fn withhold_messages(&mut self, broker: usize, duration: Duration) {
         self.report.held += 1;
         let withheld = Faults {
-            held: true,
+            is_paused: true,
             ..Faults::default()
         };
         let mut links = self.links();
@@ -328,7 +328,7 @@
         let found = judge_holders(&self.rig.ledger.all(), "d", RESUME_TIMEOUT);
         (self.report.checked, self.report.double_held) = (found.checked, found.wrong.len());
         for (a, b) in self.links() {
-            let (carried, lost) = self.rig.link(a, b).counts();
+            let (carried, lost) = self.rig.link(a, b).message_counts();
             self.report.carried += carried;
             self.report.lost += lost;
         }
--- a/soak/src/clients.rs
+++ b/soak/src/clients.rs
@@ -257,7 +257,7 @@
             return Some(Sent {
                 attempt,
                 at,
-                end: RequestEnd::Left,
+                end: RequestEnd::Abandoned,
                 faults: Vec::new(),
                 goes_on: false,
             });
--- a/soak/src/journal.rs
+++ b/soak/src/journal.rs
@@ -81,7 +81,7 @@
     /// Nothing came for as long as clients wait.
     Silent,
     /// The client left at once.
-    Left,
+    Abandoned,
 }
 
 /// A request of a client: one that was written whole.
--- a/soak/src/judge.rs
+++ b/soak/src/judge.rs
@@ -8,7 +8,7 @@
 use crate::journal::{ClientRequest, FaultKind, Journal, OrderRecord, RequestEnd, ServerRecord};
 use crate::violation::{Beside, Violation};
 use lichenswitch_emulators::fleet_processes::Role;
-use lichenswitch_emulators::model_server::heartbeat::Word;
+use lichenswitch_emulators::model_server::heartbeat::ServerReport;
 use lichenswitch_emulators::model_server::{Entry, Event, Fault};
 use lichenswitch_emulators::operator::{judge as judge_answers, Entry as OperatorEntry, Outcome};
 use std::collections::{BTreeMap, BTreeSet};
@@ -129,7 +129,7 @@
 /// Whether a request was lost, and beside what.
 fn lost(journal: &Journal, runs: &Runs, one: &ClientRequest) -> Option<Violation> {
     let end = match one.end {
-        RequestEnd::Answered(_) | RequestEnd::Left => return None,
+        RequestEnd::Answered(_) | RequestEnd::Abandoned => return None,
         RequestEnd::Cut => "a cut answer",
         RequestEnd::NoAnswer => "a closed connection",
         RequestEnd::Silent => "silence",
@@ -250,7 +250,7 @@
     let leaves = |entry: &&Entry| {
         matches!(
             entry.what,
-            Event::Acknowledged(Word::Draining(_) | Word::Deregister, _)
+            Event::Acknowledged(ServerReport::Draining(_) | ServerReport::Deregister, _)
         )
     };
     let Some(acknowledged) = server.entries.iter().find(leaves).map(|entry| entry.at) else {
--- a/soak/src/operators.rs
+++ b/soak/src/operators.rs
@@ -260,7 +260,7 @@
         let first = self.first_machine(random);
         if random.u32(0..4) == 0 {
             // One that can't be sent there is sent elsewhere all the same.
-            let _ = operator.send_and_leave(&order, first + 1);
+            let _ = operator.send_without_waiting(&order, first + 1);
         }
         let outcome = operator.send(&order, first, PATIENCE);
         self.record(order_index, outcome);
--- a/soak/src/processes.rs
+++ b/soak/src/processes.rs
@@ -216,7 +216,7 @@
         let until = self.clock.now() + time;
         self.later
             .retain(|(_, _, step)| !matches!(step, Step::Heal));
-        self.fleet.cut(side);
+        self.fleet.partition(side);
         for machine in side {
             self.record(FaultKind::Cut, (Role::Control, *machine), Some(until));
         }
@@ -244,7 +244,7 @@
         let due_at: Vec<(Duration, Target, Step)> = due_at;
         for (_, target, step) in due_at {
             if matches!(step, Step::Heal) {
-                self.fleet.cut(&[]);
+                self.fleet.partition(&[]);
                 continue;
             }
             match step {
--- a/soak/tests/judge.rs
+++ b/soak/tests/judge.rs
@@ -2,7 +2,7 @@
 
 use assert_matches::assert_matches;
 use lichenswitch_emulators::fleet_processes::Role;
-use lichenswitch_emulators::model_server::heartbeat::Word;
+use lichenswitch_emulators::model_server::heartbeat::ServerReport;
 use lichenswitch_emulators::model_server::{Entry, Event, Fault};
 use lichenswitch_emulators::operator::{Fault as OperatorFault, Order, Outcome, Verb};
 use lichenswitch_emulators::stream_client::message::Head;
@@ -252,7 +252,7 @@
     let control = "127.0.0.2:8262".parse().expect("an address");
     let late = 1_000 + DRAIN_TIMEOUT.as_millis() as u64 + 100;
     let entries = [
-        (1_000, Event::Acknowledged(Word::Draining(7), control)),
+        (1_000, Event::Acknowledged(ServerReport::Draining(7), control)),
         (late, Event::Arrived(Head::default())),
         (late, Event::Ran),
     ];
--- a/tests/phases.rs
+++ b/tests/phases.rs
@@ -3,7 +3,7 @@
 
 use lichenswitch::broker::Broker;
 use lichenswitch::config::{Operators, Platform};
-use lichenswitch_emulators::discovery::{self, Line};
+use lichenswitch_emulators::discovery::{self, Instance};
 use lichenswitch_emulators::frames::{Fate, Ledger, Node, Part};
 use serde_json::Value as Json;
 use std::collections::BTreeSet;
@@ -40,12 +40,12 @@
             Node::start(move |part| script(i, part)).unwrap()
         };
         let nodes: Vec<Node> = (0..2).map(node).collect();
-        let line = |(i, n): (usize, &Node)| Line {
+        let line = |(i, n): (usize, &Node)| Instance {
             id: format!("s{i}"),
             address: n.address,
             cell: i as u32,
         };
-        let lines: Vec<Line> = nodes.iter().enumerate().map(line).collect();
+        let lines: Vec<Instance> = nodes.iter().enumerate().map(line).collect();
         let config = format!(
             r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{}","seed":"1","known":{},
             "limits":{{"memory_mb":16}},"settings":{SETTINGS}}}"#,
