--- a/core/src/collect.rs
+++ b/core/src/collect.rs
@@ -26,7 +26,7 @@
             self.load.remove(&a.server);
         }
         let mut outcome = outcome;
-        if let (Some(part), Outcome::Moot) = (&mut part, outcome) {
+        if let (Some(part), Outcome::NeverSent) = (&mut part, outcome) {
             part.never_left += 1;
         }
         if let Some(part) = part.as_mut().filter(|p| {
--- a/core/src/dispatch.rs
+++ b/core/src/dispatch.rs
@@ -106,7 +106,7 @@
         let query = position.and_then(|(id, i)| Some((id, self.queries.get_mut(&id)?, i)));
         let Some((id, q, index)) = query else {
             // The query has ended before the send could be made: it never ran.
-            return self.report_moot(part, 0, server);
+            return self.report_never_sent(part, 0, server);
         };
         let class = &self.settings.classes[q.class];
         let most_attempts = self.settings.attempts_of(q.class);
@@ -117,7 +117,7 @@
         p.attempts += 1;
         // Guards the limit on attempts: one beyond it is not sent, whatever the module says.
         if u32::from(number - p.never_left) >= most_attempts || p.value.is_some() {
-            return self.report_moot(part, number, server);
+            return self.report_never_sent(part, number, server);
         }
         let attempt = self.next_attempt;
         self.next_attempt += 1;
@@ -152,12 +152,12 @@
     }
 
     /// Tells the module that an attempt was not made.
-    fn report_moot(&mut self, part: PartId, attempt: u16, server: ServerId) {
+    fn report_never_sent(&mut self, part: PartId, attempt: u16, server: ServerId) {
         self.inbox.push(Event::Finished {
             part,
             attempt,
             server,
-            outcome: Outcome::Moot,
+            outcome: Outcome::NeverSent,
             elapsed: 0,
         });
     }
--- a/core/src/tests.rs
+++ b/core/src/tests.rs
@@ -73,7 +73,7 @@
             mode: ServerMode::Ready,
             started: None,
         };
-        core.listed(ServerListUpdate::Whole(vec![line(0), line(1)]));
+        core.listed(ServerListUpdate::Complete(vec![line(0), line(1)]));
         let mut stage = Stage {
             core,
             now: Time(1_000_000 * MS),
@@ -392,7 +392,7 @@
     );
     recalled
         .iter()
-        .for_each(|a| stage.end(*a, Outcome::Moot, 0.0));
+        .for_each(|a| stage.end(*a, Outcome::NeverSent, 0.0));
     let commands = stage.turn();
     assert!(
         commands
@@ -484,7 +484,11 @@
             made += usize::from(left);
             stage.end(
                 send.attempt,
-                if left { Outcome::Error } else { Outcome::Moot },
+                if left {
+                    Outcome::Error
+                } else {
+                    Outcome::NeverSent
+                },
                 0.0,
             );
         }
@@ -556,7 +560,7 @@
     let third = sends(&stage.turn()).remove(0);
     assert_eq!(third.leave_by, Some(sent.plus(500 * MS)));
     // One that did not leave moves nothing.
-    stage.end(third.attempt, Outcome::Moot, 0.0);
+    stage.end(third.attempt, Outcome::NeverSent, 0.0);
     let fourth = sends(&stage.turn()).remove(0);
     assert_eq!(fourth.leave_by, Some(sent.plus(500 * MS)));
 }
--- a/experiments/src/cold.rs
+++ b/experiments/src/cold.rs
@@ -103,7 +103,7 @@
         for broker in 0..self.brokers.len() {
             let lines = lines.to_vec();
             let news = if whole {
-                ServerListUpdate::Whole(lines)
+                ServerListUpdate::Complete(lines)
             } else {
                 ServerListUpdate::Changes(lines)
             };
--- a/experiments/src/world.rs
+++ b/experiments/src/world.rs
@@ -120,7 +120,7 @@
         mode: ServerMode::Ready,
         started: None,
     };
-    ServerListUpdate::Whole((0..nodes).map(line).collect())
+    ServerListUpdate::Complete((0..nodes).map(line).collect())
 }
 
 impl World {
--- a/fleet/src/control/caller_sessions.rs
+++ b/fleet/src/control/caller_sessions.rs
@@ -7,7 +7,7 @@
 use super::clock::elapsed;
 use super::net_program::{Net, Owner};
 use super::responses::error_response;
-use lichenswitch_http::{request_up_to, Malformed, Parsed, Request, Response};
+use lichenswitch_http::{request_up_to, MalformedMessage, Parsed, Request, Response};
 use lichenswitch_interface::Time;
 use lichenswitch_net::{ConnId, TransferProgress};
 use std::collections::BTreeMap;
@@ -92,7 +92,7 @@
             }
         }
         match request_up_to(conn.input.bytes(), MAX_BODY_BYTES) {
-            Ok(Parsed::Whole(request, used)) => {
+            Ok(Parsed::Complete(request, used)) => {
                 conn.input.consume(used);
                 *session = Session {
                     phase: Phase::Responding {
@@ -118,7 +118,7 @@
                 }
                 None
             }
-            Err(Malformed(status, reason)) => {
+            Err(MalformedMessage(status, reason)) => {
                 session.phase = Phase::Responding { keep_alive: false };
                 self.respond(net, id, &error_response(status, reason));
                 None
--- a/fleet/src/router/handlers/dispatch.rs
+++ b/fleet/src/router/handlers/dispatch.rs
@@ -77,10 +77,10 @@
             .get(id)
             .filter(|request| request.may_start_attempt());
         let (Some(request), Some(endpoint)) = (request, endpoint) else {
-            return self.report_outcome(attempt, Outcome::Moot);
+            return self.report_outcome(attempt, Outcome::NeverSent);
         };
         if let Err(denial) = self.check_sender(request.sender()) {
-            self.report_outcome(attempt, Outcome::Moot);
+            self.report_outcome(attempt, Outcome::NeverSent);
             return self.on_key_denied(id, denial);
         }
         let resume_after = match &request.phase {
--- a/fleet/src/router/readiness.rs
+++ b/fleet/src/router/readiness.rs
@@ -72,7 +72,7 @@
     fn read(&self, net: &mut Net, id: ConnId, is_ready: bool) -> Option<(Response, bool)> {
         let conn = net.get_mut(id)?;
         match http::request(conn.input.bytes()) {
-            Ok(Parsed::Whole(request, used)) => {
+            Ok(Parsed::Complete(request, used)) => {
                 conn.input.consume(used);
                 Some((answer(&request, is_ready), request.keep_alive))
             }
--- a/fleet/src/router/request_reader.rs
+++ b/fleet/src/router/request_reader.rs
@@ -8,7 +8,7 @@
 use super::prompt::Prompt;
 use lichenswitch_configuration::{KeyDigest, Limits};
 use lichenswitch_http::{
-    parse_request_head, BodyDecoder, Framing, Headers, Malformed, RequestHead,
+    parse_request_head, BodyDecoder, Framing, Headers, MalformedMessage, RequestHead,
 };
 use lichenswitch_net::buffer::Buffer;
 use std::time::Duration;
@@ -80,7 +80,7 @@
     ///
     /// # Errors
     /// What comes is no valid request, or exceeds the limits.
-    pub(crate) fn read(&mut self, input: &mut Buffer) -> Result<RequestProgress, Malformed> {
+    pub(crate) fn read(&mut self, input: &mut Buffer) -> Result<RequestProgress, MalformedMessage> {
         if self.request.is_none() && !self.read_head(input)? {
             return Ok(RequestProgress::Incomplete {
                 expects_continue: false,
@@ -99,7 +99,7 @@
     }
 
     /// `false` while more bytes are needed.
-    fn read_head(&mut self, input: &mut Buffer) -> Result<bool, Malformed> {
+    fn read_head(&mut self, input: &mut Buffer) -> Result<bool, MalformedMessage> {
         let parsed = parse_request_head(input.bytes(), self.max_header_bytes)?;
         let Some((head, used)) = parsed else {
             return Ok(false);
@@ -111,7 +111,7 @@
             .unwrap_or_default();
         // Forwarding a stream needs chunked encoding, which older clients can't read.
         if !line.ends_with(b"HTTP/1.1") {
-            return Err(Malformed(505, "version"));
+            return Err(MalformedMessage(505, "version"));
         }
         let decoder = BodyDecoder::new(head.framing, self.max_body_bytes as u64)?;
         self.expects_continue = head.expects_continue;
@@ -121,7 +121,7 @@
     }
 
     /// `false` while more bytes are needed.
-    fn read_body(&mut self, input: &mut Buffer) -> Result<bool, Malformed> {
+    fn read_body(&mut self, input: &mut Buffer) -> Result<bool, MalformedMessage> {
         let Some((request, decoder)) = &mut self.request else {
             return Ok(false);
         };
@@ -137,14 +137,14 @@
     }
 }
 
-fn request_of(head: RequestHead) -> Result<ClientRequest, Malformed> {
+fn request_of(head: RequestHead) -> Result<ClientRequest, MalformedMessage> {
     // The route is chosen by the path that the server sees.
     if !head.target.starts_with('/') {
-        return Err(Malformed(400, "target without a path"));
+        return Err(MalformedMessage(400, "target without a path"));
     }
     let headers = &head.headers;
     let host = only(headers, "host")?
-        .ok_or(Malformed(400, "no host"))?
+        .ok_or(MalformedMessage(400, "no host"))?
         .to_owned();
     let deadline = only(headers, "deadline-ms")?.and_then(|text| text.parse::<u64>().ok());
     Ok(ClientRequest {
@@ -167,18 +167,25 @@
 }
 
 /// The value of a header that must not be repeated.
-pub(crate) fn only<'a>(headers: &'a Headers, name: &'a str) -> Result<Option<&'a str>, Malformed> {
-    let text =
-        |value| std::str::from_utf8(value).map_err(|_| Malformed(400, "a header is no text"));
+pub(crate) fn only<'a>(
+    headers: &'a Headers,
+    name: &'a str,
+) -> Result<Option<&'a str>, MalformedMessage> {
+    let text = |value| {
+        std::str::from_utf8(value).map_err(|_| MalformedMessage(400, "a header is no text"))
+    };
     only_bytes(headers, name)?.map(text).transpose()
 }
 
 /// The same as bytes, which may be no text.
-fn only_bytes<'a>(headers: &'a Headers, name: &'a str) -> Result<Option<&'a [u8]>, Malformed> {
+fn only_bytes<'a>(
+    headers: &'a Headers,
+    name: &'a str,
+) -> Result<Option<&'a [u8]>, MalformedMessage> {
     let mut values = headers.all(name);
     match (values.next(), values.next()) {
         (value, None) => Ok(value),
-        (_, Some(_)) => Err(Malformed(400, "a header comes twice")),
+        (_, Some(_)) => Err(MalformedMessage(400, "a header comes twice")),
     }
 }
 
--- a/fleet/src/router/request_reader/tests.rs
+++ b/fleet/src/router/request_reader/tests.rs
@@ -9,7 +9,7 @@
     })
 }
 
-fn read(bytes: &[u8]) -> Result<RequestProgress, Malformed> {
+fn read(bytes: &[u8]) -> Result<RequestProgress, MalformedMessage> {
     let mut input = Buffer::default();
     input.push(bytes);
     reader().read(&mut input)
--- a/fleet/src/router/request_table.rs
+++ b/fleet/src/router/request_table.rs
@@ -94,7 +94,7 @@
         if was_in_flight && outcome.never_ran() {
             self.possible_executions = self.possible_executions.saturating_sub(1);
         }
-        if was_in_flight && outcome == Outcome::Moot {
+        if was_in_flight && outcome == Outcome::NeverSent {
             self.send_count = self.send_count.saturating_sub(1);
         }
     }
--- a/fleet/src/router/request_table/tests.rs
+++ b/fleet/src/router/request_table/tests.rs
@@ -52,7 +52,7 @@
     for (outcome, again) in [
         (Outcome::Rejected, true),
         (Outcome::ConnectFailed, true),
-        (Outcome::Moot, true),
+        (Outcome::NeverSent, true),
         (Outcome::Reset, false),
         (Outcome::Timeout, false),
         (Outcome::Error, false),
@@ -84,6 +84,6 @@
     request.on_attempt_ended(attempt(2).id, Outcome::Reset);
     assert!(!request.may_start_attempt());
     // One that never left counts as none.
-    request.on_attempt_ended(attempt(1).id, Outcome::Moot);
+    request.on_attempt_ended(attempt(1).id, Outcome::NeverSent);
     assert!(request.may_start_attempt());
 }
--- a/fleet/src/router/server_connections/exchange.rs
+++ b/fleet/src/router/server_connections/exchange.rs
@@ -114,12 +114,12 @@
         let remaining = Duration::from_micros(attempt.deadline.since(now));
         let (Some(connection), Some(conn)) = (self.connections.get_mut(&id), net.get_mut(id))
         else {
-            return self.report_failure(attempt.id, Outcome::Moot);
+            return self.report_failure(attempt.id, Outcome::NeverSent);
         };
         if remaining < Duration::from_millis(1) {
             // The server would find its deadline expired.
             connection.state = unusable_at(now);
-            self.report_failure(attempt.id, Outcome::Moot);
+            self.report_failure(attempt.id, Outcome::NeverSent);
             return self.close(net, id);
         }
         let headers = ForwardingHeaders {
--- a/fleet/src/router/server_connections/pool.rs
+++ b/fleet/src/router/server_connections/pool.rs
@@ -77,7 +77,9 @@
                 }
             }
             // This process has no descriptor left: that says nothing about the server.
-            Err(ConnectError::NoDescriptor(_)) => self.report_failure(attempt.id, Outcome::Moot),
+            Err(ConnectError::NoDescriptor(_)) => {
+                self.report_failure(attempt.id, Outcome::NeverSent)
+            }
             Err(ConnectError::Failed(_)) => self.report_failure(attempt.id, Outcome::ConnectFailed),
         }
     }
@@ -161,13 +163,13 @@
     /// idle connections are closed.
     pub(crate) fn stop_sending_to(&mut self, net: &mut Net, server: ServerId) {
         for attempt in self.queued.remove(&server).unwrap_or_default() {
-            self.report_failure(attempt.id, Outcome::Moot);
+            self.report_failure(attempt.id, Outcome::NeverSent);
         }
         for id in self.by_server.get(&server).cloned().unwrap_or_default() {
             match self.state(id) {
                 Some(ConnectionState::Opening(attempt)) => {
                     let attempt = attempt.id;
-                    self.report_failure(attempt, Outcome::Moot);
+                    self.report_failure(attempt, Outcome::NeverSent);
                     self.close(net, id);
                 }
                 Some(ConnectionState::Idle { .. }) => self.close(net, id),
@@ -190,7 +192,7 @@
     /// An attempt has waited for a connection for the longest time allowed.
     pub(crate) fn on_wait_timeout(&mut self, id: AttemptId) {
         if self.remove_queued(id) {
-            self.report_failure(id, Outcome::Moot);
+            self.report_failure(id, Outcome::NeverSent);
         }
     }
 }
--- a/fleet/src/router/service.rs
+++ b/fleet/src/router/service.rs
@@ -87,7 +87,7 @@
             .map(|server| server.server)
             .collect();
         let mut core = Core::new(seed, settings, Contracts::default(), capacity.max_bytes);
-        core.listed(ServerListUpdate::Whole(servers));
+        core.listed(ServerListUpdate::Complete(servers));
         Service {
             name,
             core,
--- a/fleet/src/status.rs
+++ b/fleet/src/status.rs
@@ -1,7 +1,7 @@
 //! The command `status`: fetches the status of a control machine.
 
 use crate::settings::{self, Settings, SettingsError};
-use lichenswitch_http::{response, Malformed, Parsed, Response};
+use lichenswitch_http::{response, MalformedMessage, Parsed, Response};
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::PathBuf;
@@ -78,15 +78,15 @@
         request_status(address).map_err(|source| StatusError::Unreachable { address, source })?;
     let unreadable = |reason| StatusError::Unreadable { address, reason };
     match response(&bytes, true, MAX_RESPONSE_BYTES) {
-        Ok(Parsed::Whole(
+        Ok(Parsed::Complete(
             Response {
                 status: 200, body, ..
             },
             _,
         )) => String::from_utf8(body).map_err(|_| unreadable("it is no text")),
-        Ok(Parsed::Whole(..)) => Err(unreadable("it is no success")),
+        Ok(Parsed::Complete(..)) => Err(unreadable("it is no success")),
         Ok(Parsed::Partial(_)) => Err(unreadable("it is cut short")),
-        Err(Malformed(_, reason)) => Err(unreadable(reason)),
+        Err(MalformedMessage(_, reason)) => Err(unreadable(reason)),
     }
 }
 
--- a/interface/src/lib.rs
+++ b/interface/src/lib.rs
@@ -299,7 +299,7 @@
     /// Changed lines only.
     Changes(Vec<ListedServer>),
     /// The whole list: what is absent is gone.
-    Whole(Vec<ListedServer>),
+    Complete(Vec<ListedServer>),
     /// The whole list as this instance last held it before its start, possibly old.
     Cached(Vec<ListedServer>),
     /// Asking failed or the subscription broke; nothing is known anew.
@@ -324,7 +324,7 @@
     /// Withdrawn by this instance.
     Cancelled,
     /// Never sent; it never ran.
-    Moot,
+    NeverSent,
 }
 
 impl Outcome {
@@ -333,7 +333,7 @@
     pub fn never_ran(self) -> bool {
         matches!(
             self,
-            Outcome::Rejected | Outcome::ConnectFailed | Outcome::Moot
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::NeverSent
         )
     }
 }
--- a/policy/src/health.rs
+++ b/policy/src/health.rs
@@ -51,7 +51,7 @@
                 self.on_silence(flight.server, class, flight.on_idle_connection, actions)
             }
             Outcome::Reset if self.record_loss(flight.on_idle_connection, RESET_PACE) => {}
-            Outcome::Cancelled | Outcome::Moot => {}
+            Outcome::Cancelled | Outcome::NeverSent => {}
             _ => self.record_fault(flight.server, all, 1.0, BROKEN_PACE, actions),
         }
     }
--- a/policy/src/outcomes.rs
+++ b/policy/src/outcomes.rs
@@ -178,7 +178,7 @@
         AttemptState::MayHaveRun
     };
     ended.ended = now;
-    part.never_left += usize::from(outcome == Outcome::Moot);
+    part.never_left += usize::from(outcome == Outcome::NeverSent);
     part.is_unreachable = outcome == Outcome::ConnectFailed;
     true
 }
--- a/policy/src/server_list.rs
+++ b/policy/src/server_list.rs
@@ -30,13 +30,13 @@
         } else if !matches!(listing, ServerListUpdate::Cached(_)) {
             (self.subscribe_at, self.subscribe_backoff) = (None, SUBSCRIBE_BACKOFF_MIN);
         }
-        if matches!(listing, ServerListUpdate::Whole(_)) {
+        if matches!(listing, ServerListUpdate::Complete(_)) {
             self.servers
                 .values_mut()
                 .for_each(|s| s.mode = ServerMode::Gone);
         }
         if let ServerListUpdate::Changes(lines)
-        | ServerListUpdate::Whole(lines)
+        | ServerListUpdate::Complete(lines)
         | ServerListUpdate::Cached(lines) = listing
         {
             lines.iter().for_each(|line| self.update_server(line));
--- a/policy/tests/streams.rs
+++ b/policy/tests/streams.rs
@@ -61,7 +61,7 @@
             mode: ServerMode::Ready,
             started: None,
         };
-        stage.turn(vec![Event::List(ServerListUpdate::Whole(
+        stage.turn(vec![Event::List(ServerListUpdate::Complete(
             (1..=servers).map(line).collect(),
         ))]);
         stage
--- a/src/bin/lichenswitch-simulator-adapter/codec.rs
+++ b/src/bin/lichenswitch-simulator-adapter/codec.rs
@@ -155,7 +155,7 @@
         4 => Outcome::ConnectFailed,
         5 => Outcome::Reset,
         6 => Outcome::Cancelled,
-        7 => Outcome::Moot,
+        7 => Outcome::NeverSent,
         other => return Err(CodecError::UnknownOutcome(other)),
     })
 }
--- a/src/bin/lichenswitch-simulator-adapter/main.rs
+++ b/src/bin/lichenswitch-simulator-adapter/main.rs
@@ -104,7 +104,7 @@
             .clone();
         Ok(match scope {
             Scope::Changes => ServerListUpdate::Changes(lines),
-            Scope::Whole => ServerListUpdate::Whole(lines),
+            Scope::Whole => ServerListUpdate::Complete(lines),
             Scope::Cached | Scope::Failed => ServerListUpdate::Cached(lines),
         })
     }
--- a/src/broker.rs
+++ b/src/broker.rs
@@ -238,7 +238,7 @@
             started_at_ms: 0,
         };
         let instances: Vec<Instance> = told.inventory.nodes.iter().map(line).collect();
-        core.listed(ServerListUpdate::Whole(directory.whole(&instances)));
+        core.listed(ServerListUpdate::Complete(directory.whole(&instances)));
         let pool = Pool::new(Features::default(), limits(told.connections));
         let front = Ogc::new(told.title, told.collections, told.inventory.slices);
         let address = self.listen(Owner::Ogc, told.listen)?;
--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -261,7 +261,7 @@
             list.generation
         ));
         if list.instances.is_empty() {
-            return vec![ServerListUpdate::Whole(directory.whole(&[]))];
+            return vec![ServerListUpdate::Complete(directory.whole(&[]))];
         }
         let ends = list
             .instances
@@ -342,7 +342,7 @@
         // A reset is no end: an answer without a length that breaks off is not complete.
         let (ended, broken) = (conn.ended, progress != TransferProgress::Alive);
         let answer = match http::response(conn.input.bytes(), ended, MAX_RESPONSE_BYTES) {
-            Ok(Parsed::Whole(answer, used)) => {
+            Ok(Parsed::Complete(answer, used)) => {
                 conn.input.consume(used);
                 answer
             }
@@ -408,7 +408,7 @@
                 self.unconfirmed_list = None;
                 self.generation = Some(list.generation);
                 vec![match whole {
-                    true => ServerListUpdate::Whole(directory.whole(&list.instances)),
+                    true => ServerListUpdate::Complete(directory.whole(&list.instances)),
                     false => ServerListUpdate::Changes(directory.changes(&list.instances)),
                 }]
             }
--- a/src/discovery/tests.rs
+++ b/src/discovery/tests.rs
@@ -68,7 +68,7 @@
     answer(&mut stream, 200, LIST);
     assert!(matches!(
         &news(&mut net, &mut client, &mut directory)[..],
-        [ServerListUpdate::Whole(_)]
+        [ServerListUpdate::Complete(_)]
     ));
     assert!(request(&mut stream).contains("since=41"));
 }
@@ -96,7 +96,7 @@
             answer(&mut stream, 200, &LIST.replace("SERVING", "DRAINING"));
             let told = news(&mut net, &mut client, &mut directory);
             assert!(
-                matches!(&told[..], [ServerListUpdate::Whole(lines)] if lines[0].mode == ServerMode::Draining)
+                matches!(&told[..], [ServerListUpdate::Complete(lines)] if lines[0].mode == ServerMode::Draining)
             );
             assert!(client.call.is_none(), "it is not renewed there");
         }
@@ -129,7 +129,7 @@
     assert!(request(&mut stream).starts_with("GET /registry/instances HTTP/1.1\r\n"));
     answer(&mut stream, 200, LIST);
     let first = news(&mut net, &mut client, &mut directory);
-    assert!(matches!(&first[..], [ServerListUpdate::Whole(lines)] if lines.len() == 1));
+    assert!(matches!(&first[..], [ServerListUpdate::Complete(lines)] if lines.len() == 1));
     assert!(request(&mut stream).starts_with("GET /registry/instances?since=41&timeout_ms=2000 "));
     answer(
         &mut stream,
@@ -211,7 +211,7 @@
     answer(&mut stream, 200, &LIST.replace("SERVING", "DRAINING"));
     let told = self::news(&mut net, &mut client, &mut directory);
     assert!(
-        matches!(&told[..], [ServerListUpdate::Whole(lines)] if lines[0].mode == ServerMode::Draining)
+        matches!(&told[..], [ServerListUpdate::Complete(lines)] if lines[0].mode == ServerMode::Draining)
     );
     drop(silent);
 }
@@ -256,7 +256,7 @@
     answer(&mut stream, 200, &LIST.replace("SERVING", "DRAINING"));
     let told = news(&mut net, &mut client, &mut directory);
     assert!(
-        matches!(&told[..], [ServerListUpdate::Whole(lines)] if lines[0].mode == ServerMode::Draining)
+        matches!(&told[..], [ServerListUpdate::Complete(lines)] if lines[0].mode == ServerMode::Draining)
     );
     // The watch goes on at once.
     assert!(request(&mut stream).contains("since=41"));
@@ -280,7 +280,7 @@
     answer(&mut stream, 200, LIST);
     assert!(matches!(
         &news(&mut net, &mut client, &mut directory)[..],
-        [ServerListUpdate::Whole(_)]
+        [ServerListUpdate::Complete(_)]
     ));
     assert!(request(&mut stream).contains("since=41&timeout_ms=1000 "));
     answer(&mut stream, 200, EMPTY);
@@ -317,7 +317,7 @@
     answer(&mut stream, 200, LIST);
     assert!(matches!(
         &news(&mut net, &mut client, &mut directory)[..],
-        [ServerListUpdate::Whole(_)]
+        [ServerListUpdate::Complete(_)]
     ));
     assert_eq!(client.take_log(), ["discovery: it answers again"]);
 }
@@ -359,7 +359,7 @@
     answer(&mut stream, 200, &LIST.replace("SERVING", "DRAINING"));
     let told = news(&mut net, &mut client, &mut directory);
     assert!(
-        matches!(&told[..], [ServerListUpdate::Whole(lines)] if lines[0].mode == ServerMode::Draining)
+        matches!(&told[..], [ServerListUpdate::Complete(lines)] if lines[0].mode == ServerMode::Draining)
     );
 }
 
@@ -466,7 +466,7 @@
         answer(&mut stream, 200, second);
         let told = news(&mut net, &mut client, &mut directory);
         assert!(
-            matches!(&told[..], [ServerListUpdate::Whole(lines)] if lines.len() == left),
+            matches!(&told[..], [ServerListUpdate::Complete(lines)] if lines.len() == left),
             "{told:?}"
         );
         assert!(directory.len() == left && client.unconfirmed_list.is_none());
@@ -487,7 +487,7 @@
     answer(&mut stream, 200, &LIST.replace("41", "7"));
     let told = news(&mut net, &mut client, &mut directory);
     assert!(
-        matches!(&told[..], [ServerListUpdate::Whole(lines)] if lines[0].mode == ServerMode::Ready)
+        matches!(&told[..], [ServerListUpdate::Complete(lines)] if lines[0].mode == ServerMode::Ready)
     );
     assert!(
         request(&mut stream).contains("since=7"),
@@ -549,7 +549,7 @@
             true => assert_eq!(told, [ServerListUpdate::Failed]),
             false => {
                 assert!(
-                    matches!(&told[..], [ServerListUpdate::Whole(lines)] if lines[0].mode == ServerMode::Draining)
+                    matches!(&told[..], [ServerListUpdate::Complete(lines)] if lines[0].mode == ServerMode::Draining)
                 )
             }
         }
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -46,7 +46,7 @@
 
 /// Most bytes held of a client's requests: a body in small chunks is larger on the wire than in
 /// memory.
-const MAX_BUFFERED_BYTES: usize = http::HEAD + 2 * http::BODY;
+const MAX_BUFFERED_BYTES: usize = http::MAX_HEAD_BYTES + 2 * http::MAX_BODY_BYTES;
 /// A request must have arrived whole so long after its first byte; the first one, after its
 /// connection.
 const REQUEST_TIMEOUT: Micros = 2_000_000;
@@ -250,7 +250,8 @@
     /// due.
     fn overhear(&mut self, net: &mut Net, id: ConnId) {
         let held = net.get(id).map_or(0, |conn| conn.input.bytes().len());
-        if held < MAX_BUFFERED_BYTES && (held <= http::HEAD || self.bytes(net) <= self.most_bytes())
+        if held < MAX_BUFFERED_BYTES
+            && (held <= http::MAX_HEAD_BYTES || self.bytes(net) <= self.most_bytes())
         {
             return;
         }
@@ -288,9 +289,9 @@
                 return;
             };
             let (request, used) = match http::request(conn.input.bytes()) {
-                Ok(Parsed::Whole(request, used)) => (request, used),
+                Ok(Parsed::Complete(request, used)) => (request, used),
                 Ok(Parsed::Partial(waits)) => return self.on_partial(net, id, front, waits),
-                Err(http::Malformed(status, reason)) => {
+                Err(http::MalformedMessage(status, reason)) => {
                     return self.reject_and_close(net, id, &front.malformed(status, reason));
                 }
             };
@@ -327,7 +328,7 @@
             return self.reject_and_close(net, id, &response);
         }
         // Guards memory against many large requests that arrive at once.
-        if buffered > http::HEAD && self.bytes(net) > self.most_bytes() {
+        if buffered > http::MAX_HEAD_BYTES && self.bytes(net) > self.most_bytes() {
             let response = front.malformed(503, "too much is arriving");
             return self.reject_and_close(net, id, &response);
         }
--- a/src/service.rs
+++ b/src/service.rs
@@ -72,7 +72,7 @@
                 // What never left because this process lacked a descriptor is no silence of the
                 // node.
                 let outcome = if self.pool.is_parked(attempt) {
-                    Outcome::Moot
+                    Outcome::NeverSent
                 } else {
                     Outcome::Timeout
                 };
@@ -139,7 +139,7 @@
     fn recall(&mut self, net: &mut Net, attempt: u64) {
         if self.pool.recall(net, attempt) {
             self.core
-                .ended(net.clock.now(), attempt, Outcome::Moot, None);
+                .ended(net.clock.now(), attempt, Outcome::NeverSent, None);
         }
     }
 
@@ -177,7 +177,7 @@
     /// started.
     pub(crate) fn listed(&mut self, news: ServerListUpdate) {
         if let ServerListUpdate::Changes(lines)
-        | ServerListUpdate::Whole(lines)
+        | ServerListUpdate::Complete(lines)
         | ServerListUpdate::Cached(lines) = &news
         {
             let warm_after = self.core.settings().cold.warm_after;
--- a/src/upstream/frames.rs
+++ b/src/upstream/frames.rs
@@ -25,7 +25,7 @@
 /// Longest line before a value.
 const LINE: usize = 1024;
 /// Longest frame that is read: no client's answer holds a longer value.
-const LONGEST: usize = http::BODY + LINE;
+const LONGEST: usize = http::MAX_BODY_BYTES + LINE;
 
 fn frame(frame_type: u8, rest: &[u8], out: &mut Vec<u8>) {
     out.extend_from_slice(&(rest.len() as u32 + 1).to_be_bytes());
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -208,7 +208,7 @@
         unsent
             .iter()
             .for_each(|p| _ = self.attempts.remove(&p.attempt));
-        self.end_parts(&unsent, Outcome::Moot);
+        self.end_parts(&unsent, Outcome::NeverSent);
     }
 
     /// Forgets what is known of a node that is gone, and closes the connections to it that carry
--- a/src/upstream/ogc.rs
+++ b/src/upstream/ogc.rs
@@ -292,7 +292,7 @@
     type Job = Job;
     type Name = ExpectedBody;
     const OWNER: Owner = Owner::Features;
-    const MAX_INPUT_BYTES: usize = LONGEST + http::HEAD;
+    const MAX_INPUT_BYTES: usize = LONGEST + http::MAX_HEAD_BYTES;
     const RESPONSE_TIMEOUT: Micros = 30_000_000;
 
     /// Each request costs the node as much as another: there is no cheaper one to begin with.
@@ -345,7 +345,7 @@
         while !input.is_empty() {
             let expected = oldest.ok_or(AnswerError::Unrequested)?;
             match http::response(input.bytes(), ended, LONGEST) {
-                Ok(Parsed::Whole(response, used)) => {
+                Ok(Parsed::Complete(response, used)) => {
                     input.consume(used);
                     // An interim answer is followed by the real one.
                     if response.status >= 200 {
@@ -361,7 +361,7 @@
                     }
                 }
                 Ok(Parsed::Partial(_)) => return Ok(None),
-                Err(http::Malformed(_, reason)) => return Err(AnswerError::Http(reason)),
+                Err(http::MalformedMessage(_, reason)) => return Err(AnswerError::Http(reason)),
             }
         }
         Ok(None)
--- a/src/upstream/sending.rs
+++ b/src/upstream/sending.rs
@@ -103,7 +103,7 @@
             let Some(call) = self.parked.pop_front() else {
                 return;
             };
-            self.end_parts(&call.parts, Outcome::Moot);
+            self.end_parts(&call.parts, Outcome::NeverSent);
         }
     }
 
@@ -179,7 +179,7 @@
             self.attempts.remove(&part.attempt);
             self.ended.push(Ended {
                 attempt: part.attempt,
-                outcome: Outcome::Moot,
+                outcome: Outcome::NeverSent,
                 value: None,
             });
         }
--- a/src/upstream/tests/descriptors.rs
+++ b/src/upstream/tests/descriptors.rs
@@ -18,7 +18,7 @@
         log.len() == 1 && log[0].contains("had to wait for a descriptor: 1; all 35 descriptors"),
         "{log:?}"
     );
-    assert_eq!(stage.tended(), [(late, Outcome::Moot)]);
+    assert_eq!(stage.tended(), [(late, Outcome::NeverSent)]);
     assert_eq!(stage.pool.links.len(), open, "those with work stay");
     // One that is given up while it waits is gone without a word.
     let given_up = stage.send_to(ServerId(99), "x");
@@ -102,5 +102,5 @@
         .into_iter()
         .map(|e| (e.attempt, e.outcome))
         .collect();
-    assert_eq!(ended, [(attempt, Outcome::Moot)]);
+    assert_eq!(ended, [(attempt, Outcome::NeverSent)]);
 }
--- a/src/upstream/tests/sending.rs
+++ b/src/upstream/tests/sending.rs
@@ -199,7 +199,7 @@
         assert_eq!(
             ended,
             if late {
-                vec![(1, Outcome::Moot)]
+                vec![(1, Outcome::NeverSent)]
             } else {
                 Vec::new()
             }
--- a/src/upstream/tests/withdrawing.rs
+++ b/src/upstream/tests/withdrawing.rs
@@ -130,7 +130,10 @@
     let mut stream = stage.accept_silently();
     assert_eq!(frame(&mut stream), "G");
     stage.pool.drop_unsent(SERVER);
-    assert_eq!(stage.ended(), [(one, Outcome::Moot), (two, Outcome::Moot)]);
+    assert_eq!(
+        stage.ended(),
+        [(one, Outcome::NeverSent), (two, Outcome::NeverSent)]
+    );
     assert!(stage.pool.attempts.is_empty());
     stream.write_all(b"\0\0\0\x03GOK").unwrap();
     stage.net.wait(None).unwrap();
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -98,7 +98,7 @@
             now: Time(1_000_000 * MS),
             next: 1,
         };
-        stage.turn(vec![Event::List(ServerListUpdate::Whole(vec![
+        stage.turn(vec![Event::List(ServerListUpdate::Complete(vec![
             line(1, 0),
             line(2, 1),
             line(3, 2),
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -73,7 +73,7 @@
             attempts: BTreeMap::new(),
             sent: Vec::new(),
         };
-        fleet.list(&ServerListUpdate::Whole(
+        fleet.list(&ServerListUpdate::Complete(
             (0..cells)
                 .map(|cell| fleet.line(cell, cell, None))
                 .collect(),
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -65,7 +65,7 @@
     let mut stage = Stage::new(settings(class()));
     stage.after(
         MS,
-        vec![Event::List(ServerListUpdate::Whole(vec![line(1, 0)]))],
+        vec![Event::List(ServerListUpdate::Complete(vec![line(1, 0)]))],
     );
     (0..20).for_each(|_| stage.serve(20 * MS));
     let (_, events) = stage.query(&[0]);
@@ -87,7 +87,7 @@
     });
     stage.after(
         MS,
-        vec![Event::List(ServerListUpdate::Whole(vec![
+        vec![Event::List(ServerListUpdate::Complete(vec![
             line(2, 1),
             line(3, 2),
         ]))],
@@ -196,7 +196,7 @@
 #[test]
 fn an_empty_or_contradictory_list_is_survived() {
     let mut stage = Stage::new(settings(class()));
-    stage.turn(vec![Event::List(ServerListUpdate::Whole(vec![]))]);
+    stage.turn(vec![Event::List(ServerListUpdate::Complete(vec![]))]);
     let (id, events) = stage.query(&[0]);
     assert_eq!(finals(&stage.turn(events)), [(id, false)]);
     let twice = vec![
@@ -207,7 +207,7 @@
         },
         line(1, 2),
     ];
-    stage.turn(vec![Event::List(ServerListUpdate::Whole(twice))]);
+    stage.turn(vec![Event::List(ServerListUpdate::Complete(twice))]);
     let (_, events) = stage.query(&[0]);
     assert_eq!(
         sends(&stage.turn(events)).len(),
@@ -537,7 +537,7 @@
             ..line(i + 1, i)
         })
         .collect();
-    stage.turn(vec![Event::List(ServerListUpdate::Whole(lines))]);
+    stage.turn(vec![Event::List(ServerListUpdate::Complete(lines))]);
     let zone = |server: ServerId| (server.0 - 1) % 3;
     let mut to_far = [0; 60];
     for there in &mut to_far {
--- a/tests/ogc.rs
+++ b/tests/ogc.rs
@@ -121,7 +121,7 @@
         let mut bytes = Vec::new();
         stream.read_to_end(&mut bytes).unwrap();
         match http::response(&bytes, true, 1 << 24) {
-            Ok(Parsed::Whole(response, _)) => response,
+            Ok(Parsed::Complete(response, _)) => response,
             other => panic!("{other:?} for {request}"),
         }
     }
--- a/tests/platformed/mod.rs
+++ b/tests/platformed/mod.rs
@@ -93,7 +93,7 @@
             let mut chunk = [0; 1024];
             while let Ok(n @ 1..) = stream.read(&mut chunk) {
                 held.extend_from_slice(&chunk[..n]);
-                while let Ok(Parsed::Whole(request, used)) = http::request(&held) {
+                while let Ok(Parsed::Complete(request, used)) = http::request(&held) {
                     held.drain(..used);
                     if request.query().is_empty() {
                         let answer = Response::new(200, "application/json", list.clone());
@@ -315,7 +315,7 @@
         let n = stream.read(&mut chunk).unwrap();
         held.extend_from_slice(&chunk[..n]);
         match http::response(&held, n == 0, 1 << 20).unwrap() {
-            Parsed::Whole(response, _) => return response,
+            Parsed::Complete(response, _) => return response,
             Parsed::Partial(_) => assert!(n > 0, "ended early"),
         }
     }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -144,7 +144,7 @@
     let mut broker = Coordinator::new(seed, set.clone());
     let mut all = Vec::new();
     let mut next = 1u64;
-    let whole = Event::List(ServerListUpdate::Whole(
+    let whole = Event::List(ServerListUpdate::Complete(
         (0..6).map(|s| list(s, 0, now)).collect(),
     ));
     let mut events = vec![whole];
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -44,7 +44,9 @@
     let mut set = settings(class());
     set.layout.width = 1;
     let mut stage = Stage::new(set);
-    stage.turn(vec![Event::List(ServerListUpdate::Whole(vec![line(1, 0)]))]);
+    stage.turn(vec![Event::List(ServerListUpdate::Complete(vec![line(
+        1, 0,
+    )]))]);
     let (id, events) = stage.query(&[0, 1]);
     let out = stage.turn(events);
     assert!(
@@ -98,7 +100,9 @@
             .iter()
             .all(|s| s.1 == ServerId(3)));
     }
-    stage.turn(vec![Event::List(ServerListUpdate::Whole(vec![line(2, 1)]))]);
+    stage.turn(vec![Event::List(ServerListUpdate::Complete(vec![line(
+        2, 1,
+    )]))]);
     let (_, events) = stage.query(&[0]);
     assert!(
         sends(&stage.after(MS, events))
@@ -203,7 +207,7 @@
         started: Some(stage.now),
         ..line(9, 0)
     }];
-    stage.turn(vec![Event::List(ServerListUpdate::Whole(only))]);
+    stage.turn(vec![Event::List(ServerListUpdate::Complete(only))]);
     let mut sent = 0;
     for _ in 0..50 {
         let (_, events) = stage.query(&[0, 1, 2]);
@@ -428,7 +432,7 @@
     for attempt in 0..5 {
         let out = stage.after(
             100 * MS,
-            vec![finished(part, attempt, server, Outcome::Moot, 50 * MS)],
+            vec![finished(part, attempt, server, Outcome::NeverSent, 50 * MS)],
         );
         assert!(
             !out.iter().any(|a| matches!(a, Action::Log(_))),
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -22,7 +22,7 @@
             ..line(100 + i, i)
         })
         .collect();
-    stage.turn(vec![Event::List(ServerListUpdate::Whole(lines))]);
+    stage.turn(vec![Event::List(ServerListUpdate::Complete(lines))]);
     stage
 }
 
@@ -302,7 +302,7 @@
     for _ in 0..60 {
         stage.serve(320 * MS);
     }
-    stage.turn(vec![Event::List(ServerListUpdate::Whole(vec![]))]);
+    stage.turn(vec![Event::List(ServerListUpdate::Complete(vec![]))]);
     let (id, mut events) = stage.query(&[0]);
     with_key(&mut events, 5, false);
     assert_eq!(
@@ -310,7 +310,7 @@
         [(id, false)],
         "nobody holds the shard"
     );
-    stage.turn(vec![Event::List(ServerListUpdate::Whole(vec![
+    stage.turn(vec![Event::List(ServerListUpdate::Complete(vec![
         line(1, 0),
         line(2, 1),
         line(3, 2),
@@ -602,7 +602,7 @@
             ..line(i + 1, i)
         })
         .collect();
-    stage.turn(vec![Event::List(ServerListUpdate::Whole(lines))]);
+    stage.turn(vec![Event::List(ServerListUpdate::Complete(lines))]);
     stage
 }
 
--- a/wire/http/src/body.rs
+++ b/wire/http/src/body.rs
@@ -1,18 +1,18 @@
 //! Bodies as they come: cut anywhere, decoded piece by piece, and bounded.
 
-use super::{Framing, Malformed, HEAD};
+use super::{Framing, MalformedMessage, MAX_HEAD_BYTES};
 
 /// The end of a body that was written in chunks.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
 /// Writes a piece of a body as one chunk. Nothing is written for an empty one, which would end the
 /// body.
-pub fn encode_chunk(piece: &[u8], out: &mut Vec<u8>) {
-    if piece.is_empty() {
+pub fn encode_chunk(chunk: &[u8], out: &mut Vec<u8>) {
+    if chunk.is_empty() {
         return;
     }
-    out.extend_from_slice(format!("{:x}\r\n", piece.len()).as_bytes());
-    out.extend_from_slice(piece);
+    out.extend_from_slice(format!("{:x}\r\n", chunk.len()).as_bytes());
+    out.extend_from_slice(chunk);
     out.extend_from_slice(b"\r\n");
 }
 
@@ -53,17 +53,17 @@
 pub struct BodyDecoder {
     next: Next,
     /// Bytes that it may still hold.
-    room: u64,
+    capacity: u64,
 }
 
-const TOO_LARGE: Malformed = Malformed(413, "body too large");
+const TOO_LARGE: MalformedMessage = MalformedMessage(413, "body too large");
 
 impl BodyDecoder {
     /// For a body of at most `most` bytes.
     ///
     /// # Errors
     /// Its length is told to be more than that.
-    pub fn new(framing: Framing, most: u64) -> Result<BodyDecoder, Malformed> {
+    pub fn new(framing: Framing, most: u64) -> Result<BodyDecoder, MalformedMessage> {
         let next = match framing {
             Framing::None | Framing::Length(0) => Next::Done,
             Framing::Length(length) if length > most => return Err(TOO_LARGE),
@@ -71,7 +71,10 @@
             Framing::Chunked => Next::Size,
             Framing::UntilClose => Next::Any,
         };
-        Ok(BodyDecoder { next, room: most })
+        Ok(BodyDecoder {
+            next,
+            capacity: most,
+        })
     }
 
     /// Whether the body is complete.
@@ -84,10 +87,10 @@
     ///
     /// # Errors
     /// The body ended before its end.
-    pub fn end(&mut self) -> Result<(), Malformed> {
+    pub fn end(&mut self) -> Result<(), MalformedMessage> {
         match self.next {
             Next::Any | Next::Done => self.next = Next::Done,
-            _ => return Err(Malformed(400, "body ended before its end")),
+            _ => return Err(MalformedMessage(400, "body ended before its end")),
         }
         Ok(())
     }
@@ -96,7 +99,7 @@
     ///
     /// # Errors
     /// It can't be read, or is too large.
-    pub fn decode<'a>(&mut self, bytes: &'a [u8]) -> Result<Decoded<'a>, Malformed> {
+    pub fn decode<'a>(&mut self, bytes: &'a [u8]) -> Result<Decoded<'a>, MalformedMessage> {
         let mut at = 0;
         loop {
             let rest = &bytes[at..];
@@ -110,10 +113,10 @@
                     });
                 }
                 Next::Any => {
-                    if rest.len() as u64 > self.room {
+                    if rest.len() as u64 > self.capacity {
                         return Err(TOO_LARGE);
                     }
-                    self.room -= rest.len() as u64;
+                    self.capacity -= rest.len() as u64;
                     return Ok(Decoded {
                         body: rest,
                         consumed: bytes.len(),
@@ -145,7 +148,7 @@
     fn take<'a>(&mut self, left: u64, rest: &'a [u8]) -> &'a [u8] {
         let count = usize::try_from(left).unwrap_or(usize::MAX).min(rest.len());
         let left = left - count as u64;
-        self.room -= count as u64;
+        self.capacity -= count as u64;
         self.next = match self.next {
             Next::Chunk(_) if left == 0 => Next::ChunkEnd,
             Next::Chunk(_) => Next::Chunk(left),
@@ -157,7 +160,7 @@
 
     /// Takes what stands between pieces; tells how many bytes that were, none where more are
     /// needed.
-    fn skip(&mut self, rest: &[u8]) -> Result<usize, Malformed> {
+    fn skip(&mut self, rest: &[u8]) -> Result<usize, MalformedMessage> {
         match self.next {
             Next::Size => self.size(rest),
             Next::ChunkEnd => match rest.get(..2) {
@@ -165,7 +168,7 @@
                     self.next = Next::Size;
                     Ok(2)
                 }
-                Some(_) => Err(Malformed(400, "chunk without its end")),
+                Some(_) => Err(MalformedMessage(400, "chunk without its end")),
                 None => Ok(0),
             },
             Next::Trailers(seen) => self.trailer(seen, rest),
@@ -173,22 +176,22 @@
         }
     }
 
-    fn size(&mut self, rest: &[u8]) -> Result<usize, Malformed> {
+    fn size(&mut self, rest: &[u8]) -> Result<usize, MalformedMessage> {
         // A line without a number is no end of a body, though it may be taken for one.
         if rest.first().is_some_and(|b| !b.is_ascii_hexdigit()) {
-            return Err(Malformed(400, "bad chunk size"));
+            return Err(MalformedMessage(400, "bad chunk size"));
         }
         let (used, size) = match httparse::parse_chunk_size(rest) {
             Ok(httparse::Status::Complete(found)) => found,
             // Guards memory: what is no body grows as well.
-            Ok(httparse::Status::Partial) if rest.len() > HEAD => {
-                return Err(Malformed(400, "line of a chunk too long"));
+            Ok(httparse::Status::Partial) if rest.len() > MAX_HEAD_BYTES => {
+                return Err(MalformedMessage(400, "line of a chunk too long"));
             }
             Ok(httparse::Status::Partial) => return Ok(0),
-            Err(_) => return Err(Malformed(400, "bad chunk size")),
+            Err(_) => return Err(MalformedMessage(400, "bad chunk size")),
         };
         // Guards memory, as soon as it is known.
-        if size > self.room {
+        if size > self.capacity {
             return Err(TOO_LARGE);
         }
         self.next = if size == 0 {
@@ -200,12 +203,12 @@
     }
 
     /// One line of the trailers, which are left out.
-    fn trailer(&mut self, seen: usize, rest: &[u8]) -> Result<usize, Malformed> {
+    fn trailer(&mut self, seen: usize, rest: &[u8]) -> Result<usize, MalformedMessage> {
         let end = rest.windows(2).position(|w| w == b"\r\n");
         let used = end.map_or(0, |end| end + 2);
         // Guards memory and time against trailers without end.
-        if seen + if end.is_some() { used } else { rest.len() } > HEAD {
-            return Err(Malformed(431, "trailers too large"));
+        if seen + if end.is_some() { used } else { rest.len() } > MAX_HEAD_BYTES {
+            return Err(MalformedMessage(431, "trailers too large"));
         }
         match end {
             Some(0) => self.next = Next::Done,
--- a/wire/http/src/body/tests.rs
+++ b/wire/http/src/body/tests.rs
@@ -11,7 +11,7 @@
     most: u64,
     bytes: &[u8],
     cuts: &[usize],
-) -> Result<(Vec<u8>, Vec<u8>, bool), Malformed> {
+) -> Result<(Vec<u8>, Vec<u8>, bool), MalformedMessage> {
     let mut decoder = BodyDecoder::new(framing, most)?;
     let (mut body, mut held, mut at) = (Vec::new(), Vec::new(), 0);
     let mut cuts = cuts.iter().copied().cycle();
@@ -156,25 +156,28 @@
         BodyDecoder::new(Framing::Length(6), 5).unwrap_err(),
         TOO_LARGE
     );
-    let in_pieces = |bytes: &[u8], of| {
+    let in_chunks = |bytes: &[u8], of| {
         decode(Framing::Chunked, 5, bytes, &[of])
             .map(|_| ())
             .map_err(|e| e.0)
     };
-    let chunked = |bytes: &[u8]| in_pieces(bytes, 1);
-    let long = |bytes: &[u8]| in_pieces(bytes, 500);
+    let chunked = |bytes: &[u8]| in_chunks(bytes, 1);
+    let long = |bytes: &[u8]| in_chunks(bytes, 500);
     assert_eq!(chunked(b"5\r\nabcde\r\n0\r\n\r\n"), Ok(()));
     assert_eq!(chunked(b"6\r\n"), Err(413));
     assert_eq!(chunked(b"3\r\nabc\r\n3\r\n"), Err(413));
     assert_eq!(chunked(b"ffffffffffffffff\r\n"), Err(413));
     assert_eq!(chunked(b"10000000000000000\r\n"), Err(400));
-    assert_eq!(long(format!("1;{}", "x".repeat(HEAD)).as_bytes()), Err(400));
     assert_eq!(
-        long(format!("0\r\n{}", "T: x\r\n".repeat(HEAD / 6 + 1)).as_bytes()),
+        long(format!("1;{}", "x".repeat(MAX_HEAD_BYTES)).as_bytes()),
+        Err(400)
+    );
+    assert_eq!(
+        long(format!("0\r\n{}", "T: x\r\n".repeat(MAX_HEAD_BYTES / 6 + 1)).as_bytes()),
         Err(431)
     );
     assert_eq!(
-        long(format!("0\r\n{}", "x".repeat(HEAD + 1)).as_bytes()),
+        long(format!("0\r\n{}", "x".repeat(MAX_HEAD_BYTES + 1)).as_bytes()),
         Err(431)
     );
 }
--- a/wire/http/src/head.rs
+++ b/wire/http/src/head.rs
@@ -5,7 +5,7 @@
 //! well. It promises that a head has one reading or none: what two programs could read in two ways
 //! is refused.
 
-use super::Malformed;
+use super::MalformedMessage;
 use httparse::{Header, Status, EMPTY_HEADER};
 
 /// Header fields of a head.
@@ -139,7 +139,7 @@
 pub fn parse_request_head(
     bytes: &[u8],
     most: usize,
-) -> Result<Option<(RequestHead, usize)>, Malformed> {
+) -> Result<Option<(RequestHead, usize)>, MalformedMessage> {
     let mut fields = [EMPTY_HEADER; FIELDS];
     let mut head = httparse::Request::new(&mut fields);
     let Some(used) = request_line_and_fields(&mut head, bytes, most)? else {
@@ -169,7 +169,7 @@
     bytes: &[u8],
     most: usize,
     to_head: bool,
-) -> Result<Option<(ResponseHead, usize)>, Malformed> {
+) -> Result<Option<(ResponseHead, usize)>, MalformedMessage> {
     let mut fields = [EMPTY_HEADER; FIELDS];
     let mut head = httparse::Response::new(&mut fields);
     let Some(used) = status_line_and_fields(&mut head, bytes, most)? else {
@@ -181,9 +181,9 @@
         Framing::None => Framing::UntilClose,
         framing => framing,
     };
-    let kept = keeps_connection(head.version, head.headers);
+    let forwarded_headers = keeps_connection(head.version, head.headers);
     // After a switch of protocols the connection speaks another one.
-    let keep_alive = kept && framing != Framing::UntilClose && status != 101;
+    let keep_alive = forwarded_headers && framing != Framing::UntilClose && status != 101;
     Ok(Some((
         ResponseHead {
             status,
@@ -205,11 +205,11 @@
     head: &mut httparse::Request<'h, 'b>,
     bytes: &'b [u8],
     most: usize,
-) -> Result<Option<usize>, Malformed> {
+) -> Result<Option<usize>, MalformedMessage> {
     length_of_head(head.parse(bytes), bytes.len(), most).map_err(|e| match e {
-        httparse::Error::TooManyHeaders => Malformed(431, "head too large"),
-        httparse::Error::Version => Malformed(505, "version"),
-        _ => Malformed(400, "malformed head"),
+        httparse::Error::TooManyHeaders => MalformedMessage(431, "head too large"),
+        httparse::Error::Version => MalformedMessage(505, "version"),
+        _ => MalformedMessage(400, "malformed head"),
     })
 }
 
@@ -218,9 +218,9 @@
     head: &mut httparse::Response<'h, 'b>,
     bytes: &'b [u8],
     most: usize,
-) -> Result<Option<usize>, Malformed> {
+) -> Result<Option<usize>, MalformedMessage> {
     length_of_head(head.parse(bytes), bytes.len(), most)
-        .map_err(|_| Malformed(502, "malformed head of a response"))
+        .map_err(|_| MalformedMessage(502, "malformed head of a response"))
 }
 
 /// The length of a head of which so many bytes are here, or `None` while it is not whole. One that
@@ -249,31 +249,37 @@
 }
 
 /// Where the body ends by the fields; [`Framing::None`] where they don't tell.
-fn framing_of(version: Option<u8>, fields: &[Header<'_>]) -> Result<Framing, Malformed> {
+fn framing_of(version: Option<u8>, fields: &[Header<'_>]) -> Result<Framing, MalformedMessage> {
     // Guards against request smuggling: programs that know the older version alone don't read the
     // field.
     if version == Some(0) && values(fields, "transfer-encoding").next().is_some() {
-        return Err(Malformed(400, "transfer-encoding in HTTP/1.0"));
+        return Err(MalformedMessage(400, "transfer-encoding in HTTP/1.0"));
     }
     framing(fields)
 }
 
 /// The same, whatever the version is.
-pub(crate) fn framing(fields: &[Header<'_>]) -> Result<Framing, Malformed> {
+pub(crate) fn framing(fields: &[Header<'_>]) -> Result<Framing, MalformedMessage> {
     let mut codings = values(fields, "transfer-encoding")
         .flat_map(tokens)
         .peekable();
     if codings.peek().is_some() {
         // Guards against request smuggling: with both, two readers may see two different messages.
         if values(fields, "content-length").next().is_some() {
-            return Err(Malformed(400, "both content-length and transfer-encoding"));
+            return Err(MalformedMessage(
+                400,
+                "both content-length and transfer-encoding",
+            ));
         }
         let chunked = codings
             .next()
             .is_some_and(|c| c.eq_ignore_ascii_case(b"chunked"));
         return match (chunked, codings.next()) {
             (true, None) => Ok(Framing::Chunked),
-            _ => Err(Malformed(501, "transfer-encoding other than chunked")),
+            _ => Err(MalformedMessage(
+                501,
+                "transfer-encoding other than chunked",
+            )),
         };
     }
     let mut lengths = values(fields, "content-length").flat_map(tokens);
@@ -285,14 +291,14 @@
         || first.is_empty()
         || !first.iter().all(u8::is_ascii_digit)
     {
-        return Err(Malformed(400, "bad content-length"));
+        return Err(MalformedMessage(400, "bad content-length"));
     }
     let length = std::str::from_utf8(first)
         .ok()
         .and_then(|digits| digits.parse().ok());
     length
         .map(Framing::Length)
-        .ok_or(Malformed(413, "content-length out of bounds"))
+        .ok_or(MalformedMessage(413, "content-length out of bounds"))
 }
 
 pub(crate) fn keeps_connection(version: Option<u8>, fields: &[Header<'_>]) -> bool {
--- a/wire/http/src/head/tests.rs
+++ b/wire/http/src/head/tests.rs
@@ -210,20 +210,26 @@
 
 #[test]
 fn a_connection_stays_open_only_where_the_next_message_can_be_found() {
-    let kept = |head: &str| response(head, false).keep_alive;
-    assert!(kept("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n"));
-    assert!(!kept(
+    let forwarded_headers = |head: &str| response(head, false).keep_alive;
+    assert!(forwarded_headers(
+        "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n"
+    ));
+    assert!(!forwarded_headers(
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nConnection: x, Close\r\n\r\n"
     ));
-    assert!(!kept("HTTP/1.0 200 OK\r\nContent-Length: 5\r\n\r\n"));
-    assert!(kept(
+    assert!(!forwarded_headers(
+        "HTTP/1.0 200 OK\r\nContent-Length: 5\r\n\r\n"
+    ));
+    assert!(forwarded_headers(
         "HTTP/1.0 200 OK\r\nContent-Length: 5\r\nConnection: keep-alive\r\n\r\n"
     ));
     assert!(
-        !kept("HTTP/1.1 200 OK\r\n\r\n"),
+        !forwarded_headers("HTTP/1.1 200 OK\r\n\r\n"),
         "its end is the connection's"
     );
-    assert!(!kept("HTTP/1.1 101 Switching Protocols\r\n\r\n"));
+    assert!(!forwarded_headers(
+        "HTTP/1.1 101 Switching Protocols\r\n\r\n"
+    ));
     assert!(
         request(POST).keep_alive
             && !request(b"GET / HTTP/1.1\r\nConnection: close\r\n\r\n").keep_alive
--- a/wire/http/src/lib.rs
+++ b/wire/http/src/lib.rs
@@ -18,10 +18,10 @@
 use std::fmt::Write as _;
 
 /// Most bytes of a message's head.
-pub const HEAD: usize = 16 * 1024;
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// Most bytes of a request's body.
-pub const BODY: usize = 64 * 1024;
-const HEADERS: usize = 64;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
+const MAX_HEADERS: usize = 64;
 
 /// A request.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -158,24 +158,28 @@
     /// More bytes are needed; `true`: the client waits for `100 Continue` before it sends its body.
     Partial(bool),
     /// A message, and how many bytes it took.
-    Whole(T, usize),
+    Complete(T, usize),
 }
 
 /// Why a message can't be read: the status that says so, and words for a log.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Malformed(pub u16, pub &'static str);
+pub struct MalformedMessage(pub u16, pub &'static str);
 
-fn text(headers: &[httparse::Header<'_>]) -> Result<Vec<(String, String)>, Malformed> {
+fn text(headers: &[httparse::Header<'_>]) -> Result<Vec<(String, String)>, MalformedMessage> {
     let one = |h: &httparse::Header<'_>| {
         let value =
-            std::str::from_utf8(h.value).map_err(|_| Malformed(400, "header is no text"))?;
+            std::str::from_utf8(h.value).map_err(|_| MalformedMessage(400, "header is no text"))?;
         Ok((h.name.to_ascii_lowercase(), value.trim().to_string()))
     };
     headers.iter().map(one).collect()
 }
 
 /// The body that begins the bytes and what it took; `None` while it is not whole.
-fn body(framing: Framing, rest: &[u8], most: usize) -> Result<Option<(Vec<u8>, usize)>, Malformed> {
+fn body(
+    framing: Framing,
+    rest: &[u8],
+    most: usize,
+) -> Result<Option<(Vec<u8>, usize)>, MalformedMessage> {
     let mut decoder = BodyDecoder::new(framing, most as u64)?;
     if let Framing::Length(length) = framing {
         // Nothing is copied before it is here.
@@ -201,18 +205,18 @@
 ///
 /// # Errors
 /// What makes the bytes no request, with the status to refuse them with.
-pub fn request(bytes: &[u8]) -> Result<Parsed<Request>, Malformed> {
-    request_up_to(bytes, BODY)
+pub fn request(bytes: &[u8]) -> Result<Parsed<Request>, MalformedMessage> {
+    request_up_to(bytes, MAX_BODY_BYTES)
 }
 
 /// As [`request`], with a body of at most `most` bytes.
 ///
 /// # Errors
 /// What makes the bytes no request, with the status to refuse them with.
-pub fn request_up_to(bytes: &[u8], most: usize) -> Result<Parsed<Request>, Malformed> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+pub fn request_up_to(bytes: &[u8], most: usize) -> Result<Parsed<Request>, MalformedMessage> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
-    let Some(used) = head::request_line_and_fields(&mut head, bytes, HEAD)? else {
+    let Some(used) = head::request_line_and_fields(&mut head, bytes, MAX_HEAD_BYTES)? else {
         return Ok(Parsed::Partial(false));
     };
     let headers = text(head.headers)?;
@@ -228,17 +232,21 @@
         headers,
         body: found.0,
     };
-    Ok(Parsed::Whole(request, used + found.1))
+    Ok(Parsed::Complete(request, used + found.1))
 }
 
 /// Reads a response with a body of at most `most` bytes; `ended`: the server sends nothing more.
 ///
 /// # Errors
 /// What makes the bytes no response.
-pub fn response(bytes: &[u8], ended: bool, most: usize) -> Result<Parsed<Response>, Malformed> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+pub fn response(
+    bytes: &[u8],
+    ended: bool,
+    most: usize,
+) -> Result<Parsed<Response>, MalformedMessage> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
-    let Some(used) = head::status_line_and_fields(&mut head, bytes, HEAD)? else {
+    let Some(used) = head::status_line_and_fields(&mut head, bytes, MAX_HEAD_BYTES)? else {
         return Ok(Parsed::Partial(false));
     };
     let (status, rest) = (head.code.unwrap_or_default(), &bytes[used..]);
@@ -247,7 +255,7 @@
     let found = match head::framing(head.headers)? {
         _ if head::has_no_body(status) => Some((Vec::new(), 0)),
         // Without a length the body goes on until the server ends the connection.
-        Framing::None if rest.len() > most => return Err(Malformed(413, "body too large")),
+        Framing::None if rest.len() > most => return Err(MalformedMessage(413, "body too large")),
         Framing::None => {
             keep_alive = false;
             ended.then(|| (rest.to_vec(), rest.len()))
@@ -257,7 +265,7 @@
     let Some((body, length)) = found else {
         return Ok(Parsed::Partial(false));
     };
-    Ok(Parsed::Whole(
+    Ok(Parsed::Complete(
         Response {
             status,
             headers,
--- a/wire/http/src/tests.rs
+++ b/wire/http/src/tests.rs
@@ -11,7 +11,7 @@
 fn message_is_complete_only_at_its_last_byte() {
     random_cuts(&[POST, CHUNKS], |bytes| match request(bytes).unwrap() {
         Parsed::Partial(_) => None,
-        Parsed::Whole(r, used) => {
+        Parsed::Complete(r, used) => {
             assert_eq!(r.body, b"abc");
             assert_eq!(r.path(), "/a");
             Some(used)
@@ -22,7 +22,7 @@
     random_cuts(&[answer], |bytes| {
         match response(bytes, false, 100).unwrap() {
             Parsed::Partial(_) => None,
-            Parsed::Whole(r, used) => (r.body == b"{}\n").then_some(used),
+            Parsed::Complete(r, used) => (r.body == b"{}\n").then_some(used),
         }
     });
 }
@@ -72,20 +72,25 @@
         400
     );
     assert_eq!(
-        status(&format!("GET / HTTP/1.1\r\nA: {}", "a".repeat(HEAD))),
+        status(&format!(
+            "GET / HTTP/1.1\r\nA: {}",
+            "a".repeat(MAX_HEAD_BYTES)
+        )),
         431
     );
 }
 
 #[test]
 fn connections_stay_open_unless_a_side_says_close() {
-    let kept = |head: &str| match request(head.as_bytes()).unwrap() {
-        Parsed::Whole(r, _) => r.keep_alive,
+    let forwarded_headers = |head: &str| match request(head.as_bytes()).unwrap() {
+        Parsed::Complete(r, _) => r.keep_alive,
         Parsed::Partial(_) => panic!("partial"),
     };
-    assert!(kept("GET / HTTP/1.1\r\n\r\n"));
-    assert!(!kept("GET / HTTP/1.1\r\nConnection: Close\r\n\r\n"));
-    assert!(!kept("GET / HTTP/1.0\r\n\r\n"));
+    assert!(forwarded_headers("GET / HTTP/1.1\r\n\r\n"));
+    assert!(!forwarded_headers(
+        "GET / HTTP/1.1\r\nConnection: Close\r\n\r\n"
+    ));
+    assert!(!forwarded_headers("GET / HTTP/1.0\r\n\r\n"));
     let waits = b"POST / HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\n";
     assert_eq!(request(waits).unwrap(), Parsed::Partial(true));
     let until_end = b"HTTP/1.1 200 OK\r\n\r\nabc";
@@ -93,7 +98,9 @@
         response(until_end, false, 9).unwrap(),
         Parsed::Partial(false)
     );
-    assert!(matches!(response(until_end, true, 9).unwrap(), Parsed::Whole(r, _) if !r.keep_alive));
+    assert!(
+        matches!(response(until_end, true, 9).unwrap(), Parsed::Complete(r, _) if !r.keep_alive)
+    );
 }
 
 #[test]
@@ -114,17 +121,20 @@
     );
     let whole = format!("{}abcde", post(5));
     assert!(
-        matches!(request_up_to(whole.as_bytes(), 5).unwrap(), Parsed::Whole(r, _) if r.body == b"abcde")
+        matches!(request_up_to(whole.as_bytes(), 5).unwrap(), Parsed::Complete(r, _) if r.body == b"abcde")
     );
 }
 
 #[test]
 fn heads_are_bounded_however_they_come() {
-    let long = format!("GET / HTTP/1.1\r\nA: {}\r\n\r\n", "a".repeat(HEAD));
+    let long = format!(
+        "GET / HTTP/1.1\r\nA: {}\r\n\r\n",
+        "a".repeat(MAX_HEAD_BYTES)
+    );
     assert_eq!(request(long.as_bytes()).unwrap_err().0, 431);
     let answer = format!(
         "HTTP/1.1 200 OK\r\nA: {}\r\nContent-Length: 0\r\n\r\n",
-        "a".repeat(HEAD)
+        "a".repeat(MAX_HEAD_BYTES)
     );
     assert_eq!(response(answer.as_bytes(), false, 9).unwrap_err().0, 502);
 }
