--- a/experiments/src/members.rs
+++ b/experiments/src/members.rs
@@ -1,6 +1,5 @@
-//! What a view of the fleet costs and how soon it is right, in virtual time, by the size of the
-//! fleet: brokers that talk over a network which loses one message in a hundred, and of which one
-//! after the other dies.
+//! What failure detection costs and how soon it is right, in virtual time, by the size of the fleet:
+//! brokers in a network that loses one message in a hundred, of which one after the other crashes.
 
 use lichenswitch::decide::failure_detector::{FailureDetector, Member, SwimConfig, Verdict};
 use lichenswitch::interface::{Micros, Time};
@@ -12,55 +11,55 @@
 
 const SECOND: Micros = 1_000_000;
 const START: Time = Time(1_000 * SECOND);
-/// Time on the way, share of messages that are lost, and brokers that others know beforehand.
-const WAY: Micros = 1_000;
-const LOST: f64 = 0.01;
-const SEEDS: usize = 3;
-/// Quiet time in which bytes are counted, and time after each death.
-const QUIET: Micros = 30 * SECOND;
-const DEATH: Micros = 12 * SECOND;
+/// The delay of a message, the probability that it is lost, and brokers that others know beforehand.
+const LINK_DELAY: Micros = 1_000;
+const LOSS_PROBABILITY: f64 = 0.01;
+const SEED_COUNT: usize = 3;
+/// The time without a fault in which bytes are counted, and the time after each crash.
+const QUIET_TIME: Micros = 30 * SECOND;
+const DETECTION_TIME: Micros = 12 * SECOND;
 
-/// The figures of a fleet.
+/// The figures of a fleet, printed and written by these names.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Figures {
     /// Brokers.
     pub brokers: usize,
-    /// Until all knew all, milliseconds.
+    /// Until the view of each was complete, milliseconds.
     pub agreed_ms: u64,
-    /// Bytes that each says in a second while nothing befalls it.
+    /// Bytes that each sends in a second without a fault.
     pub peer_bytes_per_s_each: f64,
-    /// Deaths, and how many times one should have been told and was.
+    /// Crashes, and how many times one should have been declared and was.
     pub deaths: usize,
     /// See `deaths`.
     pub told: usize,
     /// See `deaths`.
     pub to_be_told: usize,
-    /// From a death to the time when one of the others knew it, milliseconds: half of them, 99 in a
+    /// From a crash to its declaration by one of the others, milliseconds: half of them, 99 in a
     /// hundred, all.
     pub detected_ms_p50: u64,
     /// See `detected_ms_p50`.
     pub detected_ms_p99: u64,
     /// See `detected_ms_p50`.
     pub detected_ms_most: u64,
-    /// Deaths told of brokers that live.
+    /// Deaths declared of brokers that run.
     pub false_deaths: usize,
 }
 
-type Way = Reverse<(Time, u64, usize, Vec<u8>)>;
+type InFlightMessage = Reverse<(Time, u64, usize, Vec<u8>)>;
 
-struct World {
-    fleets: Vec<Option<FailureDetector>>,
+struct Network {
+    detectors: Vec<Option<FailureDetector>>,
     timers: BinaryHeap<Reverse<(Time, usize)>>,
-    ways: BinaryHeap<Way>,
-    dice: Xoshiro256PlusPlus,
+    in_flight: BinaryHeap<InFlightMessage>,
+    rng: Xoshiro256PlusPlus,
     now: Time,
-    sent: u64,
+    sent_messages: u64,
     bytes: u64,
     down: Vec<(Time, usize, String)>,
 }
 
-impl World {
-    fn new(seed: u64, count: usize) -> World {
+impl Network {
+    fn new(seed: u64, count: usize) -> Network {
         let address = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
         let member = |i: usize, incarnation| Member {
             name: format!("n{i}"),
@@ -68,8 +67,8 @@
             zone: String::new(),
             incarnation,
         };
-        let fleet = |i: usize| {
-            let seeds = (0..SEEDS.min(count)).map(|s| member(s, 0)).collect();
+        let detector = |i: usize| {
+            let seeds = (0..SEED_COUNT.min(count)).map(|s| member(s, 0)).collect();
             Some(FailureDetector::new(
                 START,
                 member(i, START.0),
@@ -78,94 +77,108 @@
                 seed ^ (i as u64) << 20,
             ))
         };
-        World {
-            fleets: (0..count).map(fleet).collect(),
+        Network {
+            detectors: (0..count).map(detector).collect(),
             timers: (0..count).map(|i| Reverse((START, i))).collect(),
-            ways: BinaryHeap::new(),
-            dice: Xoshiro256PlusPlus::seed_from_u64(seed),
+            in_flight: BinaryHeap::new(),
+            rng: Xoshiro256PlusPlus::seed_from_u64(seed),
             now: START,
-            sent: 0,
+            sent_messages: 0,
             bytes: 0,
             down: Vec::new(),
         }
     }
 
-    fn carry(&mut self, by: usize, verdicts: Vec<Verdict>) {
+    fn carry_out(&mut self, broker: usize, verdicts: Vec<Verdict>) {
         for verdict in verdicts {
             match verdict {
                 Verdict::Send(to, bytes) => {
-                    (self.sent, self.bytes) = (self.sent + 1, self.bytes + bytes.len() as u64);
+                    (self.sent_messages, self.bytes) =
+                        (self.sent_messages + 1, self.bytes + bytes.len() as u64);
                     let to = to.name[1..].parse().unwrap_or(0);
-                    if !self.dice.random_bool(LOST) {
-                        self.ways
-                            .push(Reverse((self.now.plus(WAY), self.sent, to, bytes)));
+                    if !self.rng.random_bool(LOSS_PROBABILITY) {
+                        self.in_flight.push(Reverse((
+                            self.now.plus(LINK_DELAY),
+                            self.sent_messages,
+                            to,
+                            bytes,
+                        )));
                     }
                 }
-                Verdict::Down(who, _) => self.down.push((self.now, by, who.name)),
+                Verdict::Down(member, _) => self.down.push((self.now, broker, member.name)),
                 Verdict::Up(..) | Verdict::Renewed(..) => {}
             }
         }
-        if let Some(fleet) = &self.fleets[by] {
-            self.timers.push(Reverse((fleet.next(), by)));
+        if let Some(detector) = &self.detectors[broker] {
+            self.timers.push(Reverse((detector.next(), broker)));
         }
     }
 
-    /// Plays until then, or until `done`.
-    fn play(&mut self, until: Time, done: impl Fn(&World) -> bool) {
-        let mut look = self.now;
+    /// Runs until then, or until `done`.
+    fn run(&mut self, until: Time, done: impl Fn(&Network) -> bool) {
+        let mut checked_at = self.now;
         loop {
-            let (way, timer) = (
-                self.ways.peek().map(|w| w.0 .0),
+            let (arrival, timer) = (
+                self.in_flight.peek().map(|w| w.0 .0),
                 self.timers.peek().map(|t| t.0 .0),
             );
-            let Some(at) = way.into_iter().chain(timer).min().filter(|at| *at <= until) else {
+            let Some(at) = arrival
+                .into_iter()
+                .chain(timer)
+                .min()
+                .filter(|at| *at <= until)
+            else {
                 break;
             };
             self.now = self.now.max(at);
-            if self.now >= look.plus(SECOND / 10) {
-                look = self.now;
+            if self.now >= checked_at.plus(SECOND / 10) {
+                checked_at = self.now;
                 if done(self) {
                     return;
                 }
             }
-            if way == Some(at) {
-                let Some(Reverse((_, _, to, bytes))) = self.ways.pop() else {
+            if arrival == Some(at) {
+                let Some(Reverse((_, _, to, bytes))) = self.in_flight.pop() else {
                     continue;
                 };
-                let told = self.fleets[to]
+                let verdicts = self.detectors[to]
                     .as_mut()
                     .map(|f| f.on_message(self.now, &bytes));
-                told.into_iter().for_each(|told| self.carry(to, told));
+                verdicts
+                    .into_iter()
+                    .for_each(|verdicts| self.carry_out(to, verdicts));
             } else if let Some(Reverse((_, i))) = self.timers.pop() {
-                // Each is entered anew whenever it changes: only one that is due still counts.
-                let due = self.fleets[i].as_mut().filter(|f| f.next() <= self.now);
-                let told = due.map(|f| f.on_time(self.now));
-                told.into_iter().for_each(|told| self.carry(i, told));
+                // A timer is set again whenever it changes: only one that is still due counts.
+                let due = self.detectors[i].as_mut().filter(|f| f.next() <= self.now);
+                let verdicts = due.map(|f| f.on_time(self.now));
+                verdicts
+                    .into_iter()
+                    .for_each(|verdicts| self.carry_out(i, verdicts));
             }
         }
         self.now = until;
     }
 
-    fn agrees(&self) -> bool {
-        let living = self.fleets.iter().flatten().count();
-        self.fleets
+    fn is_consistent(&self) -> bool {
+        let living = self.detectors.iter().flatten().count();
+        self.detectors
             .iter()
             .flatten()
             .all(|f| f.alive().len() + 1 == living)
     }
 }
 
-/// One fleet, of which so many die.
+/// One fleet, of which this many brokers crash.
 #[must_use]
 pub fn play(seed: u64, brokers: usize, deaths: usize) -> Figures {
-    let mut world = World::new(seed, brokers);
-    world.play(START.plus(120 * SECOND), World::agrees);
-    let agreed_ms = world.now.since(START) / 1_000;
-    // What was new at the start is told to the end.
-    world.play(world.now.plus(20 * SECOND), |_| false);
-    world.bytes = 0;
-    world.play(world.now.plus(QUIET), |_| false);
-    let each = world.bytes as f64 / brokers as f64 / (QUIET / SECOND) as f64;
+    let mut network = Network::new(seed, brokers);
+    network.run(START.plus(120 * SECOND), Network::is_consistent);
+    let agreed_ms = network.now.since(START) / 1_000;
+    // The updates of the start are passed on to the end.
+    network.run(network.now.plus(20 * SECOND), |_| false);
+    network.bytes = 0;
+    network.run(network.now.plus(QUIET_TIME), |_| false);
+    let each = network.bytes as f64 / brokers as f64 / (QUIET_TIME / SECOND) as f64;
     let mut figures = Figures {
         brokers,
         agreed_ms,
@@ -173,23 +186,27 @@
         deaths,
         ..Figures::default()
     };
-    let mut took = Vec::new();
-    for dead in (0..deaths).map(|d| brokers - 1 - d) {
-        let died = world.now;
-        world.fleets[dead] = None;
-        world.play(died.plus(DEATH), |_| false);
-        let name = format!("n{dead}");
-        let told = world.down.iter().filter(|d| d.2 == name && d.0 >= died);
-        took.extend(told.map(|d| d.0.since(died) / 1_000));
-        figures.to_be_told += world.fleets.iter().flatten().count();
+    let mut delays_ms = Vec::new();
+    for crashed in (0..deaths).map(|d| brokers - 1 - d) {
+        let crashed_at = network.now;
+        network.detectors[crashed] = None;
+        network.run(crashed_at.plus(DETECTION_TIME), |_| false);
+        let name = format!("n{crashed}");
+        let detections = network
+            .down
+            .iter()
+            .filter(|d| d.2 == name && d.0 >= crashed_at);
+        delays_ms.extend(detections.map(|d| d.0.since(crashed_at) / 1_000));
+        figures.to_be_told += network.detectors.iter().flatten().count();
     }
-    took.sort_unstable();
+    delays_ms.sort_unstable();
     let at = |share: f64| {
-        took.get(((took.len() as f64 * share) as usize).min(took.len().max(1) - 1))
+        delays_ms
+            .get(((delays_ms.len() as f64 * share) as usize).min(delays_ms.len().max(1) - 1))
             .copied()
     };
-    figures.told = took.len();
-    figures.false_deaths = world.down.len() - took.len();
+    figures.told = delays_ms.len();
+    figures.false_deaths = network.down.len() - delays_ms.len();
     figures.detected_ms_p50 = at(0.5).unwrap_or_default();
     figures.detected_ms_p99 = at(0.99).unwrap_or_default();
     figures.detected_ms_most = at(1.0).unwrap_or_default();
--- a/experiments/tests/discovery.rs
+++ b/experiments/tests/discovery.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_discovery_that_is_down_is_called_by_each_broker_about_once_a_second() {
+fn discovery_that_is_down_is_called_by_each_broker_about_once_a_second() {
     for (brokers, rate) in FITS.into_iter().skip(1) {
         let figures = play(
             7,
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn one_that_can_not_answer_all_in_time_answers_as_many_as_it_can() {
+fn overloaded_discovery_answers_as_many_calls_as_it_can() {
     // 300 brokers before 33 calls a second: 198 in 6 s if no call is wasted.
     for seed in 100..103 {
         let figures = play(
--- a/experiments/tests/members.rs
+++ b/experiments/tests/members.rs
@@ -3,7 +3,7 @@
 use lichenswitch_experiments::members::play;
 
 #[test]
-fn a_small_fleet_finds_two_deaths_out_in_time_and_the_same_way_each_time() {
+fn small_fleet_detects_two_crashes_in_time_and_repeatably() {
     let (one, two) = (play(3, 9, 2), play(3, 9, 2));
     assert_eq!(format!("{one:?}"), format!("{two:?}"));
     assert_ne!(format!("{one:?}"), format!("{:?}", play(4, 9, 2)));
