--- a/experiments/src/council.rs
+++ b/experiments/src/council.rs
@@ -67,14 +67,16 @@
 fn current_holder(entries: &[Entry]) -> Option<usize> {
     let mut holder = None;
     for entry in entries {
-        match &entry.what {
-            Event::Said(line) if line.contains("duty d: held under fence") => {
-                holder = Some(entry.who);
+        match &entry.event {
+            Event::Logged(line) if line.contains("duty d: held under fence") => {
+                holder = Some(entry.process);
             }
-            Event::Said(line) if line.contains("duty d: not held") && holder == Some(entry.who) => {
+            Event::Logged(line)
+                if line.contains("duty d: not held") && holder == Some(entry.process) =>
+            {
                 holder = None;
             }
-            Event::Killed if holder == Some(entry.who) => holder = None,
+            Event::Killed if holder == Some(entry.process) => holder = None,
             _ => {}
         }
     }
@@ -98,7 +100,7 @@
     let mut experiment = Experiment::new(rig, seed, brokers, voters.min(brokers));
     let result = experiment.run(faults);
     if let Some(path) = ledger {
-        let line = |e: &Entry| format!("{:.3} n{} {:?}\n", e.at.as_secs_f64(), e.who, e.what);
+        let line = |e: &Entry| format!("{:.3} n{} {:?}\n", e.at.as_secs_f64(), e.process, e.event);
         let entries = experiment.rig.ledger.all();
         let lines: String = entries.iter().map(line).collect();
         std::fs::write(path, lines).map_err(ExperimentError::write(path))?;
@@ -241,7 +243,7 @@
         self.report.stops += 1;
         self.rig.stop(broker);
         self.wait(duration);
-        self.rig.go_on(broker);
+        self.rig.resume(broker);
     }
 
     /// Cuts the links between two halves; the broker is in the first one.
@@ -260,8 +262,8 @@
     fn impair_links(&mut self, duration: Duration) {
         self.report.rough += 1;
         let impaired = Faults {
-            lost: 0.2,
-            twice: 0.2,
+            loss_share: 0.2,
+            duplicate_share: 0.2,
             delay_ms: 20,
             ..Faults::default()
         };
@@ -272,7 +274,7 @@
     fn withhold_messages(&mut self, broker: usize, duration: Duration) {
         self.report.held += 1;
         let withheld = Faults {
-            held: true,
+            is_paused: true,
             ..Faults::default()
         };
         let mut links = self.links();
@@ -311,10 +313,12 @@
             current_holder(&entries[since..]).is_some() || current_holder(entries) == holder
         });
         let entries = self.rig.ledger.all();
-        let held_at = entries[since..].iter().find_map(|entry| match &entry.what {
-            Event::Said(line) if line.contains("held under fence") => Some(entry.at),
-            _ => None,
-        });
+        let held_at = entries[since..]
+            .iter()
+            .find_map(|entry| match &entry.event {
+                Event::Logged(line) if line.contains("held under fence") => Some(entry.at),
+                _ => None,
+            });
         let takeover = held_at.filter(|_| is_over).map(|at| at - injected_at);
         let takeover_ms = takeover.map(|elapsed| elapsed.as_millis() as u64);
         self.report.taken_over_ms.extend(takeover_ms);
@@ -324,7 +328,7 @@
         let found = judge_holders(&self.rig.ledger.all(), "d", RESUME_TIMEOUT);
         (self.report.checked, self.report.double_held) = (found.checked, found.wrong.len());
         for (a, b) in self.links() {
-            let (carried, lost) = self.rig.link(a, b).counts();
+            let (carried, lost) = self.rig.link(a, b).message_counts();
             self.report.carried += carried;
             self.report.lost += lost;
         }
