--- a/fleet/src/router/handlers/backlog.rs
+++ b/fleet/src/router/handlers/backlog.rs
@@ -11,7 +11,7 @@
 
 impl Router {
     /// Schedules a report, unless one is scheduled: an attempt was started.
-    pub(crate) fn schedule_backlog_report(&mut self) {
+    pub(super) fn schedule_backlog_report(&mut self) {
         if !std::mem::replace(&mut self.backlog_reports.is_scheduled, true) {
             let due = self
                 .backlog_reports
@@ -23,7 +23,7 @@
     }
 
     /// Reports to control the backlogs that have changed.
-    pub(crate) fn report_backlog(&mut self) {
+    pub(super) fn report_backlog(&mut self) {
         self.backlog_reports.is_scheduled = false;
         self.backlog_reports.last_report_at = self.net.clock.now();
         let backlogs = backlogs_by_server(self.requests.iter());
@@ -48,7 +48,7 @@
 
     /// The connection to control is lost: backlogs of other routers may be outdated, and the next
     /// control machine knows nothing of this router's.
-    pub(crate) fn on_backlog_link_lost(&mut self) {
+    pub(super) fn on_backlog_link_lost(&mut self) {
         self.services.forget_backlogs();
         self.backlog_reports.last_reported.clear();
         self.schedule_backlog_report();
--- a/fleet/src/router/handlers/dispatch.rs
+++ b/fleet/src/router/handlers/dispatch.rs
@@ -16,7 +16,7 @@
 
 impl Router {
     /// Runs the decision module's turns that are due, and carries out its commands.
-    pub(crate) fn run_decision_turns(&mut self) {
+    pub(super) fn run_decision_turns(&mut self) {
         let now = self.net.clock.now();
         if self.services.next_turn().is_none_or(|at| at > now) {
             return;
@@ -139,7 +139,7 @@
     }
 
     /// The decision module's timeout for an attempt has passed.
-    pub(crate) fn on_attempt_timeout(&mut self, id: AttemptId) {
+    pub(super) fn on_attempt_timeout(&mut self, id: AttemptId) {
         let is_in_flight =
             |request: &RequestState| request.in_flight.iter().any(|attempt| attempt.id == id);
         let is_pending = self
@@ -155,7 +155,7 @@
     }
 
     /// Reports an attempt's outcome to its service's core.
-    pub(crate) fn report_outcome(&mut self, id: AttemptId, outcome: Outcome) {
+    pub(super) fn report_outcome(&mut self, id: AttemptId, outcome: Outcome) {
         let now = self.net.clock.now();
         if let Some(service) = self.services.get_mut(id.service) {
             service.on_attempt_ended(now, id.number, outcome);
--- a/fleet/src/router/handlers/intake.rs
+++ b/fleet/src/router/handlers/intake.rs
@@ -24,7 +24,7 @@
 
 impl Router {
     /// Handles what clients have done, until nothing is left.
-    pub(crate) fn handle_client_events(&mut self) {
+    pub(super) fn handle_client_events(&mut self) {
         while !self.client_events.is_empty() {
             for event in std::mem::take(&mut self.client_events) {
                 match event {
@@ -46,7 +46,7 @@
     }
 
     /// Answers a request at once, and counts it.
-    pub(crate) fn reject(&mut self, client: ConnId, reason: &RejectionReason) {
+    pub(super) fn reject(&mut self, client: ConnId, reason: &RejectionReason) {
         self.counters.on_rejected(reason);
         let response = match reason {
             RejectionReason::Unavailable(after) => LocalResponse::unavailable(*after),
@@ -78,7 +78,7 @@
     }
 
     /// Enters an admitted request into the table, and submits it to its service.
-    pub(crate) fn accept_request(
+    pub(super) fn accept_request(
         &mut self,
         client: ConnId,
         request: ClientRequest,
--- a/fleet/src/router/handlers/quota.rs
+++ b/fleet/src/router/handlers/quota.rs
@@ -34,7 +34,7 @@
 impl Router {
     /// Finds the sender of a request, and checks that the configuration is fresh enough to trust its
     /// keys.
-    pub(crate) fn authenticate(
+    pub(super) fn authenticate(
         &self,
         active: &ActiveConfiguration,
         is_public: bool,
@@ -54,7 +54,7 @@
 
     /// Checks that a request in hand may still be sent: its key is known, and the configuration is
     /// fresh.
-    pub(crate) fn check_sender(&self, sender: Option<&Sender>) -> Result<(), KeyDenial> {
+    pub(super) fn check_sender(&self, sender: Option<&Sender>) -> Result<(), KeyDenial> {
         let (Some(sender), Some(active)) = (sender, self.configuration.get()) else {
             return Ok(());
         };
@@ -71,7 +71,7 @@
     }
 
     /// Accepts a request if its tenant's quota allows it, or queues it until that is known.
-    pub(crate) fn admit_within_quota(
+    pub(super) fn admit_within_quota(
         &mut self,
         client: ConnId,
         request: ClientRequest,
@@ -111,7 +111,7 @@
 
     /// Requests the quota leases that are due, and a confirmation that the active configuration is
     /// the newest.
-    pub(crate) fn send_tenant_messages(&mut self) {
+    pub(super) fn send_tenant_messages(&mut self) {
         if self.control_link.take_connection_lost() {
             self.on_backlog_link_lost();
             self.allowances.on_link_lost();
@@ -138,7 +138,7 @@
     }
 
     /// A control machine has answered a quota lease request.
-    pub(crate) fn on_lease_response(&mut self, response: &QuotaLeaseResponse) {
+    pub(super) fn on_lease_response(&mut self, response: &QuotaLeaseResponse) {
         let now = self.net.clock.now();
         let grant = LeaseGrant {
             granted_bits: response.granted_bits,
@@ -150,7 +150,7 @@
     }
 
     /// Ends waits for quota that have lasted too long.
-    pub(crate) fn expire_quota_waiters(&mut self) {
+    pub(super) fn expire_quota_waiters(&mut self) {
         let now = self.net.clock.now();
         let ended = self.allowances.expire(now);
         self.finish_quota_waits(ended);
@@ -160,7 +160,7 @@
     }
 
     /// Rejects all requests that wait for quota: the process shuts down.
-    pub(crate) fn reject_quota_waiters(&mut self) {
+    pub(super) fn reject_quota_waiters(&mut self) {
         let waiting: Vec<ConnId> = self.quota_waiters.keys().copied().collect();
         for client in waiting {
             self.allowances.cancel(client);
--- a/fleet/src/router/handlers/relay.rs
+++ b/fleet/src/router/handlers/relay.rs
@@ -23,7 +23,7 @@
 impl Router {
     /// A response has begun that is forwarded as it arrives: the first one of a request, or one that
     /// continues an interrupted stream. Any other is withdrawn.
-    pub(crate) fn on_stream_started(&mut self, id: AttemptId, start: &StreamStart) {
+    pub(super) fn on_stream_started(&mut self, id: AttemptId, start: &StreamStart) {
         let StreamStart {
             head,
             content_length,
@@ -88,7 +88,7 @@
     }
 
     /// A chunk of a forwarded response.
-    pub(crate) fn on_chunk_received(&mut self, id: AttemptId, chunk: BodyChunk) {
+    pub(super) fn on_chunk_received(&mut self, id: AttemptId, chunk: BodyChunk) {
         // An attempt without a request was withdrawn, and its connection closed.
         let Some(request_id) = self.requests.id_of_attempt(id) else {
             return;
@@ -109,7 +109,7 @@
     }
 
     /// A forwarded response is complete.
-    pub(crate) fn on_stream_completed(&mut self, id: AttemptId, rest: &[u8]) {
+    pub(super) fn on_stream_completed(&mut self, id: AttemptId, rest: &[u8]) {
         let Some(request_id) = self.requests.id_of_attempt(id) else {
             return;
         };
@@ -123,7 +123,7 @@
     }
 
     /// The server of a forwarded response has broken off.
-    pub(crate) fn on_stream_interrupted(&mut self, id: RequestId, outcome: Outcome) {
+    pub(super) fn on_stream_interrupted(&mut self, id: RequestId, outcome: Outcome) {
         if !self.resume_stream(id) {
             self.abort_response(id, AbortReason::ServerEnded(outcome));
         }
@@ -177,7 +177,7 @@
     }
 
     /// A resumed stream ended without a further event, or can't be continued.
-    pub(crate) fn on_resumed_response(&mut self, id: RequestId, response: &BufferedResponse) {
+    pub(super) fn on_resumed_response(&mut self, id: RequestId, response: &BufferedResponse) {
         let is_at_end = response.head.is_event_stream
             && (200..300).contains(&response.head.status)
             && response
@@ -202,7 +202,7 @@
     }
 
     /// A client has taken all that was written so far: reading from its server resumes.
-    pub(crate) fn on_client_output_drained(&mut self, client: ConnId) {
+    pub(super) fn on_client_output_drained(&mut self, client: ConnId) {
         if let Some(id) = self.requests.id_of_client(client) {
             self.set_relay_paused(id, false);
         }
--- a/fleet/src/router/handlers/request_end.rs
+++ b/fleet/src/router/handlers/request_end.rs
@@ -12,7 +12,7 @@
 
 impl Router {
     /// Removes a request from the table, and withdraws its attempts.
-    pub(crate) fn remove_request(&mut self, id: RequestId) -> Option<RequestState> {
+    pub(super) fn remove_request(&mut self, id: RequestId) -> Option<RequestState> {
         let mut request = self.requests.remove(id)?;
         for attempt in std::mem::take(&mut request.in_flight) {
             if self.connections.withdraw(&mut self.net, attempt.id) {
@@ -36,7 +36,7 @@
     }
 
     /// The deadline of a request has passed.
-    pub(crate) fn on_request_deadline(&mut self, id: RequestId) {
+    pub(super) fn on_request_deadline(&mut self, id: RequestId) {
         let now = self.net.clock.now();
         if self
             .requests
@@ -48,7 +48,7 @@
     }
 
     /// Ends a request at once: with a final response, or by aborting the one that has begun.
-    pub(crate) fn end_request(&mut self, id: RequestId, reason: AbortReason) {
+    pub(super) fn end_request(&mut self, id: RequestId, reason: AbortReason) {
         match self.requests.get(id).map(|request| &request.phase) {
             Some(RequestPhase::Pending) => self.respond_without_server(id, None),
             Some(RequestPhase::Relaying(_) | RequestPhase::Resuming { .. }) => {
@@ -59,7 +59,7 @@
     }
     /// Answers a request that gets no response from a server: 503 only where it has not been
     /// executed, else the last failure of a server, 504 at its deadline, or 502.
-    pub(crate) fn respond_without_server(&mut self, id: RequestId, after: Option<Micros>) {
+    pub(super) fn respond_without_server(&mut self, id: RequestId, after: Option<Micros>) {
         let now = self.net.clock.now();
         let Some(request) = self.remove_request(id) else {
             return;
--- a/fleet/src/router/handlers/responses.rs
+++ b/fleet/src/router/handlers/responses.rs
@@ -12,7 +12,7 @@
 
 impl Router {
     /// Handles what became of attempts.
-    pub(crate) fn handle_server_events(&mut self) {
+    pub(super) fn handle_server_events(&mut self) {
         for event in self.connections.take_events() {
             match event {
                 ServerEvent::ResponseReceived(id, response) => {
--- a/fleet/src/router/handlers/settings_reload.rs
+++ b/fleet/src/router/handlers/settings_reload.rs
@@ -1,23 +1,34 @@
 //! The settings file: it is read again on a signal, and when it has changed without one.
 
+use crate::router::error::RouterError;
 use crate::router::options::Options;
 use crate::router::reactor::Timer;
-use crate::router::state::{modified_at, Router, SETTINGS_CHECK_INTERVAL};
+use crate::router::settings_file::SettingsFile;
+use crate::router::state::{Router, SETTINGS_CHECK_INTERVAL};
 use crate::router::time::after;
-use crate::settings::Settings;
+use crate::settings::{Settings, SettingsError};
+use std::path::Path;
+
+/// Why a settings file can't be used. The settings stay as they were.
+#[derive(Debug, thiserror::Error)]
+enum ReloadError {
+    /// It can't be read, or has invalid fields.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    /// It lacks what the role needs.
+    #[error(transparent)]
+    Options(#[from] RouterError),
+}
 
 impl Router {
     /// Reloads the settings if the file has changed without a signal.
     pub(super) fn check_settings_file(&mut self) {
         self.is_check_due = true;
-        let changed = match &mut self.settings_file {
-            Some((path, seen)) => {
-                let now = modified_at(path);
-                std::mem::replace(seen, now) != now
-            }
-            None => false,
-        };
-        if changed {
+        let has_changed = self
+            .settings_file
+            .as_mut()
+            .is_some_and(SettingsFile::take_change);
+        if has_changed {
             self.reload_settings();
         }
         self.net.wheel.set(
@@ -29,14 +40,12 @@
     /// Reads the settings again: seeds, the retry budget, bounds and the grace period may have
     /// changed. A faulty file changes nothing.
     pub(super) fn reload_settings(&mut self) {
-        let Some((path, seen)) = &mut self.settings_file else {
+        let Some(file) = &mut self.settings_file else {
             return;
         };
-        *seen = modified_at(path);
-        match Settings::read(path)
-            .map_err(|e| e.to_string())
-            .and_then(|settings| Options::from_settings(&settings).map_err(|e| e.to_string()))
-        {
+        // What is read now is no change any more.
+        file.take_change();
+        match read_options(file.path()) {
             Ok(options) => {
                 self.control_link.set_seeds(options.seeds.clone());
                 self.services.set_budget(options.retry_budget);
@@ -45,7 +54,12 @@
                 self.options.grace_period = options.grace_period;
                 log::info!("settings read again");
             }
-            Err(e) => log::warn!("settings stay as they were: {e}"),
+            Err(error) => log::warn!("settings stay as they were: {error}"),
         }
     }
 }
+
+fn read_options(path: &Path) -> Result<Options, ReloadError> {
+    let settings = Settings::read(path)?;
+    Ok(Options::from_settings(&settings)?)
+}
--- a/fleet/src/router/handlers/shutdown.rs
+++ b/fleet/src/router/handlers/shutdown.rs
@@ -25,7 +25,7 @@
 
 impl Router {
     /// Starts the shutdown. Further signals change nothing: the end is never put off.
-    pub(crate) fn begin_shutdown(&mut self) {
+    pub(super) fn begin_shutdown(&mut self) {
         if self.shutdown.is_some() {
             return;
         }
@@ -39,7 +39,7 @@
     }
 
     /// Carries out the steps of the shutdown that are due.
-    pub(crate) fn continue_shutdown(&mut self) {
+    pub(super) fn continue_shutdown(&mut self) {
         let now = self.net.clock.now();
         let Some(mut shutdown) = self.shutdown else {
             return;
@@ -92,7 +92,7 @@
     }
 
     /// Whether all that was read has been answered, and no client can connect any more.
-    pub(crate) fn is_finished(&self) -> bool {
+    pub(super) fn is_finished(&self) -> bool {
         let Some(shutdown) = self.shutdown else {
             return false;
         };
--- a/fleet/src/router/handlers/stream_abort.rs
+++ b/fleet/src/router/handlers/stream_abort.rs
@@ -13,7 +13,7 @@
 
 impl Router {
     /// Aborts a response that has begun, and logs why.
-    pub(crate) fn abort_response(&mut self, id: RequestId, reason: AbortReason) {
+    pub(super) fn abort_response(&mut self, id: RequestId, reason: AbortReason) {
         let Some(request) = self.remove_request(id) else {
             return;
         };
--- a/fleet/src/router/mod.rs
+++ b/fleet/src/router/mod.rs
@@ -28,7 +28,7 @@
 //! | `service`, `services`, `request_classes`, `server_share` | a service's core with the decision module; its classes of requests; this router's share of its servers |
 //! | `servers`, `budget` | the table of servers; the retry budget |
 //! | `control_link`, `backlog_reports` | the connection to control; backlogs as they are reported to it |
-//! | `readiness`, `shutdown`, `abort_reason` | the platform's check; the schedule of the end; why a response was cut off |
+//! | `readiness`, `settings_file`, `shutdown`, `abort_reason` | the platform's check; the file that may change; the schedule of the end; why a response was cut off |
 //! | `state`, `handlers` | all of the above in one value; what is done with it, along the way of a request |
 
 mod abort_reason;
@@ -64,6 +64,7 @@
 mod servers;
 mod service;
 mod services;
+mod settings_file;
 mod shutdown;
 mod state;
 mod time;
--- a/fleet/src/router/state.rs
+++ b/fleet/src/router/state.rs
@@ -15,6 +15,7 @@
 use super::request_table::RequestTable;
 use super::servers::ServerTable;
 use super::services::Services;
+use super::settings_file::SettingsFile;
 use super::shutdown::Shutdown;
 use super::time::after;
 use crate::router::client_connections::{ClientConnections, ClientEvent};
@@ -27,7 +28,7 @@
 use std::net::SocketAddr;
 use std::os::unix::net::UnixStream;
 use std::path::PathBuf;
-use std::time::{Duration, SystemTime};
+use std::time::Duration;
 
 /// Connections reserved for the platform's checks and for control machines, each: a check that finds
 /// none is a miss, and the platform may keep the connections of some checks open.
@@ -40,7 +41,7 @@
 pub struct Router {
     pub(crate) net: Net,
     pub(crate) options: Options,
-    pub(crate) settings_file: Option<(PathBuf, Option<SystemTime>)>,
+    pub(crate) settings_file: Option<SettingsFile>,
     pub(crate) frontend_address: SocketAddr,
     pub(crate) readiness_address: Option<SocketAddr>,
     pub(crate) rng: fastrand::Rng,
@@ -92,7 +93,7 @@
             Timer::SettingsCheck,
         );
         Ok(Router {
-            settings_file: file.map(|path| (path.clone(), modified_at(&path))),
+            settings_file: file.map(SettingsFile::new),
             frontend_address,
             readiness_address,
             configuration: CurrentConfiguration::default(),
@@ -141,13 +142,6 @@
     }
 }
 
-/// When a file was last modified, if that can be told.
-pub(crate) fn modified_at(path: &std::path::Path) -> Option<SystemTime> {
-    std::fs::metadata(path)
-        .and_then(|data| data.modified())
-        .ok()
-}
-
 /// Listens on an address; returns the one that was bound.
 pub(crate) fn listen(
     net: &mut Net,
