--- a/fleet/tests/control_support/mod.rs
+++ b/fleet/tests/control_support/mod.rs
@@ -15,6 +15,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::sync::atomic::{AtomicU16, Ordering};
+use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
 /// Timeout of all waits.
@@ -27,6 +28,8 @@
     /// Ports of all machines: for callers, and for each other.
     ports: (u16, u16),
     net: u16,
+    /// Keeps the network of its addresses from the tests of other processes.
+    _claim: TcpListener,
 }
 
 /// A control machine.
@@ -41,10 +44,29 @@
 
 static NETS: AtomicU16 = AtomicU16::new(0);
 
+/// Networks `127.x.y.0` that tests may use.
+const NET_COUNT: u16 = 1_600;
+/// Port at `127.x.y.254` by which a network is claimed, here and by `lichenswitch-emulators`.
+const CLAIM_PORT: u16 = 8_261;
+
+/// A network that no other test uses for as long as the listener lives. Process ids alone don't tell
+/// tests apart: two of them may come to the same network, and then one takes a port of the other.
+fn claim_net() -> (u16, TcpListener) {
+    let first = (std::process::id() as u16 % 200) * 8 + NETS.fetch_add(1, Ordering::Relaxed);
+    (0..NET_COUNT)
+        .map(|offset| (first + offset) % NET_COUNT)
+        .find_map(|net| {
+            let address = format!("127.{}.{}.254", 1 + net / 250, 1 + net % 250);
+            let claim = TcpListener::bind((address.as_str(), CLAIM_PORT)).ok()?;
+            Some((net, claim))
+        })
+        .expect("a network of loopback is free")
+}
+
 impl ControlFleet {
     /// Machines that are not started yet, one for each entry of `disks`.
     pub fn of(name: &str, disks: &[bool]) -> ControlFleet {
-        let net = (std::process::id() as u16 % 200) * 8 + NETS.fetch_add(1, Ordering::Relaxed);
+        let (net, claim) = claim_net();
         let folder =
             std::env::temp_dir().join(format!("lichenswitch-fleet-{name}-{}", std::process::id()));
         let _ = fs::remove_dir_all(&folder);
@@ -66,6 +88,7 @@
             machines,
             ports,
             net,
+            _claim: claim,
         }
     }
 
@@ -94,6 +117,7 @@
             .append(true)
             .open(machine.folder.join("log"))
             .unwrap();
+        let _no_probe = port_probe_lock();
         let process = Command::new(env!("CARGO_BIN_EXE_lichenswitch-fleet"))
             .arg("control")
             .env("LICHENSWITCH_CONFIG", &path)
@@ -255,6 +279,7 @@
 }
 
 fn signal(process: &Child, name: &str) {
+    let _no_probe = port_probe_lock();
     let sent = Command::new("kill")
         .arg(format!("-{name}"))
         .arg(process.id().to_string())
@@ -282,8 +307,17 @@
     )
 }
 
+/// Taken while ports are probed and while a process is started. A process that is forked while another
+/// test's probe is open has a copy of its socket until it begins to run its program: the port would
+/// still be in use when the first machine of that test comes to listen on it.
+fn port_probe_lock() -> MutexGuard<'static, ()> {
+    static PROBES: Mutex<()> = Mutex::new(());
+    PROBES.lock().unwrap_or_else(PoisonError::into_inner)
+}
+
 /// Two ports that are free at all addresses.
 fn free_ports(ips: &[String]) -> (u16, u16) {
+    let _no_fork = port_probe_lock();
     let free = || {
         let first = TcpListener::bind((ips[0].as_str(), 0)).unwrap();
         let port = first.local_addr().unwrap().port();
