--- a/emulators/src/fleet_processes/demonstration.rs
+++ b/emulators/src/fleet_processes/demonstration.rs
@@ -7,7 +7,7 @@
 use crate::operator::document::{replace, Route};
 use crate::operator::{Operator, Order, Outcome, Verb};
 use crate::stream_client::message::Call;
-use crate::stream_client::{StreamFault, StreamRequest, Streamed};
+use crate::stream_client::{StreamFault, StreamRequest, StreamedResponse};
 use std::fmt;
 use std::io::Write;
 use std::net::SocketAddr;
@@ -215,7 +215,7 @@
     fleet: &mut FleetProcesses,
     until: Instant,
     out: &mut impl Write,
-) -> Result<Streamed, DemonstrationError> {
+) -> Result<StreamedResponse, DemonstrationError> {
     let (mut last, fronts) = (String::from("none was made"), fleet.fronts());
     for turn in 0.. {
         if Instant::now() >= until {
--- a/emulators/src/model_server/heartbeat.rs
+++ b/emulators/src/model_server/heartbeat.rs
@@ -2,7 +2,7 @@
 //! `draining`), and its deregistration.
 
 use super::{lock, Event, Shared};
-use crate::stream_client::message::{Answer, Call};
+use crate::stream_client::message::{Call, Response};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Condvar, Mutex};
@@ -198,13 +198,13 @@
     }
 }
 
-fn is_acknowledgement(answer: &Answer, took: Duration) -> bool {
+fn is_acknowledgement(answer: &Response, took: Duration) -> bool {
     (200..300).contains(&answer.status())
         && took <= ACKNOWLEDGEMENT_TIMEOUT
         && answer.body.len() <= MAX_RESPONSE_BYTES
 }
 
-fn heartbeat_endpoint(answer: &Answer) -> Option<SocketAddr> {
+fn heartbeat_endpoint(answer: &Response) -> Option<SocketAddr> {
     let body: serde_json::Value = serde_json::from_slice(&answer.body).ok()?;
     body.get("heartbeatEndpoint")?.as_str()?.parse().ok()
 }
--- a/emulators/src/model_server/tests.rs
+++ b/emulators/src/model_server/tests.rs
@@ -4,7 +4,7 @@
 use super::heartbeat::ServerReport;
 use super::*;
 use crate::operator::scripted_control::{Reply, ScriptedControl};
-use crate::stream_client::message::{read_body, read_head, Answer, Call, MessageError};
+use crate::stream_client::message::{read_body, read_head, Call, MessageError, Response};
 use crate::stream_client::StreamRequest;
 use std::io::{BufReader, Read, Write};
 
@@ -55,10 +55,10 @@
             .expect("written");
     }
 
-    fn read(&mut self) -> Result<Answer, MessageError> {
-        let head = read_head(&mut self.0)?.ok_or(MessageError::CutShort)?;
+    fn read(&mut self) -> Result<Response, MessageError> {
+        let head = read_head(&mut self.0)?.ok_or(MessageError::Truncated)?;
         let body = read_body(&mut self.0, &head, true)?;
-        Ok(Answer { head, body })
+        Ok(Response { head, body })
     }
 
     fn rest(mut self) -> Vec<u8> {
@@ -168,7 +168,10 @@
     description.between_events = Duration::from_millis(40);
     let server = start(description);
     let call = call("d3").with("Deadline-Ms", 20);
-    assert_eq!(call.send(server.address, LONG), Err(MessageError::CutShort));
+    assert_eq!(
+        call.send(server.address, LONG),
+        Err(MessageError::Truncated)
+    );
     until(|| server.ledger.count(|entry| entry.what == Event::Dropped) == 1);
 }
 
@@ -305,7 +308,7 @@
     server.always_fault(Some(Fault::Mute));
     let request = StreamRequest::new("a", "/a/1", "m1", 8);
     let silent = request.send(server.address, Duration::from_millis(50), |_| {});
-    assert_eq!(silent, Err(MessageError::Silence));
+    assert_eq!(silent, Err(MessageError::Timeout));
     until(|| server.ledger.count(|entry| entry.what == Event::Dropped) == 1);
     assert_eq!(server.load(), (0, 0));
 }
--- a/emulators/src/operator/scripted_control.rs
+++ b/emulators/src/operator/scripted_control.rs
@@ -1,5 +1,5 @@
-//! A control machine by script: it answers calls as a function says, and keeps them. For tests of
-//! those who call.
+//! A scripted control machine: a function chooses its reply to each call, and it records the calls.
+//! For tests of callers.
 
 use crate::stream_client::message::{read_body, read_head, Call};
 use std::io::{BufReader, Write};
@@ -7,11 +7,11 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// What a call gets.
+/// The reply to a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// A whole answer.
-    Answer {
+    /// A complete response.
+    Response {
         /// Its status.
         status: u16,
         /// Its fields.
@@ -19,17 +19,17 @@
         /// Its body.
         body: String,
     },
-    /// The connection is closed without one.
+    /// The connection is closed without a response.
     Close,
-    /// Nothing, while the caller waits.
-    Silence,
+    /// No response: the caller waits until its timeout.
+    NoReply,
 }
 
 impl Reply {
-    /// A whole answer without more than a status.
+    /// A complete response with nothing but a status.
     #[must_use]
     pub fn status(status: u16) -> Reply {
-        Reply::Answer {
+        Reply::Response {
             status,
             fields: Vec::new(),
             body: String::new(),
@@ -39,7 +39,7 @@
     /// 200 with this body.
     #[must_use]
     pub fn body(body: &str) -> Reply {
-        Reply::Answer {
+        Reply::Response {
             status: 200,
             fields: Vec::new(),
             body: body.into(),
@@ -47,16 +47,16 @@
     }
 }
 
-/// A control machine. Its thread ends with the process.
+/// A scripted control machine. Its thread ends with the process.
 #[derive(Clone, Debug)]
 pub struct ScriptedControl {
-    /// Where it takes calls.
+    /// The address at which it accepts calls.
     pub address: SocketAddr,
     calls: Arc<Mutex<Vec<Call>>>,
 }
 
 impl ScriptedControl {
-    /// Starts one that answers by this function of the call and of how many came before it.
+    /// Starts a machine whose reply is this function of the call and of the number of earlier calls.
     ///
     /// # Errors
     /// When no address of loopback can be listened on.
@@ -109,14 +109,14 @@
             calls.push(call.clone());
             calls.len() - 1
         };
-        let Reply::Answer {
+        let Reply::Response {
             status,
             fields,
             body,
         } = (match reply(&call, before) {
             Reply::Close => return,
-            // The caller closes the connection when it has waited enough.
-            Reply::Silence => continue,
+            // The caller closes the connection after its timeout.
+            Reply::NoReply => continue,
             answer => answer,
         })
         else {
--- a/emulators/src/operator/tests.rs
+++ b/emulators/src/operator/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn the_same_order_goes_on_to_other_machines_until_it_is_answered() {
+fn order_is_repeated_at_other_machines_until_a_clear_response() {
     let refuses = control(|_, _| Reply::status(503));
     let closes = control(|_, _| Reply::Close);
     let takes = control(|_, _| Reply::status(200));
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_clear_refusal_ends_the_order_and_another_4xx_at_the_third_try() {
+fn clear_rejection_ends_the_order_and_another_4xx_at_the_third_attempt() {
     for (status, outcome, calls) in [
         (412, Outcome::OtherVersion, 1),
         (400, Outcome::Refused(400), 1),
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_machine_that_never_answers_clearly_leaves_the_order_unclear() {
+fn order_without_a_clear_response_is_unclear() {
     let machine = control(|_, _| Reply::status(429));
     let operator = Operator::new(vec![machine.address]);
     assert_eq!(
@@ -64,11 +64,11 @@
 }
 
 #[test]
-fn it_follows_a_307_twice_and_no_further() {
+fn redirect_is_followed_twice_at_most() {
     let last = control(|_, _| Reply::status(200));
     let leads = move |to: SocketAddr| {
         let location = format!("http://{to}/configuration/replace");
-        control(move |_, _| Reply::Answer {
+        control(move |_, _| Reply::Response {
             status: 307,
             fields: vec![("Location".into(), location.clone())],
             body: String::new(),
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn two_orders_race_at_two_machines() {
+fn raced_orders_go_to_two_machines() {
     let (one, other) = (
         control(|_, _| Reply::status(200)),
         control(|_, _| Reply::status(412)),
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn an_order_that_is_left_has_reached_the_machine() {
+fn abandoned_order_has_reached_the_machine() {
     let machine = control(|_, _| Reply::status(200));
     let operator = Operator::new(vec![machine.address]);
     operator
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_configuration_is_read_back_from_whoever_has_it() {
+fn configuration_is_read_from_a_machine_that_has_it() {
     let (empty, full) = (
         control(|_, _| Reply::status(503)),
         control(|_, _| Reply::body("{\"version\":7}")),
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn a_split_route_names_its_services_by_weight() {
+fn split_route_lists_its_services_by_weight() {
     let mut route = Route::new("r", "a.example", "/a/", "s");
     route.split = vec![("s".into(), 70), ("t".into(), 30)];
     let document: serde_json::Value =
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn an_update_names_what_comes_and_what_goes() {
+fn update_lists_upserts_and_removals() {
     let route = Route::new("r", "a.example", "/a/", "s");
     let body: serde_json::Value =
         serde_json::from_str(&update(9, &[route], &["old"])).expect("JSON");
--- a/emulators/src/stream_client.rs
+++ b/emulators/src/stream_client.rs
@@ -1,5 +1,5 @@
-//! A client of streams: it sends one request on a connection of its own, and tells what came, event
-//! by event, and how it ended. What it makes of that is an opinion of the published rules alone.
+//! A client of streamed responses: it sends requests one after another on a connection, reports each
+//! event as it arrives and how the response ended, and checks that against the published rules.
 
 pub mod message;
 
@@ -15,15 +15,15 @@
     pub host: String,
     /// Its path.
     pub path: String,
-    /// `Attempt-Id`: every try has its own.
+    /// `Attempt-Id`, unique to each attempt.
     pub attempt: String,
-    /// `Deadline-Ms`: how long the client will wait.
+    /// `Deadline-Ms`: how long the client waits, in milliseconds.
     pub deadline_ms: u64,
-    /// `Token-Usage`: tokens of the prompt, and the most to come out.
+    /// `Token-Usage`: tokens of the prompt, and the most to generate.
     pub tokens: (u32, u32),
     /// `Prompt-Prefix`, as it is sent.
     pub prompt_prefix: String,
-    /// `Last-Event-Id`, where a stream is taken up.
+    /// `Last-Event-Id`, where a stream is resumed.
     pub last_event_id: Option<u64>,
     /// The body.
     pub body: Vec<u8>,
@@ -32,7 +32,7 @@
 }
 
 impl StreamRequest {
-    /// A request for about so many tokens out of a short prompt.
+    /// A request with a short prompt that asks for `tokens_out` tokens.
     #[must_use]
     pub fn new(host: &str, path: &str, attempt: &str, tokens_out: u32) -> StreamRequest {
         StreamRequest {
@@ -70,36 +70,36 @@
         [head.as_bytes(), b"\r\n", &self.body].concat()
     }
 
-    /// Sends the request and reads the answer to its end, telling each event as it comes; gives up
-    /// after a silence of so long.
+    /// Sends the request on a new connection, and reads the response to its end; `on_event` gets each
+    /// event as it arrives. Gives up when nothing arrives for `idle_timeout`.
     ///
     /// # Errors
-    /// When there is not even a head of an answer.
+    /// When no head of a response arrives.
     pub fn send(
         &self,
         to: SocketAddr,
-        silence: Duration,
-        tell: impl FnMut(&Event),
-    ) -> Result<Streamed, MessageError> {
-        ClientConnection::open(to, silence)?.send(self, tell)
+        idle_timeout: Duration,
+        on_event: impl FnMut(&Event),
+    ) -> Result<StreamedResponse, MessageError> {
+        ClientConnection::open(to, idle_timeout)?.send(self, on_event)
     }
 }
 
-/// A connection of a client, for one request after another.
+/// A connection of a client; it carries one request after another.
 #[derive(Debug)]
 pub struct ClientConnection {
     from: BufReader<TcpStream>,
 }
 
 impl ClientConnection {
-    /// Opens a connection on which a silence of so long ends a request.
+    /// Opens a connection; a request on it ends when nothing arrives for `idle_timeout`.
     ///
     /// # Errors
-    /// When nobody takes it.
-    pub fn open(to: SocketAddr, silence: Duration) -> Result<ClientConnection, MessageError> {
-        let stream = TcpStream::connect_timeout(&to, silence)?;
+    /// When the connection is refused.
+    pub fn open(to: SocketAddr, idle_timeout: Duration) -> Result<ClientConnection, MessageError> {
+        let stream = TcpStream::connect_timeout(&to, idle_timeout)?;
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(silence))?;
+        stream.set_read_timeout(Some(idle_timeout))?;
         Ok(ClientConnection {
             from: BufReader::new(stream),
         })
@@ -108,15 +108,15 @@
     /// See [`StreamRequest::send`].
     ///
     /// # Errors
-    /// When there is not even a head of an answer.
+    /// When no head of a response arrives.
     pub fn send(
         &mut self,
         request: &StreamRequest,
-        tell: impl FnMut(&Event),
-    ) -> Result<Streamed, MessageError> {
-        let began = Instant::now();
+        on_event: impl FnMut(&Event),
+    ) -> Result<StreamedResponse, MessageError> {
+        let started_at = Instant::now();
         self.write(request)?;
-        self.read(began, tell)
+        self.read(started_at, on_event)
     }
 
     /// Sends a request.
@@ -127,72 +127,72 @@
         Ok(self.from.get_mut().write_all(&request.bytes())?)
     }
 
-    /// Reads the answer to the request that was begun at that moment.
+    /// Reads the response to the request that was started at `started_at`.
     ///
     /// # Errors
-    /// When there is not even a head of an answer.
+    /// When no head of a response arrives.
     pub fn read(
         &mut self,
-        began: Instant,
-        mut tell: impl FnMut(&Event),
-    ) -> Result<Streamed, MessageError> {
-        let head = read_head(&mut self.from)?.ok_or(MessageError::CutShort)?;
-        let mut streamed = Streamed {
+        started_at: Instant,
+        mut on_event: impl FnMut(&Event),
+    ) -> Result<StreamedResponse, MessageError> {
+        let head = read_head(&mut self.from)?.ok_or(MessageError::Truncated)?;
+        let mut streamed = StreamedResponse {
             head,
             events: Vec::new(),
             body: Vec::new(),
-            end: End::Whole,
+            end: ResponseEnd::Complete,
         };
-        let mut held = Vec::new();
+        let mut buffer = Vec::new();
         streamed.end = loop {
-            match next_piece(&mut self.from, &streamed.head, streamed.body.len()) {
-                Ok(Some(piece)) => {
-                    streamed.body.extend_from_slice(&piece);
-                    held.extend_from_slice(&piece);
-                    while let Some(event) = next_event(&mut held, began) {
-                        tell(&event);
+            match next_chunk(&mut self.from, &streamed.head, streamed.body.len()) {
+                Ok(Some(chunk)) => {
+                    streamed.body.extend_from_slice(&chunk);
+                    buffer.extend_from_slice(&chunk);
+                    while let Some(event) = take_event(&mut buffer, started_at) {
+                        on_event(&event);
                         streamed.events.push(event);
                     }
                 }
-                Ok(None) => break End::Whole,
-                Err(MessageError::Silence) => break End::Silent,
-                Err(_) => break End::Cut,
+                Ok(None) => break ResponseEnd::Complete,
+                Err(MessageError::Timeout) => break ResponseEnd::TimedOut,
+                Err(_) => break ResponseEnd::Truncated,
             }
         };
         Ok(streamed)
     }
 }
 
-/// The next bytes of a body, as they come; `None`: it is whole.
-fn next_piece(
+/// The next bytes of a body, as they arrive; `None`: it is complete.
+fn next_chunk(
     from: &mut BufReader<TcpStream>,
     head: &Head,
-    had: usize,
+    received_bytes: usize,
 ) -> Result<Option<Vec<u8>>, MessageError> {
-    let mut most = 16 * 1024;
+    let mut max_bytes = 16 * 1024;
     match head.framing() {
         Some(Framing::Chunked) => return read_chunk(from),
-        Some(Framing::Length(length)) if had >= length => return Ok(None),
-        Some(Framing::Length(length)) => most = most.min(length - had),
+        Some(Framing::Length(length)) if received_bytes >= length => return Ok(None),
+        Some(Framing::Length(length)) => max_bytes = max_bytes.min(length - received_bytes),
         None => {}
     }
-    let mut piece = vec![0; most];
-    let count = from.read(&mut piece)?;
+    let mut chunk = vec![0; max_bytes];
+    let count = from.read(&mut chunk)?;
     if count == 0 {
         return if head.framing().is_some() {
-            Err(MessageError::CutShort)
+            Err(MessageError::Truncated)
         } else {
             Ok(None)
         };
     }
-    piece.truncate(count);
-    Ok(Some(piece))
+    chunk.truncate(count);
+    Ok(Some(chunk))
 }
 
-/// Takes the next whole event off what was read.
-fn next_event(held: &mut Vec<u8>, began: Instant) -> Option<Event> {
-    let end = held.windows(2).position(|pair| pair == b"\n\n")?;
-    let bytes: Vec<u8> = held.drain(..end + 2).collect();
+/// Removes the next complete event from the buffer.
+fn take_event(buffer: &mut Vec<u8>, started_at: Instant) -> Option<Event> {
+    let end = buffer.windows(2).position(|pair| pair == b"\n\n")?;
+    let bytes: Vec<u8> = buffer.drain(..end + 2).collect();
     let text = String::from_utf8_lossy(&bytes[..end]).into_owned();
     let field = |name: &str| {
         text.lines()
@@ -202,7 +202,7 @@
     let id = field("id:").and_then(|id| id.parse().ok());
     let data = field("data:").unwrap_or_default().to_string();
     Some(Event {
-        at: began.elapsed(),
+        at: started_at.elapsed(),
         id,
         data,
     })
@@ -211,7 +211,7 @@
 /// An event of a stream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Event {
-    /// When it came, since the request was begun.
+    /// Time from the start of the request to its arrival.
     pub at: Duration,
     /// Its id, where it has one.
     pub id: Option<u64>,
@@ -219,55 +219,55 @@
     pub data: String,
 }
 
-/// How an answer ended.
+/// How a response ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum End {
+pub enum ResponseEnd {
     /// As its framing says.
-    Whole,
+    Complete,
     /// The connection ended before.
-    Cut,
-    /// Nothing came for as long as the client waits.
-    Silent,
+    Truncated,
+    /// Nothing arrived within the idle timeout.
+    TimedOut,
 }
 
-/// What came of a request.
+/// The response to a request, as far as it arrived.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Streamed {
-    /// The head of the answer.
+pub struct StreamedResponse {
+    /// The head of the response.
     pub head: Head,
-    /// The events that came whole.
+    /// The events that arrived complete.
     pub events: Vec<Event>,
     /// All bytes of the body.
     pub body: Vec<u8>,
     /// How it ended.
-    pub end: End,
+    pub end: ResponseEnd,
 }
 
-/// What is wrong with an answer by the published rules.
+/// What in a response breaks the published rules.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StreamFault {
     /// A success without `Response-Seal`.
     NoSeal,
     /// It carries the id of another request.
     OtherAttempt(String),
-    /// An event follows one that is not its predecessor: a piece is missing or comes twice.
+    /// An event follows one that is not its predecessor: an event is missing or duplicated.
     Order(Option<u64>, Option<u64>),
     /// An event belongs to another request.
     OtherRequest(String),
-    /// It ended as whole, but its last event does not say so.
+    /// It ended as complete, but its last event is not the last one of the stream.
     EndsEarly,
 }
 
-impl Streamed {
+impl StreamedResponse {
     /// Whether this is a success with its last event.
     #[must_use]
     pub fn is_served(&self) -> bool {
-        self.head.status() == 200 && self.end == End::Whole && !self.events.is_empty()
+        self.head.status() == 200 && self.end == ResponseEnd::Complete && !self.events.is_empty()
     }
 
-    /// Judges a success that a [`ModelServer`](crate::model_server::ModelServer) gave: its data
+    /// Checks a success that a [`ModelServer`](crate::model_server::ModelServer) gave: its data
     /// name the attempt, the number of the event and how many there are. `attempts` are all that
-    /// the stream may have been run under.
+    /// the stream may have run under.
     #[must_use]
     pub fn faults(&self, request: &StreamRequest, attempts: &[&str]) -> Vec<StreamFault> {
         let mut faults = Vec::new();
@@ -302,7 +302,9 @@
             total = words.nth(1).and_then(|word| word.parse::<u64>().ok());
         }
         let is_last = total.is_some() && total == before;
-        faults.extend((self.end == End::Whole && !is_last).then_some(StreamFault::EndsEarly));
+        faults.extend(
+            (self.end == ResponseEnd::Complete && !is_last).then_some(StreamFault::EndsEarly),
+        );
         faults
     }
 }
--- a/emulators/src/stream_client/message.rs
+++ b/emulators/src/stream_client/message.rs
@@ -1,45 +1,37 @@
-//! As much of HTTP/1.1 as the stand-ins of a fleet need: heads, bodies with a length, in chunks or
-//! up to the end of the connection, and calls that are answered once.
+//! The subset of HTTP/1.1 that the emulators of a fleet need: heads, bodies with a length, in chunks
+//! or up to the end of the connection, and calls with one response.
 
 use std::fmt;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
+use thiserror::Error;
 
-/// The most that a head may hold.
-const HEAD_BYTES: usize = 64 * 1024;
+/// The greatest length of a line of a head.
+const MAX_LINE_BYTES: usize = 64 * 1024;
 
-/// Why a message could not be had.
-#[derive(Clone, Debug, PartialEq)]
+/// Why a message could not be sent or received.
+#[derive(Clone, Debug, Error, PartialEq)]
 pub enum MessageError {
-    /// Nobody took the connection, or it broke.
+    /// The connection was refused, or broke.
+    #[error("the connection failed: {0}")]
     Connection(std::io::ErrorKind),
-    /// Nothing came for the time allowed.
-    Silence,
-    /// It ended before its end.
-    CutShort,
-    /// What came is no message of the protocol.
+    /// Nothing arrived within the timeout.
+    #[error("nothing came in time")]
+    Timeout,
+    /// The connection ended before the message did.
+    #[error("the message ended before its end")]
+    Truncated,
+    /// The bytes are no message of the protocol.
+    #[error("no message of the protocol: {0}")]
     NotHttp(String),
 }
 
-impl fmt::Display for MessageError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            MessageError::Connection(kind) => write!(f, "the connection failed: {kind}"),
-            MessageError::Silence => f.write_str("nothing came in time"),
-            MessageError::CutShort => f.write_str("the message ended before its end"),
-            MessageError::NotHttp(what) => write!(f, "no message of the protocol: {what}"),
-        }
-    }
-}
-
-impl std::error::Error for MessageError {}
-
 impl From<std::io::Error> for MessageError {
     fn from(error: std::io::Error) -> MessageError {
         match error.kind() {
-            std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut => MessageError::Silence,
-            std::io::ErrorKind::UnexpectedEof => MessageError::CutShort,
+            std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut => MessageError::Timeout,
+            std::io::ErrorKind::UnexpectedEof => MessageError::Truncated,
             kind => MessageError::Connection(kind),
         }
     }
@@ -50,12 +42,12 @@
 pub struct Head {
     /// The three words of the first line.
     pub first_line: [String; 3],
-    /// Names as they came, and values, in order.
+    /// Names as received, and values, in order.
     pub fields: Vec<(String, String)>,
 }
 
 impl Head {
-    /// The value of the first field of that name, in whatever case.
+    /// The value of the first field of that name, which is compared without case.
     #[must_use]
     pub fn field(&self, name: &str) -> Option<&str> {
         self.fields
@@ -64,7 +56,7 @@
             .map(|f| f.1.as_str())
     }
 
-    /// The status of an answer; 0 where the first line has none.
+    /// The status of a response; 0 where the first line has none.
     #[must_use]
     pub fn status(&self) -> u16 {
         self.first_line[1].parse().unwrap_or(0)
@@ -77,7 +69,7 @@
             .is_some_and(|value| value.eq_ignore_ascii_case("close"))
     }
 
-    /// How long the body is; `None` where the head does not tell.
+    /// How the end of the body is found; `None` where the head does not say.
     #[must_use]
     pub fn framing(&self) -> Option<Framing> {
         if self
@@ -95,9 +87,9 @@
 /// How the end of a body is found.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Framing {
-    /// So many bytes.
+    /// After this number of bytes.
     Length(usize),
-    /// Chunks, up to one of no bytes.
+    /// Chunks, up to an empty one.
     Chunked,
 }
 
@@ -106,14 +98,14 @@
     let mut bytes = Vec::new();
     if from
         .by_ref()
-        .take(HEAD_BYTES as u64)
+        .take(MAX_LINE_BYTES as u64)
         .read_until(b'\n', &mut bytes)?
         == 0
     {
         return Ok(None);
     }
     if bytes.pop() != Some(b'\n') {
-        return Err(MessageError::CutShort);
+        return Err(MessageError::Truncated);
     }
     if bytes.last() == Some(&b'\r') {
         bytes.pop();
@@ -126,7 +118,7 @@
 /// Reads a head; `None`: the connection ended before it began.
 ///
 /// # Errors
-/// When it is cut short, late or no head.
+/// When it is truncated, late or no head.
 pub fn read_head(from: &mut impl BufRead) -> Result<Option<Head>, MessageError> {
     let Some(first) = line(from)? else {
         return Ok(None);
@@ -142,7 +134,7 @@
         return Err(MessageError::NotHttp(first));
     }
     loop {
-        let text = line(from)?.ok_or(MessageError::CutShort)?;
+        let text = line(from)?.ok_or(MessageError::Truncated)?;
         if text.is_empty() {
             return Ok(Some(head));
         }
@@ -157,30 +149,30 @@
 /// Reads the next chunk; `None`: that was the last one.
 ///
 /// # Errors
-/// When it is cut short, late or no chunk.
+/// When it is truncated, late or no chunk.
 pub fn read_chunk(from: &mut impl BufRead) -> Result<Option<Vec<u8>>, MessageError> {
-    let size = line(from)?.ok_or(MessageError::CutShort)?;
+    let size = line(from)?.ok_or(MessageError::Truncated)?;
     let digits = size.split(';').next().unwrap_or_default().trim();
     let length =
         usize::from_str_radix(digits, 16).map_err(|_| MessageError::NotHttp(size.clone()))?;
     let mut bytes = vec![0; length];
     from.read_exact(&mut bytes)?;
-    let end = line(from)?.ok_or(MessageError::CutShort)?;
+    let end = line(from)?.ok_or(MessageError::Truncated)?;
     if !end.is_empty() {
         return Err(MessageError::NotHttp(end));
     }
     Ok((length > 0).then_some(bytes))
 }
 
-/// Reads the whole body of a message; one without a length lasts up to the end of the connection
-/// where it is an answer, and has none where it is a request.
+/// Reads the complete body of a message. Without a length, the body of a response lasts to the end of
+/// the connection, and a request has none.
 ///
 /// # Errors
-/// When it is cut short, late or against the protocol.
+/// When it is truncated, late or against the protocol.
 pub fn read_body(
     from: &mut impl BufRead,
     head: &Head,
-    is_answer: bool,
+    is_response: bool,
 ) -> Result<Vec<u8>, MessageError> {
     let mut body = Vec::new();
     match head.framing() {
@@ -193,7 +185,7 @@
                 body.extend(chunk);
             }
         }
-        None if is_answer => drop(from.read_to_end(&mut body)?),
+        None if is_response => drop(from.read_to_end(&mut body)?),
         None => {}
     }
     Ok(body)
@@ -254,75 +246,75 @@
         [text.as_bytes(), &self.body].concat()
     }
 
-    /// Makes the call on a connection of its own, with so long for each step.
+    /// Makes the call on a new connection; `timeout` bounds the connect and each read and write.
     ///
     /// # Errors
-    /// When no whole answer comes in time.
-    pub fn send(&self, to: SocketAddr, patience: Duration) -> Result<Answer, MessageError> {
-        let mut stream = TcpStream::connect_timeout(&to, patience)?;
-        stream.set_read_timeout(Some(patience))?;
-        stream.set_write_timeout(Some(patience))?;
+    /// When no complete response arrives in time.
+    pub fn send(&self, to: SocketAddr, timeout: Duration) -> Result<Response, MessageError> {
+        let mut stream = TcpStream::connect_timeout(&to, timeout)?;
+        stream.set_read_timeout(Some(timeout))?;
+        stream.set_write_timeout(Some(timeout))?;
         stream.write_all(&self.bytes(&to.to_string()))?;
         let mut from = BufReader::new(stream);
-        let head = read_head(&mut from)?.ok_or(MessageError::CutShort)?;
+        let head = read_head(&mut from)?.ok_or(MessageError::Truncated)?;
         let body = read_body(&mut from, &head, true)?;
-        Ok(Answer { head, body })
+        Ok(Response { head, body })
     }
 
-    /// Makes the call, and goes where a 307 points to, twice at most.
+    /// Makes the call, and follows a 307, twice at most.
     ///
     /// # Errors
-    /// When no whole answer comes in time.
+    /// When no complete response arrives in time.
     pub fn send_following(
         &self,
         to: SocketAddr,
-        patience: Duration,
-    ) -> Result<Answer, MessageError> {
+        timeout: Duration,
+    ) -> Result<Response, MessageError> {
         let (mut call, mut to) = (self.clone(), to);
-        let mut answer = call.send(to, patience)?;
+        let mut response = call.send(to, timeout)?;
         for _ in 0..2 {
-            let Some((address, path)) = answer.leads_to() else {
+            let Some((address, path)) = response.redirect_target() else {
                 break;
             };
             (call.path, to) = (path, address);
-            answer = call.send(to, patience)?;
+            response = call.send(to, timeout)?;
         }
-        Ok(answer)
+        Ok(response)
     }
 
-    /// Sends the call and leaves before its answer: the caller will not know what became of it.
+    /// Sends the call, and closes the connection before its response: the outcome stays unknown.
     ///
     /// # Errors
-    /// When it could not even be sent.
+    /// When it could not be sent.
     pub fn send_without_waiting(
         &self,
         to: SocketAddr,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<(), MessageError> {
-        let mut stream = TcpStream::connect_timeout(&to, patience)?;
-        stream.set_write_timeout(Some(patience))?;
+        let mut stream = TcpStream::connect_timeout(&to, timeout)?;
+        stream.set_write_timeout(Some(timeout))?;
         stream.write_all(&self.bytes(&to.to_string()))?;
         Ok(())
     }
 }
 
-/// A whole answer to a call.
+/// A complete response to a call.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Answer {
+pub struct Response {
     /// Its head.
     pub head: Head,
     /// Its body.
     pub body: Vec<u8>,
 }
 
-impl Answer {
+impl Response {
     /// Its status.
     #[must_use]
     pub fn status(&self) -> u16 {
         self.head.status()
     }
 
-    fn leads_to(&self) -> Option<(SocketAddr, String)> {
+    fn redirect_target(&self) -> Option<(SocketAddr, String)> {
         let target = self
             .head
             .field("location")
--- a/emulators/src/stream_client/message/tests.rs
+++ b/emulators/src/stream_client/message/tests.rs
@@ -5,13 +5,13 @@
 
 fn answer(bytes: &str) -> Result<(Head, Vec<u8>), MessageError> {
     let mut from = Cursor::new(bytes.as_bytes().to_vec());
-    let head = read_head(&mut from)?.ok_or(MessageError::CutShort)?;
+    let head = read_head(&mut from)?.ok_or(MessageError::Truncated)?;
     let body = read_body(&mut from, &head, true)?;
     Ok((head, body))
 }
 
 #[test]
-fn a_body_is_found_by_length_by_chunks_or_by_the_end() {
+fn body_ends_by_length_by_chunks_or_with_the_connection() {
     let by_length = answer("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nabc").expect("whole");
     assert_eq!((by_length.0.status(), by_length.1), (200, b"ab".to_vec()));
     let by_chunks = answer(
@@ -25,19 +25,19 @@
 }
 
 #[test]
-fn what_ends_early_does_not_look_whole() {
+fn truncated_message_is_an_error() {
     for cut in [
         "HTTP/1.1 200 OK\r\nContent-Le",
         "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab",
     ] {
-        assert_eq!(answer(cut), Err(MessageError::CutShort), "{cut:?}");
+        assert_eq!(answer(cut), Err(MessageError::Truncated), "{cut:?}");
     }
 }
 
 #[test]
-fn bytes_that_are_no_message_are_told_from_one() {
+fn bytes_that_are_no_message_are_an_error() {
     for bytes in [
         "\u{0}\u{1} what is this\r\n\r\n",
         "and so on\r\n\r\n",
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn an_answer_leads_elsewhere_only_by_307() {
+fn response_redirects_only_by_307() {
     let head = |status: &str| Head {
         first_line: ["HTTP/1.1".into(), status.into(), "Told".into()],
         fields: vec![(
@@ -59,19 +59,19 @@
             "http://127.0.0.3:8080/configuration/replace".into(),
         )],
     };
-    let found = Answer {
+    let found = Response {
         head: head("307"),
         body: Vec::new(),
     }
-    .leads_to();
+    .redirect_target();
     let address = SocketAddr::from(([127, 0, 0, 3], 8080));
     assert_eq!(found, Some((address, "/configuration/replace".into())));
     assert_eq!(
-        Answer {
+        Response {
             head: head("302"),
             body: Vec::new()
         }
-        .leads_to(),
+        .redirect_target(),
         None
     );
 }
--- a/emulators/src/stream_client/tests.rs
+++ b/emulators/src/stream_client/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::model_server::{Description, Fault, ModelServer};
 
-const SILENCE: Duration = Duration::from_secs(5);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 fn server() -> ModelServer {
     let mut description = Description::new("i-1", "s", "z");
@@ -17,11 +17,11 @@
 }
 
 #[test]
-fn a_whole_stream_is_served_without_fault() {
+fn complete_stream_is_served_without_fault() {
     let (server, mut told) = (server(), Vec::new());
     let request = request("a1");
     let streamed = request
-        .send(server.address, SILENCE, |event| told.push(event.id))
+        .send(server.address, IDLE_TIMEOUT, |event| told.push(event.id))
         .expect("an answer");
     assert!(streamed.is_served());
     assert_eq!(told, [Some(1), Some(2), Some(3), Some(4)]);
@@ -29,9 +29,10 @@
 }
 
 #[test]
-fn a_kept_connection_carries_one_request_after_another() {
+fn kept_alive_connection_carries_requests_in_turn() {
     let server = server();
-    let mut connection = ClientConnection::open(server.address, SILENCE).expect("a connection");
+    let mut connection =
+        ClientConnection::open(server.address, IDLE_TIMEOUT).expect("a connection");
     for attempt in ["a1", "a2", "a3"] {
         let mut request = request(attempt);
         request.closes = attempt == "a3";
@@ -46,12 +47,12 @@
 }
 
 #[test]
-fn a_stream_is_taken_up_behind_the_last_event() {
+fn stream_resumes_after_the_last_event() {
     let server = server();
     let mut request = request("a2");
     request.last_event_id = Some(2);
     let streamed = request
-        .send(server.address, SILENCE, |_| {})
+        .send(server.address, IDLE_TIMEOUT, |_| {})
         .expect("an answer");
     let ids: Vec<_> = streamed.events.iter().map(|event| event.id).collect();
     assert_eq!(ids, [Some(3), Some(4)]);
@@ -59,7 +60,7 @@
 }
 
 #[test]
-fn a_stream_that_ends_early_is_not_served() {
+fn truncated_or_silent_stream_is_not_served() {
     let server = server();
     for (fault, events) in [
         (Fault::CutAfter(2), 2),
@@ -68,11 +69,11 @@
     ] {
         server.next_faults([Some(fault)]);
         let streamed = request("a3")
-            .send(server.address, SILENCE, |_| {})
+            .send(server.address, IDLE_TIMEOUT, |_| {})
             .expect("a head");
         assert_eq!(
             (streamed.end, streamed.events.len()),
-            (End::Cut, events),
+            (ResponseEnd::Truncated, events),
             "{fault:?}"
         );
         assert!(!streamed.is_served());
@@ -81,17 +82,17 @@
     let streamed = request("a4")
         .send(server.address, Duration::from_millis(500), |_| {})
         .expect("a head");
-    assert_eq!(streamed.end, End::Silent);
+    assert_eq!(streamed.end, ResponseEnd::TimedOut);
 }
 
 #[test]
-fn what_breaks_rules_is_found() {
+fn planted_faults_of_a_stream_are_found() {
     let server = server();
     let request = request("a5");
     let good = request
-        .send(server.address, SILENCE, |_| {})
+        .send(server.address, IDLE_TIMEOUT, |_| {})
         .expect("an answer");
-    let with = |change: &dyn Fn(&mut Streamed)| {
+    let with = |change: &dyn Fn(&mut StreamedResponse)| {
         let mut streamed = good.clone();
         change(&mut streamed);
         streamed.faults(&request, &["a5"])
@@ -113,7 +114,7 @@
     assert_eq!(other, [StreamFault::OtherRequest("b7".into())]);
     server.next_faults([Some(Fault::WrongId)]);
     let wrong = request
-        .send(server.address, SILENCE, |_| {})
+        .send(server.address, IDLE_TIMEOUT, |_| {})
         .expect("an answer");
     assert_eq!(
         wrong.faults(&request, &["a5"]),
--- a/soak/src/clients.rs
+++ b/soak/src/clients.rs
@@ -6,7 +6,7 @@
 use fastrand::Rng;
 use lichenswitch_emulators::stream_client::message::{Call, MessageError};
 use lichenswitch_emulators::stream_client::{
-    ClientConnection, End, StreamFault, StreamRequest, Streamed,
+    ClientConnection, ResponseEnd, StreamFault, StreamRequest, StreamedResponse,
 };
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
@@ -316,14 +316,14 @@
     goes_on: bool,
 }
 
-fn end(answer: &Result<Streamed, MessageError>) -> RequestEnd {
+fn end(answer: &Result<StreamedResponse, MessageError>) -> RequestEnd {
     match answer {
         Ok(answer) => match answer.end {
-            End::Whole => RequestEnd::Answered(answer.head.status()),
-            End::Cut => RequestEnd::Cut,
-            End::Silent => RequestEnd::Silent,
+            ResponseEnd::Complete => RequestEnd::Answered(answer.head.status()),
+            ResponseEnd::Truncated => RequestEnd::Cut,
+            ResponseEnd::TimedOut => RequestEnd::Silent,
         },
-        Err(MessageError::Silence) => RequestEnd::Silent,
+        Err(MessageError::Timeout) => RequestEnd::Silent,
         Err(_) => RequestEnd::NoAnswer,
     }
 }
--- a/soak/tests/judge.rs
+++ b/soak/tests/judge.rs
@@ -252,7 +252,10 @@
     let control = "127.0.0.2:8262".parse().expect("an address");
     let late = 1_000 + DRAIN_TIMEOUT.as_millis() as u64 + 100;
     let entries = [
-        (1_000, Event::Acknowledged(ServerReport::Draining(7), control)),
+        (
+            1_000,
+            Event::Acknowledged(ServerReport::Draining(7), control),
+        ),
         (late, Event::Arrived(Head::default())),
         (late, Event::Ran),
     ];
