--- a/fleet/src/router/handlers/relay.rs
+++ b/fleet/src/router/handlers/relay.rs
@@ -5,10 +5,10 @@
 //! as complete; and that the bytes buffered for a slow client are bounded.
 
 use crate::router::abort_reason::AbortReason;
-use crate::router::ids::{AttemptId, RequestId};
+use crate::router::ids::{AttemptId, RequestId, ServiceId};
 use crate::router::request_table::{ActiveRelay, RequestPhase};
 use crate::router::server_connections::StreamStart;
-use crate::router::server_response::{BodyChunk, BufferedResponse, ResponseHead};
+use crate::router::server_response::{BodyChunk, BufferedResponse, ResponseHead, ServerLoad};
 use crate::router::service::RouteRequest;
 use crate::router::state::Router;
 use lichenswitch_interface::{Micros, Outcome};
@@ -59,32 +59,44 @@
                 return self.report_outcome(id, Outcome::Error);
             }
         };
-        let last_event_id = first_chunk.last_event_id.clone();
         let relay = ActiveRelay {
             attempt: id,
             server,
-            last_event_id,
+            last_event_id: first_chunk.last_event_id.clone(),
             is_paused: false,
         };
+        self.start_relay(request_id, service, relay, head.load);
+        if !is_resumed {
+            self.clients
+                .begin_response(&mut self.net, client, &head.encode(), *content_length);
+        }
+        self.clients
+            .write_chunk(&mut self.net, client, &first_chunk.bytes);
+        self.flush_relay(request_id, client);
+    }
+
+    /// The response of an attempt is forwarded from now on: the other attempts are withdrawn, and the
+    /// core has its outcome.
+    fn start_relay(
+        &mut self,
+        request_id: RequestId,
+        service: ServiceId,
+        relay: ActiveRelay,
+        load: Option<ServerLoad>,
+    ) {
+        let (attempt, server) = (relay.attempt, relay.server);
         // The decision module withdraws them as well, a turn later.
         for loser in self.requests.on_relay_started(request_id, relay) {
             self.connections.withdraw(&mut self.net, loser);
         }
-        self.report_outcome(id, Outcome::Ok);
+        self.report_outcome(attempt, Outcome::Ok);
         if let Some(request) = self.requests.get_mut(request_id) {
             request.core_query = None;
         }
         if let Some(service) = self.services.get_mut(service) {
-            service.on_server_load(head.load);
+            service.on_server_load(load);
             service.on_stream_started(server);
         }
-        if !is_resumed {
-            self.clients
-                .begin_response(&mut self.net, client, &head.encode(), *content_length);
-        }
-        self.clients
-            .write_chunk(&mut self.net, client, &first_chunk.bytes);
-        self.flush_relay(request_id, client);
     }
 
     /// A chunk of a forwarded response.
