--- a/emulators/src/fleet_processes/demonstration.rs
+++ b/emulators/src/fleet_processes/demonstration.rs
@@ -3,7 +3,7 @@
 //! shows, and a test from end to end.
 
 use super::{FleetError, FleetProcesses, ROLES};
-use crate::model_server::{Description, ModelServer};
+use crate::model_server::{ModelServer, ServerDescription};
 use crate::operator::document::{replace, Route};
 use crate::operator::{Operator, Order, Outcome, Verb};
 use crate::stream_client::message::Call;
@@ -157,7 +157,7 @@
             format!("zone-{}", 1 + number % MACHINES),
         );
         ModelServer::start(
-            Description::new(&instance, "model", &zone),
+            ServerDescription::new(&instance, "model", &zone),
             SocketAddr::from(([127, 0, 0, 1], 0)),
         )
     };
--- a/emulators/src/model_server.rs
+++ b/emulators/src/model_server.rs
@@ -1,6 +1,6 @@
-//! A scripted model server on loopback: it takes requests in so many slots, answers with a stream
-//! of events, tells the control machines of itself, and keeps a ledger of what came, ran and was
-//! refused. Faults come by script.
+//! A scripted model server on loopback: it serves requests in a bounded number of slots with a stream
+//! of events, registers with the control machines, and keeps a ledger of what was received, run and
+//! rejected. Faults are set by script.
 
 pub mod heartbeat;
 mod serve;
@@ -13,183 +13,183 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What a server is like.
+/// The properties of a server.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Description {
+pub struct ServerDescription {
     /// Its `instanceId`.
     pub instance: String,
     /// Its service.
     pub service: String,
     /// Its zone.
     pub zone: String,
-    /// Requests that it works on at the same time.
+    /// Requests that it runs at the same time.
     pub slots: usize,
-    /// Requests that wait beside them.
-    pub queue: usize,
-    /// Connections that it takes; more are reset.
-    pub connections: usize,
+    /// Requests that may wait for a slot.
+    pub queue_capacity: usize,
+    /// Connections that it accepts; further ones are reset.
+    pub max_connections: usize,
     /// `healthCheckPath` of its service.
     pub health_path: String,
     /// Time from a request's start to its first event.
-    pub first_event: Duration,
+    pub time_to_first_event: Duration,
     /// Time between events.
-    pub between_events: Duration,
-    /// Tokens that an event holds.
-    pub stride: u32,
-    /// Whether answers carry `Server-Load`.
-    pub tells_load: bool,
+    pub event_interval: Duration,
+    /// Tokens in an event.
+    pub tokens_per_event: u32,
+    /// Whether responses carry `Server-Load`.
+    pub reports_load: bool,
     /// Idle connections are closed after this.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Version of its weights.
     pub version: u64,
 }
 
-impl Description {
+impl ServerDescription {
     /// A quick server of a service.
     #[must_use]
-    pub fn new(instance: &str, service: &str, zone: &str) -> Description {
-        Description {
+    pub fn new(instance: &str, service: &str, zone: &str) -> ServerDescription {
+        ServerDescription {
             instance: instance.into(),
             service: service.into(),
             zone: zone.into(),
             slots: 8,
-            queue: 8,
-            connections: 64,
+            queue_capacity: 8,
+            max_connections: 64,
             health_path: "/health".into(),
-            first_event: Duration::from_millis(20),
-            between_events: Duration::from_millis(10),
-            stride: 4,
-            tells_load: true,
-            idle: Duration::from_secs(15),
+            time_to_first_event: Duration::from_millis(20),
+            event_interval: Duration::from_millis(10),
+            tokens_per_event: 4,
+            reports_load: true,
+            idle_timeout: Duration::from_secs(15),
             version: 1,
         }
     }
 }
 
-/// What befalls a request.
+/// A fault of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     /// The connection is closed after so many events.
-    CutAfter(u64),
+    TruncateAfter(u64),
     /// The same, in the middle of the event that follows.
-    CutInside(u64),
+    TruncateInside(u64),
     /// The connection is reset after so many events.
     ResetAfter(u64),
-    /// It runs, and nothing is ever answered.
-    Mute,
-    /// Nothing more comes after so many events.
-    MuteAfter(u64),
-    /// It runs, and the connection is closed without an answer.
-    AnswerLost,
+    /// It runs, and no response is ever sent.
+    NoResponse,
+    /// Nothing more is sent after so many events.
+    SilentAfter(u64),
+    /// It runs, and the connection is closed without a response.
+    ResponseLost,
     /// It does not run: the connection is closed when the request has been read.
-    ClosedUnrun,
-    /// A second whole answer, to nobody, follows on the connection.
-    ExtraAnswer,
-    /// Bytes that are no answer follow the whole one.
+    ClosedBeforeRun,
+    /// A second complete response, to no request, follows on the connection.
+    ExtraResponse,
+    /// Bytes that are no response follow the complete one.
     ExtraBytes,
-    /// The same whole answer comes once more, late: where the answer to the next request on the
-    /// connection is due.
-    LateAnswer,
-    /// The answer bears the id of another request.
+    /// The same complete response is sent once more, late: before the response to the next request
+    /// on the connection.
+    LateResponse,
+    /// The response carries the id of another request.
     WrongId,
-    /// The answer has no length and ends with its connection.
+    /// The response has no length and ends with its connection.
     NoLength,
     /// The same, and the connection is reset after so many events.
     NoLengthReset(u64),
-    /// It is refused with this status before its body has been read; the connection is kept.
-    EarlyAnswer(u16),
-    /// Bytes that are no answer.
+    /// It is rejected with this status before its body has been read; the connection is kept alive.
+    EarlyResponse(u16),
+    /// Bytes that are no HTTP.
     NotHttp,
-    /// Refused with this status and `Not-Executed`.
-    Refused(u16),
+    /// It is rejected with this status and `Not-Executed`.
+    Rejected(u16),
     /// It runs and fails with this status.
     Failed(u16),
 }
 
-/// Something that happened at a server.
+/// An event at a server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// When, since the server began.
+    /// Time since the server started.
     pub at: Duration,
-    /// The request's `Attempt-Id`; empty for what is no request.
+    /// The request's `Attempt-Id`; empty for events of no request.
     pub attempt: String,
-    /// What.
-    pub what: Event,
+    /// The event.
+    pub event: Event,
 }
 
-/// See [`Entry`].
+/// The event of an [`Entry`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A request's head has come.
+    /// A request's head was received.
     Arrived(Head),
-    /// Its body has come.
-    Read(Vec<u8>),
-    /// It began to run.
-    Ran,
-    /// It was answered as a whole.
-    Answered(u16),
-    /// It was refused with this status, and has not run.
-    Refused(u16),
-    /// This fault befell it.
-    Befallen(Fault),
-    /// Its caller left, or its deadline came, while it ran.
-    Dropped,
-    /// A connection more than it takes was reset.
+    /// Its body was received.
+    BodyReceived(Vec<u8>),
+    /// It started to run.
+    Started,
+    /// A complete response was sent with this status.
+    Responded(u16),
+    /// It was rejected with this status, and has not run.
+    Rejected(u16),
+    /// This fault was applied to it.
+    FaultApplied(Fault),
+    /// Its caller disconnected, or its deadline passed, while it ran.
+    Aborted,
+    /// A connection beyond the limit was reset.
     ConnectionReset,
-    /// A control machine acknowledged what the server said of itself.
+    /// A control machine acknowledged a report of the server.
     Acknowledged(heartbeat::ServerReport, SocketAddr),
-    /// A control machine did not.
+    /// A control machine did not acknowledge a report.
     Unacknowledged(heartbeat::ServerReport, SocketAddr),
 }
 
-/// What happened at a server, in order.
+/// The events at a server, in order.
 #[derive(Clone, Debug)]
 pub struct Ledger {
-    began: Instant,
+    started_at: Instant,
     entries: Arc<Mutex<Vec<Entry>>>,
 }
 
 impl Ledger {
     fn new() -> Ledger {
         Ledger {
-            began: Instant::now(),
+            started_at: Instant::now(),
             entries: Arc::default(),
         }
     }
 
-    fn note(&self, attempt: &str, what: Event) {
-        let at = self.began.elapsed();
+    fn record(&self, attempt: &str, event: Event) {
+        let at = self.started_at.elapsed();
         lock(&self.entries).push(Entry {
             at,
             attempt: attempt.into(),
-            what,
+            event,
         });
     }
 
-    /// When the server began.
+    /// When the server started.
     #[must_use]
-    pub fn began(&self) -> Instant {
-        self.began
+    pub fn started_at(&self) -> Instant {
+        self.started_at
     }
 
-    /// All of it so far.
+    /// All entries so far.
     #[must_use]
     pub fn all(&self) -> Vec<Entry> {
         lock(&self.entries).clone()
     }
 
-    /// How often a request ran here.
+    /// How often a request was run here.
     #[must_use]
     pub fn runs(&self, attempt: &str) -> usize {
-        self.count(|entry| entry.attempt == attempt && entry.what == Event::Ran)
+        self.count(|entry| entry.attempt == attempt && entry.event == Event::Started)
     }
 
-    /// How many entries are such.
+    /// The number of entries that match.
     #[must_use]
-    pub fn count(&self, is_such: impl Fn(&Entry) -> bool) -> usize {
+    pub fn count(&self, matches: impl Fn(&Entry) -> bool) -> usize {
         lock(&self.entries)
             .iter()
-            .filter(|entry| is_such(entry))
+            .filter(|entry| matches(entry))
             .count()
     }
 }
@@ -215,15 +215,15 @@
 /// What the threads of a server share.
 #[derive(Debug)]
 struct Shared {
-    description: Description,
+    description: ServerDescription,
     address: SocketAddr,
     ledger: Ledger,
     script: Mutex<Script>,
     load: Mutex<Load>,
     freed: Condvar,
-    open: Mutex<Vec<TcpStream>>,
+    open_connections: Mutex<Vec<TcpStream>>,
     draining: AtomicBool,
-    unwell: AtomicBool,
+    unhealthy: AtomicBool,
     stopped: AtomicBool,
 }
 
@@ -240,7 +240,7 @@
 /// A server that runs. Dropped, it crashes.
 #[derive(Debug)]
 pub struct ModelServer {
-    /// Where it takes requests.
+    /// The address at which it accepts requests.
     pub address: SocketAddr,
     /// What happened.
     pub ledger: Ledger,
@@ -252,7 +252,7 @@
     ///
     /// # Errors
     /// When the address can't be listened on.
-    pub fn start(description: Description, at: SocketAddr) -> std::io::Result<ModelServer> {
+    pub fn start(description: ServerDescription, at: SocketAddr) -> std::io::Result<ModelServer> {
         let listener = TcpListener::bind(at)?;
         let address = listener.local_addr()?;
         let ledger = Ledger::new();
@@ -263,9 +263,9 @@
             script: Mutex::default(),
             load: Mutex::default(),
             freed: Condvar::new(),
-            open: Mutex::default(),
+            open_connections: Mutex::default(),
             draining: AtomicBool::new(false),
-            unwell: AtomicBool::new(false),
+            unhealthy: AtomicBool::new(false),
             stopped: AtomicBool::new(false),
         });
         let accepting = shared.clone();
@@ -277,9 +277,9 @@
         })
     }
 
-    /// What the server is like.
+    /// The properties of the server.
     #[must_use]
-    pub fn description(&self) -> &Description {
+    pub fn description(&self) -> &ServerDescription {
         &self.shared.description
     }
 
@@ -294,9 +294,9 @@
         lock(&self.shared.script).always = fault;
     }
 
-    /// Whether the health check is good from now on; requests are taken all the same.
-    pub fn set_well(&self, well: bool) {
-        self.shared.unwell.store(!well, Ordering::SeqCst);
+    /// Sets whether the health check passes; requests are accepted in either case.
+    pub fn set_healthy(&self, healthy: bool) {
+        self.shared.unhealthy.store(!healthy, Ordering::SeqCst);
     }
 
     /// Requests running and waiting.
@@ -306,7 +306,7 @@
         (load.running, load.waiting)
     }
 
-    /// Begins to tell these control machines of itself.
+    /// Starts to send heartbeats to these control machines.
     #[must_use]
     pub fn register(
         &self,
@@ -316,12 +316,12 @@
         heartbeat::Registration::start(self.shared.clone(), control, interval)
     }
 
-    /// Ends without a word: connections are closed, and the address refuses new ones.
+    /// Ends without deregistration: connections are closed, and the address refuses new ones.
     pub fn crash(&self) {
         if self.shared.stopped.swap(true, Ordering::SeqCst) {
             return;
         }
-        for stream in lock(&self.shared.open).drain(..) {
+        for stream in lock(&self.shared.open_connections).drain(..) {
             // One that is gone already needs no end.
             let _ = stream.shutdown(std::net::Shutdown::Both);
         }
--- a/emulators/src/model_server/heartbeat.rs
+++ b/emulators/src/model_server/heartbeat.rs
@@ -166,14 +166,14 @@
                 let Some(answer) = answer else {
                     self.shared
                         .ledger
-                        .note("", Event::Unacknowledged(report, address));
+                        .record("", Event::Unacknowledged(report, address));
                     *lock(&self.preferred) = None;
                     self.turn.fetch_add(1, Ordering::SeqCst);
                     continue;
                 };
                 self.shared
                     .ledger
-                    .note("", Event::Acknowledged(report, address));
+                    .record("", Event::Acknowledged(report, address));
                 *lock(&self.preferred) = Some(heartbeat_endpoint(&answer).unwrap_or(address));
                 return true;
             }
--- a/emulators/src/model_server/serve.rs
+++ b/emulators/src/model_server/serve.rs
@@ -1,4 +1,4 @@
-//! Connections of a model server, and the requests on them: one at a time each.
+//! The connections of a model server, and the requests on them: one at a time on each connection.
 
 use super::{lock, Event, Fault, Shared};
 use crate::stream_client::message::{read_body, read_head, Head};
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Takes connections until the server ends.
+/// Accepts connections until the server ends.
 pub(super) fn accept(listener: &TcpListener, shared: &Arc<Shared>) {
     for stream in listener.incoming().flatten() {
         if shared.is_stopped() {
@@ -19,16 +19,16 @@
         let Ok(twin) = stream.try_clone() else {
             continue;
         };
-        let mut open = lock(&shared.open);
-        open.retain(|stream| stream.peer_addr().is_ok());
-        if open.len() >= shared.description.connections {
-            drop(open);
-            shared.ledger.note("", Event::ConnectionReset);
+        let mut open_connections = lock(&shared.open_connections);
+        open_connections.retain(|stream| stream.peer_addr().is_ok());
+        if open_connections.len() >= shared.description.max_connections {
+            drop(open_connections);
+            shared.ledger.record("", Event::ConnectionReset);
             reset(&stream);
             continue;
         }
-        open.push(twin);
-        drop(open);
+        open_connections.push(twin);
+        drop(open_connections);
         let shared = shared.clone();
         thread::spawn(move || {
             if let Some(connection) = Connection::new(stream, shared) {
@@ -38,20 +38,20 @@
     }
 }
 
-/// Ends a connection by a reset, not by an end that looks orderly.
+/// Makes the close of a connection a reset, not an orderly end.
 fn reset(stream: &TcpStream) {
-    // Where it can't be set, the connection is closed: still an end without an answer.
+    // If the option can't be set, the connection is closed: still an end without a response.
     let _ = set_socket_linger(stream, Some(Duration::ZERO));
 }
 
 /// Whether the connection goes on after a request.
 #[derive(Clone, Copy, PartialEq)]
-enum After {
-    Keep,
+enum Persistence {
+    KeepAlive,
     Close,
 }
 
-/// A place in the slots; given back when dropped.
+/// A reserved slot; released when dropped.
 struct Slot<'a>(&'a Shared);
 
 impl Drop for Slot<'_> {
@@ -65,7 +65,7 @@
 struct Request {
     head: Head,
     attempt: String,
-    came: Instant,
+    received_at: Instant,
     deadline: Option<Instant>,
     fault: Option<Fault>,
 }
@@ -74,67 +74,68 @@
     from: BufReader<TcpStream>,
     to: TcpStream,
     shared: Arc<Shared>,
-    /// An answer that comes late: in the place of the next one.
-    late: Vec<u8>,
-    /// It ends by a reset.
-    is_reset: bool,
+    /// A response that is sent late: before the next one.
+    delayed_response: Vec<u8>,
+    /// Whether it ends by a reset.
+    ends_by_reset: bool,
 }
 
 impl Connection {
     fn new(stream: TcpStream, shared: Arc<Shared>) -> Option<Connection> {
-        // Small writes are events: they go at once.
+        // Small writes are events, which must be sent at once.
         stream.set_nodelay(true).ok()?;
         stream
-            .set_read_timeout(Some(shared.description.idle))
+            .set_read_timeout(Some(shared.description.idle_timeout))
             .ok()?;
         let to = stream.try_clone().ok()?;
         Some(Connection {
             from: BufReader::new(stream),
             to,
             shared,
-            late: Vec::new(),
-            is_reset: false,
+            delayed_response: Vec::new(),
+            ends_by_reset: false,
         })
     }
 
     fn serve(mut self) {
         while let Ok(Some(head)) = read_head(&mut self.from) {
-            if self.shared.is_stopped() || self.one(head) == After::Close {
+            if self.shared.is_stopped() || self.serve_request(head) == Persistence::Close {
                 break;
             }
         }
-        if !self.is_reset {
-            // One that is gone already needs no end.
+        if !self.ends_by_reset {
+            // Closing a connection that is gone already fails, which is fine.
             let _ = self.to.shutdown(Shutdown::Write);
         }
-        lock(&self.shared.open)
+        lock(&self.shared.open_connections)
             .retain(|stream| stream.peer_addr().ok() != self.to.peer_addr().ok());
     }
 
     /// Serves one request.
-    fn one(&mut self, head: Head) -> After {
+    fn serve_request(&mut self, head: Head) -> Persistence {
         let [method, path, _] = &head.first_line;
         if method == "GET" && *path == self.shared.description.health_path {
-            return self.health();
+            return self.respond_health();
         }
         if method == "GET" && path == "/report" {
-            return self.report();
+            return self.respond_report();
         }
-        self.request(head)
+        self.handle_request(head)
     }
 
-    fn health(&mut self) -> After {
+    fn respond_health(&mut self) -> Persistence {
         let deadline = Some(Instant::now() + Duration::from_secs(1));
         let shared = self.shared.clone();
         let slot = take_slot(&shared, deadline);
-        let well = slot.is_some() && !shared.unwell.load(Ordering::SeqCst) && !shared.is_leaving();
+        let well =
+            slot.is_some() && !shared.unhealthy.load(Ordering::SeqCst) && !shared.is_leaving();
         drop(slot);
         let not_run = if well { "" } else { "Not-Executed: 1\r\n" };
         let instance = format!("Instance-Id: {}\r\n{not_run}", shared.description.instance);
-        self.answer(if well { 200 } else { 503 }, &instance, b"")
+        self.respond(if well { 200 } else { 503 }, &instance, b"")
     }
 
-    fn report(&mut self) -> After {
+    fn respond_report(&mut self) -> Persistence {
         let (running, waiting) = {
             let load = lock(&self.shared.load);
             (load.running, load.waiting)
@@ -150,66 +151,68 @@
             "kvTotal": 100_000,
             "handles": 0,
         });
-        self.answer(
+        self.respond(
             200,
             "Content-Type: application/json\r\n",
             body.to_string().as_bytes(),
         )
     }
 
-    fn request(&mut self, head: Head) -> After {
+    fn handle_request(&mut self, head: Head) -> Persistence {
         let shared = self.shared.clone();
         let attempt = head.field("attempt-id").unwrap_or_default().to_string();
-        shared.ledger.note(&attempt, Event::Arrived(head.clone()));
+        shared.ledger.record(&attempt, Event::Arrived(head.clone()));
         let fault = {
             let mut script = lock(&shared.script);
             script.next.pop_front().unwrap_or(script.always)
         };
         if let Some(fault) = fault {
-            shared.ledger.note(&attempt, Event::Befallen(fault));
+            shared.ledger.record(&attempt, Event::FaultApplied(fault));
         }
-        let came = Instant::now();
-        let left = head
+        let received_at = Instant::now();
+        let remaining = head
             .field("deadline-ms")
             .and_then(|value| value.parse().ok())
             .map(Duration::from_millis);
         let request = Request {
             attempt,
-            came,
-            deadline: left.map(|left| came + left),
+            received_at,
+            deadline: remaining.map(|remaining| received_at + remaining),
             fault,
             head,
         };
-        if let Some(Fault::EarlyAnswer(status)) = fault {
-            let after = self.refuse(&request, status);
-            // The rest of the body is read on, so that the next request is found.
+        if let Some(Fault::EarlyResponse(status)) = fault {
+            let after = self.reject(&request, status);
+            // The rest of the body is read, so that the next request is found behind it.
             return if read_body(&mut self.from, &request.head, false).is_ok() {
                 after
             } else {
-                After::Close
+                Persistence::Close
             };
         }
         let Ok(body) = read_body(&mut self.from, &request.head, false) else {
-            return After::Close;
+            return Persistence::Close;
         };
-        shared.ledger.note(&request.attempt, Event::Read(body));
-        if let Some(status) = self.refusal(&request) {
-            return self.refuse(&request, status);
+        shared
+            .ledger
+            .record(&request.attempt, Event::BodyReceived(body));
+        if let Some(status) = self.rejection_status(&request) {
+            return self.reject(&request, status);
         }
-        if fault == Some(Fault::ClosedUnrun) {
-            return After::Close;
+        if fault == Some(Fault::ClosedBeforeRun) {
+            return Persistence::Close;
         }
         let Some(slot) = take_slot(&shared, request.deadline) else {
-            return self.refuse(&request, 503);
+            return self.reject(&request, 503);
         };
-        shared.ledger.note(&request.attempt, Event::Ran);
+        shared.ledger.record(&request.attempt, Event::Started);
         let after = self.run(&request);
         drop(slot);
         after
     }
 
-    /// The status with which a request is turned away, if it is.
-    fn refusal(&self, request: &Request) -> Option<u16> {
+    /// The status with which a request is rejected, if it is.
+    fn rejection_status(&self, request: &Request) -> Option<u16> {
         let description = &self.shared.description;
         let field = |name| request.head.field(name);
         if request.attempt.is_empty() {
@@ -222,121 +225,126 @@
             return Some(421);
         }
         match request.fault {
-            Some(Fault::Refused(status)) => Some(status),
+            Some(Fault::Rejected(status)) => Some(status),
             _ => None,
         }
     }
 
-    fn refuse(&mut self, request: &Request, status: u16) -> After {
+    fn reject(&mut self, request: &Request, status: u16) -> Persistence {
         self.shared
             .ledger
-            .note(&request.attempt, Event::Refused(status));
+            .record(&request.attempt, Event::Rejected(status));
         let instance = &self.shared.description.instance;
         let fields = format!(
             "Attempt-Id: {}\r\nInstance-Id: {instance}\r\nNot-Executed: 1\r\n",
             request.attempt
         );
-        self.answer(status, &fields, b"")
+        self.respond(status, &fields, b"")
     }
 
     /// Runs a request that has its slot.
-    fn run(&mut self, request: &Request) -> After {
+    fn run(&mut self, request: &Request) -> Persistence {
         match request.fault {
-            Some(Fault::Mute) => return self.wait_for_end(request),
-            Some(Fault::AnswerLost) => {
-                thread::sleep(self.shared.description.first_event);
-                return After::Close;
+            Some(Fault::NoResponse) => return self.wait_for_end(request),
+            Some(Fault::ResponseLost) => {
+                thread::sleep(self.shared.description.time_to_first_event);
+                return Persistence::Close;
             }
             Some(Fault::NotHttp) => {
                 let _ = self.to.write_all(b"\x00\x01 what is this\r\n\r\n");
-                return After::Close;
+                return Persistence::Close;
             }
             Some(Fault::Failed(status)) => {
-                let fields = self.stamp(request);
+                let fields = self.identity_fields(request);
                 self.shared
                     .ledger
-                    .note(&request.attempt, Event::Answered(status));
-                return self.answer(status, &fields, b"failed");
+                    .record(&request.attempt, Event::Responded(status));
+                return self.respond(status, &fields, b"failed");
             }
             _ => {}
         }
-        if let Some(after) = self.pause(request, self.shared.description.first_event) {
+        if let Some(after) = self.work_for(request, self.shared.description.time_to_first_event) {
             return after;
         }
         self.stream(request)
     }
 
-    fn stream(&mut self, request: &Request) -> After {
+    fn stream(&mut self, request: &Request) -> Persistence {
         let framed = !matches!(
             request.fault,
             Some(Fault::NoLength | Fault::NoLengthReset(_))
         );
-        let mut whole = self.stream_head(request, framed);
-        let late = std::mem::take(&mut self.late);
-        if self.to.write_all(&[late, whole.clone()].concat()).is_err() {
-            return self.dropped(request);
+        let mut sent_bytes = self.stream_head(request, framed);
+        let late = std::mem::take(&mut self.delayed_response);
+        if self
+            .to
+            .write_all(&[late, sent_bytes.clone()].concat())
+            .is_err()
+        {
+            return self.abort(request);
         }
-        let (first, total) = self.numbers(request);
+        let (first, total) = self.event_numbers(request);
         for number in first..=total {
             let sent = number - first;
-            if let Some(after) = self.breaks_off(request, sent, framed) {
+            if let Some(after) = self.apply_stream_fault(request, sent, framed) {
                 return after;
             }
-            let event = piece(
+            let event = encode_chunk(
                 &format!(
                     "id: {number}\ndata: {} {number}/{total}\n\n",
                     request.attempt
                 ),
                 framed,
             );
-            whole.extend_from_slice(&event);
+            sent_bytes.extend_from_slice(&event);
             if self.to.write_all(&event).is_err() {
-                return self.dropped(request);
+                return self.abort(request);
             }
             if number < total {
-                if let Some(after) = self.pause(request, self.shared.description.between_events) {
+                if let Some(after) = self.work_for(request, self.shared.description.event_interval)
+                {
                     return after;
                 }
             }
         }
-        if let Some(after) = self.breaks_off(request, total + 1 - first, framed) {
+        if let Some(after) = self.apply_stream_fault(request, total + 1 - first, framed) {
             return after;
         }
         if framed {
-            whole.extend_from_slice(b"0\r\n\r\n");
+            sent_bytes.extend_from_slice(b"0\r\n\r\n");
             let _ = self.to.write_all(b"0\r\n\r\n");
         }
         self.shared
             .ledger
-            .note(&request.attempt, Event::Answered(200));
-        self.behind(request, &whole);
+            .record(&request.attempt, Event::Responded(200));
+        self.send_trailing_bytes(request, &sent_bytes);
         let closes = !framed || request.head.closes() || self.shared.is_leaving();
         if closes {
-            After::Close
+            Persistence::Close
         } else {
-            After::Keep
+            Persistence::KeepAlive
         }
     }
 
-    /// The first event to send, and the last.
-    fn numbers(&self, request: &Request) -> (u64, u64) {
+    /// The numbers of the first and the last event to send.
+    fn event_numbers(&self, request: &Request) -> (u64, u64) {
         let tokens = request
             .head
             .field("token-usage")
             .and_then(|value| value.split(',').nth(1)?.parse().ok());
         let total = tokens
             .unwrap_or(16u64)
-            .div_ceil(u64::from(self.shared.description.stride))
+            .div_ceil(u64::from(self.shared.description.tokens_per_event))
             .max(1);
-        let had = request
+        let last_received = request
             .head
             .field("last-event-id")
             .and_then(|value| value.parse().ok())
             .unwrap_or(0);
-        (had + 1, total.max(had + 1))
+        (last_received + 1, total.max(last_received + 1))
     }
 
-    fn stamp(&self, request: &Request) -> String {
+    fn identity_fields(&self, request: &Request) -> String {
         let runs = self.shared.ledger.runs(&request.attempt);
         let instance = &self.shared.description.instance;
         let id = match request.fault {
@@ -357,24 +365,24 @@
             ""
         };
         let closes = !framed || request.head.closes() || self.shared.is_leaving();
-        let stamp = self.stamp(request);
-        let rest = self.common(closes);
-        format!("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n{stamp}{rest}{framing}\r\n")
+        let identity_fields = self.identity_fields(request);
+        let rest = self.common_fields(closes);
+        format!("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n{identity_fields}{rest}{framing}\r\n")
             .into_bytes()
     }
 
-    /// Fields that every answer has.
-    fn common(&self, closes: bool) -> String {
+    /// Fields that every response has.
+    fn common_fields(&self, closes: bool) -> String {
         let description = &self.shared.description;
         let load = lock(&self.shared.load);
         let mut fields = String::new();
-        if description.tells_load {
+        if description.reports_load {
             fields = format!(
                 "Server-Load: {},{},{}\r\n",
                 load.running, load.waiting, description.slots
             );
         }
-        let seconds = description.idle.as_secs();
+        let seconds = description.idle_timeout.as_secs();
         match (closes, seconds) {
             (true, _) => fields + "Connection: close\r\n",
             (false, 0) => fields,
@@ -382,59 +390,64 @@
         }
     }
 
-    /// The end that a fault brings to a stream of which so many events have gone.
-    fn breaks_off(&mut self, request: &Request, sent: u64, framed: bool) -> Option<After> {
+    /// Ends a stream where its fault says so; `sent` events have been sent.
+    fn apply_stream_fault(
+        &mut self,
+        request: &Request,
+        sent: u64,
+        framed: bool,
+    ) -> Option<Persistence> {
         match request.fault? {
-            Fault::CutAfter(after) if sent == after => Some(After::Close),
-            Fault::CutInside(after) if sent == after => {
-                let half = piece(&format!("id: {}\ndata: ha", sent + 1), framed);
+            Fault::TruncateAfter(after) if sent == after => Some(Persistence::Close),
+            Fault::TruncateInside(after) if sent == after => {
+                let half = encode_chunk(&format!("id: {}\ndata: ha", sent + 1), framed);
                 let _ = self.to.write_all(&half);
-                Some(After::Close)
+                Some(Persistence::Close)
             }
             Fault::ResetAfter(after) | Fault::NoLengthReset(after) if sent == after => {
                 reset(&self.to);
-                self.is_reset = true;
-                Some(After::Close)
+                self.ends_by_reset = true;
+                Some(Persistence::Close)
             }
-            Fault::MuteAfter(after) if sent == after => Some(self.wait_for_end(request)),
+            Fault::SilentAfter(after) if sent == after => Some(self.wait_for_end(request)),
             _ => None,
         }
     }
 
-    /// What comes behind a whole answer.
-    fn behind(&mut self, request: &Request, whole: &[u8]) {
+    /// Sends, or keeps for later, what a fault adds behind a complete response.
+    fn send_trailing_bytes(&mut self, request: &Request, sent_bytes: &[u8]) {
         match request.fault {
-            Some(Fault::ExtraAnswer) => drop(self.to.write_all(whole)),
+            Some(Fault::ExtraResponse) => drop(self.to.write_all(sent_bytes)),
             Some(Fault::ExtraBytes) => drop(self.to.write_all(b"and so on\r\n")),
-            Some(Fault::LateAnswer) => self.late = whole.to_vec(),
+            Some(Fault::LateResponse) => self.delayed_response = sent_bytes.to_vec(),
             _ => {}
         }
     }
 
-    /// An answer with a length.
-    fn answer(&mut self, status: u16, fields: &str, body: &[u8]) -> After {
+    /// Sends a response with a length.
+    fn respond(&mut self, status: u16, fields: &str, body: &[u8]) -> Persistence {
         let closes = self.shared.is_leaving();
-        let rest = self.common(closes);
+        let rest = self.common_fields(closes);
         let head = format!(
             "HTTP/1.1 {status} Told\r\n{fields}{rest}Content-Length: {}\r\n\r\n",
             body.len()
         );
         let bytes = [
-            std::mem::take(&mut self.late),
+            std::mem::take(&mut self.delayed_response),
             head.into_bytes(),
             body.to_vec(),
         ]
         .concat();
         let written = self.to.write_all(&bytes).is_ok();
         if written && !closes {
-            After::Keep
+            Persistence::KeepAlive
         } else {
-            After::Close
+            Persistence::Close
         }
     }
 
-    /// Works for so long; tells how it ends where the caller leaves or the deadline comes first.
-    fn pause(&mut self, request: &Request, time: Duration) -> Option<After> {
+    /// Works for `time`; `Some` where the caller disconnects or the deadline passes first.
+    fn work_for(&mut self, request: &Request, time: Duration) -> Option<Persistence> {
         let until = Instant::now() + time;
         let end = request
             .deadline
@@ -443,65 +456,65 @@
         let late = request
             .deadline
             .is_some_and(|deadline| Instant::now() >= deadline);
-        if late || self.shared.is_stopped() || self.has_left() {
-            return Some(self.dropped(request));
+        if late || self.shared.is_stopped() || self.is_disconnected() {
+            return Some(self.abort(request));
         }
         None
     }
 
-    /// Says nothing until the caller leaves, the deadline comes or the server ends.
-    fn wait_for_end(&mut self, request: &Request) -> After {
+    /// Sends nothing until the caller disconnects, the deadline passes or the server ends.
+    fn wait_for_end(&mut self, request: &Request) -> Persistence {
         let deadline = request
             .deadline
-            .unwrap_or(request.came + Duration::from_secs(30));
-        while Instant::now() < deadline && !self.shared.is_stopped() && !self.has_left() {
+            .unwrap_or(request.received_at + Duration::from_secs(30));
+        while Instant::now() < deadline && !self.shared.is_stopped() && !self.is_disconnected() {
             thread::sleep(Duration::from_millis(5));
         }
-        self.dropped(request)
+        self.abort(request)
     }
 
-    fn dropped(&self, request: &Request) -> After {
-        self.shared.ledger.note(&request.attempt, Event::Dropped);
-        After::Close
+    fn abort(&self, request: &Request) -> Persistence {
+        self.shared.ledger.record(&request.attempt, Event::Aborted);
+        Persistence::Close
     }
 
     /// Whether the caller has closed its connection.
-    fn has_left(&mut self) -> bool {
+    fn is_disconnected(&mut self) -> bool {
         if !self.from.buffer().is_empty() || self.from.get_ref().set_nonblocking(true).is_err() {
             return false;
         }
         let peeked = self.from.get_ref().peek(&mut [0]);
         let restored = self.from.get_ref().set_nonblocking(false);
-        let gone = match peeked {
+        let disconnected = match peeked {
             Ok(count) => count == 0,
             Err(error) => error.kind() != std::io::ErrorKind::WouldBlock,
         };
-        gone || restored.is_err()
+        disconnected || restored.is_err()
     }
 }
 
-/// Some text of a body, as a chunk where it is framed.
-fn piece(text: &str, framed: bool) -> Vec<u8> {
+/// Encodes text of a body, as a chunk where the body is framed.
+fn encode_chunk(text: &str, framed: bool) -> Vec<u8> {
     if framed {
         return format!("{:x}\r\n{text}\r\n", text.len()).into_bytes();
     }
     text.as_bytes().to_vec()
 }
 
-/// Waits for a slot; `None`: there is no place to wait in, or the deadline came first.
+/// Waits for a slot; `None`: the queue is full, or the deadline passed first.
 fn take_slot(shared: &Shared, deadline: Option<Instant>) -> Option<Slot<'_>> {
     let mut load = lock(&shared.load);
     if load.running >= shared.description.slots {
-        if load.waiting >= shared.description.queue {
+        if load.waiting >= shared.description.queue_capacity {
             return None;
         }
         load.waiting += 1;
-        let left = deadline.map(|deadline| deadline.saturating_duration_since(Instant::now()));
-        let left = left.unwrap_or(Duration::from_secs(30));
+        let remaining = deadline.map(|deadline| deadline.saturating_duration_since(Instant::now()));
+        let remaining = remaining.unwrap_or(Duration::from_secs(30));
         let full = |load: &mut super::Load| {
             load.running >= shared.description.slots && !shared.is_stopped()
         };
-        let waited = shared.freed.wait_timeout_while(load, left, full);
+        let waited = shared.freed.wait_timeout_while(load, remaining, full);
         let (mut after, _) = waited.unwrap_or_else(|poisoned| poisoned.into_inner());
         after.waiting -= 1;
         if after.running >= shared.description.slots || shared.is_stopped() {
--- a/emulators/src/model_server/tests.rs
+++ b/emulators/src/model_server/tests.rs
@@ -1,4 +1,4 @@
-//! The model server: what it refuses, how its faults look on the wire, and what it says to control
+//! The model server: what it rejects, how its faults look on the wire, and its reports to the control
 //! machines.
 
 use super::heartbeat::ServerReport;
@@ -8,15 +8,16 @@
 use crate::stream_client::StreamRequest;
 use std::io::{BufReader, Read, Write};
 
-const LONG: Duration = Duration::from_secs(10);
+const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-fn quick() -> Description {
-    let mut description = Description::new("i-1", "s", "z");
-    (description.first_event, description.between_events) = (Duration::ZERO, Duration::ZERO);
+fn quick() -> ServerDescription {
+    let mut description = ServerDescription::new("i-1", "s", "z");
+    (description.time_to_first_event, description.event_interval) =
+        (Duration::ZERO, Duration::ZERO);
     description
 }
 
-fn start(description: Description) -> ModelServer {
+fn start(description: ServerDescription) -> ModelServer {
     ModelServer::start(description, SocketAddr::from(([127, 0, 0, 1], 0)))
         .expect("an address of loopback")
 }
@@ -27,22 +28,24 @@
         .with("Token-Usage", "8,8")
 }
 
-fn until(what: impl Fn() -> bool) {
-    let end = Instant::now() + LONG;
-    while !what() {
+fn wait_until(event: impl Fn() -> bool) {
+    let end = Instant::now() + TEST_TIMEOUT;
+    while !event() {
         assert!(Instant::now() < end, "not in time");
         thread::yield_now();
     }
 }
 
-/// A connection that is kept, as a router keeps it.
-struct Kept(BufReader<TcpStream>);
+/// A connection that is kept alive, as a router does it.
+struct KeptAliveConnection(BufReader<TcpStream>);
 
-impl Kept {
-    fn new(server: &ModelServer) -> Kept {
+impl KeptAliveConnection {
+    fn new(server: &ModelServer) -> KeptAliveConnection {
         let stream = TcpStream::connect(server.address).expect("a connection");
-        stream.set_read_timeout(Some(LONG)).expect("a time-out");
-        Kept(BufReader::new(stream))
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a time-out");
+        KeptAliveConnection(BufReader::new(stream))
     }
 
     fn write(&mut self, attempt: &str) {
@@ -74,9 +77,9 @@
 }
 
 #[test]
-fn a_request_runs_once_and_is_answered_with_its_id() {
+fn request_runs_once_and_its_response_carries_its_id() {
     let server = start(quick());
-    let mut kept = Kept::new(&server);
+    let mut kept = KeptAliveConnection::new(&server);
     for attempt in ["a1", "a2"] {
         kept.write(attempt);
         let answer = kept.read().expect("an answer");
@@ -89,46 +92,51 @@
 }
 
 #[test]
-fn what_is_refused_has_not_run() {
+fn rejected_request_has_not_run() {
     let server = start(quick());
     for (call, status) in [
         (call("b1").with("Target-Instance", "i-2"), 421),
         (call("b1").with("Expect-Version", "2"), 421),
         (Call::post("/a/1", "{}"), 400),
     ] {
-        let answer = call.send(server.address, LONG).expect("an answer");
+        let answer = call.send(server.address, TEST_TIMEOUT).expect("an answer");
         assert_eq!(answer.status(), status);
         assert!(answer.head.field("not-executed").is_some());
     }
-    server.next_faults([Some(Fault::Refused(429))]);
+    server.next_faults([Some(Fault::Rejected(429))]);
     assert_eq!(
         call("b1")
-            .send(server.address, LONG)
+            .send(server.address, TEST_TIMEOUT)
             .expect("an answer")
             .status(),
         429
     );
-    assert_eq!(server.ledger.count(|entry| entry.what == Event::Ran), 0);
+    assert_eq!(
+        server.ledger.count(|entry| entry.event == Event::Started),
+        0
+    );
     let answer = call("b1")
         .with("Target-Instance", "i-1")
-        .send(server.address, LONG)
+        .send(server.address, TEST_TIMEOUT)
         .expect("an answer");
     assert_eq!(answer.status(), 200);
 }
 
 #[test]
-fn when_slots_and_queue_are_full_it_turns_away() {
+fn request_is_rejected_when_slots_and_queue_are_full() {
     let mut description = quick();
-    (description.slots, description.queue) = (1, 1);
+    (description.slots, description.queue_capacity) = (1, 1);
     let server = start(description);
-    server.next_faults([Some(Fault::Mute), None, None]);
-    let mut first = Kept::new(&server);
+    server.next_faults([Some(Fault::NoResponse), None, None]);
+    let mut first = KeptAliveConnection::new(&server);
     first.write("c1");
-    until(|| server.load() == (1, 0));
-    let mut second = Kept::new(&server);
+    wait_until(|| server.load() == (1, 0));
+    let mut second = KeptAliveConnection::new(&server);
     second.write("c2");
-    until(|| server.load() == (1, 1));
-    let third = call("c3").send(server.address, LONG).expect("an answer");
+    wait_until(|| server.load() == (1, 1));
+    let third = call("c3")
+        .send(server.address, TEST_TIMEOUT)
+        .expect("an answer");
     assert_eq!(
         (third.status(), third.head.field("not-executed")),
         (503, Some("1"))
@@ -147,17 +155,17 @@
 }
 
 #[test]
-fn a_deadline_in_the_queue_is_a_refusal() {
+fn deadline_in_the_queue_is_a_rejection() {
     let mut description = quick();
     description.slots = 1;
     let server = start(description);
-    server.next_faults([Some(Fault::Mute)]);
-    let mut first = Kept::new(&server);
+    server.next_faults([Some(Fault::NoResponse)]);
+    let mut first = KeptAliveConnection::new(&server);
     first.write("d1");
-    until(|| server.load() == (1, 0));
+    wait_until(|| server.load() == (1, 0));
     let late = call("d2")
         .with("Deadline-Ms", 30)
-        .send(server.address, LONG)
+        .send(server.address, TEST_TIMEOUT)
         .expect("an answer");
     assert_eq!((late.status(), server.ledger.runs("d2")), (503, 0));
 }
@@ -165,30 +173,30 @@
 #[test]
 fn work_stops_at_the_deadline() {
     let mut description = quick();
-    description.between_events = Duration::from_millis(40);
+    description.event_interval = Duration::from_millis(40);
     let server = start(description);
     let call = call("d3").with("Deadline-Ms", 20);
     assert_eq!(
-        call.send(server.address, LONG),
+        call.send(server.address, TEST_TIMEOUT),
         Err(MessageError::Truncated)
     );
-    until(|| server.ledger.count(|entry| entry.what == Event::Dropped) == 1);
+    wait_until(|| server.ledger.count(|entry| entry.event == Event::Aborted) == 1);
 }
 
 #[test]
-fn lost_answers_have_run_and_those_that_were_closed_unrun_have_not() {
+fn request_with_lost_response_has_run_and_one_closed_before_run_has_not() {
     let server = start(quick());
-    server.next_faults([Some(Fault::AnswerLost), Some(Fault::ClosedUnrun)]);
-    assert!(call("e1").send(server.address, LONG).is_err());
-    assert!(call("e2").send(server.address, LONG).is_err());
+    server.next_faults([Some(Fault::ResponseLost), Some(Fault::ClosedBeforeRun)]);
+    assert!(call("e1").send(server.address, TEST_TIMEOUT).is_err());
+    assert!(call("e2").send(server.address, TEST_TIMEOUT).is_err());
     assert_eq!([server.ledger.runs("e1"), server.ledger.runs("e2")], [1, 0]);
 }
 
 #[test]
-fn bytes_behind_an_answer_belong_to_nobody() {
+fn bytes_behind_a_response_belong_to_no_request() {
     let server = start(quick());
-    server.next_faults([Some(Fault::ExtraAnswer), Some(Fault::ExtraBytes), None]);
-    let mut kept = Kept::new(&server);
+    server.next_faults([Some(Fault::ExtraResponse), Some(Fault::ExtraBytes), None]);
+    let mut kept = KeptAliveConnection::new(&server);
     kept.write("f1");
     assert_eq!(
         kept.read().expect("an answer").head.field("attempt-id"),
@@ -204,17 +212,17 @@
         Some("f2")
     );
     assert_eq!(kept.rest(), b"and so on\r\n");
-    let mut kept = Kept::new(&server);
+    let mut kept = KeptAliveConnection::new(&server);
     kept.write("f3");
     assert_eq!(kept.read().expect("an answer").status(), 200);
     assert!(kept.rest().is_empty());
 }
 
 #[test]
-fn a_late_answer_comes_where_the_next_one_is_due() {
+fn late_response_precedes_the_next_one() {
     let server = start(quick());
-    server.next_faults([Some(Fault::LateAnswer)]);
-    let mut kept = Kept::new(&server);
+    server.next_faults([Some(Fault::LateResponse)]);
+    let mut kept = KeptAliveConnection::new(&server);
     for (attempt, answered) in [("g1", "g1"), ("g2", "g1")] {
         kept.write(attempt);
         assert_eq!(
@@ -229,18 +237,20 @@
 }
 
 #[test]
-fn an_answer_without_a_length_ends_with_its_connection_or_by_a_reset() {
+fn response_without_a_length_ends_with_its_connection_or_by_a_reset() {
     let server = start(quick());
     server.next_faults([
         Some(Fault::NoLength),
         Some(Fault::NoLengthReset(1)),
         Some(Fault::ResetAfter(1)),
     ]);
-    let whole = call("h1").send(server.address, LONG).expect("an answer");
+    let whole = call("h1")
+        .send(server.address, TEST_TIMEOUT)
+        .expect("an answer");
     assert_eq!(whole.head.framing(), None);
     assert!(whole.body.ends_with(b"h1 2/2\n\n"));
     for attempt in ["h2", "h3"] {
-        let cut = call(attempt).send(server.address, LONG);
+        let cut = call(attempt).send(server.address, TEST_TIMEOUT);
         assert_eq!(
             cut,
             Err(MessageError::Connection(
@@ -252,10 +262,10 @@
 }
 
 #[test]
-fn an_early_answer_leaves_the_connection_in_step() {
+fn early_response_keeps_the_connection_in_step() {
     let server = start(quick());
-    server.next_faults([Some(Fault::EarlyAnswer(503))]);
-    let mut kept = Kept::new(&server);
+    server.next_faults([Some(Fault::EarlyResponse(503))]);
+    let mut kept = KeptAliveConnection::new(&server);
     let head = "POST /a/1 HTTP/1.1\r\nAttempt-Id: k1\r\nContent-Length: 6\r\n\r\n";
     kept.0
         .get_mut()
@@ -276,21 +286,25 @@
 }
 
 #[test]
-fn other_faults_look_as_named() {
+fn other_faults_look_on_the_wire_as_named() {
     let server = start(quick());
     server.next_faults([
         Some(Fault::NotHttp),
         Some(Fault::Failed(500)),
         Some(Fault::WrongId),
     ]);
-    assert!(call("l1").send(server.address, LONG).is_err());
-    let failed = call("l2").send(server.address, LONG).expect("an answer");
+    assert!(call("l1").send(server.address, TEST_TIMEOUT).is_err());
+    let failed = call("l2")
+        .send(server.address, TEST_TIMEOUT)
+        .expect("an answer");
     assert_eq!(
         (failed.status(), failed.head.field("not-executed")),
         (500, None)
     );
     assert!(failed.head.field("response-seal").is_some());
-    let wrong = call("l3").send(server.address, LONG).expect("an answer");
+    let wrong = call("l3")
+        .send(server.address, TEST_TIMEOUT)
+        .expect("an answer");
     assert_ne!(wrong.head.field("attempt-id"), Some("l3"));
     assert_eq!(
         [
@@ -303,40 +317,40 @@
 }
 
 #[test]
-fn a_mute_server_says_nothing_and_notices_who_leaves() {
+fn server_without_response_detects_disconnected_caller() {
     let server = start(quick());
-    server.always_fault(Some(Fault::Mute));
+    server.always_fault(Some(Fault::NoResponse));
     let request = StreamRequest::new("a", "/a/1", "m1", 8);
     let silent = request.send(server.address, Duration::from_millis(50), |_| {});
     assert_eq!(silent, Err(MessageError::Timeout));
-    until(|| server.ledger.count(|entry| entry.what == Event::Dropped) == 1);
+    wait_until(|| server.ledger.count(|entry| entry.event == Event::Aborted) == 1);
     assert_eq!(server.load(), (0, 0));
 }
 
 #[test]
-fn more_connections_than_it_takes_are_reset() {
+fn connections_beyond_the_limit_are_reset() {
     let mut description = quick();
-    description.connections = 1;
+    description.max_connections = 1;
     let server = start(description);
-    let mut kept = Kept::new(&server);
+    let mut kept = KeptAliveConnection::new(&server);
     kept.write("n1");
     assert!(kept.read().is_ok());
-    assert!(call("n2").send(server.address, LONG).is_err());
-    until(|| {
+    assert!(call("n2").send(server.address, TEST_TIMEOUT).is_err());
+    wait_until(|| {
         server
             .ledger
-            .count(|entry| entry.what == Event::ConnectionReset)
+            .count(|entry| entry.event == Event::ConnectionReset)
             == 1
     });
     assert_eq!(server.ledger.runs("n2"), 0);
 }
 
 #[test]
-fn health_and_report_tell_the_state() {
+fn health_check_and_report_show_the_state() {
     let server = start(quick());
     let health = |server: &ModelServer| {
         Call::get("/health")
-            .send(server.address, LONG)
+            .send(server.address, TEST_TIMEOUT)
             .expect("an answer")
     };
     let good = health(&server);
@@ -344,17 +358,17 @@
         (good.status(), good.head.field("instance-id")),
         (200, Some("i-1"))
     );
-    server.set_well(false);
+    server.set_healthy(false);
     assert_eq!(health(&server).status(), 503);
     let report = Call::get("/report")
-        .send(server.address, LONG)
+        .send(server.address, TEST_TIMEOUT)
         .expect("an answer");
     let report: serde_json::Value = serde_json::from_slice(&report.body).expect("JSON");
     assert_eq!(report["activeRequests"], 0);
 }
 
 #[test]
-fn heartbeats_go_on_to_a_machine_that_acknowledges_and_stay_there() {
+fn heartbeats_move_to_a_machine_that_acknowledges_and_stay_there() {
     let refuses = ScriptedControl::start(|_, _| Reply::status(503)).expect("loopback");
     let takes = ScriptedControl::start(|_, _| Reply::body("{}")).expect("loopback");
     let server = start(quick());
@@ -362,7 +376,7 @@
         vec![refuses.address, takes.address],
         Duration::from_millis(1),
     );
-    until(|| takes.calls().len() > 5);
+    wait_until(|| takes.calls().len() > 5);
     drop(beats);
     assert!(refuses.calls().len() <= 1);
     let numbers: Vec<u64> = takes.calls().iter().map(number).collect();
@@ -379,40 +393,42 @@
 }
 
 #[test]
-fn later_heartbeats_go_where_the_answer_points() {
+fn later_heartbeats_go_to_the_named_endpoint() {
     let other = ScriptedControl::start(|_, _| Reply::body("{}")).expect("loopback");
     let body = format!("{{\"heartbeatEndpoint\":\"{}\"}}", other.address);
     let first = ScriptedControl::start(move |_, _| Reply::body(&body)).expect("loopback");
     let server = start(quick());
     let _beats = server.register(vec![first.address], Duration::from_millis(1));
-    until(|| other.calls().len() > 2);
+    wait_until(|| other.calls().len() > 2);
     assert_eq!(first.calls().len(), 1);
 }
 
 #[test]
-fn a_planned_end_is_told_and_acknowledged() {
+fn draining_and_deregistration_are_acknowledged() {
     let machine = ScriptedControl::start(|_, _| Reply::body("{}")).expect("loopback");
     let server = start(quick());
-    let beats = server.register(vec![machine.address], LONG);
-    until(|| machine.calls().len() == 1);
-    assert!(beats.drain(LONG));
-    assert!(beats.deregister(LONG));
+    let beats = server.register(vec![machine.address], TEST_TIMEOUT);
+    wait_until(|| machine.calls().len() == 1);
+    assert!(beats.drain(TEST_TIMEOUT));
+    assert!(beats.deregister(TEST_TIMEOUT));
     let calls = machine.calls();
     assert!(String::from_utf8_lossy(&calls[1].body).contains("\"draining\""));
     assert_eq!(calls[2].path, "/instances/i-1/deregister");
     // It serves on, and asks callers to leave.
-    let answer = call("o1").send(server.address, LONG).expect("an answer");
+    let answer = call("o1")
+        .send(server.address, TEST_TIMEOUT)
+        .expect("an answer");
     assert!(answer.status() == 200 && answer.head.closes());
     assert_eq!(
         Call::get("/health")
-            .send(server.address, LONG)
+            .send(server.address, TEST_TIMEOUT)
             .expect("an answer")
             .status(),
         503
     );
     let acknowledged = |entry: &Entry| {
         matches!(
-            entry.what,
+            entry.event,
             Event::Acknowledged(ServerReport::Draining(2), _)
         )
     };
@@ -420,11 +436,11 @@
 }
 
 #[test]
-fn a_server_that_nobody_acknowledges_ends_all_the_same() {
+fn server_without_acknowledgement_ends_at_its_deadline() {
     let machine = ScriptedControl::start(|_, _| Reply::status(503)).expect("loopback");
     let server = start(quick());
-    let beats = server.register(vec![machine.address], LONG);
+    let beats = server.register(vec![machine.address], TEST_TIMEOUT);
     assert!(!beats.deregister(Duration::from_millis(100)));
     server.crash();
-    until(|| TcpStream::connect(server.address).is_err());
+    wait_until(|| TcpStream::connect(server.address).is_err());
 }
--- a/emulators/src/stream_client/tests.rs
+++ b/emulators/src/stream_client/tests.rs
@@ -1,13 +1,14 @@
 //! What a client makes of answers, whole, cut and wrong.
 
 use super::*;
-use crate::model_server::{Description, Fault, ModelServer};
+use crate::model_server::{Fault, ModelServer, ServerDescription};
 
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 fn server() -> ModelServer {
-    let mut description = Description::new("i-1", "s", "z");
-    (description.first_event, description.between_events) = (Duration::ZERO, Duration::ZERO);
+    let mut description = ServerDescription::new("i-1", "s", "z");
+    (description.time_to_first_event, description.event_interval) =
+        (Duration::ZERO, Duration::ZERO);
     ModelServer::start(description, SocketAddr::from(([127, 0, 0, 1], 0)))
         .expect("an address of loopback")
 }
@@ -63,9 +64,9 @@
 fn truncated_or_silent_stream_is_not_served() {
     let server = server();
     for (fault, events) in [
-        (Fault::CutAfter(2), 2),
-        (Fault::CutInside(1), 1),
-        (Fault::CutAfter(4), 4),
+        (Fault::TruncateAfter(2), 2),
+        (Fault::TruncateInside(1), 1),
+        (Fault::TruncateAfter(4), 4),
     ] {
         server.next_faults([Some(fault)]);
         let streamed = request("a3")
@@ -78,7 +79,7 @@
         );
         assert!(!streamed.is_served());
     }
-    server.next_faults([Some(Fault::MuteAfter(1))]);
+    server.next_faults([Some(Fault::SilentAfter(1))]);
     let streamed = request("a4")
         .send(server.address, Duration::from_millis(500), |_| {})
         .expect("a head");
--- a/soak/src/judge.rs
+++ b/soak/src/judge.rs
@@ -84,20 +84,20 @@
                 continue;
             }
             let run = self.0.entry(entry.attempt.clone()).or_default();
-            match entry.what {
+            match entry.event {
                 Event::Arrived(_) => run.arrived = true,
-                Event::Ran => {
+                Event::Started => {
                     run.runs += 1;
                     working.insert(&entry.attempt);
                 }
-                Event::Befallen(fault) => run.broke_off |= breaks_off(fault),
-                Event::Answered(_) | Event::Dropped => {
+                Event::FaultApplied(fault) => run.broke_off |= breaks_off(fault),
+                Event::Responded(_) | Event::Aborted => {
                     run.worked_until = run.worked_until.max(server.began + entry.at);
                     working.remove(entry.attempt.as_str());
                     let stopped = server
                         .stopped
                         .is_some_and(|at| at <= server.began + entry.at);
-                    run.broke_off |= entry.what == Event::Dropped && stopped;
+                    run.broke_off |= entry.event == Event::Aborted && stopped;
                 }
                 _ => {}
             }
@@ -115,12 +115,12 @@
 fn breaks_off(fault: Fault) -> bool {
     let whole = matches!(
         fault,
-        Fault::ExtraAnswer
+        Fault::ExtraResponse
             | Fault::ExtraBytes
-            | Fault::LateAnswer
+            | Fault::LateResponse
             | Fault::NoLength
-            | Fault::EarlyAnswer(_)
-            | Fault::Refused(_)
+            | Fault::EarlyResponse(_)
+            | Fault::Rejected(_)
             | Fault::Failed(_)
     );
     !whole
@@ -236,7 +236,7 @@
         .map(|one| one.attempt.as_str())
         .collect();
     let ran =
-        |entry: &&Entry| entry.what == Event::Ran && !queried.contains(entry.attempt.as_str());
+        |entry: &&Entry| entry.event == Event::Started && !queried.contains(entry.attempt.as_str());
     let entries = journal.servers.iter().flat_map(|server| &server.entries);
     entries
         .filter(ran)
@@ -249,7 +249,7 @@
 fn sent_to_leaver(journal: &Journal, server: &ServerRecord) -> Vec<Violation> {
     let leaves = |entry: &&Entry| {
         matches!(
-            entry.what,
+            entry.event,
             Event::Acknowledged(ServerReport::Draining(_) | ServerReport::Deregister, _)
         )
     };
@@ -259,11 +259,11 @@
     let refused: BTreeSet<&str> = server
         .entries
         .iter()
-        .filter(|entry| entry.what == Event::Refused(421))
+        .filter(|entry| entry.event == Event::Rejected(421))
         .map(|entry| entry.attempt.as_str())
         .collect();
     let late = |entry: &&Entry| {
-        matches!(entry.what, Event::Arrived(_))
+        matches!(entry.event, Event::Arrived(_))
             && entry.at > acknowledged + DRAIN_TIMEOUT
             && !refused.contains(entry.attempt.as_str())
             && is_in_touch(journal, &entry.attempt, server.began + entry.at)
--- a/soak/src/servers.rs
+++ b/soak/src/servers.rs
@@ -5,7 +5,7 @@
 use crate::plan::{Action, SERVERS};
 use fastrand::Rng;
 use lichenswitch_emulators::model_server::heartbeat::Registration;
-use lichenswitch_emulators::model_server::{Description, Fault, ModelServer};
+use lichenswitch_emulators::model_server::{Fault, ModelServer, ServerDescription};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::thread::{self, JoinHandle};
@@ -66,8 +66,8 @@
         let service = SERVICES[usize::from(order_index >= FIRST)];
         let name = format!("i-{order_index}-{}", self.number);
         let mut description =
-            Description::new(&name, service, &format!("zone-{}", 1 + order_index % 4));
-        description.between_events = BETWEEN_EVENTS;
+            ServerDescription::new(&name, service, &format!("zone-{}", 1 + order_index % 4));
+        description.event_interval = BETWEEN_EVENTS;
         let server = ModelServer::start(description, SocketAddr::from(([127, 0, 0, 1], 0)))?;
         let registration = server.register(self.control.clone(), HEARTBEAT);
         Ok((server, registration))
@@ -147,7 +147,7 @@
 fn record(server: &ModelServer, clock: Clock, stopped: Option<Duration>) -> ServerRecord {
     ServerRecord {
         instance: server.description().instance.clone(),
-        began: clock.at(server.ledger.began()),
+        began: clock.at(server.ledger.started_at()),
         stopped,
         entries: server.ledger.all(),
     }
@@ -156,15 +156,15 @@
 fn fault(random: &mut Rng) -> Option<Fault> {
     let after = random.u64(0..4);
     Some(match random.u32(0..10) {
-        0 => Fault::CutAfter(after),
-        1 => Fault::CutInside(after),
+        0 => Fault::TruncateAfter(after),
+        1 => Fault::TruncateInside(after),
         2 => Fault::ResetAfter(after),
-        3 => Fault::AnswerLost,
-        4 => Fault::ClosedUnrun,
-        5 => Fault::ExtraAnswer,
+        3 => Fault::ResponseLost,
+        4 => Fault::ClosedBeforeRun,
+        5 => Fault::ExtraResponse,
         6 => Fault::ExtraBytes,
         7 => Fault::WrongId,
-        8 => Fault::Refused(503),
+        8 => Fault::Rejected(503),
         _ => return None,
     })
 }
--- a/soak/tests/judge.rs
+++ b/soak/tests/judge.rs
@@ -45,10 +45,10 @@
 }
 
 fn server(entries: &[(u64, Event)]) -> ServerRecord {
-    let entry = |(at, what): &(u64, Event)| Entry {
+    let entry = |(at, event): &(u64, Event)| Entry {
         at: ms(*at),
         attempt: "a1".into(),
-        what: what.clone(),
+        event: event.clone(),
     };
     let entries = entries.iter().map(entry).collect();
     ServerRecord {
@@ -63,8 +63,8 @@
 fn worked(from: u64, to: u64) -> ServerRecord {
     server(&[
         (from, Event::Arrived(Head::default())),
-        (from, Event::Ran),
-        (to, Event::Dropped),
+        (from, Event::Started),
+        (to, Event::Aborted),
     ])
 }
 
@@ -179,14 +179,14 @@
         client_requests: vec![request(10_000, 12_000, RequestEnd::Cut)],
         servers: vec![server(&[
             (10_010, Event::Arrived(Head::default())),
-            (10_010, Event::Befallen(Fault::CutAfter(2))),
-            (10_010, Event::Ran),
+            (10_010, Event::FaultApplied(Fault::TruncateAfter(2))),
+            (10_010, Event::Started),
         ])],
         ..Journal::default()
     };
     assert_eq!(beside(&journal), []);
     // A fault after the whole answer breaks nothing off.
-    journal.servers[0].entries[1].what = Event::Befallen(Fault::ExtraBytes);
+    journal.servers[0].entries[1].event = Event::FaultApplied(Fault::ExtraBytes);
     assert_eq!(beside(&journal), [Beside::Nothing]);
     journal.servers[0].stopped = Some(ms(11_990));
     assert_eq!(beside(&journal), []);
@@ -257,7 +257,7 @@
             Event::Acknowledged(ServerReport::Draining(7), control),
         ),
         (late, Event::Arrived(Head::default())),
-        (late, Event::Ran),
+        (late, Event::Started),
     ];
     let mut journal = Journal {
         client_requests: vec![request(late - 10, late + 100, RequestEnd::Answered(200))],
