--- a/emulators/src/fleet_processes/demonstration.rs
+++ b/emulators/src/fleet_processes/demonstration.rs
@@ -3,11 +3,11 @@
 //! shows, and a test from end to end.
 
 use super::{FleetError, FleetProcesses, ROLES};
-use crate::model_server::{Description, ModelServer};
+use crate::model_server::{ModelServer, ServerDescription};
 use crate::operator::document::{replace, Route};
 use crate::operator::{Operator, Order, Outcome, Verb};
 use crate::stream_client::message::Call;
-use crate::stream_client::{StreamFault, StreamRequest, Streamed};
+use crate::stream_client::{StreamFault, StreamRequest, StreamedResponse};
 use std::fmt;
 use std::io::Write;
 use std::net::SocketAddr;
@@ -157,7 +157,7 @@
             format!("zone-{}", 1 + number % MACHINES),
         );
         ModelServer::start(
-            Description::new(&instance, "model", &zone),
+            ServerDescription::new(&instance, "model", &zone),
             SocketAddr::from(([127, 0, 0, 1], 0)),
         )
     };
@@ -215,7 +215,7 @@
     fleet: &mut FleetProcesses,
     until: Instant,
     out: &mut impl Write,
-) -> Result<Streamed, DemonstrationError> {
+) -> Result<StreamedResponse, DemonstrationError> {
     let (mut last, fronts) = (String::from("none was made"), fleet.fronts());
     for turn in 0.. {
         if Instant::now() >= until {
--- a/fleet/src/router/handlers/relay.rs
+++ b/fleet/src/router/handlers/relay.rs
@@ -5,10 +5,10 @@
 //! as complete; and that the bytes buffered for a slow client are bounded.
 
 use crate::router::abort_reason::AbortReason;
-use crate::router::ids::{AttemptId, RequestId};
+use crate::router::ids::{AttemptId, RequestId, ServiceId};
 use crate::router::request_table::{ActiveRelay, RequestPhase};
 use crate::router::server_connections::StreamStart;
-use crate::router::server_response::{BodyChunk, BufferedResponse, ResponseHead};
+use crate::router::server_response::{BodyChunk, BufferedResponse, ResponseHead, ServerLoad};
 use crate::router::service::RouteRequest;
 use crate::router::state::Router;
 use lichenswitch_interface::{Micros, Outcome};
@@ -23,7 +23,7 @@
 impl Router {
     /// A response has begun that is forwarded as it arrives: the first one of a request, or one that
     /// continues an interrupted stream. Any other is withdrawn.
-    pub(crate) fn on_stream_started(&mut self, id: AttemptId, start: &StreamStart) {
+    pub(super) fn on_stream_started(&mut self, id: AttemptId, start: &StreamStart) {
         let StreamStart {
             head,
             content_length,
@@ -59,36 +59,48 @@
                 return self.report_outcome(id, Outcome::Error);
             }
         };
-        let last_event_id = first_chunk.last_event_id.clone();
         let relay = ActiveRelay {
             attempt: id,
             server,
-            last_event_id,
+            last_event_id: first_chunk.last_event_id.clone(),
             is_paused: false,
         };
+        self.start_relay(request_id, service, relay, head.load);
+        if !is_resumed {
+            self.clients
+                .begin_response(&mut self.net, client, &head.encode(), *content_length);
+        }
+        self.clients
+            .write_chunk(&mut self.net, client, &first_chunk.bytes);
+        self.flush_relay(request_id, client);
+    }
+
+    /// The response of an attempt is forwarded from now on: the other attempts are withdrawn, and the
+    /// core has its outcome.
+    fn start_relay(
+        &mut self,
+        request_id: RequestId,
+        service: ServiceId,
+        relay: ActiveRelay,
+        load: Option<ServerLoad>,
+    ) {
+        let (attempt, server) = (relay.attempt, relay.server);
         // The decision module withdraws them as well, a turn later.
         for loser in self.requests.on_relay_started(request_id, relay) {
             self.connections.withdraw(&mut self.net, loser);
         }
-        self.report_outcome(id, Outcome::Ok);
+        self.report_outcome(attempt, Outcome::Ok);
         if let Some(request) = self.requests.get_mut(request_id) {
             request.core_query = None;
         }
         if let Some(service) = self.services.get_mut(service) {
-            service.on_server_load(head.load);
+            service.on_server_load(load);
             service.on_stream_started(server);
         }
-        if !is_resumed {
-            self.clients
-                .begin_response(&mut self.net, client, &head.encode(), *content_length);
-        }
-        self.clients
-            .write_chunk(&mut self.net, client, &first_chunk.bytes);
-        self.flush_relay(request_id, client);
     }
 
     /// A chunk of a forwarded response.
-    pub(crate) fn on_chunk_received(&mut self, id: AttemptId, chunk: BodyChunk) {
+    pub(super) fn on_chunk_received(&mut self, id: AttemptId, chunk: BodyChunk) {
         // An attempt without a request was withdrawn, and its connection closed.
         let Some(request_id) = self.requests.id_of_attempt(id) else {
             return;
@@ -109,7 +121,7 @@
     }
 
     /// A forwarded response is complete.
-    pub(crate) fn on_stream_completed(&mut self, id: AttemptId, rest: &[u8]) {
+    pub(super) fn on_stream_completed(&mut self, id: AttemptId, rest: &[u8]) {
         let Some(request_id) = self.requests.id_of_attempt(id) else {
             return;
         };
@@ -123,7 +135,7 @@
     }
 
     /// The server of a forwarded response has broken off.
-    pub(crate) fn on_stream_interrupted(&mut self, id: RequestId, outcome: Outcome) {
+    pub(super) fn on_stream_interrupted(&mut self, id: RequestId, outcome: Outcome) {
         if !self.resume_stream(id) {
             self.abort_response(id, AbortReason::ServerEnded(outcome));
         }
@@ -177,7 +189,7 @@
     }
 
     /// A resumed stream ended without a further event, or can't be continued.
-    pub(crate) fn on_resumed_response(&mut self, id: RequestId, response: &BufferedResponse) {
+    pub(super) fn on_resumed_response(&mut self, id: RequestId, response: &BufferedResponse) {
         let is_at_end = response.head.is_event_stream
             && (200..300).contains(&response.head.status)
             && response
@@ -202,7 +214,7 @@
     }
 
     /// A client has taken all that was written so far: reading from its server resumes.
-    pub(crate) fn on_client_output_drained(&mut self, client: ConnId) {
+    pub(super) fn on_client_output_drained(&mut self, client: ConnId) {
         if let Some(id) = self.requests.id_of_client(client) {
             self.set_relay_paused(id, false);
         }
--- a/simulator/src/network.rs
+++ b/simulator/src/network.rs
@@ -74,7 +74,7 @@
     harm: Harm,
     cuts: BTreeMap<CutId, Cut>,
     next_cut: u64,
-    held: Vec<(CutId, Host, Host, P)>,
+    delayed: Vec<(CutId, Host, Host, P)>,
     last: BTreeMap<(Host, Host), Time>,
 }
 
@@ -87,7 +87,7 @@
             harm: Harm::default(),
             cuts: BTreeMap::new(),
             next_cut: 0,
-            held: Vec::new(),
+            delayed: Vec::new(),
             last: BTreeMap::new(),
         }
     }
@@ -113,10 +113,10 @@
     /// Ends a cut; what it held up arrives.
     pub fn heal(&mut self, now: Time, id: CutId) -> Vec<Arrival<P>> {
         self.cuts.remove(&id);
-        let (released, held) = std::mem::take(&mut self.held)
+        let (released, delayed) = std::mem::take(&mut self.delayed)
             .into_iter()
-            .partition(|held| held.0 == id);
-        self.held = held;
+            .partition(|delayed| delayed.0 == id);
+        self.delayed = delayed;
         let released: Vec<(CutId, Host, Host, P)> = released;
         released
             .into_iter()
@@ -148,7 +148,7 @@
     ) -> Vec<Arrival<P>> {
         if let Some((cut, holds)) = self.blocking(from, to) {
             if holds {
-                self.held.push((cut, from, to, packet));
+                self.delayed.push((cut, from, to, packet));
             }
             return Vec::new();
         }
--- a/simulator/tests/common/mod.rs
+++ b/simulator/tests/common/mod.rs
@@ -16,12 +16,16 @@
 const TRACE_SHOWN: usize = 80;
 
 /// Runs a scenario for each seed; none may break a rule.
-pub fn holds(seeds: std::ops::Range<u64>, change: fn(&mut WorldSettings), scenario: Scenario) {
-    holds_with(seeds, change, scenario, |_| {});
+pub fn assert_no_violations(
+    seeds: std::ops::Range<u64>,
+    change: fn(&mut WorldSettings),
+    scenario: Scenario,
+) {
+    assert_no_violations_with(seeds, change, scenario, |_| {});
 }
 
 /// The same, with a look at each run.
-pub fn holds_with(
+pub fn assert_no_violations_with(
     seeds: std::ops::Range<u64>,
     change: fn(&mut WorldSettings),
     scenario: Scenario,
--- a/simulator/tests/point_3.rs
+++ b/simulator/tests/point_3.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{begun, finds, holds, nothing, CATCH_UP, SECOND};
+use common::{assert_no_violations, begun, finds, nothing, CATCH_UP, SECOND};
 use lichenswitch_replication::Fault;
 use lichenswitch_simulator::world::{Action, Target, World, WorldSettings};
 
@@ -105,23 +105,23 @@
 
 #[test]
 fn four_voters_bear_all_pairs_of_repairs_of_the_primary() {
-    holds(0..1, nothing, pairs_of_the_primary);
+    assert_no_violations(0..1, nothing, pairs_of_the_primary);
 }
 
 #[test]
 fn four_voters_bear_all_pairs_of_repairs_of_the_oldest() {
-    holds(1..2, nothing, pairs_of_the_oldest);
+    assert_no_violations(1..2, nothing, pairs_of_the_oldest);
 }
 
 #[test]
 fn four_voters_bear_three_repairs_in_a_row() {
-    holds(0..4, nothing, three_repairs);
-    holds(0..2, nothing, five_repairs);
+    assert_no_violations(0..4, nothing, three_repairs);
+    assert_no_violations(0..2, nothing, five_repairs);
 }
 
 #[test]
 fn eight_voters_bear_two_at_once() {
-    holds(0..2, eight, two_at_once);
+    assert_no_violations(0..2, eight, two_at_once);
 }
 
 /// The smallest form: a machine whose seeds are all gone loses its disk, and comes back at its
@@ -141,7 +141,7 @@
 
 #[test]
 fn a_wiped_disk_joins_though_its_seeds_are_gone() {
-    holds(0..2, nothing, wiped_with_dead_seeds);
+    assert_no_violations(0..2, nothing, wiped_with_dead_seeds);
 }
 
 #[test]
@@ -168,7 +168,7 @@
         world.finish();
         world
     }
-    holds(0..4, nothing, wipes);
+    assert_no_violations(0..4, nothing, wipes);
 }
 
 #[test]
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -2,7 +2,7 @@
 //! alive, and what the protocol withstands.
 
 use lichenswitch_emulators::relay::Faults;
-use lichenswitch_emulators::rig::{agree, judge_deaths, known, Entry, Event, Rig};
+use lichenswitch_emulators::rig::{judge_deaths, known_members, members_agree, Entry, Event, Rig};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::path::{Path, PathBuf};
@@ -50,14 +50,14 @@
     fn wait_for_views(&self, living: &[usize]) {
         let agreed = self
             .rig
-            .until(WAIT_TIMEOUT, |entries| agree(entries, living));
+            .until(WAIT_TIMEOUT, |entries| members_agree(entries, living));
         let entries = self.rig.ledger.all();
         let views: Vec<_> = living
             .iter()
-            .map(|broker| known(&entries, *broker))
+            .map(|broker| known_members(&entries, *broker))
             .collect();
         // The last lines tell why.
-        let last = |broker: &usize| entries.iter().rfind(|e| e.who == *broker).cloned();
+        let last = |broker: &usize| entries.iter().rfind(|e| e.process == *broker).cloned();
         let last: Vec<_> = living.iter().map(last).collect();
         assert!(agreed, "{living:?} know {views:?}: {last:?}");
     }
@@ -72,8 +72,9 @@
 
 /// How many lines of a broker have this text.
 fn count_lines(entries: &[Entry], broker: usize, text: &str) -> usize {
-    let says =
-        |e: &&Entry| e.who == broker && matches!(&e.what, Event::Said(line) if line.contains(text));
+    let says = |e: &&Entry| {
+        e.process == broker && matches!(&e.event, Event::Logged(line) if line.contains(text))
+    };
     entries.iter().filter(says).count()
 }
 
@@ -102,11 +103,11 @@
     fleet.wait_for_views(&[0, 1, 2, 3, 4]);
     fleet.rig.stop(3);
     fleet.wait_for_views(&[0, 1, 2, 4]);
-    fleet.rig.go_on(3);
+    fleet.rig.resume(3);
     fleet.wait_for_views(&[0, 1, 2, 3, 4]);
     let entries = fleet.rig.ledger.all();
     let deaths_by_it =
-        |e: &&Entry| e.who == 3 && matches!(&e.what, Event::Said(l) if l.contains(" down "));
+        |e: &&Entry| e.process == 3 && matches!(&e.event, Event::Logged(l) if l.contains(" down "));
     assert_eq!(
         entries.iter().filter(deaths_by_it).count(),
         0,
@@ -128,7 +129,7 @@
     (0..5).for_each(|i| fleet.rig.cut(i, (i + 1) % 5, true));
     let lost = |fleet: &TestFleet| {
         (0..5)
-            .map(|i| fleet.rig.link(i, (i + 1) % 5).counts().1)
+            .map(|i| fleet.rig.link(i, (i + 1) % 5).message_counts().1)
             .collect::<Vec<_>>()
     };
     // Long enough for each to have probed the next one several times, in vain.
@@ -158,15 +159,15 @@
             .filter(|(a, b)| a != b)
     };
     let faults = Faults {
-        lost: 0.05,
-        twice: 0.2,
+        loss_share: 0.05,
+        duplicate_share: 0.2,
         delay_ms: 3,
         ..Faults::default()
     };
     links().for_each(|(a, b)| fleet.rig.link(a, b).set(faults));
     let carried = |fleet: &TestFleet| {
         links()
-            .map(|(a, b)| fleet.rig.link(a, b).counts().0)
+            .map(|(a, b)| fleet.rig.link(a, b).message_counts().0)
             .sum::<u64>()
     };
     for round in 1..=3 {
@@ -192,7 +193,7 @@
     let fleet = TestFleet::new(2, 5);
     fleet.wait_for_views(&[0, 1]);
     let send = |bytes: &[u8]| {
-        let mut stream = TcpStream::connect(fleet.rig.listens[0]).unwrap();
+        let mut stream = TcpStream::connect(fleet.rig.addresses[0]).unwrap();
         stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         stream.write_all(bytes).unwrap();
         stream
@@ -242,12 +243,12 @@
     }
     // The protocol goes on, also beside many connections on which nothing is sent.
     let _idle: Vec<TcpStream> = (0..60)
-        .map(|_| TcpStream::connect(fleet.rig.listens[0]).unwrap())
+        .map(|_| TcpStream::connect(fleet.rig.addresses[0]).unwrap())
         .collect();
-    let carried = fleet.rig.link(0, 1).counts().0;
+    let carried = fleet.rig.link(0, 1).message_counts().0;
     assert!(fleet
         .rig
-        .until(WAIT_TIMEOUT, |_| fleet.rig.link(0, 1).counts().0
+        .until(WAIT_TIMEOUT, |_| fleet.rig.link(0, 1).message_counts().0
             > carried + 5));
     assert_eq!(fleet.check_deaths(), 0);
 }
@@ -266,7 +267,7 @@
         0,
         "n0 listens on"
     ) == 1));
-    assert!(TcpStream::connect(fleet.rig.listens[0]).is_err());
+    assert!(TcpStream::connect(fleet.rig.addresses[0]).is_err());
     assert_eq!(fleet.rig.end(0), Some(0));
     let entries = fleet.rig.ledger.all();
     assert_eq!(
