--- a/src/broker.rs
+++ b/src/broker.rs
@@ -11,6 +11,7 @@
 use crate::front::platform::{Class, Platform};
 use crate::front::Sessions;
 use crate::interface::{self, Micros, ServerListUpdate, Time};
+use crate::log_writer::log;
 use crate::management::{self, ManagementHandle};
 use crate::net::{self, ConnId, Net, Owner, Ready, Signal, Timer};
 use crate::peer::group::{JoinError, PeerGroup};
@@ -61,11 +62,6 @@
     },
 }
 
-/// Writes a line for the operators.
-pub fn log(line: &str) {
-    crate::log_writer::writer().write_line(format!("lichenswitch: {line}\n").into_bytes());
-}
-
 /// The broker: the service of the platform, that of the OGC front, or both, on one loop.
 pub struct Broker {
     net: Net,
--- a/src/broker/operators.rs
+++ b/src/broker/operators.rs
@@ -1,8 +1,9 @@
 //! What operators ask of the broker, what it tells them, and what its processes share.
 
-use super::{log, Broker};
+use super::Broker;
 use crate::discovery::OperatorOverrides;
 use crate::interface::{ServerListUpdate, Time};
+use crate::log_writer::log;
 use crate::management::Orders;
 use crate::net::Signal;
 use lichenswitch_management::desired_state;
--- a/src/broker/stopping.rs
+++ b/src/broker/stopping.rs
@@ -1,8 +1,9 @@
 //! The end of the process: from the signal to the last answer.
 
-use super::{log, Broker, KILLED, LISTEN_ON, STOP_MOST};
+use super::{Broker, KILLED, LISTEN_ON, STOP_MOST};
 use crate::front::Front;
 use crate::interface::Time;
+use crate::log_writer::log;
 use crate::net::{Owner, Signal};
 use lichenswitch_management::processes::{self, BacklogAction};
 
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -10,6 +10,7 @@
 mod error;
 mod ogc;
 pub mod operators;
+mod operators_file;
 pub mod peers;
 mod phases;
 pub mod settings;
--- a/src/config/ogc.rs
+++ b/src/config/ogc.rs
@@ -1,6 +1,7 @@
 //! The section `ogc` of the operators' file: the front for OGC API Features.
 
 use super::operators::OperatorsError;
+use super::operators_file::{CollectionFile, OgcFile};
 use super::{address, settings, ConfigError, Connections, Operators, Phases, Platform, MEMORY};
 use crate::contract::{Contract, Contracts};
 use crate::interface::{Class, Discovery, Layout, Micros, RetrySafety, Settings};
@@ -53,35 +54,6 @@
 /// Replicas of a slice where the file gives none.
 const REPLICAS: u32 = 2;
 
-#[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
-pub(super) struct OgcFile {
-    pub(super) listen: Option<Spanned<String>>,
-    #[serde(default)]
-    title: Option<String>,
-    #[serde(default)]
-    inventory: Option<Spanned<PathBuf>>,
-    #[serde(default)]
-    settings: Option<Spanned<PathBuf>>,
-    #[serde(default)]
-    replicas: Option<Spanned<u32>>,
-    #[serde(default)]
-    zone: Option<Spanned<String>>,
-    #[serde(default)]
-    collections: Vec<CollectionFile>,
-}
-
-#[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
-struct CollectionFile {
-    id: Spanned<String>,
-    #[serde(default)]
-    title: Option<String>,
-    class: Spanned<String>,
-    #[serde(default)]
-    wait_ms: Option<Spanned<u64>>,
-}
-
 impl Ogc {
     /// Reads the section `ogc` of the operators' file; `None` where there is none, or where it
     /// names no address to listen on. Its settings are those of a file that it names, or else the
--- a/src/config/operators.rs
+++ b/src/config/operators.rs
@@ -1,9 +1,7 @@
 //! The operators' file, `deploy/lichenswitch.yaml`: what the platform does not provide. Each section
 //! is off when it is absent, and so are all when the file is.
 
-use super::ogc::OgcFile;
-use super::peers::PeersFile;
-use super::phases::PhasesFile;
+use super::operators_file::{OgcFile, OperatorsFile, PeersFile, PhasesFile};
 use crate::inventory::{read_text, ReadError};
 use serde::Deserialize;
 use std::path::{Path, PathBuf};
@@ -11,17 +9,6 @@
 /// The file, from the root of the repository; `LICHENSWITCH_CONFIG` names another.
 const DEFAULT_PATH: &str = "deploy/lichenswitch.yaml";
 
-#[derive(Default, Deserialize)]
-#[serde(deny_unknown_fields)]
-struct OperatorsFile {
-    #[serde(default)]
-    ogc: Option<OgcFile>,
-    #[serde(default)]
-    phases: Option<PhasesFile>,
-    #[serde(default)]
-    peers: Option<PeersFile>,
-}
-
 /// Why the operators' file can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorsError {
--- a/src/config/peers.rs
+++ b/src/config/peers.rs
@@ -2,6 +2,7 @@
 //! is none.
 
 use super::operators::OperatorsError;
+use super::operators_file::{KnownFile, PeersFile};
 use super::{address, Operators, Platform};
 use crate::decide::failure_detector::{Member, SwimConfig};
 use crate::decide::lease::LeaseTerms;
@@ -28,42 +29,6 @@
 /// of virtual machines are slewed.
 const CLOCK_DRIFT: u64 = 20_000;
 
-#[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
-pub(super) struct PeersFile {
-    cluster: Spanned<String>,
-    listen: Spanned<String>,
-    #[serde(default)]
-    advertise: Option<Spanned<String>>,
-    #[serde(default)]
-    name: Option<Spanned<String>>,
-    #[serde(default)]
-    zone: Option<Spanned<String>>,
-    #[serde(default)]
-    known: Vec<KnownFile>,
-    #[serde(default)]
-    probe_ms: Option<Spanned<u64>>,
-    #[serde(default)]
-    suspicion_ms: Option<Spanned<u64>>,
-    #[serde(default)]
-    voters: Vec<Spanned<String>>,
-    #[serde(default)]
-    folder: Option<Spanned<String>>,
-    #[serde(default)]
-    duties: Vec<Spanned<String>>,
-    #[serde(default)]
-    lease_ms: Option<Spanned<u64>>,
-}
-
-#[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
-struct KnownFile {
-    name: Spanned<String>,
-    address: Spanned<String>,
-    #[serde(default)]
-    zone: Option<Spanned<String>>,
-}
-
 impl PeersConfig {
     /// Reads the section; `None` where there is none. Name and zone are by default the platform's.
     ///
--- a/src/config/phases.rs
+++ b/src/config/phases.rs
@@ -2,6 +2,7 @@
 //! and by which rules.
 
 use super::operators::OperatorsError;
+use super::operators_file::{ClassFile, PhasesFile};
 use super::{Collection, Operators};
 use crate::contract::Contract;
 use crate::decide::phases::Rules;
@@ -9,29 +10,6 @@
 use serde::Deserialize;
 use serde_saphyr::Spanned;
 
-#[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
-pub(super) struct PhasesFile {
-    #[serde(default)]
-    explain: bool,
-    #[serde(default)]
-    classes: Vec<ClassFile>,
-}
-
-#[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
-struct ClassFile {
-    class: Spanned<String>,
-    #[serde(default)]
-    probability: Option<Spanned<f64>>,
-    #[serde(default)]
-    first_share: Option<Spanned<f64>>,
-    #[serde(default)]
-    prune: Option<bool>,
-    #[serde(default)]
-    least_gain: Option<Spanned<f64>>,
-}
-
 /// How queries of two phases are planned, by class.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Phases {
--- a/src/log_writer.rs
+++ b/src/log_writer.rs
@@ -19,5 +19,10 @@
     format!("lichenswitch: {lost} lines were lost: nobody read them in time\n")
 }
 
+/// Writes a line for the operators.
+pub fn log(line: &str) {
+    writer().write_line(format!("lichenswitch: {line}\n").into_bytes());
+}
+
 #[cfg(test)]
 mod tests;
--- a/src/service.rs
+++ b/src/service.rs
@@ -4,11 +4,11 @@
 //! `Service::ready`, what time brings by `Service::timer`, and a turn carries out what the core
 //! wants done.
 
-use crate::broker::log;
 use crate::core::{Command, Core};
 use crate::discovery::Directory;
 use crate::front::{Front, Sessions};
 use crate::interface::{ListedServer, Outcome, ServerId, ServerListUpdate, ServerMode, Time};
+use crate::log_writer::log;
 use crate::net::{ConnId, Net, Owner, Timer};
 use crate::upstream::{Pool, Wire};
 
