--- a/src/config/ogc.rs
+++ b/src/config/ogc.rs
@@ -6,7 +6,6 @@
 use crate::contract::{Contract, Contracts};
 use crate::interface::{Class, Discovery, Layout, Micros, RetrySafety, Settings};
 use crate::inventory::{read_text, Inventory};
-use serde::Deserialize;
 use serde_saphyr::Spanned;
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/src/config/operators.rs
+++ b/src/config/operators.rs
@@ -3,7 +3,6 @@
 
 use super::operators_file::{OgcFile, OperatorsFile, PeersFile, PhasesFile};
 use crate::inventory::{read_text, ReadError};
-use serde::Deserialize;
 use std::path::{Path, PathBuf};
 
 /// The file, from the root of the repository; `LICHENSWITCH_CONFIG` names another.
--- a/src/config/peers.rs
+++ b/src/config/peers.rs
@@ -2,14 +2,13 @@
 //! is none.
 
 use super::operators::OperatorsError;
-use super::operators_file::{KnownFile, PeersFile};
+use super::operators_file::PeersFile;
 use super::{address, Operators, Platform};
 use crate::decide::failure_detector::{Member, SwimConfig};
 use crate::decide::lease::LeaseTerms;
 use crate::interface::Micros;
 use crate::peer::consensus::ConsensusConfig;
 use crate::peer::PeersConfig;
-use serde::Deserialize;
 use serde_saphyr::Spanned;
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
--- a/src/config/phases.rs
+++ b/src/config/phases.rs
@@ -2,12 +2,11 @@
 //! and by which rules.
 
 use super::operators::OperatorsError;
-use super::operators_file::{ClassFile, PhasesFile};
+use super::operators_file::ClassFile;
 use super::{Collection, Operators};
 use crate::contract::Contract;
 use crate::decide::phases::Rules;
 use crate::interface::{Class, Settings};
-use serde::Deserialize;
 use serde_saphyr::Spanned;
 
 /// How queries of two phases are planned, by class.
