--- a/emulators/src/features.rs
+++ b/emulators/src/features.rs
@@ -1,5 +1,5 @@
-//! A data node that speaks OGC API Features: points, filtered by bounding box, sorted where it is
-//! asked to.
+//! A data node that speaks OGC API Features: it serves points, filtered by bounding box and sorted on
+//! request.
 
 use crate::http::{self, Request};
 use serde_json::{json, Value as Json};
@@ -11,45 +11,44 @@
 
 /// How a data node treats requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Mood {
-    /// Answers.
+pub enum Behavior {
+    /// Responds.
     #[default]
     Serve,
-    /// Reads requests for longitudes between these, and never answers them.
+    /// Reads requests for longitudes between these, and never responds to them.
     Withhold(f64, f64),
-    /// The same for the second phase of sorted answers alone: those that ask for more than one
-    /// feature.
+    /// The same for the second phase of sorted requests alone: those for more than one feature.
     WithholdDetails(f64, f64),
-    /// Turns everything away.
+    /// Rejects every request with 503.
     Busy,
-    /// Answers everything with an error.
+    /// Responds to every request with 500.
     Fail,
-    /// Does not know `sortby`.
+    /// Rejects `sortby` with 400.
     CantSort,
-    /// Gives its worst feature for its best.
-    Lie,
-    /// Answers the first phase of sorted answers so many milliseconds late.
-    LateFirst(u64),
-    /// Breaks the connection when it is asked for the second phase.
-    DieInSecond,
-    /// Answers with what is no JSON.
-    Spoil,
+    /// Returns its worst feature as its best.
+    WrongBest,
+    /// Delays the first phase of sorted requests by this number of milliseconds.
+    DelayFirstPhase(u64),
+    /// Closes the connection on a request of the second phase.
+    DisconnectInSecondPhase,
+    /// Responds with truncated JSON.
+    Malformed,
 }
 
-/// What a data node did.
+/// What a data node received and sent.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Ledger {
-    /// Targets of the requests that came.
-    pub seen: Vec<String>,
-    /// Of them, those that were answered with features.
-    pub answered: Vec<String>,
+    /// Targets of the requests received.
+    pub received_targets: Vec<String>,
+    /// Those of them that got features.
+    pub responded: Vec<String>,
 }
 
-/// A data node that runs in threads of its own for as long as the process.
+/// A data node. Its threads end with the process.
 #[derive(Clone)]
-pub struct Server {
+pub struct FeatureServer {
     features: Arc<Vec<Json>>,
-    mood: Arc<Mutex<Mood>>,
+    behavior: Arc<Mutex<Behavior>>,
     ledger: Arc<Mutex<Ledger>>,
 }
 
@@ -76,7 +75,7 @@
     (bounds.len() == 4).then_some(bounds)
 }
 
-fn inside(feature: &Json, bounds: &[f64]) -> bool {
+fn is_inside(feature: &Json, bounds: &[f64]) -> bool {
     let at = &feature["geometry"]["coordinates"];
     let (Some(east), Some(north)) = (at[0].as_f64(), at[1].as_f64()) else {
         return false;
@@ -84,29 +83,29 @@
     east >= bounds[0] && north >= bounds[1] && east <= bounds[2] && north <= bounds[3]
 }
 
-/// The order of two features by a property; those without it come last, whichever way is sorted.
+/// The order of two features by a property; those without it come last in both directions.
 #[must_use]
-pub fn compare(a: &Json, b: &Json, property: &str, down: bool) -> Ordering {
+pub fn compare_by_property(a: &Json, b: &Json, property: &str, descending: bool) -> Ordering {
     let (a, b) = (&a["properties"][property], &b["properties"][property]);
     let order = match (a.as_f64(), b.as_f64(), a.as_str(), b.as_str()) {
         (Some(a), Some(b), ..) => a.total_cmp(&b),
         (.., Some(a), Some(b)) => a.cmp(b),
         _ => return a.is_null().cmp(&b.is_null()),
     };
-    if down {
+    if descending {
         order.reverse()
     } else {
         order
     }
 }
 
-impl Server {
-    /// Starts to serve these features on a listener.
+impl FeatureServer {
+    /// Starts a server of these features on a listener.
     #[must_use]
-    pub fn start(listener: TcpListener, features: Vec<Json>) -> Server {
-        let server = Server {
+    pub fn start(listener: TcpListener, features: Vec<Json>) -> FeatureServer {
+        let server = FeatureServer {
             features: Arc::new(features),
-            mood: Arc::default(),
+            behavior: Arc::default(),
             ledger: Arc::default(),
         };
         let accepting = server.clone();
@@ -121,12 +120,12 @@
         server
     }
 
-    /// Changes how requests are treated from now on.
-    pub fn set(&self, mood: Mood) {
-        *self.mood.lock().unwrap_or_else(|e| e.into_inner()) = mood;
+    /// Sets how requests are treated from now on.
+    pub fn set_behavior(&self, behavior: Behavior) {
+        *self.behavior.lock().unwrap_or_else(|e| e.into_inner()) = behavior;
     }
 
-    /// What it did so far.
+    /// A copy of the ledger.
     #[must_use]
     pub fn ledger(&self) -> Ledger {
         self.ledger
@@ -137,52 +136,58 @@
 
     /// Targets of the requests so far.
     #[must_use]
-    pub fn seen(&self) -> Vec<String> {
-        self.ledger().seen
+    pub fn received_targets(&self) -> Vec<String> {
+        self.ledger().received_targets
     }
 
     fn handle(&self, stream: &mut TcpStream, request: &Request) -> bool {
         self.ledger
             .lock()
             .unwrap_or_else(|e| e.into_inner())
-            .seen
+            .received_targets
             .push(request.target.clone());
-        let mood = *self.mood.lock().unwrap_or_else(|e| e.into_inner());
-        let sorted = request.parameter("sortby").is_some();
-        let second = sorted && request.parameter("limit").is_none_or(|l| l != "1");
+        let behavior = *self.behavior.lock().unwrap_or_else(|e| e.into_inner());
+        let is_sorted = request.parameter("sortby").is_some();
+        let is_second_phase = is_sorted && request.parameter("limit").is_none_or(|l| l != "1");
         let within = |west: f64, east: f64| {
-            let asked = bounds(request).map_or((west, east), |b| (b[0], b[2]));
-            asked.0 >= west && asked.1 <= east
+            let requested = bounds(request).map_or((west, east), |b| (b[0], b[2]));
+            requested.0 >= west && requested.1 <= east
         };
         let problem = |stream: &mut TcpStream, status| {
             http::respond(stream, status, "application/problem+json", "{}")
         };
-        match mood {
-            Mood::Withhold(west, east) if within(west, east) => return true,
-            Mood::WithholdDetails(west, east) if second && within(west, east) => return true,
-            Mood::Busy => return problem(stream, 503),
-            Mood::Fail => return problem(stream, 500),
-            Mood::CantSort if sorted => return problem(stream, 400),
-            Mood::DieInSecond if second => return false,
-            Mood::LateFirst(ms) if sorted && !second => thread::sleep(Duration::from_millis(ms)),
-            Mood::Spoil => return http::respond(stream, 200, "application/geo+json", "{\"type\":"),
+        match behavior {
+            Behavior::Withhold(west, east) if within(west, east) => return true,
+            Behavior::WithholdDetails(west, east) if is_second_phase && within(west, east) => {
+                return true
+            }
+            Behavior::Busy => return problem(stream, 503),
+            Behavior::Fail => return problem(stream, 500),
+            Behavior::CantSort if is_sorted => return problem(stream, 400),
+            Behavior::DisconnectInSecondPhase if is_second_phase => return false,
+            Behavior::DelayFirstPhase(ms) if is_sorted && !is_second_phase => {
+                thread::sleep(Duration::from_millis(ms))
+            }
+            Behavior::Malformed => {
+                return http::respond(stream, 200, "application/geo+json", "{\"type\":")
+            }
             _ => {}
         }
-        let Some(body) = self.body(request, mood) else {
+        let Some(body) = self.body(request, behavior) else {
             return problem(stream, 404);
         };
         self.ledger
             .lock()
             .unwrap_or_else(|e| e.into_inner())
-            .answered
+            .responded
             .push(request.target.clone());
         http::respond(stream, 200, "application/geo+json", &body.to_string())
     }
 
-    fn body(&self, request: &Request, mood: Mood) -> Option<Json> {
+    fn body(&self, request: &Request, behavior: Behavior) -> Option<Json> {
         let path: Vec<&str> = request.path().trim_matches('/').split('/').collect();
         match path[..] {
-            ["collections", _, "items"] => Some(self.items(request, mood)),
+            ["collections", _, "items"] => Some(self.items(request, behavior)),
             ["collections", _, "items", id] => {
                 // Ids come percent-encoded.
                 let id = percent_encoding::percent_decode_str(id).decode_utf8_lossy();
@@ -192,7 +197,7 @@
         }
     }
 
-    fn items(&self, request: &Request, mood: Mood) -> Json {
+    fn items(&self, request: &Request, behavior: Behavior) -> Json {
         let limit = request
             .parameter("limit")
             .and_then(|l| l.parse().ok())
@@ -200,15 +205,15 @@
         let bounds = bounds(request);
         let all = self.features.iter();
         let mut found: Vec<&Json> = all
-            .filter(|f| bounds.as_ref().is_none_or(|b| inside(f, b)))
+            .filter(|f| bounds.as_ref().is_none_or(|b| is_inside(f, b)))
             .collect();
         if let Some(order) = request.parameter("sortby") {
-            let (down, property) = match order.strip_prefix('-') {
+            let (descending, property) = match order.strip_prefix('-') {
                 Some(property) => (true, property),
                 None => (false, order.trim_start_matches(['+', ' '])),
             };
-            found.sort_by(|a, b| compare(a, b, property, down));
-            if mood == Mood::Lie && limit == 1 {
+            found.sort_by(|a, b| compare_by_property(a, b, property, descending));
+            if behavior == Behavior::WrongBest && limit == 1 {
                 found.reverse();
             }
         }
--- a/emulators/src/frames.rs
+++ b/emulators/src/frames.rs
@@ -1,6 +1,6 @@
-//! A data node that speaks frames: a length, a letter and the rest. It answers parts by a script
-//! that tells first and second phase apart, and accounts for what it answered, what was given up
-//! and what came too late.
+//! A data node that speaks the frame protocol: a length, a kind of one letter, and the content. A
+//! script chooses the outcome of each part by its phase; a ledger records which parts were responded
+//! to, cancelled and late.
 
 use std::collections::HashMap;
 use std::io::{Read, Write};
@@ -10,37 +10,37 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// What becomes of a part.
+/// The outcome of a part.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Fate {
-    /// Answered with this score after so many milliseconds.
-    Answer(f64, u64),
-    /// Never answered.
-    Hang,
-    /// Answered with an error.
+pub enum PartOutcome {
+    /// A response with this score after this number of milliseconds.
+    Respond(f64, u64),
+    /// No response.
+    NoResponse,
+    /// A response that reports an error.
     Error,
-    /// Turned away unseen.
+    /// Rejected without being run.
     Reject,
-    /// The connection breaks.
-    Break,
-    /// Answered with bytes that make no sense.
-    Spoil,
+    /// The connection is closed.
+    Disconnect,
+    /// A malformed response.
+    Malformed,
 }
 
-/// A part that came.
+/// A part as received.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Part {
+pub struct PartRequest {
     /// Its id: the query's, a dot, the shard, and `.get` in the second phase.
     pub id: String,
     /// Its shard.
     pub shard: u32,
-    /// How long the broker waits, milliseconds.
-    pub wait: u64,
-    /// Shards that were in, in the second phase.
-    pub from: Option<Vec<u32>>,
+    /// How long the broker waits, in milliseconds.
+    pub wait_ms: u64,
+    /// The shards whose first phase was included; `None` in the first phase.
+    pub included_shards: Option<Vec<u32>>,
 }
 
-impl Part {
+impl PartRequest {
     /// The id of its query.
     #[must_use]
     pub fn query(&self) -> &str {
@@ -48,44 +48,44 @@
     }
 }
 
-/// What a data node did.
+/// What a data node received and sent.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Ledger {
-    /// Parts that came, in order.
-    pub came: Vec<Part>,
-    /// Ids that were answered well.
-    pub answered: Vec<String>,
-    /// Ids that were given up by the broker, by word or by the end of their connection.
-    pub given_up: Vec<String>,
-    /// Ids whose answer was due later than the broker waits.
+    /// Parts received, in order.
+    pub received: Vec<PartRequest>,
+    /// Ids of parts responded to in time.
+    pub responded: Vec<String>,
+    /// Ids of parts that the broker cancelled, by a message or by closing their connection.
+    pub cancelled: Vec<String>,
+    /// Ids of parts whose response was due later than the broker waits.
     pub late: Vec<String>,
-    /// Ids that were answered after the aim of their query, where the node was told one.
-    pub after_aim: Vec<String>,
+    /// Ids of parts responded to after the latency target of their query, where one is set.
+    pub after_target: Vec<String>,
 }
 
-/// The aim of queries, and when the first part of each came.
+/// The latency target of queries, and when the first part of each was received.
 #[derive(Default)]
-struct Aims {
-    aim: Option<Duration>,
-    began: HashMap<String, Instant>,
+struct LatencyTargets {
+    target: Option<Duration>,
+    started_at: HashMap<String, Instant>,
 }
 
-type Script = Arc<Mutex<Box<dyn FnMut(&Part) -> Fate + Send>>>;
+type Script = Arc<Mutex<Box<dyn FnMut(&PartRequest) -> PartOutcome + Send>>>;
 
-/// A data node that runs in threads of its own for as long as the process.
+/// A data node. Its threads end with the process.
 #[derive(Clone)]
-pub struct Node {
-    /// Where it listens.
+pub struct DataNode {
+    /// The address at which it listens.
     pub address: SocketAddr,
     script: Script,
     ledger: Arc<Mutex<Ledger>>,
-    aims: Arc<Mutex<Aims>>,
+    targets: Arc<Mutex<LatencyTargets>>,
 }
 
-fn frame(letter: u8, rest: &[u8]) -> Vec<u8> {
-    let mut out = (rest.len() as u32 + 1).to_be_bytes().to_vec();
-    out.push(letter);
-    out.extend_from_slice(rest);
+fn frame(kind: u8, remaining: &[u8]) -> Vec<u8> {
+    let mut out = (remaining.len() as u32 + 1).to_be_bytes().to_vec();
+    out.push(kind);
+    out.extend_from_slice(remaining);
     out
 }
 
@@ -107,16 +107,16 @@
 }
 
 /// The parts of one call: for each a line `ID SHARD LIST LENGTH`, then so many bytes.
-fn parts(mut rest: &[u8]) -> Result<Vec<Part>, CallError> {
+fn parse_parts(mut remaining: &[u8]) -> Result<Vec<PartRequest>, CallError> {
     let mut found = Vec::new();
-    while !rest.is_empty() {
-        let end = rest
+    while !remaining.is_empty() {
+        let end = remaining
             .iter()
             .position(|&b| b == b'\n')
             .ok_or(CallError::MissingLine)?;
-        let line = std::str::from_utf8(&rest[..end])?;
-        let words: Vec<&str> = line.split(' ').collect();
-        let [id, shard, list, length] = words[..] else {
+        let line = std::str::from_utf8(&remaining[..end])?;
+        let columns: Vec<&str> = line.split(' ').collect();
+        let [id, shard, list, length] = columns[..] else {
             return Err(CallError::Line(line.into()));
         };
         let item = |name: &str| list.split(',').find_map(|i| i.strip_prefix(name));
@@ -126,33 +126,38 @@
                 line: line.into(),
             })
         };
-        let from = item("from=").map(|all| all.split('+').filter_map(|s| s.parse().ok()).collect());
+        let included_shards =
+            item("from=").map(|all| all.split('+').filter_map(|s| s.parse().ok()).collect());
         let length = number(length)? as usize;
-        found.push(Part {
+        found.push(PartRequest {
             id: id.into(),
             shard: number(shard)? as u32,
-            wait: number(item("d=").ok_or(CallError::MissingWait)?)?,
-            from,
+            wait_ms: number(item("d=").ok_or(CallError::MissingWait)?)?,
+            included_shards,
         });
-        rest = rest.get(end + 1 + length..).ok_or(CallError::CutShort)?;
+        remaining = remaining
+            .get(end + 1 + length..)
+            .ok_or(CallError::CutShort)?;
     }
     Ok(found)
 }
 
-impl Node {
+impl DataNode {
     /// Starts a data node with a script.
     ///
     /// # Errors
     /// When no address of loopback can be listened on.
-    pub fn start(script: impl FnMut(&Part) -> Fate + Send + 'static) -> std::io::Result<Node> {
+    pub fn start(
+        script: impl FnMut(&PartRequest) -> PartOutcome + Send + 'static,
+    ) -> std::io::Result<DataNode> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let script: Script = Arc::new(Mutex::new(Box::new(script)));
-        let node = Node {
+        let node = DataNode {
             address,
             script,
             ledger: Arc::default(),
-            aims: Arc::default(),
+            targets: Arc::default(),
         };
         let accepting = node.clone();
         thread::spawn(move || {
@@ -164,49 +169,57 @@
         Ok(node)
     }
 
-    /// From now on it notes what it answers later than this after the first part of a query came to
-    /// it.
-    pub fn note_aim(&self, aim: Duration) {
-        self.aims.lock().unwrap_or_else(|e| e.into_inner()).aim = Some(aim);
+    /// Sets the latency target: responses later than this after the first part of their query are
+    /// recorded in [`Ledger::after_target`].
+    pub fn set_latency_target(&self, target: Duration) {
+        self.targets
+            .lock()
+            .unwrap_or_else(|e| e.into_inner())
+            .target = Some(target);
     }
 
-    /// Whether the aim of a query has passed; its first part begins it.
-    fn past_aim(&self, query: &str) -> bool {
-        let mut aims = self.aims.lock().unwrap_or_else(|e| e.into_inner());
-        let began = *aims.began.entry(query.into()).or_insert_with(Instant::now);
-        aims.aim.is_some_and(|aim| began.elapsed() > aim)
+    /// Whether the latency target of a query has passed; its first part starts it.
+    fn is_past_target(&self, query: &str) -> bool {
+        let mut targets = self.targets.lock().unwrap_or_else(|e| e.into_inner());
+        let started_at = *targets
+            .started_at
+            .entry(query.into())
+            .or_insert_with(Instant::now);
+        targets
+            .target
+            .is_some_and(|target| started_at.elapsed() > target)
     }
 
-    /// What it did so far.
+    /// A copy of the ledger.
     #[must_use]
     pub fn ledger(&self) -> Ledger {
-        self.books(|ledger| ledger.clone())
+        self.with_ledger(|ledger| ledger.clone())
     }
 
-    fn books<T>(&self, with: impl FnOnce(&mut Ledger) -> T) -> T {
+    fn with_ledger<T>(&self, with: impl FnOnce(&mut Ledger) -> T) -> T {
         with(&mut self.ledger.lock().unwrap_or_else(|e| e.into_inner()))
     }
 
-    fn times_given_up(&self, id: &str) -> usize {
-        self.books(|ledger| ledger.given_up.iter().filter(|g| *g == id).count())
+    fn cancellation_count(&self, id: &str) -> usize {
+        self.with_ledger(|ledger| ledger.cancelled.iter().filter(|g| *g == id).count())
     }
 
-    /// Serves a connection; with its end all that is out on it is given up.
+    /// Serves a connection; when it ends, all parts in flight on it are cancelled.
     fn serve(&self, stream: TcpStream) {
-        let mut came = Vec::new();
-        self.read(stream, &mut came);
-        self.books(|ledger| {
+        let mut received = Vec::new();
+        self.read(stream, &mut received);
+        self.with_ledger(|ledger| {
             let done = |id: &String| {
-                [&ledger.answered, &ledger.late, &ledger.given_up]
+                [&ledger.responded, &ledger.late, &ledger.cancelled]
                     .iter()
                     .any(|l| l.contains(id))
             };
-            let left: Vec<String> = came.into_iter().filter(|id| !done(id)).collect();
-            ledger.given_up.extend(left);
+            let left: Vec<String> = received.into_iter().filter(|id| !done(id)).collect();
+            ledger.cancelled.extend(left);
         });
     }
 
-    fn read(&self, stream: TcpStream, came: &mut Vec<String>) {
+    fn read(&self, stream: TcpStream, received: &mut Vec<String>) {
         let Ok(writer) = stream.try_clone() else {
             return;
         };
@@ -221,19 +234,19 @@
             if content.is_empty() || reader.read_exact(&mut content).is_err() {
                 return;
             }
-            let (letter, rest) = (content[0], &content[1..]);
-            let goes_on = match letter {
+            let (kind, remaining) = (content[0], &content[1..]);
+            let goes_on = match kind {
                 b'G' => write(&writer, &frame(b'G', b"OK")),
                 b'T' => write(&writer, &frame(b'T', b"-")),
                 b'A' => {
-                    let id = String::from_utf8_lossy(rest).into_owned();
-                    self.books(|ledger| ledger.given_up.push(id));
+                    let id = String::from_utf8_lossy(remaining).into_owned();
+                    self.with_ledger(|ledger| ledger.cancelled.push(id));
                     true
                 }
-                b'R' => match parts(rest) {
-                    Ok(parts) => {
-                        came.extend(parts.iter().map(|p| p.id.clone()));
-                        parts.into_iter().all(|part| self.take(&writer, part))
+                b'R' => match parse_parts(remaining) {
+                    Ok(parse_parts) => {
+                        received.extend(parse_parts.iter().map(|p| p.id.clone()));
+                        parse_parts.into_iter().all(|part| self.take(&writer, part))
                     }
                     Err(error) => {
                         write(&writer, &frame(b'N', error.to_string().as_bytes()));
@@ -249,40 +262,42 @@
         }
     }
 
-    /// Does with a part what the script says; `false`: the connection ends.
-    fn take(&self, writer: &Arc<Mutex<TcpStream>>, part: Part) -> bool {
+    /// Carries out the outcome that the script chooses; `false`: the connection ends.
+    fn take(&self, writer: &Arc<Mutex<TcpStream>>, part: PartRequest) -> bool {
         let fate = (self.script.lock().unwrap_or_else(|e| e.into_inner()))(&part);
-        self.books(|ledger| ledger.came.push(part.clone()));
-        self.past_aim(part.query());
+        self.with_ledger(|ledger| ledger.received.push(part.clone()));
+        self.is_past_target(part.query());
         match fate {
-            Fate::Hang => true,
-            Fate::Break => false,
-            Fate::Error => write(
+            PartOutcome::NoResponse => true,
+            PartOutcome::Disconnect => false,
+            PartOutcome::Error => write(
                 writer,
                 &frame(b'Y', format!("{} ERROR - -\n", part.id).as_bytes()),
             ),
-            Fate::Reject => write(
+            PartOutcome::Reject => write(
                 writer,
                 &frame(b'Y', format!("{} REJECTED - -\n", part.id).as_bytes()),
             ),
-            Fate::Spoil => write(writer, &frame(b'Y', b"what\n")),
-            Fate::Answer(score, after) => {
+            PartOutcome::Malformed => write(writer, &frame(b'Y', b"what\n")),
+            PartOutcome::Respond(score, after) => {
                 let (node, writer) = (self.clone(), writer.clone());
-                let before = self.times_given_up(&part.id);
+                let before = self.cancellation_count(&part.id);
                 let due = Instant::now() + Duration::from_millis(after);
                 thread::spawn(move || {
                     thread::sleep(due.saturating_duration_since(Instant::now()));
-                    // Given up since; an attempt before this one may have been, too.
-                    if node.times_given_up(&part.id) > before {
+                    // Cancelled meanwhile; an earlier attempt may have been cancelled, too.
+                    if node.cancellation_count(&part.id) > before {
                         return;
                     }
-                    let late = after > part.wait;
-                    if node.past_aim(part.query()) {
-                        node.books(|l| l.after_aim.push(part.id.clone()));
+                    let late = after > part.wait_ms;
+                    if node.is_past_target(part.query()) {
+                        node.with_ledger(|l| l.after_target.push(part.id.clone()));
                     }
                     let value = format!("{} OK {score} -\nv{}", part.id, part.shard);
-                    // Noted first: whoever has the answer finds it in the ledger.
-                    node.books(|l| if late { &mut l.late } else { &mut l.answered }.push(part.id));
+                    // Recorded before it is sent, so that a test that has the response finds it in the ledger.
+                    node.with_ledger(|l| {
+                        if late { &mut l.late } else { &mut l.responded }.push(part.id)
+                    });
                     write(&writer, &frame(b'Y', value.as_bytes()));
                 });
                 true
--- a/emulators/src/frames/tests.rs
+++ b/emulators/src/frames/tests.rs
@@ -3,15 +3,15 @@
 use super::*;
 
 #[test]
-fn calls_are_read_as_published_and_others_are_refused() {
+fn published_calls_are_parsed_and_malformed_ones_rejected() {
     let call = b"9b.3 3 d=240,k=5c 8\nc41e77d09b.4.get 4 d=99,from=3+4,whole=1 0\n";
-    let found = parts(call).unwrap();
+    let found = parse_parts(call).unwrap();
     assert_eq!(
-        (found[0].shard, found[0].wait, &found[0].from),
+        (found[0].shard, found[0].wait_ms, &found[0].included_shards),
         (3, 240, &None)
     );
     assert_eq!(
-        (found[1].query(), &found[1].from),
+        (found[1].query(), &found[1].included_shards),
         ("9b", &Some(vec![3, 4]))
     );
     for bad in [
@@ -21,6 +21,10 @@
         b"9b.3 3 k=1 0\n",
         b"no line",
     ] {
-        assert!(parts(bad).is_err(), "{}", String::from_utf8_lossy(bad));
+        assert!(
+            parse_parts(bad).is_err(),
+            "{}",
+            String::from_utf8_lossy(bad)
+        );
     }
 }
--- a/examples/toy-features/main.rs
+++ b/examples/toy-features/main.rs
@@ -1,20 +1,22 @@
 //! Toy data nodes for the OGC front: one for each address on the command line, all with the same
 //! few scooters. A line on standard input changes how they treat requests from then on.
 
-use lichenswitch_emulators::features::{point_with, Mood, Server};
+use lichenswitch_emulators::features::{point_with, Behavior, FeatureServer};
 use serde_json::json;
 use std::io::BufRead;
 use std::net::TcpListener;
 
 /// The mood that a line names.
-fn mood(line: &str) -> Option<Mood> {
+fn behavior(line: &str) -> Option<Behavior> {
     let words: Vec<&str> = line.split_whitespace().collect();
     match words[..] {
-        ["serve"] => Some(Mood::Serve),
-        ["busy"] => Some(Mood::Busy),
-        ["fail"] => Some(Mood::Fail),
-        ["cantsort"] => Some(Mood::CantSort),
-        ["withhold", west, east] => Some(Mood::Withhold(west.parse().ok()?, east.parse().ok()?)),
+        ["serve"] => Some(Behavior::Serve),
+        ["busy"] => Some(Behavior::Busy),
+        ["fail"] => Some(Behavior::Fail),
+        ["cantsort"] => Some(Behavior::CantSort),
+        ["withhold", west, east] => {
+            Some(Behavior::Withhold(west.parse().ok()?, east.parse().ok()?))
+        }
         _ => None,
     }
 }
@@ -41,15 +43,17 @@
             "toy-features: serves {} scooters on {address}",
             scooters.len()
         );
-        Server::start(listener, scooters.to_vec())
+        FeatureServer::start(listener, scooters.to_vec())
     };
-    let servers: Vec<Server> = addresses.iter().map(start).collect();
+    let servers: Vec<FeatureServer> = addresses.iter().map(start).collect();
     println!("toy-features: type serve, busy, fail, cantsort or withhold WEST EAST");
     for line in std::io::stdin().lock().lines().map_while(Result::ok) {
-        match mood(&line) {
-            Some(mood) => {
-                servers.iter().for_each(|server| server.set(mood));
-                println!("toy-features: {mood:?}");
+        match behavior(&line) {
+            Some(behavior) => {
+                servers
+                    .iter()
+                    .for_each(|server| server.set_behavior(behavior));
+                println!("toy-features: {behavior:?}");
             }
             None => {
                 println!("toy-features: {line:?} is none of serve, busy, fail, cantsort, withhold WEST EAST")
--- a/tests/ogc.rs
+++ b/tests/ogc.rs
@@ -4,7 +4,9 @@
 use lichenswitch::broker::Broker;
 use lichenswitch::config::{Ogc, Operators};
 use lichenswitch::http::{self, Parsed, Response};
-use lichenswitch_emulators::features::{compare, point, point_with, Mood, Server};
+use lichenswitch_emulators::features::{
+    compare_by_property, point, point_with, Behavior, FeatureServer,
+};
 use serde_json::{json, Value as Json};
 use std::collections::BTreeSet;
 use std::io::{Read, Write};
@@ -31,7 +33,7 @@
 /// features.
 struct City {
     address: SocketAddr,
-    servers: Vec<Server>,
+    servers: Vec<FeatureServer>,
     stop: Option<UnixStream>,
     broker: Option<thread::JoinHandle<()>>,
     folder: PathBuf,
@@ -84,7 +86,7 @@
         }
         let servers = listeners
             .into_iter()
-            .map(|l| Server::start(l, features.clone()))
+            .map(|l| FeatureServer::start(l, features.clone()))
             .collect();
         let (stop, signal) = UnixStream::pair().unwrap();
         let (told, address) = mpsc::channel();
@@ -108,8 +110,8 @@
         }
     }
 
-    fn moods(&self, mood: Mood) {
-        self.servers.iter().for_each(|s| s.set(mood));
+    fn set_behavior(&self, behavior: Behavior) {
+        self.servers.iter().for_each(|s| s.set_behavior(behavior));
     }
 
     fn send(&self, request: &str) -> Response {
@@ -265,7 +267,7 @@
         (405, Some("GET, HEAD"))
     );
     assert!(
-        city.servers.iter().all(|s| s.seen().is_empty()),
+        city.servers.iter().all(|s| s.received_targets().is_empty()),
         "no data node was asked for any of this"
     );
 }
@@ -282,11 +284,19 @@
         (&all["complete"], &all["numberMatched"]),
         (&Json::Bool(true), &9.into())
     );
-    let before: usize = city.servers.iter().map(|s| s.seen().len()).sum();
+    let before: usize = city
+        .servers
+        .iter()
+        .map(|s| s.received_targets().len())
+        .sum();
     assert_eq!(before, 5, "one part for each slice");
     let (_, some) = city.page("/collections/scooters/items?bbox=0.4,0,1.7,1&limit=50");
     assert_eq!(ids(&some), ["f1", "f2", "f3"]);
-    let after: usize = city.servers.iter().map(|s| s.seen().len()).sum();
+    let after: usize = city
+        .servers
+        .iter()
+        .map(|s| s.received_targets().len())
+        .sum();
     assert_eq!(after - before, 2, "only the slices that the box crosses");
     let (_, none) = city.page("/collections/scooters/items?bbox=50,50,51,51");
     assert!(ids(&none).is_empty() && none["complete"] == true);
@@ -295,25 +305,28 @@
 #[test]
 fn the_pages_of_a_list_hold_every_feature_once() {
     let city = City::new("");
-    let (mut target, mut seen) = (
+    let (mut target, mut seen_ids) = (
         "/collections/scooters/items?limit=2&bbox=0,0,5,1".to_string(),
         Vec::new(),
     );
     loop {
         let (_, page) = city.page(&target);
-        seen.extend(ids(&page).into_iter().map(str::to_string));
+        seen_ids.extend(ids(&page).into_iter().map(str::to_string));
         match next(&page) {
             Some(next) => target = next,
             None => break,
         }
     }
-    assert_eq!(seen, (0..9).map(|i| format!("f{i}")).collect::<Vec<_>>());
+    assert_eq!(
+        seen_ids,
+        (0..9).map(|i| format!("f{i}")).collect::<Vec<_>>()
+    );
 }
 
 #[test]
 fn answer_without_a_withheld_part_is_partial_or_refused() {
     let city = City::new("");
-    city.moods(Mood::Withhold(3.0, 4.0));
+    city.set_behavior(Behavior::Withhold(3.0, 4.0));
     let (_, body) = city.page("/collections/network/items?limit=50");
     assert_eq!(body["complete"], false);
     assert_eq!(body["missingSlices"], serde_json::json!(["s3"]));
@@ -344,9 +357,9 @@
         "within its time, with ample room for a busy machine"
     );
     // Two of five slices missing are more than the class may leave out.
-    city.moods(Mood::Withhold(2.0, 4.0));
+    city.set_behavior(Behavior::Withhold(2.0, 4.0));
     assert_eq!(city.get("/collections/network/items?limit=50").status, 503);
-    city.moods(Mood::Serve);
+    city.set_behavior(Behavior::Serve);
     assert_eq!(
         city.healed("/collections/network/items?limit=50").1["complete"],
         true
@@ -356,10 +369,10 @@
 #[test]
 fn servers_that_turn_away_or_fail_lead_to_a_refusal_with_advice() {
     let city = City::new("");
-    for mood in [Mood::Busy, Mood::Fail] {
-        city.moods(mood);
+    for behavior in [Behavior::Busy, Behavior::Fail] {
+        city.set_behavior(behavior);
         let response = city.get("/collections/scooters/items");
-        assert_eq!(response.status, 503, "{mood:?}");
+        assert_eq!(response.status, 503, "{behavior:?}");
         assert!(response.header("retry-after").is_some());
         assert_eq!(
             response.header("content-type"),
@@ -367,8 +380,8 @@
         );
     }
     // One server that fails is made good by the other replica of its slices.
-    city.moods(Mood::Serve);
-    city.servers[2].set(Mood::Fail);
+    city.set_behavior(Behavior::Serve);
+    city.servers[2].set_behavior(Behavior::Fail);
     assert_eq!(
         city.healed("/collections/scooters/items?limit=50").1["complete"],
         true
@@ -385,7 +398,7 @@
         (200, &"f3".into(), &"Feature".into())
     );
     assert_eq!(city.get("/collections/scooters/items/nothing").status, 404);
-    city.moods(Mood::Withhold(0.0, 5.0));
+    city.set_behavior(Behavior::Withhold(0.0, 5.0));
     let unsure = city.get("/collections/network/items/nothing");
     assert!(
         unsure.status == 503 && unsure.header("retry-after").is_some(),
@@ -432,7 +445,7 @@
     let mut all = scooters();
     all.sort_by(|a, b| {
         let slice = |f: &Json| f["geometry"]["coordinates"][0].as_f64().unwrap() as u32;
-        compare(a, b, "battery", down).then(slice(a).cmp(&slice(b)))
+        compare_by_property(a, b, "battery", down).then(slice(a).cmp(&slice(b)))
     });
     all.iter()
         .map(|f| f["id"].as_str().unwrap().to_string())
@@ -440,7 +453,10 @@
 }
 
 fn requests(city: &City) -> usize {
-    city.servers.iter().map(|s| s.seen().len()).sum()
+    city.servers
+        .iter()
+        .map(|s| s.received_targets().len())
+        .sum()
 }
 
 #[test]
@@ -452,20 +468,20 @@
         ("+battery", false),
         ("-battery", true),
     ] {
-        let (mut target, mut seen) = (
+        let (mut target, mut seen_ids) = (
             format!("/collections/scooters/items?sortby={order}&limit=9"),
             Vec::new(),
         );
         loop {
             let (_, page) = city.page(&target);
             assert_eq!(page["complete"], true, "{target}");
-            seen.extend(ids(&page).into_iter().map(str::to_string));
+            seen_ids.extend(ids(&page).into_iter().map(str::to_string));
             match next(&page) {
                 Some(next) => target = next,
                 None => break,
             }
         }
-        assert_eq!(seen, expected(down), "{order}");
+        assert_eq!(seen_ids, expected(down), "{order}");
     }
     // Five bests, then details from the slices that can have any of the first.
     let before = requests(&city);
@@ -481,13 +497,18 @@
 #[test]
 fn nodes_that_cannot_sort_are_remembered_and_asked_for_all() {
     let city = City::with("", scooters());
-    city.moods(Mood::CantSort);
+    city.set_behavior(Behavior::CantSort);
     let target = "/collections/scooters/items?sortby=-battery&limit=12";
     let (_, page) = city.healed(target);
     assert_eq!(ids(&page), expected(true)[..12]);
     let (before, sorted) = (requests(&city), |city: &City| {
-        let seen = city.servers.iter().flat_map(Server::seen);
-        seen.filter(|target| target.contains("sortby")).count()
+        let received_targets = city
+            .servers
+            .iter()
+            .flat_map(FeatureServer::received_targets);
+        received_targets
+            .filter(|target| target.contains("sortby"))
+            .count()
     });
     let refused = sorted(&city);
     let (_, page) = city.healed(target);
@@ -503,7 +524,7 @@
 fn sorted_answer_with_missing_details_or_wrong_bounds_is_incomplete() {
     let city = City::with("", scooters());
     // The first phase comes in whole; one slice's details never do.
-    city.moods(Mood::WithholdDetails(1.0, 2.0));
+    city.set_behavior(Behavior::WithholdDetails(1.0, 2.0));
     let (_, page) = city.page("/collections/network/items?sortby=-battery&limit=40");
     assert_eq!(
         (&page["complete"], &page["missingSlices"]),
@@ -512,7 +533,7 @@
     let answered: Vec<String> = city
         .servers
         .iter()
-        .flat_map(|s| s.ledger().answered)
+        .flat_map(|s| s.ledger().responded)
         .collect();
     let of_slice = answered.iter().filter(|t| t.contains("bbox=1%2C0%2C2%2C1"));
     assert!(
@@ -525,14 +546,14 @@
             .status,
         503
     );
-    city.moods(Mood::Serve);
+    city.set_behavior(Behavior::Serve);
     assert_eq!(
         city.healed("/collections/scooters/items?sortby=-battery&limit=40")
             .1["complete"],
         true
     );
     // A slice that gives more than its bound: what the answer rests on is wrong.
-    city.moods(Mood::Lie);
+    city.set_behavior(Behavior::WrongBest);
     let (_, page) = city.page("/collections/network/items?sortby=-battery&limit=40");
     assert_eq!(page["complete"], false);
 }
@@ -540,10 +561,10 @@
 #[test]
 fn second_phase_uses_the_other_replica_when_one_breaks() {
     let city = City::with("", scooters());
-    city.servers[2].set(Mood::DieInSecond);
+    city.servers[2].set_behavior(Behavior::DisconnectInSecondPhase);
     let (_, page) = city.healed("/collections/scooters/items?sortby=battery&limit=30");
     assert_eq!(ids(&page), expected(false)[..30]);
-    city.servers[2].set(Mood::Spoil);
+    city.servers[2].set_behavior(Behavior::Malformed);
     let (_, page) = city.healed("/collections/scooters/items?sortby=battery&limit=30");
     assert_eq!(ids(&page), expected(false)[..30]);
 }
--- a/tests/phases.rs
+++ b/tests/phases.rs
@@ -4,7 +4,7 @@
 use lichenswitch::broker::Broker;
 use lichenswitch::config::{Operators, Platform};
 use lichenswitch_emulators::discovery::{self, Instance};
-use lichenswitch_emulators::frames::{Fate, Ledger, Node, Part};
+use lichenswitch_emulators::frames::{DataNode, Ledger, PartOutcome, PartRequest};
 use serde_json::Value as Json;
 use std::collections::BTreeSet;
 use std::io::{Read, Write};
@@ -26,7 +26,7 @@
 
 struct Stage {
     address: SocketAddr,
-    nodes: Vec<Node>,
+    nodes: Vec<DataNode>,
     stop: Option<UnixStream>,
     broker: Option<thread::JoinHandle<()>>,
 }
@@ -34,13 +34,13 @@
 impl Stage {
     /// Two data nodes that both hold every shard and go by one script, which is told the node's
     /// number.
-    fn new(script: impl Fn(usize, &Part) -> Fate + Clone + Send + 'static) -> Stage {
+    fn new(script: impl Fn(usize, &PartRequest) -> PartOutcome + Clone + Send + 'static) -> Stage {
         let node = |i: usize| {
             let script = script.clone();
-            Node::start(move |part| script(i, part)).unwrap()
+            DataNode::start(move |part| script(i, part)).unwrap()
         };
-        let nodes: Vec<Node> = (0..2).map(node).collect();
-        let line = |(i, n): (usize, &Node)| Instance {
+        let nodes: Vec<DataNode> = (0..2).map(node).collect();
+        let line = |(i, n): (usize, &DataNode)| Instance {
             id: format!("s{i}"),
             address: n.address,
             cell: i as u32,
@@ -117,18 +117,19 @@
     }
 
     fn ledgers(&self) -> Vec<Ledger> {
-        self.nodes.iter().map(Node::ledger).collect()
+        self.nodes.iter().map(DataNode::ledger).collect()
     }
 
     /// Parts of a query's second phase that came to any data node.
-    fn second(&self, query: &str) -> Vec<Part> {
-        let came = self.ledgers().into_iter().flat_map(|l| l.came);
-        came.filter(|p| p.from.is_some() && p.query() == query)
+    fn second(&self, query: &str) -> Vec<PartRequest> {
+        let received = self.ledgers().into_iter().flat_map(|l| l.received);
+        received
+            .filter(|p| p.included_shards.is_some() && p.query() == query)
             .collect()
     }
 
     /// Waits until a second phase of the query has come.
-    fn until_second(&self, query: &str) {
+    fn wait_for_second_phase(&self, query: &str) {
         for _ in 0..2_000 {
             if !self.second(query).is_empty() {
                 return;
@@ -139,14 +140,14 @@
     }
 
     /// Waits until all these parts were given up.
-    fn until_given_up(&self, ids: &BTreeSet<String>) {
+    fn wait_until_cancelled(&self, ids: &BTreeSet<String>) {
         for _ in 0..2_000 {
-            let given_up: BTreeSet<String> = self
+            let cancelled: BTreeSet<String> = self
                 .ledgers()
                 .into_iter()
-                .flat_map(|l| l.given_up)
+                .flat_map(|l| l.cancelled)
                 .collect();
-            if ids.is_subset(&given_up) {
+            if ids.is_subset(&cancelled) {
                 return;
             }
             thread::sleep(Duration::from_millis(5));
@@ -166,7 +167,7 @@
         let answered: BTreeSet<String> = self
             .ledgers()
             .into_iter()
-            .flat_map(|l| l.answered.into_iter().chain(l.late))
+            .flat_map(|l| l.responded.into_iter().chain(l.late))
             .collect();
         for shard in &shards {
             assert!(
@@ -176,7 +177,7 @@
         }
         let second = self.second(query);
         for part in &second {
-            let from = part.from.as_ref().unwrap();
+            let from = part.included_shards.as_ref().unwrap();
             assert!(
                 from.len() as f64 >= 0.8 * f64::from(slices),
                 "under the least share: {from:?}"
@@ -189,7 +190,7 @@
         }
         let first_whole = second
             .iter()
-            .all(|p| p.from.as_ref().unwrap().len() as u32 == slices);
+            .all(|p| p.included_shards.as_ref().unwrap().len() as u32 == slices);
         if body["all_in"] == true {
             assert!(first_whole && shards.len() == 5, "called whole: {body}");
         }
@@ -205,12 +206,12 @@
     }
 }
 
-fn well(part: &Part) -> Fate {
-    Fate::Answer(f64::from(part.shard), 2)
+fn well(part: &PartRequest) -> PartOutcome {
+    PartOutcome::Respond(f64::from(part.shard), 2)
 }
 
 #[test]
-fn unplanned_second_phase_asks_the_best_scores() {
+fn unplanned_second_phase_requests_the_best_scores() {
     let stage = Stage::new(|_, part| well(part));
     // Enough queries for times to be learnt: the answers stay the same.
     for i in 0..12 {
@@ -232,8 +233,8 @@
     // Of ten slices two are withheld by all: exactly the least share. Of the other query three are.
     let stage = Stage::new(|_, part| {
         let withheld = if part.query() == "b" { 2 } else { 3 };
-        if part.from.is_none() && part.shard < withheld {
-            Fate::Hang
+        if part.included_shards.is_none() && part.shard < withheld {
+            PartOutcome::NoResponse
         } else {
             well(part)
         }
@@ -259,8 +260,8 @@
     // Details of one shard, or of two, fail wherever they are asked for.
     let stage = Stage::new(|_, part| {
         let failing = if part.query() == "d" { 7..8 } else { 6..8 };
-        match part.from {
-            Some(_) if failing.contains(&part.shard) => Fate::Error,
+        match part.included_shards {
+            Some(_) if failing.contains(&part.shard) => PartOutcome::Error,
             _ => well(part),
         }
     });
@@ -277,8 +278,8 @@
 
 #[test]
 fn broken_replica_between_phases_is_replaced_by_the_other() {
-    let stage = Stage::new(|node, part| match (node, &part.from) {
-        (0, Some(_)) => Fate::Break,
+    let stage = Stage::new(|node, part| match (node, &part.included_shards) {
+        (0, Some(_)) => PartOutcome::Disconnect,
         _ => well(part),
     });
     let (status, body) = stage.answer(stage.send("f", 6));
@@ -286,35 +287,35 @@
     stage.check("f", 6, &body);
     assert!(stage.nodes[1]
         .ledger()
-        .answered
+        .responded
         .iter()
         .any(|id| id.ends_with(".get")));
 }
 
 #[test]
-fn a_client_that_hangs_up_between_the_phases_has_its_parts_given_up() {
+fn client_disconnect_between_phases_cancels_its_parts() {
     let stage = Stage::new(|_, part| {
-        if part.from.is_some() {
-            Fate::Hang
+        if part.included_shards.is_some() {
+            PartOutcome::NoResponse
         } else {
             well(part)
         }
     });
     let client = stage.send("g", 6);
-    stage.until_second("g");
+    stage.wait_for_second_phase("g");
     drop(client);
     let wanted: BTreeSet<String> = stage.second("g").into_iter().map(|p| p.id).collect();
-    stage.until_given_up(&wanted);
+    stage.wait_until_cancelled(&wanted);
 }
 
 #[test]
-fn a_stop_between_the_phases_lets_the_second_end() {
-    let mut stage = Stage::new(|_, part| match part.from {
-        Some(_) => Fate::Answer(1.0, 300),
+fn stop_between_phases_lets_the_second_finish() {
+    let mut stage = Stage::new(|_, part| match part.included_shards {
+        Some(_) => PartOutcome::Respond(1.0, 300),
         None => well(part),
     });
     let client = stage.send("h", 6);
-    stage.until_second("h");
+    stage.wait_for_second_phase("h");
     drop(stage.stop.take());
     let (status, body) = stage.answer(client);
     assert_eq!(
@@ -326,12 +327,12 @@
 }
 
 #[test]
-fn second_phase_that_misses_its_target_is_given_up() {
+fn second_phase_that_misses_its_target_is_cancelled() {
     // The second phase would be answered a second after the aim: at the aim what is left earns too
     // little.
     let stage = Stage::new(|_, part| {
-        if part.from.is_some() {
-            Fate::Answer(1.0, 2_500)
+        if part.included_shards.is_some() {
+            PartOutcome::Respond(1.0, 2_500)
         } else {
             well(part)
         }
@@ -340,16 +341,16 @@
     stage
         .nodes
         .iter()
-        .for_each(|n| n.note_aim(Duration::from_millis(2_000)));
+        .for_each(|n| n.set_latency_target(Duration::from_millis(2_000)));
     let (status, _) = stage.answer(stage.send("i", 6));
     assert_eq!(status, 503, "refused, harmless to try again");
     let sent: BTreeSet<String> = stage.second("i").into_iter().map(|p| p.id).collect();
     // One copy of each that is out is given up; of twins the other may have gone before.
     assert!(!sent.is_empty());
-    stage.until_given_up(&sent);
+    stage.wait_until_cancelled(&sent);
     thread::sleep(Duration::from_millis(1_500));
     assert!(
-        stage.ledgers().iter().all(|l| l.after_aim.is_empty()),
+        stage.ledgers().iter().all(|l| l.after_target.is_empty()),
         "worked on after the aim"
     );
 }
