--- a/fleet/tests/router_tenants.rs
+++ b/fleet/tests/router_tenants.rs
@@ -343,9 +343,12 @@
         client
     });
     harness.control.set_quota(Some(1_000));
+    let reply = round_trip(&harness, "safe", "h3", "Api-Key: key-3\r\n");
+    let leases = harness.control.lease_requests();
     assert_eq!(
-        round_trip(&harness, "safe", "h3", "Api-Key: key-3\r\n").status,
-        200
+        reply.status, 200,
+        "after {:?}, lease requests {leases:?}",
+        reply.elapsed
     );
     assert_eq!(server.request_count("h1") + server.request_count("h2"), 0);
 }
