--- a/src/front/ogc/parameters.rs
+++ b/src/front/ogc/parameters.rs
@@ -7,9 +7,12 @@
 use time::format_description::well_known::Rfc3339;
 use time::OffsetDateTime;
 
-/// The parameters of a query, by name; one that is unknown or there twice is a fault.
-pub(super) fn parameters(query: &str, known: &[&str]) -> Result<BTreeMap<String, String>, Fault> {
-    let mut found = BTreeMap::new();
+/// The parameters of a query: value by name.
+pub(super) type Parameters = BTreeMap<String, String>;
+
+/// Reads the parameters of a query; one that is unknown or there twice is a fault.
+pub(super) fn parameters(query: &str, known: &[&str]) -> Result<Parameters, Fault> {
+    let mut found = Parameters::new();
     for (name, value) in form_urlencoded::parse(query.as_bytes()) {
         if !known.contains(&&*name) {
             return Err(bad(format!("unknown parameter {name:?}")));
@@ -24,13 +27,10 @@
     }
 }
 
-pub(super) fn number(
-    found: &BTreeMap<String, String>,
-    name: &str,
-    otherwise: usize,
-) -> Result<usize, Fault> {
+/// The whole number that the parameter `name` gives, or `default` where it is absent.
+pub(super) fn number(found: &Parameters, name: &str, default: usize) -> Result<usize, Fault> {
     let Some(text) = found.get(name) else {
-        return Ok(otherwise);
+        return Ok(default);
     };
     text.parse()
         .map_err(|_| bad(format!("{name}: {text:?} is no whole number")))
