--- a/src/front/ogc/parameters.rs
+++ b/src/front/ogc/parameters.rs
@@ -1,6 +1,6 @@
 //! Parameters of a request of the OGC front: read, and refused where they make no sense.
 
-use super::{bad, Fault};
+use super::problem::Fault;
 use crate::decide::phases::prune::Way;
 use crate::inventory::Bounds;
 use std::collections::BTreeMap;
@@ -15,15 +15,19 @@
     let mut found = Parameters::new();
     for (name, value) in form_urlencoded::parse(query.as_bytes()) {
         if !known.contains(&&*name) {
-            return Err(bad(format!("unknown parameter {name:?}")));
+            return Err(Fault::bad_request(format!("unknown parameter {name:?}")));
         }
         if found.insert(name.to_string(), value.to_string()).is_some() {
-            return Err(bad(format!("parameter {name:?} is there twice")));
+            return Err(Fault::bad_request(format!(
+                "parameter {name:?} is there twice"
+            )));
         }
     }
     match found.get("f").map(String::as_str) {
         None | Some("json" | "geojson") => Ok(found),
-        Some(other) => Err(bad(format!("f: there is no format {other:?}"))),
+        Some(other) => Err(Fault::bad_request(format!(
+            "f: there is no format {other:?}"
+        ))),
     }
 }
 
@@ -33,7 +37,7 @@
         return Ok(default);
     };
     text.parse()
-        .map_err(|_| bad(format!("{name}: {text:?} is no whole number")))
+        .map_err(|_| Fault::bad_request(format!("{name}: {text:?} is no whole number")))
 }
 
 /// A bounding box of four numbers, or of six with heights, which are not looked at.
@@ -46,14 +50,20 @@
         Some([west, south, east, north]) | Some([west, south, _, east, north, _]) => {
             [*west, *south, *east, *north]
         }
-        _ => return Err(bad("bbox: four or six numbers, parted by commas")),
+        _ => {
+            return Err(Fault::bad_request(
+                "bbox: four or six numbers, parted by commas",
+            ))
+        }
     };
     if found[1] > found[3] {
-        return Err(bad("bbox: south is north of north"));
+        return Err(Fault::bad_request("bbox: south is north of north"));
     }
     let in_range = found[0].abs() <= 180.0 && found[2].abs() <= 180.0;
     if !in_range || found[1] < -90.0 || found[3] > 90.0 {
-        return Err(bad("bbox: beyond the degrees that there are"));
+        return Err(Fault::bad_request(
+            "bbox: beyond the degrees that there are",
+        ));
     }
     Ok(found)
 }
@@ -87,7 +97,7 @@
     // A plus that was not encoded has become a space.
     let text = text.replace(' ', "+");
     let wrong = || {
-        bad(format!(
+        Fault::bad_request(format!(
             "datetime: {text:?} is no RFC 3339 instant or interval"
         ))
     };
@@ -118,10 +128,12 @@
     };
     let sound = |c: char| c.is_alphanumeric() || "_-.:".contains(c);
     match () {
-        () if property.contains(',') => Err(bad("sortby: one property, not several")),
-        () if property.is_empty() || !property.chars().all(sound) => Err(bad(format!(
-            "sortby: {text:?} is no property with + or - before it"
-        ))),
+        () if property.contains(',') => {
+            Err(Fault::bad_request("sortby: one property, not several"))
+        }
+        () if property.is_empty() || !property.chars().all(sound) => Err(Fault::bad_request(
+            format!("sortby: {text:?} is no property with + or - before it"),
+        )),
         () => Ok((property.to_string(), way)),
     }
 }
--- a/src/front/ogc/tests.rs
+++ b/src/front/ogc/tests.rs
@@ -1,5 +1,6 @@
 //! Tests of `ogc`.
 
+use super::parameters::{bounds, datetime, order, parameters, shared};
 use super::*;
 
 #[test]
