--- a/emulators/src/fleet_processes.rs
+++ b/emulators/src/fleet_processes.rs
@@ -1,7 +1,7 @@
-//! A fleet of processes of the program `lichenswitch-fleet` on loopback: a control process and a
-//! router on each machine, with generated settings, a folder for each disk and a file for each log;
-//! started, stopped and killed by their ids. It knows the program by its command, its settings and
-//! its addresses alone.
+//! Runs a fleet of processes of the program `lichenswitch-fleet` on loopback: a control process and a
+//! router on each machine, with generated settings, a folder for each disk and a file for each log.
+//! Processes are started, stopped and killed by their ids. The module uses the program's command,
+//! settings and addresses alone.
 
 pub mod demonstration;
 mod links;
@@ -16,68 +16,73 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::thread;
 use std::time::{Duration, Instant};
+use thiserror::Error;
 
-/// Where control machines take calls; the same on all machines, as in a deployment.
+/// The port of control processes for calls; the same on all machines, as in a deployment.
 const CONTROL_PORT: u16 = 8_262;
-/// Where routers take clients.
+/// The port of routers for clients.
 const FRONT_PORT: u16 = 8_263;
-/// Where routers tell whether they are ready.
+/// The port of routers for readiness checks.
 const READY_PORT: u16 = 8_268;
-/// Ports for what processes say to each other.
+/// The first and the last port for connections between processes.
 const INTERNAL_PORTS: (u16, u16) = (7_300, 7_315);
-/// Whoever holds this port at the last address of a block has the block.
-const HELD_PORT: u16 = 8_261;
+/// The port whose listener at the last address of a block reserves the block.
+const BLOCK_LOCK_PORT: u16 = 8_261;
 /// The most machines of a fleet.
-const MACHINES_MOST: usize = 200;
-/// `gracePeriodS` of a fleet that was told no other.
-const GRACE_SECONDS: u64 = 2;
+const MAX_MACHINES: usize = 200;
+/// `gracePeriodS` where [`FleetProcesses::with_grace`] sets no other.
+const DEFAULT_GRACE_SECONDS: u64 = 2;
 
-/// What went wrong with a fleet.
-#[derive(Debug)]
+/// Why a fleet could not be run.
+#[derive(Debug, Error)]
 pub enum FleetError {
-    /// The program isn't there.
+    /// The program doesn't exist.
+    #[error("no program at {}: build it, or name it with --program", .0.display())]
     NoProgram(PathBuf),
-    /// No addresses of loopback are free.
+    /// No block of loopback addresses is free.
+    #[error("no block of loopback addresses has its ports free")]
     NoAddresses,
     /// A file, folder or process could not be used.
-    System(PathBuf, std::io::Error),
+    #[error("{}: {source}", path.display())]
+    System {
+        /// The file or folder, or the program.
+        path: PathBuf,
+        /// The system's error.
+        source: std::io::Error,
+    },
     /// A process ended by itself.
-    Ended(Role, usize, Option<i32>, String),
+    #[error(
+        "the {role} process of machine {machine} ended by itself with {}; its log ends: {log_end}",
+        status.map_or("a signal".into(), |status| format!("status {status}"))
+    )]
+    ProcessEnded {
+        /// Its role.
+        role: Role,
+        /// Its machine.
+        machine: usize,
+        /// Its exit status; `None`: a signal ended it.
+        status: Option<i32>,
+        /// The last line of its log.
+        log_end: String,
+    },
     /// This did not happen in time.
-    TooLate(&'static str),
+    #[error("in the time allowed, {0}")]
+    Timeout(&'static str),
 }
 
-impl fmt::Display for FleetError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            FleetError::NoProgram(path) => {
-                write!(
-                    f,
-                    "no program at {}: build it, or name it with --program",
-                    path.display()
-                )
-            }
-            FleetError::NoAddresses => {
-                f.write_str("no block of loopback addresses has its ports free")
-            }
-            FleetError::System(path, error) => write!(f, "{}: {error}", path.display()),
-            FleetError::Ended(role, machine, status, log) => {
-                let status = status.map_or("a signal".into(), |status| format!("status {status}"));
-                write!(f, "the {role} process of machine {machine} ended by itself with {status}; its log ends: {log}")
-            }
-            FleetError::TooLate(what) => write!(f, "in the time allowed, {what}"),
-        }
+fn system_error(path: &Path, source: std::io::Error) -> FleetError {
+    FleetError::System {
+        path: path.to_path_buf(),
+        source,
     }
 }
 
-impl std::error::Error for FleetError {}
-
-/// What a process does; the program's subcommand.
+/// The role of a process: the program's subcommand.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
-    /// Keeps the configuration and knows the servers.
+    /// Stores the configuration and the membership of servers.
     Control,
-    /// Takes clients.
+    /// Accepts clients.
     Router,
 }
 
@@ -93,7 +98,7 @@
 /// Both roles, in the order in which they start.
 const ROLES: [Role; 2] = [Role::Control, Role::Router];
 
-/// A process and what is known of it.
+/// A running process.
 #[derive(Debug)]
 struct Process {
     role: Role,
@@ -101,7 +106,7 @@
     child: Child,
 }
 
-/// A fleet whose processes run. Dropped, they are killed, and its folder goes.
+/// A fleet and its running processes. Dropping it kills them and removes its folder.
 #[derive(Debug)]
 pub struct FleetProcesses {
     program: PathBuf,
@@ -112,11 +117,11 @@
     /// Text at the end of each settings file.
     more_settings: String,
     links: Links,
-    _block: TcpListener,
+    _block_lock: TcpListener,
 }
 
-/// A process that has ended, and how.
-pub type Ended = (Role, usize, ExitStatus);
+/// A process that has ended, and its status.
+pub type EndedProcess = (Role, usize, ExitStatus);
 
 impl FleetProcesses {
     /// A fleet of so many machines with nothing started; 200 machines at most. Machine 0 is at
@@ -125,15 +130,15 @@
     /// # Errors
     /// When the program is missing, or there is no room for addresses or files.
     pub fn new(program: &Path, machines: usize) -> Result<FleetProcesses, FleetError> {
-        static FLEETS: AtomicU32 = AtomicU32::new(0);
+        static FLEET_COUNT: AtomicU32 = AtomicU32::new(0);
         let program = program
             .canonicalize()
             .map_err(|_| FleetError::NoProgram(program.into()))?;
-        let number = FLEETS.fetch_add(1, Ordering::Relaxed);
-        let (addresses, block) =
-            addresses(machines.min(MACHINES_MOST)).ok_or(FleetError::NoAddresses)?;
+        let number = FLEET_COUNT.fetch_add(1, Ordering::Relaxed);
+        let (addresses, block_lock) =
+            addresses(machines.min(MAX_MACHINES)).ok_or(FleetError::NoAddresses)?;
         let folder = std::env::temp_dir().join(format!("fleet-{}-{number}", std::process::id()));
-        let (processes, grace_seconds) = (Vec::new(), GRACE_SECONDS);
+        let (processes, grace_seconds) = (Vec::new(), DEFAULT_GRACE_SECONDS);
         let (more_settings, links) = (String::new(), Links::default());
         let fleet = FleetProcesses {
             program,
@@ -143,12 +148,12 @@
             grace_seconds,
             more_settings,
             links,
-            _block: block,
+            _block_lock: block_lock,
         };
         for machine in 0..fleet.addresses.len() {
             for role in ROLES {
                 let disk = fleet.disk(role, machine);
-                std::fs::create_dir_all(&disk).map_err(|error| FleetError::System(disk, error))?;
+                std::fs::create_dir_all(&disk).map_err(|error| system_error(&disk, error))?;
             }
         }
         Ok(fleet)
@@ -175,35 +180,35 @@
     /// When a link can't be started.
     pub fn with_links(mut self) -> Result<FleetProcesses, FleetError> {
         self.links = Links::between(&self.addresses, INTERNAL_PORTS.0)
-            .map_err(|error| FleetError::System(self.folder.clone(), error))?;
+            .map_err(|error| system_error(&self.folder, error))?;
         Ok(self)
     }
 
-    /// Cuts the control processes of these machines off from those of all others, and heals all
+    /// Partitions the control processes of these machines from those of all others, and heals all
     /// other links between control processes.
     pub fn partition(&self, side: &[usize]) {
         self.links.partition(side);
     }
 
-    /// How many machines it has.
+    /// The number of machines.
     #[must_use]
     pub fn machines(&self) -> usize {
         self.addresses.len()
     }
 
-    /// Where the control processes take calls.
+    /// The addresses at which the control processes accept calls.
     #[must_use]
     pub fn control(&self) -> Vec<SocketAddr> {
         self.at(CONTROL_PORT)
     }
 
-    /// Where the routers take clients.
+    /// The addresses at which the routers accept clients.
     #[must_use]
     pub fn fronts(&self) -> Vec<SocketAddr> {
         self.at(FRONT_PORT)
     }
 
-    /// Where the routers tell whether they are ready.
+    /// The addresses of the routers for readiness checks.
     #[must_use]
     pub fn readiness(&self) -> Vec<SocketAddr> {
         self.at(READY_PORT)
@@ -216,13 +221,13 @@
             .collect()
     }
 
-    /// The folder that holds what a process keeps.
+    /// The folder that is the disk of a process.
     #[must_use]
     pub fn disk(&self, role: Role, machine: usize) -> PathBuf {
         self.folder.join(format!("{role}-{machine}-disk"))
     }
 
-    /// The file that holds what a process says.
+    /// The log file of a process.
     #[must_use]
     pub fn log(&self, role: Role, machine: usize) -> PathBuf {
         self.folder.join(format!("{role}-{machine}.log"))
@@ -274,7 +279,7 @@
         )
     }
 
-    /// Starts a process; its log goes on where it ended.
+    /// Starts a process; its log is appended to.
     ///
     /// # Errors
     /// When its files can't be written or the program can't be started.
@@ -287,7 +292,7 @@
         let path = self.folder.join(format!("{role}-{machine}.toml"));
         let failed = |path: &Path| {
             let path = path.to_path_buf();
-            move |error| FleetError::System(path, error)
+            move |error| system_error(&path, error)
         };
         std::fs::write(&path, self.settings(role, machine, first_start)).map_err(failed(&path))?;
         let log = self.log(role, machine);
@@ -344,49 +349,49 @@
 
     /// Kills a process, as a crash would; its disk stays.
     pub fn kill(&mut self, role: Role, machine: usize) {
-        self.end_those(Signal::KILL, Duration::ZERO, |process| {
+        self.end_processes(Signal::KILL, Duration::ZERO, |process| {
             process.role == role && process.machine == machine
         });
     }
 
     /// Asks a process to end, and kills it after a grace.
     pub fn stop(&mut self, role: Role, machine: usize, grace: Duration) {
-        self.end_those(Signal::TERM, grace, |process| {
+        self.end_processes(Signal::TERM, grace, |process| {
             process.role == role && process.machine == machine
         });
     }
 
-    /// Asks all processes to end, and kills those that still run after a grace; tells how many had
+    /// Asks all processes to end, and kills those that still run after `grace`; returns how many had
     /// to be killed.
     pub fn stop_all(&mut self, grace: Duration) -> usize {
-        self.end_those(Signal::TERM, grace, |_| true)
+        self.end_processes(Signal::TERM, grace, |_| true)
     }
 
-    /// Sends a process SIGTERM and does not wait; [`FleetProcesses::ended`] tells of its end.
+    /// Sends a process SIGTERM and does not wait; [`FleetProcesses::ended`] reports its end.
     pub fn terminate(&mut self, role: Role, machine: usize) {
         self.signal(role, machine, Signal::TERM);
     }
 
-    /// Tells a process that its settings may have changed.
+    /// Sends SIGHUP: the settings may have changed.
     pub fn hang_up(&mut self, role: Role, machine: usize) {
         self.signal(role, machine, Signal::HUP);
     }
 
-    /// Freezes a process.
+    /// Stops a process (SIGSTOP) until it is resumed.
     pub fn pause(&mut self, role: Role, machine: usize) {
         self.signal(role, machine, Signal::STOP);
     }
 
-    /// Lets a frozen process go on.
+    /// Continues a paused process (SIGCONT).
     pub fn resume(&mut self, role: Role, machine: usize) {
         self.signal(role, machine, Signal::CONT);
     }
 
     fn signal(&mut self, role: Role, machine: usize, signal: Signal) {
-        let its_own = |process: &&mut Process| process.role == role && process.machine == machine;
+        let is_target = |process: &&mut Process| process.role == role && process.machine == machine;
         self.processes
             .iter_mut()
-            .filter(its_own)
+            .filter(is_target)
             .for_each(|process| send(&mut process.child, signal));
     }
 
@@ -400,7 +405,7 @@
 
     /// Processes that have ended since the last call and were not killed; they are no longer part
     /// of the fleet.
-    pub fn ended(&mut self) -> Vec<Ended> {
+    pub fn ended(&mut self) -> Vec<EndedProcess> {
         let mut ended = Vec::new();
         self.processes
             .retain_mut(|process| match process.child.try_wait() {
@@ -420,13 +425,13 @@
     pub fn wipe(&self, role: Role, machine: usize) -> Result<(), FleetError> {
         let disk = self.disk(role, machine);
         let done = std::fs::remove_dir_all(&disk).and_then(|()| std::fs::create_dir_all(&disk));
-        done.map_err(|error| FleetError::System(disk, error))
+        done.map_err(|error| system_error(&disk, error))
     }
 
-    /// Tells of the first process that has ended by itself.
+    /// Checks that no process has ended by itself.
     ///
     /// # Errors
-    /// When one has.
+    /// When one has; the first one found.
     pub fn check(&mut self) -> Result<(), FleetError> {
         for process in &mut self.processes {
             let Ok(Some(status)) = process.child.try_wait() else {
@@ -434,13 +439,18 @@
             };
             let (role, machine) = (process.role, process.machine);
             let log = std::fs::read_to_string(self.log(role, machine)).unwrap_or_default();
-            let end = log.lines().last().unwrap_or("(empty)").to_string();
-            return Err(FleetError::Ended(role, machine, status.code(), end));
+            let log_end = log.lines().last().unwrap_or("(empty)").to_string();
+            return Err(FleetError::ProcessEnded {
+                role,
+                machine,
+                status: status.code(),
+                log_end,
+            });
         }
         Ok(())
     }
 
-    fn end_those(
+    fn end_processes(
         &mut self,
         signal: Signal,
         grace: Duration,
@@ -453,17 +463,17 @@
         for process in &mut ending {
             send(&mut process.child, signal);
         }
-        let until = Instant::now() + grace;
+        let deadline = Instant::now() + grace;
         let mut killed = 0;
         for process in &mut ending {
-            while Instant::now() < until && matches!(process.child.try_wait(), Ok(None)) {
+            while Instant::now() < deadline && matches!(process.child.try_wait(), Ok(None)) {
                 thread::sleep(Duration::from_millis(10));
             }
             if matches!(process.child.try_wait(), Ok(None)) {
                 killed += usize::from(signal != Signal::KILL);
                 send(&mut process.child, Signal::KILL);
             }
-            // Its status says no more than is known already.
+            // The status says no more than is known already.
             let _ = process.child.wait();
         }
         killed
@@ -474,14 +484,14 @@
 fn send(child: &mut Child, signal: Signal) {
     if matches!(child.try_wait(), Ok(None)) {
         if let Some(pid) = i32::try_from(child.id()).ok().and_then(Pid::from_raw) {
-            // It may end in this moment: then there is nobody to tell.
+            // It may end at this moment: then no signal is needed.
             let _ = kill_process(pid, signal);
         }
     }
 }
 
-/// Takes so many addresses of loopback, from a `.2` on, whose ports are free; they are taken for as
-/// long as the listener lives.
+/// Reserves `count` loopback addresses, from a `.2` on, whose ports are free, for as long as the
+/// listener lives.
 fn addresses(count: usize) -> Option<(Vec<Ipv4Addr>, TcpListener)> {
     let start = std::process::id();
     let nets = std::iter::once((0, 0)).chain((0..500).map(|i| {
@@ -497,7 +507,8 @@
             .all(|port| TcpListener::bind((*address, port)).is_ok())
     };
     for net in nets {
-        let Ok(block) = TcpListener::bind((Ipv4Addr::new(127, net.0, net.1, 254), HELD_PORT))
+        let Ok(block_lock) =
+            TcpListener::bind((Ipv4Addr::new(127, net.0, net.1, 254), BLOCK_LOCK_PORT))
         else {
             continue;
         };
@@ -505,7 +516,7 @@
             .map(|i| Ipv4Addr::new(127, net.0, net.1, 2 + i as u8))
             .collect();
         if found.iter().all(is_free) {
-            return Some((found, block));
+            return Some((found, block_lock));
         }
     }
     None
@@ -513,7 +524,7 @@
 
 impl Drop for FleetProcesses {
     fn drop(&mut self) {
-        self.end_those(Signal::KILL, Duration::ZERO, |_| true);
+        self.end_processes(Signal::KILL, Duration::ZERO, |_| true);
         // What can't be removed is left to whoever cleans the folder for temporary files.
         let _ = std::fs::remove_dir_all(&self.folder);
     }
--- a/emulators/src/fleet_processes/demonstration.rs
+++ b/emulators/src/fleet_processes/demonstration.rs
@@ -8,76 +8,51 @@
 use crate::operator::{Operator, Order, Outcome, Verb};
 use crate::stream_client::message::Call;
 use crate::stream_client::{StreamFault, StreamRequest, StreamedResponse};
-use std::fmt;
 use std::io::Write;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::thread;
 use std::time::{Duration, Instant};
+use thiserror::Error;
 
 /// Machines of the fleet.
-const MACHINES: usize = 3;
+const MACHINE_COUNT: usize = 3;
 /// Model servers.
-const SERVERS: usize = 4;
-/// All up to the end of the stream has so long; with the last step's overrun, the status and the
-/// grace it stays below 20 s.
-const WITHIN: Duration = Duration::from_secs(13);
-/// A silence that ends a try.
-const SILENCE: Duration = Duration::from_secs(1);
-/// What is left of a try's time is told to the router.
+const SERVER_COUNT: usize = 4;
+/// Time for all steps up to the end of the stream; with the last step's overrun, the status and the
+/// grace, a demonstration stays below 20 s.
+const STREAM_TIMEOUT: Duration = Duration::from_secs(13);
+/// Time without a byte that ends an attempt.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(1);
+/// `Deadline-Ms` of each attempt.
 const DEADLINE_MS: u64 = 1_500;
-/// Processes have so long to end when asked to: `gracePeriodS` of their settings, and a little.
-const GRACE: Duration = Duration::from_millis(2_200);
-/// Pause between questions.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Time for processes to end on SIGTERM: `gracePeriodS` of their settings, and a little more.
+const STOP_GRACE: Duration = Duration::from_millis(2_200);
+/// Delay between two attempts or readiness checks.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Lines of each log that are shown after a failure.
-const LOG_LINES: usize = 5;
-/// Tokens out of the stream.
-const TOKENS: u32 = 32;
+const SHOWN_LOG_LINES: usize = 5;
+/// Tokens that the stream generates.
+const OUTPUT_TOKENS: u32 = 32;
 
 /// Why a demonstration failed.
-#[derive(Debug)]
+#[derive(Debug, Error)]
 pub enum DemonstrationError {
     /// The fleet or the system under it.
-    Fleet(FleetError),
-    /// A stand-in or the output could not be used.
-    System(std::io::Error),
-    /// The first configuration was not taken.
+    #[error(transparent)]
+    Fleet(#[from] FleetError),
+    /// An emulator or the output could not be used.
+    #[error(transparent)]
+    System(#[from] std::io::Error),
+    /// The first configuration was not acknowledged.
+    #[error("the first configuration was not taken: {0:?}")]
     Configuration(Outcome),
-    /// No stream was served; what the last try said.
+    /// No stream was served; the result of the last attempt.
+    #[error("no stream was served; the last try: {0}")]
     NotServed(String),
     /// The stream breaks rules.
-    Wrong(Vec<StreamFault>),
-}
-
-impl fmt::Display for DemonstrationError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            DemonstrationError::Fleet(error) => error.fmt(f),
-            DemonstrationError::System(error) => error.fmt(f),
-            DemonstrationError::Configuration(outcome) => {
-                write!(f, "the first configuration was not taken: {outcome:?}")
-            }
-            DemonstrationError::NotServed(last) => {
-                write!(f, "no stream was served; the last try: {last}")
-            }
-            DemonstrationError::Wrong(faults) => write!(f, "the stream breaks rules: {faults:?}"),
-        }
-    }
-}
-
-impl std::error::Error for DemonstrationError {}
-
-impl From<FleetError> for DemonstrationError {
-    fn from(error: FleetError) -> DemonstrationError {
-        DemonstrationError::Fleet(error)
-    }
-}
-
-impl From<std::io::Error> for DemonstrationError {
-    fn from(error: std::io::Error) -> DemonstrationError {
-        DemonstrationError::System(error)
-    }
+    #[error("the stream breaks rules: {0:?}")]
+    RuleViolations(Vec<StreamFault>),
 }
 
 /// Shows a fleet of this program on `out`, and stops all that it started; takes less than 20 s,
@@ -87,27 +62,27 @@
 /// With the first thing that failed; the ends of the logs are shown and all processes are stopped
 /// then, too.
 pub fn run(program: &Path, out: &mut impl Write) -> Result<(), DemonstrationError> {
-    let mut fleet = FleetProcesses::new(program, MACHINES)?;
-    let shown = show(&mut fleet, out);
+    let mut fleet = FleetProcesses::new(program, MACHINE_COUNT)?;
+    let shown = run_steps(&mut fleet, out);
     if shown.is_err() {
         show_logs(&fleet, out)?;
     }
-    let killed = fleet.stop_all(GRACE);
+    let killed = fleet.stop_all(STOP_GRACE);
     writeln!(
         out,
         "stopped all processes; {killed} had to be killed after {} ms",
-        GRACE.as_millis()
+        STOP_GRACE.as_millis()
     )?;
     shown
 }
 
-fn show(fleet: &mut FleetProcesses, out: &mut impl Write) -> Result<(), DemonstrationError> {
-    let until = Instant::now() + WITHIN;
-    let servers = servers()?;
+fn run_steps(fleet: &mut FleetProcesses, out: &mut impl Write) -> Result<(), DemonstrationError> {
+    let deadline = Instant::now() + STREAM_TIMEOUT;
+    let start_servers = start_servers()?;
     fleet.start_all()?;
     writeln!(
         out,
-        "started {MACHINES} control and {MACHINES} router processes, and {SERVERS} model servers"
+        "started {MACHINE_COUNT} control and {MACHINE_COUNT} router processes, and {SERVER_COUNT} model servers"
     )?;
     for (role, machine, id) in fleet.ids() {
         writeln!(
@@ -117,25 +92,26 @@
         )?;
     }
     let interval = Duration::from_millis(400);
-    let _registrations: Vec<_> = servers
+    let _registrations: Vec<_> = start_servers
         .iter()
         .map(|server| server.register(fleet.control(), interval))
         .collect();
-    configure(fleet, until, out)?;
-    let router = ready(fleet, until)?;
+    send_configuration(fleet, deadline, out)?;
+    let router = wait_for_ready_router(fleet, deadline)?;
     writeln!(out, "the router at {router} is ready")?;
-    let streamed = serve(fleet, until, out)?;
+    let streamed = serve_stream(fleet, deadline, out)?;
     let (events, seal) = (
         streamed.events.len(),
         streamed.head.field("response-seal").unwrap_or("none"),
     );
     writeln!(out, "served: {events} events, Response-Seal {seal}")?;
-    status(fleet, out)
+    print_status(fleet, out)
 }
 
 /// The last lines of each process's log.
 fn show_logs(fleet: &FleetProcesses, out: &mut impl Write) -> std::io::Result<()> {
-    for (role, machine) in (0..MACHINES).flat_map(|machine| ROLES.map(|role| (role, machine))) {
+    for (role, machine) in (0..MACHINE_COUNT).flat_map(|machine| ROLES.map(|role| (role, machine)))
+    {
         let log = std::fs::read_to_string(fleet.log(role, machine)).unwrap_or_default();
         let lines: Vec<&str> = log.lines().collect();
         writeln!(
@@ -143,30 +119,30 @@
             "{role} {machine} said {} lines, at the end:",
             lines.len()
         )?;
-        for line in lines.iter().rev().take(LOG_LINES).rev() {
+        for line in lines.iter().rev().take(SHOWN_LOG_LINES).rev() {
             writeln!(out, "  {line}")?;
         }
     }
     Ok(())
 }
 
-fn servers() -> std::io::Result<Vec<ModelServer>> {
+fn start_servers() -> std::io::Result<Vec<ModelServer>> {
     let start = |number: usize| {
         let (instance, zone) = (
             format!("i-demo-{number}"),
-            format!("zone-{}", 1 + number % MACHINES),
+            format!("zone-{}", 1 + number % MACHINE_COUNT),
         );
         ModelServer::start(
             ServerDescription::new(&instance, "model", &zone),
             SocketAddr::from(([127, 0, 0, 1], 0)),
         )
     };
-    (0..SERVERS).map(start).collect()
+    (0..SERVER_COUNT).map(start).collect()
 }
 
-fn configure(
+fn send_configuration(
     fleet: &mut FleetProcesses,
-    until: Instant,
+    deadline: Instant,
     out: &mut impl Write,
 ) -> Result<(), DemonstrationError> {
     let operator = Operator::new(fleet.control());
@@ -180,8 +156,8 @@
         body,
     };
     let (began, mut outcome) = (Instant::now(), Outcome::Unclear);
-    // In short spans, so that a process that has ended is told of at once.
-    while outcome == Outcome::Unclear && Instant::now() < until {
+    // In short spans, so that a process that has ended is reported at once.
+    while outcome == Outcome::Unclear && Instant::now() < deadline {
         fleet.check()?;
         outcome = operator.send(&order, 0, Duration::from_millis(500));
     }
@@ -196,9 +172,12 @@
     Ok(())
 }
 
-/// Waits for the first router that is ready, and tells where it takes clients.
-fn ready(fleet: &mut FleetProcesses, until: Instant) -> Result<SocketAddr, DemonstrationError> {
-    while Instant::now() < until {
+/// Waits for the first router that is ready, and returns its address for clients.
+fn wait_for_ready_router(
+    fleet: &mut FleetProcesses,
+    deadline: Instant,
+) -> Result<SocketAddr, DemonstrationError> {
+    while Instant::now() < deadline {
         fleet.check()?;
         for (readiness, front) in fleet.readiness().into_iter().zip(fleet.fronts()) {
             let answer = Call::get("/readiness").send(readiness, Duration::from_millis(200));
@@ -206,19 +185,19 @@
                 return Ok(front);
             }
         }
-        thread::sleep(PAUSE);
+        thread::sleep(POLL_INTERVAL);
     }
-    Err(FleetError::TooLate("no router became ready").into())
+    Err(FleetError::Timeout("no router became ready").into())
 }
 
-fn serve(
+fn serve_stream(
     fleet: &mut FleetProcesses,
-    until: Instant,
+    deadline: Instant,
     out: &mut impl Write,
 ) -> Result<StreamedResponse, DemonstrationError> {
     let (mut last, fronts) = (String::from("none was made"), fleet.fronts());
     for turn in 0.. {
-        if Instant::now() >= until {
+        if Instant::now() >= deadline {
             break;
         }
         fleet.check()?;
@@ -226,10 +205,10 @@
             "{:016x}",
             0x9c41_d07b_e2a3_5f68_u64.wrapping_add(turn as u64)
         );
-        let mut request = StreamRequest::new("help.example", "/help/1", &attempt, TOKENS);
+        let mut request = StreamRequest::new("help.example", "/help/1", &attempt, OUTPUT_TOKENS);
         request.deadline_ms = DEADLINE_MS;
         let mut written = Ok(());
-        let tell = |event: &crate::stream_client::Event| {
+        let on_event = |event: &crate::stream_client::Event| {
             let id = event.id.unwrap_or(0);
             let line = writeln!(
                 out,
@@ -239,7 +218,7 @@
             );
             written = std::mem::replace(&mut written, Ok(())).and(line);
         };
-        let sent = request.send(fronts[turn % fronts.len()], SILENCE, tell);
+        let sent = request.send(fronts[turn % fronts.len()], IDLE_TIMEOUT, on_event);
         written?;
         match sent {
             Ok(streamed) if streamed.is_served() => {
@@ -247,18 +226,18 @@
                 return if faults.is_empty() {
                     Ok(streamed)
                 } else {
-                    Err(DemonstrationError::Wrong(faults))
+                    Err(DemonstrationError::RuleViolations(faults))
                 };
             }
             Ok(streamed) => last = format!("status {}, {:?}", streamed.head.status(), streamed.end),
             Err(error) => last = error.to_string(),
         }
-        thread::sleep(PAUSE);
+        thread::sleep(POLL_INTERVAL);
     }
     Err(DemonstrationError::NotServed(last))
 }
 
-fn status(fleet: &FleetProcesses, out: &mut impl Write) -> Result<(), DemonstrationError> {
+fn print_status(fleet: &FleetProcesses, out: &mut impl Write) -> Result<(), DemonstrationError> {
     for control in fleet.control() {
         match Call::get("/status").send(control, Duration::from_millis(300)) {
             Ok(answer) => {
--- a/emulators/src/fleet_processes/tests.rs
+++ b/emulators/src/fleet_processes/tests.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_missing_program_is_named() {
+fn missing_program_is_named_in_the_error() {
     let error = FleetProcesses::new(Path::new("/nonexistent/lichenswitch-fleet"), 3)
         .expect_err("no program");
     assert!(error
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn processes_end_when_asked_to() {
+fn processes_end_on_sigterm() {
     let script = Script::new("ends", "echo $1 $LICHENSWITCH_CONFIG; exec sleep 60");
     let mut fleet = FleetProcesses::new(&script.0, 2).expect("a fleet");
     fleet.start_all().expect("started");
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn those_that_will_not_end_are_killed_and_so_are_those_of_a_dropped_fleet() {
+fn processes_that_ignore_sigterm_and_those_of_a_dropped_fleet_are_killed() {
     let script = Script::new(
         "stays",
         "trap '' TERM\necho up\nwhile :; do sleep 0.1; done",
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_killed_process_keeps_its_disk_until_it_is_wiped() {
+fn killed_process_keeps_its_disk_until_wiped() {
     let script = Script::new("disk", "echo up; exec sleep 60");
     let mut fleet = FleetProcesses::new(&script.0, 1).expect("a fleet");
     let kept = fleet.disk(Role::Control, 0).join("kept");
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_frozen_process_takes_its_signals_when_it_goes_on() {
+fn paused_process_receives_its_signals_on_resume() {
     let text = "trap 'echo again' HUP\ntrap 'exit 3' TERM\necho up\nwhile :; do sleep 0.01; done";
     let script = Script::new("frozen", text);
     let mut fleet = FleetProcesses::new(&script.0, 2)
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn settings_name_the_same_seeds_and_what_the_role_serves() {
+fn settings_list_the_same_seeds_and_the_role() {
     let script = Script::new("settings", "exit 0");
     let fleet = FleetProcesses::new(&script.0, 4).expect("a fleet");
     let (control, router) = (
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn two_fleets_do_not_meet() {
+fn two_fleets_use_disjoint_addresses() {
     let script = Script::new("two", "exit 0");
     let one = FleetProcesses::new(&script.0, 3).expect("a fleet");
     let other = FleetProcesses::new(&script.0, 3).expect("another");
@@ -184,14 +184,17 @@
 }
 
 #[test]
-fn a_demonstration_of_a_program_that_ends_says_so_and_leaves_nothing() {
+fn demonstration_of_a_program_that_ends_reports_it_and_cleans_up() {
     let script = Script::new("fails", "echo no such settings; exit 7");
     let mut out = Vec::new();
     let error = demonstration::run(&script.0, &mut out).expect_err("it can't be shown");
     assert!(
         matches!(
             error,
-            DemonstrationError::Fleet(FleetError::Ended(_, _, Some(7), _))
+            DemonstrationError::Fleet(FleetError::ProcessEnded {
+                status: Some(7),
+                ..
+            })
         ),
         "{error}"
     );
--- a/soak/src/processes.rs
+++ b/soak/src/processes.rs
@@ -308,7 +308,7 @@
         for (role, machine) in targets() {
             let from = self.fleet.log(role, machine);
             std::fs::copy(&from, to.join(format!("{role}-{machine}.log")))
-                .map_err(|error| FleetError::System(from, error))?;
+                .map_err(|source| FleetError::System { path: from, source })?;
         }
         Ok(())
     }
