--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn a_cold_server_of_a_large_fleet_gets_work_by_what_it_can_do() {
+fn warming_server_of_a_large_fleet_gets_work_by_its_capacity() {
     let mut fleet = Fleet::new(100, 20, 6);
     // 60 parts a second at each server; warm ones are taken to be two thirds busy with them.
     let (rate, load) = (200.0, 60.0);
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn slow_server_met_seldom_is_not_tried_by_every_broker() {
+fn rarely_used_slow_server_is_not_probed_by_every_broker() {
     let mut fleet = Fleet::new(100, 20, 6);
     fleet.takes.insert(ServerId(5), 400 * MS);
     fleet.play(200.0, 8 * SECOND);
@@ -277,7 +277,7 @@
 }
 
 #[test]
-fn replacing_six_in_ten_servers_leaves_no_state_and_no_rush() {
+fn replacing_six_in_ten_servers_leaves_no_state_and_no_burst() {
     let mut fleet = Fleet::new(100, 20, 6);
     let (rate, load) = (200.0, 60.0);
     fleet.play(rate, 5 * SECOND);
@@ -305,7 +305,7 @@
 }
 
 #[test]
-fn silent_zone_is_avoided_and_its_return_not_rushed() {
+fn unresponsive_zone_is_avoided_and_returns_without_a_burst() {
     let mut fleet = Fleet::new(100, 21, 6);
     let (rate, load) = (200.0, 57.0);
     fleet.play(rate, 5 * SECOND);
@@ -379,7 +379,7 @@
 }
 
 #[test]
-fn a_first_step_waits_less_where_many_brokers_meet_servers_seldom() {
+fn first_step_waits_less_where_many_brokers_use_servers_rarely() {
     let (many, few) = (
         first_step_closed_at(100, 3 * SECOND),
         first_step_closed_at(3, 3 * SECOND),
--- a/tests/gone.rs
+++ b/tests/gone.rs
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn nor_where_the_module_takes_its_turns_seldom() {
+fn part_waiting_for_a_connection_is_not_sent_where_turns_are_rare() {
     // The connection is up after the second that the system takes to try again.
     leaves_before_the_connection(true, 3_000_000, drop);
 }
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_server_that_fails_fast_does_not_attract_traffic() {
+fn server_that_fails_fast_does_not_attract_traffic() {
     let mut stage = Stage::new(settings(class()));
     shares(&mut stage, 30, |_| (Outcome::Ok, 20 * MS));
     let bad = |s: ServerId| {
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_slow_server_is_passed_over_and_taken_back() {
+fn slow_server_is_avoided_and_used_again_after_recovery() {
     let mut stage = Stage::new(settings(class()));
     shares(&mut stage, 30, |_| (Outcome::Ok, 20 * MS));
     let slow = |s: ServerId| (Outcome::Ok, if s.0 == 1 { 200 * MS } else { 20 * MS });
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_server_that_was_gone_is_met_as_a_new_one() {
+fn returned_server_is_treated_as_a_new_one() {
     let mut stage = Stage::new(settings(class()));
     shares(&mut stage, 30, |_| (Outcome::Ok, 20 * MS));
     shares(&mut stage, 20, |s| {
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn when_all_are_bad_the_least_bad_still_serves() {
+fn least_unhealthy_server_serves_when_all_are_unhealthy() {
     let mut stage = Stage::new(settings(class()));
     shares(&mut stage, 40, |_| (Outcome::Error, MS));
     let (_, events) = stage.query(&[0]);
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_full_server_is_left_alone_for_a_while() {
+fn full_server_is_avoided_for_a_while() {
     let mut stage = Stage::new(settings(class()));
     let (_, events) = stage.query(&[0]);
     let (part, server) = sends(&stage.turn(events))[0];
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_queue_too_long_for_the_aim_turns_queries_away_with_advice() {
+fn queue_too_long_for_the_target_rejects_queries_with_retry_advice() {
     let mut stage = Stage::new(settings(class()));
     shares(&mut stage, 30, |_| (Outcome::Ok, 300 * MS));
     let mut refused = 0;
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn the_list_is_subscribed_to_and_asked_again_with_growing_pauses() {
+fn list_is_subscribed_and_requested_again_with_growing_backoff() {
     let mut set = settings(class());
     set.discovery = Discovery::Ask(10_000 * MS);
     let mut stage = Stage::new(set.clone());
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn the_clock_may_jump_far_ahead_or_stand_still() {
+fn clock_that_jumps_ahead_or_stands_still_is_tolerated() {
     let mut stage = Stage::new(settings(class()));
     let (id, events) = stage.query(&[0]);
     stage.turn(events);
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn an_empty_or_contradictory_list_is_survived() {
+fn empty_or_contradictory_list_is_tolerated() {
     let mut stage = Stage::new(settings(class()));
     stage.turn(vec![Event::List(ServerListUpdate::Complete(vec![]))]);
     let (id, events) = stage.query(&[0]);
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn a_dear_first_query_does_not_shut_out_cheaper_ones() {
+fn expensive_first_query_does_not_block_cheaper_ones() {
     let mut set = settings(Class {
         value: 50.0,
         ..class()
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn frequently_met_server_is_avoided_after_two_late_answers() {
+fn frequently_used_server_is_avoided_after_two_late_responses() {
     let mut stage = Stage::new(settings(class()));
     (0..30).for_each(|_| stage.serve(20 * MS));
     let mut late: Option<ServerId> = None;
@@ -351,7 +351,7 @@
 }
 
 #[test]
-fn a_server_that_fails_one_class_is_passed_over_for_that_class_alone() {
+fn server_that_fails_one_class_is_avoided_for_that_class_alone() {
     let mut set = settings(class());
     set.classes.push(class());
     let mut stage = Stage::new(set);
@@ -381,7 +381,7 @@
 }
 
 #[test]
-fn a_jam_is_forgotten_while_nothing_is_sent() {
+fn congestion_is_forgotten_while_nothing_is_sent() {
     let mut stage = Stage::new(settings(class()));
     shares(&mut stage, 60, |_| (Outcome::Ok, 2_900 * MS));
     let refused = |stage: &mut Stage| {
@@ -400,7 +400,7 @@
 }
 
 #[test]
-fn no_copy_is_sent_that_would_come_too_late() {
+fn hedge_that_would_arrive_too_late_is_not_sent() {
     let copies = |took: Micros| {
         let mut stage = Stage::new(settings(class()));
         (0..30).for_each(|_| stage.serve(took));
@@ -421,7 +421,7 @@
 }
 
 #[test]
-fn answers_that_come_late_make_admission_stricter() {
+fn late_responses_make_admission_stricter() {
     let refused_after = |late: usize| {
         let mut stage = Stage::new(settings(class()));
         (0..10).for_each(|_| stage.serve(550 * MS));
@@ -493,7 +493,7 @@
 }
 
 #[test]
-fn connections_are_left_alone_while_nothing_is_lost_on_them() {
+fn connections_are_kept_while_nothing_is_lost_on_them() {
     let mut stage = Stage::new(settings(class()));
     for _ in 0..20 {
         let (id, events) = stage.query(&[0]);
@@ -522,7 +522,7 @@
 }
 
 #[test]
-fn a_way_to_a_zone_is_learnt_from_all_its_servers_together() {
+fn path_to_a_zone_is_learnt_from_all_its_servers() {
     let mut set = settings(class());
     set.layout = Layout {
         cells: 30,
@@ -560,7 +560,7 @@
 }
 
 #[test]
-fn servers_that_let_all_time_out_do_not_look_idle_to_admission() {
+fn servers_whose_attempts_all_time_out_do_not_look_idle_to_admission() {
     let mut set = settings(Class {
         late_share: 0.0,
         ..class()
@@ -589,7 +589,7 @@
 }
 
 #[test]
-fn a_marked_further_try_without_a_key_is_held_to_its_first_aim() {
+fn marked_client_retry_without_a_key_keeps_its_first_target() {
     let mut set = settings(Class {
         late_share: 0.0,
         ..class()
--- a/tests/ogc.rs
+++ b/tests/ogc.rs
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn the_pages_about_the_service_are_there_and_nothing_else_is() {
+fn service_description_pages_exist_and_no_others() {
     let city = City::new("");
     let json = |target: &str| -> Json {
         let response = city.get(target);
@@ -303,7 +303,7 @@
 }
 
 #[test]
-fn the_pages_of_a_list_hold_every_feature_once() {
+fn pages_of_a_list_contain_every_feature_once() {
     let city = City::new("");
     let (mut target, mut seen_ids) = (
         "/collections/scooters/items?limit=2&bbox=0,0,5,1".to_string(),
@@ -324,7 +324,7 @@
 }
 
 #[test]
-fn answer_without_a_withheld_part_is_partial_or_refused() {
+fn response_without_a_withheld_part_is_partial_or_rejected() {
     let city = City::new("");
     city.set_behavior(Behavior::Withhold(3.0, 4.0));
     let (_, body) = city.page("/collections/network/items?limit=50");
@@ -367,7 +367,7 @@
 }
 
 #[test]
-fn servers_that_turn_away_or_fail_lead_to_a_refusal_with_advice() {
+fn rejecting_or_failing_servers_lead_to_a_rejection_with_retry_advice() {
     let city = City::new("");
     for behavior in [Behavior::Busy, Behavior::Fail] {
         city.set_behavior(behavior);
@@ -495,7 +495,7 @@
 }
 
 #[test]
-fn nodes_that_cannot_sort_are_remembered_and_asked_for_all() {
+fn nodes_that_cannot_sort_are_remembered_and_queried_for_all() {
     let city = City::with("", scooters());
     city.set_behavior(Behavior::CantSort);
     let target = "/collections/scooters/items?sortby=-battery&limit=12";
--- a/tests/ordinary_path.rs
+++ b/tests/ordinary_path.rs
@@ -6,7 +6,7 @@
 use lichenswitch::interface::*;
 
 #[test]
-fn a_part_goes_to_the_replica_with_the_fewest_pending_calls() {
+fn part_goes_to_the_replica_with_the_fewest_pending_calls() {
     let mut stage = Stage::new(settings(class()));
     let mut used = Vec::new();
     for _ in 0..3 {
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn neighbours_share_a_call_and_count_once() {
+fn neighbouring_parts_share_a_call_and_count_once() {
     let mut stage = Stage::new(settings(class()));
     let (_, events) = stage.query(&[0, 1, 2]);
     let first = sends(&stage.turn(events));
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn equals_are_broken_by_the_own_zone() {
+fn ties_are_broken_by_the_local_zone() {
     for zone in 0..3 {
         let mut set = settings(class());
         set.zone = zone;
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_late_part_is_copied_once_and_the_loser_cancelled() {
+fn late_part_is_hedged_once_and_the_loser_cancelled() {
     let mut stage = Stage::new(settings(class()));
     let (id, events) = stage.query(&[0]);
     let first = sends(&stage.turn(events))[0];
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn copies_stay_near_a_tenth_of_parts() {
+fn hedges_stay_near_a_tenth_of_parts() {
     let mut stage = Stage::new(settings(class()));
     let (mut sent, mut copies) = (0, 0);
     for round in 0..200 {
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn an_unanswered_attempt_goes_on_counting_until_its_server_answers() {
+fn unanswered_attempt_counts_until_its_server_responds() {
     let mut stage = Stage::new(settings(class()));
     let (id, events) = stage.query(&[0]);
     let silent = sends(&stage.turn(events))[0].1;
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_query_is_answered_with_the_values_of_its_parts() {
+fn query_response_carries_the_values_of_its_parts() {
     let stage = Platformed::new();
     let mut client = stage.connect();
     for round in 0..2 {
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn the_second_step_asks_the_best_shards_and_gives_their_values() {
+fn second_step_queries_the_best_shards_and_returns_their_values() {
     let stage = Platformed::new();
     let mut client = stage.connect();
     client
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn requests_come_in_pieces_and_in_chunks() {
+fn requests_in_fragments_and_in_chunks_are_read() {
     let stage = Platformed::new();
     let mut client = stage.connect();
     client.set_nodelay(true).unwrap();
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_client_that_hangs_up_has_its_parts_given_up() {
+fn client_disconnect_cancels_its_parts() {
     let stage = Platformed::new();
     let mut client = stage.connect();
     client.write_all(&query("fleet-search", "g", &[1])).unwrap();
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn query_is_refused_at_once_when_every_attempt_was_rejected() {
+fn query_is_rejected_at_once_when_every_attempt_was_rejected() {
     let stage = Platformed::new();
     let mut client = stage.connect();
     client.write_all(&query("fleet-search", "h", &[1])).unwrap();
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn what_was_taken_is_finished_after_the_stop() {
+fn accepted_requests_finish_after_the_stop() {
     // Clients that wait for 1.5 s at most are served for 1.5 s more than others after the stop.
     let mut stage = Platformed::with(&SETTINGS.replace("9000000", "1500000"));
     let mut client = stage.connect();
@@ -271,7 +271,7 @@
 }
 
 #[test]
-fn requests_after_the_stop_are_served_or_refused_at_once() {
+fn requests_after_the_stop_are_served_or_rejected_at_once() {
     // Aims of 0.3 s and waits of 0.6 s: what is taken ends within 1.1 s of the signal.
     let mut stage = Platformed::with(
         &SETTINGS
--- a/tests/programs.rs
+++ b/tests/programs.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn the_broker_serves_health_refuses_bad_input_and_ends_on_sigterm() {
+fn broker_serves_health_rejects_bad_input_and_ends_on_sigterm() {
     let path = std::env::temp_dir().join(format!("lichenswitch-test-{}.json", std::process::id()));
     let config = format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":{SETTINGS}}}"#
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn reload_moves_to_another_discovery_and_a_faulty_file_changes_nothing() {
+fn reload_moves_to_another_discovery_and_an_invalid_file_changes_nothing() {
     let path =
         std::env::temp_dir().join(format!("lichenswitch-reload-{}.json", std::process::id()));
     let [first, second] = [(); 2].map(|()| TcpListener::bind("127.0.0.1:0").unwrap());
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn a_faulty_configuration_ends_the_broker_with_a_message() {
+fn invalid_configuration_ends_the_broker_with_a_message() {
     let run = |env: &[(&str, &str)]| {
         let mut broker = Command::new(env!("CARGO_BIN_EXE_lichenswitch"));
         broker.env_remove("NODE_CONFIG").envs(env.iter().copied());
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn an_unanswered_query_ends_once_before_its_time_is_up() {
+fn unanswered_query_ends_once_before_its_deadline() {
     let mut stage = Stage::new(settings(class()));
     let (id, events) = stage.query(&[0, 1]);
     stage.turn(events);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn late_outcomes_and_hangups_in_the_same_turn_change_nothing() {
+fn late_outcomes_and_disconnects_in_the_same_turn_change_nothing() {
     let mut stage = Stage::new(settings(class()));
     let (id, events) = stage.query(&[0]);
     let server = sends(&stage.turn(events))[0].1;
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn without_a_server_for_a_shard_a_query_is_refused_at_once() {
+fn query_without_a_server_for_a_shard_is_rejected_at_once() {
     let mut set = settings(class());
     set.layout.width = 1;
     let mut stage = Stage::new(set);
@@ -56,14 +56,14 @@
 }
 
 #[test]
-fn a_query_without_parts_is_refused() {
+fn query_without_parts_is_rejected() {
     let mut stage = Stage::new(settings(class()));
     let (id, events) = stage.query(&[]);
     assert_eq!(finals(&stage.turn(events)), [(id, false)]);
 }
 
 #[test]
-fn query_with_a_finally_failed_part_ends_at_once_and_cancels_the_rest() {
+fn query_with_a_finally_failed_part_ends_at_once_and_cancels_the_others() {
     let mut set = settings(class());
     set.limits.attempts = 1;
     let mut stage = Stage::new(set);
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn nothing_is_sent_to_a_draining_or_gone_server() {
+fn nothing_is_sent_to_a_draining_or_removed_server() {
     let mut stage = Stage::new(settings(class()));
     let drain = ListedServer {
         mode: ServerMode::Draining,
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn an_unsafe_part_is_sent_again_only_when_it_never_ran() {
+fn unsafe_part_is_retried_only_if_it_never_ran() {
     let mut stage = Stage::new(settings(Class {
         repeat: RetrySafety::Unsafe,
         ..class()
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_keyed_part_is_sent_again_only_within_its_window() {
+fn keyed_part_is_retried_only_within_its_window() {
     for (wait, expected) in [(100 * MS, 1), (400 * MS, 0)] {
         let mut stage = Stage::new(settings(Class {
             repeat: RetrySafety::Keyed(300 * MS),
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn further_attempts_stay_within_the_budget() {
+fn retries_and_hedges_stay_within_the_budget() {
     let mut set = settings(class());
     set.limits.budget = Some(Budget {
         window: 10 * AIM,
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn a_cold_server_gets_little_and_is_left_out_rather_than_pushed_over() {
+fn warming_server_gets_little_and_is_skipped_rather_than_overloaded() {
     let mut set = settings(class());
     (set.zone, set.instances) = (9, 10);
     let mut stage = Stage::new(set);
@@ -343,13 +343,13 @@
 }
 
 #[test]
-fn several_further_attempts_of_one_turn_are_counted_each() {
+fn several_retries_of_one_turn_are_counted_each() {
     // 20 parts and their query: 2 + 2.1 allowed.
     assert_eq!(resent_in_one_turn(&mut with_budget(2.0), 20), 4);
 }
 
 #[test]
-fn at_the_edge_of_the_window_attempts_still_count_and_queries_do_not() {
+fn attempts_at_the_window_edge_count_and_queries_do_not() {
     let mut stage = with_budget(2.0);
     assert_eq!(resent_in_one_turn(&mut stage, 4), 2);
     // The next outcomes, two milliseconds on, come just as far after those attempts as the window
@@ -370,7 +370,7 @@
 }
 
 #[test]
-fn a_query_of_which_nothing_is_out_does_not_wait_for_the_budget() {
+fn query_with_nothing_in_flight_does_not_wait_for_the_budget() {
     let mut stage = with_budget(0.0);
     let (id, events) = stage.query(&[0]);
     let (part, server) = sends(&stage.after(MS, events))[0];
@@ -383,7 +383,7 @@
 }
 
 #[test]
-fn an_instance_restarted_tallies_from_its_start() {
+fn restarted_instance_counts_from_its_start() {
     let mut first = with_budget(1.0);
     assert_eq!(resent_in_one_turn(&mut first, 5), 1);
     let mut second = with_budget(1.0);
@@ -395,7 +395,7 @@
 }
 
 #[test]
-fn unsafe_query_is_refused_only_if_no_part_may_have_run() {
+fn unsafe_query_is_rejected_only_if_no_part_may_have_run() {
     use Outcome::{Cancelled, ConnectFailed, Error, Rejected, Reset, Timeout};
     for outcome in [Rejected, ConnectFailed, Error, Timeout, Reset, Cancelled] {
         let mut set = settings(Class {
@@ -509,7 +509,7 @@
 }
 
 #[test]
-fn leaving_server_gets_only_what_no_healthy_replica_takes() {
+fn draining_server_gets_only_what_no_healthy_replica_accepts() {
     let mut stage = Stage::new(settings(class()));
     let leaving = ListedServer {
         mode: ServerMode::Leaving,
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_poison_query_breaks_few_servers_and_its_key_is_not_let_in_again() {
+fn poison_query_crashes_few_servers_and_its_key_is_not_admitted_again() {
     let mut stage = fleet(30, settings(class()));
     for i in 0..20 {
         assert!(play(&mut stage, &[i, i + 1, i + 2], 7, well).1);
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn a_crash_of_servers_is_not_taken_for_poison() {
+fn server_crashes_are_not_taken_for_a_poison_query() {
     let mut stage = fleet(30, settings(class()));
     for i in 0..10 {
         play(&mut stage, &[i, i + 3], 7, well);
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn silence_of_more_than_a_tenth_is_healed_in_time() {
+fn timeouts_of_more_than_a_tenth_recover_in_time() {
     let mut stage = fleet(12, settings(class()));
     for i in 0..24 {
         play(&mut stage, &[i % 12, (i + 4) % 12], 7, well);
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn one_class_left_unanswered_shuts_a_server_out_for_that_class() {
+fn unanswered_class_ejects_a_server_for_that_class() {
     let mut set = settings(class());
     set.classes.push(class());
     let mut stage = Stage::new(set);
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn a_probe_that_passes_does_not_clear_a_silent_server() {
+fn passed_probe_does_not_clear_an_unresponsive_server() {
     let mut stage = fleet(6, settings(class()));
     for i in 0..12 {
         play(&mut stage, &[i % 6], 7, well);
@@ -269,7 +269,7 @@
 }
 
 #[test]
-fn short_patience_gets_a_plan_for_the_time_that_there_is() {
+fn short_client_timeout_gets_a_plan_for_the_remaining_time() {
     let mut stage = Stage::new(settings(class()));
     for _ in 0..20 {
         stage.serve(50 * MS);
@@ -414,7 +414,7 @@
 }
 
 #[test]
-fn instances_just_restarted_do_not_push_a_cold_server_over_in_sum() {
+fn restarted_instances_do_not_overload_a_warming_server_together() {
     let figures = [
         (80, 0.25, 2.5, 2_000),
         (33, 0.16, 2.0, 1_500),
@@ -468,7 +468,7 @@
 }
 
 #[test]
-fn a_fleet_of_three_hundred_sends_only_to_holders() {
+fn fleet_of_three_hundred_sends_only_to_shard_replicas() {
     let mut stage = fleet(300, settings(class()));
     for i in 0..300 {
         let shards: Vec<u32> = (i..i + 20).collect();
@@ -488,7 +488,7 @@
 }
 
 #[test]
-fn a_hung_server_does_not_look_idle_to_admission() {
+fn hung_server_does_not_look_idle_to_admission() {
     let mut stage = fleet(3, settings(class()));
     for _ in 0..30 {
         play(&mut stage, &[0], 7, well);
@@ -607,7 +607,7 @@
 }
 
 #[test]
-fn faults_of_a_seldom_met_server_last_until_its_next_part() {
+fn faults_of_a_rarely_used_server_last_until_its_next_part() {
     let mut stage = ring(60);
     // A sixth of the servers fails all; an instance meets each every ten seconds or so.
     let (mut failed, mut rounds) = (0, 0);
@@ -635,7 +635,7 @@
 }
 
 #[test]
-fn a_copy_goes_to_a_querys_last_part_before_the_first_of_many() {
+fn hedge_goes_to_a_querys_last_part_before_the_first_of_many() {
     let mut stage = ring(24);
     stage.serve(20 * MS);
     // Three places are saved at the start: a silent query of twelve parts takes one, and leaves the
