--- a/emulators/src/fleet_processes.rs
+++ b/emulators/src/fleet_processes.rs
@@ -456,10 +456,10 @@
         grace: Duration,
         which: impl Fn(&Process) -> bool,
     ) -> usize {
-        let (mut ending, rest) = std::mem::take(&mut self.processes)
+        let (mut ending, running) = std::mem::take(&mut self.processes)
             .into_iter()
             .partition::<Vec<_>, _>(which);
-        self.processes = rest;
+        self.processes = running;
         for process in &mut ending {
             send(&mut process.child, signal);
         }
--- a/emulators/src/fleet_processes/demonstration.rs
+++ b/emulators/src/fleet_processes/demonstration.rs
@@ -180,8 +180,8 @@
     while Instant::now() < deadline {
         fleet.check()?;
         for (readiness, front) in fleet.readiness().into_iter().zip(fleet.fronts()) {
-            let answer = Call::get("/readiness").send(readiness, Duration::from_millis(200));
-            if answer.is_ok_and(|answer| answer.status() == 200) {
+            let response = Call::get("/readiness").send(readiness, Duration::from_millis(200));
+            if response.is_ok_and(|response| response.status() == 200) {
                 return Ok(front);
             }
         }
@@ -240,12 +240,12 @@
 fn print_status(fleet: &FleetProcesses, out: &mut impl Write) -> Result<(), DemonstrationError> {
     for control in fleet.control() {
         match Call::get("/status").send(control, Duration::from_millis(300)) {
-            Ok(answer) => {
-                let text = String::from_utf8_lossy(&answer.body);
+            Ok(response) => {
+                let text = String::from_utf8_lossy(&response.body);
                 writeln!(
                     out,
                     "status of {control} ({}): {}",
-                    answer.status(),
+                    response.status(),
                     text.trim_end()
                 )?;
             }
--- a/emulators/src/fleet_processes/tests.rs
+++ b/emulators/src/fleet_processes/tests.rs
@@ -89,15 +89,15 @@
 fn killed_process_keeps_its_disk_until_wiped() {
     let script = Script::new("disk", "echo up; exec sleep 60");
     let mut fleet = FleetProcesses::new(&script.0, 1).expect("a fleet");
-    let kept = fleet.disk(Role::Control, 0).join("kept");
+    let file = fleet.disk(Role::Control, 0).join("kept");
     fleet.start(Role::Control, 0, true).expect("started");
-    std::fs::write(&kept, "state").expect("written");
+    std::fs::write(&file, "state").expect("written");
     fleet.kill(Role::Control, 0);
     fleet.start(Role::Control, 0, false).expect("started");
-    assert!(kept.exists());
+    assert!(file.exists());
     fleet.kill(Role::Control, 0);
     fleet.wipe(Role::Control, 0).expect("wiped");
-    assert!(!kept.exists());
+    assert!(!file.exists());
 }
 
 #[test]
--- a/emulators/src/frames.rs
+++ b/emulators/src/frames.rs
@@ -214,8 +214,8 @@
                     .iter()
                     .any(|l| l.contains(id))
             };
-            let left: Vec<String> = received.into_iter().filter(|id| !done(id)).collect();
-            ledger.cancelled.extend(left);
+            let unfinished: Vec<String> = received.into_iter().filter(|id| !done(id)).collect();
+            ledger.cancelled.extend(unfinished);
         });
     }
 
--- a/emulators/src/model_server/heartbeat.rs
+++ b/emulators/src/model_server/heartbeat.rs
@@ -159,11 +159,11 @@
         loop {
             for address in self.control_machines_in_turn() {
                 let began = Instant::now();
-                let answer = call.send_following(address, ACKNOWLEDGEMENT_TIMEOUT);
-                let answer = answer
+                let response = call.send_following(address, ACKNOWLEDGEMENT_TIMEOUT);
+                let response = response
                     .ok()
-                    .filter(|answer| is_acknowledgement(answer, began.elapsed()));
-                let Some(answer) = answer else {
+                    .filter(|response| is_acknowledgement(response, began.elapsed()));
+                let Some(response) = response else {
                     self.shared
                         .ledger
                         .record("", Event::Unacknowledged(report, address));
@@ -174,7 +174,7 @@
                 self.shared
                     .ledger
                     .record("", Event::Acknowledged(report, address));
-                *lock(&self.preferred) = Some(heartbeat_endpoint(&answer).unwrap_or(address));
+                *lock(&self.preferred) = Some(heartbeat_endpoint(&response).unwrap_or(address));
                 return true;
             }
             if Instant::now() >= deadline || self.shared.is_stopped() {
@@ -198,13 +198,13 @@
     }
 }
 
-fn is_acknowledgement(answer: &Response, took: Duration) -> bool {
-    (200..300).contains(&answer.status())
+fn is_acknowledgement(response: &Response, took: Duration) -> bool {
+    (200..300).contains(&response.status())
         && took <= ACKNOWLEDGEMENT_TIMEOUT
-        && answer.body.len() <= MAX_RESPONSE_BYTES
+        && response.body.len() <= MAX_RESPONSE_BYTES
 }
 
-fn heartbeat_endpoint(answer: &Response) -> Option<SocketAddr> {
-    let body: serde_json::Value = serde_json::from_slice(&answer.body).ok()?;
+fn heartbeat_endpoint(response: &Response) -> Option<SocketAddr> {
+    let body: serde_json::Value = serde_json::from_slice(&response.body).ok()?;
     body.get("heartbeatEndpoint")?.as_str()?.parse().ok()
 }
--- a/emulators/src/model_server/serve.rs
+++ b/emulators/src/model_server/serve.rs
@@ -275,10 +275,10 @@
             Some(Fault::NoLength | Fault::NoLengthReset(_))
         );
         let mut sent_bytes = self.stream_head(request, framed);
-        let late = std::mem::take(&mut self.delayed_response);
+        let delayed_response = std::mem::take(&mut self.delayed_response);
         if self
             .to
-            .write_all(&[late, sent_bytes.clone()].concat())
+            .write_all(&[delayed_response, sent_bytes.clone()].concat())
             .is_err()
         {
             return self.abort(request);
@@ -366,8 +366,8 @@
         };
         let closes = !framed || request.head.closes() || self.shared.is_leaving();
         let identity_fields = self.identity_fields(request);
-        let rest = self.common_fields(closes);
-        format!("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n{identity_fields}{rest}{framing}\r\n")
+        let common_fields = self.common_fields(closes);
+        format!("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n{identity_fields}{common_fields}{framing}\r\n")
             .into_bytes()
     }
 
@@ -427,9 +427,9 @@
     /// Sends a response with a length.
     fn respond(&mut self, status: u16, fields: &str, body: &[u8]) -> Persistence {
         let closes = self.shared.is_leaving();
-        let rest = self.common_fields(closes);
+        let common_fields = self.common_fields(closes);
         let head = format!(
-            "HTTP/1.1 {status} Told\r\n{fields}{rest}Content-Length: {}\r\n\r\n",
+            "HTTP/1.1 {status} Told\r\n{fields}{common_fields}Content-Length: {}\r\n\r\n",
             body.len()
         );
         let bytes = [
@@ -453,10 +453,10 @@
             .deadline
             .map_or(until, |deadline| deadline.min(until));
         thread::sleep(end.saturating_duration_since(Instant::now()));
-        let late = request
+        let deadline_passed = request
             .deadline
             .is_some_and(|deadline| Instant::now() >= deadline);
-        if late || self.shared.is_stopped() || self.is_disconnected() {
+        if deadline_passed || self.shared.is_stopped() || self.is_disconnected() {
             return Some(self.abort(request));
         }
         None
--- a/emulators/src/model_server/tests.rs
+++ b/emulators/src/model_server/tests.rs
@@ -64,29 +64,29 @@
         Ok(Response { head, body })
     }
 
-    fn rest(mut self) -> Vec<u8> {
-        let mut rest = Vec::new();
+    fn read_to_end_of_connection(mut self) -> Vec<u8> {
+        let mut remaining = Vec::new();
         self.0
             .get_mut()
             .shutdown(std::net::Shutdown::Write)
             .expect("shut down");
         // A reset ends it as well.
-        let _ = self.0.read_to_end(&mut rest);
-        rest
+        let _ = self.0.read_to_end(&mut remaining);
+        remaining
     }
 }
 
 #[test]
 fn request_runs_once_and_its_response_carries_its_id() {
     let server = start(quick());
-    let mut kept = KeptAliveConnection::new(&server);
+    let mut connection = KeptAliveConnection::new(&server);
     for attempt in ["a1", "a2"] {
-        kept.write(attempt);
-        let answer = kept.read().expect("an answer");
-        assert_eq!(answer.status(), 200);
-        assert_eq!(answer.head.field("attempt-id"), Some(attempt));
-        assert!(answer.head.field("response-seal").is_some());
-        assert_eq!(answer.head.field("server-load"), Some("1,0,8"));
+        connection.write(attempt);
+        let response = connection.read().expect("an answer");
+        assert_eq!(response.status(), 200);
+        assert_eq!(response.head.field("attempt-id"), Some(attempt));
+        assert!(response.head.field("response-seal").is_some());
+        assert_eq!(response.head.field("server-load"), Some("1,0,8"));
         assert_eq!(server.ledger.runs(attempt), 1);
     }
 }
@@ -99,9 +99,9 @@
         (call("b1").with("Expect-Version", "2"), 421),
         (Call::post("/a/1", "{}"), 400),
     ] {
-        let answer = call.send(server.address, TEST_TIMEOUT).expect("an answer");
-        assert_eq!(answer.status(), status);
-        assert!(answer.head.field("not-executed").is_some());
+        let response = call.send(server.address, TEST_TIMEOUT).expect("an answer");
+        assert_eq!(response.status(), status);
+        assert!(response.head.field("not-executed").is_some());
     }
     server.next_faults([Some(Fault::Rejected(429))]);
     assert_eq!(
@@ -115,11 +115,11 @@
         server.ledger.count(|entry| entry.event == Event::Started),
         0
     );
-    let answer = call("b1")
+    let response = call("b1")
         .with("Target-Instance", "i-1")
         .send(server.address, TEST_TIMEOUT)
         .expect("an answer");
-    assert_eq!(answer.status(), 200);
+    assert_eq!(response.status(), 200);
 }
 
 #[test]
@@ -163,11 +163,11 @@
     let mut first = KeptAliveConnection::new(&server);
     first.write("d1");
     wait_until(|| server.load() == (1, 0));
-    let late = call("d2")
+    let rejected = call("d2")
         .with("Deadline-Ms", 30)
         .send(server.address, TEST_TIMEOUT)
         .expect("an answer");
-    assert_eq!((late.status(), server.ledger.runs("d2")), (503, 0));
+    assert_eq!((rejected.status(), server.ledger.runs("d2")), (503, 0));
 }
 
 #[test]
@@ -196,42 +196,58 @@
 fn bytes_behind_a_response_belong_to_no_request() {
     let server = start(quick());
     server.next_faults([Some(Fault::ExtraResponse), Some(Fault::ExtraBytes), None]);
-    let mut kept = KeptAliveConnection::new(&server);
-    kept.write("f1");
+    let mut connection = KeptAliveConnection::new(&server);
+    connection.write("f1");
     assert_eq!(
-        kept.read().expect("an answer").head.field("attempt-id"),
+        connection
+            .read()
+            .expect("an answer")
+            .head
+            .field("attempt-id"),
         Some("f1")
     );
     assert_eq!(
-        kept.read().expect("one more").head.field("attempt-id"),
+        connection
+            .read()
+            .expect("one more")
+            .head
+            .field("attempt-id"),
         Some("f1")
     );
-    kept.write("f2");
+    connection.write("f2");
     assert_eq!(
-        kept.read().expect("an answer").head.field("attempt-id"),
+        connection
+            .read()
+            .expect("an answer")
+            .head
+            .field("attempt-id"),
         Some("f2")
     );
-    assert_eq!(kept.rest(), b"and so on\r\n");
-    let mut kept = KeptAliveConnection::new(&server);
-    kept.write("f3");
-    assert_eq!(kept.read().expect("an answer").status(), 200);
-    assert!(kept.rest().is_empty());
+    assert_eq!(connection.read_to_end_of_connection(), b"and so on\r\n");
+    let mut connection = KeptAliveConnection::new(&server);
+    connection.write("f3");
+    assert_eq!(connection.read().expect("an answer").status(), 200);
+    assert!(connection.read_to_end_of_connection().is_empty());
 }
 
 #[test]
 fn late_response_precedes_the_next_one() {
     let server = start(quick());
     server.next_faults([Some(Fault::LateResponse)]);
-    let mut kept = KeptAliveConnection::new(&server);
+    let mut connection = KeptAliveConnection::new(&server);
     for (attempt, answered) in [("g1", "g1"), ("g2", "g1")] {
-        kept.write(attempt);
+        connection.write(attempt);
         assert_eq!(
-            kept.read().expect("an answer").head.field("attempt-id"),
+            connection
+                .read()
+                .expect("an answer")
+                .head
+                .field("attempt-id"),
             Some(answered)
         );
     }
     assert_eq!(
-        kept.read().expect("its own").head.field("attempt-id"),
+        connection.read().expect("its own").head.field("attempt-id"),
         Some("g2")
     );
 }
@@ -265,21 +281,30 @@
 fn early_response_keeps_the_connection_in_step() {
     let server = start(quick());
     server.next_faults([Some(Fault::EarlyResponse(503))]);
-    let mut kept = KeptAliveConnection::new(&server);
+    let mut connection = KeptAliveConnection::new(&server);
     let head = "POST /a/1 HTTP/1.1\r\nAttempt-Id: k1\r\nContent-Length: 6\r\n\r\n";
-    kept.0
+    connection
+        .0
         .get_mut()
         .write_all(head.as_bytes())
         .expect("written");
-    let early = kept.read().expect("an answer before the body");
+    let early = connection.read().expect("an answer before the body");
     assert_eq!(
         (early.status(), early.head.field("not-executed")),
         (503, Some("1"))
     );
-    kept.0.get_mut().write_all(b"abcdef").expect("written");
-    kept.write("k2");
+    connection
+        .0
+        .get_mut()
+        .write_all(b"abcdef")
+        .expect("written");
+    connection.write("k2");
     assert_eq!(
-        kept.read().expect("an answer").head.field("attempt-id"),
+        connection
+            .read()
+            .expect("an answer")
+            .head
+            .field("attempt-id"),
         Some("k2")
     );
     assert_eq!([server.ledger.runs("k1"), server.ledger.runs("k2")], [0, 1]);
@@ -321,8 +346,8 @@
     let server = start(quick());
     server.always_fault(Some(Fault::NoResponse));
     let request = StreamRequest::new("a", "/a/1", "m1", 8);
-    let silent = request.send(server.address, Duration::from_millis(50), |_| {});
-    assert_eq!(silent, Err(MessageError::Timeout));
+    let result = request.send(server.address, Duration::from_millis(50), |_| {});
+    assert_eq!(result, Err(MessageError::Timeout));
     wait_until(|| server.ledger.count(|entry| entry.event == Event::Aborted) == 1);
     assert_eq!(server.load(), (0, 0));
 }
@@ -332,9 +357,9 @@
     let mut description = quick();
     description.max_connections = 1;
     let server = start(description);
-    let mut kept = KeptAliveConnection::new(&server);
-    kept.write("n1");
-    assert!(kept.read().is_ok());
+    let mut connection = KeptAliveConnection::new(&server);
+    connection.write("n1");
+    assert!(connection.read().is_ok());
     assert!(call("n2").send(server.address, TEST_TIMEOUT).is_err());
     wait_until(|| {
         server
@@ -415,10 +440,10 @@
     assert!(String::from_utf8_lossy(&calls[1].body).contains("\"draining\""));
     assert_eq!(calls[2].path, "/instances/i-1/deregister");
     // It serves on, and asks callers to leave.
-    let answer = call("o1")
+    let response = call("o1")
         .send(server.address, TEST_TIMEOUT)
         .expect("an answer");
-    assert!(answer.status() == 200 && answer.head.closes());
+    assert!(response.status() == 200 && response.head.closes());
     assert_eq!(
         Call::get("/health")
             .send(server.address, TEST_TIMEOUT)
--- a/emulators/src/operator.rs
+++ b/emulators/src/operator.rs
@@ -73,9 +73,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Entry {
     /// This machine responded to an order with this clear outcome.
-    Answered(Order, SocketAddr, Outcome),
+    Responded(Order, SocketAddr, Outcome),
     /// A machine gave no clear response: a status that asks for a retry, or none at all.
-    NoAnswer(Order, SocketAddr, Option<u16>),
+    NoClearResponse(Order, SocketAddr, Option<u16>),
     /// The order was sent there, and the operator closed the connection before the response.
     Abandoned(Order, SocketAddr),
     /// The configuration read back from there has this version.
@@ -138,7 +138,7 @@
                 .call()
                 .send_following(to, RESPONSE_TIMEOUT)
                 .ok()
-                .map(|answer| answer.status());
+                .map(|response| response.status());
             let outcome = match status {
                 Some(200..=299) => Some(Outcome::Acknowledged),
                 Some(412) => Some(Outcome::OtherVersion),
@@ -150,10 +150,10 @@
                 _ => None,
             };
             if let Some(outcome) = outcome {
-                self.record(Entry::Answered(order.clone(), to, outcome));
+                self.record(Entry::Responded(order.clone(), to, outcome));
                 return outcome;
             }
-            self.record(Entry::NoAnswer(order.clone(), to, status));
+            self.record(Entry::NoClearResponse(order.clone(), to, status));
             if Instant::now() + backoff >= deadline {
                 break;
             }
@@ -191,10 +191,11 @@
         let (deadline, mut backoff) = (Instant::now() + at_most, INITIAL_BACKOFF);
         for turn in 0.. {
             let to = self.control[(first + turn) % self.control.len()];
-            let answer = Call::get("/configuration/describe").send_following(to, RESPONSE_TIMEOUT);
-            if let Some(answer) = answer.ok().filter(|answer| answer.status() == 200) {
-                self.record(Entry::Read(to, document::version(&answer.body)));
-                return Some(answer.body);
+            let response =
+                Call::get("/configuration/describe").send_following(to, RESPONSE_TIMEOUT);
+            if let Some(response) = response.ok().filter(|response| response.status() == 200) {
+                self.record(Entry::Read(to, document::version(&response.body)));
+                return Some(response.body);
             }
             if Instant::now() + backoff >= deadline {
                 return None;
@@ -223,7 +224,7 @@
     let mut newest = 0;
     for entry in entries {
         match entry {
-            Entry::Answered(order, _, Outcome::Acknowledged) => {
+            Entry::Responded(order, _, Outcome::Acknowledged) => {
                 acknowledged.insert(order);
                 newest = newest.max(document::version(order.body.as_bytes()).unwrap_or(0));
                 let orders = by_base.entry(order.base).or_default();
@@ -231,7 +232,7 @@
                     faults.push(Fault::TwoOnOneVersion(order.base));
                 }
             }
-            Entry::Answered(order, ..) if acknowledged.contains(order) => {
+            Entry::Responded(order, ..) if acknowledged.contains(order) => {
                 faults.push(Fault::RefusedAfterAcknowledged(order.clone()));
             }
             Entry::Read(_, version) if version.unwrap_or(0) < newest => {
--- a/emulators/src/operator/scripted_control.rs
+++ b/emulators/src/operator/scripted_control.rs
@@ -117,7 +117,7 @@
             Reply::Close => return,
             // The caller closes the connection after its timeout.
             Reply::NoReply => continue,
-            answer => answer,
+            response => response,
         })
         else {
             return;
@@ -126,11 +126,11 @@
             .iter()
             .map(|(name, value)| format!("{name}: {value}\r\n"))
             .collect();
-        let answer = format!(
+        let response = format!(
             "HTTP/1.1 {status} Told\r\n{fields}Content-Length: {}\r\n\r\n{body}",
             body.len()
         );
-        if to.write_all(answer.as_bytes()).is_err() {
+        if to.write_all(response.as_bytes()).is_err() {
             return;
         }
     }
--- a/emulators/src/operator/tests.rs
+++ b/emulators/src/operator/tests.rs
@@ -77,16 +77,16 @@
     let second = leads(last.address);
     let first = leads(second.address);
     let before = leads(first.address);
-    let answer = order(0, 1)
+    let response = order(0, 1)
         .call()
         .send_following(first.address, RESPONSE_TIMEOUT)
         .expect("an answer");
-    assert_eq!(answer.status(), 200);
-    let answer = order(0, 1)
+    assert_eq!(response.status(), 200);
+    let response = order(0, 1)
         .call()
         .send_following(before.address, RESPONSE_TIMEOUT)
         .expect("an answer");
-    assert_eq!(answer.status(), 307);
+    assert_eq!(response.status(), 307);
 }
 
 #[test]
@@ -132,14 +132,14 @@
 #[test]
 fn planted_faults_are_found() {
     let at = SocketAddr::from(([127, 0, 0, 1], 1));
-    let taken = |order: Order| Entry::Answered(order, at, Outcome::Acknowledged);
+    let taken = |order: Order| Entry::Responded(order, at, Outcome::Acknowledged);
     let two = [taken(order(3, 4)), taken(order(3, 5))];
     assert_eq!(judge(&two), [Fault::TwoOnOneVersion(3)]);
     let repeated = [taken(order(3, 4)), taken(order(4, 6)), taken(order(3, 4))];
     assert!(judge(&repeated).is_empty());
     let refused = [
         taken(order(3, 4)),
-        Entry::Answered(order(3, 4), at, Outcome::OtherVersion),
+        Entry::Responded(order(3, 4), at, Outcome::OtherVersion),
     ];
     assert_eq!(
         judge(&refused),
--- a/emulators/src/rig/tests.rs
+++ b/emulators/src/rig/tests.rs
@@ -21,14 +21,14 @@
 /// The checker is checked: it must find what was planted, and nothing else.
 #[test]
 fn overlapping_holders_and_non_growing_fencing_tokens_are_found() {
-    let held = |at, process, fence: u64| {
+    let acquired = |at, process, fence: u64| {
         entry(
             at,
             process,
             Event::Logged(format!("x: duty d: held under fence {fence}: y")),
         )
     };
-    let over = |at, process, ago: u64| {
+    let released = |at, process, ago: u64| {
         entry(
             at,
             process,
@@ -43,47 +43,60 @@
             .len()
     };
     assert_eq!(
-        judge(&[held(1, 0, 1), over(4, 0, 0), held(5, 1, 2), held(6, 1, 2)]),
+        judge(&[
+            acquired(1, 0, 1),
+            released(4, 0, 0),
+            acquired(5, 1, 2),
+            acquired(6, 1, 2)
+        ]),
         0
     );
     assert_eq!(
-        judge(&[held(1, 0, 1), held(5, 1, 2), over(6, 0, 0)]),
+        judge(&[acquired(1, 0, 1), acquired(5, 1, 2), released(6, 0, 0)]),
         1,
         "two at a time"
     );
     assert_eq!(
-        judge(&[held(1, 0, 1), held(5, 1, 2), over(6, 0, 1_500)]),
+        judge(&[acquired(1, 0, 1), acquired(5, 1, 2), released(6, 0, 1_500)]),
         0,
         "told late"
     );
-    assert_eq!(judge(&[held(1, 0, 1), held(5, 1, 2)]), 1, "and never over");
     assert_eq!(
-        judge(&[held(1, 0, 1), entry(3, 0, Event::Killed), held(5, 1, 2)]),
+        judge(&[acquired(1, 0, 1), acquired(5, 1, 2)]),
+        1,
+        "and never over"
+    );
+    assert_eq!(
+        judge(&[
+            acquired(1, 0, 1),
+            entry(3, 0, Event::Killed),
+            acquired(5, 1, 2)
+        ]),
         0
     );
     assert_eq!(
-        judge(&[held(1, 0, 2), over(4, 0, 0), held(5, 1, 2)]),
+        judge(&[acquired(1, 0, 2), released(4, 0, 0), acquired(5, 1, 2)]),
         1,
         "the same fence"
     );
     assert_eq!(
-        judge(&[held(1, 0, 2), over(4, 0, 0), held(5, 1, 1)]),
+        judge(&[acquired(1, 0, 2), released(4, 0, 0), acquired(5, 1, 1)]),
         1,
         "an older one"
     );
     let stopped = [
-        held(1, 0, 1),
+        acquired(1, 0, 1),
         entry(2, 0, Event::Stopped),
-        held(5, 1, 2),
+        acquired(5, 1, 2),
         entry(8, 0, Event::Continued),
     ];
     assert_eq!(
-        judge(&[&stopped[..], &[over(8, 0, 4_000)]].concat()),
+        judge(&[&stopped[..], &[released(8, 0, 4_000)]].concat()),
         0,
         "it stood still meanwhile"
     );
     assert_eq!(
-        judge(&[&stopped[..], &[over(12, 0, 0)]].concat()),
+        judge(&[&stopped[..], &[released(12, 0, 0)]].concat()),
         1,
         "it did not find out"
     );
@@ -91,12 +104,12 @@
 
 #[test]
 fn unexplained_death_is_found_and_explained_deaths_are_not() {
-    let before = Duration::from_secs(5);
+    let grace = Duration::from_secs(5);
     let start: Vec<Entry> = (0..3)
         .map(|process| entry(0, process, Event::Started))
         .collect();
     let judge = |more: &[Entry]| {
-        let found = judge_deaths(&[&start, more].concat(), 3, before);
+        let found = judge_deaths(&[&start, more].concat(), 3, grace);
         (found.checked, found.wrong.len())
     };
     assert_eq!(judge(&[down(20, 0, 1)]), (1, 1), "nothing had befallen it");
--- a/emulators/src/rig/verdicts.rs
+++ b/emulators/src/rig/verdicts.rs
@@ -219,10 +219,10 @@
                 history.release(process, at.saturating_sub(expired_ago(line)));
             }
             Event::Logged(line) => {
-                let Some(rest) = line.split(&acquired_text).nth(1) else {
+                let Some(after_text) = line.split(&acquired_text).nth(1) else {
                     continue;
                 };
-                let token = rest.split(':').next().and_then(|n| n.parse().ok());
+                let token = after_text.split(':').next().and_then(|n| n.parse().ok());
                 found.checked += 1;
                 if !history.acquire(process, at, token.unwrap_or(0)) {
                     found.wrong.push(entry.clone());
@@ -238,8 +238,8 @@
 
 /// How long before a log line the lease that it names ran out; zero where it doesn't say.
 fn expired_ago(line: &str) -> Duration {
-    let rest = line.split("ran out ").nth(1);
-    let ago_ms = rest.and_then(|rest| rest.split(' ').next()?.parse().ok());
+    let after_text = line.split("ran out ").nth(1);
+    let ago_ms = after_text.and_then(|after_text| after_text.split(' ').next()?.parse().ok());
     Duration::from_millis(ago_ms.unwrap_or(0))
 }
 
--- a/emulators/src/stream_client/message/tests.rs
+++ b/emulators/src/stream_client/message/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use std::io::Cursor;
 
-fn answer(bytes: &str) -> Result<(Head, Vec<u8>), MessageError> {
+fn response(bytes: &str) -> Result<(Head, Vec<u8>), MessageError> {
     let mut from = Cursor::new(bytes.as_bytes().to_vec());
     let head = read_head(&mut from)?.ok_or(MessageError::Truncated)?;
     let body = read_body(&mut from, &head, true)?;
@@ -12,14 +12,14 @@
 
 #[test]
 fn body_ends_by_length_by_chunks_or_with_the_connection() {
-    let by_length = answer("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nabc").expect("whole");
+    let by_length = response("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nabc").expect("whole");
     assert_eq!((by_length.0.status(), by_length.1), (200, b"ab".to_vec()));
-    let by_chunks = answer(
+    let by_chunks = response(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n",
     );
     assert_eq!(by_chunks.expect("whole").1, b"abc");
     assert_eq!(
-        answer("HTTP/1.1 200 OK\r\n\r\nabc").expect("whole").1,
+        response("HTTP/1.1 200 OK\r\n\r\nabc").expect("whole").1,
         b"abc"
     );
 }
@@ -32,7 +32,7 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab",
     ] {
-        assert_eq!(answer(cut), Err(MessageError::Truncated), "{cut:?}");
+        assert_eq!(response(cut), Err(MessageError::Truncated), "{cut:?}");
     }
 }
 
@@ -44,7 +44,7 @@
         "HTTP/1.1 200 OK\r\nno field\r\n\r\n",
     ] {
         assert!(
-            matches!(answer(bytes), Err(MessageError::NotHttp(_))),
+            matches!(response(bytes), Err(MessageError::NotHttp(_))),
             "{bytes:?}"
         );
     }
--- a/soak/src/judge.rs
+++ b/soak/src/judge.rs
@@ -315,7 +315,7 @@
             let order = record.order.clone();
             answered(record)
                 .into_iter()
-                .map(move |(at, outcome)| OperatorEntry::Answered(order.clone(), at, outcome))
+                .map(move |(at, outcome)| OperatorEntry::Responded(order.clone(), at, outcome))
         })
         .collect();
     let mut violations: Vec<Violation> = judge_answers(&entries)
