--- a/experiments/src/cold.rs
+++ b/experiments/src/cold.rs
@@ -1,6 +1,6 @@
-//! What all brokers of a fleet together send to a server that has just started, in virtual time:
-//! its neighbours in the ring drain while it is cold, so that all that its shards ask for may come
-//! to it. Counted against what the settings allow it.
+//! The load that all brokers of a fleet together send to a server in slow start, in virtual time.
+//! Its neighbours in the ring drain while it warms up, so that all requests for its shards may go
+//! to it. Counted against the allowance of the settings.
 
 use lichenswitch::interface::{
     Action, Class, Event, Layout, ListedServer, Micros, Outcome, PartId, QueryId, RetrySafety,
@@ -14,15 +14,16 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-const MS: Micros = 1_000;
-const SECOND: Micros = 1_000 * MS;
+const MILLISECOND: Micros = 1_000;
+const SECOND: Micros = 1_000 * MILLISECOND;
 const START: Time = Time(1_000 * SECOND);
 const CELLS: u32 = 12;
-/// The brokers learn their traffic for so long, and for so long the cold server is looked at; after
-/// the second its neighbours drain.
-const LEARN: Micros = 6 * SECOND;
-const LOOK: Micros = 6 * SECOND;
-const DRAIN: Micros = 2 * SECOND;
+/// How long the brokers learn their traffic before the cold server starts.
+const LEARNING_PERIOD: Micros = 6 * SECOND;
+/// How long the cold server is observed from its start.
+const OBSERVATION_PERIOD: Micros = 6 * SECOND;
+/// From the cold server's start until its neighbours drain.
+const NEIGHBOUR_DRAIN_DELAY: Micros = 2 * SECOND;
 
 /// A fleet and its servers.
 #[derive(Clone, Copy, Debug)]
@@ -63,70 +64,72 @@
     pub served: f64,
 }
 
-/// An answer to come: when, at which broker, of which part and attempt, and from which server.
-type Answer = (Time, usize, u64, u16, u32);
+/// A response in flight: its arrival time, broker, part, attempt and server.
+type PendingResponse = (Time, usize, u64, u16, u32);
 
 struct World {
     brokers: Vec<Coordinator>,
-    answers: BinaryHeap<Reverse<Answer>>,
+    pending_responses: BinaryHeap<Reverse<PendingResponse>>,
     attempts: BTreeMap<u64, u16>,
-    takes: Micros,
-    watched: u32,
-    /// When parts came to the server that is looked at.
-    came: Vec<Time>,
-    answered: usize,
+    service_time: Micros,
+    cold_server: u32,
+    /// When parts arrived at the cold server.
+    cold_arrivals: Vec<Time>,
+    answered_queries: usize,
 }
 
 impl World {
-    fn turn(&mut self, now: Time, broker: usize, events: Vec<Event>) {
-        let mut out = Vec::new();
-        self.brokers[broker].turn(now, events, &mut out);
-        for action in out {
+    fn handle_events(&mut self, now: Time, broker: usize, events: Vec<Event>) {
+        let mut actions = Vec::new();
+        self.brokers[broker].turn(now, events, &mut actions);
+        for action in actions {
             match action {
                 Action::Send { part, server, .. } => {
                     let attempt = self.attempts.entry(part.0).or_insert(0);
-                    let due = now.plus(self.takes);
-                    self.answers
+                    let due = now.plus(self.service_time);
+                    self.pending_responses
                         .push(Reverse((due, broker, part.0, *attempt, server.0)));
                     *attempt += 1;
-                    if server.0 == self.watched {
-                        self.came.push(now);
+                    if server.0 == self.cold_server {
+                        self.cold_arrivals.push(now);
                     }
                 }
-                Action::Answer { .. } => self.answered += 1,
+                Action::Answer { .. } => self.answered_queries += 1,
                 _ => {}
             }
         }
     }
 
-    fn list(&mut self, now: Time, lines: &[ListedServer], whole: bool) {
+    fn update_servers(&mut self, now: Time, lines: &[ListedServer], is_complete: bool) {
         for broker in 0..self.brokers.len() {
             let lines = lines.to_vec();
-            let news = if whole {
+            let update = if is_complete {
                 ServerListUpdate::Complete(lines)
             } else {
                 ServerListUpdate::Changes(lines)
             };
-            self.turn(now, broker, vec![Event::List(news)]);
+            self.handle_events(now, broker, vec![Event::List(update)]);
         }
     }
 
-    /// Answers and wake-ups up to a time.
-    fn until(&mut self, at: Time) {
-        while let Some(&Reverse((due, broker, part, attempt, server))) = self.answers.peek() {
+    /// Delivers the responses that are due by a time.
+    fn deliver_responses_until(&mut self, at: Time) {
+        while let Some(&Reverse((due, broker, part, attempt, server))) =
+            self.pending_responses.peek()
+        {
             if due > at {
                 return;
             }
-            self.answers.pop();
+            self.pending_responses.pop();
             let (part, server, outcome) = (PartId(part), ServerId(server), Outcome::Ok);
             let finished = Event::Finished {
                 part,
                 attempt,
                 server,
                 outcome,
-                elapsed: self.takes,
+                elapsed: self.service_time,
             };
-            self.turn(due, broker, vec![finished]);
+            self.handle_events(due, broker, vec![finished]);
         }
     }
 }
@@ -140,7 +143,7 @@
 
 fn settings(plan: &Plan) -> Settings {
     let class = Class {
-        latency_target: 1_500 * MS,
+        latency_target: 1_500 * MILLISECOND,
         deadline: 4 * SECOND,
         repeat: RetrySafety::Safe,
         late_share: 0.1,
@@ -166,36 +169,36 @@
     set.limits.attempts = 4;
     set.limits.cancel = true;
     set.limits.second_copies = true;
-    set.resolution = 5 * MS;
+    set.resolution = 5 * MILLISECOND;
     set
 }
 
-/// Plays one start: what came beyond the allowance in the worst window in roots of that allowance,
-/// whether that broke the rule, what came as a share of the allowance, and the share of the queries
-/// that were answered.
+/// Simulates one start. Returns the excess over the allowance in the worst window (in roots of the
+/// allowance), whether that broke the rule, the parts that arrived as a share of the allowance, and
+/// the share of the queries that were answered.
 #[expect(
     clippy::too_many_lines,
     reason = "an experiment is read from top to bottom"
 )]
-fn play(seed: u64, plan: &Plan) -> (f64, bool, f64, f64) {
-    let mut dice = Xoshiro256PlusPlus::seed_from_u64(seed);
+fn simulate_start(seed: u64, plan: &Plan) -> (f64, bool, f64, f64) {
+    let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
     let capacity = plan.capacity;
     let set = settings(plan);
     let brokers: Vec<Coordinator> = (0..plan.brokers)
         .map(|i| Coordinator::new(seed << 16 | u64::from(i), set.clone()))
         .collect();
-    let takes = (f64::from(plan.cores) / capacity * 1e6) as Micros;
+    let service_time = (f64::from(plan.cores) / capacity * 1e6) as Micros;
     let mut world = World {
         brokers,
-        answers: BinaryHeap::new(),
+        pending_responses: BinaryHeap::new(),
         attempts: BTreeMap::new(),
-        takes,
-        watched: CELLS,
-        came: Vec::new(),
-        answered: 0,
+        service_time,
+        cold_server: CELLS,
+        cold_arrivals: Vec::new(),
+        answered_queries: 0,
     };
     let skew = LogNormal::new(0.0, if plan.uneven { 1.0 } else { 0.05 }).expect("a sound spread");
-    let weights: Vec<f64> = (0..plan.brokers).map(|_| skew.sample(&mut dice)).collect();
+    let weights: Vec<f64> = (0..plan.brokers).map(|_| skew.sample(&mut rng)).collect();
     let sum: f64 = weights.iter().sum();
     let parts = 3;
     let rate = capacity * plan.load * f64::from(CELLS) / f64::from(parts);
@@ -211,15 +214,18 @@
         .map(|id| line(id, ServerMode::Ready, None))
         .collect();
     let mut now = START;
-    world.list(now, &all, true);
-    let (begun, end) = (START.plus(LEARN), START.plus(LEARN + LOOK));
-    let (mut replaced, mut drained, mut next, mut asked) = (false, false, 1_u64, 0);
+    world.update_servers(now, &all, true);
+    let (begun, end) = (
+        START.plus(LEARNING_PERIOD),
+        START.plus(LEARNING_PERIOD + OBSERVATION_PERIOD),
+    );
+    let (mut replaced, mut drained, mut next, mut query_count) = (false, false, 1_u64, 0);
     while now < end {
-        now = now.plus((gap.sample(&mut dice) as Micros).max(1));
-        world.until(now);
+        now = now.plus((gap.sample(&mut rng) as Micros).max(1));
+        world.deliver_responses_until(now);
         if !replaced && now >= begun {
             replaced = true;
-            world.list(
+            world.update_servers(
                 now,
                 &[
                     line(0, ServerMode::Gone, None),
@@ -228,23 +234,23 @@
                 false,
             );
         }
-        if !drained && now >= begun.plus(DRAIN) {
+        if !drained && now >= begun.plus(NEIGHBOUR_DRAIN_DELAY) {
             drained = true;
             let neighbours = [
                 line(1, ServerMode::Draining, None),
                 line(CELLS - 1, ServerMode::Draining, None),
             ];
-            world.list(now, &neighbours, false);
+            world.update_servers(now, &neighbours, false);
         }
-        let mut place = dice.random::<f64>() * sum;
+        let mut sample = rng.random::<f64>() * sum;
         let broker = weights.iter().position(|w| {
-            place -= w;
-            place < 0.0
+            sample -= w;
+            sample < 0.0
         });
         let broker = broker.unwrap_or(0);
-        let (id, first) = (next, dice.random_range(0..2 * CELLS));
+        let (id, first) = (next, rng.random_range(0..2 * CELLS));
         next += 8;
-        asked += 1;
+        query_count += 1;
         let (query, number, deadline) = (QueryId(id), id as u32, now.plus(4 * SECOND));
         let mut events = vec![Event::Query {
             query,
@@ -261,18 +267,18 @@
             shard: Shard((first + i) % (2 * CELLS)),
             weight: 1.0 / f64::from(parts),
         }));
-        world.turn(now, broker, events);
+        world.handle_events(now, broker, events);
         // Whoever waits for an allowance looks at it now and then.
         if next % 64 < 8 {
-            (0..world.brokers.len()).for_each(|b| world.turn(now, b, vec![Event::Wake]));
+            (0..world.brokers.len()).for_each(|b| world.handle_events(now, b, vec![Event::Wake]));
         }
     }
     let level = |at: Time| {
         plan.share() + (1.0 - plan.share()) * at.since(begun) as f64 / (18 * SECOND) as f64
     };
     let (mut worst, mut broken, mut from) = (-capacity.sqrt(), false, 0);
-    for (i, &at) in world.came.iter().enumerate() {
-        while world.came[from].plus(SECOND) < at {
+    for (i, &at) in world.cold_arrivals.iter().enumerate() {
+        while world.cold_arrivals[from].plus(SECOND) < at {
             from += 1;
         }
         // The allowance of the window's beginning, the least of it.
@@ -281,27 +287,33 @@
         worst = worst.max((sent - allowed) / allowed.sqrt());
         broken |= sent > allowed + 2.0 * allowed.sqrt() + 2.0;
     }
-    let mean = capacity * plan.multiple * level(begun.plus(LOOK / 2)) * LOOK as f64 / 1e6;
+    let mean = capacity
+        * plan.multiple
+        * level(begun.plus(OBSERVATION_PERIOD / 2))
+        * OBSERVATION_PERIOD as f64
+        / 1e6;
     (
         worst,
         broken,
-        world.came.len() as f64 / mean,
-        world.answered as f64 / f64::from(asked),
+        world.cold_arrivals.len() as f64 / mean,
+        world.answered_queries as f64 / f64::from(query_count),
     )
 }
 
 /// The worst of so many seeds.
 #[must_use]
 pub fn worst(seed: u64, seeds: u64, plan: &Plan) -> Figures {
-    let played: Vec<_> = (seed..seed + seeds).map(|seed| play(seed, plan)).collect();
+    let results: Vec<_> = (seed..seed + seeds)
+        .map(|seed| simulate_start(seed, plan))
+        .collect();
     Figures {
         brokers: plan.brokers,
         budget: plan.budget,
         uneven: plan.uneven,
-        worst: played.iter().map(|p| p.0).fold(f64::MIN, f64::max),
-        broken: played.iter().filter(|p| p.1).count(),
-        got: played.iter().map(|p| p.2).sum::<f64>() / seeds as f64,
-        served: played.iter().map(|p| p.3).sum::<f64>() / seeds as f64,
+        worst: results.iter().map(|p| p.0).fold(f64::MIN, f64::max),
+        broken: results.iter().filter(|p| p.1).count(),
+        got: results.iter().map(|p| p.2).sum::<f64>() / seeds as f64,
+        served: results.iter().map(|p| p.3).sum::<f64>() / seeds as f64,
     }
 }
 
@@ -341,15 +353,15 @@
 /// The figures as a table.
 #[must_use]
 pub fn table(all: &[Figures]) -> String {
-    let mut out = format!(
+    let mut actions = format!(
         "{:>8} {:>8} {:>7} {:>7} {:>7} {:>7} {:>7}\n",
         "brokers", "budget", "uneven", "worst", "broken", "got", "served"
     );
     for f in all {
-        out += &format!(
+        actions += &format!(
             "{:>8} {:>8} {:>7} {:>7.2} {:>7} {:>7.2} {:>7.3}\n",
             f.brokers, f.budget, f.uneven, f.worst, f.broken, f.got, f.served
         );
     }
-    out
+    actions
 }
