--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,16 +1,19 @@
-//! A small stage for the module: settings, a clock, and shorthands for events and actions.
+//! Test support for the decision module: settings, a virtual clock, and constructors of events and
+//! actions.
 #![allow(dead_code)]
 
 use lichenswitch::interface::*;
 use lichenswitch::policy::Coordinator;
 
+/// A millisecond in microseconds.
 pub const MS: Micros = 1_000;
-pub const AIM: Micros = 1_000 * MS;
+/// Latency target of [`class`], in microseconds.
+pub const LATENCY_TARGET: Micros = 1_000 * MS;
 
 pub fn class() -> Class {
     Class {
-        latency_target: AIM,
-        deadline: 4 * AIM,
+        latency_target: LATENCY_TARGET,
+        deadline: 4 * LATENCY_TARGET,
         repeat: RetrySafety::Safe,
         value: 1.0,
         late_share: 0.2,
@@ -119,7 +122,7 @@
         let id = self.next;
         self.next += 1 + shards.len() as u64;
         let number = id as u32;
-        let deadline = self.now.plus(4 * AIM);
+        let deadline = self.now.plus(4 * LATENCY_TARGET);
         let mut events = vec![Event::Query {
             query: QueryId(id),
             number,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{class, sends, settings, Stage, AIM, MS};
+use common::{class, sends, settings, Stage, LATENCY_TARGET, MS};
 use lichenswitch::interface::*;
 use lichenswitch::policy::Coordinator;
 use std::cmp::Reverse;
@@ -372,10 +372,10 @@
         query: QueryId(id),
         whole: false,
     }) {
-        assert!(stage.now.since(begun) < AIM, "never closed");
+        assert!(stage.now.since(begun) < LATENCY_TARGET, "never closed");
         out = stage.after(step, vec![Event::Wake]);
     }
-    stage.now.since(begun) as f64 / AIM as f64
+    stage.now.since(begun) as f64 / LATENCY_TARGET as f64
 }
 
 #[test]
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -258,7 +258,7 @@
             continue;
         }
         late = Some(server);
-        let mut out = stage.after(AIM / 2, vec![Event::Wake]);
+        let mut out = stage.after(LATENCY_TARGET / 2, vec![Event::Wake]);
         let copy = sends(&out)[0].1;
         out.extend(stage.after(
             20 * MS,
@@ -269,12 +269,12 @@
             0,
             server,
             Outcome::Cancelled,
-            AIM / 2,
+            LATENCY_TARGET / 2,
         )]));
         let told = |a: &Action| matches!(a, Action::Log(line) if line.ends_with("suspected"));
         suspected.push(out.iter().any(told));
         // What is still counted against it as pending ends meanwhile.
-        stage.after(3 * AIM, vec![Event::Wake]);
+        stage.after(3 * LATENCY_TARGET, vec![Event::Wake]);
     }
     assert_eq!(suspected, [false, true]);
 }
@@ -406,7 +406,7 @@
         (0..30).for_each(|_| stage.serve(took));
         let (_, events) = stage.query(&[0]);
         assert_eq!(sends(&stage.turn(events)).len(), 1);
-        sends(&stage.after(AIM / 2, vec![Event::Wake])).len()
+        sends(&stage.after(LATENCY_TARGET / 2, vec![Event::Wake])).len()
     };
     assert_eq!(
         copies(200 * MS),
@@ -577,9 +577,10 @@
             turned_away += finals(&out).len();
             open.extend(sends(&out));
         }
-        stage.after(AIM, vec![Event::Wake]);
-        let end =
-            |&(part, server): &(u64, ServerId)| finished(part, 0, server, Outcome::Timeout, AIM);
+        stage.after(LATENCY_TARGET, vec![Event::Wake]);
+        let end = |&(part, server): &(u64, ServerId)| {
+            finished(part, 0, server, Outcome::Timeout, LATENCY_TARGET)
+        };
         stage.after(MS, open.iter().map(end).collect());
     }
     assert!(
--- a/tests/ordinary_path.rs
+++ b/tests/ordinary_path.rs
@@ -67,19 +67,25 @@
     let (id, events) = stage.query(&[0]);
     let first = sends(&stage.turn(events))[0];
     assert!(
-        sends(&stage.after(AIM / 2 - MS, vec![Event::Wake])).is_empty(),
+        sends(&stage.after(LATENCY_TARGET / 2 - MS, vec![Event::Wake])).is_empty(),
         "not before half the aim"
     );
     let copy = sends(&stage.after(MS, vec![Event::Wake]));
     assert_eq!(copy.len(), 1);
     assert_ne!(copy[0].1, first.1, "on another replica");
     assert!(
-        sends(&stage.after(AIM / 4, vec![Event::Wake])).is_empty(),
+        sends(&stage.after(LATENCY_TARGET / 4, vec![Event::Wake])).is_empty(),
         "only once"
     );
     let end = stage.after(
         MS,
-        vec![finished(id + 1, 1, copy[0].1, Outcome::Ok, AIM / 4)],
+        vec![finished(
+            id + 1,
+            1,
+            copy[0].1,
+            Outcome::Ok,
+            LATENCY_TARGET / 4,
+        )],
     );
     assert!(end.contains(&Action::Cancel {
         part: PartId(id + 1),
@@ -100,9 +106,9 @@
         let id = sends(&stage.turn(events)).first().copied();
         let Some((part, server)) = id else { continue };
         sent += 1;
-        let late = stage.after(AIM / 2, vec![Event::Wake]);
+        let late = stage.after(LATENCY_TARGET / 2, vec![Event::Wake]);
         copies += sends(&late).len();
-        let mut ends = vec![finished(part, 0, server, Outcome::Ok, AIM / 2)];
+        let mut ends = vec![finished(part, 0, server, Outcome::Ok, LATENCY_TARGET / 2)];
         ends.extend(
             sends(&late)
                 .iter()
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -135,12 +135,12 @@
     });
     set.layout.width = 2;
     set.limits.budget = Some(Budget {
-        window: 2 * AIM,
+        window: 2 * LATENCY_TARGET,
         least: 2.0,
         share: 0.2,
     });
     let mut referee = Referee::default();
-    let mut now = Time(50 * AIM);
+    let mut now = Time(50 * LATENCY_TARGET);
     let mut broker = Coordinator::new(seed, set.clone());
     let mut all = Vec::new();
     let mut next = 1u64;
@@ -152,7 +152,7 @@
         match step {
             Step::Query(shards) => {
                 let (id, number) = (next, next as u32);
-                let deadline = now.plus(3 * AIM);
+                let deadline = now.plus(3 * LATENCY_TARGET);
                 events.push(Event::Query {
                     query: QueryId(id),
                     number,
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -17,10 +17,10 @@
     let mut stage = Stage::new(settings(class()));
     let (id, events) = stage.query(&[0, 1]);
     stage.turn(events);
-    let mut before = wakes_until_the_end(&mut stage, 4 * AIM - MS);
+    let mut before = wakes_until_the_end(&mut stage, 4 * LATENCY_TARGET - MS);
     before.extend(stage.after(8 * MS, vec![Event::Wake]));
     assert_eq!(finals(&before), [(id, false)]);
-    let after = wakes_until_the_end(&mut stage, AIM);
+    let after = wakes_until_the_end(&mut stage, LATENCY_TARGET);
     assert!(finals(&after).is_empty() && sends(&after).is_empty());
 }
 
@@ -126,12 +126,18 @@
     ));
     assert_eq!(again.len(), 1, "a rejected part never ran");
     assert!(
-        sends(&stage.after(AIM, vec![Event::Wake])).is_empty(),
+        sends(&stage.after(LATENCY_TARGET, vec![Event::Wake])).is_empty(),
         "never copied"
     );
     let out = stage.after(
         MS,
-        vec![finished(first.0, 1, again[0].1, Outcome::Reset, AIM)],
+        vec![finished(
+            first.0,
+            1,
+            again[0].1,
+            Outcome::Reset,
+            LATENCY_TARGET,
+        )],
     );
     assert!(
         out.contains(&Action::Fail(QueryId(id))),
@@ -160,7 +166,7 @@
 fn retries_and_hedges_stay_within_the_budget() {
     let mut set = settings(class());
     set.limits.budget = Some(Budget {
-        window: 10 * AIM,
+        window: 10 * LATENCY_TARGET,
         least: 2.0,
         share: 0.0,
     });
@@ -249,7 +255,10 @@
             None,
             "a whole answer may still come"
         );
-        assert_eq!(answer_of(&stage.after(AIM, vec![Event::Wake])), expected);
+        assert_eq!(
+            answer_of(&stage.after(LATENCY_TARGET, vec![Event::Wake])),
+            expected
+        );
     }
 }
 
@@ -287,7 +296,10 @@
 
 #[test]
 fn query_worthless_after_its_target_ends_there() {
-    for (late_share, last) in [(0.0, AIM), (0.1, AIM + 3 * AIM / 10)] {
+    for (late_share, last) in [
+        (0.0, LATENCY_TARGET),
+        (0.1, LATENCY_TARGET + 3 * LATENCY_TARGET / 10),
+    ] {
         let mut stage = Stage::new(settings(Class {
             late_share,
             ..class()
@@ -323,7 +335,7 @@
 fn with_budget(least: f64) -> Stage {
     let mut set = settings(class());
     set.limits.budget = Some(Budget {
-        window: 10 * AIM,
+        window: 10 * LATENCY_TARGET,
         least,
         share: 0.1,
     });
@@ -354,7 +366,7 @@
     assert_eq!(resent_in_one_turn(&mut stage, 4), 2);
     // The next outcomes, two milliseconds on, come just as far after those attempts as the window
     // is long.
-    stage.after(10 * AIM - 2 * MS, vec![Event::Wake]);
+    stage.after(10 * LATENCY_TARGET - 2 * MS, vec![Event::Wake]);
     let (_, events) = stage.query(&[0, 0]);
     let (part, server) = sends(&stage.after(MS, events))[0];
     let out = stage.after(MS, vec![finished(part, 0, server, Outcome::Error, MS)]);
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -195,7 +195,7 @@
             7,
             mute,
         );
-        late += usize::from(!answered || stage.now.since(began) > AIM);
+        late += usize::from(!answered || stage.now.since(began) > LATENCY_TARGET);
     }
     assert!(
         late <= 3,
@@ -215,7 +215,7 @@
         let server = sends(&stage.turn(events))[0].1;
         sent[usize::from(i % 2)][server.0 as usize] += 1;
         if server.0 == 1 && i % 2 == 1 {
-            let copies = sends(&stage.after(AIM / 2, vec![Event::Wake]));
+            let copies = sends(&stage.after(LATENCY_TARGET / 2, vec![Event::Wake]));
             assert_eq!(copies.len(), 1, "a silent part is copied");
             let copy = copies[0].1;
             stage.after(
@@ -227,7 +227,7 @@
                 0,
                 server,
                 Outcome::Cancelled,
-                AIM / 2,
+                LATENCY_TARGET / 2,
             )]);
         } else {
             stage.after(
@@ -315,7 +315,7 @@
         line(2, 1),
         line(3, 2),
     ]))]);
-    stage.now = stage.now.plus(AIM);
+    stage.now = stage.now.plus(LATENCY_TARGET);
     stage.serve(320 * MS);
     let (_, mut events) = stage.query(&[0]);
     with_key(&mut events, 5, marked);
@@ -363,7 +363,7 @@
             &mut out,
         );
         let ask = |id: u64, now: Time| {
-            let deadline = now.plus(4 * AIM);
+            let deadline = now.plus(4 * LATENCY_TARGET);
             let query = Event::Query {
                 query: QueryId(id),
                 number: id as u32,
@@ -530,7 +530,7 @@
     let mut set = settings(class());
     set.layout.parts_a_call = 1;
     set.limits.budget = Some(Budget {
-        window: 10 * AIM,
+        window: 10 * LATENCY_TARGET,
         least: 1_000.0,
         share: 1.0,
     });
@@ -549,7 +549,7 @@
                 );
                 continue;
             }
-            let copy = sends(&stage.after(AIM / 2, vec![Event::Wake]));
+            let copy = sends(&stage.after(LATENCY_TARGET / 2, vec![Event::Wake]));
             copies += copy.len();
             let other = copy.first().map(|&(_, server)| server);
             let ends = match other {
@@ -558,14 +558,27 @@
                         50 * MS,
                         vec![finished(id + 1, 1, other, Outcome::Ok, 50 * MS)],
                     );
-                    vec![finished(id + 1, 0, first, Outcome::Cancelled, AIM * 6 / 10)]
+                    vec![finished(
+                        id + 1,
+                        0,
+                        first,
+                        Outcome::Cancelled,
+                        LATENCY_TARGET * 6 / 10,
+                    )]
                 }
                 _ => {
                     stage.after(
-                        AIM / 10,
-                        vec![finished(id + 1, 0, first, Outcome::Ok, AIM * 6 / 10)],
+                        LATENCY_TARGET / 10,
+                        vec![finished(
+                            id + 1,
+                            0,
+                            first,
+                            Outcome::Ok,
+                            LATENCY_TARGET * 6 / 10,
+                        )],
                     );
-                    let withdrawn = |s| finished(id + 1, 1, s, Outcome::Cancelled, AIM / 10);
+                    let withdrawn =
+                        |s| finished(id + 1, 1, s, Outcome::Cancelled, LATENCY_TARGET / 10);
                     other.map(withdrawn).into_iter().collect()
                 }
             };
@@ -642,10 +655,10 @@
     // rest.
     let (_, wide) = stage.query(&(0..12).collect::<Vec<_>>());
     stage.turn(wide);
-    let wide = sends(&stage.after(AIM / 2, vec![Event::Wake])).len();
+    let wide = sends(&stage.after(LATENCY_TARGET / 2, vec![Event::Wake])).len();
     let (_, narrow) = stage.query(&[18]);
     stage.turn(narrow);
-    let narrow = sends(&stage.after(AIM / 2, vec![Event::Wake]));
+    let narrow = sends(&stage.after(LATENCY_TARGET / 2, vec![Event::Wake]));
     assert!(
         wide <= 2,
         "{wide} copies for a query that lacks all its parts"
