--- a/simulator/src/world/act.rs
+++ b/simulator/src/world/act.rs
@@ -1,4 +1,4 @@
-//! Faults, as they come about.
+//! How each fault begins and ends.
 
 use std::collections::BTreeSet;
 
@@ -9,17 +9,17 @@
 use crate::disk::DiskFault;
 use crate::network::{Harm, Host};
 
-/// `gracePeriodS`, with half a second to spare.
-const GRACE: u64 = 7_500_000;
-/// A machine without power has it again after this and up to as much more.
-const POWER_RETURNS: u64 = 700_000;
+/// `gracePeriodS` with half a second to spare, in microseconds.
+const GRACE_PERIOD_US: u64 = 7_500_000;
+/// Least time without power, in microseconds; up to as much again is added at random.
+const POWER_RETURN_DELAY_US: u64 = 700_000;
 
 impl World {
     #[expect(clippy::too_many_lines, reason = "one arm for each action")]
     pub(super) fn act(&mut self, action: Action) {
-        self.last_fault_at = self.now();
+        self.last_fault_change_at = self.now();
         self.counts.faults += 1;
-        self.record(|| format!("== {action}"));
+        self.note(|| format!("== {action}"));
         match action {
             Action::Kill(target) => self.each(&[target], |world, host| world.kill(host)),
             Action::PowerLoss(target) => {
@@ -50,14 +50,14 @@
                 targets,
                 kind,
                 duration,
-                satisfies,
+                holds,
                 callers_bound,
             } => {
-                self.cut(&targets, kind, duration, satisfies, callers_bound);
+                self.cut(&targets, kind, duration, holds, callers_bound);
             }
             Action::Disk(target, fault, duration) => {
                 self.each(&[target], |world, host| {
-                    world.fault_disk(host, fault, duration)
+                    world.start_disk_fault(host, fault, duration)
                 });
             }
             Action::KillAll => self.core().into_iter().for_each(|host| self.kill(host)),
@@ -128,7 +128,7 @@
 
     fn lose_power(&mut self, host: Host, duration: Option<u64>) {
         self.stop(host, true);
-        let usual = POWER_RETURNS + self.random.u64(0..POWER_RETURNS);
+        let usual = POWER_RETURN_DELAY_US + self.random.u64(0..POWER_RETURN_DELAY_US);
         self.scheduler
             .after(duration.unwrap_or(usual), Event::Start(host));
     }
@@ -153,9 +153,9 @@
         };
         machine.after_end = after_end;
         if let Some(process) = &mut machine.process {
-            process.on_terminate(now, now.after(GRACE));
+            process.on_terminate(now, now.after(GRACE_PERIOD_US));
         }
-        self.deliver_pending(host);
+        self.settle(host);
     }
 
     fn freeze(&mut self, host: Host, duration: u64) {
@@ -181,13 +181,13 @@
         self.wake_machine(host);
     }
 
-    fn fault_disk(&mut self, host: Host, fault: DiskFault, duration: u64) {
-        self.set_disk(host, fault);
+    fn start_disk_fault(&mut self, host: Host, fault: DiskFault, duration: u64) {
+        self.set_disk_fault(host, fault);
         self.scheduler
             .after(duration, Event::Undo(Undo::Disk(host)));
     }
 
-    fn set_disk(&mut self, host: Host, fault: DiskFault) {
+    fn set_disk_fault(&mut self, host: Host, fault: DiskFault) {
         let Some(machine) = self.machines.get_mut(&host) else {
             return;
         };
@@ -213,7 +213,7 @@
         targets: &[Target],
         kind: CutKind,
         duration: u64,
-        satisfies: bool,
+        holds: bool,
         callers_bound: u32,
     ) {
         let side: BTreeSet<Host> = self.resolve_all(targets).into_iter().collect();
@@ -224,10 +224,10 @@
             .collect();
         let mut links = links_between(&side, &rest, kind);
         for caller in self.callers() {
-            let random_share = self.random.u32(0..100);
-            let beyond = match random_share {
-                _ if random_share < callers_bound => &rest,
-                _ if random_share < 2 * callers_bound => &side,
+            let percentile = self.random.u32(0..100);
+            let beyond = match percentile {
+                _ if percentile < callers_bound => &rest,
+                _ if percentile < 2 * callers_bound => &side,
                 _ => continue,
             };
             links.extend(
@@ -236,7 +236,7 @@
                     .flat_map(|host| [(caller, *host), (*host, caller)]),
             );
         }
-        let id = self.network.cut(links, satisfies);
+        let id = self.network.cut(links, holds);
         self.scheduler.after(duration, Event::Undo(Undo::Heal(id)));
     }
 
@@ -253,8 +253,8 @@
 
     pub(super) fn undo(&mut self, undo: Undo) {
         let now: Time = self.now();
-        self.last_fault_at = now;
-        self.record(|| format!("== end of {undo:?}"));
+        self.last_fault_change_at = now;
+        self.note(|| format!("== end of {undo:?}"));
         match undo {
             Undo::Thaw(host) => self.thaw(host),
             Undo::Heal(id) => {
@@ -262,7 +262,7 @@
                     self.scheduler.at(arrival.at, Event::Arrive(arrival));
                 }
             }
-            Undo::Disk(host) => self.set_disk(host, DiskFault::None),
+            Undo::Disk(host) => self.set_disk_fault(host, DiskFault::None),
             Undo::Harm => {
                 self.harmed = false;
                 self.network.set_harm(Harm::default());
--- a/simulator/src/world/action.rs
+++ b/simulator/src/world/action.rs
@@ -5,7 +5,7 @@
 use crate::disk::DiskFault;
 use crate::network::{Harm, Host};
 
-/// Which machine a fault is for; settled when it comes about.
+/// The machine that a fault applies to; resolved when the fault begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
     /// The primary.
@@ -59,11 +59,11 @@
         /// For how long.
         duration: u64,
         /// What is sent meanwhile comes at the end.
-        satisfies: bool,
+        holds: bool,
         /// Of 100 callers, so many reach only the targets, and as many only the rest.
         callers_bound: u32,
     },
-    /// A disk is in trouble for so long.
+    /// A disk is faulty for so long.
     Disk(Target, DiskFault, u64),
     /// All processes are killed.
     KillAll,
--- a/simulator/src/world/machine.rs
+++ b/simulator/src/world/machine.rs
@@ -18,7 +18,7 @@
 /// A control machine.
 #[expect(
     clippy::struct_excessive_bools,
-    reason = "what may befall a machine comes in any combination"
+    reason = "the conditions of a machine occur in any combination"
 )]
 pub(super) struct Machine {
     pub(super) host: Host,
--- a/simulator/src/world/machines.rs
+++ b/simulator/src/world/machines.rs
@@ -1,4 +1,5 @@
-//! Control machines: their start and end, what comes to them, and what their processes want done.
+//! Control machines: their start and end, the events that reach them, and the effects that their
+//! processes request.
 
 use lichenswitch_replication::{
     DurableItem, Identity, Member, Notice, Position, RecoverError, Recovered, Replica, Settings,
@@ -8,19 +9,20 @@
 use super::machine::{AfterEnd, Machine};
 use super::{Event, World, FIRST_MACHINE};
 use crate::control::{ControlProcess, Effect, Replicated};
-use crate::disk::Finished;
-use crate::ledger::Violation;
+use crate::disk::BatchOutcome;
 use crate::network::{Arrival, Host};
+use crate::oracle::Violation;
 use crate::packet::{CallId, Packet, Reply};
 
 /// Zones of the machines.
 const ZONES: u32 = 4;
 /// All machines start within so many microseconds.
-const START_SPREAD: u64 = 300_000;
+const START_SPREAD_US: u64 = 300_000;
 /// Machines that `seedNodes` names.
 const SEEDS: usize = 3;
-/// A process that was killed is started again after this and up to as much more.
-const RESTART: u64 = 150_000;
+/// Least time before a killed process restarts, in microseconds; up to twice as much is added at
+/// random.
+const RESTART_DELAY_US: u64 = 150_000;
 
 impl World {
     pub(super) fn set_up_machines(&mut self) {
@@ -43,14 +45,14 @@
             if let Some(machine) = self.machines.get_mut(host) {
                 machine.seeds.clone_from(&seeds);
             }
-            let after = self.random.u64(0..START_SPREAD);
+            let after = self.random.u64(0..START_SPREAD_US);
             self.scheduler.after(after, Event::Start(*host));
         }
         self.lists.push_back((self.now(), hosts));
     }
 
     fn add_machine(&mut self, host: Host, zone: u32, first_start: bool) {
-        self.network.position(host, zone);
+        self.network.place(host, zone);
         self.machines
             .insert(host, Machine::new(host, zone, first_start));
     }
@@ -109,12 +111,12 @@
             Ok(replica) => replica,
             Err(reason) => {
                 return self
-                    .ledger
+                    .oracle
                     .violations
                     .push(Violation::DiskUnreadable(host, reason.to_string()))
             }
         };
-        self.last_fault_at = now;
+        self.last_fault_change_at = now;
         let (glue, tolerated) = (self.settings.glue, self.settings.tolerate);
         let Some(machine) = self.machines.get_mut(&host) else {
             return;
@@ -132,8 +134,8 @@
         }
         machine.process = Some(process);
         self.notify_diskless_members();
-        self.record(|| format!("{host} starts as {identity}"));
-        self.deliver_pending(host);
+        self.note(|| format!("{host} starts as {identity}"));
+        self.settle(host);
     }
 
     fn notify_diskless_members(&mut self) {
@@ -178,7 +180,7 @@
     /// A process ends: killed, or because power is lost (`dark`). What was under way ends with a
     /// reset, or with nothing.
     pub(super) fn stop(&mut self, host: Host, dark: bool) {
-        self.last_fault_at = self.now();
+        self.last_fault_change_at = self.now();
         let Some(machine) = self.machines.get_mut(&host) else {
             return;
         };
@@ -201,12 +203,12 @@
         for connection in connections.into_iter().filter(|_| !dark) {
             self.send_to_router(host, connection, None);
         }
-        self.record(|| format!("{host} ends{}", if dark { " without power" } else { "" }));
+        self.note(|| format!("{host} ends{}", if dark { " without power" } else { "" }));
     }
 
     /// Starts a process again after the usual delay.
     pub(super) fn restart(&mut self, host: Host) {
-        let after = RESTART + self.random.u64(0..2 * RESTART);
+        let after = RESTART_DELAY_US + self.random.u64(0..2 * RESTART_DELAY_US);
         self.scheduler.after(after, Event::Start(host));
     }
 
@@ -234,10 +236,10 @@
             Packet::FromRouter(id, message) => process.on_router(id, now, message.as_ref()),
             Packet::Reply(..) | Packet::ToRouter(..) => {}
         }
-        self.deliver_pending(arrival.to);
+        self.settle(arrival.to);
     }
 
-    /// Nobody listens there: the connection is reset, unless the machine has no power.
+    /// No process listens there: the connection is reset, unless the machine has no power.
     fn reset(&mut self, arrival: &Arrival<Packet>) {
         if self.machines[&arrival.to].dark {
             return;
@@ -266,7 +268,7 @@
         if let Some(process) = self.process(host) {
             process.tick(now);
         }
-        self.deliver_pending(host);
+        self.settle(host);
     }
 
     pub(super) fn on_disk_done(&mut self, host: Host, incarnation: u64) {
@@ -281,16 +283,16 @@
         if machine.frozen {
             return machine.backlog.push(Event::DiskDone(host, incarnation));
         }
-        let finished = machine.disk.finish(&mut self.random);
+        let finished = machine.disk.finish_batch(&mut self.random);
         if let Some(process) = &mut machine.process {
             match finished {
-                Finished::Persisted(write_id) => process.on_persisted(now, write_id),
-                Finished::Failed(write_id) => process.on_persist_failed(now, write_id),
-                Finished::WaitTimes => {}
+                BatchOutcome::Persisted(write_id) => process.on_persisted(now, write_id),
+                BatchOutcome::Failed(write_id) => process.on_persist_failed(now, write_id),
+                BatchOutcome::Stalled => {}
             }
         }
         self.begin_write(host);
-        self.deliver_pending(host);
+        self.settle(host);
     }
 
     fn begin_write(&mut self, host: Host) {
@@ -298,14 +300,14 @@
             return;
         };
         let incarnation = machine.incarnation;
-        if let Some(duration) = machine.disk.begin(&mut self.random) {
+        if let Some(duration) = machine.disk.begin_batch(&mut self.random) {
             self.scheduler
                 .after(duration, Event::DiskDone(host, incarnation));
         }
     }
 
-    /// Does what a process wants done.
-    pub(super) fn deliver_pending(&mut self, host: Host) {
+    /// Carries out the effects that a process requests.
+    pub(super) fn settle(&mut self, host: Host) {
         let now = self.now();
         let Some(process) = self.process(host) else {
             return;
@@ -365,10 +367,10 @@
         }
     }
 
-    /// Ends a call; where the machine has no power, nobody hears of it.
+    /// Ends a call; where the machine has no power, no response is sent.
     pub(super) fn reply(&mut self, host: Host, id: CallId, reply: Reply, dark: bool) {
         let now = self.now();
-        let acknowledged = self.ledger.on_reply(now, host, id, &reply);
+        let acknowledged = self.oracle.on_reply(now, host, id, &reply);
         let caller = self.caller_of(id);
         if let Some(caller) = caller.filter(|_| !dark && !self.replies_lost) {
             self.send(host, caller, Packet::Reply(id, reply), false);
@@ -392,7 +394,7 @@
             .committed()
             .filter(|(here, _)| *here == position)
         {
-            self.ledger.on_committed(host, here, replicated);
+            self.oracle.on_committed(host, here, replicated);
         }
     }
 
@@ -401,7 +403,7 @@
             self.counts.snapshots += 1;
             self.counts.largest_snapshot = self.counts.largest_snapshot.max(*bytes);
         }
-        self.record(|| format!("{host} {notice:?}"));
+        self.note(|| format!("{host} {notice:?}"));
     }
 
     /// The process has ended by itself, as it was told to.
@@ -419,12 +421,12 @@
 
     /// A machine is gone for good.
     pub(super) fn remove(&mut self, host: Host) {
-        self.last_fault_at = self.now();
+        self.last_fault_change_at = self.now();
         if let Some(machine) = self.machines.get_mut(&host) {
             machine.removed = true;
             machine.dark = true;
         }
-        self.record(|| format!("{host} is removed"));
+        self.note(|| format!("{host} is removed"));
     }
 
     /// Machines that have not been removed.
@@ -469,8 +471,8 @@
         committed.map_or(0, |(_, replicated)| replicated.state().encode().len())
     }
 
-    /// When something last went wrong or came back.
-    pub fn last_fault_at(&self) -> Time {
-        self.last_fault_at
+    /// When a fault last began or ended.
+    pub fn last_fault_change_at(&self) -> Time {
+        self.last_fault_change_at
     }
 }
--- a/simulator/src/world/mod.rs
+++ b/simulator/src/world/mod.rs
@@ -2,7 +2,7 @@
 
 mod act;
 mod action;
-mod around;
+mod callers;
 mod check;
 mod machine;
 mod machines;
@@ -16,24 +16,24 @@
 use self::machine::Machine;
 use crate::callers::{Operator, Pace, Reader, Router};
 use crate::control::GlueFaults;
-use crate::ledger::Ledger;
 use crate::network::{Arrival, CutId, Host, Network};
+use crate::oracle::Oracle;
 use crate::packet::Packet;
 use crate::scheduler::Scheduler;
 
-/// Where a run begins; not 0, as a time of 0 may be taken for none.
+/// Virtual time at which a run begins; not 0, as a time of 0 may be taken for none.
 const BEGIN: Time = Time(1_000_000);
-/// Between two looks at what must hold at all times.
-const CHECK_INTERVAL: u64 = 100_000;
+/// Between two checks of what must always hold, in microseconds.
+const CHECK_INTERVAL_US: u64 = 100_000;
 /// Numbers of hosts.
 const FIRST_MACHINE: u32 = 1;
 const FIRST_OPERATOR: u32 = 1_000;
 const FIRST_READER: u32 = 2_000;
 const FIRST_ROUTER: u32 = 3_000;
 /// The operators' list lags by so many microseconds (`seedLagS`).
-const LIST_LAG: u64 = 3_000_000;
-/// Lines of the trace that are kept.
-const MOST_TRACE: usize = 100_000;
+const LIST_LAG_US: u64 = 3_000_000;
+/// Most lines of the trace that are kept; older ones are dropped.
+const MAX_TRACE_LINES: usize = 100_000;
 
 /// What a run consists of.
 #[derive(Clone, Debug)]
@@ -85,7 +85,7 @@
     }
 }
 
-/// What happens at a time.
+/// An event of virtual time.
 #[derive(Debug)]
 enum Event {
     Arrive(Arrival<Packet>),
@@ -126,8 +126,8 @@
 pub struct World {
     /// What it consists of.
     pub settings: WorldSettings,
-    /// What was told, and what was broken.
-    pub ledger: Ledger,
+    /// What was answered, and which rules were broken.
+    pub oracle: Oracle,
     /// What was counted.
     pub counts: Counts,
     scheduler: Scheduler<Event>,
@@ -143,9 +143,9 @@
     last_number: u64,
     /// Members that were started without a disk.
     without_disk: BTreeSet<Identity>,
-    /// Who made a call or connection.
+    /// The caller of each call and connection, by its number.
     owners: BTreeMap<u64, Host>,
-    last_fault_at: Time,
+    last_fault_change_at: Time,
     harmed: bool,
     replies_lost: bool,
     /// A fault that is brought about with the next acknowledgement.
@@ -163,7 +163,7 @@
         let mut random = Rng::with_seed(settings.seed);
         let network = Network::new(random.u64(..));
         let mut world = Self {
-            ledger: Ledger::default(),
+            oracle: Oracle::default(),
             counts: Counts::default(),
             scheduler: Scheduler::new(BEGIN),
             random,
@@ -178,7 +178,7 @@
             last_number: 0,
             without_disk: BTreeSet::new(),
             owners: BTreeMap::new(),
-            last_fault_at: BEGIN,
+            last_fault_change_at: BEGIN,
             harmed: false,
             replies_lost: false,
             armed: None,
@@ -201,7 +201,7 @@
     /// Runs for so many microseconds, or until a rule is broken.
     pub fn run_for(&mut self, microseconds: u64) {
         let until = self.now().after(microseconds);
-        while self.ledger.violations.is_empty() {
+        while self.oracle.violations.is_empty() {
             let Some(event) = self.scheduler.next(until) else {
                 return;
             };
@@ -219,7 +219,7 @@
             Event::Undo(undo) => self.undo(undo),
             Event::Check => {
                 self.check();
-                self.scheduler.after(CHECK_INTERVAL, Event::Check);
+                self.scheduler.after(CHECK_INTERVAL_US, Event::Check);
             }
         }
     }
@@ -242,9 +242,9 @@
 
     /// From now on service may rest, or may no more. Nothing acknowledged may be lost or shown in
     /// an older state either way.
-    pub fn let_service_rest(&mut self, rests: bool) {
-        self.service_may_rest = rests;
-        self.last_fault_at = self.now();
+    pub fn let_service_rest(&mut self, may_rest: bool) {
+        self.service_may_rest = may_rest;
+        self.last_fault_change_at = self.now();
     }
 
     /// Brings a fault about with the next acknowledgement, or at once if one waits for that
@@ -266,11 +266,11 @@
         self.trace.iter().map(String::as_str)
     }
 
-    fn record(&mut self, text: impl FnOnce() -> String) {
+    fn note(&mut self, text: impl FnOnce() -> String) {
         if !self.settings.trace {
             return;
         }
-        if self.trace.len() >= MOST_TRACE {
+        if self.trace.len() >= MAX_TRACE_LINES {
             self.trace.pop_front();
         }
         let now = self.now();
--- a/simulator/tests/away.rs
+++ b/simulator/tests/away.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{begun, cut, nothing, satisfies, SECOND};
+use common::{assert_no_violations, begun, cut, nothing, SECOND};
 use lichenswitch_simulator::network::Host;
 use lichenswitch_simulator::world::{Action, CutKind, Target, World, WorldSettings};
 
@@ -47,15 +47,15 @@
 
 #[test]
 fn first_heartbeat_after_a_partition_does_not_make_a_lagging_voter_current() {
-    satisfies(0..10, nothing, cut_off);
+    assert_no_violations(0..10, nothing, cut_off);
 }
 
 #[test]
 fn delayed_heartbeats_do_not_make_a_voter_current() {
-    satisfies(0..10, nothing, delayed);
+    assert_no_violations(0..10, nothing, delayed);
 }
 
 #[test]
 fn heartbeats_read_late_do_not_make_a_voter_current() {
-    satisfies(0..10, nothing, frozen);
+    assert_no_violations(0..10, nothing, frozen);
 }
--- a/simulator/tests/common/mod.rs
+++ b/simulator/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! What the tests of the five points share.
 #![allow(dead_code)]
 
-use lichenswitch_simulator::ledger::Violation;
+use lichenswitch_simulator::oracle::Violation;
 use lichenswitch_simulator::world::{Action, CutKind, Target, World, WorldSettings};
 
 /// A second of virtual time.
@@ -16,12 +16,16 @@
 const TRACE_SHOWN: usize = 80;
 
 /// Runs a scenario for each seed; none may break a rule.
-pub fn satisfies(seeds: std::ops::Range<u64>, change: fn(&mut WorldSettings), scenario: Scenario) {
-    satisfies_with(seeds, change, scenario, |_| {});
+pub fn assert_no_violations(
+    seeds: std::ops::Range<u64>,
+    change: fn(&mut WorldSettings),
+    scenario: Scenario,
+) {
+    assert_no_violations_with(seeds, change, scenario, |_| {});
 }
 
 /// The same, with a look at each run.
-pub fn satisfies_with(
+pub fn assert_no_violations_with(
     seeds: std::ops::Range<u64>,
     change: fn(&mut WorldSettings),
     scenario: Scenario,
@@ -29,14 +33,14 @@
 ) {
     for seed in seeds {
         let world = scenario(settings(seed, change));
-        if let Some(violation) = world.ledger.violations.first() {
+        if let Some(violation) = world.oracle.violations.first() {
             show(scenario(WorldSettings {
                 trace: true,
                 ..settings(seed, change)
             }));
             panic!("seed {seed}: {violation}");
         }
-        let acknowledged = world.ledger.acknowledgements().len();
+        let acknowledged = world.oracle.acknowledgements().len();
         assert!(
             acknowledged > 20,
             "seed {seed}: only {acknowledged} changes were acknowledged"
@@ -63,7 +67,7 @@
 pub fn acknowledged_between(world: &World, from: u64, to: u64) -> usize {
     let within = |at: u64| (from * SECOND..to * SECOND).contains(&at);
     world
-        .ledger
+        .oracle
         .acknowledgements()
         .iter()
         .filter(|(at, _)| within(at.0))
@@ -78,7 +82,7 @@
 ) -> Violation {
     let found = seeds.clone().find_map(|seed| {
         let violation = scenario(settings(seed, plant))
-            .ledger
+            .oracle
             .violations
             .first()
             .cloned()?;
@@ -105,12 +109,12 @@
 }
 
 /// A cut of these machines from all others, with a fifth of the callers on each side.
-pub fn cut(targets: Vec<Target>, kind: CutKind, duration: u64, satisfies: bool) -> Action {
+pub fn cut(targets: Vec<Target>, kind: CutKind, duration: u64, holds: bool) -> Action {
     Action::Cut {
         targets,
         kind,
         duration,
-        satisfies,
+        holds,
         callers_bound: 20,
     }
 }
--- a/simulator/tests/overlaps.rs
+++ b/simulator/tests/overlaps.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::{begun, finds, nothing, satisfies, CATCH_UP, SECOND};
+use common::{assert_no_violations, begun, finds, nothing, CATCH_UP, SECOND};
 use lichenswitch_replication::Fault;
 use lichenswitch_simulator::callers::Pace;
 use lichenswitch_simulator::disk::DiskFault;
@@ -79,14 +79,14 @@
         let targets = std::iter::once(Target::Primary)
             .chain((1..half).map(Target::Other))
             .collect();
-        let (kind, duration, satisfies) = (CutKind::Full, 3 * SECOND, round % 2 == 0);
+        let (kind, duration, holds) = (CutKind::Full, 3 * SECOND, round % 2 == 0);
         world.act_after(
             0,
             Action::Cut {
                 targets,
                 kind,
                 duration,
-                satisfies,
+                holds,
                 callers_bound: 0,
             },
         );
@@ -184,14 +184,14 @@
 
 #[test]
 fn walks_with_overlapping_losses() {
-    satisfies(0..3, nothing, overlapping);
-    satisfies(100..101, eager, overlapping);
-    satisfies(200..202, three, overlapping);
+    assert_no_violations(0..3, nothing, overlapping);
+    assert_no_violations(100..101, eager, overlapping);
+    assert_no_violations(200..202, three, overlapping);
 }
 
 #[test]
 fn walks_of_eight_with_two_disks_to_lose() {
-    satisfies(
+    assert_no_violations(
         300..301,
         |settings| (settings.voters, settings.tolerate) = (8, 2),
         overlapping,
@@ -200,23 +200,23 @@
 
 #[test]
 fn final_faults_round_an_order() {
-    satisfies(0..1, eager, final_faults);
-    satisfies(2..3, three, final_faults);
+    assert_no_violations(0..1, eager, final_faults);
+    assert_no_violations(2..3, three, final_faults);
 }
 
 #[test]
 fn halves_with_orders_under_way_and_a_wipe_after_them() {
-    satisfies(0..2, eager, halves_and_a_wipe);
+    assert_no_violations(0..2, eager, halves_and_a_wipe);
 }
 
 #[test]
 fn a_disk_is_lost_while_another_machine_is_away() {
-    satisfies(0..2, eager, wiped_while_another_is_away);
+    assert_no_violations(0..2, eager, wiped_while_another_is_away);
 }
 
 #[test]
 fn several_bad_disks_round_an_acknowledgement() {
-    satisfies(0..2, eager, bad_disks);
+    assert_no_violations(0..2, eager, bad_disks);
 }
 
 #[test]
@@ -264,7 +264,7 @@
 
 #[test]
 fn two_disks_are_lost_after_four_machines_were_dark_for_long() {
-    satisfies(
+    assert_no_violations(
         0..4,
         |settings| (settings.voters, settings.tolerate) = (8, 2),
         dark_for_long_and_two_disks_lost,
--- a/simulator/tests/point_2.rs
+++ b/simulator/tests/point_2.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{begun, cut, finds, satisfies, SECOND};
+use common::{assert_no_violations, begun, cut, finds, SECOND};
 use lichenswitch_simulator::callers::Pace;
 use lichenswitch_simulator::world::{Action, CutKind, Target, World, WorldSettings};
 
@@ -49,7 +49,7 @@
 
 #[test]
 fn races_and_lost_answers_keep_orders_apart() {
-    satisfies(0..6, racing, answers_lost);
+    assert_no_violations(0..6, racing, answers_lost);
 }
 
 #[test]
--- a/simulator/tests/point_4.rs
+++ b/simulator/tests/point_4.rs
@@ -3,7 +3,10 @@
 
 mod common;
 
-use common::{acknowledged_between, begun, cut, finds, satisfies, satisfies_with, SECOND};
+use common::{
+    acknowledged_between, assert_no_violations, assert_no_violations_with, begun, cut, finds,
+    SECOND,
+};
 use lichenswitch_replication::{Fault, MemberRole};
 use lichenswitch_simulator::callers::Pace;
 use lichenswitch_simulator::disk::DiskFault;
@@ -120,17 +123,17 @@
 
 #[test]
 fn a_storm_of_changes_around_kills_and_bad_disks() {
-    satisfies_with(0..4, busy, storm, stormed);
+    assert_no_violations_with(0..4, busy, storm, stormed);
 }
 
 #[test]
 fn a_member_that_was_away_catches_up() {
-    satisfies(0..4, busy, away);
+    assert_no_violations(0..4, busy, away);
 }
 
 #[test]
 fn primaries_that_are_not_heard_leave_nothing_behind() {
-    satisfies(0..3, busy, unheard_primaries);
+    assert_no_violations(0..3, busy, unheard_primaries);
 }
 
 #[test]
@@ -139,7 +142,7 @@
         busy(settings);
         settings.faults.plant(Fault::RespondBeforeSync);
     }
-    satisfies(0..2, busy, power_lost);
+    assert_no_violations(0..2, busy, power_lost);
     finds(0..20, plant, power_lost);
 }
 
@@ -165,6 +168,6 @@
         busy(settings);
         settings.faults.plant(Fault::HalfIsQuorum);
     }
-    satisfies(0..3, busy, halves);
+    assert_no_violations(0..3, busy, halves);
     finds(0..20, plant, halves);
 }
--- a/simulator/tests/without_disk.rs
+++ b/simulator/tests/without_disk.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{finds, satisfies, CATCH_UP, SECOND};
+use common::{assert_no_violations, finds, CATCH_UP, SECOND};
 use lichenswitch_replication::Fault;
 use lichenswitch_simulator::callers::Pace;
 use lichenswitch_simulator::world::{Action, Target, World, WorldSettings};
@@ -64,12 +64,12 @@
 
 #[test]
 fn first_acknowledgement_survives_a_disk_loss_and_a_power_loss() {
-    satisfies(0..16, five, a_disk_is_lost_at_the_beginning);
+    assert_no_violations(0..16, five, a_disk_is_lost_at_the_beginning);
 }
 
 #[test]
 fn a_group_goes_on_without_its_founder() {
-    satisfies(0..4, five, the_founder_goes);
+    assert_no_violations(0..4, five, the_founder_goes);
 }
 
 #[test]
