--- a/src/broker.rs
+++ b/src/broker.rs
@@ -136,7 +136,7 @@
         }
         let sockets = platform
             .as_ref()
-            .map_or(config::SOCKETS, |told| told.sockets);
+            .map_or(config::SOCKETS, |config| config.sockets);
         // Guards discovery's own place: shares of more than the system gives would be taken by
         // whoever comes first.
         let sockets = sockets.min(net::system_limit().unwrap_or(sockets));
@@ -167,15 +167,15 @@
             stopping: None,
             crowded: false,
         };
-        platform.map_or(Ok(()), |told| broker.serve_platform(told))?;
-        ogc.map_or(Ok(()), |told| broker.serve_ogc(told))?;
+        platform.map_or(Ok(()), |platform| broker.serve_platform(platform))?;
+        ogc.map_or(Ok(()), |ogc| broker.serve_ogc(ogc))?;
         broker.share();
-        broker.listed(None);
+        broker.apply_list_updates(None);
         Ok(broker)
     }
 
-    fn serve_platform(&mut self, told: config::Platform) -> Result<(), BrokerError> {
-        let classes = told.classes.iter().zip(&told.settings.classes);
+    fn serve_platform(&mut self, config: config::Platform) -> Result<(), BrokerError> {
+        let classes = config.classes.iter().zip(&config.settings.classes);
         let classes = classes
             .map(|(name, c)| Class {
                 name: name.clone(),
@@ -183,48 +183,53 @@
                 deadline: c.deadline,
             })
             .collect();
-        let mut directory = Directory::new(told.zones).with_cells(told.settings.layout.cells);
+        let mut directory = Directory::new(config.zones).with_cells(config.settings.layout.cells);
         // Before any list: nothing is to be sent to data nodes that operators have taken out.
-        self.stop_within = told.stop_within;
+        self.stop_within = config.stop_within;
         let now = self.net.clock.now();
         self.management.iter().for_each(|management| {
             _ = directory.set_overrides(self.overrides(&management.orders(), now))
         });
-        let pace = match told.settings.discovery {
+        let pace = match config.settings.discovery {
             interface::Discovery::Ask(every) => {
-                CallPacer::new(told.seed, told.settings.instances, every)
+                CallPacer::new(config.seed, config.settings.instances, every)
             }
-            interface::Discovery::Push => CallPacer::for_agent(told.seed),
+            interface::Discovery::Push => CallPacer::for_agent(config.seed),
         };
-        let mut core = Core::new(told.seed, told.settings, Contracts::default(), told.memory);
-        core.plan_by(Planner::new(told.phases.rules), told.phases.explain);
-        let known = told.known.unwrap_or_default();
+        let mut core = Core::new(
+            config.seed,
+            config.settings,
+            Contracts::default(),
+            config.memory,
+        );
+        core.plan_by(Planner::new(config.phases.rules), config.phases.explain);
+        let known = config.known.unwrap_or_default();
         let generation = (!known.instances.is_empty()).then_some(known.generation);
         let known = ServerListUpdate::Cached(directory.whole(&known.instances));
-        let pool = Pool::new(Frames, limits(told.connections));
-        self.unopened = Some((told.name, told.listen));
+        let pool = Pool::new(Frames, limits(config.connections));
+        self.unopened = Some((config.name, config.listen));
         self.open_listener()?;
         let (front, sessions) = (
-            Platform::new(classes, told.tenants),
-            Sessions::new(told.memory),
+            Platform::new(classes, config.tenants),
+            Sessions::new(config.memory),
         );
         let mut service = Service::new(Owner::Platform, front, sessions, core, pool, directory);
-        service.listed(known);
+        service.apply_list_update(known);
         self.platform = Some(service);
-        let discovery = Discovery::new(told.discovery, generation, pace);
-        self.discovery = Some(discovery.stopping_within(told.stop_within));
+        let discovery = Discovery::new(config.discovery, generation, pace);
+        self.discovery = Some(discovery.stopping_within(config.stop_within));
         Ok(())
     }
 
-    fn serve_ogc(&mut self, told: config::Ogc) -> Result<(), BrokerError> {
-        let mut directory = Directory::new(told.inventory.zones);
+    fn serve_ogc(&mut self, config: config::Ogc) -> Result<(), BrokerError> {
+        let mut directory = Directory::new(config.inventory.zones);
         let mut core = Core::new(
-            told.seed,
-            told.settings,
-            Contracts::new(told.contracts),
-            told.memory,
+            config.seed,
+            config.settings,
+            Contracts::new(config.contracts),
+            config.memory,
         );
-        core.plan_by(Planner::new(told.phases.rules), told.phases.explain);
+        core.plan_by(Planner::new(config.phases.rules), config.phases.explain);
         let line = |node: &crate::inventory::Node| Instance {
             instance_id: node.name.clone(),
             host_port: node.address.to_string(),
@@ -233,16 +238,16 @@
             lifecycle: Lifecycle::Serving,
             started_at_ms: 0,
         };
-        let instances: Vec<Instance> = told.inventory.nodes.iter().map(line).collect();
+        let instances: Vec<Instance> = config.inventory.nodes.iter().map(line).collect();
         core.listed(ServerListUpdate::Complete(directory.whole(&instances)));
-        let pool = Pool::new(Features::default(), limits(told.connections));
-        let front = Ogc::new(told.title, told.collections, told.inventory.slices);
-        let address = self.listen(Owner::Ogc, told.listen)?;
+        let pool = Pool::new(Features::default(), limits(config.connections));
+        let front = Ogc::new(config.title, config.collections, config.inventory.slices);
+        let address = self.listen(Owner::Ogc, config.listen)?;
         log(&format!("OGC API Features listens on {address}"));
         self.ogc = Some(Service::new(
             Owner::Ogc,
             front,
-            Sessions::new(told.memory),
+            Sessions::new(config.memory),
             core,
             pool,
             directory,
@@ -298,8 +303,8 @@
     ///
     /// # Errors
     /// When the address for them can't be listened on.
-    pub fn join(&mut self, told: config::PeersConfig) -> Result<(), JoinError> {
-        self.peers = Some(PeerGroup::new(&mut self.net, told)?);
+    pub fn join(&mut self, config: config::PeersConfig) -> Result<(), JoinError> {
+        self.peers = Some(PeerGroup::new(&mut self.net, config)?);
         Ok(())
     }
 
@@ -352,7 +357,7 @@
                             service.accept(net);
                         }
                     }),
-                    Ready::Conn(id, Owner::Discovery) => self.news(id),
+                    Ready::Conn(id, Owner::Discovery) => self.discovery_ready(id),
                     Ready::Conn(id, owner) => {
                         each_service!(self, |net, service| service.ready(net, id, owner))
                     }
@@ -411,9 +416,11 @@
             .min()
     }
 
-    fn listed(&mut self, news: impl IntoIterator<Item = ServerListUpdate>) {
+    fn apply_list_updates(&mut self, updates: impl IntoIterator<Item = ServerListUpdate>) {
         if let Some(service) = &mut self.platform {
-            news.into_iter().for_each(|news| service.listed(news));
+            updates
+                .into_iter()
+                .for_each(|update| service.apply_list_update(update));
         }
         if let (Some(management), Some(service)) = (&self.management, &self.platform) {
             management.report_servers(service.directory.names());
@@ -431,17 +438,17 @@
 
     fn discovery_due(&mut self, call: u64) {
         if let (Some(discovery), Some(service)) = (&mut self.discovery, &mut self.platform) {
-            let news = discovery.timer(&mut self.net, call, &mut service.directory);
+            let updates = discovery.timer(&mut self.net, call, &mut service.directory);
             service.leave_gone(&mut self.net);
-            self.listed(news);
+            self.apply_list_updates(updates);
         }
     }
 
-    fn news(&mut self, id: ConnId) {
+    fn discovery_ready(&mut self, id: ConnId) {
         if let (Some(discovery), Some(service)) = (&mut self.discovery, &mut self.platform) {
-            let news = discovery.ready(&mut self.net, id, &mut service.directory);
+            let updates = discovery.ready(&mut self.net, id, &mut service.directory);
             service.leave_gone(&mut self.net);
-            self.listed(news);
+            self.apply_list_updates(updates);
         }
     }
 
@@ -457,8 +464,8 @@
             .as_ref()
             .is_some_and(Discovery::keeps_watching);
         if let (true, Some(discovery)) = (asked, &mut self.discovery) {
-            let news = discovery.subscribe(&mut self.net);
-            self.listed(news);
+            let updates = discovery.subscribe(&mut self.net);
+            self.apply_list_updates(updates);
         }
         let lines = self.discovery.iter_mut().flat_map(Discovery::take_log);
         let lines = lines.chain(
@@ -475,23 +482,23 @@
     fn reload(&mut self) {
         self.net.clear_signal(Signal::Reload);
         // Guards what is served: a faulty file changes nothing.
-        let told = match self.reread.as_mut().map_or(Ok(None), |reread| reread()) {
-            Ok(Some(told)) => told,
+        let config = match self.reread.as_mut().map_or(Ok(None), |reread| reread()) {
+            Ok(Some(config)) => config,
             Ok(None) => return log("reload: NODE_CONFIG: not set, nothing to read again"),
             Err(why) => return log(&format!("reload: {why}; the settings stay as they were")),
         };
-        log(&format!("reload: discovery is at {}", told.discovery));
+        log(&format!("reload: discovery is at {}", config.discovery));
         if let Some(discovery) = &mut self.discovery {
-            let news = discovery.move_to(&mut self.net, told.discovery);
-            self.listed(news);
+            let updates = discovery.move_to(&mut self.net, config.discovery);
+            self.apply_list_updates(updates);
         }
     }
 }
 
-fn limits(told: config::Connections) -> Limits {
+fn limits(config: config::Connections) -> Limits {
     Limits {
-        streams: told.streams,
-        connect: told.connect,
-        idle: told.idle,
+        streams: config.streams,
+        connect: config.connect,
+        idle: config.idle,
     }
 }
--- a/src/broker/operators.rs
+++ b/src/broker/operators.rs
@@ -58,7 +58,7 @@
         };
         let lines = service.directory.set_overrides(overrides);
         if !lines.is_empty() {
-            self.listed([ServerListUpdate::Changes(lines)]);
+            self.apply_list_updates([ServerListUpdate::Changes(lines)]);
         }
     }
 
--- a/src/broker/stopping.rs
+++ b/src/broker/stopping.rs
@@ -39,7 +39,7 @@
             return false;
         };
         management.withdraw_listener();
-        let told = match processes::backlog_action(&management.others()) {
+        let reason = match processes::backlog_action(&management.others()) {
             BacklogAction::Leave(processes::Reason::SharedSocket(process)) => {
                 self.net.close_listeners(Owner::Platform);
                 Some(format!(
@@ -51,13 +51,13 @@
             )),
             BacklogAction::Leave(_) | BacklogAction::Serve(_) => None,
         };
-        if told.is_some() {
+        if reason.is_some() {
             service.sessions.stop();
         }
         // Where that one has gone meanwhile this one serves those who are here as if there had been
         // none.
-        if std::mem::replace(&mut self.leaving, told.is_some()) != told.is_some() {
-            log(&told.unwrap_or_else(|| "nobody else serves any more".into()));
+        if std::mem::replace(&mut self.leaving, reason.is_some()) != reason.is_some() {
+            log(&reason.unwrap_or_else(|| "nobody else serves any more".into()));
         }
         self.share();
         self.leaving
--- a/src/discovery/tests.rs
+++ b/src/discovery/tests.rs
@@ -9,20 +9,24 @@
         {"instanceId":"s-1","hostPort":"10.1.0.18:8080","zone":"b","machineType":"m2","cell":3,
          "lifecycle":"SERVING","weight":1.0,"startedAtMs":5}]}"#;
 
-/// Runs the loop until the client has news.
-fn news(net: &mut Net, client: &mut Discovery, directory: &mut Directory) -> Vec<ServerListUpdate> {
+/// Runs the loop until the client has an update of the server list.
+fn next_updates(
+    net: &mut Net,
+    client: &mut Discovery,
+    directory: &mut Directory,
+) -> Vec<ServerListUpdate> {
     for _ in 0..1_000 {
         let until = net.clock.now().plus(100_000);
         for ready in net.wait(Some(until)).unwrap() {
             if let crate::net::Ready::Conn(id, _) = ready {
-                let news = client.ready(net, id, directory);
-                if !news.is_empty() {
-                    return news;
+                let updates = client.ready(net, id, directory);
+                if !updates.is_empty() {
+                    return updates;
                 }
             }
         }
     }
-    panic!("no news");
+    panic!("no update of the server list");
 }
 
 fn request(stream: &mut TcpStream) -> String {
@@ -67,7 +71,7 @@
     assert!(request(&mut stream).starts_with("GET /registry/instances HTTP/1.1\r\n"));
     answer(&mut stream, 200, LIST);
     assert!(matches!(
-        &news(&mut net, &mut client, &mut directory)[..],
+        &next_updates(&mut net, &mut client, &mut directory)[..],
         [ServerListUpdate::Complete(_)]
     ));
     assert!(request(&mut stream).contains("since=41"));
@@ -89,14 +93,14 @@
         if ends {
             drop(stream);
             assert_eq!(
-                news(&mut net, &mut client, &mut directory),
+                next_updates(&mut net, &mut client, &mut directory),
                 [ServerListUpdate::Failed]
             );
         } else {
             answer(&mut stream, 200, &LIST.replace("SERVING", "DRAINING"));
-            let told = news(&mut net, &mut client, &mut directory);
+            let updates = next_updates(&mut net, &mut client, &mut directory);
             assert!(
-                matches!(&told[..], [ServerListUpdate::Complete(lines)] if lines[0].mode == ServerMode::Draining)
+                matches!(&updates[..], [ServerListUpdate::Complete(lines)] if lines[0].mode == ServerMode::Draining)
             );
             assert!(client.call.is_none(), "it is not renewed there");
         }
@@ -128,7 +132,7 @@
     client.ready(&mut net, client.conn.unwrap(), &mut directory);
     assert!(request(&mut stream).starts_with("GET /registry/instances HTTP/1.1\r\n"));
     answer(&mut stream, 200, LIST);
-    let first = news(&mut net, &mut client, &mut directory);
+    let first = next_updates(&mut net, &mut client, &mut directory);
     assert!(matches!(&first[..], [ServerListUpdate::Complete(lines)] if lines.len() == 1));
     assert!(request(&mut stream).starts_with("GET /registry/instances?since=41&timeout_ms=2000 "));
     answer(
@@ -137,13 +141,13 @@
         r#"{"generation":42,"reset":false,"instances":[]}"#,
     );
     assert!(matches!(
-        &news(&mut net, &mut client, &mut directory)[..],
+        &next_updates(&mut net, &mut client, &mut directory)[..],
         [ServerListUpdate::Changes(_)]
     ));
     assert!(request(&mut stream).contains("since=42"));
     answer(&mut stream, 503, "");
     assert_eq!(
-        news(&mut net, &mut client, &mut directory),
+        next_updates(&mut net, &mut client, &mut directory),
         [ServerListUpdate::Failed]
     );
     assert!(
@@ -154,7 +158,7 @@
     assert!(request(&mut stream).contains("since=42"));
     drop(stream);
     assert_eq!(
-        news(&mut net, &mut client, &mut directory),
+        next_updates(&mut net, &mut client, &mut directory),
         [ServerListUpdate::Failed]
     );
 }
@@ -186,16 +190,16 @@
     let (mut net, mut client, mut directory, listener, silent) =
         watching_of(CallPacer::new(1, 300, 10_000_000));
     let begun = client.began;
-    let mut news = Vec::new();
-    while news.is_empty() {
+    let mut updates = Vec::new();
+    while updates.is_empty() {
         net.wait(Some(net.clock.now().plus(50_000))).unwrap();
         for timer in net.wheel.due(net.clock.now()) {
             if let Timer::Discovery(call) = timer {
-                news.extend(client.timer(&mut net, call, &mut directory));
+                updates.extend(client.timer(&mut net, call, &mut directory));
             }
         }
     }
-    assert_eq!(news, [ServerListUpdate::Failed]);
+    assert_eq!(updates, [ServerListUpdate::Failed]);
     let line = client.take_log().remove(0);
     assert!(
         line.contains("no answer") && line.contains("Silent"),
@@ -209,9 +213,9 @@
     );
     assert!(request(&mut stream).contains("since=41&timeout_ms=100 "));
     answer(&mut stream, 200, &LIST.replace("SERVING", "DRAINING"));
-    let told = self::news(&mut net, &mut client, &mut directory);
+    let updates = next_updates(&mut net, &mut client, &mut directory);
     assert!(
-        matches!(&told[..], [ServerListUpdate::Complete(lines)] if lines[0].mode == ServerMode::Draining)
+        matches!(&updates[..], [ServerListUpdate::Complete(lines)] if lines[0].mode == ServerMode::Draining)
     );
     drop(silent);
 }
@@ -239,7 +243,7 @@
     // missed.
     answer(&mut stream, 503, "");
     assert_eq!(
-        news(&mut net, &mut client, &mut directory),
+        next_updates(&mut net, &mut client, &mut directory),
         [ServerListUpdate::Failed]
     );
     assert!(client.take_log()[0].contains("Failed, calls spread over 480 ms"));
@@ -254,9 +258,9 @@
     let mut stream = asked(&mut net, &mut client, &listener);
     assert!(request(&mut stream).contains("since=41"));
     answer(&mut stream, 200, &LIST.replace("SERVING", "DRAINING"));
-    let told = news(&mut net, &mut client, &mut directory);
+    let updates = next_updates(&mut net, &mut client, &mut directory);
     assert!(
-        matches!(&told[..], [ServerListUpdate::Complete(lines)] if lines[0].mode == ServerMode::Draining)
+        matches!(&updates[..], [ServerListUpdate::Complete(lines)] if lines[0].mode == ServerMode::Draining)
     );
     // The watch goes on at once.
     assert!(request(&mut stream).contains("since=41"));
@@ -279,7 +283,7 @@
     assert!(request(&mut stream).starts_with("GET /registry/instances HTTP/1.1"));
     answer(&mut stream, 200, LIST);
     assert!(matches!(
-        &news(&mut net, &mut client, &mut directory)[..],
+        &next_updates(&mut net, &mut client, &mut directory)[..],
         [ServerListUpdate::Complete(_)]
     ));
     assert!(request(&mut stream).contains("since=41&timeout_ms=1000 "));
@@ -290,7 +294,7 @@
     assert!(until.since(heard) >= 250_000 && until.since(net.clock.now()) <= 250_000);
     drop(stream);
     assert_eq!(
-        news(&mut net, &mut client, &mut directory),
+        next_updates(&mut net, &mut client, &mut directory),
         [ServerListUpdate::Failed]
     );
     let pause = client.not_before.unwrap().since(net.clock.now());
@@ -305,7 +309,7 @@
         request(&mut stream);
         drop(stream);
         assert_eq!(
-            news(&mut net, &mut client, &mut directory),
+            next_updates(&mut net, &mut client, &mut directory),
             [ServerListUpdate::Failed]
         );
     }
@@ -316,7 +320,7 @@
     request(&mut stream);
     answer(&mut stream, 200, LIST);
     assert!(matches!(
-        &news(&mut net, &mut client, &mut directory)[..],
+        &next_updates(&mut net, &mut client, &mut directory)[..],
         [ServerListUpdate::Complete(_)]
     ));
     assert_eq!(client.take_log(), ["discovery: it answers again"]);
@@ -357,9 +361,9 @@
     client.ready(&mut net, client.conn.unwrap(), &mut directory);
     assert!(request(&mut stream).contains("since=41"));
     answer(&mut stream, 200, &LIST.replace("SERVING", "DRAINING"));
-    let told = news(&mut net, &mut client, &mut directory);
+    let updates = next_updates(&mut net, &mut client, &mut directory);
     assert!(
-        matches!(&told[..], [ServerListUpdate::Complete(lines)] if lines[0].mode == ServerMode::Draining)
+        matches!(&updates[..], [ServerListUpdate::Complete(lines)] if lines[0].mode == ServerMode::Draining)
     );
 }
 
@@ -407,12 +411,12 @@
     client.ready(&mut net, client.conn.unwrap(), &mut directory);
     request(&mut stream);
     answer(&mut stream, 200, LIST);
-    assert_eq!(news(&mut net, &mut client, &mut directory).len(), 1);
+    assert_eq!(next_updates(&mut net, &mut client, &mut directory).len(), 1);
     assert!(request(&mut stream).contains("since=41"));
     (net, client, directory, listener, stream)
 }
 
-/// Runs the loop until the client asks for the whole list, which none of its news may come before.
+/// Runs the loop until the client asks for the whole list, which none of its updates may come before.
 fn asks_whole(
     net: &mut Net,
     client: &mut Discovery,
@@ -422,8 +426,8 @@
     let before = client.calls;
     while client.calls == before {
         net.wait(Some(net.clock.now().plus(100_000))).unwrap();
-        let told = client.ready(net, client.conn.unwrap(), directory);
-        assert!(told.is_empty(), "it is not believed yet: {told:?}");
+        let updates = client.ready(net, client.conn.unwrap(), directory);
+        assert!(updates.is_empty(), "it is not believed yet: {updates:?}");
     }
     assert!(request(stream).starts_with("GET /registry/instances HTTP/1.1\r\n"));
 }
@@ -442,7 +446,7 @@
         let (mut net, mut client, mut directory, _listener, mut stream) = watching();
         answer(&mut stream, 200, bad);
         assert_eq!(
-            news(&mut net, &mut client, &mut directory),
+            next_updates(&mut net, &mut client, &mut directory),
             [ServerListUpdate::Failed],
             "{bad}"
         );
@@ -464,10 +468,10 @@
         );
         assert_eq!(directory.len(), 1);
         answer(&mut stream, 200, second);
-        let told = news(&mut net, &mut client, &mut directory);
+        let updates = next_updates(&mut net, &mut client, &mut directory);
         assert!(
-            matches!(&told[..], [ServerListUpdate::Complete(lines)] if lines.len() == left),
-            "{told:?}"
+            matches!(&updates[..], [ServerListUpdate::Complete(lines)] if lines.len() == left),
+            "{updates:?}"
         );
         assert!(directory.len() == left && client.unconfirmed_list.is_none());
     }
@@ -485,9 +489,9 @@
     asks_whole(&mut net, &mut client, &mut directory, &mut stream);
     assert!(client.take_log()[0].contains("version 40, while 41 is held"));
     answer(&mut stream, 200, &LIST.replace("41", "7"));
-    let told = news(&mut net, &mut client, &mut directory);
+    let updates = next_updates(&mut net, &mut client, &mut directory);
     assert!(
-        matches!(&told[..], [ServerListUpdate::Complete(lines)] if lines[0].mode == ServerMode::Ready)
+        matches!(&updates[..], [ServerListUpdate::Complete(lines)] if lines[0].mode == ServerMode::Ready)
     );
     assert!(
         request(&mut stream).contains("since=7"),
@@ -508,18 +512,18 @@
     );
     answer(&mut stream, 503, "");
     assert_eq!(
-        news(&mut net, &mut client, &mut directory),
+        next_updates(&mut net, &mut client, &mut directory),
         [ServerListUpdate::Failed]
     );
     while net.clock.now() < until {
         net.wait(Some(until)).unwrap();
     }
-    let told = client.timer(&mut net, CONFIRMED, &mut directory);
+    let updates = client.timer(&mut net, CONFIRMED, &mut directory);
     let is_kept =
         |lines: &[ListedServer]| lines.len() == 1 && lines[0].mode == ServerMode::Draining;
     assert!(
-        matches!(&told[..], [ServerListUpdate::Changes(lines)] if is_kept(lines)),
-        "{told:?}"
+        matches!(&updates[..], [ServerListUpdate::Changes(lines)] if is_kept(lines)),
+        "{updates:?}"
     );
     assert!(
         client.timer(&mut net, CONFIRMED, &mut directory).is_empty(),
@@ -544,12 +548,12 @@
                 .unwrap();
         }
         drop(stream);
-        let told = news(&mut net, &mut client, &mut directory);
+        let updates = next_updates(&mut net, &mut client, &mut directory);
         match reset {
-            true => assert_eq!(told, [ServerListUpdate::Failed]),
+            true => assert_eq!(updates, [ServerListUpdate::Failed]),
             false => {
                 assert!(
-                    matches!(&told[..], [ServerListUpdate::Complete(lines)] if lines[0].mode == ServerMode::Draining)
+                    matches!(&updates[..], [ServerListUpdate::Complete(lines)] if lines[0].mode == ServerMode::Draining)
                 )
             }
         }
@@ -592,6 +596,6 @@
         );
         assert!(request(&mut stream).contains("since=41"));
         answer(&mut stream, 200, &LIST.replace("SERVING", "DRAINING"));
-        assert_eq!(news(&mut net, &mut client, &mut directory).len(), 1);
+        assert_eq!(next_updates(&mut net, &mut client, &mut directory).len(), 1);
     }
 }
--- a/src/service.rs
+++ b/src/service.rs
@@ -173,12 +173,12 @@
         }
     }
 
-    /// Takes in news of the list: the core gets it, and the pool is told of nodes that have just
+    /// Applies an update of the server list: the core gets it, and the pool learns of nodes that have just
     /// started.
-    pub(crate) fn listed(&mut self, news: ServerListUpdate) {
+    pub(crate) fn apply_list_update(&mut self, update: ServerListUpdate) {
         if let ServerListUpdate::Changes(lines)
         | ServerListUpdate::Complete(lines)
-        | ServerListUpdate::Cached(lines) = &news
+        | ServerListUpdate::Cached(lines) = &update
         {
             let warm_after = self.core.settings().cold.warm_after;
             let (ready, ends): (Vec<_>, Vec<_>) = lines
@@ -190,10 +190,10 @@
             let started = ready.filter_map(|line| Some((line.server, line.started?)));
             started.for_each(|(server, at)| self.pool.greet_until(server, at.plus(warm_after)));
             // An empty list of before the start is none: nothing can be served by it.
-            if !matches!(&news, ServerListUpdate::Cached(lines) if lines.is_empty()) {
+            if !matches!(&update, ServerListUpdate::Cached(lines) if lines.is_empty()) {
                 self.front.listed();
             }
         }
-        self.core.listed(news);
+        self.core.listed(update);
     }
 }
