--- a/decide/descriptors/src/lib.rs
+++ b/decide/descriptors/src/lib.rs
@@ -28,7 +28,7 @@
 const NODES_LEAST: usize = 4;
 /// Of what clients may have and don't use, this part is not lent: clients that come find it at
 /// once, without waiting for a call to end.
-const KEPT: usize = 8;
+const RESERVED_SHARE_DIVISOR: usize = 8;
 /// Clients' idle connections beyond this part of all are too many.
 const CROWD: usize = 4;
 
@@ -203,7 +203,7 @@
             self.of_clients(),
             self.of_clients().saturating_sub(self.clients),
         );
-        unused.saturating_sub((share / KEPT).max(1))
+        unused.saturating_sub((share / RESERVED_SHARE_DIVISOR).max(1))
     }
 
     /// Whether a connection may be opened for this side.
--- a/decide/descriptors/src/tests.rs
+++ b/decide/descriptors/src/tests.rs
@@ -56,7 +56,10 @@
         let mut shares = shares(nodes, descriptors);
         let open = fill(&mut shares, Side::Nodes);
         let kept = shares.of_clients() - shares.owed();
-        assert!(open >= shares.of_nodes() && kept >= (shares.of_clients() / KEPT).max(1));
+        assert!(
+            open >= shares.of_nodes()
+                && kept >= (shares.of_clients() / RESERVED_SHARE_DIVISOR).max(1)
+        );
         assert_eq!(fill(&mut shares, Side::Clients), kept, "these come at once");
         match shares.may_open(Side::Clients) {
             Verdict::Instead(Reason::Borrowed(..)) => assert!(shares.owed() > 0),
--- a/decide/management/src/call.rs
+++ b/decide/management/src/call.rs
@@ -51,7 +51,7 @@
     MissingId(&'static str),
     /// This call is followed by a word too many.
     #[error("{0} takes nothing more than that, and there is {1:?}")]
-    SurplusWord(&'static str, String),
+    TrailingArgument(&'static str, String),
     /// The id is too long for one.
     #[error("an id is longer than {MAX_ID_BYTES} bytes")]
     LongId,
@@ -87,7 +87,7 @@
         return Err(ParseError::LongId);
     }
     match words.next() {
-        Some(surplus) => Err(ParseError::SurplusWord(name, quoted(surplus))),
+        Some(surplus) => Err(ParseError::TrailingArgument(name, quoted(surplus))),
         None => Ok(call(id.into())),
     }
 }
--- a/decide/phases/src/budget.rs
+++ b/decide/phases/src/budget.rs
@@ -87,7 +87,7 @@
     rules: &Rules,
     times: &mut Times,
     now: Time,
-    aim_at: Time,
+    target_at: Time,
     have: f64,
     missing: &[Missing],
 ) -> Prospect {
@@ -98,7 +98,7 @@
             rules.partial * have / rules.need
         }
     };
-    let left = aim_at.since(now);
+    let left = target_at.since(now);
     let value = partial(have) * second_worth(rules, times, now, left);
     let mut best = Prospect {
         now: value,
--- a/decide/registry/src/table/timeouts.rs
+++ b/decide/registry/src/table/timeouts.rs
@@ -28,12 +28,12 @@
             if !entry.is_live() {
                 return now.saturating_sub(entry.last_seen_us) < TOMBSTONE_RETENTION_US;
             }
-            let is_kept =
+            let is_retained =
                 now.saturating_sub(entry.last_seen_us.max(resumed_at_us)) < EXPIRY_AFTER_US;
-            if !is_kept {
+            if !is_retained {
                 changes.expired.push(instance.clone());
             }
-            is_kept
+            is_retained
         });
         changes.expired.sort();
     }
--- a/decide/replication/src/replica/leadership_transfer.rs
+++ b/decide/replication/src/replica/leadership_transfer.rs
@@ -66,7 +66,7 @@
     fn successor(&self, now: Time) -> Option<Member> {
         let primary = self.as_primary()?;
         let transfer = primary.leadership_transfer.as_ref();
-        let asked_last = transfer.and_then(|transfer| transfer.to.as_ref());
+        let last_target = transfer.and_then(|transfer| transfer.to.as_ref());
         let contact_us = MAX_MISSED_HEARTBEATS * self.settings.heartbeat_interval_us;
         let is_suitable = |peer: &Peer| {
             let in_contact = now.since(peer.last_contact_at) < contact_us;
@@ -81,7 +81,7 @@
             .iter()
             .filter_map(|voter| primary.peers.get(&voter.identity));
         let best = peers.filter(|peer| is_suitable(peer)).max_by_key(|peer| {
-            let is_again = asked_last.is_some_and(|last| last.identity == peer.member.identity);
+            let is_again = last_target.is_some_and(|last| last.identity == peer.member.identity);
             (peer.synced, !is_again)
         });
         best.map(|peer| peer.member.clone())
--- a/decide/replication/tests/exhaustive.rs
+++ b/decide/replication/tests/exhaustive.rs
@@ -164,7 +164,7 @@
 /// its way from the old one.
 fn election_in_progress(voters: usize, faults: Faults) -> World {
     let mut world = change_in_progress(voters, faults);
-    let held_back = std::mem::take(&mut world.network);
+    let delayed = std::mem::take(&mut world.network);
     (1..voters).for_each(|index| world.act(&Action::Elapse(index, 200_000)));
     world.act(&Action::Tick(1));
     // The answers to its question come in; what the old primary sent is still on its way.
@@ -178,7 +178,7 @@
             world.act(&Action::Deliver(at));
         }
     }
-    world.network.extend(held_back);
+    world.network.extend(delayed);
     world
 }
 
@@ -216,10 +216,10 @@
     while let Some(at) = world.network.iter().position(|envelope| envelope.from == 0) {
         world.act(&Action::Deliver(at));
     }
-    let held_back = std::mem::take(&mut world.network);
+    let delayed = std::mem::take(&mut world.network);
     (1..3).for_each(|index| world.sync(index));
     elect_and_commit(&mut world, 1, 2);
-    world.network = held_back;
+    world.network = delayed;
     world
 }
 
@@ -266,13 +266,13 @@
     while let Some(at) = world.network.iter().position(|envelope| envelope.from == 0) {
         world.act(&Action::Deliver(at));
     }
-    let held_back = std::mem::take(&mut world.network);
+    let delayed = std::mem::take(&mut world.network);
     elect_and_commit(&mut world, 1, 2);
     deliver_everything(&mut world);
     elect_and_commit(&mut world, 0, 2);
     deliver_everything(&mut world);
     elect_and_commit(&mut world, 1, 2);
-    world.network = held_back;
+    world.network = delayed;
     world
 }
 
--- a/fleet/src/control/quota_handler.rs
+++ b/fleet/src/control/quota_handler.rs
@@ -132,7 +132,7 @@
             &mut self.quotas.has_overrun,
             !self.quotas.buckets.are_within_bounds(),
         ) {
-            invariants::check(!self.quotas.has_overrun, Invariant::ShardQuotaIsKept);
+            invariants::check(!self.quotas.has_overrun, Invariant::ShardQuotaNotExceeded);
         }
     }
 
--- a/fleet/src/invariants.rs
+++ b/fleet/src/invariants.rs
@@ -20,7 +20,7 @@
     /// A request of a tenant with a quota is accepted only while its quota lease is valid.
     QuotaLeaseIsValid,
     /// A control machine leases no more of a quota in a window than its shard allows.
-    ShardQuotaIsKept,
+    ShardQuotaNotExceeded,
     /// A router exits only when no client waits for a response.
     ExitIsAnswered,
     /// A read returns a configuration no older than what the same machine had acknowledged before.
@@ -37,7 +37,7 @@
                 "clients that wait and requests that are held differ in number"
             }
             Invariant::QuotaLeaseIsValid => "a request was let through on a grant that had lapsed",
-            Invariant::ShardQuotaIsKept => {
+            Invariant::ShardQuotaNotExceeded => {
                 "more was granted of a tenant's quota than this machine's part"
             }
             Invariant::ExitIsAnswered => "the process ends while clients wait for an answer",
--- a/fleet/src/router/abort_reason.rs
+++ b/fleet/src/router/abort_reason.rs
@@ -17,7 +17,7 @@
     /// This process shuts down.
     Shutdown,
     /// This process shuts down, and the client can resume the stream at another router.
-    HandedOver,
+    ResumableElsewhere,
 }
 
 impl fmt::Display for AbortReason {
@@ -28,7 +28,7 @@
             AbortReason::Deadline => f.write_str("deadline"),
             AbortReason::KeyDenied => f.write_str("key no longer served"),
             AbortReason::Shutdown => f.write_str("shutdown"),
-            AbortReason::HandedOver => f.write_str("shutdown, to be resumed elsewhere"),
+            AbortReason::ResumableElsewhere => f.write_str("shutdown, to be resumed elsewhere"),
         }
     }
 }
--- a/fleet/src/router/handlers/shutdown.rs
+++ b/fleet/src/router/handlers/shutdown.rs
@@ -75,7 +75,7 @@
             };
             let can_resume_elsewhere = request.terms.is_resumable && request.deadline > ends_at;
             if can_resume_elsewhere && matches!(request.phase, RequestPhase::Relaying(_)) {
-                self.abort_response(id, AbortReason::HandedOver);
+                self.abort_response(id, AbortReason::ResumableElsewhere);
             }
         }
     }
--- a/fleet/src/router/handlers/stream_abort.rs
+++ b/fleet/src/router/handlers/stream_abort.rs
@@ -19,7 +19,7 @@
         };
         self.log_abort(&request, reason);
         match reason {
-            AbortReason::HandedOver => self
+            AbortReason::ResumableElsewhere => self
                 .clients
                 .abort_after_flush(&mut self.net, request.client),
             _ => self.clients.abort(&mut self.net, request.client),
--- a/src/management/folder/stored_data_tests.rs
+++ b/src/management/folder/stored_data_tests.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 const OWNER: &str = "n0 127.0.0.1:1";
-const KEPT_AT: Time = Time(1_700_000_000_000_000);
+const STORED_AT: Time = Time(1_700_000_000_000_000);
 
 fn stored(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
@@ -49,7 +49,7 @@
     for name in ["wanted", "process-4000000001"] {
         fs::copy(stored(name), folder.path().join(name)).unwrap();
     }
-    assert_eq!(folder.read_if_changed(KEPT_AT).unwrap(), Some(state()));
+    assert_eq!(folder.read_if_changed(STORED_AT).unwrap(), Some(state()));
     let running = File::open(folder.path().join("process-4000000001")).unwrap();
     running.try_lock().unwrap();
     assert_eq!(folder.others().unwrap(), [process()]);
@@ -61,7 +61,9 @@
     // The same state is written to the same bytes.
     fs::remove_file(folder.path().join("wanted")).unwrap();
     let applied = folder
-        .change(KEPT_AT, &state(), |known| Ok::<_, ()>(Some(known.clone())))
+        .change(STORED_AT, &state(), |known| {
+            Ok::<_, ()>(Some(known.clone()))
+        })
         .unwrap();
     assert!(applied.is_some_and(|change| change.state == state() && change.stored.is_ok()));
     let read = |path: PathBuf| fs::read_to_string(path).unwrap();
--- a/src/peer/consensus.rs
+++ b/src/peer/consensus.rs
@@ -245,7 +245,7 @@
             Message::ContactAnswer(number, genesis) => {
                 self.contact.on_answer(from, number, genesis);
             }
-            Message::HeldElsewhere(role) => self.roles.on_held_elsewhere(now, &role),
+            Message::LeasedElsewhere(role) => self.roles.on_leased_elsewhere(now, &role),
         }
         out
     }
@@ -267,9 +267,9 @@
         let Some(grants) = voter.voting().map(Voter::grants) else {
             return;
         };
-        let is_held_elsewhere = grants.holder(&role).is_some_and(|(h, _)| *h != holder);
-        if is_held_elsewhere || !voter.may_grant(now) {
-            out.extend(self.send(now, from, Message::HeldElsewhere(role)));
+        let is_leased_elsewhere = grants.holder(&role).is_some_and(|(h, _)| *h != holder);
+        if is_leased_elsewhere || !voter.may_grant(now) {
+            out.extend(self.send(now, from, Message::LeasedElsewhere(role)));
             return;
         }
         let timeout = PENDING_REQUEST_LEASES * self.config.terms.lease;
--- a/src/peer/consensus/messages.rs
+++ b/src/peer/consensus/messages.rs
@@ -21,7 +21,7 @@
     ContactAnswer(u64, u64),
     /// By the sender's knowledge, which may be old, another broker holds the role: nothing was
     /// proposed.
-    HeldElsewhere(RoleName),
+    LeasedElsewhere(RoleName),
     /// The sender releases a role.
     Release(RoleName, FencingToken),
 }
--- a/src/peer/consensus/role_leases.rs
+++ b/src/peer/consensus/role_leases.rs
@@ -94,7 +94,7 @@
 
     /// A voter knows of another holder. A broker that holds the role knows better than a voter that
     /// has missed something, and asks the next one.
-    pub(super) fn on_held_elsewhere(&mut self, now: Time, role: &RoleName) {
+    pub(super) fn on_leased_elsewhere(&mut self, now: Time, role: &RoleName) {
         if self.token(now, role).is_some() {
             return;
         }
--- a/src/peer/consensus/stored_data_tests.rs
+++ b/src/peer/consensus/stored_data_tests.rs
@@ -106,7 +106,7 @@
         ),
         ("hear", Message::ContactRequest(8)),
         ("heard", Message::ContactAnswer(8, 0xcbf2_9ce4_8422_2325)),
-        ("elsewhere", Message::HeldElsewhere(role.clone())),
+        ("elsewhere", Message::LeasedElsewhere(role.clone())),
         ("give_back", Message::Release(role, token)),
     ]
 }
--- a/src/peer/consensus/tests.rs
+++ b/src/peer/consensus/tests.rs
@@ -56,7 +56,7 @@
     }
 
     /// Runs until a broker holds the role, for this long at most; returns which one.
-    fn run_until_held(&mut self, timeout: Micros) -> Option<usize> {
+    fn run_until_acquired(&mut self, timeout: Micros) -> Option<usize> {
         let end = self.now.plus(timeout);
         while self.now < end {
             self.now = self.now.plus(5_000);
@@ -79,7 +79,7 @@
 #[test]
 fn voters_without_grants_wait_for_a_lease_and_a_released_role_is_granted_at_once() {
     let mut cluster = TestCluster::new();
-    let holder = cluster.run_until_held(10_000_000).unwrap();
+    let holder = cluster.run_until_acquired(10_000_000).unwrap();
     assert!(
         cluster.now.since(START) >= TERMS.voter_duration(),
         "a broker may hold it by a genesis that was lost"
@@ -94,7 +94,7 @@
         (0..3).map(|v| (format!("n{v}"), release.clone())).collect(),
     );
     assert_eq!(
-        cluster.run_until_held(5_000),
+        cluster.run_until_acquired(5_000),
         Some(holder),
         "only the holder may release it"
     );
@@ -104,7 +104,7 @@
     cluster.deliver(holder, messages);
     assert!(cluster.holders().is_empty(), "the lease has ended");
     let stopped = cluster.now;
-    let next = cluster.run_until_held(10_000_000).unwrap();
+    let next = cluster.run_until_acquired(10_000_000).unwrap();
     assert!(
         next != holder && cluster.now.since(stopped) < TERMS.lease,
         "nobody waits for the end of its lease"
@@ -114,10 +114,10 @@
 #[test]
 fn holder_keeps_its_role_when_a_voter_knows_another_and_foreign_genesis_stops_requests() {
     let mut cluster = TestCluster::new();
-    let holder = cluster.run_until_held(10_000_000).unwrap();
+    let holder = cluster.run_until_acquired(10_000_000).unwrap();
     let now = cluster.now;
     let broker = &mut cluster.brokers[holder];
-    let elsewhere = postcard::to_stdvec(&Message::HeldElsewhere(RoleName("d".into()))).unwrap();
+    let elsewhere = postcard::to_stdvec(&Message::LeasedElsewhere(RoleName("d".into()))).unwrap();
     broker.on_message(now, "n1", &elsewhere);
     assert!(
         broker.fencing_token(now, &RoleName("d".into())).is_some(),
@@ -152,5 +152,5 @@
     crate::testing::garbage(&[&[1, 2, 3, 4, 5, 6, 7, 8]], |bytes| {
         cluster.brokers[0].on_message(START, "n1", bytes);
     });
-    assert!(cluster.run_until_held(10_000_000).is_some());
+    assert!(cluster.run_until_acquired(10_000_000).is_some());
 }
--- a/wire/log_writer/src/tests.rs
+++ b/wire/log_writer/src/tests.rs
@@ -38,7 +38,7 @@
 /// A writer whose reader stands still with line `0` in hand; dropping the sender lets it go.
 fn stalled() -> (LogWriter, Sender<()>, Writes) {
     let (stalls, go) = mpsc::channel();
-    let (begun, stands_still) = mpsc::channel();
+    let (begun, is_blocked) = mpsc::channel();
     let writes = Writes::default();
     let writer = LogWriter::new(
         Stalled {
@@ -50,7 +50,7 @@
         lost_line,
     );
     writer.write_line(b"0\n".to_vec());
-    stands_still.recv().unwrap();
+    is_blocked.recv().unwrap();
     (writer, stalls, writes)
 }
 
--- a/wire/net/src/buffer.rs
+++ b/wire/net/src/buffer.rs
@@ -47,14 +47,14 @@
         }
     }
 
-    /// Reads until there is no more, or `ceiling` bytes are held. `Ok(true)`: the other side has
+    /// Reads until there is no more, or `max_bytes` bytes are held. `Ok(true)`: the other side has
     /// ended.
     ///
     /// # Errors
     /// What `from` returns, but for an interruption and for having nothing to read now.
-    pub fn fill(&mut self, from: &mut impl Read, ceiling: usize) -> io::Result<bool> {
+    pub fn fill(&mut self, from: &mut impl Read, max_bytes: usize) -> io::Result<bool> {
         let mut chunk = [0; CHUNK_BYTES];
-        while self.bytes().len() < ceiling {
+        while self.bytes().len() < max_bytes {
             match from.read(&mut chunk) {
                 Ok(0) => return Ok(true),
                 Ok(n) => self.push(&chunk[..n]),
--- a/wire/net/src/connections.rs
+++ b/wire/net/src/connections.rs
@@ -138,8 +138,8 @@
         self.flush(id, false)
     }
 
-    /// Writes what is queued and reads what has come, until `ceiling` bytes of input are buffered.
-    pub fn transfer(&mut self, id: ConnId, ceiling: usize) -> TransferProgress {
+    /// Writes what is queued and reads what has come, until `max_bytes` bytes of input are buffered.
+    pub fn transfer(&mut self, id: ConnId, max_bytes: usize) -> TransferProgress {
         let now = self.clock.now();
         let Some(conn) = self.get_mut(id) else {
             return TransferProgress::Broken;
@@ -153,7 +153,7 @@
             (conn.last_active_at, conn.last_read_at) = (now, now);
         }
         let buffered = conn.input.bytes().len();
-        let read = conn.read(ceiling);
+        let read = conn.read(max_bytes);
         if conn.input.bytes().len() > buffered {
             (conn.last_active_at, conn.last_read_at) = (now, now);
         }
@@ -161,7 +161,7 @@
             Ok(ended) => conn.ended = ended,
             Err(_) => return TransferProgress::Broken,
         }
-        let full = conn.input.bytes().len() >= ceiling;
+        let full = conn.input.bytes().len() >= max_bytes;
         self.flush(id, full)
     }
 
@@ -257,9 +257,9 @@
     }
 
     /// Reads what has come; `Ok(true)`: the other side has ended.
-    fn read(&mut self, ceiling: usize) -> io::Result<bool> {
+    fn read(&mut self, max_bytes: usize) -> io::Result<bool> {
         if !self.ended && !self.paused {
-            return self.input.fill(&mut self.stream, ceiling);
+            return self.input.fill(&mut self.stream, max_bytes);
         }
         // Guards the loop: without a read nothing else shows that it broke, and what is broken
         // stays ready.
--- a/wire/net/src/tests.rs
+++ b/wire/net/src/tests.rs
@@ -5,7 +5,7 @@
 use std::io::Write;
 
 /// A program that has clients, servers it calls and one signal.
-struct Tried;
+struct TestProgram;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Owner {
@@ -13,7 +13,7 @@
     Servers,
 }
 
-impl Program for Tried {
+impl Program for TestProgram {
     type Owner = Owner;
     type Timer = u32;
     type Signal = ();
@@ -36,7 +36,7 @@
 
 const PATIENCE: Duration = Duration::from_secs(2);
 
-type Net = super::Net<Tried>;
+type Net = super::Net<TestProgram>;
 
 /// Whether a listener is ready within a moment.
 fn knocks(net: &mut Net) -> bool {
@@ -132,12 +132,12 @@
         .unwrap();
     while !net.get(id).unwrap().up {
         reported(&mut net, id);
-        assert_eq!(net.transfer(id, CEILING), TransferProgress::Alive);
+        assert_eq!(net.transfer(id, FILL_LIMIT), TransferProgress::Alive);
     }
     (net, id, other)
 }
 
-const CEILING: usize = 64 * 1024;
+const FILL_LIMIT: usize = 64 * 1024;
 
 /// Whether a connection is reported within a moment.
 fn reported(net: &mut Net, id: ConnId) -> bool {
@@ -182,7 +182,7 @@
     let reader = std::thread::spawn(move || other.read_exact(&mut vec![0; sent]).map(|()| other));
     while net.get(id).unwrap().queued_unwritten() > 0 {
         assert!(reported(&mut net, id));
-        assert_eq!(net.transfer(id, CEILING), TransferProgress::Alive);
+        assert_eq!(net.transfer(id, FILL_LIMIT), TransferProgress::Alive);
     }
     reader.join().unwrap().unwrap();
 }
@@ -195,7 +195,7 @@
     assert!(!reported(&mut net, id) && net.get(id).unwrap().paused());
     assert_eq!(
         (
-            net.transfer(id, CEILING),
+            net.transfer(id, FILL_LIMIT),
             net.get(id).unwrap().input.bytes()
         ),
         (TransferProgress::Alive, &b""[..])
@@ -210,7 +210,7 @@
     assert!(reported(&mut net, id));
     assert_eq!(
         (
-            net.transfer(id, CEILING),
+            net.transfer(id, FILL_LIMIT),
             net.get(id).unwrap().input.bytes()
         ),
         (TransferProgress::Alive, &b"abc"[..])
@@ -228,7 +228,7 @@
     assert!(!reported(&mut net, id), "nothing is to be done about it");
     assert_eq!(net.pause(id, false), TransferProgress::Alive);
     assert!(reported(&mut net, id));
-    assert_eq!(net.transfer(id, CEILING), TransferProgress::Broken);
+    assert_eq!(net.transfer(id, FILL_LIMIT), TransferProgress::Broken);
 }
 
 #[test]
@@ -245,7 +245,7 @@
         .unwrap();
     drop(other);
     assert!(reported(&mut net, id));
-    assert_eq!(net.transfer(id, CEILING), TransferProgress::Broken);
+    assert_eq!(net.transfer(id, FILL_LIMIT), TransferProgress::Broken);
 }
 
 #[test]
@@ -253,13 +253,13 @@
     let (mut net, id, other) = connected();
     other.shutdown(std::net::Shutdown::Write).unwrap();
     assert!(reported(&mut net, id));
-    assert!(net.transfer(id, CEILING) == TransferProgress::Alive && net.get(id).unwrap().ended);
+    assert!(net.transfer(id, FILL_LIMIT) == TransferProgress::Alive && net.get(id).unwrap().ended);
     SockRef::from(&other)
         .set_linger(Some(Duration::ZERO))
         .unwrap();
     drop(other);
     assert!(reported(&mut net, id));
-    assert_eq!(net.transfer(id, CEILING), TransferProgress::Broken);
+    assert_eq!(net.transfer(id, FILL_LIMIT), TransferProgress::Broken);
 }
 
 #[test]
