--- a/core/src/dispatch.rs
+++ b/core/src/dispatch.rs
@@ -48,7 +48,7 @@
 
 impl<J> Core<J> {
     /// Carries out what the module asks for in one turn.
-    pub(super) fn carry_out(
+    pub(super) fn execute_actions(
         &mut self,
         now: Time,
         actions: Vec<Action>,
--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -400,7 +400,7 @@
         self.apply_verdicts(verdicts);
         let events = std::mem::take(&mut self.inbox);
         self.module.turn(now, events, &mut actions);
-        self.carry_out(now, actions, &mut commands);
+        self.execute_actions(now, actions, &mut commands);
         commands.extend(self.recalls.drain(..).map(Command::Recall));
         commands.extend(self.lines.drain(..).map(Command::Log));
         commands
--- a/core/src/phases.rs
+++ b/core/src/phases.rs
@@ -31,7 +31,7 @@
         );
         if outcome == Outcome::Ok {
             let bound = part.value.as_ref().and_then(|value| bound(shard, value));
-            let verdicts = self.planner.on_answer(
+            let verdicts = self.planner.on_response(
                 now,
                 (query, shard.0),
                 (part.is_second_step, took, pending),
--- a/core/src/tests.rs
+++ b/core/src/tests.rs
@@ -463,7 +463,7 @@
         timeout: 1_000 * MS,
     };
     let mut commands = Vec::new();
-    stage.core.carry_out(
+    stage.core.execute_actions(
         stage.now,
         vec![send, Action::Cancel { part, attempt: 0 }],
         &mut commands,
--- a/decide/consensus/src/quorum_status.rs
+++ b/decide/consensus/src/quorum_status.rs
@@ -85,9 +85,9 @@
 /// let terms = LeaseTerms { lease: 3_000_000, drift: 20_000 };
 /// let mut contact = ContactTracker::new(3, terms);
 /// let request = contact.on_request(Time(0));
-/// contact.on_answer("n0", request, 7);
+/// contact.on_response("n0", request, 7);
 /// assert_eq!(contact.status(Time(5)).0, QuorumStatus::Disconnected, "one of three");
-/// contact.on_answer("n1", request, 7);
+/// contact.on_response("n1", request, 7);
 /// assert_eq!(contact.status(Time(2_000_000)).0, QuorumStatus::Connected);
 /// assert_eq!(contact.status(Time(3_000_000)).0, QuorumStatus::Suspect, "counted from the request");
 /// ```
@@ -141,7 +141,7 @@
     }
 
     /// A voter that votes by the genesis of this digest has answered the request of this number.
-    pub fn on_answer(&mut self, voter: &str, request: u64, genesis: u64) {
+    pub fn on_response(&mut self, voter: &str, request: u64, genesis: u64) {
         let known = *self.genesis.get_or_insert(genesis);
         if known != genesis {
             self.other_genesis = Some(genesis);
--- a/decide/consensus/src/quorum_status/tests.rs
+++ b/decide/consensus/src/quorum_status/tests.rs
@@ -11,7 +11,9 @@
 fn contact_with(voters: &[&str], of: usize) -> ContactTracker {
     let mut contact = ContactTracker::new(of, TERMS);
     let request = contact.on_request(T(0));
-    voters.iter().for_each(|v| contact.on_answer(v, request, 5));
+    voters
+        .iter()
+        .for_each(|v| contact.on_response(v, request, 5));
     contact
 }
 
@@ -56,8 +58,8 @@
     // A delayed answer counts from its request; that of a request no longer remembered counts for
     // nothing.
     let late = contact.on_request(T(100_000));
-    contact.on_answer("a", late, 5);
-    contact.on_answer("c", late, 5);
+    contact.on_response("a", late, 5);
+    contact.on_response("c", late, 5);
     assert_eq!(
         contact.status(T(102_000)),
         (QuorumStatus::Connected, Reason::ReceivedBy(2, 3))
@@ -65,7 +67,7 @@
     for ms in 1..=MAX_REMEMBERED_REQUESTS as u64 {
         contact.on_request(T(102_000 + ms));
     }
-    contact.on_answer("b", late, 5);
+    contact.on_response("b", late, 5);
     assert_eq!(contact.status(T(102_500)).1, Reason::ReceivedBy(2, 3));
     assert_eq!(contact.requests.len(), MAX_REMEMBERED_REQUESTS);
 }
@@ -73,7 +75,7 @@
 #[test]
 fn foreign_genesis_is_permanent() {
     let mut contact = contact_with(&["a", "b"], 3);
-    contact.on_answer("c", 1, 6);
+    contact.on_response("c", 1, 6);
     assert_eq!(
         contact.status(T(1)),
         (QuorumStatus::ForeignGenesis, Reason::OtherGenesis(5, 6))
@@ -81,6 +83,6 @@
     let request = contact.on_request(T(10));
     ["a", "b"]
         .iter()
-        .for_each(|v| contact.on_answer(v, request, 5));
+        .for_each(|v| contact.on_response(v, request, 5));
     assert_eq!(contact.status(T(11)).0, QuorumStatus::ForeignGenesis);
 }
--- a/decide/consensus/src/voter/tests.rs
+++ b/decide/consensus/src/voter/tests.rs
@@ -92,11 +92,11 @@
             let actions = self.voters[other]
                 .as_mut()
                 .map(|v| v.on_reconnected(self.now, &name(i)));
-            self.carry_out(other, actions.unwrap_or_default());
+            self.execute_actions(other, actions.unwrap_or_default());
         }
     }
 
-    fn carry_out(&mut self, voter: usize, actions: Vec<VoterAction>) {
+    fn execute_actions(&mut self, voter: usize, actions: Vec<VoterAction>) {
         for action in actions {
             match action {
                 VoterAction::Persist(records) => self.storage[voter].extend(records),
@@ -151,10 +151,10 @@
                 let actions = self.voters[to]
                     .as_mut()
                     .map(|v| v.on_message(self.now, &bytes));
-                self.carry_out(to, actions.unwrap_or_default());
+                self.execute_actions(to, actions.unwrap_or_default());
             } else if let Some((_, i)) = timer {
                 let actions = self.voters[i].as_mut().map(|v| v.on_time(self.now));
-                self.carry_out(i, actions.unwrap_or_default());
+                self.execute_actions(i, actions.unwrap_or_default());
             }
         }
         self.now = end;
@@ -175,7 +175,7 @@
             request: self.last_request,
         };
         let actions = self.voters[at].as_mut().map(|v| v.propose(self.now, entry));
-        self.carry_out(at, actions.unwrap_or_default());
+        self.execute_actions(at, actions.unwrap_or_default());
     }
 
     /// Proposes requests at a voter for this long. Returns how many entries were decided there
@@ -211,7 +211,7 @@
                 let actions = self.voters[i]
                     .as_mut()
                     .map(|v| v.on_reconnected(self.now, &other));
-                self.carry_out(i, actions.unwrap_or_default());
+                self.execute_actions(i, actions.unwrap_or_default());
             }
         }
     }
--- a/decide/control/src/relayed_calls.rs
+++ b/decide/control/src/relayed_calls.rs
@@ -166,20 +166,20 @@
     /// The last connection to that machine is closed, so no response will come; what was sent there
     /// may have been accepted.
     pub fn on_peer_disconnected(&mut self, address: &A) {
-        self.give_up_where(|forwarded| forwarded.to == *address);
+        self.abandon_where(|forwarded| forwarded.to == *address);
     }
 
     /// Completes forwarded calls whose response deadline has passed.
     pub fn expire(&mut self, now: Time) {
-        self.give_up_where(|forwarded| forwarded.call.response_deadline() <= now);
+        self.abandon_where(|forwarded| forwarded.call.response_deadline() <= now);
     }
 
-    fn give_up_where(&mut self, ends: impl Fn(&ForwardedCall<C, A>) -> bool) {
+    fn abandon_where(&mut self, ends: impl Fn(&ForwardedCall<C, A>) -> bool) {
         let forwarded = std::mem::take(&mut self.forwarded).into_iter();
-        let (given_up, forwarded): (BTreeMap<_, _>, BTreeMap<_, _>) =
+        let (abandoned, forwarded): (BTreeMap<_, _>, BTreeMap<_, _>) =
             forwarded.partition(|(_, forwarded)| ends(forwarded));
         self.forwarded = forwarded;
-        for ForwardedCall { call, .. } in given_up.into_values() {
+        for ForwardedCall { call, .. } in abandoned.into_values() {
             let response = call.kind.response_when_outcome_unknown();
             self.respond(call, response);
         }
--- a/decide/descriptors/src/lib.rs
+++ b/decide/descriptors/src/lib.rs
@@ -42,9 +42,9 @@
     /// Discovery.
     Discovery,
     /// Other brokers that have connected, where brokers talk.
-    PeersIn,
+    InboundPeers,
     /// Other brokers that were connected to.
-    PeersOut,
+    OutboundPeers,
 }
 
 /// Whether a connection may be opened, and the rule that says so.
@@ -111,8 +111,8 @@
     discovery: usize,
     /// Set aside for other brokers in each direction, and open.
     peers: usize,
-    peers_in: usize,
-    peers_out: usize,
+    inbound_peers: usize,
+    outbound_peers: usize,
 }
 
 impl Shares {
@@ -128,8 +128,8 @@
             nodes: 0,
             discovery: 0,
             peers: 0,
-            peers_in: 0,
-            peers_out: 0,
+            inbound_peers: 0,
+            outbound_peers: 0,
         }
     }
 
@@ -169,8 +169,8 @@
             Side::Clients => &mut self.clients,
             Side::Nodes => &mut self.nodes,
             Side::Discovery => &mut self.discovery,
-            Side::PeersIn => &mut self.peers_in,
-            Side::PeersOut => &mut self.peers_out,
+            Side::InboundPeers => &mut self.inbound_peers,
+            Side::OutboundPeers => &mut self.outbound_peers,
         }
     }
 
@@ -215,11 +215,11 @@
                 Verdict::Open(Reason::Share(self.discovery, DISCOVERY))
             }
             Side::Discovery => Verdict::Wait(Reason::Full(self.discovery, DISCOVERY)),
-            Side::PeersIn | Side::PeersOut => {
-                let open = if side == Side::PeersIn {
-                    self.peers_in
+            Side::InboundPeers | Side::OutboundPeers => {
+                let open = if side == Side::InboundPeers {
+                    self.inbound_peers
                 } else {
-                    self.peers_out
+                    self.outbound_peers
                 };
                 match open < self.peers {
                     true => Verdict::Open(Reason::Share(open, self.peers)),
--- a/decide/lease/src/model.rs
+++ b/decide/lease/src/model.rs
@@ -18,7 +18,7 @@
     /// The drift of clocks is ignored.
     NoDrift,
     /// A lease is counted from the answer.
-    CountedFromAnswer,
+    CountedFromResponse,
     /// The end of a lease counts though a renewal came first.
     LateRenewal,
     /// The receiver checks no token.
@@ -178,7 +178,7 @@
         match token {
             Some(token) => {
                 let is_granted = lease.on_grant(number, token);
-                if is_granted && self.planted == PlantedFault::CountedFromAnswer {
+                if is_granted && self.planted == PlantedFault::CountedFromResponse {
                     let mut late = before.clone();
                     let repeated = late.on_request(now);
                     late.on_grant(repeated, token);
@@ -322,7 +322,7 @@
 fn each_planted_fault_is_found() {
     for (planted, property) in [
         (PlantedFault::NoDrift, "one holder may act"),
-        (PlantedFault::CountedFromAnswer, "one holder may act"),
+        (PlantedFault::CountedFromResponse, "one holder may act"),
         (PlantedFault::LateRenewal, "one holder may act"),
         (
             PlantedFault::NoFencing,
--- a/decide/phases/src/lib.rs
+++ b/decide/phases/src/lib.rs
@@ -142,7 +142,7 @@
 
     /// An attempt ended well after so long; `pending` as it was when it was sent. Of a sorted
     /// second phase the keys and count that came.
-    pub fn on_answer(
+    pub fn on_response(
         &mut self,
         now: Time,
         (id, slice): (QueryId, u32),
--- a/decide/phases/src/tests.rs
+++ b/decide/phases/src/tests.rs
@@ -11,8 +11,8 @@
     let mut planner = Planner::new(vec![Some(rules)]);
     for i in 0..100u64 {
         planner.on_query(Time(i), Q, 0, &[(0, 0.5), (1, 0.5)]);
-        planner.on_answer(Time(i), (Q, 0), (false, (100 + i) * MS, 0.0), None);
-        planner.on_answer(Time(i), (Q, 1), (true, (50 + i) * MS, 0.0), None);
+        planner.on_response(Time(i), (Q, 0), (false, (100 + i) * MS, 0.0), None);
+        planner.on_response(Time(i), (Q, 1), (true, (50 + i) * MS, 0.0), None);
         planner.on_end(Q);
     }
     planner
@@ -26,7 +26,7 @@
     (0..10).for_each(|s| planner.on_sent(start, Q, s, 0.0));
     let mut verdicts = Vec::new();
     for slice in 0..came {
-        verdicts.extend(planner.on_answer(
+        verdicts.extend(planner.on_response(
             start.plus(after),
             (Q, slice),
             (false, after, 0.0),
@@ -106,7 +106,7 @@
     }
     // The eighth comes after the first phase has had its share: closed at once, with exactly the
     // least.
-    let verdict = late.on_answer(Time(10_950 * MS), (Q, 7), (false, 950 * MS, 0.0), None);
+    let verdict = late.on_response(Time(10_950 * MS), (Q, 7), (false, 950 * MS, 0.0), None);
     assert!(
         matches!(verdict[..], [Verdict::Close(Q, Reason::FirstShare { .. })]),
         "{verdict:?}"
@@ -143,7 +143,7 @@
         first_phase(&mut planner, 10, 150 * MS);
         let plan = plan(&mut planner, 200);
         for (slice, _) in &plan.parts[..came] {
-            planner.on_answer(Time(10_300 * MS), (Q, *slice), (true, 100 * MS, 0.0), None);
+            planner.on_response(Time(10_300 * MS), (Q, *slice), (true, 100 * MS, 0.0), None);
         }
         assert_eq!(planner.next(), Some(Time(11_000 * MS)), "the aim");
         assert_eq!(planner.on_time(Time(10_999 * MS)), []);
@@ -192,7 +192,7 @@
         keys: keys.map(Key::Number).to_vec(),
         matched: Some(9),
     };
-    let beaten = planner.on_answer(now, (Q, 0), (true, MS, 0.0), Some(told([0.0, 0.1, 0.2])));
+    let beaten = planner.on_response(now, (Q, 0), (true, MS, 0.0), Some(told([0.0, 0.1, 0.2])));
     assert_eq!(
         beaten,
         [Verdict::Unneeded(Q, 1, Reason::Bound { slice: 1, k: 3 })]
@@ -224,7 +224,7 @@
         keys: vec![Key::Number(-5.0)],
         matched: Some(9),
     };
-    let verdicts = planner.on_answer(now, (Q, 0), (true, MS, 0.0), Some(told));
+    let verdicts = planner.on_response(now, (Q, 0), (true, MS, 0.0), Some(told));
     assert_eq!(
         verdicts,
         [Verdict::Doubt(Q, Reason::WrongBound { slice: 0 })],
--- a/decide/quota/src/lease_requests.rs
+++ b/decide/quota/src/lease_requests.rs
@@ -311,11 +311,11 @@
     fn indexes_for(&self, now: Time, owner: OwnerId, pending: &PendingRequest<O>) -> Vec<usize> {
         let request = &pending.request;
         let limit = self.health.insufficient_from(now, owner, &request.tenant);
-        let is_worth_trying = |index: &usize| {
+        let is_eligible = |index: &usize| {
             !pending.grant.covers(*index)
                 && limit.is_none_or(|limit| request.amounts[*index] < limit)
         };
-        (0..request.amounts.len()).filter(is_worth_trying).collect()
+        (0..request.amounts.len()).filter(is_eligible).collect()
     }
 }
 
--- a/decide/registry/src/table.rs
+++ b/decide/registry/src/table.rs
@@ -136,10 +136,10 @@
     /// Resolves address conflicts, and applies the timeouts of servers and tombstones. To be called
     /// by [`Registry::next_wake`].
     pub fn tick(&mut self, now: u64) -> Changes {
-        self.detect_pause(now);
+        self.detect_suspension(now);
         let mut changes = self.resolve_address_conflicts(now);
         self.expire(now, &mut changes);
-        self.mark_suspects(now, &mut changes);
+        self.suspect_overdue_servers(now, &mut changes);
         changes
     }
 
--- a/decide/registry/src/table/timeouts.rs
+++ b/decide/registry/src/table/timeouts.rs
@@ -14,7 +14,7 @@
 
     /// A machine that was suspended has received no heartbeats meanwhile: timeouts count from when it
     /// resumed.
-    pub(super) fn detect_pause(&mut self, now: u64) {
+    pub(super) fn detect_suspension(&mut self, now: u64) {
         if now.saturating_sub(self.last_tick_us) > self.heartbeat_interval_us {
             self.resumed_at_us = now;
         }
@@ -39,7 +39,7 @@
     }
 
     /// Marks servers as suspect whose heartbeats are overdue.
-    pub(super) fn mark_suspects(&mut self, now: u64, changes: &mut Changes) {
+    pub(super) fn suspect_overdue_servers(&mut self, now: u64, changes: &mut Changes) {
         let (resumed_at_us, suspect_after_us) = (self.resumed_at_us, self.suspect_after_us());
         let mut suspects: Vec<&ServerRecord> = Vec::new();
         for entry in self
--- a/decide/replication/src/replica/append.rs
+++ b/decide/replication/src/replica/append.rs
@@ -75,7 +75,7 @@
             let follows =
                 record.previous == accepted.position && record.position > accepted.position;
             if follows && record.position.epoch == append.epoch {
-                self.mark_committed(record.previous, append.committed);
+                self.advance_committed(record.previous, append.committed);
                 self.accept_record(now, record);
             }
         }
@@ -108,7 +108,7 @@
             return;
         };
         if position.epoch == append.epoch || position == append.committed {
-            self.mark_committed(position, append.committed);
+            self.advance_committed(position, append.committed);
         }
     }
 
@@ -122,7 +122,7 @@
 
     /// The accepted state has this position and is one that the primary has had; everything up to
     /// `committed` is committed.
-    fn mark_committed(&mut self, position: Position, committed: Position) {
+    fn advance_committed(&mut self, position: Position, committed: Position) {
         let is_new = self
             .committed
             .as_ref()
--- a/decide/replication/src/replica/leave.rs
+++ b/decide/replication/src/replica/leave.rs
@@ -96,7 +96,7 @@
     }
 
     pub(super) fn on_leave_request(&mut self, now: Time, from: &Member) {
-        let is_settled = self
+        let has_committed_all = self
             .as_primary()
             .is_some_and(|primary| primary.is_serving && !primary.has_record_in_flight);
         let is_named = self.membership().contains(from.identity);
@@ -109,7 +109,7 @@
         }
         if !is_named {
             // The record without it counts only once it is committed.
-            if is_settled {
+            if has_committed_all {
                 self.send_leave_response(from, epoch, LeaveOutcome::Removed);
             }
             return;
--- a/decide/replication/src/replica/primary.rs
+++ b/decide/replication/src/replica/primary.rs
@@ -388,11 +388,12 @@
 
     fn is_quorum(&self, membership: &Membership, present: &BTreeSet<Identity>) -> bool {
         let faults = self.settings.faults;
-        let leaver_alone = faults.has(Fault::LeaverCommitsAlone) && self.departure.is_some();
-        let is_alone = (leaver_alone || faults.has(Fault::PrimaryCommitsAlone))
+        let leaver_commits_alone =
+            faults.has(Fault::LeaverCommitsAlone) && self.departure.is_some();
+        let commits_alone = (leaver_commits_alone || faults.has(Fault::PrimaryCommitsAlone))
             && present.contains(&self.me.identity);
         let is_half = faults.has(Fault::HalfIsQuorum) && membership.is_half(present);
-        membership.is_quorum(present) || is_alone || is_half
+        membership.is_quorum(present) || commits_alone || is_half
     }
 
     /// A member may have moved: what is sent to it goes to the address of its last message.
--- a/experiments/benches/plan.rs
+++ b/experiments/benches/plan.rs
@@ -18,13 +18,13 @@
     planner.on_query(NOW, QueryId(1), 0, &parts);
     for slice in 0..SLICES {
         let took = 50_000 + u64::from(slice) * 500;
-        planner.on_answer(
+        planner.on_response(
             NOW.plus(took),
             (QueryId(1), slice),
             (false, took, 0.0),
             None,
         );
-        planner.on_answer(NOW.plus(took), (QueryId(1), slice), (true, took, 0.0), None);
+        planner.on_response(NOW.plus(took), (QueryId(1), slice), (true, took, 0.0), None);
     }
     planner
 }
--- a/experiments/src/discovery.rs
+++ b/experiments/src/discovery.rs
@@ -78,7 +78,7 @@
     // All watches end as discovery goes down; each of them was answered often before.
     let mut states: Vec<State> = Vec::new();
     for pacer in &mut pacers {
-        (0..50).for_each(|_| _ = pacer.on_answer(DOWN));
+        (0..50).for_each(|_| _ = pacer.on_response(DOWN));
         states.push(State::Waits(pacer.on_failure(DOWN, DOWN).at));
     }
     let (mut queue, mut free) = (VecDeque::<(Time, usize)>::new(), BACK);
@@ -100,7 +100,7 @@
                 }
                 State::Out(began) if now.since(began) >= patience => {
                     failed += 1;
-                    *state = State::Waits(pacers[i].on_silence(now, began).at);
+                    *state = State::Waits(pacers[i].on_timeout(now, began).at);
                 }
                 State::Out(began) if now.since(began) >= kind.fails_after_ms * MS => {
                     failed += 1;
@@ -117,7 +117,7 @@
             if waits {
                 heard.push(now.since(BACK));
                 states[i] = State::Told;
-                pacers[i].on_answer(now);
+                pacers[i].on_response(now);
             }
             if waits || kind.works_in_vain {
                 free = free.max(now.minus(MS)).plus(handles);
--- a/experiments/src/members.rs
+++ b/experiments/src/members.rs
@@ -89,7 +89,7 @@
         }
     }
 
-    fn carry_out(&mut self, broker: usize, verdicts: Vec<Verdict>) {
+    fn apply_verdicts(&mut self, broker: usize, verdicts: Vec<Verdict>) {
         for verdict in verdicts {
             match verdict {
                 Verdict::Send(to, bytes) => {
@@ -146,14 +146,14 @@
                     .map(|f| f.on_message(self.now, &bytes));
                 verdicts
                     .into_iter()
-                    .for_each(|verdicts| self.carry_out(to, verdicts));
+                    .for_each(|verdicts| self.apply_verdicts(to, verdicts));
             } else if let Some(Reverse((_, i))) = self.timers.pop() {
                 // A timer is set again whenever it changes: only one that is still due counts.
                 let due = self.detectors[i].as_mut().filter(|f| f.next() <= self.now);
                 let verdicts = due.map(|f| f.on_time(self.now));
                 verdicts
                     .into_iter()
-                    .for_each(|verdicts| self.carry_out(i, verdicts));
+                    .for_each(|verdicts| self.apply_verdicts(i, verdicts));
             }
         }
         self.now = until;
--- a/experiments/src/replay.rs
+++ b/experiments/src/replay.rs
@@ -186,7 +186,7 @@
         }
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>, events: &mut Vec<Event>) {
+    fn execute_actions(&mut self, actions: Vec<Action>, events: &mut Vec<Event>) {
         self.day.actions += actions.len() as u64;
         for action in actions {
             for word in format!("{action:?}").as_bytes().chunks(8) {
@@ -311,7 +311,7 @@
         self.day.events += events.len() as u64;
         let mut actions = Vec::new();
         self.module.turn(now, events, &mut actions);
-        self.carry_out(actions, pending);
+        self.execute_actions(actions, pending);
     }
 }
 
--- a/fleet/src/control/heartbeat_handler.rs
+++ b/fleet/src/control/heartbeat_handler.rs
@@ -54,7 +54,7 @@
     /// The reason, where they can't.
     fn check_heartbeats_accepted(&self, now: Time) -> Result<(), HeartbeatRejection> {
         match (self.in_contact(now), self.servers.accepts_heartbeats(now)) {
-            (false, _) => Err(HeartbeatRejection::OutOfContact),
+            (false, _) => Err(HeartbeatRejection::NoContact),
             (true, false) => Err(HeartbeatRejection::TableUnknown),
             (true, true) => Ok(()),
         }
--- a/fleet/src/control/net_program.rs
+++ b/fleet/src/control/net_program.rs
@@ -43,8 +43,8 @@
     fn side(owner: Owner) -> Side {
         match owner {
             Owner::Caller => Side::Clients,
-            Owner::Accepted => Side::PeersIn,
-            Owner::Dialled => Side::PeersOut,
+            Owner::Accepted => Side::InboundPeers,
+            Owner::Dialled => Side::OutboundPeers,
         }
     }
 
--- a/fleet/src/control/pending_updates.rs
+++ b/fleet/src/control/pending_updates.rs
@@ -167,7 +167,7 @@
     }
 
     /// The connection, and the number to be acknowledged on it.
-    pub(super) fn into_parts(self) -> (ConnId, u64) {
+    pub(super) fn into_connection_and_ack(self) -> (ConnId, u64) {
         (self.to, self.ack)
     }
 }
--- a/fleet/src/control/responses.rs
+++ b/fleet/src/control/responses.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum HeartbeatRejection {
     #[error("this machine is not in contact with a quorum")]
-    OutOfContact,
+    NoContact,
     #[error("this machine has just started and has not got the table of servers yet")]
     TableUnknown,
     #[error("too few control machines hold this news yet")]
--- a/fleet/src/control/server_cache.rs
+++ b/fleet/src/control/server_cache.rs
@@ -35,7 +35,7 @@
 /// was down.
 const RENEWAL_INTERVAL: Duration = Duration::from_secs(10);
 /// Servers of a table that is older than this (seconds) count as suspect.
-const MAX_TRUSTED_AGE_S: u64 = 60;
+const MAX_UNSUSPECTED_AGE_S: u64 = 60;
 
 /// Why a table on disk is passed over.
 #[derive(Debug, thiserror::Error)]
@@ -246,7 +246,7 @@
     let mut records: Vec<ServerRecord> = decode(table.payload)?;
     records
         .iter_mut()
-        .for_each(|record| record.is_suspect |= age_s > MAX_TRUSTED_AGE_S);
+        .for_each(|record| record.is_suspect |= age_s > MAX_UNSUSPECTED_AGE_S);
     Ok(records)
 }
 
--- a/fleet/src/control/server_cache/tests.rs
+++ b/fleet/src/control/server_cache/tests.rs
@@ -117,8 +117,8 @@
     // A table from the future, after the clock was set back, is not trusted either.
     for (written_s, is_suspect) in [
         (time_of_day_s(), false),
-        (time_of_day_s() - MAX_TRUSTED_AGE_S - 2, true),
-        (time_of_day_s() + MAX_TRUSTED_AGE_S + 2, true),
+        (time_of_day_s() - MAX_UNSUSPECTED_AGE_S - 2, true),
+        (time_of_day_s() + MAX_UNSUSPECTED_AGE_S + 2, true),
     ] {
         let folder = Folder::new();
         std::fs::write(
--- a/fleet/src/control/server_table.rs
+++ b/fleet/src/control/server_table.rs
@@ -355,7 +355,9 @@
             .into_iter()
             .filter(|pending| !pending.has_expired(now))
             .collect();
-        due.into_iter().map(PendingAck::into_parts).collect()
+        due.into_iter()
+            .map(PendingAck::into_connection_and_ack)
+            .collect()
     }
 
     /// Marks silent servers as suspect, forgets expired ones, and begins a periodic write.
--- a/fleet/src/control/startup.rs
+++ b/fleet/src/control/startup.rs
@@ -32,7 +32,7 @@
 const RESERVED_INTERNAL_CONNECTIONS: usize = 256;
 
 /// What a machine has opened before its state is assembled.
-struct OpenedParts {
+struct OpenedResources {
     address: SocketAddr,
     eligibility: Eligibility,
     net: Net,
@@ -51,9 +51,9 @@
         path: PathBuf,
         environment: Environment,
     ) -> Result<ControlNode, ControlError> {
-        let parts = open_parts(&settings, &environment)?;
-        let now = parts.started_at;
-        let mut node = ControlNode::assemble(settings, path, environment, parts);
+        let resources = open_resources(&settings, &environment)?;
+        let now = resources.started_at;
+        let mut node = ControlNode::assemble(settings, path, environment, resources);
         node.update_diskless_members();
         // The voters that the disk names are dialled at once, whatever the seeds are.
         node.voters()
@@ -66,16 +66,16 @@
         settings: Settings,
         path: PathBuf,
         environment: Environment,
-        parts: OpenedParts,
+        resources: OpenedResources,
     ) -> ControlNode {
-        let OpenedParts {
+        let OpenedResources {
             address,
             eligibility,
             net,
             group,
             servers,
             started_at: now,
-        } = parts;
+        } = resources;
         let identity = group
             .as_ref()
             .map_or_else(|| generate_identity(&address.to_string()), Group::identity);
@@ -118,7 +118,10 @@
 }
 
 /// Opens the sockets, the group and the table of servers, and listens last.
-fn open_parts(settings: &Settings, environment: &Environment) -> Result<OpenedParts, ControlError> {
+fn open_resources(
+    settings: &Settings,
+    environment: &Environment,
+) -> Result<OpenedResources, ControlError> {
     let control_plane = settings
         .listen_addresses
         .control_plane
@@ -137,7 +140,7 @@
     // Callers get responses from the first moment: 503 as long as nothing is known.
     net.listen(Owner::Accepted, address)?;
     net.listen(Owner::Caller, control_plane)?;
-    Ok(OpenedParts {
+    Ok(OpenedResources {
         address,
         eligibility,
         net,
--- a/fleet/src/logging.rs
+++ b/fleet/src/logging.rs
@@ -17,7 +17,7 @@
 const MAX_QUEUED_LINES: usize = 1_024;
 
 static WRITER: LazyLock<LogWriter> =
-    LazyLock::new(|| LogWriter::new(io::stderr(), MAX_QUEUED_LINES, lost_line));
+    LazyLock::new(|| LogWriter::new(io::stderr(), MAX_QUEUED_LINES, dropped_lines_notice));
 
 /// Sets up the log. Called once, before the first record.
 pub fn start() {
@@ -36,7 +36,7 @@
 }
 
 /// The line that reports dropped lines.
-fn lost_line(lost: u64) -> String {
+fn dropped_lines_notice(lost: u64) -> String {
     format!("{{\"level\":\"WARN\",\"message\":\"lines of the log were lost\",\"lines\":{lost}}}\n")
 }
 
--- a/fleet/src/logging/tests.rs
+++ b/fleet/src/logging/tests.rs
@@ -28,5 +28,5 @@
 #[test]
 fn lost_lines_are_reported_as_a_record() {
     let line = "{\"level\":\"WARN\",\"message\":\"lines of the log were lost\",\"lines\":3}\n";
-    assert_eq!(lost_line(3), line);
+    assert_eq!(dropped_lines_notice(3), line);
 }
--- a/fleet/src/router/handlers/quota.rs
+++ b/fleet/src/router/handlers/quota.rs
@@ -146,14 +146,14 @@
             retry_after_us: response.retry_after_us,
         };
         let decisions = self.allowances.on_grant(now, response.id, grant);
-        self.finish_quota_waits(decisions);
+        self.finish_queued_requests(decisions);
     }
 
     /// Ends waits for quota that have lasted too long.
     pub(super) fn expire_quota_waiters(&mut self) {
         let now = self.net.clock.now();
         let ended = self.allowances.expire(now);
-        self.finish_quota_waits(ended);
+        self.finish_queued_requests(ended);
         if let Some(at) = self.allowances.next_wake() {
             self.net.wheel.set(at, Timer::Quota);
         }
@@ -170,7 +170,7 @@
     }
 
     /// Accepts or rejects requests whose wait for quota has ended.
-    fn finish_quota_waits(&mut self, decisions: Vec<AdmissionDecision<ConnId>>) {
+    fn finish_queued_requests(&mut self, decisions: Vec<AdmissionDecision<ConnId>>) {
         for AdmissionDecision {
             request: client,
             outcome: decision,
--- a/fleet/src/router/handlers/shutdown.rs
+++ b/fleet/src/router/handlers/shutdown.rs
@@ -14,7 +14,7 @@
 use crate::router::ids::RequestId;
 use crate::router::reactor::{SocketOwner, Timer};
 use crate::router::request_table::RequestPhase;
-use crate::router::shutdown::{Shutdown, FINAL_ANSWER_RESERVE};
+use crate::router::shutdown::{Shutdown, FINAL_RESPONSE_RESERVE};
 use crate::router::state::Router;
 use crate::router::time::after;
 use lichenswitch_interface::Time;
@@ -97,7 +97,7 @@
             return false;
         };
         let is_time_over = shutdown.are_requests_ended
-            && self.net.clock.now() >= after(shutdown.ends_at, FINAL_ANSWER_RESERVE / 2);
+            && self.net.clock.now() >= after(shutdown.ends_at, FINAL_RESPONSE_RESERVE / 2);
         let is_empty = self.requests.is_empty() && self.quota_waiters.is_empty();
         shutdown.are_listeners_closed
             && is_empty
--- a/fleet/src/router/reactor.rs
+++ b/fleet/src/router/reactor.rs
@@ -83,9 +83,9 @@
     fn side(owner: SocketOwner) -> Side {
         match owner {
             SocketOwner::Client => Side::Clients,
-            SocketOwner::Platform => Side::PeersIn,
+            SocketOwner::Platform => Side::InboundPeers,
             SocketOwner::Server => Side::Nodes,
-            SocketOwner::Control => Side::PeersOut,
+            SocketOwner::Control => Side::OutboundPeers,
         }
     }
 }
--- a/fleet/src/router/response_outcome.rs
+++ b/fleet/src/router/response_outcome.rs
@@ -24,13 +24,13 @@
     /// has not made the promise.
     #[must_use]
     pub(crate) fn of(head: &ResponseHead) -> ResponseOutcome {
-        let is_promise = matches!(head.status, 408 | 421 | 429 | 503);
+        let is_rejection = matches!(head.status, 408 | 421 | 429 | 503);
         match head.status {
             421 => ResponseOutcome::NotExecuted,
             408 | 429 | 500..=599 if head.execution == Execution::Denied => {
                 ResponseOutcome::NotExecuted
             }
-            _ if is_promise => ResponseOutcome::Failure { can_forward: false },
+            _ if is_rejection => ResponseOutcome::Failure { can_forward: false },
             500..=599 => ResponseOutcome::Failure { can_forward: true },
             _ => ResponseOutcome::Final,
         }
--- a/fleet/src/router/shutdown.rs
+++ b/fleet/src/router/shutdown.rs
@@ -11,7 +11,7 @@
 const LISTEN_DURATION: Duration = Duration::from_millis(3_000);
 
 /// This long before the end of the grace period all remaining requests get their final response.
-pub(crate) const FINAL_ANSWER_RESERVE: Duration = Duration::from_millis(600);
+pub(crate) const FINAL_RESPONSE_RESERVE: Duration = Duration::from_millis(600);
 
 /// Share of the grace period after which a stream may be aborted: before, it would count as lost.
 const HANDOVER_GRACE_SHARE: f64 = 5.0 / 6.0;
@@ -40,7 +40,7 @@
     /// The schedule of a process that is killed after the grace period.
     #[must_use]
     pub(crate) fn new(now: Time, grace: Duration) -> Shutdown {
-        let reserve = FINAL_ANSWER_RESERVE.min(grace / 4);
+        let reserve = FINAL_RESPONSE_RESERVE.min(grace / 4);
         let ends_at = after(now, grace.saturating_sub(reserve));
         Shutdown {
             started_at: now,
--- a/src/broker.rs
+++ b/src/broker.rs
@@ -344,10 +344,10 @@
             }
             for ready in all_ready {
                 match ready {
-                    Ready::Listener(Owner::PeerIn) => {
+                    Ready::Listener(Owner::InboundPeer) => {
                         self.peers.iter_mut().for_each(|c| c.accept(&mut self.net));
                     }
-                    Ready::Conn(id, Owner::PeerIn | Owner::PeerOut) => {
+                    Ready::Conn(id, Owner::InboundPeer | Owner::OutboundPeer) => {
                         self.peers
                             .iter_mut()
                             .for_each(|c| c.on_ready(&mut self.net, id));
--- a/src/decide/discovery/call_pacer.rs
+++ b/src/decide/discovery/call_pacer.rs
@@ -28,7 +28,7 @@
 /// A broker has to know what a silent watch misses this long after that, or [`WAIT_DEADLINE`] after
 /// the wait of its call is over, if that is later (microseconds). So a wait longer than the
 /// difference gains nothing.
-const SILENCE_DEADLINE: Micros = 6_000_000;
+const STALLED_WATCH_DEADLINE: Micros = 6_000_000;
 const WAIT_DEADLINE: Micros = 2_000_000;
 /// After a failed, rejected or abandoned call a broker has to know of a change this long after
 /// discovery had it and was reachable (microseconds).
@@ -56,10 +56,10 @@
 /// failure has not taken of it may be waited. A change may come just after the start of a call that
 /// fails; the next one may fail too; the one after that is answered in time.
 const MAX_CALL_CYCLE: Micros = 2_100_000;
-const _: () = assert!(SHARED_WATCH.renewal_wait + WAIT_DEADLINE <= SILENCE_DEADLINE);
+const _: () = assert!(SHARED_WATCH.renewal_wait + WAIT_DEADLINE <= STALLED_WATCH_DEADLINE);
 const _: () = assert!(
     SHARED_WATCH.renewal_timeout() + REOPEN_DELAY + SHARED_WATCH.first_timeout() + HEADROOM
-        <= SILENCE_DEADLINE
+        <= STALLED_WATCH_DEADLINE
 );
 const _: () =
     assert!(2 * MAX_CALL_CYCLE + SHARED_WATCH.first_timeout() + HEADROOM <= FAILURE_DEADLINE);
@@ -78,7 +78,7 @@
 };
 const _: () = assert!(
     AGENT_WATCH.renewal_timeout() + AGENT_RETRY_DELAY + AGENT_WATCH.first_timeout() + HEADROOM
-        <= SILENCE_DEADLINE
+        <= STALLED_WATCH_DEADLINE
 );
 const _: () = assert!(
     2 * (AGENT_WATCH.first_timeout() + AGENT_RETRY_DELAY) + AGENT_WATCH.first_timeout() + HEADROOM
@@ -260,7 +260,7 @@
         }
     }
 
-    fn at_once(&self, now: Time, reason: Reason) -> Verdict {
+    fn call_now(&self, now: Time, reason: Reason) -> Verdict {
         Verdict {
             at: now,
             reason,
@@ -279,11 +279,11 @@
     /// The first call after a start; `has_list`: some list is known.
     pub fn on_start(&mut self, now: Time, has_list: bool) -> Verdict {
         if self.is_agent {
-            self.at_once(now, Reason::Agent)
+            self.call_now(now, Reason::Agent)
         } else if !has_list {
-            self.at_once(now, Reason::NothingKnown)
+            self.call_now(now, Reason::NothingKnown)
         } else if self.is_small_fleet() {
-            self.at_once(now, Reason::Few)
+            self.call_now(now, Reason::Few)
         } else {
             let longest = self.share_of_interval(MAX_START_SHARE);
             self.jitter(now, self.fleet_cost().min(longest), Reason::Start)
@@ -294,9 +294,9 @@
     /// list is good until then.
     pub fn on_move(&mut self, now: Time) -> Verdict {
         if self.is_agent {
-            self.at_once(now, Reason::Agent)
+            self.call_now(now, Reason::Agent)
         } else if self.is_small_fleet() {
-            self.at_once(now, Reason::Few)
+            self.call_now(now, Reason::Few)
         } else {
             let within = self.fleet_cost().min(MAX_MOVE_DELAY);
             self.jitter(now, within, Reason::Moved)
@@ -306,13 +306,13 @@
     /// A call was answered: the next one is made at once, which renews the watch. Measured:
     /// discovery accepts the renewals of 100 watches together, while it fails first calls that come
     /// faster than 16 a second.
-    pub fn on_answer(&mut self, now: Time) -> Verdict {
+    pub fn on_response(&mut self, now: Time) -> Verdict {
         if self.is_agent {
-            return self.at_once(now, Reason::Agent);
+            return self.call_now(now, Reason::Agent);
         }
         let least = (self.brokers * MIN_CALL_COST).min(self.spread);
         self.spread = ((self.spread as f64 * SPREAD_DECAY) as Micros).max(least);
-        self.at_once(now, Reason::Answered)
+        self.call_now(now, Reason::Answered)
     }
 
     /// A call that was started at `started_at` was rejected, answered with a failure or aborted:
@@ -340,7 +340,7 @@
     /// rule on drains: the broker has to know what the watch missed whether or not it arrived.
     /// Discovery is not called less for it, since a busy one says so; the calls of watches that fell
     /// silent together are spread, and each broker has one in flight at most.
-    pub fn on_silence(&mut self, now: Time, started_at: Time) -> Verdict {
+    pub fn on_timeout(&mut self, now: Time, started_at: Time) -> Verdict {
         if self.is_agent {
             return Self::agent_retry(now);
         }
--- a/src/decide/discovery/call_pacer/tests.rs
+++ b/src/decide/discovery/call_pacer/tests.rs
@@ -73,7 +73,7 @@
             for &i in &watches {
                 last_update[i] = now;
                 assert!(
-                    pacers[i].on_answer(now).at.since(now) < RENEWAL_GAP,
+                    pacers[i].on_response(now).at.since(now) < RENEWAL_GAP,
                     "the watch goes on"
                 );
             }
@@ -145,7 +145,7 @@
     let mut pacer = CallPacer::new(1, 3, DEFAULT_CALL_INTERVAL);
     for now in [Time(0), Time(SECOND)] {
         assert_eq!(
-            (pacer.on_start(now, true).at, pacer.on_answer(now).at),
+            (pacer.on_start(now, true).at, pacer.on_response(now).at),
             (now, now)
         );
     }
@@ -170,7 +170,7 @@
         let asked = [
             pacer.on_start(now, false),
             pacer.on_start(now, true),
-            pacer.on_answer(now),
+            pacer.on_response(now),
         ];
         assert!(asked.iter().all(|v| v.at == now), "{asked:?}");
         let calls_failed = pacer.on_failure(now, now);
@@ -187,7 +187,7 @@
         watch_times.renewal_wait + watch_times.renewal_margin + RENEWAL_GAP < 2 * SECOND,
         "{watch_times:?}"
     );
-    assert!(pacer.on_silence(Time(0), Time(0)).at.since(Time(0)) <= RENEWAL_GAP);
+    assert!(pacer.on_timeout(Time(0), Time(0)).at.since(Time(0)) <= RENEWAL_GAP);
 }
 
 #[test]
@@ -204,10 +204,10 @@
             let spread = pacer.spread;
             for begun in (0..50).map(|i| Time(i * SECOND)) {
                 let noticed = begun.plus(watch_times.renewal_wait + watch_times.renewal_margin);
-                let verdict = pacer.on_silence(noticed, begun);
+                let verdict = pacer.on_timeout(noticed, begun);
                 let answered = verdict.at.plus(watch_times.first_timeout());
                 assert!(
-                    answered.since(begun) + HEADROOM <= SILENCE_DEADLINE,
+                    answered.since(begun) + HEADROOM <= STALLED_WATCH_DEADLINE,
                     "{verdict}"
                 );
                 at.push(verdict.at.since(noticed));
@@ -225,7 +225,7 @@
     }
     assert_eq!(
         CallPacer::new(1, 300, DEFAULT_CALL_INTERVAL)
-            .on_silence(Time(0), Time(0))
+            .on_timeout(Time(0), Time(0))
             .reason,
         Reason::Silent
     );
@@ -248,7 +248,7 @@
             // Whatever came before.
             (0..rng.u64(0..20))
                 .for_each(|i| _ = pacer.on_failure(Time(i * SECOND), Time(i * SECOND)));
-            (0..rng.u64(0..20)).for_each(|i| _ = pacer.on_answer(Time(i * SECOND)));
+            (0..rng.u64(0..20)).for_each(|i| _ = pacer.on_response(Time(i * SECOND)));
             // The change comes just after a call has begun; it fails, soon or at the end of its
             // patience, and so does the next.
             let changed = Time(1_000 * SECOND);
@@ -262,7 +262,7 @@
                 let calls_failed = started_at.plus(duration);
                 let silent = rng.bool();
                 let next = match silent {
-                    true => pacer.on_silence(calls_failed, started_at),
+                    true => pacer.on_timeout(calls_failed, started_at),
                     false => pacer.on_failure(calls_failed, started_at),
                 };
                 assert!(
@@ -317,7 +317,7 @@
             MAX_CALL_CYCLE
         ]
     );
-    (0..100).for_each(|_| _ = pacer.on_answer(Time(0)));
+    (0..100).for_each(|_| _ = pacer.on_response(Time(0)));
     assert_eq!(
         pacer.on_failure(Time(0), Time(0)).spread,
         360_000,
@@ -338,7 +338,7 @@
         for i in 0..200 {
             let now = Time(i * SECOND);
             pacer.on_failure(now, now);
-            let (start, next) = (pacer.on_start(now, true), pacer.on_answer(now));
+            let (start, next) = (pacer.on_start(now, true), pacer.on_response(now));
             assert!(
                 start.at.since(now) <= DEFAULT_CALL_INTERVAL * 6 / 10 && next.at == now,
                 "{start}, {next}"
--- a/src/decide/failure_detector.rs
+++ b/src/decide/failure_detector.rs
@@ -25,7 +25,7 @@
 use foca::{AccumulatingRuntime, OwnedNotification, State, Timer};
 use std::collections::BTreeMap;
 use std::fmt;
-use swim::{is_answer, new_swim, Swim};
+use swim::{is_acknowledgement, new_swim, Swim};
 
 /// A call that comes later than this after it was due shows that this process was paused
 /// (microseconds): several times what a busy turn of the loop takes.
@@ -91,7 +91,7 @@
     config: SwimConfig,
     seed: u64,
     /// When another member last answered this broker, on the detector's clock.
-    last_answer_at: Time,
+    last_acknowledgement_at: Time,
     /// The library's timers, by time on the detector's clock, then in the order that they were set.
     timers: BTreeMap<(Time, u64), Timer<Member>>,
     timers_set: u64,
@@ -121,7 +121,7 @@
             seeds,
             config,
             seed,
-            last_answer_at: now,
+            last_acknowledgement_at: now,
             timers: BTreeMap::new(),
             timers_set: 0,
             announce_at: now,
@@ -206,18 +206,21 @@
     /// the others against a broker whose messages are lost: to it all others look dead, and it would
     /// say so once its messages arrive again.
     fn is_withheld(&self, local: Time, due: Time) -> bool {
-        let (silence, isolation) = (local.since(self.last_answer_at), self.isolation_timeout());
+        let (silence, isolation) = (
+            local.since(self.last_acknowledgement_at),
+            self.isolation_timeout(),
+        );
         let bound = isolation + (MAX_WITHHELD_SUSPICIONS + 1) * self.config.suspicion_timeout;
         due <= local && silence >= isolation && silence < bound
     }
 
     /// A member has answered this broker. Those that it suspected while it was isolated could not
     /// learn of that, so they could not refute it: it discards the suspicions.
-    fn on_answer(&mut self, local: Time, verdicts: &mut Vec<Verdict>) {
-        if local.since(self.last_answer_at) >= self.isolation_timeout() {
+    fn on_acknowledgement(&mut self, local: Time, verdicts: &mut Vec<Verdict>) {
+        if local.since(self.last_acknowledgement_at) >= self.isolation_timeout() {
             self.discard_suspicions(local, verdicts);
         }
-        self.last_answer_at = local;
+        self.last_acknowledgement_at = local;
     }
 
     /// Starts again with the members that it knows, all of them alive: they are probed anew, and the
@@ -230,7 +233,7 @@
             .collect();
         self.swim = new_swim(&self.own, self.config, self.seed);
         self.timers.clear();
-        (self.announce_at, self.last_answer_at) = (local, local);
+        (self.announce_at, self.last_acknowledgement_at) = (local, local);
         let mut out = AccumulatingRuntime::new();
         // The library accepts it all, since it comes from the library itself.
         let _ = self.swim.apply_many(known.into_iter(), false, &mut out);
@@ -267,8 +270,8 @@
             self.rejected_messages += 1;
         }
         self.take_output(local, &mut out, &mut verdicts);
-        if is_answer(bytes) {
-            self.on_answer(local, &mut verdicts);
+        if is_acknowledgement(bytes) {
+            self.on_acknowledgement(local, &mut verdicts);
         }
         verdicts
     }
--- a/src/decide/failure_detector/swim.rs
+++ b/src/decide/failure_detector/swim.rs
@@ -78,7 +78,7 @@
 }
 
 /// Whether a message is the answer to one of this broker.
-pub(super) fn is_answer(bytes: &[u8]) -> bool {
+pub(super) fn is_acknowledgement(bytes: &[u8]) -> bool {
     let header: Result<Header<Member>, _> = PostcardCodec.decode_header(bytes);
     header.is_ok_and(|header| {
         matches!(
--- a/src/decide/failure_detector/tests.rs
+++ b/src/decide/failure_detector/tests.rs
@@ -15,7 +15,7 @@
 struct Network {
     detectors: Vec<FailureDetector>,
     /// Paused until then: nothing is done there, and messages wait.
-    paused_until: Vec<Time>,
+    suspended_until: Vec<Time>,
     crashed: Vec<bool>,
     in_flight: BinaryHeap<InFlightMessage>,
     now: Time,
@@ -52,7 +52,7 @@
         };
         Network {
             detectors: (0..count).map(detector).collect(),
-            paused_until: vec![START; count],
+            suspended_until: vec![START; count],
             crashed: vec![false; count],
             in_flight: BinaryHeap::new(),
             now: START,
@@ -63,7 +63,7 @@
         }
     }
 
-    fn carry_out(&mut self, from: usize, verdicts: Vec<Verdict>) {
+    fn apply_verdicts(&mut self, from: usize, verdicts: Vec<Verdict>) {
         for verdict in verdicts {
             match verdict {
                 Verdict::Send(to, bytes) => {
@@ -91,7 +91,7 @@
         let end = self.now.plus(length);
         loop {
             let next_call = |i: usize| {
-                (!self.crashed[i]).then(|| self.detectors[i].next().max(self.paused_until[i]))
+                (!self.crashed[i]).then(|| self.detectors[i].next().max(self.suspended_until[i]))
             };
             let timer = (0..self.detectors.len())
                 .filter_map(|i| Some((next_call(i)?, i)))
@@ -111,19 +111,19 @@
                 let Some(std::cmp::Reverse((_, n, to, from, bytes))) = self.in_flight.pop() else {
                     continue;
                 };
-                if self.paused_until[to] > self.now {
+                if self.suspended_until[to] > self.now {
                     // It lies unread until that process goes on, and is read after what is due
                     // there.
-                    let later = self.paused_until[to].plus(1);
+                    let later = self.suspended_until[to].plus(1);
                     self.in_flight
                         .push(std::cmp::Reverse((later, n, to, from, bytes)));
                 } else if !self.crashed[to] {
                     let changes = self.detectors[to].on_message(self.now, &bytes);
-                    self.carry_out(to, changes);
+                    self.apply_verdicts(to, changes);
                 }
             } else if let Some((_, i)) = timer {
                 let changes = self.detectors[i].on_time(self.now);
-                self.carry_out(i, changes);
+                self.apply_verdicts(i, changes);
             }
         }
     }
@@ -237,7 +237,7 @@
     for paused in [1, 3, 20] {
         let mut network = Network::new(9);
         network.run(20 * SECOND);
-        network.paused_until[4] = network.now.plus(paused * SECOND);
+        network.suspended_until[4] = network.now.plus(paused * SECOND);
         network.run(paused * SECOND + 10 * SECOND);
         let by_it: Vec<_> = network
             .changes
@@ -288,7 +288,7 @@
     let mut network = Network::new(9);
     network.run(20 * SECOND);
     let changes = network.detectors[2].on_stop(network.now);
-    network.carry_out(2, changes);
+    network.apply_verdicts(2, changes);
     network.crashed[2] = true;
     network.run(SECOND + SECOND / 2);
     assert!(
@@ -328,10 +328,13 @@
 
 #[test]
 fn bytes_sent_by_each_do_not_grow_with_the_fleet() {
-    let rate = |count: usize, settle: u64| {
+    let rate = |count: usize, stabilization_s: u64| {
         let mut network = Network::new(count);
-        network.run(settle * SECOND);
-        assert!(network.is_consistent(), "{count} brokers after {settle} s");
+        network.run(stabilization_s * SECOND);
+        assert!(
+            network.is_consistent(),
+            "{count} brokers after {stabilization_s} s"
+        );
         network.bytes.iter_mut().for_each(|b| *b = 0);
         network.run(20 * SECOND);
         assert_eq!(network.deaths_declared(), 0);
@@ -354,7 +357,7 @@
         network.delivers = Box::new(|_, from, to| from != 3 && to != 3);
         network.run(SECOND + SECOND / 2);
         network.delivers = Box::new(|_, _, _| true);
-        network.paused_until[1] = network.now.plus(6 * SECOND);
+        network.suspended_until[1] = network.now.plus(6 * SECOND);
         network.run(12 * SECOND);
         let by_it: Vec<_> = network
             .changes
--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -226,7 +226,7 @@
         self.validator.on_failure();
         let (now, began) = (net.clock.now(), self.began);
         let mut verdict = match nothing_received {
-            true => self.pacer.on_silence(now, began),
+            true => self.pacer.on_timeout(now, began),
             false => self.pacer.on_failure(now, began),
         };
         match self.not_before {
@@ -377,7 +377,7 @@
         if std::mem::take(&mut self.failed) > 0 {
             self.log.push("discovery: it answers again".into());
         }
-        let next = self.pacer.on_answer(now).at;
+        let next = self.pacer.on_response(now).at;
         if self.moving.is_none() {
             self.not_before = Some(next);
         }
--- a/src/net.rs
+++ b/src/net.rs
@@ -26,8 +26,8 @@
             Owner::Platform | Owner::Ogc | Owner::Operators => Side::Clients,
             Owner::Frames | Owner::Features => Side::Nodes,
             Owner::Discovery => Side::Discovery,
-            Owner::PeerIn => Side::PeersIn,
-            Owner::PeerOut => Side::PeersOut,
+            Owner::InboundPeer => Side::InboundPeers,
+            Owner::OutboundPeer => Side::OutboundPeers,
         }
     }
 }
@@ -46,9 +46,9 @@
     /// Discovery.
     Discovery,
     /// Other brokers that have connected, where brokers talk.
-    PeerIn,
+    InboundPeer,
     /// Other brokers that were connected to.
-    PeerOut,
+    OutboundPeer,
     /// Operators, in a net of their own.
     Operators,
 }
--- a/src/peer/consensus.rs
+++ b/src/peer/consensus.rs
@@ -233,17 +233,17 @@
             // Only the holder may release its role.
             Message::LeaseRequest(..) => {}
             Message::Release(role, token) => self.on_release(now, from, role, token, &mut out),
-            Message::LeaseAnswer(role, number, token) => {
-                self.roles.on_answer(now, &role, number, token);
+            Message::LeaseResponse(role, number, token) => {
+                self.roles.on_response(now, &role, number, token);
             }
             Message::ContactRequest(number) => {
                 let genesis = self.voting().map(|voter| voter.genesis().digest());
                 if let Some(genesis) = genesis {
-                    return self.send(now, from, Message::ContactAnswer(number, genesis));
+                    return self.send(now, from, Message::ContactResponse(number, genesis));
                 }
             }
-            Message::ContactAnswer(number, genesis) => {
-                self.contact.on_answer(from, number, genesis);
+            Message::ContactResponse(number, genesis) => {
+                self.contact.on_response(from, number, genesis);
             }
             Message::LeasedElsewhere(role) => self.roles.on_leased_elsewhere(now, &role),
         }
@@ -345,14 +345,14 @@
             match output {
                 VoterOutput::Send(to, bytes) => out.push(outgoing(&to, &Message::Log(bytes))),
                 VoterOutput::Decided(entry, outcome) => {
-                    self.answer_request(now, &entry, &outcome, out);
+                    self.respond_to_request(now, &entry, &outcome, out);
                 }
             }
         }
     }
 
-    /// Answers the request that has led to a decided entry, if it was proposed here.
-    fn answer_request(
+    /// Responds to the request that has led to a decided entry, if it was proposed here.
+    fn respond_to_request(
         &mut self,
         now: Time,
         entry: &Entry,
@@ -362,10 +362,10 @@
         let LeaseCommand::Acquire(role, holder) = &entry.command else {
             return;
         };
-        let is_answered = |request: &PendingRequest| {
+        let is_resolved = |request: &PendingRequest| {
             (&request.role, &request.holder, request.number) == (role, holder, entry.request)
         };
-        let Some(index) = self.pending.iter().position(is_answered) else {
+        let Some(index) = self.pending.iter().position(is_resolved) else {
             return;
         };
         let request = self.pending.swap_remove(index);
@@ -373,8 +373,8 @@
             Outcome::Granted(token, _) | Outcome::Renewed(token) => Some(*token),
             Outcome::Rejected(..) | Outcome::Vacated(_) | Outcome::Stale => None,
         };
-        let answer = Message::LeaseAnswer(request.role, request.number, token);
-        out.extend(self.send(now, &request.from, answer));
+        let response = Message::LeaseResponse(request.role, request.number, token);
+        out.extend(self.send(now, &request.from, response));
     }
 }
 
--- a/src/peer/consensus/messages.rs
+++ b/src/peer/consensus/messages.rs
@@ -14,11 +14,11 @@
     /// The sender requests a role; the answer names the same number.
     LeaseRequest(RoleName, LeaseHolder, u64),
     /// The log's answer to the request of this number: the token if the role is granted.
-    LeaseAnswer(RoleName, u64, Option<FencingToken>),
+    LeaseResponse(RoleName, u64, Option<FencingToken>),
     /// The sender asks a voter to confirm that this request of that number was received.
     ContactRequest(u64),
     /// A voter that votes confirms it: the number of the request, and the digest of its genesis.
-    ContactAnswer(u64, u64),
+    ContactResponse(u64, u64),
     /// By the sender's knowledge, which may be old, another broker holds the role: nothing was
     /// proposed.
     LeasedElsewhere(RoleName),
--- a/src/peer/consensus/role_leases.rs
+++ b/src/peer/consensus/role_leases.rs
@@ -72,7 +72,7 @@
     }
 
     /// The log has answered a request: with a token, or with a rejection.
-    pub(super) fn on_answer(
+    pub(super) fn on_response(
         &mut self,
         now: Time,
         role: &RoleName,
--- a/src/peer/consensus/stored_data_tests.rs
+++ b/src/peer/consensus/stored_data_tests.rs
@@ -99,13 +99,16 @@
         ("announcement_begun", announcement(Some(genesis()))),
         ("log", Message::Log(vec![1, 2, 3])),
         ("ask", Message::LeaseRequest(role.clone(), holder, 7)),
-        ("answer", Message::LeaseAnswer(role.clone(), 7, Some(token))),
+        (
+            "answer",
+            Message::LeaseResponse(role.clone(), 7, Some(token)),
+        ),
         (
             "answer_refused",
-            Message::LeaseAnswer(role.clone(), 7, None),
+            Message::LeaseResponse(role.clone(), 7, None),
         ),
         ("hear", Message::ContactRequest(8)),
-        ("heard", Message::ContactAnswer(8, 0xcbf2_9ce4_8422_2325)),
+        ("heard", Message::ContactResponse(8, 0xcbf2_9ce4_8422_2325)),
         ("elsewhere", Message::LeasedElsewhere(role.clone())),
         ("give_back", Message::Release(role, token)),
     ]
--- a/src/peer/consensus/tests.rs
+++ b/src/peer/consensus/tests.rs
@@ -124,7 +124,7 @@
         "that voter may have missed the grant"
     );
     // Another genesis than the one it has known: its lease expires, and it requests none.
-    let other = postcard::to_stdvec(&Message::ContactAnswer(1, 99)).unwrap();
+    let other = postcard::to_stdvec(&Message::ContactResponse(1, 99)).unwrap();
     broker.on_message(now, "n1", &other);
     assert_eq!(broker.quorum_status(now), QuorumStatus::ForeignGenesis);
     let mut requests = 0;
--- a/src/peer/group.rs
+++ b/src/peer/group.rs
@@ -49,12 +49,12 @@
             ..config.own.clone()
         };
         net.reserve_for_peers(MAX_CONNECTIONS);
-        let listening_at =
-            net.listen(Owner::PeerIn, config.listen)
-                .map_err(|source| JoinError::Listen {
-                    address: config.listen,
-                    source,
-                })?;
+        let listening_at = net
+            .listen(Owner::InboundPeer, config.listen)
+            .map_err(|source| JoinError::Listen {
+                address: config.listen,
+                source,
+            })?;
         let line = format!(
             "peers: {} of {} in cluster {} listens on {listening_at}",
             own.name, own.zone, config.cluster
@@ -103,7 +103,7 @@
         let now = net.clock.now();
         if self.detector.next() <= now {
             let verdicts = self.detector.on_time(now);
-            self.carry_out(net, verdicts);
+            self.apply_verdicts(net, verdicts);
         }
         if self.protocol.next() <= now {
             let messages = self.protocol.on_time(net);
@@ -117,7 +117,7 @@
 
     /// Peers wait to be accepted.
     pub fn accept(&mut self, net: &mut Net) {
-        let ids = net.accept(Owner::PeerIn);
+        let ids = net.accept(Owner::InboundPeer);
         self.protocol.on_accepted(net, ids);
     }
 
@@ -134,7 +134,7 @@
         let messages = consensus.map(|c| c.on_stop(now)).unwrap_or_default();
         self.send_consensus(net, messages);
         let verdicts = self.detector.on_stop(now);
-        self.carry_out(net, verdicts);
+        self.apply_verdicts(net, verdicts);
     }
 
     /// Sends the messages of the consensus.
@@ -155,7 +155,7 @@
             match (payload, &mut self.consensus) {
                 (Payload::Swim(bytes), _) => {
                     let verdicts = self.detector.on_message(now, &bytes);
-                    self.carry_out(net, verdicts);
+                    self.apply_verdicts(net, verdicts);
                 }
                 (Payload::Consensus(bytes), Some(consensus)) => {
                     let messages = consensus.on_message(now, &from.name, &bytes);
@@ -170,7 +170,7 @@
         }
     }
 
-    fn carry_out(&mut self, net: &mut Net, verdicts: Vec<Verdict>) {
+    fn apply_verdicts(&mut self, net: &mut Net, verdicts: Vec<Verdict>) {
         for verdict in verdicts {
             match verdict {
                 // The detector's messages are about the present moment.
--- a/src/peer/outbound.rs
+++ b/src/peer/outbound.rs
@@ -139,9 +139,9 @@
         let Some(address) = self.peers.get(name).and_then(|peer| peer.address) else {
             return;
         };
-        let mut connected = net.connect(Owner::PeerOut, address);
+        let mut connected = net.connect(Owner::OutboundPeer, address);
         if matches!(connected, Err(ConnectError::NoDescriptor(_))) && self.close_least_used(net) {
-            connected = net.connect(Owner::PeerOut, address);
+            connected = net.connect(Owner::OutboundPeer, address);
         }
         match connected {
             Ok(id) => {
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -30,7 +30,7 @@
         let mut net = Net::new(1_024).unwrap();
         net.reserve_for_peers(MAX_CONNECTIONS);
         let at = net
-            .listen(Owner::PeerIn, "127.0.0.1:0".parse().unwrap())
+            .listen(Owner::InboundPeer, "127.0.0.1:0".parse().unwrap())
             .unwrap();
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let peer = member("p", listener.local_addr().unwrap());
@@ -52,13 +52,13 @@
     }
 
     /// Handles all that is ready and due; returns what was received.
-    fn run_once(&mut self) -> Vec<ReceivedMessage> {
+    fn run_turn(&mut self) -> Vec<ReceivedMessage> {
         let until = self.net.clock.now().plus(10_000);
         let mut received = Vec::new();
         for ready in self.net.wait(Some(until)).unwrap() {
             match ready {
                 Ready::Listener(_) => {
-                    let ids = self.net.accept(Owner::PeerIn);
+                    let ids = self.net.accept(Owner::InboundPeer);
                     self.protocol.on_accepted(&self.net, ids);
                 }
                 Ready::Conn(id, _) => received.extend(self.protocol.on_ready(&mut self.net, id)),
@@ -74,7 +74,7 @@
 
     fn run_until(&mut self, event: &str, mut done: impl FnMut(&mut TestPeer) -> bool) {
         for _ in 0..2_000 {
-            self.run_once();
+            self.run_turn();
             if done(self) {
                 return;
             }
@@ -85,7 +85,7 @@
     /// The connection that the protocol has opened, with its greeting read.
     fn accept(&mut self) -> TcpStream {
         let (mut stream, _) = self.listener.accept().unwrap();
-        self.run_once();
+        self.run_turn();
         let greeting = wire::decode_greeting(&read_frame(&mut stream), "c").unwrap();
         assert_eq!(greeting.from.name, "own");
         stream
@@ -130,7 +130,7 @@
     }
     let mut received = Vec::new();
     for _ in 0..2_000 {
-        received.extend(test.run_once());
+        received.extend(test.run_turn());
         if received.len() == 2 {
             break;
         }
@@ -190,7 +190,7 @@
     // Far more than the system's buffers take.
     while refused == 0 && turns < 2_000 {
         refused += u64::from(!test.send(&large, Required));
-        test.run_once();
+        test.run_turn();
         turns += 1;
     }
     assert!(refused > 0, "required frames are rejected in the end");
@@ -209,7 +209,7 @@
     peer.write_all(&one.repeat(all)).unwrap();
     let (mut received, mut rested) = (0, false);
     for _ in 0..2_000 {
-        let now = test.run_once().len();
+        let now = test.run_turn().len();
         assert!(now <= MAX_FRAMES_PER_WINDOW as usize + 1, "{now} at once");
         rested |= test.protocol.inbound.resume_at().is_some();
         received += now;
--- a/wire/net/src/listeners.rs
+++ b/wire/net/src/listeners.rs
@@ -122,7 +122,7 @@
                 // Guards the descriptor budget: over it a process fails in places that can't say
                 // so.
                 if !self.may_open(P::side(owner)) {
-                    if P::side(owner) == Side::PeersIn {
+                    if P::side(owner) == Side::InboundPeers {
                         // Clients don't wait for peers: one too many is closed, and comes again
                         // later.
                         match listener.accept() {
