--- a/src/broker.rs
+++ b/src/broker.rs
@@ -497,8 +497,8 @@
 
 fn limits(config: config::Connections) -> Limits {
     Limits {
-        streams: config.streams,
-        connect: config.connect,
-        idle: config.idle,
+        streams: config.max_streams,
+        connect: config.connect_timeout,
+        idle: config.idle_timeout,
     }
 }
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -3,6 +3,7 @@
 
 use super::operators::OperatorsError;
 use super::settings::SettingsError;
+use super::value_error::ValueError;
 use crate::inventory::{InventoryError, ReadError};
 use thiserror::Error;
 
@@ -29,7 +30,7 @@
         /// The key.
         key: &'static str,
         /// What is wrong with it.
-        reason: String,
+        reason: ValueError,
     },
     /// The settings of the decision module.
     #[error(transparent)]
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -14,12 +14,14 @@
 pub mod peers;
 mod phases;
 pub mod settings;
+mod value_error;
 
 pub use crate::peer::PeersConfig;
 pub use error::{AddressError, ConfigError};
 pub use ogc::{Collection, Ogc};
 pub use operators::{Operators, OperatorsError};
 pub use phases::Phases;
+pub use value_error::ValueError;
 
 use crate::discovery::List;
 use crate::interface::{Micros, Settings};
@@ -32,11 +34,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Connections {
     /// Calls that a connection carries at once.
-    pub streams: usize,
+    pub max_streams: usize,
     /// Microseconds for a connection to come up.
-    pub connect: u64,
+    pub connect_timeout: Micros,
     /// Microseconds after which a data node closes an idle connection.
-    pub idle: u64,
+    pub idle_timeout: Micros,
 }
 
 /// The configuration of the broker on the platform.
@@ -58,7 +60,7 @@
     pub sockets: usize,
     /// Most memory, in bytes.
     pub memory: usize,
-    /// The list as last held.
+    /// The last known list of data nodes.
     pub known: Option<List>,
     /// The module's settings.
     pub settings: Settings,
@@ -86,6 +88,7 @@
 /// Fewest megabytes that a broker can work with.
 const LEAST_MEMORY: usize = 16;
 
+/// The platform's file as it is written.
 #[derive(Deserialize)]
 struct File {
     name: Option<String>,
@@ -99,12 +102,28 @@
     settings: Option<Box<serde_json::value::RawValue>>,
 }
 
+/// The section `limits` of the platform's file.
 #[derive(Default, Deserialize)]
 struct Limits {
     sockets: Option<usize>,
     memory_mb: Option<usize>,
 }
 
+impl Limits {
+    /// Most descriptors.
+    fn sockets(&self) -> Result<usize, ConfigError> {
+        let sockets = self.sockets.unwrap_or(SOCKETS).min(SOCKETS);
+        at_least("limits.sockets", sockets, LEAST_SOCKETS)
+    }
+
+    /// Most memory, in bytes.
+    fn memory(&self) -> Result<usize, ConfigError> {
+        let megabytes = self.memory_mb.unwrap_or(MEMORY);
+        let megabytes = at_least("limits.memory_mb", megabytes, LEAST_MEMORY)?;
+        Ok(megabytes.saturating_mul(1 << 20))
+    }
+}
+
 /// Reads an address.
 pub(crate) fn address(text: &str) -> Result<SocketAddr, AddressError> {
     text.parse().map_err(|_| AddressError { text: text.into() })
@@ -114,7 +133,7 @@
 fn address_of(key: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
     address(text).map_err(|error| ConfigError::Value {
         key,
-        reason: error.to_string(),
+        reason: error.into(),
     })
 }
 
@@ -151,21 +170,13 @@
         let discovery = required(file.discovery, "discovery", "NODE_DISCOVERY")?;
         let management = file.mgmt.or_else(|| env("NODE_MGMT"));
         let seed = seed(file.seed)?;
-        let sockets = at_least(
-            "limits.sockets",
-            file.limits.sockets.unwrap_or(SOCKETS).min(SOCKETS),
-            LEAST_SOCKETS,
-        )?;
-        let memory = at_least(
-            "limits.memory_mb",
-            file.limits.memory_mb.unwrap_or(MEMORY),
-            LEAST_MEMORY,
-        )?;
-        let facts = file.settings.ok_or_else(|| ConfigError::Value {
+        let sockets = file.limits.sockets()?;
+        let memory = file.limits.memory()?;
+        let settings = file.settings.ok_or(ConfigError::Value {
             key: "settings",
-            reason: "missing".into(),
+            reason: ValueError::Missing,
         })?;
-        let site = settings::Site::parse(facts.get().as_bytes())?;
+        let site = settings::Site::parse(settings.get().as_bytes())?;
         Ok(Platform {
             name: required(file.name, "name", "NODE_NAME")?,
             listen: address_of("listen", &listen)?,
@@ -178,7 +189,7 @@
                 .transpose()?,
             seed,
             sockets,
-            memory: memory.saturating_mul(1 << 20),
+            memory,
             known: file.known,
             settings: site.settings,
             classes: site.classes,
@@ -205,15 +216,16 @@
     let text = text.unwrap_or_else(|| "0".into());
     u64::from_str_radix(&text, 16).map_err(|_| ConfigError::Value {
         key: "seed",
-        reason: format!("{text:?} is not hexadecimal"),
+        reason: ValueError::NotHexadecimal(text),
     })
 }
 
+/// The value of a key, unless it is below the least with which a broker can work.
 fn at_least(key: &'static str, value: usize, least: usize) -> Result<usize, ConfigError> {
     if value < least {
         return Err(ConfigError::Value {
             key,
-            reason: format!("{value} is too few, {least} at least"),
+            reason: ValueError::TooFew { value, least },
         });
     }
     Ok(value)
--- a/src/config/ogc.rs
+++ b/src/config/ogc.rs
@@ -2,6 +2,7 @@
 
 use super::operators::OperatorsError;
 use super::operators_file::{CollectionFile, OgcFile};
+use super::value_error::ValueError;
 use super::{address, settings, ConfigError, Connections, Operators, Phases, Platform, MEMORY};
 use crate::contract::{Contract, Contracts};
 use crate::interface::{Class, Discovery, Layout, Micros, RetrySafety, Settings};
@@ -71,8 +72,8 @@
             return Ok(None);
         };
         let section = Section { operators, read };
-        let listen = address(&listen.value)
-            .map_err(|error| section.fault(listen, "listen", &error.to_string()))?;
+        let listen =
+            address(&listen.value).map_err(|error| operators.invalid(listen, "listen", error))?;
         let inventory = section.inventory()?;
         let (mut settings, classes, connections) = section.settings(platform)?;
         let replicas = section.replicas(&inventory)?;
@@ -80,18 +81,7 @@
         if let Some(zone) = &read.zone {
             settings.zone = section.zone(zone, &inventory)?;
         }
-        // The inventory is the list of data nodes, a GET holds one part, and the standard has no
-        // second step.
-        settings.discovery = Discovery::Push;
-        settings.layout = Layout {
-            cells: inventory.cells.len() as u32,
-            width: replicas,
-            shards: inventory.slices.len() as u32,
-            parts_a_call: 1,
-        };
-        for class in &mut settings.classes {
-            class.second_step = 0;
-        }
+        follow_inventory(&mut settings, &inventory, replicas);
         let mut contracts = inventory.contracts(&classes)?;
         let phases = operators.add_sorted_classes(
             &classes,
@@ -112,7 +102,7 @@
             seed: platform.map_or(0, |p| p.seed),
             memory: platform.map_or(MEMORY << 20, |p| p.memory),
             connections: Connections {
-                streams: 1,
+                max_streams: 1,
                 ..connections
             },
             phases,
@@ -120,6 +110,21 @@
     }
 }
 
+/// Fits the settings to the front: the inventory is the list of data nodes, a GET holds one part, and
+/// the standard has no second step.
+fn follow_inventory(settings: &mut Settings, inventory: &Inventory, replicas: u32) {
+    settings.discovery = Discovery::Push;
+    settings.layout = Layout {
+        cells: inventory.cells.len() as u32,
+        width: replicas,
+        shards: inventory.slices.len() as u32,
+        parts_a_call: 1,
+    };
+    for class in &mut settings.classes {
+        class.second_step = 0;
+    }
+}
+
 /// The section as it was read, and the file that it stands in.
 struct Section<'a> {
     operators: &'a Operators,
@@ -127,11 +132,6 @@
 }
 
 impl Section<'_> {
-    /// The error that names the line of a value.
-    fn fault<T>(&self, value: &Spanned<T>, key: &str, reason: &str) -> OperatorsError {
-        self.operators.fault(value.referenced.line(), key, reason)
-    }
-
     /// The error that names a key alone.
     fn key_error(&self, key: &'static str, reason: &'static str) -> ConfigError {
         ConfigError::OgcKey {
@@ -165,32 +165,29 @@
                 .ok_or_else(|| self.key_error("settings", "missing, and so is NODE_CONFIG"));
         };
         let text = read_text(&self.beside(&path.value))
-            .map_err(|error| self.fault(path, "settings", &error.to_string()))?;
+            .map_err(|error| self.operators.invalid(path, "settings", error))?;
         let site = settings::Site::parse(text.as_bytes())
-            .map_err(|error| self.fault(path, "settings", &error.to_string()))?;
+            .map_err(|error| self.operators.invalid(path, "settings", error))?;
         Ok((site.settings, site.classes, site.connections))
     }
 
     fn replicas(&self, inventory: &Inventory) -> Result<u32, OperatorsError> {
         let cells = inventory.cells.len() as u32;
-        let (replicas, line) = self
-            .read
-            .replicas
-            .as_ref()
-            .map_or((REPLICAS, 0), |r| (r.value, r.referenced.line()));
+        let value = self.read.replicas.as_ref();
+        let replicas = value.map_or(REPLICAS, |value| value.value);
         if replicas == 0 || replicas > cells {
-            let reason = format!("{replicas}, but there are {cells} cells");
-            return Err(self.operators.fault(line, "replicas", &reason));
+            let reason = ValueError::Replicas { replicas, cells };
+            return Err(self.operators.invalid_optional(value, "replicas", reason));
         }
         Ok(replicas)
     }
 
     fn zone(&self, zone: &Spanned<String>, inventory: &Inventory) -> Result<u32, OperatorsError> {
         let position = inventory.zones.iter().position(|z| *z == zone.value);
-        let reason = format!("there is no zone {:?} in the inventory", zone.value);
-        position
-            .map(|number| number as u32)
-            .ok_or_else(|| self.fault(zone, "zone", &reason))
+        position.map(|number| number as u32).ok_or_else(|| {
+            let reason = ValueError::UnknownZone(zone.value.clone());
+            self.operators.invalid(zone, "zone", reason)
+        })
     }
 
     fn collections(
@@ -202,8 +199,8 @@
         for read in &self.read.collections {
             let id = &read.id.value;
             if id.is_empty() || collections.iter().any(|c| c.id == *id) {
-                let reason = format!("{id:?} is empty or there twice");
-                return Err(self.fault(&read.id, "id", &reason).into());
+                let reason = ValueError::EmptyOrRepeated(id.clone());
+                return Err(self.operators.invalid(&read.id, "id", reason).into());
             }
             collections.push(self.collection(read, names, classes)?);
         }
@@ -219,27 +216,14 @@
         names: &[String],
         classes: &[Class],
     ) -> Result<Collection, OperatorsError> {
-        let name = &read.class.value;
-        let class = names.iter().position(|known| known == name);
-        let class = class.ok_or_else(|| {
-            self.fault(&read.class, "class", &format!("there is no class {name:?}"))
-        })?;
+        let class = self.operators.class_index(&read.class, names)?;
         // Guards writes: a class whose parts must not be repeated at will records something, and a
         // read that was mapped to it would be taken for that.
         if classes[class].repeat != RetrySafety::Safe {
-            let reason = format!("{name:?} is for writes and can't be read");
-            return Err(self.fault(&read.class, "class", &reason));
+            let reason = ValueError::WriteClass(read.class.value.clone());
+            return Err(self.operators.invalid(&read.class, "class", reason));
         }
-        let most = classes[class].deadline;
-        let wait = match &read.wait_ms {
-            Some(wait) if wait.value == 0 || wait.value.saturating_mul(1_000) > most => {
-                let most_ms = most / 1_000;
-                let reason = format!("{} is not within the class's {most_ms} ms", wait.value);
-                return Err(self.fault(wait, "wait_ms", &reason));
-            }
-            Some(wait) => wait.value * 1_000,
-            None => most,
-        };
+        let wait = self.wait(read.wait_ms.as_ref(), classes[class].deadline)?;
         let id = read.id.value.clone();
         Ok(Collection {
             title: read.title.clone().unwrap_or_else(|| id.clone()),
@@ -249,4 +233,23 @@
             wait,
         })
     }
+
+    /// How long a client is taken to wait: up to the deadline of the class, which is the default.
+    fn wait(
+        &self,
+        wait_ms: Option<&Spanned<u64>>,
+        deadline: Micros,
+    ) -> Result<Micros, OperatorsError> {
+        let Some(wait) = wait_ms else {
+            return Ok(deadline);
+        };
+        if wait.value == 0 || wait.value.saturating_mul(1_000) > deadline {
+            let reason = ValueError::BeyondDeadline {
+                wait_ms: wait.value,
+                deadline_ms: deadline / 1_000,
+            };
+            return Err(self.operators.invalid(wait, "wait_ms", reason));
+        }
+        Ok(wait.value * 1_000)
+    }
 }
--- a/src/config/operators.rs
+++ b/src/config/operators.rs
@@ -2,7 +2,9 @@
 //! is off when it is absent, and so are all when the file is.
 
 use super::operators_file::{OgcFile, OperatorsFile, PeersFile, PhasesFile};
+use super::value_error::ValueError;
 use crate::inventory::{read_text, ReadError};
+use serde_saphyr::Spanned;
 use std::path::{Path, PathBuf};
 
 /// The file, from the root of the repository; `LICHENSWITCH_CONFIG` names another.
@@ -34,7 +36,7 @@
         /// The key.
         key: String,
         /// What is wrong with it.
-        reason: String,
+        reason: ValueError,
     },
 }
 
@@ -87,13 +89,49 @@
         })
     }
 
-    /// The error that the value of a key in a line of the file is wrong; line 0: it is missing.
-    pub(super) fn fault(&self, line: u64, key: &str, reason: &str) -> OperatorsError {
+    /// The error that the value of a key can't be used; it names the line of the value.
+    pub(super) fn invalid<T>(
+        &self,
+        value: &Spanned<T>,
+        key: &str,
+        reason: impl Into<ValueError>,
+    ) -> OperatorsError {
+        self.value_error(value.referenced.line(), key, reason.into())
+    }
+
+    /// The same where the file may lack the value: then the error names line 0.
+    pub(super) fn invalid_optional<T>(
+        &self,
+        value: Option<&Spanned<T>>,
+        key: &str,
+        reason: ValueError,
+    ) -> OperatorsError {
+        let line = value.map_or(0, |value| value.referenced.line());
+        self.value_error(line, key, reason)
+    }
+
+    fn value_error(&self, line: u64, key: &str, reason: ValueError) -> OperatorsError {
         OperatorsError::Value {
             path: self.path.clone(),
             line,
             key: key.into(),
-            reason: reason.into(),
+            reason,
         }
     }
+
+    /// The index of the class that the value of the key `class` names.
+    ///
+    /// # Errors
+    /// There is no such class among `classes`.
+    pub(super) fn class_index(
+        &self,
+        name: &Spanned<String>,
+        classes: &[String],
+    ) -> Result<usize, OperatorsError> {
+        let index = classes.iter().position(|class| *class == name.value);
+        index.ok_or_else(|| {
+            let reason = ValueError::UnknownClass(name.value.clone());
+            self.invalid(name, "class", reason)
+        })
+    }
 }
--- a/src/config/peers.rs
+++ b/src/config/peers.rs
@@ -2,7 +2,8 @@
 //! is none.
 
 use super::operators::OperatorsError;
-use super::operators_file::PeersFile;
+use super::operators_file::{KnownFile, PeersFile};
+use super::value_error::ValueError;
 use super::{address, Operators, Platform};
 use crate::decide::failure_detector::{Member, SwimConfig};
 use crate::decide::lease::LeaseTerms;
@@ -42,8 +43,8 @@
         };
         let reader = SectionReader { operators, file };
         let listen = reader.address(&file.listen, "listen")?;
-        let own = reader.own(listen, platform)?;
-        let mut known = reader.known()?;
+        let own = reader.local_member(listen, platform)?;
+        let mut known = reader.known_members()?;
         // The same file may serve all brokers: a broker need not know itself.
         known.retain(|m| m.name != own.name);
         let swim = reader.swim()?;
@@ -66,22 +67,16 @@
     file: &'a PeersFile,
 }
 
-/// The line of a value.
-fn line<T>(value: &Spanned<T>) -> u64 {
-    value.referenced.line()
-}
-
 impl SectionReader<'_> {
-    fn fault<T>(&self, value: &Spanned<T>, key: &str, reason: &str) -> OperatorsError {
-        self.operators.fault(line(value), key, reason)
-    }
-
     /// A name of a cluster, broker, zone or role.
     fn name(&self, value: &Spanned<String>, key: &str) -> Result<String, OperatorsError> {
         let text = value.value.trim();
         if text.is_empty() || text.len() > MAX_NAME_BYTES {
-            let reason = format!("{text:?} has not 1 to {MAX_NAME_BYTES} bytes");
-            return Err(self.fault(value, key, &reason));
+            let reason = ValueError::NameLength {
+                name: text.into(),
+                max_bytes: MAX_NAME_BYTES,
+            };
+            return Err(self.operators.invalid(value, key, reason));
         }
         Ok(text.to_string())
     }
@@ -92,8 +87,8 @@
         for value in values {
             let name = self.name(value, key)?;
             if names.contains(&name) {
-                let reason = format!("{name:?} is there twice");
-                return Err(self.fault(value, key, &reason));
+                let reason = ValueError::Repeated(name);
+                return Err(self.operators.invalid(value, key, reason));
             }
             names.push(name);
         }
@@ -108,8 +103,8 @@
         platform: Option<&String>,
     ) -> Result<String, OperatorsError> {
         let missing = || {
-            self.operators
-                .fault(0, key, "missing, and so is NODE_CONFIG")
+            let reason = ValueError::MissingWithoutPlatform;
+            self.operators.invalid_optional(value, key, reason)
         };
         match value {
             Some(value) => self.name(value, key),
@@ -119,12 +114,15 @@
 
     /// An address with a port; only `listen` may stand for every address of the machine.
     fn address(&self, value: &Spanned<String>, key: &str) -> Result<SocketAddr, OperatorsError> {
-        let address = address(&value.value)
-            .map_err(|error| self.fault(value, "peers", &format!("{key}: {error}")))?;
-        let is_any = address.ip().is_unspecified() && key != "listen";
-        if is_any || address.port() == 0 {
-            let reason = format!("{address} is nowhere to connect to");
-            return Err(self.fault(value, key, &reason));
+        let address = address(&value.value).map_err(|error| {
+            let key = key.into();
+            let reason = ValueError::PeerAddress { key, error };
+            self.operators.invalid(value, "peers", reason)
+        })?;
+        let is_unspecified = address.ip().is_unspecified() && key != "listen";
+        if is_unspecified || address.port() == 0 {
+            let reason = ValueError::NotConnectable(address);
+            return Err(self.operators.invalid(value, key, reason));
         }
         Ok(address)
     }
@@ -141,15 +139,18 @@
             return Ok(default);
         };
         if !bounds.contains(&value.value) {
-            let (least, most) = (bounds.start(), bounds.end());
-            let reason = format!("{} is not within {least} to {most}", value.value);
-            return Err(self.fault(value, key, &reason));
+            let reason = ValueError::OutOfBounds {
+                value: value.value,
+                least: *bounds.start(),
+                most: *bounds.end(),
+            };
+            return Err(self.operators.invalid(value, key, reason));
         }
         Ok(value.value * 1_000)
     }
 
-    /// This broker as others are told.
-    fn own(
+    /// This broker as it is advertised to others.
+    fn local_member(
         &self,
         listen: SocketAddr,
         platform: Option<&Platform>,
@@ -158,8 +159,8 @@
         let advertised = match &file.advertise {
             Some(value) => self.address(value, "advertise")?,
             None if listen.ip().is_unspecified() => {
-                let reason = "missing, and listen names no one address";
-                return Err(self.fault(&file.listen, "advertise", reason));
+                let reason = ValueError::NoAdvertisedAddress;
+                return Err(self.operators.invalid(&file.listen, "advertise", reason));
             }
             None => listen,
         };
@@ -174,28 +175,33 @@
     }
 
     /// The brokers that the file names.
-    fn known(&self) -> Result<Vec<Member>, OperatorsError> {
+    fn known_members(&self) -> Result<Vec<Member>, OperatorsError> {
         let mut known: Vec<Member> = Vec::new();
         for entry in &self.file.known {
-            let name = self.name(&entry.name, "name")?;
-            if known.iter().any(|m| m.name == name) {
-                let reason = format!("{name:?} is there twice");
-                return Err(self.fault(&entry.name, "name", &reason));
-            }
-            let zone = match &entry.zone {
-                Some(zone) => self.name(zone, "zone")?,
-                None => String::new(),
-            };
-            known.push(Member {
-                name,
-                address: self.address(&entry.address, "address")?,
-                zone,
-                incarnation: 0,
-            });
+            known.push(self.known_member(entry, &known)?);
         }
         Ok(known)
     }
 
+    /// A broker that the file names, with another name than those `before` it.
+    fn known_member(&self, entry: &KnownFile, before: &[Member]) -> Result<Member, OperatorsError> {
+        let name = self.name(&entry.name, "name")?;
+        if before.iter().any(|member| member.name == name) {
+            let reason = ValueError::Repeated(name);
+            return Err(self.operators.invalid(&entry.name, "name", reason));
+        }
+        let zone = match &entry.zone {
+            Some(zone) => self.name(zone, "zone")?,
+            None => String::new(),
+        };
+        Ok(Member {
+            name,
+            address: self.address(&entry.address, "address")?,
+            zone,
+            incarnation: 0,
+        })
+    }
+
     /// The times of the failure detector.
     fn swim(&self) -> Result<SwimConfig, OperatorsError> {
         let (file, default) = (self.file, SwimConfig::default());
@@ -212,14 +218,15 @@
             default.suspicion_timeout,
         )?;
         if suspicion_timeout < 2 * probe_interval {
+            let reason = ValueError::SuspicionTooShort {
+                suspicion_ms: suspicion_timeout / 1_000,
+                probe_ms: probe_interval / 1_000,
+            };
             let value = file.suspicion_ms.as_ref().or(file.probe_ms.as_ref());
-            let reason = format!(
-                "{} ms is less than two probes of {} ms: nobody could refute it",
-                suspicion_timeout / 1_000,
-                probe_interval / 1_000
-            );
-            let line = value.map_or(0, line);
-            return Err(self.operators.fault(line, "suspicion_ms", &reason));
+            let error = self
+                .operators
+                .invalid_optional(value, "suspicion_ms", reason);
+            return Err(error);
         }
         Ok(SwimConfig {
             probe_interval,
@@ -256,7 +263,9 @@
 
     fn folder(&self, value: &Spanned<String>) -> Result<PathBuf, OperatorsError> {
         match value.value.trim() {
-            "" => Err(self.fault(value, "folder", "it names no folder")),
+            "" => Err(self
+                .operators
+                .invalid(value, "folder", ValueError::EmptyFolder)),
             path => Ok(PathBuf::from(path)),
         }
     }
@@ -276,19 +285,21 @@
             let Some((value, key)) = roles.or(folder) else {
                 return Ok(());
             };
-            let reason = "there are no voters to agree on anything: name three to seven";
-            return Err(self.fault(value, key, reason));
+            return Err(self.operators.invalid(value, key, ValueError::NoVoters));
         };
         if !VOTERS.contains(&voters.len()) {
-            let (count, least, most) = (voters.len(), VOTERS.start(), VOTERS.end());
-            let reason = format!("{count} are named, {least} to {most} can agree");
-            return Err(self.fault(first, "voters", &reason));
+            let reason = ValueError::VoterCount {
+                count: voters.len(),
+                least: *VOTERS.start(),
+                most: *VOTERS.end(),
+            };
+            return Err(self.operators.invalid(first, "voters", reason));
         }
         let is_known = |name: &String| *name == own.name || known.iter().any(|m| m.name == *name);
         let mut named = voters.iter().zip(&file.voters);
         if let Some((name, value)) = named.find(|(name, _)| !is_known(name)) {
-            let reason = format!("{name:?} is not among known: nobody could find it");
-            return Err(self.fault(value, "voters", &reason));
+            let reason = ValueError::UnknownVoter(name.clone());
+            return Err(self.operators.invalid(value, "voters", reason));
         }
         Ok(())
     }
--- a/src/config/phases.rs
+++ b/src/config/phases.rs
@@ -3,6 +3,7 @@
 
 use super::operators::OperatorsError;
 use super::operators_file::ClassFile;
+use super::value_error::ValueError;
 use super::{Collection, Operators};
 use crate::contract::Contract;
 use crate::decide::phases::Rules;
@@ -34,13 +35,11 @@
         };
         let mut rules: Vec<Option<Rules>> = vec![None; classes.len()];
         for entry in &section.classes {
-            let index = self.class_of(entry, classes)?;
-            let fault = |problem: &str| {
-                let reason = format!("{:?} {problem}", entry.class.value);
-                self.fault(entry.class.referenced.line(), "class", &reason)
-            };
+            let name = &entry.class;
+            let index = self.class_index(name, classes)?;
             if rules[index].is_some() {
-                return Err(fault("is there twice"));
+                let reason = ValueError::Repeated(name.value.clone());
+                return Err(self.invalid(name, "class", reason));
             }
             let class = &mut settings.classes[index];
             if class.second_step == 0 {
@@ -48,7 +47,8 @@
                 if self.ogc.as_ref().is_some_and(|ogc| ogc.listen.is_some()) {
                     continue;
                 }
-                return Err(fault("has no second phase"));
+                let reason = ValueError::NoSecondPhase(name.value.clone());
+                return Err(self.invalid(name, "class", reason));
             }
             rules[index] = Some(self.rules_of(Some(entry), class)?);
         }
@@ -73,7 +73,7 @@
         let section = self.phases.as_ref();
         let entries = section.map_or(&[][..], |section| &section.classes);
         for entry in entries {
-            self.class_of(entry, classes)?;
+            self.class_index(&entry.class, classes)?;
         }
         let mut rules: Vec<Option<Rules>> = vec![None; settings.classes.len()];
         for (index, name) in classes.iter().enumerate() {
@@ -103,16 +103,6 @@
         })
     }
 
-    /// The index of the class that an entry names.
-    fn class_of(&self, entry: &ClassFile, classes: &[String]) -> Result<usize, OperatorsError> {
-        let name = &entry.class.value;
-        let index = classes.iter().position(|class| class == name);
-        index.ok_or_else(|| {
-            let reason = format!("there is no class {name:?}");
-            self.fault(entry.class.referenced.line(), "class", &reason)
-        })
-    }
-
     /// The rules of a class, from its entry or by default. Its share of the latency target for the
     /// first phase goes into the class.
     fn rules_of(
@@ -148,7 +138,6 @@
         if value.value > 0.0 && value.value < 1.0 {
             return Ok(value.value);
         }
-        let reason = format!("{} is not between 0 and 1", value.value);
-        Err(self.fault(value.referenced.line(), key, &reason))
+        Err(self.invalid(value, key, ValueError::NotAShare(value.value)))
     }
 }
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -48,6 +48,7 @@
 /// The rule on drains where the settings don't give it (microseconds).
 const STOP_WITHIN: Micros = 2_000_000;
 
+/// The settings as they are written; the keys are the platform's.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Facts {
@@ -209,7 +210,7 @@
     pub connections: Connections,
     /// Names of the tenants, in the order of the module's quotas.
     pub tenants: Vec<String>,
-    /// Within this after it was told that a node drains or is gone, nothing new goes there
+    /// Within this after a node was listed as draining or gone, nothing new goes there
     /// (microseconds).
     pub stop_within: Micros,
 }
@@ -227,9 +228,9 @@
         }
         let allowed = &facts.allowed;
         let connections = Connections {
-            streams: allowed.max_streams.max(1),
-            connect: allowed.connect_timeout_us,
-            idle: allowed.conn_idle_us,
+            max_streams: allowed.max_streams.max(1),
+            connect_timeout: allowed.connect_timeout_us,
+            idle_timeout: allowed.conn_idle_us,
         };
         // Guards the rule on repeats: the window counts to when an attempt leaves, and what the
         // module sends may wait for a connection first.
@@ -260,8 +261,9 @@
     module(&serde_json::from_slice(text)?)
 }
 
+/// The module's settings, checked.
 fn module(facts: &Facts) -> Result<Settings, SettingsError> {
-    let (family, rules, allowed) = (&facts.family_info, &facts.rules, &facts.allowed);
+    let (family, rules) = (&facts.family_info, &facts.rules);
     if family.sets == 0 || family.width == 0 {
         return Err(SettingsError::EmptyLayout);
     }
@@ -272,35 +274,17 @@
     let classes = classes
         .map(|(i, facts)| class(i, facts, family))
         .collect::<Result<_, _>>()?;
-    let budget = budget(rules)?;
+    let limits = limits(&facts.allowed, budget(rules)?);
     let quotas = facts.tenants.iter();
     let quotas = quotas
         .map(|tenant| number(tenant.quota_per_s, "quotaPerS"))
         .collect::<Result<_, _>>()?;
     Ok(Settings {
         classes,
-        limits: Limits {
-            attempts: allowed.max_attempts,
-            max_held: allowed.most_held,
-            cancel: allowed.may_cancel,
-            probe: allowed.may_probe,
-            second_copies: allowed.second_copies,
-            retry_after: allowed.retry_after.then_some(allowed.max_retry_after_us),
-            budget,
-        },
-        layout: Layout {
-            cells: family.sets,
-            width: family.width,
-            shards: family.shards.unwrap_or(u32::MAX),
-            parts_a_call: family.parts_a_call.max(1),
-        },
+        limits,
+        layout: layout(family),
         discovery: discovery(&facts.discovery, rules.ask_every_us)?,
-        cold: SlowStart {
-            share: number(rules.cold_share, "coldShare")?,
-            warm_after: rules.cold_us,
-            fall_multiple: number(rules.fall_multiple, "fallMultiple")?,
-            fall_after: rules.fall_us,
-        },
+        cold: slow_start(rules)?,
         zone: facts.zone,
         resolution: facts.resolution_us,
         marks_retry: facts.clients.marks_retry,
@@ -311,6 +295,36 @@
     })
 }
 
+fn limits(allowed: &Allowed, budget: Option<Budget>) -> Limits {
+    Limits {
+        attempts: allowed.max_attempts,
+        max_held: allowed.most_held,
+        cancel: allowed.may_cancel,
+        probe: allowed.may_probe,
+        second_copies: allowed.second_copies,
+        retry_after: allowed.retry_after.then_some(allowed.max_retry_after_us),
+        budget,
+    }
+}
+
+fn layout(family: &FamilyInfo) -> Layout {
+    Layout {
+        cells: family.sets,
+        width: family.width,
+        shards: family.shards.unwrap_or(u32::MAX),
+        parts_a_call: family.parts_a_call.max(1),
+    }
+}
+
+fn slow_start(rules: &Rules) -> Result<SlowStart, SettingsError> {
+    Ok(SlowStart {
+        share: number(rules.cold_share, "coldShare")?,
+        warm_after: rules.cold_us,
+        fall_multiple: number(rules.fall_multiple, "fallMultiple")?,
+        fall_after: rules.fall_us,
+    })
+}
+
 fn class(i: usize, facts: &ClassFacts, family: &FamilyInfo) -> Result<Class, SettingsError> {
     let of_class = |list: &[f64], key| {
         let value = list.get(i).ok_or(SettingsError::MissingClass(i))?;
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -25,9 +25,9 @@
     assert_eq!(
         read.connections,
         Connections {
-            streams: 32,
-            connect: 9,
-            idle: 7
+            max_streams: 32,
+            connect_timeout: 9,
+            idle_timeout: 7
         }
     );
     assert_eq!(
@@ -48,9 +48,9 @@
         ),
         (2_000_000, 0, 1.0)
     );
-    let told = r#""settings":{"rules":{"stopSendingWithinUs":500000},"overShareWorth":0.2,
+    let tenants = r#""settings":{"rules":{"stopSendingWithinUs":500000},"overShareWorth":0.2,
         "tenants":[{"name":"a","portion":0.6,"quotaPerS":12.5},{"name":"b","portion":0.4,"quotaPerS":8}],"#;
-    let read = parse(&CONFIG.replace(r#""settings":{"#, told)).unwrap();
+    let read = parse(&CONFIG.replace(r#""settings":{"#, tenants)).unwrap();
     assert_eq!(
         (read.stop_within, read.tenants),
         (500_000, vec!["a".to_string(), "b".to_string()])
@@ -59,9 +59,9 @@
         (read.settings.quotas, read.settings.over_quota),
         (vec![12.5, 8.0], 0.2)
     );
-    let faulty = told.replace("12.5", "-1");
-    let why = parse(&CONFIG.replace(r#""settings":{"#, &faulty)).unwrap_err();
-    assert_eq!(why, "settings: quotaPerS is -1");
+    let faulty = tenants.replace("12.5", "-1");
+    let error = parse(&CONFIG.replace(r#""settings":{"#, &faulty)).unwrap_err();
+    assert_eq!(error, "settings: quotaPerS is -1");
 }
 
 #[test]
@@ -104,8 +104,8 @@
             "discovery",
         ),
     ] {
-        let told = parse(&CONFIG.replacen(good, bad, 1)).unwrap_err();
-        assert!(told.contains(key), "{told:?} does not name {key}");
+        let error = parse(&CONFIG.replacen(good, bad, 1)).unwrap_err();
+        assert!(error.contains(key), "{error:?} does not name {key}");
     }
 }
 
@@ -167,7 +167,7 @@
 
 #[test]
 fn faulty_ogc_section_is_named_by_line_and_key() {
-    for (good, bad, told) in [
+    for (good, bad, expected) in [
         ("127.0.0.1:8090", "here", "lichenswitch.yaml:3: listen"),
         (
             "class: fleet-search",
@@ -196,7 +196,7 @@
         ("title: Scooters of", "colour: Scooters of", "colour"),
     ] {
         let error = front(&FRONT.replacen(good, bad, 1)).unwrap_err();
-        assert!(error.contains(told), "{error:?} for {bad:?}");
+        assert!(error.contains(expected), "{error:?} for {bad:?}");
     }
 }
 
@@ -241,9 +241,9 @@
     for off in ["", "# nothing\n", "ogc:\n  listen: null\n"] {
         assert_eq!(phases(off).unwrap().phases, Phases::default(), "{off:?}");
     }
-    let told =
+    let section =
         "phases:\n  explain: true\n  classes:\n    - {class: report, first_share: 0.5, prune: false}\n";
-    let read = phases(told).unwrap();
+    let read = phases(section).unwrap();
     let rules = read.phases.rules[0].as_ref().unwrap();
     assert_eq!(
         (rules.wanted, rules.latency_target, rules.floor),
@@ -273,7 +273,7 @@
     let good =
         "phases:\n  classes:\n    - class: report\n      probability: 0.9\n      least_gain: 0.1\n";
     assert!(phases(good).is_ok());
-    for (part, bad, told) in [
+    for (part, bad, expected) in [
         (
             "report",
             "ride",
@@ -302,6 +302,6 @@
         ),
     ] {
         let error = phases(&good.replacen(part, bad, 1)).unwrap_err();
-        assert!(error.contains(told), "{error:?} for {bad:?}");
+        assert!(error.contains(expected), "{error:?} for {bad:?}");
     }
 }
