--- a/src/broker/operators.rs
+++ b/src/broker/operators.rs
@@ -30,7 +30,7 @@
         self.net.share_with_processes(parts.held);
         each_service!(self, |_net, service| {
             service.core.share(parts);
-            service.sessions.share(parts.held);
+            service.sessions.share_with_processes(parts.held);
         });
     }
 
@@ -94,9 +94,12 @@
             management.orders().desired.quiesced_at.map(Time),
             self.net.clock.now(),
         );
-        service
-            .sessions
-            .send_away(&mut self.net, stage, &mut service.front, &mut service.core);
+        service.sessions.set_quiesce_stage(
+            &mut self.net,
+            stage,
+            &mut service.front,
+            &mut service.core,
+        );
     }
 
     /// Tells operators what was counted.
@@ -144,7 +147,7 @@
         };
         let status = HealthStatus {
             is_listening: self.unopened.is_none(),
-            has_server_list: service.front.is_listed(),
+            has_server_list: service.front.has_server_list(),
             lifecycle,
             is_quiesced: management.orders().desired.quiesced_at.is_some(),
             last_turn_at: now,
--- a/src/broker/stopping.rs
+++ b/src/broker/stopping.rs
@@ -26,7 +26,7 @@
             // Where another process serves this address the broker goes on, whoever asks which
             // process.
             if !served_on || service.owner != Owner::Platform {
-                service.front.stop();
+                service.front.on_stop();
             }
         });
     }
--- a/src/front/ogc.rs
+++ b/src/front/ogc.rs
@@ -14,7 +14,7 @@
 use self::parameters::{parameters, shared};
 use self::problem::{problem, retry_later, Fault};
 use self::response::format_reply;
-use super::{Front, Verdict};
+use super::{Front, RequestAction};
 use crate::config::Collection;
 use crate::contract::ContractViolation;
 use crate::core::{Refusal, Reply, Request};
@@ -184,7 +184,11 @@
         )
     }
 
-    fn route(&self, now: Time, request: &http::Request) -> Result<Verdict<Job, Context>, Fault> {
+    fn route(
+        &self,
+        now: Time,
+        request: &http::Request,
+    ) -> Result<RequestAction<Job, Context>, Fault> {
         let path = request.path();
         if !matches!(request.method.as_str(), "GET" | "HEAD") {
             return Err(Fault::method_not_allowed("this interface is for reading"));
@@ -198,7 +202,11 @@
         };
         let plain = |kind: &str, body: Json| {
             parameters(request.query(), &["f"])?;
-            Ok(Verdict::Reply(Response::new(200, kind, body.to_string())))
+            Ok(RequestAction::Reply(Response::new(
+                200,
+                kind,
+                body.to_string(),
+            )))
         };
         let (collection, (job, context)) = match segments[..] {
             [] => return plain(JSON, self.landing(&base)),
@@ -227,11 +235,11 @@
         };
         if job.targets.is_empty() {
             // Nothing lies in the box: the answer is complete and empty.
-            return Ok(Verdict::Reply(format_reply(context, true, &[], &[])));
+            return Ok(RequestAction::Reply(format_reply(context, true, &[], &[])));
         }
         let team = request.header("req-owner").map(str::to_string);
         let request = Box::new(query_of(now, collection, job, team));
-        Ok(Verdict::Take(request, context))
+        Ok(RequestAction::Query(request, context))
     }
 }
 
@@ -278,12 +286,12 @@
     type Job = Job;
     type Context = Context;
 
-    fn read(&mut self, now: Time, request: &http::Request) -> Verdict<Job, Context> {
+    fn read_request(&mut self, now: Time, request: &http::Request) -> RequestAction<Job, Context> {
         self.route(now, request)
-            .unwrap_or_else(|fault| Verdict::Reply(fault.response()))
+            .unwrap_or_else(|fault| RequestAction::Reply(fault.response()))
     }
 
-    fn refused(&self, refusal: Refusal) -> Response {
+    fn format_refusal(&self, refusal: Refusal) -> Response {
         match refusal {
             Refusal::Busy(after) => retry_later(503, "Too busy", after),
             Refusal::Contract(ContractViolation::Rate(after)) => {
@@ -319,11 +327,11 @@
         }
     }
 
-    fn malformed(&self, status: u16, reason: &str) -> Response {
+    fn format_malformed(&self, status: u16, reason: &str) -> Response {
         problem(status, "Malformed request", reason)
     }
 
-    fn stop(&mut self) {}
+    fn on_stop(&mut self) {}
 }
 
 #[cfg(test)]
--- a/src/front/ogc/tests.rs
+++ b/src/front/ogc/tests.rs
@@ -88,6 +88,6 @@
             target,
             ..http::Request::default()
         };
-        front.read(Time(0), &request);
+        front.read_request(Time(0), &request);
     });
 }
--- a/src/front/platform/tests.rs
+++ b/src/front/platform/tests.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 use crate::core::Value;
+use crate::interface::Shard;
 
 const BODY: &str = r#"{"segments":[{"segment":3,"boost":0.5,"work":9000},{"segment":9,"boost":0.5}],
         "text":"c41e77d0"}"#;
@@ -48,15 +49,16 @@
 }
 
 fn status(request: &http::Request) -> u16 {
-    match front().read(Time(0), request) {
-        Verdict::Reply(response) => response.status,
-        Verdict::Take(..) => 0,
+    match front().read_request(Time(0), request) {
+        RequestAction::Reply(response) => response.status,
+        RequestAction::Query(..) => 0,
     }
 }
 
 #[test]
 fn a_query_is_read_as_documented() {
-    let Verdict::Take(taken, ()) = front().read(Time(1_000_000), &query(&[], "/close", BODY))
+    let RequestAction::Query(taken, ()) =
+        front().read_request(Time(1_000_000), &query(&[], "/close", BODY))
     else {
         panic!("not taken");
     };
@@ -87,14 +89,14 @@
         ("", BODY, 0),
     ] {
         let request = query(&[("cookie", cookie)], "/close", body);
-        let Verdict::Take(taken, ()) = front().read(Time(0), &request) else {
+        let RequestAction::Query(taken, ()) = front().read_request(Time(0), &request) else {
             panic!("{cookie}")
         };
         assert_eq!(taken.key, key, "{cookie}");
     }
     for (owner, tenant) in [("acme", 0), ("other", u32::MAX), ("", u32::MAX)] {
         let request = query(&[("req-owner", owner)], "/close", BODY);
-        let Verdict::Take(taken, ()) = front().read(Time(0), &request) else {
+        let RequestAction::Query(taken, ()) = front().read_request(Time(0), &request) else {
             panic!("{owner}")
         };
         assert_eq!(taken.tenant, tenant, "{owner}");
@@ -151,10 +153,11 @@
 #[test]
 fn an_id_is_taken_once_for_as_long_as_its_query_can_be_open() {
     let mut front = front();
-    let mut taken = |ms: u64| match front.read(Time(ms * 1_000), &query(&[], "/close", BODY)) {
-        Verdict::Reply(response) => response.status,
-        Verdict::Take(..) => 0,
-    };
+    let mut taken =
+        |ms: u64| match front.read_request(Time(ms * 1_000), &query(&[], "/close", BODY)) {
+            RequestAction::Reply(response) => response.status,
+            RequestAction::Query(..) => 0,
+        };
     assert_eq!(
         [taken(9_000), taken(9_001), taken(12_999), taken(13_001)],
         [0, 409, 409, 409]
@@ -165,7 +168,7 @@
 #[test]
 fn a_query_is_held_no_longer_than_its_class_allows() {
     let long = query(&[("req-deadline-ms", "99999")], "/close", BODY);
-    let Verdict::Take(taken, ()) = front().read(Time(0), &long) else {
+    let RequestAction::Query(taken, ()) = front().read_request(Time(0), &long) else {
         panic!("not taken")
     };
     assert_eq!(taken.deadline, Time(4_000_000));
@@ -182,7 +185,7 @@
     .map(str::as_bytes);
     crate::testing::garbage(&bad, |bytes| {
         let request = query(&[], "/close", "");
-        front().read(
+        front().read_request(
             Time(0),
             &http::Request {
                 body: bytes.to_vec(),
@@ -201,9 +204,9 @@
             target: path.into(),
             ..Default::default()
         };
-        match front.read(Time(0), &request) {
-            Verdict::Reply(response) => response.status,
-            Verdict::Take(..) => 0,
+        match front.read_request(Time(0), &request) {
+            RequestAction::Reply(response) => response.status,
+            RequestAction::Query(..) => 0,
         }
     };
     assert_eq!(
@@ -213,7 +216,7 @@
         ),
         (503, 200)
     );
-    front.listed();
+    front.on_server_list();
     assert_eq!(
         (
             health(&mut front, "/health/ready"),
@@ -221,7 +224,7 @@
         ),
         (200, 200)
     );
-    front.stop();
+    front.on_stop();
     assert_eq!(
         (
             health(&mut front, "/health/ready"),
@@ -266,7 +269,7 @@
         None
     );
     assert_eq!(front().format_reply((), Reply::Failed).status, 504);
-    let rate = front().refused(Refusal::Contract(ContractViolation::Rate(500_000)));
+    let rate = front().format_refusal(Refusal::Contract(ContractViolation::Rate(500_000)));
     assert_eq!(
         (rate.status, rate.header("retry-after")),
         (429, Some("0.500"))
--- a/src/front/tests.rs
+++ b/src/front/sessions/tests.rs
@@ -1,7 +1,9 @@
-//! Tests of `front`.
+//! Tests of `front::sessions`.
 
 use super::*;
 use crate::contract::Contracts;
+use crate::front::platform;
+use crate::front::session::{PendingQuery, BUSY_EVICTABLE_AFTER, EVICTABLE_AFTER, IDLE_TIMEOUT};
 use crate::interface::Settings;
 use crate::upstream::frames::Job;
 use std::io::{Read, Write};
@@ -22,7 +24,7 @@
     while sessions.open.len() < count {
         net.wait(None).unwrap();
         for id in net.accept(Owner::Platform) {
-            sessions.opened(net, id, Owner::Platform);
+            sessions.on_connected(net, id, Owner::Platform);
         }
     }
     let mut ids: Vec<ConnId> = sessions.open.keys().copied().collect();
@@ -38,9 +40,14 @@
     let now = net.clock.now();
     for (i, id) in ids.iter().enumerate() {
         let session = sessions.open.get_mut(id).unwrap();
-        (session.since, session.has_sent_request) = (now.minus(BUSY_EVICTABLE_AFTER), i > 0);
+        (session.phase_started_at, session.has_sent_request) =
+            (now.minus(BUSY_EVICTABLE_AFTER), i > 0);
         if i == 1 {
-            session.state = State::Waiting(QueryId(1), true, false);
+            session.state = SessionState::AwaitingReply(PendingQuery {
+                id: QueryId(1),
+                keep_alive: true,
+                is_head: false,
+            });
         }
     }
     sessions.evict_idle(&mut net, &mut core);
@@ -63,18 +70,19 @@
     let now = net.clock.now();
     for (id, i) in ids.iter().zip(0..) {
         let session = sessions.open.get_mut(id).unwrap();
-        (session.since, session.has_sent_request) = (now.minus(EVICTABLE_AFTER * (40 - i)), true);
+        (session.phase_started_at, session.has_sent_request) =
+            (now.minus(EVICTABLE_AFTER * (40 - i)), true);
     }
-    let front = crate::front::platform::Platform::new(Vec::new(), Vec::new());
+    let front = platform::Platform::new(Vec::new(), Vec::new());
     core.end_by(now);
-    sessions.look(&mut net, Owner::Platform, &front, &mut core);
+    sessions.sweep(&mut net, Owner::Platform, &front, &mut core);
     assert_eq!(
         sessions.open.len(),
         20,
         "nobody has to go while the broker stops"
     );
     let mut core = Core::new(1, Settings::default(), Contracts::default(), 32 << 20);
-    sessions.look(&mut net, Owner::Platform, &front, &mut core);
+    sessions.sweep(&mut net, Owner::Platform, &front, &mut core);
     let mut left: Vec<ConnId> = sessions.open.keys().copied().collect();
     left.sort_unstable();
     assert_eq!(
@@ -89,7 +97,7 @@
     b"POST /a HTTP/1.1\r\nReq-Id: 1\r\nReq-Deadline-Ms: 900\r\nContent-Length: 48\r\n\r\n\
     {\"segments\":[{\"segment\":0,\"boost\":1}],\"text\":\"\"}";
 
-fn platform() -> crate::front::platform::Platform {
+fn platform() -> platform::Platform {
     let class = platform::Class {
         name: "a".into(),
         repeat: crate::interface::RetrySafety::Safe,
@@ -107,7 +115,7 @@
 ) {
     for ready in net.wait(Some(net.clock.now().plus(1_000_000))).unwrap() {
         if let crate::net::Ready::Conn(id, _) = ready {
-            sessions.ready(net, id, front, core);
+            sessions.on_ready(net, id, front, core);
         }
     }
 }
@@ -133,7 +141,7 @@
         (
             core.held_queries(),
             sessions.open.len(),
-            sessions.waiting.len()
+            sessions.awaited_replies.len()
         ),
         (0, 0, 0)
     );
@@ -175,8 +183,11 @@
         let (mut client, mut front) = crossing(&mut net, &mut sessions, &mut core);
         if idle {
             let long = net.clock.now().minus(IDLE_TIMEOUT);
-            sessions.open.values_mut().for_each(|s| s.since = long);
-            sessions.look(&mut net, Owner::Platform, &front, &mut core);
+            sessions
+                .open
+                .values_mut()
+                .for_each(|s| s.phase_started_at = long);
+            sessions.sweep(&mut net, Owner::Platform, &front, &mut core);
         } else {
             assert_eq!(
                 sessions.close_unused(&mut net, &mut core),
@@ -217,7 +228,7 @@
         "there is time yet"
     );
     let early = net.clock.now().minus(SHUTDOWN_LINGER_TIMEOUT);
-    sessions.open.get_mut(&ids[0]).unwrap().since = early;
+    sessions.open.get_mut(&ids[0]).unwrap().phase_started_at = early;
     assert_eq!(sessions.close_unused(&mut net, &mut core), 0);
     assert!(net.get(ids[0]).is_none());
     drop(clients);
--- a/src/service.rs
+++ b/src/service.rs
@@ -52,14 +52,14 @@
 
     pub(crate) fn accept(&mut self, net: &mut Net) {
         for id in net.accept(self.owner) {
-            self.sessions.opened(net, id, self.owner);
+            self.sessions.on_connected(net, id, self.owner);
         }
     }
 
     pub(crate) fn ready(&mut self, net: &mut Net, id: ConnId, owner: Owner) {
         if owner == self.owner {
             self.sessions
-                .ready(net, id, &mut self.front, &mut self.core);
+                .on_ready(net, id, &mut self.front, &mut self.core);
         } else if owner == W::OWNER {
             self.pool.ready(net, id);
         }
@@ -85,7 +85,7 @@
             }
             Timer::Answer(id) => self.pool.stalled(net, id),
             Timer::Clients(owner) if owner == self.owner => {
-                self.sessions.look(net, owner, &self.front, &mut self.core);
+                self.sessions.sweep(net, owner, &self.front, &mut self.core);
             }
             // The next turn tends the calls that wait.
             Timer::Attempt(..) | Timer::Clients(_) | Timer::Discovery(_) | Timer::Parked(_) => {}
@@ -126,7 +126,7 @@
                 Command::CloseIdle(server) => self.pool.close_idle(net, server),
                 Command::Reply(query, reply) => {
                     self.sessions
-                        .answer(net, query, reply, &mut self.front, &mut self.core);
+                        .reply(net, query, reply, &mut self.front, &mut self.core);
                 }
                 Command::Subscribe => self.subscribe = true,
                 Command::Log(text) => log(&self.named(&text)),
@@ -191,7 +191,7 @@
             started.for_each(|(server, at)| self.pool.greet_until(server, at.plus(warm_after)));
             // An empty list of before the start is none: nothing can be served by it.
             if !matches!(&update, ServerListUpdate::Cached(lines) if lines.is_empty()) {
-                self.front.listed();
+                self.front.on_server_list();
             }
         }
         self.core.listed(update);
