--- a/simulator/tests/common/mod.rs
+++ b/simulator/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the five points share.
+//! Helpers of the tests: scenarios that run for several seeds, and the start of a group.
 #![allow(dead_code)]
 
 use lichenswitch_simulator::oracle::Violation;
@@ -9,13 +9,17 @@
 /// `catchUpS`.
 pub const CATCH_UP: u64 = 4 * SECOND;
 
-/// A run of one seed: what it consists of, and the first rule that was broken.
+/// Runs a world of these settings to its end; the oracle of the world has the violations.
 pub type Scenario = fn(WorldSettings) -> World;
 
 /// Lines of the trace that are shown of a seed that fails.
 const TRACE_SHOWN: usize = 80;
 
-/// Runs a scenario for each seed; none may break a rule.
+/// Runs a scenario for each seed. Asserts that no rule is violated, and that more than 20 changes
+/// were acknowledged, so that a run in which nothing happens doesn't pass.
+///
+/// # Panics
+/// With the seed and the violation, after the end of the trace was printed.
 pub fn assert_no_violations(
     seeds: std::ops::Range<u64>,
     change: fn(&mut WorldSettings),
@@ -24,17 +28,17 @@
     assert_no_violations_with(seeds, change, scenario, |_| {});
 }
 
-/// The same, with a look at each run.
+/// The same; `inspect` may assert more of each run.
 pub fn assert_no_violations_with(
     seeds: std::ops::Range<u64>,
     change: fn(&mut WorldSettings),
     scenario: Scenario,
-    look: fn(&World),
+    inspect: fn(&World),
 ) {
     for seed in seeds {
         let world = scenario(settings(seed, change));
         if let Some(violation) = world.oracle.violations.first() {
-            show(scenario(WorldSettings {
+            print_trace_end(&scenario(WorldSettings {
                 trace: true,
                 ..settings(seed, change)
             }));
@@ -45,25 +49,26 @@
             acknowledged > 20,
             "seed {seed}: only {acknowledged} changes were acknowledged"
         );
-        look(&world);
+        inspect(&world);
     }
 }
 
-fn show(world: World) {
+/// Prints the end of a trace, without the lines of the routers.
+fn print_trace_end(world: &World) {
     let lines: Vec<&str> = world.trace().collect();
-    let plain = |line: &&&str| {
+    let is_of_no_router = |line: &&&str| {
         ![" puts ", " connects ", " leaves "]
             .iter()
             .any(|word| line.contains(word))
     };
-    let lines: Vec<&&str> = lines.iter().filter(plain).collect();
+    let lines: Vec<&&str> = lines.iter().filter(is_of_no_router).collect();
     lines
         .iter()
         .skip(lines.len().saturating_sub(TRACE_SHOWN))
         .for_each(|line| println!("{line}"));
 }
 
-/// Changes that were acknowledged from one second of a run to another.
+/// Number of changes that were acknowledged between two times of a run (seconds).
 pub fn acknowledged_between(world: &World, from: u64, to: u64) -> usize {
     let within = |at: u64| (from * SECOND..to * SECOND).contains(&at);
     world
@@ -74,8 +79,12 @@
         .count()
 }
 
-/// A planted fault is found within these seeds; tells by which violation.
-pub fn finds(
+/// Asserts that a scenario with a planted fault violates a rule for one of these seeds at least;
+/// returns the first violation.
+///
+/// # Panics
+/// Where no seed violates a rule.
+pub fn assert_violation_found(
     seeds: std::ops::Range<u64>,
     plant: fn(&mut WorldSettings),
     scenario: Scenario,
@@ -98,17 +107,18 @@
     settings
 }
 
-/// Nothing is planted.
-pub fn nothing(_: &mut WorldSettings) {}
+/// The settings as they are: no planted fault.
+pub fn unchanged(_: &mut WorldSettings) {}
 
-/// A group that has founded itself and taken its first changes.
-pub fn begun(settings: WorldSettings) -> World {
+/// A group that has been bootstrapped and has committed its first changes.
+pub fn started_group(settings: WorldSettings) -> World {
     let mut world = World::new(settings);
     world.run_for(5 * SECOND);
     world
 }
 
-/// A cut of these machines from all others, with a fifth of the callers on each side.
+/// A partition of these machines from all others for `duration` microseconds, with a fifth of the
+/// callers on each side. `holds`: messages are delivered when it ends; otherwise they are lost.
 pub fn cut(targets: Vec<Target>, kind: CutKind, duration: u64, holds: bool) -> Action {
     Action::Cut {
         targets,
--- a/simulator/tests/without_disk.rs
+++ b/simulator/tests/diskless_founder_loses_no_order.rs
@@ -1,15 +1,15 @@
-//! A group that a machine without a disk has founded, while machines with one come: nothing that is
-//! acknowledged rests on a memory that a loss of power takes.
+//! A group that was bootstrapped by a machine without a disk, while machines with one join: no
+//! acknowledged order depends on the memory of a machine that loses power.
 
 mod common;
 
-use common::{assert_no_violations, finds, CATCH_UP, SECOND};
+use common::{assert_no_violations, assert_violation_found, CATCH_UP, SECOND};
 use lichenswitch_replication::Fault;
 use lichenswitch_simulator::callers::Pace;
 use lichenswitch_simulator::world::{Action, Target, World, WorldSettings};
 
-/// Once the beginning is over.
-const CALM: Pace = Pace {
+/// The pace after the first seconds.
+const STEADY_PACE: Pace = Pace {
     least_rest: 200_000,
     most_rest: 500_000,
     in_step: 0,
@@ -19,7 +19,7 @@
 };
 
 /// The founder and four machines with a disk, one of which may be lost.
-fn five(settings: &mut WorldSettings) {
+fn with_diskless_founder(settings: &mut WorldSettings) {
     settings.founder_without_disk = true;
     settings.voters = 5;
     settings.pace = Pace {
@@ -29,9 +29,9 @@
     };
 }
 
-/// Right after the first acknowledgements a disk is lost with the power of all others, the
-/// founder's among them.
-fn a_disk_is_lost_at_the_beginning(settings: WorldSettings) -> World {
+/// Right after the first acknowledgement one machine loses its disk while all others, the founder
+/// among them, lose power.
+fn disk_loss_after_first_acknowledgement(settings: WorldSettings) -> World {
     let positions = [
         Target::Primary,
         Target::Other(0),
@@ -43,7 +43,7 @@
     world.let_service_rest(true);
     world.act_after_acknowledgement(Action::WipeAndPowerOff(vec![target]));
     world.run_for(2 * SECOND);
-    world.set_pace(CALM);
+    world.set_pace(STEADY_PACE);
     world.run_for(6 * SECOND);
     world.let_service_rest(false);
     world.run_for(CATCH_UP);
@@ -51,12 +51,12 @@
     world
 }
 
-/// The founder is killed right after the first acknowledgement.
-fn the_founder_goes(settings: WorldSettings) -> World {
+/// The founder loses power right after the first acknowledgement.
+fn founder_power_loss(settings: WorldSettings) -> World {
     let mut world = World::new(settings);
     world.act_after_acknowledgement(Action::PowerLoss(Target::Oldest));
     world.run_for(2 * SECOND);
-    world.set_pace(CALM);
+    world.set_pace(STEADY_PACE);
     world.run_for(6 * SECOND);
     world.finish();
     world
@@ -64,19 +64,23 @@
 
 #[test]
 fn first_acknowledgement_survives_a_disk_loss_and_a_power_loss() {
-    assert_no_violations(0..16, five, a_disk_is_lost_at_the_beginning);
+    assert_no_violations(
+        0..16,
+        with_diskless_founder,
+        disk_loss_after_first_acknowledgement,
+    );
 }
 
 #[test]
-fn a_group_goes_on_without_its_founder() {
-    assert_no_violations(0..4, five, the_founder_goes);
+fn group_serves_after_loss_of_its_diskless_founder() {
+    assert_no_violations(0..4, with_diskless_founder, founder_power_loss);
 }
 
 #[test]
-fn votes_of_memory_that_count_are_found() {
+fn counted_votes_of_diskless_voters_are_found() {
     fn counted(settings: &mut WorldSettings) {
-        five(settings);
+        with_diskless_founder(settings);
         settings.faults.plant(Fault::ChangesBesideDisklessVoters);
     }
-    finds(0..16, counted, a_disk_is_lost_at_the_beginning);
+    assert_violation_found(0..16, counted, disk_loss_after_first_acknowledgement);
 }
--- a/simulator/tests/overlaps.rs
+++ b/simulator/tests/overlapping_losses_lose_no_order.rs
@@ -1,10 +1,12 @@
-//! Losses that overlap beyond what service has to bear, with no more disks lost than must be borne:
-//! nothing that was acknowledged is gone. More:
+//! Losses that overlap beyond what the group tolerates, with no more disks lost than it tolerates:
+//! no acknowledged order is lost. More:
 //! `cargo run --release -p lichenswitch-simulator -- walk --overlaps --episodes 5 --seeds 0..1000`.
 
 mod common;
 
-use common::{assert_no_violations, begun, finds, nothing, CATCH_UP, SECOND};
+use common::{
+    assert_no_violations, assert_violation_found, started_group, unchanged, CATCH_UP, SECOND,
+};
 use lichenswitch_replication::Fault;
 use lichenswitch_simulator::callers::Pace;
 use lichenswitch_simulator::disk::DiskFault;
@@ -14,10 +16,10 @@
 use lichenswitch_simulator::world::{Action, CutKind, Target, World, WorldSettings};
 
 /// Delays between the sending of an order and a fault, in microseconds.
-const AFTER_ORDER: [u64; 8] = [
+const DELAYS_AFTER_ORDER_US: [u64; 8] = [
     5_000, 8_000, 15_000, 30_000, 60_000, 120_000, 250_000, 400_000,
 ];
-/// `recoveryS`, less the time until an order is overdue.
+/// `recoveryS` without the time until an order is overdue, in microseconds.
 const RECOVERY: u64 = 5 * SECOND;
 
 fn overlapping(settings: WorldSettings) -> World {
@@ -28,8 +30,8 @@
     .world
 }
 
-/// Operators who send orders without a rest, eight of them, as the pages allow at once.
-fn eager(settings: &mut WorldSettings) {
+/// Eight operators, as many as the pages allow at once, that send orders without a pause.
+fn with_eager_operators(settings: &mut WorldSettings) {
     (settings.operators, settings.readers) = (8, 4);
     settings.pace = Pace {
         least_rest: 0,
@@ -39,24 +41,24 @@
     };
 }
 
-fn three(settings: &mut WorldSettings) {
-    eager(settings);
+fn with_three_voters(settings: &mut WorldSettings) {
+    with_eager_operators(settings);
     settings.voters = 3;
 }
 
-/// Lets all come back, and judges delays again.
+/// Waits until all machines have restarted, and judges delays again.
 fn recover(world: &mut World) {
     world.run_for(2 * SECOND + RECOVERY);
     world.let_service_rest(false);
     world.run_for(CATCH_UP);
 }
 
-/// The oldest disk is lost and all others lose power, at each delay after an order was sent, and
-/// right after an acknowledgement.
-fn final_faults(settings: WorldSettings) -> World {
-    let mut world = begun(settings);
+/// One machine loses its disk while all others lose power, at each delay after an order was sent,
+/// and right after an acknowledgement.
+fn disk_and_power_losses(settings: WorldSettings) -> World {
+    let mut world = started_group(settings);
     for target in [Target::Oldest, Target::Primary, Target::Other(1)] {
-        for delay in AFTER_ORDER {
+        for delay in DELAYS_AFTER_ORDER_US {
             world.let_service_rest(true);
             world.act_after_order(delay, Action::WipeAndPowerOff(vec![target]));
             recover(&mut world);
@@ -69,10 +71,10 @@
     world
 }
 
-/// Halves that callers all reach, with orders under way; then a disk is lost with the power of all
-/// others, at once or a little later.
-fn halves_and_a_wipe(settings: WorldSettings) -> World {
-    let mut world = begun(settings);
+/// A partition into halves that all callers reach, with orders in flight; then one machine loses its
+/// disk while all others lose power, at once or up to 0.9 s later.
+fn even_partition_then_disk_loss(settings: WorldSettings) -> World {
+    let mut world = started_group(settings);
     let half = world.core().len() as u32 / 2;
     for (round, later) in [0, 1_000, 30_000, 300_000, 900_000].into_iter().enumerate() {
         world.let_service_rest(true);
@@ -101,10 +103,10 @@
     world
 }
 
-/// A wiped machine comes back empty while another is away, and is killed meanwhile; then a machine
-/// is replaced while another is away.
-fn wiped_while_another_is_away(settings: WorldSettings) -> World {
-    let mut world = begun(settings);
+/// A machine loses its disk while another has no power, and is killed several times as it restarts;
+/// then a machine is replaced while another has no power.
+fn disk_loss_while_another_is_down(settings: WorldSettings) -> World {
+    let mut world = started_group(settings);
     for lost in [Target::Primary, Target::Oldest] {
         let (away, wiped) = (
             Target::This(Host(2)),
@@ -128,19 +130,16 @@
     world
 }
 
-/// Disks of the primary and of backups are full, stalled or slow at once while orders come; then a
-/// disk is lost with the power of all others.
-fn bad_disks(settings: WorldSettings) -> World {
-    let mut world = begun(settings);
-    let troubles = [
+/// Disks of the primary and of backups are full, stalled or slow at once under orders; then one
+/// machine loses its disk while all others lose power.
+fn disk_faults(settings: WorldSettings) -> World {
+    let mut world = started_group(settings);
+    let faults = [
         DiskFault::Full,
         DiskFault::Stalled,
         DiskFault::Slow(400_000),
     ];
-    for (one, two) in troubles
-        .into_iter()
-        .zip([1, 2, 0].map(|other| troubles[other]))
-    {
+    for (one, two) in faults.into_iter().zip([1, 2, 0].map(|other| faults[other])) {
         for positions in [
             [Target::Primary, Target::Other(0)],
             [Target::Other(0), Target::Other(1)],
@@ -159,10 +158,10 @@
     world
 }
 
-/// Of eight, four lose power one after another, each for longer than a silent voter is kept; then
-/// two of the others lose their disks, and all come back.
-fn dark_for_long_and_two_disks_lost(settings: WorldSettings) -> World {
-    let mut world = begun(settings);
+/// Of eight machines four lose power one after another, each for longer than an unresponsive voter
+/// is kept; then two of the others lose their disks, and all restart.
+fn four_power_losses_then_two_disk_losses(settings: WorldSettings) -> World {
+    let mut world = started_group(settings);
     world.let_service_rest(true);
     let primary = world.primary();
     let others: Vec<Host> = world
@@ -183,14 +182,14 @@
 }
 
 #[test]
-fn walks_with_overlapping_losses() {
-    assert_no_violations(0..3, nothing, overlapping);
-    assert_no_violations(100..101, eager, overlapping);
-    assert_no_violations(200..202, three, overlapping);
+fn overlapping_losses_lose_no_order() {
+    assert_no_violations(0..3, unchanged, overlapping);
+    assert_no_violations(100..101, with_eager_operators, overlapping);
+    assert_no_violations(200..202, with_three_voters, overlapping);
 }
 
 #[test]
-fn walks_of_eight_with_two_disks_to_lose() {
+fn two_lost_disks_of_eight_voters_lose_no_order() {
     assert_no_violations(
         300..301,
         |settings| (settings.voters, settings.tolerate) = (8, 2),
@@ -199,74 +198,74 @@
 }
 
 #[test]
-fn final_faults_round_an_order() {
-    assert_no_violations(0..1, eager, final_faults);
-    assert_no_violations(2..3, three, final_faults);
+fn disk_and_power_loss_after_an_order_lose_no_order() {
+    assert_no_violations(0..1, with_eager_operators, disk_and_power_losses);
+    assert_no_violations(2..3, with_three_voters, disk_and_power_losses);
 }
 
 #[test]
-fn halves_with_orders_under_way_and_a_wipe_after_them() {
-    assert_no_violations(0..2, eager, halves_and_a_wipe);
+fn disk_loss_after_an_even_partition_loses_no_order() {
+    assert_no_violations(0..2, with_eager_operators, even_partition_then_disk_loss);
 }
 
 #[test]
-fn a_disk_is_lost_while_another_machine_is_away() {
-    assert_no_violations(0..2, eager, wiped_while_another_is_away);
+fn disk_loss_while_another_machine_is_down_loses_no_order() {
+    assert_no_violations(0..2, with_eager_operators, disk_loss_while_another_is_down);
 }
 
 #[test]
-fn several_bad_disks_round_an_acknowledgement() {
-    assert_no_violations(0..2, eager, bad_disks);
+fn disk_faults_around_an_acknowledgement_lose_no_order() {
+    assert_no_violations(0..2, with_eager_operators, disk_faults);
 }
 
 #[test]
 fn planted_faults_are_found_by_overlapping_losses() {
-    fn hasty(settings: &mut WorldSettings) {
-        eager(settings);
+    fn rejecting_without_contact(settings: &mut WorldSettings) {
+        with_eager_operators(settings);
         settings.glue.refusal_without_contact = true;
     }
-    finds(
+    assert_violation_found(
         0..20,
         |settings| settings.faults.plant(Fault::HalfIsQuorum),
         overlapping,
     );
-    finds(
+    assert_violation_found(
         0..20,
         |settings| settings.faults.plant(Fault::NeverRemoveVoters),
         overlapping,
     );
-    finds(
+    assert_violation_found(
         0..20,
         |settings| settings.glue.describe_without_contact = true,
         overlapping,
     );
-    finds(6..20, hasty, overlapping);
+    assert_violation_found(6..20, rejecting_without_contact, overlapping);
 }
 
 #[test]
-fn planted_faults_are_found_by_final_faults() {
-    fn unsynced(settings: &mut WorldSettings) {
-        eager(settings);
+fn planted_faults_are_found_by_disk_and_power_loss() {
+    fn responding_before_sync(settings: &mut WorldSettings) {
+        with_eager_operators(settings);
         settings.faults.plant(Fault::RespondBeforeSync);
     }
-    fn forgetful(settings: &mut WorldSettings) {
-        eager(settings);
+    fn without_history(settings: &mut WorldSettings) {
+        with_eager_operators(settings);
         settings.glue.history_lost = true;
     }
-    fn by_number(settings: &mut WorldSettings) {
-        eager(settings);
+    fn recognizing_by_version(settings: &mut WorldSettings) {
+        with_eager_operators(settings);
         settings.glue.known_by_number = true;
     }
-    finds(5..20, unsynced, final_faults);
-    finds(0..20, forgetful, final_faults);
-    finds(0..20, by_number, final_faults);
+    assert_violation_found(5..20, responding_before_sync, disk_and_power_losses);
+    assert_violation_found(0..20, without_history, disk_and_power_losses);
+    assert_violation_found(0..20, recognizing_by_version, disk_and_power_losses);
 }
 
 #[test]
-fn two_disks_are_lost_after_four_machines_were_dark_for_long() {
+fn two_lost_disks_after_four_long_power_losses_lose_no_order() {
     assert_no_violations(
         0..4,
         |settings| (settings.voters, settings.tolerate) = (8, 2),
-        dark_for_long_and_two_disks_lost,
+        four_power_losses_then_two_disk_losses,
     );
 }
--- a/simulator/tests/point_1.rs
+++ b/simulator/tests/partitions_cause_no_stale_state.rs
@@ -1,11 +1,11 @@
-//! Point 1: cut off for twenty seconds, nobody is handed an old configuration, and no order is
-//! refused or confirmed by mistake.
+//! A partitioned or frozen primary returns no old configuration, and neither rejects nor
+//! acknowledges an order by state that may be old. Point 1 of `docs/operate/control.md`.
 
 mod common;
 
 use common::{
-    acknowledged_between, assert_no_violations, assert_no_violations_with, begun, cut, finds,
-    nothing, SECOND,
+    acknowledged_between, assert_no_violations, assert_no_violations_with, assert_violation_found,
+    cut, started_group, unchanged, SECOND,
 };
 use lichenswitch_replication::Fault;
 use lichenswitch_simulator::callers::Pace;
@@ -13,10 +13,10 @@
 use lichenswitch_simulator::network::Host;
 use lichenswitch_simulator::world::{Action, CutKind, Target, World, WorldSettings};
 
-/// The primary is cut off; a third of operators and readers go there first; routers start during
-/// the cut with its address first.
+/// The primary is partitioned for 20 s. A third of the operators and readers call it first; routers
+/// start during the partition with its address first.
 fn primary_cut(settings: WorldSettings, kind: CutKind, holds: bool) -> World {
-    let mut world = begun(settings);
+    let mut world = started_group(settings);
     let primary = world.primary().map_or(Target::Primary, Target::This);
     world.act_after(0, Action::Lure(primary, 3));
     world.act_after(0, cut(vec![primary], kind, 20 * SECOND, holds));
@@ -27,18 +27,18 @@
     world
 }
 
-/// Two that go to the primary first, and two that don't.
-fn four_operators(settings: &mut WorldSettings) {
+/// Two that call the primary first, and two that don't.
+fn with_four_operators(settings: &mut WorldSettings) {
     settings.operators = 4;
 }
 
-/// While the primary was cut off, the other side went on, though an operator who goes to the
-/// primary first loses a second with each order. The cut began after 6 s, as time begins at 1 s.
-fn goes_on(world: &World) {
+/// The majority acknowledged changes during the partition, though an operator that calls the old
+/// primary first waits a second with each order. The partition began at 6 s, as time begins at 1 s.
+fn assert_served_during_partition(world: &World) {
     let during = acknowledged_between(world, 10, 26);
     assert!(
         during > 10,
-        "only {during} changes were acknowledged during the trouble"
+        "only {during} changes were acknowledged during the partition"
     );
 }
 
@@ -50,21 +50,21 @@
     primary_cut(settings, CutKind::Full, true)
 }
 
-fn unheard(settings: WorldSettings) -> World {
+fn outgoing_cut(settings: WorldSettings) -> World {
     primary_cut(settings, CutKind::Outgoing, true)
 }
 
-fn deaf(settings: WorldSettings) -> World {
+fn incoming_cut(settings: WorldSettings) -> World {
     primary_cut(settings, CutKind::Incoming, false)
 }
 
-fn partial(settings: WorldSettings) -> World {
+fn partial_cut(settings: WorldSettings) -> World {
     primary_cut(settings, CutKind::Partial, false)
 }
 
-/// The primary is frozen; what is sent to it meanwhile is read when it wakes.
+/// The primary is frozen; it reads what was sent to it meanwhile when it resumes.
 fn frozen(settings: WorldSettings) -> World {
-    let mut world = begun(settings);
+    let mut world = started_group(settings);
     let primary = world.primary().map_or(Target::Primary, Target::This);
     world.act_after(0, Action::Lure(primary, 3));
     for round in 0..5 {
@@ -79,35 +79,60 @@
 
 #[test]
 fn partitioned_primary_serves_no_stale_state() {
-    assert_no_violations_with(0..4, four_operators, full_cut, goes_on);
     assert_no_violations_with(
         0..4,
-        four_operators,
+        with_four_operators,
+        full_cut,
+        assert_served_during_partition,
+    );
+    assert_no_violations_with(
+        0..4,
+        with_four_operators,
         full_cut_with_delayed_messages,
-        goes_on,
+        assert_served_during_partition,
     );
 }
 
 #[test]
 fn one_way_partitions_cause_no_stale_reads() {
-    assert_no_violations_with(0..4, four_operators, unheard, goes_on);
-    assert_no_violations_with(0..4, four_operators, deaf, goes_on);
+    assert_no_violations_with(
+        0..4,
+        with_four_operators,
+        outgoing_cut,
+        assert_served_during_partition,
+    );
+    assert_no_violations_with(
+        0..4,
+        with_four_operators,
+        incoming_cut,
+        assert_served_during_partition,
+    );
 }
 
 #[test]
 fn partial_partition_causes_no_stale_reads() {
-    assert_no_violations_with(0..4, four_operators, partial, goes_on);
+    assert_no_violations_with(
+        0..4,
+        with_four_operators,
+        partial_cut,
+        assert_served_during_partition,
+    );
 }
 
 #[test]
 fn frozen_primary_serves_no_stale_state() {
-    assert_no_violations_with(0..4, four_operators, frozen, goes_on);
+    assert_no_violations_with(
+        0..4,
+        with_four_operators,
+        frozen,
+        assert_served_during_partition,
+    );
 }
 
 #[test]
-fn eight_voters_bear_a_cut_of_three() {
+fn eight_voters_serve_through_a_partition_of_three() {
     fn three(settings: WorldSettings) -> World {
-        let mut world = begun(settings);
+        let mut world = started_group(settings);
         let targets = vec![Target::Primary, Target::Other(0), Target::Other(3)];
         world.act_after(0, Action::Lure(Target::Primary, 3));
         world.act_after(1, cut(targets, CutKind::Full, 20 * SECOND, false));
@@ -120,13 +145,13 @@
         0..2,
         |settings| (settings.voters, settings.tolerate, settings.operators) = (8, 2, 4),
         three,
-        goes_on,
+        assert_served_during_partition,
     );
 }
 
 #[test]
 fn describe_without_contact_is_found() {
-    finds(
+    assert_violation_found(
         0..10,
         |settings| settings.glue.describe_without_contact = true,
         full_cut,
@@ -134,8 +159,8 @@
 }
 
 #[test]
-fn refusals_without_contact_are_found() {
-    finds(
+fn rejection_without_contact_is_found() {
+    assert_violation_found(
         0..40,
         |settings| settings.glue.refusal_without_contact = true,
         full_cut,
@@ -143,18 +168,18 @@
 }
 
 #[test]
-fn contact_from_memory_is_found() {
-    finds(
+fn claimed_contact_without_quorum_is_found() {
+    assert_violation_found(
         0..10,
         |settings| settings.glue.always_in_contact = true,
         full_cut,
     );
 }
 
-/// The disk of a voter takes nothing for long: it answers the primary, and falls behind. Routers
-/// start anew, and go there first.
-fn behind(settings: WorldSettings) -> World {
-    let mut world = begun(settings);
+/// The disk of a voter is full for 15 s: the voter responds to the primary, and lags. Routers restart
+/// and connect to it first.
+fn lagging_voter(settings: WorldSettings) -> World {
+    let mut world = started_group(settings);
     let primary = world.primary().expect("a primary serves");
     let other = Target::This(if primary == Host(1) { Host(2) } else { Host(1) });
     world.act_after(0, Action::Disk(other, DiskFault::Full, 15 * SECOND));
@@ -166,31 +191,31 @@
 
 #[test]
 fn lagging_replica_serves_no_stale_state() {
-    assert_no_violations(0..10, nothing, behind);
+    assert_no_violations(0..10, unchanged, lagging_voter);
 }
 
 #[test]
-fn contact_of_a_copy_that_is_behind_is_found() {
-    finds(
+fn contact_of_lagging_replica_is_found() {
+    assert_violation_found(
         0..10,
         |settings| settings.glue.contact_while_behind = true,
-        behind,
+        lagging_voter,
     );
 }
 
 #[test]
-fn a_primary_that_answers_from_memory_is_found() {
+fn response_without_confirmation_round_is_found() {
     fn plant(settings: &mut WorldSettings) {
         settings.faults.plant(Fault::ConfirmFromMemory);
         // It never steps down, and wakes for that for ever.
         settings.judges_wakes = false;
     }
-    finds(0..10, plant, full_cut);
+    assert_violation_found(0..10, plant, full_cut);
 }
 
-/// Many short cuts of the primary, in front of many readers.
+/// Many short partitions of the primary, under many readers.
 fn short_cuts(settings: WorldSettings) -> World {
-    let mut world = begun(settings);
+    let mut world = started_group(settings);
     for _ in 0..12 {
         let primary = world.primary().map_or(Target::Primary, Target::This);
         world.act_after(0, Action::Lure(primary, 2));
@@ -211,7 +236,7 @@
     world
 }
 
-fn watched(settings: &mut WorldSettings) {
+fn with_many_callers(settings: &mut WorldSettings) {
     (settings.readers, settings.operators) = (8, 8);
     settings.pace = Pace {
         least_rest: 300_000,
@@ -222,14 +247,14 @@
 
 #[test]
 fn short_partitions_cause_no_stale_reads() {
-    assert_no_violations_with(0..2, watched, short_cuts, |_| {});
+    assert_no_violations_with(0..2, with_many_callers, short_cuts, |_| {});
 }
 
 #[test]
-fn a_lease_instead_of_a_round_is_found() {
+fn lease_in_place_of_confirmation_round_is_found() {
     fn plant(settings: &mut WorldSettings) {
-        watched(settings);
+        with_many_callers(settings);
         settings.faults.plant(Fault::EarlyLease);
     }
-    finds(0..20, plant, short_cuts);
+    assert_violation_found(0..20, plant, short_cuts);
 }
--- a/simulator/tests/quotas.rs
+++ b/simulator/tests/quotas.rs
@@ -1,9 +1,11 @@
-//! Quotas over whole fleets: no window is overrun under any faults, and the limit is usable.
+//! Quotas over whole fleets: no window is overrun under any faults, and nine tenths of the limit are
+//! admitted.
 
 use lichenswitch_simulator::quotas::{run, Fault, PlantedBug, Settings};
 
 const SEEDS: std::ops::Range<u64> = 0..8;
-/// Demand begins at 10 s; what was saved up by then is used some seconds later (microseconds).
+/// The interval in which admission is steady (microseconds): demand begins at 10 s, and the tokens
+/// that were saved up until then are used within some seconds.
 const STEADY_US: (u64, u64) = (18_000_000, 30_000_000);
 
 fn settings(seed: u64) -> Settings {
@@ -41,7 +43,7 @@
 }
 
 #[test]
-fn nine_tenths_of_the_limit_are_usable_at_one_router_and_at_many() {
+fn nine_tenths_of_the_limit_are_admitted_at_one_router_and_at_many() {
     for (seed, one_router) in [(1, false), (2, false), (3, true), (4, true)] {
         let calm = Settings {
             fault_interval_ms: None,
@@ -69,9 +71,9 @@
     }
 }
 
-/// Shows that the history would find a fault of the program.
+/// The admission history finds bugs of the program.
 #[test]
-fn planted_bugs_are_found() {
+fn planted_quota_bugs_are_found() {
     // Each with the faults that make it show.
     let cases: [(PlantedBug, &[Fault], u64); 3] = [
         (PlantedBug::StartsFull, &[Fault::Restart], 120),
--- a/simulator/tests/point_2.rs
+++ b/simulator/tests/racing_orders_never_conflict.rs
@@ -1,14 +1,14 @@
-//! Point 2: two changes under one number are never both confirmed, and a repeat of one that was
-//! taken is never refused.
+//! Two orders on one version are never both acknowledged, and the repetition of an acknowledged
+//! order is never rejected. Point 2 of `docs/operate/control.md`.
 
 mod common;
 
-use common::{assert_no_violations, begun, cut, finds, SECOND};
+use common::{assert_no_violations, assert_violation_found, cut, started_group, SECOND};
 use lichenswitch_simulator::callers::Pace;
 use lichenswitch_simulator::world::{Action, CutKind, Target, World, WorldSettings};
 
-/// Four operators who act at the same moments, mostly pick the same number, and repeat a lot.
-fn racing(settings: &mut WorldSettings) {
+/// Four operators that act at the same moments, mostly pick the same version, and repeat often.
+fn with_racing_operators(settings: &mut WorldSettings) {
     settings.operators = 4;
     settings.pace = Pace {
         least_rest: 0,
@@ -20,10 +20,10 @@
     };
 }
 
-/// All answers to callers are lost while the primary is cut off; then the group goes through
-/// failovers and losses of disks.
-fn answers_lost(settings: WorldSettings) -> World {
-    let mut world = begun(settings);
+/// All responses to callers are lost while the primary is partitioned; failovers and losses of disks
+/// follow.
+fn lost_responses(settings: WorldSettings) -> World {
+    let mut world = started_group(settings);
     world.act_after(
         0,
         cut(vec![Target::Primary], CutKind::Full, 6 * SECOND, true),
@@ -48,24 +48,24 @@
 }
 
 #[test]
-fn races_and_lost_answers_keep_orders_apart() {
-    assert_no_violations(0..6, racing, answers_lost);
+fn racing_orders_with_lost_responses_never_conflict() {
+    assert_no_violations(0..6, with_racing_operators, lost_responses);
 }
 
 #[test]
-fn orders_known_by_number_are_found() {
+fn order_recognized_by_version_alone_is_found() {
     fn plant(settings: &mut WorldSettings) {
-        racing(settings);
+        with_racing_operators(settings);
         settings.glue.known_by_number = true;
     }
-    finds(0..10, plant, answers_lost);
+    assert_violation_found(0..10, plant, lost_responses);
 }
 
 #[test]
-fn a_history_that_does_not_travel_is_found() {
+fn snapshot_without_order_history_is_found() {
     fn plant(settings: &mut WorldSettings) {
-        racing(settings);
+        with_racing_operators(settings);
         settings.glue.history_lost = true;
     }
-    finds(0..10, plant, answers_lost);
+    assert_violation_found(0..10, plant, lost_responses);
 }
--- a/simulator/tests/point_3.rs
+++ b/simulator/tests/repairs_in_a_row_lose_no_order.rs
@@ -1,9 +1,11 @@
-//! Point 3: a second loss right after a repair is like the first, and one that leaves never has the
-//! only copy.
+//! A second loss right after a repair loses no acknowledged order, and a member that leaves never
+//! has the only copy of one. Point 3 of `docs/operate/control.md`.
 
 mod common;
 
-use common::{assert_no_violations, begun, finds, nothing, CATCH_UP, SECOND};
+use common::{
+    assert_no_violations, assert_violation_found, started_group, unchanged, CATCH_UP, SECOND,
+};
 use lichenswitch_replication::Fault;
 use lichenswitch_simulator::world::{Action, Target, World, WorldSettings};
 
@@ -16,20 +18,20 @@
 }
 
 const REPAIRS: [Repair; 3] = [Repair::Replacement, Repair::Wipe, Repair::Planned];
-/// A successor starts after so long.
-const STARTS_AFTER: u64 = SECOND / 2;
+/// Time until a successor starts, in microseconds.
+const SUCCESSOR_DELAY: u64 = SECOND / 2;
 
 impl Repair {
     fn action(self, target: Target) -> Action {
         match self {
-            Repair::Replacement => Action::Replace(target, STARTS_AFTER),
+            Repair::Replacement => Action::Replace(target, SUCCESSOR_DELAY),
             Repair::Wipe => Action::Wipe(target),
-            Repair::Planned => Action::PlannedReplace(target, STARTS_AFTER),
+            Repair::Planned => Action::PlannedReplace(target, SUCCESSOR_DELAY),
         }
     }
 }
 
-/// Runs until all machines have been up for `catchUpS`, and no longer.
+/// Runs until no fault has begun or ended for `catchUpS`, and no longer.
 fn run_until_caught_up(world: &mut World) {
     world.run_for(3 * SECOND);
     for _ in 0..20 {
@@ -41,10 +43,10 @@
     }
 }
 
-/// One repair after another, each as soon as the one before has had `catchUpS`; then as many
-/// machines as must be borne are dead for long.
+/// One repair after another, each `catchUpS` after the one before; then as many machines as the group
+/// tolerates lose power for 15 s.
 fn repaired(settings: WorldSettings, repairs: &[Repair], targets: &[Target]) -> World {
-    let mut world = begun(settings);
+    let mut world = started_group(settings);
     for repair in repairs {
         targets
             .iter()
@@ -104,32 +106,32 @@
 }
 
 #[test]
-fn four_voters_bear_all_pairs_of_repairs_of_the_primary() {
-    assert_no_violations(0..1, nothing, pairs_of_the_primary);
+fn two_repairs_of_the_primary_lose_no_order() {
+    assert_no_violations(0..1, unchanged, pairs_of_the_primary);
 }
 
 #[test]
-fn four_voters_bear_all_pairs_of_repairs_of_the_oldest() {
-    assert_no_violations(1..2, nothing, pairs_of_the_oldest);
+fn two_repairs_of_the_oldest_lose_no_order() {
+    assert_no_violations(1..2, unchanged, pairs_of_the_oldest);
 }
 
 #[test]
-fn four_voters_bear_three_repairs_in_a_row() {
-    assert_no_violations(0..4, nothing, three_repairs);
-    assert_no_violations(0..2, nothing, five_repairs);
+fn three_and_five_repairs_in_a_row_lose_no_order() {
+    assert_no_violations(0..4, unchanged, three_repairs);
+    assert_no_violations(0..2, unchanged, five_repairs);
 }
 
 #[test]
-fn eight_voters_bear_two_at_once() {
+fn two_repairs_at_once_of_eight_voters_lose_no_order() {
     assert_no_violations(0..2, eight, two_at_once);
 }
 
-/// The smallest form: a machine whose seeds are all gone loses its disk, and comes back at its
-/// address.
-fn wiped_with_dead_seeds(settings: WorldSettings) -> World {
-    let mut world = begun(settings);
+/// The smallest form: a machine whose seeds have all been replaced loses its disk, and restarts at
+/// its address.
+fn disk_loss_with_removed_seeds(settings: WorldSettings) -> World {
+    let mut world = started_group(settings);
     for _ in 0..3 {
-        world.act_after(0, Action::Replace(Target::Oldest, STARTS_AFTER));
+        world.act_after(0, Action::Replace(Target::Oldest, SUCCESSOR_DELAY));
         run_until_caught_up(&mut world);
     }
     let oldest = world.resolve(Target::Oldest).expect("machines run");
@@ -140,26 +142,26 @@
 }
 
 #[test]
-fn a_wiped_disk_joins_though_its_seeds_are_gone() {
-    assert_no_violations(0..2, nothing, wiped_with_dead_seeds);
+fn wiped_machine_rejoins_when_all_its_seeds_are_removed() {
+    assert_no_violations(0..2, unchanged, disk_loss_with_removed_seeds);
 }
 
 #[test]
-fn dead_voters_that_stay_are_found() {
-    finds(
+fn dead_voters_that_are_never_removed_are_found() {
+    assert_violation_found(
         0..6,
         |settings| settings.faults.plant(Fault::NeverRemoveVoters),
         five_repairs,
     );
 }
 
-/// The disk of the primary is lost with the power of all others, again and again. (An empty disk
-/// that votes can't be planted here: it has a new identity, which counts in no quorum.
+/// Four times the primary loses its disk while all others lose power. (An empty disk that votes
+/// can't be planted here: it has a new identity, which counts in no quorum.
 /// `decide/replication/tests` plants it.)
 #[test]
-fn disks_lost_with_the_power_of_all_others() {
+fn disk_loss_with_power_loss_of_all_others_loses_no_order() {
     fn wipes(settings: WorldSettings) -> World {
-        let mut world = begun(settings);
+        let mut world = started_group(settings);
         for _ in 0..4 {
             world.act_after_acknowledgement(Action::WipeAndPowerOff(vec![Target::Primary]));
             world.run_for(6 * SECOND);
@@ -168,13 +170,13 @@
         world.finish();
         world
     }
-    assert_no_violations(0..4, nothing, wipes);
+    assert_no_violations(0..4, unchanged, wipes);
 }
 
 #[test]
-fn a_leaver_that_commits_alone_is_found() {
+fn leaver_that_commits_alone_is_found() {
     fn leaves(settings: WorldSettings) -> World {
-        let mut world = begun(settings);
+        let mut world = started_group(settings);
         for _ in 0..4 {
             world.act_after(
                 0,
@@ -193,7 +195,7 @@
         world.finish();
         world
     }
-    finds(
+    assert_violation_found(
         0..20,
         |settings| settings.faults.plant(Fault::LeaverCommitsAlone),
         leaves,
--- a/simulator/tests/point_4.rs
+++ b/simulator/tests/restarted_members_catch_up.rs
@@ -1,11 +1,11 @@
-//! Point 4: after hundreds of changes a member that starts anew catches up in a bounded time, and
-//! never leads with old state.
+//! After hundreds of changes a member that restarts catches up within a bounded time, and never
+//! becomes primary with old state. Point 4 of `docs/operate/control.md`.
 
 mod common;
 
 use common::{
-    acknowledged_between, assert_no_violations, assert_no_violations_with, begun, cut, finds,
-    SECOND,
+    acknowledged_between, assert_no_violations, assert_no_violations_with, assert_violation_found,
+    cut, started_group, SECOND,
 };
 use lichenswitch_replication::{Fault, MemberRole};
 use lichenswitch_simulator::callers::Pace;
@@ -13,8 +13,8 @@
 use lichenswitch_simulator::network::Host;
 use lichenswitch_simulator::world::{Action, CutKind, Target, World, WorldSettings};
 
-/// Operators who bring ten changes a second and more.
-fn busy(settings: &mut WorldSettings) {
+/// Operators that send ten changes a second and more.
+fn with_busy_operators(settings: &mut WorldSettings) {
     settings.operators = 4;
     settings.pace = Pace {
         least_rest: 30_000,
@@ -23,9 +23,9 @@
     };
 }
 
-/// Half a minute of changes around kills, a full disk and a stalled one.
+/// Half a minute of changes with kills, losses of power, full disks and a stalled one.
 fn storm(settings: WorldSettings) -> World {
-    let mut world = begun(settings);
+    let mut world = started_group(settings);
     world.act_after(0, Action::Kill(Target::Primary));
     world.act_after(
         4 * SECOND,
@@ -47,15 +47,18 @@
     world
 }
 
-/// There were hundreds of changes, though much of the time somebody was being killed.
-fn stormed(world: &World) {
-    let taken = acknowledged_between(world, 6, 40);
-    assert!(taken > 200, "only {taken} changes in the storm");
+/// More than 200 changes were acknowledged in spite of the faults.
+fn assert_hundreds_of_changes(world: &World) {
+    let acknowledged = acknowledged_between(world, 6, 40);
+    assert!(
+        acknowledged > 200,
+        "only {acknowledged} changes were acknowledged"
+    );
 }
 
-/// A member that is away for long comes back, and all others end at once.
-fn away(settings: WorldSettings) -> World {
-    let mut world = begun(settings);
+/// The primary has no power for 20 s and restarts; then all lose power at once, three times.
+fn long_power_loss(settings: WorldSettings) -> World {
+    let mut world = started_group(settings);
     world.act_after(0, Action::PowerLossFor(Target::Primary, 20 * SECOND));
     world.run_for(21 * SECOND);
     for _ in 0..3 {
@@ -68,9 +71,9 @@
     world
 }
 
-/// All lose power right after an acknowledgement, again and again.
-fn power_lost(settings: WorldSettings) -> World {
-    let mut world = begun(settings);
+/// All lose power right after an acknowledgement, twelve times.
+fn repeated_power_losses(settings: WorldSettings) -> World {
+    let mut world = started_group(settings);
     for _ in 0..12 {
         world.act_after_acknowledgement(Action::PowerOffAll);
         world.run_for(3 * SECOND);
@@ -79,10 +82,10 @@
     world
 }
 
-/// Whoever is elected is cut off before its first record is committed, others lead on, and then all
-/// lose power: what is newest by number is not what counts.
-fn unheard_primaries(settings: WorldSettings) -> World {
-    let mut world = begun(settings);
+/// Each machine that is elected is partitioned before its first record is committed, others become
+/// primary, and then all lose power: the record with the highest number is not the newest one.
+fn isolated_primaries(settings: WorldSettings) -> World {
+    let mut world = started_group(settings);
     for _ in 0..6 {
         world.act_after(0, Action::PowerOffAll);
         for _ in 0..2 {
@@ -122,35 +125,35 @@
 }
 
 #[test]
-fn a_storm_of_changes_around_kills_and_bad_disks() {
-    assert_no_violations_with(0..4, busy, storm, stormed);
+fn changes_survive_kills_and_disk_faults() {
+    assert_no_violations_with(0..4, with_busy_operators, storm, assert_hundreds_of_changes);
 }
 
 #[test]
-fn a_member_that_was_away_catches_up() {
-    assert_no_violations(0..4, busy, away);
+fn member_without_power_for_long_catches_up() {
+    assert_no_violations(0..4, with_busy_operators, long_power_loss);
 }
 
 #[test]
-fn primaries_that_are_not_heard_leave_nothing_behind() {
-    assert_no_violations(0..3, busy, unheard_primaries);
+fn isolated_primaries_leave_no_uncommitted_state() {
+    assert_no_violations(0..3, with_busy_operators, isolated_primaries);
 }
 
 #[test]
-fn answers_before_the_sync_are_found() {
+fn response_before_sync_is_found() {
     fn plant(settings: &mut WorldSettings) {
-        busy(settings);
+        with_busy_operators(settings);
         settings.faults.plant(Fault::RespondBeforeSync);
     }
-    assert_no_violations(0..2, busy, power_lost);
-    finds(0..20, plant, power_lost);
+    assert_no_violations(0..2, with_busy_operators, repeated_power_losses);
+    assert_violation_found(0..20, plant, repeated_power_losses);
 }
 
 #[test]
-fn half_as_a_quorum_is_found() {
-    /// Two and two cannot reach each other.
+fn half_as_quorum_is_found() {
+    /// Two machines and two others can't reach each other.
     fn halves(settings: WorldSettings) -> World {
-        let mut world = begun(settings);
+        let mut world = started_group(settings);
         world.act_after(
             0,
             cut(
@@ -165,9 +168,9 @@
         world
     }
     fn plant(settings: &mut WorldSettings) {
-        busy(settings);
+        with_busy_operators(settings);
         settings.faults.plant(Fault::HalfIsQuorum);
     }
-    assert_no_violations(0..3, busy, halves);
-    finds(0..20, plant, halves);
+    assert_no_violations(0..3, with_busy_operators, halves);
+    assert_violation_found(0..20, plant, halves);
 }
--- a/simulator/tests/walks.rs
+++ b/simulator/tests/walks.rs
@@ -4,7 +4,8 @@
 use lichenswitch_simulator::walk::{walk, Walk};
 use lichenswitch_simulator::world::WorldSettings;
 
-fn walk_all(seeds: std::ops::Range<u64>, voters: u32, tolerate: u32) {
+/// Walks with each of these seeds; none may violate a rule.
+fn assert_no_violations_in_walks(seeds: std::ops::Range<u64>, voters: u32, tolerate: u32) {
     for seed in seeds {
         let world = WorldSettings {
             voters,
@@ -12,31 +13,31 @@
             ..WorldSettings::new(seed)
         };
         let end = walk(&Walk { world, episodes: 8 });
-        let again = format!(
+        let command = format!(
             "walk --seeds {seed}..{} --voters {voters} --tolerate {tolerate}",
             seed + 1
         );
-        assert_eq!(end.violation, None, "again: {again}");
+        assert_eq!(end.violation, None, "reproduce with: {command}");
     }
 }
 
 #[test]
-fn four_voters_walk() {
-    walk_all(0..12, 4, 1);
+fn random_walks_of_four_voters_violate_no_rule() {
+    assert_no_violations_in_walks(0..12, 4, 1);
 }
 
 #[test]
-fn five_voters_walk() {
-    walk_all(100..106, 5, 1);
+fn random_walks_of_five_voters_violate_no_rule() {
+    assert_no_violations_in_walks(100..106, 5, 1);
 }
 
 #[test]
-fn eight_voters_walk() {
-    walk_all(200..203, 8, 2);
+fn random_walks_of_eight_voters_violate_no_rule() {
+    assert_no_violations_in_walks(200..203, 8, 2);
 }
 
 #[test]
-fn the_same_seed_gives_the_same_run() {
+fn same_seed_produces_the_same_run() {
     let run = || {
         let world = WorldSettings {
             trace: true,
