--- a/src/broker.rs
+++ b/src/broker.rs
@@ -497,8 +497,8 @@
 
 fn limits(config: config::Connections) -> Limits {
     Limits {
-        streams: config.max_streams,
-        connect: config.connect_timeout,
-        idle: config.idle_timeout,
+        max_streams: config.max_streams,
+        connect_timeout: config.connect_timeout,
+        idle_timeout: config.idle_timeout,
     }
 }
--- a/src/service.rs
+++ b/src/service.rs
@@ -61,7 +61,7 @@
             self.sessions
                 .on_ready(net, id, &mut self.front, &mut self.core);
         } else if owner == W::OWNER {
-            self.pool.ready(net, id);
+            self.pool.on_ready(net, id);
         }
     }
 
@@ -81,9 +81,9 @@
                 }
             }
             Timer::Conn(id) => {
-                self.pool.timer(net, id);
+                self.pool.on_timer(net, id);
             }
-            Timer::Answer(id) => self.pool.stalled(net, id),
+            Timer::Answer(id) => self.pool.on_response_timeout(net, id),
             Timer::Clients(owner) if owner == self.owner => {
                 self.sessions.sweep(net, owner, &self.front, &mut self.core);
             }
@@ -99,7 +99,7 @@
         for attempt in self.core.take_recalls() {
             self.recall(net, attempt);
         }
-        self.pool.tend(net);
+        self.pool.serve_parked(net);
         self.collect(net.clock.now());
         let now = net.clock.now();
         if self.core.next_turn().is_none_or(|at| at > now) {
--- a/src/upstream/frames.rs
+++ b/src/upstream/frames.rs
@@ -1,4 +1,4 @@
-//! The platform's wire to data nodes: frames of a length, a letter and the rest.
+//! The platform's wire to data nodes: frames of a length, a letter and the payload.
 
 use super::{Answer, AnswerError, Wire};
 use crate::core::{Dispatch, Value};
@@ -8,7 +8,7 @@
 use crate::net::Owner;
 use std::net::SocketAddr;
 
-/// What a data node has to be told of a query.
+/// What a data node has to know of a query.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Job {
     /// The query's id.
@@ -19,21 +19,21 @@
     pub key: Option<String>,
 }
 
-/// The wire.
+/// The platform's wire.
 pub struct Frames;
 
 /// Longest line before a value.
-const LINE: usize = 1024;
+const MAX_LINE_BYTES: usize = 1024;
 /// Longest frame that is read: no client's answer holds a longer value.
-const LONGEST: usize = http::MAX_BODY_BYTES + LINE;
+const MAX_FRAME_BYTES: usize = http::MAX_BODY_BYTES + MAX_LINE_BYTES;
 
-fn frame(frame_type: u8, rest: &[u8], out: &mut Vec<u8>) {
-    out.extend_from_slice(&(rest.len() as u32 + 1).to_be_bytes());
-    out.push(frame_type);
-    out.extend_from_slice(rest);
+fn write_frame(frame_type: u8, payload: &[u8], output: &mut Vec<u8>) {
+    output.extend_from_slice(&(payload.len() as u32 + 1).to_be_bytes());
+    output.push(frame_type);
+    output.extend_from_slice(payload);
 }
 
-fn joined(shards: &[Shard]) -> String {
+fn join_shards(shards: &[Shard]) -> String {
     shards
         .iter()
         .map(|s| s.0.to_string())
@@ -41,10 +41,10 @@
         .join("+")
 }
 
-/// A frame that is whole.
+/// A complete frame.
 struct Frame<'a> {
     frame_type: u8,
-    rest: &'a [u8],
+    payload: &'a [u8],
     /// Bytes that it takes with its length.
     length: usize,
 }
@@ -52,45 +52,45 @@
 /// Letters of frames that data nodes send: answers, to probes too, and complaints.
 const NODE_FRAME_TYPES: &[u8] = b"YGTN";
 
-/// The next frame, if it is whole.
-fn next(bytes: &[u8]) -> Result<Option<Frame<'_>>, AnswerError> {
+/// The next frame, if it is complete.
+fn next_frame(bytes: &[u8]) -> Result<Option<Frame<'_>>, AnswerError> {
     let Some(&[a, b, c, d]) = bytes.first_chunk() else {
         return Ok(None);
     };
     let length = u32::from_be_bytes([a, b, c, d]) as usize;
     // Guards memory and the loop: a frame without its letter, or one that never ends.
-    if length == 0 || length > LONGEST {
+    if length == 0 || length > MAX_FRAME_BYTES {
         return Err(AnswerError::FrameLength(length));
     }
-    let (content, whole) = match bytes.get(4..4 + length) {
+    let (content, is_complete) = match bytes.get(4..4 + length) {
         Some(content) => (content, true),
         None => (&bytes[4..], false),
     };
-    let Some((&frame_type, rest)) = content.split_first() else {
+    let Some((&frame_type, payload)) = content.split_first() else {
         return Ok(None);
     };
-    // What can be told from its beginning is not waited for: the rest may never come.
+    // What can be told from its beginning is not waited for: the payload may never come.
     if !NODE_FRAME_TYPES.contains(&frame_type) {
         return Err(AnswerError::UnknownFrameType(frame_type));
     }
-    let line = rest.iter().take(LINE).any(|&b| b == b'\n');
-    if frame_type == b'Y' && !line && (whole || rest.len() >= LINE) {
+    let has_line = payload.iter().take(MAX_LINE_BYTES).any(|&b| b == b'\n');
+    if frame_type == b'Y' && !has_line && (is_complete || payload.len() >= MAX_LINE_BYTES) {
         return Err(AnswerError::MissingLine);
     }
-    Ok(whole.then_some(Frame {
+    Ok(is_complete.then_some(Frame {
         frame_type,
-        rest,
+        payload,
         length: 4 + length,
     }))
 }
 
-fn answer(rest: &[u8]) -> Result<Answer<String>, AnswerError> {
-    let at = rest
+fn parse_answer(payload: &[u8]) -> Result<Answer<String>, AnswerError> {
+    let at = payload
         .iter()
         .position(|&b| b == b'\n')
         .ok_or(AnswerError::MissingLine)?;
     // The load report, the fourth word, is not read: whatever stands there, the answer is good.
-    let mut words = rest[..at]
+    let mut words = payload[..at]
         .splitn(4, |&b| b == b' ')
         .map(|w| std::str::from_utf8(w).unwrap_or_default());
     let part = words
@@ -109,7 +109,7 @@
             part: Some(part),
             outcome,
             value: None,
-            last: false,
+            is_last: false,
         });
     }
     let score = words
@@ -118,7 +118,7 @@
         .filter(|s: &f64| s.is_finite());
     let (score, bytes) = (
         score.ok_or(AnswerError::MissingScore)?,
-        rest[at + 1..].to_vec(),
+        payload[at + 1..].to_vec(),
     );
     // Guards clients: a value that is no text can't be passed on unchanged.
     std::str::from_utf8(&bytes).map_err(|_| AnswerError::NotText)?;
@@ -130,7 +130,7 @@
             bytes,
             offer: None,
         }),
-        last: false,
+        is_last: false,
     })
 }
 
@@ -138,18 +138,23 @@
     type Job = Job;
     type Name = String;
     const OWNER: Owner = Owner::Frames;
-    const MAX_INPUT_BYTES: usize = 2 * LONGEST;
+    const MAX_INPUT_BYTES: usize = 2 * MAX_FRAME_BYTES;
     const RESPONSE_TIMEOUT: Micros = 1_000_000;
 
     /// A probe: its answer tells nothing of the node's health, but that the connection is served.
     fn greeting(&self) -> Option<Vec<u8>> {
-        let mut out = Vec::new();
-        frame(b'G', b"", &mut out);
-        Some(out)
+        let mut output = Vec::new();
+        write_frame(b'G', b"", &mut output);
+        Some(output)
     }
 
-    fn call(&self, parts: &[Dispatch<Job>], _: SocketAddr, out: &mut Vec<u8>) -> Vec<String> {
-        let (mut rest, mut names) = (Vec::new(), Vec::new());
+    fn encode_call(
+        &self,
+        parts: &[Dispatch<Job>],
+        _: SocketAddr,
+        output: &mut Vec<u8>,
+    ) -> Vec<String> {
+        let (mut payload, mut names) = (Vec::new(), Vec::new());
         for part in parts {
             let job = &part.job;
             let mut list = format!("d={}", (part.wait / 1_000).max(1));
@@ -161,27 +166,27 @@
                 name += ".get";
                 list += &format!(
                     ",from={},whole={}",
-                    joined(&first.shards),
+                    join_shards(&first.shards),
                     u8::from(first.whole)
                 );
             }
-            rest.extend_from_slice(
+            payload.extend_from_slice(
                 format!("{name} {} {list} {}\n", part.shard.0, job.text.len()).as_bytes(),
             );
-            rest.extend_from_slice(job.text.as_bytes());
+            payload.extend_from_slice(job.text.as_bytes());
             names.push(name);
         }
-        frame(b'R', &rest, out);
+        write_frame(b'R', &payload, output);
         names
     }
 
-    fn give_up(&self, part: &String) -> Option<Vec<u8>> {
-        let mut out = Vec::new();
-        frame(b'A', part.as_bytes(), &mut out);
-        Some(out)
+    fn encode_cancel(&self, part: &String) -> Option<Vec<u8>> {
+        let mut output = Vec::new();
+        write_frame(b'A', part.as_bytes(), &mut output);
+        Some(output)
     }
 
-    fn answer(
+    fn read_answer(
         &self,
         input: &mut Buffer,
         _: bool,
@@ -190,18 +195,18 @@
         loop {
             let Some(Frame {
                 frame_type,
-                rest,
+                payload,
                 length,
-            }) = next(input.bytes())?
+            }) = next_frame(input.bytes())?
             else {
                 return Ok(None);
             };
             let found = match frame_type {
-                b'Y' => Some(answer(rest)?),
+                b'Y' => Some(parse_answer(payload)?),
                 // The answer to the greeting.
                 b'G' | b'T' => None,
                 _ => {
-                    let complaint = String::from_utf8_lossy(rest).into_owned();
+                    let complaint = String::from_utf8_lossy(payload).into_owned();
                     return Err(AnswerError::Complaint(complaint));
                 }
             };
--- a/src/upstream/frames/tests.rs
+++ b/src/upstream/frames/tests.rs
@@ -25,17 +25,17 @@
 }
 
 fn written(parts: &[Dispatch<Job>]) -> String {
-    let mut out = Vec::new();
-    Frames.call(parts, SocketAddr::from(([127, 0, 0, 1], 1)), &mut out);
-    let length = u32::from_be_bytes([out[0], out[1], out[2], out[3]]) as usize;
-    assert_eq!(length, out.len() - 4);
-    String::from_utf8(out.split_off(4)).unwrap()
+    let mut output = Vec::new();
+    Frames.encode_call(parts, SocketAddr::from(([127, 0, 0, 1], 1)), &mut output);
+    let length = u32::from_be_bytes([output[0], output[1], output[2], output[3]]) as usize;
+    assert_eq!(length, output.len() - 4);
+    String::from_utf8(output.split_off(4)).unwrap()
 }
 
 fn answers() -> [Vec<u8>; 2] {
     let (mut ok, mut no) = (Vec::new(), Vec::new());
-    frame(b'Y', b"9b1f.3 OK 1840277719 -\n5be2a07c", &mut ok);
-    frame(b'Y', b"9b1f.4 REJECTED - -\n", &mut no);
+    write_frame(b'Y', b"9b1f.3 OK 1840277719 -\n5be2a07c", &mut ok);
+    write_frame(b'Y', b"9b1f.4 REJECTED - -\n", &mut no);
     [ok, no]
 }
 
@@ -53,7 +53,7 @@
     let second = written(&[dispatch(5, None, Some(first))]);
     assert_eq!(second, "R9b1f.5.get 5 d=239,from=3+5+9,whole=0 8\nc41e77d0");
     assert_eq!(
-        Frames.give_up(&"9b1f.3".to_string()).unwrap(),
+        Frames.encode_cancel(&"9b1f.3".to_string()).unwrap(),
         b"\x00\x00\x00\x07A9b1f.3"
     );
 }
@@ -65,7 +65,7 @@
     random_cuts(&[&answers[0], &answers[1]], |bytes| {
         let mut input = Buffer::default();
         input.push(bytes);
-        let found = Frames.answer(&mut input, false, None).unwrap()?;
+        let found = Frames.read_answer(&mut input, false, None).unwrap()?;
         seen.push((found.outcome, found.value));
         Some(bytes.len() - input.bytes().len())
     });
@@ -93,9 +93,9 @@
     garbage(&messages, |bytes| {
         let mut input = Buffer::default();
         input.push(bytes);
-        let _ = Frames.answer(&mut input, false, None);
+        let _ = Frames.read_answer(&mut input, false, None);
     });
-    let long = [&b"\0\0\xff\0Y"[..], &[b'x'; LINE]].concat();
+    let long = [&b"\0\0\xff\0Y"[..], &[b'x'; MAX_LINE_BYTES]].concat();
     for bad in [
         &b"\0\0\0\0"[..],
         b"\xff\0\0\0Y",
@@ -116,14 +116,14 @@
 fn read(bytes: &[u8]) -> Result<Option<Answer<String>>, AnswerError> {
     let mut input = Buffer::default();
     input.push(bytes);
-    Frames.answer(&mut input, false, None)
+    Frames.read_answer(&mut input, false, None)
 }
 
 #[test]
 fn an_unreadable_load_report_does_not_spoil_the_answer() {
     for report in [&b"-"[..], b"{ 1, \xff \0 }", b""] {
         let mut bytes = Vec::new();
-        frame(b'Y', &[b"q.3 OK 1 ", report, b"\nv"].concat(), &mut bytes);
+        write_frame(b'Y', &[b"q.3 OK 1 ", report, b"\nv"].concat(), &mut bytes);
         let value = Some(Value {
             score: 1.0,
             bytes: b"v".to_vec(),
--- a/src/upstream/link.rs
+++ b/src/upstream/link.rs
@@ -10,7 +10,7 @@
 /// Settled parts that are remembered for a connection.
 const MAX_REMEMBERED_PARTS: usize = 256;
 
-/// An attempt that is out on a connection.
+/// An attempt that is in flight on a connection.
 pub(super) struct InFlightPart<N> {
     pub(super) part: N,
     pub(super) attempt: u64,
@@ -34,6 +34,7 @@
     Done,
 }
 
+/// A connection to a data node.
 pub(super) struct Link<W: Wire> {
     pub(super) server: ServerId,
     pub(super) address: SocketAddr,
@@ -47,47 +48,45 @@
     pub(super) recently_completed: VecDeque<W::Name>,
     /// When an answer began that is not whole yet.
     pub(super) response_started_at: Option<Time>,
-    /// Nothing has come on it for long though a part was out: it may be dead, and gets nothing new
+    /// Nothing has come on it for long though a part was in flight: it may be dead, and gets nothing new
     /// until it speaks.
-    pub(super) mute: bool,
+    pub(super) is_mute: bool,
     /// While it was mute another connection to the node has spoken, first at this time.
     pub(super) other_active_since: Option<Time>,
 }
 
 impl<W: Wire> Link<W> {
-    pub(super) fn idle(&self) -> bool {
+    /// Whether it carries nothing, and nothing waits for it.
+    pub(super) fn is_idle(&self) -> bool {
         self.calls.is_empty() && self.waiting.is_empty()
     }
 
-    /// How long nothing has come on it while a part or its greeting was out.
-    pub(super) fn silent_for(&self, heard: Time, now: Time) -> Micros {
-        let greets = (self.greeting == Greeting::Sent).then_some(heard);
+    /// How long nothing has come on it while a part or its greeting was in flight.
+    pub(super) fn time_without_response(&self, last_read_at: Time, now: Time) -> Micros {
+        let greets = (self.greeting == Greeting::Sent).then_some(last_read_at);
         let since = self
             .calls
             .first()
-            .map(|oldest| oldest.sent.max(heard))
+            .map(|oldest| oldest.sent.max(last_read_at))
             .or(greets);
         since.map_or(0, |since| now.since(since))
     }
 
-    /// Takes a part out of the books, as `None` the oldest, and tells its attempt and when it was
-    /// sent.
+    /// Removes a part, `None` being the oldest, and returns its attempt and when it was sent.
     pub(super) fn complete_part(&mut self, part: Option<&W::Name>) -> Option<(u64, Time)> {
         let is_it = |p: &InFlightPart<W::Name>| part.is_none_or(|part| *part == p.part);
         let at = self.calls.iter().position(|c| c.parts.iter().any(is_it))?;
         let call = &mut self.calls[at];
-        let (out, sent) = (
-            call.parts.remove(call.parts.iter().position(is_it)?),
-            call.sent,
-        );
+        let completed = call.parts.remove(call.parts.iter().position(is_it)?);
+        let sent = call.sent;
         if call.parts.is_empty() {
             self.calls.remove(at);
         }
-        self.remember(out.part);
-        Some((out.attempt, sent))
+        self.remember(completed.part);
+        Some((completed.attempt, sent))
     }
 
-    /// Takes a part out that has not left yet; `false`: it has, or is not here.
+    /// Removes a part that has not left yet; `false`: it has, or is not here.
     pub(super) fn remove_unsent(&mut self, attempt: u64) -> bool {
         let holds = |call: &Vec<Dispatch<W::Job>>| call.iter().any(|p| p.attempt == attempt);
         let Some(at) = self.waiting.iter().position(holds) else {
@@ -100,6 +99,7 @@
         true
     }
 
+    /// Remembers a part that is over, so that a late answer to it is recognised.
     pub(super) fn remember(&mut self, part: W::Name) {
         if self.recently_completed.len() >= MAX_REMEMBERED_PARTS {
             self.recently_completed.pop_front();
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -3,81 +3,34 @@
 //! A [`Pool`] carries calls on connections, as many on each as allowed; a [`Wire`] writes calls and
 //! reads answers.
 
+mod closing;
 mod error;
 pub mod frames;
 mod link;
 pub mod ogc;
 mod receiving;
 mod sending;
+mod wire;
 mod withdrawing;
 
 use crate::core::{Dispatch, Value};
 use crate::interface::{Micros, Outcome, ServerId, Time};
-use crate::net::buffer::Buffer;
-use crate::net::{ConnId, Net, Owner, Timer};
+use crate::net::{Conn, ConnId, Net};
 use crate::stats::DecayingMean;
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
 
 pub use error::AnswerError;
-use link::Link;
+pub use wire::{Answer, Wire};
 
-/// One answer read from a connection.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Answer<N> {
-    /// The part that it is for; `None`: the oldest that is out on the connection.
-    pub part: Option<N>,
-    /// How the attempt ended.
-    pub outcome: Outcome,
-    /// What was answered.
-    pub value: Option<Value>,
-    /// Whether the connection can't be used again.
-    pub last: bool,
-}
-
-/// How calls and answers look on a connection.
-pub trait Wire {
-    /// What a query's front says of it.
-    type Job;
-    /// What a part is called on a connection.
-    type Name: Clone + PartialEq;
-    /// Whose connections these are.
-    const OWNER: Owner;
-    /// Most bytes held of answers that are not whole.
-    const MAX_INPUT_BYTES: usize;
-    /// An answer that has begun is whole after this long, or never.
-    const RESPONSE_TIMEOUT: Micros;
-    /// What a new connection to a node that may stand still begins with, where the node answers
-    /// that; no call is written before it has.
-    fn greeting(&self) -> Option<Vec<u8>>;
-    /// Writes a call and tells the names of its parts.
-    fn call(
-        &self,
-        parts: &[Dispatch<Self::Job>],
-        host: SocketAddr,
-        out: &mut Vec<u8>,
-    ) -> Vec<Self::Name>;
-    /// What tells the node that a part is given up; `None`: only the end of the connection does.
-    fn give_up(&self, part: &Self::Name) -> Option<Vec<u8>>;
-    /// Reads the next answer, if it is complete; `oldest` is the part that has been in flight for
-    /// longest.
-    ///
-    /// # Errors
-    /// Bytes that make no answer: the connection is to be closed.
-    fn answer(
-        &self,
-        input: &mut Buffer,
-        ended: bool,
-        oldest: Option<&Self::Name>,
-    ) -> Result<Option<Answer<Self::Name>>, AnswerError>;
-}
+use link::Link;
 
 /// A call that no descriptor was to be had for.
-struct Parked<J> {
+struct ParkedCall<J> {
     server: ServerId,
     address: SocketAddr,
     parts: Vec<Dispatch<J>>,
-    since: Time,
+    parked_at: Time,
 }
 
 /// Why there is no connection for a call.
@@ -90,7 +43,7 @@
 
 /// How an attempt ended that was given to a pool.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ended {
+pub struct EndedAttempt {
     /// The attempt.
     pub attempt: u64,
     /// Its outcome.
@@ -103,14 +56,14 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Calls that a connection carries at once.
-    pub streams: usize,
+    pub max_streams: usize,
     /// A connection that is not up after this long never comes up.
-    pub connect: Micros,
+    pub connect_timeout: Micros,
     /// A node closes a connection that was idle for so long.
-    pub idle: Micros,
+    pub idle_timeout: Micros,
 }
 
-/// A connection on which nothing comes for this many usual answer times though a part is out,
+/// A connection on which nothing comes for this many usual answer times though a part is in flight,
 /// within these bounds, is taken for mute; each one that is mute already doubles that for the
 /// others to the same node.
 const MUTE_FACTOR: f64 = 8.0;
@@ -118,8 +71,8 @@
 const MUTE_MAX: Micros = 1_000_000;
 /// How fast the usual answer time is learnt.
 const RESPONSE_TIME_PACE: f64 = 0.02;
-/// A call that finds no descriptor waits for one for so long: well under half of any aim, after
-/// which the module would take its silence for the node's. Its parts are then told as never sent,
+/// A call that finds no descriptor waits for one for so long: well under half of any latency
+/// target, after which the module would take the delay for the node's. Its parts are then told as never sent,
 /// and the module may choose anew.
 const MAX_DESCRIPTOR_WAIT: Micros = 50_000;
 /// After a connection was left or broke under a part, new ones to that node are greeted for so
@@ -134,18 +87,18 @@
     limits: Limits,
     links: HashMap<ConnId, Link<W>>,
     by_server: HashMap<ServerId, Vec<ConnId>>,
-    /// The connection that each attempt is out on.
+    /// The connection that each attempt is in flight on.
     attempts: HashMap<u64, ConnId>,
     /// Nodes whose new connections are greeted, and until when.
     greeted_until: HashMap<ServerId, Time>,
     /// Calls that wait for a descriptor, oldest first.
-    parked: VecDeque<Parked<W::Job>>,
+    parked: VecDeque<ParkedCall<W::Job>>,
     /// Calls that had to wait since that was last logged, and when it was.
-    shortages: u64,
+    unlogged_shortages: u64,
     shortage_logged_at: Option<Time>,
     /// Usual time from a call to an answer.
     usual_response_time: DecayingMean,
-    ended: Vec<Ended>,
+    ended: Vec<EndedAttempt>,
     /// Parts whose call was written whole since that was last told, by class.
     written: HashMap<usize, u64>,
     log: Vec<String>,
@@ -155,25 +108,20 @@
     /// A pool without connections.
     #[must_use]
     pub fn new(wire: W, limits: Limits) -> Self {
-        let (links, by_server, attempts) = (HashMap::new(), HashMap::new(), HashMap::new());
-        let (usual_response_time, ended, log) = (DecayingMean::default(), Vec::new(), Vec::new());
-        let (greeted_until, parked, shortages, shortage_logged_at) =
-            (HashMap::new(), VecDeque::new(), 0, None);
-        let written = HashMap::new();
         Pool {
             wire,
             limits,
-            links,
-            by_server,
-            attempts,
-            greeted_until,
-            parked,
-            shortages,
-            shortage_logged_at,
-            usual_response_time,
-            ended,
-            written,
-            log,
+            links: HashMap::new(),
+            by_server: HashMap::new(),
+            attempts: HashMap::new(),
+            greeted_until: HashMap::new(),
+            parked: VecDeque::new(),
+            unlogged_shortages: 0,
+            shortage_logged_at: None,
+            usual_response_time: DecayingMean::default(),
+            ended: Vec::new(),
+            written: HashMap::new(),
+            log: Vec::new(),
         }
     }
 
@@ -191,19 +139,14 @@
     pub fn drop_unsent(&mut self, server: ServerId) {
         let mut unsent = Vec::new();
         for id in self.by_server.get(&server).into_iter().flatten() {
-            unsent.extend(
-                self.links
-                    .get_mut(id)
-                    .into_iter()
-                    .flat_map(|l| l.waiting.drain(..))
-                    .flatten(),
-            );
+            if let Some(link) = self.links.get_mut(id) {
+                unsent.extend(link.waiting.drain(..).flatten());
+            }
         }
-        let (here, others) = std::mem::take(&mut self.parked)
-            .into_iter()
-            .partition(|c| c.server == server);
-        self.parked = others;
-        let here: VecDeque<Parked<W::Job>> = here;
+        let parked = std::mem::take(&mut self.parked).into_iter();
+        let (here, elsewhere): (VecDeque<_>, VecDeque<_>) =
+            parked.partition(|call| call.server == server);
+        self.parked = elsewhere;
         unsent.extend(here.into_iter().flat_map(|call| call.parts));
         unsent
             .iter()
@@ -211,15 +154,18 @@
         self.end_parts(&unsent, Outcome::NeverSent);
     }
 
-    /// Forgets what is known of a node that is gone, and closes the connections to it that carry
-    /// nothing.
-    pub fn forget_node(&mut self, net: &mut Net, server: ServerId) {
-        self.greeted_until.remove(&server);
-        self.close_idle(net, server);
+    /// Records how an attempt ended that was given to a connection.
+    fn end_attempt(&mut self, attempt: u64, outcome: Outcome, value: Option<Value>) {
+        self.attempts.remove(&attempt);
+        self.ended.push(EndedAttempt {
+            attempt,
+            outcome,
+            value,
+        });
     }
 
     /// Ends of attempts and log lines since the last time.
-    pub fn take_ended(&mut self) -> (Vec<Ended>, Vec<String>) {
+    pub fn take_ended(&mut self) -> (Vec<EndedAttempt>, Vec<String>) {
         (
             std::mem::take(&mut self.ended),
             std::mem::take(&mut self.log),
@@ -233,7 +179,7 @@
 
     /// Counts the calls whose last byte has been written.
     fn count_written(&mut self, net: &Net, id: ConnId) {
-        let written = net.get(id).map_or(0, crate::net::Conn::written);
+        let written = net.get(id).map_or(0, Conn::written);
         let Some(link) = self.links.get_mut(&id) else {
             return;
         };
@@ -251,85 +197,6 @@
             }
         }
     }
-
-    /// Idle connections are closed after this long: before the node does it, so that no call
-    /// crosses its end.
-    fn idle(&self) -> Micros {
-        self.limits.idle / 5 * 4
-    }
-
-    /// Closes the connections to a server that carry nothing.
-    pub fn close_idle(&mut self, net: &mut Net, server: ServerId) {
-        let known = self.by_server.get(&server).cloned().unwrap_or_default();
-        for id in known {
-            if self.links.get(&id).is_some_and(Link::idle) {
-                self.drop_link(net, id);
-            }
-        }
-    }
-
-    /// A connection's timer: it should be up by now, or may have been idle for too long.
-    pub fn timer(&mut self, net: &mut Net, id: ConnId) {
-        let (Some(conn), Some(link)) = (net.get(id), self.links.get(&id)) else {
-            return;
-        };
-        let (now, idle) = (net.clock.now(), self.idle());
-        if !conn.up || link.idle() && now.since(conn.last_active_at) >= idle {
-            return self.broken(net, id);
-        }
-        let next = conn.last_active_at.plus(idle).max(now.plus(idle / 10));
-        net.wheel.set(next, Timer::Conn(id));
-    }
-
-    /// Ends a connection. A call whose last byte was written may have run: it was reset; others
-    /// never left.
-    fn broken(&mut self, net: &mut Net, id: ConnId) {
-        let written = net.get(id).map_or(0, crate::net::Conn::written);
-        let Some(link) = self.links.get_mut(&id) else {
-            return net.close(id);
-        };
-        let (server, carried) = (link.server, !link.idle() || link.mute);
-        for attempt in link.waiting.drain(..).flatten().map(|p| p.attempt) {
-            self.attempts.remove(&attempt);
-            self.ended.push(Ended {
-                attempt,
-                outcome: Outcome::ConnectFailed,
-                value: None,
-            });
-        }
-        for call in link.calls.drain(..) {
-            let outcome = if call.end <= written {
-                Outcome::Reset
-            } else {
-                Outcome::ConnectFailed
-            };
-            for part in call.parts {
-                self.attempts.remove(&part.attempt);
-                self.ended.push(Ended {
-                    attempt: part.attempt,
-                    outcome,
-                    value: None,
-                });
-            }
-        }
-        if carried {
-            self.greet_until(server, net.clock.now().plus(GREETING_PERIOD));
-        }
-        self.drop_link(net, id);
-    }
-
-    /// Takes a connection out of the books: the one place where it is given back.
-    fn drop_link(&mut self, net: &mut Net, id: ConnId) {
-        if let Some(link) = self.links.remove(&id) {
-            if let Some(known) = self.by_server.get_mut(&link.server) {
-                known.retain(|&other| other != id);
-                if known.is_empty() {
-                    self.by_server.remove(&link.server);
-                }
-            }
-        }
-        net.close(id);
-    }
 }
 
 #[cfg(test)]
--- a/src/upstream/ogc.rs
+++ b/src/upstream/ogc.rs
@@ -64,7 +64,7 @@
     }
 }
 
-/// The wire.
+/// The wire to data nodes that speak OGC API Features.
 #[derive(Default)]
 pub struct Features {
     /// Data nodes that refused to sort: they are asked for all.
@@ -72,12 +72,12 @@
 }
 
 /// Features that a data node which can't sort is asked for; one that has more can't be sorted here.
-const ALL: usize = 10_000;
+const MAX_UNSORTED_FEATURES: usize = 10_000;
 /// Data nodes that are remembered at most.
-const UNSORTED: usize = 1_000;
+const MAX_UNSORTED_NODES: usize = 1_000;
 
 /// Longest answer for a part.
-const LONGEST: usize = 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 1024 * 1024;
 
 /// A feature collection whose features are not looked into.
 #[derive(Deserialize)]
@@ -107,7 +107,7 @@
 }
 
 /// What a feature is sorted by.
-fn key(feature: &RawValue, property: &str) -> Key {
+fn sort_key(feature: &RawValue, property: &str) -> Key {
     let read: Option<Sortable> = serde_json::from_str(feature.get()).ok();
     match read
         .and_then(|f| f.properties)
@@ -122,7 +122,7 @@
 }
 
 #[derive(Serialize)]
-struct Written<'a> {
+struct SortedCollection<'a> {
     r#type: &'static str,
     features: Vec<&'a RawValue>,
 }
@@ -130,31 +130,40 @@
 /// The value of a part of a sorted answer, with the keys of its features; `None`: it is not what
 /// was asked for.
 fn sorted(body: Vec<u8>, sort: &Sort, most: usize, all: bool) -> Option<Value> {
-    let list = List::read(&body).filter(|list| !list.cut_short(if all { ALL } else { most }))?;
-    if !all {
-        let keys: Vec<Key> = list
-            .features
-            .iter()
-            .map(|f| key(f, &sort.property))
-            .collect();
-        // A list that stops short of what was asked for, and tells of no more, is all there is.
-        let known = (keys.len() < most).then_some(keys.len() as u64);
-        let matched = list.matched.or(known);
-        return Some(Value {
-            score: 0.0,
-            bytes: body,
-            offer: Some(Offer { keys, matched }),
-        });
+    let expected = if all { MAX_UNSORTED_FEATURES } else { most };
+    let list = List::read(&body).filter(|list| !list.is_truncated(expected))?;
+    if all {
+        return sort_here(&list, sort);
     }
-    let more =
-        list.links.iter().any(|l| l.rel == "next") || list.matched.is_some_and(|n| n > ALL as u64);
-    if more || list.features.len() > ALL {
+    let keys: Vec<Key> = list
+        .features
+        .iter()
+        .map(|f| sort_key(f, &sort.property))
+        .collect();
+    // A list that stops short of what was asked for, and tells of no more, is all there is.
+    let known = (keys.len() < most).then_some(keys.len() as u64);
+    let matched = list.matched.or(known);
+    Some(Value {
+        score: 0.0,
+        bytes: body,
+        offer: Some(Offer { keys, matched }),
+    })
+}
+
+/// The value of a part whose data node can't sort, from all the features that it has; `None`: there
+/// are more.
+fn sort_here(list: &List<'_>, sort: &Sort) -> Option<Value> {
+    let has_more = list.has_next_link()
+        || list
+            .matched
+            .is_some_and(|count| count > MAX_UNSORTED_FEATURES as u64);
+    if has_more || list.features.len() > MAX_UNSORTED_FEATURES {
         return None;
     }
     let mut found: Vec<(Key, &RawValue)> = list
         .features
         .iter()
-        .map(|f| (key(f, &sort.property), *f))
+        .map(|f| (sort_key(f, &sort.property), *f))
         .collect();
     found.sort_by(|a, b| {
         a.0.compare(&b.0, sort.way)
@@ -164,7 +173,7 @@
     found.truncate(sort.most);
     let matched = Some(found.len() as u64);
     let (keys, features) = found.into_iter().unzip();
-    let bytes = serde_json::to_vec(&Written {
+    let bytes = serde_json::to_vec(&SortedCollection {
         r#type: "FeatureCollection",
         features,
     })
@@ -197,27 +206,31 @@
 
     /// Whether it stops short of what was asked for though there is more: then it is not the part's
     /// answer.
-    fn cut_short(&self, most: usize) -> bool {
+    fn is_truncated(&self, most: usize) -> bool {
         let count = self.features.len();
-        let more = self.links.iter().any(|l| l.rel == "next")
-            || self.matched.is_some_and(|n| n > count as u64);
-        count < most && more
+        let has_more = self.has_next_link() || self.matched.is_some_and(|n| n > count as u64);
+        count < most && has_more
+    }
+
+    fn has_next_link(&self) -> bool {
+        self.links.iter().any(|link| link.rel == "next")
     }
 }
 
 /// Whether a body is what was asked for.
-fn fits(body: &[u8], expected: &ExpectedBody) -> bool {
+fn is_expected(body: &[u8], expected: &ExpectedBody) -> bool {
     match *expected {
         ExpectedBody::Item => {
             serde_json::from_slice(body).is_ok_and(|f: Feature<'_>| f.kind == "Feature")
         }
         ExpectedBody::Items(most) | ExpectedBody::Sorted { most, .. } => {
-            List::read(body).is_some_and(|list| !list.cut_short(most))
+            List::read(body).is_some_and(|list| !list.is_truncated(most))
         }
     }
 }
 
-fn judge(response: Response, expected: &ExpectedBody) -> (Outcome, Option<Value>) {
+/// What a response means for the attempt, and its value where it has one.
+fn outcome_of(response: Response, expected: &ExpectedBody) -> (Outcome, Option<Value>) {
     let value = |bytes| {
         Some(Value {
             score: 0.0,
@@ -233,12 +246,14 @@
                 Some(value) => (Outcome::Ok, Some(value)),
                 None => (Outcome::Error, None),
             },
-            expected if fits(&response.body, expected) => (Outcome::Ok, value(response.body)),
+            expected if is_expected(&response.body, expected) => {
+                (Outcome::Ok, value(response.body))
+            }
             _ => (Outcome::Error, None),
         },
         // This slice does not have the feature: that is an answer.
         404 if *expected == ExpectedBody::Item => (Outcome::Ok, value(Vec::new())),
-        // The node turned it away; what is read may be asked elsewhere in any case.
+        // The node rejected it; what is read may be asked elsewhere in any case.
         429 | 503 => (Outcome::Rejected, None),
         _ => (Outcome::Error, None),
     }
@@ -247,7 +262,7 @@
 impl Features {
     /// What a part asks a data node for: of a sorted answer the best alone at first, then as many
     /// as can matter.
-    fn asked(&self, part: &Dispatch<Job>, host: SocketAddr) -> ExpectedBody {
+    fn expected_body(&self, part: &Dispatch<Job>, host: SocketAddr) -> ExpectedBody {
         let ExpectedBody::Sorted { sort, .. } = &part.job.expected else {
             return part.job.expected.clone();
         };
@@ -268,7 +283,7 @@
 
     /// A data node that refuses the order as such is asked for all from then on. The part goes
     /// elsewhere, or there again, as any that ended with an error.
-    fn remember(&self, status: u16, expected: &ExpectedBody) {
+    fn remember_unsorted(&self, status: u16, expected: &ExpectedBody) {
         if let (
             400 | 501,
             ExpectedBody::Sorted {
@@ -280,7 +295,7 @@
         {
             let mut unsorted = self.unsorted.borrow_mut();
             // Guards memory; what is forgotten is learnt again by one refusal.
-            if unsorted.len() >= UNSORTED {
+            if unsorted.len() >= MAX_UNSORTED_NODES {
                 unsorted.clear();
             }
             unsorted.insert(*node);
@@ -292,7 +307,7 @@
     type Job = Job;
     type Name = ExpectedBody;
     const OWNER: Owner = Owner::Features;
-    const MAX_INPUT_BYTES: usize = LONGEST + http::MAX_HEAD_BYTES;
+    const MAX_INPUT_BYTES: usize = MAX_RESPONSE_BYTES + http::MAX_HEAD_BYTES;
     const RESPONSE_TIMEOUT: Micros = 30_000_000;
 
     /// Each request costs the node as much as another: there is no cheaper one to begin with.
@@ -300,11 +315,11 @@
         None
     }
 
-    fn call(
+    fn encode_call(
         &self,
         parts: &[Dispatch<Job>],
         host: SocketAddr,
-        out: &mut Vec<u8>,
+        output: &mut Vec<u8>,
     ) -> Vec<ExpectedBody> {
         let mut write = |part: &Dispatch<Job>| {
             let target = part
@@ -312,9 +327,9 @@
                 .targets
                 .get(&part.shard.0)
                 .map_or("/", String::as_str);
-            let expected = self.asked(part, host);
+            let expected = self.expected_body(part, host);
             let order = match &expected {
-                ExpectedBody::Sorted { all: true, .. } => format!("&limit={ALL}"),
+                ExpectedBody::Sorted { all: true, .. } => format!("&limit={MAX_UNSORTED_FEATURES}"),
                 ExpectedBody::Sorted { sort, most, .. } => {
                     let sign = if sort.way == Way::Down { "-" } else { "" };
                     let mut query = form_urlencoded::Serializer::new(String::new());
@@ -326,17 +341,17 @@
             let head = format!(
                 "GET {target}{order} HTTP/1.1\r\nhost: {host}\r\naccept: application/geo+json\r\n\r\n"
             );
-            out.extend_from_slice(head.as_bytes());
+            output.extend_from_slice(head.as_bytes());
             expected
         };
         parts.iter().map(&mut write).collect()
     }
 
-    fn give_up(&self, _: &ExpectedBody) -> Option<Vec<u8>> {
+    fn encode_cancel(&self, _: &ExpectedBody) -> Option<Vec<u8>> {
         None
     }
 
-    fn answer(
+    fn read_answer(
         &self,
         input: &mut Buffer,
         ended: bool,
@@ -344,19 +359,19 @@
     ) -> Result<Option<Answer<ExpectedBody>>, AnswerError> {
         while !input.is_empty() {
             let expected = oldest.ok_or(AnswerError::Unrequested)?;
-            match http::response(input.bytes(), ended, LONGEST) {
+            match http::response(input.bytes(), ended, MAX_RESPONSE_BYTES) {
                 Ok(Parsed::Complete(response, used)) => {
                     input.consume(used);
                     // An interim answer is followed by the real one.
                     if response.status >= 200 {
-                        let last = !response.keep_alive;
-                        self.remember(response.status, expected);
-                        let (outcome, value) = judge(response, expected);
+                        let is_last = !response.keep_alive;
+                        self.remember_unsorted(response.status, expected);
+                        let (outcome, value) = outcome_of(response, expected);
                         return Ok(Some(Answer {
                             part: None,
                             outcome,
                             value,
-                            last,
+                            is_last,
                         }));
                     }
                 }
--- a/src/upstream/ogc/tests.rs
+++ b/src/upstream/ogc/tests.rs
@@ -7,7 +7,7 @@
     let mut input = Buffer::default();
     input.push(bytes);
     let found = Features::default()
-        .answer(&mut input, false, Some(&expected))
+        .read_answer(&mut input, false, Some(&expected))
         .ok()??;
     Some((found.outcome, bytes.len() - input.bytes().len()))
 }
@@ -60,7 +60,9 @@
     let mut input = Buffer::default();
     input.push(&list);
     assert!(
-        Features::default().answer(&mut input, false, None).is_err(),
+        Features::default()
+            .read_answer(&mut input, false, None)
+            .is_err(),
         "nobody asked"
     );
 }
@@ -137,17 +139,17 @@
         wait: 1,
         leave_by: None,
     };
-    let mut out = Vec::new();
-    let names = wire.call(std::slice::from_ref(&part), host, &mut out);
-    assert!(out.starts_with(b"GET /c/items?bbox=0&sortby=-battery&limit=1 HTTP/1.1"));
+    let mut output = Vec::new();
+    let names = wire.encode_call(std::slice::from_ref(&part), host, &mut output);
+    assert!(output.starts_with(b"GET /c/items?bbox=0&sortby=-battery&limit=1 HTTP/1.1"));
     let mut input = Buffer::default();
     input.push(&reply(400, "{}"));
     let answer = wire
-        .answer(&mut input, false, names.first())
+        .read_answer(&mut input, false, names.first())
         .unwrap()
         .unwrap();
     assert_eq!(answer.outcome, Outcome::Error);
-    out.clear();
-    wire.call(&[part], host, &mut out);
-    assert!(out.starts_with(b"GET /c/items?bbox=0&limit=10000 HTTP/1.1"));
+    output.clear();
+    wire.encode_call(&[part], host, &mut output);
+    assert!(output.starts_with(b"GET /c/items?bbox=0&limit=10000 HTTP/1.1"));
 }
--- a/src/upstream/receiving.rs
+++ b/src/upstream/receiving.rs
@@ -1,39 +1,37 @@
 //! Answers as they come, and connections that stay mute or bring what is none.
 
 use super::link::Greeting;
-use super::{AnswerError, Ended, Pool, Wire, MUTE_FACTOR, MUTE_MAX, MUTE_MIN, RESPONSE_TIME_PACE};
+use super::{AnswerError, Pool, Wire, MUTE_FACTOR, MUTE_MAX, MUTE_MIN, RESPONSE_TIME_PACE};
 use crate::interface::{Micros, Outcome, ServerId};
 use crate::net::{ConnId, Net, Timer, TransferProgress};
 
 impl<W: Wire> Pool<W> {
-    /// Notes which connections to a node are mute. Guards against those that fall silent: what is
+    /// Records which connections to a node are mute. Guards against those that fall silent: what is
     /// written to them is answered by nobody, however well the node is.
     pub(super) fn mark_mute(&mut self, net: &Net, server: ServerId) {
-        let (now, known) = (
-            net.clock.now(),
-            self.by_server.get(&server).map_or(&[][..], Vec::as_slice),
-        );
-        let mute = known
+        let now = net.clock.now();
+        let known = self.by_server.get(&server).map_or(&[][..], Vec::as_slice);
+        let mute_connections = known
             .iter()
-            .filter(|id| self.links.get(id).is_some_and(|l| l.mute))
+            .filter(|id| self.links.get(id).is_some_and(|l| l.is_mute))
             .count();
         let usual_response_time = (self.usual_response_time.or(0.0) * MUTE_FACTOR) as Micros;
-        let most = usual_response_time.clamp(MUTE_MIN, MUTE_MAX) << mute.min(4);
+        let limit = usual_response_time.clamp(MUTE_MIN, MUTE_MAX) << mute_connections.min(4);
         for id in known {
             if let (Some(link), Some(conn)) = (self.links.get_mut(id), net.get(*id)) {
-                link.mute |= link.silent_for(conn.last_read_at, now) >= most;
+                link.is_mute |= link.time_without_response(conn.last_read_at, now) >= limit;
             }
         }
     }
 
     /// Something came on a connection: it is not mute. Others to the same node that stay mute for a
-    /// while after that are dead; closing them gives up what is out there, so that it is tried
+    /// while after that are dead; closing them gives up what is in flight there, so that it is tried
     /// again before it is late.
     pub(super) fn on_activity(&mut self, net: &mut Net, id: ConnId) {
         let (now, Some(link)) = (net.clock.now(), self.links.get_mut(&id)) else {
             return;
         };
-        (link.mute, link.other_active_since, link.greeting) = (false, None, Greeting::Done);
+        (link.is_mute, link.other_active_since, link.greeting) = (false, None, Greeting::Done);
         let server = link.server;
         if self
             .by_server
@@ -44,58 +42,57 @@
         }
         self.mark_mute(net, server);
         for id in self.by_server.get(&server).cloned().unwrap_or_default() {
-            let Some(link) = self.links.get_mut(&id).filter(|l| l.mute) else {
+            let Some(link) = self.links.get_mut(&id).filter(|l| l.is_mute) else {
                 continue;
             };
             if now.since(*link.other_active_since.get_or_insert(now)) < MUTE_MIN {
                 continue;
             }
-            for out in link.calls.drain(..).flat_map(|c| c.parts) {
-                self.attempts.remove(&out.attempt);
-                self.ended.push(Ended {
-                    attempt: out.attempt,
-                    outcome: Outcome::Cancelled,
-                    value: None,
-                });
+            let in_flight: Vec<_> = link.calls.drain(..).flat_map(|call| call.parts).collect();
+            for part in in_flight {
+                self.end_attempt(part.attempt, Outcome::Cancelled, None);
             }
-            self.broken(net, id);
+            self.close_broken(net, id);
         }
     }
 
     /// Reads and writes what a connection is ready for.
-    pub fn ready(&mut self, net: &mut Net, id: ConnId) {
+    pub fn on_ready(&mut self, net: &mut Net, id: ConnId) {
         if !self.links.contains_key(&id) {
             return;
         }
-        let (up, now) = (net.get(id).is_some_and(|c| c.up), net.clock.now());
+        let was_up = net.get(id).is_some_and(|conn| conn.up);
+        let now = net.clock.now();
         let progress = net.transfer(id, W::MAX_INPUT_BYTES);
         self.count_written(net, id);
-        let read = self.read(net, id);
-        let done = net
+        let read = self.read_answers(net, id);
+        let is_over = net
             .get(id)
             .is_none_or(|c| c.ended || c.input.bytes().len() >= W::MAX_INPUT_BYTES);
-        if up && net.get(id).is_some_and(|c| c.last_read_at >= now) {
+        if was_up && net.get(id).is_some_and(|c| c.last_read_at >= now) {
             self.on_activity(net, id);
         }
         match read {
             Err(error) => self.on_invalid_answer(net, id, &error),
-            Ok(last) if last || done || progress != TransferProgress::Alive => self.broken(net, id),
+            Ok(is_last) if is_last || is_over || progress != TransferProgress::Alive => {
+                self.close_broken(net, id);
+            }
             Ok(_) => {
-                self.response_started_at(net, id);
-                self.write(net, id);
+                self.track_response_start(net, id);
+                self.write_waiting(net, id);
             }
         }
     }
 
-    /// Notes whether an answer has begun that is not whole.
-    pub(super) fn response_started_at(&mut self, net: &mut Net, id: ConnId) {
+    /// Records whether an answer has begun that is not complete.
+    pub(super) fn track_response_start(&mut self, net: &mut Net, id: ConnId) {
         let (now, Some(link)) = (net.clock.now(), self.links.get_mut(&id)) else {
             return;
         };
         match net.get(id).is_some_and(|c| !c.input.is_empty()) {
             // Guards the next call: noise behind a good answer would be read as the beginning of
             // its answer.
-            true if link.calls.is_empty() => self.broken(net, id),
+            true if link.calls.is_empty() => self.close_broken(net, id),
             true if link.response_started_at.is_none() => {
                 link.response_started_at = Some(now);
                 net.wheel
@@ -106,9 +103,9 @@
         }
     }
 
-    /// Ends a connection that brought what can't be an answer. It was one to a part that was out,
-    /// which may have run; if only one is out, to that. Behind a good answer, with nothing out, it
-    /// spoils nothing.
+    /// Ends a connection that brought what can't be an answer. It was one to a part in flight,
+    /// which may have run; if only one is, to that. Behind a good answer, with nothing in flight, it
+    /// does no harm.
     pub(super) fn on_invalid_answer(&mut self, net: &mut Net, id: ConnId, error: &AnswerError) {
         let Some(link) = self.links.get_mut(&id) else {
             return;
@@ -119,19 +116,14 @@
         ));
         if link.calls.iter().map(|c| c.parts.len()).sum::<usize>() == 1 {
             if let Some((attempt, _)) = link.complete_part(None) {
-                self.attempts.remove(&attempt);
-                self.ended.push(Ended {
-                    attempt,
-                    outcome: Outcome::Error,
-                    value: None,
-                });
+                self.end_attempt(attempt, Outcome::Error, None);
             }
         }
-        self.broken(net, id);
+        self.close_broken(net, id);
     }
 
-    /// Takes in all whole answers; `true`: the connection can't be used again.
-    pub(super) fn read(&mut self, net: &mut Net, id: ConnId) -> Result<bool, AnswerError> {
+    /// Reads all complete answers; `true`: the connection can't be used again.
+    pub(super) fn read_answers(&mut self, net: &mut Net, id: ConnId) -> Result<bool, AnswerError> {
         let now = net.clock.now();
         loop {
             let Some(conn) = net.get_mut(id) else {
@@ -146,7 +138,7 @@
                 .first()
                 .and_then(|c| c.parts.first())
                 .map(|p| &p.part);
-            let Some(answer) = self.wire.answer(&mut conn.input, ended, oldest)? else {
+            let Some(answer) = self.wire.read_answer(&mut conn.input, ended, oldest)? else {
                 return Ok(false);
             };
             link.response_started_at = None;
@@ -154,12 +146,7 @@
                 (Some((attempt, sent)), _) => {
                     self.usual_response_time
                         .add(now.since(sent) as f64, RESPONSE_TIME_PACE);
-                    self.attempts.remove(&attempt);
-                    self.ended.push(Ended {
-                        attempt,
-                        outcome: answer.outcome,
-                        value: answer.value,
-                    });
+                    self.end_attempt(attempt, answer.outcome, answer.value);
                 }
                 // Guards the part that it was meant for, which would be waited for in vain.
                 (None, Some(part)) if !link.recently_completed.contains(&part) => {
@@ -168,15 +155,15 @@
                 // Late, or a second time: it is dropped.
                 (None, _) => {}
             }
-            if answer.last {
+            if answer.is_last {
                 return Ok(true);
             }
         }
     }
 
-    /// An answer that had begun should be whole. Guards the parts that are out on its connection:
+    /// An answer that had begun should be complete. Guards the parts in flight on its connection:
     /// what claims more than it brings would take their answers in.
-    pub fn stalled(&mut self, net: &mut Net, id: ConnId) {
+    pub fn on_response_timeout(&mut self, net: &mut Net, id: ConnId) {
         let now = net.clock.now();
         let response_started_at = self.links.get(&id).and_then(|l| l.response_started_at);
         if response_started_at.is_some_and(|at| now.since(at) >= W::RESPONSE_TIMEOUT) {
--- a/src/upstream/sending.rs
+++ b/src/upstream/sending.rs
@@ -1,7 +1,9 @@
 //! Calls on their way out: the connection for each, and what waits for one.
 
 use super::link::{Call, Greeting, InFlightPart, Link};
-use super::{Ended, NoConnection, Parked, Pool, Wire, MAX_DESCRIPTOR_WAIT, SHORTAGE_LOG_INTERVAL};
+use super::{
+    EndedAttempt, NoConnection, ParkedCall, Pool, Wire, MAX_DESCRIPTOR_WAIT, SHORTAGE_LOG_INTERVAL,
+};
 use crate::core::Dispatch;
 use crate::decide::descriptors::LINKS;
 use crate::interface::{Outcome, ServerId, Time};
@@ -10,7 +12,7 @@
 use std::net::SocketAddr;
 
 impl<W: Wire> Pool<W> {
-    /// Sends one call.
+    /// Sends one call: on a connection to the node, or once there is a descriptor for one.
     pub fn send(
         &mut self,
         net: &mut Net,
@@ -18,30 +20,32 @@
         address: SocketAddr,
         parts: Vec<Dispatch<W::Job>>,
     ) {
-        let since = net.clock.now();
-        let call = Parked {
+        let now = net.clock.now();
+        let call = ParkedCall {
             server,
             address,
             parts,
-            since,
+            parked_at: now,
         };
         // Those that wait already go first, but only a call that needs a new connection waits
         // behind them.
-        if let Err(call) = self.place(net, call) {
-            self.shortages(net, since);
+        if let Err(call) = self.assign_connection(net, call) {
+            self.record_shortage(net, now);
             net.wheel
-                .set(since.plus(MAX_DESCRIPTOR_WAIT), Timer::Parked(W::OWNER));
+                .set(now.plus(MAX_DESCRIPTOR_WAIT), Timer::Parked(W::OWNER));
             self.parked.push_back(call);
         }
     }
 
-    /// Gives a call to a connection, or ends it if its node takes none; the call again if it needs
-    /// a descriptor and there is none.
-    pub(super) fn place(
+    /// Gives a call to a connection, or ends it if its node takes none.
+    ///
+    /// # Errors
+    /// The call, if it needs a descriptor and there is none.
+    pub(super) fn assign_connection(
         &mut self,
         net: &mut Net,
-        call: Parked<W::Job>,
-    ) -> Result<(), Parked<W::Job>> {
+        call: ParkedCall<W::Job>,
+    ) -> Result<(), ParkedCall<W::Job>> {
         match self.connection_for_call(net, call.server, call.address) {
             Ok(id) => {
                 let Some(link) = self.links.get_mut(&id) else {
@@ -50,7 +54,7 @@
                 self.attempts
                     .extend(call.parts.iter().map(|p| (p.attempt, id)));
                 link.waiting.push_back(call.parts);
-                self.write(net, id);
+                self.write_waiting(net, id);
                 Ok(())
             }
             Err(NoConnection::NodeRefuses) => {
@@ -62,35 +66,35 @@
     }
 
     pub(super) fn end_parts(&mut self, parts: &[Dispatch<W::Job>], outcome: Outcome) {
-        self.ended.extend(parts.iter().map(|p| Ended {
+        self.ended.extend(parts.iter().map(|p| EndedAttempt {
             attempt: p.attempt,
             outcome,
             value: None,
         }));
     }
 
-    /// Notes that a call has to wait for a descriptor. Guards the log, which would have thousands
+    /// Records that a call has to wait for a descriptor. Guards the log, which would have thousands
     /// of such lines.
-    pub(super) fn shortages(&mut self, net: &Net, now: Time) {
-        self.shortages += 1;
+    pub(super) fn record_shortage(&mut self, net: &Net, now: Time) {
+        self.unlogged_shortages += 1;
         if self
             .shortage_logged_at
             .is_none_or(|at| now.since(at) >= SHORTAGE_LOG_INTERVAL)
         {
-            let (count, reason) = (self.shortages, net.node_capacity_reason());
+            let (count, reason) = (self.unlogged_shortages, net.node_capacity_reason());
             self.log.push(format!(
                 "calls that had to wait for a descriptor: {count}; {reason}"
             ));
-            (self.shortages, self.shortage_logged_at) = (0, Some(now));
+            (self.unlogged_shortages, self.shortage_logged_at) = (0, Some(now));
         }
     }
 
-    /// Tends the calls that wait for a descriptor: in their order they get what has become free;
-    /// those that have waited for too long are told as never sent.
-    pub fn tend(&mut self, net: &mut Net) {
+    /// Serves the calls that wait for a descriptor: in their order they get what has become free;
+    /// those that have waited for too long are reported as never sent.
+    pub fn serve_parked(&mut self, net: &mut Net) {
         let now = net.clock.now();
         while let Some(call) = self.parked.pop_front() {
-            if let Err(call) = self.place(net, call) {
+            if let Err(call) = self.assign_connection(net, call) {
                 self.parked.push_front(call);
                 break;
             }
@@ -98,7 +102,7 @@
         while self
             .parked
             .front()
-            .is_some_and(|c| now.since(c.since) >= MAX_DESCRIPTOR_WAIT)
+            .is_some_and(|call| now.since(call.parked_at) >= MAX_DESCRIPTOR_WAIT)
         {
             let Some(call) = self.parked.pop_front() else {
                 return;
@@ -108,17 +112,17 @@
     }
 
     /// Closes so many idle connections, those unused for longest first: second ones to a node
-    /// before only ones, whose loss costs the next call there a handshake. Tells how many were
-    /// closed.
+    /// before only ones, whose loss costs the next call there a handshake. Returns how many
+    /// were closed.
     pub fn yield_idle(&mut self, net: &mut Net, count: usize) -> usize {
-        let idle = self.links.iter().filter(|(_, link)| link.idle());
+        let idle = self.links.iter().filter(|(_, link)| link.is_idle());
         let mut idle: Vec<(bool, Time, ConnId)> = idle
             .filter_map(|(id, link)| {
-                let only = self
+                let is_only = self
                     .by_server
                     .get(&link.server)
                     .is_none_or(|known| known.len() < 2);
-                Some((only, net.get(*id)?.last_active_at, *id))
+                Some((is_only, net.get(*id)?.last_active_at, *id))
             })
             .collect();
         idle.sort_unstable();
@@ -128,7 +132,7 @@
     }
 
     /// Writes the calls that wait for a connection, while it takes them.
-    pub(super) fn write(&mut self, net: &mut Net, id: ConnId) {
+    pub(super) fn write_waiting(&mut self, net: &mut Net, id: ConnId) {
         loop {
             let now = net.clock.now();
             let (Some(link), Some(conn)) = (self.links.get_mut(&id), net.get_mut(id)) else {
@@ -148,7 +152,7 @@
                 };
                 conn.send(&greeting.unwrap_or_default());
                 if net.flush(id, false) != TransferProgress::Alive {
-                    return self.broken(net, id);
+                    return self.close_broken(net, id);
                 }
                 continue;
             }
@@ -163,7 +167,7 @@
             let flushed = net.flush(id, false);
             self.count_written(net, id);
             if flushed != TransferProgress::Alive {
-                return self.broken(net, id);
+                return self.close_broken(net, id);
             }
         }
     }
@@ -172,18 +176,13 @@
     /// repeats: a connection that comes up late, or a node that is slow to answer its greeting, has
     /// held a call back for longer than the window bears.
     fn drop_late(&mut self, now: Time, parts: Vec<Dispatch<W::Job>>) -> Vec<Dispatch<W::Job>> {
-        let waits = self.limits.connect + MAX_DESCRIPTOR_WAIT;
-        let is_late = |p: &Dispatch<W::Job>| p.leave_by.is_some_and(|at| now > at.plus(waits));
-        let (late, rest): (Vec<_>, Vec<_>) = parts.into_iter().partition(is_late);
+        let max_wait = self.limits.connect_timeout + MAX_DESCRIPTOR_WAIT;
+        let is_late = |p: &Dispatch<W::Job>| p.leave_by.is_some_and(|at| now > at.plus(max_wait));
+        let (late, in_time): (Vec<_>, Vec<_>) = parts.into_iter().partition(is_late);
         for part in late {
-            self.attempts.remove(&part.attempt);
-            self.ended.push(Ended {
-                attempt: part.attempt,
-                outcome: Outcome::NeverSent,
-                value: None,
-            });
+            self.end_attempt(part.attempt, Outcome::NeverSent, None);
         }
-        rest
+        in_time
     }
 
     /// Queues a call on a connection.
@@ -192,8 +191,8 @@
             return;
         };
         let mut bytes = Vec::new();
-        let names = self.wire.call(parts, link.address, &mut bytes);
-        let out = names
+        let names = self.wire.encode_call(parts, link.address, &mut bytes);
+        let in_flight = names
             .into_iter()
             .zip(parts)
             .map(|(part, p)| InFlightPart {
@@ -204,12 +203,12 @@
         link.calls.push(Call {
             sent: now,
             end: conn.send(&bytes),
-            parts: out,
+            parts: in_flight,
             unwritten: parts.iter().map(|p| p.class).collect(),
         });
     }
 
-    /// A connection with room for a call: one that is up, one that is being opened, or a new one,
+    /// A connection that can take a call: one that is up, one that is being opened, or a new one,
     /// for which an idle one to another node is closed if need be.
     pub(super) fn connection_for_call(
         &mut self,
@@ -218,24 +217,23 @@
         address: SocketAddr,
     ) -> Result<ConnId, NoConnection> {
         self.mark_mute(net, server);
-        let (streams, known) = (
-            self.limits.streams.max(1),
-            self.by_server.entry(server).or_default(),
-        );
-        let fits = |id: &&ConnId| {
-            let connection_for_call = |l: &Link<W>| {
-                l.calls.len() + l.waiting.len() < streams && l.address == address && !l.mute
+        let max_streams = self.limits.max_streams.max(1);
+        let known = self.by_server.entry(server).or_default();
+        let is_usable = |id: &&ConnId| {
+            let has_capacity = |link: &Link<W>| {
+                let calls = link.calls.len() + link.waiting.len();
+                calls < max_streams && link.address == address && !link.is_mute
             };
             // One that does not take what was written is left to those that wait for it.
-            self.links.get(id).is_some_and(connection_for_call)
+            self.links.get(id).is_some_and(has_capacity)
                 && net
                     .get(**id)
                     .is_some_and(|c| !c.ended && (!c.up || c.flushed()))
         };
-        let up = |id: &&ConnId| net.get(**id).is_some_and(|c| c.up);
+        let is_up = |id: &&ConnId| net.get(**id).is_some_and(|c| c.up);
         // The oldest that is up, so that those opened for a short rush fall idle again.
-        let mut open = known.iter().filter(fits);
-        if let Some(&id) = open.clone().find(up).or_else(|| open.next()) {
+        let mut open = known.iter().filter(is_usable);
+        if let Some(&id) = open.clone().find(is_up).or_else(|| open.next()) {
             return Ok(id);
         }
         let mut connected = match known.len() < LINKS {
@@ -265,7 +263,7 @@
         // One beside others that are mute: the node itself may stand still.
         let is_beside_mute = known
             .iter()
-            .any(|id| self.links.get(id).is_some_and(|l| l.mute));
+            .any(|id| self.links.get(id).is_some_and(|l| l.is_mute));
         let greeting = if is_beside_mute || self.greeted_until.contains_key(&server) {
             Greeting::Due
         } else {
@@ -280,11 +278,11 @@
             greeting,
             recently_completed: VecDeque::new(),
             response_started_at: None,
-            mute: false,
+            is_mute: false,
             other_active_since: None,
         };
         self.links.insert(id, link);
-        let at = net.clock.now().plus(self.limits.connect);
+        let at = net.clock.now().plus(self.limits.connect_timeout);
         net.wheel.set(at, Timer::Conn(id));
     }
 
--- a/src/upstream/tests.rs
+++ b/src/upstream/tests.rs
@@ -8,15 +8,15 @@
 use super::frames::{Frames, Job};
 use super::*;
 use crate::interface::Shard;
-use crate::net::Ready;
+use crate::net::{Ready, Timer};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
 
 const LIMITS: Limits = Limits {
-    streams: 2,
-    connect: 250_000,
-    idle: 30_000_000,
+    max_streams: 2,
+    connect_timeout: 250_000,
+    idle_timeout: 30_000_000,
 };
 const SERVER: ServerId = ServerId(1);
 
@@ -91,7 +91,7 @@
                 .wait(Some(self.net.clock.now().plus(10_000)))
                 .unwrap();
             self.pump();
-            self.pool.tend(&mut self.net);
+            self.pool.serve_parked(&mut self.net);
             let (ended, _) = self.pool.take_ended();
             if !ended.is_empty() {
                 return ended.into_iter().map(|e| (e.attempt, e.outcome)).collect();
@@ -106,14 +106,14 @@
             let until = self.net.clock.now().plus(50_000);
             for ready in self.net.wait(Some(until)).unwrap() {
                 if let Ready::Conn(id, _) = ready {
-                    self.pool.ready(&mut self.net, id);
+                    self.pool.on_ready(&mut self.net, id);
                 }
             }
             let now = self.net.clock.now();
             for timer in self.net.wheel.due(now) {
                 match timer {
-                    Timer::Conn(id) => self.pool.timer(&mut self.net, id),
-                    Timer::Answer(id) => self.pool.stalled(&mut self.net, id),
+                    Timer::Conn(id) => self.pool.on_timer(&mut self.net, id),
+                    Timer::Answer(id) => self.pool.on_response_timeout(&mut self.net, id),
                     _ => {}
                 }
             }
@@ -148,17 +148,17 @@
     fn pump(&mut self) {
         let ids: Vec<ConnId> = self.pool.links.keys().copied().collect();
         ids.into_iter()
-            .for_each(|id| self.pool.ready(&mut self.net, id));
+            .for_each(|id| self.pool.on_ready(&mut self.net, id));
     }
 }
 
-/// Reads one frame, letter and rest.
+/// Reads one frame, letter and payload.
 fn frame(stream: &mut TcpStream) -> String {
     let mut length = [0; 4];
     stream.read_exact(&mut length).unwrap();
-    let mut rest = vec![0; u32::from_be_bytes(length) as usize];
-    stream.read_exact(&mut rest).unwrap();
-    String::from_utf8(rest).unwrap()
+    let mut payload = vec![0; u32::from_be_bytes(length) as usize];
+    stream.read_exact(&mut payload).unwrap();
+    String::from_utf8(payload).unwrap()
 }
 
 /// Whether the broker has closed its end.
--- a/src/upstream/tests/descriptors.rs
+++ b/src/upstream/tests/descriptors.rs
@@ -33,7 +33,7 @@
     let (late, open) = (stage.attempts, streams.len());
     answer(&mut streams[3], "q.4 OK 1 -");
     assert_eq!(stage.tended(), [(4, Outcome::Ok)]);
-    stage.pool.tend(&mut stage.net);
+    stage.pool.serve_parked(&mut stage.net);
     assert!(stage.pool.parked.is_empty() && stage.pool.links.len() == open);
     let mut stream = stage.accept_silently();
     assert!(frame(&mut stream).starts_with(&format!("Rq.{late} ")));
--- a/src/upstream/tests/receiving.rs
+++ b/src/upstream/tests/receiving.rs
@@ -126,7 +126,7 @@
 #[test]
 fn a_connection_that_fell_silent_gets_nothing_new_until_it_speaks() {
     let mut stage = Stage::new(Limits {
-        streams: 32,
+        max_streams: 32,
         ..LIMITS
     });
     let (one, two) = (stage.send("x"), stage.send("x"));
@@ -157,7 +157,7 @@
 #[test]
 fn mute_connection_is_given_up_once_another_to_its_node_is_active() {
     let mut stage = Stage::new(Limits {
-        streams: 32,
+        max_streams: 32,
         ..LIMITS
     });
     let one = stage.send("x");
--- a/src/upstream/tests/sending.rs
+++ b/src/upstream/tests/sending.rs
@@ -38,7 +38,7 @@
 #[test]
 fn a_connection_that_does_not_come_up_in_time_never_ran() {
     let mut stage = Stage::new(Limits {
-        connect: 10_000,
+        connect_timeout: 10_000,
         ..LIMITS
     });
     // A full backlog: connections to it neither come up nor are refused.
@@ -84,7 +84,7 @@
 #[test]
 fn idle_connections_are_closed_when_asked_and_before_the_node_does() {
     let mut stage = Stage::new(Limits {
-        idle: 100_000,
+        idle_timeout: 100_000,
         ..LIMITS
     });
     stage.send("x");
@@ -163,7 +163,7 @@
 fn repeat_delayed_beyond_its_window_is_not_sent() {
     for (late, leaves) in [(true, false), (false, true)] {
         let mut stage = Stage::new(Limits {
-            connect: 100_000,
+            connect_timeout: 100_000,
             ..LIMITS
         });
         let now = stage.net.clock.now();
--- a/src/upstream/tests/withdrawing.rs
+++ b/src/upstream/tests/withdrawing.rs
@@ -56,7 +56,7 @@
 #[test]
 fn recalled_part_is_not_sent_while_others_of_its_call_are() {
     let mut stage = Stage::new(Limits {
-        connect: 60_000_000,
+        connect_timeout: 60_000_000,
         ..LIMITS
     });
     stage.pool.greeted_until.clear();
@@ -111,12 +111,12 @@
         // The node reads all that comes: the frame is never whole.
         let mut length = [0; 4];
         stream.read_exact(&mut length).unwrap();
-        let mut rest = Vec::new();
-        let _ = stream.read_to_end(&mut rest);
+        let mut payload = Vec::new();
+        let _ = stream.read_to_end(&mut payload);
         assert!(
-            rest.len() < u32::from_be_bytes(length) as usize,
+            payload.len() < u32::from_be_bytes(length) as usize,
             "{recalled}: {} bytes",
-            rest.len()
+            payload.len()
         );
         assert!(stage.pool.links.is_empty() && stage.pool.attempts.is_empty());
     }
--- a/src/upstream/withdrawing.rs
+++ b/src/upstream/withdrawing.rs
@@ -2,13 +2,13 @@
 
 use super::link::InFlightPart;
 use super::{Pool, Wire};
-use crate::net::{Net, TransferProgress};
+use crate::net::{Conn, Net, TransferProgress};
 
 impl<W: Wire> Pool<W> {
     /// Gives up an attempt: the node is told, unless its call never left.
     pub fn withdraw(&mut self, net: &mut Net, attempt: u64) {
         let Some(id) = self.attempts.remove(&attempt) else {
-            return self.unpark(attempt);
+            return self.remove_parked(attempt);
         };
         if let Some(server) = self.links.get(&id).map(|l| l.server) {
             self.mark_mute(net, server);
@@ -24,40 +24,41 @@
             return;
         };
         let call = &mut link.calls[at];
-        let Some(i) = call.parts.iter().position(is_it) else {
+        let Some(index) = call.parts.iter().position(is_it) else {
             return;
         };
-        let part = call.parts.remove(i).part;
-        let (empty, partly) = (call.parts.is_empty(), call.end > conn.written());
-        if empty {
+        let part = call.parts.remove(index).part;
+        let is_empty = call.parts.is_empty();
+        let is_partly_written = call.end > conn.written();
+        if is_empty {
             link.calls.remove(at);
         }
         // A call whose last byte has not left has not begun at the node, and with the connection's
         // end it never does.
-        if empty && partly && link.idle() {
+        if is_empty && is_partly_written && link.is_idle() {
             link.remember(part);
-            return self.broken(net, id);
+            return self.close_broken(net, id);
         }
-        let shortage_logged_at = self.wire.give_up(&part);
+        let cancel = self.wire.encode_cancel(&part);
         link.remember(part);
-        let Some(bytes) = shortage_logged_at.filter(|_| !(link.mute && link.idle())) else {
-            return self.broken(net, id);
+        let Some(bytes) = cancel.filter(|_| !(link.is_mute && link.is_idle())) else {
+            return self.close_broken(net, id);
         };
         conn.send(&bytes);
         if net.flush(id, false) != TransferProgress::Alive {
-            self.broken(net, id);
+            self.close_broken(net, id);
         }
     }
 
-    /// Takes back an attempt that has not left; `false`: its call has been written whole, or there
-    /// is none such. What shares its call goes on.
+    /// Takes back an attempt that has not left; `false`: its call has been written completely, or
+    /// there is no such attempt. What shares its call goes on.
     pub fn recall(&mut self, net: &mut Net, attempt: u64) -> bool {
         let Some(&id) = self.attempts.get(&attempt) else {
-            let parked = self.is_parked(attempt);
-            self.unpark(attempt);
-            return parked;
+            let was_parked = self.is_parked(attempt);
+            self.remove_parked(attempt);
+            return was_parked;
         };
-        let written = net.get(id).map_or(0, crate::net::Conn::written);
+        let written = net.get(id).map_or(0, Conn::written);
         let Some(link) = self.links.get_mut(&id) else {
             return false;
         };
@@ -66,20 +67,20 @@
             return true;
         }
         // The node has a part of its bytes: only the connection's end keeps the rest from it, where
-        // nothing else is out.
-        let alone =
+        // nothing else is in flight.
+        let is_only =
             matches!(&link.calls[..], [only] if only.end > written && only.parts.len() == 1);
-        if !alone || !link.waiting.is_empty() {
+        if !is_only || !link.waiting.is_empty() {
             return false;
         }
         link.calls.clear();
         self.attempts.remove(&attempt);
-        self.broken(net, id);
+        self.close_broken(net, id);
         true
     }
 
     /// Takes a part out of those that wait for a descriptor.
-    pub(super) fn unpark(&mut self, attempt: u64) {
+    pub(super) fn remove_parked(&mut self, attempt: u64) {
         self.parked
             .iter_mut()
             .for_each(|call| call.parts.retain(|p| p.attempt != attempt));
