--- a/src/broker.rs
+++ b/src/broker.rs
@@ -205,7 +205,7 @@
         core.plan_by(Planner::new(config.phases.rules), config.phases.explain);
         let known = config.known.unwrap_or_default();
         let generation = (!known.instances.is_empty()).then_some(known.generation);
-        let known = ServerListUpdate::Cached(directory.whole(&known.instances));
+        let known = ServerListUpdate::Cached(directory.replace_list(&known.instances));
         let pool = Pool::new(Frames, limits(config.connections));
         self.unopened = Some((config.name, config.listen));
         self.open_listener()?;
@@ -239,7 +239,9 @@
             started_at_ms: 0,
         };
         let instances: Vec<Instance> = config.inventory.nodes.iter().map(line).collect();
-        core.listed(ServerListUpdate::Complete(directory.whole(&instances)));
+        core.listed(ServerListUpdate::Complete(
+            directory.replace_list(&instances),
+        ));
         let pool = Pool::new(Features::default(), limits(config.connections));
         let front = Ogc::new(config.title, config.collections, config.inventory.slices);
         let address = self.listen(Owner::Ogc, config.listen)?;
@@ -438,7 +440,7 @@
 
     fn discovery_due(&mut self, call: u64) {
         if let (Some(discovery), Some(service)) = (&mut self.discovery, &mut self.platform) {
-            let updates = discovery.timer(&mut self.net, call, &mut service.directory);
+            let updates = discovery.on_timer(&mut self.net, call, &mut service.directory);
             service.leave_gone(&mut self.net);
             self.apply_list_updates(updates);
         }
@@ -446,7 +448,7 @@
 
     fn discovery_ready(&mut self, id: ConnId) {
         if let (Some(discovery), Some(service)) = (&mut self.discovery, &mut self.platform) {
-            let updates = discovery.ready(&mut self.net, id, &mut service.directory);
+            let updates = discovery.on_ready(&mut self.net, id, &mut service.directory);
             service.leave_gone(&mut self.net);
             self.apply_list_updates(updates);
         }
--- a/src/broker/operators.rs
+++ b/src/broker/operators.rs
@@ -111,7 +111,7 @@
             service.core.on_written(class, attempts);
         }
         management.metrics().add(&service.core.take_counters());
-        let ejected = service.directory.overridden_out() + service.core.avoided();
+        let ejected = service.directory.overridden_count() + service.core.avoided();
         management.metrics().set(
             service.core.held_queries(),
             service.directory.len(),
--- a/src/discovery/directory.rs
+++ b/src/discovery/directory.rs
@@ -1,16 +1,16 @@
-//! The data nodes by name, as lists and operators tell of them.
+//! The data nodes by name: what lists say of them, and how operators override that.
 
 use crate::interface::{ListedServer, ServerId, ServerMode, Time};
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::net::SocketAddr;
 
-/// The list as discovery words it.
+/// A list of data nodes as discovery sends it: all of them, or changes.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct List {
     /// Its version.
     pub generation: u64,
-    /// Whether it is the whole list.
+    /// Whether it is complete; otherwise it holds changes.
     #[serde(default)]
     pub reset: bool,
     /// Its lines.
@@ -29,7 +29,7 @@
     /// Name of its zone.
     #[serde(default)]
     pub zone: String,
-    /// Its cell, where the line tells it.
+    /// Its cell, where the line has one.
     #[serde(default)]
     pub cell: Option<u32>,
     /// Its state.
@@ -62,7 +62,9 @@
     nodes: HashMap<ServerId, Node>,
     /// How many cells there are; `None`: it is not known.
     cells: Option<u32>,
-    next: u32,
+    /// The number of the next data node that is added.
+    next_id: u32,
+    /// Nodes that went since they were last taken.
     gone: Vec<ServerId>,
     overrides: OperatorOverrides,
     log: Vec<String>,
@@ -71,7 +73,7 @@
 /// What operators have set, which overrides what the list says.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OperatorOverrides {
-    /// Data nodes that are out, by id: they drain, whatever the list says.
+    /// Data nodes that are out of service, by id: they drain, whatever the list says.
     pub out: BTreeSet<String>,
     /// Data nodes that were taken out just now: they are sent what nobody else takes for a moment
     /// yet.
@@ -85,7 +87,7 @@
     /// A line of the list with the overrides applied. One that was put back counts as started just
     /// then, where the list knows of no start since it was taken out: it was out so that it could
     /// be restarted, and the list may hear of that late or never.
-    fn applied(&self, name: &str, line: ListedServer) -> ListedServer {
+    fn apply_to(&self, name: &str, line: ListedServer) -> ListedServer {
         if line.mode == ServerMode::Ready && self.out.contains(name) {
             return ListedServer {
                 mode: ServerMode::Draining,
@@ -108,7 +110,7 @@
     }
 }
 
-/// What is noted of a data node.
+/// What is known of a data node.
 struct Node {
     name: String,
     address: Option<SocketAddr>,
@@ -165,8 +167,8 @@
         self.nodes.is_empty()
     }
 
-    /// Notes the whole list and gives it to the module in its own terms. What is absent is gone.
-    pub fn whole(&mut self, instances: &[Instance]) -> Vec<ListedServer> {
+    /// Applies a complete list, and returns it in the module's terms. What is absent is gone.
+    pub fn replace_list(&mut self, instances: &[Instance]) -> Vec<ListedServer> {
         let listed: HashSet<&str> = instances.iter().map(|i| i.instance_id.as_str()).collect();
         let absent: Vec<String> = self
             .ids
@@ -174,62 +176,59 @@
             .filter(|id| !listed.contains(id.as_str()))
             .cloned()
             .collect();
-        absent.iter().for_each(|id| self.give_back(id));
-        self.changes(instances)
+        absent.iter().for_each(|id| self.remove(id));
+        self.apply_changes(instances)
     }
 
-    /// Notes changed lines and gives them to the module in its own terms.
-    pub fn changes(&mut self, instances: &[Instance]) -> Vec<ListedServer> {
+    /// Applies changed lines, and returns them in the module's terms.
+    pub fn apply_changes(&mut self, instances: &[Instance]) -> Vec<ListedServer> {
         instances
             .iter()
-            .filter_map(|node| self.change(node))
+            .filter_map(|node| self.apply_change(node))
             .collect()
     }
 
-    fn change(&mut self, node: &Instance) -> Option<ListedServer> {
-        let deleted = node.lifecycle == Lifecycle::Deleted;
+    fn apply_change(&mut self, node: &Instance) -> Option<ListedServer> {
+        let is_deleted = node.lifecycle == Lifecycle::Deleted;
         let known = self.ids.get(&node.instance_id).copied();
         let cell = self.cell_of(node, known)?;
         let server = match known {
             Some(server) => server,
-            None if deleted => return None,
+            None if is_deleted => return None,
             None => self.add(&node.instance_id, cell),
         };
-        if let Some(noted) = self.nodes.get_mut(&server) {
-            noted.cell = cell;
+        if let Some(entry) = self.nodes.get_mut(&server) {
+            entry.cell = cell;
             // A line without a usable address keeps the last one.
-            noted.address = node.host_port.parse().ok().or(noted.address);
+            entry.address = node.host_port.parse().ok().or(entry.address);
         }
-        if deleted {
-            self.give_back(&node.instance_id);
+        if is_deleted {
+            self.remove(&node.instance_id);
         }
         let line = ListedServer {
             server,
             cell,
-            zone: self
-                .zones
-                .iter()
-                .position(|z| *z == node.zone)
-                .map_or(u32::MAX, |z| z as u32),
-            mode: match node.lifecycle {
-                Lifecycle::Serving => ServerMode::Ready,
-                // To be in a state that is not known is no reason to be sent anything.
-                Lifecycle::Draining | Lifecycle::Unknown => ServerMode::Draining,
-                Lifecycle::Deleted => ServerMode::Gone,
-            },
+            zone: self.zone_of(node),
+            mode: mode_of(node.lifecycle),
             started: (node.started_at_ms > 0)
                 .then_some(Time(node.started_at_ms.saturating_mul(1_000))),
         };
-        if let Some(noted) = self.nodes.get_mut(&server) {
-            noted.line = Some(line);
+        if let Some(entry) = self.nodes.get_mut(&server) {
+            entry.line = Some(line);
         }
-        Some(self.overrides.applied(&node.instance_id, line))
+        Some(self.overrides.apply_to(&node.instance_id, line))
+    }
+
+    /// The number of a line's zone; `u32::MAX`: it is not known.
+    fn zone_of(&self, node: &Instance) -> u32 {
+        let position = self.zones.iter().position(|zone| *zone == node.zone);
+        position.map_or(u32::MAX, |index| index as u32)
     }
 
     /// The cell of a line, or the last one of its node where the line has none that there is;
     /// `None`: the line can't be used.
     fn cell_of(&mut self, node: &Instance, known: Option<ServerId>) -> Option<u32> {
-        let deleted = node.lifecycle == Lifecycle::Deleted;
+        let is_deleted = node.lifecycle == Lifecycle::Deleted;
         // Guards data nodes: one whose cell is not known would be sent parts of shards that it does
         // not hold. One that is known keeps its cell, since whether it drains counts.
         let listed = node
@@ -238,28 +237,28 @@
         let last = known
             .and_then(|server| self.nodes.get(&server))
             .map(|n| n.cell);
-        if listed.is_none() && !deleted {
-            let what = node.cell.map_or("no cell".into(), |cell| {
+        if listed.is_none() && !is_deleted {
+            let problem = node.cell.map_or("no cell".into(), |cell| {
                 format!("cell {cell}, which there is not")
             });
-            let then = if last.is_some() {
+            let consequence = if last.is_some() {
                 "it keeps its last one"
             } else {
                 "the line is left aside"
             };
             self.log.push(format!(
-                "discovery: {} has {what}: {then}",
+                "discovery: {} has {problem}: {consequence}",
                 node.instance_id
             ));
         }
-        let unlisted = (deleted && known.is_some()).then_some(0);
+        let unlisted = (is_deleted && known.is_some()).then_some(0);
         listed.or(last).or(unlisted)
     }
 
     /// Gives a new node its number.
     fn add(&mut self, id: &str, cell: u32) -> ServerId {
-        let server = ServerId(self.next);
-        self.next += 1;
+        let server = ServerId(self.next_id);
+        self.next_id += 1;
         self.ids.insert(id.into(), server);
         let node = Node {
             name: id.into(),
@@ -271,14 +270,14 @@
         server
     }
 
-    /// Replaces the overrides, and gives the module the lines that differ by that.
+    /// Replaces the overrides, and returns the lines that differ by that.
     pub fn set_overrides(&mut self, overrides: OperatorOverrides) -> Vec<ListedServer> {
         let before = std::mem::replace(&mut self.overrides, overrides);
-        let noted = self.nodes.values().filter_map(|n| Some((&n.name, n.line?)));
-        let lines = noted.map(|(name, line)| {
+        let lines = self.nodes.values().filter_map(|n| Some((&n.name, n.line?)));
+        let lines = lines.map(|(name, line)| {
             (
-                before.applied(name, line),
-                self.overrides.applied(name, line),
+                before.apply_to(name, line),
+                self.overrides.apply_to(name, line),
             )
         });
         lines
@@ -295,18 +294,18 @@
 
     /// How many listed data nodes an override takes out.
     #[must_use]
-    pub fn overridden_out(&self) -> usize {
-        let out = |n: &&Node| {
+    pub fn overridden_count(&self) -> usize {
+        let is_overridden = |node: &&Node| {
             [&self.overrides.out, &self.overrides.leaving]
                 .iter()
-                .any(|set| set.contains(&n.name))
+                .any(|set| set.contains(&node.name))
         };
-        self.nodes.values().filter(out).count()
+        self.nodes.values().filter(is_overridden).count()
     }
 
-    /// Gives back what is known of a node that is gone. Guards memory: on a long day most nodes are
+    /// Forgets a node that is gone. Guards memory: on a long day most nodes are
     /// replaced often, each time under a new name.
-    fn give_back(&mut self, id: &str) {
+    fn remove(&mut self, id: &str) {
         if let Some(server) = self.ids.remove(id) {
             self.nodes.remove(&server);
             self.gone.push(server);
@@ -319,5 +318,15 @@
     }
 }
 
+/// The module's mode of a data node in this state.
+fn mode_of(lifecycle: Lifecycle) -> ServerMode {
+    match lifecycle {
+        Lifecycle::Serving => ServerMode::Ready,
+        // To be in a state that is not known is no reason to be sent anything.
+        Lifecycle::Draining | Lifecycle::Unknown => ServerMode::Draining,
+        Lifecycle::Deleted => ServerMode::Gone,
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/src/discovery/directory/tests.rs
+++ b/src/discovery/directory/tests.rs
@@ -10,7 +10,7 @@
 fn a_list_is_put_in_the_modules_terms_and_ids_stay() {
     let list: List = serde_json::from_str(LIST).unwrap();
     let mut directory = Directory::new(vec!["a".into(), "b".into()]);
-    let first = directory.changes(&list.instances);
+    let first = directory.apply_changes(&list.instances);
     assert_eq!(
         (first[0].cell, first[0].zone, first[0].mode),
         (3, 1, ServerMode::Ready)
@@ -25,13 +25,13 @@
         host_port: String::new(),
         ..list.instances[0].clone()
     };
-    let second = directory.changes(std::slice::from_ref(&gone));
+    let second = directory.apply_changes(std::slice::from_ref(&gone));
     assert_eq!(
         (second[0].server, second[0].mode),
         (first[0].server, ServerMode::Gone)
     );
     assert!(
-        directory.changes(&[gone]).is_empty(),
+        directory.apply_changes(&[gone]).is_empty(),
         "one that was never listed is no news"
     );
 }
@@ -43,7 +43,7 @@
         .unwrap()
         .replace('\n', "\r\n\t ");
     let [plain, indented] = [LIST, &pretty].map(|text| {
-        Directory::default().changes(&serde_json::from_str::<List>(text).unwrap().instances)
+        Directory::default().apply_changes(&serde_json::from_str::<List>(text).unwrap().instances)
     });
     assert!(pretty.lines().count() > 10 && plain.len() == 1);
     assert_eq!(plain, indented);
@@ -62,12 +62,12 @@
         ..node(i)
     };
     for i in 0..100 {
-        assert_eq!(directory.whole(&[node(i)])[0].server, ServerId(i));
+        assert_eq!(directory.replace_list(&[node(i)])[0].server, ServerId(i));
     }
-    directory.changes(&[gone(99)]);
+    directory.apply_changes(&[gone(99)]);
     assert_eq!((directory.ids.len(), directory.nodes.len()), (0, 0));
     assert_eq!(directory.take_gone().len(), 100);
-    assert_eq!(directory.changes(&[node(7)])[0].server, ServerId(100));
+    assert_eq!(directory.apply_changes(&[node(7)])[0].server, ServerId(100));
 }
 
 #[test]
@@ -84,7 +84,7 @@
         line("new", None, Lifecycle::Serving),
         line("far", Some(8), Lifecycle::Serving),
     ];
-    assert!(directory.whole(&bad).is_empty() && directory.is_empty());
+    assert!(directory.replace_list(&bad).is_empty() && directory.is_empty());
     let log = directory.take_log();
     assert!(
         log[0].contains("new has no cell: the line is left aside"),
@@ -94,15 +94,15 @@
         log[1].contains("far has cell 8, which there is not"),
         "{log:?}"
     );
-    directory.changes(&[line("old", Some(3), Lifecycle::Serving)]);
-    let told = directory.changes(&[line("old", None, Lifecycle::Draining)]);
+    directory.apply_changes(&[line("old", Some(3), Lifecycle::Serving)]);
+    let lines = directory.apply_changes(&[line("old", None, Lifecycle::Draining)]);
     assert_eq!(
-        (told[0].cell, told[0].mode),
+        (lines[0].cell, lines[0].mode),
         (3, ServerMode::Draining),
         "that it drains counts"
     );
     assert!(directory.take_log()[0].contains("it keeps its last one"));
-    let gone = directory.changes(&[line("old", None, Lifecycle::Deleted)]);
+    let gone = directory.apply_changes(&[line("old", None, Lifecycle::Deleted)]);
     assert!(
         gone[0].mode == ServerMode::Gone && directory.is_empty() && directory.take_log().is_empty()
     );
@@ -120,7 +120,7 @@
         started_at_ms,
     };
     let back = BTreeMap::from([("s".to_string(), (Time(5_000_000), Time(9_000_000)))]);
-    directory.whole(&[node(0)]);
+    directory.replace_list(&[node(0)]);
     let out = OperatorOverrides {
         out: BTreeSet::from(["s".to_string()]),
         ..OperatorOverrides::default()
@@ -141,7 +141,7 @@
             .collect::<Vec<_>>(),
         [(ServerMode::Ready, Some(Time(9_000_000)))]
     );
-    let mut started = |ms| directory.changes(&[node(ms)])[0].started;
+    let mut started = |ms| directory.apply_changes(&[node(ms)])[0].started;
     assert_eq!(
         [started(4_999), started(7_000), started(11_000)],
         [9_000, 7_000, 11_000].map(|ms| Some(Time(ms * 1_000)))
--- a/src/discovery/tests.rs
+++ b/src/discovery/tests.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 use crate::interface::{ListedServer, ServerMode};
+use crate::net::Owner;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 
@@ -19,7 +20,7 @@
         let until = net.clock.now().plus(100_000);
         for ready in net.wait(Some(until)).unwrap() {
             if let crate::net::Ready::Conn(id, _) = ready {
-                let updates = client.ready(net, id, directory);
+                let updates = client.on_ready(net, id, directory);
                 if !updates.is_empty() {
                     return updates;
                 }
@@ -53,19 +54,19 @@
     let (mut net, mut directory) = (Net::new(64).unwrap(), Directory::default());
     let mut client = Discovery::new(old.local_addr().unwrap(), Some(41), CallPacer::new(1, 3, 0));
     client.subscribe(&mut net);
-    let (mut left, _) = old.accept().unwrap();
+    let (mut old_stream, _) = old.accept().unwrap();
     assert!(
         client
             .move_to(&mut net, old.local_addr().unwrap())
             .is_empty()
-            && client.call == Some(1)
+            && client.in_flight_call == Some(1)
     );
     assert!(client
         .move_to(&mut net, new.local_addr().unwrap())
         .is_empty());
-    let mut stream = asked(&mut net, &mut client, &new);
+    let mut stream = accept_call(&mut net, &mut client, &new);
     assert!(
-        left.read_to_end(&mut Vec::new()).is_ok(),
+        old_stream.read_to_end(&mut Vec::new()).is_ok(),
         "the watch at the old address is over"
     );
     assert!(request(&mut stream).starts_with("GET /registry/instances HTTP/1.1\r\n"));
@@ -85,7 +86,7 @@
         let new = TcpListener::bind("127.0.0.1:0").unwrap();
         let moved = net.clock.now();
         client.move_to(&mut net, new.local_addr().unwrap());
-        let at = client.not_before.unwrap();
+        let at = client.earliest_call_at.unwrap();
         assert!(
             at > moved.plus(100_000) && at.since(moved) <= 2_000_000,
             "this seed has to wait"
@@ -102,17 +103,17 @@
             assert!(
                 matches!(&updates[..], [ServerListUpdate::Complete(lines)] if lines[0].mode == ServerMode::Draining)
             );
-            assert!(client.call.is_none(), "it is not renewed there");
+            assert!(client.in_flight_call.is_none(), "it is not renewed there");
         }
         assert_eq!(
-            client.not_before,
+            client.earliest_call_at,
             Some(at),
             "what the former address does moves nothing"
         );
-        // The module asks meanwhile: nothing is asked before that, and then once.
+        // The module asks meanwhile: nothing is called before that, and then once.
         client.subscribe(&mut net);
-        let mut stream = asked(&mut net, &mut client, &new);
-        assert!(net.clock.now() >= at && client.planned.is_none());
+        let mut stream = accept_call(&mut net, &mut client, &new);
+        assert!(net.clock.now() >= at && client.planned_call.is_none());
         assert!(request(&mut stream).starts_with("GET /registry/instances HTTP/1.1\r\n"));
     }
 }
@@ -129,7 +130,7 @@
     assert!(client.subscribe(&mut net).is_empty());
     let (mut stream, _) = listener.accept().unwrap();
     net.wait(Some(net.clock.now().plus(1_000_000))).unwrap();
-    client.ready(&mut net, client.conn.unwrap(), &mut directory);
+    client.on_ready(&mut net, client.conn.unwrap(), &mut directory);
     assert!(request(&mut stream).starts_with("GET /registry/instances HTTP/1.1\r\n"));
     answer(&mut stream, 200, LIST);
     let first = next_updates(&mut net, &mut client, &mut directory);
@@ -151,10 +152,10 @@
         [ServerListUpdate::Failed]
     );
     assert!(
-        client.planned.is_some(),
+        client.planned_call.is_some(),
         "it asks again without being told to"
     );
-    let mut stream = asked(&mut net, &mut client, &listener);
+    let mut stream = accept_call(&mut net, &mut client, &listener);
     assert!(request(&mut stream).contains("since=42"));
     drop(stream);
     assert_eq!(
@@ -163,22 +164,22 @@
     );
 }
 
-/// Runs the loop and the client's timers until the client has asked, and takes the connection.
-fn asked(net: &mut Net, client: &mut Discovery, listener: &TcpListener) -> TcpStream {
+/// Runs the loop and the client's timers until the client calls, and accepts the connection.
+fn accept_call(net: &mut Net, client: &mut Discovery, listener: &TcpListener) -> TcpStream {
     listener.set_nonblocking(true).unwrap();
     for _ in 0..1_000 {
         net.wait(Some(net.clock.now().plus(10_000))).unwrap();
         let now = net.clock.now();
         for timer in net.wheel.due(now) {
             if let Timer::Discovery(call) = timer {
-                client.timer(net, call, &mut Directory::default());
+                client.on_timer(net, call, &mut Directory::default());
             }
         }
         if let Ok((stream, _)) = listener.accept() {
             stream.set_nonblocking(false).unwrap();
             let id = client.conn.unwrap();
             net.wait(Some(net.clock.now().plus(1_000_000))).unwrap();
-            client.ready(net, id, &mut Directory::default());
+            client.on_ready(net, id, &mut Directory::default());
             return stream;
         }
     }
@@ -189,13 +190,13 @@
 fn silent_watch_is_reopened_in_time_and_missed_changes_are_read() {
     let (mut net, mut client, mut directory, listener, silent) =
         watching_of(CallPacer::new(1, 300, 10_000_000));
-    let begun = client.began;
+    let begun = client.call_started_at;
     let mut updates = Vec::new();
     while updates.is_empty() {
         net.wait(Some(net.clock.now().plus(50_000))).unwrap();
         for timer in net.wheel.due(net.clock.now()) {
             if let Timer::Discovery(call) = timer {
-                updates.extend(client.timer(&mut net, call, &mut directory));
+                updates.extend(client.on_timer(&mut net, call, &mut directory));
             }
         }
     }
@@ -205,8 +206,11 @@
         line.contains("no answer") && line.contains("Silent"),
         "{line}"
     );
-    assert!(client.planned.is_some(), "it goes on without being told to");
-    let mut stream = asked(&mut net, &mut client, &listener);
+    assert!(
+        client.planned_call.is_some(),
+        "it goes on without being told to"
+    );
+    let mut stream = accept_call(&mut net, &mut client, &listener);
     assert!(
         net.clock.now().since(begun) < 4_200_000,
         "with time left for its answer, before it counts as told"
@@ -232,11 +236,11 @@
     for _ in 0..3 {
         assert!(client.subscribe(&mut net).is_empty());
         assert!(
-            client.conn.is_none() && client.calls == 1,
+            client.conn.is_none() && client.last_call_number == 1,
             "one call is planned, and not made yet"
         );
     }
-    let mut stream = asked(&mut net, &mut client, &listener);
+    let mut stream = accept_call(&mut net, &mut client, &listener);
     assert!(net.clock.now().since(began) >= first.0);
     assert!(request(&mut stream).contains("since=41"));
     // What fails is repeated later, however often the module asks meanwhile, and the drain is not
@@ -247,15 +251,15 @@
         [ServerListUpdate::Failed]
     );
     assert!(client.take_log()[0].contains("Failed, calls spread over 480 ms"));
-    let calls = client.calls;
+    let calls = client.last_call_number;
     for _ in 0..3 {
         assert!(
             client.subscribe(&mut net).is_empty()
-                && client.calls == calls
-                && client.planned == Some(calls)
+                && client.last_call_number == calls
+                && client.planned_call == Some(calls)
         );
     }
-    let mut stream = asked(&mut net, &mut client, &listener);
+    let mut stream = accept_call(&mut net, &mut client, &listener);
     assert!(request(&mut stream).contains("since=41"));
     answer(&mut stream, 200, &LIST.replace("SERVING", "DRAINING"));
     let updates = next_updates(&mut net, &mut client, &mut directory);
@@ -279,7 +283,7 @@
     assert!(client.keeps_watching() && client.subscribe(&mut net).is_empty());
     let (mut stream, _) = listener.accept().unwrap();
     net.wait(Some(net.clock.now().plus(1_000_000))).unwrap();
-    client.ready(&mut net, client.conn.unwrap(), &mut directory);
+    client.on_ready(&mut net, client.conn.unwrap(), &mut directory);
     assert!(request(&mut stream).starts_with("GET /registry/instances HTTP/1.1"));
     answer(&mut stream, 200, LIST);
     assert!(matches!(
@@ -289,7 +293,7 @@
     assert!(request(&mut stream).contains("since=41&timeout_ms=1000 "));
     answer(&mut stream, 200, EMPTY);
     let heard = net.clock.now();
-    asks_whole(&mut net, &mut client, &mut directory, &mut stream);
+    expect_complete_list_request(&mut net, &mut client, &mut directory, &mut stream);
     let until = client.unconfirmed_list.as_ref().unwrap().1;
     assert!(until.since(heard) >= 250_000 && until.since(net.clock.now()) <= 250_000);
     drop(stream);
@@ -297,7 +301,7 @@
         next_updates(&mut net, &mut client, &mut directory),
         [ServerListUpdate::Failed]
     );
-    let pause = client.not_before.unwrap().since(net.clock.now());
+    let pause = client.earliest_call_at.unwrap().since(net.clock.now());
     assert!(
         pause <= 100_000 && client.take_log()[1].contains("Agent"),
         "{pause}"
@@ -305,7 +309,7 @@
     // It is down for long: told once, and once more when it is back.
     for _ in 0..3 {
         client.subscribe(&mut net);
-        let mut stream = asked(&mut net, &mut client, &listener);
+        let mut stream = accept_call(&mut net, &mut client, &listener);
         request(&mut stream);
         drop(stream);
         assert_eq!(
@@ -316,7 +320,7 @@
     let lines = client.take_log();
     assert!(!lines.iter().any(|l| l.contains("failed")), "{lines:?}");
     client.subscribe(&mut net);
-    let mut stream = asked(&mut net, &mut client, &listener);
+    let mut stream = accept_call(&mut net, &mut client, &listener);
     request(&mut stream);
     answer(&mut stream, 200, LIST);
     assert!(matches!(
@@ -344,10 +348,10 @@
     let (mut net, mut directory) = (Net::new(64).unwrap(), Directory::default());
     net.set_listed_nodes(200);
     let at = nodes.local_addr().unwrap();
-    let held =
+    let connections =
         take_all(&mut net, Owner::Frames, at).len() + take_all(&mut net, Owner::Platform, at).len();
     assert_eq!(
-        held, 38,
+        connections, 38,
         "all of 64 but 24 of the process's own and two for discovery"
     );
     let mut client = Discovery::new(
@@ -355,10 +359,10 @@
         Some(41),
         CallPacer::new(1, 3, 0),
     );
-    assert!(client.subscribe(&mut net).is_empty() && client.call == Some(1));
+    assert!(client.subscribe(&mut net).is_empty() && client.in_flight_call == Some(1));
     let (mut stream, _) = discovery.accept().unwrap();
     net.wait(Some(net.clock.now().plus(1_000_000))).unwrap();
-    client.ready(&mut net, client.conn.unwrap(), &mut directory);
+    client.on_ready(&mut net, client.conn.unwrap(), &mut directory);
     assert!(request(&mut stream).contains("since=41"));
     answer(&mut stream, 200, &LIST.replace("SERVING", "DRAINING"));
     let updates = next_updates(&mut net, &mut client, &mut directory);
@@ -372,13 +376,16 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut net = Net::new(64).unwrap();
     let at = listener.local_addr().unwrap();
-    let held = take_all(&mut net, Owner::Discovery, at);
-    let others: Vec<TcpStream> = held.iter().map(|_| listener.accept().unwrap().0).collect();
+    let connections = take_all(&mut net, Owner::Discovery, at);
+    let others: Vec<TcpStream> = connections
+        .iter()
+        .map(|_| listener.accept().unwrap().0)
+        .collect();
     // One of 300 brokers: after a failure it would wait for up to 2.1 s.
     let mut client = Discovery::new(at, None, CallPacer::new(1, 300, 10_000_000));
-    assert!(client.subscribe(&mut net).is_empty() && client.call.is_none());
-    let (now, next) = (net.clock.now(), client.not_before.unwrap());
-    assert!(client.planned.is_some() && next.since(now) <= 200_000);
+    assert!(client.subscribe(&mut net).is_empty() && client.in_flight_call.is_none());
+    let (now, next) = (net.clock.now(), client.earliest_call_at.unwrap());
+    assert!(client.planned_call.is_some() && next.since(now) <= 200_000);
     let line = client.take_log().remove(0);
     assert!(
         line.starts_with("discovery: no call could be made: all 2 descriptors are in use"),
@@ -388,8 +395,8 @@
         line.ends_with("Unmade, calls spread over 2100 ms"),
         "the spread stays: {line}"
     );
-    held.into_iter().for_each(|id| net.close(id));
-    let mut stream = asked(&mut net, &mut client, &listener);
+    connections.into_iter().for_each(|id| net.close(id));
+    let mut stream = accept_call(&mut net, &mut client, &listener);
     assert!(request(&mut stream).starts_with("GET /registry/instances HTTP/1.1"));
     drop(others);
 }
@@ -408,7 +415,7 @@
     client.subscribe(&mut net);
     let (mut stream, _) = listener.accept().unwrap();
     net.wait(Some(net.clock.now().plus(1_000_000))).unwrap();
-    client.ready(&mut net, client.conn.unwrap(), &mut directory);
+    client.on_ready(&mut net, client.conn.unwrap(), &mut directory);
     request(&mut stream);
     answer(&mut stream, 200, LIST);
     assert_eq!(next_updates(&mut net, &mut client, &mut directory).len(), 1);
@@ -416,17 +423,17 @@
     (net, client, directory, listener, stream)
 }
 
-/// Runs the loop until the client asks for the whole list, which none of its updates may come before.
-fn asks_whole(
+/// Runs the loop until the client requests the complete list, before which it has no updates.
+fn expect_complete_list_request(
     net: &mut Net,
     client: &mut Discovery,
     directory: &mut Directory,
     stream: &mut TcpStream,
 ) {
-    let before = client.calls;
-    while client.calls == before {
+    let before = client.last_call_number;
+    while client.last_call_number == before {
         net.wait(Some(net.clock.now().plus(100_000))).unwrap();
-        let updates = client.ready(net, client.conn.unwrap(), directory);
+        let updates = client.on_ready(net, client.conn.unwrap(), directory);
         assert!(updates.is_empty(), "it is not believed yet: {updates:?}");
     }
     assert!(request(stream).starts_with("GET /registry/instances HTTP/1.1\r\n"));
@@ -457,10 +464,10 @@
 
 #[test]
 fn an_empty_list_is_confirmed_before_it_is_believed() {
-    for (second, left) in [(LIST, 1), (EMPTY, 0)] {
+    for (second, expected_nodes) in [(LIST, 1), (EMPTY, 0)] {
         let (mut net, mut client, mut directory, _listener, mut stream) = watching();
         answer(&mut stream, 200, EMPTY);
-        asks_whole(&mut net, &mut client, &mut directory, &mut stream);
+        expect_complete_list_request(&mut net, &mut client, &mut directory, &mut stream);
         let line = client.take_log().remove(0);
         assert!(
             line.contains("doubted") && line.contains("empty, while 1 data nodes are known"),
@@ -470,10 +477,10 @@
         answer(&mut stream, 200, second);
         let updates = next_updates(&mut net, &mut client, &mut directory);
         assert!(
-            matches!(&updates[..], [ServerListUpdate::Complete(lines)] if lines.len() == left),
+            matches!(&updates[..], [ServerListUpdate::Complete(lines)] if lines.len() == expected_nodes),
             "{updates:?}"
         );
-        assert!(directory.len() == left && client.unconfirmed_list.is_none());
+        assert!(directory.len() == expected_nodes && client.unconfirmed_list.is_none());
     }
 }
 
@@ -486,7 +493,7 @@
     // Confirmed: what the whole list says holds, whatever its version.
     let (mut net, mut client, mut directory, _listener, mut stream) = watching();
     answer(&mut stream, 200, &back);
-    asks_whole(&mut net, &mut client, &mut directory, &mut stream);
+    expect_complete_list_request(&mut net, &mut client, &mut directory, &mut stream);
     assert!(client.take_log()[0].contains("version 40, while 41 is held"));
     answer(&mut stream, 200, &LIST.replace("41", "7"));
     let updates = next_updates(&mut net, &mut client, &mut directory);
@@ -504,10 +511,12 @@
     let back = back.replace("}]}", &format!("}},{serves}]}}"));
     let (mut net, mut client, mut directory, _listener, mut stream) = watching();
     answer(&mut stream, 200, &back);
-    asks_whole(&mut net, &mut client, &mut directory, &mut stream);
+    expect_complete_list_request(&mut net, &mut client, &mut directory, &mut stream);
     let until = client.unconfirmed_list.as_ref().unwrap().1;
     assert!(
-        client.timer(&mut net, CONFIRMED, &mut directory).is_empty(),
+        client
+            .on_timer(&mut net, CONFIRMATION_TIMER, &mut directory)
+            .is_empty(),
         "there is time yet"
     );
     answer(&mut stream, 503, "");
@@ -518,15 +527,17 @@
     while net.clock.now() < until {
         net.wait(Some(until)).unwrap();
     }
-    let updates = client.timer(&mut net, CONFIRMED, &mut directory);
-    let is_kept =
+    let updates = client.on_timer(&mut net, CONFIRMATION_TIMER, &mut directory);
+    let is_draining =
         |lines: &[ListedServer]| lines.len() == 1 && lines[0].mode == ServerMode::Draining;
     assert!(
-        matches!(&updates[..], [ServerListUpdate::Changes(lines)] if is_kept(lines)),
+        matches!(&updates[..], [ServerListUpdate::Changes(lines)] if is_draining(lines)),
         "{updates:?}"
     );
     assert!(
-        client.timer(&mut net, CONFIRMED, &mut directory).is_empty(),
+        client
+            .on_timer(&mut net, CONFIRMATION_TIMER, &mut directory)
+            .is_empty(),
         "once"
     );
 }
@@ -570,26 +581,26 @@
         let (mut net, mut directory) = (Net::new(64).unwrap(), Directory::default());
         let mut client =
             Discovery::new(address, Some(41), CallPacer::new(7, instances, 10_000_000));
-        client.not_before = Some(net.clock.now());
+        client.earliest_call_at = Some(net.clock.now());
         let mut refused = client.subscribe(&mut net).len();
         // No other call of the module's comes: the client goes on by itself.
         let began = net.clock.now();
         while refused < 4 && net.clock.now().since(began) < 20_000_000 {
             for ready in net.wait(Some(net.clock.now().plus(10_000))).unwrap() {
                 if let crate::net::Ready::Conn(id, _) = ready {
-                    refused += client.ready(&mut net, id, &mut directory).len();
+                    refused += client.on_ready(&mut net, id, &mut directory).len();
                 }
             }
             for timer in net.wheel.due(net.clock.now()) {
                 if let Timer::Discovery(call) = timer {
-                    refused += client.timer(&mut net, call, &mut directory).len();
+                    refused += client.on_timer(&mut net, call, &mut directory).len();
                 }
             }
         }
         assert_eq!(refused, 4, "{instances} brokers");
         // It is back, with a change.
         let (back, listener) = (net.clock.now(), TcpListener::bind(address).unwrap());
-        let mut stream = asked(&mut net, &mut client, &listener);
+        let mut stream = accept_call(&mut net, &mut client, &listener);
         assert!(
             net.clock.now().since(back) <= 2_200_000,
             "{instances} brokers"
