--- a/core/src/answer.rs
+++ b/core/src/answer.rs
@@ -26,25 +26,25 @@
                 .iter()
                 .filter(|p| p.is_second_step == is_second_step)
         };
-        let have: f64 = step().filter(|p| p.is_in()).map(|p| p.weight).sum();
+        let available: f64 = step().filter(|p| p.is_in()).map(|p| p.weight).sum();
         // Guards the rule on honest answers against a slip anywhere before it: nothing from less
         // than the floor leaves, and the mark of a whole answer is given from the parts that are
         // really here.
-        let need = if is_second_step { 1.0 } else { class.need };
+        let needed = if is_second_step { 1.0 } else { class.need };
         let floor = if is_second_step && class.floor >= class.need {
             1.0
         } else {
             class.floor
         };
-        if have + ROUNDING < floor.min(need) {
+        if available + ROUNDING < floor.min(needed) {
             commands.push(Command::Log(format!(
-                "answer from {have:.3} of the weight withheld"
+                "answer from {available:.3} of the weight withheld"
             )));
             self.inbox.push(Event::Hangup(query));
             return self.fail(query, commands);
         }
         let first_whole = q.first.as_ref().is_none_or(|first| first.whole);
-        let whole = whole && have + ROUNDING >= need && first_whole;
+        let whole = whole && available + ROUNDING >= needed && first_whole;
         if second_step > 0 && !is_second_step {
             return self.second_step(now, query, whole, commands);
         }
--- a/core/src/collect.rs
+++ b/core/src/collect.rs
@@ -1,4 +1,4 @@
-//! Collect: outcomes of attempts come in, and with them the values of parts.
+//! Collect: takes the outcomes of attempts, and with them the values of parts.
 
 use super::{Core, Value};
 use lichenswitch_interface::{Event, Outcome, ServerId, Time};
@@ -16,7 +16,7 @@
             return false;
         };
         self.in_flight.remove(&(a.part, a.number));
-        let most_bytes = self.most_bytes();
+        let max_bytes = self.max_bytes();
         let position = self.parts.get(&a.part).copied();
         let mut part =
             position.and_then(|(query, i)| self.queries.get_mut(&query)?.parts.get_mut(i));
@@ -35,7 +35,7 @@
             part.first_possible_run = None;
         }
         if let (Some(part), Outcome::Ok, Some(value)) = (part, outcome, value) {
-            if self.bytes + value.bytes.len() > most_bytes {
+            if self.bytes + value.bytes.len() > max_bytes {
                 // Guards memory: what all queries hold is bounded, and a value beyond it is none.
                 outcome = Outcome::Error;
             } else if part.value.is_none() {
@@ -44,7 +44,7 @@
                 part.value = Some(value);
             }
         }
-        self.learn(now, &a, outcome);
+        self.report_to_planner(now, &a, outcome);
         self.inbox.push(Event::Finished {
             part: a.part,
             attempt: a.number,
@@ -55,7 +55,7 @@
         true
     }
 
-    /// The server that an attempt is out at.
+    /// The server at which an attempt is in flight.
     #[must_use]
     pub fn server_of(&self, attempt: u64) -> Option<ServerId> {
         self.attempts.get(&attempt).map(|a| a.server)
--- a/core/src/dispatch.rs
+++ b/core/src/dispatch.rs
@@ -15,9 +15,9 @@
 
 impl<J> Calls<J> {
     /// Puts an attempt into the last call to its server, where that has room, or into a new one.
-    fn add(&mut self, server: ServerId, dispatch: Dispatch<J>, most_parts: usize) {
+    fn add(&mut self, server: ServerId, dispatch: Dispatch<J>, max_parts: usize) {
         match self.last.get(&server).map(|&i| &mut self.all[i].1) {
-            Some(call) if call.len() < most_parts => call.push(dispatch),
+            Some(call) if call.len() < max_parts => call.push(dispatch),
             _ => {
                 self.last.insert(server, self.all.len());
                 self.all.push((server, vec![dispatch]));
@@ -109,14 +109,14 @@
             return self.report_never_sent(part, 0, server);
         };
         let class = &self.settings.classes[q.class];
-        let most_attempts = self.settings.attempts_of(q.class);
+        let max_attempts = self.settings.attempts_of(q.class);
         let Some(p) = q.parts.get_mut(index) else {
             return;
         };
         let number = p.attempts;
         p.attempts += 1;
         // Guards the limit on attempts: one beyond it is not sent, whatever the module says.
-        if u32::from(number - p.never_left) >= most_attempts || p.value.is_some() {
+        if u32::from(number - p.never_left) >= max_attempts || p.value.is_some() {
             return self.report_never_sent(part, number, server);
         }
         let attempt = self.next_attempt;
@@ -147,8 +147,8 @@
         };
         p.first_possible_run = p.first_possible_run.or(Some((number, now)));
         self.planner.on_sent(now, id, p.shard.0, f64::from(pending));
-        let most_parts = self.settings.layout.parts_a_call.max(1) as usize;
-        calls.add(server, dispatch, most_parts);
+        let max_parts = self.settings.layout.parts_a_call.max(1) as usize;
+        calls.add(server, dispatch, max_parts);
     }
 
     /// Tells the module that an attempt was not made.
--- a/core/src/intake.rs
+++ b/core/src/intake.rs
@@ -24,17 +24,17 @@
 /// Guards data nodes and honest answers: a part for a shard that there is not, one that comes twice
 /// or weights that are no shares would be sent, turned away, and counted.
 fn check_parts(parts: &[(Shard, f64)], shards: u32) -> Result<(), Refusal> {
-    let mut asked: Vec<Shard> = parts.iter().map(|p| p.0).collect();
-    asked.sort_unstable();
-    let twice = asked.windows(2).any(|pair| pair[0] == pair[1]);
-    let unknown = asked.last().is_none_or(|last| last.0 >= shards);
-    let share = |weight: f64| weight > 0.0 && weight <= 1.0 + ROUNDING;
+    let mut shards_of_parts: Vec<Shard> = parts.iter().map(|p| p.0).collect();
+    shards_of_parts.sort_unstable();
+    let is_any_repeated = shards_of_parts.windows(2).any(|pair| pair[0] == pair[1]);
+    let is_any_unknown = shards_of_parts.last().is_none_or(|last| last.0 >= shards);
+    let is_share = |weight: f64| weight > 0.0 && weight <= 1.0 + ROUNDING;
     let sum: f64 = parts.iter().map(|p| p.1).sum();
     match () {
         () if parts.is_empty() => Err(Refusal::Malformed("a query needs parts")),
-        () if unknown => Err(Refusal::Malformed("there is no such shard")),
-        () if twice => Err(Refusal::Malformed("a shard comes twice")),
-        () if !parts.iter().all(|p| share(p.1)) => {
+        () if is_any_unknown => Err(Refusal::Malformed("there is no such shard")),
+        () if is_any_repeated => Err(Refusal::Malformed("a shard comes twice")),
+        () if !parts.iter().all(|p| is_share(p.1)) => {
             Err(Refusal::Malformed("a weight is out of range"))
         }
         () if (sum - 1.0).abs() > ROUNDING => {
@@ -76,7 +76,7 @@
 
     /// Whether a query of some class would still be taken.
     #[must_use]
-    pub fn takes(&self, now: Time) -> bool {
+    pub fn accepts_queries(&self, now: Time) -> bool {
         let shortest = self
             .settings
             .classes
@@ -93,8 +93,8 @@
     /// Why the query is not taken; nothing of it has run.
     pub fn take(&mut self, now: Time, request: Request<J>) -> Result<QueryId, Refusal> {
         let class = request.class;
-        let taken = self.admit(now, request);
-        if let (Err(refusal), Some(counters)) = (&taken, self.counters.get_mut(class)) {
+        let admitted = self.admit(now, request);
+        if let (Err(refusal), Some(counters)) = (&admitted, self.counters.get_mut(class)) {
             match refusal {
                 Refusal::Busy(_)
                 | Refusal::Stopping
@@ -102,7 +102,7 @@
                 Refusal::Contract(_) | Refusal::Malformed(_) => counters.failed += 1,
             }
         }
-        taken
+        admitted
     }
 
     fn admit(&mut self, now: Time, mut request: Request<J>) -> Result<QueryId, Refusal> {
@@ -131,7 +131,7 @@
         Ok(self.insert(now, request))
     }
 
-    /// Gives a query that is admitted its ids, and tells the module and the planner of it.
+    /// Gives a query that is admitted its ids, and reports it to the module and the planner.
     fn insert(&mut self, now: Time, request: Request<J>) -> QueryId {
         let id = QueryId(self.new_id());
         self.next_number = (self.next_number + 1) % super::NUMBERS;
@@ -177,7 +177,7 @@
         id
     }
 
-    /// Adds a part to a query that is held; the module hears of it in the next turn.
+    /// Adds a part to a query that is held; the module gets it in the next turn.
     pub(super) fn add_part(
         &mut self,
         query: QueryId,
--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -235,7 +235,7 @@
     /// Bytes of their values.
     bytes: usize,
     /// Most bytes of values held for queries that wait for further parts.
-    most_bytes: usize,
+    max_bytes: usize,
     next_id: u64,
     next_attempt: u64,
     next_number: u32,
@@ -257,7 +257,7 @@
     #[must_use]
     pub fn new(seed: u64, settings: Settings, contracts: Contracts, memory: usize) -> Self {
         Core {
-            most_bytes: memory / 4,
+            max_bytes: memory / 4,
             counters: vec![ClassCounters::default(); settings.classes.len()],
             module: Coordinator::new(seed, settings.clone()),
             settings,
@@ -308,12 +308,12 @@
             classes.len().max(self.counters.len()),
             ClassCounters::default(),
         );
-        let kept = self
+        let standing_classes = self
             .settings
             .classes
             .get(classes.len()..)
             .unwrap_or_default();
-        self.settings.classes = [&classes, kept].concat();
+        self.settings.classes = [&classes, standing_classes].concat();
         self.inbox.push(Event::Classes(classes));
     }
 
@@ -337,8 +337,8 @@
     }
 
     /// Most bytes of values that may be held now.
-    fn most_bytes(&self) -> usize {
-        self.most_bytes / self.process_shares.held as usize
+    fn max_bytes(&self) -> usize {
+        self.max_bytes / self.process_shares.held as usize
     }
 
     /// How many of the servers in the list are passed over by choice now.
--- a/core/src/phases.rs
+++ b/core/src/phases.rs
@@ -1,4 +1,4 @@
-//! Phases: what the planner of queries of two steps is told, and what it says is carried out.
+//! Phases: reports to the planner of queries of two steps, and carries out its verdicts.
 
 use super::{Attempt, Command, Core, FirstStep, Reply, Value};
 use lichenswitch_interface::{Event, Micros, Outcome, QueryId, Shard, Time};
@@ -17,43 +17,41 @@
 
 impl<J> Core<J> {
     /// An attempt of a part that is still held has ended: the planner learns of it.
-    pub(super) fn learn(&mut self, now: Time, attempt: &Attempt, outcome: Outcome) {
+    pub(super) fn report_to_planner(&mut self, now: Time, attempt: &Attempt, outcome: Outcome) {
         let Some(&(query, i)) = self.parts.get(&attempt.part) else {
             return;
         };
         let Some(part) = self.queries.get(&query).and_then(|q| q.parts.get(i)) else {
             return;
         };
-        let (shard, took, pending): (_, Micros, _) = (
-            part.shard,
-            now.since(attempt.sent),
-            f64::from(attempt.pending),
-        );
+        let shard = part.shard;
+        let elapsed: Micros = now.since(attempt.sent);
+        let pending = f64::from(attempt.pending);
         if outcome == Outcome::Ok {
             let bound = part.value.as_ref().and_then(|value| bound(shard, value));
             let verdicts = self.planner.on_response(
                 now,
                 (query, shard.0),
-                (part.is_second_step, took, pending),
+                (part.is_second_step, elapsed, pending),
                 bound,
             );
             return self.apply_verdicts(verdicts);
         }
-        let silent = matches!(outcome, Outcome::Timeout | Outcome::Cancelled);
-        let gave_up = silent.then_some((took, pending));
+        let is_unanswered = matches!(outcome, Outcome::Timeout | Outcome::Cancelled);
+        let unanswered = is_unanswered.then_some((elapsed, pending));
         self.planner.on_loss(
             now,
             (query, shard.0),
             part.is_second_step,
             attempt.sent,
-            gave_up,
+            unanswered,
         );
     }
 
     /// Does what the planner says.
     pub(super) fn apply_verdicts(&mut self, verdicts: Vec<Verdict>) {
         for verdict in verdicts {
-            let (id, reason, tell) = match verdict {
+            let (id, reason, is_logged) = match verdict {
                 Verdict::Close(id, reason) => {
                     self.inbox.push(Event::Close(id));
                     (id, reason, self.explain)
@@ -79,7 +77,7 @@
                     (id, reason, true)
                 }
             };
-            if tell {
+            if is_logged {
                 self.lines.push(format!("query {}: {reason}", id.0));
             }
         }
@@ -119,58 +117,81 @@
         let Some(q) = self.queries.get_mut(&query) else {
             return;
         };
-        let mut scores: Vec<(f64, Shard)> = q
+        let scores: Vec<(f64, Shard)> = q
             .parts
             .iter()
             .filter_map(|p| p.value.as_ref().map(|v| (v.score, p.shard)))
             .collect();
         let shards = scores.iter().map(|s| s.1).collect();
         q.first = Some(Rc::new(FirstStep { shards, whole }));
-        let Some(plan) = plan else {
-            // As the settings say: the best scores, as many as the class has.
-            scores.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
-            scores.truncate(self.settings.classes[q.class].second_step as usize);
-            let weight = 1.0 / scores.len().max(1) as f64;
-            for (_, shard) in scores {
-                self.add_part(query, shard, weight, true, None);
-            }
+        match plan {
+            Some(plan) => self.begin_planned_step(query, whole, plan, commands),
+            None => self.begin_best_scores_step(query, scores),
+        }
+    }
+
+    /// The second step as the settings say: the best scores, as many as the class has.
+    fn begin_best_scores_step(&mut self, query: QueryId, mut scores: Vec<(f64, Shard)>) {
+        let Some(q) = self.queries.get(&query) else {
+            return;
+        };
+        scores.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
+        scores.truncate(self.settings.classes[q.class].second_step as usize);
+        let weight = 1.0 / scores.len().max(1) as f64;
+        for (_, shard) in scores {
+            self.add_part(query, shard, weight, true, None);
+        }
+    }
+
+    /// The second step as the planner wants it; it may be over at once, or not be worth beginning.
+    fn begin_planned_step(
+        &mut self,
+        query: QueryId,
+        whole: bool,
+        plan: Plan,
+        commands: &mut Vec<Command<J>>,
+    ) {
+        let Some(q) = self.queries.get_mut(&query) else {
             return;
         };
         if self.explain {
-            self.lines.extend(
-                plan.reasons
-                    .iter()
-                    .map(|reason| format!("query {}: {reason}", query.0)),
-            );
+            let reasons = plan.reasons.iter();
+            self.lines
+                .extend(reasons.map(|reason| format!("query {}: {reason}", query.0)));
         }
         q.left_out = plan.left_out.iter().map(|&slice| Shard(slice)).collect();
         if plan.give_up {
             return self.inbox.push(Event::GiveUp(query));
         }
         if plan.parts.is_empty() {
-            // Nothing is left to ask: the module, which waits for parts, is told that the query is
-            // over.
+            // No part remains to be requested: the module, which waits for parts, is notified that
+            // the query is over.
             self.inbox.push(Event::Hangup(query));
             return self.served(query, whole, commands);
         }
         let weight = 1.0 / plan.wanted.max(1) as f64;
         if let Some(&slice) = plan.unneeded.first() {
             // All that was proved to be unneeded counts as one part that is in.
-            let all = weight * plan.unneeded.len() as f64;
-            if let Some(part) = self.add_part(query, Shard(slice), all, true, None) {
-                let last = self
-                    .queries
-                    .get_mut(&query)
-                    .and_then(|q| q.parts.last_mut());
-                last.into_iter().for_each(|p| p.is_proved_unneeded = true);
-                self.inbox.push(Event::Unneeded(part));
-            }
+            let weight = weight * plan.unneeded.len() as f64;
+            self.add_unneeded_part(query, Shard(slice), weight);
         }
         for (slice, most) in plan.parts {
             self.add_part(query, Shard(slice), weight, true, most);
         }
     }
 
+    /// Adds a part that is proved to add nothing.
+    fn add_unneeded_part(&mut self, query: QueryId, shard: Shard, weight: f64) {
+        let Some(part) = self.add_part(query, shard, weight, true, None) else {
+            return;
+        };
+        let parts = self.queries.get_mut(&query).map(|q| &mut q.parts);
+        if let Some(part) = parts.and_then(|parts| parts.last_mut()) {
+            part.is_proved_unneeded = true;
+        }
+        self.inbox.push(Event::Unneeded(part));
+    }
+
     /// Gives a query its answer from the parts that are in; `whole`: as far as its last step goes.
     pub(super) fn served(&mut self, query: QueryId, whole: bool, commands: &mut Vec<Command<J>>) {
         let Some(q) = self.release(query) else { return };
--- a/core/src/tests.rs
+++ b/core/src/tests.rs
@@ -257,17 +257,17 @@
 fn ending_core_admits_only_what_meets_its_target_in_time() {
     let mut stage = Stage::new(0);
     let latency_target = stage.core.settings().classes[0].latency_target;
-    assert!(stage.core.takes(stage.now));
+    assert!(stage.core.accepts_queries(stage.now));
     let end = stage.now.plus(4_000 * MS);
     stage.core.end_by(end);
     stage.now = end.minus(latency_target);
     assert!(
-        stage.core.takes(stage.now) && stage.take(&[0]).is_ok(),
+        stage.core.accepts_queries(stage.now) && stage.take(&[0]).is_ok(),
         "its client waits for longer"
     );
     assert_eq!(sends(&stage.turn()).len(), 1);
     stage.now = stage.now.plus(MS);
-    assert!(!stage.core.takes(stage.now));
+    assert!(!stage.core.accepts_queries(stage.now));
     assert_eq!(stage.take(&[0]), Err(Refusal::Stopping));
     // Nobody answers: the final answer is there by the end all the same.
     stage.now = end;
--- a/src/broker/stopping.rs
+++ b/src/broker/stopping.rs
@@ -70,7 +70,8 @@
         let now = self.net.clock.now();
         let elapsed = now.since(since);
         let mut serves = elapsed < LISTEN_ON;
-        each_service!(self, |_net, service| serves |= service.core.takes(now));
+        each_service!(self, |_net, service| serves |=
+            service.core.accepts_queries(now));
         if serves {
             return false;
         }
