--- a/simulator/src/main.rs
+++ b/simulator/src/main.rs
@@ -9,6 +9,9 @@
 use lichenswitch_simulator::world::WorldSettings;
 
 mod measure;
+mod seed_range;
+
+use self::seed_range::SeedRange;
 
 /// Lines of the trace that are shown of a seed that fails.
 const TRACE_SHOWN: usize = 60;
@@ -53,29 +56,6 @@
     },
 }
 
-/// Seeds from one to another, without the last.
-#[derive(Clone, Copy, Debug)]
-struct SeedRange {
-    first: u64,
-    beyond: u64,
-}
-
-impl std::str::FromStr for SeedRange {
-    type Err = String;
-
-    fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let parts = text.split_once("..").ok_or("a range is FIRST..BEYOND")?;
-        let number = |text: &str| {
-            text.parse::<u64>()
-                .map_err(|error| format!("`{text}`: {error}"))
-        };
-        Ok(Self {
-            first: number(parts.0)?,
-            beyond: number(parts.1)?,
-        })
-    }
-}
-
 fn main() -> ExitCode {
     match command().run() {
         Command::Walk {
@@ -128,50 +108,33 @@
     }
 }
 
-fn walk_seeds(seeds: SeedRange, like: &Walk, schedule: FaultSchedule) -> ExitCode {
+/// Walks with each seed, prints those that fail and a summary; fails if one of them does.
+fn walk_seeds(seeds: SeedRange, settings: &Walk, schedule: FaultSchedule) -> ExitCode {
     let mut failed = 0;
     let (mut acknowledged, mut faults) = (0, 0);
-    let WorldSettings {
-        voters,
-        tolerate,
-        operators,
-        readers,
-        trace,
-        ..
-    } = like.world;
-    let (episodes, flag) = (
-        like.episodes,
-        if schedule == FaultSchedule::Overlapping {
-            " --overlaps"
-        } else {
-            ""
-        },
-    );
-    for seed in seeds.first..seeds.beyond {
-        let world = WorldSettings {
-            seed,
-            ..like.world.clone()
+    for seed in seeds.seeds() {
+        let walked = Walk {
+            world: WorldSettings {
+                seed,
+                ..settings.world.clone()
+            },
+            ..*settings
         };
-        let walked = Walk { world, episodes };
         let end = schedule.walk(&walked);
         acknowledged += end.world.oracle.acknowledgements().len();
         faults += end.world.counts.faults;
         if let Some(violation) = &end.violation {
             failed += 1;
             println!("seed {seed}: {violation}");
-            println!(
-                "  again: walk --seeds {seed}..{} --voters {voters} --tolerate {tolerate} --operators {operators} --readers {readers} \
-                 --episodes {episodes}{flag} --trace",
-                seed + 1
-            );
-            print_failing_walk(&walked, schedule, trace);
-        } else if trace {
+            println!("  again: {}", command_line(&walked, schedule));
+            print_failing_walk(&walked, schedule);
+        } else if settings.world.trace {
             end.world.trace().for_each(|line| println!("  {line}"));
         }
     }
-    let walked = seeds.beyond.saturating_sub(seeds.first);
+    let walks = seeds.len();
     println!(
-        "{walked} seeds, {failed} failed; {faults} faults, {acknowledged} acknowledged changes"
+        "{walks} seeds, {failed} failed; {faults} faults, {acknowledged} acknowledged changes"
     );
     if failed == 0 {
         ExitCode::SUCCESS
@@ -180,15 +143,37 @@
     }
 }
 
-/// Walks a failing seed again with a trace, and shows its end.
-fn print_failing_walk(walked: &Walk, schedule: FaultSchedule, full_trace: bool) {
+/// The command that repeats a walk with its whole trace.
+fn command_line(walked: &Walk, schedule: FaultSchedule) -> String {
+    let WorldSettings {
+        seed,
+        voters,
+        tolerate,
+        operators,
+        readers,
+        ..
+    } = walked.world;
+    let (beyond, episodes) = (seed + 1, walked.episodes);
+    let flag = match schedule {
+        FaultSchedule::OneByOne => "",
+        FaultSchedule::Overlapping => " --overlaps",
+    };
+    format!(
+        "walk --seeds {seed}..{beyond} --voters {voters} --tolerate {tolerate} --operators {operators} \
+         --readers {readers} --episodes {episodes}{flag} --trace"
+    )
+}
+
+/// Repeats a failing walk with a trace, and prints the end of that, or all of it where the walk was
+/// to be traced.
+fn print_failing_walk(walked: &Walk, schedule: FaultSchedule) {
     let world = WorldSettings {
         trace: true,
         ..walked.world
     };
     let end = schedule.walk(&Walk { world, ..*walked });
     let lines: Vec<&str> = end.world.trace().collect();
-    let skipped = if full_trace {
+    let skipped = if walked.world.trace {
         0
     } else {
         lines.len().saturating_sub(TRACE_SHOWN)
