--- a/simulator/src/world/mod.rs
+++ b/simulator/src/world/mod.rs
@@ -1,9 +1,9 @@
 //! A group of control machines, its callers, and time.
 
-mod act;
 mod action;
 mod callers;
 mod check;
+mod faults;
 mod machine;
 mod machines;
 
