--- a/emulators/src/features.rs
+++ b/emulators/src/features.rs
@@ -2,6 +2,7 @@
 //! request.
 
 use crate::http::{self, Request};
+use crate::sync::lock;
 use serde_json::{json, Value as Json};
 use std::cmp::Ordering;
 use std::net::{TcpListener, TcpStream};
@@ -122,16 +123,13 @@
 
     /// Sets how requests are treated from now on.
     pub fn set_behavior(&self, behavior: Behavior) {
-        *self.behavior.lock().unwrap_or_else(|e| e.into_inner()) = behavior;
+        *lock(&self.behavior) = behavior;
     }
 
     /// A copy of the ledger.
     #[must_use]
     pub fn ledger(&self) -> Ledger {
-        self.ledger
-            .lock()
-            .unwrap_or_else(|e| e.into_inner())
-            .clone()
+        lock(&self.ledger).clone()
     }
 
     /// Targets of the requests so far.
@@ -141,12 +139,10 @@
     }
 
     fn handle(&self, stream: &mut TcpStream, request: &Request) -> bool {
-        self.ledger
-            .lock()
-            .unwrap_or_else(|e| e.into_inner())
+        lock(&self.ledger)
             .received_targets
             .push(request.target.clone());
-        let behavior = *self.behavior.lock().unwrap_or_else(|e| e.into_inner());
+        let behavior = *lock(&self.behavior);
         let is_sorted = request.parameter("sortby").is_some();
         let is_second_phase = is_sorted && request.parameter("limit").is_none_or(|l| l != "1");
         let within = |west: f64, east: f64| {
@@ -176,11 +172,7 @@
         let Some(body) = self.body(request, behavior) else {
             return problem(stream, 404);
         };
-        self.ledger
-            .lock()
-            .unwrap_or_else(|e| e.into_inner())
-            .responded
-            .push(request.target.clone());
+        lock(&self.ledger).responded.push(request.target.clone());
         http::respond(stream, 200, "application/geo+json", &body.to_string())
     }
 
--- a/emulators/src/fleet_processes/demonstration.rs
+++ b/emulators/src/fleet_processes/demonstration.rs
@@ -2,7 +2,7 @@
 //! configuration, a stream, the status, and nothing left behind. It is what `lichenswitch-demo`
 //! shows, and a test from end to end.
 
-use super::{FleetError, FleetProcesses, ROLES};
+use super::{FleetError, FleetProcesses, StartedProcess, ROLES};
 use crate::model_server::{ModelServer, ServerDescription};
 use crate::operator::document::{replace, Route};
 use crate::operator::{Operator, Order, Outcome, Verb};
@@ -78,21 +78,18 @@
 
 fn run_steps(fleet: &mut FleetProcesses, out: &mut impl Write) -> Result<(), DemonstrationError> {
     let deadline = Instant::now() + STREAM_TIMEOUT;
-    let start_servers = start_servers()?;
+    let servers = start_servers()?;
     fleet.start_all()?;
     writeln!(
         out,
         "started {MACHINE_COUNT} control and {MACHINE_COUNT} router processes, and {SERVER_COUNT} model servers"
     )?;
-    for (role, machine, id) in fleet.ids() {
-        writeln!(
-            out,
-            "  {role} {machine}: process {id} at {}",
-            fleet.addresses[machine]
-        )?;
+    for StartedProcess { role, machine, id } in fleet.started() {
+        let address = fleet.addresses.machines[machine];
+        writeln!(out, "  {role} {machine}: process {id} at {address}")?;
     }
     let interval = Duration::from_millis(400);
-    let _registrations: Vec<_> = start_servers
+    let _registrations: Vec<_> = servers
         .iter()
         .map(|server| server.register(fleet.control(), interval))
         .collect();
--- a/emulators/src/fleet_processes/tests.rs
+++ b/emulators/src/fleet_processes/tests.rs
@@ -1,9 +1,10 @@
-//! Processes of stand-in programs: started, told to end, killed; settings; a demonstration that
-//! can't succeed.
+//! Tests of `fleet_processes` with shell scripts as the program.
 
 use super::demonstration::DemonstrationError;
 use super::*;
 use std::os::unix::fs::PermissionsExt;
+use std::thread;
+use std::time::{Duration, Instant};
 
 /// A program by a shell script, in a folder of its own that goes with it.
 struct Script(PathBuf);
@@ -55,16 +56,16 @@
     let script = Script::new("ends", "echo $1 $LICHENSWITCH_CONFIG; exec sleep 60");
     let mut fleet = FleetProcesses::new(&script.0, 2).expect("a fleet");
     fleet.start_all().expect("started");
-    let ids = fleet.ids();
-    assert_eq!(ids.len(), 4);
-    for (role, machine, _) in &ids {
+    let started = fleet.started();
+    assert_eq!(started.len(), 4);
+    for StartedProcess { role, machine, .. } in &started {
         wait_for(&fleet.log(*role, *machine));
         let log = std::fs::read_to_string(fleet.log(*role, *machine)).expect("a log");
         assert!(log.starts_with(&format!("{role} ")), "{log}");
     }
     fleet.check().expect("all run");
     assert_eq!(fleet.stop_all(Duration::from_secs(10)), 0);
-    assert!(ids.iter().all(|(_, _, id)| !runs(*id)));
+    assert!(started.iter().all(|process| !runs(process.id)));
 }
 
 #[test]
@@ -77,12 +78,12 @@
     fleet.start(Role::Control, 0, true).expect("started");
     fleet.start(Role::Router, 1, true).expect("started");
     wait_for(&fleet.log(Role::Control, 0));
-    let ids = fleet.ids();
+    let started = fleet.started();
     fleet.stop(Role::Control, 0, Duration::from_millis(100));
-    assert!(!runs(ids[0].2) && runs(ids[1].2));
+    assert!(!runs(started[0].id) && runs(started[1].id));
     let folder = fleet.folder.clone();
     drop(fleet);
-    assert!(!runs(ids[1].2) && !folder.exists());
+    assert!(!runs(started[1].id) && !folder.exists());
 }
 
 #[test]
@@ -132,9 +133,10 @@
         assert!(Instant::now() < until, "it did not end");
         ended = fleet.ended();
     }
-    assert!(
-        matches!(ended[..], [(Role::Router, 0, status)] if status.code() == Some(3)),
-        "{ended:?}"
+    assert_eq!(ended.len(), 1);
+    assert_eq!(
+        (ended[0].role, ended[0].machine, ended[0].status.code()),
+        (Role::Router, 0, Some(3))
     );
     assert!(!fleet.has(Role::Router, 0) && fleet.has(Role::Router, 1));
 }
--- a/emulators/src/http.rs
+++ b/emulators/src/http.rs
@@ -57,10 +57,35 @@
     Ok(Some(request))
 }
 
+/// The standard reason phrase of a status, for the status line; empty for one that no emulator is
+/// known to send.
+#[must_use]
+pub fn reason_phrase(status: u16) -> &'static str {
+    match status {
+        200 => "OK",
+        307 => "Temporary Redirect",
+        400 => "Bad Request",
+        404 => "Not Found",
+        408 => "Request Timeout",
+        409 => "Conflict",
+        412 => "Precondition Failed",
+        413 => "Content Too Large",
+        421 => "Misdirected Request",
+        422 => "Unprocessable Content",
+        429 => "Too Many Requests",
+        500 => "Internal Server Error",
+        502 => "Bad Gateway",
+        503 => "Service Unavailable",
+        504 => "Gateway Timeout",
+        _ => "",
+    }
+}
+
 /// Writes a response with this content type and body; `false`: the connection is gone.
-pub fn respond(stream: &mut TcpStream, status: u16, kind: &str, body: &str) -> bool {
+pub fn respond(stream: &mut TcpStream, status: u16, content_type: &str, body: &str) -> bool {
     let head = format!(
-        "HTTP/1.1 {status} Told\r\nContent-Type: {kind}\r\nContent-Length: {}\r\n\r\n",
+        "HTTP/1.1 {status} {}\r\nContent-Type: {content_type}\r\nContent-Length: {}\r\n\r\n",
+        reason_phrase(status),
         body.len()
     );
     stream
--- a/emulators/src/http/tests.rs
+++ b/emulators/src/http/tests.rs
@@ -16,3 +16,9 @@
     assert_eq!(take_request(&mut buffer).unwrap().unwrap().target, "/");
     assert!(buffer.is_empty() && take_request(&mut b"no http at all\r\n\r\n".to_vec()).is_err());
 }
+
+#[test]
+fn status_without_standard_reason_phrase_gets_empty_one() {
+    assert_eq!(reason_phrase(421), "Misdirected Request");
+    assert_eq!(reason_phrase(299), "");
+}
--- a/emulators/src/operator/scripted_control.rs
+++ b/emulators/src/operator/scripted_control.rs
@@ -1,7 +1,9 @@
 //! A scripted control machine: a function chooses its reply to each call, and it records the calls.
 //! For tests of callers.
 
+use crate::http::reason_phrase;
 use crate::stream_client::message::{read_body, read_head, Call};
+use crate::sync::lock;
 use std::io::{BufReader, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
@@ -81,10 +83,7 @@
     /// The calls so far.
     #[must_use]
     pub fn calls(&self) -> Vec<Call> {
-        self.calls
-            .lock()
-            .unwrap_or_else(|poisoned| poisoned.into_inner())
-            .clone()
+        lock(&self.calls).clone()
     }
 }
 
@@ -103,9 +102,7 @@
             body,
         };
         let before = {
-            let mut calls = calls
-                .lock()
-                .unwrap_or_else(|poisoned| poisoned.into_inner());
+            let mut calls = lock(calls);
             calls.push(call.clone());
             calls.len() - 1
         };
@@ -127,7 +124,8 @@
             .map(|(name, value)| format!("{name}: {value}\r\n"))
             .collect();
         let response = format!(
-            "HTTP/1.1 {status} Told\r\n{fields}Content-Length: {}\r\n\r\n{body}",
+            "HTTP/1.1 {status} {}\r\n{fields}Content-Length: {}\r\n\r\n{body}",
+            reason_phrase(status),
             body.len()
         );
         if to.write_all(response.as_bytes()).is_err() {
--- a/emulators/src/rig.rs
+++ b/emulators/src/rig.rs
@@ -8,11 +8,13 @@
 
 pub use verdicts::{judge_deaths, judge_holders, known_members, members_agree, Findings};
 
+use crate::loopback_block::{candidate_networks, LoopbackBlock};
 use crate::relay::Relay;
+use crate::sync::lock;
 use rustix::process::{kill_process, Pid, Signal};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader};
-use std::net::{SocketAddr, TcpListener};
+use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -58,7 +60,7 @@
 
 impl Ledger {
     fn record(&self, started_at: Instant, process: usize, event: Event) {
-        let mut entries = self.entries.lock().unwrap_or_else(|e| e.into_inner());
+        let mut entries = lock(&self.entries);
         entries.push(Entry {
             at: started_at.elapsed(),
             process,
@@ -69,10 +71,7 @@
     /// All entries so far.
     #[must_use]
     pub fn all(&self) -> Vec<Entry> {
-        self.entries
-            .lock()
-            .unwrap_or_else(|e| e.into_inner())
-            .clone()
+        lock(&self.entries).clone()
     }
 }
 
@@ -108,7 +107,7 @@
     processes: BTreeMap<usize, Process>,
     /// What happened so far.
     pub ledger: Ledger,
-    _block_lock: TcpListener,
+    _block: LoopbackBlock,
 }
 
 /// Interval at which [`Rig::until`] reads the ledger.
@@ -116,25 +115,25 @@
 /// The port at which processes listen, each at another address. It lies below the ephemeral ports,
 /// so that no outgoing connection takes it before the process binds it.
 const LISTEN_PORT: u16 = 7_000;
-/// The port whose listener at the last address of a block reserves the block.
+/// The port by which a rig reserves its block of addresses.
 const BLOCK_LOCK_PORT: u16 = 6_999;
 
-/// Reserves a block of 253 loopback addresses for as long as the listener lives.
-fn reserve_block(number: u32) -> std::io::Result<([u8; 3], TcpListener)> {
-    let start = std::process::id().wrapping_mul(31).wrapping_add(number) % 62_500;
-    let mut last = std::io::Error::other("no block of addresses");
-    for i in 0..1_000 {
-        let at = (start + i) % 62_500;
-        let net = [127, 1 + (at / 250) as u8, 1 + (at % 250) as u8];
-        match TcpListener::bind(SocketAddr::from((
-            [net[0], net[1], net[2], 254],
-            BLOCK_LOCK_PORT,
-        ))) {
-            Ok(lock_listener) => return Ok((net, lock_listener)),
-            Err(e) => last = e,
+/// The most processes of a rig: a block has an address for each.
+const MAX_PROCESSES: usize = 253;
+/// The number of blocks of addresses that a rig tries to reserve.
+const BLOCK_ATTEMPTS: u32 = 1_000;
+
+/// Reserves a block of addresses for the rig with this number in its process.
+fn reserve_block(number: u32) -> std::io::Result<LoopbackBlock> {
+    let start = std::process::id().wrapping_mul(31).wrapping_add(number);
+    let mut last_error = std::io::Error::other("no block of addresses");
+    for network in candidate_networks(start, BLOCK_ATTEMPTS) {
+        match LoopbackBlock::reserve(network, BLOCK_LOCK_PORT) {
+            Ok(block) => return Ok(block),
+            Err(error) => last_error = error,
         }
     }
-    Err(last)
+    Err(last_error)
 }
 
 impl Rig {
@@ -148,11 +147,10 @@
         let number = RIG_COUNT.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("rig-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
-        let (net, reserve_block) = reserve_block(number)?;
-        let address = |process: usize| {
-            SocketAddr::from(([net[0], net[1], net[2], 1 + process as u8], LISTEN_PORT))
-        };
-        let addresses: Vec<SocketAddr> = (0..count.min(253)).map(address).collect();
+        let block = reserve_block(number)?;
+        let address =
+            |process: usize| SocketAddr::from((block.address(1 + process as u8), LISTEN_PORT));
+        let addresses: Vec<SocketAddr> = (0..count.min(MAX_PROCESSES)).map(address).collect();
         let mut links = BTreeMap::new();
         for (from, to) in (0..count)
             .flat_map(|a| (0..count).map(move |b| (a, b)))
@@ -171,7 +169,7 @@
             links,
             processes,
             ledger,
-            _block_lock: reserve_block,
+            _block: block,
         })
     }
 
--- a/emulators/src/stream_client/message/tests.rs
+++ b/emulators/src/stream_client/message/tests.rs
@@ -53,7 +53,7 @@
 #[test]
 fn response_redirects_only_by_307() {
     let head = |status: &str| Head {
-        first_line: ["HTTP/1.1".into(), status.into(), "Told".into()],
+        first_line: ["HTTP/1.1".into(), status.into(), "Redirect".into()],
         fields: vec![(
             "Location".into(),
             "http://127.0.0.3:8080/configuration/replace".into(),
--- a/soak/src/clients.rs
+++ b/soak/src/clients.rs
@@ -8,6 +8,7 @@
 use lichenswitch_emulators::stream_client::{
     ClientConnection, ResponseEnd, StreamFault, StreamRequest, StreamedResponse,
 };
+use lichenswitch_emulators::sync::lock;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
 use std::sync::Mutex;
@@ -153,10 +154,7 @@
     /// All requests so far.
     #[must_use]
     pub fn client_requests(&self) -> Vec<ClientRequest> {
-        self.client_requests
-            .lock()
-            .unwrap_or_else(|e| e.into_inner())
-            .clone()
+        lock(&self.client_requests).clone()
     }
 
     /// Asks a router whether it is ready, until the clients are stopped.
@@ -300,10 +298,7 @@
             end,
             faults,
         };
-        self.client_requests
-            .lock()
-            .unwrap_or_else(|e| e.into_inner())
-            .push(one);
+        lock(&self.client_requests).push(one);
     }
 }
 
--- a/soak/src/operators.rs
+++ b/soak/src/operators.rs
@@ -7,6 +7,7 @@
 use fastrand::Rng;
 use lichenswitch_emulators::operator::document::{replace, update, version, Route};
 use lichenswitch_emulators::operator::{Operator, Order, Outcome, Verb};
+use lichenswitch_emulators::sync::lock;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, MutexGuard};
@@ -150,7 +151,7 @@
     }
 
     fn history(&self) -> MutexGuard<'_, OrderHistory> {
-        self.history.lock().unwrap_or_else(|e| e.into_inner())
+        lock(&self.history)
     }
 
     /// No operator begins anything more.
@@ -165,18 +166,12 @@
     /// Orders go to this machine first for so long.
     pub fn generate_until(&self, machine: usize, time: Duration) {
         let until = self.clock.now() + time;
-        *self
-            .generated_until
-            .lock()
-            .unwrap_or_else(|e| e.into_inner()) = Some((machine, until));
+        *lock(&self.generated_until) = Some((machine, until));
     }
 
     /// The machine that an order goes to first.
     fn first_machine(&self, random: &mut Rng) -> usize {
-        let generated_until = *self
-            .generated_until
-            .lock()
-            .unwrap_or_else(|e| e.into_inner());
+        let generated_until = *lock(&self.generated_until);
         let generated_until = generated_until.filter(|(_, until)| self.clock.now() < *until);
         generated_until.map_or_else(
             || random.usize(0..self.control.len()),
--- a/soak/src/processes.rs
+++ b/soak/src/processes.rs
@@ -264,13 +264,13 @@
     }
 
     fn take_ends(&mut self) {
-        for (role, machine, status) in self.fleet.ended() {
-            let target = (role, machine);
+        for ended in self.fleet.ended() {
+            let target = (ended.role, ended.machine);
             let ending = self.ending.remove(&target);
-            if ending.is_none() || !status.success() {
+            if ending.is_none() || !ended.status.success() {
                 self.journal
                     .process_faults
-                    .push(ProcessFault::Ended(target, status.code()));
+                    .push(ProcessFault::Ended(target, ended.status.code()));
             }
             self.start_after(target, ending.map_or(PLATFORM_DELAY, |ending| ending.rest));
         }
--- a/soak/src/servers.rs
+++ b/soak/src/servers.rs
@@ -6,6 +6,7 @@
 use fastrand::Rng;
 use lichenswitch_emulators::model_server::heartbeat::Registration;
 use lichenswitch_emulators::model_server::{Fault, ModelServer, ServerDescription};
+use lichenswitch_emulators::sync::lock;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::thread::{self, JoinHandle};
@@ -120,9 +121,7 @@
             let stopped = Some(clock.now());
             server.crash();
             thread::sleep(SETTLE_TIME);
-            past.lock()
-                .unwrap_or_else(|e| e.into_inner())
-                .push(record(&server, clock, stopped));
+            lock(&past).push(record(&server, clock, stopped));
         }));
         Ok(())
     }
@@ -134,7 +133,7 @@
         self.leaving
             .into_iter()
             .for_each(|leaving| drop(leaving.join()));
-        let mut records = std::mem::take(&mut *self.past.lock().unwrap_or_else(|e| e.into_inner()));
+        let mut records = std::mem::take(&mut *lock(&self.past));
         records.extend(
             self.running
                 .iter()
--- a/soak/src/volatile_disk.rs
+++ b/soak/src/volatile_disk.rs
@@ -7,11 +7,12 @@
 //! [`STALL_FILE`] is in the folder it stalls: no write or sync ends.
 
 use fastrand::Rng;
+use lichenswitch_emulators::sync::lock;
 use lichenswitch_storage::{write_all_at, FileSystem, RealFileSystem, StorageFile};
 use std::collections::BTreeMap;
 use std::io;
 use std::path::{Path, PathBuf};
-use std::sync::{Arc, Mutex, MutexGuard};
+use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::Duration;
 
@@ -61,13 +62,6 @@
     Removed(PathBuf),
 }
 
-/// Nothing here is left half-done by a panic.
-fn lock<T: ?Sized>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex
-        .lock()
-        .unwrap_or_else(std::sync::PoisonError::into_inner)
-}
-
 impl VolatileDisk {
     /// The disk in a folder, with lots from a seed.
     #[must_use]
