--- a/emulators/src/model_server.rs
+++ b/emulators/src/model_server.rs
@@ -2,14 +2,18 @@
 //! of events, registers with the control machines, and keeps a ledger of what was received, run and
 //! rejected. Faults are set by script.
 
+mod admission;
+mod connection;
 pub mod heartbeat;
-mod serve;
+
+pub use admission::RequestLoad;
 
 use crate::stream_client::message::Head;
+use crate::sync::lock;
 use std::collections::VecDeque;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::{Arc, Condvar, Mutex, MutexGuard};
+use std::sync::{Arc, Condvar, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -194,10 +198,6 @@
     }
 }
 
-fn lock<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
-    of.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
-}
-
 /// The faults that are to come.
 #[derive(Debug, Default)]
 struct Script {
@@ -205,13 +205,6 @@
     next: VecDeque<Option<Fault>>,
 }
 
-/// Requests in the slots and before them.
-#[derive(Debug, Default)]
-struct Load {
-    running: usize,
-    waiting: usize,
-}
-
 /// What the threads of a server share.
 #[derive(Debug)]
 struct Shared {
@@ -219,7 +212,8 @@
     address: SocketAddr,
     ledger: Ledger,
     script: Mutex<Script>,
-    load: Mutex<Load>,
+    load: Mutex<RequestLoad>,
+    /// A slot was released, or the server ended.
     freed: Condvar,
     open_connections: Mutex<Vec<TcpStream>>,
     draining: AtomicBool,
@@ -232,7 +226,7 @@
         self.stopped.load(Ordering::SeqCst)
     }
 
-    fn is_leaving(&self) -> bool {
+    fn is_draining(&self) -> bool {
         self.draining.load(Ordering::SeqCst)
     }
 }
@@ -269,7 +263,7 @@
             stopped: AtomicBool::new(false),
         });
         let accepting = shared.clone();
-        thread::spawn(move || serve::accept(&listener, &accepting));
+        thread::spawn(move || connection::accept(&listener, &accepting));
         Ok(ModelServer {
             address,
             ledger,
@@ -301,9 +295,8 @@
 
     /// Requests running and waiting.
     #[must_use]
-    pub fn load(&self) -> (usize, usize) {
-        let load = lock(&self.shared.load);
-        (load.running, load.waiting)
+    pub fn load(&self) -> RequestLoad {
+        *lock(&self.shared.load)
     }
 
     /// Starts to send heartbeats to these control machines.
--- a/emulators/src/model_server/heartbeat.rs
+++ b/emulators/src/model_server/heartbeat.rs
@@ -1,8 +1,9 @@
 //! Reports of a model server to the control machines: heartbeats with its state (`ready` or
 //! `draining`), and its deregistration.
 
-use super::{lock, Event, Shared};
+use super::{Event, Shared};
 use crate::stream_client::message::{Call, Response};
+use crate::sync::lock;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Condvar, Mutex};
@@ -127,7 +128,7 @@
     /// returns whether one did before the deadline.
     fn send_state(&self, deadline: Instant) -> bool {
         let number = self.sequence_number.fetch_add(1, Ordering::SeqCst) + 1;
-        let draining = self.shared.is_leaving();
+        let draining = self.shared.is_draining();
         let description = &self.shared.description;
         let body = serde_json::json!({
             "service": description.service,
--- a/emulators/src/model_server/tests.rs
+++ b/emulators/src/model_server/tests.rs
@@ -28,6 +28,10 @@
         .with("Token-Usage", "8,8")
 }
 
+fn load(running: usize, waiting: usize) -> RequestLoad {
+    RequestLoad { running, waiting }
+}
+
 fn wait_until(event: impl Fn() -> bool) {
     let end = Instant::now() + TEST_TIMEOUT;
     while !event() {
@@ -130,10 +134,10 @@
     server.next_faults([Some(Fault::NoResponse), None, None]);
     let mut first = KeptAliveConnection::new(&server);
     first.write("c1");
-    wait_until(|| server.load() == (1, 0));
+    wait_until(|| server.load() == load(1, 0));
     let mut second = KeptAliveConnection::new(&server);
     second.write("c2");
-    wait_until(|| server.load() == (1, 1));
+    wait_until(|| server.load() == load(1, 1));
     let third = call("c3")
         .send(server.address, TEST_TIMEOUT)
         .expect("an answer");
@@ -162,7 +166,7 @@
     server.next_faults([Some(Fault::NoResponse)]);
     let mut first = KeptAliveConnection::new(&server);
     first.write("d1");
-    wait_until(|| server.load() == (1, 0));
+    wait_until(|| server.load() == load(1, 0));
     let rejected = call("d2")
         .with("Deadline-Ms", 30)
         .send(server.address, TEST_TIMEOUT)
@@ -350,7 +354,7 @@
     assert_eq!(result, Err(MessageError::Timeout));
     wait_until(|| server.ledger.count(|entry| entry.event == Event::Aborted) == 1);
     // The slot is released after the event is recorded, by the connection's thread.
-    wait_until(|| server.load() == (0, 0));
+    wait_until(|| server.load() == load(0, 0));
 }
 
 #[test]
