--- a/emulators/src/features.rs
+++ b/emulators/src/features.rs
@@ -100,6 +100,54 @@
     }
 }
 
+/// The content type of features.
+const GEOJSON: &str = "application/geo+json";
+
+/// What a request gets.
+enum Reply {
+    Features(Json),
+    /// A response without features, with this status.
+    Problem(u16),
+    /// Truncated JSON.
+    Malformed,
+    /// No response.
+    Nothing,
+    /// The connection is closed without a response.
+    Disconnect,
+}
+
+/// The reply that a behavior makes of a request; `None`: it is served.
+fn scripted_reply(behavior: Behavior, request: &Request) -> Option<Reply> {
+    match behavior {
+        Behavior::Withhold(west, east) if is_between(request, west, east) => Some(Reply::Nothing),
+        Behavior::WithholdDetails(west, east)
+            if is_second_phase(request) && is_between(request, west, east) =>
+        {
+            Some(Reply::Nothing)
+        }
+        Behavior::Busy => Some(Reply::Problem(503)),
+        Behavior::Fail => Some(Reply::Problem(500)),
+        Behavior::CantSort if is_sorted(request) => Some(Reply::Problem(400)),
+        Behavior::DisconnectInSecondPhase if is_second_phase(request) => Some(Reply::Disconnect),
+        Behavior::Malformed => Some(Reply::Malformed),
+        _ => None,
+    }
+}
+
+fn is_sorted(request: &Request) -> bool {
+    request.parameter("sortby").is_some()
+}
+
+/// Whether a request is of the second phase of a sorted one, which asks for more than one feature.
+fn is_second_phase(request: &Request) -> bool {
+    is_sorted(request) && request.parameter("limit").is_none_or(|limit| limit != "1")
+}
+
+/// Whether a request asks for features between these longitudes alone; one without bounds does.
+fn is_between(request: &Request, west: f64, east: f64) -> bool {
+    bounds(request).is_none_or(|bounds| bounds[0] >= west && bounds[2] <= east)
+}
+
 impl FeatureServer {
     /// Starts a server of these features on a listener.
     #[must_use]
@@ -138,42 +186,38 @@
         self.ledger().received_targets
     }
 
+    /// Responds to a request as the behavior says; `false`: the connection is closed.
     fn handle(&self, stream: &mut TcpStream, request: &Request) -> bool {
         lock(&self.ledger)
             .received_targets
             .push(request.target.clone());
         let behavior = *lock(&self.behavior);
-        let is_sorted = request.parameter("sortby").is_some();
-        let is_second_phase = is_sorted && request.parameter("limit").is_none_or(|l| l != "1");
-        let within = |west: f64, east: f64| {
-            let requested = bounds(request).map_or((west, east), |b| (b[0], b[2]));
-            requested.0 >= west && requested.1 <= east
-        };
-        let problem = |stream: &mut TcpStream, status| {
-            http::respond(stream, status, "application/problem+json", "{}")
+        let reply = match scripted_reply(behavior, request) {
+            Some(reply) => reply,
+            None => self.reply(request, behavior),
         };
-        match behavior {
-            Behavior::Withhold(west, east) if within(west, east) => return true,
-            Behavior::WithholdDetails(west, east) if is_second_phase && within(west, east) => {
-                return true
+        match reply {
+            Reply::Nothing => true,
+            Reply::Disconnect => false,
+            Reply::Problem(status) => {
+                http::respond(stream, status, "application/problem+json", "{}")
             }
-            Behavior::Busy => return problem(stream, 503),
-            Behavior::Fail => return problem(stream, 500),
-            Behavior::CantSort if is_sorted => return problem(stream, 400),
-            Behavior::DisconnectInSecondPhase if is_second_phase => return false,
-            Behavior::DelayFirstPhase(ms) if is_sorted && !is_second_phase => {
-                thread::sleep(Duration::from_millis(ms))
+            Reply::Malformed => http::respond(stream, 200, GEOJSON, "{\"type\":"),
+            Reply::Features(body) => {
+                lock(&self.ledger).responded.push(request.target.clone());
+                http::respond(stream, 200, GEOJSON, &body.to_string())
             }
-            Behavior::Malformed => {
-                return http::respond(stream, 200, "application/geo+json", "{\"type\":")
+        }
+    }
+
+    fn reply(&self, request: &Request, behavior: Behavior) -> Reply {
+        if let Behavior::DelayFirstPhase(delay_ms) = behavior {
+            if is_sorted(request) && !is_second_phase(request) {
+                thread::sleep(Duration::from_millis(delay_ms));
             }
-            _ => {}
         }
-        let Some(body) = self.body(request, behavior) else {
-            return problem(stream, 404);
-        };
-        lock(&self.ledger).responded.push(request.target.clone());
-        http::respond(stream, 200, "application/geo+json", &body.to_string())
+        self.body(request, behavior)
+            .map_or(Reply::Problem(404), Reply::Features)
     }
 
     fn body(&self, request: &Request, behavior: Behavior) -> Option<Json> {
--- a/emulators/src/frames.rs
+++ b/emulators/src/frames.rs
@@ -2,6 +2,7 @@
 //! script chooses the outcome of each part by its phase; a ledger records which parts were responded
 //! to, cancelled and late.
 
+use crate::sync::lock;
 use std::collections::HashMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,6 +11,19 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
+/// Kind of a greeting and of its response.
+const GREETING: u8 = b'G';
+/// Kind of a health check and of its response.
+const HEALTH_CHECK: u8 = b'T';
+/// Kind of the cancellation of a part.
+const CANCELLATION: u8 = b'A';
+/// Kind of a call with parts.
+const CALL: u8 = b'R';
+/// Kind of the response to a part.
+const RESPONSE: u8 = b'Y';
+/// Kind of the response to a call that can't be read.
+const NOT_UNDERSTOOD: u8 = b'N';
+
 /// The outcome of a part.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PartOutcome {
@@ -82,11 +96,12 @@
     targets: Arc<Mutex<LatencyTargets>>,
 }
 
-fn frame(kind: u8, remaining: &[u8]) -> Vec<u8> {
-    let mut out = (remaining.len() as u32 + 1).to_be_bytes().to_vec();
-    out.push(kind);
-    out.extend_from_slice(remaining);
-    out
+/// Encodes a frame: the length of what follows in four bytes (big-endian), its kind, its content.
+fn frame(kind: u8, content: &[u8]) -> Vec<u8> {
+    let mut bytes = (content.len() as u32 + 1).to_be_bytes().to_vec();
+    bytes.push(kind);
+    bytes.extend_from_slice(content);
+    bytes
 }
 
 /// Why a call can't be read.
@@ -172,15 +187,12 @@
     /// Sets the latency target: responses later than this after the first part of their query are
     /// recorded in [`Ledger::after_target`].
     pub fn set_latency_target(&self, target: Duration) {
-        self.targets
-            .lock()
-            .unwrap_or_else(|e| e.into_inner())
-            .target = Some(target);
+        lock(&self.targets).target = Some(target);
     }
 
     /// Whether the latency target of a query has passed; its first part starts it.
     fn is_past_target(&self, query: &str) -> bool {
-        let mut targets = self.targets.lock().unwrap_or_else(|e| e.into_inner());
+        let mut targets = lock(&self.targets);
         let started_at = *targets
             .started_at
             .entry(query.into())
@@ -197,7 +209,7 @@
     }
 
     fn with_ledger<T>(&self, with: impl FnOnce(&mut Ledger) -> T) -> T {
-        with(&mut self.ledger.lock().unwrap_or_else(|e| e.into_inner()))
+        with(&mut lock(&self.ledger))
     }
 
     fn cancellation_count(&self, id: &str) -> usize {
@@ -206,112 +218,128 @@
 
     /// Serves a connection; when it ends, all parts in flight on it are cancelled.
     fn serve(&self, stream: TcpStream) {
-        let mut received = Vec::new();
-        self.read(stream, &mut received);
+        let mut received_ids = Vec::new();
+        self.serve_frames(stream, &mut received_ids);
         self.with_ledger(|ledger| {
-            let done = |id: &String| {
-                [&ledger.responded, &ledger.late, &ledger.cancelled]
+            let is_unfinished = |id: &String| {
+                ![&ledger.responded, &ledger.late, &ledger.cancelled]
                     .iter()
-                    .any(|l| l.contains(id))
+                    .any(|ids| ids.contains(id))
             };
-            let unfinished: Vec<String> = received.into_iter().filter(|id| !done(id)).collect();
+            let unfinished: Vec<String> = received_ids.into_iter().filter(is_unfinished).collect();
             ledger.cancelled.extend(unfinished);
         });
     }
 
-    fn read(&self, stream: TcpStream, received: &mut Vec<String>) {
-        let Ok(writer) = stream.try_clone() else {
+    /// Handles frames until the connection ends or a frame ends it.
+    fn serve_frames(&self, mut reader: TcpStream, received_ids: &mut Vec<String>) {
+        let Ok(writer) = reader.try_clone() else {
             return;
         };
         let writer = Arc::new(Mutex::new(writer));
-        let mut reader = stream;
-        loop {
-            let mut length = [0; 4];
-            if reader.read_exact(&mut length).is_err() {
+        while let Some(content) = read_frame(&mut reader) {
+            if !self.handle_frame(&writer, content[0], &content[1..], received_ids) {
+                let _ = reader.shutdown(std::net::Shutdown::Both);
                 return;
             }
-            let mut content = vec![0; u32::from_be_bytes(length) as usize];
-            if content.is_empty() || reader.read_exact(&mut content).is_err() {
-                return;
+        }
+    }
+
+    /// Handles a frame of this kind with this content; returns whether the connection goes on.
+    fn handle_frame(
+        &self,
+        writer: &Arc<Mutex<TcpStream>>,
+        kind: u8,
+        content: &[u8],
+        received_ids: &mut Vec<String>,
+    ) -> bool {
+        match kind {
+            GREETING => write(writer, &frame(GREETING, b"OK")),
+            HEALTH_CHECK => write(writer, &frame(HEALTH_CHECK, b"-")),
+            CANCELLATION => {
+                let id = String::from_utf8_lossy(content).into_owned();
+                self.with_ledger(|ledger| ledger.cancelled.push(id));
+                true
             }
-            let (kind, remaining) = (content[0], &content[1..]);
-            let goes_on = match kind {
-                b'G' => write(&writer, &frame(b'G', b"OK")),
-                b'T' => write(&writer, &frame(b'T', b"-")),
-                b'A' => {
-                    let id = String::from_utf8_lossy(remaining).into_owned();
-                    self.with_ledger(|ledger| ledger.cancelled.push(id));
-                    true
+            CALL => match parse_parts(content) {
+                Ok(parts) => {
+                    received_ids.extend(parts.iter().map(|part| part.id.clone()));
+                    parts.into_iter().all(|part| self.run_part(writer, part))
                 }
-                b'R' => match parse_parts(remaining) {
-                    Ok(parse_parts) => {
-                        received.extend(parse_parts.iter().map(|p| p.id.clone()));
-                        parse_parts.into_iter().all(|part| self.take(&writer, part))
-                    }
-                    Err(error) => {
-                        write(&writer, &frame(b'N', error.to_string().as_bytes()));
-                        false
-                    }
-                },
-                _ => false,
-            };
-            if !goes_on {
-                let _ = reader.shutdown(std::net::Shutdown::Both);
-                return;
-            }
+                Err(error) => {
+                    write(writer, &frame(NOT_UNDERSTOOD, error.to_string().as_bytes()));
+                    false
+                }
+            },
+            _ => false,
         }
     }
 
-    /// Carries out the outcome that the script chooses; `false`: the connection ends.
-    fn take(&self, writer: &Arc<Mutex<TcpStream>>, part: PartRequest) -> bool {
-        let fate = (self.script.lock().unwrap_or_else(|e| e.into_inner()))(&part);
+    /// Carries out the outcome that the script chooses for a part; returns whether the connection
+    /// goes on.
+    fn run_part(&self, writer: &Arc<Mutex<TcpStream>>, part: PartRequest) -> bool {
+        let outcome = (lock(&self.script))(&part);
         self.with_ledger(|ledger| ledger.received.push(part.clone()));
         self.is_past_target(part.query());
-        match fate {
+        let respond = |text: &str| write(writer, &frame(RESPONSE, text.as_bytes()));
+        match outcome {
             PartOutcome::NoResponse => true,
             PartOutcome::Disconnect => false,
-            PartOutcome::Error => write(
-                writer,
-                &frame(b'Y', format!("{} ERROR - -\n", part.id).as_bytes()),
-            ),
-            PartOutcome::Reject => write(
-                writer,
-                &frame(b'Y', format!("{} REJECTED - -\n", part.id).as_bytes()),
-            ),
-            PartOutcome::Malformed => write(writer, &frame(b'Y', b"what\n")),
-            PartOutcome::Respond(score, after) => {
+            PartOutcome::Error => respond(&format!("{} ERROR - -\n", part.id)),
+            PartOutcome::Reject => respond(&format!("{} REJECTED - -\n", part.id)),
+            PartOutcome::Malformed => respond("what\n"),
+            PartOutcome::Respond(score, delay_ms) => {
                 let (node, writer) = (self.clone(), writer.clone());
-                let before = self.cancellation_count(&part.id);
-                let due = Instant::now() + Duration::from_millis(after);
+                let cancellations = self.cancellation_count(&part.id);
+                let respond_at = Instant::now() + Duration::from_millis(delay_ms);
                 thread::spawn(move || {
-                    thread::sleep(due.saturating_duration_since(Instant::now()));
+                    thread::sleep(respond_at.saturating_duration_since(Instant::now()));
                     // Cancelled meanwhile; an earlier attempt may have been cancelled, too.
-                    if node.cancellation_count(&part.id) > before {
-                        return;
-                    }
-                    let late = after > part.wait_ms;
-                    if node.is_past_target(part.query()) {
-                        node.with_ledger(|l| l.after_target.push(part.id.clone()));
+                    if node.cancellation_count(&part.id) == cancellations {
+                        node.respond_with_score(&writer, part, score, delay_ms);
                     }
-                    let value = format!("{} OK {score} -\nv{}", part.id, part.shard);
-                    // Recorded before it is sent, so that a test that has the response finds it in the ledger.
-                    node.with_ledger(|l| {
-                        if late { &mut l.late } else { &mut l.responded }.push(part.id)
-                    });
-                    write(&writer, &frame(b'Y', value.as_bytes()));
                 });
                 true
             }
         }
     }
+
+    /// Responds to a part that took `delay_ms`.
+    fn respond_with_score(
+        &self,
+        writer: &Mutex<TcpStream>,
+        part: PartRequest,
+        score: f64,
+        delay_ms: u64,
+    ) {
+        let is_past_target = self.is_past_target(part.query());
+        let response = format!("{} OK {score} -\nv{}", part.id, part.shard);
+        // Recorded before it is sent, so that a test that has the response finds it in the ledger.
+        self.with_ledger(|ledger| {
+            if is_past_target {
+                ledger.after_target.push(part.id.clone());
+            }
+            if delay_ms > part.wait_ms {
+                ledger.late.push(part.id);
+            } else {
+                ledger.responded.push(part.id);
+            }
+        });
+        write(writer, &frame(RESPONSE, response.as_bytes()));
+    }
+}
+
+/// Reads the kind and the content of a frame; `None`: the connection ended, or the frame is empty.
+fn read_frame(reader: &mut TcpStream) -> Option<Vec<u8>> {
+    let mut length = [0; 4];
+    reader.read_exact(&mut length).ok()?;
+    let mut content = vec![0; u32::from_be_bytes(length) as usize];
+    reader.read_exact(&mut content).ok()?;
+    (!content.is_empty()).then_some(content)
 }
 
 fn write(writer: &Mutex<TcpStream>, bytes: &[u8]) -> bool {
-    writer
-        .lock()
-        .unwrap_or_else(|e| e.into_inner())
-        .write_all(bytes)
-        .is_ok()
+    lock(writer).write_all(bytes).is_ok()
 }
 
 #[cfg(test)]
--- a/emulators/src/operator.rs
+++ b/emulators/src/operator.rs
@@ -6,6 +6,7 @@
 pub mod scripted_control;
 
 use crate::stream_client::message::{Call, MessageError};
+use crate::sync::lock;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -111,19 +112,13 @@
     }
 
     fn record(&self, entry: Entry) {
-        self.ledger
-            .lock()
-            .unwrap_or_else(|poisoned| poisoned.into_inner())
-            .push(entry);
+        lock(&self.ledger).push(entry);
     }
 
     /// All entries so far.
     #[must_use]
     pub fn ledger(&self) -> Vec<Entry> {
-        self.ledger
-            .lock()
-            .unwrap_or_else(|poisoned| poisoned.into_inner())
-            .clone()
+        lock(&self.ledger).clone()
     }
 
     /// Sends an order, to the machine with the index `first` first, until it gets a clear response,
@@ -175,13 +170,14 @@
         Ok(())
     }
 
-    /// Sends two orders at the same time, to two machines where there are two.
+    /// Sends two orders at the same time, to two machines where there are two, and returns the outcome
+    /// of each.
     #[must_use]
-    pub fn race(&self, one: &Order, other: &Order, at_most: Duration) -> (Outcome, Outcome) {
+    pub fn race(&self, orders: [&Order; 2], at_most: Duration) -> [Outcome; 2] {
         thread::scope(|scope| {
-            let first = scope.spawn(|| self.send(one, 0, at_most));
-            let second = self.send(other, 1, at_most);
-            (first.join().unwrap_or(Outcome::Unclear), second)
+            let first = scope.spawn(|| self.send(orders[0], 0, at_most));
+            let second = self.send(orders[1], 1, at_most);
+            [first.join().unwrap_or(Outcome::Unclear), second]
         })
     }
 
--- a/emulators/src/operator/tests.rs
+++ b/emulators/src/operator/tests.rs
@@ -96,8 +96,8 @@
         control(|_, _| Reply::status(412)),
     );
     let operator = Operator::new(vec![one.address, other.address]);
-    let outcomes = operator.race(&order(3, 4), &order(3, 5), LONG);
-    assert_eq!(outcomes, (Outcome::Acknowledged, Outcome::OtherVersion));
+    let outcomes = operator.race([&order(3, 4), &order(3, 5)], LONG);
+    assert_eq!(outcomes, [Outcome::Acknowledged, Outcome::OtherVersion]);
     assert!(operator.faults().is_empty());
 }
 
--- a/emulators/src/relay.rs
+++ b/emulators/src/relay.rs
@@ -2,6 +2,7 @@
 //! their length in four bytes (big-endian), and can drop, delay, duplicate and pause them, reset
 //! connections, or be partitioned. Bytes in the opposite direction are forwarded unchanged.
 
+use crate::sync::lock;
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::io::{Read, Write};
@@ -28,13 +29,35 @@
     pub duplicate_share: f64,
 }
 
+/// The numbers of messages that a relay received, by what became of them.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct MessageCounts {
+    /// Messages forwarded; a duplicated one counts once.
+    pub forwarded: u64,
+    /// Messages dropped.
+    pub dropped: u64,
+}
+
 struct State {
     faults: Faults,
     rng: Xoshiro256PlusPlus,
     open_connections: Vec<Weak<TcpStream>>,
-    /// Numbers of messages forwarded and dropped.
-    forwarded: u64,
-    dropped: u64,
+    counts: MessageCounts,
+}
+
+impl State {
+    /// How often the next message is delivered, and after which delay.
+    fn next_delivery(&mut self) -> (usize, Duration) {
+        let faults = self.faults;
+        let delay = Duration::from_millis(faults.delay_ms);
+        if faults.is_partitioned || self.rng.random_bool(faults.loss_share) {
+            self.counts.dropped += 1;
+            return (0, delay);
+        }
+        self.counts.forwarded += 1;
+        let copies = 1 + usize::from(self.rng.random_bool(faults.duplicate_share));
+        (copies, delay)
+    }
 }
 
 /// An emulated network link in one direction. Its threads end with the process.
@@ -57,8 +80,7 @@
             faults: Faults::default(),
             rng,
             open_connections: Vec::new(),
-            forwarded: 0,
-            dropped: 0,
+            counts: MessageCounts::default(),
         };
         let relay = Relay {
             address: listener.local_addr()?,
@@ -74,18 +96,18 @@
     }
 
     fn state<T>(&self, with: impl FnOnce(&mut State) -> T) -> T {
-        with(&mut self.state.lock().unwrap_or_else(|e| e.into_inner()))
+        with(&mut lock(&self.state))
     }
 
     /// Replaces the faults.
     pub fn set(&self, faults: Faults) {
-        self.state(|s| s.faults = faults);
+        self.state(|state| state.faults = faults);
     }
 
     /// Closes all open connections in both directions.
     pub fn reset(&self) {
         for stream in self
-            .state(|s| std::mem::take(&mut s.open_connections))
+            .state(|state| std::mem::take(&mut state.open_connections))
             .iter()
             .filter_map(Weak::upgrade)
         {
@@ -94,10 +116,10 @@
         }
     }
 
-    /// Numbers of messages forwarded and dropped so far.
+    /// The messages so far.
     #[must_use]
-    pub fn message_counts(&self) -> (u64, u64) {
-        self.state(|s| (s.forwarded, s.dropped))
+    pub fn message_counts(&self) -> MessageCounts {
+        self.state(|state| state.counts)
     }
 
     fn accept_connection(&self, from: TcpStream, to: SocketAddr) {
@@ -106,10 +128,12 @@
         };
         // Shared, so that a connection takes two descriptors however many threads use it.
         let (from, onward) = (Arc::new(from), Arc::new(onward));
-        self.state(|s| {
-            s.open_connections
+        self.state(|state| {
+            state
+                .open_connections
                 .retain(|stream| stream.strong_count() > 0);
-            s.open_connections
+            state
+                .open_connections
                 .extend([Arc::downgrade(&from), Arc::downgrade(&onward)]);
         });
         let (back_in, back_out) = (onward.clone(), from.clone());
@@ -136,22 +160,12 @@
             if from.read_exact(&mut message[4..]).is_err() {
                 return;
             }
-            while self.state(|s| s.faults.is_paused) {
+            while self.state(|state| state.faults.is_paused) {
                 thread::sleep(PAUSE_POLL_INTERVAL);
             }
-            let (times, delay) = self.state(|s| {
-                let dropped = s.faults.is_partitioned || s.rng.random_bool(s.faults.loss_share);
-                let times = if dropped {
-                    0
-                } else {
-                    1 + usize::from(s.rng.random_bool(s.faults.duplicate_share))
-                };
-                s.forwarded += u64::from(!dropped);
-                s.dropped += u64::from(dropped);
-                (times, s.faults.delay_ms)
-            });
-            thread::sleep(Duration::from_millis(delay));
-            for _ in 0..times {
+            let (copies, delay) = self.state(State::next_delivery);
+            thread::sleep(delay);
+            for _ in 0..copies {
                 if to.write_all(&message).is_err() {
                     return;
                 }
--- a/emulators/src/stream_client.rs
+++ b/emulators/src/stream_client.rs
@@ -19,8 +19,10 @@
     pub attempt: String,
     /// `Deadline-Ms`: how long the client waits, in milliseconds.
     pub deadline_ms: u64,
-    /// `Token-Usage`: tokens of the prompt, and the most to generate.
-    pub tokens: (u32, u32),
+    /// Tokens of the prompt, the first figure of `Token-Usage`.
+    pub prompt_tokens: u32,
+    /// The most tokens to generate, the second figure of `Token-Usage`.
+    pub output_tokens: u32,
     /// `Prompt-Prefix`, as it is sent.
     pub prompt_prefix: String,
     /// `Last-Event-Id`, where a stream is resumed.
@@ -32,15 +34,16 @@
 }
 
 impl StreamRequest {
-    /// A request with a short prompt that asks for `tokens_out` tokens.
+    /// A request with a short prompt that asks for `output_tokens` tokens.
     #[must_use]
-    pub fn new(host: &str, path: &str, attempt: &str, tokens_out: u32) -> StreamRequest {
+    pub fn new(host: &str, path: &str, attempt: &str, output_tokens: u32) -> StreamRequest {
         StreamRequest {
             host: host.into(),
             path: path.into(),
             attempt: attempt.into(),
             deadline_ms: 5_000,
-            tokens: (48, tokens_out),
+            prompt_tokens: 48,
+            output_tokens,
             prompt_prefix: "5c1e07a2:32,91bd3f06:16".into(),
             last_event_id: None,
             body: b"{\"prompt\":\"where is the nearest scooter\"}".to_vec(),
@@ -56,8 +59,8 @@
             self.host,
             self.attempt,
             self.deadline_ms,
-            self.tokens.0,
-            self.tokens.1,
+            self.prompt_tokens,
+            self.output_tokens,
             self.prompt_prefix,
             self.body.len()
         );
--- a/experiments/src/council.rs
+++ b/experiments/src/council.rs
@@ -328,9 +328,9 @@
         let found = judge_holders(&self.rig.ledger.all(), "d", RESUME_TIMEOUT);
         (self.report.checked, self.report.double_held) = (found.checked, found.wrong.len());
         for (a, b) in self.links() {
-            let (carried, lost) = self.rig.link(a, b).message_counts();
-            self.report.carried += carried;
-            self.report.lost += lost;
+            let counts = self.rig.link(a, b).message_counts();
+            self.report.carried += counts.forwarded;
+            self.report.lost += counts.dropped;
         }
         self.report.taken_over_ms.sort_unstable();
     }
--- a/experiments/src/fleet.rs
+++ b/experiments/src/fleet.rs
@@ -162,9 +162,11 @@
                 report.ways += 1;
                 let to = others[dice.random_range(0..others.len())];
                 rig.cut(who, to, true);
-                let lost = rig.link(who, to).message_counts().1;
+                let lost = rig.link(who, to).message_counts().dropped;
                 // Until some messages were lost there: it has been asked in vain.
-                rig.until(MOST, |_| rig.link(who, to).message_counts().1 >= lost + 5);
+                rig.until(MOST, |_| {
+                    rig.link(who, to).message_counts().dropped >= lost + 5
+                });
                 rig.cut(who, to, false);
             }
         }
@@ -176,8 +178,9 @@
         .iter()
         .flat_map(|a| all.iter().map(move |b| (*a, *b)))
         .filter(|(a, b)| a != b);
-    for (carried, lost) in pairs.map(|(a, b)| rig.link(a, b).message_counts()) {
-        (report.carried, report.lost) = (report.carried + carried, report.lost + lost);
+    for counts in pairs.map(|(a, b)| rig.link(a, b).message_counts()) {
+        report.carried += counts.forwarded;
+        report.lost += counts.dropped;
     }
     let costs: Vec<(f64, f64)> = all.iter().filter_map(|w| cost(rig.pid(*w)?)).collect();
     spent += costs.iter().map(|c| c.0).sum::<f64>();
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -129,7 +129,7 @@
     (0..5).for_each(|i| fleet.rig.cut(i, (i + 1) % 5, true));
     let lost = |fleet: &TestFleet| {
         (0..5)
-            .map(|i| fleet.rig.link(i, (i + 1) % 5).message_counts().1)
+            .map(|i| fleet.rig.link(i, (i + 1) % 5).message_counts().dropped)
             .collect::<Vec<_>>()
     };
     // Long enough for each to have probed the next one several times, in vain.
@@ -167,7 +167,7 @@
     links().for_each(|(a, b)| fleet.rig.link(a, b).set(faults));
     let carried = |fleet: &TestFleet| {
         links()
-            .map(|(a, b)| fleet.rig.link(a, b).message_counts().0)
+            .map(|(a, b)| fleet.rig.link(a, b).message_counts().forwarded)
             .sum::<u64>()
     };
     for round in 1..=3 {
@@ -245,11 +245,13 @@
     let _idle: Vec<TcpStream> = (0..60)
         .map(|_| TcpStream::connect(fleet.rig.addresses[0]).unwrap())
         .collect();
-    let carried = fleet.rig.link(0, 1).message_counts().0;
-    assert!(fleet
+    let carried = fleet.rig.link(0, 1).message_counts().forwarded;
+    assert!(fleet.rig.until(WAIT_TIMEOUT, |_| fleet
         .rig
-        .until(WAIT_TIMEOUT, |_| fleet.rig.link(0, 1).message_counts().0
-            > carried + 5));
+        .link(0, 1)
+        .message_counts()
+        .forwarded
+        > carried + 5));
     assert_eq!(fleet.check_deaths(), 0);
 }
 
