--- a/fleet/tests/control_program.rs
+++ b/fleet/tests/control_program.rs
@@ -109,10 +109,12 @@
 
 #[test]
 fn status_reports_unreachable_machine() {
-    let free = std::net::TcpListener::bind("127.0.0.1:0")
-        .unwrap()
-        .local_addr()
+    // Its port is taken, and nobody listens: one that was free a moment ago may be another test's.
+    let refuses = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+    refuses
+        .bind(&std::net::SocketAddr::from(([127, 0, 0, 1], 0)).into())
         .unwrap();
+    let free = refuses.local_addr().unwrap().as_socket().unwrap();
     let output = run(&["status", &free.to_string()], None);
     assert_eq!(output.status.code(), Some(1));
     assert!(
--- a/fleet/tests/router_configuration.rs
+++ b/fleet/tests/router_configuration.rs
@@ -3,12 +3,12 @@
 mod support;
 
 use lichenswitch_messages::{ConfigurationPosition, ServerState};
-use std::net::{Ipv4Addr, SocketAddr};
+use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::time::Duration;
 use support::client::request;
 use support::control::{position, Control};
 use support::harness::{
-    document, document_of, free_port, record, settings_text, RouterHarness, RouterThread,
+    document, document_of, record, settings_text, RefusingAddress, RouterHarness, RouterThread,
 };
 use support::server::{NextAction, Server};
 
@@ -330,11 +330,22 @@
     );
 }
 
+/// Control machines at these addresses, at a port that is free at both.
+fn control_at_one_port(ips: [Ipv4Addr; 2]) -> [Control; 2] {
+    let listeners = || {
+        let first = TcpListener::bind((ips[0], 0)).ok()?;
+        let port = first.local_addr().ok()?.port();
+        Some([first, TcpListener::bind((ips[1], port)).ok()?])
+    };
+    let found = std::iter::repeat_with(listeners).take(100).flatten().next();
+    found.expect("a port that is free at both").map(Control::on)
+}
+
 #[test]
 fn other_control_machine_is_tried_on_silence_or_lost_contact() {
-    let port = free_port();
     let ips = [Ipv4Addr::new(127, 0, 0, 1), Ipv4Addr::new(127, 0, 0, 2)];
-    let control = ips.map(|ip| Control::at(SocketAddr::from((ip, port))));
+    let control = control_at_one_port(ips);
+    let port = control[0].address.port();
     control[0].push_configuration(1, &document(1, 3_000, 1_000, 2));
     control[1].push_configuration(1, &document(1, 3_000, 1_000, 2));
     let router = RouterThread::start(&settings_text(&ips, port, ""), None);
@@ -480,11 +491,12 @@
 
 #[test]
 fn router_started_before_control_connects_soon() {
-    let port = free_port();
+    let unstarted = RefusingAddress::new();
+    let port = unstarted.address().port();
     let router = RouterThread::start(&settings_text(&[Ipv4Addr::LOCALHOST], port, ""), None);
     std::thread::sleep(Duration::from_millis(700));
     assert_eq!(router.readiness_status(), 503);
-    let control = Control::at(SocketAddr::from(([127, 0, 0, 1], port)));
+    let control = Control::on(unstarted.listen());
     control.push_configuration(1, &document(1, 3_000, 1_000, 2));
     let began = std::time::Instant::now();
     support::wait_until("it is in force", || control.applied().is_some());
@@ -498,7 +510,8 @@
 #[test]
 fn changed_seeds_are_used_with_and_without_signal() {
     for with_signal in [true, false] {
-        let port = free_port();
+        let control = Control::at(SocketAddr::from(([127, 0, 0, 3], 0)));
+        let port = control.address.port();
         let path = std::env::temp_dir().join(format!(
             "router-seeds-{}-{with_signal}.toml",
             std::process::id()
@@ -506,7 +519,6 @@
         let nobody = settings_text(&[Ipv4Addr::new(127, 0, 0, 9)], port, "");
         std::fs::write(&path, &nobody).expect("write");
         let mut router = RouterThread::start(&nobody, Some(path.clone()));
-        let control = Control::at(SocketAddr::from(([127, 0, 0, 3], port)));
         control.push_configuration(1, &document(1, 3_000, 1_000, 2));
         std::fs::write(
             &path,
--- a/fleet/tests/router_process.rs
+++ b/fleet/tests/router_process.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use support::client::{request, Client};
 use support::control::Control;
-use support::harness::{document, free_port, record, settings_text};
+use support::harness::{document, process_ip, record, settings_text};
 use support::server::{NextAction, Server};
 
 /// Ends the process with the test, however that ends.
@@ -44,10 +44,10 @@
         1,
     )]);
     control.push_configuration(1, &document(1, 3_000, 1_000, 2));
-    let (frontend, readiness) = (free_port(), free_port());
+    let [frontend, readiness] = [7_011, 7_012].map(|port| SocketAddr::from((process_ip(), port)));
     let text = settings_text(&[std::net::Ipv4Addr::LOCALHOST], control.address.port(), "")
-        .replacen("127.0.0.1:0", &format!("127.0.0.1:{frontend}"), 1)
-        .replacen("127.0.0.1:0", &format!("127.0.0.1:{readiness}"), 1);
+        .replacen("127.0.0.1:0", &frontend.to_string(), 1)
+        .replacen("127.0.0.1:0", &readiness.to_string(), 1);
     let path = std::env::temp_dir().join(format!("router-process-{}.toml", std::process::id()));
     std::fs::write(&path, text).expect("write");
     let child = Command::new(env!("CARGO_BIN_EXE_lichenswitch-fleet"))
@@ -59,7 +59,7 @@
         .expect("start");
     let mut process = Process(child);
     support::wait_until("it is in force", || control.applied().is_some());
-    let mut client = Client::connect(SocketAddr::from(([127, 0, 0, 1], frontend)));
+    let mut client = Client::connect(frontend);
     client.send(request("POST", "unsafe", "a1", "", "x"));
     support::wait_until("it is held", || server.request_count("a1") == 1);
     process.signal("-HUP");
--- a/fleet/tests/router_server_faults.rs
+++ b/fleet/tests/router_server_faults.rs
@@ -453,7 +453,8 @@
     let gone = Server::start("i-1", |_, _| NextAction::Close);
     let harness = RouterHarness::with_defaults(&[]);
     let mut dead = support::harness::record(&gone, lichenswitch_messages::ServerState::Ready, 1);
-    dead.address = format!("127.0.0.1:{}", support::harness::free_port());
+    let refuses = support::harness::RefusingAddress::new();
+    dead.address = refuses.address().to_string();
     harness.control.push_servers(vec![dead]);
     harness.control.wait_until_acknowledged();
     let reply =
--- a/fleet/tests/router_waiting.rs
+++ b/fleet/tests/router_waiting.rs
@@ -6,7 +6,7 @@
 use std::io::Read;
 use std::time::{Duration, Instant};
 use support::client::{request, Client};
-use support::harness::{document, RouterHarness};
+use support::harness::{document, RefusingAddress, RouterHarness};
 use support::server::{NextAction, Server};
 
 /// Most bytes that a scripted server reads at once.
@@ -182,8 +182,8 @@
 #[test]
 fn unconnected_request_is_refused_at_once_without_retry_budget() {
     let mut server = Server::start("i-1", |_, _| NextAction::Close);
-    // Nobody listens there.
-    server.address.set_port(support::harness::free_port());
+    let refuses = RefusingAddress::new();
+    server.address = refuses.address();
     let harness = without_budget(&[&server]);
     assert_refused_at_once(&harness);
 }
--- a/fleet/tests/support/control.rs
+++ b/fleet/tests/support/control.rs
@@ -57,7 +57,11 @@
 impl Control {
     /// Listens at this address, in contact, with one router.
     pub fn at(address: SocketAddr) -> Control {
-        let listener = TcpListener::bind(address).expect("bind");
+        Control::on(TcpListener::bind(address).expect("bind"))
+    }
+
+    /// The same on this listener.
+    pub fn on(listener: TcpListener) -> Control {
         let address = listener.local_addr().expect("address");
         let state = Arc::new(Mutex::new(State {
             in_contact: true,
--- a/fleet/tests/support/harness.rs
+++ b/fleet/tests/support/harness.rs
@@ -6,6 +6,7 @@
 use lichenswitch_fleet::router::Router;
 use lichenswitch_fleet::settings::Settings;
 use lichenswitch_messages::{ServerRecord, ServerState};
+use socket2::{Domain, Socket, Type};
 use std::io::Write;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::os::unix::net::UnixStream;
@@ -29,12 +30,37 @@
     thread: Option<JoinHandle<Result<(), String>>>,
 }
 
-/// A port that was free a moment ago.
-pub fn free_port() -> u16 {
-    TcpListener::bind("127.0.0.1:0")
-        .and_then(|l| l.local_addr())
-        .expect("a free port")
-        .port()
+/// An address of loopback where connections are refused: its port is taken, and nobody listens.
+///
+/// A port that was merely free a moment ago may be another test's by the time that it is used.
+pub struct RefusingAddress(Socket);
+
+impl RefusingAddress {
+    pub fn new() -> RefusingAddress {
+        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
+        socket
+            .bind(&SocketAddr::from((Ipv4Addr::LOCALHOST, 0)).into())
+            .expect("bind");
+        RefusingAddress(socket)
+    }
+
+    pub fn address(&self) -> SocketAddr {
+        let address = self.0.local_addr().expect("address");
+        address.as_socket().expect("an address of IPv4")
+    }
+
+    /// From now on connections are accepted there.
+    pub fn listen(self) -> TcpListener {
+        self.0.listen(128).expect("listen");
+        self.0.into()
+    }
+}
+
+/// An address of loopback that no other process is given, since it follows from the process id. Ports
+/// below those that the system chooses are free there.
+pub fn process_ip() -> Ipv4Addr {
+    let [_, high, middle, low] = std::process::id().to_be_bytes();
+    Ipv4Addr::new(127, 0b1100_0000 | high & 0b0011_1111, middle, low)
 }
 
 /// Text of a settings file for seeds at this internal port.
