--- a/wire/net/src/tests.rs
+++ b/wire/net/src/tests.rs
@@ -1,6 +1,7 @@
 //! Tests of `net`.
 
 use super::*;
+use lichenswitch_interface::Micros;
 use socket2::SockRef;
 use std::io::Write;
 
@@ -38,12 +39,27 @@
 
 type Net = super::Net<TestProgram>;
 
-/// Whether a listener is ready within a moment.
+/// How long a test waits for what is due before it fails (microseconds).
+const TEST_TIMEOUT: Micros = 10_000_000;
+/// For how long nothing may be reported where nothing is due (microseconds).
+const QUIET_TIME: Micros = 100_000;
+
+/// Whether this is reported within a time.
+fn is_reported_within(net: &mut Net, time: Micros, expected: Ready<Owner, ()>) -> bool {
+    let until = net.clock.now().plus(time);
+    loop {
+        if net.wait(Some(until)).unwrap().contains(&expected) {
+            return true;
+        }
+        if net.clock.now() >= until {
+            return false;
+        }
+    }
+}
+
+/// Whether clients come to wait at the listener.
 fn knocks(net: &mut Net) -> bool {
-    let until = net.clock.now().plus(200_000);
-    net.wait(Some(until))
-        .unwrap()
-        .contains(&Ready::Listener(Owner::Clients))
+    is_reported_within(net, TEST_TIMEOUT, Ready::Listener(Owner::Clients))
 }
 
 #[test]
@@ -64,7 +80,7 @@
     }
     assert!(net.accept(Owner::Clients).is_empty() && net.is_accept_paused());
     assert!(
-        !knocks(&mut net),
+        !is_reported_within(&mut net, QUIET_TIME, Ready::Listener(Owner::Clients)),
         "a listener that can't be served does not spin the loop"
     );
     net.close(open[0]);
@@ -139,13 +155,14 @@
 
 const FILL_LIMIT: usize = 64 * 1024;
 
-/// Whether a connection is reported within a moment.
+/// Whether a connection comes to be reported.
 fn reported(net: &mut Net, id: ConnId) -> bool {
-    let until = net.clock.now().plus(100_000);
-    net.wait(Some(until))
-        .unwrap()
-        .iter()
-        .any(|r| matches!(r, Ready::Conn(other, _) if *other == id))
+    is_reported_within(net, TEST_TIMEOUT, Ready::Conn(id, Owner::Servers))
+}
+
+/// Whether a connection is not reported for a moment.
+fn is_quiet(net: &mut Net, id: ConnId) -> bool {
+    !is_reported_within(net, QUIET_TIME, Ready::Conn(id, Owner::Servers))
 }
 
 #[test]
@@ -192,7 +209,7 @@
     let (mut net, id, mut other) = connected();
     assert_eq!(net.pause(id, true), TransferProgress::Alive);
     other.write_all(b"abc").unwrap();
-    assert!(!reported(&mut net, id) && net.get(id).unwrap().paused());
+    assert!(is_quiet(&mut net, id) && net.get(id).unwrap().paused());
     assert_eq!(
         (
             net.transfer(id, FILL_LIMIT),
@@ -205,7 +222,7 @@
     assert_eq!(net.flush(id, false), TransferProgress::Alive);
     let mut got = [0; 2];
     other.read_exact(&mut got).unwrap();
-    assert!(&got == b"xy" && !reported(&mut net, id));
+    assert!(&got == b"xy" && is_quiet(&mut net, id));
     assert_eq!(net.pause(id, false), TransferProgress::Alive);
     assert!(reported(&mut net, id));
     assert_eq!(
@@ -225,7 +242,7 @@
         .set_linger(Some(Duration::ZERO))
         .unwrap();
     drop(other);
-    assert!(!reported(&mut net, id), "nothing is to be done about it");
+    assert!(is_quiet(&mut net, id), "nothing is to be done about it");
     assert_eq!(net.pause(id, false), TransferProgress::Alive);
     assert!(reported(&mut net, id));
     assert_eq!(net.transfer(id, FILL_LIMIT), TransferProgress::Broken);
@@ -270,7 +287,7 @@
     assert_eq!(net.transfer(id, 20_000), TransferProgress::Alive);
     let held = net.get(id).unwrap().input.bytes().len();
     assert!((20_000..20_000 + 16 * 1024).contains(&held), "{held}");
-    assert!(!reported(&mut net, id), "it is full");
+    assert!(is_quiet(&mut net, id), "it is full");
 }
 
 #[test]
