--- a/emulators/src/fleet_processes/tests.rs
+++ b/emulators/src/fleet_processes/tests.rs
@@ -13,10 +13,18 @@
         let folder =
             std::env::temp_dir().join(format!("fleet-script-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
-        let program = folder.join("program");
-        std::fs::write(&program, format!("#!/bin/sh\n{text}\n")).expect("written");
-        std::fs::set_permissions(&program, std::fs::Permissions::from_mode(0o755))
+        let (written, program) = (folder.join("written"), folder.join("program"));
+        std::fs::write(&written, format!("#!/bin/sh\n{text}\n")).expect("written");
+        std::fs::set_permissions(&written, std::fs::Permissions::from_mode(0o755))
             .expect("permissions");
+        // The system runs no program that a process has open for writing. One that another test
+        // forks has what this one has open until it begins to run: the copy is written elsewhere.
+        let copied = Command::new("cp")
+            .arg("-p")
+            .args([&written, &program])
+            .status()
+            .expect("cp");
+        assert!(copied.success());
         Script(program)
     }
 }
@@ -100,8 +108,24 @@
     assert!(!file.exists());
 }
 
+/// Whether this process ignores a signal, as the programs that it starts do then: a shell can't trap
+/// what was ignored when it was started.
+fn ignores(signal: Signal) -> bool {
+    let status = std::fs::read_to_string("/proc/self/status").expect("/proc/self/status");
+    let ignored = status
+        .lines()
+        .find_map(|line| line.strip_prefix("SigIgn:"))
+        .expect("a line SigIgn");
+    let ignored = u64::from_str_radix(ignored.trim(), 16).expect("a mask of signals");
+    ignored & 1 << (signal.as_raw() - 1) != 0
+}
+
 #[test]
 fn paused_process_receives_its_signals_on_resume() {
+    assert!(
+        !ignores(Signal::HUP),
+        "the tests were started with SIGHUP ignored, as nohup does: run them without it"
+    );
     let text = "trap 'echo again' HUP\ntrap 'exit 3' TERM\necho up\nwhile :; do sleep 0.01; done";
     let script = Script::new("frozen", text);
     let mut fleet = FleetProcesses::new(&script.0, 2)
