--- a/emulators/src/operator/tests.rs
+++ b/emulators/src/operator/tests.rs
@@ -56,7 +56,7 @@
     let machine = control(|_, _| Reply::status(429));
     let operator = Operator::new(vec![machine.address]);
     assert_eq!(
-        operator.send(&order(0, 1), 0, Duration::from_millis(200)),
+        operator.send(&order(0, 1), 0, Duration::from_secs(2)),
         Outcome::Unclear
     );
     assert!(machine.calls().len() > 1);
--- a/emulators/src/stream_client/tests.rs
+++ b/emulators/src/stream_client/tests.rs
@@ -81,7 +81,7 @@
     }
     server.next_faults([Some(Fault::SilentAfter(1))]);
     let streamed = request("a4")
-        .send(server.address, Duration::from_millis(500), |_| {})
+        .send(server.address, Duration::from_secs(2), |_| {})
         .expect("a head");
     assert_eq!(streamed.end, ResponseEnd::TimedOut);
 }
