--- a/src/discovery/tests.rs
+++ b/src/discovery/tests.rs
@@ -563,10 +563,12 @@
 #[test]
 fn refused_call_is_repeated_soon_and_a_drain_read_in_time() {
     for instances in [1, 6, 300] {
-        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let address = listener.local_addr().unwrap();
-        // Discovery is down: its address refuses.
-        drop(listener);
+        // Discovery is down: its address refuses, and nobody else is given its port.
+        let down =
+            socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+        down.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+            .unwrap();
+        let address = down.local_addr().unwrap().as_socket().unwrap();
         let (mut net, mut directory) = (Net::new(64).unwrap(), Directory::default());
         let mut client =
             Discovery::new(address, Some(41), CallPacer::new(7, instances, 10_000_000));
@@ -588,7 +590,8 @@
         }
         assert_eq!(refused, 4, "{instances} brokers");
         // It is back, with a change.
-        let (back, listener) = (net.clock.now(), TcpListener::bind(address).unwrap());
+        down.listen(128).unwrap();
+        let (back, listener) = (net.clock.now(), TcpListener::from(down));
         let mut stream = asked(&mut net, &mut client, &listener);
         assert!(
             net.clock.now().since(back) <= 2_200_000,
--- a/src/upstream/tests/sending.rs
+++ b/src/upstream/tests/sending.rs
@@ -5,21 +5,18 @@
 use crate::core::Dispatch;
 use crate::interface::{Outcome, ServerId, Shard};
 use std::io::{Read, Write};
-use std::net::TcpListener;
 use std::rc::Rc;
 
 #[test]
 fn a_refused_connection_never_ran() {
     let mut stage = Stage::new(LIMITS);
-    // Bound by then nobody: the port was free a moment ago.
-    stage.listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = stage.listener.local_addr().unwrap();
-    let job = Rc::new(Job::default());
-    let gone = TcpListener::bind("127.0.0.1:0")
-        .unwrap()
-        .local_addr()
+    // Its port is taken, and nobody listens: one that was free a moment ago may be another test's.
+    let refuses = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+    refuses
+        .bind(&std::net::SocketAddr::from(([127, 0, 0, 1], 0)).into())
         .unwrap();
-    assert_ne!(address, gone);
+    let gone = refuses.local_addr().unwrap().as_socket().unwrap();
+    let job = Rc::new(Job::default());
     let part = Dispatch {
         attempt: 9,
         job,
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -5,7 +5,7 @@
 
 use platformed::{answer, query, SETTINGS};
 use std::io::{BufRead, BufReader, Read, Write};
-use std::net::{TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::{Child, Command, Stdio};
 use std::sync::mpsc;
 use std::thread;
@@ -33,10 +33,13 @@
 fn filled(name: &str, sockets: usize, system: usize) {
     let path =
         std::env::temp_dir().join(format!("lichenswitch-{name}-{}.json", std::process::id()));
-    let [node, list] = [(); 2].map(|()| TcpListener::bind("127.0.0.1:0").unwrap());
-    let (node_at, list_at) = (node.local_addr().unwrap(), list.local_addr().unwrap());
-    // Discovery is down: its address refuses.
-    drop(list);
+    let node = TcpListener::bind("127.0.0.1:0").unwrap();
+    let node_at = node.local_addr().unwrap();
+    // Discovery is down: its address refuses, and nobody else is given its port.
+    let list = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+    list.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+        .unwrap();
+    let list_at = list.local_addr().unwrap().as_socket().unwrap();
     let lines = |lifecycle: &str, generation: u32| {
         format!(
             r#"{{"generation":{generation},"reset":true,"instances":[{{"instanceId":"s","hostPort":"{node_at}","zone":"a",
@@ -91,7 +94,8 @@
     let spent = ticks(&broker.0) - before;
     assert!(spent < 40, "{spent} of 150 ticks: a loop spins");
     // Discovery is back, with a change: the node drains.
-    let list = TcpListener::bind(list_at).unwrap();
+    list.listen(128).unwrap();
+    let list = TcpListener::from(list);
     let back = Instant::now();
     let (told, heard) = mpsc::channel();
     let drains = lines("DRAINING", 2);
