--- a/src/upstream/tests.rs
+++ b/src/upstream/tests.rs
@@ -28,7 +28,15 @@
 }
 
 impl Stage {
+    /// Answers are slow as a rule: no connection is mute while a test takes its time.
     fn new(limits: Limits) -> Stage {
+        let mut stage = Stage::with_quick_answers(limits);
+        stage.pool.usual_response_time.add(60e6, 1.0);
+        stage
+    }
+
+    /// Nothing is known of answers: a connection is mute after [`MUTE_MIN`].
+    fn with_quick_answers(limits: Limits) -> Stage {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let mut pool = Pool::new(Frames, limits);
         // Most tests are of a node that has just started.
@@ -72,8 +80,6 @@
     /// One call to each of as many servers as there are descriptors for, and the servers' ends of
     /// their connections.
     fn fill(&mut self) -> Vec<TcpStream> {
-        // Answers are slow as a rule: nothing is mute while this test takes its time.
-        self.pool.usual_response_time.add(60e6, 1.0);
         let mut streams = Vec::new();
         while self.pool.parked.is_empty() {
             self.send_to(ServerId(100 + streams.len() as u32), "x");
--- a/src/upstream/tests/receiving.rs
+++ b/src/upstream/tests/receiving.rs
@@ -27,8 +27,6 @@
 #[test]
 fn connection_end_counts_as_reset_only_after_the_whole_frame_was_written() {
     let mut stage = Stage::new(LIMITS);
-    // Answers are slow as a rule: it is not mute while this test takes its time.
-    stage.pool.usual_response_time.add(60e6, 1.0);
     let sent = stage.send("x");
     let mut stream = stage.accept();
     frame(&mut stream);
@@ -125,7 +123,7 @@
 
 #[test]
 fn a_connection_that_fell_silent_gets_nothing_new_until_it_speaks() {
-    let mut stage = Stage::new(Limits {
+    let mut stage = Stage::with_quick_answers(Limits {
         streams: 32,
         ..LIMITS
     });
@@ -156,7 +154,7 @@
 
 #[test]
 fn mute_connection_is_given_up_once_another_to_its_node_is_active() {
-    let mut stage = Stage::new(Limits {
+    let mut stage = Stage::with_quick_answers(Limits {
         streams: 32,
         ..LIMITS
     });
--- a/src/upstream/tests/withdrawing.rs
+++ b/src/upstream/tests/withdrawing.rs
@@ -99,7 +99,6 @@
     for recalled in [true, false] {
         let mut stage = Stage::new(LIMITS);
         stage.pool.greeted_until.clear();
-        stage.pool.usual_response_time.add(60e6, 1.0);
         // Far more than the system's buffers take: its last byte can't be written while nobody
         // reads.
         let attempt = stage.send(&"y".repeat(32 << 20));
