--- a/tests/management.rs
+++ b/tests/management.rs
@@ -136,7 +136,7 @@
     // The only holder is the last resort until shortly before the rule on drains, two seconds, ends
     // that.
     let started_at = Instant::now();
-    loop {
+    let last = loop {
         client
             .write_all(&query(
                 "fleet-search",
@@ -144,17 +144,13 @@
                 &[0],
             ))
             .unwrap();
-        match broker.got.recv_timeout(Duration::from_millis(200)) {
-            Ok(mut got) => got
-                .parts()
-                .iter()
-                .for_each(|id| got.answer(&format!("{id} OK 1 -\nv"))),
-            Err(_) => break,
+        let served = serve_until_response(&broker.got, &mut client);
+        if served.calls == 0 {
+            break served;
         }
-        answer(&mut client);
         assert!(started_at.elapsed() < Duration::from_millis(1_500));
-    }
-    assert_eq!(answer(&mut client).status, 503);
+    };
+    assert_eq!(last.status, 503);
     // Lists that have it as serving come in between.
     let node_at = list
         .split("hostPort\":\"")
@@ -178,14 +174,12 @@
         client
             .write_all(&query("fleet-search", &format!("back-{id}"), &[0]))
             .unwrap();
-        if let Ok(mut got) = broker.got.recv_timeout(Duration::from_millis(100)) {
-            got.parts()
-                .iter()
-                .for_each(|id| got.answer(&format!("{id} OK 1 -\nv")));
-            assert_eq!(answer(&mut client).status, 200);
+        let served = serve_until_response(&broker.got, &mut client);
+        if served.calls > 0 {
+            assert_eq!(served.status, 200);
             break;
         }
-        assert_eq!(answer(&mut client).status, 503);
+        assert_eq!(served.status, 503);
         assert!(
             started_at.elapsed() < Duration::from_secs(5),
             "used again within 5 s"
--- a/tests/platformed/mod.rs
+++ b/tests/platformed/mod.rs
@@ -6,7 +6,7 @@
 use lichenswitch::config::Platform;
 use lichenswitch::http::{self, Parsed, Response};
 use lichenswitch::management::ManagementHandle;
-use std::io::{Read, Write};
+use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::os::unix::net::UnixStream;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -42,6 +42,13 @@
             .collect()
     }
 
+    /// Answers each part of a call.
+    pub fn answer_all(&mut self) {
+        for id in self.parts() {
+            self.answer(&format!("{id} OK 1 -\nv"));
+        }
+    }
+
     pub fn answer(&mut self, line: &str) {
         let mut bytes = (line.len() as u32 + 1).to_be_bytes().to_vec();
         bytes.push(b'Y');
@@ -325,6 +332,37 @@
     String::from_utf8(response.body.clone()).unwrap()
 }
 
+/// How a query ended.
+#[derive(Debug, PartialEq, Eq)]
+pub struct Served {
+    pub status: u16,
+    /// Calls that the data node got meanwhile.
+    pub calls: usize,
+}
+
+/// Answers the calls that a data node gets until this client has its response: however long a call
+/// takes to the data node, none is missed.
+pub fn serve_until_response(calls: &Receiver<Got>, client: &mut TcpStream) -> Served {
+    let begun = Instant::now();
+    let mut count = 0;
+    client.set_nonblocking(true).unwrap();
+    while client
+        .peek(&mut [0])
+        .is_err_and(|e| e.kind() == ErrorKind::WouldBlock)
+    {
+        assert!(begun.elapsed() < Duration::from_secs(20), "no response");
+        if let Ok(mut got) = calls.recv_timeout(Duration::from_millis(1)) {
+            got.answer_all();
+            count += 1;
+        }
+    }
+    client.set_nonblocking(false).unwrap();
+    Served {
+        status: answer(client).status,
+        calls: count,
+    }
+}
+
 /// Answers parts until `count` have been; tells the frames.
 pub fn serve(stage: &Platformed, count: usize) -> Vec<String> {
     let (mut served, mut frames) = (0, Vec::new());
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -172,15 +172,21 @@
     old.wait_for_log("new clients are left to it");
     new.signal("-CONT");
     // Each gets a final answer; what is beyond what one data node bears is refused.
-    while let Ok(mut got) = broker.requests.recv_timeout(Duration::from_millis(500)) {
-        got.parts()
-            .iter()
-            .for_each(|id| got.answer(&format!("{id} OK 1 -\nv")));
-    }
-    let served = clients.iter_mut().map(|client| answer(client).status);
-    let served: Vec<u16> = served
-        .inspect(|status| assert!([200, 503].contains(status)))
-        .collect();
+    let served: Vec<u16> = thread::scope(|scope| {
+        let waiting: Vec<_> = clients
+            .iter_mut()
+            .map(|client| scope.spawn(|| answer(client).status))
+            .collect();
+        while !waiting.iter().all(thread::ScopedJoinHandle::is_finished) {
+            if let Ok(mut got) = broker.requests.recv_timeout(Duration::from_millis(10)) {
+                got.answer_all();
+            }
+        }
+        let statuses = waiting.into_iter().map(|client| client.join().unwrap());
+        statuses
+            .inspect(|status| assert!([200, 503].contains(status)))
+            .collect()
+    });
     assert!(served.contains(&200) && new.is_running());
     assert!(old.wait_for_exit().success());
 }
@@ -219,17 +225,11 @@
     let started_at = Instant::now();
     for id in 0.. {
         let mut client = broker.query_client(&format!("old-{id}"));
-        match broker.requests.recv_timeout(Duration::from_millis(100)) {
-            Ok(mut got) => got
-                .parts()
-                .iter()
-                .for_each(|id| got.answer(&format!("{id} OK 1 -\nv"))),
-            Err(_) => {
-                assert_eq!(answer(&mut client).status, 503);
-                break;
-            }
+        let served = serve_until_response(&broker.requests, &mut client);
+        if served.calls == 0 {
+            assert_eq!(served.status, 503);
+            break;
         }
-        answer(&mut client);
         assert!(
             started_at.elapsed() < Duration::from_millis(1_900),
             "the rule on drains allows two seconds"
@@ -282,7 +282,7 @@
                 .map(|listener| (broker, listener))
         })
         .unwrap();
-    let calls = TcpListener::bind("127.0.0.1:0").unwrap();
+    let calls = TcpListener::bind(free_address()).unwrap();
     let mut process = broker.start_at(calls.local_addr().unwrap());
     process.wait_for_log("is in use");
     let calls = {
