--- a/fleet/tests/control_servers.rs
+++ b/fleet/tests/control_servers.rs
@@ -25,6 +25,13 @@
     );
     fleet.await_voters(fleet.primary(&[0, 1, 2]), 3);
 
+    // The machine may have joined after the order was accepted.
+    wait_for("the first machine to be in contact", || {
+        fleet
+            .status(0)
+            .contains("\"in_contact\":true,\"leaving\":false,\"configuration_version\":1")
+            .then_some(())
+    });
     // A router gets the configuration first, then the heartbeat by whose contact it takes the former
     // as current, then the complete table.
     let mut near = FakeRouter::connect(fleet.machines[0].internal, "near");
--- a/fleet/tests/control_tenants.rs
+++ b/fleet/tests/control_tenants.rs
@@ -116,6 +116,11 @@
         ControlToRouter::Configuration { position, .. } => Some(position),
         _ => None,
     });
+    // The machine may have joined after the order was accepted, and not be in contact yet.
+    router.next_matching(|message| match message {
+        ControlToRouter::Heartbeat { in_contact, .. } => in_contact.then_some(()),
+        _ => None,
+    });
     router.send_tenant_message(&TenantMessage::Confirm { sent_at_us: 77 });
     let confirmed = router.next_tenant_message(Duration::from_secs(5));
     assert_eq!(
