--- a/wire/net/src/tests.rs
+++ b/wire/net/src/tests.rs
@@ -42,7 +42,7 @@
 /// How long a test waits for what is due before it fails (microseconds).
 const TEST_TIMEOUT: Micros = 10_000_000;
 /// For how long nothing may be reported where nothing is due (microseconds).
-const QUIET_TIME: Micros = 100_000;
+const QUIET_TIME: Micros = 200_000;
 
 /// Whether this is reported within a time.
 fn is_reported_within(net: &mut Net, time: Micros, expected: Ready<Owner, ()>) -> bool {
