--- a/src/broker.rs
+++ b/src/broker.rs
@@ -2,41 +2,26 @@
 //! carries out what came back.
 
 use crate::config::{self, ConfigError};
-use crate::contract::Contracts;
-use crate::core::Core;
-use crate::decide::discovery::call_pacer::CallPacer;
-use crate::decide::phases::Planner;
-use crate::discovery::{Directory, Discovery, Instance, Lifecycle};
+use crate::discovery::Discovery;
 use crate::front::ogc::Ogc;
-use crate::front::platform::{Class, Platform};
-use crate::front::Sessions;
-use crate::interface::{self, Micros, ServerListUpdate, Time};
-use crate::log_writer::log;
+use crate::front::platform::Platform;
+use crate::interface::{Micros, Time};
 use crate::management::{self, ManagementHandle};
-use crate::net::{self, ConnId, Net, Owner, Ready, Signal, Timer};
+use crate::net::{self, Net, Owner, Ready, Signal, Timer};
 use crate::peer::group::{JoinError, PeerGroup};
 use crate::service::Service;
 use crate::upstream::frames::Frames;
 use crate::upstream::ogc::Features;
-use crate::upstream::{Limits, Pool};
 use lichenswitch_management::processes::{self, ProcessShares};
 use std::io;
 use std::net::SocketAddr;
 use std::os::unix::net::UnixStream;
 use thiserror::Error;
 
-/// New connections keep arriving for so long after the signal to stop: the front layer learns of it
-/// late.
-const LISTEN_ON: Micros = 500_000;
-/// The process is killed later after the signal than the longest time of its clients, or than this
-/// where that is more.
-const KILLED: Micros = 3_000_000;
-/// After this long a stop does not wait for clients that read no answer.
-const STOP_MOST: Micros = 15_000_000;
-/// How often room is looked for while clients wait to be accepted.
-const ROOM_LOOK: Micros = 50_000;
-/// How often a broker that stops looks whether it has finished.
-const STOP_LOOK: Micros = 20_000;
+/// How often a descriptor is looked for while clients wait to be accepted.
+const ACCEPT_RETRY_INTERVAL: Micros = 50_000;
+/// How often a broker that stops checks whether it has finished.
+const SHUTDOWN_CHECK_INTERVAL: Micros = 20_000;
 
 /// Why the broker can't serve.
 #[derive(Debug, Error)]
@@ -72,22 +57,29 @@
     peers: Option<PeerGroup>,
     /// The handle of the management thread, where an address is set for it.
     management: Option<ManagementHandle>,
-    /// The platform's clients are to be listened for, by this name and at this address; that it is
-    /// in use has been logged.
-    unopened: Option<(String, SocketAddr)>,
-    kept_out: bool,
+    /// The listener for the platform's clients, until it is open.
+    pending_listener: Option<PendingListener>,
+    /// That the address of that listener is in use has been logged.
+    is_address_conflict_logged: bool,
     /// What the rule on drains allows (microseconds).
     stop_within: Micros,
     /// This process leaves its clients to another one of the broker.
-    leaving: bool,
-    /// Its parts of what is allowed to the broker.
-    parts: ProcessShares,
+    is_leaving: bool,
+    /// Its shares of what is allowed to the broker.
+    shares: ProcessShares,
     /// Reads the platform's configuration again.
     reread: Option<Reread>,
-    /// When the signal to stop came.
-    stopping: Option<Time>,
+    /// When the signal to stop came; `None`: it has not.
+    shutdown_started_at: Option<Time>,
     /// That more data nodes are listed than the descriptors bear has been logged.
-    crowded: bool,
+    is_node_excess_logged: bool,
+}
+
+/// A listener that is to be opened.
+struct PendingListener {
+    /// The name of the broker, for the log.
+    name: String,
+    address: SocketAddr,
 }
 
 /// Reads the platform's configuration; `None`: there is none any more.
@@ -108,6 +100,8 @@
 
 // Behind the macro, which they use.
 mod operators;
+mod server_list;
+mod startup;
 mod stopping;
 
 impl Broker {
@@ -119,14 +113,14 @@
         platform: Option<config::Platform>,
         ogc: Option<config::Ogc>,
     ) -> Result<Broker, BrokerError> {
-        Broker::managed(platform, ogc, None)
+        Broker::with_management(platform, ogc, None)
     }
 
     /// As [`Broker::new`], with a management interface for operators.
     ///
     /// # Errors
     /// There is nothing to serve, or the system refuses a poller or an address.
-    pub fn managed(
+    pub fn with_management(
         platform: Option<config::Platform>,
         ogc: Option<config::Ogc>,
         mut management: Option<ManagementHandle>,
@@ -140,15 +134,15 @@
         // Guards discovery's own place: shares of more than the system gives would be taken by
         // whoever comes first.
         let sockets = sockets.min(net::system_limit().unwrap_or(sockets));
-        let set_aside = management
+        let reserved = management
             .as_ref()
             .map_or(0, |_| management::reserved_descriptors(sockets));
-        let mut net = Net::new(sockets - set_aside).map_err(BrokerError::Poller)?;
-        if let Some(woken) = management
+        let mut net = Net::new(sockets - reserved).map_err(BrokerError::Poller)?;
+        if let Some(wake_stream) = management
             .as_mut()
             .and_then(ManagementHandle::take_wake_stream)
         {
-            net.watch_signal(Signal::Orders, woken)
+            net.watch_signal(Signal::Orders, wake_stream)
                 .map_err(BrokerError::Orders)?;
         }
         let mut broker = Broker {
@@ -158,149 +152,22 @@
             ogc: None,
             peers: None,
             management,
-            unopened: None,
-            kept_out: false,
+            pending_listener: None,
+            is_address_conflict_logged: false,
             stop_within: 0,
-            leaving: false,
-            parts: processes::SINGLE_PROCESS,
+            is_leaving: false,
+            shares: processes::SINGLE_PROCESS,
             reread: None,
-            stopping: None,
-            crowded: false,
+            shutdown_started_at: None,
+            is_node_excess_logged: false,
         };
         platform.map_or(Ok(()), |platform| broker.serve_platform(platform))?;
         ogc.map_or(Ok(()), |ogc| broker.serve_ogc(ogc))?;
-        broker.share();
+        broker.apply_process_shares();
         broker.apply_list_updates(None);
         Ok(broker)
     }
 
-    fn serve_platform(&mut self, config: config::Platform) -> Result<(), BrokerError> {
-        let classes = config.classes.iter().zip(&config.settings.classes);
-        let classes = classes
-            .map(|(name, c)| Class {
-                name: name.clone(),
-                repeat: c.repeat,
-                deadline: c.deadline,
-            })
-            .collect();
-        let mut directory = Directory::new(config.zones).with_cells(config.settings.layout.cells);
-        // Before any list: nothing is to be sent to data nodes that operators have taken out.
-        self.stop_within = config.stop_within;
-        let now = self.net.clock.now();
-        self.management.iter().for_each(|management| {
-            _ = directory.set_overrides(self.overrides(&management.orders(), now))
-        });
-        let pace = match config.settings.discovery {
-            interface::Discovery::Ask(every) => {
-                CallPacer::new(config.seed, config.settings.instances, every)
-            }
-            interface::Discovery::Push => CallPacer::for_agent(config.seed),
-        };
-        let mut core = Core::new(
-            config.seed,
-            config.settings,
-            Contracts::default(),
-            config.memory,
-        );
-        core.plan_by(Planner::new(config.phases.rules), config.phases.explain);
-        let known = config.known.unwrap_or_default();
-        let generation = (!known.instances.is_empty()).then_some(known.generation);
-        let known = ServerListUpdate::Cached(directory.replace_list(&known.instances));
-        let pool = Pool::new(Frames, limits(config.connections));
-        self.unopened = Some((config.name, config.listen));
-        self.open_listener()?;
-        let (front, sessions) = (
-            Platform::new(classes, config.tenants),
-            Sessions::new(config.memory),
-        );
-        let mut service = Service::new(Owner::Platform, front, sessions, core, pool, directory);
-        service.apply_list_update(known);
-        self.platform = Some(service);
-        let discovery = Discovery::new(config.discovery, generation, pace);
-        self.discovery = Some(discovery.stopping_within(config.stop_within));
-        Ok(())
-    }
-
-    fn serve_ogc(&mut self, config: config::Ogc) -> Result<(), BrokerError> {
-        let mut directory = Directory::new(config.inventory.zones);
-        let mut core = Core::new(
-            config.seed,
-            config.settings,
-            Contracts::new(config.contracts),
-            config.memory,
-        );
-        core.plan_by(Planner::new(config.phases.rules), config.phases.explain);
-        let line = |node: &crate::inventory::Node| Instance {
-            instance_id: node.name.clone(),
-            host_port: node.address.to_string(),
-            zone: node.zone.clone(),
-            cell: Some(node.cell),
-            lifecycle: Lifecycle::Serving,
-            started_at_ms: 0,
-        };
-        let instances: Vec<Instance> = config.inventory.nodes.iter().map(line).collect();
-        core.listed(ServerListUpdate::Complete(
-            directory.replace_list(&instances),
-        ));
-        let pool = Pool::new(Features::default(), limits(config.connections));
-        let front = Ogc::new(config.title, config.collections, config.inventory.slices);
-        let address = self.listen(Owner::Ogc, config.listen)?;
-        log(&format!("OGC API Features listens on {address}"));
-        self.ogc = Some(Service::new(
-            Owner::Ogc,
-            front,
-            Sessions::new(config.memory),
-            core,
-            pool,
-            directory,
-        ));
-        Ok(())
-    }
-
-    /// Listens for the platform's clients, if it does not yet.
-    fn open_listener(&mut self) -> Result<(), BrokerError> {
-        let Some((name, address)) = self.unopened.take() else {
-            return Ok(());
-        };
-        // Guards what waits to be accepted when the process before this one ends: it waits at the
-        // same socket.
-        let opened = match self
-            .management
-            .as_mut()
-            .and_then(ManagementHandle::take_listener)
-        {
-            Some(listener) => self.net.listen_on(Owner::Platform, listener),
-            None => self.net.listen(Owner::Platform, address),
-        };
-        match opened {
-            Ok(address) => log(&format!("{name} listens on {address}")),
-            // A process that is started beside one which does not share the address is to serve
-            // after it.
-            Err(e) if e.kind() == io::ErrorKind::AddrInUse && self.management.is_some() => {
-                if !std::mem::replace(&mut self.kept_out, true) {
-                    log(&format!("{name} waits: {address} is in use"));
-                }
-                self.unopened = Some((name, address));
-            }
-            Err(e) => {
-                self.unopened = Some((name, address));
-                return Err(BrokerError::Listen { address, source: e });
-            }
-        }
-        if let (Some(management), Ok(listener)) =
-            (&self.management, self.net.listener_of(Owner::Platform))
-        {
-            management.offer_listener(listener);
-        }
-        Ok(())
-    }
-
-    fn listen(&mut self, owner: Owner, address: SocketAddr) -> Result<SocketAddr, BrokerError> {
-        self.net
-            .listen(owner, address)
-            .map_err(|source| BrokerError::Listen { address, source })
-    }
-
     /// Talks with other brokers from now on.
     ///
     /// # Errors
@@ -345,162 +212,100 @@
                 peers.on_time(&mut self.net);
             }
             for ready in all_ready {
-                match ready {
-                    Ready::Listener(Owner::InboundPeer) => {
-                        self.peers.iter_mut().for_each(|c| c.accept(&mut self.net));
-                    }
-                    Ready::Conn(id, Owner::InboundPeer | Owner::OutboundPeer) => {
-                        self.peers
-                            .iter_mut()
-                            .for_each(|c| c.on_ready(&mut self.net, id));
-                    }
-                    Ready::Listener(owner) => each_service!(self, |net, service| {
-                        if service.owner == owner {
-                            service.accept(net);
-                        }
-                    }),
-                    Ready::Conn(id, Owner::Discovery) => self.discovery_ready(id),
-                    Ready::Conn(id, owner) => {
-                        each_service!(self, |net, service| service.ready(net, id, owner))
-                    }
-                    Ready::Signal(Signal::Stop) => self.stop(),
-                    Ready::Signal(Signal::Reload) => self.reload(),
-                    Ready::Signal(Signal::Orders) => self.heed(),
-                }
+                self.on_ready(ready);
+            }
+            self.run_due_timers();
+            each_service!(self, |net, service| service.run_turn(net));
+            self.subscribe();
+            self.write_log();
+            self.make_room_for_clients();
+            self.report_status();
+            if self
+                .shutdown_started_at
+                .is_some_and(|started_at| self.is_finished(started_at))
+            {
+                return Ok(());
             }
-            let now = self.net.clock.now();
-            for timer in self.net.wheel.due(now) {
-                each_service!(self, |net, service| service.timer(net, timer));
-                if let Timer::Discovery(call) = timer {
-                    self.discovery_due(call);
+        }
+    }
+
+    /// Hands what is ready to its owner.
+    fn on_ready(&mut self, ready: Ready) {
+        match ready {
+            Ready::Listener(Owner::InboundPeer) => {
+                if let Some(peers) = &mut self.peers {
+                    peers.accept(&mut self.net);
                 }
             }
-            each_service!(self, |net, service| service.turn(net));
-            self.subscribe();
-            if self.net.is_accept_paused() {
-                self.net.resume_accepting();
+            Ready::Conn(id, Owner::InboundPeer | Owner::OutboundPeer) => {
+                if let Some(peers) = &mut self.peers {
+                    peers.on_ready(&mut self.net, id);
+                }
             }
-            if self.net.is_accept_paused() {
-                // What data nodes have borrowed goes first; where all of that carries calls, idle
-                // clients make room.
-                let (owed, mut closed) = (self.net.reclaimable_connections(), 0);
-                each_service!(self, |net, service| closed +=
-                    service.pool.yield_idle(net, owed - closed));
-                if closed == 0 {
-                    each_service!(self, |net, service| service
-                        .sessions
-                        .evict_idle(net, &mut service.core));
+            Ready::Listener(owner) => each_service!(self, |net, service| {
+                if service.owner == owner {
+                    service.accept(net);
                 }
+            }),
+            Ready::Conn(id, Owner::Discovery) => self.on_discovery_ready(id),
+            Ready::Conn(id, owner) => {
+                each_service!(self, |net, service| service.on_ready(net, id, owner));
             }
-            self.tell_standing();
-            if self.stopping.is_some_and(|since| self.finished(since)) {
-                return Ok(());
+            Ready::Signal(Signal::Stop) => self.on_stop_signal(),
+            Ready::Signal(Signal::Reload) => self.on_reload_signal(),
+            Ready::Signal(Signal::Orders) => self.on_orders_signal(),
+        }
+    }
+
+    fn run_due_timers(&mut self) {
+        let now = self.net.clock.now();
+        for timer in self.net.wheel.due(now) {
+            each_service!(self, |net, service| service.on_timer(net, timer));
+            if let Timer::Discovery(call) = timer {
+                self.on_discovery_timer(call);
             }
         }
     }
 
+    /// Frees descriptors while clients wait to be accepted: what data nodes have borrowed goes first;
+    /// where all of that carries calls, idle clients make room.
+    fn make_room_for_clients(&mut self) {
+        if self.net.is_accept_paused() {
+            self.net.resume_accepting();
+        }
+        if !self.net.is_accept_paused() {
+            return;
+        }
+        let reclaimable = self.net.reclaimable_connections();
+        let mut closed = 0;
+        each_service!(self, |net, service| closed +=
+            service.pool.yield_idle(net, reclaimable - closed));
+        if closed == 0 {
+            each_service!(self, |net, service| service
+                .sessions
+                .evict_idle(net, &mut service.core));
+        }
+    }
+
     /// When there is something to do though nothing is ready.
     fn next_turn(&self) -> Option<Time> {
-        let stop = self.stopping.map(|_| self.net.clock.now().plus(STOP_LOOK));
+        let now = self.net.clock.now();
+        let shutdown = self
+            .shutdown_started_at
+            .map(|_| now.plus(SHUTDOWN_CHECK_INTERVAL));
         // Guards clients that wait to be accepted: connections fall idle without any event that
         // tells so.
-        let room = self
+        let accept = self
             .net
             .is_accept_paused()
-            .then(|| self.net.clock.now().plus(ROOM_LOOK));
+            .then(|| now.plus(ACCEPT_RETRY_INTERVAL));
         let platform = self.platform.as_ref().and_then(|s| s.core.next_turn());
         let ogc = self.ogc.as_ref().and_then(|s| s.core.next_turn());
         let peers = self.peers.as_ref().map(PeerGroup::next);
         let management = self.management.as_ref().map(ManagementHandle::next);
-        [stop, room, platform, ogc, peers, management]
+        [shutdown, accept, platform, ogc, peers, management]
             .into_iter()
             .flatten()
             .min()
     }
-
-    fn apply_list_updates(&mut self, updates: impl IntoIterator<Item = ServerListUpdate>) {
-        if let Some(service) = &mut self.platform {
-            updates
-                .into_iter()
-                .for_each(|update| service.apply_list_update(update));
-        }
-        if let (Some(management), Some(service)) = (&self.management, &self.platform) {
-            management.report_servers(service.directory.names());
-        }
-        let mut nodes = 0;
-        each_service!(self, |_net, service| nodes += service.directory.len());
-        self.net.set_listed_nodes(nodes);
-        let bears = self.net.node_capacity();
-        if nodes > bears && !std::mem::replace(&mut self.crowded, true) {
-            log(&format!(
-                "{nodes} data nodes are listed, and limits.sockets bears {bears}: connections take turns"
-            ));
-        }
-    }
-
-    fn discovery_due(&mut self, call: u64) {
-        if let (Some(discovery), Some(service)) = (&mut self.discovery, &mut self.platform) {
-            let updates = discovery.on_timer(&mut self.net, call, &mut service.directory);
-            service.leave_gone(&mut self.net);
-            self.apply_list_updates(updates);
-        }
-    }
-
-    fn discovery_ready(&mut self, id: ConnId) {
-        if let (Some(discovery), Some(service)) = (&mut self.discovery, &mut self.platform) {
-            let updates = discovery.on_ready(&mut self.net, id, &mut service.directory);
-            service.leave_gone(&mut self.net);
-            self.apply_list_updates(updates);
-        }
-    }
-
-    fn subscribe(&mut self) {
-        let mut asked = self
-            .platform
-            .as_mut()
-            .is_some_and(|s| std::mem::take(&mut s.subscribe));
-        // The module asks for nothing where lists are pushed: what the agent of this machine holds
-        // is fetched all the same.
-        asked |= self
-            .discovery
-            .as_ref()
-            .is_some_and(Discovery::keeps_watching);
-        if let (true, Some(discovery)) = (asked, &mut self.discovery) {
-            let updates = discovery.subscribe(&mut self.net);
-            self.apply_list_updates(updates);
-        }
-        let lines = self.discovery.iter_mut().flat_map(Discovery::take_log);
-        let lines = lines.chain(
-            self.platform
-                .iter_mut()
-                .flat_map(|s| s.directory.take_log()),
-        );
-        let lines = lines.chain(self.peers.iter_mut().flat_map(PeerGroup::take_log));
-        lines.for_each(|line| log(&line));
-    }
-
-    /// Reads the configuration again and moves to the address of discovery that it names; all else
-    /// in it holds from the next start on.
-    fn reload(&mut self) {
-        self.net.clear_signal(Signal::Reload);
-        // Guards what is served: a faulty file changes nothing.
-        let config = match self.reread.as_mut().map_or(Ok(None), |reread| reread()) {
-            Ok(Some(config)) => config,
-            Ok(None) => return log("reload: NODE_CONFIG: not set, nothing to read again"),
-            Err(why) => return log(&format!("reload: {why}; the settings stay as they were")),
-        };
-        log(&format!("reload: discovery is at {}", config.discovery));
-        if let Some(discovery) = &mut self.discovery {
-            let updates = discovery.move_to(&mut self.net, config.discovery);
-            self.apply_list_updates(updates);
-        }
-    }
-}
-
-fn limits(config: config::Connections) -> Limits {
-    Limits {
-        max_streams: config.max_streams,
-        connect_timeout: config.connect_timeout,
-        idle_timeout: config.idle_timeout,
-    }
 }
--- a/src/broker/operators.rs
+++ b/src/broker/operators.rs
@@ -12,36 +12,36 @@
 use lichenswitch_management::quiesce;
 
 impl Broker {
-    /// Takes this process's part of what the broker may do.
-    pub(super) fn share(&mut self) {
+    /// Takes this process's share of what the broker may do.
+    pub(super) fn apply_process_shares(&mut self) {
         let Some(management) = &self.management else {
             return;
         };
-        let parts = processes::shares(self.leaving, &management.orders().others);
-        if std::mem::replace(&mut self.parts, parts) != parts {
-            let done = parts
+        let shares = processes::shares(self.is_leaving, &management.orders().others);
+        if std::mem::replace(&mut self.shares, shares) != shares {
+            let done = shares
                 .done
                 .map_or("nothing".into(), |of| format!("1 of {of}"));
             log(&format!(
                 "this process has 1 of {} of what the broker holds, {done} of what it may do",
-                parts.held
+                shares.held
             ));
         }
-        self.net.share_with_processes(parts.held);
+        self.net.share_with_processes(shares.held);
         each_service!(self, |_net, service| {
-            service.core.share(parts);
-            service.sessions.share_with_processes(parts.held);
+            service.core.share(shares);
+            service.sessions.share_with_processes(shares.held);
         });
     }
 
     /// Does what operators want now.
-    pub(super) fn heed(&mut self) {
+    pub(super) fn on_orders_signal(&mut self) {
         self.net.clear_signal(Signal::Orders);
-        self.share();
+        self.apply_process_shares();
         self.set_overrides();
-        self.send_away();
+        self.apply_quiesce_stage();
         // The next process may be ready just after this one was told to stop.
-        if self.stopping.is_some() {
+        if self.shutdown_started_at.is_some() {
             self.leave_backlog();
         }
     }
@@ -86,7 +86,7 @@
     }
 
     /// Sends clients away, as far as that is due, or takes them again.
-    pub(super) fn send_away(&mut self) {
+    pub(super) fn apply_quiesce_stage(&mut self) {
         let (Some(management), Some(service)) = (&self.management, &mut self.platform) else {
             return;
         };
@@ -102,8 +102,8 @@
         );
     }
 
-    /// Tells operators what was counted.
-    pub(super) fn tell_figures(&mut self) {
+    /// Adds what was counted to the metrics that operators read.
+    fn report_metrics(&mut self) {
         let (Some(management), Some(service)) = (&self.management, &mut self.platform) else {
             return;
         };
@@ -119,8 +119,9 @@
         );
     }
 
-    /// Tells operators how it stands.
-    pub(super) fn tell_standing(&mut self) {
+    /// Follows orders whose time has come, and reports to operators how the broker stands, at the
+    /// pace of the management thread.
+    pub(super) fn report_status(&mut self) {
         let now = self.net.clock.now();
         if self
             .management
@@ -129,24 +130,24 @@
         {
             return;
         }
-        self.send_away();
+        self.apply_quiesce_stage();
         self.set_overrides();
-        if self.stopping.is_none() {
+        if self.shutdown_started_at.is_none() {
             // It is tried again: an address that can't be had for another reason is told by its
             // being not ready.
             let _ = self.open_listener();
         }
-        self.tell_figures();
+        self.report_metrics();
         let (Some(management), Some(service)) = (&mut self.management, &self.platform) else {
             return;
         };
-        let lifecycle = match self.stopping {
+        let lifecycle = match self.shutdown_started_at {
             None => Lifecycle::Running,
-            Some(_) if self.leaving => Lifecycle::Leaving,
+            Some(_) if self.is_leaving => Lifecycle::Leaving,
             Some(_) => Lifecycle::Stopping,
         };
         let status = HealthStatus {
-            is_listening: self.unopened.is_none(),
+            is_listening: self.pending_listener.is_none(),
             has_server_list: service.front.has_server_list(),
             lifecycle,
             is_quiesced: management.orders().desired.quiesced_at.is_some(),
--- a/src/main.rs
+++ b/src/main.rs
@@ -52,7 +52,7 @@
         .as_ref()
         .and_then(|platform| ManagementHandle::open(platform).transpose())
         .transpose()?;
-    let mut broker = Broker::managed(platform, ogc, management)?;
+    let mut broker = Broker::with_management(platform, ogc, management)?;
     if let Some(peers) = peers {
         broker.join(peers)?;
     }
--- a/src/service.rs
+++ b/src/service.rs
@@ -1,8 +1,7 @@
 //! A service: one front, its core and the data nodes behind it, as the broker's loop drives them.
 //!
-//! It owns the way of a query between these: what clients and data nodes send comes in by
-//! `Service::ready`, what time brings by `Service::timer`, and a turn carries out what the core
-//! wants done.
+//! It owns the path of a query between these: `Service::on_ready` takes what clients and data nodes
+//! send, `Service::on_timer` what timers bring, and a turn carries out the commands of the core.
 
 use crate::core::{Command, Core};
 use crate::discovery::Directory;
@@ -21,7 +20,7 @@
     pub(crate) pool: Pool<W>,
     pub(crate) directory: Directory,
     /// The module asked for changes of the list.
-    pub(crate) subscribe: bool,
+    is_subscribe_requested: bool,
 }
 
 impl<F: Front, W: Wire<Job = F::Job>> Service<F, W> {
@@ -41,22 +40,24 @@
             core,
             pool,
             directory,
-            subscribe: false,
+            is_subscribe_requested: false,
         }
     }
 
-    /// The core, to tell it of the list of data nodes.
-    pub fn core(&mut self) -> &mut Core<F::Job> {
-        &mut self.core
+    /// Whether the module has asked for changes of the list since the last time.
+    pub(crate) fn take_subscribe_request(&mut self) -> bool {
+        std::mem::take(&mut self.is_subscribe_requested)
     }
 
+    /// Accepts the clients that wait.
     pub(crate) fn accept(&mut self, net: &mut Net) {
         for id in net.accept(self.owner) {
             self.sessions.on_connected(net, id, self.owner);
         }
     }
 
-    pub(crate) fn ready(&mut self, net: &mut Net, id: ConnId, owner: Owner) {
+    /// Reads and writes what a connection of a client or a data node is ready for.
+    pub(crate) fn on_ready(&mut self, net: &mut Net, id: ConnId, owner: Owner) {
         if owner == self.owner {
             self.sessions
                 .on_ready(net, id, &mut self.front, &mut self.core);
@@ -65,7 +66,8 @@
         }
     }
 
-    pub(crate) fn timer(&mut self, net: &mut Net, timer: Timer) {
+    /// A timer has come due; those of others are ignored.
+    pub(crate) fn on_timer(&mut self, net: &mut Net, timer: Timer) {
         match timer {
             Timer::Attempt(owner, attempt) if owner == W::OWNER => {
                 let now = net.clock.now();
@@ -93,14 +95,14 @@
     }
 
     /// Hands in the ends of attempts, and takes a turn if it is time.
-    pub(crate) fn turn(&mut self, net: &mut Net) {
+    pub(crate) fn run_turn(&mut self, net: &mut Net) {
         // First of all, and not at the next turn of the module: what waits for a connection might
         // leave before that.
         for attempt in self.core.take_recalls() {
             self.recall(net, attempt);
         }
         self.pool.serve_parked(net);
-        self.collect(net.clock.now());
+        self.collect_ended(net.clock.now());
         let now = net.clock.now();
         if self.core.next_turn().is_none_or(|at| at > now) {
             return;
@@ -128,11 +130,11 @@
                     self.sessions
                         .reply(net, query, reply, &mut self.front, &mut self.core);
                 }
-                Command::Subscribe => self.subscribe = true,
-                Command::Log(text) => log(&self.named(&text)),
+                Command::Subscribe => self.is_subscribe_requested = true,
+                Command::Log(text) => log(&self.with_server_name(&text)),
             }
         }
-        self.collect(net.clock.now());
+        self.collect_ended(net.clock.now());
     }
 
     /// Ends an attempt that has not left yet; one that has goes on as its class says.
@@ -143,17 +145,20 @@
         }
     }
 
-    fn collect(&mut self, now: Time) {
+    /// Hands the ends of attempts to the core.
+    fn collect_ended(&mut self, now: Time) {
         let (ended, lines) = self.pool.take_ended();
         for end in ended {
             self.core.ended(now, end.attempt, end.outcome, end.value);
         }
-        lines.iter().for_each(|line| log(&self.named(line)));
+        lines
+            .iter()
+            .for_each(|line| log(&self.with_server_name(line)));
     }
 
     /// A log line in which the number of a server is followed by the name that discovery has for
     /// it.
-    fn named(&self, line: &str) -> String {
+    fn with_server_name(&self, line: &str) -> String {
         let number = line
             .split("server ")
             .nth(1)
@@ -166,7 +171,7 @@
 
     /// Closes the connections to nodes that are gone; one that still carries calls ends when it
     /// falls idle.
-    pub(crate) fn leave_gone(&mut self, net: &mut Net) {
+    pub(crate) fn disconnect_gone(&mut self, net: &mut Net) {
         for server in self.directory.take_gone() {
             self.pool.drop_unsent(server);
             self.pool.forget_node(net, server);
--- a/tests/platformed/mod.rs
+++ b/tests/platformed/mod.rs
@@ -189,7 +189,7 @@
         let broker = thread::spawn(move || {
             let platform = Platform::parse(&config, |_| None).unwrap();
             let management = ManagementHandle::open(&platform).unwrap();
-            let mut broker = Broker::managed(Some(platform), None, management).unwrap();
+            let mut broker = Broker::with_management(Some(platform), None, management).unwrap();
             broker.stop_on(signal).unwrap();
             told.send(broker.addresses()[0].1).unwrap();
             broker.run().unwrap();
