--- a/src/bin/lichenswitch-simulator-adapter/tests.rs
+++ b/src/bin/lichenswitch-simulator-adapter/tests.rs
@@ -279,15 +279,15 @@
         (frame(1, &[begin(1, "{}")], b"{}"), "missing field"),
     ];
     for (bytes, expected) in cases {
-        let told = Host::default()
+        let message = Host::default()
             .handle_batch(&bytes)
             .expect_err(expected)
             .to_string();
         assert!(
-            told.contains(expected),
-            "{told:?} does not say {expected:?}"
+            message.contains(expected),
+            "{message:?} does not say {expected:?}"
         );
-        assert!(!told.contains('\n'));
+        assert!(!message.contains('\n'));
     }
     let mut count = frame(1, &[], &[]);
     count[4] = 200;
@@ -349,10 +349,10 @@
     ] {
         let text = facts(CLASSES);
         assert!(text.contains(good));
-        let told = settings::parse(text.replace(good, bad).as_bytes())
+        let message = settings::parse(text.replace(good, bad).as_bytes())
             .unwrap_err()
             .to_string();
-        assert!(told.starts_with("settings: "), "{told}");
+        assert!(message.starts_with("settings: "), "{message}");
     }
 }
 
--- a/src/decide/failure_detector.rs
+++ b/src/decide/failure_detector.rs
@@ -12,7 +12,7 @@
 //!   wins over what is still said about the former one. It discards its suspicions too, for the
 //!   same reason.
 //!
-//! Messages go in and verdicts come out; how messages travel is not known here.
+//! Messages go in and verdicts come output; how messages travel is not known here.
 
 mod member;
 pub mod reconnect_backoff;
@@ -183,11 +183,11 @@
                 self.set_timer(local.plus(self.config.probe_interval), timer);
                 continue;
             }
-            let mut out = AccumulatingRuntime::new();
+            let mut output = AccumulatingRuntime::new();
             // The library answers the timer of a probe that has ended by an error, which means
             // nothing.
-            let _ = self.swim.handle_timer(timer, &mut out);
-            self.take_output(local, &mut out, &mut verdicts);
+            let _ = self.swim.handle_timer(timer, &mut output);
+            self.take_output(local, &mut output, &mut verdicts);
         }
         verdicts
     }
@@ -234,10 +234,10 @@
         self.swim = new_swim(&self.own, self.config, self.seed);
         self.timers.clear();
         (self.announce_at, self.last_acknowledgement_at) = (local, local);
-        let mut out = AccumulatingRuntime::new();
+        let mut output = AccumulatingRuntime::new();
         // The library accepts it all, since it comes from the library itself.
-        let _ = self.swim.apply_many(known.into_iter(), false, &mut out);
-        self.take_output(local, &mut out, verdicts);
+        let _ = self.swim.apply_many(known.into_iter(), false, &mut output);
+        self.take_output(local, &mut output, verdicts);
     }
 
     /// Announces this broker to some of the seeds that are not believed alive, to all of them in
@@ -256,20 +256,20 @@
             .map(|i| absent[(first + i) % count].clone())
             .collect();
         for seed in chosen {
-            let mut out = AccumulatingRuntime::new();
-            let _ = self.swim.announce(seed, &mut out);
-            self.take_output(local, &mut out, verdicts);
+            let mut output = AccumulatingRuntime::new();
+            let _ = self.swim.announce(seed, &mut output);
+            self.take_output(local, &mut output, verdicts);
         }
     }
 
     /// Handles the message of another member.
     pub fn on_message(&mut self, now: Time, bytes: &[u8]) -> Vec<Verdict> {
         let (local, mut verdicts) = (self.local(now), Vec::new());
-        let mut out = AccumulatingRuntime::new();
-        if self.swim.handle_data(bytes, &mut out).is_err() {
+        let mut output = AccumulatingRuntime::new();
+        if self.swim.handle_data(bytes, &mut output).is_err() {
             self.rejected_messages += 1;
         }
-        self.take_output(local, &mut out, &mut verdicts);
+        self.take_output(local, &mut output, &mut verdicts);
         if is_acknowledgement(bytes) {
             self.on_acknowledgement(local, &mut verdicts);
         }
@@ -279,20 +279,20 @@
     /// This broker stops: it tells some others, so that nobody has to detect it.
     pub fn on_stop(&mut self, now: Time) -> Vec<Verdict> {
         let (local, mut verdicts) = (self.local(now), Vec::new());
-        let mut out = AccumulatingRuntime::new();
-        let _ = self.swim.leave_cluster(&mut out);
-        self.take_output(local, &mut out, &mut verdicts);
+        let mut output = AccumulatingRuntime::new();
+        let _ = self.swim.leave_cluster(&mut output);
+        self.take_output(local, &mut output, &mut verdicts);
         verdicts
     }
 
-    /// Turns what the library has put out into timers and verdicts.
+    /// Turns what the library has put output into timers and verdicts.
     fn take_output(
         &mut self,
         local: Time,
-        out: &mut AccumulatingRuntime<Member>,
+        output: &mut AccumulatingRuntime<Member>,
         verdicts: &mut Vec<Verdict>,
     ) {
-        let notifications: Vec<_> = std::iter::from_fn(|| out.to_notify()).collect();
+        let notifications: Vec<_> = std::iter::from_fn(|| output.to_notify()).collect();
         let renewed = notifications.iter().find_map(|n| match n {
             OwnedNotification::Rejoin(member) => Some(member.clone()),
             _ => None,
@@ -304,10 +304,10 @@
             verdicts.push(Verdict::Renewed(member, Reason::DeclaredDead));
             return self.discard_suspicions(local, verdicts);
         }
-        while let Some((after, timer)) = out.to_schedule() {
+        while let Some((after, timer)) = output.to_schedule() {
             self.set_timer(local.plus(after.as_micros() as Micros), timer);
         }
-        while let Some((to, bytes)) = out.to_send() {
+        while let Some((to, bytes)) = output.to_send() {
             verdicts.push(Verdict::Send(to, bytes.to_vec()));
         }
         for notification in notifications {
--- a/src/decide/failure_detector/tests.rs
+++ b/src/decide/failure_detector/tests.rs
@@ -301,12 +301,12 @@
 fn garbage_is_counted_without_effect() {
     let mut network = Network::new(3);
     network.run(10 * SECOND);
-    let mut out = AccumulatingRuntime::new();
+    let mut output = AccumulatingRuntime::new();
     network.detectors[1]
         .swim
-        .announce(member(0, 0), &mut out)
+        .announce(member(0, 0), &mut output)
         .unwrap();
-    let sound = out.to_send().unwrap().1.to_vec();
+    let sound = output.to_send().unwrap().1.to_vec();
     let now = network.now;
     crate::testing::garbage(&[&sound], |bytes| {
         let changes = network.detectors[0].on_message(now, bytes);
--- a/src/management/metrics.rs
+++ b/src/management/metrics.rs
@@ -100,9 +100,9 @@
     /// All of them as text, each line with its end.
     #[must_use]
     pub fn text(&self) -> String {
-        let mut out = String::new();
+        let mut exposition = String::new();
         // Writing to a string does not fail.
-        let _ = text::encode_registry(&mut out, &self.registry);
-        out
+        let _ = text::encode_registry(&mut exposition, &self.registry);
+        exposition
     }
 }
--- a/src/peer/consensus.rs
+++ b/src/peer/consensus.rs
@@ -127,22 +127,22 @@
 
     /// Does what is due.
     pub fn on_time(&mut self, now: Time) -> OutgoingMessages {
-        let mut out = OutgoingMessages::new();
+        let mut messages = OutgoingMessages::new();
         if now >= self.check_at {
             self.check_at = now.plus(CHECK_INTERVAL);
-            let status = self.check_contact(now, &mut out);
-            self.check_roles(now, status, &mut out);
+            let status = self.check_contact(now, &mut messages);
+            self.check_roles(now, status, &mut messages);
         }
-        self.run_voter(now, &mut out, |voter| voter.on_time(now));
+        self.run_voter(now, &mut messages, |voter| voter.on_time(now));
         if now >= self.announce_at {
-            self.announce(now, &mut out);
+            self.announce(now, &mut messages);
         }
-        out
+        messages
     }
 
     /// Logs the status of the contact where it has changed, and asks the voters for a confirmation
     /// when that is due.
-    fn check_contact(&mut self, now: Time, out: &mut OutgoingMessages) -> QuorumStatus {
+    fn check_contact(&mut self, now: Time, messages: &mut OutgoingMessages) -> QuorumStatus {
         let (status, reason) = self.contact.status(now);
         // Guards the log: nothing is logged after a start, before a voter could have answered.
         let has_changed = match self.logged_status {
@@ -155,13 +155,13 @@
         }
         if now >= self.contact.next_request_at() {
             let request = Message::ContactRequest(self.contact.on_request(now));
-            self.send_to_voters(now, &request, out);
+            self.send_to_voters(now, &request, messages);
         }
         status
     }
 
     /// Logs which roles are held, and sends the requests that are due.
-    fn check_roles(&mut self, now: Time, status: QuorumStatus, out: &mut OutgoingMessages) {
+    fn check_roles(&mut self, now: Time, status: QuorumStatus, messages: &mut OutgoingMessages) {
         // A broker whose voters have a genesis that it does not know requests nothing of them.
         let not_before = (status == QuorumStatus::ForeignGenesis).then(|| now.plus(CHECK_INTERVAL));
         for (role, number) in self.roles.update(now, not_before, &mut self.log) {
@@ -170,12 +170,12 @@
             let voter = voters[self.requests_sent % voters.len()].clone();
             self.requests_sent += 1;
             let request = Message::LeaseRequest(role, self.own.clone(), number);
-            out.extend(self.send(now, &voter, request));
+            messages.extend(self.send(now, &voter, request));
         }
     }
 
     /// Announces this voter to the others, while it waits for the genesis.
-    fn announce(&mut self, now: Time, out: &mut OutgoingMessages) {
+    fn announce(&mut self, now: Time, messages: &mut OutgoingMessages) {
         let voter = self.voter.as_ref();
         let Some(announcement) = voter.and_then(LocalVoter::bootstrap_announcement) else {
             return;
@@ -183,7 +183,7 @@
         self.announce_at = now.plus(ANNOUNCEMENT_INTERVAL);
         let announcement = Message::Announcement(announcement);
         let others = self.config.voters.iter().filter(|v| **v != self.own.name);
-        out.extend(others.map(|voter| outgoing(voter, &announcement)));
+        messages.extend(others.map(|voter| outgoing(voter, &announcement)));
     }
 
     /// Handles a message of another broker.
@@ -197,42 +197,43 @@
 
     /// A connection to or from another broker is up again.
     pub fn on_reconnected(&mut self, now: Time, name: &str) -> OutgoingMessages {
-        let mut out = OutgoingMessages::new();
-        self.run_voter(now, &mut out, |voter| voter.on_reconnected(now, name));
-        out
+        let mut messages = OutgoingMessages::new();
+        self.run_voter(now, &mut messages, |voter| voter.on_reconnected(now, name));
+        messages
     }
 
     /// This broker stops, and releases the roles that it holds.
     pub fn on_stop(&mut self, now: Time) -> OutgoingMessages {
-        let mut out = OutgoingMessages::new();
+        let mut messages = OutgoingMessages::new();
         for (role, token) in self.roles.release_all(now) {
             self.log
                 .push(format!("duty {}: not held: given back", role.0));
             // To all voters: the first proposal counts, and this broker does not wait for answers
             // any more.
-            self.send_to_voters(now, &Message::Release(role, token), &mut out);
+            self.send_to_voters(now, &Message::Release(role, token), &mut messages);
         }
-        out
+        messages
     }
 
     fn handle(&mut self, now: Time, from: &str, message: Message) -> OutgoingMessages {
-        let mut out = OutgoingMessages::new();
+        let mut messages = OutgoingMessages::new();
         match message {
             Message::Announcement(announcement) => {
                 let voter = self.voter.as_mut();
                 let answer =
                     voter.and_then(|v| v.on_announcement(now, from, &announcement, &mut self.log));
-                out.extend(answer.map(|answer| outgoing(from, &Message::Announcement(answer))));
+                messages
+                    .extend(answer.map(|answer| outgoing(from, &Message::Announcement(answer))));
             }
             Message::Log(bytes) => {
-                self.run_voter(now, &mut out, |voter| voter.on_message(now, &bytes));
+                self.run_voter(now, &mut messages, |voter| voter.on_message(now, &bytes));
             }
             Message::LeaseRequest(role, holder, number) if holder.name == from => {
-                self.on_lease_request(now, from, role, holder, number, &mut out);
+                self.on_lease_request(now, from, role, holder, number, &mut messages);
             }
             // Only the holder may release its role.
             Message::LeaseRequest(..) => {}
-            Message::Release(role, token) => self.on_release(now, from, role, token, &mut out),
+            Message::Release(role, token) => self.on_release(now, from, role, token, &mut messages),
             Message::LeaseResponse(role, number, token) => {
                 self.roles.on_response(now, &role, number, token);
             }
@@ -247,7 +248,7 @@
             }
             Message::LeasedElsewhere(role) => self.roles.on_leased_elsewhere(now, &role),
         }
-        out
+        messages
     }
 
     /// Proposes a request of a role, if this broker votes. One that would be rejected is answered
@@ -259,7 +260,7 @@
         role: RoleName,
         holder: LeaseHolder,
         number: u64,
-        out: &mut OutgoingMessages,
+        messages: &mut OutgoingMessages,
     ) {
         let Some(voter) = self.voter.as_ref() else {
             return;
@@ -269,7 +270,7 @@
         };
         let is_leased_elsewhere = grants.holder(&role).is_some_and(|(h, _)| *h != holder);
         if is_leased_elsewhere || !voter.may_grant(now) {
-            out.extend(self.send(now, from, Message::LeasedElsewhere(role)));
+            messages.extend(self.send(now, from, Message::LeasedElsewhere(role)));
             return;
         }
         let timeout = PENDING_REQUEST_LEASES * self.config.terms.lease;
@@ -289,7 +290,7 @@
             command: LeaseCommand::Acquire(role, holder),
             request: number,
         };
-        self.run_voter(now, out, |voter| voter.propose(now, entry));
+        self.run_voter(now, messages, |voter| voter.propose(now, entry));
     }
 
     /// Proposes the release of a role. Guards the holder: nobody else may release its role. A voter
@@ -300,7 +301,7 @@
         from: &str,
         role: RoleName,
         token: FencingToken,
-        out: &mut OutgoingMessages,
+        messages: &mut OutgoingMessages,
     ) {
         let holder = self.voting().and_then(|voter| voter.grants().holder(&role));
         if holder.is_none_or(|(holder, _)| holder.name != from) {
@@ -310,7 +311,7 @@
             command: LeaseCommand::Release(role, token),
             request: 0,
         };
-        self.run_voter(now, out, |voter| voter.propose(now, entry));
+        self.run_voter(now, messages, |voter| voter.propose(now, entry));
     }
 
     fn voting(&self) -> Option<&Voter> {
@@ -325,9 +326,9 @@
         }
     }
 
-    fn send_to_voters(&mut self, now: Time, message: &Message, out: &mut OutgoingMessages) {
+    fn send_to_voters(&mut self, now: Time, message: &Message, messages: &mut OutgoingMessages) {
         for voter in self.config.voters.clone() {
-            out.extend(self.send(now, &voter, message.clone()));
+            messages.extend(self.send(now, &voter, message.clone()));
         }
     }
 
@@ -335,7 +336,7 @@
     fn run_voter(
         &mut self,
         now: Time,
-        out: &mut OutgoingMessages,
+        messages: &mut OutgoingMessages,
         event: impl FnOnce(&mut Voter) -> Vec<VoterAction>,
     ) {
         let Some(voter) = &mut self.voter else {
@@ -343,9 +344,9 @@
         };
         for output in voter.run(event, &mut self.log) {
             match output {
-                VoterOutput::Send(to, bytes) => out.push(outgoing(&to, &Message::Log(bytes))),
+                VoterOutput::Send(to, bytes) => messages.push(outgoing(&to, &Message::Log(bytes))),
                 VoterOutput::Decided(entry, outcome) => {
-                    self.respond_to_request(now, &entry, &outcome, out);
+                    self.respond_to_request(now, &entry, &outcome, messages);
                 }
             }
         }
@@ -357,7 +358,7 @@
         now: Time,
         entry: &Entry,
         outcome: &Outcome,
-        out: &mut OutgoingMessages,
+        messages: &mut OutgoingMessages,
     ) {
         let LeaseCommand::Acquire(role, holder) = &entry.command else {
             return;
@@ -374,7 +375,7 @@
             Outcome::Rejected(..) | Outcome::Vacated(_) | Outcome::Stale => None,
         };
         let response = Message::LeaseResponse(request.role, request.number, token);
-        out.extend(self.send(now, &request.from, response));
+        messages.extend(self.send(now, &request.from, response));
     }
 }
 
