--- a/policy/tests/streams.rs
+++ b/policy/tests/streams.rs
@@ -7,12 +7,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const MS: Micros = 1_000;
-const AIM: Micros = 1_000 * MS;
+const LATENCY_TARGET: Micros = 1_000 * MS;
 
 fn class(repeat: RetrySafety) -> Class {
     Class {
-        latency_target: AIM,
-        deadline: 10 * AIM,
+        latency_target: LATENCY_TARGET,
+        deadline: 10 * LATENCY_TARGET,
         repeat,
         late_share: 1.0,
         ..Settings::default().classes[0].clone()
@@ -98,7 +98,7 @@
     fn query_placed(&mut self, class: u16, placement: Placement) -> (PartId, Option<ServerId>) {
         self.next += 2;
         let (number, part) = (self.next as u32, PartId(self.next + 1));
-        let deadline = self.now.plus(10 * AIM);
+        let deadline = self.now.plus(10 * LATENCY_TARGET);
         let (query, key, again, tenant) = (QueryId(self.next), 0, false, u32::MAX);
         let mut events = vec![Event::Query {
             query,
@@ -281,7 +281,7 @@
 fn safe_part_is_hedged_at_half_its_target_and_the_loser_cancelled() {
     let mut stage = Stage::new(1, settings(vec![class(RetrySafety::Safe)]), 4);
     let (part, first) = stage.query(0);
-    assert_eq!(sent(&stage.after(AIM / 2 - MS, vec![])), None);
+    assert_eq!(sent(&stage.after(LATENCY_TARGET / 2 - MS, vec![])), None);
     let copy = sent(&stage.after(MS, vec![])).expect("half of the aim is over");
     assert_ne!(Some(copy), first);
     let actions = stage.after(10 * MS, vec![ended(part, 1, copy, Outcome::Ok, 10 * MS)]);
@@ -301,10 +301,16 @@
 fn the_copy_is_cancelled_where_the_first_attempt_answers() {
     let mut stage = Stage::new(1, settings(vec![class(RetrySafety::Safe)]), 4);
     let (part, first) = stage.query(0);
-    sent(&stage.after(AIM / 2, vec![])).expect("half of the aim is over");
+    sent(&stage.after(LATENCY_TARGET / 2, vec![])).expect("half of the aim is over");
     let actions = stage.after(
         10 * MS,
-        vec![ended(part, 0, first.unwrap(), Outcome::Ok, AIM / 2)],
+        vec![ended(
+            part,
+            0,
+            first.unwrap(),
+            Outcome::Ok,
+            LATENCY_TARGET / 2,
+        )],
     );
     assert!(
         actions.contains(&Action::Cancel { part, attempt: 1 }),
@@ -316,8 +322,8 @@
 fn a_part_that_may_not_run_twice_is_never_copied() {
     let mut stage = Stage::new(1, settings(vec![class(RetrySafety::Unsafe)]), 4);
     let (part, first) = stage.query(0);
-    assert_eq!(sent(&stage.after(AIM / 2, vec![])), None);
-    let failed = ended(part, 0, first.unwrap(), Outcome::Error, AIM / 2);
+    assert_eq!(sent(&stage.after(LATENCY_TARGET / 2, vec![])), None);
+    let failed = ended(part, 0, first.unwrap(), Outcome::Error, LATENCY_TARGET / 2);
     assert_eq!(sent(&stage.after(MS, vec![failed])), None);
 }
 
@@ -371,9 +377,9 @@
         mode,
         started: None,
     };
-    let told = |mode| Event::List(ServerListUpdate::Changes(vec![line(mode)]));
-    stage.turn(vec![running(1, 5), told(ServerMode::Gone)]);
-    stage.turn(vec![told(ServerMode::Ready)]);
+    let list_change = |mode| Event::List(ServerListUpdate::Changes(vec![line(mode)]));
+    stage.turn(vec![running(1, 5), list_change(ServerMode::Gone)]);
+    stage.turn(vec![list_change(ServerMode::Ready)]);
     let met: Vec<u32> = (0..5).map(|_| stage.query(0).1.unwrap().0).collect();
     assert_eq!(met, [2; 5]);
 }
@@ -385,9 +391,9 @@
         least: 0.0,
         share: 0.0,
     };
-    let mut told = settings(vec![class(RetrySafety::Safe)]);
-    told.limits.budget = Some(none);
-    let mut stage = Stage::new(1, told, 3);
+    let mut stage_settings = settings(vec![class(RetrySafety::Safe)]);
+    stage_settings.limits.budget = Some(none);
+    let mut stage = Stage::new(1, stage_settings, 3);
     let mut again = |before: Option<Event>| {
         let (part, server) = stage.query(0);
         stage.turn(before.into_iter().collect());
@@ -498,19 +504,19 @@
         (Outcome::Rejected, RetrySafety::Safe),
         (Outcome::Reset, RetrySafety::Safe),
     ] {
-        let mut told = settings(vec![class(repeat)]);
-        told.limits = Limits {
+        let mut stage_settings = settings(vec![class(repeat)]);
+        stage_settings.limits = Limits {
             budget: Some(none),
             retry_after: Some(300 * MS),
-            ..told.limits
+            ..stage_settings.limits
         };
         // As a router has it: more cells than were tried.
-        told.layout = Layout {
+        stage_settings.layout = Layout {
             cells: 4,
             width: 4,
-            ..told.layout
+            ..stage_settings.layout
         };
-        let mut stage = Stage::new(1, told, 3);
+        let mut stage = Stage::new(1, stage_settings, 3);
         let (part, server) = stage.query(0);
         let actions = stage.after(MS, vec![ended(part, 0, server.unwrap(), outcome, MS)]);
         let advice = actions.iter().find_map(|a| match a {
@@ -536,10 +542,10 @@
         partial: 0.5,
         ..class(RetrySafety::Safe)
     };
-    let mut told = settings(vec![partial]);
-    told.limits.budget = Some(none);
-    let mut stage = Stage::new(1, told, 2);
-    let (query, number, deadline) = (QueryId(2), 2, stage.now.plus(10 * AIM));
+    let mut stage_settings = settings(vec![partial]);
+    stage_settings.limits.budget = Some(none);
+    let mut stage = Stage::new(1, stage_settings, 2);
+    let (query, number, deadline) = (QueryId(2), 2, stage.now.plus(10 * LATENCY_TARGET));
     let asked = Event::Query {
         query,
         number,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,8 +1,12 @@
 //! Test support for the decision module: settings, a virtual clock, and constructors of events and
 //! actions.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
-use lichenswitch::interface::*;
+use lichenswitch::interface::{
+    Action, Class, Discovery, Event, Layout, Limits, ListedServer, Micros, Outcome, PartId,
+    QueryId, RetrySafety, ServerId, ServerListUpdate, ServerMode, Settings, Shard, SlowStart, Time,
+    FIRST_SHARE,
+};
 use lichenswitch::policy::Coordinator;
 
 /// A millisecond in microseconds.
@@ -10,6 +14,7 @@
 /// Latency target of [`class`], in microseconds.
 pub const LATENCY_TARGET: Micros = 1_000 * MS;
 
+/// A class whose parts may be repeated, and whose answers need all of them.
 pub fn class() -> Class {
     Class {
         latency_target: LATENCY_TARGET,
@@ -26,6 +31,7 @@
     }
 }
 
+/// Settings with this class alone, for three cells that all hold every shard.
 pub fn settings(class: Class) -> Settings {
     Settings {
         classes: vec![class],
@@ -61,12 +67,14 @@
     }
 }
 
+/// The decision module with a virtual clock, before three servers.
 pub struct Stage {
-    pub broker: Coordinator,
+    pub coordinator: Coordinator,
     pub now: Time,
-    next: u64,
+    next_id: u64,
 }
 
+/// A server that is ready, in the zone of its cell's number.
 pub fn line(id: u32, cell: u32) -> ListedServer {
     ListedServer {
         server: ServerId(id),
@@ -77,6 +85,7 @@
     }
 }
 
+/// The end of an attempt.
 pub fn finished(
     part: u64,
     attempt: u16,
@@ -97,9 +106,9 @@
     /// Three servers, one in each of three cells: all hold every shard.
     pub fn new(settings: Settings) -> Stage {
         let mut stage = Stage {
-            broker: Coordinator::new(7, settings),
+            coordinator: Coordinator::new(7, settings),
             now: Time(1_000_000 * MS),
-            next: 1,
+            next_id: 1,
         };
         stage.turn(vec![Event::List(ServerListUpdate::Complete(vec![
             line(1, 0),
@@ -108,19 +117,24 @@
         ]))]);
         stage
     }
+
+    /// One turn of the module, now.
     pub fn turn(&mut self, events: Vec<Event>) -> Vec<Action> {
-        let mut out = Vec::new();
-        self.broker.turn(self.now, events, &mut out);
-        out
+        let mut actions = Vec::new();
+        self.coordinator.turn(self.now, events, &mut actions);
+        actions
     }
-    pub fn after(&mut self, by: Micros, events: Vec<Event>) -> Vec<Action> {
-        self.now = self.now.plus(by);
+
+    /// One turn of the module, this much later.
+    pub fn after(&mut self, step: Micros, events: Vec<Event>) -> Vec<Action> {
+        self.now = self.now.plus(step);
         self.turn(events)
     }
+
     /// Events of a new query: its id, then the parts' ids are the numbers that follow.
     pub fn query(&mut self, shards: &[u32]) -> (u64, Vec<Event>) {
-        let id = self.next;
-        self.next += 1 + shards.len() as u64;
+        let id = self.next_id;
+        self.next_id += 1 + shards.len() as u64;
         let number = id as u32;
         let deadline = self.now.plus(4 * LATENCY_TARGET);
         let mut events = vec![Event::Query {
@@ -141,11 +155,15 @@
         }));
         (id, events)
     }
-    /// Sends a query of one part and answers it after `took`.
-    pub fn serve(&mut self, took: Micros) {
+
+    /// Sends a query of one part and answers it after `elapsed`.
+    pub fn serve(&mut self, elapsed: Micros) {
         let (id, events) = self.query(&[0]);
         let server = sends(&self.turn(events))[0].1;
-        self.after(took, vec![finished(id + 1, 0, server, Outcome::Ok, took)]);
+        self.after(
+            elapsed,
+            vec![finished(id + 1, 0, server, Outcome::Ok, elapsed)],
+        );
     }
 }
 
@@ -156,6 +174,7 @@
     }
 }
 
+/// The parts that are sent, and where to.
 pub fn sends(actions: &[Action]) -> Vec<(u64, ServerId)> {
     let send = |a: &Action| match a {
         Action::Send { part, server, .. } => Some((part.0, *server)),
@@ -164,6 +183,7 @@
     actions.iter().filter_map(send).collect()
 }
 
+/// The queries that end, and whether with an answer.
 pub fn finals(actions: &[Action]) -> Vec<(u64, bool)> {
     let end = |a: &Action| match a {
         Action::Answer { query, .. } => Some((query.0, true)),
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -1,15 +1,15 @@
 //! Clients that rest fill the descriptors while discovery is down: at its return the list is had in
 //! time, queries are served, and meanwhile no loop spins.
 
-mod platformed;
+mod test_broker;
 
-use platformed::{answer, query, SETTINGS};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::process::{Child, Command, Stdio};
 use std::sync::mpsc;
 use std::thread;
 use std::time::{Duration, Instant};
+use test_broker::{query, read_response, SETTINGS};
 
 /// A broker that ends with its test, however that goes.
 struct Running(Child);
@@ -30,27 +30,28 @@
 
 /// Fills the descriptors of a broker, whose settings name so many and whose system gives it so
 /// many, while discovery is down.
-fn filled(name: &str, sockets: usize, system: usize) {
+fn serve_with_descriptors_filled_by_idle_clients(name: &str, sockets: usize, system_limit: usize) {
     let path =
         std::env::temp_dir().join(format!("lichenswitch-{name}-{}.json", std::process::id()));
-    let [node, list] = [(); 2].map(|()| TcpListener::bind("127.0.0.1:0").unwrap());
-    let (node_at, list_at) = (node.local_addr().unwrap(), list.local_addr().unwrap());
+    let [node, discovery] = [(); 2].map(|()| TcpListener::bind("127.0.0.1:0").unwrap());
+    let (node_address, discovery_address) =
+        (node.local_addr().unwrap(), discovery.local_addr().unwrap());
     // Discovery is down: its address refuses.
-    drop(list);
-    let lines = |lifecycle: &str, generation: u32| {
+    drop(discovery);
+    let list_text = |lifecycle: &str, generation: u32| {
         format!(
-            r#"{{"generation":{generation},"reset":true,"instances":[{{"instanceId":"s","hostPort":"{node_at}","zone":"a",
+            r#"{{"generation":{generation},"reset":true,"instances":[{{"instanceId":"s","hostPort":"{node_address}","zone":"a",
             "machineType":"m","cell":0,"lifecycle":"{lifecycle}","weight":1.0,"startedAtMs":0}}]}}"#
         )
     };
     let config = format!(
-        r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{list_at}","seed":"1","known":{},
+        r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery_address}","seed":"1","known":{},
         "limits":{{"memory_mb":16,"sockets":{sockets}}},"settings":{SETTINGS}}}"#,
-        lines("SERVING", 1)
+        list_text("SERVING", 1)
     );
     std::fs::write(&path, config).unwrap();
     let limited = format!(
-        "ulimit -n {system}; exec {}",
+        "ulimit -n {system_limit}; exec {}",
         env!("CARGO_BIN_EXE_lichenswitch")
     );
     let mut broker = Command::new("sh")
@@ -61,12 +62,12 @@
         .spawn()
         .map(Running)
         .unwrap();
-    let mut logged = BufReader::new(broker.0.stderr.take().unwrap()).lines();
-    let line = logged
+    let mut log_lines = BufReader::new(broker.0.stderr.take().unwrap()).lines();
+    let line = log_lines
         .find(|l| l.as_ref().unwrap().contains("listens on "))
         .unwrap()
         .unwrap();
-    thread::spawn(move || logged.for_each(drop));
+    thread::spawn(move || log_lines.for_each(drop));
     let address = line.rsplit(' ').next().unwrap().to_string();
     // Far more clients than there are descriptors connect and rest; half of them have asked
     // something first.
@@ -88,41 +89,41 @@
     while began.elapsed() < Duration::from_millis(1_500) {
         thread::park_timeout(Duration::from_millis(100));
     }
-    let spent = ticks(&broker.0) - before;
-    assert!(spent < 40, "{spent} of 150 ticks: a loop spins");
+    let used_ticks = ticks(&broker.0) - before;
+    assert!(used_ticks < 40, "{used_ticks} of 150 ticks: a loop spins");
     // Discovery is back, with a change: the node drains.
-    let list = TcpListener::bind(list_at).unwrap();
-    let back = Instant::now();
-    let (told, heard) = mpsc::channel();
-    let drains = lines("DRAINING", 2);
+    let discovery = TcpListener::bind(discovery_address).unwrap();
+    let restarted_at = Instant::now();
+    let (request_sender, requests) = mpsc::channel();
+    let draining_list = list_text("DRAINING", 2);
     thread::spawn(move || {
-        for mut stream in list.incoming().flatten() {
-            let mut held = Vec::new();
+        for mut stream in discovery.incoming().flatten() {
+            let mut received = Vec::new();
             let mut byte = [0];
-            while !held.ends_with(b"\r\n\r\n") && stream.read(&mut byte).is_ok_and(|n| n > 0) {
-                held.push(byte[0]);
+            while !received.ends_with(b"\r\n\r\n") && stream.read(&mut byte).is_ok_and(|n| n > 0) {
+                received.push(byte[0]);
             }
             let text = format!(
-                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{drains}",
-                drains.len()
+                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{draining_list}",
+                draining_list.len()
             );
             let _ = stream.write_all(text.as_bytes());
-            let _ = told.send(());
+            let _ = request_sender.send(());
             // The watch goes on with this one; it is left open.
             std::mem::forget(stream);
         }
     });
-    heard
+    requests
         .recv_timeout(Duration::from_secs(6))
         .expect("the list is asked for before it counts as told");
-    assert!(back.elapsed() < Duration::from_secs(6));
+    assert!(restarted_at.elapsed() < Duration::from_secs(6));
     // A query is answered at once: refused, since its only node drains.
     let mut client = TcpStream::connect(&address).unwrap();
     client
         .set_read_timeout(Some(Duration::from_secs(20)))
         .unwrap();
     client.write_all(&query("fleet-search", "q", &[1])).unwrap();
-    assert_eq!(answer(&mut client).status, 503);
+    assert_eq!(read_response(&mut client).status, 503);
     drop(clients);
     assert!(Command::new("kill")
         .arg(broker.0.id().to_string())
@@ -135,10 +136,10 @@
 
 #[test]
 fn idle_clients_fill_what_the_settings_give_while_discovery_is_down() {
-    filled("settings", 80, 1_024);
+    serve_with_descriptors_filled_by_idle_clients("settings", 80, 1_024);
 }
 
 #[test]
 fn idle_clients_fill_what_the_system_gives_while_discovery_is_down() {
-    filled("system", 512, 80);
+    serve_with_descriptors_filled_by_idle_clients("system", 512, 80);
 }
--- a/tests/gone.rs
+++ b/tests/gone.rs
@@ -1,30 +1,30 @@
 //! Clients that have gone: no attempt begins for them any more, whatever stands between their end
 //! and the broker.
 
-mod platformed;
+mod test_broker;
 
-use platformed::*;
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
+use test_broker::*;
 
 /// Whether the broker has read all that was done before on other connections: it answers this.
-fn has_read_on(stage: &Platformed) {
+fn wait_until_input_is_read(stage: &TestBroker) {
     let mut probe = stage.connect();
     probe
         .write_all(b"GET /health/live HTTP/1.1\r\nConnection: close\r\n\r\n")
         .unwrap();
-    assert_eq!(answer(&mut probe).status, 200);
+    assert_eq!(read_response(&mut probe).status, 200);
 }
 
 /// A data node to which no connection comes up before it accepts: its queue is full.
-struct Late {
+struct BacklogFullNode {
     listener: TcpListener,
     fillers: Vec<socket2::Socket>,
 }
 
-impl Late {
-    fn new() -> Late {
+impl BacklogFullNode {
+    fn new() -> BacklogFullNode {
         let socket =
             socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket
@@ -42,7 +42,7 @@
             socket
         };
         let fillers = (0..4).map(fill).collect();
-        Late { listener, fillers }
+        BacklogFullNode { listener, fillers }
     }
 
     /// From now on connections come up; the first frame that comes on any of them.
@@ -57,9 +57,9 @@
                 open.push(stream);
             }
             for stream in &mut open {
-                let mut held = [0; 4096];
-                if let Ok(n @ 5..) = stream.read(&mut held) {
-                    return String::from_utf8_lossy(&held[4..n]).into_owned();
+                let mut frame = [0; 4096];
+                if let Ok(n @ 5..) = stream.read(&mut frame) {
+                    return String::from_utf8_lossy(&frame[4..n]).into_owned();
                 }
             }
             std::thread::yield_now();
@@ -68,7 +68,7 @@
 }
 
 /// Connections to this address that are being opened and not up.
-fn being_opened(address: SocketAddr) -> usize {
+fn connecting_sockets(address: SocketAddr) -> usize {
     let SocketAddr::V4(v4) = address else {
         panic!("loopback")
     };
@@ -87,9 +87,13 @@
 /// The client leaves while its part waits for a connection; the connection comes up after that.
 /// With `cancel` false nodes may not be told that parts are given up, and `resolution_us` is the
 /// time between two turns of the module.
-fn leaves_before_the_connection(cancel: bool, resolution_us: u64, leave: impl Fn(TcpStream)) {
-    let late = Late::new();
-    let address = late.listener.local_addr().unwrap();
+fn assert_not_sent_after_disconnect(
+    cancel: bool,
+    resolution_us: u64,
+    disconnect: impl Fn(TcpStream),
+) {
+    let node = BacklogFullNode::new();
+    let address = node.listener.local_addr().unwrap();
     let settings = SETTINGS
         .replace("\"mayCancel\":true", &format!("\"mayCancel\":{cancel}"))
         .replace(
@@ -107,18 +111,18 @@
         let bytes = String::from_utf8(query("fleet-search", id, &[shard])).unwrap();
         bytes.replace("Ms: 8000", "Ms: 60000").into_bytes()
     };
-    let stage = Platformed::before(&settings, address);
-    let before = being_opened(address);
-    let mut gone = stage.connect();
-    gone.write_all(&query("gone", 1)).unwrap();
-    while being_opened(address) == before {
+    let stage = TestBroker::before(&settings, address);
+    let before = connecting_sockets(address);
+    let mut departed_client = stage.connect();
+    departed_client.write_all(&query("gone", 1)).unwrap();
+    while connecting_sockets(address) == before {
         std::thread::yield_now();
     }
-    leave(gone);
-    has_read_on(&stage);
-    let mut stays = stage.connect();
-    stays.write_all(&query("stays", 2)).unwrap();
-    let frame = late.first_frame();
+    disconnect(departed_client);
+    wait_until_input_is_read(&stage);
+    let mut staying_client = stage.connect();
+    staying_client.write_all(&query("stays", 2)).unwrap();
+    let frame = node.first_frame();
     assert!(
         frame.starts_with("Rstays.2 2 ") && !frame.contains("gone"),
         "the first that is sent: {frame}"
@@ -133,25 +137,25 @@
 
 #[test]
 fn part_waiting_for_a_connection_is_not_sent_after_its_client_left() {
-    leaves_before_the_connection(true, 5_000, drop);
+    assert_not_sent_after_disconnect(true, 5_000, drop);
 }
 
 #[test]
 fn part_waiting_for_a_connection_is_not_sent_where_cancels_are_not_allowed() {
-    leaves_before_the_connection(false, 5_000, drop);
-    leaves_before_the_connection(false, 5_000, reset);
+    assert_not_sent_after_disconnect(false, 5_000, drop);
+    assert_not_sent_after_disconnect(false, 5_000, reset);
 }
 
 #[test]
 fn part_waiting_for_a_connection_is_not_sent_where_turns_are_rare() {
     // The connection is up after the second that the system takes to try again.
-    leaves_before_the_connection(true, 3_000_000, drop);
+    assert_not_sent_after_disconnect(true, 3_000_000, drop);
 }
 
 #[test]
 fn departed_client_with_unread_input_is_noticed() {
-    for leave in [drop::<TcpStream>, reset] {
-        let stage = Platformed::new();
+    for disconnect in [drop::<TcpStream>, reset] {
+        let stage = TestBroker::new();
         // The node is known to take its time: else a connection on which nothing has come for 50 ms
         // is taken for mute, and ended in place of the word that a part is given up.
         let mut before = stage.connect();
@@ -159,11 +163,11 @@
         let mut slow = stage.next();
         std::thread::sleep(Duration::from_millis(200));
         slow.answer("b.1 OK 1 -\nv");
-        assert_eq!(answer(&mut before).status, 200);
+        assert_eq!(read_response(&mut before).status, 200);
         let mut client = stage.connect();
         client.write_all(&query("fleet-search", "g", &[1])).unwrap();
-        let got = stage.next();
-        assert_eq!(got.parts(), ["g.1"]);
+        let call = stage.next();
+        assert_eq!(call.parts(), ["g.1"]);
         // Far more than is held of any request: its end lies behind that.
         client
             .set_write_timeout(Some(Duration::from_secs(1)))
@@ -171,27 +175,27 @@
         let sent = (0..16)
             .map(|_| client.write_all(&[b'x'; 1 << 20]))
             .all(|r| r.is_ok());
-        let left = Instant::now();
-        leave(client);
+        let disconnected_at = Instant::now();
+        disconnect(client);
         assert_eq!(stage.next().frame, "Ag.1");
         assert!(
-            sent && left.elapsed() < Duration::from_millis(1_000),
+            sent && disconnected_at.elapsed() < Duration::from_millis(1_000),
             "{:?}",
-            left.elapsed()
+            disconnected_at.elapsed()
         );
     }
 }
 
 #[test]
 fn client_that_sends_on_gets_its_answer_then_the_end() {
-    let stage = Platformed::new();
+    let stage = TestBroker::new();
     let mut client = stage.connect();
     client.write_all(&query("fleet-search", "g", &[1])).unwrap();
-    let mut got = stage.next();
+    let mut call = stage.next();
     client.write_all(&vec![b'x'; 4 << 20]).unwrap();
-    has_read_on(&stage);
-    got.answer("g.1 OK 1 -\nv");
-    let response = answer(&mut client);
+    wait_until_input_is_read(&stage);
+    call.answer("g.1 OK 1 -\nv");
+    let response = read_response(&mut client);
     assert_eq!(
         (response.status, response.header("connection")),
         (200, Some("close"))
@@ -201,12 +205,12 @@
 
 #[test]
 fn pipelined_request_of_a_departed_client_is_not_sent() {
-    let stage = Platformed::new();
+    let stage = TestBroker::new();
     let mut client = stage.connect();
     client
         .write_all(&query("fleet-search", "one", &[1]))
         .unwrap();
-    let mut got = stage.next();
+    let mut call = stage.next();
     client
         .write_all(&query("fleet-search", "two", &[2]))
         .unwrap();
@@ -216,7 +220,7 @@
         "Aone.1",
         "whoever ends its side has gone"
     );
-    got.answer("one.1 OK 1 -\nv");
+    call.answer("one.1 OK 1 -\nv");
     let mut other = stage.connect();
     other
         .write_all(&query("fleet-search", "three", &[3]))
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -4,8 +4,12 @@
 use common::*;
 use lichenswitch::interface::*;
 
-fn shares(stage: &mut Stage, n: usize, act: impl Fn(ServerId) -> (Outcome, Micros)) -> [usize; 4] {
-    let mut counts = [0; 4];
+fn send_counts(
+    stage: &mut Stage,
+    n: usize,
+    outcome_of: impl Fn(ServerId) -> (Outcome, Micros),
+) -> [usize; 4] {
+    let mut sent_by_server = [0; 4];
     for _ in 0..n {
         let (_, events) = stage.query(&[0]);
         let mut open: Vec<(u64, u16, ServerId)> = sends(&stage.turn(events))
@@ -13,38 +17,45 @@
             .map(|(p, s)| (p, 0, s))
             .collect();
         while let Some((part, attempt, server)) = open.pop() {
-            counts[server.0 as usize] += 1;
-            let (outcome, took) = act(server);
-            let out = stage.after(took, vec![finished(part, attempt, server, outcome, took)]);
-            open.extend(sends(&out).into_iter().map(|(p, s)| (p, attempt + 1, s)));
+            sent_by_server[server.0 as usize] += 1;
+            let (outcome, elapsed) = outcome_of(server);
+            let actions = stage.after(
+                elapsed,
+                vec![finished(part, attempt, server, outcome, elapsed)],
+            );
+            open.extend(
+                sends(&actions)
+                    .into_iter()
+                    .map(|(p, s)| (p, attempt + 1, s)),
+            );
         }
         stage.after(MS, vec![Event::Wake]);
     }
-    counts
+    sent_by_server
 }
 
 #[test]
 fn server_that_fails_fast_does_not_attract_traffic() {
     let mut stage = Stage::new(settings(class()));
-    shares(&mut stage, 30, |_| (Outcome::Ok, 20 * MS));
-    let bad = |s: ServerId| {
+    send_counts(&mut stage, 30, |_| (Outcome::Ok, 20 * MS));
+    let failing_first = |s: ServerId| {
         if s.0 == 1 {
             (Outcome::Error, MS)
         } else {
             (Outcome::Ok, 20 * MS)
         }
     };
-    let counts = shares(&mut stage, 100, bad);
-    assert!(counts[1] < 12, "{counts:?}");
+    let sent_by_server = send_counts(&mut stage, 100, failing_first);
+    assert!(sent_by_server[1] < 12, "{sent_by_server:?}");
 }
 
 #[test]
 fn slow_server_is_avoided_and_used_again_after_recovery() {
     let mut stage = Stage::new(settings(class()));
-    shares(&mut stage, 30, |_| (Outcome::Ok, 20 * MS));
+    send_counts(&mut stage, 30, |_| (Outcome::Ok, 20 * MS));
     let slow = |s: ServerId| (Outcome::Ok, if s.0 == 1 { 200 * MS } else { 20 * MS });
-    let counts = shares(&mut stage, 100, slow);
-    assert!(counts[1] < 15, "{counts:?}");
+    let sent_by_server = send_counts(&mut stage, 100, slow);
+    assert!(sent_by_server[1] < 15, "{sent_by_server:?}");
     for _ in 0..8 {
         stage.after(
             1_000 * MS,
@@ -54,10 +65,10 @@
                 elapsed: MS,
             }],
         );
-        shares(&mut stage, 4, |_| (Outcome::Ok, 20 * MS));
+        send_counts(&mut stage, 4, |_| (Outcome::Ok, 20 * MS));
     }
-    let counts = shares(&mut stage, 60, |_| (Outcome::Ok, 20 * MS));
-    assert!(counts[1] > 10, "{counts:?}");
+    let sent_by_server = send_counts(&mut stage, 60, |_| (Outcome::Ok, 20 * MS));
+    assert!(sent_by_server[1] > 10, "{sent_by_server:?}");
 }
 
 #[test]
@@ -77,8 +88,8 @@
 #[test]
 fn returned_server_is_treated_as_a_new_one() {
     let mut stage = Stage::new(settings(class()));
-    shares(&mut stage, 30, |_| (Outcome::Ok, 20 * MS));
-    shares(&mut stage, 20, |s| {
+    send_counts(&mut stage, 30, |_| (Outcome::Ok, 20 * MS));
+    send_counts(&mut stage, 20, |s| {
         if s.0 == 1 {
             (Outcome::Error, MS)
         } else {
@@ -96,17 +107,17 @@
         MS,
         vec![Event::List(ServerListUpdate::Changes(vec![line(1, 0)]))],
     );
-    let counts = shares(&mut stage, 30, |_| (Outcome::Ok, 20 * MS));
+    let sent_by_server = send_counts(&mut stage, 30, |_| (Outcome::Ok, 20 * MS));
     assert!(
-        counts[1] >= 8,
-        "what was held against it is forgotten: {counts:?}"
+        sent_by_server[1] >= 8,
+        "what was held against it is forgotten: {sent_by_server:?}"
     );
 }
 
 #[test]
 fn least_unhealthy_server_serves_when_all_are_unhealthy() {
     let mut stage = Stage::new(settings(class()));
-    shares(&mut stage, 40, |_| (Outcome::Error, MS));
+    send_counts(&mut stage, 40, |_| (Outcome::Error, MS));
     let (_, events) = stage.query(&[0]);
     assert_eq!(
         sends(&stage.turn(events)).len(),
@@ -132,27 +143,28 @@
 #[test]
 fn queue_too_long_for_the_target_rejects_queries_with_retry_advice() {
     let mut stage = Stage::new(settings(class()));
-    shares(&mut stage, 30, |_| (Outcome::Ok, 300 * MS));
+    send_counts(&mut stage, 30, |_| (Outcome::Ok, 300 * MS));
     let mut refused = 0;
     for _ in 0..60 {
         let (_, events) = stage.query(&[0]);
-        let out = stage.after(MS, events);
+        let actions = stage.after(MS, events);
         let advice =
             |a: &&Action| matches!(a, Action::Refuse { retry_after, .. } if *retry_after > 0);
-        refused += out.iter().filter(advice).count();
+        refused += actions.iter().filter(advice).count();
     }
     assert!(refused > 20, "{refused} of 60");
 }
 
 #[test]
 fn list_is_subscribed_and_requested_again_with_growing_backoff() {
-    let mut set = settings(class());
-    set.discovery = Discovery::Ask(10_000 * MS);
-    let mut stage = Stage::new(set.clone());
-    stage.broker = lichenswitch::policy::Coordinator::new(3, set);
-    let asks = |out: &[Action]| out.iter().filter(|a| **a == Action::Subscribe).count();
+    let mut configuration = settings(class());
+    configuration.discovery = Discovery::Ask(10_000 * MS);
+    let mut stage = Stage::new(configuration.clone());
+    stage.coordinator = lichenswitch::policy::Coordinator::new(3, configuration);
+    let subscriptions =
+        |actions: &[Action]| actions.iter().filter(|a| **a == Action::Subscribe).count();
     assert_eq!(
-        asks(
+        subscriptions(
             &stage.turn(vec![Event::List(ServerListUpdate::Cached(vec![line(
                 1, 0
             )]))])
@@ -162,8 +174,8 @@
     let mut times = Vec::new();
     stage.turn(vec![Event::List(ServerListUpdate::Failed)]);
     for _ in 0..2_000 {
-        let out = stage.after(5 * MS, vec![Event::Wake]);
-        if asks(&out) > 0 {
+        let actions = stage.after(5 * MS, vec![Event::Wake]);
+        if subscriptions(&actions) > 0 {
             times.push(stage.now);
             stage.turn(vec![Event::List(ServerListUpdate::Failed)]);
         }
@@ -175,7 +187,7 @@
     );
     stage.turn(vec![Event::List(ServerListUpdate::Changes(vec![]))]);
     let later: usize = (0..2_000)
-        .map(|_| asks(&stage.after(5 * MS, vec![Event::Wake])))
+        .map(|_| subscriptions(&stage.after(5 * MS, vec![Event::Wake])))
         .sum();
     assert_eq!(later, 0, "a list that came ends the asking");
 }
@@ -185,9 +197,9 @@
     let mut stage = Stage::new(settings(class()));
     let (id, events) = stage.query(&[0]);
     stage.turn(events);
-    let out = stage.after(1 << 50, vec![Event::Wake]);
-    assert_eq!(finals(&out), [(id, false)]);
-    assert!(sends(&out).is_empty());
+    let actions = stage.after(1 << 50, vec![Event::Wake]);
+    assert_eq!(finals(&actions), [(id, false)]);
+    assert!(sends(&actions).is_empty());
     stage.now = Time(5);
     let (_, events) = stage.query(&[0]);
     stage.turn(events);
@@ -218,20 +230,20 @@
 
 #[test]
 fn expensive_first_query_does_not_block_cheaper_ones() {
-    let mut set = settings(Class {
+    let mut configuration = settings(Class {
         value: 50.0,
         ..class()
     });
-    set.classes.push(class());
-    let mut stage = Stage::new(set);
-    let cheap = |stage: &mut Stage| {
+    configuration.classes.push(class());
+    let mut stage = Stage::new(configuration);
+    let cheap_query = |stage: &mut Stage| {
         let (id, mut events) = stage.query(&[0]);
         of_class(&mut events, 1);
         (id, events)
     };
     stage.serve(450 * MS);
     for _ in 0..40 {
-        let (id, events) = cheap(&mut stage);
+        let (id, events) = cheap_query(&mut stage);
         let sent = sends(&stage.turn(events));
         assert_eq!(sent.len(), 1, "servers are idle");
         stage.after(
@@ -246,8 +258,8 @@
     let mut stage = Stage::new(settings(class()));
     (0..30).for_each(|_| stage.serve(20 * MS));
     let mut late: Option<ServerId> = None;
-    let mut suspected = Vec::new();
-    while suspected.len() < 2 {
+    let mut suspicions = Vec::new();
+    while suspicions.len() < 2 {
         let (id, events) = stage.query(&[0]);
         let server = sends(&stage.turn(events))[0].1;
         if late.is_some_and(|first| first != server) {
@@ -258,25 +270,26 @@
             continue;
         }
         late = Some(server);
-        let mut out = stage.after(LATENCY_TARGET / 2, vec![Event::Wake]);
-        let copy = sends(&out)[0].1;
-        out.extend(stage.after(
+        let mut actions = stage.after(LATENCY_TARGET / 2, vec![Event::Wake]);
+        let copy = sends(&actions)[0].1;
+        actions.extend(stage.after(
             20 * MS,
             vec![finished(id + 1, 1, copy, Outcome::Ok, 20 * MS)],
         ));
-        out.extend(stage.turn(vec![finished(
+        actions.extend(stage.turn(vec![finished(
             id + 1,
             0,
             server,
             Outcome::Cancelled,
             LATENCY_TARGET / 2,
         )]));
-        let told = |a: &Action| matches!(a, Action::Log(line) if line.ends_with("suspected"));
-        suspected.push(out.iter().any(told));
+        let is_suspicion_log =
+            |a: &Action| matches!(a, Action::Log(line) if line.ends_with("suspected"));
+        suspicions.push(actions.iter().any(is_suspicion_log));
         // What is still counted against it as pending ends meanwhile.
         stage.after(3 * LATENCY_TARGET, vec![Event::Wake]);
     }
-    assert_eq!(suspected, [false, true]);
+    assert_eq!(suspicions, [false, true]);
 }
 
 /// Makes the query that these events begin one of a tenant.
@@ -288,18 +301,18 @@
 
 #[test]
 fn load_beyond_a_tenants_quota_is_shed_first() {
-    let mut set = settings(class());
+    let mut configuration = settings(class());
     // This one of three instances has 40 and 4 a second of them; both tenants ask for 20.
-    (set.quotas, set.over_quota) = (vec![120.0, 12.0], 0.2);
-    let mut stage = Stage::new(set);
-    shares(&mut stage, 30, |_| (Outcome::Ok, 300 * MS));
-    let mut let_in = [0, 0];
-    let mut out: Vec<(Time, u64, ServerId)> = Vec::new();
+    (configuration.quotas, configuration.over_quota) = (vec![120.0, 12.0], 0.2);
+    let mut stage = Stage::new(configuration);
+    send_counts(&mut stage, 30, |_| (Outcome::Ok, 300 * MS));
+    let mut admitted = [0, 0];
+    let mut in_flight: Vec<(Time, u64, ServerId)> = Vec::new();
     for turn in 0..400 {
         let tenant = turn % 2;
         let (id, mut events) = stage.query(&[0]);
         of_tenant(&mut events, tenant);
-        let done: Vec<_> = out
+        let done: Vec<_> = in_flight
             .extract_if(.., |o| stage.now.since(o.0) >= 700 * MS)
             .collect();
         events.extend(
@@ -308,43 +321,50 @@
         );
         for (part, server) in sends(&stage.after(25 * MS, events)) {
             if part == id + 1 {
-                let_in[tenant as usize] += 1;
-                out.push((stage.now, part, server));
+                admitted[tenant as usize] += 1;
+                in_flight.push((stage.now, part, server));
             }
         }
     }
-    assert!(let_in[0] > 190 && let_in[1] < 175, "{let_in:?} of 200 each");
+    assert!(
+        admitted[0] > 190 && admitted[1] < 175,
+        "{admitted:?} of 200 each"
+    );
 }
 
 #[test]
 fn client_retry_keeps_its_first_value_and_uses_no_quota() {
-    let mut set = settings(class());
+    let mut configuration = settings(class());
     // This one of three instances has one a second of them.
-    (set.quotas, set.over_quota, set.marks_retry) = (vec![3.0], 0.2, true);
-    let mut stage = Stage::new(set);
+    (
+        configuration.quotas,
+        configuration.over_quota,
+        configuration.marks_retry,
+    ) = (vec![3.0], 0.2, true);
+    let mut stage = Stage::new(configuration);
     (0..12).for_each(|_| stage.serve(700 * MS));
-    let ask = |stage: &mut Stage, marked: bool| {
+    let send_query = |stage: &mut Stage, is_retry: bool| {
         let (id, mut events) = stage.query(&[0]);
         of_tenant(&mut events, 0);
         if let Event::Query { again, .. } = &mut events[0] {
-            *again = marked;
+            *again = is_retry;
         }
         (id, sends(&stage.after(MS, events)))
     };
-    let (id, sent) = ask(&mut stage, false);
+    let (id, sent) = send_query(&mut stage, false);
     assert_eq!(sent.len(), 1, "within the quota");
-    assert!(ask(&mut stage, false).1.is_empty(), "beyond it");
+    assert!(send_query(&mut stage, false).1.is_empty(), "beyond it");
     stage.after(
         700 * MS,
         vec![finished(id + 1, 0, sent[0].1, Outcome::Ok, 700 * MS)],
     );
     stage.after(350 * MS, vec![Event::Wake]);
     assert!(
-        ask(&mut stage, true).1.is_empty(),
+        send_query(&mut stage, true).1.is_empty(),
         "beyond it as its first try was, though there is a place by now"
     );
     assert_eq!(
-        ask(&mut stage, false).1.len(),
+        send_query(&mut stage, false).1.len(),
         1,
         "which is left to the next one"
     );
@@ -352,9 +372,9 @@
 
 #[test]
 fn server_that_fails_one_class_is_avoided_for_that_class_alone() {
-    let mut set = settings(class());
-    set.classes.push(class());
-    let mut stage = Stage::new(set);
+    let mut configuration = settings(class());
+    configuration.classes.push(class());
+    let mut stage = Stage::new(configuration);
     let mut sent = [[0usize; 4]; 2];
     for i in 0..200u16 {
         let (id, mut events) = stage.query(&[0]);
@@ -370,11 +390,11 @@
             } else {
                 Outcome::Ok
             };
-            let out = stage.after(
+            let actions = stage.after(
                 20 * MS,
                 vec![finished(id + 1, attempt, server, outcome, 20 * MS)],
             );
-            open.extend(sends(&out).into_iter().map(|s| (attempt + 1, s.1)));
+            open.extend(sends(&actions).into_iter().map(|s| (attempt + 1, s.1)));
         }
     }
     assert!(sent[1][1] < 15 && sent[0][1] > 50, "{sent:?}");
@@ -383,7 +403,7 @@
 #[test]
 fn congestion_is_forgotten_while_nothing_is_sent() {
     let mut stage = Stage::new(settings(class()));
-    shares(&mut stage, 60, |_| (Outcome::Ok, 2_900 * MS));
+    send_counts(&mut stage, 60, |_| (Outcome::Ok, 2_900 * MS));
     let refused = |stage: &mut Stage| {
         let (_, events) = stage.query(&[0]);
         sends(&stage.turn(events)).is_empty()
@@ -401,20 +421,20 @@
 
 #[test]
 fn hedge_that_would_arrive_too_late_is_not_sent() {
-    let copies = |took: Micros| {
+    let hedges_after = |elapsed: Micros| {
         let mut stage = Stage::new(settings(class()));
-        (0..30).for_each(|_| stage.serve(took));
+        (0..30).for_each(|_| stage.serve(elapsed));
         let (_, events) = stage.query(&[0]);
         assert_eq!(sends(&stage.turn(events)).len(), 1);
         sends(&stage.after(LATENCY_TARGET / 2, vec![Event::Wake])).len()
     };
     assert_eq!(
-        copies(200 * MS),
+        hedges_after(200 * MS),
         1,
         "half the aim is left and a fifth is needed"
     );
     assert_eq!(
-        copies(800 * MS),
+        hedges_after(800 * MS),
         0,
         "half the aim is left and four fifths are needed"
     );
@@ -422,7 +442,7 @@
 
 #[test]
 fn late_responses_make_admission_stricter() {
-    let refused_after = |late: usize| {
+    let is_rejected_after = |late: usize| {
         let mut stage = Stage::new(settings(class()));
         (0..10).for_each(|_| stage.serve(550 * MS));
         for _ in 0..late {
@@ -441,9 +461,9 @@
         let (_, events) = stage.query(&[0]);
         sends(&stage.turn(events)).is_empty()
     };
-    assert!(!refused_after(0), "550 ms of an aim of a second");
+    assert!(!is_rejected_after(0), "550 ms of an aim of a second");
     assert!(
-        refused_after(12),
+        is_rejected_after(12),
         "queries forecast alike came late one after another"
     );
 }
@@ -451,39 +471,39 @@
 /// Answers each part that was sent, or breaks it where its connection had been dropped: the server
 /// was not used for a second and its connections were not closed before the send. Counts those
 /// broken and closed.
-fn on_dropped_connections(stage: &mut Stage, n: usize) -> (usize, usize) {
-    let (mut used, mut broken, mut closed) = ([Time(0); 4], 0, 0);
+fn serve_with_dropped_connections(stage: &mut Stage, n: usize) -> (usize, usize) {
+    let (mut last_used, mut resets, mut closes) = ([Time(0); 4], 0, 0);
     for _ in 0..n {
         let (id, events) = stage.query(&[0]);
-        let mut out = stage.after(1_200 * MS, events);
+        let mut actions = stage.after(1_200 * MS, events);
         for attempt in 0..3 {
-            let Some((_, server)) = sends(&out).first().copied() else {
+            let Some((_, server)) = sends(&actions).first().copied() else {
                 break;
             };
-            let new = out.contains(&Action::CloseIdle(server));
-            closed += usize::from(new);
-            let last = std::mem::replace(&mut used[server.0 as usize], stage.now);
-            let lost = !new && stage.now.since(last) > 1_000 * MS;
-            broken += usize::from(lost);
-            let end = if lost { Outcome::Reset } else { Outcome::Ok };
-            out = stage.after(
+            let new = actions.contains(&Action::CloseIdle(server));
+            closes += usize::from(new);
+            let last = std::mem::replace(&mut last_used[server.0 as usize], stage.now);
+            let is_lost = !new && stage.now.since(last) > 1_000 * MS;
+            resets += usize::from(is_lost);
+            let end = if is_lost { Outcome::Reset } else { Outcome::Ok };
+            actions = stage.after(
                 20 * MS,
                 vec![finished(id + 1, attempt, server, end, 20 * MS)],
             );
-            if !lost {
+            if !is_lost {
                 break;
             }
         }
     }
-    (broken, closed)
+    (resets, closes)
 }
 
 #[test]
 fn idle_connection_drops_are_no_poison_and_no_server_fault() {
     let mut stage = Stage::new(settings(class()));
-    let (broken, closed) = on_dropped_connections(&mut stage, 100);
-    assert!(broken <= 12, "learnt after a few: {broken} broken");
-    assert!(closed >= 40, "closed before the send: {closed}");
+    let (resets, closes) = serve_with_dropped_connections(&mut stage, 100);
+    assert!(resets <= 12, "learnt after a few: {resets} broken");
+    assert!(closes >= 40, "closed before the send: {closes}");
     let (_, events) = stage.query(&[0, 1, 2]);
     assert_eq!(
         sends(&stage.after(MS, events)).len(),
@@ -497,9 +517,9 @@
     let mut stage = Stage::new(settings(class()));
     for _ in 0..20 {
         let (id, events) = stage.query(&[0]);
-        let out = stage.after(2_000 * MS, events);
-        assert!(!out.iter().any(|a| matches!(a, Action::CloseIdle(_))));
-        let server = sends(&out)[0].1;
+        let actions = stage.after(2_000 * MS, events);
+        assert!(!actions.iter().any(|a| matches!(a, Action::CloseIdle(_))));
+        let server = sends(&actions)[0].1;
         stage.after(
             20 * MS,
             vec![finished(id + 1, 0, server, Outcome::Ok, 20 * MS)],
@@ -514,23 +534,25 @@
         ..class()
     }));
     let (_, events) = stage.query(&[0]);
-    let out = stage.after(2_000 * MS, events);
-    let server = sends(&out)[0].1;
-    let close = out.iter().position(|a| *a == Action::CloseIdle(server));
-    let send = out.iter().position(|a| matches!(a, Action::Send { .. }));
-    assert!(close.is_some() && close < send, "{out:?}");
+    let actions = stage.after(2_000 * MS, events);
+    let server = sends(&actions)[0].1;
+    let close = actions.iter().position(|a| *a == Action::CloseIdle(server));
+    let send = actions
+        .iter()
+        .position(|a| matches!(a, Action::Send { .. }));
+    assert!(close.is_some() && close < send, "{actions:?}");
 }
 
 #[test]
 fn path_to_a_zone_is_learnt_from_all_its_servers() {
-    let mut set = settings(class());
-    set.layout = Layout {
+    let mut configuration = settings(class());
+    configuration.layout = Layout {
         cells: 30,
         width: 30,
         shards: u32::MAX,
         parts_a_call: 1,
     };
-    let mut stage = Stage::new(set);
+    let mut stage = Stage::new(configuration);
     let lines = (0..30)
         .map(|i| ListedServer {
             zone: i % 3,
@@ -539,43 +561,43 @@
         .collect();
     stage.turn(vec![Event::List(ServerListUpdate::Complete(lines))]);
     let zone = |server: ServerId| (server.0 - 1) % 3;
-    let mut to_far = [0; 60];
-    for there in &mut to_far {
+    let mut far_zone_parts = [0; 60];
+    for parts_to_far_zone in &mut far_zone_parts {
         let (id, events) = stage.query(&[0, 1, 2, 3, 4, 5]);
         let sent = sends(&stage.turn(events));
-        *there = sent.iter().filter(|s| zone(s.1) == 2).count();
+        *parts_to_far_zone = sent.iter().filter(|s| zone(s.1) == 2).count();
         for (i, &(part, server)) in (1..).zip(&sent) {
             assert_eq!(part, id + i);
             // Its own zone holds two parts in a hundred milliseconds; the way to zone 2 takes long.
-            let took = if zone(server) == 2 { 700 * MS } else { 50 * MS };
-            stage.turn(vec![finished(part, 0, server, Outcome::Ok, took)]);
+            let elapsed = if zone(server) == 2 { 700 * MS } else { 50 * MS };
+            stage.turn(vec![finished(part, 0, server, Outcome::Ok, elapsed)]);
         }
         stage.after(100 * MS, vec![]);
     }
-    let late: usize = to_far[30..].iter().sum();
+    let late: usize = far_zone_parts[30..].iter().sum();
     assert!(
         late <= 12,
-        "each of ten servers need not be learnt alone: {to_far:?}"
+        "each of ten servers need not be learnt alone: {far_zone_parts:?}"
     );
 }
 
 #[test]
 fn servers_whose_attempts_all_time_out_do_not_look_idle_to_admission() {
-    let mut set = settings(Class {
+    let mut configuration = settings(Class {
         late_share: 0.0,
         ..class()
     });
-    set.limits.second_copies = false;
-    let mut stage = Stage::new(set);
-    shares(&mut stage, 30, |_| (Outcome::Ok, 20 * MS));
-    let mut turned_away = 0;
+    configuration.limits.second_copies = false;
+    let mut stage = Stage::new(configuration);
+    send_counts(&mut stage, 30, |_| (Outcome::Ok, 20 * MS));
+    let mut rejections = 0;
     for _ in 0..8 {
         let mut open = Vec::new();
         for _ in 0..3 {
             let (_, events) = stage.query(&[0]);
-            let out = stage.after(MS, events);
-            turned_away += finals(&out).len();
-            open.extend(sends(&out));
+            let actions = stage.after(MS, events);
+            rejections += finals(&actions).len();
+            open.extend(sends(&actions));
         }
         stage.after(LATENCY_TARGET, vec![Event::Wake]);
         let end = |&(part, server): &(u64, ServerId)| {
@@ -584,19 +606,19 @@
         stage.after(MS, open.iter().map(end).collect());
     }
     assert!(
-        turned_away >= 4,
-        "the wait was an aim at least: {turned_away} of 24 turned away"
+        rejections >= 4,
+        "the wait was an aim at least: {rejections} of 24 turned away"
     );
 }
 
 #[test]
 fn marked_client_retry_without_a_key_keeps_its_first_target() {
-    let mut set = settings(Class {
+    let mut configuration = settings(Class {
         late_share: 0.0,
         ..class()
     });
-    set.marks_retry = true;
-    let mut stage = Stage::new(set);
+    configuration.marks_retry = true;
+    let mut stage = Stage::new(configuration);
     let (id, events) = stage.query(&[0]);
     stage.turn(events);
     let mut ended = Vec::new();
@@ -604,15 +626,15 @@
         ended = finals(&stage.after(10 * MS, vec![Event::Wake]));
     }
     assert_eq!(ended, [(id, false)]);
-    for (marked, sent) in [(false, 1), (true, 0)] {
+    for (is_retry, sent) in [(false, 1), (true, 0)] {
         let (_, mut events) = stage.query(&[0]);
         if let Event::Query { again, .. } = &mut events[0] {
-            *again = marked;
+            *again = is_retry;
         }
         assert_eq!(
             sends(&stage.after(20 * MS, events)).len(),
             sent,
-            "marked: {marked}"
+            "marked: {is_retry}"
         );
     }
 }
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -26,19 +26,22 @@
         Folder(path)
     }
 
-    fn run(&self, listed: Option<&str>) -> (bool, String) {
+    fn run(&self, known_red: Option<&str>) -> (bool, String) {
         let list = self.0.join("KNOWN-RED.txt");
-        match listed {
+        match known_red {
             Some(text) => fs::write(&list, text).unwrap(),
             None => _ = fs::remove_file(&list),
         }
         let _ = fs::remove_file(self.0.join("calls"));
-        let out: Output = Command::new("bash")
+        let output: Output = Command::new("bash")
             .args([SCRIPT, "./command"])
             .current_dir(&self.0)
             .output()
             .unwrap();
-        (out.status.success(), String::from_utf8(out.stdout).unwrap())
+        (
+            output.status.success(),
+            String::from_utf8(output.stdout).unwrap(),
+        )
     }
 
     fn calls(&self) -> String {
@@ -63,10 +66,10 @@
 #[test]
 fn listed_tests_are_skipped_by_name_and_reported() {
     let folder = Folder::new("listed");
-    let (passed, said) = folder.run(Some(
+    let (passed, report) = folder.run(Some(
         "a::red | the cause | issue 29\na::sound | flaky | issue 29\n",
     ));
-    assert!(passed, "{said}");
+    assert!(passed, "{report}");
     assert!(
         folder
             .calls()
@@ -75,12 +78,12 @@
         folder.calls()
     );
     assert!(
-        said.contains("known red: a::red: fails as listed") && said.contains("the cause"),
-        "{said}"
+        report.contains("known red: a::red: fails as listed") && report.contains("the cause"),
+        "{report}"
     );
     assert!(
-        said.contains("known red: a::sound: passed this time"),
-        "{said}"
+        report.contains("known red: a::sound: passed this time"),
+        "{report}"
     );
 }
 
@@ -88,13 +91,16 @@
 fn a_list_that_is_too_long_names_no_test_or_tells_no_cause_fails() {
     let folder = Folder::new("wrong");
     let line = "a::red | the cause | issue 29\n";
-    for wrong in [
+    for invalid_list in [
         &line.repeat(4),
         "a::re | the cause | issue 29\n",
         "a::red\n",
         "a::red | | issue 29\n",
     ] {
-        let (passed, said) = folder.run(Some(wrong));
-        assert!(!passed && said.contains("KNOWN-RED.txt"), "{wrong}: {said}");
+        let (passed, report) = folder.run(Some(invalid_list));
+        assert!(
+            !passed && report.contains("KNOWN-RED.txt"),
+            "{invalid_list}: {report}"
+        );
     }
 }
--- a/tests/management.rs
+++ b/tests/management.rs
@@ -1,14 +1,14 @@
 //! Operators' calls: answered in time whatever the loop and other callers do, and carried out.
 
-mod platformed;
+mod test_broker;
 
 use lichenswitch::config::Platform;
 use lichenswitch::management::ManagementHandle;
-use platformed::*;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
+use test_broker::*;
 
 /// An answer is to be sent within this time.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
@@ -45,7 +45,7 @@
         .collect();
     for line in ["health", "nonsense", "cordon s", "counters"] {
         let started_at = Instant::now();
-        let answer = asked(calls, line);
+        let answer = operator_call(calls, line);
         assert!(
             started_at.elapsed() < ANSWER_TIMEOUT,
             "{line}: {:?}",
@@ -57,7 +57,7 @@
         );
     }
     assert!(
-        asked(calls, "health").starts_with("fail "),
+        operator_call(calls, "health").starts_with("fail "),
         "a loop that does not come round serves nobody"
     );
     drop(held);
@@ -114,21 +114,21 @@
     let settings = SETTINGS
         .replace("\"classes\"", rules)
         .replace("4000000", "200000");
-    let (broker, calls) = Platformed::managed(&settings, move |listener, list| {
-        let (stream, _) = call(&listener);
-        tell(&stream, list.clone());
-        assert!(next_call(&stream).contains("since=1"));
+    let (broker, calls) = TestBroker::managed(&settings, move |listener, list| {
+        let (stream, _) = accept_discovery_call(&listener);
+        send_list(&stream, list.clone());
+        assert!(read_discovery_call(&stream).contains("since=1"));
         sender.send((stream, list)).unwrap();
     });
     let (watch, list) = watches.recv().unwrap();
-    asked_until(calls, "health", "ok ");
-    assert_eq!(asked(calls, "cordon s"), "ok s is out\n");
-    assert_eq!(asked(calls, "cordon s"), "ok s is out already\n");
+    operator_call_until(calls, "health", "ok ");
+    assert_eq!(operator_call(calls, "cordon s"), "ok s is out\n");
+    assert_eq!(operator_call(calls, "cordon s"), "ok s is out already\n");
     let mut client = broker.connect();
     let assert_rejected = |client: &mut TcpStream, id: &str| {
         client.write_all(&query("fleet-search", id, &[0])).unwrap();
         assert_eq!(
-            answer(client).status,
+            read_response(client).status,
             503,
             "{id}: nobody else holds the shard"
         );
@@ -144,17 +144,17 @@
                 &[0],
             ))
             .unwrap();
-        match broker.got.recv_timeout(Duration::from_millis(200)) {
+        match broker.frames.recv_timeout(Duration::from_millis(200)) {
             Ok(mut got) => got
                 .parts()
                 .iter()
                 .for_each(|id| got.answer(&format!("{id} OK 1 -\nv"))),
             Err(_) => break,
         }
-        answer(&mut client);
+        read_response(&mut client);
         assert!(started_at.elapsed() < Duration::from_millis(1_500));
     }
-    assert_eq!(answer(&mut client).status, 503);
+    assert_eq!(read_response(&mut client).status, 503);
     // Lists that have it as serving come in between.
     let node_at = list
         .split("hostPort\":\"")
@@ -163,29 +163,29 @@
         .split('"')
         .next()
         .unwrap();
-    tell(&watch, list_change(2, node_at, "SERVING"));
-    assert!(next_call(&watch).contains("since=2"));
+    send_list(&watch, list_change(2, node_at, "SERVING"));
+    assert!(read_discovery_call(&watch).contains("since=2"));
     assert_rejected(&mut client, "after-a-change");
-    tell(&watch, list.replace("\"generation\":1", "\"generation\":3"));
-    assert!(next_call(&watch).contains("since=3"));
+    send_list(&watch, list.replace("\"generation\":1", "\"generation\":3"));
+    assert!(read_discovery_call(&watch).contains("since=3"));
     assert_rejected(&mut client, "after-a-whole-list");
-    assert!(broker.got.try_recv().is_err());
-    assert!(asked(calls, "uncordon s").starts_with("ok s is used again"));
-    assert_eq!(asked(calls, "uncordon s"), "ok s was not out\n");
+    assert!(broker.frames.try_recv().is_err());
+    assert!(operator_call(calls, "uncordon s").starts_with("ok s is used again"));
+    assert_eq!(operator_call(calls, "uncordon s"), "ok s was not out\n");
     // It is one that has just started, and gets its first part within its allowance.
     let started_at = Instant::now();
     for id in 0.. {
         client
             .write_all(&query("fleet-search", &format!("back-{id}"), &[0]))
             .unwrap();
-        if let Ok(mut got) = broker.got.recv_timeout(Duration::from_millis(100)) {
+        if let Ok(mut got) = broker.frames.recv_timeout(Duration::from_millis(100)) {
             got.parts()
                 .iter()
                 .for_each(|id| got.answer(&format!("{id} OK 1 -\nv")));
-            assert_eq!(answer(&mut client).status, 200);
+            assert_eq!(read_response(&mut client).status, 200);
             break;
         }
-        assert_eq!(answer(&mut client).status, 503);
+        assert_eq!(read_response(&mut client).status, 503);
         assert!(
             started_at.elapsed() < Duration::from_secs(5),
             "used again within 5 s"
@@ -196,10 +196,10 @@
 #[test]
 fn node_that_drains_by_the_list_drains_after_the_uncordon_too() {
     let (sender, watches) = mpsc::channel();
-    let (broker, calls) = Platformed::managed(SETTINGS, move |listener: TcpListener, list| {
-        let (stream, _) = call(&listener);
-        tell(&stream, list.clone());
-        next_call(&stream);
+    let (broker, calls) = TestBroker::managed(SETTINGS, move |listener: TcpListener, list| {
+        let (stream, _) = accept_discovery_call(&listener);
+        send_list(&stream, list.clone());
+        read_discovery_call(&stream);
         sender.send((stream, list)).unwrap();
     });
     let (watch, list) = watches.recv().unwrap();
@@ -210,15 +210,15 @@
         .split('"')
         .next()
         .unwrap();
-    asked_until(calls, "health", "ok ");
-    assert!(asked(calls, "cordon s").starts_with("ok "));
-    tell(&watch, list_change(2, node_at, "DRAINING"));
-    next_call(&watch);
-    assert!(asked(calls, "uncordon s").starts_with("ok "));
+    operator_call_until(calls, "health", "ok ");
+    assert!(operator_call(calls, "cordon s").starts_with("ok "));
+    send_list(&watch, list_change(2, node_at, "DRAINING"));
+    read_discovery_call(&watch);
+    assert!(operator_call(calls, "uncordon s").starts_with("ok "));
     let mut client = broker.connect();
     client.write_all(&query("fleet-search", "1", &[0])).unwrap();
-    assert_eq!(answer(&mut client).status, 503);
-    assert!(broker.got.try_recv().is_err());
+    assert_eq!(read_response(&mut client).status, 503);
+    assert!(broker.frames.try_recv().is_err());
 }
 
 /// What arrives on a connection until its end, and the time until then.
@@ -230,8 +230,8 @@
 
 #[test]
 fn quiesced_clients_are_notified_then_closed_and_no_accepted_request_is_lost() {
-    let (broker, calls) = Platformed::managed(SETTINGS, discovery);
-    asked_until(calls, "health", "ok ");
+    let (broker, calls) = TestBroker::managed(SETTINGS, discovery);
+    operator_call_until(calls, "health", "ok ");
     let [mut waiting, mut idle, mut arriving, mut active] = [(); 4].map(|()| broker.connect());
     waiting
         .write_all(&query("fleet-search", "waits", &[0]))
@@ -241,14 +241,17 @@
         stream
             .write_all(b"GET /health/ready HTTP/1.1\r\n\r\n")
             .unwrap();
-        let ready = answer(stream);
+        let ready = read_response(stream);
         assert!(ready.status == 200 && ready.keep_alive);
     }
     let started_at = Instant::now();
-    assert_eq!(asked(calls, "quiesce"), "ok clients are sent away\n");
+    assert_eq!(
+        operator_call(calls, "quiesce"),
+        "ok clients are sent away\n"
+    );
     // One call later the loop follows it.
     assert_eq!(
-        asked_until(calls, "health", "fail "),
+        operator_call_until(calls, "health", "fail "),
         "fail clients are sent away\n"
     );
     let request = query("fleet-search", "arrives", &[0]);
@@ -261,13 +264,13 @@
     got.parts()
         .iter()
         .for_each(|id| got.answer(&format!("{id} OK 1 -\nv")));
-    let served = answer(&mut active);
+    let served = read_response(&mut active);
     assert!(served.status == 200 && !served.keep_alive, "{served:?}");
     let mut prober = broker.connect();
     prober
         .write_all(b"GET /health/ready HTTP/1.1\r\n\r\n")
         .unwrap();
-    let ready = answer(&mut prober);
+    let ready = read_response(&mut prober);
     assert!(ready.status == 503 && !ready.keep_alive, "{ready:?}");
     let (received, elapsed) = read_to_end(&mut idle, started_at);
     assert!(
@@ -285,7 +288,7 @@
     let mut late = broker.connect();
     late.write_all(&query("fleet-search", "late", &[0]))
         .unwrap();
-    let rejected = answer(&mut late);
+    let rejected = read_response(&mut late);
     assert!(rejected.status == 503 && !rejected.keep_alive);
     pending
         .parts()
@@ -297,13 +300,13 @@
         "{received}"
     );
     assert!(
-        broker.got.try_recv().is_err(),
+        broker.frames.try_recv().is_err(),
         "a rejected query is not sent on"
     );
     // Back to work.
     let started_at = Instant::now();
-    assert_eq!(asked(calls, "resume"), "ok back to work\n");
-    asked_until(calls, "health", "ok ");
+    assert_eq!(operator_call(calls, "resume"), "ok back to work\n");
+    operator_call_until(calls, "health", "ok ");
     assert!(started_at.elapsed() < ANSWER_TIMEOUT);
     let mut back = broker.connect();
     back.write_all(&query("fleet-search", "back", &[0]))
@@ -312,15 +315,15 @@
     got.parts()
         .iter()
         .for_each(|id| got.answer(&format!("{id} OK 1 -\nv")));
-    let served = answer(&mut back);
+    let served = read_response(&mut back);
     assert!(served.status == 200 && served.keep_alive);
 }
 
 #[test]
 fn answers_are_those_of_the_operators_page() {
     let page = include_str!("../docs/operate/operation.md");
-    let (_broker, calls) = Platformed::managed(SETTINGS, discovery);
-    asked_until(calls, "health", "ok ");
+    let (_broker, calls) = TestBroker::managed(SETTINGS, discovery);
+    operator_call_until(calls, "health", "ok ");
     let named = |text: &str| {
         text.trim_end()
             .replace("\"s\"", "\"ID\"")
@@ -336,13 +339,13 @@
         ("quiesce", "ok clients are sent away"),
         ("resume", "ok back to work"),
     ] {
-        let answer = named(&asked(calls, call));
+        let answer = named(&operator_call(calls, call));
         assert!(
             answer.starts_with(expected) && page.contains(&format!("`{answer}`")),
             "{call}: {answer}"
         );
     }
-    let metrics = asked(calls, "counters");
+    let metrics = operator_call(calls, "counters");
     for line in metrics.lines().filter(|line| line.starts_with("svc_")) {
         let name = line.split(['{', ' ']).next().unwrap();
         assert!(
@@ -366,7 +369,7 @@
 fn wait_for_metrics(calls: SocketAddr, expected: &[(&str, u64)]) {
     let started_at = Instant::now();
     loop {
-        let text = asked(calls, "counters");
+        let text = operator_call(calls, "counters");
         assert!(
             text.starts_with("ok\n") && text.ends_with("\neof\n"),
             "{text}"
@@ -391,8 +394,8 @@
         "\"classes\"",
         r#""rules":{"stopSendingWithinUs":0},"classes""#,
     );
-    let (broker, calls) = Platformed::managed(&settings, discovery);
-    asked_until(calls, "health", "ok ");
+    let (broker, calls) = TestBroker::managed(&settings, discovery);
+    operator_call_until(calls, "health", "ok ");
     let none = ["ok", "shed", "errors", "tries"]
         .map(|n| format!("svc_{n}_total{{kind=\"network-report\"}}"));
     let none: Vec<(&str, u64)> = none.iter().map(|name| (name.as_str(), 0)).collect();
@@ -412,7 +415,7 @@
         got.parts()
             .iter()
             .for_each(|id| got.answer(&format!("{id} {answered}")));
-        answer(&mut client).status
+        read_response(&mut client).status
     };
     assert_eq!(
         [
@@ -441,14 +444,14 @@
         .parts()
         .iter()
         .for_each(|id| pending.answer(&format!("{id} OK 1 -\nv")));
-    assert_eq!(answer(&mut second).status, 200);
+    assert_eq!(read_response(&mut second).status, 200);
     // What makes no sense has failed; with the only node out a query is refused, and nothing is
     // sent.
     second
         .write_all(&query("fleet-search", "d", &[0, 0]))
         .unwrap();
-    assert_eq!(answer(&mut second).status, 400);
-    assert!(asked(calls, "cordon s").starts_with("ok "));
+    assert_eq!(read_response(&mut second).status, 400);
+    assert!(operator_call(calls, "cordon s").starts_with("ok "));
     wait_for_metrics(
         calls,
         &[
@@ -458,6 +461,6 @@
         ],
     );
     second.write_all(&query("fleet-search", "e", &[0])).unwrap();
-    assert_eq!(answer(&mut second).status, 503);
+    assert_eq!(read_response(&mut second).status, 503);
     wait_for_metrics(calls, &of([3, 1, 1, 3]));
 }
--- a/tests/ogc.rs
+++ b/tests/ogc.rs
@@ -89,7 +89,7 @@
             .map(|l| FeatureServer::start(l, features.clone()))
             .collect();
         let (stop, signal) = UnixStream::pair().unwrap();
-        let (told, address) = mpsc::channel();
+        let (address_sender, address) = mpsc::channel();
         let path = folder.join("lichenswitch.yaml");
         let broker = thread::spawn(move || {
             let front = Ogc::load(&Operators::load(&path).unwrap(), None)
@@ -97,7 +97,7 @@
                 .unwrap();
             let mut broker = Broker::new(None, Some(front)).unwrap();
             broker.stop_on(signal).unwrap();
-            told.send(broker.addresses()[0].1).unwrap();
+            address_sender.send(broker.addresses()[0].1).unwrap();
             broker.run().unwrap();
         });
         let address = address.recv().unwrap();
@@ -136,7 +136,7 @@
 
     /// A whole page of a city that was ill a moment ago: while its servers are taken to be slow,
     /// queries are refused.
-    fn healed(&self, target: &str) -> (Response, Json) {
+    fn recovered_page(&self, target: &str) -> (Response, Json) {
         for _ in 0..100 {
             let response = self.get(target);
             if response.header("answer-completeness") == Some("complete") {
@@ -337,7 +337,7 @@
         "what the other four slices hold"
     );
     // A box that does not cross the slice is complete.
-    let (_, body) = city.healed("/collections/network/items?bbox=0,0,2.5,1&limit=50");
+    let (_, body) = city.recovered_page("/collections/network/items?bbox=0,0,2.5,1&limit=50");
     assert_eq!(body["complete"], true);
     // Under a class that needs all parts there is no answer, and the client hears of it in its
     // time.
@@ -361,7 +361,7 @@
     assert_eq!(city.get("/collections/network/items?limit=50").status, 503);
     city.set_behavior(Behavior::Serve);
     assert_eq!(
-        city.healed("/collections/network/items?limit=50").1["complete"],
+        city.recovered_page("/collections/network/items?limit=50").1["complete"],
         true
     );
 }
@@ -383,7 +383,8 @@
     city.set_behavior(Behavior::Serve);
     city.servers[2].set_behavior(Behavior::Fail);
     assert_eq!(
-        city.healed("/collections/scooters/items?limit=50").1["complete"],
+        city.recovered_page("/collections/scooters/items?limit=50")
+            .1["complete"],
         true
     );
 }
@@ -410,16 +411,16 @@
 #[test]
 fn teams_are_held_to_their_contracts() {
     let city = City::new("teams:\n  - {name: coast, classes: fleet-search, rate: 0.01}\n");
-    let ask = |owner: &str, collection: &str| {
+    let send_as = |owner: &str, collection: &str| {
         city.send(&format!(
             "GET /collections/{collection}/items HTTP/1.1\r\n{owner}Connection: close\r\n\r\n"
         ))
     };
-    assert_eq!(ask("", "scooters").status, 403);
-    assert_eq!(ask("Req-Owner: inland\r\n", "scooters").status, 403);
-    assert_eq!(ask("Req-Owner: coast\r\n", "network").status, 403);
-    assert_eq!(ask("Req-Owner: coast\r\n", "scooters").status, 200);
-    let over = ask("Req-Owner: coast\r\n", "scooters");
+    assert_eq!(send_as("", "scooters").status, 403);
+    assert_eq!(send_as("Req-Owner: inland\r\n", "scooters").status, 403);
+    assert_eq!(send_as("Req-Owner: coast\r\n", "network").status, 403);
+    assert_eq!(send_as("Req-Owner: coast\r\n", "scooters").status, 200);
+    let over = send_as("Req-Owner: coast\r\n", "scooters");
     assert!(over.status == 429 && over.header("retry-after").is_some());
 }
 
@@ -499,7 +500,7 @@
     let city = City::with("", scooters());
     city.set_behavior(Behavior::CantSort);
     let target = "/collections/scooters/items?sortby=-battery&limit=12";
-    let (_, page) = city.healed(target);
+    let (_, page) = city.recovered_page(target);
     assert_eq!(ids(&page), expected(true)[..12]);
     let (before, sorted) = (requests(&city), |city: &City| {
         let received_targets = city
@@ -510,11 +511,11 @@
             .filter(|target| target.contains("sortby"))
             .count()
     });
-    let refused = sorted(&city);
-    let (_, page) = city.healed(target);
+    let refused_sorts = sorted(&city);
+    let (_, page) = city.recovered_page(target);
     assert_eq!(ids(&page), expected(true)[..12]);
     assert!(
-        sorted(&city) - refused <= 5,
+        sorted(&city) - refused_sorts <= 5,
         "each node refuses once at most"
     );
     assert!(requests(&city) > before);
@@ -548,7 +549,7 @@
     );
     city.set_behavior(Behavior::Serve);
     assert_eq!(
-        city.healed("/collections/scooters/items?sortby=-battery&limit=40")
+        city.recovered_page("/collections/scooters/items?sortby=-battery&limit=40")
             .1["complete"],
         true
     );
@@ -562,9 +563,9 @@
 fn second_phase_uses_the_other_replica_when_one_breaks() {
     let city = City::with("", scooters());
     city.servers[2].set_behavior(Behavior::DisconnectInSecondPhase);
-    let (_, page) = city.healed("/collections/scooters/items?sortby=battery&limit=30");
+    let (_, page) = city.recovered_page("/collections/scooters/items?sortby=battery&limit=30");
     assert_eq!(ids(&page), expected(false)[..30]);
     city.servers[2].set_behavior(Behavior::Malformed);
-    let (_, page) = city.healed("/collections/scooters/items?sortby=battery&limit=30");
+    let (_, page) = city.recovered_page("/collections/scooters/items?sortby=battery&limit=30");
     assert_eq!(ids(&page), expected(false)[..30]);
 }
--- a/tests/ordinary_path.rs
+++ b/tests/ordinary_path.rs
@@ -41,9 +41,9 @@
 
 #[test]
 fn without_shared_calls_parts_spread() {
-    let mut set = settings(class());
-    set.layout.parts_a_call = 1;
-    let mut stage = Stage::new(set);
+    let mut configuration = settings(class());
+    configuration.layout.parts_a_call = 1;
+    let mut stage = Stage::new(configuration);
     let (_, events) = stage.query(&[0, 1, 2]);
     let mut servers: Vec<ServerId> = sends(&stage.turn(events)).iter().map(|s| s.1).collect();
     servers.sort();
@@ -53,9 +53,9 @@
 #[test]
 fn ties_are_broken_by_the_local_zone() {
     for zone in 0..3 {
-        let mut set = settings(class());
-        set.zone = zone;
-        let mut stage = Stage::new(set);
+        let mut configuration = settings(class());
+        configuration.zone = zone;
+        let mut stage = Stage::new(configuration);
         let (_, events) = stage.query(&[0]);
         assert_eq!(sends(&stage.turn(events))[0].1, ServerId(zone + 1));
     }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -19,84 +19,94 @@
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         4 => (0u32..6, 1u32..5).prop_map(|(first, n)| Step::Query((first..first + n).collect())),
-        10 => (any::<usize>(), 0u8..12).prop_map(|(i, how)| Step::End(i, how)),
+        10 => (any::<usize>(), 0u8..12).prop_map(|(i, variant)| Step::End(i, variant)),
         1 => any::<usize>().prop_map(Step::Hangup),
-        1 => (0u32..6, 0u8..4).prop_map(|(server, how)| Step::List(server, how)),
+        1 => (0u32..6, 0u8..4).prop_map(|(server, variant)| Step::List(server, variant)),
         5 => (1u64..400).prop_map(Step::Pause),
     ]
 }
 
 #[derive(Default)]
-struct Referee {
-    owed: BTreeMap<u64, (Time, Vec<u64>)>,
-    ended: BTreeSet<u64>,
+struct Oracle {
+    open_queries: BTreeMap<u64, (Time, Vec<u64>)>,
+    ended_queries: BTreeSet<u64>,
     shards: BTreeMap<u64, u32>,
-    tries: BTreeMap<u64, Vec<(ServerId, bool)>>,
+    attempts: BTreeMap<u64, Vec<(ServerId, bool)>>,
     /// Attempts without an outcome yet: part, number, server and time of the send.
-    flying: Vec<(u64, u16, ServerId, Time)>,
-    in_parts: BTreeSet<u64>,
-    barred: BTreeSet<ServerId>,
-    taken: Vec<Time>,
-    further: Vec<Time>,
+    in_flight: Vec<(u64, u16, ServerId, Time)>,
+    answered_parts: BTreeSet<u64>,
+    unavailable_servers: BTreeSet<ServerId>,
+    arrivals: Vec<Time>,
+    retries: Vec<Time>,
 }
 
-impl Referee {
-    fn check(&mut self, set: &Settings, now: Time, actions: &[Action]) {
+impl Oracle {
+    fn check(&mut self, configuration: &Settings, now: Time, actions: &[Action]) {
         for action in actions {
             match action {
                 Action::Send { part, server, .. } => {
                     let query = self
-                        .owed
+                        .open_queries
                         .iter()
                         .find(|(_, (_, parts))| parts.contains(&part.0));
                     assert!(query.is_some(), "sent a part of no query held");
                     assert!(
-                        !self.barred.contains(server),
+                        !self.unavailable_servers.contains(server),
                         "sent to a draining or gone server"
                     );
-                    let cell = server.0 % set.layout.cells;
-                    let offset = (cell + set.layout.cells
-                        - self.shards[&part.0] % set.layout.cells)
-                        % set.layout.cells;
+                    let cell = server.0 % configuration.layout.cells;
+                    let offset = (cell + configuration.layout.cells
+                        - self.shards[&part.0] % configuration.layout.cells)
+                        % configuration.layout.cells;
                     assert!(
-                        offset < set.layout.width,
+                        offset < configuration.layout.width,
                         "sent to a server without the shard"
                     );
-                    let tries = self.tries.entry(part.0).or_default();
-                    let out: Vec<_> = tries.iter().filter(|t| t.1).collect();
+                    let attempts = self.attempts.entry(part.0).or_default();
+                    let in_flight: Vec<_> = attempts.iter().filter(|t| t.1).collect();
                     assert!(
-                        out.len() < 2 && out.iter().all(|t| t.0 != *server),
+                        in_flight.len() < 2 && in_flight.iter().all(|t| t.0 != *server),
                         "two out, on different servers"
                     );
-                    self.flying.push((part.0, tries.len() as u16, *server, now));
-                    tries.push((*server, true));
-                    assert!(tries.len() <= set.limits.attempts as usize);
-                    if tries.len() > 1 {
-                        self.further.push(now);
-                        let budget = set.limits.budget.unwrap();
+                    self.in_flight
+                        .push((part.0, attempts.len() as u16, *server, now));
+                    attempts.push((*server, true));
+                    assert!(attempts.len() <= configuration.limits.attempts as usize);
+                    if attempts.len() > 1 {
+                        self.retries.push(now);
+                        let budget = configuration.limits.budget.unwrap();
                         let start = now.minus(budget.window);
-                        let further = self.further.iter().filter(|&&t| t >= start).count() as f64;
-                        let taken = self.taken.iter().filter(|&&t| t > start).count() as f64;
+                        let retries = self.retries.iter().filter(|&&t| t >= start).count() as f64;
+                        let arrivals = self.arrivals.iter().filter(|&&t| t > start).count() as f64;
                         assert!(
-                            further <= budget.least + budget.share * taken,
+                            retries <= budget.least + budget.share * arrivals,
                             "over the budget"
                         );
                     }
                 }
                 Action::Answer { query, whole } => {
-                    let (_, parts) = self.owed.remove(&query.0).expect("one final answer");
-                    let have = parts.iter().filter(|p| self.in_parts.contains(p)).count() as f64
+                    let (_, parts) = self
+                        .open_queries
+                        .remove(&query.0)
+                        .expect("one final answer");
+                    let available = parts
+                        .iter()
+                        .filter(|p| self.answered_parts.contains(p))
+                        .count() as f64
                         / parts.len() as f64;
-                    assert!(have + 1e-4 >= if *whole { 1.0 } else { 0.8 });
-                    self.ended.insert(query.0);
+                    assert!(available + 1e-4 >= if *whole { 1.0 } else { 0.8 });
+                    self.ended_queries.insert(query.0);
                 }
                 Action::Refuse { query, .. } | Action::Fail(query) => {
-                    assert!(self.owed.remove(&query.0).is_some(), "one final answer");
-                    self.ended.insert(query.0);
+                    assert!(
+                        self.open_queries.remove(&query.0).is_some(),
+                        "one final answer"
+                    );
+                    self.ended_queries.insert(query.0);
                 }
                 Action::Cancel { part, attempt } => {
                     assert!(
-                        self.tries[&part.0].len() > usize::from(*attempt),
+                        self.attempts[&part.0].len() > usize::from(*attempt),
                         "cancelled what was never sent"
                     );
                 }
@@ -104,20 +114,22 @@
             }
         }
         assert!(
-            self.owed.values().all(|(deadline, _)| now < *deadline),
+            self.open_queries
+                .values()
+                .all(|(deadline, _)| now < *deadline),
             "a query outlived its client"
         );
     }
 }
 
-fn list(server: u32, how: u8, now: Time) -> ListedServer {
+fn listed_server(server: u32, variant: u8, now: Time) -> ListedServer {
     let mode = [
         ServerMode::Ready,
         ServerMode::Draining,
         ServerMode::Gone,
         ServerMode::Ready,
-    ][usize::from(how)];
-    let started = (how == 3).then_some(now);
+    ][usize::from(variant)];
+    let started = (variant == 3).then_some(now);
     ListedServer {
         server: ServerId(server),
         cell: server % 3,
@@ -128,24 +140,24 @@
 }
 
 /// Plays the steps and returns all actions; the referee checks them turn by turn.
-fn play(steps: &[Step], seed: u64) -> Vec<Action> {
-    let mut set = settings(Class {
+fn run(steps: &[Step], seed: u64) -> Vec<Action> {
+    let mut configuration = settings(Class {
         floor: 0.8,
         ..class()
     });
-    set.layout.width = 2;
-    set.limits.budget = Some(Budget {
+    configuration.layout.width = 2;
+    configuration.limits.budget = Some(Budget {
         window: 2 * LATENCY_TARGET,
         least: 2.0,
         share: 0.2,
     });
-    let mut referee = Referee::default();
+    let mut oracle = Oracle::default();
     let mut now = Time(50 * LATENCY_TARGET);
-    let mut broker = Coordinator::new(seed, set.clone());
-    let mut all = Vec::new();
+    let mut broker = Coordinator::new(seed, configuration.clone());
+    let mut all_actions = Vec::new();
     let mut next = 1u64;
     let whole = Event::List(ServerListUpdate::Complete(
-        (0..6).map(|s| list(s, 0, now)).collect(),
+        (0..6).map(|s| listed_server(s, 0, now)).collect(),
     ));
     let mut events = vec![whole];
     for step in steps {
@@ -165,7 +177,7 @@
                 let parts: Vec<u64> = (id + 1..).take(shards.len()).collect();
                 let weight = 1.0 / parts.len() as f64;
                 for (&part, &shard) in parts.iter().zip(shards) {
-                    referee.shards.insert(part, shard);
+                    oracle.shards.insert(part, shard);
                     events.push(Event::Part {
                         part: PartId(part),
                         number,
@@ -173,14 +185,14 @@
                         weight,
                     });
                 }
-                referee.taken.extend(vec![now; 1 + parts.len()]);
-                referee.owed.insert(id, (deadline, parts));
+                oracle.arrivals.extend(vec![now; 1 + parts.len()]);
+                oracle.open_queries.insert(id, (deadline, parts));
                 next += 1 + shards.len() as u64;
             }
-            Step::End(i, how) if !referee.flying.is_empty() => {
+            Step::End(i, variant) if !oracle.in_flight.is_empty() => {
                 let (part, attempt, server, sent) =
-                    referee.flying.swap_remove(i % referee.flying.len());
-                let outcome = match how {
+                    oracle.in_flight.swap_remove(i % oracle.in_flight.len());
+                let outcome = match variant {
                     0 => Outcome::Error,
                     1 => Outcome::Rejected,
                     2 => Outcome::Timeout,
@@ -190,42 +202,46 @@
                     _ => Outcome::Ok,
                 };
                 if outcome == Outcome::Ok {
-                    referee.in_parts.insert(part);
+                    oracle.answered_parts.insert(part);
                 }
-                referee.tries.get_mut(&part).unwrap()[usize::from(attempt)].1 = false;
+                oracle.attempts.get_mut(&part).unwrap()[usize::from(attempt)].1 = false;
                 events.push(finished(part, attempt, server, outcome, now.since(sent)));
             }
-            Step::Hangup(i) if !referee.owed.is_empty() => {
-                let id = *referee.owed.keys().nth(i % referee.owed.len()).unwrap();
-                referee.owed.remove(&id);
+            Step::Hangup(i) if !oracle.open_queries.is_empty() => {
+                let id = *oracle
+                    .open_queries
+                    .keys()
+                    .nth(i % oracle.open_queries.len())
+                    .unwrap();
+                oracle.open_queries.remove(&id);
                 events.push(Event::Hangup(QueryId(id)));
             }
-            Step::List(server, how) => {
-                let line = list(*server, *how, now);
+            Step::List(server, variant) => {
+                let line = listed_server(*server, *variant, now);
                 match line.mode {
-                    ServerMode::Ready => referee.barred.remove(&line.server),
-                    _ => referee.barred.insert(line.server),
+                    ServerMode::Ready => oracle.unavailable_servers.remove(&line.server),
+                    _ => oracle.unavailable_servers.insert(line.server),
                 };
                 events.push(Event::List(ServerListUpdate::Changes(vec![line])));
             }
             Step::Pause(_) | Step::End(..) | Step::Hangup(_) => {}
         }
         events.push(Event::Wake);
-        let mut out = Vec::new();
-        broker.turn(now, std::mem::take(&mut events), &mut out);
-        referee.check(&set, now, &out);
-        all.extend(out);
+        let mut actions = Vec::new();
+        broker.turn(now, std::mem::take(&mut events), &mut actions);
+        oracle.check(&configuration, now, &actions);
+        all_actions.extend(actions);
         if let Step::Pause(by) = step {
             for _ in 0..*by / 5 {
                 now = now.plus(5 * MS);
-                let mut out = Vec::new();
-                broker.turn(now, vec![Event::Wake], &mut out);
-                referee.check(&set, now, &out);
-                all.extend(out);
+                let mut actions = Vec::new();
+                broker.turn(now, vec![Event::Wake], &mut actions);
+                oracle.check(&configuration, now, &actions);
+                all_actions.extend(actions);
             }
         }
     }
-    all
+    all_actions
 }
 
 proptest! {
@@ -234,8 +250,8 @@
 
     #[test]
     fn random_days_keep_the_rules_and_repeat_exactly(steps in prop::collection::vec(step(), 1..160)) {
-        let once = play(&steps, 5);
-        prop_assert_eq!(&once, &play(&steps, 5));
+        let actions = run(&steps, 5);
+        prop_assert_eq!(&actions, &run(&steps, 5));
     }
 }
 
@@ -250,10 +266,10 @@
             }
         })
         .collect();
-    let (a, b) = (play(&steps, 1), play(&steps, 2));
+    let (a, b) = (run(&steps, 1), run(&steps, 2));
     let both = std::thread::scope(|s| {
-        let one = s.spawn(|| play(&steps, 1));
-        let two = s.spawn(|| play(&steps, 2));
+        let one = s.spawn(|| run(&steps, 1));
+        let two = s.spawn(|| run(&steps, 2));
         (one.join().unwrap(), two.join().unwrap())
     });
     assert_eq!((a, b), both);
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -8,14 +8,14 @@
 use std::collections::BTreeSet;
 
 /// A fleet of one server for each cell, shards held by three in a row, parts that share no calls.
-fn fleet(servers: u32, mut set: Settings) -> Stage {
-    set.layout = Layout {
+fn fleet(servers: u32, mut configuration: Settings) -> Stage {
+    configuration.layout = Layout {
         cells: servers,
         width: 3,
         shards: u32::MAX,
         parts_a_call: 1,
     };
-    let mut stage = Stage::new(set);
+    let mut stage = Stage::new(configuration);
     let lines = (0..servers)
         .map(|i| ListedServer {
             zone: i % 2,
@@ -26,13 +26,13 @@
     stage
 }
 
-fn holds(server: ServerId, shard: u32, cells: u32) -> bool {
+fn is_replica(server: ServerId, shard: u32, cells: u32) -> bool {
     (server.0 - 100 + cells - shard % cells) % cells < 3
 }
 
-fn with_key(events: &mut [Event], of: u64, marked: bool) {
+fn with_key(events: &mut [Event], query_key: u64, is_retry: bool) {
     if let Event::Query { key, again, .. } = &mut events[0] {
-        (*key, *again) = (of, marked);
+        (*key, *again) = (query_key, is_retry);
     }
 }
 
@@ -42,22 +42,22 @@
     stage: &mut Stage,
     shards: &[u32],
     key: u64,
-    fate: impl Fn(ServerId) -> Option<(Outcome, Micros)>,
+    outcome_of: impl Fn(ServerId) -> Option<(Outcome, Micros)>,
 ) -> (Vec<ServerId>, bool) {
     let (id, mut events) = stage.query(shards);
     with_key(&mut events, key, false);
-    let mut out = stage.turn(events);
-    let (mut met, mut open) = (Vec::new(), Vec::<(u64, u16, ServerId, Time)>::new());
-    let mut tries = std::collections::BTreeMap::<u64, u16>::new();
+    let mut actions = stage.turn(events);
+    let (mut servers_reached, mut open) = (Vec::new(), Vec::<(u64, u16, ServerId, Time)>::new());
+    let mut attempts = std::collections::BTreeMap::<u64, u16>::new();
     for _ in 0..4_000 {
-        for (part, server) in sends(&out) {
-            let attempt = tries.entry(part).or_default();
+        for (part, server) in sends(&actions) {
+            let attempt = attempts.entry(part).or_default();
             open.push((part, *attempt, server, stage.now));
             *attempt += 1;
-            met.push(server);
+            servers_reached.push(server);
         }
         let mut events = vec![Event::Wake];
-        for action in &out {
+        for action in &actions {
             if let Action::Cancel { part, attempt } = action {
                 open.retain(|o| (o.0, o.1) != (part.0, *attempt));
                 events.push(finished(
@@ -69,27 +69,28 @@
                 ));
             }
         }
-        if let Some((_, answered)) = finals(&out).first() {
+        if let Some((_, answered)) = finals(&actions).first() {
             // What is still out ends as its server has it, so that nothing stays behind.
             for (part, attempt, server, _) in open {
-                let (outcome, took) = fate(server).unwrap_or((Outcome::Cancelled, MS));
-                stage.turn(vec![finished(part, attempt, server, outcome, took)]);
+                let (outcome, elapsed) = outcome_of(server).unwrap_or((Outcome::Cancelled, MS));
+                stage.turn(vec![finished(part, attempt, server, outcome, elapsed)]);
             }
-            return (met, *answered);
+            return (servers_reached, *answered);
         }
         stage.now = stage.now.plus(5 * MS);
         open.retain(|&(part, attempt, server, sent)| {
-            let due = fate(server).filter(|&(_, took)| stage.now >= sent.plus(took));
-            events
-                .extend(due.map(|(outcome, took)| finished(part, attempt, server, outcome, took)));
+            let due = outcome_of(server).filter(|&(_, elapsed)| stage.now >= sent.plus(elapsed));
+            events.extend(
+                due.map(|(outcome, elapsed)| finished(part, attempt, server, outcome, elapsed)),
+            );
             due.is_none()
         });
-        out = stage.turn(events);
+        actions = stage.turn(events);
     }
     panic!("query {id} never ended");
 }
 
-fn well(_: ServerId) -> Option<(Outcome, Micros)> {
+fn healthy(_: ServerId) -> Option<(Outcome, Micros)> {
     Some((Outcome::Ok, 50 * MS))
 }
 
@@ -97,19 +98,22 @@
 fn poison_query_crashes_few_servers_and_its_key_is_not_admitted_again() {
     let mut stage = fleet(30, settings(class()));
     for i in 0..20 {
-        assert!(play(&mut stage, &[i, i + 1, i + 2], 7, well).1);
+        assert!(play(&mut stage, &[i, i + 1, i + 2], 7, healthy).1);
     }
-    let breaks = |_| Some((Outcome::Reset, 5 * MS));
-    let (met, answered) = play(&mut stage, &[3], 66, breaks);
+    let crashes = |_| Some((Outcome::Reset, 5 * MS));
+    let (servers_reached, answered) = play(&mut stage, &[3], 66, crashes);
     assert!(!answered);
-    assert!(met.len() <= 3, "one part, at most three servers: {met:?}");
-    let (met, _) = play(&mut stage, &[3], 66, breaks);
     assert!(
-        met.is_empty(),
-        "the same key is refused at arrival: {met:?}"
+        servers_reached.len() <= 3,
+        "one part, at most three servers: {servers_reached:?}"
+    );
+    let (servers_reached, _) = play(&mut stage, &[3], 66, crashes);
+    assert!(
+        servers_reached.is_empty(),
+        "the same key is refused at arrival: {servers_reached:?}"
     );
     assert!(
-        play(&mut stage, &[3, 4, 5], 7, well).1,
+        play(&mut stage, &[3, 4, 5], 7, healthy).1,
         "honest queries of the class are served"
     );
 }
@@ -117,7 +121,7 @@
 #[test]
 fn after_poison_a_query_of_its_class_sends_one_part_ahead() {
     let mut stage = fleet(30, settings(class()));
-    play(&mut stage, &[1, 2, 3], 7, well);
+    play(&mut stage, &[1, 2, 3], 7, healthy);
     play(&mut stage, &[10, 14, 18, 22], 66, |_| {
         Some((Outcome::Reset, 5 * MS))
     });
@@ -125,30 +129,30 @@
     let first = sends(&stage.turn(events));
     assert_eq!(first.len(), 1, "one part goes ahead: {first:?}");
     let (part, server) = first[0];
-    let rest = sends(&stage.after(
+    let other_parts = sends(&stage.after(
         50 * MS,
         vec![finished(part, 0, server, Outcome::Ok, 50 * MS)],
     ));
-    assert_eq!(rest.len(), 3, "the others of {id} follow its answer");
+    assert_eq!(other_parts.len(), 3, "the others of {id} follow its answer");
 }
 
 #[test]
 fn victims_of_a_poison_query_are_trusted_again() {
-    let mut set = settings(class());
-    set.zone = 9;
-    let mut stage = fleet(6, set);
+    let mut configuration = settings(class());
+    configuration.zone = 9;
+    let mut stage = fleet(6, configuration);
     for i in 0..12 {
-        play(&mut stage, &[i % 6], 7, well);
+        play(&mut stage, &[i % 6], 7, healthy);
     }
-    let (broken, _) = play(&mut stage, &[0], 66, |_| Some((Outcome::Reset, 5 * MS)));
+    let (crashed_servers, _) = play(&mut stage, &[0], 66, |_| Some((Outcome::Reset, 5 * MS)));
     stage.after(12_000 * MS, vec![Event::Wake]);
-    let mut met = BTreeSet::new();
+    let mut servers_reached = BTreeSet::new();
     for i in 0..60 {
-        met.extend(play(&mut stage, &[i % 6], 7, well).0);
+        servers_reached.extend(play(&mut stage, &[i % 6], 7, healthy).0);
     }
     assert!(
-        broken.iter().all(|s| met.contains(s)),
-        "{broken:?} of {met:?}"
+        crashed_servers.iter().all(|s| servers_reached.contains(s)),
+        "{crashed_servers:?} of {servers_reached:?}"
     );
 }
 
@@ -156,9 +160,9 @@
 fn server_crashes_are_not_taken_for_a_poison_query() {
     let mut stage = fleet(30, settings(class()));
     for i in 0..10 {
-        play(&mut stage, &[i, i + 3], 7, well);
+        play(&mut stage, &[i, i + 3], 7, healthy);
     }
-    let crashed = |s: ServerId| {
+    let partly_crashed = |s: ServerId| {
         Some(if s.0.is_multiple_of(5) {
             (Outcome::Reset, 60 * MS)
         } else {
@@ -167,7 +171,7 @@
     };
     for i in 0..10 {
         assert!(
-            play(&mut stage, &[i, i + 4, i + 8, i + 12], 7, crashed).1,
+            play(&mut stage, &[i, i + 4, i + 8, i + 12], 7, partly_crashed).1,
             "victims are served elsewhere"
         );
     }
@@ -177,9 +181,9 @@
 fn timeouts_of_more_than_a_tenth_recover_in_time() {
     let mut stage = fleet(12, settings(class()));
     for i in 0..24 {
-        play(&mut stage, &[i % 12, (i + 4) % 12], 7, well);
+        play(&mut stage, &[i % 12, (i + 4) % 12], 7, healthy);
     }
-    let mute = |s: ServerId| {
+    let partly_unresponsive = |s: ServerId| {
         if s.0.is_multiple_of(3) {
             None
         } else {
@@ -193,7 +197,7 @@
             &mut stage,
             &[i % 12, (i + 3) % 12, (i + 6) % 12, (i + 9) % 12],
             7,
-            mute,
+            partly_unresponsive,
         );
         late += usize::from(!answered || stage.now.since(began) > LATENCY_TARGET);
     }
@@ -205,9 +209,9 @@
 
 #[test]
 fn unanswered_class_ejects_a_server_for_that_class() {
-    let mut set = settings(class());
-    set.classes.push(class());
-    let mut stage = Stage::new(set);
+    let mut configuration = settings(class());
+    configuration.classes.push(class());
+    let mut stage = Stage::new(configuration);
     let mut sent = [[0usize; 4]; 2];
     for i in 0..2_000u16 {
         let (id, mut events) = stage.query(&[0]);
@@ -215,9 +219,9 @@
         let server = sends(&stage.turn(events))[0].1;
         sent[usize::from(i % 2)][server.0 as usize] += 1;
         if server.0 == 1 && i % 2 == 1 {
-            let copies = sends(&stage.after(LATENCY_TARGET / 2, vec![Event::Wake]));
-            assert_eq!(copies.len(), 1, "a silent part is copied");
-            let copy = copies[0].1;
+            let hedges = sends(&stage.after(LATENCY_TARGET / 2, vec![Event::Wake]));
+            assert_eq!(hedges.len(), 1, "a silent part is copied");
+            let copy = hedges[0].1;
             stage.after(
                 20 * MS,
                 vec![finished(id + 1, 1, copy, Outcome::Ok, 20 * MS)],
@@ -243,29 +247,32 @@
 fn passed_probe_does_not_clear_an_unresponsive_server() {
     let mut stage = fleet(6, settings(class()));
     for i in 0..12 {
-        play(&mut stage, &[i % 6], 7, well);
+        play(&mut stage, &[i % 6], 7, healthy);
     }
-    let cut = |s: ServerId| {
+    let first_unresponsive = |s: ServerId| {
         if s.0 == 100 {
             None
         } else {
             Some((Outcome::Ok, 50 * MS))
         }
     };
-    let mut met = 0;
+    let mut servers_reached = 0;
     for _ in 0..40 {
         stage.turn(vec![Event::Probed {
             server: ServerId(100),
             outcome: Outcome::Ok,
             elapsed: MS,
         }]);
-        met += play(&mut stage, &[4], 7, cut)
+        servers_reached += play(&mut stage, &[4], 7, first_unresponsive)
             .0
             .iter()
             .filter(|s| s.0 == 100)
             .count();
     }
-    assert!(met < 10, "{met} attempts at the silent server");
+    assert!(
+        servers_reached < 10,
+        "{servers_reached} attempts at the silent server"
+    );
 }
 
 #[test]
@@ -292,13 +299,13 @@
 }
 
 /// Answer times of 320 ms: a fresh query is let in, a further try that is past its aim is not.
-fn refused_again(marks: bool, marked: bool) -> bool {
-    let mut set = settings(Class {
+fn is_retry_rejected(are_retries_marked: bool, is_retry: bool) -> bool {
+    let mut configuration = settings(Class {
         late_share: 0.01,
         ..class()
     });
-    set.marks_retry = marks;
-    let mut stage = Stage::new(set);
+    configuration.marks_retry = are_retries_marked;
+    let mut stage = Stage::new(configuration);
     for _ in 0..60 {
         stage.serve(320 * MS);
     }
@@ -318,51 +325,51 @@
     stage.now = stage.now.plus(LATENCY_TARGET);
     stage.serve(320 * MS);
     let (_, mut events) = stage.query(&[0]);
-    with_key(&mut events, 5, marked);
+    with_key(&mut events, 5, is_retry);
     sends(&stage.turn(events)).is_empty()
 }
 
 #[test]
 fn client_retry_is_recognised_by_its_mark() {
-    assert!(refused_again(true, true), "marked: past its aim");
+    assert!(is_retry_rejected(true, true), "marked: past its aim");
     assert!(
-        !refused_again(true, false),
+        !is_retry_rejected(true, false),
         "not marked: fresh, though the key is the same"
     );
     assert!(
-        refused_again(false, false),
+        is_retry_rejected(false, false),
         "no marks: told by class and key"
     );
 }
 
 /// Parts that a cold server gets of all instances, each of so many processes, just restarted and
 /// busy, against what the rule lets it take.
-fn sent_to_a_cold_server(instances: u32, processes: u32, cold: SlowStart) -> f64 {
-    let mut set = settings(class());
-    (set.instances, set.cold) = (instances, cold);
-    set.layout = Layout {
+fn warming_server_load(instances: u32, processes: u32, cold: SlowStart) -> f64 {
+    let mut configuration = settings(class());
+    (configuration.instances, configuration.cold) = (instances, cold);
+    configuration.layout = Layout {
         cells: 1,
         width: 1,
         shards: u32::MAX,
         parts_a_call: 1,
     };
-    let (answer, level) = (100 * MS, set.cold.share);
+    let (response_time, initial_share) = (100 * MS, configuration.cold.share);
     let mut total = 0;
     for seed in 0..u64::from(instances * processes) {
-        let mut broker = Coordinator::new(seed, set.clone());
+        let mut broker = Coordinator::new(seed, configuration.clone());
         let mut now = Time(1_000_000 * MS);
         let cold = ListedServer {
             started: Some(now),
             ..line(2, 0)
         };
-        let mut out = Vec::new();
+        let mut actions = Vec::new();
         let known = Event::List(ServerListUpdate::Cached(vec![line(1, 0)]));
         broker.turn(
             now,
             vec![Event::Processes(Some(processes)), known],
-            &mut out,
+            &mut actions,
         );
-        let ask = |id: u64, now: Time| {
+        let query_events = |id: u64, now: Time| {
             let deadline = now.plus(4 * LATENCY_TARGET);
             let query = Event::Query {
                 query: QueryId(id),
@@ -383,52 +390,60 @@
                 },
             ]
         };
-        broker.turn(now, ask(10, now), &mut out);
-        now = now.plus(answer);
+        broker.turn(now, query_events(10, now), &mut actions);
+        now = now.plus(response_time);
         broker.turn(
             now,
-            vec![finished(11, 0, ServerId(1), Outcome::Ok, answer)],
-            &mut out,
+            vec![finished(11, 0, ServerId(1), Outcome::Ok, response_time)],
+            &mut actions,
         );
-        let gone = ListedServer {
+        let removed = ListedServer {
             mode: ServerMode::Gone,
             ..line(1, 0)
         };
         broker.turn(
             now,
-            vec![Event::List(ServerListUpdate::Changes(vec![cold, gone]))],
-            &mut out,
+            vec![Event::List(ServerListUpdate::Changes(vec![cold, removed]))],
+            &mut actions,
         );
-        out.clear();
-        for id in 0..set.cold.fall_after / (100 * MS) {
-            broker.turn(now, ask(100 + 2 * id, now), &mut out);
+        actions.clear();
+        for id in 0..configuration.cold.fall_after / (100 * MS) {
+            broker.turn(now, query_events(100 + 2 * id, now), &mut actions);
             now = now.plus(100 * MS);
         }
-        total += sends(&out).iter().filter(|s| s.1 == ServerId(2)).count();
+        total += sends(&actions)
+            .iter()
+            .filter(|s| s.1 == ServerId(2))
+            .count();
     }
     // What a server that does two parts at a time can take by the rule within its window.
-    let grown = (1.0 - level) * set.cold.fall_after as f64 / set.cold.warm_after as f64 / 2.0;
-    let rule =
-        2.0 * set.cold.fall_multiple * (level + grown) * set.cold.fall_after as f64 / answer as f64;
-    total as f64 / rule
+    let average_growth = (1.0 - initial_share) * configuration.cold.fall_after as f64
+        / configuration.cold.warm_after as f64
+        / 2.0;
+    let allowed_parts = 2.0
+        * configuration.cold.fall_multiple
+        * (initial_share + average_growth)
+        * configuration.cold.fall_after as f64
+        / response_time as f64;
+    total as f64 / allowed_parts
 }
 
 #[test]
 fn restarted_instances_do_not_overload_a_warming_server_together() {
-    let figures = [
+    let cases = [
         (80, 0.25, 2.5, 2_000),
         (33, 0.16, 2.0, 1_500),
         (67, 0.2, 2.5, 3_000),
         (41, 0.19, 3.0, 3_000),
     ];
-    for (instances, share, fall_multiple, fall_ms) in figures {
+    for (instances, share, fall_multiple, fall_ms) in cases {
         let cold = SlowStart {
             share,
             warm_after: 18_000 * MS,
             fall_multiple,
             fall_after: fall_ms * MS,
         };
-        let part = sent_to_a_cold_server(instances, 1, cold);
+        let part = warming_server_load(instances, 1, cold);
         assert!(
             part > 0.0 && part < 1.0,
             "{instances} instances: {part} of the rule"
@@ -446,7 +461,7 @@
     };
     for (instances, share) in [(3, 0.32), (8, 0.3), (33, 0.16)] {
         let [one, two] =
-            [1, 2].map(|processes| sent_to_a_cold_server(instances, processes, cold(share)));
+            [1, 2].map(|processes| warming_server_load(instances, processes, cold(share)));
         assert!(
             two > 0.0 && two < 1.0 && two < one * 1.4,
             "{instances} instances: {one} and {two} of the rule"
@@ -456,15 +471,19 @@
 
 #[test]
 fn busy_zone_sends_its_traffic_to_the_other() {
-    let mut set = settings(class());
-    set.layout.parts_a_call = 1;
-    let mut stage = Stage::new(set);
-    let mut met = BTreeSet::new();
+    let mut configuration = settings(class());
+    configuration.layout.parts_a_call = 1;
+    let mut stage = Stage::new(configuration);
+    let mut servers_reached = BTreeSet::new();
     for _ in 0..3 {
         let (_, events) = stage.query(&[0]);
-        met.extend(sends(&stage.turn(events)).into_iter().map(|s| s.1));
+        servers_reached.extend(sends(&stage.turn(events)).into_iter().map(|s| s.1));
     }
-    assert_eq!(met.len(), 3, "fewest pending comes before the own zone");
+    assert_eq!(
+        servers_reached.len(),
+        3,
+        "fewest pending comes before the own zone"
+    );
 }
 
 #[test]
@@ -477,7 +496,7 @@
         assert_eq!(sent.len(), 20);
         for &(part, server) in &sent {
             let shard = shards[(part - id - 1) as usize];
-            assert!(holds(server, shard, 300), "{server:?} for {shard}");
+            assert!(is_replica(server, shard, 300), "{server:?} for {shard}");
         }
         let ends = sent
             .iter()
@@ -491,54 +510,54 @@
 fn hung_server_does_not_look_idle_to_admission() {
     let mut stage = fleet(3, settings(class()));
     for _ in 0..30 {
-        play(&mut stage, &[0], 7, well);
+        play(&mut stage, &[0], 7, healthy);
     }
-    let hung = |s: ServerId| {
+    let partly_hung = |s: ServerId| {
         if s.0 == 100 {
             None
         } else {
             Some((Outcome::Ok, 900 * MS))
         }
     };
-    let mut turned_away = 0;
+    let mut rejections = 0;
     for _ in 0..40 {
-        let (met, answered) = play(&mut stage, &[0], 7, hung);
-        turned_away += usize::from(met.is_empty() && !answered);
+        let (servers_reached, answered) = play(&mut stage, &[0], 7, partly_hung);
+        rejections += usize::from(servers_reached.is_empty() && !answered);
     }
     assert!(
-        turned_away > 3,
-        "{turned_away} of 40: the holders left take nearly the whole aim"
+        rejections > 3,
+        "{rejections} of 40: the holders left take nearly the whole aim"
     );
 }
 
 #[test]
 fn query_without_replicas_is_answered_at_once() {
     let mut stage = fleet(9, settings(class()));
-    let gone = (0..3)
+    let removed = (0..3)
         .map(|i| ListedServer {
             mode: ServerMode::Gone,
             ..line(100 + i, i)
         })
         .collect();
-    stage.turn(vec![Event::List(ServerListUpdate::Changes(gone))]);
+    stage.turn(vec![Event::List(ServerListUpdate::Changes(removed))]);
     let (id, events) = stage.query(&[0]);
     assert_eq!(finals(&stage.turn(events)), [(id, false)]);
 }
 
 #[test]
 fn useless_hedges_decrease_and_return_as_losses_are_proved() {
-    let mut set = settings(class());
-    set.layout.parts_a_call = 1;
-    set.limits.budget = Some(Budget {
+    let mut configuration = settings(class());
+    configuration.layout.parts_a_call = 1;
+    configuration.limits.budget = Some(Budget {
         window: 10 * LATENCY_TARGET,
         least: 1_000.0,
         share: 1.0,
     });
-    let mut stage = Stage::new(set);
+    let mut stage = Stage::new(configuration);
     // Every fourth part is late; its copy is answered at once where the first attempt was lost,
     // else never.
-    let mut round = |lost: bool| {
-        let mut copies = 0;
+    let mut serve_round = |is_first_attempt_lost: bool| {
+        let mut hedges = 0;
         for n in 0..300 {
             let (id, events) = stage.query(&[0]);
             let first = sends(&stage.turn(events))[0].1;
@@ -550,13 +569,13 @@
                 continue;
             }
             let copy = sends(&stage.after(LATENCY_TARGET / 2, vec![Event::Wake]));
-            copies += copy.len();
-            let other = copy.first().map(|&(_, server)| server);
-            let ends = match other {
-                Some(other) if lost => {
+            hedges += copy.len();
+            let hedge_server = copy.first().map(|&(_, server)| server);
+            let ends = match hedge_server {
+                Some(hedge_server) if is_first_attempt_lost => {
                     stage.after(
                         50 * MS,
-                        vec![finished(id + 1, 1, other, Outcome::Ok, 50 * MS)],
+                        vec![finished(id + 1, 1, hedge_server, Outcome::Ok, 50 * MS)],
                     );
                     vec![finished(
                         id + 1,
@@ -577,38 +596,38 @@
                             LATENCY_TARGET * 6 / 10,
                         )],
                     );
-                    let withdrawn =
+                    let cancelled =
                         |s| finished(id + 1, 1, s, Outcome::Cancelled, LATENCY_TARGET / 10);
-                    other.map(withdrawn).into_iter().collect()
+                    hedge_server.map(cancelled).into_iter().collect()
                 }
             };
             stage.after(MS, ends);
         }
-        copies
+        hedges
     };
-    round(false);
-    let useless = round(false);
+    serve_round(false);
+    let useless_hedges = serve_round(false);
     assert!(
-        (1..=15).contains(&useless),
-        "a slow fleet is not helped by copies: {useless} of 75 late parts"
+        (1..=15).contains(&useless_hedges),
+        "a slow fleet is not helped by copies: {useless_hedges} of 75 late parts"
     );
-    let useful = round(true);
+    let useful_hedges = serve_round(true);
     assert!(
-        useful > 60,
-        "silence is healed beyond the tenth: {useful} of 75 late parts"
+        useful_hedges > 60,
+        "silence is healed beyond the tenth: {useful_hedges} of 75 late parts"
     );
 }
 
 /// A ring of cells of one server each, three of which hold a shard; no call is shared.
 fn ring(cells: u32) -> Stage {
-    let mut set = settings(class());
-    set.layout = Layout {
+    let mut configuration = settings(class());
+    configuration.layout = Layout {
         cells,
         width: 3,
         shards: u32::MAX,
         parts_a_call: 1,
     };
-    let mut stage = Stage::new(set);
+    let mut stage = Stage::new(configuration);
     let lines = (0..cells)
         .map(|i| ListedServer {
             zone: 9,
@@ -623,18 +642,22 @@
 fn faults_of_a_rarely_used_server_last_until_its_next_part() {
     let mut stage = ring(60);
     // A sixth of the servers fails all; an instance meets each every ten seconds or so.
-    let (mut failed, mut rounds) = (0, 0);
+    let (mut failed_attempts, mut rounds) = (0, 0);
     while rounds < 2_400 {
         let (id, events) = stage.query(&[rounds * 7 % 60]);
-        let mut out = stage.after(150 * MS, events);
+        let mut actions = stage.after(150 * MS, events);
         for attempt in 0..3 {
-            let Some(&(_, server)) = sends(&out).first() else {
+            let Some(&(_, server)) = sends(&actions).first() else {
                 break;
             };
-            let bad = server.0 % 6 == 0;
-            failed += u32::from(bad);
-            let end = if bad { Outcome::Error } else { Outcome::Ok };
-            out = stage.after(
+            let is_failing = server.0 % 6 == 0;
+            failed_attempts += u32::from(is_failing);
+            let end = if is_failing {
+                Outcome::Error
+            } else {
+                Outcome::Ok
+            };
+            actions = stage.after(
                 10 * MS,
                 vec![finished(id + 1, attempt, server, end, 10 * MS)],
             );
@@ -642,8 +665,8 @@
         rounds += 1;
     }
     assert!(
-        failed < 230,
-        "{failed} of 2400 parts met a server that fails all"
+        failed_attempts < 230,
+        "{failed_attempts} of 2400 parts met a server that fails all"
     );
 }
 
--- a/tests/platformed/mod.rs
+++ b/tests/test_broker/mod.rs
@@ -25,13 +25,13 @@
     "familyInfo":{"partsACall":8,"sets":1,"width":1,"classFetch":[0,2],"classPartial":[0.9,0.8],
       "minShare":[1.0,0.8],"needByClass":[1.0,1.0]}}"#;
 
-/// A frame that a data node got, and the connection to answer on.
-pub struct Got {
+/// A frame that a data node received, and the connection to answer on.
+pub struct ReceivedFrame {
     pub frame: String,
     pub stream: TcpStream,
 }
 
-impl Got {
+impl ReceivedFrame {
     /// Ids of the parts of a call.
     pub fn parts(&self) -> Vec<String> {
         let lines = self.frame.trim_start_matches('R').split('\n');
@@ -51,18 +51,18 @@
 }
 
 /// Hands on every frame that comes in on any connection.
-pub fn data_node(listener: TcpListener, got: Sender<Got>) {
+pub fn data_node(listener: TcpListener, frames: Sender<ReceivedFrame>) {
     for stream in listener.incoming().flatten() {
-        let got = got.clone();
+        let frames = frames.clone();
         thread::spawn(move || {
-            let mut reading = stream.try_clone().unwrap();
+            let mut reader = stream.try_clone().unwrap();
             loop {
                 let mut length = [0; 4];
-                if reading.read_exact(&mut length).is_err() {
+                if reader.read_exact(&mut length).is_err() {
                     return;
                 }
                 let mut frame = vec![0; u32::from_be_bytes(length) as usize];
-                if reading.read_exact(&mut frame).is_err() {
+                if reader.read_exact(&mut frame).is_err() {
                     return;
                 }
                 if frame == b"G" {
@@ -70,8 +70,8 @@
                     continue;
                 }
                 let frame = String::from_utf8(frame).unwrap();
-                if got
-                    .send(Got {
+                if frames
+                    .send(ReceivedFrame {
                         frame,
                         stream: stream.try_clone().unwrap(),
                     })
@@ -89,12 +89,12 @@
     for mut stream in listener.incoming().flatten() {
         let list = list.clone();
         thread::spawn(move || {
-            let mut held = Vec::new();
+            let mut received = Vec::new();
             let mut chunk = [0; 1024];
             while let Ok(n @ 1..) = stream.read(&mut chunk) {
-                held.extend_from_slice(&chunk[..n]);
-                while let Ok(Parsed::Complete(request, used)) = http::request(&held) {
-                    held.drain(..used);
+                received.extend_from_slice(&chunk[..n]);
+                while let Ok(Parsed::Complete(request, used)) = http::request(&received) {
+                    received.drain(..used);
                     if request.query().is_empty() {
                         let answer = Response::new(200, "application/json", list.clone());
                         stream.write_all(&answer.encode(true, false)).unwrap();
@@ -105,20 +105,20 @@
     }
 }
 
-pub struct Platformed {
+pub struct TestBroker {
     pub address: SocketAddr,
-    pub got: Receiver<Got>,
+    pub frames: Receiver<ReceivedFrame>,
     pub stop: Option<UnixStream>,
     pub broker: Option<thread::JoinHandle<()>>,
 }
 
-impl Platformed {
-    pub fn new() -> Platformed {
-        Platformed::with(SETTINGS)
+impl TestBroker {
+    pub fn new() -> TestBroker {
+        TestBroker::with(SETTINGS)
     }
 
-    pub fn with(settings: &str) -> Platformed {
-        Platformed::listed(settings, discovery)
+    pub fn with(settings: &str) -> TestBroker {
+        TestBroker::listed(settings, discovery)
     }
 
     /// A broker that knows a list of one node, before the discovery that is given its listener and
@@ -126,78 +126,78 @@
     pub fn listed(
         settings: &str,
         discovery: impl FnOnce(TcpListener, String) + Send + 'static,
-    ) -> Platformed {
+    ) -> TestBroker {
         let node = TcpListener::bind("127.0.0.1:0").unwrap();
-        let node_at = node.local_addr().unwrap();
-        let (told, got) = mpsc::channel();
-        thread::spawn(move || data_node(node, told));
-        Platformed::start(settings, node_at, got, discovery)
+        let node_address = node.local_addr().unwrap();
+        let (frame_sender, frames) = mpsc::channel();
+        thread::spawn(move || data_node(node, frame_sender));
+        TestBroker::start(settings, node_address, frames, discovery)
     }
 
     /// A broker whose only data node listens there and is the test's own.
-    pub fn before(settings: &str, node_at: SocketAddr) -> Platformed {
-        Platformed::start(settings, node_at, mpsc::channel().1, discovery)
+    pub fn before(settings: &str, node_address: SocketAddr) -> TestBroker {
+        TestBroker::start(settings, node_address, mpsc::channel().1, discovery)
     }
 
     fn start(
         settings: &str,
-        node_at: SocketAddr,
-        got: Receiver<Got>,
+        node_address: SocketAddr,
+        frames: Receiver<ReceivedFrame>,
         discovery: impl FnOnce(TcpListener, String) + Send + 'static,
-    ) -> Platformed {
-        Platformed::start_with(settings, "", node_at, got, discovery)
+    ) -> TestBroker {
+        TestBroker::start_with(settings, "", node_address, frames, discovery)
     }
 
-    /// The same with operators who call at an address that is told too.
+    /// The same with operators who call at the address that is returned too.
     pub fn managed(
         settings: &str,
         discovery: impl FnOnce(TcpListener, String) + Send + 'static,
-    ) -> (Platformed, SocketAddr) {
+    ) -> (TestBroker, SocketAddr) {
         let node = TcpListener::bind("127.0.0.1:0").unwrap();
-        let node_at = node.local_addr().unwrap();
-        let (told, got) = mpsc::channel();
-        thread::spawn(move || data_node(node, told));
-        let calls = free_address();
-        let more = format!(r#""mgmt":"{calls}","#);
+        let node_address = node.local_addr().unwrap();
+        let (frame_sender, frames) = mpsc::channel();
+        thread::spawn(move || data_node(node, frame_sender));
+        let operator_address = free_address();
+        let extra_keys = format!(r#""mgmt":"{operator_address}","#);
         (
-            Platformed::start_with(settings, &more, node_at, got, discovery),
-            calls,
+            TestBroker::start_with(settings, &extra_keys, node_address, frames, discovery),
+            operator_address,
         )
     }
 
     fn start_with(
         settings: &str,
-        more: &str,
-        node_at: SocketAddr,
-        got: Receiver<Got>,
+        extra_keys: &str,
+        node_address: SocketAddr,
+        frames: Receiver<ReceivedFrame>,
         discovery: impl FnOnce(TcpListener, String) + Send + 'static,
-    ) -> Platformed {
+    ) -> TestBroker {
         let list = TcpListener::bind("127.0.0.1:0").unwrap();
-        let list_at = list.local_addr().unwrap();
+        let discovery_address = list.local_addr().unwrap();
         let text = format!(
-            r#"{{"generation":1,"reset":true,"instances":[{{"instanceId":"s","hostPort":"{node_at}","zone":"a",
+            r#"{{"generation":1,"reset":true,"instances":[{{"instanceId":"s","hostPort":"{node_address}","zone":"a",
             "machineType":"m","cell":0,"lifecycle":"SERVING","weight":1.0,"startedAtMs":0}}]}}"#
         );
         let config = format!(
-            r#"{{{more}"name":"n0","listen":"127.0.0.1:0","discovery":"{list_at}","seed":"1","known":{text},
+            r#"{{{extra_keys}"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery_address}","seed":"1","known":{text},
             "limits":{{"memory_mb":16}},
             "settings":{settings}}}"#
         );
         thread::spawn(move || discovery(list, text));
         let (stop, signal) = UnixStream::pair().unwrap();
-        let (told, address) = mpsc::channel();
+        let (address_sender, address) = mpsc::channel();
         let broker = thread::spawn(move || {
             let platform = Platform::parse(&config, |_| None).unwrap();
             let management = ManagementHandle::open(&platform).unwrap();
             let mut broker = Broker::with_management(Some(platform), None, management).unwrap();
             broker.stop_on(signal).unwrap();
-            told.send(broker.addresses()[0].1).unwrap();
+            address_sender.send(broker.addresses()[0].1).unwrap();
             broker.run().unwrap();
         });
         let address = address.recv().unwrap();
-        Platformed {
+        TestBroker {
             address,
-            got,
+            frames,
             stop: Some(stop),
             broker: Some(broker),
         }
@@ -211,12 +211,12 @@
         stream
     }
 
-    pub fn next(&self) -> Got {
-        self.got.recv_timeout(Duration::from_secs(20)).unwrap()
+    pub fn next(&self) -> ReceivedFrame {
+        self.frames.recv_timeout(Duration::from_secs(20)).unwrap()
     }
 }
 
-impl Drop for Platformed {
+impl Drop for TestBroker {
     fn drop(&mut self) {
         drop(self.stop.take());
         let _ = self.broker.take().map(thread::JoinHandle::join);
@@ -241,7 +241,7 @@
 
 /// An operator's connection, as soon as calls are answered there.
 pub fn operator(address: SocketAddr) -> TcpStream {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     loop {
         match TcpStream::connect(address) {
             Ok(stream) => {
@@ -250,18 +250,18 @@
                     .unwrap();
                 return stream;
             }
-            Err(e) => assert!(begun.elapsed() < Duration::from_secs(20), "{e}"),
+            Err(e) => assert!(started_at.elapsed() < Duration::from_secs(20), "{e}"),
         }
         thread::yield_now();
     }
 }
 
-/// An operator's call: the whole answer.
-pub fn asked(address: SocketAddr, line: &str) -> String {
-    ask(address, line).unwrap()
+/// An operator's call: the complete answer.
+pub fn operator_call(address: SocketAddr, line: &str) -> String {
+    try_operator_call(address, line).unwrap()
 }
 
-fn ask(address: SocketAddr, line: &str) -> std::io::Result<String> {
+fn try_operator_call(address: SocketAddr, line: &str) -> std::io::Result<String> {
     let mut stream = operator(address);
     stream.write_all(format!("{line}\n").as_bytes())?;
     let mut answer = String::new();
@@ -272,12 +272,12 @@
 /// Asks until the answer begins like this. A connection may be reset before: by a process that is
 /// not there yet, or by the last holder of the address, as a process that is being started beside
 /// is for a moment.
-pub fn asked_until(address: SocketAddr, line: &str, begins: &str) -> String {
-    let begun = Instant::now();
+pub fn operator_call_until(address: SocketAddr, line: &str, begins: &str) -> String {
+    let started_at = Instant::now();
     loop {
-        match ask(address, line) {
+        match try_operator_call(address, line) {
             Ok(answer) if answer.starts_with(begins) => return answer,
-            other => assert!(begun.elapsed() < Duration::from_secs(20), "{other:?}"),
+            other => assert!(started_at.elapsed() < Duration::from_secs(20), "{other:?}"),
         }
         thread::yield_now();
     }
@@ -309,12 +309,12 @@
 }
 
 /// Reads one response.
-pub fn answer(stream: &mut TcpStream) -> Response {
-    let (mut held, mut chunk) = (Vec::new(), [0; 4096]);
+pub fn read_response(stream: &mut TcpStream) -> Response {
+    let (mut received, mut chunk) = (Vec::new(), [0; 4096]);
     loop {
         let n = stream.read(&mut chunk).unwrap();
-        held.extend_from_slice(&chunk[..n]);
-        match http::response(&held, n == 0, 1 << 20).unwrap() {
+        received.extend_from_slice(&chunk[..n]);
+        match http::response(&received, n == 0, 1 << 20).unwrap() {
             Parsed::Complete(response, _) => return response,
             Parsed::Partial(_) => assert!(n > 0, "ended early"),
         }
@@ -325,39 +325,39 @@
     String::from_utf8(response.body.clone()).unwrap()
 }
 
-/// Answers parts until `count` have been; tells the frames.
-pub fn serve(stage: &Platformed, count: usize) -> Vec<String> {
+/// Answers parts until `count` have been; returns the frames.
+pub fn serve(stage: &TestBroker, count: usize) -> Vec<String> {
     let (mut served, mut frames) = (0, Vec::new());
     while served < count {
-        let mut got = stage.next();
-        for id in got.parts() {
+        let mut call = stage.next();
+        for id in call.parts() {
             let score = id.split('.').nth(1).unwrap().to_string();
-            got.answer(&format!("{id} OK {score} -\nv{score}"));
+            call.answer(&format!("{id} OK {score} -\nv{score}"));
             served += 1;
         }
-        frames.push(got.frame);
+        frames.push(call.frame);
     }
     frames
 }
 
-/// The next connection to a stand-in discovery, and what is asked on it.
-pub fn call(listener: &TcpListener) -> (TcpStream, String) {
+/// The next connection to an emulated discovery, and the target of the call on it.
+pub fn accept_discovery_call(listener: &TcpListener) -> (TcpStream, String) {
     let (stream, _) = listener.accept().unwrap();
     stream
         .set_read_timeout(Some(Duration::from_secs(20)))
         .unwrap();
-    let target = next_call(&stream);
+    let target = read_discovery_call(&stream);
     (stream, target)
 }
 
-pub fn next_call(mut stream: &TcpStream) -> String {
-    let mut held = Vec::new();
-    while !held.ends_with(b"\r\n\r\n") {
+pub fn read_discovery_call(mut stream: &TcpStream) -> String {
+    let mut received = Vec::new();
+    while !received.ends_with(b"\r\n\r\n") {
         let mut byte = [0];
         stream.read_exact(&mut byte).unwrap();
-        held.push(byte[0]);
+        received.push(byte[0]);
     }
-    String::from_utf8(held)
+    String::from_utf8(received)
         .unwrap()
         .split(' ')
         .nth(1)
@@ -365,7 +365,7 @@
         .into()
 }
 
-pub fn tell(mut stream: &TcpStream, list: String) {
+pub fn send_list(mut stream: &TcpStream, list: String) {
     let answer = Response::new(200, "application/json", list);
     stream.write_all(&answer.encode(true, false)).unwrap();
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,8 +1,7 @@
 //! A broker that is started beside itself: its processes count as one, and no client notices.
 
-mod platformed;
+mod test_broker;
 
-use platformed::*;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
@@ -11,6 +10,7 @@
 use std::sync::mpsc::{self, Receiver};
 use std::thread;
 use std::time::{Duration, Instant};
+use test_broker::*;
 
 const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
@@ -18,7 +18,7 @@
 struct TestBroker {
     folder: PathBuf,
     address: SocketAddr,
-    requests: Receiver<Got>,
+    requests: Receiver<ReceivedFrame>,
 }
 
 /// A process of the broker.
@@ -90,7 +90,7 @@
     /// A process that is ready.
     fn start_ready(&self) -> Process {
         let process = self.start();
-        asked_until(process.calls, "health", "ok ");
+        operator_call_until(process.calls, "health", "ok ");
         process
     }
 
@@ -177,7 +177,9 @@
             .iter()
             .for_each(|id| got.answer(&format!("{id} OK 1 -\nv")));
     }
-    let served = clients.iter_mut().map(|client| answer(client).status);
+    let served = clients
+        .iter_mut()
+        .map(|client| read_response(client).status);
     let served: Vec<u16> = served
         .inspect(|status| assert!([200, 503].contains(status)))
         .collect();
@@ -191,7 +193,7 @@
     let mut old = broker.start_ready();
     let mut client = broker.query_client("first");
     broker.answer_one();
-    assert!(answer(&mut client).keep_alive);
+    assert!(read_response(&mut client).keep_alive);
     let new = broker.start_ready();
     old.signal("-TERM");
     old.wait_for_log("new clients are left to it");
@@ -199,11 +201,11 @@
     client
         .write_all(b"GET /health/ready HTTP/1.1\r\n\r\n")
         .unwrap();
-    let ready = answer(&mut client);
+    let ready = read_response(&mut client);
     assert_eq!((ready.status, ready.keep_alive), (200, false), "{ready:?}");
     let mut next = broker.query_client("second");
     broker.answer_one();
-    assert_eq!(answer(&mut next).status, 200);
+    assert_eq!(read_response(&mut next).status, 200);
     assert!(old.wait_for_exit().success());
     drop(new);
 }
@@ -213,7 +215,7 @@
     let broker = TestBroker::new();
     let old = broker.start_ready();
     let new = broker.start_ready();
-    assert!(asked(new.calls, "cordon s").starts_with("ok "));
+    assert!(operator_call(new.calls, "cordon s").starts_with("ok "));
     // The old one alone serves now; it has heard of it.
     new.signal("-STOP");
     let started_at = Instant::now();
@@ -225,17 +227,17 @@
                 .iter()
                 .for_each(|id| got.answer(&format!("{id} OK 1 -\nv"))),
             Err(_) => {
-                assert_eq!(answer(&mut client).status, 503);
+                assert_eq!(read_response(&mut client).status, 503);
                 break;
             }
         }
-        answer(&mut client);
+        read_response(&mut client);
         assert!(
             started_at.elapsed() < Duration::from_millis(1_900),
             "the rule on drains allows two seconds"
         );
     }
-    assert!(asked(old.calls, "uncordon nobody").starts_with("fail "));
+    assert!(operator_call(old.calls, "uncordon nobody").starts_with("fail "));
     new.signal("-CONT");
     // Both end without having a say.
     old.signal("-KILL");
@@ -243,19 +245,19 @@
     drop((old, new));
     let next = broker.start_ready();
     assert_eq!(
-        answer(&mut broker.query_client("next")).status,
+        read_response(&mut broker.query_client("next")).status,
         503,
         "it is out from the first moment on"
     );
     assert!(broker.requests.try_recv().is_err());
-    assert!(asked(next.calls, "uncordon s").starts_with("ok s is used again"));
+    assert!(operator_call(next.calls, "uncordon s").starts_with("ok s is used again"));
 }
 
 #[test]
 fn damaged_state_is_ignored() {
     let broker = TestBroker::new();
     let first = broker.start_ready();
-    assert!(asked(first.calls, "cordon s").starts_with("ok "));
+    assert!(operator_call(first.calls, "cordon s").starts_with("ok "));
     drop(first);
     let folder = std::fs::read_dir(&broker.folder)
         .unwrap()
@@ -268,7 +270,7 @@
     next.wait_for_log("its checksum is not that of its content");
     let mut client = broker.query_client("1");
     broker.answer_one();
-    assert_eq!(answer(&mut client).status, 200);
+    assert_eq!(read_response(&mut client).status, 200);
 }
 
 #[test]
@@ -291,13 +293,13 @@
         at
     };
     assert_eq!(
-        asked_until(calls, "health", "fail the clients"),
+        operator_call_until(calls, "health", "fail the clients"),
         "fail the clients' address is in use\n"
     );
     assert!(process.is_running());
     drop(listener);
-    asked_until(calls, "health", "ok ");
+    operator_call_until(calls, "health", "ok ");
     let mut client = broker.query_client("1");
     broker.answer_one();
-    assert_eq!(answer(&mut client).status, 200);
+    assert_eq!(read_response(&mut client).status, 200);
 }
