--- a/tests/fleet.rs
+++ b/tests/decision/fleet.rs
@@ -1,9 +1,7 @@
 //! Many brokers at the same servers, in virtual time: what one does alone is counted over all of
 //! them.
 
-mod common;
-
-use common::{class, sends, settings, Stage, LATENCY_TARGET, MS};
+use crate::support::{class, finished, sends, settings, Stage, LATENCY_TARGET, MS};
 use lichenswitch::interface::*;
 use lichenswitch::policy::Coordinator;
 use std::cmp::Reverse;
@@ -148,7 +146,7 @@
             };
             self.answers.retain(|a| !is_cancelled(a));
             let elapsed = elapsed - due_at.since(self.now);
-            let event = common::finished(part.0, *attempt, server, Outcome::Cancelled, elapsed);
+            let event = finished(part.0, *attempt, server, Outcome::Cancelled, elapsed);
             self.turn(broker, vec![event]);
         }
     }
@@ -197,7 +195,7 @@
                 } else {
                     Outcome::Ok
                 };
-                let event = common::finished(part, attempt, server, outcome, elapsed);
+                let event = finished(part, attempt, server, outcome, elapsed);
                 self.turn(broker, vec![event]);
             }
             self.now = at.min(end);
@@ -367,10 +365,7 @@
     for _ in 0..20 {
         let (id, events) = stage.query(&[0]);
         let server = sends(&stage.after(query_interval / 3, events))[0].1;
-        stage.after(
-            step,
-            vec![common::finished(id + 1, 0, server, Outcome::Ok, step)],
-        );
+        stage.after(step, vec![finished(id + 1, 0, server, Outcome::Ok, step)]);
         stage.turn(vec![Event::Hangup(QueryId(id))]);
     }
     let (id, events) = stage.query(&[0, 1, 2, 3]);
@@ -378,7 +373,7 @@
     let started_at = stage.now;
     let answers = first.iter().filter(|s| s.0 != id + 4);
     let answers = answers
-        .map(|s| common::finished(s.0, 0, s.1, Outcome::Ok, step))
+        .map(|s| finished(s.0, 0, s.1, Outcome::Ok, step))
         .collect();
     let mut actions = stage.after(step, answers);
     while !actions.contains(&Action::Answer {
--- a/tests/ordinary_path.rs
+++ b/tests/decision/ordinary_path.rs
@@ -1,8 +1,7 @@
 //! The design's ordinary path: choice by pending calls, shared calls, one copy at half the aim,
 //! cancel.
 
-mod common;
-use common::*;
+use crate::support::*;
 use lichenswitch::interface::*;
 
 #[test]
--- a/tests/properties.rs
+++ b/tests/decision/properties.rs
@@ -1,7 +1,6 @@
 //! Random legal event sequences keep the rules; the same events give the same actions.
 
-mod common;
-use common::*;
+use crate::support::*;
 use lichenswitch::interface::*;
 use lichenswitch::policy::Coordinator;
 use proptest::prelude::*;
