--- a/simulator/src/lib.rs
+++ b/simulator/src/lib.rs
@@ -13,7 +13,6 @@
 pub mod documents;
 pub mod network;
 pub mod oracle;
-pub mod overlaps;
 pub mod packet;
 pub mod quotas;
 pub mod scheduler;
--- a/simulator/src/main.rs
+++ b/simulator/src/main.rs
@@ -4,8 +4,7 @@
 use std::process::ExitCode;
 
 use bpaf::Bpaf;
-use lichenswitch_simulator::overlaps;
-use lichenswitch_simulator::walk::{walk, Walk, WalkEnd};
+use lichenswitch_simulator::walk::{walk, FaultSchedule, Walk};
 use lichenswitch_simulator::world::WorldSettings;
 
 mod measure;
@@ -81,7 +80,12 @@
                 trace,
                 ..WorldSettings::new(seeds.first)
             };
-            walk_seeds(seeds, &Walk { world, episodes }, schedule)
+            let settings = Walk {
+                world,
+                episodes,
+                schedule,
+            };
+            walk_seeds(seeds, &settings)
         }
         Command::Measure { runs } => {
             measure::print(runs);
@@ -90,26 +94,8 @@
     }
 }
 
-/// How the faults of a walk are scheduled.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum FaultSchedule {
-    /// One after another, within what must be tolerated.
-    OneByOne,
-    /// Overlapping, beyond what must be tolerated, but for the disks.
-    Overlapping,
-}
-
-impl FaultSchedule {
-    fn walk(self, walked: &Walk) -> WalkEnd {
-        match self {
-            FaultSchedule::OneByOne => walk(walked),
-            FaultSchedule::Overlapping => overlaps::walk(walked),
-        }
-    }
-}
-
 /// Walks with each seed, prints those that fail and a summary; fails if one of them does.
-fn walk_seeds(seeds: SeedRange, settings: &Walk, schedule: FaultSchedule) -> ExitCode {
+fn walk_seeds(seeds: SeedRange, settings: &Walk) -> ExitCode {
     let mut failed = 0;
     let (mut acknowledged, mut faults) = (0, 0);
     for seed in seeds.seeds() {
@@ -120,14 +106,14 @@
             },
             ..*settings
         };
-        let end = schedule.walk(&walked);
+        let end = walk(&walked);
         acknowledged += end.world.oracle.acknowledgements().len();
         faults += end.world.counts.faults;
         if let Some(violation) = &end.violation {
             failed += 1;
             println!("seed {seed}: {violation}");
-            println!("  again: {}", command_line(&walked, schedule));
-            print_failing_walk(&walked, schedule);
+            println!("  again: {}", command_line(&walked));
+            print_failing_walk(&walked);
         } else if settings.world.trace {
             end.world.trace().for_each(|line| println!("  {line}"));
         }
@@ -144,7 +130,7 @@
 }
 
 /// The command that repeats a walk with its whole trace.
-fn command_line(walked: &Walk, schedule: FaultSchedule) -> String {
+fn command_line(walked: &Walk) -> String {
     let WorldSettings {
         seed,
         voters,
@@ -154,7 +140,7 @@
         ..
     } = walked.world;
     let (beyond, episodes) = (seed + 1, walked.episodes);
-    let flag = match schedule {
+    let flag = match walked.schedule {
         FaultSchedule::OneByOne => "",
         FaultSchedule::Overlapping => " --overlaps",
     };
@@ -166,12 +152,12 @@
 
 /// Repeats a failing walk with a trace, and prints the end of that, or all of it where the walk was
 /// to be traced.
-fn print_failing_walk(walked: &Walk, schedule: FaultSchedule) {
+fn print_failing_walk(walked: &Walk) {
     let world = WorldSettings {
         trace: true,
         ..walked.world
     };
-    let end = schedule.walk(&Walk { world, ..*walked });
+    let end = walk(&Walk { world, ..*walked });
     let lines: Vec<&str> = end.world.trace().collect();
     let skipped = if walked.world.trace {
         0
--- a/simulator/tests/overlapping_losses_lose_no_order.rs
+++ b/simulator/tests/overlapping_losses_lose_no_order.rs
@@ -11,8 +11,7 @@
 use lichenswitch_simulator::callers::Pace;
 use lichenswitch_simulator::disk::DiskFault;
 use lichenswitch_simulator::network::Host;
-use lichenswitch_simulator::overlaps;
-use lichenswitch_simulator::walk::Walk;
+use lichenswitch_simulator::walk::{walk, FaultSchedule, Walk};
 use lichenswitch_simulator::world::{Action, CutKind, Target, World, WorldSettings};
 
 /// Delays between the sending of an order and a fault, in microseconds.
@@ -23,9 +22,10 @@
 const RECOVERY: u64 = 5 * SECOND;
 
 fn overlapping(settings: WorldSettings) -> World {
-    overlaps::walk(&Walk {
+    walk(&Walk {
         world: settings,
         episodes: 4,
+        schedule: FaultSchedule::Overlapping,
     })
     .world
 }
--- a/simulator/tests/walks.rs
+++ b/simulator/tests/walks.rs
@@ -1,7 +1,7 @@
 //! A bounded number of random walks. More:
 //! `cargo run --release -p lichenswitch-simulator -- walk --seeds 0..1000`.
 
-use lichenswitch_simulator::walk::{walk, Walk};
+use lichenswitch_simulator::walk::{walk, FaultSchedule, Walk};
 use lichenswitch_simulator::world::WorldSettings;
 
 /// Walks with each of these seeds; none may violate a rule.
@@ -12,7 +12,11 @@
             tolerate,
             ..WorldSettings::new(seed)
         };
-        let end = walk(&Walk { world, episodes: 8 });
+        let end = walk(&Walk {
+            world,
+            episodes: 8,
+            schedule: FaultSchedule::OneByOne,
+        });
         let command = format!(
             "walk --seeds {seed}..{} --voters {voters} --tolerate {tolerate}",
             seed + 1
@@ -43,7 +47,11 @@
             trace: true,
             ..WorldSettings::new(7)
         };
-        let end = walk(&Walk { world, episodes: 4 });
+        let end = walk(&Walk {
+            world,
+            episodes: 4,
+            schedule: FaultSchedule::OneByOne,
+        });
         (
             end.world.trace().map(str::to_owned).collect::<Vec<_>>(),
             end.world.counts.messages,
