--- a/simulator/src/control/mod.rs
+++ b/simulator/src/control/mod.rs
@@ -4,6 +4,7 @@
 //! It owns what the role `control` decides, without sockets and files: what is to be done comes
 //! back as [`Effect`]s.
 
+mod glue_faults;
 mod routers;
 mod state;
 
@@ -11,7 +12,7 @@
 use lichenswitch_control::{
     configuration_position, describe_configuration, error_response, CallKind,
     CommittedConfiguration, CompletedCall, Eligibility, GroupMembership, GroupView,
-    MembershipAction, PlantedFaults, PrimaryLocation,
+    MembershipAction, PrimaryLocation,
 };
 use lichenswitch_messages::{
     ControlToRouter, PeerMessage, RelayedCall, RelayedResponse, RouterToControl,
@@ -21,6 +22,7 @@
 };
 use std::collections::BTreeSet;
 
+pub use self::glue_faults::{GlueFault, GlueFaults};
 use self::routers::Routers;
 pub use self::state::Replicated;
 use crate::packet::{CallId, ConnectionId, Reply};
@@ -30,37 +32,6 @@
 type CallDispatcher = lichenswitch_control::CallDispatcher<CallId, String>;
 type CallAction = lichenswitch_control::CallAction<CallId, String>;
 
-/// Faults of the glue that tests plant to show that they would be found. All off elsewhere.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-#[expect(
-    clippy::struct_excessive_bools,
-    reason = "each fault is planted by itself"
-)]
-pub struct GlueFaults {
-    /// A repeat is known by its version number, not by its content.
-    pub known_by_number: bool,
-    /// The history of orders is not part of a snapshot.
-    pub history_lost: bool,
-    /// `describe` is answered by any machine, from its own committed state.
-    pub describe_without_contact: bool,
-    /// Any machine rejects an order by its own committed state.
-    pub refusal_without_contact: bool,
-    /// Pushes to routers are reported as current, whether in contact or not.
-    pub always_in_contact: bool,
-    /// A machine that hears the primary but lags reports that it is in contact.
-    pub contact_while_behind: bool,
-}
-
-impl GlueFaults {
-    /// Those that lie in what is decided about calls.
-    fn of_calls(self) -> PlantedFaults {
-        PlantedFaults {
-            known_by_number: self.known_by_number,
-            refusal_without_contact: self.refusal_without_contact,
-        }
-    }
-}
-
 /// Something that the machine has to do for its process.
 #[derive(Debug)]
 pub enum Effect {
@@ -205,10 +176,10 @@
     fn answer_without_contact(&self, kind: &CallKind) -> Option<RelayedResponse> {
         let (_, committed) = self.replica.committed()?;
         match kind.as_order() {
-            None if self.faults.describe_without_contact => {
+            None if self.faults.has(GlueFault::DescribeWithoutContact) => {
                 Some(describe_configuration(&self.replica))
             }
-            Some(order) if self.faults.refusal_without_contact => {
+            Some(order) if self.faults.has(GlueFault::RejectWithoutContact) => {
                 let other = order.base_version != committed.state().version();
                 let taken = committed.state().has_applied(&order.digest());
                 (other && !taken).then(|| error_response(412, "by what is held here"))
@@ -417,17 +388,13 @@
     }
 
     fn in_contact(&self, now: Time) -> bool {
-        match self.faults {
-            GlueFaults {
-                always_in_contact: true,
-                ..
-            } => true,
-            GlueFaults {
-                contact_while_behind: true,
-                ..
-            } => self.replica.in_contact(now),
-            _ => self.replica.is_current(now),
+        if self.faults.has(GlueFault::ClaimContact) {
+            return true;
+        }
+        if self.faults.has(GlueFault::ClaimContactWhileLagging) {
+            return self.replica.in_contact(now);
         }
+        self.replica.is_current(now)
     }
 
     fn committed(&self) -> Option<CommittedConfiguration> {
--- a/simulator/src/world/faults/machines.rs
+++ b/simulator/src/world/faults/machines.rs
@@ -1,6 +1,6 @@
 //! Faults of control machines: of their processes, their power and their disks.
 
-use super::super::machine::AfterEnd;
+use super::super::machine::{AfterEnd, Power};
 use super::super::{Event, Target, Undo, World};
 use crate::disk::DiskFault;
 use crate::network::Host;
@@ -12,7 +12,7 @@
 
 impl World {
     pub(super) fn kill(&mut self, host: Host) {
-        self.stop(host, false);
+        self.stop(host, Power::On);
         self.restart(host);
     }
 
@@ -24,14 +24,14 @@
 
     /// Power is lost, and returns after the usual delay.
     pub(super) fn lose_power(&mut self, host: Host) {
-        self.stop(host, true);
+        self.stop(host, Power::Off);
         let delay = self.power_return_delay();
         self.scheduler.after(delay, Event::Start(host));
     }
 
     /// Power is lost, and returns after so many microseconds.
     pub(super) fn lose_power_for(&mut self, host: Host, duration: u64) {
-        self.stop(host, true);
+        self.stop(host, Power::Off);
         // The delay is drawn here as well, so that what a seed gives stays as it was.
         self.power_return_delay();
         self.scheduler.after(duration, Event::Start(host));
@@ -68,7 +68,7 @@
 
     /// The machine is removed at once; its successor starts after so many microseconds.
     pub(super) fn replace(&mut self, host: Host, after: u64) {
-        self.stop(host, true);
+        self.stop(host, Power::Off);
         self.remove(host);
         self.add_successor(host, after);
     }
@@ -100,7 +100,7 @@
     /// The process does not run for so many microseconds; events wait for it.
     pub(super) fn freeze(&mut self, host: Host, duration: u64) {
         if let Some(machine) = self.machines.get_mut(&host) {
-            machine.frozen = true;
+            machine.freeze();
         }
         self.scheduler
             .after(duration, Event::Undo(Undo::Thaw(host)));
@@ -111,9 +111,7 @@
         let Some(machine) = self.machines.get_mut(&host) else {
             return;
         };
-        machine.frozen = false;
-        let backlog = std::mem::take(&mut machine.backlog);
-        for event in backlog {
+        for event in machine.thaw() {
             match event {
                 Event::Wake(host, _) => self.wake_machine(host),
                 other => self.handle(other),
--- a/simulator/src/world/machine.rs
+++ b/simulator/src/world/machine.rs
@@ -15,29 +15,34 @@
     Remove,
 }
 
+/// Whether a machine has power.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Power {
+    /// Connections to a machine without a process are reset.
+    On,
+    /// It answers nothing, not even with a reset.
+    Off,
+}
+
 /// A control machine.
-#[expect(
-    clippy::struct_excessive_bools,
-    reason = "the conditions of a machine occur in any combination"
-)]
 pub(super) struct Machine {
     pub(super) host: Host,
     pub(super) address: String,
     pub(super) zone: u32,
     pub(super) disk: Disk,
-    /// It has none: what it holds ends with its process.
+    /// It has no disk: its state is lost when its process ends.
     pub(super) without_disk: bool,
     pub(super) process: Option<ControlProcess>,
-    /// Rises with each start and end of a process: what belongs to an earlier one is passed over.
+    /// Rises with each start and end of a process: events of an earlier one are ignored.
     pub(super) incarnation: u64,
-    /// The process does not run; what comes waits.
-    pub(super) frozen: bool,
-    pub(super) backlog: Vec<Event>,
-    /// Without power: it answers nothing, not even with a reset.
-    pub(super) dark: bool,
-    /// Gone for good.
+    /// While the process is frozen: the events that wait for it.
+    pub(super) backlog: Option<Vec<Event>>,
+    pub(super) power: Power,
+    /// It never starts again.
     pub(super) removed: bool,
+    /// It starts with the system, and not as a successor or again.
     pub(super) first_start: bool,
+    /// Addresses of the control machines that its settings name.
     pub(super) seeds: Vec<String>,
     pub(super) after_end: AfterEnd,
 }
@@ -52,9 +57,8 @@
             without_disk: false,
             process: None,
             incarnation: 0,
-            frozen: false,
-            backlog: Vec::new(),
-            dark: false,
+            backlog: None,
+            power: Power::On,
             removed: false,
             first_start,
             seeds: Vec::new(),
@@ -64,6 +68,16 @@
 
     /// Whether its process runs.
     pub(super) fn runs(&self) -> bool {
-        self.process.is_some() && !self.frozen
+        self.process.is_some() && self.backlog.is_none()
+    }
+
+    /// From now on events wait until the process is thawed.
+    pub(super) fn freeze(&mut self) {
+        self.backlog.get_or_insert_default();
+    }
+
+    /// Ends the freezing; returns the events that waited.
+    pub(super) fn thaw(&mut self) -> Vec<Event> {
+        self.backlog.take().unwrap_or_default()
     }
 }
--- a/simulator/src/world/machines.rs
+++ b/simulator/src/world/machines.rs
@@ -6,9 +6,9 @@
     Status, Time, WriteId,
 };
 
-use super::machine::{AfterEnd, Machine};
+use super::machine::{AfterEnd, Machine, Power};
 use super::{Event, World, FIRST_MACHINE};
-use crate::control::{ControlProcess, Effect, Replicated};
+use crate::control::{ControlProcess, Effect, GlueFault, Replicated};
 use crate::disk::BatchOutcome;
 use crate::network::{Arrival, Host};
 use crate::oracle::Violation;
@@ -123,7 +123,7 @@
         };
         machine.incarnation += 1;
         machine.first_start = false;
-        machine.dark = false;
+        machine.power = Power::On;
         machine.after_end = AfterEnd::Restart;
         let identity = replica.member().identity;
         let mut process = ControlProcess::new(replica, glue, first_call);
@@ -155,7 +155,7 @@
         let mut replica = if machine.disk.is_empty() {
             let founds = machine.first_start && machine.seeds.first() == Some(&address);
             let member = Member { identity, address };
-            let state = Replicated::new(self.settings.glue.history_lost);
+            let state = Replicated::new(self.settings.glue.has(GlueFault::LoseHistory));
             match founds {
                 true => Replica::bootstrap(settings, member, state, seed, now),
                 false => Replica::learner(settings, member, seed, now),
@@ -177,17 +177,16 @@
         }
     }
 
-    /// A process ends: killed, or because power is lost (`dark`). What was under way ends with a
-    /// reset, or with nothing.
-    pub(super) fn stop(&mut self, host: Host, dark: bool) {
+    /// A process ends: it is killed, or loses its power. Calls and connections end with a reset, or
+    /// without one where there is no power.
+    pub(super) fn stop(&mut self, host: Host, power: Power) {
         self.last_fault_change_at = self.now();
         let Some(machine) = self.machines.get_mut(&host) else {
             return;
         };
         machine.incarnation += 1;
-        machine.dark = dark;
-        machine.frozen = false;
-        machine.backlog.clear();
+        machine.power = power;
+        machine.backlog = None;
         machine.disk.stop(&mut self.random);
         if machine.without_disk {
             machine.disk.wipe();
@@ -198,12 +197,19 @@
         self.wakes.remove(&host);
         let (calls, connections) = process.open();
         for call in calls {
-            self.reply(host, *call, Reply::Closed, dark);
+            self.reply(host, *call, Reply::Closed, power);
         }
-        for connection in connections.into_iter().filter(|_| !dark) {
+        let resets = match power {
+            Power::On => connections,
+            Power::Off => Vec::new(),
+        };
+        for connection in resets {
             self.send_to_router(host, connection, None);
         }
-        self.note(|| format!("{host} ends{}", if dark { " without power" } else { "" }));
+        self.note(|| match power {
+            Power::On => format!("{host} ends"),
+            Power::Off => format!("{host} ends without power"),
+        });
     }
 
     /// Starts a process again after the usual delay.
@@ -216,8 +222,8 @@
         let Some(machine) = self.machines.get_mut(&arrival.to) else {
             return;
         };
-        if machine.frozen {
-            return machine.backlog.push(Event::Arrive(arrival));
+        if let Some(backlog) = &mut machine.backlog {
+            return backlog.push(Event::Arrive(arrival));
         }
         if machine.process.is_none() {
             return self.reset(&arrival);
@@ -241,11 +247,11 @@
 
     /// No process listens there: the connection is reset, unless the machine has no power.
     fn reset(&mut self, arrival: &Arrival<Packet>) {
-        if self.machines[&arrival.to].dark {
+        if self.machines[&arrival.to].power == Power::Off {
             return;
         }
         match arrival.packet {
-            Packet::Call(id, _) => self.reply(arrival.to, id, Reply::Closed, false),
+            Packet::Call(id, _) => self.reply(arrival.to, id, Reply::Closed, Power::On),
             Packet::FromRouter(id, Some(_)) => {
                 self.send(arrival.to, arrival.from, Packet::ToRouter(id, None), false);
             }
@@ -262,8 +268,8 @@
         let Some(machine) = self.machines.get_mut(&host) else {
             return;
         };
-        if machine.frozen {
-            return machine.backlog.push(Event::Wake(host, now));
+        if let Some(backlog) = &mut machine.backlog {
+            return backlog.push(Event::Wake(host, now));
         }
         if let Some(process) = self.process(host) {
             process.tick(now);
@@ -280,8 +286,8 @@
         else {
             return;
         };
-        if machine.frozen {
-            return machine.backlog.push(Event::DiskDone(host, incarnation));
+        if let Some(backlog) = &mut machine.backlog {
+            return backlog.push(Event::DiskDone(host, incarnation));
         }
         let finished = machine.disk.finish_batch(&mut self.random);
         if let Some(process) = &mut machine.process {
@@ -327,7 +333,7 @@
         match effect {
             Effect::Persist(write_id, item) => self.persist(host, write_id, item),
             Effect::SendPeer(to, message) => self.send_peer(host, &to, Packet::Peer(message)),
-            Effect::Reply(id, reply) => self.reply(host, id, reply, false),
+            Effect::Reply(id, reply) => self.reply(host, id, reply, Power::On),
             Effect::ToRouter(id, message) => self.send_to_router(host, id, Some(message)),
             Effect::Committed(position) => self.on_committed(host, position),
             Effect::Notice(notice) => self.on_notice(host, &notice),
@@ -368,11 +374,11 @@
     }
 
     /// Ends a call; where the machine has no power, no response is sent.
-    pub(super) fn reply(&mut self, host: Host, id: CallId, reply: Reply, dark: bool) {
+    pub(super) fn reply(&mut self, host: Host, id: CallId, reply: Reply, power: Power) {
         let now = self.now();
         let acknowledged = self.oracle.on_reply(now, host, id, &reply);
         let caller = self.caller_of(id);
-        if let Some(caller) = caller.filter(|_| !dark && !self.replies_lost) {
+        if let Some(caller) = caller.filter(|_| power == Power::On && !self.replies_lost) {
             self.send(host, caller, Packet::Reply(id, reply), false);
         }
         if let Some(action) = self.armed.take_if(|_| acknowledged) {
@@ -412,10 +418,15 @@
             return;
         };
         let after_end = machine.after_end;
-        self.stop(host, after_end == AfterEnd::Remove);
         match after_end {
-            AfterEnd::Restart => self.restart(host),
-            AfterEnd::Remove => self.remove(host),
+            AfterEnd::Restart => {
+                self.stop(host, Power::On);
+                self.restart(host);
+            }
+            AfterEnd::Remove => {
+                self.stop(host, Power::Off);
+                self.remove(host);
+            }
         }
     }
 
@@ -424,7 +435,7 @@
         self.last_fault_change_at = self.now();
         if let Some(machine) = self.machines.get_mut(&host) {
             machine.removed = true;
-            machine.dark = true;
+            machine.power = Power::Off;
         }
         self.note(|| format!("{host} is removed"));
     }
--- a/simulator/tests/overlapping_losses_lose_no_order.rs
+++ b/simulator/tests/overlapping_losses_lose_no_order.rs
@@ -9,6 +9,7 @@
 };
 use lichenswitch_replication::Fault;
 use lichenswitch_simulator::callers::Pace;
+use lichenswitch_simulator::control::GlueFault;
 use lichenswitch_simulator::disk::DiskFault;
 use lichenswitch_simulator::network::Host;
 use lichenswitch_simulator::walk::{walk, FaultSchedule, Walk};
@@ -222,7 +223,7 @@
 fn planted_faults_are_found_by_overlapping_losses() {
     fn rejecting_without_contact(settings: &mut WorldSettings) {
         with_eager_operators(settings);
-        settings.glue.refusal_without_contact = true;
+        settings.glue.plant(GlueFault::RejectWithoutContact);
     }
     assert_violation_found(
         0..20,
@@ -236,7 +237,7 @@
     );
     assert_violation_found(
         0..20,
-        |settings| settings.glue.describe_without_contact = true,
+        |settings| settings.glue.plant(GlueFault::DescribeWithoutContact),
         overlapping,
     );
     assert_violation_found(6..20, rejecting_without_contact, overlapping);
@@ -250,11 +251,11 @@
     }
     fn without_history(settings: &mut WorldSettings) {
         with_eager_operators(settings);
-        settings.glue.history_lost = true;
+        settings.glue.plant(GlueFault::LoseHistory);
     }
     fn recognizing_by_version(settings: &mut WorldSettings) {
         with_eager_operators(settings);
-        settings.glue.known_by_number = true;
+        settings.glue.plant(GlueFault::RecognizeByVersion);
     }
     assert_violation_found(5..20, responding_before_sync, disk_and_power_losses);
     assert_violation_found(0..20, without_history, disk_and_power_losses);
--- a/simulator/tests/partitions_cause_no_stale_state.rs
+++ b/simulator/tests/partitions_cause_no_stale_state.rs
@@ -9,6 +9,7 @@
 };
 use lichenswitch_replication::Fault;
 use lichenswitch_simulator::callers::Pace;
+use lichenswitch_simulator::control::GlueFault;
 use lichenswitch_simulator::disk::DiskFault;
 use lichenswitch_simulator::network::Host;
 use lichenswitch_simulator::world::{Action, CutKind, Target, World, WorldSettings};
@@ -153,7 +154,7 @@
 fn describe_without_contact_is_found() {
     assert_violation_found(
         0..10,
-        |settings| settings.glue.describe_without_contact = true,
+        |settings| settings.glue.plant(GlueFault::DescribeWithoutContact),
         full_cut,
     );
 }
@@ -162,7 +163,7 @@
 fn rejection_without_contact_is_found() {
     assert_violation_found(
         0..40,
-        |settings| settings.glue.refusal_without_contact = true,
+        |settings| settings.glue.plant(GlueFault::RejectWithoutContact),
         full_cut,
     );
 }
@@ -171,7 +172,7 @@
 fn claimed_contact_without_quorum_is_found() {
     assert_violation_found(
         0..10,
-        |settings| settings.glue.always_in_contact = true,
+        |settings| settings.glue.plant(GlueFault::ClaimContact),
         full_cut,
     );
 }
@@ -198,7 +199,7 @@
 fn contact_of_lagging_replica_is_found() {
     assert_violation_found(
         0..10,
-        |settings| settings.glue.contact_while_behind = true,
+        |settings| settings.glue.plant(GlueFault::ClaimContactWhileLagging),
         lagging_voter,
     );
 }
--- a/simulator/tests/racing_orders_never_conflict.rs
+++ b/simulator/tests/racing_orders_never_conflict.rs
@@ -5,6 +5,7 @@
 
 use common::{assert_no_violations, assert_violation_found, cut, started_group, SECOND};
 use lichenswitch_simulator::callers::Pace;
+use lichenswitch_simulator::control::GlueFault;
 use lichenswitch_simulator::world::{Action, CutKind, Target, World, WorldSettings};
 
 /// Four operators that act at the same moments, mostly pick the same version, and repeat often.
@@ -56,7 +57,7 @@
 fn order_recognized_by_version_alone_is_found() {
     fn plant(settings: &mut WorldSettings) {
         with_racing_operators(settings);
-        settings.glue.known_by_number = true;
+        settings.glue.plant(GlueFault::RecognizeByVersion);
     }
     assert_violation_found(0..10, plant, lost_responses);
 }
@@ -65,7 +66,7 @@
 fn snapshot_without_order_history_is_found() {
     fn plant(settings: &mut WorldSettings) {
         with_racing_operators(settings);
-        settings.glue.history_lost = true;
+        settings.glue.plant(GlueFault::LoseHistory);
     }
     assert_violation_found(0..10, plant, lost_responses);
 }
