--- a/simulator/src/world/mod.rs
+++ b/simulator/src/world/mod.rs
@@ -3,9 +3,12 @@
 mod action;
 mod callers;
 mod check;
+mod effects;
 mod faults;
 mod machine;
+mod machine_events;
 mod machines;
+mod views;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
