--- a/simulator/src/control/routers.rs
+++ b/simulator/src/control/routers.rs
@@ -1,4 +1,4 @@
-//! Routers that are connected to this machine, and what each has been sent.
+//! The routers that are connected to a control process, and what was pushed to each.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,8 @@
 
 use crate::packet::ConnectionId;
 
-const HEARTBEAT: u64 = ROUTER_HEARTBEAT_MS * 1_000;
+/// Interval of heartbeats to routers, in microseconds.
+const HEARTBEAT_INTERVAL_US: u64 = ROUTER_HEARTBEAT_MS * 1_000;
 
 /// A message for a router.
 pub(super) type Push = (ConnectionId, ControlToRouter);
@@ -17,7 +18,8 @@
 #[derive(Debug, Default)]
 pub(super) struct Routers {
     connected: BTreeMap<ConnectionId, ConfigurationPushes>,
-    told_contact: bool,
+    /// What the last heartbeats reported.
+    reported_contact: bool,
     heartbeat_at: Time,
 }
 
@@ -43,7 +45,7 @@
             .collect()
     }
 
-    /// A router's connection is gone.
+    /// A router has closed its connection.
     pub(super) fn on_closed(&mut self, id: ConnectionId) {
         self.connected.remove(&id);
     }
@@ -55,11 +57,11 @@
 
     /// Heartbeats that are due: at their time, or because contact has changed.
     pub(super) fn tick(&mut self, now: Time, in_contact: bool) -> Vec<Push> {
-        if now < self.heartbeat_at && in_contact == self.told_contact {
+        if now < self.heartbeat_at && in_contact == self.reported_contact {
             return Vec::new();
         }
-        self.heartbeat_at = now.after(HEARTBEAT);
-        self.told_contact = in_contact;
+        self.heartbeat_at = now.after(HEARTBEAT_INTERVAL_US);
+        self.reported_contact = in_contact;
         self.connections()
             .into_iter()
             .map(|id| (id, self.heartbeat(in_contact)))
@@ -75,7 +77,7 @@
         }
     }
 
-    /// A configuration has been committed: those that lack it get it.
+    /// A configuration has been committed: the pushes to the routers that lack it.
     pub(super) fn push(&mut self, committed: &CommittedConfiguration) -> Vec<Push> {
         let push = |(id, pushes): (&ConnectionId, &mut ConfigurationPushes)| {
             Some((*id, pushes.configuration(committed)?))
@@ -83,6 +85,7 @@
         self.connected.iter_mut().filter_map(push).collect()
     }
 
+    /// When heartbeats are due next; none without a router.
     pub(super) fn next_wake(&self) -> Option<Time> {
         (!self.connected.is_empty()).then_some(self.heartbeat_at)
     }
