--- a/simulator/src/oracle.rs
+++ b/simulator/src/oracle/mod.rs
@@ -1,148 +1,25 @@
-//! The oracle: it records what the control machines answer and commit, and judges it by rules that
-//! must always hold.
+//! The oracle: it records the responses and commits of the control machines, and checks them by rules
+//! that must always hold.
 //!
 //! A response counts from the moment in which it is sent, also if it is lost on its way: that is
-//! stricter than what callers see. Every broken rule becomes a [`Violation`], in order.
+//! stricter than what callers see. Every violation is recorded, in order.
+
+mod order_entry;
+mod violation;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hasher};
 
-use lichenswitch_configuration::{Order, OrderDigest, State};
+use lichenswitch_configuration::{Order, State};
 use lichenswitch_replication::{Position, ReplicatedState, Time};
-use thiserror::Error;
 
+pub use self::order_entry::OrderEntry;
+pub use self::violation::Violation;
 use crate::control::Replicated;
 use crate::documents::{order_of, version_of, OrderId};
 use crate::network::Host;
 use crate::packet::{CallId, Reply};
 
-/// A rule that was broken. Durations are in milliseconds of virtual time.
-#[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Violation {
-    /// Two orders with the same base version were both acknowledged.
-    #[error("orders {0:?} and {1:?} on version {2} were both acknowledged")]
-    ConflictingOrdersAcknowledged(OrderId, OrderId, u64),
-    /// An order was both acknowledged and rejected (with this HTTP status).
-    #[error("order {0:?} was acknowledged, and rejected with {1}")]
-    AcknowledgedAndRejected(OrderId, u16),
-    /// An invalid order was acknowledged.
-    #[error("order {0:?} is invalid, and was acknowledged")]
-    InvalidOrderAcknowledged(OrderId),
-    /// A valid order was rejected as invalid (with this HTTP status).
-    #[error("order {0:?} is valid, and was rejected with {1}")]
-    ValidOrderRejected(OrderId, u16),
-    /// `describe` returned a version older than one reported before the call was sent.
-    #[error(
-        "describe at {machine} returned version {returned}, and {known} had been reported before the call"
-    )]
-    StaleDescribe {
-        /// The machine that responded.
-        machine: Host,
-        /// Version that it returned.
-        returned: u64,
-        /// Newest version that had been reported before.
-        known: u64,
-    },
-    /// `describe` returned a document that was not committed under its version.
-    #[error("describe at {0} returned a version {1} that was never committed so")]
-    UncommittedDescribe(Host, u64),
-    /// Two different states were committed under one record number.
-    #[error("at number {number}, {here:?} was committed at {machine}, and {there:?} elsewhere")]
-    DivergentCommit {
-        /// Number of the record.
-        number: u64,
-        /// The machine that committed.
-        machine: Host,
-        /// The position that it committed.
-        here: Position,
-        /// The position that was committed there first.
-        there: Position,
-    },
-    /// A router has a configuration in force that was rejected or never committed.
-    #[error("order {1:?} is in force at router {0}, and was rejected or never committed")]
-    UncommittedInForce(Host, OrderId),
-    /// An order was rejected that is in force at a router.
-    #[error("order {0:?} was rejected, and is in force")]
-    RejectedInForce(OrderId),
-    /// A router replaced its configuration by an older one.
-    #[error("router {router} went from version {from} to {to}")]
-    RouterVersionRegressed {
-        /// The router.
-        router: Host,
-        /// Version that it had in force.
-        from: u64,
-        /// Version that it has in force now.
-        to: u64,
-    },
-    /// A starting router was served an old configuration as the current one.
-    #[error(
-        "router {router} was served version {served} as current, and {known} had been acknowledged long before"
-    )]
-    StaleConfigurationServed {
-        /// The router.
-        router: Host,
-        /// Version that it was served.
-        served: u64,
-        /// Newest version that had been acknowledged long enough before.
-        known: u64,
-    },
-    /// An acknowledged order is missing from the state at the end.
-    #[error("order {0:?} was acknowledged, and is missing")]
-    AcknowledgedOrderLost(OrderId),
-    /// An order was not acknowledged in time though the core was stable (milliseconds).
-    #[error("order {0:?} has waited {1} ms with a stable core")]
-    OrderOverdue(OrderId, u64),
-    /// A router lacks an acknowledged change though the core was stable.
-    #[error(
-        "router {router} has version {has:?} in force, and {lacks} was acknowledged {ago} ms ago"
-    )]
-    RouterOverdue {
-        /// The router.
-        router: Host,
-        /// What it has in force.
-        has: Option<u64>,
-        /// Acknowledged version that it lacks.
-        lacks: u64,
-        /// Time since the acknowledgement, in milliseconds.
-        ago: u64,
-    },
-    /// A process can't read its own disk.
-    #[error("{0} can't read its disk: {1}")]
-    DiskUnreadable(Host, String),
-    /// A process wakes again and again with nothing to do.
-    #[error("{0} was woken {1} times in 100 ms")]
-    ExcessiveWakes(Host, u32),
-    /// No committed state could be read at the end.
-    #[error("nothing could be read back at the end")]
-    FinalReadFailed,
-    /// A member did not catch up within the bound.
-    #[error("{machine} has committed {committed_here:?}, and the group {group:?}")]
-    MemberNotCaughtUp {
-        /// The machine.
-        machine: Host,
-        /// The position committed at the machine.
-        committed_here: Option<Position>,
-        /// The position committed at the primary.
-        group: Option<Position>,
-    },
-}
-
-/// An order, and the responses to it so far.
-#[derive(Clone, Debug)]
-pub struct OrderEntry {
-    /// The order.
-    pub order: Order,
-    digest: OrderDigest,
-    /// Version of the configuration once the order is applied.
-    pub version: u64,
-    valid: bool,
-    /// When it was sent first.
-    pub sent_at: Option<Time>,
-    /// When it was acknowledged first.
-    pub acknowledged_at: Option<Time>,
-    rejected: bool,
-}
-
 /// What a call requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallPurpose {
@@ -152,6 +29,7 @@
     Describe,
 }
 
+/// A call that has had no response yet.
 #[derive(Clone, Debug)]
 struct OpenCall {
     purpose: CallPurpose,
@@ -164,22 +42,27 @@
 pub struct Oracle {
     orders: Vec<OrderEntry>,
     calls: BTreeMap<CallId, OpenCall>,
-    by_base: BTreeMap<u64, OrderId>,
+    /// The order that was acknowledged on each base version.
+    acknowledged_on: BTreeMap<u64, OrderId>,
     /// Highest version that was acknowledged or described.
     newest_reported: u64,
     /// Versions that were acknowledged, with the time; both rise.
     acknowledged: Vec<(Time, u64)>,
+    /// By record number: the position that was committed first, and the hash of the state there.
     committed: BTreeMap<u64, (Position, u64)>,
+    /// By version: the hash of the configuration that was committed.
     documents: BTreeMap<u64, u64>,
+    /// Orders whose configuration was in force at a router.
     in_force: BTreeSet<OrderId>,
-    /// Rules that were broken, in order.
+    /// The violations, in order.
     pub violations: Vec<Violation>,
     /// Responses by HTTP status; 0: the connection closed without one.
     pub answers: BTreeMap<u16, u64>,
 }
 
 impl Oracle {
-    /// Registers a new order, which `make` builds from its id; returns the id.
+    /// Registers a new order, which `make` builds from its id, with the version of the configuration
+    /// that it results in; returns the id.
     pub fn register(
         &mut self,
         valid: bool,
@@ -187,18 +70,7 @@
         make: impl FnOnce(OrderId) -> Order,
     ) -> OrderId {
         let id = OrderId(self.orders.len() as u32);
-        let order = make(id);
-        let digest = order.digest();
-        let (sent_at, acknowledged_at, rejected) = (None, None, false);
-        self.orders.push(OrderEntry {
-            order,
-            digest,
-            version,
-            valid,
-            sent_at,
-            acknowledged_at,
-            rejected,
-        });
+        self.orders.push(OrderEntry::new(make(id), version, valid));
         id
     }
 
@@ -251,11 +123,11 @@
     fn on_acknowledged(&mut self, now: Time, id: OrderId) {
         let entry = &mut self.orders[id.0 as usize];
         let (base, version) = (entry.order.base_version, entry.version);
-        if !entry.valid {
+        if !entry.is_valid {
             self.violations
                 .push(Violation::InvalidOrderAcknowledged(id));
         }
-        if entry.rejected {
+        if entry.was_rejected {
             self.violations
                 .push(Violation::AcknowledgedAndRejected(id, 412));
         }
@@ -266,7 +138,7 @@
             }
         }
         self.newest_reported = self.newest_reported.max(version);
-        let first = *self.by_base.entry(base).or_insert(id);
+        let first = *self.acknowledged_on.entry(base).or_insert(id);
         if first != id {
             self.violations
                 .push(Violation::ConflictingOrdersAcknowledged(first, id, base));
@@ -275,12 +147,12 @@
 
     fn on_rejected(&mut self, id: OrderId, status: u16) {
         let entry = &mut self.orders[id.0 as usize];
-        entry.rejected = true;
+        entry.was_rejected = true;
         if entry.acknowledged_at.is_some() {
             self.violations
                 .push(Violation::AcknowledgedAndRejected(id, status));
         }
-        if entry.valid && status != 412 {
+        if entry.is_valid && status != 412 {
             self.violations
                 .push(Violation::ValidOrderRejected(id, status));
         }
@@ -339,7 +211,7 @@
                 .push(Violation::RouterVersionRegressed { router, from, to });
         }
         let committed = self.documents.get(&to) == Some(&hash(document));
-        if self.order(order).rejected || !committed {
+        if self.order(order).was_rejected || !committed {
             self.violations
                 .push(Violation::UncommittedInForce(router, order));
         }
@@ -388,7 +260,7 @@
     /// Checks that the group's final state includes every acknowledged order.
     pub fn check_end(&mut self, state: &State) {
         let is_lost = |entry: &OrderEntry| {
-            entry.acknowledged_at.is_some() && !state.has_applied(&entry.digest)
+            entry.acknowledged_at.is_some() && !state.has_applied(entry.digest())
         };
         let lost: Vec<OrderId> = self
             .orders()
