--- a/soak/src/bin/lichenswitch-volatile-fleet.rs
+++ b/soak/src/bin/lichenswitch-volatile-fleet.rs
@@ -1,6 +1,6 @@
-//! The fleet's roles on a disk whose power is lost with its process, for the soak. Its command line
-//! is that of `lichenswitch-fleet`, as far as a role needs it: the subcommand, and the settings
-//! file that the environment names. The table `soak` of that file may plant a fault.
+//! The fleet's roles on a disk that loses its power with its process, for the soak. Its command line
+//! is that of `lichenswitch-fleet` without options: a subcommand, and the settings file that the
+//! environment names. The table `soak` of that file may plant a fault.
 #![forbid(unsafe_code)]
 
 use lichenswitch_fleet::control::Environment;
@@ -13,8 +13,8 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 
-/// What `soak.plant` may say: a primary acknowledges what it holds alone.
-const ACKNOWLEDGES_ALONE: &str = "primary_commits_alone";
+/// The value of `soak.plant` for a primary that acknowledges what only its disk has.
+const PRIMARY_COMMITS_ALONE: &str = "primary_commits_alone";
 
 type Failure = Box<dyn std::error::Error>;
 
@@ -50,16 +50,16 @@
         let disk = VolatileDisk::new(folder, u64::from(std::process::id()));
         environment.file_systems = Arc::new(move || Box::new(disk.clone()) as Box<dyn FileSystem>);
     }
-    match planted(path)?.as_deref() {
+    match planted_fault(path)?.as_deref() {
         None => {}
-        Some(ACKNOWLEDGES_ALONE) => environment.faults.plant(Fault::PrimaryCommitsAlone),
+        Some(PRIMARY_COMMITS_ALONE) => environment.faults.plant(Fault::PrimaryCommitsAlone),
         Some(other) => return Err(format!("soak.plant: there is no fault {other:?}").into()),
     }
     Ok(environment)
 }
 
 /// The fault that the settings file asks for.
-fn planted(path: &Path) -> Result<Option<String>, Failure> {
+fn planted_fault(path: &Path) -> Result<Option<String>, Failure> {
     let text = std::fs::read_to_string(path)?;
     let table: toml::Table = text.parse()?;
     let plant = table.get("soak").and_then(|soak| soak.get("plant"));
--- a/soak/src/bounds.rs
+++ b/soak/src/bounds.rs
@@ -1,4 +1,4 @@
-//! The figures of the played deployment, as the settings files give them to the processes.
+//! The bounds of the deployment under test, as in the settings files of its processes.
 
 use std::time::Duration;
 
@@ -6,13 +6,15 @@
 pub const MACHINES: usize = 4;
 /// `gracePeriodS`: between SIGTERM and SIGKILL.
 pub const GRACE: Duration = Duration::from_secs(4);
-/// `contactMs`: an unplanned trouble is over so long after it.
+/// `contactMs`: this long after an unplanned fault, machines have contact again.
 pub const CONTACT: Duration = Duration::from_millis(3_000);
-/// `configApplyMs`: an acknowledged configuration is everywhere after it.
+/// `configApplyMs`: an acknowledged configuration is in force at all machines after this time.
 pub const CONFIG_APPLY: Duration = Duration::from_millis(2_000);
-/// `drainTimeoutMs`: a server that has said that it leaves gets requests for so long.
+/// `drainTimeoutMs`: a server whose departure was acknowledged gets requests for this long at
+/// most.
 pub const DRAIN_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// `lossSlackMs`: a connection may cross a request for so long.
+/// `lossSlackMs`: a request that reaches no server within this time may have crossed the end of its
+/// connection.
 pub const LOSS_MARGIN: Duration = Duration::from_millis(200);
-/// `recoveryS`: after a loss of all, service is back.
+/// `recoveryS`: after a loss of all processes, requests are served again within this time.
 pub const RECOVERY: Duration = Duration::from_secs(12);
--- a/soak/src/clients.rs
+++ b/soak/src/clients.rs
@@ -1,8 +1,8 @@
-//! The clients of a day, and the platform that tells them which routers are ready.
+//! The clients of a day, and the platform's readiness checks by which they choose their routers.
 
 use crate::journal::{ClientRequest, Clock, RequestEnd};
 use crate::operators::HOST;
-use crate::servers::BETWEEN_EVENTS;
+use crate::servers::EVENT_INTERVAL;
 use fastrand::Rng;
 use lichenswitch_emulators::stream_client::message::{Call, MessageError};
 use lichenswitch_emulators::stream_client::{
@@ -15,99 +15,121 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Clients give a request up after so long without a byte.
+/// Clients abandon a request after this time without a byte.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
-/// The platform asks each router so often whether it is ready; a router that misses twice gets
-/// nobody new.
-const QUESTION: Duration = Duration::from_secs(1);
-/// Misses that take a router out.
-const MISSES: u32 = 2;
+/// Interval at which the platform checks the readiness of each router, and the timeout of a check.
+const READINESS_INTERVAL: Duration = Duration::from_secs(1);
+/// A router gets no new connections after this number of failed checks in a row.
+const MAX_MISSES: u32 = 2;
 /// Deadline of short requests, below every `timeoutMs` of their routes.
-const SHORT_DEADLINE: Duration = Duration::from_secs(2);
+const SHORT_REQUEST_DEADLINE: Duration = Duration::from_secs(2);
 /// Deadline of streams, below every `timeoutMs` of their routes.
-const LONG_DEADLINE: Duration = Duration::from_secs(9);
-/// The longest streams last longer than the grace.
-const LONGEST: u64 = 6_500;
-/// Tokens that an event holds, as the servers have it.
-const STRIDE: u32 = 4;
-/// One request of so many is left by its client as soon as it is sent.
-const LEFT: u32 = 40;
+const STREAM_DEADLINE: Duration = Duration::from_secs(9);
+/// The longest duration of a stream (ms): longer than the grace.
+const MAX_STREAM_MS: u64 = 6_500;
+/// Tokens in an event, as the servers are set.
+const TOKENS_PER_EVENT: u32 = 4;
+/// One request in this number is abandoned by its client as soon as it is sent.
+const ABANDONED_ONE_IN: u32 = 40;
+/// Delay after a rejection.
+const REJECTION_BACKOFF: Duration = Duration::from_millis(100);
+/// Delay after a connection that could not be opened.
+const CONNECT_BACKOFF: Duration = Duration::from_millis(50);
+/// The longest delay between two short requests (ms).
+const MAX_SHORT_DELAY_MS: u64 = 60;
+/// The longest delay between two streams (ms).
+const MAX_STREAM_DELAY_MS: u64 = 400;
 
-/// A client that is refused rests so long.
-const REFUSED: Duration = Duration::from_millis(100);
-
-/// What a client asks for, again and again.
+/// The requests of a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Habit {
-    /// Short requests that may be repeated.
+pub enum Workload {
+    /// Short requests that may be retried.
     Safe,
-    /// Short requests that may not.
+    /// Short requests that may not be retried.
     Unsafe,
-    /// Streams that may be taken up elsewhere.
-    Stream,
-    /// Streams that may not.
-    WholeStream,
-    /// Streams on a route that comes and goes.
-    Extra,
+    /// Streams that may be resumed at another server.
+    ResumableStream,
+    /// Streams that may not be resumed.
+    UnresumableStream,
+    /// Streams on a route that only some configurations have.
+    OptionalRoute,
 }
 
-/// All clients of a day.
-pub const HABITS: [Habit; 14] = [
-    Habit::Safe,
-    Habit::Safe,
-    Habit::Unsafe,
-    Habit::Unsafe,
-    Habit::Stream,
-    Habit::Stream,
-    Habit::Stream,
-    Habit::Stream,
-    Habit::Stream,
-    Habit::WholeStream,
-    Habit::WholeStream,
-    Habit::WholeStream,
-    Habit::Extra,
-    Habit::Extra,
+/// The workload of each client of a day.
+pub const CLIENT_WORKLOADS: [Workload; 14] = [
+    Workload::Safe,
+    Workload::Safe,
+    Workload::Unsafe,
+    Workload::Unsafe,
+    Workload::ResumableStream,
+    Workload::ResumableStream,
+    Workload::ResumableStream,
+    Workload::ResumableStream,
+    Workload::ResumableStream,
+    Workload::UnresumableStream,
+    Workload::UnresumableStream,
+    Workload::UnresumableStream,
+    Workload::OptionalRoute,
+    Workload::OptionalRoute,
 ];
 
-impl Habit {
+impl Workload {
     fn path(self) -> &'static str {
         match self {
-            Habit::Safe => "/safe/1",
-            Habit::Unsafe => "/once/1",
-            Habit::Stream => "/long/1",
-            Habit::WholeStream => "/whole/1",
-            Habit::Extra => "/extra/1",
+            Workload::Safe => "/safe/1",
+            Workload::Unsafe => "/once/1",
+            Workload::ResumableStream => "/long/1",
+            Workload::UnresumableStream => "/whole/1",
+            Workload::OptionalRoute => "/extra/1",
         }
     }
 
     fn is_short(self) -> bool {
-        matches!(self, Habit::Safe | Habit::Unsafe)
+        matches!(self, Workload::Safe | Workload::Unsafe)
     }
 
     fn is_idempotent(self) -> bool {
-        !matches!(self, Habit::Unsafe | Habit::WholeStream)
+        !matches!(self, Workload::Unsafe | Workload::UnresumableStream)
     }
 
     fn deadline(self) -> Duration {
         if self.is_short() {
-            SHORT_DEADLINE
+            SHORT_REQUEST_DEADLINE
         } else {
-            LONG_DEADLINE
+            STREAM_DEADLINE
         }
     }
 
-    /// How long its next answer is to last: for streams from a fifth of a second up to longer than
-    /// the grace, many of them long.
-    fn lasts(self, random: &mut Rng) -> Duration {
+    /// Draws how long its next response lasts: for streams from a fifth of a second up to longer
+    /// than the grace, half of them long.
+    fn response_duration(self, random: &mut Rng) -> Duration {
         Duration::from_millis(match self {
             _ if self.is_short() => 0,
-            _ if random.bool() => random.u64(2_500..LONGEST),
+            _ if random.bool() => random.u64(2_500..MAX_STREAM_MS),
             _ => random.u64(200..2_500),
         })
     }
 
-    /// Requests on one connection, at most.
-    fn turns(self, random: &mut Rng) -> u32 {
+    /// Draws how many events its next response has; `None`: the client abandons the request as soon
+    /// as it is sent.
+    fn event_count(self, random: &mut Rng) -> Option<u32> {
+        let events = self.response_duration(random).as_millis() / EVENT_INTERVAL.as_millis() + 1;
+        let is_abandoned = random.u32(0..ABANDONED_ONE_IN) == 0;
+        (!is_abandoned).then_some(u32::try_from(events).unwrap_or(1))
+    }
+
+    /// Draws the delay before its next request on the same connection.
+    fn delay(self, random: &mut Rng) -> Duration {
+        let max_ms = if self.is_short() {
+            MAX_SHORT_DELAY_MS
+        } else {
+            MAX_STREAM_DELAY_MS
+        };
+        Duration::from_millis(random.u64(5..max_ms))
+    }
+
+    /// Draws how many requests a connection carries at most.
+    fn max_requests(self, random: &mut Rng) -> u32 {
         if self.is_short() {
             random.u32(1..60)
         } else {
@@ -116,12 +138,14 @@
     }
 }
 
-/// What all clients share.
+/// What the clients share: their routers, and the record of their requests.
 pub struct Clients {
     clock: Clock,
+    /// By machine, the address of its router for clients.
     fronts: Vec<SocketAddr>,
+    /// By machine, the readiness checks that its router has failed in a row.
     misses: Vec<AtomicU32>,
-    numbers: AtomicU64,
+    next_attempt: AtomicU64,
     stopped: AtomicBool,
     client_requests: Mutex<Vec<ClientRequest>>,
 }
@@ -131,18 +155,18 @@
     #[must_use]
     pub fn new(clock: Clock, fronts: Vec<SocketAddr>) -> Clients {
         let misses = fronts.iter().map(|_| AtomicU32::new(0)).collect();
-        let (numbers, stopped) = (AtomicU64::new(1), AtomicBool::new(false));
+        let (next_attempt, stopped) = (AtomicU64::new(1), AtomicBool::new(false));
         Clients {
             clock,
             fronts,
             misses,
-            numbers,
+            next_attempt,
             stopped,
             client_requests: Mutex::default(),
         }
     }
 
-    /// No client sends anything more.
+    /// Stops the clients: no new request is sent.
     pub fn stop(&self) {
         self.stopped.store(true, Ordering::SeqCst);
     }
@@ -157,168 +181,171 @@
         lock(&self.client_requests).clone()
     }
 
-    /// Asks a router whether it is ready, until the clients are stopped.
-    pub fn watch(&self, machine: usize, readiness: SocketAddr) {
+    /// Checks the readiness of a router until the clients are stopped.
+    pub fn watch_readiness(&self, machine: usize, readiness: SocketAddr) {
         while !self.is_stopped() {
-            let queried = Instant::now();
-            let answer = Call::get("/readiness").send(readiness, QUESTION);
-            if answer.is_ok_and(|answer| answer.status() == 200) {
+            let checked_at = Instant::now();
+            let response = Call::get("/readiness").send(readiness, READINESS_INTERVAL);
+            if response.is_ok_and(|response| response.status() == 200) {
                 self.misses[machine].store(0, Ordering::SeqCst);
             } else {
                 self.misses[machine].fetch_add(1, Ordering::SeqCst);
             }
-            thread::sleep(QUESTION.saturating_sub(queried.elapsed()));
+            thread::sleep(READINESS_INTERVAL.saturating_sub(checked_at.elapsed()));
         }
     }
 
-    /// Asks by this habit until the clients are stopped.
-    pub fn query(&self, habit: Habit, random: &mut Rng) {
+    /// Sends the requests of one client until the clients are stopped.
+    pub fn send_requests(&self, workload: Workload, random: &mut Rng) {
         while !self.is_stopped() {
-            let machine = self.choose(random);
+            let machine = self.choose_router(random);
             let Ok(mut connection) = ClientConnection::open(self.fronts[machine], RESPONSE_TIMEOUT)
             else {
-                thread::sleep(Duration::from_millis(50));
+                thread::sleep(CONNECT_BACKOFF);
                 continue;
             };
-            for turn in 0..habit.turns(random) {
-                if self.is_stopped() || !self.one(&mut connection, machine, turn, habit, random) {
+            for turn in 0..workload.max_requests(random) {
+                if self.is_stopped() {
+                    break;
+                }
+                let events = workload.event_count(random);
+                let Some(sent) = self.send(&mut connection, workload, events) else {
+                    break;
+                };
+                let (is_rejected, keeps_alive) = (sent.is_rejected(), sent.keeps_alive);
+                self.record(sent, machine, turn, workload);
+                if is_rejected {
+                    thread::sleep(REJECTION_BACKOFF);
+                }
+                if !keeps_alive {
                     break;
                 }
-                let most = if habit.is_short() { 60 } else { 400 };
-                thread::sleep(Duration::from_millis(random.u64(5..most)));
+                thread::sleep(workload.delay(random));
             }
         }
     }
 
-    /// A router that is in, or any where none is.
-    fn choose(&self, random: &mut Rng) -> usize {
-        let is_in = |machine: &usize| self.misses[*machine].load(Ordering::SeqCst) < MISSES;
-        let ready: Vec<usize> = (0..self.fronts.len()).filter(is_in).collect();
+    /// Chooses among the routers that are ready, or among all where none is.
+    fn choose_router(&self, random: &mut Rng) -> usize {
+        let is_ready = |machine: &usize| self.misses[*machine].load(Ordering::SeqCst) < MAX_MISSES;
+        let ready: Vec<usize> = (0..self.fronts.len()).filter(is_ready).collect();
         random
             .choice(ready)
             .unwrap_or_else(|| random.usize(0..self.fronts.len()))
     }
 
-    /// One short request to this router; tells whether it was served.
+    /// Sends a short request to a router; returns whether it was served.
     #[must_use]
     pub fn is_served_by(&self, machine: usize) -> bool {
         let opened = ClientConnection::open(self.fronts[machine], RESPONSE_TIMEOUT);
         let sent = opened
             .ok()
-            .and_then(|mut connection| self.send(&mut connection, Habit::Safe, Some(1)));
+            .and_then(|mut connection| self.send(&mut connection, Workload::Safe, Some(1)));
         sent.is_some_and(|sent| {
-            let served = sent.end == RequestEnd::Answered(200);
-            self.record(sent, machine, 0, Habit::Safe);
+            let served = sent.end == RequestEnd::Responded(200);
+            self.record(sent, machine, 0, Workload::Safe);
             served
         })
     }
 
-    /// Sends one request and notes what comes of it; tells whether the connection goes on.
-    fn one(
-        &self,
-        connection: &mut ClientConnection,
-        machine: usize,
-        turn: u32,
-        habit: Habit,
-        random: &mut Rng,
-    ) -> bool {
-        let lasts = habit.lasts(random).as_millis() / BETWEEN_EVENTS.as_millis() + 1;
-        let events = (random.u32(0..LEFT) > 0).then_some(u32::try_from(lasts).unwrap_or(1));
-        let Some(sent) = self.send(connection, habit, events) else {
-            return false;
-        };
-        let (end, goes_on) = (sent.end, sent.goes_on);
-        self.record(sent, machine, turn, habit);
-        if matches!(end, RequestEnd::Answered(status) if status >= 300) {
-            thread::sleep(REFUSED);
-        }
-        goes_on
-    }
-
-    /// Sends one request for so many events, or leaves as soon as it is sent; `None`: it could not
-    /// be sent whole.
+    /// Sends a request for this number of events, or for `None` abandons it as soon as it is sent.
+    /// Returns `None` if it could not be sent completely.
     fn send(
         &self,
         connection: &mut ClientConnection,
-        habit: Habit,
+        workload: Workload,
         events: Option<u32>,
-    ) -> Option<Sent> {
-        let attempt = format!("{:016x}", self.numbers.fetch_add(1, Ordering::SeqCst));
-        let mut request =
-            StreamRequest::new(HOST, habit.path(), &attempt, events.unwrap_or(1) * STRIDE);
-        request.deadline_ms = u64::try_from(habit.deadline().as_millis()).unwrap_or(u64::MAX);
+    ) -> Option<SentRequest> {
+        let attempt = format!("{:016x}", self.next_attempt.fetch_add(1, Ordering::SeqCst));
+        let mut request = StreamRequest::new(
+            HOST,
+            workload.path(),
+            &attempt,
+            events.unwrap_or(1) * TOKENS_PER_EVENT,
+        );
+        request.deadline_ms = u64::try_from(workload.deadline().as_millis()).unwrap_or(u64::MAX);
         request.closes = false;
-        let began = Instant::now();
+        let started_at = Instant::now();
         connection.write(&request).ok()?;
         let at = self.clock.now();
         if events.is_none() {
-            return Some(Sent {
+            return Some(SentRequest {
                 attempt,
                 at,
                 end: RequestEnd::Abandoned,
                 faults: Vec::new(),
-                goes_on: false,
+                keeps_alive: false,
             });
         }
-        let answer = connection.read(began, |_| {});
-        let end = end(&answer);
-        let faults = answer
+        let response = connection.read(started_at, |_| {});
+        let end = request_end(&response);
+        let faults = response
             .as_ref()
-            .map(|answer| answer.faults(&request, &[&attempt]))
+            .map(|response| response.faults(&request, &[&attempt]))
             .unwrap_or_default();
-        let goes_on = matches!(end, RequestEnd::Answered(_))
-            && answer.is_ok_and(|answer| !answer.head.closes());
-        Some(Sent {
+        let keeps_alive = matches!(end, RequestEnd::Responded(_))
+            && response.is_ok_and(|response| !response.head.closes());
+        Some(SentRequest {
             attempt,
             at,
             end,
             faults,
-            goes_on,
+            keeps_alive,
         })
     }
 
-    fn record(&self, sent: Sent, machine: usize, turn: u32, habit: Habit) {
-        let Sent {
+    fn record(&self, sent: SentRequest, machine: usize, turn: u32, workload: Workload) {
+        let SentRequest {
             attempt,
             at: sent,
             end,
             faults,
-            goes_on: _,
+            keeps_alive: _,
         } = sent;
-        let (idempotent, time_left, ended) =
-            (habit.is_idempotent(), habit.deadline(), self.clock.now());
-        let one = ClientRequest {
+        let (idempotent, time_limit, ended) = (
+            workload.is_idempotent(),
+            workload.deadline(),
+            self.clock.now(),
+        );
+        lock(&self.client_requests).push(ClientRequest {
             attempt,
             machine,
             idempotent,
             turn,
             sent,
             ended,
-            time_left,
+            time_limit,
             end,
             faults,
-        };
-        lock(&self.client_requests).push(one);
+        });
     }
 }
 
-/// A request that was sent, and what came of it.
-struct Sent {
+/// A request that was sent, and its result.
+struct SentRequest {
     attempt: String,
+    /// When its last byte was sent.
     at: Duration,
     end: RequestEnd,
     faults: Vec<StreamFault>,
-    goes_on: bool,
+    /// Whether its connection carries another request.
+    keeps_alive: bool,
+}
+
+impl SentRequest {
+    fn is_rejected(&self) -> bool {
+        matches!(self.end, RequestEnd::Responded(status) if status >= 300)
+    }
 }
 
-fn end(answer: &Result<StreamedResponse, MessageError>) -> RequestEnd {
-    match answer {
-        Ok(answer) => match answer.end {
-            ResponseEnd::Complete => RequestEnd::Answered(answer.head.status()),
-            ResponseEnd::Truncated => RequestEnd::Cut,
-            ResponseEnd::TimedOut => RequestEnd::Silent,
+fn request_end(response: &Result<StreamedResponse, MessageError>) -> RequestEnd {
+    match response {
+        Ok(response) => match response.end {
+            ResponseEnd::Complete => RequestEnd::Responded(response.head.status()),
+            ResponseEnd::Truncated => RequestEnd::Truncated,
+            ResponseEnd::TimedOut => RequestEnd::TimedOut,
         },
-        Err(MessageError::Timeout) => RequestEnd::Silent,
-        Err(_) => RequestEnd::NoAnswer,
+        Err(MessageError::Timeout) => RequestEnd::TimedOut,
+        Err(_) => RequestEnd::NoResponse,
     }
 }
--- a/soak/src/day.rs
+++ b/soak/src/day.rs
@@ -1,8 +1,8 @@
-//! A day: the fleet and the world around it are started, the plan is played, and at its end all is
-//! read back.
+//! A day: the fleet and the systems around it are started, the plan is carried out, and at the end
+//! everything is read back.
 
 use crate::bounds::{CONTACT, MACHINES, RECOVERY};
-use crate::clients::{Clients, HABITS};
+use crate::clients::{Clients, CLIENT_WORKLOADS};
 use crate::journal::{Clock, Journal, ProcessFault, ReadRecord};
 use crate::operators::Operators;
 use crate::plan::{Action, Plan};
@@ -18,70 +18,75 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// How often the day looks what is due.
-const LOOK: Duration = Duration::from_millis(2);
-/// A fleet is up in this time.
-const START: Duration = Duration::from_secs(15);
-/// The final fault waits so long for an acknowledgement.
-const ACKNOWLEDGEMENT: Duration = Duration::from_secs(4);
-/// Traffic goes on so long after the final fault's restarts.
-const AFTERWARDS: Duration = Duration::from_secs(3);
-/// Between two requests that show whether a router serves again.
-const PROBE_INTERVAL: Duration = Duration::from_millis(100);
-/// Rests between an operator's orders, at most: of the one who always works, and of the one who at
-/// times races it.
-const RESTS: [Duration; 2] = [Duration::from_millis(300), Duration::from_millis(1_500)];
+/// Interval at which the day checks what is due.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// A fleet has started within this time.
+const START_TIMEOUT: Duration = Duration::from_secs(15);
+/// The final fault waits this long for an acknowledgement.
+const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_secs(4);
+/// Traffic goes on for this long after the restarts that follow the final fault.
+const FINAL_TRAFFIC: Duration = Duration::from_secs(3);
+/// Time between two requests that check whether a router serves again.
+const SERVICE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// A call for the status or the readiness of a process ends after this.
+const CALL_TIMEOUT: Duration = Duration::from_millis(300);
+/// The longest delays between orders: of the operator that always changes the configuration, and of
+/// the one that at times races it.
+const MAX_ORDER_DELAYS: [Duration; 2] = [Duration::from_millis(300), Duration::from_millis(1_500)];
 
-/// Why a day could not be played.
+/// Why a day could not be run.
 #[derive(Debug, Error)]
 pub enum DayError {
     /// The fleet or the system under it.
     #[error("{0}")]
     Fleet(#[from] FleetError),
-    /// A stand-in or the folder for logs could not be used.
+    /// An emulator or the folder for logs could not be used.
     #[error("{0}")]
     System(#[from] std::io::Error),
-    /// The fleet did not come up.
+    /// The fleet did not start.
     #[error("the fleet did not come up: {0}")]
-    NotUp(&'static str),
-    /// The soak was told to end.
+    NotStarted(&'static str),
+    /// The soak got a signal to end.
     #[error("it was told to end")]
     Interrupted,
 }
 
-/// What a day is played with.
+/// The program that a day is run with, and the folder for its logs.
 #[derive(Clone, Copy, Debug)]
-pub struct Stage<'a> {
+pub struct DaySettings<'a> {
     /// The program.
     pub program: &'a Path,
     /// Text at the end of each of its settings files.
     pub more_settings: &'a str,
-    /// Folder for the logs of its processes.
+    /// The folder to which the logs of its processes are copied.
     pub logs: &'a Path,
 }
 
-/// Plays a day with this program, and leaves the logs of its processes in this folder. It ends
-/// early once `interrupted` is set.
+/// Runs a day by a plan, and returns its journal. It ends early once `interrupted` is set.
 ///
 /// # Errors
-/// When it can't be played.
-pub fn play(plan: &Plan, stage: Stage<'_>, interrupted: &AtomicBool) -> Result<Journal, DayError> {
-    std::fs::create_dir_all(stage.logs)?;
+/// When it can't be run to its end; the logs are copied then, too, if the fleet was started.
+pub fn run_day(
+    plan: &Plan,
+    settings: DaySettings<'_>,
+    interrupted: &AtomicBool,
+) -> Result<Journal, DayError> {
+    std::fs::create_dir_all(settings.logs)?;
     let clock = Clock::start();
-    let mut processes = Processes::start(stage.program, stage.more_settings, clock)?;
-    let outside = play_with(plan, clock, &mut processes, interrupted);
-    processes.copy_logs(stage.logs)?;
-    let mut outside = outside?;
-    let inside = processes.finish();
-    outside.process_faults.extend(inside.process_faults);
+    let mut processes = Processes::start(settings.program, settings.more_settings, clock)?;
+    let observed = run_with(plan, clock, &mut processes, interrupted);
+    processes.copy_logs(settings.logs)?;
+    let mut observed = observed?;
+    let of_processes = processes.finish();
+    observed.process_faults.extend(of_processes.process_faults);
     Ok(Journal {
-        faults: inside.faults,
-        ..outside
+        faults: of_processes.faults,
+        ..observed
     })
 }
 
-/// What clients, operators and servers saw.
-fn play_with(
+/// Runs a day with these processes, and returns what clients, operators and servers observed.
+fn run_with(
     plan: &Plan,
     clock: Clock,
     processes: &mut Processes,
@@ -92,168 +97,179 @@
     let clients = Clients::new(clock, fleet.fronts());
     let operators = Operators::new(clock, control.clone());
     let servers = Servers::start(control, clock)?;
-    begin(clock, &operators, &readiness)?;
-    let (random, faults) = (Rng::with_seed(!plan.seed), Vec::new());
-    let (isolated, operators) = (None, &operators);
+    wait_until_started(clock, &operators, &readiness)?;
     let mut day = Day {
         plan,
         clock,
-        random,
+        random: Rng::with_seed(!plan.seed),
         servers,
         processes,
-        faults,
+        clients: &clients,
+        operators: &operators,
+        isolated_primary: None,
+        faults: Vec::new(),
         interrupted,
-        isolated,
-        operators,
     };
-    let played = thread::scope(|scope| {
-        let played = day.play(scope, &clients, operators, &readiness);
-        // Whatever happened, the threads end.
+    let final_reads = thread::scope(|scope| {
+        let final_reads = day.run(scope, &readiness);
+        // The threads end, whatever the result.
         operators.stop();
         clients.stop();
-        played
-    });
-    let (final_reads, servers, process_faults) = (played?, day.servers.finish(), day.faults);
-    let (orders, reads) = operators.records();
-    let (faults, client_requests) = (Vec::new(), clients.client_requests());
+        final_reads
+    })?;
     Ok(Journal {
-        faults,
-        client_requests,
-        servers,
-        orders,
-        reads,
+        faults: Vec::new(),
+        client_requests: clients.client_requests(),
+        servers: day.servers.finish(),
+        orders: operators.orders(),
+        reads: operators.reads(),
         final_reads,
-        process_faults,
+        process_faults: day.faults,
     })
 }
 
-/// Brings the first configuration, and waits for all routers.
-fn begin(clock: Clock, operators: &Operators, readiness: &[SocketAddr]) -> Result<(), DayError> {
-    if !operators.begin(START) {
-        return Err(DayError::NotUp(
+/// Orders the first configuration, and waits until all routers are ready.
+fn wait_until_started(
+    clock: Clock,
+    operators: &Operators,
+    readiness: &[SocketAddr],
+) -> Result<(), DayError> {
+    if !operators.send_first_order(START_TIMEOUT) {
+        return Err(DayError::NotStarted(
             "the first configuration was not acknowledged",
         ));
     }
     let is_ready = |address: &SocketAddr| {
-        let answer = Call::get("/readiness").send(*address, Duration::from_millis(300));
-        answer.is_ok_and(|answer| answer.status() == 200)
+        let response = Call::get("/readiness").send(*address, CALL_TIMEOUT);
+        response.is_ok_and(|response| response.status() == 200)
     };
     while !readiness.iter().all(is_ready) {
-        if clock.now() > START {
-            return Err(DayError::NotUp("a router was not ready"));
+        if clock.now() > START_TIMEOUT {
+            return Err(DayError::NotStarted("a router was not ready"));
         }
-        thread::sleep(LOOK);
+        thread::sleep(POLL_INTERVAL);
     }
     Ok(())
 }
 
+/// A day that runs.
 struct Day<'a> {
     plan: &'a Plan,
     clock: Clock,
     random: Rng,
     servers: Servers,
     processes: &'a mut Processes,
+    clients: &'a Clients,
+    operators: &'a Operators,
+    /// The machine of the primary, if it was isolated from the others.
+    isolated_primary: Option<usize>,
+    /// What machines lacked at the end.
     faults: Vec<ProcessFault>,
     interrupted: &'a AtomicBool,
-    /// The primary, if the others were frozen for its sake.
-    isolated: Option<usize>,
-    operators: &'a Operators,
 }
 
-/// Where the primary is, by the status of a control machine.
-fn primary_reported_by(address: SocketAddr) -> Option<IpAddr> {
-    let status = Call::get("/status")
-        .send(address, Duration::from_millis(300))
-        .ok()?;
+/// The address of the primary by the status of a control machine.
+fn primary_reported_by(control: SocketAddr) -> Option<IpAddr> {
+    let status = Call::get("/status").send(control, CALL_TIMEOUT).ok()?;
     let status: serde_json::Value = serde_json::from_slice(&status.body).ok()?;
     let primary: SocketAddr = status["group"]["primary"].as_str()?.parse().ok()?;
     Some(primary.ip())
 }
 
-impl Day<'_> {
-    /// Plays the plan; tells what was read back at the end.
-    fn play<'scope>(
+impl<'a> Day<'a> {
+    /// Carries out the plan, and returns what was read back at the end.
+    fn run<'scope>(
         &mut self,
         scope: &'scope Scope<'scope, '_>,
-        clients: &'scope Clients,
-        operators: &'scope Operators,
         readiness: &[SocketAddr],
-    ) -> Result<Vec<ReadRecord>, DayError> {
-        let changes = self.start_world(scope, clients, operators, readiness);
-        let begun = self.clock.now();
-        let plan = self.plan;
-        for (at, action) in &plan.actions {
-            self.go_on_until(|day| day.clock.now() >= begun + *at)?;
-            self.act(*action)?;
-        }
-        self.go_on_until(|day| day.clock.now() >= begun + plan.length)?;
-        if let Some(fault) = plan.final_fault {
-            let (before, until) = (operators.acknowledged(), self.clock.now() + ACKNOWLEDGEMENT);
-            self.go_on_until(|day| operators.acknowledged() > before || day.clock.now() > until)?;
-            self.act(fault)?;
-        }
-        operators.stop();
-        // What is under way may still be acknowledged: it is read back too.
-        let is_over = |day: &Self| {
-            day.processes.is_calm() && changes.iter().all(ScopedJoinHandle::is_finished)
-        };
-        self.go_on_until(is_over)?;
-        let calm = self.clock.now();
-        let reads = self.read_back(scope, operators)?;
-        self.look_for_service(scope, clients)?;
-        self.go_on_until(|day| day.clock.now() >= calm + AFTERWARDS)?;
+    ) -> Result<Vec<ReadRecord>, DayError>
+    where
+        'a: 'scope,
+    {
+        let order_threads = self.start_traffic(scope, readiness);
+        self.apply_plan()?;
+        self.operators.stop();
+        // Orders in flight may still be acknowledged: they are read back, too.
+        self.wait_until(|day| {
+            day.processes.is_idle() && order_threads.iter().all(ScopedJoinHandle::is_finished)
+        })?;
+        let idle_at = self.clock.now();
+        let reads = self.read_back(scope)?;
+        self.check_service(scope)?;
+        self.wait_until(|day| day.clock.now() >= idle_at + FINAL_TRAFFIC)?;
         Ok(reads)
     }
 
-    /// Starts clients and operators; tells the threads of those who change the configuration.
-    fn start_world<'scope>(
+    /// Starts clients and operators; returns the threads of the operators that send orders.
+    fn start_traffic<'scope>(
         &mut self,
         scope: &'scope Scope<'scope, '_>,
-        clients: &'scope Clients,
-        operators: &'scope Operators,
         readiness: &[SocketAddr],
-    ) -> Vec<ScopedJoinHandle<'scope, ()>> {
+    ) -> Vec<ScopedJoinHandle<'scope, ()>>
+    where
+        'a: 'scope,
+    {
+        let (clients, operators) = (self.clients, self.operators);
         for (machine, address) in readiness.iter().copied().enumerate() {
-            scope.spawn(move || clients.watch(machine, address));
+            scope.spawn(move || clients.watch_readiness(machine, address));
         }
-        for habit in HABITS {
+        for workload in CLIENT_WORKLOADS {
             let mut random = self.random.fork();
-            scope.spawn(move || clients.query(habit, &mut random));
+            scope.spawn(move || clients.send_requests(workload, &mut random));
         }
         let mut random = self.random.fork();
         scope.spawn(move || operators.read(&mut random));
-        let change = |rest| {
+        let send_orders = |max_delay| {
             let mut random = self.random.fork();
-            scope.spawn(move || operators.change(rest, &mut random))
+            scope.spawn(move || operators.send_orders(max_delay, &mut random))
+        };
+        MAX_ORDER_DELAYS.map(send_orders).into()
+    }
+
+    /// Carries out the actions of the plan at their times, and its final fault.
+    fn apply_plan(&mut self) -> Result<(), DayError> {
+        let plan = self.plan;
+        let started_at = self.clock.now();
+        for (at, action) in &plan.actions {
+            self.wait_until(|day| day.clock.now() >= started_at + *at)?;
+            self.apply(*action)?;
+        }
+        self.wait_until(|day| day.clock.now() >= started_at + plan.length)?;
+        let Some(fault) = plan.final_fault else {
+            return Ok(());
         };
-        RESTS.map(change).into()
+        let acknowledged_count = self.operators.acknowledged_count();
+        let deadline = self.clock.now() + ACKNOWLEDGEMENT_TIMEOUT;
+        self.wait_until(|day| {
+            day.operators.acknowledged_count() > acknowledged_count || day.clock.now() > deadline
+        })?;
+        self.apply(fault)
     }
 
-    fn act(&mut self, action: Action) -> Result<(), DayError> {
-        let action = match (action, self.isolated) {
+    fn apply(&mut self, action: Action) -> Result<(), DayError> {
+        let action = match (action, self.isolated_primary) {
             (Action::IsolatePrimary(time), _) => return self.isolate_primary(time),
-            (Action::CutPrimary(time), _) => {
-                if let Some(primary) = self.primary() {
-                    self.processes.cut(&[primary], time);
-                    self.operators.generate_until(primary, time);
-                }
+            (Action::PartitionPrimary(time), _) => {
+                self.partition_primary(time);
                 return Ok(());
             }
-            (Action::CutHalves(machine, time), _) => {
-                self.processes
-                    .cut(&[machine, (machine + 1) % MACHINES], time);
+            (Action::PartitionHalves(machine, time), _) => {
+                let half = [machine, (machine + 1) % MACHINES];
+                self.processes.partition(&half, time);
                 return Ok(());
             }
-            (Action::KillAll(Some(_), rest), Some(machine)) => Action::KillAll(Some(machine), rest),
+            (Action::KillAll(Some(_), restart_delay), Some(primary)) => {
+                Action::KillAll(Some(primary), restart_delay)
+            }
             _ => action,
         };
-        if !self.processes.act(action)? {
-            self.servers.act(action, &mut self.random)?;
+        if !self.processes.apply(action)? {
+            self.servers.apply(action, &mut self.random)?;
         }
         Ok(())
     }
 
-    /// The machine of the primary, as far as anybody tells.
+    /// The machine of the primary, by the first control machine that reports one.
     fn primary(&self) -> Option<usize> {
         let control = self.processes.fleet().control();
         let primary = control
@@ -264,71 +280,86 @@
             .position(|address| Some(address.ip()) == primary)
     }
 
+    /// Partitions the primary from the other control machines; orders go to it first meanwhile.
+    fn partition_primary(&mut self, time: Duration) {
+        if let Some(primary) = self.primary() {
+            self.processes.partition(&[primary], time);
+            self.operators.prefer_machine(primary, time);
+        }
+    }
+
+    /// Pauses all control processes but that of the primary.
     fn isolate_primary(&mut self, time: Duration) -> Result<(), DayError> {
-        self.isolated = self.primary();
-        if let Some(primary) = self.isolated {
+        self.isolated_primary = self.primary();
+        if let Some(primary) = self.isolated_primary {
             for other in (0..MACHINES).filter(|other| *other != primary) {
                 self.processes
-                    .act(Action::ProcessPause((Role::Control, other), time))?;
+                    .apply(Action::Pause((Role::Control, other), time))?;
             }
         }
         Ok(())
     }
 
-    fn go_on_until(&mut self, over: impl Fn(&Self) -> bool) -> Result<(), DayError> {
-        while !over(self) {
+    /// Keeps the processes going until a condition is met.
+    fn wait_until(&mut self, is_met: impl Fn(&Self) -> bool) -> Result<(), DayError> {
+        while !is_met(self) {
             if self.interrupted.load(Ordering::SeqCst) {
                 return Err(DayError::Interrupted);
             }
             self.processes.tick()?;
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
         Ok(())
     }
 
+    /// Reads the configuration back from each machine.
     fn read_back<'scope>(
         &mut self,
         scope: &'scope Scope<'scope, '_>,
-        operators: &'scope Operators,
-    ) -> Result<Vec<ReadRecord>, DayError> {
-        let read = |machine| scope.spawn(move || operators.read_back(machine, RECOVERY + CONTACT));
-        let reads = self.query_each(read)?;
+    ) -> Result<Vec<ReadRecord>, DayError>
+    where
+        'a: 'scope,
+    {
+        let operators = self.operators;
+        let reads = self.on_each_machine(|machine| {
+            scope.spawn(move || operators.read_back(machine, RECOVERY + CONTACT))
+        })?;
         let missing = (0..MACHINES).filter(|machine| reads[*machine].is_none());
         self.faults.extend(missing.map(ProcessFault::NotReadBack));
         Ok(reads.into_iter().flatten().collect())
     }
 
-    fn look_for_service<'scope>(
-        &mut self,
-        scope: &'scope Scope<'scope, '_>,
-        clients: &'scope Clients,
-    ) -> Result<(), DayError> {
-        let until = self.clock.now() + RECOVERY;
-        let clock = self.clock;
-        let served = self.query_each(|machine| {
+    /// Checks that each machine serves a request within `recoveryS`.
+    fn check_service<'scope>(&mut self, scope: &'scope Scope<'scope, '_>) -> Result<(), DayError>
+    where
+        'a: 'scope,
+    {
+        let (clients, clock) = (self.clients, self.clock);
+        let deadline = clock.now() + RECOVERY;
+        let is_served = self.on_each_machine(|machine| {
             scope.spawn(move || {
-                let mut served = clients.is_served_by(machine);
-                while !served && clock.now() < until {
-                    thread::sleep(PROBE_INTERVAL);
-                    served = clients.is_served_by(machine);
+                let mut is_served = clients.is_served_by(machine);
+                while !is_served && clock.now() < deadline {
+                    thread::sleep(SERVICE_CHECK_INTERVAL);
+                    is_served = clients.is_served_by(machine);
                 }
-                served
+                is_served
             })
         })?;
-        let missing = (0..MACHINES).filter(|machine| !served[*machine]);
+        let missing = (0..MACHINES).filter(|machine| !is_served[*machine]);
         self.faults.extend(missing.map(ProcessFault::NotServing));
         Ok(())
     }
 
-    /// Asks each machine something on a thread of its own, and goes on meanwhile.
-    fn query_each<'scope, T: Default>(
+    /// Runs a thread for each machine, and returns their results in the order of the machines.
+    fn on_each_machine<'scope, T: Default>(
         &mut self,
-        query: impl Fn(usize) -> ScopedJoinHandle<'scope, T>,
+        spawn: impl Fn(usize) -> ScopedJoinHandle<'scope, T>,
     ) -> Result<Vec<T>, DayError> {
-        let queried: Vec<_> = (0..MACHINES).map(query).collect();
-        self.go_on_until(|_| queried.iter().all(ScopedJoinHandle::is_finished))?;
-        // A thread that panicked has said so, and found nothing.
-        Ok(queried
+        let threads: Vec<_> = (0..MACHINES).map(spawn).collect();
+        self.wait_until(|_| threads.iter().all(ScopedJoinHandle::is_finished))?;
+        // A thread that panicked has printed why, and has no result.
+        Ok(threads
             .into_iter()
             .map(|thread| thread.join().unwrap_or_default())
             .collect())
--- a/soak/src/journal.rs
+++ b/soak/src/journal.rs
@@ -1,5 +1,5 @@
-//! What happened on a day, as seen from outside: the record that is judged. Times count from the
-//! beginning of the day.
+//! The journal of a day: what was done to the fleet, and what clients, model servers and operators
+//! observed. It is what the judge reads. Times are spans since the start of the day.
 
 use crate::plan::Target;
 use lichenswitch_emulators::model_server::Entry;
@@ -7,7 +7,7 @@
 use lichenswitch_emulators::stream_client::StreamFault;
 use std::time::{Duration, Instant};
 
-/// The time of a day.
+/// The clock of a day.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock(Instant);
 
@@ -24,14 +24,14 @@
         self.0.elapsed()
     }
 
-    /// The same of a moment that is over.
+    /// The time of an earlier instant.
     #[must_use]
     pub fn at(&self, moment: Instant) -> Duration {
         moment.saturating_duration_since(self.0)
     }
 }
 
-/// Something that was done to a process.
+/// What was done to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
     /// SIGTERM, and its start after it.
@@ -44,47 +44,62 @@
     Wiped,
     /// SIGSTOP up to SIGCONT.
     Paused,
-    /// Cut off from other control processes.
-    Cut,
+    /// Partitioned from other control processes.
+    Partitioned,
 }
 
 impl FaultKind {
-    /// Whether an operator does this on purpose, and nothing may be lost by it.
+    /// Whether an operator does this as planned work, by which nothing may be lost.
     #[must_use]
     pub fn is_planned(self) -> bool {
         matches!(self, FaultKind::Terminated | FaultKind::HungUp)
     }
 }
 
-/// See [`FaultKind`].
+/// A fault or planned work of a process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct InjectedFault {
-    /// What.
+    /// What was done.
     pub kind: FaultKind,
-    /// To which process.
+    /// The process.
     pub target: Target,
     /// When it began.
     pub from: Duration,
-    /// When the process went on or was started again; [`Duration::MAX`]: not yet.
+    /// When the process was resumed or started again; [`Duration::MAX`]: not yet.
     pub to: Duration,
 }
 
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// A whole answer with this status.
-    Answered(u16),
-    /// The answer had begun, and its connection ended.
-    Cut,
-    /// The connection ended before an answer.
-    NoAnswer,
-    /// Nothing came for as long as clients wait.
-    Silent,
-    /// The client left at once.
+    /// A complete response with this status.
+    Responded(u16),
+    /// The connection ended within the response.
+    Truncated,
+    /// The connection ended before the response.
+    NoResponse,
+    /// Nothing arrived within the timeout of clients.
+    TimedOut,
+    /// The client disconnected as soon as it had sent the request.
     Abandoned,
 }
 
-/// A request of a client: one that was written whole.
+impl RequestEnd {
+    /// How a verdict names it.
+    #[must_use]
+    pub fn label(self) -> String {
+        match self {
+            RequestEnd::Responded(status) => return status.to_string(),
+            RequestEnd::Truncated => "Cut",
+            RequestEnd::NoResponse => "NoAnswer",
+            RequestEnd::TimedOut => "Silent",
+            RequestEnd::Abandoned => "Abandoned",
+        }
+        .into()
+    }
+}
+
+/// A request of a client that was sent completely.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
     /// `Attempt-Id`.
@@ -93,27 +108,36 @@
     pub machine: usize,
     /// Whether it may run more than once.
     pub idempotent: bool,
-    /// Its place on its connection; 0: it opened it.
+    /// Its index on its connection, from 0.
     pub turn: u32,
     /// When its last byte was sent.
     pub sent: Duration,
     /// When it ended.
     pub ended: Duration,
-    /// The least of `Deadline-Ms` and the least `timeoutMs` that its route ever has.
-    pub time_left: Duration,
+    /// Its time limit: the least of `Deadline-Ms` and of all `timeoutMs` that its route has during
+    /// the day.
+    pub time_limit: Duration,
     /// How it ended.
     pub end: RequestEnd,
     /// What is wrong with what came.
     pub faults: Vec<StreamFault>,
 }
 
-/// A life of a model server.
+impl ClientRequest {
+    /// How long it took.
+    #[must_use]
+    pub fn duration(&self) -> Duration {
+        self.ended.saturating_sub(self.sent)
+    }
+}
+
+/// One incarnation of a model server.
 #[derive(Clone, Debug)]
 pub struct ServerRecord {
     /// Its id.
     pub instance: String,
-    /// When it began; its entries count from then.
-    pub began: Duration,
+    /// When it started; the times of its entries are spans since then.
+    pub started: Duration,
     /// When it ended.
     pub stopped: Option<Duration>,
     /// What it saw.
@@ -123,53 +147,53 @@
 /// An order of an operator.
 #[derive(Clone, Debug)]
 pub struct OrderRecord {
-    /// The order; its document names `number` in a route, so that a document tells which order made
-    /// it.
+    /// The order. Its document names `number` in a route, by which a document that is read shows its
+    /// order.
     pub order: Order,
-    /// Its place among all orders, from 1.
+    /// Its number among all orders, from 1.
     pub number: u64,
-    /// Version that it brings.
+    /// The version of its document.
     pub version: u64,
-    /// When it was sent first.
+    /// When it was first sent.
     pub sent: Duration,
-    /// When it was acknowledged first.
+    /// When it was first acknowledged.
     pub acknowledged: Option<Duration>,
-    /// All outcomes, in order, those of repeats included.
+    /// All outcomes in order, also those of repetitions.
     pub outcomes: Vec<Outcome>,
 }
 
 /// A configuration that was read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadRecord {
-    /// The machine that was asked.
+    /// The machine that it was read from.
     pub machine: usize,
-    /// When it was asked.
+    /// When the read was sent.
     pub sent: Duration,
-    /// Version of what it told.
+    /// The version of the document.
     pub version: u64,
-    /// The order that made it; 0: it names none.
+    /// The number of the order that made it; 0: it names none.
     pub order: u64,
 }
 
-/// Something that a process did and may not do.
+/// A rule that a process broke by itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProcessFault {
-    /// It ended by itself, or not with 0 when it was told to end.
+    /// It ended by itself, or with another status than 0 after SIGTERM.
     Ended(Target, Option<i32>),
-    /// It was told to end, and still ran after the grace.
+    /// It still ran at the end of the grace after SIGTERM.
     Overstayed(Target),
-    /// It logged that a promise of its own is broken, or that it panicked.
+    /// It logged a broken invariant or a panic.
     Logged(Target, String),
-    /// The configuration could not be read at this machine in `recoveryS` after the last trouble.
+    /// The configuration could not be read at this machine within `recoveryS` after the last fault.
     NotReadBack(usize),
-    /// No request was served by this machine in `recoveryS` after the last trouble.
+    /// No request was served by this machine within `recoveryS` after the last fault.
     NotServing(usize),
 }
 
-/// All of a day.
+/// All that was recorded of a day.
 #[derive(Clone, Debug, Default)]
 pub struct Journal {
-    /// What was done to processes.
+    /// Faults and planned work of processes.
     pub faults: Vec<InjectedFault>,
     /// Requests.
     pub client_requests: Vec<ClientRequest>,
@@ -181,17 +205,17 @@
     pub reads: Vec<ReadRecord>,
     /// Configurations read back at its end.
     pub final_reads: Vec<ReadRecord>,
-    /// What processes did wrong.
+    /// Rules that processes broke by themselves.
     pub process_faults: Vec<ProcessFault>,
 }
 
 impl Journal {
-    /// Whether an unplanned trouble touches this time.
+    /// Whether an unplanned fault overlaps this time.
     #[must_use]
-    pub fn is_troubled(&self, from: Duration, to: Duration) -> bool {
-        let touches = |fault: &InjectedFault| fault.from <= to && fault.to >= from;
+    pub fn has_unplanned_fault(&self, from: Duration, to: Duration) -> bool {
+        let overlaps = |fault: &InjectedFault| fault.from <= to && fault.to >= from;
         self.faults
             .iter()
-            .any(|fault| !fault.kind.is_planned() && touches(fault))
+            .any(|fault| !fault.kind.is_planned() && overlaps(fault))
     }
 }
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -1,11 +1,11 @@
 //! Days of a whole fleet as real processes with real sockets on one machine: traffic, operators,
-//! planned work and troubles that overlap, all drawn from a seed; and a judge of what clients,
-//! model servers and operators saw.
+//! planned work and overlapping faults, all drawn from a seed; and a judge of what clients, model
+//! servers and operators observed.
 //!
-//! `plan` draws a day and `judge` judges its journal: both are pure. `day` plays it, with
-//! `clients`, `operators` and `servers` as the outside world. They know the program by its command,
-//! its settings and its published protocol alone; `volatile_disk` is what a second program puts
-//! below the fleet's storage, so that a process that dies loses what it had not synced.
+//! `plan` draws the plan of a day and `judge` judges its journal: both are pure. `day` runs it, with
+//! `processes` as the fleet and `clients`, `operators` and `servers` around it. They know the program by its command,
+//! its settings and its published protocol alone; `volatile_disk` is the file
+//! system of a second program, whose processes lose what they had not synced when they die.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,9 +1,9 @@
 //! The soak's command line: days from seeds, several at a time. Exit codes: 0 when no rule was
-//! broken, 1 when one was or a day could not be played, 2 when the arguments can't be used.
+//! broken, 1 when one was or a day could not be run, 2 when the arguments can't be used.
 #![forbid(unsafe_code)]
 
 use bpaf::Bpaf;
-use lichenswitch_soak::day::{play, DayError, Stage};
+use lichenswitch_soak::day::{run_day, DayError, DaySettings};
 use lichenswitch_soak::journal::{Journal, RequestEnd};
 use lichenswitch_soak::judge::judge;
 use lichenswitch_soak::plan::Plan;
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::ops::Range;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::str::FromStr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -32,7 +32,7 @@
     #[bpaf(
         argument("SECONDS"),
         fallback(30),
-        guard(long_enough, "a day has 12 seconds at least")
+        guard(is_long_enough, "a day has 12 seconds at least")
     )]
     seconds: u64,
     /// Days at a time; each has 8 processes.
@@ -51,8 +51,8 @@
     logs: PathBuf,
 }
 
-/// A day has room for a planned and an unplanned moment then.
-fn long_enough(seconds: &u64) -> bool {
+/// Whether a day has room for planned work and unplanned faults.
+fn is_long_enough(seconds: &u64) -> bool {
     *seconds >= 12
 }
 
@@ -89,38 +89,54 @@
             return ExitCode::from(2);
         }
     }
-    let (next, played, broken) = (
-        AtomicU64::new(options.seeds.0.start),
-        AtomicU64::new(0),
-        AtomicU64::new(0),
+    let counts = run_days(&options, &interrupted);
+    println!(
+        "{} days of {} s, {} broken",
+        counts.run, options.seconds, counts.broken
     );
+    if counts.broken == 0 && !interrupted.load(Ordering::SeqCst) {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    }
+}
+
+/// The numbers of days.
+struct DayCounts {
+    /// Days that were run.
+    run: u64,
+    /// Those of them that broke a rule or could not be run to their end.
+    broken: u64,
+}
+
+/// Runs the days of all seeds, `jobs` at a time.
+fn run_days(options: &Options, interrupted: &AtomicBool) -> DayCounts {
+    let next_seed = AtomicU64::new(options.seeds.0.start);
+    let (run, broken) = (AtomicU64::new(0), AtomicU64::new(0));
     thread::scope(|scope| {
         for _ in 0..options.jobs.max(1) {
             scope.spawn(|| loop {
-                let seed = next.fetch_add(1, Ordering::SeqCst);
+                let seed = next_seed.fetch_add(1, Ordering::SeqCst);
                 if seed >= options.seeds.0.end || interrupted.load(Ordering::SeqCst) {
                     return;
                 }
-                played.fetch_add(1, Ordering::SeqCst);
-                if !is_sound(seed, &options, &interrupted) {
+                run.fetch_add(1, Ordering::SeqCst);
+                if !is_sound(seed, options, interrupted) {
                     broken.fetch_add(1, Ordering::SeqCst);
                 }
             });
         }
     });
-    let (days, broken) = (played.into_inner(), broken.into_inner());
-    println!("{days} days of {} s, {broken} broken", options.seconds);
-    if broken == 0 && !interrupted.load(Ordering::SeqCst) {
-        ExitCode::SUCCESS
-    } else {
-        ExitCode::FAILURE
+    DayCounts {
+        run: run.into_inner(),
+        broken: broken.into_inner(),
     }
 }
 
-/// Plays a day and prints its verdict; tells whether no rule was broken.
+/// Runs a day and prints its verdict; returns whether no rule was broken.
 fn is_sound(seed: u64, options: &Options, interrupted: &AtomicBool) -> bool {
-    let plan = Plan::generate_order(seed, Duration::from_secs(options.seconds));
-    let folder = options
+    let plan = Plan::from_seed(seed, Duration::from_secs(options.seconds));
+    let logs = options
         .logs
         .join(format!("seed-{seed}-{}", std::process::id()));
     let program = program(options, &plan);
@@ -128,40 +144,50 @@
         .plant
         .as_ref()
         .map_or_else(String::new, |fault| format!("[soak]\nplant = {fault:?}\n"));
-    let stage = Stage {
+    let settings = DaySettings {
         program: &program,
         more_settings: &more_settings,
-        logs: &folder,
+        logs: &logs,
     };
-    let played = play(&plan, stage, interrupted);
-    let violations = played.as_ref().map(judge).unwrap_or_default();
-    let mut text = verdict(seed, &played, &violations);
-    let sound = played.is_ok() && violations.is_empty();
-    if sound {
-        // What can't be removed is left to whoever cleans the folder for temporary files.
-        let _ = std::fs::remove_dir_all(&folder);
+    let journal = run_day(&plan, settings, interrupted);
+    let violations = journal.as_ref().map(judge).unwrap_or_default();
+    let mut text = verdict(seed, &journal, &violations);
+    let is_sound = journal.is_ok() && violations.is_empty();
+    if is_sound {
+        // What can't be removed stays until the folder for temporary files is cleaned.
+        let _ = std::fs::remove_dir_all(&logs);
     } else {
-        let own = std::env::current_exe().unwrap_or_default();
-        let (own, program) = (own.display(), program.display());
-        let planted = options
-            .plant
-            .as_ref()
-            .map_or_else(String::new, |fault| format!(" --plant {fault}"));
-        let (beyond, seconds) = (seed + 1, options.seconds);
-        let again = format!(
-            "{own} --seeds {seed}..{beyond} --seconds {seconds} --program {program}{planted}"
+        let command = command_of_day(seed, options, &program);
+        let _ = write!(text, "\n  again: {command}\n  logs: {}", logs.display());
+        let file = format!(
+            "{text}\n\n{plan:#?}\n\n{:#?}\n",
+            journal.as_ref().map(brief)
         );
-        let _ = write!(text, "\n  again: {again}\n  logs: {}", folder.display());
-        let whole = format!("{text}\n\n{plan:#?}\n\n{:#?}\n", played.as_ref().map(brief));
-        if let Err(error) = std::fs::write(folder.join("journal.txt"), whole) {
+        if let Err(error) = std::fs::write(logs.join("journal.txt"), file) {
             let _ = write!(text, "\n  the journal can't be kept: {error}");
         }
     }
     println!("{text}");
-    sound
+    is_sound
 }
 
-/// The program that a day is played with.
+/// The command that runs the day of a seed once more.
+fn command_of_day(seed: u64, options: &Options, program: &Path) -> String {
+    let soak = std::env::current_exe().unwrap_or_default();
+    let planted = options
+        .plant
+        .as_ref()
+        .map_or_else(String::new, |fault| format!(" --plant {fault}"));
+    format!(
+        "{} --seeds {seed}..{} --seconds {} --program {}{planted}",
+        soak.display(),
+        seed + 1,
+        options.seconds,
+        program.display()
+    )
+}
+
+/// The program that a day is run with.
 fn program(options: &Options, plan: &Plan) -> PathBuf {
     let volatile = plan.volatile_disks || options.plant.is_some();
     let name = if volatile {
@@ -177,18 +203,14 @@
     options.program.clone().unwrap_or_else(beside)
 }
 
-fn verdict(seed: u64, played: &Result<Journal, DayError>, violations: &[Violation]) -> String {
-    let journal = match played {
+fn verdict(seed: u64, journal: &Result<Journal, DayError>, violations: &[Violation]) -> String {
+    let journal = match journal {
         Ok(journal) => journal,
         Err(error) => return format!("seed {seed}: could not be played: {error}"),
     };
     let mut ends: BTreeMap<String, usize> = BTreeMap::new();
-    for one in &journal.client_requests {
-        let end = match one.end {
-            RequestEnd::Answered(status) => status.to_string(),
-            other => format!("{other:?}"),
-        };
-        *ends.entry(end).or_default() += 1;
+    for request in &journal.client_requests {
+        *ends.entry(request.end.label()).or_default() += 1;
     }
     let acknowledged = journal
         .orders
@@ -210,19 +232,21 @@
     text
 }
 
-/// The journal without the requests that went well and all that servers saw.
+/// The journal without successful requests, what servers observed of them, and reads.
 fn brief(journal: &Journal) -> Journal {
     let mut brief = journal.clone();
-    brief
-        .client_requests
-        .retain(|one| !matches!(one.end, RequestEnd::Answered(_)) || !one.faults.is_empty());
-    let kept: Vec<String> = brief
+    brief.client_requests.retain(|request| {
+        !matches!(request.end, RequestEnd::Responded(_)) || !request.faults.is_empty()
+    });
+    let attempts: Vec<String> = brief
         .client_requests
         .iter()
-        .map(|one| one.attempt.clone())
+        .map(|request| request.attempt.clone())
         .collect();
     for server in &mut brief.servers {
-        server.entries.retain(|entry| kept.contains(&entry.attempt));
+        server
+            .entries
+            .retain(|entry| attempts.contains(&entry.attempt));
     }
     brief.reads.clear();
     brief
--- /dev/null
+++ b/soak/src/operators/configuration.rs
@@ -0,0 +1,113 @@
+//! The configurations that operators order: random variants of one configuration, each of which
+//! names its order.
+
+use crate::servers::SERVICES;
+use fastrand::Rng;
+use lichenswitch_emulators::operator::document::Route;
+
+/// The host of all routes.
+pub const HOST: &str = "help.example";
+/// The name of the route whose path names the order.
+const MARK_ROUTE: &str = "mark";
+
+/// A configuration.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Variant {
+    /// The number of the order that makes it.
+    pub(super) number: u64,
+    /// `timeoutMs` of the routes of streams: above the deadlines of all requests.
+    stream_timeout_ms: u64,
+    /// `timeoutMs` of the routes of short requests: above the deadlines of all requests.
+    short_timeout_ms: u64,
+    attempts: u32,
+    /// The weight of the second service in percent; `None`: the configuration has neither that
+    /// service nor the route to it.
+    second_weight: Option<u32>,
+}
+
+impl Variant {
+    /// The configuration of the first order.
+    pub(super) fn first() -> Variant {
+        Variant {
+            number: 1,
+            stream_timeout_ms: 12_000,
+            short_timeout_ms: 3_000,
+            attempts: 2,
+            second_weight: Some(30),
+        }
+    }
+
+    /// Draws the configuration of another order; with `keeps_routes`, one of the same routes and
+    /// services.
+    pub(super) fn next(self, number: u64, keeps_routes: bool, random: &mut Rng) -> Variant {
+        let second_weight = match self.second_weight {
+            Some(_) if keeps_routes => Some(random.u32(1..60)),
+            None if keeps_routes => None,
+            _ => random.bool().then(|| random.u32(1..60)),
+        };
+        // Fields are drawn in the order in which they stand here.
+        Variant {
+            number,
+            stream_timeout_ms: random.u64(9_500..14_000),
+            short_timeout_ms: random.u64(2_300..4_000),
+            attempts: random.u32(1..4),
+            second_weight,
+        }
+    }
+
+    /// Its routes, those of a whole configuration.
+    pub(super) fn routes(self) -> Vec<Route> {
+        let [first, second] = SERVICES;
+        let mut split = self.route("long", first, "streaming", true);
+        let mut routes = vec![
+            self.route("safe", first, "safe", false),
+            self.route("once", first, "unsafe", false),
+            self.route("whole", first, "streaming", false),
+            self.mark_route(),
+        ];
+        if let Some(weight) = self.second_weight {
+            split.split = vec![(first.into(), 100 - weight), (second.into(), weight)];
+            routes.push(self.route("extra", second, "streaming", true));
+        }
+        routes.push(split);
+        routes
+    }
+
+    fn route(self, name: &str, service: &str, kind: &'static str, resume: bool) -> Route {
+        let mut route = Route::new(name, HOST, &format!("/{name}/"), service);
+        route.kind = kind;
+        route.resume = resume;
+        route.attempts = self.attempts;
+        route.timeout_ms = if kind == "streaming" {
+            self.stream_timeout_ms
+        } else {
+            self.short_timeout_ms
+        };
+        route
+    }
+
+    /// The route by which a configuration names its order.
+    fn mark_route(self) -> Route {
+        let prefix = format!("/{MARK_ROUTE}/{}/", self.number);
+        Route::new(MARK_ROUTE, HOST, &prefix, SERVICES[0])
+    }
+}
+
+/// Whether this route names the order of its configuration.
+pub(super) fn is_mark(route: &Route) -> bool {
+    route.name == MARK_ROUTE
+}
+
+/// The number of the order that a document names.
+pub(super) fn order_number_in(document: &[u8]) -> Option<u64> {
+    let document: serde_json::Value = serde_json::from_slice(document).ok()?;
+    let routes = document.get("routes")?.as_array()?;
+    let mark = routes.iter().find(|route| route["name"] == MARK_ROUTE)?;
+    mark.get("pathPrefix")?
+        .as_str()?
+        .trim_matches('/')
+        .rsplit('/')
+        .next()?
+        .parse()
+        .ok()
+}
--- a/soak/src/processes.rs
+++ b/soak/src/processes.rs
@@ -1,4 +1,5 @@
-//! The fleet's processes over a day: what is done to them, their restarts, and the record of both.
+//! The fleet's processes over a day: the faults and planned work that they meet, their restarts, and
+//! the record of both.
 
 use crate::bounds::{CONTACT, GRACE, MACHINES};
 use crate::journal::{Clock, FaultKind, InjectedFault, Journal, ProcessFault};
@@ -8,43 +9,61 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// A process that was started so shortly before may not have its handlers of signals yet.
-const STARTING: Duration = Duration::from_secs(1);
+/// A process has installed its signal handlers this long after its start.
+const SIGNAL_HANDLER_SETUP: Duration = Duration::from_secs(1);
 /// A process that has ended by itself is started again after this.
-const PLATFORM_DELAY: Duration = Duration::from_millis(200);
-/// Between the starts of two machines that are started together.
-const SPREAD: Duration = Duration::from_millis(70);
-/// What no process may say.
-const FORBIDDEN: [&str; 2] = ["invariant violated", "panicked at"];
+const CRASH_RESTART_DELAY: Duration = Duration::from_millis(200);
+/// Time between the starts of two machines after a fault of all of them.
+const START_STAGGER: Duration = Duration::from_millis(70);
+/// Texts that no process may log.
+const FORBIDDEN_LOG_TEXTS: [&str; 2] = ["invariant violated", "panicked at"];
 
-/// What is due later.
-#[derive(Clone, Copy, Debug)]
+/// The end of a fault.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
+    /// The process is started again.
     Start,
+    /// The process is resumed.
     Resume,
+    /// All partitions are healed.
     Heal,
 }
 
-/// A process that was told to end.
+/// A step and its time.
 #[derive(Clone, Copy, Debug)]
-struct Ending {
-    since: Duration,
-    rest: Duration,
+struct ScheduledStep {
+    at: Duration,
+    target: Target,
+    step: Step,
 }
 
-/// The processes and what is due of them.
+/// A process that got SIGTERM and has not ended.
+#[derive(Clone, Copy, Debug)]
+struct Termination {
+    terminated_at: Duration,
+    /// Time from its end to its next start.
+    restart_delay: Duration,
+}
+
+/// The processes of the fleet, and the steps that are scheduled for them.
 pub struct Processes {
     fleet: FleetProcesses,
     clock: Clock,
-    started: BTreeMap<Target, Duration>,
-    ending: BTreeMap<Target, Ending>,
-    later: Vec<(Duration, Target, Step)>,
+    started_at: BTreeMap<Target, Duration>,
+    terminations: BTreeMap<Target, Termination>,
+    scheduled: Vec<ScheduledStep>,
+    /// Faults, and rules that processes broke; its other parts stay empty.
     journal: Journal,
 }
 
-/// Every process of the fleet.
+/// The processes of a machine.
+fn targets_of(machine: usize) -> [Target; 2] {
+    [(Role::Control, machine), (Role::Router, machine)]
+}
+
+/// All processes of the fleet.
 fn targets() -> impl Iterator<Item = Target> {
-    (0..MACHINES).flat_map(|machine| [(Role::Control, machine), (Role::Router, machine)])
+    (0..MACHINES).flat_map(targets_of)
 }
 
 impl Processes {
@@ -57,18 +76,18 @@
         more_settings: &str,
         clock: Clock,
     ) -> Result<Processes, FleetError> {
-        let fleet = FleetProcesses::new(program, MACHINES)?.with_grace(GRACE.as_secs());
-        let mut fleet = fleet.with_more_settings(more_settings).with_links()?;
+        let mut fleet = FleetProcesses::new(program, MACHINES)?
+            .with_grace(GRACE.as_secs())
+            .with_more_settings(more_settings)
+            .with_links()?;
         fleet.start_all()?;
-        let started = targets().map(|target| (target, clock.now())).collect();
-        let (ending, later, journal) = (BTreeMap::new(), Vec::new(), Journal::default());
         Ok(Processes {
             fleet,
             clock,
-            started,
-            ending,
-            later,
-            journal,
+            started_at: targets().map(|target| (target, clock.now())).collect(),
+            terminations: BTreeMap::new(),
+            scheduled: Vec::new(),
+            journal: Journal::default(),
         })
     }
 
@@ -78,115 +97,129 @@
         &self.fleet
     }
 
-    /// Whether all processes run and nothing is due.
+    /// Whether all processes run and nothing is scheduled.
     #[must_use]
-    pub fn is_calm(&self) -> bool {
-        self.later.is_empty()
-            && self.ending.is_empty()
-            && targets().all(|target| self.fleet.has(target.0, target.1))
+    pub fn is_idle(&self) -> bool {
+        self.scheduled.is_empty()
+            && self.terminations.is_empty()
+            && targets().all(|target| self.is_running(target))
     }
 
-    /// Does what is to be done to processes; tells whether it was that.
+    /// Carries out an action on processes; returns whether it was one.
     ///
     /// # Errors
     /// When a disk can't be emptied.
-    pub fn act(&mut self, action: Action) -> Result<bool, FleetError> {
+    pub fn apply(&mut self, action: Action) -> Result<bool, FleetError> {
         match action {
-            Action::Restart(machine, rest) => {
-                self.terminate((Role::Control, machine), rest);
-                self.terminate((Role::Router, machine), rest);
+            Action::Restart(machine, restart_delay) => {
+                for target in targets_of(machine) {
+                    self.terminate(target, restart_delay);
+                }
             }
             Action::HangUp(machine) => {
-                for target in [(Role::Control, machine), (Role::Router, machine)] {
-                    // One that has no handler yet would end of it.
-                    if self.runs(target) && !self.is_starting(target) {
-                        self.record(FaultKind::HungUp, target, Some(self.clock.now()));
-                        self.fleet.hang_up(target.0, target.1);
-                    }
+                for target in targets_of(machine) {
+                    self.hang_up(target);
                 }
             }
-            Action::Kill(target, rest) => self.kill(FaultKind::Killed, target, rest),
-            Action::Wipe(machine, rest) => self.wipe(machine, rest)?,
-            Action::ProcessPause(target, time) => self.process_pause(target, time),
-            Action::KillAll(wiped, rest) => self.kill_all(wiped, rest)?,
+            Action::Kill(target, restart_delay) => {
+                self.kill(FaultKind::Killed, target, restart_delay);
+            }
+            Action::Wipe(machine, restart_delay) => self.wipe(machine, restart_delay)?,
+            Action::Pause(target, time) => self.pause(target, time),
+            Action::KillAll(wiped, restart_delay) => self.kill_all(wiped, restart_delay)?,
             _ => return Ok(false),
         }
         Ok(true)
     }
 
-    fn runs(&self, target: Target) -> bool {
-        self.fleet.has(target.0, target.1)
+    fn is_running(&self, (role, machine): Target) -> bool {
+        self.fleet.has(role, machine)
     }
 
+    /// Whether a process may not have its signal handlers yet: a signal would end it.
     fn is_starting(&self, target: Target) -> bool {
-        self.started
+        self.started_at
             .get(&target)
-            .is_some_and(|at| self.clock.now() < *at + STARTING)
+            .is_some_and(|at| self.clock.now() < *at + SIGNAL_HANDLER_SETUP)
     }
 
     fn is_paused(&self, target: Target) -> bool {
-        self.later
+        self.scheduled
             .iter()
-            .any(|(_, whom, step)| *whom == target && matches!(step, Step::Resume))
+            .any(|scheduled| scheduled.target == target && scheduled.step == Step::Resume)
     }
 
+    /// Records a fault that ends at `to`, or for `None` when [`Processes::record_end`] is called.
     fn record(&mut self, kind: FaultKind, target: Target, to: Option<Duration>) {
-        let from = self.clock.now();
         self.journal.faults.push(InjectedFault {
             kind,
             target,
-            from,
+            from: self.clock.now(),
             to: to.unwrap_or(Duration::MAX),
         });
     }
 
-    /// What befell a process is over.
-    fn close(&mut self, target: Target) {
+    /// Records the end of the faults of a process that last until now.
+    fn record_end(&mut self, target: Target) {
         let now = self.clock.now();
-        let open = |fault: &&mut InjectedFault| fault.target == target && fault.to == Duration::MAX;
         self.journal
             .faults
             .iter_mut()
-            .filter(open)
+            .filter(|fault| fault.target == target && fault.to == Duration::MAX)
             .for_each(|fault| fault.to = now);
     }
 
-    fn terminate(&mut self, target: Target, rest: Duration) {
-        let busy =
-            self.ending.contains_key(&target) || self.is_paused(target) || self.is_starting(target);
-        if busy || !self.runs(target) {
+    fn schedule(&mut self, delay: Duration, target: Target, step: Step) {
+        let at = self.clock.now() + delay;
+        self.scheduled.push(ScheduledStep { at, target, step });
+    }
+
+    fn hang_up(&mut self, target: Target) {
+        if self.is_running(target) && !self.is_starting(target) {
+            self.record(FaultKind::HungUp, target, Some(self.clock.now()));
+            self.fleet.hang_up(target.0, target.1);
+        }
+    }
+
+    fn terminate(&mut self, target: Target, restart_delay: Duration) {
+        if self.terminations.contains_key(&target)
+            || self.is_paused(target)
+            || self.is_starting(target)
+            || !self.is_running(target)
+        {
             return;
         }
         self.record(FaultKind::Terminated, target, None);
-        self.ending.insert(
-            target,
-            Ending {
-                since: self.clock.now(),
-                rest,
-            },
-        );
+        let termination = Termination {
+            terminated_at: self.clock.now(),
+            restart_delay,
+        };
+        self.terminations.insert(target, termination);
         self.fleet.terminate(target.0, target.1);
     }
 
-    fn kill(&mut self, kind: FaultKind, target: Target, rest: Duration) {
-        if !self.runs(target) {
+    fn kill(&mut self, kind: FaultKind, target: Target, restart_delay: Duration) {
+        if !self.is_running(target) {
             return;
         }
         self.record(kind, target, None);
         self.fleet.kill(target.0, target.1);
-        self.ending.remove(&target);
-        self.later
-            .retain(|(_, whom, step)| *whom != target || matches!(step, Step::Heal));
-        self.start_after(target, rest);
+        self.terminations.remove(&target);
+        self.scheduled
+            .retain(|scheduled| scheduled.target != target || scheduled.step == Step::Heal);
+        self.schedule(restart_delay, target, Step::Start);
     }
 
-    fn wipe(&mut self, machine: usize, rest: Duration) -> Result<(), FleetError> {
-        let target = (Role::Control, machine);
-        self.kill(FaultKind::Wiped, target, rest);
-        self.fleet.wipe(target.0, target.1)
+    fn wipe(&mut self, machine: usize, restart_delay: Duration) -> Result<(), FleetError> {
+        self.kill(FaultKind::Wiped, (Role::Control, machine), restart_delay);
+        self.fleet.wipe(Role::Control, machine)
     }
 
-    fn kill_all(&mut self, wiped: Option<usize>, rest: Duration) -> Result<(), FleetError> {
+    fn kill_all(
+        &mut self,
+        wiped: Option<usize>,
+        restart_delay: Duration,
+    ) -> Result<(), FleetError> {
         for (role, machine) in targets() {
             let is_wiped = role == Role::Control && Some(machine) == wiped;
             let kind = if is_wiped {
@@ -194,113 +227,113 @@
             } else {
                 FaultKind::Killed
             };
-            let spread = SPREAD * u32::try_from(machine).unwrap_or(0);
-            self.kill(kind, (role, machine), rest + spread);
+            let stagger = START_STAGGER * u32::try_from(machine).unwrap_or(0);
+            self.kill(kind, (role, machine), restart_delay + stagger);
         }
         wiped.map_or(Ok(()), |machine| self.fleet.wipe(Role::Control, machine))
     }
 
-    fn process_pause(&mut self, target: Target, time: Duration) {
-        if !self.runs(target) || self.ending.contains_key(&target) || self.is_paused(target) {
+    fn pause(&mut self, target: Target, time: Duration) {
+        if !self.is_running(target)
+            || self.terminations.contains_key(&target)
+            || self.is_paused(target)
+        {
             return;
         }
         self.record(FaultKind::Paused, target, None);
         self.fleet.pause(target.0, target.1);
-        self.later
-            .push((self.clock.now() + time, target, Step::Resume));
+        self.schedule(time, target, Step::Resume);
     }
 
-    /// Cuts the control processes of these machines off from the others for a time. A later cut
-    /// takes the place of an earlier one.
-    pub fn cut(&mut self, side: &[usize], time: Duration) {
-        let until = self.clock.now() + time;
-        self.later
-            .retain(|(_, _, step)| !matches!(step, Step::Heal));
+    /// Partitions the control processes of these machines from the others for a time. A later
+    /// partition replaces an earlier one.
+    pub fn partition(&mut self, side: &[usize], time: Duration) {
+        let healed_at = self.clock.now() + time;
+        self.scheduled
+            .retain(|scheduled| scheduled.step != Step::Heal);
         self.fleet.partition(side);
         for machine in side {
-            self.record(FaultKind::Cut, (Role::Control, *machine), Some(until));
+            let target = (Role::Control, *machine);
+            self.record(FaultKind::Partitioned, target, Some(healed_at));
         }
         if let Some(machine) = side.first() {
-            self.later
-                .push((until, (Role::Control, *machine), Step::Heal));
+            self.scheduled.push(ScheduledStep {
+                at: healed_at,
+                target: (Role::Control, *machine),
+                step: Step::Heal,
+            });
         }
     }
 
-    fn start_after(&mut self, target: Target, rest: Duration) {
-        self.later
-            .push((self.clock.now() + rest, target, Step::Start));
-    }
-
-    /// Does what is due.
+    /// Carries out the steps that are due, and restarts processes that have ended.
     ///
     /// # Errors
     /// When a process can't be started.
     pub fn tick(&mut self) -> Result<(), FleetError> {
         let now = self.clock.now();
-        let (due_at, later) = std::mem::take(&mut self.later)
+        let (due, scheduled): (Vec<_>, Vec<_>) = std::mem::take(&mut self.scheduled)
             .into_iter()
-            .partition(|(at, ..)| *at <= now);
-        self.later = later;
-        let due_at: Vec<(Duration, Target, Step)> = due_at;
-        for (_, target, step) in due_at {
-            if matches!(step, Step::Heal) {
-                self.fleet.partition(&[]);
-                continue;
-            }
+            .partition(|scheduled| scheduled.at <= now);
+        self.scheduled = scheduled;
+        for ScheduledStep { target, step, .. } in due {
             match step {
-                Step::Heal => {}
+                Step::Heal => {
+                    self.fleet.partition(&[]);
+                    continue;
+                }
                 Step::Resume => self.fleet.resume(target.0, target.1),
-                Step::Start if self.runs(target) => {}
+                Step::Start if self.is_running(target) => {}
                 Step::Start => {
                     self.fleet.start(target.0, target.1, false)?;
-                    self.started.insert(target, now);
+                    self.started_at.insert(target, now);
                 }
             }
-            self.close(target);
+            self.record_end(target);
         }
-        self.take_ends();
+        self.restart_ended();
         self.kill_overdue();
         Ok(())
     }
 
-    fn take_ends(&mut self) {
+    /// Schedules the start of processes that have ended, and records those that ended by themselves
+    /// or with a failure.
+    fn restart_ended(&mut self) {
         for ended in self.fleet.ended() {
             let target = (ended.role, ended.machine);
-            let ending = self.ending.remove(&target);
-            if ending.is_none() || !ended.status.success() {
+            let termination = self.terminations.remove(&target);
+            if termination.is_none() || !ended.status.success() {
                 self.journal
                     .process_faults
                     .push(ProcessFault::Ended(target, ended.status.code()));
             }
-            self.start_after(target, ending.map_or(PLATFORM_DELAY, |ending| ending.rest));
+            let delay = termination.map_or(CRASH_RESTART_DELAY, |ended| ended.restart_delay);
+            self.schedule(delay, target, Step::Start);
         }
     }
 
-    /// The platform kills what has not ended in the grace.
+    /// Kills processes that have not ended within the grace, as the platform does.
     fn kill_overdue(&mut self) {
         let now = self.clock.now();
-        let overdue: Vec<(Target, Ending)> = self
-            .ending
+        let overdue: Vec<(Target, Termination)> = self
+            .terminations
             .iter()
-            .filter(|(_, e)| now >= e.since + GRACE)
-            .map(|(t, e)| (*t, *e))
+            .filter(|(_, termination)| now >= termination.terminated_at + GRACE)
+            .map(|(target, termination)| (*target, *termination))
             .collect();
-        for (target, ending) in overdue {
-            if !self
-                .journal
-                .is_troubled(ending.since.saturating_sub(CONTACT), now)
-            {
+        for (target, termination) in overdue {
+            let contact_from = termination.terminated_at.saturating_sub(CONTACT);
+            if !self.journal.has_unplanned_fault(contact_from, now) {
                 self.journal
                     .process_faults
                     .push(ProcessFault::Overstayed(target));
             }
-            self.ending.remove(&target);
+            self.terminations.remove(&target);
             self.fleet.kill(target.0, target.1);
-            self.start_after(target, ending.rest);
+            self.schedule(termination.restart_delay, target, Step::Start);
         }
     }
 
-    /// Copies the logs into this folder.
+    /// Copies the logs of all processes into a folder.
     ///
     /// # Errors
     /// When they can't be copied.
@@ -313,17 +346,19 @@
         Ok(())
     }
 
-    /// Ends all processes, and tells what was done to them and what they did wrong.
+    /// Ends all processes, and returns their faults and the rules that they broke.
     #[must_use]
     pub fn finish(mut self) -> Journal {
         self.fleet.stop_all(Duration::ZERO);
-        for (role, machine) in targets() {
-            let log = std::fs::read_to_string(self.fleet.log(role, machine)).unwrap_or_default();
-            let bad = log
-                .lines()
-                .filter(|line| FORBIDDEN.iter().any(|word| line.contains(word)));
-            let fault = |line: &str| ProcessFault::Logged((role, machine), line.to_owned());
-            self.journal.process_faults.extend(bad.map(fault));
+        for target in targets() {
+            let log = self.fleet.log(target.0, target.1);
+            let log = std::fs::read_to_string(log).unwrap_or_default();
+            let is_forbidden =
+                |line: &&str| FORBIDDEN_LOG_TEXTS.iter().any(|text| line.contains(text));
+            let fault = |line: &str| ProcessFault::Logged(target, line.to_owned());
+            self.journal
+                .process_faults
+                .extend(log.lines().filter(is_forbidden).map(fault));
         }
         self.journal
     }
--- a/soak/src/servers.rs
+++ b/soak/src/servers.rs
@@ -1,4 +1,5 @@
-//! The model servers of a day: they heartbeat, stream, leave, crash, and are replaced.
+//! The model servers of a day: they send heartbeats, serve streams, drain, deregister, crash, and
+//! are replaced.
 
 use crate::bounds::DRAIN_TIMEOUT;
 use crate::journal::{Clock, ServerRecord};
@@ -7,137 +8,145 @@
 use lichenswitch_emulators::model_server::heartbeat::Registration;
 use lichenswitch_emulators::model_server::{Fault, ModelServer, ServerDescription};
 use lichenswitch_emulators::sync::lock;
-use std::net::SocketAddr;
+use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::{Arc, Mutex};
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// The service of most of them, and that of the others, which comes and goes with the
-/// configuration.
+/// The service of the first [`FIRST_SERVICE_SERVERS`] servers, and that of the others, which only
+/// some configurations have.
 pub const SERVICES: [&str; 2] = ["pool-a", "pool-b"];
-/// Servers of the first service.
-const FIRST: usize = 4;
-/// Between events of a stream.
-pub const BETWEEN_EVENTS: Duration = Duration::from_millis(50);
+/// The number of servers of the first service.
+const FIRST_SERVICE_SERVERS: usize = 4;
+/// The number of zones over which servers are spread.
+const ZONES: usize = 4;
+/// Time between the events of a stream.
+pub const EVENT_INTERVAL: Duration = Duration::from_millis(50);
 /// `heartbeatIntervalMs`.
-const HEARTBEAT: Duration = Duration::from_millis(400);
-/// A server that says that it leaves waits so long for the acknowledgement, and ends all the same.
-const ACKNOWLEDGEMENT: Duration = Duration::from_secs(3);
-/// Threads of a server that has ended note their ends within this.
-const SETTLE_TIME: Duration = Duration::from_millis(200);
-/// Requests that meet a fault, in one trouble.
-const FAULTS: usize = 6;
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
+/// A server that drains or deregisters waits this long for the acknowledgement, and then goes on
+/// without it.
+const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_secs(3);
+/// The threads of a server that has ended record the ends of their requests within this time.
+const END_RECORDING_TIME: Duration = Duration::from_millis(200);
+/// The number of requests that meet a fault by one [`Action::ServerFaults`].
+const FAULTS_PER_ACTION: usize = 6;
 
-type Running = (ModelServer, Registration);
+/// A running server with its heartbeats.
+struct RegisteredServer {
+    server: ModelServer,
+    registration: Registration,
+}
 
-/// The servers.
+/// The model servers: one runs for each index below [`SERVERS`] at any time.
 pub struct Servers {
     control: Vec<SocketAddr>,
     clock: Clock,
-    number: u64,
-    running: Vec<Running>,
-    leaving: Vec<JoinHandle<()>>,
-    past: Arc<Mutex<Vec<ServerRecord>>>,
+    /// The number of servers started so far.
+    started_count: u64,
+    running: Vec<RegisteredServer>,
+    /// Threads that end replaced servers.
+    departures: Vec<JoinHandle<()>>,
+    ended: Arc<Mutex<Vec<ServerRecord>>>,
 }
 
 impl Servers {
-    /// Starts them.
+    /// Starts the servers, which register with these control machines.
     ///
     /// # Errors
     /// When an address can't be listened on.
     pub fn start(control: Vec<SocketAddr>, clock: Clock) -> std::io::Result<Servers> {
-        let (running, leaving) = (Vec::new(), Vec::new());
         let mut servers = Servers {
             control,
             clock,
-            number: 0,
-            running,
-            leaving,
-            past: Arc::default(),
+            started_count: 0,
+            running: Vec::new(),
+            departures: Vec::new(),
+            ended: Arc::default(),
         };
-        for order_index in 0..SERVERS {
-            let server = servers.one(order_index)?;
+        for index in 0..SERVERS {
+            let server = servers.start_server(index)?;
             servers.running.push(server);
         }
         Ok(servers)
     }
 
-    fn one(&mut self, order_index: usize) -> std::io::Result<Running> {
-        self.number += 1;
-        let service = SERVICES[usize::from(order_index >= FIRST)];
-        let name = format!("i-{order_index}-{}", self.number);
-        let mut description =
-            ServerDescription::new(&name, service, &format!("zone-{}", 1 + order_index % 4));
-        description.event_interval = BETWEEN_EVENTS;
-        let server = ModelServer::start(description, SocketAddr::from(([127, 0, 0, 1], 0)))?;
-        let registration = server.register(self.control.clone(), HEARTBEAT);
-        Ok((server, registration))
+    fn start_server(&mut self, index: usize) -> std::io::Result<RegisteredServer> {
+        self.started_count += 1;
+        let service = SERVICES[usize::from(index >= FIRST_SERVICE_SERVERS)];
+        let instance = format!("i-{index}-{}", self.started_count);
+        let zone = format!("zone-{}", 1 + index % ZONES);
+        let mut description = ServerDescription::new(&instance, service, &zone);
+        description.event_interval = EVENT_INTERVAL;
+        let server = ModelServer::start(description, SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))?;
+        let registration = server.register(self.control.clone(), HEARTBEAT_INTERVAL);
+        Ok(RegisteredServer {
+            server,
+            registration,
+        })
     }
 
-    /// Does what is to be done to a server; `random` draws how long it serves on.
+    /// Carries out an action on a server, and ignores actions on processes; `random` draws how long
+    /// a server goes on serving after it drains or deregisters.
     ///
     /// # Errors
     /// When its successor can't be started.
-    pub fn act(&mut self, action: Action, random: &mut Rng) -> std::io::Result<()> {
-        let on = DRAIN_TIMEOUT + Duration::from_millis(random.u64(50..2_500));
+    pub fn apply(&mut self, action: Action, random: &mut Rng) -> std::io::Result<()> {
+        let serving_time = DRAIN_TIMEOUT + Duration::from_millis(random.u64(50..2_500));
         match action {
-            Action::Drain(order_index) => {
-                self.replace(order_index, move |(server, registration)| {
-                    registration.drain(ACKNOWLEDGEMENT);
-                    thread::sleep(on);
-                    registration.deregister(ACKNOWLEDGEMENT);
-                    server
-                })
-            }
-            Action::Deregister(order_index) => {
-                self.replace(order_index, move |(server, registration)| {
-                    registration.deregister(ACKNOWLEDGEMENT);
-                    thread::sleep(on);
-                    server
-                })
-            }
-            Action::Crash(order_index) => self.replace(order_index, |(server, _)| server),
-            Action::ServerFaults(order_index, seed) => {
+            Action::Drain(index) => self.replace(index, move |predecessor| {
+                predecessor.registration.drain(ACKNOWLEDGEMENT_TIMEOUT);
+                thread::sleep(serving_time);
+                predecessor.registration.deregister(ACKNOWLEDGEMENT_TIMEOUT);
+                predecessor.server
+            }),
+            Action::Deregister(index) => self.replace(index, move |predecessor| {
+                predecessor.registration.deregister(ACKNOWLEDGEMENT_TIMEOUT);
+                thread::sleep(serving_time);
+                predecessor.server
+            }),
+            Action::Crash(index) => self.replace(index, |predecessor| predecessor.server),
+            Action::ServerFaults(index, seed) => {
                 let mut random = Rng::with_seed(seed);
-                let server = &self.running[order_index].0;
-                server.next_faults((0..FAULTS).map(|_| fault(&mut random)));
+                let server = &self.running[index].server;
+                server.next_faults((0..FAULTS_PER_ACTION).map(|_| random_fault(&mut random)));
                 Ok(())
             }
             _ => Ok(()),
         }
     }
 
-    /// Starts a successor; the server ends once `leave` is through.
+    /// Starts a successor of a server, which ends once `depart` returns.
     fn replace(
         &mut self,
-        order_index: usize,
-        leave: impl FnOnce(Running) -> ModelServer + Send + 'static,
+        index: usize,
+        depart: impl FnOnce(RegisteredServer) -> ModelServer + Send + 'static,
     ) -> std::io::Result<()> {
-        let successor = self.one(order_index)?;
-        let leaver = std::mem::replace(&mut self.running[order_index], successor);
-        let (clock, past) = (self.clock, self.past.clone());
-        self.leaving.push(thread::spawn(move || {
-            let server = leave(leaver);
+        let successor = self.start_server(index)?;
+        let predecessor = std::mem::replace(&mut self.running[index], successor);
+        let (clock, ended) = (self.clock, self.ended.clone());
+        self.departures.push(thread::spawn(move || {
+            let server = depart(predecessor);
             let stopped = Some(clock.now());
             server.crash();
-            thread::sleep(SETTLE_TIME);
-            lock(&past).push(record(&server, clock, stopped));
+            thread::sleep(END_RECORDING_TIME);
+            lock(&ended).push(record(&server, clock, stopped));
         }));
         Ok(())
     }
 
-    /// Ends them all, and tells what each saw.
+    /// Ends all servers, and returns what each observed.
     #[must_use]
     pub fn finish(self) -> Vec<ServerRecord> {
-        // A thread that panicked has said so.
-        self.leaving
-            .into_iter()
-            .for_each(|leaving| drop(leaving.join()));
-        let mut records = std::mem::take(&mut *lock(&self.past));
+        for departure in self.departures {
+            // A thread that panicked has printed why.
+            drop(departure.join());
+        }
+        let mut records = std::mem::take(&mut *lock(&self.ended));
         records.extend(
             self.running
                 .iter()
-                .map(|(server, _)| record(server, self.clock, None)),
+                .map(|running| record(&running.server, self.clock, None)),
         );
         records
     }
@@ -146,13 +155,14 @@
 fn record(server: &ModelServer, clock: Clock, stopped: Option<Duration>) -> ServerRecord {
     ServerRecord {
         instance: server.description().instance.clone(),
-        began: clock.at(server.ledger.started_at()),
+        started: clock.at(server.ledger.started_at()),
         stopped,
         entries: server.ledger.all(),
     }
 }
 
-fn fault(random: &mut Rng) -> Option<Fault> {
+/// Draws the fault of a request; `None`: it meets none.
+fn random_fault(random: &mut Rng) -> Option<Fault> {
     let after = random.u64(0..4);
     Some(match random.u32(0..10) {
         0 => Fault::TruncateAfter(after),
--- a/soak/src/violation.rs
+++ b/soak/src/violation.rs
@@ -1,4 +1,4 @@
-//! Rules that a day has broken.
+//! The rules that a day can break, as a verdict prints them.
 
 use crate::journal::ProcessFault;
 use lichenswitch_emulators::operator::Fault;
@@ -6,10 +6,10 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The planned work beside which a request was lost.
+/// The planned work during or shortly after which a request was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Beside {
-    /// SIGTERM of its router, so long before.
+pub enum PlannedWork {
+    /// SIGTERM of its router, this long before.
     Termination(Duration),
     /// SIGHUP of its router.
     HangUp,
@@ -22,40 +22,40 @@
 /// A rule that was broken.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum Violation {
-    /// A request was read whole and its connection ended without a whole answer, with no unplanned
-    /// trouble near.
-    #[error("LOST: request {attempt} at router {machine}, sent at {sent:.3?} (turn {turn} of its connection), ended at {ended:.3?} by {end}, beside {beside:?}")]
+    /// A request was read completely and its connection ended without a complete response, with no
+    /// unplanned fault near.
+    #[error("LOST: request {attempt} at router {machine}, sent at {sent:.3?} (turn {turn} of its connection), ended at {ended:.3?} by {end}, beside {planned_work:?}")]
     RequestLost {
         /// `Attempt-Id`.
         attempt: String,
-        /// Whose router.
+        /// The machine of its router.
         machine: usize,
-        /// Its place on its connection.
+        /// Its index on its connection.
         turn: u32,
         /// When its last byte was sent.
         sent: Duration,
         /// When it ended.
         ended: Duration,
-        /// How.
+        /// How it ended.
         end: &'static str,
-        /// Beside what.
-        beside: Beside,
+        /// The planned work that explains it.
+        planned_work: PlannedWork,
     },
-    /// What clients saw of an answer breaks the protocol.
+    /// A response to a client breaks the protocol.
     #[error("MIXED/ORDER: the answer to {0}: {1:?}")]
-    WrongAnswer(String, StreamFault),
+    InvalidResponse(String, StreamFault),
     /// A request that is not idempotent ran more than once.
     #[error("TWICE: {0} ran {1} times")]
     RanTwice(String, usize),
-    /// A request was refused for good with this status, and ran.
+    /// A request was rejected with a status that says that it has not run, and ran.
     #[error("REFUSED: {0} was refused with {1}, and ran")]
-    RefusedAndRan(String, u16),
+    RejectedAndRan(String, u16),
     /// A server ran what no client sent.
     #[error("UNASKED: {0} came from no client")]
-    Unasked(String),
-    /// A request reached a server that had been gone for too long.
+    RunWithoutRequest(String),
+    /// A request reached a server too long after its departure was acknowledged.
     #[error("DRAIN: {attempt} reached {instance} {late:.3?} after its leave was acknowledged")]
-    SentToLeaver {
+    ArrivedAfterDrain {
         /// `Attempt-Id`.
         attempt: String,
         /// The server.
@@ -63,44 +63,44 @@
         /// How long after the acknowledgement.
         late: Duration,
     },
-    /// Answers to operators contradict each other.
+    /// Responses to operators contradict each other.
     #[error("CONFIG: {0:?}")]
     Orders(Fault),
-    /// Two orders on one version were in force, one after the other.
+    /// Two orders on the same base version were in force: the version and the orders.
     #[error("CONFIG: orders {1} and {2} on version {0} were both taken")]
-    BothTaken(u64, u64, u64),
-    /// An order was refused, and was in force.
+    ConflictingOrders(u64, u64, u64),
+    /// An order was rejected, and was in force.
     #[error("CONFIG: order {0} was refused, and was read as the configuration in force")]
-    RefusedInForce(u64),
+    RejectedInForce(u64),
     /// A configuration that was read is older than one that had long been acknowledged.
     #[error(
         "CONFIG: version {reported} was read at machine {machine} at {sent:.3?}; {known} had been acknowledged"
     )]
-    ReadOld {
-        /// Who answered.
+    StaleRead {
+        /// The machine that it was read from.
         machine: usize,
-        /// When it was asked.
+        /// When the read was sent.
         sent: Duration,
-        /// What it told.
+        /// The version that was read.
         reported: u64,
-        /// What had been acknowledged.
+        /// The newest version acknowledged before.
         known: u64,
     },
-    /// What was acknowledged is gone at the end of the day.
+    /// An acknowledged configuration is lost at the end of the day.
     #[error(
         "LOST: version {known} (order {order}) was acknowledged, and machine {machine} has {reported} at the end"
     )]
     ConfigurationLost {
-        /// Who answered.
+        /// The machine that it was read from.
         machine: usize,
-        /// What it told.
+        /// The version that was read.
         reported: u64,
-        /// What had been acknowledged.
+        /// The newest version acknowledged before.
         known: u64,
-        /// By this order.
+        /// The order that made the newest version.
         order: u64,
     },
-    /// A process did what it may not do.
+    /// A process broke a rule by itself.
     #[error("PROCESS: {0:?}")]
     Process(ProcessFault),
 }
--- a/soak/src/volatile_disk.rs
+++ b/soak/src/volatile_disk.rs
@@ -1,10 +1,10 @@
-//! A disk whose power is lost with its process: files are what was synced, and of what was not each
-//! write, and each name, is there, missing or torn by lot. What a process reads of its own is
-//! always whole.
+//! A disk that loses its power with its process: what was synced is on the disk; of the rest each
+//! write is there, missing or torn at random, and each new, renamed or removed name is there or not.
+//! The process itself always reads what it wrote.
 //!
-//! It lies below `lichenswitch-storage`, on files of this machine: what may be lost is kept in the
-//! memory of the process until it is synced, so that SIGKILL plays a loss of power. While the file
-//! [`STALL_FILE`] is in the folder it stalls: no write or sync ends.
+//! It is a file system for `lichenswitch-storage` on files of this machine. What may be lost is
+//! buffered in the memory of the process until it is synced, so that SIGKILL emulates a loss of
+//! power. While the file [`STALL_FILE`] is in the folder, the disk stalls: no write or sync ends.
 
 use fastrand::Rng;
 use lichenswitch_emulators::sync::lock;
@@ -18,12 +18,12 @@
 
 /// While a file of this name is in its folder, a disk stalls.
 pub const STALL_FILE: &str = "stalled";
-/// How often a disk that stalls looks whether it still does.
-const LOOK: Duration = Duration::from_millis(3);
+/// Interval at which a stalled disk checks whether it still stalls.
+const STALL_POLL_INTERVAL: Duration = Duration::from_millis(3);
 /// Unit in which a write is torn (bytes).
 const SECTOR: usize = 512;
 
-/// The disk; clones are the same one.
+/// The disk; a clone is the same disk.
 #[derive(Clone)]
 pub struct VolatileDisk(Arc<Mutex<State>>);
 
@@ -31,23 +31,23 @@
     /// Its folder.
     folder: PathBuf,
     random: Rng,
-    /// What names mean to the process, where that differs from what is on the disk or a file is
-    /// open: `None`, no file.
+    /// The files that the process sees by their names, where that differs from the disk or a file is
+    /// open; `None`: no file.
     names: BTreeMap<PathBuf, Option<Content>>,
-    /// Changes of names that the disk does not have yet, in order.
+    /// Changes of names that have not reached the disk, in order.
     deferred: Vec<NameChange>,
 }
 
-/// A file, as the process sees it.
+/// A file as the process sees it, shared by its open handles.
 type Content = Arc<Mutex<File>>;
 
 struct File {
     visible: Vec<u8>,
-    /// What the disk lacks of it, in order.
+    /// Changes since its last sync, in order; some may have reached the disk.
     unsynced: Vec<Change>,
-    /// The file on the disk, once there is one.
+    /// The file on the disk; `None`: it has not reached the disk.
     on_disk: Option<Box<dyn StorageFile>>,
-    /// Where it is made on the disk.
+    /// Its path on the disk, for its creation.
     path: PathBuf,
 }
 
@@ -63,7 +63,7 @@
 }
 
 impl VolatileDisk {
-    /// The disk in a folder, with lots from a seed.
+    /// The disk in a folder; the seed determines what a loss of power leaves.
     #[must_use]
     pub fn new(folder: &Path, seed: u64) -> VolatileDisk {
         let state = State {
@@ -78,7 +78,7 @@
     fn wait_while_stalled(&self) {
         let stalled = lock(&self.0).folder.join(STALL_FILE);
         while stalled.exists() {
-            thread::sleep(LOOK);
+            thread::sleep(STALL_POLL_INTERVAL);
         }
     }
 
@@ -98,8 +98,8 @@
         }
     }
 
-    /// A change of names reaches the disk now, or with the next sync of its folder. One never
-    /// passes another.
+    /// Lets a change of names reach the disk now, or with the next sync of its folder; never before
+    /// an earlier one.
     fn change_name(&mut self, change: NameChange) -> io::Result<()> {
         if self.deferred.is_empty() && self.random.bool() {
             return change.apply();
@@ -152,8 +152,8 @@
     fn create(&self, path: &Path) -> io::Result<Box<dyn StorageFile>> {
         self.wait_while_stalled();
         let mut state = lock(&self.0);
-        let at_once = state.deferred.is_empty() && state.random.bool();
-        let on_disk = if at_once {
+        let reaches_disk = state.deferred.is_empty() && state.random.bool();
+        let on_disk = if reaches_disk {
             Some(RealFileSystem.create(path)?)
         } else {
             None
@@ -174,7 +174,7 @@
         self.wait_while_stalled();
         let mut state = lock(&self.0);
         if from.is_dir() {
-            // A folder that is put aside: its files are closed, and begin anew.
+            // A folder that is put aside: its files are closed, and are read from the disk again.
             state.names.retain(|path, _| !path.starts_with(from));
             return RealFileSystem.rename(from, to);
         }
@@ -225,7 +225,7 @@
 }
 
 impl Handle {
-    /// The process sees a change at once; the disk has it by lot, whole, torn or not.
+    /// Applies a change for the process; the disk gets it completely, torn or not, at random.
     fn change(&self, change: Change) -> io::Result<()> {
         self.disk.wait_while_stalled();
         let mut random = lock(&self.disk.0).random.fork();
@@ -265,7 +265,7 @@
         }
     }
 
-    /// Some sectors of a write reach the disk, in no order.
+    /// Applies some sectors of a write, at random.
     fn tear(&self, on_disk: &mut dyn StorageFile, random: &mut Rng) -> io::Result<()> {
         let Change::Write { offset, bytes } = self else {
             return self.apply(on_disk);
@@ -304,7 +304,7 @@
         self.disk.wait_while_stalled();
         let mut file = lock(&self.content);
         if file.on_disk.is_none() {
-            // A new file lasts once it is synced itself.
+            // A sync of a new file makes it durable, also without a sync of its folder.
             file.on_disk = Some(RealFileSystem.create(&file.path)?);
         }
         let unsynced = std::mem::take(&mut file.unsynced);
--- a/soak/tests/judge.rs
+++ b/soak/tests/judge.rs
@@ -1,4 +1,4 @@
-//! The judge on journals with planted faults, and on such that only look like faults.
+//! The judge on journals with planted violations, and on journals that only look like violations.
 
 use assert_matches::assert_matches;
 use lichenswitch_emulators::fleet_processes::Role;
@@ -13,7 +13,7 @@
     RequestEnd, ServerRecord,
 };
 use lichenswitch_soak::judge::judge;
-use lichenswitch_soak::violation::{Beside, Violation};
+use lichenswitch_soak::violation::{PlannedWork, Violation};
 use std::time::Duration;
 
 const fn ms(milliseconds: u64) -> Duration {
@@ -29,7 +29,7 @@
         turn: 1,
         sent: ms(sent),
         ended: ms(ended),
-        time_left: ms(9_000),
+        time_limit: ms(9_000),
         end,
         faults: Vec::new(),
     }
@@ -53,13 +53,13 @@
     let entries = entries.iter().map(entry).collect();
     ServerRecord {
         instance: "i-1".into(),
-        began: Duration::ZERO,
+        started: Duration::ZERO,
         stopped: None,
         entries,
     }
 }
 
-/// A server that began to work on the request, and whose caller left then.
+/// A server that started to work on the request, and whose caller left then.
 fn worked(from: u64, to: u64) -> ServerRecord {
     server(&[
         (from, Event::Arrived(Head::default())),
@@ -97,18 +97,18 @@
     }
 }
 
-fn beside(journal: &Journal) -> Vec<Beside> {
-    let beside = |violation: Violation| match violation {
-        Violation::RequestLost { beside, .. } => beside,
+fn planned_work(journal: &Journal) -> Vec<PlannedWork> {
+    let planned_work = |violation: Violation| match violation {
+        Violation::RequestLost { planned_work, .. } => planned_work,
         other => panic!("{other}"),
     };
-    judge(journal).into_iter().map(beside).collect()
+    judge(journal).into_iter().map(planned_work).collect()
 }
 
 #[test]
-fn a_request_cut_early_in_the_grace_is_lost() {
+fn request_cut_off_early_in_the_grace_is_lost() {
     let journal = Journal {
-        client_requests: vec![request(10_000, 12_000, RequestEnd::Cut)],
+        client_requests: vec![request(10_000, 12_000, RequestEnd::Truncated)],
         servers: vec![worked(10_010, 12_000)],
         faults: vec![fault(
             FaultKind::Terminated,
@@ -119,64 +119,67 @@
         )],
         ..Journal::default()
     };
-    assert_eq!(beside(&journal), [Beside::Termination(ms(1_000))]);
+    assert_eq!(
+        planned_work(&journal),
+        [PlannedWork::Termination(ms(1_000))]
+    );
 }
 
 #[test]
-fn work_in_the_last_sixth_of_the_grace_excuses_what_was_sent_early() {
+fn work_in_the_last_sixth_of_the_grace_excuses_requests_sent_early() {
     let late = 11_000 + GRACE.as_millis() as u64 * 9 / 10;
     let terminated = fault(FaultKind::Terminated, Role::Router, 1, 11_000, 20_000);
     let mut journal = Journal {
-        client_requests: vec![request(11_500, late, RequestEnd::Cut)],
+        client_requests: vec![request(11_500, late, RequestEnd::Truncated)],
         servers: vec![worked(11_510, late)],
         faults: vec![terminated],
         ..Journal::default()
     };
-    assert_eq!(beside(&journal), []);
+    assert_eq!(planned_work(&journal), []);
     // Beside a change of the configuration the same loss counts, unless it was taken before the
     // SIGTERM.
     journal.orders = vec![order(1, 0, 1, 12_000, &[Outcome::Acknowledged])];
-    assert_eq!(beside(&journal), [Beside::Configuration]);
+    assert_eq!(planned_work(&journal), [PlannedWork::Configuration]);
     journal.client_requests[0].sent = ms(11_030);
-    assert_eq!(beside(&journal), [Beside::Configuration]);
+    assert_eq!(planned_work(&journal), [PlannedWork::Configuration]);
     journal.client_requests[0].sent = ms(11_010);
-    assert_eq!(beside(&journal), []);
+    assert_eq!(planned_work(&journal), []);
     // Sent later than in the first three seconds: no excuse.
     journal.client_requests[0].sent = ms(14_100);
-    assert_matches!(beside(&journal)[..], [Beside::Termination(_)]);
+    assert_matches!(planned_work(&journal)[..], [PlannedWork::Termination(_)]);
 }
 
 #[test]
-fn an_unplanned_trouble_from_contact_before_the_request_excuses_a_loss() {
+fn unplanned_fault_within_contact_before_the_request_excuses_a_loss() {
     let mut journal = Journal {
-        client_requests: vec![request(10_000, 11_000, RequestEnd::NoAnswer)],
+        client_requests: vec![request(10_000, 11_000, RequestEnd::NoResponse)],
         ..Journal::default()
     };
-    assert_eq!(beside(&journal), [Beside::Nothing]);
+    assert_eq!(planned_work(&journal), [PlannedWork::Nothing]);
     journal.faults = vec![fault(FaultKind::Killed, Role::Control, 3, 6_000, 7_100)];
-    assert_eq!(beside(&journal), []);
+    assert_eq!(planned_work(&journal), []);
     journal.faults = vec![fault(FaultKind::Killed, Role::Control, 3, 6_000, 6_900)];
-    assert_eq!(beside(&journal), [Beside::Nothing]);
+    assert_eq!(planned_work(&journal), [PlannedWork::Nothing]);
 }
 
 #[test]
-fn a_request_that_crosses_the_end_of_its_connection_is_not_lost() {
+fn request_that_crosses_the_end_of_its_connection_is_not_lost() {
     let mut journal = Journal {
-        client_requests: vec![request(10_000, 10_100, RequestEnd::NoAnswer)],
+        client_requests: vec![request(10_000, 10_100, RequestEnd::NoResponse)],
         ..Journal::default()
     };
-    assert_eq!(beside(&journal), []);
+    assert_eq!(planned_work(&journal), []);
     journal.servers = vec![worked(10_010, 10_100)];
-    assert_eq!(beside(&journal), [Beside::Nothing]);
+    assert_eq!(planned_work(&journal), [PlannedWork::Nothing]);
     journal.servers.clear();
     journal.client_requests[0].ended = ms(10_300);
-    assert_eq!(beside(&journal), [Beside::Nothing]);
+    assert_eq!(planned_work(&journal), [PlannedWork::Nothing]);
 }
 
 #[test]
-fn what_the_server_broke_off_or_the_time_ended_is_not_lost() {
+fn request_ended_by_its_server_or_its_deadline_is_not_lost() {
     let mut journal = Journal {
-        client_requests: vec![request(10_000, 12_000, RequestEnd::Cut)],
+        client_requests: vec![request(10_000, 12_000, RequestEnd::Truncated)],
         servers: vec![server(&[
             (10_010, Event::Arrived(Head::default())),
             (10_010, Event::FaultApplied(Fault::TruncateAfter(2))),
@@ -184,52 +187,52 @@
         ])],
         ..Journal::default()
     };
-    assert_eq!(beside(&journal), []);
+    assert_eq!(planned_work(&journal), []);
     // A fault after the whole answer breaks nothing off.
     journal.servers[0].entries[1].event = Event::FaultApplied(Fault::ExtraBytes);
-    assert_eq!(beside(&journal), [Beside::Nothing]);
+    assert_eq!(planned_work(&journal), [PlannedWork::Nothing]);
     journal.servers[0].stopped = Some(ms(11_990));
-    assert_eq!(beside(&journal), []);
+    assert_eq!(planned_work(&journal), []);
     journal.servers = vec![worked(10_010, 12_000)];
-    journal.client_requests[0].time_left = ms(2_100);
-    assert_eq!(beside(&journal), []);
+    journal.client_requests[0].time_limit = ms(2_100);
+    assert_eq!(planned_work(&journal), []);
 }
 
 #[test]
-fn a_loss_beside_a_configuration_counts_up_to_seven_tenths_of_its_time() {
+fn loss_beside_a_configuration_counts_up_to_seven_tenths_of_its_time_limit() {
     let mut journal = Journal {
-        client_requests: vec![request(10_000, 16_000, RequestEnd::Silent)],
+        client_requests: vec![request(10_000, 16_000, RequestEnd::TimedOut)],
         orders: vec![order(1, 0, 1, 11_000, &[Outcome::Unclear])],
         ..Journal::default()
     };
-    assert_eq!(beside(&journal), [Beside::Configuration]);
+    assert_eq!(planned_work(&journal), [PlannedWork::Configuration]);
     journal.client_requests[0].ended = ms(16_400);
-    assert_eq!(beside(&journal), []);
+    assert_eq!(planned_work(&journal), []);
     // An order that was refused is beside nothing.
     journal.orders = vec![order(1, 0, 1, 11_000, &[Outcome::OtherVersion])];
-    assert_eq!(beside(&journal), [Beside::Nothing]);
+    assert_eq!(planned_work(&journal), [PlannedWork::Nothing]);
 }
 
 #[test]
-fn a_loss_after_a_hang_up_counts() {
+fn loss_after_a_hang_up_counts() {
     let journal = Journal {
-        client_requests: vec![request(12_900, 14_000, RequestEnd::Cut)],
+        client_requests: vec![request(12_900, 14_000, RequestEnd::Truncated)],
         faults: vec![fault(FaultKind::HungUp, Role::Router, 1, 11_000, 11_000)],
         ..Journal::default()
     };
-    assert_eq!(beside(&journal), [Beside::HangUp]);
+    assert_eq!(planned_work(&journal), [PlannedWork::HangUp]);
 }
 
 #[test]
-fn runs_and_answers_that_break_promises_are_found() {
+fn executions_and_responses_that_break_the_protocol_are_found() {
     let mut journal = Journal {
-        client_requests: vec![request(10_000, 10_100, RequestEnd::Answered(503))],
+        client_requests: vec![request(10_000, 10_100, RequestEnd::Responded(503))],
         servers: vec![worked(10_010, 10_050)],
         ..Journal::default()
     };
     assert_eq!(
         judge(&journal),
-        [Violation::RefusedAndRan("a1".into(), 503)]
+        [Violation::RejectedAndRan("a1".into(), 503)]
     );
     journal.servers.push(worked(10_060, 10_090));
     assert_eq!(judge(&journal), [Violation::RanTwice("a1".into(), 2)]);
@@ -238,17 +241,23 @@
     journal.client_requests[0].faults = vec![StreamFault::EndsEarly];
     assert_eq!(
         judge(&journal),
-        [Violation::WrongAnswer("a1".into(), StreamFault::EndsEarly)]
+        [Violation::InvalidResponse(
+            "a1".into(),
+            StreamFault::EndsEarly
+        )]
     );
     journal.client_requests.clear();
     assert_matches!(
         judge(&journal)[..],
-        [Violation::Unasked(_), Violation::Unasked(_)]
+        [
+            Violation::RunWithoutRequest(_),
+            Violation::RunWithoutRequest(_)
+        ]
     );
 }
 
 #[test]
-fn a_request_that_reaches_a_leaver_late_is_found() {
+fn request_that_arrives_late_after_a_drain_is_found() {
     let control = "127.0.0.2:8262".parse().expect("an address");
     let late = 1_000 + DRAIN_TIMEOUT.as_millis() as u64 + 100;
     let entries = [
@@ -260,22 +269,22 @@
         (late, Event::Started),
     ];
     let mut journal = Journal {
-        client_requests: vec![request(late - 10, late + 100, RequestEnd::Answered(200))],
+        client_requests: vec![request(late - 10, late + 100, RequestEnd::Responded(200))],
         servers: vec![server(&entries)],
         ..Journal::default()
     };
-    assert_matches!(&judge(&journal)[..], [Violation::SentToLeaver { late, .. }] if *late == DRAIN_TIMEOUT + ms(100));
+    assert_matches!(&judge(&journal)[..], [Violation::ArrivedAfterDrain { late, .. }] if *late == DRAIN_TIMEOUT + ms(100));
     // Its machine was not in touch; another machine's router does not matter.
     journal.faults = vec![fault(FaultKind::Paused, Role::Router, 1, 500, 900)];
     assert_eq!(judge(&journal), []);
     journal.faults = vec![fault(FaultKind::Paused, Role::Router, 2, 500, 900)];
-    assert_matches!(judge(&journal)[..], [Violation::SentToLeaver { .. }]);
+    assert_matches!(judge(&journal)[..], [Violation::ArrivedAfterDrain { .. }]);
     journal.servers[0].entries[1].at = ms(2_900);
     assert_eq!(judge(&journal), []);
 }
 
 #[test]
-fn answers_to_operators_that_contradict_each_other_are_found() {
+fn contradicting_responses_to_operators_are_found() {
     let taken = [Outcome::Acknowledged];
     let two = Journal {
         orders: vec![
@@ -289,10 +298,10 @@
         judge(&two),
         [
             Violation::Orders(OperatorFault::TwoOnOneVersion(1)),
-            Violation::BothTaken(1, 2, 3)
+            Violation::ConflictingOrders(1, 2, 3)
         ]
     );
-    let refused = Journal {
+    let rejected = Journal {
         orders: vec![order(
             1,
             0,
@@ -307,17 +316,20 @@
         ..Journal::default()
     };
     assert_matches!(
-        judge(&refused)[..],
+        judge(&rejected)[..],
         [Violation::Orders(OperatorFault::RefusedAfterAcknowledged(
             _
         ))]
     );
-    let read_though_refused = Journal {
+    let read_though_rejected = Journal {
         orders: vec![order(1, 0, 1, 0, &[Outcome::OtherVersion])],
         reads: vec![read(50, 1, 1)],
         ..Journal::default()
     };
-    assert_eq!(judge(&read_though_refused), [Violation::RefusedInForce(1)]);
+    assert_eq!(
+        judge(&read_though_rejected),
+        [Violation::RejectedInForce(1)]
+    );
     // One of the two had no clear answer, and was in force all the same.
     let both = Journal {
         orders: vec![
@@ -327,11 +339,11 @@
         reads: vec![read(40, 1, 1)],
         ..Journal::default()
     };
-    assert_eq!(judge(&both), [Violation::BothTaken(0, 1, 2)]);
+    assert_eq!(judge(&both), [Violation::ConflictingOrders(0, 1, 2)]);
 }
 
 #[test]
-fn configurations_that_are_read_old_are_found() {
+fn stale_and_lost_configurations_are_found() {
     let orders = vec![
         order(1, 0, 1, 0, &[Outcome::Acknowledged]),
         order(2, 1, 3, 1_000, &[Outcome::Acknowledged]),
@@ -345,7 +357,7 @@
     assert_eq!(judge(&during(read(late - 2, 1, 1))), []);
     assert_matches!(
         judge(&during(read(late, 1, 1)))[..],
-        [Violation::ReadOld {
+        [Violation::StaleRead {
             reported: 1,
             known: 3,
             ..
@@ -375,7 +387,7 @@
 }
 
 #[test]
-fn what_processes_do_wrong_is_handed_on() {
+fn process_faults_are_violations() {
     let fault = ProcessFault::Logged(
         (Role::Router, 0),
         "invariant violated: a request was forgotten".into(),
--- a/soak/tests/plan.rs
+++ b/soak/tests/plan.rs
@@ -1,5 +1,5 @@
-//! What seeds draw: the same for the same seed, troubles that overlap, and no more disks lost than
-//! one.
+//! Plans of seeds: the same for the same seed, with overlapping faults, and with one lost disk at
+//! most.
 
 use lichenswitch_emulators::fleet_processes::Role;
 use lichenswitch_soak::plan::{Action, Plan, Target};
@@ -14,23 +14,20 @@
 }
 
 #[test]
-fn a_seed_draws_the_same_day_again() {
+fn same_seed_yields_the_same_plan() {
     for seed in 0..50 {
-        assert_eq!(
-            Plan::generate_order(seed, LENGTH),
-            Plan::generate_order(seed, LENGTH)
-        );
+        assert_eq!(Plan::from_seed(seed, LENGTH), Plan::from_seed(seed, LENGTH));
     }
     assert_ne!(
-        Plan::generate_order(1, LENGTH).actions,
-        Plan::generate_order(2, LENGTH).actions
+        Plan::from_seed(1, LENGTH).actions,
+        Plan::from_seed(2, LENGTH).actions
     );
 }
 
 #[test]
-fn one_disk_is_lost_on_a_day_at_the_most() {
+fn at_most_one_disk_is_lost_on_a_day() {
     for seed in 0..500 {
-        let plan = Plan::generate_order(seed, LENGTH);
+        let plan = Plan::from_seed(seed, LENGTH);
         let lost = plan
             .actions
             .iter()
@@ -42,10 +39,10 @@
 }
 
 #[test]
-fn all_that_can_befall_a_fleet_is_drawn_by_some_seed() {
+fn every_action_is_drawn_by_some_seed() {
     let mut generated = Vec::new();
     for seed in 0..100 {
-        let plan = Plan::generate_order(seed, LENGTH);
+        let plan = Plan::from_seed(seed, LENGTH);
         assert!(
             plan.actions.iter().all(|(at, _)| *at <= LENGTH),
             "seed {seed}"
@@ -61,12 +58,16 @@
 }
 
 #[test]
-fn two_troubles_or_three_fall_into_one_moment() {
+fn two_or_three_unplanned_faults_overlap() {
     for seed in 0..100 {
-        let plan = Plan::generate_order(seed, LENGTH);
+        let plan = Plan::from_seed(seed, LENGTH);
         let moment = LENGTH.mul_f64(0.65)..LENGTH.mul_f64(0.95);
-        let is_cut =
-            |action: &Action| matches!(action, Action::CutPrimary(_) | Action::CutHalves(..));
+        let is_cut = |action: &Action| {
+            matches!(
+                action,
+                Action::PartitionPrimary(_) | Action::PartitionHalves(..)
+            )
+        };
         let late = plan
             .actions
             .iter()
@@ -93,7 +94,7 @@
         Action::HangUp(machine) => [2, *machine as u64, 0, 0],
         Action::Kill(process, delay) => [3, target(process), milliseconds(delay), 0],
         Action::Wipe(machine, delay) => [4, *machine as u64, milliseconds(delay), 0],
-        Action::ProcessPause(process, time) => [5, target(process), milliseconds(time), 0],
+        Action::Pause(process, time) => [5, target(process), milliseconds(time), 0],
         Action::KillAll(wiped, delay) => [
             6,
             wiped.map_or(99, |machine| machine as u64),
@@ -101,8 +102,8 @@
             0,
         ],
         Action::IsolatePrimary(time) => [7, milliseconds(time), 0, 0],
-        Action::CutPrimary(time) => [8, milliseconds(time), 0, 0],
-        Action::CutHalves(machine, time) => [9, *machine as u64, milliseconds(time), 0],
+        Action::PartitionPrimary(time) => [8, milliseconds(time), 0, 0],
+        Action::PartitionHalves(machine, time) => [9, *machine as u64, milliseconds(time), 0],
         Action::Drain(server) => [10, *server as u64, 0, 0],
         Action::Deregister(server) => [11, *server as u64, 0, 0],
         Action::Crash(server) => [12, *server as u64, 0, 0],
@@ -119,7 +120,7 @@
         }
     };
     for seed in seeds {
-        let plan = Plan::generate_order(seed, LENGTH);
+        let plan = Plan::from_seed(seed, LENGTH);
         for (at, action) in &plan.actions {
             add(u64::try_from(at.as_nanos()).unwrap());
             action_code(action).into_iter().for_each(&mut add);
