--- a/soak/src/servers.rs
+++ b/soak/src/servers.rs
@@ -13,8 +13,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// The service of the first [`FIRST_SERVICE_SERVERS`] servers, and that of the others, which only
-/// some configurations have.
+/// The service of the first servers, and that of the others, which only some configurations have.
 pub const SERVICES: [&str; 2] = ["pool-a", "pool-b"];
 /// The number of servers of the first service.
 const FIRST_SERVICE_SERVERS: usize = 4;
