--- /dev/null
+++ b/emulators/src/model_server/fault.rs
@@ -0,0 +1,52 @@
+//! The faults that a model server's requests meet by script.
+
+use std::collections::VecDeque;
+
+/// A fault of a request.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum Fault {
+    /// The connection is closed after so many events.
+    TruncateAfter(u64),
+    /// The connection is closed after so many events, in the middle of the one that follows.
+    TruncateInside(u64),
+    /// The connection is reset after so many events.
+    ResetAfter(u64),
+    /// It runs, and no response is ever sent.
+    NoResponse,
+    /// Nothing more is sent after so many events.
+    SilentAfter(u64),
+    /// It runs, and the connection is closed without a response.
+    ResponseLost,
+    /// It does not run: the connection is closed when the request has been read.
+    ClosedBeforeRun,
+    /// A second complete response, to no request, follows on the connection.
+    ExtraResponse,
+    /// Bytes that are no response follow the complete one.
+    ExtraBytes,
+    /// The same complete response is sent once more, late: before the response to the next request
+    /// on the connection.
+    LateResponse,
+    /// The response carries the id of another request.
+    WrongId,
+    /// The response has no length and ends with its connection.
+    NoLength,
+    /// The response has no length, and the connection is reset after so many events.
+    NoLengthReset(u64),
+    /// It is rejected with this status before its body has been read; the connection is kept alive.
+    EarlyResponse(u16),
+    /// It runs, and bytes that are no HTTP are sent in place of a response.
+    NotHttp,
+    /// It is rejected with this status and `Not-Executed`.
+    Rejected(u16),
+    /// It runs and fails with this status.
+    Failed(u16),
+}
+
+/// The faults that are to come.
+#[derive(Debug, Default)]
+pub(super) struct Script {
+    /// The fault of each request beyond `next`.
+    pub(super) always: Option<Fault>,
+    /// The faults of the next requests, one each.
+    pub(super) next: VecDeque<Option<Fault>>,
+}
--- a/emulators/src/model_server/tests.rs
+++ b/emulators/src/model_server/tests.rs
@@ -7,6 +7,7 @@
 use crate::stream_client::message::{read_body, read_head, Call, MessageError, Response};
 use crate::stream_client::StreamRequest;
 use std::io::{BufReader, Read, Write};
+use std::time::Instant;
 
 const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
--- a/emulators/src/rig.rs
+++ b/emulators/src/rig.rs
@@ -4,97 +4,36 @@
 //! It owns the processes and their folder: both are gone when it is dropped.
 
 mod broker;
+mod ledger;
+mod process;
 mod verdicts;
 
+pub use ledger::{Entry, Event, Ledger};
 pub use verdicts::{judge_deaths, judge_holders, known_members, members_agree, Findings};
 
 use crate::loopback_block::{candidate_networks, LoopbackBlock};
 use crate::relay::Relay;
-use crate::sync::lock;
-use rustix::process::{kill_process, Pid, Signal};
+use process::{Process, SpawnedProcess};
+use rustix::process::Signal;
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use std::process::{Child, Command, Stdio};
 use std::sync::atomic::{AtomicU32, Ordering};
-use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// An event of one process: a line that it logged, or what the rig did to it.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
-    /// Time since the rig started.
-    pub at: Duration,
-    /// The number of the process.
-    pub process: usize,
-    /// The event.
-    pub event: Event,
-}
-
-/// The event of an [`Entry`].
-#[derive(Clone, Debug, PartialEq)]
-pub enum Event {
-    /// The process logged this line.
-    Logged(String),
-    /// It was started.
-    Started,
-    /// It was killed.
-    Killed,
-    /// It was stopped (SIGSTOP).
-    Stopped,
-    /// It was continued (SIGCONT).
-    Continued,
-    /// Its link to that process was changed; whether the link works now.
-    Link(usize, bool),
-    /// It was asked to end, and ended with this status.
-    Ended(i32),
-}
-
-/// The events of all processes, in order; the oracle of the checks in this module.
-#[derive(Clone, Default)]
-pub struct Ledger {
-    entries: Arc<Mutex<Vec<Entry>>>,
-}
-
-impl Ledger {
-    fn record(&self, started_at: Instant, process: usize, event: Event) {
-        let mut entries = lock(&self.entries);
-        entries.push(Entry {
-            at: started_at.elapsed(),
-            process,
-            event,
-        });
-    }
-
-    /// All entries so far.
-    #[must_use]
-    pub fn all(&self) -> Vec<Entry> {
-        lock(&self.entries).clone()
-    }
-}
-
-/// Shell script that starts the program and prints its process id. Its standard input closes when
-/// the rig is gone, however that ended, and the script kills the program then.
-const SUPERVISOR_SCRIPT: &str = r#"exec 3<&0; "$0" </dev/null 3<&- & p=$!; echo $p; (cat <&3 >/dev/null; kill -9 $p) 2>/dev/null & w=$!
-    exec 3<&-; wait $p; s=$?; kill $w; exit $s"#;
-
-struct Process {
-    supervisor: Child,
-    pid: Pid,
-}
-
-impl Process {
-    /// Waits until the process ends, and returns its status. The supervisor's input stays open until
-    /// then: closing it would kill the process.
-    fn wait(&mut self) -> Option<i32> {
-        let input = self.supervisor.stdin.take();
-        let status = self.supervisor.wait().ok()?.code();
-        drop(input);
-        status
-    }
-}
+/// Interval at which [`Rig::until`] reads the ledger.
+const LEDGER_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// The port at which processes listen, each at another address. It lies below the ephemeral ports,
+/// so that no outgoing connection takes it before the process binds it.
+const LISTEN_PORT: u16 = 7_000;
+/// The port by which a rig reserves its block of addresses.
+const BLOCK_LOCK_PORT: u16 = 6_999;
+/// The most processes of a rig: a block has an address for each.
+const MAX_PROCESSES: usize = 253;
+/// The number of blocks of addresses that a rig tries to reserve.
+const BLOCK_ATTEMPTS: u32 = 1_000;
 
 /// Processes of one program and the links between them.
 pub struct Rig {
@@ -110,19 +49,6 @@
     _block: LoopbackBlock,
 }
 
-/// Interval at which [`Rig::until`] reads the ledger.
-const LEDGER_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// The port at which processes listen, each at another address. It lies below the ephemeral ports,
-/// so that no outgoing connection takes it before the process binds it.
-const LISTEN_PORT: u16 = 7_000;
-/// The port by which a rig reserves its block of addresses.
-const BLOCK_LOCK_PORT: u16 = 6_999;
-
-/// The most processes of a rig: a block has an address for each.
-const MAX_PROCESSES: usize = 253;
-/// The number of blocks of addresses that a rig tries to reserve.
-const BLOCK_ATTEMPTS: u32 = 1_000;
-
 /// Reserves a block of addresses for the rig with this number in its process.
 fn reserve_block(number: u32) -> std::io::Result<LoopbackBlock> {
     let start = std::process::id().wrapping_mul(31).wrapping_add(number);
@@ -210,25 +136,10 @@
     /// # Errors
     /// When it can't be started.
     pub fn start(&mut self, process: usize, environment: &[(&str, &Path)]) -> std::io::Result<()> {
-        let mut command = Command::new("/bin/sh");
-        command.arg("-c").arg(SUPERVISOR_SCRIPT).arg(&self.program);
-        command
-            .env_remove("NODE_CONFIG")
-            .env_remove("LICHENSWITCH_CONFIG")
-            .envs(environment.iter().copied());
-        command
-            .stdin(Stdio::piped())
-            .stdout(Stdio::piped())
-            .stderr(Stdio::piped());
-        let mut supervisor = command.spawn()?;
-        let (Some(stdout), Some(stderr)) = (supervisor.stdout.take(), supervisor.stderr.take())
-        else {
-            return Err(std::io::Error::other("no pipes"));
-        };
-        let mut line = String::new();
-        BufReader::new(stdout).read_line(&mut line)?;
-        let pid = line.trim().parse().ok().and_then(Pid::from_raw);
-        let pid = pid.ok_or_else(|| std::io::Error::other(format!("no process id: {line:?}")))?;
+        let SpawnedProcess {
+            process: running,
+            stderr,
+        } = Process::spawn(&self.program, environment)?;
         self.ledger.record(self.started_at, process, Event::Started);
         let (ledger, started_at) = (self.ledger.clone(), self.started_at);
         thread::spawn(move || {
@@ -236,14 +147,14 @@
                 ledger.record(started_at, process, Event::Logged(line));
             }
         });
-        self.processes.insert(process, Process { supervisor, pid });
+        self.processes.insert(process, running);
         Ok(())
     }
 
     fn signal(&self, process: usize, signal: Signal, event: Event) {
         if let Some(running) = self.processes.get(&process) {
             // A process that is gone already has its own entry.
-            let _ = kill_process(running.pid, signal);
+            running.signal(signal);
             self.ledger.record(self.started_at, process, event);
         }
     }
@@ -261,7 +172,7 @@
     /// Asks a process to end (SIGTERM), waits until it has, and returns its status.
     pub fn end(&mut self, process: usize) -> Option<i32> {
         let mut running = self.processes.remove(&process)?;
-        let _ = kill_process(running.pid, Signal::TERM);
+        running.signal(Signal::TERM);
         let status = running.wait()?;
         self.ledger
             .record(self.started_at, process, Event::Ended(status));
@@ -299,7 +210,7 @@
 impl Drop for Rig {
     fn drop(&mut self) {
         for (_, mut process) in std::mem::take(&mut self.processes) {
-            let _ = kill_process(process.pid, Signal::KILL);
+            process.signal(Signal::KILL);
             let _ = process.wait();
         }
         let _ = std::fs::remove_dir_all(&self.folder);
--- a/emulators/src/rig/broker.rs
+++ b/emulators/src/rig/broker.rs
@@ -1,6 +1,7 @@
 //! Starts brokers in a [`Rig`]: their platform file, and a peer section that reaches every other
 //! broker over a link of its own.
 
+use super::process::Process;
 use super::Rig;
 use std::path::PathBuf;
 
@@ -60,8 +61,6 @@
     /// The operating system's id of a broker's process.
     #[must_use]
     pub fn pid(&self, process: usize) -> Option<i32> {
-        self.processes
-            .get(&process)
-            .map(|p| p.pid.as_raw_nonzero().get())
+        self.processes.get(&process).map(Process::id)
     }
 }
