--- a/soak/tests/volatile_disk.rs
+++ b/soak/tests/volatile_disk.rs
@@ -1,18 +1,18 @@
-//! What is left of a disk when its process dies: all that was synced, and of the rest what the lot
-//! says.
+//! What a disk holds after the death of its process: all that was synced, and a random part of the
+//! rest.
 
 use lichenswitch_soak::volatile_disk::VolatileDisk;
 use lichenswitch_storage::{FileSystem, Storage, StorageFile, StorageSettings};
 use std::path::{Path, PathBuf};
 
-/// A folder of its own for each test.
+/// A folder of one test, which is removed with it.
 struct Folder(PathBuf);
 
 impl Folder {
     fn new(name: &str) -> Folder {
         let path =
             std::env::temp_dir().join(format!("volatile-disk-{name}-{}", std::process::id()));
-        // What another run left is in nobody's way.
+        // What another run left behind may be there or not.
         let _ = std::fs::remove_dir_all(&path);
         std::fs::create_dir_all(&path).unwrap();
         Folder(path)
@@ -21,12 +21,12 @@
 
 impl Drop for Folder {
     fn drop(&mut self) {
-        // What can't be removed is left to whoever cleans the folder for temporary files.
+        // What can't be removed stays until the folder for temporary files is cleaned.
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// A file of one content, synced.
+/// Creates a file with this content, and syncs it.
 fn write_synced(disk: &VolatileDisk, path: &Path, bytes: &[u8]) -> Box<dyn StorageFile> {
     let mut file = disk.create(path).unwrap();
     assert_eq!(file.write_at(0, bytes).unwrap(), bytes.len());
@@ -35,9 +35,9 @@
 }
 
 #[test]
-fn what_was_synced_is_there_and_what_was_not_may_be_missing_or_torn() {
+fn synced_write_lasts_and_unsynced_write_may_be_missing_or_torn() {
     let folder = Folder::new("writes");
-    let mut left = std::collections::BTreeSet::new();
+    let mut ends = std::collections::BTreeSet::new();
     for seed in 0..200 {
         let (disk, path) = (
             VolatileDisk::new(&folder.0, seed),
@@ -53,44 +53,50 @@
         drop((disk, file));
         let bytes = std::fs::read(&path).unwrap();
         assert_eq!(bytes.len(), 1_024);
-        left.insert((bytes[0], bytes[1_023]));
+        ends.insert((bytes[0], bytes[1_023]));
     }
     assert_eq!(
-        left.len(),
+        ends.len(),
         4,
-        "missing, whole, and torn both ways: {left:?}"
+        "missing, whole, and torn both ways: {ends:?}"
     );
 }
 
 #[test]
-fn a_name_may_be_lost_until_its_folder_is_synced() {
+fn renamed_file_may_have_its_old_name_until_its_folder_is_synced() {
     let folder = Folder::new("names");
-    let (mut kept, mut lost) = (0, 0);
+    let (mut renamed_count, mut old_name_count) = (0, 0);
     for seed in 0..100 {
         let disk = VolatileDisk::new(&folder.0, seed);
-        let (beside, path) = (
+        let (old_path, path) = (
             folder.0.join(format!("{seed}.new")),
             folder.0.join(format!("{seed}")),
         );
-        drop(write_synced(&disk, &beside, b"new"));
-        disk.rename(&beside, &path).unwrap();
+        drop(write_synced(&disk, &old_path, b"new"));
+        disk.rename(&old_path, &path).unwrap();
         assert!(
-            disk.exists(&path) && !disk.exists(&beside),
+            disk.exists(&path) && !disk.exists(&old_path),
             "to its process the name has changed"
         );
-        match (path.exists(), beside.exists()) {
-            (true, false) => kept += 1,
-            (false, true) => lost += 1,
+        match (path.exists(), old_path.exists()) {
+            (true, false) => renamed_count += 1,
+            (false, true) => old_name_count += 1,
             other => panic!("{other:?}"),
         }
         disk.sync_folder(&folder.0).unwrap();
-        assert!(path.exists() && !beside.exists(), "a synced folder has it");
+        assert!(
+            path.exists() && !old_path.exists(),
+            "a synced folder has it"
+        );
     }
-    assert!(kept > 20 && lost > 20, "{kept}, {lost}");
+    assert!(
+        renamed_count > 20 && old_name_count > 20,
+        "{renamed_count}, {old_name_count}"
+    );
 }
 
 #[test]
-fn a_ring_of_segments_outlives_any_loss_of_power() {
+fn acknowledged_records_last_through_losses_of_power() {
     let folder = Folder::new("ring");
     let settings = StorageSettings {
         segment_bytes: 8_192,
@@ -104,13 +110,16 @@
             Storage::open_with(disk, &folder.0.join("ring"), &settings).unwrap();
         assert!(
             !found.loses_state(),
-            "life {incarnation}: {:?}",
+            "incarnation {incarnation}: {:?}",
             found.findings
         );
         let snapshot = found.snapshot.clone().into_iter();
-        let held: Vec<Vec<u8>> = snapshot.chain(found.records).collect();
-        assert!(held.ends_with(&acknowledged), "life {incarnation}");
-        // A snapshot stands for all before it.
+        let recovered: Vec<Vec<u8>> = snapshot.chain(found.records).collect();
+        assert!(
+            recovered.ends_with(&acknowledged),
+            "incarnation {incarnation}"
+        );
+        // A snapshot replaces all records before it.
         for step in 0..8 {
             let record = vec![incarnation as u8, step];
             if storage.wants_snapshot() || step == 5 {
