--- a/emulators/src/model_server/tests.rs
+++ b/emulators/src/model_server/tests.rs
@@ -403,12 +403,12 @@
     let refuses = ScriptedControl::start(|_, _| Reply::status(503)).expect("loopback");
     let takes = ScriptedControl::start(|_, _| Reply::body("{}")).expect("loopback");
     let server = start(quick());
-    let beats = server.register(
+    let registration = server.register(
         vec![refuses.address, takes.address],
         Duration::from_millis(1),
     );
     wait_until(|| takes.calls().len() > 5);
-    drop(beats);
+    drop(registration);
     assert!(refuses.calls().len() <= 1);
     let numbers: Vec<u64> = takes.calls().iter().map(number).collect();
     assert!(
@@ -429,7 +429,7 @@
     let body = format!("{{\"heartbeatEndpoint\":\"{}\"}}", other.address);
     let first = ScriptedControl::start(move |_, _| Reply::body(&body)).expect("loopback");
     let server = start(quick());
-    let _beats = server.register(vec![first.address], Duration::from_millis(1));
+    let _registration = server.register(vec![first.address], Duration::from_millis(1));
     wait_until(|| other.calls().len() > 2);
     assert_eq!(first.calls().len(), 1);
 }
@@ -438,10 +438,10 @@
 fn draining_and_deregistration_are_acknowledged() {
     let machine = ScriptedControl::start(|_, _| Reply::body("{}")).expect("loopback");
     let server = start(quick());
-    let beats = server.register(vec![machine.address], TEST_TIMEOUT);
+    let registration = server.register(vec![machine.address], TEST_TIMEOUT);
     wait_until(|| machine.calls().len() == 1);
-    assert!(beats.drain(TEST_TIMEOUT));
-    assert!(beats.deregister(TEST_TIMEOUT));
+    assert!(registration.drain(TEST_TIMEOUT));
+    assert!(registration.deregister(TEST_TIMEOUT));
     let calls = machine.calls();
     assert!(String::from_utf8_lossy(&calls[1].body).contains("\"draining\""));
     assert_eq!(calls[2].path, "/instances/i-1/deregister");
@@ -470,8 +470,8 @@
 fn server_without_acknowledgement_ends_at_its_deadline() {
     let machine = ScriptedControl::start(|_, _| Reply::status(503)).expect("loopback");
     let server = start(quick());
-    let beats = server.register(vec![machine.address], TEST_TIMEOUT);
-    assert!(!beats.deregister(Duration::from_millis(100)));
+    let registration = server.register(vec![machine.address], TEST_TIMEOUT);
+    assert!(!registration.deregister(Duration::from_millis(100)));
     server.crash();
     wait_until(|| TcpStream::connect(server.address).is_err());
 }
--- a/emulators/src/operator/document.rs
+++ b/emulators/src/operator/document.rs
@@ -2,7 +2,54 @@
 
 use serde_json::{json, Value};
 
-/// A route, as far as stand-ins set it.
+/// The kind of a route: which requests it is for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RouteKind {
+    /// Requests for streams.
+    Streaming,
+    /// Requests that may be retried.
+    Safe,
+    /// Requests that may not be retried.
+    Unsafe,
+}
+
+impl RouteKind {
+    /// Its name in a document.
+    #[must_use]
+    pub fn name(self) -> &'static str {
+        match self {
+            RouteKind::Streaming => "streaming",
+            RouteKind::Safe => "safe",
+            RouteKind::Unsafe => "unsafe",
+        }
+    }
+}
+
+/// A service with its share of a route's traffic.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct WeightedService {
+    /// Its name.
+    pub service: String,
+    /// Its weight; the weights of a route add up to 100.
+    pub weight: u32,
+}
+
+impl WeightedService {
+    /// A service with this weight.
+    #[must_use]
+    pub fn new(service: &str, weight: u32) -> WeightedService {
+        WeightedService {
+            service: service.into(),
+            weight,
+        }
+    }
+
+    fn json(&self) -> Value {
+        json!({"service": self.service, "weight": self.weight})
+    }
+}
+
+/// A route, with the settings that emulators choose.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// Its name.
@@ -13,10 +60,10 @@
     pub prefix: String,
     /// Its service.
     pub service: String,
-    /// Services by weight, in the place of the one service; empty: that one alone.
-    pub split: Vec<(String, u32)>,
-    /// Its kind: `streaming`, `safe` or `unsafe`.
-    pub kind: &'static str,
+    /// Services with their weights, in place of `service`; empty: that one alone.
+    pub split: Vec<WeightedService>,
+    /// Its kind.
+    pub kind: RouteKind,
     /// `timeoutMs`.
     pub timeout_ms: u64,
     /// `maxAttempts`.
@@ -30,14 +77,13 @@
     #[must_use]
     pub fn new(name: &str, host: &str, prefix: &str, service: &str) -> Route {
         let [name, host, prefix, service] = [name, host, prefix, service].map(String::from);
-        let (split, kind) = (Vec::new(), "streaming");
         Route {
             name,
             host,
             prefix,
             service,
-            split,
-            kind,
+            split: Vec::new(),
+            kind: RouteKind::Streaming,
             timeout_ms: 5_000,
             attempts: 2,
             resume: true,
@@ -47,7 +93,7 @@
     fn services(&self) -> impl Iterator<Item = &str> {
         let one = self.split.is_empty().then_some(self.service.as_str());
         one.into_iter()
-            .chain(self.split.iter().map(|(service, _)| service.as_str()))
+            .chain(self.split.iter().map(|split| split.service.as_str()))
     }
 
     fn json(&self) -> Value {
@@ -55,7 +101,7 @@
             "name": self.name,
             "host": self.host,
             "pathPrefix": self.prefix,
-            "kind": self.kind,
+            "kind": self.kind.name(),
             "timeoutMs": self.timeout_ms,
             "targetLatencyMs": 500,
             "priority": 0,
@@ -64,18 +110,17 @@
             "streamResume": self.resume,
             "gap_aim_ms": 300,
         });
-        let part =
-            |(service, weight): &(String, u32)| json!({"service": service, "weight": weight});
         if self.split.is_empty() {
             route["service"] = json!(self.service);
         } else {
-            route["trafficSplit"] = self.split.iter().map(part).collect();
+            route["trafficSplit"] = self.split.iter().map(WeightedService::json).collect();
         }
         route
     }
 }
 
-/// A whole configuration of that version, with these routes and the services that they name.
+/// The document that replaces a configuration: this version, with these routes and the services
+/// that they name.
 #[must_use]
 pub fn replace(version: u64, routes: &[Route]) -> String {
     let mut names: Vec<&str> = routes.iter().flat_map(Route::services).collect();
@@ -112,8 +157,8 @@
     document.to_string()
 }
 
-/// A change to that version: these routes come, or take the place of those of the same names; those
-/// names go.
+/// The document that updates a configuration to this version: these routes are added, or replace
+/// those of the same names; those of the names in `removed` are removed.
 #[must_use]
 pub fn update(version: u64, routes: &[Route], removed: &[&str]) -> String {
     let mut document = json!({"version": version});
@@ -126,7 +171,7 @@
     document.to_string()
 }
 
-/// The version of a document; `None`: it can't be read.
+/// The version of a document; `None`: it is no document.
 #[must_use]
 pub fn version(document: &[u8]) -> Option<u64> {
     serde_json::from_slice::<Value>(document)
--- a/emulators/src/operator/tests.rs
+++ b/emulators/src/operator/tests.rs
@@ -1,6 +1,6 @@
 //! The operator against control machines by script, and its judgement of planted faults.
 
-use super::document::{replace, update, version, Route};
+use super::document::{replace, update, version, Route, WeightedService};
 use super::scripted_control::{Reply, ScriptedControl};
 use super::*;
 
@@ -154,7 +154,7 @@
 #[test]
 fn split_route_lists_its_services_by_weight() {
     let mut route = Route::new("r", "a.example", "/a/", "s");
-    route.split = vec![("s".into(), 70), ("t".into(), 30)];
+    route.split = vec![WeightedService::new("s", 70), WeightedService::new("t", 30)];
     let document: serde_json::Value =
         serde_json::from_str(&replace(1, &[route])).expect("a document");
     assert_eq!(
--- a/emulators/src/stream_client/tests.rs
+++ b/emulators/src/stream_client/tests.rs
@@ -19,13 +19,15 @@
 
 #[test]
 fn complete_stream_is_served_without_fault() {
-    let (server, mut told) = (server(), Vec::new());
+    let (server, mut received_ids) = (server(), Vec::new());
     let request = request("a1");
     let streamed = request
-        .send(server.address, IDLE_TIMEOUT, |event| told.push(event.id))
+        .send(server.address, IDLE_TIMEOUT, |event| {
+            received_ids.push(event.id)
+        })
         .expect("an answer");
     assert!(streamed.is_served());
-    assert_eq!(told, [Some(1), Some(2), Some(3), Some(4)]);
+    assert_eq!(received_ids, [Some(1), Some(2), Some(3), Some(4)]);
     assert!(streamed.faults(&request, &["a1"]).is_empty());
 }
 
--- a/soak/src/operators/configuration.rs
+++ b/soak/src/operators/configuration.rs
@@ -3,7 +3,7 @@
 
 use crate::servers::SERVICES;
 use fastrand::Rng;
-use lichenswitch_emulators::operator::document::Route;
+use lichenswitch_emulators::operator::document::{Route, RouteKind, WeightedService};
 
 /// The host of all routes.
 pub const HOST: &str = "help.example";
@@ -58,27 +58,30 @@
     /// Its routes, those of a whole configuration.
     pub(super) fn routes(self) -> Vec<Route> {
         let [first, second] = SERVICES;
-        let mut split = self.route("long", first, "streaming", true);
+        let mut split = self.route("long", first, RouteKind::Streaming, true);
         let mut routes = vec![
-            self.route("safe", first, "safe", false),
-            self.route("once", first, "unsafe", false),
-            self.route("whole", first, "streaming", false),
+            self.route("safe", first, RouteKind::Safe, false),
+            self.route("once", first, RouteKind::Unsafe, false),
+            self.route("whole", first, RouteKind::Streaming, false),
             self.mark_route(),
         ];
         if let Some(weight) = self.second_weight {
-            split.split = vec![(first.into(), 100 - weight), (second.into(), weight)];
-            routes.push(self.route("extra", second, "streaming", true));
+            split.split = vec![
+                WeightedService::new(first, 100 - weight),
+                WeightedService::new(second, weight),
+            ];
+            routes.push(self.route("extra", second, RouteKind::Streaming, true));
         }
         routes.push(split);
         routes
     }
 
-    fn route(self, name: &str, service: &str, kind: &'static str, resume: bool) -> Route {
+    fn route(self, name: &str, service: &str, kind: RouteKind, resume: bool) -> Route {
         let mut route = Route::new(name, HOST, &format!("/{name}/"), service);
         route.kind = kind;
         route.resume = resume;
         route.attempts = self.attempts;
-        route.timeout_ms = if kind == "streaming" {
+        route.timeout_ms = if kind == RouteKind::Streaming {
             self.stream_timeout_ms
         } else {
             self.short_timeout_ms
