--- a/emulators/src/fleet_processes/tests.rs
+++ b/emulators/src/fleet_processes/tests.rs
@@ -2,7 +2,9 @@
 
 use super::demonstration::DemonstrationError;
 use super::*;
+use rustix::process::Signal;
 use std::os::unix::fs::PermissionsExt;
+use std::process::Command;
 use std::thread;
 use std::time::{Duration, Instant};
 
