--- /dev/null
+++ b/decide/registry/src/table/tests/merging.rs
@@ -0,0 +1,158 @@
+//! Records of other control machines: the order in which they come does not matter.
+
+use super::{heartbeat, table, MS, SECOND, START};
+use crate::heartbeat::Heartbeat;
+use crate::table::Registry;
+use lichenswitch_messages::{ServerRecord, ServerState};
+use quickcheck::{Arbitrary, Gen, QuickCheck};
+use std::collections::HashMap;
+
+/// Seed of the random tests: a failure comes again with the same command.
+const SEED: u64 = 0x5eed_0013;
+
+#[test]
+fn empty_table_merges_another_and_ends_no_server() {
+    let mut full = table();
+    for n in 0..50 {
+        full.on_heartbeat(START, &format!("i{n:02}"), &heartbeat(&format!("a:{n}"), 3));
+    }
+    full.on_deregister(START, "i07");
+    let mut empty = Registry::new(START + SECOND, SECOND);
+    empty.on_heartbeat(START + SECOND, "own", &heartbeat("a:own", 1));
+    let changes = empty.merge_all(START + SECOND, &full.snapshot(START + SECOND));
+    assert_eq!(
+        (changes.updates_for_peers().len(), empty.live().count()),
+        (50, 50)
+    );
+    assert!(full.merge_all(START + SECOND, &[]).is_empty());
+    assert_eq!(full.live().count(), 49);
+    let back = full.merge_all(START + SECOND, &empty.snapshot(START + SECOND));
+    assert_eq!(
+        back.updates_for_peers(),
+        [heartbeat("a:own", 1).record("own")]
+    );
+    assert_eq!(
+        full.snapshot(START + SECOND),
+        empty.snapshot(START + SECOND)
+    );
+}
+
+/// An update of one of three instances, with few values for each field so that many collide.
+#[derive(Clone, Debug)]
+struct Update(ServerRecord);
+
+impl Arbitrary for Update {
+    fn arbitrary(gen: &mut Gen) -> Update {
+        let pick = |gen: &mut Gen, count: u8| u8::arbitrary(gen) % count;
+        let states = [
+            ServerState::Ready,
+            ServerState::Ready,
+            ServerState::Draining,
+            ServerState::Gone,
+        ];
+        Update(ServerRecord {
+            instance: format!("i{}", pick(gen, 3)),
+            service: format!("s{}", pick(gen, 2)),
+            address: format!("a{}", pick(gen, 2)),
+            state: states[usize::from(pick(gen, 4))],
+            sequence_number: u64::from(pick(gen, 4)),
+            warm_up_remaining_ms: u64::from(pick(gen, 2)),
+            is_suspect: bool::arbitrary(gen),
+            ..ServerRecord::default()
+        })
+    }
+}
+
+fn after<'a>(updates: impl IntoIterator<Item = &'a Update>) -> Vec<ServerRecord> {
+    let mut table = table();
+    for record in updates {
+        table.merge(START, &record.0);
+    }
+    table.snapshot(START)
+}
+
+#[test]
+fn order_and_repetition_of_updates_do_not_matter() {
+    fn property(updates: Vec<Update>, turn: usize) -> bool {
+        let expected = after(&updates);
+        let turn = if updates.is_empty() {
+            0
+        } else {
+            turn % updates.len()
+        };
+        let rotated = updates[turn..].iter().chain(&updates[..turn]);
+        let mut sorted = updates.clone();
+        sorted.sort_by_key(|updates| {
+            (
+                updates.0.sequence_number,
+                updates.0.address.clone(),
+                updates.0.state,
+            )
+        });
+        after(updates.iter().rev()) == expected
+            && after(rotated) == expected
+            && after(&sorted) == expected
+            && after(updates.iter().chain(&updates)) == expected
+    }
+    let gen = Gen::from_size_and_seed(20, SEED);
+    QuickCheck::new()
+        .rng(gen)
+        .tests(5_000)
+        .quickcheck(property as fn(Vec<Update>, usize) -> bool);
+}
+
+#[test]
+fn machines_that_push_changes_have_equal_states_after_one_exchange_of_tables() {
+    fn property(here: Vec<Update>, there: Vec<Update>) -> bool {
+        let (mut one, mut other) = (table(), table());
+        for record in &here {
+            let changes = one.merge(START, &record.0);
+            other.merge_all(START, changes.updates_for_peers());
+        }
+        there
+            .iter()
+            .for_each(|record| drop(other.merge(START, &record.0)));
+        one.merge_all(START, &other.snapshot(START));
+        other.merge_all(START, &one.snapshot(START));
+        one.snapshot(START) == other.snapshot(START)
+            && one.snapshot(START) == after(here.iter().chain(&there))
+    }
+    let gen = Gen::from_size_and_seed(20, SEED);
+    QuickCheck::new()
+        .rng(gen)
+        .tests(5_000)
+        .quickcheck(property as fn(Vec<Update>, Vec<Update>) -> bool);
+}
+
+#[test]
+fn gone_instance_never_returns_whatever_arrives() {
+    fn property(updates: Vec<(Update, bool)>) -> bool {
+        let (mut table, mut now) = (table(), START);
+        let mut highest: HashMap<String, ServerState> = HashMap::new();
+        updates.iter().all(|(record, heartbeat)| {
+            now += 100 * MS;
+            let record = &record.0;
+            match (heartbeat, record.state) {
+                (_, ServerState::Gone) => table.on_deregister(now, &record.instance),
+                (true, state) => {
+                    let heartbeat = Heartbeat {
+                        state,
+                        ..super::heartbeat(&record.address, record.sequence_number)
+                    };
+                    table.on_heartbeat(now, &record.instance, &heartbeat)
+                }
+                (false, _) => table.merge(now, record),
+            };
+            table.tick(now);
+            table.entries.iter().all(|(instance, entry)| {
+                let before = highest.insert(instance.clone(), entry.record.state);
+                before.is_none_or(|before| before <= entry.record.state)
+            })
+        })
+    }
+    let gen = Gen::from_size_and_seed(40, SEED);
+    QuickCheck::new()
+        .rng(gen)
+        .tests(5_000)
+        .quickcheck(property as fn(Vec<(Update, bool)>) -> bool);
+}
