--- a/decide/replication/src/replica/election.rs
+++ b/decide/replication/src/replica/election.rs
@@ -1,94 +1,30 @@
-//! How a voter becomes primary: it asks whether it would get the votes, chooses an epoch, and
-//! requests them.
+//! How a voter becomes primary: when it tries, the epoch that it chooses, and the votes that it
+//! requests for it. `pre_vote` has the step before, `vote_count` what the votes come to, and
+//! `vote_grants` the voters' part.
 //!
 //! It is Raft's election with its pre-vote, and differs in two points. An epoch names its candidate,
 //! so a voter may vote for several in turn, each time promising a higher epoch. And a vote doesn't
 //! depend on how new the candidate's state is: the votes say where the newest state is, and the
 //! candidate adopts it before it serves, as a new primary of Viewstamped Replication does.
 
-use std::collections::{BTreeMap, BTreeSet};
-
 use super::primary::PersistAs;
+use super::vote_count::{VoteCount, VoteOutcome};
 use super::{Replica, Role, VersionedState};
-use crate::faults::{Fault, Faults};
-use crate::membership::Membership;
-use crate::message::{Body, ReplicaVersion};
+use crate::faults::Fault;
+use crate::message::ReplicaVersion;
 use crate::output::{Notice, Output, StepDownReason};
 use crate::state::ReplicatedState;
-use crate::types::{Epoch, Identity, Member, Position, Time};
-
-/// Before an epoch is chosen: who would vote for it.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(super) struct PreVote {
-    epoch: Epoch,
-    highest_promised: Epoch,
-    retry_at: Time,
-    votes: VoteCount,
-}
+use crate::types::{Epoch, Member, Position, Time};
 
 /// An epoch was chosen: who votes for it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Election {
-    epoch: Epoch,
-    is_leadership_transfer: bool,
+    pub(super) epoch: Epoch,
+    pub(super) is_leadership_transfer: bool,
     /// When the votes were first requested; none until the candidate's own promise is synced.
     pub(super) votes_requested_at: Option<Time>,
     retry_at: Time,
-    votes: VoteCount,
-}
-
-/// A vote that is sent once its promise is synced.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(super) struct PendingGrant {
-    to: String,
-    epoch: Epoch,
-    version: ReplicaVersion,
-}
-
-/// The members that voted, and the states that they have.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct VoteCount {
-    requested: BTreeSet<Identity>,
-    granted: BTreeMap<Identity, (Member, ReplicaVersion)>,
-}
-
-/// What the votes come to.
-enum VoteOutcome {
-    /// The newest state doesn't name the candidate as a voter.
-    Excluded(Position),
-    /// Not yet a quorum of the membership of the newest state.
-    Pending(Membership),
-    /// A quorum; the newest state has this position, and this member has it.
-    Won(Position, Member),
-}
-
-impl VoteCount {
-    fn outcome(&self, me: Identity, faults: Faults) -> Option<VoteOutcome> {
-        let order = |position: Position| {
-            if faults.has(Fault::NewestByNumber) {
-                (position.number, Epoch::default())
-            } else {
-                (0, position.epoch)
-            }
-        };
-        let key = |version: &ReplicaVersion| (order(version.position), version.position.number);
-        let (source, newest) = self
-            .granted
-            .values()
-            .max_by_key(|(_, version)| key(version))?;
-        let membership = &newest.membership;
-        if !membership.contains(me) {
-            return Some(VoteOutcome::Excluded(newest.position));
-        }
-        let present: BTreeSet<Identity> = self.granted.keys().copied().collect();
-        let is_half = faults.has(Fault::HalfIsQuorum) && membership.is_half(&present);
-        let outcome = if membership.is_quorum(&present) || is_half {
-            VoteOutcome::Won(newest.position, source.clone())
-        } else {
-            VoteOutcome::Pending(membership.clone())
-        };
-        Some(outcome)
-    }
+    pub(super) votes: VoteCount,
 }
 
 impl<S: ReplicatedState> Replica<S> {
@@ -105,13 +41,13 @@
         self.election_due_at = now.after(delay_us);
     }
 
-    fn may_campaign(&self, now: Time) -> bool {
+    pub(super) fn may_campaign(&self, now: Time) -> bool {
         let is_able = !self.is_non_voter() && self.departure.is_none() && now >= self.passive_until;
         is_able && self.is_writable(now) && self.disk.synced.is_some()
     }
 
     /// Whether a primary is in contact with this voter and, as it says, with a quorum.
-    fn follows_confirmed_primary(&self, now: Time) -> bool {
+    pub(super) fn follows_confirmed_primary(&self, now: Time) -> bool {
         if self.as_primary().is_some() {
             return self.in_contact(now);
         }
@@ -145,7 +81,7 @@
             Role::PreCandidate(pre_vote) if now >= pre_vote.retry_at => {
                 pre_vote.retry_at = next_retry_at;
                 pre_vote.votes.requested.clear();
-                self.count_pre_votes(now);
+                self.count_votes(now);
             }
             Role::Candidate(election)
                 if election.votes_requested_at.is_some() && now >= election.retry_at =>
@@ -169,7 +105,7 @@
         }
     }
 
-    fn next_epoch(&self, above: Epoch) -> Epoch {
+    pub(super) fn next_epoch(&self, above: Epoch) -> Epoch {
         let highest = self.promised.max(self.highest_rejecting_epoch).max(above);
         Epoch {
             counter: highest.counter + 1,
@@ -177,116 +113,6 @@
         }
     }
 
-    fn begin_pre_vote(&mut self, now: Time) {
-        let epoch = self.next_epoch(Epoch::default());
-        let Some(version) = self.version() else {
-            return;
-        };
-        let mut votes = VoteCount::default();
-        let vote = (self.me.clone(), version);
-        votes.granted.insert(self.me.identity, vote);
-        self.role = Role::PreCandidate(PreVote {
-            epoch,
-            highest_promised: self.promised,
-            retry_at: now.after(self.settings.retry_interval_us),
-            votes,
-        });
-        self.count_pre_votes(now);
-    }
-
-    fn count_pre_votes(&mut self, now: Time) {
-        let Role::PreCandidate(pre_vote) = &self.role else {
-            return;
-        };
-        let (epoch, above) = (pre_vote.epoch, pre_vote.highest_promised);
-        let outcome = pre_vote
-            .votes
-            .outcome(self.me.identity, self.settings.faults);
-        match outcome {
-            None => {}
-            Some(VoteOutcome::Excluded(position)) => self.on_excluded(now, position),
-            Some(VoteOutcome::Won(..)) => self.begin_election(now, above, false),
-            Some(VoteOutcome::Pending(membership)) => {
-                self.send_to_unasked(&membership, &Body::PreVote { epoch });
-            }
-        }
-    }
-
-    /// Sends a request to those of a membership that have not got one yet.
-    fn send_to_unasked(&mut self, membership: &Membership, request: &Body) {
-        let votes = match &mut self.role {
-            Role::PreCandidate(pre_vote) => &mut pre_vote.votes,
-            Role::Candidate(election) => &mut election.votes,
-            _ => return,
-        };
-        let mut addresses = Vec::new();
-        for member in membership
-            .all()
-            .filter(|member| member.identity != self.me.identity)
-        {
-            let is_open = !votes.granted.contains_key(&member.identity);
-            if is_open && votes.requested.insert(member.identity) {
-                addresses.push(member.address.clone());
-            }
-        }
-        for address in addresses {
-            self.send(&address, request.clone());
-        }
-    }
-
-    /// The newest state doesn't name this member: it asks to join instead.
-    fn on_excluded(&mut self, now: Time, position: Position) {
-        self.excluded_at = Some(position);
-        self.role = Role::Follower;
-        self.incoming = None;
-        self.next_join_request_at = now;
-        self.outputs
-            .push(Output::Notice(Notice::Excluded { position }));
-    }
-
-    pub(super) fn on_pre_vote(&mut self, now: Time, from: &Member, epoch: Epoch) {
-        self.update_peer_address(from);
-        let Some(version) = self.version() else {
-            return;
-        };
-        // Not the counter: the epoch is chosen above all that the voters have promised.
-        let would_grant = !self.follows_confirmed_primary(now) && self.is_writable(now);
-        let response = Body::PreVoteResponse {
-            epoch,
-            would_grant,
-            promised: self.promised,
-            version,
-        };
-        self.send(&from.address, response);
-    }
-
-    pub(super) fn on_pre_vote_response(
-        &mut self,
-        now: Time,
-        from: Member,
-        epoch: Epoch,
-        would_grant: bool,
-        promised: Epoch,
-        version: ReplicaVersion,
-    ) {
-        let me = self.me.identity;
-        let accepted_position = self.accepted_position().unwrap_or_default();
-        let Role::PreCandidate(pre_vote) = &mut self.role else {
-            return;
-        };
-        if pre_vote.epoch != epoch {
-            return;
-        }
-        pre_vote.highest_promised = pre_vote.highest_promised.max(promised);
-        if would_grant {
-            let granted = &mut pre_vote.votes.granted;
-            granted.insert(from.identity, (from, version));
-            self.count_pre_votes(now);
-        } else if version.position > accepted_position && !version.membership.contains(me) {
-            self.on_excluded(now, version.position);
-        }
-    }
-
     pub(super) fn begin_election(&mut self, now: Time, above: Epoch, is_leadership_transfer: bool) {
         let epoch = self.next_epoch(above);
         let last_contact_age_us = self
@@ -328,34 +154,12 @@
         self.count_votes(now);
     }
 
-    fn count_votes(&mut self, now: Time) {
-        let Role::Candidate(election) = &self.role else {
-            return;
-        };
-        let (epoch, is_leadership_transfer) = (election.epoch, election.is_leadership_transfer);
-        let outcome = election
-            .votes
-            .outcome(self.me.identity, self.settings.faults);
-        match outcome {
-            None => {}
-            Some(VoteOutcome::Excluded(position)) => self.on_excluded(now, position),
-            Some(VoteOutcome::Pending(membership)) => {
-                let request = Body::Vote {
-                    epoch,
-                    is_leadership_transfer,
-                };
-                self.send_to_unasked(&membership, &request);
-            }
-            Some(VoteOutcome::Won(position, source)) => self.adopt(now, epoch, position, source),
-        }
-    }
-
     /// The votes are won: this member is elected once it has the newest state.
-    fn adopt(&mut self, now: Time, epoch: Epoch, position: Position, source: Member) {
+    pub(super) fn adopt(&mut self, now: Time, position: Position, source: Member) {
         let Role::Candidate(election) = &self.role else {
             return;
         };
-        let grants = election.votes.granted.len();
+        let (epoch, grants) = (election.epoch, election.votes.granted.len());
         let accepted = self.accepted.as_ref();
         match accepted.filter(|accepted| accepted.position == position) {
             Some(accepted) => {
@@ -383,70 +187,6 @@
         }
     }
 
-    pub(super) fn on_vote(
-        &mut self,
-        now: Time,
-        from: Member,
-        epoch: Epoch,
-        is_leadership_transfer: bool,
-    ) {
-        if from.identity != epoch.primary {
-            return;
-        }
-        let Some(version) = self.version_for_vote() else {
-            return;
-        };
-        if epoch < self.promised {
-            let promised = self.promised;
-            self.send(&from.address, Body::VoteRejected { epoch, promised });
-            return;
-        }
-        if epoch > self.promised {
-            let has_primary = self.follows_confirmed_primary(now) && !is_leadership_transfer;
-            if has_primary || !self.is_writable(now) {
-                return;
-            }
-            self.step_down(now, StepDownReason::HigherEpoch(epoch));
-            self.promise(now, epoch);
-            self.postpone_election(now);
-        }
-        if version.position.epoch < epoch {
-            self.pending_grants.retain(|grant| grant.epoch == epoch);
-            self.pending_grants.push(PendingGrant {
-                to: from.address,
-                epoch,
-                version,
-            });
-            self.send_pending_grants();
-        }
-    }
-
-    fn version_for_vote(&self) -> Option<ReplicaVersion> {
-        let empty = ReplicaVersion {
-            position: Position::default(),
-            membership: Membership::default(),
-        };
-        let empty_votes = self.settings.faults.has(Fault::EmptyDiskVotes);
-        self.version().or_else(|| empty_votes.then_some(empty))
-    }
-
-    /// Sends the votes whose promise is synced; those of epochs that a later promise overtook are
-    /// dropped.
-    pub(super) fn send_pending_grants(&mut self) {
-        let has_empty_disk = self.accepted.is_none();
-        for grant in std::mem::take(&mut self.pending_grants) {
-            if grant.epoch != self.promised {
-                continue;
-            }
-            if self.disk.synced_promise >= grant.epoch || has_empty_disk {
-                let (epoch, version) = (grant.epoch, grant.version);
-                self.send(&grant.to, Body::VoteGranted { epoch, version });
-            } else {
-                self.pending_grants.push(grant);
-            }
-        }
-    }
-
     pub(super) fn on_vote_granted(
         &mut self,
         now: Time,
--- a/decide/replication/src/replica/mod.rs
+++ b/decide/replication/src/replica/mod.rs
@@ -15,19 +15,24 @@
 mod leadership_transfer;
 mod leave;
 mod membership_change;
+mod pre_vote;
 mod primary;
 mod primary_state;
 mod queries;
 mod rounds;
 mod snapshot_transfer;
+mod vote_count;
+mod vote_grants;
 
 use std::collections::BTreeSet;
 
 use self::disk_writes::Disk;
-use self::election::{Election, PendingGrant, PreVote};
+use self::election::Election;
 use self::leave::Departure;
+use self::pre_vote::PreVote;
 use self::primary_state::{Primary, ReportedProgress};
 use self::snapshot_transfer::{CachedSnapshot, IncomingSnapshot};
+use self::vote_grants::PendingGrant;
 use crate::durable::{DurableItem, RecoverError, Recovered, Snapshot, Update};
 use crate::faults::Fault;
 use crate::membership::Membership;
--- /dev/null
+++ b/decide/replication/src/replica/vote_count.rs
@@ -0,0 +1,136 @@
+//! Counting of votes, the same in a pre-vote and in an election: whose votes have come, whom to ask
+//! next, and what the votes come to.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use super::{Replica, Role};
+use crate::faults::{Fault, Faults};
+use crate::membership::Membership;
+use crate::message::{Body, ReplicaVersion};
+use crate::output::{Notice, Output};
+use crate::state::ReplicatedState;
+use crate::types::{Epoch, Identity, Member, Position, Time};
+
+/// The members that voted, and the states that they have.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
+pub(super) struct VoteCount {
+    pub(super) requested: BTreeSet<Identity>,
+    pub(super) granted: BTreeMap<Identity, (Member, ReplicaVersion)>,
+}
+
+/// What the votes come to.
+pub(super) enum VoteOutcome {
+    /// The newest state doesn't name the candidate as a voter.
+    Excluded(Position),
+    /// Not yet a quorum of the membership of the newest state.
+    Pending(Membership),
+    /// A quorum; the newest state has this position, and this member has it.
+    Won(Position, Member),
+}
+
+impl VoteCount {
+    /// None before any vote was granted.
+    pub(super) fn outcome(&self, me: Identity, faults: Faults) -> Option<VoteOutcome> {
+        let order = |position: Position| {
+            if faults.has(Fault::NewestByNumber) {
+                (position.number, Epoch::default())
+            } else {
+                (0, position.epoch)
+            }
+        };
+        let key = |version: &ReplicaVersion| (order(version.position), version.position.number);
+        let (source, newest) = self
+            .granted
+            .values()
+            .max_by_key(|(_, version)| key(version))?;
+        let membership = &newest.membership;
+        if !membership.contains(me) {
+            return Some(VoteOutcome::Excluded(newest.position));
+        }
+        let present: BTreeSet<Identity> = self.granted.keys().copied().collect();
+        let is_half = faults.has(Fault::HalfIsQuorum) && membership.is_half(&present);
+        let outcome = if membership.is_quorum(&present) || is_half {
+            VoteOutcome::Won(newest.position, source.clone())
+        } else {
+            VoteOutcome::Pending(membership.clone())
+        };
+        Some(outcome)
+    }
+}
+
+impl<S: ReplicatedState> Replica<S> {
+    /// Goes on as the votes of a pre-vote or of an election say: to the next step once a quorum has
+    /// granted them, else with requests to the members that were not asked yet.
+    pub(super) fn count_votes(&mut self, now: Time) {
+        let Some((votes, request)) = self.vote_round() else {
+            return;
+        };
+        match votes.outcome(self.me.identity, self.settings.faults) {
+            None => {}
+            Some(VoteOutcome::Excluded(position)) => self.on_excluded(now, position),
+            Some(VoteOutcome::Pending(membership)) => self.send_to_unasked(&membership, &request),
+            Some(VoteOutcome::Won(position, source)) => self.on_votes_won(now, position, source),
+        }
+    }
+
+    /// The votes of the pre-vote or election that is under way, and the request for further ones.
+    fn vote_round(&self) -> Option<(&VoteCount, Body)> {
+        match &self.role {
+            Role::PreCandidate(pre_vote) => {
+                let epoch = pre_vote.epoch;
+                Some((&pre_vote.votes, Body::PreVote { epoch }))
+            }
+            Role::Candidate(election) => {
+                let request = Body::Vote {
+                    epoch: election.epoch,
+                    is_leadership_transfer: election.is_leadership_transfer,
+                };
+                Some((&election.votes, request))
+            }
+            Role::Follower | Role::Primary(_) => None,
+        }
+    }
+
+    fn on_votes_won(&mut self, now: Time, position: Position, source: Member) {
+        match &self.role {
+            Role::PreCandidate(pre_vote) => {
+                let above = pre_vote.highest_promised;
+                self.begin_election(now, above, false);
+            }
+            Role::Candidate(_) => self.adopt(now, position, source),
+            Role::Follower | Role::Primary(_) => {}
+        }
+    }
+
+    /// Sends a request to those of a membership that have not got one yet.
+    fn send_to_unasked(&mut self, membership: &Membership, request: &Body) {
+        let votes = match &mut self.role {
+            Role::PreCandidate(pre_vote) => &mut pre_vote.votes,
+            Role::Candidate(election) => &mut election.votes,
+            _ => return,
+        };
+        let mut addresses = Vec::new();
+        for member in membership
+            .all()
+            .filter(|member| member.identity != self.me.identity)
+        {
+            let is_open = !votes.granted.contains_key(&member.identity);
+            if is_open && votes.requested.insert(member.identity) {
+                addresses.push(member.address.clone());
+            }
+        }
+        for address in addresses {
+            self.send(&address, request.clone());
+        }
+    }
+
+    /// The newest state doesn't name this member: it asks to join instead.
+    pub(super) fn on_excluded(&mut self, now: Time, position: Position) {
+        self.excluded_at = Some(position);
+        self.role = Role::Follower;
+        self.incoming = None;
+        self.next_join_request_at = now;
+        self.outputs
+            .push(Output::Notice(Notice::Excluded { position }));
+    }
+}
