--- a/decide/registry/src/lib.rs
+++ b/decide/registry/src/lib.rs
@@ -4,7 +4,7 @@
 //! may arrive in any order, any number of times and by any way, and that all machines with the same
 //! updates have the same records (a state-based CRDT: records form a join semilattice); that an
 //! instance that is gone never returns; and that missing heartbeats alone never end a server. It is
-//! pure: time is an argument (microseconds of a monotonic clock).
+//! pure: time is an argument (`Time`, of a monotonic clock).
 //!
 //! - [`Heartbeat`]: what a server reports.
 //! - [`merge_record`], [`tombstone`], [`merge_pushed_record`]: how two records of one instance are
--- a/decide/registry/src/membership_leases.rs
+++ b/decide/registry/src/membership_leases.rs
@@ -1,5 +1,6 @@
 //! Membership of routers by leases.
 
+use lichenswitch_interface::{Micros, Time};
 use std::collections::BTreeMap;
 
 /// A process that holds a lease.
@@ -11,34 +12,34 @@
     pub node: String,
     /// Its zone.
     pub zone: String,
-    /// When it joined (microseconds).
-    pub joined_us: u64,
-    /// When it last renewed its lease (microseconds).
-    pub renewed_us: u64,
+    /// When it joined.
+    pub joined_at: Time,
+    /// When it last renewed its lease.
+    pub renewed_at: Time,
 }
 
 /// The members and their leases, by process.
 #[derive(Clone, Debug)]
 pub struct MembershipLeases {
-    lease_us: u64,
+    lease_duration: Micros,
     by_process: BTreeMap<u64, Member>,
 }
 
 impl MembershipLeases {
-    /// Without any member; a lease lasts so long (microseconds).
+    /// Without any member; a lease lasts so long.
     #[must_use]
-    pub fn new(lease_us: u64) -> MembershipLeases {
+    pub fn new(lease_duration: Micros) -> MembershipLeases {
         MembershipLeases {
-            lease_us,
+            lease_duration,
             by_process: BTreeMap::new(),
         }
     }
 
     /// A process has joined or renewed its lease; returns whether it is new. An earlier process of
     /// the same node is removed at once: a node runs one.
-    pub fn on_renewal(&mut self, now: u64, process: u64, node: &str, zone: &str) -> bool {
+    pub fn on_renewal(&mut self, now: Time, process: u64, node: &str, zone: &str) -> bool {
         if let Some(member) = self.by_process.get_mut(&process) {
-            member.renewed_us = member.renewed_us.max(now);
+            member.renewed_at = member.renewed_at.max(now);
             return false;
         }
         self.by_process.retain(|_, member| member.node != node);
@@ -46,8 +47,8 @@
             process,
             node: node.to_owned(),
             zone: zone.to_owned(),
-            joined_us: now,
-            renewed_us: now,
+            joined_at: now,
+            renewed_at: now,
         };
         self.by_process.insert(process, member);
         true
@@ -59,12 +60,12 @@
     }
 
     /// Removes and returns the members whose lease has expired.
-    pub fn tick(&mut self, now: u64) -> Vec<Member> {
-        let lease = self.lease_us;
+    pub fn tick(&mut self, now: Time) -> Vec<Member> {
+        let lease_duration = self.lease_duration;
         let expired: Vec<u64> = self
             .by_process
             .values()
-            .filter(|member| expires_at(member, lease) <= now)
+            .filter(|member| expires_at(member, lease_duration) <= now)
             .map(|member| member.process)
             .collect();
         expired
@@ -75,10 +76,10 @@
 
     /// When the next lease expires, unless it is renewed before.
     #[must_use]
-    pub fn next_wake(&self) -> Option<u64> {
+    pub fn next_wake(&self) -> Option<Time> {
         self.by_process
             .values()
-            .map(|member| expires_at(member, self.lease_us))
+            .map(|member| expires_at(member, self.lease_duration))
             .min()
     }
 
@@ -94,8 +95,8 @@
     }
 }
 
-fn expires_at(member: &Member, lease_us: u64) -> u64 {
-    member.renewed_us.saturating_add(lease_us)
+fn expires_at(member: &Member, lease_duration: Micros) -> Time {
+    member.renewed_at.plus(lease_duration)
 }
 
 #[cfg(test)]
--- a/decide/registry/src/membership_leases/tests.rs
+++ b/decide/registry/src/membership_leases/tests.rs
@@ -2,19 +2,22 @@
 
 use super::*;
 
-const LEASE: u64 = 2_000_000;
+const LEASE: Micros = 2_000_000;
 
 #[test]
 fn member_joins_renews_and_expires() {
     let mut members = MembershipLeases::new(LEASE);
     assert_eq!(members.next_wake(), None);
-    assert!(members.on_renewal(0, 1, "n1", "z"));
-    assert!(members.on_renewal(500_000, 2, "n2", "z"));
-    assert!(!members.on_renewal(1_000_000, 1, "n1", "z"));
-    assert_eq!((members.count(), members.next_wake()), (2, Some(2_500_000)));
-    assert!(members.tick(2_499_999).is_empty());
+    assert!(members.on_renewal(Time(0), 1, "n1", "z"));
+    assert!(members.on_renewal(Time(500_000), 2, "n2", "z"));
+    assert!(!members.on_renewal(Time(1_000_000), 1, "n1", "z"));
+    assert_eq!(
+        (members.count(), members.next_wake()),
+        (2, Some(Time(2_500_000)))
+    );
+    assert!(members.tick(Time(2_499_999)).is_empty());
     let expired: Vec<u64> = members
-        .tick(2_500_000)
+        .tick(Time(2_500_000))
         .iter()
         .map(|member| member.process)
         .collect();
@@ -23,18 +26,21 @@
     assert_eq!(
         (
             remaining.node.as_str(),
-            remaining.joined_us,
-            remaining.renewed_us
+            remaining.joined_at,
+            remaining.renewed_at
         ),
-        ("n1", 0, 1_000_000)
+        ("n1", Time(0), Time(1_000_000))
+    );
+    assert!(
+        members.on_renewal(Time(3_000_000), 2, "n2", "z"),
+        "it joins anew"
     );
-    assert!(members.on_renewal(3_000_000, 2, "n2", "z"), "it joins anew");
 }
 
 #[test]
 fn member_leaves_once() {
     let mut members = MembershipLeases::new(LEASE);
-    members.on_renewal(0, 1, "n1", "z");
+    members.on_renewal(Time(0), 1, "n1", "z");
     assert!(members.on_departed(1));
     assert!(!members.on_departed(1));
     assert_eq!(members.count(), 0);
@@ -43,9 +49,9 @@
 #[test]
 fn new_process_of_node_replaces_the_earlier_one() {
     let mut members = MembershipLeases::new(LEASE);
-    members.on_renewal(0, 1, "n1", "z");
-    members.on_renewal(0, 7, "n2", "z");
-    assert!(members.on_renewal(10, 2, "n1", "z"));
+    members.on_renewal(Time(0), 1, "n1", "z");
+    members.on_renewal(Time(0), 7, "n2", "z");
+    assert!(members.on_renewal(Time(10), 2, "n1", "z"));
     let processes: Vec<u64> = members.iter().map(|member| member.process).collect();
     assert_eq!(processes, [2, 7]);
 }
@@ -53,7 +59,7 @@
 #[test]
 fn delayed_renewal_does_not_shorten_lease() {
     let mut members = MembershipLeases::new(LEASE);
-    members.on_renewal(1_000, 1, "n1", "z");
-    members.on_renewal(500, 1, "n1", "z");
-    assert_eq!(members.next_wake(), Some(1_000 + LEASE));
+    members.on_renewal(Time(1_000), 1, "n1", "z");
+    members.on_renewal(Time(500), 1, "n1", "z");
+    assert_eq!(members.next_wake(), Some(Time(1_000).plus(LEASE)));
 }
--- a/decide/registry/src/table.rs
+++ b/decide/registry/src/table.rs
@@ -10,16 +10,20 @@
 use crate::heartbeat::Heartbeat;
 use crate::merge::{merge_record, normalized, tombstone};
 use crate::timing::{SNAPSHOT_TOMBSTONE_MAX_AGE_US, TICKS_PER_INTERVAL};
+use lichenswitch_interface::{Micros, Time};
 use lichenswitch_messages::{HeartbeatAge, ServerRecord, ServerState};
 use std::collections::{BTreeSet, HashMap};
 
+/// Microseconds in a millisecond, the unit of [`HeartbeatAge`].
+const MICROS_PER_MILLI: Micros = 1_000;
+
 /// A server, with when its last heartbeat came.
 #[derive(Clone, Debug)]
 struct Entry {
     record: ServerRecord,
     /// When its last heartbeat came, here or to a machine that reported so; of one that is gone,
     /// when that was learnt.
-    last_seen_us: u64,
+    last_seen_at: Time,
     /// Whether a heartbeat has come here since the last digest.
     is_due_in_digest: bool,
     /// Whether it is known only from the table that was stored before the start.
@@ -35,37 +39,36 @@
 /// The table of servers.
 #[derive(Clone, Debug)]
 pub struct Registry {
-    heartbeat_interval_us: u64,
+    heartbeat_interval: Micros,
     /// Since when this machine has run without a pause: earlier timeouts mean nothing.
-    resumed_at_us: u64,
-    last_tick_us: u64,
+    resumed_at: Time,
+    last_tick_at: Time,
     entries: HashMap<String, Entry>,
     /// Addresses at which there may be more than one live instance.
     contested_addresses: BTreeSet<String>,
 }
 
 impl Registry {
-    /// An empty table of a machine that starts now. Servers send heartbeats at this interval
-    /// (microseconds).
+    /// An empty table of a machine that starts now. Servers send heartbeats at this interval.
     #[must_use]
-    pub fn new(now: u64, heartbeat_interval_us: u64) -> Registry {
+    pub fn new(now: Time, heartbeat_interval: Micros) -> Registry {
         Registry {
-            heartbeat_interval_us: heartbeat_interval_us.max(1),
-            resumed_at_us: now,
-            last_tick_us: now,
+            heartbeat_interval: heartbeat_interval.max(1),
+            resumed_at: now,
+            last_tick_at: now,
             entries: HashMap::new(),
             contested_addresses: BTreeSet::new(),
         }
     }
 
-    /// Replaces the interval of heartbeats (microseconds).
-    pub fn set_interval(&mut self, heartbeat_interval_us: u64) {
-        self.heartbeat_interval_us = heartbeat_interval_us.max(1);
+    /// Replaces the interval of heartbeats.
+    pub fn set_interval(&mut self, heartbeat_interval: Micros) {
+        self.heartbeat_interval = heartbeat_interval.max(1);
     }
 
     /// A heartbeat has come here. One that is delayed, or of an instance that is gone, changes
     /// nothing.
-    pub fn on_heartbeat(&mut self, now: u64, instance: &str, heartbeat: &Heartbeat) -> Changes {
+    pub fn on_heartbeat(&mut self, now: Time, instance: &str, heartbeat: &Heartbeat) -> Changes {
         let update = heartbeat.record(instance);
         let is_current = self
             .entries
@@ -87,17 +90,17 @@
 
     /// A server has deregistered, whether it was draining before or not, and whether it is known or
     /// not.
-    pub fn on_deregister(&mut self, now: u64, instance: &str) -> Changes {
+    pub fn on_deregister(&mut self, now: Time, instance: &str) -> Changes {
         self.apply(now, &tombstone(instance))
     }
 
     /// Another control machine has sent a record.
-    pub fn merge(&mut self, now: u64, update: &ServerRecord) -> Changes {
+    pub fn merge(&mut self, now: Time, update: &ServerRecord) -> Changes {
         self.apply(now, update)
     }
 
     /// Another control machine has sent records.
-    pub fn merge_all(&mut self, now: u64, updates: &[ServerRecord]) -> Changes {
+    pub fn merge_all(&mut self, now: Time, updates: &[ServerRecord]) -> Changes {
         let mut changes = Changes::default();
         updates
             .iter()
@@ -109,7 +112,7 @@
     /// on, and its timeouts begin now unless its record is suspect; it is not sent to other control
     /// machines, which may have dropped it with reason. That a server was draining or gone applies
     /// in any case: an earlier heartbeat of it may still be under way.
-    pub fn restore_cached(&mut self, now: u64, records: &[ServerRecord]) -> Changes {
+    pub fn restore_cached(&mut self, now: Time, records: &[ServerRecord]) -> Changes {
         let mut changes = Changes::default();
         for record in records {
             match self.entries.get(&record.instance) {
@@ -124,10 +127,10 @@
     }
 
     /// Another control machine has reported from which servers heartbeats came.
-    pub fn merge_heartbeat_digest(&mut self, now: u64, digest: &[HeartbeatAge]) -> Changes {
+    pub fn merge_heartbeat_digest(&mut self, now: Time, digest: &[HeartbeatAge]) -> Changes {
         let mut changes = Changes::default();
         for heartbeat in digest {
-            let at = now.saturating_sub(u64::from(heartbeat.age_ms) * 1_000);
+            let at = now.minus(u64::from(heartbeat.age_ms) * MICROS_PER_MILLI);
             changes.append(self.record_heartbeat_at(now, at, &heartbeat.instance));
         }
         changes
@@ -135,7 +138,7 @@
 
     /// Resolves address conflicts, and applies the timeouts of servers and tombstones. To be called
     /// by [`Registry::next_wake`].
-    pub fn tick(&mut self, now: u64) -> Changes {
+    pub fn tick(&mut self, now: Time) -> Changes {
         self.detect_suspension(now);
         let mut changes = self.resolve_address_conflicts(now);
         self.expire(now, &mut changes);
@@ -145,9 +148,9 @@
 
     /// When to call [`Registry::tick`] next.
     #[must_use]
-    pub fn next_wake(&self) -> u64 {
-        self.last_tick_us
-            .saturating_add((self.heartbeat_interval_us / TICKS_PER_INTERVAL).max(1))
+    pub fn next_wake(&self) -> Time {
+        self.last_tick_at
+            .plus((self.heartbeat_interval / TICKS_PER_INTERVAL).max(1))
     }
 
     /// Servers that are known only from the table that was stored before the start, tombstones
@@ -167,11 +170,11 @@
     /// What a starting machine has to know: live servers, and tombstones of the last minute. Servers
     /// that are only [`Registry::cached_servers`] are no part of it.
     #[must_use]
-    pub fn snapshot(&self, now: u64) -> Vec<ServerRecord> {
+    pub fn snapshot(&self, now: Time) -> Vec<ServerRecord> {
         let is_included = |entry: &&Entry| {
             !entry.is_cached
                 && (entry.is_live()
-                    || now.saturating_sub(entry.last_seen_us) < SNAPSHOT_TOMBSTONE_MAX_AGE_US)
+                    || now.since(entry.last_seen_at) < SNAPSHOT_TOMBSTONE_MAX_AGE_US)
         };
         let mut records: Vec<_> = self
             .entries
@@ -185,7 +188,7 @@
 
     /// The last heartbeats of the servers whose heartbeats came here since the last digest, by
     /// instance.
-    pub fn take_heartbeat_digest(&mut self, now: u64) -> Vec<HeartbeatAge> {
+    pub fn take_heartbeat_digest(&mut self, now: Time) -> Vec<HeartbeatAge> {
         let mut digest = Vec::new();
         for (instance, entry) in self
             .entries
@@ -193,7 +196,7 @@
             .filter(|(_, entry)| entry.is_due_in_digest && entry.is_live())
         {
             entry.is_due_in_digest = false;
-            let age_ms = now.saturating_sub(entry.last_seen_us) / 1_000;
+            let age_ms = now.since(entry.last_seen_at) / MICROS_PER_MILLI;
             digest.push(HeartbeatAge {
                 instance: instance.clone(),
                 age_ms: u32::try_from(age_ms).unwrap_or(u32::MAX),
@@ -230,7 +233,7 @@
     }
 
     /// Merges an update.
-    fn apply(&mut self, now: u64, update: &ServerRecord) -> Changes {
+    fn apply(&mut self, now: Time, update: &ServerRecord) -> Changes {
         match self.entries.contains_key(&update.instance) {
             true => self.update_known(now, update),
             false => self.insert_new(now, update),
@@ -238,7 +241,7 @@
     }
 
     /// A server that becomes known by an update.
-    fn insert_new(&mut self, now: u64, update: &ServerRecord) -> Changes {
+    fn insert_new(&mut self, now: Time, update: &ServerRecord) -> Changes {
         let record = ServerRecord {
             is_suspect: false,
             ..normalized(update)
@@ -247,7 +250,7 @@
         changes.push_replicated(&record);
         self.insert(Entry {
             record,
-            last_seen_us: now,
+            last_seen_at: now,
             is_due_in_digest: false,
             is_cached: false,
         });
@@ -255,18 +258,18 @@
     }
 
     /// A server that was stored before the start: it may still serve, unless it was gone.
-    fn insert_cached(&mut self, now: u64, stored: &ServerRecord) -> Changes {
+    fn insert_cached(&mut self, now: Time, stored: &ServerRecord) -> Changes {
         let record = normalized(stored);
         let mut changes = Changes::default();
         changes.push_local(&record);
-        let elapsed_us = if record.is_suspect {
-            self.suspect_after_us()
+        let elapsed = if record.is_suspect {
+            self.suspect_after()
         } else {
             0
         };
         self.insert(Entry {
             record,
-            last_seen_us: now.saturating_sub(elapsed_us),
+            last_seen_at: now.minus(elapsed),
             is_due_in_digest: false,
             is_cached: true,
         });
@@ -283,7 +286,7 @@
 
     /// A newer update shows that a heartbeat came somewhere. Only what matters to others is sent on:
     /// a heartbeat that repeats the one before is not.
-    fn update_known(&mut self, now: u64, update: &ServerRecord) -> Changes {
+    fn update_known(&mut self, now: Time, update: &ServerRecord) -> Changes {
         let mut changes = Changes::default();
         let Some(entry) = self.entries.get_mut(&update.instance) else {
             return changes;
@@ -293,7 +296,7 @@
         if !merge_record(&mut entry.record, update) && !is_cached {
             return changes;
         }
-        entry.last_seen_us = entry.last_seen_us.max(now);
+        entry.last_seen_at = entry.last_seen_at.max(now);
         entry.record.is_suspect = false;
         if is_cached || is_update_for_peers(&before, &entry.record) {
             changes.push_replicated(&entry.record);
@@ -308,7 +311,7 @@
     }
 
     /// A heartbeat came here.
-    fn record_heartbeat(&mut self, now: u64, instance: &str) -> Changes {
+    fn record_heartbeat(&mut self, now: Time, instance: &str) -> Changes {
         match self
             .entries
             .get_mut(instance)
@@ -321,9 +324,9 @@
     }
 
     /// A heartbeat came at some time, here or elsewhere.
-    fn record_heartbeat_at(&mut self, now: u64, at: u64, instance: &str) -> Changes {
+    fn record_heartbeat_at(&mut self, now: Time, at: Time, instance: &str) -> Changes {
         let mut changes = Changes::default();
-        let suspect_after_us = self.suspect_after_us();
+        let suspect_after = self.suspect_after();
         let Some(entry) = self
             .entries
             .get_mut(instance)
@@ -331,9 +334,9 @@
         else {
             return changes;
         };
-        entry.last_seen_us = entry.last_seen_us.max(at);
+        entry.last_seen_at = entry.last_seen_at.max(at);
         entry.is_cached = false;
-        if entry.record.is_suspect && now.saturating_sub(entry.last_seen_us) < suspect_after_us {
+        if entry.record.is_suspect && now.since(entry.last_seen_at) < suspect_after {
             entry.record.is_suspect = false;
             changes.push_local(&entry.record);
         }
--- a/decide/registry/src/table/tests.rs
+++ b/decide/registry/src/table/tests.rs
@@ -9,10 +9,10 @@
 
 use super::*;
 
-const MS: u64 = 1_000;
-const SECOND: u64 = 1_000 * MS;
+const MS: Micros = 1_000;
+const SECOND: Micros = 1_000 * MS;
 /// When the table starts: no small number, so that a mistaken 0 shows.
-const START: u64 = 1_000 * SECOND;
+const START: Time = Time(1_000 * SECOND);
 
 fn heartbeat(address: &str, sequence_number: u64) -> Heartbeat {
     Heartbeat {
@@ -43,7 +43,7 @@
 }
 
 /// Ticks whenever the table is due, up to a time, and collects the changes.
-fn tick_until(table: &mut Registry, until: u64) -> Changes {
+fn tick_until(table: &mut Registry, until: Time) -> Changes {
     let mut changes = Changes::default();
     while table.next_wake() <= until {
         let now = table.next_wake();
--- a/decide/registry/src/table/tests/address_conflicts.rs
+++ b/decide/registry/src/table/tests/address_conflicts.rs
@@ -12,7 +12,7 @@
     table.on_heartbeat(START, "old", &heartbeat("a:1", 40));
     table.on_heartbeat(START, "older", &draining("a:1", 50));
     table.on_heartbeat(START, "elsewhere", &heartbeat("a:2", 40));
-    let changes = table.on_heartbeat(START + 100 * MS, "new", &heartbeat("a:1", 1));
+    let changes = table.on_heartbeat(START.plus(100 * MS), "new", &heartbeat("a:1", 1));
     assert_eq!(changes.updates_for_peers().len(), 3);
     assert_eq!(changes.updates_for_peers()[0].instance, "new");
     assert_eq!(state_of(&table, "old"), Some(ServerState::Gone));
@@ -21,7 +21,7 @@
     assert_eq!(state_of(&table, "elsewhere"), Some(ServerState::Ready));
     for late in [heartbeat("a:1", 41), heartbeat("a:1", 2)] {
         assert!(table
-            .on_heartbeat(START + 200 * MS, "old", &late)
+            .on_heartbeat(START.plus(200 * MS), "old", &late)
             .is_empty());
     }
     assert_eq!(state_of(&table, "new"), Some(ServerState::Ready));
@@ -31,9 +31,9 @@
 fn new_instance_with_higher_number_ends_one_without_heartbeats() {
     let mut table = table();
     table.on_heartbeat(START, "old", &heartbeat("a:1", 1));
-    tick_until(&mut table, START + ADDRESS_CONFLICT_INTERVALS * SECOND);
+    tick_until(&mut table, START.plus(ADDRESS_CONFLICT_INTERVALS * SECOND));
     table.on_heartbeat(
-        START + ADDRESS_CONFLICT_INTERVALS * SECOND,
+        START.plus(ADDRESS_CONFLICT_INTERVALS * SECOND),
         "new",
         &heartbeat("a:1", 6),
     );
@@ -46,20 +46,20 @@
 fn delayed_heartbeat_of_unknown_instance_does_not_end_owner_of_address() {
     let mut table = table();
     table.on_heartbeat(START, "owner", &heartbeat("a:1", 3));
-    table.on_heartbeat(START + 100 * MS, "ended", &heartbeat("a:1", 700));
+    table.on_heartbeat(START.plus(100 * MS), "ended", &heartbeat("a:1", 700));
     assert_eq!(state_of(&table, "owner"), Some(ServerState::Ready));
     for second in 1..=4 {
-        tick_until(&mut table, START + second * SECOND);
+        tick_until(&mut table, START.plus(second * SECOND));
         table.on_heartbeat(
-            START + second * SECOND,
+            START.plus(second * SECOND),
             "owner",
             &heartbeat("a:1", 3 + second),
         );
     }
-    let changes = tick_until(&mut table, START + 4 * SECOND + 250 * MS);
+    let changes = tick_until(&mut table, START.plus(4 * SECOND + 250 * MS));
     assert_eq!(changes.updates_for_peers(), [tombstone("ended")]);
     assert_eq!(state_of(&table, "owner"), Some(ServerState::Ready));
-    tick_until(&mut table, START + 8 * SECOND);
+    tick_until(&mut table, START.plus(8 * SECOND));
     assert_eq!(
         state_of(&table, "owner"),
         Some(ServerState::Ready),
@@ -72,11 +72,11 @@
 fn old_instance_without_heartbeats_ends_when_new_one_is_known_by_merge() {
     let mut table = table();
     table.on_heartbeat(START, "old", &heartbeat("a:1", 9));
-    table.merge(START + 500 * MS, &heartbeat("a:1", 1).record("new"));
+    table.merge(START.plus(500 * MS), &heartbeat("a:1", 1).record("new"));
     assert_eq!(state_of(&table, "old"), Some(ServerState::Ready));
     let mut changes = Changes::default();
     for tenth in 6..40 {
-        let now = START + tenth * 100 * MS;
+        let now = START.plus(tenth * 100 * MS);
         changes.append(tick_until(&mut table, now));
         changes.append(table.merge_heartbeat_digest(now, &[heartbeat_age("new", 50)]));
     }
@@ -89,6 +89,6 @@
     let mut table = table();
     table.merge(START, &heartbeat("a:1", 9).record("one"));
     table.merge(START, &heartbeat("a:1", 9).record("other"));
-    tick_until(&mut table, START + 30 * SECOND);
+    tick_until(&mut table, START.plus(30 * SECOND));
     assert_eq!(table.live().count(), 2);
 }
--- a/decide/registry/src/table/tests/heartbeats.rs
+++ b/decide/registry/src/table/tests/heartbeats.rs
@@ -14,7 +14,7 @@
         [heartbeat("a:1", 1).record("i")]
     );
     assert!(table
-        .on_heartbeat(START + SECOND, "i", &heartbeat("a:1", 2))
+        .on_heartbeat(START.plus(SECOND), "i", &heartbeat("a:1", 2))
         .is_empty());
     assert_eq!(
         table.record("i").map(|record| record.sequence_number),
@@ -26,7 +26,7 @@
     };
     assert_eq!(
         table
-            .on_heartbeat(START + SECOND, "i", &more)
+            .on_heartbeat(START.plus(SECOND), "i", &more)
             .updates_for_peers()
             .len(),
         1
@@ -42,7 +42,7 @@
     };
     assert_eq!(
         table
-            .on_heartbeat(START + SECOND, "i", &at(4, 500))
+            .on_heartbeat(START.plus(SECOND), "i", &at(4, 500))
             .updates_for_peers()
             .len(),
         1,
@@ -50,7 +50,7 @@
     );
     assert!(
         table
-            .on_heartbeat(START + SECOND, "i", &at(5, 100))
+            .on_heartbeat(START.plus(SECOND), "i", &at(5, 100))
             .is_empty(),
         "a warm-up that only runs down"
     );
@@ -80,14 +80,16 @@
         heartbeat("a:1", 99),
         draining("a:1", 100),
     ] {
-        assert!(table.on_heartbeat(START + SECOND, "i", &late).is_empty());
+        assert!(table
+            .on_heartbeat(START.plus(SECOND), "i", &late)
+            .is_empty());
     }
     assert!(table
         .merge(START, &heartbeat("a:1", 200).record("i"))
         .is_empty());
     assert!(table.on_deregister(START, "i").is_empty());
     assert_eq!(table.record("i"), Some(&tombstone("i")));
-    assert!(table.take_heartbeat_digest(START + SECOND).is_empty());
+    assert!(table.take_heartbeat_digest(START.plus(SECOND)).is_empty());
 }
 
 #[test]
--- a/decide/registry/src/table/tests/merging.rs
+++ b/decide/registry/src/table/tests/merging.rs
@@ -17,23 +17,23 @@
         full.on_heartbeat(START, &format!("i{n:02}"), &heartbeat(&format!("a:{n}"), 3));
     }
     full.on_deregister(START, "i07");
-    let mut empty = Registry::new(START + SECOND, SECOND);
-    empty.on_heartbeat(START + SECOND, "own", &heartbeat("a:own", 1));
-    let changes = empty.merge_all(START + SECOND, &full.snapshot(START + SECOND));
+    let mut empty = Registry::new(START.plus(SECOND), SECOND);
+    empty.on_heartbeat(START.plus(SECOND), "own", &heartbeat("a:own", 1));
+    let changes = empty.merge_all(START.plus(SECOND), &full.snapshot(START.plus(SECOND)));
     assert_eq!(
         (changes.updates_for_peers().len(), empty.live().count()),
         (50, 50)
     );
-    assert!(full.merge_all(START + SECOND, &[]).is_empty());
+    assert!(full.merge_all(START.plus(SECOND), &[]).is_empty());
     assert_eq!(full.live().count(), 49);
-    let back = full.merge_all(START + SECOND, &empty.snapshot(START + SECOND));
+    let back = full.merge_all(START.plus(SECOND), &empty.snapshot(START.plus(SECOND)));
     assert_eq!(
         back.updates_for_peers(),
         [heartbeat("a:own", 1).record("own")]
     );
     assert_eq!(
-        full.snapshot(START + SECOND),
-        empty.snapshot(START + SECOND)
+        full.snapshot(START.plus(SECOND)),
+        empty.snapshot(START.plus(SECOND))
     );
 }
 
@@ -130,7 +130,7 @@
         let (mut table, mut now) = (table(), START);
         let mut highest: HashMap<String, ServerState> = HashMap::new();
         updates.iter().all(|(record, heartbeat)| {
-            now += 100 * MS;
+            now = now.plus(100 * MS);
             let record = &record.0;
             match (heartbeat, record.state) {
                 (_, ServerState::Gone) => table.on_deregister(now, &record.instance),
--- a/decide/registry/src/table/tests/restored_records.rs
+++ b/decide/registry/src/table/tests/restored_records.rs
@@ -31,7 +31,7 @@
         "a gone instance stays gone"
     );
     assert_eq!(after.live().count(), 2);
-    let heartbeat_changes = after.on_heartbeat(START + SECOND, "a", &heartbeat("h:1", 8));
+    let heartbeat_changes = after.on_heartbeat(START.plus(SECOND), "a", &heartbeat("h:1", 8));
     assert_eq!(
         (
             heartbeat_changes.records.len(),
@@ -40,7 +40,7 @@
         (1, 1),
         "now it is an update for peers as well"
     );
-    tick_until(&mut after, START + 5 * SECOND + SECOND / 2);
+    tick_until(&mut after, START.plus(5 * SECOND + SECOND / 2));
     assert!(
         !is_suspect(&after, "a") && is_suspect(&after, "b"),
         "the one without a heartbeat since the start"
@@ -56,7 +56,7 @@
     };
     after.restore_cached(START, &[record]);
     assert!(is_suspect(&after, "a"));
-    let heartbeat_changes = after.on_heartbeat(START + SECOND, "a", &heartbeat("h:1", 8));
+    let heartbeat_changes = after.on_heartbeat(START.plus(SECOND), "a", &heartbeat("h:1", 8));
     assert_eq!(
         (
             heartbeat_changes.records.len(),
@@ -92,14 +92,14 @@
         ],
     );
     assert!(after.snapshot(START).is_empty());
-    after.on_heartbeat(START + SECOND, "a", &heartbeat("h:1", 8));
+    after.on_heartbeat(START.plus(SECOND), "a", &heartbeat("h:1", 8));
     let names = |records: Vec<ServerRecord>| {
         records
             .into_iter()
             .map(|record| record.instance)
             .collect::<Vec<_>>()
     };
-    assert_eq!(names(after.snapshot(START + SECOND)), ["a"]);
+    assert_eq!(names(after.snapshot(START.plus(SECOND))), ["a"]);
     assert_eq!(names(after.cached_servers()), ["b"]);
 }
 
@@ -108,7 +108,7 @@
     let mut after = table();
     let record = heartbeat("h:1", 7).record("a");
     after.restore_cached(START, &[record]);
-    let changes = tick_until(&mut after, START + 61 * SECOND);
+    let changes = tick_until(&mut after, START.plus(61 * SECOND));
     assert_eq!(changes.expired, ["a"]);
 }
 
@@ -119,11 +119,11 @@
     before.on_deregister(START, "a");
     let mut after = table();
     after.restore_cached(START, &before.snapshot(START));
-    after.on_heartbeat(START + SECOND, "a", &heartbeat("h:1", 6));
+    after.on_heartbeat(START.plus(SECOND), "a", &heartbeat("h:1", 6));
     assert_eq!(state_of(&after, "a"), Some(ServerState::Gone));
     assert_eq!(after.live().count(), 0);
     // It is dropped in the end, as any other.
-    tick_until(&mut after, START + 130 * SECOND);
+    tick_until(&mut after, START.plus(130 * SECOND));
     assert_eq!(state_of(&after, "a"), None);
 }
 
--- a/fleet/src/control/router_table.rs
+++ b/fleet/src/control/router_table.rs
@@ -70,7 +70,7 @@
     ) -> Vec<RouterMessage> {
         if self
             .members
-            .on_renewal(now.0, handshake.process, &handshake.node, &handshake.zone)
+            .on_renewal(now, handshake.process, &handshake.node, &handshake.zone)
         {
             log::info!(target: "control", node = handshake.node.as_str(), zone = handshake.zone.as_str(); "router connected");
         }
@@ -120,9 +120,9 @@
     pub(super) fn tick(&mut self, now: Time) {
         for router in self.connected.values() {
             self.members
-                .on_renewal(now.0, router.process, &router.node, &router.zone);
+                .on_renewal(now, router.process, &router.node, &router.zone);
         }
-        for member in self.members.tick(now.0) {
+        for member in self.members.tick(now) {
             log::info!(target: "control", node = member.node.as_str(); "router lease expired");
         }
     }
--- a/fleet/src/control/server_table.rs
+++ b/fleet/src/control/server_table.rs
@@ -14,7 +14,7 @@
 use super::pending_updates::{PendingAck, PendingUpdate, ReplicationOutcome, ReplicationTargets};
 use super::server_cache::{ServerCache, WriteNumber};
 use crate::settings::Settings;
-use lichenswitch_interface::Time;
+use lichenswitch_interface::{Micros, Time};
 use lichenswitch_messages::{HeartbeatAge, ServerRecord, ServerState};
 use lichenswitch_net::ConnId;
 use lichenswitch_registry::{Changes, Heartbeat, Registry};
@@ -78,7 +78,7 @@
             theirs.set_nonblocking(true)?;
             let (cache, records) =
                 ServerCache::open(environment.file_system(), directory, now, theirs);
-            servers.registry.restore_cached(now.0, &records);
+            servers.registry.restore_cached(now, &records);
             // Whether other machines have these records is not known yet.
             let departures = records.into_iter().filter(is_departure);
             servers
@@ -92,7 +92,7 @@
     /// A table without a disk.
     pub(super) fn new(settings: &Settings, now: Time) -> ServerTable {
         ServerTable {
-            registry: Registry::new(now.0, interval(settings)),
+            registry: Registry::new(now, interval(settings)),
             cache: None,
             started_at: now,
             has_complete_table: false,
@@ -127,7 +127,7 @@
         instance: &str,
         heartbeat: &Heartbeat,
     ) -> HeartbeatOutcome {
-        let changes = self.registry.on_heartbeat(now.0, instance, heartbeat);
+        let changes = self.registry.on_heartbeat(now, instance, heartbeat);
         self.on_update(caller, instance, changes)
     }
 
@@ -138,7 +138,7 @@
         caller: ConnId,
         instance: &str,
     ) -> HeartbeatOutcome {
-        let changes = self.registry.on_deregister(now.0, instance);
+        let changes = self.registry.on_deregister(now, instance);
         self.on_update(caller, instance, changes)
     }
 
@@ -198,7 +198,7 @@
         is_complete: bool,
         in_contact: bool,
     ) {
-        let changes = self.registry.merge_all(now.0, records);
+        let changes = self.registry.merge_all(now, records);
         self.record_departures(&changes, is_complete);
         self.changes.append(changes);
         self.has_complete_table |= is_complete && in_contact;
@@ -227,7 +227,7 @@
 
     /// Another control machine has sent records of an earlier start from its disk.
     pub(super) fn on_cached_servers(&mut self, now: Time, records: &[ServerRecord]) {
-        let changes = self.registry.restore_cached(now.0, records);
+        let changes = self.registry.restore_cached(now, records);
         self.record_departures(&changes, true);
         self.changes.append(changes);
     }
@@ -235,7 +235,7 @@
     /// Another control machine has sent the instances whose heartbeats it received. Returns whether
     /// one of them is unknown here.
     pub(super) fn on_heartbeat_digest(&mut self, now: Time, digest: &[HeartbeatAge]) -> bool {
-        let changes = self.registry.merge_heartbeat_digest(now.0, digest);
+        let changes = self.registry.merge_heartbeat_digest(now, digest);
         self.changes.append(changes);
         digest
             .iter()
@@ -365,10 +365,10 @@
         if let Some(cache) = &mut self.cache {
             cache.tick(now, || known_records(&self.registry, now));
         }
-        if self.registry.next_wake() > now.0 {
+        if self.registry.next_wake() > now {
             return;
         }
-        let changes = self.registry.tick(now.0);
+        let changes = self.registry.tick(now);
         let silent = || changes.records.iter().filter(|record| record.is_suspect);
         if let Some(first) = silent().next() {
             log::info!(target: "control", servers = silent().count(), first = first.instance.as_str(); "servers are suspect");
@@ -383,12 +383,12 @@
 
     /// Takes the instances whose heartbeats were received since the last take.
     pub(super) fn take_heartbeat_digest(&mut self, now: Time) -> Vec<HeartbeatAge> {
-        self.registry.take_heartbeat_digest(now.0)
+        self.registry.take_heartbeat_digest(now)
     }
 
     /// The complete table, without records that only the disk remembers.
     pub(super) fn snapshot(&self, now: Time) -> Vec<ServerRecord> {
-        self.registry.snapshot(now.0)
+        self.registry.snapshot(now)
     }
 
     /// Servers that are known only from the disk.
@@ -417,7 +417,7 @@
 
 /// The table, followed by the servers that only the disk remembers.
 fn known_records(registry: &Registry, now: Time) -> Vec<ServerRecord> {
-    let mut records = registry.snapshot(now.0);
+    let mut records = registry.snapshot(now);
     records.append(&mut registry.cached_servers());
     records
 }
@@ -427,14 +427,14 @@
     record.state != ServerState::Ready
 }
 
-fn interval(settings: &Settings) -> u64 {
+fn interval(settings: &Settings) -> Micros {
     u64::try_from(settings.heartbeat_interval.as_micros()).unwrap_or(u64::MAX)
 }
 
 /// A known record as an update.
 fn as_update(record: &ServerRecord) -> Changes {
-    let mut table = Registry::new(0, 1);
-    table.merge(0, record)
+    let mut table = Registry::new(Time::default(), 1);
+    table.merge(Time::default(), record)
 }
 
 #[cfg(test)]
