--- a/decide/quota/src/allowances/tenant.rs
+++ b/decide/quota/src/allowances/tenant.rs
@@ -42,6 +42,13 @@
     valid_until: Time,
 }
 
+/// An amount that was admitted.
+#[derive(Clone, Copy)]
+struct RecentAdmission {
+    admitted_at: Time,
+    amount: u64,
+}
+
 /// What a router knows of one tenant.
 pub(super) struct TenantAllowance<R> {
     unit: QuotaUnit,
@@ -50,8 +57,8 @@
     queue: VecDeque<QueuedRequest<R>>,
     in_flight: Option<InFlightLease>,
     last_denial: Option<LastDenial>,
-    /// When and how much was admitted within the last validity.
-    recent: VecDeque<(Time, u64)>,
+    /// What was admitted within the last validity.
+    recent: VecDeque<RecentAdmission>,
 }
 
 impl<R: Copy + PartialEq> TenantAllowance<R> {
@@ -83,7 +90,7 @@
         while self
             .recent
             .front()
-            .is_some_and(|(admitted_at, _)| now.since(*admitted_at) >= lease_validity)
+            .is_some_and(|admission| now.since(admission.admitted_at) >= lease_validity)
         {
             self.recent.pop_front();
         }
@@ -97,7 +104,7 @@
         deadline: Time,
     ) -> AdmissionOutcome {
         if let Some(valid_until) = self.use_surplus(amount) {
-            self.recent.push_back((now, amount));
+            self.record_admission(now, amount);
             return AdmissionOutcome::Admitted(valid_until);
         }
         if let Some(denial) = self
@@ -184,7 +191,7 @@
     fn prefetch_amount(&self) -> u64 {
         match self.recent.len() {
             0..MIN_REQUESTS_FOR_PREFETCH => 0,
-            _ => self.recent.iter().map(|(_, amount)| amount).sum(),
+            _ => self.recent.iter().map(|admission| admission.amount).sum(),
         }
     }
 
@@ -214,7 +221,7 @@
             };
             match (queued.request, outcome) {
                 (Some(_), AdmissionOutcome::Admitted(_)) => {
-                    self.recent.push_back((now, queued.amount))
+                    self.record_admission(now, queued.amount)
                 }
                 (None, AdmissionOutcome::Admitted(_)) => {
                     self.add_surplus(queued.amount, valid_until)
@@ -230,6 +237,13 @@
         decisions
     }
 
+    fn record_admission(&mut self, now: Time, amount: u64) {
+        self.recent.push_back(RecentAdmission {
+            admitted_at: now,
+            amount,
+        });
+    }
+
     fn record_denial(&mut self, now: Time, amount: u64, retry_after: Micros) {
         let min_amount = self
             .last_denial
@@ -304,7 +318,7 @@
         let has_no_recent = self
             .recent
             .back()
-            .is_none_or(|(admitted_at, _)| now.since(*admitted_at) >= self.lease_validity);
+            .is_none_or(|admission| now.since(admission.admitted_at) >= self.lease_validity);
         self.queue.is_empty() && self.in_flight.is_none() && has_no_surplus && has_no_recent
     }
 }
--- a/fleet/src/control/quota_handler.rs
+++ b/fleet/src/control/quota_handler.rs
@@ -9,13 +9,11 @@
 use super::peer_table::Peer;
 use super::quotas::{voters, LeaseRequestOrigin, Quotas};
 use crate::invariants::{self, Invariant};
-use lichenswitch_configuration::QuotaUnit;
+use crate::quota_messages;
 use lichenswitch_interface::Time;
-use lichenswitch_messages::{QuotaLeaseRequest, QuotaLeaseResponse, QuotaLeaseUnit, TenantMessage};
+use lichenswitch_messages::{QuotaLeaseRequest, QuotaLeaseResponse, TenantMessage};
 use lichenswitch_net::ConnId;
-use lichenswitch_quota::{
-    LeaseAction, LeaseContext, LeaseGrant, LeaseRequest, LeaseRequests, OwnerId,
-};
+use lichenswitch_quota::{LeaseAction, LeaseContext, LeaseGrant, LeaseRequests, OwnerId};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
@@ -85,7 +83,7 @@
             id: request.id,
         };
         let may_forward = request.may_forward;
-        let request = lease_request_from(request);
+        let request = quota_messages::requested_lease(request);
         if !may_forward {
             let grant = self
                 .quotas
@@ -102,11 +100,7 @@
         let Some(from) = self.owner_at(from) else {
             return;
         };
-        let grant = LeaseGrant {
-            granted_bits: response.granted_bits,
-            prefetch_amount: response.prefetch_amount,
-            retry_after_us: response.retry_after_us,
-        };
+        let grant = quota_messages::granted_lease(&response);
         self.update_lease_requests(|lease_requests, context| {
             lease_requests.on_response(now, from, response.id, grant, context)
         });
@@ -168,7 +162,7 @@
                     request,
                 } => {
                     if let Some(connection) = self.connection_to(to) {
-                        let request = lease_request_message(id, request, may_forward);
+                        let request = quota_messages::request_message(id, request, may_forward);
                         self.send_tenant_message(connection, &TenantMessage::LeaseRequest(request));
                     }
                 }
@@ -180,12 +174,7 @@
     }
 
     fn respond_to_lease_request(&mut self, origin: LeaseRequestOrigin, grant: LeaseGrant) {
-        let response = QuotaLeaseResponse {
-            id: origin.id,
-            granted_bits: grant.granted_bits,
-            prefetch_amount: grant.prefetch_amount,
-            retry_after_us: grant.retry_after_us,
-        };
+        let response = quota_messages::response_message(origin.id, grant);
         self.send_tenant_message(origin.connection, &TenantMessage::LeaseResponse(response));
     }
 
@@ -225,31 +214,3 @@
         self.peers.connection(address)
     }
 }
-
-fn lease_request_from(request: QuotaLeaseRequest) -> LeaseRequest {
-    let unit = match request.unit {
-        QuotaLeaseUnit::Requests => QuotaUnit::Requests,
-        QuotaLeaseUnit::Tokens => QuotaUnit::Tokens,
-    };
-    LeaseRequest {
-        tenant: request.tenant,
-        unit,
-        amounts: request.amounts,
-        prefetch_amount: request.prefetch_amount,
-    }
-}
-
-fn lease_request_message(id: u64, request: LeaseRequest, may_forward: bool) -> QuotaLeaseRequest {
-    let unit = match request.unit {
-        QuotaUnit::Requests => QuotaLeaseUnit::Requests,
-        QuotaUnit::Tokens => QuotaLeaseUnit::Tokens,
-    };
-    QuotaLeaseRequest {
-        id,
-        tenant: request.tenant,
-        unit,
-        amounts: request.amounts,
-        prefetch_amount: request.prefetch_amount,
-        may_forward,
-    }
-}
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -11,6 +11,7 @@
 pub mod envelopes;
 pub mod invariants;
 pub mod logging;
+mod quota_messages;
 pub mod router;
 pub mod settings;
 pub mod status;
--- a/fleet/src/router/handlers/quota.rs
+++ b/fleet/src/router/handlers/quota.rs
@@ -5,6 +5,7 @@
 //! to no server.
 
 use crate::invariants::{self, Invariant};
+use crate::quota_messages;
 use crate::router::admission::{quota_demand, Admission, QuotaWaiter};
 use crate::router::client_request::ClientRequest;
 use crate::router::configuration::ActiveConfiguration;
@@ -12,11 +13,11 @@
 use crate::router::rejection::RejectionReason;
 use crate::router::sender::{KeyDenial, Sender};
 use crate::router::state::Router;
-use lichenswitch_configuration::{KeyDigest, QuotaUnit};
+use lichenswitch_configuration::KeyDigest;
 use lichenswitch_interface::Micros;
-use lichenswitch_messages::{QuotaLeaseRequest, QuotaLeaseResponse, QuotaLeaseUnit, TenantMessage};
+use lichenswitch_messages::{QuotaLeaseResponse, TenantMessage};
 use lichenswitch_net::ConnId;
-use lichenswitch_quota::{AdmissionDecision, AdmissionOutcome, LeaseGrant, LeaseRequest};
+use lichenswitch_quota::{AdmissionDecision, AdmissionOutcome};
 use std::rc::Rc;
 
 /// A request may wait for its quota for the route's target latency divided by this: a client that is
@@ -132,7 +133,11 @@
         for (id, lease_request) in self.allowances.lease_requests(now) {
             self.control_link.send_tenant_message(
                 &mut self.net,
-                &TenantMessage::LeaseRequest(lease_request_message(id, lease_request)),
+                &TenantMessage::LeaseRequest(quota_messages::request_message(
+                    id,
+                    lease_request,
+                    true,
+                )),
             );
         }
     }
@@ -140,11 +145,7 @@
     /// A control machine has answered a quota lease request.
     pub(super) fn on_lease_response(&mut self, response: &QuotaLeaseResponse) {
         let now = self.net.clock.now();
-        let grant = LeaseGrant {
-            granted_bits: response.granted_bits,
-            prefetch_amount: response.prefetch_amount,
-            retry_after_us: response.retry_after_us,
-        };
+        let grant = quota_messages::granted_lease(response);
         let decisions = self.allowances.on_grant(now, response.id, grant);
         self.finish_queued_requests(decisions);
     }
@@ -205,25 +206,3 @@
         }
     }
 }
-
-/// The message that requests a quota lease.
-fn lease_request_message(id: u64, lease_request: LeaseRequest) -> QuotaLeaseRequest {
-    let LeaseRequest {
-        tenant,
-        unit,
-        amounts,
-        prefetch_amount,
-    } = lease_request;
-    let unit = match unit {
-        QuotaUnit::Requests => QuotaLeaseUnit::Requests,
-        QuotaUnit::Tokens => QuotaLeaseUnit::Tokens,
-    };
-    QuotaLeaseRequest {
-        id,
-        tenant,
-        unit,
-        amounts,
-        prefetch_amount,
-        may_forward: true,
-    }
-}
