--- a/fleet/src/router/client_connections/connection.rs
+++ b/fleet/src/router/client_connections/connection.rs
@@ -9,11 +9,14 @@
 #[derive(Debug)]
 pub(crate) enum ClientEvent {
     /// It has sent a complete request.
-    RequestReceived(ConnId, Box<ClientRequest>),
+    RequestReceived {
+        client: ConnId,
+        request: Box<ClientRequest>,
+    },
     /// It has disconnected, or can't be written to, before its request was answered.
-    Disconnected(ConnId),
+    Disconnected { client: ConnId },
     /// It has taken all that was written so far of a response that continues.
-    OutputDrained(ConnId),
+    OutputDrained { client: ConnId },
 }
 
 /// What a connection is in the middle of.
--- a/fleet/src/router/client_connections/reading.rs
+++ b/fleet/src/router/client_connections/reading.rs
@@ -31,7 +31,7 @@
             ConnectionPhase::Responding { .. } => {
                 self.limit_input_while_waiting(net, id);
                 if net.get(id).is_some_and(|conn| conn.flushed()) {
-                    events.push(ClientEvent::OutputDrained(id));
+                    events.push(ClientEvent::OutputDrained { client: id });
                 }
             }
             ConnectionPhase::Closing => self.close_if_flushed(net, id),
@@ -140,7 +140,10 @@
         if net.flush(id, false) != TransferProgress::Alive {
             return self.close(net, id);
         }
-        events.push(ClientEvent::RequestReceived(id, request));
+        events.push(ClientEvent::RequestReceived {
+            client: id,
+            request,
+        });
         self.limit_input_while_waiting(net, id);
     }
 
--- a/fleet/src/router/client_connections/table.rs
+++ b/fleet/src/router/client_connections/table.rs
@@ -141,7 +141,7 @@
             self.connections.get(&id).map(|connection| connection.phase),
             Some(ConnectionPhase::AwaitingResponse | ConnectionPhase::Responding { .. })
         ) {
-            events.push(ClientEvent::Disconnected(id));
+            events.push(ClientEvent::Disconnected { client: id });
         }
         self.close(net, id);
     }
--- a/fleet/src/router/handlers/dispatch.rs
+++ b/fleet/src/router/handlers/dispatch.rs
@@ -10,9 +10,18 @@
 use crate::router::request_table::{InFlightAttempt, RequestPhase, RequestState};
 use crate::router::sender::KeyDenial;
 use crate::router::server_connections::Attempt;
+use crate::router::services::ServiceCommand;
 use crate::router::state::Router;
 use lichenswitch_core::{Command, Dispatch, Reply};
-use lichenswitch_interface::{Outcome, QueryId, ServerId};
+use lichenswitch_interface::{Outcome, QueryId, ServerId, Time};
+
+/// Why an attempt is not started.
+enum AttemptRefusal {
+    /// Its request has ended or may have no further attempt, or its server is gone or leaving.
+    NotPossible,
+    /// The key of its request was revoked, or can't be checked.
+    KeyDenied(KeyDenial),
+}
 
 impl Router {
     /// Runs the decision module's turns that are due, and carries out its commands.
@@ -21,7 +30,7 @@
         if self.services.next_turn().is_none_or(|at| at > now) {
             return;
         }
-        for (service, command) in self.services.run_turns(now) {
+        for ServiceCommand { service, command } in self.services.run_turns(now) {
             match command {
                 Command::Send(server, dispatches) => {
                     for dispatch in dispatches {
@@ -59,36 +68,50 @@
         server: ServerId,
         dispatch: &Dispatch<RequestId>,
     ) {
-        let (now, id) = (self.net.clock.now(), *dispatch.job);
-        let attempt = AttemptId {
+        let times_out_at = self.net.clock.now().plus(dispatch.wait);
+        let id = AttemptId {
             service,
             number: dispatch.attempt,
         };
+        match self.prepare_attempt(id, server, *dispatch.job) {
+            Ok(attempt) => self.send_attempt(*dispatch.job, attempt, times_out_at),
+            Err(AttemptRefusal::NotPossible) => self.report_outcome(id, Outcome::NeverSent),
+            Err(AttemptRefusal::KeyDenied(denial)) => {
+                self.report_outcome(id, Outcome::NeverSent);
+                self.on_key_denied(*dispatch.job, denial);
+            }
+        }
+    }
+
+    /// An attempt at a server, with all that is to be sent, if the rules allow it.
+    fn prepare_attempt(
+        &mut self,
+        id: AttemptId,
+        server: ServerId,
+        request: RequestId,
+    ) -> Result<Attempt, AttemptRefusal> {
         let endpoint = self
             .servers
             .endpoint(server)
-            .filter(|endpoint| !endpoint.is_leaving);
+            .filter(|endpoint| !endpoint.is_leaving)
+            .ok_or(AttemptRefusal::NotPossible)?;
         let max_connections = self
             .services
-            .get_mut(service)
+            .get_mut(id.service)
             .map_or(1, |service| service.max_connections());
         let request = self
             .requests
-            .get(id)
-            .filter(|request| request.may_start_attempt());
-        let (Some(request), Some(endpoint)) = (request, endpoint) else {
-            return self.report_outcome(attempt, Outcome::NeverSent);
-        };
-        if let Err(denial) = self.check_sender(request.sender()) {
-            self.report_outcome(attempt, Outcome::NeverSent);
-            return self.on_key_denied(id, denial);
-        }
+            .get(request)
+            .filter(|request| request.may_start_attempt())
+            .ok_or(AttemptRefusal::NotPossible)?;
+        self.check_sender(request.sender())
+            .map_err(AttemptRefusal::KeyDenied)?;
         let resume_after = match &request.phase {
             RequestPhase::Resuming { last_event_id } => Some(last_event_id.clone()),
-            _ => None,
+            RequestPhase::Pending | RequestPhase::Relaying(_) => None,
         };
-        let new_attempt = Attempt {
-            id: attempt,
+        Ok(Attempt {
+            id,
             server,
             endpoint,
             request: request.client_request.clone(),
@@ -98,18 +121,20 @@
             resume_after,
             sender: request.sender.clone(),
             max_connections,
+        })
+    }
+
+    /// Records that an attempt is in flight, sets its timeout, and gives it to a connection.
+    fn send_attempt(&mut self, request: RequestId, attempt: Attempt, times_out_at: Time) {
+        let in_flight = InFlightAttempt {
+            id: attempt.id,
+            server: attempt.server,
         };
-        self.requests.on_attempt_started(
-            id,
-            InFlightAttempt {
-                id: attempt,
-                server,
-            },
-        );
+        self.requests.on_attempt_started(request, in_flight);
         self.net
             .wheel
-            .set(now.plus(dispatch.wait), Timer::AttemptTimeout(attempt));
-        self.connections.start(&mut self.net, new_attempt);
+            .set(times_out_at, Timer::AttemptTimeout(attempt.id));
+        self.connections.start(&mut self.net, attempt);
         self.schedule_backlog_report();
     }
 
--- a/fleet/src/router/handlers/intake.rs
+++ b/fleet/src/router/handlers/intake.rs
@@ -28,11 +28,11 @@
         while !self.client_events.is_empty() {
             for event in std::mem::take(&mut self.client_events) {
                 match event {
-                    ClientEvent::RequestReceived(client, request) => {
+                    ClientEvent::RequestReceived { client, request } => {
                         self.on_request_received(client, *request)
                     }
-                    ClientEvent::Disconnected(client) => self.on_client_disconnected(client),
-                    ClientEvent::OutputDrained(client) => self.on_client_output_drained(client),
+                    ClientEvent::Disconnected { client } => self.on_client_disconnected(client),
+                    ClientEvent::OutputDrained { client } => self.on_client_output_drained(client),
                 }
             }
         }
@@ -103,21 +103,21 @@
             prompt: request.prompt,
             deadline,
         };
-        let (query, class_index) =
-            core.submit(now, &route_request)
-                .map_err(|refusal| match refusal {
-                    Refusal::Busy(after) => RejectionReason::Unavailable(after),
-                    Refusal::Stopping | Refusal::Contract(_) => RejectionReason::RETRY_LATER,
-                    Refusal::Malformed(_) => RejectionReason::Malformed,
-                })?;
+        let submitted = core
+            .submit(now, &route_request)
+            .map_err(|refusal| match refusal {
+                Refusal::Busy(after) => RejectionReason::Unavailable(after),
+                Refusal::Stopping | Refusal::Contract(_) => RejectionReason::RETRY_LATER,
+                Refusal::Malformed(_) => RejectionReason::Malformed,
+            })?;
         self.requests.insert(RequestState {
             client,
             client_request: Rc::new(request),
             terms,
             service,
             sender,
-            core_query: Some(query),
-            class_index,
+            core_query: Some(submitted.query),
+            class_index: submitted.class_index,
             received_at: now,
             configuration_version,
             deadline,
--- a/fleet/src/router/handlers/relay.rs
+++ b/fleet/src/router/handlers/relay.rs
@@ -175,7 +175,7 @@
             prompt,
             deadline,
         };
-        let Some((query, class)) = service.submit_resumed(now, &route_request) else {
+        let Some(submitted) = service.submit_resumed(now, &route_request) else {
             return false;
         };
         service.on_stream_ended(server);
@@ -183,8 +183,11 @@
         let Some(request) = self.requests.get_mut(id) else {
             return false;
         };
-        service.release(std::mem::replace(&mut request.class_index, class));
-        request.core_query = Some(query);
+        service.release(std::mem::replace(
+            &mut request.class_index,
+            submitted.class_index,
+        ));
+        request.core_query = Some(submitted.query);
         true
     }
 
--- a/fleet/src/router/handlers/responses.rs
+++ b/fleet/src/router/handlers/responses.rs
@@ -15,13 +15,22 @@
     pub(super) fn handle_server_events(&mut self) {
         for event in self.connections.take_events() {
             match event {
-                ServerEvent::ResponseReceived(id, response) => {
-                    self.on_response_received(id, response)
+                ServerEvent::ResponseReceived { attempt, response } => {
+                    self.on_response_received(attempt, response)
+                }
+                ServerEvent::StreamStarted { attempt, start } => {
+                    self.on_stream_started(attempt, &start)
+                }
+                ServerEvent::ChunkReceived { attempt, chunk } => {
+                    self.on_chunk_received(attempt, chunk)
+                }
+                ServerEvent::StreamCompleted {
+                    attempt,
+                    last_bytes,
+                } => self.on_stream_completed(attempt, &last_bytes),
+                ServerEvent::AttemptFailed { attempt, outcome } => {
+                    self.on_attempt_failed(attempt, outcome)
                 }
-                ServerEvent::StreamStarted(id, start) => self.on_stream_started(id, &start),
-                ServerEvent::ChunkReceived(id, chunk) => self.on_chunk_received(id, chunk),
-                ServerEvent::StreamCompleted(id, rest) => self.on_stream_completed(id, &rest),
-                ServerEvent::AttemptFailed(id, outcome) => self.on_attempt_failed(id, outcome),
             }
         }
     }
--- a/fleet/src/router/server_connections/attempt.rs
+++ b/fleet/src/router/server_connections/attempt.rs
@@ -60,13 +60,28 @@
 #[derive(Debug)]
 pub(crate) enum ServerEvent {
     /// Its response is complete, and nothing of it was forwarded before.
-    ResponseReceived(AttemptId, BufferedResponse),
+    ResponseReceived {
+        attempt: AttemptId,
+        response: BufferedResponse,
+    },
     /// Its response is forwarded as it arrives from now on.
-    StreamStarted(AttemptId, Box<StreamStart>),
+    StreamStarted {
+        attempt: AttemptId,
+        start: Box<StreamStart>,
+    },
     /// The next chunk of a forwarded response.
-    ChunkReceived(AttemptId, BodyChunk),
+    ChunkReceived {
+        attempt: AttemptId,
+        chunk: BodyChunk,
+    },
     /// A forwarded response is complete, with these last bytes.
-    StreamCompleted(AttemptId, Vec<u8>),
+    StreamCompleted {
+        attempt: AttemptId,
+        last_bytes: Vec<u8>,
+    },
     /// It ended without a complete response.
-    AttemptFailed(AttemptId, Outcome),
+    AttemptFailed {
+        attempt: AttemptId,
+        outcome: Outcome,
+    },
 }
--- a/fleet/src/router/server_connections/in_flight.rs
+++ b/fleet/src/router/server_connections/in_flight.rs
@@ -80,13 +80,13 @@
     }
 
     fn take_body(&mut self, bytes: &[u8]) -> ReadOutcome {
-        let id = self.attempt.id;
+        let attempt = self.attempt.id;
         match &mut self.body {
             BodyMode::AwaitingHead => ReadOutcome::Mismatch,
-            BodyMode::Forwarded => ReadOutcome::Event(ServerEvent::ChunkReceived(
-                id,
-                body_chunk(bytes.to_vec(), None),
-            )),
+            BodyMode::Forwarded => ReadOutcome::Event(ServerEvent::ChunkReceived {
+                attempt,
+                chunk: body_chunk(bytes.to_vec(), None),
+            }),
             BodyMode::Buffered(_, body) => {
                 body.extend_from_slice(bytes);
                 if body.len() <= MAX_BUFFERED_BODY_BYTES {
@@ -98,7 +98,7 @@
                     return ReadOutcome::Mismatch;
                 };
                 ReadOutcome::Event(stream_started(
-                    id,
+                    attempt,
                     *head,
                     self.reader.content_length(),
                     body_chunk(body, None),
@@ -120,22 +120,25 @@
                 let chunk = body_chunk(scanner.complete().to_vec(), scanner.last_event_id());
                 scanner.advance(complete_bytes);
                 ReadOutcome::Event(match head.take() {
-                    Some(head) => stream_started(id, *head, None, chunk),
-                    None => ServerEvent::ChunkReceived(id, chunk),
+                    Some(head) => stream_started(attempt, *head, None, chunk),
+                    None => ServerEvent::ChunkReceived { attempt, chunk },
                 })
             }
         }
     }
 
     fn take_end(&mut self) -> ReadOutcome {
-        let id = self.attempt.id;
+        let attempt = self.attempt.id;
         match std::mem::replace(&mut self.body, BodyMode::Forwarded) {
             BodyMode::AwaitingHead => ReadOutcome::Mismatch,
-            BodyMode::Forwarded => ReadOutcome::Final(ServerEvent::StreamCompleted(id, Vec::new())),
-            BodyMode::Buffered(head, body) => ReadOutcome::Final(ServerEvent::ResponseReceived(
-                id,
-                BufferedResponse { head: *head, body },
-            )),
+            BodyMode::Forwarded => ReadOutcome::Final(ServerEvent::StreamCompleted {
+                attempt,
+                last_bytes: Vec::new(),
+            }),
+            BodyMode::Buffered(head, body) => ReadOutcome::Final(ServerEvent::ResponseReceived {
+                attempt,
+                response: BufferedResponse { head: *head, body },
+            }),
             // Without framing the end of the connection is the end of the response: a server that
             // breaks off in the middle of an event looks the same.
             BodyMode::Events(_, scanner)
@@ -144,23 +147,24 @@
                 ReadOutcome::Mismatch
             }
             BodyMode::Events(Some(head), scanner) => {
-                ReadOutcome::Final(ServerEvent::ResponseReceived(
-                    id,
-                    BufferedResponse {
+                ReadOutcome::Final(ServerEvent::ResponseReceived {
+                    attempt,
+                    response: BufferedResponse {
                         head: *head,
                         body: remaining_bytes(&scanner),
                     },
-                ))
-            }
-            BodyMode::Events(None, scanner) => {
-                ReadOutcome::Final(ServerEvent::StreamCompleted(id, remaining_bytes(&scanner)))
+                })
             }
+            BodyMode::Events(None, scanner) => ReadOutcome::Final(ServerEvent::StreamCompleted {
+                attempt,
+                last_bytes: remaining_bytes(&scanner),
+            }),
         }
     }
 }
 
 fn stream_started(
-    id: AttemptId,
+    attempt: AttemptId,
     head: ResponseHead,
     content_length: Option<u64>,
     first_chunk: BodyChunk,
@@ -170,7 +174,10 @@
         content_length,
         first_chunk,
     };
-    ServerEvent::StreamStarted(id, Box::new(start))
+    ServerEvent::StreamStarted {
+        attempt,
+        start: Box::new(start),
+    }
 }
 
 fn body_chunk(bytes: Vec<u8>, last_event_id: Option<&[u8]>) -> BodyChunk {
--- a/fleet/src/router/server_connections/table.rs
+++ b/fleet/src/router/server_connections/table.rs
@@ -68,7 +68,10 @@
     /// Reports that an attempt ended without a complete response.
     pub(super) fn report_failure(&mut self, id: AttemptId, outcome: Outcome) {
         self.by_attempt.remove(&id);
-        self.events.push(ServerEvent::AttemptFailed(id, outcome));
+        self.events.push(ServerEvent::AttemptFailed {
+            attempt: id,
+            outcome,
+        });
     }
 
     /// Removes an attempt from the queue; `false` if it was not queued.
--- a/fleet/src/router/service.rs
+++ b/fleet/src/router/service.rs
@@ -70,6 +70,15 @@
     pub deadline: Time,
 }
 
+/// A request that the core has accepted.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct SubmittedQuery {
+    /// Its query.
+    pub query: QueryId,
+    /// Its class, to be released with [`Service::release`].
+    pub class_index: u16,
+}
+
 impl Service {
     /// A service with these servers.
     #[must_use]
@@ -152,7 +161,7 @@
         &mut self,
         now: Time,
         route_request: &RouteRequest<'_>,
-    ) -> Result<(QueryId, u16), Refusal> {
+    ) -> Result<SubmittedQuery, Refusal> {
         let (index, is_new) = self.classes.index_of(route_request.terms);
         if is_new {
             self.push_classes();
@@ -175,7 +184,7 @@
         self.classes.acquire(index);
         self.queries.insert(query, route_request.request_id);
         self.resume_budget.on_request(now);
-        Ok((query, class_index))
+        Ok(SubmittedQuery { query, class_index })
     }
 
     /// Submits a stream that is to be resumed, if the budget allows it.
@@ -183,7 +192,7 @@
         &mut self,
         now: Time,
         route_request: &RouteRequest<'_>,
-    ) -> Option<(QueryId, u16)> {
+    ) -> Option<SubmittedQuery> {
         match self.resume_budget.try_take(now) {
             true => self.submit(now, route_request).ok(),
             false => None,
--- a/fleet/src/router/services.rs
+++ b/fleet/src/router/services.rs
@@ -11,6 +11,12 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
+/// A command of the core of a service.
+pub(crate) struct ServiceCommand {
+    pub service: ServiceId,
+    pub command: Command<RequestId>,
+}
+
 /// The services.
 pub(crate) struct Services {
     services: BTreeMap<ServiceId, Service>,
@@ -136,14 +142,17 @@
     }
 
     /// Runs the decision turns that are due; returns the core's commands.
-    pub(crate) fn run_turns(&mut self, now: Time) -> Vec<(ServiceId, Command<RequestId>)> {
+    pub(crate) fn run_turns(&mut self, now: Time) -> Vec<ServiceCommand> {
         let mut commands = Vec::new();
         for (id, service) in &mut self.services {
             commands.extend(
                 service
                     .run_turn(now)
                     .into_iter()
-                    .map(|command| (*id, command)),
+                    .map(|command| ServiceCommand {
+                        service: *id,
+                        command,
+                    }),
             );
         }
         commands
