--- a/decide/descriptors/src/tests.rs
+++ b/decide/descriptors/src/tests.rs
@@ -12,7 +12,7 @@
 }
 
 /// Opens connections until one is denied.
-fn fill(shares: &mut Shares, side: Side) -> usize {
+fn fill(shares: &mut DescriptorShares, side: Side) -> usize {
     let mut opened = 0;
     while matches!(shares.may_open(side), Verdict::Open(_)) {
         shares.on_opened(side);
@@ -21,9 +21,9 @@
     opened
 }
 
-fn shares(nodes: usize, descriptors: usize) -> Shares {
-    let mut shares = Shares::new(descriptors);
-    shares.on_listed(nodes);
+fn shares(nodes: usize, descriptors: usize) -> DescriptorShares {
+    let mut shares = DescriptorShares::new(descriptors);
+    shares.set_listed_nodes(nodes);
     shares
 }
 
@@ -31,22 +31,24 @@
 fn greedy_clients_leave_nodes_their_share_and_discovery_its_reserve() {
     for (nodes, descriptors) in sizes() {
         let mut shares = shares(nodes, descriptors);
-        let all = descriptors - DISCOVERY;
+        let all = descriptors - DISCOVERY_RESERVE;
         let clients = fill(&mut shares, Side::Clients);
-        assert_eq!(clients, shares.of_clients());
+        assert_eq!(clients, shares.client_share());
         assert!(
             clients >= all / 2,
             "{nodes} nodes, {descriptors}: clients get {clients}"
         );
         let open = fill(&mut shares, Side::Nodes);
-        assert_eq!(open, shares.of_nodes(), "{nodes} nodes, {descriptors}");
-        let wanted = (nodes + nodes / 4 + 8).min(all / 2).min(nodes * LINKS);
+        assert_eq!(open, shares.node_share(), "{nodes} nodes, {descriptors}");
+        let wanted = (nodes + nodes / 4 + 8)
+            .min(all / 2)
+            .min(nodes * MAX_CONNECTIONS_PER_NODE);
         assert!(
             open >= wanted,
             "{nodes} nodes, {descriptors}: {open} of {wanted}"
         );
-        assert_eq!(fill(&mut shares, Side::Discovery), DISCOVERY);
-        assert!(clients + open + DISCOVERY <= descriptors);
+        assert_eq!(fill(&mut shares, Side::Discovery), DISCOVERY_RESERVE);
+        assert!(clients + open + DISCOVERY_RESERVE <= descriptors);
     }
 }
 
@@ -55,27 +57,34 @@
     for (nodes, descriptors) in sizes() {
         let mut shares = shares(nodes, descriptors);
         let open = fill(&mut shares, Side::Nodes);
-        let kept = shares.of_clients() - shares.owed();
+        let kept = shares.client_share() - shares.reclaimable_connections();
         assert!(
-            open >= shares.of_nodes()
-                && kept >= (shares.of_clients() / RESERVED_SHARE_DIVISOR).max(1)
+            open >= shares.node_share()
+                && kept >= (shares.client_share() / RESERVED_SHARE_DIVISOR).max(1)
         );
         assert_eq!(fill(&mut shares, Side::Clients), kept, "these come at once");
         match shares.may_open(Side::Clients) {
-            Verdict::Instead(Reason::Borrowed(..)) => assert!(shares.owed() > 0),
-            Verdict::Wait(Reason::Full(..)) => assert_eq!(shares.owed(), 0),
+            Verdict::ReplaceIdle(Reason::Borrowed { .. }) => {
+                assert!(shares.reclaimable_connections() > 0)
+            }
+            Verdict::Wait(Reason::ShareFull { .. }) => {
+                assert_eq!(shares.reclaimable_connections(), 0)
+            }
             other => panic!("{nodes} nodes, {descriptors}: {other:?}"),
         }
         // What falls idle goes to clients until they have their share, and never to data nodes.
-        while shares.owed() > 0 {
+        while shares.reclaimable_connections() > 0 {
             shares.on_closed(Side::Nodes);
             assert!(!matches!(shares.may_open(Side::Nodes), Verdict::Open(_)));
             assert!(matches!(shares.may_open(Side::Clients), Verdict::Open(_)));
             shares.on_opened(Side::Clients);
         }
-        assert_eq!(shares.clients, shares.of_clients());
+        assert_eq!(shares.open_clients, shares.client_share());
         assert!(matches!(shares.may_open(Side::Clients), Verdict::Wait(_)));
-        assert!(matches!(shares.may_open(Side::Nodes), Verdict::Instead(_)));
+        assert!(matches!(
+            shares.may_open(Side::Nodes),
+            Verdict::ReplaceIdle(_)
+        ));
     }
 }
 
@@ -87,20 +96,26 @@
         638 - 48,
         "three nodes can use 48 connections"
     );
-    shares.on_listed(184);
-    assert_eq!((shares.of_nodes(), shares.of_clients()), (238, 400));
+    shares.set_listed_nodes(184);
+    assert_eq!((shares.node_share(), shares.client_share()), (238, 400));
     assert!(
-        shares.crowd() >= 590 - 400,
+        shares.excess_client_connections() >= 590 - 400,
         "what is beyond the share of now is too much"
     );
     assert_eq!(fill(&mut shares, Side::Nodes), 48, "what is free is theirs");
     assert!(matches!(
         shares.may_open(Side::Nodes),
-        Verdict::Instead(Reason::Borrowed(638, 638))
+        Verdict::ReplaceIdle(Reason::Borrowed {
+            open: 638,
+            total: 638
+        })
     ));
     assert!(matches!(
         shares.may_open(Side::Clients),
-        Verdict::Wait(Reason::Full(590, 400))
+        Verdict::Wait(Reason::ShareFull {
+            open: 590,
+            share: 400
+        })
     ));
     for _ in 0..190 {
         shares.on_closed(Side::Clients);
@@ -112,14 +127,14 @@
 #[test]
 fn node_capacity_is_the_largest_count_within_the_share() {
     for descriptors in [64, 256, 568, 1_024, 4_096] {
-        let most = shares(1, descriptors).bears();
+        let most = shares(1, descriptors).node_capacity();
         let fits = |nodes| {
             let shares = shares(nodes, descriptors);
-            shares.of_nodes() >= nodes + nodes / BESIDE_PART + BESIDE
+            shares.node_share() >= nodes + nodes / SPARE_CONNECTIONS_DIVISOR + MIN_SPARE_CONNECTIONS
         };
         assert!(fits(most) && !fits(most + 1), "{descriptors}: {most}");
     }
-    let table = [64, 568, 1_024, 4_096].map(|d| shares(1, d).bears());
+    let table = [64, 568, 1_024, 4_096].map(|d| shares(1, d).node_capacity());
     assert_eq!(
         table,
         [19, 220, 403, 1_631],
@@ -131,22 +146,25 @@
 fn processes_share_descriptors_equally_and_return_the_excess() {
     let mut shares = shares(10, 362);
     assert_eq!(fill(&mut shares, Side::Clients), 270);
-    shares.on_processes(2);
-    assert_eq!((shares.of_nodes(), shares.of_clients()), (45, 135));
+    shares.set_process_count(2);
+    assert_eq!((shares.node_share(), shares.client_share()), (45, 135));
     assert!(matches!(
         shares.may_open(Side::Clients),
-        Verdict::Wait(Reason::Full(270, 135))
+        Verdict::Wait(Reason::ShareFull {
+            open: 270,
+            share: 135
+        })
     ));
     assert!(
-        matches!(shares.may_open(Side::Nodes), Verdict::Instead(_)),
+        matches!(shares.may_open(Side::Nodes), Verdict::ReplaceIdle(_)),
         "clients hold it, and leave it in time"
     );
     assert!(
         matches!(shares.may_open(Side::Discovery), Verdict::Open(_)),
         "discovery has its place all the same"
     );
-    assert!(shares.crowd() >= 135);
-    shares.on_processes(1);
-    assert_eq!((shares.of_nodes(), shares.of_clients()), (90, 270));
+    assert!(shares.excess_client_connections() >= 135);
+    shares.set_process_count(1);
+    assert_eq!((shares.node_share(), shares.client_share()), (90, 270));
     assert_eq!(fill(&mut shares, Side::Nodes), 90);
 }
--- a/src/management/handle.rs
+++ b/src/management/handle.rs
@@ -8,7 +8,7 @@
 use super::thread::{reserved_descriptors, ManagementThread, OWN_DESCRIPTORS};
 use super::warnings::warn_or;
 use crate::config::Platform;
-use crate::decide::descriptors::DISCOVERY;
+use crate::decide::descriptors::DISCOVERY_RESERVE;
 use crate::interface::{Micros, Time};
 use crate::net::{Clock, Net};
 use lichenswitch_management::health::HealthStatus;
@@ -70,7 +70,7 @@
         let callers = reserved_descriptors(platform.sockets) - OWN_DESCRIPTORS;
         // Of all connections a part is reserved for servers and discovery, of which there are none
         // here.
-        let net = Net::of_connections(callers * 3 / 2 + DISCOVERY + 2)?;
+        let net = Net::of_connections(callers * 3 / 2 + DISCOVERY_RESERVE + 2)?;
         let mut worker = ManagementThread::new(
             now,
             shared.clone(),
--- a/src/upstream/sending.rs
+++ b/src/upstream/sending.rs
@@ -3,7 +3,7 @@
 use super::link::{Call, Greeting, InFlightPart, Link};
 use super::{Ended, NoConnection, Parked, Pool, Wire, MAX_DESCRIPTOR_WAIT, SHORTAGE_LOG_INTERVAL};
 use crate::core::Dispatch;
-use crate::decide::descriptors::LINKS;
+use crate::decide::descriptors::MAX_CONNECTIONS_PER_NODE;
 use crate::interface::{Outcome, ServerId, Time};
 use crate::net::{ConnId, ConnectError, Net, Timer, TransferProgress};
 use std::collections::VecDeque;
@@ -238,7 +238,7 @@
         if let Some(&id) = open.clone().find(up).or_else(|| open.next()) {
             return Ok(id);
         }
-        let mut connected = match known.len() < LINKS {
+        let mut connected = match known.len() < MAX_CONNECTIONS_PER_NODE {
             true => net.connect(W::OWNER, address),
             false => Err(ConnectError::Failed(std::io::Error::other(
                 "too many connections to it",
--- a/wire/net/src/connections.rs
+++ b/wire/net/src/connections.rs
@@ -28,10 +28,12 @@
             Verdict::Open(_) => self
                 .open(owner, address)
                 .map_err(|e| match e.raw_os_error() {
-                    Some(EMFILE | ENFILE) => ConnectError::NoDescriptor(Reason::System),
+                    Some(EMFILE | ENFILE) => ConnectError::NoDescriptor(Reason::SystemLimit),
                     _ => ConnectError::Failed(e),
                 }),
-            Verdict::Instead(why) | Verdict::Wait(why) => Err(ConnectError::NoDescriptor(why)),
+            Verdict::ReplaceIdle(reason) | Verdict::Wait(reason) => {
+                Err(ConnectError::NoDescriptor(reason))
+            }
         }
     }
 
--- a/wire/net/src/lib.rs
+++ b/wire/net/src/lib.rs
@@ -13,7 +13,7 @@
 pub mod wheel;
 
 use buffer::Buffer;
-use lichenswitch_descriptors::{Reason, Shares, Side, Verdict};
+use lichenswitch_descriptors::{DescriptorShares, Reason, Side, Verdict};
 use lichenswitch_interface::Time;
 use polling::{Event, PollMode, Poller};
 use socket2::SockRef;
@@ -228,7 +228,7 @@
     free: Vec<usize>,
     next: usize,
     /// Who may open connections, and how many are open.
-    shares: Shares,
+    shares: DescriptorShares,
     /// In the order of their keys; `None`: closed.
     listeners: Vec<(P::Owner, Option<TcpListener>)>,
     /// Accepting rests until a client's connection is given back.
@@ -261,7 +261,7 @@
             slots: Vec::new(),
             free: Vec::new(),
             next: 1,
-            shares: Shares::new(most),
+            shares: DescriptorShares::new(most),
             listeners: Vec::new(),
             is_accept_paused: false,
             signals: Vec::new(),
@@ -337,25 +337,25 @@
 
     /// Sets so many descriptors aside for other brokers, in each direction.
     pub fn reserve_for_peers(&mut self, each: usize) {
-        self.shares.on_peers(each);
+        self.shares.reserve_for_peers(each);
     }
 
     /// So many processes of this broker run side by side now: descriptors are shared by them.
     pub fn share_with_processes(&mut self, processes: u32) {
-        self.shares.on_processes(processes);
+        self.shares.set_process_count(processes);
         self.resume_accepting();
     }
 
     /// So many data nodes are listed now, by all services: what is set aside for them follows.
     pub fn set_listed_nodes(&mut self, nodes: usize) {
-        self.shares.on_listed(nodes);
+        self.shares.set_listed_nodes(nodes);
         self.resume_accepting();
     }
 
     /// How many data nodes the descriptors bear, whatever clients hold.
     #[must_use]
     pub fn node_capacity(&self) -> usize {
-        self.shares.bears()
+        self.shares.node_capacity()
     }
 
     fn may_open(&self, side: Side) -> bool {
@@ -366,7 +366,7 @@
     #[must_use]
     pub fn reclaimable_connections(&self) -> usize {
         if self.is_accept_paused {
-            self.shares.owed()
+            self.shares.reclaimable_connections()
         } else {
             0
         }
@@ -381,7 +381,7 @@
     /// Connections that clients hold beyond a quarter of all descriptors.
     #[must_use]
     pub fn excess_client_connections(&self) -> usize {
-        self.shares.crowd()
+        self.shares.excess_client_connections()
     }
 }
 
