--- a/tests/gone.rs
+++ b/tests/gone.rs
@@ -152,14 +152,7 @@
 fn departed_client_with_unread_input_is_noticed() {
     for leave in [drop::<TcpStream>, reset] {
         let stage = Platformed::new();
-        // The node is known to take its time: else a connection on which nothing has come for 50 ms
-        // is taken for mute, and ended in place of the word that a part is given up.
-        let mut before = stage.connect();
-        before.write_all(&query("fleet-search", "b", &[1])).unwrap();
-        let mut slow = stage.next();
-        std::thread::sleep(Duration::from_millis(200));
-        slow.answer("b.1 OK 1 -\nv");
-        assert_eq!(answer(&mut before).status, 200);
+        stage.learn_slow_node();
         let mut client = stage.connect();
         client.write_all(&query("fleet-search", "g", &[1])).unwrap();
         let got = stage.next();
@@ -202,6 +195,7 @@
 #[test]
 fn pipelined_request_of_a_departed_client_is_not_sent() {
     let stage = Platformed::new();
+    stage.learn_slow_node();
     let mut client = stage.connect();
     client
         .write_all(&query("fleet-search", "one", &[1]))
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -141,6 +141,7 @@
 #[test]
 fn client_disconnect_cancels_its_parts() {
     let stage = Platformed::new();
+    stage.learn_slow_node();
     let mut client = stage.connect();
     client.write_all(&query("fleet-search", "g", &[1])).unwrap();
     let got = stage.next();
--- a/tests/platformed/mod.rs
+++ b/tests/platformed/mod.rs
@@ -218,6 +218,19 @@
         stream
     }
 
+    /// Lets the broker know that its node takes its time: else a connection on which nothing has come
+    /// for 50 ms is taken for mute, and ended in place of the word that a part is given up.
+    pub fn learn_slow_node(&self) {
+        let mut client = self.connect();
+        client
+            .write_all(&query("fleet-search", "slow", &[1]))
+            .unwrap();
+        let mut got = self.next();
+        thread::sleep(Duration::from_millis(200));
+        got.answer_all();
+        assert_eq!(answer(&mut client).status, 200);
+    }
+
     pub fn next(&self) -> Got {
         self.got.recv_timeout(Duration::from_secs(20)).unwrap()
     }
