--- a/tests/consensus.rs
+++ b/tests/consensus.rs
@@ -45,34 +45,34 @@
         self.rig.folder().join(format!("memory-{broker}"))
     }
 
-    /// Waits until one of these brokers holds the role, by the entries of the ledger from `since` on;
+    /// Waits until one of these brokers holds the role, by the entries of the ledger from `first_entry` on;
     /// returns which one.
-    fn wait_for_holder(&self, of: &[usize], since: usize) -> usize {
-        let holds = |entries: &[Entry]| current_holder(&entries[since..], of);
+    fn wait_for_holder(&self, brokers: &[usize], first_entry: usize) -> usize {
+        let holder_in = |entries: &[Entry]| current_holder(&entries[first_entry..], brokers);
         let is_held = self
             .rig
-            .until(WAIT_TIMEOUT, |entries| holds(entries).is_some());
+            .until(WAIT_TIMEOUT, |entries| holder_in(entries).is_some());
         let entries = self.rig.ledger.all();
         assert!(
             is_held,
             "{:?}",
-            &entries[since.max(entries.len().saturating_sub(60))..]
+            &entries[first_entry.max(entries.len().saturating_sub(60))..]
         );
-        holds(&entries).unwrap()
+        holder_in(&entries).unwrap()
     }
 
     fn entry_count(&self) -> usize {
         self.rig.ledger.all().len()
     }
 
-    /// Waits until a broker has logged this, by the entries of the ledger from `since` on.
-    fn wait_for_log(&self, broker: usize, since: usize, text: &str) {
-        let says = |e: &Entry| {
+    /// Waits until a broker has logged this, by the entries of the ledger from `first_entry` on.
+    fn wait_for_log(&self, broker: usize, first_entry: usize, text: &str) {
+        let has_text = |e: &Entry| {
             e.process == broker && matches!(&e.event, Event::Logged(line) if line.contains(text))
         };
-        let is_logged = self
-            .rig
-            .until(WAIT_TIMEOUT, |entries| entries[since..].iter().any(says));
+        let is_logged = self.rig.until(WAIT_TIMEOUT, |entries| {
+            entries[first_entry..].iter().any(has_text)
+        });
         assert!(
             is_logged,
             "n{broker} never logs {text:?}: {:?}",
@@ -96,18 +96,22 @@
     /// over.
     fn check_holders(&self) -> usize {
         let found = judge_holders(&self.rig.ledger.all(), "compiler", RESUME_TIMEOUT);
-        let told = |e: &&Entry| !matches!(&e.event, Event::Logged(l) if l.contains("fleet:") || l.contains("discovery"));
+        let is_relevant = |e: &&Entry| !matches!(&e.event, Event::Logged(l) if l.contains("fleet:") || l.contains("discovery"));
         let entries = self.rig.ledger.all();
-        let around: Vec<&Entry> = entries.iter().filter(told).collect();
-        assert!(found.wrong.is_empty(), "{:#?}: {around:#?}", found.wrong);
+        let relevant_entries: Vec<&Entry> = entries.iter().filter(is_relevant).collect();
+        assert!(
+            found.wrong.is_empty(),
+            "{:#?}: {relevant_entries:#?}",
+            found.wrong
+        );
         found.checked
     }
 }
 
 /// The last of these brokers that has logged that it holds the role, and not since that it does not.
-fn current_holder(entries: &[Entry], of: &[usize]) -> Option<usize> {
+fn current_holder(entries: &[Entry], brokers: &[usize]) -> Option<usize> {
     let mut holder = None;
-    for entry in entries.iter().filter(|e| of.contains(&e.process)) {
+    for entry in entries.iter().filter(|e| brokers.contains(&e.process)) {
         match &entry.event {
             Event::Logged(line) if line.contains("duty compiler: held under fence") => {
                 holder = Some(entry.process)
@@ -131,13 +135,13 @@
 fn role_has_one_holder_through_crash_pause_partition_and_stop() {
     let mut cluster = TestCluster::new(5, 3, 1);
     let first = cluster.wait_for_holder(&[0, 1, 2, 3, 4], 0);
-    let since = cluster.entry_count();
+    let first_entry = cluster.entry_count();
     cluster.rig.kill(first);
-    let second = cluster.wait_for_holder(&others(5, first), since);
+    let second = cluster.wait_for_holder(&others(5, first), first_entry);
     cluster.start(first);
     cluster.wait_for_log(
         first,
-        since,
+        first_entry,
         if first < 3 {
             "council: votes"
         } else {
@@ -145,29 +149,29 @@
         },
     );
     // The holder is paused: when it resumes it finds out by itself, before it does anything.
-    let since = cluster.entry_count();
+    let first_entry = cluster.entry_count();
     cluster.rig.stop(second);
-    let third = cluster.wait_for_holder(&others(5, second), since);
-    let since = cluster.entry_count();
+    let third = cluster.wait_for_holder(&others(5, second), first_entry);
+    let first_entry = cluster.entry_count();
     cluster.rig.resume(second);
-    cluster.wait_for_log(second, since, "duty compiler: not held");
+    cluster.wait_for_log(second, first_entry, "duty compiler: not held");
     // The holder is partitioned off: its lease expires before another broker has one.
-    let since = cluster.entry_count();
+    let first_entry = cluster.entry_count();
     cluster.set_partition(&[third], true);
-    let fourth = cluster.wait_for_holder(&others(5, third), since);
-    cluster.wait_for_log(third, since, "duty compiler: not held");
+    let fourth = cluster.wait_for_holder(&others(5, third), first_entry);
+    cluster.wait_for_log(third, first_entry, "duty compiler: not held");
     cluster.wait_for_log(
         third,
-        since,
+        first_entry,
         "standing: doubtful: the last majority of the voters heard it",
     );
-    let since = cluster.entry_count();
+    let first_entry = cluster.entry_count();
     cluster.set_partition(&[third], false);
-    cluster.wait_for_log(third, since, "standing: joined: ");
+    cluster.wait_for_log(third, first_entry, "standing: joined: ");
     // A holder that is asked to stop releases the role: nobody waits for the end of its lease.
-    let since = cluster.entry_count();
+    let first_entry = cluster.entry_count();
     assert_eq!(cluster.rig.end(fourth), Some(0));
-    cluster.wait_for_holder(&others(5, fourth), since);
+    cluster.wait_for_holder(&others(5, fourth), first_entry);
     assert!(cluster.check_holders() >= 5);
 }
 
@@ -181,20 +185,20 @@
     let rest: Vec<usize> = (0..6).filter(|w| !side.contains(w)).collect();
     let voters_left = rest.iter().filter(|w| **w < 5).count();
     assert!(voters_left >= 3);
-    let since = cluster.entry_count();
+    let first_entry = cluster.entry_count();
     cluster.set_partition(&side, true);
-    let second = cluster.wait_for_holder(&rest, since);
-    cluster.wait_for_log(first, since, "duty compiler: not held");
-    let is_held_there = cluster.rig.ledger.all()[since..].iter().any(|e| {
+    let second = cluster.wait_for_holder(&rest, first_entry);
+    cluster.wait_for_log(first, first_entry, "duty compiler: not held");
+    let is_held_there = cluster.rig.ledger.all()[first_entry..].iter().any(|e| {
         side.contains(&e.process)
             && matches!(&e.event, Event::Logged(l) if l.contains("held under fence"))
     });
     assert!(!is_held_there, "two voters grant nothing");
     cluster.set_partition(&side, false);
     // It goes on: the next holder is any broker.
-    let since = cluster.entry_count();
+    let first_entry = cluster.entry_count();
     cluster.rig.stop(second);
-    cluster.wait_for_holder(&others(6, second), since);
+    cluster.wait_for_holder(&others(6, second), first_entry);
     assert!(cluster.check_holders() >= 3);
 }
 
@@ -206,9 +210,9 @@
     for voter in [3, 4] {
         cluster.rig.kill(voter);
         std::fs::remove_dir_all(cluster.storage(voter)).unwrap();
-        let since = cluster.entry_count();
+        let first_entry = cluster.entry_count();
         cluster.start(voter);
-        cluster.wait_for_log(voter, since, "does not vote: the fleet knows");
+        cluster.wait_for_log(voter, first_entry, "does not vote: the fleet knows");
     }
     // One whose last write was interrupted goes on voting.
     cluster.rig.kill(0);
@@ -216,17 +220,21 @@
     let mut bytes = std::fs::read(&file).unwrap();
     bytes.extend([0, 0, 1]);
     std::fs::write(&file, bytes).unwrap();
-    let since = cluster.entry_count();
+    let first_entry = cluster.entry_count();
     cluster.start(0);
-    cluster.wait_for_log(0, since, "3 bytes whose writing was cut off are left aside");
-    cluster.wait_for_log(0, since, "council: votes, genesis");
-    let (holder, since) = (
+    cluster.wait_for_log(
+        0,
+        first_entry,
+        "3 bytes whose writing was cut off are left aside",
+    );
+    cluster.wait_for_log(0, first_entry, "council: votes, genesis");
+    let (holder, first_entry) = (
         cluster.wait_for_holder(&[0, 1, 2, 3, 4], 0),
         cluster.entry_count(),
     );
     cluster.rig.stop(holder);
     if holder > 2 {
-        cluster.wait_for_holder(&others(5, holder), since);
+        cluster.wait_for_holder(&others(5, holder), first_entry);
     }
     cluster.rig.resume(holder);
     // A file of another cluster is set aside.
@@ -237,14 +245,14 @@
         .replacen("test n1", "tset n1", 1)
         .into_bytes();
     std::fs::write(&file, [&other[..], &bytes[other.len()..]].concat()).unwrap();
-    let since = cluster.entry_count();
+    let first_entry = cluster.entry_count();
     cluster.start(1);
     cluster.wait_for_log(
         1,
-        since,
+        first_entry,
         "it does not name its owner: \"test n1\" is not there; it is set aside as",
     );
-    cluster.wait_for_log(1, since, "does not vote");
+    cluster.wait_for_log(1, first_entry, "does not vote");
     cluster.check_holders();
 }
 
@@ -253,9 +261,9 @@
     let mut cluster = TestCluster::new(4, 3, 4);
     cluster.wait_for_holder(&[0, 1, 2, 3], 0);
     (0..4).for_each(|broker| cluster.rig.kill(broker));
-    let since = cluster.entry_count();
+    let first_entry = cluster.entry_count();
     (0..4).for_each(|broker| cluster.start(broker));
-    cluster.wait_for_holder(&[0, 1, 2, 3], since);
+    cluster.wait_for_holder(&[0, 1, 2, 3], first_entry);
     let entries = cluster.rig.ledger.all();
     let genesis = |e: &Entry| match &e.event {
         Event::Logged(line) => Some(
@@ -276,25 +284,25 @@
 fn partitioned_broker_reports_it_and_a_new_genesis_is_foreign_to_those_of_the_former() {
     let mut cluster = TestCluster::new(4, 3, 5);
     (0..4).for_each(|broker| cluster.wait_for_log(broker, 0, "standing: joined: "));
-    let since = cluster.entry_count();
+    let first_entry = cluster.entry_count();
     cluster.set_partition(&[3], true);
     cluster.wait_for_log(
         3,
-        since,
+        first_entry,
         "standing: cut off: the last majority of the voters heard it",
     );
     cluster.set_partition(&[3], false);
-    cluster.wait_for_log(3, since, "standing: joined: ");
+    cluster.wait_for_log(3, first_entry, "standing: joined: ");
     // All voters lose their storage at once: they come to a new genesis, and the broker that knew the
     // former one reports it.
     (0..3).for_each(|broker| cluster.rig.kill(broker));
     (0..3).for_each(|broker| std::fs::remove_dir_all(cluster.storage(broker)).unwrap());
-    let since = cluster.entry_count();
+    let first_entry = cluster.entry_count();
     (0..3).for_each(|broker| cluster.start(broker));
     cluster.wait_for_log(
         3,
-        since,
+        first_entry,
         "standing: a stranger: the fleet has begun anew: genesis",
     );
-    (0..3).for_each(|broker| cluster.wait_for_log(broker, since, "standing: joined: "));
+    (0..3).for_each(|broker| cluster.wait_for_log(broker, first_entry, "standing: joined: "));
 }
--- a/tests/decision/support.rs
+++ b/tests/decision/support.rs
@@ -250,7 +250,7 @@
     }
 }
 
-/// Plays a query to its end. `fate` says how an attempt of a server ends; `None`: never. Returns
+/// Plays a query to its end. `outcome_of` says how an attempt of a server ends; `None`: never. Returns
 /// the servers that its attempts went to and whether it was answered.
 pub fn play(
     stage: &mut Stage,
--- a/tests/management.rs
+++ b/tests/management.rs
@@ -33,7 +33,7 @@
 fn calls_are_answered_in_time_beside_a_stuck_loop_and_hundreds_of_connections() {
     let (_management, calls) = management_without_loop();
     drop(operator(calls));
-    let held: Vec<TcpStream> = (0..300)
+    let open_connections: Vec<TcpStream> = (0..300)
         .map(|i| {
             let mut stream = operator(calls);
             // Nothing, half a line, or a line without an end.
@@ -60,7 +60,7 @@
         operator_call(calls, "health").starts_with("fail "),
         "a loop that does not come round serves nobody"
     );
-    drop(held);
+    drop(open_connections);
 }
 
 #[test]
@@ -145,10 +145,10 @@
             ))
             .unwrap();
         match broker.frames.recv_timeout(Duration::from_millis(200)) {
-            Ok(mut got) => got
+            Ok(mut call) => call
                 .parts()
                 .iter()
-                .for_each(|id| got.answer(&format!("{id} OK 1 -\nv"))),
+                .for_each(|id| call.answer(&format!("{id} OK 1 -\nv"))),
             Err(_) => break,
         }
         read_response(&mut client);
@@ -178,10 +178,10 @@
         client
             .write_all(&query("fleet-search", &format!("back-{id}"), &[0]))
             .unwrap();
-        if let Ok(mut got) = broker.frames.recv_timeout(Duration::from_millis(100)) {
-            got.parts()
+        if let Ok(mut call) = broker.frames.recv_timeout(Duration::from_millis(100)) {
+            call.parts()
                 .iter()
-                .for_each(|id| got.answer(&format!("{id} OK 1 -\nv")));
+                .for_each(|id| call.answer(&format!("{id} OK 1 -\nv")));
             assert_eq!(read_response(&mut client).status, 200);
             break;
         }
@@ -260,10 +260,10 @@
     active
         .write_all(&query("fleet-search", "uses", &[0]))
         .unwrap();
-    let mut got = broker.next();
-    got.parts()
+    let mut call = broker.next();
+    call.parts()
         .iter()
-        .for_each(|id| got.answer(&format!("{id} OK 1 -\nv")));
+        .for_each(|id| call.answer(&format!("{id} OK 1 -\nv")));
     let served = read_response(&mut active);
     assert!(served.status == 200 && !served.keep_alive, "{served:?}");
     let mut prober = broker.connect();
@@ -311,10 +311,10 @@
     let mut back = broker.connect();
     back.write_all(&query("fleet-search", "back", &[0]))
         .unwrap();
-    let mut got = broker.next();
-    got.parts()
+    let mut call = broker.next();
+    call.parts()
         .iter()
-        .for_each(|id| got.answer(&format!("{id} OK 1 -\nv")));
+        .for_each(|id| call.answer(&format!("{id} OK 1 -\nv")));
     let served = read_response(&mut back);
     assert!(served.status == 200 && served.keep_alive);
 }
@@ -411,10 +411,10 @@
     let mut client = broker.connect();
     let mut query_status = |id: &str, answered: &str| {
         client.write_all(&query("fleet-search", id, &[0])).unwrap();
-        let mut got = broker.next();
-        got.parts()
+        let mut call = broker.next();
+        call.parts()
             .iter()
-            .for_each(|id| got.answer(&format!("{id} {answered}")));
+            .for_each(|id| call.answer(&format!("{id} {answered}")));
         read_response(&mut client).status
     };
     assert_eq!(
--- a/tests/ogc.rs
+++ b/tests/ogc.rs
@@ -40,12 +40,15 @@
 }
 
 /// Where the features lie; whole numbers are borders of slices.
-const PLACES: [f64; 9] = [0.2, 0.5, 1.0, 1.5, 2.0, 2.5, 3.5, 4.2, 4.8];
+const EAST_COORDINATES: [f64; 9] = [0.2, 0.5, 1.0, 1.5, 2.0, 2.5, 3.5, 4.2, 4.8];
 
 impl City {
     fn new(teams: &str) -> City {
         let point = |(i, &east): (usize, &f64)| point(&format!("f{i}"), east, 0.5);
-        City::with(teams, PLACES.iter().enumerate().map(point).collect())
+        City::with(
+            teams,
+            EAST_COORDINATES.iter().enumerate().map(point).collect(),
+        )
     }
 
     fn with(teams: &str, features: Vec<Json>) -> City {
--- a/tests/phases.rs
+++ b/tests/phases.rs
@@ -66,17 +66,17 @@
         .unwrap();
         let operators = Operators::load(&path).unwrap();
         std::fs::remove_file(&path).unwrap();
-        let told = Platform::parse(&config, |_| None)
+        let platform = Platform::parse(&config, |_| None)
             .unwrap()
             .apply(&operators)
             .unwrap();
-        assert!(told.phases.rules[0].is_some());
+        assert!(platform.phases.rules[0].is_some());
         let (stop, signal) = UnixStream::pair().unwrap();
-        let (tell, address) = mpsc::channel();
+        let (address_sender, address) = mpsc::channel();
         let broker = thread::spawn(move || {
-            let mut broker = Broker::new(Some(told), None).unwrap();
+            let mut broker = Broker::new(Some(platform), None).unwrap();
             broker.stop_on(signal).unwrap();
-            tell.send(broker.addresses()[0].1).unwrap();
+            address_sender.send(broker.addresses()[0].1).unwrap();
             broker.run().unwrap();
         });
         Stage {
@@ -182,9 +182,9 @@
                 from.len() as f64 >= 0.8 * f64::from(slices),
                 "under the least share: {from:?}"
             );
-            let said = |s: &u32| answered.contains(&format!("{query}.{s}"));
+            let is_included = |s: &u32| answered.contains(&format!("{query}.{s}"));
             assert!(
-                from.iter().all(said),
+                from.iter().all(is_included),
                 "a shard is named that did not answer: {from:?}"
             );
         }
--- a/tests/programs.rs
+++ b/tests/programs.rs
@@ -12,7 +12,7 @@
     "familyInfo":{"partsACall":8,"sets":2,"width":2,"classFetch":[0],"classPartial":[0.9],"minShare":[1.0],
       "needByClass":[1.0]}}"#;
 
-fn ask(address: &str, request: &str) -> String {
+fn send_request(address: &str, request: &str) -> String {
     let mut stream = TcpStream::connect(address).unwrap();
     stream.write_all(request.as_bytes()).unwrap();
     let mut answer = String::new();
@@ -38,18 +38,18 @@
         .unwrap()
         .unwrap();
     let address = line.rsplit(' ').next().unwrap();
-    let live = ask(
+    let live = send_request(
         address,
         "GET /health/live HTTP/1.1\r\nConnection: close\r\n\r\n",
     );
     assert!(live.starts_with("HTTP/1.1 200 "), "{live}");
     // Discovery is down and no list is known: clients are not to come yet.
-    let ready = ask(
+    let ready = send_request(
         address,
         "GET /health/ready HTTP/1.1\r\nConnection: close\r\n\r\n",
     );
     assert!(ready.starts_with("HTTP/1.1 503 "), "{ready}");
-    let bad = ask(address, "NONSENSE\r\n\r\n");
+    let bad = send_request(address, "NONSENSE\r\n\r\n");
     assert!(bad.starts_with("HTTP/1.1 400 "), "{bad}");
     // No data node is known: the module gives up at once, and says when to come back.
     let body = r#"{"segments":[{"segment":0,"boost":1.0}],"text":"x"}"#;
@@ -58,10 +58,10 @@
          Connection: close\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     );
-    let refused = ask(address, &query);
+    let rejection = send_request(address, &query);
     assert!(
-        refused.starts_with("HTTP/1.1 503 ") && refused.contains("\r\nretry-after: "),
-        "{refused}"
+        rejection.starts_with("HTTP/1.1 503 ") && rejection.contains("\r\nretry-after: "),
+        "{rejection}"
     );
     let killed = Command::new("kill")
         .arg(broker.id().to_string())
@@ -96,7 +96,7 @@
             .unwrap()
     };
     let listens = line_with("listens on ");
-    let _asked = first.accept().unwrap();
+    let _first_stream = first.accept().unwrap();
     let signal = |name: &str| {
         assert!(Command::new("kill")
             .args([name, &broker.id().to_string()])
@@ -109,13 +109,13 @@
     line_with("reload: discovery: \"nowhere\"");
     write(&second.local_addr().unwrap().to_string());
     signal("-HUP");
-    let (mut asked, _) = second.accept().unwrap();
+    let (mut stream, _) = second.accept().unwrap();
     let mut head = [0; 28];
-    asked.read_exact(&mut head).unwrap();
+    stream.read_exact(&mut head).unwrap();
     assert_eq!(&head, b"GET /registry/instances HTTP");
     let address = listens.rsplit(' ').next().unwrap();
     let ready = || {
-        ask(
+        send_request(
             address,
             "GET /health/ready HTTP/1.1\r\nConnection: close\r\n\r\n",
         )
@@ -129,13 +129,13 @@
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}",
         list.len()
     );
-    asked.write_all(answer.as_bytes()).unwrap();
+    stream.write_all(answer.as_bytes()).unwrap();
     // The watch that follows shows that the list was read.
-    let mut rest = Vec::new();
-    while !String::from_utf8_lossy(&rest).contains("since=1") {
+    let mut next_request = Vec::new();
+    while !String::from_utf8_lossy(&next_request).contains("since=1") {
         let mut byte = [0];
-        asked.read_exact(&mut byte).unwrap();
-        rest.push(byte[0]);
+        stream.read_exact(&mut byte).unwrap();
+        next_request.push(byte[0]);
     }
     assert!(ready().starts_with("HTTP/1.1 200 "), "and then at once");
     signal("-TERM");
