--- a/src/broker/server_list.rs
+++ b/src/broker/server_list.rs
@@ -87,7 +87,7 @@
         let config = match self.reread.as_mut().map_or(Ok(None), |reread| reread()) {
             Ok(Some(config)) => config,
             Ok(None) => return log("reload: NODE_CONFIG: not set, nothing to read again"),
-            Err(why) => return log(&format!("reload: {why}; the settings stay as they were")),
+            Err(error) => return log(&format!("reload: {error}; the settings stay as they were")),
         };
         log(&format!("reload: discovery is at {}", config.discovery));
         if let Some(discovery) = &mut self.discovery {
--- a/src/front/ogc/response.rs
+++ b/src/front/ogc/response.rs
@@ -25,13 +25,13 @@
 
 /// Each feature once, the first time that it comes.
 fn once<'a>(features: impl Iterator<Item = &'a RawValue>) -> Vec<&'a RawValue> {
-    let mut seen = HashSet::new();
+    let mut ids_before = HashSet::new();
     // Features without an id are the same if all of them is.
     let first = |feature: &&RawValue| {
         let id = serde_json::from_str(feature.get())
             .ok()
             .and_then(|f: Feature<'_>| f.id);
-        seen.insert(id.map_or((false, feature.get().to_string()), |id| {
+        ids_before.insert(id.map_or((false, feature.get().to_string()), |id| {
             (true, id.get().to_string())
         }))
     };
--- a/src/inventory/check.rs
+++ b/src/inventory/check.rs
@@ -45,10 +45,10 @@
 }
 
 fn check_names(rows: &[Row]) -> Result<(), InventoryError> {
-    let mut seen = BTreeSet::new();
+    let mut names_before = BTreeSet::new();
     for row in rows {
         let name = row.text("name")?;
-        if !seen.insert(name) {
+        if !names_before.insert(name) {
             return Err(row.error("name", format!("{name:?} is there twice")));
         }
     }
--- a/src/main.rs
+++ b/src/main.rs
@@ -19,7 +19,7 @@
     Ok(read)
 }
 
-/// Why the program ends before it is told to.
+/// Why the program ends before it is stopped.
 #[derive(Debug, Error)]
 enum ServeError {
     #[error(transparent)]
--- a/src/management/folder/tests.rs
+++ b/src/management/folder/tests.rs
@@ -168,8 +168,8 @@
 fn stuck_change_of_another_process_delays_the_next_one_by_the_timeout() {
     let root = Root::new();
     let mut folder = SharedFolder::open(&root.0, "n0").unwrap();
-    let holds = File::create(folder.path().join("lock")).unwrap();
-    holds.lock().unwrap();
+    let lock_file = File::create(folder.path().join("lock")).unwrap();
+    lock_file.lock().unwrap();
     let started_at = Instant::now();
     folder
         .change(NOW, &DesiredState::default(), cordon("a"))
--- a/src/upstream/frames/tests.rs
+++ b/src/upstream/frames/tests.rs
@@ -61,12 +61,12 @@
 #[test]
 fn answers_are_read_however_they_are_cut() {
     let answers = answers();
-    let mut seen = Vec::new();
+    let mut results = Vec::new();
     random_cuts(&[&answers[0], &answers[1]], |bytes| {
         let mut input = Buffer::default();
         input.push(bytes);
         let found = Frames.read_answer(&mut input, false, None).unwrap()?;
-        seen.push((found.outcome, found.value));
+        results.push((found.outcome, found.value));
         Some(bytes.len() - input.bytes().len())
     });
     let value = Value {
@@ -75,7 +75,8 @@
         offer: None,
     };
     assert!(
-        seen.contains(&(Outcome::Ok, Some(value))) && seen.contains(&(Outcome::Rejected, None))
+        results.contains(&(Outcome::Ok, Some(value)))
+            && results.contains(&(Outcome::Rejected, None))
     );
 }
 
--- a/src/upstream/link.rs
+++ b/src/upstream/link.rs
@@ -88,8 +88,8 @@
 
     /// Removes a part that has not left yet; `false`: it has, or is not here.
     pub(super) fn remove_unsent(&mut self, attempt: u64) -> bool {
-        let holds = |call: &Vec<Dispatch<W::Job>>| call.iter().any(|p| p.attempt == attempt);
-        let Some(at) = self.waiting.iter().position(holds) else {
+        let has_attempt = |call: &Vec<Dispatch<W::Job>>| call.iter().any(|p| p.attempt == attempt);
+        let Some(at) = self.waiting.iter().position(has_attempt) else {
             return false;
         };
         self.waiting[at].retain(|p| p.attempt != attempt);
