--- a/simulator/src/quotas/faults.rs
+++ b/simulator/src/quotas/faults.rs
@@ -1,13 +1,15 @@
 //! Faults of machines, and their recovery.
 
-use super::node::ControlNode;
-use super::{Event, Fault, Fleet, PlantedBug, MILLISECOND, SECOND};
 use lichenswitch_quota::OwnerId;
 
-/// What is left of the disk of a machine that restarts.
+use super::events::Event;
+use super::node::ControlNode;
+use super::{Fault, Fleet, PlantedBug, MILLISECOND, SECOND};
+
+/// Whether a machine that restarts still has its disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Disk {
-    Kept,
+    Intact,
     Lost,
 }
 
@@ -25,7 +27,7 @@
             return;
         };
         match fault {
-            Fault::Restart => self.restart(index, Disk::Kept),
+            Fault::Restart => self.restart(index, Disk::Intact),
             Fault::LoseDisk => self.restart(index, Disk::Lost),
             Fault::Suspend => self.control[index].suspended_until = self.now + duration,
             Fault::Partition => self.control[index].partitioned_until = self.now + duration,
@@ -37,7 +39,7 @@
                     .into_iter()
                     .filter(|voter| *voter != id)
                     .collect();
-                self.changes.push((self.now, voters));
+                self.change_voters(voters);
             }
             Fault::SuspendRouter => {
                 let router = self.random.usize(0..self.routers.len());
@@ -58,7 +60,7 @@
             let before = self.control[index].id;
             let remaining = self.voters().into_iter().filter(|voter| *voter != before);
             let voters = remaining.chain([id]).collect();
-            self.changes.push((self.now, voters));
+            self.change_voters(voters);
         }
         let drift = self.random.f64();
         let (tenants, bounds, planted_bug) =
--- a/simulator/src/quotas/node.rs
+++ b/simulator/src/quotas/node.rs
@@ -1,13 +1,16 @@
 //! The machines of the simulated fleet, each with its own clock.
 
-use super::settings::PlantedBug;
+use std::collections::BTreeSet;
+
 use lichenswitch_configuration::Tenant;
 use lichenswitch_interface::Time;
 use lichenswitch_quota::{
     Allowances, Buckets, LeaseAction, LeaseContext, LeaseGrant, LeaseRequest, LeaseRequests,
     OwnerId, QuotaBounds, ShardOwnership,
 };
-use std::collections::BTreeSet;
+
+use super::settings::PlantedBug;
+use super::VoterChange;
 
 /// Greatest age of what a machine in contact knows (microseconds).
 pub(super) const MAX_CONTACT_DELAY: u64 = 1_400_000;
@@ -17,7 +20,7 @@
 /// The time on a clock that drifts; `drift`: 0 to 1, from the slowest to the fastest.
 fn clock_at(now: u64, drift: f64) -> Time {
     let rate = 1.0 + MAX_DRIFT * (2.0 * drift - 1.0);
-    // It has an offset as well: nothing may depend on that.
+    // An offset as well: nothing may depend on that.
     Time((now as f64 * rate) as u64 + (drift * 3_600e6) as u64)
 }
 
@@ -87,12 +90,13 @@
         clock_at(now, self.drift)
     }
 
-    /// Learns of the voters and that it is in contact, unless it is partitioned.
+    /// Unless it is partitioned: it is in contact, and its ownership follows the voters that were
+    /// committed `delay` microseconds ago.
     pub(super) fn on_contact(
         &mut self,
         now: u64,
         delay: u64,
-        changes: &[(u64, Vec<OwnerId>)],
+        changes: &[VoterChange],
         planted_bug: PlantedBug,
     ) {
         let clock = self.clock(now);
@@ -105,8 +109,10 @@
         let known = changes
             .iter()
             .rev()
-            .find(|(changed_at, _)| changed_at + delay <= now);
-        let Some((_, voters)) = known.filter(|(_, voters)| voters.contains(&self.id)) else {
+            .find(|change| change.committed_at + delay <= now);
+        let Some(VoterChange { voters, .. }) =
+            known.filter(|change| change.voters.contains(&self.id))
+        else {
             return;
         };
         let early = if planted_bug == PlantedBug::NoSettlingTime {
@@ -194,15 +200,16 @@
         clock_at(now, self.drift)
     }
 
-    /// Index of the control machine that it is connected to: the first one that is not suspended.
+    /// Index of the control machine that it is connected to: the first one from `first` on that isn't
+    /// suspended, or `first` if all are.
     pub(super) fn control(
         &self,
         count: usize,
-        own_index: usize,
+        first: usize,
         now: u64,
         control: &[ControlNode],
     ) -> usize {
-        let in_turn = (0..count).map(|step| (own_index + step) % count);
+        let in_turn = (0..count).map(|step| (first + step) % count);
         let is_running = |index: &usize| control[*index].suspended_until <= now;
         in_turn
             .clone()
