--- a/simulator/src/callers/mod.rs
+++ b/simulator/src/callers/mod.rs
@@ -1,4 +1,4 @@
-//! Callers of the control machines: operators, readers, routers.
+//! Callers of the control machines: operators, readers and routers.
 
 mod operator;
 mod reader;
@@ -23,7 +23,7 @@
     pub now: Time,
     /// Random numbers.
     pub random: &'a mut Rng,
-    /// Where orders are registered and calls are noted.
+    /// Where orders and calls are recorded.
     pub oracle: &'a mut Oracle,
     /// The control machines on the callers' list, which lags behind the group.
     pub listed: &'a [Host],
@@ -31,7 +31,7 @@
     pub last_number: &'a mut u64,
     /// Packets to send, with their destinations.
     pub outgoing: Vec<(Host, Packet)>,
-    /// For the trace.
+    /// Lines for the trace.
     pub notes: Vec<String>,
 }
 
@@ -46,8 +46,8 @@
         ConnectionId(*self.last_number)
     }
 
-    /// A control machine of the list other than the one asked last.
-    fn another(&mut self, last: Option<Host>) -> Option<Host> {
+    /// A random control machine of the list, other than the one that was called last if there is one.
+    fn pick_machine(&mut self, last: Option<Host>) -> Option<Host> {
         let others: Vec<Host> = self
             .listed
             .iter()
--- a/simulator/src/callers/operator.rs
+++ b/simulator/src/callers/operator.rs
@@ -1,53 +1,53 @@
-//! An operator: it picks numbers by itself, sends orders to any machine, and repeats unchanged what
-//! has no clear answer.
+//! An operator: it chooses versions by itself, sends orders to any machine, and repeats an order
+//! unchanged until it has a definite response.
 
 use lichenswitch_messages::RelayedCall;
 use lichenswitch_replication::Time;
 
 use super::{CallerContext, CALL_TIMEOUT_US};
-use crate::documents::{self, version_of, OrderId};
 use crate::network::Host;
 use crate::oracle::CallPurpose;
+use crate::orders::{self, version_of, OrderId};
 use crate::packet::{CallId, Packet, Reply};
 
-/// Least pause after a failure, in microseconds; it doubles to [`MAX_BACKOFF_US`].
+/// Least backoff after a failure, in microseconds; it doubles up to [`MAX_BACKOFF_US`].
 const MIN_BACKOFF_US: u64 = 30_000;
 const MAX_BACKOFF_US: u64 = 400_000;
 
 /// How fast an operator works, and what it sends.
 #[derive(Clone, Copy, Debug)]
 pub struct Pace {
-    /// Least rest between two orders, in microseconds.
-    pub least_rest: u64,
-    /// Most rest between two orders.
-    pub most_rest: u64,
-    /// Acts only at multiples of so many microseconds, together with others; 0: at any time.
-    pub in_step: u64,
+    /// Shortest pause between two orders, in microseconds.
+    pub min_pause_us: u64,
+    /// Longest pause between two orders, in microseconds.
+    pub max_pause_us: u64,
+    /// It acts only at multiples of so many microseconds, together with others; 0: at any time.
+    pub step_us: u64,
     /// Of 100 tasks, so many repeat an order that was acknowledged.
-    pub repeats: u32,
+    pub repeat_percent: u32,
     /// Of 100 tasks, so many are an order that is invalid.
-    pub invalid: u32,
-    /// Most that a version is above the one that it builds on.
-    pub most_step: u64,
+    pub invalid_percent: u32,
+    /// Largest difference between a version and its base version.
+    pub max_version_step: u64,
 }
 
 impl Default for Pace {
     fn default() -> Self {
-        let (least_rest, most_rest, in_step) = (50_000, 600_000, 0);
+        let (min_pause_us, max_pause_us, step_us) = (50_000, 600_000, 0);
         Self {
-            least_rest,
-            most_rest,
-            in_step,
-            repeats: 15,
-            invalid: 4,
-            most_step: 2,
+            min_pause_us,
+            max_pause_us,
+            step_us,
+            repeat_percent: 15,
+            invalid_percent: 4,
+            max_version_step: 2,
         }
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Task {
-    Rest,
+    Idle,
     Order(OrderId),
     Describe,
 }
@@ -65,62 +65,63 @@
     /// The version that it believes to be current.
     known: Option<u64>,
     task: Task,
-    /// When the order at hand was sent first.
-    task_since: Time,
+    /// When the task in progress began.
+    task_started_at: Time,
     in_flight: Option<InFlight>,
     wake_at: Time,
     backoff: u64,
     last: Option<Host>,
-    /// Where it goes first, if it is stubborn about that.
-    first: Option<Host>,
-    taken: Vec<OrderId>,
+    /// The machine that it calls first in each task, if any.
+    preferred: Option<Host>,
+    /// Its orders that were acknowledged.
+    acknowledged: Vec<OrderId>,
     stopped: bool,
 }
 
 impl Operator {
-    /// One that begins at this time; the one that brings the first configuration knows that there
-    /// is none.
+    /// One that begins at this time. `brings_first`: it sends the first configuration, as it knows
+    /// that there is none.
     pub fn new(pace: Pace, begins_at: Time, brings_first: bool) -> Self {
         Self {
             pace,
             known: brings_first.then_some(0),
-            task: Task::Rest,
-            task_since: begins_at,
+            task: Task::Idle,
+            task_started_at: begins_at,
             in_flight: None,
             wake_at: begins_at,
             backoff: MIN_BACKOFF_US,
             last: None,
-            first: None,
-            taken: Vec::new(),
+            preferred: None,
+            acknowledged: Vec::new(),
             stopped: false,
         }
     }
 
-    /// Every task begins at this machine.
-    pub fn set_first(&mut self, first: Option<Host>) {
-        self.first = first;
+    /// Sets the machine that it calls first in each task.
+    pub fn set_preferred(&mut self, preferred: Option<Host>) {
+        self.preferred = preferred;
     }
 
-    /// Changes how fast it works.
+    /// Sets how fast it works.
     pub fn set_pace(&mut self, pace: Pace) {
         self.pace = pace;
     }
 
-    /// No new orders; the one at hand goes on.
+    /// It begins no new order; one in progress continues.
     pub fn stop(&mut self) {
         self.stopped = true;
     }
 
     /// Whether it has no task in progress.
     pub fn is_idle(&self) -> bool {
-        self.task == Task::Rest
+        self.task == Task::Idle
     }
 
     /// The order in progress that has had no definite response, and when it was first sent.
     pub fn pending_order(&self) -> Option<(OrderId, Time)> {
         match self.task {
-            Task::Order(id) => Some((id, self.task_since)),
-            Task::Rest | Task::Describe => None,
+            Task::Order(id) => Some((id, self.task_started_at)),
+            Task::Idle | Task::Describe => None,
         }
     }
 
@@ -143,18 +144,18 @@
         if self.in_flight.is_some() || context.now < self.wake_at {
             return;
         }
-        if self.task == Task::Rest {
-            self.begin(context);
+        if self.task == Task::Idle {
+            self.begin_task(context);
         }
         self.send(context);
     }
 
-    fn begin(&mut self, context: &mut CallerContext<'_>) {
+    fn begin_task(&mut self, context: &mut CallerContext<'_>) {
         if self.stopped {
             self.wake_at = Time(u64::MAX);
             return;
         }
-        self.task_since = context.now;
+        self.task_started_at = context.now;
         self.last = None;
         self.task = match self.known {
             None => Task::Describe,
@@ -164,24 +165,24 @@
 
     fn next_order(&mut self, context: &mut CallerContext<'_>, known: u64) -> OrderId {
         let percentile = context.random.u32(0..100);
-        if percentile < self.pace.repeats && !self.taken.is_empty() {
-            return self.taken[context.random.usize(0..self.taken.len())];
+        if percentile < self.pace.repeat_percent && !self.acknowledged.is_empty() {
+            return self.acknowledged[context.random.usize(0..self.acknowledged.len())];
         }
-        let version = known + context.random.u64(1..=self.pace.most_step);
-        let broken = known > 0 && percentile >= 100 - self.pace.invalid;
+        let version = known + context.random.u64(1..=self.pace.max_version_step);
+        let broken = known > 0 && percentile >= 100 - self.pace.invalid_percent;
         let whole = known == 0 || context.random.u32(0..3) == 0;
         context
             .oracle
             .register(!broken, version, |id| match (broken, whole) {
-                (true, _) => documents::invalid(id, known, version),
-                (false, true) => documents::replacement(id, known, version),
-                (false, false) => documents::update(id, known, version),
+                (true, _) => orders::invalid(id, known, version),
+                (false, true) => orders::replacement(id, known, version),
+                (false, false) => orders::update(id, known, version),
             })
     }
 
     fn send(&mut self, context: &mut CallerContext<'_>) {
         let (purpose, call_body) = match self.task {
-            Task::Rest => return,
+            Task::Idle => return,
             Task::Describe => (CallPurpose::Describe, RelayedCall::Describe),
             Task::Order(id) => {
                 let order = context.oracle.order(id).order.clone();
@@ -196,10 +197,10 @@
                 )
             }
         };
-        let first = self
-            .first
-            .filter(|first| self.last.is_none() && context.listed.contains(first));
-        let Some(target) = first.or_else(|| context.another(self.last)) else {
+        let preferred = self
+            .preferred
+            .filter(|machine| self.last.is_none() && context.listed.contains(machine));
+        let Some(target) = preferred.or_else(|| context.pick_machine(self.last)) else {
             self.wake_at = context.now.after(MAX_BACKOFF_US);
             return;
         };
@@ -225,28 +226,30 @@
         }
         self.in_flight = None;
         match (self.task, reply) {
-            (Task::Order(id), Reply::Answer { status: 200, .. }) => self.on_taken(context, id),
-            (Task::Order(_), Reply::Answer { status: 412, .. }) => self.begin_describe(context),
+            (Task::Order(id), Reply::Response { status: 200, .. }) => {
+                self.on_acknowledged(context, id)
+            }
+            (Task::Order(_), Reply::Response { status: 412, .. }) => self.begin_describe(context),
             (
                 Task::Order(_),
-                Reply::Answer {
+                Reply::Response {
                     status: 400..=499, ..
                 },
-            ) => self.rest(context),
-            (Task::Describe, Reply::Answer { status: 200, body }) => {
+            ) => self.pause(context),
+            (Task::Describe, Reply::Response { status: 200, body }) => {
                 self.known = version_of(body);
-                self.rest(context);
+                self.pause(context);
             }
             _ => self.back_off(context),
         }
     }
 
-    fn on_taken(&mut self, context: &mut CallerContext<'_>, id: OrderId) {
+    fn on_acknowledged(&mut self, context: &mut CallerContext<'_>, id: OrderId) {
         self.known = self.known.max(Some(context.oracle.order(id).version));
-        if !self.taken.contains(&id) {
-            self.taken.push(id);
+        if !self.acknowledged.contains(&id) {
+            self.acknowledged.push(id);
         }
-        self.rest(context);
+        self.pause(context);
     }
 
     fn begin_describe(&mut self, context: &CallerContext<'_>) {
@@ -255,14 +258,14 @@
         self.wake_at = context.now;
     }
 
-    fn rest(&mut self, context: &mut CallerContext<'_>) {
-        self.task = Task::Rest;
+    fn pause(&mut self, context: &mut CallerContext<'_>) {
+        self.task = Task::Idle;
         self.backoff = MIN_BACKOFF_US;
-        let rest = context
+        let pause = context
             .random
-            .u64(self.pace.least_rest..=self.pace.most_rest);
-        let at = context.now.after(rest);
-        let step = self.pace.in_step.max(1);
+            .u64(self.pace.min_pause_us..=self.pace.max_pause_us);
+        let at = context.now.after(pause);
+        let step = self.pace.step_us.max(1);
         self.wake_at = Time(at.0.div_ceil(step) * step);
     }
 
--- a/simulator/src/callers/reader.rs
+++ b/simulator/src/callers/reader.rs
@@ -1,4 +1,4 @@
-//! A reader: it asks any machine for the newest configuration.
+//! A reader: it calls any machine for the newest configuration.
 
 use lichenswitch_messages::RelayedCall;
 use lichenswitch_replication::Time;
@@ -9,7 +9,7 @@
 use crate::packet::{CallId, Packet, Reply};
 
 /// Longest pause between two calls, in microseconds.
-const MAX_REST_US: u64 = 200_000;
+const MAX_PAUSE_US: u64 = 200_000;
 
 /// A reader.
 #[derive(Debug, Default)]
@@ -17,13 +17,13 @@
     in_flight: Option<(CallId, Time)>,
     wake_at: Time,
     /// The machine that it prefers, if any.
-    first: Option<Host>,
+    preferred: Option<Host>,
 }
 
 impl Reader {
-    /// Every second question goes to this machine.
-    pub fn set_first(&mut self, first: Option<Host>) {
-        self.first = first;
+    /// Sets the machine that every second call goes to, at random.
+    pub fn set_preferred(&mut self, preferred: Option<Host>) {
+        self.preferred = preferred;
     }
 
     /// When [`Self::on_wake`] has something to do.
@@ -38,9 +38,9 @@
             return;
         }
         self.in_flight = None;
-        self.wake_at = context.now.after(MAX_REST_US);
-        let first = self.first.filter(|_| context.random.bool());
-        let Some(target) = first.or_else(|| context.another(None)) else {
+        self.wake_at = context.now.after(MAX_PAUSE_US);
+        let preferred = self.preferred.filter(|_| context.random.bool());
+        let Some(target) = preferred.or_else(|| context.pick_machine(None)) else {
             return;
         };
         let call = context.new_call();
@@ -57,7 +57,7 @@
     pub fn on_reply(&mut self, context: &mut CallerContext<'_>, call: CallId, _reply: &Reply) {
         if self.in_flight.is_some_and(|(pending, _)| pending == call) {
             self.in_flight = None;
-            self.wake_at = context.now.after(context.random.u64(0..MAX_REST_US));
+            self.wake_at = context.now.after(context.random.u64(0..MAX_PAUSE_US));
         }
     }
 }
--- a/simulator/src/callers/router.rs
+++ b/simulator/src/callers/router.rs
@@ -7,8 +7,8 @@
 use lichenswitch_replication::Time;
 
 use super::CallerContext;
-use crate::documents::version_of;
 use crate::network::Host;
+use crate::orders::version_of;
 use crate::packet::{ConnectionId, Packet};
 
 /// Microseconds without a heartbeat in contact after which a router leaves its control machine.
@@ -46,24 +46,24 @@
     connection: Option<Connection>,
     retry_at: Time,
     last: Option<Host>,
-    first: Option<Host>,
+    preferred: Option<Host>,
     in_force: Option<ReceivedConfiguration>,
-    /// What it was offered without contact, while it had nothing, and on which connection.
+    /// What was pushed without contact while nothing was in force, and on which connection.
     offered: Option<(ConnectionId, ReceivedConfiguration)>,
     /// Configurations that were put in force.
     pub applied: u64,
 }
 
 impl Router {
-    /// One that starts at this time; `first`: where it goes first.
-    pub fn start(host: Host, now: Time, first: Option<Host>) -> Self {
+    /// One that starts at this time, and connects first to the preferred machine.
+    pub fn start(host: Host, now: Time, preferred: Option<Host>) -> Self {
         Self {
             host,
             started: now,
             connection: None,
             retry_at: now,
             last: None,
-            first,
+            preferred,
             in_force: None,
             offered: None,
             applied: 0,
@@ -124,8 +124,8 @@
 
     fn connect(&mut self, context: &mut CallerContext<'_>) {
         self.retry_at = context.now.after(RECONNECT_DELAY_US);
-        let first = self.first.take();
-        let Some(to) = first.or_else(|| context.another(self.last)) else {
+        let preferred = self.preferred.take();
+        let Some(to) = preferred.or_else(|| context.pick_machine(self.last)) else {
             return;
         };
         self.last = Some(to);
@@ -152,7 +152,7 @@
             .push((to, Packet::FromRouter(id, Some(hello))));
     }
 
-    /// The control machine has said something, or closed the connection.
+    /// The control machine has sent a message, or (`None`) closed the connection.
     pub fn on_message(
         &mut self,
         context: &mut CallerContext<'_>,
@@ -238,8 +238,8 @@
         }
     }
 
-    /// What was offered by this machine before it was in contact is current now. What another
-    /// offered may be old.
+    /// What this machine pushed before it was in contact is current now. What another machine pushed
+    /// may be old.
     fn take_offered(&mut self, context: &mut CallerContext<'_>) {
         let here = self.connection.as_ref().map(|connection| connection.id);
         if let Some((_, offered)) = self
--- a/simulator/src/control/calls.rs
+++ b/simulator/src/control/calls.rs
@@ -108,8 +108,8 @@
 
 fn reply_of(response: RelayedResponse) -> Reply {
     match response {
-        RelayedResponse::Response { status, body } => Reply::Answer { status, body },
-        RelayedResponse::NotPrimary => Reply::Answer {
+        RelayedResponse::Response { status, body } => Reply::Response { status, body },
+        RelayedResponse::NotPrimary => Reply::Response {
             status: 503,
             body: Vec::new(),
         },
--- a/simulator/src/disk.rs
+++ b/simulator/src/disk.rs
@@ -1,9 +1,9 @@
 //! The simulated disk of one control process: a queue that is written and synced batch by batch,
 //! with faults and losses of power.
 //!
-//! It keeps the promises of `lichenswitch-storage` (a snapshot replaces all before it once
-//! it is complete; a torn or missing record ends the chain; what is found at a start is synced before
-//! it is used), and nothing beyond them.
+//! It guarantees what `lichenswitch-storage` does, and no more: a snapshot replaces everything before
+//! it once it is complete; a torn or missing record ends the chain; what is found at a start is synced
+//! before it is used.
 
 use std::collections::VecDeque;
 
@@ -63,7 +63,7 @@
         &self.items
     }
 
-    /// Whether nothing was ever written.
+    /// Whether nothing was written.
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
@@ -89,8 +89,8 @@
     }
 
     fn duration(&self, random: &mut Rng) -> u64 {
-        let slow = if let DiskFault::Slow(more) = self.fault {
-            more
+        let slow = if let DiskFault::Slow(additional) = self.fault {
+            additional
         } else {
             0
         };
--- a/simulator/src/lib.rs
+++ b/simulator/src/lib.rs
@@ -10,9 +10,9 @@
 pub mod callers;
 pub mod control;
 pub mod disk;
-pub mod documents;
 pub mod network;
 pub mod oracle;
+pub mod orders;
 pub mod packet;
 pub mod quotas;
 pub mod scheduler;
--- a/simulator/src/measure.rs
+++ b/simulator/src/measure.rs
@@ -97,10 +97,10 @@
 
 fn print_sizes(changes: usize) {
     let pace = Pace {
-        least_rest: 5_000,
-        most_rest: 50_000,
-        repeats: 0,
-        invalid: 0,
+        min_pause_us: 5_000,
+        max_pause_us: 50_000,
+        repeat_percent: 0,
+        invalid_percent: 0,
         ..Pace::default()
     };
     let mut world = World::new(WorldSettings {
@@ -161,12 +161,12 @@
 /// Messages and bytes a second and machine, at so many changes a second.
 fn traffic(voters: u32, tolerate: u32, changes: Option<u64>) -> (f64, f64) {
     let seconds = 20;
-    let rest = changes.map_or(SECOND_US, |changes| SECOND_US / changes);
+    let pause_us = changes.map_or(SECOND_US, |changes| SECOND_US / changes);
     let pace = Pace {
-        least_rest: rest,
-        most_rest: rest,
-        repeats: 0,
-        invalid: 0,
+        min_pause_us: pause_us,
+        max_pause_us: pause_us,
+        repeat_percent: 0,
+        invalid_percent: 0,
         ..Pace::default()
     };
     let settings = group(1, voters, tolerate);
--- a/simulator/src/network.rs
+++ b/simulator/src/network.rs
@@ -1,4 +1,4 @@
-//! The network: delay for each link, loss, repeats, reorder, and cuts.
+//! The network: a delay for each link, loss, duplication, reordering, and partitions.
 //!
 //! A link is a pair of hosts in one direction. Without harm, what is sent on a link arrives in the
 //! order in which it was sent.
@@ -19,50 +19,50 @@
     }
 }
 
-/// Delay on one way within a zone, in microseconds.
-const WITHIN_ZONE: u64 = 150;
-/// Delay on one way between zones.
-const BETWEEN_ZONES: u64 = 500;
-/// Most that is added to a delay at random.
-const JITTER: u64 = 150;
-/// Most that is added where messages are reordered.
-const REORDER: u64 = 30_000;
+/// One-way delay within a zone, in microseconds.
+const DELAY_WITHIN_ZONE_US: u64 = 150;
+/// One-way delay between zones, in microseconds.
+const DELAY_BETWEEN_ZONES_US: u64 = 500;
+/// Upper bound of the random addition to a delay, in microseconds.
+const JITTER_US: u64 = 150;
+/// Upper bound of the random addition where messages are reordered, in microseconds.
+const REORDER_DELAY_US: u64 = 30_000;
 
-/// What is wrong with all links at once; chances out of 1,000.
+/// Harm to all links at once; probabilities are out of 1,000.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Harm {
-    /// Chance that a message between control machines is lost.
+    /// Probability that a message between control machines is lost.
     pub loss: u32,
-    /// Chance that one comes twice.
+    /// Probability that one is delivered twice.
     pub repeat: u32,
-    /// Chance that one is overtaken.
+    /// Probability that later ones overtake it.
     pub reorder: u32,
     /// Microseconds that are added to each delay.
     pub delay: u64,
 }
 
-/// Number of a cut.
+/// Number of a partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CutId(u64);
 
-/// Links that carry nothing.
+/// A partition: links that carry nothing.
 #[derive(Clone, Debug)]
 struct Cut {
     links: BTreeSet<(Host, Host)>,
-    /// What is sent meanwhile comes when the cut ends; else it is lost.
+    /// Whether messages are delivered when it ends; otherwise they are lost.
     holds: bool,
 }
 
-/// A message that arrives.
+/// The arrival of a message.
 #[derive(Clone, Debug)]
 pub struct Arrival<P> {
-    /// When.
+    /// When it arrives.
     pub at: Time,
-    /// From where.
+    /// The sender.
     pub from: Host,
-    /// Where.
+    /// The receiver.
     pub to: Host,
-    /// What.
+    /// The message.
     pub packet: P,
 }
 
@@ -92,17 +92,17 @@
         }
     }
 
-    /// Where a host stands.
+    /// Sets the zone of a host.
     pub fn place(&mut self, host: Host, zone: u32) {
         self.zones.insert(host, zone);
     }
 
-    /// Sets what is wrong with all links.
+    /// Sets the harm to all links.
     pub fn set_harm(&mut self, harm: Harm) {
         self.harm = harm;
     }
 
-    /// Cuts links.
+    /// Begins a partition of these links.
     pub fn cut(&mut self, links: BTreeSet<(Host, Host)>, holds: bool) -> CutId {
         self.next_cut += 1;
         let id = CutId(self.next_cut);
@@ -110,7 +110,7 @@
         id
     }
 
-    /// Ends a cut; what it held up arrives.
+    /// Ends a partition; returns the arrivals of the messages that it held up.
     pub fn heal(&mut self, now: Time, id: CutId) -> Vec<Arrival<P>> {
         self.cuts.remove(&id);
         let (released, delayed) = std::mem::take(&mut self.delayed)
@@ -124,7 +124,7 @@
             .collect()
     }
 
-    /// Whether a message would get through now.
+    /// Whether a message would arrive now, if it isn't lost by harm.
     pub fn reaches(&self, from: Host, to: Host) -> bool {
         self.blocking(from, to).is_none()
     }
@@ -137,7 +137,7 @@
         cuts.next().map(|(id, cut)| (*id, cut.holds))
     }
 
-    /// Sends a message; where it may be `lossy`, harm applies to it in full.
+    /// Sends a message; returns its arrivals. `lossy`: harm may lose, duplicate or reorder it.
     pub fn send(
         &mut self,
         now: Time,
@@ -152,15 +152,15 @@
             }
             return Vec::new();
         }
-        if lossy && self.chance(self.harm.loss) {
+        if lossy && self.draw(self.harm.loss) {
             return Vec::new();
         }
-        let copies = if lossy && self.chance(self.harm.repeat) {
+        let copies = if lossy && self.draw(self.harm.repeat) {
             2
         } else {
             1
         };
-        let overtaken = lossy && self.chance(self.harm.reorder);
+        let overtaken = lossy && self.draw(self.harm.reorder);
         (0..copies)
             .map(|_| self.arrival(now, from, to, packet.clone(), overtaken))
             .collect()
@@ -174,11 +174,15 @@
         packet: P,
         overtaken: bool,
     ) -> Arrival<P> {
-        let same = self.zones.get(&from) == self.zones.get(&to);
-        let base = if same { WITHIN_ZONE } else { BETWEEN_ZONES };
-        let at = now.after(base + self.random.u64(0..JITTER) + self.harm.delay);
+        let is_same_zone = self.zones.get(&from) == self.zones.get(&to);
+        let base = if is_same_zone {
+            DELAY_WITHIN_ZONE_US
+        } else {
+            DELAY_BETWEEN_ZONES_US
+        };
+        let at = now.after(base + self.random.u64(0..JITTER_US) + self.harm.delay);
         if overtaken {
-            let at = at.after(self.random.u64(0..REORDER));
+            let at = at.after(self.random.u64(0..REORDER_DELAY_US));
             return Arrival {
                 at,
                 from,
@@ -197,7 +201,7 @@
         }
     }
 
-    fn chance(&mut self, of_thousand: u32) -> bool {
+    fn draw(&mut self, of_thousand: u32) -> bool {
         of_thousand > 0 && self.random.u32(0..1_000) < of_thousand
     }
 }
--- a/simulator/src/oracle/mod.rs
+++ b/simulator/src/oracle/mod.rs
@@ -16,8 +16,8 @@
 pub use self::order_entry::OrderEntry;
 pub use self::violation::Violation;
 use crate::control::Replicated;
-use crate::documents::{order_of, version_of, OrderId};
 use crate::network::Host;
+use crate::orders::{order_of, version_of, OrderId};
 use crate::packet::{CallId, Reply};
 
 /// What a call requests.
@@ -51,13 +51,13 @@
     /// By record number: the position that was committed first, and the hash of the state there.
     committed: BTreeMap<u64, (Position, u64)>,
     /// By version: the hash of the configuration that was committed.
-    documents: BTreeMap<u64, u64>,
+    committed_documents: BTreeMap<u64, u64>,
     /// Orders whose configuration was in force at a router.
     in_force: BTreeSet<OrderId>,
     /// The violations, in order.
     pub violations: Vec<Violation>,
-    /// Responses by HTTP status; 0: the connection closed without one.
-    pub answers: BTreeMap<u16, u64>,
+    /// Number of responses by HTTP status; 0: the connection closed without one.
+    pub responses: BTreeMap<u16, u64>,
 }
 
 impl Oracle {
@@ -107,10 +107,10 @@
             return false;
         };
         let (status, body): (u16, &[u8]) = match reply {
-            Reply::Answer { status, body } => (*status, body),
+            Reply::Response { status, body } => (*status, body),
             Reply::Closed => (0, &[]),
         };
-        *self.answers.entry(status).or_default() += 1;
+        *self.responses.entry(status).or_default() += 1;
         match (call.purpose, status) {
             (CallPurpose::Order(order), 200) => self.on_acknowledged(now, order),
             (CallPurpose::Order(order), 400..=499) => self.on_rejected(order, status),
@@ -170,7 +170,7 @@
                 known,
             });
         }
-        if self.documents.get(&returned) != Some(&hash(body)) {
+        if self.committed_documents.get(&returned) != Some(&hash(body)) {
             self.violations
                 .push(Violation::UncommittedDescribe(machine, returned));
         }
@@ -194,7 +194,7 @@
             });
         }
         if let Some(document) = replicated.state().document() {
-            self.documents
+            self.committed_documents
                 .entry(document.version())
                 .or_insert_with(|| hash(&document.to_json()));
         }
@@ -210,7 +210,7 @@
             self.violations
                 .push(Violation::RouterVersionRegressed { router, from, to });
         }
-        let committed = self.documents.get(&to) == Some(&hash(document));
+        let committed = self.committed_documents.get(&to) == Some(&hash(document));
         if self.order(order).was_rejected || !committed {
             self.violations
                 .push(Violation::UncommittedInForce(router, order));
--- a/simulator/src/oracle/violation.rs
+++ b/simulator/src/oracle/violation.rs
@@ -3,8 +3,8 @@
 use lichenswitch_replication::Position;
 use thiserror::Error;
 
-use crate::documents::OrderId;
 use crate::network::Host;
+use crate::orders::OrderId;
 
 /// A rule that was violated. Durations are in milliseconds of virtual time.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
--- a/simulator/src/documents.rs
+++ b/simulator/src/orders.rs
@@ -1,20 +1,21 @@
-//! Configurations as the scripted operators write them: each names the order that brought it.
+//! Orders as the scripted operators write them, and what the oracle reads from configurations: each
+//! contains the id of the order that it results from.
 
 use lichenswitch_configuration::{Order, REPLACE_PATH, UPDATE_PATH};
 
-/// Number of an order; never used twice.
+/// Number of an order; never reused in a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct OrderId(pub u32);
 
-/// Routes of a configuration, beside the one that names the order.
+/// Number of routes of a configuration beside the one that contains the id.
 const ROUTES: usize = 3;
 
-/// An order that brings a whole configuration.
+/// An order that replaces the whole configuration.
 pub fn replacement(id: OrderId, base_version: u64, version: u64) -> Order {
     let others: Vec<String> = (0..ROUTES)
         .map(|number| route(&format!("r-{number}"), &format!("/r{number}/")))
         .collect();
-    let routes = format!("{},{}", marker(id), others.join(","));
+    let routes = format!("{},{}", id_route(id), others.join(","));
     let body = format!(
         "{{\"version\":{version},\"routes\":[{routes}],\"services\":[{{\"name\":\"s\",\"maxConnections\":9}}],\
          \"limits\":{{\"maxHeaderBytes\":16384,\"maxBodyBytes\":4194304,\"headerTimeoutMs\":3000,\"idleTimeoutMs\":15000}}}}"
@@ -26,11 +27,11 @@
     }
 }
 
-/// An order that changes a route.
+/// An order that changes the route that contains the id.
 pub fn update(id: OrderId, base_version: u64, version: u64) -> Order {
     let body = format!(
         "{{\"version\":{version},\"upserts\":{{\"routes\":[{}]}}}}",
-        marker(id)
+        id_route(id)
     );
     Order {
         path: UPDATE_PATH.to_owned(),
@@ -39,7 +40,7 @@
     }
 }
 
-/// An order that nobody may take: a route of a service that is not known.
+/// An order that must be rejected: a route of an unknown service.
 ///
 /// # Panics
 /// Never: the body of an update is text.
@@ -54,7 +55,8 @@
     }
 }
 
-fn marker(id: OrderId) -> String {
+/// The route that contains the id of the order.
+fn id_route(id: OrderId) -> String {
     route("marker", &format!("/order-{}/", id.0))
 }
 
@@ -65,12 +67,12 @@
     )
 }
 
-/// The version that a configuration or an order names: its first field.
+/// The version of a configuration or an order, which is its first field.
 pub fn version_of(body: &[u8]) -> Option<u64> {
     number_after(body, "{\"version\":")
 }
 
-/// The order that brought a configuration.
+/// The order that a configuration results from.
 pub fn order_of(body: &[u8]) -> Option<OrderId> {
     number_after(body, "/order-").map(|number| OrderId(number as u32))
 }
--- a/simulator/src/packet.rs
+++ b/simulator/src/packet.rs
@@ -1,40 +1,40 @@
-//! What travels on links.
+//! The messages between hosts: calls, their replies, and the messages of own processes.
 
 use lichenswitch_messages::{ControlToRouter, PeerMessage, RelayedCall, RouterToControl};
 
-/// Number of a call from outside; never used twice.
+/// Number of a call from outside; never reused in a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CallId(pub u64);
 
-/// Number of a router's connection; never used twice.
+/// Number of a router's connection; never reused in a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConnectionId(pub u64);
 
-/// How a call from outside ends.
+/// The outcome of a call from outside, as its caller sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// An answer.
-    Answer {
+    /// A response.
+    Response {
         /// HTTP status.
         status: u16,
         /// Body.
         body: Vec<u8>,
     },
-    /// The connection ends without one.
+    /// The connection closes without a response.
     Closed,
 }
 
-/// What travels on links.
+/// A message on a link.
 #[derive(Clone, Debug)]
 pub enum Packet {
-    /// Between control machines.
+    /// From one control machine to another.
     Peer(PeerMessage),
     /// A call from outside.
     Call(CallId, RelayedCall),
-    /// Its end.
+    /// The outcome of a call.
     Reply(CallId, Reply),
-    /// A router to a control machine; none: it has closed the connection.
+    /// From a router to a control machine; `None`: it has closed the connection.
     FromRouter(ConnectionId, Option<RouterToControl>),
-    /// A control machine to a router; none: it has closed the connection.
+    /// From a control machine to a router; `None`: it has closed the connection.
     ToRouter(ConnectionId, Option<ControlToRouter>),
 }
--- a/simulator/src/scheduler.rs
+++ b/simulator/src/scheduler.rs
@@ -1,15 +1,17 @@
-//! Virtual time: events in the order of their time, and of their making where that is the same.
+//! Virtual time: events in the order of their times, and in the order in which they were scheduled
+//! where these are equal.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
 use lichenswitch_replication::Time;
 
-/// Events that are to come, and the time.
+/// The events that are scheduled, and the current time.
 #[derive(Debug)]
 pub struct Scheduler<E> {
     now: Time,
-    next: u64,
+    /// Number of the event that was scheduled last.
+    last_number: u64,
     events: BinaryHeap<Reverse<Entry<E>>>,
 }
 
@@ -41,37 +43,38 @@
 }
 
 impl<E> Scheduler<E> {
-    /// Begins at this time.
+    /// One without events, at this time.
     pub fn new(now: Time) -> Self {
         Self {
             now,
-            next: 0,
+            last_number: 0,
             events: BinaryHeap::new(),
         }
     }
 
-    /// The time of the event that is being handled.
+    /// The time of the last event that was returned, or up to which there was none.
     pub fn now(&self) -> Time {
         self.now
     }
 
-    /// An event at this time; at once if that has passed.
+    /// Schedules an event at this time, or now if that has passed.
     pub fn at(&mut self, at: Time, event: E) {
         let at = at.max(self.now);
-        self.next += 1;
+        self.last_number += 1;
         self.events.push(Reverse(Entry {
             at,
-            number: self.next,
+            number: self.last_number,
             event,
         }));
     }
 
-    /// An event after so many microseconds.
+    /// Schedules an event after so many microseconds.
     pub fn after(&mut self, microseconds: u64, event: E) {
         self.at(self.now.after(microseconds), event);
     }
 
-    /// The next event, if it is due by `until`; else the time is `until`.
+    /// Removes and returns the next event if its time is not after `until`, and sets the time to it;
+    /// otherwise sets the time to `until`.
     pub fn next(&mut self, until: Time) -> Option<E> {
         if self
             .events
--- a/simulator/src/walk/overlapping.rs
+++ b/simulator/src/walk/overlapping.rs
@@ -43,7 +43,7 @@
 
 /// Faults that overlap, until all machines have restarted and caught up.
 pub(super) fn round(world: &mut World, random: &mut Rng) {
-    world.let_service_rest(true);
+    world.set_service_pause_allowed(true);
     let mut disks = world.settings.tolerate;
     for _ in 0..random.u32(2..=MAX_FAULTS) {
         let action = draw_action(world, random, &mut disks);
@@ -61,7 +61,7 @@
     world.disarm();
     // What was armed last may have begun at the end.
     world.run_for(MAX_OVERLAPPING_DURATION_US + RECOVERY_US);
-    world.let_service_rest(false);
+    world.set_service_pause_allowed(false);
     world.run_for(HEALTHY_PERIOD_US);
 }
 
@@ -105,7 +105,7 @@
 /// A partition into halves, both of which all callers reach.
 fn draw_even_partition(world: &World, random: &mut Rng, duration: u64) -> Action {
     Action::Cut {
-        targets: draw_machines(world, random, world.core().len() / 2),
+        targets: draw_machines(world, random, world.present_machines().len() / 2),
         kind: CutKind::Full,
         duration,
         holds: random.bool(),
@@ -115,7 +115,7 @@
 
 /// So many machines, each of them once; also such as have no power.
 fn draw_machines(world: &World, random: &mut Rng, number: usize) -> Vec<Target> {
-    let mut hosts: Vec<Host> = world.core();
+    let mut hosts: Vec<Host> = world.present_machines();
     random.shuffle(&mut hosts);
     hosts.truncate(number);
     hosts.into_iter().map(Target::This).collect()
@@ -135,7 +135,7 @@
     if random.bool() {
         let duration = random.u64(SECOND_US..4 * SECOND_US);
         let partition = draw_even_partition(world, random, duration);
-        world.let_service_rest(true);
+        world.set_service_pause_allowed(true);
         world.act_after(0, partition);
         world.run_for(duration + 1);
     }
@@ -150,6 +150,6 @@
         false => world.act_after_order(random.u64(DELAY_AFTER_ORDER_US), action),
     }
     world.run_for(6 * SECOND_US);
-    world.let_service_rest(false);
+    world.set_service_pause_allowed(false);
     world.finish();
 }
--- a/simulator/src/world/action.rs
+++ b/simulator/src/world/action.rs
@@ -1,4 +1,4 @@
-//! Faults, as data.
+//! Faults as plain values. Their `Debug` output is part of a run's trace.
 
 use std::fmt;
 
@@ -10,22 +10,22 @@
 pub enum Target {
     /// The primary.
     Primary,
-    /// One that is not the primary, by number among those that run.
+    /// One that is not the primary: its number among those that run, modulo their number.
     Other(u32),
-    /// The one that has been there the longest.
+    /// The oldest one that runs.
     Oldest,
-    /// This one.
+    /// This machine.
     This(Host),
 }
 
-/// Which links a cut takes.
+/// Which links carry nothing in a partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CutKind {
     /// Both ways, between the targets and the rest.
     Full,
-    /// What the targets send.
+    /// One way, from the targets to the rest.
     Outgoing,
-    /// What the targets are sent.
+    /// One way, from the rest to the targets.
     Incoming,
     /// Both ways, between each target and one of the rest only.
     Partial,
@@ -34,31 +34,31 @@
 /// A fault; durations are microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// The process is killed, and started again.
+    /// The process is killed, and restarts.
     Kill(Target),
-    /// Power is lost, and comes back.
+    /// Power is lost, and returns after the usual delay.
     PowerLoss(Target),
-    /// Power is lost, and comes back after so long.
+    /// Power is lost, and returns after so long.
     PowerLossFor(Target, u64),
     /// The machine loses its disk, and restarts at its address.
     Wipe(Target),
     /// The machine is removed at once; a successor starts at a new address after so long.
     Replace(Target, u64),
-    /// The machine is told to end, then removed; a successor starts at a new address after so long.
+    /// The process is asked to leave, then the machine is removed; a successor starts at a new address after so long.
     PlannedReplace(Target, u64),
-    /// The process is told to end, and started again.
+    /// The process is asked to leave, and restarts.
     Terminate(Target),
-    /// The process does not run for so long.
+    /// The process does not run for so long; events wait for it.
     Freeze(Target, u64),
-    /// Links between control machines, and perhaps of callers, carry nothing for so long.
+    /// A partition: links between control machines, and perhaps of callers, carry nothing.
     Cut {
         /// The machines on one side.
         targets: Vec<Target>,
-        /// Which links.
+        /// Which links between the targets and the rest.
         kind: CutKind,
-        /// For how long.
+        /// How long it lasts.
         duration: u64,
-        /// What is sent meanwhile comes at the end.
+        /// Whether messages are delivered when it ends; otherwise they are lost.
         holds: bool,
         /// Of 100 callers, so many reach only the targets, and as many only the rest.
         callers_bound: u32,
@@ -69,15 +69,15 @@
     KillAll,
     /// All machines lose power.
     PowerOffAll,
-    /// So many machines lose their disks, and all others lose power.
+    /// These machines lose their disks, and all others lose power.
     WipeAndPowerOff(Vec<Target>),
-    /// What callers are answered is lost for so long.
+    /// Responses to callers are lost for so long.
     LoseReplies(u64),
     /// All links are harmed for so long.
     Harm(Harm, u64),
-    /// All routers start anew, and go first to this machine.
+    /// All routers restart, and connect first to this machine.
     RestartRouters(Target),
-    /// The operators, readers and routers go first to this machine: one of so many of them.
+    /// One of so many operators and readers prefers this machine.
     Lure(Target, u32),
 }
 
--- a/simulator/src/world/callers.rs
+++ b/simulator/src/world/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: how they are woken and reached.
+//! The callers of the control machines: their start, wakes and messages.
 
 use fastrand::Rng;
 use lichenswitch_messages::RelayedCall;
@@ -145,10 +145,10 @@
         );
         notes
             .into_iter()
-            .for_each(|note| self.note(|| format!("{host} {note}")));
+            .for_each(|note| self.record_trace(|| format!("{host} {note}")));
         let numbers = before + 1..=self.last_number;
         for number in numbers {
-            self.owners.insert(number, host);
+            self.callers_by_number.insert(number, host);
         }
         for (to, packet) in outgoing {
             let is_order = matches!(packet, Packet::Call(_, RelayedCall::Order { .. }));
@@ -162,7 +162,7 @@
 
     /// The caller that made a call.
     pub(super) fn caller_of(&self, id: CallId) -> Option<Host> {
-        self.owners.get(&id.0).copied()
+        self.callers_by_number.get(&id.0).copied()
     }
 
     pub(super) fn send_to_router(
@@ -171,7 +171,7 @@
         id: ConnectionId,
         message: Option<lichenswitch_messages::ControlToRouter>,
     ) {
-        if let Some(router) = self.owners.get(&id.0).copied() {
+        if let Some(router) = self.callers_by_number.get(&id.0).copied() {
             self.send(from, router, Packet::ToRouter(id, message), false);
         }
     }
--- a/simulator/src/world/check.rs
+++ b/simulator/src/world/check.rs
@@ -8,9 +8,9 @@
 use super::{World, CHECK_INTERVAL_US, LIST_LAG_US};
 use crate::callers::APPLY_BOUND_US;
 use crate::disk::DiskFault;
-use crate::documents::OrderId;
 use crate::network::Host;
 use crate::oracle::Violation;
+use crate::orders::OrderId;
 
 /// The core is stable so many microseconds after the last fault or recovery (`contactMs`).
 pub(super) const CONTACT_TIMEOUT_US: u64 = 3_000_000;
@@ -26,9 +26,9 @@
 
 impl World {
     pub(super) fn check(&mut self) {
-        self.keep_list();
+        self.update_list();
         self.check_wakes();
-        if self.harmed || self.service_may_rest {
+        if self.is_network_harmed || self.is_service_pause_allowed {
             self.last_fault_change_at = self.now();
         }
         let stable_since = self.last_fault_change_at.after(CONTACT_TIMEOUT_US);
@@ -38,12 +38,12 @@
         }
         self.check_orders(stable_since, &majority);
         self.check_routers(stable_since, &majority);
-        if majority.len() == self.core().len() {
+        if majority.len() == self.present_machines().len() {
             self.check_members(stable_since);
         }
     }
 
-    fn keep_list(&mut self) {
+    fn update_list(&mut self) {
         let now = self.now();
         let list = self
             .machines
@@ -57,8 +57,8 @@
     }
 
     fn check_wakes(&mut self) {
-        for (host, times) in std::mem::take(&mut self.woken) {
-            if times > MAX_WAKES_PER_CHECK && self.settings.judges_wakes {
+        for (host, times) in std::mem::take(&mut self.wake_counts) {
+            if times > MAX_WAKES_PER_CHECK && self.settings.checks_wakes {
                 self.oracle
                     .violations
                     .push(Violation::ExcessiveWakes(host, times));
@@ -70,7 +70,7 @@
     /// Machines that run and reach each other both ways, if those with a sound disk are more than
     /// half of all that count.
     fn connected_majority(&self) -> BTreeSet<Host> {
-        let core = self.core();
+        let core = self.present_machines();
         let running: Vec<Host> = core
             .iter()
             .copied()
@@ -102,7 +102,7 @@
     }
 
     fn reaches_all(&self, caller: Host, majority: &BTreeSet<Host>) -> bool {
-        !self.replies_lost
+        !self.are_replies_lost
             && majority
                 .iter()
                 .all(|host| self.reaches_both_ways(caller, *host))
@@ -110,7 +110,7 @@
 
     fn check_orders(&mut self, stable_since: Time, majority: &BTreeSet<Host>) {
         let now = self.now();
-        let is_complete = majority.len() == self.core().len();
+        let is_complete = majority.len() == self.present_machines().len();
         let bound = if is_complete {
             ACKNOWLEDGE_BOUND_US
         } else {
@@ -175,7 +175,7 @@
         let number = group.map_or(0, |position| position.number);
         let mut late = Vec::new();
         let core = self
-            .core()
+            .present_machines()
             .into_iter()
             .filter(|host| self.reaches_both_ways(*host, primary));
         for machine in core.collect::<Vec<Host>>() {
--- a/simulator/src/world/effects.rs
+++ b/simulator/src/world/effects.rs
@@ -11,7 +11,7 @@
 
 impl World {
     /// Carries out the effects that a process requests.
-    pub(super) fn settle(&mut self, host: Host) {
+    pub(super) fn apply_effects(&mut self, host: Host) {
         let now = self.now();
         let Some(process) = self.process(host) else {
             return;
@@ -76,10 +76,10 @@
         let now = self.now();
         let acknowledged = self.oracle.on_reply(now, host, id, &reply);
         let caller = self.caller_of(id);
-        if let Some(caller) = caller.filter(|_| power == Power::On && !self.replies_lost) {
+        if let Some(caller) = caller.filter(|_| power == Power::On && !self.are_replies_lost) {
             self.send(host, caller, Packet::Reply(id, reply), false);
         }
-        if let Some(action) = self.armed.take_if(|_| acknowledged) {
+        if let Some(action) = self.armed_by_acknowledgement.take_if(|_| acknowledged) {
             self.act_after(0, action);
         }
     }
@@ -107,7 +107,7 @@
             self.counts.snapshots += 1;
             self.counts.largest_snapshot = self.counts.largest_snapshot.max(*bytes);
         }
-        self.note(|| format!("{host} {notice:?}"));
+        self.record_trace(|| format!("{host} {notice:?}"));
     }
 
     /// The process has ended by itself, as it was told to.
--- a/simulator/src/world/faults/callers.rs
+++ b/simulator/src/world/faults/callers.rs
@@ -19,10 +19,10 @@
         let one_of = one_of.max(1) as usize;
         let first_of = |number: usize| preferred.filter(|_| number.is_multiple_of(one_of));
         for (number, operator) in self.operators.values_mut().enumerate() {
-            operator.set_first(first_of(number));
+            operator.set_preferred(first_of(number));
         }
         for (number, reader) in self.readers.values_mut().enumerate() {
-            reader.set_first(first_of(number));
+            reader.set_preferred(first_of(number));
         }
     }
 }
--- a/simulator/src/world/faults/machines.rs
+++ b/simulator/src/world/faults/machines.rs
@@ -17,7 +17,7 @@
     }
 
     pub(super) fn kill_all(&mut self) {
-        for host in self.core() {
+        for host in self.present_machines() {
             self.kill(host);
         }
     }
@@ -42,7 +42,7 @@
     }
 
     pub(super) fn power_off_all(&mut self) {
-        for host in self.core() {
+        for host in self.present_machines() {
             self.lose_power(host);
         }
     }
@@ -58,7 +58,7 @@
     /// The machines that these targets mean lose their disks, and all others lose power.
     pub(super) fn wipe_and_power_off(&mut self, targets: &[Target]) {
         let wiped = self.resolve_all(targets);
-        for host in self.core() {
+        for host in self.present_machines() {
             match wiped.contains(&host) {
                 true => self.wipe(host),
                 false => self.lose_power(host),
@@ -94,7 +94,7 @@
         if let Some(process) = &mut machine.process {
             process.on_terminate(now, now.after(GRACE_PERIOD_US));
         }
-        self.settle(host);
+        self.apply_effects(host);
     }
 
     /// The process does not run for so many microseconds; events wait for it.
--- a/simulator/src/world/faults/mod.rs
+++ b/simulator/src/world/faults/mod.rs
@@ -15,7 +15,7 @@
     pub(super) fn act(&mut self, action: Action) {
         self.last_fault_change_at = self.now();
         self.counts.faults += 1;
-        self.note(|| format!("== {action}"));
+        self.record_trace(|| format!("== {action}"));
         match action {
             Action::Kill(target) => self.on_target(target, Self::kill),
             Action::PowerLoss(target) => self.on_target(target, Self::lose_power),
@@ -58,13 +58,13 @@
     /// Ends a fault.
     pub(super) fn undo(&mut self, undo: Undo) {
         self.last_fault_change_at = self.now();
-        self.note(|| format!("== end of {undo:?}"));
+        self.record_trace(|| format!("== end of {undo:?}"));
         match undo {
             Undo::Thaw(host) => self.thaw(host),
             Undo::Heal(cut) => self.heal(cut),
             Undo::Disk(host) => self.set_disk_fault(host, DiskFault::None),
             Undo::Harm => self.end_harm(),
-            Undo::Replies => self.replies_lost = false,
+            Undo::Replies => self.are_replies_lost = false,
         }
     }
 
--- a/simulator/src/world/faults/network.rs
+++ b/simulator/src/world/faults/network.rs
@@ -18,7 +18,7 @@
     ) {
         let side: BTreeSet<Host> = self.resolve_all(targets).into_iter().collect();
         let rest: BTreeSet<Host> = self
-            .core()
+            .present_machines()
             .into_iter()
             .filter(|host| !side.contains(host))
             .collect();
@@ -49,19 +49,19 @@
 
     /// All links are harmed for so many microseconds.
     pub(super) fn harm(&mut self, harm: Harm, duration: u64) {
-        self.harmed = true;
+        self.is_network_harmed = true;
         self.network.set_harm(harm);
         self.scheduler.after(duration, Event::Undo(Undo::Harm));
     }
 
     pub(super) fn end_harm(&mut self) {
-        self.harmed = false;
+        self.is_network_harmed = false;
         self.network.set_harm(Harm::default());
     }
 
     /// Responses to callers are lost for so many microseconds.
     pub(super) fn lose_replies(&mut self, duration: u64) {
-        self.replies_lost = true;
+        self.are_replies_lost = true;
         self.scheduler.after(duration, Event::Undo(Undo::Replies));
     }
 }
--- a/simulator/src/world/machine_events.rs
+++ b/simulator/src/world/machine_events.rs
@@ -32,7 +32,7 @@
             Packet::FromRouter(id, message) => process.on_router(id, now, message.as_ref()),
             Packet::Reply(..) | Packet::ToRouter(..) => {}
         }
-        self.settle(arrival.to);
+        self.apply_effects(arrival.to);
     }
 
     /// No process listens there: the connection is reset, unless the machine has no power.
@@ -61,7 +61,7 @@
         if let Some(process) = self.process(host) {
             process.tick(now);
         }
-        self.settle(host);
+        self.apply_effects(host);
     }
 
     /// The time of a batch of writes has passed.
@@ -86,7 +86,7 @@
             }
         }
         self.begin_write(host);
-        self.settle(host);
+        self.apply_effects(host);
     }
 
     /// Begins to write the submitted items, unless a batch is being written.
--- a/simulator/src/world/machines.rs
+++ b/simulator/src/world/machines.rs
@@ -31,7 +31,7 @@
             self.add_machine(*host, host.0 % ZONES, true);
         }
         let founder = hosts.first().and_then(|host| self.machines.get_mut(host));
-        if let Some(founder) = founder.filter(|_| self.settings.founder_without_disk) {
+        if let Some(founder) = founder.filter(|_| self.settings.is_founder_diskless) {
             founder.without_disk = true;
         }
         let seeds: Vec<String> = hosts
@@ -71,7 +71,11 @@
         if seeds.len() < SEEDS {
             // Three are named wherever three serve, also where most had no power when the list was
             // made.
-            seeds.extend(self.core().into_iter().filter(|seed| *seed != host));
+            seeds.extend(
+                self.present_machines()
+                    .into_iter()
+                    .filter(|seed| *seed != host),
+            );
         }
         let seeds = seeds
             .iter()
@@ -128,8 +132,8 @@
         }
         machine.process = Some(process);
         self.notify_diskless_members();
-        self.note(|| format!("{host} starts as {identity}"));
-        self.settle(host);
+        self.record_trace(|| format!("{host} starts as {identity}"));
+        self.apply_effects(host);
     }
 
     fn notify_diskless_members(&mut self) {
@@ -201,7 +205,7 @@
         for connection in resets {
             self.send_to_router(host, connection, None);
         }
-        self.note(|| match power {
+        self.record_trace(|| match power {
             Power::On => format!("{host} ends"),
             Power::Off => format!("{host} ends without power"),
         });
@@ -225,6 +229,6 @@
             machine.removed = true;
             machine.power = Power::Off;
         }
-        self.note(|| format!("{host} is removed"));
+        self.record_trace(|| format!("{host} is removed"));
     }
 }
--- a/simulator/src/world/mod.rs
+++ b/simulator/src/world/mod.rs
@@ -1,4 +1,4 @@
-//! A group of control machines, its callers, and time.
+//! A run: a group of control machines, its callers, its network, and time.
 
 mod action;
 mod callers;
@@ -24,16 +24,16 @@
 use crate::packet::Packet;
 use crate::scheduler::Scheduler;
 
-/// Virtual time at which a run begins; not 0, as a time of 0 may be taken for none.
+/// Virtual time at which a run begins; not 0, as that may mean that there is no time.
 const BEGIN: Time = Time(1_000_000);
-/// Between two checks of what must always hold, in microseconds.
+/// Interval of the checks of rules that always hold, in microseconds.
 const CHECK_INTERVAL_US: u64 = 100_000;
-/// Numbers of hosts.
+/// Number of the first control machine; the numbers of callers begin far above.
 const FIRST_MACHINE: u32 = 1;
 const FIRST_OPERATOR: u32 = 1_000;
 const FIRST_READER: u32 = 2_000;
 const FIRST_ROUTER: u32 = 3_000;
-/// The operators' list lags by so many microseconds (`seedLagS`).
+/// The operators' list of control machines lags by so many microseconds (`seedLagS`).
 const LIST_LAG_US: u64 = 3_000_000;
 /// Most lines of the trace that are kept; older ones are dropped.
 const MAX_TRACE_LINES: usize = 100_000;
@@ -45,7 +45,7 @@
     pub seed: u64,
     /// Control machines at the start.
     pub voters: u32,
-    /// Losses that must be borne.
+    /// Losses that the group must tolerate.
     pub tolerate: u32,
     /// Operators.
     pub operators: u32,
@@ -57,19 +57,19 @@
     pub pace: Pace,
     /// Planted faults of replication.
     pub faults: Faults,
-    /// Planted faults of the glue.
+    /// Planted faults of the glue round the replicas.
     pub glue: GlueFaults,
-    /// Whether a process that wakes without need breaks a rule. Off only where a planted fault
-    /// brings that with it.
-    pub judges_wakes: bool,
+    /// Whether a process that wakes without need violates a rule. Off only where a planted fault
+    /// causes that.
+    pub checks_wakes: bool,
     /// The first machine, which founds the group, has no disk.
-    pub founder_without_disk: bool,
+    pub is_founder_diskless: bool,
     /// Whether a trace is kept.
     pub trace: bool,
 }
 
 impl WorldSettings {
-    /// A group of four that must bear one loss, with two operators, a reader and three routers.
+    /// A group of four that tolerates one loss, with two operators, a reader and three routers.
     pub fn new(seed: u64) -> Self {
         Self {
             seed,
@@ -81,8 +81,8 @@
             pace: Pace::default(),
             faults: Faults::default(),
             glue: GlueFaults::default(),
-            judges_wakes: true,
-            founder_without_disk: false,
+            checks_wakes: true,
+            is_founder_diskless: false,
             trace: false,
         }
     }
@@ -110,14 +110,14 @@
     Replies,
 }
 
-/// Counts of a run.
+/// Counters of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
     /// Messages between control machines.
     pub messages: u64,
     /// Bytes of them.
     pub bytes: u64,
-    /// Faults that were brought about.
+    /// Faults that have begun.
     pub faults: u64,
     /// Largest snapshot that was received from a peer, in bytes.
     pub largest_snapshot: usize,
@@ -129,9 +129,9 @@
 pub struct World {
     /// What it consists of.
     pub settings: WorldSettings,
-    /// What was answered, and which rules were broken.
+    /// The responses, and the violations found in them.
     pub oracle: Oracle,
-    /// What was counted.
+    /// Its counters.
     pub counts: Counts,
     scheduler: Scheduler<Event>,
     random: Rng,
@@ -140,23 +140,27 @@
     operators: BTreeMap<Host, Operator>,
     readers: BTreeMap<Host, Reader>,
     routers: BTreeMap<Host, Router>,
+    /// The next wake of each host.
     wakes: BTreeMap<Host, Time>,
-    woken: BTreeMap<Host, u32>,
+    /// How often each host was woken since the last check.
+    wake_counts: BTreeMap<Host, u32>,
+    /// The operators' list of control machines, with when each version of it was made.
     lists: VecDeque<(Time, Vec<Host>)>,
+    /// Number of the last call or connection.
     last_number: u64,
     /// Members that were started without a disk.
     without_disk: BTreeSet<Identity>,
     /// The caller of each call and connection, by its number.
-    owners: BTreeMap<u64, Host>,
+    callers_by_number: BTreeMap<u64, Host>,
     last_fault_change_at: Time,
-    harmed: bool,
-    replies_lost: bool,
-    /// A fault that is brought about with the next acknowledgement.
-    armed: Option<Action>,
-    /// A fault that is brought about so many microseconds after the next order is sent.
+    is_network_harmed: bool,
+    are_replies_lost: bool,
+    /// A fault that begins with the next acknowledgement.
+    armed_by_acknowledgement: Option<Action>,
+    /// A fault that begins so many microseconds after the next order is sent.
     armed_by_order: Option<(u64, Action)>,
-    /// More is lost than service has to bear: what is acknowledged is judged, delays are not.
-    service_may_rest: bool,
+    /// More is lost than the group tolerates: what is acknowledged is checked, delays are not.
+    is_service_pause_allowed: bool,
     trace: VecDeque<String>,
 }
 
@@ -176,17 +180,17 @@
             readers: BTreeMap::new(),
             routers: BTreeMap::new(),
             wakes: BTreeMap::new(),
-            woken: BTreeMap::new(),
+            wake_counts: BTreeMap::new(),
             lists: VecDeque::new(),
             last_number: 0,
             without_disk: BTreeSet::new(),
-            owners: BTreeMap::new(),
+            callers_by_number: BTreeMap::new(),
             last_fault_change_at: BEGIN,
-            harmed: false,
-            replies_lost: false,
-            armed: None,
+            is_network_harmed: false,
+            are_replies_lost: false,
+            armed_by_acknowledgement: None,
             armed_by_order: None,
-            service_may_rest: false,
+            is_service_pause_allowed: false,
             trace: VecDeque::new(),
             settings,
         };
@@ -201,7 +205,7 @@
         self.scheduler.now()
     }
 
-    /// Runs for so many microseconds, or until a rule is broken.
+    /// Runs for so many microseconds, or until a rule is violated.
     pub fn run_for(&mut self, microseconds: u64) {
         let until = self.now().after(microseconds);
         while self.oracle.violations.is_empty() {
@@ -227,41 +231,40 @@
         }
     }
 
-    /// Brings a fault about after so many microseconds.
+    /// Begins a fault after so many microseconds.
     pub fn act_after(&mut self, microseconds: u64, action: Action) {
         self.scheduler.after(microseconds, Event::Act(action));
     }
 
-    /// Brings a fault about with the next acknowledgement that an operator gets.
+    /// Begins a fault with the next acknowledgement that a machine sends.
     pub fn act_after_acknowledgement(&mut self, action: Action) {
-        self.armed = Some(action);
+        self.armed_by_acknowledgement = Some(action);
     }
 
-    /// Brings a fault about so many microseconds after the next order that an operator sends: its
-    /// end isn't known then.
+    /// Begins a fault so many microseconds after the next order that an operator sends, when the
+    /// outcome of the order is open.
     pub fn act_after_order(&mut self, microseconds: u64, action: Action) {
         self.armed_by_order = Some((microseconds, action));
     }
 
-    /// From now on service may rest, or may no more. Nothing acknowledged may be lost or shown in
-    /// an older state either way.
-    pub fn let_service_rest(&mut self, may_rest: bool) {
-        self.service_may_rest = may_rest;
+    /// Sets whether service may pause from now on: delays aren't checked then. Acknowledged orders
+    /// may not be lost, or shown in an older state, either way.
+    pub fn set_service_pause_allowed(&mut self, is_allowed: bool) {
+        self.is_service_pause_allowed = is_allowed;
         self.last_fault_change_at = self.now();
     }
 
-    /// Brings a fault about with the next acknowledgement, or at once if one waits for that
-    /// already.
+    /// Begins a fault with the next acknowledgement, or at once if one waits for that already.
     pub fn act_after_acknowledgement_or_now(&mut self, action: Action) {
-        match self.armed {
-            None => self.armed = Some(action),
+        match self.armed_by_acknowledgement {
+            None => self.armed_by_acknowledgement = Some(action),
             Some(_) => self.act_after(0, action),
         }
     }
 
-    /// Nothing that waits for an acknowledgement or an order is brought about any more.
+    /// Cancels the faults that wait for an acknowledgement or an order.
     pub fn disarm(&mut self) {
-        (self.armed, self.armed_by_order) = (None, None);
+        (self.armed_by_acknowledgement, self.armed_by_order) = (None, None);
     }
 
     /// The trace, the oldest line first.
@@ -269,7 +272,8 @@
         self.trace.iter().map(String::as_str)
     }
 
-    fn note(&mut self, text: impl FnOnce() -> String) {
+    /// Adds a line to the trace, if one is kept.
+    fn record_trace(&mut self, text: impl FnOnce() -> String) {
         if !self.settings.trace {
             return;
         }
@@ -296,7 +300,7 @@
         }
     }
 
-    /// Has a host woken at this time, if it isn't before.
+    /// Schedules the wake of a host at this time, unless an earlier one is scheduled.
     fn wake_at(&mut self, host: Host, at: Time) {
         let at = at.max(self.now().after(1));
         if at.0 == u64::MAX || self.wakes.get(&host).is_some_and(|wake| *wake <= at) {
@@ -311,7 +315,7 @@
             return;
         }
         self.wakes.remove(&host);
-        *self.woken.entry(host).or_default() += 1;
+        *self.wake_counts.entry(host).or_default() += 1;
         if self.machines.contains_key(&host) {
             self.wake_machine(host);
         } else {
--- a/simulator/src/world/views.rs
+++ b/simulator/src/world/views.rs
@@ -8,7 +8,7 @@
 
 impl World {
     /// Machines that have not been removed.
-    pub fn core(&self) -> Vec<Host> {
+    pub fn present_machines(&self) -> Vec<Host> {
         self.machines
             .values()
             .filter(|machine| !machine.removed)
--- a/simulator/tests/diskless_founder_loses_no_order.rs
+++ b/simulator/tests/diskless_founder_loses_no_order.rs
@@ -10,21 +10,21 @@
 
 /// The pace after the first seconds.
 const STEADY_PACE: Pace = Pace {
-    least_rest: 200_000,
-    most_rest: 500_000,
-    in_step: 0,
-    repeats: 10,
-    invalid: 0,
-    most_step: 3,
+    min_pause_us: 200_000,
+    max_pause_us: 500_000,
+    step_us: 0,
+    repeat_percent: 10,
+    invalid_percent: 0,
+    max_version_step: 3,
 };
 
 /// The founder and four machines with a disk, one of which may be lost.
 fn with_diskless_founder(settings: &mut WorldSettings) {
-    settings.founder_without_disk = true;
+    settings.is_founder_diskless = true;
     settings.voters = 5;
     settings.pace = Pace {
-        least_rest: 0,
-        most_rest: 20_000,
+        min_pause_us: 0,
+        max_pause_us: 20_000,
         ..Pace::default()
     };
 }
@@ -40,12 +40,12 @@
     ];
     let target = positions[settings.seed as usize % positions.len()];
     let mut world = World::new(settings);
-    world.let_service_rest(true);
+    world.set_service_pause_allowed(true);
     world.act_after_acknowledgement(Action::WipeAndPowerOff(vec![target]));
     world.run_for(2 * SECOND);
     world.set_pace(STEADY_PACE);
     world.run_for(6 * SECOND);
-    world.let_service_rest(false);
+    world.set_service_pause_allowed(false);
     world.run_for(CATCH_UP);
     world.finish();
     world
--- a/simulator/tests/overlapping_losses_lose_no_order.rs
+++ b/simulator/tests/overlapping_losses_lose_no_order.rs
@@ -35,9 +35,9 @@
 fn with_eager_operators(settings: &mut WorldSettings) {
     (settings.operators, settings.readers) = (8, 4);
     settings.pace = Pace {
-        least_rest: 0,
-        most_rest: 200_000,
-        repeats: 30,
+        min_pause_us: 0,
+        max_pause_us: 200_000,
+        repeat_percent: 30,
         ..Pace::default()
     };
 }
@@ -50,7 +50,7 @@
 /// Waits until all machines have restarted, and judges delays again.
 fn recover(world: &mut World) {
     world.run_for(2 * SECOND + RECOVERY);
-    world.let_service_rest(false);
+    world.set_service_pause_allowed(false);
     world.run_for(CATCH_UP);
 }
 
@@ -60,11 +60,11 @@
     let mut world = started_group(settings);
     for target in [Target::Oldest, Target::Primary, Target::Other(1)] {
         for delay in DELAYS_AFTER_ORDER_US {
-            world.let_service_rest(true);
+            world.set_service_pause_allowed(true);
             world.act_after_order(delay, Action::WipeAndPowerOff(vec![target]));
             recover(&mut world);
         }
-        world.let_service_rest(true);
+        world.set_service_pause_allowed(true);
         world.act_after_acknowledgement(Action::WipeAndPowerOff(vec![target]));
         recover(&mut world);
     }
@@ -76,9 +76,9 @@
 /// disk while all others lose power, at once or up to 0.9 s later.
 fn even_partition_then_disk_loss(settings: WorldSettings) -> World {
     let mut world = started_group(settings);
-    let half = world.core().len() as u32 / 2;
+    let half = world.present_machines().len() as u32 / 2;
     for (round, later) in [0, 1_000, 30_000, 300_000, 900_000].into_iter().enumerate() {
-        world.let_service_rest(true);
+        world.set_service_pause_allowed(true);
         let targets = std::iter::once(Target::Primary)
             .chain((1..half).map(Target::Other))
             .collect();
@@ -113,7 +113,7 @@
             Target::This(Host(2)),
             world.resolve(lost).map_or(lost, Target::This),
         );
-        world.let_service_rest(true);
+        world.set_service_pause_allowed(true);
         world.act_after(0, Action::PowerLossFor(away, 6 * SECOND));
         world.act_after_acknowledgement_or_now(Action::Wipe(wiped));
         for kill in 1..5 {
@@ -122,7 +122,7 @@
         world.run_for(8 * SECOND);
         recover(&mut world);
     }
-    world.let_service_rest(true);
+    world.set_service_pause_allowed(true);
     world.act_after(0, Action::PowerLossFor(Target::This(Host(3)), 7 * SECOND));
     world.act_after(400_000, Action::Replace(Target::Primary, SECOND));
     world.run_for(9 * SECOND);
@@ -145,7 +145,7 @@
             [Target::Primary, Target::Other(0)],
             [Target::Other(0), Target::Other(1)],
         ] {
-            world.let_service_rest(true);
+            world.set_service_pause_allowed(true);
             world.act_after(0, Action::Disk(positions[0], one, 3 * SECOND));
             world.act_after(1, Action::Disk(positions[1], two, 2 * SECOND));
             world.act_after(1_500_000, Action::Kill(Target::Primary));
@@ -163,10 +163,10 @@
 /// is kept; then two of the others lose their disks, and all restart.
 fn four_power_losses_then_two_disk_losses(settings: WorldSettings) -> World {
     let mut world = started_group(settings);
-    world.let_service_rest(true);
+    world.set_service_pause_allowed(true);
     let primary = world.primary();
     let others: Vec<Host> = world
-        .core()
+        .present_machines()
         .into_iter()
         .filter(|host| Some(*host) != primary)
         .collect();
--- a/simulator/tests/partitions_cause_no_stale_state.rs
+++ b/simulator/tests/partitions_cause_no_stale_state.rs
@@ -209,7 +209,7 @@
     fn plant(settings: &mut WorldSettings) {
         settings.faults.plant(Fault::ConfirmFromMemory);
         // It never steps down, and wakes for that for ever.
-        settings.judges_wakes = false;
+        settings.checks_wakes = false;
     }
     assert_violation_found(0..10, plant, full_cut);
 }
@@ -240,8 +240,8 @@
 fn with_many_callers(settings: &mut WorldSettings) {
     (settings.readers, settings.operators) = (8, 8);
     settings.pace = Pace {
-        least_rest: 300_000,
-        most_rest: 700_000,
+        min_pause_us: 300_000,
+        max_pause_us: 700_000,
         ..Pace::default()
     };
 }
--- a/simulator/tests/racing_orders_never_conflict.rs
+++ b/simulator/tests/racing_orders_never_conflict.rs
@@ -12,12 +12,12 @@
 fn with_racing_operators(settings: &mut WorldSettings) {
     settings.operators = 4;
     settings.pace = Pace {
-        least_rest: 0,
-        most_rest: 400_000,
-        in_step: 200_000,
-        repeats: 30,
-        invalid: 5,
-        most_step: 2,
+        min_pause_us: 0,
+        max_pause_us: 400_000,
+        step_us: 200_000,
+        repeat_percent: 30,
+        invalid_percent: 5,
+        max_version_step: 2,
     };
 }
 
--- a/simulator/tests/restarted_members_catch_up.rs
+++ b/simulator/tests/restarted_members_catch_up.rs
@@ -17,8 +17,8 @@
 fn with_busy_operators(settings: &mut WorldSettings) {
     settings.operators = 4;
     settings.pace = Pace {
-        least_rest: 30_000,
-        most_rest: 250_000,
+        min_pause_us: 30_000,
+        max_pause_us: 250_000,
         ..Pace::default()
     };
 }
@@ -117,7 +117,7 @@
             let role = world.status(*host).map(|status| status.role);
             role == Some(MemberRole::Primary { serving: false })
         };
-        if let Some(host) = world.core().into_iter().find(elected) {
+        if let Some(host) = world.present_machines().into_iter().find(elected) {
             return Some(host);
         }
     }
