--- a/simulator/src/network.rs
+++ b/simulator/src/network.rs
@@ -66,6 +66,15 @@
     pub packet: P,
 }
 
+/// A message that a partition holds up.
+#[derive(Clone, Debug)]
+struct DelayedMessage<P> {
+    cut: CutId,
+    from: Host,
+    to: Host,
+    packet: P,
+}
+
 /// All links.
 #[derive(Debug)]
 pub struct Network<P> {
@@ -73,8 +82,10 @@
     zones: BTreeMap<Host, u32>,
     harm: Harm,
     cuts: BTreeMap<CutId, Cut>,
-    next_cut: u64,
-    delayed: Vec<(CutId, Host, Host, P)>,
+    /// Number of the last partition.
+    last_cut: u64,
+    delayed: Vec<DelayedMessage<P>>,
+    /// The last arrival on each link.
     last: BTreeMap<(Host, Host), Time>,
 }
 
@@ -86,7 +97,7 @@
             zones: BTreeMap::new(),
             harm: Harm::default(),
             cuts: BTreeMap::new(),
-            next_cut: 0,
+            last_cut: 0,
             delayed: Vec::new(),
             last: BTreeMap::new(),
         }
@@ -104,8 +115,8 @@
 
     /// Begins a partition of these links.
     pub fn cut(&mut self, links: BTreeSet<(Host, Host)>, holds: bool) -> CutId {
-        self.next_cut += 1;
-        let id = CutId(self.next_cut);
+        self.last_cut += 1;
+        let id = CutId(self.last_cut);
         self.cuts.insert(id, Cut { links, holds });
         id
     }
@@ -113,14 +124,13 @@
     /// Ends a partition; returns the arrivals of the messages that it held up.
     pub fn heal(&mut self, now: Time, id: CutId) -> Vec<Arrival<P>> {
         self.cuts.remove(&id);
-        let (released, delayed) = std::mem::take(&mut self.delayed)
+        let (released, delayed): (Vec<_>, Vec<_>) = std::mem::take(&mut self.delayed)
             .into_iter()
-            .partition(|delayed| delayed.0 == id);
+            .partition(|message| message.cut == id);
         self.delayed = delayed;
-        let released: Vec<(CutId, Host, Host, P)> = released;
         released
             .into_iter()
-            .flat_map(|(_, from, to, packet)| self.send(now, from, to, packet, false))
+            .flat_map(|message| self.send(now, message.from, message.to, message.packet, false))
             .collect()
     }
 
@@ -129,12 +139,12 @@
         self.blocking(from, to).is_none()
     }
 
-    fn blocking(&self, from: Host, to: Host) -> Option<(CutId, bool)> {
-        let mut cuts = self
-            .cuts
+    /// The first partition that takes a link.
+    fn blocking(&self, from: Host, to: Host) -> Option<(CutId, &Cut)> {
+        self.cuts
             .iter()
-            .filter(|(_, cut)| cut.links.contains(&(from, to)));
-        cuts.next().map(|(id, cut)| (*id, cut.holds))
+            .find(|(_, cut)| cut.links.contains(&(from, to)))
+            .map(|(id, cut)| (*id, cut))
     }
 
     /// Sends a message; returns its arrivals. `lossy`: harm may lose, duplicate or reorder it.
@@ -146,9 +156,14 @@
         packet: P,
         lossy: bool,
     ) -> Vec<Arrival<P>> {
-        if let Some((cut, holds)) = self.blocking(from, to) {
-            if holds {
-                self.delayed.push((cut, from, to, packet));
+        if let Some((cut, Cut { holds, .. })) = self.blocking(from, to) {
+            if *holds {
+                self.delayed.push(DelayedMessage {
+                    cut,
+                    from,
+                    to,
+                    packet,
+                });
             }
             return Vec::new();
         }
