--- a/experiments/src/node.rs
+++ b/experiments/src/node.rs
@@ -1,29 +1,28 @@
-//! A data node in virtual time: some cores, a queue, pauses and slow spells. It accounts for all
-//! that it worked.
+//! A data node in virtual time: some cores, a queue, and pauses. It reports the cost of each task.
 
 use lichenswitch::interface::{Micros, Time};
 use std::collections::{HashMap, VecDeque};
 
-/// A piece of work: one attempt of a part.
+/// The work of one attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct Task {
-    /// Names the attempt.
+    /// Number of the attempt.
     pub attempt: u64,
     /// Work that it needs, in microseconds of one core.
     pub work: Micros,
     /// 1 or 2: the phase of its query.
     pub phase: u8,
-    /// After this time its query is worth little.
-    pub aim_at: Time,
+    /// The latency target of its query: an answer after it has little value.
+    pub target_at: Time,
 }
 
-/// What a task has cost.
+/// The cost of a task, in microseconds of a core.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Cost {
     /// Work done.
     pub ran: Micros,
-    /// Work done after the aim of its query.
-    pub after_aim: Micros,
+    /// Work done after the latency target of its query.
+    pub after_target: Micros,
 }
 
 struct Running {
@@ -35,14 +34,14 @@
 /// A task that starts: its attempt, and when it ends.
 pub type Start = (u64, Time);
 
-/// How a task left its node.
+/// A task that has ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Left {
+pub struct EndedTask {
     /// The phase of its query.
     pub phase: u8,
-    /// What it has cost.
+    /// Its cost.
     pub cost: Cost,
-    /// What starts in its place.
+    /// The queued task that starts in its place.
     pub next: Option<Start>,
 }
 
@@ -50,14 +49,14 @@
 #[derive(Default)]
 pub struct Node {
     cores: usize,
-    /// Times at which nothing is worked on, in order.
+    /// Intervals in which no work is done, in order.
     pauses: Vec<(Time, Time)>,
     running: HashMap<u64, Running>,
     queue: VecDeque<Task>,
 }
 
 impl Node {
-    /// A node with so many cores that stands still at these times.
+    /// A node with so many cores that does no work in these intervals, which are in order.
     #[must_use]
     pub fn new(cores: usize, pauses: Vec<(Time, Time)>) -> Node {
         Node {
@@ -69,16 +68,16 @@
 
     /// When work that starts now ends.
     fn ends(&self, start: Time, work: Micros) -> Time {
-        let (mut at, mut left) = (start, work);
+        let (mut at, mut remaining) = (start, work);
         for &(from, to) in self.pauses.iter().filter(|p| p.1 > start) {
             let free = from.since(at);
-            if free >= left {
+            if free >= remaining {
                 break;
             }
-            left -= free;
+            remaining -= free;
             at = at.max(to);
         }
-        at.plus(left)
+        at.plus(remaining)
     }
 
     /// Time between two points that is no pause.
@@ -104,7 +103,7 @@
         (task.attempt, ends)
     }
 
-    /// Takes a task; tells when it ends if it starts at once.
+    /// Starts a task, or queues it if no core is free; returns when it ends if it starts at once.
     pub fn take(&mut self, now: Time, task: Task) -> Option<Start> {
         if self.running.len() < self.cores {
             return Some(self.start(now, task));
@@ -113,12 +112,12 @@
         None
     }
 
-    fn cost(&self, r: &Running, until: Time) -> Cost {
-        let until = until.min(r.ends);
-        let late = r.started.max(r.task.aim_at);
+    fn cost(&self, running: &Running, until: Time) -> Cost {
+        let until = until.min(running.ends);
+        let late = running.started.max(running.task.target_at);
         Cost {
-            ran: self.active(r.started, until),
-            after_aim: if until > late {
+            ran: self.active(running.started, until),
+            after_target: if until > late {
                 self.active(late, until)
             } else {
                 0
@@ -126,12 +125,11 @@
         }
     }
 
-    /// Ends a task that ran to its end or is given up; tells its phase, its cost and what starts in
-    /// its place. `None`: it is not here any more.
-    pub fn end(&mut self, now: Time, attempt: u64) -> Option<Left> {
+    /// Ends a task that has finished or was cancelled; `None`: it has ended before.
+    pub fn end(&mut self, now: Time, attempt: u64) -> Option<EndedTask> {
         if let Some(at) = self.queue.iter().position(|t| t.attempt == attempt) {
             let task = self.queue.remove(at)?;
-            return Some(Left {
+            return Some(EndedTask {
                 phase: task.phase,
                 cost: Cost::default(),
                 next: None,
@@ -140,14 +138,14 @@
         let running = self.running.remove(&attempt)?;
         let cost = self.cost(&running, now);
         let next = self.queue.pop_front().map(|task| self.start(now, task));
-        Some(Left {
+        Some(EndedTask {
             phase: running.task.phase,
             cost,
             next,
         })
     }
 
-    /// Whether a task that was to end now still runs.
+    /// Whether a task runs.
     #[must_use]
     pub fn runs(&self, attempt: u64) -> bool {
         self.running.contains_key(&attempt)
--- a/experiments/src/replay.rs
+++ b/experiments/src/replay.rs
@@ -1,7 +1,7 @@
 //! `replay`: random days for the decision module alone, as a digest of every action. Two versions
 //! of the module that decide alike give the same digests for the same seeds.
 
-use crate::world::{mixed, whole_fleet, MS};
+use crate::world::{hash_words, healthy_fleet, MS};
 use lichenswitch::interface::{
     Action, Budget, Class, Discovery, Event, Layout, Limits, ListedServer, Outcome, PartId,
     QueryId, RetrySafety, ServerId, ServerListUpdate, ServerMode, Settings, Shard, SlowStart, Time,
@@ -13,14 +13,14 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// What a day came to.
+/// The result of a day.
 #[derive(Debug, PartialEq, Serialize)]
 pub struct Day {
     /// Seed of the day.
     pub seed: u64,
-    /// Events that the module was told.
+    /// Events that the module received.
     pub events: u64,
-    /// Actions that it asked for.
+    /// Actions that it requested.
     pub actions: u64,
     /// Digest of all actions in order, with their turns.
     pub digest: String,
@@ -85,32 +85,66 @@
     }
 }
 
-struct Open {
+/// A query that has not ended.
+struct OpenQuery {
     number: u32,
     class: usize,
-    parts: BTreeMap<PartId, (Shard, bool)>,
-    second: bool,
+    parts: BTreeMap<PartId, PartProgress>,
+    /// Whether its second step has begun.
+    is_in_second_step: bool,
 }
 
-struct Stage {
+/// A part of a query.
+struct PartProgress {
+    shard: Shard,
+    is_answered: bool,
+}
+
+/// An attempt, and how it will end.
+#[derive(Clone, Copy)]
+struct InFlightAttempt {
+    part: PartId,
+    attempt: u16,
+    server: ServerId,
+    sent_at: Time,
+    ends_at: Time,
+    outcome: Outcome,
+}
+
+impl InFlightAttempt {
+    /// The event of its end, with this outcome, at this time.
+    fn finished(&self, at: Time, outcome: Outcome) -> Event {
+        Event::Finished {
+            part: self.part,
+            attempt: self.attempt,
+            server: self.server,
+            outcome,
+            elapsed: at.since(self.sent_at),
+        }
+    }
+}
+
+/// The module on a random day.
+struct Replay {
     rng: Xoshiro256PlusPlus,
     settings: Settings,
     module: Coordinator,
     now: Time,
-    open: BTreeMap<QueryId, Open>,
-    /// Attempts that are out: part, number, server, sent, ends, how.
-    out: Vec<(PartId, u16, ServerId, Time, Time, Outcome)>,
-    tries: BTreeMap<PartId, u16>,
-    next: u64,
-    number: u32,
+    open: BTreeMap<QueryId, OpenQuery>,
+    in_flight: Vec<InFlightAttempt>,
+    /// Attempts of each part so far.
+    attempts: BTreeMap<PartId, u16>,
+    last_id: u64,
+    /// Number of the query that arrived last.
+    last_number: u32,
     day: Day,
     digest: u64,
 }
 
-impl Stage {
-    fn id(&mut self) -> u64 {
-        self.next += 1;
-        self.next
+impl Replay {
+    fn new_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
     }
 
     fn line(&mut self, server: u32) -> ListedServer {
@@ -134,9 +168,9 @@
     }
 
     fn arrive(&mut self, events: &mut Vec<Event>) {
-        let (query, class) = (QueryId(self.id()), self.rng.random_range(0..4usize));
-        self.number += 1;
-        let number = self.number;
+        let (query, class) = (QueryId(self.new_id()), self.rng.random_range(0..4usize));
+        self.last_number += 1;
+        let number = self.last_number;
         let shards = self.settings.layout.shards;
         let wide = if class == 2 { 3 } else { shards };
         let (count, first) = (
@@ -156,15 +190,15 @@
         });
         self.open.insert(
             query,
-            Open {
+            OpenQuery {
                 number,
                 class,
                 parts: BTreeMap::new(),
-                second: false,
+                is_in_second_step: false,
             },
         );
         for i in 0..count {
-            self.part(
+            self.add_part(
                 query,
                 Shard((first + i) % shards),
                 1.0 / f64::from(count),
@@ -173,10 +207,15 @@
         }
     }
 
-    fn part(&mut self, query: QueryId, shard: Shard, weight: f64, events: &mut Vec<Event>) {
-        let part = PartId(self.id());
+    /// A part of a query arrives.
+    fn add_part(&mut self, query: QueryId, shard: Shard, weight: f64, events: &mut Vec<Event>) {
+        let part = PartId(self.new_id());
         if let Some(open) = self.open.get_mut(&query) {
-            open.parts.insert(part, (shard, false));
+            let progress = PartProgress {
+                shard,
+                is_answered: false,
+            };
+            open.parts.insert(part, progress);
             events.push(Event::Part {
                 part,
                 number: open.number,
@@ -191,28 +230,22 @@
         for action in actions {
             for word in format!("{action:?}").as_bytes().chunks(8) {
                 let word = word.iter().fold(0, |w, &b| w << 8 | u64::from(b));
-                self.digest = mixed(&[self.digest, self.now.0, word]);
+                self.digest = hash_words(&[self.digest, self.now.0, word]);
             }
             match action {
                 Action::Send {
                     part,
                     server,
                     timeout,
-                } => self.sent(part, server, timeout),
+                } => self.send(part, server, timeout),
                 Action::Cancel { part, attempt } => {
-                    let at = self.out.iter().position(|o| (o.0, o.1) == (part, attempt));
-                    let Some(at) = at else { continue };
-                    let (_, _, server, sent, ..) = self.out.remove(at);
-                    let (outcome, elapsed) = (Outcome::Cancelled, self.now.since(sent));
-                    events.push(Event::Finished {
-                        part,
-                        attempt,
-                        server,
-                        outcome,
-                        elapsed,
-                    });
+                    let mut in_flight = self.in_flight.iter();
+                    let index = in_flight.position(|a| (a.part, a.attempt) == (part, attempt));
+                    let Some(index) = index else { continue };
+                    let cancelled = self.in_flight.remove(index);
+                    events.push(cancelled.finished(self.now, Outcome::Cancelled));
                 }
-                Action::Answer { query, .. } => self.answered(query, events),
+                Action::Answer { query, .. } => self.end_step(query, events),
                 Action::Refuse { query, .. } | Action::Fail(query) => {
                     self.open.remove(&query);
                 }
@@ -221,86 +254,78 @@
         }
     }
 
-    fn sent(&mut self, part: PartId, server: ServerId, timeout: u64) {
-        let attempt = self.tries.entry(part).or_default();
-        let number = *attempt;
-        *attempt += 1;
-        let bad = [
+    /// Sends an attempt, whose end is drawn.
+    fn send(&mut self, part: PartId, server: ServerId, timeout: u64) {
+        let attempts = self.attempts.entry(part).or_default();
+        let attempt = *attempts;
+        *attempts += 1;
+        let failures = [
             Outcome::Error,
             Outcome::Rejected,
             Outcome::ConnectFailed,
             Outcome::Reset,
         ];
-        // Some servers are slow or mute, by turns of five seconds.
-        let mood = mixed(&[u64::from(server.0), self.now.0 / 5_000_000, self.day.seed]) % 12;
-        let (took, how) = match self.rng.random_range(0..20) {
+        // Some servers are slow or unresponsive, in turns of five seconds.
+        let condition =
+            hash_words(&[u64::from(server.0), self.now.0 / 5_000_000, self.day.seed]) % 12;
+        let (elapsed, outcome) = match self.rng.random_range(0..20) {
             0 => (
                 self.rng.random_range(1..50) * MS,
-                bad[self.rng.random_range(0..4)],
+                failures[self.rng.random_range(0..4)],
             ),
-            _ if mood == 0 => (timeout, Outcome::Timeout),
-            _ if mood == 1 => (self.rng.random_range(300..1_500) * MS, Outcome::Ok),
+            _ if condition == 0 => (timeout, Outcome::Timeout),
+            _ if condition == 1 => (self.rng.random_range(300..1_500) * MS, Outcome::Ok),
             _ => (self.rng.random_range(20..200) * MS, Outcome::Ok),
         };
-        let (took, how) = if took >= timeout {
+        let (elapsed, outcome) = if elapsed >= timeout {
             (timeout, Outcome::Timeout)
         } else {
-            (took, how)
+            (elapsed, outcome)
         };
-        self.out
-            .push((part, number, server, self.now, self.now.plus(took), how));
+        self.in_flight.push(InFlightAttempt {
+            part,
+            attempt,
+            server,
+            sent_at: self.now,
+            ends_at: self.now.plus(elapsed),
+            outcome,
+        });
     }
 
-    /// The end of a query, or of its first step: the second goes to a few of the shards that are
-    /// in.
-    fn answered(&mut self, query: QueryId, events: &mut Vec<Event>) {
+    /// Ends a query, or its first step: the second one goes to a few of the shards that have answered.
+    fn end_step(&mut self, query: QueryId, events: &mut Vec<Event>) {
         let Some(open) = self.open.get_mut(&query) else {
             return;
         };
-        let wanted = self.settings.classes[open.class].second_step as usize;
-        if wanted == 0 || std::mem::replace(&mut open.second, true) {
+        let second_step = self.settings.classes[open.class].second_step as usize;
+        if second_step == 0 || std::mem::replace(&mut open.is_in_second_step, true) {
             self.open.remove(&query);
             return;
         }
         let shards: Vec<Shard> = open
             .parts
             .values()
-            .filter(|p| p.1)
-            .map(|p| p.0)
-            .take(wanted)
+            .filter(|part| part.is_answered)
+            .map(|part| part.shard)
+            .take(second_step)
             .collect();
         for &shard in &shards {
-            self.part(query, shard, 1.0 / shards.len() as f64, events);
+            self.add_part(query, shard, 1.0 / shards.len() as f64, events);
         }
     }
 
+    /// Runs a turn of the module. `pending`: events that the last turn resulted in, replaced by those
+    /// of this one.
     fn turn(&mut self, pending: &mut Vec<Event>) {
         let mut events = std::mem::take(pending);
-        let now = self.now;
-        let due: Vec<_> = self.out.iter().filter(|o| o.4 <= now).copied().collect();
-        self.out.retain(|o| o.4 > now);
-        for (part, attempt, server, sent, ends, outcome) in due {
-            if outcome == Outcome::Ok {
-                let mut all = self.open.values_mut();
-                if let Some(p) = all.find_map(|o| o.parts.get_mut(&part)) {
-                    p.1 = true;
-                }
-            }
-            events.push(Event::Finished {
-                part,
-                attempt,
-                server,
-                outcome,
-                elapsed: ends.since(sent),
-            });
-        }
+        self.finish_attempts(&mut events);
         if self.rng.random_bool(0.15) {
             self.arrive(&mut events);
         }
         if self.rng.random_bool(0.003) {
-            let gone = self.open.keys().nth(self.rng.random_range(0..5)).copied();
-            events.extend(gone.map(Event::Hangup));
-            gone.map(|id| self.open.remove(&id));
+            let query = self.open.keys().nth(self.rng.random_range(0..5)).copied();
+            events.extend(query.map(Event::Hangup));
+            query.map(|id| self.open.remove(&id));
         }
         if self.rng.random_bool(0.01) {
             let server = self.rng.random_range(0..self.settings.layout.cells * 2);
@@ -310,28 +335,46 @@
         events.push(Event::Wake);
         self.day.events += events.len() as u64;
         let mut actions = Vec::new();
-        self.module.turn(now, events, &mut actions);
+        self.module.turn(self.now, events, &mut actions);
         self.execute_actions(actions, pending);
     }
+
+    /// Ends the attempts whose time has come.
+    fn finish_attempts(&mut self, events: &mut Vec<Event>) {
+        let now = self.now;
+        let (finished, in_flight): (Vec<_>, Vec<_>) = std::mem::take(&mut self.in_flight)
+            .into_iter()
+            .partition(|attempt| attempt.ends_at <= now);
+        self.in_flight = in_flight;
+        for attempt in finished {
+            if attempt.outcome == Outcome::Ok {
+                let mut open = self.open.values_mut();
+                if let Some(part) = open.find_map(|query| query.parts.get_mut(&attempt.part)) {
+                    part.is_answered = true;
+                }
+            }
+            events.push(attempt.finished(attempt.ends_at, attempt.outcome));
+        }
+    }
 }
 
-/// Plays one day of so many turns.
+/// Simulates one day of this many turns.
 #[must_use]
 pub fn day(seed: u64, turns: u32) -> Day {
-    let mut rng = Xoshiro256PlusPlus::seed_from_u64(mixed(&[seed, 77]));
+    let mut rng = Xoshiro256PlusPlus::seed_from_u64(hash_words(&[seed, 77]));
     let settings = settings(&mut rng);
     let cells = settings.layout.cells;
-    let mut pending = vec![Event::List(whole_fleet(cells * 2, cells))];
-    let mut stage = Stage {
+    let mut pending = vec![Event::List(healthy_fleet(cells * 2, cells))];
+    let mut replay = Replay {
         rng,
         module: Coordinator::new(seed, settings.clone()),
         settings,
         now: Time(1_000_000 * MS),
         open: BTreeMap::new(),
-        out: Vec::new(),
-        tries: BTreeMap::new(),
-        next: 0,
-        number: 0,
+        in_flight: Vec::new(),
+        attempts: BTreeMap::new(),
+        last_id: 0,
+        last_number: 0,
         day: Day {
             seed,
             events: 0,
@@ -341,14 +384,14 @@
         digest: 0,
     };
     for _ in 0..turns {
-        stage.now = stage.now.plus(5 * MS);
-        stage.turn(&mut pending);
+        replay.now = replay.now.plus(5 * MS);
+        replay.turn(&mut pending);
     }
-    stage.day.digest = format!("{:016x}", stage.digest);
-    stage.day
+    replay.day.digest = format!("{:016x}", replay.digest);
+    replay.day
 }
 
-/// Plays twenty days.
+/// Simulates twenty days.
 #[must_use]
 pub fn run(seed: u64) -> Vec<Day> {
     (0..20).map(|i| day(seed * 1_000 + i, 4_000)).collect()
--- a/experiments/src/scale.rs
+++ b/experiments/src/scale.rs
@@ -1,7 +1,7 @@
-//! `scale`: what `core` and the module cost for a part, by parts in a query, data nodes and queries
-//! a second.
+//! `scale`: the cost of `core` and the module per part, by parts of a query, data nodes and queries a
+//! second.
 
-use crate::world::{Mix, Scenario, Tally, Trouble, World, MS};
+use crate::world::{Mix, NodeFaults, Scenario, Totals, World, MS};
 use lichenswitch::decide::phases::Planner;
 use lichenswitch::interface::{
     Class, Discovery, Layout, Limits, RetrySafety, Settings, SlowStart, FIRST_SHARE,
@@ -17,7 +17,7 @@
     pub nodes: u32,
     /// Queries a second.
     pub rate: f64,
-    /// Wall microseconds of `core` and the module for a part, turns included.
+    /// Microseconds on the machine's clock in `core` and the module per part, turns included.
     pub us_per_part: f64,
     /// Longest turn.
     pub worst_turn_ms: f64,
@@ -82,15 +82,15 @@
     }
 }
 
-/// Plays one size of query with all answers good and data nodes that are never short of cores.
+/// Simulates one size of query, without failures, and with data nodes that are never short of cores.
 #[must_use]
-pub fn play(seed: u64, parts: u32, nodes: u32, rate: f64, seconds: f64) -> Tally {
+pub fn play(seed: u64, parts: u32, nodes: u32, rate: f64, seconds: f64) -> Totals {
     let scenario = Scenario {
         seconds,
         rate,
         nodes,
         cores: 4_096,
-        call: 0,
+        call_overhead: 0,
         mix: vec![Mix {
             share: 1.0,
             parts,
@@ -99,8 +99,8 @@
             cv: 0.3,
             top: None,
         }],
-        trouble: Trouble::default(),
-        way: 500,
+        node_faults: NodeFaults::default(),
+        network_delay: 500,
     };
     let mut world = World::new(
         seed,
@@ -109,10 +109,10 @@
         Planner::default(),
     );
     world.play();
-    world.tally
+    world.totals
 }
 
-/// Which lines are played.
+/// Which lines are simulated.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Only {
     /// With so many parts; `None`: all.
@@ -124,41 +124,41 @@
 }
 
 impl Only {
-    fn holds(&self, parts: u32, nodes: u32, rate: f64) -> bool {
+    fn selects(&self, parts: u32, nodes: u32, rate: f64) -> bool {
         self.parts.is_none_or(|p| p == parts)
             && self.nodes.is_none_or(|n| n == nodes)
             && self.rate.is_none_or(|r| (r - rate).abs() < 1e-9)
     }
 }
 
-/// Each line is the cheapest of so many tries: the machine has other things to do.
-const TRIES: usize = 3;
+/// Each line is the cheapest of so many runs: other processes take time of the machine.
+const RUNS: usize = 3;
 
-/// Plays all sizes.
+/// Simulates all sizes.
 #[must_use]
 pub fn run(seed: u64, only: &Only) -> Report {
     let mut rows = Vec::new();
     for nodes in [12, 400, 2_000] {
         for parts in [4, 50, 200] {
             for rate in [50.0, 200.0] {
-                if !only.holds(parts, nodes, rate) {
+                if !only.selects(parts, nodes, rate) {
                     continue;
                 }
                 // As many parts for each line, so that each is timed alike.
                 let seconds = 120_000.0 / rate / f64::from(parts);
-                let cheapest = |tally: &Tally| tally.wall;
-                let tries = (0..TRIES).map(|_| play(seed, parts, nodes, rate, seconds));
-                let Some(tally) = tries.min_by_key(cheapest) else {
+                let cheapest = |totals: &Totals| totals.wall_time;
+                let runs = (0..RUNS).map(|_| play(seed, parts, nodes, rate, seconds));
+                let Some(totals) = runs.min_by_key(cheapest) else {
                     continue;
                 };
                 rows.push(Row {
                     parts,
                     nodes,
                     rate,
-                    us_per_part: tally.wall.as_secs_f64() * 1e6 / tally.parts.max(1) as f64,
-                    worst_turn_ms: tally.worst_turn.as_secs_f64() * 1e3,
-                    digest: format!("{:016x}", tally.digest),
-                    whole_share: tally.whole as f64 / tally.queries.max(1) as f64,
+                    us_per_part: totals.wall_time.as_secs_f64() * 1e6 / totals.parts.max(1) as f64,
+                    worst_turn_ms: totals.worst_turn.as_secs_f64() * 1e3,
+                    digest: format!("{:016x}", totals.digest),
+                    whole_share: totals.whole as f64 / totals.queries.max(1) as f64,
                 });
             }
         }
--- a/experiments/src/two_phase.rs
+++ b/experiments/src/two_phase.rs
@@ -1,26 +1,26 @@
 //! `two-phase`: queries of two phases with the planner off, as the settings alone have it, and on.
 
 use crate::scale;
-use crate::world::{Mix, Scenario, Tally, Trouble, World, MS};
+use crate::world::{Mix, NodeFaults, Scenario, Totals, World, MS};
 use lichenswitch::decide::phases::{Planner, Rules};
 use lichenswitch::interface::{Class, Layout, RetrySafety, Settings, FIRST_SHARE};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// What came of one scenario with one variant.
+/// The figures of one scenario with the planner on or off.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Figures {
     /// Queries that arrived.
     pub queries: u64,
-    /// Share answered within the aim.
+    /// Share answered within the latency target.
     pub on_time_share: f64,
     /// Share answered whole.
     pub whole_share: f64,
-    /// Worth earned over worth asked for.
+    /// Value earned, as a share of the value of all queries.
     pub worth_share: f64,
     /// Work of the second phase.
     pub second_work_ms: f64,
-    /// Of it, done after the query's aim.
+    /// Of it, done after the query's latency target.
     pub second_waste_after_aim_ms: f64,
     /// Parts sent in the second phase, copies included, for each query of two phases.
     pub second_parts_per_query: f64,
@@ -30,7 +30,7 @@
     pub falsely_whole: u64,
     /// Queries without exactly one final answer in time.
     pub lost: u64,
-    /// Sorted answers called whole that are not those of one big server.
+    /// Sorted answers marked whole that differ from those of one big server.
     pub wrong: u64,
 }
 
@@ -83,23 +83,33 @@
     }
 }
 
-/// The scenario with this name, and its settings.
-#[must_use]
-#[expect(clippy::too_many_lines, reason = "one arm for each scenario")]
-pub fn scenario(name: &str, seconds: f64) -> (Scenario, Settings) {
-    let reports = mix(0.3, 6, 94.0);
-    let searches = mix(0.7, 4, 74.0);
-    let base = Scenario {
+/// Queries of two phases.
+fn reports() -> Mix {
+    mix(0.3, 6, 94.0)
+}
+
+/// Queries of one phase.
+fn searches() -> Mix {
+    mix(0.7, 4, 74.0)
+}
+
+/// The scenario without faults, which the others vary.
+fn calm(seconds: f64) -> Scenario {
+    Scenario {
         seconds,
         rate: 14.0,
         nodes: 12,
         cores: 2,
-        call: 48 * MS,
-        mix: vec![reports.clone(), searches.clone()],
-        trouble: Trouble::default(),
-        way: 700,
-    };
-    let fleet = |cells, shards| Settings {
+        call_overhead: 48 * MS,
+        mix: vec![reports(), searches()],
+        node_faults: NodeFaults::default(),
+        network_delay: 700,
+    }
+}
+
+/// The settings of a broker for this many cells and shards.
+fn settings(cells: u32, shards: u32) -> Settings {
+    Settings {
         classes: classes(),
         layout: Layout {
             cells,
@@ -108,72 +118,75 @@
             parts_a_call: 8,
         },
         ..scale::settings(cells, shards)
+    }
+}
+
+/// First phases that are late at a quarter of the data nodes.
+fn late_first(seconds: f64) -> (Scenario, Settings) {
+    // The second phase is heavy, and the time that the first one takes is missing there.
+    let reports = Mix {
+        second: 8.0,
+        ..reports()
+    };
+    let node_faults = NodeFaults {
+        share: 0.25,
+        slow_first: 20.0,
+        pause_ms: 350.0,
+        pause_every_s: 3.0,
+    };
+    let scenario = Scenario {
+        node_faults,
+        rate: 2.0,
+        mix: vec![reports, searches()],
+        ..calm(seconds)
+    };
+    (scenario, settings(12, 24))
+}
+
+/// Sorted answers, most of whose elements are in a few slices.
+fn skewed(seconds: f64) -> (Scenario, Settings) {
+    let top = Mix {
+        parts: 24,
+        work_ms: 20.0,
+        top: Some(10),
+        ..reports()
+    };
+    let scenario = Scenario {
+        mix: vec![top, searches()],
+        rate: 6.0,
+        call_overhead: 10 * MS,
+        ..calm(seconds)
+    };
+    let mut settings = settings(12, 24);
+    // A sorted answer requests all slices that can have any of its elements.
+    settings.classes[0].second_step = 24;
+    (scenario, settings)
+}
+
+/// Two data nodes in each of 200 cells.
+fn large(seconds: f64) -> (Scenario, Settings) {
+    let scenario = Scenario {
+        seconds: seconds / 10.0,
+        rate: 1_000.0,
+        nodes: 400,
+        cores: 4,
+        call_overhead: MS,
+        mix: vec![mix(0.3, 50, 8.0), mix(0.7, 20, 6.0)],
+        ..calm(seconds)
     };
+    let mut settings = settings(200, 200);
+    settings.layout.width = 1;
+    (scenario, settings)
+}
+
+/// The scenario with this name, and its settings; `calm` for any other name.
+#[must_use]
+pub fn scenario(name: &str, seconds: f64) -> (Scenario, Settings) {
     match name {
-        "late-first" => {
-            // The details are heavy: what the first phase takes is missing in the second.
-            let reports = Mix {
-                second: 8.0,
-                ..reports
-            };
-            let trouble = Trouble {
-                share: 0.25,
-                slow_first: 20.0,
-                pause_ms: 350.0,
-                pause_every_s: 3.0,
-            };
-            (
-                Scenario {
-                    trouble,
-                    rate: 2.0,
-                    mix: vec![reports, searches],
-                    ..base
-                },
-                fleet(12, 24),
-            )
-        }
-        "skewed" => {
-            let top = Mix {
-                parts: 24,
-                work_ms: 20.0,
-                top: Some(10),
-                ..reports
-            };
-            let mix = vec![top, searches];
-            let mut settings = fleet(12, 24);
-            // A sorted answer asks all slices that can have any of its elements.
-            settings.classes[0].second_step = 24;
-            (
-                Scenario {
-                    mix,
-                    rate: 6.0,
-                    call: 10 * MS,
-                    ..base
-                },
-                settings,
-            )
-        }
-        "large" => {
-            let mix = vec![mix(0.3, 50, 8.0), mix(0.7, 20, 6.0)];
-            (
-                Scenario {
-                    seconds: seconds / 10.0,
-                    rate: 1_000.0,
-                    nodes: 400,
-                    cores: 4,
-                    call: MS,
-                    mix,
-                    ..base
-                },
-                {
-                    // Two data nodes in each of 200 cells.
-                    let mut settings = fleet(200, 200);
-                    settings.layout.width = 1;
-                    settings
-                },
-            )
-        }
-        _ => (base, fleet(12, 24)),
+        "late-first" => late_first(seconds),
+        "skewed" => skewed(seconds),
+        "large" => large(seconds),
+        _ => (calm(seconds), settings(12, 24)),
     }
 }
 
@@ -190,14 +203,14 @@
     settings.classes.iter().map(of).collect()
 }
 
-/// Plays a scenario with the planner on or off. Sorted answers have no form without a planner: off,
-/// it asks all slices.
+/// Simulates a scenario with the planner on or off. Sorted answers need a planner: where it is off, it
+/// requests all slices.
 #[must_use]
-pub fn play(seed: u64, name: &str, seconds: f64, on: bool) -> (Tally, Figures) {
+pub fn play(seed: u64, name: &str, seconds: f64, is_planner_on: bool) -> (Totals, Figures) {
     let (scenario, mut settings) = scenario(name, seconds);
-    let sorted = scenario.mix.iter().any(|m| m.top.is_some());
-    let planner = if on || sorted {
-        let rules = rules(&settings, on);
+    let has_sorted_answers = scenario.mix.iter().any(|mix| mix.top.is_some());
+    let planner = if is_planner_on || has_sorted_answers {
+        let rules = rules(&settings, is_planner_on);
         for (class, rules) in settings.classes.iter_mut().zip(&rules) {
             class.first_share = rules.as_ref().map_or(class.first_share, |r| r.first_share);
         }
@@ -207,26 +220,31 @@
     };
     let mut world = World::new(seed, scenario, settings, planner);
     world.play();
-    let t = world.tally;
-    let share = |n: f64, of: f64| if of > 0.0 { n / of } else { 0.0 };
-    let queries = t.queries as f64;
-    let figures = Figures {
-        queries: t.queries,
-        on_time_share: share(t.on_time as f64, queries),
-        whole_share: share(t.whole as f64, queries),
-        worth_share: share(t.earned, t.asked),
-        second_work_ms: t.second_work as f64 / 1e3,
-        second_waste_after_aim_ms: t.second_after_aim as f64 / 1e3,
-        second_parts_per_query: share(t.second_parts as f64, t.two_phase as f64),
-        below_floor: t.below_floor,
-        falsely_whole: t.falsely_whole,
-        lost: t.lost,
-        wrong: t.wrong,
-    };
-    (t, figures)
+    let figures = Figures::of(&world.totals);
+    (world.totals, figures)
+}
+
+impl Figures {
+    fn of(totals: &Totals) -> Figures {
+        let share = |part: f64, of: f64| if of > 0.0 { part / of } else { 0.0 };
+        let queries = totals.queries as f64;
+        Figures {
+            queries: totals.queries,
+            on_time_share: share(totals.on_time as f64, queries),
+            whole_share: share(totals.whole as f64, queries),
+            worth_share: share(totals.earned, totals.asked),
+            second_work_ms: totals.second_work as f64 / 1e3,
+            second_waste_after_aim_ms: totals.second_after_target as f64 / 1e3,
+            second_parts_per_query: share(totals.second_parts as f64, totals.two_phase as f64),
+            below_floor: totals.below_floor,
+            falsely_whole: totals.falsely_whole,
+            lost: totals.lost,
+            wrong: totals.wrong,
+        }
+    }
 }
 
-/// Plays all scenarios, or one of them.
+/// Simulates all scenarios, or one of them.
 #[must_use]
 pub fn run(seed: u64, seconds: f64, only: Option<&str>) -> Report {
     let mut scenarios = BTreeMap::new();
--- a/experiments/src/world/scenario.rs
+++ b/experiments/src/world/scenario.rs
@@ -1,9 +1,9 @@
-//! What a day consists of, and what came of it.
+//! What is simulated, and what came of it.
 
 use lichenswitch::interface::Micros;
 use std::time::Duration;
 
-/// One sort of query.
+/// One kind of query.
 #[derive(Clone, Debug)]
 pub struct Mix {
     /// Share of the queries.
@@ -20,21 +20,20 @@
     pub top: Option<usize>,
 }
 
-/// What a share of the data nodes suffers.
+/// The faults of a share of the data nodes.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Trouble {
+pub struct NodeFaults {
     /// Share of the data nodes.
     pub share: f64,
-    /// Parts of the first of two phases take so many times as long there; below 1.0 stands for
-    /// none.
+    /// Factor of the work of the first of two phases there; below 1.0: none.
     pub slow_first: f64,
-    /// Length of a pause in milliseconds and seconds between two; none where either is 0.
+    /// Length of a pause in milliseconds, and seconds between two pauses; none where either is 0.
     pub pause_ms: f64,
     /// See `pause_ms`.
     pub pause_every_s: f64,
 }
 
-/// A day in the laboratory.
+/// What is simulated.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     /// Virtual seconds in which queries arrive.
@@ -46,52 +45,52 @@
     /// Cores of each.
     pub cores: usize,
     /// Work of a call beside its parts, in microseconds.
-    pub call: Micros,
-    /// Sorts of queries, by class.
+    pub call_overhead: Micros,
+    /// Kinds of queries, by class.
     pub mix: Vec<Mix>,
-    /// What befalls the data nodes.
-    pub trouble: Trouble,
-    /// One way through the network, in microseconds.
-    pub way: Micros,
+    /// Faults of the data nodes.
+    pub node_faults: NodeFaults,
+    /// One-way delay of the network, in microseconds.
+    pub network_delay: Micros,
 }
 
 /// What came of all queries.
 #[derive(Clone, Debug, Default)]
-pub struct Tally {
+pub struct Totals {
     /// Queries that arrived.
     pub queries: u64,
-    /// Answered within the aim.
+    /// Answered within the latency target.
     pub on_time: u64,
     /// Answered whole.
     pub whole: u64,
-    /// Worth asked for and worth earned.
+    /// Value of all queries, and value that was earned.
     pub asked: f64,
     /// See `asked`.
     pub earned: f64,
     /// Work of the second phase, microseconds.
     pub second_work: Micros,
-    /// Of it, done after the query's aim.
-    pub second_after_aim: Micros,
+    /// Of it, done after the query's latency target.
+    pub second_after_target: Micros,
     /// Parts sent in the second phase, copies and further attempts included.
     pub second_parts: u64,
     /// Parts sent in all.
     pub parts: u64,
     /// Queries of two phases.
     pub two_phase: u64,
-    /// Answers under the least share.
+    /// Answers below the least share.
     pub below_floor: u64,
     /// Answers marked whole that are not.
     pub falsely_whole: u64,
     /// Queries without exactly one final answer before their deadline.
     pub lost: u64,
-    /// Sorted answers called whole that are not the first elements of all slices.
+    /// Sorted answers marked whole that are not the first elements of all slices.
     pub wrong: u64,
     /// Refused or failed.
     pub given_up: u64,
-    /// Wall time spent in `core` and the module, and the longest turn.
-    pub wall: Duration,
-    /// See `wall`.
+    /// Time on the machine's clock in `core` and the module, and the longest turn.
+    pub wall_time: Duration,
+    /// See `wall_time`.
     pub worst_turn: Duration,
-    /// A digest of all that the broker asked for, in order.
+    /// A digest of all commands of the broker, in order.
     pub digest: u64,
 }
--- a/experiments/tests/replay.rs
+++ b/experiments/tests/replay.rs
@@ -1,4 +1,4 @@
-//! The module decides as its last change on purpose left it: such a change takes the digests anew
+//! The module decides as after its last intended change: such a change replaces the digests
 //! (`lichenswitch-experiments replay`) and says so in its commit.
 
 use lichenswitch_experiments::{replay, scale};
@@ -20,14 +20,14 @@
 ];
 
 #[test]
-fn the_same_events_give_the_same_actions_as_ever() {
+fn same_events_result_in_the_recorded_actions() {
     for (seed, digest) in DAYS {
         assert_eq!(replay::day(seed, 4_000).digest, digest, "day {seed}");
     }
 }
 
 #[test]
-fn the_same_seed_gives_the_same_commands_and_another_one_does_not() {
+fn commands_are_the_same_for_the_same_seed_only() {
     let digest = |seed| scale::play(seed, 20, 12, 50.0, 2.0).digest;
     assert_eq!(digest(3), digest(3));
     assert_ne!(digest(3), digest(4));
--- a/experiments/tests/two_phase.rs
+++ b/experiments/tests/two_phase.rs
@@ -1,5 +1,4 @@
-//! The measurement of queries of two phases, on short days: what the planner promises holds with
-//! each seed here.
+//! Queries of two phases in short scenarios: the planner keeps its bounds with each seed here.
 
 use lichenswitch_experiments::two_phase::{play, run, Figures};
 
@@ -42,7 +41,7 @@
 }
 
 #[test]
-fn on_calm_days_the_planner_changes_next_to_nothing() {
+fn planner_costs_less_than_two_thousandths_of_the_value_without_faults() {
     for seed in SEEDS {
         let (off, on) = both(seed, "calm", 40.0);
         assert!(
@@ -53,7 +52,7 @@
 }
 
 #[test]
-fn bounds_save_most_of_the_second_phase_and_the_answers_are_the_same() {
+fn bounds_save_most_of_the_second_phase_with_the_same_answers() {
     for seed in SEEDS {
         let (off, on) = both(seed, "skewed", 40.0);
         let (all, pruned) = (off.second_parts_per_query, on.second_parts_per_query);
@@ -63,13 +62,13 @@
 }
 
 #[test]
-fn a_large_fleet_keeps_the_rules() {
+fn large_fleet_answers_on_time() {
     let (off, on) = both(1, "large", 10.0);
     assert!(off.on_time_share > 0.99 && on.on_time_share > 0.99);
 }
 
 #[test]
-fn the_same_seed_gives_the_same_figures_to_the_byte() {
+fn figures_are_the_same_bytes_for_the_same_seed() {
     let text = |seed| serde_json::to_string(&run(seed, 10.0, Some("late-first"))).unwrap();
     assert_eq!(text(5), text(5));
     assert_ne!(text(5), text(6));
