--- a/core/src/intake.rs
+++ b/core/src/intake.rs
@@ -3,6 +3,7 @@
 use super::{Core, Part, Query, Request};
 use crate::contract::ContractViolation;
 use lichenswitch_interface::{Event, Micros, PartId, Placement, QueryId, Shard, Time};
+use lichenswitch_phases::WeightedSlice;
 use std::rc::Rc;
 
 /// Why a query was not taken.
@@ -167,9 +168,13 @@
         self.held_entries += 1;
         let parts = scaled_to_one(&request.parts);
         let has_two_steps = self.settings.classes[request.class].second_step > 0;
-        if has_two_steps && self.planner.plans(request.class) {
-            let parts: Vec<(u32, f64)> = parts.iter().map(|p| (p.0 .0, p.1)).collect();
-            self.planner.on_query(now, id, request.class, &parts);
+        if has_two_steps && self.planner.is_planned(request.class) {
+            let slice = |(shard, weight): &(Shard, f64)| WeightedSlice {
+                slice: shard.0,
+                weight: *weight,
+            };
+            let slices: Vec<WeightedSlice> = parts.iter().map(slice).collect();
+            self.planner.on_query(now, id, request.class, &slices);
         }
         for (shard, weight) in parts {
             self.add_part(id, shard, weight, false, None);
--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -21,7 +21,7 @@
     Budget, Class, Event, Load, Micros, PartId, Placement, ProcessShares, QueryId, ServerId,
     ServerListUpdate, Settings, Shard, Time, SINGLE_PROCESS,
 };
-use lichenswitch_phases::prune::{Key, Way};
+use lichenswitch_phases::prune::{SortDirection, SortKey};
 use lichenswitch_phases::Planner;
 use lichenswitch_policy::Coordinator;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -51,7 +51,7 @@
     pub parts: Vec<(Shard, f64)>,
     /// Set where only the first so many elements are wanted, in that order of their keys: the
     /// second step then goes to the shards that can have any of them.
-    pub top: Option<(usize, Way)>,
+    pub top: Option<(usize, SortDirection)>,
     /// What front and upstream know of it.
     pub job: J,
 }
@@ -71,7 +71,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Offer {
     /// Their keys, in the order of the value.
-    pub keys: Vec<Key>,
+    pub keys: Vec<SortKey>,
     /// Elements that the shard has in all, where it told.
     pub matched: Option<u64>,
 }
@@ -189,7 +189,7 @@
     parts: Vec<Part>,
     /// Set once the first of two steps has been answered.
     first: Option<Rc<FirstStep>>,
-    top: Option<(usize, Way)>,
+    top: Option<(usize, SortDirection)>,
     /// Shards that the second step leaves out for time.
     left_out: Vec<Shard>,
     /// Whether what its answer rests on has proved wrong: it is not complete.
@@ -380,7 +380,7 @@
             return Some(soonest);
         }
         let overdue = self.deadlines.first().map(|d| d.0);
-        [self.wake, overdue, self.planner.next()]
+        [self.wake, overdue, self.planner.next_wake()]
             .into_iter()
             .flatten()
             .min()
@@ -396,7 +396,7 @@
         }
         let (mut actions, mut commands) = (Vec::new(), Vec::new());
         self.end_overdue(now, &mut commands);
-        let verdicts = self.planner.on_time(now);
+        let verdicts = self.planner.tick(now);
         self.apply_verdicts(verdicts);
         let events = std::mem::take(&mut self.inbox);
         self.module.turn(now, events, &mut actions);
--- a/core/src/phases.rs
+++ b/core/src/phases.rs
@@ -1,9 +1,9 @@
 //! Phases: what the planner of queries of two steps is told, and what it says is carried out.
 
 use super::{Attempt, Command, Core, FirstStep, Reply, Value};
-use lichenswitch_interface::{Event, Micros, Outcome, QueryId, Shard, Time};
+use lichenswitch_interface::{Event, Outcome, QueryId, Shard, Time};
 use lichenswitch_phases::prune::Bound;
-use lichenswitch_phases::{First, Goal, Plan, Verdict};
+use lichenswitch_phases::{AttemptTiming, FirstAnswer, Goal, PartRef, Phase, Plan, Verdict};
 use std::rc::Rc;
 
 fn bound(shard: Shard, value: &Value) -> Option<Bound> {
@@ -24,45 +24,49 @@
         let Some(part) = self.queries.get(&query).and_then(|q| q.parts.get(i)) else {
             return;
         };
-        let (shard, took, pending): (_, Micros, _) = (
-            part.shard,
-            now.since(attempt.sent),
-            f64::from(attempt.pending),
-        );
+        let timing = AttemptTiming {
+            elapsed: now.since(attempt.sent),
+            pending: f64::from(attempt.pending),
+        };
+        let planned_part = PartRef {
+            query,
+            slice: part.shard.0,
+            phase: match part.is_second_step {
+                true => Phase::Second,
+                false => Phase::First,
+            },
+        };
         if outcome == Outcome::Ok {
-            let bound = part.value.as_ref().and_then(|value| bound(shard, value));
-            let verdicts = self.planner.on_response(
-                now,
-                (query, shard.0),
-                (part.is_second_step, took, pending),
-                bound,
-            );
+            let bound = part
+                .value
+                .as_ref()
+                .and_then(|value| bound(part.shard, value));
+            let verdicts = self.planner.on_response(now, planned_part, timing, bound);
             return self.apply_verdicts(verdicts);
         }
         let silent = matches!(outcome, Outcome::Timeout | Outcome::Cancelled);
-        let gave_up = silent.then_some((took, pending));
-        self.planner.on_loss(
-            now,
-            (query, shard.0),
-            part.is_second_step,
-            attempt.sent,
-            gave_up,
-        );
+        let given_up = silent.then_some(timing);
+        self.planner
+            .on_loss(now, planned_part, attempt.sent, given_up);
     }
 
     /// Does what the planner says.
     pub(super) fn apply_verdicts(&mut self, verdicts: Vec<Verdict>) {
         for verdict in verdicts {
             let (id, reason, tell) = match verdict {
-                Verdict::Close(id, reason) => {
+                Verdict::Close { query: id, reason } => {
                     self.inbox.push(Event::Close(id));
                     (id, reason, self.explain)
                 }
-                Verdict::GiveUp(id, reason) => {
+                Verdict::GiveUp { query: id, reason } => {
                     self.inbox.push(Event::GiveUp(id));
                     (id, reason, self.explain)
                 }
-                Verdict::Unneeded(id, slice, reason) => {
+                Verdict::Unneeded {
+                    query: id,
+                    slice,
+                    reason,
+                } => {
                     let parts = self.queries.get_mut(&id).map(|q| &mut q.parts);
                     let part = parts.and_then(|p| {
                         p.iter_mut()
@@ -74,7 +78,7 @@
                     }
                     (id, reason, self.explain)
                 }
-                Verdict::Doubt(id, reason) => {
+                Verdict::Doubt { query: id, reason } => {
                     self.queries.entry(id).and_modify(|q| q.is_doubtful = true);
                     (id, reason, true)
                 }
@@ -90,11 +94,14 @@
         let q = self
             .queries
             .get(&query)
-            .filter(|q| self.planner.plans(q.class))?;
-        let goal = q.top.map_or(Goal::BestScores, |(k, way)| Goal::Top(k, way));
+            .filter(|q| self.planner.is_planned(q.class))?;
+        let goal = q.top.map_or(Goal::BestScores, |(k, direction)| Goal::Top {
+            k,
+            direction,
+        });
         let first = |p: &super::Part| {
             let value = p.value.as_ref()?;
-            Some(First {
+            Some(FirstAnswer {
                 slice: p.shard.0,
                 score: value.score,
                 bound: bound(p.shard, value),
@@ -102,9 +109,10 @@
         };
         let firsts = q.parts.iter().filter_map(first).collect();
         let (class, module) = (q.class, &self.module);
-        self.planner.between(now, query, goal, firsts, |slice| {
-            module.pending_for(Shard(slice), class)
-        })
+        self.planner
+            .plan_second_phase(now, query, goal, firsts, |slice| {
+                module.pending_for(Shard(slice), class)
+            })
     }
 
     /// Begins the second step of a query whose first has ended, whole or not.
@@ -166,8 +174,8 @@
                 self.inbox.push(Event::Unneeded(part));
             }
         }
-        for (slice, most) in plan.parts {
-            self.add_part(query, Shard(slice), weight, true, most);
+        for part in plan.parts {
+            self.add_part(query, Shard(part.slice), weight, true, part.max_elements);
         }
     }
 
--- a/decide/phases/src/tests.rs
+++ b/decide/phases/src/planner/tests.rs
@@ -1,6 +1,10 @@
-use super::prune::Key;
-use super::prune::Way;
+//! Tests of `planner`.
+
+use super::first_phase::WAITING_MARGIN;
 use super::*;
+use crate::prune::{SortDirection, SortKey};
+use crate::verdict::{FirstAnswer, Goal, Plan, PlannedPart};
+use lichenswitch_interface::Micros;
 
 const MS: Micros = 1_000;
 const Q: QueryId = QueryId(1);
@@ -10,9 +14,9 @@
 fn planner(rules: Rules) -> Planner {
     let mut planner = Planner::new(vec![Some(rules)]);
     for i in 0..100u64 {
-        planner.on_query(Time(i), Q, 0, &[(0, 0.5), (1, 0.5)]);
-        planner.on_response(Time(i), (Q, 0), (false, (100 + i) * MS, 0.0), None);
-        planner.on_response(Time(i), (Q, 1), (true, (50 + i) * MS, 0.0), None);
+        planner.on_query(Time(i), Q, 0, &slices(2));
+        planner.on_response(Time(i), part(0, Phase::First), timing((100 + i) * MS), None);
+        planner.on_response(Time(i), part(1, Phase::Second), timing((50 + i) * MS), None);
         planner.on_end(Q);
     }
     planner
@@ -21,24 +25,54 @@
 /// A query of ten slices of which so many are in after so long; tells the verdicts.
 fn first_phase(planner: &mut Planner, came: u32, after: Micros) -> Vec<Verdict> {
     let start = Time(10_000 * MS);
-    let parts: Vec<(u32, f64)> = (0..10).map(|s| (s, 0.1)).collect();
+    let parts = slices(10);
     planner.on_query(start, Q, 0, &parts);
     (0..10).for_each(|s| planner.on_sent(start, Q, s, 0.0));
     let mut verdicts = Vec::new();
     for slice in 0..came {
         verdicts.extend(planner.on_response(
             start.plus(after),
-            (Q, slice),
-            (false, after, 0.0),
+            part(slice, Phase::First),
+            timing(after),
             None,
         ));
     }
     verdicts
 }
 
-fn firsts(count: u32) -> Vec<First> {
+fn part(slice: u32, phase: Phase) -> PartRef {
+    PartRef {
+        query: Q,
+        slice,
+        phase,
+    }
+}
+
+fn timing(elapsed: Micros) -> AttemptTiming {
+    AttemptTiming {
+        elapsed,
+        pending: 0.0,
+    }
+}
+
+fn planned(slice: u32, max_elements: usize) -> PlannedPart {
+    PlannedPart {
+        slice,
+        max_elements: Some(max_elements),
+    }
+}
+
+/// So many slices of equal weight.
+fn slices(count: u32) -> Vec<WeightedSlice> {
+    let weight = 1.0 / f64::from(count);
+    (0..count)
+        .map(|slice| WeightedSlice { slice, weight })
+        .collect()
+}
+
+fn firsts(count: u32) -> Vec<FirstAnswer> {
     (0..count)
-        .map(|slice| First {
+        .map(|slice| FirstAnswer {
             slice,
             score: f64::from(slice),
             bound: None,
@@ -49,7 +83,7 @@
 fn plan(planner: &mut Planner, at: Micros) -> Plan {
     let now = Time((10_000 + at) * MS);
     planner
-        .between(now, Q, Goal::BestScores, firsts(10), |_| Some(0.0))
+        .plan_second_phase(now, Q, Goal::BestScores, firsts(10), |_| Some(0.0))
         .unwrap()
 }
 
@@ -60,7 +94,7 @@
         let mut planner = planner(Rules::test());
         first_phase(&mut planner, 8, 150 * MS);
         let plan = plan(&mut planner, at);
-        assert_eq!(plan.parts[0].0, 9, "the best first");
+        assert_eq!(plan.parts[0].slice, 9, "the best first");
         assert!(plan.parts.len() >= 4, "never below the least share");
         assert_eq!(plan.parts.len() + plan.left_out.len(), 5);
         counts.push(plan.parts.len());
@@ -82,33 +116,48 @@
         [],
         "the last part is due any moment"
     );
-    let next = quick.next().expect("it is looked at again");
+    let next = quick.next_wake().expect("it is looked at again");
     assert!(next <= Time(10_160 * MS));
     // Nothing comes: out for longer than any was, it may be lost.
     let mut closed = Vec::new();
-    while let (Some(at), true) = (quick.next(), closed.is_empty()) {
-        closed = quick.on_time(at);
+    while let (Some(at), true) = (quick.next_wake(), closed.is_empty()) {
+        closed = quick.tick(at);
         assert!(at < Time(10_950 * MS));
     }
-    let [Verdict::Close(Q, Reason::Worth { now, waiting, have })] = closed[..] else {
+    let [Verdict::Close {
+        query: Q,
+        reason: Reason::Worth { now, waiting, have },
+    }] = closed[..]
+    else {
         panic!("{closed:?}")
     };
     assert!(now + WAITING_MARGIN >= waiting && (have - 0.9).abs() < 1e-9);
-    assert_eq!(quick.next(), None, "closed once");
+    assert_eq!(quick.next_wake(), None, "closed once");
 }
 
 #[test]
 fn below_the_least_share_a_first_phase_is_never_closed_whatever_the_time() {
     let mut late = planner(Rules::test());
     assert_eq!(first_phase(&mut late, 7, 150 * MS), []);
-    while let Some(at) = late.next() {
-        assert_eq!(late.on_time(at), []);
+    while let Some(at) = late.next_wake() {
+        assert_eq!(late.tick(at), []);
     }
     // The eighth comes after the first phase has had its share: closed at once, with exactly the
     // least.
-    let verdict = late.on_response(Time(10_950 * MS), (Q, 7), (false, 950 * MS, 0.0), None);
+    let verdict = late.on_response(
+        Time(10_950 * MS),
+        part(7, Phase::First),
+        timing(950 * MS),
+        None,
+    );
     assert!(
-        matches!(verdict[..], [Verdict::Close(Q, Reason::FirstShare { .. })]),
+        matches!(
+            verdict[..],
+            [Verdict::Close {
+                query: Q,
+                reason: Reason::FirstShare { .. }
+            }]
+        ),
         "{verdict:?}"
     );
 }
@@ -116,17 +165,20 @@
 #[test]
 fn untrained_planner_closes_at_the_share_and_sends_all_parts() {
     let mut fresh = Planner::new(vec![Some(Rules::test()), None]);
-    assert!(fresh.plans(0) && !fresh.plans(1) && !fresh.plans(2));
+    assert!(fresh.is_planned(0) && !fresh.is_planned(1) && !fresh.is_planned(2));
     assert_eq!(first_phase(&mut fresh, 9, 300 * MS), []);
-    assert_eq!(fresh.next(), Some(Time(10_310 * MS)));
+    assert_eq!(fresh.next_wake(), Some(Time(10_310 * MS)));
     let mut verdicts = Vec::new();
-    while let (Some(at), true) = (fresh.next(), verdicts.is_empty()) {
-        verdicts = fresh.on_time(at);
+    while let (Some(at), true) = (fresh.next_wake(), verdicts.is_empty()) {
+        verdicts = fresh.tick(at);
     }
     assert!(
         matches!(
             verdicts[..],
-            [Verdict::Close(Q, Reason::FirstShare { took: 900_000, .. })]
+            [Verdict::Close {
+                query: Q,
+                reason: Reason::FirstShare { took: 900_000, .. }
+            }]
         ),
         "{verdicts:?}"
     );
@@ -142,12 +194,17 @@
         });
         first_phase(&mut planner, 10, 150 * MS);
         let plan = plan(&mut planner, 200);
-        for (slice, _) in &plan.parts[..came] {
-            planner.on_response(Time(10_300 * MS), (Q, *slice), (true, 100 * MS, 0.0), None);
+        for PlannedPart { slice, .. } in &plan.parts[..came] {
+            planner.on_response(
+                Time(10_300 * MS),
+                part(*slice, Phase::Second),
+                timing(100 * MS),
+                None,
+            );
         }
-        assert_eq!(planner.next(), Some(Time(11_000 * MS)), "the aim");
-        assert_eq!(planner.on_time(Time(10_999 * MS)), []);
-        let verdicts = planner.on_time(Time(11_000 * MS));
+        assert_eq!(planner.next_wake(), Some(Time(11_000 * MS)), "the aim");
+        assert_eq!(planner.tick(Time(10_999 * MS)), []);
+        let verdicts = planner.tick(Time(11_000 * MS));
         assert_eq!(
             verdicts.len(),
             expected,
@@ -156,9 +213,9 @@
     }
 }
 
-fn bound(slice: u32, best: f64, matched: u64) -> First {
-    let keys = vec![Key::Number(best)];
-    First {
+fn bound(slice: u32, best: f64, matched: u64) -> FirstAnswer {
+    let keys = vec![SortKey::Number(best)];
+    FirstAnswer {
         slice,
         score: 0.0,
         bound: Some(Bound {
@@ -173,14 +230,23 @@
 fn sorted_answer_asks_and_keeps_only_slices_that_can_contribute() {
     let mut planner = planner(Rules::test());
     first_phase(&mut planner, 10, 150 * MS);
-    let firsts: Vec<First> = (0..10).map(|s| bound(s, f64::from(s), 9)).collect();
+    let firsts: Vec<FirstAnswer> = (0..10).map(|s| bound(s, f64::from(s), 9)).collect();
     let now = Time(10_200 * MS);
     let plan = planner
-        .between(now, Q, Goal::Top(3, Way::Up), firsts, |_| Some(0.0))
+        .plan_second_phase(
+            now,
+            Q,
+            Goal::Top {
+                k: 3,
+                direction: SortDirection::Ascending,
+            },
+            firsts,
+            |_| Some(0.0),
+        )
         .unwrap();
     assert_eq!(
         plan.parts,
-        [(0, Some(3)), (1, Some(2))],
+        [planned(0, 3), planned(1, 2)],
         "the third best is the third by itself"
     );
     assert_eq!(
@@ -189,13 +255,22 @@
     );
     let told = |keys: [f64; 3]| Bound {
         slice: 0,
-        keys: keys.map(Key::Number).to_vec(),
+        keys: keys.map(SortKey::Number).to_vec(),
         matched: Some(9),
     };
-    let beaten = planner.on_response(now, (Q, 0), (true, MS, 0.0), Some(told([0.0, 0.1, 0.2])));
+    let beaten = planner.on_response(
+        now,
+        part(0, Phase::Second),
+        timing(MS),
+        Some(told([0.0, 0.1, 0.2])),
+    );
     assert_eq!(
         beaten,
-        [Verdict::Unneeded(Q, 1, Reason::Bound { slice: 1, k: 3 })]
+        [Verdict::Unneeded {
+            query: Q,
+            slice: 1,
+            reason: Reason::Bound { slice: 1, k: 3 }
+        }]
     );
     // Without pruning all slices with more are asked for all.
     let mut plain = super::tests::planner(Rules {
@@ -205,7 +280,16 @@
     first_phase(&mut plain, 10, 150 * MS);
     let firsts = (0..10).map(|s| bound(s, f64::from(s), 9)).collect();
     let plan = plain
-        .between(now, Q, Goal::Top(3, Way::Up), firsts, |_| Some(0.0))
+        .plan_second_phase(
+            now,
+            Q,
+            Goal::Top {
+                k: 3,
+                direction: SortDirection::Ascending,
+            },
+            firsts,
+            |_| Some(0.0),
+        )
         .unwrap();
     assert_eq!(plan.parts.len(), 10);
 }
@@ -217,17 +301,29 @@
     let firsts = (0..10).map(|s| bound(s, f64::from(s), 9)).collect();
     let now = Time(10_200 * MS);
     planner
-        .between(now, Q, Goal::Top(3, Way::Up), firsts, |_| Some(0.0))
+        .plan_second_phase(
+            now,
+            Q,
+            Goal::Top {
+                k: 3,
+                direction: SortDirection::Ascending,
+            },
+            firsts,
+            |_| Some(0.0),
+        )
         .unwrap();
     let told = Bound {
         slice: 0,
-        keys: vec![Key::Number(-5.0)],
+        keys: vec![SortKey::Number(-5.0)],
         matched: Some(9),
     };
-    let verdicts = planner.on_response(now, (Q, 0), (true, MS, 0.0), Some(told));
+    let verdicts = planner.on_response(now, part(0, Phase::Second), timing(MS), Some(told));
     assert_eq!(
         verdicts,
-        [Verdict::Doubt(Q, Reason::WrongBound { slice: 0 })],
+        [Verdict::Doubt {
+            query: Q,
+            reason: Reason::WrongBound { slice: 0 }
+        }],
         "and nothing is proved by it"
     );
 }
@@ -238,9 +334,16 @@
     first_phase(&mut planner, 10, 150 * MS);
     let firsts = (0..10).map(|s| bound(s, 1.0, 1)).collect();
     let plan = planner
-        .between(Time(10_200 * MS), Q, Goal::Top(9, Way::Up), firsts, |_| {
-            Some(0.0)
-        })
+        .plan_second_phase(
+            Time(10_200 * MS),
+            Q,
+            Goal::Top {
+                k: 9,
+                direction: SortDirection::Ascending,
+            },
+            firsts,
+            |_| Some(0.0),
+        )
         .unwrap();
     assert!(
         plan.parts.is_empty() && !plan.give_up && plan.left_out.is_empty(),
--- a/decide/phases/src/prune.rs
+++ b/decide/phases/src/prune.rs
@@ -12,37 +12,37 @@
 
 /// What elements are sorted by.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Key {
+pub enum SortKey {
     /// A number; one that is none can't be compared.
     Number(f64),
     /// A text, compared by its code points.
     Text(String),
-    /// No value: after all that have one, whichever way is sorted.
+    /// No value: after all that have one, in either direction.
     Missing,
 }
 
-/// Which way is sorted.
+/// In which direction elements are sorted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum SortDirection {
     /// The smallest first.
-    Up,
+    Ascending,
     /// The largest first.
-    Down,
+    Descending,
 }
 
-impl Key {
+impl SortKey {
     /// The order of two keys; `None`: they can't be compared.
     #[must_use]
-    pub fn compare(&self, other: &Key, way: Way) -> Option<Ordering> {
+    pub fn compare(&self, other: &SortKey, direction: SortDirection) -> Option<Ordering> {
         let order = match (self, other) {
-            (Key::Missing, Key::Missing) => return Some(Ordering::Equal),
-            (Key::Missing, _) => return Some(Ordering::Greater),
-            (_, Key::Missing) => return Some(Ordering::Less),
-            (Key::Number(a), Key::Number(b)) => a.partial_cmp(b)?,
-            (Key::Text(a), Key::Text(b)) => a.cmp(b),
+            (SortKey::Missing, SortKey::Missing) => return Some(Ordering::Equal),
+            (SortKey::Missing, _) => return Some(Ordering::Greater),
+            (_, SortKey::Missing) => return Some(Ordering::Less),
+            (SortKey::Number(a), SortKey::Number(b)) => a.partial_cmp(b)?,
+            (SortKey::Text(a), SortKey::Text(b)) => a.cmp(b),
             _ => return None,
         };
-        Some(if way == Way::Up {
+        Some(if direction == SortDirection::Ascending {
             order
         } else {
             order.reverse()
@@ -50,27 +50,27 @@
     }
 }
 
-/// What a slice has told by its first answer.
+/// What is known of the elements of a slice from its answers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bound {
     /// The slice's number.
     pub slice: u32,
     /// Keys of the elements that it gave, the best first.
-    pub keys: Vec<Key>,
-    /// Elements that it has in all, where it told.
+    pub keys: Vec<SortKey>,
+    /// Elements that it has in all, where its answer says so.
     pub matched: Option<u64>,
 }
 
 impl Bound {
     /// Whether all that the slice has is here.
-    fn exhausted(&self) -> bool {
+    fn is_exhausted(&self) -> bool {
         self.matched == Some(self.keys.len() as u64)
     }
 }
 
-/// Why a slice is asked again or not.
+/// What a slice can still give of the first `k` elements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reach {
+pub enum Contribution {
     /// It may have so many elements among the first `k`, its best included.
     Elements(usize),
     /// Its best can't be compared: nothing is proved of it, and all `k` are asked for.
@@ -81,33 +81,42 @@
     Exhausted,
 }
 
-/// The slices of a sorted answer, as far as they are known.
+/// What a slice can still give.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct SliceContribution {
+    /// The slice.
+    pub slice: u32,
+    /// What it can still give.
+    pub contribution: Contribution,
+}
+
+/// The first `k` elements of a sorted answer, as far as its slices are known.
 #[derive(Clone, Debug)]
-pub struct Race {
+pub struct TopK {
     k: usize,
-    way: Way,
+    direction: SortDirection,
     slices: Vec<Bound>,
 }
 
-impl Race {
-    /// A race for the first `k` elements.
+impl TopK {
+    /// The first `k` elements, without any slice.
     #[must_use]
-    pub fn new(k: usize, way: Way) -> Race {
-        Race {
+    pub fn new(k: usize, direction: SortDirection) -> TopK {
+        TopK {
             k,
-            way,
+            direction,
             slices: Vec::new(),
         }
     }
 
-    /// Elements that are asked for.
+    /// How many elements are asked for.
     #[must_use]
     pub fn k(&self) -> usize {
         self.k
     }
 
-    /// A slice enters with its best.
-    pub fn enter(&mut self, bound: Bound) {
+    /// Adds a slice, with its best element.
+    pub fn add_slice(&mut self, bound: Bound) {
         self.slices.push(bound);
     }
 
@@ -116,28 +125,28 @@
     /// # Errors
     /// It gave something better than its best, or what can't be compared with it: the bound was wrong,
     /// and nothing that rests on it is proved.
-    pub fn extend(
+    pub fn add_keys(
         &mut self,
         slice: u32,
-        keys: Vec<Key>,
+        keys: Vec<SortKey>,
         matched: Option<u64>,
     ) -> Result<(), WrongBound> {
         let Some(known) = self.slices.iter_mut().find(|s| s.slice == slice) else {
             return Ok(());
         };
-        let way = self.way;
-        let sorted = |keys: &[Key]| {
+        let direction = self.direction;
+        let sorted = |keys: &[SortKey]| {
             keys.windows(2).all(|w| {
                 matches!(
-                    w[0].compare(&w[1], way),
+                    w[0].compare(&w[1], direction),
                     Some(Ordering::Less | Ordering::Equal)
                 )
             })
         };
-        let sound = match (known.keys.first(), keys.first()) {
+        let is_sound = match (known.keys.first(), keys.first()) {
             (Some(bound), Some(best)) => {
                 matches!(
-                    bound.compare(best, way),
+                    bound.compare(best, direction),
                     Some(Ordering::Less | Ordering::Equal)
                 ) && sorted(&keys)
             }
@@ -148,7 +157,7 @@
         if keys.len() >= known.keys.len() {
             (known.keys, known.matched) = (keys, matched.or(known.matched));
         }
-        if sound {
+        if is_sound {
             Ok(())
         } else {
             Err(WrongBound { slice })
@@ -157,12 +166,12 @@
 
     /// Elements of other slices that come before the best of this one; `None`: some can't be
     /// compared.
-    fn before(&self, of: &Bound) -> Option<usize> {
+    fn elements_before(&self, of: &Bound) -> Option<usize> {
         let best = of.keys.first()?;
         let mut count = 0;
         for other in self.slices.iter().filter(|s| s.slice != of.slice) {
             for key in &other.keys {
-                match key.compare(best, self.way)? {
+                match key.compare(best, self.direction)? {
                     Ordering::Less => count += 1,
                     Ordering::Equal if other.slice < of.slice => count += 1,
                     _ => break,
@@ -172,66 +181,98 @@
         Some(count)
     }
 
-    fn judge(&self, of: &Bound, before: Option<usize>) -> Reach {
-        match (of.exhausted() || of.matched == Some(0), before) {
-            (true, _) => Reach::Exhausted,
-            (false, None) => Reach::Unknown,
-            (false, Some(before)) if before + 1 >= self.k => Reach::Beaten,
-            (false, Some(before)) => Reach::Elements(self.k - before),
+    fn contribution_of(&self, of: &Bound, before: Option<usize>) -> Contribution {
+        match (of.is_exhausted() || of.matched == Some(0), before) {
+            (true, _) => Contribution::Exhausted,
+            (false, None) => Contribution::Unknown,
+            (false, Some(before)) if before + 1 >= self.k => Contribution::Beaten,
+            (false, Some(before)) => Contribution::Elements(self.k - before),
         }
     }
 
     /// What a slice can still give.
     #[must_use]
-    pub fn reach(&self, slice: u32) -> Reach {
+    pub fn contribution(&self, slice: u32) -> Contribution {
         let Some(of) = self.slices.iter().find(|s| s.slice == slice) else {
-            return Reach::Unknown;
+            return Contribution::Unknown;
         };
-        self.judge(of, self.before(of))
+        self.contribution_of(of, self.elements_before(of))
     }
 
     /// What each slice can still give, the best first; one sort instead of a count for each slice.
     #[must_use]
-    pub fn reaches(&self) -> Vec<(u32, Reach)> {
-        // Elements with their slices, and whether they are the best of theirs.
-        let mut all: Vec<(&Key, usize, bool)> = Vec::with_capacity(self.slices.len());
-        for (at, s) in self.slices.iter().enumerate() {
-            all.extend(s.keys.iter().enumerate().map(|(i, key)| (key, at, i == 0)));
-        }
-        let sound = all.first().is_none_or(|(first, ..)| {
-            all.iter()
-                .all(|(key, ..)| key.compare(first, self.way).is_some())
-        });
-        if !sound {
+    pub fn contributions(&self) -> Vec<SliceContribution> {
+        let Some(elements) = self.sorted_elements() else {
             // Some key is of another kind: each slice is judged by itself.
             return self
                 .slices
                 .iter()
-                .map(|s| (s.slice, self.judge(s, self.before(s))))
+                .map(|slice| self.slice_contribution(slice, self.elements_before(slice)))
                 .collect();
-        }
-        all.sort_by(|a, b| {
-            let order = a.0.compare(b.0, self.way).unwrap_or(Ordering::Equal);
-            order.then_with(|| self.slices[a.1].slice.cmp(&self.slices[b.1].slice))
-        });
-        let bests = all.iter().enumerate().filter(|(_, e)| e.2);
-        let with_best = bests.map(|(before, &(_, at, _))| (&self.slices[at], Some(before)));
+        };
+        let bests = elements
+            .iter()
+            .enumerate()
+            .filter(|(_, element)| element.is_best_of_slice);
+        let with_best = bests.map(|(before, element)| (element.slice, Some(before)));
         let without = self
             .slices
             .iter()
-            .filter(|s| s.keys.is_empty())
-            .map(|s| (s, None));
-        let judged = with_best.chain(without).map(|(s, before)| {
+            .filter(|slice| slice.keys.is_empty())
+            .map(|slice| (slice, None));
+        let judged = with_best.chain(without).map(|(slice, before)| {
             debug_assert_eq!(
                 before,
-                self.before(s),
+                self.elements_before(slice),
                 "slice {}: the sort and the count agree",
-                s.slice
+                slice.slice
             );
-            (s.slice, self.judge(s, before))
+            self.slice_contribution(slice, before)
         });
         judged.collect()
     }
+
+    /// All elements that are known, sorted; `None`: some can't be compared.
+    fn sorted_elements(&self) -> Option<Vec<Element<'_>>> {
+        let mut elements: Vec<Element<'_>> = Vec::with_capacity(self.slices.len());
+        for slice in &self.slices {
+            let element = |(index, key)| Element {
+                key,
+                slice,
+                is_best_of_slice: index == 0,
+            };
+            elements.extend(slice.keys.iter().enumerate().map(element));
+        }
+        let are_comparable = elements.first().is_none_or(|first| {
+            elements
+                .iter()
+                .all(|element| element.key.compare(first.key, self.direction).is_some())
+        });
+        if !are_comparable {
+            return None;
+        }
+        elements.sort_by(|one, other| {
+            let order = one.key.compare(other.key, self.direction);
+            order
+                .unwrap_or(Ordering::Equal)
+                .then_with(|| one.slice.slice.cmp(&other.slice.slice))
+        });
+        Some(elements)
+    }
+
+    fn slice_contribution(&self, of: &Bound, before: Option<usize>) -> SliceContribution {
+        SliceContribution {
+            slice: of.slice,
+            contribution: self.contribution_of(of, before),
+        }
+    }
+}
+
+/// An element that is known of a slice.
+struct Element<'a> {
+    key: &'a SortKey,
+    slice: &'a Bound,
+    is_best_of_slice: bool,
 }
 
 /// A slice gave something better than its bound.
--- a/decide/phases/src/rules.rs
+++ b/decide/phases/src/rules.rs
@@ -7,19 +7,19 @@
 pub struct Rules {
     /// An answer within this time earns the full worth, microseconds.
     pub latency_target: Micros,
-    /// Share of the worth that is left after the aim.
+    /// Share of the worth that is left after the latency target.
     pub late_share: f64,
-    /// Weight that makes a first phase whole, and the least that may be answered from.
+    /// Weight that makes a first phase complete.
     pub need: f64,
-    /// See `need`.
+    /// Least weight that may be answered from; at most `need`.
     pub floor: f64,
-    /// An answer in part earns this times its share.
+    /// A partial answer earns this times its share of the worth.
     pub partial: f64,
-    /// Parts of a whole second phase.
+    /// Parts of a complete second phase.
     pub wanted: usize,
-    /// A part is sent if it ends within the aim with this probability (0 to 1).
+    /// A part is sent if it ends within the latency target with this probability (0 to 1).
     pub probability: f64,
-    /// Largest share of the aim that the first phase may take (0 to 1).
+    /// Largest share of the latency target that the first phase may take (0 to 1).
     pub first_share: f64,
     /// Whether slices are left out by their bounds.
     pub prune: bool,
@@ -27,9 +27,12 @@
     pub least_gain: f64,
 }
 
-/// What operators get where they say nothing: see `docs/operate/phases.md`.
+/// Probability for a part to be sent, where operators set none: see `docs/operate/phases.md`.
 const PROBABILITY: f64 = 0.9;
+/// Least share of its worth that a query is worked for, where operators set none.
 const LEAST_GAIN: f64 = 0.2;
+/// By how much sums of weights may fall short.
+const WEIGHT_TOLERANCE: f64 = 1e-4;
 
 impl Rules {
     /// The rules of a class with the settings that operators get by default.
@@ -49,8 +52,7 @@
         }
     }
 
-    /// The least parts of a second phase of so many: where an answer in part is allowed, the least
-    /// share.
+    /// Fewest parts of a second phase of so many: the least share, where a partial answer is allowed.
     #[must_use]
     pub fn least_parts(&self, wanted: usize) -> usize {
         let floor = if self.floor < self.need {
@@ -58,8 +60,7 @@
         } else {
             1.0
         };
-        // Sums of weights may fall short by a ten-thousandth.
-        (floor * wanted as f64 - 1e-4).ceil().max(0.0) as usize
+        (floor * wanted as f64 - WEIGHT_TOLERANCE).ceil().max(0.0) as usize
     }
 
     #[cfg(test)]
--- a/decide/phases/src/verdict.rs
+++ b/decide/phases/src/verdict.rs
@@ -1,13 +1,14 @@
-//! What the planner says, and the figures that led to it.
+//! What the planner is told of first-phase answers, and what it decides, with the figures that led to
+//! it.
 
-use crate::prune::{Bound, Way};
+use crate::prune::{Bound, SortDirection};
 use lichenswitch_interface::{Micros, QueryId};
 use std::fmt;
 
 /// Why something was decided, with the figures that led to it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reason {
-    /// The first phase has had its largest share of the aim.
+    /// The first phase has had its largest share of the latency target.
     FirstShare {
         /// Time since the query came, microseconds.
         took: Micros,
@@ -31,7 +32,7 @@
         wanted: usize,
         /// Slices that were proved to be unneeded.
         unneeded: usize,
-        /// Time left to the aim, microseconds.
+        /// Time left to the latency target, microseconds.
         left: Micros,
         /// Chance of the least likely part.
         weakest: f64,
@@ -87,22 +88,52 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
     /// The first phase ends with what is in.
-    Close(QueryId, Reason),
-    /// A second-phase part at this slice is proved to be unneeded: it counts as in.
-    Unneeded(QueryId, u32, Reason),
+    Close {
+        /// The query.
+        query: QueryId,
+        /// Why.
+        reason: Reason,
+    },
+    /// A second-phase part is proved to be unneeded: it counts as in.
+    Unneeded {
+        /// The query.
+        query: QueryId,
+        /// The slice of the part.
+        slice: u32,
+        /// Why.
+        reason: Reason,
+    },
     /// The answer can't be called complete any more.
-    Doubt(QueryId, Reason),
+    Doubt {
+        /// The query.
+        query: QueryId,
+        /// Why.
+        reason: Reason,
+    },
     /// The query gets its final answer now: none.
-    GiveUp(QueryId, Reason),
+    GiveUp {
+        /// The query.
+        query: QueryId,
+        /// Why.
+        reason: Reason,
+    },
+}
+
+/// A part of the second phase.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct PlannedPart {
+    /// Its slice.
+    pub slice: u32,
+    /// How many elements to ask for, where the answer is sorted.
+    pub max_elements: Option<usize>,
 }
 
 /// What the second phase of a query is to be.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Slices that get a part, the best first, with how many elements to ask for where the answer
-    /// is sorted.
-    pub parts: Vec<(u32, Option<usize>)>,
-    /// Parts of a whole second phase; each weighs one of so many.
+    /// The parts, the best first.
+    pub parts: Vec<PlannedPart>,
+    /// Parts of a complete second phase; each weighs one of so many.
     pub wanted: usize,
     /// Slices that were left out for time.
     pub left_out: Vec<u32>,
@@ -114,14 +145,14 @@
     pub reasons: Vec<Reason>,
 }
 
-/// What a slice's first answer said.
+/// The first-phase answer of a slice.
 #[derive(Clone, Debug, PartialEq)]
-pub struct First {
+pub struct FirstAnswer {
     /// The slice.
     pub slice: u32,
     /// The better, the sooner it is fetched from, where nothing is sorted.
     pub score: f64,
-    /// Its best, where the answer is sorted.
+    /// Its best element, where the answer is sorted.
     pub bound: Option<Bound>,
 }
 
@@ -130,6 +161,11 @@
 pub enum Goal {
     /// Details from the slices with the best scores, as many as the class says.
     BestScores,
-    /// The first `k` elements by their keys.
-    Top(usize, Way),
+    /// The first elements by their keys.
+    Top {
+        /// How many.
+        k: usize,
+        /// In which direction they are sorted.
+        direction: SortDirection,
+    },
 }
--- a/experiments/benches/plan.rs
+++ b/experiments/benches/plan.rs
@@ -1,8 +1,10 @@
 //! One plan of the second phase at 200 slices: `cargo bench -p lichenswitch-experiments`.
 
 use criterion::{criterion_group, criterion_main, BatchSize, Criterion};
-use lichenswitch::decide::phases::prune::{Bound, Key, Way};
-use lichenswitch::decide::phases::{First, Goal, Planner};
+use lichenswitch::decide::phases::prune::{Bound, SortDirection, SortKey};
+use lichenswitch::decide::phases::{
+    AttemptTiming, FirstAnswer, Goal, PartRef, Phase, Planner, WeightedSlice,
+};
 use lichenswitch::interface::{QueryId, Time};
 use lichenswitch_experiments::two_phase;
 use std::hint::black_box;
@@ -14,30 +16,38 @@
 fn planner() -> Planner {
     let (_, settings) = two_phase::scenario("skewed", 1.0);
     let mut planner = Planner::new(two_phase::rules(&settings, true));
-    let parts: Vec<(u32, f64)> = (0..SLICES).map(|s| (s, 1.0 / f64::from(SLICES))).collect();
+    let weight = 1.0 / f64::from(SLICES);
+    let parts: Vec<WeightedSlice> = (0..SLICES)
+        .map(|slice| WeightedSlice { slice, weight })
+        .collect();
     planner.on_query(NOW, QueryId(1), 0, &parts);
     for slice in 0..SLICES {
         let took = 50_000 + u64::from(slice) * 500;
-        planner.on_response(
-            NOW.plus(took),
-            (QueryId(1), slice),
-            (false, took, 0.0),
-            None,
-        );
-        planner.on_response(NOW.plus(took), (QueryId(1), slice), (true, took, 0.0), None);
+        let timing = AttemptTiming {
+            elapsed: took,
+            pending: 0.0,
+        };
+        for phase in [Phase::First, Phase::Second] {
+            let part = PartRef {
+                query: QueryId(1),
+                slice,
+                phase,
+            };
+            planner.on_response(NOW.plus(took), part, timing, None);
+        }
     }
     planner
 }
 
-fn firsts() -> Vec<First> {
+fn firsts() -> Vec<FirstAnswer> {
     let first = |slice: u32| {
         let score = f64::from(slice * 7_919 % 1_009);
         let bound = Bound {
             slice,
-            keys: vec![Key::Number(score)],
+            keys: vec![SortKey::Number(score)],
             matched: Some(40),
         };
-        First {
+        FirstAnswer {
             slice,
             score,
             bound: Some(bound),
@@ -48,7 +58,13 @@
 
 fn plan(c: &mut Criterion) {
     for (name, goal) in [
-        ("top 10 of 200 slices", Goal::Top(10, Way::Down)),
+        (
+            "top 10 of 200 slices",
+            Goal::Top {
+                k: 10,
+                direction: SortDirection::Descending,
+            },
+        ),
         ("best scores of 200 slices", Goal::BestScores),
     ] {
         c.bench_function(name, |b| {
@@ -56,11 +72,13 @@
                 || (planner(), firsts()),
                 |(planner, firsts)| {
                     let firsts = std::mem::take(firsts);
-                    black_box(
-                        planner.between(NOW.plus(200_000), QueryId(1), goal, firsts, |s| {
-                            Some(f64::from(s % 5))
-                        }),
-                    )
+                    black_box(planner.plan_second_phase(
+                        NOW.plus(200_000),
+                        QueryId(1),
+                        goal,
+                        firsts,
+                        |s| Some(f64::from(s % 5)),
+                    ))
                 },
                 BatchSize::SmallInput,
             );
--- a/experiments/src/world.rs
+++ b/experiments/src/world.rs
@@ -9,7 +9,7 @@
 use crate::node::{Left, Node, Task};
 use lichenswitch::contract::Contracts;
 use lichenswitch::core::{Command, Core, Dispatch, Offer, Reply, Request, Value};
-use lichenswitch::decide::phases::prune::{Key, Way};
+use lichenswitch::decide::phases::prune::{SortDirection, SortKey};
 use lichenswitch::decide::phases::Planner;
 use lichenswitch::interface::{
     Class, ListedServer, Micros, Outcome, Placement, QueryId, ServerId, ServerListUpdate,
@@ -123,6 +123,11 @@
     ServerListUpdate::Complete((0..nodes).map(line).collect())
 }
 
+/// The first `k` elements, as queries ask for them: the largest keys first.
+fn best_first(k: usize) -> (usize, SortDirection) {
+    (k, SortDirection::Descending)
+}
+
 impl World {
     /// A world whose broker works by these settings.
     #[must_use]
@@ -280,7 +285,7 @@
             let keys = all
                 .iter()
                 .take(flight.most)
-                .map(|&n| Key::Number(n))
+                .map(|&n| SortKey::Number(n))
                 .collect();
             Offer {
                 keys,
@@ -326,8 +331,8 @@
         let given = values
             .iter()
             .flat_map(|(s, v)| keys(v).into_iter().map(|key| (key, s.0)));
-        let number = |(key, s): (Key, u32)| match key {
-            Key::Number(n) => Some((n, s)),
+        let number = |(key, s): (SortKey, u32)| match key {
+            SortKey::Number(n) => Some((n, s)),
             _ => None,
         };
         first(given.filter_map(number).collect()) == first(truth.collect())
@@ -368,7 +373,7 @@
             parts: (0..parts)
                 .map(|i| (Shard((first + i) % self.shards), weight))
                 .collect(),
-            top: self.scenario.mix[class].top.map(|k| (k, Way::Down)),
+            top: self.scenario.mix[class].top.map(best_first),
             job: Job { serial },
         };
         let (second, arrived) = (BTreeSet::new(), self.now);
--- a/src/front/ogc.rs
+++ b/src/front/ogc.rs
@@ -18,7 +18,7 @@
 use crate::config::Collection;
 use crate::contract::ContractViolation;
 use crate::core::{Refusal, Reply, Request};
-use crate::decide::phases::prune::Way;
+use crate::decide::phases::prune::SortDirection;
 use crate::http::{self, Response};
 use crate::interface::{Placement, Shard, Time};
 use crate::inventory::Slice;
@@ -53,7 +53,7 @@
         /// Numbers and names of the slices asked.
         requested_slices: Vec<(u32, String)>,
         /// Which way it is sorted, if it is.
-        way: Option<Way>,
+        way: Option<SortDirection>,
     },
     /// One feature.
     Item {
--- a/src/front/ogc/page_query.rs
+++ b/src/front/ogc/page_query.rs
@@ -3,7 +3,7 @@
 use super::documents::CRS84;
 use super::parameters::{bounds, datetime, number, order, parameters};
 use super::problem::Fault;
-use crate::decide::phases::prune::Way;
+use crate::decide::phases::prune::SortDirection;
 use crate::inventory::Bounds;
 
 /// Features of a page where the client names no limit.
@@ -20,7 +20,7 @@
     /// Features before the page.
     pub(super) offset: usize,
     /// The property that the features are sorted by, and which way.
-    pub(super) order: Option<(String, Way)>,
+    pub(super) order: Option<(String, SortDirection)>,
     /// The box that features are looked for in.
     pub(super) bbox: Option<Bounds>,
     /// The instant or interval that features belong to, as the client wrote it.
--- a/src/front/ogc/parameters.rs
+++ b/src/front/ogc/parameters.rs
@@ -1,7 +1,7 @@
 //! Parameters of a request of the OGC front: read, and refused where they make no sense.
 
 use super::problem::Fault;
-use crate::decide::phases::prune::Way;
+use crate::decide::phases::prune::SortDirection;
 use crate::inventory::Bounds;
 use std::collections::BTreeMap;
 use time::format_description::well_known::Rfc3339;
@@ -119,12 +119,12 @@
 }
 
 /// The property that an answer is sorted by, and which way: `[+|-]property`.
-pub(super) fn order(text: &str) -> Result<(String, Way), Fault> {
+pub(super) fn order(text: &str) -> Result<(String, SortDirection), Fault> {
     // A plus that was not encoded has become a space.
     let (way, property) = match text.split_at_checked(1) {
-        Some(("-", property)) => (Way::Down, property),
-        Some(("+" | " ", property)) => (Way::Up, property),
-        _ => (Way::Up, text),
+        Some(("-", property)) => (SortDirection::Descending, property),
+        Some(("+" | " ", property)) => (SortDirection::Ascending, property),
+        _ => (SortDirection::Ascending, text),
     };
     let sound = |c: char| c.is_alphanumeric() || "_-.:".contains(c);
     match () {
--- a/src/front/ogc/response.rs
+++ b/src/front/ogc/response.rs
@@ -4,7 +4,7 @@
 use super::problem::{problem, retry_later};
 use super::Context;
 use crate::core::Value;
-use crate::decide::phases::prune::{Key, Way};
+use crate::decide::phases::prune::{SortDirection, SortKey};
 use crate::http::Response;
 use crate::interface::Shard;
 use crate::upstream::ogc::{Feature, List};
@@ -40,8 +40,8 @@
 
 /// The features of all parts in their order: by key, then by slice, then as their slice gives them;
 /// one that lies on a border comes once. With it whether that is all that the slices have.
-fn ranked(values: &[(Shard, Value)], way: Way) -> (Vec<&RawValue>, bool) {
-    let mut found: Vec<(Key, u32, usize, &RawValue)> = Vec::new();
+fn ranked(values: &[(Shard, Value)], way: SortDirection) -> (Vec<&RawValue>, bool) {
+    let mut found: Vec<(SortKey, u32, usize, &RawValue)> = Vec::new();
     let mut all = true;
     for (shard, value) in values {
         let (Some(list), Some(offer)) = (List::read(&value.bytes), &value.offer) else {
@@ -129,7 +129,7 @@
 /// A page of a collection's features.
 fn page_response(
     links: &PageLinks,
-    way: Option<Way>,
+    way: Option<SortDirection>,
     whole: bool,
     values: &[(Shard, Value)],
     missing: Vec<String>,
--- a/src/upstream/ogc.rs
+++ b/src/upstream/ogc.rs
@@ -3,7 +3,7 @@
 
 use super::{Answer, AnswerError, Wire};
 use crate::core::{Dispatch, Offer, Value};
-use crate::decide::phases::prune::{Key, Way};
+use crate::decide::phases::prune::{SortDirection, SortKey};
 use crate::http::{self, Parsed, Response};
 use crate::interface::{Micros, Outcome};
 use crate::net::buffer::Buffer;
@@ -32,7 +32,7 @@
     /// The property that it is sorted by.
     pub property: String,
     /// Which way.
-    pub way: Way,
+    pub way: SortDirection,
     /// Features that are wanted.
     pub most: usize,
 }
@@ -107,17 +107,17 @@
 }
 
 /// What a feature is sorted by.
-fn key(feature: &RawValue, property: &str) -> Key {
+fn key(feature: &RawValue, property: &str) -> SortKey {
     let read: Option<Sortable> = serde_json::from_str(feature.get()).ok();
     match read
         .and_then(|f| f.properties)
         .and_then(|mut p| p.remove(property))
     {
-        Some(Json::Number(n)) => Key::Number(n.as_f64().unwrap_or(f64::NAN)),
-        Some(Json::String(text)) => Key::Text(text),
-        Some(Json::Bool(flag)) => Key::Number(f64::from(u8::from(flag))),
+        Some(Json::Number(n)) => SortKey::Number(n.as_f64().unwrap_or(f64::NAN)),
+        Some(Json::String(text)) => SortKey::Text(text),
+        Some(Json::Bool(flag)) => SortKey::Number(f64::from(u8::from(flag))),
         // Nothing, or what has no order.
-        _ => Key::Missing,
+        _ => SortKey::Missing,
     }
 }
 
@@ -132,7 +132,7 @@
 fn sorted(body: Vec<u8>, sort: &Sort, most: usize, all: bool) -> Option<Value> {
     let list = List::read(&body).filter(|list| !list.cut_short(if all { ALL } else { most }))?;
     if !all {
-        let keys: Vec<Key> = list
+        let keys: Vec<SortKey> = list
             .features
             .iter()
             .map(|f| key(f, &sort.property))
@@ -151,7 +151,7 @@
     if more || list.features.len() > ALL {
         return None;
     }
-    let mut found: Vec<(Key, &RawValue)> = list
+    let mut found: Vec<(SortKey, &RawValue)> = list
         .features
         .iter()
         .map(|f| (key(f, &sort.property), *f))
@@ -316,7 +316,11 @@
             let order = match &expected {
                 ExpectedBody::Sorted { all: true, .. } => format!("&limit={ALL}"),
                 ExpectedBody::Sorted { sort, most, .. } => {
-                    let sign = if sort.way == Way::Down { "-" } else { "" };
+                    let sign = if sort.way == SortDirection::Descending {
+                        "-"
+                    } else {
+                        ""
+                    };
                     let mut query = form_urlencoded::Serializer::new(String::new());
                     query.append_pair("sortby", &format!("{sign}{}", sort.property));
                     format!("&{}&limit={most}", query.finish())
--- a/src/upstream/ogc/tests.rs
+++ b/src/upstream/ogc/tests.rs
@@ -68,7 +68,7 @@
 fn sort(most: usize) -> Sort {
     Sort {
         property: "battery".into(),
-        way: Way::Down,
+        way: SortDirection::Descending,
         most,
     }
 }
@@ -84,7 +84,7 @@
         .unwrap();
     assert_eq!(
         as_is.keys,
-        [Key::Number(7.0), Key::Missing, Key::Number(9.5)]
+        [SortKey::Number(7.0), SortKey::Missing, SortKey::Number(9.5)]
     );
     assert_eq!(as_is.matched, None, "it gave as many as were asked for");
     assert_eq!(
