--- a/decide/configuration/tests/stored_format.rs
+++ b/decide/configuration/tests/stored_format.rs
@@ -8,6 +8,8 @@
     evaluate, Order, OrderDigest, State, Verdict, REPLACE_PATH, UPDATE_PATH,
 };
 
+use lichenswitch_testing::fixtures::named_lines;
+
 const FIXTURE: &str = include_str!("fixtures/stored_format.hex");
 
 /// Fields that are not known here, numbers as they were written, keys, both units.
@@ -65,19 +67,7 @@
 
 /// The lines of the fixture: names with bytes.
 fn fixture() -> Vec<(&'static str, Vec<u8>)> {
-    let line = |line: &'static str| {
-        let (name, digits) = line.split_once(' ').expect("a name and digits");
-        (name, bytes_from_hex(digits))
-    };
-    FIXTURE.lines().map(line).collect()
-}
-
-fn bytes_from_hex(digits: &str) -> Vec<u8> {
-    let pairs = digits.as_bytes().chunks(2);
-    pairs
-        .map(|pair| std::str::from_utf8(pair).expect("digits"))
-        .map(|pair| u8::from_str_radix(pair, 16).expect("a byte"))
-        .collect()
+    named_lines(FIXTURE)
 }
 
 fn bytes_of(name: &str) -> Vec<u8> {
--- a/decide/consensus/tests/stored_data.rs
+++ b/decide/consensus/tests/stored_data.rs
@@ -8,6 +8,7 @@
 use lichenswitch_consensus::persistent_state::{PersistentState, Record};
 use lichenswitch_lease::grant_table::LeaseCommand;
 use lichenswitch_lease::{FencingToken, LeaseHolder, RoleName};
+use lichenswitch_testing::fixtures::{from_hex, to_hex};
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::storage::{Snapshot as _, StopSign, Storage, StorageOp};
 use omnipaxos::ClusterConfig;
@@ -108,22 +109,14 @@
         .collect()
 }
 
-fn hex(record: &Record) -> String {
-    record.0.iter().map(|b| format!("{b:02x}")).collect()
-}
-
-fn unhex(text: &str) -> Record {
-    let digits = |at| u8::from_str_radix(&text[at..at + 2], 16).unwrap();
-    Record((0..text.len()).step_by(2).map(digits).collect())
-}
-
 /// The last line of the fixture is the complete state as one record.
 #[test]
 fn records_of_each_change_have_the_bytes_of_the_fixture() {
     let state = written();
-    let mut records: Vec<String> = state.take_records().iter().map(hex).collect();
-    records.push(hex(&state.to_record()));
-    assert_eq!(records, fixture());
+    let mut records = state.take_records();
+    records.push(state.to_record());
+    let lines: Vec<String> = records.iter().map(|record| to_hex(&record.0)).collect();
+    assert_eq!(lines, fixture());
 }
 
 fn assert_state(state: &PersistentState, name: &str) {
@@ -149,7 +142,8 @@
 
 #[test]
 fn records_of_the_fixture_are_read_to_the_same_state() {
-    let mut records: Vec<Record> = fixture().iter().map(|line| unhex(line)).collect();
+    let record = |line: &String| Record(from_hex(line));
+    let mut records: Vec<Record> = fixture().iter().map(record).collect();
     let complete = records.pop().unwrap();
     assert_state(
         &PersistentState::from_records(&records).unwrap(),
--- a/decide/replication/tests/message_bytes.rs
+++ b/decide/replication/tests/message_bytes.rs
@@ -10,6 +10,8 @@
     ReplicaVersion, SnapshotChunk, Update,
 };
 
+use lichenswitch_testing::fixtures::{named_lines, to_hex};
+
 const EARLIER_BYTES: &str = include_str!("message_bytes.txt");
 
 fn member(number: u64) -> Member {
@@ -191,30 +193,17 @@
 }
 
 fn to_line(name: &str, bytes: &[u8]) -> String {
-    let hexadecimal: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
-    format!("{name} {hexadecimal}")
-}
-
-fn from_hexadecimal(digits: &str) -> Vec<u8> {
-    let pairs = (0..digits.len()).step_by(2);
-    pairs
-        .map(|at| u8::from_str_radix(&digits[at..at + 2], 16).expect("hexadecimal digits"))
-        .collect()
+    format!("{name} {}", to_hex(bytes))
 }
 
 #[test]
 fn earlier_message_is_decoded_to_the_same_value() {
-    let lines: Vec<&str> = EARLIER_BYTES.lines().collect();
+    let lines = named_lines(EARLIER_BYTES);
     let messages = messages();
     assert_eq!(lines.len(), messages.len());
-    for (line, (name, message)) in lines.into_iter().zip(messages) {
-        let (line_name, digits) = line.split_once(' ').expect("a name and bytes");
+    for ((line_name, bytes), (name, message)) in lines.into_iter().zip(messages) {
         assert_eq!(line_name, name);
-        assert_eq!(
-            Message::decode(&from_hexadecimal(digits)),
-            Ok(message),
-            "{name}"
-        );
+        assert_eq!(Message::decode(&bytes), Ok(message), "{name}");
     }
 }
 
--- a/fleet/tests/stored_data.rs
+++ b/fleet/tests/stored_data.rs
@@ -16,6 +16,7 @@
 };
 use lichenswitch_rpc::{decode, encode, encode_frame, FrameReader};
 use lichenswitch_storage::{Storage, StorageSettings};
+use lichenswitch_testing::Folder;
 
 /// Owner that a control node's segment files name.
 const OWNER: &str = "lichenswitch-fleet control";
@@ -32,33 +33,15 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/stored_data/control_node")
 }
 
-/// A folder of one test's own, removed with it.
-struct TestFolder(PathBuf);
-
-impl TestFolder {
-    fn new(name: &str) -> Self {
-        let unique = format!("lichenswitch-stored-{name}-{}", std::process::id());
-        let path = std::env::temp_dir().join(unique);
-        let _ = std::fs::remove_dir_all(&path);
-        std::fs::create_dir_all(&path).expect("a folder");
-        Self(path)
-    }
-
-    fn with_earlier_ring(name: &str) -> Self {
-        let folder = Self::new(name);
-        for segment in 0..SEGMENTS {
-            let from = earlier_directory().join(format!("control/segment-{segment}"));
-            let to = folder.0.join(format!("segment-{segment}"));
-            std::fs::copy(from, to).expect("a segment file");
-        }
-        folder
-    }
-}
-
-impl Drop for TestFolder {
-    fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.0);
+/// A folder with the ring of segment files that the earlier build left.
+fn folder_with_earlier_ring() -> Folder {
+    let folder = Folder::new(&[]);
+    for segment in 0..SEGMENTS {
+        let from = earlier_directory().join(format!("control/segment-{segment}"));
+        let to = folder.path().join(format!("segment-{segment}"));
+        std::fs::copy(from, to).expect("a segment file");
     }
+    folder
 }
 
 fn member(number: u64) -> Member {
@@ -224,9 +207,9 @@
 
 #[test]
 fn earlier_ring_holds_the_last_snapshot_and_the_records_after_it() {
-    let folder = TestFolder::with_earlier_ring("items");
+    let folder = folder_with_earlier_ring();
     let settings = StorageSettings::new(OWNER);
-    let (_, recovered) = Storage::open(&folder.0, &settings).expect("the ring opens");
+    let (_, recovered) = Storage::open(folder.path(), &settings).expect("the ring opens");
     assert_eq!(recovered.findings, []);
     let [_, (snapshot, items)] = segments();
     let found = recovered.snapshot.expect("a snapshot");
@@ -244,9 +227,9 @@
 
 #[test]
 fn earlier_ring_is_recovered_to_the_same_state() {
-    let folder = TestFolder::with_earlier_ring("state");
+    let folder = folder_with_earlier_ring();
     let settings = StorageSettings::new(OWNER);
-    let (_, found) = Storage::open(&folder.0, &settings).expect("the ring opens");
+    let (_, found) = Storage::open(folder.path(), &settings).expect("the ring opens");
     let items = found.snapshot.iter().chain(&found.records);
     let items = items.map(|bytes| DurableItem::decode(bytes).expect("an item"));
     let recovered = Recovered::from_items(items).expect("the items follow each other");
@@ -270,12 +253,12 @@
 
 #[test]
 fn ring_is_written_with_the_earlier_bytes() {
-    let folder = TestFolder::new("ring");
-    write_ring(&folder.0);
+    let folder = Folder::new(&[]);
+    write_ring(folder.path());
     for segment in 0..SEGMENTS {
         let name = format!("segment-{segment}");
         let earlier = std::fs::read(earlier_directory().join("control").join(&name)).expect("read");
-        let written = std::fs::read(folder.0.join(&name)).expect("read");
+        let written = std::fs::read(folder.path().join(&name)).expect("read");
         let (same, rest) = written.split_at(earlier.len());
         assert!(same == earlier, "{name} differs");
         assert!(rest.iter().all(|byte| *byte == 0), "{name} is longer");
--- a/src/peer/consensus/stored_data_tests.rs
+++ b/src/peer/consensus/stored_data_tests.rs
@@ -8,8 +8,9 @@
 use crate::decide::lease::LeaseTerms;
 use crate::peer::wire::{self, Frame, Greeting};
 use foca::{Codec, Header, Message as SwimMessage, PostcardCodec, State};
+use lichenswitch_testing::fixtures::{named_lines, to_hex};
+use lichenswitch_testing::Folder;
 use std::collections::BTreeMap;
-use std::fmt::Write as _;
 use std::fs;
 use std::path::{Path, PathBuf};
 
@@ -25,27 +26,11 @@
         .join(name)
 }
 
-fn hex(bytes: &[u8]) -> String {
-    bytes.iter().fold(String::new(), |mut text, b| {
-        let _ = write!(text, "{b:02x}");
-        text
-    })
-}
-
-fn unhex(text: &str) -> Vec<u8> {
-    let digits = |at| u8::from_str_radix(&text[at..at + 2], 16).unwrap();
-    (0..text.len()).step_by(2).map(digits).collect()
-}
-
 /// The lines `NAME HEX` of a fixture.
 fn lines(name: &str) -> Vec<(String, Vec<u8>)> {
     let text = fs::read_to_string(fixture(name)).unwrap();
-    let line = |l: &str| {
-        l.split_once(' ')
-            .map(|(name, bytes)| (name.to_owned(), unhex(bytes)))
-            .unwrap()
-    };
-    text.lines().map(line).collect()
+    let owned = |(name, bytes): (&str, Vec<u8>)| (name.to_owned(), bytes);
+    named_lines(&text).into_iter().map(owned).collect()
 }
 
 /// Compares what is encoded now with a fixture.
@@ -299,23 +284,20 @@
 
 #[test]
 fn voter_file_and_log_messages_have_the_bytes_of_the_fixture() {
-    let root =
-        std::env::temp_dir().join(format!("lichenswitch-voter-fixture-{}", std::process::id()));
-    let sent = run_voters(&root);
-    let written = fs::read(root.join("n0/memory")).unwrap();
-    fs::remove_dir_all(&root).unwrap();
+    let folder = Folder::new(&[]);
+    let sent = run_voters(folder.path());
+    let written = fs::read(folder.path().join("n0/memory")).unwrap();
     compare("log_messages.txt", &sent);
     assert_eq!(written, fs::read(fixture("voter/memory")).unwrap());
 }
 
 #[test]
 fn voter_file_of_the_fixture_is_read_to_the_same_state() {
-    let root = std::env::temp_dir().join(format!("lichenswitch-voter-read-{}", std::process::id()));
-    fs::create_dir(&root).unwrap();
-    fs::copy(fixture("voter/memory"), root.join("memory")).unwrap();
+    let folder = Folder::new(&[]);
+    fs::copy(fixture("voter/memory"), folder.path().join("memory")).unwrap();
     let rules = ConsensusConfig {
         voters: (0..3).map(|i| format!("n{i}")).collect(),
-        folder: Some(root.clone()),
+        folder: Some(folder.path().to_owned()),
         roles: Vec::new(),
         terms: TERMS,
     };
@@ -355,6 +337,5 @@
     );
     assert_eq!(voter.applied(), 15);
     let whole = lines("voter/whole_record.txt");
-    assert_eq!(hex(&voter.persisted().0), hex(&whole[0].1));
-    fs::remove_dir_all(&root).unwrap();
+    assert_eq!(to_hex(&voter.persisted().0), to_hex(&whole[0].1));
 }
--- a/testing/src/lib.rs
+++ b/testing/src/lib.rs
@@ -1,8 +1,11 @@
 //! Helpers of tests: for those of all parsers random cuts of valid messages and random garbage, by
-//! quickcheck from a fixed seed; for those of files a folder that is gone after the test.
+//! quickcheck from a fixed seed; for those of files a folder that is gone after the test; for those of
+//! stored data and messages the bytes of [`fixtures`].
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+pub mod fixtures;
+
 use quickcheck::{Arbitrary, Gen};
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU32, Ordering};
--- a/wire/messages/tests/wire_format.rs
+++ b/wire/messages/tests/wire_format.rs
@@ -12,6 +12,8 @@
 };
 use lichenswitch_rpc::{decode, encode, encode_frame, FrameReader, HEADER_BYTES};
 
+use lichenswitch_testing::fixtures::named_lines;
+
 const FIXTURE: &str = include_str!("fixtures/wire_format.hex");
 
 /// Kinds of frames, as both ends of an internal connection know them.
@@ -369,19 +371,7 @@
 
 /// The lines of the fixture: names with frames.
 fn fixture() -> Vec<(&'static str, Vec<u8>)> {
-    let line = |line: &'static str| {
-        let (name, digits) = line.split_once(' ').expect("a name and digits");
-        (name, bytes_from_hex(digits))
-    };
-    FIXTURE.lines().map(line).collect()
-}
-
-fn bytes_from_hex(digits: &str) -> Vec<u8> {
-    let pairs = digits.as_bytes().chunks(2);
-    pairs
-        .map(|pair| std::str::from_utf8(pair).expect("digits"))
-        .map(|pair| u8::from_str_radix(pair, 16).expect("a byte"))
-        .collect()
+    named_lines(FIXTURE)
 }
 
 #[test]
