--- a/decide/control/src/relayed_calls/tests.rs
+++ b/decide/control/src/relayed_calls/tests.rs
@@ -4,6 +4,7 @@
 use crate::call::{CallKind, CallOrigin};
 use assert_matches::assert_matches;
 use lichenswitch_configuration::{Order, REPLACE_PATH};
+use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 const MS: u64 = 1_000;
 
@@ -36,6 +37,46 @@
     }
 }
 
+/// Takes a call with this number of its origin, forwards it at once, and returns the number that it
+/// was forwarded with.
+fn forward_one(calls: &mut RelayedCalls, now: Time, origin_id: u64) -> u64 {
+    let origin = CallOrigin::Peer {
+        address: peer(9),
+        id: origin_id,
+    };
+    calls.take(Call {
+        origin,
+        ..order_call(now)
+    });
+    calls.advance(now, &PrimaryLocation::Remote(peer(1)));
+    next_forwarded(calls).1
+}
+
+fn respond(calls: &mut RelayedCalls, now: Time, id: u64) {
+    let response = RelayedResponse::Response {
+        status: 200,
+        body: Vec::new(),
+    };
+    calls.on_response(now, &peer(1), id, response);
+}
+
+/// The origins' numbers of the calls that have ended.
+fn take_ended(calls: &mut RelayedCalls) -> Vec<u64> {
+    let origin_id = |action| {
+        assert_matches!(
+            action,
+            RelayAction::Respond(CompletedCall {
+                call: Call {
+                    origin: CallOrigin::Peer { id, .. },
+                    ..
+                },
+                ..
+            }) => id
+        )
+    };
+    calls.take_actions().into_iter().map(origin_id).collect()
+}
+
 fn describe_call(arrived: Time) -> Call {
     Call {
         kind: CallKind::Describe,
@@ -223,3 +264,106 @@
         );
     }
 }
+
+#[test]
+fn response_ends_its_call_once_and_unknown_number_ends_none() {
+    let mut calls = RelayedCalls::new(100);
+    let first = forward_one(&mut calls, at(0), 1);
+    let second = forward_one(&mut calls, at(1), 2);
+    assert_eq!((first, second), (101, 102));
+    respond(&mut calls, at(2), 100);
+    respond(&mut calls, at(2), 103);
+    assert!(take_ended(&mut calls).is_empty());
+    respond(&mut calls, at(2), second);
+    assert_eq!(take_ended(&mut calls), [2]);
+    respond(&mut calls, at(2), second);
+    assert!(take_ended(&mut calls).is_empty());
+    assert!(!calls.is_empty());
+    assert_eq!(calls.next_wake(), Some(at(800)), "of the first call");
+}
+
+#[test]
+fn response_after_deadline_ends_no_call() {
+    let mut calls = RelayedCalls::new(0);
+    let late = forward_one(&mut calls, at(0), 1);
+    forward_one(&mut calls, at(0), 2);
+    forward_one(&mut calls, at(20), 3);
+    calls.expire(at(799));
+    assert!(take_ended(&mut calls).is_empty());
+    calls.expire(at(800));
+    assert_eq!(take_ended(&mut calls), [1, 2]);
+    respond(&mut calls, at(801), late);
+    assert!(take_ended(&mut calls).is_empty());
+    calls.on_peer_disconnected(&peer(1));
+    assert_eq!(take_ended(&mut calls), [3]);
+    assert!(calls.is_empty() && calls.next_wake().is_none());
+}
+
+#[test]
+fn numbers_wrap_around() {
+    let mut calls = RelayedCalls::new(u64::MAX - 1);
+    let first = forward_one(&mut calls, at(0), 1);
+    let second = forward_one(&mut calls, at(0), 2);
+    assert_eq!((first, second), (u64::MAX, 0));
+}
+
+#[derive(Clone, Debug)]
+enum Step {
+    Begin,
+    Finish { age: u8 },
+    Expire { elapsed: u8 },
+}
+
+impl Arbitrary for Step {
+    fn arbitrary(g: &mut Gen) -> Self {
+        let by = u8::arbitrary(g) % 8;
+        match u8::arbitrary(g) % 3 {
+            0 => Step::Begin,
+            1 => Step::Finish { age: by },
+            _ => Step::Expire { elapsed: by },
+        }
+    }
+}
+
+/// The model maps the origin's number of each pending call to its response deadline; calls are
+/// forwarded with the numbers after `first`, in the order of the origins' numbers.
+#[test]
+fn pending_calls_agree_with_a_plain_map() {
+    fn property(first: u64, steps: Vec<Step>) -> bool {
+        let (mut calls, mut model, mut now) = (RelayedCalls::new(first), BTreeMap::new(), at(0));
+        let mut begun_count = 0_u64;
+        let number_of = |origin: u64| first.wrapping_add(origin).wrapping_add(1);
+        steps.into_iter().all(|step| match step {
+            Step::Begin => {
+                let origin = begun_count;
+                begun_count += 1;
+                model.insert(origin, now.after(800 * MS));
+                forward_one(&mut calls, now, origin) == number_of(origin)
+            }
+            Step::Finish { age } => {
+                let origin = begun_count.wrapping_sub(u64::from(age));
+                let expected: Vec<u64> =
+                    model.remove(&origin).map(|_| origin).into_iter().collect();
+                respond(&mut calls, now, number_of(origin));
+                take_ended(&mut calls) == expected
+            }
+            Step::Expire { elapsed } => {
+                now = now.after(u64::from(elapsed) * 100 * MS);
+                let mut expected: Vec<u64> = model
+                    .iter()
+                    .filter(|(_, deadline)| **deadline <= now)
+                    .map(|(origin, _)| *origin)
+                    .collect();
+                model.retain(|_, deadline| *deadline > now);
+                expected.sort_unstable_by_key(|origin| number_of(*origin));
+                calls.expire(now);
+                take_ended(&mut calls) == expected
+                    && calls.is_empty() == model.is_empty()
+                    && calls.next_wake() == model.values().min().copied()
+            }
+        })
+    }
+    QuickCheck::new()
+        .tests(20_000)
+        .quickcheck(property as fn(u64, Vec<Step>) -> bool);
+}
--- a/wire/rpc/src/lib.rs
+++ b/wire/rpc/src/lib.rs
@@ -1,7 +1,7 @@
 //! Framing between the processes of a fleet: `rkyv` archives behind a length, a version and
 //! checksums.
 //!
-//! It owns the framing and a table of pending calls. It promises that what a [`FrameReader`] returns
+//! It owns the framing. It promises that what a [`FrameReader`] returns
 //! is a frame as it was sent, or nothing; that a process of another version is rejected with an error
 //! that names both versions; and that no input makes it panic. It does no I/O.
 //!
@@ -18,11 +18,9 @@
 
 mod archive;
 mod frame;
-mod pending_calls;
 
 pub use archive::{decode, encode, ArchiveError};
 pub use frame::{
     encode_frame, encode_frame_into, Frame, FrameError, FrameReader, DEFAULT_PAYLOAD_LIMIT_BYTES,
     HEADER_BYTES,
 };
-pub use pending_calls::PendingCalls;
