--- a/experiments/src/world/answers.rs
+++ b/experiments/src/world/answers.rs
@@ -3,7 +3,7 @@
 use super::random::{hash_words, rng};
 use super::{InFlightAttempt, World};
 use lichenswitch::core::{Offer, Value};
-use lichenswitch::decide::phases::prune::Key;
+use lichenswitch::decide::phases::prune::SortKey;
 use lichenswitch::interface::Shard;
 use rand::RngExt;
 
@@ -22,7 +22,7 @@
             let keys = all
                 .iter()
                 .take(attempt.max_elements)
-                .map(|&n| Key::Number(n))
+                .map(|&n| SortKey::Number(n))
                 .collect();
             Offer {
                 keys,
@@ -69,8 +69,8 @@
         let received = values
             .iter()
             .flat_map(|(s, v)| keys(v).into_iter().map(|key| (key, s.0)));
-        let number = |(key, s): (Key, u32)| match key {
-            Key::Number(n) => Some((n, s)),
+        let number = |(key, s): (SortKey, u32)| match key {
+            SortKey::Number(n) => Some((n, s)),
             _ => None,
         };
         first(received.filter_map(number).collect()) == first(expected.collect())
--- a/experiments/src/world/queries.rs
+++ b/experiments/src/world/queries.rs
@@ -2,7 +2,7 @@
 
 use super::{Job, QueryRecord, SimulationEvent, World, START};
 use lichenswitch::core::{Reply, Request, Value};
-use lichenswitch::decide::phases::prune::Way;
+use lichenswitch::decide::phases::prune::SortDirection;
 use lichenswitch::interface::{Micros, Placement, QueryId, Shard};
 use rand::RngExt;
 use rand_distr::{Distribution, Exp};
@@ -85,7 +85,9 @@
             tenant: u32::MAX,
             team: None,
             parts: (0..query.parts).map(|i| (shard(i), weight)).collect(),
-            top: self.scenario.mix[query.class].top.map(|k| (k, Way::Down)),
+            top: self.scenario.mix[query.class]
+                .top
+                .map(|k| (k, SortDirection::Descending)),
             job: Job { serial },
         }
     }
--- a/src/upstream/ogc.rs
+++ b/src/upstream/ogc.rs
@@ -3,7 +3,7 @@
 
 use super::{Answer, AnswerError, Wire};
 use crate::core::{Dispatch, Offer, Value};
-use crate::decide::phases::prune::{Key, Way};
+use crate::decide::phases::prune::{SortDirection, SortKey};
 use crate::http::{self, Parsed, Response};
 use crate::interface::{Micros, Outcome};
 use crate::net::buffer::Buffer;
@@ -32,7 +32,7 @@
     /// The property that it is sorted by.
     pub property: String,
     /// Which way.
-    pub way: Way,
+    pub way: SortDirection,
     /// Features that are wanted.
     pub most: usize,
 }
@@ -107,17 +107,17 @@
 }
 
 /// What a feature is sorted by.
-fn sort_key(feature: &RawValue, property: &str) -> Key {
+fn sort_key(feature: &RawValue, property: &str) -> SortKey {
     let read: Option<Sortable> = serde_json::from_str(feature.get()).ok();
     match read
         .and_then(|f| f.properties)
         .and_then(|mut p| p.remove(property))
     {
-        Some(Json::Number(n)) => Key::Number(n.as_f64().unwrap_or(f64::NAN)),
-        Some(Json::String(text)) => Key::Text(text),
-        Some(Json::Bool(flag)) => Key::Number(f64::from(u8::from(flag))),
+        Some(Json::Number(n)) => SortKey::Number(n.as_f64().unwrap_or(f64::NAN)),
+        Some(Json::String(text)) => SortKey::Text(text),
+        Some(Json::Bool(flag)) => SortKey::Number(f64::from(u8::from(flag))),
         // Nothing, or what has no order.
-        _ => Key::Missing,
+        _ => SortKey::Missing,
     }
 }
 
@@ -135,7 +135,7 @@
     if all {
         return sort_here(&list, sort);
     }
-    let keys: Vec<Key> = list
+    let keys: Vec<SortKey> = list
         .features
         .iter()
         .map(|f| sort_key(f, &sort.property))
@@ -160,7 +160,7 @@
     if has_more || list.features.len() > MAX_UNSORTED_FEATURES {
         return None;
     }
-    let mut found: Vec<(Key, &RawValue)> = list
+    let mut found: Vec<(SortKey, &RawValue)> = list
         .features
         .iter()
         .map(|f| (sort_key(f, &sort.property), *f))
@@ -331,7 +331,11 @@
             let order = match &expected {
                 ExpectedBody::Sorted { all: true, .. } => format!("&limit={MAX_UNSORTED_FEATURES}"),
                 ExpectedBody::Sorted { sort, most, .. } => {
-                    let sign = if sort.way == Way::Down { "-" } else { "" };
+                    let sign = if sort.way == SortDirection::Descending {
+                        "-"
+                    } else {
+                        ""
+                    };
                     let mut query = form_urlencoded::Serializer::new(String::new());
                     query.append_pair("sortby", &format!("{sign}{}", sort.property));
                     format!("&{}&limit={most}", query.finish())
