--- a/decide/replication/src/replica/mod.rs
+++ b/decide/replication/src/replica/mod.rs
@@ -224,10 +224,12 @@
     /// A message was received. Responses go to the address that it names as its sender's.
     pub fn on_message(&mut self, now: Time, message: Message) {
         self.step_down_without_contact(now);
-        let Message { from, body } = message;
-        if from.identity == self.me.identity {
-            return;
+        if message.from.identity != self.me.identity {
+            self.dispatch(now, message);
         }
+    }
+
+    fn dispatch(&mut self, now: Time, Message { from, body }: Message) {
         match body {
             Body::PreVote { epoch } => self.on_pre_vote(now, &from, epoch),
             Body::PreVoteResponse {
@@ -235,9 +237,7 @@
                 would_grant,
                 promised,
                 version,
-            } => {
-                self.on_pre_vote_response(now, from, epoch, would_grant, promised, version);
-            }
+            } => self.on_pre_vote_response(now, from, epoch, would_grant, promised, version),
             Body::Vote {
                 epoch,
                 is_leadership_transfer,
@@ -266,9 +266,7 @@
                 epoch,
                 position,
                 next,
-            } => {
-                self.on_snapshot_request(now, &from, epoch, position, next);
-            }
+            } => self.on_snapshot_request(now, &from, epoch, position, next),
             Body::SnapshotChunk(chunk) => self.on_snapshot_chunk(now, &from, chunk),
             Body::JoinRequest => self.on_join_request(now, from),
             Body::JoinResponse { primary, members } => self.on_join_response(primary, members),
@@ -277,9 +275,7 @@
                 epoch,
                 is_removed,
                 is_retained,
-            } => {
-                self.on_leave_response(&from, epoch, is_removed || is_retained);
-            }
+            } => self.on_leave_response(&from, epoch, is_removed || is_retained),
             Body::TakeOver { epoch } => self.on_take_over(now, &from, epoch),
         }
     }
--- a/fleet/src/control/peer_handler.rs
+++ b/fleet/src/control/peer_handler.rs
@@ -127,12 +127,10 @@
                 connected_routers,
                 known_peers,
             } => {
-                let primary = primary.and_then(|address| address.parse().ok());
                 if let Some(peer) = self.peers.get_mut(from) {
                     (peer.in_contact, peer.routers) = (in_contact, connected_routers);
                 }
-                self.primary_tracker
-                    .on_contact(now, from, in_contact, primary);
+                self.on_peer_contact(from, in_contact, primary.as_deref(), now);
                 self.peers.learn_all(&known_peers, now);
             }
             PeerMessage::Confirmed { echo } => {
@@ -146,6 +144,19 @@
         }
     }
 
+    /// A control machine tells whether it is in contact with the group, and which primary it follows.
+    fn on_peer_contact(
+        &mut self,
+        from: SocketAddr,
+        in_contact: bool,
+        primary: Option<&str>,
+        now: Time,
+    ) {
+        let primary = primary.and_then(|address| address.parse().ok());
+        self.primary_tracker
+            .on_contact(now, from, in_contact, primary);
+    }
+
     /// A control machine has sent records of servers. It waits for an acknowledgement, unless `ack`
     /// is 0.
     fn on_server_records(
--- a/fleet/src/control/startup.rs
+++ b/fleet/src/control/startup.rs
@@ -21,6 +21,7 @@
 use crate::settings::Settings;
 use lichenswitch_control::{AcknowledgedVersions, Eligibility, GroupMembership, RejectedOrders};
 use lichenswitch_interface::Time;
+use lichenswitch_replication::Identity;
 use log::info;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::io;
@@ -76,11 +77,8 @@
             servers,
             started_at: now,
         } = resources;
-        let identity = group
-            .as_ref()
-            .map_or_else(|| generate_identity(&address.to_string()), Group::identity);
-        info!(target: "control", node = settings.node_name.as_str(), address = address.to_string().as_str(),
-            eligible = group.is_some(); "control machine started");
+        let identity = identity_of(group.as_ref(), address);
+        log_start(&settings, address, group.is_some());
         ControlNode {
             address,
             quotas: Quotas::new(identity.0, group.as_ref(), settings.bounds.quota_bounds()),
@@ -117,6 +115,16 @@
     }
 }
 
+/// The identity of the disk, or a new one without a disk.
+fn identity_of(group: Option<&Group>, address: SocketAddr) -> Identity {
+    group.map_or_else(|| generate_identity(&address.to_string()), Group::identity)
+}
+
+fn log_start(settings: &Settings, address: SocketAddr, is_eligible: bool) {
+    info!(target: "control", node = settings.node_name.as_str(), address = address.to_string().as_str(),
+        eligible = is_eligible; "control machine started");
+}
+
 /// Opens the sockets, the group and the table of servers, and listens last.
 fn open_resources(
     settings: &Settings,
--- a/fleet/src/router/client_connections/reading.rs
+++ b/fleet/src/router/client_connections/reading.rs
@@ -92,22 +92,7 @@
             self.incomplete_bytes + connection.reader.buffered_body_bytes() - buffered_before;
         match progress {
             Ok(RequestProgress::Incomplete { expects_continue }) => {
-                if self.incomplete_bytes > self.max_incomplete_bytes {
-                    return self.respond_locally(
-                        net,
-                        id,
-                        &LocalResponse::unavailable(None).with_close(),
-                        events,
-                    );
-                }
-                if expects_continue {
-                    conn.send(b"HTTP/1.1 100 Continue\r\n\r\n");
-                }
-                // Reading is paused at the read-ahead bound, and resumes now that there is room.
-                if net.flush(id, false) != TransferProgress::Alive {
-                    return self.disconnect(net, id, events);
-                }
-                self.arm_timer(net, id);
+                self.on_request_incomplete(net, id, expects_continue, events)
             }
             Ok(RequestProgress::Complete(request)) => {
                 self.on_request_complete(net, id, request, events)
@@ -118,6 +103,28 @@
         }
     }
 
+    /// More of a request is to come, unless too many bytes of such requests are buffered.
+    fn on_request_incomplete(
+        &mut self,
+        net: &mut Net,
+        id: ConnId,
+        expects_continue: bool,
+        events: &mut Vec<ClientEvent>,
+    ) {
+        if self.incomplete_bytes > self.max_incomplete_bytes {
+            let response = LocalResponse::unavailable(None).with_close();
+            return self.respond_locally(net, id, &response, events);
+        }
+        if let Some(conn) = net.get_mut(id).filter(|_| expects_continue) {
+            conn.send(b"HTTP/1.1 100 Continue\r\n\r\n");
+        }
+        // Reading is paused at the read-ahead bound, and resumes now that there is room.
+        if net.flush(id, false) != TransferProgress::Alive {
+            return self.disconnect(net, id, events);
+        }
+        self.arm_timer(net, id);
+    }
+
     /// A request is complete: its connection waits for the response.
     fn on_request_complete(
         &mut self,
--- a/fleet/src/router/control_link/link.rs
+++ b/fleet/src/router/control_link/link.rs
@@ -258,21 +258,11 @@
         match message {
             ControlToRouter::Heartbeat {
                 in_contact,
-                control_addresses: control,
-                router_count: routers,
+                control_addresses,
+                router_count,
             } => {
-                connection.is_in_contact = in_contact;
-                if in_contact {
-                    connection.last_contact_at = Some(now);
-                    self.candidates.on_useful(connection.address);
-                }
-                self.candidates.on_advertised(
-                    control
-                        .iter()
-                        .filter_map(|address| address.parse().ok())
-                        .collect(),
-                );
-                updates.push(ControlUpdate::Routers(routers));
+                self.on_control_heartbeat(now, in_contact, &control_addresses);
+                updates.push(ControlUpdate::Routers(router_count));
                 updates.extend(self.take_unconfirmed(now));
             }
             ControlToRouter::Configuration {
@@ -299,6 +289,22 @@
         }
     }
 
+    /// The control machine tells whether it is in contact with the group, and which others there are.
+    fn on_control_heartbeat(&mut self, now: Time, in_contact: bool, control_addresses: &[String]) {
+        let Some(connection) = &mut self.connection else {
+            return;
+        };
+        connection.is_in_contact = in_contact;
+        if in_contact {
+            connection.last_contact_at = Some(now);
+            self.candidates.on_useful(connection.address);
+        }
+        let addresses = control_addresses
+            .iter()
+            .filter_map(|address| address.parse().ok());
+        self.candidates.on_advertised(addresses.collect());
+    }
+
     /// Keeps a configuration that is newer than the active one, unless a still newer one is kept;
     /// returns it if it is accepted at once.
     fn offer_configuration(
--- a/fleet/src/router/handlers/intake.rs
+++ b/fleet/src/router/handlers/intake.rs
@@ -103,13 +103,7 @@
             prompt: request.prompt,
             deadline,
         };
-        let submitted = core
-            .submit(now, &route_request)
-            .map_err(|refusal| match refusal {
-                Refusal::Busy(after) => RejectionReason::Unavailable(after),
-                Refusal::Stopping | Refusal::Contract(_) => RejectionReason::RETRY_LATER,
-                Refusal::Malformed(_) => RejectionReason::Malformed,
-            })?;
+        let submitted = core.submit(now, &route_request).map_err(rejection_of)?;
         self.requests.insert(RequestState {
             client,
             client_request: Rc::new(request),
@@ -189,3 +183,12 @@
         }
     }
 }
+
+/// Why a request is rejected that the core has refused.
+fn rejection_of(refusal: Refusal) -> RejectionReason {
+    match refusal {
+        Refusal::Busy(after) => RejectionReason::Unavailable(after),
+        Refusal::Stopping | Refusal::Contract(_) => RejectionReason::RETRY_LATER,
+        Refusal::Malformed(_) => RejectionReason::Malformed,
+    }
+}
--- a/fleet/src/router/handlers/relay.rs
+++ b/fleet/src/router/handlers/relay.rs
@@ -53,10 +53,7 @@
                 true
             }
             RequestPhase::Resuming { .. } | RequestPhase::Relaying(_) => {
-                // A second response, or one that does not continue behind the last event.
-                self.connections.withdraw(&mut self.net, id);
-                self.requests.on_attempt_ended(id, Outcome::Cancelled);
-                return self.report_outcome(id, Outcome::Error);
+                return self.withdraw_stream(id);
             }
         };
         let relay = ActiveRelay {
@@ -75,6 +72,14 @@
         self.flush_relay(request_id, client);
     }
 
+    /// Withdraws an attempt whose response is a second one, or does not continue behind the last
+    /// event.
+    fn withdraw_stream(&mut self, id: AttemptId) {
+        self.connections.withdraw(&mut self.net, id);
+        self.requests.on_attempt_ended(id, Outcome::Cancelled);
+        self.report_outcome(id, Outcome::Error);
+    }
+
     /// The response of an attempt is forwarded from now on: the other attempts are withdrawn, and the
     /// core has its outcome.
     fn start_relay(
--- a/wire/net/src/connections.rs
+++ b/wire/net/src/connections.rs
@@ -63,20 +63,7 @@
         owner: P::Owner,
         up: bool,
     ) -> io::Result<ConnId> {
-        stream.set_nonblocking(true)?;
-        stream.set_nodelay(true)?;
-        if let Some(timeout) = P::user_timeout(owner) {
-            // Where the system has no such option, silence is noticed by whoever listens for it.
-            let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(timeout));
-        }
-        if let Some(wait) = P::probe_after(owner) {
-            let probes = TcpKeepalive::new()
-                .with_time(wait)
-                .with_interval(wait)
-                .with_retries(1);
-            // The same.
-            let _ = SockRef::from(&stream).set_tcp_keepalive(&probes);
-        }
+        set_options::<P>(&stream, owner)?;
         let index = self.free.pop().unwrap_or_else(|| {
             self.slots.push(None);
             self.slots.len() - 1
@@ -239,6 +226,24 @@
     }
 }
 
+fn set_options<P: Program>(stream: &TcpStream, owner: P::Owner) -> io::Result<()> {
+    stream.set_nonblocking(true)?;
+    stream.set_nodelay(true)?;
+    if let Some(timeout) = P::user_timeout(owner) {
+        // Where the system has no such option, silence is noticed by whoever listens for it.
+        let _ = SockRef::from(stream).set_tcp_user_timeout(Some(timeout));
+    }
+    if let Some(wait) = P::probe_after(owner) {
+        let probes = TcpKeepalive::new()
+            .with_time(wait)
+            .with_interval(wait)
+            .with_retries(1);
+        // The same.
+        let _ = SockRef::from(stream).set_tcp_keepalive(&probes);
+    }
+    Ok(())
+}
+
 /// How far the system is with opening a connection.
 enum ConnectProgress {
     Pending,
