--- a/experiments/tests/discovery.rs
+++ b/experiments/tests/discovery.rs
@@ -1,10 +1,10 @@
-//! Discovery is down and comes back with a change, before fleets of every size: where it can answer
-//! all of them in time, all have heard before the change counts as told, and while it is down it is
-//! not flooded.
+//! Discovery is down and returns with a change, for fleets of every size: where it can answer all
+//! calls in time, all brokers know of the change within its bound, and while it is down it is not
+//! flooded.
 
-use lichenswitch_experiments::discovery::{play, Kind};
+use lichenswitch_experiments::discovery::{play, DiscoveryModel};
 
-/// A fleet, and calls that discovery handles in a second before it.
+/// Sizes of fleets, each with the calls that its discovery handles in a second.
 const FITS: [(u32, f64); 6] = [
     (1, 2.7),
     (6, 2.7),
@@ -21,10 +21,10 @@
             let figures = play(
                 seed,
                 brokers,
-                Kind {
+                DiscoveryModel {
                     rate,
                     fails_after_ms: 1_000,
-                    works_in_vain: false,
+                    handles_abandoned_calls: false,
                 },
             );
             assert_eq!(figures.late, 0, "seed {seed}: {figures:?}");
@@ -38,10 +38,10 @@
         let figures = play(
             7,
             brokers,
-            Kind {
+            DiscoveryModel {
                 rate,
                 fails_after_ms: 1_000,
-                works_in_vain: false,
+                handles_abandoned_calls: false,
             },
         );
         let each = figures.refused_per_s / f64::from(brokers);
@@ -59,10 +59,10 @@
         let figures = play(
             seed,
             300,
-            Kind {
+            DiscoveryModel {
                 rate: 33.0,
                 fails_after_ms: 1_000,
-                works_in_vain: false,
+                handles_abandoned_calls: false,
             },
         );
         assert!(
