--- a/src/upstream/tests/receiving.rs
+++ b/src/upstream/tests/receiving.rs
@@ -27,11 +27,12 @@
 #[test]
 fn connection_end_counts_as_reset_only_after_the_whole_frame_was_written() {
     let mut stage = Stage::new(LIMITS);
-    let sent = stage.send("x");
+    // The second is far more than the system's buffers take: its last byte can't be written while
+    // nobody reads. Both are sent before the connection is up, so that it carries both however slow
+    // the machine is.
+    let (sent, unsent) = (stage.send("x"), stage.send(&"y".repeat(32 << 20)));
     let mut stream = stage.accept();
     frame(&mut stream);
-    // Far more than the system's buffers take: its last byte can't be written while nobody reads.
-    let unsent = stage.send(&"y".repeat(32 << 20));
     stage.pump();
     drop(stream);
     let mut ended = stage.ended();
