--- a/experiments/src/fleet.rs
+++ b/experiments/src/fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet of processes whose brokers die, stand still and are cut off, from a seed: what each of
-//! them says of the others is judged, and what it costs is measured. Times are real, so figures
+//! A fleet of broker processes that are killed, paused and partitioned, from a seed: the deaths that
+//! they declare are checked, and the cost of failure detection is measured. Times are real, so figures
 //! differ from run to run; the faults do not.
 
 use crate::ExperimentError;
@@ -7,16 +7,20 @@
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use serde::Serialize;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// What a fault may still be told after it is over.
-const AFTER: Duration = Duration::from_secs(8);
-/// The longest that a view is waited for.
-const MOST: Duration = Duration::from_secs(60);
-/// Clock ticks a second in the system's figures of a process, and bytes of a page.
-const TICKS: f64 = 100.0;
-const PAGE: f64 = 4_096.0;
+/// How long after the end of a fault a death may still be declared because of it.
+const DETECTION_GRACE: Duration = Duration::from_secs(8);
+/// The longest wait until brokers agree on who is alive.
+const AGREEMENT_TIMEOUT: Duration = Duration::from_secs(60);
+/// Messages that are lost on a link before it is restored.
+const LOST_PROBES: u64 = 5;
+/// Clock ticks a second in the system's figures of a process.
+const TICKS_PER_SECOND: f64 = 100.0;
+/// Bytes of a page.
+const PAGE_BYTES: f64 = 4_096.0;
+const MEGABYTE: f64 = (1 << 20) as f64;
 
 /// The figures of a run.
 #[derive(Clone, Debug, Default, Serialize)]
@@ -25,7 +29,7 @@
     pub seed: u64,
     /// Brokers.
     pub brokers: usize,
-    /// Until all had told that they listen, and until all knew all, milliseconds.
+    /// Until all brokers listened, and until all knew all others, milliseconds.
     pub started_ms: u64,
     /// See `started_ms`.
     pub agreed_ms: u64,
@@ -35,154 +39,220 @@
     pub stops: usize,
     /// See `kills`.
     pub cuts: usize,
-    /// Ways cut in one direction.
+    /// Links cut in one direction.
     pub ways: usize,
-    /// From a kill to the time when all others knew it, milliseconds, in order.
+    /// From each kill until all others knew of it, milliseconds, ascending.
     pub missed_ms: Vec<u64>,
-    /// Deaths that were told and looked at.
+    /// Deaths that were declared and checked.
     pub checked: usize,
-    /// Those that nothing explains.
+    /// Those that no fault explains.
     pub false_deaths: usize,
     /// Messages that the links carried and lost.
     pub carried: u64,
     /// See `carried`.
     pub lost: u64,
-    /// Processor time of a broker, share of a core in the mean, and its memory at the most,
-    /// megabytes.
+    /// Mean processor time of a broker as a share of a core, and the largest memory of one, megabytes.
     pub cpu_share_each: f64,
     /// See `cpu_share_each`.
     pub memory_mb_each: f64,
 }
 
-/// Processor seconds and megabytes of a process by now.
-fn cost(pid: i32) -> Option<(f64, f64)> {
+/// What a process has used so far.
+#[derive(Clone, Copy)]
+struct ProcessCost {
+    cpu_seconds: f64,
+    memory_mb: f64,
+}
+
+/// The cost of a process that runs, by `/proc`.
+fn process_cost(pid: i32) -> Option<ProcessCost> {
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-    // Behind the name, which may hold anything: the twelfth and thirteenth are ticks, the
-    // twenty-second pages.
-    let words: Vec<&str> = text.rsplit(')').next()?.split_whitespace().collect();
-    let figure = |i: usize| words.get(i)?.parse::<f64>().ok();
-    Some((
-        (figure(11)? + figure(12)?) / TICKS,
-        figure(21)? * PAGE / f64::from(1 << 20),
-    ))
+    // After the name, which may contain anything: the twelfth and thirteenth field are ticks, the
+    // twenty-second is pages.
+    let fields: Vec<&str> = text.rsplit(')').next()?.split_whitespace().collect();
+    let field = |index: usize| fields.get(index)?.parse::<f64>().ok();
+    Some(ProcessCost {
+        cpu_seconds: (field(11)? + field(12)?) / TICKS_PER_SECOND,
+        memory_mb: field(21)? * PAGE_BYTES / MEGABYTE,
+    })
 }
 
-/// Starts so many brokers and lets faults befall them one after the other; all that happened goes
-/// into `ledger`.
+/// Starts this many brokers and injects faults one after another. The events are written to
+/// `event_log`, one line each.
 ///
 /// # Errors
-/// When a process can't be started, the fleet does not come to know itself after a fault, or the
-/// ledger can't be written.
+/// When a process can't be started, the brokers don't agree on who is alive after a fault, or the event
+/// log can't be written.
 pub fn run(
     program: &Path,
     seed: u64,
     brokers: usize,
     faults: usize,
-    ledger: Option<&Path>,
+    event_log: Option<&Path>,
 ) -> Result<Report, ExperimentError> {
-    let mut dice = Xoshiro256PlusPlus::seed_from_u64(seed);
-    let mut rig = Rig::new(program, brokers, seed)?;
-    let ran = befall(&mut rig, &mut dice, seed, brokers, faults);
-    if let Some(path) = ledger {
+    let rig = Rig::new(program, brokers, seed)?;
+    let mut experiment = Experiment::new(rig, seed, brokers);
+    let result = experiment.run(faults);
+    if let Some(path) = event_log {
         let line = |e: &Entry| format!("{:.3} n{} {:?}\n", e.at.as_secs_f64(), e.process, e.event);
-        let lines: String = rig.ledger.all().iter().map(line).collect();
+        let entries = experiment.rig.ledger.all();
+        let lines: String = entries.iter().map(line).collect();
         std::fs::write(path, lines).map_err(ExperimentError::write(path))?;
     }
-    ran
+    result.map(|()| experiment.report)
 }
 
-#[expect(clippy::too_many_lines, reason = "one arm for each fault")]
-fn befall(
-    rig: &mut Rig,
-    dice: &mut Xoshiro256PlusPlus,
-    seed: u64,
-    brokers: usize,
-    faults: usize,
-) -> Result<Report, ExperimentError> {
-    let mut report = Report {
-        seed,
-        brokers,
-        ..Report::default()
-    };
-    let files: Result<Vec<_>, _> = (0..brokers).map(|who| rig.broker_files(who, "")).collect();
-    let files = files?;
-    for (who, files) in files.iter().enumerate() {
-        rig.start_broker(who, files)?;
+/// The brokers, and the report so far.
+struct Experiment {
+    rig: Rig,
+    rng: Xoshiro256PlusPlus,
+    report: Report,
+    files: Vec<[PathBuf; 2]>,
+    /// Processor seconds of processes that have ended.
+    ended_cpu_seconds: f64,
+}
+
+impl Experiment {
+    fn new(rig: Rig, seed: u64, brokers: usize) -> Experiment {
+        Experiment {
+            rig,
+            rng: Xoshiro256PlusPlus::seed_from_u64(seed),
+            report: Report {
+                seed,
+                brokers,
+                ..Report::default()
+            },
+            files: Vec::new(),
+            ended_cpu_seconds: 0.0,
+        }
     }
-    let all: Vec<usize> = (0..brokers).collect();
-    let knows = |rig: &Rig, living: &[usize], what: &str| match rig
-        .until(MOST, |e| members_agree(e, living))
-    {
-        true => Ok(()),
-        false => Err(ExperimentError::Unmet(format!(
-            "{living:?} do not know each other after {what}"
-        ))),
-    };
-    let listen = |rig: &Rig| {
-        rig.ledger
-            .all()
-            .iter()
-            .filter(|e| format!("{e:?}").contains("peers: n"))
-            .count()
-    };
-    if !rig.until(MOST, |_| listen(rig) == brokers) {
-        return Err(ExperimentError::Unmet("not all brokers listen".into()));
+
+    fn run(&mut self, faults: usize) -> Result<(), ExperimentError> {
+        self.start_all()?;
+        let started_at = self.rig.now();
+        for _ in 0..faults {
+            self.inject_fault()?;
+            self.wait_for_agreement(&self.all_brokers(), "a fault that is over")?;
+        }
+        self.complete_report(self.rig.now() - started_at);
+        Ok(())
     }
-    report.started_ms = rig.now().as_millis() as u64;
-    knows(rig, &all, "the start")?;
-    report.agreed_ms = rig.now().as_millis() as u64;
-    let (began, mut spent) = (rig.now(), 0.0);
-    for _ in 0..faults {
-        let who = dice.random_range(0..brokers);
-        let living: Vec<usize> = all.iter().filter(|w| **w != who).copied().collect();
-        let others = living.clone();
-        match dice.random_range(0..4) {
-            0 => {
-                report.kills += 1;
-                spent += rig.pid(who).and_then(cost).map_or(0.0, |c| c.0);
-                let at = rig.now();
-                rig.kill(who);
-                knows(rig, &living, "a kill")?;
-                report.missed_ms.push((rig.now() - at).as_millis() as u64);
-                rig.start_broker(who, &files[who])?;
-            }
-            1 => {
-                report.stops += 1;
-                rig.stop(who);
-                knows(rig, &living, "a stop")?;
-                rig.resume(who);
-            }
-            2 => {
-                report.cuts += 1;
-                others.iter().for_each(|to| rig.cut(who, *to, true));
-                knows(rig, &living, "a cut")?;
-                others.iter().for_each(|to| rig.cut(who, *to, false));
-            }
+
+    fn all_brokers(&self) -> Vec<usize> {
+        (0..self.report.brokers).collect()
+    }
+
+    /// Starts all brokers, and waits until they listen and then until they know each other.
+    fn start_all(&mut self) -> Result<(), ExperimentError> {
+        for broker in self.all_brokers() {
+            self.files.push(self.rig.broker_files(broker, "")?);
+        }
+        for (broker, files) in self.files.iter().enumerate() {
+            self.rig.start_broker(broker, files)?;
+        }
+        let brokers = self.report.brokers;
+        let listens = |entry: &&Entry| format!("{entry:?}").contains("peers: n");
+        let all_listen = |entries: &[Entry]| entries.iter().filter(listens).count() == brokers;
+        if !self.rig.until(AGREEMENT_TIMEOUT, all_listen) {
+            return Err(ExperimentError::Unmet("not all brokers listen".into()));
+        }
+        self.report.started_ms = self.rig.now().as_millis() as u64;
+        self.wait_for_agreement(&self.all_brokers(), "the start")?;
+        self.report.agreed_ms = self.rig.now().as_millis() as u64;
+        Ok(())
+    }
+
+    /// Waits until these brokers know that exactly they are alive.
+    fn wait_for_agreement(&self, living: &[usize], event: &str) -> Result<(), ExperimentError> {
+        let agree = |entries: &[Entry]| members_agree(entries, living);
+        match self.rig.until(AGREEMENT_TIMEOUT, agree) {
+            true => Ok(()),
+            false => Err(ExperimentError::Unmet(format!(
+                "{living:?} do not know each other after {event}"
+            ))),
+        }
+    }
+
+    /// Injects a fault from the seed, and waits until the others know of it.
+    fn inject_fault(&mut self) -> Result<(), ExperimentError> {
+        let broker = self.rng.random_range(0..self.report.brokers);
+        let mut others = self.all_brokers();
+        others.retain(|other| *other != broker);
+        match self.rng.random_range(0..4) {
+            0 => self.crash(broker, &others),
+            1 => self.pause(broker, &others),
+            2 => self.isolate(broker, &others),
             _ => {
-                report.ways += 1;
-                let to = others[dice.random_range(0..others.len())];
-                rig.cut(who, to, true);
-                let lost = rig.link(who, to).message_counts().1;
-                // Until some messages were lost there: it has been asked in vain.
-                rig.until(MOST, |_| rig.link(who, to).message_counts().1 >= lost + 5);
-                rig.cut(who, to, false);
+                let other = others[self.rng.random_range(0..others.len())];
+                self.cut_link(broker, other);
+                Ok(())
             }
         }
-        knows(rig, &all, "a fault that is over")?;
     }
-    let found = judge_deaths(&rig.ledger.all(), brokers, AFTER);
-    (report.checked, report.false_deaths) = (found.checked, found.wrong.len());
-    let pairs = all
-        .iter()
-        .flat_map(|a| all.iter().map(move |b| (*a, *b)))
-        .filter(|(a, b)| a != b);
-    for (carried, lost) in pairs.map(|(a, b)| rig.link(a, b).message_counts()) {
-        (report.carried, report.lost) = (report.carried + carried, report.lost + lost);
+
+    fn crash(&mut self, broker: usize, others: &[usize]) -> Result<(), ExperimentError> {
+        self.report.kills += 1;
+        let cost = self.rig.pid(broker).and_then(process_cost);
+        self.ended_cpu_seconds += cost.map_or(0.0, |cost| cost.cpu_seconds);
+        let crashed_at = self.rig.now();
+        self.rig.kill(broker);
+        self.wait_for_agreement(others, "a kill")?;
+        let detection_time = self.rig.now() - crashed_at;
+        self.report
+            .missed_ms
+            .push(detection_time.as_millis() as u64);
+        self.rig.start_broker(broker, &self.files[broker])?;
+        Ok(())
+    }
+
+    fn pause(&mut self, broker: usize, others: &[usize]) -> Result<(), ExperimentError> {
+        self.report.stops += 1;
+        self.rig.stop(broker);
+        self.wait_for_agreement(others, "a stop")?;
+        self.rig.resume(broker);
+        Ok(())
+    }
+
+    /// Cuts all links on which a broker sends.
+    fn isolate(&mut self, broker: usize, others: &[usize]) -> Result<(), ExperimentError> {
+        self.report.cuts += 1;
+        others.iter().for_each(|to| self.rig.cut(broker, *to, true));
+        self.wait_for_agreement(others, "a cut")?;
+        others
+            .iter()
+            .for_each(|to| self.rig.cut(broker, *to, false));
+        Ok(())
+    }
+
+    /// Cuts one link in one direction until some messages were lost on it: the broker has probed the
+    /// other one in vain.
+    fn cut_link(&mut self, from: usize, to: usize) {
+        self.report.ways += 1;
+        self.rig.cut(from, to, true);
+        let lost = || self.rig.link(from, to).message_counts().1;
+        let lost_before = lost();
+        self.rig
+            .until(AGREEMENT_TIMEOUT, |_| lost() >= lost_before + LOST_PROBES);
+        self.rig.cut(from, to, false);
+    }
+
+    fn complete_report(&mut self, elapsed: Duration) {
+        let brokers = self.report.brokers;
+        let found = judge_deaths(&self.rig.ledger.all(), brokers, DETECTION_GRACE);
+        (self.report.checked, self.report.false_deaths) = (found.checked, found.wrong.len());
+        let links = (0..brokers).flat_map(|a| (0..brokers).map(move |b| (a, b)));
+        for (a, b) in links.filter(|(a, b)| a != b) {
+            let (carried, lost) = self.rig.link(a, b).message_counts();
+            self.report.carried += carried;
+            self.report.lost += lost;
+        }
+        let costs: Vec<ProcessCost> = (0..brokers)
+            .filter_map(|broker| process_cost(self.rig.pid(broker)?))
+            .collect();
+        let cpu_seconds =
+            self.ended_cpu_seconds + costs.iter().map(|cost| cost.cpu_seconds).sum::<f64>();
+        self.report.cpu_share_each = cpu_seconds / brokers as f64 / elapsed.as_secs_f64();
+        self.report.memory_mb_each = costs.iter().map(|cost| cost.memory_mb).fold(0.0, f64::max);
+        self.report.missed_ms.sort_unstable();
     }
-    let costs: Vec<(f64, f64)> = all.iter().filter_map(|w| cost(rig.pid(*w)?)).collect();
-    spent += costs.iter().map(|c| c.0).sum::<f64>();
-    report.cpu_share_each = spent / brokers as f64 / (rig.now() - began).as_secs_f64();
-    report.memory_mb_each = costs.iter().map(|c| c.1).fold(0.0, f64::max);
-    report.missed_ms.sort_unstable();
-    Ok(report)
 }
