--- a/experiments/src/council.rs
+++ b/experiments/src/consensus.rs
@@ -12,9 +12,9 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The duration of leases, and the time in which a process that was paused has to find out that it
-/// holds nothing.
+/// The duration of leases (milliseconds).
 const LEASE_MS: u64 = 1_500;
+/// How long a process that was paused may take to find that its lease has expired.
 const RESUME_TIMEOUT: Duration = Duration::from_millis(500);
 /// The longest wait for a holder.
 const HOLDER_TIMEOUT: Duration = Duration::from_secs(30);
@@ -54,7 +54,7 @@
     pub checked: usize,
     /// How many times two brokers held it, or a token did not grow.
     pub double_held: usize,
-    /// From a fault of the holder to the line of the next one, milliseconds, in order.
+    /// From each fault of the holder until another broker held the role, milliseconds, ascending.
     pub taken_over_ms: Vec<u64>,
     /// Messages that links carried and lost.
     pub carried: u64,
@@ -83,23 +83,24 @@
     holder
 }
 
-/// Starts this many brokers, of which the first vote, and injects faults one after the other.
+/// Starts this many brokers, of which the first vote, and injects faults one after another. The events
+/// are written to `event_log`, one line each.
 ///
 /// # Errors
-/// When a process can't be started, no holder comes after a fault that leaves a majority, or the
-/// ledger can't be written.
+/// When a process can't be started, no broker holds the role after a fault that leaves a majority, or
+/// the event log can't be written.
 pub fn run(
     program: &Path,
     seed: u64,
     brokers: usize,
     voters: usize,
     faults: usize,
-    ledger: Option<&Path>,
+    event_log: Option<&Path>,
 ) -> Result<Report, ExperimentError> {
     let rig = Rig::new(program, brokers, seed)?;
     let mut experiment = Experiment::new(rig, seed, brokers, voters.min(brokers));
     let result = experiment.run(faults);
-    if let Some(path) = ledger {
+    if let Some(path) = event_log {
         let line = |e: &Entry| format!("{:.3} n{} {:?}\n", e.at.as_secs_f64(), e.process, e.event);
         let entries = experiment.rig.ledger.all();
         let lines: String = entries.iter().map(line).collect();
--- a/experiments/src/error.rs
+++ b/experiments/src/error.rs
@@ -1,4 +1,4 @@
-//! Why an experiment with processes ends without its figures.
+//! Errors of experiments.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -7,7 +7,7 @@
 /// Why an experiment ends without its figures.
 #[derive(Debug, Error)]
 pub enum ExperimentError {
-    /// A process or its files can't be had.
+    /// A process can't be started, or its files can't be written.
     #[error(transparent)]
     Rig(#[from] io::Error),
     /// A file of figures or events can't be written.
@@ -15,13 +15,13 @@
     Write {
         /// The file.
         path: PathBuf,
-        /// What the system says.
+        /// The error of the system.
         source: io::Error,
     },
-    /// Figures that can't be written as JSON.
+    /// The figures can't be encoded as JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The processes did not come to the state that they should.
+    /// The processes did not reach the expected state in time.
     #[error("{0}")]
     Unmet(String),
 }
--- a/experiments/src/members.rs
+++ b/experiments/src/members.rs
@@ -212,3 +212,25 @@
     figures.detected_ms_most = at(1.0).unwrap_or_default();
     figures
 }
+
+/// The figures as a table.
+#[must_use]
+pub fn table(fleets: &[Figures]) -> String {
+    let mut text = format!(
+        "{:>8} {:>10} {:>10} {:>22} {:>8} {:>6}\n",
+        "brokers", "agreed ms", "bytes/s", "detected ms", "told", "false"
+    );
+    for fleet in fleets {
+        let detected = format!(
+            "{} / {} / {}",
+            fleet.detected_ms_p50, fleet.detected_ms_p99, fleet.detected_ms_most
+        );
+        let told = format!("{}/{}", fleet.told, fleet.to_be_told);
+        let bytes = fleet.peer_bytes_per_s_each;
+        text += &format!(
+            "{:>8} {:>10} {bytes:>10.0} {detected:>22} {told:>8} {:>6}\n",
+            fleet.brokers, fleet.agreed_ms, fleet.false_deaths
+        );
+    }
+    text
+}
--- a/experiments/tests/members.rs
+++ b/experiments/tests/members.rs
@@ -1,4 +1,4 @@
-//! The same seed gives the same figures, and they are those that the operators' page promises.
+//! The same seed results in the same figures, within the bounds of the operators' page.
 
 use lichenswitch_experiments::members::play;
 
--- a/experiments/tests/cold.rs
+++ b/experiments/tests/slow_start.rs
@@ -1,7 +1,7 @@
-//! A cold server's allowance holds for the sum of all brokers, with few and many of them, even and
-//! uneven.
+//! The allowance of a server in slow start bounds the sum of all brokers, few or many, with even or
+//! uneven traffic.
 
-use lichenswitch_experiments::cold::{worst, Plan, BUDGETS};
+use lichenswitch_experiments::slow_start::{worst, Plan, BUDGETS};
 
 #[test]
 fn all_brokers_together_stay_within_a_slow_start_allowance() {
@@ -18,7 +18,7 @@
             };
             let figures = worst(700, 2, &plan);
             assert_eq!(figures.broken, 0, "{figures:?}");
-            // It gets work all the same, where its budget holds some and brokers know their
+            // It receives work all the same, where its budget allows some and brokers know their
             // traffic.
             assert!(figures.got > 0.1 || budget < 4.0, "{figures:?}");
         }
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn servers_of_one_core_and_of_four_and_a_busy_fleet_get_no_more() {
+fn allowance_holds_for_other_numbers_of_cores_and_a_busy_fleet() {
     for (cores, load) in [(1, 0.6), (4, 0.6), (2, 0.9)] {
         for brokers in [5, 30, 100] {
             let (budget, capacity, multiple) = BUDGETS[2];
@@ -47,7 +47,7 @@
 
 #[test]
 fn brokers_without_answers_do_not_overload_a_slow_start_server() {
-    // 300 brokers before slow servers: most have asked for nothing when one starts.
+    // 300 brokers with slow servers: most have sent no request when one starts.
     let (budget, capacity, multiple) = BUDGETS[0];
     let plan = Plan {
         brokers: 300,
