--- a/simulator/src/network.rs
+++ b/simulator/src/network.rs
@@ -167,15 +167,15 @@
             }
             return Vec::new();
         }
-        if lossy && self.draw(self.harm.loss) {
+        if lossy && self.occurs(self.harm.loss) {
             return Vec::new();
         }
-        let copies = if lossy && self.draw(self.harm.repeat) {
+        let copies = if lossy && self.occurs(self.harm.repeat) {
             2
         } else {
             1
         };
-        let overtaken = lossy && self.draw(self.harm.reorder);
+        let overtaken = lossy && self.occurs(self.harm.reorder);
         (0..copies)
             .map(|_| self.arrival(now, from, to, packet.clone(), overtaken))
             .collect()
@@ -216,7 +216,7 @@
         }
     }
 
-    fn draw(&mut self, of_thousand: u32) -> bool {
+    fn occurs(&mut self, of_thousand: u32) -> bool {
         of_thousand > 0 && self.random.u32(0..1_000) < of_thousand
     }
 }
--- a/simulator/src/walk/fault_generator.rs
+++ b/simulator/src/walk/fault_generator.rs
@@ -45,7 +45,7 @@
 }
 
 impl FaultDuration {
-    fn draw(self, random: &mut Rng, range_us: std::ops::Range<u64>) -> u64 {
+    fn sample(self, random: &mut Rng, range_us: std::ops::Range<u64>) -> u64 {
         match self {
             FaultDuration::ByKind => random.u64(range_us),
             FaultDuration::Fixed(duration_us) => duration_us,
@@ -57,7 +57,7 @@
 ///
 /// # Panics
 /// If no kind has a weight.
-pub(super) fn draw_kind(random: &mut Rng, mix: &FaultMix) -> FaultKind {
+pub(super) fn random_kind(random: &mut Rng, mix: &FaultMix) -> FaultKind {
     let total: u32 = mix.iter().map(|(_, weight)| weight).sum();
     let mut remaining = random.u32(0..total);
     for (kind, weight) in mix {
@@ -70,7 +70,7 @@
 }
 
 /// A fault of a kind at a target. `partition` draws the partition, which depends on the schedule.
-pub(super) fn draw_fault(
+pub(super) fn random_fault(
     random: &mut Rng,
     kind: FaultKind,
     target: Target,
@@ -82,7 +82,7 @@
         FaultKind::PowerLoss => Action::PowerLoss(target),
         FaultKind::PowerLossFor => {
             let range = MIN_OVERLAPPING_DURATION_US..MAX_OVERLAPPING_DURATION_US;
-            Action::PowerLossFor(target, duration.draw(random, range))
+            Action::PowerLossFor(target, duration.sample(random, range))
         }
         FaultKind::Wipe => Action::Wipe(target),
         FaultKind::Replace => {
@@ -93,28 +93,28 @@
         FaultKind::Terminate => Action::Terminate(target),
         FaultKind::Freeze => {
             let range = SECOND_US / 4..20 * SECOND_US;
-            Action::Freeze(target, duration.draw(random, range))
+            Action::Freeze(target, duration.sample(random, range))
         }
         FaultKind::Partition => partition(random),
         FaultKind::Disk => {
-            let fault = draw_disk_fault(random);
-            let duration = duration.draw(random, SECOND_US..15 * SECOND_US);
+            let fault = random_disk_fault(random);
+            let duration = duration.sample(random, SECOND_US..15 * SECOND_US);
             Action::Disk(target, fault, duration)
         }
         FaultKind::KillAll => Action::KillAll,
         FaultKind::PowerOffAll => Action::PowerOffAll,
         FaultKind::LoseReplies => {
-            Action::LoseReplies(duration.draw(random, SECOND_US / 2..5 * SECOND_US))
+            Action::LoseReplies(duration.sample(random, SECOND_US / 2..5 * SECOND_US))
         }
         FaultKind::Harm => {
-            let harm = draw_harm(random);
-            Action::Harm(harm, duration.draw(random, SECOND_US..8 * SECOND_US))
+            let harm = random_harm(random);
+            Action::Harm(harm, duration.sample(random, SECOND_US..8 * SECOND_US))
         }
         FaultKind::Lure => Action::Lure(target, random.u32(1..4)),
     }
 }
 
-fn draw_disk_fault(random: &mut Rng) -> DiskFault {
+fn random_disk_fault(random: &mut Rng) -> DiskFault {
     match random.u32(0..3) {
         0 => DiskFault::Full,
         1 => DiskFault::Stalled,
@@ -122,7 +122,7 @@
     }
 }
 
-fn draw_harm(random: &mut Rng) -> Harm {
+fn random_harm(random: &mut Rng) -> Harm {
     Harm {
         loss: random.u32(0..150),
         repeat: random.u32(0..150),
--- a/simulator/src/walk/one_by_one.rs
+++ b/simulator/src/walk/one_by_one.rs
@@ -2,7 +2,7 @@
 
 use fastrand::Rng;
 
-use super::fault_generator::{draw_fault, draw_kind, FaultDuration, FaultKind, FaultMix};
+use super::fault_generator::{random_fault, random_kind, FaultDuration, FaultKind, FaultMix};
 use super::SECOND_US;
 use crate::world::{Action, CutKind, Target, World};
 
@@ -32,7 +32,7 @@
 
 /// One fault, until the group has recovered from it.
 pub(super) fn episode(world: &mut World, random: &mut Rng) {
-    let actions = draw_actions(random, world.settings.voters);
+    let actions = random_actions(random, world.settings.voters);
     let (duration_us, loses_disk) = (episode_duration_us(&actions[0]), loses_disk(&actions[0]));
     if loses_disk {
         let unchanged = world.now().since(world.last_fault_change_at());
@@ -54,11 +54,11 @@
 }
 
 /// The next fault, and what is done to callers with it.
-fn draw_actions(random: &mut Rng, voters: u32) -> Vec<Action> {
-    let target = draw_target(random);
-    let kind = draw_kind(random, FAULTS);
-    let partition = |random: &mut Rng| draw_partition(random, voters);
-    let fault = draw_fault(random, kind, target, FaultDuration::ByKind, partition);
+fn random_actions(random: &mut Rng, voters: u32) -> Vec<Action> {
+    let target = random_target(random);
+    let kind = random_kind(random, FAULTS);
+    let partition = |random: &mut Rng| random_partition(random, voters);
+    let fault = random_fault(random, kind, target, FaultDuration::ByKind, partition);
     let with_callers = match &fault {
         Action::Lure(..) => vec![Action::RestartRouters(target)],
         Action::Cut { targets, .. } if random.bool() => {
@@ -72,24 +72,24 @@
     std::iter::once(fault).chain(with_callers).collect()
 }
 
-fn draw_target(random: &mut Rng) -> Target {
+fn random_target(random: &mut Rng) -> Target {
     match random.u32(0..5) {
         0 | 1 => Target::Primary,
         2 => Target::Oldest,
-        _ => draw_other(random),
+        _ => random_other(random),
     }
 }
 
-fn draw_other(random: &mut Rng) -> Target {
+fn random_other(random: &mut Rng) -> Target {
     Target::Other(random.u32(0..MAX_OTHER))
 }
 
 /// A partition of less than half of the voters.
-fn draw_partition(random: &mut Rng, voters: u32) -> Action {
+fn random_partition(random: &mut Rng, voters: u32) -> Action {
     let minority = (voters - 1) / 2;
     let others = random.u32(0..minority.max(1));
-    let mut targets = vec![draw_target(random)];
-    targets.extend((0..others).map(|_| draw_other(random)));
+    let mut targets = vec![random_target(random)];
+    targets.extend((0..others).map(|_| random_other(random)));
     let kinds = [
         CutKind::Full,
         CutKind::Full,
--- a/simulator/src/walk/overlapping.rs
+++ b/simulator/src/walk/overlapping.rs
@@ -5,7 +5,7 @@
 use fastrand::Rng;
 
 use super::fault_generator::{
-    draw_fault, draw_kind, FaultDuration, FaultKind, FaultMix, MAX_OVERLAPPING_DURATION_US,
+    random_fault, random_kind, FaultDuration, FaultKind, FaultMix, MAX_OVERLAPPING_DURATION_US,
     MIN_OVERLAPPING_DURATION_US,
 };
 use super::{MILLISECOND_US, SECOND_US};
@@ -46,15 +46,15 @@
     world.set_service_pause_allowed(true);
     let mut disks = world.settings.tolerate;
     for _ in 0..random.u32(2..=MAX_FAULTS) {
-        let action = draw_action(world, random, &mut disks);
+        let action = random_action(world, random, &mut disks);
         world.act_after(random.u64(0..ROUND_US), action);
     }
     if random.bool() {
-        let action = draw_action(world, random, &mut disks);
+        let action = random_action(world, random, &mut disks);
         world.act_after_acknowledgement(action);
     }
     if random.bool() {
-        let action = draw_action(world, random, &mut disks);
+        let action = random_action(world, random, &mut disks);
         world.act_after_order(random.u64(DELAY_AFTER_ORDER_US), action);
     }
     world.run_for(ROUND_US + MAX_OVERLAPPING_DURATION_US + SECOND_US);
@@ -66,15 +66,15 @@
 }
 
 /// The next fault. `disks`: how many may still be lost in this round.
-fn draw_action(world: &World, random: &mut Rng, disks: &mut u32) -> Action {
-    let target = draw_target(world, random);
+fn random_action(world: &World, random: &mut Rng, disks: &mut u32) -> Action {
+    let target = random_target(world, random);
     let duration = random.u64(MIN_OVERLAPPING_DURATION_US..MAX_OVERLAPPING_DURATION_US);
     if *disks > 0 && random.u32(0..3) == 0 {
-        return draw_disk_loss(world, random, disks);
+        return random_disk_loss(world, random, disks);
     }
-    let kind = draw_kind(random, FAULTS);
-    let partition = |random: &mut Rng| draw_even_partition(world, random, duration);
-    draw_fault(
+    let kind = random_kind(random, FAULTS);
+    let partition = |random: &mut Rng| random_even_partition(world, random, duration);
+    random_fault(
         random,
         kind,
         target,
@@ -83,11 +83,11 @@
     )
 }
 
-fn draw_disk_loss(world: &World, random: &mut Rng, disks: &mut u32) -> Action {
-    let target = draw_target(world, random);
+fn random_disk_loss(world: &World, random: &mut Rng, disks: &mut u32) -> Action {
+    let target = random_target(world, random);
     match random.u32(0..5) {
         0 => {
-            let targets = draw_machines(world, random, *disks as usize);
+            let targets = random_machines(world, random, *disks as usize);
             *disks = 0;
             Action::WipeAndPowerOff(targets)
         }
@@ -103,9 +103,9 @@
 }
 
 /// A partition into halves, both of which all callers reach.
-fn draw_even_partition(world: &World, random: &mut Rng, duration: u64) -> Action {
+fn random_even_partition(world: &World, random: &mut Rng, duration: u64) -> Action {
     Action::Cut {
-        targets: draw_machines(world, random, world.present_machines().len() / 2),
+        targets: random_machines(world, random, world.present_machines().len() / 2),
         kind: CutKind::Full,
         duration,
         holds: random.bool(),
@@ -114,18 +114,18 @@
 }
 
 /// So many machines, each of them once; also such as have no power.
-fn draw_machines(world: &World, random: &mut Rng, number: usize) -> Vec<Target> {
+fn random_machines(world: &World, random: &mut Rng, number: usize) -> Vec<Target> {
     let mut hosts: Vec<Host> = world.present_machines();
     random.shuffle(&mut hosts);
     hosts.truncate(number);
     hosts.into_iter().map(Target::This).collect()
 }
 
-fn draw_target(world: &World, random: &mut Rng) -> Target {
+fn random_target(world: &World, random: &mut Rng) -> Target {
     match random.u32(0..4) {
         0 => Target::Primary,
         1 => Target::Oldest,
-        _ => draw_machines(world, random, 1)[0],
+        _ => random_machines(world, random, 1)[0],
     }
 }
 
@@ -134,12 +134,12 @@
 pub(super) fn close(world: &mut World, random: &mut Rng) {
     if random.bool() {
         let duration = random.u64(SECOND_US..4 * SECOND_US);
-        let partition = draw_even_partition(world, random, duration);
+        let partition = random_even_partition(world, random, duration);
         world.set_service_pause_allowed(true);
         world.act_after(0, partition);
         world.run_for(duration + 1);
     }
-    let wiped = draw_machines(world, random, world.settings.tolerate as usize);
+    let wiped = random_machines(world, random, world.settings.tolerate as usize);
     let action = match random.u32(0..6) {
         0 => Action::KillAll,
         1 => Action::PowerOffAll,
