--- a/fleet/tests/control_founders.rs
+++ b/fleet/tests/control_founders.rs
@@ -79,11 +79,17 @@
         fleet.send_order(REPLACE, 0, &configuration(1, 1)).status,
         200
     );
-    let voters: Vec<String> = (1..5).map(|index| fleet.status(index)).collect();
+    let statuses: Vec<String> = (1..5).map(|index| fleet.status(index)).collect();
+    // A machine that hasn't joined yet shows the membership that it received last.
+    let voters: Vec<&String> = statuses
+        .iter()
+        .filter(|status| !status.contains("\"role\":\"outsider\""))
+        .collect();
+    assert!(voters.len() >= 3, "{statuses:?}");
     let founder = format!("{}\",\"votes\":true", fleet.machines[0].internal);
     assert!(
         voters.iter().all(|status| !status.contains(&founder)),
-        "{voters:?}"
+        "{statuses:?}"
     );
 }
 
