--- a/src/decide/failure_detector.rs
+++ b/src/decide/failure_detector.rs
@@ -12,7 +12,7 @@
 //!   wins over what is still said about the former one. It discards its suspicions too, for the
 //!   same reason.
 //!
-//! Messages go in and verdicts come output; how messages travel is not known here.
+//! Messages go in and verdicts come out; how messages travel is not known here.
 
 mod member;
 pub mod reconnect_backoff;
@@ -285,7 +285,7 @@
         verdicts
     }
 
-    /// Turns what the library has put output into timers and verdicts.
+    /// Turns what the library has put out into timers and verdicts.
     fn take_output(
         &mut self,
         local: Time,
