--- a/experiments/src/consensus.rs
+++ b/experiments/src/consensus.rs
@@ -179,8 +179,8 @@
 
     /// Waits until a broker holds the role, by the entries of the ledger from `since` on.
     fn wait_for_holder(&self, since: usize, event: &str) -> Result<(), ExperimentError> {
-        let is_held = |entries: &[Entry]| current_holder(&entries[since..]).is_some();
-        match self.rig.until(HOLDER_TIMEOUT, is_held) {
+        let has_holder = |entries: &[Entry]| current_holder(&entries[since..]).is_some();
+        match self.rig.until(HOLDER_TIMEOUT, has_holder) {
             true => Ok(()),
             false => Err(ExperimentError::Unmet(format!(
                 "nobody holds the duty after {event}"
@@ -314,13 +314,13 @@
             current_holder(&entries[since..]).is_some() || current_holder(entries) == holder
         });
         let entries = self.rig.ledger.all();
-        let held_at = entries[since..]
+        let acquired_at = entries[since..]
             .iter()
             .find_map(|entry| match &entry.event {
                 Event::Logged(line) if line.contains("held under fence") => Some(entry.at),
                 _ => None,
             });
-        let takeover = held_at.filter(|_| is_over).map(|at| at - injected_at);
+        let takeover = acquired_at.filter(|_| is_over).map(|at| at - injected_at);
         let takeover_ms = takeover.map(|elapsed| elapsed.as_millis() as u64);
         self.report.taken_over_ms.extend(takeover_ms);
     }
--- a/experiments/src/world.rs
+++ b/experiments/src/world.rs
@@ -135,7 +135,7 @@
         let faulty = (f64::from(scenario.nodes) * faults.share).round() as u32;
         let node = |id| {
             let pauses = if id < faulty {
-                draw_pauses(seed, id, &faults, scenario.seconds)
+                random_pauses(seed, id, &faults, scenario.seconds)
             } else {
                 Vec::new()
             };
@@ -181,12 +181,12 @@
             let turn = self.core.next_turn();
             let next = self.events.peek().map(|Reverse((at, ..))| *at);
             // A turn follows the events that are earlier or at the same time.
-            let due_turn = match (turn, next) {
+            let next_turn = match (turn, next) {
                 (Some(turn), Some(next)) if turn < next => Some(turn),
                 (Some(turn), None) if !self.by_id.is_empty() => Some(turn),
                 _ => None,
             };
-            if let Some(turn) = due_turn {
+            if let Some(turn) = next_turn {
                 self.now = self.now.max(turn);
                 self.turn();
             } else if let Some(Reverse((at, _, event))) = self.events.pop() {
@@ -208,7 +208,7 @@
 }
 
 /// The pauses of a faulty data node, in order.
-fn draw_pauses(seed: u64, node: u32, faults: &NodeFaults, seconds: f64) -> Vec<(Time, Time)> {
+fn random_pauses(seed: u64, node: u32, faults: &NodeFaults, seconds: f64) -> Vec<(Time, Time)> {
     if faults.pause_ms <= 0.0 || faults.pause_every_s <= 0.0 {
         return Vec::new();
     }
--- a/experiments/src/world/attempts.rs
+++ b/experiments/src/world/attempts.rs
@@ -145,7 +145,7 @@
         let query = &self.queries[serial as usize];
         let task = Task {
             attempt: part.attempt,
-            work: self.draw_work(server, part) as Micros + overhead,
+            work: self.random_work(server, part) as Micros + overhead,
             phase: phase(part),
             target_at: query.arrived.plus(self.classes[query.class].latency_target),
         };
@@ -167,7 +167,7 @@
 
     /// The work of a part at a data node (microseconds). It depends on the query, the shard and the
     /// phase, and not on the broker.
-    fn draw_work(&self, server: ServerId, part: &Dispatch<Job>) -> f64 {
+    fn random_work(&self, server: ServerId, part: &Dispatch<Job>) -> f64 {
         let (serial, phase) = (part.job.serial, phase(part));
         let class = self.queries[serial as usize].class;
         let mix = &self.scenario.mix[class];
--- a/experiments/src/world/queries.rs
+++ b/experiments/src/world/queries.rs
@@ -32,7 +32,7 @@
             self.now.plus((gap * 1e6) as Micros + 1),
             SimulationEvent::Arrival,
         );
-        let query = self.draw_query();
+        let query = self.random_query();
         let class = &self.classes[query.class];
         self.totals.queries += 1;
         self.totals.asked += class.value;
@@ -52,7 +52,7 @@
         }
     }
 
-    fn draw_query(&mut self) -> QueryRecord {
+    fn random_query(&mut self) -> QueryRecord {
         let mut sample = self.arrivals.random_range(0.0..1.0);
         let class = self.scenario.mix.iter().position(|mix| {
             sample -= mix.share;
