--- a/core/src/collect.rs
+++ b/core/src/collect.rs
@@ -5,7 +5,7 @@
 
 impl<J> Core<J> {
     /// An attempt has ended. Only its first end counts; `false`: it had ended before.
-    pub fn ended(
+    pub fn on_attempt_ended(
         &mut self,
         now: Time,
         attempt: u64,
--- a/core/src/contract.rs
+++ b/core/src/contract.rs
@@ -103,7 +103,7 @@
         let budgets = self.teams.values().filter_map(|a| a.contract.budget);
         budgets.reduce(|a, b| Budget {
             window: a.window.max(b.window),
-            least: a.least.min(b.least),
+            min_retries: a.min_retries.min(b.min_retries),
             share: a.share.min(b.share),
         })
     }
--- a/core/src/contract/tests.rs
+++ b/core/src/contract/tests.rs
@@ -10,7 +10,7 @@
     };
     let strict = Budget {
         window: 10,
-        least: 1.0,
+        min_retries: 1.0,
         share: 0.1,
     };
     let open = Contract {
@@ -56,7 +56,7 @@
         contracts().budget(),
         Some(Budget {
             window: 10,
-            least: 1.0,
+            min_retries: 1.0,
             share: 0.1
         })
     );
--- a/core/src/dispatch.rs
+++ b/core/src/dispatch.rs
@@ -141,9 +141,9 @@
             class: q.class,
             shard: p.shard,
             first: q.first.clone().filter(|_| p.is_second_step),
-            most: p.most,
-            wait: wait_of(timeout, q.deadline.since(now)),
-            leave_by: leave_by(class.repeat, p),
+            max_elements: p.most,
+            timeout: wait_of(timeout, q.deadline.since(now)),
+            send_by: leave_by(class.retry_safety, p),
         };
         p.first_possible_run = p.first_possible_run.or(Some((number, now)));
         self.planner.on_sent(now, id, p.shard.0, f64::from(pending));
@@ -181,8 +181,8 @@
                 .for_each(|(_, call)| call.retain(|d| d.attempt != attempt));
         }
         if !never_left {
-            commands.push(Command::Withdraw(attempt));
+            commands.push(Command::Cancel(attempt));
         }
-        self.ended(now, attempt, Outcome::Cancelled, None);
+        self.on_attempt_ended(now, attempt, Outcome::Cancelled, None);
     }
 }
--- a/core/src/intake.rs
+++ b/core/src/intake.rs
@@ -60,7 +60,7 @@
     /// From now on no query is open later than this, and none is taken for whose latency
     /// target there is no time left. Clients are served for as long as there is: when brokers are restarted in turn,
     /// some have nowhere else to go.
-    pub fn end_by(&mut self, at: Time) {
+    pub fn set_end_time(&mut self, at: Time) {
         self.must_end_by = Some(at);
     }
 
@@ -71,7 +71,7 @@
 
     /// Whether it takes queries as if it never ended.
     #[must_use]
-    pub fn goes_on(&self) -> bool {
+    pub fn is_open_ended(&self) -> bool {
         self.must_end_by.is_none()
     }
 
@@ -92,7 +92,7 @@
     ///
     /// # Errors
     /// Why the query is not taken; nothing of it has run.
-    pub fn take(&mut self, now: Time, request: Request<J>) -> Result<QueryId, Refusal> {
+    pub fn submit(&mut self, now: Time, request: Request<J>) -> Result<QueryId, Refusal> {
         let class = request.class;
         let admitted = self.admit(now, request);
         if let (Err(refusal), Some(counters)) = (&admitted, self.counters.get_mut(class)) {
@@ -123,7 +123,7 @@
         }
         // Guards memory: what is held is bounded, and the module never sees the query.
         let limits = &self.settings.limits;
-        if self.held_entries >= (limits.max_held / self.process_shares.held) as usize {
+        if self.held_entries >= (limits.max_held / self.process_shares.capacity_divisor) as usize {
             return Err(Refusal::Busy(limits.retry_after.map(|most| most / 2)));
         }
         self.contracts
@@ -143,7 +143,7 @@
             class: request.class as u16,
             deadline: request.deadline,
             key: request.key,
-            again: request.again,
+            is_retry: request.is_retry,
             tenant: request.tenant,
         });
         if request.placement != Placement::default() {
--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -42,7 +42,7 @@
     /// Which of equal servers it goes to.
     pub placement: Placement,
     /// Marked by the client as a retry.
-    pub again: bool,
+    pub is_retry: bool,
     /// Index of the tenant that asks, among those of the settings; `u32::MAX`: none of them.
     pub tenant: u32,
     /// Team that asks, where teams have contracts.
@@ -64,12 +64,12 @@
     /// Its bytes, unchanged.
     pub bytes: Vec<u8>,
     /// Where the answer is sorted: what its elements are sorted by.
-    pub offer: Option<Offer>,
+    pub sorted: Option<SortedElements>,
 }
 
 /// The elements of a value, where an answer is sorted.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Offer {
+pub struct SortedElements {
     /// Their keys, in the order of the value.
     pub keys: Vec<SortKey>,
     /// Elements that the shard has in all, where it told.
@@ -86,7 +86,7 @@
         /// The parts that are in.
         values: Vec<(Shard, Value)>,
         /// Shards of which something is missing.
-        gaps: Vec<Shard>,
+        missing_shards: Vec<Shard>,
     },
     /// Turned away: asking again is harmless, after this long where advice is given.
     Refused(Option<Micros>),
@@ -117,12 +117,12 @@
     /// Set for parts of the second step.
     pub first: Option<Rc<FirstStep>>,
     /// Elements that are asked for, in the second step of a sorted answer.
-    pub most: Option<usize>,
+    pub max_elements: Option<usize>,
     /// How long its answer will be waited for.
-    pub wait: Micros,
+    pub timeout: Micros,
     /// Where an attempt before it may have run and a repeat is dropped for a time only: the moment
     /// in which the module lets a repeat leave at the latest.
-    pub leave_by: Option<Time>,
+    pub send_by: Option<Time>,
 }
 
 /// What was counted of a class.
@@ -144,7 +144,7 @@
     /// Send these parts to a server in one call.
     Send(ServerId, Vec<Dispatch<J>>),
     /// Cancel an attempt in flight. Its outcome is recorded already.
-    Withdraw(u64),
+    Cancel(u64),
     /// The query of an attempt in flight has ended: where the attempt has not left yet it is not to
     /// leave any more, whether or not cancels are sent to servers.
     Recall(u64),
@@ -287,7 +287,7 @@
     }
 
     /// Plans queries of two steps with this planner; `explain`: its reasons are logged.
-    pub fn plan_by(&mut self, planner: Planner, explain: bool) {
+    pub fn set_planner(&mut self, planner: Planner, explain: bool) {
         (self.planner, self.explain) = (planner, explain);
     }
 
@@ -330,21 +330,21 @@
     }
 
     /// From now on this process has these shares of what is allowed to the broker.
-    pub fn share(&mut self, parts: ProcessShares) {
-        if std::mem::replace(&mut self.process_shares, parts).done != parts.done {
-            self.inbox.push(Event::Processes(parts.done));
+    pub fn set_process_shares(&mut self, parts: ProcessShares) {
+        if std::mem::replace(&mut self.process_shares, parts).rate_divisor != parts.rate_divisor {
+            self.inbox.push(Event::Processes(parts.rate_divisor));
         }
     }
 
     /// Most bytes of values that may be held now.
     fn max_bytes(&self) -> usize {
-        self.max_bytes / self.process_shares.held as usize
+        self.max_bytes / self.process_shares.capacity_divisor as usize
     }
 
     /// How many of the servers in the list are passed over by choice now.
     #[must_use]
-    pub fn avoided(&self) -> usize {
-        self.module.avoided()
+    pub fn avoided_servers(&self) -> usize {
+        self.module.avoided_servers()
     }
 
     /// What ended, and what was written whole, since the last time, by class.
@@ -367,7 +367,7 @@
     }
 
     /// An update of the list of servers.
-    pub fn listed(&mut self, listing: ServerListUpdate) {
+    pub fn on_server_list(&mut self, listing: ServerListUpdate) {
         self.inbox.push(Event::List(listing));
     }
 
--- a/core/src/phases.rs
+++ b/core/src/phases.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 fn bound(shard: Shard, value: &Value) -> Option<Bound> {
-    let offer = value.offer.as_ref()?;
+    let offer = value.sorted.as_ref()?;
     Some(Bound {
         slice: shard.0,
         keys: offer.keys.clone(),
@@ -240,7 +240,7 @@
             Reply::Served {
                 whole,
                 values,
-                gaps,
+                missing_shards: gaps,
             },
         ));
     }
--- a/core/src/tests.rs
+++ b/core/src/tests.rs
@@ -14,7 +14,7 @@
     let class = Class {
         latency_target: 1_000 * MS,
         deadline: 4_000 * MS,
-        repeat: RetrySafety::Safe,
+        retry_safety: RetrySafety::Safe,
         value: 1.0,
         late_share: 0.1,
         need: 1.0,
@@ -29,8 +29,8 @@
         limits: Limits {
             attempts: 4,
             max_held: 6,
-            cancel: true,
-            probe: false,
+            may_cancel: true,
+            may_probe: false,
             second_copies: true,
             retry_after: Some(2_000 * MS),
             budget: None::<Budget>,
@@ -42,7 +42,7 @@
             parts_a_call: 2,
         },
         discovery: Discovery::Push,
-        cold: SlowStart {
+        slow_start: SlowStart {
             share: 0.3,
             warm_after: 1,
             fall_multiple: 3.0,
@@ -71,9 +71,9 @@
             cell: id,
             zone: 0,
             mode: ServerMode::Ready,
-            started: None,
+            started_at: None,
         };
-        core.listed(ServerListUpdate::Complete(vec![line(0), line(1)]));
+        core.on_server_list(ServerListUpdate::Complete(vec![line(0), line(1)]));
         let mut stage = Stage {
             core,
             now: Time(1_000_000 * MS),
@@ -97,16 +97,17 @@
     }
 
     fn take_parts(&mut self, parts: Vec<(Shard, f64)>) -> Result<QueryId, Refusal> {
-        self.core.take(self.now, request(self.now, parts))
+        self.core.submit(self.now, request(self.now, parts))
     }
 
     fn end(&mut self, attempt: u64, outcome: Outcome, score: f64) {
         let value = (outcome == Outcome::Ok).then(|| Value {
             score,
             bytes: vec![attempt as u8],
-            offer: None,
+            sorted: None,
         });
-        self.core.ended(self.now, attempt, outcome, value);
+        self.core
+            .on_attempt_ended(self.now, attempt, outcome, value);
     }
 }
 
@@ -116,7 +117,7 @@
         deadline: now.plus(2_000 * MS),
         key: 0,
         placement: Placement::default(),
-        again: false,
+        is_retry: false,
         tenant: u32::MAX,
         team: None,
         parts,
@@ -138,7 +139,7 @@
             placement,
             ..request(stage.now, vec![(Shard(0), 1.0)])
         };
-        stage.core.take(stage.now, request).unwrap();
+        stage.core.submit(stage.now, request).unwrap();
         let position = |wanted: fn(&Event) -> bool| stage.core.inbox.iter().position(wanted);
         let prefixes = position(|event| {
             matches!(
@@ -186,7 +187,7 @@
     assert_eq!(calls.iter().sum::<usize>(), 4);
     assert!(calls.iter().all(|&n| n <= 2), "{calls:?}");
     assert!(
-        sends(&commands).iter().all(|d| d.wait <= 2_000 * MS),
+        sends(&commands).iter().all(|d| d.timeout <= 2_000 * MS),
         "never beyond the client's time"
     );
 }
@@ -259,7 +260,7 @@
     let latency_target = stage.core.settings().classes[0].latency_target;
     assert!(stage.core.accepts_queries(stage.now));
     let end = stage.now.plus(4_000 * MS);
-    stage.core.end_by(end);
+    stage.core.set_end_time(end);
     stage.now = end.minus(latency_target);
     assert!(
         stage.core.accepts_queries(stage.now) && stage.take(&[0]).is_ok(),
@@ -371,14 +372,14 @@
     let commands = stage.turn();
     assert!(commands
         .iter()
-        .any(|c| matches!(c, Command::Withdraw(a) if *a == send.attempt)));
+        .any(|c| matches!(c, Command::Cancel(a) if *a == send.attempt)));
     assert!(replies(&commands).is_empty());
 }
 
 #[test]
 fn ended_query_recalls_its_attempts_and_leaves_no_state() {
     let mut set = settings(0);
-    set.limits.cancel = false;
+    set.limits.may_cancel = false;
     let mut stage = Stage::with(set);
     let query = stage.take(&[0, 1]).unwrap();
     let mut sent: Vec<u64> = sends(&stage.turn()).iter().map(|s| s.attempt).collect();
@@ -397,7 +398,7 @@
     assert!(
         commands
             .iter()
-            .all(|c| !matches!(c, Command::Withdraw(_) | Command::Recall(_))),
+            .all(|c| !matches!(c, Command::Cancel(_) | Command::Recall(_))),
         "{commands:?}"
     );
     assert!(
@@ -435,15 +436,15 @@
         Some(Value {
             score: 0.0,
             bytes: vec![0; bytes],
-            offer: None,
+            sorted: None,
         })
     };
     stage
         .core
-        .ended(stage.now, send[0].attempt, Outcome::Ok, large(MEMORY / 4));
+        .on_attempt_ended(stage.now, send[0].attempt, Outcome::Ok, large(MEMORY / 4));
     stage
         .core
-        .ended(stage.now, send[1].attempt, Outcome::Ok, large(1));
+        .on_attempt_ended(stage.now, send[1].attempt, Outcome::Ok, large(1));
     assert!(
         replies(&stage.turn()).is_empty(),
         "the second part has to be asked for again"
@@ -545,24 +546,24 @@
 #[test]
 fn keyed_repeat_may_leave_until_the_first_attempts_window_ends() {
     let mut set = settings(0);
-    set.classes[0].repeat = RetrySafety::Keyed(500 * MS);
+    set.classes[0].retry_safety = RetrySafety::Keyed(500 * MS);
     let mut stage = Stage::with(set);
     stage.take(&[0]).unwrap();
     let first = sends(&stage.turn()).remove(0);
-    assert_eq!(first.leave_by, None, "nothing has run yet");
+    assert_eq!(first.send_by, None, "nothing has run yet");
     // It never ran: the next one is as good as the first.
     stage.end(first.attempt, Outcome::ConnectFailed, 0.0);
     let is_second_step = sends(&stage.turn()).remove(0);
     let sent = stage.now;
-    assert_eq!(is_second_step.leave_by, None);
+    assert_eq!(is_second_step.send_by, None);
     stage.now = stage.now.plus(50 * MS);
     stage.end(is_second_step.attempt, Outcome::Error, 0.0);
     let third = sends(&stage.turn()).remove(0);
-    assert_eq!(third.leave_by, Some(sent.plus(500 * MS)));
+    assert_eq!(third.send_by, Some(sent.plus(500 * MS)));
     // One that did not leave moves nothing.
     stage.end(third.attempt, Outcome::NeverSent, 0.0);
     let fourth = sends(&stage.turn()).remove(0);
-    assert_eq!(fourth.leave_by, Some(sent.plus(500 * MS)));
+    assert_eq!(fourth.send_by, Some(sent.plus(500 * MS)));
 }
 
 #[test]
@@ -585,14 +586,14 @@
         deadline,
         key: 0,
         placement: Placement::default(),
-        again: false,
+        is_retry: false,
         tenant,
         team: None,
         parts,
         top: None,
         job,
     };
-    let unknown = stage.core.take(
+    let unknown = stage.core.submit(
         stage.now,
         Request {
             class: 2,
@@ -600,7 +601,7 @@
         },
     );
     assert!(matches!(unknown, Err(Refusal::Malformed(_))), "{unknown:?}");
-    let is_second_step = stage.core.take(stage.now, request).unwrap();
+    let is_second_step = stage.core.submit(stage.now, request).unwrap();
     let first = sends(&stage.turn());
     assert_eq!(first.len(), 2, "one part each: {first:?}");
     for send in first {
@@ -632,7 +633,7 @@
     let mut stage = Stage::new(0);
     let none = Budget {
         window: 1_000 * MS,
-        least: 0.0,
+        min_retries: 0.0,
         share: 0.0,
     };
     stage.core.set_budget(Some(none));
--- a/decide/management/src/processes.rs
+++ b/decide/management/src/processes.rs
@@ -25,8 +25,8 @@
 pub fn shares(is_leaving: bool, others: &[ProcessStatus]) -> ProcessShares {
     let staying = others.iter().filter(|o| !o.is_leaving).count() as u32;
     ProcessShares {
-        held: 1 + others.len() as u32,
-        done: (!is_leaving || staying == 0).then_some(1 + staying),
+        capacity_divisor: 1 + others.len() as u32,
+        rate_divisor: (!is_leaving || staying == 0).then_some(1 + staying),
     }
 }
 
--- a/decide/management/src/processes/tests.rs
+++ b/decide/management/src/processes/tests.rs
@@ -25,8 +25,8 @@
     assert_eq!(
         shares(false, &[]),
         ProcessShares {
-            held: 1,
-            done: Some(1)
+            capacity_divisor: 1,
+            rate_divisor: Some(1)
         }
     );
     // One that is not ready yet holds connections and may send at any moment.
@@ -34,8 +34,8 @@
     assert_eq!(
         shares(false, &others),
         ProcessShares {
-            held: 3,
-            done: Some(3)
+            capacity_divisor: 3,
+            rate_divisor: Some(3)
         }
     );
 }
@@ -45,21 +45,21 @@
     assert_eq!(
         shares(false, &[leaving(7)]),
         ProcessShares {
-            held: 2,
-            done: Some(1)
+            capacity_divisor: 2,
+            rate_divisor: Some(1)
         }
     );
     assert_eq!(
         shares(true, &[status(8, true, true)]),
         ProcessShares {
-            held: 2,
-            done: None
+            capacity_divisor: 2,
+            rate_divisor: None
         }
     );
     // Between the two there is never more than one broker's part in force, in whatever order they
     // hear of it.
     assert_eq!(
-        shares(false, &[status(7, true, true)]).done,
+        shares(false, &[status(7, true, true)]).rate_divisor,
         Some(2),
         "the one that stays has not heard of it"
     );
@@ -67,15 +67,15 @@
     assert_eq!(
         shares(true, &[]),
         ProcessShares {
-            held: 1,
-            done: Some(1)
+            capacity_divisor: 1,
+            rate_divisor: Some(1)
         }
     );
     assert_eq!(
         shares(true, &[leaving(8)]),
         ProcessShares {
-            held: 2,
-            done: Some(1)
+            capacity_divisor: 2,
+            rate_divisor: Some(1)
         }
     );
     assert_eq!(
--- a/experiments/src/replay.rs
+++ b/experiments/src/replay.rs
@@ -30,7 +30,7 @@
     Class {
         latency_target: 1_000 * MS,
         deadline: 3_000 * MS,
-        repeat,
+        retry_safety: repeat,
         value: 1.0 + f64::from(second_step),
         late_share: 0.1,
         need: 1.0,
@@ -46,7 +46,7 @@
     let cells = rng.random_range(2..30);
     let budget = Budget {
         window: 1_000 * MS,
-        least: 3.0,
+        min_retries: 3.0,
         share: 0.2,
     };
     Settings {
@@ -59,8 +59,8 @@
         limits: Limits {
             attempts: rng.random_range(1..5),
             max_held: 100_000,
-            cancel: rng.random_bool(0.8),
-            probe: false,
+            may_cancel: rng.random_bool(0.8),
+            may_probe: false,
             second_copies: rng.random_bool(0.8),
             retry_after: rng.random_bool(0.5).then_some(500 * MS),
             budget: rng.random_bool(0.4).then_some(budget),
@@ -72,7 +72,7 @@
             parts_a_call: rng.random_range(1..9),
         },
         discovery: Discovery::Ask(1_000 * MS),
-        cold: SlowStart {
+        slow_start: SlowStart {
             share: 0.3,
             warm_after: 5_000 * MS,
             fall_multiple: 3.0,
@@ -163,7 +163,7 @@
             cell: server % cells,
             zone: server % 3,
             mode,
-            started,
+            started_at: started,
         }
     }
 
@@ -185,7 +185,7 @@
             class: class as u16,
             deadline,
             key,
-            again,
+            is_retry: again,
             tenant: u32::MAX,
         });
         self.open.insert(
--- a/experiments/src/scale.rs
+++ b/experiments/src/scale.rs
@@ -43,7 +43,7 @@
     let class = Class {
         latency_target: 1_500 * MS,
         deadline: 4_000 * MS,
-        repeat: RetrySafety::Safe,
+        retry_safety: RetrySafety::Safe,
         value: 1.0,
         late_share: 0.1,
         need: 1.0,
@@ -58,8 +58,8 @@
         limits: Limits {
             attempts: 4,
             max_held: 1_000_000,
-            cancel: true,
-            probe: false,
+            may_cancel: true,
+            may_probe: false,
             second_copies: true,
             retry_after: Some(2_000 * MS),
             budget: None,
@@ -71,7 +71,7 @@
             parts_a_call: 8,
         },
         discovery: Discovery::Push,
-        cold: SlowStart {
+        slow_start: SlowStart {
             share: 0.32,
             warm_after: 18_000 * MS,
             fall_multiple: 3.0,
--- a/experiments/src/slow_start/simulation.rs
+++ b/experiments/src/slow_start/simulation.rs
@@ -51,7 +51,7 @@
     let class = Class {
         latency_target: 1_500 * MILLISECOND,
         deadline: DEADLINE,
-        repeat: RetrySafety::Safe,
+        retry_safety: RetrySafety::Safe,
         late_share: 0.1,
         ..Settings::default().classes.remove(0)
     };
@@ -66,14 +66,14 @@
         shards: 2 * CELLS,
         parts_a_call: 8,
     };
-    settings.cold = SlowStart {
+    settings.slow_start = SlowStart {
         share: plan.share(),
         warm_after: WARM_UP_PERIOD,
         fall_multiple: plan.multiple,
         fall_after: SECOND,
     };
     settings.limits.attempts = 4;
-    settings.limits.cancel = true;
+    settings.limits.may_cancel = true;
     settings.limits.second_copies = true;
     settings.resolution = 5 * MILLISECOND;
     settings
@@ -213,7 +213,7 @@
         cell: id % CELLS,
         zone: 0,
         mode,
-        started,
+        started_at: started,
     }
 }
 
@@ -226,7 +226,7 @@
         class: 0,
         deadline: now.plus(DEADLINE),
         key: 0,
-        again: false,
+        is_retry: false,
         tenant: u32::MAX,
     }];
     events.extend((0..PARTS).map(|i| Event::Part {
--- a/experiments/src/two_phase.rs
+++ b/experiments/src/two_phase.rs
@@ -52,7 +52,7 @@
     Class {
         latency_target: latency_target * MS,
         deadline: deadline * MS,
-        repeat: RetrySafety::Safe,
+        retry_safety: RetrySafety::Safe,
         value,
         late_share: 0.1,
         need: 1.0,
--- a/experiments/src/world.rs
+++ b/experiments/src/world.rs
@@ -117,7 +117,7 @@
         cell: id % cells,
         zone: id % 3,
         mode: ServerMode::Ready,
-        started: None,
+        started_at: None,
     };
     ServerListUpdate::Complete((0..nodes).map(line).collect())
 }
@@ -129,8 +129,8 @@
         let (shards, cells) = (settings.layout.shards, settings.layout.cells);
         let classes = settings.classes.clone();
         let mut core = Core::new(seed, settings, Contracts::default(), 1 << 30);
-        core.plan_by(planner, false);
-        core.listed(healthy_fleet(scenario.nodes, cells));
+        core.set_planner(planner, false);
+        core.on_server_list(healthy_fleet(scenario.nodes, cells));
         let faults = scenario.node_faults;
         let faulty = (f64::from(scenario.nodes) * faults.share).round() as u32;
         let node = |id| {
--- a/experiments/src/world/answers.rs
+++ b/experiments/src/world/answers.rs
@@ -2,7 +2,7 @@
 
 use super::random::{hash_words, rng};
 use super::{InFlightAttempt, World};
-use lichenswitch::core::{Offer, Value};
+use lichenswitch::core::{SortedElements, Value};
 use lichenswitch::decide::phases::prune::SortKey;
 use lichenswitch::interface::Shard;
 use rand::RngExt;
@@ -24,7 +24,7 @@
                 .take(attempt.max_elements)
                 .map(|&n| SortKey::Number(n))
                 .collect();
-            Offer {
+            SortedElements {
                 keys,
                 matched: Some(all.len() as u64),
             }
@@ -32,7 +32,7 @@
         Value {
             score: score as f64,
             bytes: Vec::new(),
-            offer,
+            sorted: offer,
         }
     }
 
@@ -62,7 +62,7 @@
         let expected =
             slices.flat_map(|s| self.elements(serial, s).into_iter().map(move |e| (e, s)));
         let keys = |v: &Value| {
-            v.offer
+            v.sorted
                 .as_ref()
                 .map_or_else(Vec::new, |offer| offer.keys.clone())
         };
--- a/experiments/src/world/attempts.rs
+++ b/experiments/src/world/attempts.rs
@@ -85,7 +85,8 @@
     /// Reports the end of an attempt to the broker.
     fn end_attempt(&mut self, attempt: u64, outcome: Outcome, value: Option<Value>) {
         let began = Instant::now();
-        self.core.ended(self.now, attempt, outcome, value);
+        self.core
+            .on_attempt_ended(self.now, attempt, outcome, value);
         self.totals.wall_time += began.elapsed();
     }
 
@@ -99,7 +100,7 @@
         for command in commands {
             match command {
                 Command::Send(server, parts) => self.send_call(server, &parts),
-                Command::Withdraw(attempt) => {
+                Command::Cancel(attempt) => {
                     self.record(&[2, attempt]);
                     self.cancel(attempt);
                 }
@@ -132,7 +133,7 @@
             u64::from(server.0),
             u64::from(shard),
             part.attempt,
-            part.wait,
+            part.timeout,
         ]);
         self.totals.parts += 1;
         if let Some(first) = &part.first {
@@ -155,12 +156,12 @@
             serial,
             shard,
             // The first phase of a sorted answer requests the best element alone.
-            max_elements: part.most.unwrap_or(1),
+            max_elements: part.max_elements.unwrap_or(1),
         };
         self.in_flight.insert(part.attempt, in_flight);
         self.after_network_delay(SimulationEvent::AttemptArrived(server.0, part.attempt));
         self.at(
-            self.now.plus(part.wait),
+            self.now.plus(part.timeout),
             SimulationEvent::AttemptTimedOut(part.attempt),
         );
     }
--- a/experiments/src/world/queries.rs
+++ b/experiments/src/world/queries.rs
@@ -41,7 +41,7 @@
         let request = self.request(serial, &query);
         self.queries.push(query);
         let began = Instant::now();
-        let accepted = self.core.take(self.now, request);
+        let accepted = self.core.submit(self.now, request);
         self.totals.wall_time += began.elapsed();
         match accepted {
             Ok(id) => drop(self.by_id.insert(id, serial)),
@@ -81,7 +81,7 @@
             deadline: query.deadline,
             key: 0,
             placement: Placement::default(),
-            again: false,
+            is_retry: false,
             tenant: u32::MAX,
             team: None,
             parts: (0..query.parts).map(|i| (shard(i), weight)).collect(),
@@ -113,7 +113,7 @@
             Reply::Served {
                 whole,
                 values,
-                gaps,
+                missing_shards: gaps,
             } => self.count_served(serial, *whole, values, gaps.len()),
             Reply::Refused(_) | Reply::Failed => self.totals.given_up += 1,
         }
--- a/fleet/src/router/budget.rs
+++ b/fleet/src/router/budget.rs
@@ -26,7 +26,7 @@
 pub(crate) fn decision_budget(budget: RetryBudget, routers: u32) -> Budget {
     Budget {
         window: micros(budget.window),
-        least: (1.0 - RESUME_BUDGET_SHARE) * slack_share(budget, routers),
+        min_retries: (1.0 - RESUME_BUDGET_SHARE) * slack_share(budget, routers),
         share: (1.0 - RESUME_BUDGET_SHARE) * budget.ratio / COUNTS_PER_REQUEST,
     }
 }
--- a/fleet/src/router/budget/tests.rs
+++ b/fleet/src/router/budget/tests.rs
@@ -13,7 +13,7 @@
 
 #[test]
 fn slack_is_unused_while_router_count_is_unknown() {
-    assert_eq!(decision_budget(rule(), 0).least, 0.0);
+    assert_eq!(decision_budget(rule(), 0).min_retries, 0.0);
     let mut resumes = ResumeBudget::new(rule());
     assert!(!resumes.try_take(Time(SECOND)));
 }
@@ -21,7 +21,7 @@
 #[test]
 fn all_routers_together_stay_within_the_slack() {
     for routers in [1, 7, 93] {
-        let module = decision_budget(rule(), routers).least;
+        let module = decision_budget(rule(), routers).min_retries;
         let mut resumes = ResumeBudget::new(rule());
         resumes.update(rule(), routers);
         let taken = (0..1_000)
--- a/fleet/src/router/handlers/dispatch.rs
+++ b/fleet/src/router/handlers/dispatch.rs
@@ -37,7 +37,7 @@
                         self.start_attempt(service, server, &dispatch);
                     }
                 }
-                Command::Withdraw(number) | Command::Recall(number) => {
+                Command::Cancel(number) | Command::Recall(number) => {
                     self.connections
                         .withdraw(&mut self.net, AttemptId { service, number });
                 }
@@ -68,7 +68,7 @@
         server: ServerId,
         dispatch: &Dispatch<RequestId>,
     ) {
-        let times_out_at = self.net.clock.now().plus(dispatch.wait);
+        let times_out_at = self.net.clock.now().plus(dispatch.timeout);
         let id = AttemptId {
             service,
             number: dispatch.attempt,
--- a/fleet/src/router/request_classes.rs
+++ b/fleet/src/router/request_classes.rs
@@ -92,7 +92,7 @@
     Class {
         latency_target: terms.target_latency,
         deadline: terms.timeout,
-        repeat: if terms.is_idempotent {
+        retry_safety: if terms.is_idempotent {
             RetrySafety::Safe
         } else {
             RetrySafety::Unsafe
--- a/fleet/src/router/servers.rs
+++ b/fleet/src/router/servers.rs
@@ -236,7 +236,7 @@
         cell,
         zone: instance.zone,
         mode,
-        started: None,
+        started_at: None,
     }
 }
 
--- a/fleet/src/router/service.rs
+++ b/fleet/src/router/service.rs
@@ -96,7 +96,7 @@
             .map(|server| server.server)
             .collect();
         let mut core = Core::new(seed, settings, Contracts::default(), capacity.max_bytes);
-        core.listed(ServerListUpdate::Complete(servers));
+        core.on_server_list(ServerListUpdate::Complete(servers));
         Service {
             name,
             core,
@@ -150,7 +150,7 @@
                 }
             }
         }
-        self.core.listed(ServerListUpdate::Changes(servers));
+        self.core.on_server_list(ServerListUpdate::Changes(servers));
     }
 
     /// Submits a request to the core; its class is to be released with [`Service::release`].
@@ -173,14 +173,14 @@
             deadline: route_request.deadline,
             key: 0,
             placement,
-            again: false,
+            is_retry: false,
             tenant: u32::MAX,
             team: None,
             parts: vec![(Shard(0), 1.0)],
             top: None,
             job: route_request.request_id,
         };
-        let query = self.core.take(now, request)?;
+        let query = self.core.submit(now, request)?;
         self.classes.acquire(index);
         self.queries.insert(query, route_request.request_id);
         self.resume_budget.on_request(now);
@@ -218,7 +218,7 @@
     /// An attempt has ended. Only its first end counts.
     pub(crate) fn on_attempt_ended(&mut self, now: Time, number: u64, outcome: Outcome) {
         let value = (outcome == Outcome::Ok).then(Value::default);
-        self.core.ended(now, number, outcome, value);
+        self.core.on_attempt_ended(now, number, outcome, value);
     }
 
     /// A server has reported its load.
@@ -327,8 +327,8 @@
             attempts: MAX_ATTEMPTS,
             // A request and its only part.
             max_held: capacity.max_requests.saturating_mul(2),
-            cancel: true,
-            probe: false,
+            may_cancel: true,
+            may_probe: false,
             second_copies: true,
             retry_after: Some(MAX_RETRY_AFTER_US),
             budget: Some(budget),
--- a/fleet/src/router/service/tests.rs
+++ b/fleet/src/router/service/tests.rs
@@ -19,7 +19,7 @@
             cell: id,
             zone: 0,
             mode: ServerMode::Ready,
-            started: None,
+            started_at: None,
         };
         let capacity = Capacity {
             max_requests: 100,
--- a/interface/src/lib.rs
+++ b/interface/src/lib.rs
@@ -1,10 +1,10 @@
-//! What the decision module is told and what it may ask for: settings, events and actions.
+//! Input and output types of the decision module: settings, events and actions.
 //!
-//! The words are those of the field: a *query* is split into *parts*, one for each *shard*; any
-//! *replica* of a shard can answer a part; each send of a part is an *attempt* with one *outcome*.
+//! A *query* is split into *parts*, one for each *shard*. Any *replica* of a shard can answer a
+//! part. Each send of a part is an *attempt* with one *outcome*.
 //!
-//! It owns these types and their defaults, and promises that they hold no state that changes by
-//! itself. It touches nothing else: the module, the core and every package of `decide` may use it.
+//! The package holds only these types and their defaults, without state that changes by itself. It
+//! depends on no other package: the module, the core and every package of `decide` may use it.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -12,181 +12,181 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Time(pub u64);
 
-/// A length of time in microseconds.
+/// A duration in microseconds.
 pub type Micros = u64;
 
 impl Time {
-    /// This point moved `by` microseconds into the future.
+    /// Returns the point `by` microseconds later, saturating at the maximum.
     #[must_use]
     pub fn plus(self, by: Micros) -> Time {
         Time(self.0.saturating_add(by))
     }
-    /// This point moved `by` microseconds into the past, not beyond the clock's zero.
+    /// Returns the point `by` microseconds earlier, saturating at zero.
     #[must_use]
     pub fn minus(self, by: Micros) -> Time {
         Time(self.0.saturating_sub(by))
     }
-    /// Microseconds from `earlier` to this point; zero if `earlier` is not earlier.
+    /// Returns the microseconds from `earlier` to this point, or 0 if `earlier` is later.
     #[must_use]
     pub fn since(self, earlier: Time) -> Micros {
         self.0.saturating_sub(earlier.0)
     }
 }
 
-/// Names a query.
+/// Identifier of a query, unique within an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct QueryId(pub u64);
 
-/// Names a part of a query.
+/// Identifier of a part, unique over all queries of an instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PartId(pub u64);
 
-/// Names a server. Says nothing of its place, kind or age.
+/// Identifier of a server. It does not encode the server's location, kind or age.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub u32);
 
-/// Number of a shard.
+/// Number of a shard, counted from 0 and below [`Layout::shards`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Shard(pub u32);
 
-/// What repeating a part of a class can do.
+/// Effect of sending a part again after an attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetrySafety {
-    /// Harmless.
+    /// A repeat has no further effect.
     Safe,
-    /// Dropped by the holders of the shard, within the window (from the first attempt that may have
-    /// run).
+    /// The replicas drop a repeat within this window, which starts at the first attempt that may
+    /// have run.
     Keyed(Micros),
-    /// Has its effect again.
+    /// A repeat has its effect a second time.
     Unsafe,
 }
 
-/// Share of the aim that the first of two steps may take where nothing else is set.
+/// Default share of the latency target that the first of two steps may take.
 pub const FIRST_SHARE: f64 = 0.6;
 
-/// One class of queries.
+/// Class of queries that share a latency target, a value and a rule on retries.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// An answer within this time earns the full worth.
+    /// Time within which an answer earns the full value.
     pub latency_target: Micros,
-    /// How long a client waits, all its tries together.
+    /// Time that a client waits over all its tries.
     pub deadline: Micros,
-    /// Whether a part may be sent again.
-    pub repeat: RetrySafety,
-    /// Worth of a whole answer in time.
+    /// Effect of sending a part again, which decides whether it may be retried or copied.
+    pub retry_safety: RetrySafety,
+    /// Value of a complete answer within the latency target.
     pub value: f64,
-    /// Share of the worth that is left after the aim.
+    /// Share of the value that an answer after the latency target still earns (0 to 1).
     pub late_share: f64,
-    /// Weight of parts that makes an answer whole.
+    /// Weight of answered parts that makes an answer complete (0 to 1).
     pub need: f64,
-    /// Least weight of parts that may be answered.
+    /// Minimum weight of answered parts for a partial answer (0 to 1).
     pub floor: f64,
-    /// An answer that is not whole earns this times its share of the need.
+    /// Factor on the value of a partial answer, beside its share of [`Class::need`].
     pub partial: f64,
-    /// Parts of the second step; 0 where there is none.
+    /// Number of parts of the second step; 0 for classes of one step.
     pub second_step: u32,
-    /// Share of the aim that the first of two steps may take (0 to 1).
+    /// Share of the latency target that the first of two steps may take (0 to 1).
     pub first_share: f64,
-    /// Attempts for one part; `None`: as [`Limits::attempts`] says.
+    /// Maximum attempts of one part; `None` selects [`Limits::attempts`].
     pub attempts: Option<u32>,
 }
 
-/// Limit on attempts beyond each part's first.
+/// Retry budget: limit on attempts beyond the first of each part.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
-    /// Window over which both sides are counted.
+    /// Sliding window over which retries and admitted requests are counted.
     pub window: Micros,
-    /// Allowed however little traffic there is.
-    pub least: f64,
-    /// Allowed for each query or part taken.
+    /// Retries allowed within the window regardless of traffic.
+    pub min_retries: f64,
+    /// Retries allowed for each query or part that is admitted within the window.
     pub share: f64,
 }
 
-/// What this instance may do and how much.
+/// Permissions and limits of an instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Attempts for one part of a class that names none of its own.
+    /// Maximum attempts of one part, unless [`Class::attempts`] is set.
     pub attempts: u32,
-    /// Queries and parts held at once; beyond it queries are turned away unseen.
+    /// Maximum queries and parts held at once; further queries are refused at intake.
     pub max_held: u32,
-    /// Whether an attempt may be cancelled.
-    pub cancel: bool,
-    /// Whether servers may be probed.
-    pub probe: bool,
-    /// Whether two attempts of a part may be out at once.
+    /// Whether an attempt in flight may be cancelled.
+    pub may_cancel: bool,
+    /// Whether servers may be probed; the module sends no probes.
+    pub may_probe: bool,
+    /// Whether two attempts of a part may be in flight at once.
     pub second_copies: bool,
-    /// Longest retry-after advice that clients heed; `None` where advice is not passed on.
+    /// Maximum retry-after advice that clients follow; `None` if advice is not passed on.
     pub retry_after: Option<Micros>,
-    /// Budget for further attempts, where one is set.
+    /// Retry budget; `None` leaves retries limited by [`Limits::attempts`] alone.
     pub budget: Option<Budget>,
 }
 
-/// How a newly started server has to be treated.
+/// Capacity of a newly started server while it warms up.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStart {
-    /// Share of its capacity that it has at least at its start.
+    /// Minimum share of its capacity that a server has at its start (0 to 1).
     pub share: f64,
-    /// It is warm after this time at the latest.
+    /// Time after the start by which a server has its full capacity.
     pub warm_after: Micros,
-    /// It falls over when sent more than this multiple of what it can do ...
+    /// Multiple of its current capacity above which load makes a server fail ...
     pub fall_multiple: f64,
-    /// ... for this long.
+    /// ... if the load lasts this long.
     pub fall_after: Micros,
 }
 
-/// How the list of servers is learnt.
+/// Source of changes to the list of servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// Changes come unasked.
+    /// Changes are pushed without a request.
     Push,
-    /// Changes come only after a subscription; one without it must ask this often.
+    /// Changes arrive only after a subscription. An instance without one asks at this interval.
     Ask(Micros),
 }
 
-/// How shards are spread over cells of servers.
+/// Assignment of shards to cells of servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Layout {
     /// Number of cells. Shard `s` is held by the cells `(s + j) mod cells`, for `j` below `width`.
     pub cells: u32,
-    /// Consecutive cells that hold a shard.
+    /// Number of consecutive cells that hold a shard.
     pub width: u32,
-    /// Number of shards, which are numbered from 0.
+    /// Number of shards; valid shard numbers are below it.
     pub shards: u32,
-    /// Parts that can share one call to a server.
+    /// Maximum parts in one call to a server.
     pub parts_a_call: u32,
 }
 
-/// All that an instance is told at its start.
+/// Configuration that an instance receives at its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Classes of queries, by index.
+    /// Classes of queries; a query refers to its class by index.
     pub classes: Vec<Class>,
-    /// Permissions and limits.
+    /// Permissions and limits of this instance.
     pub limits: Limits,
-    /// Shards and cells.
+    /// Assignment of shards to cells.
     pub layout: Layout,
-    /// Source of the list.
+    /// Source of the server list.
     pub discovery: Discovery,
-    /// Newly started servers.
-    pub cold: SlowStart,
-    /// Zone of this instance.
+    /// Capacity of newly started servers.
+    pub slow_start: SlowStart,
+    /// Zone of this instance; servers of the same zone are preferred among equals.
     pub zone: u32,
-    /// Shortest time between two turns.
+    /// Minimum time between two turns.
     pub resolution: Micros,
-    /// Whether clients mark their further tries.
+    /// Whether clients mark retries, see [`Event::Query`].
     pub marks_retry: bool,
-    /// Whether worth is counted for each unit of work, not for each query.
+    /// Whether a class's value is already given per unit of work rather than per query.
     pub worth_by_work: bool,
-    /// Number of instances that serve the same servers, this one included.
+    /// Number of instances that send to the same servers, including this one.
     pub instances: u32,
-    /// What each tenant may ask of all instances together, queries a second; empty: there are none.
+    /// Quota of each tenant over all instances (queries per second); empty without tenants.
     pub quotas: Vec<f64>,
-    /// Worth of what a tenant asks beyond that, as a share of its class's worth.
+    /// Share of its class's value that a query beyond its tenant's quota has (0 to 1).
     pub over_quota: f64,
 }
 
 impl Settings {
-    /// Attempts for one part of this class.
+    /// Returns the maximum attempts of one part of this class.
     #[must_use]
     pub fn attempts_of(&self, class: usize) -> u32 {
         self.classes
@@ -196,13 +196,13 @@
     }
 }
 
-/// One class that is never repeated, one cell, no permissions: what is safe where nothing is known.
+/// Safe defaults when nothing is configured: one class without retries, one cell, no permissions.
 impl Default for Settings {
     fn default() -> Self {
         let class = Class {
             latency_target: 1_000_000,
             deadline: 3_000_000,
-            repeat: RetrySafety::Unsafe,
+            retry_safety: RetrySafety::Unsafe,
             value: 1.0,
             late_share: 0.0,
             need: 1.0,
@@ -217,8 +217,8 @@
             limits: Limits {
                 attempts: 1,
                 max_held: 1_000,
-                cancel: false,
-                probe: false,
+                may_cancel: false,
+                may_probe: false,
                 second_copies: false,
                 retry_after: None,
                 budget: None,
@@ -230,7 +230,7 @@
                 parts_a_call: 1,
             },
             discovery: Discovery::Push,
-            cold: SlowStart {
+            slow_start: SlowStart {
                 share: 0.1,
                 warm_after: 30_000_000,
                 fall_multiple: 1.0,
@@ -247,88 +247,88 @@
     }
 }
 
-/// Parts of what is allowed to one broker.
+/// Shares of a broker's limits that one of its processes has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessShares {
-    /// What is held, as connections and memory, is cut into so many.
-    pub held: u32,
-    /// What may be done, as sends to cold servers and further attempts, is cut into so many;
-    /// `None`: nothing of it is this process's.
-    pub done: Option<u32>,
+    /// Divisor of limits on held resources (connections, memory, held queries).
+    pub capacity_divisor: u32,
+    /// Divisor of limits on rates (sends to servers in slow start, retries). `None` if this process
+    /// is about to end and has no share of them.
+    pub rate_divisor: Option<u32>,
 }
 
-/// Those of a process that runs alone.
+/// Shares of a process that is the broker's only one.
 pub const SINGLE_PROCESS: ProcessShares = ProcessShares {
-    held: 1,
-    done: Some(1),
+    capacity_divisor: 1,
+    rate_divisor: Some(1),
 };
 
-/// State of a server as the list has it.
+/// State of a server according to the server list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServerMode {
-    /// Takes work.
+    /// The server accepts new work.
     #[default]
     Ready,
-    /// Takes work for a moment yet, before it is taken out: it is sent only what no other holder
-    /// takes well.
+    /// The server accepts work but will be removed soon. It is chosen only if no healthy replica
+    /// can take the part.
     Leaving,
-    /// Ends its work; nothing new may be sent.
+    /// The server finishes its work in flight; nothing new may be sent.
     Draining,
-    /// Is no longer there.
+    /// The server has been removed.
     Gone,
 }
 
-/// One line of the list of servers.
+/// Entry of the list of servers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ListedServer {
-    /// The server.
+    /// Identifier of the server.
     pub server: ServerId,
-    /// Its cell, which says what shards it holds.
+    /// Cell of the server, which determines the shards that it holds, see [`Layout`].
     pub cell: u32,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: u32,
-    /// Its state.
+    /// State of the server, from the source of the list.
     pub mode: ServerMode,
-    /// Its last start; `None`: long ago.
-    pub started: Option<Time>,
+    /// Time of its last start; `None` if it is not known to have started recently.
+    pub started_at: Option<Time>,
 }
 
-/// News of the list of servers.
+/// Update of the list of servers.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServerListUpdate {
-    /// Changed lines only.
+    /// Changed entries only.
     Changes(Vec<ListedServer>),
-    /// The whole list: what is absent is gone.
+    /// The complete list: servers that are absent from it are gone.
     Complete(Vec<ListedServer>),
-    /// The whole list as this instance last held it before its start, possibly old.
+    /// The complete list as saved before this instance started, possibly outdated.
     Cached(Vec<ListedServer>),
-    /// Asking failed or the subscription broke; nothing is known anew.
+    /// The request failed or the subscription broke; the known list stays in use.
     Failed,
 }
 
 /// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Answered.
+    /// The server answered.
     Ok,
     /// The server returned an error.
     Error,
-    /// Turned away unseen; it never ran.
+    /// The server rejected it before running it.
     Rejected,
-    /// No answer within the attempt's time.
+    /// The timeout of the attempt expired without an answer.
     Timeout,
-    /// No connection in time; it never ran.
+    /// No connection was established in time; it never ran.
     ConnectFailed,
-    /// The connection broke.
+    /// The connection broke before the answer was complete.
     Reset,
-    /// Withdrawn by this instance.
+    /// This instance cancelled it.
     Cancelled,
-    /// Never sent; it never ran.
+    /// It was dropped before it was sent; it never ran.
     NeverSent,
 }
 
 impl Outcome {
-    /// Whether the attempt is known not to have run.
+    /// Returns whether the attempt is known not to have run.
     #[must_use]
     pub fn never_ran(self) -> bool {
         matches!(
@@ -338,160 +338,159 @@
     }
 }
 
-/// Which of several servers that are equal otherwise a query goes to.
+/// Preferences of a query among servers that are equal otherwise.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Placement {
-    /// Names the beginning that the query shares with others, which servers keep once they have
-    /// read it. Queries with the same one go to the same server. 0: it shares nothing.
+    /// Hash of a prompt prefix shared with other queries, which servers cache. Queries of the same
+    /// prefix go to the same server. 0: no shared prefix.
     pub prefix: u64,
-    /// So much backlog makes one level; servers of the lowest level come first. 0: levels are not
-    /// told apart.
+    /// Width of a backlog level, in the unit of [`Load::backlog`]. Servers of the lowest level are
+    /// preferred. 0: backlog is ignored.
     pub backlog_step: u32,
 }
 
-/// What loads a server beside the parts that an instance has out there.
+/// Load of a server other than this instance's parts in flight there.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Streams that run on there whose parts count as answered: they count as pending.
+    /// Streams still running whose parts count as answered. Each counts as a pending call.
     pub streams: u32,
-    /// Work that waits there for all instances, as far as that is known; it decides among servers
-    /// that are equal otherwise.
+    /// Work queued at the server by all instances, as far as known. It decides among servers that
+    /// are equal otherwise, see [`Placement::backlog_step`].
     pub backlog: u32,
 }
 
-/// What an instance is told.
+/// Input of the decision module.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A query was handed over; its parts follow in the same turn.
+    /// A query has arrived; its parts follow in the same turn.
     Query {
-        /// The query.
+        /// Identifier of the query.
         query: QueryId,
-        /// Number that its parts carry.
+        /// Number by which its parts refer to it.
         number: u32,
-        /// Index of its class.
+        /// Index of its class in [`Settings::classes`].
         class: u16,
-        /// When the client gives up this try.
+        /// Time at which the client abandons this try.
         deadline: Time,
-        /// What the query is about; queries with the same key need the same shards. 0: not known.
+        /// Key of the queried data; queries with the same key need the same shards. 0: unknown.
         key: u64,
-        /// Marked by the client as a further try.
-        again: bool,
-        /// Index of the tenant that asks; without meaning where there are none.
+        /// Whether the client marked the query as a retry.
+        is_retry: bool,
+        /// Index of the tenant in [`Settings::quotas`]; ignored if it is out of range.
         tenant: u32,
     },
-    /// Which of several equal servers a query that was handed over in this turn goes to. Comes
-    /// before its parts.
+    /// Preferences among equal servers for a query of this turn. Precedes the parts of the query.
     Placement {
-        /// Number of the query.
+        /// Number of the query, from [`Event::Query`].
         number: u32,
-        /// What decides.
+        /// Preferences that apply to all parts of the query.
         placement: Placement,
     },
-    /// A part of a query held, of its first or second step.
+    /// A part of a held query, of its first or second step.
     Part {
-        /// The part.
+        /// Identifier of the part.
         part: PartId,
-        /// Number of its query.
+        /// Number of its query, from [`Event::Query`].
         number: u32,
-        /// Its shard.
+        /// Shard that the part reads.
         shard: Shard,
-        /// Its weight; those of a step sum to 1.
+        /// Weight of the part; the weights of a step sum to 1.
         weight: f64,
     },
-    /// The client of a query has left.
+    /// The client of a query has disconnected.
     Hangup(QueryId),
-    /// The first step of a query is to be answered from what is in, if that is enough.
+    /// The first step of a query ends now if the answered parts suffice for a partial answer.
     Close(QueryId),
-    /// A query is to get its final answer now, without one.
+    /// A query ends now, refused or failed.
     GiveUp(QueryId),
-    /// A part was proved to be unneeded: it counts as answered.
+    /// A part was proved unneeded for the answer; it counts as answered.
     Unneeded(PartId),
     /// An attempt has ended.
     Finished {
-        /// The part.
+        /// Part that the attempt belongs to.
         part: PartId,
-        /// Which of the part's attempts, from 0.
+        /// Index of the attempt among those of the part, from 0.
         attempt: u16,
-        /// The server that it had been sent to.
+        /// Server that the attempt was sent to.
         server: ServerId,
-        /// How it ended.
+        /// Result of the attempt.
         outcome: Outcome,
         /// Time since the send.
         elapsed: Micros,
     },
     /// A probe has ended.
     Probed {
-        /// The server.
+        /// Server that was probed.
         server: ServerId,
-        /// How it ended.
+        /// Result of the probe.
         outcome: Outcome,
-        /// Time since the probe.
+        /// Time since the probe was sent.
         elapsed: Micros,
     },
-    /// News of the list of servers.
+    /// The list of servers has changed.
     List(ServerListUpdate),
-    /// The classes from now on, by index. There are never fewer than before: one that differs from
-    /// what was in its place is another class, of which nothing is known yet.
+    /// Replaces the classes. There are never fewer than before. A class that differs from the one
+    /// previously at its index is a new class without statistics.
     Classes(Vec<Class>),
-    /// The budget for further attempts from now on.
+    /// Replaces the retry budget.
     Budget(Option<Budget>),
-    /// What loads a server beside the parts that this instance has out there.
+    /// Replaces the load of a server other than this instance's parts in flight there.
     Load {
-        /// The server.
+        /// Server that the load applies to.
         server: ServerId,
-        /// All of it, as it is now.
+        /// Current total; it replaces the previous one.
         load: Load,
     },
-    /// What is allowed to this instance is shared alike by so many of its processes from now on,
-    /// this one included; `None`: by others alone, as this one is about to end.
+    /// Number of processes that share this instance's limits equally, including this one. `None` if
+    /// this process is about to end and has no share.
     Processes(Option<u32>),
-    /// A wake-up asked for is due.
+    /// A wake-up requested by [`Action::Wake`] is due.
     Wake,
 }
 
-/// What an instance asks for.
+/// Output of the decision module, carried out by the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send a part to a server (a new attempt).
+    /// Sends a part to a server as a new attempt.
     Send {
-        /// The part.
+        /// Part to send.
         part: PartId,
-        /// The server.
+        /// Server to send it to.
         server: ServerId,
-        /// The attempt ends as a time-out after this long.
+        /// Time after which the attempt ends with [`Outcome::Timeout`].
         timeout: Micros,
     },
-    /// Final answer, or the first of a two-step query, from the parts that are in.
+    /// Answers a query, or the first step of a two-step query, from the answered parts.
     Answer {
-        /// The query.
+        /// Query to answer.
         query: QueryId,
-        /// Whether it is whole.
+        /// Whether the answer is complete, see [`Class::need`].
         whole: bool,
     },
-    /// Final answer: turned away, asking again is harmless.
+    /// Refuses a query; a retry by the client is harmless.
     Refuse {
-        /// The query.
+        /// Query to refuse.
         query: QueryId,
-        /// The client should stay away this long; 0: no advice.
+        /// Time that the client should wait before a retry; 0: no advice.
         retry_after: Micros,
     },
-    /// Final answer: given up, with no promise about its effect.
+    /// Fails a query; its parts may or may not have taken effect.
     Fail(QueryId),
-    /// Withdraw one attempt.
+    /// Cancels one attempt in flight.
     Cancel {
-        /// The part.
+        /// Part that the attempt belongs to.
         part: PartId,
-        /// Which of its attempts.
+        /// Index of the attempt among those of the part, from 0.
         attempt: u16,
     },
-    /// Probe a server.
+    /// Probes a server.
     Probe(ServerId),
-    /// Close this instance's idle connections to a server: the next send opens a new one.
+    /// Closes this instance's idle connections to a server, so that the next send opens a new one.
     CloseIdle(ServerId),
-    /// Subscribe to changes of the list.
+    /// Subscribes to changes of the server list.
     Subscribe,
-    /// Wake this instance after so long.
+    /// Requests an [`Event::Wake`] after this time.
     Wake(Micros),
-    /// A line for the operators.
+    /// Writes a line to the operator's log.
     Log(String),
 }
--- a/policy/src/completion.rs
+++ b/policy/src/completion.rs
@@ -67,11 +67,11 @@
     /// Whether the rules allow another attempt of a part now.
     pub(super) fn may_send(&self, q: &Query, p: &Part, copy: bool) -> bool {
         let copies =
-            self.settings.limits.second_copies && self.class(q).repeat == RetrySafety::Safe;
+            self.settings.limits.second_copies && self.class(q).retry_safety == RetrySafety::Safe;
         if p.attempts_made() >= self.settings.attempts_of(q.class) as usize || copy && !copies {
             return false;
         }
-        match self.class(q).repeat {
+        match self.class(q).retry_safety {
             RetrySafety::Safe => true,
             RetrySafety::Unsafe => p.attempts.iter().all(|t| t.state == AttemptState::NeverRan),
             RetrySafety::Keyed(window) => {
@@ -247,7 +247,7 @@
             .parts
             .iter()
             .all(|p| p.attempts.iter().all(|t| t.state == AttemptState::NeverRan));
-        if untouched || self.class(q).repeat != RetrySafety::Unsafe {
+        if untouched || self.class(q).retry_safety != RetrySafety::Unsafe {
             let half = self.settings.limits.retry_after.unwrap_or(0) / 2;
             actions.push(Action::Refuse {
                 query: id,
@@ -271,7 +271,7 @@
         let query = self
             .queries
             .get(&id)
-            .filter(|_| self.settings.limits.cancel);
+            .filter(|_| self.settings.limits.may_cancel);
         for p in query
             .into_iter()
             .flat_map(|q| &q.parts)
--- a/policy/src/intake.rs
+++ b/policy/src/intake.rs
@@ -43,7 +43,7 @@
                 class,
                 deadline,
                 key,
-                again,
+                is_retry: again,
                 tenant,
             } => self.on_query(&Arrival {
                 query,
--- a/policy/src/outcomes.rs
+++ b/policy/src/outcomes.rs
@@ -142,7 +142,7 @@
 
     /// Cancels the attempts of a part that are still in flight, where attempts may be cancelled.
     fn cancel_attempts(&self, id: QueryId, index: usize, actions: &mut Vec<Action>) {
-        if !self.settings.limits.cancel {
+        if !self.settings.limits.may_cancel {
             return;
         }
         let part = self.queries.get(&id).map(|query| &query.parts[index]);
--- a/policy/src/selection.rs
+++ b/policy/src/selection.rs
@@ -36,7 +36,7 @@
     /// How many of the ready servers are avoided by choice: passed over for queries of some class,
     /// and sent nothing for a while.
     #[must_use]
-    pub fn avoided(&self) -> usize {
+    pub fn avoided_servers(&self) -> usize {
         let is_unused =
             |s: &Server| s.pending() == 0.0 && self.now.since(s.last_used_at) > AVOIDED_AFTER;
         let classes = 0..self.settings.classes.len();
@@ -192,7 +192,7 @@
         let timeout = self.end_of(q).since(now).max(1);
         let copy_after = self.copy_after(q);
         let needs_new_connection = q.sends_one_part_ahead
-            || self.class(q).repeat == RetrySafety::Unsafe
+            || self.class(q).retry_safety == RetrySafety::Unsafe
             || self.are_idle_connections_dropped();
         let tokens = self.slow_start_allowance(s).map_or(0.0, |a| a.tokens);
         let joins = self.joins_open_call(s);
@@ -373,7 +373,7 @@
                 part: oldest.part,
                 attempt,
             };
-            actions.extend(self.settings.limits.cancel.then_some(cancel));
+            actions.extend(self.settings.limits.may_cancel.then_some(cancel));
             return false;
         }
         self.copy_tokens -= f64::from(u8::from(has_budget));
@@ -384,13 +384,14 @@
     pub(super) fn budget_allows(&mut self) -> bool {
         let free = Budget {
             window: 0,
-            least: f64::INFINITY,
+            min_retries: f64::INFINITY,
             share: 0.0,
         };
         let budget = self.settings.limits.budget.unwrap_or(free);
         let retries = self.retries.count(self.now, budget.window, true) + 1;
         let admitted = self.admitted.count(self.now, budget.window, false);
-        retries as f64 <= budget.least / f64::from(self.processes) + budget.share * admitted as f64
+        retries as f64
+            <= budget.min_retries / f64::from(self.processes) + budget.share * admitted as f64
     }
 }
 
--- a/policy/src/server_list.rs
+++ b/policy/src/server_list.rs
@@ -68,9 +68,9 @@
         let (now, first) = (self.now, self.rng.0.f64() + known);
         let s = self.servers.entry(line.server).or_default();
         (s.cell, s.zone, s.mode) = (line.cell, line.zone, line.mode);
-        if let Some(started) = line.started {
+        if let Some(started) = line.started_at {
             let newer = s.slow_start_from.is_none_or(|from| from < started);
-            if newer && now.since(started) < self.settings.cold.warm_after {
+            if newer && now.since(started) < self.settings.slow_start.warm_after {
                 (s.slow_start_from, s.slow_start_tokens, s.tokens_at) = (Some(started), first, now);
             }
         }
@@ -82,7 +82,7 @@
     /// whether the server is open, by its share over what its shards may ask for. Harm: a shard whose
     /// replicas are all in slow start waits.
     pub(super) fn slow_start_allowance(&self, s: &Server) -> Option<Allowance> {
-        let (started, cold, now) = (s.slow_start_from?, &self.settings.cold, self.now);
+        let (started, cold, now) = (s.slow_start_from?, &self.settings.slow_start, self.now);
         let age = now.since(started) as f64 / cold.warm_after.max(1) as f64;
         let allowed =
             (age < 1.0).then_some(cold.share + (1.0 - cold.share) * age)? * cold.fall_multiple;
--- a/policy/tests/streams.rs
+++ b/policy/tests/streams.rs
@@ -13,7 +13,7 @@
     Class {
         latency_target: LATENCY_TARGET,
         deadline: 10 * LATENCY_TARGET,
-        repeat,
+        retry_safety: repeat,
         late_share: 1.0,
         ..Settings::default().classes[0].clone()
     }
@@ -25,7 +25,7 @@
         classes,
         limits: Limits {
             attempts: 3,
-            cancel: true,
+            may_cancel: true,
             second_copies: true,
             ..plain.limits
         },
@@ -59,7 +59,7 @@
             cell: 0,
             zone: 0,
             mode: ServerMode::Ready,
-            started: None,
+            started_at: None,
         };
         stage.turn(vec![Event::List(ServerListUpdate::Complete(
             (1..=servers).map(line).collect(),
@@ -106,7 +106,7 @@
             class,
             deadline,
             key,
-            again,
+            is_retry: again,
             tenant,
         }];
         let placed = placement != Placement::default();
@@ -213,7 +213,7 @@
         cell: 0,
         zone: 0,
         mode: ServerMode::Gone,
-        started: None,
+        started_at: None,
     };
     other.turn(vec![Event::List(ServerListUpdate::Changes(vec![gone]))]);
     assert_eq!(other.query_with(0, Some(77)).1, Some(ServerId(order[1])));
@@ -375,7 +375,7 @@
         cell: 0,
         zone: 0,
         mode,
-        started: None,
+        started_at: None,
     };
     let list_change = |mode| Event::List(ServerListUpdate::Changes(vec![line(mode)]));
     stage.turn(vec![running(1, 5), list_change(ServerMode::Gone)]);
@@ -388,7 +388,7 @@
 fn the_budget_is_replaced_while_it_runs() {
     let none = Budget {
         window: 1_000 * MS,
-        least: 0.0,
+        min_retries: 0.0,
         share: 0.0,
     };
     let mut stage_settings = settings(vec![class(RetrySafety::Safe)]);
@@ -405,7 +405,7 @@
     };
     assert!(!again(None), "nothing is allowed");
     assert!(again(Some(Event::Budget(Some(Budget {
-        least: 1.0,
+        min_retries: 1.0,
         ..none
     })))));
     assert!(!again(None), "the one of this window is spent");
@@ -495,7 +495,7 @@
 fn query_waiting_only_for_the_retry_budget_ends_at_once() {
     let none = Budget {
         window: 1_000 * MS,
-        least: 0.0,
+        min_retries: 0.0,
         share: 0.0,
     };
     for (outcome, repeat) in [
@@ -534,7 +534,7 @@
 fn part_withheld_by_the_budget_ends_its_query_when_nothing_is_in_flight() {
     let none = Budget {
         window: 1_000 * MS,
-        least: 0.0,
+        min_retries: 0.0,
         share: 0.0,
     };
     let partial = Class {
@@ -552,7 +552,7 @@
         class: 0,
         deadline,
         key: 0,
-        again: false,
+        is_retry: false,
         tenant: u32::MAX,
     };
     let part = |id| Event::Part {
--- a/src/bin/lichenswitch-simulator-adapter/codec.rs
+++ b/src/bin/lichenswitch-simulator-adapter/codec.rs
@@ -175,7 +175,7 @@
         cell: u32::from(cell),
         zone: u32::from(f.u8()),
         mode,
-        started: (since > 0).then_some(Time(since)),
+        started_at: (since > 0).then_some(Time(since)),
     })
 }
 
@@ -276,7 +276,7 @@
             class,
             deadline,
             key,
-            again: options & RETRY_OPTION != 0,
+            is_retry: options & RETRY_OPTION != 0,
             tenant,
         });
     }
--- a/src/bin/lichenswitch-simulator-adapter/tests.rs
+++ b/src/bin/lichenswitch-simulator-adapter/tests.rs
@@ -116,7 +116,7 @@
         cell: 1,
         zone: 1,
         mode: ServerMode::Draining,
-        started: Some(Time(9)),
+        started_at: Some(Time(9)),
     };
     let event = |event| Record::Event { instance: 2, event };
     let outcome = Outcome::Reset;
@@ -136,7 +136,7 @@
             class: 0,
             deadline: Time(777),
             key: 99,
-            again: false,
+            is_retry: false,
             tenant: 3,
         }),
         event(Event::Part {
@@ -174,7 +174,7 @@
         matches!(
             read[..],
             [Record::Event {
-                event: Event::Query { again: true, .. },
+                event: Event::Query { is_retry: true, .. },
                 ..
             }]
         ),
@@ -316,11 +316,11 @@
 #[test]
 fn settings_keep_what_is_needed_and_skip_unknown_keys() {
     let read = settings::parse(facts(CLASSES).as_bytes()).unwrap();
-    assert_eq!(read.classes[0].repeat, RetrySafety::Safe);
+    assert_eq!(read.classes[0].retry_safety, RetrySafety::Safe);
     assert_eq!(read.limits.budget.unwrap().window, 10_000_000);
     assert_eq!((read.zone, read.instances, read.layout.cells), (1, 3, 2));
     let keyed = settings::parse(facts(&CLASSES.replace("retryable", "dedup")).as_bytes()).unwrap();
-    assert_eq!(keyed.classes[0].repeat, RetrySafety::Keyed(1));
+    assert_eq!(keyed.classes[0].retry_safety, RetrySafety::Keyed(1));
     assert!(settings::parse(facts(&CLASSES.replace("retryable", "maybe")).as_bytes()).is_err());
     assert!(settings::parse(facts("[]").as_bytes()).is_err());
     assert!(settings::parse(
@@ -338,7 +338,10 @@
         "classPartial": [0], "minShare": [1], "needByClass": [1]}}"#;
     let read = settings::parse(bare.as_bytes()).unwrap();
     let sound = lichenswitch::interface::Settings::default();
-    assert_eq!((&read.limits, read.cold), (&sound.limits, sound.cold));
+    assert_eq!(
+        (&read.limits, read.slow_start),
+        (&sound.limits, sound.slow_start)
+    );
     for (good, bad) in [
         ("\"coldShare\": 0.25", "\"coldShare\": -0.25"),
         ("\"fallMultiple\": 2.5", "\"fallMultiple\": -1"),
--- a/src/broker/operators.rs
+++ b/src/broker/operators.rs
@@ -20,17 +20,19 @@
         let shares = processes::shares(self.is_leaving, &management.orders().others);
         if std::mem::replace(&mut self.shares, shares) != shares {
             let done = shares
-                .done
+                .rate_divisor
                 .map_or("nothing".into(), |of| format!("1 of {of}"));
             log(&format!(
                 "this process has 1 of {} of what the broker holds, {done} of what it may do",
-                shares.held
+                shares.capacity_divisor
             ));
         }
-        self.net.share_with_processes(shares.held);
+        self.net.share_with_processes(shares.capacity_divisor);
         each_service!(self, |_net, service| {
-            service.core.share(shares);
-            service.sessions.share_with_processes(shares.held);
+            service.core.set_process_shares(shares);
+            service
+                .sessions
+                .share_with_processes(shares.capacity_divisor);
         });
     }
 
@@ -111,7 +113,7 @@
             service.core.on_written(class, attempts);
         }
         management.metrics().add(&service.core.take_counters());
-        let ejected = service.directory.overridden_count() + service.core.avoided();
+        let ejected = service.directory.overridden_count() + service.core.avoided_servers();
         management.metrics().set(
             service.core.held_queries(),
             service.directory.len(),
--- a/src/broker/startup.rs
+++ b/src/broker/startup.rs
@@ -40,7 +40,7 @@
             Contracts::default(),
             config.memory,
         );
-        core.plan_by(Planner::new(config.phases.rules), config.phases.explain);
+        core.set_planner(Planner::new(config.phases.rules), config.phases.explain);
         let known = config.known.unwrap_or_default();
         let generation = (!known.instances.is_empty()).then_some(known.generation);
         let known = ServerListUpdate::Cached(directory.replace_list(&known.instances));
@@ -69,9 +69,9 @@
             Contracts::new(config.contracts),
             config.memory,
         );
-        core.plan_by(Planner::new(config.phases.rules), config.phases.explain);
+        core.set_planner(Planner::new(config.phases.rules), config.phases.explain);
         let instances: Vec<Instance> = config.inventory.nodes.iter().map(instance).collect();
-        core.listed(ServerListUpdate::Complete(
+        core.on_server_list(ServerListUpdate::Complete(
             directory.replace_list(&instances),
         ));
         let pool = Pool::new(Features::default(), limits(config.connections));
@@ -149,7 +149,7 @@
     classes
         .map(|(name, class)| Class {
             name: name.clone(),
-            repeat: class.repeat,
+            repeat: class.retry_safety,
             deadline: class.deadline,
         })
         .collect()
--- a/src/broker/stopping.rs
+++ b/src/broker/stopping.rs
@@ -35,7 +35,7 @@
             let longest_wait = waits.max().unwrap_or_default().min(KILL_TIMEOUT);
             service
                 .core
-                .end_by(now.plus(longest_wait + ACCEPT_AFTER_STOP));
+                .set_end_time(now.plus(longest_wait + ACCEPT_AFTER_STOP));
             // Where another process serves this address the broker goes on, whoever asks which
             // process.
             if !is_served_elsewhere || service.owner != Owner::Platform {
--- a/src/config/ogc.rs
+++ b/src/config/ogc.rs
@@ -219,7 +219,7 @@
         let class = self.operators.class_index(&read.class, names)?;
         // Guards writes: a class whose parts must not be repeated at will records something, and a
         // read that was mapped to it would be taken for that.
-        if classes[class].repeat != RetrySafety::Safe {
+        if classes[class].retry_safety != RetrySafety::Safe {
             let reason = ValueError::WriteClass(read.class.value.clone());
             return Err(self.operators.invalid(&read.class, "class", reason));
         }
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -117,8 +117,8 @@
         Allowed {
             max_attempts: limits.attempts,
             most_held: limits.max_held,
-            may_cancel: limits.cancel,
-            may_probe: limits.probe,
+            may_cancel: limits.may_cancel,
+            may_probe: limits.may_probe,
             second_copies: limits.second_copies,
             retry_after: false,
             max_retry_after_us: 0,
@@ -174,7 +174,7 @@
 
 impl Default for Rules {
     fn default() -> Self {
-        let cold = Settings::default().cold;
+        let cold = Settings::default().slow_start;
         Rules {
             ask_every_us: 0,
             cold_share: cold.share,
@@ -235,7 +235,7 @@
         // Guards the rule on repeats: the window counts to when an attempt leaves, and what the
         // module sends may wait for a connection first.
         for class in &mut settings.classes {
-            if let RetrySafety::Keyed(window) = &mut class.repeat {
+            if let RetrySafety::Keyed(window) = &mut class.retry_safety {
                 *window = window.saturating_sub(allowed.connect_timeout_us + MAX_DESCRIPTOR_WAIT);
             }
         }
@@ -284,7 +284,7 @@
         limits,
         layout: layout(family),
         discovery: discovery(&facts.discovery, rules.ask_every_us)?,
-        cold: slow_start(rules)?,
+        slow_start: slow_start(rules)?,
         zone: facts.zone,
         resolution: facts.resolution_us,
         marks_retry: facts.clients.marks_retry,
@@ -299,8 +299,8 @@
     Limits {
         attempts: allowed.max_attempts,
         max_held: allowed.most_held,
-        cancel: allowed.may_cancel,
-        probe: allowed.may_probe,
+        may_cancel: allowed.may_cancel,
+        may_probe: allowed.may_probe,
         second_copies: allowed.second_copies,
         retry_after: allowed.retry_after.then_some(allowed.max_retry_after_us),
         budget,
@@ -334,7 +334,7 @@
     Ok(Class {
         latency_target: facts.objective_us,
         deadline: facts.deadline_us,
-        repeat,
+        retry_safety: repeat,
         value: number(facts.gain, "gain")?,
         late_share: number(facts.late_share, "lateShare")?,
         need: of_class(&family.need_by_class, "needByClass")?,
@@ -366,7 +366,7 @@
     let share = number(rules.further_ratio.unwrap_or(0.0), "furtherRatio")?;
     Ok(rules.budget_span_us.map(|window| Budget {
         window,
-        least,
+        min_retries: least,
         share,
     }))
 }
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -73,7 +73,7 @@
             r#""connectTimeoutUs":9"#,
             &format!(r#""connectTimeoutUs":{connect}"#),
         );
-        parse(&text).unwrap().settings.classes[0].repeat
+        parse(&text).unwrap().settings.classes[0].retry_safety
     };
     assert_eq!(keyed("250000", "2000000"), RetrySafety::Keyed(1_650_000));
     assert_eq!(
@@ -215,7 +215,7 @@
     let read = Ogc::load(&operators, None).unwrap().unwrap();
     let budget = read.settings.limits.budget.unwrap();
     assert_eq!(
-        (budget.window, budget.least, budget.share),
+        (budget.window, budget.min_retries, budget.share),
         (5_000_000, 3.0, 0.1)
     );
 }
--- a/src/discovery/directory.rs
+++ b/src/discovery/directory.rs
@@ -101,8 +101,8 @@
             };
         }
         match self.back.get(name) {
-            Some((out, back)) if line.started.is_none_or(|at| at < *out) => ListedServer {
-                started: Some(*back),
+            Some((out, back)) if line.started_at.is_none_or(|at| at < *out) => ListedServer {
+                started_at: Some(*back),
                 ..line
             },
             _ => line,
@@ -210,7 +210,7 @@
             cell,
             zone: self.zone_of(node),
             mode: mode_of(node.lifecycle),
-            started: (node.started_at_ms > 0)
+            started_at: (node.started_at_ms > 0)
                 .then_some(Time(node.started_at_ms.saturating_mul(1_000))),
         };
         if let Some(entry) = self.nodes.get_mut(&server) {
--- a/src/discovery/directory/tests.rs
+++ b/src/discovery/directory/tests.rs
@@ -15,7 +15,7 @@
         (first[0].cell, first[0].zone, first[0].mode),
         (3, 1, ServerMode::Ready)
     );
-    assert_eq!(first[0].started, Some(Time(5_000)));
+    assert_eq!(first[0].started_at, Some(Time(5_000)));
     assert_eq!(
         directory.address(first[0].server),
         Some("10.1.0.18:8080".parse().unwrap())
@@ -137,11 +137,11 @@
     assert_eq!(
         lines
             .iter()
-            .map(|l| (l.mode, l.started))
+            .map(|l| (l.mode, l.started_at))
             .collect::<Vec<_>>(),
         [(ServerMode::Ready, Some(Time(9_000_000)))]
     );
-    let mut started = |ms| directory.apply_changes(&[node(ms)])[0].started;
+    let mut started = |ms| directory.apply_changes(&[node(ms)])[0].started_at;
     assert_eq!(
         [started(4_999), started(7_000), started(11_000)],
         [9_000, 7_000, 11_000].map(|ms| Some(Time(ms * 1_000)))
--- a/src/front/ogc.rs
+++ b/src/front/ogc.rs
@@ -269,7 +269,7 @@
         deadline: now.plus(collection.wait),
         key: 0,
         placement: Placement::default(),
-        again: false,
+        is_retry: false,
         tenant: u32::MAX,
         team,
         parts: job
@@ -320,7 +320,7 @@
             Reply::Served {
                 whole,
                 values,
-                gaps,
+                missing_shards: gaps,
             } => format_reply(context, whole, &values, &gaps),
             Reply::Refused(after) => retry_later(503, "Refused", after),
             Reply::Failed => problem(504, "Given up", "the data nodes did not answer in time"),
--- a/src/front/ogc/response.rs
+++ b/src/front/ogc/response.rs
@@ -44,7 +44,7 @@
     let mut found: Vec<(SortKey, u32, usize, &RawValue)> = Vec::new();
     let mut all = true;
     for (shard, value) in values {
-        let (Some(list), Some(offer)) = (List::read(&value.bytes), &value.offer) else {
+        let (Some(list), Some(offer)) = (List::read(&value.bytes), &value.sorted) else {
             continue;
         };
         all &= offer.matched == Some(list.features.len() as u64);
--- a/src/front/platform/query.rs
+++ b/src/front/platform/query.rs
@@ -127,7 +127,7 @@
             deadline: now.plus(wait),
             key: affinity_key(request.header("cookie"), &body.segments),
             placement: Placement::default(),
-            again: request.header("req-retry") == Some("1"),
+            is_retry: request.header("req-retry") == Some("1"),
             tenant: tenant.map_or(u32::MAX, |index| index as u32),
             team: owner.map(str::to_string),
             parts: parts.map(|s| (Shard(s.segment), s.boost)).collect(),
--- a/src/front/platform/tests.rs
+++ b/src/front/platform/tests.rs
@@ -63,7 +63,7 @@
         panic!("not taken");
     };
     assert_eq!(
-        (taken.class, taken.deadline, taken.again),
+        (taken.class, taken.deadline, taken.is_retry),
         (1, Time(1_480_000), true)
     );
     assert_eq!(taken.parts, [(Shard(3), 0.5), (Shard(9), 0.5)]);
@@ -241,7 +241,7 @@
         Value {
             score: 1.0,
             bytes: b"5be2".to_vec(),
-            offer: None,
+            sorted: None,
         },
     )];
     let served = front().format_reply(
@@ -249,7 +249,7 @@
         Reply::Served {
             whole: false,
             values,
-            gaps: Vec::new(),
+            missing_shards: Vec::new(),
         },
     );
     assert_eq!(served.status, 200);
--- a/src/front/sessions.rs
+++ b/src/front/sessions.rs
@@ -155,7 +155,7 @@
         // connections: clients may hold a third of the descriptors for requests, and what is idle
         // beyond a quarter goes before that. Not while the broker stops: nobody new comes, and who
         // is here may have no other broker to go to.
-        let excess = if core.goes_on() {
+        let excess = if core.is_open_ended() {
             net.excess_client_connections()
         } else {
             0
--- a/src/front/sessions/requests.rs
+++ b/src/front/sessions/requests.rs
@@ -21,7 +21,7 @@
             let is_head = request.method == "HEAD";
             let response = match front.read_request(now, &request) {
                 RequestAction::Reply(response) => response,
-                RequestAction::Query(query, context) => match core.take(now, *query) {
+                RequestAction::Query(query, context) => match core.submit(now, *query) {
                     Ok(query) => {
                         let pending = PendingQuery {
                             id: query,
--- a/src/front/sessions/tests.rs
+++ b/src/front/sessions/tests.rs
@@ -74,7 +74,7 @@
             (now.minus(EVICTABLE_AFTER * (40 - i)), true);
     }
     let front = platform::Platform::new(Vec::new(), Vec::new());
-    core.end_by(now);
+    core.set_end_time(now);
     sessions.sweep(&mut net, Owner::Platform, &front, &mut core);
     assert_eq!(
         sessions.open.len(),
--- a/src/inventory/check.rs
+++ b/src/inventory/check.rs
@@ -127,7 +127,7 @@
     }
     Ok(Some(Budget {
         window: (window.unwrap_or(DEFAULT_WINDOW_S) * 1e6) as u64,
-        least: least.unwrap_or(0.0),
+        min_retries: least.unwrap_or(0.0),
         share: share.unwrap_or(0.0),
     }))
 }
--- a/src/service.rs
+++ b/src/service.rs
@@ -78,7 +78,7 @@
                 } else {
                     Outcome::Timeout
                 };
-                if self.core.ended(now, attempt, outcome, None) {
+                if self.core.on_attempt_ended(now, attempt, outcome, None) {
                     self.pool.withdraw(net, attempt);
                 }
             }
@@ -111,19 +111,25 @@
             match command {
                 Command::Send(server, parts) => {
                     for part in &parts {
-                        net.wheel
-                            .set(now.plus(part.wait), Timer::Attempt(W::OWNER, part.attempt));
+                        net.wheel.set(
+                            now.plus(part.timeout),
+                            Timer::Attempt(W::OWNER, part.attempt),
+                        );
                     }
                     match self.directory.address(server) {
                         Some(address) => self.pool.send(net, server, address, parts),
                         // A node that was listed without a usable address can't be reached.
                         None => parts.iter().for_each(|p| {
-                            self.core
-                                .ended(now, p.attempt, Outcome::ConnectFailed, None);
+                            self.core.on_attempt_ended(
+                                now,
+                                p.attempt,
+                                Outcome::ConnectFailed,
+                                None,
+                            );
                         }),
                     }
                 }
-                Command::Withdraw(attempt) => self.pool.withdraw(net, attempt),
+                Command::Cancel(attempt) => self.pool.withdraw(net, attempt),
                 Command::Recall(attempt) => self.recall(net, attempt),
                 Command::CloseIdle(server) => self.pool.close_idle(net, server),
                 Command::Reply(query, reply) => {
@@ -141,7 +147,7 @@
     fn recall(&mut self, net: &mut Net, attempt: u64) {
         if self.pool.recall(net, attempt) {
             self.core
-                .ended(net.clock.now(), attempt, Outcome::NeverSent, None);
+                .on_attempt_ended(net.clock.now(), attempt, Outcome::NeverSent, None);
         }
     }
 
@@ -149,7 +155,8 @@
     fn collect_ended(&mut self, now: Time) {
         let (ended, lines) = self.pool.take_ended();
         for end in ended {
-            self.core.ended(now, end.attempt, end.outcome, end.value);
+            self.core
+                .on_attempt_ended(now, end.attempt, end.outcome, end.value);
         }
         lines
             .iter()
@@ -185,20 +192,20 @@
         | ServerListUpdate::Complete(lines)
         | ServerListUpdate::Cached(lines) = &update
         {
-            let warm_after = self.core.settings().cold.warm_after;
+            let warm_after = self.core.settings().slow_start.warm_after;
             let (ready, ends): (Vec<_>, Vec<_>) = lines
                 .iter()
                 .partition(|line| matches!(line.mode, ServerMode::Ready | ServerMode::Leaving));
             ends.into_iter()
                 .for_each(|line: &ListedServer| self.pool.drop_unsent(line.server));
             let ready = ready.into_iter();
-            let started = ready.filter_map(|line| Some((line.server, line.started?)));
+            let started = ready.filter_map(|line| Some((line.server, line.started_at?)));
             started.for_each(|(server, at)| self.pool.greet_until(server, at.plus(warm_after)));
             // An empty list of before the start is none: nothing can be served by it.
             if !matches!(&update, ServerListUpdate::Cached(lines) if lines.is_empty()) {
                 self.front.on_server_list();
             }
         }
-        self.core.listed(update);
+        self.core.on_server_list(update);
     }
 }
--- a/src/upstream/frames.rs
+++ b/src/upstream/frames.rs
@@ -128,7 +128,7 @@
         value: Some(Value {
             score,
             bytes,
-            offer: None,
+            sorted: None,
         }),
         is_last: false,
     })
@@ -157,7 +157,7 @@
         let (mut payload, mut names) = (Vec::new(), Vec::new());
         for part in parts {
             let job = &part.job;
-            let mut list = format!("d={}", (part.wait / 1_000).max(1));
+            let mut list = format!("d={}", (part.timeout / 1_000).max(1));
             if let Some(key) = &job.key {
                 list += &format!(",k={key}");
             }
--- a/src/upstream/frames/tests.rs
+++ b/src/upstream/frames/tests.rs
@@ -18,9 +18,9 @@
         class: 0,
         shard: Shard(shard),
         first,
-        most: None,
-        wait: 239_500,
-        leave_by: None,
+        max_elements: None,
+        timeout: 239_500,
+        send_by: None,
     }
 }
 
@@ -72,7 +72,7 @@
     let value = Value {
         score: 1_840_277_719.0,
         bytes: b"5be2a07c".to_vec(),
-        offer: None,
+        sorted: None,
     };
     assert!(
         results.contains(&(Outcome::Ok, Some(value)))
@@ -128,7 +128,7 @@
         let value = Some(Value {
             score: 1.0,
             bytes: b"v".to_vec(),
-            offer: None,
+            sorted: None,
         });
         assert_eq!(read(&bytes).unwrap().unwrap().value, value, "{report:?}");
     }
--- a/src/upstream/ogc.rs
+++ b/src/upstream/ogc.rs
@@ -2,7 +2,7 @@
 //! connection.
 
 use super::{Answer, AnswerError, Wire};
-use crate::core::{Dispatch, Offer, Value};
+use crate::core::{Dispatch, SortedElements, Value};
 use crate::decide::phases::prune::{SortDirection, SortKey};
 use crate::http::{self, Parsed, Response};
 use crate::interface::{Micros, Outcome};
@@ -146,7 +146,7 @@
     Some(Value {
         score: 0.0,
         bytes: body,
-        offer: Some(Offer { keys, matched }),
+        sorted: Some(SortedElements { keys, matched }),
     })
 }
 
@@ -181,7 +181,7 @@
     Some(Value {
         score: 0.0,
         bytes,
-        offer: Some(Offer { keys, matched }),
+        sorted: Some(SortedElements { keys, matched }),
     })
 }
 
@@ -235,7 +235,7 @@
         Some(Value {
             score: 0.0,
             bytes,
-            offer: None,
+            sorted: None,
         })
     };
     match response.status {
@@ -270,7 +270,7 @@
         let most = if first {
             1
         } else {
-            part.most.unwrap_or(sort.most)
+            part.max_elements.unwrap_or(sort.most)
         };
         let all = self.unsorted.borrow().contains(&host);
         ExpectedBody::Sorted {
--- a/src/upstream/ogc/tests.rs
+++ b/src/upstream/ogc/tests.rs
@@ -82,7 +82,7 @@
             {"type":"Feature","id":3,"properties":{"battery":9.5}}]}"#;
     let as_is = sorted(body.into(), &sort(9), 3, false)
         .unwrap()
-        .offer
+        .sorted
         .unwrap();
     assert_eq!(
         as_is.keys,
@@ -92,7 +92,7 @@
     assert_eq!(
         sorted(body.into(), &sort(9), 4, false)
             .unwrap()
-            .offer
+            .sorted
             .unwrap()
             .matched,
         Some(3)
@@ -104,7 +104,7 @@
         "{text}"
     );
     assert_eq!(
-        here.offer.unwrap().matched,
+        here.sorted.unwrap().matched,
         Some(2),
         "all that can be wanted is here"
     );
@@ -135,9 +135,9 @@
         class: 0,
         shard: crate::interface::Shard(0),
         first: None,
-        most: None,
-        wait: 1,
-        leave_by: None,
+        max_elements: None,
+        timeout: 1,
+        send_by: None,
     };
     let mut output = Vec::new();
     let names = wire.encode_call(std::slice::from_ref(&part), host, &mut output);
--- a/src/upstream/sending.rs
+++ b/src/upstream/sending.rs
@@ -177,7 +177,7 @@
     /// held a call back for longer than the window bears.
     fn drop_late(&mut self, now: Time, parts: Vec<Dispatch<W::Job>>) -> Vec<Dispatch<W::Job>> {
         let max_wait = self.limits.connect_timeout + MAX_DESCRIPTOR_WAIT;
-        let is_late = |p: &Dispatch<W::Job>| p.leave_by.is_some_and(|at| now > at.plus(max_wait));
+        let is_late = |p: &Dispatch<W::Job>| p.send_by.is_some_and(|at| now > at.plus(max_wait));
         let (late, in_time): (Vec<_>, Vec<_>) = parts.into_iter().partition(is_late);
         for part in late {
             self.end_attempt(part.attempt, Outcome::NeverSent, None);
--- a/src/upstream/tests.rs
+++ b/src/upstream/tests.rs
@@ -68,9 +68,9 @@
             class: 0,
             shard,
             first: None,
-            most: None,
-            wait: 1_000_000,
-            leave_by: None,
+            max_elements: None,
+            timeout: 1_000_000,
+            send_by: None,
         };
         let address = self.listener.local_addr().unwrap();
         self.pool.send(&mut self.net, server, address, vec![part]);
@@ -192,9 +192,9 @@
             class: 0,
             shard: Shard(1),
             first: None,
-            most: None,
-            wait: 9_000_000,
-            leave_by: None,
+            max_elements: None,
+            timeout: 9_000_000,
+            send_by: None,
         }
     };
     (1..=count).map(part).collect()
--- a/src/upstream/tests/sending.rs
+++ b/src/upstream/tests/sending.rs
@@ -23,9 +23,9 @@
         class: 0,
         shard: Shard(0),
         first: None,
-        most: None,
-        wait: 1,
-        leave_by: None,
+        max_elements: None,
+        timeout: 1,
+        send_by: None,
     };
     stage.pool.send(&mut stage.net, SERVER, gone, vec![part]);
     assert_eq!(stage.ended(), [(9, Outcome::ConnectFailed)]);
@@ -173,7 +173,7 @@
         };
         let address = stage.listener.local_addr().unwrap();
         let mut parts = call(2);
-        parts[0].leave_by = Some(leave_by);
+        parts[0].send_by = Some(leave_by);
         stage.pool.send(&mut stage.net, SERVER, address, parts);
         // The node is slow to answer the greeting, which the call waits for.
         let mut stream = stage.accept_silently();
--- a/tests/decision/admission.rs
+++ b/tests/decision/admission.rs
@@ -90,7 +90,10 @@
     let send_query = |stage: &mut Stage, is_retry: bool| {
         let (id, mut events) = stage.query(&[0]);
         of_tenant(&mut events, 0);
-        if let Event::Query { again, .. } = &mut events[0] {
+        if let Event::Query {
+            is_retry: again, ..
+        } = &mut events[0]
+        {
             *again = is_retry;
         }
         (id, sends(&stage.after(MS, events)))
@@ -232,7 +235,10 @@
     assert_eq!(ended, [(id, false)]);
     for (is_retry, sent) in [(false, 1), (true, 0)] {
         let (_, mut events) = stage.query(&[0]);
-        if let Event::Query { again, .. } = &mut events[0] {
+        if let Event::Query {
+            is_retry: again, ..
+        } = &mut events[0]
+        {
             *again = is_retry;
         }
         assert_eq!(
--- a/tests/decision/fleet.rs
+++ b/tests/decision/fleet.rs
@@ -42,7 +42,7 @@
             shards: 2 * cells,
             parts_a_call: 8,
         };
-        configuration.cold = SlowStart {
+        configuration.slow_start = SlowStart {
             share: 0.32,
             warm_after: 18 * SECOND,
             fall_multiple: 3.0,
@@ -85,7 +85,7 @@
             cell,
             zone: cell % 3,
             mode: ServerMode::Ready,
-            started,
+            started_at: started,
         }
     }
 
@@ -162,7 +162,7 @@
             class: 0,
             deadline,
             key: 0,
-            again: false,
+            is_retry: false,
             tenant: u32::MAX,
         }];
         let (first, weight) = (self.rng.u32(0..2 * self.cells), 1.0 / f64::from(self.parts));
--- a/tests/decision/hedging.rs
+++ b/tests/decision/hedging.rs
@@ -75,7 +75,7 @@
     configuration.layout.parts_a_call = 1;
     configuration.limits.budget = Some(Budget {
         window: 10 * LATENCY_TARGET,
-        least: 1_000.0,
+        min_retries: 1_000.0,
         share: 1.0,
     });
     let mut stage = Stage::new(configuration);
--- a/tests/decision/idle_connections.rs
+++ b/tests/decision/idle_connections.rs
@@ -65,7 +65,7 @@
 #[test]
 fn unsafe_part_never_uses_a_connection_that_may_be_dropped() {
     let mut stage = Stage::new(settings(Class {
-        repeat: RetrySafety::Unsafe,
+        retry_safety: RetrySafety::Unsafe,
         ..class()
     }));
     let (_, events) = stage.query(&[0]);
--- a/tests/decision/properties.rs
+++ b/tests/decision/properties.rs
@@ -78,7 +78,7 @@
                         let retries = self.retries.iter().filter(|&&t| t >= start).count() as f64;
                         let arrivals = self.arrivals.iter().filter(|&&t| t > start).count() as f64;
                         assert!(
-                            retries <= budget.least + budget.share * arrivals,
+                            retries <= budget.min_retries + budget.share * arrivals,
                             "over the budget"
                         );
                     }
@@ -134,7 +134,7 @@
         cell: server % 3,
         zone: server % 2,
         mode,
-        started,
+        started_at: started,
     }
 }
 
@@ -147,7 +147,7 @@
     configuration.layout.width = 2;
     configuration.limits.budget = Some(Budget {
         window: 2 * LATENCY_TARGET,
-        least: 2.0,
+        min_retries: 2.0,
         share: 0.2,
     });
     let mut oracle = Oracle::default();
@@ -170,7 +170,7 @@
                     class: 0,
                     deadline,
                     key: id % 3,
-                    again: false,
+                    is_retry: false,
                     tenant: u32::MAX,
                 });
                 let parts: Vec<u64> = (id + 1..).take(shards.len()).collect();
--- a/tests/decision/retries.rs
+++ b/tests/decision/retries.rs
@@ -6,7 +6,7 @@
 #[test]
 fn unsafe_part_is_retried_only_if_it_never_ran() {
     let mut stage = Stage::new(settings(Class {
-        repeat: RetrySafety::Unsafe,
+        retry_safety: RetrySafety::Unsafe,
         ..class()
     }));
     let (id, events) = stage.query(&[0]);
@@ -40,7 +40,7 @@
 fn keyed_part_is_retried_only_within_its_window() {
     for (wait, expected) in [(100 * MS, 1), (400 * MS, 0)] {
         let mut stage = Stage::new(settings(Class {
-            repeat: RetrySafety::Keyed(300 * MS),
+            retry_safety: RetrySafety::Keyed(300 * MS),
             ..class()
         }));
         let (_, events) = stage.query(&[0]);
@@ -58,7 +58,7 @@
     let mut configuration = settings(class());
     configuration.limits.budget = Some(Budget {
         window: 10 * LATENCY_TARGET,
-        least: 2.0,
+        min_retries: 2.0,
         share: 0.0,
     });
     let mut stage = Stage::new(configuration);
@@ -78,7 +78,7 @@
     let mut configuration = settings(class());
     configuration.limits.budget = Some(Budget {
         window: 10 * LATENCY_TARGET,
-        least,
+        min_retries: least,
         share: 0.1,
     });
     configuration.layout.parts_a_call = 1;
@@ -154,7 +154,7 @@
     use Outcome::{Cancelled, ConnectFailed, Error, Rejected, Reset, Timeout};
     for outcome in [Rejected, ConnectFailed, Error, Timeout, Reset, Cancelled] {
         let mut configuration = settings(Class {
-            repeat: RetrySafety::Unsafe,
+            retry_safety: RetrySafety::Unsafe,
             ..class()
         });
         configuration.limits.attempts = 1;
@@ -177,7 +177,7 @@
 #[test]
 fn attempt_that_never_left_counts_neither_as_attempt_nor_as_fault() {
     let mut configuration = settings(Class {
-        repeat: RetrySafety::Unsafe,
+        retry_safety: RetrySafety::Unsafe,
         ..class()
     });
     configuration.limits.attempts = 1;
--- a/tests/decision/slow_start.rs
+++ b/tests/decision/slow_start.rs
@@ -13,7 +13,7 @@
         stage.serve(10 * MS);
     }
     let warming = ListedServer {
-        started: Some(stage.now),
+        started_at: Some(stage.now),
         ..line(3, 2)
     };
     stage.turn(vec![Event::List(ServerListUpdate::Changes(vec![warming]))]);
@@ -32,7 +32,7 @@
     assert!(f64::from(counts[3]) < 0.8 * average_warm, "{counts:?}");
     assert!(counts[3] > 0, "{counts:?}");
     let only_warming = vec![ListedServer {
-        started: Some(stage.now),
+        started_at: Some(stage.now),
         ..line(9, 0)
     }];
     stage.turn(vec![Event::List(ServerListUpdate::Complete(only_warming))]);
@@ -51,20 +51,20 @@
 /// busy, against what the rule lets it take.
 fn warming_server_load(instances: u32, processes: u32, cold: SlowStart) -> f64 {
     let mut configuration = settings(class());
-    (configuration.instances, configuration.cold) = (instances, cold);
+    (configuration.instances, configuration.slow_start) = (instances, cold);
     configuration.layout = Layout {
         cells: 1,
         width: 1,
         shards: u32::MAX,
         parts_a_call: 1,
     };
-    let (response_time, initial_share) = (100 * MS, configuration.cold.share);
+    let (response_time, initial_share) = (100 * MS, configuration.slow_start.share);
     let mut total = 0;
     for seed in 0..u64::from(instances * processes) {
         let mut broker = Coordinator::new(seed, configuration.clone());
         let mut now = Time(1_000_000 * MS);
         let cold = ListedServer {
-            started: Some(now),
+            started_at: Some(now),
             ..line(2, 0)
         };
         let mut actions = Vec::new();
@@ -82,7 +82,7 @@
                 class: 0,
                 deadline,
                 key: 0,
-                again: false,
+                is_retry: false,
                 tenant: u32::MAX,
             };
             vec![
@@ -112,7 +112,7 @@
             &mut actions,
         );
         actions.clear();
-        for id in 0..configuration.cold.fall_after / (100 * MS) {
+        for id in 0..configuration.slow_start.fall_after / (100 * MS) {
             broker.turn(now, query_events(100 + 2 * id, now), &mut actions);
             now = now.plus(100 * MS);
         }
@@ -122,13 +122,13 @@
             .count();
     }
     // What a server that does two parts at a time can take by the rule within its window.
-    let average_growth = (1.0 - initial_share) * configuration.cold.fall_after as f64
-        / configuration.cold.warm_after as f64
+    let average_growth = (1.0 - initial_share) * configuration.slow_start.fall_after as f64
+        / configuration.slow_start.warm_after as f64
         / 2.0;
     let allowed_parts = 2.0
-        * configuration.cold.fall_multiple
+        * configuration.slow_start.fall_multiple
         * (initial_share + average_growth)
-        * configuration.cold.fall_after as f64
+        * configuration.slow_start.fall_after as f64
         / response_time as f64;
     total as f64 / allowed_parts
 }
--- a/tests/decision/support.rs
+++ b/tests/decision/support.rs
@@ -18,7 +18,7 @@
     Class {
         latency_target: LATENCY_TARGET,
         deadline: 4 * LATENCY_TARGET,
-        repeat: RetrySafety::Safe,
+        retry_safety: RetrySafety::Safe,
         value: 1.0,
         late_share: 0.2,
         need: 1.0,
@@ -37,8 +37,8 @@
         limits: Limits {
             attempts: 3,
             max_held: 1_000,
-            cancel: true,
-            probe: true,
+            may_cancel: true,
+            may_probe: true,
             second_copies: true,
             retry_after: Some(1_000 * MS),
             budget: None,
@@ -50,7 +50,7 @@
             parts_a_call: 16,
         },
         discovery: Discovery::Push,
-        cold: SlowStart {
+        slow_start: SlowStart {
             share: 0.25,
             warm_after: 15_000 * MS,
             fall_multiple: 2.5,
@@ -80,7 +80,7 @@
         cell,
         zone: cell,
         mode: ServerMode::Ready,
-        started: None,
+        started_at: None,
     }
 }
 
@@ -142,7 +142,7 @@
             class: 0,
             deadline,
             key: 0,
-            again: false,
+            is_retry: false,
             tenant: u32::MAX,
         }];
         let weight = 1.0 / shards.len() as f64;
@@ -245,7 +245,12 @@
 
 /// Gives the query that these events begin a key, and the mark of a client's retry.
 pub fn with_key(events: &mut [Event], query_key: u64, is_retry: bool) {
-    if let Event::Query { key, again, .. } = &mut events[0] {
+    if let Event::Query {
+        key,
+        is_retry: again,
+        ..
+    } = &mut events[0]
+    {
         (*key, *again) = (query_key, is_retry);
     }
 }
