--- a/policy/src/completion.rs
+++ b/policy/src/completion.rs
@@ -2,13 +2,14 @@
 
 use crate::intake::RefusedQuery;
 use crate::tuning::{
-    ADMIT_CUT, ADMIT_CUT_SHARE, ADMIT_LEAST, ADMIT_MOST, ADMIT_STEP, ASSUMED_CONCURRENCY,
-    FAULT_HALF_LIFE, FIRST_SPARSE, FIRST_STEP, PARTIAL_SHARE, POISON_MEMORY, POISON_SERVERS,
-    RESPONSE_TIME_HALF_LIFE, VALUE_LEAST, VALUE_MOST, VALUE_PACE,
+    ADMISSION_CUT, ADMISSION_CUT_SHARE, ADMISSION_MAX, ADMISSION_MIN, ADMISSION_STEP,
+    ASSUMED_CONCURRENCY, FAULT_HALF_LIFE, FIRST_STEP_SHARE, MAX_VALUE_RATIO, MIN_VALUE_RATIO,
+    PARTIAL_ANSWER_SHARE, POISON_BROKEN_SERVERS, POISON_RETENTION, RESPONSE_TIME_HALF_LIFE,
+    SPARSE_FACTOR, VALUE_GAIN,
 };
 use crate::Coordinator;
 use lichenswitch_interface::{Action, Class, Micros, QueryId, RetrySafety, Time};
-use lichenswitch_stats::{remaining_share, scaled, Agenda, AttemptState, Part, Query, Server};
+use lichenswitch_stats::{remaining_share, scaled, AttemptState, Part, PartChecks, Query, Server};
 
 /// Sums of weights are compared with this much room for rounding.
 const ROUNDING: f64 = 1e-5;
@@ -40,7 +41,7 @@
     /// brake on work that waits. Guards against jams of work that earns nothing, whatever the
     /// cause, and ends retries that come too late. Harm: at little load some late answers are
     /// not waited for.
-    pub(super) fn end_of(&self, q: &Query) -> Time {
+    pub(super) fn end_time_of(&self, q: &Query) -> Time {
         let class = self.class(q);
         let earns = q.target_at.plus(scaled(
             class.deadline.saturating_sub(class.latency_target),
@@ -54,7 +55,7 @@
     /// Weight that is in, and weight that is in or can still come, of the present step.
     pub(super) fn weights(&self, q: &Query) -> (f64, f64) {
         let stuck = q
-            .agenda
+            .checks
             .idle_parts()
             .map(|i| &q.parts[i])
             .filter(|p| !self.may_send(q, p, false));
@@ -79,7 +80,9 @@
                     .attempts
                     .iter()
                     .find(|t| t.state != AttemptState::NeverRan);
-                first.is_none_or(|t| self.now.since(t.sent) + 2 * self.settings.resolution < window)
+                first.is_none_or(|t| {
+                    self.now.since(t.sent_at) + 2 * self.settings.resolution < window
+                })
             }
         }
     }
@@ -91,11 +94,11 @@
         };
         let bounds = self.bounds_of(q);
         let (answered, reachable) = self.weights(q);
-        let is_new = q.arrived == self.now && q.parts.iter().all(|p| p.attempts.is_empty());
-        let has_parts = q.count > 0;
-        let is_over = self.now >= self.end_of(q);
+        let is_new = q.arrived_at == self.now && q.parts.iter().all(|p| p.attempts.is_empty());
+        let has_parts = q.part_count > 0;
+        let is_over = self.now >= self.end_time_of(q);
         let may_be_partial = q.is_closing
-            || self.now >= q.arrived.plus(self.partial_after(q))
+            || self.now >= q.arrived_at.plus(self.partial_answer_delay(q))
             || reachable + ROUNDING < bounds.need
             || is_over;
         if has_parts && answered + ROUNDING >= bounds.need {
@@ -115,20 +118,18 @@
         }
         self.dispatch(id, actions);
         // It would only wait for the budget: its client is answered at once, and may come back.
-        if self.queries.get(&id).is_some_and(Query::is_stranded) {
+        if self.queries.get(&id).is_some_and(Query::is_out_of_budget) {
             return if answered + ROUNDING >= bounds.floor {
                 self.answer(id, false, actions)
             } else {
                 self.give_up(id, actions)
             };
         }
-        let next_look_at = self
+        let check_at = self
             .queries
             .get(&id)
-            .map_or(self.now, |q| self.next_look_of(q));
-        self.queries
-            .entry(id)
-            .and_modify(|q| q.next_look_at = next_look_at);
+            .map_or(self.now, |q| self.check_time_of(q));
+        self.queries.entry(id).and_modify(|q| q.check_at = check_at);
     }
 
     /// Weights that make the answer to the present step complete, or partial.
@@ -155,10 +156,10 @@
             return false;
         };
         let (class, key, now, count) = (q.class, q.key, self.now, q.broken_servers.len());
-        if q.sends_one_part_ahead && count >= POISON_SERVERS {
-            self.poison
-                .retain(|p| now.since(p.stopped_at) < POISON_MEMORY);
-            self.poison.push(PoisonQuery {
+        if q.sends_one_part_ahead && count >= POISON_BROKEN_SERVERS {
+            self.poison_queries
+                .retain(|p| now.since(p.stopped_at) < POISON_RETENTION);
+            self.poison_queries.push(PoisonQuery {
                 class,
                 key,
                 stopped_at: now,
@@ -169,30 +170,30 @@
             return true;
         }
         if q.sends_one_part_ahead
-            && count + 1 == POISON_SERVERS
+            && count + 1 == POISON_BROKEN_SERVERS
             && q.parts.iter().flat_map(Part::in_flight).count() > 1
         {
-            self.cancel_open(id, actions);
+            self.cancel_unanswered(id, actions);
         }
-        q.arrived == now && key != 0 && self.recent_poison(class).any(|p| p.key == key)
+        q.arrived_at == now && key != 0 && self.recent_poison(class).any(|p| p.key == key)
     }
 
     /// The queries of a class that were stopped recently.
     pub(super) fn recent_poison(&self, class: usize) -> impl Iterator<Item = &PoisonQuery> {
-        self.poison
+        self.poison_queries
             .iter()
-            .filter(move |p| p.class == class && self.now.since(p.stopped_at) < POISON_MEMORY)
+            .filter(move |p| p.class == class && self.now.since(p.stopped_at) < POISON_RETENTION)
     }
 
     /// How long after its arrival a query is better answered in part than not yet.
-    pub(super) fn partial_after(&self, q: &Query) -> Micros {
+    pub(super) fn partial_answer_delay(&self, q: &Query) -> Micros {
         let first = q.step == 1 && self.class(q).second_step > 0;
-        let sparse = self.settings.instances as usize > self.ready
+        let sparse = self.settings.instances as usize > self.ready_servers
             && self.fault_half_life() > FAULT_HALF_LIFE;
-        let share = self.class(q).first_share * if sparse { FIRST_SPARSE } else { 1.0 };
+        let share = self.class(q).first_share * if sparse { SPARSE_FACTOR } else { 1.0 };
         scaled(
             self.class(q).latency_target,
-            if first { share } else { PARTIAL_SHARE },
+            if first { share } else { PARTIAL_ANSWER_SHARE },
         )
     }
 
@@ -205,18 +206,18 @@
         if two_steps && q.step == 1 {
             (q.step, q.is_first_step_complete, q.step_at) = (2, whole, self.now);
             (
-                q.agenda,
-                q.count,
+                q.checks,
+                q.part_count,
                 q.single_attempt_parts,
                 q.total_weight,
                 q.answered_weight,
-            ) = (Agenda::default(), 0, 0, 0.0, 0.0);
-            (q.is_closing, q.next_look_at) = (false, self.now.plus(self.settings.resolution));
+            ) = (PartChecks::default(), 0, 0, 0.0, 0.0);
+            (q.is_closing, q.check_at) = (false, self.now.plus(self.settings.resolution));
             actions.push(Action::Answer { query: id, whole });
-            return self.cancel_open(id, actions);
+            return self.cancel_unanswered(id, actions);
         }
         let whole = whole && (!two_steps || q.is_first_step_complete);
-        self.learn_lateness(id, true);
+        self.update_admission(id, true);
         actions.push(Action::Answer { query: id, whole });
         self.remove_query(id, actions);
     }
@@ -224,22 +225,23 @@
     /// Calibrates admission by how admitted queries end. Guards against a forecast that is off on
     /// this fleet or for this trouble; harm: queries late for another cause (a hung server) make it
     /// stricter for a while.
-    pub(super) fn learn_lateness(&mut self, id: QueryId, answered: bool) {
+    pub(super) fn update_admission(&mut self, id: QueryId, answered: bool) {
         let Some(q) = self.queries.get(&id) else {
             return;
         };
         let had_full_target =
-            q.window as f64 > ADMIT_CUT_SHARE * self.class(q).latency_target as f64;
-        if self.now < q.target_at.min(self.end_of(q)) || answered && self.now <= q.target_at {
-            self.admit = (self.admit + if answered { ADMIT_STEP } else { 0.0 }).min(ADMIT_MOST);
+            q.window as f64 > ADMISSION_CUT_SHARE * self.class(q).latency_target as f64;
+        if self.now < q.target_at.min(self.end_time_of(q)) || answered && self.now <= q.target_at {
+            self.admission =
+                (self.admission + if answered { ADMISSION_STEP } else { 0.0 }).min(ADMISSION_MAX);
         } else if had_full_target && q.parts.iter().any(|p| !p.attempts.is_empty()) {
-            self.admit = (self.admit * ADMIT_CUT).max(ADMIT_LEAST);
+            self.admission = (self.admission * ADMISSION_CUT).max(ADMISSION_MIN);
         }
     }
 
     /// Ends a query that gets no answer, at once: as a refusal where asking again is harmless.
     pub(super) fn give_up(&mut self, id: QueryId, actions: &mut Vec<Action>) {
-        self.learn_lateness(id, false);
+        self.update_admission(id, false);
         let Some(q) = self.queries.get(&id) else {
             return;
         };
@@ -254,7 +256,7 @@
                 retry_after: half + self.rng.0.u64(0..=half),
             });
             let latency_target = self.class(q).latency_target;
-            self.refused.push_back(RefusedQuery {
+            self.recent_refusals.push_back(RefusedQuery {
                 class: q.class,
                 key: q.key,
                 began: q.target_at.minus(latency_target),
@@ -267,7 +269,7 @@
     }
 
     /// Cancels the attempts of parts that have no answer.
-    pub(super) fn cancel_open(&self, id: QueryId, actions: &mut Vec<Action>) {
+    pub(super) fn cancel_unanswered(&self, id: QueryId, actions: &mut Vec<Action>) {
         let query = self
             .queries
             .get(&id)
@@ -286,12 +288,12 @@
 
     /// Ends a query whose final answer has been given, or whose client has left.
     pub(super) fn remove_query(&mut self, id: QueryId, actions: &mut Vec<Action>) {
-        self.cancel_open(id, actions);
+        self.cancel_unanswered(id, actions);
         let Some(q) = self.queries.remove(&id) else {
             return;
         };
-        if self.numbers.get(&q.number) == Some(&id) {
-            self.numbers.remove(&q.number);
+        if self.queries_by_number.get(&q.number) == Some(&id) {
+            self.queries_by_number.remove(&q.number);
         }
         q.parts.iter().for_each(|p| _ = self.parts.remove(&p.id));
     }
@@ -304,17 +306,17 @@
     pub(super) fn expected(&self, s: &Server, class: usize) -> f64 {
         // All of it is forgotten while nothing is answered: else refusals alone would keep a past
         // jam alive.
-        let common = self.common_times[class * 2].or(0.0)
+        let common = self.common_times[class * 2].value_or(0.0)
             * remaining_share(self.now, self.answered_at, RESPONSE_TIME_HALF_LIFE);
         let fading = remaining_share(self.now, s.response_time_at, RESPONSE_TIME_HALF_LIFE);
-        let response_time = common + fading * (s.response_time.or(common) - common);
-        let pending_at_send = fading * s.pending_at_send.or(0.0);
+        let response_time = common + fading * (s.response_time.value_or(common) - common);
+        let pending_at_send = fading * s.pending_at_send.value_or(0.0);
         let unanswered = s
             .calls
             .iter()
-            .filter(|c| c.in_flight_parts > 0 && c.sent > s.newest_answered_send);
+            .filter(|c| c.in_flight_parts > 0 && c.sent_at > s.newest_answered_send);
         let oldest = unanswered
-            .map(|c| self.now.since(c.sent))
+            .map(|c| self.now.since(c.sent_at))
             .max()
             .unwrap_or(0);
         (response_time * (s.pending() + ASSUMED_CONCURRENCY)
@@ -332,7 +334,7 @@
         let class = self.class(q);
         let window = q.window as f64
             * if class.second_step > 0 {
-                FIRST_STEP
+                FIRST_STEP_SHARE
             } else {
                 1.0
             };
@@ -344,11 +346,11 @@
             } else {
                 parts.max(1.0)
             };
-        let value_factor = (value / self.value.or(value))
+        let value_factor = (value / self.mean_value.value_or(value))
             .sqrt()
-            .clamp(VALUE_LEAST, VALUE_MOST)
+            .clamp(MIN_VALUE_RATIO, MAX_VALUE_RATIO)
             * q.value_share.sqrt();
-        let most = window * self.admit * value_factor;
+        let most = window * self.admission * value_factor;
         // Of the holders that it would be sent to: a hung one, not heard of for a while, would look
         // idle.
         let slowest = q.parts.iter().map(|p| {
@@ -360,7 +362,7 @@
                 .1
         });
         let is_shed = slowest.fold(0.0, f64::max) > most;
-        self.value.add(value, VALUE_PACE);
+        self.mean_value.add(value, VALUE_GAIN);
         is_shed
     }
 }
--- a/policy/src/health.rs
+++ b/policy/src/health.rs
@@ -1,10 +1,10 @@
 //! Health of servers: faults counted against each, and against the path to its zone.
 
 use crate::tuning::{
-    BROKEN_PACE, ERROR_PACE, FAULT_HALF_LIFE, FAULT_MEMORY_MAX_FACTOR, FAULT_MEMORY_PARTS,
-    FAULT_THRESHOLD, IDLE_LOSS_HALF_LIFE, IDLE_LOSS_MARGIN, IDLE_LOSS_PACE, LATE_PACE,
-    LOWER_BOUND_PACE, NORM_PACE, RESET_PACE, RESPONSE_TIME_PACE, SLOW_FROM, SLOW_FULL, SLOW_PACE,
-    ZONE_FAULT_MARGIN, ZONE_FAULT_PACE,
+    BROKEN_GAIN, COMMON_TIME_GAIN, ERROR_GAIN, FAULT_HALF_LIFE, FAULT_THRESHOLD, HALF_LIFE_PARTS,
+    IDLE_GAIN, IDLE_LOSS_HALF_LIFE, IDLE_LOSS_MARGIN, LATE_GAIN, LOWER_BOUND_GAIN,
+    MAX_HALF_LIFE_FACTOR, RESET_GAIN, RESPONSE_TIME_GAIN, SLOW_GAIN, SLOW_MAX, SLOW_MIN,
+    ZONE_FAULT_GAIN, ZONE_FAULT_MARGIN,
 };
 use crate::Coordinator;
 use lichenswitch_interface::{Action, Micros, Outcome, ServerId};
@@ -24,9 +24,9 @@
         actions: &mut Vec<Action>,
     ) {
         let (outcome, elapsed) = end;
-        let (class, all, now) = (flight.norm / 2, self.settings.classes.len(), self.now);
-        let (norm, took) = (
-            self.common_times[flight.norm].or(elapsed as f64),
+        let (class, all, now) = (flight.time_index / 2, self.settings.classes.len(), self.now);
+        let (common, took) = (
+            self.common_times[flight.time_index].value_or(elapsed as f64),
             elapsed as f64,
         );
         self.learn_response_time(flight, outcome, elapsed);
@@ -35,47 +35,47 @@
                 self.losses[usize::from(flight.on_idle_connection)].add(
                     now,
                     0.0,
-                    IDLE_LOSS_PACE,
+                    IDLE_GAIN,
                     IDLE_LOSS_HALF_LIFE,
                 );
                 self.answered_at = now;
-                self.answered += 1;
-                self.common_times[flight.norm].add(took.min(3.0 * norm), NORM_PACE);
-                let norm = self.common_times[flight.norm].or(took);
-                let bad = ((took / norm - SLOW_FROM) / (SLOW_FULL - SLOW_FROM)).clamp(0.0, 1.0);
-                self.record_fault(flight.server, class, bad, SLOW_PACE, actions);
-                self.record_fault(flight.server, all, bad, SLOW_PACE, actions);
+                self.answer_count += 1;
+                self.common_times[flight.time_index].add(took.min(3.0 * common), COMMON_TIME_GAIN);
+                let common = self.common_times[flight.time_index].value_or(took);
+                let bad = ((took / common - SLOW_MIN) / (SLOW_MAX - SLOW_MIN)).clamp(0.0, 1.0);
+                self.record_fault(flight.server, class, bad, SLOW_GAIN, actions);
+                self.record_fault(flight.server, all, bad, SLOW_GAIN, actions);
             }
-            Outcome::Error => self.record_fault(flight.server, class, 1.0, ERROR_PACE, actions),
+            Outcome::Error => self.record_fault(flight.server, class, 1.0, ERROR_GAIN, actions),
             Outcome::Timeout => {
-                self.on_silence(flight.server, class, flight.on_idle_connection, actions)
+                self.on_missing_answer(flight.server, class, flight.on_idle_connection, actions)
             }
-            Outcome::Reset if self.record_loss(flight.on_idle_connection, RESET_PACE) => {}
+            Outcome::Reset if self.record_loss(flight.on_idle_connection, RESET_GAIN) => {}
             Outcome::Cancelled | Outcome::NeverSent => {}
-            _ => self.record_fault(flight.server, all, 1.0, BROKEN_PACE, actions),
+            _ => self.record_fault(flight.server, all, 1.0, BROKEN_GAIN, actions),
         }
     }
 
     /// Learns from an outcome how long a server takes.
     fn learn_response_time(&mut self, flight: &InFlightAttempt, outcome: Outcome, elapsed: Micros) {
         let took = elapsed as f64;
-        let norm = self.common_times[flight.norm].or(took);
-        let latency_target = self.settings.classes[flight.norm / 2].latency_target;
+        let common = self.common_times[flight.time_index].value_or(took);
+        let latency_target = self.settings.classes[flight.time_index / 2].latency_target;
         let Some(s) = self.servers.get_mut(&flight.server) else {
             return;
         };
-        let (is_ok, known) = (outcome == Outcome::Ok, s.response_time.or(norm));
+        let (is_ok, known) = (outcome == Outcome::Ok, s.response_time.value_or(common));
         // What was not answered would have taken as long at least; a full queue is half the latency
         // target long.
-        let (sample, pace) = match outcome {
-            Outcome::Ok => (took.min(2.0 * known.max(norm)), RESPONSE_TIME_PACE),
-            Outcome::Rejected => (latency_target as f64 / 2.0, LOWER_BOUND_PACE),
-            Outcome::Timeout | Outcome::Cancelled => (took, LOWER_BOUND_PACE),
+        let (sample, gain) = match outcome {
+            Outcome::Ok => (took.min(2.0 * known.max(common)), RESPONSE_TIME_GAIN),
+            Outcome::Rejected => (latency_target as f64 / 2.0, LOWER_BOUND_GAIN),
+            Outcome::Timeout | Outcome::Cancelled => (took, LOWER_BOUND_GAIN),
             _ => (0.0, 0.0),
         };
         if is_ok || sample > known {
-            s.response_time.add(sample, pace);
-            s.pending_at_send.add(flight.pending_at_send, pace);
+            s.response_time.add(sample, gain);
+            s.pending_at_send.add(flight.pending_at_send, gain);
             s.response_time_at = self.now;
         }
         if is_ok {
@@ -87,10 +87,9 @@
     /// Half-life of the faults counted against a server (microseconds): the less often a server is
     /// met, the longer they must last.
     pub(super) fn fault_half_life(&self) -> f64 {
-        let between =
-            self.now.since(self.began) as f64 * self.ready as f64 / self.answered.max(1) as f64;
-        (FAULT_MEMORY_PARTS * between)
-            .clamp(FAULT_HALF_LIFE, FAULT_MEMORY_MAX_FACTOR * FAULT_HALF_LIFE)
+        let between = self.now.since(self.began) as f64 * self.ready_servers as f64
+            / self.answer_count.max(1) as f64;
+        (HALF_LIFE_PARTS * between).clamp(FAULT_HALF_LIFE, MAX_HALF_LIFE_FACTOR * FAULT_HALF_LIFE)
     }
 
     /// What is wrong with the path to a zone, where ends are far worse than at the best zone (alike
@@ -114,28 +113,28 @@
     }
 
     /// An attempt is late, or has timed out.
-    pub(super) fn on_silence(
+    pub(super) fn on_missing_answer(
         &mut self,
         id: ServerId,
         class: usize,
         on_idle_connection: bool,
         actions: &mut Vec<Action>,
     ) {
-        if !self.record_loss(on_idle_connection, IDLE_LOSS_PACE) {
-            self.record_fault(id, class, 1.0, LATE_PACE, actions);
+        if !self.record_loss(on_idle_connection, IDLE_GAIN) {
+            self.record_fault(id, class, 1.0, LATE_GAIN, actions);
             self.record_fault(
                 id,
                 self.settings.classes.len(),
                 1.0,
-                LATE_PACE / 2.0,
+                LATE_GAIN / 2.0,
                 actions,
             );
         }
     }
 
     /// Counts a loss; returns whether that the connection had been idle explains it.
-    pub(super) fn record_loss(&mut self, on_idle_connection: bool, pace: f64) -> bool {
-        self.losses[usize::from(on_idle_connection)].add(self.now, 1.0, pace, IDLE_LOSS_HALF_LIFE);
+    pub(super) fn record_loss(&mut self, on_idle_connection: bool, gain: f64) -> bool {
+        self.losses[usize::from(on_idle_connection)].add(self.now, 1.0, gain, IDLE_LOSS_HALF_LIFE);
         on_idle_connection && self.are_idle_connections_dropped()
     }
 
@@ -146,7 +145,7 @@
         id: ServerId,
         which: usize,
         bad: f64,
-        pace: f64,
+        gain: f64,
         actions: &mut Vec<Action>,
     ) {
         let (now, all, half) = (
@@ -159,12 +158,12 @@
         };
         s.faults.resize(all + 1, DecayingValue::default());
         let was = s.faults[which].value_at(now, half);
-        s.faults[which].add(now, bad, pace, half);
+        s.faults[which].add(now, bad, gain, half);
         if which == all {
             self.zones
                 .entry(s.zone)
                 .or_default()
-                .add(now, bad, ZONE_FAULT_PACE, FAULT_HALF_LIFE);
+                .add(now, bad, ZONE_FAULT_GAIN, FAULT_HALF_LIFE);
         }
         let faulty = FAULT_THRESHOLD[usize::from(half > FAULT_HALF_LIFE)];
         let suspected = s.faults[which].value_at(now, half) > faulty;
--- a/policy/src/intake.rs
+++ b/policy/src/intake.rs
@@ -1,6 +1,6 @@
 //! Intake: events of queries and parts, and of what the settings say of them.
 
-use crate::tuning::POISON_COMMON_TIMES;
+use crate::tuning::POISON_MIN_COMMON_TIMES;
 use crate::{AttemptId, Coordinator};
 use lichenswitch_interface::{
     Action, Class, Event, Micros, PartId, Placement, QueryId, Shard, Time,
@@ -34,7 +34,7 @@
         if matches!(event, Event::Query { .. } | Event::Part { .. })
             && self.settings.limits.budget.is_some()
         {
-            self.admitted.add(self.now);
+            self.recent_admissions.add(self.now);
         }
         match event {
             Event::Query {
@@ -94,13 +94,14 @@
         let class = usize::from(arrival.class).min(last);
         let (target_at, value_share) =
             self.target_and_value(class, arrival.key, arrival.is_retry, arrival.tenant);
-        let window = self.window_of(class, target_at, arrival.deadline);
+        let window = self.remaining_window(class, target_at, arrival.deadline);
         // One part goes ahead where another query of the class was poison, if there is time for it.
-        let has_time = window as f64 > self.common_times[class * 2].or(0.0) * POISON_COMMON_TIMES;
+        let has_time =
+            window as f64 > self.common_times[class * 2].value_or(0.0) * POISON_MIN_COMMON_TIMES;
         let query = Query {
             number: arrival.number,
             class,
-            arrived: self.now,
+            arrived_at: self.now,
             deadline: arrival.deadline,
             key: arrival.key,
             target_at,
@@ -109,15 +110,15 @@
             step: 1,
             step_at: self.now,
             sends_one_part_ahead: has_time && self.recent_poison(class).next().is_some(),
-            next_look_at: self.now,
+            check_at: self.now,
             ..Query::default()
         };
-        self.numbers.insert(arrival.number, arrival.query);
+        self.queries_by_number.insert(arrival.number, arrival.query);
         self.queries.insert(arrival.query, query);
     }
 
     /// Time that a query of a class really has, to its latency target or its deadline.
-    fn window_of(&self, class: usize, target_at: Time, deadline: Time) -> Micros {
+    fn remaining_window(&self, class: usize, target_at: Time, deadline: Time) -> Micros {
         let latency_target = self.settings.classes[class].latency_target;
         let remaining = target_at.since(self.now);
         let window = if remaining > latency_target / 10 {
@@ -130,7 +131,7 @@
 
     fn on_placement(&mut self, number: u32, placement: Placement) {
         let query = self
-            .numbers
+            .queries_by_number
             .get(&number)
             .and_then(|id| self.queries.get_mut(id));
         if let Some(query) = query {
@@ -139,14 +140,14 @@
     }
 
     fn on_part(&mut self, part: PartId, number: u32, shard: Shard, weight: f64) {
-        let Some(&id) = self.numbers.get(&number) else {
+        let Some(&id) = self.queries_by_number.get(&number) else {
             return;
         };
         let Some(query) = self.queries.get_mut(&id) else {
             return;
         };
         let index = query.parts.len();
-        query.agenda.set_idle(index);
+        query.checks.set_idle(index);
         self.parts.insert(part, (id, index));
         query.parts.push(Part {
             id: part,
@@ -155,23 +156,23 @@
             step: query.step,
             ..Part::default()
         });
-        query.count += 1;
+        query.part_count += 1;
         query.single_attempt_parts += 1;
         query.total_weight += weight;
-        query.next_look_at = self.now;
+        query.check_at = self.now;
     }
 
     fn on_close(&mut self, id: QueryId) {
         if let Some(query) = self.queries.get_mut(&id) {
             query.is_closing = true;
-            query.next_look_at = self.now;
+            query.check_at = self.now;
         }
     }
 
     fn on_processes(&mut self, count: Option<u32>) {
         self.processes = count.map_or(u32::MAX, |count| count.max(1));
         let instances = self.settings.instances.saturating_mul(self.processes);
-        self.quotas.share(&self.settings.quotas, instances);
+        self.quotas.rebalance(&self.settings.quotas, instances);
     }
 
     /// Replaces the classes; what was learnt of a class that changed is forgotten.
@@ -189,7 +190,9 @@
             .zip(0usize..)
             .filter(|(_, i)| !same[i / 2]);
         changed.for_each(|(time, _)| *time = DecayingMean::default());
-        self.servers.values_mut().for_each(|s| s.on_classes(&same));
+        self.servers
+            .values_mut()
+            .for_each(|s| s.reset_changed_classes(&same));
         self.settings.classes = classes;
     }
 
@@ -205,7 +208,7 @@
         tenant: u32,
     ) -> (Time, f64) {
         let (classes, now) = (&self.settings.classes, self.now);
-        self.refused
+        self.recent_refusals
             .retain(|r| now.since(r.began) < classes[r.class].deadline);
         let is_known = if self.settings.marks_retry {
             is_retry
@@ -213,12 +216,12 @@
             key != 0
         };
         let position = self
-            .refused
+            .recent_refusals
             .iter()
             .position(|r| is_known && r.class == class && r.key == key);
-        let (began, value_share) = match position.and_then(|at| self.refused.remove(at)) {
+        let (began, value_share) = match position.and_then(|at| self.recent_refusals.remove(at)) {
             Some(first) => (first.began, first.value_share),
-            None if self.quotas.within(now, tenant) => (now, 1.0),
+            None if self.quotas.try_consume(now, tenant) => (now, 1.0),
             None => (now, self.settings.over_quota),
         };
         (began.plus(classes[class].latency_target), value_share)
--- a/policy/src/lib.rs
+++ b/policy/src/lib.rs
@@ -33,7 +33,8 @@
 };
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use tuning::{
-    ADMIT_INITIAL, CANCEL_PROPAGATION_TIME, COPY_SAVED, MAX_CHECK_INTERVAL, SUBSCRIBE_BACKOFF_MIN,
+    ADMISSION_INITIAL, CANCEL_PROPAGATION_TIME, MAX_CHECK_INTERVAL, MAX_COPY_TOKENS,
+    SUBSCRIBE_BACKOFF_MIN,
 };
 
 /// Names an attempt of a part.
@@ -49,53 +50,53 @@
 pub struct Coordinator {
     settings: Settings,
     rng: SeededRng,
-    salt: u64,
+    seed: u64,
     now: Time,
     servers: BTreeMap<ServerId, Server>,
     /// The servers of each cell that take work.
-    cells: BTreeMap<u32, Vec<ServerId>>,
+    servers_by_cell: BTreeMap<u32, Vec<ServerId>>,
     /// How many there are in all.
-    ready: usize,
+    ready_servers: usize,
     /// Share of bad ends at the servers of each zone, for what befalls all classes.
     zones: BTreeMap<u32, DecayingValue>,
     /// Share of losses on connections in use and on those that had been idle.
     losses: [DecayingValue; 2],
     queries: BTreeMap<QueryId, Query>,
-    numbers: BTreeMap<u32, QueryId>,
+    queries_by_number: BTreeMap<u32, QueryId>,
     /// The query of each part, and its index there.
     parts: HashMap<PartId, (QueryId, usize)>,
     in_flight: HashMap<AttemptId, InFlightAttempt>,
     /// Common response time by class and step (microseconds): index `2 * class + step - 1`.
     common_times: Vec<DecayingMean>,
     /// Number of the next call.
-    calls: u64,
+    next_call_id: u64,
     /// The first call of this turn.
-    first_call: u64,
+    first_call_of_turn: u64,
     /// Copies that may be made now.
     copy_tokens: f64,
     /// Share of copied parts whose copy proved the first attempt lost or held up alone.
     copy_usefulness: DecayingMean,
     /// Share of its latency target that a query's forecast may take.
-    admit: f64,
+    admission: f64,
     /// Mean value of queries for their work.
-    value: DecayingMean,
+    mean_value: DecayingMean,
     /// Queries that were refused lately.
-    refused: VecDeque<RefusedQuery>,
+    recent_refusals: VecDeque<RefusedQuery>,
     quotas: TenantQuotas,
     /// Queries that were stopped lately since servers broke under them.
-    poison: Vec<PoisonQuery>,
+    poison_queries: Vec<PoisonQuery>,
     /// Processes that share what is allowed to this instance.
     processes: u32,
     /// The first turn.
     began: Time,
     /// Answers since then.
-    answered: u64,
+    answer_count: u64,
     /// The last answer.
     answered_at: Time,
     /// Queries and parts within the window of the retry budget.
-    admitted: WindowCount,
+    recent_admissions: WindowCount,
     /// Retries and copies within the same window.
-    retries: WindowCount,
+    recent_retries: WindowCount,
     /// When the last wake-up asked for is due.
     wake_at: Option<Time>,
     /// When to ask for the list of servers.
@@ -111,10 +112,10 @@
     pub fn new(seed: u64, settings: Settings) -> Self {
         Coordinator {
             rng: SeededRng(fastrand::Rng::with_seed(seed)),
-            salt: seed,
+            seed,
             common_times: vec![DecayingMean::default(); settings.classes.len() * 2],
-            copy_tokens: COPY_SAVED / 2.0,
-            admit: ADMIT_INITIAL,
+            copy_tokens: MAX_COPY_TOKENS / 2.0,
+            admission: ADMISSION_INITIAL,
             processes: 1,
             began: Time(u64::MAX),
             subscribe_at: Some(Time(0)),
@@ -129,14 +130,14 @@
     pub fn turn(&mut self, now: Time, events: Vec<Event>, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         self.began = self.began.min(self.now);
-        self.first_call = self.calls;
+        self.first_call_of_turn = self.next_call_id;
         for event in events {
             self.on_event(event, actions);
         }
         let due = self
             .queries
             .iter()
-            .filter(|(_, q)| q.next_look_at <= self.now)
+            .filter(|(_, q)| q.check_at <= self.now)
             .map(|(&id, _)| id);
         for id in due.collect::<Vec<_>>() {
             self.advance(id, actions);
@@ -152,39 +153,39 @@
 
     /// When a query has to be looked at again: at its end, when it may be answered in part, when a
     /// part is to be copied, and soon while something that it wants to send is withheld.
-    fn next_look_of(&self, q: &Query) -> Time {
+    fn check_time_of(&self, q: &Query) -> Time {
         let soon = self.now.plus(if self.settings.limits.second_copies {
             MAX_CHECK_INTERVAL
         } else {
             CANCEL_PROPAGATION_TIME
         });
-        let partial = q.arrived.plus(self.partial_after(q));
-        let mut next_look_at = self
-            .end_of(q)
+        let partial = q.arrived_at.plus(self.partial_answer_delay(q));
+        let mut check_at = self
+            .end_time_of(q)
             .min(if partial > self.now { partial } else { soon });
         let again =
             |i: usize| q.parts[i].attempts_made() < self.settings.attempts_of(q.class) as usize;
-        if q.agenda.idle_parts().next().is_some() || q.agenda.due_parts(self.now).any(again) {
-            next_look_at = next_look_at.min(soon);
+        if q.checks.idle_parts().next().is_some() || q.checks.due_parts(self.now).any(again) {
+            check_at = check_at.min(soon);
         }
-        next_look_at = next_look_at.min(q.agenda.next_check(self.now).unwrap_or(next_look_at));
-        next_look_at
+        check_at = check_at.min(q.checks.next_check(self.now).unwrap_or(check_at));
+        check_at
     }
 
     fn schedule_wake(&mut self, actions: &mut Vec<Action>) {
-        let Some(next_look_at) = self
+        let Some(check_at) = self
             .queries
             .values()
-            .map(|q| q.next_look_at)
+            .map(|q| q.check_at)
             .chain(self.subscribe_at)
             .min()
         else {
             return;
         };
-        let next_look_at = next_look_at.max(self.now.plus(self.settings.resolution.max(1)));
-        if self.wake_at.is_none_or(|at| next_look_at < at) {
-            actions.push(Action::Wake(next_look_at.since(self.now).min(60_000_000)));
-            self.wake_at = Some(next_look_at);
+        let check_at = check_at.max(self.now.plus(self.settings.resolution.max(1)));
+        if self.wake_at.is_none_or(|at| check_at < at) {
+            actions.push(Action::Wake(check_at.since(self.now).min(60_000_000)));
+            self.wake_at = Some(check_at);
         }
     }
 }
--- a/policy/src/outcomes.rs
+++ b/policy/src/outcomes.rs
@@ -1,8 +1,8 @@
 //! Outcomes of attempts, and parts that need no answer any more.
 
 use crate::tuning::{
-    COPY_SAVED, COPY_TOKENS_PER_PROOF, COPY_USEFULNESS_PACE, GHOST_LATENCY_TARGETS, LOST_RATIO,
-    POISON_SERVERS,
+    COPY_TOKENS_PER_LOSS, COPY_USEFULNESS_GAIN, LOST_WAIT_RATIO, MAX_COPY_TOKENS,
+    PENDING_LATENCY_TARGETS, POISON_BROKEN_SERVERS,
 };
 use crate::{AttemptId, Coordinator};
 use lichenswitch_interface::{Action, Micros, Outcome, PartId, QueryId, Time};
@@ -21,7 +21,7 @@
         if std::mem::replace(&mut query.parts[index].is_answered, true) {
             return;
         }
-        query.next_look_at = self.now;
+        query.check_at = self.now;
         count_answered(query, index);
         self.cancel_attempts(id, index, actions);
     }
@@ -46,28 +46,28 @@
             && self
                 .queries
                 .get(&query)
-                .is_some_and(|q| q.broken_servers.len() + 1 >= POISON_SERVERS);
-        let judged = if breaks_servers {
+                .is_some_and(|q| q.broken_servers.len() + 1 >= POISON_BROKEN_SERVERS);
+        let recorded_outcome = if breaks_servers {
             Outcome::ConnectFailed
         } else {
             outcome
         };
-        self.record_outcome(&flight, (judged, elapsed), actions);
+        self.record_outcome(&flight, (recorded_outcome, elapsed), actions);
         let now = self.now;
         let Some(q) = self.queries.get_mut(&query) else {
             return;
         };
-        q.next_look_at = now;
+        q.check_at = now;
         if !end_attempt(q, index, id.attempt, outcome, now) {
             return;
         }
         if outcome == Outcome::Reset && !(breaks_servers && flight.on_idle_connection) {
-            q.sends_one_part_ahead |= !q.answered;
+            q.sends_one_part_ahead |= !q.has_answer;
             q.broken_servers.insert(flight.server);
         }
         let part = &q.parts[index];
         if part.step == q.step && !part.is_answered && part.in_flight().next().is_none() {
-            q.agenda.set_idle(index);
+            q.checks.set_idle(index);
         }
         if outcome == Outcome::Ok && !q.parts[index].is_answered {
             self.on_answered(query, index, id.attempt, elapsed, actions);
@@ -76,25 +76,25 @@
 
     /// Takes an attempt out of its call, which counts on where the server may still work on it.
     fn end_call(&mut self, flight: &InFlightAttempt, outcome: Outcome) {
-        let class = &self.settings.classes[flight.norm / 2];
-        let ghost_until = self
+        let class = &self.settings.classes[flight.time_index / 2];
+        let pending_until = self
             .now
-            .plus(scaled(class.latency_target, GHOST_LATENCY_TARGETS));
+            .plus(scaled(class.latency_target, PENDING_LATENCY_TARGETS));
         let Some(server) = self.servers.get_mut(&flight.server) else {
             return;
         };
-        if let Some(call) = server.calls.iter_mut().find(|c| c.id == flight.call) {
+        if let Some(call) = server.calls.iter_mut().find(|c| c.id == flight.call_id) {
             call.in_flight_parts = call.in_flight_parts.saturating_sub(1);
             if matches!(outcome, Outcome::Timeout | Outcome::Cancelled) {
-                call.ghost_until = Some(ghost_until);
+                call.pending_until = Some(pending_until);
             }
         }
         if outcome == Outcome::Ok || outcome == Outcome::Error {
-            let sent = flight.sent;
+            let sent = flight.sent_at;
             server.newest_answered_send = server.newest_answered_send.max(sent);
             server.calls.retain_mut(|c| {
-                c.ghost_until = c.ghost_until.filter(|_| c.sent > sent);
-                c.in_flight_parts > 0 || c.ghost_until.is_some()
+                c.pending_until = c.pending_until.filter(|_| c.sent_at > sent);
+                c.in_flight_parts > 0 || c.pending_until.is_some()
             });
         }
     }
@@ -117,7 +117,7 @@
         let Some(query) = self.queries.get_mut(&id) else {
             return;
         };
-        (query.sends_one_part_ahead, query.answered) = (false, true);
+        (query.sends_one_part_ahead, query.has_answer) = (false, true);
         query.parts[index].is_answered = true;
         if query.parts[index].step == query.step {
             count_answered(query, index);
@@ -125,17 +125,19 @@
         let part = &query.parts[index];
         let first = &part.attempts[0];
         let first_in_flight = first.state == AttemptState::InFlight;
-        let waited = part.attempts[usize::from(attempt)].sent.since(first.sent);
-        let first_was_lost = first_in_flight && elapsed as f64 * LOST_RATIO < waited as f64;
+        let waited = part.attempts[usize::from(attempt)]
+            .sent_at
+            .since(first.sent_at);
+        let first_was_lost = first_in_flight && elapsed as f64 * LOST_WAIT_RATIO < waited as f64;
         if part.attempts.len() > 1 && (attempt == 0 || first_in_flight) {
             self.copy_usefulness
-                .add(f64::from(u8::from(first_was_lost)), COPY_USEFULNESS_PACE);
+                .add(f64::from(u8::from(first_was_lost)), COPY_USEFULNESS_GAIN);
             let earned = if first_was_lost {
-                COPY_TOKENS_PER_PROOF
+                COPY_TOKENS_PER_LOSS
             } else {
                 0.0
             };
-            self.copy_tokens = (self.copy_tokens + earned).min(COPY_SAVED);
+            self.copy_tokens = (self.copy_tokens + earned).min(MAX_COPY_TOKENS);
         }
         self.cancel_attempts(id, index, actions);
     }
@@ -158,7 +160,7 @@
 
 /// Counts a part of the present step as answered.
 fn count_answered(query: &mut Query, index: usize) {
-    query.agenda.remove(index);
+    query.checks.remove(index);
     let part = &query.parts[index];
     query.answered_weight += part.weight;
     query.single_attempt_parts -= usize::from(part.attempts.len() < 2);
@@ -177,7 +179,7 @@
     } else {
         AttemptState::MayHaveRun
     };
-    ended.ended = now;
+    ended.ended_at = now;
     part.never_left += usize::from(outcome == Outcome::NeverSent);
     part.is_unreachable = outcome == Outcome::ConnectFailed;
     true
--- a/policy/src/selection.rs
+++ b/policy/src/selection.rs
@@ -1,8 +1,9 @@
 //! Choice of replicas: first attempts, retries and copies, within the limits on them.
 
 use crate::tuning::{
-    AVOIDED_AFTER, CANCEL_PROPAGATION_TIME, COPY_LEAST, COPY_RATE, COPY_SAVED, COPY_SHARE,
-    FAULT_HALF_LIFE, FAULT_THRESHOLD, FIRST_STEP, IDLE_AFTER, MAX_CHECK_INTERVAL,
+    AVOIDED_AFTER, CANCEL_PROPAGATION_TIME, COPY_DELAY_SHARE, COPY_RATE, FAULT_HALF_LIFE,
+    FAULT_THRESHOLD, FIRST_STEP_SHARE, IDLE_AFTER, MAX_CHECK_INTERVAL, MAX_COPY_TOKENS,
+    MIN_COPY_RATES,
 };
 use crate::{AttemptId, Coordinator};
 use lichenswitch_interface::{
@@ -18,7 +19,7 @@
     pub(super) fn replicas_of(&self, shard: Shard) -> impl Iterator<Item = (ServerId, &Server)> {
         let (cells, width) = (self.settings.layout.cells, self.settings.layout.width);
         let near = (0..width.min(cells)).map(move |j| (shard.0 % cells + j) % cells);
-        near.filter_map(|cell| self.cells.get(&cell))
+        near.filter_map(|cell| self.servers_by_cell.get(&cell))
             .flatten()
             .map(|id| (*id, &self.servers[id]))
     }
@@ -58,9 +59,9 @@
 
     /// Whether a part joins a call opened this turn.
     pub(super) fn joins_open_call(&self, s: &Server) -> bool {
-        s.calls
-            .last()
-            .is_some_and(|c| c.id >= self.first_call && c.size < self.settings.layout.parts_a_call)
+        s.calls.last().is_some_and(|c| {
+            c.id >= self.first_call_of_turn && c.size < self.settings.layout.parts_a_call
+        })
     }
 
     /// How little a server suits a class, the least is best: its tier of faults, then the calls that
@@ -83,7 +84,7 @@
         // One that is about to be taken out comes after all that are trusted.
         let tier = tier.max(u8::from(s.mode == ServerMode::Leaving));
         let pending =
-            s.calls.iter().filter(|c| c.counts(self.now)).count() + s.load.streams as usize;
+            s.calls.iter().filter(|c| c.is_pending(self.now)).count() + s.load.streams as usize;
         (tier, pending + usize::from(!self.joins_open_call(s)))
     }
 
@@ -92,10 +93,10 @@
         let Some(q) = self.queries.get(&id) else {
             return;
         };
-        let copy_after = self.copy_after(q);
+        let copy_delay = self.copy_delay(q);
         let (mut open, mut again) = (Vec::new(), Vec::new());
-        for index in q.agenda.parts_to_check(self.now) {
-            match self.next_attempt(q, &q.parts[index], copy_after) {
+        for index in q.checks.parts_to_check(self.now) {
+            match self.next_attempt(q, &q.parts[index], copy_delay) {
                 Some(NextAttempt::First) => open.push(index),
                 Some(NextAttempt::Retry) => again.push((index, false)),
                 Some(NextAttempt::Copy) => again.push((index, true)),
@@ -115,7 +116,7 @@
     }
 
     /// Which attempt of a part the rules allow now, if any.
-    fn next_attempt(&self, q: &Query, part: &Part, copy_after: Micros) -> Option<NextAttempt> {
+    fn next_attempt(&self, q: &Query, part: &Part, copy_delay: Micros) -> Option<NextAttempt> {
         let now = self.now;
         let Some(last) = part.attempts.last() else {
             return Some(NextAttempt::First);
@@ -127,11 +128,11 @@
                 part.is_unreachable && part.attempts.len() >= self.settings.layout.width as usize;
             let end_is_known =
                 self.settings.limits.second_copies || last.state == AttemptState::NeverRan;
-            let rests = all_unreachable && now < last.sent.plus(MAX_CHECK_INTERVAL)
-                || !end_is_known && now < last.ended.plus(CANCEL_PROPAGATION_TIME);
+            let rests = all_unreachable && now < last.sent_at.plus(MAX_CHECK_INTERVAL)
+                || !end_is_known && now < last.ended_at.plus(CANCEL_PROPAGATION_TIME);
             return (!rests && self.may_send(q, part, false)).then_some(NextAttempt::Retry);
         }
-        let is_late = now >= last.sent.plus(copy_after / part.attempts.len() as u64);
+        let is_late = now >= last.sent_at.plus(copy_delay / part.attempts.len() as u64);
         (is_late && self.may_send(q, part, true)).then_some(NextAttempt::Copy)
     }
 
@@ -189,8 +190,8 @@
             return;
         };
         let now = self.now;
-        let timeout = self.end_of(q).since(now).max(1);
-        let copy_after = self.copy_after(q);
+        let timeout = self.end_time_of(q).since(now).max(1);
+        let copy_delay = self.copy_delay(q);
         let needs_new_connection = q.sends_one_part_ahead
             || self.class(q).retry_safety == RetrySafety::Unsafe
             || self.are_idle_connections_dropped();
@@ -199,11 +200,11 @@
         let (Some(q), Some(s)) = (self.queries.get_mut(&id), self.servers.get_mut(&server)) else {
             return;
         };
-        s.calls.retain(|c| c.counts(now));
+        s.calls.retain(|c| c.is_pending(now));
         let part = &mut q.parts[index];
         part.is_withheld = false;
         let depth = s.pending();
-        let Some(call) = join_or_open_call(s, &mut self.calls, joins, now) else {
+        let Some(call) = join_or_open_call(s, &mut self.next_call_id, joins, now) else {
             return;
         };
         (s.slow_start_tokens, s.tokens_at) = (tokens - 1.0, now);
@@ -220,19 +221,19 @@
         };
         let flight = InFlightAttempt {
             server,
-            call,
-            sent: now,
-            norm: q.class * 2 + usize::from(part.step - 1),
+            call_id: call,
+            sent_at: now,
+            time_index: q.class * 2 + usize::from(part.step - 1),
             pending_at_send: depth,
             on_idle_connection: s.on_idle_connection,
         };
         self.in_flight.insert(attempt, flight);
         if attempt.attempt == 0 {
-            let least = COPY_LEAST[usize::from(self.settings.limits.budget.is_some())];
-            let rate = COPY_RATE * self.copy_usefulness.or(1.0).max(least);
-            self.copy_tokens = (self.copy_tokens + rate).min(COPY_SAVED);
+            let least = MIN_COPY_RATES[usize::from(self.settings.limits.budget.is_some())];
+            let rate = COPY_RATE * self.copy_usefulness.value_or(1.0).max(least);
+            self.copy_tokens = (self.copy_tokens + rate).min(MAX_COPY_TOKENS);
         }
-        note_sent(q, index, server, now, copy_after);
+        note_sent(q, index, server, now, copy_delay);
         actions.push(Action::Send {
             part: attempt.part,
             server,
@@ -241,14 +242,14 @@
     }
 
     /// How long after its send a part is copied: half of what its step may take.
-    pub(super) fn copy_after(&self, q: &Query) -> Micros {
+    pub(super) fn copy_delay(&self, q: &Query) -> Micros {
         let class = self.class(q);
         let window = match (class.second_step > 0, q.step) {
             (false, _) => q.window,
-            (true, 1) => scaled(q.window, FIRST_STEP),
+            (true, 1) => scaled(q.window, FIRST_STEP_SHARE),
             (true, _) => q.target_at.since(q.step_at).max(class.latency_target / 4),
         };
-        scaled(window, COPY_SHARE)
+        scaled(window, COPY_DELAY_SHARE)
     }
 
     /// A retry after a failure, or of what never left (it needs no budget), or the one copy of a
@@ -265,7 +266,7 @@
             p.attempts_made() == 0
                 && p.attempts
                     .iter()
-                    .all(|t| self.now >= t.sent.plus(MAX_CHECK_INTERVAL))
+                    .all(|t| self.now >= t.sent_at.plus(MAX_CHECK_INTERVAL))
         };
         let is_first = self
             .queries
@@ -284,7 +285,7 @@
         }
         if has_budget {
             if !is_first {
-                self.retries.add(self.now);
+                self.recent_retries.add(self.now);
             }
             self.send(id, index, server, actions);
         }
@@ -341,7 +342,7 @@
         let end = if self.now < q.target_at {
             q.target_at
         } else {
-            self.end_of(q)
+            self.end_time_of(q)
         };
         let is_in_time = expected <= end.since(self.now) as f64;
         let in_flight = part.in_flight().count();
@@ -358,14 +359,14 @@
             let server = part.attempts[usize::from(attempt)].server;
             let flight = self.in_flight.get(&oldest);
             let on_idle_connection = flight.is_some_and(|f| f.on_idle_connection);
-            self.on_silence(server, class, on_idle_connection, actions);
+            self.on_missing_answer(server, class, on_idle_connection, actions);
             self.queries
                 .entry(id)
                 .and_modify(|q| q.parts[index].is_lateness_counted = true);
         }
         // All missing parts are needed: copies go to the last part of a query before the first of
         // many.
-        if self.copy_tokens < (missing as f64).clamp(1.0, COPY_SAVED / 2.0) {
+        if self.copy_tokens < (missing as f64).clamp(1.0, MAX_COPY_TOKENS / 2.0) {
             return false;
         }
         if has_budget && in_flight > 1 {
@@ -388,8 +389,8 @@
             share: 0.0,
         };
         let budget = self.settings.limits.budget.unwrap_or(free);
-        let retries = self.retries.count(self.now, budget.window, true) + 1;
-        let admitted = self.admitted.count(self.now, budget.window, false);
+        let retries = self.recent_retries.count(self.now, budget.window, true) + 1;
+        let admitted = self.recent_admissions.count(self.now, budget.window, false);
         retries as f64
             <= budget.min_retries / f64::from(self.processes) + budget.share * admitted as f64
     }
@@ -410,10 +411,10 @@
     if !joins {
         s.calls.push(Call {
             id: *next,
-            sent: now,
+            sent_at: now,
             in_flight_parts: 0,
             size: 0,
-            ghost_until: None,
+            pending_until: None,
         });
         *next += 1;
     }
@@ -424,15 +425,15 @@
 }
 
 /// Notes that a part was sent, and when it is to be checked.
-fn note_sent(q: &mut Query, index: usize, server: ServerId, now: Time, copy_after: Micros) {
+fn note_sent(q: &mut Query, index: usize, server: ServerId, now: Time, copy_delay: Micros) {
     let attempts = &mut q.parts[index].attempts;
     attempts.push(PartAttempt {
         server,
-        sent: now,
-        ended: now,
+        sent_at: now,
+        ended_at: now,
         state: AttemptState::InFlight,
     });
     let made = attempts.len();
     q.single_attempt_parts -= usize::from(made == 2);
-    q.agenda.schedule(index, now.plus(copy_after / made as u64));
+    q.checks.schedule(index, now.plus(copy_delay / made as u64));
 }
--- a/policy/src/server_list.rs
+++ b/policy/src/server_list.rs
@@ -1,7 +1,7 @@
 //! The list of servers, and the allowance of those that have just started.
 
 use crate::tuning::{
-    KNOWN_TRAFFIC_ANSWERS, SLOW_START_EQUAL_SHARE, SLOW_START_MAX_SAVED, SLOW_START_PARTS,
+    KNOWN_TRAFFIC_ANSWERS, SLOW_START_EQUAL_SHARE, SLOW_START_MAX_TOKENS, SLOW_START_PARTS,
     SUBSCRIBE_BACKOFF_MAX, SUBSCRIBE_BACKOFF_MIN,
 };
 use crate::Coordinator;
@@ -45,17 +45,17 @@
         self.servers
             .retain(|_, s| s.mode != ServerMode::Gone || s.pending() > 0.0 || s.load.streams > 0);
         // What the list changed is summed up: no decision walks the fleet.
-        (self.cells, self.ready) = (BTreeMap::new(), 0);
+        (self.servers_by_cell, self.ready_servers) = (BTreeMap::new(), 0);
         for (&id, s) in self
             .servers
             .iter()
             .filter(|(_, s)| matches!(s.mode, ServerMode::Ready | ServerMode::Leaving))
         {
-            self.cells
+            self.servers_by_cell
                 .entry(s.cell % self.settings.layout.cells)
                 .or_default()
                 .push(id);
-            self.ready += 1;
+            self.ready_servers += 1;
         }
     }
 
@@ -64,7 +64,7 @@
         // Instances start at random points of their first part, since all hear of a start at once:
         // else none would send for long, or all together. One that knows its traffic is held by
         // chance.
-        let known = f64::from(u8::from(self.answered >= KNOWN_TRAFFIC_ANSWERS));
+        let known = f64::from(u8::from(self.answer_count >= KNOWN_TRAFFIC_ANSWERS));
         let (now, first) = (self.now, self.rng.0.f64() + known);
         let s = self.servers.entry(line.server).or_default();
         (s.cell, s.zone, s.mode) = (line.cell, line.zone, line.mode);
@@ -88,8 +88,9 @@
             (age < 1.0).then_some(cold.share + (1.0 - cold.share) * age)? * cold.fall_multiple;
         let fall_after = cold.fall_after as f64;
         let works = self.warm_server_rate();
-        let time = (now.since(self.began) + cold.fall_after) as f64 * self.ready.max(1) as f64;
-        let mean = self.answered as f64 / time;
+        let time =
+            (now.since(self.began) + cold.fall_after) as f64 * self.ready_servers.max(1) as f64;
+        let mean = self.answer_count as f64 / time;
         let equal = SLOW_START_EQUAL_SHARE * works / f64::from(self.settings.instances);
         let rate =
             allowed * (equal + (1.0 - SLOW_START_EQUAL_SHARE) * mean) / f64::from(self.processes);
@@ -103,13 +104,13 @@
             rate * (1.0 + 0.35 / together.max(1.0))
         };
         let most = if is_sparse {
-            SLOW_START_MAX_SAVED.min(1.0 + together)
+            SLOW_START_MAX_TOKENS.min(1.0 + together)
         } else {
             (rate * fall_after / 4.0).max(1.0)
         };
         let tokens =
             (s.slow_start_tokens + rate * now.since(s.tokens_at) as f64).clamp(-most, most);
-        let seed = self.salt ^ started.0.rotate_left(20) ^ u64::from(s.cell);
+        let seed = self.seed ^ started.0.rotate_left(20) ^ u64::from(s.cell);
         let chance = windowed_random(seed, now, cold.fall_after);
         let requested = (1.0 + f64::from(self.settings.layout.width)) / 2.0 * mean;
         let is_open = tokens >= 1.0 && (!is_sparse || chance * requested <= rate);
@@ -127,13 +128,13 @@
 
     /// Parts that a warm server works off in a microsecond.
     fn warm_server_rate(&self) -> f64 {
-        let norm = self
+        let common = self
             .common_times
             .iter()
-            .map(|n| n.or(0.0))
+            .map(|n| n.value_or(0.0))
             .fold(0.0, f64::max);
-        if norm > 0.0 {
-            return SLOW_START_PARTS / norm.max(1_000.0);
+        if common > 0.0 {
+            return SLOW_START_PARTS / common.max(1_000.0);
         }
         // An instance that has had no answer yet knows no more than what is wanted.
         let latency_targets = self
--- a/stats/src/decay.rs
+++ b/stats/src/decay.rs
@@ -9,13 +9,13 @@
 }
 
 impl DecayingMean {
-    /// Moves the mean towards `sample` by the share `pace`; the first sample is taken whole.
-    pub fn add(&mut self, sample: f64, pace: f64) {
-        self.value = Some(self.value.map_or(sample, |v| v + pace * (sample - v)));
+    /// Moves the mean towards `sample` by the share `gain`; the first sample is taken whole.
+    pub fn add(&mut self, sample: f64, gain: f64) {
+        self.value = Some(self.value.map_or(sample, |v| v + gain * (sample - v)));
     }
     /// The mean, or `otherwise` before the first sample.
     #[must_use]
-    pub fn or(self, otherwise: f64) -> f64 {
+    pub fn value_or(self, otherwise: f64) -> f64 {
         self.value.unwrap_or(otherwise)
     }
 }
@@ -43,11 +43,11 @@
         }
         self.value * remaining_share(now, self.at, half)
     }
-    /// Moves what is left of it towards `sample` by the share `pace`.
-    pub fn add(&mut self, now: Time, sample: f64, pace: f64, half: f64) {
+    /// Moves what is left of it towards `sample` by the share `gain`.
+    pub fn add(&mut self, now: Time, sample: f64, gain: f64, half: f64) {
         let left = self.value_at(now, half);
         *self = DecayingValue {
-            value: left + pace * (sample - left),
+            value: left + gain * (sample - left),
             at: now,
         };
     }
--- a/stats/src/lib.rs
+++ b/stats/src/lib.rs
@@ -6,9 +6,9 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod agenda;
 mod assignment;
 mod decay;
+mod part_checks;
 mod preference;
 mod query;
 mod random;
@@ -16,9 +16,9 @@
 mod tenant_quotas;
 mod window;
 
-pub use agenda::Agenda;
 pub use assignment::{PartAssignment, ServerScore};
 pub use decay::{remaining_share, DecayingMean, DecayingValue};
+pub use part_checks::PartChecks;
 pub use preference::Preference;
 pub use query::{AttemptState, InFlightAttempt, Part, PartAttempt, Query};
 pub use random::{windowed_random, SeededRng};
--- a/stats/src/agenda.rs
+++ b/stats/src/part_checks.rs
@@ -6,7 +6,7 @@
 /// Which parts of a query's step have to be checked and when, so that no decision walks over all
 /// of them.
 #[derive(Clone, Debug, Default)]
-pub struct Agenda {
+pub struct PartChecks {
     /// Parts without an answer that have no attempt in flight.
     idle_parts: BTreeSet<usize>,
     /// Parts that have an attempt in flight, by the time of their next check.
@@ -15,7 +15,7 @@
     check_times: BTreeMap<usize, Time>,
 }
 
-impl Agenda {
+impl PartChecks {
     /// Notes that a part has no attempt in flight.
     pub fn set_idle(&mut self, part: usize) {
         self.remove(part);
--- a/stats/src/preference.rs
+++ b/stats/src/preference.rs
@@ -20,14 +20,17 @@
             .unwrap_or(0);
         let order = match placement.prefix {
             0 => 0,
-            prefix => (mixed(prefix ^ mixed(u64::from(server.0) + 1)) >> 32) as u32,
+            prefix => {
+                (splitmix64_finalize(prefix ^ splitmix64_finalize(u64::from(server.0) + 1)) >> 32)
+                    as u32
+            }
         };
         Preference { level, order }
     }
 }
 
 /// The finalizer of SplitMix64: neighbours come out far apart.
-fn mixed(value: u64) -> u64 {
+fn splitmix64_finalize(value: u64) -> u64 {
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     value ^ (value >> 31)
--- a/stats/src/query.rs
+++ b/stats/src/query.rs
@@ -1,6 +1,6 @@
 //! What the decision module remembers of a query, its parts and their attempts.
 
-use crate::Agenda;
+use crate::PartChecks;
 use lichenswitch_interface::{Micros, PartId, Placement, ServerId, Shard, Time};
 use std::collections::BTreeSet;
 
@@ -21,9 +21,9 @@
     /// Where it was sent.
     pub server: ServerId,
     /// When.
-    pub sent: Time,
+    pub sent_at: Time,
     /// When it ended, once it has.
-    pub ended: Time,
+    pub ended_at: Time,
     /// How far it has come.
     pub state: AttemptState,
 }
@@ -72,17 +72,17 @@
     }
 }
 
-/// An attempt in flight, as its server is judged by it.
+/// An attempt in flight, as its server is recorded_outcome by it.
 #[derive(Clone, Copy, Debug)]
 pub struct InFlightAttempt {
     /// Where it was sent.
     pub server: ServerId,
     /// The call that it travelled in.
-    pub call: u64,
+    pub call_id: u64,
     /// When.
-    pub sent: Time,
+    pub sent_at: Time,
     /// Index of the common answer time that it is measured by.
-    pub norm: usize,
+    pub time_index: usize,
     /// Own parts pending there when it was sent.
     pub pending_at_send: f64,
     /// Whether it went on a connection that had been idle.
@@ -105,7 +105,7 @@
     /// Which of equal servers it goes to.
     pub placement: Placement,
     /// When it came.
-    pub arrived: Time,
+    pub arrived_at: Time,
     /// When its client gives up.
     pub deadline: Time,
     /// When its latency target is over, counted from the client's first attempt.
@@ -128,15 +128,15 @@
     /// Servers whose connection broke under a part of it.
     pub broken_servers: BTreeSet<ServerId>,
     /// When it has to be looked at again, if no event concerns it before.
-    pub next_look_at: Time,
+    pub check_at: Time,
     /// Its parts, of both steps.
     pub parts: Vec<Part>,
     /// Whether a part, of whichever step, was answered.
-    pub answered: bool,
+    pub has_answer: bool,
     /// Of the present step: parts to look at.
-    pub agenda: Agenda,
+    pub checks: PartChecks,
     /// Of the present step: how many parts there are.
-    pub count: usize,
+    pub part_count: usize,
     /// Of these, how many are unanswered and have had fewer than two attempts.
     pub single_attempt_parts: usize,
     /// Weight of all parts of the present step.
@@ -149,8 +149,8 @@
     /// Whether nothing of it is in flight, while a part that it needs may not be sent again for now:
     /// it waits for nothing but the retry budget.
     #[must_use]
-    pub fn is_stranded(&self) -> bool {
-        let is_withheld = self.agenda.idle_parts().any(|i| self.parts[i].is_withheld);
+    pub fn is_out_of_budget(&self) -> bool {
+        let is_withheld = self.checks.idle_parts().any(|i| self.parts[i].is_withheld);
         is_withheld
             && self
                 .parts
--- a/stats/src/server.rs
+++ b/stats/src/server.rs
@@ -9,21 +9,21 @@
     /// Names it; later ones are greater.
     pub id: u64,
     /// When it was sent.
-    pub sent: Time,
+    pub sent_at: Time,
     /// Its parts that are in flight.
     pub in_flight_parts: u32,
     /// All parts that it was sent with.
     pub size: u32,
     /// Set once a part ended without an answer: the call counts as pending until then, since the
     /// server may still work on it.
-    pub ghost_until: Option<Time>,
+    pub pending_until: Option<Time>,
 }
 
 impl Call {
     /// Whether it counts as pending.
     #[must_use]
-    pub fn counts(&self, now: Time) -> bool {
-        self.in_flight_parts > 0 || self.ghost_until.is_some_and(|until| until > now)
+    pub fn is_pending(&self, now: Time) -> bool {
+        self.in_flight_parts > 0 || self.pending_until.is_some_and(|until| until > now)
     }
 }
 
@@ -72,7 +72,7 @@
     }
     /// Follows a change of the classes, each the same as before or not: faults in a class that
     /// changed are forgotten.
-    pub fn on_classes(&mut self, same: &[bool]) {
+    pub fn reset_changed_classes(&mut self, same: &[bool]) {
         let Some(all) = self.faults.pop() else { return };
         self.faults.resize(same.len(), DecayingValue::default());
         let others = self.faults.iter_mut().zip(same).filter(|(_, same)| !**same);
--- a/stats/src/tenant_quotas.rs
+++ b/stats/src/tenant_quotas.rs
@@ -24,7 +24,7 @@
     }
     /// The same for another number of instances; what is saved up is cut to what the new rate
     /// allows.
-    pub fn share(&mut self, rates: &[f64], instances: u32) {
+    pub fn rebalance(&mut self, rates: &[f64], instances: u32) {
         let alike = TenantQuotas::new(rates, instances).tenants;
         for ((rate, saved, _), (new, full, _)) in self.tenants.iter_mut().zip(alike) {
             (*rate, *saved) = (new, saved.min(full));
@@ -32,7 +32,7 @@
     }
     /// Counts a query and tells whether it is within the tenant's quota; one that is beyond takes
     /// nothing from it. A tenant that there is not has no quota to go beyond.
-    pub fn within(&mut self, now: Time, tenant: u32) -> bool {
+    pub fn try_consume(&mut self, now: Time, tenant: u32) -> bool {
         let Some((rate, saved, at)) = self.tenants.get_mut(tenant as usize) else {
             return true;
         };
--- a/stats/src/tests.rs
+++ b/stats/src/tests.rs
@@ -5,23 +5,32 @@
 
 #[test]
 fn agenda_gives_parts_to_check_and_the_next_check() {
-    let mut agenda = Agenda::default();
-    agenda.set_idle(2);
-    agenda.schedule(0, Time(10));
-    agenda.schedule(1, Time(20));
+    let mut schedule = PartChecks::default();
+    schedule.set_idle(2);
+    schedule.schedule(0, Time(10));
+    schedule.schedule(1, Time(20));
     assert_eq!(
-        (agenda.parts_to_check(Time(9)), agenda.next_check(Time(9))),
+        (
+            schedule.parts_to_check(Time(9)),
+            schedule.next_check(Time(9))
+        ),
         (vec![2], Some(Time(10)))
     );
     assert_eq!(
-        (agenda.parts_to_check(Time(10)), agenda.next_check(Time(10))),
+        (
+            schedule.parts_to_check(Time(10)),
+            schedule.next_check(Time(10))
+        ),
         (vec![0, 2], Some(Time(20)))
     );
-    agenda.schedule(0, Time(30));
-    agenda.set_idle(1);
-    agenda.remove(2);
+    schedule.schedule(0, Time(30));
+    schedule.set_idle(1);
+    schedule.remove(2);
     assert_eq!(
-        (agenda.parts_to_check(Time(29)), agenda.next_check(Time(0))),
+        (
+            schedule.parts_to_check(Time(29)),
+            schedule.next_check(Time(0))
+        ),
         (vec![1], Some(Time(30)))
     );
 }
@@ -31,18 +40,22 @@
     // One of three instances has one query a second for each of two tenants.
     let mut quotas = TenantQuotas::new(&[3.0, 3.0], 3);
     let now = Time(5_000_000);
-    assert!(quotas.within(now, 0) && !quotas.within(now, 0) && quotas.within(now, 1));
-    assert!(!quotas.within(now.plus(900_000), 0) && quotas.within(now.plus(1_000_000), 0));
-    assert!(!quotas.within(now.plus(1_000_000), 0));
     assert!(
-        (0..5).all(|_| quotas.within(now, 2)),
+        quotas.try_consume(now, 0) && !quotas.try_consume(now, 0) && quotas.try_consume(now, 1)
+    );
+    assert!(
+        !quotas.try_consume(now.plus(900_000), 0) && quotas.try_consume(now.plus(1_000_000), 0)
+    );
+    assert!(!quotas.try_consume(now.plus(1_000_000), 0));
+    assert!(
+        (0..5).all(|_| quotas.try_consume(now, 2)),
         "no such tenant: no quota to go beyond"
     );
 }
 
 #[test]
 fn server_shared_by_more_parts_is_preferred_until_its_score_is_worse() {
-    let bid = |rank| ServerScore {
+    let score = |rank| ServerScore {
         rank,
         joins_open_call: false,
         is_in_zone: false,
@@ -54,20 +67,20 @@
         (2, vec![1, 3]),
         (3, vec![2, 3]),
     ];
-    let ranks = |server: i32| bid([None, Some(1), Some(2), None][server as usize]);
+    let ranks = |server: i32| score([None, Some(1), Some(2), None][server as usize]);
     let mut assignment = PartAssignment::new(&parts, true, ranks);
-    let mut dice = SeededRng::default();
-    assert_eq!(assignment.best(&mut dice), Some((1, vec![0, 1, 2])));
-    assignment.on_sent(1, &[0], bid(Some(3)));
+    let mut rng = SeededRng::default();
+    assert_eq!(assignment.best(&mut rng), Some((1, vec![0, 1, 2])));
+    assignment.on_sent(1, &[0], score(Some(3)));
     assert_eq!(
-        assignment.best(&mut dice),
+        assignment.best(&mut rng),
         Some((2, vec![1, 3])),
         "part 1 goes to the better one now"
     );
-    assignment.on_sent(2, &[1, 3], bid(Some(3)));
-    assert_eq!(assignment.best(&mut dice), Some((1, vec![2])));
-    assignment.on_sent(1, &[2], bid(None));
-    assert_eq!(assignment.best(&mut dice), None);
+    assignment.on_sent(2, &[1, 3], score(Some(3)));
+    assert_eq!(assignment.best(&mut rng), Some((1, vec![2])));
+    assignment.on_sent(1, &[2], score(None));
+    assert_eq!(assignment.best(&mut rng), None);
 }
 
 #[test]
@@ -75,18 +88,18 @@
     let (rates, now) = ([8.0], Time(5_000_000));
     let mut quotas = TenantQuotas::new(&rates, 1);
     assert!(
-        (0..3).all(|_| quotas.within(now, 0)),
+        (0..3).all(|_| quotas.try_consume(now, 0)),
         "five are left of eight"
     );
-    quotas.share(&rates, 4);
-    assert!((0..2).all(|_| quotas.within(now, 0)) && !quotas.within(now, 0));
-    assert!(!quotas.within(now.plus(400_000), 0) && quotas.within(now.plus(500_000), 0));
-    quotas.share(&rates, 1);
+    quotas.rebalance(&rates, 4);
+    assert!((0..2).all(|_| quotas.try_consume(now, 0)) && !quotas.try_consume(now, 0));
+    assert!(!quotas.try_consume(now.plus(400_000), 0) && quotas.try_consume(now.plus(500_000), 0));
+    quotas.rebalance(&rates, 1);
     assert!(
-        !quotas.within(now.plus(500_000), 0),
+        !quotas.try_consume(now.plus(500_000), 0),
         "nothing is won by the change itself"
     );
-    assert!(quotas.within(now.plus(625_000), 0));
+    assert!(quotas.try_consume(now.plus(625_000), 0));
 }
 
 fn preference(prefix: u64, backlog_step: u32, server: u32, backlog: u32) -> Preference {
