--- a/policy/src/completion.rs
+++ b/policy/src/completion.rs
@@ -1,4 +1,4 @@
-//! Ends of queries, and their admission: what is answered, refused or failed, and when.
+//! Admission and completion of queries: when each is answered, refused or failed.
 
 use crate::intake::RefusedQuery;
 use crate::tuning::{
@@ -11,18 +11,18 @@
 use lichenswitch_interface::{Action, Class, Micros, QueryId, RetrySafety, Time};
 use lichenswitch_stats::{remaining_share, scaled, AttemptState, Part, PartChecks, Query, Server};
 
-/// Sums of weights are compared with this much room for rounding.
+/// Rounding tolerance in comparisons of weight sums.
 const ROUNDING: f64 = 1e-5;
 
-/// Weights that an answer needs.
+/// Minimum weights of answered parts for an answer.
 struct WeightBounds {
-    /// For a complete answer.
+    /// Minimum weight for a complete answer.
     need: f64,
-    /// For any answer.
+    /// Minimum weight for any answer.
     floor: f64,
 }
 
-/// A query that was stopped since servers broke under it.
+/// Query that was stopped because connections to several servers broke under it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PoisonQuery {
     pub(super) class: usize,
@@ -35,12 +35,12 @@
         &self.settings.classes[q.class]
     }
 
-    /// Last moment for a final answer: two turns before the client leaves, or before an answer
-    /// earns too little: past its latency target a query has the share of the client's time that a
-    /// late answer has of the value. Attempts time out then: where a cancel stops nothing that is the only
-    /// brake on work that waits. Guards against jams of work that earns nothing, whatever the
-    /// cause, and ends retries that come too late. Harm: at little load some late answers are
-    /// not waited for.
+    /// Returns the latest time for a final answer: two turns before the client's deadline, or
+    /// earlier when a late answer earns little. After its latency target a query gets the fraction
+    /// `late_share` of the client's remaining time. Its attempts time out then, which is the only
+    /// limit on queued work if attempts cannot be cancelled. This prevents congestion by work
+    /// without value and ends late retries. Drawback: at low load some late answers are not
+    /// awaited.
     pub(super) fn end_time_of(&self, q: &Query) -> Time {
         let class = self.class(q);
         let earns = q.target_at.plus(scaled(
@@ -52,7 +52,7 @@
             .minus(2 * self.settings.resolution.max(1_000))
     }
 
-    /// Weight that is in, and weight that is in or can still come, of the present step.
+    /// Returns the answered weight and the answered or still reachable weight of the current step.
     pub(super) fn weights(&self, q: &Query) -> (f64, f64) {
         let stuck = q
             .checks
@@ -65,7 +65,7 @@
         )
     }
 
-    /// Whether the rules allow another attempt of a part now.
+    /// Returns whether the limits and the class allow another attempt of a part now.
     pub(super) fn may_send(&self, q: &Query, p: &Part, copy: bool) -> bool {
         let copies =
             self.settings.limits.second_copies && self.class(q).retry_safety == RetrySafety::Safe;
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Decides what is to be done for a query now: an answer, an end without one, or sends.
+    /// Answers or ends a query if it is due; otherwise sends attempts and sets the next check.
     pub(super) fn advance(&mut self, id: QueryId, actions: &mut Vec<Action>) {
         let Some(q) = self.queries.get(&id) else {
             return;
@@ -117,7 +117,7 @@
             return self.give_up(id, actions);
         }
         self.dispatch(id, actions);
-        // It would only wait for the budget: its client is answered at once, and may come back.
+        // Only the retry budget holds it up: the client is answered at once and may retry.
         if self.queries.get(&id).is_some_and(Query::is_out_of_budget) {
             return if answered + ROUNDING >= bounds.floor {
                 self.answer(id, false, actions)
@@ -132,7 +132,7 @@
         self.queries.entry(id).and_modify(|q| q.check_at = check_at);
     }
 
-    /// Weights that make the answer to the present step complete, or partial.
+    /// Returns the minimum weights of the current step.
     fn bounds_of(&self, q: &Query) -> WeightBounds {
         let class = self.class(q);
         let is_second = q.step == 2;
@@ -146,11 +146,11 @@
         }
     }
 
-    /// Whether a query crashes what takes it: connections to several servers broke under it and no
-    /// part was answered. After two it is withdrawn and sent by one part alone, after the third it
-    /// ends, and another query of its key ends at arrival. Differs from a crash of servers, whose
-    /// victims get answers from others. Harm: a victim that met dead servers alone waits for an
-    /// answer; honest queries of the key are refused.
+    /// Returns whether a query crashes servers: connections to several broke and no part was
+    /// answered. After two broken servers its attempts are cancelled and one part is sent alone.
+    /// After the third it ends, and later queries of its key end at arrival. If servers crash for
+    /// another cause, other servers answer their queries. Drawback: a query that met only crashed
+    /// servers waits, and harmless queries of the key are refused.
     pub(super) fn is_poison(&mut self, id: QueryId, actions: &mut Vec<Action>) -> bool {
         let Some(q) = self.queries.get(&id) else {
             return false;
@@ -178,14 +178,14 @@
         q.arrived_at == now && key != 0 && self.recent_poison(class).any(|p| p.key == key)
     }
 
-    /// The queries of a class that were stopped recently.
+    /// Returns the poison queries of a class that were stopped recently.
     pub(super) fn recent_poison(&self, class: usize) -> impl Iterator<Item = &PoisonQuery> {
         self.poison_queries
             .iter()
             .filter(move |p| p.class == class && self.now.since(p.stopped_at) < POISON_RETENTION)
     }
 
-    /// How long after its arrival a query is better answered in part than not yet.
+    /// Returns the time after its arrival from which a query may be answered in part.
     pub(super) fn partial_answer_delay(&self, q: &Query) -> Micros {
         let first = q.step == 1 && self.class(q).second_step > 0;
         let sparse = self.settings.instances as usize > self.ready_servers
@@ -197,7 +197,7 @@
         )
     }
 
-    /// Answers the present step, complete or partial; the final one ends the query.
+    /// Answers the current step, completely or in part. The answer to the last step ends the query.
     pub(super) fn answer(&mut self, id: QueryId, whole: bool, actions: &mut Vec<Action>) {
         let Some(q) = self.queries.get_mut(&id) else {
             return;
@@ -222,9 +222,8 @@
         self.remove_query(id, actions);
     }
 
-    /// Calibrates admission by how admitted queries end. Guards against a forecast that is off on
-    /// this fleet or for this trouble; harm: queries late for another cause (a hung server) make it
-    /// stricter for a while.
+    /// Adjusts admission by the lateness of an admitted query, which corrects a biased forecast.
+    /// Drawback: queries that are late for another cause (a hung server) tighten it for a while.
     pub(super) fn update_admission(&mut self, id: QueryId, answered: bool) {
         let Some(q) = self.queries.get(&id) else {
             return;
@@ -239,7 +238,7 @@
         }
     }
 
-    /// Ends a query that gets no answer, at once: as a refusal where asking again is harmless.
+    /// Ends a query without an answer: refused if a retry is harmless, otherwise failed.
     pub(super) fn give_up(&mut self, id: QueryId, actions: &mut Vec<Action>) {
         self.update_admission(id, false);
         let Some(q) = self.queries.get(&id) else {
@@ -286,7 +285,7 @@
         }
     }
 
-    /// Ends a query whose final answer has been given, or whose client has left.
+    /// Removes a query after its final answer or its client's disconnect.
     pub(super) fn remove_query(&mut self, id: QueryId, actions: &mut Vec<Action>) {
         self.cancel_unanswered(id, actions);
         let Some(q) = self.queries.remove(&id) else {
@@ -298,14 +297,13 @@
         q.parts.iter().for_each(|p| _ = self.parts.remove(&p.id));
     }
 
-    /// How long a part of this class sent to a server now is expected to take: the server's recent
-    /// answer time (which holds what peers send; it fades towards the common one), scaled by own
-    /// parts pending now against then; no less than the age of the oldest part younger than any
-    /// answered there: an older one was lost or held up alone, and would turn away all that need
-    /// its shard.
+    /// Returns the expected response time of a part of this class at a server: the recent response
+    /// time, which includes load of other instances and decays towards the common one, scaled by
+    /// the own parts pending now and then. It is at least the age of the oldest pending part sent
+    /// after the newest answered one. An older part was lost or delayed alone and would cause the
+    /// refusal of every query that needs its shard.
     pub(super) fn expected(&self, s: &Server, class: usize) -> f64 {
-        // All of it is forgotten while nothing is answered: else refusals alone would keep a past
-        // jam alive.
+        // Decays without answers; otherwise refusals alone would prolong a past congestion.
         let common = self.common_times[class * 2].value_or(0.0)
             * remaining_share(self.now, self.answered_at, RESPONSE_TIME_HALF_LIFE);
         let fading = remaining_share(self.now, s.response_time_at, RESPONSE_TIME_HALF_LIFE);
@@ -324,9 +322,9 @@
             .max(oldest as f64)
     }
 
-    /// Whether a query is refused at its arrival, since one of its parts finds all replicas too far
-    /// behind. The queue that is admitted is shorter for queries of less value for their work, and
-    /// beyond a tenant's quota.
+    /// Returns whether a query is refused at its arrival because all replicas of one of its parts
+    /// are too slow. The limit is lower for queries with less value per unit of work and for
+    /// queries beyond their tenant's quota.
     pub(super) fn is_shed(&mut self, id: QueryId) -> bool {
         let Some(q) = self.queries.get(&id) else {
             return false;
@@ -339,7 +337,7 @@
                 1.0
             };
         let parts = q.parts.len() as f64 + f64::from(class.second_step) / 2.0;
-        // Work is counted in parts and not by how long they take: in a jam all take long.
+        // Work is counted in parts, not in time: under congestion all parts take long.
         let value = class.value
             / if self.settings.worth_by_work {
                 1.0
@@ -351,8 +349,8 @@
             .clamp(MIN_VALUE_RATIO, MAX_VALUE_RATIO)
             * q.value_share.sqrt();
         let most = window * self.admission * value_factor;
-        // Of the holders that it would be sent to: a hung one, not heard of for a while, would look
-        // idle.
+        // Considers only the replica that would be chosen: a hung one without recent answers would
+        // look idle.
         let slowest = q.parts.iter().map(|p| {
             let open = self
                 .replicas_of(p.shard)
--- a/policy/src/health.rs
+++ b/policy/src/health.rs
@@ -1,4 +1,4 @@
-//! Health of servers: faults counted against each, and against the path to its zone.
+//! Health of servers and of the paths to their zones, from the outcomes of attempts.
 
 use crate::tuning::{
     BROKEN_GAIN, COMMON_TIME_GAIN, ERROR_GAIN, FAULT_HALF_LIFE, FAULT_THRESHOLD, HALF_LIFE_PARTS,
@@ -11,12 +11,12 @@
 use lichenswitch_stats::{DecayingValue, InFlightAttempt};
 
 impl Coordinator {
-    /// Whether an attempt of a class at a server will end well and in time, as the faded share of
-    /// bad ends. Errors and silence count by class, silence half for the others, what befalls the
-    /// connection for all. Guards against servers that fail, hang, stall, slow down, lose answers
-    /// or connections, for one class or all, or for this instance alone. It fades, so that a real
-    /// part tries again. Harm: a few unlucky parts suffice; under load the slowest are passed over
-    /// in turn.
+    /// Updates the decayed share of faults of a server. Errors and missing answers count for their
+    /// class, missing answers by half for all classes, connection faults for all. This detects
+    /// servers that fail, hang, stall, slow down or lose answers or connections, for one class, for
+    /// all, or for this instance alone. The share decays so that a later part tests the server
+    /// again. Drawback: a few unlucky parts suffice, and under load the slowest servers are passed
+    /// over in turn.
     pub(super) fn record_outcome(
         &mut self,
         flight: &InFlightAttempt,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Learns from an outcome how long a server takes.
+    /// Updates a server's recent response time from an outcome.
     fn learn_response_time(&mut self, flight: &InFlightAttempt, outcome: Outcome, elapsed: Micros) {
         let took = elapsed as f64;
         let common = self.common_times[flight.time_index].value_or(took);
@@ -65,8 +65,8 @@
             return;
         };
         let (is_ok, known) = (outcome == Outcome::Ok, s.response_time.value_or(common));
-        // What was not answered would have taken as long at least; a full queue is half the latency
-        // target long.
+        // An unanswered attempt gives a lower bound. A full queue is assumed to take half the
+        // latency target.
         let (sample, gain) = match outcome {
             Outcome::Ok => (took.min(2.0 * known.max(common)), RESPONSE_TIME_GAIN),
             Outcome::Rejected => (latency_target as f64 / 2.0, LOWER_BOUND_GAIN),
@@ -84,17 +84,17 @@
         }
     }
 
-    /// Half-life of the faults counted against a server (microseconds): the less often a server is
-    /// met, the longer they must last.
+    /// Returns the half-life of faults (microseconds). It is longer if a server is met seldom.
     pub(super) fn fault_half_life(&self) -> f64 {
         let between = self.now.since(self.began) as f64 * self.ready_servers as f64
             / self.answer_count.max(1) as f64;
         (HALF_LIFE_PARTS * between).clamp(FAULT_HALF_LIFE, MAX_HALF_LIFE_FACTOR * FAULT_HALF_LIFE)
     }
 
-    /// What is wrong with the path to a zone, where ends are far worse than at the best zone (alike
-    /// is load). Guards against slow or lossy links and lost zones where an instance has too few
-    /// parts to learn each server. Harm: the other zones carry more until some seconds have passed.
+    /// Returns the fault share of the path to a zone, or 0 if it is close to that of the best zone
+    /// (equal shares indicate load). This detects slow or lossy links and lost zones when an
+    /// instance has too few parts to learn about each server. Drawback: the other zones carry more
+    /// load for some seconds.
     pub(super) fn zone_fault(&self, zone: u32) -> f64 {
         let share = |a: &DecayingValue| a.value_at(self.now, FAULT_HALF_LIFE);
         let best = self.zones.values().map(share).fold(1.0, f64::min);
@@ -102,9 +102,9 @@
         f64::from(u8::from(here - best > ZONE_FAULT_MARGIN)) * here
     }
 
-    /// Whether connections that had been idle are lost more than others: dropped unseen. They are
-    /// closed before a send then (for unsafe parts always) and no server is to blame. Harm: some
-    /// new connections.
+    /// Returns whether idle connections are lost more often than others, as when a middlebox drops
+    /// them silently. They are then closed before a send (for unsafe parts always), and their
+    /// losses count against no server. Drawback: some additional connections.
     pub(super) fn are_idle_connections_dropped(&self) -> bool {
         let [last_used_at, on_idle_connection] = self
             .losses
@@ -112,7 +112,7 @@
         on_idle_connection > last_used_at + IDLE_LOSS_MARGIN
     }
 
-    /// An attempt is late, or has timed out.
+    /// Records that an attempt is late or has timed out.
     pub(super) fn on_missing_answer(
         &mut self,
         id: ServerId,
@@ -132,14 +132,14 @@
         }
     }
 
-    /// Counts a loss; returns whether that the connection had been idle explains it.
+    /// Records a loss. Returns whether it is explained by the connection having been idle.
     pub(super) fn record_loss(&mut self, on_idle_connection: bool, gain: f64) -> bool {
         self.losses[usize::from(on_idle_connection)].add(self.now, 1.0, gain, IDLE_LOSS_HALF_LIFE);
         on_idle_connection && self.are_idle_connections_dropped()
     }
 
-    /// Counts a bad end (0 to 1) against a server for a class, or for all classes; logs where that
-    /// makes it suspected, or trusted again.
+    /// Records a fault (0 to 1) of a server for class index `which`, or for all classes if `which`
+    /// is the number of classes. Logs when the server becomes suspected or trusted again.
     pub(super) fn record_fault(
         &mut self,
         id: ServerId,
--- a/policy/src/intake.rs
+++ b/policy/src/intake.rs
@@ -1,4 +1,4 @@
-//! Intake: events of queries and parts, and of what the settings say of them.
+//! Intake: handles events and registers queries, parts and changes of the settings.
 
 use crate::tuning::POISON_MIN_COMMON_TIMES;
 use crate::{AttemptId, Coordinator};
@@ -7,18 +7,18 @@
 };
 use lichenswitch_stats::{DecayingMean, Part, Query};
 
-/// A query that was refused, and whose client may come back with it.
+/// Refused query whose client may retry it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RefusedQuery {
     pub(super) class: usize,
     pub(super) key: u64,
-    /// When the client's first attempt came.
+    /// Arrival time of the client's first attempt.
     pub(super) began: Time,
-    /// Share of the class's value that it had.
+    /// Share of the class's value that the first attempt had.
     pub(super) value_share: f64,
 }
 
-/// What an arriving query says of itself.
+/// Attributes of an arriving query.
 struct Arrival {
     query: QueryId,
     number: u32,
@@ -72,7 +72,7 @@
                 elapsed,
                 ..
             } => self.on_finished(AttemptId { part, attempt }, outcome, elapsed, actions),
-            // It proves a process, not a service; none is sent.
+            // A probe shows that a process runs, not that it serves; the module sends none.
             Event::Probed { .. } => {}
             Event::List(update) => self.on_server_list(update),
             Event::Classes(classes) => self.set_classes(classes),
@@ -95,7 +95,7 @@
         let (target_at, value_share) =
             self.target_and_value(class, arrival.key, arrival.is_retry, arrival.tenant);
         let window = self.remaining_window(class, target_at, arrival.deadline);
-        // One part goes ahead where another query of the class was poison, if there is time for it.
+        // One part is sent ahead if a query of the class was poison recently and there is time.
         let has_time =
             window as f64 > self.common_times[class * 2].value_or(0.0) * POISON_MIN_COMMON_TIMES;
         let query = Query {
@@ -117,7 +117,7 @@
         self.queries.insert(arrival.query, query);
     }
 
-    /// Time that a query of a class really has, to its latency target or its deadline.
+    /// Returns the time left for a query until its latency target or its deadline.
     fn remaining_window(&self, class: usize, target_at: Time, deadline: Time) -> Micros {
         let latency_target = self.settings.classes[class].latency_target;
         let remaining = target_at.since(self.now);
@@ -175,7 +175,7 @@
         self.quotas.rebalance(&self.settings.quotas, instances);
     }
 
-    /// Replaces the classes; what was learnt of a class that changed is forgotten.
+    /// Replaces the classes and discards the statistics of each class that changed.
     fn set_classes(&mut self, mut classes: Vec<Class>) {
         let old = &self.settings.classes;
         classes.extend_from_slice(old.get(classes.len()..).unwrap_or_default());
@@ -196,10 +196,10 @@
         self.settings.classes = classes;
     }
 
-    /// When the latency target of a query is over, counted from its client's first attempt, and the
-    /// share of its value that this attempt had. A retry is of a class and key that were refused
-    /// before and, where clients mark retries, marked. Guards against late retries that crowd out
-    /// new queries. Harm: unmarked, a new query of a hot key may be taken for a retry.
+    /// Returns the end of a query's latency target, counted from its client's first attempt, and
+    /// the value share of that attempt. A retry has the class and key of a refused query and, if
+    /// clients mark retries, the mark. This keeps late retries from displacing new queries.
+    /// Drawback: without marks, a new query for a hot key may be taken for a retry.
     fn target_and_value(
         &mut self,
         class: usize,
--- a/policy/src/lib.rs
+++ b/policy/src/lib.rs
@@ -1,16 +1,17 @@
-//! Every decision of the co-ordinator. Its types, events and actions are the package `interface`.
+//! Decision module of the coordinator. Its events and actions are defined in the package
+//! `interface`.
 //!
-//! The ordinary path is BASIC with REQS (Friedman and Mosse 1996): a part goes to the replica with
-//! the fewest calls of this instance pending, is copied once at half its latency target (a hedged
-//! request), and the loser of the two is cancelled. All else is a guard with its condition at the
-//! code.
+//! The normal path is BASIC with REQS (Friedman and Mosse 1996): a part goes to the replica with
+//! the fewest pending calls of this instance, is copied once at half its latency target (a hedged
+//! request), and the slower of the two is cancelled. Everything else guards against a fault that is
+//! described at the code.
 //!
 //! - `intake`: events of queries and parts;
-//! - `selection`: which replica gets an attempt, a retry or a copy;
-//! - `outcomes`: how attempts ended; `health`: what that says of servers and zones;
-//! - `completion`: when a query is answered, refused or failed, and whether it is admitted;
+//! - `selection`: the replica of each attempt, retry and copy;
+//! - `outcomes`: ends of attempts; `health`: faults of servers and zones;
+//! - `completion`: admission of queries, and their answers, refusals and failures;
 //! - `server_list`: the list of servers and the slow start of new ones;
-//! - `tuning`: every tuned value.
+//! - `tuning`: tuned constants.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -37,15 +38,15 @@
     SUBSCRIBE_BACKOFF_MIN,
 };
 
-/// Names an attempt of a part.
+/// Identifier of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct AttemptId {
     part: PartId,
-    /// Which of the part's attempts, from 0.
+    /// Index among the part's attempts, from 0.
     attempt: u16,
 }
 
-/// One co-ordinator: the decisions of one broker.
+/// State of the decision module of one broker process.
 #[derive(Default)]
 pub struct Coordinator {
     settings: Settings,
@@ -53,61 +54,61 @@
     seed: u64,
     now: Time,
     servers: BTreeMap<ServerId, Server>,
-    /// The servers of each cell that take work.
+    /// Servers that accept work, by cell.
     servers_by_cell: BTreeMap<u32, Vec<ServerId>>,
-    /// How many there are in all.
+    /// Number of servers that accept work.
     ready_servers: usize,
-    /// Share of bad ends at the servers of each zone, for what befalls all classes.
+    /// Share of faults at all servers of a zone that affect every class.
     zones: BTreeMap<u32, DecayingValue>,
-    /// Share of losses on connections in use and on those that had been idle.
+    /// Share of losses on connections in use (index 0) and on idle ones (index 1).
     losses: [DecayingValue; 2],
     queries: BTreeMap<QueryId, Query>,
     queries_by_number: BTreeMap<u32, QueryId>,
-    /// The query of each part, and its index there.
+    /// Query of each part, and the part's index in it.
     parts: HashMap<PartId, (QueryId, usize)>,
     in_flight: HashMap<AttemptId, InFlightAttempt>,
     /// Common response time by class and step (microseconds): index `2 * class + step - 1`.
     common_times: Vec<DecayingMean>,
-    /// Number of the next call.
+    /// Identifier of the next call.
     next_call_id: u64,
-    /// The first call of this turn.
+    /// Identifier of the first call of this turn.
     first_call_of_turn: u64,
-    /// Copies that may be made now.
+    /// Tokens for copies; each copy takes one.
     copy_tokens: f64,
-    /// Share of copied parts whose copy proved the first attempt lost or held up alone.
+    /// Share of copied parts whose first attempt proved lost or delayed alone.
     copy_usefulness: DecayingMean,
-    /// Share of its latency target that a query's forecast may take.
+    /// Maximum forecast of a query at admission, as a share of its latency target.
     admission: f64,
-    /// Mean value of queries for their work.
+    /// Mean value of queries per unit of work.
     mean_value: DecayingMean,
-    /// Queries that were refused lately.
+    /// Recently refused queries, to recognise their retries.
     recent_refusals: VecDeque<RefusedQuery>,
     quotas: TenantQuotas,
-    /// Queries that were stopped lately since servers broke under them.
+    /// Recently stopped queries that broke connections to several servers.
     poison_queries: Vec<PoisonQuery>,
-    /// Processes that share what is allowed to this instance.
+    /// Number of processes that share this instance's limits.
     processes: u32,
-    /// The first turn.
+    /// Time of the first turn.
     began: Time,
-    /// Answers since then.
+    /// Answers since the first turn.
     answer_count: u64,
-    /// The last answer.
+    /// Time of the last answer.
     answered_at: Time,
-    /// Queries and parts within the window of the retry budget.
+    /// Admitted queries and parts within the window of the retry budget.
     recent_admissions: WindowCount,
     /// Retries and copies within the same window.
     recent_retries: WindowCount,
-    /// When the last wake-up asked for is due.
+    /// Time of the earliest requested wake-up.
     wake_at: Option<Time>,
-    /// When to ask for the list of servers.
+    /// Time of the next request for the server list.
     subscribe_at: Option<Time>,
-    /// How long to wait before asking again after a failure.
+    /// Delay before the next request for the list after a failure.
     subscribe_backoff: Micros,
 }
 
 impl Coordinator {
-    /// A new instance that knows nothing yet. The same seed, settings and events give the same
-    /// actions.
+    /// Creates an instance without servers or statistics. The same seed, settings and events give
+    /// the same actions.
     #[must_use]
     pub fn new(seed: u64, settings: Settings) -> Self {
         Coordinator {
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Takes in all events of this turn, then decides.
+    /// Handles all events of a turn, then appends the resulting actions.
     pub fn turn(&mut self, now: Time, events: Vec<Event>, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         self.began = self.began.min(self.now);
@@ -151,8 +152,8 @@
         self.schedule_wake(actions);
     }
 
-    /// When a query has to be looked at again: at its end, when it may be answered in part, when a
-    /// part is to be copied, and soon while something that it wants to send is withheld.
+    /// Returns the next check of a query: at its end, when a partial answer is allowed, when a part
+    /// is to be copied, or soon if a send is withheld.
     fn check_time_of(&self, q: &Query) -> Time {
         let soon = self.now.plus(if self.settings.limits.second_copies {
             MAX_CHECK_INTERVAL
--- a/policy/src/outcomes.rs
+++ b/policy/src/outcomes.rs
@@ -1,4 +1,4 @@
-//! Outcomes of attempts, and parts that need no answer any more.
+//! Outcomes of attempts, and parts that became unneeded.
 
 use crate::tuning::{
     COPY_TOKENS_PER_LOSS, COPY_USEFULNESS_GAIN, LOST_WAIT_RATIO, MAX_COPY_TOKENS,
@@ -9,7 +9,7 @@
 use lichenswitch_stats::{scaled, AttemptState, InFlightAttempt, Query};
 
 impl Coordinator {
-    /// A part of the present step that is not needed any more counts as answered.
+    /// Counts an unneeded part of the current step as answered and cancels its attempts.
     pub(super) fn on_unneeded(&mut self, part: PartId, actions: &mut Vec<Action>) {
         let Some(&(id, index)) = self.parts.get(&part) else {
             return;
@@ -26,7 +26,7 @@
         self.cancel_attempts(id, index, actions);
     }
 
-    /// An attempt has ended.
+    /// Handles the end of an attempt.
     pub(super) fn on_finished(
         &mut self,
         id: AttemptId,
@@ -41,7 +41,7 @@
         let Some(&(query, index)) = self.parts.get(&id.part) else {
             return self.record_outcome(&flight, (outcome, elapsed), actions);
         };
-        // Of one query two resets at most are those of idle connections: poison looks like them.
+        // Poison also resets connections: at most two resets of a query count as idle losses.
         let breaks_servers = outcome == Outcome::Reset
             && self
                 .queries
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Takes an attempt out of its call, which counts on where the server may still work on it.
+    /// Removes an attempt from its call. The call stays pending if the server may still work on it.
     fn end_call(&mut self, flight: &InFlightAttempt, outcome: Outcome) {
         let class = &self.settings.classes[flight.time_index / 2];
         let pending_until = self
@@ -99,13 +99,13 @@
         }
     }
 
-    /// A part has its first answer.
+    /// Handles the first answer of a part.
     ///
-    /// Copies that prove useful earn more copies. Guards against silence that befalls more parts
-    /// than may be copied: hung servers, lost answers, a class unanswered, a path cut; and against
-    /// copies that feed an overload: there the first attempt answers as soon, and the share of
-    /// copies falls. Harm: where load is uneven more is done twice; the first parts of a new silence
-    /// wait for its proof.
+    /// Useful copies earn more copies. This covers faults that affect more parts than may be copied
+    /// (hung servers, lost answers, an unanswered class, a cut path) and limits copies in an
+    /// overload, where the first attempt answers as soon and the share of copies falls. Drawback:
+    /// uneven load causes more duplicate work, and the first parts of a new fault wait for its
+    /// proof.
     fn on_answered(
         &mut self,
         id: QueryId,
@@ -142,7 +142,7 @@
         self.cancel_attempts(id, index, actions);
     }
 
-    /// Cancels the attempts of a part that are still in flight, where attempts may be cancelled.
+    /// Cancels the attempts of a part that are in flight, if the settings allow it.
     fn cancel_attempts(&self, id: QueryId, index: usize, actions: &mut Vec<Action>) {
         if !self.settings.limits.may_cancel {
             return;
@@ -158,7 +158,7 @@
     }
 }
 
-/// Counts a part of the present step as answered.
+/// Counts a part of the current step as answered.
 fn count_answered(query: &mut Query, index: usize) {
     query.checks.remove(index);
     let part = &query.parts[index];
@@ -166,7 +166,7 @@
     query.single_attempt_parts -= usize::from(part.attempts.len() < 2);
 }
 
-/// Notes how an attempt of a part ended; `false`: there is no such attempt.
+/// Records the end of an attempt of a part. Returns `false` if there is no such attempt.
 fn end_attempt(query: &mut Query, index: usize, attempt: u16, outcome: Outcome, now: Time) -> bool {
     let Some(part) = query.parts.get_mut(index) else {
         return false;
--- a/policy/src/selection.rs
+++ b/policy/src/selection.rs
@@ -1,4 +1,4 @@
-//! Choice of replicas: first attempts, retries and copies, within the limits on them.
+//! Choice of replicas for first attempts, retries and copies, and the limits on them.
 
 use crate::tuning::{
     AVOIDED_AFTER, CANCEL_PROPAGATION_TIME, COPY_DELAY_SHARE, COPY_RATE, FAULT_HALF_LIFE,
@@ -15,7 +15,7 @@
 };
 
 impl Coordinator {
-    /// The servers that hold a shard and take work.
+    /// Returns the servers that hold a shard and accept work.
     pub(super) fn replicas_of(&self, shard: Shard) -> impl Iterator<Item = (ServerId, &Server)> {
         let (cells, width) = (self.settings.layout.cells, self.settings.layout.width);
         let near = (0..width.min(cells)).map(move |j| (shard.0 % cells + j) % cells);
@@ -24,7 +24,8 @@
             .map(|id| (*id, &self.servers[id]))
     }
 
-    /// Own parts pending at the server that a part would go to; `None`: no server takes it now.
+    /// Returns this instance's pending parts at the preferred server, or `None` if no server is
+    /// open.
     #[must_use]
     pub fn pending_for(&self, shard: Shard, class: usize) -> Option<f64> {
         let open = self
@@ -34,8 +35,8 @@
             .map(|(_, s)| s.pending())
     }
 
-    /// How many of the ready servers are avoided by choice: passed over for queries of some class,
-    /// and sent nothing for a while.
+    /// Returns the number of ready servers that are avoided: passed over for some class because of
+    /// faults, and unused for a while.
     #[must_use]
     pub fn avoided_servers(&self) -> usize {
         let is_unused =
@@ -50,22 +51,21 @@
             .count()
     }
 
-    /// Whether a server in slow start has used up its allowance: nothing is sent, rather than
-    /// overload it.
+    /// Returns whether a server in slow start has used up its allowance, so that nothing is sent.
     pub(super) fn has_no_allowance(&self, s: &Server) -> bool {
         self.slow_start_allowance(s)
             .is_some_and(|allowance| allowance.parts_a_call == 0)
     }
 
-    /// Whether a part joins a call opened this turn.
+    /// Returns whether a part would join a call that was opened in this turn.
     pub(super) fn joins_open_call(&self, s: &Server) -> bool {
         s.calls.last().is_some_and(|c| {
             c.id >= self.first_call_of_turn && c.size < self.settings.layout.parts_a_call
         })
     }
 
-    /// How little a server suits a class, the least is best: its tier of faults, then the calls that
-    /// it would have pending.
+    /// Returns the rank of a server for a class, lower is better: its fault tier, then the calls
+    /// that would be pending there.
     pub(super) fn rank(&self, s: &Server, class: usize) -> (u8, usize) {
         let half = self.fault_half_life();
         let fault = |which| {
@@ -81,14 +81,14 @@
         } else {
             0
         };
-        // One that is about to be taken out comes after all that are trusted.
+        // A server that is about to be removed ranks after all healthy ones.
         let tier = tier.max(u8::from(s.mode == ServerMode::Leaving));
         let pending =
             s.calls.iter().filter(|c| c.is_pending(self.now)).count() + s.load.streams as usize;
         (tier, pending + usize::from(!self.joins_open_call(s)))
     }
 
-    /// Sends what a query still has to send: first attempts together, then retries and copies.
+    /// Sends the due attempts of a query: first attempts together, then retries and copies.
     pub(super) fn dispatch(&mut self, id: QueryId, actions: &mut Vec<Action>) {
         let Some(q) = self.queries.get(&id) else {
             return;
@@ -115,15 +115,15 @@
         }
     }
 
-    /// Which attempt of a part the rules allow now, if any.
+    /// Returns the kind of attempt that a part may have now, if any.
     fn next_attempt(&self, q: &Query, part: &Part, copy_delay: Micros) -> Option<NextAttempt> {
         let now = self.now;
         let Some(last) = part.attempts.last() else {
             return Some(NextAttempt::First);
         };
         if part.in_flight().next().is_none() {
-            // Guards the attempts that remain where nobody is at any replica; a full one may have a
-            // place soon.
+            // Saves the remaining attempts if all replicas are unreachable. A full server may have
+            // capacity soon, so rejections do not count.
             let all_unreachable =
                 part.is_unreachable && part.attempts.len() >= self.settings.layout.width as usize;
             let end_is_known =
@@ -136,9 +136,8 @@
         (is_late && self.may_send(q, part, true)).then_some(NextAttempt::Copy)
     }
 
-    /// First attempts: each part to a replica with the fewest calls pending. Of equals the one that
-    /// most of the query's open parts can share, so that neighbours travel in one call, then the
-    /// own zone.
+    /// Sends first attempts, each to a replica with the fewest pending calls. Ties go to the server
+    /// that most open parts of the query can share in one call, then to the own zone.
     pub(super) fn send_first(&mut self, id: QueryId, open: &[usize], actions: &mut Vec<Action>) {
         let Some(q) = self.queries.get(&id).filter(|_| !open.is_empty()) else {
             return;
@@ -161,8 +160,8 @@
         }
     }
 
-    /// Of servers with as few pending, one of little backlog that most likely keeps the prefix that
-    /// the query shares.
+    /// Returns the score of a server. Among equally loaded ones it prefers a low backlog and the
+    /// server that most likely caches the query's prefix.
     fn score(
         &self,
         id: ServerId,
@@ -178,7 +177,7 @@
         }
     }
 
-    /// Sends a part to a server: a new attempt.
+    /// Sends a part to a server as a new attempt.
     pub(super) fn send(
         &mut self,
         id: QueryId,
@@ -241,7 +240,7 @@
         });
     }
 
-    /// How long after its send a part is copied: half of what its step may take.
+    /// Returns the time after its send at which a part is copied: half of its step's window.
     pub(super) fn copy_delay(&self, q: &Query) -> Micros {
         let class = self.class(q);
         let window = match (class.second_step > 0, q.step) {
@@ -252,9 +251,9 @@
         scaled(window, COPY_DELAY_SHARE)
     }
 
-    /// A retry after a failure, or of what never left (it needs no budget), or the one copy of a
-    /// late part; to a replica not tried yet if there is one. After a copy has been silent for half
-    /// as long the older attempt is cancelled and a third one made.
+    /// Sends a retry, or a copy of a late part, to an untried replica if there is one. A retry of a
+    /// part that was never sent needs no retry budget. If a copy is unanswered after half the
+    /// delay, the older attempt is cancelled and a third one made.
     pub(super) fn send_again(
         &mut self,
         id: QueryId,
@@ -291,8 +290,8 @@
         }
     }
 
-    /// The replica that a further attempt of a part goes to, and how long it is expected to take
-    /// (microseconds). Each replica that may take it draws one number, for ties.
+    /// Returns the replica for a further attempt of a part and the expected response time
+    /// (microseconds). Draws one random number for each candidate, to break ties.
     fn next_target(&mut self, id: QueryId, index: usize) -> Option<(ServerId, f64)> {
         let q = self.queries.get(&id)?;
         let part = &q.parts[index];
@@ -325,8 +324,8 @@
         target
     }
 
-    /// Whether a late part gets a copy now; counts its first lateness against the server that is
-    /// silent, and cancels the oldest attempt where a copy is out already.
+    /// Returns whether a late part gets a copy now. Counts its first lateness against the server,
+    /// and cancels the oldest attempt if a copy is already in flight.
     fn may_copy(
         &mut self,
         id: QueryId,
@@ -353,8 +352,8 @@
             part: part.id,
             attempt,
         };
-        // It is silent where another would have answered: if none would, it is load and no one's
-        // fault.
+        // Reached only if another replica would answer in time: otherwise load is the cause, not a
+        // fault of this server.
         if !part.is_lateness_counted {
             let server = part.attempts[usize::from(attempt)].server;
             let flight = self.in_flight.get(&oldest);
@@ -364,8 +363,7 @@
                 .entry(id)
                 .and_modify(|q| q.parts[index].is_lateness_counted = true);
         }
-        // All missing parts are needed: copies go to the last part of a query before the first of
-        // many.
+        // A query needs all missing parts, so a query that misses few has priority for copies.
         if self.copy_tokens < (missing as f64).clamp(1.0, MAX_COPY_TOKENS / 2.0) {
             return false;
         }
@@ -381,7 +379,7 @@
         true
     }
 
-    /// Whether the retry budget allows one more retry or copy.
+    /// Returns whether the retry budget allows one more retry or copy.
     pub(super) fn budget_allows(&mut self) -> bool {
         let free = Budget {
             window: 0,
@@ -396,17 +394,16 @@
     }
 }
 
-/// An attempt that a part may have next.
+/// Kind of the next attempt of a part.
 enum NextAttempt {
     First,
-    /// After one that has ended without an answer.
+    /// Sent after an attempt that ended without an answer.
     Retry,
-    /// Beside one that is late.
+    /// Sent in addition to a late attempt.
     Copy,
 }
 
-/// Puts a part into the call that was opened this turn, or into a new one; returns the call's
-/// number.
+/// Adds a part to the call opened in this turn, or to a new one, and returns the call's identifier.
 fn join_or_open_call(s: &mut Server, next: &mut u64, joins: bool, now: Time) -> Option<u64> {
     if !joins {
         s.calls.push(Call {
@@ -424,7 +421,7 @@
     Some(call.id)
 }
 
-/// Notes that a part was sent, and when it is to be checked.
+/// Records the send of a part and schedules its next check.
 fn note_sent(q: &mut Query, index: usize, server: ServerId, now: Time, copy_delay: Micros) {
     let attempts = &mut q.parts[index].attempts;
     attempts.push(PartAttempt {
--- a/policy/src/server_list.rs
+++ b/policy/src/server_list.rs
@@ -1,4 +1,4 @@
-//! The list of servers, and the allowance of those that have just started.
+//! Updates of the server list, and the slow-start allowance of new servers.
 
 use crate::tuning::{
     KNOWN_TRAFFIC_ANSWERS, SLOW_START_EQUAL_SHARE, SLOW_START_MAX_TOKENS, SLOW_START_PARTS,
@@ -9,17 +9,17 @@
 use lichenswitch_stats::{windowed_random, Server};
 use std::collections::BTreeMap;
 
-/// What may be sent to a server in slow start.
+/// Slow-start allowance of a server.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Allowance {
-    /// Parts that it may be sent; negative after more were.
+    /// Tokens, one for each part; negative after the allowance was exceeded.
     pub(super) tokens: f64,
-    /// Parts that one call may carry now; 0: nothing may be sent.
+    /// Maximum parts in one call now; 0: nothing may be sent.
     pub(super) parts_a_call: usize,
 }
 
 impl Coordinator {
-    /// Takes an update of the list, and sums up what no decision should walk the fleet for.
+    /// Applies an update of the list and rebuilds the summaries that decisions use.
     pub(super) fn on_server_list(&mut self, listing: ServerListUpdate) {
         if listing == ServerListUpdate::Failed {
             self.subscribe_at = Some(
@@ -41,10 +41,10 @@
         {
             lines.iter().for_each(|line| self.update_server(line));
         }
-        // Guards memory and time on long days: what is gone is forgotten once nothing is in flight there.
+        // Bounds memory: a removed server is dropped once nothing is in flight there.
         self.servers
             .retain(|_, s| s.mode != ServerMode::Gone || s.pending() > 0.0 || s.load.streams > 0);
-        // What the list changed is summed up: no decision walks the fleet.
+        // These summaries spare each decision a pass over all servers.
         (self.servers_by_cell, self.ready_servers) = (BTreeMap::new(), 0);
         for (&id, s) in self
             .servers
@@ -59,11 +59,11 @@
         }
     }
 
-    /// Takes one line of the list.
+    /// Applies one entry of the list.
     pub(super) fn update_server(&mut self, line: &ListedServer) {
-        // Instances start at random points of their first part, since all hear of a start at once:
-        // else none would send for long, or all together. One that knows its traffic is held by
-        // chance.
+        // All instances learn of a start at once. Random initial tokens keep them from all waiting
+        // or all sending together. An instance that knows its traffic gets one more token, as the
+        // windowed random draw limits it instead.
         let known = f64::from(u8::from(self.answer_count >= KNOWN_TRAFFIC_ANSWERS));
         let (now, first) = (self.now, self.rng.0.f64() + known);
         let s = self.servers.entry(line.server).or_default();
@@ -76,11 +76,12 @@
         }
     }
 
-    /// What may be sent to a server in slow start now; `None`: it is warm. Of what the rule allows
-    /// each instance has its share; they sum to less. Less than one part a window is saved, as an
-    /// instance of little traffic seldom has work as it comes; there chance decides in each window
-    /// whether the server is open, by its share over what its shards may ask for. Harm: a shard whose
-    /// replicas are all in slow start waits.
+    /// Returns the slow-start allowance of a server, or `None` if it is warm. Each instance has its
+    /// share of the allowed load; the shares sum to less than all of it. A share below one part per
+    /// window is saved up, as an instance with little traffic seldom has work when it accrues. In
+    /// that case a random draw per window opens the server, with a probability of the share over
+    /// the expected demand of its shards. Drawback: a shard whose replicas are all in slow start
+    /// waits.
     pub(super) fn slow_start_allowance(&self, s: &Server) -> Option<Allowance> {
         let (started, cold, now) = (s.slow_start_from?, &self.settings.slow_start, self.now);
         let age = now.since(started) as f64 / cold.warm_after.max(1) as f64;
@@ -96,8 +97,8 @@
             allowed * (equal + (1.0 - SLOW_START_EQUAL_SHARE) * mean) / f64::from(self.processes);
         let together = (allowed * works * fall_after).sqrt() / 3.5;
         let is_sparse = rate * fall_after < 1.0;
-        // Where few instances meet it often, chance adds less than it may: by the root of the
-        // allowance.
+        // With few, busy instances the random excess is smaller than allowed, by the square root of
+        // the allowance.
         let rate = if is_sparse {
             rate
         } else {
@@ -126,7 +127,7 @@
         })
     }
 
-    /// Parts that a warm server works off in a microsecond.
+    /// Returns the number of parts that a warm server completes per microsecond.
     fn warm_server_rate(&self) -> f64 {
         let common = self
             .common_times
@@ -136,7 +137,7 @@
         if common > 0.0 {
             return SLOW_START_PARTS / common.max(1_000.0);
         }
-        // An instance that has had no answer yet knows no more than what is wanted.
+        // Before the first answer only the latency targets are known.
         let latency_targets = self
             .settings
             .classes
