--- a/stats/src/assignment.rs
+++ b/stats/src/assignment.rs
@@ -1,47 +1,47 @@
-//! Assigns the open parts of a query to the servers that are best for each.
+//! Assignment of a query's open parts to the best server for each.
 
 use crate::SeededRng;
 
-/// How a server rates for the parts of a query that it could take; the lower rank is preferred.
+/// Score of a server for the parts of a query that it could take.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerScore<R> {
-    /// `None`: it takes nothing now.
+    /// Rank of the server, lower is better; `None` if it accepts nothing now.
     pub rank: Option<R>,
-    /// Whether a part joins a call that was opened already.
+    /// Whether a part would join a call that is already open.
     pub joins_open_call: bool,
-    /// Whether it is in the zone of this instance.
+    /// Whether the server is in the zone of this instance.
     pub is_in_zone: bool,
 }
 
-/// One server that open parts of a query could go to.
+/// Server that could take open parts of a query.
 struct Candidate<S, R> {
     server: S,
     score: ServerScore<R>,
-    /// Positions of the open parts that it could take, in order.
+    /// Positions of the open parts that it could take, ascending.
     eligible: Vec<usize>,
-    /// Positions of the open parts that it is best for, in order.
+    /// Positions of the open parts that it is the best server for, ascending.
     preferred: Vec<usize>,
 }
 
-/// A part, and the indices of the candidates that could take it; none once it is sent.
+/// Part and the indices of the candidates that could take it, empty once it is sent.
 type OpenPart = (usize, Vec<usize>);
 
-/// The open parts of a query at the servers that are best for each. A score changes only as
-/// something is sent to its server, so that only the parts there are rated again.
+/// Assignment of the open parts of a query to the best servers. A score changes only when something
+/// is sent to its server, so only the parts that this server could take are rated again.
 pub struct PartAssignment<S, R> {
-    /// In the order of their servers.
+    /// Candidates, ordered by server.
     candidates: Vec<Candidate<S, R>>,
-    /// By candidate, how much a send there brings: parts, joined, in zone; 0: no part is open there.
+    /// Priority by candidate: number of parts, then joined call, then zone; 0 without open parts.
     keys: Vec<u64>,
-    /// In order.
+    /// Open parts, ordered by index.
     parts: Vec<OpenPart>,
-    /// Whether parts share calls.
+    /// Whether several parts can share one call.
     shares_calls: bool,
 }
 
 impl<S: Copy + Ord, R: Copy + Ord> PartAssignment<S, R> {
-    /// All parts, in order, with the servers that could take each; `shares_calls`: a server that
-    /// more parts can share comes before others.
+    /// Creates an assignment of `parts`, ordered by index, each with the servers that could take
+    /// it. With `shares_calls`, servers that more parts can share come first.
     pub fn new(
         parts: &[(usize, Vec<S>)],
         shares_calls: bool,
@@ -76,7 +76,7 @@
         self.keys[at] = if count > 0 { key } else { 0 };
     }
 
-    /// Puts an open part to the servers that are best for it.
+    /// Updates which candidates are the best servers for an open part.
     fn update_preferred(&mut self, part: usize) {
         let indices = std::mem::take(&mut self.parts[part].1);
         let best = indices
@@ -96,14 +96,14 @@
         self.parts[part].1 = indices;
     }
 
-    /// The server that a send brings most at, with the parts that it is best for: of equals one
-    /// whose call is joined, then one in the own zone, then by chance.
+    /// Returns the server with the highest priority and the parts that it is best for. Ties go to a
+    /// server with an open call, then to the own zone, then to a random one.
     pub fn best(&self, rng: &mut SeededRng) -> Option<(S, Vec<usize>)> {
         let most = self.keys.iter().copied().max().filter(|&key| key > 0)?;
         let mut best = (0, 0);
         for (at, &key) in self.keys.iter().enumerate().filter(|(_, &key)| key > 0) {
-            // Each open one has its draw, best or not: chance does not depend on how the best is
-            // looked for.
+            // Every open candidate draws a number, so that the random sequence does not depend on
+            // the order of the search.
             let draw = (rng.0.u32(..), at);
             if key == most && draw >= best {
                 best = draw;
@@ -114,7 +114,7 @@
         Some((best.server, parts))
     }
 
-    /// These parts were sent to a server, whose score is now this.
+    /// Records that parts were sent to a server and updates its score.
     pub fn on_sent(&mut self, server: S, sent: &[usize], score: ServerScore<R>) {
         for part in sent {
             self.remove(*part);
@@ -132,7 +132,7 @@
         self.candidates[at].eligible = eligible;
     }
 
-    /// A part is open no more.
+    /// Removes a part from the open ones.
     fn remove(&mut self, part: usize) {
         let Ok(position) = self.parts.binary_search_by_key(&part, |p| p.0) else {
             return;
@@ -144,8 +144,8 @@
     }
 }
 
-/// The servers of all parts in order, each with the parts that it could take, and the other way
-/// round.
+/// Returns the candidates in order with the parts that each could take, and the parts with the
+/// candidates of each.
 fn candidates_of<S: Copy + Ord, R>(
     parts: &[(usize, Vec<S>)],
     score: impl Fn(S) -> ServerScore<R>,
--- a/stats/src/lib.rs
+++ b/stats/src/lib.rs
@@ -1,8 +1,8 @@
-//! Plain containers for what the decision module remembers: queries with their parts and attempts,
-//! servers with the calls pending there, decaying figures, windows and token buckets.
+//! State containers of the decision module: queries with their parts and attempts, servers with
+//! their pending calls, decaying averages, windows and token buckets.
 //!
-//! They hold state and answer questions about it; what is decided from it, and every tuned value,
-//! is the caller's and comes as an argument.
+//! They hold state and compute values from it. Decisions and tuned values belong to the caller,
+//! which passes them as arguments.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -28,7 +28,7 @@
 
 use lichenswitch_interface::Micros;
 
-/// A share of a time.
+/// Returns `time` multiplied by `by`, rounded down.
 #[must_use]
 pub fn scaled(time: Micros, by: f64) -> Micros {
     (time as f64 * by) as Micros
--- a/stats/src/preference.rs
+++ b/stats/src/preference.rs
@@ -1,9 +1,9 @@
-//! Which of several servers with as few pending calls a query prefers.
+//! Preference of a query among servers with equally few pending calls.
 
 use lichenswitch_interface::{Load, Placement, ServerId};
 
-/// How little a server suits a query; the least is best. The backlog's level comes first, then the
-/// server's place in the order that each beginning has, which is the same at all instances.
+/// Preference for a server, lower is better: its backlog level, then its position in the order that
+/// the query's prefix determines. The order is the same at all instances (rendezvous hashing).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Preference {
     level: u32,
@@ -11,7 +11,7 @@
 }
 
 impl Preference {
-    /// Of a query, for a server that is loaded like this.
+    /// Computes the preference of a query for a server under its current load.
     #[must_use]
     pub fn new(placement: &Placement, server: ServerId, load: Load) -> Preference {
         let level = load
@@ -29,7 +29,7 @@
     }
 }
 
-/// The finalizer of SplitMix64: neighbours come out far apart.
+/// Applies the finalizer of SplitMix64, which maps close values far apart.
 fn splitmix64_finalize(value: u64) -> u64 {
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/stats/src/query.rs
+++ b/stats/src/query.rs
@@ -1,69 +1,69 @@
-//! What the decision module remembers of a query, its parts and their attempts.
+//! State of a query, its parts and their attempts.
 
 use crate::PartChecks;
 use lichenswitch_interface::{Micros, PartId, Placement, ServerId, Shard, Time};
 use std::collections::BTreeSet;
 
-/// How far an attempt has come, as far as that decides whether its part may be sent again.
+/// State of an attempt, which decides whether its part may be sent again.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AttemptState {
-    /// It was sent and has not ended.
+    /// The attempt was sent and has not ended.
     InFlight,
-    /// It has ended, and never ran.
+    /// The attempt has ended and never ran.
     NeverRan,
-    /// It has ended, and may have run.
+    /// The attempt has ended and may have run.
     MayHaveRun,
 }
 
-/// An attempt of a part, as the part remembers it.
+/// Attempt in the history of a part.
 #[derive(Clone, Copy, Debug)]
 pub struct PartAttempt {
-    /// Where it was sent.
+    /// Server that it was sent to.
     pub server: ServerId,
-    /// When.
+    /// Time of the send.
     pub sent_at: Time,
-    /// When it ended, once it has.
+    /// Time of its end; equals `sent_at` while it is in flight.
     pub ended_at: Time,
-    /// How far it has come.
+    /// Current state.
     pub state: AttemptState,
 }
 
-/// A part of a query, as the module remembers it.
+/// Part of a query and its attempts.
 #[derive(Debug, Default)]
 #[expect(
     clippy::struct_excessive_bools,
     reason = "four facts of a part that are independent of each other"
 )]
 pub struct Part {
-    /// Names it.
+    /// Identifier of the part.
     pub id: PartId,
-    /// Its shard.
+    /// Shard that the part reads.
     pub shard: Shard,
-    /// Its share of its step.
+    /// Weight of the part in its step (0 to 1).
     pub weight: f64,
-    /// Its step, from 1.
+    /// Step of the query that it belongs to, from 1.
     pub step: u8,
-    /// Its attempts, in order.
+    /// Attempts in the order of their sends.
     pub attempts: Vec<PartAttempt>,
-    /// How many of them never left this instance: they don't count to the attempts allowed.
+    /// Number of attempts that never left this instance; they don't count to the limit.
     pub never_left: usize,
-    /// Whether the last attempt found nobody at its server.
+    /// Whether the last attempt to end failed to connect.
     pub is_unreachable: bool,
-    /// Whether it has an answer, or needs none any more.
+    /// Whether the part is answered or unneeded.
     pub is_answered: bool,
-    /// Whether its first lateness has been counted against its server.
+    /// Whether its first lateness has been counted as a fault of its server.
     pub is_lateness_counted: bool,
-    /// Whether nothing of it was in flight, and the retry budget did not let it be sent again.
+    /// Whether a retry of it is withheld, for lack of retry budget or of an open replica.
     pub is_withheld: bool,
 }
 
 impl Part {
-    /// Attempts that were made.
+    /// Returns the number of attempts that left this instance.
     #[must_use]
     pub fn attempts_made(&self) -> usize {
         self.attempts.len() - self.never_left
     }
-    /// Indices of its attempts that are in flight.
+    /// Returns the indices of the attempts in flight.
     pub fn in_flight(&self) -> impl Iterator<Item = u16> + '_ {
         (0u16..)
             .zip(&self.attempts)
@@ -75,79 +75,79 @@
 /// An attempt in flight, as its server is recorded_outcome by it.
 #[derive(Clone, Copy, Debug)]
 pub struct InFlightAttempt {
-    /// Where it was sent.
+    /// Server that it was sent to.
     pub server: ServerId,
-    /// The call that it travelled in.
+    /// Identifier of the call that carries it.
     pub call_id: u64,
-    /// When.
+    /// Time of the send.
     pub sent_at: Time,
-    /// Index of the common answer time that it is measured by.
+    /// Index of its common response time: `2 * class + step - 1`.
     pub time_index: usize,
-    /// Own parts pending there when it was sent.
+    /// Parts of this instance that were pending at the server before the send.
     pub pending_at_send: f64,
-    /// Whether it went on a connection that had been idle.
+    /// Whether it was sent on a connection that had been idle.
     pub on_idle_connection: bool,
 }
 
-/// A query in hand.
+/// Query that is held, from its arrival to its final answer.
 #[derive(Default)]
 #[expect(
     clippy::struct_excessive_bools,
     reason = "four facts of a query that are independent of each other"
 )]
 pub struct Query {
-    /// Number that its parts carry.
+    /// Number by which its parts refer to it.
     pub number: u32,
     /// Index of its class.
     pub class: usize,
-    /// What it is about; 0: not known.
+    /// Key of the queried data; 0: unknown.
     pub key: u64,
-    /// Which of equal servers it goes to.
+    /// Preferences among equal servers.
     pub placement: Placement,
-    /// When it came.
+    /// Arrival time.
     pub arrived_at: Time,
-    /// When its client gives up.
+    /// Time at which the client abandons it.
     pub deadline: Time,
-    /// When its latency target is over, counted from the client's first attempt.
+    /// End of its latency target, counted from the client's first attempt.
     pub target_at: Time,
-    /// Share of its class's value that it has: less beyond its tenant's quota (0 to 1).
+    /// Share of its class's value (0 to 1); it is reduced beyond the tenant's quota.
     pub value_share: f64,
-    /// Time that it really has: to its latency target, or to its deadline where that comes first or
-    /// the target has passed.
+    /// Time available from its arrival: to the end of the latency target, or a full target if that
+    /// is (nearly) over, but at most to the deadline.
     pub window: Micros,
-    /// Which of two steps it is in, from 1.
+    /// Current step, 1 or 2.
     pub step: u8,
-    /// When that step began.
+    /// Start of the current step.
     pub step_at: Time,
-    /// Whether the first step was complete.
+    /// Whether the answer to the first step was complete.
     pub is_first_step_complete: bool,
-    /// Its present step is to end with what is in, if that is enough.
+    /// Whether the current step ends as soon as the answered parts suffice.
     pub is_closing: bool,
-    /// Whether one part is sent ahead of the others until one has been answered.
+    /// Whether only one part is in flight at a time until one has been answered.
     pub sends_one_part_ahead: bool,
-    /// Servers whose connection broke under a part of it.
+    /// Servers whose connection broke while a part was in flight.
     pub broken_servers: BTreeSet<ServerId>,
-    /// When it has to be looked at again, if no event concerns it before.
+    /// Time of the next check if no event triggers an earlier one.
     pub check_at: Time,
-    /// Its parts, of both steps.
+    /// Parts of both steps.
     pub parts: Vec<Part>,
-    /// Whether a part, of whichever step, was answered.
+    /// Whether a part of any step was answered.
     pub has_answer: bool,
-    /// Of the present step: parts to look at.
+    /// Checks of the parts of the current step.
     pub checks: PartChecks,
-    /// Of the present step: how many parts there are.
+    /// Number of parts of the current step.
     pub part_count: usize,
-    /// Of these, how many are unanswered and have had fewer than two attempts.
+    /// Number of unanswered parts of the current step with fewer than two attempts.
     pub single_attempt_parts: usize,
-    /// Weight of all parts of the present step.
+    /// Weight of all parts of the current step.
     pub total_weight: f64,
-    /// Weight of those that are answered.
+    /// Weight of the answered parts of the current step.
     pub answered_weight: f64,
 }
 
 impl Query {
-    /// Whether nothing of it is in flight, while a part that it needs may not be sent again for now:
-    /// it waits for nothing but the retry budget.
+    /// Returns whether nothing is in flight and a retry is withheld, so that the query waits only
+    /// for the retry budget.
     #[must_use]
     pub fn is_out_of_budget(&self) -> bool {
         let is_withheld = self.checks.idle_parts().any(|i| self.parts[i].is_withheld);
--- a/stats/src/random.rs
+++ b/stats/src/random.rs
@@ -1,8 +1,8 @@
-//! Chance from a seed: the same seed gives the same draws.
+//! Reproducible random numbers: the same seed gives the same draws.
 
 use lichenswitch_interface::{Micros, Time};
 
-/// A seeded source of chance.
+/// Seeded random number generator.
 #[derive(Clone, Debug)]
 pub struct SeededRng(pub fastrand::Rng);
 
@@ -12,8 +12,8 @@
     }
 }
 
-/// A number from 0 to 1 that is drawn anew in each window, which begins at a point of its own for
-/// each seed. It is the same whenever it is asked for.
+/// Returns a number from 0 to 1 that is constant within a window and redrawn for the next one. The
+/// window boundaries depend on the seed. Repeated calls return the same number.
 #[must_use]
 pub fn windowed_random(seed: u64, now: Time, window: Micros) -> f64 {
     let mut rng = fastrand::Rng::with_seed(seed);
--- a/stats/src/server.rs
+++ b/stats/src/server.rs
@@ -1,77 +1,75 @@
-//! What the decision module remembers of a server and of the calls pending there.
+//! State of a server and of the calls pending there.
 
 use crate::{DecayingMean, DecayingValue};
 use lichenswitch_interface::{Load, ServerMode, Time};
 
-/// One call to a server, or what is left of it: parts that ended unanswered keep it in the count.
+/// Call to a server. It may stay pending after all its parts ended, see [`Call::pending_until`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Call {
-    /// Names it; later ones are greater.
+    /// Identifier; later calls have greater ones.
     pub id: u64,
-    /// When it was sent.
+    /// Time of the send.
     pub sent_at: Time,
-    /// Its parts that are in flight.
+    /// Number of its parts in flight.
     pub in_flight_parts: u32,
-    /// All parts that it was sent with.
+    /// Number of parts that it was sent with.
     pub size: u32,
-    /// Set once a part ended without an answer: the call counts as pending until then, since the
+    /// Time until which the call counts as pending after a part ended without an answer, since the
     /// server may still work on it.
     pub pending_until: Option<Time>,
 }
 
 impl Call {
-    /// Whether it counts as pending.
+    /// Returns whether the call counts as pending at `now`.
     #[must_use]
     pub fn is_pending(&self, now: Time) -> bool {
         self.in_flight_parts > 0 || self.pending_until.is_some_and(|until| until > now)
     }
 }
 
-/// A server, as the module remembers it.
+/// State of a server as known to one instance.
 #[derive(Clone, Debug, Default)]
 pub struct Server {
-    /// Its cell, by the list.
+    /// Cell, from the server list.
     pub cell: u32,
-    /// Its zone, by the list.
+    /// Zone, from the server list.
     pub zone: u32,
-    /// Its state, by the list.
+    /// State, from the server list.
     pub mode: ServerMode,
-    /// Its last start by the list, while it may still be in slow start.
+    /// Last start, from the server list; set only if slow start may apply.
     pub slow_start_from: Option<Time>,
-    /// Its allowance in slow start, in parts.
+    /// Slow-start tokens at `tokens_at`, in parts; negative after the allowance was exceeded.
     pub slow_start_tokens: f64,
-    /// When that allowance was counted.
+    /// Time of the last update of the slow-start tokens.
     pub tokens_at: Time,
-    /// Calls that are pending there.
+    /// Calls of this instance that are pending at the server.
     pub calls: Vec<Call>,
-    /// What else loads it: streams that run on after their parts were answered, and the backlog of
-    /// all instances.
+    /// Other load: streams that outlive their answered parts, and the backlog of all instances.
     pub load: Load,
-    /// Share of bad ends by class, the last one for what befalls all classes; empty before the
-    /// first.
+    /// Share of faults by class; the last entry counts faults that affect all classes. Empty before
+    /// the first fault.
     pub faults: Vec<DecayingValue>,
-    /// Recent response time (microseconds).
+    /// Recent response time of its parts (microseconds).
     pub response_time: DecayingMean,
-    /// How many parts of this instance were pending when those parts were sent.
+    /// Parts of this instance that were pending when the parts behind `response_time` were sent.
     pub pending_at_send: DecayingMean,
-    /// When the response time was last learnt.
+    /// Time of the last update of `response_time`.
     pub response_time_at: Time,
-    /// Last time that something was sent to it or came from it.
+    /// Time of the last send to the server or answer from it.
     pub last_used_at: Time,
-    /// Whether what is pending went on a connection that had been idle.
+    /// Whether the pending parts were sent on a connection that had been idle.
     pub on_idle_connection: bool,
-    /// When the youngest part was sent that it has answered.
+    /// Latest send time of all answered parts.
     pub newest_answered_send: Time,
 }
 
 impl Server {
-    /// Parts of this instance in flight there.
+    /// Returns the number of this instance's parts in flight at the server.
     #[must_use]
     pub fn pending(&self) -> f64 {
         f64::from(self.calls.iter().map(|c| c.in_flight_parts).sum::<u32>())
     }
-    /// Follows a change of the classes, each the same as before or not: faults in a class that
-    /// changed are forgotten.
+    /// Clears the faults of changed classes; `same` tells for each class whether it is unchanged.
     pub fn reset_changed_classes(&mut self, same: &[bool]) {
         let Some(all) = self.faults.pop() else { return };
         self.faults.resize(same.len(), DecayingValue::default());
--- a/stats/src/tenant_quotas.rs
+++ b/stats/src/tenant_quotas.rs
@@ -1,19 +1,20 @@
-//! Token buckets of tenants, a share of each at every instance.
+//! Token buckets of tenants, of which every instance has an equal share.
 
 use lichenswitch_interface::Time;
 
-/// What tenants may ask, in queries: each has a rate and may save up a second of it.
+/// Query quotas of tenants: a rate for each, of which one second may be saved up.
 #[derive(Clone, Debug, Default)]
 pub struct TenantQuotas {
-    /// Queries a second, those saved up, and when they were counted.
+    /// Rate (queries per second), saved tokens and time of the last refill, by tenant.
     tenants: Vec<(f64, f64, Time)>,
 }
 
-/// So much of its rate a tenant may save up (seconds).
+/// Maximum burst of a tenant, in seconds of its rate.
 const QUOTA_SAVED: f64 = 1.0;
 
 impl TenantQuotas {
-    /// The part of one of `instances` alike instances in these rates (queries a second).
+    /// Creates full buckets for one of `instances` equal instances; `rates` are totals (queries per
+    /// second).
     #[must_use]
     pub fn new(rates: &[f64], instances: u32) -> Self {
         let share = |rate: &f64| rate / f64::from(instances.max(1));
@@ -22,16 +23,15 @@
             tenants: rates.iter().map(share).map(full).collect(),
         }
     }
-    /// The same for another number of instances; what is saved up is cut to what the new rate
-    /// allows.
+    /// Applies another number of instances; saved tokens are cut to the burst of the new rate.
     pub fn rebalance(&mut self, rates: &[f64], instances: u32) {
         let alike = TenantQuotas::new(rates, instances).tenants;
         for ((rate, saved, _), (new, full, _)) in self.tenants.iter_mut().zip(alike) {
             (*rate, *saved) = (new, saved.min(full));
         }
     }
-    /// Counts a query and tells whether it is within the tenant's quota; one that is beyond takes
-    /// nothing from it. A tenant that there is not has no quota to go beyond.
+    /// Returns whether a query is within its tenant's quota, and takes a token if it is. A query of
+    /// an unknown tenant is always within the quota.
     pub fn try_consume(&mut self, now: Time, tenant: u32) -> bool {
         let Some((rate, saved, at)) = self.tenants.get_mut(tenant as usize) else {
             return true;
--- a/stats/src/window.rs
+++ b/stats/src/window.rs
@@ -1,21 +1,21 @@
-//! Counts of events within a sliding window.
+//! Event counter over a sliding window.
 
 use lichenswitch_interface::{Micros, Time};
 use std::collections::VecDeque;
 
-/// Counts events within a window that ends now.
+/// Counter of events within a sliding window.
 #[derive(Clone, Debug, Default)]
 pub struct WindowCount {
     times: VecDeque<Time>,
 }
 
 impl WindowCount {
-    /// Notes an event.
+    /// Records an event; times must not decrease.
     pub fn add(&mut self, at: Time) {
         self.times.push_back(at);
     }
-    /// Forgets events before `now - window` and counts the others; those exactly at the edge count
-    /// only if `edge` says so.
+    /// Drops events before `now - window` and returns the number of the others. Events exactly at
+    /// the edge are counted if `edge` is set and dropped otherwise.
     pub fn count(&mut self, now: Time, window: Micros, edge: bool) -> usize {
         let start = now.minus(window);
         while self
