--- a/core/src/answer.rs
+++ b/core/src/answer.rs
@@ -1,14 +1,14 @@
-//! Answer: the end of a query, whole, partial, refused or failed, and the second step where a class
-//! has one.
+//! Answer: ends queries with a complete or partial answer, a refusal or a failure, or begins their
+//! second step.
 
 use super::{Command, Core, Reply};
 use lichenswitch_interface::{Event, Micros, QueryId, Time};
 
-/// Sums of weights may fall short by this much.
+/// Rounding tolerance for sums of weights.
 const ROUNDING: f64 = 1e-4;
 
 impl<J> Core<J> {
-    /// The module ends a step from the parts that are in.
+    /// Ends the current step from the answered parts, on the module's decision.
     pub(super) fn answer(
         &mut self,
         now: Time,
@@ -26,10 +26,9 @@
                 .iter()
                 .filter(|p| p.is_second_step == is_second_step)
         };
-        let available: f64 = step().filter(|p| p.is_in()).map(|p| p.weight).sum();
-        // Guards the rule on honest answers against a slip anywhere before it: nothing from less
-        // than the floor leaves, and the mark of a whole answer is given from the parts that are
-        // really here.
+        let available: f64 = step().filter(|p| p.is_answered()).map(|p| p.weight).sum();
+        // Independent check against errors in earlier stages: an answer below the floor is
+        // withheld, and completeness is computed from the values that are present.
         let needed = if is_second_step { 1.0 } else { class.need };
         let floor = if is_second_step && class.floor >= class.need {
             1.0
@@ -40,15 +39,15 @@
             commands.push(Command::Log(format!(
                 "answer from {available:.3} of the weight withheld"
             )));
-            self.inbox.push(Event::Hangup(query));
+            self.pending_events.push(Event::Hangup(query));
             return self.fail(query, commands);
         }
-        let first_whole = q.first.as_ref().is_none_or(|first| first.whole);
-        let whole = whole && available + ROUNDING >= needed && first_whole;
+        let is_first_complete = q.first.as_ref().is_none_or(|first| first.whole);
+        let whole = whole && available + ROUNDING >= needed && is_first_complete;
         if second_step > 0 && !is_second_step {
-            return self.second_step(now, query, whole, commands);
+            return self.begin_second_step(now, query, whole, commands);
         }
-        self.served(query, whole, commands);
+        self.reply_served(query, whole, commands);
     }
 
     pub(super) fn refuse(&mut self, query: QueryId, after: Micros, commands: &mut Vec<Command<J>>) {
@@ -71,8 +70,8 @@
         }
     }
 
-    /// Guards the rule that each query gets a final answer in its client's time: the module ends
-    /// queries before it, and what it left open is failed here.
+    /// Fails every query that is past its deadline. The module normally ends queries earlier; this
+    /// ensures that each gets a final answer in time.
     pub(super) fn end_overdue(&mut self, now: Time, commands: &mut Vec<Command<J>>) {
         let overdue: Vec<QueryId> = self
             .deadlines
@@ -85,7 +84,7 @@
                 "a query had to be ended at its client's deadline".into(),
             ));
             self.fail(id, commands);
-            self.inbox.push(Event::Hangup(id));
+            self.pending_events.push(Event::Hangup(id));
         }
     }
 }
--- a/core/src/collect.rs
+++ b/core/src/collect.rs
@@ -1,10 +1,11 @@
-//! Collect: takes the outcomes of attempts, and with them the values of parts.
+//! Collect: records the outcomes of attempts and the values of parts.
 
 use super::{Core, Value};
 use lichenswitch_interface::{Event, Outcome, ServerId, Time};
 
 impl<J> Core<J> {
-    /// An attempt has ended. Only its first end counts; `false`: it had ended before.
+    /// Records the end of an attempt. Returns `false` if it had already ended; only the first end
+    /// counts.
     pub fn on_attempt_ended(
         &mut self,
         now: Time,
@@ -15,47 +16,48 @@
         let Some(a) = self.attempts.remove(&attempt) else {
             return false;
         };
-        self.in_flight.remove(&(a.part, a.number));
+        self.attempt_ids.remove(&(a.part, a.index));
         let max_bytes = self.max_bytes();
         let position = self.parts.get(&a.part).copied();
         let mut part =
             position.and_then(|(query, i)| self.queries.get_mut(&query)?.parts.get_mut(i));
-        let load = self.load.entry(a.server).or_default();
+        let load = self.parts_in_flight.entry(a.server).or_default();
         *load = load.saturating_sub(1);
         if *load == 0 {
-            self.load.remove(&a.server);
+            self.parts_in_flight.remove(&a.server);
         }
         let mut outcome = outcome;
         if let (Some(part), Outcome::NeverSent) = (&mut part, outcome) {
             part.never_left += 1;
         }
-        if let Some(part) = part.as_mut().filter(|p| {
-            outcome.never_ran() && p.first_possible_run.is_some_and(|r| r.0 == a.number)
-        }) {
+        if let Some(part) = part
+            .as_mut()
+            .filter(|p| outcome.never_ran() && p.first_possible_run.is_some_and(|r| r.0 == a.index))
+        {
             part.first_possible_run = None;
         }
         if let (Some(part), Outcome::Ok, Some(value)) = (part, outcome, value) {
-            if self.bytes + value.bytes.len() > max_bytes {
-                // Guards memory: what all queries hold is bounded, and a value beyond it is none.
+            if self.value_bytes + value.bytes.len() > max_bytes {
+                // Bounds memory: a value beyond the limit counts as an error.
                 outcome = Outcome::Error;
             } else if part.value.is_none() {
-                // A part counts once, with the value that came first.
-                self.bytes += value.bytes.len();
+                // A part keeps the value that arrived first.
+                self.value_bytes += value.bytes.len();
                 part.value = Some(value);
             }
         }
         self.report_to_planner(now, &a, outcome);
-        self.inbox.push(Event::Finished {
+        self.pending_events.push(Event::Finished {
             part: a.part,
-            attempt: a.number,
+            attempt: a.index,
             server: a.server,
             outcome,
-            elapsed: now.since(a.sent),
+            elapsed: now.since(a.sent_at),
         });
         true
     }
 
-    /// The server at which an attempt is in flight.
+    /// Returns the server of an attempt in flight, or `None` after its end.
     #[must_use]
     pub fn server_of(&self, attempt: u64) -> Option<ServerId> {
         self.attempts.get(&attempt).map(|a| a.server)
--- a/core/src/contract.rs
+++ b/core/src/contract.rs
@@ -1,54 +1,53 @@
-//! Contracts of the teams that ask: the classes a team may use, its rate and its retry budget.
+//! Contracts of client teams: the classes that a team may use, its rate and its retry budget.
 //!
-//! They are checked at intake. Without any contract configured, as on the platform, nothing is
-//! checked.
+//! Contracts are checked at intake. If none is configured, as on the platform, nothing is checked.
 
 use lichenswitch_interface::{Budget, Micros, Time};
 use std::collections::BTreeMap;
 
-/// What was agreed with one team.
+/// Contract with one team.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Contract {
-    /// Classes that it may use, by index; empty: all.
+    /// Indices of the classes that the team may use; empty allows all.
     pub classes: Vec<usize>,
-    /// Queries a second; `None`: no limit.
+    /// Maximum rate (queries per second); `None` sets no limit.
     pub rate: Option<f64>,
-    /// Attempts beyond the first of each part.
+    /// Retry budget; see [`Contracts::budget`] for how budgets are combined.
     pub budget: Option<Budget>,
 }
 
-/// Why a query is not taken under the contracts.
+/// Reason for refusing a query under the contracts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ContractViolation {
     /// The query names no team that has a contract.
     UnknownTeam,
-    /// The team's contract does not hold the class.
+    /// The team's contract does not include the class.
     Class,
-    /// The team's rate is used up; a query will be let in after this long.
+    /// The team's rate is used up; the next query is allowed after this time.
     Rate(Micros),
 }
 
 struct TeamQuota {
     contract: Contract,
-    /// Queries that it may send now.
+    /// Queries that the team may send now.
     tokens: f64,
     filled_at: Time,
 }
 
-/// The contracts of all teams.
+/// Contracts of all teams, with the state of their rate limits.
 #[derive(Default)]
 pub struct Contracts {
     teams: BTreeMap<String, TeamQuota>,
 }
 
-/// A team may save up so many seconds of its rate.
+/// Maximum burst of a team, in seconds of its rate.
 const BURST_SECONDS: f64 = 1.0;
 
 impl Contracts {
-    /// Contracts by the teams' names.
+    /// Creates contracts by team name, each with a full burst.
     #[must_use]
     pub fn new(teams: impl IntoIterator<Item = (String, Contract)>) -> Self {
-        let account = |contract: Contract| TeamQuota {
+        let quota = |contract: Contract| TeamQuota {
             tokens: burst(&contract),
             filled_at: Time(0),
             contract,
@@ -56,15 +55,15 @@
         Contracts {
             teams: teams
                 .into_iter()
-                .map(|(name, contract)| (name, account(contract)))
+                .map(|(name, contract)| (name, quota(contract)))
                 .collect(),
         }
     }
 
-    /// Whether a query may be taken now; if so, it counts to the team's rate.
+    /// Checks whether a query may be taken now and, if so, counts it to the team's rate.
     ///
     /// # Errors
-    /// What of the team's contract the query violates.
+    /// Returns the term of the team's contract that the query violates.
     pub fn admit(
         &mut self,
         now: Time,
@@ -74,30 +73,30 @@
         if self.teams.is_empty() {
             return Ok(());
         }
-        let account = team
+        let quota = team
             .and_then(|team| self.teams.get_mut(team))
             .ok_or(ContractViolation::UnknownTeam)?;
-        let contract = &account.contract;
+        let contract = &quota.contract;
         if !contract.classes.is_empty() && !contract.classes.contains(&class) {
             return Err(ContractViolation::Class);
         }
         let Some(rate) = contract.rate else {
             return Ok(());
         };
-        let gained = now.since(account.filled_at) as f64 / 1e6 * rate;
-        account.tokens = (account.tokens + gained).min(burst(contract));
-        account.filled_at = now;
-        if account.tokens < 1.0 {
+        let gained = now.since(quota.filled_at) as f64 / 1e6 * rate;
+        quota.tokens = (quota.tokens + gained).min(burst(contract));
+        quota.filled_at = now;
+        if quota.tokens < 1.0 {
             return Err(ContractViolation::Rate(
-                ((1.0 - account.tokens) / rate * 1e6).ceil() as Micros,
+                ((1.0 - quota.tokens) / rate * 1e6).ceil() as Micros,
             ));
         }
-        account.tokens -= 1.0;
+        quota.tokens -= 1.0;
         Ok(())
     }
 
-    /// The budget that the module is given: it keeps one for the whole instance, so the strictest
-    /// of the teams' budgets is kept for all.
+    /// Returns the retry budget for the module, which keeps one for the whole instance: the
+    /// strictest combination of all teams' budgets.
     #[must_use]
     pub fn budget(&self) -> Option<Budget> {
         let budgets = self.teams.values().filter_map(|a| a.contract.budget);
--- a/core/src/contract/tests.rs
+++ b/core/src/contract/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `contract`.
+//! Tests of the contracts of teams.
 
 use super::*;
 
@@ -22,13 +22,13 @@
 }
 
 #[test]
-fn without_contracts_nothing_is_checked() {
+fn no_contracts_allow_every_query() {
     assert_eq!(Contracts::default().admit(Time(1), None, 9), Ok(()));
     assert_eq!(Contracts::default().budget(), None);
 }
 
 #[test]
-fn classes_and_rates_are_those_agreed() {
+fn contract_limits_classes_and_rate() {
     let mut c = contracts();
     let now = Time(1_000_000);
     assert_eq!(c.admit(now, None, 0), Err(ContractViolation::UnknownTeam));
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn the_strictest_budget_reaches_the_module() {
+fn strictest_budget_is_given_to_the_module() {
     assert_eq!(
         contracts().budget(),
         Some(Budget {
--- a/core/src/dispatch.rs
+++ b/core/src/dispatch.rs
@@ -1,34 +1,38 @@
-//! Dispatch: what the module asks for becomes commands; sends of a turn to one server share a call.
+//! Dispatch: translates the module's actions into commands and groups a turn's sends into calls.
 
 use super::{Attempt, Command, Core, Dispatch, Part};
 use lichenswitch_interface::{Action, Event, Micros, Outcome, PartId, RetrySafety, ServerId, Time};
 use std::collections::HashMap;
 
-/// The calls of a turn.
+/// Calls of one turn.
 struct Calls<J> {
-    /// The first attempt of this turn.
-    first: u64,
-    all: Vec<(ServerId, Vec<Dispatch<J>>)>,
-    /// The last call to each server.
-    last: HashMap<ServerId, usize>,
+    /// Identifier of the first attempt of this turn.
+    first_attempt: u64,
+    calls: Vec<(ServerId, Vec<Dispatch<J>>)>,
+    /// Index of the last call to each server.
+    last_by_server: HashMap<ServerId, usize>,
 }
 
 impl<J> Calls<J> {
-    /// Puts an attempt into the last call to its server, where that has room, or into a new one.
+    /// Adds an attempt to the last call to its server, or to a new call if that one is full.
     fn add(&mut self, server: ServerId, dispatch: Dispatch<J>, max_parts: usize) {
-        match self.last.get(&server).map(|&i| &mut self.all[i].1) {
+        match self
+            .last_by_server
+            .get(&server)
+            .map(|&i| &mut self.calls[i].1)
+        {
             Some(call) if call.len() < max_parts => call.push(dispatch),
             _ => {
-                self.last.insert(server, self.all.len());
-                self.all.push((server, vec![dispatch]));
+                self.last_by_server.insert(server, self.calls.len());
+                self.calls.push((server, vec![dispatch]));
             }
         }
     }
 }
 
-/// How long an attempt is waited for. Guards the client's time: no attempt is waited for beyond it;
-/// a timeout of 0 stands for all of it.
-fn wait_of(timeout: Micros, remaining: Micros) -> Micros {
+/// Returns the time to wait for an attempt, at most the client's remaining time. A `timeout` of 0
+/// selects all of it.
+fn attempt_timeout(timeout: Micros, remaining: Micros) -> Micros {
     let remaining = remaining.max(1);
     if timeout == 0 {
         remaining
@@ -37,9 +41,9 @@
     }
 }
 
-/// Until when a repeat may leave. Guards the rule on repeats: what waits for its connection may leave
-/// long after it was decided.
-fn leave_by(repeat: RetrySafety, part: &Part) -> Option<Time> {
+/// Returns the latest time to send a repeat. A part that waits for a connection may be sent long
+/// after the decision, when replicas would no longer drop the duplicate.
+fn send_deadline(repeat: RetrySafety, part: &Part) -> Option<Time> {
     match (repeat, part.first_possible_run) {
         (RetrySafety::Keyed(window), Some((_, sent))) => Some(sent.plus(window)),
         _ => None,
@@ -47,7 +51,7 @@
 }
 
 impl<J> Core<J> {
-    /// Carries out what the module asks for in one turn.
+    /// Carries out the module's actions of one turn.
     pub(super) fn execute_actions(
         &mut self,
         now: Time,
@@ -55,9 +59,9 @@
         commands: &mut Vec<Command<J>>,
     ) {
         let mut calls = Calls {
-            first: self.next_attempt,
-            all: Vec::new(),
-            last: HashMap::new(),
+            first_attempt: self.next_attempt,
+            calls: Vec::new(),
+            last_by_server: HashMap::new(),
         };
         for action in actions {
             match action {
@@ -72,7 +76,7 @@
                 Action::Answer { query, whole } => self.answer(now, query, whole, commands),
                 Action::Refuse { query, retry_after } => self.refuse(query, retry_after, commands),
                 Action::Fail(query) => self.fail(query, commands),
-                // The module never asks for a probe: it proves a process, not a service.
+                // The module requests no probes: a probe shows a running process, not a service.
                 Action::Probe(server) => {
                     commands.push(Command::Log(format!(
                         "probe of server {} is not offered",
@@ -83,17 +87,20 @@
                 Action::Subscribe => commands.push(Command::Subscribe),
                 Action::Wake(after) => {
                     let at = now.plus(after);
-                    self.wake = Some(self.wake.map_or(at, |was| was.min(at)));
+                    self.wake_at = Some(self.wake_at.map_or(at, |was| was.min(at)));
                 }
                 Action::Log(text) => commands.push(Command::Log(text)),
             }
         }
-        // Guards the wire: a call whose parts were all cancelled in this turn is none.
-        let calls = calls.all.into_iter().filter(|(_, parts)| !parts.is_empty());
+        // A call whose parts were all cancelled in this turn is not sent.
+        let calls = calls
+            .calls
+            .into_iter()
+            .filter(|(_, parts)| !parts.is_empty());
         commands.extend(calls.map(|(server, parts)| Command::Send(server, parts)));
     }
 
-    /// Makes an attempt of a part, if the part still wants one, and puts it into a call.
+    /// Creates an attempt of a part that still needs one and adds it to a call.
     fn send(
         &mut self,
         now: Time,
@@ -105,7 +112,7 @@
         let position = self.parts.get(&part).copied();
         let query = position.and_then(|(id, i)| Some((id, self.queries.get_mut(&id)?, i)));
         let Some((id, q, index)) = query else {
-            // The query has ended before the send could be made: it never ran.
+            // The query ended before the send, so the attempt never ran.
             return self.report_never_sent(part, 0, server);
         };
         let class = &self.settings.classes[q.class];
@@ -115,35 +122,35 @@
         };
         let number = p.attempts;
         p.attempts += 1;
-        // Guards the limit on attempts: one beyond it is not sent, whatever the module says.
+        // Enforces the limit on attempts independently of the module.
         if u32::from(number - p.never_left) >= max_attempts || p.value.is_some() {
             return self.report_never_sent(part, number, server);
         }
         let attempt = self.next_attempt;
         self.next_attempt += 1;
-        let load = self.load.entry(server).or_default();
+        let load = self.parts_in_flight.entry(server).or_default();
         let pending = *load;
         *load += 1;
         self.attempts.insert(
             attempt,
             Attempt {
                 part,
-                number,
+                index: number,
                 server,
-                sent: now,
+                sent_at: now,
                 pending,
             },
         );
-        self.in_flight.insert((part, number), attempt);
+        self.attempt_ids.insert((part, number), attempt);
         let dispatch = Dispatch {
             attempt,
             job: q.job.clone(),
             class: q.class,
             shard: p.shard,
             first: q.first.clone().filter(|_| p.is_second_step),
-            max_elements: p.most,
-            timeout: wait_of(timeout, q.deadline.since(now)),
-            send_by: leave_by(class.retry_safety, p),
+            max_elements: p.max_elements,
+            timeout: attempt_timeout(timeout, q.deadline.since(now)),
+            send_by: send_deadline(class.retry_safety, p),
         };
         p.first_possible_run = p.first_possible_run.or(Some((number, now)));
         self.planner.on_sent(now, id, p.shard.0, f64::from(pending));
@@ -151,9 +158,9 @@
         calls.add(server, dispatch, max_parts);
     }
 
-    /// Tells the module that an attempt was not made.
+    /// Reports to the module that an attempt was not sent.
     fn report_never_sent(&mut self, part: PartId, attempt: u16, server: ServerId) {
-        self.inbox.push(Event::Finished {
+        self.pending_events.push(Event::Finished {
             part,
             attempt,
             server,
@@ -169,14 +176,14 @@
         calls: &mut Calls<J>,
         commands: &mut Vec<Command<J>>,
     ) {
-        let Some(&attempt) = self.in_flight.get(&which) else {
+        let Some(&attempt) = self.attempt_ids.get(&which) else {
             return;
         };
-        // One that was to be sent in this very turn is not sent.
-        let never_left = attempt >= calls.first;
+        // An attempt of this turn is dropped from its call instead of cancelled.
+        let never_left = attempt >= calls.first_attempt;
         if never_left {
             calls
-                .all
+                .calls
                 .iter_mut()
                 .for_each(|(_, call)| call.retain(|d| d.attempt != attempt));
         }
--- a/core/src/intake.rs
+++ b/core/src/intake.rs
@@ -1,4 +1,4 @@
-//! Intake: a query is admitted and given its ids, or refused before the module sees it.
+//! Intake: admits queries and assigns their identifiers, or refuses them before the module.
 
 use super::{Core, Part, Query, Request};
 use crate::contract::ContractViolation;
@@ -6,25 +6,25 @@
 use lichenswitch_phases::WeightedSlice;
 use std::rc::Rc;
 
-/// Why a query was not taken.
+/// Reason for refusing a query at intake.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Refusal {
-    /// Too many queries and parts are held; ask again after this long.
+    /// Too many queries and parts are held; holds the retry-after advice, if any.
     Busy(Option<Micros>),
-    /// The team's contract does not allow it.
+    /// The contract of the client's team does not allow the query.
     Contract(ContractViolation),
-    /// The broker is about to end, sooner than the query may, or sends clients away.
+    /// Intake is paused, or the broker stops before the query could meet its latency target.
     Stopping,
-    /// Its parts make no sense.
+    /// The class, the shards or the weights are invalid; holds the reason.
     Malformed(&'static str),
 }
 
-/// Weights of a query may miss 1 by this much: clients round them.
+/// Tolerance for the sum of a query's weights, which clients round.
 const ROUNDING: f64 = 1e-3;
 
-/// Guards data nodes and honest answers: a part for a shard that there is not, one that comes twice
-/// or weights that are no shares would be sent, turned away, and counted.
-fn check_parts(parts: &[(Shard, f64)], shards: u32) -> Result<(), Refusal> {
+/// Checks the parts of a query. An unknown or repeated shard or an invalid weight would otherwise
+/// cost a send that is rejected, and would distort the completeness of the answer.
+fn validate_parts(parts: &[(Shard, f64)], shards: u32) -> Result<(), Refusal> {
     let mut shards_of_parts: Vec<Shard> = parts.iter().map(|p| p.0).collect();
     shards_of_parts.sort_unstable();
     let is_any_repeated = shards_of_parts.windows(2).any(|pair| pair[0] == pair[1]);
@@ -45,10 +45,10 @@
     }
 }
 
-/// The parts with weights that sum to 1. Guards wide queries: what their clients rounded off adds up,
-/// and a sum short of 1 would look to the module like a part that can't be had, so that it answered
-/// in part as soon as the floor was in.
-fn scaled_to_one(parts: &[(Shard, f64)]) -> Vec<(Shard, f64)> {
+/// Returns the parts with weights scaled to sum to 1. In wide queries the clients' rounding errors
+/// add up; the module would take a sum below 1 for an unreachable part and answer in part as soon
+/// as the floor is reached.
+fn normalize_weights(parts: &[(Shard, f64)]) -> Vec<(Shard, f64)> {
     let sum: f64 = parts.iter().map(|p| p.1).sum();
     parts
         .iter()
@@ -57,25 +57,24 @@
 }
 
 impl<J> Core<J> {
-    /// From now on no query is open later than this, and none is taken for whose latency
-    /// target there is no time left. Clients are served for as long as there is: when brokers are restarted in turn,
-    /// some have nowhere else to go.
+    /// Sets the time by which every query must end. Queries whose latency target fits are still
+    /// taken, because clients may have no other broker while brokers are restarted in turn.
     pub fn set_end_time(&mut self, at: Time) {
-        self.must_end_by = Some(at);
+        self.end_time = Some(at);
     }
 
-    /// Whether queries are refused until further notice, as they are when the broker stops.
+    /// Pauses or resumes intake; paused intake refuses queries with [`Refusal::Stopping`].
     pub fn pause_intake(&mut self, on: bool) {
         self.is_paused = on;
     }
 
-    /// Whether it takes queries as if it never ended.
+    /// Returns whether no end time is set.
     #[must_use]
     pub fn is_open_ended(&self) -> bool {
-        self.must_end_by.is_none()
+        self.end_time.is_none()
     }
 
-    /// Whether a query of some class would still be taken.
+    /// Returns whether the end time still allows a query of at least one class.
     #[must_use]
     pub fn accepts_queries(&self, now: Time) -> bool {
         let shortest = self
@@ -85,13 +84,13 @@
             .map(|c| c.latency_target.min(c.deadline))
             .min()
             .unwrap_or_default();
-        self.must_end_by.is_none_or(|at| now.plus(shortest) <= at)
+        self.end_time.is_none_or(|at| now.plus(shortest) <= at)
     }
 
-    /// Takes a query. Its final answer comes as a command of a later turn.
+    /// Submits a query. A later turn returns its final answer as a command.
     ///
     /// # Errors
-    /// Why the query is not taken; nothing of it has run.
+    /// Returns the reason if the query is refused; no part of it has run.
     pub fn submit(&mut self, now: Time, request: Request<J>) -> Result<QueryId, Refusal> {
         let class = request.class;
         let admitted = self.admit(now, request);
@@ -107,21 +106,21 @@
     }
 
     fn admit(&mut self, now: Time, mut request: Request<J>) -> Result<QueryId, Refusal> {
-        check_parts(&request.parts, self.settings.layout.shards)?;
+        validate_parts(&request.parts, self.settings.layout.shards)?;
         let Some(class) = self.settings.classes.get(request.class) else {
             return Err(Refusal::Malformed("there is no such class"));
         };
         if self.is_paused {
             return Err(Refusal::Stopping);
         }
-        if let Some(at) = self.must_end_by {
+        if let Some(at) = self.end_time {
             if request.deadline.min(now.plus(class.latency_target)) > at {
                 return Err(Refusal::Stopping);
             }
-            // Guards the final answer: what is open when the process is killed gets none.
+            // A query that is open when the process is killed gets no final answer.
             request.deadline = request.deadline.min(at);
         }
-        // Guards memory: what is held is bounded, and the module never sees the query.
+        // Bounds memory; the module never sees the refused query.
         let limits = &self.settings.limits;
         if self.held_entries >= (limits.max_held / self.process_shares.capacity_divisor) as usize {
             return Err(Refusal::Busy(limits.retry_after.map(|most| most / 2)));
@@ -132,12 +131,12 @@
         Ok(self.insert(now, request))
     }
 
-    /// Gives a query that is admitted its ids, and reports it to the module and the planner.
+    /// Assigns identifiers to an admitted query and reports it to the module and the planner.
     fn insert(&mut self, now: Time, request: Request<J>) -> QueryId {
         let id = QueryId(self.new_id());
-        self.next_number = (self.next_number + 1) % super::NUMBERS;
+        self.next_number = (self.next_number + 1) % super::MAX_QUERY_NUMBERS;
         let number = self.next_number;
-        self.inbox.push(Event::Query {
+        self.pending_events.push(Event::Query {
             query: id,
             number,
             class: request.class as u16,
@@ -147,7 +146,7 @@
             tenant: request.tenant,
         });
         if request.placement != Placement::default() {
-            self.inbox.push(Event::Placement {
+            self.pending_events.push(Event::Placement {
                 number,
                 placement: request.placement,
             });
@@ -161,12 +160,12 @@
             parts: Vec::with_capacity(request.parts.len()),
             first: None,
             top: request.top,
-            left_out: Vec::new(),
+            skipped_shards: Vec::new(),
             is_doubtful: false,
         };
         self.queries.insert(id, query);
         self.held_entries += 1;
-        let parts = scaled_to_one(&request.parts);
+        let parts = normalize_weights(&request.parts);
         let has_two_steps = self.settings.classes[request.class].second_step > 0;
         if has_two_steps && self.planner.is_planned(request.class) {
             let slice = |(shard, weight): &(Shard, f64)| WeightedSlice {
@@ -182,14 +181,14 @@
         id
     }
 
-    /// Adds a part to a query that is held; the module gets it in the next turn.
+    /// Adds a part to a held query; the module receives it in the next turn.
     pub(super) fn add_part(
         &mut self,
         query: QueryId,
         shard: Shard,
         weight: f64,
         is_second_step: bool,
-        most: Option<usize>,
+        max_elements: Option<usize>,
     ) -> Option<PartId> {
         let part = PartId(self.new_id());
         let q = self.queries.get_mut(&query)?;
@@ -202,12 +201,12 @@
             attempts: 0,
             never_left: 0,
             value: None,
-            most,
+            max_elements,
             is_proved_unneeded: false,
             first_possible_run: None,
         });
         self.held_entries += 1;
-        self.inbox.push(Event::Part {
+        self.pending_events.push(Event::Part {
             part,
             number: q.number,
             shard,
@@ -216,20 +215,20 @@
         Some(part)
     }
 
-    /// The client of a query has left: there is nobody to answer.
+    /// Ends a query without an answer because its client has disconnected.
     pub fn hangup(&mut self, query: QueryId) {
         if self.release(query).is_some() {
-            self.inbox.push(Event::Hangup(query));
+            self.pending_events.push(Event::Hangup(query));
         }
     }
 
-    /// Removes a query and its parts from the tables: the one place where they are released.
+    /// Removes a query and its parts from all tables. No other function removes them.
     pub(super) fn release(&mut self, query: QueryId) -> Option<Query<J>> {
         let q = self.queries.remove(&query)?;
         self.deadlines.remove(&(q.deadline, query));
         self.planner.on_end(query);
         self.held_entries -= 1 + q.parts.len();
-        self.bytes -= q
+        self.value_bytes -= q
             .parts
             .iter()
             .filter_map(|p| p.value.as_ref())
@@ -237,10 +236,10 @@
             .sum::<usize>();
         for part in &q.parts {
             self.parts.remove(&part.id);
-            // Guards against parts that nobody waits for: one that still waits for a connection is
-            // sent by nobody.
+            // Recalls attempts in flight, so that one that still waits for a connection is not
+            // sent.
             let in_flight =
-                (0..part.attempts).filter_map(|number| self.in_flight.get(&(part.id, number)));
+                (0..part.attempts).filter_map(|number| self.attempt_ids.get(&(part.id, number)));
             self.recalls.extend(in_flight);
         }
         Some(q)
--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -1,10 +1,10 @@
-//! Queries, parts, attempts and their outcomes: what joins the fronts, the decision module and the
-//! data nodes. It knows no wire: a front hands in a [`Request`] with a job of its own kind,
-//! the upstream of the same kind carries out [`Command::Send`], and the answer goes back as a
-//! [`Reply`].
+//! Bookkeeping of queries, parts, attempts and outcomes between the fronts, the decision module and
+//! the data nodes. The core is independent of wire formats: a front submits a [`Request`] with a
+//! job of its own type, the upstream for that type carries out [`Command::Send`], and the answer is
+//! returned as a [`Reply`].
 //!
-//! A query goes through `intake`, `dispatch`, `collect` and `answer`, one file each; `phases` asks
-//! the planner of queries of two steps. Time is an argument.
+//! A query passes through `intake`, `dispatch`, `collect` and `answer`, one file each; `phases`
+//! connects the planner of two-step queries. The caller passes the current time as an argument.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -30,131 +30,131 @@
 pub use contract::Contracts;
 pub use intake::Refusal;
 
-/// A query as a front hands it in.
+/// Query as submitted by a front.
 #[derive(Clone, Debug)]
 pub struct Request<J> {
-    /// Index of its class.
+    /// Index of its class in [`Settings::classes`].
     pub class: usize,
-    /// When its client gives up.
+    /// Time at which its client abandons it.
     pub deadline: Time,
-    /// What it is about; 0: not known.
+    /// Key of the queried data; 0: unknown.
     pub key: u64,
-    /// Which of equal servers it goes to.
+    /// Preferences among servers that are equal otherwise.
     pub placement: Placement,
-    /// Marked by the client as a retry.
+    /// Whether the client marked it as a retry.
     pub is_retry: bool,
-    /// Index of the tenant that asks, among those of the settings; `u32::MAX`: none of them.
+    /// Index of the tenant in [`Settings::quotas`]; `u32::MAX` for a query without a tenant.
     pub tenant: u32,
-    /// Team that asks, where teams have contracts.
+    /// Name of the client's team, checked against its contract if contracts are configured.
     pub team: Option<String>,
-    /// Its shards, each with the weight of its part.
+    /// Shards to query, each with the weight of its part; the weights sum to 1.
     pub parts: Vec<(Shard, f64)>,
-    /// Set where only the first so many elements are wanted, in that order of their keys: the
-    /// second step then goes to the shards that can have any of them.
+    /// Number of elements wanted and the order of their keys, for a sorted query. The second step
+    /// then goes to the shards that may hold any of these elements.
     pub top: Option<(usize, SortDirection)>,
-    /// What front and upstream know of it.
+    /// Data of the front and the upstream that the core passes through.
     pub job: J,
 }
 
-/// What a data node answered for a part.
+/// Answer of a data node to a part.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Value {
-    /// Its score: the second step goes to the shards that have the best.
+    /// Score of the shard; the second step goes to the shards with the highest scores.
     pub score: f64,
-    /// Its bytes, unchanged.
+    /// Payload as received.
     pub bytes: Vec<u8>,
-    /// Where the answer is sorted: what its elements are sorted by.
+    /// Sort keys of its elements, if the answer is sorted.
     pub sorted: Option<SortedElements>,
 }
 
-/// The elements of a value, where an answer is sorted.
+/// Sort keys of the elements of a sorted answer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SortedElements {
-    /// Their keys, in the order of the value.
+    /// Keys in the order of the elements in the payload.
     pub keys: Vec<SortKey>,
-    /// Elements that the shard has in all, where it told.
+    /// Total number of matching elements in the shard, if it reported one.
     pub matched: Option<u64>,
 }
 
-/// The final answer of a query.
+/// Final answer to a query.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// Answered from these parts.
+    /// Complete or partial answer.
     Served {
-        /// Whether nothing that a whole answer needs is missing.
+        /// Whether the answer is complete.
         whole: bool,
-        /// The parts that are in.
+        /// Answered shards and their values.
         values: Vec<(Shard, Value)>,
-        /// Shards of which something is missing.
+        /// Shards of which an answer is missing, ascending.
         missing_shards: Vec<Shard>,
     },
-    /// Turned away: asking again is harmless, after this long where advice is given.
+    /// The query was refused and a retry is harmless; holds the retry-after advice, if any.
     Refused(Option<Micros>),
-    /// Given up.
+    /// The query failed; its parts may or may not have taken effect.
     Failed,
 }
 
-/// What the second step of a query knows of its first.
+/// Result of the first step, available to the second.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FirstStep {
-    /// Shards that were in.
+    /// Shards that answered.
     pub shards: Vec<Shard>,
-    /// Whether the first step was whole.
+    /// Whether the first step was complete.
     pub whole: bool,
 }
 
-/// One attempt to be made.
+/// Attempt to be sent.
 #[derive(Clone, Debug)]
 pub struct Dispatch<J> {
-    /// Names the attempt.
+    /// Identifier of the attempt.
     pub attempt: u64,
-    /// What front and upstream know of the query.
+    /// Job of the query, from [`Request::job`].
     pub job: Rc<J>,
     /// Index of the query's class.
     pub class: usize,
-    /// The part's shard.
+    /// Shard of the part.
     pub shard: Shard,
-    /// Set for parts of the second step.
+    /// Result of the first step, for parts of the second.
     pub first: Option<Rc<FirstStep>>,
-    /// Elements that are asked for, in the second step of a sorted answer.
+    /// Maximum elements to request, in the second step of a sorted query.
     pub max_elements: Option<usize>,
-    /// How long its answer will be waited for.
+    /// Time to wait for the answer.
     pub timeout: Micros,
-    /// Where an attempt before it may have run and a repeat is dropped for a time only: the moment
-    /// in which the module lets a repeat leave at the latest.
+    /// Latest time to send a repeat of a part that may have run, while replicas still drop it as a
+    /// duplicate; see [`lichenswitch_interface::RetrySafety::Keyed`].
     pub send_by: Option<Time>,
 }
 
-/// What was counted of a class.
+/// Counters of a class since they were last taken.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassCounters {
-    /// Requests served, whole or in part.
+    /// Queries answered, completely or in part.
     pub served: u64,
-    /// Requests refused: trying again is harmless.
+    /// Queries refused; a retry is harmless.
     pub refused: u64,
-    /// Requests failed.
+    /// Queries failed.
     pub failed: u64,
-    /// Attempts written whole to a data node.
+    /// Attempts whose request was completely written to a data node.
     pub attempts: u64,
 }
 
-/// What the core wants done.
+/// Instruction of the core to its caller.
 #[derive(Clone, Debug)]
 pub enum Command<J> {
-    /// Send these parts to a server in one call.
+    /// Sends these parts to a server in one call.
     Send(ServerId, Vec<Dispatch<J>>),
-    /// Cancel an attempt in flight. Its outcome is recorded already.
+    /// Cancels an attempt in flight, whose outcome is already recorded.
     Cancel(u64),
-    /// The query of an attempt in flight has ended: where the attempt has not left yet it is not to
-    /// leave any more, whether or not cancels are sent to servers.
+    /// Drops an attempt that has not been sent yet because its query has ended. Applies whether or
+    /// not the settings allow cancels.
     Recall(u64),
-    /// Close idle connections to a server.
+    /// Closes idle connections to a server.
     CloseIdle(ServerId),
-    /// Give a client its final answer.
+    /// Sends a client its final answer.
     Reply(QueryId, Reply),
-    /// Ask for changes of the list of servers.
+    /// Subscribes to changes of the server list.
     Subscribe,
-    /// A line for the operators.
+    /// Writes a line to the operator's log.
     Log(String),
 }
 
@@ -164,19 +164,19 @@
     weight: f64,
     is_second_step: bool,
     attempts: u16,
-    /// How many of them never left: they count as none.
+    /// Number of attempts that were never sent; they don't count to the limit.
     never_left: u16,
     value: Option<Value>,
-    /// Elements that are asked for, in the second step of a sorted answer.
-    most: Option<usize>,
-    /// Whether it was proved to be unneeded: it counts as answered.
+    /// Maximum elements to request, in the second step of a sorted query.
+    max_elements: Option<usize>,
+    /// Whether the planner proved it unneeded; it counts as answered.
     is_proved_unneeded: bool,
-    /// The first of its attempts that may have run, and when that was sent.
+    /// Index and send time of the first attempt that may have run.
     first_possible_run: Option<(u16, Time)>,
 }
 
 impl Part {
-    fn is_in(&self) -> bool {
+    fn is_answered(&self) -> bool {
         self.value.is_some() || self.is_proved_unneeded
     }
 }
@@ -187,73 +187,73 @@
     deadline: Time,
     job: Rc<J>,
     parts: Vec<Part>,
-    /// Set once the first of two steps has been answered.
+    /// Result of the first step, set when it ends.
     first: Option<Rc<FirstStep>>,
     top: Option<(usize, SortDirection)>,
-    /// Shards that the second step leaves out for time.
-    left_out: Vec<Shard>,
-    /// Whether what its answer rests on has proved wrong: it is not complete.
+    /// Shards that the second step skips for lack of time.
+    skipped_shards: Vec<Shard>,
+    /// Whether an assumption behind the plan proved wrong, so that the answer is incomplete.
     is_doubtful: bool,
 }
 
 struct Attempt {
     part: PartId,
-    number: u16,
+    index: u16,
     server: ServerId,
-    sent: Time,
-    /// Parts of this core in flight at the server when it was sent.
+    sent_at: Time,
+    /// Parts of this core in flight at the server before the send.
     pending: u32,
 }
 
-/// The core of one service: its decision module, and the queries and attempts in hand.
+/// State of one service: its decision module and the queries and attempts that it holds.
 pub struct Core<J> {
     settings: Settings,
     contracts: Contracts,
     module: Coordinator,
     planner: Planner,
     /// Whether the planner's reasons are logged.
-    explain: bool,
+    logs_reasons: bool,
     /// Log lines for the next turn.
-    lines: Vec<String>,
-    /// Parts in flight at each server.
-    load: HashMap<ServerId, u32>,
-    inbox: Vec<Event>,
+    log_lines: Vec<String>,
+    /// Number of parts in flight at each server.
+    parts_in_flight: HashMap<ServerId, u32>,
+    pending_events: Vec<Event>,
     queries: BTreeMap<QueryId, Query<J>>,
-    /// Queries by the end of their clients' patience.
+    /// Held queries, ordered by deadline.
     deadlines: BTreeSet<(Time, QueryId)>,
-    /// The query of each part in hand, and its index there.
+    /// Query of each held part, and the part's index in it.
     parts: HashMap<PartId, (QueryId, usize)>,
     attempts: HashMap<u64, Attempt>,
-    /// Attempts in flight, by part and number.
-    in_flight: HashMap<(PartId, u16), u64>,
-    /// Attempts that were in flight as their queries ended, not yet handed out.
+    /// Identifiers of the attempts in flight, by part and index.
+    attempt_ids: HashMap<(PartId, u16), u64>,
+    /// Attempts that were in flight when their queries ended, not yet returned to the caller.
     recalls: Vec<u64>,
-    /// What ended since the counters were last taken, by class.
+    /// Counters by class since they were last taken.
     counters: Vec<ClassCounters>,
-    /// Queries and parts in hand.
+    /// Number of held queries and parts.
     held_entries: usize,
-    /// Bytes of their values.
-    bytes: usize,
-    /// Most bytes of values held for queries that wait for further parts.
+    /// Total size of the held values.
+    value_bytes: usize,
+    /// Maximum total size of held values, over all processes of the broker.
     max_bytes: usize,
     next_id: u64,
     next_attempt: u64,
     next_number: u32,
     last_turn_at: Time,
-    wake: Option<Time>,
-    /// All that is taken must have ended by then.
-    must_end_by: Option<Time>,
-    /// This process's shares of what is allowed to the broker.
+    wake_at: Option<Time>,
+    /// Time by which every query must have ended; `None` while the broker is not shutting down.
+    end_time: Option<Time>,
+    /// Shares of the broker's limits that this process has.
     process_shares: ProcessShares,
-    /// Whether nothing is taken for now.
+    /// Whether intake is paused.
     is_paused: bool,
 }
 
-/// Query numbers stay below this: the module's wire carries them as 32-bit floats.
-const NUMBERS: u32 = 1 << 24;
+/// Exclusive upper bound of query numbers: the module's wire format carries them as 32-bit floats.
+const MAX_QUERY_NUMBERS: u32 = 1 << 24;
 
 impl<J> Core<J> {
-    /// A core that holds nothing, and at most a quarter of `memory` bytes in values.
+    /// Creates an empty core that holds at most a quarter of `memory` bytes in values.
     #[must_use]
     pub fn new(seed: u64, settings: Settings, contracts: Contracts, memory: usize) -> Self {
         Core {
@@ -263,150 +263,151 @@
             settings,
             contracts,
             planner: Planner::default(),
-            explain: false,
-            lines: Vec::new(),
-            load: HashMap::new(),
-            inbox: Vec::new(),
+            logs_reasons: false,
+            log_lines: Vec::new(),
+            parts_in_flight: HashMap::new(),
+            pending_events: Vec::new(),
             queries: BTreeMap::new(),
             deadlines: BTreeSet::new(),
             parts: HashMap::new(),
             attempts: HashMap::new(),
-            in_flight: HashMap::new(),
+            attempt_ids: HashMap::new(),
             recalls: Vec::new(),
             held_entries: 0,
-            bytes: 0,
+            value_bytes: 0,
             next_id: 1,
             next_attempt: 1,
             next_number: 0,
             last_turn_at: Time(0),
-            wake: Some(Time(0)),
-            must_end_by: None,
+            wake_at: Some(Time(0)),
+            end_time: None,
             process_shares: SINGLE_PROCESS,
             is_paused: false,
         }
     }
 
-    /// Plans queries of two steps with this planner; `explain`: its reasons are logged.
+    /// Sets the planner of two-step queries; with `explain`, its reasons are logged.
     pub fn set_planner(&mut self, planner: Planner, explain: bool) {
-        (self.planner, self.explain) = (planner, explain);
+        (self.planner, self.logs_reasons) = (planner, explain);
     }
 
-    /// The settings that it works by.
+    /// Returns the current settings, including later changes of classes and budget.
     #[must_use]
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// The classes from now on. There are never fewer than before; a query that is held keeps its
-    /// class for as long as its place is not given to another one.
+    /// Replaces the classes. There must not be fewer than before, as held queries refer to their
+    /// class by index.
     pub fn set_classes(&mut self, classes: Vec<Class>) {
         debug_assert!(
             classes.len() >= self.settings.classes.len(),
-            "held queries know their class by its place"
+            "held queries refer to their class by index"
         );
         self.counters.resize(
             classes.len().max(self.counters.len()),
             ClassCounters::default(),
         );
-        let standing_classes = self
+        let remaining_classes = self
             .settings
             .classes
             .get(classes.len()..)
             .unwrap_or_default();
-        self.settings.classes = [&classes, standing_classes].concat();
-        self.inbox.push(Event::Classes(classes));
+        self.settings.classes = [&classes, remaining_classes].concat();
+        self.pending_events.push(Event::Classes(classes));
     }
 
-    /// The retry budget from now on.
+    /// Replaces the retry budget.
     pub fn set_budget(&mut self, budget: Option<Budget>) {
         if std::mem::replace(&mut self.settings.limits.budget, budget) != budget {
-            self.inbox.push(Event::Budget(budget));
+            self.pending_events.push(Event::Budget(budget));
         }
     }
 
-    /// What loads a server beside the parts that are out there.
+    /// Replaces the load of a server other than this core's parts in flight there.
     pub fn set_load(&mut self, server: ServerId, load: Load) {
-        self.inbox.push(Event::Load { server, load });
+        self.pending_events.push(Event::Load { server, load });
     }
 
-    /// From now on this process has these shares of what is allowed to the broker.
+    /// Sets the shares of the broker's limits that this process has.
     pub fn set_process_shares(&mut self, parts: ProcessShares) {
         if std::mem::replace(&mut self.process_shares, parts).rate_divisor != parts.rate_divisor {
-            self.inbox.push(Event::Processes(parts.rate_divisor));
+            self.pending_events
+                .push(Event::Processes(parts.rate_divisor));
         }
     }
 
-    /// Most bytes of values that may be held now.
+    /// Returns the maximum total size of held values in this process.
     fn max_bytes(&self) -> usize {
         self.max_bytes / self.process_shares.capacity_divisor as usize
     }
 
-    /// How many of the servers in the list are passed over by choice now.
+    /// Returns the number of ready servers that are passed over because of faults.
     #[must_use]
     pub fn avoided_servers(&self) -> usize {
         self.module.avoided_servers()
     }
 
-    /// What ended, and what was written whole, since the last time, by class.
+    /// Returns the counters by class and resets them.
     pub fn take_counters(&mut self) -> Vec<ClassCounters> {
         let none = vec![ClassCounters::default(); self.counters.len()];
         std::mem::replace(&mut self.counters, none)
     }
 
-    /// So many attempts of a class were written whole to data nodes.
+    /// Adds to the attempts of a class that were completely written to data nodes.
     pub fn on_written(&mut self, class: usize, attempts: u64) {
         if let Some(counters) = self.counters.get_mut(class) {
             counters.attempts += attempts;
         }
     }
 
-    /// Queries held.
+    /// Returns the number of held queries.
     #[must_use]
     pub fn held_queries(&self) -> usize {
         self.queries.len()
     }
 
-    /// An update of the list of servers.
+    /// Passes an update of the server list to the module in the next turn.
     pub fn on_server_list(&mut self, listing: ServerListUpdate) {
-        self.inbox.push(Event::List(listing));
+        self.pending_events.push(Event::List(listing));
     }
 
-    /// When the next turn is to be taken: at once if something waits, but not sooner after the last
-    /// turn than the resolution allows.
+    /// Returns the time of the next turn: immediately if events are pending, but not before the
+    /// settings' resolution has passed since the last turn.
     #[must_use]
     pub fn next_turn(&self) -> Option<Time> {
         let soonest = self.last_turn_at.plus(self.settings.resolution);
-        if !self.inbox.is_empty() {
+        if !self.pending_events.is_empty() {
             return Some(soonest);
         }
         let overdue = self.deadlines.first().map(|d| d.0);
-        [self.wake, overdue, self.planner.next_wake()]
+        [self.wake_at, overdue, self.planner.next_wake()]
             .into_iter()
             .flatten()
             .min()
             .map(|at| at.max(soonest))
     }
 
-    /// Hands all that has come to the module in one go, and returns what is to be done.
+    /// Passes all pending events to the module and returns the resulting commands.
     pub fn turn(&mut self, now: Time) -> Vec<Command<J>> {
         self.last_turn_at = now;
-        if self.wake.is_some_and(|at| at <= now) {
-            self.wake = None;
-            self.inbox.push(Event::Wake);
+        if self.wake_at.is_some_and(|at| at <= now) {
+            self.wake_at = None;
+            self.pending_events.push(Event::Wake);
         }
         let (mut actions, mut commands) = (Vec::new(), Vec::new());
         self.end_overdue(now, &mut commands);
         let verdicts = self.planner.tick(now);
         self.apply_verdicts(verdicts);
-        let events = std::mem::take(&mut self.inbox);
+        let events = std::mem::take(&mut self.pending_events);
         self.module.turn(now, events, &mut actions);
         self.execute_actions(now, actions, &mut commands);
         commands.extend(self.recalls.drain(..).map(Command::Recall));
-        commands.extend(self.lines.drain(..).map(Command::Log));
+        commands.extend(self.log_lines.drain(..).map(Command::Log));
         commands
     }
 
-    /// Attempts to be recalled at once, ahead of the next turn, which may be some time off.
+    /// Takes the attempts to be recalled, so that the caller need not wait for the next turn.
     pub fn take_recalls(&mut self) -> Vec<u64> {
         std::mem::take(&mut self.recalls)
     }
--- a/core/src/phases.rs
+++ b/core/src/phases.rs
@@ -1,4 +1,4 @@
-//! Phases: reports to the planner of queries of two steps, and carries out its verdicts.
+//! Two-step queries: reports events to the planner and carries out its verdicts.
 
 use super::{Attempt, Command, Core, FirstStep, Reply, Value};
 use lichenswitch_interface::{Event, Outcome, QueryId, Shard, Time};
@@ -7,16 +7,16 @@
 use std::rc::Rc;
 
 fn bound(shard: Shard, value: &Value) -> Option<Bound> {
-    let offer = value.sorted.as_ref()?;
+    let sorted = value.sorted.as_ref()?;
     Some(Bound {
         slice: shard.0,
-        keys: offer.keys.clone(),
-        matched: offer.matched,
+        keys: sorted.keys.clone(),
+        matched: sorted.matched,
     })
 }
 
 impl<J> Core<J> {
-    /// An attempt of a part that is still held has ended: the planner learns of it.
+    /// Reports the end of an attempt to the planner if its part is still held.
     pub(super) fn report_to_planner(&mut self, now: Time, attempt: &Attempt, outcome: Outcome) {
         let Some(&(query, i)) = self.parts.get(&attempt.part) else {
             return;
@@ -25,7 +25,7 @@
             return;
         };
         let timing = AttemptTiming {
-            elapsed: now.since(attempt.sent),
+            elapsed: now.since(attempt.sent_at),
             pending: f64::from(attempt.pending),
         };
         let planned_part = PartRef {
@@ -47,20 +47,20 @@
         let is_unanswered = matches!(outcome, Outcome::Timeout | Outcome::Cancelled);
         let unanswered = is_unanswered.then_some(timing);
         self.planner
-            .on_loss(now, planned_part, attempt.sent, unanswered);
+            .on_loss(now, planned_part, attempt.sent_at, unanswered);
     }
 
-    /// Does what the planner says.
+    /// Carries out the planner's verdicts.
     pub(super) fn apply_verdicts(&mut self, verdicts: Vec<Verdict>) {
         for verdict in verdicts {
             let (id, reason, is_logged) = match verdict {
                 Verdict::Close { query: id, reason } => {
-                    self.inbox.push(Event::Close(id));
-                    (id, reason, self.explain)
+                    self.pending_events.push(Event::Close(id));
+                    (id, reason, self.logs_reasons)
                 }
                 Verdict::GiveUp { query: id, reason } => {
-                    self.inbox.push(Event::GiveUp(id));
-                    (id, reason, self.explain)
+                    self.pending_events.push(Event::GiveUp(id));
+                    (id, reason, self.logs_reasons)
                 }
                 Verdict::Unneeded {
                     query: id,
@@ -74,9 +74,9 @@
                     });
                     if let Some(part) = part {
                         part.is_proved_unneeded = true;
-                        self.inbox.push(Event::Unneeded(part.id));
+                        self.pending_events.push(Event::Unneeded(part.id));
                     }
-                    (id, reason, self.explain)
+                    (id, reason, self.logs_reasons)
                 }
                 Verdict::Doubt { query: id, reason } => {
                     self.queries.entry(id).and_modify(|q| q.is_doubtful = true);
@@ -84,12 +84,12 @@
                 }
             };
             if is_logged {
-                self.lines.push(format!("query {}: {reason}", id.0));
+                self.log_lines.push(format!("query {}: {reason}", id.0));
             }
         }
     }
 
-    /// The planner's second step; `None`: it plans nothing for this class.
+    /// Returns the planner's second step, or `None` if it does not plan this class.
     fn plan(&mut self, now: Time, query: QueryId) -> Option<Plan> {
         let q = self
             .queries
@@ -115,8 +115,8 @@
             })
     }
 
-    /// Begins the second step of a query whose first has ended, whole or not.
-    pub(super) fn second_step(
+    /// Begins the second step of a query after its first, complete or not.
+    pub(super) fn begin_second_step(
         &mut self,
         now: Time,
         query: QueryId,
@@ -140,7 +140,7 @@
         }
     }
 
-    /// The second step as the settings say: the best scores, as many as the class has.
+    /// Begins an unplanned second step: the shards with the best scores, up to the class's number.
     fn begin_best_scores_step(&mut self, query: QueryId, mut scores: Vec<(f64, Shard)>) {
         let Some(q) = self.queries.get(&query) else {
             return;
@@ -153,7 +153,7 @@
         }
     }
 
-    /// The second step as the planner wants it; it may be over at once, or not be worth beginning.
+    /// Begins a planned second step. The plan may give the query up or need no further parts.
     fn begin_planned_step(
         &mut self,
         query: QueryId,
@@ -164,24 +164,24 @@
         let Some(q) = self.queries.get_mut(&query) else {
             return;
         };
-        if self.explain {
+        if self.logs_reasons {
             let reasons = plan.reasons.iter();
-            self.lines
+            self.log_lines
                 .extend(reasons.map(|reason| format!("query {}: {reason}", query.0)));
         }
-        q.left_out = plan.left_out.iter().map(|&slice| Shard(slice)).collect();
+        q.skipped_shards = plan.left_out.iter().map(|&slice| Shard(slice)).collect();
         if plan.give_up {
-            return self.inbox.push(Event::GiveUp(query));
+            return self.pending_events.push(Event::GiveUp(query));
         }
         if plan.parts.is_empty() {
-            // No part remains to be requested: the module, which waits for parts, is notified that
-            // the query is over.
-            self.inbox.push(Event::Hangup(query));
-            return self.served(query, whole, commands);
+            // No part remains to be requested: the module, which waits for parts, is told that the
+            // query is over.
+            self.pending_events.push(Event::Hangup(query));
+            return self.reply_served(query, whole, commands);
         }
         let weight = 1.0 / plan.wanted.max(1) as f64;
         if let Some(&slice) = plan.unneeded.first() {
-            // All that was proved to be unneeded counts as one part that is in.
+            // All unneeded shards together count as one answered part.
             let weight = weight * plan.unneeded.len() as f64;
             self.add_unneeded_part(query, Shard(slice), weight);
         }
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Adds a part that is proved to add nothing.
+    /// Adds a part that was proved unneeded and counts as answered.
     fn add_unneeded_part(&mut self, query: QueryId, shard: Shard, weight: f64) {
         let Some(part) = self.add_part(query, shard, weight, true, None) else {
             return;
@@ -199,37 +199,42 @@
         if let Some(part) = parts.and_then(|parts| parts.last_mut()) {
             part.is_proved_unneeded = true;
         }
-        self.inbox.push(Event::Unneeded(part));
+        self.pending_events.push(Event::Unneeded(part));
     }
 
-    /// Gives a query its answer from the parts that are in; `whole`: as far as its last step goes.
-    pub(super) fn served(&mut self, query: QueryId, whole: bool, commands: &mut Vec<Command<J>>) {
+    /// Ends a query with an answer from the answered parts; `whole` tells whether its last step was
+    /// complete.
+    pub(super) fn reply_served(
+        &mut self,
+        query: QueryId,
+        whole: bool,
+        commands: &mut Vec<Command<J>>,
+    ) {
         let Some(q) = self.release(query) else { return };
         self.counters[q.class].served += 1;
         let is_second_step = q.first.is_some();
-        let mut gaps: Vec<Shard> = q
+        let mut missing_shards: Vec<Shard> = q
             .parts
             .iter()
-            .filter(|p| !p.is_in())
+            .filter(|p| !p.is_answered())
             .map(|p| p.shard)
             .collect();
-        gaps.extend(&q.left_out);
-        gaps.sort_unstable();
-        gaps.dedup();
-        let whole = whole && !q.is_doubtful && q.left_out.is_empty();
-        let sorted = q.top.is_some();
+        missing_shards.extend(&q.skipped_shards);
+        missing_shards.sort_unstable();
+        missing_shards.dedup();
+        let whole = whole && !q.is_doubtful && q.skipped_shards.is_empty();
+        let is_sorted = q.top.is_some();
         let mut values: Vec<(Shard, Value)> = Vec::new();
         for part in q
             .parts
             .into_iter()
-            .filter(|p| p.is_second_step == is_second_step || sorted)
+            .filter(|p| p.is_second_step == is_second_step || is_sorted)
         {
             let Some(value) = part.value else { continue };
-            // Of a sorted answer a shard's second value takes the place of its first, which it
-            // holds again.
+            // In a sorted answer the second value of a shard includes its first and replaces it.
             match values
                 .iter_mut()
-                .find(|v| sorted && part.is_second_step && v.0 == part.shard)
+                .find(|v| is_sorted && part.is_second_step && v.0 == part.shard)
             {
                 Some(first) => first.1 = value,
                 None => values.push((part.shard, value)),
@@ -240,7 +245,7 @@
             Reply::Served {
                 whole,
                 values,
-                missing_shards: gaps,
+                missing_shards: missing_shards,
             },
         ));
     }
--- a/core/src/tests.rs
+++ b/core/src/tests.rs
@@ -1,5 +1,5 @@
-//! Tests of the books: what the module asks for is carried out, and the rules hold whatever it
-//! asks.
+//! Tests of the core: the module's actions are carried out, and limits and deadlines hold
+//! regardless of what it requests.
 
 use super::*;
 use lichenswitch_interface::{
@@ -53,33 +53,33 @@
     }
 }
 
-/// A core with two servers that hold every shard, and its clock.
-struct Stage {
+/// Core with two servers that hold every shard, and its clock.
+struct Harness {
     core: Core<&'static str>,
     now: Time,
 }
 
-impl Stage {
-    fn new(second_step: u32) -> Stage {
-        Stage::with(settings(second_step))
+impl Harness {
+    fn new(second_step: u32) -> Harness {
+        Harness::with(settings(second_step))
     }
 
-    fn with(settings: Settings) -> Stage {
+    fn with(settings: Settings) -> Harness {
         let mut core = Core::new(7, settings, Contracts::default(), MEMORY);
-        let line = |id| ListedServer {
+        let entry = |id| ListedServer {
             server: ServerId(id),
             cell: id,
             zone: 0,
             mode: ServerMode::Ready,
             started_at: None,
         };
-        core.on_server_list(ServerListUpdate::Complete(vec![line(0), line(1)]));
-        let mut stage = Stage {
+        core.on_server_list(ServerListUpdate::Complete(vec![entry(0), entry(1)]));
+        let mut harness = Harness {
             core,
             now: Time(1_000_000 * MS),
         };
-        stage.turn();
-        stage
+        harness.turn();
+        harness
     }
 
     fn turn(&mut self) -> Vec<Command<&'static str>> {
@@ -128,19 +128,20 @@
 
 #[test]
 fn shared_prefix_precedes_its_parts() {
-    let mut stage = Stage::new(0);
-    for (prefix, bound) in [(0, 0), (9, 1)] {
+    let mut harness = Harness::new(0);
+    for (prefix, expected) in [(0, 0), (9, 1)] {
         let placement = Placement {
             prefix,
             ..Placement::default()
         };
-        stage.turn();
+        harness.turn();
         let request = Request {
             placement,
-            ..request(stage.now, vec![(Shard(0), 1.0)])
+            ..request(harness.now, vec![(Shard(0), 1.0)])
         };
-        stage.core.submit(stage.now, request).unwrap();
-        let position = |wanted: fn(&Event) -> bool| stage.core.inbox.iter().position(wanted);
+        harness.core.submit(harness.now, request).unwrap();
+        let position =
+            |wanted: fn(&Event) -> bool| harness.core.pending_events.iter().position(wanted);
         let prefixes = position(|event| {
             matches!(
                 event,
@@ -150,7 +151,12 @@
                 }
             )
         });
-        assert_eq!(prefixes.is_some(), bound == 1, "{:?}", stage.core.inbox);
+        assert_eq!(
+            prefixes.is_some(),
+            expected == 1,
+            "{:?}",
+            harness.core.pending_events
+        );
         assert!(prefixes
             .is_none_or(|at| Some(at) < position(|event| matches!(event, Event::Part { .. }))));
     }
@@ -174,9 +180,9 @@
 
 #[test]
 fn sends_of_a_turn_to_one_server_share_calls_up_to_the_limit() {
-    let mut stage = Stage::new(0);
-    stage.take(&[0, 1, 2, 3]).unwrap();
-    let commands = stage.turn();
+    let mut harness = Harness::new(0);
+    harness.take(&[0, 1, 2, 3]).unwrap();
+    let commands = harness.turn();
     let calls: Vec<usize> = commands
         .iter()
         .filter_map(|c| match c {
@@ -188,19 +194,19 @@
     assert!(calls.iter().all(|&n| n <= 2), "{calls:?}");
     assert!(
         sends(&commands).iter().all(|d| d.timeout <= 2_000 * MS),
-        "never beyond the client's time"
+        "never beyond the client's deadline"
     );
 }
 
 #[test]
 fn complete_answer_has_every_part_and_releases_the_query() {
-    let mut stage = Stage::new(0);
-    stage.take(&[0, 1]).unwrap();
-    for send in sends(&stage.turn()) {
-        stage.end(send.attempt, Outcome::Ok, 0.0);
-        stage.end(send.attempt, Outcome::Error, 0.0); // Only the first end counts.
+    let mut harness = Harness::new(0);
+    harness.take(&[0, 1]).unwrap();
+    for send in sends(&harness.turn()) {
+        harness.end(send.attempt, Outcome::Ok, 0.0);
+        harness.end(send.attempt, Outcome::Error, 0.0); // Only the first end counts.
     }
-    let answered = replies(&stage.turn());
+    let answered = replies(&harness.turn());
     let [Reply::Served {
         whole: true,
         values,
@@ -215,18 +221,18 @@
     );
     assert_eq!(
         (
-            stage.core.held_entries,
-            stage.core.attempts.len(),
-            stage.core.in_flight.len()
+            harness.core.held_entries,
+            harness.core.attempts.len(),
+            harness.core.attempt_ids.len()
         ),
         (0, 0, 0)
     );
-    assert_eq!(stage.core.bytes, 0);
+    assert_eq!(harness.core.value_bytes, 0);
 }
 
 #[test]
-fn a_query_whose_parts_make_no_sense_is_never_taken() {
-    let mut stage = Stage::new(0);
+fn query_with_invalid_parts_is_refused() {
+    let mut harness = Harness::new(0);
     for parts in [
         &[][..],
         &[(0, 0.5), (0, 0.5)],
@@ -241,11 +247,11 @@
             .iter()
             .map(|&(shard, weight)| (Shard(shard), weight))
             .collect();
-        let taken = stage.take_parts(parts);
+        let taken = harness.take_parts(parts);
         assert!(matches!(taken, Err(Refusal::Malformed(_))), "{taken:?}");
     }
-    assert!(stage.core.held_entries == 0 && stage.core.inbox.is_empty());
-    assert!(stage
+    assert!(harness.core.held_entries == 0 && harness.core.pending_events.is_empty());
+    assert!(harness
         .take_parts(vec![
             (Shard(0), 0.33333),
             (Shard(1), 0.33333),
@@ -256,64 +262,64 @@
 
 #[test]
 fn ending_core_admits_only_what_meets_its_target_in_time() {
-    let mut stage = Stage::new(0);
-    let latency_target = stage.core.settings().classes[0].latency_target;
-    assert!(stage.core.accepts_queries(stage.now));
-    let end = stage.now.plus(4_000 * MS);
-    stage.core.set_end_time(end);
-    stage.now = end.minus(latency_target);
+    let mut harness = Harness::new(0);
+    let latency_target = harness.core.settings().classes[0].latency_target;
+    assert!(harness.core.accepts_queries(harness.now));
+    let end = harness.now.plus(4_000 * MS);
+    harness.core.set_end_time(end);
+    harness.now = end.minus(latency_target);
     assert!(
-        stage.core.accepts_queries(stage.now) && stage.take(&[0]).is_ok(),
-        "its client waits for longer"
+        harness.core.accepts_queries(harness.now) && harness.take(&[0]).is_ok(),
+        "its client waits longer than the end time"
     );
-    assert_eq!(sends(&stage.turn()).len(), 1);
-    stage.now = stage.now.plus(MS);
-    assert!(!stage.core.accepts_queries(stage.now));
-    assert_eq!(stage.take(&[0]), Err(Refusal::Stopping));
-    // Nobody answers: the final answer is there by the end all the same.
-    stage.now = end;
-    assert_eq!(replies(&stage.turn()).len(), 1);
+    assert_eq!(sends(&harness.turn()).len(), 1);
+    harness.now = harness.now.plus(MS);
+    assert!(!harness.core.accepts_queries(harness.now));
+    assert_eq!(harness.take(&[0]), Err(Refusal::Stopping));
+    // Without an answer from a server, the final answer is given by the end time.
+    harness.now = end;
+    assert_eq!(replies(&harness.turn()).len(), 1);
 }
 
 #[test]
-fn with_too_much_held_a_query_is_turned_away_before_the_module() {
-    let mut stage = Stage::new(0);
-    let first = stage.take(&[0, 1, 2, 3]).unwrap();
-    assert!(stage.core.held_entries == 5 && stage.take(&[0]).is_ok());
-    assert_eq!(stage.take(&[0]), Err(Refusal::Busy(Some(1_000 * MS))));
-    stage.core.hangup(first);
-    assert!(stage.take(&[0]).is_ok());
+fn query_beyond_the_held_limit_is_refused_before_the_module() {
+    let mut harness = Harness::new(0);
+    let first = harness.take(&[0, 1, 2, 3]).unwrap();
+    assert!(harness.core.held_entries == 5 && harness.take(&[0]).is_ok());
+    assert_eq!(harness.take(&[0]), Err(Refusal::Busy(Some(1_000 * MS))));
+    harness.core.hangup(first);
+    assert!(harness.take(&[0]).is_ok());
 }
 
 #[test]
-fn second_step_asks_the_best_scores_and_names_the_first() {
-    let mut stage = Stage::new(2);
-    stage.take(&[0, 1, 2]).unwrap();
+fn second_step_queries_the_best_scores_and_carries_the_first_step() {
+    let mut harness = Harness::new(2);
+    harness.take(&[0, 1, 2]).unwrap();
     let mut expected = Vec::new();
-    for send in sends(&stage.turn()) {
+    for send in sends(&harness.turn()) {
         let score = f64::from(10 - send.shard.0);
         expected.push(send.shard);
-        stage.end(send.attempt, Outcome::Ok, score);
+        harness.end(send.attempt, Outcome::Ok, score);
     }
     assert!(
-        replies(&stage.turn()).is_empty(),
-        "the first step is no answer"
+        replies(&harness.turn()).is_empty(),
+        "the first step gives the client no answer"
     );
-    let is_second_step = sends(&stage.turn());
-    let mut shards: Vec<u32> = is_second_step.iter().map(|d| d.shard.0).collect();
+    let second = sends(&harness.turn());
+    let mut shards: Vec<u32> = second.iter().map(|d| d.shard.0).collect();
     shards.sort_unstable();
     assert_eq!(shards, [0, 1], "the two best scores");
-    for send in &is_second_step {
+    for send in &second {
         let first = send.first.as_ref().unwrap();
-        let mut were_in = first.shards.clone();
-        were_in.sort();
+        let mut answered = first.shards.clone();
+        answered.sort();
         assert_eq!(
-            (were_in, first.whole),
+            (answered, first.whole),
             (vec![Shard(0), Shard(1), Shard(2)], true)
         );
-        stage.end(send.attempt, Outcome::Ok, 0.0);
+        harness.end(send.attempt, Outcome::Ok, 0.0);
     }
-    let answered = replies(&stage.turn());
+    let answered = replies(&harness.turn());
     let [Reply::Served {
         whole: true,
         values,
@@ -326,50 +332,50 @@
 }
 
 #[test]
-fn completeness_is_judged_by_the_parts_present() {
-    let mut stage = Stage::new(0);
-    let query = stage.take(&[0, 1]).unwrap();
-    let send = &sends(&stage.turn())[0];
-    stage.end(send.attempt, Outcome::Ok, 0.0);
+fn completeness_is_computed_from_the_parts_present() {
+    let mut harness = Harness::new(0);
+    let query = harness.take(&[0, 1]).unwrap();
+    let send = &sends(&harness.turn())[0];
+    harness.end(send.attempt, Outcome::Ok, 0.0);
     let mut commands = Vec::new();
-    // The module never does this: the guard is what is tested.
-    stage.core.answer(Time(1), query, true, &mut commands);
+    // The module never does this; the test covers the core's own check.
+    harness.core.answer(Time(1), query, true, &mut commands);
     let answered = replies(&commands);
     assert!(
         matches!(&answered[..], [Reply::Served { whole: false, values, .. }] if values.len() == 1)
     );
-    let query = stage.take(&[0, 1]).unwrap();
-    stage.turn();
+    let query = harness.take(&[0, 1]).unwrap();
+    harness.turn();
     let mut commands = Vec::new();
-    stage.core.answer(Time(1), query, true, &mut commands);
+    harness.core.answer(Time(1), query, true, &mut commands);
     assert_eq!(
         replies(&commands),
         [Reply::Failed],
-        "nothing from less than the floor"
+        "an answer below the floor fails"
     );
 }
 
 #[test]
-fn a_query_that_the_module_left_open_is_failed_at_its_deadline() {
-    let mut stage = Stage::new(0);
-    stage.take(&[0]).unwrap();
-    stage.turn();
-    assert!(stage.core.next_turn().unwrap() <= stage.now.plus(2_000 * MS));
+fn query_left_open_by_the_module_fails_at_its_deadline() {
+    let mut harness = Harness::new(0);
+    harness.take(&[0]).unwrap();
+    harness.turn();
+    assert!(harness.core.next_turn().unwrap() <= harness.now.plus(2_000 * MS));
     let mut commands = Vec::new();
-    stage
+    harness
         .core
-        .end_overdue(stage.now.plus(2_000 * MS), &mut commands);
+        .end_overdue(harness.now.plus(2_000 * MS), &mut commands);
     assert_eq!(replies(&commands), [Reply::Failed]);
-    assert_eq!(stage.core.held_entries, 0);
+    assert_eq!(harness.core.held_entries, 0);
 }
 
 #[test]
 fn hangup_cancels_attempts_and_sends_no_answer() {
-    let mut stage = Stage::new(0);
-    let query = stage.take(&[0]).unwrap();
-    let send = &sends(&stage.turn())[0];
-    stage.core.hangup(query);
-    let commands = stage.turn();
+    let mut harness = Harness::new(0);
+    let query = harness.take(&[0]).unwrap();
+    let send = &sends(&harness.turn())[0];
+    harness.core.hangup(query);
+    let commands = harness.turn();
     assert!(commands
         .iter()
         .any(|c| matches!(c, Command::Cancel(a) if *a == send.attempt)));
@@ -380,11 +386,11 @@
 fn ended_query_recalls_its_attempts_and_leaves_no_state() {
     let mut set = settings(0);
     set.limits.may_cancel = false;
-    let mut stage = Stage::with(set);
-    let query = stage.take(&[0, 1]).unwrap();
-    let mut sent: Vec<u64> = sends(&stage.turn()).iter().map(|s| s.attempt).collect();
-    stage.core.hangup(query);
-    let mut recalled = stage.core.take_recalls();
+    let mut harness = Harness::with(set);
+    let query = harness.take(&[0, 1]).unwrap();
+    let mut sent: Vec<u64> = sends(&harness.turn()).iter().map(|s| s.attempt).collect();
+    harness.core.hangup(query);
+    let mut recalled = harness.core.take_recalls();
     sent.sort_unstable();
     recalled.sort_unstable();
     assert!(
@@ -393,8 +399,8 @@
     );
     recalled
         .iter()
-        .for_each(|a| stage.end(*a, Outcome::NeverSent, 0.0));
-    let commands = stage.turn();
+        .for_each(|a| harness.end(*a, Outcome::NeverSent, 0.0));
+    let commands = harness.turn();
     assert!(
         commands
             .iter()
@@ -402,25 +408,28 @@
         "{commands:?}"
     );
     assert!(
-        stage.core.attempts.is_empty()
-            && stage.core.in_flight.is_empty()
-            && stage.core.load.is_empty()
+        harness.core.attempts.is_empty()
+            && harness.core.attempt_ids.is_empty()
+            && harness.core.parts_in_flight.is_empty()
+    );
+    assert_eq!(
+        (harness.core.held_entries, harness.core.value_bytes),
+        (0, 0)
     );
-    assert_eq!((stage.core.held_entries, stage.core.bytes), (0, 0));
 }
 
 #[test]
-fn a_query_that_is_given_up_is_answered_in_the_same_turn_with_advice() {
-    let mut stage = Stage::new(0);
-    stage.take(&[0]).unwrap();
+fn given_up_query_is_refused_in_the_same_turn_with_advice() {
+    let mut harness = Harness::new(0);
+    harness.take(&[0]).unwrap();
     for _ in 0..4 {
-        // All holders have failed after two: the module rests before it tries them again.
-        stage.now = stage.now.plus(100_000);
-        for send in sends(&stage.turn()) {
-            stage.end(send.attempt, Outcome::Error, 0.0);
+        // After two failures every replica has failed, and the module pauses before more retries.
+        harness.now = harness.now.plus(100_000);
+        for send in sends(&harness.turn()) {
+            harness.end(send.attempt, Outcome::Error, 0.0);
         }
     }
-    let commands = stage.turn();
+    let commands = harness.turn();
     assert!(
         matches!(&replies(&commands)[..], [Reply::Refused(Some(after))] if *after > 0),
         "{commands:?}"
@@ -428,10 +437,10 @@
 }
 
 #[test]
-fn values_beyond_the_memory_that_is_set_aside_for_them_are_none() {
-    let mut stage = Stage::new(0);
-    let query = stage.take(&[0, 1]).unwrap();
-    let send = sends(&stage.turn());
+fn value_beyond_the_memory_limit_counts_as_an_error() {
+    let mut harness = Harness::new(0);
+    let query = harness.take(&[0, 1]).unwrap();
+    let send = sends(&harness.turn());
     let large = |bytes: usize| {
         Some(Value {
             score: 0.0,
@@ -439,51 +448,51 @@
             sorted: None,
         })
     };
-    stage
+    harness
         .core
-        .on_attempt_ended(stage.now, send[0].attempt, Outcome::Ok, large(MEMORY / 4));
-    stage
+        .on_attempt_ended(harness.now, send[0].attempt, Outcome::Ok, large(MEMORY / 4));
+    harness
         .core
-        .on_attempt_ended(stage.now, send[1].attempt, Outcome::Ok, large(1));
+        .on_attempt_ended(harness.now, send[1].attempt, Outcome::Ok, large(1));
     assert!(
-        replies(&stage.turn()).is_empty(),
-        "the second part has to be asked for again"
+        replies(&harness.turn()).is_empty(),
+        "the second part has to be requested again"
     );
-    stage.core.hangup(query);
-    assert_eq!(stage.core.bytes, 0);
+    harness.core.hangup(query);
+    assert_eq!(harness.core.value_bytes, 0);
 }
 
 #[test]
-fn what_is_sent_and_cancelled_in_one_turn_stays_at_home() {
-    let mut stage = Stage::new(0);
-    let query = stage.take(&[0]).unwrap();
-    let part = stage.core.queries[&query].parts[0].id;
+fn attempt_sent_and_cancelled_in_one_turn_is_never_sent() {
+    let mut harness = Harness::new(0);
+    let query = harness.take(&[0]).unwrap();
+    let part = harness.core.queries[&query].parts[0].id;
     let send = Action::Send {
         part,
         server: ServerId(0),
         timeout: 1_000 * MS,
     };
     let mut commands = Vec::new();
-    stage.core.execute_actions(
-        stage.now,
+    harness.core.execute_actions(
+        harness.now,
         vec![send, Action::Cancel { part, attempt: 0 }],
         &mut commands,
     );
     assert!(commands.is_empty(), "{commands:?}");
-    assert!(stage.core.attempts.is_empty(), "its outcome is settled");
+    assert!(harness.core.attempts.is_empty(), "its outcome is recorded");
 }
 
 #[test]
-fn attempts_that_never_left_do_not_count_to_the_limit() {
-    let mut stage = Stage::new(0);
-    stage.take(&[0]).unwrap();
+fn unsent_attempts_do_not_count_to_the_limit() {
+    let mut harness = Harness::new(0);
+    harness.take(&[0]).unwrap();
     let mut made = 0;
     for round in 0..12 {
-        stage.now = stage.now.plus(100_000);
-        for send in sends(&stage.turn()) {
+        harness.now = harness.now.plus(100_000);
+        for send in sends(&harness.turn()) {
             let left = round % 3 == 2;
             made += usize::from(left);
-            stage.end(
+            harness.end(
                 send.attempt,
                 if left {
                     Outcome::Error
@@ -494,12 +503,12 @@
             );
         }
     }
-    assert_eq!(made, 4, "eight that never left took none of their places");
-    assert!(matches!(&replies(&stage.turn())[..], [Reply::Refused(_)]));
+    assert_eq!(made, 4, "eight attempts that were never sent do not count");
+    assert!(matches!(&replies(&harness.turn())[..], [Reply::Refused(_)]));
 }
 
-/// Clients tell weights to six places: of 87 equal parts the sum is 0.99998, of 200 unequal ones it
-/// may be 0.0001 off.
+/// Clients round weights to six places: the weights of 87 equal parts sum to 0.99998, those of 200
+/// unequal ones may be off by 0.0001.
 #[test]
 fn wide_query_with_rounded_weights_is_answered_completely() {
     for (parts, weight, floor) in [
@@ -516,29 +525,29 @@
         };
         set.limits.max_held = 1_000;
         set.classes[0].floor = floor;
-        let mut stage = Stage::with(set);
-        stage
+        let mut harness = Harness::with(set);
+        harness
             .take_parts((0..parts).map(|s| (Shard(s), weight)).collect())
             .unwrap();
-        let sent = sends(&stage.turn());
+        let sent = sends(&harness.turn());
         assert_eq!(
             sent.len(),
             parts as usize,
-            "none is given up for a sum of {}",
+            "no part is dropped for a sum of {}",
             f64::from(parts) * weight
         );
         for send in &sent[1..] {
-            stage.end(send.attempt, Outcome::Ok, 0.0);
+            harness.end(send.attempt, Outcome::Ok, 0.0);
         }
         assert!(
-            replies(&stage.turn()).is_empty(),
+            replies(&harness.turn()).is_empty(),
             "{parts} parts: the last one can still come"
         );
-        stage.end(sent[0].attempt, Outcome::Ok, 0.0);
-        let bound = replies(&stage.turn());
+        harness.end(sent[0].attempt, Outcome::Ok, 0.0);
+        let answered = replies(&harness.turn());
         assert!(
-            matches!(&bound[..], [Reply::Served { whole: true, .. }]),
-            "{parts} parts: {bound:?}"
+            matches!(&answered[..], [Reply::Served { whole: true, .. }]),
+            "{parts} parts: {answered:?}"
         );
     }
 }
@@ -547,39 +556,39 @@
 fn keyed_repeat_may_leave_until_the_first_attempts_window_ends() {
     let mut set = settings(0);
     set.classes[0].retry_safety = RetrySafety::Keyed(500 * MS);
-    let mut stage = Stage::with(set);
-    stage.take(&[0]).unwrap();
-    let first = sends(&stage.turn()).remove(0);
+    let mut harness = Harness::with(set);
+    harness.take(&[0]).unwrap();
+    let first = sends(&harness.turn()).remove(0);
     assert_eq!(first.send_by, None, "nothing has run yet");
-    // It never ran: the next one is as good as the first.
-    stage.end(first.attempt, Outcome::ConnectFailed, 0.0);
-    let is_second_step = sends(&stage.turn()).remove(0);
-    let sent = stage.now;
-    assert_eq!(is_second_step.send_by, None);
-    stage.now = stage.now.plus(50 * MS);
-    stage.end(is_second_step.attempt, Outcome::Error, 0.0);
-    let third = sends(&stage.turn()).remove(0);
+    // The attempt never ran, so the next one counts as the first.
+    harness.end(first.attempt, Outcome::ConnectFailed, 0.0);
+    let second = sends(&harness.turn()).remove(0);
+    let sent = harness.now;
+    assert_eq!(second.send_by, None);
+    harness.now = harness.now.plus(50 * MS);
+    harness.end(second.attempt, Outcome::Error, 0.0);
+    let third = sends(&harness.turn()).remove(0);
     assert_eq!(third.send_by, Some(sent.plus(500 * MS)));
-    // One that did not leave moves nothing.
-    stage.end(third.attempt, Outcome::NeverSent, 0.0);
-    let fourth = sends(&stage.turn()).remove(0);
+    // An attempt that was never sent does not change the window.
+    harness.end(third.attempt, Outcome::NeverSent, 0.0);
+    let fourth = sends(&harness.turn()).remove(0);
     assert_eq!(fourth.send_by, Some(sent.plus(500 * MS)));
 }
 
 #[test]
-fn classes_come_while_it_runs_with_attempts_and_figures_of_their_own() {
-    let mut stage = Stage::new(0);
-    let kept = stage.take(&[0]).unwrap();
+fn added_class_has_its_own_attempt_limit_and_counters() {
+    let mut harness = Harness::new(0);
+    let kept = harness.take(&[0]).unwrap();
     let (class, mut more) = (
-        stage.core.settings().classes[0].clone(),
-        stage.core.settings().classes.clone(),
+        harness.core.settings().classes[0].clone(),
+        harness.core.settings().classes.clone(),
     );
     more.push(Class {
         attempts: Some(1),
         ..class
     });
-    stage.core.set_classes(more);
-    let deadline = stage.now.plus(2_000 * MS);
+    harness.core.set_classes(more);
+    let deadline = harness.now.plus(2_000 * MS);
     let (parts, tenant, job) = (vec![(Shard(1), 1.0)], u32::MAX, "second");
     let request = Request {
         class: 1,
@@ -593,32 +602,32 @@
         top: None,
         job,
     };
-    let unknown = stage.core.submit(
-        stage.now,
+    let unknown = harness.core.submit(
+        harness.now,
         Request {
             class: 2,
             ..request.clone()
         },
     );
     assert!(matches!(unknown, Err(Refusal::Malformed(_))), "{unknown:?}");
-    let is_second_step = stage.core.submit(stage.now, request).unwrap();
-    let first = sends(&stage.turn());
+    let second = harness.core.submit(harness.now, request).unwrap();
+    let first = sends(&harness.turn());
     assert_eq!(first.len(), 2, "one part each: {first:?}");
     for send in first {
-        stage.end(send.attempt, Outcome::Error, 0.0);
+        harness.end(send.attempt, Outcome::Error, 0.0);
     }
-    let commands = stage.turn();
+    let commands = harness.turn();
     let refused = commands
         .iter()
-        .any(|c| matches!(c, Command::Reply(id, Reply::Refused(_)) if *id == is_second_step));
+        .any(|c| matches!(c, Command::Reply(id, Reply::Refused(_)) if *id == second));
     assert!(refused, "its class has one attempt: {commands:?}");
     let again = sends(&commands).len();
     assert!(
-        again == 1 && stage.core.held_queries() == 1,
+        again == 1 && harness.core.held_queries() == 1,
         "{kept:?} is sent again: {commands:?}"
     );
     assert_eq!(
-        stage
+        harness
             .core
             .take_counters()
             .iter()
@@ -629,40 +638,40 @@
 }
 
 #[test]
-fn the_budget_is_replaced_while_it_runs() {
-    let mut stage = Stage::new(0);
+fn new_budget_applies_at_run_time() {
+    let mut harness = Harness::new(0);
     let none = Budget {
         window: 1_000 * MS,
         min_retries: 0.0,
         share: 0.0,
     };
-    stage.core.set_budget(Some(none));
-    assert_eq!(stage.core.settings().limits.budget, Some(none));
+    harness.core.set_budget(Some(none));
+    assert_eq!(harness.core.settings().limits.budget, Some(none));
     for allowed in [false, true] {
-        stage.core.set_budget((!allowed).then_some(none));
-        let query = stage.take(&[0]).unwrap();
-        let attempt = sends(&stage.turn())[0].attempt;
-        stage.end(attempt, Outcome::Error, 0.0);
-        assert_eq!(sends(&stage.turn()).len(), usize::from(allowed));
-        stage.core.hangup(query);
-        stage.turn();
+        harness.core.set_budget((!allowed).then_some(none));
+        let query = harness.take(&[0]).unwrap();
+        let attempt = sends(&harness.turn())[0].attempt;
+        harness.end(attempt, Outcome::Error, 0.0);
+        assert_eq!(sends(&harness.turn()).len(), usize::from(allowed));
+        harness.core.hangup(query);
+        harness.turn();
     }
 }
 
 #[test]
-fn streams_that_run_on_at_a_server_send_others_elsewhere() {
-    let mut stage = Stage::new(0);
+fn running_streams_at_a_server_direct_queries_elsewhere() {
+    let mut harness = Harness::new(0);
     for busy in [0, 1, 0] {
-        stage.core.set_load(
+        harness.core.set_load(
             ServerId(busy),
             Load {
                 streams: 5,
                 backlog: 0,
             },
         );
-        stage.core.set_load(ServerId(1 - busy), Load::default());
-        let query = stage.take(&[0]).unwrap();
-        let commands = stage.turn();
+        harness.core.set_load(ServerId(1 - busy), Load::default());
+        let query = harness.take(&[0]).unwrap();
+        let commands = harness.turn();
         let at: Vec<ServerId> = commands
             .iter()
             .filter_map(|c| {
@@ -674,8 +683,8 @@
             })
             .collect();
         assert_eq!(at, [ServerId(1 - busy)]);
-        stage.end(sends(&commands)[0].attempt, Outcome::Ok, 0.0);
-        stage.turn();
-        stage.core.hangup(query);
+        harness.end(sends(&commands)[0].attempt, Outcome::Ok, 0.0);
+        harness.turn();
+        harness.core.hangup(query);
     }
 }
--- a/policy/tests/streams.rs
+++ b/policy/tests/streams.rs
@@ -1,6 +1,6 @@
-//! The module as a router of streams uses it: queries of one part, servers of one cell that all
-//! hold it, classes and a budget that change while it runs, streams that run on after their parts
-//! were answered.
+//! The decision module as a router of streams uses it: queries of one part, one cell of servers
+//! that all hold it, classes and a budget that change at run time, and streams that outlive their
+//! parts.
 
 use lichenswitch_interface::*;
 use lichenswitch_policy::Coordinator;
@@ -39,32 +39,32 @@
     }
 }
 
-/// A module that knows so many servers, numbered from 1, and its clock.
-struct Stage {
+/// Module with ready servers, numbered from 1, and its clock.
+struct Harness {
     module: Coordinator,
     now: Time,
     next: u64,
 }
 
-impl Stage {
-    fn new(seed: u64, settings: Settings, servers: u32) -> Stage {
+impl Harness {
+    fn new(seed: u64, settings: Settings, servers: u32) -> Harness {
         let (module, now) = (Coordinator::new(seed, settings), Time(1_000_000 * MS));
-        let mut stage = Stage {
+        let mut harness = Harness {
             module,
             now,
             next: 0,
         };
-        let line = |id| ListedServer {
+        let entry = |id| ListedServer {
             server: ServerId(id),
             cell: 0,
             zone: 0,
             mode: ServerMode::Ready,
             started_at: None,
         };
-        stage.turn(vec![Event::List(ServerListUpdate::Complete(
-            (1..=servers).map(line).collect(),
+        harness.turn(vec![Event::List(ServerListUpdate::Complete(
+            (1..=servers).map(entry).collect(),
         ))]);
-        stage
+        harness
     }
 
     fn turn(&mut self, events: Vec<Event>) -> Vec<Action> {
@@ -78,12 +78,12 @@
         self.turn(events)
     }
 
-    /// A query of this class comes: its part, and where that is sent.
+    /// Adds a query of a class; returns its part and the server that the part is sent to.
     fn query(&mut self, class: u16) -> (PartId, Option<ServerId>) {
         self.query_with(class, None)
     }
 
-    /// The same, with a shared beginning.
+    /// Adds a query with a shared prompt prefix.
     fn query_with(&mut self, class: u16, prefix: Option<u64>) -> (PartId, Option<ServerId>) {
         self.query_placed(
             class,
@@ -94,7 +94,7 @@
         )
     }
 
-    /// The same, with all that says which of equal servers it goes to.
+    /// Adds a query with preferences among equal servers.
     fn query_placed(&mut self, class: u16, placement: Placement) -> (PartId, Option<ServerId>) {
         self.next += 2;
         let (number, part) = (self.next as u32, PartId(self.next + 1));
@@ -143,27 +143,27 @@
 }
 
 #[test]
-fn a_part_goes_to_the_server_with_the_fewest_pending_of_all_that_are_ready() {
-    let mut stage = Stage::new(1, settings(vec![class(RetrySafety::Safe)]), 12);
+fn part_goes_to_the_ready_server_with_the_fewest_pending_parts() {
+    let mut harness = Harness::new(1, settings(vec![class(RetrySafety::Safe)]), 12);
     let first: BTreeSet<u32> = (0..12)
-        .filter_map(|_| stage.query(0).1)
+        .filter_map(|_| harness.query(0).1)
         .map(|s| s.0)
         .collect();
     assert_eq!(first, (1..=12).collect(), "each has one before any has two");
-    let (part, again) = stage.query(0);
+    let (part, again) = harness.query(0);
     let again = again.unwrap();
-    stage.after(MS, vec![ended(part, 0, again, Outcome::Ok, MS)]);
+    harness.after(MS, vec![ended(part, 0, again, Outcome::Ok, MS)]);
     let others = (0..12)
-        .filter_map(|_| stage.query(0).1)
+        .filter_map(|_| harness.query(0).1)
         .filter(|s| *s == again)
         .count();
-    assert_eq!(others, 1, "what is answered is not pending any more");
+    assert_eq!(others, 1, "an answered part is not pending");
 }
 
 #[test]
-fn ties_are_broken_by_chance() {
+fn ties_are_broken_at_random() {
     let first = |seed| {
-        Stage::new(seed, settings(vec![class(RetrySafety::Safe)]), 4)
+        Harness::new(seed, settings(vec![class(RetrySafety::Safe)]), 4)
             .query(0)
             .1
             .unwrap()
@@ -176,38 +176,38 @@
 #[test]
 fn all_instances_choose_the_same_server_for_a_shared_prefix() {
     let first = |seed, prefix| {
-        let mut stage = Stage::new(seed, settings(vec![class(RetrySafety::Safe)]), 12);
-        stage.query_with(0, Some(prefix)).1.unwrap().0
+        let mut harness = Harness::new(seed, settings(vec![class(RetrySafety::Safe)]), 12);
+        harness.query_with(0, Some(prefix)).1.unwrap().0
     };
     let mut met = BTreeMap::new();
     for prefix in 1..=240 {
         let server = first(0, prefix);
         assert!(
             (1..8).all(|seed| first(seed, prefix) == server),
-            "whatever the seed is"
+            "independent of the seed"
         );
         *met.entry(server).or_insert(0) += 1;
     }
     assert_eq!(met.len(), 12);
     assert!(
         met.values().all(|count| (8..=40).contains(count)),
-        "beginnings are spread: {met:?}"
+        "prefixes are spread: {met:?}"
     );
 }
 
 #[test]
-fn the_fewest_pending_come_before_a_shared_beginning() {
-    let mut stage = Stage::new(1, settings(vec![class(RetrySafety::Safe)]), 6);
+fn fewest_pending_parts_precede_a_shared_prefix() {
+    let mut harness = Harness::new(1, settings(vec![class(RetrySafety::Safe)]), 6);
     let order: Vec<u32> = (0..6)
-        .map(|_| stage.query_with(0, Some(77)).1.unwrap().0)
+        .map(|_| harness.query_with(0, Some(77)).1.unwrap().0)
         .collect();
     assert_eq!(
         order.iter().collect::<BTreeSet<_>>().len(),
         6,
         "each has one before any has two: {order:?}"
     );
-    // At another instance, with the first of them gone, the next in the order takes its place.
-    let mut other = Stage::new(2, settings(vec![class(RetrySafety::Safe)]), 6);
+    // At another instance without the first server, the next in the order takes its place.
+    let mut other = Harness::new(2, settings(vec![class(RetrySafety::Safe)]), 6);
     let gone = ListedServer {
         server: ServerId(order[0]),
         cell: 0,
@@ -219,7 +219,7 @@
     assert_eq!(other.query_with(0, Some(77)).1, Some(ServerId(order[1])));
 }
 
-/// So much waits at a server for all instances.
+/// Returns an event that sets the backlog of a server.
 fn backlog(server: u32, backlog: u32) -> Event {
     Event::Load {
         server: ServerId(server),
@@ -232,8 +232,8 @@
 
 #[test]
 fn lowest_backlog_breaks_ties_of_pending_requests() {
-    let mut stage = Stage::new(1, settings(vec![class(RetrySafety::Safe)]), 4);
-    stage.turn(vec![
+    let mut harness = Harness::new(1, settings(vec![class(RetrySafety::Safe)]), 4);
+    harness.turn(vec![
         backlog(1, 500),
         backlog(2, 99),
         backlog(3, 250),
@@ -244,23 +244,23 @@
         backlog_step: 100,
     };
     let order: Vec<u32> = (0..8)
-        .map(|_| stage.query_placed(0, placement).1.unwrap().0)
+        .map(|_| harness.query_placed(0, placement).1.unwrap().0)
         .collect();
     // Own pending parts go first: each gets one before any gets two.
     assert_eq!(order, [2, 4, 3, 1, 2, 4, 3, 1]);
 }
 
 #[test]
-fn a_retry_goes_where_little_waits() {
+fn retry_goes_to_the_server_with_the_lowest_backlog() {
     for seed in 0..20 {
-        let mut stage = Stage::new(seed, settings(vec![class(RetrySafety::Safe)]), 4);
-        stage.turn(vec![
+        let mut harness = Harness::new(seed, settings(vec![class(RetrySafety::Safe)]), 4);
+        harness.turn(vec![
             backlog(1, 300),
             backlog(2, 0),
             backlog(3, 100),
             backlog(4, 300),
         ]);
-        let (part, first) = stage.query_placed(
+        let (part, first) = harness.query_placed(
             0,
             Placement {
                 prefix: 0,
@@ -270,7 +270,7 @@
         assert_eq!(first, Some(ServerId(2)));
         let failed = ended(part, 0, ServerId(2), Outcome::Rejected, MS);
         assert_eq!(
-            sent(&stage.after(MS, vec![failed])),
+            sent(&harness.after(MS, vec![failed])),
             Some(ServerId(3)),
             "seed {seed}"
         );
@@ -279,12 +279,12 @@
 
 #[test]
 fn safe_part_is_hedged_at_half_its_target_and_the_loser_cancelled() {
-    let mut stage = Stage::new(1, settings(vec![class(RetrySafety::Safe)]), 4);
-    let (part, first) = stage.query(0);
-    assert_eq!(sent(&stage.after(LATENCY_TARGET / 2 - MS, vec![])), None);
-    let copy = sent(&stage.after(MS, vec![])).expect("half of the aim is over");
+    let mut harness = Harness::new(1, settings(vec![class(RetrySafety::Safe)]), 4);
+    let (part, first) = harness.query(0);
+    assert_eq!(sent(&harness.after(LATENCY_TARGET / 2 - MS, vec![])), None);
+    let copy = sent(&harness.after(MS, vec![])).expect("half of the latency target has passed");
     assert_ne!(Some(copy), first);
-    let actions = stage.after(10 * MS, vec![ended(part, 1, copy, Outcome::Ok, 10 * MS)]);
+    let actions = harness.after(10 * MS, vec![ended(part, 1, copy, Outcome::Ok, 10 * MS)]);
     assert!(
         actions.contains(&Action::Cancel { part, attempt: 0 }),
         "{actions:?}"
@@ -298,11 +298,12 @@
 }
 
 #[test]
-fn the_copy_is_cancelled_where_the_first_attempt_answers() {
-    let mut stage = Stage::new(1, settings(vec![class(RetrySafety::Safe)]), 4);
-    let (part, first) = stage.query(0);
-    sent(&stage.after(LATENCY_TARGET / 2, vec![])).expect("half of the aim is over");
-    let actions = stage.after(
+fn copy_is_cancelled_when_the_first_attempt_answers() {
+    let mut harness = Harness::new(1, settings(vec![class(RetrySafety::Safe)]), 4);
+    let (part, first) = harness.query(0);
+    sent(&harness.after(LATENCY_TARGET / 2, vec![]))
+        .expect("half of the latency target has passed");
+    let actions = harness.after(
         10 * MS,
         vec![ended(
             part,
@@ -319,34 +320,34 @@
 }
 
 #[test]
-fn a_part_that_may_not_run_twice_is_never_copied() {
-    let mut stage = Stage::new(1, settings(vec![class(RetrySafety::Unsafe)]), 4);
-    let (part, first) = stage.query(0);
-    assert_eq!(sent(&stage.after(LATENCY_TARGET / 2, vec![])), None);
+fn unsafe_part_is_never_copied_or_retried() {
+    let mut harness = Harness::new(1, settings(vec![class(RetrySafety::Unsafe)]), 4);
+    let (part, first) = harness.query(0);
+    assert_eq!(sent(&harness.after(LATENCY_TARGET / 2, vec![])), None);
     let failed = ended(part, 0, first.unwrap(), Outcome::Error, LATENCY_TARGET / 2);
-    assert_eq!(sent(&stage.after(MS, vec![failed])), None);
+    assert_eq!(sent(&harness.after(MS, vec![failed])), None);
 }
 
 #[test]
-fn each_class_has_its_own_attempts_or_those_of_all() {
+fn class_limits_attempts_or_uses_the_common_limit() {
     let own = |attempts| Class {
         attempts,
         ..class(RetrySafety::Safe)
     };
     for (place, attempts) in [(0, 1), (1, 2), (2, 3), (3, 5)] {
         let classes = vec![own(Some(1)), own(Some(2)), own(None), own(Some(5))];
-        let mut stage = Stage::new(1, settings(classes), 8);
-        let (part, mut server) = stage.query(place);
+        let mut harness = Harness::new(1, settings(classes), 8);
+        let (part, mut server) = harness.query(place);
         let mut made = 0;
         while let Some(at) = server {
-            server = sent(&stage.after(MS, vec![ended(part, made, at, Outcome::Error, MS)]));
+            server = sent(&harness.after(MS, vec![ended(part, made, at, Outcome::Error, MS)]));
             made += 1;
         }
         assert_eq!(made, attempts, "class {place}");
     }
 }
 
-/// So many streams run on at a server.
+/// Returns an event that sets the number of streams still running at a server.
 fn running(server: u32, streams: u32) -> Event {
     Event::Load {
         server: ServerId(server),
@@ -358,49 +359,53 @@
 }
 
 #[test]
-fn streams_that_run_on_count_as_pending() {
-    let mut stage = Stage::new(1, settings(vec![class(RetrySafety::Safe)]), 3);
-    stage.turn(vec![running(1, 3), running(2, 2), running(9, 1)]);
-    let order: Vec<u32> = (0..3).map(|_| stage.query(0).1.unwrap().0).collect();
-    assert_eq!(order[..2], [3, 3], "it has fewest until it has as many");
-    stage.turn(vec![running(1, 0)]);
-    assert_eq!(stage.query(0).1, Some(ServerId(1)));
+fn running_streams_count_as_pending() {
+    let mut harness = Harness::new(1, settings(vec![class(RetrySafety::Safe)]), 3);
+    harness.turn(vec![running(1, 3), running(2, 2), running(9, 1)]);
+    let order: Vec<u32> = (0..3).map(|_| harness.query(0).1.unwrap().0).collect();
+    assert_eq!(
+        order[..2],
+        [3, 3],
+        "it has the fewest pending until it reaches the others"
+    );
+    harness.turn(vec![running(1, 0)]);
+    assert_eq!(harness.query(0).1, Some(ServerId(1)));
 }
 
 #[test]
-fn a_server_that_is_gone_is_remembered_while_streams_run_there() {
-    let mut stage = Stage::new(1, settings(vec![class(RetrySafety::Safe)]), 2);
-    let line = |mode| ListedServer {
+fn removed_server_is_kept_while_streams_run_there() {
+    let mut harness = Harness::new(1, settings(vec![class(RetrySafety::Safe)]), 2);
+    let entry = |mode| ListedServer {
         server: ServerId(1),
         cell: 0,
         zone: 0,
         mode,
         started_at: None,
     };
-    let list_change = |mode| Event::List(ServerListUpdate::Changes(vec![line(mode)]));
-    stage.turn(vec![running(1, 5), list_change(ServerMode::Gone)]);
-    stage.turn(vec![list_change(ServerMode::Ready)]);
-    let met: Vec<u32> = (0..5).map(|_| stage.query(0).1.unwrap().0).collect();
+    let list_change = |mode| Event::List(ServerListUpdate::Changes(vec![entry(mode)]));
+    harness.turn(vec![running(1, 5), list_change(ServerMode::Gone)]);
+    harness.turn(vec![list_change(ServerMode::Ready)]);
+    let met: Vec<u32> = (0..5).map(|_| harness.query(0).1.unwrap().0).collect();
     assert_eq!(met, [2; 5]);
 }
 
 #[test]
-fn the_budget_is_replaced_while_it_runs() {
+fn new_budget_applies_at_run_time() {
     let none = Budget {
         window: 1_000 * MS,
         min_retries: 0.0,
         share: 0.0,
     };
-    let mut stage_settings = settings(vec![class(RetrySafety::Safe)]);
-    stage_settings.limits.budget = Some(none);
-    let mut stage = Stage::new(1, stage_settings, 3);
+    let mut harness_settings = settings(vec![class(RetrySafety::Safe)]);
+    harness_settings.limits.budget = Some(none);
+    let mut harness = Harness::new(1, harness_settings, 3);
     let mut again = |before: Option<Event>| {
-        let (part, server) = stage.query(0);
-        stage.turn(before.into_iter().collect());
+        let (part, server) = harness.query(0);
+        harness.turn(before.into_iter().collect());
         let server = server.unwrap();
-        let sent = sent(&stage.after(MS, vec![ended(part, 0, server, Outcome::Error, MS)]));
-        // Its parts are out of the way of the next one.
-        stage.turn(vec![Event::Hangup(QueryId(part.0 - 1))]);
+        let sent = sent(&harness.after(MS, vec![ended(part, 0, server, Outcome::Error, MS)]));
+        // The query ends, so that its part does not affect the next one.
+        harness.turn(vec![Event::Hangup(QueryId(part.0 - 1))]);
         sent.is_some()
     };
     assert!(!again(None), "nothing is allowed");
@@ -408,59 +413,59 @@
         min_retries: 1.0,
         ..none
     })))));
-    assert!(!again(None), "the one of this window is spent");
+    assert!(!again(None), "the retry of this window is spent");
     assert!(
         again(Some(Event::Budget(None))),
-        "without a budget attempts alone are counted"
+        "without a budget only the limit on attempts applies"
     );
     assert!(!again(Some(Event::Budget(Some(none)))));
 }
 
 #[test]
-fn classes_come_while_it_runs_and_none_ever_goes() {
+fn classes_are_added_at_run_time_and_never_removed() {
     let one = Class {
         attempts: Some(1),
         ..class(RetrySafety::Safe)
     };
-    let mut stage = Stage::new(1, settings(Vec::new()), 3);
-    assert_eq!(stage.query(0).1, None, "there is no class yet");
-    stage.turn(vec![Event::Classes(vec![one.clone()])]);
-    let (first, server) = stage.query(0);
-    stage.turn(vec![Event::Classes(vec![
+    let mut harness = Harness::new(1, settings(Vec::new()), 3);
+    assert_eq!(harness.query(0).1, None, "there is no class yet");
+    harness.turn(vec![Event::Classes(vec![one.clone()])]);
+    let (first, server) = harness.query(0);
+    harness.turn(vec![Event::Classes(vec![
         one.clone(),
         class(RetrySafety::Safe),
     ])]);
-    stage.turn(vec![Event::Classes(vec![one])]);
+    harness.turn(vec![Event::Classes(vec![one])]);
     let failed =
         |part, server: Option<ServerId>| ended(part, 0, server.unwrap(), Outcome::Error, MS);
     assert_eq!(
-        sent(&stage.after(MS, vec![failed(first, server)])),
+        sent(&harness.after(MS, vec![failed(first, server)])),
         None,
         "its class has one attempt"
     );
-    let (second, server) = stage.query(1);
+    let (second, server) = harness.query(1);
     assert!(
-        sent(&stage.after(MS, vec![failed(second, server)])).is_some(),
+        sent(&harness.after(MS, vec![failed(second, server)])).is_some(),
         "the second class is still there"
     );
 }
 
 #[test]
-fn a_class_in_the_place_of_another_begins_with_a_clean_slate() {
+fn replaced_class_starts_without_faults() {
     for changed in [false, true] {
-        let mut stage = Stage::new(1, settings(vec![class(RetrySafety::Safe); 2]), 2);
-        // Errors of the second class make it pass the first server over.
+        let mut harness = Harness::new(1, settings(vec![class(RetrySafety::Safe); 2]), 2);
+        // Errors of the second class exclude the first server for that class.
         for _ in 0..3 {
-            let (part, server) = stage.query(1);
+            let (part, server) = harness.query(1);
             let outcome = if server == Some(ServerId(1)) {
                 Outcome::Error
             } else {
                 Outcome::Ok
             };
-            stage.after(MS, vec![ended(part, 0, server.unwrap(), outcome, MS)]);
-            stage.turn(vec![Event::Hangup(QueryId(part.0 - 1))]);
+            harness.after(MS, vec![ended(part, 0, server.unwrap(), outcome, MS)]);
+            harness.turn(vec![Event::Hangup(QueryId(part.0 - 1))]);
             for id in 1..=2 {
-                stage.turn(vec![running(id, id - 1)]);
+                harness.turn(vec![running(id, id - 1)]);
             }
         }
         let other = Class {
@@ -472,21 +477,21 @@
         } else {
             class(RetrySafety::Safe)
         };
-        stage.turn(vec![Event::Classes(vec![
+        harness.turn(vec![Event::Classes(vec![
             class(RetrySafety::Safe),
             second,
             class(RetrySafety::Safe),
         ])]);
-        // The first server has fewer streams: only what is held against it speaks against it.
+        // The first server has fewer streams, so only its faults can exclude it.
         assert_eq!(
-            stage.query(1).1,
+            harness.query(1).1,
             Some(ServerId(if changed { 1 } else { 2 })),
             "changed: {changed}"
         );
         assert_eq!(
-            stage.query(2).1,
+            harness.query(2).1,
             Some(ServerId(1)),
-            "nothing is held against it by a new class"
+            "a new class has no faults"
         );
     }
 }
@@ -504,21 +509,21 @@
         (Outcome::Rejected, RetrySafety::Safe),
         (Outcome::Reset, RetrySafety::Safe),
     ] {
-        let mut stage_settings = settings(vec![class(repeat)]);
-        stage_settings.limits = Limits {
+        let mut harness_settings = settings(vec![class(repeat)]);
+        harness_settings.limits = Limits {
             budget: Some(none),
             retry_after: Some(300 * MS),
-            ..stage_settings.limits
+            ..harness_settings.limits
         };
-        // As a router has it: more cells than were tried.
-        stage_settings.layout = Layout {
+        // As in a router: more cells than servers were tried.
+        harness_settings.layout = Layout {
             cells: 4,
             width: 4,
-            ..stage_settings.layout
+            ..harness_settings.layout
         };
-        let mut stage = Stage::new(1, stage_settings, 3);
-        let (part, server) = stage.query(0);
-        let actions = stage.after(MS, vec![ended(part, 0, server.unwrap(), outcome, MS)]);
+        let mut harness = Harness::new(1, harness_settings, 3);
+        let (part, server) = harness.query(0);
+        let actions = harness.after(MS, vec![ended(part, 0, server.unwrap(), outcome, MS)]);
         let advice = actions.iter().find_map(|a| match a {
             Action::Refuse { retry_after, .. } => Some(*retry_after),
             _ => None,
@@ -542,10 +547,10 @@
         partial: 0.5,
         ..class(RetrySafety::Safe)
     };
-    let mut stage_settings = settings(vec![partial]);
-    stage_settings.limits.budget = Some(none);
-    let mut stage = Stage::new(1, stage_settings, 2);
-    let (query, number, deadline) = (QueryId(2), 2, stage.now.plus(10 * LATENCY_TARGET));
+    let mut harness_settings = settings(vec![partial]);
+    harness_settings.limits.budget = Some(none);
+    let mut harness = Harness::new(1, harness_settings, 2);
+    let (query, number, deadline) = (QueryId(2), 2, harness.now.plus(10 * LATENCY_TARGET));
     let asked = Event::Query {
         query,
         number,
@@ -561,7 +566,7 @@
         shard: Shard(0),
         weight: 0.5,
     };
-    let servers: Vec<ServerId> = stage
+    let servers: Vec<ServerId> = harness
         .turn(vec![asked, part(3), part(4)])
         .into_iter()
         .filter_map(|action| match action {
@@ -575,20 +580,20 @@
             Action::Answer { .. } | Action::Refuse { .. } | Action::Fail(_)
         )
     };
-    let first = stage.after(
+    let first = harness.after(
         MS,
         vec![ended(PartId(3), 0, servers[0], Outcome::Error, MS)],
     );
     assert!(
         !first.iter().any(is_end),
-        "the other part is out: {first:?}"
+        "the other part is in flight: {first:?}"
     );
-    let last = stage.after(MS, vec![ended(PartId(4), 0, servers[1], Outcome::Ok, MS)]);
+    let last = harness.after(MS, vec![ended(PartId(4), 0, servers[1], Outcome::Ok, MS)]);
     assert!(
         last.contains(&Action::Answer {
             query,
             whole: false
         }),
-        "half of it is enough: {last:?}"
+        "half of the weight suffices: {last:?}"
     );
 }
--- a/stats/src/tests.rs
+++ b/stats/src/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `stats`.
+//! Tests of the state containers.
 
 use super::*;
 use lichenswitch_interface::{Load, Placement, ServerId, Time};
@@ -36,8 +36,8 @@
 }
 
 #[test]
-fn what_is_beyond_a_quota_takes_nothing_from_it() {
-    // One of three instances has one query a second for each of two tenants.
+fn query_beyond_a_quota_takes_no_token() {
+    // One of three instances has a rate of one query per second for each of two tenants.
     let mut quotas = TenantQuotas::new(&[3.0, 3.0], 3);
     let now = Time(5_000_000);
     assert!(
@@ -49,7 +49,7 @@
     assert!(!quotas.try_consume(now.plus(1_000_000), 0));
     assert!(
         (0..5).all(|_| quotas.try_consume(now, 2)),
-        "no such tenant: no quota to go beyond"
+        "an unknown tenant has no quota"
     );
 }
 
@@ -60,7 +60,7 @@
         joins_open_call: false,
         is_in_zone: false,
     };
-    // Server 3 takes nothing; 1 is best for the parts 0 to 2, 2 for part 3.
+    // Server 3 accepts nothing; 1 is best for the parts 0 to 2, 2 for part 3.
     let parts = vec![
         (0, vec![1, 2]),
         (1, vec![1, 2]),
@@ -75,7 +75,7 @@
     assert_eq!(
         assignment.best(&mut rng),
         Some((2, vec![1, 3])),
-        "part 1 goes to the better one now"
+        "part 1 now goes to the better server"
     );
     assignment.on_sent(2, &[1, 3], score(Some(3)));
     assert_eq!(assignment.best(&mut rng), Some((1, vec![2])));
@@ -97,7 +97,7 @@
     quotas.rebalance(&rates, 1);
     assert!(
         !quotas.try_consume(now.plus(500_000), 0),
-        "nothing is won by the change itself"
+        "the change itself adds no tokens"
     );
     assert!(quotas.try_consume(now.plus(625_000), 0));
 }
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_lower_level_of_backlog_comes_before_the_order_of_a_beginning() {
+fn lower_backlog_level_precedes_the_order_of_a_prefix() {
     let best = (0..10)
         .min_by_key(|server| preference(7, 100, *server, 0))
         .unwrap();
