--- a/core/src/phases.rs
+++ b/core/src/phases.rs
@@ -174,8 +174,8 @@
             return self.pending_events.push(Event::GiveUp(query));
         }
         if plan.parts.is_empty() {
-            // No part remains to be requested: the module, which waits for parts, is told that the
-            // query is over.
+            // No part remains to be requested: the module, which waits for parts, is notified that
+            // the query is over.
             self.pending_events.push(Event::Hangup(query));
             return self.reply_served(query, whole, commands);
         }
--- a/policy/src/health.rs
+++ b/policy/src/health.rs
@@ -148,7 +148,7 @@
         gain: f64,
         actions: &mut Vec<Action>,
     ) {
-        let (now, all, half) = (
+        let (now, all, half_life) = (
             self.now,
             self.settings.classes.len(),
             self.fault_half_life(),
@@ -157,16 +157,16 @@
             return;
         };
         s.faults.resize(all + 1, DecayingValue::default());
-        let was = s.faults[which].value_at(now, half);
-        s.faults[which].add(now, bad, gain, half);
+        let was = s.faults[which].value_at(now, half_life);
+        s.faults[which].add(now, bad, gain, half_life);
         if which == all {
             self.zones
                 .entry(s.zone)
                 .or_default()
                 .add(now, bad, ZONE_FAULT_GAIN, FAULT_HALF_LIFE);
         }
-        let faulty = FAULT_THRESHOLD[usize::from(half > FAULT_HALF_LIFE)];
-        let suspected = s.faults[which].value_at(now, half) > faulty;
+        let faulty = FAULT_THRESHOLD[usize::from(half_life > FAULT_HALF_LIFE)];
+        let suspected = s.faults[which].value_at(now, half_life) > faulty;
         let word = if suspected {
             "suspected"
         } else {
--- a/policy/src/selection.rs
+++ b/policy/src/selection.rs
@@ -67,16 +67,16 @@
     /// Returns the rank of a server for a class, lower is better: its fault tier, then the calls
     /// that would be pending there.
     pub(super) fn rank(&self, s: &Server, class: usize) -> (u8, usize) {
-        let half = self.fault_half_life();
+        let half_life = self.fault_half_life();
         let fault = |which| {
             s.faults
                 .get(which)
-                .map_or(0.0, |f: &DecayingValue| f.value_at(self.now, half))
+                .map_or(0.0, |f: &DecayingValue| f.value_at(self.now, half_life))
         };
         let fault = fault(class)
             .max(fault(self.settings.classes.len()))
             .max(self.zone_fault(s.zone));
-        let tier = if fault > FAULT_THRESHOLD[usize::from(half > FAULT_HALF_LIFE)] {
+        let tier = if fault > FAULT_THRESHOLD[usize::from(half_life > FAULT_HALF_LIFE)] {
             1 + (fault * 4.0) as u8
         } else {
             0
--- a/stats/src/decay.rs
+++ b/stats/src/decay.rs
@@ -20,11 +20,11 @@
     }
 }
 
-/// Returns the share left at `now` of a quantity of time `since` that halves every `half`
+/// Returns the share left at `now` of a quantity of time `since` that halves every `half_life`
 /// microseconds.
 #[must_use]
-pub fn remaining_share(now: Time, since: Time, half: f64) -> f64 {
-    0.5f64.powf(now.since(since) as f64 / half)
+pub fn remaining_share(now: Time, since: Time, half_life: f64) -> f64 {
+    0.5f64.powf(now.since(since) as f64 / half_life)
 }
 
 /// Moving average that also decays towards zero with time.
@@ -35,18 +35,18 @@
 }
 
 impl DecayingValue {
-    /// Returns the value at `now`, decayed with a half-life of `half` microseconds.
+    /// Returns the value at `now`, decayed with a half-life of `half_life` microseconds.
     #[must_use]
-    pub fn value_at(self, now: Time, half: f64) -> f64 {
+    pub fn value_at(self, now: Time, half_life: f64) -> f64 {
         // Most values are zero, so this saves the call of `powf`.
         if self.value == 0.0 {
             return 0.0;
         }
-        self.value * remaining_share(now, self.at, half)
+        self.value * remaining_share(now, self.at, half_life)
     }
     /// Decays the value to `now` and moves it towards `sample` by the share `gain` (0 to 1).
-    pub fn add(&mut self, now: Time, sample: f64, gain: f64, half: f64) {
-        let left = self.value_at(now, half);
+    pub fn add(&mut self, now: Time, sample: f64, gain: f64, half_life: f64) {
+        let left = self.value_at(now, half_life);
         *self = DecayingValue {
             value: left + gain * (sample - left),
             at: now,
--- a/stats/src/query.rs
+++ b/stats/src/query.rs
@@ -72,7 +72,7 @@
     }
 }
 
-/// An attempt in flight, as its server is recorded_outcome by it.
+/// Attempt in flight, with the data needed to rate its server.
 #[derive(Clone, Copy, Debug)]
 pub struct InFlightAttempt {
     /// Server that it was sent to.
