--- a/decide/replication/src/codec.rs
+++ b/decide/replication/src/codec.rs
@@ -1,8 +1,8 @@
-//! Values as bytes: the format of messages and of items on disk (`rkyv`).
+//! Serialization of messages and of items on disk, with `rkyv`.
 //!
-//! The bytes of a type follow from the order of its fields and variants, not from their names.
-//! Builds of different versions exchange messages and read each other's disks, so that order never
-//! changes; `tests/message_bytes.rs` and the fleet's `tests/stored_data.rs` hold it.
+//! The encoding of a type depends on the order of its fields and variants, not on their names.
+//! Builds of different versions exchange messages and read each other's disks, so this order must
+//! never change. `tests/message_bytes.rs` and the fleet's `tests/stored_data.rs` check it.
 
 use rkyv::api::high::{HighDeserializer, HighSerializer, HighValidator};
 use rkyv::bytecheck::CheckBytes;
@@ -12,19 +12,19 @@
 use rkyv::{Archive, Deserialize, Serialize};
 use thiserror::Error;
 
-/// Bytes that hold no value of the type that was expected.
+/// An error for bytes that do not decode to the expected type.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{len} bytes are no {expected}: {reason}")]
 pub struct DecodeError {
-    /// What the bytes should have held.
+    /// Name of the expected type, as used in the error text.
     pub expected: &'static str,
-    /// Number of bytes.
+    /// Number of bytes in the input.
     pub len: usize,
-    /// The error of the deserialiser.
+    /// Error text of the deserializer.
     pub reason: String,
 }
 
-/// A value as bytes.
+/// Encodes a value.
 pub(crate) fn encode<T>(value: &T) -> Vec<u8>
 where
     T: for<'a> Serialize<HighSerializer<AlignedVec, ArenaHandle<'a>, ArchiveError>>,
@@ -34,7 +34,7 @@
         .into_vec()
 }
 
-/// The value that [`encode`] wrote. The bytes are checked first; they may have any alignment.
+/// Decodes and validates a value that [`encode`] wrote. The bytes may have any alignment.
 pub(crate) fn decode<T>(bytes: &[u8], expected: &'static str) -> Result<T, DecodeError>
 where
     T: Archive,
--- a/decide/replication/src/durable.rs
+++ b/decide/replication/src/durable.rs
@@ -1,8 +1,8 @@
-//! The items that a member writes to its disk, and what they are recovered to.
+//! The items that a member writes to its disk, and their recovery into a state.
 //!
-//! A disk holds a snapshot and, after it, records and promises, each synced before anything is said
-//! that rests on it. The encoding is that of [`crate::codec`]: the order of fields and variants is
-//! part of the format.
+//! A disk holds a snapshot, followed by records and promises. Each item is synced before a message
+//! is sent that depends on it. The items are encoded by [`crate::codec`]: the order of fields and
+//! variants is part of the format.
 
 use rkyv::{Archive, Deserialize, Serialize};
 use thiserror::Error;
@@ -11,120 +11,121 @@
 use crate::membership::Membership;
 use crate::types::{Epoch, Identity, Position};
 
-/// An item that is appended to the disk; items count in the order in which they were written.
+/// An item that is appended to the disk. Recovery applies items in the order in which they were
+/// written.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq, Eq, Hash)]
 #[rkyv(attr(allow(missing_docs)))]
 pub enum DurableItem {
-    /// No epoch below this one is accepted any more (the promise of Paxos, Raft's vote).
+    /// The member accepts no epoch below this one from now on (the promise of Paxos, Raft's vote).
     Promise(Epoch),
-    /// A record that follows the items before it; it promises its epoch as well.
+    /// A record that follows the earlier items. It also promises its epoch.
     Record(Record),
-    /// The whole state; items before it are no longer needed.
+    /// The complete state. Earlier items are no longer needed.
     Snapshot(Snapshot),
 }
 
-/// A change of the replicated state, at its position.
+/// A change of the replicated state, with its position.
 ///
-/// Unlike Raft's log entries, records are not kept once they are part of a snapshot, and only one of
-/// a primary is in flight at a time.
+/// Unlike Raft's log entries, records are discarded once they are part of a snapshot, and a primary
+/// has only one uncommitted record at a time.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq, Eq, Hash)]
 #[rkyv(attr(allow(missing_docs)))]
 pub struct Record {
-    /// Its position.
+    /// Position of the state after the record.
     pub position: Position,
-    /// Position of the state that it changes.
+    /// Position of the state that the record changes.
     pub previous: Position,
-    /// The change.
+    /// The change that the record makes.
     pub update: Update,
 }
 
-/// The change of a record.
+/// The change that a record makes.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq, Eq, Hash)]
 #[rkyv(attr(allow(missing_docs)))]
 pub enum Update {
-    /// None: a new primary commits the state that it has adopted (Raft's no-op entry).
+    /// No change. A new primary writes it to commit the state that it adopted (Raft's no-op entry).
     EpochStart,
-    /// A change of the caller's state, as [`crate::ReplicatedState::apply`] takes it.
+    /// A change of the caller's state, in the form that [`crate::ReplicatedState::apply`] accepts.
     Change(Vec<u8>),
-    /// Another membership.
+    /// A new membership, joint or final.
     Membership(Membership),
 }
 
-/// The whole state of a member.
+/// The complete durable state of a member.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq, Eq, Hash)]
 #[rkyv(attr(allow(missing_docs)))]
 pub struct Snapshot {
-    /// The member whose disk it is on.
+    /// Identity of the member that wrote the snapshot.
     pub identity: Identity,
-    /// Highest epoch promised.
+    /// Highest epoch that the member has promised.
     pub promised: Epoch,
-    /// Position of the last record that is part of it.
+    /// Position of the last record that the snapshot includes.
     pub position: Position,
     /// The membership at that position.
     pub membership: Membership,
-    /// The caller's state, encoded by [`crate::ReplicatedState::encode`].
+    /// The caller's state, as encoded by [`crate::ReplicatedState::encode`].
     pub state: Vec<u8>,
 }
 
 impl DurableItem {
-    /// The item as bytes.
+    /// Returns the encoded item.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         codec::encode(self)
     }
 
-    /// The item that [`Self::encode`] wrote; checked.
+    /// Decodes and validates an item that [`Self::encode`] wrote.
     ///
     /// # Errors
-    /// The bytes are no item of this version.
+    /// Returns an error if the bytes are not a valid item of this version.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         codec::decode(bytes, "durable item")
     }
 }
 
-/// The state that the items of a disk come to.
+/// The state that is recovered from the items of a disk.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Recovered {
-    /// The last snapshot. Its `position`, `membership` and `promised` include the records and
-    /// promises after it; its `state` doesn't.
+    /// The last snapshot. Its `position`, `membership` and `promised` include the later records and
+    /// promises; its `state` does not.
     pub snapshot: Snapshot,
-    /// Changes of the state in the records after the snapshot, in order.
+    /// Changes of the state from the records after the snapshot, in order.
     pub changes: Vec<Vec<u8>>,
 }
 
-/// Why items come to no state.
+/// The reason why no state could be recovered from the items.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RecoverError {
-    /// There is no snapshot: an empty disk.
+    /// There is no snapshot, as on an empty disk.
     #[error("there is no snapshot among the items: the disk is empty")]
     Empty,
-    /// A record that doesn't follow the items before it.
+    /// A record does not follow the items before it.
     #[error("the record at {found} follows {previous}, but the items before it end at {expected}")]
     RecordDoesNotFollow {
         /// Position of the record.
         found: Position,
-        /// Position that it follows.
+        /// Position that the record claims to follow.
         previous: Position,
-        /// Position before it on the disk.
+        /// Position reached by the items before the record.
         expected: Position,
     },
-    /// A snapshot older than the items before it.
+    /// A snapshot is older than the items before it.
     #[error("a snapshot at {found} follows one at {expected}")]
     SnapshotOutOfOrder {
         /// Position of the snapshot.
         found: Position,
-        /// Position before it on the disk.
+        /// Position reached by the items before the snapshot.
         expected: Position,
     },
-    /// Snapshots of two members on one disk.
+    /// The disk holds snapshots of two members.
     #[error("a snapshot of member {found} follows one of member {expected}")]
     TwoIdentities {
-        /// The second.
+        /// Identity in the later snapshot.
         found: Identity,
-        /// The first.
+        /// Identity in the earlier snapshot.
         expected: Identity,
     },
-    /// A record of an epoch below the one that was promised before it.
+    /// A record has a lower epoch than one that was promised before it.
     #[error("a record at {found} was accepted after epoch {promised} was promised")]
     RecordBelowPromise {
         /// Position of the record.
@@ -132,16 +133,16 @@
         /// The epoch that was promised.
         promised: Epoch,
     },
-    /// The state or a change of it can't be read.
+    /// The state could not be decoded, or a change could not be applied.
     #[error("the state that was read from disk: {0}")]
     State(#[from] crate::state::StateError),
 }
 
 impl Recovered {
-    /// Folds items, in the order in which they were written.
+    /// Recovers the state from items in the order in which they were written.
     ///
     /// # Errors
-    /// There is no snapshot, or an item doesn't follow those before it.
+    /// Returns an error if there is no snapshot, or if an item does not follow the earlier ones.
     pub fn from_items(items: impl IntoIterator<Item = DurableItem>) -> Result<Self, RecoverError> {
         let mut folded = None;
         let mut promised = Epoch::default();
--- a/decide/replication/src/faults.rs
+++ b/decide/replication/src/faults.rs
@@ -1,43 +1,45 @@
-//! Faults that the model tests plant in a replica, to show that they would be found.
+//! Faults that model tests inject into a replica, to show that the tests detect them.
 
-/// A fault in the algorithm. None is ever planted outside of tests and simulations.
+/// A fault in the algorithm. Faults are injected only in tests and simulations.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A confirmation is given at once while the last round is younger than `contact_timeout_us`.
+    /// The primary confirms at once if its last confirmed round is younger than
+    /// `contact_timeout_us`.
     EarlyLease,
-    /// A confirmation is given from memory, without a look at the clock or a round.
+    /// The primary confirms at once, without checking the clock or starting a round.
     ConfirmFromMemory,
-    /// A round that began before the call confirms it.
+    /// A round that began before the call is accepted as its confirmation.
     CountEarlierRound,
     /// A member with an empty disk votes.
     EmptyDiskVotes,
-    /// A voter responds before its disk has synced.
+    /// A voter reports a state as synced before its disk has synced it.
     RespondBeforeSync,
-    /// Half of the voters count as a quorum.
+    /// Half of the voters are accepted as a quorum.
     HalfIsQuorum,
-    /// No voter is removed or replaced.
+    /// The primary never removes or replaces a voter.
     NeverRemoveVoters,
-    /// The newest state is chosen by its number alone.
+    /// The newest state is chosen by its record number alone, without its epoch.
     NewestByNumber,
-    /// A primary commits a record that no other member has synced.
+    /// A primary commits a record that only its own disk has synced.
     PrimaryCommitsAlone,
-    /// A primary that leaves commits a record that no other member has synced.
+    /// A leaving primary commits a record that only its own disk has synced.
     LeaverCommitsAlone,
-    /// A change of membership is written without the joint record.
+    /// A change of membership is written without a joint record.
     NoJointRecord,
-    /// A promise is given without having been written.
+    /// A vote is sent without the promise being written to disk.
     PromiseNotDurable,
-    /// A confirmation of an older epoch counts.
+    /// A response to a heartbeat of an older epoch is accepted.
     CountEarlierEpoch,
-    /// Changes are accepted beside voters without a disk, whose votes count like all others.
+    /// Changes are accepted while the group mixes voters without a disk and members with one.
+    /// Voters without a disk are removed by the same rules as others.
     ChangesBesideDisklessVoters,
-    /// A voter whose time for an election has come, and that may not ask for one, doesn't postpone
-    /// the next attempt.
+    /// A voter that reaches its election time, but may not start an election, does not postpone the
+    /// next attempt.
     ElectionNotPostponed,
 }
 
-/// The faults that are planted; none by default.
+/// The set of injected faults; empty by default.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Faults {
@@ -45,7 +47,7 @@
 }
 
 impl Faults {
-    /// This fault alone.
+    /// Returns a set with only this fault.
     #[must_use]
     pub fn of(fault: Fault) -> Self {
         let mut faults = Self::default();
@@ -53,12 +55,12 @@
         faults
     }
 
-    /// Adds a fault.
+    /// Adds a fault to the set.
     pub fn plant(&mut self, fault: Fault) {
         self.bits |= 1 << fault as u16;
     }
 
-    /// Whether this fault is planted.
+    /// Whether the set contains this fault.
     pub(crate) fn has(self, fault: Fault) -> bool {
         self.bits & (1 << fault as u16) != 0
     }
--- a/decide/replication/src/lib.rs
+++ b/decide/replication/src/lib.rs
@@ -1,13 +1,13 @@
 //! Replicated state without a log: epochs, snapshots, quorums and changes of membership.
 //!
-//! It owns the algorithm of `docs/design/control.md`, sections 2 to 4, and promises what they say.
-//! It is pure: no input or output, clock or threads; time is an argument, and what is to be sent or
-//! written comes back as [`Output`]s.
+//! The package implements the algorithm of `docs/design/control.md`, sections 2 to 4, and gives the
+//! guarantees stated there. It performs no I/O and uses no clock and no threads: time is an
+//! argument, and messages to send and items to write are returned as [`Output`]s.
 //!
-//! A caller makes a [`Replica`] by [`Replica::bootstrap`], [`Replica::recover`] or
-//! [`Replica::learner`], hands it what happens ([`Replica::on_message`],
-//! [`Replica::on_persisted`], [`Replica::tick`] at [`Replica::next_wake`]) and does, after each
-//! call and in order, what [`Replica::take_outputs`] says.
+//! A caller creates a [`Replica`] with [`Replica::bootstrap`], [`Replica::recover`] or
+//! [`Replica::learner`]. It passes events to [`Replica::on_message`], [`Replica::on_persisted`] and
+//! [`Replica::tick`] (at [`Replica::next_wake`]). After each call, it carries out the outputs of
+//! [`Replica::take_outputs`] in order.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/decide/replication/src/membership.rs
+++ b/decide/replication/src/membership.rs
@@ -1,4 +1,4 @@
-//! The voters of a group, and their quorums.
+//! The voters of a group and the rule for quorums.
 
 use std::collections::BTreeSet;
 
@@ -6,19 +6,20 @@
 
 use crate::types::{Identity, Member};
 
-/// The voters; while a change is in progress, the voters before it as well (Raft's joint consensus).
+/// The voters of a group. While a change is in progress, it also holds the previous voters (Raft's
+/// joint consensus).
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, Default, PartialEq, Eq, Hash)]
 #[rkyv(attr(allow(missing_docs)))]
 pub struct Membership {
-    /// The voters, in the order of their identities.
+    /// The voters, sorted by identity.
     pub voters: Vec<Member>,
-    /// The voters before the change that is in progress, if one is: then a quorum is a majority of
-    /// both.
+    /// The voters before the change that is in progress, if any. A quorum then needs a majority of
+    /// both sets.
     pub outgoing: Option<Vec<Member>>,
 }
 
 impl Membership {
-    /// A membership without a change in progress.
+    /// Creates a membership without a change in progress.
     pub fn new(voters: impl IntoIterator<Item = Member>) -> Self {
         let mut voters: Vec<Member> = voters.into_iter().collect();
         voters.sort();
@@ -28,7 +29,7 @@
         }
     }
 
-    /// The joint membership on the way from this one to `voters`.
+    /// Returns the joint membership for a change from this one to `voters`.
     pub fn joint(&self, voters: impl IntoIterator<Item = Member>) -> Self {
         debug_assert!(
             self.outgoing.is_none(),
@@ -40,7 +41,7 @@
         }
     }
 
-    /// The membership that follows a joint one.
+    /// Returns the membership that ends a joint one: its new voters alone.
     pub fn finalized(&self) -> Self {
         Self {
             voters: self.voters.clone(),
@@ -48,12 +49,13 @@
         }
     }
 
-    /// Whether a change is in progress.
+    /// Whether a change of membership is in progress.
     pub fn is_joint(&self) -> bool {
         self.outgoing.is_some()
     }
 
-    /// Whether `present` contains a majority of the voters, and of the outgoing ones.
+    /// Whether `present` contains a majority of the voters and, during a change, of the outgoing
+    /// voters.
     pub fn is_quorum(&self, present: &BTreeSet<Identity>) -> bool {
         let majority = |members: &[Member]| {
             count_present(members, present) >= majority_of(members.len()) && !members.is_empty()
@@ -61,23 +63,23 @@
         majority(&self.voters) && self.outgoing.as_deref().is_none_or(majority)
     }
 
-    /// Whether `present` contains half of the voters: a quorum that is too small, for a planted
-    /// fault.
+    /// Whether `present` contains at least half of the voters, which is not a safe quorum. Used
+    /// only by a planted fault.
     pub(crate) fn is_half(&self, present: &BTreeSet<Identity>) -> bool {
         count_present(&self.voters, present) * 2 >= self.voters.len()
     }
 
-    /// Whether it names this identity, before or after the change that is in progress.
+    /// Whether the membership includes this identity, before or after a change in progress.
     pub fn contains(&self, identity: Identity) -> bool {
         self.member(identity).is_some()
     }
 
-    /// The member of this identity.
+    /// Returns the member with this identity, before or after a change in progress.
     pub fn member(&self, identity: Identity) -> Option<&Member> {
         self.all().find(|member| member.identity == identity)
     }
 
-    /// All members that it names: the voters, then the outgoing ones that are removed.
+    /// Iterates over all members: the voters, then the outgoing voters that the change removes.
     pub fn all(&self) -> impl Iterator<Item = &Member> {
         let outgoing = self.outgoing.iter().flatten();
         let removed = outgoing.filter(|old| {
@@ -96,7 +98,7 @@
         .count()
 }
 
-/// Least number of `voters` that is more than half.
+/// Returns the smallest number that is more than half of `voters`.
 pub fn majority_of(voters: usize) -> usize {
     voters / 2 + 1
 }
--- a/decide/replication/src/output.rs
+++ b/decide/replication/src/output.rs
@@ -1,116 +1,117 @@
-//! What a replica asks its caller to do, and the events that it reports for the log.
+//! Actions that a replica requests from its caller, and the events that it reports for the log.
 
 use crate::durable::DurableItem;
 use crate::message::Message;
 use crate::state::StateError;
 use crate::types::{Epoch, Member, Position, RequestId, WriteId};
 
-/// Something that the caller has to do.
+/// An action that the caller has to carry out.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Output {
-    /// Send a message; it may be lost.
+    /// Send a message. The network may lose it.
     Send {
-        /// `ip:port` of the receiver.
+        /// Address of the receiver, as `ip:port`.
         to: String,
-        /// The message.
+        /// The message to encode and send.
         message: Message,
     },
-    /// Write and sync an item after all before it, then call [`crate::Replica::on_persisted`].
+    /// Write and sync an item after all earlier items, then call [`crate::Replica::on_persisted`].
     Persist {
-        /// Id to call back with.
+        /// Id to pass to `on_persisted` or `on_persist_failed`.
         write_id: WriteId,
-        /// The item.
+        /// The item to append to the disk.
         item: DurableItem,
     },
-    /// A request has ended.
+    /// A call to `propose` or `confirm` has finished.
     Completed {
-        /// The request.
+        /// The id that the call returned.
         request: RequestId,
-        /// Its outcome.
+        /// The result that the caller may act on.
         outcome: Outcome,
     },
-    /// [`crate::Replica::committed`] has risen to this position.
+    /// [`crate::Replica::committed`] has advanced to this position.
     Committed(Position),
-    /// An event for the log.
+    /// An event for the caller to log.
     Notice(Notice),
 }
 
-/// Outcome of a request.
+/// The result of a call to `propose` or `confirm`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
     /// The change is committed, at this position.
     Committed(Position),
-    /// A quorum has confirmed this primary in a round that began after the call; the committed state
-    /// is at this position.
+    /// A quorum has confirmed this primary in a round that began after the call. The committed
+    /// state is at this position.
     Confirmed(Position),
-    /// Nothing was done, and nothing ever will be.
+    /// This member is not the primary. The request has had no effect and never will.
     NotPrimary,
-    /// The change doesn't fit the state; nothing was done, and nothing ever will be.
+    /// The state machine rejected the change. The request has had no effect and never will.
     Rejected(StateError),
-    /// The change may be committed by another primary, or never.
+    /// The primary stepped down with the change in flight. Another primary may still commit it.
     Unknown,
 }
 
-/// An event for the log.
+/// An event for the caller to log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Notice {
-    /// This member has become primary.
+    /// This member won an election and became primary.
     BecamePrimary {
-        /// Its epoch.
+        /// The epoch that it was elected for.
         epoch: Epoch,
-        /// Position of the state that it adopted.
+        /// Position of the newest state among its voters, which it adopted.
         adopted: Position,
-        /// Number of votes, its own included.
+        /// Number of granted votes, its own included.
         grants: usize,
     },
-    /// This member is no longer primary.
+    /// This member was primary and gave up the role.
     SteppedDown {
-        /// Its epoch.
+        /// The epoch that it was primary in.
         epoch: Epoch,
-        /// The reason.
+        /// The condition that ended its leadership.
         reason: StepDownReason,
     },
-    /// This member requests votes.
+    /// This member chose a new epoch and requests votes for it.
     ElectionStarted {
-        /// Its epoch.
+        /// The epoch that it chose.
         epoch: Epoch,
-        /// Time since the last message of a primary, in microseconds.
+        /// Time since the last heartbeat of the last known primary, in microseconds; 0 if none was
+        /// known.
         last_contact_age_us: u64,
-        /// Whether the primary has asked this member to take over.
+        /// Whether the election was requested by the primary.
         is_leadership_transfer: bool,
     },
-    /// The first heartbeat of another primary was received.
+    /// This member received the first heartbeat of another primary.
     PrimaryObserved {
-        /// Its epoch.
+        /// The epoch of that primary.
         epoch: Epoch,
-        /// The primary.
+        /// The sender of the heartbeat.
         primary: Member,
     },
-    /// The primary has asked another voter to take over.
+    /// This primary asked another voter to take over.
     LeadershipTransferStarted {
-        /// The other voter.
+        /// The voter that was asked.
         to: Member,
-        /// The reason.
+        /// The condition that caused the transfer.
         reason: LeadershipTransferReason,
     },
-    /// The primary has written a joint membership.
+    /// This primary has written the record of a joint membership.
     MembershipChange {
-        /// Position of its record.
+        /// Position of that record.
         position: Position,
-        /// The change.
+        /// The voters that the change adds and removes.
         change: MembershipChange,
     },
-    /// A change of membership is finished.
+    /// A change of membership is committed.
     MembershipChanged {
-        /// Position of the final record.
+        /// Position of the record that ends the change.
         position: Position,
-        /// Number of voters now.
+        /// Number of voters after the change.
         voters: usize,
     },
-    /// A voter that is unresponsive or leaves is not removed, as the others would bear too few
-    /// losses.
+    /// A voter that is unresponsive or leaving stays in the membership, because the others would
+    /// tolerate too few losses without it.
     RemovalRejected {
-        /// The voter.
+        /// The voter that stays.
         voter: Member,
         /// Number of voters that would remain.
         remaining: usize,
@@ -119,93 +120,94 @@
         /// Further losses that it would tolerate without the voter.
         tolerated_losses_without: i64,
     },
-    /// The newest membership that was seen does not name this member.
+    /// The newest membership that this member has seen does not include it.
     Excluded {
-        /// Position of the state with that membership.
+        /// Position of the state that has this membership.
         position: Position,
     },
-    /// A snapshot was received from a peer, whole.
+    /// A complete snapshot was received from a peer.
     SnapshotReceived {
-        /// Its position.
+        /// Position of the state in the snapshot.
         position: Position,
-        /// Its size in bytes.
+        /// Size of the encoded snapshot in bytes.
         bytes: usize,
     },
-    /// Chunks that don't come to a snapshot, or a record that doesn't fit the state.
+    /// The received chunks do not form a valid snapshot, or a record could not be applied to the
+    /// state.
     SnapshotRejected {
-        /// Its position.
+        /// Position of the snapshot or record.
         position: Position,
-        /// The error.
+        /// Text of the decoding or state error.
         reason: String,
     },
-    /// A write has not been synced for longer than [`crate::Settings::disk_stall_timeout_us`].
+    /// A write has waited for its sync for [`crate::Settings::disk_stall_timeout_us`] or longer.
     DiskStalled {
-        /// Age of the oldest write that is not synced, in microseconds.
+        /// Age of the oldest unsynced write, in microseconds.
         pending_for_us: u64,
     },
-    /// A write failed; a snapshot is written next.
+    /// A write or sync failed. The next write is a snapshot.
     DiskFailed,
 }
 
-/// Why a primary stepped down.
+/// The reason why a primary stepped down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum StepDownReason {
-    /// It learned of a higher epoch.
+    /// Another member has promised or started this higher epoch.
     HigherEpoch(Epoch),
-    /// No quorum has confirmed it for so long, in microseconds.
+    /// No quorum has confirmed the primary for this time, in microseconds.
     NoContact(u64),
-    /// The membership no longer names it.
+    /// The membership no longer includes the primary.
     Excluded,
 }
 
-/// Why a primary asks another voter to take over.
+/// The reason why a primary asks another voter to take over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LeadershipTransferReason {
-    /// It leaves.
+    /// The primary was asked to leave the group.
     Leaving,
-    /// Its disk has not synced for so long, in microseconds.
+    /// The oldest write of the primary has waited for its sync for this time, in microseconds.
     DiskStalled(u64),
 }
 
-/// A change of the membership, with the figures that led to it.
+/// A change of the membership, with the measurement that caused it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum MembershipChange {
-    /// A learner replaces the voter at its address, whose disk was wiped.
+    /// A learner replaces the voter at the same address, whose disk was wiped.
     ReplaceWiped {
         /// The voter that is removed.
         old: Member,
         /// The learner that becomes a voter.
         new: Member,
     },
-    /// A learner replaces a voter that is unresponsive or leaves.
+    /// A learner replaces a voter that is unresponsive or leaving.
     ReplaceUnresponsive {
         /// The voter that is removed.
         old: Member,
         /// The learner that becomes a voter.
         new: Member,
-        /// Time since the last contact with the old voter, in microseconds.
+        /// Time since the last message of the removed voter, in microseconds.
         last_contact_age_us: u64,
     },
-    /// Learners become voters beside the others.
+    /// Learners become voters, and no voter is removed.
     Add {
-        /// The learners.
+        /// The learners that become voters.
         new: Vec<Member>,
     },
-    /// A voter has been unresponsive for too long.
+    /// A voter without contact is removed and not replaced.
     RemoveUnresponsive {
         /// The voter that is removed.
         old: Member,
-        /// Time since the last contact with it, in microseconds.
+        /// Time since the last message of that voter, in microseconds.
         last_contact_age_us: u64,
     },
-    /// A voter that asked to leave.
+    /// A voter that asked to leave is removed.
     RemoveLeaving {
         /// The voter that is removed.
         old: Member,
     },
-    /// A voter has another address than before.
+    /// A voter is reached at a new address, which the membership now records.
     ChangeAddress {
-        /// The voter with its present address.
+        /// The voter with its new address.
         new: Member,
     },
 }
--- a/decide/replication/src/replica/append.rs
+++ b/decide/replication/src/replica/append.rs
@@ -1,4 +1,4 @@
-//! A voter or learner: heartbeats, records, and what is committed.
+//! Handling of heartbeats at voters and learners: they accept records and learn what is committed.
 
 use super::{KnownPrimary, Replica, Role};
 use crate::durable::Record;
@@ -13,8 +13,8 @@
             return;
         }
         if append.to != self.me.identity {
-            // It is for another disk at this address, which is lost: this member has yet to ask that
-            // primary to join.
+            // The heartbeat is for a member with another disk at this address, which is lost. This
+            // member has not joined yet, so it asks the sender later.
             self.add_peer_addresses(vec![from.address.clone()]);
             return;
         }
@@ -40,7 +40,8 @@
         self.respond_to_append(now, &from.address, append.epoch, round);
     }
 
-    /// Follows the primary. A higher epoch is obeyed at once; it is on disk with its first record.
+    /// Follows the primary. A higher epoch takes effect at once and is written to disk with its
+    /// first record.
     fn follow(&mut self, now: Time, from: &Member, append: &Append) {
         if append.epoch > self.promised {
             self.step_down(now, StepDownReason::HigherEpoch(append.epoch));
@@ -88,7 +89,8 @@
         match accepted.apply(record.position, &record.update) {
             Ok(()) => self.persist_record(now, record.clone()),
             Err(error) => {
-                // The primary has applied it to the same state; only its snapshot can help.
+                // The primary applied the record to the same state without an error, so the states
+                // differ. Only the primary's snapshot can repair this.
                 let rejected = Notice::SnapshotRejected {
                     position: record.position,
                     reason: error.reason,
@@ -101,8 +103,8 @@
         }
     }
 
-    /// The accepted state may be known to be committed now: if it is of the primary's epoch, or is
-    /// just the one that the primary names.
+    /// Marks the accepted state as committed if the primary's message shows that it is: it must be
+    /// of the primary's epoch, or have the committed position itself.
     fn update_committed(&mut self, append: &Append) {
         let Some(position) = self.accepted_position() else {
             return;
@@ -112,7 +114,8 @@
         }
     }
 
-    /// Remembers since when less is known here to be committed than the primary says.
+    /// Stores the time since which this member has known less to be committed than the primary
+    /// reports.
     fn update_lag(&mut self, now: Time, committed: Position) {
         let is_behind = self.committed_position() < committed;
         if let Some(known) = &mut self.known_primary {
@@ -120,8 +123,8 @@
         }
     }
 
-    /// The accepted state has this position and is one that the primary has had; everything up to
-    /// `committed` is committed.
+    /// Marks the accepted state as committed if `position` is not after `committed`. The accepted
+    /// state must be at `position`, and the primary must have had the same state.
     fn advance_committed(&mut self, position: Position, committed: Position) {
         let is_new = self
             .committed
@@ -142,7 +145,7 @@
         self.outputs.push(Output::Committed(position));
     }
 
-    /// Requests a snapshot if the primary no longer has the records that are lacking.
+    /// Requests a snapshot if the primary no longer retains the missing records.
     fn request_snapshot_if_needed(&mut self, now: Time, from: &Member, append: &Append) {
         let is_at_head = self.accepted_position() == Some(append.head);
         let is_needed = append.must_request_snapshot && !is_at_head;
@@ -153,7 +156,7 @@
 }
 
 impl KnownPrimary {
-    /// A primary whose first heartbeat has just been received.
+    /// Creates the entry for a primary whose first heartbeat has just been received.
     fn new(now: Time, member: &Member, epoch: Epoch) -> Self {
         Self {
             member: member.clone(),
@@ -166,7 +169,7 @@
         }
     }
 
-    /// Takes a heartbeat; `process` is that of this member.
+    /// Updates the entry from a heartbeat. `process` is the random number of this process.
     fn update(
         &mut self,
         now: Time,
@@ -176,8 +179,8 @@
         contact_timeout_us: u64,
     ) {
         if now.since(self.last_contact_at) >= contact_timeout_us {
-            // Whatever was committed meanwhile is not known here: only one that has caught up is
-            // current again.
+            // This member does not know what was committed in the meantime, so it counts as behind
+            // until it has caught up.
             self.behind_since = Some(Time(0));
         }
         self.member.address.clone_from(&from.address);
--- a/decide/replication/src/replica/confirmation.rs
+++ b/decide/replication/src/replica/confirmation.rs
@@ -1,7 +1,8 @@
-//! Confirmation: a quorum says that it follows this primary, after it was asked.
+//! Confirmation that this member is still primary: a quorum responds to a round that begins after
+//! the request.
 //!
-//! It is what Raft calls `ReadIndex`: what is committed when the round is confirmed is at least as
-//! new as what any member had committed when the request was made.
+//! This is Raft's `ReadIndex`: the state that is committed when the round is confirmed is at least
+//! as new as the state that any member had committed when the request was made.
 
 use std::collections::BTreeSet;
 
@@ -38,7 +39,8 @@
         self.complete(request, Outcome::Confirmed(position));
     }
 
-    /// Finds the newest round that a quorum has confirmed, and completes what waited for it.
+    /// Finds the newest round that a quorum has confirmed, and completes the requests that it
+    /// confirms.
     pub(super) fn count_confirmations(&mut self, now: Time) {
         let me = self.me.identity;
         let (Some(accepted), Some(primary)) = (&self.accepted, self.as_primary()) else {
@@ -59,7 +61,7 @@
         self.complete_confirmed_requests(now);
     }
 
-    /// Completes the requests whose round is confirmed, and begins the next round if others wait.
+    /// Completes the confirmed requests, and begins the next round if other requests are waiting.
     pub(super) fn complete_confirmed_requests(&mut self, now: Time) {
         if !self.is_serving() {
             return;
@@ -78,8 +80,8 @@
         }
     }
 
-    /// Steps down if no quorum has confirmed this primary for too long. It comes first on every
-    /// call, so that a process that was frozen does nothing from memory.
+    /// Steps down if no quorum has confirmed this primary within the contact timeout. Every input
+    /// calls it first, so that a process that was suspended does not act on outdated state.
     pub(super) fn step_down_without_contact(&mut self, now: Time) {
         if self.settings.faults.has(Fault::ConfirmFromMemory) {
             return;
--- a/decide/replication/src/replica/disk_writes.rs
+++ b/decide/replication/src/replica/disk_writes.rs
@@ -1,4 +1,5 @@
-//! The writes to the disk: which are pending, what is synced, and what waits for that.
+//! Writes to the disk: the pending writes, the synced position, and the actions that wait for a
+//! sync.
 
 use std::collections::VecDeque;
 
@@ -10,21 +11,21 @@
 use crate::state::ReplicatedState;
 use crate::types::{Epoch, Position, Time, WriteId};
 
-/// Most items that wait for the disk at a voter: with more it accepts no record.
+/// Maximum number of pending writes at a voter; with this many it accepts no records.
 const MAX_PENDING_WRITES: usize = 16;
 
-/// The disk, as far as its writes have been confirmed.
+/// The state of the disk, from the caller's reports of completed and failed writes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct Disk {
     last_write_id: u64,
     pending_writes: VecDeque<PendingWrite>,
-    /// Position of the synced state.
+    /// Position of the synced state; none on an empty disk.
     pub(super) synced: Option<Position>,
-    /// The synced promise.
+    /// Highest epoch whose promise is synced.
     pub(super) synced_promise: Epoch,
-    /// Since when an item has waited to be synced.
+    /// Time since which the oldest unsynced item has waited.
     unsynced_since: Option<Time>,
-    /// A write failed: a snapshot is written at this time.
+    /// Time at which a snapshot is written after a failed write.
     retry_at: Option<Time>,
     is_stall_reported: bool,
 }
@@ -38,13 +39,13 @@
 }
 
 impl Disk {
-    /// The state that was read from the disk has this position and promise.
+    /// Sets the position and promise of the state that was read from the disk.
     pub(super) fn recovered(&mut self, position: Position, promised: Epoch) {
         self.synced = Some(position);
         self.synced_promise = promised;
     }
 
-    /// All items up to this one are synced. Returns whether that wasn't known.
+    /// Marks all items up to this one as synced. Returns whether any of them was pending.
     pub(super) fn persisted(&mut self, write_id: WriteId) -> bool {
         let mut has_advanced = false;
         while self
@@ -66,14 +67,14 @@
         has_advanced
     }
 
-    /// For how long an item has waited to be synced (microseconds).
+    /// Returns how long the oldest unsynced item has waited, in microseconds; 0 if there is none.
     pub(super) fn pending_for_us(&self, now: Time) -> u64 {
         self.unsynced_since.map_or(0, |since| now.since(since))
     }
 }
 
 impl<S: ReplicatedState> Replica<S> {
-    /// Whether the disk takes writes: none failed, none waits too long, and few wait.
+    /// Whether the disk accepts writes: none has failed or stalled, and only a few are pending.
     pub(super) fn is_writable(&self, now: Time) -> bool {
         let is_fast = self.disk.pending_for_us(now) < self.settings.disk_stall_timeout_us;
         is_fast
@@ -81,7 +82,7 @@
             && self.disk.pending_writes.len() < MAX_PENDING_WRITES
     }
 
-    /// Raises the promise, and writes it if there is a state that it protects.
+    /// Raises the promised epoch, and writes the promise if the disk holds a state.
     pub(super) fn promise(&mut self, now: Time, epoch: Epoch) {
         debug_assert!(epoch > self.promised, "a promise only rises");
         self.promised = epoch;
@@ -96,7 +97,7 @@
         self.persist(now, DurableItem::Record(record));
     }
 
-    /// Writes the accepted state as a snapshot.
+    /// Writes the accepted state as a snapshot, unless there is none.
     pub(super) fn persist_snapshot(&mut self, now: Time) {
         let Some(accepted) = &self.accepted else {
             return;
@@ -108,7 +109,7 @@
     fn persist(&mut self, now: Time, item: DurableItem) {
         self.disk.unsynced_since.get_or_insert(now);
         if self.disk.retry_at.is_some() {
-            // Memory is ahead; the snapshot that is written after the failure includes this item.
+            // The snapshot that is written after the failure includes this item.
             return;
         }
         self.disk.last_write_id += 1;
@@ -123,8 +124,8 @@
         self.outputs.push(Output::Persist { write_id, item });
     }
 
-    /// A snapshot that may be written in place of the item of this id and all before it, to begin a
-    /// new segment of the disk; none if that item is no longer the last one in flight.
+    /// Returns a snapshot to write in place of this item and all items before it, to begin a new
+    /// disk segment. Returns none if this item is no longer the last one in flight.
     #[must_use]
     pub fn snapshot_for(&self, write_id: WriteId) -> Option<DurableItem> {
         let last = self
@@ -139,7 +140,7 @@
         self.durable_snapshot()
     }
 
-    /// The accepted state as a snapshot, whether it is synced or not; none on an empty disk.
+    /// Returns the accepted state as a snapshot, synced or not; none on an empty disk.
     #[must_use]
     pub fn durable_snapshot(&self) -> Option<DurableItem> {
         self.accepted
@@ -178,11 +179,11 @@
         self.disk.retry_at
     }
 
-    /// Does what waited for the disk.
+    /// Performs the actions that waited for a sync.
     pub(super) fn after_sync(&mut self, now: Time) {
         self.send_pending_grants();
         if matches!(self.role, Role::Follower) && self.is_sole_voter() {
-            // A sole voter has nobody to wait for.
+            // A sole voter has no other voter to wait for, so it starts its election at once.
             self.election_due_at = now;
         }
         match &self.role {
@@ -196,7 +197,7 @@
         !self.is_non_voter() && self.membership().voters.len() == 1
     }
 
-    /// Reports to the primary what is synced now.
+    /// Reports the synced position to the primary.
     fn report_synced(&mut self, now: Time) {
         let Some(known) = self.followed_primary() else {
             return;
--- a/decide/replication/src/replica/diskless.rs
+++ b/decide/replication/src/replica/diskless.rs
@@ -1,8 +1,10 @@
-//! Voters without a disk: their state ends with their process.
+//! Voters without a disk, whose state is lost when their process ends.
 //!
-//! One of them may found a group, as somebody has to. No change is accepted while such a voter
-//! stands beside members with a disk, so that nothing acknowledged there rests on a memory that a
-//! loss of power takes. The vote of one that is lost or wants to leave never blocks the others.
+//! A voter without a disk may found a group, since at first no member may have a disk. No change is
+//! accepted while the group mixes voters without a disk and members with one, so that no
+//! acknowledged change depends on memory that is lost in a power failure. A voter without a disk
+//! that is lost or leaving can be removed as soon as another voter has a disk, so it never blocks
+//! voters with a disk.
 
 use std::collections::BTreeSet;
 
@@ -13,8 +15,8 @@
 use crate::types::{Identity, Member};
 
 impl<S: ReplicatedState> Replica<S> {
-    /// Members that are known to have no disk, this one included where it has none. One that the
-    /// membership names stays known as such.
+    /// Sets the members that are known to have no disk, this one included if it has none. Members
+    /// of the current membership that were in the previous set stay in it.
     pub fn set_diskless_members(&mut self, identities: BTreeSet<Identity>) {
         let previous = std::mem::replace(&mut self.diskless_members, identities);
         let named = previous
@@ -28,8 +30,8 @@
         !self.diskless_members.contains(&identity)
     }
 
-    /// Whether a voter without a disk stands beside a member with one, be it a voter or a learner;
-    /// false but at the primary.
+    /// Whether the group mixes voters without a disk and members with one, be they voters or
+    /// learners. Always false if this member is not primary.
     pub(super) fn has_diskless_voter_beside_durable(&self) -> bool {
         let Some(primary) = self
             .as_primary()
@@ -45,8 +47,8 @@
         has_diskless_voter && members.into_iter().any(|member| self.has_disk(*member))
     }
 
-    /// Whether a voter may be removed however few losses the others tolerate: it has no disk, and
-    /// another voter has one.
+    /// Whether a voter may be removed however few losses the remaining voters tolerate: it has no
+    /// disk and another voter has one.
     pub(super) fn is_expendable(&self, voter: &Member, membership: &Membership) -> bool {
         let has_durable_voter = membership
             .voters
--- a/decide/replication/src/replica/election.rs
+++ b/decide/replication/src/replica/election.rs
@@ -1,11 +1,12 @@
-//! How a voter becomes primary: when it tries, the epoch that it chooses, and the votes that it
-//! requests for it. `pre_vote` has the step before, `vote_count` what the votes come to, and
+//! The candidate's part of an election: its timing, the choice of the epoch and the requests for
+//! votes. `pre_vote` has the preceding step, `vote_count` the evaluation of votes, and
 //! `vote_grants` the voters' part.
 //!
-//! It is Raft's election with its pre-vote, and differs in two points. An epoch names its candidate,
-//! so a voter may vote for several in turn, each time promising a higher epoch. And a vote doesn't
-//! depend on how new the candidate's state is: the votes say where the newest state is, and the
-//! candidate adopts it before it serves, as a new primary of Viewstamped Replication does.
+//! The algorithm is Raft's election with pre-vote, with two differences. An epoch includes its
+//! candidate, so a voter may vote for several candidates in turn, each time promising a higher
+//! epoch. And a vote does not depend on how new the candidate's state is: the votes report where
+//! the newest state is, and the candidate adopts it before it serves, like a new primary in
+//! Viewstamped Replication.
 
 use super::primary::PersistAs;
 use super::vote_count::{VoteCount, VoteOutcome};
@@ -16,21 +17,25 @@
 use crate::state::ReplicatedState;
 use crate::types::{Epoch, Member, Position, Time};
 
-/// An epoch was chosen: who votes for it.
+/// An election for a chosen epoch, with the votes so far.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Election {
     pub(super) epoch: Epoch,
     pub(super) is_leadership_transfer: bool,
-    /// When the votes were first requested; none until the candidate's own promise is synced.
+    /// Time at which the votes were first requested; none until the candidate's own promise is
+    /// synced.
     pub(super) votes_requested_at: Option<Time>,
     retry_at: Time,
     pub(super) votes: VoteCount,
 }
 
 impl<S: ReplicatedState> Replica<S> {
-    /// Postpones the next attempt by a new random time, so that two voters seldom try at once.
-    /// After a start attempts come soon: where the others are in contact with a primary they give
-    /// no pre-vote, and where all have started together nobody needs to be waited for.
+    /// Postpones the next election by a new random time, so that two voters rarely start one at the
+    /// same time.
+    ///
+    /// The first elections after the start of the process come sooner: voters in contact with a
+    /// primary deny a pre-vote, and if all members have just started, there is no primary to wait
+    /// for.
     pub(super) fn postpone_election(&mut self, now: Time) {
         let base_us = if self.awaits_first_primary {
             self.settings.retry_interval_us
@@ -46,7 +51,7 @@
         is_able && self.is_writable(now) && self.disk.synced.is_some()
     }
 
-    /// Whether a primary is in contact with this voter and, as it says, with a quorum.
+    /// Whether this voter has recent contact with a primary that reports contact with a quorum.
     pub(super) fn follows_confirmed_primary(&self, now: Time) -> bool {
         if self.as_primary().is_some() {
             return self.in_contact(now);
@@ -137,8 +142,8 @@
         self.request_votes(now);
     }
 
-    /// Requests votes, once this candidate's own promise is synced: an epoch that a crash forgets
-    /// might be chosen again.
+    /// Requests votes once this candidate's own promise is synced. An epoch that is lost in a crash
+    /// could be chosen again.
     pub(super) fn request_votes(&mut self, now: Time) {
         let version = self.version();
         let Role::Candidate(election) = &mut self.role else {
@@ -154,7 +159,8 @@
         self.count_votes(now);
     }
 
-    /// The votes are won: this member is elected once it has the newest state.
+    /// Becomes primary if this member has the newest state among the votes. Otherwise fetches that
+    /// state first.
     pub(super) fn adopt(&mut self, now: Time, position: Position, source: Member) {
         let Role::Candidate(election) = &self.role else {
             return;
@@ -170,7 +176,7 @@
         }
     }
 
-    /// The state that the candidate lacked was received.
+    /// Becomes primary with the received state, if it is still the newest one among the votes.
     pub(super) fn on_snapshot_for_election(&mut self, now: Time, received: VersionedState<S>) {
         let Role::Candidate(election) = &self.role else {
             return;
@@ -204,7 +210,7 @@
         }
     }
 
-    /// A vote, or a heartbeat, was rejected by a member that has promised a higher epoch.
+    /// Handles the rejection of a vote or heartbeat by a member that has promised a higher epoch.
     pub(super) fn on_vote_rejected(&mut self, now: Time, epoch: Epoch, promised: Epoch) {
         if promised <= epoch {
             return;
@@ -219,7 +225,7 @@
         }
     }
 
-    /// The primary asks this voter to take over.
+    /// Starts an election at the request of the primary.
     pub(super) fn on_take_over(&mut self, now: Time, from: &Member, epoch: Epoch) {
         let is_current = epoch == self.promised && from.identity == epoch.primary;
         let is_follower = matches!(self.role, Role::Follower | Role::PreCandidate(_));
--- a/decide/replication/src/replica/join.rs
+++ b/decide/replication/src/replica/join.rs
@@ -1,6 +1,7 @@
-//! Joining: how a member without a vote asks for one, and how the primary takes it as a learner.
+//! Joining the group: a member without a vote asks for one, and the primary accepts it as a
+//! learner.
 //!
-//! A learner receives heartbeats and the state as a voter does, and becomes a voter by a change of
+//! A learner receives heartbeats and the state like a voter. It becomes a voter through a change of
 //! membership once it is up to date.
 
 use super::primary_state::Peer;
@@ -9,9 +10,9 @@
 use crate::state::ReplicatedState;
 use crate::types::{Member, Time};
 
-/// Learners that are brought up to date at a time.
+/// Maximum number of learners that the primary brings up to date at a time.
 const MAX_LEARNERS: usize = 9;
-/// A member that has received no heartbeat for so many intervals asks again to join.
+/// Number of heartbeat intervals without a heartbeat after which a member asks to join again.
 const MAX_MISSED_HEARTBEATS: u64 = 3;
 
 impl<S: ReplicatedState> Replica<S> {
@@ -66,7 +67,7 @@
         self.peer_addresses.remove(&self.me.address);
     }
 
-    /// Begins to bring a learner up to date; an earlier one at its address is forgotten.
+    /// Adds a learner to the peers. It replaces an earlier learner at the same address.
     fn accept_learner(&mut self, now: Time, from: Member) {
         self.update_peer_address(&from);
         let Some(primary) = self.as_primary_mut() else {
--- a/decide/replication/src/replica/leadership_transfer.rs
+++ b/decide/replication/src/replica/leadership_transfer.rs
@@ -1,4 +1,5 @@
-//! A primary that leaves, or whose disk has stalled, asks another voter to take over.
+//! Transfer of the leadership: a primary that is leaving, or whose disk has stalled, asks another
+//! voter to take over.
 
 use super::primary_state::{LeadershipTransfer, Peer};
 use super::Replica;
@@ -7,9 +8,9 @@
 use crate::state::ReplicatedState;
 use crate::types::{Member, Time};
 
-/// A voter without contact for more than so many heartbeats isn't asked.
+/// Number of heartbeat intervals without contact after which a voter is not asked to take over.
 const MAX_MISSED_HEARTBEATS: u64 = 3;
-/// Intervals between two requests of one kind that pass before another voter is asked.
+/// Number of retry intervals (`retry_interval_us`) after which another voter is asked.
 const RETRY_INTERVALS: u64 = 2;
 
 impl<S: ReplicatedState> Replica<S> {
@@ -61,8 +62,8 @@
         self.outputs.push(Output::Notice(notice));
     }
 
-    /// The suitable voter with the newest state; the one that was asked last only if there is no
-    /// other.
+    /// Returns the suitable voter with the newest synced state. Among equals, prefers a voter other
+    /// than the one that was asked last.
     fn successor(&self, now: Time) -> Option<Member> {
         let primary = self.as_primary()?;
         let transfer = primary.leadership_transfer.as_ref();
--- a/decide/replication/src/replica/leave.rs
+++ b/decide/replication/src/replica/leave.rs
@@ -1,4 +1,4 @@
-//! A member that leaves: it transfers the leadership if it has it, then asks to be removed.
+//! Leaving the group: a primary transfers the leadership first, then the member asks to be removed.
 
 use std::collections::BTreeSet;
 
@@ -7,17 +7,17 @@
 use crate::state::ReplicatedState;
 use crate::types::{Epoch, Member, Time};
 
-/// This member has asked to leave.
+/// The progress of this member's departure.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Departure {
     next_request_at: Time,
-    /// The primary has said that the process may stop.
+    /// Whether the primary has reported that the process may stop.
     may_stop: bool,
 }
 
 impl<S: ReplicatedState> Replica<S> {
-    /// Begins to leave: the leadership is transferred, then the removal is requested. It ends when
-    /// [`Self::has_left`] is true.
+    /// Starts to leave: transfers the leadership, then requests the removal. Leaving is finished
+    /// when [`Self::has_left`] returns true.
     pub fn leave(&mut self, now: Time) {
         self.step_down_without_contact(now);
         if self.departure.is_none() {
@@ -34,8 +34,8 @@
         self.tick_leave(now);
     }
 
-    /// Whether the process of a member that leaves may stop: it is removed, or can't be without
-    /// harm.
+    /// Whether the process of a leaving member may stop: the member is removed, or the primary
+    /// keeps it in the membership because its removal would make the group less safe.
     #[must_use]
     pub fn has_left(&self) -> bool {
         let Some(departure) = &self.departure else {
@@ -72,8 +72,8 @@
         departure.is_some_and(|departure| !departure.may_stop) && self.as_primary().is_none()
     }
 
-    /// The primary, if it is in contact; else all members, since a new primary sends nothing to a
-    /// voter that it has removed.
+    /// Returns the address of the primary if it is in contact, and of all members otherwise, since
+    /// a new primary sends nothing to a voter that it has removed.
     fn leave_request_targets(&self, now: Time) -> BTreeSet<String> {
         let timeout_us = self.settings.contact_timeout_us;
         let in_contact = self
@@ -108,7 +108,7 @@
             peer.is_leaving = true;
         }
         if !is_named {
-            // The record without it counts only once it is committed.
+            // The removal is final only once its record is committed.
             if has_committed_all {
                 self.send_leave_response(from, epoch, LeaveOutcome::Removed);
             }
@@ -139,11 +139,11 @@
     }
 }
 
-/// What became of a request to be removed.
+/// The result of a request to be removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LeaveOutcome {
-    /// The committed membership doesn't name the member.
+    /// The committed membership no longer includes the member.
     Removed,
-    /// The member stays in the membership; its process may stop.
+    /// The member stays in the membership. Its process may stop.
     Retained,
 }
--- a/decide/replication/src/replica/membership_change.rs
+++ b/decide/replication/src/replica/membership_change.rs
@@ -1,7 +1,7 @@
-//! Changes of the membership, one at a time, which the primary chooses by itself: a learner becomes
-//! a voter, and a voter that is lost or leaves is replaced or removed.
+//! Changes of the membership, which the primary starts by itself, one at a time: a learner becomes
+//! a voter, or a voter that is lost or leaving is replaced or removed.
 //!
-//! A removal must never leave the group less safe: see [`Replica::is_removal_allowed`].
+//! A removal must never make the group less safe: see [`Replica::is_removal_allowed`].
 
 use super::primary_state::{Peer, Primary};
 use super::Replica;
@@ -11,26 +11,27 @@
 use crate::state::ReplicatedState;
 use crate::types::{Identity, Member, Time};
 
-/// Most records that a learner's synced state may lack when it becomes a voter.
+/// Maximum number of records that a learner's synced state may be behind when it becomes a voter.
 const MAX_LEARNER_LAG_RECORDS: u64 = 16;
-/// Voters that remain at least when one is removed: two tolerate no loss at all.
+/// Minimum number of voters after a removal, since two voters tolerate no loss.
 const MIN_VOTERS_AFTER_REMOVAL: i64 = 3;
-/// A voter without contact for more than so many heartbeats may be lost.
+/// Number of heartbeat intervals without contact after which a voter may be lost.
 const MAX_MISSED_HEARTBEATS: u64 = 3;
 
-/// Further losses that a membership tolerates beside the voters that are lost already.
+/// Returns the number of further losses that a membership tolerates beyond the voters that are
+/// already lost. It is negative without a quorum.
 fn tolerated_losses(voters: usize, lost: usize) -> i64 {
     voters as i64 - lost as i64 - majority_of(voters) as i64
 }
 
-/// The number of voters, and how many of them are lost.
+/// The number of voters, and the number of lost ones among them.
 struct VoterCount {
     voters: usize,
     lost: usize,
 }
 
 impl<S: ReplicatedState> Replica<S> {
-    /// The next change of membership, if one is due: the voters after it, and the reason.
+    /// Returns the next change of membership, if one is due, and the voters after it.
     pub(super) fn next_membership_change(
         &mut self,
         now: Time,
@@ -46,7 +47,7 @@
         Some((voters, change))
     }
 
-    /// Learners that have synced a recent state of this epoch.
+    /// Returns the learners that have synced a recent state of this epoch and may become voters.
     fn ready_learners(&self, now: Time, primary: &Primary) -> Vec<Member> {
         let head = self.accepted_position().map_or(0, |head| head.number);
         let is_ready = |peer: &&Peer| {
@@ -107,8 +108,8 @@
         let voters = &membership.voters;
         let mut new = self.ready_learners(now, primary);
         new.truncate(self.settings.max_voters.saturating_sub(voters.len()));
-        // A voter that has just become unresponsive may be lost for good: then the learner is to
-        // replace it, not to stand beside it.
+        // A voter that has just become unresponsive may be permanently lost. The learner is then
+        // kept to replace it rather than added as a further voter.
         let max_age_us = self.settings.heartbeat_interval_us * MAX_MISSED_HEARTBEATS;
         let all_in_contact = voters.iter().all(|voter| {
             let peer = primary.peers.get(&voter.identity);
@@ -117,8 +118,8 @@
             })
         });
         let may_add = all_in_contact || self.settings.faults.has(Fault::NeverRemoveVoters);
-        // Two voters tolerate no loss, and lose what they have with the first: a sole founder waits
-        // for two learners.
+        // Two voters tolerate no loss: losing the first would lose the only complete state. A sole
+        // founder therefore waits for two learners.
         let is_second_voter = voters.len() == 1 && new.len() == 1;
         let has_waited = now.since(primary.elected_at) >= self.settings.sole_founder_wait_us;
         if new.is_empty() || (is_second_voter && !has_waited) || !may_add {
@@ -167,7 +168,7 @@
         None
     }
 
-    /// Whether a voter may be removed; reports it once if not.
+    /// Whether a voter may be removed. Reports a rejected removal once.
     fn may_remove(&mut self, voter: &Member, count: &VoterCount, is_lost: bool) -> bool {
         let remaining = count.voters - 1;
         let losses_now = tolerated_losses(count.voters, count.lost);
@@ -192,13 +193,13 @@
     fn is_removal_allowed(&self, count: &VoterCount, losses_now: i64, losses_without: i64) -> bool {
         let remaining = count.voters - 1;
         let required_losses = i64::from(self.settings.fault_tolerance);
-        // What is acknowledged is on a quorum: more copies than may be lost, or no fewer than
-        // before.
+        // Every acknowledged change is on a quorum. A quorum of the remaining voters must have more
+        // copies than the losses to tolerate, or no fewer copies than before.
         let copies = majority_of(remaining) as i64;
         let has_enough_copies =
             copies >= (required_losses + 1).min(majority_of(count.voters) as i64);
-        // The lost ones may come back, but count no more then: those that remain have a majority
-        // also without as many as may lose their disks.
+        // Removed voters no longer count, even if they return. The remaining voters must have a
+        // majority after as many of them as `fault_tolerance` lose their disks.
         let has_enough_voters =
             remaining as i64 >= (2 * required_losses + 1).max(MIN_VOTERS_AFTER_REMOVAL);
         has_enough_voters && has_enough_copies && losses_without >= losses_now.min(required_losses)
@@ -211,7 +212,7 @@
     }
 }
 
-/// A voter that is reached at another address than the membership says.
+/// Returns the change for a voter that is reached at another address than the membership records.
 fn changed_address(primary: &Primary, membership: &Membership) -> Option<MembershipChange> {
     membership.voters.iter().find_map(|voter| {
         let member = &primary.peers.get(&voter.identity)?.member;
@@ -220,7 +221,7 @@
     })
 }
 
-/// A learner at the address of a voter: that one's disk was wiped.
+/// Returns the change for a learner at the address of a voter, whose disk must have been wiped.
 fn replacement_of_wiped(learners: &[Member], membership: &Membership) -> Option<MembershipChange> {
     learners.iter().find_map(|new| {
         let mut voters = membership.voters.iter();
@@ -232,7 +233,7 @@
     })
 }
 
-/// The voters after a change.
+/// Returns the voters after a change.
 fn voters_after(membership: &Membership, change: &MembershipChange) -> Vec<Member> {
     let (removed, added): (Option<&Member>, Vec<Member>) = match change {
         MembershipChange::ReplaceWiped { old, new }
--- a/decide/replication/src/replica/mod.rs
+++ b/decide/replication/src/replica/mod.rs
@@ -1,10 +1,10 @@
 //! The state machine of one member: its state, its constructors and its inputs.
 //!
-//! Each module beside this one holds the methods of one concern. `rounds` and `primary_state` hold
-//! plain state and use none of them.
+//! Each sibling module holds the methods of one concern. `rounds` and `primary_state` hold plain
+//! state and do not use [`Replica`].
 //!
-//! Memory runs ahead of the disk: `Replica::accepted` is what was accepted, `Disk::synced` what
-//! another member may rely on.
+//! Memory is ahead of the disk: `Replica::accepted` is the accepted state, and `Disk::synced` is
+//! the part of it that other members may rely on.
 
 mod append;
 mod confirmation;
@@ -47,46 +47,47 @@
 pub struct Replica<S> {
     settings: Settings,
     me: Member,
-    /// State of the generator of random numbers.
+    /// State of the random number generator.
     rng_state: u64,
-    /// Tells this process from others with the same disk.
+    /// Random number that distinguishes this process from earlier ones with the same disk.
     process: u64,
-    /// Addresses of peers, to ask for joining.
+    /// Addresses of peers that this member asks to join.
     peer_addresses: BTreeSet<String>,
-    /// Members known to have no disk.
+    /// Members that are known to have no disk.
     diskless_members: BTreeSet<Identity>,
-    /// The accepted state, perhaps not yet synced; none on an empty disk.
+    /// The accepted state, which may not be synced yet; none on an empty disk.
     accepted: Option<VersionedState<S>>,
-    /// The newest state that is known to be committed.
+    /// The newest state that is known to be committed, with its position.
     committed: Option<(Position, S)>,
-    /// Highest epoch promised; what is synced of it is in `disk`.
+    /// Highest epoch that this member has promised. `disk` holds the part that is synced.
     promised: Epoch,
-    /// Highest epoch that another member has rejected a vote or heartbeat with: the next that is
-    /// chosen lies above it.
+    /// Highest epoch that another member named when it rejected a vote or heartbeat. The next epoch
+    /// that this member chooses is higher.
     highest_rejecting_epoch: Epoch,
     disk: Disk,
     role: Role,
     known_primary: Option<KnownPrimary>,
-    /// No primary has made contact since the start: the group may have started with this member.
+    /// Whether no primary has made contact since the process started. This member may then be the
+    /// founder of the group.
     awaits_first_primary: bool,
-    /// Votes that are sent once their promise is synced.
+    /// Votes to send once the promise of their epoch is synced.
     pending_grants: Vec<PendingGrant>,
-    /// A snapshot that is being received.
+    /// The snapshot that is being received, if any.
     incoming: Option<IncomingSnapshot>,
-    /// The snapshot that was last encoded for another member.
+    /// The last snapshot that was encoded for another member.
     cached_snapshot: Option<CachedSnapshot>,
-    /// Position of a state whose membership doesn't name this member.
+    /// Position of the newest known state whose membership does not include this member.
     excluded_at: Option<Position>,
     departure: Option<Departure>,
     election_due_at: Time,
     next_join_request_at: Time,
-    /// It starts no election before this time, as it has transferred the leadership.
+    /// Time before which this member starts no election, because it transferred the leadership.
     passive_until: Time,
     next_request_id: u64,
     outputs: Vec<Output>,
 }
 
-/// The state that this member has accepted.
+/// The state that this member has accepted, with its position and membership.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct VersionedState<S> {
     position: Position,
@@ -94,37 +95,39 @@
     state: S,
 }
 
-/// The role of this member.
+/// The current role of this member, with the state of that role.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Role {
-    /// Votes if it may, and takes records.
+    /// Votes if it is a voter, and accepts records.
     Follower,
-    /// Asks whether it would get the votes.
+    /// Asks the voters whether they would vote for it.
     PreCandidate(PreVote),
-    /// Requests votes.
+    /// Requests votes for a new epoch.
     Candidate(Election),
     Primary(Box<Primary>),
 }
 
-/// The primary whose heartbeats this member follows.
+/// The primary from which this member last accepted a heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct KnownPrimary {
     member: Member,
     epoch: Epoch,
-    /// Highest round received.
+    /// Highest round received from this primary.
     round: u64,
     last_contact_at: Time,
-    /// When its last heartbeat was received that said that a quorum confirms it.
+    /// Time of receipt of its last heartbeat that reported contact with a quorum.
     confirmed_at: Option<Time>,
-    /// When this member sent the response that had arrived there when a quorum last confirmed it.
+    /// Time at which this member sent the newest response that the primary had received when it
+    /// reported contact with a quorum.
     contact_at: Option<Time>,
-    /// Since when more is committed there than is known here.
+    /// Time since which the primary has reported a newer committed position than this member knows.
     behind_since: Option<Time>,
 }
 
 impl<S: ReplicatedState> Replica<S> {
-    /// The sole founder of a group, on an empty disk, at the first start of all. Its snapshot is on
-    /// disk before anything is sent. `seed` is a random number.
+    /// Creates the sole founder of a group, on an empty disk, when the group starts for the first
+    /// time. The caller writes its snapshot to disk before it sends any message. `seed` is a random
+    /// number.
     #[must_use]
     pub fn bootstrap(settings: Settings, me: Member, state: S, seed: u64, now: Time) -> Self {
         let epoch = Epoch {
@@ -145,10 +148,11 @@
         replica
     }
 
-    /// A member whose disk holds a state. `address` is its present address, `seed` a random number.
+    /// Creates a member from the state on its disk. `address` is its current address and `seed` a
+    /// random number.
     ///
     /// # Errors
-    /// The state, or a change of it, can't be read.
+    /// Returns an error if the state cannot be decoded or a change cannot be applied.
     pub fn recover(
         settings: Settings,
         address: String,
@@ -177,8 +181,8 @@
         Ok(replica)
     }
 
-    /// A member with an empty disk and a new identity: it asks to join, and casts no vote until it
-    /// has received a state. `seed` is a random number.
+    /// Creates a member with an empty disk and a new identity. It asks to join and casts no vote
+    /// until it has received a state. `seed` is a random number.
     #[must_use]
     pub fn learner(settings: Settings, me: Member, seed: u64, now: Time) -> Self {
         debug_assert!(
@@ -215,13 +219,15 @@
         replica
     }
 
-    /// Adds addresses to ask for joining, beside those of the members that it knows.
+    /// Adds addresses of peers that this member asks to join, in addition to those of known
+    /// members.
     pub fn add_peer_addresses(&mut self, addresses: Vec<String>) {
         self.peer_addresses.extend(addresses);
         self.peer_addresses.remove(&self.me.address);
     }
 
-    /// A message was received. Responses go to the address that it names as its sender's.
+    /// Handles a received message. Responses go to the address of the sender that the message
+    /// names.
     pub fn on_message(&mut self, now: Time, message: Message) {
         self.step_down_without_contact(now);
         if message.from.identity != self.me.identity {
@@ -280,7 +286,7 @@
         }
     }
 
-    /// The item of this id, and all before it, are synced.
+    /// Handles the sync of this item and all items before it.
     pub fn on_persisted(&mut self, now: Time, write_id: WriteId) {
         self.step_down_without_contact(now);
         if self.disk.persisted(write_id) {
@@ -288,14 +294,15 @@
         }
     }
 
-    /// The item of this id could not be written or synced. Nothing that was to be written after it
-    /// may be written either; the next item will be a snapshot.
+    /// Handles a failed write or sync of this item. The caller must not write the items that follow
+    /// it; the next item to write is a snapshot.
     pub fn on_persist_failed(&mut self, now: Time, write_id: WriteId) {
         self.step_down_without_contact(now);
         self.disk_failed(now, write_id);
     }
 
-    /// Time has passed; call it at [`Self::next_wake`], earlier does no harm.
+    /// Handles the passage of time. The caller calls it at [`Self::next_wake`]; earlier calls are
+    /// harmless.
     pub fn tick(&mut self, now: Time) {
         self.step_down_without_contact(now);
         self.tick_disk(now);
@@ -306,7 +313,7 @@
         self.tick_leave(now);
     }
 
-    /// When [`Self::tick`] has something to do next.
+    /// Returns the time at which [`Self::tick`] must be called next.
     #[must_use]
     pub fn next_wake(&self) -> Time {
         let wakes = [
@@ -321,8 +328,8 @@
         wakes.into_iter().flatten().min().unwrap_or(Time(u64::MAX))
     }
 
-    /// Proposes a change of the state; changes are written one at a time, in order. Ends in one
-    /// [`Output::Completed`].
+    /// Proposes a change of the state. Changes are written one at a time, in order. Each call
+    /// causes one [`Output::Completed`].
     pub fn propose(&mut self, now: Time, change: Vec<u8>) -> RequestId {
         self.step_down_without_contact(now);
         let request = self.allocate_request_id();
@@ -336,8 +343,8 @@
         request
     }
 
-    /// Asks for the confirmation that this member is still primary, by a round that begins after this
-    /// call (Raft's `ReadIndex`). Ends in one [`Output::Completed`].
+    /// Requests confirmation that this member is still primary, by a round that begins after this
+    /// call (Raft's `ReadIndex`). Each call causes one [`Output::Completed`].
     pub fn confirm(&mut self, now: Time) -> RequestId {
         if !self.settings.faults.has(Fault::ConfirmFromMemory) {
             self.step_down_without_contact(now);
@@ -347,7 +354,7 @@
         request
     }
 
-    /// What is to be done, in order; empties the list.
+    /// Returns the pending outputs in order and clears the list.
     pub fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
@@ -373,7 +380,8 @@
         });
     }
 
-    /// What a vote says of the state here.
+    /// Returns the position and membership that this member reports with a vote; none on an empty
+    /// disk.
     fn version(&self) -> Option<ReplicaVersion> {
         let accepted = self.accepted.as_ref()?;
         Some(ReplicaVersion {
@@ -386,7 +394,7 @@
         self.accepted.as_ref().map(|accepted| accepted.position)
     }
 
-    /// Position of the committed state; the default if none is known.
+    /// Returns the position of the newest known committed state, or the default if none is known.
     fn committed_position(&self) -> Position {
         self.committed
             .as_ref()
@@ -394,7 +402,8 @@
             .unwrap_or_default()
     }
 
-    /// The primary whose epoch this member has promised, itself excluded.
+    /// Returns the known primary if its epoch is the one that this member has promised. It is never
+    /// this member.
     fn followed_primary(&self) -> Option<&KnownPrimary> {
         self.known_primary
             .as_ref()
@@ -415,7 +424,7 @@
         }
     }
 
-    /// A random number below `limit`, evenly distributed (splitmix64).
+    /// Returns a uniformly distributed random number below `limit` (splitmix64).
     fn random_below(&mut self, limit: u64) -> u64 {
         self.rng_state = self.rng_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.rng_state;
@@ -424,7 +433,7 @@
         (mixed ^ (mixed >> 31)) % limit.max(1)
     }
 
-    /// Whether the newest membership that this member has learned of gives it no vote.
+    /// Whether the newest membership that this member knows does not include it.
     fn is_non_voter(&self) -> bool {
         let Some(accepted) = &self.accepted else {
             return true;
@@ -437,7 +446,7 @@
 }
 
 impl<S: ReplicatedState> VersionedState<S> {
-    /// Takes one update; on an error nothing has changed.
+    /// Applies one update. On an error, the state is unchanged.
     fn apply(&mut self, position: Position, update: &Update) -> Result<(), StateError> {
         match update {
             Update::EpochStart => {}
--- a/decide/replication/src/replica/pre_vote.rs
+++ b/decide/replication/src/replica/pre_vote.rs
@@ -1,5 +1,5 @@
-//! The pre-vote: before a voter chooses an epoch, it asks whether it would get the votes. An epoch
-//! that nobody votes for would only unseat a primary that works.
+//! The pre-vote: before a voter chooses an epoch, it asks whether it would get the votes. A higher
+//! epoch without a majority of votes would only depose a working primary.
 
 use super::vote_count::VoteCount;
 use super::{Replica, Role};
@@ -7,7 +7,7 @@
 use crate::state::ReplicatedState;
 use crate::types::{Epoch, Member, Time};
 
-/// Before an epoch is chosen: who would vote for it.
+/// A pre-vote in progress, with the votes so far.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct PreVote {
     pub(super) epoch: Epoch,
@@ -39,7 +39,8 @@
         let Some(version) = self.version() else {
             return;
         };
-        // Not the counter: the epoch is chosen above all that the voters have promised.
+        // The epoch's counter is not checked: the candidate chooses an epoch above all that the
+        // voters report as promised.
         let would_grant = !self.follows_confirmed_primary(now) && self.is_writable(now);
         let response = Body::PreVoteResponse {
             epoch,
--- a/decide/replication/src/replica/primary.rs
+++ b/decide/replication/src/replica/primary.rs
@@ -1,4 +1,5 @@
-//! The primary: records, one in flight at a time, and which member has synced what.
+//! The primary's log of records, with one uncommitted record at a time, and the progress of its
+//! peers.
 
 use std::collections::BTreeSet;
 
@@ -12,17 +13,17 @@
 use crate::state::ReplicatedState;
 use crate::types::{Epoch, Identity, Member, Position, RequestId, Time};
 
-/// How the first record of a primary is written.
+/// The form in which a primary writes a record to its disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PersistAs {
-    /// By itself: what it follows is on disk.
+    /// As a record: the state that it follows is already on this disk.
     Record,
-    /// Within a snapshot, as the state that it follows came from another member.
+    /// As part of a snapshot: the state that it follows was received from another member.
     Snapshot,
 }
 
 impl<S: ReplicatedState> Replica<S> {
-    /// This candidate is elected, with this state.
+    /// Makes this candidate primary with the adopted state. `grants` is the number of votes.
     pub(super) fn become_primary(
         &mut self,
         now: Time,
@@ -52,7 +53,7 @@
         self.broadcast(now);
     }
 
-    /// Ends the role of primary or candidate, if this member has it.
+    /// Ends the role of candidate or primary, and completes the pending requests of a primary.
     pub(super) fn step_down(&mut self, now: Time, reason: StepDownReason) {
         let role = std::mem::replace(&mut self.role, Role::Follower);
         self.incoming = None;
@@ -75,7 +76,7 @@
         self.postpone_election(now);
     }
 
-    /// Makes the peers those that the membership names, and the learners.
+    /// Updates the peers to the members that the membership includes, and keeps the learners.
     fn refresh_peers(&mut self, now: Time) {
         let me = self.me.identity;
         let Some(accepted) = &self.accepted else {
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Writes a record that follows the accepted state. No other may be in flight.
+    /// Writes a record that follows the accepted state. No other record may be in flight.
     fn write(
         &mut self,
         now: Time,
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Writes what comes next, if nothing is in flight, and sends it.
+    /// Writes and broadcasts the next record, if no record is in flight.
     pub(super) fn write_next_and_broadcast(&mut self, now: Time) {
         if self.write_next_record(now) {
             self.broadcast(now);
@@ -149,8 +150,8 @@
         }
     }
 
-    /// Writes what comes next, if nothing is in flight: the end of a change of membership, the next
-    /// such change, or a change of the state. Returns whether a record is in flight by this.
+    /// Writes the next record, if none is in flight: the end of a change of membership, a new
+    /// change of membership, or a change of the state. Returns whether it wrote a record.
     fn write_next_record(&mut self, now: Time) -> bool {
         let Some(primary) = self.as_primary() else {
             return false;
@@ -176,7 +177,7 @@
         self.write_membership_change(now) || self.write_queued_change(now)
     }
 
-    /// Writes the first queued change that fits the state.
+    /// Writes the first queued change that applies to the state, and rejects those before it.
     fn write_queued_change(&mut self, now: Time) -> bool {
         while let Some((request, change)) = self
             .as_primary_mut()
@@ -218,7 +219,7 @@
         true
     }
 
-    /// Sends a heartbeat to all peers: a new round, with the records that each lacks.
+    /// Begins a new round: sends all peers a heartbeat, with the records that each is missing.
     pub(super) fn broadcast(&mut self, now: Time) {
         let interval_us = self.settings.heartbeat_interval_us;
         let Some(primary) = self.as_primary_mut() else {
@@ -304,7 +305,7 @@
         self.write_next_and_broadcast(now);
     }
 
-    /// Sends at once what a peer lacks that has just advanced.
+    /// Sends the missing records to a peer whose synced position has just advanced.
     fn send_missing_records(&mut self, now: Time, identity: Identity) {
         let head = self.accepted_position();
         let Some(primary) = self.as_primary_mut() else {
@@ -359,7 +360,7 @@
         self.try_commit(now);
     }
 
-    /// Reports that the record at the head is committed.
+    /// Marks the record at the head as committed and reports it.
     fn on_record_committed(&mut self, head: Position) {
         let membership = self.membership();
         let is_final = !membership.is_joint();
@@ -396,7 +397,7 @@
         membership.is_quorum(present) || commits_alone || is_half
     }
 
-    /// A member may have moved: what is sent to it goes to the address of its last message.
+    /// Sets the address of a peer to that of its last message, since its address may have changed.
     pub(super) fn update_peer_address(&mut self, from: &Member) {
         let Some(primary) = self.as_primary_mut() else {
             return;
@@ -406,7 +407,7 @@
         }
     }
 
-    /// A peer has sent something other than a response to a heartbeat.
+    /// Records contact with a peer through a message other than a response to a heartbeat.
     pub(super) fn on_peer_contact(&mut self, now: Time, identity: Identity, epoch: Epoch) {
         let Some(primary) = self
             .as_primary_mut()
--- a/decide/replication/src/replica/primary_state.rs
+++ b/decide/replication/src/replica/primary_state.rs
@@ -1,4 +1,4 @@
-//! What only a primary knows: its peers, the newest records, and what is in progress.
+//! The state of a primary: its peers, the newest records, and operations in progress.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -7,13 +7,13 @@
 use crate::message::ProcessInstant;
 use crate::types::{Epoch, Identity, Member, Position, RequestId, Time};
 
-/// Most records that are retained for members that lack only a few.
+/// Maximum number of records that are retained for peers that are missing only a few.
 const MAX_RETAINED_RECORDS: usize = 64;
-/// Most bytes of changes in the records of one message, beside the first record.
+/// Maximum size of the records in one message, in bytes. A single larger record is sent alone.
 const MAX_MESSAGE_BYTES: usize = 256 * 1024;
-/// Most bytes of changes in the records that are retained, beside the last record.
+/// Maximum size of the retained records, in bytes. The last record is retained whatever its size.
 const MAX_RETAINED_BYTES: usize = 4 * MAX_MESSAGE_BYTES;
-/// Size of a record beside its change, about.
+/// Approximate size of a record without its change, in bytes.
 const RECORD_OVERHEAD_BYTES: usize = 64;
 
 /// The state of a primary.
@@ -22,53 +22,53 @@
     pub(super) epoch: Epoch,
     pub(super) elected_at: Time,
     pub(super) peers: BTreeMap<Identity, Peer>,
-    /// The newest records of this epoch. Each follows the one before it; the last is the head.
+    /// The newest records of this epoch, consecutive. The last one is the head.
     recent_records: VecDeque<Record>,
-    /// The record at the head is not committed.
+    /// Whether the record at the head is not committed yet.
     pub(super) has_record_in_flight: bool,
-    /// The request that the record in flight is for.
+    /// The request whose change is in the record in flight.
     pub(super) in_flight_request: Option<RequestId>,
-    /// The first record is committed.
+    /// Whether the first record of the epoch is committed.
     pub(super) is_serving: bool,
-    /// Changes that wait to be written.
+    /// Changes that are not written yet.
     pub(super) queued_changes: VecDeque<(RequestId, Vec<u8>)>,
     pub(super) rounds: Rounds,
     pub(super) next_heartbeat_at: Time,
     pub(super) leadership_transfer: Option<LeadershipTransfer>,
-    /// Voters whose removal was rejected, and reported.
+    /// Voters whose removal was rejected and reported.
     pub(super) rejected_removals: BTreeSet<Identity>,
 }
 
-/// A voter or learner, as the primary knows it.
+/// A voter or learner, as known to the primary.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Peer {
     pub(super) member: Member,
     pub(super) role: PeerRole,
     pub(super) last_contact_at: Time,
-    /// Highest round that it confirmed.
+    /// Highest round that the peer has confirmed.
     pub(super) round: u64,
-    /// Position of its synced state, as it last reported.
+    /// Position of its synced state, from its responses.
     pub(super) synced: Option<Position>,
-    /// It has responded in this epoch.
+    /// Whether the peer has responded in this epoch.
     pub(super) has_responded: bool,
     pub(super) is_writable: bool,
     pub(super) is_leaving: bool,
-    /// The last record that was sent to it, and when.
+    /// Position of the last record that was sent to the peer, and the time of sending.
     pub(super) last_sent: Option<(Position, Time)>,
-    /// When it sent the response that arrived last.
+    /// Time at which the peer sent the last response that has arrived.
     pub(super) last_response_sent_at: Option<ProcessInstant>,
 }
 
-/// Whether a peer votes.
+/// The role of a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum PeerRole {
-    /// The membership names it.
+    /// The membership includes the peer.
     Voter,
-    /// It has asked to join, and is brought up to date.
+    /// The peer has asked to join, and the primary brings it up to date.
     Learner,
 }
 
-/// The content of a response to a heartbeat.
+/// The fields of a received [`crate::message::Body::AppendResponse`], without its epoch.
 pub(super) struct ReportedProgress {
     pub(super) round: u64,
     pub(super) synced: Option<Position>,
@@ -77,23 +77,23 @@
     pub(super) sent_at: ProcessInstant,
 }
 
-/// The primary has tried to hand the leadership to another voter.
+/// An attempt of the primary to transfer the leadership to another voter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct LeadershipTransfer {
-    /// The voter that it asked last; none if there is no suitable one.
+    /// The voter that was asked last; none if no voter is suitable.
     pub(super) to: Option<Member>,
     pub(super) next_attempt_at: Time,
 }
 
 impl LeadershipTransfer {
-    /// Whether a voter was asked: then no change is written.
+    /// Whether a voter was asked to take over. The primary then writes no changes.
     pub(super) fn is_in_progress(&self) -> bool {
         self.to.is_some()
     }
 }
 
 impl Peer {
-    /// A learner that has just made contact.
+    /// Creates a learner that has just made contact.
     pub(super) fn learner(member: Member, now: Time) -> Self {
         Self {
             member,
@@ -113,8 +113,8 @@
         self.role == PeerRole::Voter
     }
 
-    /// Takes the content of a response under `epoch`, to a round up to `current_round`. Returns
-    /// whether its state has advanced, or is now known.
+    /// Updates the peer from a response under `epoch`, to a round up to `current_round`. Returns
+    /// whether the response is the first in this epoch or its synced position has advanced.
     pub(super) fn update(
         &mut self,
         now: Time,
@@ -141,7 +141,8 @@
 }
 
 impl Primary {
-    /// A primary that was elected for this epoch, by votes that it requested at `votes_requested_at`.
+    /// Creates the state of a primary that was elected for this epoch by votes that it requested at
+    /// `votes_requested_at`.
     pub(super) fn new(epoch: Epoch, votes_requested_at: Time, now: Time) -> Self {
         Self {
             epoch,
@@ -159,10 +160,12 @@
         }
     }
 
-    /// The records to send to a peer, as many as fit a message; none if they are not retained.
+    /// Returns the records to send to a peer, as many as fit in one message, or none if they are
+    /// not retained.
     pub(super) fn records_for(&self, peer: &Peer) -> Option<Vec<Record>> {
         match (peer.has_responded, self.recent_records.front()) {
-            // At its beginning a primary assumes that the others have the state that it had.
+            // Before the first response, a new primary assumes that its peers have the state that
+            // it adopted.
             (false, Some(first)) if self.recent_records.len() == 1 => {
                 self.records_after(Some(first.previous))
             }
@@ -185,19 +188,19 @@
         Some(records.cloned().collect())
     }
 
-    /// Whether the record after this position is retained.
+    /// Whether the record that follows this position is retained.
     pub(super) fn has_record_after(&self, position: Position) -> bool {
         self.recent_records
             .iter()
             .any(|record| record.previous == position)
     }
 
-    /// The record at the head.
+    /// Returns the record at the head.
     pub(super) fn last_record(&self) -> Option<&Record> {
         self.recent_records.back()
     }
 
-    /// Retains a record, and forgets the oldest ones beyond the limits.
+    /// Retains a record and discards the oldest ones beyond the limits.
     pub(super) fn retain_record(&mut self, record: Record) {
         self.recent_records.push_back(record);
         while self.recent_records.len() > MAX_RETAINED_RECORDS
--- a/decide/replication/src/replica/queries.rs
+++ b/decide/replication/src/replica/queries.rs
@@ -1,4 +1,4 @@
-//! What a caller may ask without changing anything.
+//! Read-only queries of a replica.
 
 use super::primary_state::Peer;
 use super::{Replica, Role};
@@ -13,8 +13,8 @@
 };
 
 impl<S: ReplicatedState> Replica<S> {
-    /// The state that is known to be committed, and its position; none on an empty disk, and after a
-    /// start until a primary has made contact.
+    /// Returns the newest state that is known to be committed, with its position. Returns none on
+    /// an empty disk, and after a start until a primary has made contact.
     #[must_use]
     pub fn committed(&self) -> Option<(Position, &S)> {
         self.committed
@@ -22,7 +22,7 @@
             .map(|(position, state)| (*position, state))
     }
 
-    /// The membership of the accepted state; empty on an empty disk.
+    /// Returns the membership of the accepted state, which is empty on an empty disk.
     #[must_use]
     pub fn membership(&self) -> &Membership {
         self.accepted
@@ -30,20 +30,20 @@
             .map_or(&NO_MEMBERSHIP, |accepted| &accepted.membership)
     }
 
-    /// This member.
+    /// Returns the identity and address of this member.
     #[must_use]
     pub fn member(&self) -> &Member {
         &self.me
     }
 
-    /// Highest epoch that was promised.
+    /// Returns the highest epoch that this member has promised, synced or not.
     #[must_use]
     pub fn promised(&self) -> Epoch {
         self.promised
     }
 
-    /// Whether this member is in contact with a quorum: a primary, if one has confirmed it recently;
-    /// any other member, if its primary says so.
+    /// Whether this member has contact with a quorum. For a primary, a quorum must have confirmed
+    /// it within the contact timeout; other members rely on their primary's reports.
     #[must_use]
     pub fn in_contact(&self, now: Time) -> bool {
         let is_recent = |at: Time| now.since(at) < self.settings.contact_timeout_us;
@@ -55,9 +55,9 @@
             .is_some_and(is_recent)
     }
 
-    /// Whether what is committed here is what a confirmed primary has committed, but for
-    /// `max_commit_lag_us`. Contact alone is not enough: with a full disk, or a link that is cut one
-    /// way, a member falls behind that still receives heartbeats.
+    /// Whether this member's committed state is that of a primary with contact to a quorum, or has
+    /// been older for less than `max_commit_lag_us`. Contact alone is not enough: with a full disk,
+    /// or a link that fails in one direction, a member still receives heartbeats but falls behind.
     #[must_use]
     pub fn is_current(&self, now: Time) -> bool {
         let behind_since = self
@@ -69,7 +69,7 @@
         self.in_contact(now) && (self.as_primary().is_some() || !lags)
     }
 
-    /// The primary that this member knows, itself included.
+    /// Returns the primary that this member follows, or itself if it is primary.
     #[must_use]
     pub fn primary(&self) -> Option<&Member> {
         if self.as_primary().is_some() {
@@ -78,13 +78,13 @@
         self.followed_primary().map(|known| &known.member)
     }
 
-    /// Whether this is the primary, and its first record is committed.
+    /// Whether this member is primary and the first record of its epoch is committed.
     #[must_use]
     pub fn is_serving(&self) -> bool {
         self.as_primary().is_some_and(|primary| primary.is_serving)
     }
 
-    /// Whether no record is in flight and no change is queued.
+    /// Whether this member has no record in flight and no queued change. True if it is not primary.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.as_primary().is_none_or(|primary| {
@@ -92,8 +92,9 @@
         })
     }
 
-    /// Whether this is the serving primary of a group that is large enough to accept changes, or has
-    /// waited for others long enough, and no voter without a disk stands beside members with one.
+    /// Whether this member may accept changes: it is the serving primary, the group has its full
+    /// size or has waited for more voters long enough, and the group does not mix voters without a
+    /// disk and members with one.
     #[must_use]
     pub fn may_accept_changes(&self, now: Time) -> bool {
         let Some(primary) = self.as_primary().filter(|primary| primary.is_serving) else {
@@ -106,7 +107,7 @@
         (has_waited || has_full_size) && !self.has_diskless_voter_beside_durable()
     }
 
-    /// The status, for operators.
+    /// Returns a status report for operators.
     #[must_use]
     pub fn status(&self, now: Time) -> Status {
         Status {
--- a/decide/replication/src/replica/rounds.rs
+++ b/decide/replication/src/replica/rounds.rs
@@ -1,28 +1,28 @@
-//! The rounds of heartbeats of one primary: which were sent, which a quorum has confirmed, and which
-//! requests wait for one.
+//! The heartbeat rounds of one primary: the rounds sent, the last round that a quorum has
+//! confirmed, and the requests that wait for a confirmation.
 
 use std::collections::VecDeque;
 
 use crate::types::{RequestId, Time};
 
-/// Most rounds whose time of sending is remembered.
+/// Maximum number of unconfirmed rounds whose time of sending is stored.
 const MAX_REMEMBERED_ROUNDS: usize = 64;
 
-/// The rounds of one primary.
+/// The heartbeat rounds of one primary, numbered from 1.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct Rounds {
-    /// The last round that was sent.
+    /// Number of the last round that was sent; 0 before the first.
     pub(super) current: u64,
     sent_at: VecDeque<(u64, Time)>,
     confirmed: u64,
-    /// When the last round that a quorum confirmed was *sent*.
+    /// Time at which the last round that a quorum has confirmed was *sent*.
     pub(super) confirmed_at: Time,
-    /// Requests, each with the first round that counts for it.
+    /// Pending requests, each with the first round that may confirm it.
     pending: VecDeque<(RequestId, u64)>,
 }
 
 impl Rounds {
-    /// The rounds of a primary that requested its votes at `elected_at`.
+    /// Creates the rounds of a primary that requested its votes at `elected_at`.
     pub(super) fn new(elected_at: Time) -> Self {
         Self {
             confirmed_at: elected_at,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Begins the next round.
+    /// Begins the next round and stores its time of sending.
     pub(super) fn begin(&mut self, now: Time) {
         self.current += 1;
         self.sent_at.push_back((self.current, now));
@@ -39,12 +39,12 @@
         }
     }
 
-    /// Whether a round waits to be confirmed.
+    /// Whether the last round is not confirmed yet.
     pub(super) fn is_in_flight(&self) -> bool {
         self.confirmed < self.current
     }
 
-    /// A quorum has confirmed this round, and so all before it.
+    /// Records that a quorum has confirmed this round, and thereby all earlier rounds.
     pub(super) fn confirm(&mut self, round: u64) {
         if round <= self.confirmed {
             return;
@@ -61,12 +61,12 @@
         }
     }
 
-    /// Adds a request that waits for a round from `first_round` on.
+    /// Adds a request that is confirmed by `first_round` or a later round.
     pub(super) fn push_request(&mut self, request: RequestId, first_round: u64) {
         self.pending.push_back((request, first_round));
     }
 
-    /// Takes the first request, if its round is confirmed.
+    /// Removes and returns the first request, if a round that confirms it is confirmed.
     pub(super) fn pop_confirmed(&mut self) -> Option<RequestId> {
         let (request, first_round) = self.pending.front().copied()?;
         if first_round > self.confirmed {
@@ -76,12 +76,12 @@
         Some(request)
     }
 
-    /// Whether requests wait for a round.
+    /// Whether any request waits for a round.
     pub(super) fn has_pending(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Takes all requests, confirmed or not.
+    /// Removes and returns all requests, confirmed or not.
     pub(super) fn take_pending(&mut self) -> impl Iterator<Item = RequestId> {
         let pending = std::mem::take(&mut self.pending);
         pending.into_iter().map(|(request, _)| request)
--- a/decide/replication/src/replica/snapshot_transfer.rs
+++ b/decide/replication/src/replica/snapshot_transfer.rs
@@ -1,4 +1,4 @@
-//! Snapshots, sent in indexed chunks that the receiver requests.
+//! Transfer of snapshots in indexed chunks, which the receiver requests.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,9 +14,9 @@
 use crate::state::{ReplicatedState, StateError};
 use crate::types::{Epoch, Identity, Member, Position, Time};
 
-/// Chunks that are sent for one request.
+/// Number of chunks that are sent for one request.
 const CHUNK_WINDOW: u32 = 4;
-/// Most chunks of a snapshot: 128 MiB.
+/// Maximum number of chunks of a snapshot (128 MiB).
 const MAX_CHUNKS: u32 = 4096;
 
 /// A snapshot that is being received.
@@ -24,9 +24,10 @@
 pub(super) struct IncomingSnapshot {
     epoch: Epoch,
     source: Member,
-    /// Its position; none until the source has said which it sends.
+    /// Position of the snapshot; none until the first chunk from the source has arrived, unless a
+    /// certain position was requested.
     position: Option<Position>,
-    /// Only a snapshot of `position` will do.
+    /// Whether only a snapshot at `position` is accepted.
     is_exact: bool,
     chunk_count: u32,
     checksum: u32,
@@ -36,7 +37,7 @@
     requested_at: Time,
 }
 
-/// The snapshot that was last encoded for another member.
+/// The last snapshot that was encoded for another member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct CachedSnapshot {
     position: Position,
@@ -44,7 +45,7 @@
     checksum: u32,
 }
 
-/// The content of a snapshot that is sent.
+/// The content of a snapshot on the wire.
 #[derive(Archive, Serialize, Deserialize)]
 struct SnapshotContent {
     membership: Membership,
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Index of the first chunk that is lacking.
+    /// Returns the index of the first missing chunk.
     fn first_missing(&self) -> u32 {
         let mut index = 0;
         while self.chunks.contains_key(&index) {
@@ -75,7 +76,7 @@
         index
     }
 
-    /// Whether a chunk may belong to it.
+    /// Whether a chunk belongs to this snapshot, or to a newer one that may replace it.
     fn accepts(&self, from: &Member, chunk: &SnapshotChunk) -> bool {
         let is_expected = self.epoch == chunk.epoch && self.source.identity == from.identity;
         let is_valid = chunk.index < chunk.count
@@ -89,7 +90,8 @@
         is_expected && is_valid && !(is_other && is_unwanted)
     }
 
-    /// Adds a chunk that it accepts. One of a newer snapshot takes the place of all before it.
+    /// Adds a chunk that [`Self::accepts`] has accepted. A chunk of a newer snapshot discards the
+    /// chunks of the older one.
     fn insert(&mut self, chunk: SnapshotChunk) -> ChunkOutcome {
         if self.position != Some(chunk.position) || self.chunk_count == 0 {
             self.restart(&chunk);
@@ -120,20 +122,20 @@
     }
 }
 
-/// What became of a chunk.
+/// The result of adding a chunk.
 enum ChunkOutcome {
-    /// It is not of the snapshot that is being received.
+    /// The chunk does not match the snapshot that is being received.
     Ignored,
-    /// More chunks of this window are expected.
+    /// The chunk was added, and more chunks of its window are outstanding.
     Added,
-    /// All chunks that were requested have been received.
+    /// All requested chunks have been received, but the snapshot is not complete.
     WindowReceived,
-    /// It was the last one.
+    /// The snapshot is complete.
     Complete,
 }
 
 impl<S: ReplicatedState> Replica<S> {
-    /// Begins to receive a snapshot, or goes on if it is being received already.
+    /// Starts to receive a snapshot, unless the same transfer is already in progress.
     pub(super) fn fetch_snapshot(
         &mut self,
         now: Time,
@@ -202,8 +204,8 @@
             .is_some_and(|cached| Some(cached.position) == position);
         if !is_cached && !self.cached_snapshot_suffices() {
             let accepted = self.accepted_position();
-            // A candidate needs just the state that a vote named; a follower takes whichever the
-            // primary has.
+            // A candidate needs exactly the state that a vote named; a follower accepts any state
+            // of the primary.
             let is_primary = self.as_primary().is_some();
             if accepted.is_none() || (!is_primary && accepted != position) {
                 return;
@@ -218,9 +220,9 @@
         self.send_chunks(&from.address, epoch, &cached, first);
     }
 
-    /// Whether the snapshot that was encoded last helps a follower: the records after it are
-    /// retained. Else two followers that request one in turn, while changes go on, would make each
-    /// other begin anew.
+    /// Whether a follower can use the cached snapshot, because the records after it are retained.
+    /// Without this rule, two followers that request snapshots in turn during changes would each
+    /// make the other start again.
     fn cached_snapshot_suffices(&self) -> bool {
         let (Some(cached), Some(primary)) = (&self.cached_snapshot, self.as_primary()) else {
             return false;
@@ -329,7 +331,7 @@
     }
 }
 
-/// Why the chunks of a snapshot don't come to one.
+/// The reason why received chunks do not form a valid snapshot.
 #[derive(Debug, Error)]
 enum SnapshotError {
     #[error("the checksum of its {bytes} bytes differs")]
--- a/decide/replication/src/replica/vote_count.rs
+++ b/decide/replication/src/replica/vote_count.rs
@@ -1,5 +1,5 @@
-//! Counting of votes, the same in a pre-vote and in an election: whose votes have come, whom to ask
-//! next, and what the votes come to.
+//! Counting of votes in pre-votes and elections: which votes have been granted, which members to
+//! ask next, and the result.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,25 +11,25 @@
 use crate::state::ReplicatedState;
 use crate::types::{Epoch, Identity, Member, Position, Time};
 
-/// The members that voted, and the states that they have.
+/// The requested votes and the granted votes, with the voters' states.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct VoteCount {
     pub(super) requested: BTreeSet<Identity>,
     pub(super) granted: BTreeMap<Identity, (Member, ReplicaVersion)>,
 }
 
-/// What the votes come to.
+/// The result of a vote count.
 pub(super) enum VoteOutcome {
-    /// The newest state doesn't name the candidate as a voter.
+    /// The newest state, at this position, does not include the candidate as a voter.
     Excluded(Position),
-    /// Not yet a quorum of the membership of the newest state.
+    /// The votes are not yet a quorum of this membership, which is that of the newest state.
     Pending(Membership),
-    /// A quorum; the newest state has this position, and this member has it.
+    /// The votes are a quorum. The newest state has this position, and this member has it.
     Won(Position, Member),
 }
 
 impl VoteCount {
-    /// None before any vote was granted.
+    /// Evaluates the granted votes; returns none if there are none.
     pub(super) fn outcome(&self, me: Identity, faults: Faults) -> Option<VoteOutcome> {
         let order = |position: Position| {
             if faults.has(Fault::NewestByNumber) {
@@ -59,8 +59,8 @@
 }
 
 impl<S: ReplicatedState> Replica<S> {
-    /// Goes on as the votes of a pre-vote or of an election say: to the next step once a quorum has
-    /// granted them, else with requests to the members that were not asked yet.
+    /// Continues a pre-vote or election according to its votes: starts the next step if a quorum
+    /// has granted them, or sends requests to members that were not asked yet.
     pub(super) fn count_votes(&mut self, now: Time) {
         let Some((votes, request)) = self.vote_round() else {
             return;
@@ -73,7 +73,8 @@
         }
     }
 
-    /// The votes of the pre-vote or election that is under way, and the request for further ones.
+    /// Returns the votes of the pre-vote or election in progress, and the request to send for
+    /// further votes.
     fn vote_round(&self) -> Option<(&VoteCount, Body)> {
         match &self.role {
             Role::PreCandidate(pre_vote) => {
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Sends a request to those of a membership that have not got one yet.
+    /// Sends the request to all members of `membership` that have neither been asked nor voted.
     fn send_to_unasked(&mut self, membership: &Membership, request: &Body) {
         let votes = match &mut self.role {
             Role::PreCandidate(pre_vote) => &mut pre_vote.votes,
@@ -124,7 +125,8 @@
         }
     }
 
-    /// The newest state doesn't name this member: it asks to join instead.
+    /// Ends the candidacy because the newest state does not include this member, and asks to join
+    /// instead.
     pub(super) fn on_excluded(&mut self, now: Time, position: Position) {
         self.excluded_at = Some(position);
         self.role = Role::Follower;
--- a/decide/replication/src/replica/vote_grants.rs
+++ b/decide/replication/src/replica/vote_grants.rs
@@ -1,4 +1,4 @@
-//! The voters' part of an election: whether a vote is granted, and when it may be sent.
+//! The voters' part of an election: granting votes, and sending them once their promise is synced.
 
 use super::Replica;
 use crate::faults::Fault;
@@ -8,7 +8,7 @@
 use crate::state::ReplicatedState;
 use crate::types::{Epoch, Member, Position, Time};
 
-/// A vote that is sent once its promise is synced.
+/// A granted vote to send once its promise is synced.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct PendingGrant {
     to: String,
@@ -64,8 +64,7 @@
         self.version().or_else(|| empty_votes.then_some(empty))
     }
 
-    /// Sends the votes whose promise is synced; those of epochs that a later promise overtook are
-    /// dropped.
+    /// Sends the votes whose promise is synced. Drops the votes for epochs below the promised one.
     pub(super) fn send_pending_grants(&mut self) {
         let has_empty_disk = self.accepted.is_none();
         for grant in std::mem::take(&mut self.pending_grants) {
--- a/decide/replication/src/state.rs
+++ b/decide/replication/src/state.rs
@@ -1,38 +1,38 @@
-//! The caller's state machine, which changes only by [`ReplicatedState::apply`].
+//! The interface of the caller's state machine.
 
 use thiserror::Error;
 
-/// A state that every voter has a complete copy of.
+/// A state machine whose complete state is replicated to every voter.
 ///
-/// `apply` must be deterministic: two equal states and equal bytes give equal states, or both give
-/// an error.
+/// [`Self::apply`] must be deterministic: applied to equal states, equal bytes must give equal
+/// states or fail both times.
 pub trait ReplicatedState: Clone {
-    /// The whole state as bytes.
+    /// Returns the complete state as bytes.
     fn encode(&self) -> Vec<u8>;
-    /// The state that [`Self::encode`] wrote.
+    /// Decodes a state that [`Self::encode`] wrote.
     ///
     /// # Errors
-    /// The bytes are no state.
+    /// Returns an error if the bytes are not a valid state.
     fn decode(bytes: &[u8]) -> Result<Self, StateError>
     where
         Self: Sized;
-    /// Applies one change. On an error the state must be as before.
+    /// Applies one change. On an error, the state must remain unchanged.
     ///
     /// # Errors
-    /// The change doesn't fit the state.
+    /// Returns an error if the change is malformed or not valid for the current state.
     fn apply(&mut self, change: &[u8]) -> Result<(), StateError>;
 }
 
-/// Bytes that are no state, or a change that doesn't fit the state.
+/// An error for bytes that do not decode to a state, or for a change that cannot be applied.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Error)]
 #[error("{reason}")]
 pub struct StateError {
-    /// The reason, in words.
+    /// Human-readable description of the failure.
     pub reason: String,
 }
 
 impl StateError {
-    /// An error with this reason.
+    /// Creates an error with this reason.
     #[must_use]
     pub fn new(reason: impl Into<String>) -> Self {
         Self {
--- a/decide/replication/src/status.rs
+++ b/decide/replication/src/status.rs
@@ -1,68 +1,69 @@
-//! The status of a replica, for operators.
+//! The status report of a replica, for operators.
 
 use crate::membership::Membership;
 use crate::types::{Epoch, Identity, Member, Position};
 
-/// The role of a member.
+/// The role of a member in its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum MemberRole {
-    /// It has no vote: its disk is empty, or the membership doesn't name it.
+    /// The member has no vote, because its disk is empty or the membership does not include it.
     NonVoter,
-    /// It votes, and follows the primary.
+    /// The member votes and follows the primary.
     Voter,
-    /// It requests pre-votes or votes.
+    /// The member requests pre-votes or votes.
     Candidate,
-    /// It is the primary.
+    /// The member is the primary.
     Primary {
-        /// Whether its first record is committed.
+        /// Whether the primary has committed the first record of its epoch.
         serving: bool,
     },
 }
 
-/// The status of a replica.
+/// A status report of one replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
-    /// The member.
+    /// Identity and address of this member.
     pub member: Member,
-    /// Its role.
+    /// Role of this member.
     pub role: MemberRole,
-    /// Highest epoch it has promised.
+    /// Highest epoch that this member has promised.
     pub promised: Epoch,
-    /// The primary that it knows.
+    /// The primary that this member follows, or itself if it is primary.
     pub primary: Option<Member>,
-    /// Position of the state that it has accepted.
+    /// Position of the accepted state, which may not be synced yet.
     pub head: Position,
-    /// Position of the state that is synced on its disk.
+    /// Position of the state that is synced to disk; none on an empty disk.
     pub synced: Option<Position>,
-    /// Position of the state that it knows to be committed.
+    /// Position of the newest state that this member knows to be committed.
     pub committed: Option<Position>,
     /// The membership at `head`.
     pub membership: Membership,
-    /// Whether it is in contact with a quorum, itself or by its primary.
+    /// Whether this member has contact with a quorum, directly as primary or through its primary.
     pub in_contact: bool,
-    /// Whether its disk takes writes.
+    /// Whether the disk of this member accepts writes.
     pub is_writable: bool,
-    /// Whether it has asked to leave.
+    /// Whether this member is leaving the group.
     pub is_leaving: bool,
-    /// The voters and learners, as a primary sees them; empty elsewhere.
+    /// The voters and learners that this member knows as primary; empty in other roles.
     pub peers: Vec<PeerStatus>,
-    /// Why it is not serving, in a sentence; empty if it is.
+    /// Reason why this member is not serving requests, as a sentence; empty if it is serving.
     pub not_serving_reason: String,
 }
 
-/// A peer, as a primary sees it.
+/// The status of a peer, as known to the primary.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerStatus {
-    /// The peer.
+    /// Identity and latest known address of the peer.
     pub member: Member,
-    /// Whether it votes.
+    /// Whether the peer is a voter; otherwise it is a learner.
     pub is_voter: bool,
-    /// Time since its last message (microseconds).
+    /// Time since the last message of the peer, in microseconds.
     pub last_contact_age_us: u64,
-    /// Position of the state that is synced on its disk; none if it is not of this epoch.
+    /// Position of the state that is synced to its disk; none if that state is not of the current
+    /// epoch.
     pub synced: Option<Position>,
-    /// Whether it has asked to leave.
+    /// Whether the peer has asked to leave.
     pub is_leaving: bool,
-    /// The identity of `member`, for tables keyed by it.
+    /// Identity of `member`, as a key for tables.
     pub identity: Identity,
 }
--- a/decide/replication/src/types.rs
+++ b/decide/replication/src/types.rs
@@ -1,4 +1,4 @@
-//! Plain values that the whole package uses: times, identities, epochs, positions.
+//! Basic value types of the package: times, identities, epochs and positions.
 
 use std::fmt;
 
@@ -9,20 +9,21 @@
 pub struct Time(pub u64);
 
 impl Time {
-    /// The time that lies `microseconds` after this one.
+    /// Returns the time that is `microseconds` after this one.
     #[must_use]
     pub fn after(self, microseconds: u64) -> Time {
         Time(self.0.saturating_add(microseconds))
     }
 
-    /// Microseconds from `earlier` to this time; 0 if `earlier` is later.
+    /// Returns the microseconds from `earlier` to this time, or 0 if `earlier` is later.
     #[must_use]
     pub fn since(self, earlier: Time) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
 }
 
-/// Identity of a member; a random number that was chosen when its empty disk was first used, never 0.
+/// Identity of a member: a random number, never 0, that was chosen when its empty disk was first
+/// used.
 #[derive(
     Archive,
     Serialize,
@@ -46,20 +47,21 @@
     }
 }
 
-/// A member: a voter, or a learner that asks to become one.
+/// The identity and address of a voter or learner.
 #[derive(
     Archive, Serialize, Deserialize, Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash,
 )]
 #[rkyv(attr(allow(missing_docs)))]
 pub struct Member {
-    /// Its identity.
+    /// Identity that is stored on the member's disk.
     pub identity: Identity,
-    /// Where its peers reach it, `ip:port`.
+    /// Address at which peers reach the member, as `ip:port`.
     pub address: String,
 }
 
-/// The period of one primary (Raft's term, the view of Viewstamped Replication). Epochs are ordered;
-/// unlike a term, an epoch names its candidate, so no two candidates ever have the same one.
+/// A term of one primary (Raft's term, the view of Viewstamped Replication). Epochs are ordered.
+/// Unlike a Raft term, an epoch includes its candidate, so no two candidates can choose the same
+/// epoch.
 #[derive(
     Archive,
     Serialize,
@@ -76,9 +78,9 @@
 )]
 #[rkyv(attr(allow(missing_docs)))]
 pub struct Epoch {
-    /// Rises with every election.
+    /// Number that increases with every election.
     pub counter: u64,
-    /// The candidate whose epoch it is.
+    /// The candidate that chose the epoch.
     pub primary: Identity,
 }
 
@@ -88,7 +90,7 @@
     }
 }
 
-/// Position of a record; a later one compares greater.
+/// Position of a record. A later record has a greater position.
 #[derive(
     Archive,
     Serialize,
@@ -105,9 +107,9 @@
 )]
 #[rkyv(attr(allow(missing_docs)))]
 pub struct Position {
-    /// Epoch in which the record was written.
+    /// Epoch of the primary that wrote the record.
     pub epoch: Epoch,
-    /// Number of the record, one above that of the record before it.
+    /// Number of the record: one more than that of the previous record.
     pub number: u64,
 }
 
@@ -117,11 +119,11 @@
     }
 }
 
-/// Id of a call to [`crate::Replica::propose`] or [`crate::Replica::confirm`]; unique while the
-/// process runs.
+/// Id of a call to [`crate::Replica::propose`] or [`crate::Replica::confirm`], unique within the
+/// process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// Id of an item that is to be written to disk; rises with each.
+/// Id of an item to write to disk. Ids increase with each item.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WriteId(pub u64);
