--- a/decide/control/src/call.rs
+++ b/decide/control/src/call.rs
@@ -48,7 +48,7 @@
     /// What it requests.
     pub kind: CallKind,
     /// When it arrived at this machine.
-    pub arrived: Time,
+    pub arrived_at: Time,
 }
 
 /// A call with its response.
@@ -137,13 +137,13 @@
 impl<C, A> Call<C, A> {
     /// When it is given up unless it has been begun.
     pub fn begin_deadline(&self) -> Time {
-        self.arrived
+        self.arrived_at
             .after(BEGIN_TIMEOUT_US + self.body_size_allowance())
     }
 
     /// When it is given up unless the primary has responded.
     pub fn response_deadline(&self) -> Time {
-        self.arrived
+        self.arrived_at
             .after(RESPONSE_TIMEOUT_US + self.body_size_allowance())
     }
 
--- a/decide/control/src/call_dispatcher.rs
+++ b/decide/control/src/call_dispatcher.rs
@@ -1,7 +1,7 @@
 //! All calls at one machine: those that its own callers made, and those that it answers as primary.
 
 use crate::call::{Call, CallOrigin, CompletedCall};
-use crate::faults::PlantedFaults;
+use crate::faults::InjectedFaults;
 use crate::primary_calls::PrimaryCalls;
 use crate::relayed_calls::{PrimaryLocation, RelayAction, RelayedCalls};
 use crate::replicated_configuration::ConfigurationState;
@@ -37,12 +37,12 @@
     /// A dispatcher without calls. Calls that it forwards are numbered above `first_id`, which no
     /// earlier incarnation of the process used.
     pub fn new(first_id: u64) -> Self {
-        Self::with_faults(first_id, PlantedFaults::default())
+        Self::with_faults(first_id, InjectedFaults::default())
     }
 
     /// The same, with planted faults.
     #[doc(hidden)]
-    pub fn with_faults(first_id: u64, faults: PlantedFaults) -> Self {
+    pub fn with_faults(first_id: u64, faults: InjectedFaults) -> Self {
         Self {
             primary: PrimaryCalls::with_faults(faults),
             relayed: RelayedCalls::new(first_id),
@@ -52,15 +52,15 @@
 
     /// A call has arrived, from a caller or from another machine. A call that was relayed once is
     /// not relayed again: the machine that received it finds the primary.
-    pub fn take<S: ConfigurationState>(
+    pub fn submit<S: ConfigurationState>(
         &mut self,
         now: Time,
         call: Call<C, A>,
         replica: Option<&mut Replica<S>>,
     ) {
         match (&call.origin, replica.filter(|replica| replica.is_serving())) {
-            (CallOrigin::Caller(_), _) => self.relayed.take(call),
-            (CallOrigin::Peer { .. }, Some(replica)) => self.primary.take(now, call, replica),
+            (CallOrigin::Caller(_), _) => self.relayed.submit(call),
+            (CallOrigin::Peer { .. }, Some(replica)) => self.primary.submit(now, call, replica),
             (CallOrigin::Peer { .. }, None) => {
                 self.respond(CompletedCall::new(call, RelayedResponse::NotPrimary))
             }
@@ -102,7 +102,7 @@
         for action in self.relayed.take_actions() {
             match (action, &mut replica) {
                 (RelayAction::HandleLocally(call), Some(replica)) => {
-                    self.primary.take(now, call, replica)
+                    self.primary.submit(now, call, replica)
                 }
                 (RelayAction::HandleLocally(call), None) => self.relayed.requeue(now, call),
                 (RelayAction::Forward { to, id, call }, _) => {
--- a/decide/control/src/call_dispatcher/tests.rs
+++ b/decide/control/src/call_dispatcher/tests.rs
@@ -12,7 +12,7 @@
     Call {
         origin,
         kind: CallKind::Describe,
-        arrived: START,
+        arrived_at: START,
     }
 }
 
@@ -29,7 +29,7 @@
     for mut replica in [None, Some(outsider())] {
         let mut calls = CallDispatcher::new(0);
         let call = describe_call(CallOrigin::Peer { address: 2, id: 5 });
-        calls.take(START, call.clone(), replica.as_mut());
+        calls.submit(START, call.clone(), replica.as_mut());
         assert_eq!(
             calls.advance(START, &PrimaryLocation::Unknown, replica.as_mut()),
             [CallAction::Respond(CompletedCall {
@@ -46,7 +46,7 @@
 fn call_that_was_not_begun_is_forwarded_to_next_primary() {
     let mut replica = outsider();
     let mut calls = CallDispatcher::new(0);
-    calls.take(
+    calls.submit(
         START,
         describe_call(CallOrigin::Caller(1)),
         Some(&mut replica),
@@ -94,7 +94,7 @@
 #[test]
 fn call_completes_when_its_primary_disconnects() {
     let mut calls = CallDispatcher::new(0);
-    calls.take(
+    calls.submit(
         START,
         describe_call(CallOrigin::Caller(1)),
         None::<&mut Replica<ReplicatedConfiguration>>,
--- a/decide/control/src/configuration_pushes.rs
+++ b/decide/control/src/configuration_pushes.rs
@@ -46,12 +46,12 @@
         committed: Option<&CommittedConfiguration>,
         heartbeat: ControlToRouter,
     ) -> Vec<ControlToRouter> {
-        let configuration = committed.and_then(|committed| self.configuration(committed));
+        let configuration = committed.and_then(|committed| self.prepare_push(committed));
         configuration.into_iter().chain([heartbeat]).collect()
     }
 
     /// The push of a configuration, unless the router has applied it or was sent it.
-    pub fn configuration(&mut self, committed: &CommittedConfiguration) -> Option<ControlToRouter> {
+    pub fn prepare_push(&mut self, committed: &CommittedConfiguration) -> Option<ControlToRouter> {
         let is_applied = self
             .applied
             .is_some_and(|position| position >= committed.position);
@@ -63,7 +63,7 @@
             return None;
         }
         self.sent_version = Some(committed.version);
-        let push = self.next_number();
+        let push = self.next_push_number();
         let (position, document) = (committed.position, committed.document.to_vec());
         Some(ControlToRouter::Configuration {
             push,
@@ -78,12 +78,12 @@
     }
 
     /// The configuration that it has in force, as it last reported.
-    pub fn applied(&self) -> Option<ConfigurationPosition> {
+    pub fn applied_position(&self) -> Option<ConfigurationPosition> {
         self.applied
     }
 
     /// Counts a push and returns its number.
-    pub fn next_number(&mut self) -> u64 {
+    pub fn next_push_number(&mut self) -> u64 {
         self.last_push += 1;
         self.last_push
     }
--- a/decide/control/src/configuration_pushes/tests.rs
+++ b/decide/control/src/configuration_pushes/tests.rs
@@ -35,7 +35,7 @@
         [ControlToRouter::Configuration { push: 1, position, .. }, ControlToRouter::Heartbeat { in_contact: true, .. }]
             if *position == at(4)
     );
-    assert_eq!(pushes.next_number(), 2);
+    assert_eq!(pushes.next_push_number(), 2);
 }
 
 #[test]
@@ -46,15 +46,15 @@
         [ControlToRouter::Heartbeat { .. }]
     );
     assert_matches!(
-        pushes.configuration(&committed(4)),
+        pushes.prepare_push(&committed(4)),
         Some(ControlToRouter::Configuration { push: 1, .. })
     );
-    assert_matches!(pushes.configuration(&committed(4)), None);
+    assert_matches!(pushes.prepare_push(&committed(4)), None);
     pushes.on_applied(Some(at(5)));
-    assert_eq!(pushes.applied(), Some(at(5)));
-    assert_matches!(pushes.configuration(&committed(5)), None);
+    assert_eq!(pushes.applied_position(), Some(at(5)));
+    assert_matches!(pushes.prepare_push(&committed(5)), None);
     assert_matches!(
-        pushes.configuration(&committed(6)),
+        pushes.prepare_push(&committed(6)),
         Some(ControlToRouter::Configuration { push: 2, .. })
     );
 }
--- a/decide/control/src/faults.rs
+++ b/decide/control/src/faults.rs
@@ -2,9 +2,9 @@
 
 /// Planted faults in the handling of calls; all off outside tests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct PlantedFaults {
+pub struct InjectedFaults {
     /// A repeated order is recognised by its version number, not by its content.
-    pub known_by_number: bool,
+    pub recognizes_repeats_by_version: bool,
     /// The primary rejects orders by its committed state, without a confirmation round.
-    pub refusal_without_contact: bool,
+    pub rejects_without_confirmation: bool,
 }
--- a/decide/control/src/group_membership.rs
+++ b/decide/control/src/group_membership.rs
@@ -19,7 +19,7 @@
     Durable,
     /// Neither, but the first start names it as a seed: one machine has to found the group where
     /// none has a disk. It becomes a relay once a machine with a disk has connected.
-    StandIn,
+    Temporary,
     /// It forwards calls and holds no replicated state.
     Relay,
 }
@@ -76,8 +76,8 @@
     /// A machine with a disk has connected: from now on the state belongs on such machines, however
     /// long they are away. Guards against a vote for state that ends with this process, in a group
     /// that has disks.
-    pub fn on_durable_peer(&mut self, is_member: bool) {
-        if self.eligibility == Eligibility::StandIn && !is_member {
+    pub fn on_durable_peer_connected(&mut self, is_member: bool) {
+        if self.eligibility == Eligibility::Temporary && !is_member {
             self.eligibility = Eligibility::Relay;
         }
     }
@@ -86,10 +86,10 @@
     pub fn next_action(&mut self, now: Time, view: GroupView) -> Option<MembershipAction> {
         match (self.eligibility, view.is_member) {
             (Eligibility::Durable, false) => Some(MembershipAction::Join),
-            (Eligibility::StandIn, false) if now.since(self.started_at) > STAND_IN_WAIT_US => {
+            (Eligibility::Temporary, false) if now.since(self.started_at) > STAND_IN_WAIT_US => {
                 Some(MembershipAction::Join)
             }
-            (Eligibility::StandIn, true) => self.yield_to_durable_voters(now, view),
+            (Eligibility::Temporary, true) => self.yield_to_durable_voters(now, view),
             _ => None,
         }
     }
--- a/decide/control/src/group_membership/tests.rs
+++ b/decide/control/src/group_membership/tests.rs
@@ -32,13 +32,13 @@
 
 #[test]
 fn stand_in_joins_only_after_three_seconds_without_durable_peer() {
-    let mut membership = GroupMembership::new(Eligibility::StandIn, at(1), 1);
+    let mut membership = GroupMembership::new(Eligibility::Temporary, at(1), 1);
     assert_eq!(membership.next_action(at(4), NOT_MEMBER), None);
     assert_eq!(
         membership.next_action(Time(4 * SECOND + 1), NOT_MEMBER),
         Some(MembershipAction::Join)
     );
-    membership.on_durable_peer(false);
+    membership.on_durable_peer_connected(false);
     assert_eq!(
         (
             membership.next_action(at(100), NOT_MEMBER),
@@ -51,8 +51,8 @@
 #[test]
 fn stand_in_leaves_once_durable_voters_tolerate_required_losses() {
     for (fault_tolerance, required_voters) in [(1, 3), (2, 5)] {
-        let mut membership = GroupMembership::new(Eligibility::StandIn, at(1), fault_tolerance);
-        membership.on_durable_peer(true);
+        let mut membership = GroupMembership::new(Eligibility::Temporary, at(1), fault_tolerance);
+        membership.on_durable_peer_connected(true);
         assert_eq!(
             membership.next_action(at(2), member_beside(0)),
             None,
@@ -86,7 +86,7 @@
 
 #[test]
 fn stand_in_leaves_fewer_durable_voters_after_gathering_timeout() {
-    let mut membership = GroupMembership::new(Eligibility::StandIn, at(1), 2);
+    let mut membership = GroupMembership::new(Eligibility::Temporary, at(1), 2);
     assert_eq!(
         (
             membership.next_action(at(2), member_beside(1)),
--- a/decide/control/src/lib.rs
+++ b/decide/control/src/lib.rs
@@ -30,7 +30,7 @@
     configuration_position, CommittedConfiguration, ConfigurationPushes,
 };
 #[doc(hidden)]
-pub use faults::PlantedFaults;
+pub use faults::InjectedFaults;
 pub use group_membership::{Eligibility, GroupMembership, GroupView, MembershipAction};
 pub use primary_calls::{describe_configuration, PrimaryCalls};
 pub use rejected_orders::{RejectedOrder, RejectedOrders};
--- a/decide/control/src/primary_calls.rs
+++ b/decide/control/src/primary_calls.rs
@@ -8,7 +8,7 @@
 use crate::call::{
     accepted_response, error_response, success_response, Call, CallKind, CompletedCall,
 };
-use crate::faults::PlantedFaults;
+use crate::faults::InjectedFaults;
 use crate::rejected_orders::RejectedOrder;
 use crate::replicated_configuration::ConfigurationState;
 use lichenswitch_configuration::{evaluate, Document, Order, Verdict};
@@ -42,19 +42,19 @@
     in_progress: Option<OrderInProgress<C, A>>,
     reads: Vec<(RequestId, Call<C, A>)>,
     completed: Vec<CompletedCall<C, A>>,
-    faults: PlantedFaults,
+    faults: InjectedFaults,
 }
 
 impl<C, A> Default for PrimaryCalls<C, A> {
     fn default() -> Self {
-        Self::with_faults(PlantedFaults::default())
+        Self::with_faults(InjectedFaults::default())
     }
 }
 
 impl<C, A> PrimaryCalls<C, A> {
     /// Without calls, with planted faults.
     #[doc(hidden)]
-    pub fn with_faults(faults: PlantedFaults) -> Self {
+    pub fn with_faults(faults: InjectedFaults) -> Self {
         Self {
             queued: VecDeque::new(),
             queued_bytes: 0,
@@ -66,7 +66,7 @@
     }
 
     /// A call has arrived.
-    pub fn take<S: ConfigurationState>(
+    pub fn submit<S: ConfigurationState>(
         &mut self,
         now: Time,
         call: Call<C, A>,
@@ -128,7 +128,7 @@
             Verdict::Change(change) => {
                 (JudgementStep::AwaitingCommit, replica.propose(now, change))
             }
-            Verdict::VersionConflict { current } if self.faults.refusal_without_contact => {
+            Verdict::VersionConflict { current } if self.faults.rejects_without_confirmation => {
                 return self.reject(now, call, 412, conflict(current));
             }
             // Another primary may have committed something since: the verdict stands only after a
@@ -237,7 +237,7 @@
             status,
             base_version,
             reason,
-            at: now,
+            rejected_at: now,
         });
         self.completed.push(CompletedCall {
             call,
@@ -254,7 +254,7 @@
     ) -> Option<Verdict> {
         let (_, state) = replica.committed()?;
         let (state, order) = (state.as_ref(), call.kind.as_order()?);
-        if self.faults.known_by_number && version_of(order) == state.version() {
+        if self.faults.recognizes_repeats_by_version && version_of(order) == state.version() {
             return Some(Verdict::AlreadyApplied);
         }
         Some(evaluate(state, order))
--- a/decide/control/src/primary_calls/tests.rs
+++ b/decide/control/src/primary_calls/tests.rs
@@ -91,9 +91,9 @@
         let call = Call {
             origin: CallOrigin::Peer { address: 2, id: 1 },
             kind,
-            arrived: self.now,
+            arrived_at: self.now,
         };
-        self.calls.take(self.now, call, &mut self.replica);
+        self.calls.submit(self.now, call, &mut self.replica);
     }
 
     fn order(&mut self, base_version: u64, version: u64, host: &str) {
--- a/decide/control/src/rejected_orders.rs
+++ b/decide/control/src/rejected_orders.rs
@@ -16,7 +16,7 @@
     /// Why it was rejected, in a sentence.
     pub reason: String,
     /// When it was rejected.
-    pub at: Time,
+    pub rejected_at: Time,
 }
 
 /// The orders that were rejected last.
--- a/decide/control/src/relayed_calls.rs
+++ b/decide/control/src/relayed_calls.rs
@@ -82,7 +82,7 @@
     }
 
     /// A call has arrived from a caller.
-    pub fn take(&mut self, call: Call<C, A>) {
+    pub fn submit(&mut self, call: Call<C, A>) {
         let bytes: usize = self
             .queued
             .iter()
@@ -93,7 +93,7 @@
         {
             return self.respond(call, error_response(503, "too many calls are under way"));
         }
-        let not_before = call.arrived;
+        let not_before = call.arrived_at;
         self.queued.push(QueuedCall { call, not_before });
     }
 
@@ -112,7 +112,7 @@
             let is_ready = queued.not_before <= now;
             if is_ready {
                 // The delay is over: the primary that is awaited now wakes the machine by itself.
-                queued.not_before = queued.call.arrived;
+                queued.not_before = queued.call.arrived_at;
             }
             match primary {
                 _ if queued.call.begin_deadline() <= now => {
@@ -212,7 +212,7 @@
 impl<C, A> QueuedCall<C, A> {
     fn next_wake(&self) -> Time {
         // A call whose delay is over waits for a primary to appear, which wakes the machine by itself.
-        let is_delayed = self.not_before > self.call.arrived;
+        let is_delayed = self.not_before > self.call.arrived_at;
         let begin_deadline = self.call.begin_deadline();
         if is_delayed {
             begin_deadline.min(self.not_before)
--- a/decide/control/src/relayed_calls/tests.rs
+++ b/decide/control/src/relayed_calls/tests.rs
@@ -20,7 +20,7 @@
     number
 }
 
-fn order_call(arrived: Time) -> Call {
+fn order_call(arrived_at: Time) -> Call {
     let order = Order {
         path: REPLACE_PATH.to_owned(),
         base_version: 3,
@@ -44,7 +44,7 @@
         address: peer(9),
         id: origin_id,
     };
-    calls.take(Call {
+    calls.submit(Call {
         origin,
         ..order_call(now)
     });
@@ -77,7 +77,7 @@
     calls.take_actions().into_iter().map(origin_id).collect()
 }
 
-fn describe_call(arrived: Time) -> Call {
+fn describe_call(arrived_at: Time) -> Call {
     Call {
         kind: CallKind::Describe,
         ..order_call(arrived)
@@ -93,7 +93,7 @@
 #[test]
 fn call_waits_for_primary_and_returns_its_response() {
     let mut calls = RelayedCalls::new(0);
-    calls.take(order_call(at(0)));
+    calls.submit(order_call(at(0)));
     calls.advance(at(0), &PrimaryLocation::Unknown);
     assert!(calls.take_actions().is_empty());
     calls.advance(at(300), &PrimaryLocation::Remote(peer(1)));
@@ -130,7 +130,7 @@
 #[test]
 fn call_without_primary_completes_as_not_primary_after_650_ms() {
     let mut calls = RelayedCalls::new(0);
-    calls.take(order_call(at(0)));
+    calls.submit(order_call(at(0)));
     assert_eq!(calls.next_wake(), Some(at(650)));
     calls.advance(at(649), &PrimaryLocation::Unknown);
     assert!(calls.take_actions().is_empty());
@@ -148,8 +148,8 @@
 fn lost_forwarded_order_is_unknown_and_lost_read_is_not_primary() {
     for lost in [false, true] {
         let mut calls = RelayedCalls::new(0);
-        calls.take(order_call(at(0)));
-        calls.take(describe_call(at(0)));
+        calls.submit(order_call(at(0)));
+        calls.submit(describe_call(at(0)));
         calls.advance(at(0), &PrimaryLocation::Remote(peer(1)));
         assert_eq!(calls.take_actions().len(), 2);
         match lost {
@@ -174,7 +174,7 @@
 #[test]
 fn returned_call_is_forwarded_again_after_delay() {
     let mut calls = RelayedCalls::new(0);
-    calls.take(order_call(at(0)));
+    calls.submit(order_call(at(0)));
     calls.advance(at(0), &PrimaryLocation::Remote(peer(1)));
     let (_, id) = next_forwarded(&mut calls);
     calls.on_response(at(10), &peer(1), id, RelayedResponse::NotPrimary);
@@ -188,9 +188,9 @@
 #[test]
 fn calls_beyond_limit_get_503() {
     let mut calls = RelayedCalls::new(0);
-    (0..MAX_CALLS).for_each(|_| calls.take(describe_call(at(0))));
+    (0..MAX_CALLS).for_each(|_| calls.submit(describe_call(at(0))));
     assert!(calls.take_actions().is_empty());
-    calls.take(describe_call(at(0)));
+    calls.submit(describe_call(at(0)));
     assert_matches!(
         &calls.take_actions()[..],
         [RelayAction::Respond(CompletedCall {
@@ -203,8 +203,8 @@
 #[test]
 fn returned_call_never_sets_wake_in_past() {
     let mut calls = RelayedCalls::new(0);
-    calls.take(order_call(at(0)));
-    calls.take(describe_call(at(40)));
+    calls.submit(order_call(at(0)));
+    calls.submit(describe_call(at(40)));
     calls.advance(at(40), &PrimaryLocation::Remote(peer(1)));
     let forwarded: Vec<u64> = calls
         .take_actions()
@@ -242,7 +242,7 @@
     ];
     for first in 0..primaries.len() {
         let mut calls = RelayedCalls::new(0);
-        (0..5).for_each(|n| calls.take(order_call(at(30 * n))));
+        (0..5).for_each(|n| calls.submit(order_call(at(30 * n))));
         let mut now = at(150);
         for turn in 0..200 {
             calls.advance(now, &primaries[(first + turn) % primaries.len()]);
--- a/decide/registry/src/heartbeat.rs
+++ b/decide/registry/src/heartbeat.rs
@@ -94,7 +94,7 @@
 
     /// The record of the instance that sent it.
     #[must_use]
-    pub fn record(&self, instance: &str) -> ServerRecord {
+    pub fn to_record(&self, instance: &str) -> ServerRecord {
         ServerRecord {
             instance: instance.to_owned(),
             service: self.service.clone(),
--- a/decide/registry/src/heartbeat/tests.rs
+++ b/decide/registry/src/heartbeat/tests.rs
@@ -30,7 +30,7 @@
         sequence_number: 4,
     };
     assert_eq!(heartbeat, expected);
-    let record = heartbeat.record("i-1");
+    let record = heartbeat.to_record("i-1");
     assert_eq!(
         (
             record.instance.as_str(),
--- a/decide/registry/src/membership_leases.rs
+++ b/decide/registry/src/membership_leases.rs
@@ -55,7 +55,7 @@
     }
 
     /// A process has left; returns whether it was a member.
-    pub fn on_departed(&mut self, process: u64) -> bool {
+    pub fn on_leave(&mut self, process: u64) -> bool {
         self.by_process.remove(&process).is_some()
     }
 
--- a/decide/registry/src/membership_leases/tests.rs
+++ b/decide/registry/src/membership_leases/tests.rs
@@ -41,8 +41,8 @@
 fn member_leaves_once() {
     let mut members = MembershipLeases::new(LEASE);
     members.on_renewal(Time(0), 1, "n1", "z");
-    assert!(members.on_departed(1));
-    assert!(!members.on_departed(1));
+    assert!(members.on_leave(1));
+    assert!(!members.on_leave(1));
     assert_eq!(members.count(), 0);
 }
 
--- a/decide/registry/src/table.rs
+++ b/decide/registry/src/table.rs
@@ -62,14 +62,14 @@
     }
 
     /// Replaces the interval of heartbeats.
-    pub fn set_interval(&mut self, heartbeat_interval: Micros) {
+    pub fn set_heartbeat_interval(&mut self, heartbeat_interval: Micros) {
         self.heartbeat_interval = heartbeat_interval.max(1);
     }
 
     /// A heartbeat has come here. One that is delayed, or of an instance that is gone, changes
     /// nothing.
     pub fn on_heartbeat(&mut self, now: Time, instance: &str, heartbeat: &Heartbeat) -> Changes {
-        let update = heartbeat.record(instance);
+        let update = heartbeat.to_record(instance);
         let is_current = self
             .entries
             .get(instance)
@@ -213,7 +213,7 @@
     }
 
     /// Servers that are not gone, in no order.
-    pub fn live(&self) -> impl Iterator<Item = &ServerRecord> {
+    pub fn live_servers(&self) -> impl Iterator<Item = &ServerRecord> {
         self.entries
             .values()
             .filter(|entry| entry.is_live())
--- a/decide/registry/src/table/tests/address_conflicts.rs
+++ b/decide/registry/src/table/tests/address_conflicts.rs
@@ -72,7 +72,7 @@
 fn old_instance_without_heartbeats_ends_when_new_one_is_known_by_merge() {
     let mut table = table();
     table.on_heartbeat(START, "old", &heartbeat("a:1", 9));
-    table.merge(START.plus(500 * MS), &heartbeat("a:1", 1).record("new"));
+    table.merge(START.plus(500 * MS), &heartbeat("a:1", 1).to_record("new"));
     assert_eq!(state_of(&table, "old"), Some(ServerState::Ready));
     let mut changes = Changes::default();
     for tenth in 6..40 {
@@ -87,8 +87,8 @@
 #[test]
 fn two_instances_without_heartbeats_at_one_address_both_stay() {
     let mut table = table();
-    table.merge(START, &heartbeat("a:1", 9).record("one"));
-    table.merge(START, &heartbeat("a:1", 9).record("other"));
+    table.merge(START, &heartbeat("a:1", 9).to_record("one"));
+    table.merge(START, &heartbeat("a:1", 9).to_record("other"));
     tick_until(&mut table, START.plus(30 * SECOND));
-    assert_eq!(table.live().count(), 2);
+    assert_eq!(table.live_servers().count(), 2);
 }
--- a/decide/registry/src/table/tests/digests.rs
+++ b/decide/registry/src/table/tests/digests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn heartbeat_at_another_machine_renews_timeout() {
     let mut table = table();
-    table.merge(START, &heartbeat("a:1", 1).record("i"));
+    table.merge(START, &heartbeat("a:1", 1).to_record("i"));
     tick_until(&mut table, START.plus(4 * SECOND));
     assert!(table
         .merge_heartbeat_digest(
@@ -45,7 +45,7 @@
     let mut table = table();
     table.on_heartbeat(START, "i", &heartbeat("a:1", 1));
     table.on_heartbeat(START.plus(100 * MS), "j", &heartbeat("a:2", 1));
-    table.merge(START, &heartbeat("a:3", 1).record("k"));
+    table.merge(START, &heartbeat("a:3", 1).to_record("k"));
     let digest = table.take_heartbeat_digest(START.plus(400 * MS));
     assert_eq!(digest, [heartbeat_age("i", 400), heartbeat_age("j", 300)]);
     assert!(table.take_heartbeat_digest(START.plus(800 * MS)).is_empty());
--- a/decide/registry/src/table/tests/heartbeats.rs
+++ b/decide/registry/src/table/tests/heartbeats.rs
@@ -11,7 +11,7 @@
     let changes = table.on_heartbeat(START, "i", &heartbeat("a:1", 1));
     assert_eq!(
         changes.updates_for_peers(),
-        [heartbeat("a:1", 1).record("i")]
+        [heartbeat("a:1", 1).to_record("i")]
     );
     assert!(table
         .on_heartbeat(START.plus(SECOND), "i", &heartbeat("a:1", 2))
@@ -85,7 +85,7 @@
             .is_empty());
     }
     assert!(table
-        .merge(START, &heartbeat("a:1", 200).record("i"))
+        .merge(START, &heartbeat("a:1", 200).to_record("i"))
         .is_empty());
     assert!(table.on_deregister(START, "i").is_empty());
     assert_eq!(table.record("i"), Some(&tombstone("i")));
@@ -109,7 +109,7 @@
     assert!(table
         .on_heartbeat(START, "never-heard", &heartbeat("a:2", 5))
         .is_empty());
-    assert_eq!(table.live().count(), 0);
+    assert_eq!(table.live_servers().count(), 0);
 }
 
 #[test]
--- a/decide/registry/src/table/tests/merging.rs
+++ b/decide/registry/src/table/tests/merging.rs
@@ -21,15 +21,18 @@
     empty.on_heartbeat(START.plus(SECOND), "own", &heartbeat("a:own", 1));
     let changes = empty.merge_all(START.plus(SECOND), &full.snapshot(START.plus(SECOND)));
     assert_eq!(
-        (changes.updates_for_peers().len(), empty.live().count()),
+        (
+            changes.updates_for_peers().len(),
+            empty.live_servers().count()
+        ),
         (50, 50)
     );
     assert!(full.merge_all(START.plus(SECOND), &[]).is_empty());
-    assert_eq!(full.live().count(), 49);
+    assert_eq!(full.live_servers().count(), 49);
     let back = full.merge_all(START.plus(SECOND), &empty.snapshot(START.plus(SECOND)));
     assert_eq!(
         back.updates_for_peers(),
-        [heartbeat("a:own", 1).record("own")]
+        [heartbeat("a:own", 1).to_record("own")]
     );
     assert_eq!(
         full.snapshot(START.plus(SECOND)),
--- a/decide/registry/src/table/tests/restored_records.rs
+++ b/decide/registry/src/table/tests/restored_records.rs
@@ -30,7 +30,7 @@
         Some(ServerState::Gone),
         "a gone instance stays gone"
     );
-    assert_eq!(after.live().count(), 2);
+    assert_eq!(after.live_servers().count(), 2);
     let heartbeat_changes = after.on_heartbeat(START.plus(SECOND), "a", &heartbeat("h:1", 8));
     assert_eq!(
         (
@@ -52,7 +52,7 @@
     let mut after = table();
     let record = ServerRecord {
         is_suspect: true,
-        ..heartbeat("h:1", 7).record("a")
+        ..heartbeat("h:1", 7).to_record("a")
     };
     after.restore_cached(START, &[record]);
     assert!(is_suspect(&after, "a"));
@@ -87,8 +87,8 @@
     after.restore_cached(
         START,
         &[
-            heartbeat("h:1", 7).record("a"),
-            heartbeat("h:2", 7).record("b"),
+            heartbeat("h:1", 7).to_record("a"),
+            heartbeat("h:2", 7).to_record("b"),
         ],
     );
     assert!(after.snapshot(START).is_empty());
@@ -106,7 +106,7 @@
 #[test]
 fn restored_server_without_heartbeats_is_dropped() {
     let mut after = table();
-    let record = heartbeat("h:1", 7).record("a");
+    let record = heartbeat("h:1", 7).to_record("a");
     after.restore_cached(START, &[record]);
     let changes = tick_until(&mut after, START.plus(61 * SECOND));
     assert_eq!(changes.expired, ["a"]);
@@ -121,7 +121,7 @@
     after.restore_cached(START, &before.snapshot(START));
     after.on_heartbeat(START.plus(SECOND), "a", &heartbeat("h:1", 6));
     assert_eq!(state_of(&after, "a"), Some(ServerState::Gone));
-    assert_eq!(after.live().count(), 0);
+    assert_eq!(after.live_servers().count(), 0);
     // It is dropped in the end, as any other.
     tick_until(&mut after, START.plus(130 * SECOND));
     assert_eq!(state_of(&after, "a"), None);
@@ -129,9 +129,9 @@
 
 #[test]
 fn restored_tombstone_replaces_an_older_record() {
-    for leaving in [draining("h:1", 9).record("a"), tombstone("a")] {
+    for leaving in [draining("h:1", 9).to_record("a"), tombstone("a")] {
         let mut after = table();
-        after.restore_cached(START, &[heartbeat("h:1", 7).record("a")]);
+        after.restore_cached(START, &[heartbeat("h:1", 7).to_record("a")]);
         let restored = after.restore_cached(START, std::slice::from_ref(&leaving));
         assert_eq!(
             restored.records,
--- a/decide/registry/src/table/tests/timeouts.rs
+++ b/decide/registry/src/table/tests/timeouts.rs
@@ -50,10 +50,10 @@
     table.merge_all(
         START,
         &[
-            heartbeat("a:1", 1).record("i"),
+            heartbeat("a:1", 1).to_record("i"),
             ServerRecord {
                 is_suspect: true,
-                ..heartbeat("a:2", 1).record("j")
+                ..heartbeat("a:2", 1).to_record("j")
             },
         ],
     );
@@ -130,6 +130,6 @@
     assert_eq!(table.next_wake(), START.plus(250 * MS));
     table.tick(START.plus(300 * MS));
     assert_eq!(table.next_wake(), START.plus(550 * MS));
-    table.set_interval(2 * SECOND);
+    table.set_heartbeat_interval(2 * SECOND);
     assert_eq!(table.next_wake(), START.plus(800 * MS));
 }
--- a/fleet/src/control/call_handler.rs
+++ b/fleet/src/control/call_handler.rs
@@ -68,7 +68,7 @@
             status: 400,
             base_version,
             reason,
-            at: to_replica_time(now),
+            rejected_at: to_replica_time(now),
         });
         response
     }
@@ -109,12 +109,12 @@
     fn dispatch_call(&mut self, origin: CallOrigin, kind: CallKind, now: Time) {
         let now = to_replica_time(now);
         let replica = self.group.as_mut().map(|group| &mut group.replica);
-        self.calls.take(
+        self.calls.submit(
             now,
             Call {
                 origin,
                 kind,
-                arrived: now,
+                arrived_at: now,
             },
             replica,
         );
@@ -189,7 +189,7 @@
                 self.acknowledged.on_acknowledged(now, version);
             }
             CallKind::Describe => {
-                let is_recent_enough = self.acknowledged.allows_read(call.arrived, version);
+                let is_recent_enough = self.acknowledged.allows_read(call.arrived_at, version);
                 invariants::check(is_recent_enough, Invariant::AcknowledgedConfigurationIsRead);
             }
             CallKind::Status => {}
--- a/fleet/src/control/eligibility.rs
+++ b/fleet/src/control/eligibility.rs
@@ -9,7 +9,7 @@
     let is_seed = address.is_some_and(|address| settings.seed_nodes.contains(&address));
     match settings.data_directory.is_some() || settings.is_loss_counted {
         true => Eligibility::Durable,
-        false if settings.is_first_start && is_seed => Eligibility::StandIn,
+        false if settings.is_first_start && is_seed => Eligibility::Temporary,
         false => Eligibility::Relay,
     }
 }
@@ -18,7 +18,7 @@
 pub(super) fn should_join_at_start(eligibility: Eligibility, settings: &Settings) -> bool {
     match eligibility {
         Eligibility::Durable => true,
-        Eligibility::StandIn => is_founder(settings),
+        Eligibility::Temporary => is_founder(settings),
         Eligibility::Relay => false,
     }
 }
--- a/fleet/src/control/peer_handler.rs
+++ b/fleet/src/control/peer_handler.rs
@@ -49,7 +49,8 @@
         let was_connected = self.peers.connection(address).is_some();
         let node = handshake.node.clone();
         if handshake.is_eligible {
-            self.group_membership.on_durable_peer(self.group.is_some());
+            self.group_membership
+                .on_durable_peer_connected(self.group.is_some());
         }
         let replaced = self.peers.on_handshake(address, id, handshake, now);
         self.update_diskless_members();
--- a/fleet/src/control/router_table.rs
+++ b/fleet/src/control/router_table.rs
@@ -148,7 +148,7 @@
         committed: &CommittedConfiguration,
     ) -> Vec<RouterMessage> {
         let push = |(id, router): (&ConnId, &mut Router)| {
-            Some((*id, router.pushes.configuration(committed)?))
+            Some((*id, router.pushes.prepare_push(committed)?))
         };
         self.connected.iter_mut().filter_map(push).collect()
     }
@@ -179,7 +179,10 @@
         }
         let last = chunks.len() - 1;
         let message = |(index, chunk): (usize, &[ServerRecord])| {
-            let (push, is_complete) = (router.pushes.next_number(), is_complete && index == last);
+            let (push, is_complete) = (
+                router.pushes.next_push_number(),
+                is_complete && index == last,
+            );
             (
                 id,
                 ControlToRouter::Servers {
@@ -196,6 +199,6 @@
 impl Router {
     /// The configuration that it has in force, as it last reported.
     pub(super) fn configuration(&self) -> Option<ConfigurationPosition> {
-        self.pushes.applied()
+        self.pushes.applied_position()
     }
 }
--- a/fleet/src/control/server_table.rs
+++ b/fleet/src/control/server_table.rs
@@ -110,7 +110,7 @@
 
     /// The settings were read again.
     pub(super) fn on_settings(&mut self, settings: &Settings) {
-        self.registry.set_interval(interval(settings));
+        self.registry.set_heartbeat_interval(interval(settings));
     }
 
     /// Whether this machine knows enough to accept heartbeats. Until then the absence of a server
--- a/fleet/src/control/status.rs
+++ b/fleet/src/control/status.rs
@@ -131,7 +131,7 @@
         status: rejection.status,
         base_version: rejection.base_version,
         reason: rejection.reason.clone(),
-        ms_ago: ms_ago(from_replica_time(rejection.at)),
+        ms_ago: ms_ago(from_replica_time(rejection.rejected_at)),
     });
     let status = NodeStatus {
         node: node.settings.node_name.clone(),
@@ -222,7 +222,7 @@
 
 fn servers(node: &ControlNode) -> BTreeMap<String, u64> {
     let mut by_state = BTreeMap::new();
-    for server in node.servers.registry().live() {
+    for server in node.servers.registry().live_servers() {
         let state = match (server.state, server.is_suspect) {
             (ServerState::Ready, false) => "ready",
             (ServerState::Ready, true) => "ready, unheard",
--- a/simulator/src/control/calls.rs
+++ b/simulator/src/control/calls.rs
@@ -57,9 +57,9 @@
         let call = Call {
             origin,
             kind,
-            arrived: now,
+            arrived_at: now,
         };
-        self.calls.take(now, call, Some(&mut self.replica));
+        self.calls.submit(now, call, Some(&mut self.replica));
     }
 
     /// The response by which a planted fault answers from the committed state of this machine.
--- a/simulator/src/control/glue_faults.rs
+++ b/simulator/src/control/glue_faults.rs
@@ -1,6 +1,6 @@
 //! Faults of the glue round the replica that tests plant to show that the oracle finds them.
 
-use lichenswitch_control::PlantedFaults;
+use lichenswitch_control::InjectedFaults;
 
 /// A fault of the glue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -37,10 +37,10 @@
     }
 
     /// Those that are in what is decided about calls.
-    pub(super) fn of_calls(self) -> PlantedFaults {
-        PlantedFaults {
-            known_by_number: self.has(GlueFault::RecognizeByVersion),
-            refusal_without_contact: self.has(GlueFault::RejectWithoutContact),
+    pub(super) fn of_calls(self) -> InjectedFaults {
+        InjectedFaults {
+            recognizes_repeats_by_version: self.has(GlueFault::RecognizeByVersion),
+            rejects_without_confirmation: self.has(GlueFault::RejectWithoutContact),
         }
     }
 }
--- a/simulator/src/control/mod.rs
+++ b/simulator/src/control/mod.rs
@@ -86,7 +86,7 @@
     /// tolerates so many losses.
     pub fn stand_in(&mut self, now: Time, tolerated: u32) {
         self.group_membership = Some(GroupMembership::new(
-            Eligibility::StandIn,
+            Eligibility::Temporary,
             now,
             tolerated as usize,
         ));
--- a/simulator/src/control/routers.rs
+++ b/simulator/src/control/routers.rs
@@ -80,7 +80,7 @@
     /// A configuration has been committed: the pushes to the routers that lack it.
     pub(super) fn push(&mut self, committed: &CommittedConfiguration) -> Vec<Push> {
         let push = |(id, pushes): (&ConnectionId, &mut ConfigurationPushes)| {
-            Some((*id, pushes.configuration(committed)?))
+            Some((*id, pushes.prepare_push(committed)?))
         };
         self.connected.iter_mut().filter_map(push).collect()
     }
