--- a/experiments/src/members.rs
+++ b/experiments/src/members.rs
@@ -1,7 +1,7 @@
 //! What failure detection costs and how soon it is right, in virtual time, by the size of the fleet:
 //! brokers in a network that loses one message in a hundred, of which one after the other crashes.
 
-use lichenswitch::decide::failure_detector::{FailureDetector, Member, SwimConfig, Verdict};
+use lichenswitch::decide::failure_detector::{DetectorAction, FailureDetector, Member, SwimConfig};
 use lichenswitch::interface::{Micros, Time};
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -89,10 +89,10 @@
         }
     }
 
-    fn apply_verdicts(&mut self, broker: usize, verdicts: Vec<Verdict>) {
+    fn apply_verdicts(&mut self, broker: usize, verdicts: Vec<DetectorAction>) {
         for verdict in verdicts {
             match verdict {
-                Verdict::Send(to, bytes) => {
+                DetectorAction::Send(to, bytes) => {
                     (self.sent_messages, self.bytes) =
                         (self.sent_messages + 1, self.bytes + bytes.len() as u64);
                     let to = to.name[1..].parse().unwrap_or(0);
@@ -105,8 +105,8 @@
                         )));
                     }
                 }
-                Verdict::Down(member, _) => self.down.push((self.now, broker, member.name)),
-                Verdict::Up(..) | Verdict::Renewed(..) => {}
+                DetectorAction::Down(member, _) => self.down.push((self.now, broker, member.name)),
+                DetectorAction::Up(..) | DetectorAction::Renewed(..) => {}
             }
         }
         if let Some(detector) = &self.detectors[broker] {
--- a/src/decide/discovery/call_pacer.rs
+++ b/src/decide/discovery/call_pacer.rs
@@ -160,7 +160,7 @@
 
 /// When the next call may be made, and why then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Verdict {
+pub struct NextCall {
     /// Not before this.
     pub at: Time,
     /// The reason.
@@ -169,7 +169,7 @@
     pub spread: Micros,
 }
 
-impl fmt::Display for Verdict {
+impl fmt::Display for NextCall {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let spread_ms = self.spread / 1_000;
         write!(f, "{:?}, calls spread over {spread_ms} ms", self.reason)
@@ -252,24 +252,24 @@
 
     /// A random time up to `within` from then on: brokers that were partitioned off together do not
     /// call together.
-    fn jitter(&mut self, from: Time, within: Micros, reason: Reason) -> Verdict {
-        Verdict {
+    fn jitter(&mut self, from: Time, within: Micros, reason: Reason) -> NextCall {
+        NextCall {
             at: from.plus(self.rng.0.u64(0..=within)),
             reason,
             spread: self.spread,
         }
     }
 
-    fn call_now(&self, now: Time, reason: Reason) -> Verdict {
-        Verdict {
+    fn call_now(&self, now: Time, reason: Reason) -> NextCall {
+        NextCall {
             at: now,
             reason,
             spread: self.spread,
         }
     }
 
-    fn agent_retry(now: Time) -> Verdict {
-        Verdict {
+    fn agent_retry(now: Time) -> NextCall {
+        NextCall {
             at: now.plus(AGENT_RETRY_DELAY),
             reason: Reason::Agent,
             spread: 0,
@@ -277,7 +277,7 @@
     }
 
     /// The first call after a start; `has_list`: some list is known.
-    pub fn on_start(&mut self, now: Time, has_list: bool) -> Verdict {
+    pub fn on_start(&mut self, now: Time, has_list: bool) -> NextCall {
         if self.is_agent {
             self.call_now(now, Reason::Agent)
         } else if !has_list {
@@ -292,7 +292,7 @@
 
     /// The first call to another address, which the operators name to all brokers at once. The known
     /// list is good until then.
-    pub fn on_move(&mut self, now: Time) -> Verdict {
+    pub fn on_address_change(&mut self, now: Time) -> NextCall {
         if self.is_agent {
             self.call_now(now, Reason::Agent)
         } else if self.is_small_fleet() {
@@ -306,7 +306,7 @@
     /// A call was answered: the next one is made at once, which renews the watch. Measured:
     /// discovery accepts the renewals of 100 watches together, while it fails first calls that come
     /// faster than 16 a second.
-    pub fn on_response(&mut self, now: Time) -> Verdict {
+    pub fn on_response(&mut self, now: Time) -> NextCall {
         if self.is_agent {
             return self.call_now(now, Reason::Agent);
         }
@@ -319,7 +319,7 @@
     /// discovery has more calls than it can handle, or is down. Exponential backoff with full jitter
     /// guards it against retries that wait in vain behind each other; the bound of it guards the
     /// rule on drains, and takes precedence.
-    pub fn on_failure(&mut self, now: Time, started_at: Time) -> Verdict {
+    pub fn on_failure(&mut self, now: Time, started_at: Time) -> NextCall {
         if self.is_agent {
             return Self::agent_retry(now);
         }
@@ -340,7 +340,7 @@
     /// rule on drains: the broker has to know what the watch missed whether or not it arrived.
     /// Discovery is not called less for it, since a busy one says so; the calls of watches that fell
     /// silent together are spread, and each broker has one in flight at most.
-    pub fn on_timeout(&mut self, now: Time, started_at: Time) -> Verdict {
+    pub fn on_timeout(&mut self, now: Time, started_at: Time) -> NextCall {
         if self.is_agent {
             return Self::agent_retry(now);
         }
@@ -353,9 +353,9 @@
     /// A call could not be sent for lack of this process's own resources. Guards the rule on drains:
     /// discovery is not too busy, and to wait as if it were would leave this broker with an old
     /// list.
-    pub fn on_unsent(&mut self, now: Time) -> Verdict {
+    pub fn on_unsent(&mut self, now: Time) -> NextCall {
         let delay = UNSENT_RETRY_DELAY + self.rng.0.u64(0..=UNSENT_RETRY_DELAY);
-        Verdict {
+        NextCall {
             at: now.plus(delay),
             reason: Reason::Unmade,
             spread: self.spread,
--- a/src/decide/discovery/call_pacer/tests.rs
+++ b/src/decide/discovery/call_pacer/tests.rs
@@ -178,7 +178,7 @@
             calls_failed.at > now && calls_failed.at.since(now) < RENEWAL_GAP,
             "{calls_failed}"
         );
-        assert_eq!(pacer.on_move(now).at, now);
+        assert_eq!(pacer.on_address_change(now).at, now);
         assert!(pacer.on_unsent(now).at.since(now) <= RENEWAL_GAP);
     }
     // A silent one is called again in time.
@@ -286,7 +286,7 @@
         for seed in 0..50 {
             let mut pacer = CallPacer::new(seed, brokers, DEFAULT_CALL_INTERVAL);
             let (now, timeout) = (Time(SECOND), pacer.watch_times().first_timeout());
-            let verdict = pacer.on_move(now);
+            let verdict = pacer.on_address_change(now);
             assert!(
                 verdict.at.plus(timeout).since(now) + HEADROOM <= MOVE_DEADLINE,
                 "{verdict}"
@@ -295,7 +295,7 @@
     }
     assert_eq!(
         CallPacer::new(1, 300, DEFAULT_CALL_INTERVAL)
-            .on_move(Time(0))
+            .on_address_change(Time(0))
             .reason,
         Reason::Moved
     );
--- a/src/decide/failure_detector.rs
+++ b/src/decide/failure_detector.rs
@@ -6,13 +6,13 @@
 //!   nobody. The detector's clock stops meanwhile, so that a broker that resumes does not declare
 //!   dead those whose answers it has not read yet;
 //! - *an isolated broker declares nobody dead*: while nobody answers this broker, it withholds its
-//!   verdicts, up to a bound, and once somebody answers, it discards the suspicions that it formed
+//!   actions, up to a bound, and once somebody answers, it discards the suspicions that it formed
 //!   meanwhile: nobody could refute them;
 //! - *a broker that was wrongly declared dead returns by itself*, with a later incarnation, which
 //!   wins over what is still said about the former one. It discards its suspicions too, for the
 //!   same reason.
 //!
-//! Messages go in and verdicts come out; how messages travel is not known here.
+//! Messages go in and actions come out; how messages travel is not known here.
 
 mod member;
 pub mod reconnect_backoff;
@@ -33,7 +33,7 @@
 /// A broker is isolated once nobody has answered it for this many probes, or for the time of a
 /// suspicion where that is shorter: a suspicion of its own is older then, whoever else has failed.
 const ISOLATION_PROBES: u64 = 4;
-/// An isolated broker withholds its verdicts for this many times of a suspicion at most. Guards
+/// An isolated broker withholds its actions for this many times of a suspicion at most. Guards
 /// fleets of two, and a broker that has lost all others: nobody will ever answer it. The others have
 /// declared dead by then whoever was only isolated.
 const MAX_WITHHELD_SUSPICIONS: u64 = 2;
@@ -72,7 +72,7 @@
 
 /// What follows from an event.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Verdict {
+pub enum DetectorAction {
     /// Send these bytes to that member.
     Send(Member, Vec<u8>),
     /// A member is believed alive now.
@@ -164,16 +164,16 @@
 
     /// Does what is due. To be called when [`FailureDetector::next`] says, and before messages that
     /// had to wait are handled: a late call shows that this process was paused.
-    pub fn on_time(&mut self, now: Time) -> Vec<Verdict> {
+    pub fn on_time(&mut self, now: Time) -> Vec<DetectorAction> {
         let late = now.since(self.next());
         if late > PAUSE_THRESHOLD {
             // Guards the others: their answers are still unread, and nobody has failed to answer.
             self.paused += late;
         }
-        let (local, mut verdicts) = (self.local(now), Vec::new());
+        let (local, mut actions) = (self.local(now), Vec::new());
         if self.announce_at <= local {
             self.announce_at = local.plus(ANNOUNCE_INTERVAL);
-            self.announce(local, &mut verdicts);
+            self.announce(local, &mut actions);
         }
         // A timer that is set by what is done here waits for the next call: a call always ends.
         let later = self.timers.split_off(&(local.plus(1), 0));
@@ -187,9 +187,9 @@
             // The library answers the timer of a probe that has ended by an error, which means
             // nothing.
             let _ = self.swim.handle_timer(timer, &mut output);
-            self.take_output(local, &mut output, &mut verdicts);
+            self.take_output(local, &mut output, &mut actions);
         }
-        verdicts
+        actions
     }
 
     fn set_timer(&mut self, at: Time, timer: Timer<Member>) {
@@ -216,16 +216,16 @@
 
     /// A member has answered this broker. Those that it suspected while it was isolated could not
     /// learn of that, so they could not refute it: it discards the suspicions.
-    fn on_acknowledgement(&mut self, local: Time, verdicts: &mut Vec<Verdict>) {
+    fn on_acknowledgement(&mut self, local: Time, actions: &mut Vec<DetectorAction>) {
         if local.since(self.last_acknowledgement_at) >= self.isolation_timeout() {
-            self.discard_suspicions(local, verdicts);
+            self.discard_suspicions(local, actions);
         }
         self.last_acknowledgement_at = local;
     }
 
     /// Starts again with the members that it knows, all of them alive: they are probed anew, and the
     /// seeds are announced to.
-    fn discard_suspicions(&mut self, local: Time, verdicts: &mut Vec<Verdict>) {
+    fn discard_suspicions(&mut self, local: Time, actions: &mut Vec<DetectorAction>) {
         let known: Vec<foca::Member<Member>> = self
             .swim
             .iter_members()
@@ -237,12 +237,12 @@
         let mut output = AccumulatingRuntime::new();
         // The library accepts it all, since it comes from the library itself.
         let _ = self.swim.apply_many(known.into_iter(), false, &mut output);
-        self.take_output(local, &mut output, verdicts);
+        self.take_output(local, &mut output, actions);
     }
 
     /// Announces this broker to some of the seeds that are not believed alive, to all of them in
     /// turn.
-    fn announce(&mut self, local: Time, verdicts: &mut Vec<Verdict>) {
+    fn announce(&mut self, local: Time, actions: &mut Vec<DetectorAction>) {
         let is_absent = |seed: &&Member| !self.alive.contains_key(&seed.name);
         let absent: Vec<&Member> = self.seeds.iter().filter(is_absent).collect();
         if absent.is_empty() {
@@ -258,39 +258,39 @@
         for seed in chosen {
             let mut output = AccumulatingRuntime::new();
             let _ = self.swim.announce(seed, &mut output);
-            self.take_output(local, &mut output, verdicts);
+            self.take_output(local, &mut output, actions);
         }
     }
 
     /// Handles the message of another member.
-    pub fn on_message(&mut self, now: Time, bytes: &[u8]) -> Vec<Verdict> {
-        let (local, mut verdicts) = (self.local(now), Vec::new());
+    pub fn on_message(&mut self, now: Time, bytes: &[u8]) -> Vec<DetectorAction> {
+        let (local, mut actions) = (self.local(now), Vec::new());
         let mut output = AccumulatingRuntime::new();
         if self.swim.handle_data(bytes, &mut output).is_err() {
             self.rejected_messages += 1;
         }
-        self.take_output(local, &mut output, &mut verdicts);
+        self.take_output(local, &mut output, &mut actions);
         if is_acknowledgement(bytes) {
-            self.on_acknowledgement(local, &mut verdicts);
+            self.on_acknowledgement(local, &mut actions);
         }
-        verdicts
+        actions
     }
 
     /// This broker stops: it tells some others, so that nobody has to detect it.
-    pub fn on_stop(&mut self, now: Time) -> Vec<Verdict> {
-        let (local, mut verdicts) = (self.local(now), Vec::new());
+    pub fn on_stop(&mut self, now: Time) -> Vec<DetectorAction> {
+        let (local, mut actions) = (self.local(now), Vec::new());
         let mut output = AccumulatingRuntime::new();
         let _ = self.swim.leave_cluster(&mut output);
-        self.take_output(local, &mut output, &mut verdicts);
-        verdicts
+        self.take_output(local, &mut output, &mut actions);
+        actions
     }
 
-    /// Turns what the library has put out into timers and verdicts.
+    /// Turns what the library has put out into timers and actions.
     fn take_output(
         &mut self,
         local: Time,
         output: &mut AccumulatingRuntime<Member>,
-        verdicts: &mut Vec<Verdict>,
+        actions: &mut Vec<DetectorAction>,
     ) {
         let notifications: Vec<_> = std::iter::from_fn(|| output.to_notify()).collect();
         let renewed = notifications.iter().find_map(|n| match n {
@@ -301,34 +301,38 @@
             // The library's messages in the new incarnation hold the suspicions of the former one:
             // they are not sent.
             self.own = member.clone();
-            verdicts.push(Verdict::Renewed(member, Reason::DeclaredDead));
-            return self.discard_suspicions(local, verdicts);
+            actions.push(DetectorAction::Renewed(member, Reason::DeclaredDead));
+            return self.discard_suspicions(local, actions);
         }
         while let Some((after, timer)) = output.to_schedule() {
             self.set_timer(local.plus(after.as_micros() as Micros), timer);
         }
         while let Some((to, bytes)) = output.to_send() {
-            verdicts.push(Verdict::Send(to, bytes.to_vec()));
+            actions.push(DetectorAction::Send(to, bytes.to_vec()));
         }
         for notification in notifications {
-            verdicts.extend(self.on_notification(notification));
+            actions.extend(self.on_notification(notification));
         }
     }
 
-    fn on_notification(&mut self, notification: OwnedNotification<Member>) -> Option<Verdict> {
+    fn on_notification(
+        &mut self,
+        notification: OwnedNotification<Member>,
+    ) -> Option<DetectorAction> {
         match notification {
             OwnedNotification::MemberUp(member) => {
                 let known = self.alive.insert(member.name.clone(), member.clone());
-                (known.as_ref() != Some(&member)).then_some(Verdict::Up(member, Reason::Discovered))
+                (known.as_ref() != Some(&member))
+                    .then_some(DetectorAction::Up(member, Reason::Discovered))
             }
             // The end of a former incarnation is no change.
             OwnedNotification::MemberDown(member) if self.is_latest(&member) => {
                 let known = self.alive.remove(&member.name);
-                known.map(|_| Verdict::Down(member, Reason::LeftOrUnresponsive))
+                known.map(|_| DetectorAction::Down(member, Reason::LeftOrUnresponsive))
             }
             OwnedNotification::Rename(_, member) if self.alive.contains_key(&member.name) => {
                 self.alive.insert(member.name.clone(), member.clone());
-                Some(Verdict::Up(member, Reason::LaterIncarnation))
+                Some(DetectorAction::Up(member, Reason::LaterIncarnation))
             }
             _ => None,
         }
--- a/src/decide/failure_detector/tests.rs
+++ b/src/decide/failure_detector/tests.rs
@@ -63,10 +63,10 @@
         }
     }
 
-    fn apply_verdicts(&mut self, from: usize, verdicts: Vec<Verdict>) {
-        for verdict in verdicts {
+    fn apply_actions(&mut self, from: usize, actions: Vec<DetectorAction>) {
+        for verdict in actions {
             match verdict {
-                Verdict::Send(to, bytes) => {
+                DetectorAction::Send(to, bytes) => {
                     let to: usize = to.name[1..].parse().unwrap();
                     self.bytes[from] += bytes.len() as u64;
                     self.sent_messages += 1;
@@ -80,9 +80,13 @@
                         )));
                     }
                 }
-                Verdict::Up(member, _) => self.changes.push((self.now, from, member.name, true)),
-                Verdict::Down(member, _) => self.changes.push((self.now, from, member.name, false)),
-                Verdict::Renewed(..) => {}
+                DetectorAction::Up(member, _) => {
+                    self.changes.push((self.now, from, member.name, true))
+                }
+                DetectorAction::Down(member, _) => {
+                    self.changes.push((self.now, from, member.name, false))
+                }
+                DetectorAction::Renewed(..) => {}
             }
         }
     }
@@ -119,11 +123,11 @@
                         .push(std::cmp::Reverse((later, n, to, from, bytes)));
                 } else if !self.crashed[to] {
                     let changes = self.detectors[to].on_message(self.now, &bytes);
-                    self.apply_verdicts(to, changes);
+                    self.apply_actions(to, changes);
                 }
             } else if let Some((_, i)) = timer {
                 let changes = self.detectors[i].on_time(self.now);
-                self.apply_verdicts(i, changes);
+                self.apply_actions(i, changes);
             }
         }
     }
@@ -288,7 +292,7 @@
     let mut network = Network::new(9);
     network.run(20 * SECOND);
     let changes = network.detectors[2].on_stop(network.now);
-    network.apply_verdicts(2, changes);
+    network.apply_actions(2, changes);
     network.crashed[2] = true;
     network.run(SECOND + SECOND / 2);
     assert!(
@@ -311,7 +315,9 @@
     crate::testing::garbage(&[&sound], |bytes| {
         let changes = network.detectors[0].on_message(now, bytes);
         assert!(
-            !changes.iter().any(|v| matches!(v, Verdict::Renewed(..))),
+            !changes
+                .iter()
+                .any(|v| matches!(v, DetectorAction::Renewed(..))),
             "{changes:?}"
         );
     });
--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -159,7 +159,7 @@
             return Vec::new();
         }
         self.next_address = Some(address);
-        let at = self.pacer.on_move(net.clock.now()).at;
+        let at = self.pacer.on_address_change(net.clock.now()).at;
         if self.generation.is_none() {
             self.close_connection(net);
         }
--- a/src/peer/group.rs
+++ b/src/peer/group.rs
@@ -3,7 +3,7 @@
 
 use super::consensus::{Consensus, ConsensusError, OutgoingMessages};
 use super::{Delivery, Payload, PeerProtocol, PeersConfig, ReceivedMessage, MAX_CONNECTIONS};
-use crate::decide::failure_detector::{FailureDetector, Member, Verdict};
+use crate::decide::failure_detector::{DetectorAction, FailureDetector, Member};
 use crate::decide::lease::LeaseHolder;
 use crate::interface::Time;
 use crate::net::{ConnId, Net, Owner};
@@ -170,19 +170,21 @@
         }
     }
 
-    fn apply_verdicts(&mut self, net: &mut Net, verdicts: Vec<Verdict>) {
+    fn apply_verdicts(&mut self, net: &mut Net, verdicts: Vec<DetectorAction>) {
         for verdict in verdicts {
             match verdict {
                 // The detector's messages are about the present moment.
-                Verdict::Send(to, bytes) => {
+                DetectorAction::Send(to, bytes) => {
                     self.protocol
                         .send_swim(net, &to, bytes, Delivery::Droppable);
                 }
-                Verdict::Up(member, reason) => self.log_change(&member, "up", &reason.to_string()),
-                Verdict::Down(member, reason) => {
+                DetectorAction::Up(member, reason) => {
+                    self.log_change(&member, "up", &reason.to_string())
+                }
+                DetectorAction::Down(member, reason) => {
                     self.log_change(&member, "down", &reason.to_string());
                 }
-                Verdict::Renewed(own, reason) => {
+                DetectorAction::Renewed(own, reason) => {
                     self.log_change(&own, "renewed", &reason.to_string());
                     self.protocol.renew(own);
                 }
