--- a/decide/backlog/src/backlog.rs
+++ b/decide/backlog/src/backlog.rs
@@ -58,7 +58,7 @@
     }
 
     /// A source is lost: what it reported is removed.
-    pub fn on_lost(&mut self, source: &S) {
+    pub fn on_source_lost(&mut self, source: &S) {
         self.has_changed |=
             self.by_router.remove(source).is_some() | self.by_peer.remove(source).is_some();
     }
--- a/decide/backlog/src/backlog/tests.rs
+++ b/decide/backlog/src/backlog/tests.rs
@@ -26,12 +26,12 @@
     table.on_router_report("router 1", &[(A, 100)]);
     table.on_peer_report("peer", &[(B, 30)]);
     table.take_changes();
-    table.on_lost(&"router 1");
+    table.on_source_lost(&"router 1");
     assert!(table.has_changed());
     assert_eq!(table.take_changes(), (vec![(A, 0)], vec![(A, 0)]));
-    table.on_lost(&"peer");
+    table.on_source_lost(&"peer");
     assert_eq!(table.take_changes(), (vec![], vec![(B, 0)]));
-    table.on_lost(&"unknown");
+    table.on_source_lost(&"unknown");
     assert!(!table.has_changed());
 }
 
@@ -56,7 +56,7 @@
             let source = rng.u8(..6);
             match rng.u8(..10) {
                 0 => {
-                    table.on_lost(&source);
+                    table.on_source_lost(&source);
                     reported.remove(&source);
                 }
                 1 => {
--- a/decide/configuration/src/evaluation.rs
+++ b/decide/configuration/src/evaluation.rs
@@ -7,7 +7,7 @@
 
 /// The result of an order, with the status of its response.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum OrderOutcome {
     /// Exactly this order has been applied before: 200.
     AlreadyApplied,
     /// It builds on a version that is not current: 412.
@@ -33,21 +33,21 @@
 /// Evaluates an order against a committed state. A repetition is recognised first, whatever has been
 /// applied after it.
 #[must_use]
-pub fn evaluate(state: &State, order: &Order) -> Verdict {
+pub fn evaluate(state: &State, order: &Order) -> OrderOutcome {
     if state.has_applied(&order.digest()) {
-        return Verdict::AlreadyApplied;
+        return OrderOutcome::AlreadyApplied;
     }
     let (kind, validated) = match ValidatedOrder::of(order) {
         Ok(validated) => validated,
-        Err(error) => return Verdict::Invalid(error),
+        Err(error) => return OrderOutcome::Invalid(error),
     };
     let current = state.version();
     if order.base_version != current {
-        return Verdict::VersionConflict { current };
+        return OrderOutcome::VersionConflict { current };
     }
     match validated.apply_to(state.document()) {
-        Ok(_) => Verdict::Change(State::change(kind, order.base_version, &order.body)),
-        Err(error) => Verdict::Invalid(error),
+        Ok(_) => OrderOutcome::Change(State::change(kind, order.base_version, &order.body)),
+        Err(error) => OrderOutcome::Invalid(error),
     }
 }
 
--- a/decide/configuration/src/evaluation/tests.rs
+++ b/decide/configuration/src/evaluation/tests.rs
@@ -12,9 +12,9 @@
 }
 
 /// Evaluates an order, applies its change, and returns the verdict.
-fn submit(state: &mut State, order: &Order) -> Verdict {
+fn submit(state: &mut State, order: &Order) -> OrderOutcome {
     let verdict = evaluate(state, order);
-    if let Verdict::Change(change) = &verdict {
+    if let OrderOutcome::Change(change) = &verdict {
         state
             .apply(change)
             .expect("a change that was just evaluated applies");
@@ -23,7 +23,7 @@
 }
 
 fn assert_accepted(state: &mut State, order: &Order) {
-    assert_matches!(submit(state, order), Verdict::Change(_));
+    assert_matches!(submit(state, order), OrderOutcome::Change(_));
 }
 
 /// A state in which version 5 is current.
@@ -51,7 +51,7 @@
     }
     let before = state.clone();
     for order in [&first, &second] {
-        assert_eq!(submit(&mut state, order), Verdict::AlreadyApplied);
+        assert_eq!(submit(&mut state, order), OrderOutcome::AlreadyApplied);
     }
     assert_eq!(state, before);
 }
@@ -66,13 +66,13 @@
     assert_accepted(&mut state, &one);
     assert_eq!(
         submit(&mut state, &other),
-        Verdict::VersionConflict { current: 7 }
+        OrderOutcome::VersionConflict { current: 7 }
     );
-    assert_eq!(submit(&mut state, &one), Verdict::AlreadyApplied);
+    assert_eq!(submit(&mut state, &one), OrderOutcome::AlreadyApplied);
     let spaced = replace(5, &format!("{} ", configuration(7, 10)));
     assert_eq!(
         submit(&mut state, &spaced),
-        Verdict::VersionConflict { current: 7 }
+        OrderOutcome::VersionConflict { current: 7 }
     );
 }
 
@@ -81,15 +81,15 @@
     let mut state = at_five();
     assert_eq!(
         submit(&mut state, &replace(0, &configuration(9, 1))),
-        Verdict::VersionConflict { current: 5 }
+        OrderOutcome::VersionConflict { current: 5 }
     );
     assert_eq!(
         submit(&mut state, &update(8, "{\"version\":9}")),
-        Verdict::VersionConflict { current: 5 }
+        OrderOutcome::VersionConflict { current: 5 }
     );
     assert_eq!(
         submit(&mut State::default(), &replace(3, &configuration(4, 1))),
-        Verdict::VersionConflict { current: 0 }
+        OrderOutcome::VersionConflict { current: 0 }
     );
 }
 
@@ -122,7 +122,11 @@
     let before = state.clone();
     for (kind, body) in bad_bodies() {
         let order = replace(5, &body);
-        assert_matches!(submit(&mut state, &order), Verdict::Invalid(_), "{kind}");
+        assert_matches!(
+            submit(&mut state, &order),
+            OrderOutcome::Invalid(_),
+            "{kind}"
+        );
         assert_matches!(validate(&order), Err(_), "{kind}");
     }
     assert_eq!(state, before);
@@ -167,7 +171,11 @@
     ];
     for (kind, body, alone) in bodies {
         let order = update(5, &body);
-        assert_matches!(submit(&mut state, &order), Verdict::Invalid(_), "{kind}");
+        assert_matches!(
+            submit(&mut state, &order),
+            OrderOutcome::Invalid(_),
+            "{kind}"
+        );
         assert_eq!(validate(&order).is_err(), alone, "{kind}");
     }
     assert_eq!(state, before);
@@ -179,7 +187,7 @@
     let order = replace(3, &configuration(4, 0));
     assert_matches!(
         submit(&mut state, &order),
-        Verdict::Invalid(ConfigurationError::ZeroTimeout { .. })
+        OrderOutcome::Invalid(ConfigurationError::ZeroTimeout { .. })
     );
     let order = replace(9, &configuration(9, 1));
     let expected = ConfigurationError::VersionNotAbove {
@@ -188,7 +196,7 @@
     };
     assert_eq!(
         submit(&mut state, &order),
-        Verdict::Invalid(expected.clone())
+        OrderOutcome::Invalid(expected.clone())
     );
     assert_eq!(validate(&order), Err(expected));
 }
@@ -209,7 +217,7 @@
     let first = update(0, "{\"version\":1}");
     assert_eq!(
         submit(&mut state, &first),
-        Verdict::Invalid(ConfigurationError::NothingToUpdate)
+        OrderOutcome::Invalid(ConfigurationError::NothingToUpdate)
     );
     let elsewhere = Order {
         path: "/configuration/other".to_owned(),
@@ -217,7 +225,7 @@
     };
     assert_eq!(
         evaluate(&state, &elsewhere),
-        Verdict::Invalid(ConfigurationError::UnknownPath)
+        OrderOutcome::Invalid(ConfigurationError::UnknownPath)
     );
     assert_eq!(validate(&elsewhere), Err(ConfigurationError::UnknownPath));
 }
--- a/decide/configuration/src/lib.rs
+++ b/decide/configuration/src/lib.rs
@@ -38,7 +38,7 @@
 
 pub use document::Document;
 pub use error::ConfigurationError;
-pub use evaluation::{evaluate, validate, Verdict};
+pub use evaluation::{evaluate, validate, OrderOutcome};
 pub use json::{MAX_DEPTH, MAX_DOCUMENT_BYTES};
 pub use key_digest::KeyDigest;
 pub use key_index::KeyIndex;
--- a/decide/configuration/src/state/tests.rs
+++ b/decide/configuration/src/state/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of `state`.
 
 use super::*;
-use crate::evaluation::{evaluate, Verdict};
+use crate::evaluation::{evaluate, OrderOutcome};
 use crate::order::{Order, REPLACE_PATH, UPDATE_PATH};
 use assert_matches::assert_matches;
 use quickcheck::{Gen, QuickCheck};
@@ -33,7 +33,7 @@
 
 fn change(state: &State, order: &Order) -> Vec<u8> {
     match evaluate(state, order) {
-        Verdict::Change(change) => change,
+        OrderOutcome::Change(change) => change,
         other => panic!("not to be taken: {other:?}"),
     }
 }
@@ -66,7 +66,7 @@
         let order = if version == 0 { first() } else { next(version) };
         assert_eq!(
             evaluate(&decoded, &order),
-            Verdict::AlreadyApplied,
+            OrderOutcome::AlreadyApplied,
             "{version}"
         );
     }
--- a/decide/configuration/tests/stored_format.rs
+++ b/decide/configuration/tests/stored_format.rs
@@ -5,7 +5,7 @@
 //! know a repeated order by the same digest.
 
 use lichenswitch_configuration::{
-    evaluate, Order, OrderDigest, State, Verdict, REPLACE_PATH, UPDATE_PATH,
+    evaluate, Order, OrderDigest, OrderOutcome, State, REPLACE_PATH, UPDATE_PATH,
 };
 
 use lichenswitch_testing::fixtures::named_lines;
@@ -58,7 +58,7 @@
 }
 
 fn apply(state: &mut State, order: &Order) -> Vec<u8> {
-    let Verdict::Change(change) = evaluate(state, order) else {
+    let OrderOutcome::Change(change) = evaluate(state, order) else {
         panic!("the order was not accepted");
     };
     state.apply(&change).expect("a change that fits");
--- a/decide/control/src/primary_calls.rs
+++ b/decide/control/src/primary_calls.rs
@@ -11,7 +11,7 @@
 use crate::faults::PlantedFaults;
 use crate::rejected_orders::RejectedOrder;
 use crate::replicated_configuration::ConfigurationState;
-use lichenswitch_configuration::{evaluate, Document, Order, Verdict};
+use lichenswitch_configuration::{evaluate, Document, Order, OrderOutcome};
 use lichenswitch_messages::RelayedResponse;
 use lichenswitch_replication::{Outcome, Replica, RequestId, Time};
 use std::collections::VecDeque;
@@ -125,15 +125,17 @@
             return self.complete(call, RelayedResponse::NotPrimary);
         };
         let (step, request) = match verdict {
-            Verdict::Change(change) => {
+            OrderOutcome::Change(change) => {
                 (JudgementStep::AwaitingCommit, replica.propose(now, change))
             }
-            Verdict::VersionConflict { current } if self.faults.refusal_without_contact => {
+            OrderOutcome::VersionConflict { current } if self.faults.refusal_without_contact => {
                 return self.reject(now, call, 412, conflict(current));
             }
             // Another primary may have committed something since: the verdict stands only after a
             // confirmation round.
-            Verdict::AlreadyApplied | Verdict::VersionConflict { .. } | Verdict::Invalid(_) => {
+            OrderOutcome::AlreadyApplied
+            | OrderOutcome::VersionConflict { .. }
+            | OrderOutcome::Invalid(_) => {
                 (JudgementStep::AwaitingConfirmation, replica.confirm(now))
             }
         };
@@ -208,15 +210,15 @@
         }
         match self.verdict(&call, replica) {
             None => self.complete(call, RelayedResponse::NotPrimary),
-            Some(Verdict::Change(_)) => self.begin(now, call, replica),
-            Some(Verdict::AlreadyApplied) => {
+            Some(OrderOutcome::Change(_)) => self.begin(now, call, replica),
+            Some(OrderOutcome::AlreadyApplied) => {
                 let version = call.kind.as_order().map_or(0, version_of);
                 self.complete(call, accepted_response(version));
             }
-            Some(Verdict::VersionConflict { current }) => {
+            Some(OrderOutcome::VersionConflict { current }) => {
                 self.reject(now, call, 412, conflict(current))
             }
-            Some(Verdict::Invalid(error)) => self.reject(now, call, 400, error.to_string()),
+            Some(OrderOutcome::Invalid(error)) => self.reject(now, call, 400, error.to_string()),
         }
     }
 
@@ -251,11 +253,11 @@
         &self,
         call: &Call<C, A>,
         replica: &Replica<S>,
-    ) -> Option<Verdict> {
+    ) -> Option<OrderOutcome> {
         let (_, state) = replica.committed()?;
         let (state, order) = (state.as_ref(), call.kind.as_order()?);
         if self.faults.known_by_number && version_of(order) == state.version() {
-            return Some(Verdict::AlreadyApplied);
+            return Some(OrderOutcome::AlreadyApplied);
         }
         Some(evaluate(state, order))
     }
--- a/decide/descriptors/src/lib.rs
+++ b/decide/descriptors/src/lib.rs
@@ -7,7 +7,7 @@
 //! leave unused; all together stay within what there is.
 //!
 //! The share of data nodes follows how many are listed: a connection for each and some spare ones, as
-//! far as half of all goes. Below that connections take turns: [`Verdict::ReplaceIdle`] says that an
+//! far as half of all goes. Below that connections take turns: [`OpenDecision::CloseIdleFirst`] says that an
 //! idle one goes first.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -41,7 +41,7 @@
 
 /// Who a descriptor is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Side {
+pub enum ConnectionKind {
     /// Clients of any front.
     Clients,
     /// Data nodes.
@@ -56,18 +56,18 @@
 
 /// Whether a connection may be opened, and the rule that says so.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum OpenDecision {
     /// It may.
-    Open(Reason),
+    Open(OpenDecisionReason),
     /// An idle connection to a data node has to be closed first; without one it waits.
-    ReplaceIdle(Reason),
+    CloseIdleFirst(OpenDecisionReason),
     /// It has to wait until another one of its side is closed.
-    Wait(Reason),
+    Wait(OpenDecisionReason),
 }
 
 /// The rule that led to a verdict, with its figures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reason {
+pub enum OpenDecisionReason {
     /// It is within the share of its side.
     WithinShare {
         /// Descriptors that the side has open.
@@ -100,30 +100,32 @@
     SystemLimit,
 }
 
-impl fmt::Display for Reason {
+impl fmt::Display for OpenDecisionReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Reason::WithinShare { open, share } => {
+            OpenDecisionReason::WithinShare { open, share } => {
                 write!(f, "{open} of {share} descriptors are in use")
             }
-            Reason::Lent { open, lendable } => write!(
+            OpenDecisionReason::Lent { open, lendable } => write!(
                 f,
                 "{open} of {lendable} descriptors that clients leave are in use"
             ),
-            Reason::ShareFull { open, share } => {
+            OpenDecisionReason::ShareFull { open, share } => {
                 write!(f, "all {share} descriptors are in use, {open} of them")
             }
-            Reason::Borrowed { open, total } => {
+            OpenDecisionReason::Borrowed { open, total } => {
                 write!(f, "{open} of {total} descriptors are in use, some lent")
             }
-            Reason::SystemLimit => f.write_str("the system gives no more descriptors"),
+            OpenDecisionReason::SystemLimit => f.write_str("the system gives no more descriptors"),
         }
     }
 }
 
-impl fmt::Display for Verdict {
+impl fmt::Display for OpenDecision {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (Verdict::Open(reason) | Verdict::ReplaceIdle(reason) | Verdict::Wait(reason)) = self;
+        let (OpenDecision::Open(reason)
+        | OpenDecision::CloseIdleFirst(reason)
+        | OpenDecision::Wait(reason)) = self;
         reason.fmt(f)
     }
 }
@@ -187,24 +189,24 @@
     }
 
     /// A connection was opened.
-    pub fn on_opened(&mut self, side: Side) {
+    pub fn on_opened(&mut self, side: ConnectionKind) {
         *self.open_count_mut(side) += 1;
     }
 
     /// A connection was closed.
-    pub fn on_closed(&mut self, side: Side) {
+    pub fn on_closed(&mut self, side: ConnectionKind) {
         let count = self.open_count_mut(side);
         debug_assert!(*count > 0, "each descriptor is given back once");
         *count = count.saturating_sub(1);
     }
 
-    fn open_count_mut(&mut self, side: Side) -> &mut usize {
+    fn open_count_mut(&mut self, side: ConnectionKind) -> &mut usize {
         match side {
-            Side::Clients => &mut self.open_clients,
-            Side::Nodes => &mut self.open_nodes,
-            Side::Discovery => &mut self.open_discovery,
-            Side::InboundPeers => &mut self.open_inbound_peers,
-            Side::OutboundPeers => &mut self.open_outbound_peers,
+            ConnectionKind::Clients => &mut self.open_clients,
+            ConnectionKind::Nodes => &mut self.open_nodes,
+            ConnectionKind::Discovery => &mut self.open_discovery,
+            ConnectionKind::InboundPeers => &mut self.open_inbound_peers,
+            ConnectionKind::OutboundPeers => &mut self.open_outbound_peers,
         }
     }
 
@@ -239,42 +241,46 @@
 
     /// Whether a connection may be opened for this side.
     #[must_use]
-    pub fn may_open(&self, side: Side) -> Verdict {
+    pub fn may_open(&self, side: ConnectionKind) -> OpenDecision {
         match side {
-            Side::Discovery => within_share(self.open_discovery, DISCOVERY_RESERVE),
-            Side::InboundPeers => within_share(self.open_inbound_peers, self.peer_reserve),
-            Side::OutboundPeers => within_share(self.open_outbound_peers, self.peer_reserve),
-            Side::Clients => self.may_open_client(),
-            Side::Nodes => self.may_open_node(),
+            ConnectionKind::Discovery => within_share(self.open_discovery, DISCOVERY_RESERVE),
+            ConnectionKind::InboundPeers => {
+                within_share(self.open_inbound_peers, self.peer_reserve)
+            }
+            ConnectionKind::OutboundPeers => {
+                within_share(self.open_outbound_peers, self.peer_reserve)
+            }
+            ConnectionKind::Clients => self.may_open_client(),
+            ConnectionKind::Nodes => self.may_open_node(),
         }
     }
 
-    fn may_open_client(&self) -> Verdict {
+    fn may_open_client(&self) -> OpenDecision {
         let (open, total) = (self.open_clients + self.open_nodes, self.total);
         match within_share(self.open_clients, self.client_share()) {
             // Data nodes have borrowed it: it is given back as it falls idle.
-            Verdict::Open(_) if open >= total => {
-                Verdict::ReplaceIdle(Reason::Borrowed { open, total })
+            OpenDecision::Open(_) if open >= total => {
+                OpenDecision::CloseIdleFirst(OpenDecisionReason::Borrowed { open, total })
             }
             verdict => verdict,
         }
     }
 
-    fn may_open_node(&self) -> Verdict {
+    fn may_open_node(&self) -> OpenDecision {
         let (open, total) = (self.open_clients + self.open_nodes, self.total);
         let (open_nodes, share) = (self.open_nodes, self.node_share());
         // Clients have more than their share of now, since more nodes are listed than before.
         if open >= total {
-            return Verdict::ReplaceIdle(Reason::Borrowed { open, total });
+            return OpenDecision::CloseIdleFirst(OpenDecisionReason::Borrowed { open, total });
         }
         if open_nodes < share {
             return within_share(open_nodes, share);
         }
         let (open, lendable) = (open_nodes - share, self.lendable());
         if open < lendable {
-            return Verdict::Open(Reason::Lent { open, lendable });
+            return OpenDecision::Open(OpenDecisionReason::Lent { open, lendable });
         }
-        Verdict::ReplaceIdle(Reason::ShareFull {
+        OpenDecision::CloseIdleFirst(OpenDecisionReason::ShareFull {
             open: open_nodes,
             share: share + lendable,
         })
@@ -311,10 +317,10 @@
 }
 
 /// The verdict of a share that lends and borrows nothing.
-fn within_share(open: usize, share: usize) -> Verdict {
+fn within_share(open: usize, share: usize) -> OpenDecision {
     match open < share {
-        true => Verdict::Open(Reason::WithinShare { open, share }),
-        false => Verdict::Wait(Reason::ShareFull { open, share }),
+        true => OpenDecision::Open(OpenDecisionReason::WithinShare { open, share }),
+        false => OpenDecision::Wait(OpenDecisionReason::ShareFull { open, share }),
     }
 }
 
--- a/decide/descriptors/src/tests.rs
+++ b/decide/descriptors/src/tests.rs
@@ -12,9 +12,9 @@
 }
 
 /// Opens connections until one is denied.
-fn fill(shares: &mut DescriptorShares, side: Side) -> usize {
+fn fill(shares: &mut DescriptorShares, side: ConnectionKind) -> usize {
     let mut opened = 0;
-    while matches!(shares.may_open(side), Verdict::Open(_)) {
+    while matches!(shares.may_open(side), OpenDecision::Open(_)) {
         shares.on_opened(side);
         opened += 1;
     }
@@ -32,13 +32,13 @@
     for (nodes, descriptors) in sizes() {
         let mut shares = shares(nodes, descriptors);
         let all = descriptors - DISCOVERY_RESERVE;
-        let clients = fill(&mut shares, Side::Clients);
+        let clients = fill(&mut shares, ConnectionKind::Clients);
         assert_eq!(clients, shares.client_share());
         assert!(
             clients >= all / 2,
             "{nodes} nodes, {descriptors}: clients get {clients}"
         );
-        let open = fill(&mut shares, Side::Nodes);
+        let open = fill(&mut shares, ConnectionKind::Nodes);
         assert_eq!(open, shares.node_share(), "{nodes} nodes, {descriptors}");
         let wanted = (nodes + nodes / 4 + 8)
             .min(all / 2)
@@ -47,7 +47,10 @@
             open >= wanted,
             "{nodes} nodes, {descriptors}: {open} of {wanted}"
         );
-        assert_eq!(fill(&mut shares, Side::Discovery), DISCOVERY_RESERVE);
+        assert_eq!(
+            fill(&mut shares, ConnectionKind::Discovery),
+            DISCOVERY_RESERVE
+        );
         assert!(clients + open + DISCOVERY_RESERVE <= descriptors);
     }
 }
@@ -56,34 +59,47 @@
 fn nodes_borrow_unused_client_descriptors_and_return_them() {
     for (nodes, descriptors) in sizes() {
         let mut shares = shares(nodes, descriptors);
-        let open = fill(&mut shares, Side::Nodes);
+        let open = fill(&mut shares, ConnectionKind::Nodes);
         let kept = shares.client_share() - shares.reclaimable_connections();
         assert!(
             open >= shares.node_share()
                 && kept >= (shares.client_share() / RESERVED_SHARE_DIVISOR).max(1)
         );
-        assert_eq!(fill(&mut shares, Side::Clients), kept, "these come at once");
-        match shares.may_open(Side::Clients) {
-            Verdict::ReplaceIdle(Reason::Borrowed { .. }) => {
+        assert_eq!(
+            fill(&mut shares, ConnectionKind::Clients),
+            kept,
+            "these come at once"
+        );
+        match shares.may_open(ConnectionKind::Clients) {
+            OpenDecision::CloseIdleFirst(OpenDecisionReason::Borrowed { .. }) => {
                 assert!(shares.reclaimable_connections() > 0)
             }
-            Verdict::Wait(Reason::ShareFull { .. }) => {
+            OpenDecision::Wait(OpenDecisionReason::ShareFull { .. }) => {
                 assert_eq!(shares.reclaimable_connections(), 0)
             }
             other => panic!("{nodes} nodes, {descriptors}: {other:?}"),
         }
         // What falls idle goes to clients until they have their share, and never to data nodes.
         while shares.reclaimable_connections() > 0 {
-            shares.on_closed(Side::Nodes);
-            assert!(!matches!(shares.may_open(Side::Nodes), Verdict::Open(_)));
-            assert!(matches!(shares.may_open(Side::Clients), Verdict::Open(_)));
-            shares.on_opened(Side::Clients);
+            shares.on_closed(ConnectionKind::Nodes);
+            assert!(!matches!(
+                shares.may_open(ConnectionKind::Nodes),
+                OpenDecision::Open(_)
+            ));
+            assert!(matches!(
+                shares.may_open(ConnectionKind::Clients),
+                OpenDecision::Open(_)
+            ));
+            shares.on_opened(ConnectionKind::Clients);
         }
         assert_eq!(shares.open_clients, shares.client_share());
-        assert!(matches!(shares.may_open(Side::Clients), Verdict::Wait(_)));
         assert!(matches!(
-            shares.may_open(Side::Nodes),
-            Verdict::ReplaceIdle(_)
+            shares.may_open(ConnectionKind::Clients),
+            OpenDecision::Wait(_)
+        ));
+        assert!(matches!(
+            shares.may_open(ConnectionKind::Nodes),
+            OpenDecision::CloseIdleFirst(_)
         ));
     }
 }
@@ -92,7 +108,7 @@
 fn a_longer_list_moves_the_shares_and_idle_clients_make_room() {
     let mut shares = shares(3, 640);
     assert_eq!(
-        fill(&mut shares, Side::Clients),
+        fill(&mut shares, ConnectionKind::Clients),
         638 - 48,
         "three nodes can use 48 connections"
     );
@@ -102,26 +118,30 @@
         shares.excess_client_connections() >= 590 - 400,
         "what is beyond the share of now is too much"
     );
-    assert_eq!(fill(&mut shares, Side::Nodes), 48, "what is free is theirs");
+    assert_eq!(
+        fill(&mut shares, ConnectionKind::Nodes),
+        48,
+        "what is free is theirs"
+    );
     assert!(matches!(
-        shares.may_open(Side::Nodes),
-        Verdict::ReplaceIdle(Reason::Borrowed {
+        shares.may_open(ConnectionKind::Nodes),
+        OpenDecision::CloseIdleFirst(OpenDecisionReason::Borrowed {
             open: 638,
             total: 638
         })
     ));
     assert!(matches!(
-        shares.may_open(Side::Clients),
-        Verdict::Wait(Reason::ShareFull {
+        shares.may_open(ConnectionKind::Clients),
+        OpenDecision::Wait(OpenDecisionReason::ShareFull {
             open: 590,
             share: 400
         })
     ));
     for _ in 0..190 {
-        shares.on_closed(Side::Clients);
+        shares.on_closed(ConnectionKind::Clients);
     }
-    assert_eq!(fill(&mut shares, Side::Nodes), 190);
-    assert_eq!(fill(&mut shares, Side::Clients), 0);
+    assert_eq!(fill(&mut shares, ConnectionKind::Nodes), 190);
+    assert_eq!(fill(&mut shares, ConnectionKind::Clients), 0);
 }
 
 #[test]
@@ -145,26 +165,32 @@
 #[test]
 fn processes_share_descriptors_equally_and_return_the_excess() {
     let mut shares = shares(10, 362);
-    assert_eq!(fill(&mut shares, Side::Clients), 270);
+    assert_eq!(fill(&mut shares, ConnectionKind::Clients), 270);
     shares.set_process_count(2);
     assert_eq!((shares.node_share(), shares.client_share()), (45, 135));
     assert!(matches!(
-        shares.may_open(Side::Clients),
-        Verdict::Wait(Reason::ShareFull {
+        shares.may_open(ConnectionKind::Clients),
+        OpenDecision::Wait(OpenDecisionReason::ShareFull {
             open: 270,
             share: 135
         })
     ));
     assert!(
-        matches!(shares.may_open(Side::Nodes), Verdict::ReplaceIdle(_)),
+        matches!(
+            shares.may_open(ConnectionKind::Nodes),
+            OpenDecision::CloseIdleFirst(_)
+        ),
         "clients hold it, and leave it in time"
     );
     assert!(
-        matches!(shares.may_open(Side::Discovery), Verdict::Open(_)),
+        matches!(
+            shares.may_open(ConnectionKind::Discovery),
+            OpenDecision::Open(_)
+        ),
         "discovery has its place all the same"
     );
     assert!(shares.excess_client_connections() >= 135);
     shares.set_process_count(1);
     assert_eq!((shares.node_share(), shares.client_share()), (90, 270));
-    assert_eq!(fill(&mut shares, Side::Nodes), 90);
+    assert_eq!(fill(&mut shares, ConnectionKind::Nodes), 90);
 }
--- a/decide/quota/src/buckets/bucket.rs
+++ b/decide/quota/src/buckets/bucket.rs
@@ -42,7 +42,7 @@
     }
 
     /// Most that the shard grants in a window.
-    fn most_in(&self, window_s: f64) -> f64 {
+    fn max_admitted_in(&self, window_s: f64) -> f64 {
         self.refill_per_s * window_s + self.depth + self.max_debt
     }
 }
@@ -146,7 +146,7 @@
         let grant = self.withdraw_all(request, shard);
         let amount = self.granted - granted_before;
         self.audit
-            .on_granted(now, amount, window_s, shard.most_in(window_s));
+            .on_granted(now, amount, window_s, shard.max_admitted_in(window_s));
         grant
     }
 
--- a/decide/quota/src/tenant_quota.rs
+++ b/decide/quota/src/tenant_quota.rs
@@ -72,7 +72,7 @@
 
     /// Most that is admitted in a window of so many seconds.
     #[must_use]
-    pub fn most_in(&self, window_s: f64) -> f64 {
+    pub fn max_admitted_in(&self, window_s: f64) -> f64 {
         let validity_s = self.lease_validity as f64 / MICROS_PER_SECOND;
         self.refill_per_s * (window_s + validity_s) + self.depth + self.max_debt
     }
--- a/decide/quota/src/tenant_quota/tests.rs
+++ b/decide/quota/src/tenant_quota/tests.rs
@@ -42,7 +42,7 @@
         );
         let tenant_quota = TenantQuota::of(&quota, &bounds);
         let (most, allowed) = (
-            tenant_quota.most_in(bounds.window.as_secs_f64()),
+            tenant_quota.max_admitted_in(bounds.window.as_secs_f64()),
             allowed(&quota, &bounds),
         );
         assert!(
@@ -85,7 +85,7 @@
     assert!(
         tenant_quota.max_debt >= 1.0
             && tenant_quota.refill_per_s > 0.3
-            && tenant_quota.most_in(8.0) <= 4.4,
+            && tenant_quota.max_admitted_in(8.0) <= 4.4,
         "{tenant_quota:?}"
     );
 }
@@ -93,5 +93,8 @@
 #[test]
 fn slack_above_the_limit_counts_as_the_limit() {
     let tenant_quota = TenantQuota::of(&quota(5.0, 5.0), &bounds(8.0, 0.1, 140_000.0));
-    assert!(tenant_quota.most_in(8.0) <= 100.0, "{tenant_quota:?}");
+    assert!(
+        tenant_quota.max_admitted_in(8.0) <= 100.0,
+        "{tenant_quota:?}"
+    );
 }
--- a/fleet/src/control/backlog_handler.rs
+++ b/fleet/src/control/backlog_handler.rs
@@ -34,7 +34,7 @@
             Some(RemoteRole::Unknown) | None => return,
         };
         if report.is_complete {
-            self.backlogs.table.on_lost(&source);
+            self.backlogs.table.on_source_lost(&source);
         }
         match source {
             BacklogSource::Router(_) => self.backlogs.table.on_router_report(source, &changes),
--- a/fleet/src/control/backlogs.rs
+++ b/fleet/src/control/backlogs.rs
@@ -30,6 +30,6 @@
 
     /// The connection to a source is closed: its backlogs are dropped.
     pub(super) fn on_disconnected(&mut self, source: BacklogSource) {
-        self.table.on_lost(&source);
+        self.table.on_source_lost(&source);
     }
 }
--- a/fleet/src/control/net_program.rs
+++ b/fleet/src/control/net_program.rs
@@ -1,6 +1,6 @@
 //! Owners of connections, and signals, as the loop of sockets knows them.
 
-use lichenswitch_descriptors::Side;
+use lichenswitch_descriptors::ConnectionKind;
 use std::time::Duration;
 
 /// TCP user timeout: a process of the fleet that has not acknowledged bytes for so long is cut off or
@@ -40,11 +40,11 @@
     type Timer = ();
     type Signal = Signal;
 
-    fn side(owner: Owner) -> Side {
+    fn side(owner: Owner) -> ConnectionKind {
         match owner {
-            Owner::Caller => Side::Clients,
-            Owner::Accepted => Side::InboundPeers,
-            Owner::Dialled => Side::OutboundPeers,
+            Owner::Caller => ConnectionKind::Clients,
+            Owner::Accepted => ConnectionKind::InboundPeers,
+            Owner::Dialled => ConnectionKind::OutboundPeers,
         }
     }
 
--- a/fleet/src/router/reactor.rs
+++ b/fleet/src/router/reactor.rs
@@ -3,7 +3,7 @@
 //! It lies below everything that opens connections or sets timers, and knows names only (`ids`).
 
 use super::ids::{AttemptId, RequestId};
-use lichenswitch_descriptors::Side;
+use lichenswitch_descriptors::ConnectionKind;
 use lichenswitch_net::{ConnId, Program};
 use std::time::Duration;
 
@@ -80,12 +80,12 @@
         (owner == SocketOwner::Server).then_some(SERVER_PROBE_INTERVAL)
     }
 
-    fn side(owner: SocketOwner) -> Side {
+    fn side(owner: SocketOwner) -> ConnectionKind {
         match owner {
-            SocketOwner::Client => Side::Clients,
-            SocketOwner::Platform => Side::InboundPeers,
-            SocketOwner::Server => Side::Nodes,
-            SocketOwner::Control => Side::OutboundPeers,
+            SocketOwner::Client => ConnectionKind::Clients,
+            SocketOwner::Platform => ConnectionKind::InboundPeers,
+            SocketOwner::Server => ConnectionKind::Nodes,
+            SocketOwner::Control => ConnectionKind::OutboundPeers,
         }
     }
 }
--- a/fleet/tests/stored_data.rs
+++ b/fleet/tests/stored_data.rs
@@ -7,7 +7,7 @@
 
 use std::path::{Path, PathBuf};
 
-use lichenswitch_configuration::{evaluate, Order, State, Verdict, REPLACE_PATH};
+use lichenswitch_configuration::{evaluate, Order, OrderOutcome, State, REPLACE_PATH};
 use lichenswitch_control::ReplicatedConfiguration;
 use lichenswitch_messages::{ServerRecord, ServerState, PROTOCOL_VERSION};
 use lichenswitch_replication::{
@@ -81,7 +81,7 @@
 /// The change that an order makes to a state.
 fn change(state: &ReplicatedConfiguration, order: &Order) -> Vec<u8> {
     match evaluate(&state.0, order) {
-        Verdict::Change(change) => change,
+        OrderOutcome::Change(change) => change,
         other => panic!("the order is not accepted: {other:?}"),
     }
 }
--- a/src/net.rs
+++ b/src/net.rs
@@ -1,7 +1,7 @@
 //! What the broker calls its connections, timers and signals; the sockets themselves are the
 //! package `wire/net`.
 
-use crate::decide::descriptors::Side;
+use crate::decide::descriptors::ConnectionKind;
 pub use lichenswitch_net::{
     buffer, system_limit, wheel, Clock, ConnId, ConnectError, Program, TransferProgress,
 };
@@ -21,13 +21,13 @@
     type Timer = Timer;
     type Signal = Signal;
 
-    fn side(owner: Owner) -> Side {
+    fn side(owner: Owner) -> ConnectionKind {
         match owner {
-            Owner::Platform | Owner::Ogc | Owner::Operators => Side::Clients,
-            Owner::Frames | Owner::Features => Side::Nodes,
-            Owner::Discovery => Side::Discovery,
-            Owner::InboundPeer => Side::InboundPeers,
-            Owner::OutboundPeer => Side::OutboundPeers,
+            Owner::Platform | Owner::Ogc | Owner::Operators => ConnectionKind::Clients,
+            Owner::Frames | Owner::Features => ConnectionKind::Nodes,
+            Owner::Discovery => ConnectionKind::Discovery,
+            Owner::InboundPeer => ConnectionKind::InboundPeers,
+            Owner::OutboundPeer => ConnectionKind::OutboundPeers,
         }
     }
 }
--- a/wire/net/src/connections.rs
+++ b/wire/net/src/connections.rs
@@ -5,7 +5,7 @@
     Conn, ConnId, ConnectError, Interest, Net, Program, TransferProgress, EINPROGRESS, EMFILE,
     ENFILE, INDEX_BITS, LISTENER_KEY,
 };
-use lichenswitch_descriptors::{Reason, Verdict};
+use lichenswitch_descriptors::{OpenDecision, OpenDecisionReason};
 use polling::PollMode;
 use socket2::{Domain, Protocol, SockRef, Socket, TcpKeepalive, Type};
 use std::io;
@@ -25,13 +25,16 @@
     ) -> Result<ConnId, ConnectError> {
         // Guards the descriptor budget, and what one side may take of it from the others.
         match self.shares.may_open(P::side(owner)) {
-            Verdict::Open(_) => self
-                .open(owner, address)
-                .map_err(|e| match e.raw_os_error() {
-                    Some(EMFILE | ENFILE) => ConnectError::NoDescriptor(Reason::SystemLimit),
-                    _ => ConnectError::Failed(e),
-                }),
-            Verdict::ReplaceIdle(reason) | Verdict::Wait(reason) => {
+            OpenDecision::Open(_) => {
+                self.open(owner, address)
+                    .map_err(|e| match e.raw_os_error() {
+                        Some(EMFILE | ENFILE) => {
+                            ConnectError::NoDescriptor(OpenDecisionReason::SystemLimit)
+                        }
+                        _ => ConnectError::Failed(e),
+                    })
+            }
+            OpenDecision::CloseIdleFirst(reason) | OpenDecision::Wait(reason) => {
                 Err(ConnectError::NoDescriptor(reason))
             }
         }
--- a/wire/net/src/lib.rs
+++ b/wire/net/src/lib.rs
@@ -13,7 +13,9 @@
 pub mod wheel;
 
 use buffer::Buffer;
-use lichenswitch_descriptors::{DescriptorShares, Reason, Side, Verdict};
+use lichenswitch_descriptors::{
+    ConnectionKind, DescriptorShares, OpenDecision, OpenDecisionReason,
+};
 use lichenswitch_interface::Time;
 use polling::{Event, PollMode, Poller};
 use socket2::SockRef;
@@ -37,7 +39,7 @@
     /// What a signal to the process asks for.
     type Signal: Copy + Eq + fmt::Debug;
     /// Whose descriptors the connections of an owner count to.
-    fn side(owner: Self::Owner) -> Side;
+    fn side(owner: Self::Owner) -> ConnectionKind;
     /// After this long without a sign that what was sent has arrived, a connection of this owner
     /// breaks. Without it the system goes on trying for minutes where the other side has lost power
     /// or is cut off. `None`: as the system has it.
@@ -59,7 +61,7 @@
 #[derive(Debug)]
 pub enum ConnectError {
     /// This process has no descriptor for it now: the other side has no part in that.
-    NoDescriptor(Reason),
+    NoDescriptor(OpenDecisionReason),
     /// The system said no.
     Failed(io::Error),
 }
@@ -358,8 +360,8 @@
         self.shares.node_capacity()
     }
 
-    fn may_open(&self, side: Side) -> bool {
-        matches!(self.shares.may_open(side), Verdict::Open(_))
+    fn may_open(&self, side: ConnectionKind) -> bool {
+        matches!(self.shares.may_open(side), OpenDecision::Open(_))
     }
 
     /// Connections to data nodes that clients who wait have a right to: the idle among them may go.
@@ -375,7 +377,7 @@
     /// How the descriptors stand for data nodes, in words.
     #[must_use]
     pub fn node_capacity_reason(&self) -> String {
-        self.shares.may_open(Side::Nodes).to_string()
+        self.shares.may_open(ConnectionKind::Nodes).to_string()
     }
 
     /// Connections that clients hold beyond a quarter of all descriptors.
--- a/wire/net/src/listeners.rs
+++ b/wire/net/src/listeners.rs
@@ -1,7 +1,7 @@
 //! Listeners: where others connect, and when they are accepted.
 
 use super::{ConnId, Net, Program, BACKLOG, LISTENER_KEY};
-use lichenswitch_descriptors::Side;
+use lichenswitch_descriptors::ConnectionKind;
 use polling::{Event, PollMode};
 use socket2::{Domain, Protocol, Socket, Type};
 use std::io;
@@ -122,7 +122,7 @@
                 // Guards the descriptor budget: over it a process fails in places that can't say
                 // so.
                 if !self.may_open(P::side(owner)) {
-                    if P::side(owner) == Side::InboundPeers {
+                    if P::side(owner) == ConnectionKind::InboundPeers {
                         // Clients don't wait for peers: one too many is closed, and comes again
                         // later.
                         match listener.accept() {
@@ -176,7 +176,7 @@
     /// Accepts again once there is room. Where the system itself had none, that shows in the next
     /// try.
     pub fn resume_accepting(&mut self) {
-        if self.is_accept_paused && self.may_open(Side::Clients) {
+        if self.is_accept_paused && self.may_open(ConnectionKind::Clients) {
             self.is_accept_paused = false;
             self.poll_listeners(true);
         }
--- a/wire/net/src/tests.rs
+++ b/wire/net/src/tests.rs
@@ -19,10 +19,10 @@
     type Timer = u32;
     type Signal = ();
 
-    fn side(owner: Owner) -> Side {
+    fn side(owner: Owner) -> ConnectionKind {
         match owner {
-            Owner::Clients => Side::Clients,
-            Owner::Servers => Side::Nodes,
+            Owner::Clients => ConnectionKind::Clients,
+            Owner::Servers => ConnectionKind::Nodes,
         }
     }
 
