--- a/decide/control/src/relayed_calls/tests.rs
+++ b/decide/control/src/relayed_calls/tests.rs
@@ -33,7 +33,7 @@
             id: 1,
         },
         kind: CallKind::Order(order),
-        arrived,
+        arrived_at,
     }
 }
 
@@ -80,7 +80,7 @@
 fn describe_call(arrived_at: Time) -> Call {
     Call {
         kind: CallKind::Describe,
-        ..order_call(arrived)
+        ..order_call(arrived_at)
     }
 }
 
--- a/fleet/src/control/server_table/tests.rs
+++ b/fleet/src/control/server_table/tests.rs
@@ -215,7 +215,7 @@
 fn departure_is_not_acknowledged_from_relayed_report() {
     let (callers, mut servers) = (callers(), ServerTable::new(&settings(), at(0)));
     // The reporting machine may have been cut off before it reached any other one.
-    let record = heartbeat(3, ServerState::Draining).record("i-1");
+    let record = heartbeat(3, ServerState::Draining).to_record("i-1");
     servers.on_records(at(0), std::slice::from_ref(&record), false, true);
     assert_eq!(servers.take_relayed_departures(), [record], "it is relayed");
     servers.take_changes(at(0), any_of(&[2, 3]));
@@ -505,7 +505,7 @@
     let (callers, mut machine) = (callers(), MachineWithDisk::new("peer-write"));
     let gone = [lichenswitch_registry::tombstone("i-1")];
     // An update about a ready server waits for no write.
-    let ready = [heartbeat(1, ServerState::Ready).record("i-2")];
+    let ready = [heartbeat(1, ServerState::Ready).to_record("i-2")];
     for (ack, records) in [(1, &gone), (2, &ready)] {
         machine.servers.on_records(at(0), records, false, true);
         machine
