--- a/core/src/dispatch.rs
+++ b/core/src/dispatch.rs
@@ -8,7 +8,7 @@
 struct Calls<J> {
     /// Identifier of the first attempt of this turn.
     first_attempt: u64,
-    calls: Vec<(ServerId, Vec<Dispatch<J>>)>,
+    list: Vec<(ServerId, Vec<Dispatch<J>>)>,
     /// Index of the last call to each server.
     last_by_server: HashMap<ServerId, usize>,
 }
@@ -19,12 +19,12 @@
         match self
             .last_by_server
             .get(&server)
-            .map(|&i| &mut self.calls[i].1)
+            .map(|&i| &mut self.list[i].1)
         {
             Some(call) if call.len() < max_parts => call.push(dispatch),
             _ => {
-                self.last_by_server.insert(server, self.calls.len());
-                self.calls.push((server, vec![dispatch]));
+                self.last_by_server.insert(server, self.list.len());
+                self.list.push((server, vec![dispatch]));
             }
         }
     }
@@ -60,7 +60,7 @@
     ) {
         let mut calls = Calls {
             first_attempt: self.next_attempt,
-            calls: Vec::new(),
+            list: Vec::new(),
             last_by_server: HashMap::new(),
         };
         for action in actions {
@@ -94,7 +94,7 @@
         }
         // A call whose parts were all cancelled in this turn is not sent.
         let calls = calls
-            .calls
+            .list
             .into_iter()
             .filter(|(_, parts)| !parts.is_empty());
         commands.extend(calls.map(|(server, parts)| Command::Send(server, parts)));
@@ -183,7 +183,7 @@
         let never_left = attempt >= calls.first_attempt;
         if never_left {
             calls
-                .calls
+                .list
                 .iter_mut()
                 .for_each(|(_, call)| call.retain(|d| d.attempt != attempt));
         }
--- a/core/src/phases.rs
+++ b/core/src/phases.rs
@@ -245,7 +245,7 @@
             Reply::Served {
                 whole,
                 values,
-                missing_shards: missing_shards,
+                missing_shards,
             },
         ));
     }
--- a/core/src/tests.rs
+++ b/core/src/tests.rs
@@ -311,10 +311,10 @@
     assert_eq!(shards, [0, 1], "the two best scores");
     for send in &second {
         let first = send.first.as_ref().unwrap();
-        let mut answered = first.shards.clone();
-        answered.sort();
+        let mut first_shards = first.shards.clone();
+        first_shards.sort();
         assert_eq!(
-            (answered, first.whole),
+            (first_shards, first.whole),
             (vec![Shard(0), Shard(1), Shard(2)], true)
         );
         harness.end(send.attempt, Outcome::Ok, 0.0);
--- a/src/upstream/receiving.rs
+++ b/src/upstream/receiving.rs
@@ -15,7 +15,7 @@
             .iter()
             .filter(|id| self.links.get(id).is_some_and(|l| l.is_mute))
             .count();
-        let usual_response_time = (self.usual_response_time.or(0.0) * MUTE_FACTOR) as Micros;
+        let usual_response_time = (self.usual_response_time.value_or(0.0) * MUTE_FACTOR) as Micros;
         let limit = usual_response_time.clamp(MUTE_MIN, MUTE_MAX) << mute_connections.min(4);
         for id in known {
             if let (Some(link), Some(conn)) = (self.links.get_mut(id), net.get(*id)) {
