--- a/core/src/answer.rs
+++ b/core/src/answer.rs
@@ -37,7 +37,7 @@
         };
         if available + ROUNDING < floor.min(needed) {
             commands.push(Command::Log(format!(
-                "answer from {available:.3} of the weight withheld"
+                "answer withheld: {available:.3} of the weight is below the minimum; query failed"
             )));
             self.pending_events.push(Event::Hangup(query));
             return self.fail(query, commands);
@@ -81,7 +81,7 @@
             .collect();
         for id in overdue {
             commands.push(Command::Log(
-                "a query had to be ended at its client's deadline".into(),
+                "query failed at its deadline: the decision module left it open".into(),
             ));
             self.fail(id, commands);
             self.pending_events.push(Event::Hangup(id));
--- a/core/src/dispatch.rs
+++ b/core/src/dispatch.rs
@@ -79,7 +79,7 @@
                 // The module requests no probes: a probe shows a running process, not a service.
                 Action::Probe(server) => {
                     commands.push(Command::Log(format!(
-                        "probe of server {} is not offered",
+                        "probe of server {} ignored: probes are not supported",
                         server.0
                     )));
                 }
--- a/interface/src/lib.rs
+++ b/interface/src/lib.rs
@@ -306,7 +306,7 @@
     Failed,
 }
 
-/// How an attempt or a probe ended.
+/// Result of an attempt or a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The server answered.
--- a/policy/src/completion.rs
+++ b/policy/src/completion.rs
@@ -165,7 +165,7 @@
                 stopped_at: now,
             });
             actions.push(Action::Log(format!(
-                "class {class}: a query broke {count} servers"
+                "class {class}: query stopped, connections to {count} servers broke"
             )));
             return true;
         }
--- a/policy/src/tuning.rs
+++ b/policy/src/tuning.rs
@@ -2,23 +2,21 @@
 
 use lichenswitch_interface::Micros;
 
-/// Share of the latency target (or the step's window) after which a part is copied. A lower
-/// share makes more copies in vain.
+/// Share of the latency target after which a part is copied. A lower share wastes copies.
 pub(crate) const COPY_DELAY_SHARE: f64 = 0.5;
-/// Copies earned per part sent. A higher rate masks faults faster but adds load to an overload.
+/// Copy tokens earned per part. A higher rate masks faults faster but adds load to an overload.
 pub(crate) const COPY_RATE: f64 = 0.1;
 /// Minimum factors on `COPY_RATE` as copies prove useless: without and with a retry budget.
 /// Lower factors mask a fault later; higher ones add load to an overload.
 pub(crate) const MIN_COPY_RATES: [f64; 2] = [0.6, 0.2];
-/// Gain of the moving average of the usefulness of copies.
+/// Gain of the moving average of the usefulness of copies (0 to 1).
 pub(crate) const COPY_USEFULNESS_GAIN: f64 = 0.3;
 /// Copy tokens returned when a copy shows that the first attempt was lost.
 pub(crate) const COPY_TOKENS_PER_LOSS: f64 = 2.0;
-/// Maximum copy tokens saved up while none are needed.
+/// Maximum number of saved copy tokens.
 pub(crate) const MAX_COPY_TOKENS: f64 = 6.0;
-/// A copy shows that the first attempt was lost or delayed alone if the first had been waited
-/// for more than this multiple of the copy's answer time. Higher values return fewer copy
-/// tokens.
+/// A copy shows that the first attempt was lost or delayed alone if the wait for it exceeded this
+/// multiple of the copy's answer time. Higher values return fewer copy tokens.
 pub(crate) const LOST_WAIT_RATIO: f64 = 2.0;
 /// Share of the latency target that the first of two steps may take.
 pub(crate) const FIRST_STEP_SHARE: f64 = 0.6;
@@ -28,16 +26,14 @@
 pub(crate) const SPARSE_FACTOR: f64 = 0.8;
 /// Share of the latency target after which a partial answer is worth more than waiting.
 pub(crate) const PARTIAL_ANSWER_SHARE: f64 = 0.92;
-/// Time that an unanswered attempt counts as pending at its server, in latency targets of its
-/// class.
+/// Time that an unanswered attempt counts as pending at its server, in latency targets.
 pub(crate) const PENDING_LATENCY_TARGETS: f64 = 3.0;
-/// Decayed share of faults above which a server is passed over. One met often must have been
-/// late twice, since it may only have stalled briefly; one met seldom, once.
+/// Fault share above which a server is passed over. A frequently used one needs two late attempts,
+/// since one may be a short stall (first value); a rarely used one needs one (second value).
 pub(crate) const FAULT_THRESHOLD: [f64; 2] = [0.55, 0.3];
 /// Minimum half-life of faults (microseconds).
 pub(crate) const FAULT_HALF_LIFE: f64 = 8_000_000.0;
-/// The half-life is the time in which a server gets this many parts of this instance, within
-/// the minimum and this multiple of it.
+/// The half-life of faults spans this many parts at a server, up to this multiple of the minimum.
 pub(crate) const HALF_LIFE_PARTS: f64 = 8.0;
 pub(crate) const MAX_HALF_LIFE_FACTOR: f64 = 4.0;
 /// Multiples of the common answer time from which an answer counts partly and fully as a fault.
@@ -61,14 +57,13 @@
 /// Idle connections are closed before a send while their share of losses exceeds that of other
 /// connections by this margin.
 pub(crate) const IDLE_LOSS_MARGIN: f64 = 0.2;
-/// Gains of the share of losses for a missing answer and for a reset, and the half-life of the
-/// share (microseconds).
+/// Gains of the loss shares for a missing answer and a reset, and their half-life (microseconds).
 pub(crate) const IDLE_GAIN: f64 = 0.1;
 pub(crate) const RESET_GAIN: f64 = 0.25;
 pub(crate) const IDLE_LOSS_HALF_LIFE: f64 = 20_000_000.0;
 /// An unanswered query ends once it has broken connections to this many servers.
 pub(crate) const POISON_BROKEN_SERVERS: usize = 3;
-/// Time (microseconds) after which a poison query no longer affects its class.
+/// Time that a poison query affects later queries of its class (microseconds).
 pub(crate) const POISON_RETENTION: Micros = 20_000_000;
 /// Minimum window, in common answer times, for a query to send one part ahead of the others.
 pub(crate) const POISON_MIN_COMMON_TIMES: f64 = 4.0;
@@ -78,8 +73,7 @@
 /// bound keeps every class from starving.
 pub(crate) const MIN_VALUE_RATIO: f64 = 0.5;
 pub(crate) const MAX_VALUE_RATIO: f64 = 1.3;
-/// Parts that a warm server completes in a common answer time; it has several cores, and the
-/// common time includes queueing.
+/// Parts that a warm server completes in a common answer time (several cores; includes queueing).
 pub(crate) const SLOW_START_PARTS: f64 = 1.5;
 /// Share of a slow-start allowance split equally among instances; the rest is split by traffic.
 pub(crate) const SLOW_START_EQUAL_SHARE: f64 = 0.5;
@@ -103,8 +97,7 @@
 pub(crate) const RESPONSE_TIME_HALF_LIFE: f64 = 2_000_000.0;
 /// Parts that a server is assumed to process at once, in the forecast.
 pub(crate) const ASSUMED_CONCURRENCY: f64 = 2.0;
-/// First and maximum delay before the server list is requested again; it doubles
-/// (microseconds).
+/// Initial and maximum delay before the list is requested again; it doubles (microseconds).
 pub(crate) const SUBSCRIBE_BACKOFF_MIN: Micros = 300_000;
 pub(crate) const SUBSCRIBE_BACKOFF_MAX: Micros = 4_000_000;
 /// Idle time after which a server that is passed over counts as avoided (microseconds).
