--- a/core/src/answer.rs
+++ b/core/src/answer.rs
@@ -16,13 +16,14 @@
         whole: bool,
         commands: &mut Vec<Command<J>>,
     ) {
-        let Some(q) = self.queries.get(&query) else {
+        let Some(held_query) = self.queries.get(&query) else {
             return;
         };
-        let class = &self.settings.classes[q.class];
-        let (second_step, is_second_step) = (class.second_step, q.first.is_some());
+        let class = &self.settings.classes[held_query.class];
+        let (second_step, is_second_step) = (class.second_step, held_query.first.is_some());
         let step = || {
-            q.parts
+            held_query
+                .parts
                 .iter()
                 .filter(|p| p.is_second_step == is_second_step)
         };
@@ -42,7 +43,7 @@
             self.pending_events.push(Event::Hangup(query));
             return self.fail(query, commands);
         }
-        let is_first_complete = q.first.as_ref().is_none_or(|first| first.whole);
+        let is_first_complete = held_query.first.as_ref().is_none_or(|first| first.whole);
         let whole = whole && available + ROUNDING >= needed && is_first_complete;
         if second_step > 0 && !is_second_step {
             return self.begin_second_step(now, query, whole, commands);
@@ -51,8 +52,8 @@
     }
 
     pub(super) fn refuse(&mut self, query: QueryId, after: Micros, commands: &mut Vec<Command<J>>) {
-        if let Some(q) = self.release(query) {
-            self.counters[q.class].refused += 1;
+        if let Some(held_query) = self.release(query) {
+            self.counters[held_query.class].refused += 1;
             let advice = self
                 .settings
                 .limits
@@ -64,8 +65,8 @@
     }
 
     pub(super) fn fail(&mut self, query: QueryId, commands: &mut Vec<Command<J>>) {
-        if let Some(q) = self.release(query) {
-            self.counters[q.class].failed += 1;
+        if let Some(held_query) = self.release(query) {
+            self.counters[held_query.class].failed += 1;
             commands.push(Command::Reply(query, Reply::Failed));
         }
     }
--- a/core/src/collect.rs
+++ b/core/src/collect.rs
@@ -13,27 +13,32 @@
         outcome: Outcome,
         value: Option<Value>,
     ) -> bool {
-        let Some(a) = self.attempts.remove(&attempt) else {
+        let Some(ended_attempt) = self.attempts.remove(&attempt) else {
             return false;
         };
-        self.attempt_ids.remove(&(a.part, a.index));
+        self.attempt_ids
+            .remove(&(ended_attempt.part, ended_attempt.index));
         let max_bytes = self.max_bytes();
-        let position = self.parts.get(&a.part).copied();
+        let position = self.parts.get(&ended_attempt.part).copied();
         let mut part =
             position.and_then(|(query, i)| self.queries.get_mut(&query)?.parts.get_mut(i));
-        let load = self.parts_in_flight.entry(a.server).or_default();
+        let load = self
+            .parts_in_flight
+            .entry(ended_attempt.server)
+            .or_default();
         *load = load.saturating_sub(1);
         if *load == 0 {
-            self.parts_in_flight.remove(&a.server);
+            self.parts_in_flight.remove(&ended_attempt.server);
         }
         let mut outcome = outcome;
         if let (Some(part), Outcome::NeverSent) = (&mut part, outcome) {
             part.never_left += 1;
         }
-        if let Some(part) = part
-            .as_mut()
-            .filter(|p| outcome.never_ran() && p.first_possible_run.is_some_and(|r| r.0 == a.index))
-        {
+        if let Some(part) = part.as_mut().filter(|p| {
+            outcome.never_ran()
+                && p.first_possible_run
+                    .is_some_and(|r| r.0 == ended_attempt.index)
+        }) {
             part.first_possible_run = None;
         }
         if let (Some(part), Outcome::Ok, Some(value)) = (part, outcome, value) {
@@ -46,13 +51,13 @@
                 part.value = Some(value);
             }
         }
-        self.report_to_planner(now, &a, outcome);
+        self.report_to_planner(now, &ended_attempt, outcome);
         self.pending_events.push(Event::Finished {
-            part: a.part,
-            attempt: a.index,
-            server: a.server,
+            part: ended_attempt.part,
+            attempt: ended_attempt.index,
+            server: ended_attempt.server,
             outcome,
-            elapsed: now.since(a.sent_at),
+            elapsed: now.since(ended_attempt.sent_at),
         });
         true
     }
--- a/core/src/contract/tests.rs
+++ b/core/src/contract/tests.rs
@@ -29,25 +29,28 @@
 
 #[test]
 fn contract_limits_classes_and_rate() {
-    let mut c = contracts();
+    let mut contracts = contracts();
     let now = Time(1_000_000);
-    assert_eq!(c.admit(now, None, 0), Err(ContractViolation::UnknownTeam));
     assert_eq!(
-        c.admit(now, Some("else"), 0),
+        contracts.admit(now, None, 0),
         Err(ContractViolation::UnknownTeam)
     );
     assert_eq!(
-        c.admit(now, Some("rates"), 1),
+        contracts.admit(now, Some("else"), 0),
+        Err(ContractViolation::UnknownTeam)
+    );
+    assert_eq!(
+        contracts.admit(now, Some("rates"), 1),
         Err(ContractViolation::Class)
     );
-    assert_eq!(c.admit(now, Some("rates"), 0), Ok(()));
-    assert_eq!(c.admit(now, Some("rates"), 0), Ok(()));
+    assert_eq!(contracts.admit(now, Some("rates"), 0), Ok(()));
+    assert_eq!(contracts.admit(now, Some("rates"), 0), Ok(()));
     assert_eq!(
-        c.admit(now, Some("rates"), 0),
+        contracts.admit(now, Some("rates"), 0),
         Err(ContractViolation::Rate(500_000))
     );
-    assert_eq!(c.admit(now.plus(500_000), Some("rates"), 0), Ok(()));
-    assert_eq!(c.admit(now, Some("open"), 7), Ok(()));
+    assert_eq!(contracts.admit(now.plus(500_000), Some("rates"), 0), Ok(()));
+    assert_eq!(contracts.admit(now, Some("open"), 7), Ok(()));
 }
 
 #[test]
--- a/core/src/dispatch.rs
+++ b/core/src/dispatch.rs
@@ -111,19 +111,19 @@
     ) {
         let position = self.parts.get(&part).copied();
         let query = position.and_then(|(id, i)| Some((id, self.queries.get_mut(&id)?, i)));
-        let Some((id, q, index)) = query else {
+        let Some((id, held_query, index)) = query else {
             // The query ended before the send, so the attempt never ran.
             return self.report_never_sent(part, 0, server);
         };
-        let class = &self.settings.classes[q.class];
-        let max_attempts = self.settings.attempts_of(q.class);
-        let Some(p) = q.parts.get_mut(index) else {
+        let class = &self.settings.classes[held_query.class];
+        let max_attempts = self.settings.attempts_of(held_query.class);
+        let Some(held_part) = held_query.parts.get_mut(index) else {
             return;
         };
-        let number = p.attempts;
-        p.attempts += 1;
+        let number = held_part.attempts;
+        held_part.attempts += 1;
         // Enforces the limit on attempts independently of the module.
-        if u32::from(number - p.never_left) >= max_attempts || p.value.is_some() {
+        if u32::from(number - held_part.never_left) >= max_attempts || held_part.value.is_some() {
             return self.report_never_sent(part, number, server);
         }
         let attempt = self.next_attempt;
@@ -144,16 +144,20 @@
         self.attempt_ids.insert((part, number), attempt);
         let dispatch = Dispatch {
             attempt,
-            job: q.job.clone(),
-            class: q.class,
-            shard: p.shard,
-            first: q.first.clone().filter(|_| p.is_second_step),
-            max_elements: p.max_elements,
-            timeout: attempt_timeout(timeout, q.deadline.since(now)),
-            send_by: send_deadline(class.retry_safety, p),
+            job: held_query.job.clone(),
+            class: held_query.class,
+            shard: held_part.shard,
+            first: held_query
+                .first
+                .clone()
+                .filter(|_| held_part.is_second_step),
+            max_elements: held_part.max_elements,
+            timeout: attempt_timeout(timeout, held_query.deadline.since(now)),
+            send_by: send_deadline(class.retry_safety, held_part),
         };
-        p.first_possible_run = p.first_possible_run.or(Some((number, now)));
-        self.planner.on_sent(now, id, p.shard.0, f64::from(pending));
+        held_part.first_possible_run = held_part.first_possible_run.or(Some((number, now)));
+        self.planner
+            .on_sent(now, id, held_part.shard.0, f64::from(pending));
         let max_parts = self.settings.layout.parts_a_call.max(1) as usize;
         calls.add(server, dispatch, max_parts);
     }
--- a/core/src/intake.rs
+++ b/core/src/intake.rs
@@ -191,9 +191,9 @@
         max_elements: Option<usize>,
     ) -> Option<PartId> {
         let part = PartId(self.new_id());
-        let q = self.queries.get_mut(&query)?;
-        self.parts.insert(part, (query, q.parts.len()));
-        q.parts.push(Part {
+        let held_query = self.queries.get_mut(&query)?;
+        self.parts.insert(part, (query, held_query.parts.len()));
+        held_query.parts.push(Part {
             id: part,
             shard,
             weight,
@@ -208,7 +208,7 @@
         self.held_entries += 1;
         self.pending_events.push(Event::Part {
             part,
-            number: q.number,
+            number: held_query.number,
             shard,
             weight,
         });
@@ -224,17 +224,17 @@
 
     /// Removes a query and its parts from all tables. No other function removes them.
     pub(super) fn release(&mut self, query: QueryId) -> Option<Query<J>> {
-        let q = self.queries.remove(&query)?;
-        self.deadlines.remove(&(q.deadline, query));
+        let held_query = self.queries.remove(&query)?;
+        self.deadlines.remove(&(held_query.deadline, query));
         self.planner.on_end(query);
-        self.held_entries -= 1 + q.parts.len();
-        self.value_bytes -= q
+        self.held_entries -= 1 + held_query.parts.len();
+        self.value_bytes -= held_query
             .parts
             .iter()
             .filter_map(|p| p.value.as_ref())
             .map(|v| v.bytes.len())
             .sum::<usize>();
-        for part in &q.parts {
+        for part in &held_query.parts {
             self.parts.remove(&part.id);
             // Recalls attempts in flight, so that one that still waits for a connection is not
             // sent.
@@ -242,7 +242,7 @@
                 (0..part.attempts).filter_map(|number| self.attempt_ids.get(&(part.id, number)));
             self.recalls.extend(in_flight);
         }
-        Some(q)
+        Some(held_query)
     }
 
     fn new_id(&mut self) -> u64 {
--- a/core/src/phases.rs
+++ b/core/src/phases.rs
@@ -91,14 +91,16 @@
 
     /// Returns the planner's second step, or `None` if it does not plan this class.
     fn plan(&mut self, now: Time, query: QueryId) -> Option<Plan> {
-        let q = self
+        let held_query = self
             .queries
             .get(&query)
             .filter(|q| self.planner.is_planned(q.class))?;
-        let goal = q.top.map_or(Goal::BestScores, |(k, direction)| Goal::Top {
-            k,
-            direction,
-        });
+        let goal = held_query
+            .top
+            .map_or(Goal::BestScores, |(k, direction)| Goal::Top {
+                k,
+                direction,
+            });
         let first = |p: &super::Part| {
             let value = p.value.as_ref()?;
             Some(FirstAnswer {
@@ -107,8 +109,8 @@
                 bound: bound(p.shard, value),
             })
         };
-        let firsts = q.parts.iter().filter_map(first).collect();
-        let (class, module) = (q.class, &self.module);
+        let firsts = held_query.parts.iter().filter_map(first).collect();
+        let (class, module) = (held_query.class, &self.module);
         self.planner
             .plan_second_phase(now, query, goal, firsts, |slice| {
                 module.pending_for(Shard(slice), class)
@@ -124,16 +126,16 @@
         commands: &mut Vec<Command<J>>,
     ) {
         let plan = self.plan(now, query);
-        let Some(q) = self.queries.get_mut(&query) else {
+        let Some(held_query) = self.queries.get_mut(&query) else {
             return;
         };
-        let scores: Vec<(f64, Shard)> = q
+        let scores: Vec<(f64, Shard)> = held_query
             .parts
             .iter()
             .filter_map(|p| p.value.as_ref().map(|v| (v.score, p.shard)))
             .collect();
         let shards = scores.iter().map(|s| s.1).collect();
-        q.first = Some(Rc::new(FirstStep { shards, whole }));
+        held_query.first = Some(Rc::new(FirstStep { shards, whole }));
         match plan {
             Some(plan) => self.begin_planned_step(query, whole, plan, commands),
             None => self.begin_best_scores_step(query, scores),
@@ -142,11 +144,11 @@
 
     /// Begins an unplanned second step: the shards with the best scores, up to the class's number.
     fn begin_best_scores_step(&mut self, query: QueryId, mut scores: Vec<(f64, Shard)>) {
-        let Some(q) = self.queries.get(&query) else {
+        let Some(held_query) = self.queries.get(&query) else {
             return;
         };
         scores.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
-        scores.truncate(self.settings.classes[q.class].second_step as usize);
+        scores.truncate(self.settings.classes[held_query.class].second_step as usize);
         let weight = 1.0 / scores.len().max(1) as f64;
         for (_, shard) in scores {
             self.add_part(query, shard, weight, true, None);
@@ -161,7 +163,7 @@
         plan: Plan,
         commands: &mut Vec<Command<J>>,
     ) {
-        let Some(q) = self.queries.get_mut(&query) else {
+        let Some(held_query) = self.queries.get_mut(&query) else {
             return;
         };
         if self.logs_reasons {
@@ -169,7 +171,7 @@
             self.log_lines
                 .extend(reasons.map(|reason| format!("query {}: {reason}", query.0)));
         }
-        q.skipped_shards = plan.left_out.iter().map(|&slice| Shard(slice)).collect();
+        held_query.skipped_shards = plan.left_out.iter().map(|&slice| Shard(slice)).collect();
         if plan.give_up {
             return self.pending_events.push(Event::GiveUp(query));
         }
@@ -210,22 +212,24 @@
         whole: bool,
         commands: &mut Vec<Command<J>>,
     ) {
-        let Some(q) = self.release(query) else { return };
-        self.counters[q.class].served += 1;
-        let is_second_step = q.first.is_some();
-        let mut missing_shards: Vec<Shard> = q
+        let Some(held_query) = self.release(query) else {
+            return;
+        };
+        self.counters[held_query.class].served += 1;
+        let is_second_step = held_query.first.is_some();
+        let mut missing_shards: Vec<Shard> = held_query
             .parts
             .iter()
             .filter(|p| !p.is_answered())
             .map(|p| p.shard)
             .collect();
-        missing_shards.extend(&q.skipped_shards);
+        missing_shards.extend(&held_query.skipped_shards);
         missing_shards.sort_unstable();
         missing_shards.dedup();
-        let whole = whole && !q.is_doubtful && q.skipped_shards.is_empty();
-        let is_sorted = q.top.is_some();
+        let whole = whole && !held_query.is_doubtful && held_query.skipped_shards.is_empty();
+        let is_sorted = held_query.top.is_some();
         let mut values: Vec<(Shard, Value)> = Vec::new();
-        for part in q
+        for part in held_query
             .parts
             .into_iter()
             .filter(|p| p.is_second_step == is_second_step || is_sorted)
--- a/stats/src/part_checks.rs
+++ b/stats/src/part_checks.rs
@@ -39,7 +39,7 @@
     }
     /// Returns the parts with an attempt in flight whose check is due, earliest first.
     pub fn due_parts(&self, now: Time) -> impl Iterator<Item = usize> + '_ {
-        self.checks.range(..=(now, usize::MAX)).map(|l| l.1)
+        self.checks.range(..=(now, usize::MAX)).map(|check| check.1)
     }
     /// Returns the parts that are idle or whose check is due, in ascending order.
     #[must_use]
@@ -53,7 +53,7 @@
     pub fn next_check(&self, now: Time) -> Option<Time> {
         self.checks
             .range((now, usize::MAX)..)
-            .map(|l| l.0)
+            .map(|check| check.0)
             .find(|&at| at > now)
     }
 }
