--- a/decide/control/src/acknowledged_versions/tests.rs
+++ b/decide/control/src/acknowledged_versions/tests.rs
@@ -5,11 +5,14 @@
     let mut acknowledged = AcknowledgedVersions::default();
     assert!(
         acknowledged.allows_read(Time(5), 0),
-        "nothing is acknowledged yet"
+        "no version is acknowledged yet"
     );
     acknowledged.on_acknowledged(Time(10), 3);
     acknowledged.on_acknowledged(Time(20), 7);
-    assert!(acknowledged.allows_read(Time(10), 0), "it was under way");
+    assert!(
+        acknowledged.allows_read(Time(10), 0),
+        "the read arrived before the acknowledgement"
+    );
     assert!(acknowledged.allows_read(Time(15), 3));
     assert!(!acknowledged.allows_read(Time(15), 2));
     assert!(!acknowledged.allows_read(Time(25), 3));
@@ -25,7 +28,7 @@
 }
 
 #[test]
-fn forgotten_versions_are_older_than_remembered_ones() {
+fn newest_versions_are_kept_beyond_limit() {
     let mut acknowledged = AcknowledgedVersions::default();
     for version in 1..=200 {
         acknowledged.on_acknowledged(Time(version), version);
--- a/decide/control/src/configuration_pushes.rs
+++ b/decide/control/src/configuration_pushes.rs
@@ -1,46 +1,49 @@
-//! What one router has been sent on its connection, and what it has to be sent next.
+//! Pushes of configurations to one router on its connection.
 //!
-//! It promises that a configuration is pushed once, only to a router that lacks it, and before the
-//! first heartbeat: a starting router takes what it has been sent as current once a heartbeat
-//! reports contact. Pushes are numbered from 1 on each connection.
+//! A configuration is pushed at most once per connection, and only to a router that has not applied
+//! it. It is pushed before the first heartbeat, because a starting router regards the configuration
+//! that it has received as current once a heartbeat reports contact with the group. Pushes are
+//! numbered from 1 on each connection.
 
 use lichenswitch_messages::{ConfigurationPosition, ControlToRouter};
 use lichenswitch_replication::Position;
 use std::sync::Arc;
 
-/// A committed configuration, to be pushed.
+/// A committed configuration in the form in which it is pushed to routers.
 #[derive(Clone, Debug)]
 pub struct CommittedConfiguration {
-    /// Its position among all replicated changes.
+    /// Position of the configuration in the replicated log.
     pub position: ConfigurationPosition,
-    /// Its version.
+    /// Version in the configuration document.
     pub version: u64,
-    /// The document as JSON.
+    /// Configuration document as JSON.
     pub document: Arc<[u8]>,
 }
 
-/// What one router has been sent and has applied.
+/// The state of the pushes to one router: the last push and the configuration that the router has
+/// applied.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigurationPushes {
-    /// Number of the last push; 0 before the first.
+    /// Number of the last push on this connection; 0 before the first.
     last_push: u64,
-    /// The configuration that the router has in force, as it last reported.
-    applied: Option<ConfigurationPosition>,
-    /// Version of the newest configuration that it was sent on this connection.
+    /// Position of the configuration that the router last reported as applied.
+    applied_position: Option<ConfigurationPosition>,
+    /// Version of the newest configuration that was pushed on this connection.
     sent_version: Option<u64>,
 }
 
 impl ConfigurationPushes {
-    /// Of a router that has connected and reports this configuration as in force.
-    pub fn new(applied: Option<ConfigurationPosition>) -> ConfigurationPushes {
+    /// Creates the state of a router that has connected and reported the position of the
+    /// configuration that it has applied.
+    pub fn new(applied_position: Option<ConfigurationPosition>) -> ConfigurationPushes {
         ConfigurationPushes {
-            applied,
+            applied_position,
             ..ConfigurationPushes::default()
         }
     }
 
-    /// What the router is sent first: the committed configuration, unless it has it, and then the
-    /// heartbeat that reports contact.
+    /// Returns the first messages to the router: the committed configuration, unless the router has
+    /// applied it, and then the heartbeat, which reports contact with the group.
     pub fn initial_messages(
         &mut self,
         committed: Option<&CommittedConfiguration>,
@@ -50,10 +53,11 @@
         configuration.into_iter().chain([heartbeat]).collect()
     }
 
-    /// The push of a configuration, unless the router has applied it or was sent it.
+    /// Returns the message that pushes a configuration, or `None` if the router has applied this or
+    /// a newer configuration or one was already pushed.
     pub fn prepare_push(&mut self, committed: &CommittedConfiguration) -> Option<ControlToRouter> {
         let is_applied = self
-            .applied
+            .applied_position
             .is_some_and(|position| position >= committed.position);
         if is_applied
             || self
@@ -72,24 +76,24 @@
         })
     }
 
-    /// The router has reported the configuration that it has in force.
-    pub fn on_applied(&mut self, applied: Option<ConfigurationPosition>) {
-        self.applied = applied;
+    /// Handles the router's report of the configuration that it has applied.
+    pub fn on_applied(&mut self, applied_position: Option<ConfigurationPosition>) {
+        self.applied_position = applied_position;
     }
 
-    /// The configuration that it has in force, as it last reported.
+    /// Returns the position of the configuration that the router last reported as applied.
     pub fn applied_position(&self) -> Option<ConfigurationPosition> {
-        self.applied
+        self.applied_position
     }
 
-    /// Counts a push and returns its number.
+    /// Increments the number of the last push and returns it.
     pub fn next_push_number(&mut self) -> u64 {
         self.last_push += 1;
         self.last_push
     }
 }
 
-/// The position of a configuration, as routers are sent it.
+/// Converts a position in the replicated log into the form that is sent to routers.
 pub fn configuration_position(position: Position) -> ConfigurationPosition {
     ConfigurationPosition {
         epoch: position.epoch.counter,
--- a/decide/control/src/configuration_pushes/tests.rs
+++ b/decide/control/src/configuration_pushes/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `pushes`.
+//! Tests of `configuration_pushes`.
 
 use super::*;
 use assert_matches::assert_matches;
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn router_gets_only_heartbeat_without_configuration() {
+fn router_receives_only_heartbeat_while_no_configuration_is_committed() {
     assert_matches!(
         &ConfigurationPushes::new(None).initial_messages(None, heartbeat())[..],
         [ControlToRouter::Heartbeat { .. }]
--- a/decide/control/src/group_membership.rs
+++ b/decide/control/src/group_membership.rs
@@ -1,64 +1,70 @@
-//! Whether a machine is a member of the group of voters: from its start, later, or no longer.
+//! Decides when a machine joins or leaves the group of voters.
 //!
-//! A machine without a disk joins only where no machine with one does, and leaves as soon as such
-//! machines hold the state.
+//! A machine without a disk joins only if no machine with a disk connects. It leaves the group as
+//! soon as enough machines with a disk vote and hold the state.
 
 use lichenswitch_replication::Time;
 
-/// How long a machine that may only stand in for those with a disk waits for one of them to connect
-/// (microseconds).
-const STAND_IN_WAIT_US: u64 = 3_000_000;
-/// How long a stand-in waits for further voters with a disk once one of them votes, while they are
-/// fewer than the group needs (microseconds).
-const GATHERING_TIMEOUT_US: u64 = 5_000_000;
+/// Time that a temporary member waits after its start for a machine with a disk to connect, before
+/// it joins the group (microseconds).
+const TEMPORARY_JOIN_DELAY_US: u64 = 3_000_000;
+/// Time that a temporary member waits for further voters with a disk once the first of them is
+/// connected, while they are fewer than the group requires (microseconds). Then it leaves the
+/// group.
+const DURABLE_VOTERS_TIMEOUT_US: u64 = 5_000_000;
 
-/// Why a machine may be a member of the group of voters, if it may.
+/// Condition under which a machine may be a member of the group of voters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Eligibility {
-    /// It has a disk, or its loss is counted.
+    /// The machine is always a member. It has a disk, or its loss counts towards the fault
+    /// tolerance.
     Durable,
-    /// Neither, but the first start names it as a seed: one machine has to found the group where
-    /// none has a disk. It becomes a relay once a machine with a disk has connected.
+    /// The machine is a member only until machines with a disk hold the state. It has no disk and
+    /// its loss is not counted, but it is a seed at the first start of the system: if no machine
+    /// has a disk, one of the seeds has to found the group. Before it has joined, it becomes a
+    /// relay as soon as a machine with a disk connects.
     Temporary,
-    /// It forwards calls and holds no replicated state.
+    /// The machine is never a member. It forwards calls and holds no replicated state.
     Relay,
 }
 
-/// The group as this machine sees it.
+/// This machine's view of the group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GroupView {
-    /// This machine is a member of the group.
+    /// Whether this machine is a member of the group.
     pub is_member: bool,
-    /// Its requested leave is complete.
+    /// Whether this machine has left the group after requesting to leave.
     pub has_left: bool,
-    /// Voters with a disk that are connected.
+    /// Number of connected voters with a disk.
     pub durable_voters: usize,
 }
 
-/// What a machine has to do about its membership.
+/// Change of membership that a machine has to carry out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipAction {
-    /// Join the group.
+    /// Join the group of voters.
     Join,
-    /// Request to leave the group: machines with a disk hold the state.
+    /// Request to leave the group, because machines with a disk hold the state.
     Leave,
-    /// Drop the replica: from now on this machine only relays.
+    /// Drop the replica. From now on this machine only relays calls.
     BecomeRelay,
 }
 
-/// The membership of one machine.
+/// Decides about the membership of one machine from its view of the group.
 #[derive(Clone, Copy, Debug)]
 pub struct GroupMembership {
     eligibility: Eligibility,
     started_at: Time,
-    /// Voters that are needed to tolerate the required number of losses.
+    /// Number of voters needed to tolerate the required number of losses.
     required_voters: usize,
-    /// When this machine, which has no disk, first saw a voter with one beside it.
+    /// When this machine, as a temporary member, first saw a connected voter with a disk; `None`
+    /// while there is none.
     durable_voter_seen_at: Option<Time>,
 }
 
 impl GroupMembership {
-    /// Of a machine that starts at `started`, in a group that must tolerate `fault_tolerance` losses.
+    /// Creates the membership of a machine that starts at `started_at`, in a group that must
+    /// tolerate the loss of `fault_tolerance` voters.
     pub fn new(eligibility: Eligibility, started_at: Time, fault_tolerance: usize) -> Self {
         Self {
             eligibility,
@@ -68,35 +74,41 @@
         }
     }
 
-    /// Why it may be a member.
+    /// Returns the current eligibility. A temporary member becomes a relay over time.
     pub fn eligibility(&self) -> Eligibility {
         self.eligibility
     }
 
-    /// A machine with a disk has connected: from now on the state belongs on such machines, however
-    /// long they are away. Guards against a vote for state that ends with this process, in a group
-    /// that has disks.
+    /// Handles the connection of a machine with a disk. From now on only machines with a disk hold
+    /// the state, even if they are disconnected for long. This prevents a machine whose state ends
+    /// with its process from becoming a voter in a group that has disks.
     pub fn on_durable_peer_connected(&mut self, is_member: bool) {
         if self.eligibility == Eligibility::Temporary && !is_member {
             self.eligibility = Eligibility::Relay;
         }
     }
 
-    /// What has to be done now, if anything.
+    /// Returns the change of membership to carry out now, if any.
     pub fn next_action(&mut self, now: Time, view: GroupView) -> Option<MembershipAction> {
         match (self.eligibility, view.is_member) {
             (Eligibility::Durable, false) => Some(MembershipAction::Join),
-            (Eligibility::Temporary, false) if now.since(self.started_at) > STAND_IN_WAIT_US => {
+            (Eligibility::Temporary, false)
+                if now.since(self.started_at) > TEMPORARY_JOIN_DELAY_US =>
+            {
                 Some(MembershipAction::Join)
             }
-            (Eligibility::Temporary, true) => self.yield_to_durable_voters(now, view),
+            (Eligibility::Temporary, true) => self.withdraw_for_durable_voters(now, view),
             _ => None,
         }
     }
 
-    /// A machine without a disk leaves once enough machines with one vote, or once it has waited long
-    /// enough for more of them.
-    fn yield_to_durable_voters(&mut self, now: Time, view: GroupView) -> Option<MembershipAction> {
+    /// Returns how a temporary member withdraws from the group. It leaves once enough machines with
+    /// a disk vote, or once it has waited for more of them for [`DURABLE_VOTERS_TIMEOUT_US`].
+    fn withdraw_for_durable_voters(
+        &mut self,
+        now: Time,
+        view: GroupView,
+    ) -> Option<MembershipAction> {
         if view.has_left {
             self.eligibility = Eligibility::Relay;
             return Some(MembershipAction::BecomeRelay);
@@ -106,15 +118,16 @@
             return None;
         }
         let seen_at = *self.durable_voter_seen_at.get_or_insert(now);
-        let has_timed_out = now.since(seen_at) >= GATHERING_TIMEOUT_US;
+        let has_timed_out = now.since(seen_at) >= DURABLE_VOTERS_TIMEOUT_US;
         (has_timed_out || view.durable_voters >= self.required_voters)
             .then_some(MembershipAction::Leave)
     }
 
-    /// When [`Self::next_action`] has something to return without a further event.
+    /// Returns when [`Self::next_action`] must be called next if no event occurs before; `None` if
+    /// this machine does not wait for further voters with a disk.
     pub fn next_wake(&self) -> Option<Time> {
         self.durable_voter_seen_at
-            .map(|seen_at| seen_at.after(GATHERING_TIMEOUT_US))
+            .map(|seen_at| seen_at.after(DURABLE_VOTERS_TIMEOUT_US))
     }
 }
 
--- a/decide/control/src/rejected_orders.rs
+++ b/decide/control/src/rejected_orders.rs
@@ -1,38 +1,38 @@
-//! Orders that this machine has rejected, as `status` shows them.
+//! Orders that this machine has rejected recently, for the response to a status call.
 
 use lichenswitch_replication::Time;
 use std::collections::VecDeque;
 
-/// Rejected orders that are remembered.
-const REMEMBERED_REJECTIONS: usize = 8;
+/// Maximum number of rejected orders kept.
+const MAX_REJECTED_ORDERS: usize = 8;
 
-/// An order that was rejected, as operators see it.
+/// A rejected order and the reason, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RejectedOrder {
     /// HTTP status of the response: 400 or 412.
     pub status: u16,
-    /// The version that the order was to change.
+    /// Configuration version that the order was based on.
     pub base_version: u64,
-    /// Why it was rejected, in a sentence.
+    /// Reason for the rejection, as sent to the caller.
     pub reason: String,
-    /// When it was rejected.
+    /// When the order was rejected, on the clock of this machine.
     pub rejected_at: Time,
 }
 
-/// The orders that were rejected last.
+/// The last rejected orders, oldest first.
 #[derive(Clone, Debug, Default)]
 pub struct RejectedOrders(VecDeque<RejectedOrder>);
 
 impl RejectedOrders {
-    /// Remembers a rejected order, and forgets the oldest one beyond the limit.
+    /// Appends a rejected order, and removes the oldest one if the limit is exceeded.
     pub fn record(&mut self, rejection: RejectedOrder) {
-        if self.0.len() >= REMEMBERED_REJECTIONS {
+        if self.0.len() >= MAX_REJECTED_ORDERS {
             self.0.pop_front();
         }
         self.0.push_back(rejection);
     }
 
-    /// The remembered orders, oldest first.
+    /// Returns an iterator over the rejected orders, oldest first.
     pub fn iter(&self) -> impl Iterator<Item = &RejectedOrder> {
         self.0.iter()
     }
--- a/decide/control/src/replicated_configuration.rs
+++ b/decide/control/src/replicated_configuration.rs
@@ -1,9 +1,9 @@
-//! The state that all voters replicate.
+//! Configuration state as replicated by the voters of the group.
 
 use lichenswitch_configuration::State;
 use lichenswitch_replication::{ReplicatedState, StateError};
 
-/// The configuration and the history of accepted orders.
+/// The configuration and the history of accepted orders, which all voters replicate.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ReplicatedConfiguration(pub State);
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// A replicated state that contains a configuration and its history.
+/// A replicated state that contains a configuration and the history of accepted orders.
 pub trait ConfigurationState: ReplicatedState + AsRef<State> {}
 
 impl<S: ReplicatedState + AsRef<State>> ConfigurationState for S {}
