--- a/decide/control/src/call.rs
+++ b/decide/control/src/call.rs
@@ -1,69 +1,70 @@
-//! A call of an operator, as it passes from the machine that received it to the primary.
+//! Operator calls and their responses, shared by the machine that received a call and the primary.
 
 use crate::rejected_orders::RejectedOrder;
 use lichenswitch_configuration::{Order, OrderKind};
 use lichenswitch_messages::{RelayedCall, RelayedResponse};
 use lichenswitch_replication::Time;
 
-/// A call that can't be begun is answered after this time (microseconds): before its caller, after a
-/// second without a response, turns to another control machine.
+/// Time after which the machine answers a call that it could not begin (microseconds). It is
+/// shorter than the second after which a caller without a response retries at another control
+/// machine.
 const BEGIN_TIMEOUT_US: u64 = 650_000;
-/// A call that was forwarded to the primary is given up after this time (microseconds).
+/// Time after which the machine stops waiting for the primary's response (microseconds).
 const RESPONSE_TIMEOUT_US: u64 = 800_000;
-/// Callers wait longer for the response to a large body, which takes longer to read and check: one
-/// millisecond more for each of these.
+/// Body size (bytes) for each millisecond that is added to both timeouts. Callers wait longer for
+/// the response to a large body, because it takes longer to read and check.
 const BYTES_PER_MILLISECOND: usize = 4 << 10;
 const MICROS_PER_MILLISECOND: u64 = 1_000;
 
-/// Who awaits the response.
+/// Recipient of the response to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOrigin<C, A> {
     /// A caller at this machine.
     Caller(C),
-    /// A caller at another control machine, which relays.
+    /// Another control machine, which relays the call of one of its callers.
     Peer {
-        /// Address of that machine.
+        /// Address of the relaying machine.
         address: A,
-        /// Number that it gave the call.
+        /// Call number that the relaying machine assigned, to be repeated in the response.
         id: u64,
     },
 }
 
-/// What a call requests.
+/// Operation that a call requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallKind {
-    /// To accept an order that changes the configuration.
+    /// Change the configuration as the order says.
     Order(Order),
-    /// To return the newest configuration.
+    /// Return the newest committed configuration.
     Describe,
-    /// To return the primary's view of the group.
+    /// Return the primary's view of the group.
     Status,
 }
 
 /// A call that awaits its response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call<C, A> {
-    /// Who awaits the response.
+    /// Recipient of the response.
     pub origin: CallOrigin<C, A>,
-    /// What it requests.
+    /// Requested operation.
     pub kind: CallKind,
-    /// When it arrived at this machine.
+    /// When the call arrived at this machine. Its deadlines count from here.
     pub arrived_at: Time,
 }
 
-/// A call with its response.
+/// A call together with the response to send.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CompletedCall<C, A> {
-    /// The call.
+    /// The call, whose origin is the recipient.
     pub call: Call<C, A>,
-    /// What the caller, or the machine that relayed the call, is sent.
+    /// Response to the caller or to the machine that relayed the call.
     pub response: RelayedResponse,
-    /// Set when the call was an order that this machine rejected as primary.
+    /// Details of the rejection if this machine, as primary, rejected an order; otherwise `None`.
     pub rejection: Option<RejectedOrder>,
 }
 
 impl<C, A> CompletedCall<C, A> {
-    /// A call that completes with this response, and is no rejected order.
+    /// Returns a completed call that is not a rejected order.
     pub(crate) fn new(call: Call<C, A>, response: RelayedResponse) -> Self {
         Self {
             call,
@@ -74,7 +75,8 @@
 }
 
 impl CallKind {
-    /// From a message of another machine; `None` if it names a path that is no order's.
+    /// Converts a call from another machine's message. Returns `None` for an order with an unknown
+    /// path.
     pub fn from_relayed(call: RelayedCall) -> Option<CallKind> {
         match call {
             RelayedCall::Order {
@@ -94,7 +96,7 @@
         }
     }
 
-    /// As a message.
+    /// Converts the call into a message to another machine.
     pub fn to_relayed(&self) -> RelayedCall {
         match self {
             CallKind::Order(Order {
@@ -111,7 +113,7 @@
         }
     }
 
-    /// The order, if it is one.
+    /// Returns the order, or `None` for a read.
     pub fn as_order(&self) -> Option<&Order> {
         match self {
             CallKind::Order(order) => Some(order),
@@ -119,13 +121,13 @@
         }
     }
 
-    /// Bytes of its body.
+    /// Returns the size of the order's body in bytes; 0 for a read.
     pub(crate) fn body_bytes(&self) -> usize {
         self.as_order().map_or(0, |order| order.body.len())
     }
 
-    /// The response to a call that was forwarded to the primary and whose outcome is unknown. Only
-    /// an order may have had an effect.
+    /// Returns the response to a forwarded call whose outcome is unknown. A read has no effect and
+    /// may be retried, so only an order is answered with [`RelayedResponse::Unknown`].
     pub(crate) fn response_when_outcome_unknown(&self) -> RelayedResponse {
         match self {
             CallKind::Order(_) => RelayedResponse::Unknown,
@@ -135,13 +137,13 @@
 }
 
 impl<C, A> Call<C, A> {
-    /// When it is given up unless it has been begun.
+    /// Returns when the machine answers the call with an error unless it has begun the call.
     pub fn begin_deadline(&self) -> Time {
         self.arrived_at
             .after(BEGIN_TIMEOUT_US + self.body_size_allowance())
     }
 
-    /// When it is given up unless the primary has responded.
+    /// Returns when the machine stops waiting for the primary's response to the call.
     pub fn response_deadline(&self) -> Time {
         self.arrived_at
             .after(RESPONSE_TIMEOUT_US + self.body_size_allowance())
@@ -152,18 +154,18 @@
     }
 }
 
-/// A response whose body gives the reason as JSON.
+/// Returns a response whose JSON body `{"error": …}` contains the reason.
 pub fn error_response(status: u16, reason: &str) -> RelayedResponse {
     let body = format!("{{\"error\":{}}}", miniserde::json::to_string(reason)).into_bytes();
     RelayedResponse::Response { status, body }
 }
 
-/// The response to an order that is in force.
+/// Returns the response to an order whose change is committed; the body contains its version.
 pub(crate) fn accepted_response(version: u64) -> RelayedResponse {
     success_response(format!("{{\"version\":{version}}}").into_bytes())
 }
 
-/// A response of status 200.
+/// Returns a response with status 200.
 pub(crate) fn success_response(body: Vec<u8>) -> RelayedResponse {
     RelayedResponse::Response { status: 200, body }
 }
--- a/decide/control/src/call_dispatcher.rs
+++ b/decide/control/src/call_dispatcher.rs
@@ -1,4 +1,5 @@
-//! All calls at one machine: those that its own callers made, and those that it answers as primary.
+//! Dispatch of all calls at one machine: calls of its own callers, and calls that it answers as
+//! primary.
 
 use crate::call::{Call, CallOrigin, CompletedCall};
 use crate::faults::InjectedFaults;
@@ -8,25 +9,26 @@
 use lichenswitch_messages::{RelayedCall, RelayedResponse};
 use lichenswitch_replication::{Outcome, Replica, RequestId, Time};
 
-/// Something that the machine has to do.
+/// Action that the machine has to carry out for a call.
 #[derive(Debug, PartialEq)]
 pub enum CallAction<C, A> {
     /// Send a call to the primary.
     Forward {
-        /// Where it is.
+        /// Address of the primary.
         to: A,
-        /// Number of the call, chosen by this machine.
+        /// Call number that this machine assigned. The response repeats it.
         id: u64,
-        /// The call, as a message.
+        /// Message to send.
         call: RelayedCall,
     },
     /// Respond to the caller, or to the machine that relayed the call.
     Respond(CompletedCall<C, A>),
 }
 
-/// Takes calls in, relays them to the primary or answers them as primary, and reports the responses.
+/// Accepts calls, forwards them to the primary or answers them as primary, and returns the
+/// responses.
 ///
-/// `C`: handle of a caller at this machine; `A`: address of another control machine.
+/// `C` is the handle of a caller at this machine, `A` the address of another control machine.
 pub struct CallDispatcher<C, A> {
     primary: PrimaryCalls<C, A>,
     relayed: RelayedCalls<C, A>,
@@ -34,13 +36,13 @@
 }
 
 impl<C: Clone, A: Clone + PartialEq> CallDispatcher<C, A> {
-    /// A dispatcher without calls. Calls that it forwards are numbered above `first_id`, which no
-    /// earlier incarnation of the process used.
+    /// Creates a dispatcher without calls. Forwarded calls get numbers above `first_id`, which must
+    /// not repeat numbers of an earlier incarnation of the process.
     pub fn new(first_id: u64) -> Self {
         Self::with_faults(first_id, InjectedFaults::default())
     }
 
-    /// The same, with planted faults.
+    /// Creates a dispatcher without calls that has the given faults, for tests.
     #[doc(hidden)]
     pub fn with_faults(first_id: u64, faults: InjectedFaults) -> Self {
         Self {
@@ -50,8 +52,8 @@
         }
     }
 
-    /// A call has arrived, from a caller or from another machine. A call that was relayed once is
-    /// not relayed again: the machine that received it finds the primary.
+    /// Handles a call that has arrived from a caller or from another machine. A call from another
+    /// machine is never forwarded again: the machine that first received it finds the primary.
     pub fn submit<S: ConfigurationState>(
         &mut self,
         now: Time,
@@ -67,17 +69,18 @@
         }
     }
 
-    /// The primary has responded to a forwarded call.
+    /// Handles a response from the machine that a call was forwarded to.
     pub fn on_response(&mut self, now: Time, from: &A, id: u64, response: RelayedResponse) {
         self.relayed.on_response(now, from, id, response);
     }
 
-    /// The last connection to that machine is closed.
+    /// Handles the loss of the last connection to the machine at `address`.
     pub fn on_peer_disconnected(&mut self, address: &A) {
         self.relayed.on_peer_disconnected(address);
     }
 
-    /// A request to the replica is completed. `status` renders the group as the primary sees it.
+    /// Handles the outcome of a request to the replica. `status` renders the primary's view of the
+    /// group, the body of the response to a status call.
     pub fn on_request_completed<S: ConfigurationState>(
         &mut self,
         now: Time,
@@ -90,8 +93,8 @@
             .on_request_completed(now, request, outcome, replica, status);
     }
 
-    /// Forwards and begins what can be, completes what has waited too long, and returns what the
-    /// machine has to do, in order.
+    /// Forwards or begins the calls that can proceed, completes the calls whose deadline has
+    /// passed, and returns the actions to carry out, in order.
     pub fn advance<S: ConfigurationState>(
         &mut self,
         now: Time,
@@ -116,7 +119,7 @@
         }
         for completed in self.primary.take_completed() {
             match (&completed.call.origin, &completed.response) {
-                // Nothing was begun, so another primary may still accept it.
+                // The replica has not begun the call, so another primary may still accept it.
                 (CallOrigin::Caller(_), RelayedResponse::NotPrimary) => {
                     self.relayed.requeue(now, completed.call)
                 }
@@ -130,12 +133,13 @@
         self.actions.push(CallAction::Respond(completed));
     }
 
-    /// Whether no call is pending.
+    /// Returns whether no call is pending, neither forwarded nor answered here.
     pub fn is_empty(&self) -> bool {
         self.primary.is_empty() && self.relayed.is_empty()
     }
 
-    /// When [`Self::advance`] has something to do without a further event.
+    /// Returns when [`Self::advance`] must be called next if no event occurs before; `None` if no
+    /// deadline is pending.
     pub fn next_wake(&self) -> Option<Time> {
         [self.primary.next_wake(), self.relayed.next_wake()]
             .into_iter()
--- a/decide/control/src/call_dispatcher/tests.rs
+++ b/decide/control/src/call_dispatcher/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `calls`: what passes from one part to the other.
+//! Tests of how `call_dispatcher` passes calls between relaying and answering as primary.
 
 use super::*;
 use crate::call::CallKind;
@@ -16,7 +16,7 @@
     }
 }
 
-fn outsider() -> Replica<ReplicatedConfiguration> {
+fn non_member_replica() -> Replica<ReplicatedConfiguration> {
     let member = Member {
         identity: Identity(7),
         address: "10.0.0.1:7300".to_owned(),
@@ -26,7 +26,7 @@
 
 #[test]
 fn relayed_call_is_returned_at_once_by_machine_that_is_not_primary() {
-    for mut replica in [None, Some(outsider())] {
+    for mut replica in [None, Some(non_member_replica())] {
         let mut calls = CallDispatcher::new(0);
         let call = describe_call(CallOrigin::Peer { address: 2, id: 5 });
         calls.submit(START, call.clone(), replica.as_mut());
@@ -44,14 +44,14 @@
 
 #[test]
 fn call_that_was_not_begun_is_forwarded_to_next_primary() {
-    let mut replica = outsider();
+    let mut replica = non_member_replica();
     let mut calls = CallDispatcher::new(0);
     calls.submit(
         START,
         describe_call(CallOrigin::Caller(1)),
         Some(&mut replica),
     );
-    // The machine took itself for the primary; the replica knows better.
+    // The machine regards itself as the primary, but its replica is not.
     assert_eq!(
         calls.advance(START, &PrimaryLocation::Local, Some(&mut replica)),
         []
@@ -65,7 +65,7 @@
         calls.advance(START, &PrimaryLocation::Unknown, Some(&mut replica)),
         []
     );
-    let wake = calls.next_wake().expect("the call waits");
+    let wake = calls.next_wake().expect("the call has a deadline");
     assert!(wake > START && !calls.is_empty());
     assert_matches!(
         &calls.advance(wake, &PrimaryLocation::Remote(2), Some(&mut replica))[..],
@@ -99,12 +99,12 @@
         describe_call(CallOrigin::Caller(1)),
         None::<&mut Replica<ReplicatedConfiguration>>,
     );
-    let sent = calls.advance(
+    let actions = calls.advance(
         START,
         &PrimaryLocation::Remote(2),
         None::<&mut Replica<ReplicatedConfiguration>>,
     );
-    assert_matches!(&sent[..], [CallAction::Forward { .. }]);
+    assert_matches!(&actions[..], [CallAction::Forward { .. }]);
     calls.on_peer_disconnected(&2);
     assert_matches!(
         &calls.advance(
--- a/decide/control/src/faults.rs
+++ b/decide/control/src/faults.rs
@@ -1,10 +1,10 @@
-//! Faults that tests plant to show that they would be found.
+//! Faults that tests inject to prove that their checks detect them.
 
-/// Planted faults in the handling of calls; all off outside tests.
+/// Faults to inject into the handling of calls. All are off outside tests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct InjectedFaults {
-    /// A repeated order is recognised by its version number, not by its content.
+    /// Whether an order counts as a repeat if its version number matches, whatever its content.
     pub recognizes_repeats_by_version: bool,
-    /// The primary rejects orders by its committed state, without a confirmation round.
+    /// Whether the primary rejects orders on version conflicts without a confirmation round.
     pub rejects_without_confirmation: bool,
 }
--- a/decide/control/src/lib.rs
+++ b/decide/control/src/lib.rs
@@ -1,14 +1,21 @@
-//! What a control machine decides about the calls of operators, and about what each router is sent.
+//! Decision logic of a control machine: how it answers operator calls, which messages it sends to
+//! each router, and when it joins or leaves the group of voters.
 //!
-//! It owns who answers a call and when (`docs/design/control.md`, section 4): [`CallDispatcher`]
-//! joins [`RelayedCalls`], at the machine that received a call, and [`PrimaryCalls`], at the
-//! primary. [`ConfigurationPushes`] tracks what one router has been sent; [`GroupMembership`]
-//! decides whether a machine is a member of the group of voters. The crate promises that a call is
-//! answered from replicated state only after a confirmation round that began once the call had
-//! arrived, and that no order is rejected whose outcome is unknown.
+//! Operators call any control machine, and only the primary of the group answers (see
+//! `docs/design/control.md`, section 4). [`RelayedCalls`] runs on the machine that received a call
+//! and forwards the call to the primary. [`PrimaryCalls`] runs on the primary. [`CallDispatcher`]
+//! combines both. [`ConfigurationPushes`] tracks the configurations that one router has received.
+//! [`GroupMembership`] decides whether a machine is a member of the group of voters.
 //!
-//! It is pure: no I/O, no clock, no threads. Time is an argument; a caller's handle and a machine's
-//! address are type parameters, so that the role `control` and the simulator run the same code.
+//! The crate guarantees:
+//! - The primary answers a call from replicated state only after a confirmation round that began
+//!   after the call had arrived. In a confirmation round a quorum of voters confirms that the
+//!   machine is still the primary.
+//! - An order whose outcome is unknown is never rejected.
+//!
+//! The crate does no I/O, reads no clock and starts no threads. The current time is an argument.
+//! Caller handles and machine addresses are type parameters, so the `control` role and the
+//! simulator run the same code.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/decide/control/src/primary_calls.rs
+++ b/decide/control/src/primary_calls.rs
@@ -1,9 +1,11 @@
-//! Calls at the primary: each is answered from committed state, with nothing in flight, after a
-//! confirmation round that began once it had arrived.
+//! Calls at the primary. The primary answers each call from committed state, after a confirmation
+//! round that began after the call had arrived. In a confirmation round a quorum of voters confirms
+//! that this machine is still the primary.
 //!
-//! Orders are judged one at a time. An order that changes something is answered once its record is
-//! committed. Any other verdict is judged again after a confirmation round, and answered only then.
-//! An order whose outcome the replica doesn't know gets no response.
+//! The primary evaluates orders one at a time, while no change is in flight. An order that changes
+//! the configuration is answered once its record is committed. For any other verdict the primary
+//! runs a confirmation round, evaluates the order again, and only then answers. An order whose
+//! outcome the replica doesn't know gets no response.
 
 use crate::call::{
     accepted_response, error_response, success_response, Call, CallKind, CompletedCall,
@@ -16,26 +18,28 @@
 use lichenswitch_replication::{Outcome, Replica, RequestId, Time};
 use std::collections::VecDeque;
 
-/// Limits on the queued orders and on the bytes of their bodies. They bound memory.
+/// Maximum number of queued orders; bounds memory.
 const MAX_QUEUED_ORDERS: usize = 64;
+/// Maximum total size of the bodies of queued orders; bounds memory. One larger body is accepted.
 const MAX_QUEUED_BYTES: usize = 16 << 20;
 
-/// What the order in progress waits for.
+/// Event that the order in progress waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum JudgementStep {
-    /// The commit of its change.
+enum OrderStep {
+    /// Commit of the order's change.
     AwaitingCommit,
-    /// The end of a confirmation round that began after the order had arrived.
+    /// End of a confirmation round that began after the order had arrived.
     AwaitingConfirmation,
 }
 
+/// The order that the primary has begun, and the request to the replica that it waits for.
 struct OrderInProgress<C, A> {
     call: Call<C, A>,
-    step: JudgementStep,
+    step: OrderStep,
     request: RequestId,
 }
 
-/// Calls that this machine answers as primary.
+/// Calls that this machine answers as primary: queued orders, one order in progress, and reads.
 pub struct PrimaryCalls<C, A> {
     queued: VecDeque<Call<C, A>>,
     queued_bytes: usize,
@@ -52,7 +56,7 @@
 }
 
 impl<C, A> PrimaryCalls<C, A> {
-    /// Without calls, with planted faults.
+    /// Creates an empty set of calls with the given faults, for tests.
     #[doc(hidden)]
     pub fn with_faults(faults: InjectedFaults) -> Self {
         Self {
@@ -65,7 +69,8 @@
         }
     }
 
-    /// A call has arrived.
+    /// Queues an order, or answers it with 503 if too many are queued. Begins a confirmation round
+    /// for a read.
     pub fn submit<S: ConfigurationState>(
         &mut self,
         now: Time,
@@ -93,7 +98,8 @@
             || (bytes > MAX_QUEUED_BYTES && !self.queued.is_empty())
     }
 
-    /// Begins the queued orders that can be begun, and completes those that have waited too long.
+    /// Begins the first queued order if the replica can accept changes, and completes the queued
+    /// orders whose deadline has passed.
     pub fn advance<S: ConfigurationState>(&mut self, now: Time, replica: &mut Replica<S>) {
         while self.in_progress.is_none() {
             let Some(call) = self.queued.pop_front() else {
@@ -121,20 +127,18 @@
         call: Call<C, A>,
         replica: &mut Replica<S>,
     ) {
-        let Some(verdict) = self.verdict(&call, replica) else {
+        let Some(verdict) = self.evaluate_order(&call, replica) else {
             return self.complete(call, RelayedResponse::NotPrimary);
         };
         let (step, request) = match verdict {
-            Verdict::Change(change) => {
-                (JudgementStep::AwaitingCommit, replica.propose(now, change))
-            }
+            Verdict::Change(change) => (OrderStep::AwaitingCommit, replica.propose(now, change)),
             Verdict::VersionConflict { current } if self.faults.rejects_without_confirmation => {
-                return self.reject(now, call, 412, conflict(current));
+                return self.reject(now, call, 412, conflict_reason(current));
             }
-            // Another primary may have committed something since: the verdict stands only after a
-            // confirmation round.
+            // Another primary may have committed a newer change, which this replica has not seen.
+            // The confirmation round excludes that before the response is sent.
             Verdict::AlreadyApplied | Verdict::VersionConflict { .. } | Verdict::Invalid(_) => {
-                (JudgementStep::AwaitingConfirmation, replica.confirm(now))
+                (OrderStep::AwaitingConfirmation, replica.confirm(now))
             }
         };
         self.in_progress = Some(OrderInProgress {
@@ -144,7 +148,9 @@
         });
     }
 
-    /// A request to the replica is completed. `status` renders the group as the primary sees it.
+    /// Handles the outcome of a request to the replica. `status` renders the primary's view of the
+    /// group, the body of the response to a status call. Ignores a request that belongs to no
+    /// pending call.
     pub fn on_request_completed<S: ConfigurationState>(
         &mut self,
         now: Time,
@@ -158,10 +164,10 @@
             .take_if(|in_progress| in_progress.request == request)
         {
             match in_progress.step {
-                JudgementStep::AwaitingCommit => {
+                OrderStep::AwaitingCommit => {
                     self.on_commit_completed(in_progress.call, outcome, replica)
                 }
-                JudgementStep::AwaitingConfirmation => {
+                OrderStep::AwaitingConfirmation => {
                     self.on_confirmation_completed(now, in_progress.call, outcome, replica)
                 }
             }
@@ -185,7 +191,7 @@
         let response = match outcome {
             Outcome::Committed(_) => accepted_response(committed_version(replica)),
             Outcome::NotPrimary => RelayedResponse::NotPrimary,
-            // The state differs from the one that the order was judged against.
+            // The state has changed since the order was evaluated, so it is evaluated again.
             Outcome::Rejected(_) => return self.requeue_first(call),
             Outcome::Unknown | Outcome::Confirmed(_) => RelayedResponse::Unknown,
         };
@@ -203,24 +209,24 @@
             return self.complete(call, RelayedResponse::NotPrimary);
         }
         if !replica.is_idle() {
-            // A change in flight may alter the verdict.
+            // A change in flight may alter the verdict, so the order is evaluated again after it.
             return self.requeue_first(call);
         }
-        match self.verdict(&call, replica) {
+        match self.evaluate_order(&call, replica) {
             None => self.complete(call, RelayedResponse::NotPrimary),
             Some(Verdict::Change(_)) => self.begin(now, call, replica),
             Some(Verdict::AlreadyApplied) => {
-                let version = call.kind.as_order().map_or(0, version_of);
+                let version = call.kind.as_order().map_or(0, document_version);
                 self.complete(call, accepted_response(version));
             }
             Some(Verdict::VersionConflict { current }) => {
-                self.reject(now, call, 412, conflict(current))
+                self.reject(now, call, 412, conflict_reason(current))
             }
             Some(Verdict::Invalid(error)) => self.reject(now, call, 400, error.to_string()),
         }
     }
 
-    /// Puts a call at the head of the queue, to be judged again.
+    /// Puts an order back at the head of the queue, to be evaluated again.
     fn requeue_first(&mut self, call: Call<C, A>) {
         self.queued_bytes += call.kind.body_bytes();
         self.queued.push_front(call);
@@ -246,31 +252,33 @@
         });
     }
 
-    /// The verdict on an order by the committed state; `None` while nothing is committed yet.
-    fn verdict<S: ConfigurationState>(
+    /// Evaluates an order against the committed state. Returns `None` while no state is committed,
+    /// and for a call that is not an order.
+    fn evaluate_order<S: ConfigurationState>(
         &self,
         call: &Call<C, A>,
         replica: &Replica<S>,
     ) -> Option<Verdict> {
         let (_, state) = replica.committed()?;
         let (state, order) = (state.as_ref(), call.kind.as_order()?);
-        if self.faults.recognizes_repeats_by_version && version_of(order) == state.version() {
+        if self.faults.recognizes_repeats_by_version && document_version(order) == state.version() {
             return Some(Verdict::AlreadyApplied);
         }
         Some(evaluate(state, order))
     }
 
-    /// Takes the calls that were completed since the last take.
+    /// Removes and returns the completed calls, in the order of their completion.
     pub fn take_completed(&mut self) -> Vec<CompletedCall<C, A>> {
         std::mem::take(&mut self.completed)
     }
 
-    /// Whether no call is pending.
+    /// Returns whether no order is queued or in progress and no read is pending.
     pub fn is_empty(&self) -> bool {
         self.queued.is_empty() && self.in_progress.is_none() && self.reads.is_empty()
     }
 
-    /// When the first queued order is given up unless it has been begun.
+    /// Returns when the first queued order must be answered with an error unless it has been begun;
+    /// `None` if no order is queued or another is in progress.
     pub fn next_wake(&self) -> Option<Time> {
         self.queued
             .front()
@@ -284,16 +292,18 @@
     committed.map_or(0, |(_, state)| state.as_ref().version())
 }
 
-fn conflict(current: u64) -> String {
+fn conflict_reason(current: u64) -> String {
     format!("version {current} is current")
 }
 
-/// The version that an accepted order brought; for people only.
-fn version_of(order: &Order) -> u64 {
+/// Returns the version in the order's document, or 0 if it can't be parsed. It is only reported to
+/// operators.
+fn document_version(order: &Order) -> u64 {
     Document::parse(&order.body).map_or(0, |document| document.version())
 }
 
-/// The committed configuration as a response. It may be sent only after a confirmation round.
+/// Returns the committed configuration as a response, or status 503 if there is none. The caller
+/// must have completed a confirmation round since the call arrived.
 pub fn describe_configuration<S: ConfigurationState>(replica: &Replica<S>) -> RelayedResponse {
     let document = replica
         .committed()
--- a/decide/control/src/primary_calls/tests.rs
+++ b/decide/control/src/primary_calls/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `primary_calls`, with a replica that is alone and remembers at once.
+//! Tests of `primary_calls`, with a replica that is the only voter and persists at once.
 
 use super::*;
 use crate::call::CallOrigin;
@@ -10,21 +10,22 @@
 
 const START: Time = Time(1_000_000);
 
-/// Handle of a caller, address of a machine.
+/// Caller handles and machine addresses are small numbers.
 type PrimaryCalls = super::PrimaryCalls<u8, u8>;
 
-struct SoleVoter {
+/// A machine, by default the only voter of its group, with its replica and its calls.
+struct TestMachine {
     replica: Replica<ReplicatedConfiguration>,
     calls: PrimaryCalls,
     rejections: RejectedOrders,
     now: Time,
-    /// Requests that the replica has completed and that were not delivered yet.
+    /// Outcomes of the replica that were not yet passed to `calls`.
     completions: Vec<(RequestId, Outcome)>,
 }
 
-impl SoleVoter {
-    /// A sole founder that serves, and has waited long enough for others.
-    fn new() -> SoleVoter {
+impl TestMachine {
+    /// Founds a group and ticks the replica until it serves as primary.
+    fn new() -> TestMachine {
         let settings = Settings {
             fault_tolerance: 0,
             ..Settings::default()
@@ -40,7 +41,7 @@
             1,
             START,
         );
-        let mut voter = SoleVoter {
+        let mut voter = TestMachine {
             replica,
             calls: PrimaryCalls::default(),
             rejections: RejectedOrders::default(),
@@ -55,7 +56,8 @@
         voter
     }
 
-    /// Acknowledges all that the replica wants persisted.
+    /// Reports each write of the replica as persisted until it requests no more, and collects its
+    /// outcomes.
     fn persist(&mut self) {
         loop {
             let mut last = None;
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Delivers the replica's completions to the calls.
+    /// Passes the replica's outcomes to the calls.
     fn deliver_completions(&mut self) {
         self.persist();
         for (request, outcome) in std::mem::take(&mut self.completions) {
@@ -87,7 +89,7 @@
         self.persist();
     }
 
-    fn take(&mut self, kind: CallKind) {
+    fn submit(&mut self, kind: CallKind) {
         let call = Call {
             origin: CallOrigin::Peer { address: 2, id: 1 },
             kind,
@@ -96,7 +98,7 @@
         self.calls.submit(self.now, call, &mut self.replica);
     }
 
-    fn order(&mut self, base_version: u64, version: u64, host: &str) {
+    fn submit_order(&mut self, base_version: u64, version: u64, host: &str) {
         let body = format!(
             "{{\"version\":{version},\"routes\":[{{\"name\":\"r\",\"host\":\"{host}\",\"pathPrefix\":\"/p/\",\"kind\":\"safe\",\"timeoutMs\":30,\
              \"service\":\"s\"}}],\"services\":[{{\"name\":\"s\"}}]}}"
@@ -106,10 +108,10 @@
             base_version,
             body: body.into_bytes(),
         };
-        self.take(CallKind::Order(order));
+        self.submit(CallKind::Order(order));
     }
 
-    /// Advances until nothing is left; returns the statuses of the completed calls.
+    /// Advances until all calls have completed, and returns the statuses of their responses.
     fn run_to_completion(&mut self) -> Vec<u16> {
         for _ in 0..4 * MAX_QUEUED_ORDERS {
             self.calls.advance(self.now, &mut self.replica);
@@ -129,42 +131,42 @@
 }
 
 #[test]
-fn conflicting_orders_have_one_winner_and_repeats_are_recognised() {
-    let mut voter = SoleVoter::new();
-    voter.order(0, 2, "a");
-    voter.order(0, 2, "b");
-    voter.order(0, 2, "a");
+fn one_of_conflicting_orders_is_accepted_and_repeats_succeed() {
+    let mut voter = TestMachine::new();
+    voter.submit_order(0, 2, "a");
+    voter.submit_order(0, 2, "b");
+    voter.submit_order(0, 2, "a");
     assert_eq!(voter.run_to_completion(), [200, 412, 200]);
-    voter.order(2, 3, "c");
-    voter.order(0, 2, "a");
-    voter.order(0, 2, "b");
+    voter.submit_order(2, 3, "c");
+    voter.submit_order(0, 2, "a");
+    voter.submit_order(0, 2, "b");
     assert_eq!(voter.run_to_completion(), [200, 200, 412]);
-    let refused: Vec<_> = voter
+    let rejections: Vec<_> = voter
         .rejections
         .iter()
         .map(|rejection| (rejection.status, rejection.base_version))
         .collect();
-    assert_eq!(refused, [(412, 0), (412, 0)]);
+    assert_eq!(rejections, [(412, 0), (412, 0)]);
     assert!(voter.calls.is_empty());
 }
 
 #[test]
 fn rejection_is_sent_only_after_confirmation_round() {
-    let mut voter = SoleVoter::new();
-    voter.order(0, 2, "a");
+    let mut voter = TestMachine::new();
+    voter.submit_order(0, 2, "a");
     voter.calls.advance(voter.now, &mut voter.replica);
     assert!(
         voter.calls.take_completed().is_empty(),
-        "before its record is committed an order has no answer"
+        "an order is not answered before its record is committed"
     );
     voter.deliver_completions();
     assert_eq!(voter.calls.take_completed().len(), 1);
 
-    voter.order(5, 6, "z");
+    voter.submit_order(5, 6, "z");
     voter.calls.advance(voter.now, &mut voter.replica);
     assert!(
         voter.calls.take_completed().is_empty(),
-        "before a round has ended nobody is refused"
+        "an order is not rejected before a confirmation round has ended"
     );
     voter.deliver_completions();
     assert_eq!(voter.run_to_completion(), [412]);
@@ -172,16 +174,16 @@
 
 #[test]
 fn describe_returns_state_committed_at_end_of_its_round() {
-    let mut voter = SoleVoter::new();
-    voter.take(CallKind::Describe);
+    let mut voter = TestMachine::new();
+    voter.submit(CallKind::Describe);
     assert_eq!(
         voter.run_to_completion(),
         [503],
         "there is no configuration yet"
     );
-    voter.order(0, 2, "a");
+    voter.submit_order(0, 2, "a");
     assert_eq!(voter.run_to_completion(), [200]);
-    voter.take(CallKind::Describe);
+    voter.submit(CallKind::Describe);
     voter.deliver_completions();
     let completed = voter.calls.take_completed();
     assert_matches!(&completed[..], [CompletedCall { response: RelayedResponse::Response { status: 200, body }, .. }] => {
@@ -190,25 +192,27 @@
 }
 
 #[test]
-fn machine_that_is_not_primary_returns_all_calls() {
+fn machine_that_is_not_primary_answers_all_calls_with_not_primary() {
     let settings = Settings::default();
     let member = Member {
         identity: Identity(7),
         address: "10.0.0.1:7300".to_owned(),
     };
     let replica = Replica::learner(settings, member, 1, START);
-    let mut outsider = SoleVoter {
+    let mut non_member = TestMachine {
         replica,
         calls: PrimaryCalls::default(),
         rejections: RejectedOrders::default(),
         now: START,
         completions: Vec::new(),
     };
-    outsider.order(0, 2, "a");
-    outsider.take(CallKind::Describe);
-    outsider.calls.advance(outsider.now, &mut outsider.replica);
-    outsider.deliver_completions();
-    let completed = outsider.calls.take_completed();
+    non_member.submit_order(0, 2, "a");
+    non_member.submit(CallKind::Describe);
+    non_member
+        .calls
+        .advance(non_member.now, &mut non_member.replica);
+    non_member.deliver_completions();
+    let completed = non_member.calls.take_completed();
     assert_eq!(completed.len(), 2);
     assert!(completed
         .iter()
@@ -217,8 +221,8 @@
 
 #[test]
 fn orders_beyond_queue_limit_get_503() {
-    let mut voter = SoleVoter::new();
-    (0..=MAX_QUEUED_ORDERS).for_each(|_| voter.order(0, 2, "a"));
+    let mut voter = TestMachine::new();
+    (0..=MAX_QUEUED_ORDERS).for_each(|_| voter.submit_order(0, 2, "a"));
     let completed = voter.calls.take_completed();
     assert_matches!(
         &completed[..],
--- a/decide/control/src/relayed_calls.rs
+++ b/decide/control/src/relayed_calls.rs
@@ -1,66 +1,68 @@
-//! Calls that the primary has to answer, at the machine that received them: forwarded as soon as a
-//! primary is known, and answered with its response.
+//! Calls at the machine that received them from a caller. The machine forwards each call to the
+//! primary as soon as a primary is known, and passes the primary's response to the caller.
 //!
-//! The machine never rejects a call by its own copy of the state: a call that can't have been
-//! accepted ends with 503, and an order whose outcome is unknown gets no response.
+//! The machine never rejects a call based on its own copy of the state, which may be stale. A call
+//! that can't have been accepted is answered with 503. An order whose outcome is unknown gets no
+//! response.
 
 use crate::call::{error_response, Call, CompletedCall};
 use lichenswitch_messages::{RelayedCall, RelayedResponse};
 use lichenswitch_replication::Time;
 use std::collections::BTreeMap;
 
-/// Limits on the calls that are pending and on the bytes of their bodies. They bound memory.
-const MAX_CALLS: usize = 128;
+/// Maximum number of pending calls, queued and forwarded; bounds memory.
+const MAX_PENDING_CALLS: usize = 128;
+/// Maximum total size of the bodies of queued calls; bounds memory. One larger body is accepted.
 const MAX_QUEUED_BYTES: usize = 16 << 20;
 
-/// Where the primary is.
+/// Location of the primary, as seen by this machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PrimaryLocation<A> {
-    /// It is this machine.
+    /// This machine is the primary.
     Local,
-    /// It is a machine that is connected.
+    /// The primary is the connected machine at this address.
     Remote(A),
-    /// It is unknown or unreachable.
+    /// The primary is unknown or unreachable.
     Unknown,
 }
 
-/// What has to be done with a call.
+/// Action that the machine has to carry out for a call of one of its own callers.
 #[derive(Debug, PartialEq)]
 pub enum RelayAction<C, A> {
-    /// Answer it here: this machine is the primary.
+    /// Answer the call here, because this machine is the primary.
     HandleLocally(Call<C, A>),
-    /// Send it to the primary.
+    /// Send the call to the primary.
     Forward {
         /// Address of the primary.
         to: A,
-        /// Number of the call.
+        /// Call number that this machine assigned. The response repeats it.
         id: u64,
-        /// The message.
+        /// Message to send.
         call: RelayedCall,
     },
     /// Respond to the caller.
     Respond(CompletedCall<C, A>),
 }
 
-/// Delay before a call is forwarded again after a machine has responded that it is not the primary
-/// (microseconds): that machine may not know the new primary yet.
+/// Delay before a call is forwarded again after the receiving machine has responded that it is not
+/// the primary (microseconds). That machine may not know the new primary yet.
 const REQUEUE_DELAY_US: u64 = 100_000;
 
-/// A call that is to be forwarded, at the earliest at `not_before`.
+/// A call that waits to be forwarded, not before `not_before`.
 #[derive(Debug)]
 struct QueuedCall<C, A> {
     call: Call<C, A>,
     not_before: Time,
 }
 
-/// A call whose response is awaited from the machine at `to`.
+/// A call that was forwarded to the machine at `to`, which has not responded yet.
 #[derive(Debug)]
 struct ForwardedCall<C, A> {
     call: Call<C, A>,
     to: A,
 }
 
-/// Pending calls of callers at this machine.
+/// Pending calls from callers at this machine, and the actions that they require.
 pub struct RelayedCalls<C, A> {
     queued: Vec<QueuedCall<C, A>>,
     /// By call number.
@@ -70,8 +72,8 @@
 }
 
 impl<C: Clone, A: Clone + PartialEq> RelayedCalls<C, A> {
-    /// Without calls. Forwarded calls are numbered above `first_id`, which no earlier incarnation of
-    /// the process used.
+    /// Creates an empty set of calls. Forwarded calls get numbers above `first_id`, which must not
+    /// repeat numbers of an earlier incarnation of the process.
     pub fn new(first_id: u64) -> Self {
         Self {
             queued: Vec::new(),
@@ -81,7 +83,8 @@
         }
     }
 
-    /// A call has arrived from a caller.
+    /// Queues a call that has arrived from a caller, or answers it with 503 if too many are
+    /// pending.
     pub fn submit(&mut self, call: Call<C, A>) {
         let bytes: usize = self
             .queued
@@ -89,7 +92,8 @@
             .map(|queued| queued.call.kind.body_bytes())
             .sum();
         let pending = self.queued.len() + self.forwarded.len();
-        if pending >= MAX_CALLS || (bytes > 0 && bytes + call.kind.body_bytes() > MAX_QUEUED_BYTES)
+        if pending >= MAX_PENDING_CALLS
+            || (bytes > 0 && bytes + call.kind.body_bytes() > MAX_QUEUED_BYTES)
         {
             return self.respond(call, error_response(503, "too many calls are under way"));
         }
@@ -97,7 +101,7 @@
         self.queued.push(QueuedCall { call, not_before });
     }
 
-    /// A call has come back that no primary has begun.
+    /// Queues a call again that no primary has begun, to be forwarded after a delay.
     pub fn requeue(&mut self, now: Time, call: Call<C, A>) {
         self.queued.push(QueuedCall {
             call,
@@ -105,13 +109,15 @@
         });
     }
 
-    /// Forwards what can be forwarded, and completes what has waited too long.
+    /// Forwards the queued calls if a primary is known, and completes the calls whose deadline has
+    /// passed.
     pub fn advance(&mut self, now: Time, primary: &PrimaryLocation<A>) {
         self.expire(now);
         for mut queued in std::mem::take(&mut self.queued) {
             let is_ready = queued.not_before <= now;
             if is_ready {
-                // The delay is over: the primary that is awaited now wakes the machine by itself.
+                // The delay is over. The call now waits only for a primary, and the event that
+                // makes one known calls `advance`, so `next_wake` need not cover it.
                 queued.not_before = queued.call.arrived_at;
             }
             match primary {
@@ -145,7 +151,8 @@
         self.forwarded.insert(id, ForwardedCall { call, to });
     }
 
-    /// A response to a forwarded call. It counts only from the machine that the call was sent to.
+    /// Handles a response to a forwarded call. Ignores it unless it comes from the machine that the
+    /// call was forwarded to.
     pub fn on_response(&mut self, now: Time, from: &A, id: u64, response: RelayedResponse) {
         if self
             .forwarded
@@ -163,8 +170,8 @@
         }
     }
 
-    /// The last connection to that machine is closed, so no response will come; what was sent there
-    /// may have been accepted.
+    /// Handles the loss of the last connection to the machine at `address`. The calls forwarded to
+    /// it get no response, but it may have accepted them, so their outcome is unknown.
     pub fn on_peer_disconnected(&mut self, address: &A) {
         self.abandon_where(|forwarded| forwarded.to == *address);
     }
@@ -174,10 +181,10 @@
         self.abandon_where(|forwarded| forwarded.call.response_deadline() <= now);
     }
 
-    fn abandon_where(&mut self, ends: impl Fn(&ForwardedCall<C, A>) -> bool) {
+    fn abandon_where(&mut self, is_abandoned: impl Fn(&ForwardedCall<C, A>) -> bool) {
         let forwarded = std::mem::take(&mut self.forwarded).into_iter();
         let (abandoned, forwarded): (BTreeMap<_, _>, BTreeMap<_, _>) =
-            forwarded.partition(|(_, forwarded)| ends(forwarded));
+            forwarded.partition(|(_, forwarded)| is_abandoned(forwarded));
         self.forwarded = forwarded;
         for ForwardedCall { call, .. } in abandoned.into_values() {
             let response = call.kind.response_when_outcome_unknown();
@@ -185,18 +192,18 @@
         }
     }
 
-    /// Takes what has to be done, in order.
+    /// Removes and returns the actions to carry out, in order.
     pub fn take_actions(&mut self) -> Vec<RelayAction<C, A>> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Whether no call is pending.
+    /// Returns whether no call is queued or forwarded.
     pub fn is_empty(&self) -> bool {
         self.queued.is_empty() && self.forwarded.is_empty()
     }
 
-    /// When [`Self::advance`] has something to do without a further event. After a call of it, this
-    /// is never in the past.
+    /// Returns when [`Self::advance`] must be called next if no event occurs before. Right after a
+    /// call of `advance` this time is always in the future.
     pub fn next_wake(&self) -> Option<Time> {
         let queued = self.queued.iter().map(QueuedCall::next_wake);
         queued
@@ -211,7 +218,8 @@
 
 impl<C, A> QueuedCall<C, A> {
     fn next_wake(&self) -> Time {
-        // A call whose delay is over waits for a primary to appear, which wakes the machine by itself.
+        // A call whose delay is over waits for a primary. The event that makes one known calls
+        // `RelayedCalls::advance`, so only the deadline needs a wake-up.
         let is_delayed = self.not_before > self.call.arrived_at;
         let begin_deadline = self.call.begin_deadline();
         if is_delayed {
--- a/decide/control/src/relayed_calls/tests.rs
+++ b/decide/control/src/relayed_calls/tests.rs
@@ -12,7 +12,7 @@
     Time(10_000_000 + ms * MS)
 }
 
-/// Handle of a caller, address of a machine.
+/// Caller handles and machine addresses are small numbers.
 type Call = crate::call::Call<u8, u8>;
 type RelayedCalls = super::RelayedCalls<u8, u8>;
 
@@ -26,7 +26,7 @@
         base_version: 3,
         body: b"{}".to_vec(),
     };
-    // The origin doesn't matter here.
+    // The origin does not affect how calls are relayed.
     Call {
         origin: CallOrigin::Peer {
             address: peer(9),
@@ -37,8 +37,8 @@
     }
 }
 
-/// Takes a call with this number of its origin, forwards it at once, and returns the number that it
-/// was forwarded with.
+/// Submits a call from a peer that numbered it `origin_id`, forwards it, and returns the number
+/// that it was forwarded with.
 fn forward_one(calls: &mut RelayedCalls, now: Time, origin_id: u64) -> u64 {
     let origin = CallOrigin::Peer {
         address: peer(9),
@@ -60,8 +60,8 @@
     calls.on_response(now, &peer(1), id, response);
 }
 
-/// The origins' numbers of the calls that have ended.
-fn take_ended(calls: &mut RelayedCalls) -> Vec<u64> {
+/// Returns the origin's number of each call that has completed.
+fn take_completed_origin_ids(calls: &mut RelayedCalls) -> Vec<u64> {
     let origin_id = |action| {
         assert_matches!(
             action,
@@ -84,7 +84,7 @@
     }
 }
 
-/// The call that has to be forwarded next: to whom, and its number.
+/// Returns the address and the number of the only call to forward.
 fn next_forwarded(calls: &mut RelayedCalls) -> (u8, u64) {
     let actions = calls.take_actions();
     assert_matches!(&actions[..], [RelayAction::Forward { to, id, .. }] => (*to, *id))
@@ -102,7 +102,7 @@
     calls.on_response(at(310), &peer(2), id, RelayedResponse::Unknown);
     assert!(
         calls.take_actions().is_empty(),
-        "an answer counts only from whom the call was sent to"
+        "a response from another machine is ignored"
     );
     calls.on_response(
         at(320),
@@ -123,7 +123,7 @@
     calls.on_response(at(330), &peer(1), id, RelayedResponse::Unknown);
     assert!(
         calls.take_actions().is_empty() && calls.is_empty(),
-        "a call is answered once"
+        "a call is answered only once"
     );
 }
 
@@ -146,17 +146,17 @@
 
 #[test]
 fn lost_forwarded_order_is_unknown_and_lost_read_is_not_primary() {
-    for lost in [false, true] {
+    for is_disconnected in [false, true] {
         let mut calls = RelayedCalls::new(0);
         calls.submit(order_call(at(0)));
         calls.submit(describe_call(at(0)));
         calls.advance(at(0), &PrimaryLocation::Remote(peer(1)));
         assert_eq!(calls.take_actions().len(), 2);
-        match lost {
+        match is_disconnected {
             true => calls.on_peer_disconnected(&peer(1)),
             false => calls.expire(at(800)),
         }
-        let mut answers: Vec<bool> = calls
+        let mut has_expected_response: Vec<bool> = calls
             .take_actions()
             .into_iter()
             .map(|action| {
@@ -166,8 +166,8 @@
                 })
             })
             .collect();
-        answers.sort_unstable();
-        assert_eq!(answers, [true, true]);
+        has_expected_response.sort_unstable();
+        assert_eq!(has_expected_response, [true, true]);
     }
 }
 
@@ -188,7 +188,7 @@
 #[test]
 fn calls_beyond_limit_get_503() {
     let mut calls = RelayedCalls::new(0);
-    (0..MAX_CALLS).for_each(|_| calls.submit(describe_call(at(0))));
+    (0..MAX_PENDING_CALLS).for_each(|_| calls.submit(describe_call(at(0))));
     assert!(calls.take_actions().is_empty());
     calls.submit(describe_call(at(0)));
     assert_matches!(
@@ -214,8 +214,8 @@
     forwarded
         .iter()
         .for_each(|id| calls.on_response(at(50), &peer(1), *id, RelayedResponse::NotPrimary));
-    // No primary is known from then on: the pauses end, and nothing can be done until the callers'
-    // patience is over.
+    // From here on no primary is known. After the requeue delays nothing can be done until the
+    // calls' deadlines.
     let (mut now, mut wakes) = (at(50), 0);
     loop {
         calls.advance(now, &PrimaryLocation::Unknown);
@@ -226,7 +226,7 @@
     assert_eq!(
         (now, wakes),
         (at(690), 3),
-        "the end of both pauses, and of each caller's patience"
+        "one wake-up for both delays and one for each deadline"
     );
     assert_eq!(calls.take_actions().len(), 2);
     assert!(calls.is_empty());
@@ -260,47 +260,51 @@
         }
         assert!(
             calls.next_wake().is_none() && calls.is_empty(),
-            "all have ended by {now:?}"
+            "a call is pending at {now:?}"
         );
     }
 }
 
 #[test]
-fn response_ends_its_call_once_and_unknown_number_ends_none() {
+fn response_completes_its_call_once_and_unknown_number_completes_none() {
     let mut calls = RelayedCalls::new(100);
     let first = forward_one(&mut calls, at(0), 1);
     let second = forward_one(&mut calls, at(1), 2);
     assert_eq!((first, second), (101, 102));
     respond(&mut calls, at(2), 100);
     respond(&mut calls, at(2), 103);
-    assert!(take_ended(&mut calls).is_empty());
+    assert!(take_completed_origin_ids(&mut calls).is_empty());
     respond(&mut calls, at(2), second);
-    assert_eq!(take_ended(&mut calls), [2]);
+    assert_eq!(take_completed_origin_ids(&mut calls), [2]);
     respond(&mut calls, at(2), second);
-    assert!(take_ended(&mut calls).is_empty());
+    assert!(take_completed_origin_ids(&mut calls).is_empty());
     assert!(!calls.is_empty());
-    assert_eq!(calls.next_wake(), Some(at(800)), "of the first call");
+    assert_eq!(
+        calls.next_wake(),
+        Some(at(800)),
+        "deadline of the first call"
+    );
 }
 
 #[test]
-fn response_after_deadline_ends_no_call() {
+fn response_after_deadline_completes_no_call() {
     let mut calls = RelayedCalls::new(0);
-    let late = forward_one(&mut calls, at(0), 1);
+    let expired_id = forward_one(&mut calls, at(0), 1);
     forward_one(&mut calls, at(0), 2);
     forward_one(&mut calls, at(20), 3);
     calls.expire(at(799));
-    assert!(take_ended(&mut calls).is_empty());
+    assert!(take_completed_origin_ids(&mut calls).is_empty());
     calls.expire(at(800));
-    assert_eq!(take_ended(&mut calls), [1, 2]);
-    respond(&mut calls, at(801), late);
-    assert!(take_ended(&mut calls).is_empty());
+    assert_eq!(take_completed_origin_ids(&mut calls), [1, 2]);
+    respond(&mut calls, at(801), expired_id);
+    assert!(take_completed_origin_ids(&mut calls).is_empty());
     calls.on_peer_disconnected(&peer(1));
-    assert_eq!(take_ended(&mut calls), [3]);
+    assert_eq!(take_completed_origin_ids(&mut calls), [3]);
     assert!(calls.is_empty() && calls.next_wake().is_none());
 }
 
 #[test]
-fn numbers_wrap_around() {
+fn call_numbers_wrap_around_at_u64_max() {
     let mut calls = RelayedCalls::new(u64::MAX - 1);
     let first = forward_one(&mut calls, at(0), 1);
     let second = forward_one(&mut calls, at(0), 2);
@@ -316,36 +320,37 @@
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Self {
-        let by = u8::arbitrary(g) % 8;
+        let amount = u8::arbitrary(g) % 8;
         match u8::arbitrary(g) % 3 {
             0 => Step::Begin,
-            1 => Step::Finish { age: by },
-            _ => Step::Expire { elapsed: by },
+            1 => Step::Finish { age: amount },
+            _ => Step::Expire { elapsed: amount },
         }
     }
 }
 
-/// The model maps the origin's number of each pending call to its response deadline; calls are
-/// forwarded with the numbers after `first`, in the order of the origins' numbers.
+/// Compares `RelayedCalls` with a model that maps the origin's number of each pending call to its
+/// response deadline. Calls are forwarded in the order of the origins' numbers, and the numbers
+/// that they are forwarded with follow `first`.
 #[test]
-fn pending_calls_agree_with_a_plain_map() {
+fn pending_calls_match_a_map_model() {
     fn property(first: u64, steps: Vec<Step>) -> bool {
         let (mut calls, mut model, mut now) = (RelayedCalls::new(first), BTreeMap::new(), at(0));
-        let mut begun_count = 0_u64;
+        let mut submitted_count = 0_u64;
         let number_of = |origin: u64| first.wrapping_add(origin).wrapping_add(1);
         steps.into_iter().all(|step| match step {
             Step::Begin => {
-                let origin = begun_count;
-                begun_count += 1;
+                let origin = submitted_count;
+                submitted_count += 1;
                 model.insert(origin, now.after(800 * MS));
                 forward_one(&mut calls, now, origin) == number_of(origin)
             }
             Step::Finish { age } => {
-                let origin = begun_count.wrapping_sub(u64::from(age));
+                let origin = submitted_count.wrapping_sub(u64::from(age));
                 let expected: Vec<u64> =
                     model.remove(&origin).map(|_| origin).into_iter().collect();
                 respond(&mut calls, now, number_of(origin));
-                take_ended(&mut calls) == expected
+                take_completed_origin_ids(&mut calls) == expected
             }
             Step::Expire { elapsed } => {
                 now = now.after(u64::from(elapsed) * 100 * MS);
@@ -357,7 +362,7 @@
                 model.retain(|_, deadline| *deadline > now);
                 expected.sort_unstable_by_key(|origin| number_of(*origin));
                 calls.expire(now);
-                take_ended(&mut calls) == expected
+                take_completed_origin_ids(&mut calls) == expected
                     && calls.is_empty() == model.is_empty()
                     && calls.next_wake() == model.values().min().copied()
             }
