--- a/decide/control/src/primary_calls.rs
+++ b/decide/control/src/primary_calls.rs
@@ -3,7 +3,7 @@
 //! that this machine is still the primary.
 //!
 //! The primary evaluates orders one at a time, while no change is in flight. An order that changes
-//! the configuration is answered once its record is committed. For any other verdict the primary
+//! the configuration is answered once its record is committed. For any other result the primary
 //! runs a confirmation round, evaluates the order again, and only then answers. An order whose
 //! outcome the replica doesn't know gets no response.
 
@@ -13,7 +13,7 @@
 use crate::faults::InjectedFaults;
 use crate::rejected_orders::RejectedOrder;
 use crate::replicated_configuration::ConfigurationState;
-use lichenswitch_configuration::{evaluate, Document, Order, Verdict};
+use lichenswitch_configuration::{evaluate, Document, Order, OrderOutcome};
 use lichenswitch_messages::RelayedResponse;
 use lichenswitch_replication::{Outcome, Replica, RequestId, Time};
 use std::collections::VecDeque;
@@ -127,19 +127,23 @@
         call: Call<C, A>,
         replica: &mut Replica<S>,
     ) {
-        let Some(verdict) = self.evaluate_order(&call, replica) else {
+        let Some(order_outcome) = self.evaluate_order(&call, replica) else {
             return self.complete(call, RelayedResponse::NotPrimary);
         };
-        let (step, request) = match verdict {
-            Verdict::Change(change) => (OrderStep::AwaitingCommit, replica.propose(now, change)),
-            Verdict::VersionConflict { current } if self.faults.rejects_without_confirmation => {
+        let (step, request) = match order_outcome {
+            OrderOutcome::Change(change) => {
+                (OrderStep::AwaitingCommit, replica.propose(now, change))
+            }
+            OrderOutcome::VersionConflict { current }
+                if self.faults.rejects_without_confirmation =>
+            {
                 return self.reject(now, call, 412, conflict_reason(current));
             }
             // Another primary may have committed a newer change, which this replica has not seen.
             // The confirmation round excludes that before the response is sent.
-            Verdict::AlreadyApplied | Verdict::VersionConflict { .. } | Verdict::Invalid(_) => {
-                (OrderStep::AwaitingConfirmation, replica.confirm(now))
-            }
+            OrderOutcome::AlreadyApplied
+            | OrderOutcome::VersionConflict { .. }
+            | OrderOutcome::Invalid(_) => (OrderStep::AwaitingConfirmation, replica.confirm(now)),
         };
         self.in_progress = Some(OrderInProgress {
             call,
@@ -209,20 +213,20 @@
             return self.complete(call, RelayedResponse::NotPrimary);
         }
         if !replica.is_idle() {
-            // A change in flight may alter the verdict, so the order is evaluated again after it.
+            // A change in flight may alter the result, so the order is evaluated again after it.
             return self.requeue_first(call);
         }
         match self.evaluate_order(&call, replica) {
             None => self.complete(call, RelayedResponse::NotPrimary),
-            Some(Verdict::Change(_)) => self.begin(now, call, replica),
-            Some(Verdict::AlreadyApplied) => {
+            Some(OrderOutcome::Change(_)) => self.begin(now, call, replica),
+            Some(OrderOutcome::AlreadyApplied) => {
                 let version = call.kind.as_order().map_or(0, document_version);
                 self.complete(call, accepted_response(version));
             }
-            Some(Verdict::VersionConflict { current }) => {
+            Some(OrderOutcome::VersionConflict { current }) => {
                 self.reject(now, call, 412, conflict_reason(current))
             }
-            Some(Verdict::Invalid(error)) => self.reject(now, call, 400, error.to_string()),
+            Some(OrderOutcome::Invalid(error)) => self.reject(now, call, 400, error.to_string()),
         }
     }
 
@@ -258,11 +262,11 @@
         &self,
         call: &Call<C, A>,
         replica: &Replica<S>,
-    ) -> Option<Verdict> {
+    ) -> Option<OrderOutcome> {
         let (_, state) = replica.committed()?;
         let (state, order) = (state.as_ref(), call.kind.as_order()?);
         if self.faults.recognizes_repeats_by_version && document_version(order) == state.version() {
-            return Some(Verdict::AlreadyApplied);
+            return Some(OrderOutcome::AlreadyApplied);
         }
         Some(evaluate(state, order))
     }
