--- a/decide/control/src/primary_calls/tests.rs
+++ b/decide/control/src/primary_calls/tests.rs
@@ -141,12 +141,12 @@
     voter.submit_order(0, 2, "a");
     voter.submit_order(0, 2, "b");
     assert_eq!(voter.run_to_completion(), [200, 200, 412]);
-    let rejections: Vec<_> = voter
+    let rejected: Vec<_> = voter
         .rejections
         .iter()
         .map(|rejection| (rejection.status, rejection.base_version))
         .collect();
-    assert_eq!(rejections, [(412, 0), (412, 0)]);
+    assert_eq!(rejected, [(412, 0), (412, 0)]);
     assert!(voter.calls.is_empty());
 }
 
