--- a/decide/control/src/primary_calls.rs
+++ b/decide/control/src/primary_calls.rs
@@ -25,7 +25,7 @@
 
 /// Event that the order in progress waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum OrderStep {
+enum OrderProgress {
     /// Commit of the order's change.
     AwaitingCommit,
     /// End of a confirmation round that began after the order had arrived.
@@ -35,7 +35,7 @@
 /// The order that the primary has begun, and the request to the replica that it waits for.
 struct OrderInProgress<C, A> {
     call: Call<C, A>,
-    step: OrderStep,
+    step: OrderProgress,
     request: RequestId,
 }
 
@@ -132,7 +132,7 @@
         };
         let (step, request) = match order_outcome {
             OrderOutcome::Change(change) => {
-                (OrderStep::AwaitingCommit, replica.propose(now, change))
+                (OrderProgress::AwaitingCommit, replica.propose(now, change))
             }
             OrderOutcome::VersionConflict { current }
                 if self.faults.rejects_without_confirmation =>
@@ -143,7 +143,9 @@
             // The confirmation round excludes that before the response is sent.
             OrderOutcome::AlreadyApplied
             | OrderOutcome::VersionConflict { .. }
-            | OrderOutcome::Invalid(_) => (OrderStep::AwaitingConfirmation, replica.confirm(now)),
+            | OrderOutcome::Invalid(_) => {
+                (OrderProgress::AwaitingConfirmation, replica.confirm(now))
+            }
         };
         self.in_progress = Some(OrderInProgress {
             call,
@@ -168,10 +170,10 @@
             .take_if(|in_progress| in_progress.request == request)
         {
             match in_progress.step {
-                OrderStep::AwaitingCommit => {
+                OrderProgress::AwaitingCommit => {
                     self.on_commit_completed(in_progress.call, outcome, replica)
                 }
-                OrderStep::AwaitingConfirmation => {
+                OrderProgress::AwaitingConfirmation => {
                     self.on_confirmation_completed(now, in_progress.call, outcome, replica)
                 }
             }
--- a/decide/control/src/relayed_calls.rs
+++ b/decide/control/src/relayed_calls.rs
@@ -65,7 +65,7 @@
 /// Pending calls from callers at this machine, and the actions that they require.
 pub struct RelayedCalls<C, A> {
     queued: Vec<QueuedCall<C, A>>,
-    /// By call number.
+    /// Calls that wait for the response of a primary, by call number.
     forwarded: BTreeMap<u64, ForwardedCall<C, A>>,
     next_id: u64,
     actions: Vec<RelayAction<C, A>>,
