--- a/decide/replication/src/codec.rs
+++ b/decide/replication/src/codec.rs
@@ -14,7 +14,7 @@
 
 /// An error for bytes that do not decode to the expected type.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("{len} bytes are no {expected}: {reason}")]
+#[error("cannot decode {len} bytes as a {expected}: {reason}")]
 pub struct DecodeError {
     /// Name of the expected type, as used in the error text.
     pub expected: &'static str,
@@ -30,7 +30,7 @@
     T: for<'a> Serialize<HighSerializer<AlignedVec, ArenaHandle<'a>, ArchiveError>>,
 {
     rkyv::to_bytes::<ArchiveError>(value)
-        .expect("a plain value is serialised into memory without an error")
+        .expect("serialization into memory must not fail")
         .into_vec()
 }
 
--- a/decide/replication/src/durable.rs
+++ b/decide/replication/src/durable.rs
@@ -134,7 +134,7 @@
         promised: Epoch,
     },
     /// The state could not be decoded, or a change could not be applied.
-    #[error("the state that was read from disk: {0}")]
+    #[error("cannot restore the state from disk: {0}")]
     State(#[from] crate::state::StateError),
 }
 
@@ -144,34 +144,34 @@
     /// # Errors
     /// Returns an error if there is no snapshot, or if an item does not follow the earlier ones.
     pub fn from_items(items: impl IntoIterator<Item = DurableItem>) -> Result<Self, RecoverError> {
-        let mut folded = None;
+        let mut recovery = None;
         let mut promised = Epoch::default();
         for item in items {
-            fold(&mut folded, &mut promised, item)?;
+            apply_item(&mut recovery, &mut promised, item)?;
         }
-        let mut recovered: Recovered = folded.ok_or(RecoverError::Empty)?;
+        let mut recovered: Recovered = recovery.ok_or(RecoverError::Empty)?;
         recovered.snapshot.promised = promised;
         Ok(recovered)
     }
 }
 
-fn fold(
-    folded: &mut Option<Recovered>,
+fn apply_item(
+    recovery: &mut Option<Recovered>,
     promised: &mut Epoch,
     item: DurableItem,
 ) -> Result<(), RecoverError> {
     match item {
         DurableItem::Promise(epoch) => *promised = epoch.max(*promised),
         DurableItem::Snapshot(snapshot) => {
-            check_snapshot(folded.as_ref(), &snapshot)?;
+            check_snapshot(recovery.as_ref(), &snapshot)?;
             *promised = snapshot.promised.max(*promised);
-            *folded = Some(Recovered {
+            *recovery = Some(Recovered {
                 snapshot,
                 changes: Vec::new(),
             });
         }
         DurableItem::Record(record) => {
-            let recovered = folded.as_mut().ok_or(RecoverError::Empty)?;
+            let recovered = recovery.as_mut().ok_or(RecoverError::Empty)?;
             check_record(recovered, *promised, &record)?;
             *promised = record.position.epoch;
             recovered.snapshot.position = record.position;
@@ -185,18 +185,20 @@
     Ok(())
 }
 
-fn check_snapshot(before: Option<&Recovered>, snapshot: &Snapshot) -> Result<(), RecoverError> {
-    let Some(before) = before else { return Ok(()) };
-    if snapshot.identity != before.snapshot.identity {
+fn check_snapshot(previous: Option<&Recovered>, snapshot: &Snapshot) -> Result<(), RecoverError> {
+    let Some(previous) = previous else {
+        return Ok(());
+    };
+    if snapshot.identity != previous.snapshot.identity {
         return Err(RecoverError::TwoIdentities {
             found: snapshot.identity,
-            expected: before.snapshot.identity,
+            expected: previous.snapshot.identity,
         });
     }
-    if snapshot.position < before.snapshot.position {
+    if snapshot.position < previous.snapshot.position {
         return Err(RecoverError::SnapshotOutOfOrder {
             found: snapshot.position,
-            expected: before.snapshot.position,
+            expected: previous.snapshot.position,
         });
     }
     Ok(())
--- a/decide/replication/src/membership.rs
+++ b/decide/replication/src/membership.rs
@@ -33,7 +33,7 @@
     pub fn joint(&self, voters: impl IntoIterator<Item = Member>) -> Self {
         debug_assert!(
             self.outgoing.is_none(),
-            "one change of membership at a time"
+            "another change of membership is in progress"
         );
         Self {
             outgoing: Some(self.voters.clone()),
@@ -57,15 +57,15 @@
     /// Whether `present` contains a majority of the voters and, during a change, of the outgoing
     /// voters.
     pub fn is_quorum(&self, present: &BTreeSet<Identity>) -> bool {
-        let majority = |members: &[Member]| {
+        let has_majority = |members: &[Member]| {
             count_present(members, present) >= majority_of(members.len()) && !members.is_empty()
         };
-        majority(&self.voters) && self.outgoing.as_deref().is_none_or(majority)
+        has_majority(&self.voters) && self.outgoing.as_deref().is_none_or(has_majority)
     }
 
     /// Whether `present` contains at least half of the voters, which is not a safe quorum. Used
     /// only by a planted fault.
-    pub(crate) fn is_half(&self, present: &BTreeSet<Identity>) -> bool {
+    pub(crate) fn has_half(&self, present: &BTreeSet<Identity>) -> bool {
         count_present(&self.voters, present) * 2 >= self.voters.len()
     }
 
--- a/decide/replication/src/replica/append.rs
+++ b/decide/replication/src/replica/append.rs
@@ -26,7 +26,7 @@
             self.send(&from.address, rejection);
             return;
         }
-        self.follow(now, from, append);
+        self.follow_primary(now, from, append);
         if self.is_writable(now) {
             self.accept_records(now, append);
         }
@@ -42,7 +42,7 @@
 
     /// Follows the primary. A higher epoch takes effect at once and is written to disk with its
     /// first record.
-    fn follow(&mut self, now: Time, from: &Member, append: &Append) {
+    fn follow_primary(&mut self, now: Time, from: &Member, append: &Append) {
         if append.epoch > self.promised {
             self.step_down(now, StepDownReason::HigherEpoch(append.epoch));
             self.promised = append.epoch;
@@ -63,7 +63,7 @@
         }
         let contact_timeout_us = self.settings.contact_timeout_us;
         if let Some(known) = &mut self.known_primary {
-            known.update(now, from, append, self.process, contact_timeout_us);
+            known.update(now, from, append, self.process_nonce, contact_timeout_us);
         }
         self.postpone_election(now);
     }
@@ -126,20 +126,20 @@
     /// Marks the accepted state as committed if `position` is not after `committed`. The accepted
     /// state must be at `position`, and the primary must have had the same state.
     fn advance_committed(&mut self, position: Position, committed: Position) {
-        let is_new = self
+        let is_newer = self
             .committed
             .as_ref()
             .is_none_or(|(known, _)| *known < position);
         let Some(accepted) = self
             .accepted
             .as_ref()
-            .filter(|_| is_new && position <= committed)
+            .filter(|_| is_newer && position <= committed)
         else {
             return;
         };
         debug_assert_eq!(
             accepted.position, position,
-            "only the accepted state can be taken as committed"
+            "only the accepted state can be marked as committed"
         );
         self.committed = Some((position, accepted.state.clone()));
         self.outputs.push(Output::Committed(position));
--- a/decide/replication/src/replica/confirmation.rs
+++ b/decide/replication/src/replica/confirmation.rs
@@ -21,12 +21,12 @@
         let Some(primary) = self.as_primary_mut() else {
             return self.complete(request, Outcome::NotPrimary);
         };
-        let early_lease = faults.has(Fault::EarlyLease) && in_contact;
-        if is_serving && (faults.has(Fault::ConfirmFromMemory) || early_lease) {
+        let is_early_lease = faults.has(Fault::EarlyLease) && in_contact;
+        if is_serving && (faults.has(Fault::ConfirmFromMemory) || is_early_lease) {
             return self.complete_confirmation(request);
         }
-        let count_earlier = faults.has(Fault::CountEarlierRound);
-        let first_round = primary.rounds.current + u64::from(!count_earlier);
+        let counts_earlier_round = faults.has(Fault::CountEarlierRound);
+        let first_round = primary.rounds.current + u64::from(!counts_earlier_round);
         let is_idle = !primary.rounds.is_in_flight();
         primary.rounds.push_request(request, first_round);
         if is_idle {
--- a/decide/replication/src/replica/disk_writes.rs
+++ b/decide/replication/src/replica/disk_writes.rs
@@ -40,24 +40,24 @@
 
 impl Disk {
     /// Sets the position and promise of the state that was read from the disk.
-    pub(super) fn recovered(&mut self, position: Position, promised: Epoch) {
+    pub(super) fn set_recovered(&mut self, position: Position, promised: Epoch) {
         self.synced = Some(position);
         self.synced_promise = promised;
     }
 
     /// Marks all items up to this one as synced. Returns whether any of them was pending.
-    pub(super) fn persisted(&mut self, write_id: WriteId) -> bool {
+    pub(super) fn mark_synced(&mut self, write_id: WriteId) -> bool {
         let mut has_advanced = false;
         while self
             .pending_writes
             .front()
             .is_some_and(|first| first.write_id <= write_id)
         {
-            let Some(done) = self.pending_writes.pop_front() else {
+            let Some(synced_write) = self.pending_writes.pop_front() else {
                 break;
             };
-            self.synced = done.position;
-            self.synced_promise = done.promise;
+            self.synced = synced_write.position;
+            self.synced_promise = synced_write.promise;
             has_advanced = true;
         }
         if self.retry_at.is_none() {
@@ -76,15 +76,15 @@
 impl<S: ReplicatedState> Replica<S> {
     /// Whether the disk accepts writes: none has failed or stalled, and only a few are pending.
     pub(super) fn is_writable(&self, now: Time) -> bool {
-        let is_fast = self.disk.pending_for_us(now) < self.settings.disk_stall_timeout_us;
-        is_fast
+        let is_responsive = self.disk.pending_for_us(now) < self.settings.disk_stall_timeout_us;
+        is_responsive
             && self.disk.retry_at.is_none()
             && self.disk.pending_writes.len() < MAX_PENDING_WRITES
     }
 
     /// Raises the promised epoch, and writes the promise if the disk holds a state.
     pub(super) fn promise(&mut self, now: Time, epoch: Epoch) {
-        debug_assert!(epoch > self.promised, "a promise only rises");
+        debug_assert!(epoch > self.promised, "the promised epoch must increase");
         self.promised = epoch;
         if self.settings.faults.has(Fault::PromiseNotDurable) {
             self.disk.synced_promise = epoch;
@@ -102,7 +102,7 @@
         let Some(accepted) = &self.accepted else {
             return;
         };
-        let item = accepted.to_item(self.me.identity, self.promised);
+        let item = accepted.to_durable_item(self.me.identity, self.promised);
         self.persist(now, item);
     }
 
@@ -135,7 +135,7 @@
             .filter(|last| last.write_id == write_id)?;
         debug_assert!(
             last.promise <= self.promised,
-            "the disk never knows a promise that memory doesn't"
+            "a written promise must not exceed the promise in memory"
         );
         self.durable_snapshot()
     }
@@ -145,10 +145,10 @@
     pub fn durable_snapshot(&self) -> Option<DurableItem> {
         self.accepted
             .as_ref()
-            .map(|accepted| accepted.to_item(self.me.identity, self.promised))
+            .map(|accepted| accepted.to_durable_item(self.me.identity, self.promised))
     }
 
-    pub(super) fn disk_failed(&mut self, now: Time, write_id: WriteId) {
+    pub(super) fn on_disk_failed(&mut self, now: Time, write_id: WriteId) {
         if !self
             .disk
             .pending_writes
@@ -175,7 +175,7 @@
         }
     }
 
-    pub(super) fn wake_of_disk(&self) -> Option<Time> {
+    pub(super) fn next_disk_wake(&self) -> Option<Time> {
         self.disk.retry_at
     }
 
@@ -218,7 +218,7 @@
             is_writable: self.is_writable(now),
             is_leaving: self.departure.is_some(),
             sent_at: ProcessInstant {
-                process: self.process,
+                process: self.process_nonce,
                 clock: now.0,
             },
         };
--- a/decide/replication/src/replica/election.rs
+++ b/decide/replication/src/replica/election.rs
@@ -47,8 +47,9 @@
     }
 
     pub(super) fn may_campaign(&self, now: Time) -> bool {
-        let is_able = !self.is_non_voter() && self.departure.is_none() && now >= self.passive_until;
-        is_able && self.is_writable(now) && self.disk.synced.is_some()
+        let is_eligible =
+            !self.is_non_voter() && self.departure.is_none() && now >= self.passive_until;
+        is_eligible && self.is_writable(now) && self.disk.synced.is_some()
     }
 
     /// Whether this voter has recent contact with a primary that reports contact with a quorum.
@@ -70,8 +71,8 @@
             self.resend_vote_requests(now);
             return;
         }
-        let not_postponed = self.settings.faults.has(Fault::ElectionNotPostponed);
-        if !not_postponed || self.may_campaign(now) {
+        let skips_postponement = self.settings.faults.has(Fault::ElectionNotPostponed);
+        if !skips_postponement || self.may_campaign(now) {
             self.postpone_election(now);
         }
         self.role = Role::Follower;
@@ -99,7 +100,7 @@
         }
     }
 
-    pub(super) fn wake_of_election(&self) -> Option<Time> {
+    pub(super) fn next_election_wake(&self) -> Option<Time> {
         match &self.role {
             Role::Primary(_) => None,
             Role::Candidate(election) if election.votes_requested_at.is_some() => {
@@ -145,7 +146,7 @@
     /// Requests votes once this candidate's own promise is synced. An epoch that is lost in a crash
     /// could be chosen again.
     pub(super) fn request_votes(&mut self, now: Time) {
-        let version = self.version();
+        let version = self.replica_version();
         let Role::Candidate(election) = &mut self.role else {
             return;
         };
@@ -161,7 +162,7 @@
 
     /// Becomes primary if this member has the newest state among the votes. Otherwise fetches that
     /// state first.
-    pub(super) fn adopt(&mut self, now: Time, position: Position, source: Member) {
+    pub(super) fn adopt_newest_state(&mut self, now: Time, position: Position, source: Member) {
         let Role::Candidate(election) = &self.role else {
             return;
         };
--- a/decide/replication/src/replica/join.rs
+++ b/decide/replication/src/replica/join.rs
@@ -21,11 +21,11 @@
             return;
         }
         self.next_join_request_at = now.after(self.settings.retry_interval_us);
-        let contact_us = self.settings.heartbeat_interval_us * MAX_MISSED_HEARTBEATS;
-        let is_learner = self
+        let contact_window_us = self.settings.heartbeat_interval_us * MAX_MISSED_HEARTBEATS;
+        let has_recent_contact = self
             .followed_primary()
-            .is_some_and(|known| now.since(known.last_contact_at) < contact_us);
-        if is_learner {
+            .is_some_and(|known| now.since(known.last_contact_at) < contact_window_us);
+        if has_recent_contact {
             return;
         }
         let mut addresses = self.peer_addresses.clone();
@@ -41,7 +41,7 @@
         self.is_non_voter() && self.departure.is_none() && self.as_primary().is_none()
     }
 
-    pub(super) fn wake_of_join(&self) -> Option<Time> {
+    pub(super) fn next_join_wake(&self) -> Option<Time> {
         self.seeks_membership().then_some(self.next_join_request_at)
     }
 
--- a/decide/replication/src/replica/leadership_transfer.rs
+++ b/decide/replication/src/replica/leadership_transfer.rs
@@ -11,7 +11,7 @@
 /// Number of heartbeat intervals without contact after which a voter is not asked to take over.
 const MAX_MISSED_HEARTBEATS: u64 = 3;
 /// Number of retry intervals (`retry_interval_us`) after which another voter is asked.
-const RETRY_INTERVALS: u64 = 2;
+const RETRY_INTERVALS_PER_ATTEMPT: u64 = 2;
 
 impl<S: ReplicatedState> Replica<S> {
     pub(super) fn tick_leadership_transfer(&mut self, now: Time) {
@@ -44,9 +44,10 @@
     }
 
     fn transfer_leadership(&mut self, now: Time, reason: LeadershipTransferReason) {
-        let next_attempt_at = now.after(RETRY_INTERVALS * self.settings.retry_interval_us);
+        let next_attempt_at =
+            now.after(RETRY_INTERVALS_PER_ATTEMPT * self.settings.retry_interval_us);
         let passive_until = now.after(self.settings.passive_after_transfer_us);
-        let to = self.successor(now);
+        let to = self.choose_successor(now);
         let Some(primary) = self.as_primary_mut() else {
             return;
         };
@@ -64,15 +65,15 @@
 
     /// Returns the suitable voter with the newest synced state. Among equals, prefers a voter other
     /// than the one that was asked last.
-    fn successor(&self, now: Time) -> Option<Member> {
+    fn choose_successor(&self, now: Time) -> Option<Member> {
         let primary = self.as_primary()?;
         let transfer = primary.leadership_transfer.as_ref();
         let last_target = transfer.and_then(|transfer| transfer.to.as_ref());
-        let contact_us = MAX_MISSED_HEARTBEATS * self.settings.heartbeat_interval_us;
+        let contact_window_us = MAX_MISSED_HEARTBEATS * self.settings.heartbeat_interval_us;
         let is_suitable = |peer: &Peer| {
-            let in_contact = now.since(peer.last_contact_at) < contact_us;
-            let is_able = in_contact && peer.is_writable && !peer.is_leaving;
-            is_able
+            let in_contact = now.since(peer.last_contact_at) < contact_window_us;
+            let is_available = in_contact && peer.is_writable && !peer.is_leaving;
+            is_available
                 && peer
                     .synced
                     .is_some_and(|position| position.epoch == primary.epoch)
@@ -82,13 +83,14 @@
             .iter()
             .filter_map(|voter| primary.peers.get(&voter.identity));
         let best = peers.filter(|peer| is_suitable(peer)).max_by_key(|peer| {
-            let is_again = last_target.is_some_and(|last| last.identity == peer.member.identity);
-            (peer.synced, !is_again)
+            let was_asked_last =
+                last_target.is_some_and(|last| last.identity == peer.member.identity);
+            (peer.synced, !was_asked_last)
         });
         best.map(|peer| peer.member.clone())
     }
 
-    pub(super) fn wake_of_leadership_transfer(&self) -> Option<Time> {
+    pub(super) fn next_leadership_transfer_wake(&self) -> Option<Time> {
         let transfer = self.as_primary()?.leadership_transfer.as_ref()?;
         Some(transfer.next_attempt_at)
     }
--- a/decide/replication/src/replica/leave.rs
+++ b/decide/replication/src/replica/leave.rs
@@ -34,19 +34,19 @@
         self.tick_leave(now);
     }
 
-    /// Whether the process of a leaving member may stop: the member is removed, or the primary
-    /// keeps it in the membership because its removal would make the group less safe.
+    /// Whether the process of a leaving member may stop: the member is removed, or it cannot be
+    /// removed without making the group less safe.
     #[must_use]
     pub fn has_left(&self) -> bool {
         let Some(departure) = &self.departure else {
             return false;
         };
-        let has_no_others = self
+        let is_only_voter = self
             .accepted
             .as_ref()
             .is_none_or(|accepted| accepted.membership.voters.len() == 1);
-        let is_outside = self.as_primary().is_none() && self.is_non_voter();
-        departure.may_stop || has_no_others || is_outside
+        let is_not_member = self.as_primary().is_none() && self.is_non_voter();
+        departure.may_stop || is_only_voter || is_not_member
     }
 
     pub(super) fn tick_leave(&mut self, now: Time) {
@@ -89,7 +89,7 @@
         members.map(|member| member.address.clone()).collect()
     }
 
-    pub(super) fn wake_of_leave(&self) -> Option<Time> {
+    pub(super) fn next_leave_wake(&self) -> Option<Time> {
         let departure = self.departure.as_ref()?;
         self.is_requesting_removal()
             .then_some(departure.next_request_at)
@@ -99,7 +99,7 @@
         let has_committed_all = self
             .as_primary()
             .is_some_and(|primary| primary.is_serving && !primary.has_record_in_flight);
-        let is_named = self.membership().contains(from.identity);
+        let is_member = self.membership().contains(from.identity);
         let Some(primary) = self.as_primary_mut() else {
             return;
         };
@@ -107,7 +107,7 @@
         if let Some(peer) = primary.peers.get_mut(&from.identity) {
             peer.is_leaving = true;
         }
-        if !is_named {
+        if !is_member {
             // The removal is final only once its record is committed.
             if has_committed_all {
                 self.send_leave_response(from, epoch, LeaveOutcome::Removed);
--- a/decide/replication/src/replica/membership_change.rs
+++ b/decide/replication/src/replica/membership_change.rs
@@ -37,12 +37,15 @@
         now: Time,
     ) -> Option<(Vec<Member>, MembershipChange)> {
         let membership = self.accepted.as_ref()?.membership.clone();
-        debug_assert!(!membership.is_joint(), "one change of membership at a time");
+        debug_assert!(
+            !membership.is_joint(),
+            "another change of membership is in progress"
+        );
         let primary = self.as_primary()?;
-        let change = changed_address(primary, &membership)
-            .or_else(|| self.replacement(now, primary, &membership))
-            .or_else(|| self.addition(now, primary, &membership))
-            .or_else(|| self.removal(now, &membership))?;
+        let change = find_address_change(primary, &membership)
+            .or_else(|| self.find_replacement(now, primary, &membership))
+            .or_else(|| self.find_addition(now, primary, &membership))
+            .or_else(|| self.find_removal(now, &membership))?;
         let voters = voters_after(&membership, &change);
         Some((voters, change))
     }
@@ -54,17 +57,21 @@
             let synced = peer
                 .synced
                 .filter(|position| position.epoch == primary.epoch);
-            let is_close = synced.is_some_and(|position| {
+            let is_nearly_current = synced.is_some_and(|position| {
                 head.saturating_sub(position.number) <= MAX_LEARNER_LAG_RECORDS
             });
             let in_contact = now.since(peer.last_contact_at) < self.settings.contact_timeout_us;
-            !peer.is_voter() && is_close && in_contact && peer.is_writable && !peer.is_leaving
+            !peer.is_voter()
+                && is_nearly_current
+                && in_contact
+                && peer.is_writable
+                && !peer.is_leaving
         };
         let peers = primary.peers.values().filter(is_ready);
         peers.map(|peer| peer.member.clone()).collect()
     }
 
-    fn replacement(
+    fn find_replacement(
         &self,
         now: Time,
         primary: &Primary,
@@ -74,7 +81,7 @@
             return None;
         }
         let learners = self.ready_learners(now, primary);
-        if let Some(change) = replacement_of_wiped(&learners, membership) {
+        if let Some(change) = find_wiped_replacement(&learners, membership) {
             return Some(change);
         }
         let new = learners.first()?.clone();
@@ -99,7 +106,7 @@
         })
     }
 
-    fn addition(
+    fn find_addition(
         &self,
         now: Time,
         primary: &Primary,
@@ -118,7 +125,7 @@
             })
         });
         let may_add = all_in_contact || self.settings.faults.has(Fault::NeverRemoveVoters);
-        // Two voters tolerate no loss: losing the first would lose the only complete state. A sole
+        // Two voters tolerate no loss: if the first is lost, the group loses its state. A sole
         // founder therefore waits for two learners.
         let is_second_voter = voters.len() == 1 && new.len() == 1;
         let has_waited = now.since(primary.elected_at) >= self.settings.sole_founder_wait_us;
@@ -128,7 +135,7 @@
         Some(MembershipChange::Add { new })
     }
 
-    fn removal(&mut self, now: Time, membership: &Membership) -> Option<MembershipChange> {
+    fn find_removal(&mut self, now: Time, membership: &Membership) -> Option<MembershipChange> {
         if self.settings.faults.has(Fault::NeverRemoveVoters) {
             return None;
         }
@@ -146,12 +153,12 @@
         for peer in &peers {
             let is_expendable = self.is_expendable(&peer.member, membership);
             let last_contact_age_us = now.since(peer.last_contact_at);
-            let patience_us = if is_expendable {
+            let removal_delay_us = if is_expendable {
                 replace_after_us
             } else {
                 remove_after_us
             };
-            if last_contact_age_us <= patience_us && !peer.is_leaving {
+            if last_contact_age_us <= removal_delay_us && !peer.is_leaving {
                 continue;
             }
             let old = peer.member.clone();
@@ -193,8 +200,8 @@
     fn is_removal_allowed(&self, count: &VoterCount, losses_now: i64, losses_without: i64) -> bool {
         let remaining = count.voters - 1;
         let required_losses = i64::from(self.settings.fault_tolerance);
-        // Every acknowledged change is on a quorum. A quorum of the remaining voters must have more
-        // copies than the losses to tolerate, or no fewer copies than before.
+        // Every acknowledged change is stored on a quorum. A quorum of the remaining voters must
+        // hold more copies than the losses to tolerate, or no fewer copies than a quorum holds now.
         let copies = majority_of(remaining) as i64;
         let has_enough_copies =
             copies >= (required_losses + 1).min(majority_of(count.voters) as i64);
@@ -213,7 +220,7 @@
 }
 
 /// Returns the change for a voter that is reached at another address than the membership records.
-fn changed_address(primary: &Primary, membership: &Membership) -> Option<MembershipChange> {
+fn find_address_change(primary: &Primary, membership: &Membership) -> Option<MembershipChange> {
     membership.voters.iter().find_map(|voter| {
         let member = &primary.peers.get(&voter.identity)?.member;
         let new = (member.address != voter.address).then(|| member.clone())?;
@@ -222,7 +229,10 @@
 }
 
 /// Returns the change for a learner at the address of a voter, whose disk must have been wiped.
-fn replacement_of_wiped(learners: &[Member], membership: &Membership) -> Option<MembershipChange> {
+fn find_wiped_replacement(
+    learners: &[Member],
+    membership: &Membership,
+) -> Option<MembershipChange> {
     learners.iter().find_map(|new| {
         let mut voters = membership.voters.iter();
         let old = voters.find(|voter| voter.address == new.address)?;
@@ -243,9 +253,9 @@
         | MembershipChange::RemoveLeaving { old } => (Some(old), Vec::new()),
         MembershipChange::ChangeAddress { new } => (Some(new), vec![new.clone()]),
     };
-    let staying = membership
+    let remaining_voters = membership
         .voters
         .iter()
         .filter(|voter| removed.is_none_or(|old| old.identity != voter.identity));
-    staying.cloned().chain(added).collect()
+    remaining_voters.cloned().chain(added).collect()
 }
--- a/decide/replication/src/replica/mod.rs
+++ b/decide/replication/src/replica/mod.rs
@@ -50,7 +50,7 @@
     /// State of the random number generator.
     rng_state: u64,
     /// Random number that distinguishes this process from earlier ones with the same disk.
-    process: u64,
+    process_nonce: u64,
     /// Addresses of peers that this member asks to join.
     peer_addresses: BTreeSet<String>,
     /// Members that are known to have no disk.
@@ -59,7 +59,8 @@
     accepted: Option<VersionedState<S>>,
     /// The newest state that is known to be committed, with its position.
     committed: Option<(Position, S)>,
-    /// Highest epoch that this member has promised. `disk` holds the part that is synced.
+    /// Highest epoch that this member has promised. `disk` holds the highest epoch whose promise is
+    /// synced.
     promised: Epoch,
     /// Highest epoch that another member named when it rejected a vote or heartbeat. The next epoch
     /// that this member chooses is higher.
@@ -67,8 +68,8 @@
     disk: Disk,
     role: Role,
     known_primary: Option<KnownPrimary>,
-    /// Whether no primary has made contact since the process started. This member may then be the
-    /// founder of the group.
+    /// Whether no primary has made contact since the process started. All members of the group may
+    /// then have just started.
     awaits_first_primary: bool,
     /// Votes to send once the promise of their epoch is synced.
     pending_grants: Vec<PendingGrant>,
@@ -107,7 +108,7 @@
     Primary(Box<Primary>),
 }
 
-/// The primary from which this member last accepted a heartbeat.
+/// The primary whose heartbeat this member accepted last.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct KnownPrimary {
     member: Member,
@@ -171,7 +172,9 @@
         };
         let mut replica = Self::learner(settings, me, seed, now);
         replica.promised = accepted.promised;
-        replica.disk.recovered(accepted.position, accepted.promised);
+        replica
+            .disk
+            .set_recovered(accepted.position, accepted.promised);
         let (position, membership) = (accepted.position, accepted.membership);
         replica.accepted = Some(VersionedState {
             position,
@@ -185,14 +188,11 @@
     /// until it has received a state. `seed` is a random number.
     #[must_use]
     pub fn learner(settings: Settings, me: Member, seed: u64, now: Time) -> Self {
-        debug_assert!(
-            me.identity.0 != 0,
-            "an identity is chosen before it is used"
-        );
+        debug_assert!(me.identity.0 != 0, "identity 0 is not valid");
         let mut replica = Self {
             settings,
             rng_state: seed ^ me.identity.0.rotate_left(32),
-            process: seed,
+            process_nonce: seed,
             me,
             peer_addresses: BTreeSet::new(),
             diskless_members: BTreeSet::new(),
@@ -289,7 +289,7 @@
     /// Handles the sync of this item and all items before it.
     pub fn on_persisted(&mut self, now: Time, write_id: WriteId) {
         self.step_down_without_contact(now);
-        if self.disk.persisted(write_id) {
+        if self.disk.mark_synced(write_id) {
             self.after_sync(now);
         }
     }
@@ -298,7 +298,7 @@
     /// it; the next item to write is a snapshot.
     pub fn on_persist_failed(&mut self, now: Time, write_id: WriteId) {
         self.step_down_without_contact(now);
-        self.disk_failed(now, write_id);
+        self.on_disk_failed(now, write_id);
     }
 
     /// Handles the passage of time. The caller calls it at [`Self::next_wake`]; earlier calls are
@@ -317,13 +317,13 @@
     #[must_use]
     pub fn next_wake(&self) -> Time {
         let wakes = [
-            self.wake_of_disk(),
-            self.wake_of_snapshot_transfer(),
-            self.wake_of_primary(),
-            self.wake_of_election(),
-            self.wake_of_join(),
-            self.wake_of_leadership_transfer(),
-            self.wake_of_leave(),
+            self.next_disk_wake(),
+            self.next_snapshot_transfer_wake(),
+            self.next_primary_wake(),
+            self.next_election_wake(),
+            self.next_join_wake(),
+            self.next_leadership_transfer_wake(),
+            self.next_leave_wake(),
         ];
         wakes.into_iter().flatten().min().unwrap_or(Time(u64::MAX))
     }
@@ -382,7 +382,7 @@
 
     /// Returns the position and membership that this member reports with a vote; none on an empty
     /// disk.
-    fn version(&self) -> Option<ReplicaVersion> {
+    fn replica_version(&self) -> Option<ReplicaVersion> {
         let accepted = self.accepted.as_ref()?;
         Some(ReplicaVersion {
             position: accepted.position,
@@ -433,15 +433,16 @@
         (mixed ^ (mixed >> 31)) % limit.max(1)
     }
 
-    /// Whether the newest membership that this member knows does not include it.
+    /// Whether the newest membership that this member knows does not include it. Also true on an
+    /// empty disk.
     fn is_non_voter(&self) -> bool {
         let Some(accepted) = &self.accepted else {
             return true;
         };
-        let overruled = self
+        let is_excluded = self
             .excluded_at
             .is_some_and(|excluded_at| accepted.position <= excluded_at);
-        overruled || !accepted.membership.contains(self.me.identity)
+        is_excluded || !accepted.membership.contains(self.me.identity)
     }
 }
 
@@ -453,12 +454,12 @@
             Update::Change(change) => self.state.apply(change)?,
             Update::Membership(membership) => self.membership = membership.clone(),
         }
-        debug_assert!(position > self.position, "positions rise");
+        debug_assert!(position > self.position, "record positions must increase");
         self.position = position;
         Ok(())
     }
 
-    fn to_item(&self, identity: Identity, promised: Epoch) -> DurableItem {
+    fn to_durable_item(&self, identity: Identity, promised: Epoch) -> DurableItem {
         DurableItem::Snapshot(Snapshot {
             identity,
             promised,
--- a/decide/replication/src/replica/pre_vote.rs
+++ b/decide/replication/src/replica/pre_vote.rs
@@ -19,7 +19,7 @@
 impl<S: ReplicatedState> Replica<S> {
     pub(super) fn begin_pre_vote(&mut self, now: Time) {
         let epoch = self.next_epoch(Epoch::default());
-        let Some(version) = self.version() else {
+        let Some(version) = self.replica_version() else {
             return;
         };
         let mut votes = VoteCount::default();
@@ -36,7 +36,7 @@
 
     pub(super) fn on_pre_vote(&mut self, now: Time, from: &Member, epoch: Epoch) {
         self.update_peer_address(from);
-        let Some(version) = self.version() else {
+        let Some(version) = self.replica_version() else {
             return;
         };
         // The epoch's counter is not checked: the candidate chooses an epoch above all that the
--- a/decide/replication/src/replica/primary.rs
+++ b/decide/replication/src/replica/primary.rs
@@ -49,7 +49,7 @@
         let primary = Primary::new(epoch, votes_requested_at, now);
         self.role = Role::Primary(Box::new(primary));
         self.refresh_peers(now);
-        self.write(now, Update::EpochStart, None, persist_as);
+        self.write_record(now, Update::EpochStart, None, persist_as);
         self.broadcast(now);
     }
 
@@ -97,7 +97,7 @@
     }
 
     /// Writes a record that follows the accepted state. No other record may be in flight.
-    fn write(
+    fn write_record(
         &mut self,
         now: Time,
         update: Update,
@@ -110,10 +110,7 @@
         let Role::Primary(primary) = &mut self.role else {
             return;
         };
-        debug_assert!(
-            !primary.has_record_in_flight,
-            "one record is in flight at a time"
-        );
+        debug_assert!(!primary.has_record_in_flight, "another record is in flight");
         let position = Position {
             epoch: primary.epoch,
             number: accepted.position.number + 1,
@@ -132,12 +129,12 @@
         primary.has_record_in_flight = true;
         primary.in_flight_request = request;
         primary.retain_record(record.clone());
-        let changes_members = is_membership(&record.update);
+        let changes_membership = is_membership_update(&record.update);
         match persist_as {
             PersistAs::Snapshot => self.persist_snapshot(now),
             PersistAs::Record => self.persist_record(now, record),
         }
-        if changes_members {
+        if changes_membership {
             self.refresh_peers(now);
         }
     }
@@ -168,7 +165,7 @@
         };
         if accepted.membership.is_joint() {
             let finalized = Update::Membership(accepted.membership.finalized());
-            self.write(now, finalized, None, PersistAs::Record);
+            self.write_record(now, finalized, None, PersistAs::Record);
             return true;
         }
         if is_transferring {
@@ -183,7 +180,7 @@
             .as_primary_mut()
             .and_then(|primary| primary.queued_changes.pop_front())
         {
-            self.write(
+            self.write_record(
                 now,
                 Update::Change(change),
                 Some(request),
@@ -210,7 +207,7 @@
         if self.settings.faults.has(Fault::NoJointRecord) {
             membership = membership.finalized();
         }
-        self.write(now, Update::Membership(membership), None, PersistAs::Record);
+        self.write_record(now, Update::Membership(membership), None, PersistAs::Record);
         let position = self.accepted_position().unwrap_or_default();
         self.outputs.push(Output::Notice(Notice::MembershipChange {
             position,
@@ -285,10 +282,10 @@
         progress: &ReportedProgress,
     ) {
         self.update_peer_address(from);
-        let any_epoch = self.settings.faults.has(Fault::CountEarlierEpoch);
+        let accepts_any_epoch = self.settings.faults.has(Fault::CountEarlierEpoch);
         let Some(primary) = self
             .as_primary_mut()
-            .filter(|primary| primary.epoch == epoch || any_epoch)
+            .filter(|primary| primary.epoch == epoch || accepts_any_epoch)
         else {
             return;
         };
@@ -345,10 +342,10 @@
             return;
         };
         let peers = primary.peers.iter();
-        let with_record = peers.filter(|(_, peer)| peer.synced == Some(head));
-        let with_record = with_record.map(|(identity, _)| *identity);
+        let members_with_record = peers.filter(|(_, peer)| peer.synced == Some(head));
+        let members_with_record = members_with_record.map(|(identity, _)| *identity);
         let this_member = (self.disk.synced == Some(head)).then_some(self.me.identity);
-        let present: BTreeSet<Identity> = with_record.chain(this_member).collect();
+        let present: BTreeSet<Identity> = members_with_record.chain(this_member).collect();
         if !self.is_quorum(&accepted.membership, &present) {
             return;
         }
@@ -374,7 +371,7 @@
         let changed_membership = is_final
             && primary
                 .last_record()
-                .is_some_and(|last| is_membership(&last.update));
+                .is_some_and(|last| is_membership_update(&last.update));
         self.outputs.push(Output::Committed(head));
         if let Some(request) = request {
             self.complete(request, Outcome::Committed(head));
@@ -393,8 +390,8 @@
             faults.has(Fault::LeaverCommitsAlone) && self.departure.is_some();
         let commits_alone = (leaver_commits_alone || faults.has(Fault::PrimaryCommitsAlone))
             && present.contains(&self.me.identity);
-        let is_half = faults.has(Fault::HalfIsQuorum) && membership.is_half(present);
-        membership.is_quorum(present) || commits_alone || is_half
+        let is_half_quorum = faults.has(Fault::HalfIsQuorum) && membership.has_half(present);
+        membership.is_quorum(present) || commits_alone || is_half_quorum
     }
 
     /// Sets the address of a peer to that of its last message, since its address may have changed.
@@ -436,7 +433,7 @@
         self.tick_leadership_transfer(now);
     }
 
-    pub(super) fn wake_of_primary(&self) -> Option<Time> {
+    pub(super) fn next_primary_wake(&self) -> Option<Time> {
         let primary = self.as_primary()?;
         let contact_ends_at = primary
             .rounds
@@ -446,6 +443,6 @@
     }
 }
 
-fn is_membership(update: &Update) -> bool {
+fn is_membership_update(update: &Update) -> bool {
     matches!(update, Update::Membership(_))
 }
--- a/decide/replication/src/replica/queries.rs
+++ b/decide/replication/src/replica/queries.rs
@@ -7,7 +7,7 @@
 use crate::status::{MemberRole, PeerStatus, Status};
 use crate::types::{Epoch, Member, Position, Time};
 
-static NO_MEMBERSHIP: Membership = Membership {
+static EMPTY_MEMBERSHIP: Membership = Membership {
     voters: Vec::new(),
     outgoing: None,
 };
@@ -27,7 +27,7 @@
     pub fn membership(&self) -> &Membership {
         self.accepted
             .as_ref()
-            .map_or(&NO_MEMBERSHIP, |accepted| &accepted.membership)
+            .map_or(&EMPTY_MEMBERSHIP, |accepted| &accepted.membership)
     }
 
     /// Returns the identity and address of this member.
@@ -55,7 +55,7 @@
             .is_some_and(is_recent)
     }
 
-    /// Whether this member's committed state is that of a primary with contact to a quorum, or has
+    /// Whether this member's committed state is that of a primary in contact with a quorum, or has
     /// been older for less than `max_commit_lag_us`. Contact alone is not enough: with a full disk,
     /// or a link that fails in one direction, a member still receives heartbeats but falls behind.
     #[must_use]
@@ -65,8 +65,8 @@
             .as_ref()
             .and_then(|known| known.behind_since);
         let max_lag_us = self.settings.max_commit_lag_us;
-        let lags = behind_since.is_some_and(|since| now.since(since) >= max_lag_us);
-        self.in_contact(now) && (self.as_primary().is_some() || !lags)
+        let is_behind = behind_since.is_some_and(|since| now.since(since) >= max_lag_us);
+        self.in_contact(now) && (self.as_primary().is_some() || !is_behind)
     }
 
     /// Returns the primary that this member follows, or itself if it is primary.
--- a/decide/replication/src/replica/rounds.rs
+++ b/decide/replication/src/replica/rounds.rs
@@ -22,10 +22,10 @@
 }
 
 impl Rounds {
-    /// Creates the rounds of a primary that requested its votes at `elected_at`.
-    pub(super) fn new(elected_at: Time) -> Self {
+    /// Creates the rounds of a primary that requested its votes at `votes_requested_at`.
+    pub(super) fn new(votes_requested_at: Time) -> Self {
         Self {
-            confirmed_at: elected_at,
+            confirmed_at: votes_requested_at,
             ..Self::default()
         }
     }
--- a/decide/replication/src/replica/snapshot_transfer.rs
+++ b/decide/replication/src/replica/snapshot_transfer.rs
@@ -82,12 +82,12 @@
         let is_valid = chunk.index < chunk.count
             && chunk.count <= MAX_CHUNKS
             && chunk.bytes.len() <= CHUNK_BYTES;
-        let is_other = self.position != Some(chunk.position);
+        let is_other_snapshot = self.position != Some(chunk.position);
         let is_unwanted = self.is_exact
             || self
                 .position
                 .is_some_and(|position| chunk.position < position);
-        is_expected && is_valid && !(is_other && is_unwanted)
+        is_expected && is_valid && !(is_other_snapshot && is_unwanted)
     }
 
     /// Adds a chunk that [`Self::accepts`] has accepted. A chunk of a newer snapshot discards the
@@ -181,7 +181,7 @@
         }
     }
 
-    pub(super) fn wake_of_snapshot_transfer(&self) -> Option<Time> {
+    pub(super) fn next_snapshot_transfer_wake(&self) -> Option<Time> {
         let incoming = self.incoming.as_ref()?;
         Some(incoming.requested_at.after(self.settings.retry_interval_us))
     }
@@ -334,7 +334,7 @@
 /// The reason why received chunks do not form a valid snapshot.
 #[derive(Debug, Error)]
 enum SnapshotError {
-    #[error("the checksum of its {bytes} bytes differs")]
+    #[error("checksum mismatch over {bytes} bytes")]
     Checksum { bytes: usize },
     #[error("{}", .0.reason)]
     Content(#[from] DecodeError),
--- a/decide/replication/src/replica/vote_count.rs
+++ b/decide/replication/src/replica/vote_count.rs
@@ -11,7 +11,7 @@
 use crate::state::ReplicatedState;
 use crate::types::{Epoch, Identity, Member, Position, Time};
 
-/// The requested votes and the granted votes, with the voters' states.
+/// The members that were asked for a vote, and the granted votes with the voters' states.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct VoteCount {
     pub(super) requested: BTreeSet<Identity>,
@@ -31,25 +31,26 @@
 impl VoteCount {
     /// Evaluates the granted votes; returns none if there are none.
     pub(super) fn outcome(&self, me: Identity, faults: Faults) -> Option<VoteOutcome> {
-        let order = |position: Position| {
+        let epoch_order = |position: Position| {
             if faults.has(Fault::NewestByNumber) {
                 (position.number, Epoch::default())
             } else {
                 (0, position.epoch)
             }
         };
-        let key = |version: &ReplicaVersion| (order(version.position), version.position.number);
+        let version_order =
+            |version: &ReplicaVersion| (epoch_order(version.position), version.position.number);
         let (source, newest) = self
             .granted
             .values()
-            .max_by_key(|(_, version)| key(version))?;
+            .max_by_key(|(_, version)| version_order(version))?;
         let membership = &newest.membership;
         if !membership.contains(me) {
             return Some(VoteOutcome::Excluded(newest.position));
         }
         let present: BTreeSet<Identity> = self.granted.keys().copied().collect();
-        let is_half = faults.has(Fault::HalfIsQuorum) && membership.is_half(&present);
-        let outcome = if membership.is_quorum(&present) || is_half {
+        let is_half_quorum = faults.has(Fault::HalfIsQuorum) && membership.has_half(&present);
+        let outcome = if membership.is_quorum(&present) || is_half_quorum {
             VoteOutcome::Won(newest.position, source.clone())
         } else {
             VoteOutcome::Pending(membership.clone())
@@ -62,20 +63,22 @@
     /// Continues a pre-vote or election according to its votes: starts the next step if a quorum
     /// has granted them, or sends requests to members that were not asked yet.
     pub(super) fn count_votes(&mut self, now: Time) {
-        let Some((votes, request)) = self.vote_round() else {
+        let Some((votes, request)) = self.votes_in_progress() else {
             return;
         };
         match votes.outcome(self.me.identity, self.settings.faults) {
             None => {}
             Some(VoteOutcome::Excluded(position)) => self.on_excluded(now, position),
-            Some(VoteOutcome::Pending(membership)) => self.send_to_unasked(&membership, &request),
+            Some(VoteOutcome::Pending(membership)) => {
+                self.request_missing_votes(&membership, &request)
+            }
             Some(VoteOutcome::Won(position, source)) => self.on_votes_won(now, position, source),
         }
     }
 
     /// Returns the votes of the pre-vote or election in progress, and the request to send for
     /// further votes.
-    fn vote_round(&self) -> Option<(&VoteCount, Body)> {
+    fn votes_in_progress(&self) -> Option<(&VoteCount, Body)> {
         match &self.role {
             Role::PreCandidate(pre_vote) => {
                 let epoch = pre_vote.epoch;
@@ -98,13 +101,13 @@
                 let above = pre_vote.highest_promised;
                 self.begin_election(now, above, false);
             }
-            Role::Candidate(_) => self.adopt(now, position, source),
+            Role::Candidate(_) => self.adopt_newest_state(now, position, source),
             Role::Follower | Role::Primary(_) => {}
         }
     }
 
     /// Sends the request to all members of `membership` that have neither been asked nor voted.
-    fn send_to_unasked(&mut self, membership: &Membership, request: &Body) {
+    fn request_missing_votes(&mut self, membership: &Membership, request: &Body) {
         let votes = match &mut self.role {
             Role::PreCandidate(pre_vote) => &mut pre_vote.votes,
             Role::Candidate(election) => &mut election.votes,
@@ -115,8 +118,8 @@
             .all()
             .filter(|member| member.identity != self.me.identity)
         {
-            let is_open = !votes.granted.contains_key(&member.identity);
-            if is_open && votes.requested.insert(member.identity) {
+            let has_not_voted = !votes.granted.contains_key(&member.identity);
+            if has_not_voted && votes.requested.insert(member.identity) {
                 addresses.push(member.address.clone());
             }
         }
--- a/decide/replication/src/replica/vote_grants.rs
+++ b/decide/replication/src/replica/vote_grants.rs
@@ -60,8 +60,9 @@
             position: Position::default(),
             membership: Membership::default(),
         };
-        let empty_votes = self.settings.faults.has(Fault::EmptyDiskVotes);
-        self.version().or_else(|| empty_votes.then_some(empty))
+        let votes_with_empty_disk = self.settings.faults.has(Fault::EmptyDiskVotes);
+        self.replica_version()
+            .or_else(|| votes_with_empty_disk.then_some(empty))
     }
 
     /// Sends the votes whose promise is synced. Drops the votes for epochs below the promised one.
