--- a/decide/replication/src/replica/disk_writes.rs
+++ b/decide/replication/src/replica/disk_writes.rs
@@ -127,7 +127,7 @@
     /// Returns a snapshot to write in place of this item and all items before it, to begin a new
     /// disk segment. Returns none if this item is no longer the last one in flight.
     #[must_use]
-    pub fn snapshot_for(&self, write_id: WriteId) -> Option<DurableItem> {
+    pub fn snapshot_replacing(&self, write_id: WriteId) -> Option<DurableItem> {
         let last = self
             .disk
             .pending_writes
--- a/fleet/src/control/group.rs
+++ b/fleet/src/control/group.rs
@@ -113,7 +113,7 @@
         let bytes = item.encode();
         let snapshot = disk
             .wants_snapshot_before(bytes.len())
-            .then(|| self.replica.snapshot_for(write_id))
+            .then(|| self.replica.snapshot_replacing(write_id))
             .flatten();
         let (is_snapshot, bytes) = match &snapshot {
             Some(snapshot) => (true, snapshot.encode()),
--- a/simulator/src/world/effects.rs
+++ b/simulator/src/world/effects.rs
@@ -50,7 +50,7 @@
             .as_ref()
             .filter(|_| machine.disk.wants_snapshot());
         let item = whole
-            .and_then(|process| process.replica().snapshot_for(write_id))
+            .and_then(|process| process.replica().snapshot_replacing(write_id))
             .unwrap_or(item);
         machine.disk.submit(write_id, item);
         self.begin_write(host);
