--- a/decide/replication/src/faults.rs
+++ b/decide/replication/src/faults.rs
@@ -1,6 +1,6 @@
-//! Faults that model tests inject into a replica, to show that the tests detect them.
+//! Faults that model tests plant in a replica, to show that the tests detect them.
 
-/// A fault in the algorithm. Faults are injected only in tests and simulations.
+/// A fault in the algorithm. Faults are planted only in tests and simulations.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
@@ -39,7 +39,7 @@
     ElectionNotPostponed,
 }
 
-/// The set of injected faults; empty by default.
+/// The set of planted faults; empty by default.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Faults {
--- a/decide/replication/src/message.rs
+++ b/decide/replication/src/message.rs
@@ -117,7 +117,7 @@
         /// Whether the committed membership no longer includes the receiver.
         is_removed: bool,
         /// Whether the receiver stays in the membership, because the others would tolerate too few
-        /// losses without it. Its process may stop in either case.
+        /// losses without it. Its process may stop nevertheless.
         is_retained: bool,
     },
     /// Tells a voter to start an election now (Raft's `TimeoutNow`). Sent by the primary.
--- a/decide/replication/src/replica/append.rs
+++ b/decide/replication/src/replica/append.rs
@@ -14,7 +14,7 @@
         }
         if append.to != self.me.identity {
             // The heartbeat is for a member with another disk at this address, which is lost. This
-            // member has not joined yet, so it asks the sender later.
+            // member still has to ask the sender to join.
             self.add_peer_addresses(vec![from.address.clone()]);
             return;
         }
@@ -169,13 +169,13 @@
         }
     }
 
-    /// Updates the entry from a heartbeat. `process` is the random number of this process.
+    /// Updates the entry from a heartbeat. `process_nonce` is that of this process.
     fn update(
         &mut self,
         now: Time,
         from: &Member,
         append: &Append,
-        process: u64,
+        process_nonce: u64,
         contact_timeout_us: u64,
     ) {
         if now.since(self.last_contact_at) >= contact_timeout_us {
@@ -191,7 +191,7 @@
         }
         let sent_at = append
             .last_response_sent_at
-            .filter(|sent_at| append.in_contact && sent_at.process == process);
+            .filter(|sent_at| append.in_contact && sent_at.process == process_nonce);
         let contact_at = sent_at.map(|sent_at| Time(sent_at.clock).min(now));
         self.contact_at = self.contact_at.max(contact_at);
     }
--- a/decide/replication/src/replica/diskless.rs
+++ b/decide/replication/src/replica/diskless.rs
@@ -1,6 +1,6 @@
 //! Voters without a disk, whose state is lost when their process ends.
 //!
-//! A voter without a disk may found a group, since at first no member may have a disk. No change is
+//! A voter without a disk may found a group, since every group needs a founder. No change is
 //! accepted while the group mixes voters without a disk and members with one, so that no
 //! acknowledged change depends on memory that is lost in a power failure. A voter without a disk
 //! that is lost or leaving can be removed as soon as another voter has a disk, so it never blocks
@@ -19,11 +19,11 @@
     /// of the current membership that were in the previous set stay in it.
     pub fn set_diskless_members(&mut self, identities: BTreeSet<Identity>) {
         let previous = std::mem::replace(&mut self.diskless_members, identities);
-        let named = previous
+        let still_members = previous
             .into_iter()
             .filter(|identity| self.membership().contains(*identity));
-        let named: Vec<Identity> = named.collect();
-        self.diskless_members.extend(named);
+        let still_members: Vec<Identity> = still_members.collect();
+        self.diskless_members.extend(still_members);
     }
 
     fn has_disk(&self, identity: Identity) -> bool {
--- a/decide/replication/src/replica/leave.rs
+++ b/decide/replication/src/replica/leave.rs
@@ -76,10 +76,10 @@
     /// a new primary sends nothing to a voter that it has removed.
     fn leave_request_targets(&self, now: Time) -> BTreeSet<String> {
         let timeout_us = self.settings.contact_timeout_us;
-        let in_contact = self
+        let primary_in_contact = self
             .followed_primary()
             .filter(|known| now.since(known.last_contact_at) < timeout_us);
-        if let Some(known) = in_contact {
+        if let Some(known) = primary_in_contact {
             return BTreeSet::from([known.member.address.clone()]);
         }
         let members = self
--- a/decide/replication/src/replica/primary_state.rs
+++ b/decide/replication/src/replica/primary_state.rs
@@ -174,17 +174,21 @@
     }
 
     fn records_after(&self, position: Option<Position>) -> Option<Vec<Record>> {
-        let first = self
+        let first_index = self
             .recent_records
             .iter()
             .position(|record| Some(record.previous) == position)?;
         let mut bytes = 0;
         let fits = |record: &&Record| {
-            let before = bytes;
+            let bytes_before = bytes;
             bytes += size_of_update(&record.update);
-            before == 0 || bytes <= MAX_MESSAGE_BYTES
+            bytes_before == 0 || bytes <= MAX_MESSAGE_BYTES
         };
-        let records = self.recent_records.iter().skip(first).take_while(fits);
+        let records = self
+            .recent_records
+            .iter()
+            .skip(first_index)
+            .take_while(fits);
         Some(records.cloned().collect())
     }
 
--- a/decide/replication/src/replica/vote_grants.rs
+++ b/decide/replication/src/replica/vote_grants.rs
@@ -1,4 +1,5 @@
-//! The voters' part of an election: granting votes, and sending them once their promise is synced.
+//! The voters' part of an election: granting votes, and sending them once the promise of their
+//! epoch is synced.
 
 use super::Replica;
 use crate::faults::Fault;
--- a/decide/replication/src/settings.rs
+++ b/decide/replication/src/settings.rs
@@ -36,12 +36,12 @@
     /// Time that a sole founder waits for a second learner before it adds a single one, since two
     /// voters tolerate no loss. Default 2 s.
     pub sole_founder_wait_us: u64,
-    /// Time after its election for which the primary of a group smaller than `2 * fault_tolerance +
-    /// 1` accepts no changes. Default 5 s.
+    /// Time after its election for which the primary of a group with fewer than `2 *
+    /// fault_tolerance + 1` voters accepts no changes. Default 5 s.
     pub bootstrap_timeout_us: u64,
     /// Maximum number of voters in a group. Default 9.
     pub max_voters: usize,
-    /// Faults that the model tests inject.
+    /// Faults that the model tests plant.
     #[doc(hidden)]
     pub faults: Faults,
 }
