--- a/decide/replication/src/durable.rs
+++ b/decide/replication/src/durable.rs
@@ -185,20 +185,18 @@
     Ok(())
 }
 
-fn check_snapshot(previous: Option<&Recovered>, snapshot: &Snapshot) -> Result<(), RecoverError> {
-    let Some(previous) = previous else {
-        return Ok(());
-    };
-    if snapshot.identity != previous.snapshot.identity {
+fn check_snapshot(prior: Option<&Recovered>, snapshot: &Snapshot) -> Result<(), RecoverError> {
+    let Some(prior) = prior else { return Ok(()) };
+    if snapshot.identity != prior.snapshot.identity {
         return Err(RecoverError::TwoIdentities {
             found: snapshot.identity,
-            expected: previous.snapshot.identity,
+            expected: prior.snapshot.identity,
         });
     }
-    if snapshot.position < previous.snapshot.position {
+    if snapshot.position < prior.snapshot.position {
         return Err(RecoverError::SnapshotOutOfOrder {
             found: snapshot.position,
-            expected: previous.snapshot.position,
+            expected: prior.snapshot.position,
         });
     }
     Ok(())
--- a/decide/replication/src/replica/vote_count.rs
+++ b/decide/replication/src/replica/vote_count.rs
@@ -69,9 +69,7 @@
         match votes.outcome(self.me.identity, self.settings.faults) {
             None => {}
             Some(VoteOutcome::Excluded(position)) => self.on_excluded(now, position),
-            Some(VoteOutcome::Pending(membership)) => {
-                self.request_missing_votes(&membership, &request)
-            }
+            Some(VoteOutcome::Pending(membership)) => self.send_requests(&membership, &request),
             Some(VoteOutcome::Won(position, source)) => self.on_votes_won(now, position, source),
         }
     }
@@ -107,7 +105,7 @@
     }
 
     /// Sends the request to all members of `membership` that have neither been asked nor voted.
-    fn request_missing_votes(&mut self, membership: &Membership, request: &Body) {
+    fn send_requests(&mut self, membership: &Membership, request: &Body) {
         let votes = match &mut self.role {
             Role::PreCandidate(pre_vote) => &mut pre_vote.votes,
             Role::Candidate(election) => &mut election.votes,
