--- a/decide/consensus/src/bootstrap.rs
+++ b/decide/consensus/src/bootstrap.rs
@@ -1,22 +1,25 @@
-//! How the voters come to a genesis. Each chooses an identity when it starts without storage,
-//! persists it, and announces it to the others. The first that knows the identities of all of them
-//! fixes these in a genesis, which the others adopt. A voter whose identity is not the one that the
-//! genesis names does not vote.
+//! Bootstraps a cluster: the voters agree on a genesis.
+//!
+//! A voter that starts without storage chooses an identity, persists it and announces it to the
+//! other voters. The first voter that has received the identities of all voters creates the genesis
+//! from them, and the others adopt it. A voter does not vote if the genesis lists its broker with a
+//! different identity.
 
 use crate::genesis::{Announcement, Genesis, VoterIdentity};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Whether a voter votes, and why not.
+/// The progress of a voter's bootstrap: whether the voter votes, and if not, the reason.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BootstrapStatus {
-    /// It has received no announcement yet of these voters.
+    /// No announcement has arrived yet from the voters with these names.
     WaitingFor(Vec<String>),
-    /// It is one of the genesis.
+    /// The genesis lists this voter's identity, so it votes.
     Member,
-    /// The genesis names its broker with this other identity: it does not vote.
+    /// The genesis lists the broker with this other identity: the broker has lost its storage since
+    /// then and does not vote.
     StorageLost(VoterIdentity),
-    /// The genesis does not name its broker: it does not vote.
+    /// The genesis does not list the broker, so it does not vote.
     NotMember,
 }
 
@@ -24,34 +27,34 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             BootstrapStatus::WaitingFor(names) => {
-                write!(f, "nothing was heard yet of {}", names.join(", "))
+                write!(f, "no announcement received yet from {}", names.join(", "))
             }
-            BootstrapStatus::Member => f.write_str("it is one of the voters"),
+            BootstrapStatus::Member => f.write_str("this broker is one of the voters"),
             BootstrapStatus::StorageLost(former) => write!(
                 f,
-                "the fleet knows {} by another memory: this one does not vote",
+                "the genesis lists {} with another storage id: this broker does not vote",
                 former.name
             ),
             BootstrapStatus::NotMember => {
-                f.write_str("the fleet has begun without it: it does not vote")
+                f.write_str("the genesis does not list this broker: it does not vote")
             }
         }
     }
 }
 
-/// One voter on its way to the genesis.
+/// State machine of one voter's bootstrap, from its start to the adoption of a genesis.
 #[derive(Clone, Debug)]
 pub struct Bootstrap {
     own: VoterIdentity,
-    /// The voters that the operators' file names, and the identities that they have announced.
+    /// For each voter that the configuration lists, the identity that it has announced, if any.
     announced: BTreeMap<String, Option<VoterIdentity>>,
     genesis: Option<Genesis>,
     status: BootstrapStatus,
 }
 
 impl Bootstrap {
-    /// The voter `own` among the voters of these names, which the operators' file lists; `genesis`:
-    /// the one that it has persisted, if it has.
+    /// Creates the bootstrap of the voter `own`. `names` are the names of all voters in the
+    /// configuration; `genesis` is the genesis that this voter has persisted, if any.
     ///
     /// ```
     /// use lichenswitch_consensus::bootstrap::{Bootstrap, BootstrapStatus};
@@ -61,10 +64,10 @@
     /// let mut a = Bootstrap::new(identity("a", 1), &names, None);
     /// let mut b = Bootstrap::new(identity("b", 2), &names, None);
     /// let c = Bootstrap::new(identity("c", 3), &names, None);
-    /// assert!(!a.on_announcement(&b.announcement()), "one is missing");
-    /// assert!(a.on_announcement(&c.announcement()), "it knows all and has a genesis");
+    /// assert!(!a.on_announcement(&b.announcement()), "the announcement of c is missing");
+    /// assert!(a.on_announcement(&c.announcement()), "all are known: the genesis is created");
     /// assert!(b.on_announcement(&a.announcement()) && b.genesis() == a.genesis());
-    /// // c returns without its storage, so with another identity.
+    /// // c restarts without its storage, and therefore with another identity.
     /// let mut c = Bootstrap::new(identity("c", 4), &names, None);
     /// assert!(!c.on_announcement(&a.announcement()));
     /// assert_eq!(c.status(), &BootstrapStatus::StorageLost(identity("c", 3)));
@@ -82,12 +85,12 @@
         };
         match genesis {
             Some(genesis) => bootstrap.adopt(&genesis),
-            None => bootstrap.complete(),
+            None => bootstrap.try_create_genesis(),
         };
         bootstrap
     }
 
-    /// The announcement to send to the other voters.
+    /// Returns the announcement to send to the other voters.
     #[must_use]
     pub fn announcement(&self) -> Announcement {
         Announcement {
@@ -96,20 +99,20 @@
         }
     }
 
-    /// The genesis by which it votes, if it does.
+    /// Returns the adopted genesis; `None` while this voter does not vote.
     #[must_use]
     pub fn genesis(&self) -> Option<&Genesis> {
         self.genesis.as_ref()
     }
 
-    /// Whether it votes, or why not.
+    /// Returns whether this voter votes, and if not, the reason.
     #[must_use]
     pub fn status(&self) -> &BootstrapStatus {
         &self.status
     }
 
-    /// Another voter has announced itself. Returns `true` if this one votes from now on, as soon as
-    /// the genesis is persisted.
+    /// Handles the announcement of another voter. Returns `true` if this voter has now adopted a
+    /// genesis; it votes once the caller has persisted the genesis.
     pub fn on_announcement(&mut self, announcement: &Announcement) -> bool {
         if self.genesis.is_some() {
             return false;
@@ -120,12 +123,12 @@
         if let Some(identity) = self.announced.get_mut(&announcement.identity.name) {
             *identity = Some(announcement.identity.clone());
         }
-        // Guards against a second genesis: a voter that knows that there is one without it makes no
-        // other.
-        matches!(self.status, BootstrapStatus::WaitingFor(_)) && self.complete()
+        // Prevents a second genesis: a voter that has seen a genesis without its own identity must
+        // not create another one.
+        matches!(self.status, BootstrapStatus::WaitingFor(_)) && self.try_create_genesis()
     }
 
-    /// Adopts a genesis if it names this voter; tells whether it does.
+    /// Adopts a genesis if it lists this voter's identity. Returns whether it was adopted.
     fn adopt(&mut self, genesis: &Genesis) -> bool {
         self.status = match genesis.voter(&self.own.name) {
             Some(voter) if *voter == self.own => BootstrapStatus::Member,
@@ -138,8 +141,9 @@
         self.genesis.is_some()
     }
 
-    /// Makes the genesis if all voters have announced themselves; tells whether they have.
-    fn complete(&mut self) -> bool {
+    /// Creates and adopts the genesis once all voters have announced themselves. Returns whether
+    /// this voter has a genesis.
+    fn try_create_genesis(&mut self) -> bool {
         let missing = self.announced.iter().filter(|(_, id)| id.is_none());
         let missing: Vec<String> = missing.map(|(name, _)| name.clone()).collect();
         if !missing.is_empty() {
--- a/decide/consensus/src/genesis.rs
+++ b/decide/consensus/src/genesis.rs
@@ -1,29 +1,32 @@
-//! The identities of the voters, and the genesis that fixes them for the life of a cluster.
+//! The identities of the voters, and the genesis, which fixes the set of voters for the life of a
+//! cluster.
 
 use serde::{Deserialize, Serialize};
 
-/// A voter together with its storage: one that has lost its storage is another voter, since it no
-/// longer knows what it has promised.
+/// The identity of a voter: its broker together with its storage.
+///
+/// A broker that has lost its storage is a different voter, because it no longer knows which
+/// promises it has made.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct VoterIdentity {
-    /// The broker's name.
+    /// Name of the broker, unique in the cluster.
     pub name: String,
-    /// Chosen when its storage was empty; not 0.
+    /// Identifier that the broker chooses when it starts with empty storage; never 0.
     pub storage_id: u64,
 }
 
-/// The voters of a cluster, ordered by name. It never changes.
+/// The voters of a cluster, ordered by name. A genesis never changes once it exists.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Genesis(pub(crate) Vec<VoterIdentity>);
 
 impl Genesis {
-    /// The voters.
+    /// Returns the voters, ordered by name.
     #[must_use]
     pub fn voters(&self) -> &[VoterIdentity] {
         &self.0
     }
 
-    /// Tells one genesis from another (FNV-1a, 64 bits, of names and storage ids).
+    /// Returns a hash that identifies this genesis: 64-bit FNV-1a over names and storage ids.
     #[must_use]
     pub fn digest(&self) -> u64 {
         let bytes = self.0.iter().flat_map(|voter| {
@@ -35,18 +38,18 @@
         })
     }
 
-    /// The voter of this name.
+    /// Returns the identity of the voter with this name.
     #[must_use]
     pub fn voter(&self, name: &str) -> Option<&VoterIdentity> {
         self.0.iter().find(|voter| voter.name == name)
     }
 }
 
-/// What a voter sends to the others until each has a genesis.
+/// The message that a voter sends to the other voters during the bootstrap.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
-    /// The sender.
+    /// Identity of the sending voter.
     pub identity: VoterIdentity,
-    /// The genesis that it has adopted, if it has one.
+    /// Genesis that the sender has adopted, if any.
     pub genesis: Option<Genesis>,
 }
--- a/decide/consensus/src/lib.rs
+++ b/decide/consensus/src/lib.rs
@@ -1,23 +1,23 @@
-//! The log that the voters of a cluster agree on, and the grants of singleton roles that follow
-//! from it.
+//! The replicated log of a cluster, and the grants of singleton roles that result from it.
 //!
-//! It owns what a voter has promised, accepted and learned to be decided, the table of grants, and
-//! each broker's view of whether it is in contact with a majority of the voters
-//! ([`quorum_status`]). For any loss, delay, duplication and partition of messages, and any crash
-//! and restart of voters that keep their storage, it promises:
+//! This crate contains the consensus state of a voter (promises, accepted entries, decided index),
+//! the table of grants, and each broker's view of its contact with a majority of the voters
+//! ([`quorum_status`]). It guarantees the following under loss, delay, duplication and partition of
+//! messages, and under crashes and restarts of voters that keep their storage:
 //!
-//! - *one log*: two voters never decide different entries at one position, and nothing decided
-//!   changes;
-//! - *persisted before sent*: among the actions of a call, [`VoterAction::Persist`] precedes every
-//!   message that depends on it;
-//! - *a voter without its storage does no harm*: it has another [`genesis::VoterIdentity`], which
-//!   the genesis of the cluster does not name, and does not vote.
+//! - *Agreement*: two voters never decide different entries at the same position, and a decided
+//!   entry never changes.
+//! - *Persist before send*: among the actions that a call returns, [`VoterAction::Persist`]
+//!   precedes every message that depends on it.
+//! - *Loss of storage is safe*: a voter that has lost its storage gets another
+//!   [`genesis::VoterIdentity`], which the genesis of the cluster does not list, so it does not
+//!   vote.
 //!
-//! The algorithm is OmniPaxos (Ng, Haridi, Carbone 2023), by the library `omnipaxos`. Its election
-//! needs a leader that is connected to a majority, not one that all voters agree on, so that a
-//! network in which only one voter reaches all others, or whose links are cut in one direction,
-//! does not stop it. This crate has no I/O, reads no clock and draws no random numbers: messages
-//! and time go in, actions come out.
+//! The algorithm is OmniPaxos (Ng, Haridi, Carbone 2023), implemented by the library `omnipaxos`.
+//! Its election only needs a leader that is connected to a majority. Therefore it makes progress
+//! even if a single voter reaches all others, or if links fail in one direction. This crate
+//! performs no I/O, reads no clock and draws no random numbers: the caller passes messages and the
+//! time, and carries out the returned actions.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/decide/consensus/src/log_state.rs
+++ b/decide/consensus/src/log_state.rs
@@ -1,17 +1,18 @@
-//! The entries of the agreed log, and the state that they lead to: the grants of roles. A snapshot
-//! stands for the entries from the beginning of the log.
+//! The entries of the replicated log, and the state that results from applying them: the grants of
+//! roles. A snapshot replaces a prefix of the log.
 
 use lichenswitch_interface::Time;
 use lichenswitch_lease::grant_table::{GrantSnapshot, GrantTable, LeaseCommand};
 use omnipaxos::storage;
 use serde::{Deserialize, Serialize};
 
-/// An entry of the log. The order of the fields is that of stored records and messages.
+/// An entry of the log. The field order is part of the format of stored records and messages.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The command.
+    /// Command that is applied to the grants once the entry is decided.
     pub command: LeaseCommand,
-    /// The requester's number of it, by which it knows the answer; 0 where nobody waits for one.
+    /// Number by which the requester matches the response to its request; 0 if no response is
+    /// expected.
     pub request: u64,
 }
 
@@ -19,9 +20,11 @@
     type Snapshot = Snapshot;
 }
 
-/// What a run of entries leads to. Taken from the beginning of the log it is the state; taken from
-/// a later position it is the entries themselves, which mean something only after what precedes
-/// them. The order of the fields is that of stored records and messages.
+/// A snapshot of a range of log entries.
+///
+/// For a range that starts at the beginning of the log, merging yields the resulting state. For a
+/// later range the snapshot holds the entries themselves, since their effect depends on the entries
+/// before them. The field order is part of the format of stored records and messages.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
     base: GrantSnapshot,
@@ -29,7 +32,8 @@
 }
 
 impl Snapshot {
-    /// The grants of a voter that learns of all of them now.
+    /// Returns the grants that this snapshot results in. The voter's wait for the end of each lease
+    /// starts at `now`.
     ///
     /// ```
     /// use lichenswitch_consensus::log_state::{Entry, Snapshot};
@@ -62,7 +66,7 @@
     }
 
     fn merge(&mut self, delta: Self) {
-        // The receiver holds the state from the log's beginning, the other one what came after it.
+        // `self` covers the log from its beginning; `delta` covers the entries that follow.
         self.later_entries.extend(delta.later_entries);
         *self = Snapshot {
             base: self.grants(Time(0)).snapshot(),
--- a/decide/consensus/src/log_state/tests.rs
+++ b/decide/consensus/src/log_state/tests.rs
@@ -5,11 +5,11 @@
 use omnipaxos::storage::Snapshot as _;
 
 #[test]
-fn merged_snapshots_are_the_state_of_all_their_entries_without_the_entries() {
-    let role = |d: u64| RoleName(format!("d{}", d % 3));
-    let holder = |h: u64| LeaseHolder {
-        name: format!("n{}", h % 5),
-        incarnation: h % 2,
+fn merged_snapshots_contain_the_resulting_state_and_no_entries() {
+    let role = |number: u64| RoleName(format!("d{}", number % 3));
+    let holder = |number: u64| LeaseHolder {
+        name: format!("n{}", number % 5),
+        incarnation: number % 2,
     };
     let entries: Vec<Entry> = (0..400u64)
         .map(|i| match i.wrapping_mul(2_654_435_761) >> 5 {
--- a/decide/consensus/src/persistent_state.rs
+++ b/decide/consensus/src/persistent_state.rs
@@ -1,6 +1,7 @@
-//! What a voter has promised, accepted and learned to be decided: in memory as the library reads it,
-//! and as the records that the caller persists. Applied in order, the records of any number of
-//! writes make the same state again.
+//! The persistent state of a voter: its promises, its accepted entries and the decided index.
+//!
+//! The consensus library reads the state from memory. Each write also produces a record, which the
+//! caller persists; applying the records in order restores the state.
 
 use crate::genesis::{Genesis, VoterIdentity};
 use crate::log_state::{Entry, Snapshot};
@@ -9,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// One change of the state. The order of the variants is that of stored records.
+/// One change of the state. The variant order is part of the format of stored records.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 enum Change {
     Identity(VoterIdentity),
@@ -25,13 +26,13 @@
     Snapshot(Option<Snapshot>),
 }
 
-/// The changes of one write, as they are stored: all of them or none.
+/// The encoded changes of one write. They are stored atomically.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record(pub Vec<u8>);
 
 impl Record {
     fn encode(changes: &[Change]) -> Record {
-        // Plain values in memory can always be encoded.
+        // Encoding into a growable buffer does not fail for these types.
         Record(postcard::to_stdvec(changes).unwrap_or_default())
     }
 
@@ -40,20 +41,20 @@
     }
 }
 
-/// A stored record can't be decoded: it was written by a later version, or is damaged.
+/// Error for a stored record that can't be decoded: it is corrupt, or a later version wrote it.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("record {position} of {count} can't be read")]
+#[error("record {position} of {count} can't be decoded")]
 pub struct UnreadableRecord {
-    /// Its position among the records, from 1.
+    /// Position of the record among all records, counted from 1.
     pub position: usize,
-    /// How many records there are.
+    /// Total number of records.
     pub count: usize,
-    /// Why it can't be decoded.
+    /// Error of the decoder.
     pub source: postcard::Error,
 }
 
-/// The records that are still to be persisted. It is shared, since the library owns the state and
-/// the voter takes the records.
+/// The records that the caller has not persisted yet. They are shared because the library owns the
+/// state while the voter takes the records out of it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PendingRecords(Arc<Mutex<Vec<Record>>>);
 
@@ -67,7 +68,8 @@
     }
 }
 
-/// The persistent state of a voter: its identity, the genesis, and what it knows of the log.
+/// The persistent state of a voter: its identity, the genesis, and its part of the log protocol's
+/// state.
 #[derive(Clone, Debug, Default)]
 pub struct PersistentState {
     identity: Option<VoterIdentity>,
@@ -84,10 +86,10 @@
 }
 
 impl PersistentState {
-    /// The state that these records make.
+    /// Restores the state from these records, applied in order.
     ///
     /// # Errors
-    /// When one of them can't be decoded.
+    /// Fails on the first record that can't be decoded.
     pub fn from_records(records: &[Record]) -> Result<PersistentState, UnreadableRecord> {
         let mut state = PersistentState::default();
         for (index, record) in records.iter().enumerate() {
@@ -101,37 +103,37 @@
         Ok(state)
     }
 
-    /// Applies a record that is persisted already.
+    /// Applies a record without queueing it to be persisted again.
     pub(crate) fn apply_record(&mut self, record: &Record) -> postcard::Result<()> {
         let changes = record.decode()?;
         changes.into_iter().for_each(|change| self.apply(change));
         Ok(())
     }
 
-    /// Takes the records that are still to be persisted, in order.
+    /// Removes and returns the records that are still to be persisted, in order.
     #[must_use]
     pub fn take_records(&self) -> Vec<Record> {
         self.pending.take()
     }
 
-    /// The identity of the voter whose state this is.
+    /// Returns the identity of the voter; `None` before [`PersistentState::set_identity`].
     #[must_use]
     pub fn identity(&self) -> Option<&VoterIdentity> {
         self.identity.as_ref()
     }
 
-    /// The genesis, once the voter has adopted one.
+    /// Returns the genesis; `None` before the voter has adopted one.
     #[must_use]
     pub fn genesis(&self) -> Option<&Genesis> {
         self.genesis.as_ref()
     }
 
-    /// Sets the voter's identity, when it starts without storage.
+    /// Sets the identity of a voter that starts without storage, and queues the record.
     pub fn set_identity(&mut self, identity: VoterIdentity) {
         self.write(vec![Change::Identity(identity)]);
     }
 
-    /// Sets the genesis, when the voter adopts it.
+    /// Sets the genesis that the voter adopts, and queues the record.
     pub fn set_genesis(&mut self, genesis: Genesis) {
         self.write(vec![Change::Genesis(genesis)]);
     }
@@ -140,7 +142,7 @@
         self.pending.clone()
     }
 
-    /// The complete state as one record, which stands for all records so far.
+    /// Encodes the complete state as one record, which replaces all earlier records.
     #[must_use]
     pub fn to_record(&self) -> Record {
         let mut changes = Vec::new();
@@ -149,7 +151,7 @@
         changes.push(Change::Append(self.log.clone()));
         changes.extend(self.promise.map(Change::Promise));
         changes.extend(self.accepted.map(Change::Accepted));
-        // The entries above are without the trimmed ones, so that no trim is to be repeated.
+        // The log above no longer contains the trimmed entries, so no `Trim` is needed.
         changes.push(Change::Compacted(self.compacted));
         changes.push(Change::Snapshot(self.snapshot.clone()));
         changes.push(Change::Stopped(self.stop_sign.clone()));
@@ -157,7 +159,7 @@
         Record::encode(&changes)
     }
 
-    /// Applies the changes of one write, and leaves their record to be persisted.
+    /// Applies the changes of one write and queues their record to be persisted.
     fn write(&mut self, changes: Vec<Change>) {
         let record = Record::encode(&changes);
         changes.into_iter().for_each(|change| self.apply(change));
@@ -244,14 +246,14 @@
     }
 
     fn get_entries(&self, from: usize, to: usize) -> StorageResult<Vec<Entry>> {
-        // Guards the state: where a voter is sent what it lacks as a difference, the library
-        // (0.2.4) asks for its own decided entries by the index that will be decided then, before
-        // it writes that. What is not decided is no part of a state, and entries are asked for one
-        // by one nowhere else before they are decided.
+        // When a follower synchronizes by a delta snapshot, omnipaxos 0.2.4 reads its decided
+        // entries up to the decided index of that snapshot before it writes the index. Entries
+        // beyond the current decided index must not become part of the state, so the range is
+        // clamped. The library reads undecided entries through this method nowhere else.
         let to = to.min(self.decided);
-        let at = |index: usize| index.checked_sub(self.trimmed);
-        let range = at(from)
-            .zip(at(to))
+        let offset = |index: usize| index.checked_sub(self.trimmed);
+        let range = offset(from)
+            .zip(offset(to))
             .and_then(|(from, to)| self.log.get(from..to));
         Ok(range.map(<[Entry]>::to_vec).unwrap_or_default())
     }
--- a/decide/consensus/src/quorum_status.rs
+++ b/decide/consensus/src/quorum_status.rs
@@ -1,32 +1,36 @@
-//! Whether a broker is in contact with a majority of the voters, by its own knowledge. It counts
-//! like the holder of a lease: from before its request was sent, on a clock that goes on while the
-//! process is stopped, less the drift. So a broker that takes itself for connected has been
-//! received by a majority within a lease, however the network has delayed messages, and one that
-//! resumes after a stop knows that it is not connected.
+//! Determines whether a broker is in contact with a majority of the voters.
+//!
+//! The broker measures the time like a lease holder: from the moment before it sends a request, on
+//! a clock that continues while the process is stopped, and with the lease shortened by the clock
+//! drift. Therefore a majority has received a request of each connected broker within the last
+//! lease, regardless of message delays, and a broker that resumes after a long stop detects that it
+//! is not connected.
 
 use lichenswitch_interface::{Micros, Time};
 use lichenswitch_lease::LeaseTerms;
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The most requests that are remembered: answers to older ones count for nothing.
+/// Maximum number of requests whose send time is kept. Responses to older requests are ignored.
 const MAX_REMEMBERED_REQUESTS: usize = 16;
-/// A request is sent after this many hundredths of a lease: the rest has room for two more.
+/// Interval between requests, in percent of a lease. The rest of the lease leaves time for two more
+/// requests.
 const REQUEST_PERCENT: u64 = 30;
-/// After this many leases without a majority a broker is disconnected, no longer suspect.
+/// Number of leases without contact to a majority after which the status changes from `Suspect` to
+/// `Disconnected`.
 const DISCONNECTED_LEASES: u64 = 3;
 
-/// A broker's contact with the voters; each variant is worse than the one before.
+/// The state of a broker's contact with the voters, ordered from best to worst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum QuorumStatus {
-    /// A majority of the voters has received its requests within the lease.
+    /// A majority of the voters has received a request of this broker within the last lease.
     Connected,
-    /// No majority has, since a short time: the fault may be the broker's, the voters' or the
-    /// network's.
+    /// No majority has received a request within the last lease. The cause may be this broker, the
+    /// voters or the network.
     Suspect,
-    /// No majority has for several leases, or none ever did.
+    /// No majority has received a request for several leases, or since the start of the broker.
     Disconnected,
-    /// The voters are of another genesis than the one that it has known.
+    /// A voter has responded with a genesis other than that of the first response.
     ForeignGenesis,
 }
 
@@ -41,16 +45,16 @@
     }
 }
 
-/// The reason of a [`QuorumStatus`].
+/// The reason for a [`QuorumStatus`], for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// The number of voters that have received it within the lease, and of all voters.
+    /// Number of voters that have received a request within the last lease, and of all voters.
     ReceivedBy(usize, usize),
-    /// The last majority received it this long ago (microseconds).
+    /// Time since a majority last received a request, in microseconds.
     LastMajority(Micros),
-    /// No majority has ever received it.
+    /// No majority has received a request since the start of the broker.
     Never,
-    /// The genesis that it has known, and the other one by which a voter has answered.
+    /// Digests of the genesis of the first response and of the differing one.
     OtherGenesis(u64, u64),
 }
 
@@ -75,7 +79,7 @@
     }
 }
 
-/// Tracks which voters have received a broker's requests, and when.
+/// Tracks which voters have received this broker's requests, and when the requests were sent.
 ///
 /// ```
 /// use lichenswitch_consensus::quorum_status::{ContactTracker, QuorumStatus};
@@ -95,19 +99,20 @@
 pub struct ContactTracker {
     voters: usize,
     terms: LeaseTerms,
+    /// Number of the last request; 0 before the first one.
     last_request: u64,
-    /// When the last requests were sent, by their numbers.
+    /// Send times of the last requests, by request number.
     requests: BTreeMap<u64, Time>,
-    /// For each voter, when the last request was sent that it has answered.
+    /// For each voter, the send time of the latest request that it has answered.
     last_contact: BTreeMap<String, Time>,
-    /// The digest of the genesis of the first answer.
+    /// Digest of the genesis in the first response.
     genesis: Option<u64>,
-    /// The digest of a genesis that differs from it.
+    /// Digest of a later response's genesis that differs from `genesis`.
     other_genesis: Option<u64>,
 }
 
 impl ContactTracker {
-    /// A broker that none of this number of voters has received yet.
+    /// Creates the tracker of a broker that has not contacted any of its `voters` voters yet.
     #[must_use]
     pub fn new(voters: usize, terms: LeaseTerms) -> ContactTracker {
         ContactTracker {
@@ -121,7 +126,7 @@
         }
     }
 
-    /// When to send the next request to all voters.
+    /// Returns when to send the next request to all voters.
     #[must_use]
     pub fn next_request_at(&self) -> Time {
         let interval = self.terms.holder_duration() / 100 * REQUEST_PERCENT;
@@ -129,8 +134,8 @@
         last.map_or(Time(0), |sent_at| sent_at.plus(interval))
     }
 
-    /// Notes that a request is sent to all voters now. Returns the number that answers have to
-    /// name.
+    /// Records that a request is sent to all voters now. Returns the number that responses have to
+    /// carry.
     pub fn on_request(&mut self, now: Time) -> u64 {
         self.last_request += 1;
         self.requests.insert(self.last_request, now);
@@ -140,22 +145,22 @@
         self.last_request
     }
 
-    /// A voter that votes by the genesis of this digest has answered the request of this number.
+    /// Handles a voter's response to the request with this number. `genesis` is the digest of the
+    /// voter's genesis.
     pub fn on_response(&mut self, voter: &str, request: u64, genesis: u64) {
         let known = *self.genesis.get_or_insert(genesis);
         if known != genesis {
             self.other_genesis = Some(genesis);
             return;
         }
-        // Guards against delayed and duplicated answers: an older request does not replace a later
-        // one.
+        // Responses may be delayed or duplicated: an older request must not replace a later one.
         if let Some(sent_at) = self.requests.get(&request) {
             let last = self.last_contact.entry(voter.into()).or_insert(*sent_at);
             *last = (*last).max(*sent_at);
         }
     }
 
-    /// The status now, and its reason.
+    /// Returns the status at `now` and the reason for it.
     #[must_use]
     pub fn status(&self, now: Time) -> (QuorumStatus, Reason) {
         if let (Some(known), Some(other)) = (self.genesis, self.other_genesis) {
@@ -168,7 +173,7 @@
             return (QuorumStatus::Disconnected, Reason::Never);
         };
         let (lease, elapsed) = (self.terms.holder_duration(), now.since(majority));
-        // A clock that went back tells nothing.
+        // If the clock went back, the elapsed time is unknown and the broker is not connected.
         if elapsed < lease && now >= majority {
             let recent = contacts.iter().filter(|at| now.since(**at) < lease);
             let reason = Reason::ReceivedBy(recent.count(), self.voters);
--- a/decide/consensus/src/voter.rs
+++ b/decide/consensus/src/voter.rs
@@ -1,5 +1,5 @@
-//! One voter: the library's state machine with time, storage and messages around it, and the grants
-//! that follow from the log.
+//! A voter: wraps the state machine of the consensus library with time, storage and messages, and
+//! applies the decided entries to the grants.
 
 use crate::genesis::{Genesis, VoterIdentity};
 use crate::log_state::Entry;
@@ -14,98 +14,100 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The period of the library's clock (microseconds).
+/// Tick period of the library (microseconds).
 const TICK_INTERVAL: Micros = 50_000;
-/// Leaders are looked for, and messages that may be lost are sent again, every so many ticks.
+/// Number of ticks between rounds of the leader election.
 const ELECTION_TICKS: u64 = 6;
+/// Number of ticks after which the library sends messages again that may be lost.
 const RESEND_TICKS: u64 = 10;
-/// A snapshot is made of this many decided entries: so long is the log at most, and as long again
-/// while they are agreed on.
+/// Number of applied entries after which the log is compacted into a snapshot. The log is at most
+/// this long, or twice as long while further entries are being agreed on.
 const SNAPSHOT_ENTRIES: usize = 500;
-/// The end of a lease is proposed again after this long, if the log has not shown it
+/// Time after which the expiry of a lease is proposed again if it is not decided yet
 /// (microseconds).
 const EXPIRY_RESEND_INTERVAL: Micros = 1_000_000;
 
-/// What the caller has to do after an event, in this order.
+/// An action that the caller has to carry out after an event, in the order returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum VoterAction {
-    /// Persist these records before any of the actions that follow; if that fails, the voter ends.
+    /// Persist these records before carrying out any later action. The caller must stop the voter
+    /// if this fails.
     Persist(Vec<Record>),
-    /// Send these bytes to that voter.
+    /// Send this encoded message to the voter.
     Send(VoterIdentity, Vec<u8>),
-    /// The entry at this position of the log was decided, with this outcome.
+    /// The entry at this position of the log was decided and applied with this outcome.
     Decided(usize, Entry, Outcome),
-    /// All entries below this position were received as a snapshot.
+    /// A snapshot has replaced all entries below this position.
     CaughtUp(usize),
-    /// By this voter's knowledge this voter leads now.
+    /// This voter now regards the given voter as the leader.
     LeaderChanged(VoterIdentity, Reason),
 }
 
-/// Why a voter leads.
+/// The reason for a change of the leader, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// A majority has promised to follow it in the ballot of this number.
+    /// A majority has promised to follow the leader in the ballot with this number.
     Elected(u32),
 }
 
 impl fmt::Display for Reason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Reason::Elected(ballot) => write!(f, "a majority has promised it, number {ballot}"),
+            Reason::Elected(ballot) => write!(f, "elected by a majority in ballot {ballot}"),
         }
     }
 }
 
-/// Why a broker can't vote with its persistent state.
+/// Error when a broker can't vote with its persistent state.
 #[derive(Debug, thiserror::Error)]
 pub enum VoterError {
-    /// The state is without an identity.
-    #[error("what was kept names no identity")]
+    /// The state contains no identity.
+    #[error("the stored state contains no identity")]
     NoIdentity,
-    /// The state is without a genesis.
-    #[error("what was kept names no genesis")]
+    /// The state contains no genesis.
+    #[error("the stored state contains no genesis")]
     NoGenesis,
-    /// The genesis names the broker with another identity, or not at all.
-    #[error("the genesis does not name {0} with this memory")]
+    /// The genesis does not list the broker with this name, or lists it with another identity.
+    #[error("the genesis does not list {0} with the stored storage id")]
     NotInGenesis(String),
-    /// The library rejects the voters.
-    #[error("voters: {0:?}")]
+    /// The library rejects the set of voters.
+    #[error("the consensus library rejects the set of voters: {0:?}")]
     Library(ConfigError),
 }
 
-/// The library's number of a voter: its position in the genesis, from 1. The library keeps a table
-/// up to the greatest of these numbers, so a storage id would not do.
+/// Returns the node id of a voter for the library: its position in the genesis, from 1. The library
+/// allocates a table up to the greatest node id, so the storage id can't be used.
 fn node_id(genesis: &Genesis, voter: &VoterIdentity) -> u64 {
     let position = genesis.voters().iter().position(|v| v == voter);
     1 + position.unwrap_or_default() as u64
 }
 
-/// One voter. The caller reports events, and carries out the actions that each call returns.
+/// A voter of the replicated log. The caller reports events and carries out the returned actions.
 pub struct Voter {
     paxos: OmniPaxos<Entry, PersistentState>,
     pending: PendingRecords,
-    /// The state that the records handed to the caller so far make.
+    /// The state that results from all records returned to the caller so far.
     persisted: PersistentState,
     genesis: Genesis,
     own: VoterIdentity,
     terms: LeaseTerms,
     tick_at: Time,
-    /// The number of entries applied, and the grants that they led to.
+    /// Number of log entries that are applied to `grants`.
     applied: usize,
     grants: GrantTable,
-    /// The ends of leases that this voter has proposed, and when.
+    /// When this voter last proposed each expiry, by the `Debug` form of the command.
     proposed_expiries: BTreeMap<String, Time>,
-    /// The leader and the number of its ballot.
+    /// The known leader and its ballot number.
     leader: Option<(VoterIdentity, u32)>,
     rejected_messages: u64,
 }
 
 impl Voter {
-    /// The voter with this persistent state; leases last by `terms`. It learns of all that its
-    /// state has of the log now, so it waits for the end of each lease from here on.
+    /// Creates the voter from its persistent state and applies the decided entries at `now`, so the
+    /// full wait for the end of each lease starts at `now`.
     ///
     /// # Errors
-    /// When the state has no identity, or no genesis that names it.
+    /// Fails if the state has no identity, or no genesis that lists this identity.
     pub fn new(now: Time, state: PersistentState, terms: LeaseTerms) -> Result<Voter, VoterError> {
         let own = state.identity().cloned().ok_or(VoterError::NoIdentity)?;
         let genesis = state.genesis().cloned().ok_or(VoterError::NoGenesis)?;
@@ -141,64 +143,65 @@
             leader: None,
             rejected_messages: 0,
         };
-        // Nobody waits for the outcome of what was decided before.
+        // The actions are dropped: no request is waiting for entries decided before the restart.
         voter.apply_decided(now);
         Ok(voter)
     }
 
-    /// The grants, as far as this voter has applied the log.
+    /// Returns the grants after the entries that this voter has applied so far.
     #[must_use]
     pub fn grants(&self) -> &GrantTable {
         &self.grants
     }
 
-    /// The number of entries that it has applied.
+    /// Returns the number of log entries that this voter has applied.
     #[must_use]
     pub fn applied(&self) -> usize {
         self.applied
     }
 
-    /// All that the caller was told to persist so far, as one record.
+    /// Returns the state that the caller has been told to persist so far, as one record.
     #[must_use]
     pub fn persisted(&self) -> Record {
         self.persisted.to_record()
     }
 
-    /// Its identity.
+    /// Returns the identity under which this voter votes.
     #[must_use]
     pub fn identity(&self) -> &VoterIdentity {
         &self.own
     }
 
-    /// Its genesis.
+    /// Returns the genesis that lists this voter.
     #[must_use]
     pub fn genesis(&self) -> &Genesis {
         &self.genesis
     }
 
-    /// The leader, by its knowledge.
+    /// Returns the leader that this voter knows of.
     #[must_use]
     pub fn leader(&self) -> Option<&VoterIdentity> {
         self.leader.as_ref().map(|(leader, _)| leader)
     }
 
-    /// How many messages could not be decoded, or were of another genesis or for another voter.
+    /// Returns the number of rejected messages: undecodable, from another genesis, or addressed to
+    /// another voter.
     #[must_use]
     pub fn rejected_messages(&self) -> u64 {
         self.rejected_messages
     }
 
-    /// When [`Voter::on_time`] is to be called next.
+    /// Returns when [`Voter::on_time`] has to be called next.
     #[must_use]
     pub fn next(&self) -> Time {
         self.tick_at
     }
 
-    /// Does what is due at this time.
+    /// Handles the passage of time: runs the library's tick and proposes expiries if they are due.
     pub fn on_time(&mut self, now: Time) -> Vec<VoterAction> {
         if now >= self.tick_at {
-            // After a pause of the process it ticks once: messages of the others are still unread,
-            // so that none of them counts as silent.
+            // After a pause of the process only one tick runs. The other voters' messages are still
+            // unread, so further ticks would count those voters as unresponsive.
             self.tick_at = now.plus(TICK_INTERVAL);
             self.paxos.tick();
             self.propose_expiries(now);
@@ -206,14 +209,15 @@
         self.take_actions(now)
     }
 
-    /// Proposes an entry. It may be lost: whoever waits for it proposes it again.
+    /// Proposes an entry. A proposal may be lost, so the requester has to repeat it until it sees
+    /// the outcome.
     pub fn propose(&mut self, now: Time, entry: Entry) -> Vec<VoterAction> {
-        // The log rejects entries only while voters are replaced; then too they are proposed again.
+        // The library rejects entries only during a reconfiguration; those are repeated as well.
         let _ = self.paxos.append(entry);
         self.take_actions(now)
     }
 
-    /// Handles the message of another voter.
+    /// Handles an encoded message from another voter.
     pub fn on_message(&mut self, now: Time, bytes: &[u8]) -> Vec<VoterAction> {
         let decoded: Result<(u64, Message<Entry>), _> = postcard::from_bytes(bytes);
         match decoded {
@@ -225,8 +229,9 @@
         self.take_actions(now)
     }
 
-    /// Guards the log: a message of another genesis is about another log, and a voter that has lost
-    /// its storage has no genesis to send one with.
+    /// Returns whether a message belongs to this log: it carries this genesis, is addressed to this
+    /// voter and comes from another voter. A message of another genesis belongs to another log; a
+    /// voter that has lost its storage has no genesis and can't send a valid message.
     fn is_acceptable(&self, digest: u64, message: &Message<Entry>) -> bool {
         let own = node_id(&self.genesis, &self.own);
         let voters = self.genesis.voters().len() as u64;
@@ -236,8 +241,8 @@
             && (1..=voters).contains(&message.get_sender())
     }
 
-    /// A connection to or from another voter is up again after it was lost, and with it perhaps
-    /// messages in flight.
+    /// Handles that a connection to or from another voter is re-established. Messages that were in
+    /// flight on the former connection may be lost.
     pub fn on_reconnected(&mut self, now: Time, name: &str) -> Vec<VoterAction> {
         if let Some(voter) = self.genesis.voter(name).filter(|v| **v != self.own) {
             self.paxos.reconnected(node_id(&self.genesis, voter));
@@ -245,8 +250,8 @@
         self.take_actions(now)
     }
 
-    /// Proposes the end of leases that have expired by this voter's clock. Every voter does, since
-    /// the leader may just have failed, and a repetition has no effect.
+    /// Proposes the expiry of leases that have expired by this voter's clock. Every voter does this
+    /// because the leader may have failed; a duplicate proposal has no effect.
     fn propose_expiries(&mut self, now: Time) {
         for command in self.grants.expired(now, self.terms) {
             let key = format!("{command:?}");
@@ -263,7 +268,7 @@
             .retain(|_, at| now.since(*at) < 10 * EXPIRY_RESEND_INTERVAL);
     }
 
-    /// Applies what was decided since the last call.
+    /// Applies the entries that were decided since the last call, and compacts a long log.
     fn apply_decided(&mut self, now: Time) -> Vec<VoterAction> {
         let mut actions = Vec::new();
         let decided = self.paxos.read_decided_suffix(self.applied);
@@ -283,34 +288,34 @@
             }
         }
         if self.applied >= self.paxos.get_compacted_idx() + SNAPSHOT_ENTRIES {
-            // The library refuses it only where there is one already.
+            // Fails only if the log is already compacted up to here.
             let _ = self.paxos.snapshot(Some(self.applied), true);
         }
         actions
     }
 
-    /// The voter with this number of the library's.
-    fn voter_of(&self, node_id: u64) -> Option<&VoterIdentity> {
+    /// Returns the voter with this node id of the library.
+    fn voter_by_node_id(&self, node_id: u64) -> Option<&VoterIdentity> {
         let position = (node_id as usize).checked_sub(1)?;
         self.genesis.voters().get(position)
     }
 
-    /// What follows from the last event: first what is to be persisted, then messages, then what
-    /// was decided.
+    /// Collects the actions after an event: records to persist first, then messages, then decided
+    /// entries.
     fn take_actions(&mut self, now: Time) -> Vec<VoterAction> {
         let decided = self.apply_decided(now);
         let mut messages = Vec::new();
         self.paxos.take_outgoing_messages(&mut messages);
         let records = self.pending.take();
         for record in &records {
-            // It was encoded a moment ago.
+            // Decoding can't fail: `PersistentState` has just encoded this record.
             let _ = self.persisted.apply_record(record);
         }
         let mut actions = Vec::new();
         actions.extend((!records.is_empty()).then_some(VoterAction::Persist(records)));
         let digest = self.genesis.digest();
         for message in messages {
-            let to = self.voter_of(message.get_receiver());
+            let to = self.voter_by_node_id(message.get_receiver());
             let bytes = postcard::to_stdvec(&(digest, &message)).ok();
             actions.extend(
                 to.zip(bytes)
@@ -325,7 +330,7 @@
     fn take_leader_change(&mut self) -> Option<VoterAction> {
         let ballot = self.paxos.get_promise().n;
         let (node_id, _) = self.paxos.get_current_leader()?;
-        let leader = self.voter_of(node_id)?.clone();
+        let leader = self.voter_by_node_id(node_id)?.clone();
         let current = Some((leader.clone(), ballot));
         if self.leader == current {
             return None;
--- a/decide/consensus/src/voter/tests.rs
+++ b/decide/consensus/src/voter/tests.rs
@@ -1,5 +1,5 @@
-//! Voters in virtual time, over a network that loses and delays messages and is partitioned, with
-//! storage that is kept or lost, and a checker of what they decided.
+//! Simulated clusters of voters in virtual time. The network loses, delays and partitions messages,
+//! voters keep or lose their storage, and a checker compares the entries that they decide.
 
 use super::*;
 use crate::bootstrap::{Bootstrap, BootstrapStatus};
@@ -22,9 +22,9 @@
 
 struct Cluster {
     voters: Vec<Option<Voter>>,
-    /// The records that each has persisted.
+    /// Records that each voter has persisted.
     storage: Vec<Vec<Record>>,
-    /// Whether the link from one voter to another is up.
+    /// `links[a][b]`: whether the link from voter `a` to voter `b` is up.
     links: Vec<Vec<bool>>,
     loss: f64,
     in_flight: BinaryHeap<InFlightMessage>,
@@ -32,9 +32,11 @@
     sent_messages: u64,
     rng: Xoshiro256PlusPlus,
     last_request: u64,
-    /// The entry decided at each position, and how often a voter decided another one there.
+    /// First entry decided at each position.
     log: BTreeMap<usize, Entry>,
+    /// How often a voter decided another entry than `log` has at that position.
     conflicts: usize,
+    /// Number of entries that each voter has applied.
     decided: Vec<usize>,
     snapshots_received: usize,
 }
@@ -44,6 +46,7 @@
 }
 
 impl Cluster {
+    /// Starts a cluster whose voters have all adopted the genesis.
     fn new(count: usize, seed: u64) -> Cluster {
         let names: Vec<String> = (0..count).map(name).collect();
         let identity = |i: usize| VoterIdentity {
@@ -83,6 +86,7 @@
         cluster
     }
 
+    /// Starts voter `i` from its persisted records and reconnects the other voters to it.
     fn start(&mut self, i: usize) {
         let state = PersistentState::from_records(&self.storage[i]).unwrap();
         let voter = Voter::new(self.now, state, TERMS).unwrap();
@@ -113,7 +117,10 @@
                     }
                 }
                 VoterAction::Decided(position, entry, _) => {
-                    assert_eq!(position, self.decided[voter], "in order, and each once");
+                    assert_eq!(
+                        position, self.decided[voter],
+                        "entries are decided in order and once each"
+                    );
                     self.decided[voter] += 1;
                     let first = self.log.entry(position).or_insert_with(|| entry.clone());
                     self.conflicts += usize::from(*first != entry);
@@ -134,10 +141,10 @@
             let timer = (0..self.voters.len())
                 .filter_map(|i| Some((self.voters[i].as_ref()?.next(), i)))
                 .min();
-            let arrival = self.in_flight.peek().map(|w| w.0 .0);
+            let arrival = self.in_flight.peek().map(|message| message.0 .0);
             let Some(at) = arrival
                 .into_iter()
-                .chain(timer.map(|t| t.0))
+                .chain(timer.map(|(due, _)| due))
                 .min()
                 .filter(|at| *at <= end)
             else {
@@ -160,7 +167,7 @@
         self.now = end;
     }
 
-    /// Proposes a new request at a voter.
+    /// Proposes a new `Acquire` request at a voter.
     fn request(&mut self, at: usize) {
         self.last_request += 1;
         let command = LeaseCommand::Acquire(
@@ -178,8 +185,8 @@
         self.execute_actions(at, actions.unwrap_or_default());
     }
 
-    /// Proposes requests at a voter for this long. Returns how many entries were decided there
-    /// meanwhile.
+    /// Proposes a request at a voter every 100 ms for `length` microseconds. Returns the number of
+    /// entries that this voter decided meanwhile.
     fn progress(&mut self, at: usize, length: Micros) -> usize {
         let before = self.decided[at];
         for _ in 0..length / (100 * MS) {
@@ -193,6 +200,7 @@
         self.links[from][to] = is_up;
     }
 
+    /// Partitions the network: the voters in `side` reach each other, and so do the remaining ones.
     fn partition(&mut self, side: &[usize]) {
         let count = self.voters.len();
         for (a, b) in (0..count).flat_map(|a| (0..count).map(move |b| (a, b))) {
@@ -200,8 +208,12 @@
         }
     }
 
+    /// Restores all links and reports the reconnections.
     fn heal(&mut self) {
-        self.links.iter_mut().flatten().for_each(|w| *w = true);
+        self.links
+            .iter_mut()
+            .flatten()
+            .for_each(|is_up| *is_up = true);
         for i in 0..self.voters.len() {
             let others: Vec<String> = (0..self.voters.len())
                 .filter(|o| *o != i)
@@ -216,13 +228,13 @@
         }
     }
 
-    /// Whether all voters that run have decided the same entries, and all of them.
+    /// Returns whether all running voters have decided the same entries and have equal grants.
     fn is_converged(&self) -> bool {
-        let all = (0..self.voters.len())
+        let running = (0..self.voters.len())
             .filter(|i| self.voters[*i].is_some())
             .map(|i| self.decided[i]);
-        let all: Vec<usize> = all.collect();
-        // The grants are the same, whether they came by entries or by snapshots.
+        let decided: Vec<usize> = running.collect();
+        // Grants must be equal whether a voter applied entries or received a snapshot.
         let grants: Vec<_> = self
             .voters
             .iter()
@@ -230,7 +242,7 @@
             .map(|v| v.grants().snapshot())
             .collect();
         self.conflicts == 0
-            && all.iter().all(|d| *d == all[0])
+            && decided.iter().all(|count| *count == decided[0])
             && grants.iter().all(|g| *g == grants[0])
     }
 }
@@ -241,9 +253,16 @@
     assert!(cluster.progress(0, 3 * SECOND) > 10);
     cluster.partition(&[0, 1, 2]);
     cluster.run(2 * SECOND);
-    assert!(cluster.progress(1, 2 * SECOND) > 10, "three of five go on");
-    assert_eq!(cluster.progress(4, 2 * SECOND), 0, "two do not");
-    // The majority's side loses one more: two and two, and one that is dead.
+    assert!(
+        cluster.progress(1, 2 * SECOND) > 10,
+        "three of five voters make progress"
+    );
+    assert_eq!(
+        cluster.progress(4, 2 * SECOND),
+        0,
+        "two of five voters make no progress"
+    );
+    // The majority side loses a voter: two voters on each side, and one that has crashed.
     cluster.voters[2] = None;
     assert!(cluster.progress(0, 2 * SECOND) + cluster.progress(3, 2 * SECOND) == 0);
     cluster.start(2);
@@ -259,7 +278,7 @@
 
 #[test]
 fn partial_connectivity_does_not_stop_progress() {
-    for (count, cuts) in [
+    for (count, failed_links) in [
         (3, vec![(0, 2), (2, 0)]),
         (3, vec![(0, 1), (1, 0)]),
         (5, vec![(0, 1), (1, 2), (2, 3), (3, 4), (4, 0)]),
@@ -267,19 +286,24 @@
     ] {
         let mut cluster = Cluster::new(count, 3);
         assert!(cluster.progress(0, 3 * SECOND) > 10);
-        cuts.iter()
-            .for_each(|(a, b)| cluster.set_link(*a, *b, false));
+        failed_links
+            .iter()
+            .for_each(|(from, to)| cluster.set_link(*from, *to, false));
         cluster.run(3 * SECOND);
         let before = cluster.log.len();
         (0..count).for_each(|at| _ = cluster.progress(at, SECOND));
         assert!(
             cluster.log.len() > before + 10 && cluster.conflicts == 0,
-            "{cuts:?}: {before}, {}",
+            "{failed_links:?}: {before}, {}",
             cluster.log.len()
         );
         cluster.heal();
         cluster.run(3 * SECOND);
-        assert!(cluster.is_converged(), "{cuts:?}: {:?}", cluster.decided);
+        assert!(
+            cluster.is_converged(),
+            "{failed_links:?}: {:?}",
+            cluster.decided
+        );
     }
 }
 
@@ -298,7 +322,7 @@
             .iter()
             .zip(&before)
             .all(|(now, then)| now <= then),
-        "it learns them from its disk"
+        "a restarted voter has decided at most the entries in its storage"
     );
     assert!(
         cluster.decided.iter().max() == before.iter().max(),
@@ -328,11 +352,11 @@
         "{} bytes",
         complete.0.len()
     );
-    let again = PersistentState::from_records(std::slice::from_ref(&complete)).unwrap();
+    let restored = PersistentState::from_records(std::slice::from_ref(&complete)).unwrap();
     assert_eq!(
-        again.to_record(),
+        restored.to_record(),
         complete,
-        "one record stands in position of all"
+        "one record replaces all records"
     );
     let sent_messages = cluster.sent_messages;
     cluster.start(2);
@@ -347,12 +371,15 @@
         "{} messages",
         cluster.sent_messages - sent_messages
     );
-    let [a, c] = [0, 2].map(|i| cluster.voters[i].as_ref().unwrap().grants().snapshot());
-    assert_eq!(a, c);
+    let [leading, restarted] =
+        [0, 2].map(|i| cluster.voters[i].as_ref().unwrap().grants().snapshot());
+    assert_eq!(leading, restarted);
 }
 
-/// Two of three voters decide, one of them loses its storage, and the other one is partitioned off:
-/// what the third then decides with the one that has lost its storage.
+/// Runs a cluster of three voters: voters 0 and 1 decide entries, voter 1 loses its storage, and
+/// voter 0 is then partitioned off. Returns the cluster after voter 2 has proposed entries.
+///
+/// With `keeps_identity` voter 1 keeps its identity and votes, which violates the protocol.
 fn run_with_lost_storage(keeps_identity: bool) -> Cluster {
     let mut cluster = Cluster::new(3, 11);
     cluster.partition(&[0, 1]);
@@ -365,7 +392,7 @@
         cluster.start(1);
         cluster.decided[1] = 0;
     } else {
-        // It returns with another identity, learns of the genesis, and does not vote.
+        // Voter 1 restarts with another identity, receives the genesis, and does not vote.
         let names: Vec<String> = (0..3).map(name).collect();
         let mut bootstrap = Bootstrap::new(
             VoterIdentity {
@@ -394,16 +421,16 @@
 }
 
 #[test]
-fn voter_without_its_storage_does_not_vote_and_the_checker_finds_one_that_does() {
+fn voter_without_its_storage_does_not_vote_and_checker_detects_one_that_does() {
     let cluster = run_with_lost_storage(false);
     assert!(
         cluster.conflicts == 0 && cluster.decided[2] == 0,
-        "nothing is decided without a majority that remembers"
+        "nothing may be decided without a majority that has its storage"
     );
     let cluster = run_with_lost_storage(true);
     assert!(
         cluster.conflicts > 0,
-        "a planted voter without memory decides otherwise: the checker has to see it"
+        "the checker must detect a voter that votes without its storage"
     );
 }
 
@@ -436,11 +463,14 @@
             .for_each(|i| cluster.start(i));
         cluster.heal();
         cluster.run(5 * SECOND);
-        assert!(cluster.progress(0, 2 * SECOND) > 10, "{seed}: it goes on");
+        assert!(
+            cluster.progress(0, 2 * SECOND) > 10,
+            "seed {seed}: no progress after the faults"
+        );
         cluster.run(2 * SECOND);
         assert!(
             cluster.is_converged() && cluster.log.len() > 50,
-            "{seed}: {} differ, {:?}",
+            "seed {seed}: {} conflicts, {:?}",
             cluster.conflicts,
             cluster.decided
         );
@@ -466,12 +496,12 @@
         ),
     });
     let digest = voter.genesis().digest();
-    for (digest, refused) in [(digest + 1, 201), (digest, 201)] {
+    for (digest, rejected) in [(digest + 1, 201), (digest, 201)] {
         voter.on_message(
             cluster.now,
             &postcard::to_stdvec(&(digest, &message)).unwrap(),
         );
-        assert_eq!(voter.rejected_messages(), refused);
+        assert_eq!(voter.rejected_messages(), rejected);
     }
     assert!(cluster.progress(0, 2 * SECOND) > 5);
 }
--- a/decide/consensus/tests/stored_data.rs
+++ b/decide/consensus/tests/stored_data.rs
@@ -1,6 +1,8 @@
-//! Records of a voter's state in `tests/stored_data/records.txt`, one line of hexadecimal digits
-//! each, written by the build of commit 6f1ee4c: each kind of change, as the library asks for it.
-//! Each later build reads them to the same state and writes the same bytes.
+//! Compatibility of the stored records of a voter's state.
+//!
+//! The fixture `tests/stored_data/records.txt` has one record per line in hexadecimal, written by
+//! the build of commit 6f1ee4c, with each kind of change that the library makes. Later builds must
+//! decode the records to the same state and encode the same bytes.
 
 use lichenswitch_consensus::bootstrap::Bootstrap;
 use lichenswitch_consensus::genesis::{Announcement, Genesis, VoterIdentity};
@@ -74,12 +76,12 @@
     snapshot
 }
 
-/// A state after each kind of change, some of them in one write.
-fn written() -> PersistentState {
+/// Returns a state after each kind of change, with three of the changes in a single write.
+fn state_after_all_changes() -> PersistentState {
     let mut state = PersistentState::default();
     state.set_identity(identity(0));
     state.set_genesis(genesis());
-    let one_by_one = [
+    let separate_writes = [
         StorageOp::AppendEntry(entry(0)),
         StorageOp::AppendEntries(vec![entry(1), entry(2)]),
         StorageOp::AppendOnPrefix(2, vec![entry(3), entry(4), entry(5)]),
@@ -88,19 +90,19 @@
         StorageOp::SetDecidedIndex(4),
         StorageOp::SetSnapshot(Some(snapshot())),
     ];
-    for op in one_by_one {
+    for op in separate_writes {
         state.write_atomically(vec![op]).unwrap();
     }
-    let together = vec![
+    let single_write = vec![
         StorageOp::Trim(1),
         StorageOp::SetCompactedIdx(1),
         StorageOp::SetStopsign(Some(stop_sign())),
     ];
-    state.write_atomically(together).unwrap();
+    state.write_atomically(single_write).unwrap();
     state
 }
 
-fn fixture() -> Vec<String> {
+fn fixture_lines() -> Vec<String> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/stored_data/records.txt");
     std::fs::read_to_string(path)
         .unwrap()
@@ -109,14 +111,15 @@
         .collect()
 }
 
-/// The last line of the fixture is the complete state as one record.
+/// Guards against a change of the encoding. The last line of the fixture is the complete state as
+/// one record.
 #[test]
-fn records_of_each_change_have_the_bytes_of_the_fixture() {
-    let state = written();
+fn record_of_each_change_equals_the_fixture() {
+    let state = state_after_all_changes();
     let mut records = state.take_records();
     records.push(state.to_record());
     let lines: Vec<String> = records.iter().map(|record| to_hex(&record.0)).collect();
-    assert_eq!(lines, fixture());
+    assert_eq!(lines, fixture_lines());
 }
 
 fn assert_state(state: &PersistentState, name: &str) {
@@ -141,9 +144,9 @@
 }
 
 #[test]
-fn records_of_the_fixture_are_read_to_the_same_state() {
+fn fixture_records_restore_the_same_state() {
     let record = |line: &String| Record(from_hex(line));
-    let mut records: Vec<Record> = fixture().iter().map(record).collect();
+    let mut records: Vec<Record> = fixture_lines().iter().map(record).collect();
     let complete = records.pop().unwrap();
     assert_state(
         &PersistentState::from_records(&records).unwrap(),
--- a/decide/lease/src/holder_lease/tests.rs
+++ b/decide/lease/src/holder_lease/tests.rs
@@ -6,31 +6,31 @@
     lease: 3_000_000,
     drift: 100_000,
 };
-const T: fn(u64) -> Time = |ms| Time(1_000_000_000 + ms * 1_000);
+const AT_MS: fn(u64) -> Time = |ms| Time(1_000_000_000 + ms * 1_000);
 
 #[test]
 fn lease_counts_from_its_request_less_the_drift() {
     let mut lease = HolderLease::default();
     assert_eq!(
-        lease.check(T(0), TERMS),
+        lease.check(AT_MS(0), TERMS),
         Permission::Refrain(Reason::NoLease)
     );
-    let request = lease.on_request(T(0));
+    let request = lease.on_request(AT_MS(0));
     assert!(
         lease.on_grant(request, FencingToken(7)),
         "the answer took two seconds"
     );
     assert_eq!(
-        lease.check(T(2_000), TERMS),
+        lease.check(AT_MS(2_000), TERMS),
         Permission::Act(FencingToken(7), Reason::Leased(699_999))
     );
     assert!(matches!(
-        lease.check(T(2_700), TERMS),
+        lease.check(AT_MS(2_700), TERMS),
         Permission::Refrain(Reason::Expired(_))
     ));
     // It was stopped and wakes much later, or its clock went back: it does not act.
     assert!(matches!(
-        lease.check(T(900_000), TERMS),
+        lease.check(AT_MS(900_000), TERMS),
         Permission::Refrain(Reason::Expired(_))
     ));
     assert!(matches!(
@@ -42,8 +42,8 @@
 #[test]
 fn late_answer_gives_no_lease_and_renewal_prolongs_it() {
     let mut lease = HolderLease::default();
-    let first = lease.on_request(T(0));
-    let second = lease.on_request(T(1_000));
+    let first = lease.on_request(AT_MS(0));
+    let second = lease.on_request(AT_MS(1_000));
     assert!(
         !lease.on_grant(first, FencingToken(1)),
         "a later request has replaced its own"
@@ -54,27 +54,27 @@
     );
     assert_eq!(
         lease.next_request_at(TERMS),
-        T(1_000).plus(TERMS.holder_duration() / 100 * RENEWAL_PERCENT)
+        AT_MS(1_000).plus(TERMS.holder_duration() / 100 * RENEWAL_PERCENT)
     );
-    let renewal = lease.on_request(T(2_000));
+    let renewal = lease.on_request(AT_MS(2_000));
     assert!(
         matches!(
-            lease.check(T(2_500), TERMS),
+            lease.check(AT_MS(2_500), TERMS),
             Permission::Act(FencingToken(2), _)
         ),
         "it goes on meanwhile"
     );
     assert_eq!(
         lease.next_request_at(TERMS),
-        T(2_300),
+        AT_MS(2_300),
         "and repeats the request if no answer comes"
     );
     assert!(lease.on_grant(renewal, FencingToken(2)));
     assert_eq!(
-        lease.check(T(2_000), TERMS),
+        lease.check(AT_MS(2_000), TERMS),
         Permission::Act(FencingToken(2), Reason::Leased(TERMS.holder_duration()))
     );
-    let delayed = lease.on_request(T(3_000));
+    let delayed = lease.on_request(AT_MS(3_000));
     assert!(
         !lease.on_grant(delayed, FencingToken(1)),
         "a token only grows"
@@ -84,29 +84,29 @@
 #[test]
 fn rejected_or_released_lease_ends_at_once() {
     let mut lease = HolderLease::default();
-    let request = lease.on_request(T(0));
+    let request = lease.on_request(AT_MS(0));
     lease.on_grant(request, FencingToken(3));
-    let renewal = lease.on_request(T(1_000));
+    let renewal = lease.on_request(AT_MS(1_000));
     lease.on_rejection(request);
     assert!(
-        matches!(lease.check(T(1_100), TERMS), Permission::Act(..)),
+        matches!(lease.check(AT_MS(1_100), TERMS), Permission::Act(..)),
         "that was about another request"
     );
     lease.on_rejection(renewal);
     assert_eq!(
-        lease.check(T(1_100), TERMS),
+        lease.check(AT_MS(1_100), TERMS),
         Permission::Refrain(Reason::NoLease)
     );
-    let request = lease.on_request(T(2_000));
+    let request = lease.on_request(AT_MS(2_000));
     lease.on_grant(request, FencingToken(4));
-    let pending = lease.on_request(T(2_100));
+    let pending = lease.on_request(AT_MS(2_100));
     assert_eq!(lease.on_release(), Some(FencingToken(4)));
     assert!(
         !lease.on_grant(pending, FencingToken(4)),
         "it was requested before the release"
     );
     assert_eq!(
-        lease.check(T(2_200), TERMS),
+        lease.check(AT_MS(2_200), TERMS),
         Permission::Refrain(Reason::Released)
     );
     assert_eq!(HolderLease::default().on_release(), None);
@@ -115,39 +115,39 @@
 #[test]
 fn lease_ends_once_a_higher_token_was_seen() {
     let mut lease = HolderLease::default();
-    let request = lease.on_request(T(0));
+    let request = lease.on_request(AT_MS(0));
     assert!(lease.on_grant(request, FencingToken(3)));
     lease.on_fenced_off(FencingToken(3));
     assert!(
         matches!(
-            lease.check(T(100), TERMS),
+            lease.check(AT_MS(100), TERMS),
             Permission::Act(FencingToken(3), _)
         ),
         "that was its own"
     );
     lease.on_fenced_off(FencingToken(5));
     assert_eq!(
-        lease.check(T(100), TERMS),
+        lease.check(AT_MS(100), TERMS),
         Permission::Refrain(Reason::Superseded(FencingToken(5))),
         "at once"
     );
     // A grant in flight is older than the token that was seen, and gives no lease.
-    let request = lease.on_request(T(200));
+    let request = lease.on_request(AT_MS(200));
     assert!(!lease.on_grant(request, FencingToken(4)));
     assert_eq!(
-        lease.check(T(300), TERMS),
+        lease.check(AT_MS(300), TERMS),
         Permission::Refrain(Reason::Superseded(FencingToken(5)))
     );
-    let request = lease.on_request(T(400));
+    let request = lease.on_request(AT_MS(400));
     assert!(lease.on_grant(request, FencingToken(6)));
     assert!(matches!(
-        lease.check(T(500), TERMS),
+        lease.check(AT_MS(500), TERMS),
         Permission::Act(FencingToken(6), _)
     ));
     lease.on_fenced_off(FencingToken(5));
     assert!(
         matches!(
-            lease.check(T(600), TERMS),
+            lease.check(AT_MS(600), TERMS),
             Permission::Act(FencingToken(6), _)
         ),
         "a late rejection of an older one"
