--- a/decide/lease/src/fencing.rs
+++ b/decide/lease/src/fencing.rs
@@ -1,41 +1,47 @@
-//! The receiver's side of a lease: what a former holder still sends is rejected.
+//! The receiver's side of a lease: rejects the effects that a former holder still sends.
 
 use super::{FencingToken, RoleName};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Why an effect was accepted or rejected.
+/// The reason for accepting or rejecting an effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// It carries the highest token seen here.
+    /// The effect carries the highest token seen for the role.
     Current,
-    /// It carries a higher token than this one, the highest before: the role has a new holder.
+    /// The effect carries a higher token than the previous highest one, given here: the role has
+    /// a new holder.
     Newer(FencingToken),
-    /// It carries a lower token than this one, which was seen: its sender no longer holds the role.
+    /// The effect carries a lower token than the highest one seen, given here: its sender no
+    /// longer holds the role.
     Older(FencingToken),
-    /// It carries no token.
+    /// The effect carries no token.
     Missing,
 }
 
 impl fmt::Display for Reason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Reason::Current => f.write_str("its fence is the present one"),
-            Reason::Newer(before) => write!(f, "its fence is newer than {}", before.0),
+            Reason::Current => f.write_str("its fencing token is the current one"),
+            Reason::Newer(before) => write!(f, "its fencing token is newer than {}", before.0),
             Reason::Older(highest) => {
-                write!(f, "its fence is older than {}, which was seen", highest.0)
+                write!(
+                    f,
+                    "its fencing token is older than the highest one seen, {}",
+                    highest.0
+                )
             }
-            Reason::Missing => f.write_str("it carries no fence"),
+            Reason::Missing => f.write_str("it carries no fencing token"),
         }
     }
 }
 
-/// Whether an effect is accepted.
+/// The decision about an effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is.
+    /// The receiver may carry out the effect.
     Accept(Reason),
-    /// It is not.
+    /// The receiver must drop the effect.
     Reject(Reason),
 }
 
@@ -46,8 +52,8 @@
 }
 
 impl FencingGuard {
-    /// Judges an effect that has arrived in the name of a role, and remembers its token if that is
-    /// the highest so far.
+    /// Decides whether to accept an effect that was sent under a role and token, and records the
+    /// token if it is the highest so far.
     pub fn on_effect(&mut self, role: &RoleName, token: FencingToken) -> Verdict {
         let highest = self.highest_seen(role);
         match token {
@@ -61,7 +67,7 @@
         }
     }
 
-    /// The highest token seen for a role; 0 if there was none.
+    /// Returns the highest token seen for a role; 0 if none was seen.
     #[must_use]
     pub fn highest_seen(&self, role: &RoleName) -> FencingToken {
         self.highest.get(role).copied().unwrap_or_default()
--- a/decide/lease/src/grant_table.rs
+++ b/decide/lease/src/grant_table.rs
@@ -1,7 +1,9 @@
-//! The voters' side of a lease: which role is granted to which holder, as it follows from an agreed
-//! log. Every voter applies the same commands in the same order and comes to the same grants; no
-//! clock takes part in that. A clock only decides when a voter proposes that a lease has expired.
-//! That proposal is a command of the log too, and has no effect if a renewal precedes it there.
+//! The voters' side of a lease: the state machine that maps each role to its holder.
+//!
+//! Every voter applies the same commands of the replicated log in the same order and obtains the
+//! same grants, independently of any clock. A clock only determines when a voter proposes that a
+//! lease has expired. The proposal is itself a command of the log, and has no effect if a renewal
+//! precedes it there.
 
 use super::{FencingToken, LeaseHolder, LeaseTerms, RoleName};
 use lichenswitch_interface::Time;
@@ -9,74 +11,75 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A command of the agreed log. The order of the variants and their fields is that of stored
-/// records and messages.
+/// A command of the replicated log. The order of the variants and fields is part of the format of
+/// stored records and messages.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum LeaseCommand {
-    /// A broker requests a role, or the renewal of its lease of it.
+    /// A broker requests a role, or the renewal of its lease on the role.
     Acquire(RoleName, LeaseHolder),
     /// The holder with this token releases the role.
     Release(RoleName, FencingToken),
-    /// A voter has waited for the end of the lease with this token and this count of renewals.
+    /// By a voter's clock the lease with this token and this number of renewals has expired.
     Expire(RoleName, FencingToken, u64),
 }
 
-/// What a command led to.
+/// The outcome of a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The role was granted, with a new token.
     Granted(FencingToken, Reason),
-    /// Its holder's lease was renewed, with the same token.
+    /// The holder's lease was renewed, with the same token.
     Renewed(FencingToken),
-    /// Another holder has it.
+    /// Another holder, with this token, has the role.
     Rejected(LeaseHolder, FencingToken),
-    /// The role is vacant from now on.
+    /// The role became vacant.
     Vacated(Reason),
-    /// The command is about a lease that has ended or was renewed.
+    /// The command had no effect because its lease has ended or was renewed.
     Stale,
 }
 
-/// Why a role is vacant.
+/// The reason why a role was vacant before a grant, or became vacant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// Nobody held it.
+    /// No broker held the role.
     Vacant,
-    /// Its holder released it.
+    /// The holder released the role.
     Released,
-    /// Its lease expired.
+    /// The lease expired.
     Expired,
 }
 
 impl fmt::Display for Reason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Reason::Vacant => "nobody had it",
-            Reason::Released => "its holder gave it back",
-            Reason::Expired => "its lease was over",
+            Reason::Vacant => "no broker held it",
+            Reason::Released => "its holder released it",
+            Reason::Expired => "its lease expired",
         })
     }
 }
 
-/// The grant of a role.
+/// The current grant of a role.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Grant {
     holder: LeaseHolder,
     token: FencingToken,
+    /// Number of renewals since the grant.
     renewals: u64,
-    /// When this voter learned of the last renewal, by its own clock: never before the holder
-    /// requested it.
+    /// When this voter learned of the grant or its last renewal, by its own clock; never before
+    /// the holder requested it.
     learned_at: Time,
 }
 
-/// The grants without what depends on a voter's clock: the same at all voters that have applied as
-/// much of the log. The order of the fields is that of stored records and messages.
+/// The grants without the times of the voter's clock. Equal at all voters that have applied the
+/// same prefix of the log. The field order is part of the format of stored records and messages.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct GrantSnapshot {
     last_token: FencingToken,
     grants: Vec<(RoleName, LeaseHolder, FencingToken, u64)>,
 }
 
-/// The grants of all roles, as one voter knows them.
+/// The grants of all roles at one voter.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct GrantTable {
     last_token: FencingToken,
@@ -84,8 +87,8 @@
 }
 
 impl GrantTable {
-    /// Applies the next command of the log. A voter that was restarted applies all of it again at
-    /// its present time: it learns of leases later than it did before, and waits longer.
+    /// Applies the next command of the log. A restarted voter applies the log again with its
+    /// current time: it waits for the end of each lease from then on, so longer than before.
     pub fn apply(&mut self, now: Time, command: &LeaseCommand) -> Outcome {
         match command {
             LeaseCommand::Acquire(role, requester) => self.acquire(now, role, requester),
@@ -96,7 +99,7 @@
         }
     }
 
-    /// The grants for a voter that has missed a part of the log.
+    /// Returns the grants in a form that a voter that has missed part of the log can restore.
     ///
     /// ```
     /// use lichenswitch_interface::Time;
@@ -121,8 +124,8 @@
         }
     }
 
-    /// The grants of a voter that learns of all of them now. It waits for the end of each lease
-    /// from here on, so never shorter than the voter that took the snapshot.
+    /// Restores the grants from a snapshot. The wait for the end of each lease starts at `now`, so
+    /// it ends no earlier than at the voter that took the snapshot.
     #[must_use]
     pub fn from_snapshot(now: Time, snapshot: &GrantSnapshot) -> GrantTable {
         let grant =
@@ -147,8 +150,8 @@
                 (grant.renewals, grant.learned_at) = (grant.renewals + 1, now);
                 return Outcome::Renewed(grant.token);
             }
-            // A later incarnation of the holder waits like any other broker: the former process may
-            // only have been stopped, and may go on.
+            // A later incarnation of the holder has to wait like any other broker: the former
+            // process may only be paused and continue later.
             Some(grant) => return Outcome::Rejected(grant.holder.clone(), grant.token),
             None => {}
         }
@@ -163,8 +166,8 @@
         Outcome::Granted(self.last_token, Reason::Vacant)
     }
 
-    /// Ends the grant with this token, if it is still in force and, where a count of renewals is
-    /// given, has not been renewed since.
+    /// Ends the grant with this token if it is still in force and, if `renewals` is given, has been
+    /// renewed exactly that often.
     fn vacate(
         &mut self,
         role: &RoleName,
@@ -182,7 +185,8 @@
         Outcome::Vacated(reason)
     }
 
-    /// A command for each lease that has expired by this voter's clock, for it to propose.
+    /// Returns the `Expire` commands to propose: one for each lease that has expired by this
+    /// voter's clock.
     #[must_use]
     pub fn expired(&self, now: Time, terms: LeaseTerms) -> Vec<LeaseCommand> {
         self.grants
@@ -192,14 +196,14 @@
             .collect()
     }
 
-    /// When the next lease expires by this voter's clock; `None` if no role is granted.
+    /// Returns when the next lease expires by this voter's clock; `None` if no role is granted.
     #[must_use]
     pub fn next_expiry(&self, terms: LeaseTerms) -> Option<Time> {
         let expiry = |grant: &Grant| grant.learned_at.plus(terms.voter_duration());
         self.grants.values().map(expiry).min()
     }
 
-    /// The holder of a role and its token.
+    /// Returns the holder of a role and its token; `None` if the role is vacant.
     #[must_use]
     pub fn holder(&self, role: &RoleName) -> Option<(&LeaseHolder, FencingToken)> {
         self.grants
--- a/decide/lease/src/grant_table/tests.rs
+++ b/decide/lease/src/grant_table/tests.rs
@@ -35,7 +35,7 @@
     assert_eq!(grants.next_expiry(TERMS), Some(Time(3_300_001)));
     assert!(grants.expired(Time(3_300_000), TERMS).is_empty());
     let expired = grants.expired(Time(3_300_001), TERMS).remove(0);
-    // A renewal that comes first in the log makes the end stale, whatever clocks say.
+    // A renewal that precedes the `Expire` command in the log makes it stale, regardless of clocks.
     assert_eq!(
         grants.apply(Time(3_300_001), &acquire("a", 1)),
         Outcome::Renewed(token(1))
@@ -49,15 +49,15 @@
     assert_eq!(
         grants.apply(Time(9_000_000), &expired),
         Outcome::Stale,
-        "twice"
+        "the second `Expire` has no effect"
     );
     assert_eq!(
         grants.apply(Time(9_000_001), &acquire("b", 1)),
         Outcome::Granted(token(2), Reason::Vacant)
     );
-    let late = LeaseCommand::Release(role.clone(), token(1));
+    let outdated_release = LeaseCommand::Release(role.clone(), token(1));
     assert_eq!(
-        grants.apply(Time(9_000_002), &late),
+        grants.apply(Time(9_000_002), &outdated_release),
         Outcome::Stale,
         "its lease has ended"
     );
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn voters_with_the_same_log_have_the_same_grants_whatever_their_clocks() {
+fn voters_with_the_same_log_have_the_same_grants_regardless_of_their_clocks() {
     let expired = LeaseCommand::Expire(RoleName("d".into()), FencingToken(1), 0);
     let log = [
         acquire("a", 1),
@@ -103,18 +103,18 @@
         acquire("b", 1),
         acquire("a", 1),
     ];
-    let replay = |at: u64, step: u64| {
+    let replay = |start: u64, step: u64| {
         let mut grants = GrantTable::default();
         let outcomes: Vec<Outcome> = log
             .iter()
             .enumerate()
-            .map(|(i, e)| grants.apply(Time(at + i as u64 * step), e))
+            .map(|(i, command)| grants.apply(Time(start + i as u64 * step), command))
             .collect();
         (
             outcomes,
             grants
                 .holder(&RoleName("d".into()))
-                .map(|h| (h.0.name.clone(), h.1)),
+                .map(|(holder, token)| (holder.name.clone(), token)),
         )
     };
     assert_eq!(replay(0, 1), replay(77_000_000, 5_000_000));
--- a/decide/lease/src/holder_lease.rs
+++ b/decide/lease/src/holder_lease.rs
@@ -1,26 +1,26 @@
-//! The holder's side of a lease: whether this broker may act in a role now. A broker never knows
-//! for sure that it holds a role, only that no other broker can hold it yet.
+//! The holder's side of a lease: determines whether this broker may act in a role. A broker can't
+//! know for certain that it holds a role, only that no other broker can hold it yet.
 
 use super::{FencingToken, LeaseTerms};
 use lichenswitch_interface::{Micros, Time};
 use std::fmt;
 
-/// A lease is renewed once this much of it has passed, in hundredths: the rest has room for two
-/// more requests.
+/// Share of a lease after which it is renewed, in percent. The rest of the lease leaves time for
+/// two more requests.
 const RENEWAL_PERCENT: u64 = 33;
-/// A request without an answer is repeated after a lease divided by this.
+/// A request without a response is repeated after a lease divided by this number.
 const RETRY_DIVISOR: u64 = 10;
 
-/// Why the broker may act, or must not.
+/// The reason why the broker may or must not act.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// Its lease lasts for this long by its own count (microseconds).
+    /// The lease remains valid for this long by the holder's clock (microseconds).
     Leased(Micros),
-    /// Its lease expired this long ago by its own count (microseconds).
+    /// The lease expired this long ago by the holder's clock (microseconds).
     Expired(Micros),
-    /// It has no lease.
+    /// The broker has no lease.
     NoLease,
-    /// It has released the role.
+    /// The broker has released the role.
     Released,
     /// A receiver has seen this higher token: another broker holds the role.
     Superseded(FencingToken),
@@ -32,23 +32,27 @@
             Reason::Leased(remaining) => write!(f, "leased for {} ms more", remaining / 1_000),
             Reason::Expired(elapsed) => write!(f, "the lease ran out {} ms ago", elapsed / 1_000),
             Reason::NoLease => f.write_str("no lease"),
-            Reason::Released => f.write_str("given back"),
-            Reason::Superseded(token) => write!(f, "fence {} was seen", token.0),
+            Reason::Released => f.write_str("released"),
+            Reason::Superseded(token) => write!(
+                f,
+                "a receiver has seen the higher fencing token {}",
+                token.0
+            ),
         }
     }
 }
 
-/// Whether an effect may be made now.
+/// The result of a lease check: whether the broker may make an effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Permission {
-    /// It may, and has to carry this token.
+    /// The effect is allowed and has to carry this token.
     Act(FencingToken, Reason),
-    /// It must not.
+    /// The effect is not allowed.
     Refrain(Reason),
 }
 
 impl Permission {
-    /// The token under which an effect may be made, if it may.
+    /// Returns the token that the effect has to carry; `None` if the effect is not allowed.
     #[must_use]
     pub fn token(&self) -> Option<FencingToken> {
         match self {
@@ -58,31 +62,31 @@
     }
 }
 
-/// The request that waits for an answer.
+/// A request without a response yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct PendingRequest {
     number: u64,
     sent_at: Time,
 }
 
-/// The lease of one role at a broker that holds the role or requests it.
+/// The lease of one role, at a broker that holds or requests the role.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct HolderLease {
     token: FencingToken,
-    /// When the lease in force was requested: it is counted from there. `None`: there is none.
+    /// When the lease in force was requested, from where it is measured; `None` without a lease.
     counted_from: Option<Time>,
-    /// The last request, while it waits for an answer. Answers to earlier ones count for nothing,
-    /// since the time of those requests is no longer known.
+    /// The last request, until its response arrives. Responses to earlier requests are ignored,
+    /// since their send times are no longer known.
     pending: Option<PendingRequest>,
-    /// The number of the last request.
+    /// Number of the last request; 0 before the first one.
     last_request: u64,
     is_released: bool,
-    /// The highest token for which a receiver has rejected this broker's.
+    /// Highest token that a receiver has named when it rejected this broker's token.
     superseded_by: FencingToken,
 }
 
 impl HolderLease {
-    /// When to send the next request, to acquire the role or to keep it.
+    /// Returns when to send the next request, to acquire the role or to renew the lease.
     #[must_use]
     pub fn next_request_at(&self, terms: LeaseTerms) -> Time {
         let renewal = self.counted_from.map_or(Time(0), |from| {
@@ -94,8 +98,8 @@
         renewal.max(retry)
     }
 
-    /// Notes that a request is sent now, from which the lease will be counted. Returns the number
-    /// that the answer has to name.
+    /// Records that a request is sent at `now`, from where the lease will be measured. Returns the
+    /// number that the response has to carry.
     pub fn on_request(&mut self, now: Time) -> u64 {
         self.last_request += 1;
         self.pending = Some(PendingRequest {
@@ -106,14 +110,14 @@
         self.last_request
     }
 
-    /// The request with this number was granted, with this token. Returns `false` if the answer
-    /// comes too late to count.
+    /// Handles that the request with this number was granted with this token. Returns `false` if
+    /// the response is outdated and ignored.
     pub fn on_grant(&mut self, request: u64, token: FencingToken) -> bool {
-        let answers = |pending: &PendingRequest| pending.number == request && !self.is_released;
-        let Some(pending) = self.pending.filter(answers) else {
+        let is_answered = |pending: &PendingRequest| pending.number == request && !self.is_released;
+        let Some(pending) = self.pending.filter(is_answered) else {
             return false;
         };
-        // Guards against an answer that the network delayed: tokens only grow.
+        // A delayed response may carry an older token: tokens only grow.
         if token < self.token.max(self.superseded_by) {
             return false;
         }
@@ -121,16 +125,21 @@
         true
     }
 
-    /// The request with this number was rejected: another broker holds the role. A lease that this
-    /// one still counted is over, since the voters know better.
+    /// Handles that the request with this number was rejected because another broker holds the
+    /// role. Ends a lease that is still valid by this broker's clock, since the log takes
+    /// precedence.
     pub fn on_rejection(&mut self, request: u64) {
-        if self.pending.is_some_and(|p| p.number == request) {
+        if self
+            .pending
+            .is_some_and(|pending| pending.number == request)
+        {
             self.counted_from = None;
         }
     }
 
-    /// A receiver has rejected an effect since it has seen this higher token. Nothing more is done
-    /// under the lower one, though its lease may still last: another broker holds the role.
+    /// Handles that a receiver has rejected an effect because it has seen this higher token. Ends a
+    /// lease with a lower token even if it is still valid by this broker's clock, since another
+    /// broker holds the role.
     pub fn on_fenced_off(&mut self, highest_seen: FencingToken) {
         self.superseded_by = self.superseded_by.max(highest_seen);
         if self.token < self.superseded_by {
@@ -138,22 +147,22 @@
         }
     }
 
-    /// The broker releases the role, since it stops or can't fill it; nothing is done under the
-    /// lease from here on. Returns the token to name to the voters, if there ever was one.
+    /// Releases the role, when the broker stops or can't perform the role. No effect is allowed
+    /// afterwards. Returns the token to send to the voters; `None` if no lease was ever granted.
     pub fn on_release(&mut self) -> Option<FencingToken> {
         (self.counted_from, self.pending, self.is_released) = (None, None, true);
         (self.token != FencingToken(0)).then_some(self.token)
     }
 
-    /// Whether an effect may be made now. To be called before each effect, with a clock that goes
-    /// on while the process is stopped.
+    /// Checks whether an effect is allowed at `now`. Must be called before each effect, with a
+    /// clock that continues while the process is stopped.
     #[must_use]
     pub fn check(&self, now: Time, terms: LeaseTerms) -> Permission {
         let Some(from) = self.counted_from else {
             return Permission::Refrain(self.reason_without_lease());
         };
         let (elapsed, duration) = (now.since(from), terms.holder_duration());
-        // A clock that went back tells nothing about the lease.
+        // If the clock went back, the elapsed time is unknown and the lease counts as expired.
         if elapsed >= duration || now < from {
             return Permission::Refrain(Reason::Expired(elapsed.saturating_sub(duration)));
         }
--- a/decide/lease/src/holder_lease/tests.rs
+++ b/decide/lease/src/holder_lease/tests.rs
@@ -9,7 +9,7 @@
 const AT_MS: fn(u64) -> Time = |ms| Time(1_000_000_000 + ms * 1_000);
 
 #[test]
-fn lease_counts_from_its_request_less_the_drift() {
+fn lease_is_measured_from_its_request_and_shortened_by_the_drift() {
     let mut lease = HolderLease::default();
     assert_eq!(
         lease.check(AT_MS(0), TERMS),
@@ -18,7 +18,7 @@
     let request = lease.on_request(AT_MS(0));
     assert!(
         lease.on_grant(request, FencingToken(7)),
-        "the answer took two seconds"
+        "a grant for the pending request must be accepted"
     );
     assert_eq!(
         lease.check(AT_MS(2_000), TERMS),
@@ -28,7 +28,7 @@
         lease.check(AT_MS(2_700), TERMS),
         Permission::Refrain(Reason::Expired(_))
     ));
-    // It was stopped and wakes much later, or its clock went back: it does not act.
+    // The broker must not act after a long pause, or after its clock went back.
     assert!(matches!(
         lease.check(AT_MS(900_000), TERMS),
         Permission::Refrain(Reason::Expired(_))
@@ -40,17 +40,17 @@
 }
 
 #[test]
-fn late_answer_gives_no_lease_and_renewal_prolongs_it() {
+fn outdated_response_grants_no_lease_and_renewal_prolongs_it() {
     let mut lease = HolderLease::default();
     let first = lease.on_request(AT_MS(0));
     let second = lease.on_request(AT_MS(1_000));
     assert!(
         !lease.on_grant(first, FencingToken(1)),
-        "a later request has replaced its own"
+        "a later request has replaced the first one"
     );
     assert!(
         lease.on_grant(second, FencingToken(2)) && !lease.on_grant(second, FencingToken(3)),
-        "once"
+        "a grant is accepted once"
     );
     assert_eq!(
         lease.next_request_at(TERMS),
@@ -62,12 +62,12 @@
             lease.check(AT_MS(2_500), TERMS),
             Permission::Act(FencingToken(2), _)
         ),
-        "it goes on meanwhile"
+        "the lease stays valid while the renewal is pending"
     );
     assert_eq!(
         lease.next_request_at(TERMS),
         AT_MS(2_300),
-        "and repeats the request if no answer comes"
+        "the request is repeated if no response arrives"
     );
     assert!(lease.on_grant(renewal, FencingToken(2)));
     assert_eq!(
@@ -77,7 +77,7 @@
     let delayed = lease.on_request(AT_MS(3_000));
     assert!(
         !lease.on_grant(delayed, FencingToken(1)),
-        "a token only grows"
+        "an older token must be rejected"
     );
 }
 
@@ -90,7 +90,7 @@
     lease.on_rejection(request);
     assert!(
         matches!(lease.check(AT_MS(1_100), TERMS), Permission::Act(..)),
-        "that was about another request"
+        "a rejection of an earlier request is ignored"
     );
     lease.on_rejection(renewal);
     assert_eq!(
@@ -103,7 +103,7 @@
     assert_eq!(lease.on_release(), Some(FencingToken(4)));
     assert!(
         !lease.on_grant(pending, FencingToken(4)),
-        "it was requested before the release"
+        "a grant of a request before the release is ignored"
     );
     assert_eq!(
         lease.check(AT_MS(2_200), TERMS),
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn lease_ends_once_a_higher_token_was_seen() {
+fn lease_ends_once_a_receiver_has_seen_a_higher_token() {
     let mut lease = HolderLease::default();
     let request = lease.on_request(AT_MS(0));
     assert!(lease.on_grant(request, FencingToken(3)));
@@ -123,15 +123,15 @@
             lease.check(AT_MS(100), TERMS),
             Permission::Act(FencingToken(3), _)
         ),
-        "that was its own"
+        "its own token does not end the lease"
     );
     lease.on_fenced_off(FencingToken(5));
     assert_eq!(
         lease.check(AT_MS(100), TERMS),
         Permission::Refrain(Reason::Superseded(FencingToken(5))),
-        "at once"
+        "a higher token ends the lease immediately"
     );
-    // A grant in flight is older than the token that was seen, and gives no lease.
+    // A delayed grant with a token lower than the one seen grants no lease.
     let request = lease.on_request(AT_MS(200));
     assert!(!lease.on_grant(request, FencingToken(4)));
     assert_eq!(
@@ -150,6 +150,6 @@
             lease.check(AT_MS(600), TERMS),
             Permission::Act(FencingToken(6), _)
         ),
-        "a late rejection of an older one"
+        "a rejection that names an older token is ignored"
     );
 }
--- a/decide/lease/src/lib.rs
+++ b/decide/lease/src/lib.rs
@@ -1,21 +1,21 @@
-//! Leases with fencing tokens for singleton roles: a role is held by one broker at a time.
+//! Leases with fencing tokens for singleton roles: at most one broker holds a role at a time.
 //!
-//! Three sides take part. Each has a monotonic clock of its own, which may run fast or slow by a
-//! stated drift, and none trusts the clocks of the others:
+//! Three parties take part. Each has its own monotonic clock, whose rate may deviate by a
+//! configured drift, and none relies on the clocks of the others:
 //!
-//! - [`holder_lease::HolderLease`], at the holder: counts the lease from before its request was
-//!   sent, less the drift, and is checked before each effect;
-//! - [`grant_table::GrantTable`], at the voters: the state machine of the agreed log. A role passes
-//!   to another holder only after the lease and the drift have passed since the voter that proposes
-//!   its end has learned of the last renewal;
-//! - [`fencing::FencingGuard`], at the receiver of an effect: rejects a token lower than one that
-//!   it has seen.
+//! - [`holder_lease::HolderLease`], at the holder: measures the lease from the moment before the
+//!   request was sent, shortens it by the drift, and is checked before each effect.
+//! - [`grant_table::GrantTable`], at the voters: the state machine of the replicated log. A voter
+//!   proposes the end of a lease only after the lease plus the drift has passed since the voter
+//!   learned of the last renewal. Only then can another broker acquire the role.
+//! - [`fencing::FencingGuard`], at the receiver of an effect: rejects a token lower than the
+//!   highest token seen.
 //!
-//! The first two keep two brokers from acting at the same time as long as clocks stay within the
-//! drift. The third rejects what a former holder sends after its own check came too late, whatever
-//! its clock did in between.
+//! The first two prevent two brokers from acting at the same time as long as all clocks stay within
+//! the drift. The third rejects effects of a former holder that were delayed after the lease check,
+//! regardless of clocks.
 //!
-//! This crate has no I/O and reads no clock: time is an argument.
+//! This crate performs no I/O and reads no clock: the caller passes the time.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -26,50 +26,53 @@
 use lichenswitch_interface::Micros;
 use serde::{Deserialize, Serialize};
 
-/// Names a singleton role (the settings call it a duty).
+/// The name of a singleton role, called a duty in the settings.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RoleName(pub String);
 
-/// The number of a grant. It only grows, over all roles and voters; 0 stands for no grant.
+/// The number of a grant. Each new grant of any role gets a greater number than all grants before
+/// it; 0 means no grant.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct FencingToken(pub u64);
 
-/// A process of a broker that holds a lease or requests one. A broker that was restarted is another
+/// A broker process that holds or requests a lease. After a restart the broker is a different
 /// holder.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LeaseHolder {
-    /// The broker's name.
+    /// Name of the broker, the same after a restart.
     pub name: String,
-    /// The incarnation of its process: later ones are greater.
+    /// Incarnation of the broker process; a restart yields a greater value.
     pub incarnation: u64,
 }
 
 /// The duration of leases and the drift of clocks, the same for all brokers of a cluster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseTerms {
-    /// How long a lease lasts, in microseconds.
+    /// Duration of a lease, in microseconds.
     pub lease: Micros,
-    /// How far a clock may run fast or slow, in millionths. With a clock beyond that two brokers
-    /// may act at the same time, and only the fencing tokens are left.
+    /// Maximum deviation of a clock's rate, in parts per million. If a clock deviates further, two
+    /// brokers may act at the same time, and only the fencing tokens protect the receivers.
     pub drift: u64,
 }
 
 impl LeaseTerms {
-    /// The lease as its holder counts it, whose clock may be slow: shorter by the drift.
+    /// Returns the lease as the holder measures it: shortened by the drift, since the holder's
+    /// clock may be slow.
     #[must_use]
     pub fn holder_duration(&self) -> Micros {
         self.lease.saturating_sub(self.drift_margin())
     }
 
-    /// The lease as a voter waits for its end, whose clock may be fast: longer by the drift.
+    /// Returns how long a voter waits for the end of a lease: prolonged by the drift, since the
+    /// voter's clock may be fast.
     #[must_use]
     pub fn voter_duration(&self) -> Micros {
         self.lease.saturating_add(self.drift_margin())
     }
 
-    /// How far both clocks together may be off during a lease, rounded up.
+    /// Returns the maximum deviation of one clock during a lease, rounded up (microseconds).
     fn drift_margin(&self) -> Micros {
         (self.lease as u128 * u128::from(self.drift)).div_ceil(1_000_000) as Micros + 1
     }
--- a/decide/lease/src/model.rs
+++ b/decide/lease/src/model.rs
@@ -1,8 +1,9 @@
-//! The lease, checked in all reachable states of a small world: two brokers that request one role,
-//! a voter with a clock of its own, an agreed log whose entries it learns of with any delay, and a
-//! receiver. Requests and answers are delayed, lost and duplicated; brokers pause between their
-//! check and their effect. What is checked is the code that runs: `HolderLease`, `GrantTable` and
-//! `FencingGuard`.
+//! Model check of the lease in all reachable states of a bounded model.
+//!
+//! The model has two brokers that request one role, a voter with its own clock that learns of log
+//! entries with any delay, and a receiver. Requests and responses are delayed, lost and duplicated;
+//! brokers pause between the lease check and the effect. The model runs the production code:
+//! `HolderLease`, `GrantTable` and `FencingGuard`.
 
 use super::fencing::{FencingGuard, Verdict};
 use super::grant_table::{GrantTable, LeaseCommand, Outcome};
@@ -11,55 +12,56 @@
 use lichenswitch_interface::Time;
 use stateright::{Checker, Model, Property};
 
-/// A fault in the rules, planted to see that the checker finds it.
+/// A fault injected into the model, to verify that the checker detects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum PlantedFault {
+enum InjectedFault {
     Nothing,
-    /// The drift of clocks is ignored.
+    /// Holder and voter ignore the drift of clocks.
     NoDrift,
-    /// A lease is counted from the answer.
+    /// The holder measures a lease from the response instead of the request.
     CountedFromResponse,
-    /// The end of a lease counts though a renewal came first.
+    /// The end of a lease takes effect although a renewal precedes it in the log.
     LateRenewal,
-    /// The receiver checks no token.
+    /// The receiver ignores the tokens.
     NoFencing,
 }
 
-/// One step of time in microseconds, and the bounds of the world: steps, and requests of each
-/// broker.
+/// Length of a time step (microseconds).
 const STEP_MICROS: u64 = 1_000;
+/// Maximum number of time steps on a path.
 const MAX_STEPS: u64 = 5;
+/// Maximum number of requests of each broker on a path.
 const MAX_REQUESTS: [u64; 2] = [2, 1];
-/// The longest path that is explored, in actions.
+/// Maximum length of an explored path, in actions.
 const MAX_DEPTH: usize = 16;
-/// Three steps, and clocks that are a tenth off.
+/// A lease of three time steps and a clock drift of 10 %.
 const TERMS: LeaseTerms = LeaseTerms {
     lease: 3_000,
     drift: 100_000,
 };
 
-struct World {
-    planted: PlantedFault,
+struct LeaseModel {
+    injected: InjectedFault,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     steps: u64,
     log: Vec<LeaseCommand>,
-    /// What a voter knows, and how many entries of the log it has applied.
+    /// The grants of each voter, and the number of log entries that it has applied.
     voters: [(GrantTable, usize); 1],
     leases: [HolderLease; 2],
-    /// Requests in flight: the broker, and the request's number.
+    /// Requests in flight: broker and request number.
     requests: Vec<(usize, u64)>,
-    /// Answers in flight: the broker, the request's number, the token or a rejection. They are
-    /// never removed: each may arrive late, twice, or not at all.
-    answers: Vec<(usize, u64, Option<FencingToken>)>,
-    /// Effects in flight, whose check has passed: the broker, and its token.
+    /// Responses in flight: broker, request number, and the token or `None` for a rejection. They
+    /// are never removed, since each may arrive late, twice, or not at all.
+    responses: Vec<(usize, u64, Option<FencingToken>)>,
+    /// Effects in flight, sent after a passed lease check: broker and token.
     effects: Vec<(usize, FencingToken)>,
     guard: FencingGuard,
-    /// The highest token of an effect that was accepted, and whether one was accepted with a lower
-    /// token than one before it.
+    /// Highest token of an accepted effect.
     last_token: FencingToken,
+    /// Whether an effect was accepted after one with a higher token.
     stale_accepted: bool,
     any_accepted: bool,
 }
@@ -67,44 +69,44 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Action {
     AdvanceTime,
-    /// A broker sends a request.
+    /// This broker sends a request.
     Request(usize),
     /// The request at this index reaches the log.
     Append(usize),
-    /// A voter applies its next entry of the log.
+    /// This voter applies its next log entry.
     Apply(usize),
-    /// A voter proposes that a lease has expired.
+    /// This voter proposes that a lease has expired.
     Expire(usize),
-    /// The answer at this index arrives.
-    Answer(usize),
-    /// A broker checks its lease and sends an effect.
+    /// The response at this index arrives.
+    Respond(usize),
+    /// This broker checks its lease and sends an effect.
     Check(usize),
     /// The effect at this index arrives.
     Effect(usize),
-    /// A broker releases the role.
+    /// This broker releases the role.
     Release(usize),
 }
 
-impl World {
+impl LeaseModel {
     fn terms(&self) -> LeaseTerms {
-        let ignores_drift = self.planted == PlantedFault::NoDrift;
+        let ignores_drift = self.injected == InjectedFault::NoDrift;
         LeaseTerms {
             drift: if ignores_drift { 0 } else { TERMS.drift },
             ..TERMS
         }
     }
 
-    /// The brokers' clocks are slow by a tenth: the worst that the terms allow.
+    /// Returns the time of the brokers' clocks, which are 10 % slow: the maximum drift.
     fn broker_clock(state: &State) -> Time {
         Time(1_000_000 + state.steps * STEP_MICROS * 90 / 100)
     }
 
-    /// The voters' clocks are fast by a tenth.
+    /// Returns the time of the voters' clocks, which are 10 % fast: the maximum drift.
     fn voter_clock(state: &State) -> Time {
         Time(1_000_000 + state.steps * STEP_MICROS * 110 / 100)
     }
 
-    /// The token under which a broker may act now, if it may.
+    /// Returns the token under which a broker may act now; `None` if it must not act.
     fn permission(&self, state: &State, broker: usize) -> Option<FencingToken> {
         let now = Self::broker_clock(state);
         state.leases[broker].check(now, self.terms()).token()
@@ -131,18 +133,18 @@
         Some(())
     }
 
-    fn append(state: &mut State, at: usize) -> Option<()> {
-        let (broker, number) = state.requests.remove(at);
+    fn append(state: &mut State, index: usize) -> Option<()> {
+        let (broker, number) = state.requests.remove(index);
         let command = LeaseCommand::Acquire(Self::role(), Self::holder(broker));
         state.log.push(command);
-        // What the complete log leads to is the answer, whenever a voter learns of it.
+        // The response follows from the complete log, whenever a voter applies it.
         let mut grants = GrantTable::default();
         let outcomes = state.log.iter().map(|c| grants.apply(Time(0), c));
         let token = match outcomes.last()? {
             Outcome::Granted(token, _) | Outcome::Renewed(token) => Some(token),
             _ => None,
         };
-        state.answers.push((broker, number, token));
+        state.responses.push((broker, number, token));
         Some(())
     }
 
@@ -161,8 +163,8 @@
         if state.log.contains(&command) {
             return None;
         }
-        if let (PlantedFault::LateRenewal, LeaseCommand::Expire(_, token, _)) =
-            (self.planted, &command)
+        if let (InjectedFault::LateRenewal, LeaseCommand::Expire(_, token, _)) =
+            (self.injected, &command)
         {
             command = LeaseCommand::Release(Self::role(), *token);
         }
@@ -170,19 +172,19 @@
         Some(())
     }
 
-    fn answer(&self, state: &mut State, at: usize) -> Option<()> {
+    fn respond(&self, state: &mut State, index: usize) -> Option<()> {
         let now = Self::broker_clock(state);
-        let (broker, number, token) = state.answers[at];
+        let (broker, number, token) = state.responses[index];
         let lease = &mut state.leases[broker];
         let before = lease.clone();
         match token {
             Some(token) => {
                 let is_granted = lease.on_grant(number, token);
-                if is_granted && self.planted == PlantedFault::CountedFromResponse {
-                    let mut late = before.clone();
-                    let repeated = late.on_request(now);
-                    late.on_grant(repeated, token);
-                    *lease = late;
+                if is_granted && self.injected == InjectedFault::CountedFromResponse {
+                    let mut measured_late = before.clone();
+                    let repeated = measured_late.on_request(now);
+                    measured_late.on_grant(repeated, token);
+                    *lease = measured_late;
                 }
             }
             None => lease.on_rejection(number),
@@ -199,10 +201,10 @@
         Some(())
     }
 
-    fn effect(&self, state: &mut State, at: usize) -> Option<()> {
-        let (_, token) = state.effects.remove(at);
+    fn effect(&self, state: &mut State, index: usize) -> Option<()> {
+        let (_, token) = state.effects.remove(index);
         let verdict = state.guard.on_effect(&Self::role(), token);
-        if matches!(verdict, Verdict::Accept(_)) || self.planted == PlantedFault::NoFencing {
+        if matches!(verdict, Verdict::Accept(_)) || self.injected == InjectedFault::NoFencing {
             state.stale_accepted |= token < state.last_token;
             (state.last_token, state.any_accepted) = (token.max(state.last_token), true);
         }
@@ -218,7 +220,7 @@
     }
 }
 
-impl Model for World {
+impl Model for LeaseModel {
     type State = State;
     type Action = Action;
 
@@ -229,7 +231,7 @@
             voters: Default::default(),
             leases: Default::default(),
             requests: Vec::new(),
-            answers: Vec::new(),
+            responses: Vec::new(),
             effects: Vec::new(),
             guard: FencingGuard::default(),
             last_token: FencingToken(0),
@@ -244,10 +246,11 @@
             actions.push(Action::Request(broker));
             actions.push(Action::Check(broker));
         }
-        // The first broker may release the role; that of the other one would add nothing new.
+        // Only the first broker may release the role; a release of the second adds no new
+        // behaviour.
         actions.extend([Action::Apply(0), Action::Expire(0), Action::Release(0)]);
         actions.extend((0..state.requests.len()).map(Action::Append));
-        actions.extend((0..state.answers.len()).map(Action::Answer));
+        actions.extend((0..state.responses.len()).map(Action::Respond));
         actions.extend((0..state.effects.len()).map(Action::Effect));
     }
 
@@ -256,12 +259,12 @@
         match action {
             Action::AdvanceTime => state.steps += 1,
             Action::Request(broker) => Self::request(&mut state, broker)?,
-            Action::Append(at) => Self::append(&mut state, at)?,
+            Action::Append(index) => Self::append(&mut state, index)?,
             Action::Apply(voter) => Self::apply(&mut state, voter)?,
             Action::Expire(voter) => self.expire(&mut state, voter)?,
-            Action::Answer(at) => self.answer(&mut state, at)?,
+            Action::Respond(index) => self.respond(&mut state, index)?,
             Action::Check(broker) => self.check(&mut state, broker)?,
-            Action::Effect(at) => self.effect(&mut state, at)?,
+            Action::Effect(index) => self.effect(&mut state, index)?,
             Action::Release(broker) => self.release(&mut state, broker)?,
         }
         Some(state)
@@ -269,71 +272,69 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("one holder may act", |world: &World, state: &State| {
-                !(world.permission(state, 0).is_some() && world.permission(state, 1).is_some())
+            Property::always("one broker may act", |model: &LeaseModel, state: &State| {
+                !(model.permission(state, 0).is_some() && model.permission(state, 1).is_some())
             }),
-            Property::always(
-                "no effect is taken after a newer one",
-                |_, state: &State| !state.stale_accepted,
-            ),
-            Property::sometimes("an effect is taken", |_, state: &State| state.any_accepted),
-            Property::sometimes("the other one holds it in its turn", |_, state: &State| {
+            Property::always("no stale effect is accepted", |_, state: &State| {
+                !state.stale_accepted
+            }),
+            Property::sometimes("an effect is accepted", |_, state: &State| {
+                state.any_accepted
+            }),
+            Property::sometimes("the role passes to a second grant", |_, state: &State| {
                 state.last_token >= FencingToken(2)
             }),
         ]
     }
 }
 
-/// The number of states, and the properties that one of them breaks.
-fn check(planted: PlantedFault) -> (usize, Vec<&'static str>) {
-    let checker = World { planted }
+/// Explores the model. Returns the number of states and the violated properties.
+fn check_model(injected: InjectedFault) -> (usize, Vec<&'static str>) {
+    let checker = LeaseModel { injected }
         .checker()
         .threads(4)
         .target_max_depth(MAX_DEPTH)
         .spawn_bfs()
         .join();
-    let broken = checker
+    let violated = checker
         .discoveries()
         .into_keys()
         .filter(|name| name.starts_with("no ") || name.starts_with("one "));
-    let reached = ["an effect is taken", "the other one holds it in its turn"];
-    if planted == PlantedFault::Nothing {
+    let reached = ["an effect is accepted", "the role passes to a second grant"];
+    if injected == InjectedFault::Nothing {
         assert!(
             reached
                 .iter()
                 .all(|r| checker.discoveries().contains_key(r)),
-            "the world is too small"
+            "the bounds are too small to reach {reached:?}"
         );
     }
-    (checker.unique_state_count(), broken.collect())
+    (checker.unique_state_count(), violated.collect())
 }
 
 #[test]
-fn no_reachable_state_has_two_holders_or_accepts_an_effect_of_a_former_one() {
-    let (states, broken) = check(PlantedFault::Nothing);
+fn no_reachable_state_has_two_holders_or_accepts_a_stale_effect() {
+    let (states, violated) = check_model(InjectedFault::Nothing);
     println!("{states} states");
     assert!(
-        broken.is_empty() && states > 10_000,
-        "{states} states: {broken:?}"
+        violated.is_empty() && states > 10_000,
+        "{states} states: {violated:?}"
     );
 }
 
 #[test]
-fn each_planted_fault_is_found() {
-    for (planted, property) in [
-        (PlantedFault::NoDrift, "one holder may act"),
-        (PlantedFault::CountedFromResponse, "one holder may act"),
-        (PlantedFault::LateRenewal, "one holder may act"),
-        (
-            PlantedFault::NoFencing,
-            "no effect is taken after a newer one",
-        ),
+fn each_injected_fault_is_detected() {
+    for (injected, property) in [
+        (InjectedFault::NoDrift, "one broker may act"),
+        (InjectedFault::CountedFromResponse, "one broker may act"),
+        (InjectedFault::LateRenewal, "one broker may act"),
+        (InjectedFault::NoFencing, "no stale effect is accepted"),
     ] {
-        let (states, broken) = check(planted);
-        println!("{planted:?}: {states} states, {broken:?}");
+        let (states, violated) = check_model(injected);
+        println!("{injected:?}: {states} states, {violated:?}");
         assert!(
-            broken.contains(&property),
-            "{planted:?}: {states} states, {broken:?}"
+            violated.contains(&property),
+            "{injected:?}: {states} states, {violated:?}"
         );
     }
 }
