--- a/src/decide/discovery/call_pacer.rs
+++ b/src/decide/discovery/call_pacer.rs
@@ -1,60 +1,68 @@
-//! When to call discovery. All brokers of a fleet share one discovery, which handles calls one after
-//! another and fails those that wait too long; only a watch that is renewed costs it nothing. First
-//! calls that arrive together fail together, and so do their retries: each broker spreads its own
-//! over a time that grows with the fleet and that it adjusts to what it observes. The brokers do not
+//! Decides when to call discovery.
+//!
+//! All brokers of a fleet share one discovery service. It handles calls sequentially and fails
+//! calls that wait too long; only the renewal of a watch costs it nothing. First calls that arrive
+//! together fail together, and so do their retries. Therefore each broker randomizes its calls over
+//! a time that grows with the fleet and adapts to the observed failures. The brokers do not
 //! coordinate.
 //!
-//! Where lists are pushed, an agent of the broker's own machine has them. Calls to it cost nobody
-//! anything, and while it has nothing to report since discovery is down, it is silent. There the
-//! watch is renewed by short calls, and a failed one is retried soon.
+//! Where lists are pushed, an agent on the broker's own machine has them. Calls to the agent do not
+//! load discovery. While discovery is down, the agent has nothing to report and does not respond.
+//! Therefore the watch at an agent is renewed by short calls, and a failed call is retried soon.
 
 use crate::interface::{Micros, Time};
 use crate::stats::SeededRng;
 use std::fmt;
 
-/// How long a call is assumed to keep discovery busy, until failures show otherwise (microseconds).
-/// Measured with 100 brokers: 16 calls a second.
+/// Initial estimate of the time for which a call occupies discovery (microseconds): discovery
+/// handles 16 calls a second with 100 brokers.
 const CALL_COST: Micros = 60_000;
-/// The least that it is assumed to, however many calls are answered (microseconds).
+/// Lower bound of that estimate, however many calls succeed (microseconds).
 const MIN_CALL_COST: Micros = 15_000;
-/// A call that could not be sent is retried after this long, up to twice (microseconds).
+/// Minimum delay before a call that could not be sent is retried (microseconds). The maximum is
+/// twice this.
 const UNSENT_RETRY_DELAY: Micros = 100_000;
-/// A call to the agent of the own machine that failed is retried after this long (microseconds):
-/// half of the 200 ms within which a watch can be renewed.
+/// Delay before a failed call to the agent of the own machine is retried (microseconds): half of
+/// the 200 ms within which a watch can be renewed.
 const AGENT_RETRY_DELAY: Micros = 100_000;
 
-// ---- The rules' deadlines, by which a broker has to know of a change, and what follows from them.
+// ---- Deadlines by which a broker has to know of a change, and the times derived from them.
 
-/// A broker has to know what a silent watch misses this long after that, or [`WAIT_DEADLINE`] after
-/// the wait of its call is over, if that is later (microseconds). So a wait longer than the
-/// difference gains nothing.
+/// A broker has to know of a change that a stalled watch has missed within this time after the
+/// change (microseconds), or within [`WAIT_DEADLINE`] after the wait of its call has ended,
+/// whichever is later. Therefore a wait longer than the difference has no advantage.
 const STALLED_WATCH_DEADLINE: Micros = 6_000_000;
+/// See [`STALLED_WATCH_DEADLINE`] (microseconds).
 const WAIT_DEADLINE: Micros = 2_000_000;
-/// After a failed, rejected or abandoned call a broker has to know of a change this long after
-/// discovery had it and was reachable (microseconds).
+/// After a failed, rejected or aborted call, a broker has to know of a change within this time
+/// after discovery had the change and was reachable (microseconds).
 const FAILURE_DEADLINE: Micros = 6_000_000;
-/// After SIGHUP a broker has to know all of the new discovery by then (microseconds).
+/// After SIGHUP, a broker has to know the complete list of the new discovery within this time
+/// (microseconds).
 const MOVE_DEADLINE: Micros = 4_000_000;
-/// The least that remains of each of these times (microseconds): for a busy processor, the loop's
-/// turn and the network.
+/// Minimum reserve that is left of each of these deadlines (microseconds): for a busy processor, an
+/// iteration of the event loop, and the network.
 const HEADROOM: Micros = 250_000;
-/// The times of a watch of the shared discovery. A silent one is noticed when its wait and the
-/// margin of its response are over, opened again within [`REOPEN_DELAY`], and answered within the
-/// time of a first call: all that before the broker has to know what it missed, wherever in its wait
-/// it fell silent. Measured: 300 renewed watches are answered within 0.1 s after their wait; a first
-/// call waits in discovery's queue before, so that it asks for a short wait.
+/// Times of a watch at the shared discovery.
+///
+/// A stalled watch is detected when its wait and the response margin have passed. It is reopened
+/// within [`REOPEN_DELAY`] and answered within the timeout of a first call. All of this ends before
+/// the deadline, no matter when during its wait the watch stalled. Discovery answers 300 renewed
+/// watches within 0.1 s after their wait. A first call additionally waits in discovery's queue, so
+/// it requests a short wait.
 const SHARED_WATCH: WatchTimes = WatchTimes {
     first_wait: 100_000,
     renewal_wait: 2_000_000,
     first_margin: 1_400_000,
     renewal_margin: 500_000,
 };
-/// The next call is made this soon at the latest, however long the failed one has taken
+/// Bound on the delay before the next call if the failed call has used up [`MAX_CALL_CYCLE`]
 /// (microseconds).
 const REOPEN_DELAY: Micros = 600_000;
-/// The longest time from the start of a call that fails to the next one (microseconds): what the
-/// failure has not taken of it may be waited. A change may come just after the start of a call that
-/// fails; the next one may fail too; the one after that is answered in time.
+/// Maximum time from the start of a failed call to the next call (microseconds). The next call may
+/// be delayed by the part that the failed call has not used. If a change occurs just after the
+/// start of a call that fails, and the next call fails as well, the call after that is answered in
+/// time.
 const MAX_CALL_CYCLE: Micros = 2_100_000;
 const _: () = assert!(SHARED_WATCH.renewal_wait + WAIT_DEADLINE <= STALLED_WATCH_DEADLINE);
 const _: () = assert!(
@@ -64,11 +72,11 @@
 const _: () =
     assert!(2 * MAX_CALL_CYCLE + SHARED_WATCH.first_timeout() + HEADROOM <= FAILURE_DEADLINE);
 const _: () = assert!(SHARED_WATCH.first_timeout() + REOPEN_DELAY <= MAX_CALL_CYCLE);
-/// The call to another address is made this soon at the latest (microseconds).
+/// Maximum delay before the first call to a new address (microseconds).
 const MAX_MOVE_DELAY: Micros = 2_000_000;
 const _: () = assert!(MAX_MOVE_DELAY + SHARED_WATCH.first_timeout() + HEADROOM <= MOVE_DEADLINE);
-/// The times of a watch of the own machine's agent, which answers at once, and whose lists the
-/// broker has to know from when the agent has them: one that fell silent is noticed soon, and called
+/// Times of a watch at the own machine's agent. The agent responds at once, and the deadlines start
+/// when the agent has a list. Therefore a stalled watch is detected soon, and the agent is called
 /// again after [`AGENT_RETRY_DELAY`].
 const AGENT_WATCH: WatchTimes = WatchTimes {
     first_wait: 100_000,
@@ -85,45 +93,47 @@
         <= MOVE_DEADLINE
 );
 
-/// The calls of a fleet that fit into this are not spread (microseconds): a watch can be renewed
-/// within it.
+/// Time within which a watch can be renewed (microseconds). If the first calls of a whole fleet fit
+/// into it, they are not randomized.
 const RENEWAL_GAP: Micros = 200_000;
-/// A failed call multiplies the spread by the first, an answered one by the second.
+/// Factor by which a failed call increases the spread.
 const SPREAD_GROWTH: f64 = 2.0;
+/// Factor by which a successful call reduces the spread.
 const SPREAD_DECAY: f64 = 0.9;
-/// The longest wait before the first call, as a share of the time in which a broker has to call.
+/// Maximum delay before the first call, as a share of the call interval.
 const MAX_START_SHARE: f64 = 0.6;
-/// That time where none is set (microseconds).
+/// Call interval if none is configured (microseconds).
 const DEFAULT_CALL_INTERVAL: Micros = 10_000_000;
 
-/// The times of the calls of a watch (microseconds).
+/// The wait times of the calls of a watch and the margins of their responses (microseconds).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WatchTimes {
-    /// How long the first call of a watch waits for a change.
+    /// Time that the first call of a watch waits for a change.
     pub first_wait: Micros,
-    /// How long a call that renews a watch does.
+    /// Time that a call that renews a watch waits for a change.
     pub renewal_wait: Micros,
-    /// How much longer than its wait the first call may take.
+    /// Time by which the first call may exceed its wait.
     pub first_margin: Micros,
-    /// How much longer than its wait a renewal may take.
+    /// Time by which a renewal may exceed its wait.
     pub renewal_margin: Micros,
 }
 
 impl WatchTimes {
-    /// The longest that the first call of a watch may take.
+    /// Returns the maximum duration of the first call of a watch.
     #[must_use]
     pub const fn first_timeout(&self) -> Micros {
         self.first_wait + self.first_margin
     }
 
-    /// The longest that a call that renews a watch may take.
+    /// Returns the maximum duration of a call that renews a watch.
     #[must_use]
     pub const fn renewal_timeout(&self) -> Micros {
         self.renewal_wait + self.renewal_margin
     }
 
-    /// How long a call waits for a change, and how much longer it may take; `renews`: it renews a
-    /// watch; `has_list`: a list is known, without which there is nothing to wait for.
+    /// Returns how long a call waits for a change, and by how much it may exceed that wait.
+    /// `renews` tells whether the call renews a watch, `has_list` whether a list is known. Without
+    /// a list the call does not wait.
     #[must_use]
     pub fn wait_and_margin(&self, renews: bool, has_list: bool) -> (Micros, Micros) {
         match (renews, has_list) {
@@ -134,38 +144,38 @@
     }
 }
 
-/// Why a call is made then. The names are those of the log.
+/// The reason for the time of a call. The variant names appear in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// The first calls of a fleet as small as this do not get in each other's way.
+    /// The fleet is so small that its first calls do not overload discovery.
     Few,
-    /// No list is known: nothing can be served before it.
+    /// No list is known, so the broker can't serve requests yet.
     NothingKnown,
-    /// The fleet may have started together.
+    /// The broker has started, possibly together with the whole fleet.
     Start,
-    /// The watch is renewed if the next call arrives within 200 ms.
+    /// The previous call was answered. Its watch is renewed if the next call arrives within 200 ms.
     Answered,
-    /// Discovery has more calls than it can handle, is down, or is partitioned off.
+    /// The call failed: discovery is overloaded, down or unreachable.
     Failed,
-    /// Another address is to be called from now on.
+    /// The address of discovery has changed.
     Moved,
-    /// The call could not be sent, and discovery has no part in that.
+    /// The call could not be sent for a local reason, independent of discovery.
     Unmade,
-    /// Nothing arrived, not even a rejection: the network or the watch is broken. Discovery is not
-    /// called less for it.
+    /// No response arrived, not even a rejection: the network or the watch has failed. This does
+    /// not reduce the rate of calls.
     Silent,
-    /// The agent of the own machine has the list, and calls cost it nothing.
+    /// The call goes to the agent of the own machine, which needs no pacing.
     Agent,
 }
 
-/// When the next call may be made, and why then.
+/// The decision when to make the next call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NextCall {
-    /// Not before this.
+    /// Earliest time of the call.
     pub at: Time,
-    /// The reason.
+    /// Reason for this time.
     pub reason: Reason,
-    /// The time over which calls after failures are spread by now (microseconds).
+    /// Current time over which calls after failures are randomized (microseconds).
     pub spread: Micros,
 }
 
@@ -176,26 +186,27 @@
     }
 }
 
-/// Paces one broker's calls.
+/// Paces the calls of one broker to discovery.
 #[derive(Clone, Debug)]
 pub struct CallPacer {
     rng: SeededRng,
-    /// How many brokers share discovery.
+    /// Number of brokers that share discovery.
     brokers: u64,
-    /// The time in which a broker has to call; 0: no such time is set.
+    /// Time within which a broker has to call again (microseconds); 0 if not configured.
     call_interval: Micros,
+    /// Time over which calls after failures are randomized (microseconds).
     spread: Micros,
-    /// Discovery is an agent of this machine, which nobody else calls.
+    /// Whether discovery is an agent on this machine, which only this broker calls.
     is_agent: bool,
 }
 
 impl CallPacer {
-    /// Paces the calls of one of `brokers`, each of which has to call again within `call_interval`
-    /// microseconds.
+    /// Creates the pacer of a broker in a fleet of `brokers`. Each broker has to call again within
+    /// `call_interval` microseconds; 0 selects the default.
     #[must_use]
     pub fn new(seed: u64, brokers: u32, call_interval: Micros) -> CallPacer {
         let brokers = u64::from(brokers.max(1));
-        // The module has the same seed, and must not draw the same numbers.
+        // The decision module uses the same seed and must not draw the same numbers.
         let rng = SeededRng(fastrand::Rng::with_seed(seed ^ 0x5bd1_e995_9e37_79b9));
         CallPacer {
             rng,
@@ -206,7 +217,7 @@
         }
     }
 
-    /// Paces the calls of a broker whose lists are pushed to an agent of its own machine.
+    /// Creates the pacer of a broker whose lists are pushed to an agent on its own machine.
     #[must_use]
     pub fn for_agent(seed: u64) -> CallPacer {
         CallPacer {
@@ -216,13 +227,13 @@
         }
     }
 
-    /// Whether the watch is renewed without a request of the decision module.
+    /// Returns whether the watch is renewed without a request from the decision module.
     #[must_use]
     pub fn renews_by_itself(&self) -> bool {
         self.is_agent
     }
 
-    /// The times of a call.
+    /// Returns the wait times and margins of the calls of a watch.
     #[must_use]
     pub fn watch_times(&self) -> WatchTimes {
         match self.is_agent {
@@ -231,7 +242,7 @@
         }
     }
 
-    /// This share of the time in which a broker has to call.
+    /// Returns the given share of the call interval.
     fn share_of_interval(&self, share: f64) -> Micros {
         let interval = match self.call_interval {
             0 => DEFAULT_CALL_INTERVAL,
@@ -240,19 +251,19 @@
         (interval as f64 * share) as Micros
     }
 
-    /// The time in which discovery is assumed to handle a call of each broker.
+    /// Returns the estimated time for discovery to handle one call of each broker.
     fn fleet_cost(&self) -> Micros {
         self.brokers * CALL_COST
     }
 
-    /// Whether the first calls of the whole fleet fit into the gap.
+    /// Returns whether the first calls of the whole fleet fit into [`RENEWAL_GAP`].
     fn is_small_fleet(&self) -> bool {
         self.fleet_cost() < RENEWAL_GAP
     }
 
-    /// A random time up to `within` from then on: brokers that were partitioned off together do not
-    /// call together.
-    fn jitter(&mut self, from: Time, within: Micros, reason: Reason) -> NextCall {
+    /// Schedules the next call at a random time in the `within` microseconds after `from`, so that
+    /// brokers that lost contact at the same time do not call at the same time.
+    fn call_within(&mut self, from: Time, within: Micros, reason: Reason) -> NextCall {
         NextCall {
             at: from.plus(self.rng.0.u64(0..=within)),
             reason,
@@ -268,7 +279,7 @@
         }
     }
 
-    fn agent_retry(now: Time) -> NextCall {
+    fn retry_agent(now: Time) -> NextCall {
         NextCall {
             at: now.plus(AGENT_RETRY_DELAY),
             reason: Reason::Agent,
@@ -276,7 +287,7 @@
         }
     }
 
-    /// The first call after a start; `has_list`: some list is known.
+    /// Schedules the first call after a start. `has_list` tells whether a list is known.
     pub fn on_start(&mut self, now: Time, has_list: bool) -> NextCall {
         if self.is_agent {
             self.call_now(now, Reason::Agent)
@@ -285,13 +296,13 @@
         } else if self.is_small_fleet() {
             self.call_now(now, Reason::Few)
         } else {
-            let longest = self.share_of_interval(MAX_START_SHARE);
-            self.jitter(now, self.fleet_cost().min(longest), Reason::Start)
+            let max_delay = self.share_of_interval(MAX_START_SHARE);
+            self.call_within(now, self.fleet_cost().min(max_delay), Reason::Start)
         }
     }
 
-    /// The first call to another address, which the operators name to all brokers at once. The known
-    /// list is good until then.
+    /// Schedules the first call to a new address, which operators set at all brokers at the same
+    /// time. The known list remains in use until then.
     pub fn on_address_change(&mut self, now: Time) -> NextCall {
         if self.is_agent {
             self.call_now(now, Reason::Agent)
@@ -299,60 +310,61 @@
             self.call_now(now, Reason::Few)
         } else {
             let within = self.fleet_cost().min(MAX_MOVE_DELAY);
-            self.jitter(now, within, Reason::Moved)
+            self.call_within(now, within, Reason::Moved)
         }
     }
 
-    /// A call was answered: the next one is made at once, which renews the watch. Measured:
-    /// discovery accepts the renewals of 100 watches together, while it fails first calls that come
-    /// faster than 16 a second.
+    /// Schedules the call after a response: at once, which renews the watch. Discovery accepts the
+    /// renewals of 100 watches at the same time, but fails first calls that arrive faster than 16 a
+    /// second.
     pub fn on_response(&mut self, now: Time) -> NextCall {
         if self.is_agent {
             return self.call_now(now, Reason::Agent);
         }
-        let least = (self.brokers * MIN_CALL_COST).min(self.spread);
-        self.spread = ((self.spread as f64 * SPREAD_DECAY) as Micros).max(least);
+        let min_spread = (self.brokers * MIN_CALL_COST).min(self.spread);
+        self.spread = ((self.spread as f64 * SPREAD_DECAY) as Micros).max(min_spread);
         self.call_now(now, Reason::Answered)
     }
 
-    /// A call that was started at `started_at` was rejected, answered with a failure or aborted:
-    /// discovery has more calls than it can handle, or is down. Exponential backoff with full jitter
-    /// guards it against retries that wait in vain behind each other; the bound of it guards the
-    /// rule on drains, and takes precedence.
+    /// Schedules the call after one that started at `started_at` and was rejected, aborted or
+    /// answered with an error: discovery is overloaded or down. Exponential backoff with full
+    /// jitter prevents retries that fail because they wait behind each other. The bound of the
+    /// backoff takes precedence, since the broker has to know of drained nodes by the deadline.
     pub fn on_failure(&mut self, now: Time, started_at: Time) -> NextCall {
         if self.is_agent {
-            return Self::agent_retry(now);
+            return Self::retry_agent(now);
         }
         let grown = (self.spread as f64 * SPREAD_GROWTH) as Micros;
         self.spread = grown.max(self.fleet_cost()).min(MAX_CALL_CYCLE);
         let within = self.spread.min(Self::remaining_cycle(now, started_at));
-        self.jitter(now, within, Reason::Failed)
+        self.call_within(now, within, Reason::Failed)
     }
 
-    /// How long may be waited after a call that was started then.
+    /// Returns the maximum delay after a call that started at `started_at` and has ended at `now`.
     fn remaining_cycle(now: Time, started_at: Time) -> Micros {
         MAX_CALL_CYCLE
             .saturating_sub(now.since(started_at))
             .max(REOPEN_DELAY)
     }
 
-    /// A watch has fallen silent, or no connection came up: it is opened again, soon. Guards the
-    /// rule on drains: the broker has to know what the watch missed whether or not it arrived.
-    /// Discovery is not called less for it, since a busy one says so; the calls of watches that fell
-    /// silent together are spread, and each broker has one in flight at most.
+    /// Schedules the call after a watch has stalled or a connection could not be opened: soon,
+    /// since the broker has to know of drained nodes by the deadline even if the watch missed the
+    /// change. The spread does not grow, because an overloaded discovery rejects calls. The calls
+    /// of watches that stalled together are randomized, and each broker has at most one call in
+    /// flight.
     pub fn on_timeout(&mut self, now: Time, started_at: Time) -> NextCall {
         if self.is_agent {
-            return Self::agent_retry(now);
+            return Self::retry_agent(now);
         }
         let within = self
             .fleet_cost()
             .min(Self::remaining_cycle(now, started_at));
-        self.jitter(now, within, Reason::Silent)
+        self.call_within(now, within, Reason::Silent)
     }
 
-    /// A call could not be sent for lack of this process's own resources. Guards the rule on drains:
-    /// discovery is not too busy, and to wait as if it were would leave this broker with an old
-    /// list.
+    /// Schedules the call after one that could not be sent because this process lacks resources.
+    /// Discovery is not overloaded, so a longer delay would only leave this broker with an outdated
+    /// list past the drain deadline.
     pub fn on_unsent(&mut self, now: Time) -> NextCall {
         let delay = UNSENT_RETRY_DELAY + self.rng.0.u64(0..=UNSENT_RETRY_DELAY);
         NextCall {
--- a/src/decide/discovery/call_pacer/tests.rs
+++ b/src/decide/discovery/call_pacer/tests.rs
@@ -5,24 +5,24 @@
 
 const SECOND: Micros = 1_000_000;
 
-/// What the calls of a fleet led to.
+/// The result of simulating the calls of a fleet.
 struct Outcome {
     calls: usize,
     failed_calls: usize,
-    /// How old the list of a broker was from the fifth second on, at the worst and in the mean
-    /// (seconds).
+    /// Maximum age of a broker's list from the fifth second on (seconds).
     max_age_s: f64,
+    /// Mean age of the brokers' lists from the fifth second on (seconds).
     mean_age_s: f64,
 }
 
-/// A discovery that handles one call after another and fails those that have waited for 2 s, in
-/// whose queue the failed ones stay; a watch that is renewed within 200 ms goes on. The list changes
-/// every second from the third to the tenth.
+/// Simulates a fleet that calls a discovery which handles calls sequentially. A call fails after
+/// waiting for 2 s and stays in the queue. A watch that is renewed within 200 ms continues. The
+/// list changes every second from the third to the tenth.
 fn run_discovery(brokers: u32, call_cost: Micros, is_paced: bool) -> Outcome {
     let mut pacers: Vec<CallPacer> = (0..brokers)
         .map(|i| CallPacer::new(u64::from(i), brokers, DEFAULT_CALL_INTERVAL))
         .collect();
-    // Calls to be made, the latest last; calls that wait; watches; when each broker was up to date.
+    // Scheduled calls, ordered by time; queued calls; open watches; last update of each broker.
     let mut calls: BinaryHeap<std::cmp::Reverse<(Time, usize)>> = BinaryHeap::new();
     let (mut queue, mut watches): (VecDeque<(Time, usize)>, Vec<usize>) =
         (VecDeque::new(), Vec::new());
@@ -35,7 +35,7 @@
         };
         calls.push(std::cmp::Reverse((at, i)));
     }
-    let (mut calls_made, mut calls_failed, mut worst, mut sum, mut looks) = (0, 0, 0, 0, 0);
+    let (mut calls_made, mut calls_failed, mut max_age, mut age_sum, mut samples) = (0, 0, 0, 0, 0);
     let mut idle_at = Time(0);
     for now in (0..12 * SECOND).step_by(5_000).map(Time) {
         while calls.peek().is_some_and(|c| c.0 .0 <= now) {
@@ -45,12 +45,12 @@
             calls_made += 1;
             queue.push_back((now, i));
         }
-        let old: Vec<(Time, usize)> = queue
+        let expired: Vec<(Time, usize)> = queue
             .iter()
             .filter(|(at, _)| now.since(*at) == 2 * SECOND)
             .copied()
             .collect();
-        for (started_at, i) in old {
+        for (started_at, i) in expired {
             calls_failed += 1;
             let at = if is_paced {
                 pacers[i].on_failure(now, started_at).at
@@ -74,31 +74,31 @@
                 last_update[i] = now;
                 assert!(
                     pacers[i].on_response(now).at.since(now) < RENEWAL_GAP,
-                    "the watch goes on"
+                    "the watch must be renewed in time"
                 );
             }
         }
         if now >= Time(5 * SECOND) && now.0 % SECOND == 0 {
             for at in &last_update {
-                worst = worst.max(now.since(*at));
-                (sum, looks) = (sum + now.since(*at), looks + 1);
+                max_age = max_age.max(now.since(*at));
+                (age_sum, samples) = (age_sum + now.since(*at), samples + 1);
             }
         }
     }
     Outcome {
         calls: calls_made,
         failed_calls: calls_failed,
-        max_age_s: worst as f64 / 1e6,
-        mean_age_s: sum as f64 / 1e6 / f64::from(looks),
+        max_age_s: max_age as f64 / 1e6,
+        mean_age_s: age_sum as f64 / 1e6 / f64::from(samples),
     }
 }
 
 #[test]
-fn hundred_brokers_stay_up_to_date_with_a_discovery_that_they_could_overload() {
+fn paced_calls_of_hundred_brokers_do_not_overload_discovery() {
     let unpaced = run_discovery(100, 60_000, false);
     assert!(
         unpaced.failed_calls > 300 && unpaced.mean_age_s > 5.0,
-        "at once they fail together, {} times, {:.1} s behind",
+        "unpaced calls fail together: {} failures, {:.1} s behind",
         unpaced.failed_calls,
         unpaced.mean_age_s
     );
@@ -111,22 +111,22 @@
     );
     assert!(
         paced.mean_age_s < 0.5,
-        "{:.1} s behind in the mean, {:.1} s at the worst",
+        "{:.1} s behind on average, {:.1} s at most",
         paced.mean_age_s,
         paced.max_age_s
     );
 }
 
 #[test]
-fn discovery_too_slow_for_its_fleet_is_called_no_more_than_the_rule_on_drains_requires() {
-    // A call fails after 2 s there, so that REOPEN_DELAY is left of a cycle: half of that in the
-    // mean. The first calls are spread.
+fn overloaded_discovery_is_called_no_more_than_the_deadline_requires() {
+    // A call fails after 2 s, so the delay before the next one is at most REOPEN_DELAY and half of
+    // that on average. The first calls are randomized.
     let paced = run_discovery(100, 120_000, true);
-    let each = |time: f64| 100.0 * time / (2e6 + REOPEN_DELAY as f64 / 2.0);
-    let (least, most) = (each(12e6 - 6e6) * 0.8, each(12e6));
+    let calls_in = |time: f64| 100.0 * time / (2e6 + REOPEN_DELAY as f64 / 2.0);
+    let (least, most) = (calls_in(12e6 - 6e6) * 0.8, calls_in(12e6));
     assert!(
         (least..most).contains(&(paced.calls as f64)),
-        "{} of {most:.0} at the most",
+        "{} calls, at most {most:.0} expected",
         paced.calls
     );
     let unpaced = run_discovery(100, 120_000, false);
@@ -149,7 +149,7 @@
             (now, now)
         );
     }
-    // After a failure even these are spread: a discovery that is down is not called in a busy loop.
+    // After a failure even a small fleet is randomized: no busy loop of calls if discovery is down.
     let waits: Vec<Micros> = (0..100)
         .map(|_| pacer.on_failure(Time(5), Time(5)).at.since(Time(5)))
         .collect();
@@ -167,21 +167,21 @@
     );
     for i in 0..200 {
         let now = Time(i * SECOND);
-        let asked = [
+        let scheduled = [
             pacer.on_start(now, false),
             pacer.on_start(now, true),
             pacer.on_response(now),
         ];
-        assert!(asked.iter().all(|v| v.at == now), "{asked:?}");
-        let calls_failed = pacer.on_failure(now, now);
+        assert!(scheduled.iter().all(|call| call.at == now), "{scheduled:?}");
+        let retry = pacer.on_failure(now, now);
         assert!(
-            calls_failed.at > now && calls_failed.at.since(now) < RENEWAL_GAP,
-            "{calls_failed}"
+            retry.at > now && retry.at.since(now) < RENEWAL_GAP,
+            "{retry}"
         );
         assert_eq!(pacer.on_address_change(now).at, now);
         assert!(pacer.on_unsent(now).at.since(now) <= RENEWAL_GAP);
     }
-    // A silent one is called again in time.
+    // A stalled watch is detected and retried in time.
     let watch_times = pacer.watch_times();
     assert!(
         watch_times.renewal_wait + watch_times.renewal_margin + RENEWAL_GAP < 2 * SECOND,
@@ -191,36 +191,38 @@
 }
 
 #[test]
-fn silent_watch_is_opened_again_before_its_deadline() {
+fn stalled_watch_is_reopened_before_its_deadline() {
     for brokers in [3, 4, 30, 300, 5_000] {
         let mut pacers: Vec<CallPacer> = (0..100)
             .map(|i| CallPacer::new(i, brokers, DEFAULT_CALL_INTERVAL))
             .collect();
         let watch_times = pacers[0].watch_times();
-        let mut at = Vec::new();
+        let mut delays = Vec::new();
         for pacer in &mut pacers {
-            // Discovery was too busy before: that says nothing of a silence.
+            // Earlier failures must not affect the delay after a timeout.
             (0..5).for_each(|i| _ = pacer.on_failure(Time(i * SECOND), Time(i * SECOND)));
             let spread = pacer.spread;
-            for begun in (0..50).map(|i| Time(i * SECOND)) {
-                let noticed = begun.plus(watch_times.renewal_wait + watch_times.renewal_margin);
-                let verdict = pacer.on_timeout(noticed, begun);
-                let answered = verdict.at.plus(watch_times.first_timeout());
+            for started_at in (0..50).map(|i| Time(i * SECOND)) {
+                let detected_at =
+                    started_at.plus(watch_times.renewal_wait + watch_times.renewal_margin);
+                let next_call = pacer.on_timeout(detected_at, started_at);
+                let answered_at = next_call.at.plus(watch_times.first_timeout());
                 assert!(
-                    answered.since(begun) + HEADROOM <= STALLED_WATCH_DEADLINE,
-                    "{verdict}"
+                    answered_at.since(started_at) + HEADROOM <= STALLED_WATCH_DEADLINE,
+                    "{next_call}"
                 );
-                at.push(verdict.at.since(noticed));
+                delays.push(next_call.at.since(detected_at));
             }
-            assert_eq!(pacer.spread, spread, "it is no failure");
+            assert_eq!(pacer.spread, spread, "a timeout does not change the spread");
         }
-        at.sort_unstable();
+        delays.sort_unstable();
         let within = (u64::from(brokers) * CALL_COST).min(REOPEN_DELAY);
-        let half = at.iter().filter(|a| **a < within / 2).count();
-        let spread = (at.len() / 3..at.len() * 2 / 3).contains(&half) && at[at.len() - 1] <= within;
+        let half = delays.iter().filter(|delay| **delay < within / 2).count();
+        let is_spread = (delays.len() / 3..delays.len() * 2 / 3).contains(&half)
+            && delays[delays.len() - 1] <= within;
         assert!(
-            spread,
-            "{brokers}: those that fell silent together come together"
+            is_spread,
+            "{brokers} brokers: calls after simultaneous stalls are not spread"
         );
     }
     assert_eq!(
@@ -233,7 +235,7 @@
 
 #[test]
 fn call_after_any_two_failures_is_answered_before_its_deadline() {
-    for (brokers, every) in [
+    for (brokers, call_interval) in [
         (1, DEFAULT_CALL_INTERVAL),
         (3, DEFAULT_CALL_INTERVAL),
         (20, DEFAULT_CALL_INTERVAL),
@@ -242,38 +244,38 @@
         (5_000, 60 * SECOND),
     ] {
         for seed in 0..50 {
-            let mut pacer = CallPacer::new(seed, brokers, every);
+            let mut pacer = CallPacer::new(seed, brokers, call_interval);
             let timeout = pacer.watch_times().first_timeout();
             let mut rng = fastrand::Rng::with_seed(seed);
-            // Whatever came before.
+            // An arbitrary history of failures and responses.
             (0..rng.u64(0..20))
                 .for_each(|i| _ = pacer.on_failure(Time(i * SECOND), Time(i * SECOND)));
             (0..rng.u64(0..20)).for_each(|i| _ = pacer.on_response(Time(i * SECOND)));
-            // The change comes just after a call has begun; it fails, soon or at the end of its
-            // patience, and so does the next.
-            let changed = Time(1_000 * SECOND);
-            let mut started_at = changed;
+            // The list changes just after a call has started. This call and the next one fail,
+            // either early or by timeout.
+            let changed_at = Time(1_000 * SECOND);
+            let mut started_at = changed_at;
             for _ in 0..2 {
                 let duration = if rng.bool() {
                     timeout
                 } else {
                     rng.u64(0..=timeout)
                 };
-                let calls_failed = started_at.plus(duration);
-                let silent = rng.bool();
-                let next = match silent {
-                    true => pacer.on_timeout(calls_failed, started_at),
-                    false => pacer.on_failure(calls_failed, started_at),
+                let failed_at = started_at.plus(duration);
+                let is_timeout = rng.bool();
+                let next = match is_timeout {
+                    true => pacer.on_timeout(failed_at, started_at),
+                    false => pacer.on_failure(failed_at, started_at),
                 };
                 assert!(
-                    next.at >= calls_failed,
-                    "a call is made once the one before it has ended"
+                    next.at >= failed_at,
+                    "a call must not start before the previous one has ended"
                 );
                 started_at = next.at;
             }
-            let answered = started_at.plus(timeout);
+            let answered_at = started_at.plus(timeout);
             assert!(
-                answered.since(changed) + HEADROOM <= FAILURE_DEADLINE,
+                answered_at.since(changed_at) + HEADROOM <= FAILURE_DEADLINE,
                 "{brokers} brokers, seed {seed}"
             );
         }
@@ -286,10 +288,10 @@
         for seed in 0..50 {
             let mut pacer = CallPacer::new(seed, brokers, DEFAULT_CALL_INTERVAL);
             let (now, timeout) = (Time(SECOND), pacer.watch_times().first_timeout());
-            let verdict = pacer.on_address_change(now);
+            let next_call = pacer.on_address_change(now);
             assert!(
-                verdict.at.plus(timeout).since(now) + HEADROOM <= MOVE_DEADLINE,
-                "{verdict}"
+                next_call.at.plus(timeout).since(now) + HEADROOM <= MOVE_DEADLINE,
+                "{next_call}"
             );
         }
     }
@@ -321,20 +323,20 @@
     assert_eq!(
         pacer.on_failure(Time(0), Time(0)).spread,
         360_000,
-        "the calls of the fleet, once each"
+        "the spread starts from one call of each broker"
     );
 }
 
 #[test]
 fn answered_broker_calls_again_before_its_deadline() {
-    for (brokers, every) in [
+    for (brokers, call_interval) in [
         (4, DEFAULT_CALL_INTERVAL),
         (30, DEFAULT_CALL_INTERVAL),
         (100, DEFAULT_CALL_INTERVAL),
         (5_000, DEFAULT_CALL_INTERVAL),
         (100, 0),
     ] {
-        let mut pacer = CallPacer::new(3, brokers, every);
+        let mut pacer = CallPacer::new(3, brokers, call_interval);
         for i in 0..200 {
             let now = Time(i * SECOND);
             pacer.on_failure(now, now);
@@ -345,13 +347,13 @@
             );
         }
     }
-    let verdict = CallPacer::new(1, 100, 0).on_start(Time(0), false);
+    let next_call = CallPacer::new(1, 100, 0).on_start(Time(0), false);
     assert_eq!(
-        (verdict.at, verdict.reason),
+        (next_call.at, next_call.reason),
         (Time(0), Reason::NothingKnown)
     );
     assert_eq!(
-        verdict.to_string(),
+        next_call.to_string(),
         "NothingKnown, calls spread over 2100 ms"
     );
 }
--- a/src/decide/discovery/list_validator.rs
+++ b/src/decide/discovery/list_validator.rs
@@ -1,37 +1,39 @@
-//! Lists of data nodes that may be wrong: one of an older version than the present one, or a
-//! complete one without any node. Neither is accepted at once, and neither is ignored: the complete
-//! list is requested, and what that says is accepted. If it can't be had in time, the nodes that the
-//! suspect list drains or drops get nothing new, since the rule on drains counts from when it was
-//! received.
+//! Validates lists of data nodes from discovery.
+//!
+//! A list is suspect if its version is older than the current one, or if it is complete and empty.
+//! A suspect list is neither accepted at once nor ignored: the broker requests the complete list
+//! and accepts that one. If the complete list does not arrive in time, the broker sends nothing new
+//! to the nodes that the suspect list drains or removes, because the drain deadline starts when the
+//! suspect list is received.
 
 use crate::interface::{Micros, Time};
 use std::fmt;
 
-/// A suspect list is to be confirmed within this share of the time after which nothing new may go to
-/// a node that drains or is gone.
+/// Share of `stop_within` in which the complete list has to arrive to confirm a suspect list.
 const CONFIRMATION_SHARE: f64 = 0.5;
 
-/// What is known of a list as it arrives.
+/// The properties of a received list that the validation needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReceivedList {
-    /// Its version.
+    /// Version of the list.
     pub generation: u64,
-    /// Whether it is the complete list, not a change of one.
+    /// Whether the list is complete, as opposed to a change of the current list.
     pub is_complete: bool,
-    /// The number of its lines.
+    /// Number of lines of the list.
     pub lines: usize,
 }
 
-/// Why a list was accepted or is suspect.
+/// The reason why a list is accepted or suspect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// Nothing speaks against it.
+    /// The list is neither older than the current one nor an empty complete list.
     Sound,
-    /// The complete list was requested since another one was suspect: there is nobody else to ask.
+    /// The complete list was requested to confirm a suspect one. It is accepted as it is, since
+    /// there is no other source.
     Confirmed,
-    /// It is of the first version, while the second is the present one.
+    /// The list has the first version, which is older than the current one, the second.
     Older(u64, u64),
-    /// It is complete and empty, while this many data nodes are known.
+    /// The list is complete and empty, while this many data nodes are known.
     Empty(usize),
 }
 
@@ -39,7 +41,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Reason::Sound => f.write_str("sound"),
-            Reason::Confirmed => f.write_str("the whole list, asked for to confirm"),
+            Reason::Confirmed => f.write_str("the complete list, requested for confirmation"),
             Reason::Older(received, present) => {
                 write!(f, "version {received}, while {present} is held")
             }
@@ -48,28 +50,28 @@
     }
 }
 
-/// What to do with a list.
+/// The decision about a received list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Accept it.
+    /// Accept the list.
     Accept(Reason),
-    /// Request the complete list, and wait for that until this time at most.
+    /// Request the complete list, and wait for it until this time.
     Confirm(Reason, Time),
 }
 
-/// Judges lists as they arrive.
+/// Decides whether to accept received lists.
 #[derive(Clone, Debug)]
 pub struct ListValidator {
-    /// Within this after a node is listed as draining or gone, the broker stops sending to it
-    /// (microseconds).
+    /// Time within which the broker has to stop sending to a node after it was listed as draining
+    /// or removed (microseconds).
     stop_within: Micros,
-    /// The complete list was requested, to confirm one that was suspect.
+    /// Whether the complete list was requested to confirm a suspect one.
     awaits_confirmation: bool,
 }
 
 impl ListValidator {
-    /// Judges lists where nothing new may go to a node later than `stop_within` microseconds after
-    /// it was listed as draining.
+    /// Creates a validator for a deployment in which the broker must send nothing new to a node
+    /// later than `stop_within` microseconds after the node was listed as draining.
     #[must_use]
     pub fn new(stop_within: Micros) -> ListValidator {
         ListValidator {
@@ -78,7 +80,8 @@
         }
     }
 
-    /// A list has arrived, while the one of version `present` and `known` data nodes are in force.
+    /// Decides about a received list. `present` is the version of the current list, if any, and
+    /// `known` the number of data nodes in it.
     pub fn on_list(
         &mut self,
         now: Time,
@@ -86,8 +89,8 @@
         present: Option<u64>,
         known: usize,
     ) -> Verdict {
-        // Guards against suspicion without end: a discovery that starts its versions again, or that
-        // has no nodes, is believed then.
+        // Accepting any complete list after a request prevents an endless cycle of confirmations
+        // if discovery restarts its version numbers or has no nodes.
         if std::mem::take(&mut self.awaits_confirmation) && list.is_complete {
             return Verdict::Accept(Reason::Confirmed);
         }
@@ -101,7 +104,7 @@
         Verdict::Confirm(reason, now.plus(timeout))
     }
 
-    /// The complete list did not arrive.
+    /// Handles that the requested complete list did not arrive.
     pub fn on_failure(&mut self) {
         self.awaits_confirmation = false;
     }
--- a/src/decide/discovery/list_validator/tests.rs
+++ b/src/decide/discovery/list_validator/tests.rs
@@ -54,7 +54,7 @@
                 validator.on_list(NOW, list, Some(8), 3),
                 Verdict::Confirm(..)
             ),
-            "suspect again"
+            "the next suspect list has to be confirmed again"
         );
         validator.on_failure();
         assert!(
@@ -62,13 +62,13 @@
                 validator.on_list(NOW, list, Some(8), 3),
                 Verdict::Confirm(..)
             ),
-            "nothing confirmed it"
+            "a failed request confirms nothing"
         );
     }
 }
 
 #[test]
-fn confirmation_deadline_follows_the_rule_of_the_deployment() {
+fn confirmation_deadline_is_half_of_the_stop_time() {
     for (stop_within, confirm) in [(2_000_000, 1_000_000), (500_000, 250_000)] {
         let verdict =
             ListValidator::new(stop_within).on_list(NOW, received(8, true, 0), Some(7), 3);
--- a/src/decide/failure_detector.rs
+++ b/src/decide/failure_detector.rs
@@ -1,18 +1,19 @@
-//! Which brokers are believed alive. The protocol is SWIM with suspicion (Das, Gupta, Motivala
-//! 2002), by the library `foca`, which has no I/O; this module gives it time, and makes three
-//! promises beside it:
+//! Detects which brokers of the cluster are alive.
 //!
-//! - *a paused observer declares nobody dead*: time in which this process was paused counts against
-//!   nobody. The detector's clock stops meanwhile, so that a broker that resumes does not declare
-//!   dead those whose answers it has not read yet;
-//! - *an isolated broker declares nobody dead*: while nobody answers this broker, it withholds its
-//!   actions, up to a bound, and once somebody answers, it discards the suspicions that it formed
-//!   meanwhile: nobody could refute them;
-//! - *a broker that was wrongly declared dead returns by itself*, with a later incarnation, which
-//!   wins over what is still said about the former one. It discards its suspicions too, for the
-//!   same reason.
+//! The protocol is SWIM with suspicion (Das, Gupta, Motivala 2002), implemented by the library
+//! `foca`, which has no I/O. This module supplies the time and adds three guarantees:
 //!
-//! Messages go in and actions come out; how messages travel is not known here.
+//! - *A paused observer declares no member dead.* The detector's clock stops while this process is
+//!   paused, so a broker that resumes does not declare members dead whose responses it has not read
+//!   yet.
+//! - *An isolated broker declares no member dead.* While no member responds to this broker, it
+//!   withholds declarations of death, up to a bound. Once a member responds, it discards the
+//!   suspicions that it formed while isolated, because the suspected members could not refute them.
+//! - *A broker that was wrongly declared dead rejoins by itself.* It uses a later incarnation,
+//!   which takes precedence over updates about the former one. It also discards its suspicions, for
+//!   the same reason as above.
+//!
+//! The module takes messages and returns actions; it does not depend on the transport.
 
 mod member;
 pub mod reconnect_backoff;
@@ -27,84 +28,87 @@
 use std::fmt;
 use swim::{is_acknowledgement, new_swim, Swim};
 
-/// A call that comes later than this after it was due shows that this process was paused
-/// (microseconds): several times what a busy turn of the loop takes.
+/// Lateness of an [`FailureDetector::on_time`] call from which on this process counts as paused
+/// (microseconds). Several times the duration of a busy iteration of the event loop.
 const PAUSE_THRESHOLD: Micros = 250_000;
-/// A broker is isolated once nobody has answered it for this many probes, or for the time of a
-/// suspicion where that is shorter: a suspicion of its own is older then, whoever else has failed.
+/// Number of probe intervals without a response after which this broker counts as isolated. The
+/// time is bounded by the suspicion timeout, so that a broker counts as isolated before one of its
+/// own suspicions expires, regardless of which other members have failed.
 const ISOLATION_PROBES: u64 = 4;
-/// An isolated broker withholds its actions for this many times of a suspicion at most. Guards
-/// fleets of two, and a broker that has lost all others: nobody will ever answer it. The others have
-/// declared dead by then whoever was only isolated.
+/// Maximum number of suspicion timeouts for which an isolated broker withholds declarations of
+/// death. The bound is needed in a fleet of two, or if all other members have failed: no member
+/// will ever respond. If this broker was only isolated, the others have declared it dead by then.
 const MAX_WITHHELD_SUSPICIONS: u64 = 2;
-/// A broker announces itself to seeds that it does not believe alive this often (microseconds), so
-/// that both sides of a partition find each other again.
+/// Interval between announcements to seeds that are not believed alive (microseconds). They let the
+/// two sides of a partition find each other again.
 const ANNOUNCE_INTERVAL: Micros = 2_000_000;
-/// The number of seeds that it announces itself to at a time.
+/// Maximum number of seeds that receive an announcement at a time.
 const ANNOUNCE_FANOUT: usize = 3;
 
-/// Why the view of the members has changed.
+/// The reason for a change in the view of the members, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// The member was heard of for the first time, or again.
+    /// The member was discovered for the first time, or again.
     Discovered,
-    /// It has left; or it answered neither this broker nor another one, and did not refute the
-    /// suspicion in time.
+    /// The member has left, or it responded neither to this broker nor to others and did not refute
+    /// the suspicion in time.
     LeftOrUnresponsive,
-    /// It has returned with a later incarnation.
+    /// The member has returned with a later incarnation.
     LaterIncarnation,
-    /// Others had declared this broker dead: it goes on with a later incarnation.
+    /// Other members had declared this broker dead, so it continues with a later incarnation.
     DeclaredDead,
 }
 
 impl fmt::Display for Reason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Reason::Discovered => "it was heard of",
+            Reason::Discovered => "discovered",
             Reason::LeftOrUnresponsive => {
-                "it left or answered nobody, and nobody refuted that in time"
+                "it left, or it did not respond and the suspicion was not refuted in time"
             }
-            Reason::LaterIncarnation => "it came under a later life",
+            Reason::LaterIncarnation => "it returned with a later incarnation",
             Reason::DeclaredDead => "others had declared this broker dead",
         })
     }
 }
 
-/// What follows from an event.
+/// An action or a change of the view that follows from an event.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DetectorAction {
-    /// Send these bytes to that member.
+    /// Send this encoded message to the member.
     Send(Member, Vec<u8>),
-    /// A member is believed alive now.
+    /// The member is now believed alive.
     Up(Member, Reason),
-    /// A member is not believed alive any more.
+    /// The member is no longer believed alive.
     Down(Member, Reason),
-    /// This broker goes on as this member.
+    /// This broker now uses this identity, which has a later incarnation.
     Renewed(Member, Reason),
 }
 
-/// One broker's view of the members.
+/// One broker's view of which members of the cluster are alive.
 pub struct FailureDetector {
     swim: Swim,
     own: Member,
     seeds: Vec<Member>,
     config: SwimConfig,
     seed: u64,
-    /// When another member last answered this broker, on the detector's clock.
+    /// When a member last responded to this broker, on the detector's clock.
     last_acknowledgement_at: Time,
-    /// The library's timers, by time on the detector's clock, then in the order that they were set.
+    /// The library's timers, keyed by due time on the detector's clock and then by order of
+    /// setting.
     timers: BTreeMap<(Time, u64), Timer<Member>>,
     timers_set: u64,
     announce_at: Time,
-    /// How long this process was paused in total: the detector's clock is behind by this.
-    paused: Micros,
+    /// Total time that this process was paused, by which the detector's clock is behind.
+    total_pause: Micros,
     alive: BTreeMap<String, Member>,
     rejected_messages: u64,
 }
 
 impl FailureDetector {
-    /// The view of the broker `own`, which knows of these seeds. Nothing is sent before the first
-    /// [`FailureDetector::on_time`].
+    /// Creates the view of the broker `own`, which initially knows only these seeds. The first call
+    /// of [`FailureDetector::on_time`] sends the first messages. `seed` initializes the random
+    /// numbers.
     #[must_use]
     pub fn new(
         now: Time,
@@ -125,57 +129,59 @@
             timers: BTreeMap::new(),
             timers_set: 0,
             announce_at: now,
-            paused: 0,
+            total_pause: 0,
             alive: BTreeMap::new(),
             rejected_messages: 0,
         }
     }
 
-    /// This broker as others know it.
+    /// Returns the identity of this broker as a member, with its current incarnation.
     #[must_use]
     pub fn own(&self) -> &Member {
         &self.own
     }
 
-    /// The other members that are believed alive, by name.
+    /// Returns the other members that are believed alive, by name.
     #[must_use]
     pub fn alive(&self) -> &BTreeMap<String, Member> {
         &self.alive
     }
 
-    /// How many messages could not be decoded, or were not for this broker.
+    /// Returns the number of messages that could not be decoded or were not for this broker.
     #[must_use]
     pub fn rejected_messages(&self) -> u64 {
         self.rejected_messages
     }
 
-    /// The detector's clock, which stops while this process is paused.
-    fn local(&self, now: Time) -> Time {
-        now.minus(self.paused)
+    /// Converts a time to the detector's clock, which stops while this process is paused.
+    fn detector_time(&self, now: Time) -> Time {
+        now.minus(self.total_pause)
     }
 
-    /// When [`FailureDetector::on_time`] is to be called next.
+    /// Returns when [`FailureDetector::on_time`] has to be called next.
     #[must_use]
     pub fn next(&self) -> Time {
         let timer = self.timers.keys().next();
         let local = timer.map_or(self.announce_at, |key| key.0.min(self.announce_at));
-        local.plus(self.paused)
+        local.plus(self.total_pause)
     }
 
-    /// Does what is due. To be called when [`FailureDetector::next`] says, and before messages that
-    /// had to wait are handled: a late call shows that this process was paused.
+    /// Sends due announcements and runs due timers. Must be called at the time that
+    /// [`FailureDetector::next`] returns, and before waiting messages are handled, because a late
+    /// call indicates that this process was paused.
     pub fn on_time(&mut self, now: Time) -> Vec<DetectorAction> {
         let late = now.since(self.next());
         if late > PAUSE_THRESHOLD {
-            // Guards the others: their answers are still unread, and nobody has failed to answer.
-            self.paused += late;
+            // The other members' responses are still unread, so the pause must not count against
+            // them.
+            self.total_pause += late;
         }
-        let (local, mut actions) = (self.local(now), Vec::new());
+        let (local, mut actions) = (self.detector_time(now), Vec::new());
         if self.announce_at <= local {
             self.announce_at = local.plus(ANNOUNCE_INTERVAL);
             self.announce(local, &mut actions);
         }
-        // A timer that is set by what is done here waits for the next call: a call always ends.
+        // Timers set below run in the next call at the earliest, so that this loop terminates.
         let later = self.timers.split_off(&(local.plus(1), 0));
         for ((due, _), timer) in std::mem::replace(&mut self.timers, later) {
             let ends_suspicion = matches!(timer, Timer::ChangeSuspectToDown { .. });
@@ -184,8 +190,7 @@
                 continue;
             }
             let mut output = AccumulatingRuntime::new();
-            // The library answers the timer of a probe that has ended by an error, which means
-            // nothing.
+            // The library returns a harmless error for the timer of a probe that has already ended.
             let _ = self.swim.handle_timer(timer, &mut output);
             self.take_output(local, &mut output, &mut actions);
         }
@@ -197,14 +202,14 @@
         self.timers.insert((at, self.timers_set), timer);
     }
 
-    /// A broker that nobody has answered for this long is isolated.
+    /// Returns the time without a response after which this broker counts as isolated.
     fn isolation_timeout(&self) -> Micros {
         (ISOLATION_PROBES * self.config.probe_interval).min(self.config.suspicion_timeout)
     }
 
-    /// Whether a verdict has to wait since this broker is isolated, and not for too long yet. Guards
-    /// the others against a broker whose messages are lost: to it all others look dead, and it would
-    /// say so once its messages arrive again.
+    /// Returns whether the end of a suspicion has to be withheld because this broker is isolated,
+    /// and the bound for that is not reached. Otherwise a broker whose messages are lost would
+    /// regard all others as dead, and would spread this once its messages arrive again.
     fn is_withheld(&self, local: Time, due: Time) -> bool {
         let (silence, isolation) = (
             local.since(self.last_acknowledgement_at),
@@ -214,8 +219,8 @@
         due <= local && silence >= isolation && silence < bound
     }
 
-    /// A member has answered this broker. Those that it suspected while it was isolated could not
-    /// learn of that, so they could not refute it: it discards the suspicions.
+    /// Handles a member's response to this broker. If this broker was isolated, it discards its
+    /// suspicions: the suspected members did not learn of them and could not refute them.
     fn on_acknowledgement(&mut self, local: Time, actions: &mut Vec<DetectorAction>) {
         if local.since(self.last_acknowledgement_at) >= self.isolation_timeout() {
             self.discard_suspicions(local, actions);
@@ -223,8 +228,8 @@
         self.last_acknowledgement_at = local;
     }
 
-    /// Starts again with the members that it knows, all of them alive: they are probed anew, and the
-    /// seeds are announced to.
+    /// Resets the library's state to the known members, all of them alive. They are probed again,
+    /// and the seeds receive a new announcement.
     fn discard_suspicions(&mut self, local: Time, actions: &mut Vec<DetectorAction>) {
         let known: Vec<foca::Member<Member>> = self
             .swim
@@ -235,21 +240,20 @@
         self.timers.clear();
         (self.announce_at, self.last_acknowledgement_at) = (local, local);
         let mut output = AccumulatingRuntime::new();
-        // The library accepts it all, since it comes from the library itself.
+        // The library accepts these members, since it has returned them itself.
         let _ = self.swim.apply_many(known.into_iter(), false, &mut output);
         self.take_output(local, &mut output, actions);
     }
 
-    /// Announces this broker to some of the seeds that are not believed alive, to all of them in
-    /// turn.
+    /// Announces this broker to some of the seeds that are not believed alive, in rotating order.
     fn announce(&mut self, local: Time, actions: &mut Vec<DetectorAction>) {
         let is_absent = |seed: &&Member| !self.alive.contains_key(&seed.name);
         let absent: Vec<&Member> = self.seeds.iter().filter(is_absent).collect();
         if absent.is_empty() {
             return;
         }
-        // Guards seeds against a fleet that starts at the same time: each broker has an order of its
-        // own.
+        // Each broker uses its own order of the seeds, so that a fleet that starts at the same time
+        // does not overload one seed.
         let turn = (local.0 / ANNOUNCE_INTERVAL).wrapping_add(self.own.incarnation);
         let (count, first) = (absent.len(), turn as usize);
         let chosen: Vec<Member> = (0..count.min(ANNOUNCE_FANOUT))
@@ -262,9 +266,9 @@
         }
     }
 
-    /// Handles the message of another member.
+    /// Handles an encoded message from another member.
     pub fn on_message(&mut self, now: Time, bytes: &[u8]) -> Vec<DetectorAction> {
-        let (local, mut actions) = (self.local(now), Vec::new());
+        let (local, mut actions) = (self.detector_time(now), Vec::new());
         let mut output = AccumulatingRuntime::new();
         if self.swim.handle_data(bytes, &mut output).is_err() {
             self.rejected_messages += 1;
@@ -276,16 +280,16 @@
         actions
     }
 
-    /// This broker stops: it tells some others, so that nobody has to detect it.
+    /// Announces to some other members that this broker stops, so that they need not detect it.
     pub fn on_stop(&mut self, now: Time) -> Vec<DetectorAction> {
-        let (local, mut actions) = (self.local(now), Vec::new());
+        let (local, mut actions) = (self.detector_time(now), Vec::new());
         let mut output = AccumulatingRuntime::new();
         let _ = self.swim.leave_cluster(&mut output);
         self.take_output(local, &mut output, &mut actions);
         actions
     }
 
-    /// Turns what the library has put out into timers and actions.
+    /// Converts the library's output to timers and actions.
     fn take_output(
         &mut self,
         local: Time,
@@ -298,8 +302,8 @@
             _ => None,
         });
         if let Some(member) = renewed {
-            // The library's messages in the new incarnation hold the suspicions of the former one:
-            // they are not sent.
+            // The library's messages for the new incarnation still contain the suspicions of the
+            // former one, so they are not sent.
             self.own = member.clone();
             actions.push(DetectorAction::Renewed(member, Reason::DeclaredDead));
             return self.discard_suspicions(local, actions);
@@ -325,7 +329,7 @@
                 (known.as_ref() != Some(&member))
                     .then_some(DetectorAction::Up(member, Reason::Discovered))
             }
-            // The end of a former incarnation is no change.
+            // The end of a former incarnation does not change the view.
             OwnedNotification::MemberDown(member) if self.is_latest(&member) => {
                 let known = self.alive.remove(&member.name);
                 known.map(|_| DetectorAction::Down(member, Reason::LeftOrUnresponsive))
@@ -338,7 +342,7 @@
         }
     }
 
-    /// Whether no later incarnation of the member is believed alive.
+    /// Returns whether no later incarnation of the member is believed alive.
     fn is_latest(&self, member: &Member) -> bool {
         let alive = self.alive.get(&member.name);
         alive.is_none_or(|alive| alive.incarnation <= member.incarnation)
--- a/src/decide/failure_detector/member.rs
+++ b/src/decide/failure_detector/member.rs
@@ -1,21 +1,21 @@
-//! A broker as a member of the cluster.
+//! The identity of a broker in the membership protocol.
 
 use foca::Identity;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A broker as others know it. The order of the fields is that on the wire.
+/// The identity of a broker as a cluster member. The field order is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Member {
-    /// Its name, the same after a restart.
+    /// Name of the broker, the same after a restart.
     pub name: String,
-    /// Where it listens for other brokers.
+    /// Address at which the broker listens for other brokers.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone in which the broker runs.
     pub zone: String,
-    /// The incarnation of its process, microseconds of Unix time at its start: later ones are
-    /// greater. The incarnation of SWIM, by which a member refutes a suspicion, is another number
-    /// and the library's.
+    /// Incarnation of the broker process: its start as Unix time in microseconds, so a restart
+    /// yields a greater value. The SWIM incarnation, by which a member refutes a suspicion, is a
+    /// different number that the library maintains.
     pub incarnation: u64,
 }
 
--- a/src/decide/failure_detector/swim.rs
+++ b/src/decide/failure_detector/swim.rs
@@ -1,4 +1,4 @@
-//! The library's SWIM: its times, its state, and how its messages are told apart.
+//! Configures the SWIM implementation of the library and inspects its messages.
 
 use super::Member;
 use crate::interface::Micros;
@@ -10,17 +10,17 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// The times of the protocol.
+/// The times and the fan-out of the failure detection protocol.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SwimConfig {
-    /// The period in which a member is probed: another one each time, all in turn (microseconds).
+    /// Time between probes (microseconds). Each probe goes to another member, in turn.
     pub probe_interval: Micros,
-    /// After this long without an answer others are asked to probe the member (microseconds); half
-    /// of `probe_interval` at most.
+    /// Time without a response after which other members are asked to probe the member
+    /// (microseconds). At most half of `probe_interval`; greater values are reduced to that.
     pub probe_timeout: Micros,
-    /// How many others are asked.
+    /// Number of other members that are asked to probe.
     pub indirect_probes: usize,
-    /// A suspected member that does not refute the suspicion within this is declared dead
+    /// Time within which a suspected member has to refute the suspicion before it is declared dead
     /// (microseconds).
     pub suspicion_timeout: Micros,
 }
@@ -36,23 +36,22 @@
     }
 }
 
-/// A member that was declared dead is remembered as such for this long, so that old messages do not
-/// bring it back.
+/// Time for which a dead member is remembered, so that delayed messages do not bring it back.
 const DEAD_MEMBER_RETENTION: Duration = Duration::from_secs(60);
-/// The longest message (bytes): some tens of updates fit.
+/// Maximum size of a message (bytes). It has room for some tens of updates.
 const MAX_PACKET_BYTES: usize = 1_400;
-/// How many times each member passes an update on: three times in each [`GOSSIP_INTERVAL`], so for
-/// longer than a suspicion lasts by default. Guards a member that was partitioned and returns: it
-/// learns of the suspicion in time to refute it.
+/// Number of times that each member forwards an update. At three times per [`GOSSIP_INTERVAL`] an
+/// update is forwarded for longer than the default suspicion timeout. Therefore a member that
+/// returns from a partition learns of a suspicion in time to refute it.
 const MAX_TRANSMISSIONS: u8 = 40;
-/// Updates are sent to some members this often, beside the probes (microseconds).
+/// Interval at which updates are sent in addition to the probes (microseconds).
 const GOSSIP_INTERVAL: Micros = 200_000;
-/// The number of members that updates are sent to at a time.
+/// Number of members that receive the updates at a time.
 const GOSSIP_FANOUT: usize = 3;
 
 pub(super) type Swim = Foca<Member, PostcardCodec, Xoshiro256PlusPlus, NoCustomBroadcast>;
 
-/// The library's state of a broker that knows no other member yet.
+/// Creates the library's state for a broker that knows no other member yet.
 pub(super) fn new_swim(own: &Member, config: SwimConfig, seed: u64) -> Swim {
     let probe_interval = config.probe_interval.max(2);
     let nonzero = |count| NonZeroUsize::new(count).unwrap_or(NonZeroUsize::MIN);
@@ -67,7 +66,7 @@
         notify_down_members: true,
         periodic_announce: None,
         periodic_announce_to_down_members: None,
-        // Updates go to some members beside the probes: a suspicion is refuted well before its end.
+        // Gossip in addition to the probes lets a member refute a suspicion well before it expires.
         periodic_gossip: Some(PeriodicParams {
             frequency: Duration::from_micros(GOSSIP_INTERVAL),
             num_members: nonzero(GOSSIP_FANOUT),
@@ -77,7 +76,7 @@
     Foca::new(own.clone(), library_config, rng, PostcardCodec)
 }
 
-/// Whether a message is the answer to one of this broker.
+/// Returns whether an encoded message is a response to a message of this broker.
 pub(super) fn is_acknowledgement(bytes: &[u8]) -> bool {
     let header: Result<Header<Member>, _> = PostcardCodec.decode_header(bytes);
     header.is_ok_and(|header| {
--- a/src/decide/failure_detector/tests.rs
+++ b/src/decide/failure_detector/tests.rs
@@ -1,4 +1,5 @@
-//! Failure detectors in virtual time, over a network that loses, partitions and delays.
+//! Simulated failure detectors in virtual time, over a network that loses, partitions and delays
+//! messages.
 
 use super::*;
 use std::collections::BinaryHeap;
@@ -6,7 +7,7 @@
 
 const SECOND: Micros = 1_000_000;
 const START: Time = Time(1_000 * SECOND);
-/// The delay of a message.
+/// Delay of each message (microseconds).
 const LINK_DELAY: Micros = 1_000;
 
 /// A message in flight: when it arrives, its number, receiver, sender and bytes.
@@ -14,16 +15,18 @@
 
 struct Network {
     detectors: Vec<FailureDetector>,
-    /// Paused until then: nothing is done there, and messages wait.
+    /// Time until which each broker is paused: it runs no timers, and its messages wait.
     suspended_until: Vec<Time>,
     crashed: Vec<bool>,
     in_flight: BinaryHeap<InFlightMessage>,
     now: Time,
     sent_messages: u64,
+    /// Bytes sent by each broker.
     bytes: Vec<u64>,
-    /// Whether a message from the first broker to the second is delivered at this time.
+    /// Returns whether a message sent at this time from the first to the second broker is
+    /// delivered.
     delivers: Box<dyn FnMut(Time, usize, usize) -> bool>,
-    /// All changes of views: when, whose view, of which member, whether up.
+    /// All changes of views: time, observing broker, member, whether the member is up.
     changes: Vec<(Time, usize, String, bool)>,
 }
 
@@ -38,7 +41,7 @@
 }
 
 impl Network {
-    /// This many brokers; the first three are seeds of all.
+    /// Creates a network of `count` brokers. The first three are the seeds of all.
     fn new(count: usize) -> Network {
         let detector = |i| {
             let seeds = (0..count.min(3)).map(|s| member(s, 0)).collect();
@@ -100,8 +103,8 @@
             let timer = (0..self.detectors.len())
                 .filter_map(|i| Some((next_call(i)?, i)))
                 .min();
-            let arrival = self.in_flight.peek().map(|w| w.0 .0);
-            let Some(at) = [timer.map(|t| t.0), arrival]
+            let arrival = self.in_flight.peek().map(|message| message.0 .0);
+            let Some(at) = [timer.map(|(due, _)| due), arrival]
                 .into_iter()
                 .flatten()
                 .min()
@@ -111,16 +114,16 @@
                 return;
             };
             self.now = self.now.max(at);
-            if arrival.is_some_and(|w| w <= at) {
-                let Some(std::cmp::Reverse((_, n, to, from, bytes))) = self.in_flight.pop() else {
+            if arrival.is_some_and(|arrives_at| arrives_at <= at) {
+                let Some(std::cmp::Reverse((_, number, to, from, bytes))) = self.in_flight.pop()
+                else {
                     continue;
                 };
                 if self.suspended_until[to] > self.now {
-                    // It lies unread until that process goes on, and is read after what is due
-                    // there.
+                    // The message is read when the paused broker resumes, after its due timers.
                     let later = self.suspended_until[to].plus(1);
                     self.in_flight
-                        .push(std::cmp::Reverse((later, n, to, from, bytes)));
+                        .push(std::cmp::Reverse((later, number, to, from, bytes)));
                 } else if !self.crashed[to] {
                     let changes = self.detectors[to].on_message(self.now, &bytes);
                     self.apply_actions(to, changes);
@@ -132,37 +135,37 @@
         }
     }
 
-    /// Whether the view of each broker that runs has all others that run, and nobody else.
+    /// Returns whether the view of each running broker contains exactly the other running brokers.
     fn is_consistent(&self) -> bool {
-        let living: Vec<usize> = (0..self.detectors.len())
+        let running: Vec<usize> = (0..self.detectors.len())
             .filter(|i| !self.crashed[*i])
             .collect();
-        let knows = |i: &usize| {
+        let has_expected_view = |i: &usize| {
             let names = self.detectors[*i].alive.keys().cloned().collect::<Vec<_>>();
-            let mut declared_by_others: Vec<String> = living
+            let mut expected: Vec<String> = running
                 .iter()
                 .filter(|o| *o != i)
                 .map(|o| format!("n{o}"))
                 .collect();
-            declared_by_others.sort();
-            names == declared_by_others
+            expected.sort();
+            names == expected
         };
-        living.iter().all(knows)
+        running.iter().all(has_expected_view)
     }
 
     fn deaths_declared(&self) -> usize {
-        self.changes.iter().filter(|t| !t.3).count()
+        self.changes.iter().filter(|change| !change.3).count()
     }
 }
 
-/// Random events of this probability.
-fn random_events(seed: u64, share: f64) -> impl FnMut() -> bool {
+/// Returns a function that returns `true` with this probability.
+fn random_events(seed: u64, probability: f64) -> impl FnMut() -> bool {
     let mut rng = fastrand::Rng::with_seed(seed);
-    move || rng.f64() < share
+    move || rng.f64() < probability
 }
 
 #[test]
-fn brokers_discover_each_other_from_seeds_and_stay_alive() {
+fn brokers_discover_each_other_from_seeds_and_no_death_is_declared() {
     for count in [2, 3, 9, 30] {
         let mut network = Network::new(count);
         network.run(15 * SECOND);
@@ -177,25 +180,31 @@
 }
 
 #[test]
-fn crashed_broker_is_detected_by_all_in_time_and_no_other_is() {
-    for (count, most) in [(3, 6), (9, 6), (30, 8)] {
+fn crash_is_detected_by_all_in_time_and_no_other_death_is_declared() {
+    for (count, max_seconds) in [(3, 6), (9, 6), (30, 8)] {
         let mut network = Network::new(count);
         network.run(20 * SECOND);
         let (crashed_at, before) = (network.now, network.changes.len());
         network.crashed[1] = true;
-        network.run(most * SECOND);
-        assert!(network.is_consistent(), "{count} brokers, {most} s");
+        network.run(max_seconds * SECOND);
+        assert!(network.is_consistent(), "{count} brokers, {max_seconds} s");
         let changes = &network.changes[before..];
         assert!(
-            changes.iter().all(|t| t.2 == "n1" && !t.3) && changes.len() == count - 1,
+            changes.iter().all(|change| change.2 == "n1" && !change.3)
+                && changes.len() == count - 1,
             "{changes:?}"
         );
-        let first = changes.iter().map(|t| t.0).min().unwrap().since(crashed_at);
+        let first = changes
+            .iter()
+            .map(|change| change.0)
+            .min()
+            .unwrap()
+            .since(crashed_at);
         assert!(
             first >= 2 * SECOND,
-            "nobody is declared dead without having been suspected: {first}"
+            "a member must be suspected before it is declared dead: {first}"
         );
-        // It returns without state, with a later incarnation.
+        // The broker restarts without state, with a later incarnation.
         network.detectors[1] = FailureDetector::new(
             network.now,
             member(1, network.now.0),
@@ -205,25 +214,28 @@
         );
         network.crashed[1] = false;
         network.run(10 * SECOND);
-        assert!(network.is_consistent(), "{count} brokers: back again");
+        assert!(
+            network.is_consistent(),
+            "{count} brokers: after the restart"
+        );
     }
 }
 
 #[test]
-fn link_failure_in_one_direction_is_no_death() {
+fn link_failure_in_one_direction_causes_no_death() {
     let mut network = Network::new(9);
     network.run(20 * SECOND);
     network.delivers = Box::new(|_, from, to| (from, to) != (4, 7));
     network.run(120 * SECOND);
     assert!(
         network.is_consistent() && network.deaths_declared() == 0,
-        "others probe: {:?}",
+        "indirect probes must prevent a death: {:?}",
         network.changes.last()
     );
 }
 
 #[test]
-fn lost_messages_are_no_deaths() {
+fn lost_messages_cause_no_death() {
     let mut network = Network::new(30);
     network.run(20 * SECOND);
     let mut lost = random_events(5, 0.05);
@@ -232,36 +244,39 @@
     assert_eq!(
         network.deaths_declared(),
         0,
-        "one in twenty is lost for five minutes"
+        "5 % of the messages are lost for five minutes"
     );
 }
 
 #[test]
-fn paused_broker_declares_nobody_dead_and_returns_by_itself() {
-    for paused in [1, 3, 20] {
+fn paused_broker_declares_no_death_and_rejoins_by_itself() {
+    for pause_s in [1, 3, 20] {
         let mut network = Network::new(9);
         network.run(20 * SECOND);
-        network.suspended_until[4] = network.now.plus(paused * SECOND);
-        network.run(paused * SECOND + 10 * SECOND);
-        let by_it: Vec<_> = network
+        network.suspended_until[4] = network.now.plus(pause_s * SECOND);
+        network.run(pause_s * SECOND + 10 * SECOND);
+        let deaths_by_paused: Vec<_> = network
             .changes
             .iter()
-            .filter(|t| t.1 == 4 && !t.3)
+            .filter(|change| change.1 == 4 && !change.3)
             .collect();
-        assert!(by_it.is_empty(), "{paused} s: {by_it:?}");
-        assert!(network.is_consistent(), "{paused} s");
+        assert!(
+            deaths_by_paused.is_empty(),
+            "{pause_s} s: {deaths_by_paused:?}"
+        );
+        assert!(network.is_consistent(), "{pause_s} s");
         let declared_by_others = network.deaths_declared();
         assert!(
-            if paused == 1 {
+            if pause_s == 1 {
                 declared_by_others == 0
             } else {
                 declared_by_others <= 8
             },
-            "{paused} s: {declared_by_others} deaths"
+            "{pause_s} s: {declared_by_others} deaths"
         );
         assert!(
-            paused < 20 || declared_by_others == 8,
-            "{paused} s are a death to the others"
+            pause_s < 20 || declared_by_others == 8,
+            "{pause_s} s: all others must declare the broker dead"
         );
     }
 }
@@ -272,8 +287,8 @@
     network.run(20 * SECOND);
     network.delivers = Box::new(|_, from, to| (from < 4) == (to < 4));
     network.run(30 * SECOND);
-    let sees = |network: &Network, i: usize| network.detectors[i].alive.len();
-    assert_eq!((sees(&network, 0), sees(&network, 8)), (3, 4));
+    let view_size = |network: &Network, i: usize| network.detectors[i].alive.len();
+    assert_eq!((view_size(&network, 0), view_size(&network, 8)), (3, 4));
     network.delivers = Box::new(|_, _, _| true);
     network.run(30 * SECOND);
     assert!(
@@ -282,7 +297,7 @@
         network
             .detectors
             .iter()
-            .map(|f| f.alive.len())
+            .map(|detector| detector.alive.len())
             .collect::<Vec<_>>()
     );
 }
@@ -297,12 +312,12 @@
     network.run(SECOND + SECOND / 2);
     assert!(
         network.is_consistent(),
-        "without a suspicion, which takes 2 s"
+        "a leave must take effect without waiting for a suspicion of 2 s"
     );
 }
 
 #[test]
-fn garbage_is_counted_without_effect() {
+fn undecodable_messages_are_counted_and_have_no_effect() {
     let mut network = Network::new(3);
     network.run(10 * SECOND);
     let mut output = AccumulatingRuntime::new();
@@ -310,9 +325,9 @@
         .swim
         .announce(member(0, 0), &mut output)
         .unwrap();
-    let sound = output.to_send().unwrap().1.to_vec();
+    let valid = output.to_send().unwrap().1.to_vec();
     let now = network.now;
-    crate::testing::garbage(&[&sound], |bytes| {
+    crate::testing::garbage(&[&valid], |bytes| {
         let changes = network.detectors[0].on_message(now, bytes);
         assert!(
             !changes
@@ -323,7 +338,7 @@
     });
     assert!(
         network.detectors[0].rejected_messages() > 100,
-        "{} refused",
+        "{} rejected",
         network.detectors[0].rejected_messages()
     );
     network.run(10 * SECOND);
@@ -333,7 +348,7 @@
 }
 
 #[test]
-fn bytes_sent_by_each_do_not_grow_with_the_fleet() {
+fn bytes_sent_per_broker_do_not_grow_with_the_fleet() {
     let rate = |count: usize, stabilization_s: u64| {
         let mut network = Network::new(count);
         network.run(stabilization_s * SECOND);
@@ -349,14 +364,14 @@
     let (few, many) = (rate(9, 20), rate(100, 40));
     assert!(
         many < 1.5 * few && few < 1.5 * many,
-        "{few:.0} and {many:.0} bytes a second each"
+        "{few:.0} and {many:.0} bytes per second and broker"
     );
 }
 
-/// The case that the stopped clock is for: a suspicion is open as this process is paused, and is
-/// refuted meanwhile. The refutation is still unread when the time of the suspicion is over.
+/// Guards the stopped clock of a paused process: a suspicion is pending when the process is paused,
+/// and is refuted during the pause. The refutation is still unread when the suspicion would expire.
 #[test]
-fn suspicion_refuted_during_a_pause_is_no_death() {
+fn suspicion_refuted_during_a_pause_causes_no_death() {
     for offset in 0..20 {
         let mut network = Network::new(5);
         network.run(20 * SECOND + offset * 100_000);
@@ -365,62 +380,63 @@
         network.delivers = Box::new(|_, _, _| true);
         network.suspended_until[1] = network.now.plus(6 * SECOND);
         network.run(12 * SECOND);
-        let by_it: Vec<_> = network
+        let deaths_by_paused: Vec<_> = network
             .changes
             .iter()
-            .filter(|t| t.1 == 1 && !t.3)
+            .filter(|change| change.1 == 1 && !change.3)
             .collect();
         assert!(
-            by_it.iter().all(|t| t.2 != "n3"),
-            "offset {offset}: {by_it:?}"
+            deaths_by_paused.iter().all(|change| change.2 != "n3"),
+            "offset {offset}: {deaths_by_paused:?}"
         );
-        let of_it = network
+        let deaths_of_suspect = network
             .changes
             .iter()
-            .filter(|t| t.2 == "n3" && !t.3)
+            .filter(|change| change.2 == "n3" && !change.3)
             .count();
         assert_eq!(
-            of_it, 0,
-            "offset {offset}: it returned in time to refute it"
+            deaths_of_suspect, 0,
+            "offset {offset}: the suspect refuted the suspicion in time"
         );
         assert!(network.is_consistent(), "offset {offset}");
     }
 }
 
 #[test]
-fn isolated_broker_spreads_no_death_of_others() {
-    let (mut bad, mut of_it) = (Vec::new(), 0);
-    for (seed, length) in
-        (0..24).flat_map(|o| [2_200, 2_800, 3_400, 5_000, 9_000, 15_000].map(|ms| (o, ms)))
+fn isolated_broker_declares_no_other_broker_dead() {
+    let (mut wrong_deaths, mut deaths_of_isolated) = (Vec::new(), 0);
+    for (seed, isolation_ms) in
+        (0..24).flat_map(|seed| [2_200, 2_800, 3_400, 5_000, 9_000, 15_000].map(|ms| (seed, ms)))
     {
         let mut network = Network::new(9);
         network.run((20 + seed) * SECOND + seed * 37_000);
         assert!(network.is_consistent());
         network.changes.clear();
-        // Its messages are lost, those of others arrive; every third time those are lost too.
-        let (from, until) = (network.now, network.now.plus(length * 1_000));
-        let both = seed % 3 == 0;
-        network.delivers = Box::new(move |now, by, to| {
-            now < from || now >= until || by != 4 && !(both && to == 4)
+        // The messages of broker 4 are lost; with every third seed the messages to it are lost too.
+        let (from, until) = (network.now, network.now.plus(isolation_ms * 1_000));
+        let is_cut_both_ways = seed % 3 == 0;
+        network.delivers = Box::new(move |now, sender, to| {
+            now < from || now >= until || sender != 4 && !(is_cut_both_ways && to == 4)
         });
-        network.run(length * 1_000 + 20 * SECOND);
-        let deaths_declared = network.changes.iter().filter(|t| !t.3);
-        bad.extend(
+        network.run(isolation_ms * 1_000 + 20 * SECOND);
+        let deaths_declared = network.changes.iter().filter(|change| !change.3);
+        wrong_deaths.extend(
             deaths_declared
                 .clone()
-                .filter(|t| t.1 != 4 && t.2 != "n4")
-                .map(|t| (seed, length, t.clone())),
+                .filter(|change| change.1 != 4 && change.2 != "n4")
+                .map(|change| (seed, isolation_ms, change.clone())),
         );
-        of_it += deaths_declared.filter(|t| t.2 == "n4").count();
-        assert!(network.is_consistent(), "{seed}, {length}");
+        deaths_of_isolated += deaths_declared.filter(|change| change.2 == "n4").count();
+        assert!(network.is_consistent(), "seed {seed}, {isolation_ms} ms");
     }
-    let mut by: BTreeMap<(u64, bool), usize> = BTreeMap::new();
-    bad.iter()
-        .for_each(|b| *by.entry((b.1, b.0 % 3 == 0)).or_default() += 1);
+    let mut counts: BTreeMap<(u64, bool), usize> = BTreeMap::new();
+    wrong_deaths
+        .iter()
+        .for_each(|death| *counts.entry((death.1, death.0 % 3 == 0)).or_default() += 1);
     assert!(
-        bad.is_empty() && of_it > 100,
-        "{} of others, {of_it} of it: {by:?}",
-        bad.len()
+        wrong_deaths.is_empty() && deaths_of_isolated > 100,
+        "{} deaths of others, {deaths_of_isolated} of the isolated broker: {counts:?}",
+        wrong_deaths.len()
     );
 }
 
@@ -434,10 +450,10 @@
     let changes: Vec<Micros> = network
         .changes
         .iter()
-        .filter(|t| !t.3)
-        .map(|t| t.0.since(crashed_at))
+        .filter(|change| !change.3)
+        .map(|change| change.0.since(crashed_at))
         .collect();
-    let most = SwimConfig::default().suspicion_timeout * (MAX_WITHHELD_SUSPICIONS + 2)
+    let max_delay = SwimConfig::default().suspicion_timeout * (MAX_WITHHELD_SUSPICIONS + 2)
         + 4 * SwimConfig::default().probe_interval;
-    assert!(changes.len() == 1 && changes[0] <= most, "{changes:?}");
+    assert!(changes.len() == 1 && changes[0] <= max_delay, "{changes:?}");
 }
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -1,5 +1,5 @@
-//! The broker's decisions beside the module's, each apart from I/O, clocks and threads: events go
-//! in, verdicts with their reasons come out; time is an argument.
+//! The broker's decisions outside the decision module, separate from I/O, clocks and threads. Each
+//! state machine takes events and the time as arguments and returns decisions with their reasons.
 
 pub use lichenswitch_consensus as consensus;
 pub use lichenswitch_descriptors as descriptors;
