--- a/decide/backlog/src/backlog.rs
+++ b/decide/backlog/src/backlog.rs
@@ -1,32 +1,32 @@
 //! Backlogs of servers, summed over routers.
 //!
-//! Each router reports, by server, the prompt tokens of its requests that were sent there and have not
-//! begun to be answered. A control machine sums what its routers report, sends that sum to other
-//! control machines, and sends its routers the sum over all control machines.
+//! For each server, a router reports the prompt tokens of the requests that it sent to the server
+//! and whose response has not begun. A control machine sums the reports of its routers and sends
+//! the sums to the other control machines. It sends its routers the sums over all control machines.
 
 use lichenswitch_interface::ServerId;
 use std::collections::{BTreeMap, HashMap};
 
-/// The backlog of a server (tokens). 0: nothing is known to be pending.
+/// The backlog of a server (tokens); 0 if no pending request is known.
 pub type Backlog = u32;
-/// Servers whose backlog has changed, with its new value.
+/// The servers whose backlog has changed, each with its new backlog; 0 removes the entry.
 pub type BacklogChanges = Vec<(ServerId, Backlog)>;
 
-/// The backlogs that were last reported to one kind of receiver.
+/// The backlogs that were last reported to one kind of receiver: routers or control machines.
 #[derive(Debug, Default)]
 struct LastReported(BTreeMap<ServerId, Backlog>);
 
-/// Sums of the backlogs that sources report. `S` identifies a source: a router, or another control
-/// machine.
+/// Sums of the backlogs that sources report. `S` is the type that identifies a source, which is a
+/// router or another control machine.
 #[derive(Debug)]
 pub struct BacklogTable<S> {
-    /// What each router reported last.
+    /// The last reported backlogs of each router.
     by_router: HashMap<S, BTreeMap<ServerId, Backlog>>,
-    /// What each control machine reported last.
+    /// The last reported sums of each of the other control machines.
     by_peer: HashMap<S, BTreeMap<ServerId, Backlog>>,
-    /// Sent to other control machines.
+    /// The sums last sent to other control machines.
     last_to_peers: LastReported,
-    /// Sent to routers.
+    /// The sums last sent to routers.
     last_to_routers: LastReported,
     has_changed: bool,
 }
@@ -44,32 +44,34 @@
 }
 
 impl<S: Eq + std::hash::Hash> BacklogTable<S> {
-    /// A router reports these backlogs. What it reported of other servers stays.
+    /// Handles a router's report. Earlier reports about other servers stay valid.
     pub fn on_router_report(&mut self, source: S, changes: &[(ServerId, Backlog)]) {
         apply(self.by_router.entry(source).or_default(), changes);
         self.has_changed = true;
     }
 
-    /// Another control machine reports these sums over its routers. What it reported of other servers
-    /// stays.
+    /// Handles a report of another control machine, with sums over its routers. Earlier reports
+    /// about other servers stay valid.
     pub fn on_peer_report(&mut self, source: S, changes: &[(ServerId, Backlog)]) {
         apply(self.by_peer.entry(source).or_default(), changes);
         self.has_changed = true;
     }
 
-    /// A source is lost: what it reported is removed.
+    /// Handles the loss of a router or control machine: removes all that it reported.
     pub fn on_source_lost(&mut self, source: &S) {
         self.has_changed |=
             self.by_router.remove(source).is_some() | self.by_peer.remove(source).is_some();
     }
 
-    /// Whether anything was reported since [`BacklogTable::take_changes`].
+    /// Whether a report or a lost source may have changed a sum since the last call of
+    /// [`BacklogTable::take_changes`].
     #[must_use]
     pub fn has_changed(&self) -> bool {
         self.has_changed
     }
 
-    /// The changes to be sent now to other control machines, and to routers.
+    /// Returns the changes to send now: first those for other control machines, then those for
+    /// routers.
     pub fn take_changes(&mut self) -> (BacklogChanges, BacklogChanges) {
         self.has_changed = false;
         let mut sums = BTreeMap::new();
@@ -83,13 +85,14 @@
         (to_peers, self.last_to_routers.update(&sums))
     }
 
-    /// All that was sent to other control machines: for one that has just connected.
+    /// Returns the complete table that other control machines have, for one that has just
+    /// connected.
     #[must_use]
     pub fn snapshot_for_peer(&self) -> BacklogChanges {
         self.last_to_peers.snapshot()
     }
 
-    /// All that was sent to routers: for one that has just connected.
+    /// Returns the complete table that routers have, for one that has just connected.
     #[must_use]
     pub fn snapshot_for_router(&self) -> BacklogChanges {
         self.last_to_routers.snapshot()
@@ -97,14 +100,14 @@
 }
 
 impl LastReported {
-    /// Replaces it by these sums; returns what has changed, with 0 for what is gone.
+    /// Replaces the backlogs by these sums. Returns the changes, with 0 for servers without a sum.
     fn update(&mut self, sums: &BTreeMap<ServerId, Backlog>) -> BacklogChanges {
-        let ended = self
+        let removed = self
             .0
             .keys()
             .filter(|server| !sums.contains_key(server))
             .map(|server| (*server, 0));
-        let mut changes: BacklogChanges = ended.collect();
+        let mut changes: BacklogChanges = removed.collect();
         changes.extend(
             sums.iter()
                 .map(|(server, backlog)| (*server, *backlog))
@@ -122,7 +125,7 @@
     }
 }
 
-/// Applies changes to a table, in which 0 is no entry.
+/// Applies changes to a table. A backlog of 0 removes the entry.
 fn apply(known: &mut BTreeMap<ServerId, Backlog>, changes: &[(ServerId, Backlog)]) {
     for (server, backlog) in changes {
         match backlog {
@@ -132,7 +135,7 @@
     }
 }
 
-/// Adds what one source reported.
+/// Adds the reported backlogs of one source to the sums.
 fn add(sums: &mut BTreeMap<ServerId, Backlog>, reported: &BTreeMap<ServerId, Backlog>) {
     for (server, backlog) in reported {
         let sum = sums.entry(*server).or_insert(0);
--- a/decide/backlog/src/backlog/tests.rs
+++ b/decide/backlog/src/backlog/tests.rs
@@ -1,10 +1,12 @@
+//! Tests of the backlog table.
+
 use super::*;
 
 const A: ServerId = ServerId(1);
 const B: ServerId = ServerId(2);
 
 #[test]
-fn routers_get_total_sum_and_peers_that_of_own_routers() {
+fn routers_get_sum_over_all_sources_and_peers_get_sum_over_own_routers() {
     let mut table = BacklogTable::default();
     table.on_router_report("router 1", &[(A, 100), (B, 7)]);
     table.on_router_report("router 2", &[(A, 50)]);
@@ -21,7 +23,7 @@
 }
 
 #[test]
-fn lost_source_is_removed_from_sums() {
+fn reports_of_lost_source_are_removed_from_sums() {
     let mut table = BacklogTable::default();
     table.on_router_report("router 1", &[(A, 100)]);
     table.on_peer_report("peer", &[(B, 30)]);
@@ -36,17 +38,17 @@
 }
 
 #[test]
-fn sums_saturate() {
+fn sums_above_the_maximum_saturate() {
     let mut table = BacklogTable::default();
     table.on_router_report(1, &[(A, u32::MAX)]);
     table.on_router_report(2, &[(A, u32::MAX)]);
     assert_eq!(table.take_changes().1, vec![(A, u32::MAX)]);
 }
 
-/// A receiver that follows the changes, or gets a snapshot at any time and follows from there, knows the
-/// same as the sum of all reports.
+/// A receiver that applies all changes, or a snapshot at any time and the changes after it, must
+/// have the sums of all reports.
 #[test]
-fn changes_and_snapshot_lead_to_same_table() {
+fn changes_and_snapshots_result_in_same_table() {
     for seed in 0..200 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut table = BacklogTable::default();
@@ -83,12 +85,12 @@
         let (to_peers, to_routers) = table.take_changes();
         apply(&mut known_to_peers, &to_peers);
         apply(&mut known_to_routers, &to_routers);
-        let sum = |wanted: &dyn Fn(u8) -> bool| {
+        let sum = |is_included: &dyn Fn(u8) -> bool| {
             let mut sums = BTreeMap::new();
             reported
                 .iter()
-                .filter(|(source, _)| wanted(**source))
-                .for_each(|(_, r)| add(&mut sums, r));
+                .filter(|(source, _)| is_included(**source))
+                .for_each(|(_, backlogs)| add(&mut sums, backlogs));
             sums
         };
         assert_eq!(known_to_peers, sum(&|source| source < 3), "seed {seed}");
--- a/decide/backlog/src/lib.rs
+++ b/decide/backlog/src/lib.rs
@@ -1,8 +1,9 @@
-//! Backlogs of servers: how many tokens are pending at each server for all routers together. Routers
-//! use them to choose between servers that the decision module finds equal.
+//! Backlogs of servers: the number of tokens that are pending at each server, over all routers.
+//! Routers use the backlogs to choose between servers that the decision module rates equally.
 //!
-//! It owns the table of a control machine. It promises that nothing is kept of a lost source, and that
-//! changes lead a receiver to the same table as a snapshot does. Pure: no clock, no I/O.
+//! [`BacklogTable`] is the table of a control machine. It drops the reports of a lost source, and a
+//! receiver that applies the changes has the same table as one that applies a snapshot. The crate
+//! has no clock and no I/O.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/decide/descriptors/src/lib.rs
+++ b/decide/descriptors/src/lib.rs
@@ -1,102 +1,112 @@
-//! How a broker's descriptors are shared between its clients, its data nodes and discovery.
+//! Shares of a broker's file descriptors for clients, data nodes, discovery and other brokers.
 //!
-//! It owns the counts of what is open and the rule for what may be opened. It promises: discovery
-//! always has its place, whatever is full, since the rules on drains rest on what it reports; clients
-//! never hold more than their share, so that queries which were taken can be served; data nodes are
-//! never denied a connection within theirs while clients keep to that, and may borrow what clients
-//! leave unused; all together stay within what there is.
+//! The crate counts the open descriptors of each kind and decides whether another one may be
+//! opened. It guarantees the following:
 //!
-//! The share of data nodes follows how many are listed: a connection for each and some spare ones, as
-//! far as half of all goes. Below that connections take turns: [`OpenDecision::CloseIdleFirst`] says that an
-//! idle one goes first.
+//! - Discovery always has its descriptors, even if all others are in use. The rules for drains
+//!   depend on the reports of discovery.
+//! - Clients never have more descriptors than their share, so that accepted queries can be served.
+//! - Data nodes are never denied a connection within their share while clients are within theirs.
+//!   Data nodes may also borrow descriptors that clients don't use.
+//! - The total never exceeds the descriptors of the process.
+//!
+//! The share of data nodes depends on the number of listed data nodes: one connection for each and
+//! some spare ones, but at most half of all descriptors. If the share is too small for all data
+//! nodes, [`OpenDecision::CloseIdleFirst`] requires that an idle connection is closed before
+//! another one is opened.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 use std::fmt;
 
-/// Most connections to one data node. Guards descriptors and memory against one that takes
-/// connections and reads nothing.
+/// Maximum number of connections to one data node. Protects descriptors and memory against a data
+/// node that accepts connections and reads nothing.
 pub const MAX_CONNECTIONS_PER_NODE: usize = 16;
-/// Descriptors set aside for discovery: its connection, and a second one while it is replaced.
+/// Number of descriptors reserved for discovery: its connection, and a second one while the
+/// connection is replaced.
 pub const DISCOVERY_RESERVE: usize = 2;
-/// Spare connections that the share of data nodes has beside one for each, as a part of the nodes:
-/// second ones to nodes that are mute or full, an eighth of the nodes at once, and as many that come
-/// in a release before the old ones go.
+/// Divisor of the number of data nodes that gives the spare connections in their share. A quarter
+/// covers second connections to unresponsive or full nodes, up to an eighth of the nodes at once,
+/// and another eighth for nodes that join during a release before the old ones leave.
 const SPARE_CONNECTIONS_DIVISOR: usize = 4;
-/// Spare connections beside that part, for few nodes.
+/// Number of spare connections in addition to that fraction, for small numbers of data nodes.
 const MIN_SPARE_CONNECTIONS: usize = 8;
-/// Data nodes may have this part of all where it is of use to them, however few are listed.
+/// Divisor of the total that gives the minimum share of data nodes, provided that the listed nodes
+/// can use so large a share.
 const MIN_NODE_SHARE_DIVISOR: usize = 4;
-/// Data nodes have this part of all at most, however many are listed.
+/// Divisor of the total that gives the maximum share of data nodes.
 const MAX_NODE_SHARE_DIVISOR: usize = 2;
-/// Of what clients may have and don't use, this part is not lent: clients that come find it at
-/// once, without waiting for a call to end.
+/// Divisor of the share of clients that gives the unused descriptors that are not lent to data
+/// nodes. New clients can use these without waiting for the end of a call to a data node.
 const RESERVED_SHARE_DIVISOR: usize = 8;
-/// Clients' idle connections beyond this part of all are too many.
+/// Divisor of the total that gives the number of client connections above which idle ones may be
+/// closed.
 const EXCESS_CLIENTS_DIVISOR: usize = 4;
-/// Other brokers have this part of all at most, in each direction.
+/// Divisor of the total that gives the maximum reserve for other brokers in each direction.
 const MAX_PEER_RESERVE_DIVISOR: usize = 16;
-/// Descriptors that clients and data nodes have in any case: one each.
+/// Minimum number of descriptors for clients and data nodes together: one each.
 const MIN_DESCRIPTORS: usize = 2;
 
-/// Who a descriptor is for.
+/// The kind of peer that a descriptor is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionKind {
-    /// Clients of any front.
+    /// Clients, on any listener.
     Clients,
-    /// Data nodes.
+    /// Data nodes, to which this broker forwards queries.
     Nodes,
-    /// Discovery.
+    /// The discovery service that lists the data nodes.
     Discovery,
-    /// Other brokers that have connected, where brokers talk.
+    /// Connections that other brokers opened, if brokers are connected to each other.
     InboundPeers,
-    /// Other brokers that were connected to.
+    /// Connections that this broker opened to other brokers.
     OutboundPeers,
 }
 
-/// Whether a connection may be opened, and the rule that says so.
+/// The decision on whether a connection may be opened, with its reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OpenDecision {
-    /// It may.
+    /// The connection may be opened.
     Open(OpenDecisionReason),
-    /// An idle connection to a data node has to be closed first; without one it waits.
+    /// An idle connection to a data node has to be closed first. If there is none, the new
+    /// connection has to wait.
     CloseIdleFirst(OpenDecisionReason),
-    /// It has to wait until another one of its side is closed.
+    /// The connection has to wait until another one of its kind is closed.
     Wait(OpenDecisionReason),
 }
 
-/// The rule that led to a verdict, with its figures.
+/// The reason for an [`OpenDecision`], with the numbers of descriptors that it is based on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OpenDecisionReason {
-    /// It is within the share of its side.
+    /// The connection is within the share of its kind.
     WithinShare {
-        /// Descriptors that the side has open.
+        /// Descriptors that this kind of connection has open.
         open: usize,
-        /// Descriptors that it may have.
+        /// Descriptors that this kind of connection may have.
         share: usize,
     },
-    /// It is beyond the share, of what clients leave unused.
+    /// The connection is beyond the share of data nodes, and uses a descriptor that clients don't
+    /// use.
     Lent {
-        /// Descriptors that data nodes have open beyond their share.
+        /// Open descriptors of data nodes beyond their share.
         open: usize,
-        /// Descriptors that may be lent to them.
+        /// Maximum number of descriptors that clients currently lend to data nodes.
         lendable: usize,
     },
-    /// The share is used up.
+    /// The share is exhausted.
     ShareFull {
-        /// Descriptors that the side has open.
+        /// Descriptors that this kind of connection has open.
         open: usize,
-        /// Descriptors that it may have.
+        /// Descriptors that this kind of connection may have.
         share: usize,
     },
-    /// The other side has open what it has borrowed.
+    /// All descriptors are open, since the other kind has more than its share.
     Borrowed {
-        /// Descriptors that clients and data nodes have open together.
+        /// Open descriptors of clients and data nodes together.
         open: usize,
-        /// Descriptors that there are for both.
+        /// Descriptors that are available to clients and data nodes together.
         total: usize,
     },
-    /// The system gives this process no more.
+    /// The operating system gives this process no more descriptors.
     SystemLimit,
 }
 
@@ -130,26 +140,27 @@
     }
 }
 
-/// The descriptors of a process: how many each side has open, and how many it may have.
+/// The open descriptors of a process and the shares of each kind of connection.
 #[derive(Clone, Debug)]
 pub struct DescriptorShares {
-    /// For clients and data nodes together.
+    /// Descriptors for clients and data nodes together.
     total: usize,
-    /// The same while this is the broker's only process.
+    /// Value of `total` while this is the only process of the broker.
     single_process_total: usize,
-    /// Data nodes that are listed.
+    /// Number of data nodes that discovery lists.
     listed_nodes: usize,
     open_clients: usize,
     open_nodes: usize,
     open_discovery: usize,
-    /// Set aside for other brokers in each direction.
+    /// Descriptors reserved for other brokers, in each direction.
     peer_reserve: usize,
     open_inbound_peers: usize,
     open_outbound_peers: usize,
 }
 
 impl DescriptorShares {
-    /// Shares of `descriptors`, those of discovery among them.
+    /// Creates the shares of a process with this number of descriptors, including those reserved
+    /// for discovery.
     #[must_use]
     pub fn new(descriptors: usize) -> DescriptorShares {
         let total = descriptors
@@ -168,8 +179,8 @@
         }
     }
 
-    /// Brokers talk: so many descriptors in each direction are set aside for that, at most a
-    /// sixteenth of all.
+    /// Reserves `each` descriptors in each direction for connections between brokers, but at least
+    /// one and at most a sixteenth of the total.
     pub fn reserve_for_peers(&mut self, each: usize) {
         let each = each.min(self.total / MAX_PEER_RESERVE_DIVISOR).max(1);
         self.peer_reserve = each;
@@ -177,31 +188,31 @@
         self.single_process_total -= 2 * each;
     }
 
-    /// So many processes of this broker run side by side now: each has its part. What is open
-    /// beyond it goes as it falls idle.
+    /// Divides the descriptors equally among the processes of this broker that run at the same
+    /// time. Connections beyond the smaller share are closed as they become idle.
     pub fn set_process_count(&mut self, processes: u32) {
         self.total = (self.single_process_total / processes.max(1) as usize).max(MIN_DESCRIPTORS);
     }
 
-    /// So many data nodes are listed now, of all services.
+    /// Sets the number of data nodes that are currently listed, over all services.
     pub fn set_listed_nodes(&mut self, nodes: usize) {
         self.listed_nodes = nodes;
     }
 
-    /// A connection was opened.
-    pub fn on_opened(&mut self, side: ConnectionKind) {
-        *self.open_count_mut(side) += 1;
+    /// Counts a connection as open.
+    pub fn on_opened(&mut self, kind: ConnectionKind) {
+        *self.open_count_mut(kind) += 1;
     }
 
-    /// A connection was closed.
-    pub fn on_closed(&mut self, side: ConnectionKind) {
-        let count = self.open_count_mut(side);
-        debug_assert!(*count > 0, "each descriptor is given back once");
+    /// Counts a connection as closed.
+    pub fn on_closed(&mut self, kind: ConnectionKind) {
+        let count = self.open_count_mut(kind);
+        debug_assert!(*count > 0, "each descriptor is released once");
         *count = count.saturating_sub(1);
     }
 
-    fn open_count_mut(&mut self, side: ConnectionKind) -> &mut usize {
-        match side {
+    fn open_count_mut(&mut self, kind: ConnectionKind) -> &mut usize {
+        match kind {
             ConnectionKind::Clients => &mut self.open_clients,
             ConnectionKind::Nodes => &mut self.open_nodes,
             ConnectionKind::Discovery => &mut self.open_discovery,
@@ -210,8 +221,9 @@
         }
     }
 
-    /// What is set aside for data nodes: what they need, but half of all at most; a quarter of all
-    /// where they can use it (before any is listed it is not known that they can't).
+    /// Returns the share of data nodes: as many descriptors as they need, but at least a quarter
+    /// and at most half of the total. The share is smaller if the listed nodes can't use a quarter.
+    /// Before the first list, no such limit is known.
     #[must_use]
     pub fn node_share(&self) -> usize {
         let usable = if self.listed_nodes == 0 {
@@ -219,36 +231,38 @@
         } else {
             self.listed_nodes.saturating_mul(MAX_CONNECTIONS_PER_NODE)
         };
-        needed_by(self.listed_nodes)
+        needed_connections(self.listed_nodes)
             .max(self.total / MIN_NODE_SHARE_DIVISOR)
             .min(usable)
             .clamp(1, self.total / MAX_NODE_SHARE_DIVISOR)
     }
 
-    /// What clients may have open.
+    /// Returns the share of clients: all descriptors that are not in the share of data nodes.
     #[must_use]
     pub fn client_share(&self) -> usize {
         self.total - self.node_share()
     }
 
-    /// What data nodes may have open beyond their share: what clients leave unused of theirs, but
-    /// for a part of it.
+    /// Returns the number of descriptors that data nodes may have open beyond their share: the
+    /// unused descriptors of clients, without a reserve for new clients.
     fn lendable(&self) -> usize {
         let share = self.client_share();
         let unused = share.saturating_sub(self.open_clients);
         unused.saturating_sub((share / RESERVED_SHARE_DIVISOR).max(1))
     }
 
-    /// Whether a connection may be opened for this side.
+    /// Decides whether a connection of this kind may be opened.
     #[must_use]
-    pub fn may_open(&self, side: ConnectionKind) -> OpenDecision {
-        match side {
-            ConnectionKind::Discovery => within_share(self.open_discovery, DISCOVERY_RESERVE),
+    pub fn may_open(&self, kind: ConnectionKind) -> OpenDecision {
+        match kind {
+            ConnectionKind::Discovery => {
+                decide_within_share(self.open_discovery, DISCOVERY_RESERVE)
+            }
             ConnectionKind::InboundPeers => {
-                within_share(self.open_inbound_peers, self.peer_reserve)
+                decide_within_share(self.open_inbound_peers, self.peer_reserve)
             }
             ConnectionKind::OutboundPeers => {
-                within_share(self.open_outbound_peers, self.peer_reserve)
+                decide_within_share(self.open_outbound_peers, self.peer_reserve)
             }
             ConnectionKind::Clients => self.may_open_client(),
             ConnectionKind::Nodes => self.may_open_node(),
@@ -257,24 +271,24 @@
 
     fn may_open_client(&self) -> OpenDecision {
         let (open, total) = (self.open_clients + self.open_nodes, self.total);
-        match within_share(self.open_clients, self.client_share()) {
-            // Data nodes have borrowed it: it is given back as it falls idle.
+        match decide_within_share(self.open_clients, self.client_share()) {
+            // Data nodes have borrowed the descriptors, and return them as connections become idle.
             OpenDecision::Open(_) if open >= total => {
                 OpenDecision::CloseIdleFirst(OpenDecisionReason::Borrowed { open, total })
             }
-            verdict => verdict,
+            decision => decision,
         }
     }
 
     fn may_open_node(&self) -> OpenDecision {
         let (open, total) = (self.open_clients + self.open_nodes, self.total);
         let (open_nodes, share) = (self.open_nodes, self.node_share());
-        // Clients have more than their share of now, since more nodes are listed than before.
+        // Clients can have more than their current share after more nodes were listed.
         if open >= total {
             return OpenDecision::CloseIdleFirst(OpenDecisionReason::Borrowed { open, total });
         }
         if open_nodes < share {
-            return within_share(open_nodes, share);
+            return decide_within_share(open_nodes, share);
         }
         let (open, lendable) = (open_nodes - share, self.lendable());
         if open < lendable {
@@ -286,38 +300,39 @@
         })
     }
 
-    /// Connections to data nodes beyond their share, which clients that wait have a right to.
+    /// Returns the number of connections to data nodes beyond their share, which are to be closed
+    /// when idle if clients wait.
     #[must_use]
     pub fn reclaimable_connections(&self) -> usize {
         self.open_nodes.saturating_sub(self.node_share())
     }
 
-    /// Connections that clients have open beyond a quarter of all, or beyond their share: the idle
-    /// among them may go.
+    /// Returns the number of client connections beyond a quarter of the total or beyond their
+    /// share, whichever is smaller. The caller may close as many idle ones.
     #[must_use]
     pub fn excess_client_connections(&self) -> usize {
-        let most = (self.total / EXCESS_CLIENTS_DIVISOR).min(self.client_share());
-        self.open_clients.saturating_sub(most)
+        let limit = (self.total / EXCESS_CLIENTS_DIVISOR).min(self.client_share());
+        self.open_clients.saturating_sub(limit)
     }
 
-    /// How many data nodes these descriptors are enough for: a connection to each can stay open,
-    /// with the spare ones, whatever clients have open.
+    /// Returns the maximum number of data nodes whose connections, including the spare ones, can
+    /// all stay open regardless of the number of clients.
     #[must_use]
     pub fn node_capacity(&self) -> usize {
         (0..self.total)
-            .take_while(|nodes| needed_by(*nodes) <= self.total / MAX_NODE_SHARE_DIVISOR)
+            .take_while(|nodes| needed_connections(*nodes) <= self.total / MAX_NODE_SHARE_DIVISOR)
             .count()
             .saturating_sub(1)
     }
 }
 
-/// Connections that so many data nodes need: one each, and spare ones.
-fn needed_by(nodes: usize) -> usize {
+/// Returns the number of connections that data nodes need: one for each and the spare ones.
+fn needed_connections(nodes: usize) -> usize {
     nodes + nodes / SPARE_CONNECTIONS_DIVISOR + MIN_SPARE_CONNECTIONS
 }
 
-/// The verdict of a share that lends and borrows nothing.
-fn within_share(open: usize, share: usize) -> OpenDecision {
+/// Returns the decision for a share that is not lent or borrowed.
+fn decide_within_share(open: usize, share: usize) -> OpenDecision {
     match open < share {
         true => OpenDecision::Open(OpenDecisionReason::WithinShare { open, share }),
         false => OpenDecision::Wait(OpenDecisionReason::ShareFull { open, share }),
--- a/decide/descriptors/src/tests.rs
+++ b/decide/descriptors/src/tests.rs
@@ -1,21 +1,21 @@
-//! Tests of `descriptors`.
+//! Tests of the shares of descriptors.
 
 use super::*;
 
-/// Fleets of 3 to 1,000 data nodes and processes of 64 to 4,096 descriptors.
+/// Returns combinations of 3 to 1,000 data nodes and 64 to 4,096 descriptors.
 fn sizes() -> impl Iterator<Item = (usize, usize)> {
     let nodes = [3, 4, 12, 60, 100, 184, 200, 400, 1_000];
     let descriptors = [64, 128, 256, 568, 664, 1_024, 2_048, 4_096];
     nodes
         .into_iter()
-        .flat_map(move |n| descriptors.into_iter().map(move |d| (n, d)))
+        .flat_map(move |nodes| descriptors.into_iter().map(move |count| (nodes, count)))
 }
 
-/// Opens connections until one is denied.
-fn fill(shares: &mut DescriptorShares, side: ConnectionKind) -> usize {
+/// Opens connections until one is denied; returns the number of opened ones.
+fn fill(shares: &mut DescriptorShares, kind: ConnectionKind) -> usize {
     let mut opened = 0;
-    while matches!(shares.may_open(side), OpenDecision::Open(_)) {
-        shares.on_opened(side);
+    while matches!(shares.may_open(kind), OpenDecision::Open(_)) {
+        shares.on_opened(kind);
         opened += 1;
     }
     opened
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn greedy_clients_leave_nodes_their_share_and_discovery_its_reserve() {
+fn clients_at_their_limit_leave_share_of_nodes_and_reserve_of_discovery() {
     for (nodes, descriptors) in sizes() {
         let mut shares = shares(nodes, descriptors);
         let all = descriptors - DISCOVERY_RESERVE;
@@ -68,7 +68,7 @@
         assert_eq!(
             fill(&mut shares, ConnectionKind::Clients),
             kept,
-            "these come at once"
+            "new clients get the reserved descriptors at once"
         );
         match shares.may_open(ConnectionKind::Clients) {
             OpenDecision::CloseIdleFirst(OpenDecisionReason::Borrowed { .. }) => {
@@ -79,7 +79,7 @@
             }
             other => panic!("{nodes} nodes, {descriptors}: {other:?}"),
         }
-        // What falls idle goes to clients until they have their share, and never to data nodes.
+        // Closed connections of data nodes go to clients until they have their share.
         while shares.reclaimable_connections() > 0 {
             shares.on_closed(ConnectionKind::Nodes);
             assert!(!matches!(
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_longer_list_moves_the_shares_and_idle_clients_make_room() {
+fn longer_list_raises_share_of_nodes_and_idle_clients_are_in_excess() {
     let mut shares = shares(3, 640);
     assert_eq!(
         fill(&mut shares, ConnectionKind::Clients),
@@ -116,12 +116,12 @@
     assert_eq!((shares.node_share(), shares.client_share()), (238, 400));
     assert!(
         shares.excess_client_connections() >= 590 - 400,
-        "what is beyond the share of now is too much"
+        "client connections beyond the current share are in excess"
     );
     assert_eq!(
         fill(&mut shares, ConnectionKind::Nodes),
         48,
-        "what is free is theirs"
+        "data nodes get the free descriptors"
     );
     assert!(matches!(
         shares.may_open(ConnectionKind::Nodes),
@@ -147,18 +147,21 @@
 #[test]
 fn node_capacity_is_the_largest_count_within_the_share() {
     for descriptors in [64, 256, 568, 1_024, 4_096] {
-        let most = shares(1, descriptors).node_capacity();
+        let capacity = shares(1, descriptors).node_capacity();
         let fits = |nodes| {
             let shares = shares(nodes, descriptors);
             shares.node_share() >= nodes + nodes / SPARE_CONNECTIONS_DIVISOR + MIN_SPARE_CONNECTIONS
         };
-        assert!(fits(most) && !fits(most + 1), "{descriptors}: {most}");
+        assert!(
+            fits(capacity) && !fits(capacity + 1),
+            "{descriptors}: {capacity}"
+        );
     }
-    let table = [64, 568, 1_024, 4_096].map(|d| shares(1, d).node_capacity());
+    let table = [64, 568, 1_024, 4_096].map(|count| shares(1, count).node_capacity());
     assert_eq!(
         table,
         [19, 220, 403, 1_631],
-        "without the process's own descriptors"
+        "without the descriptors that the process itself needs"
     );
 }
 
@@ -180,14 +183,14 @@
             shares.may_open(ConnectionKind::Nodes),
             OpenDecision::CloseIdleFirst(_)
         ),
-        "clients hold it, and leave it in time"
+        "clients still have the descriptors open"
     );
     assert!(
         matches!(
             shares.may_open(ConnectionKind::Discovery),
             OpenDecision::Open(_)
         ),
-        "discovery has its place all the same"
+        "the reserve of discovery is unaffected"
     );
     assert!(shares.excess_client_connections() >= 135);
     shares.set_process_count(1);
--- a/decide/quota/src/admission.rs
+++ b/decide/quota/src/admission.rs
@@ -1,28 +1,29 @@
-//! What becomes of a request whose tenant has a quota.
+//! Outcomes of the admission check for a request whose tenant has a quota.
 
 use lichenswitch_interface::{Micros, Time};
 
-/// Advice where too many requests are queued, or no control machine responds (microseconds).
+/// Retry delay that is suggested if too many requests are queued or no control machine responds
+/// (microseconds).
 pub(crate) const RETRY_AFTER_US: Micros = 100_000;
 
-/// What becomes of a request.
+/// The outcome of the admission check for one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionOutcome {
-    /// It is admitted; its lease is valid until then.
+    /// The request is admitted; its lease is valid until this time.
     Admitted(Time),
-    /// It is queued for a lease.
+    /// The request is queued until a lease is granted or denied, or until its deadline.
     Queued,
-    /// It exceeds the quota; when to retry (microseconds).
+    /// The request exceeds the quota; contains the suggested retry delay (microseconds).
     OverQuota(Micros),
-    /// No decision is possible now; when to retry (microseconds).
+    /// No decision is possible now; contains the suggested retry delay (microseconds).
     Unavailable(Micros),
 }
 
-/// The decision on a request that was queued. `R` identifies requests.
+/// The decision on a request that was queued. `R` is the type that identifies a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionDecision<R> {
-    /// Which request.
+    /// The request, as it was passed to [`Allowances::admit`](crate::Allowances::admit).
     pub request: R,
-    /// Its outcome; never [`AdmissionOutcome::Queued`].
+    /// The outcome; never [`AdmissionOutcome::Queued`].
     pub outcome: AdmissionOutcome,
 }
--- a/decide/quota/src/allowances.rs
+++ b/decide/quota/src/allowances.rs
@@ -1,8 +1,8 @@
-//! A router's side of quotas: which requests it may admit now, which are queued for a lease, and
-//! what was denied a moment ago.
+//! Admission control at a router: admits requests that are covered by a lease, queues requests
+//! until a lease is granted, and remembers recent denials.
 //!
-//! It promises that a request is admitted only on a lease that is still valid, counted from when the
-//! router requested it, and that a queued request is decided by its deadline.
+//! A request is admitted only on a lease that is still valid, counted from the time at which the
+//! router requested it. Every queued request is decided by its deadline.
 
 mod tenant;
 
@@ -14,7 +14,8 @@
 use std::collections::HashMap;
 use tenant::TenantAllowance;
 
-/// The allowances of all tenants that have sent requests to this router. `R` identifies requests.
+/// The allowances of all tenants that have sent requests to this router. `R` is the type that
+/// identifies a request.
 pub struct Allowances<R> {
     bounds: QuotaBounds,
     tenants: HashMap<String, TenantAllowance<R>>,
@@ -22,7 +23,7 @@
 }
 
 impl<R: Copy + PartialEq> Allowances<R> {
-    /// Without any tenant. Lease requests get numbers above `last_lease_id`.
+    /// Creates allowances without any tenant. Lease requests get IDs above `last_lease_id`.
     #[must_use]
     pub fn new(bounds: QuotaBounds, last_lease_id: u64) -> Allowances<R> {
         Allowances {
@@ -32,12 +33,12 @@
         }
     }
 
-    /// Replaces the bounds of the rule.
+    /// Replaces the bounds from the settings; they apply to later calls.
     pub fn set_bounds(&mut self, bounds: QuotaBounds) {
         self.bounds = bounds;
     }
 
-    /// Decides on a request of a tenant at once, or queues it until `deadline` at the latest.
+    /// Decides on a request of a tenant immediately, or queues it until `deadline` at the latest.
     pub fn admit(
         &mut self,
         now: Time,
@@ -58,7 +59,7 @@
         allowance.admit(now, amount, request, deadline)
     }
 
-    /// Leases to request now, with their numbers.
+    /// Returns the lease requests to send now, with their IDs.
     pub fn lease_requests(&mut self, now: Time) -> Vec<(u64, LeaseRequest)> {
         let mut requests = Vec::new();
         for (tenant, allowance) in &mut self.tenants {
@@ -71,8 +72,8 @@
         requests
     }
 
-    /// The response to a lease request. One that is late, or not to the request in flight, has no
-    /// effect.
+    /// Handles the response to a lease request. A response that is late, or that doesn't belong to
+    /// the request in flight, grants nothing.
     pub fn on_grant(&mut self, now: Time, id: u64, grant: LeaseGrant) -> Vec<AdmissionDecision<R>> {
         let allowance = self
             .tenants
@@ -83,7 +84,7 @@
             .unwrap_or_default()
     }
 
-    /// Ends requests whose deadline has come, and removes tenants of which nothing is left here.
+    /// Removes and returns the requests whose deadline has passed, and removes idle tenants.
     pub fn expire(&mut self, now: Time) -> Vec<AdmissionDecision<R>> {
         let mut expired = Vec::new();
         for allowance in self.tenants.values_mut() {
@@ -97,7 +98,8 @@
         expired.into_iter().map(unavailable).collect()
     }
 
-    /// The earliest deadline of a queued request.
+    /// Returns the earliest deadline of a queued request: the time of the next call of
+    /// [`Allowances::expire`].
     #[must_use]
     pub fn next_wake(&self) -> Option<Time> {
         self.tenants
@@ -106,29 +108,30 @@
             .min()
     }
 
-    /// No response will come to the lease requests in flight: they are sent again.
+    /// Handles the loss of the connection to the control machine: lease requests in flight are sent
+    /// again, since they get no response.
     pub fn on_link_lost(&mut self) {
         self.tenants
             .values_mut()
             .for_each(TenantAllowance::abandon_lease);
     }
 
-    /// The client of a queued request has gone; `false` where this request is not queued.
+    /// Removes a queued request whose client has disconnected; returns false if it is not queued.
     pub fn cancel(&mut self, request: R) -> bool {
         self.tenants
             .values_mut()
             .any(|allowance| allowance.cancel(request))
     }
 
-    /// An admitted request was not sent to any server: another one may use its tokens while their
-    /// lease is valid.
+    /// Takes back the tokens of an admitted request that was not sent to any server. Other requests
+    /// may use them until `valid_until`, when their lease expires.
     pub fn return_unused(&mut self, tenant: &str, amount: u64, valid_until: Time) {
         if let Some(allowance) = self.tenants.get_mut(tenant) {
             allowance.add_surplus(amount, valid_until);
         }
     }
 
-    /// Number of queued requests.
+    /// Returns the number of queued requests of all tenants, without cancelled ones.
     #[must_use]
     pub fn queued_count(&self) -> usize {
         self.tenants
--- a/decide/quota/src/allowances/tenant.rs
+++ b/decide/quota/src/allowances/tenant.rs
@@ -6,50 +6,52 @@
 use lichenswitch_interface::{Micros, Time};
 use std::collections::VecDeque;
 
-/// How long a denial applies to further requests (microseconds).
+/// Longest time for which a denial applies to later requests (microseconds).
 const DENIAL_VALIDITY_US: Micros = 60_000;
-/// Most queued requests of a tenant. Bounds memory.
+/// Maximum number of queued requests of a tenant. Bounds memory.
 pub(super) const MAX_QUEUED: usize = 256;
-/// From so many requests within a lease's validity on, as much as they came to is leased ahead.
+/// Minimum number of requests within one lease validity for which tokens are prefetched.
 const MIN_REQUESTS_FOR_PREFETCH: usize = 3;
 
+/// A request that waits for a lease.
 struct QueuedRequest<R> {
-    /// None once it was cancelled or has expired while a lease is in flight for it.
+    /// `None` if the request was cancelled or has expired while a lease request for it is in
+    /// flight.
     request: Option<R>,
     amount: u64,
     deadline: Time,
 }
 
-/// A lease request that awaits its response. It is for the first requests of the queue.
+/// A lease request without a response so far. It covers the first `request_count` queued requests.
 struct InFlightLease {
     id: u64,
     requested_at: Time,
     request_count: usize,
 }
 
-/// Leased tokens that no request has used yet.
+/// Leased tokens that no request has used so far.
 struct SurplusTokens {
     amount: u64,
     valid_until: Time,
 }
 
-/// The last denial.
+/// The most recent denial, which also applies to similar requests.
 #[derive(Clone, Copy)]
 struct LastDenial {
-    /// It applies to requests of this amount or more.
+    /// Smallest amount that the denial applies to.
     min_amount: u64,
     retry_after: Micros,
     valid_until: Time,
 }
 
-/// An amount that was admitted.
+/// An admitted amount, from which the prefetch amount is derived.
 #[derive(Clone, Copy)]
 struct RecentAdmission {
     admitted_at: Time,
     amount: u64,
 }
 
-/// What a router knows of one tenant.
+/// Leased tokens, queued requests and recent decisions of one tenant at a router.
 pub(super) struct TenantAllowance<R> {
     unit: QuotaUnit,
     lease_validity: Micros,
@@ -57,7 +59,7 @@
     queue: VecDeque<QueuedRequest<R>>,
     in_flight: Option<InFlightLease>,
     last_denial: Option<LastDenial>,
-    /// What was admitted within the last validity.
+    /// Admissions within the last lease validity, oldest first.
     recent: VecDeque<RecentAdmission>,
 }
 
@@ -74,11 +76,11 @@
         }
     }
 
-    /// Advances to now, and to the quota that is in force.
+    /// Removes expired records, and adopts the unit and lease validity of the current quota.
     pub(super) fn advance(&mut self, now: Time, unit: QuotaUnit, lease_validity: Micros) {
         self.lease_validity = lease_validity;
         if unit != self.unit {
-            // Amounts of another unit have no meaning any more.
+            // Amounts in the previous unit can't be compared with amounts in the new one.
             self.unit = unit;
             self.surplus.clear();
             self.recent.clear();
@@ -124,20 +126,21 @@
         AdmissionOutcome::Queued
     }
 
-    /// Takes an amount of the surplus; until when its lease is valid.
+    /// Takes an amount from the surplus. Returns the earliest expiry of the leases used, or `None`
+    /// if the surplus is too small.
     fn use_surplus(&mut self, amount: u64) -> Option<Time> {
         let available: u64 = self.surplus.iter().map(|surplus| surplus.amount).sum();
         if available < amount {
             return None;
         }
-        let (mut open, mut valid_until) = (amount, Time(u64::MAX));
+        let (mut remaining, mut valid_until) = (amount, Time(u64::MAX));
         for surplus in &mut self.surplus {
-            let used = open.min(surplus.amount);
+            let used = remaining.min(surplus.amount);
             if used > 0 {
                 valid_until = valid_until.min(surplus.valid_until);
             }
             surplus.amount -= used;
-            open -= used;
+            remaining -= used;
         }
         self.surplus.retain(|surplus| surplus.amount > 0);
         Some(valid_until)
@@ -150,7 +153,8 @@
         });
     }
 
-    /// The lease to request now: one at a time, for the first requests of the queue.
+    /// Returns the lease request to send now, if any. It covers the first requests of the queue. At
+    /// most one lease request is in flight at a time.
     pub(super) fn lease_request(
         &mut self,
         now: Time,
@@ -162,7 +166,7 @@
             .as_ref()
             .is_some_and(|lease| now.since(lease.requested_at) >= self.lease_validity);
         if is_overdue {
-            // Its response would come too late.
+            // A lease is valid from its request on, so that a response now would grant nothing.
             self.abandon_lease();
         }
         if self.in_flight.is_some() || self.queue.is_empty() {
@@ -187,7 +191,8 @@
         })
     }
 
-    /// What the next validity is expected to bring, where that is worth leasing ahead.
+    /// Returns the amount admitted in the last lease validity as the estimate for the next one; 0
+    /// if there were fewer than [`MIN_REQUESTS_FOR_PREFETCH`] requests.
     fn prefetch_amount(&self) -> u64 {
         match self.recent.len() {
             0..MIN_REQUESTS_FOR_PREFETCH => 0,
@@ -199,14 +204,15 @@
         self.in_flight.as_ref().is_some_and(|lease| lease.id == id)
     }
 
-    /// The response to the lease request in flight.
+    /// Handles the response to the lease request in flight, and returns the decisions on its
+    /// requests.
     pub(super) fn on_grant(&mut self, now: Time, grant: LeaseGrant) -> Vec<AdmissionDecision<R>> {
         let Some(lease) = self.in_flight.take() else {
             return Vec::new();
         };
         let valid_until = lease.requested_at.plus(self.lease_validity);
         if now >= valid_until {
-            // Too late to be used: what is still queued is requested again.
+            // The lease has expired. The requests stay queued and are requested again.
             self.drop_cancelled();
             return Vec::new();
         }
@@ -256,13 +262,13 @@
         });
     }
 
-    /// No response to the lease request in flight is awaited any more.
+    /// Discards the lease request in flight, so that a response to it is ignored.
     pub(super) fn abandon_lease(&mut self) {
         self.in_flight = None;
         self.drop_cancelled();
     }
 
-    /// Requests whose deadline has come; they are queued no longer.
+    /// Removes the requests whose deadline has passed from the queue and returns them.
     pub(super) fn take_expired(&mut self, now: Time) -> Vec<R> {
         let expired = self
             .queue
@@ -274,7 +280,7 @@
         expired
     }
 
-    /// Whether this request was queued; it is no longer.
+    /// Removes a request from the queue; returns whether it was queued.
     pub(super) fn cancel(&mut self, request: R) -> bool {
         let queued = self
             .queue
@@ -288,8 +294,8 @@
         true
     }
 
-    /// Removes cancelled requests, but for those that a lease is in flight for: its grant goes by
-    /// their positions.
+    /// Removes cancelled requests, except those covered by the lease request in flight: the bits of
+    /// its grant refer to positions in the queue.
     fn drop_cancelled(&mut self) {
         let awaited = self
             .in_flight
@@ -302,7 +308,7 @@
         });
     }
 
-    /// Deadlines of the queued requests.
+    /// Returns the deadlines of the queued requests, without cancelled ones.
     pub(super) fn deadlines(&self) -> impl Iterator<Item = Time> + '_ {
         self.queue
             .iter()
--- a/decide/quota/src/allowances/tests.rs
+++ b/decide/quota/src/allowances/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `allowances`.
+//! Tests of admission control at a router.
 
 use super::*;
 use crate::lease::MAX_AMOUNTS;
@@ -31,29 +31,34 @@
     Allowances::new(BOUNDS, 0)
 }
 
-fn admit(allowances: &mut Allowances<u32>, now: u64, need: u64, request: u32) -> AdmissionOutcome {
-    allowances.admit(Time(now), &tenants()[0], need, request, LATER)
+fn admit(
+    allowances: &mut Allowances<u32>,
+    now: u64,
+    amount: u64,
+    request: u32,
+) -> AdmissionOutcome {
+    allowances.admit(Time(now), &tenants()[0], amount, request, LATER)
 }
 
-/// The one lease request that is sent now.
+/// Returns the lease request that is sent now, which must be the only one.
 fn sent_lease_request(allowances: &mut Allowances<u32>, now: u64) -> (u64, LeaseRequest) {
     let mut requests = allowances.lease_requests(Time(now));
     assert_eq!(requests.len(), 1);
     requests.remove(0)
 }
 
-fn grant(amounts: u64, prefetch_amount: u64, wait: Micros) -> LeaseGrant {
+fn grant(granted_bits: u64, prefetch_amount: u64, retry_after_us: Micros) -> LeaseGrant {
     LeaseGrant {
-        granted_bits: amounts,
+        granted_bits,
         prefetch_amount,
-        retry_after_us: wait,
+        retry_after_us,
     }
 }
 
 fn outcomes(decisions: &[AdmissionDecision<u32>]) -> Vec<(u32, AdmissionOutcome)> {
     decisions
         .iter()
-        .map(|decisions| (decisions.request, decisions.outcome))
+        .map(|decision| (decision.request, decision.outcome))
         .collect()
 }
 
@@ -80,7 +85,7 @@
     );
     assert!(
         allowances.on_grant(Time(2), id, grant(1, 0, 0)).is_empty(),
-        "an answer counts once"
+        "a second response to the same request has no effect"
     );
     assert_eq!(sent_lease_request(&mut allowances, 3).1.amounts, [20]);
 }
@@ -108,14 +113,14 @@
 }
 
 #[test]
-fn grant_is_valid_from_its_request_until_it_expires() {
+fn grant_expires_one_validity_after_its_request() {
     let mut allowances = new();
     admit(&mut allowances, 0, 10, 1);
     let (id, _) = sent_lease_request(&mut allowances, 0);
     assert!(allowances
         .on_grant(Time(validity()), id, grant(1, 500, 0))
         .is_empty());
-    // It is still queued, and its lease is requested again.
+    // The request is still queued, and its lease is requested again.
     let (id, _) = sent_lease_request(&mut allowances, validity());
     let granted = allowances.on_grant(Time(validity() + 1), id, grant(1, 500, 0));
     assert_eq!(
@@ -129,12 +134,12 @@
     assert_eq!(
         admit(&mut allowances, 2 * validity(), 50, 3),
         AdmissionOutcome::Queued,
-        "what was ahead has lapsed"
+        "the prefetched tokens have expired"
     );
 }
 
 #[test]
-fn grant_of_cancelled_request_is_used_by_another() {
+fn tokens_of_cancelled_request_are_used_by_another() {
     let mut allowances = new();
     admit(&mut allowances, 0, 10, 1);
     admit(&mut allowances, 0, 30, 2);
@@ -182,7 +187,7 @@
         outcomes(&allowances.expire(Time(50))),
         [(1, AdmissionOutcome::Unavailable(RETRY_AFTER_US))]
     );
-    // The bits of the grant still refer to the positions of the requests.
+    // The bits of the grant still refer to the original positions of the requests.
     let decisions = allowances.on_grant(Time(60), id, grant(0b10, 0, 9));
     assert_eq!(
         outcomes(&decisions),
@@ -198,8 +203,8 @@
     let (id, _) = sent_lease_request(&mut allowances, 0);
     allowances.on_link_lost();
     assert!(allowances.on_grant(Time(1), id, grant(1, 0, 0)).is_empty());
-    let (again, request) = sent_lease_request(&mut allowances, 2);
-    assert!(again != id && request.amounts == [10]);
+    let (new_id, request) = sent_lease_request(&mut allowances, 2);
+    assert!(new_id != id && request.amounts == [10]);
 }
 
 #[test]
@@ -216,7 +221,7 @@
 }
 
 #[test]
-fn queue_and_idle_tenants_are_bounded() {
+fn queue_is_bounded_and_idle_tenants_are_removed() {
     let mut allowances = new();
     for request in 0..tenant::MAX_QUEUED as u32 {
         assert_eq!(
--- a/decide/quota/src/buckets.rs
+++ b/decide/quota/src/buckets.rs
@@ -1,4 +1,4 @@
-//! The shards of tenants' buckets that a control machine owns.
+//! Token buckets for the shards that a control machine owns.
 
 mod bucket;
 
@@ -12,30 +12,31 @@
 
 pub use bucket::BucketUsage;
 
-/// Advice where this machine owns no shard, or doesn't know the tenant as it is requested
-/// (microseconds).
+/// Retry delay that is suggested if this machine owns no shard, or doesn't know a tenant with the
+/// requested name and unit (microseconds).
 const NO_SHARD_RETRY_AFTER_US: Micros = 200_000;
 
-/// The buckets of a machine.
+/// The buckets of a control machine, by tenant.
 ///
-/// They begin in the deepest debt, since an earlier owner may have granted that much a moment ago;
-/// but for those of tenants whose quota this machine has seen come into being: nobody has granted
-/// anything of it.
+/// A bucket normally starts at its maximum debt, since an earlier owner may have just granted that
+/// much. A bucket starts full if this machine has observed the creation of the quota, since no
+/// other machine can have granted anything from it.
 #[derive(Clone, Debug)]
 pub struct Buckets {
     bounds: QuotaBounds,
     quotas: HashMap<String, Quota>,
-    /// Units of the tenants that are known, with a quota or without.
+    /// Units of all tenants of the configuration, with or without a quota.
     known_units: HashMap<String, QuotaUnit>,
     buckets: HashMap<String, Bucket>,
-    /// Quotas that were removed within the last window, with when they were.
+    /// Tenants whose quota was removed within the last window, with the time of the removal.
     removed: HashMap<String, Time>,
-    /// Whether it is known what was committed before the next configuration.
+    /// Whether the configuration before the next one is known, so that new quotas can be
+    /// recognised.
     knows_previous_configuration: bool,
 }
 
 impl Buckets {
-    /// Without any tenant.
+    /// Creates a set of buckets without any tenant.
     #[must_use]
     pub fn new(bounds: QuotaBounds) -> Buckets {
         Buckets {
@@ -48,18 +49,19 @@
         }
     }
 
-    /// This machine is in contact with a group that has no configuration yet.
+    /// Records contact with a group that has no configuration yet. Buckets of the first
+    /// configuration then start full.
     pub fn on_no_configuration(&mut self) {
         self.knows_previous_configuration = true;
     }
 
-    /// Replaces the bounds of the rule.
+    /// Replaces the bounds from the settings; they apply to later calls.
     pub fn set_bounds(&mut self, bounds: QuotaBounds) {
         self.bounds = bounds;
     }
 
-    /// A configuration with these tenants is in force. A tenant that was removed keeps its bucket
-    /// for a window, so that adding it again does not refill it.
+    /// Adopts the tenants of a new configuration. The bucket of a removed tenant is kept for one
+    /// window, so that removing and adding a tenant doesn't refill the bucket.
     pub fn set_tenants(&mut self, now: Time, tenants: &[Tenant]) {
         self.known_units = tenants
             .iter()
@@ -89,7 +91,7 @@
         }
     }
 
-    /// Full buckets for quotas that have come into being with this configuration.
+    /// Creates full buckets for quotas that the previous configuration didn't have.
     fn fill_new_buckets(&mut self, now: Time, previous: &HashMap<String, Quota>) {
         for (tenant, quota) in &self.quotas {
             let is_new = self.knows_previous_configuration
@@ -102,20 +104,20 @@
         }
     }
 
-    /// Whether any tenant has a quota.
+    /// Whether at least one tenant has a quota.
     #[must_use]
     pub fn has_quotas(&self) -> bool {
         !self.quotas.is_empty()
     }
 
-    /// Whether a request needs no bucket: its tenant has no quota.
+    /// Whether the tenant of a request is known and has no quota, so that no bucket is needed.
     #[must_use]
     pub fn is_unlimited(&self, request: &LeaseRequest) -> bool {
         self.known_units.contains_key(&request.tenant) && !self.quotas.contains_key(&request.tenant)
     }
 
-    /// Refills all buckets up to now. To be called often: a bucket whose shard was owned elsewhere
-    /// for a while does not refill for that time.
+    /// Refills all buckets up to now. The caller has to call it regularly: only then is it noticed
+    /// that another machine owned a shard for a while, for which the bucket must not refill.
     pub fn advance(&mut self, now: Time, ownership: &ShardOwnership) {
         for (tenant, bucket) in &mut self.buckets {
             let Some(quota) = self.quotas.get(tenant) else {
@@ -126,7 +128,8 @@
         }
     }
 
-    /// Grants what this machine's shard can bear: the amounts in order, each in full or not at all.
+    /// Grants a request from this machine's shard. The amounts are considered in order, and each is
+    /// granted in full or not at all.
     pub fn lease(
         &mut self,
         now: Time,
@@ -136,7 +139,7 @@
         if self.is_unlimited(request) {
             return LeaseGrant::in_full(request);
         }
-        let nothing = LeaseGrant {
+        let denial = LeaseGrant {
             retry_after_us: NO_SHARD_RETRY_AFTER_US,
             ..LeaseGrant::default()
         };
@@ -145,7 +148,7 @@
             .get(&request.tenant)
             .filter(|quota| quota.unit == request.unit)
         else {
-            return nothing;
+            return denial;
         };
         let shard = shard_bounds(quota, &self.bounds, now, &request.tenant, ownership);
         let bucket = self
@@ -155,11 +158,11 @@
         bucket.refill(now, ownership, &shard);
         match shard.is_owned() {
             true => bucket.grant(now, request, &shard, self.bounds.window.as_secs_f64()),
-            false => nothing,
+            false => denial,
         }
     }
 
-    /// What tenants have used here, by name, as of now.
+    /// Returns the usage of each bucket as of now, sorted by the tenant's name.
     #[must_use]
     pub fn usage(&self, now: Time, ownership: &ShardOwnership) -> Vec<(&str, BucketUsage)> {
         let usage = |(tenant, bucket): (&'_ String, &Bucket)| {
@@ -179,14 +182,14 @@
         all
     }
 
-    /// Whether every shard has granted no more in any window than its bounds allow, since the
-    /// process began.
+    /// Whether every shard has stayed within its bounds in every window since the start of the
+    /// process.
     #[must_use]
     pub fn are_within_bounds(&self) -> bool {
         self.buckets.values().all(Bucket::is_within_bounds)
     }
 
-    /// Tenants that have a quota, with it.
+    /// Returns the names of the tenants that have a quota, with the quota, in no particular order.
     pub fn quotas(&self) -> impl Iterator<Item = (&str, &Quota)> {
         self.quotas
             .iter()
--- a/decide/quota/src/buckets/bucket.rs
+++ b/decide/quota/src/buckets/bucket.rs
@@ -1,4 +1,4 @@
-//! The token bucket of one shard, and the audit of what it grants.
+//! The token bucket of one shard, and the audit of its grants.
 
 use crate::lease::{LeaseGrant, LeaseRequest, MAX_AMOUNTS};
 use crate::ownership::{BucketShard, ShardOwnership};
@@ -8,14 +8,14 @@
 use lichenswitch_interface::{Micros, Time};
 use std::collections::VecDeque;
 
-/// A prefetch amount is granted only where this fraction of the depth is left.
+/// Minimum level after a prefetch amount is granted, as a fraction of the depth.
 const MIN_LEVEL_AFTER_PREFETCH: f64 = 0.5;
-/// A bucket that is filled to this fraction admits a request larger than its depth.
+/// Minimum level at which an amount larger than the depth is granted, as a fraction of the depth.
 const NEARLY_FULL: f64 = 0.99;
-/// Longest advice on when to retry (microseconds).
+/// Longest retry delay that is suggested (microseconds).
 const MAX_RETRY_AFTER_US: Micros = 1_000_000;
 
-/// Bounds of one shard: its fraction of the tenant's quota.
+/// Refill rate, depth and maximum debt of one shard: its fraction of the tenant's quota.
 pub(super) struct ShardBounds {
     refill_per_s: f64,
     depth: f64,
@@ -36,34 +36,35 @@
         }
     }
 
-    /// Whether this machine owns any of the bucket.
+    /// Whether this machine owns a shard of the bucket.
     pub(super) fn is_owned(&self) -> bool {
         self.refill_per_s > 0.0
     }
 
-    /// Most that the shard grants in a window.
-    fn max_admitted_in(&self, window_s: f64) -> f64 {
+    /// Returns the maximum amount that the shard grants in a window.
+    fn max_granted_in(&self, window_s: f64) -> f64 {
         self.refill_per_s * window_s + self.depth + self.max_debt
     }
 }
 
-/// What a tenant has used of the shards here, for operators.
+/// Usage of one tenant's bucket at this machine, for operators.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct BucketUsage {
-    /// Units granted so far.
+    /// Units granted since the bucket was created.
     pub granted: f64,
-    /// Number of amounts that were not granted.
+    /// Number of amounts that were denied since the bucket was created.
     pub denied: u64,
-    /// Level of the bucket now (units); below 0 while in debt.
+    /// Current level of the bucket (units); below 0 while in debt.
     pub level: f64,
 }
 
-/// A token bucket.
+/// The token bucket of one shard.
 #[derive(Clone, Debug)]
 pub(super) struct Bucket {
-    /// Below 0 while in debt.
+    /// Units that can be granted; below 0 while in debt.
     level: f64,
-    /// What was granted before is not known: it may be in the deepest debt.
+    /// Whether earlier grants from this shard are unknown. The next refill then starts at the
+    /// maximum debt.
     is_level_unknown: bool,
     refilled_at: Time,
     unit: QuotaUnit,
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Whatever its depth is: the first refill limits the level to that.
+    /// Creates a full bucket. The level is infinite until the first refill limits it to the depth.
     pub(super) fn full(now: Time, unit: QuotaUnit) -> Bucket {
         Bucket {
             level: f64::INFINITY,
@@ -98,7 +99,8 @@
         self.refilled_at
     }
 
-    /// A level in another unit has no meaning.
+    /// Adopts the unit of the quota. A level in the previous unit can't be converted, so it becomes
+    /// unknown.
     pub(super) fn set_unit(&mut self, unit: QuotaUnit) {
         if unit != self.unit {
             (self.unit, self.is_level_unknown) = (unit, true);
@@ -117,10 +119,11 @@
         !self.audit.is_exceeded
     }
 
-    /// Refills up to now, or to the end of the machine's ownership.
+    /// Refills the bucket up to now, or up to the end of the machine's ownership if that is
+    /// earlier.
     pub(super) fn refill(&mut self, now: Time, ownership: &ShardOwnership, shard: &ShardBounds) {
         if shard.refill_per_s <= 0.0 {
-            // The owner meanwhile may leave the shard at any level.
+            // The current owner may leave the shard at any level.
             (self.level, self.is_level_unknown, self.refilled_at) = (0.0, true, now);
             return;
         }
@@ -134,7 +137,7 @@
         self.refilled_at = self.refilled_at.max(now);
     }
 
-    /// Grants what the level can bear, and audits it.
+    /// Grants the amounts that the level allows, and audits their sum.
     pub(super) fn grant(
         &mut self,
         now: Time,
@@ -146,7 +149,7 @@
         let grant = self.withdraw_all(request, shard);
         let amount = self.granted - granted_before;
         self.audit
-            .on_granted(now, amount, window_s, shard.max_admitted_in(window_s));
+            .on_granted(now, amount, window_s, shard.max_granted_in(window_s));
         grant
     }
 
@@ -154,7 +157,7 @@
         let mut grant = LeaseGrant::default();
         for (index, amount) in request.amounts.iter().take(MAX_AMOUNTS).enumerate() {
             let amount = *amount as f64;
-            if self.can_bear(amount, shard) {
+            if self.can_grant(amount, shard) {
                 self.withdraw(amount);
                 grant.granted_bits |= 1 << index;
             } else {
@@ -176,7 +179,7 @@
         grant
     }
 
-    fn can_bear(&self, amount: f64, shard: &ShardBounds) -> bool {
+    fn can_grant(&self, amount: f64, shard: &ShardBounds) -> bool {
         let needs_debt = amount > shard.depth && amount <= shard.depth + shard.max_debt;
         self.level >= amount || (needs_debt && self.level >= NEARLY_FULL * shard.depth)
     }
@@ -187,16 +190,16 @@
     }
 
     fn retry_after(&self, amount: f64, shard: &ShardBounds) -> Micros {
-        let lacking = amount.min(shard.depth) - self.level;
-        let wait_us = lacking / shard.refill_per_s * MICROS_PER_SECOND;
+        let deficit = amount.min(shard.depth) - self.level;
+        let wait_us = deficit / shard.refill_per_s * MICROS_PER_SECOND;
         (wait_us as Micros).clamp(1, MAX_RETRY_AFTER_US)
     }
 }
 
-/// Compares what is granted in a window with what the largest shard of that time allows.
+/// An audit that compares the sum granted in a window with the bounds of the largest shard in it.
 #[derive(Clone, Debug, Default)]
 struct GrantAudit {
-    /// Grants of the last window, with their sum.
+    /// Times and amounts of the grants in the last window; their sum is `sum`.
     grants: VecDeque<(Time, f64)>,
     sum: f64,
     allowed: f64,
@@ -221,7 +224,7 @@
             self.grants.push_back((now, amount));
             self.sum += amount;
         }
-        // Sums of fractions are inexact.
+        // The tolerance covers rounding errors of the sum.
         self.is_exceeded |= self.sum > self.allowed * 1.000_1 + 1.0;
     }
 }
--- a/decide/quota/src/buckets/tests.rs
+++ b/decide/quota/src/buckets/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `buckets`.
+//! Tests of the buckets of a control machine.
 
 use super::*;
 use crate::ownership::OwnerId;
@@ -24,7 +24,7 @@
     ))
 }
 
-/// The only voter, in contact from the start.
+/// Returns the ownership of the only voter, which is always in contact.
 fn ownership() -> ShardOwnership {
     let mut ownership = ShardOwnership::new(OwnerId(1), vec![OwnerId(1)]);
     for second in 0..100 {
@@ -48,17 +48,17 @@
     buckets
 }
 
-/// How far the first owner may go below 0.
-fn debt(rate: u32, burst: u32) -> f64 {
+/// Returns the maximum debt of the tenant's bucket.
+fn max_debt(rate: u32, burst: u32) -> f64 {
     TenantQuota::of(&limited(rate, burst)[0].quota.expect("a quota"), &BOUNDS).max_debt
 }
 
 #[test]
 fn bucket_begins_in_debt_and_refills_up_to_its_depth() {
     let (mut buckets, ownership) = (buckets(1_000, 500), ownership());
-    // It begins in debt.
+    // A bucket without known earlier grants begins at its maximum debt.
     let first = buckets.lease(Time(0), &request(&[100]), &ownership);
-    let wait = (debt(1_000, 500) * 1_000.0) as u64 + 100_000;
+    let wait = (max_debt(1_000, 500) * 1_000.0) as u64 + 100_000;
     assert!(
         first.granted_bits == 0 && (wait * 9 / 10..wait * 11 / 10).contains(&first.retry_after_us),
         "{first:?}"
@@ -66,7 +66,7 @@
     assert!(buckets
         .lease(Time(wait * 11 / 10), &request(&[100]), &ownership)
         .covers(0));
-    // After a long time: the depth, not all that was refilled.
+    // After a long time, the level is limited to the depth.
     let grant = buckets.lease(Time(50 * SECOND_US), &request(&[500, 500, 100]), &ownership);
     assert!(
         grant.covers(0) && !grant.covers(1) && grant.covers(2),
@@ -79,10 +79,10 @@
     let (mut buckets, ownership) = (buckets(1_000, 0), ownership());
     buckets.lease(Time(0), &request(&[1]), &ownership);
     let level = buckets.usage(Time(10 * SECOND_US), &ownership)[0].1.level;
-    let (most, two_thirds) = (level as u64, (level * 0.66) as u64);
+    let (full, two_thirds) = (level as u64, (level * 0.66) as u64);
     let grant = buckets.lease(
         Time(10 * SECOND_US),
-        &request(&[two_thirds, two_thirds, most / 4]),
+        &request(&[two_thirds, two_thirds, full / 4]),
         &ownership,
     );
     assert!(
@@ -108,9 +108,9 @@
     assert!(!buckets
         .lease(Time(5 * SECOND_US), &request(&[1]), &ownership)
         .covers(0));
-    let beyond = (tenant_quota.depth + tenant_quota.max_debt * 1.1) as u64;
+    let too_large = (tenant_quota.depth + tenant_quota.max_debt * 1.1) as u64;
     assert!(!buckets
-        .lease(Time(50 * SECOND_US), &request(&[beyond]), &ownership)
+        .lease(Time(50 * SECOND_US), &request(&[too_large]), &ownership)
         .covers(0));
 }
 
@@ -145,7 +145,7 @@
     let mut ownership = ShardOwnership::new(OwnerId(1), vec![OwnerId(1)]);
     ownership.on_contact(Time(0));
     buckets.lease(Time(0), &request(&[1]), &ownership);
-    // Out of contact from 4 s on; back at 20 s.
+    // The ownership ends at 4 s, and contact is renewed at 20 s.
     assert!(
         buckets
             .lease(Time(5 * SECOND_US), &request(&[1]), &ownership)
@@ -159,21 +159,21 @@
             .granted_bits
             == 0
     );
-    // It begins in debt again.
-    let paid_off = Time(20 * SECOND_US + (debt(1_000, 1_000) * 1_000.0) as u64);
+    // The bucket begins at its maximum debt again.
+    let repaid_at = Time(20 * SECOND_US + (max_debt(1_000, 1_000) * 1_000.0) as u64);
     assert!(
         buckets
-            .lease(paid_off.minus(SECOND_US / 20), &request(&[1]), &ownership)
+            .lease(repaid_at.minus(SECOND_US / 20), &request(&[1]), &ownership)
             .granted_bits
             == 0
     );
     assert!(buckets
-        .lease(paid_off.plus(SECOND_US / 20), &request(&[1]), &ownership)
+        .lease(repaid_at.plus(SECOND_US / 20), &request(&[1]), &ownership)
         .covers(0));
 }
 
 #[test]
-fn lower_limit_applies_and_tenant_added_again_is_not_refilled() {
+fn lower_quota_applies_at_once_and_readded_tenant_is_not_refilled() {
     let (mut buckets, ownership) = (buckets(1_000, 1_000), ownership());
     buckets.lease(Time(0), &request(&[1]), &ownership);
     buckets.set_tenants(Time(9 * SECOND_US), &limited(10, 10));
@@ -199,7 +199,8 @@
     assert!(!buckets
         .lease(Time(1), &request(&[1_000]), &ownership)
         .covers(0));
-    // Not where the process has started with it: an earlier owner may have granted of it.
+    // A quota that exists at the start begins in debt, since an earlier owner may have granted
+    // tokens.
     let mut buckets = self::buckets(1_000, 1_000);
     assert!(
         buckets
--- a/decide/quota/src/lease.rs
+++ b/decide/quota/src/lease.rs
@@ -1,56 +1,57 @@
-//! A request for a lease on a tenant's bucket, and what is granted of it.
+//! Requests for leases on a tenant's bucket, and the grants in response.
 
 use lichenswitch_configuration::QuotaUnit;
 
-/// Most amounts of one request: a grant names them by the bits of a number.
+/// Maximum number of amounts in one request: a grant has one bit for each amount in a `u64`.
 pub const MAX_AMOUNTS: usize = 64;
 
-/// Tokens that are requested of a tenant's bucket.
+/// A router's request for tokens from a tenant's bucket.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeaseRequest {
-    /// Name of the tenant.
+    /// Name of the tenant in the configuration.
     pub tenant: String,
     /// Unit of the amounts.
     pub unit: QuotaUnit,
-    /// Amounts of queued requests, [`MAX_AMOUNTS`] at most; each is granted in full or not at all.
+    /// Amounts of the queued requests, at most [`MAX_AMOUNTS`]; each is granted in full or not at
+    /// all.
     pub amounts: Vec<u64>,
-    /// An additional amount for requests that are expected soon, granted only while the bucket is
-    /// well filled.
+    /// An additional amount for requests that are expected soon. It is granted only if at least
+    /// half of the bucket's depth remains.
     pub prefetch_amount: u64,
 }
 
-/// What is granted of a [`LeaseRequest`].
+/// The part of a [`LeaseRequest`] that is granted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LeaseGrant {
-    /// Bit `i` is set where amount `i` is granted.
+    /// Bit mask of the granted amounts: bit `i` is set if amount `i` is granted.
     pub granted_bits: u64,
-    /// Granted of the prefetch amount.
+    /// The granted prefetch amount: all that was requested, or 0.
     pub prefetch_amount: u64,
-    /// When the first amount that is not granted might be (microseconds from now); 0 where all are
-    /// granted.
+    /// Shortest time after which a denied amount might be granted (microseconds from now); 0 if all
+    /// amounts are granted.
     pub retry_after_us: u64,
 }
 
 impl LeaseGrant {
-    /// Whether the amount at this index is granted.
+    /// Whether the amount at `index` is granted.
     #[must_use]
     pub fn covers(&self, index: usize) -> bool {
         index < MAX_AMOUNTS && self.granted_bits & (1 << index) != 0
     }
 
-    /// Whether all amounts of a request are granted.
+    /// Whether all amounts of `request` are granted, apart from its prefetch amount.
     #[must_use]
     pub fn covers_all(&self, request: &LeaseRequest) -> bool {
         (0..request.amounts.len()).all(|index| self.covers(index))
     }
 
-    /// This grant together with another one of the same request, which was for the amounts that this
-    /// one had left out.
+    /// Combines this grant with another grant for the same request. `other` covers amounts that
+    /// this grant denied.
     #[must_use]
     pub fn merge(self, other: LeaseGrant) -> LeaseGrant {
         let retry_after_us = match (self.retry_after_us, other.retry_after_us) {
             (0, wait) | (wait, 0) => wait,
-            (one, two) => one.min(two),
+            (first, second) => first.min(second),
         };
         LeaseGrant {
             granted_bits: self.granted_bits | other.granted_bits,
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Grants all that is requested.
+    /// Returns a grant for all amounts of a request, including its prefetch amount.
     #[must_use]
     pub fn in_full(request: &LeaseRequest) -> LeaseGrant {
         let count = request.amounts.len().min(MAX_AMOUNTS);
--- a/decide/quota/src/lease_requests.rs
+++ b/decide/quota/src/lease_requests.rs
@@ -1,8 +1,8 @@
-//! Lease requests at a control machine: served from its own shard of the bucket, then from the
+//! Lease requests at a control machine, served from its own shard of the bucket and then from the
 //! shards of the other owners.
 //!
-//! It promises that each request gets one response, within [`OWNER_TIMEOUT_US`] for each owner at
-//! the latest, and that what a response grants was granted by owners.
+//! Each request gets exactly one response, after at most [`OWNER_TIMEOUT_US`] for each owner. A
+//! response contains only grants by owners.
 
 mod owner_health;
 
@@ -13,68 +13,72 @@
 use owner_health::OwnerHealth;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An owner that has not responded for so long is skipped (microseconds): links within a region
-/// take milliseconds.
+/// Time after which an owner that has not responded is skipped (microseconds). Round trips within a
+/// region take milliseconds.
 const OWNER_TIMEOUT_US: Micros = 60_000;
-/// Most requests that are pending. Bounds memory.
+/// Maximum number of pending requests. Bounds memory.
 const MAX_PENDING: usize = 4_096;
-/// Machines that are asked in turn by one that knows no voters.
+/// Maximum number of machines to which a machine without known voters forwards a request, one after
+/// the other.
 const MAX_FORWARDING_PEERS: usize = 2;
 
-/// Something that the machine has to do. `O` identifies who awaits the response.
+/// A message that the machine has to send. `O` is the type that identifies the origin of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LeaseAction<O> {
     /// Send a request to an owner.
     Request {
-        /// Which one.
+        /// The owner, or a machine that may know the owners if `may_forward` is set.
         to: OwnerId,
-        /// Number of the request.
+        /// ID of the request, which the response repeats.
         id: u64,
-        /// Whether it is to forward the request to other owners, since this machine knows of none.
+        /// Whether the receiver should forward the request to the owners, since this machine
+        /// doesn't know them.
         may_forward: bool,
-        /// The request.
+        /// The request, with the amounts that are not granted so far.
         request: LeaseRequest,
     },
     /// Send the response to a request.
     Respond {
-        /// Who awaits it.
+        /// The sender of the request.
         origin: O,
-        /// What is granted.
+        /// The combined grants of all owners.
         grant: LeaseGrant,
     },
 }
 
-/// What a machine knows while it serves a request.
+/// The state of a machine that is needed to serve a request.
 pub struct LeaseContext<'a> {
-    /// Its own shards.
+    /// The shards that the machine owns.
     pub buckets: &'a mut Buckets,
-    /// Which shards those are.
+    /// The ownership that determines those shards.
     pub ownership: &'a ShardOwnership,
-    /// This machine.
+    /// Identity of this machine.
     pub own_id: OwnerId,
-    /// Machines that can be reached.
+    /// Machines that are currently reachable.
     pub reachable: &'a BTreeSet<OwnerId>,
 }
 
-/// The request to an owner that a pending request awaits.
+/// A request to an owner whose response is awaited.
 struct OwnerRequest {
     owner: OwnerId,
-    /// Indexes of the amounts that it is for.
+    /// Indexes of the requested amounts in the original request.
     indexes: Vec<usize>,
     deadline: Time,
 }
 
+/// A request that has no response so far.
 struct PendingRequest<O> {
     origin: O,
     request: LeaseRequest,
-    /// Granted so far.
+    /// The combined grants received so far.
     grant: LeaseGrant,
-    /// Owners that have not been tried; the last one is next.
+    /// Owners that were not tried so far; the last one is tried next.
     untried_owners: Vec<OwnerId>,
     in_flight: OwnerRequest,
 }
 
-/// Pending requests. `O` identifies who awaits the response.
+/// The pending lease requests of a control machine. `O` is the type that identifies the origin of a
+/// request.
 pub struct LeaseRequests<O> {
     pending: BTreeMap<u64, PendingRequest<O>>,
     last_id: u64,
@@ -82,8 +86,8 @@
 }
 
 impl<O> LeaseRequests<O> {
-    /// Without any request. Requests to owners get numbers above `last_id`, which no earlier
-    /// incarnation of the process has used.
+    /// Creates an instance without requests. Requests to owners get IDs above `last_id`; no earlier
+    /// incarnation of the process may have used them.
     #[must_use]
     pub fn new(last_id: u64) -> LeaseRequests<O> {
         LeaseRequests {
@@ -93,7 +97,8 @@
         }
     }
 
-    /// A request has come.
+    /// Handles a request: responds if it can be granted here, or else forwards the remaining
+    /// amounts to another owner.
     pub fn on_request(
         &mut self,
         now: Time,
@@ -122,7 +127,8 @@
         self.try_next_owner(now, pending, context)
     }
 
-    /// An owner has responded. A response counts only from the owner that the request went to.
+    /// Handles a response of an owner. A grant is used only if it comes from the owner to which the
+    /// request was sent.
     pub fn on_response(
         &mut self,
         now: Time,
@@ -131,7 +137,7 @@
         grant: LeaseGrant,
         context: &mut LeaseContext<'_>,
     ) -> Vec<LeaseAction<O>> {
-        // A late one shows all the same that its sender is alive.
+        // A late response still shows that its sender is alive.
         self.health.on_response(from);
         let is_expected = self
             .pending
@@ -167,7 +173,8 @@
         self.try_next_owner(now, pending, context)
     }
 
-    /// A machine can be reached no more.
+    /// Handles the loss of the connection to an owner: requests that await its response go to the
+    /// next owner.
     pub fn on_owner_lost(
         &mut self,
         now: Time,
@@ -177,7 +184,7 @@
         self.skip_owners(now, context, |in_flight| in_flight.owner == owner)
     }
 
-    /// Skips owners that have not responded in time.
+    /// Skips owners whose response is overdue, and removes expired health records.
     pub fn tick(&mut self, now: Time, context: &mut LeaseContext<'_>) -> Vec<LeaseAction<O>> {
         self.health.expire(now);
         let overdue = self
@@ -192,7 +199,7 @@
         self.skip_owners(now, context, |in_flight| in_flight.deadline <= now)
     }
 
-    /// When [`LeaseRequests::tick`] has something to do.
+    /// Returns the time of the next call of [`LeaseRequests::tick`]; `None` if nothing is pending.
     #[must_use]
     pub fn next_wake(&self) -> Option<Time> {
         self.pending
@@ -222,9 +229,10 @@
         actions
     }
 
-    /// Owners beside this machine; the last one is tried first. Requests begin at each of them in
-    /// turn, so that all shards are used alike, and at unresponsive ones last. A machine that knows
-    /// no voters forwards the request to one that may.
+    /// Returns the owners other than this machine; the last one is tried first. The order rotates
+    /// from request to request, so that all shards are used equally, and unresponsive owners are
+    /// tried last. If this machine knows no voters, it returns reachable machines that may know
+    /// them.
     fn candidates(
         &self,
         now: Time,
@@ -236,8 +244,8 @@
             voters => owners(&request.tenant, voters),
         };
         if !candidates.is_empty() {
-            let turn = self.last_id as usize % candidates.len();
-            candidates.rotate_left(turn);
+            let offset = self.last_id as usize % candidates.len();
+            candidates.rotate_left(offset);
         }
         candidates.retain(|owner| *owner != context.own_id);
         candidates.sort_by_key(|owner| !self.health.is_unresponsive(now, *owner));
@@ -247,8 +255,8 @@
         candidates
     }
 
-    /// Sends what is left of a request to the next owner that may have enough, or responds where
-    /// nothing or no owner is left.
+    /// Sends the amounts that are not granted so far to the next owner that may have enough tokens.
+    /// Responds if all amounts are granted or no owner remains.
     fn try_next_owner(
         &mut self,
         now: Time,
@@ -307,7 +315,8 @@
         }
     }
 
-    /// Indexes of the amounts that are not granted yet and that an owner may have enough for.
+    /// Returns the indexes of the amounts that are not granted yet and for which an owner may have
+    /// enough tokens.
     fn indexes_for(&self, now: Time, owner: OwnerId, pending: &PendingRequest<O>) -> Vec<usize> {
         let request = &pending.request;
         let limit = self.health.insufficient_from(now, owner, &request.tenant);
--- a/decide/quota/src/lease_requests/owner_health.rs
+++ b/decide/quota/src/lease_requests/owner_health.rs
@@ -1,32 +1,33 @@
-//! Which owners are worth a request now: how they have responded a moment ago.
+//! Recent denials and time-outs of owners, by which owners are chosen for a request.
 
 use crate::ownership::OwnerId;
 use lichenswitch_interface::{Micros, Time};
 use std::collections::HashMap;
 
-/// An owner that had too little is tried again after so long at the latest (microseconds).
+/// Longest time for which an owner with insufficient tokens is not tried again (microseconds).
 const MAX_INSUFFICIENT_US: Micros = 60_000;
-/// An owner that has not responded for so long is unresponsive (microseconds). Longer than a tenth
-/// of a second: where a process has a processor quota it may be suspended for the rest of each
-/// tenth, and is skipped meanwhile, but not taken to have failed.
+/// Time after which an owner that has not responded counts as unresponsive (microseconds). A
+/// process with a CPU quota may be suspended for the rest of each period of 100 ms. It is skipped
+/// during that time but doesn't count as failed.
 pub(super) const UNRESPONSIVE_AFTER_US: Micros = 120_000;
-/// How long an unresponsive owner is tried last (microseconds): others find out in about that time
-/// that it has failed.
+/// Time for which an unresponsive owner is tried last (microseconds). Other machines detect a
+/// failure in about this time.
 pub(super) const UNRESPONSIVE_BACKOFF_US: Micros = 1_500_000;
-/// Most records of insufficient tokens. Bounds memory.
+/// Maximum number of records of insufficient tokens. Bounds memory.
 const MAX_INSUFFICIENT: usize = 8_192;
 
-/// An owner had too little for a request of this amount.
+/// A record that an owner denied an amount.
 struct InsufficientTokens {
     amount: u64,
     valid_until: Time,
 }
 
-/// How owners have responded lately.
+/// Recent denials and time-outs of all owners.
 #[derive(Default)]
 pub(super) struct OwnerHealth {
     insufficient: HashMap<(OwnerId, String), InsufficientTokens>,
-    /// Owners that were skipped and have not responded since, with when the request was sent.
+    /// Owners that were skipped and have not responded since, with the time of the first request
+    /// without a response.
     unanswered: HashMap<OwnerId, Time>,
 }
 
@@ -35,12 +36,12 @@
         self.unanswered.remove(&owner);
     }
 
-    /// An owner did not respond in time to a request of then.
+    /// Records that an owner did not respond in time to a request sent at `requested_at`.
     pub(super) fn record_timeout(&mut self, owner: OwnerId, requested_at: Time) {
         self.unanswered.entry(owner).or_insert(requested_at);
     }
 
-    /// An owner denied this amount, and advised when to retry.
+    /// Records that an owner denied an amount and suggested a retry delay.
     pub(super) fn record_insufficient(
         &mut self,
         now: Time,
@@ -76,7 +77,8 @@
             .contains(&unanswered_for)
     }
 
-    /// The amount from which on an owner is known to have too little for a tenant.
+    /// Returns the smallest amount of an owner's last denial to a tenant, while the denial is
+    /// valid.
     pub(super) fn insufficient_from(&self, now: Time, owner: OwnerId, tenant: &str) -> Option<u64> {
         self.insufficient
             .get(&(owner, tenant.to_owned()))
--- a/decide/quota/src/lease_requests/tests.rs
+++ b/decide/quota/src/lease_requests/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `lease_requests`.
+//! Tests of lease requests at a control machine.
 
 use super::*;
 use crate::tenant_quota::QuotaBounds;
@@ -8,7 +8,7 @@
 
 const SECOND: Micros = 1_000_000;
 
-/// A machine among the voters 1 to 4 (or without a vote) that can reach some of them.
+/// A control machine, voting or not, that can reach some of the voters 1 to 4.
 struct Machine {
     buckets: Buckets,
     ownership: ShardOwnership,
@@ -43,9 +43,9 @@
 }
 
 impl Machine {
-    fn with<T>(
+    fn with_context<T>(
         &mut self,
-        act: impl FnOnce(&mut LeaseRequests<&'static str>, &mut LeaseContext<'_>) -> T,
+        action: impl FnOnce(&mut LeaseRequests<&'static str>, &mut LeaseContext<'_>) -> T,
     ) -> T {
         let mut context = LeaseContext {
             buckets: &mut self.buckets,
@@ -53,11 +53,11 @@
             own_id: self.own_id,
             reachable: &self.reachable,
         };
-        act(&mut self.requests, &mut context)
+        action(&mut self.requests, &mut context)
     }
 
     fn admit(&mut self, now: Time, request: LeaseRequest) -> Vec<LeaseAction<&'static str>> {
-        self.with(|requests, context| requests.on_request(now, "router", request, context))
+        self.with_context(|requests, context| requests.on_request(now, "router", request, context))
     }
 }
 
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn request_within_own_shard_is_responded_to_at_once() {
+fn request_within_own_shard_is_granted_at_once() {
     let mut only_owner = machine(1, &[1], &[]);
     only_owner.admit(Time(0), request(&[1]));
     assert!(response(&only_owner.admit(Time(5 * SECOND), request(&[100]))).covers(0));
@@ -95,8 +95,9 @@
         prefetch_amount: 0,
         retry_after_us: 40_000,
     };
-    let actions =
-        relay.with(|requests, context| requests.on_response(Time(1), first, id, granted, context));
+    let actions = relay.with_context(|requests, context| {
+        requests.on_response(Time(1), first, id, granted, context)
+    });
     let (second, id, request) = sent_request(&actions);
     assert!(second != first && request.amounts == [10]);
     let granted = LeaseGrant {
@@ -104,8 +105,9 @@
         prefetch_amount: 0,
         retry_after_us: 0,
     };
-    let actions =
-        relay.with(|requests, context| requests.on_response(Time(2), second, id, granted, context));
+    let actions = relay.with_context(|requests, context| {
+        requests.on_response(Time(2), second, id, granted, context)
+    });
     assert_eq!(response(&actions).granted_bits, 0b11);
     assert!(relay.requests.next_wake().is_none());
 }
@@ -121,20 +123,20 @@
     };
     let other = OwnerId(first.0 % 4 + 1);
     assert!(relay
-        .with(|requests, context| requests.on_response(Time(1), other, id, all, context))
+        .with_context(|requests, context| requests.on_response(Time(1), other, id, all, context))
         .is_empty());
-    assert!(
-        response(&relay.with(|requests, context| requests.on_response(
+    assert!(response(
+        &relay.with_context(|requests, context| requests.on_response(
             Time(1),
             first,
             id,
             all,
             context
-        )))
-        .covers(0)
-    );
+        ))
+    )
+    .covers(0));
     assert!(relay
-        .with(|requests, context| requests.on_response(Time(1), first, id, all, context))
+        .with_context(|requests, context| requests.on_response(Time(1), first, id, all, context))
         .is_empty());
 }
 
@@ -142,23 +144,26 @@
 fn lost_overdue_and_unreachable_owners_are_skipped() {
     let mut relay = machine(9, &[1, 2, 3], &[1, 2, 3]);
     let (first, _, _) = sent_request(&relay.admit(Time(0), request(&[10])));
-    let actions = relay.with(|requests, context| requests.on_owner_lost(Time(1), first, context));
+    let actions =
+        relay.with_context(|requests, context| requests.on_owner_lost(Time(1), first, context));
     let (second, id, _) = sent_request(&actions);
     let due = relay.requests.next_wake().expect("a wake");
     assert!(relay
-        .with(|requests, context| requests.tick(Time(due.0 - 1), context))
+        .with_context(|requests, context| requests.tick(Time(due.0 - 1), context))
         .is_empty());
-    let (third, _, _) = sent_request(&relay.with(|requests, context| requests.tick(due, context)));
-    // A late response grants nothing of this request.
+    let (third, _, _) =
+        sent_request(&relay.with_context(|requests, context| requests.tick(due, context)));
+    // A late response grants nothing to this request.
     let late = LeaseGrant {
         granted_bits: 1,
         prefetch_amount: 0,
         retry_after_us: 0,
     };
     assert!(relay
-        .with(|requests, context| requests.on_response(due, second, id, late, context))
+        .with_context(|requests, context| requests.on_response(due, second, id, late, context))
         .is_empty());
-    let actions = relay.with(|requests, context| requests.on_owner_lost(due, third, context));
+    let actions =
+        relay.with_context(|requests, context| requests.on_owner_lost(due, third, context));
     assert_eq!(response(&actions).granted_bits, 0);
     let mut cut_off = machine(9, &[1, 2, 3], &[]);
     assert_eq!(
@@ -172,7 +177,7 @@
     let mut relay = machine(9, &[1, 2, 3], &[1, 2, 3]);
     let (unresponsive, _, _) = sent_request(&relay.admit(Time(0), request(&[10])));
     let due = relay.requests.next_wake().expect("a wake");
-    relay.with(|requests, context| requests.tick(due, context));
+    relay.with_context(|requests, context| requests.tick(due, context));
     let after = Time(owner_health::UNRESPONSIVE_AFTER_US);
     for _ in 0..6 {
         let (first, _, _) = sent_request(&relay.admit(after, request(&[10])));
@@ -186,26 +191,33 @@
 }
 
 #[test]
-fn owner_suspended_below_a_tenth_of_a_second_is_not_unresponsive() {
+fn owner_suspended_for_less_than_100_ms_is_not_unresponsive() {
     let mut relay = machine(9, &[1, 2, 3], &[1, 2, 3]);
     let (suspended, id, _) = sent_request(&relay.admit(Time(0), request(&[10])));
     let due = relay.requests.next_wake().expect("a wake");
-    let (next, ..) = sent_request(&relay.with(|requests, context| requests.tick(due, context)));
-    assert_ne!(next, suspended, "it is passed over");
+    let (next, ..) =
+        sent_request(&relay.with_context(|requests, context| requests.tick(due, context)));
+    assert_ne!(next, suspended, "the suspended owner is skipped");
     let first_owners = |relay: &mut Machine, now| -> Vec<OwnerId> {
         (0..6)
             .map(|_| sent_request(&relay.admit(now, request(&[10]))).0)
             .collect()
     };
     assert!(first_owners(&mut relay, Time(99_000)).contains(&suspended));
-    // Its response is too late for that request, and in time to show that it is alive.
+    // The late response grants nothing but shows that its sender is alive.
     let late = LeaseGrant {
         granted_bits: 1,
         prefetch_amount: 0,
         retry_after_us: 0,
     };
     assert!(relay
-        .with(|requests, context| requests.on_response(Time(100_000), suspended, id, late, context))
+        .with_context(|requests, context| requests.on_response(
+            Time(100_000),
+            suspended,
+            id,
+            late,
+            context
+        ))
         .is_empty());
     assert!(first_owners(
         &mut relay,
@@ -215,7 +227,7 @@
 }
 
 #[test]
-fn owner_with_insufficient_tokens_is_not_tried_for_as_much_at_once() {
+fn owner_is_not_tried_again_for_denied_amount_until_denial_expires() {
     let mut relay = machine(9, &[1], &[1]);
     let denied = LeaseGrant {
         granted_bits: 0,
@@ -223,19 +235,21 @@
         retry_after_us: 50_000,
     };
     let (owner, id, _) = sent_request(&relay.admit(Time(0), request(&[100])));
-    relay.with(|requests, context| requests.on_response(Time(1), owner, id, denied, context));
+    relay.with_context(|requests, context| {
+        requests.on_response(Time(1), owner, id, denied, context)
+    });
     assert_eq!(
         response(&relay.admit(Time(2), request(&[100, 120]))).granted_bits,
         0
     );
     let (_, _, remaining) = sent_request(&relay.admit(Time(2), request(&[100, 99])));
     assert_eq!(remaining.amounts, [99]);
-    relay.with(|requests, context| requests.tick(Time(60_000), context));
+    relay.with_context(|requests, context| requests.tick(Time(60_000), context));
     sent_request(&relay.admit(Time(60_000), request(&[100])));
 }
 
 #[test]
-fn machine_without_voters_lets_others_forward() {
+fn machine_without_known_voters_allows_receiver_to_forward() {
     let mut relay = machine(9, &[], &[1, 2, 3]);
     let actions = relay.admit(Time(0), request(&[10]));
     assert_matches!(
--- a/decide/quota/src/lib.rs
+++ b/decide/quota/src/lib.rs
@@ -1,24 +1,26 @@
-//! Tenants' quotas: what all routers together admit for a tenant in any window.
+//! Tenants' quotas: limits on the requests that all routers together admit for a tenant in any
+//! window.
 //!
-//! Each tenant has a token bucket that is divided into up to [`MAX_OWNERS`] shards. A shard is owned
-//! by a control machine that votes and refills at its fraction of the tenant's rate. Before a router
-//! admits a request it leases the request's tokens, or a few more, from an owner; leased tokens that
-//! are not used lapse. Nothing that was granted is ever returned to a bucket.
+//! Each tenant has a token bucket that is divided into up to [`MAX_OWNERS`] shards. Each shard is
+//! owned by a voting control machine and refills at its fraction of the tenant's rate. Before a
+//! router admits a request, it leases the request's tokens, and possibly a few more, from an owner.
+//! Leased tokens that are not used expire. Granted tokens are never returned to a bucket.
 //!
-//! It promises: in any window of `quotaWindowS` what is admitted stays within
-//! `(ratePerS x window + burstSize) x (1 + quotaOverage) + quotaSlack`, whichever processes are
-//! killed, suspended, partitioned or replaced, as long as clock rates agree to 1 in 1,000 and no two
-//! machines own a shard at once. `docs/design/quota.md` derives it.
+//! The crate guarantees that the amount admitted in any window of `quotaWindowS` stays within
+//! `(ratePerS x window + burstSize) x (1 + quotaOverage) + quotaSlack`. The limit holds even if
+//! processes are killed, suspended, partitioned or replaced, as long as clock rates agree to 1 in
+//! 1,000 and no two machines own the same shard at the same time. `docs/design/quota.md` derives
+//! the limit.
 //!
-//! - [`TenantQuota`]: refill rate, depth, debt and lease validity of a tenant, so that the sum stays
-//!   within the rule.
-//! - [`ShardOwnership`]: which machine owns which shard, and until when.
-//! - [`Buckets`]: the shards that a control machine owns.
-//! - [`LeaseRequests`]: requests that a control machine serves for routers, from its own shard and
-//!   from those of other owners.
-//! - [`Allowances`]: a router's side.
+//! - [`TenantQuota`] holds a tenant's refill rate, depth, debt and lease validity, chosen so that
+//!   the total stays within the limit.
+//! - [`ShardOwnership`] determines which shards a machine owns, and until when.
+//! - [`Buckets`] holds the shards that a control machine owns.
+//! - [`LeaseRequests`] serves the lease requests of routers at a control machine, from its own
+//!   shard and from the shards of other owners.
+//! - [`Allowances`] admits, queues and rejects requests at a router.
 //!
-//! It is pure: no I/O, no clock, no threads. Time is an argument.
+//! The crate has no I/O, no clock and no threads: the caller passes the time.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -40,5 +42,5 @@
 };
 pub use tenant_quota::{QuotaBounds, TenantQuota};
 
-/// Microseconds of a second, for rates.
+/// Microseconds in a second, as a floating-point number for rates.
 const MICROS_PER_SECOND: f64 = 1_000_000.0;
--- a/decide/quota/src/ownership/tests.rs
+++ b/decide/quota/src/ownership/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `ownership`.
+//! Tests of the ownership of shards.
 
 use super::*;
 
@@ -12,12 +12,12 @@
     Time(seconds * SECOND)
 }
 
-/// A tenant whose first owner among these is this one.
+/// Returns a tenant whose first owner among these voters is `first`.
 fn tenant_of(first: u64, among: &[u64]) -> String {
     (0..)
         .map(|n| format!("t{n}"))
         .find(|name| owners(name, &voters(among))[0] == OwnerId(first))
-        .expect("one")
+        .expect("an unbounded number of names has a match")
 }
 
 #[test]
@@ -81,7 +81,7 @@
 
 #[test]
 fn new_shard_is_taken_over_after_settling_time() {
-    // Voter 4 was no voter before: it waits. Voter 1 owns its shard throughout.
+    // Voter 4 was not a voter before, so it has to wait for the settling time.
     let tenant = tenant_of(4, &[1, 2, 4]);
     let mut newcomer = ShardOwnership::new(OwnerId(4), Vec::new());
     newcomer.on_voters(seconds(10), &voters(&[1, 2, 4]));
@@ -108,23 +108,24 @@
 #[test]
 fn fractions_never_sum_to_more_than_one_while_voters_change() {
     for seed in 0..60 {
-        walk(seed, SETTLING_TIME_US);
+        random_walk(seed, SETTLING_TIME_US);
     }
 }
 
-/// Without the settling time the walk of the test above fails.
+/// The random walk must detect a violation if there is no settling time.
 #[test]
-fn walk_finds_takeover_without_settling_time() {
-    let found = (0..60).any(|seed| std::panic::catch_unwind(|| walk(seed, 0)).is_err());
+fn random_walk_without_settling_time_finds_double_ownership() {
+    let found = (0..60).any(|seed| std::panic::catch_unwind(|| random_walk(seed, 0)).is_err());
     assert!(found);
 }
 
-/// A machine of the walk below.
+/// A machine in the random walk.
 struct Machine {
     ownership: ShardOwnership,
     partitioned_until: Micros,
-    /// The change of voters that it knows last, and when it learns of the next one.
+    /// Index of the last change of voters that the machine knows.
     known_change: usize,
+    /// Time at which the machine learns of the next change (microseconds).
     next_learned_at: Micros,
 }
 
@@ -140,11 +141,12 @@
     }
 }
 
-/// Voters change now and then; each machine learns of each change with a delay, or not at all
-/// while it is partitioned and out of contact. `settling`: how long newcomers wait.
-fn walk(seed: u64, settling: Micros) {
+/// Changes the voters at random times, and asserts that no tenant's fractions sum to more than 1.
+/// Each machine learns of a change with a delay, and learns nothing while it is partitioned.
+/// `settling` is the time that new owners wait (microseconds).
+fn random_walk(seed: u64, settling: Micros) {
     const STEP: Micros = 100_000;
-    const LATEST: Micros = 1_400_000;
+    const MAX_DELAY: Micros = 1_400_000;
     let skipped = SETTLING_TIME_US - settling;
     let mut random = fastrand::Rng::with_seed(seed);
     let mut changes: Vec<(Micros, Vec<u64>)> = vec![(0, vec![1, 2, 3, 4])];
@@ -173,16 +175,17 @@
             .filter(|machine| machine.partitioned_until <= now)
         {
             let known = machine.known_change;
-            while let Some((changed, _)) = changes.get(machine.known_change + 1) {
-                machine.next_learned_at =
-                    machine.next_learned_at.max(changed + random.u64(0..LATEST));
-                // A newer change may not have arrived yet.
-                if machine.next_learned_at > now && now < changed + LATEST {
+            while let Some((changed_at, _)) = changes.get(machine.known_change + 1) {
+                machine.next_learned_at = machine
+                    .next_learned_at
+                    .max(changed_at + random.u64(0..MAX_DELAY));
+                // The machine may not have learnt of this change yet.
+                if machine.next_learned_at > now && now < changed_at + MAX_DELAY {
                     break;
                 }
                 machine.known_change += 1;
             }
-            // A machine that was partitioned learns of the last change alone.
+            // A machine that was partitioned learns only of the last change.
             if machine.known_change > known {
                 let next = voters(&changes[machine.known_change].1);
                 machine
@@ -197,10 +200,10 @@
             }
         }
         for tenant in ["a", "b", "c", "d", "e"] {
-            let shares = machines
+            let shards = machines
                 .iter()
                 .map(|machine| machine.ownership.shard(Time(now), tenant));
-            let (sum, first_owners) = shares.fold((0.0, 0), |(sum, first_owners), shard| {
+            let (sum, first_owners) = shards.fold((0.0, 0), |(sum, first_owners), shard| {
                 (
                     sum + shard.fraction,
                     first_owners + usize::from(shard.may_go_into_debt),
--- a/decide/quota/src/tenant_quota/tests.rs
+++ b/decide/quota/src/tenant_quota/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `tenant_quota`.
+//! Tests of the bucket parameters that are derived from quotas.
 
 use super::*;
 
@@ -18,14 +18,14 @@
     }
 }
 
-/// What the rule allows in a window.
+/// Returns the amount that the limit allows in a window.
 fn allowed(quota: &Quota, bounds: &QuotaBounds) -> f64 {
     (quota.rate_per_s * bounds.window.as_secs_f64() + quota.burst) * (1.0 + bounds.overage)
         + bounds.slack
 }
 
 #[test]
-fn most_in_a_window_stays_within_the_rule_for_any_quota() {
+fn admitted_amount_in_a_window_stays_within_the_limit_for_any_quota() {
     let seed = 0x5eed_0101;
     let mut random = fastrand::Rng::with_seed(seed);
     for case in 0..20_000 {
@@ -41,13 +41,13 @@
             slack,
         );
         let tenant_quota = TenantQuota::of(&quota, &bounds);
-        let (most, allowed) = (
+        let (admitted, allowed) = (
             tenant_quota.max_admitted_in(bounds.window.as_secs_f64()),
             allowed(&quota, &bounds),
         );
         assert!(
-            most <= allowed,
-            "seed {seed:x}, case {case}: {quota:?} {bounds:?}: {most} of {allowed}"
+            admitted <= allowed,
+            "seed {seed:x}, case {case}: {quota:?} {bounds:?}: {admitted} of {allowed}"
         );
     }
 }
@@ -62,9 +62,9 @@
     ] {
         for (overage, slack) in [(0.1, 140_000.0), (0.1, 0.0), (0.0, 0.0)] {
             let tenant_quota = TenantQuota::of(&quota(rate, burst), &bounds(8.0, overage, slack));
-            let least = if overage > 0.0 { 0.96 } else { 0.9 };
+            let min_fraction = if overage > 0.0 { 0.96 } else { 0.9 };
             assert!(
-                tenant_quota.refill_per_s >= least * rate,
+                tenant_quota.refill_per_s >= min_fraction * rate,
                 "{rate} {burst} {overage} {slack}: {tenant_quota:?}"
             );
             assert!(
@@ -77,11 +77,11 @@
 
 #[test]
 fn one_request_fits_at_the_lowest_rate() {
-    let few = Quota {
+    let low_rate = Quota {
         unit: QuotaUnit::Requests,
         ..quota(0.5, 0.0)
     };
-    let tenant_quota = TenantQuota::of(&few, &bounds(8.0, 0.1, 0.0));
+    let tenant_quota = TenantQuota::of(&low_rate, &bounds(8.0, 0.1, 0.0));
     assert!(
         tenant_quota.max_debt >= 1.0
             && tenant_quota.refill_per_s > 0.3
