--- a/decide/configuration/src/document.rs
+++ b/decide/configuration/src/document.rs
@@ -1,4 +1,4 @@
-//! A complete configuration: kept as it was received, with typed views that have passed every check.
+//! Complete configurations: the text as it was received, and validated typed views.
 
 use crate::error::{shown, ConfigurationError};
 use crate::json::{
@@ -13,7 +13,7 @@
 use crate::update::{Removal, Update, Upsert};
 use std::collections::HashSet;
 
-/// A configuration that has passed every check that does not depend on the one before it.
+/// A configuration that has passed all checks, except that its version exceeds the previous one.
 #[derive(Clone, Debug)]
 pub struct Document {
     version: u64,
@@ -24,17 +24,17 @@
     limits: Limits,
 }
 
-/// Parses the tenants of the fields of a document.
+/// A function that parses the tenants from the fields of a document.
 type ParseTenants = fn(&[Field]) -> Result<Option<Vec<Tenant>>, ConfigurationError>;
 
-/// A field of the document, in the operator's order.
+/// A field of the document. Documents keep their fields in the operator's order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Field {
     name: String,
     content: FieldContent,
 }
 
-/// Two documents are equal if they are handed back as the same text.
+/// Two documents are equal if they are returned as the same text.
 impl PartialEq for Document {
     fn eq(&self, other: &Document) -> bool {
         self.fields == other.fields
@@ -50,14 +50,15 @@
         Document::parse_with(body, parse_tenants)
     }
 
-    /// Parses a configuration that was committed, maybe by a program that did not know tenants:
-    /// where `tenants` are invalid, no key belongs to a tenant.
+    /// Parses a committed configuration. A build that didn't validate tenants may have committed
+    /// it, so invalid `tenants` are accepted and result in an empty list: then no key belongs to a
+    /// tenant.
     ///
     /// # Errors
-    /// Returns the first reason for which anything else of it is invalid.
+    /// Returns the first reason for which any other part is invalid.
     pub fn parse_committed(body: &[u8]) -> Result<Document, ConfigurationError> {
-        let or_no_keys = |fields: &[Field]| parse_tenants(fields).or(Ok(Some(Vec::new())));
-        Document::parse(body).or_else(|_| Document::parse_with(body, or_no_keys))
+        let parse_or_empty = |fields: &[Field]| parse_tenants(fields).or(Ok(Some(Vec::new())));
+        Document::parse(body).or_else(|_| Document::parse_with(body, parse_or_empty))
     }
 
     fn parse_with(
@@ -75,7 +76,7 @@
         Document::build(version, fields, parse_tenants)
     }
 
-    /// Parses the typed views, and checks whatever involves several items.
+    /// Parses the typed views, and checks conditions that involve several items.
     fn build(
         version: u64,
         fields: Vec<Field>,
@@ -113,12 +114,12 @@
         Ok(())
     }
 
-    /// Applies an update. Removals come first, so that an item that is removed and upserted is
-    /// there; a replaced item keeps its position, a new one is appended.
+    /// Applies an update. Removals are applied first, so that the result contains an item that is
+    /// both removed and upserted. A replaced item keeps its position, and a new one is appended.
     ///
     /// # Errors
-    /// Returns the first reason for which the result is invalid, or that its version is not above
-    /// this one.
+    /// Returns an error if the version is not above the current one, or the first reason for which
+    /// the result is invalid.
     pub fn apply_update(&self, update: &Update) -> Result<Document, ConfigurationError> {
         self.check_successor(update.version())?;
         let mut fields = self.fields.clone();
@@ -140,7 +141,7 @@
         Ok(document)
     }
 
-    /// Checks that a version may follow this one.
+    /// Checks that `version` is above the version of this document.
     pub(crate) fn check_successor(&self, version: u64) -> Result<(), ConfigurationError> {
         match version > self.version {
             true => Ok(()),
@@ -151,44 +152,45 @@
         }
     }
 
-    /// Its version.
+    /// Returns the version, which every successor has to exceed.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Its routes, in the operator's order.
+    /// Returns the routes in the operator's order.
     #[must_use]
     pub fn routes(&self) -> &[Route] {
         &self.routes
     }
 
-    /// Its services, in the operator's order.
+    /// Returns the services in the operator's order.
     #[must_use]
     pub fn services(&self) -> &[Service] {
         &self.services
     }
 
-    /// The service of this name.
+    /// Returns the service with this name by a linear search.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|service| service.name == name)
     }
 
-    /// Its tenants, in the operator's order; `None` where the configuration has no `tenants`, and
-    /// no request needs a key.
+    /// Returns the tenants in the operator's order; `None` if the configuration has no `tenants`.
+    /// No request needs a key in that case.
     #[must_use]
     pub fn tenants(&self) -> Option<&[Tenant]> {
         self.tenants.as_deref()
     }
 
-    /// Limits of what clients may send.
+    /// Returns the limits on clients' requests; the default if the configuration has no `limits`.
     #[must_use]
     pub fn limits(&self) -> &Limits {
         &self.limits
     }
 
-    /// The complete configuration: every field and item as it was received, in order.
+    /// Returns the complete configuration as JSON, with every field and item as it was received and
+    /// in the same order.
     #[must_use]
     pub fn to_json(&self) -> Vec<u8> {
         let mut json = String::from("{");
@@ -212,7 +214,7 @@
         .map(|field| &field.content)
 }
 
-/// The items of a list that a configuration must have.
+/// Returns the items of a list that a configuration must have.
 fn required_items<'a>(fields: &'a [Field], name: &str) -> Result<&'a [Item], ConfigurationError> {
     match content_of(fields, name) {
         Some(FieldContent::Named(items)) => Ok(items),
@@ -233,7 +235,7 @@
     }
 }
 
-/// The tenants, where there is such a list.
+/// Parses the tenants; returns `None` if there is no such list.
 fn parse_tenants(fields: &[Field]) -> Result<Option<Vec<Tenant>>, ConfigurationError> {
     match content_of(fields, "tenants") {
         Some(FieldContent::Named(items)) => {
@@ -246,8 +248,7 @@
     }
 }
 
-/// Removes names from a list. Names that are not there are ignored: the result is what the operator
-/// wants.
+/// Removes items from a list by name. Missing names are ignored, since the result is the same.
 fn remove(fields: &mut [Field], removal: &Removal) -> Result<(), ConfigurationError> {
     let Some(field) = fields.iter_mut().find(|field| field.name == removal.list) else {
         return Ok(());
@@ -261,7 +262,7 @@
     Ok(())
 }
 
-/// Upserts the items of a named list, or replaces a field that is none.
+/// Upserts the items of a named list, or replaces a field that is not a named list.
 fn apply_upsert(fields: &mut Vec<Field>, upsert: &Upsert) -> Result<(), ConfigurationError> {
     let Some(field) = fields.iter_mut().find(|field| field.name == upsert.field) else {
         fields.push(Field {
@@ -287,7 +288,7 @@
 
 fn set_version(fields: &mut [Field], version: u64) {
     let field = fields.iter_mut().find(|field| field.name == "version");
-    debug_assert!(field.is_some(), "a document that was parsed has a version");
+    debug_assert!(field.is_some(), "a parsed document has a version");
     if let Some(field) = field {
         field.content = FieldContent::Text(version.to_string());
     }
--- a/decide/configuration/src/document/tests.rs
+++ b/decide/configuration/src/document/tests.rs
@@ -1,14 +1,14 @@
-//! Tests of `document`.
+//! Tests of parsing and updating configurations.
 
 use super::*;
 use crate::json::MAX_DEPTH;
 use assert_matches::assert_matches;
 use quickcheck::{Gen, QuickCheck};
 
-/// Seed of the random tests: a failure comes again with the same command.
+/// Seed of the random tests, fixed so that failures are reproducible.
 const SEED: u64 = 0x5eed_0002;
 
-/// A configuration of every kind of field, with some unknown ones.
+/// A configuration with fields of every kind, including unknown ones.
 const FULL: &str = r#"{
   "version": 7, "note": {"by": "someone", "at": 1.10},
   "routes": [
@@ -35,7 +35,7 @@
     String::from_utf8(document.to_json()).expect("UTF-8")
 }
 
-/// A configuration of these routes and services, given as the contents of their lists.
+/// Parses a configuration with these routes and services, given as the elements of their lists.
 fn parse(version: &str, routes: &str, services: &str) -> Result<Document, ConfigurationError> {
     let text = format!("{{\"version\":{version},\"routes\":[{routes}],\"services\":[{services}]}}");
     Document::parse(text.as_bytes())
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn typed_views_have_the_values_that_were_sent() {
+fn typed_views_have_the_received_values() {
     let document = full();
     assert_eq!(
         (
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn configuration_is_preserved_in_order_and_to_the_digit() {
+fn order_of_fields_and_digits_of_numbers_are_preserved() {
     let text = text_of(&full());
     let spaceless = |text: &str| text.split_whitespace().collect::<String>();
     assert_eq!(spaceless(&text), spaceless(FULL));
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn limits_are_replaced_under_upserts_or_beside_them() {
+fn limits_in_upserts_or_at_top_level_are_replaced() {
     for text in [
         r#"{"version":8,"upserts":{"limits":{"maxHeaderBytes":1,"maxBodyBytes":2,"headerTimeoutMs":3,"idleTimeoutMs":4}}}"#,
         r#"{"version":8,"limits":{"maxHeaderBytes":1,"maxBodyBytes":2,"headerTimeoutMs":3,"idleTimeoutMs":4}}"#,
@@ -282,7 +282,7 @@
 }
 
 #[test]
-fn item_removed_and_upserted_is_there() {
+fn item_removed_and_upserted_is_present() {
     let text = r#"{"version":8,"removals":{"services":["xama2"]},"upserts":{"services":[{"name":"xama2","maxConnections":1}]}}"#;
     let after = full().apply_update(&update(text)).expect("valid");
     assert_eq!(
@@ -352,24 +352,24 @@
     assert!(error.to_string().len() < 300);
 }
 
-/// A valid configuration with some bytes changed, removed or inserted.
-fn mangled(edits: &[(u16, u8, u8)]) -> Vec<u8> {
+/// Returns a valid configuration with some bytes changed, removed or inserted.
+fn mutated(edits: &[(u16, u8, u8)]) -> Vec<u8> {
     let mut bytes = FULL.as_bytes().to_vec();
-    for (location, byte, how) in edits {
-        let location = usize::from(*location) % bytes.len().max(1);
-        match how % 3 {
-            0 if !bytes.is_empty() => bytes[location] = *byte,
-            1 if !bytes.is_empty() => drop(bytes.remove(location)),
-            _ => bytes.insert(location.min(bytes.len()), *byte),
+    for (position, byte, operation) in edits {
+        let position = usize::from(*position) % bytes.len().max(1);
+        match operation % 3 {
+            0 if !bytes.is_empty() => bytes[position] = *byte,
+            1 if !bytes.is_empty() => drop(bytes.remove(position)),
+            _ => bytes.insert(position.min(bytes.len()), *byte),
         }
     }
     bytes
 }
 
 #[test]
-fn mutated_bytes_never_panic_and_accepted_ones_are_preserved() {
+fn mutated_configurations_never_panic_and_accepted_ones_are_preserved() {
     fn property(edits: Vec<(u16, u8, u8)>) -> bool {
-        match Document::parse(&mangled(&edits)) {
+        match Document::parse(&mutated(&edits)) {
             Ok(document) => Document::parse(&document.to_json()) == Ok(document),
             Err(error) => error.to_string().len() < 400,
         }
--- a/decide/configuration/src/error.rs
+++ b/decide/configuration/src/error.rs
@@ -1,61 +1,61 @@
-//! Why a configuration or an order is invalid.
+//! Errors for invalid configurations and orders.
 
 use thiserror::Error;
 
-/// Longest name that an error repeats (characters), so that messages stay short.
+/// Maximum length of a name in an error (characters). Keeps messages short.
 const MAX_SHOWN_CHARS: usize = 80;
 
-/// Why a configuration or an order is invalid. Each names the item and the field. The operator gets
-/// the message as the body of the response.
+/// The reason for which a configuration or an order is invalid. The operator gets the message,
+/// which names the item and the field, as the body of the response.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ConfigurationError {
-    /// Longer than [`MAX_DOCUMENT_BYTES`](crate::MAX_DOCUMENT_BYTES).
+    /// The configuration or order is longer than [`MAX_DOCUMENT_BYTES`](crate::MAX_DOCUMENT_BYTES).
     #[error("the configuration has {bytes} bytes, and {limit} are the most")]
     TooLarge {
-        /// Its length.
+        /// Length of the body (bytes).
         bytes: usize,
-        /// The limit.
+        /// Maximum length (bytes).
         limit: usize,
     },
-    /// Nested deeper than [`MAX_DEPTH`](crate::MAX_DEPTH).
+    /// The configuration or order is nested deeper than [`MAX_DEPTH`](crate::MAX_DEPTH).
     #[error("the configuration is nested deeper than {limit} levels")]
     TooDeep {
-        /// The limit.
+        /// Maximum number of nested arrays and objects.
         limit: usize,
     },
-    /// Not UTF-8, not JSON, or truncated.
+    /// The configuration or order is not UTF-8, not JSON, or truncated.
     #[error("the configuration is not whole JSON in UTF-8")]
     Unreadable,
     /// A required field is missing.
     #[error("{location} has no `{field}`")]
     MissingField {
-        /// The object.
+        /// The object that contains the field, as shown to the operator.
         location: String,
-        /// Name of the field.
+        /// Name of the field, shortened.
         field: String,
     },
     /// A field has the wrong type.
     #[error("`{field}` of {location} is not {expected}")]
     WrongType {
-        /// The object.
+        /// The object that contains the field, as shown to the operator.
         location: String,
-        /// Name of the field.
+        /// Name of the field, shortened.
         field: String,
-        /// The type that it has to have.
+        /// Description of the required type.
         expected: &'static str,
     },
     /// An object has a field twice.
     #[error("{location} has `{field}` twice")]
     DuplicateField {
-        /// The object.
+        /// The object that contains the field, as shown to the operator.
         location: String,
-        /// Name of the field.
+        /// Name of the field, shortened.
         field: String,
     },
     /// An item of a list has no name, or an empty one.
     #[error("item {index} of `{list}` has no name")]
     MissingName {
-        /// The list.
+        /// Name of the list.
         list: String,
         /// Index of the item, from 0.
         index: usize,
@@ -63,88 +63,89 @@
     /// Two items of a list have the same name.
     #[error("`{list}` has `{name}` twice")]
     DuplicateName {
-        /// The list.
+        /// Name of the list.
         list: String,
-        /// The name.
+        /// The name that occurs twice.
         name: String,
     },
     /// An update changes items by name in a field that is not a list of named items.
     #[error("`{list}` is not a list of named items")]
     NotANamedList {
-        /// The field.
+        /// Name of the field.
         list: String,
     },
     /// A route names a service that does not exist.
     #[error("route `{route}` names the service `{service}`, which is not known")]
     UnknownService {
-        /// The route.
+        /// Name of the route.
         route: String,
-        /// The service.
+        /// Name of the unknown service.
         service: String,
     },
     /// Two routes have the same host and prefix.
     #[error("routes `{first}` and `{second}` have the same host and prefix")]
     DuplicatePrefix {
-        /// The first one.
+        /// Name of the first route.
         first: String,
-        /// The second one.
+        /// Name of the second route.
         second: String,
     },
-    /// Two tenants have the same key. The key itself is a secret and not part of the error.
+    /// Two tenants have the same key. The key is a secret, so the error doesn't contain it.
     #[error("tenants `{first}` and `{second}` have a key of `apiKeys` in common")]
     SharedKey {
-        /// The first one.
+        /// Name of the first tenant.
         first: String,
-        /// The second one.
+        /// Name of the second tenant.
         second: String,
     },
     /// The prefix of a route does not begin and end with a slash.
     #[error("the prefix of route `{route}` does not begin and end with a slash")]
     InvalidPrefix {
-        /// The route.
+        /// Name of the route.
         route: String,
     },
     /// The weights of a route add up to 0.
     #[error("the weights of route `{route}` add up to 0")]
     ZeroWeight {
-        /// The route.
+        /// Name of the route.
         route: String,
     },
     /// A weight of a route is below 0.
     #[error("a weight of route `{route}` is below 0")]
     NegativeWeight {
-        /// The route.
+        /// Name of the route.
         route: String,
     },
     /// The time-out of a route is 0.
     #[error("the time-out of route `{route}` is 0")]
     ZeroTimeout {
-        /// The route.
+        /// Name of the route.
         route: String,
     },
-    /// The version is not above the one that it builds on.
+    /// The version is not above the version that the configuration builds on.
     #[error("version {version} is not above {current}")]
     VersionNotAbove {
-        /// Version of the configuration.
+        /// Version in the configuration or order.
         version: u64,
-        /// The version that it has to be above.
+        /// The version that it has to exceed.
         current: u64,
     },
-    /// `Base-Version` is missing.
+    /// The header `Base-Version` is missing.
     #[error("the call has no `Base-Version`")]
     MissingBaseVersion,
-    /// `Base-Version` is not a whole number.
+    /// The header `Base-Version` is not a whole number of 64 bits.
     #[error("`Base-Version` is not a whole number")]
     UnreadableBaseVersion,
-    /// The path is not one of an order.
+    /// The path is neither [`REPLACE_PATH`](crate::REPLACE_PATH) nor
+    /// [`UPDATE_PATH`](crate::UPDATE_PATH).
     #[error("the path is not that of an order")]
     UnknownPath,
-    /// An update came before any configuration.
+    /// An update was received before any configuration.
     #[error("there is no configuration yet that could be updated")]
     NothingToUpdate,
 }
 
-/// A name as errors show it: shortened.
+/// Shortens a name to [`MAX_SHOWN_CHARS`] for an error.
 pub(crate) fn shown(name: &str) -> String {
     name.chars().take(MAX_SHOWN_CHARS).collect()
 }
--- a/decide/configuration/src/evaluation.rs
+++ b/decide/configuration/src/evaluation.rs
@@ -5,24 +5,25 @@
 use crate::state::State;
 use crate::validated_order::ValidatedOrder;
 
-/// The result of an order, with the status of its response.
+/// The result of an order, which determines the HTTP status of the response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// Exactly this order has been applied before: 200.
+    /// The identical order has been applied before: status 200.
     AlreadyApplied,
-    /// It builds on a version that is not current: 412.
+    /// The order builds on a version that is not current: status 412.
     VersionConflict {
-        /// The current version; 0 where there is no configuration.
+        /// The current version; 0 if there is no configuration.
         current: u64,
     },
-    /// It is invalid: 400.
+    /// The order is invalid: status 400.
     Invalid(ConfigurationError),
-    /// A change to be replicated, for [`State::apply`]; 200 once it is committed.
+    /// An encoded change for [`State::apply`], to be replicated first: status 200 once it is
+    /// committed.
     Change(Vec<u8>),
 }
 
-/// Checks an order by itself: what fails here is invalid in any state, and any machine may reject
-/// it.
+/// Checks an order without a state. An order that fails is invalid in any state, so any machine may
+/// reject it.
 ///
 /// # Errors
 /// Returns the first reason for which it is invalid.
@@ -30,8 +31,8 @@
     ValidatedOrder::of(order).map(drop)
 }
 
-/// Evaluates an order against a committed state. A repetition is recognised first, whatever has been
-/// applied after it.
+/// Evaluates an order against a committed state. A repeated order is recognised first, even if
+/// other orders were applied after it.
 #[must_use]
 pub fn evaluate(state: &State, order: &Order) -> OrderOutcome {
     if state.has_applied(&order.digest()) {
--- a/decide/configuration/src/evaluation/tests.rs
+++ b/decide/configuration/src/evaluation/tests.rs
@@ -1,33 +1,34 @@
-//! Tests of `evaluation`.
+//! Tests of the evaluation of orders.
 
 use super::*;
 use crate::order::tests::{replace, update};
 use assert_matches::assert_matches;
 
-/// A configuration of one route, distinguished from others of its version by the time-out.
+/// Returns a configuration with one route. Different timeouts distinguish configurations of the
+/// same version.
 fn configuration(version: u64, timeout_ms: u64) -> String {
     format!(
         r#"{{"version":{version},"routes":[{{"name":"r","host":"h","pathPrefix":"/a/","timeoutMs":{timeout_ms},"service":"s"}}],"services":[{{"name":"s"}}]}}"#
     )
 }
 
-/// Evaluates an order, applies its change, and returns the verdict.
+/// Evaluates an order, applies its change if there is one, and returns the outcome.
 fn submit(state: &mut State, order: &Order) -> OrderOutcome {
-    let verdict = evaluate(state, order);
-    if let OrderOutcome::Change(change) = &verdict {
+    let outcome = evaluate(state, order);
+    if let OrderOutcome::Change(change) = &outcome {
         state
             .apply(change)
             .expect("a change that was just evaluated applies");
     }
-    verdict
+    outcome
 }
 
 fn assert_accepted(state: &mut State, order: &Order) {
     assert_matches!(submit(state, order), OrderOutcome::Change(_));
 }
 
-/// A state in which version 5 is current.
-fn at_five() -> State {
+/// Returns a state in which version 5 is current.
+fn state_at_version_5() -> State {
     let mut state = State::default();
     assert_accepted(&mut state, &replace(0, &configuration(5, 10)));
     state
@@ -58,7 +59,7 @@
 
 #[test]
 fn other_order_with_same_version_and_base_conflicts() {
-    let mut state = at_five();
+    let mut state = state_at_version_5();
     let (one, other) = (
         replace(5, &configuration(7, 10)),
         replace(5, &configuration(7, 11)),
@@ -78,7 +79,7 @@
 
 #[test]
 fn older_and_newer_base_versions_conflict() {
-    let mut state = at_five();
+    let mut state = state_at_version_5();
     assert_eq!(
         submit(&mut state, &replace(0, &configuration(9, 1))),
         OrderOutcome::VersionConflict { current: 5 }
@@ -93,21 +94,22 @@
     );
 }
 
-/// Bodies of every kind that operators are known to send by mistake, on top of version 5.
-fn bad_bodies() -> Vec<(&'static str, String)> {
+/// Returns the kinds of invalid bodies that operators are known to send by mistake, for base
+/// version 5.
+fn invalid_bodies() -> Vec<(&'static str, String)> {
     let good = configuration(7, 10);
     let second =
         r#"},{"name":"q","host":"h","pathPrefix":"/a/","timeoutMs":9,"service":"s"}],"services""#;
     let split = r#""trafficSplit":[{"service":"s","weight":0},{"service":"s","weight":0}]"#;
     vec![
-        ("cut_short", good[..good.len() / 2].to_owned()),
+        ("truncated", good[..good.len() / 2].to_owned()),
         (
             "unknown_service",
             good.replace("\"service\":\"s\"", "\"service\":\"nowhere\""),
         ),
-        ("same_place", good.replace("}],\"services\"", second)),
-        ("no_weight", good.replace("\"service\":\"s\"", split)),
-        ("no_timeout", configuration(7, 0)),
+        ("duplicate_prefix", good.replace("}],\"services\"", second)),
+        ("zero_weight", good.replace("\"service\":\"s\"", split)),
+        ("zero_timeout", configuration(7, 0)),
         ("old_version", configuration(4, 10)),
         (
             "same_version",
@@ -118,9 +120,9 @@
 
 #[test]
 fn invalid_configurations_are_rejected_and_change_nothing() {
-    let mut state = at_five();
+    let mut state = state_at_version_5();
     let before = state.clone();
-    for (kind, body) in bad_bodies() {
+    for (kind, body) in invalid_bodies() {
         let order = replace(5, &body);
         assert_matches!(
             submit(&mut state, &order),
@@ -134,56 +136,56 @@
 
 #[test]
 fn invalid_updates_are_rejected_and_change_nothing() {
-    let mut state = at_five();
+    let mut state = state_at_version_5();
     let before = state.clone();
     let route = |fields: &str| {
         format!("{{\"version\":7,\"upserts\":{{\"routes\":[{{\"name\":\"q\",\"host\":\"h\",{fields}}}]}}}}")
     };
     let bodies = [
-        ("cut_short", "{\"version\":7,\"upserts\":{".to_owned(), true),
+        ("truncated", "{\"version\":7,\"upserts\":{".to_owned(), true),
         (
             "unknown_service",
             route("\"pathPrefix\":\"/b/\",\"service\":\"nowhere\""),
             false,
         ),
         (
-            "same_place",
+            "duplicate_prefix",
             route("\"pathPrefix\":\"/a/\",\"service\":\"s\""),
             false,
         ),
         (
-            "no_weight",
+            "zero_weight",
             route("\"pathPrefix\":\"/b/\",\"trafficSplit\":[{\"service\":\"s\",\"weight\":0}]"),
             true,
         ),
         (
-            "no_timeout",
+            "zero_timeout",
             route("\"pathPrefix\":\"/b/\",\"service\":\"s\",\"timeoutMs\":0"),
             true,
         ),
         ("old_version", "{\"version\":4}".to_owned(), true),
         ("same_version", "{\"version\":5}".to_owned(), true),
         (
-            "a service that is used",
+            "removal of a used service",
             "{\"version\":7,\"removals\":{\"services\":[\"s\"]}}".to_owned(),
             false,
         ),
     ];
-    for (kind, body, alone) in bodies {
+    for (kind, body, is_invalid_by_itself) in bodies {
         let order = update(5, &body);
         assert_matches!(
             submit(&mut state, &order),
             OrderOutcome::Invalid(_),
             "{kind}"
         );
-        assert_eq!(validate(&order).is_err(), alone, "{kind}");
+        assert_eq!(validate(&order).is_err(), is_invalid_by_itself, "{kind}");
     }
     assert_eq!(state, before);
 }
 
 #[test]
 fn order_invalid_by_itself_is_invalid_on_any_base() {
-    let mut state = at_five();
+    let mut state = state_at_version_5();
     let order = replace(3, &configuration(4, 0));
     assert_matches!(
         submit(&mut state, &order),
@@ -219,13 +221,16 @@
         submit(&mut state, &first),
         OrderOutcome::Invalid(ConfigurationError::NothingToUpdate)
     );
-    let elsewhere = Order {
+    let order_with_unknown_path = Order {
         path: "/configuration/other".to_owned(),
         ..first
     };
     assert_eq!(
-        evaluate(&state, &elsewhere),
+        evaluate(&state, &order_with_unknown_path),
         OrderOutcome::Invalid(ConfigurationError::UnknownPath)
     );
-    assert_eq!(validate(&elsewhere), Err(ConfigurationError::UnknownPath));
+    assert_eq!(
+        validate(&order_with_unknown_path),
+        Err(ConfigurationError::UnknownPath)
+    );
 }
--- a/decide/configuration/src/json.rs
+++ b/decide/configuration/src/json.rs
@@ -1,21 +1,20 @@
-//! JSON within limits: complete texts, their elements and fields as they were received, and fields
-//! by type.
+//! Parsing of JSON with limits on size and depth. Returns elements and fields as text or by type.
 //!
-//! `miniserde` decides what is JSON. Elements and fields are slices of the text, so that numbers are
-//! preserved to the digit.
+//! `miniserde` decides whether a text is JSON. Elements and fields are slices of the text, so that
+//! all digits of numbers are preserved.
 
 use crate::error::{shown, ConfigurationError};
 use miniserde::json::{from_str, Number, Object, Value};
 use std::collections::HashSet;
 
-/// Longest configuration or order that is accepted (bytes). The largest deployments have about 1 KB
-/// a route.
+/// Maximum length of a configuration or an order (bytes). The largest deployments have about 1 KB
+/// per route.
 pub const MAX_DOCUMENT_BYTES: usize = 8 << 20;
 
-/// Deepest nesting that is accepted. Operators' documents have 5 levels.
+/// Maximum nesting of arrays and objects. Operators' documents have 5 levels.
 pub const MAX_DEPTH: usize = 64;
 
-/// The text of a body that is complete JSON within the limits, and its value.
+/// Checks that a body is complete JSON within the limits, and returns its text and value.
 pub(crate) fn parse_complete(body: &[u8]) -> Result<(&str, Value), ConfigurationError> {
     if body.len() > MAX_DOCUMENT_BYTES {
         return Err(ConfigurationError::TooLarge {
@@ -30,17 +29,17 @@
     Ok((text, value_of(text)?))
 }
 
-/// The value of a text.
+/// Parses a text as JSON.
 pub(crate) fn value_of(text: &str) -> Result<Value, ConfigurationError> {
     from_str(text).map_err(|_| ConfigurationError::Unreadable)
 }
 
-/// Appends a string as JSON.
+/// Appends a string as JSON, quoted and escaped.
 pub(crate) fn write_string(json: &mut String, text: &str) {
     json.push_str(&miniserde::json::to_string(text));
 }
 
-/// Whether brackets outside strings are nested deeper than this; also for texts that are not JSON.
+/// Whether brackets outside strings are nested deeper than `limit`. The text need not be JSON.
 fn is_nested_deeper_than(bytes: &[u8], limit: usize) -> bool {
     let (mut at, mut depth) = (0, 0_usize);
     while at < bytes.len() {
@@ -58,7 +57,7 @@
     false
 }
 
-/// The position after the string that begins here.
+/// Returns the position after the string that begins at `start`.
 fn string_end(bytes: &[u8], start: usize) -> Option<usize> {
     let mut at = start + 1;
     while at < bytes.len() {
@@ -71,8 +70,8 @@
     None
 }
 
-/// The position after the value that begins here. A value has at least one byte, so that a loop over
-/// values makes progress.
+/// Returns the position after the value that begins at `start`. A value has at least one byte, so
+/// that a loop over values makes progress.
 fn value_end(bytes: &[u8], start: usize) -> Option<usize> {
     match bytes.get(start)? {
         b'"' => string_end(bytes, start),
@@ -97,7 +96,7 @@
     matches!(byte, b' ' | b'\t' | b'\r' | b'\n')
 }
 
-/// The position after the array or object that begins here.
+/// Returns the position after the array or object that begins at `start`.
 fn bracket_end(bytes: &[u8], start: usize) -> Option<usize> {
     let (mut at, mut depth) = (start, 0_usize);
     while at < bytes.len() {
@@ -122,13 +121,14 @@
     at
 }
 
-/// The position after this token and the space around it; `None` where it is not there.
+/// Returns the position after a token and the white space around it; `None` if the token doesn't
+/// follow.
 fn skip_token(bytes: &[u8], at: usize, token: u8) -> Option<usize> {
     let at = skip_space(bytes, at);
     (*bytes.get(at)? == token).then(|| skip_space(bytes, at + 1))
 }
 
-/// The elements of an array as they were received; `None` where the text is not an array.
+/// Returns the elements of an array as they were received; `None` if the text is not an array.
 pub(crate) fn array_elements(text: &str) -> Option<Vec<&str>> {
     let bytes = text.as_bytes();
     let mut at = skip_token(bytes, 0, b'[')?;
@@ -142,7 +142,8 @@
     Some(elements)
 }
 
-/// The fields of an object as they were received, by name; `None` where the text is not an object.
+/// Returns the names and values of an object's fields as they were received; `None` if the text is
+/// not an object.
 pub(crate) fn object_fields(text: &str) -> Option<Vec<(String, &str)>> {
     let bytes = text.as_bytes();
     let mut at = skip_token(bytes, 0, b'{')?;
@@ -159,7 +160,8 @@
     Some(fields)
 }
 
-/// The fields of an object as they were received; an error where it is none, or has one twice.
+/// Returns the fields of an object as they were received. Fails if the text is not an object or has
+/// a field twice.
 pub(crate) fn distinct_fields<'a>(
     location: &str,
     text: &'a str,
@@ -175,7 +177,7 @@
     }
 }
 
-/// The error for a field of the wrong type.
+/// Returns the error for a field of the wrong type.
 pub(crate) fn wrong_type(
     location: &str,
     field: &str,
@@ -188,15 +190,16 @@
     }
 }
 
-/// Typed access to the fields of an object. `null` counts as a missing field.
+/// A typed view of the fields of an object. `null` counts as a missing field.
 pub(crate) struct Fields<'a> {
-    /// Name of the object, for errors.
+    /// Description of the object in errors.
     location: String,
     object: &'a Object,
 }
 
 impl<'a> Fields<'a> {
-    /// Access to this value under a name for errors; an error where it is no object.
+    /// Creates a view of a value, which `location` describes in errors. Fails if the value is not
+    /// an object.
     pub(crate) fn new(
         location: String,
         value: &'a Value,
@@ -207,14 +210,14 @@
         }
     }
 
-    /// Any value.
+    /// Returns the value of a field; `None` if the field is missing or `null`.
     pub(crate) fn get(&self, field: &str) -> Option<&'a Value> {
         self.object
             .get(field)
             .filter(|value| !matches!(value, Value::Null))
     }
 
-    /// An optional string.
+    /// Returns an optional string.
     pub(crate) fn text(&self, field: &str) -> Result<Option<&'a str>, ConfigurationError> {
         match self.get(field) {
             None => Ok(None),
@@ -223,14 +226,14 @@
         }
     }
 
-    /// A required string that is not empty.
+    /// Returns a required string, which must not be empty.
     pub(crate) fn required_text(&self, field: &str) -> Result<&'a str, ConfigurationError> {
         self.text(field)?
             .filter(|text| !text.is_empty())
             .ok_or_else(|| self.missing(field))
     }
 
-    /// A boolean; false where it is missing.
+    /// Returns a boolean; false if it is missing.
     pub(crate) fn flag(&self, field: &str) -> Result<bool, ConfigurationError> {
         match self.get(field) {
             None => Ok(false),
@@ -239,7 +242,7 @@
         }
     }
 
-    /// An optional number of 0 or more; fractions are rounded up, so that only 0 becomes 0.
+    /// Returns an optional number of 0 or more. Fractions are rounded up, so that only 0 becomes 0.
     pub(crate) fn count(&self, field: &str) -> Result<Option<u64>, ConfigurationError> {
         match self.get(field) {
             None => Ok(None),
@@ -249,14 +252,14 @@
         }
     }
 
-    /// An optional number of 0 or more, limited to 32 bits.
+    /// Returns an optional number of 0 or more. Larger numbers become `u32::MAX`.
     pub(crate) fn count_u32(&self, field: &str) -> Result<Option<u32>, ConfigurationError> {
         Ok(self
             .count(field)?
             .map(|n| u32::try_from(n).unwrap_or(u32::MAX)))
     }
 
-    /// An optional number.
+    /// Returns an optional number, which may be negative or infinite.
     pub(crate) fn number(&self, field: &str) -> Result<Option<f64>, ConfigurationError> {
         match self.get(field) {
             None => Ok(None),
@@ -267,7 +270,7 @@
         }
     }
 
-    /// An optional list.
+    /// Returns the elements of an optional list.
     pub(crate) fn list(&self, field: &str) -> Result<Option<&'a [Value]>, ConfigurationError> {
         match self.get(field) {
             None => Ok(None),
@@ -276,7 +279,7 @@
         }
     }
 
-    /// The error for a missing field.
+    /// Returns the error for a missing field.
     pub(crate) fn missing(&self, field: &str) -> ConfigurationError {
         ConfigurationError::MissingField {
             location: shown(&self.location),
@@ -285,7 +288,7 @@
     }
 }
 
-/// The version of a configuration or an update: a whole number.
+/// Returns the version of a configuration or an update, which must be a whole number.
 pub(crate) fn version_of(fields: &Fields<'_>) -> Result<u64, ConfigurationError> {
     match fields.get("version") {
         None => Err(fields.missing("version")),
--- a/decide/configuration/src/json/tests.rs
+++ b/decide/configuration/src/json/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of `json`.
+//! Tests of JSON parsing and slicing.
 
 use super::*;
 use quickcheck::{Gen, QuickCheck};
 
-/// Seed of the random tests: a failure comes again with the same command.
+/// Seed of the random tests, fixed so that failures are reproducible.
 const SEED: u64 = 0x5eed_0001;
 
 #[test]
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn text_that_is_no_object_or_array_has_no_fields_or_elements() {
+fn other_texts_than_objects_and_arrays_have_no_fields_or_elements() {
     for text in [
         "", "1", "\"{\"", "null", "[", "{", "{\"a\"", "{\"a\":", "[1", "[\"a",
     ] {
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn too_long_non_utf8_and_truncated_bodies_are_rejected() {
+fn too_long_and_non_utf8_and_truncated_bodies_are_rejected() {
     let long = vec![b' '; MAX_DOCUMENT_BYTES + 1];
     let (bytes, limit) = (MAX_DOCUMENT_BYTES + 1, MAX_DOCUMENT_BYTES);
     assert_eq!(
@@ -93,14 +93,14 @@
     );
 }
 
-/// Texts of the characters of JSON, so that many of them are almost JSON.
+/// Returns a sequence of JSON tokens. Many of the sequences are almost JSON.
 fn nearly_json(picks: &[u8]) -> String {
-    let signs = [
+    let tokens = [
         "{", "}", "[", "]", ",", ":", "\"", "\\", "\"a\"", "1", "-2.5e3", "null", "true", " ", "u",
     ];
     picks
         .iter()
-        .map(|pick| signs[usize::from(*pick) % signs.len()])
+        .map(|pick| tokens[usize::from(*pick) % tokens.len()])
         .collect()
 }
 
@@ -113,11 +113,8 @@
             Ok((_, Value::Array(list))) => {
                 array.is_some_and(|elements| elements.len() == list.len())
             }
-            Ok((_, Value::Object(lookup_result))) => object.is_some_and(|elements| {
-                elements
-                    .iter()
-                    .all(|(name, _)| lookup_result.contains_key(name))
-            }),
+            Ok((_, Value::Object(parsed))) => object
+                .is_some_and(|elements| elements.iter().all(|(name, _)| parsed.contains_key(name))),
             Ok(_) => object.is_none() && array.is_none(),
             Err(_) => true,
         }
--- a/decide/configuration/src/key_digest/tests.rs
+++ b/decide/configuration/src/key_digest/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `key_digest`.
+//! Tests of digests of API keys.
 
 use super::*;
 
--- a/decide/configuration/src/key_index.rs
+++ b/decide/configuration/src/key_index.rs
@@ -1,21 +1,21 @@
-//! Look-up of the tenant that an API key belongs to.
+//! Lookup of the tenant that an API key belongs to.
 //!
-//! It promises that no key is held in memory beyond the operator's document, and that the time of a
-//! look-up reveals nothing of a key: keys are hashed first, and digests compared in full.
+//! The index contains no keys; only the operator's document does. The time of a lookup reveals
+//! nothing about a key, since keys are hashed first and digests are compared in full.
 
 use crate::document::Document;
 use crate::key_digest::KeyDigest;
 use std::collections::HashMap;
 
-/// The tenants of a configuration by their keys. Built once for each configuration.
+/// An index of a configuration's tenants by API key. Built once for each configuration.
 #[derive(Clone, Debug, Default)]
 pub struct KeyIndex {
-    /// Digests by their prefix, each with the index of its tenant in the document.
+    /// Digests by prefix, each with the index of its tenant in the document.
     by_prefix: HashMap<u64, Vec<(KeyDigest, usize)>>,
 }
 
 impl KeyIndex {
-    /// The index of a configuration.
+    /// Builds the index of a configuration; empty if it has no tenants.
     #[must_use]
     pub fn new(document: &Document) -> KeyIndex {
         let mut by_prefix: HashMap<u64, Vec<(KeyDigest, usize)>> = HashMap::new();
@@ -30,7 +30,7 @@
         KeyIndex { by_prefix }
     }
 
-    /// Index of the tenant that this key belongs to among the tenants of the document.
+    /// Returns the index in [`Document::tenants`] of the tenant that a key belongs to.
     #[must_use]
     pub fn tenant_index(&self, key: &KeyDigest) -> Option<usize> {
         let candidates = self.by_prefix.get(&key.prefix())?;
--- a/decide/configuration/src/key_index/tests.rs
+++ b/decide/configuration/src/key_index/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `key_index`.
+//! Tests of the lookup of tenants by API key.
 
 use super::*;
 
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn key_maps_to_its_tenant_and_other_texts_to_none() {
+fn key_maps_to_its_tenant_and_unknown_key_to_none() {
     let long = "k".repeat(100_000);
     let index = index_of(&format!(
         r#"[{{"name":"a","apiKeys":["one","{long}"]}},{{"name":"b","apiKeys":["two"]}}]"#
--- a/decide/configuration/src/lib.rs
+++ b/decide/configuration/src/lib.rs
@@ -1,21 +1,24 @@
-//! An operator's configuration: parsed, validated, updated; the history of orders.
+//! Parsing, validation and updates of the operator's configuration, and the history of orders.
 //!
-//! It owns the rules by which a configuration is valid, by which an update changes one, and by which
-//! an order is evaluated against those that were applied before. It promises that any input results
-//! in a typed error or in a value that has passed every check, that the same changes in the same
-//! order result in the same state everywhere, and that a configuration is handed back as it was
-//! received: unknown fields, their order and the digits of numbers are preserved. It is pure: no
-//! clock, no I/O, no threads.
+//! The crate decides whether a configuration is valid, how an update changes it, and how an order
+//! is evaluated against the orders that were applied before. It guarantees the following:
 //!
-//! - [`Document`]: a configuration, with [`Route`], [`Service`], [`Tenant`] and [`Limits`] as its
+//! - Any input results in a typed error or in a value that has passed every check.
+//! - The same changes in the same order result in the same state on every machine.
+//! - A configuration is returned as it was received: unknown fields, the order of fields and the
+//!   digits of numbers are preserved.
+//!
+//! The crate has no clock, no I/O and no threads. Its main types and functions are:
+//!
+//! - [`Document`] is a configuration. [`Route`], [`Service`], [`Tenant`] and [`Limits`] are its
 //!   typed views.
-//! - [`Routes`]: which route matches a request; [`KeyIndex`]: which tenant an API key belongs to.
-//! - [`Order`], [`evaluate`], [`validate`]: an operator's call, and its result.
-//! - [`State`]: what the control machines replicate.
+//! - [`Routes`] finds the route of a request, and [`KeyIndex`] finds the tenant of an API key.
+//! - [`Order`] is an operator's call; [`validate`] and [`evaluate`] check it.
+//! - [`State`] is the state that the control machines replicate.
 //!
-//! Modules, each of which knows only those before it: `error`, `json`, `named_list`, `key_digest`;
-//! the items `limits`, `route`, `service`, `tenant`; `update`, `document`; the look-ups `routes`
-//! and `key_index`; `order`, `validated_order`, `state`, `evaluation`.
+//! Each module depends only on modules before it in this order: `error`, `json`, `named_list`,
+//! `key_digest`, `limits`, `route`, `service`, `tenant`, `update`, `document`, `routes`,
+//! `key_index`, `order`, `validated_order`, `state`, `evaluation`.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/decide/configuration/src/limits.rs
+++ b/decide/configuration/src/limits.rs
@@ -1,24 +1,24 @@
-//! Limits on what a client may send, and on how long it may take.
+//! Limits on the size and duration of clients' requests.
 
 use crate::error::ConfigurationError;
 use crate::json::Fields;
 use miniserde::json::Value;
 
-/// Limits on what a client may send, and on how long it may take or stay idle.
+/// Limits on the size of clients' requests, and on the time that a client may take or stay idle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Longest head of a request (bytes).
+    /// Maximum length of a request's header section (bytes).
     pub max_header_bytes: u64,
-    /// Longest body of a request (bytes).
+    /// Maximum length of a request's body (bytes).
     pub max_body_bytes: u64,
-    /// How long the head of a request may take to arrive (milliseconds).
+    /// Maximum time in which the header section of a request has to arrive (milliseconds).
     pub header_timeout_ms: u64,
-    /// How long a connection may stay idle (milliseconds).
+    /// Maximum time for which a connection may stay idle (milliseconds).
     pub idle_timeout_ms: u64,
 }
 
 impl Default for Limits {
-    /// The limits where the operator sets none: those of the protocol's example.
+    /// Returns the limits that apply if the operator sets none: those of the protocol's example.
     fn default() -> Self {
         Limits {
             max_header_bytes: 16_384,
@@ -30,7 +30,7 @@
 }
 
 impl Limits {
-    /// Parses the object `limits`.
+    /// Parses the object `limits`. Missing fields get their default.
     pub(crate) fn parse(value: &Value) -> Result<Limits, ConfigurationError> {
         let fields = Fields::new("limits".to_owned(), value)?;
         let default = Limits::default();
--- a/decide/configuration/src/named_list.rs
+++ b/decide/configuration/src/named_list.rs
@@ -1,31 +1,31 @@
-//! Fields of a configuration: lists whose items are known by name, and anything else as text.
+//! Fields of a configuration: lists of named items, and all other fields as text.
 
 use crate::error::{shown, ConfigurationError};
 use crate::json::{array_elements, distinct_fields, object_fields, value_of, wrong_type};
 use miniserde::json::Value;
 use std::collections::{HashMap, HashSet};
 
-/// Content of a field.
+/// The content of a field of a configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum FieldContent {
     /// A list whose items all have distinct names.
     Named(Vec<Item>),
-    /// Anything else, as it was received.
+    /// Any other value, as it was received.
     Text(String),
 }
 
 /// An item of a named list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Item {
-    /// Its name.
+    /// Value of the item's field `name`.
     pub(crate) name: String,
-    /// The complete item, as it was received.
+    /// JSON text of the item as it was received, including the name.
     pub(crate) text: String,
 }
 
 impl FieldContent {
-    /// Parses the content of a field. Routes and services must be named lists; other lists are where
-    /// all their items have names.
+    /// Parses the content of a field. `routes` and `services` must be named lists. Any other list
+    /// is a named list if all its items have distinct names.
     pub(crate) fn parse(field: &str, text: &str) -> Result<FieldContent, ConfigurationError> {
         let must_be_named = matches!(field, "routes" | "services");
         let Some(elements) = array_elements(text) else {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Appends the content as JSON.
+    /// Appends the content to a JSON text.
     pub(crate) fn write(&self, json: &mut String) {
         let items = match self {
             FieldContent::Text(text) => return json.push_str(text),
@@ -58,7 +58,7 @@
     }
 }
 
-/// The items of a named list.
+/// Parses the elements of a named list. Fails if a name is missing or occurs twice.
 pub(crate) fn named_items(list: &str, elements: &[&str]) -> Result<Vec<Item>, ConfigurationError> {
     let mut seen = HashSet::with_capacity(elements.len());
     let mut items = Vec::with_capacity(elements.len());
@@ -101,7 +101,7 @@
     }
 }
 
-/// The typed views of items.
+/// Parses each item into its typed view.
 pub(crate) fn parse_items<T>(
     items: &[Item],
     parse: impl Fn(&str, &Value) -> Result<T, ConfigurationError>,
@@ -112,7 +112,7 @@
         .collect()
 }
 
-/// Replaces items by name at their positions, and appends new ones.
+/// Replaces existing items by name in place, and appends new ones.
 pub(crate) fn upsert_items(items: &mut Vec<Item>, upserts: &[Item]) {
     let mut indexes: HashMap<String, usize> = items
         .iter()
--- a/decide/configuration/src/order.rs
+++ b/decide/configuration/src/order.rs
@@ -1,25 +1,25 @@
-//! An operator's order to change the configuration, identified by its content.
+//! Operators' orders to change the configuration. An order is identified by its content.
 
 use crate::error::ConfigurationError;
 use sha2::{Digest, Sha256};
 
-/// Path of the order that brings a complete configuration.
+/// Path of an order that replaces the complete configuration.
 pub const REPLACE_PATH: &str = "/configuration/replace";
 
-/// Path of the order that changes named items.
+/// Path of an order that adds, replaces or removes named items.
 pub const UPDATE_PATH: &str = "/configuration/update";
 
-/// What an order does.
+/// The kind of change that an order makes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum OrderKind {
-    /// Brings a complete configuration.
+    /// Replaces the complete configuration.
     Replace,
-    /// Changes named items.
+    /// Adds, replaces or removes named items.
     Update,
 }
 
 impl OrderKind {
-    /// The kind of orders of this path, if it is one of an order.
+    /// Returns the kind of the orders with this path; `None` for other paths.
     #[must_use]
     pub fn of_path(path: &str) -> Option<OrderKind> {
         match path {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Path of orders of this kind.
+    /// Returns the path of orders of this kind.
     #[must_use]
     pub fn path(self) -> &'static str {
         match self {
@@ -39,27 +39,27 @@
     }
 }
 
-/// An operator's order.
+/// An operator's order to change the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// Path of the call.
+    /// Path of the operator's HTTP call; selects the [`OrderKind`].
     pub path: String,
-    /// Version that it builds on; 0 for the first configuration.
+    /// Version that the order builds on; 0 for the first configuration.
     pub base_version: u64,
-    /// Body as it was received.
+    /// Body of the call as it was received.
     pub body: Vec<u8>,
 }
 
 impl Order {
-    /// Its digest.
+    /// Computes the digest that identifies the order.
     #[must_use]
     pub fn digest(&self) -> OrderDigest {
         OrderDigest::of(&self.path, self.base_version, &self.body)
     }
 }
 
-/// Identity of an order: the first bytes of the SHA-256 over path, base version and body, each with
-/// its length before it.
+/// The identity of an order: the first 16 bytes of the SHA-256 over path, base version and body,
+/// each preceded by its length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct OrderDigest(pub [u8; OrderDigest::BYTES]);
 
@@ -67,7 +67,7 @@
     /// Length of a digest (bytes).
     pub const BYTES: usize = 16;
 
-    /// The digest of an order.
+    /// Computes the digest of an order from its fields.
     #[must_use]
     pub fn of(path: &str, base_version: u64, body: &[u8]) -> OrderDigest {
         let mut hash = Sha256::new();
@@ -82,10 +82,10 @@
     }
 }
 
-/// Parses the version that an order builds on, from its header `Base-Version`.
+/// Parses the header `Base-Version`: the version that an order builds on.
 ///
 /// # Errors
-/// The header is missing or not a whole number.
+/// Returns an error if the header is missing or not a whole number.
 pub fn parse_base_version(header: Option<&[u8]>) -> Result<u64, ConfigurationError> {
     let header = header.ok_or(ConfigurationError::MissingBaseVersion)?;
     let text =
--- a/decide/configuration/src/order/tests.rs
+++ b/decide/configuration/src/order/tests.rs
@@ -1,8 +1,8 @@
-//! Tests of `order`.
+//! Tests of the header `Base-Version` and of the digests of orders.
 
 use super::*;
 
-/// An order that brings a configuration.
+/// Returns an order that replaces the complete configuration.
 pub(crate) fn replace(base_version: u64, body: &str) -> Order {
     Order {
         path: REPLACE_PATH.to_owned(),
@@ -11,7 +11,7 @@
     }
 }
 
-/// An order that changes items.
+/// Returns an order that updates named items.
 pub(crate) fn update(base_version: u64, body: &str) -> Order {
     Order {
         path: UPDATE_PATH.to_owned(),
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn base_version_is_a_whole_number() {
+fn base_version_must_be_a_whole_number() {
     assert_eq!(parse_base_version(Some(b"0")), Ok(0));
     assert_eq!(
         parse_base_version(Some(b" 18446744073709551615\t")),
--- a/decide/configuration/src/route.rs
+++ b/decide/configuration/src/route.rs
@@ -1,23 +1,24 @@
-//! A route: which requests it matches, how they may be handled, and which services they go to.
+//! Routes: the requests that a route matches, their handling, and the services that they go to.
 
 use crate::error::{shown, ConfigurationError};
 use crate::json::{wrong_type, Fields};
 use miniserde::json::Value;
 use std::collections::HashMap;
 
-/// Time-out of a request where the operator sets none (milliseconds).
+/// Timeout of a request if the operator sets none (milliseconds).
 const DEFAULT_TIMEOUT_MS: u64 = 60_000;
 
-/// Whether and how requests may be repeated.
+/// The kind of a route, which determines whether its requests may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RouteKind {
-    /// Idempotent: requests may run more than once.
+    /// Requests are idempotent and may be executed more than once.
     Safe,
-    /// A request may run once for each attempt of the client.
+    /// A request may be executed once for each attempt of the client.
     Unsafe,
-    /// Responses are event streams; to be treated as unsafe, unless the route resumes streams.
+    /// Responses are event streams. Requests are treated as unsafe unless the route resumes
+    /// streams.
     Streaming,
-    /// An unknown kind, or none: to be treated as unsafe.
+    /// The kind is unknown or missing. Requests are treated as unsafe.
     Unknown,
 }
 
@@ -31,51 +32,52 @@
         }
     }
 
-    /// Whether requests of this kind may run more than once, whatever the other fields of the route.
+    /// Whether requests of this kind may be executed more than once regardless of the route's other
+    /// fields.
     #[must_use]
     pub fn is_idempotent(self) -> bool {
         self == RouteKind::Safe
     }
 }
 
-/// A service that a route's requests go to, with its weight.
+/// A target service of a route, with its weight.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WeightedService {
-    /// Name of the service.
+    /// Name of the service in the configuration.
     pub service: String,
-    /// Its weight, relative to the sum of all.
+    /// Weight relative to the sum of the route's weights; 0 or more.
     pub weight: f64,
 }
 
-/// A route that has passed the checks that involve no other item.
+/// A route that has passed all checks that don't involve other items.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name.
+    /// Name, which is unique among the routes.
     pub name: String,
-    /// Host whose requests it matches, in lower case.
+    /// Host of the matching requests, in lower case.
     pub host: String,
-    /// Prefix of the paths that it matches; begins and ends with a slash.
+    /// Prefix of the matching paths; begins and ends with a slash.
     pub path_prefix: String,
-    /// Whether and how requests may be repeated.
+    /// Kind of the route, which determines whether requests may be repeated.
     pub kind: RouteKind,
-    /// Time-out of a request (milliseconds); never 0.
+    /// Timeout of a request (milliseconds); never 0.
     pub timeout_ms: u64,
-    /// Latency up to which a response has its full value (milliseconds); the time-out where the
-    /// operator sets none.
+    /// Latency up to which a response has its full value (milliseconds). Equal to the timeout if
+    /// the operator sets none.
     pub target_latency_ms: u64,
-    /// Its rank; 0 is highest.
+    /// Priority of the requests; 0 is the highest.
     pub priority: u32,
-    /// The services that its requests go to; the weights add up to more than 0.
+    /// Target services; the sum of their weights is above 0.
     pub targets: Vec<WeightedService>,
-    /// Most servers to which one attempt of a client may be sent; at least 1.
+    /// Maximum number of servers to which one attempt of a client may be sent; at least 1.
     pub max_attempts: u32,
-    /// Whether its requests need no key: `publicAccess` is `true`.
+    /// Whether requests need no API key: true only if `publicAccess` is `true`.
     pub public_access: bool,
-    /// Whether requests name the chunks of their prompts, which servers cache.
+    /// Whether requests name the chunks of their prompts, which servers may have in their cache.
     pub session_affinity: bool,
-    /// Whether a stream may be resumed at another server.
+    /// Whether an interrupted event stream may be resumed at another server.
     pub stream_resume: bool,
-    /// Longest gap between the events of a response that meets its target (milliseconds), if set.
+    /// Maximum gap between the events of a response that meets its target (milliseconds), if set.
     pub event_gap_target_ms: Option<u64>,
 }
 
@@ -103,7 +105,7 @@
         Ok(route)
     }
 
-    /// Checks what involves no other item of the configuration.
+    /// Checks conditions that don't involve other items of the configuration.
     fn check(&self) -> Result<(), ConfigurationError> {
         let route = || shown(&self.name);
         if !self.path_prefix.starts_with('/') || !self.path_prefix.ends_with('/') {
@@ -125,14 +127,15 @@
         self.targets.iter().map(|target| target.weight).sum()
     }
 
-    /// Whether a request may run more than once: a safe one, or a stream that may be resumed.
+    /// Whether a request may be executed more than once: its route is safe, or is a streaming route
+    /// that resumes streams.
     #[must_use]
     pub fn is_idempotent(&self) -> bool {
         self.kind.is_idempotent() || (self.kind == RouteKind::Streaming && self.stream_resume)
     }
 
-    /// Picks the service of one request by weight, with a random number that is uniform over its
-    /// range. A service without weight is never picked.
+    /// Picks the service for one request by weight. `random` has to be uniformly distributed over
+    /// all 64-bit numbers. A service with weight 0 is never picked.
     #[must_use]
     pub fn pick_service(&self, random: u64) -> &str {
         let fraction = (random >> 11) as f64 / (1_u64 << 53) as f64;
@@ -148,13 +151,13 @@
         }
         debug_assert!(
             !picked.is_empty(),
-            "the weights of a checked route add up to more than 0"
+            "the sum of the weights of a checked route is above 0"
         );
         picked
     }
 }
 
-/// The services of a route: its `trafficSplit`, or else its `service` alone.
+/// Parses the services of a route: those of `trafficSplit`, or else the single `service`.
 fn parse_targets(
     name: &str,
     fields: &Fields<'_>,
@@ -192,7 +195,7 @@
     })
 }
 
-/// Checks that no two routes have the same host and prefix.
+/// Checks that no two routes have the same host and path prefix.
 pub(crate) fn check_distinct_prefixes(routes: &[Route]) -> Result<(), ConfigurationError> {
     let mut names_by_prefix = HashMap::with_capacity(routes.len());
     for route in routes {
--- a/decide/configuration/src/route/tests.rs
+++ b/decide/configuration/src/route/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of `route`.
+//! Tests of parsing routes and picking services.
 
 use super::*;
 use crate::json::value_of;
 use assert_matches::assert_matches;
 
-/// A route with these fields beside its host and prefix.
+/// Parses a route with these fields in addition to its name, host and prefix.
 fn read(fields: &str) -> Result<Route, ConfigurationError> {
     let text = format!("{{\"name\":\"r\",\"host\":\"A.example\",\"pathPrefix\":\"/p/\"{fields}}}");
     Route::parse("r", &value_of(&text).expect("JSON"))
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn services_are_picked_by_weight_and_never_without() {
+fn services_are_picked_by_weight_and_never_with_weight_0() {
     let route = read(&split(&[
         ("none", 0.0),
         ("most", 90.0),
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn service_without_weight_is_not_picked_when_the_sum_is_rounded() {
+fn service_with_weight_0_is_not_picked_if_the_sum_is_rounded() {
     let route = read(&split(&[("a", 0.1), ("b", 0.2), ("c", 0.3), ("none", 0.0)])).expect("valid");
     assert_eq!(route.pick_service(u64::MAX), "c");
 }
--- a/decide/configuration/src/routes.rs
+++ b/decide/configuration/src/routes.rs
@@ -1,4 +1,4 @@
-//! Which route matches a request.
+//! Lookup of the route that matches a request.
 
 use crate::document::Document;
 use crate::route::Route;
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Look-up of routes by host and path. Built once for each configuration.
+/// An index of a configuration's routes by host and path. Built once for each configuration.
 #[derive(Clone, Debug)]
 pub struct Routes {
     document: Arc<Document>,
@@ -15,17 +15,17 @@
     services: HashMap<String, usize>,
 }
 
-/// The prefixes of one host.
+/// The path prefixes of one host.
 #[derive(Clone, Debug, Default)]
 struct Prefixes {
-    /// Each with the index of its route in the document, sorted by prefix.
+    /// Prefixes in ascending order, each with the index of its route in the document.
     sorted: Vec<(String, usize)>,
-    /// Length of the longest (bytes).
+    /// Length of the longest prefix (bytes).
     max_length: usize,
 }
 
 impl Routes {
-    /// The routes of a configuration.
+    /// Builds the index of a configuration.
     #[must_use]
     pub fn new(document: Arc<Document>) -> Routes {
         let mut hosts: HashMap<String, Prefixes> = HashMap::new();
@@ -49,15 +49,16 @@
         }
     }
 
-    /// The configuration.
+    /// Returns the configuration that the index was built from.
     #[must_use]
     pub fn document(&self) -> &Arc<Document> {
         &self.document
     }
 
-    /// The route of a request by its `Host` header and its path: the one of that host with the
-    /// longest prefix. Hosts are compared case-insensitively, and first with their port; where no
-    /// route has the host with that port, without it. The query is ignored.
+    /// Returns the route of a request by its `Host` header and its path: the route of the host that
+    /// has the longest matching prefix. Hosts are compared case-insensitively and including the
+    /// port. If no route has the host with that port, the host without the port is used. The query
+    /// is ignored.
     #[must_use]
     pub fn lookup(&self, host: &str, path: &str) -> Option<&Route> {
         let index = self.prefixes(host)?.longest_match(path)?;
@@ -71,7 +72,7 @@
             .or_else(|| self.hosts.get(without_port(&host)?))
     }
 
-    /// The service of this name.
+    /// Returns the service with this name by a hash lookup.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.document.services().get(*self.services.get(name)?)
@@ -84,17 +85,18 @@
         self.max_length = self.max_length.max(prefix.len());
     }
 
-    /// Index of the route with the longest prefix of a path. Every prefix ends with a slash, so only
-    /// what ends with one in the path can be a prefix of it.
+    /// Returns the index of the route with the longest prefix of a path. Every prefix ends with a
+    /// slash, so only the positions after a slash in the path have to be tried.
     fn longest_match(&self, path: &str) -> Option<usize> {
         let path = path.split(['?', '#']).next().unwrap_or_default().as_bytes();
         let bounded = &path[..path.len().min(self.max_length)];
-        let ends = bounded
+        let slashes = bounded
             .iter()
             .enumerate()
             .rev()
             .filter(|(_, byte)| **byte == b'/');
-        ends.map(|(last, _)| &path[..=last])
+        slashes
+            .map(|(last, _)| &path[..=last])
             .find_map(|candidate| self.index_of(candidate))
     }
 
@@ -114,7 +116,8 @@
     }
 }
 
-/// The host before its port; `None` where there is no port.
+/// Returns the host without its port; `None` if there is no port. A colon within an IPv6 address is
+/// not taken for that of a port.
 fn without_port(host: &str) -> Option<&str> {
     let (name, port) = host.rsplit_once(':')?;
     let is_port = !name.contains(':') || name.ends_with(']');
--- a/decide/configuration/src/routes/tests.rs
+++ b/decide/configuration/src/routes/tests.rs
@@ -1,14 +1,15 @@
-//! Tests of `routes`.
+//! Tests of the lookup of routes.
 
 use super::*;
 use quickcheck::{Gen, QuickCheck};
 
-/// Seed of the random tests: a failure comes again with the same command.
+/// Seed of the random tests, fixed so that failures are reproducible.
 const SEED: u64 = 0x5eed_0004;
 
-/// A lookup of routes that are named by their host and prefix.
-fn routes(indexes: &[(&str, &str)]) -> Routes {
-    let routes: Vec<String> = indexes
+/// Builds an index of routes with these hosts and prefixes. The name of each route is its host
+/// followed by its prefix.
+fn routes(prefixes: &[(&str, &str)]) -> Routes {
+    let routes: Vec<String> = prefixes
         .iter()
         .map(|(host, prefix)| {
             format!(r#"{{"name":"{host}{prefix}","host":"{host}","pathPrefix":"{prefix}","service":"s"}}"#)
@@ -115,31 +116,34 @@
 
 #[test]
 fn lookup_agrees_with_a_linear_search() {
-    /// Paths of few characters, so that many have common prefixes.
+    /// Returns a path of only three different characters, so that many paths have common prefixes.
     fn path(picks: &[u8]) -> String {
         picks
             .iter()
             .map(|pick| ['/', 'a', 'b'][usize::from(*pick) % 3])
             .collect()
     }
-    fn property(prefixes: Vec<Vec<u8>>, picked_service: Vec<u8>) -> bool {
+    fn property(prefixes: Vec<Vec<u8>>, requested_path: Vec<u8>) -> bool {
         let mut prefixes: Vec<String> = prefixes
             .iter()
             .map(|picks| format!("/{}/", path(picks)))
             .collect();
         prefixes.sort();
         prefixes.dedup();
-        let indexes: Vec<(&str, &str)> = prefixes
+        let hosts_and_prefixes: Vec<(&str, &str)> = prefixes
             .iter()
             .map(|prefix| ("h", prefix.as_str()))
             .collect();
-        let (routes, picked_service) = (routes(&indexes), format!("/{}", path(&picked_service)));
+        let (routes, requested_path) = (
+            routes(&hosts_and_prefixes),
+            format!("/{}", path(&requested_path)),
+        );
         let longest = prefixes
             .iter()
-            .filter(|prefix| picked_service.starts_with(*prefix))
+            .filter(|prefix| requested_path.starts_with(*prefix))
             .max_by_key(|prefix| prefix.len());
         routes
-            .lookup("h", &picked_service)
+            .lookup("h", &requested_path)
             .map(|route| &route.path_prefix)
             == longest
     }
--- a/decide/configuration/src/service.rs
+++ b/decide/configuration/src/service.rs
@@ -1,35 +1,35 @@
-//! A service of model servers, as the operator describes it.
+//! Services, as the operator describes them.
 
 use crate::error::ConfigurationError;
 use crate::json::Fields;
 use miniserde::json::Value;
 
-/// Path of the health check where the operator sets none.
+/// Path of the health check if the operator sets none.
 const DEFAULT_HEALTH_CHECK_PATH: &str = "/health";
 
-/// A service of model servers.
+/// A service: a group of equivalent model servers that routes refer to by name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Service {
-    /// Its name.
+    /// Name, which is unique among the services.
     pub name: String,
-    /// Path of the health check at its servers.
+    /// Path of the health check requests to its servers.
     pub health_check_path: String,
-    /// Connections that each of its servers accepts, if set.
+    /// Maximum number of connections to each of its servers, if set.
     pub max_connections: Option<u32>,
     /// Whether its servers use TLS.
     pub tls_enabled: bool,
-    /// Requests that each of its servers processes concurrently, if set.
+    /// Number of requests that each of its servers processes concurrently, if set.
     pub capacity_slots: Option<u32>,
-    /// Tokens that the cache of each of its servers holds, if set.
+    /// Capacity of the cache of each of its servers (tokens), if set.
     pub kv_token_capacity: Option<u64>,
-    /// Bytes of a cached token, if set.
+    /// Size of a cached token (bytes), if set.
     pub kv_token_bytes: Option<u64>,
     /// Names of the models that its servers may load.
     pub models: Vec<String>,
 }
 
 impl Service {
-    /// Parses an item of `services`.
+    /// Parses an item of `services`. Missing and `null` fields get their default.
     pub(crate) fn parse(name: &str, value: &Value) -> Result<Service, ConfigurationError> {
         let fields = Fields::new(format!("service `{name}`"), value)?;
         let engine = fields.get("engine");
@@ -53,7 +53,8 @@
     }
 }
 
-/// The names of the items of `models`; items without a name are ignored, since nothing needs them.
+/// Returns the names of the items of `models`. Items without a name are ignored, since nothing
+/// needs them.
 fn model_names(engine: &Fields<'_>) -> Result<Vec<String>, ConfigurationError> {
     let list = engine.list("models")?.unwrap_or_default();
     Ok(list.iter().filter_map(model_name).collect())
--- a/decide/configuration/src/state.rs
+++ b/decide/configuration/src/state.rs
@@ -1,5 +1,5 @@
-//! The state that the control machines replicate: the configuration, and the digests of the orders
-//! that were applied.
+//! The state that the control machines replicate: the configuration and the digests of the applied
+//! orders.
 
 use crate::document::Document;
 use crate::error::ConfigurationError;
@@ -10,86 +10,87 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Most digests in the history; the oldest are dropped first. Three long days of 7,000 changes.
+/// Maximum number of digests in the history; the oldest are dropped first. Sufficient for almost
+/// three days with 7,000 changes each.
 pub const MAX_HISTORY: usize = 20_000;
 
 /// First byte of every encoded state and change.
 const FORMAT: u8 = 1;
 
-/// Why a state can't be decoded, or a change not be applied.
+/// The reason for which a state can't be decoded or a change can't be applied.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StateError {
-    /// The bytes have an unknown format.
+    /// The first byte is not the known format number.
     #[error("format {0} is not known; this program writes format {FORMAT}")]
     UnknownFormat(u8),
-    /// The bytes end too early.
+    /// The bytes end within a value.
     #[error("the bytes end too early")]
     Truncated,
-    /// Bytes follow the end of the state.
+    /// This number of bytes follow the end of the state.
     #[error("{0} bytes are left over")]
     TrailingBytes(usize),
-    /// A change has an unknown code of its kind.
+    /// The code for the kind of a change is unknown.
     #[error("mark {0} is not known")]
     UnknownKind(u8),
-    /// More digests than the history ever has.
+    /// The history has this number of digests, which is above [`MAX_HISTORY`].
     #[error("{0} digests are more than {MAX_HISTORY}")]
     HistoryTooLong(usize),
     /// The configuration, or the order of a change, is invalid.
     #[error("the configuration is invalid: {0}")]
     InvalidConfiguration(#[from] ConfigurationError),
-    /// A change builds on another version.
+    /// A change builds on a version other than the current one.
     #[error("the change builds on version {base}, and {current} is current")]
     VersionMismatch {
-        /// Version that it builds on.
+        /// Version that the change builds on.
         base: u64,
-        /// The current one.
+        /// Current version of the state.
         current: u64,
     },
 }
 
-/// The replicated state.
+/// The state that the control machines replicate.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct State {
     document: Option<Arc<Document>>,
-    /// Digests of the orders that were applied, the oldest first.
+    /// Digests of the applied orders, oldest first; at most [`MAX_HISTORY`].
     history: VecDeque<OrderDigest>,
 }
 
 impl State {
-    /// The configuration, once there is one.
+    /// Returns the configuration; `None` before the first one.
     #[must_use]
     pub fn document(&self) -> Option<&Document> {
         self.document.as_deref()
     }
 
-    /// The configuration, shared.
+    /// Returns a shared reference to the configuration, which outlives later changes of the state.
     #[must_use]
     pub fn shared_document(&self) -> Option<Arc<Document>> {
         self.document.clone()
     }
 
-    /// Its version; 0 where there is none.
+    /// Returns the version of the configuration; 0 if there is none.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.document().map_or(0, Document::version)
     }
 
-    /// Whether exactly this order has been applied.
+    /// Whether the order with this digest is in the history of applied orders.
     #[must_use]
     pub fn has_applied(&self, digest: &OrderDigest) -> bool {
-        // The newest first: a repetition follows its order closely. All of them are 320 KB, which
-        // takes some microseconds.
+        // Starts with the newest, since a repeated order usually follows soon. A search of the
+        // complete history, which has 320 KB, takes a few microseconds.
         self.history.iter().rev().any(|applied| applied == digest)
     }
 
-    /// Number of digests in the history.
+    /// Returns the number of digests in the history; at most [`MAX_HISTORY`].
     #[must_use]
     pub fn history_len(&self) -> usize {
         self.history.len()
     }
 
-    /// Encodes the change of an order: the order as it was received, since that is small and has the
-    /// same result everywhere.
+    /// Encodes the change that an order makes. The change contains the order as it was received,
+    /// since that is small and has the same result on every machine.
     pub(crate) fn change(kind: OrderKind, base_version: u64, body: &[u8]) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(10 + body.len());
         bytes.push(FORMAT);
@@ -99,11 +100,11 @@
         bytes
     }
 
-    /// Applies a change of [`evaluate`](crate::evaluate). The same changes in the same order result
-    /// in the same state everywhere.
+    /// Applies a change that [`evaluate`](crate::evaluate) returned. The same changes in the same
+    /// order result in the same state on every machine.
     ///
     /// # Errors
-    /// The change doesn't fit the state, which is then unchanged.
+    /// Returns an error if the change is invalid for this state. The state is then unchanged.
     pub fn apply(&mut self, change: &[u8]) -> Result<(), StateError> {
         let mut reader = ByteReader { bytes: change };
         reader.format()?;
@@ -129,8 +130,8 @@
         self.history.push_back(digest);
     }
 
-    /// Encodes the state: format, length of the configuration (0 where there is none), the
-    /// configuration, number of digests, digests.
+    /// Encodes the state: format, length of the configuration (0 if there is none), configuration,
+    /// number of digests, digests.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         let document = self.document().map(Document::to_json).unwrap_or_default();
@@ -146,10 +147,10 @@
         bytes
     }
 
-    /// Decodes what [`State::encode`] returned.
+    /// Decodes a state that [`State::encode`] returned.
     ///
     /// # Errors
-    /// The bytes are no such state.
+    /// Returns an error if the bytes are not a complete state in the known format.
     pub fn decode(bytes: &[u8]) -> Result<State, StateError> {
         let mut reader = ByteReader { bytes };
         reader.format()?;
@@ -166,7 +167,7 @@
     let length = reader.length()?;
     debug_assert!(
         MAX_DOCUMENT_BYTES < u32::MAX as usize,
-        "a length has four bytes"
+        "a length is encoded in four bytes"
     );
     match reader.take(length)? {
         [] => Ok(None),
@@ -202,7 +203,7 @@
     }
 }
 
-/// Reads encoded values from bytes.
+/// A reader of encoded values. `bytes` has those that were not read so far.
 struct ByteReader<'a> {
     bytes: &'a [u8],
 }
--- a/decide/configuration/src/state/tests.rs
+++ b/decide/configuration/src/state/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `state`.
+//! Tests of the replicated state and its encoding.
 
 use super::*;
 use crate::evaluation::{evaluate, OrderOutcome};
@@ -6,7 +6,7 @@
 use assert_matches::assert_matches;
 use quickcheck::{Gen, QuickCheck};
 
-/// Seed of the random tests: a failure comes again with the same command.
+/// Seed of the random tests, fixed so that failures are reproducible.
 const SEED: u64 = 0x5eed_0003;
 
 fn order(path: &str, base_version: u64, body: String) -> Order {
@@ -22,7 +22,7 @@
     order(REPLACE_PATH, 0, body.to_owned())
 }
 
-/// The next order: an update that changes one service.
+/// Returns an update of one service, on top of this version.
 fn next(version: u64) -> Order {
     let body = format!(
         "{{\"version\":{},\"upserts\":{{\"services\":[{{\"name\":\"s\",\"maxConnections\":{version}}}]}}}}",
@@ -34,30 +34,30 @@
 fn change(state: &State, order: &Order) -> Vec<u8> {
     match evaluate(state, order) {
         OrderOutcome::Change(change) => change,
-        other => panic!("not to be taken: {other:?}"),
+        other => panic!("the order has no change: {other:?}"),
     }
 }
 
-/// A state after this many orders, with the changes that led to it.
+/// Returns the state after this number of orders, with their changes.
 fn after(orders: u64) -> (State, Vec<Vec<u8>>) {
     let (mut state, mut changes) = (State::default(), Vec::new());
     for version in 0..orders {
         let order = if version == 0 { first() } else { next(version) };
         let change = change(&state, &order);
-        state.apply(&change).expect("it was evaluated");
+        state.apply(&change).expect("an evaluated change is valid");
         changes.push(change);
     }
     (state, changes)
 }
 
 #[test]
-fn empty_state_survives_encoding() {
+fn empty_state_is_unchanged_by_encoding_and_decoding() {
     let state = State::default();
     assert_eq!(State::decode(&state.encode()), Ok(state));
 }
 
 #[test]
-fn configuration_and_history_survive_encoding() {
+fn configuration_and_history_are_unchanged_by_encoding_and_decoding() {
     let (state, _) = after(40);
     let decoded = State::decode(&state.encode()).expect("a state");
     assert_eq!(decoded, state);
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn change_of_update_has_only_the_update() {
+fn change_of_update_contains_only_the_update() {
     let (state, _) = after(1);
     let order = next(1);
     assert_eq!(change(&state, &order).len(), 10 + order.body.len());
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn change_that_does_not_fit_leaves_the_state_unchanged() {
+fn invalid_change_leaves_the_state_unchanged() {
     let (mut state, changes) = after(3);
     let before = state.clone();
     assert_eq!(
@@ -175,17 +175,17 @@
         let (mut state, changes) = after(2);
         let (mut encoded, mut change) = (state.encode(), changes[1].clone());
         for (index, byte) in edits {
-            let (one, other) = (
+            let (state_index, change_index) = (
                 usize::from(index) % encoded.len(),
                 usize::from(index) % change.len(),
             );
-            (encoded[one], change[other]) = (byte, byte);
+            (encoded[state_index], change[change_index]) = (byte, byte);
         }
-        let read = State::decode(&encoded);
+        let decoded = State::decode(&encoded);
         let applied = state.apply(&change).is_ok();
-        let again =
-            read.is_err() || read.is_ok_and(|state| State::decode(&state.encode()) == Ok(state));
-        again && !applied && State::decode(&bytes).is_err() | (bytes.first() == Some(&1))
+        let is_preserved = decoded.is_err()
+            || decoded.is_ok_and(|state| State::decode(&state.encode()) == Ok(state));
+        is_preserved && !applied && State::decode(&bytes).is_err() | (bytes.first() == Some(&1))
     }
     let gen = Gen::from_size_and_seed(12, SEED);
     QuickCheck::new()
--- a/decide/configuration/src/tenant.rs
+++ b/decide/configuration/src/tenant.rs
@@ -1,4 +1,4 @@
-//! A tenant: its clients by their API keys, and what they may send together.
+//! Tenants: groups of clients that are identified by API keys and share a quota.
 
 use crate::error::{shown, ConfigurationError};
 use crate::json::{array_elements, wrong_type, Fields};
@@ -7,10 +7,10 @@
 use miniserde::json::Value;
 use std::collections::HashMap;
 
-/// `unit` of tenants whose requests are counted by their tokens.
+/// Value of `unit` for tenants whose requests are counted by their tokens.
 const TOKENS: &str = "token_count";
 
-/// Unit of a tenant's quota.
+/// The unit of a tenant's quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum QuotaUnit {
     /// Each request counts as one.
@@ -19,36 +19,36 @@
     Tokens,
 }
 
-/// The most that the clients of a tenant may send, over all routers together.
+/// The limit on the requests of a tenant's clients, over all routers together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
-    /// Unit of rate and burst.
+    /// Unit of `rate_per_s` and `burst`.
     pub unit: QuotaUnit,
-    /// Units a second; above 0.
+    /// Rate (units per second); above 0.
     pub rate_per_s: f64,
-    /// Units above the rate that may come at once.
+    /// Amount above the rate that may be sent at once (units); 0 or more.
     pub burst: f64,
 }
 
 /// A tenant, as the operator describes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name.
+    /// Name, which is unique among the tenants.
     pub name: String,
-    /// The distinct digests of its keys. The keys themselves are in the document alone.
+    /// Distinct digests of the API keys. Only the document contains the keys themselves.
     pub keys: Vec<KeyDigest>,
-    /// Rank of its requests, which takes precedence over that of their route; 0 is highest.
+    /// Priority of the requests, if set; takes precedence over that of the route. 0 is the highest.
     pub priority: Option<u32>,
-    /// Its quota; none where the operator sets no rate, or 0.
+    /// Quota; `None` if the operator sets no rate or a rate of 0.
     pub quota: Option<Quota>,
-    /// Unit of its quota.
+    /// Unit of the quota; also set if there is none.
     pub unit: QuotaUnit,
-    /// Tokens that a request without a `Token-Usage` counts as.
+    /// Number of tokens that a request without a `Token-Usage` header counts as.
     pub uncached_tokens: u64,
 }
 
 impl Tenant {
-    /// Parses an item of `tenants`.
+    /// Parses an item of `tenants`. An unknown or missing unit counts requests.
     pub(crate) fn parse(name: &str, value: &Value) -> Result<Tenant, ConfigurationError> {
         let location = format!("tenant `{name}`");
         let fields = Fields::new(location.clone(), value)?;
@@ -73,7 +73,7 @@
     }
 }
 
-/// An amount of 0 or more; 0 where it is missing.
+/// Returns an amount of 0 or more; 0 if it is missing.
 fn amount(fields: &Fields<'_>, location: &str, field: &str) -> Result<f64, ConfigurationError> {
     let amount = fields.number(field)?.unwrap_or(0.0);
     match amount.is_finite() && amount >= 0.0 {
@@ -103,7 +103,7 @@
     Ok(keys)
 }
 
-/// Checks that no key belongs to two tenants. The error names them, never the key.
+/// Checks that no key belongs to two tenants. The error contains their names but not the key.
 pub(crate) fn check_distinct_keys(tenants: &[Tenant]) -> Result<(), ConfigurationError> {
     let mut names_by_key: HashMap<KeyDigest, &str> = HashMap::new();
     for tenant in tenants {
@@ -117,7 +117,8 @@
     Ok(())
 }
 
-/// Checks `tenants` that are no named list: only `null` is valid. The error says why it is none.
+/// Checks a value of `tenants` that is not a named list. Only `null` is valid. The error gives the
+/// reason for which the value is not a named list.
 pub(crate) fn check_unnamed_tenants(text: &str) -> Result<(), ConfigurationError> {
     match array_elements(text) {
         _ if text == "null" => Ok(()),
--- a/decide/configuration/src/tenant/tests.rs
+++ b/decide/configuration/src/tenant/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `tenant`, through whole configurations and updates.
+//! Tests of parsing tenants, as part of configurations and updates.
 
 use crate::{ConfigurationError, Document, QuotaUnit, Update};
 use assert_matches::assert_matches;
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn tenant_has_the_values_that_were_sent() {
+fn tenant_has_the_received_values() {
     let document = parse(
         r#"[{"name":"kaje80","apiKeys":["one","two","one"],"priority":1,"unit":"token_count",
              "uncachedTokens":200,"ratePerS":731839,"burstSize":5.5,"later":{}}]"#,
@@ -138,14 +138,14 @@
 #[test]
 fn committed_invalid_tenants_are_accepted_without_keys() {
     let shared = text(r#"[{"name":"a","apiKeys":["k"]},{"name":"b","apiKeys":["k"]}]"#);
-    for old in [
+    for committed in [
         shared.as_str(),
         &text("7"),
         &text(r#"[{"name":"a","ratePerS":-1}]"#),
     ] {
-        assert!(Document::parse(old.as_bytes()).is_err());
-        let read = Document::parse_committed(old.as_bytes()).expect("read");
-        assert_eq!(read.tenants().map(<[_]>::len), Some(0), "{old}");
-        assert_eq!(read.to_json(), old.as_bytes());
+        assert!(Document::parse(committed.as_bytes()).is_err());
+        let document = Document::parse_committed(committed.as_bytes()).expect("accepted");
+        assert_eq!(document.tenants().map(<[_]>::len), Some(0), "{committed}");
+        assert_eq!(document.to_json(), committed.as_bytes());
     }
 }
--- a/decide/configuration/src/update.rs
+++ b/decide/configuration/src/update.rs
@@ -1,4 +1,4 @@
-//! A change of named items, as the operator sends it.
+//! Updates: changes of named items, as the operator sends them.
 
 use crate::error::ConfigurationError;
 use crate::json::{
@@ -11,7 +11,7 @@
 use crate::tenant::{check_distinct_keys, check_unnamed_tenants, Tenant};
 use miniserde::json::Value;
 
-/// An update that has passed the checks that need no configuration.
+/// An update that has passed all checks that don't depend on the current configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Update {
     version: u64,
@@ -19,26 +19,26 @@
     removals: Vec<Removal>,
 }
 
-/// Items to add or to replace by name; or a field that is no named list, to be replaced.
+/// Items to add or to replace by name, or the new value of a field that is not a named list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Upsert {
     /// Name of the field of the configuration.
     pub(crate) field: String,
-    /// Its items or its new content.
+    /// Items to upsert, or the new content of the field.
     pub(crate) content: FieldContent,
 }
 
-/// Items to remove by name.
+/// Names of items to remove from a list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Removal {
     /// Name of the list in the configuration.
     pub(crate) list: String,
-    /// Names of the items.
+    /// Names of the items to remove.
     pub(crate) names: Vec<String>,
 }
 
 impl Update {
-    /// Parses an update, and checks what doesn't depend on the configuration that it is applied to.
+    /// Parses an update, and checks all conditions that don't depend on the current configuration.
     ///
     /// # Errors
     /// Returns the first reason for which it is invalid.
@@ -57,7 +57,7 @@
         Ok(update)
     }
 
-    /// Parses a field of the update; unknown ones are ignored.
+    /// Parses a field of the update. Unknown fields are ignored.
     fn parse_field(&mut self, name: &str, text: &str) -> Result<(), ConfigurationError> {
         match name {
             "upserts" if text != "null" => self.parse_upserts(text),
@@ -94,7 +94,7 @@
         Ok(())
     }
 
-    /// Version of the configuration that it results in.
+    /// Returns the version of the configuration that results from the update.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.version
@@ -110,7 +110,7 @@
 }
 
 impl Upsert {
-    /// Checks the items by themselves and against each other.
+    /// Checks each item and conditions that involve several of the items.
     fn check(&self) -> Result<(), ConfigurationError> {
         match (self.field.as_str(), &self.content) {
             ("routes", FieldContent::Named(items)) => {
@@ -129,7 +129,7 @@
     }
 }
 
-/// The names of a list of names; an item with a name stands for its name.
+/// Parses a list of names. An element may also be an object with a `name`.
 fn removed_names(list: &str, text: &str) -> Result<Vec<String>, ConfigurationError> {
     let elements =
         array_elements(text).ok_or_else(|| wrong_type("removals", list, "a list of names"))?;
--- a/decide/configuration/src/update/tests.rs
+++ b/decide/configuration/src/update/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `update`.
+//! Tests of parsing updates.
 
 use super::*;
 use assert_matches::assert_matches;
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn removals_are_names_or_named_items() {
+fn removals_may_be_names_or_named_items() {
     let update =
         parse("{\"version\":3,\"removals\":{\"routes\":[\"a\",{\"name\":\"b\"}]}}").expect("valid");
     let expected = Removal {
--- a/decide/configuration/src/validated_order.rs
+++ b/decide/configuration/src/validated_order.rs
@@ -1,21 +1,21 @@
-//! An order that is valid by itself, and its result on a configuration.
+//! Orders that are valid regardless of the current configuration, and their result.
 
 use crate::document::Document;
 use crate::error::ConfigurationError;
 use crate::order::{Order, OrderKind};
 use crate::update::Update;
 
-/// An order that has passed the checks that need no configuration.
+/// An order that has passed all checks that don't depend on the current configuration.
 pub(crate) enum ValidatedOrder {
-    /// Brings a complete configuration.
+    /// Replaces the complete configuration.
     Replace(Document),
-    /// Changes named items.
+    /// Adds, replaces or removes named items.
     Update(Update),
 }
 
 impl ValidatedOrder {
-    /// Parses an order. A version that is not above the one that it builds on can never be above the
-    /// current one.
+    /// Parses the body of an order. Its version must be above the base version, since it could not
+    /// be above the current version otherwise.
     pub(crate) fn parse(
         kind: OrderKind,
         base_version: u64,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Parses an order as an operator sent it.
+    /// Parses an order as the operator sent it; returns its kind as well.
     pub(crate) fn of(order: &Order) -> Result<(OrderKind, ValidatedOrder), ConfigurationError> {
         let kind = OrderKind::of_path(&order.path).ok_or(ConfigurationError::UnknownPath)?;
         let parsed = ValidatedOrder::parse(kind, order.base_version, &order.body)?;
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The configuration that it results in.
+    /// Returns the configuration that results if the order is applied to the current one.
     pub(crate) fn apply_to(
         self,
         current: Option<&Document>,
--- a/decide/configuration/tests/stored_format.rs
+++ b/decide/configuration/tests/stored_format.rs
@@ -1,8 +1,8 @@
-//! What control machines replicate and store of the configuration, byte for byte.
+//! Tests that the replicated and stored form of the configuration stays the same, byte for byte.
 //!
-//! `fixtures/stored_format.hex` was written by the program of commit 6f1ee4c: a name and bytes in
-//! hexadecimal digits on each line. Control machines of different builds hold the same state, and
-//! know a repeated order by the same digest.
+//! `fixtures/stored_format.hex` was written by the program of commit 6f1ee4c. Each line has a name
+//! and bytes in hexadecimal digits. Control machines of different builds must store the same state
+//! and recognise a repeated order by the same digest.
 
 use lichenswitch_configuration::{
     evaluate, Order, OrderDigest, OrderOutcome, State, REPLACE_PATH, UPDATE_PATH,
@@ -12,7 +12,8 @@
 
 const FIXTURE: &str = include_str!("fixtures/stored_format.hex");
 
-/// Fields that are not known here, numbers as they were written, keys, both units.
+/// A configuration with unknown fields, numbers in unusual notation, and API keys. The tenants of
+/// both bodies together use both units.
 const FIRST: &str = concat!(
     r#"{"version":7,"routes":[{"name":"r","host":"h","pathPrefix":"/a/","service":"s","own":1.50}],"#,
     r#""services":[{"name":"s","engine":{"capacitySlots":8}}],"#,
@@ -34,7 +35,7 @@
     [order(REPLACE_PATH, 0, FIRST), order(UPDATE_PATH, 7, SECOND)]
 }
 
-/// All that is stored of the orders, as they follow one another.
+/// Returns the stored form of each order and of the state after it.
 fn stored() -> Vec<(&'static str, Vec<u8>)> {
     let [first, second] = orders();
     let mut state = State::default();
@@ -61,11 +62,11 @@
     let OrderOutcome::Change(change) = evaluate(state, order) else {
         panic!("the order was not accepted");
     };
-    state.apply(&change).expect("a change that fits");
+    state.apply(&change).expect("a valid change");
     change
 }
 
-/// The lines of the fixture: names with bytes.
+/// Returns the lines of the fixture: names with bytes.
 fn fixture() -> Vec<(&'static str, Vec<u8>)> {
     named_lines(FIXTURE)
 }
@@ -100,7 +101,7 @@
         ("change_of_first_order", "state_after_first_order", 7),
         ("change_of_second_order", "state_after_second_order", 9),
     ] {
-        state.apply(&bytes_of(change)).expect("a change that fits");
+        state.apply(&bytes_of(change)).expect("a valid change");
         assert_eq!(state, State::decode(&bytes_of(after)).expect("a state"));
         assert_eq!(state.version(), version);
     }
