--- a/decide/configuration/src/error.rs
+++ b/decide/configuration/src/error.rs
@@ -116,7 +116,7 @@
         /// Name of the route.
         route: String,
     },
-    /// The time-out of a route is 0.
+    /// The timeout of a route is 0.
     #[error("the time-out of route `{route}` is 0")]
     ZeroTimeout {
         /// Name of the route.
--- a/decide/configuration/src/json.rs
+++ b/decide/configuration/src/json.rs
@@ -41,10 +41,10 @@
 
 /// Whether brackets outside strings are nested deeper than `limit`. The text need not be JSON.
 fn is_nested_deeper_than(bytes: &[u8], limit: usize) -> bool {
-    let (mut at, mut depth) = (0, 0_usize);
-    while at < bytes.len() {
-        match bytes[at] {
-            b'"' => at = string_end(bytes, at).unwrap_or(bytes.len()) - 1,
+    let (mut position, mut depth) = (0, 0_usize);
+    while position < bytes.len() {
+        match bytes[position] {
+            b'"' => position = string_end(bytes, position).unwrap_or(bytes.len()) - 1,
             b'{' | b'[' => depth += 1,
             b'}' | b']' => depth = depth.saturating_sub(1),
             _ => {}
@@ -52,19 +52,19 @@
         if depth > limit {
             return true;
         }
-        at += 1;
+        position += 1;
     }
     false
 }
 
 /// Returns the position after the string that begins at `start`.
 fn string_end(bytes: &[u8], start: usize) -> Option<usize> {
-    let mut at = start + 1;
-    while at < bytes.len() {
-        match bytes[at] {
-            b'"' => return Some(at + 1),
-            b'\\' => at += 2,
-            _ => at += 1,
+    let mut position = start + 1;
+    while position < bytes.len() {
+        match bytes[position] {
+            b'"' => return Some(position + 1),
+            b'\\' => position += 2,
+            _ => position += 1,
         }
     }
     None
@@ -98,46 +98,46 @@
 
 /// Returns the position after the array or object that begins at `start`.
 fn bracket_end(bytes: &[u8], start: usize) -> Option<usize> {
-    let (mut at, mut depth) = (start, 0_usize);
-    while at < bytes.len() {
-        match bytes[at] {
-            b'"' => at = string_end(bytes, at)? - 1,
+    let (mut position, mut depth) = (start, 0_usize);
+    while position < bytes.len() {
+        match bytes[position] {
+            b'"' => position = string_end(bytes, position)? - 1,
             b'{' | b'[' => depth += 1,
             b'}' | b']' => depth = depth.checked_sub(1)?,
             _ => {}
         }
-        at += 1;
+        position += 1;
         if depth == 0 {
-            return Some(at);
+            return Some(position);
         }
     }
     None
 }
 
-fn skip_space(bytes: &[u8], mut at: usize) -> usize {
-    while bytes.get(at).copied().is_some_and(is_space) {
-        at += 1;
+fn skip_space(bytes: &[u8], mut position: usize) -> usize {
+    while bytes.get(position).copied().is_some_and(is_space) {
+        position += 1;
     }
-    at
+    position
 }
 
 /// Returns the position after a token and the white space around it; `None` if the token doesn't
 /// follow.
-fn skip_token(bytes: &[u8], at: usize, token: u8) -> Option<usize> {
-    let at = skip_space(bytes, at);
-    (*bytes.get(at)? == token).then(|| skip_space(bytes, at + 1))
+fn skip_token(bytes: &[u8], position: usize, token: u8) -> Option<usize> {
+    let position = skip_space(bytes, position);
+    (*bytes.get(position)? == token).then(|| skip_space(bytes, position + 1))
 }
 
 /// Returns the elements of an array as they were received; `None` if the text is not an array.
 pub(crate) fn array_elements(text: &str) -> Option<Vec<&str>> {
     let bytes = text.as_bytes();
-    let mut at = skip_token(bytes, 0, b'[')?;
+    let mut position = skip_token(bytes, 0, b'[')?;
     let mut elements = Vec::new();
-    while *bytes.get(at)? != b']' {
-        let end = value_end(bytes, at)?;
-        elements.push(text.get(at..end)?);
-        at = skip_space(bytes, end);
-        at = skip_token(bytes, at, b',').unwrap_or(at);
+    while *bytes.get(position)? != b']' {
+        let end = value_end(bytes, position)?;
+        elements.push(text.get(position..end)?);
+        position = skip_space(bytes, end);
+        position = skip_token(bytes, position, b',').unwrap_or(position);
     }
     Some(elements)
 }
@@ -146,16 +146,16 @@
 /// not an object.
 pub(crate) fn object_fields(text: &str) -> Option<Vec<(String, &str)>> {
     let bytes = text.as_bytes();
-    let mut at = skip_token(bytes, 0, b'{')?;
+    let mut position = skip_token(bytes, 0, b'{')?;
     let mut fields = Vec::new();
-    while *bytes.get(at)? != b'}' {
-        let name_end = value_end(bytes, at)?;
-        let name: String = from_str(text.get(at..name_end)?).ok()?;
-        at = skip_token(bytes, name_end, b':')?;
-        let end = value_end(bytes, at)?;
-        fields.push((name, text.get(at..end)?));
-        at = skip_space(bytes, end);
-        at = skip_token(bytes, at, b',').unwrap_or(at);
+    while *bytes.get(position)? != b'}' {
+        let name_end = value_end(bytes, position)?;
+        let name: String = from_str(text.get(position..name_end)?).ok()?;
+        position = skip_token(bytes, name_end, b':')?;
+        let end = value_end(bytes, position)?;
+        fields.push((name, text.get(position..end)?));
+        position = skip_space(bytes, end);
+        position = skip_token(bytes, position, b',').unwrap_or(position);
     }
     Some(fields)
 }
--- a/decide/configuration/src/state.rs
+++ b/decide/configuration/src/state.rs
@@ -21,25 +21,25 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StateError {
     /// The first byte is not the known format number.
-    #[error("format {0} is not known; this program writes format {FORMAT}")]
+    #[error("unknown format {0}; this build supports only format {FORMAT}")]
     UnknownFormat(u8),
     /// The bytes end within a value.
-    #[error("the bytes end too early")]
+    #[error("the data is truncated")]
     Truncated,
     /// This number of bytes follow the end of the state.
-    #[error("{0} bytes are left over")]
+    #[error("{0} bytes follow the end of the state")]
     TrailingBytes(usize),
     /// The code for the kind of a change is unknown.
-    #[error("mark {0} is not known")]
+    #[error("unknown code {0} for the kind of an order")]
     UnknownKind(u8),
     /// The history has this number of digests, which is above [`MAX_HISTORY`].
-    #[error("{0} digests are more than {MAX_HISTORY}")]
+    #[error("the history has {0} digests; the maximum is {MAX_HISTORY}")]
     HistoryTooLong(usize),
     /// The configuration, or the order of a change, is invalid.
     #[error("the configuration is invalid: {0}")]
     InvalidConfiguration(#[from] ConfigurationError),
     /// A change builds on a version other than the current one.
-    #[error("the change builds on version {base}, and {current} is current")]
+    #[error("the change builds on version {base}, but the current version is {current}")]
     VersionMismatch {
         /// Version that the change builds on.
         base: u64,
--- a/decide/descriptors/src/lib.rs
+++ b/decide/descriptors/src/lib.rs
@@ -32,7 +32,7 @@
 /// Number of spare connections in addition to that fraction, for small numbers of data nodes.
 const MIN_SPARE_CONNECTIONS: usize = 8;
 /// Divisor of the total that gives the minimum share of data nodes, provided that the listed nodes
-/// can use so large a share.
+/// can use that many connections.
 const MIN_NODE_SHARE_DIVISOR: usize = 4;
 /// Divisor of the total that gives the maximum share of data nodes.
 const MAX_NODE_SHARE_DIVISOR: usize = 2;
@@ -99,7 +99,7 @@
         /// Descriptors that this kind of connection may have.
         share: usize,
     },
-    /// All descriptors are open, since the other kind has more than its share.
+    /// All descriptors are open: the other kind (clients or data nodes) has more than its share.
     Borrowed {
         /// Open descriptors of clients and data nodes together.
         open: usize,
@@ -118,15 +118,20 @@
             }
             OpenDecisionReason::Lent { open, lendable } => write!(
                 f,
-                "{open} of {lendable} descriptors that clients leave are in use"
+                "{open} of {lendable} descriptors lent by clients are in use"
             ),
             OpenDecisionReason::ShareFull { open, share } => {
-                write!(f, "all {share} descriptors are in use, {open} of them")
+                write!(f, "all {share} descriptors are in use ({open} open)")
             }
             OpenDecisionReason::Borrowed { open, total } => {
-                write!(f, "{open} of {total} descriptors are in use, some lent")
+                write!(
+                    f,
+                    "{open} of {total} descriptors are in use, including lent ones"
+                )
+            }
+            OpenDecisionReason::SystemLimit => {
+                f.write_str("the system limit on open descriptors is reached")
             }
-            OpenDecisionReason::SystemLimit => f.write_str("the system gives no more descriptors"),
         }
     }
 }
@@ -223,7 +228,7 @@
 
     /// Returns the share of data nodes: as many descriptors as they need, but at least a quarter
     /// and at most half of the total. The share is smaller if the listed nodes can't use a quarter.
-    /// Before the first list, no such limit is known.
+    /// Before the first list, the nodes are assumed to use any number.
     #[must_use]
     pub fn node_share(&self) -> usize {
         let usable = if self.listed_nodes == 0 {
--- a/decide/descriptors/src/tests.rs
+++ b/decide/descriptors/src/tests.rs
@@ -6,9 +6,11 @@
 fn sizes() -> impl Iterator<Item = (usize, usize)> {
     let nodes = [3, 4, 12, 60, 100, 184, 200, 400, 1_000];
     let descriptors = [64, 128, 256, 568, 664, 1_024, 2_048, 4_096];
-    nodes
-        .into_iter()
-        .flat_map(move |nodes| descriptors.into_iter().map(move |count| (nodes, count)))
+    nodes.into_iter().flat_map(move |node_count| {
+        descriptors
+            .into_iter()
+            .map(move |descriptor_count| (node_count, descriptor_count))
+    })
 }
 
 /// Opens connections until one is denied; returns the number of opened ones.
--- a/decide/quota/src/allowances/tests.rs
+++ b/decide/quota/src/allowances/tests.rs
@@ -27,7 +27,7 @@
     TenantQuota::of(&tenants()[0].quota.expect("a quota"), &BOUNDS).lease_validity
 }
 
-fn new() -> Allowances<u32> {
+fn new_allowances() -> Allowances<u32> {
     Allowances::new(BOUNDS, 0)
 }
 
@@ -65,14 +65,14 @@
 #[test]
 fn request_of_tenant_without_quota_is_admitted_at_once() {
     assert_eq!(
-        new().admit(Time(5), &tenants()[1], 99, 1, LATER),
+        new_allowances().admit(Time(5), &tenants()[1], 99, 1, LATER),
         AdmissionOutcome::Admitted(Time(5))
     );
 }
 
 #[test]
 fn one_lease_request_is_in_flight_at_a_time() {
-    let mut allowances = new();
+    let mut allowances = new_allowances();
     assert_eq!(admit(&mut allowances, 0, 10, 1), AdmissionOutcome::Queued);
     let (id, request) = sent_lease_request(&mut allowances, 0);
     assert_eq!((request.amounts, request.tenant.as_str()), (vec![10], "a"));
@@ -92,7 +92,7 @@
 
 #[test]
 fn denial_applies_to_further_requests_until_it_expires() {
-    let mut allowances = new();
+    let mut allowances = new_allowances();
     admit(&mut allowances, 0, 10, 1);
     admit(&mut allowances, 0, 50, 2);
     let (id, _) = sent_lease_request(&mut allowances, 0);
@@ -114,7 +114,7 @@
 
 #[test]
 fn grant_expires_one_validity_after_its_request() {
-    let mut allowances = new();
+    let mut allowances = new_allowances();
     admit(&mut allowances, 0, 10, 1);
     let (id, _) = sent_lease_request(&mut allowances, 0);
     assert!(allowances
@@ -140,7 +140,7 @@
 
 #[test]
 fn tokens_of_cancelled_request_are_used_by_another() {
-    let mut allowances = new();
+    let mut allowances = new_allowances();
     admit(&mut allowances, 0, 10, 1);
     admit(&mut allowances, 0, 30, 2);
     let (id, _) = sent_lease_request(&mut allowances, 0);
@@ -160,7 +160,7 @@
 
 #[test]
 fn returned_tokens_are_used_by_another_request_until_they_expire() {
-    let mut allowances = new();
+    let mut allowances = new_allowances();
     admit(&mut allowances, 0, 10, 1);
     let (id, _) = sent_lease_request(&mut allowances, 0);
     allowances.on_grant(Time(5), id, grant(1, 0, 0));
@@ -178,7 +178,7 @@
 
 #[test]
 fn queued_request_is_unavailable_at_its_deadline() {
-    let mut allowances = new();
+    let mut allowances = new_allowances();
     allowances.admit(Time(0), &tenants()[0], 10, 1, Time(50));
     allowances.admit(Time(0), &tenants()[0], 20, 2, Time(90));
     let (id, _) = sent_lease_request(&mut allowances, 0);
@@ -198,7 +198,7 @@
 
 #[test]
 fn lease_is_requested_again_after_link_is_lost() {
-    let mut allowances = new();
+    let mut allowances = new_allowances();
     admit(&mut allowances, 0, 10, 1);
     let (id, _) = sent_lease_request(&mut allowances, 0);
     allowances.on_link_lost();
@@ -209,7 +209,7 @@
 
 #[test]
 fn frequent_requests_prefetch_tokens() {
-    let mut allowances = new();
+    let mut allowances = new_allowances();
     for request in 0..3 {
         admit(&mut allowances, 0, 10, request);
     }
@@ -222,7 +222,7 @@
 
 #[test]
 fn queue_is_bounded_and_idle_tenants_are_removed() {
-    let mut allowances = new();
+    let mut allowances = new_allowances();
     for request in 0..tenant::MAX_QUEUED as u32 {
         assert_eq!(
             admit(&mut allowances, 0, 10, request),
--- a/decide/quota/src/buckets.rs
+++ b/decide/quota/src/buckets.rs
@@ -30,8 +30,8 @@
     buckets: HashMap<String, Bucket>,
     /// Tenants whose quota was removed within the last window, with the time of the removal.
     removed: HashMap<String, Time>,
-    /// Whether the configuration before the next one is known, so that new quotas can be
-    /// recognised.
+    /// Whether the current configuration is known. Only then can the quotas that the next one adds
+    /// be recognised.
     knows_previous_configuration: bool,
 }
 
@@ -116,8 +116,8 @@
         self.known_units.contains_key(&request.tenant) && !self.quotas.contains_key(&request.tenant)
     }
 
-    /// Refills all buckets up to now. The caller has to call it regularly: only then is it noticed
-    /// that another machine owned a shard for a while, for which the bucket must not refill.
+    /// Refills all buckets up to now. The caller has to call this method often, since a bucket must
+    /// not refill for the time in which another machine owned its shard.
     pub fn advance(&mut self, now: Time, ownership: &ShardOwnership) {
         for (tenant, bucket) in &mut self.buckets {
             let Some(quota) = self.quotas.get(tenant) else {
--- a/decide/quota/src/ownership.rs
+++ b/decide/quota/src/ownership.rs
@@ -83,7 +83,7 @@
     /// Earlier sets of voters with the time of their replacement, kept for [`SETTLING_TIME_US`].
     previous_voters: Vec<(Time, Vec<OwnerId>)>,
     last_contact: Option<Time>,
-    /// Start of the contact that has not been interrupted long enough to end the ownership.
+    /// Start of the current period of ownership. A gap in contact of a lease or longer ends it.
     owned_since: Time,
 }
 
