--- a/decide/quota/src/allowances/tests.rs
+++ b/decide/quota/src/allowances/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `allowances`.
+//! Tests of admission control at a router.
 
 use super::*;
 use crate::lease::MAX_AMOUNTS;
@@ -27,47 +27,52 @@
     TenantQuota::of(&tenants()[0].quota.expect("a quota"), &BOUNDS).lease_validity
 }
 
-fn new() -> Allowances<u32> {
+fn new_allowances() -> Allowances<u32> {
     Allowances::new(BOUNDS, 0)
 }
 
-fn admit(allowances: &mut Allowances<u32>, now: u64, need: u64, request: u32) -> AdmissionOutcome {
-    allowances.admit(Time(now), &tenants()[0], need, request, LATER)
+fn admit(
+    allowances: &mut Allowances<u32>,
+    now: u64,
+    amount: u64,
+    request: u32,
+) -> AdmissionOutcome {
+    allowances.admit(Time(now), &tenants()[0], amount, request, LATER)
 }
 
-/// The one lease request that is sent now.
+/// Returns the lease request that is sent now, which must be the only one.
 fn sent_lease_request(allowances: &mut Allowances<u32>, now: u64) -> (u64, LeaseRequest) {
     let mut requests = allowances.lease_requests(Time(now));
     assert_eq!(requests.len(), 1);
     requests.remove(0)
 }
 
-fn grant(amounts: u64, prefetch_amount: u64, wait: Micros) -> LeaseGrant {
+fn grant(granted_bits: u64, prefetch_amount: u64, retry_after_us: Micros) -> LeaseGrant {
     LeaseGrant {
-        granted_bits: amounts,
+        granted_bits,
         prefetch_amount,
-        retry_after_us: wait,
+        retry_after_us,
     }
 }
 
 fn outcomes(decisions: &[AdmissionDecision<u32>]) -> Vec<(u32, AdmissionOutcome)> {
     decisions
         .iter()
-        .map(|decisions| (decisions.request, decisions.outcome))
+        .map(|decision| (decision.request, decision.outcome))
         .collect()
 }
 
 #[test]
 fn request_of_tenant_without_quota_is_admitted_at_once() {
     assert_eq!(
-        new().admit(Time(5), &tenants()[1], 99, 1, LATER),
+        new_allowances().admit(Time(5), &tenants()[1], 99, 1, LATER),
         AdmissionOutcome::Admitted(Time(5))
     );
 }
 
 #[test]
 fn one_lease_request_is_in_flight_at_a_time() {
-    let mut allowances = new();
+    let mut allowances = new_allowances();
     assert_eq!(admit(&mut allowances, 0, 10, 1), AdmissionOutcome::Queued);
     let (id, request) = sent_lease_request(&mut allowances, 0);
     assert_eq!((request.amounts, request.tenant.as_str()), (vec![10], "a"));
@@ -80,14 +85,14 @@
     );
     assert!(
         allowances.on_grant(Time(2), id, grant(1, 0, 0)).is_empty(),
-        "an answer counts once"
+        "a second response to the same request has no effect"
     );
     assert_eq!(sent_lease_request(&mut allowances, 3).1.amounts, [20]);
 }
 
 #[test]
 fn denial_applies_to_further_requests_until_it_expires() {
-    let mut allowances = new();
+    let mut allowances = new_allowances();
     admit(&mut allowances, 0, 10, 1);
     admit(&mut allowances, 0, 50, 2);
     let (id, _) = sent_lease_request(&mut allowances, 0);
@@ -108,14 +113,14 @@
 }
 
 #[test]
-fn grant_is_valid_from_its_request_until_it_expires() {
-    let mut allowances = new();
+fn grant_expires_one_validity_after_its_request() {
+    let mut allowances = new_allowances();
     admit(&mut allowances, 0, 10, 1);
     let (id, _) = sent_lease_request(&mut allowances, 0);
     assert!(allowances
         .on_grant(Time(validity()), id, grant(1, 500, 0))
         .is_empty());
-    // It is still queued, and its lease is requested again.
+    // The request is still queued, and its lease is requested again.
     let (id, _) = sent_lease_request(&mut allowances, validity());
     let granted = allowances.on_grant(Time(validity() + 1), id, grant(1, 500, 0));
     assert_eq!(
@@ -129,13 +134,13 @@
     assert_eq!(
         admit(&mut allowances, 2 * validity(), 50, 3),
         AdmissionOutcome::Queued,
-        "what was ahead has lapsed"
+        "the prefetched tokens have expired"
     );
 }
 
 #[test]
-fn grant_of_cancelled_request_is_used_by_another() {
-    let mut allowances = new();
+fn tokens_of_cancelled_request_are_used_by_another() {
+    let mut allowances = new_allowances();
     admit(&mut allowances, 0, 10, 1);
     admit(&mut allowances, 0, 30, 2);
     let (id, _) = sent_lease_request(&mut allowances, 0);
@@ -155,7 +160,7 @@
 
 #[test]
 fn returned_tokens_are_used_by_another_request_until_they_expire() {
-    let mut allowances = new();
+    let mut allowances = new_allowances();
     admit(&mut allowances, 0, 10, 1);
     let (id, _) = sent_lease_request(&mut allowances, 0);
     allowances.on_grant(Time(5), id, grant(1, 0, 0));
@@ -173,7 +178,7 @@
 
 #[test]
 fn queued_request_is_unavailable_at_its_deadline() {
-    let mut allowances = new();
+    let mut allowances = new_allowances();
     allowances.admit(Time(0), &tenants()[0], 10, 1, Time(50));
     allowances.admit(Time(0), &tenants()[0], 20, 2, Time(90));
     let (id, _) = sent_lease_request(&mut allowances, 0);
@@ -182,7 +187,7 @@
         outcomes(&allowances.expire(Time(50))),
         [(1, AdmissionOutcome::Unavailable(RETRY_AFTER_US))]
     );
-    // The bits of the grant still refer to the positions of the requests.
+    // The bits of the grant still refer to the original positions of the requests.
     let decisions = allowances.on_grant(Time(60), id, grant(0b10, 0, 9));
     assert_eq!(
         outcomes(&decisions),
@@ -193,18 +198,18 @@
 
 #[test]
 fn lease_is_requested_again_after_link_is_lost() {
-    let mut allowances = new();
+    let mut allowances = new_allowances();
     admit(&mut allowances, 0, 10, 1);
     let (id, _) = sent_lease_request(&mut allowances, 0);
     allowances.on_link_lost();
     assert!(allowances.on_grant(Time(1), id, grant(1, 0, 0)).is_empty());
-    let (again, request) = sent_lease_request(&mut allowances, 2);
-    assert!(again != id && request.amounts == [10]);
+    let (new_id, request) = sent_lease_request(&mut allowances, 2);
+    assert!(new_id != id && request.amounts == [10]);
 }
 
 #[test]
 fn frequent_requests_prefetch_tokens() {
-    let mut allowances = new();
+    let mut allowances = new_allowances();
     for request in 0..3 {
         admit(&mut allowances, 0, 10, request);
     }
@@ -216,8 +221,8 @@
 }
 
 #[test]
-fn queue_and_idle_tenants_are_bounded() {
-    let mut allowances = new();
+fn queue_is_bounded_and_idle_tenants_are_removed() {
+    let mut allowances = new_allowances();
     for request in 0..tenant::MAX_QUEUED as u32 {
         assert_eq!(
             admit(&mut allowances, 0, 10, request),
