--- a/interface/src/lib.rs
+++ b/interface/src/lib.rs
@@ -81,7 +81,7 @@
     pub need: f64,
     /// Minimum weight of answered parts for a partial answer (0 to 1).
     pub floor: f64,
-    /// Factor on the value of a partial answer, beside its share of [`Class::need`].
+    /// A partial answer earns the value times this factor and its share of [`Class::need`].
     pub partial: f64,
     /// Number of parts of the second step; 0 for classes of one step.
     pub second_step: u32,
