--- a/fleet/src/check.rs
+++ b/fleet/src/check.rs
@@ -1,46 +1,46 @@
-//! The command `check FILE`: whether a settings file or an operator's configuration is valid.
+//! The command `check FILE`, which validates a settings file or an operator's configuration.
 
 use crate::settings::{Settings, SettingsError};
 use lichenswitch_configuration::{ConfigurationError, Document};
 use std::path::Path;
 
-/// A valid file, by its kind.
+/// The summary of a valid file, by the kind of the file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CheckedFile {
-    /// Settings of a process.
+    /// A settings file of a process.
     Settings {
-        /// Its `nodeName`.
+        /// `nodeName` in the file.
         node: String,
     },
     /// An operator's configuration.
     Configuration {
-        /// Its version.
+        /// Version of the configuration.
         version: u64,
-        /// The number of its routes.
+        /// Number of routes.
         routes: usize,
-        /// The number of its services.
+        /// Number of services.
         services: usize,
     },
 }
 
-/// Why a file is invalid.
+/// The reason why a file can't be read or is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum CheckError {
     /// The file can't be read.
     #[error("{0}")]
     Read(#[from] std::io::Error),
-    /// It is no valid settings file.
+    /// The file is not a valid settings file.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
-    /// It is no valid configuration.
+    /// The file is not a valid configuration.
     #[error("configuration: {0}")]
     Configuration(#[from] ConfigurationError),
 }
 
-/// Checks a file: one that begins with a brace is a configuration, any other is settings.
+/// Checks a file. A file that begins with `{` is a configuration; any other file is settings.
 ///
 /// # Errors
-/// What is wrong with it, by field.
+/// Returns an error if the file can't be read or is invalid. The error names the invalid fields.
 pub fn check(path: &Path) -> Result<CheckedFile, CheckError> {
     let bytes = std::fs::read(path)?;
     if bytes.trim_ascii_start().starts_with(b"{") {
--- a/fleet/src/envelopes.rs
+++ b/fleet/src/envelopes.rs
@@ -1,60 +1,61 @@
-//! Messages on internal connections: an [`Envelope`], a [`TenantMessage`] or a [`BacklogReport`] in
-//! a frame, the same for all roles.
+//! Encoding and decoding of messages on internal connections, for all roles. Each frame carries one
+//! [`Envelope`], [`TenantMessage`] or [`BacklogReport`].
 //!
-//! It owns what both ends must agree on (version, kinds and longest frame), and promises that what is
-//! read was sent like that by a process of this program.
+//! This module defines the protocol version, the frame kinds and the maximum frame length, which
+//! both ends must agree on. A message that is read is exactly as another process of this program
+//! sent it.
 
 use lichenswitch_messages::{BacklogReport, Envelope, TenantMessage, PROTOCOL_VERSION};
 use lichenswitch_rpc::{ArchiveError, FrameError, FrameReader};
 
-/// Kind of the frames of envelopes, whose variants tell the message.
+/// Frame kind of an [`Envelope`]. Its variant determines the message type.
 const ENVELOPE: u16 = 1;
-/// Kind of the frames of messages about tenants.
+/// Frame kind of a [`TenantMessage`].
 const TENANT_MESSAGE: u16 = 2;
-/// Kind of the frames of reports of backlogs.
+/// Frame kind of a [`BacklogReport`].
 const BACKLOG_REPORT: u16 = 3;
-/// Longest payload (bytes): an order with a body of 4 MiB, and what goes with it.
+/// Maximum payload of a frame, in bytes. Fits an order with a body of 4 MiB and the other fields.
 pub const PAYLOAD_LIMIT_BYTES: usize = 5 << 20;
 
-/// Why a connection can't be read on, or a message can't be sent. The connection must be closed.
+/// An error that prevents reading further messages or sending one. The connection must be closed.
 #[derive(Debug, thiserror::Error)]
 pub enum EnvelopeError {
-    /// What came is no frame of this program.
+    /// The received bytes are not a valid frame of this protocol.
     #[error(transparent)]
     Frame(#[from] FrameError),
-    /// A frame holds no message, or a message can't be written.
+    /// The payload of a frame can't be decoded, or a message can't be encoded.
     #[error(transparent)]
     Archive(#[from] ArchiveError),
-    /// A frame of another kind.
+    /// The frame has a kind that is unknown on internal connections.
     #[error("a frame of kind {0} is not for this connection")]
     Kind(u16),
 }
 
-/// A message as bytes for a connection.
+/// Encodes an envelope as a frame.
 ///
 /// # Errors
-/// It is too long.
+/// Returns an error if the message can't be encoded or exceeds [`PAYLOAD_LIMIT_BYTES`].
 pub fn encode(envelope: &Envelope) -> Result<Vec<u8>, EnvelopeError> {
-    framed(ENVELOPE, &lichenswitch_rpc::encode(envelope)?)
+    encode_frame(ENVELOPE, &lichenswitch_rpc::encode(envelope)?)
 }
 
-/// A message about tenants as bytes for a connection.
+/// Encodes a message about tenants as a frame.
 ///
 /// # Errors
-/// It is too long.
+/// Returns an error if the message can't be encoded or exceeds [`PAYLOAD_LIMIT_BYTES`].
 pub fn encode_tenant_message(message: &TenantMessage) -> Result<Vec<u8>, EnvelopeError> {
-    framed(TENANT_MESSAGE, &lichenswitch_rpc::encode(message)?)
+    encode_frame(TENANT_MESSAGE, &lichenswitch_rpc::encode(message)?)
 }
 
-/// A report of backlogs as bytes for a connection.
+/// Encodes a backlog report as a frame.
 ///
 /// # Errors
-/// It is too long.
+/// Returns an error if the message can't be encoded or exceeds [`PAYLOAD_LIMIT_BYTES`].
 pub fn encode_backlog_report(report: &BacklogReport) -> Result<Vec<u8>, EnvelopeError> {
-    framed(BACKLOG_REPORT, &lichenswitch_rpc::encode(report)?)
+    encode_frame(BACKLOG_REPORT, &lichenswitch_rpc::encode(report)?)
 }
 
-fn framed(kind: u16, payload: &[u8]) -> Result<Vec<u8>, EnvelopeError> {
+fn encode_frame(kind: u16, payload: &[u8]) -> Result<Vec<u8>, EnvelopeError> {
     let mut bytes = Vec::with_capacity(payload.len() + lichenswitch_rpc::HEADER_BYTES);
     lichenswitch_rpc::encode_frame_into(
         &mut bytes,
@@ -66,18 +67,18 @@
     Ok(bytes)
 }
 
-/// The message of a frame.
+/// A message decoded from a frame, by its kind.
 #[derive(Debug, PartialEq)]
 pub enum Incoming {
-    /// An envelope.
+    /// From a frame of kind 1.
     Envelope(Envelope),
-    /// A message about tenants.
+    /// From a frame of kind 2.
     Tenant(TenantMessage),
-    /// Backlogs of servers.
+    /// From a frame of kind 3. Reports the backlogs of servers.
     Backlog(BacklogReport),
 }
 
-/// Finds the messages in the bytes of a connection, however they are split.
+/// An incremental decoder of the byte stream of a connection. Reads may split frames anywhere.
 #[derive(Debug)]
 pub struct EnvelopeReader {
     frames: FrameReader,
@@ -92,15 +93,15 @@
 }
 
 impl EnvelopeReader {
-    /// Appends bytes from the connection.
+    /// Appends bytes that were read from the connection.
     pub fn push(&mut self, bytes: &[u8]) {
         self.frames.push(bytes);
     }
 
-    /// The next complete message, or `None` until more bytes come.
+    /// Returns the next complete message, or `None` if more bytes are needed.
     ///
     /// # Errors
-    /// What came is no message. The connection must be closed.
+    /// Returns an error if the bytes are not a valid message. The connection must be closed.
     pub fn next_message(&mut self) -> Result<Option<Incoming>, EnvelopeError> {
         let Some(frame) = self.frames.next_frame()? else {
             return Ok(None);
--- a/fleet/src/invariants.rs
+++ b/fleet/src/invariants.rs
@@ -1,21 +1,23 @@
-//! Invariants of a running process, which hold whatever fails around it.
+//! Invariants of a running process. They must hold even when other processes or the network fail.
 //!
-//! Each invariant is checked where a violation could be seen. A violation is counted for the life of
-//! the process and logged as an error that begins with `invariant violated`; the process goes on,
-//! since its clients are better off with it. The tests and the soak expect a count of zero.
+//! Each invariant is checked where a violation can be detected. A violation is counted until the
+//! process exits, and logged as an error that begins with `invariant violated`. The process keeps
+//! running, because that serves its clients better than an exit. The tests and the soak expect a
+//! count of zero.
 
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering};
 
 static VIOLATIONS: AtomicU64 = AtomicU64::new(0);
 
-/// An invariant. Its text follows `invariant violated: ` in the log.
+/// A checked invariant. Its `Display` text describes the violation and follows
+/// `invariant violated: ` in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
     /// A router that shuts down aborts no request that it accepted after the signal.
     AcceptedRequestIsFinished,
-    /// Each complete request is in the tables until it is answered: as many clients wait as there are
-    /// requests.
+    /// Each complete request stays in the tables until it is answered. The number of waiting
+    /// clients equals the number of requests in the tables.
     WaitingClientIsTracked,
     /// A request of a tenant with a quota is accepted only while its quota lease is valid.
     QuotaLeaseIsValid,
@@ -23,7 +25,7 @@
     ShardQuotaNotExceeded,
     /// A router exits only when no client waits for a response.
     ExitIsAnswered,
-    /// A read returns a configuration no older than what the same machine had acknowledged before.
+    /// A read never returns a configuration older than one that the same machine has acknowledged.
     AcknowledgedConfigurationIsRead,
 }
 
@@ -48,7 +50,7 @@
     }
 }
 
-/// Counts and logs a violation, if `holds` is false.
+/// Counts and logs a violation of `invariant` if `holds` is false.
 pub fn check(holds: bool, invariant: Invariant) {
     if !holds {
         VIOLATIONS.fetch_add(1, Ordering::Relaxed);
@@ -56,7 +58,7 @@
     }
 }
 
-/// Violations so far in this process.
+/// Returns the number of violations, of all invariants, since the process started.
 #[must_use]
 pub fn violations() -> u64 {
     VIOLATIONS.load(Ordering::Relaxed)
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -1,8 +1,8 @@
-//! The router fleet: a router on each edge machine, control machines that keep its configuration
-//! and know its servers.
+//! The router fleet. A router runs on each edge machine. Control machines store the configuration
+//! of the fleet and track its servers.
 //!
-//! It owns what joins the packages below it: settings, the log, and a role each in [`router`] and
-//! [`control`]. The program in `main.rs` picks one of them by its subcommand.
+//! This crate connects the other packages. It contains the settings, the log and the two roles,
+//! [`router`] and [`control`]. The executable in `main.rs` selects a role by its subcommand.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/fleet/src/logging/json.rs
+++ b/fleet/src/logging/json.rs
@@ -1,8 +1,8 @@
-//! One line of the log as a JSON object.
+//! Writer for a log line, which is a single JSON object.
 
 use log::kv::{Error, Key, Value, VisitSource};
 
-/// An object that is being written.
+/// A JSON object under construction. `text` holds it without the closing brace.
 pub(super) struct Object {
     text: String,
 }
@@ -16,13 +16,14 @@
 }
 
 impl Object {
-    /// Adds a string.
-    pub(super) fn text(&mut self, key: &str, value: &str) {
+    /// Appends a key with a string value, escaped as JSON.
+    pub(super) fn push_string(&mut self, key: &str, value: &str) {
         let value = miniserde::json::to_string(value);
-        self.raw(key, &value);
+        self.push_json(key, &value);
     }
 
-    fn raw(&mut self, key: &str, json: &str) {
+    /// Appends a key with a value that is JSON already.
+    fn push_json(&mut self, key: &str, json: &str) {
         if self.text.len() > 1 {
             self.text.push(',');
         }
@@ -31,7 +32,7 @@
         self.text.push_str(json);
     }
 
-    /// The object with its line end.
+    /// Closes the object and appends the line end.
     pub(super) fn into_line(mut self) -> Vec<u8> {
         self.text.push_str("}\n");
         self.text.into_bytes()
@@ -45,8 +46,8 @@
             .map(|n| n.to_string())
             .or_else(|| value.to_i64().map(|n| n.to_string()));
         match number.or_else(|| value.to_bool().map(|b| b.to_string())) {
-            Some(json) => self.raw(key.as_str(), &json),
-            None => self.text(key.as_str(), &value.to_string()),
+            Some(json) => self.push_json(key.as_str(), &json),
+            None => self.push_string(key.as_str(), &value.to_string()),
         }
         Ok(())
     }
--- a/fleet/src/logging/tests.rs
+++ b/fleet/src/logging/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of `logging`.
+//! Tests of the JSON format of log lines.
 
 use super::*;
 use log::{Level, Record};
 
 #[test]
-fn record_is_one_json_line_with_its_fields() {
+fn record_with_quotes_and_newline_is_formatted_as_one_json_line() {
     let fields = [
         ("epoch", log::kv::Value::from(7)),
         ("why", log::kv::Value::from("a \"cut\"\nhere")),
@@ -15,7 +15,7 @@
         .target("control")
         .key_values(&fields)
         .build();
-    let line = String::from_utf8(line(&record)).unwrap();
+    let line = String::from_utf8(format_line(&record)).unwrap();
     assert!(
         line.starts_with("{\"time\":\"20") && line.ends_with("}\n"),
         "{line}"
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn lost_lines_are_reported_as_a_record() {
+fn dropped_lines_are_reported_as_a_json_line() {
     let line = "{\"level\":\"WARN\",\"message\":\"lines of the log were lost\",\"lines\":3}\n";
     assert_eq!(dropped_lines_notice(3), line);
 }
--- a/fleet/src/main.rs
+++ b/fleet/src/main.rs
@@ -1,7 +1,7 @@
-//! The program of the fleet: a subcommand for each role, and commands for operators.
+//! The executable of the fleet, with a subcommand for each role and commands for operators.
 //!
-//! Exit codes: 0 after SIGTERM, or when a command has succeeded; 1 when a role can't go on, or no
-//! control machine answers; 2 when settings, arguments or a checked file are invalid.
+//! Exit codes: 0 after SIGTERM, or when a command has succeeded; 1 when a role can't continue, or
+//! no control machine responds; 2 when settings, arguments or a checked file are invalid.
 #![forbid(unsafe_code)]
 
 use bpaf::Bpaf;
@@ -57,7 +57,7 @@
         Ok(command) => command,
         Err(failure) => {
             failure.print_message(100);
-            // Requested help is no failure.
+            // `--help` also arrives here, with exit code 0.
             return if failure.exit_code() == 0 {
                 ExitCode::SUCCESS
             } else {
@@ -81,10 +81,11 @@
     }
 }
 
-/// Why a role ended.
+/// The error that ended a role.
 type RoleError = Box<dyn std::error::Error>;
 
-/// Runs a role: settings first, then the log.
+/// Reads the settings, starts the log and runs a role. Settings errors go to standard error as
+/// plain text, because the log is not started yet.
 fn run_role(
     option: Option<PathBuf>,
     run: impl FnOnce(Settings, PathBuf) -> Result<(), RoleError>,
@@ -114,7 +115,7 @@
     Ok((Settings::read(&path)?, path))
 }
 
-/// Prints the result of a command, or its error, which exits with `failure`.
+/// Prints the result of a command and returns success, or prints its error and returns `failure`.
 fn print_result<T: std::fmt::Display, E: std::fmt::Display>(
     outcome: Result<T, E>,
     failure: ExitCode,
--- a/fleet/src/quota_messages.rs
+++ b/fleet/src/quota_messages.rs
@@ -5,8 +5,8 @@
 use lichenswitch_messages::{QuotaLeaseRequest, QuotaLeaseResponse, QuotaLeaseUnit};
 use lichenswitch_quota::{LeaseGrant, LeaseRequest};
 
-/// The message that requests a lease. `id` is repeated by its response; `may_forward` allows the
-/// control machine that gets it to request what it does not own from others.
+/// Builds the message that requests a lease. The response repeats `id`. `may_forward` allows the
+/// receiving control machine to request amounts that it does not own from other control machines.
 pub(crate) fn request_message(
     id: u64,
     request: LeaseRequest,
@@ -26,7 +26,7 @@
     }
 }
 
-/// The lease that a message requests.
+/// Extracts the lease request from a message. Drops its `id` and `may_forward`.
 pub(crate) fn requested_lease(message: QuotaLeaseRequest) -> LeaseRequest {
     let unit = match message.unit {
         QuotaLeaseUnit::Requests => QuotaUnit::Requests,
@@ -40,7 +40,7 @@
     }
 }
 
-/// The response to the lease request with this id.
+/// Builds the response to the lease request with this id.
 pub(crate) fn response_message(id: u64, grant: LeaseGrant) -> QuotaLeaseResponse {
     QuotaLeaseResponse {
         id,
@@ -50,7 +50,7 @@
     }
 }
 
-/// What a response grants.
+/// Extracts the grant from a response.
 pub(crate) fn granted_lease(response: &QuotaLeaseResponse) -> LeaseGrant {
     LeaseGrant {
         granted_bits: response.granted_bits,
--- a/fleet/src/settings/error.rs
+++ b/fleet/src/settings/error.rs
@@ -1,10 +1,10 @@
-//! Why there are no settings.
+//! Errors of reading the settings.
 
 use super::PATH_VARIABLE;
 use std::fmt;
 use std::path::PathBuf;
 
-/// Why there are no settings.
+/// The reason why the settings can't be read.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// Neither the option nor the environment variable names a file.
@@ -13,12 +13,12 @@
     /// The file can't be read.
     #[error("{}: {source}", path.display())]
     Read {
-        /// Its path.
+        /// Path of the settings file.
         path: PathBuf,
-        /// The error of the system.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// It is not TOML.
+    /// The file is not valid TOML.
     #[error("not TOML: {0}")]
     Syntax(Box<toml::de::Error>),
     /// Fields are missing or invalid.
@@ -26,16 +26,16 @@
     Fields(FieldErrors),
 }
 
-/// All invalid fields of a file.
+/// All missing or invalid fields of a file, in the order in which they were read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FieldErrors(pub Vec<FieldError>);
 
 /// A missing or invalid field.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FieldError {
-    /// Its key, with the table it stands in: `limits.memoryMb`.
+    /// Key of the field with the names of its tables, for example `limits.memoryMb`.
     pub key: String,
-    /// What is wrong with it.
+    /// Reason, which follows the key in the error text.
     pub reason: String,
 }
 
--- a/fleet/src/settings/fields.rs
+++ b/fleet/src/settings/fields.rs
@@ -1,23 +1,23 @@
-//! The fields of a settings file, read one by one, so that every invalid one is found and named by its
-//! key.
+//! Reading of single fields of a settings file. Errors are collected, so that every invalid field
+//! is reported by its key.
 
 use super::error::FieldError;
 use serde::de::DeserializeOwned;
 use std::time::Duration;
 use toml::{Table, Value};
 
-/// A table that is being read, and the invalid fields so far.
+/// A reader of one table, which collects the invalid fields.
 pub(super) struct Fields<'a> {
     table: &'a Table,
     prefix: String,
     errors: Vec<FieldError>,
 }
 
-/// Longest duration that is accepted: every documented one is far below an hour.
+/// Longest accepted duration: one day. Every documented duration is far below an hour.
 const MAX_SECONDS: f64 = 86_400.0;
 
 impl<'a> Fields<'a> {
-    /// The fields of a whole file.
+    /// Creates a reader of the top-level table of a file.
     pub(super) fn new(table: &'a Table) -> Fields<'a> {
         Fields {
             table,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// All invalid fields.
+    /// Returns all invalid fields found so far.
     pub(super) fn into_errors(self) -> Vec<FieldError> {
         self.errors
     }
@@ -34,7 +34,7 @@
     /// Reports an invalid field, unless it was reported already.
     pub(super) fn report(&mut self, key: &str, reason: impl Into<String>) {
         let key = format!("{}{key}", self.prefix);
-        // A missing field is not reported again for its type.
+        // `required` reports a missing field; later checks of its value must not report it again.
         if self.errors.iter().all(|error| error.key != key) {
             self.errors.push(FieldError {
                 key,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// A field that may be absent.
+    /// Reads an optional field. Returns `None` if it is absent or invalid.
     pub(super) fn optional<T: DeserializeOwned>(&mut self, key: &str) -> Option<T> {
         match self.table.get(key)?.clone().try_into() {
             Ok(value) => Some(value),
@@ -54,12 +54,12 @@
         }
     }
 
-    /// A field that must be there.
+    /// Reads a required field. Returns the default of the type if it is missing or invalid.
     pub(super) fn required<T: DeserializeOwned + Default>(&mut self, key: &str) -> T {
         self.required_or(key, T::default())
     }
 
-    /// A field that must be there; `fallback` is what an invalid record gets.
+    /// Reads a required field. Returns `fallback` if it is missing or invalid.
     pub(super) fn required_or<T: DeserializeOwned>(&mut self, key: &str, fallback: T) -> T {
         if !self.table.contains_key(key) {
             self.report(key, "is missing");
@@ -67,7 +67,7 @@
         self.optional(key).unwrap_or(fallback)
     }
 
-    /// A number, integral or not, of at least 0.
+    /// Reads a finite number of at least 0, written as an integer or a float.
     pub(super) fn number(&mut self, key: &str, default: f64) -> f64 {
         let number = match self.table.get(key) {
             None => return default,
@@ -85,12 +85,12 @@
         default
     }
 
-    /// A duration in seconds.
+    /// Reads a duration in seconds.
     pub(super) fn seconds(&mut self, key: &str, default: f64) -> Duration {
         self.duration(key, default, 1.0)
     }
 
-    /// A duration in milliseconds.
+    /// Reads a duration in milliseconds.
     pub(super) fn milliseconds(&mut self, key: &str, default: u32) -> Duration {
         self.duration(key, f64::from(default), 1_000.0)
     }
@@ -104,7 +104,7 @@
         Duration::ZERO
     }
 
-    /// A table inside this one; a missing one is empty.
+    /// Reads a nested table with `read`. A missing table is read as an empty one.
     pub(super) fn table<T>(&mut self, key: &str, read: impl FnOnce(&mut Fields<'_>) -> T) -> T {
         let empty = Table::new();
         let table = match self.table.get(key) {
--- a/fleet/src/settings/mod.rs
+++ b/fleet/src/settings/mod.rs
@@ -1,7 +1,8 @@
-//! Settings of a process: the file that the platform writes for it.
+//! Settings of a process, read from a file that the platform writes.
 //!
-//! It promises to ignore fields that it doesn't know, and to name *all* invalid fields of a file at
-//! once, each by its key. `model` has the typed record, `parse` reads it, `fields` reads one field.
+//! Unknown fields are ignored. *All* invalid fields of a file are reported at once, each by its
+//! key. `model` defines the typed settings, `parse` reads a file into them, `fields` reads single
+//! fields.
 
 mod error;
 mod fields;
@@ -16,10 +17,10 @@
 /// The environment variable that holds the path of the settings file.
 pub const PATH_VARIABLE: &str = "LICHENSWITCH_CONFIG";
 
-/// The path of the settings file: the option's, or that of the variable [`PATH_VARIABLE`].
+/// Returns the path of the settings file: `option` if given, else the value of [`PATH_VARIABLE`].
 ///
 /// # Errors
-/// Neither is given.
+/// Returns [`SettingsError::NoPath`] if neither is given.
 pub fn path(option: Option<PathBuf>) -> Result<PathBuf, SettingsError> {
     let variable = || std::env::var_os(PATH_VARIABLE).map(PathBuf::from);
     option.or_else(variable).ok_or(SettingsError::NoPath)
--- a/fleet/src/settings/model.rs
+++ b/fleet/src/settings/model.rs
@@ -1,16 +1,17 @@
-//! The typed record of a settings file.
+//! The typed settings of a process.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The settings of a process, read at its start and again on SIGHUP. Each field names its key.
+/// The settings of a process, read at its start and again on SIGHUP. The doc of each field
+/// gives its key in the file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// `nodeName`.
+    /// `nodeName`: name of the node in the fleet.
     pub node_name: String,
-    /// `role`: the name that the deploy file gives it.
+    /// `role`: name of the role in the deploy file.
     pub role: String,
     /// `ipAddress` of the machine.
     pub ip_address: IpAddr,
@@ -22,9 +23,9 @@
     pub internal_port_range: PortRange,
     /// `seedNodes`: `controlPlane` addresses of some control machines.
     pub seed_nodes: Vec<SocketAddr>,
-    /// `firstStart`: this is the first start of the whole system.
+    /// `firstStart`: whether this is the first start of the whole system.
     pub is_first_start: bool,
-    /// `lossCounted`: the loss of this machine counts towards [`FaultTolerance`].
+    /// `lossCounted`: whether the loss of this machine counts towards [`FaultTolerance`].
     pub is_loss_counted: bool,
     /// `dataDirectory`, on machines with a disk.
     pub data_directory: Option<PathBuf>,
@@ -32,29 +33,29 @@
     pub heartbeat_interval: Duration,
     /// `zones`: the region of each zone.
     pub zones: BTreeMap<String, String>,
-    /// `listenAddresses`.
+    /// `listenAddresses`: addresses for connections from outside the fleet.
     pub listen_addresses: ListenAddresses,
-    /// `forwarders`: addresses of other processes of the fleet, each with the address at which it is
-    /// reached instead.
+    /// `forwarders`: addresses of other processes of the fleet, each with the address at which it
+    /// is reached instead.
     pub forwarders: BTreeMap<SocketAddr, SocketAddr>,
     /// `limits`: resources of the process.
     pub limits: Limits,
-    /// `faultTolerance`.
+    /// `faultTolerance`: losses under which all rules still hold.
     pub fault_tolerance: FaultTolerance,
     /// `bounds`: the bounds of the operator's rules.
     pub bounds: Bounds,
 }
 
-/// A range of ports.
+/// An inclusive range of ports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PortRange {
-    /// The first one.
+    /// First port, at least 1 in valid settings.
     pub first: u16,
-    /// The last one; not below the first.
+    /// Last port, not below `first`.
     pub last: u16,
 }
 
-/// Where a role listens for connections from outside the fleet.
+/// The addresses on which a role listens for connections from outside the fleet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ListenAddresses {
     /// `frontend`: for clients.
@@ -78,66 +79,67 @@
     pub disk_mb: u64,
 }
 
-/// How much may be lost at once while all rules still hold.
+/// The losses at one time under which all rules still hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FaultTolerance {
-    /// `machines`: machines whose loss is counted.
+    /// `machines`: number of machines whose loss is counted.
     pub machines: usize,
-    /// `zones`: whole zones.
+    /// `zones`: number of whole zones.
     pub zones: usize,
-    /// `regions`: whole regions.
+    /// `regions`: number of whole regions.
     pub regions: usize,
 }
 
-/// The bounds of the operator's rules.
+/// The time and rate bounds in the operator's rules.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// `seedLagS`: how far the operators' list of control machines lags.
+    /// `seedLagS`: maximum delay of the operators' list of control machines.
     pub seed_lag: Duration,
-    /// `reuseDelayS`: how long an address is not reused after its server has ended.
+    /// `reuseDelayS`: time for which an address is not reused after its server has ended.
     pub reuse_delay: Duration,
-    /// `contactMs`: a machine without faults counts as in contact after this.
+    /// `contactMs`: time after which a machine without faults counts as in contact.
     pub contact: Duration,
-    /// `ackTimeoutMs`: an order is acknowledged within it.
+    /// `ackTimeoutMs`: time within which an order is acknowledged.
     pub ack_timeout: Duration,
-    /// `catchUpS`: how long a machine that is back may take to catch up.
+    /// `catchUpS`: maximum time that a returning machine may take to catch up.
     pub catch_up: Duration,
-    /// `drainTimeoutMs`: how long a draining server still serves.
+    /// `drainTimeoutMs`: time for which a draining server still serves.
     pub drain_timeout: Duration,
-    /// `gracePeriodS`: between SIGTERM and SIGKILL.
+    /// `gracePeriodS`: time between SIGTERM and SIGKILL.
     pub grace_period: Duration,
     /// `lossSlackMs`: tolerance around the loss of a machine.
     pub loss_slack: Duration,
-    /// `configApplyMs`: an acknowledged configuration is active everywhere within it.
+    /// `configApplyMs`: time within which an acknowledged configuration is active everywhere.
     pub config_apply: Duration,
-    /// `rollbackSlackMs`: how long an older configuration may still be served after a newer one.
+    /// `rollbackSlackMs`: time for which an older configuration may still be served after a newer
+    /// one.
     pub rollback_slack: Duration,
     /// `maxStretchMs`: longest extension of a time bound under faults.
     pub max_stretch: Duration,
     /// `retryBudgetRatio`: retries per request.
     pub retry_budget_ratio: f64,
-    /// `budgetWindowS`: the window of the retry budget.
+    /// `budgetWindowS`: length of the window of the retry budget.
     pub budget_window: Duration,
-    /// `retrySlack`: retries in a window beside that ratio.
+    /// `retrySlack`: retries allowed in a window in addition to `retryBudgetRatio`.
     pub retry_slack: f64,
     /// `recoveryS`: time to recover after faults.
     pub recovery: Duration,
-    /// `pass_ms`: an event of a stream is forwarded within it.
+    /// `pass_ms`: time within which an event of a stream is forwarded.
     pub pass: Duration,
-    /// `revocationStrict`: `revokeMs` holds for all machines, whether in contact or not.
+    /// `revocationStrict`: whether `revokeMs` also holds for machines that are not in contact.
     pub is_revocation_strict: bool,
-    /// `revokeMs`: a revoked key is rejected within it.
+    /// `revokeMs`: time within which a revoked key is rejected.
     pub revoke: Duration,
-    /// `quotaWindowS`: the window of quotas.
+    /// `quotaWindowS`: length of the window of quotas.
     pub quota_window: Duration,
-    /// `quotaOverage`: how far a quota may be exceeded, as a share of it.
+    /// `quotaOverage`: share of a quota by which it may be exceeded.
     pub quota_overage: f64,
-    /// `quotaSlack`: how far beside that, in the unit of the quota.
+    /// `quotaSlack`: amount allowed in addition to `quotaOverage`, in the unit of the quota.
     pub quota_slack: f64,
 }
 
 impl Bounds {
-    /// The bounds on quotas.
+    /// Returns the bounds that apply to quotas.
     #[must_use]
     pub fn quota_bounds(&self) -> lichenswitch_quota::QuotaBounds {
         lichenswitch_quota::QuotaBounds {
@@ -149,19 +151,21 @@
 }
 
 impl Settings {
-    /// The address of a control machine for routers and other control machines.
+    /// Returns the address at which a control machine accepts routers and other control machines:
+    /// its `controlPlane` IP address with the first internal port.
     #[must_use]
     pub fn internal_address_of(&self, control_plane: SocketAddr) -> SocketAddr {
         SocketAddr::new(control_plane.ip(), self.internal_port_range.first)
     }
 
-    /// Where another process of the fleet is reached: at its own address, or at that of its forwarder.
+    /// Returns the address at which another process of the fleet is reached: that of its forwarder
+    /// if `forwarders` has one, else `address` itself.
     #[must_use]
     pub fn reachable_address(&self, address: SocketAddr) -> SocketAddr {
         self.forwarders.get(&address).copied().unwrap_or(address)
     }
 
-    /// The addresses of the seeds for routers and other control machines.
+    /// Returns the internal addresses of the seed nodes, see [`Settings::internal_address_of`].
     #[must_use]
     pub fn internal_seed_addresses(&self) -> Vec<SocketAddr> {
         self.seed_nodes
--- a/fleet/src/settings/parse.rs
+++ b/fleet/src/settings/parse.rs
@@ -1,4 +1,4 @@
-//! Reading a settings file into the typed record, with all its defaults.
+//! Parsing of a settings file into [`Settings`], with the defaults of all optional fields.
 
 use super::error::{FieldErrors, SettingsError};
 use super::fields::Fields;
@@ -10,7 +10,7 @@
     /// Reads the file at `path`.
     ///
     /// # Errors
-    /// It can't be read, or as [`Settings::parse`].
+    /// Returns an error if the file can't be read or [`Settings::parse`] rejects its text.
     pub fn read(path: &Path) -> Result<Settings, SettingsError> {
         let text = std::fs::read_to_string(path).map_err(|source| SettingsError::Read {
             path: path.to_path_buf(),
@@ -22,13 +22,14 @@
     /// Parses the text of a settings file. Unknown fields are ignored.
     ///
     /// # Errors
-    /// It is no TOML, or fields are missing or invalid: all of them are named.
+    /// Returns an error if the text is not TOML, or if fields are missing or invalid. The error
+    /// names all of these fields.
     pub fn parse(text: &str) -> Result<Settings, SettingsError> {
         let table: toml::Table = text
             .parse()
             .map_err(|e| SettingsError::Syntax(Box::new(e)))?;
         let mut fields = Fields::new(&table);
-        let settings = read_all(&mut fields);
+        let settings = read_settings(&mut fields);
         let errors = fields.into_errors();
         if errors.is_empty() {
             Ok(settings)
@@ -38,7 +39,7 @@
     }
 }
 
-fn read_all(fields: &mut Fields<'_>) -> Settings {
+fn read_settings(fields: &mut Fields<'_>) -> Settings {
     let internal_port_range = port_range(fields, "internalPortRange");
     let unspecified = IpAddr::from([0, 0, 0, 0]);
     Settings {
--- a/fleet/src/status.rs
+++ b/fleet/src/status.rs
@@ -7,12 +7,12 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// A machine that does not respond within this time counts as down.
+/// Timeout of connecting, and of each read. A machine that exceeds it counts as unreachable.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest response that is accepted.
+/// Maximum length of a response. A longer one is cut off and reported as unreadable.
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// Why no status can be shown.
+/// The reason why the status can't be fetched.
 #[derive(Debug, thiserror::Error)]
 pub enum StatusError {
     /// No address was given, and the settings can't be used.
@@ -21,20 +21,20 @@
     /// The settings name no control machine.
     #[error("no address: give one, or settings with seedNodes or listenAddresses.controlPlane")]
     NoAddress,
-    /// The machine can't be reached.
+    /// The connection failed, or the machine did not respond in time.
     #[error("{address}: {source}")]
     Unreachable {
-        /// Its address.
+        /// Address of the control machine.
         address: SocketAddr,
-        /// The error of the system.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// Its response is no status.
+    /// The response is not a valid status.
     #[error("{address}: the answer can't be read: {reason}")]
     Unreadable {
-        /// Its address.
+        /// Address of the control machine.
         address: SocketAddr,
-        /// Why.
+        /// Reason, shown to the operator.
         reason: &'static str,
     },
 }
@@ -43,7 +43,7 @@
 /// settings that responds.
 ///
 /// # Errors
-/// The last reason, when none responds.
+/// Returns the error of the last address tried if no control machine returns its status.
 pub fn fetch(
     settings_path: Option<PathBuf>,
     address: Option<SocketAddr>,
@@ -52,17 +52,17 @@
         Some(address) => vec![address],
         None => addresses_in_settings(settings_path)?,
     };
-    let mut last = StatusError::NoAddress;
+    let mut last_error = StatusError::NoAddress;
     for address in addresses {
         match fetch_from(address) {
             Ok(status) => return Ok(status),
-            Err(e) => last = e,
+            Err(e) => last_error = e,
         }
     }
-    Err(last)
+    Err(last_error)
 }
 
-/// Control machines that the settings name, this one first.
+/// Returns the control machines in the settings: the own `controlPlane` address, then the seeds.
 fn addresses_in_settings(settings_path: Option<PathBuf>) -> Result<Vec<SocketAddr>, StatusError> {
     let settings = Settings::read(&settings::path(settings_path)?)?;
     Ok(settings
