--- a/decide/consensus/src/quorum_status.rs
+++ b/decide/consensus/src/quorum_status.rs
@@ -63,17 +63,17 @@
         match self {
             Reason::ReceivedBy(count, voters) => write!(
                 f,
-                "{count} of {voters} voters have heard it within its lease"
+                "{count} of {voters} voters received its requests within the lease"
             ),
             Reason::LastMajority(elapsed) => write!(
                 f,
-                "the last majority of the voters heard it {} ms ago",
+                "a majority of the voters last received its requests {} ms ago",
                 elapsed / 1_000
             ),
-            Reason::Never => f.write_str("no majority of the voters has heard it yet"),
+            Reason::Never => f.write_str("no majority of the voters has received its requests yet"),
             Reason::OtherGenesis(known, other) => write!(
                 f,
-                "the fleet has begun anew: genesis {other:x}, and {known:x} was known"
+                "the voters use genesis {other:x}, while {known:x} is known"
             ),
         }
     }
--- a/tests/consensus.rs
+++ b/tests/consensus.rs
@@ -189,7 +189,7 @@
     cluster.wait_for_log(
         third,
         first_entry,
-        "standing: doubtful: the last majority of the voters heard it",
+        "standing: doubtful: a majority of the voters last received its requests",
     );
     let first_entry = cluster.entry_count();
     cluster.set_partition(&[third], false);
@@ -238,7 +238,7 @@
         std::fs::remove_dir_all(cluster.storage(voter)).unwrap();
         let first_entry = cluster.entry_count();
         cluster.start(voter);
-        cluster.wait_for_log(voter, first_entry, "does not vote: the fleet knows");
+        cluster.wait_for_log(voter, first_entry, "does not vote: the genesis lists");
     }
     // One whose last write was interrupted goes on voting.
     cluster.rig.kill(0);
@@ -315,7 +315,7 @@
     cluster.wait_for_log(
         3,
         first_entry,
-        "standing: cut off: the last majority of the voters heard it",
+        "standing: cut off: a majority of the voters last received its requests",
     );
     cluster.set_partition(&[3], false);
     cluster.wait_for_log(3, first_entry, "standing: joined: ");
@@ -328,7 +328,7 @@
     cluster.wait_for_log(
         3,
         first_entry,
-        "standing: a stranger: the fleet has begun anew: genesis",
+        "standing: a stranger: the voters use genesis ",
     );
     (0..3).for_each(|broker| cluster.wait_for_log(broker, first_entry, "standing: joined: "));
 }
