--- a/core/src/contract/tests.rs
+++ b/core/src/contract/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `contract`.
+//! Tests of the contracts of teams.
 
 use super::*;
 
@@ -22,36 +22,39 @@
 }
 
 #[test]
-fn without_contracts_nothing_is_checked() {
+fn no_contracts_allow_every_query() {
     assert_eq!(Contracts::default().admit(Time(1), None, 9), Ok(()));
     assert_eq!(Contracts::default().budget(), None);
 }
 
 #[test]
-fn classes_and_rates_are_those_agreed() {
-    let mut c = contracts();
+fn contract_limits_classes_and_rate() {
+    let mut contracts = contracts();
     let now = Time(1_000_000);
-    assert_eq!(c.admit(now, None, 0), Err(ContractViolation::UnknownTeam));
     assert_eq!(
-        c.admit(now, Some("else"), 0),
+        contracts.admit(now, None, 0),
         Err(ContractViolation::UnknownTeam)
     );
     assert_eq!(
-        c.admit(now, Some("rates"), 1),
+        contracts.admit(now, Some("else"), 0),
+        Err(ContractViolation::UnknownTeam)
+    );
+    assert_eq!(
+        contracts.admit(now, Some("rates"), 1),
         Err(ContractViolation::Class)
     );
-    assert_eq!(c.admit(now, Some("rates"), 0), Ok(()));
-    assert_eq!(c.admit(now, Some("rates"), 0), Ok(()));
+    assert_eq!(contracts.admit(now, Some("rates"), 0), Ok(()));
+    assert_eq!(contracts.admit(now, Some("rates"), 0), Ok(()));
     assert_eq!(
-        c.admit(now, Some("rates"), 0),
+        contracts.admit(now, Some("rates"), 0),
         Err(ContractViolation::Rate(500_000))
     );
-    assert_eq!(c.admit(now.plus(500_000), Some("rates"), 0), Ok(()));
-    assert_eq!(c.admit(now, Some("open"), 7), Ok(()));
+    assert_eq!(contracts.admit(now.plus(500_000), Some("rates"), 0), Ok(()));
+    assert_eq!(contracts.admit(now, Some("open"), 7), Ok(()));
 }
 
 #[test]
-fn the_strictest_budget_reaches_the_module() {
+fn strictest_budget_is_given_to_the_module() {
     assert_eq!(
         contracts().budget(),
         Some(Budget {
