--- a/decide/consensus/src/voter/tests.rs
+++ b/decide/consensus/src/voter/tests.rs
@@ -144,7 +144,7 @@
             let arrival = self.in_flight.peek().map(|message| message.0 .0);
             let Some(at) = arrival
                 .into_iter()
-                .chain(timer.map(|(due, _)| due))
+                .chain(timer.map(|timer| timer.0))
                 .min()
                 .filter(|at| *at <= end)
             else {
--- a/decide/lease/src/grant_table/tests.rs
+++ b/decide/lease/src/grant_table/tests.rs
@@ -114,7 +114,7 @@
             outcomes,
             grants
                 .holder(&RoleName("d".into()))
-                .map(|(holder, token)| (holder.name.clone(), token)),
+                .map(|grant| (grant.0.name.clone(), grant.1)),
         )
     };
     assert_eq!(replay(0, 1), replay(77_000_000, 5_000_000));
--- a/src/decide/failure_detector/tests.rs
+++ b/src/decide/failure_detector/tests.rs
@@ -104,7 +104,7 @@
                 .filter_map(|i| Some((next_call(i)?, i)))
                 .min();
             let arrival = self.in_flight.peek().map(|message| message.0 .0);
-            let Some(at) = [timer.map(|(due, _)| due), arrival]
+            let Some(at) = [timer.map(|timer| timer.0), arrival]
                 .into_iter()
                 .flatten()
                 .min()
