--- a/decide/management/src/call.rs
+++ b/decide/management/src/call.rs
@@ -1,68 +1,68 @@
-//! The line of an operator's call.
+//! Parser for the line of an operator's call.
 
-/// The longest line that is read, its end included (bytes).
+/// Maximum length of a line, including its line ending (bytes).
 pub const MAX_LINE_BYTES: usize = 512;
-/// The longest id of a server (bytes).
+/// Maximum length of a server id (bytes).
 pub const MAX_ID_BYTES: usize = 200;
-/// The most characters of a faulty word that an error repeats.
+/// Maximum number of characters of an invalid word that an error message quotes.
 const MAX_QUOTED_CHARS: usize = 40;
 
-/// A call of an operator.
+/// A parsed call of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// Whether this process is ready to serve.
+    /// Asks whether this process is ready to serve.
     Health,
-    /// The metrics.
+    /// Asks for the metrics of this process.
     Counters,
-    /// Change the desired state.
+    /// Changes the desired state.
     Change(Change),
 }
 
 /// A change of the desired state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Take this server out of service.
+    /// Takes the server with this id out of service.
     Cordon(String),
-    /// Put this server back into service.
+    /// Puts the server with this id back into service.
     Uncordon(String),
-    /// Send clients away.
+    /// Sends clients to other brokers.
     Quiesce,
-    /// Serve clients again.
+    /// Serves clients again after a quiesce.
     Resume,
 }
 
-/// Why a line is not a call.
+/// The reason why a line is not a valid call.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ParseError {
-    /// It has no word.
+    /// The line contains no word.
     #[error("the line is empty; calls are {CALLS}")]
     Empty,
-    /// It is longer than any call.
+    /// The line is longer than [`MAX_LINE_BYTES`].
     #[error("the line is longer than {MAX_LINE_BYTES} bytes")]
     TooLong,
-    /// It is not text.
+    /// The line is not valid UTF-8.
     #[error("the line is no UTF-8 text")]
     NotText,
-    /// There is no call of this name.
+    /// The first word is not the name of a call.
     #[error("there is no call {0:?}; calls are {CALLS}")]
     UnknownCall(String),
-    /// This call needs the id of a server.
+    /// The server id that this call requires is missing.
     #[error("{0} needs the id of a server")]
     MissingId(&'static str),
-    /// This call is followed by a word too many.
+    /// The call is followed by an unexpected word: the name of the call, then that word.
     #[error("{0} takes nothing more than that, and there is {1:?}")]
     TrailingArgument(&'static str, String),
-    /// The id is too long for one.
+    /// The server id is longer than [`MAX_ID_BYTES`].
     #[error("an id is longer than {MAX_ID_BYTES} bytes")]
     LongId,
 }
 
 const CALLS: &str = "health, counters, cordon ID, uncordon ID, quiesce and resume";
 
-/// Parses a line, with or without its end.
+/// Parses a line, with or without its line ending.
 ///
 /// # Errors
-/// When it is not a call, with the reason in a sentence.
+/// Returns the reason if the line is not a valid call.
 pub fn parse(line: &[u8]) -> Result<Call, ParseError> {
     if line.len() > MAX_LINE_BYTES {
         return Err(ParseError::TooLong);
@@ -92,7 +92,7 @@
     }
 }
 
-/// The beginning of a word, for an error.
+/// Returns the first [`MAX_QUOTED_CHARS`] characters of a word, for an error message.
 fn quoted(word: &str) -> String {
     word.chars().take(MAX_QUOTED_CHARS).collect()
 }
--- a/decide/management/src/desired_state.rs
+++ b/decide/management/src/desired_state.rs
@@ -1,107 +1,112 @@
-//! The desired state: what operators have set by hand, apart from what discovery lists.
+//! The desired state, which operators set by calls, and its stored form. It is separate from the
+//! servers that discovery lists.
 
 use crate::call::Change;
 use lichenswitch_interface::{Micros, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A server that was uncordoned counts as just started for this long (microseconds): longer than any
-/// server warms up.
+/// Time for which an uncordoned server counts as just started (microseconds). It exceeds the
+/// warm-up time of any server.
 const UNCORDONED_RETENTION: Micros = 300_000_000;
-/// A state that was not refreshed for this long is ignored (microseconds): the broker that it was
-/// meant for is long gone.
+/// Age at which a stored state is ignored (microseconds). A state that has not been refreshed for
+/// this long belongs to a broker that no longer runs.
 const MAX_AGE: Micros = 86_400_000_000;
-/// How often a running process refreshes it (microseconds).
+/// Interval at which a running process refreshes the stored state (microseconds).
 pub const REFRESH_INTERVAL: Micros = 3_600_000_000;
-/// The most servers that are cordoned at a time. Guards memory and the file.
+/// Maximum number of servers that are cordoned at a time. Limits memory use and the size of the
+/// file.
 pub const MAX_CORDONED: usize = 10_000;
-/// The share of the time allowed by the rule on drains in which a cordoned server may be sent what
-/// no other server has, as a fraction: the rest is for whatever delays the loop.
+/// Fraction (numerator, denominator) of the time that the drain rule allows, during which a
+/// cordoned server still receives requests that no other server can answer. The remainder allows
+/// for delays of the event loop.
 const LAST_RESORT_SHARE: (u64, u64) = (3, 5);
 
-/// What operators have set. The names of the fields in the file are fixed.
+/// The state that operators have set. The names of its fields in the file are fixed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DesiredState {
-    /// Grows with each change.
+    /// Number of changes so far; each change increments it.
     pub revision: u64,
-    /// Servers that are out of service, by id, and since when (microseconds of Unix time).
+    /// Cordoned servers by id, each with the time of its cordon (microseconds of Unix time).
     pub cordoned: BTreeMap<String, u64>,
-    /// Servers that were put back recently: when they were cordoned, and when they were put back.
+    /// Recently uncordoned servers by id, each with the times of its cordon and its uncordon
+    /// (microseconds of Unix time).
     #[serde(rename = "back")]
     pub uncordoned: BTreeMap<String, (u64, u64)>,
-    /// Since when clients are sent away.
+    /// Time of the `quiesce` call (microseconds of Unix time), or `None` if the broker is not
+    /// quiesced.
     #[serde(rename = "quiesced")]
     pub quiesced_at: Option<u64>,
 }
 
-/// What a change leads to.
+/// The result of a valid change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// This is the desired state from now on.
+    /// The desired state has changed to this one.
     Changed(DesiredState, Reason),
-    /// It was the desired state already.
+    /// The desired state already matched the change.
     Unchanged(Reason),
 }
 
-/// The reason, for the answer and the log.
+/// The reason for a [`Verdict`], for the answer to the operator and the log.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Reason {
-    /// The server is cordoned from now on.
+    /// The server with this id is now cordoned.
     #[error("{0} is out")]
     Cordoned(String),
-    /// It was.
+    /// The server with this id was already cordoned.
     #[error("{0} is out already")]
     AlreadyCordoned(String),
-    /// The server is in service again.
+    /// The server with this id is in service again.
     #[error("{0} is used again, as one that has just started")]
     Uncordoned(String),
-    /// It was in service.
+    /// The server with this id was not cordoned.
     #[error("{0} was not out")]
     NotCordoned(String),
-    /// Clients are sent away.
+    /// The broker is now quiesced.
     #[error("clients are sent away")]
     Quiesced,
-    /// They were.
+    /// The broker was already quiesced.
     #[error("clients are sent away already")]
     AlreadyQuiesced,
-    /// Clients are served.
+    /// The broker serves clients again.
     #[error("back to work")]
     Resumed,
-    /// They were.
+    /// The broker was not quiesced.
     #[error("clients were not sent away")]
     NotQuiesced,
 }
 
-/// Why a change is rejected.
+/// The reason why a change is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ChangeError {
-    /// Discovery lists no such server, and none of that id is cordoned.
+    /// Discovery lists no server with this id, and no server with this id is cordoned.
     #[error("no server {0:?} is listed or out")]
     UnknownServer(String),
-    /// As many servers are cordoned as can be.
+    /// [`MAX_CORDONED`] servers are cordoned already.
     #[error("{MAX_CORDONED} servers are out, which is the most")]
     TooMany,
 }
 
-/// Why stored bytes are not a state of this broker.
+/// The reason why stored bytes are not a valid state of this broker.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// They are of another format, or of another version of it.
+    /// The bytes have another format or another version of it.
     #[error("it is no wanted state of version 1")]
     Format,
-    /// They are the state of this other broker.
+    /// The bytes hold the state of the broker with this name.
     #[error("it is that of {0:?}")]
     Owner(String),
-    /// They are not what was written.
+    /// The content does not match its checksum.
     #[error("its checksum is not that of its content")]
     Checksum,
-    /// The state was not refreshed for this long (seconds).
+    /// The state has not been refreshed for this long (seconds).
     #[error("nobody has kept it up for {0} s")]
     Expired(u64),
 }
 
-/// Whether a cordoned server is sent nothing any more; `stop_within`: what the rule on drains allows
-/// after the answer to the call (microseconds).
+/// Returns whether a cordoned server no longer receives any requests. `stop_within` is the time
+/// that the drain rule allows after the answer to the call (microseconds).
 #[must_use]
 pub fn is_out_of_service(cordoned_at: Time, now: Time, stop_within: Micros) -> bool {
     let (numerator, denominator) = LAST_RESORT_SHARE;
@@ -109,10 +114,11 @@
 }
 
 impl DesiredState {
-    /// What a change leads to; `is_listed` tells whether discovery lists a server.
+    /// Applies a change and returns the resulting state. `is_listed` returns whether discovery
+    /// lists a server.
     ///
     /// # Errors
-    /// When there is no such server, or too many are cordoned.
+    /// Returns an error if the server is unknown or too many servers are cordoned.
     pub fn on_change(
         &self,
         now: Time,
@@ -127,7 +133,8 @@
         }
     }
 
-    /// The state that a change made now starts from.
+    /// Returns a copy with the next revision and without expired uncordoned servers, to which a
+    /// change is applied.
     fn next(&self, now: Time) -> DesiredState {
         let mut next = DesiredState {
             revision: self.revision + 1,
@@ -188,8 +195,8 @@
         Verdict::Changed(next, Reason::Resumed)
     }
 
-    /// What a process that starts takes over. Clients are sent away from processes that run: where
-    /// none does, this one is a new start, and serves.
+    /// Returns the state that a starting process adopts. A quiesce call applies to running
+    /// processes, so a process that starts while no other one runs serves clients.
     #[must_use]
     pub fn on_start(self, others_run: bool) -> DesiredState {
         DesiredState {
@@ -198,8 +205,9 @@
         }
     }
 
-    /// The stored form, for this broker at this time: a line that names the format, a line with the
-    /// checksum of the third, which is JSON.
+    /// Encodes the state in its stored form, with the broker's name as `owner` and the time. The
+    /// form has three lines: the name of the format, the checksum of the third line, and the state
+    /// as JSON.
     #[must_use]
     pub fn encode(&self, owner: &str, now: Time) -> Vec<u8> {
         let stored = StoredState {
@@ -207,7 +215,7 @@
             stored_at: now.0,
             state: self.clone(),
         };
-        // A map of texts and numbers can always be encoded.
+        // Encoding maps of strings and numbers can't fail.
         let body = serde_json::to_string(&stored).unwrap_or_default();
         let checksum = crc32fast::hash(body.as_bytes());
         format!("{FORMAT}\n{checksum:08x}\n{body}\n").into_bytes()
@@ -216,7 +224,8 @@
     /// Decodes the stored form.
     ///
     /// # Errors
-    /// When it is damaged, another broker's, of another version or too old.
+    /// Returns an error if the bytes are damaged, belong to another broker, have another version or
+    /// are too old.
     pub fn decode(bytes: &[u8], owner: &str, now: Time) -> Result<DesiredState, DecodeError> {
         let text = std::str::from_utf8(bytes).map_err(|_| DecodeError::Format)?;
         let rest = text
@@ -240,10 +249,10 @@
     }
 }
 
-/// The first line of the file.
+/// The first line of the file: the name and version of the format.
 const FORMAT: &str = "lichenswitch wanted 1";
 
-/// The third line of the file.
+/// The content of the third line of the file.
 #[derive(Serialize, Deserialize)]
 struct StoredState {
     owner: String,
--- a/decide/management/src/desired_state/tests.rs
+++ b/decide/management/src/desired_state/tests.rs
@@ -75,8 +75,8 @@
         back.on_change(NOW, &Change::Resume, is_listed),
         Ok(Verdict::Unchanged(Reason::NotQuiesced))
     );
-    // One that begins beside another one of the broker does as that does; one that begins alone
-    // serves.
+    // A process that starts beside another process of the broker stays quiesced; a process that
+    // starts alone serves clients.
     assert_eq!(quiesced.clone().on_start(true).quiesced_at, Some(NOW.0));
     assert_eq!(quiesced.on_start(false).quiesced_at, None);
 }
@@ -123,7 +123,7 @@
     for at in 0..stored.len() {
         let mut changed = stored.clone();
         changed[at] ^= 1;
-        // Digits of the sum are the only bytes that may be written in another way.
+        // Only the hexadecimal digits of the checksum may differ in case and still be valid.
         assert!(
             DesiredState::decode(&changed, "n0", NOW).map_or(true, |read| read == state),
             "{at}"
--- a/decide/management/src/health.rs
+++ b/decide/management/src/health.rs
@@ -1,61 +1,61 @@
-//! Whether a process is ready to serve.
+//! Decides whether a process is ready to serve.
 
 use lichenswitch_interface::{Micros, Time};
 
-/// A loop that has not completed a turn for this long serves nobody (microseconds).
+/// Time without a completed turn after which the event loop counts as stuck (microseconds).
 pub const STUCK_TIMEOUT: Micros = 2_000_000;
 
-/// How far a process is from its end.
+/// The lifecycle state of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Lifecycle {
-    /// It was not asked to stop.
+    /// The process has not been asked to stop.
     #[default]
     Running,
-    /// It finishes what it has accepted.
+    /// The process completes the requests that it has accepted.
     Stopping,
-    /// It stops, and leaves new clients to another process of the broker.
+    /// The process is stopping, and another process of the broker serves new clients.
     Leaving,
 }
 
-/// What the loop of a process reports of it.
+/// The state of a process as its event loop reports it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HealthStatus {
-    /// It listens for clients.
+    /// Whether it listens for clients.
     pub is_listening: bool,
-    /// It has a list of servers.
+    /// Whether it has received a list of servers.
     pub has_server_list: bool,
-    /// How far it is from its end.
+    /// Its lifecycle state; only a running process is ready.
     pub lifecycle: Lifecycle,
-    /// Clients are sent away.
+    /// Whether an operator has quiesced the broker.
     pub is_quiesced: bool,
-    /// When its loop last completed a turn.
+    /// When its event loop last completed a turn.
     pub last_turn_at: Time,
 }
 
-/// Why a process is not ready.
+/// The reason why a process is not ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NotReadyReason {
-    /// It waits for the clients' address.
+    /// The process does not listen yet because the clients' address is in use.
     #[error("the clients' address is in use")]
     NotListening,
     /// No list of servers has arrived.
     #[error("no list of servers yet")]
     NoServerList,
-    /// It was asked to stop.
+    /// The process has been asked to stop.
     #[error("stopping")]
     Stopping,
     /// An operator has called `quiesce`.
     #[error("clients are sent away")]
     Quiesced,
-    /// Its loop has not completed a turn for this long (milliseconds).
+    /// The event loop has not completed a turn for this long (milliseconds).
     #[error("the loop has not come round for {0} ms")]
     Stuck(u64),
 }
 
-/// Whether a process is ready.
+/// Checks whether a process is ready to serve.
 ///
 /// # Errors
-/// The first reason why it is not.
+/// Returns the first reason why the process is not ready.
 pub fn check_ready(now: Time, status: &HealthStatus) -> Result<(), NotReadyReason> {
     let elapsed = now.since(status.last_turn_at);
     if status.lifecycle != Lifecycle::Running {
--- a/decide/management/src/lib.rs
+++ b/decide/management/src/lib.rs
@@ -1,15 +1,15 @@
-//! What operators set by hand at a broker, decided without I/O or clock.
+//! Decides what operators' calls change at a broker, without I/O or a clock.
 //!
 //! - [`call`] parses the line of an operator's call.
-//! - [`desired_state`] is the state that calls change, and its stored form: which servers are
-//!   cordoned, whether clients are sent away. It is apart from what discovery lists.
-//! - [`quiesce`] says how clients are treated while they are sent away.
-//! - [`health`] says whether a process is ready to serve.
-//! - [`processes`] says what several processes of one broker share during an upgrade, and which of
-//!   them serves the backlog.
+//! - [`desired_state`] holds the state that calls change and defines its stored form: which servers
+//!   are cordoned, and whether the broker is quiesced. It is separate from the discovered servers.
+//! - [`quiesce`] defines how clients are treated while the broker is quiesced.
+//! - [`health`] decides whether a process is ready to serve.
+//! - [`processes`] divides the limits between several processes of one broker during an upgrade,
+//!   and decides which of them serves the backlog.
 //!
-//! It promises that equal input gives equal verdicts, each with its reason. The caller reads files,
-//! clocks and sockets.
+//! Equal input gives equal decisions, each with its reason. The caller reads files, clocks and
+//! sockets.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/decide/management/src/processes.rs
+++ b/decide/management/src/processes.rs
@@ -1,26 +1,27 @@
-//! Several processes of one broker, as they run side by side during an upgrade.
+//! Shares and backlog of several processes of one broker that run side by side during an upgrade.
 //!
-//! For limits and rules they count as one broker. So each takes an equal share of what is allowed to
-//! one for as long as it sees another; a process that has just started takes its share from its
-//! first moment on. One that leaves its clients to another keeps its share of what it holds, but not
-//! of what it may do with servers that bear little: that goes to those that stay.
+//! The processes count as one broker for limits and rules. Each process therefore takes an equal
+//! share of the broker's limits while it sees others, and a new process takes its share as soon as
+//! it starts. A process that leaves its clients to another keeps its share of the limits on held
+//! resources. It gives up its share of the limits on rates, which protect servers that tolerate
+//! little load; that share goes to the processes that stay.
 
 pub use lichenswitch_interface::{ProcessShares, SINGLE_PROCESS};
 
-/// What a process reports of itself to the others.
+/// The state that a process reports to the other processes of its broker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProcessStatus {
-    /// Its process id.
+    /// The process id.
     pub process: u32,
-    /// It has a list of servers and serves clients.
+    /// Whether it has a list of servers and serves clients.
     pub is_ready: bool,
-    /// It listens on the very socket of the process before it, so that the backlog is its own too.
+    /// Whether it listens on the socket of its predecessor, so that both share one backlog.
     pub shares_socket: bool,
-    /// It was asked to stop, and leaves its clients to another one that serves.
+    /// Whether it was asked to stop and leaves its clients to another process that serves them.
     pub is_leaving: bool,
 }
 
-/// This process's shares while these others run.
+/// Returns this process's shares of the broker's limits while the `others` run.
 #[must_use]
 pub fn shares(is_leaving: bool, others: &[ProcessStatus]) -> ProcessShares {
     let staying = others.iter().filter(|o| !o.is_leaving).count() as u32;
@@ -30,28 +31,29 @@
     }
 }
 
-/// What a process that is asked to stop does with the backlog of its listener: the clients that wait
-/// to be accepted.
+/// The way in which a stopping process treats the backlog of its listener, which holds the clients
+/// that wait to be accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BacklogAction {
-    /// Leave it to another process at once, to which its own clients can go too.
+    /// Leaves the backlog at once to another process, to which its own clients can go too.
     Leave(Reason),
-    /// Accept it for as long as clients may still connect.
+    /// Accepts clients from the backlog for as long as they may still connect.
     Serve(Reason),
 }
 
 /// The reason of a [`BacklogAction`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// This process serves at the same socket.
+    /// The process with this id serves on the same socket.
     SharedSocket(u32),
-    /// This process is ready too, but at a socket of its own: the backlog here would be reset.
+    /// The process with this id is ready too, but on its own socket. Closing the listener here
+    /// would reset the connections in the backlog.
     OwnSocket(u32),
     /// No other process is ready.
     NoSuccessor,
 }
 
-/// What to do with the backlog at the stop.
+/// Decides what a stopping process does with the backlog of its listener.
 #[must_use]
 pub fn backlog_action(others: &[ProcessStatus]) -> BacklogAction {
     let mut successors = others.iter().filter(|o| o.is_ready && !o.is_leaving);
@@ -64,7 +66,7 @@
 }
 
 impl ProcessStatus {
-    /// The line that is written for the others: the process id, then the flags as 0 or 1.
+    /// Formats the line that the other processes read: the process id, then the flags as 0 or 1.
     #[must_use]
     pub fn to_line(&self) -> String {
         let [is_ready, shares_socket, is_leaving] =
@@ -72,8 +74,8 @@
         format!("{} {is_ready} {shares_socket} {is_leaving}\n", self.process)
     }
 
-    /// Parses the line of a process. One that can't be parsed is that of a process that runs and is
-    /// not ready: it may be about to write.
+    /// Parses the line of a process. If the line is invalid, the process counts as running but not
+    /// ready, since it may not have finished writing the line.
     #[must_use]
     pub fn from_line(process: u32, line: &str) -> ProcessStatus {
         let words: Vec<&str> = line.split_ascii_whitespace().collect();
--- a/decide/management/src/processes/tests.rs
+++ b/decide/management/src/processes/tests.rs
@@ -29,7 +29,7 @@
             rate_divisor: Some(1)
         }
     );
-    // One that is not ready yet holds connections and may send at any moment.
+    // A process that is not ready yet already holds connections and may send at any time.
     let others = [status(7, false, false), status(8, true, true)];
     assert_eq!(
         shares(false, &others),
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn leaving_process_keeps_what_it_holds_and_passes_the_rest_to_those_that_stay() {
+fn leaving_process_keeps_its_capacity_share_and_gives_up_its_rate_share() {
     assert_eq!(
         shares(false, &[leaving(7)]),
         ProcessShares {
@@ -56,14 +56,14 @@
             rate_divisor: None
         }
     );
-    // Between the two there is never more than one broker's part in force, in whatever order they
-    // hear of it.
+    // The two processes never use more than one broker's limits, in whatever order they learn of
+    // the change.
     assert_eq!(
         shares(false, &[status(7, true, true)]).rate_divisor,
         Some(2),
         "the one that stays has not heard of it"
     );
-    // Its successor is gone, or leaves too: what is still here is served.
+    // If its successor is gone or is leaving too, the process serves its remaining clients.
     assert_eq!(
         shares(true, &[]),
         ProcessShares {
--- a/decide/management/src/quiesce.rs
+++ b/decide/management/src/quiesce.rs
@@ -1,33 +1,35 @@
-//! How clients are treated while they are sent away.
+//! Stages of quiescing, in which a broker sends its clients to other brokers.
 //!
-//! The front layer asks for readiness every 0.1 s and distributes connections for 0.2 s more: a
-//! connection that is closed sooner than that may return to this broker at once. So clients are
-//! notified with their answers first; then idle connections are closed; and last nothing new is
-//! accepted, so that after four seconds only requests are left that were accepted long before.
+//! The front layer polls readiness every 0.1 s and may route new connections here for another 0.2
+//! s. A client whose connection is closed earlier may reconnect to this broker at once. Quiescing
+//! therefore has three stages: clients are first notified with their answers, then idle connections
+//! are closed, and finally new requests are rejected. Four seconds after the call, the only
+//! requests left are those that were accepted long before.
 
 use lichenswitch_interface::{Micros, Time};
 
-/// This long after the call no client connects any more that follows the front layer (microseconds):
-/// idle connections are closed.
+/// Time from the call until idle connections are closed (microseconds). By then, clients that
+/// follow the front layer no longer connect to this broker.
 pub const NOTICE_PERIOD: Micros = 500_000;
-/// From then on nothing new is accepted (microseconds): four seconds after the call no connection
-/// may have a request of the last two.
+/// Time from the call until new requests are rejected (microseconds). Four seconds after the call,
+/// no connection may have a request from the last two seconds.
 pub const ACCEPT_PERIOD: Micros = 1_700_000;
 
-/// How far quiescing has come.
+/// A stage of quiescing, in the order in which they follow each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum QuiesceStage {
-    /// Clients are served as always.
+    /// The broker is not quiesced and serves clients normally.
     Serving,
-    /// The process is not ready any more; each answer is the last one of its connection.
+    /// The process reports that it is not ready, and each answer is the last of its connection.
     Notifying,
-    /// Idle connections are closed too.
+    /// Idle connections are closed as well.
     ClosingIdle,
-    /// Requests are rejected at once, and those that are still arriving are ended.
+    /// New requests are rejected at once, and requests that are still arriving are terminated.
     Rejecting,
 }
 
-/// The stage of clients that are sent away since then; `None`: they are not.
+/// Returns the stage at `now`. `quiesced_at` is the time of the call, or `None` if the broker is
+/// not quiesced.
 #[must_use]
 pub fn stage(quiesced_at: Option<Time>, now: Time) -> QuiesceStage {
     match quiesced_at.map(|at| now.since(at)) {
--- a/decide/management/src/quiesce/tests.rs
+++ b/decide/management/src/quiesce/tests.rs
@@ -22,15 +22,16 @@
         ]
     );
     assert_eq!(stage(None, Time(1)), QuiesceStage::Serving);
-    // The clock of the process that was called may be ahead of this one's by a little.
+    // The clock of the process that received the call may be slightly ahead of this process's
+    // clock.
     assert_eq!(stage(Some(Time(9)), Time(1)), QuiesceStage::Notifying);
 }
 
 #[test]
 fn after_four_seconds_no_request_is_younger_than_two() {
-    // What is taken last came before the stage at which nothing is, and a look is a tenth of a
-    // second late at most.
+    // The last accepted request arrived before the rejecting stage, and a check is at most 0.1 s
+    // late.
     const { assert!(ACCEPT_PERIOD + 100_000 + 50_000 < 2_000_000) };
-    // The front layer knows after 0.1 s and sends for 0.2 s more.
+    // The front layer detects the change within 0.1 s and routes connections for another 0.2 s.
     const { assert!(NOTICE_PERIOD >= 300_000 + 100_000) };
 }
