--- a/decide/phases/src/budget.rs
+++ b/decide/phases/src/budget.rs
@@ -1,9 +1,10 @@
-//! The budget of time between the phases: when to stop waiting for the first, and how much of the
-//! second can still end within the latency target.
+//! Divides the latency target between the phases: when to stop waiting for the first phase, and how
+//! much of the second phase can still end within the latency target.
 //!
-//! Values follow the class: the full value within the latency target, a share of it after, less for
-//! a partial answer. All of them are shares of the value of a complete answer in time (0 to 1). Time
-//! is an argument, and what was measured is in [`PhaseLatencies`]: nothing here has a state.
+//! The class determines the values: an answer has its full value within the latency target, a share
+//! of it afterwards, and less if it is partial. Values are shares of the value of a complete answer
+//! in time (0 to 1). The functions are stateless: time is an argument, and [`PhaseLatencies`] holds
+//! the measurements.
 
 use super::latency::Latencies;
 use super::Rules;
@@ -13,57 +14,59 @@
 /// A part of the first phase that has no answer yet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MissingPart {
-    /// Its share of the answer.
+    /// Its share of the answer (0 to 1).
     pub weight: f64,
-    /// How long its last attempt has been out; `None`: none is in flight.
+    /// Time since its last attempt was sent (microseconds), or `None` if no attempt is in flight.
     pub out: Option<Micros>,
-    /// Parts pending at its server when it was sent.
+    /// Number of parts pending at the server when the attempt was sent.
     pub pending: f64,
 }
 
 /// A second-phase part that could be sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
-    /// Its slice.
+    /// The slice that the part would query.
     pub slice: u32,
-    /// Parts pending at the server that it would go to; `None`: no server takes it.
+    /// Number of parts pending at the server to which it would go, or `None` if no server accepts
+    /// it.
     pub pending: Option<f64>,
 }
 
-/// What a query is expected to be worth now, and at the best moment to come.
+/// Expected values of a query if its first phase ends now and if it ends after the best wait.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Prospect {
     /// Expected value if the first phase ends now.
     pub now: f64,
-    /// Expected value of waiting, at best.
+    /// Expected value of the best wait, or 0 if no wait is possible.
     pub waiting: f64,
-    /// How long to wait for that (microseconds).
+    /// Length of the best wait (microseconds).
     pub wait: Micros,
 }
 
-/// Moments to wait for that are compared: those at which the part that is out for longest has come
-/// with this probability.
+/// Candidate waits: each ends when the part that has been in flight longest has arrived with this
+/// probability.
 const WAITING_PROBABILITIES: [f64; 6] = [0.1, 0.25, 0.5, 0.75, 0.9, 0.98];
 /// Shortest wait that is considered (microseconds).
 const MIN_WAIT: Micros = 1_000;
-/// By how much the weight of a first phase may fall short of `need` and still count as complete.
+/// Amount by which the weight of a complete first phase may fall short of `need`.
 const NEED_TOLERANCE: f64 = 1e-6;
-/// By how much the weight of a first phase in which a part is missing is below `need` at least.
+/// Minimum amount by which the weight of an incomplete first phase is below `need`.
 const MIN_MISSING_WEIGHT: f64 = 1e-3;
 
-/// The latencies of both phases of a class.
+/// Measured latencies and load of both phases of a class.
 #[derive(Default)]
 pub struct PhaseLatencies {
-    /// Of the first phase.
+    /// Latencies of first-phase parts.
     pub first: Latencies,
-    /// Of the second phase.
+    /// Latencies of second-phase parts.
     pub second: Latencies,
-    /// Parts pending, as usual, at the servers that second-phase parts were sent to.
+    /// Moving average of the parts pending at the servers to which second-phase parts were sent.
     pub usual_pending: f64,
 }
 
 impl PhaseLatencies {
-    /// The second phase's latencies, or the first's while there are too few samples of it.
+    /// Returns the latencies of the second phase, or of the first while the second has too few
+    /// samples.
     fn second_or_first(&mut self) -> &mut Latencies {
         if self.second.has_enough_samples() {
             &mut self.second
@@ -73,7 +76,7 @@
     }
 }
 
-/// Value of going on to the second phase with this weight of the first.
+/// Returns the value of a first phase with this answered weight.
 fn first_phase_value(rules: &Rules, weight: f64) -> f64 {
     if weight + NEED_TOLERANCE >= rules.need {
         1.0
@@ -82,7 +85,7 @@
     }
 }
 
-/// Value of a second phase in which so many of the wanted parts were answered.
+/// Returns the value of a second phase in which `answered` of the `wanted` parts were answered.
 fn second_phase_share(rules: &Rules, answered: usize, wanted: usize) -> f64 {
     if answered >= wanted {
         1.0
@@ -91,13 +94,14 @@
     }
 }
 
-/// Expected value of an answer of this value that is in time with this probability.
+/// Returns the expected value of an answer with this full value that is in time with this
+/// probability.
 fn expected_value(rules: &Rules, value: f64, probability: f64) -> f64 {
     value * (probability + rules.late_share * (1.0 - probability))
 }
 
-/// Expected value of a second phase with so much time left: that of the best count of parts, each
-/// in time with the probability that was measured.
+/// Returns the expected value of a second phase with `left` microseconds remaining, for the best
+/// number of parts. Each part is in time with the measured probability.
 fn second_phase_value(
     rules: &Rules,
     latencies: &mut PhaseLatencies,
@@ -118,8 +122,8 @@
         .fold(0.0, f64::max)
 }
 
-/// Whether waiting for the missing parts of the first phase brings more than it takes from the
-/// second. `answered_weight` is the weight of the parts that have come.
+/// Estimates whether waiting for the missing parts of the first phase gains more than it costs the
+/// second phase. `answered_weight` is the weight of the parts that have arrived.
 pub fn prospect(
     rules: &Rules,
     latencies: &mut PhaseLatencies,
@@ -156,7 +160,7 @@
     best
 }
 
-/// The missing part that has been out for longest: the one that is waited for.
+/// The missing part that has been in flight longest. Waits are chosen for this part.
 struct LongestOut {
     out: Micros,
     pending: f64,
@@ -175,8 +179,9 @@
             .max_by(|one, other| one.out.cmp(&other.out))
     }
 
-    /// How long to wait until it has come with this probability, of the parts that have not come by
-    /// now; and, since it may be out for longer than any was, by the time that it has had.
+    /// Returns the wait after which the part has arrived with this probability, given that it has
+    /// not arrived yet. The part may have been in flight longer than any sample, so the wait is at
+    /// least `probability` times the time that it has been in flight.
     fn wait(
         &self,
         latencies: &mut PhaseLatencies,
@@ -194,7 +199,7 @@
     }
 }
 
-/// Expected value of the first phase after a wait.
+/// Returns the expected value of the first phase after a wait.
 fn first_phase_value_after(
     rules: &Rules,
     latencies: &mut PhaseLatencies,
@@ -217,23 +222,23 @@
     all + (1.0 - all) * first_phase_value(rules, incomplete_weight)
 }
 
-/// How many parts a complete second phase has.
+/// Number of parts in a complete second phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SecondPhaseSize {
-    /// Parts of a complete answer.
+    /// Number of parts in a complete answer, including unneeded ones.
     pub wanted: usize,
-    /// Those of them that need not be sent: their slices were proved to be unneeded.
+    /// Number of these parts that are not sent because their slices can't change the answer.
     pub unneeded: usize,
 }
 
-/// The second-phase parts that are sent.
+/// The second-phase parts that fit into the remaining time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FittedParts {
-    /// Their slices, in the order of the candidates.
+    /// Slices of the parts, in the order of the candidates.
     pub slices: Vec<u32>,
-    /// The probability that the least likely one ends within the latency target.
+    /// Probability that the least likely part ends within the latency target.
     pub weakest: f64,
-    /// Expected value of the query with them.
+    /// Expected value of the query if these parts are sent.
     pub expected: f64,
 }
 
@@ -244,9 +249,8 @@
     slice: u32,
 }
 
-/// Reduces the second phase to what can end within the latency target, each part with the stated
-/// probability; never below the class's least share. Candidates come in the order of their scores,
-/// the best first.
+/// Selects the second-phase parts that end within the latency target with the required probability,
+/// but never fewer than the class's minimum share. Candidates are ordered by score, best first.
 pub fn fit_second_phase(
     rules: &Rules,
     latencies: &mut PhaseLatencies,
@@ -289,7 +293,7 @@
     let has_enough_samples = latencies.has_enough_samples();
     let rated = |candidate: &Candidate| RatedCandidate {
         probability: match candidate.pending {
-            // Without samples all are sent: that is how samples are got.
+            // Without enough samples all parts are sent, so that samples accumulate.
             Some(_) if !has_enough_samples => 1.0,
             Some(pending) => latencies.probability_within(now, left, pending),
             None => 0.0,
@@ -299,8 +303,8 @@
     candidates.iter().map(rated).collect()
 }
 
-/// The candidates with the stated probability. Where these are fewer than the least share, the
-/// likeliest of the others join them, the better ones first among equals.
+/// Returns the candidates with the required probability. If these are fewer than `least`, adds the
+/// most likely of the others; among equal probabilities the better score comes first.
 fn choose(rules: &Rules, rated: &[RatedCandidate], least: usize) -> Vec<RatedCandidate> {
     let (mut chosen, mut others): (Vec<RatedCandidate>, Vec<RatedCandidate>) = rated
         .iter()
@@ -312,9 +316,10 @@
     chosen
 }
 
-/// The probability that all these parts are in time. Parts share servers and troubles, so it lies
-/// between the product, as of independent parts, and that of the least likely one; their middle is
-/// taken. Guards wide queries, which the product alone would give up for nothing.
+/// Returns the probability that all these parts are in time. Parts share servers and failures, so
+/// the probability lies between the product, which assumes independence, and that of the least
+/// likely part. The geometric mean of the two keeps queries with many parts from being given up
+/// needlessly, as the product alone would do.
 fn all_in_time(parts: &[RatedCandidate], weakest: f64) -> f64 {
     let independent: f64 = parts.iter().map(|part| part.probability).product();
     (independent * weakest).sqrt()
--- a/decide/phases/src/budget/tests.rs
+++ b/decide/phases/src/budget/tests.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn the_second_phase_shrinks_step_by_step_and_not_below_the_least_share() {
+fn second_phase_with_less_time_has_fewer_parts_down_to_the_floor() {
     let all = candidates([Some(0.0); 5]);
     let mut counts = Vec::new();
     for left in [1_000, 145, 100, 20] {
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn what_is_pending_at_its_servers_decides_whether_a_part_goes() {
+fn part_for_a_server_with_many_pending_parts_is_not_sent() {
     let mixed = candidates([Some(9.0), Some(0.0), Some(0.0), Some(0.0), Some(0.0)]);
     let fitted = fit_second_phase(
         &rules(),
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_wide_second_phase_of_likely_parts_is_not_hopeless() {
+fn second_phase_of_many_likely_parts_is_not_given_up() {
     let wide = Rules {
         wanted: 100,
         floor: 1.0,
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn granted_slices_count_towards_the_least_share() {
+fn unneeded_slices_count_towards_the_floor() {
     let two = &candidates([Some(9.0), Some(9.0), None, None, None])[..2];
     let fitted = fit_second_phase(
         &rules(),
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn waiting_pays_until_the_second_phase_needs_the_time() {
+fn waiting_is_worth_more_until_the_second_phase_needs_the_time() {
     let mut latencies = latencies();
     let missing = [MissingPart {
         weight: 0.1,
@@ -164,7 +164,8 @@
         &missing,
     );
     assert!(late.now > late.waiting, "{late:?}");
-    // Out for longer than any part ever was: it may be lost, and there is little time to find out.
+    // The part has been in flight longer than any sample. It may be lost, and little time is left
+    // to wait for it.
     let lost = [MissingPart {
         weight: 0.1,
         out: Some(900 * MS),
--- a/decide/phases/src/latency.rs
+++ b/decide/phases/src/latency.rs
@@ -1,56 +1,57 @@
-//! Latencies of the parts of one class and phase: decaying quantiles, scaled by how much was pending
-//! where a part went.
+//! Latency quantiles of the parts of one class and phase, scaled by the number of parts pending at
+//! the server.
 //!
-//! It owns the samples of two generations, and promises that a probability is never 1 and that old
-//! samples are forgotten. Times are in microseconds.
+//! Samples are kept for two generations, so old samples are forgotten. Probabilities are always
+//! below 1. Times are in microseconds.
 
 use hdrhistogram::Histogram;
 use lichenswitch_interface::{Micros, Time};
 
-/// Steps of the table of quantiles.
+/// Number of steps in the table of quantiles.
 const QUANTILE_STEPS: usize = 64;
-/// A generation of samples ends after so many, and is forgotten one generation later.
+/// Number of samples after which a generation ends. It is forgotten one generation later.
 const GENERATION_SAMPLES: u64 = 2_000;
-/// It ends after so long in any case (microseconds).
+/// Time after which a generation ends even with fewer samples (microseconds).
 const GENERATION_TIME: Micros = 15_000_000;
-/// The table is made anew after so many samples, or after a part of all where that is more.
+/// Minimum number of new samples after which the table is recomputed.
 const MIN_REFRESH_SAMPLES: u64 = 32;
-/// That part of all samples.
+/// The table is recomputed after this fraction (1 / divisor) of all samples, if that exceeds
+/// [`MIN_REFRESH_SAMPLES`].
 const REFRESH_SAMPLES_DIVISOR: u64 = 16;
-/// The table is made anew after so long (microseconds) in any case, if a sample has come.
+/// Time after which the table is recomputed if there is any new sample (microseconds).
 const REFRESH_INTERVAL: Micros = 250_000;
-/// Nothing is predicted from fewer samples.
+/// Minimum number of samples for a prediction.
 const MIN_SAMPLES: u64 = 20;
-/// Parts that a server is taken to work on at once beside those that wait, as in the module's
-/// forecast.
+/// Number of parts that a server is assumed to process in parallel, in addition to the pending
+/// ones; the same as in the forecast of the `policy` module.
 pub const PARALLEL_PARTS: f64 = 2.0;
-/// Longest time that is recorded as such (microseconds).
+/// Maximum recorded latency; longer ones are recorded as this value (microseconds).
 const MAX_LATENCY: Micros = 600_000_000;
-/// How much of the assumption that a part needs as long again as it has had holds for one that is
-/// not yet out for longer than all were.
+/// Maximum weight of the assumption that a part needs as long again as it has been in flight, for a
+/// part that has not yet been in flight longer than all samples.
 const TAIL_WEIGHT: f64 = 0.5;
-/// No time is so long that a part is certain to have ended.
+/// Upper bound of a probability: no part is certain to have ended, however long the time.
 const MAX_PROBABILITY: f64 = 0.999;
-/// A part that was given up counts as a sample where more than this share of parts are quicker.
+/// A part that was given up counts as a sample if more than this share of parts were faster.
 const UNANSWERED_SAMPLE_QUANTILE: f64 = 0.5;
 
 /// Latencies of the parts of one class and phase.
 pub struct Latencies {
     recent: Histogram<u32>,
     older: Histogram<u32>,
-    /// When the recent generation began.
+    /// Time at which the recent generation began.
     generation_began_at: Time,
-    /// Time for each part that was pending or at work, at each of the quantiles 0, 1/64, ... 1.
+    /// Latency per part pending or in process, at each of the quantiles 0, 1/64, ... 1.
     quantiles: [f64; QUANTILE_STEPS + 1],
     refreshed_at: Time,
-    /// Samples since the table was made.
+    /// Number of samples since the table was computed.
     unrefreshed_samples: u64,
     sample_count: u64,
 }
 
 fn histogram() -> Histogram<u32> {
-    // Two digits are more than a forecast of milliseconds can use. The bounds are sound, so that it
-    // never fails.
+    // Two significant digits exceed the precision that a forecast of milliseconds can use. The call
+    // can't fail, because the bounds are valid.
     Histogram::new_with_bounds(1, MAX_LATENCY, 2)
         .unwrap_or_else(|e| unreachable!("bounds of a histogram: {e}"))
 }
@@ -70,7 +71,8 @@
 }
 
 impl Latencies {
-    /// A part took so long at a server that had `pending` parts of this broker when it was sent.
+    /// Records the latency of a part at a server that had `pending` parts of this broker when the
+    /// part was sent.
     pub fn add(&mut self, now: Time, elapsed: Micros, pending: f64) {
         if self.recent.len() >= GENERATION_SAMPLES
             || now.since(self.generation_began_at) >= GENERATION_TIME && !self.recent.is_empty()
@@ -83,12 +85,13 @@
             .saturating_record(((elapsed as f64 / (pending + PARALLEL_PARTS)) as u64).max(1));
         self.unrefreshed_samples += 1;
         self.sample_count = self.recent.len() + self.older.len();
-        // Here, where it is spread over many samples, and not in the midst of a plan.
+        // Refreshing here spreads the cost over many samples and keeps it out of planning.
         self.refresh(now);
     }
 
-    /// A part was given up after so long without an answer: it counts only where that is long
-    /// already, or those that were given up early would make all look quick.
+    /// Records a part that was given up without an answer after `elapsed`. It counts only if that
+    /// time is already long; otherwise parts that were given up early would make all parts look
+    /// fast.
     pub fn add_unanswered(&mut self, now: Time, elapsed: Micros, pending: f64) {
         if self.has_enough_samples()
             && self.probability_within(now, elapsed, pending) > UNANSWERED_SAMPLE_QUANTILE
@@ -97,13 +100,13 @@
         }
     }
 
-    /// Whether there are enough samples to predict anything.
+    /// Returns whether there are enough samples for predictions.
     #[must_use]
     pub fn has_enough_samples(&self) -> bool {
         self.sample_count >= MIN_SAMPLES
     }
 
-    /// Makes the table anew if it is out of date.
+    /// Recomputes the table of quantiles if it is out of date.
     fn refresh(&mut self, now: Time) {
         let many = MIN_REFRESH_SAMPLES.max(self.sample_count / REFRESH_SAMPLES_DIVISOR);
         let is_stale = self.unrefreshed_samples >= many
@@ -136,15 +139,15 @@
         self.quantiles[point.min(QUANTILE_STEPS + 1)..].fill(last);
     }
 
-    /// Probability that a part ends within so long at a server with so many pending, from 0 to
-    /// just under 1.
+    /// Returns the probability that a part ends within `within` microseconds at a server with
+    /// `pending` parts, from 0 to just under 1.
     pub fn probability_within(&mut self, now: Time, within: Micros, pending: f64) -> f64 {
         self.refresh(now);
         self.share_below(within as f64 / (pending + PARALLEL_PARTS))
     }
 
-    /// Probability that a part which has been out for `out` without an answer ends within `within`
-    /// from now.
+    /// Returns the probability that a part that has been in flight for `out` microseconds without
+    /// an answer ends within `within` microseconds from now.
     pub fn probability_within_after(
         &mut self,
         now: Time,
@@ -156,9 +159,9 @@
             self.probability_within(now, out, pending),
             self.probability_within(now, out + within, pending),
         );
-        // Little is known of a part that is out for longer than most were: it is taken to need as
-        // long again as it has had, by half a chance. Guards both against trust in a tail of few
-        // samples and against waiting for ever.
+        // Few samples describe a part that has been in flight longer than most. It is assumed to
+        // end with probability 1/2 within the time that it has already taken. This avoids relying
+        // on a tail of few samples and also avoids waiting forever.
         let as_long_again = within as f64 / (out + within).max(1) as f64;
         if by_now >= MAX_PROBABILITY {
             return as_long_again;
@@ -166,7 +169,8 @@
         ((by_then - by_now) / (1.0 - by_now)).max(as_long_again * TAIL_WEIGHT.min(by_now))
     }
 
-    /// Time within which this share of parts ends at a server with so many pending; microseconds.
+    /// Returns the time within which this share of parts ends at a server with `pending` parts
+    /// (microseconds).
     pub fn quantile(&mut self, now: Time, share: f64, pending: f64) -> Micros {
         self.refresh(now);
         let place = share.clamp(0.0, 1.0) * QUANTILE_STEPS as f64;
--- a/decide/phases/src/latency/tests.rs
+++ b/decide/phases/src/latency/tests.rs
@@ -6,13 +6,13 @@
 
 fn latencies() -> Latencies {
     let mut latencies = Latencies::default();
-    // From 1 to 100 ms, evenly, at servers with nothing pending.
+    // Latencies from 1 to 100 ms, evenly distributed, at servers without pending parts.
     (1..=100).for_each(|i| latencies.add(Time(i * MS), i * MS, 0.0));
     latencies
 }
 
 #[test]
-fn shares_and_quantiles_are_those_of_the_samples() {
+fn probabilities_and_quantiles_match_the_samples() {
     let (mut latencies, now) = (latencies(), Time(900 * MS));
     for (within, share) in [(25, 0.25), (50, 0.5), (90, 0.9)] {
         assert!(
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn what_is_pending_makes_it_longer_and_waiting_tells_something() {
+fn pending_parts_and_elapsed_time_lengthen_the_forecast() {
     let (mut latencies, now) = (latencies(), Time(900 * MS));
     assert!(
         (latencies.probability_within(now, 100 * MS, 2.0) - 0.5).abs() < 0.03,
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn old_samples_fade_and_few_tell_nothing() {
+fn old_samples_are_forgotten_and_few_samples_predict_nothing() {
     let mut latencies = Latencies::default();
     (0..19).for_each(|i| latencies.add(Time(i), 10 * MS, 0.0));
     assert!(!latencies.has_enough_samples());
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn parts_given_up_count_only_when_they_were_late() {
+fn unanswered_parts_count_only_if_they_were_late() {
     let mut latencies = latencies();
     (0..100).for_each(|_| latencies.add_unanswered(Time(200 * MS), 10 * MS, 0.0));
     assert!((latencies.probability_within(Time(900 * MS), 50 * MS, 0.0) - 0.5).abs() < 0.03);
--- a/decide/phases/src/lib.rs
+++ b/decide/phases/src/lib.rs
@@ -1,16 +1,18 @@
-//! Queries of two phases: how long the first may take, what the second asks for, and what is
-//! withdrawn because it can no longer help.
+//! Plans two-phase queries: how long the first phase may take, what the second phase asks for, and
+//! which of its parts are withdrawn because they can no longer change the answer.
 //!
-//! The module (`policy`) goes on to choose servers, copies and further attempts. The [`Planner`]
-//! decides when a first phase is closed, which parts the second has, and which are not needed any
-//! more. Events go in with their time; [`Verdict`]s come out with the figures behind them. Without
-//! [`Rules`] for a class nothing is planned for it, and all is as the settings say.
+//! The [`Planner`] decides when a first phase is closed, which parts the second phase has, and
+//! which of them are no longer needed. The `policy` module still chooses servers, copies and
+//! further attempts. The planner receives events with their time and returns [`Verdict`]s with the
+//! figures that led to them. A class without [`Rules`] is not planned; its queries follow the
+//! settings.
 //!
-//! - [`budget`]: the value of waiting, and how much of a second phase fits into the time left.
-//! - [`latency`]: latencies of parts, from which probabilities come.
-//! - [`prune`]: slices that can't change a sorted answer.
+//! - [`budget`] estimates the value of waiting and how much of a second phase fits into the
+//!   remaining time.
+//! - [`latency`] records the latencies of parts and derives probabilities from them.
+//! - [`prune`] finds slices that can't change a sorted answer.
 //!
-//! It is pure: no I/O, clock or threads.
+//! The package has no I/O, no clock and no threads.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/decide/phases/src/planner.rs
+++ b/decide/phases/src/planner.rs
@@ -1,4 +1,4 @@
-//! The planner: the queries of one broker, the events that concern them, and when they are looked at.
+//! The planner, which tracks the two-phase queries of one broker and schedules their checks.
 
 mod first_phase;
 mod second_phase;
@@ -12,23 +12,23 @@
 use lichenswitch_interface::{QueryId, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Weight of the newest sample in the usual count of pending parts.
+/// Weight of the newest sample in the moving average of pending parts.
 const USUAL_PENDING_SMOOTHING: f64 = 0.05;
 
-/// The planner of one broker.
+/// Planner of the two-phase queries of one broker.
 #[derive(Default)]
 pub struct Planner {
-    /// By class; `None`: not planned.
+    /// Rules by class; `None` if the class is not planned.
     rules: Vec<Option<Rules>>,
-    /// By class.
+    /// Latencies by class.
     latencies: Vec<PhaseLatencies>,
     queries: BTreeMap<QueryId, QueryState>,
-    /// When queries are to be looked at, the next first.
+    /// Times at which queries are checked, earliest first.
     wakes: BTreeSet<(Time, QueryId)>,
 }
 
 impl Planner {
-    /// A planner with rules by class; a class without any is not planned.
+    /// Creates a planner with rules by class. A class without rules is not planned.
     #[must_use]
     pub fn new(rules: Vec<Option<Rules>>) -> Self {
         let latencies = rules.iter().map(|_| PhaseLatencies::default()).collect();
@@ -39,13 +39,13 @@
         }
     }
 
-    /// Whether queries of a class are planned.
+    /// Returns whether queries of a class are planned.
     #[must_use]
     pub fn is_planned(&self, class: usize) -> bool {
         self.rules.get(class).is_some_and(Option::is_some)
     }
 
-    /// When to call [`Planner::tick`] next.
+    /// Returns the time at which to call [`Planner::tick`] next, or `None` if no check is due.
     #[must_use]
     pub fn next_wake(&self) -> Option<Time> {
         self.wakes.first().map(|wake| wake.0)
@@ -64,7 +64,7 @@
         }
     }
 
-    /// A query of two phases was taken, with the slices of its first.
+    /// Registers an accepted two-phase query with the slices of its first phase.
     pub fn on_query(&mut self, now: Time, id: QueryId, class: usize, parts: &[WeightedSlice]) {
         let Some(rules) = self.rules.get(class).and_then(Option::as_ref) else {
             return;
@@ -75,8 +75,8 @@
         self.set_wake(id, Some(limit));
     }
 
-    /// A part of a query's present phase was sent to a server at which so many parts of this broker
-    /// are pending.
+    /// Records that a part of the query's current phase was sent to a server at which `pending`
+    /// parts of this broker were pending.
     pub fn on_sent(&mut self, now: Time, id: QueryId, slice: u32, pending: f64) {
         let Some(query) = self.queries.get_mut(&id) else {
             return;
@@ -94,7 +94,8 @@
         }
     }
 
-    /// An attempt of a part ended well; `bound`: what a slice of a sorted answer has given.
+    /// Handles a successful attempt of a part. `bound` holds the elements that the slice returned
+    /// for a sorted answer.
     pub fn on_response(
         &mut self,
         now: Time,
@@ -125,8 +126,8 @@
         verdicts
     }
 
-    /// The attempt of a part that was sent at this time ended without an answer; `given_up`: it was
-    /// not waited for any longer.
+    /// Handles an attempt, sent at `sent_at`, that ended without an answer. `given_up` holds its
+    /// timing if the broker stopped waiting for it.
     pub fn on_loss(
         &mut self,
         now: Time,
@@ -143,19 +144,19 @@
         if query.phase != part.phase {
             return;
         }
-        // A copy that is out goes on: only the attempt that was sent last is forgotten.
+        // Another copy of the part may be in flight, so only a loss of the last attempt clears it.
         if let Some(state) = query.parts.get_mut(&part.slice) {
             state.in_flight = state.in_flight.filter(|attempt| attempt.sent_at != sent_at);
         }
     }
 
-    /// A query is over.
+    /// Removes a query that has ended.
     pub fn on_end(&mut self, id: QueryId) {
         self.set_wake(id, None);
         self.queries.remove(&id);
     }
 
-    /// Looks at the queries that are due. To be called by [`Planner::next_wake`].
+    /// Checks the queries that are due. The caller calls it no later than [`Planner::next_wake`].
     pub fn tick(&mut self, now: Time) -> Vec<Verdict> {
         let due: Vec<QueryId> = self
             .wakes
@@ -182,8 +183,8 @@
     }
 }
 
-/// Adds what a slice of a sorted answer has given. Where it contradicts what the slice gave before,
-/// nothing that rests on bounds is proved any more.
+/// Adds the elements that a slice returned for a sorted answer. If they contradict the slice's
+/// bound, bounds no longer prove anything for this query and pruning stops.
 fn add_keys(query: &mut QueryState, part: PartRef, bound: Bound) -> Option<Verdict> {
     let top_k = query.top_k.as_mut()?;
     if top_k
--- a/decide/phases/src/planner/first_phase.rs
+++ b/decide/phases/src/planner/first_phase.rs
@@ -1,4 +1,4 @@
-//! When a first phase is closed.
+//! Decides when a first phase is closed.
 
 use super::Planner;
 use crate::budget;
@@ -7,24 +7,25 @@
 use crate::Rules;
 use lichenswitch_interface::{Micros, QueryId, Time};
 
-/// How soon a first phase that could be closed is looked at again (microseconds).
+/// Interval at which a first phase that may be closed is checked again (microseconds).
 const CHECK_INTERVAL: Micros = 10_000;
-/// By how much waiting has to be worth more than going on.
+/// Minimum by which the expected worth of waiting must exceed that of continuing now.
 pub(super) const WAITING_MARGIN: f64 = 0.002;
-/// By how much the weight of the least share may fall short.
+/// Amount by which the answered weight may fall short of [`Rules::floor`].
 const FLOOR_TOLERANCE: f64 = 1e-4;
-/// By how much the weight of a complete first phase may fall short.
+/// Amount by which the answered weight may fall short of [`Rules::need`].
 const NEED_TOLERANCE: f64 = 1e-5;
 
 impl Planner {
-    /// Whether the first phase is to end now.
+    /// Returns the verdict that closes the first phase, or schedules the next check.
     pub(super) fn decide_first_phase(&mut self, now: Time, id: QueryId) -> Option<Verdict> {
         let query = self.queries.get(&id)?;
         let rules = self.rules.get(query.class)?.clone()?;
         let limit = query.first_phase_limit(&rules);
         if !may_close(query, &rules) {
             let is_before_limit = now < limit && !query.is_closed;
-            // Past its share and still under the least: looked at again as parts come in.
+            // Past the limit but below the floor, the phase needs no timer: each arriving answer
+            // triggers another check.
             self.set_wake(id, is_before_limit.then_some(limit));
             return None;
         }
@@ -37,7 +38,8 @@
         Some(Verdict::Close { query: id, reason })
     }
 
-    /// Why the first phase ends now: it has had its share, or waiting is not worth it.
+    /// Returns why the first phase ends now: it has used its share of the latency target, or
+    /// waiting is not worth it. Returns `None` if the phase continues.
     fn reason_to_close(
         &mut self,
         now: Time,
@@ -66,8 +68,8 @@
     }
 }
 
-/// Whether there is something to decide: under the least share there is nothing, and a complete
-/// first phase ends by itself.
+/// Returns whether the planner may close the first phase. Below the floor no answer is allowed, and
+/// a complete first phase ends without the planner.
 fn may_close(query: &QueryState, rules: &Rules) -> bool {
     let is_open = query.phase == Phase::First && !query.is_closed;
     let has_least = query.answered_weight + FLOOR_TOLERANCE >= rules.floor;
--- a/decide/phases/src/planner/second_phase.rs
+++ b/decide/phases/src/planner/second_phase.rs
@@ -1,4 +1,5 @@
-//! What a second phase asks for, which of its parts are not needed any more, and when it is given up.
+//! Plans second phases, withdraws parts that are no longer needed, and gives up queries that would
+//! earn too little.
 
 use super::Planner;
 use crate::budget::{self, FittedParts, SecondPhaseSize};
@@ -10,9 +11,9 @@
 use std::collections::BTreeSet;
 
 impl Planner {
-    /// The first phase has ended with these answers: what the second is to be. `pending` returns how
-    /// many parts of this broker wait at the server that a part for a slice would go to; `None`: no
-    /// server takes it. Returns none for a query that is not planned.
+    /// Plans the second phase from the answers of the first. `pending` returns the number of this
+    /// broker's parts that are pending at the server to which a part for the slice would go, or
+    /// `None` if no server accepts it. Returns `None` for a query that is not planned.
     pub fn plan_second_phase(
         &mut self,
         now: Time,
@@ -49,7 +50,8 @@
         Some(plan)
     }
 
-    /// The latency target has passed: whether what is left can still earn enough.
+    /// Returns the verdict that gives up the query if the latency target has passed and a late
+    /// answer earns too little. Before the target, schedules the check.
     pub(super) fn decide_second_phase(&mut self, now: Time, id: QueryId) -> Option<Verdict> {
         let query = self.queries.get(&id)?;
         let rules = self.rules.get(query.class)?.as_ref()?;
@@ -58,7 +60,7 @@
             self.set_wake(id, Some(target_at));
             return None;
         }
-        // From the least share on the module answers with what is in.
+        // With the minimum number of parts, the `policy` module answers with the received parts.
         if query.completed_count() >= rules.least_parts(query.second_phase_size.wanted) {
             return None;
         }
@@ -70,7 +72,7 @@
         is_too_little.then_some(Verdict::GiveUp { query: id, reason })
     }
 
-    /// Parts of a sorted second phase that are in flight and can't change the answer any more.
+    /// Withdraws the open parts of a sorted second phase that can no longer change the answer.
     pub(super) fn drop_unneeded(&mut self, id: QueryId) -> Vec<Verdict> {
         let Some(query) = self.queries.get_mut(&id) else {
             return Vec::new();
--- a/decide/phases/src/planner/tests.rs
+++ b/decide/phases/src/planner/tests.rs
@@ -9,8 +9,8 @@
 const MS: Micros = 1_000;
 const Q: QueryId = QueryId(1);
 
-/// A planner that has learnt: first-phase parts take 100 to 200 ms, second-phase parts 50 to 150
-/// ms.
+/// Returns a planner with samples: first-phase parts take 100 to 200 ms, second-phase parts 50 to
+/// 150 ms.
 fn planner(rules: Rules) -> Planner {
     let mut planner = Planner::new(vec![Some(rules)]);
     for i in 0..100u64 {
@@ -22,7 +22,7 @@
     planner
 }
 
-/// A query of ten slices of which so many are in after so long; tells the verdicts.
+/// Starts a query of ten slices, of which `came` slices answer after `after`. Returns the verdicts.
 fn first_phase(planner: &mut Planner, came: u32, after: Micros) -> Vec<Verdict> {
     let start = Time(10_000 * MS);
     let parts = slices(10);
@@ -62,7 +62,7 @@
     }
 }
 
-/// So many slices of equal weight.
+/// Returns `count` slices of equal weight.
 fn slices(count: u32) -> Vec<WeightedSlice> {
     let weight = 1.0 / f64::from(count);
     (0..count)
@@ -118,7 +118,7 @@
     );
     let next = quick.next_wake().expect("it is looked at again");
     assert!(next <= Time(10_160 * MS));
-    // Nothing comes: out for longer than any was, it may be lost.
+    // No answer arrives. After more time than any sample took, the part may be lost.
     let mut closed = Vec::new();
     while let (Some(at), true) = (quick.next_wake(), closed.is_empty()) {
         closed = quick.tick(at);
@@ -136,14 +136,14 @@
 }
 
 #[test]
-fn below_the_least_share_a_first_phase_is_never_closed_whatever_the_time() {
+fn first_phase_below_the_floor_is_never_closed() {
     let mut late = planner(Rules::test());
     assert_eq!(first_phase(&mut late, 7, 150 * MS), []);
     while let Some(at) = late.next_wake() {
         assert_eq!(late.tick(at), []);
     }
-    // The eighth comes after the first phase has had its share: closed at once, with exactly the
-    // least.
+    // The eighth answer arrives after the first phase has used its share. The phase closes at once,
+    // with exactly the minimum weight.
     let verdict = late.on_response(
         Time(10_950 * MS),
         part(7, Phase::First),
@@ -272,7 +272,7 @@
             reason: Reason::Bound { slice: 1, k: 3 }
         }]
     );
-    // Without pruning all slices with more are asked for all.
+    // Without pruning, every slice with further elements is asked for all `k` elements.
     let mut plain = super::tests::planner(Rules {
         prune: false,
         ..Rules::test()
@@ -295,7 +295,7 @@
 }
 
 #[test]
-fn a_slice_that_gives_more_than_its_bound_leaves_the_answer_in_doubt() {
+fn slice_that_contradicts_its_bound_puts_the_answer_in_doubt() {
     let mut planner = planner(Rules::test());
     first_phase(&mut planner, 10, 150 * MS);
     let firsts = (0..10).map(|s| bound(s, f64::from(s), 9)).collect();
@@ -329,7 +329,7 @@
 }
 
 #[test]
-fn a_second_phase_of_no_slices_is_planned_as_such() {
+fn second_phase_without_needed_slices_has_an_empty_plan() {
     let mut planner = planner(Rules::test());
     first_phase(&mut planner, 10, 150 * MS);
     let firsts = (0..10).map(|s| bound(s, 1.0, 1)).collect();
--- a/decide/phases/src/prune.rs
+++ b/decide/phases/src/prune.rs
@@ -1,37 +1,38 @@
-//! Pruning by bounds: a slice that can't change the first `k` of a sorted answer is left out, and
-//! that is proved.
+//! Pruning by bounds, which leaves out slices that provably can't change the first `k` elements of
+//! a sorted answer.
 //!
-//! Each slice's first answer is its best element, which bounds all that it has: the sorted access
-//! of the threshold algorithm (Fagin, Lotem and Naor, "Optimal aggregation algorithms for
-//! middleware", 2001), stopped after one round as TPUT does with its first phase (Cao and Wang,
+//! Each slice's first answer is its best element, which bounds all its elements. This is the sorted
+//! access of the threshold algorithm (Fagin, Lotem and Naor, "Optimal aggregation algorithms for
+//! middleware", 2001), stopped after one round as in the first phase of TPUT (Cao and Wang,
 //! "Efficient top-k query processing in distributed networks", 2004). Elements are ordered by key,
-//! then by slice, then as the slice gives them. Of a slice whose best has `r` elements of other
-//! slices before it, `k - r` elements can matter; with `r >= k - 1` none but the best itself.
+//! then by slice, then in the order in which the slice returns them. If `r` elements of other
+//! slices precede the best element of a slice, at most `k - r` elements of that slice can be among
+//! the first `k`. With `r >= k - 1`, only its best element can.
 
 use std::cmp::Ordering;
 
-/// What elements are sorted by.
+/// The key by which elements are sorted.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SortKey {
-    /// A number; one that is none can't be compared.
+    /// A number. NaN can't be compared.
     Number(f64),
-    /// A text, compared by its code points.
+    /// A text, compared by code points.
     Text(String),
-    /// No value: after all that have one, in either direction.
+    /// A missing value, sorted after all values in either direction.
     Missing,
 }
 
-/// In which direction elements are sorted.
+/// The direction in which elements are sorted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SortDirection {
-    /// The smallest first.
+    /// Smallest key first.
     Ascending,
-    /// The largest first.
+    /// Largest key first.
     Descending,
 }
 
 impl SortKey {
-    /// The order of two keys; `None`: they can't be compared.
+    /// Returns the order of two keys, or `None` if they can't be compared.
     #[must_use]
     pub fn compare(&self, other: &SortKey, direction: SortDirection) -> Option<Ordering> {
         let order = match (self, other) {
@@ -50,47 +51,48 @@
     }
 }
 
-/// What is known of the elements of a slice from its answers.
+/// The known elements of a slice, which bound its further elements.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bound {
-    /// The slice's number.
+    /// Number of the slice.
     pub slice: u32,
-    /// Keys of the elements that it gave, the best first.
+    /// Keys of the elements that the slice returned, best first.
     pub keys: Vec<SortKey>,
-    /// Elements that it has in all, where its answer says so.
+    /// Total number of matching elements in the slice, if its answer states it.
     pub matched: Option<u64>,
 }
 
 impl Bound {
-    /// Whether all that the slice has is here.
+    /// Returns whether all elements of the slice are known.
     fn is_exhausted(&self) -> bool {
         self.matched == Some(self.keys.len() as u64)
     }
 }
 
-/// What a slice can still give of the first `k` elements.
+/// The possible contribution of a slice to the first `k` elements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Contribution {
-    /// It may have so many elements among the first `k`, its best included.
+    /// At most this number of its elements, including its best, are among the first `k`.
     Elements(usize),
-    /// Its best can't be compared: nothing is proved of it, and all `k` are asked for.
+    /// Its best element is unknown or can't be compared, so all `k` elements are requested.
     Unknown,
-    /// Enough elements of other slices come before its best, or all but that one.
+    /// At least `k - 1` elements of other slices precede its best, so further elements can't
+    /// matter.
     Beaten,
-    /// It has no more than it gave.
+    /// It has no elements beyond those that it returned.
     Exhausted,
 }
 
-/// What a slice can still give.
+/// A slice with its possible contribution.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SliceContribution {
     /// The slice.
     pub slice: u32,
-    /// What it can still give.
+    /// Its possible contribution to the first `k` elements.
     pub contribution: Contribution,
 }
 
-/// The first `k` elements of a sorted answer, as far as its slices are known.
+/// Bounds of all slices of a sorted answer, of which the first `k` elements are requested.
 #[derive(Clone, Debug)]
 pub struct TopK {
     k: usize,
@@ -99,7 +101,7 @@
 }
 
 impl TopK {
-    /// The first `k` elements, without any slice.
+    /// Creates a state for the first `k` elements, without slices.
     #[must_use]
     pub fn new(k: usize, direction: SortDirection) -> TopK {
         TopK {
@@ -109,22 +111,22 @@
         }
     }
 
-    /// How many elements are asked for.
+    /// Returns the number of requested elements.
     #[must_use]
     pub fn k(&self) -> usize {
         self.k
     }
 
-    /// Adds a slice, with its best element.
+    /// Adds a slice with its first answer.
     pub fn add_slice(&mut self, bound: Bound) {
         self.slices.push(bound);
     }
 
-    /// A slice has given further keys.
+    /// Adds the keys that a slice has returned in the second phase.
     ///
     /// # Errors
-    /// It gave something better than its best, or what can't be compared with it: the bound was wrong,
-    /// and nothing that rests on it is proved.
+    /// Returns an error if the keys contradict the bound: a key precedes the slice's best, can't be
+    /// compared with it, or is out of order. Conclusions from that bound are then invalid.
     pub fn add_keys(
         &mut self,
         slice: u32,
@@ -153,7 +155,7 @@
             (None, Some(_)) => false,
             _ => true,
         };
-        // Of a slice that gives less than before, what it gave first still stands.
+        // If the slice returns fewer elements than before, the earlier ones remain valid.
         if keys.len() >= known.keys.len() {
             (known.keys, known.matched) = (keys, matched.or(known.matched));
         }
@@ -164,8 +166,8 @@
         }
     }
 
-    /// Elements of other slices that come before the best of this one; `None`: some can't be
-    /// compared.
+    /// Counts the elements of other slices that precede the best of this one. Returns `None` if it
+    /// has no best element or keys can't be compared.
     fn elements_before(&self, of: &Bound) -> Option<usize> {
         let best = of.keys.first()?;
         let mut count = 0;
@@ -190,7 +192,7 @@
         }
     }
 
-    /// What a slice can still give.
+    /// Returns the possible contribution of a slice.
     #[must_use]
     pub fn contribution(&self, slice: u32) -> Contribution {
         let Some(of) = self.slices.iter().find(|s| s.slice == slice) else {
@@ -199,11 +201,12 @@
         self.contribution_of(of, self.elements_before(of))
     }
 
-    /// What each slice can still give, the best first; one sort instead of a count for each slice.
+    /// Returns the possible contribution of each slice, best slice first. A single sort replaces a
+    /// count for each slice.
     #[must_use]
     pub fn contributions(&self) -> Vec<SliceContribution> {
         let Some(elements) = self.sorted_elements() else {
-            // Some key is of another kind: each slice is judged by itself.
+            // Some keys can't be compared, so each slice is counted separately.
             return self
                 .slices
                 .iter()
@@ -232,7 +235,7 @@
         judged.collect()
     }
 
-    /// All elements that are known, sorted; `None`: some can't be compared.
+    /// Returns all known elements in order, or `None` if some keys can't be compared.
     fn sorted_elements(&self) -> Option<Vec<Element<'_>>> {
         let mut elements: Vec<Element<'_>> = Vec::with_capacity(self.slices.len());
         for slice in &self.slices {
@@ -268,14 +271,14 @@
     }
 }
 
-/// An element that is known of a slice.
+/// A known element of a slice.
 struct Element<'a> {
     key: &'a SortKey,
     slice: &'a Bound,
     is_best_of_slice: bool,
 }
 
-/// A slice gave something better than its bound.
+/// The error that the keys of a slice contradict its bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WrongBound {
     /// The slice.
--- a/decide/phases/src/prune/tests.rs
+++ b/decide/phases/src/prune/tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn slices_that_cannot_change_the_first_k_are_beaten_ties_by_slice() {
+fn slices_that_cannot_change_the_first_k_are_beaten_with_ties_by_slice() {
     let slices: [&[f64]; 5] = [&[5.0, 1.0], &[9.0, 8.0], &[5.0, 4.0], &[7.0], &[]];
     let top_k = top_k(3, SortDirection::Descending, &slices, 1);
     let contributions = top_k.contributions();
@@ -33,8 +33,8 @@
         [
             (1, Contribution::Elements(3)),
             (3, Contribution::Exhausted),
-            (0, Contribution::Beaten), // Its best is the third: nothing else of it can be.
-            (2, Contribution::Beaten), // As good, but of a later slice.
+            (0, Contribution::Beaten), // Its best is the third element: no other fits.
+            (2, Contribution::Beaten), // Its best ties with slice 0 but belongs to a later slice.
             (4, Contribution::Exhausted),
         ]
     );
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn bounds_that_are_missing_or_no_numbers_prove_nothing() {
+fn missing_or_incomparable_bounds_prove_nothing() {
     for odd in [SortKey::Number(f64::NAN), SortKey::Text("many".into())] {
         let mut top_k = top_k(1, SortDirection::Ascending, &[&[1.0, 2.0], &[3.0, 4.0]], 1);
         top_k.add_slice(Bound {
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_slice_that_gives_more_than_its_bound_is_found_out() {
+fn keys_that_contradict_the_bound_are_rejected() {
     let mut top_k = top_k(
         5,
         SortDirection::Descending,
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn what_comes_in_beats_slices_that_are_still_out() {
+fn new_keys_beat_slices_without_an_answer() {
     let mut top_k = top_k(
         3,
         SortDirection::Ascending,
@@ -121,7 +121,7 @@
     assert_eq!(top_k.contribution(1), Contribution::Beaten);
 }
 
-/// The first `k` of all slices, as one big server would give them.
+/// Returns the first `k` elements of all slices, as a single server with all elements would.
 fn whole(slices: &[Vec<u8>], k: usize, direction: SortDirection) -> Vec<(u8, u32)> {
     let mut all: Vec<(u8, u32)> = (0..)
         .zip(slices)
@@ -144,7 +144,7 @@
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None,
         rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
     #[test]
-    fn the_pruned_first_k_are_those_of_all_slices(
+    fn first_k_after_pruning_match_those_of_all_slices(
         mut slices in prop::collection::vec(prop::collection::vec(0u8..20, 0..8), 1..12),
         k in 1usize..12,
         down: bool,
@@ -164,7 +164,7 @@
         let mut found: Vec<Vec<u8>> = slices.iter().map(|s| s.iter().take(1).copied().collect()).collect();
         let mut asked = 0;
         for SliceContribution { slice, .. } in top_k.contributions() {
-            // Judged again as answers come in.
+            // Each new answer may change the contributions of the slices not yet queried.
             let most = match top_k.contribution(slice) {
                 Contribution::Elements(most) => most,
                 Contribution::Unknown => k,
--- a/decide/phases/src/query.rs
+++ b/decide/phases/src/query.rs
@@ -1,4 +1,4 @@
-//! One query as the planner knows it: its phase, its parts, and what has been answered.
+//! State of one query in the planner: its phase, its parts and their answers.
 
 use crate::budget::{MissingPart, SecondPhaseSize};
 use crate::prune::TopK;
@@ -10,9 +10,9 @@
 /// A phase of a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// All slices give an estimate, a score or their best element.
+    /// Each slice returns an estimate, a score or its best element.
     First,
-    /// The best slices give their elements.
+    /// The best slices return their elements.
     Second,
 }
 
@@ -36,28 +36,28 @@
     pub weight: f64,
 }
 
-/// How long an attempt was out, and what it waited behind.
+/// Timing of an attempt, with the load at its server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptTiming {
-    /// Time since it was sent (microseconds).
+    /// Time since the attempt was sent (microseconds).
     pub elapsed: Micros,
-    /// Parts of this broker that were pending at its server when it was sent.
+    /// Number of parts of this broker that were pending at the server when the attempt was sent.
     pub pending: f64,
 }
 
-/// The last attempt of a part, while it is out.
+/// The last attempt of a part, while it is in flight.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct InFlight {
     pub(crate) sent_at: Time,
-    /// Parts pending at its server when it was sent.
+    /// Number of parts pending at the server when the attempt was sent.
     pub(crate) pending: f64,
 }
 
-/// One part of a query.
+/// State of one part in the query's current phase.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PartState {
     weight: f64,
-    /// `None`: no attempt is in flight.
+    /// The last attempt sent, or `None` if it has ended.
     pub(crate) in_flight: Option<InFlight>,
     is_answered: bool,
 }
@@ -72,22 +72,22 @@
     }
 }
 
-/// A query of two phases.
+/// State of a planned two-phase query.
 pub(crate) struct QueryState {
     pub(crate) class: usize,
     arrived_at: Time,
     pub(crate) target_at: Time,
     pub(crate) phase: Phase,
-    /// Whether the planner has ended its first phase.
+    /// Whether the planner has closed the first phase.
     pub(crate) is_closed: bool,
-    /// The parts of its phase, by slice.
+    /// Parts of the current phase, by slice.
     pub(crate) parts: BTreeMap<u32, PartState>,
     pub(crate) answered_weight: f64,
-    /// The size of its second phase, once that has begun.
+    /// Size of the second phase; zero until it begins.
     pub(crate) second_phase_size: SecondPhaseSize,
-    /// Set in a second phase whose answers may prove further parts to be unneeded.
+    /// Present in a second phase whose answers may prove that further parts are unneeded.
     pub(crate) top_k: Option<TopK>,
-    /// When it is to be looked at next.
+    /// Time at which the query is checked next.
     pub(crate) wake_at: Option<Time>,
 }
 
@@ -113,18 +113,18 @@
         }
     }
 
-    /// When its first phase has had its largest share of the latency target.
+    /// Returns the time at which the first phase has used its maximum share of the latency target.
     pub(crate) fn first_phase_limit(&self, rules: &Rules) -> Time {
         let share = rules.latency_target as f64 * rules.first_share;
         self.arrived_at.plus(share as Micros)
     }
 
-    /// How long ago it came.
+    /// Returns the time since the query arrived.
     pub(crate) fn age(&self, now: Time) -> Micros {
         now.since(self.arrived_at)
     }
 
-    /// A slice was answered; whether its part was open.
+    /// Marks a slice as answered. Returns whether its part was still open.
     pub(crate) fn on_answer(&mut self, slice: u32) -> bool {
         let Some(part) = self.parts.get_mut(&slice).filter(|part| !part.is_answered) else {
             return false;
@@ -134,7 +134,7 @@
         true
     }
 
-    /// Slices whose parts are open.
+    /// Returns the slices whose parts have no answer.
     pub(crate) fn open_slices(&self) -> Vec<u32> {
         self.parts
             .iter()
@@ -143,13 +143,13 @@
             .collect()
     }
 
-    /// Parts that were answered, or are unneeded.
+    /// Returns the number of parts that were answered or are unneeded.
     pub(crate) fn completed_count(&self) -> usize {
         let answered = self.parts.values().filter(|part| part.is_answered).count();
         answered + self.second_phase_size.unneeded
     }
 
-    /// The open parts, as the budget of time sees them.
+    /// Returns the parts that have no answer, as input for the time budget.
     pub(crate) fn missing_parts(&self, now: Time) -> Vec<MissingPart> {
         self.parts
             .values()
@@ -162,7 +162,7 @@
             .collect()
     }
 
-    /// The second phase begins with these parts; those that are unneeded count as answered.
+    /// Begins the second phase with these parts. Unneeded parts count as answered.
     pub(crate) fn begin_second_phase(
         &mut self,
         parts: &[PlannedPart],
--- a/decide/phases/src/ranking.rs
+++ b/decide/phases/src/ranking.rs
@@ -1,17 +1,17 @@
-//! The slices of a second phase by what they promise, before it is known how many fit into its time.
+//! Ranks the slices of a second phase, before the budget decides how many of them fit.
 
 use crate::budget::{Candidate, SecondPhaseSize};
 use crate::prune::{Bound, Contribution, SliceContribution, SortDirection, TopK};
 use crate::verdict::{FirstAnswer, Goal, PlannedPart};
 use crate::Rules;
 
-/// The slices of a second phase.
+/// The ranked slices of a second phase.
 pub(crate) struct Ranking {
-    /// Parts that could be sent, the best first.
+    /// Parts that could be sent, best first.
     pub(crate) parts: Vec<PlannedPart>,
-    /// Slices that were proved to be unneeded.
+    /// Slices whose bounds prove that they can't change the answer.
     pub(crate) unneeded: Vec<u32>,
-    /// Set where answers of the second phase may prove further ones to be unneeded.
+    /// Present if answers of the second phase may prove that further slices are unneeded.
     pub(crate) top_k: Option<TopK>,
 }
 
@@ -39,8 +39,8 @@
         }
     }
 
-    /// The first `k` elements by their keys; `prunes`: slices that can't have any of them get no
-    /// part.
+    /// Ranks the slices for the first `k` elements by their keys. If `prunes` is set, slices that
+    /// can't contain any of these elements get no part.
     fn by_keys(
         answers: Vec<FirstAnswer>,
         k: usize,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// How many parts a complete second phase has.
+    /// Returns the size of the complete second phase.
     pub(crate) fn size(&self) -> SecondPhaseSize {
         SecondPhaseSize {
             wanted: self.parts.len() + self.unneeded.len(),
@@ -91,7 +91,7 @@
         }
     }
 
-    /// The parts with what is pending at the servers that they would go to.
+    /// Returns the parts, each with the number of pending parts at the server that it would go to.
     pub(crate) fn candidates(&self, pending: impl Fn(u32) -> Option<f64>) -> Vec<Candidate> {
         let candidate = |part: &PlannedPart| Candidate {
             slice: part.slice,
--- a/decide/phases/src/rules.rs
+++ b/decide/phases/src/rules.rs
@@ -1,41 +1,41 @@
-//! How the two phases of a class are planned.
+//! Rules for planning the two phases of a class.
 
 use lichenswitch_interface::{Class, Micros};
 
-/// How the two phases of a class are planned: the class's own rules and the operators' settings.
+/// Rules for planning the two phases of a class, from the class itself and the operators' settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// An answer within this time earns the full worth, microseconds.
+    /// Time within which an answer earns its full worth (microseconds).
     pub latency_target: Micros,
-    /// Share of the worth that is left after the latency target.
+    /// Share of the worth that an answer earns after the latency target (0 to 1).
     pub late_share: f64,
-    /// Weight that makes a first phase complete.
+    /// Answered weight at which a first phase is complete.
     pub need: f64,
-    /// Least weight that may be answered from; at most `need`.
+    /// Minimum answered weight for a partial answer; at most `need`.
     pub floor: f64,
-    /// A partial answer earns this times its share of the worth.
+    /// Factor by which a partial answer's share of the worth is multiplied.
     pub partial: f64,
-    /// Parts of a complete second phase.
+    /// Number of parts in a complete second phase.
     pub wanted: usize,
-    /// A part is sent if it ends within the latency target with this probability (0 to 1).
+    /// Minimum probability that a part ends within the latency target for it to be sent (0 to 1).
     pub probability: f64,
     /// Largest share of the latency target that the first phase may take (0 to 1).
     pub first_share: f64,
-    /// Whether slices are left out by their bounds.
+    /// Whether slices are pruned by their bounds.
     pub prune: bool,
-    /// A query that is expected to earn less than this share of its worth is given up.
+    /// Minimum expected share of the worth; a query that is expected to earn less is given up.
     pub least_gain: f64,
 }
 
-/// Probability for a part to be sent, where operators set none: see `docs/operate/phases.md`.
+/// Default of [`Rules::probability`]; see `docs/operate/phases.md`.
 const PROBABILITY: f64 = 0.9;
-/// Least share of its worth that a query is worked for, where operators set none.
+/// Default of [`Rules::least_gain`].
 const LEAST_GAIN: f64 = 0.2;
-/// By how much sums of weights may fall short.
+/// Amount by which a sum of weights may fall short of its exact value.
 const WEIGHT_TOLERANCE: f64 = 1e-4;
 
 impl Rules {
-    /// The rules of a class with the settings that operators get by default.
+    /// Returns the rules of a class with the default settings.
     #[must_use]
     pub fn of(class: &Class) -> Rules {
         Rules {
@@ -52,7 +52,8 @@
         }
     }
 
-    /// Fewest parts of a second phase of so many: the least share, where a partial answer is allowed.
+    /// Returns the minimum number of answered parts in a second phase of `wanted` parts: the
+    /// floor's share where partial answers are allowed, otherwise all.
     #[must_use]
     pub fn least_parts(&self, wanted: usize) -> usize {
         let floor = if self.floor < self.need {
--- a/decide/phases/src/verdict.rs
+++ b/decide/phases/src/verdict.rs
@@ -1,59 +1,59 @@
-//! What the planner is told of first-phase answers, and what it decides, with the figures that led to
-//! it.
+//! Input and output types of the planner: first-phase answers, plans, and verdicts with the figures
+//! that led to them.
 
 use crate::prune::{Bound, SortDirection};
 use lichenswitch_interface::{Micros, QueryId};
 use std::fmt;
 
-/// Why something was decided, with the figures that led to it.
+/// The reason for a decision, with the figures that led to it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reason {
-    /// The first phase has had its largest share of the latency target.
+    /// The first phase has used its maximum share of the latency target.
     FirstShare {
-        /// Time since the query came, microseconds.
+        /// Time since the query arrived (microseconds).
         took: Micros,
-        /// Weight that is in.
+        /// Answered weight (0 to 1).
         have: f64,
     },
-    /// Waiting for what is missing takes more from the second phase than it brings.
+    /// Waiting for the missing parts costs the second phase more than it gains.
     Worth {
-        /// Weight that is in.
+        /// Answered weight (0 to 1).
         have: f64,
-        /// Expected worth of going on now.
+        /// Expected worth of continuing now, as a share of a complete answer in time.
         now: f64,
-        /// Expected worth of waiting, at best.
+        /// Expected worth of the best wait, as a share of a complete answer in time.
         waiting: f64,
     },
-    /// So many parts fit into the time that is left, each with the stated probability.
+    /// This number of parts fits into the remaining time, each with the required probability.
     Fits {
-        /// Parts that are sent.
+        /// Number of parts that are sent.
         sent: usize,
-        /// Parts of a whole second phase.
+        /// Number of parts in a complete second phase.
         wanted: usize,
-        /// Slices that were proved to be unneeded.
+        /// Number of slices whose bounds prove that they can't change the answer.
         unneeded: usize,
-        /// Time left to the latency target, microseconds.
+        /// Time left until the latency target (microseconds).
         left: Micros,
-        /// Chance of the least likely part.
+        /// Probability that the least likely part ends in time (0 to 1).
         weakest: f64,
     },
-    /// Other slices have `k` elements before all that this one can still give.
+    /// Other slices have `k` elements that precede all further elements of this slice.
     Bound {
         /// The slice.
         slice: u32,
-        /// Elements that are asked for.
+        /// Number of elements in the answer.
         k: usize,
     },
-    /// A slice gave something better than its bound.
+    /// A slice returned an element that contradicts its bound.
     WrongBound {
         /// The slice.
         slice: u32,
     },
-    /// What can still be earned is too little for the work.
+    /// The expected worth is below the minimum for which a query is continued.
     TooLittle {
-        /// Expected worth, as a share of a whole answer in time.
+        /// Expected worth, as a share of a complete answer in time.
         expected: f64,
-        /// The least that is worked for.
+        /// Minimum expected worth, from [`Rules::least_gain`](crate::Rules::least_gain).
         least: f64,
     },
 }
@@ -84,17 +84,17 @@
     }
 }
 
-/// What becomes of a query.
+/// A decision on a query or one of its parts.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// The first phase ends with what is in.
+    /// The first phase ends with the answers received so far.
     Close {
         /// The query.
         query: QueryId,
         /// Why.
         reason: Reason,
     },
-    /// A second-phase part is proved to be unneeded: it counts as in.
+    /// A second-phase part can't change the answer and counts as answered.
     Unneeded {
         /// The query.
         query: QueryId,
@@ -103,14 +103,14 @@
         /// Why.
         reason: Reason,
     },
-    /// The answer can't be called complete any more.
+    /// The answer may no longer be reported as complete.
     Doubt {
         /// The query.
         query: QueryId,
         /// Why.
         reason: Reason,
     },
-    /// The query gets its final answer now: none.
+    /// The query ends now without an answer.
     GiveUp {
         /// The query.
         query: QueryId,
@@ -119,29 +119,29 @@
     },
 }
 
-/// A part of the second phase.
+/// A second-phase part that the planner has chosen or considered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlannedPart {
-    /// Its slice.
+    /// The slice that the part queries.
     pub slice: u32,
-    /// How many elements to ask for, where the answer is sorted.
+    /// Maximum number of elements to ask for; `None` if the answer is not sorted.
     pub max_elements: Option<usize>,
 }
 
-/// What the second phase of a query is to be.
+/// The plan of a query's second phase.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// The parts, the best first.
+    /// Parts to send, best first.
     pub parts: Vec<PlannedPart>,
-    /// Parts of a complete second phase; each weighs one of so many.
+    /// Number of parts in a complete second phase; each has the weight `1 / wanted`.
     pub wanted: usize,
-    /// Slices that were left out for time.
+    /// Slices that are left out for lack of time.
     pub left_out: Vec<u32>,
-    /// Slices that were proved to be unneeded.
+    /// Slices whose bounds prove that they can't change the answer.
     pub unneeded: Vec<u32>,
-    /// Set: rather than being sent, the query is given up.
+    /// Whether the query is given up instead of sending the parts.
     pub give_up: bool,
-    /// The reasons.
+    /// Reasons for the size of the phase and, if the query is given up, for that.
     pub reasons: Vec<Reason>,
 }
 
@@ -150,22 +150,22 @@
 pub struct FirstAnswer {
     /// The slice.
     pub slice: u32,
-    /// The better, the sooner it is fetched from, where nothing is sorted.
+    /// Score of the slice; slices with higher scores are chosen first if the answer is not sorted.
     pub score: f64,
-    /// Its best element, where the answer is sorted.
+    /// Bound from the slice's best element, if the answer is sorted.
     pub bound: Option<Bound>,
 }
 
-/// What the second phase is for.
+/// The goal of a second phase.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Goal {
-    /// Details from the slices with the best scores, as many as the class says.
+    /// Fetch details from the slices with the best scores; the class sets their number.
     BestScores,
-    /// The first elements by their keys.
+    /// Fetch the first `k` elements by their keys.
     Top {
-        /// How many.
+        /// Number of elements.
         k: usize,
-        /// In which direction they are sorted.
+        /// Direction in which the elements are sorted.
         direction: SortDirection,
     },
 }
