--- a/decide/replication/src/replica/append.rs
+++ b/decide/replication/src/replica/append.rs
@@ -14,7 +14,7 @@
         }
         if append.to != self.me.identity {
             // The heartbeat is for a member with another disk at this address, which is lost. This
-            // member has not joined yet, so it asks the sender later.
+            // member still has to ask the sender to join.
             self.add_peer_addresses(vec![from.address.clone()]);
             return;
         }
@@ -26,7 +26,7 @@
             self.send(&from.address, rejection);
             return;
         }
-        self.follow(now, from, append);
+        self.follow_primary(now, from, append);
         if self.is_writable(now) {
             self.accept_records(now, append);
         }
@@ -42,7 +42,7 @@
 
     /// Follows the primary. A higher epoch takes effect at once and is written to disk with its
     /// first record.
-    fn follow(&mut self, now: Time, from: &Member, append: &Append) {
+    fn follow_primary(&mut self, now: Time, from: &Member, append: &Append) {
         if append.epoch > self.promised {
             self.step_down(now, StepDownReason::HigherEpoch(append.epoch));
             self.promised = append.epoch;
@@ -63,7 +63,7 @@
         }
         let contact_timeout_us = self.settings.contact_timeout_us;
         if let Some(known) = &mut self.known_primary {
-            known.update(now, from, append, self.process, contact_timeout_us);
+            known.update(now, from, append, self.process_nonce, contact_timeout_us);
         }
         self.postpone_election(now);
     }
@@ -126,20 +126,20 @@
     /// Marks the accepted state as committed if `position` is not after `committed`. The accepted
     /// state must be at `position`, and the primary must have had the same state.
     fn advance_committed(&mut self, position: Position, committed: Position) {
-        let is_new = self
+        let is_newer = self
             .committed
             .as_ref()
             .is_none_or(|(known, _)| *known < position);
         let Some(accepted) = self
             .accepted
             .as_ref()
-            .filter(|_| is_new && position <= committed)
+            .filter(|_| is_newer && position <= committed)
         else {
             return;
         };
         debug_assert_eq!(
             accepted.position, position,
-            "only the accepted state can be taken as committed"
+            "only the accepted state can be marked as committed"
         );
         self.committed = Some((position, accepted.state.clone()));
         self.outputs.push(Output::Committed(position));
@@ -169,13 +169,13 @@
         }
     }
 
-    /// Updates the entry from a heartbeat. `process` is the random number of this process.
+    /// Updates the entry from a heartbeat. `process_nonce` is that of this process.
     fn update(
         &mut self,
         now: Time,
         from: &Member,
         append: &Append,
-        process: u64,
+        process_nonce: u64,
         contact_timeout_us: u64,
     ) {
         if now.since(self.last_contact_at) >= contact_timeout_us {
@@ -191,7 +191,7 @@
         }
         let sent_at = append
             .last_response_sent_at
-            .filter(|sent_at| append.in_contact && sent_at.process == process);
+            .filter(|sent_at| append.in_contact && sent_at.process == process_nonce);
         let contact_at = sent_at.map(|sent_at| Time(sent_at.clock).min(now));
         self.contact_at = self.contact_at.max(contact_at);
     }
--- a/stats/src/lib.rs
+++ b/stats/src/lib.rs
@@ -1,14 +1,14 @@
-//! Plain containers for what the decision module remembers: queries with their parts and attempts,
-//! servers with the calls pending there, decaying figures, windows and token buckets.
+//! State containers of the decision module: queries with their parts and attempts, servers with
+//! their pending calls, decaying averages, windows and token buckets.
 //!
-//! They hold state and answer questions about it; what is decided from it, and every tuned value,
-//! is the caller's and comes as an argument.
+//! They hold state and compute values from it. Decisions and tuned values belong to the caller,
+//! which passes them as arguments.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod agenda;
 mod assignment;
 mod decay;
+mod part_checks;
 mod preference;
 mod query;
 mod random;
@@ -16,9 +16,9 @@
 mod tenant_quotas;
 mod window;
 
-pub use agenda::Agenda;
 pub use assignment::{PartAssignment, ServerScore};
 pub use decay::{remaining_share, DecayingMean, DecayingValue};
+pub use part_checks::PartChecks;
 pub use preference::Preference;
 pub use query::{AttemptState, InFlightAttempt, Part, PartAttempt, Query};
 pub use random::{windowed_random, SeededRng};
@@ -28,7 +28,7 @@
 
 use lichenswitch_interface::Micros;
 
-/// A share of a time.
+/// Returns `time` multiplied by `by`, rounded down.
 #[must_use]
 pub fn scaled(time: Micros, by: f64) -> Micros {
     (time as f64 * by) as Micros
