--- a/decide/management/src/desired_state.rs
+++ b/decide/management/src/desired_state.rs
@@ -92,16 +92,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
     /// The bytes have another format or another version of it.
-    #[error("it is no wanted state of version 1")]
+    #[error("not a desired state of format version 1")]
     Format,
     /// The bytes hold the state of the broker with this name.
-    #[error("it is that of {0:?}")]
+    #[error("it belongs to the broker {0:?}")]
     Owner(String),
     /// The content does not match its checksum.
     #[error("its checksum is not that of its content")]
     Checksum,
     /// The state has not been refreshed for this long (seconds).
-    #[error("nobody has kept it up for {0} s")]
+    #[error("it has not been refreshed for {0} s")]
     Expired(u64),
 }
 
--- a/decide/management/src/processes/tests.rs
+++ b/decide/management/src/processes/tests.rs
@@ -81,7 +81,7 @@
     assert_eq!(
         backlog_action(&[leaving(8)]),
         BacklogAction::Serve(Reason::NoSuccessor),
-        "nobody is left to one that leaves itself"
+        "a leaving process is no successor"
     );
 }
 
--- a/decide/phases/src/budget.rs
+++ b/decide/phases/src/budget.rs
@@ -139,14 +139,14 @@
         waiting: 0.0,
         wait: 0,
     };
-    let Some(longest) = LongestOut::of(missing) else {
+    let Some(longest) = LongestInFlight::of(missing) else {
         return best;
     };
-    let by_now = latencies
+    let ended_by_now = latencies
         .first
         .probability_within(now, longest.out, longest.pending);
     for probability in WAITING_PROBABILITIES {
-        let wait = longest.wait(latencies, now, by_now, probability);
+        let wait = longest.wait(latencies, now, ended_by_now, probability);
         if wait >= left {
             continue;
         }
@@ -161,17 +161,17 @@
 }
 
 /// The missing part that has been in flight longest. Waits are chosen for this part.
-struct LongestOut {
+struct LongestInFlight {
     out: Micros,
     pending: f64,
 }
 
-impl LongestOut {
-    fn of(missing: &[MissingPart]) -> Option<LongestOut> {
+impl LongestInFlight {
+    fn of(missing: &[MissingPart]) -> Option<LongestInFlight> {
         missing
             .iter()
             .filter_map(|part| {
-                Some(LongestOut {
+                Some(LongestInFlight {
                     out: part.out?,
                     pending: part.pending,
                 })
@@ -186,15 +186,15 @@
         &self,
         latencies: &mut PhaseLatencies,
         now: Time,
-        by_now: f64,
+        ended_by_now: f64,
         probability: f64,
     ) -> Micros {
-        let quantile = by_now + (1.0 - by_now) * probability;
+        let quantile = ended_by_now + (1.0 - ended_by_now) * probability;
         let until = latencies.first.quantile(now, quantile, self.pending);
-        let as_long_again = (self.out as f64 * probability) as Micros;
+        let min_wait_for_elapsed = (self.out as f64 * probability) as Micros;
         until
             .saturating_sub(self.out)
-            .max(as_long_again)
+            .max(min_wait_for_elapsed)
             .max(MIN_WAIT)
     }
 }
@@ -259,12 +259,12 @@
     candidates: &[Candidate],
     size: SecondPhaseSize,
 ) -> FittedParts {
-    let rated = rate(latencies, now, left, candidates);
+    let rated = rate_candidates(latencies, now, left, candidates);
     let least = rules
         .least_parts(size.wanted)
         .saturating_sub(size.unneeded)
         .min(candidates.len());
-    let chosen = choose(rules, &rated, least);
+    let chosen = select_candidates(rules, &rated, least);
     let weakest = chosen
         .iter()
         .map(|part| part.probability)
@@ -283,7 +283,7 @@
     }
 }
 
-fn rate(
+fn rate_candidates(
     latencies: &mut PhaseLatencies,
     now: Time,
     left: Micros,
@@ -305,7 +305,7 @@
 
 /// Returns the candidates with the required probability. If these are fewer than `least`, adds the
 /// most likely of the others; among equal probabilities the better score comes first.
-fn choose(rules: &Rules, rated: &[RatedCandidate], least: usize) -> Vec<RatedCandidate> {
+fn select_candidates(rules: &Rules, rated: &[RatedCandidate], least: usize) -> Vec<RatedCandidate> {
     let (mut chosen, mut others): (Vec<RatedCandidate>, Vec<RatedCandidate>) = rated
         .iter()
         .partition(|part| part.probability >= rules.probability);
--- a/decide/phases/src/budget/tests.rs
+++ b/decide/phases/src/budget/tests.rs
@@ -48,7 +48,7 @@
         counts.push(fitted.slices.len());
         assert!(fitted.expected <= 1.0 && fitted.weakest <= 1.0);
     }
-    assert_eq!(counts, [5, 5, 4, 4], "4 of 5 is the least share of 0.8");
+    assert_eq!(counts, [5, 5, 4, 4], "4 of 5 is the floor of 0.8");
     let free = Rules {
         floor: 0.0,
         ..rules()
@@ -89,9 +89,13 @@
     assert_eq!(
         (fitted.slices.len(), fitted.weakest),
         (4, 0.0),
-        "filled up to the least share"
+        "filled up to the floor"
+    );
+    assert!(
+        fitted.expected < 0.2,
+        "expected value is too high: {}",
+        fitted.expected
     );
-    assert!(fitted.expected < 0.2, "but hopeless: {}", fitted.expected);
 }
 
 #[test]
@@ -135,7 +139,11 @@
         two,
         size(5, 3),
     );
-    assert_eq!(fitted.slices.len(), 1, "3 of 5 are granted, 4 are needed");
+    assert_eq!(
+        fitted.slices.len(),
+        1,
+        "3 of 5 are unneeded and 4 are required"
+    );
 }
 
 #[test]
--- a/decide/phases/src/latency.rs
+++ b/decide/phases/src/latency.rs
@@ -15,8 +15,8 @@
 const GENERATION_TIME: Micros = 15_000_000;
 /// Minimum number of new samples after which the table is recomputed.
 const MIN_REFRESH_SAMPLES: u64 = 32;
-/// The table is recomputed after this fraction (1 / divisor) of all samples, if that exceeds
-/// [`MIN_REFRESH_SAMPLES`].
+/// Divisor of the sample count: the table is recomputed once this fraction of all samples is new,
+/// if that exceeds [`MIN_REFRESH_SAMPLES`].
 const REFRESH_SAMPLES_DIVISOR: u64 = 16;
 /// Time after which the table is recomputed if there is any new sample (microseconds).
 const REFRESH_INTERVAL: Micros = 250_000;
@@ -155,18 +155,19 @@
         within: Micros,
         pending: f64,
     ) -> f64 {
-        let (by_now, by_then) = (
+        let (ended_by_now, ended_by_then) = (
             self.probability_within(now, out, pending),
             self.probability_within(now, out + within, pending),
         );
         // Few samples describe a part that has been in flight longer than most. It is assumed to
         // end with probability 1/2 within the time that it has already taken. This avoids relying
         // on a tail of few samples and also avoids waiting forever.
-        let as_long_again = within as f64 / (out + within).max(1) as f64;
-        if by_now >= MAX_PROBABILITY {
-            return as_long_again;
+        let tail_probability = within as f64 / (out + within).max(1) as f64;
+        if ended_by_now >= MAX_PROBABILITY {
+            return tail_probability;
         }
-        ((by_then - by_now) / (1.0 - by_now)).max(as_long_again * TAIL_WEIGHT.min(by_now))
+        ((ended_by_then - ended_by_now) / (1.0 - ended_by_now))
+            .max(tail_probability * TAIL_WEIGHT.min(ended_by_now))
     }
 
     /// Returns the time within which this share of parts ends at a server with `pending` parts
--- a/decide/phases/src/planner/first_phase.rs
+++ b/decide/phases/src/planner/first_phase.rs
@@ -51,7 +51,7 @@
         let have = query.answered_weight;
         if now >= limit {
             let took = query.age(now);
-            return Some(Reason::FirstShare { took, have });
+            return Some(Reason::FirstPhaseShareUsed { took, have });
         }
         let latencies = self.latencies.get_mut(query.class)?;
         if !latencies.first.has_enough_samples() {
@@ -60,7 +60,7 @@
         let missing = query.missing_parts(now);
         let prospect = budget::prospect(rules, latencies, now, query.target_at, have, &missing);
         let closes = prospect.now + WAITING_MARGIN >= prospect.waiting;
-        closes.then_some(Reason::Worth {
+        closes.then_some(Reason::WaitingNotWorthwhile {
             have,
             now: prospect.now,
             waiting: prospect.waiting,
--- a/decide/phases/src/planner/tests.rs
+++ b/decide/phases/src/planner/tests.rs
@@ -7,17 +7,17 @@
 use lichenswitch_interface::Micros;
 
 const MS: Micros = 1_000;
-const Q: QueryId = QueryId(1);
+const QUERY: QueryId = QueryId(1);
 
 /// Returns a planner with samples: first-phase parts take 100 to 200 ms, second-phase parts 50 to
 /// 150 ms.
 fn planner(rules: Rules) -> Planner {
     let mut planner = Planner::new(vec![Some(rules)]);
     for i in 0..100u64 {
-        planner.on_query(Time(i), Q, 0, &slices(2));
+        planner.on_query(Time(i), QUERY, 0, &slices(2));
         planner.on_response(Time(i), part(0, Phase::First), timing((100 + i) * MS), None);
         planner.on_response(Time(i), part(1, Phase::Second), timing((50 + i) * MS), None);
-        planner.on_end(Q);
+        planner.on_end(QUERY);
     }
     planner
 }
@@ -26,8 +26,8 @@
 fn first_phase(planner: &mut Planner, came: u32, after: Micros) -> Vec<Verdict> {
     let start = Time(10_000 * MS);
     let parts = slices(10);
-    planner.on_query(start, Q, 0, &parts);
-    (0..10).for_each(|s| planner.on_sent(start, Q, s, 0.0));
+    planner.on_query(start, QUERY, 0, &parts);
+    (0..10).for_each(|s| planner.on_sent(start, QUERY, s, 0.0));
     let mut verdicts = Vec::new();
     for slice in 0..came {
         verdicts.extend(planner.on_response(
@@ -42,7 +42,7 @@
 
 fn part(slice: u32, phase: Phase) -> PartRef {
     PartRef {
-        query: Q,
+        query: QUERY,
         slice,
         phase,
     }
@@ -70,7 +70,7 @@
         .collect()
 }
 
-fn firsts(count: u32) -> Vec<FirstAnswer> {
+fn answers(count: u32) -> Vec<FirstAnswer> {
     (0..count)
         .map(|slice| FirstAnswer {
             slice,
@@ -83,7 +83,7 @@
 fn plan(planner: &mut Planner, at: Micros) -> Plan {
     let now = Time((10_000 + at) * MS);
     planner
-        .plan_second_phase(now, Q, Goal::BestScores, firsts(10), |_| Some(0.0))
+        .plan_second_phase(now, QUERY, Goal::BestScores, answers(10), |_| Some(0.0))
         .unwrap()
 }
 
@@ -95,7 +95,7 @@
         first_phase(&mut planner, 8, 150 * MS);
         let plan = plan(&mut planner, at);
         assert_eq!(plan.parts[0].slice, 9, "the best first");
-        assert!(plan.parts.len() >= 4, "never below the least share");
+        assert!(plan.parts.len() >= 4, "never below the floor");
         assert_eq!(plan.parts.len() + plan.left_out.len(), 5);
         counts.push(plan.parts.len());
         given_up.push(plan.give_up);
@@ -116,7 +116,7 @@
         [],
         "the last part is due any moment"
     );
-    let next = quick.next_wake().expect("it is looked at again");
+    let next = quick.next_wake().expect("another check is scheduled");
     assert!(next <= Time(10_160 * MS));
     // No answer arrives. After more time than any sample took, the part may be lost.
     let mut closed = Vec::new();
@@ -125,8 +125,8 @@
         assert!(at < Time(10_950 * MS));
     }
     let [Verdict::Close {
-        query: Q,
-        reason: Reason::Worth { now, waiting, have },
+        query: QUERY,
+        reason: Reason::WaitingNotWorthwhile { now, waiting, have },
     }] = closed[..]
     else {
         panic!("{closed:?}")
@@ -154,8 +154,8 @@
         matches!(
             verdict[..],
             [Verdict::Close {
-                query: Q,
-                reason: Reason::FirstShare { .. }
+                query: QUERY,
+                reason: Reason::FirstPhaseShareUsed { .. }
             }]
         ),
         "{verdict:?}"
@@ -176,8 +176,8 @@
         matches!(
             verdicts[..],
             [Verdict::Close {
-                query: Q,
-                reason: Reason::FirstShare { took: 900_000, .. }
+                query: QUERY,
+                reason: Reason::FirstPhaseShareUsed { took: 900_000, .. }
             }]
         ),
         "{verdicts:?}"
@@ -202,7 +202,11 @@
                 None,
             );
         }
-        assert_eq!(planner.next_wake(), Some(Time(11_000 * MS)), "the aim");
+        assert_eq!(
+            planner.next_wake(),
+            Some(Time(11_000 * MS)),
+            "the latency target"
+        );
         assert_eq!(planner.tick(Time(10_999 * MS)), []);
         let verdicts = planner.tick(Time(11_000 * MS));
         assert_eq!(
@@ -235,7 +239,7 @@
     let plan = planner
         .plan_second_phase(
             now,
-            Q,
+            QUERY,
             Goal::Top {
                 k: 3,
                 direction: SortDirection::Ascending,
@@ -253,7 +257,7 @@
         (plan.unneeded.len(), plan.left_out.len(), plan.wanted),
         (8, 0, 10)
     );
-    let told = |keys: [f64; 3]| Bound {
+    let returned = |keys: [f64; 3]| Bound {
         slice: 0,
         keys: keys.map(SortKey::Number).to_vec(),
         matched: Some(9),
@@ -262,12 +266,12 @@
         now,
         part(0, Phase::Second),
         timing(MS),
-        Some(told([0.0, 0.1, 0.2])),
+        Some(returned([0.0, 0.1, 0.2])),
     );
     assert_eq!(
         beaten,
         [Verdict::Unneeded {
-            query: Q,
+            query: QUERY,
             slice: 1,
             reason: Reason::Bound { slice: 1, k: 3 }
         }]
@@ -282,7 +286,7 @@
     let plan = plain
         .plan_second_phase(
             now,
-            Q,
+            QUERY,
             Goal::Top {
                 k: 3,
                 direction: SortDirection::Ascending,
@@ -303,7 +307,7 @@
     planner
         .plan_second_phase(
             now,
-            Q,
+            QUERY,
             Goal::Top {
                 k: 3,
                 direction: SortDirection::Ascending,
@@ -312,16 +316,16 @@
             |_| Some(0.0),
         )
         .unwrap();
-    let told = Bound {
+    let returned = Bound {
         slice: 0,
         keys: vec![SortKey::Number(-5.0)],
         matched: Some(9),
     };
-    let verdicts = planner.on_response(now, part(0, Phase::Second), timing(MS), Some(told));
+    let verdicts = planner.on_response(now, part(0, Phase::Second), timing(MS), Some(returned));
     assert_eq!(
         verdicts,
         [Verdict::Doubt {
-            query: Q,
+            query: QUERY,
             reason: Reason::WrongBound { slice: 0 }
         }],
         "and nothing is proved by it"
@@ -336,7 +340,7 @@
     let plan = planner
         .plan_second_phase(
             Time(10_200 * MS),
-            Q,
+            QUERY,
             Goal::Top {
                 k: 9,
                 direction: SortDirection::Ascending,
@@ -354,7 +358,7 @@
 
 #[test]
 fn reasons_include_their_figures() {
-    let why = Reason::Worth {
+    let why = Reason::WaitingNotWorthwhile {
         have: 0.9,
         now: 0.5,
         waiting: 0.25,
--- a/decide/phases/src/prune.rs
+++ b/decide/phases/src/prune.rs
@@ -223,7 +223,7 @@
             .iter()
             .filter(|slice| slice.keys.is_empty())
             .map(|slice| (slice, None));
-        let judged = with_best.chain(without).map(|(slice, before)| {
+        let slice_contributions = with_best.chain(without).map(|(slice, before)| {
             debug_assert_eq!(
                 before,
                 self.elements_before(slice),
@@ -232,7 +232,7 @@
             );
             self.slice_contribution(slice, before)
         });
-        judged.collect()
+        slice_contributions.collect()
     }
 
     /// Returns all known elements in order, or `None` if some keys can't be compared.
--- a/decide/phases/src/prune/tests.rs
+++ b/decide/phases/src/prune/tests.rs
@@ -56,7 +56,7 @@
         assert_eq!(
             top_k.contribution(1),
             Contribution::Unknown,
-            "not even of others"
+            "its bound is unusable for other slices too"
         );
         assert!(top_k
             .contributions()
@@ -72,7 +72,7 @@
     assert_eq!(
         top_k.contribution(2),
         Contribution::Unknown,
-        "it told neither its best nor how many"
+        "the slice returned neither its best element nor a count"
     );
     top_k.add_slice(Bound {
         slice: 3,
@@ -122,7 +122,7 @@
 }
 
 /// Returns the first `k` elements of all slices, as a single server with all elements would.
-fn whole(slices: &[Vec<u8>], k: usize, direction: SortDirection) -> Vec<(u8, u32)> {
+fn first_k_of_all(slices: &[Vec<u8>], k: usize, direction: SortDirection) -> Vec<(u8, u32)> {
     let mut all: Vec<(u8, u32)> = (0..)
         .zip(slices)
         .flat_map(|(s, keys)| keys.iter().map(move |&k| (k, s)))
@@ -147,18 +147,18 @@
     fn first_k_after_pruning_match_those_of_all_slices(
         mut slices in prop::collection::vec(prop::collection::vec(0u8..20, 0..8), 1..12),
         k in 1usize..12,
-        down: bool,
-        told: bool,
+        is_descending: bool,
+        has_count: bool,
     ) {
-        let direction = if down { SortDirection::Descending } else { SortDirection::Ascending };
+        let direction = if is_descending { SortDirection::Descending } else { SortDirection::Ascending };
         for keys in &mut slices {
             keys.sort_unstable();
-            if down { keys.reverse() }
+            if is_descending { keys.reverse() }
         }
         let key = |&n: &u8| SortKey::Number(f64::from(n));
         let mut top_k = TopK::new(k, direction);
         for (slice, all) in (0..).zip(&slices) {
-            let matched = (told || all.is_empty()).then_some(all.len() as u64);
+            let matched = (has_count || all.is_empty()).then_some(all.len() as u64);
             top_k.add_slice(Bound { slice, keys: all.iter().take(1).map(key).collect(), matched });
         }
         let mut found: Vec<Vec<u8>> = slices.iter().map(|s| s.iter().take(1).copied().collect()).collect();
@@ -176,7 +176,7 @@
             top_k.add_keys(slice, given.iter().map(key).collect(), Some(all.len() as u64)).unwrap();
             found[slice as usize] = given;
         }
-        prop_assert_eq!(whole(&found, k, direction), whole(&slices, k, direction));
+        prop_assert_eq!(first_k_of_all(&found, k, direction), first_k_of_all(&slices, k, direction));
         prop_assert!(asked <= k.min(slices.len()), "never more than k slices");
     }
 }
--- a/decide/phases/src/verdict.rs
+++ b/decide/phases/src/verdict.rs
@@ -9,14 +9,14 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reason {
     /// The first phase has used its maximum share of the latency target.
-    FirstShare {
+    FirstPhaseShareUsed {
         /// Time since the query arrived (microseconds).
         took: Micros,
         /// Answered weight (0 to 1).
         have: f64,
     },
     /// Waiting for the missing parts costs the second phase more than it gains.
-    Worth {
+    WaitingNotWorthwhile {
         /// Answered weight (0 to 1).
         have: f64,
         /// Expected worth of continuing now, as a share of a complete answer in time.
@@ -62,10 +62,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let ms = |t: &Micros| *t as f64 / 1e3;
         match self {
-            Reason::FirstShare { took, have } => {
-                write!(f, "first phase closed with {have:.3} in: it has had its share of the aim, {:.0} ms", ms(took))
+            Reason::FirstPhaseShareUsed { took, have } => {
+                write!(f, "first phase closed with {have:.3} in: it has used its share of the latency target, {:.0} ms", ms(took))
             }
-            Reason::Worth { have, now, waiting } => write!(
+            Reason::WaitingNotWorthwhile { have, now, waiting } => write!(
                 f,
                 "first phase closed with {have:.3} in: expected worth {now:.3} now, {waiting:.3} with waiting"
             ),
@@ -76,7 +76,7 @@
                 ms(left)
             ),
             Reason::Bound { slice, k } => write!(f, "slice {slice} can't change the first {k}"),
-            Reason::WrongBound { slice } => write!(f, "slice {slice} gave something better than its bound"),
+            Reason::WrongBound { slice } => write!(f, "slice {slice} returned keys that contradict its bound"),
             Reason::TooLittle { expected, least } => {
                 write!(f, "given up: expected worth {expected:.3}, least {least:.3}")
             }
