--- a/decide/phases/src/planner/first_phase.rs
+++ b/decide/phases/src/planner/first_phase.rs
@@ -9,7 +9,7 @@
 
 /// Interval at which a first phase that may be closed is checked again (microseconds).
 const CHECK_INTERVAL: Micros = 10_000;
-/// Minimum by which the expected worth of waiting must exceed that of continuing now.
+/// Minimum by which the expected value of waiting must exceed that of continuing now.
 pub(super) const WAITING_MARGIN: f64 = 0.002;
 /// Amount by which the answered weight may fall short of [`Rules::floor`].
 const FLOOR_TOLERANCE: f64 = 1e-4;
--- a/decide/phases/src/rules.rs
+++ b/decide/phases/src/rules.rs
@@ -5,15 +5,15 @@
 /// Rules for planning the two phases of a class, from the class itself and the operators' settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// Time within which an answer earns its full worth (microseconds).
+    /// Time within which an answer earns its full value (microseconds).
     pub latency_target: Micros,
-    /// Share of the worth that an answer earns after the latency target (0 to 1).
+    /// Share of the value that an answer earns after the latency target (0 to 1).
     pub late_share: f64,
     /// Answered weight at which a first phase is complete.
     pub need: f64,
     /// Minimum answered weight for a partial answer; at most `need`.
     pub floor: f64,
-    /// Factor by which a partial answer's share of the worth is multiplied.
+    /// Factor of a partial answer: it earns the value times this factor and its share of `need`.
     pub partial: f64,
     /// Number of parts in a complete second phase.
     pub wanted: usize,
@@ -23,7 +23,7 @@
     pub first_share: f64,
     /// Whether slices are pruned by their bounds.
     pub prune: bool,
-    /// Minimum expected share of the worth; a query that is expected to earn less is given up.
+    /// Minimum expected share of the value; a query that is expected to earn less is given up.
     pub least_gain: f64,
 }
 
--- a/decide/phases/src/verdict.rs
+++ b/decide/phases/src/verdict.rs
@@ -19,9 +19,9 @@
     WaitingNotWorthwhile {
         /// Answered weight (0 to 1).
         have: f64,
-        /// Expected worth of continuing now, as a share of a complete answer in time.
+        /// Expected value of continuing now, as a share of a complete answer in time.
         now: f64,
-        /// Expected worth of the best wait, as a share of a complete answer in time.
+        /// Expected value of the best wait, as a share of a complete answer in time.
         waiting: f64,
     },
     /// This number of parts fits into the remaining time, each with the required probability.
@@ -49,11 +49,11 @@
         /// The slice.
         slice: u32,
     },
-    /// The expected worth is below the minimum for which a query is continued.
+    /// The expected value is below the minimum for which a query is continued.
     TooLittle {
-        /// Expected worth, as a share of a complete answer in time.
+        /// Expected value, as a share of a complete answer in time.
         expected: f64,
-        /// Minimum expected worth, from [`Rules::least_gain`](crate::Rules::least_gain).
+        /// Minimum expected value, from [`Rules::least_gain`](crate::Rules::least_gain).
         least: f64,
     },
 }
