--- a/decide/phases/src/prune.rs
+++ b/decide/phases/src/prune.rs
@@ -86,7 +86,7 @@
 /// A slice with its possible contribution.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SliceContribution {
-    /// The slice.
+    /// Number of the slice.
     pub slice: u32,
     /// Its possible contribution to the first `k` elements.
     pub contribution: Contribution,
@@ -281,7 +281,7 @@
 /// The error that the keys of a slice contradict its bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WrongBound {
-    /// The slice.
+    /// Number of the slice.
     pub slice: u32,
 }
 
--- a/decide/phases/src/query.rs
+++ b/decide/phases/src/query.rs
@@ -19,18 +19,18 @@
 /// A part of a query: one slice in one phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PartRef {
-    /// The query.
+    /// Id of the query.
     pub query: QueryId,
-    /// The slice.
+    /// Number of the slice.
     pub slice: u32,
-    /// The phase.
+    /// Phase to which the part belongs.
     pub phase: Phase,
 }
 
 /// A slice with its share of the answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WeightedSlice {
-    /// The slice.
+    /// Number of the slice.
     pub slice: u32,
     /// Its share of the answer (0 to 1).
     pub weight: f64,
--- a/decide/phases/src/verdict.rs
+++ b/decide/phases/src/verdict.rs
@@ -39,14 +39,14 @@
     },
     /// Other slices have `k` elements that precede all further elements of this slice.
     Bound {
-        /// The slice.
+        /// Number of the slice.
         slice: u32,
         /// Number of elements in the answer.
         k: usize,
     },
     /// A slice returned an element that contradicts its bound.
     WrongBound {
-        /// The slice.
+        /// Number of the slice.
         slice: u32,
     },
     /// The expected value is below the minimum for which a query is continued.
@@ -89,32 +89,32 @@
 pub enum Verdict {
     /// The first phase ends with the answers received so far.
     Close {
-        /// The query.
+        /// Id of the query.
         query: QueryId,
-        /// Why.
+        /// Reason for the decision, for the log.
         reason: Reason,
     },
     /// A second-phase part can't change the answer and counts as answered.
     Unneeded {
-        /// The query.
+        /// Id of the query.
         query: QueryId,
         /// The slice of the part.
         slice: u32,
-        /// Why.
+        /// Reason for the decision, for the log.
         reason: Reason,
     },
     /// The answer may no longer be reported as complete.
     Doubt {
-        /// The query.
+        /// Id of the query.
         query: QueryId,
-        /// Why.
+        /// Reason for the decision, for the log.
         reason: Reason,
     },
     /// The query ends now without an answer.
     GiveUp {
-        /// The query.
+        /// Id of the query.
         query: QueryId,
-        /// Why.
+        /// Reason for the decision, for the log.
         reason: Reason,
     },
 }
@@ -148,7 +148,7 @@
 /// The first-phase answer of a slice.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FirstAnswer {
-    /// The slice.
+    /// Number of the slice.
     pub slice: u32,
     /// Score of the slice; slices with higher scores are chosen first if the answer is not sorted.
     pub score: f64,
