--- a/fleet/src/control/backlogs.rs
+++ b/fleet/src/control/backlogs.rs
@@ -1,4 +1,4 @@
-//! Sums of the work that waits at servers, and when they are sent next.
+//! Sums of the backlogs of servers, and the times at which they are sent next.
 
 use lichenswitch_backlog::BacklogTable;
 use lichenswitch_interface::Time;
@@ -14,7 +14,7 @@
     Peer(SocketAddr),
 }
 
-/// The sums, and when they are sent next.
+/// The backlogs by source, and the times of the next delta and the next snapshot.
 #[derive(Default)]
 pub(super) struct BacklogState {
     pub(super) table: BacklogTable<BacklogSource>,
@@ -23,12 +23,12 @@
 }
 
 impl BacklogState {
-    /// When a report has to be sent without a further event.
+    /// Returns when the next delta has to be sent, or `None` if nothing has changed.
     pub(super) fn next_wake(&self) -> Option<Time> {
         self.table.has_changed().then_some(self.next_delta_at)
     }
 
-    /// The connection to a source is closed: its backlogs are dropped.
+    /// Removes the backlogs of a source whose connection is closed.
     pub(super) fn on_disconnected(&mut self, source: BacklogSource) {
         self.table.on_source_lost(&source);
     }
--- a/fleet/src/control/eligibility.rs
+++ b/fleet/src/control/eligibility.rs
@@ -1,9 +1,11 @@
-//! Whether a machine of given settings may be a member of the group, and whether it founds it.
+//! Rules that decide from the settings whether a machine may join the group and whether it founds
+//! it.
 
 use crate::settings::Settings;
 use lichenswitch_control::Eligibility;
 
-/// Why the machine of these settings may be a member of the group, if it may.
+/// Returns whether a machine with these settings may be a member of the group, and on which
+/// grounds.
 pub(super) fn eligibility(settings: &Settings) -> Eligibility {
     let address = settings.listen_addresses.control_plane;
     let is_seed = address.is_some_and(|address| settings.seed_nodes.contains(&address));
@@ -14,7 +16,7 @@
     }
 }
 
-/// Whether the machine is a member from its start on.
+/// Whether the machine joins the group as soon as it starts.
 pub(super) fn should_join_at_start(eligibility: Eligibility, settings: &Settings) -> bool {
     match eligibility {
         Eligibility::Durable => true,
@@ -23,8 +25,8 @@
     }
 }
 
-/// Whether this machine founds the group. It is founded once in the life of a system, by the first
-/// seed, which all machines name alike.
+/// Whether this machine founds the group. A group is founded once in the life of a system, by the
+/// first seed in the settings, which is the same on all machines.
 pub(super) fn is_founder(settings: &Settings) -> bool {
     let address = settings.listen_addresses.control_plane;
     settings.is_first_start
--- a/fleet/src/control/peer_table.rs
+++ b/fleet/src/control/peer_table.rs
@@ -1,8 +1,8 @@
 //! The other control machines: their addresses, the connections to them, and when they are dialled.
 //!
-//! It owns the table and the rule by which one connection of a pair carries the messages. It promises
-//! that both ends of a pair choose the same one, that a peer without a connection is dialled again
-//! within half a second, and that unreachable addresses are forgotten.
+//! Two machines may dial each other at the same time. This module decides which connection of the
+//! pair carries the messages, and guarantees that both ends choose the same one. A peer without a
+//! connection is dialled again within half a second. Unreachable addresses are removed.
 
 use super::clock::{after, earlier, elapsed};
 use lichenswitch_interface::Time;
@@ -12,58 +12,59 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Least and longest delay before a peer is dialled again.
+/// Minimum delay before a peer is dialled again.
 const MIN_REDIAL_DELAY: Duration = Duration::from_millis(60);
+/// Maximum delay before a peer is dialled again.
 const MAX_REDIAL_DELAY: Duration = Duration::from_millis(500);
-/// A connection that is not up after this time is dialled again: its opening packet may have been
-/// lost, and TCP repeats it only after a second.
+/// Timeout for establishing a connection, after which the peer is dialled again. The first packet
+/// may have been lost, and TCP retransmits it only after a second.
 pub(super) const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
-/// A connection on which nothing arrives for this time is closed: each end sends a digest every
+/// Time without a message after which a connection is closed. Each end sends a digest every
 /// [`super::timing::DIGEST_INTERVAL`].
 pub(super) const PEER_IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// An address from which nothing arrives for this time is forgotten, unless it is a seed's or a
-/// voter's.
+/// Time without a message after which an address is removed, unless it belongs to a seed or a
+/// voter.
 const FORGET_TIMEOUT: Duration = Duration::from_secs(60);
-/// Most addresses that are known. Bounds the addresses that peers report to each other.
+/// Maximum number of known addresses. Bounds the addresses that peers report to each other.
 const MAX_PEERS: usize = 64;
 
-/// What a control machine reports of itself in its first message.
+/// The first message of a control machine on a connection, which describes its sender.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct PeerHandshake {
-    /// Name of its node.
+    /// Name of the sender's node.
     pub(super) node: String,
-    /// Identity of its disk, or of its process.
+    /// Identity of the sender's disk, or of its process if it has no disk.
     pub(super) identity: u64,
-    /// Whether it has a disk, or its loss is counted.
+    /// Whether the sender may become a voter: it has a disk, or its loss is counted.
     pub(super) is_eligible: bool,
 }
 
-/// One control machine.
+/// Another control machine, as this machine sees it.
 #[derive(Debug)]
 pub(super) struct Peer {
-    /// The connection that this machine has dialled, and when.
+    /// The connection that this machine has dialled, and the time at which it did.
     dialled: Option<(ConnId, Time)>,
-    /// The connection that it has dialled.
+    /// The connection that the peer has dialled.
     accepted: Option<ConnId>,
-    /// Whether its handshake has arrived on the dialled connection.
+    /// Whether the peer's handshake has arrived on the dialled connection.
     is_handshake_received: bool,
-    /// Its last handshake.
+    /// The last handshake of the peer, on either connection.
     pub(super) handshake: Option<PeerHandshake>,
-    /// When a message arrived last, or it became known.
+    /// When the last message arrived. Until the first one, when the address was added.
     last_received_at: Time,
-    /// Whether a message has ever arrived.
+    /// Whether any message has arrived from the peer.
     was_reached: bool,
     next_dial_at: Time,
     dial_failures: u32,
-    /// Whether it was in contact when it last reported.
+    /// Whether the peer was in contact when it last reported.
     pub(super) in_contact: bool,
-    /// Routers that were connected to it when it last reported.
-    pub(super) routers: u32,
-    /// Its last acknowledgement that the primary is confirmed.
+    /// Number of routers that were connected to the peer when it last reported.
+    pub(super) router_count: u32,
+    /// The last acknowledgement of the peer that the primary is confirmed.
     pub(super) confirmation_ack: Option<ProcessInstant>,
 }
 
-/// All control machines but this one.
+/// The other control machines, by address.
 pub(super) struct PeerTable {
     local_address: SocketAddr,
     /// Addresses of the seeds, without those that have turned out to be this machine.
@@ -82,13 +83,14 @@
         peers
     }
 
-    /// The settings name these seeds.
+    /// Replaces the seeds by those of the settings, and adds their addresses.
     pub(super) fn on_seeds(&mut self, seeds: Vec<SocketAddr>, now: Time) {
         seeds.iter().for_each(|seed| self.learn(*seed, now));
         self.seeds = seeds;
     }
 
-    /// Adds an address that the settings, the group or a peer has named.
+    /// Adds an address that the settings, the group or a peer has named. Ignores this machine's own
+    /// address, unusable ones, and new ones once the table holds [`MAX_PEERS`].
     pub(super) fn learn(&mut self, address: SocketAddr, now: Time) {
         if address == self.local_address || address.port() == 0 || address.ip().is_unspecified() {
             return;
@@ -98,7 +100,7 @@
         }
     }
 
-    /// Adds the addresses of a message. Invalid ones are passed over.
+    /// Adds the addresses in a message. Ignores those that can't be parsed.
     pub(super) fn learn_all(&mut self, addresses: &[String], now: Time) {
         addresses
             .iter()
@@ -106,35 +108,35 @@
             .for_each(|address| self.learn(address, now));
     }
 
-    /// The peer at an address.
+    /// Returns the peer at an address.
     pub(super) fn get(&self, address: SocketAddr) -> Option<&Peer> {
         self.peers.get(&address)
     }
 
-    /// The peer at an address, to be updated.
+    /// Returns the peer at an address, for an update.
     pub(super) fn get_mut(&mut self, address: SocketAddr) -> Option<&mut Peer> {
         self.peers.get_mut(&address)
     }
 
-    /// All peers.
+    /// Iterates over all peers, connected or not, in the order of their addresses.
     pub(super) fn iter(&self) -> impl Iterator<Item = (SocketAddr, &Peer)> {
         self.peers.iter().map(|(address, peer)| (*address, peer))
     }
 
-    /// Peers with a connection that carries messages.
+    /// Iterates over the peers that have a connection on which messages can be sent.
     pub(super) fn connected(&self) -> impl Iterator<Item = (SocketAddr, &Peer)> {
         self.iter()
             .filter(|(address, peer)| peer.connection(self.local_address, *address).is_some())
     }
 
-    /// The connection that carries messages to this peer.
+    /// Returns the connection on which messages to a peer are sent, if it is established.
     pub(super) fn connection(&self, address: SocketAddr) -> Option<ConnId> {
         self.peers
             .get(&address)?
             .connection(self.local_address, address)
     }
 
-    /// Addresses of the peers that have been reached, without this machine.
+    /// Returns the addresses of the peers from which a message has arrived.
     pub(super) fn reached_addresses(&self) -> Vec<String> {
         self.iter()
             .filter(|(_, peer)| peer.was_reached)
@@ -142,34 +144,34 @@
             .collect()
     }
 
-    /// Peers that have to be dialled now.
+    /// Returns the addresses of the peers that have to be dialled now.
     pub(super) fn due_dials(&self, now: Time) -> Vec<SocketAddr> {
-        let due_dials = |(address, peer): &(SocketAddr, &Peer)| {
+        let is_due = |(address, peer): &(SocketAddr, &Peer)| {
             peer.next_dial_at(self.local_address, *address)
                 .is_some_and(|at| at <= now)
         };
         self.iter()
-            .filter(due_dials)
+            .filter(is_due)
             .map(|(address, _)| address)
             .collect()
     }
 
-    /// A peer is being dialled.
+    /// Records the connection of a dial that has started.
     pub(super) fn on_dial_started(&mut self, address: SocketAddr, id: ConnId, now: Time) {
         if let Some(peer) = self.peers.get_mut(&address) {
             (peer.dialled, peer.is_handshake_received) = (Some((id, now)), false);
         }
     }
 
-    /// A peer could not be dialled.
+    /// Schedules the next dial after one that could not be started.
     pub(super) fn on_dial_failed(&mut self, address: SocketAddr, now: Time) {
         if let Some(peer) = self.peers.get_mut(&address) {
             peer.schedule_redial(now);
         }
     }
 
-    /// The handshake has arrived on a connection. Returns the older connection that it replaces, to
-    /// be closed.
+    /// Handles the handshake on a connection. Returns the older accepted connection that the new
+    /// one replaces, which the caller has to close.
     pub(super) fn on_handshake(
         &mut self,
         address: SocketAddr,
@@ -188,14 +190,15 @@
         peer.accepted.replace(id).filter(|old| *old != id)
     }
 
-    /// A message has arrived from a peer.
+    /// Records that a message has arrived from a peer.
     pub(super) fn on_message_received(&mut self, address: SocketAddr, now: Time) {
         if let Some(peer) = self.peers.get_mut(&address) {
             (peer.last_received_at, peer.was_reached) = (now, true);
         }
     }
 
-    /// A connection is closed.
+    /// Handles the end of a connection: schedules the next dial and, after the last connection,
+    /// clears what the peer has reported.
     pub(super) fn on_closed(&mut self, address: SocketAddr, id: ConnId, now: Time) {
         let Some(peer) = self.peers.get_mut(&address) else {
             return;
@@ -208,23 +211,23 @@
         }
         peer.schedule_redial(now);
         if peer.dialled.is_none() && peer.accepted.is_none() {
-            (peer.in_contact, peer.routers, peer.confirmation_ack) = (false, 0, None);
+            (peer.in_contact, peer.router_count, peer.confirmation_ack) = (false, 0, None);
         }
     }
 
-    /// The address has turned out to be this machine.
+    /// Removes an address that has turned out to be this machine's own, also from the seeds.
     pub(super) fn forget(&mut self, address: SocketAddr) {
         self.peers.remove(&address);
         self.seeds.retain(|seed| *seed != address);
     }
 
-    /// Forgets unreachable addresses, and returns them.
+    /// Removes unreachable addresses, and returns them.
     pub(super) fn forget_unreachable(
         &mut self,
         voters: &[SocketAddr],
         now: Time,
     ) -> Vec<SocketAddr> {
-        let unreachable = |(address, peer): &(SocketAddr, &Peer)| {
+        let is_unreachable = |(address, peer): &(SocketAddr, &Peer)| {
             let is_required = self.seeds.contains(address) || voters.contains(address);
             !is_required
                 && peer.accepted.is_none()
@@ -232,7 +235,7 @@
         };
         let unreachable: Vec<SocketAddr> = self
             .iter()
-            .filter(unreachable)
+            .filter(is_unreachable)
             .map(|(address, _)| address)
             .collect();
         unreachable
@@ -241,7 +244,7 @@
         unreachable
     }
 
-    /// When a peer has to be dialled next.
+    /// Returns when the next peer has to be dialled.
     pub(super) fn next_wake(&self) -> Option<Time> {
         self.iter()
             .filter_map(|(address, peer)| peer.next_dial_at(self.local_address, address))
@@ -261,14 +264,14 @@
             next_dial_at: now,
             dial_failures: 0,
             in_contact: false,
-            routers: 0,
+            router_count: 0,
             confirmation_ack: None,
         }
     }
 
-    /// The connection of the pair that both ends send on: the one dialled by the smaller address,
-    /// where it is up. As both ends apply the same rule, the other connection becomes idle and is
-    /// closed.
+    /// Returns the connection of the pair on which both ends send. It is the one that the machine
+    /// with the smaller address has dialled, if it is established. Both ends apply the same rule,
+    /// so the other connection becomes idle and is closed.
     fn connection(&self, local_address: SocketAddr, address: SocketAddr) -> Option<ConnId> {
         let dialled = self
             .dialled
@@ -291,19 +294,20 @@
             .saturating_mul(1 << self.dial_failures.min(4))
             .min(MAX_REDIAL_DELAY);
         self.dial_failures = self.dial_failures.saturating_add(1);
-        // Jitter, so that machines that lost each other at the same time don't dial at the same time
-        // again and again.
+        // Adds jitter, so that machines that lost each other at the same time don't keep dialling
+        // at the same time.
         self.next_dial_at = after(now, delay.mul_f64(0.5 + fastrand::f64() / 2.0));
     }
 
-    /// Whether it has a disk, or its loss is counted, as far as its handshake has arrived.
+    /// Whether the peer may become a voter, according to its handshake. False before the handshake
+    /// has arrived.
     pub(super) fn is_eligible(&self) -> bool {
         self.handshake
             .as_ref()
             .is_some_and(|handshake| handshake.is_eligible)
     }
 
-    /// When a message arrived last; `None`: never.
+    /// Returns when the last message arrived, or `None` if none has.
     pub(super) fn last_received_at(&self) -> Option<Time> {
         self.was_reached.then_some(self.last_received_at)
     }
--- a/fleet/src/control/peer_table/tests.rs
+++ b/fleet/src/control/peer_table/tests.rs
@@ -19,7 +19,7 @@
     }
 }
 
-/// Ids of connections.
+/// Returns the ids of `count` connections.
 fn connections(count: usize) -> Vec<ConnId> {
     let mut net = Net::new(100).unwrap();
     net.reserve_for_peers(8);
@@ -33,30 +33,30 @@
 #[test]
 fn both_ends_of_pair_choose_same_connection() {
     let dialled = connections(2);
-    // The smaller address dialled the first one, the greater the second.
-    let (by_small, by_great) = (dialled[0], dialled[1]);
-    let mut small = PeerTable::new(address(1), vec![address(2)], at(0));
-    let mut great = PeerTable::new(address(2), vec![address(1)], at(0));
-    small.on_dial_started(address(2), by_small, at(0));
-    great.on_dial_started(address(1), by_great, at(0));
+    // The machine with the lower address has dialled the first connection, the other the second.
+    let (dialled_by_lower, dialled_by_higher) = (dialled[0], dialled[1]);
+    let mut lower = PeerTable::new(address(1), vec![address(2)], at(0));
+    let mut higher = PeerTable::new(address(2), vec![address(1)], at(0));
+    lower.on_dial_started(address(2), dialled_by_lower, at(0));
+    higher.on_dial_started(address(1), dialled_by_higher, at(0));
     assert_eq!(
-        small.connection(address(2)),
+        lower.connection(address(2)),
         None,
         "messages are sent only after the handshake"
     );
-    small.on_handshake(address(2), by_small, handshake(), at(1));
-    small.on_handshake(address(2), by_great, handshake(), at(1));
-    great.on_handshake(address(1), by_great, handshake(), at(1));
-    great.on_handshake(address(1), by_small, handshake(), at(1));
-    assert_eq!(small.connection(address(2)), Some(by_small));
-    assert_eq!(great.connection(address(1)), Some(by_small));
+    lower.on_handshake(address(2), dialled_by_lower, handshake(), at(1));
+    lower.on_handshake(address(2), dialled_by_higher, handshake(), at(1));
+    higher.on_handshake(address(1), dialled_by_higher, handshake(), at(1));
+    higher.on_handshake(address(1), dialled_by_lower, handshake(), at(1));
+    assert_eq!(lower.connection(address(2)), Some(dialled_by_lower));
+    assert_eq!(higher.connection(address(1)), Some(dialled_by_lower));
 
-    // Without that one both go on with the other, and neither dials.
-    small.on_closed(address(2), by_small, at(2));
-    great.on_closed(address(1), by_small, at(2));
-    assert_eq!(small.connection(address(2)), Some(by_great));
-    assert_eq!(great.connection(address(1)), Some(by_great));
-    assert!(small.due_dials(at(60_000)).is_empty() && great.due_dials(at(60_000)).is_empty());
+    // After that connection is closed, both use the other one, and neither dials.
+    lower.on_closed(address(2), dialled_by_lower, at(2));
+    higher.on_closed(address(1), dialled_by_lower, at(2));
+    assert_eq!(lower.connection(address(2)), Some(dialled_by_higher));
+    assert_eq!(higher.connection(address(1)), Some(dialled_by_higher));
+    assert!(lower.due_dials(at(60_000)).is_empty() && higher.due_dials(at(60_000)).is_empty());
 }
 
 #[test]
@@ -80,7 +80,7 @@
         );
         now = (next.0 - at(0).0).div_ceil(1_000);
     }
-    assert!(now > 3_000, "it gets slower: {now} ms for 20 attempts");
+    assert!(now > 3_000, "delays increase: {now} ms for 20 attempts");
 }
 
 #[test]
--- a/fleet/src/control/pending_updates.rs
+++ b/fleet/src/control/pending_updates.rs
@@ -1,5 +1,5 @@
-//! Updates about servers that wait to be acknowledged by other control machines, and updates of
-//! others that wait to be acknowledged by this one.
+//! Updates about servers that await acknowledgements from other control machines, and
+//! acknowledgements that this machine owes to others.
 
 use super::clock::after;
 use super::server_cache::WriteNumber;
@@ -9,35 +9,36 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// After this time the required acknowledgements are enough, whatever other machines are silent.
+/// Time for which an update with enough acknowledgements waits for those of the remaining machines.
 const ALL_ACKS_TIMEOUT: Duration = Duration::from_millis(100);
-/// After this time an update without the required acknowledgements is rejected: the server turns to
-/// the next control machine.
+/// Time after which an update without the required acknowledgements is rejected. The server then
+/// turns to the next control machine.
 const REQUIRED_ACKS_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// What becomes of an update.
+/// The final result of an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReplicationOutcome {
-    /// Enough machines have it.
+    /// Enough machines have the update.
     Replicated,
-    /// Too few machines have it, and no more are expected to.
+    /// Too few machines have the update, and it is not waited for any longer.
     NotReplicated,
 }
 
-/// The machines that are sent an update, and those of them that have to acknowledge it: as many
-/// voters as make a majority with this machine, so that any part of the group that goes on after a
-/// partition contains one that has the update.
+/// The machines that receive an update, and the acknowledgements that it requires.
+///
+/// Together with this machine, the required voters are a majority. After a partition, any part of
+/// the group that continues therefore contains a voter that has the update.
 pub(super) struct ReplicationTargets {
-    /// All machines that are connected.
+    /// All machines that receive the update.
     pub(super) notified: BTreeSet<SocketAddr>,
-    /// Those whose acknowledgement counts.
+    /// The machines whose acknowledgements count.
     pub(super) counted: BTreeSet<SocketAddr>,
-    /// How many of these have to acknowledge the update.
+    /// Number of `counted` machines that have to acknowledge the update.
     pub(super) required: usize,
 }
 
 impl ReplicationTargets {
-    /// All of these machines, any one of which has to acknowledge, if there are any.
+    /// Requires one acknowledgement from any of the notified machines, or none if there are none.
     pub(super) fn any_of(notified: BTreeSet<SocketAddr>) -> ReplicationTargets {
         ReplicationTargets {
             counted: notified.clone(),
@@ -47,27 +48,28 @@
     }
 }
 
-/// An update that waits to be acknowledged.
+/// An update that was sent to other machines and whose outcome is not known yet.
 pub(super) struct PendingUpdate {
-    /// Its number, which acknowledgements repeat.
+    /// Number of the update, which acknowledgements repeat.
     pub(super) ack: u64,
-    /// Instances that it is about.
+    /// Instances whose requests caused the update.
     pub(super) instances: Vec<String>,
-    /// Callers that get a response once its outcome is known.
+    /// Callers that are answered once the outcome is known.
     pub(super) callers: Vec<ConnId>,
-    /// Machines that were notified and have not acknowledged it.
+    /// Connected machines that were notified and have not acknowledged the update.
     unacknowledged: BTreeSet<SocketAddr>,
     /// Machines whose acknowledgement counts.
     counted: BTreeSet<SocketAddr>,
-    /// How many of these have yet to acknowledge it.
+    /// Number of required acknowledgements that have not arrived.
     missing_acks: usize,
-    /// The write that makes it durable on this machine, while it has not completed.
+    /// The write that makes the update durable on this machine; `None` if none is needed or it has
+    /// completed.
     write: Option<WriteNumber>,
     started_at: Time,
 }
 
 impl PendingUpdate {
-    /// An update that is sent now.
+    /// Creates the state of an update that is sent at `now`.
     pub(super) fn new(
         ack: u64,
         callers: Vec<(ConnId, String)>,
@@ -88,24 +90,26 @@
         }
     }
 
-    /// A machine has acknowledged it. This counts only from a notified machine in contact.
+    /// Records an acknowledgement. It counts only if the machine was notified, is in contact and is
+    /// one of the counted machines.
     pub(super) fn on_ack(&mut self, from: SocketAddr, in_contact: bool) {
         let counts =
             self.unacknowledged.remove(&from) && in_contact && self.counted.contains(&from);
         self.missing_acks = self.missing_acks.saturating_sub(usize::from(counts));
     }
 
-    /// No acknowledgement will come from that machine.
+    /// Stops waiting for a machine that is disconnected.
     pub(super) fn on_peer_disconnected(&mut self, address: SocketAddr) {
         self.unacknowledged.remove(&address);
     }
 
-    /// All writes up to this number have completed; `None`: this machine has no disk.
+    /// Records that all writes up to this number have succeeded. `None` if this machine has no
+    /// disk.
     pub(super) fn on_written(&mut self, written: Option<WriteNumber>) {
         self.write = self.write.filter(|required| written < Some(*required));
     }
 
-    /// Its outcome; `None` while it is not known.
+    /// Returns the outcome, or `None` while it is not known.
     pub(super) fn outcome(&self, now: Time) -> Option<ReplicationOutcome> {
         let has_waited = |timeout| after(self.started_at, timeout) <= now;
         match self.is_replicated() {
@@ -116,7 +120,7 @@
         }
     }
 
-    /// When its outcome is known at the latest.
+    /// Returns the latest time at which the outcome is known.
     pub(super) fn next_wake(&self) -> Time {
         let timeout = match self.is_replicated() {
             true => ALL_ACKS_TIMEOUT,
@@ -125,28 +129,28 @@
         after(self.started_at, timeout)
     }
 
-    /// Whether enough machines have it, this one among them.
+    /// Whether enough other machines have the update, and this machine has it on disk if needed.
     fn is_replicated(&self) -> bool {
         self.missing_acks == 0 && self.write.is_none()
     }
 
-    /// Whether too few machines are left that could acknowledge it.
+    /// Whether too few machines remain that could still acknowledge the update.
     fn cannot_succeed(&self) -> bool {
         self.unacknowledged.intersection(&self.counted).count() < self.missing_acks
     }
 }
 
-/// An update of another machine that this machine has to acknowledge.
+/// An acknowledgement that this machine owes to another machine for its update.
 pub(super) struct PendingAck {
     to: ConnId,
     ack: u64,
-    /// The write that makes the update durable here, if it needs one.
+    /// The write that makes the update durable on this machine, if it needs one.
     write: Option<WriteNumber>,
     received_at: Time,
 }
 
 impl PendingAck {
-    /// An acknowledgement that is requested now, on this connection.
+    /// Creates an acknowledgement that was requested at `now` on a connection.
     pub(super) fn new(to: ConnId, ack: u64, write: Option<WriteNumber>, now: Time) -> PendingAck {
         PendingAck {
             to,
@@ -156,17 +160,17 @@
         }
     }
 
-    /// Whether the write that it waits for has completed.
+    /// Whether the write that the acknowledgement waits for has succeeded, if it needs one.
     pub(super) fn is_due(&self, written: Option<WriteNumber>) -> bool {
         self.write.is_none_or(|required| Some(required) <= written)
     }
 
-    /// Whether the machine that requested it has given up meanwhile.
+    /// Whether the requesting machine has stopped waiting for the acknowledgement.
     pub(super) fn has_expired(&self, now: Time) -> bool {
         after(self.received_at, REQUIRED_ACKS_TIMEOUT) <= now
     }
 
-    /// The connection, and the number to be acknowledged on it.
+    /// Returns the connection, and the number of the update to acknowledge on it.
     pub(super) fn into_connection_and_ack(self) -> (ConnId, u64) {
         (self.to, self.ack)
     }
--- a/fleet/src/control/primary_tracker.rs
+++ b/fleet/src/control/primary_tracker.rs
@@ -1,8 +1,8 @@
-//! What a machine without a vote knows of the group, from the primary's messages.
+//! Tracks the primary, contact with it and its configuration on a machine that does not vote.
 //!
-//! Contact counts from the time at which this machine sent the acknowledgement that a confirmed
-//! primary echoes, so that a message that was delayed on the way, or read late, gives none. An older
-//! configuration never replaces a newer one.
+//! Contact is measured from the time at which this machine sent the acknowledgement that a
+//! confirmed primary echoes. A message that was delayed in the network, or read late, therefore
+//! does not extend contact. An older configuration never replaces a newer one.
 
 use super::clock::{after, earlier, elapsed};
 use lichenswitch_control::CommittedConfiguration;
@@ -11,14 +11,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a report of the primary's address is used.
+/// Validity of a report of the primary's address.
 const PRIMARY_HINT_TTL: Duration = Duration::from_millis(600);
-/// How long contact lasts after the echoed acknowledgement was sent. It is longer than at voters,
-/// since the primary sends confirmations to relays less often: with the 600 ms for which the primary
-/// itself counts as confirmed, what this machine serves is 1.5 s old at the most.
+/// Duration of contact, counted from when the echoed acknowledgement was sent. It is longer than at
+/// voters, because the primary sends confirmations to relays less often. The primary itself counts
+/// as confirmed for 600 ms, so the data that this machine serves is at most 1.5 s old.
 const CONTACT_LEASE: Duration = Duration::from_millis(900);
 
-/// A report of the primary's address.
+/// The primary's address and the time at which it was reported.
 #[derive(Clone, Copy)]
 struct PrimaryHint {
     address: SocketAddr,
@@ -27,16 +27,17 @@
 
 /// The primary, contact with it, and the configuration that it has sent.
 pub(super) struct PrimaryTracker {
-    /// Identifies this process, so that an echo to an earlier one does not count.
+    /// Identifier of this process. Echoes of acknowledgements that an earlier process sent are
+    /// ignored.
     process: u64,
     primary: Option<PrimaryHint>,
-    /// When the acknowledgement was sent that a confirmed primary has echoed last.
+    /// Send time of the latest acknowledgement that a confirmed primary has echoed.
     contact_at: Option<Time>,
     committed: Option<CommittedConfiguration>,
 }
 
 impl PrimaryTracker {
-    /// A tracker of this process that knows nothing yet.
+    /// Creates a tracker without a primary, contact or configuration.
     pub(super) fn new(process: u64) -> PrimaryTracker {
         PrimaryTracker {
             process,
@@ -46,7 +47,10 @@
         }
     }
 
-    /// A machine has reported whether it is in contact, and the address of the primary.
+    /// Handles a report of a machine whether it is in contact, and of the primary's address.
+    ///
+    /// Only a report of the primary about itself sets the address. If the known primary reports
+    /// otherwise, the address and the contact are cleared.
     pub(super) fn on_contact(
         &mut self,
         now: Time,
@@ -64,7 +68,8 @@
         }
     }
 
-    /// A confirmed primary has echoed an acknowledgement. Returns the one that it has to echo next.
+    /// Handles an echoed acknowledgement of a confirmed primary. Returns the acknowledgement to
+    /// send back, which the primary echoes next.
     pub(super) fn on_confirmed(
         &mut self,
         now: Time,
@@ -80,13 +85,14 @@
         }
     }
 
-    /// Whether a confirmed primary has received an acknowledgement of this machine recently.
+    /// Whether a confirmed primary has echoed an acknowledgement that was sent less than
+    /// [`CONTACT_LEASE`] ago.
     pub(super) fn is_in_contact(&self, now: Time) -> bool {
         self.contact_at
             .is_some_and(|at| elapsed(at, now) < CONTACT_LEASE)
     }
 
-    /// The primary has sent a committed configuration.
+    /// Stores a committed configuration from the primary, unless it is older than the stored one.
     pub(super) fn on_configuration(&mut self, committed: CommittedConfiguration) {
         if self
             .committed
@@ -97,19 +103,19 @@
         }
     }
 
-    /// The address of the primary that was in contact recently.
+    /// Returns the address of the primary, if it was reported less than [`PRIMARY_HINT_TTL`] ago.
     pub(super) fn primary(&self, now: Time) -> Option<SocketAddr> {
         self.primary
             .filter(|hint| elapsed(hint.reported_at, now) < PRIMARY_HINT_TTL)
             .map(|hint| hint.address)
     }
 
-    /// The newest configuration that the primary has sent.
+    /// Returns the newest configuration that the primary has sent.
     pub(super) fn committed(&self) -> Option<&CommittedConfiguration> {
         self.committed.as_ref()
     }
 
-    /// Forgets a primary and contact whose time has passed.
+    /// Clears the primary's address and the contact once they have expired.
     pub(super) fn tick(&mut self, now: Time) {
         if self.primary(now).is_none() {
             self.primary = None;
@@ -117,7 +123,7 @@
         self.contact_at = self.contact_at.filter(|_| self.is_in_contact(now));
     }
 
-    /// When the primary or contact times out.
+    /// Returns when the primary's address or the contact expires, whichever is earlier.
     pub(super) fn next_wake(&self) -> Option<Time> {
         let primary_ends = self
             .primary
--- a/fleet/src/control/primary_tracker/tests.rs
+++ b/fleet/src/control/primary_tracker/tests.rs
@@ -30,7 +30,7 @@
     let mut tracker = PrimaryTracker::new(THIS_PROCESS);
     let first = tracker.on_confirmed(at(0), None);
     let before = tracker.on_confirmed(at(250), Some(first));
-    // The process is frozen for twenty seconds, and then reads what arrived at their beginning.
+    // The process is suspended for 20 s and then reads a message that arrived at the beginning.
     tracker.on_confirmed(at(20_000), Some(before));
     assert!(!tracker.is_in_contact(at(20_000)));
 }
--- a/fleet/src/control/quotas.rs
+++ b/fleet/src/control/quotas.rs
@@ -8,7 +8,7 @@
 };
 use std::collections::BTreeSet;
 
-/// Who awaits the response to a lease request.
+/// The connection and number of a lease request, to which its response is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct LeaseRequestOrigin {
     /// The connection on which the request arrived.
@@ -17,18 +17,18 @@
     pub(super) id: u64,
 }
 
-/// The quotas of one machine.
+/// The quota state of this machine.
 pub(super) struct Quotas {
     pub(super) owner: OwnerId,
     pub(super) ownership: ShardOwnership,
     pub(super) buckets: Buckets,
     pub(super) lease_requests: LeaseRequests<LeaseRequestOrigin>,
-    /// Whether a shard has granted more than it may.
+    /// Whether a shard has granted more than its limit.
     pub(super) has_overrun: bool,
 }
 
 impl Quotas {
-    /// Of a machine that has just started, or has just joined the group.
+    /// Creates the state of a machine that has just started or has just joined the group.
     pub(super) fn new(identity: u64, group: Option<&Group>, bounds: QuotaBounds) -> Quotas {
         let owner = OwnerId(identity);
         Quotas {
@@ -40,12 +40,12 @@
         }
     }
 
-    /// When a pending lease request is due without a further event.
+    /// Returns when the next pending lease request is due.
     pub(super) fn next_wake(&self) -> Option<Time> {
         self.lease_requests.next_wake()
     }
 
-    /// The pending lease requests, and the context in which they are handled.
+    /// Returns the pending lease requests, and the context for handling them.
     pub(super) fn lease_context<'a>(
         &'a mut self,
         reachable: &'a BTreeSet<OwnerId>,
@@ -60,7 +60,7 @@
     }
 }
 
-/// The voters as owners of shards, in ascending order.
+/// Returns the voters of a group as owners of shards, in ascending order.
 pub(super) fn voters(group: &Group) -> Vec<OwnerId> {
     let mut voters: Vec<OwnerId> = group
         .replica
--- a/fleet/src/control/request_target.rs
+++ b/fleet/src/control/request_target.rs
@@ -1,8 +1,8 @@
-//! What a request of a server or an operator addresses, by its method and path.
+//! Maps the method and path of a request from a server or an operator to its target.
 
 use lichenswitch_configuration::OrderKind;
 
-/// What a request addresses.
+/// The resource or operation that a request addresses.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum RequestTarget<'a> {
     /// An order that changes the configuration.
@@ -11,18 +11,18 @@
     Describe,
     /// The status of this machine, or of the primary.
     Status,
-    /// The heartbeat of this server.
+    /// A heartbeat of the server with this instance name.
     Heartbeat(&'a str),
-    /// The end of this server.
+    /// The deregistration of the server with this instance name.
     Deregister(&'a str),
-    /// The path exists, but takes only this method.
+    /// The path exists, but accepts only this method.
     OtherMethod(&'static str),
     /// The path does not exist.
     Unknown,
 }
 
 impl<'a> RequestTarget<'a> {
-    /// The target of a request.
+    /// Returns the target for a method and a path.
     pub(super) fn of(method: &str, path: &'a str) -> RequestTarget<'a> {
         let (target, required_method) = match path {
             "/configuration/describe" => (RequestTarget::Describe, "GET"),
--- a/fleet/src/control/router_table.rs
+++ b/fleet/src/control/router_table.rs
@@ -1,8 +1,8 @@
 //! Routers that are connected to this machine: what each has been sent, and what it has applied.
 //!
-//! It owns the members and their connections. It promises that a router that connects gets the
-//! newest committed configuration, unless it has it, then the complete table of servers, and all
-//! changes from then on. Pushes are numbered from 1 on each connection.
+//! A router that connects receives the newest committed configuration, unless it already has it. It
+//! then receives the complete table of servers and every later change. Pushes are numbered from 1
+//! on each connection.
 
 use lichenswitch_control::{CommittedConfiguration, ConfigurationPushes};
 use lichenswitch_interface::Time;
@@ -12,10 +12,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long a router stays a member without a connection: it may be changing to another control
-/// machine.
+/// Time for which a router without a connection stays a member, since it may be moving to another
+/// control machine.
 const MEMBER_LEASE: Duration = Duration::from_millis(1_000);
-/// Most records in one message, so that a long one does not block the loop of a router.
+/// Maximum number of records in one message. A longer message would block a router's event loop.
 const MAX_RECORDS_PER_MESSAGE: usize = 500;
 
 /// A connected router.
@@ -24,13 +24,13 @@
     pub(super) node: String,
     pub(super) zone: String,
     process: u64,
-    /// What it has been sent and has applied.
+    /// Configurations that were sent to the router and that it has applied.
     pushes: ConfigurationPushes,
-    /// Number of the last push that it has applied; it has applied all before it.
+    /// Number of the last push that the router has applied. It has applied all earlier ones too.
     pub(super) applied_push: u64,
 }
 
-/// The first message of a router.
+/// The first message of a router on a connection.
 #[derive(Clone, Debug)]
 pub(super) struct RouterHandshake {
     pub(super) node: String,
@@ -39,17 +39,17 @@
     pub(super) configuration: Option<ConfigurationPosition>,
 }
 
-/// A message, with the connection of the router that it is for.
+/// A message and the connection of the router that receives it.
 pub(super) type RouterMessage = (ConnId, ControlToRouter);
 
-/// The routers of this machine, and their leases as members.
+/// The routers that are connected to this machine, and the leases of its member routers.
 pub(super) struct RouterTable {
     connected: BTreeMap<ConnId, Router>,
     members: MembershipLeases,
 }
 
 impl RouterTable {
-    /// A table without routers.
+    /// Creates a table without routers.
     pub(super) fn new() -> RouterTable {
         let lease = u64::try_from(MEMBER_LEASE.as_micros()).unwrap_or(u64::MAX);
         RouterTable {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// A router has connected. Returns what it has to be sent first.
+    /// Adds a router that has connected. Returns the first messages to send to it.
     pub(super) fn on_handshake(
         &mut self,
         now: Time,
@@ -98,7 +98,7 @@
         messages
     }
 
-    /// A router has applied all pushes up to a number.
+    /// Records that a router has applied all pushes up to a number.
     pub(super) fn on_applied(
         &mut self,
         id: ConnId,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// A router's connection is closed. Its lease runs on.
+    /// Removes a router whose connection is closed. Its lease continues until it expires.
     pub(super) fn on_closed(&mut self, id: ConnId) {
         self.connected.remove(&id);
     }
@@ -127,22 +127,23 @@
         }
     }
 
-    /// Number of routers that are members here.
+    /// Returns the number of member routers, including those without a connection whose lease has
+    /// not expired.
     pub(super) fn count(&self) -> usize {
         self.members.count()
     }
 
-    /// Connections to routers.
+    /// Returns the connections of all connected routers.
     pub(super) fn connections(&self) -> Vec<ConnId> {
         self.connected.keys().copied().collect()
     }
 
-    /// All connected routers.
+    /// Iterates over the connected routers.
     pub(super) fn iter(&self) -> impl Iterator<Item = &Router> {
         self.connected.values()
     }
 
-    /// A configuration has been committed. Returns the pushes for routers that lack it.
+    /// Returns the pushes of a committed configuration for the routers that lack it.
     pub(super) fn push_configuration(
         &mut self,
         committed: &CommittedConfiguration,
@@ -153,7 +154,7 @@
         self.connected.iter_mut().filter_map(push).collect()
     }
 
-    /// Records of servers have changed. Returns the pushes for all routers.
+    /// Returns the pushes of changed server records for all connected routers.
     pub(super) fn push_servers(&mut self, records: &[ServerRecord]) -> Vec<RouterMessage> {
         if records.is_empty() {
             return Vec::new();
@@ -197,7 +198,7 @@
 }
 
 impl Router {
-    /// The configuration that it has in force, as it last reported.
+    /// Returns the position of the configuration that the router last reported as applied.
     pub(super) fn configuration(&self) -> Option<ConfigurationPosition> {
         self.pushes.applied_position()
     }
--- a/fleet/src/control/server_cache.rs
+++ b/fleet/src/control/server_cache.rs
@@ -1,15 +1,19 @@
 //! The copy of the table of servers on this machine's disk.
 //!
-//! After a loss of power on all machines no machine knows any server until its next heartbeat. The
-//! records read here fill that gap: they are merged like an update of a peer, and the next
-//! heartbeats confirm or correct them. Of servers that are ready they are a hint: nothing is
-//! acknowledged by them, they are written once a second at most, a stale record costs a refused
-//! connection, and a file that can't be read is set aside and passed over. Departures are
-//! acknowledged by them: an update about one requests a write at once ([`ServerCache::write_now`]),
-//! and is acknowledged once that write, or a later one, has completed.
+//! After a power loss on all machines, no machine knows any server until that server's next
+//! heartbeat. The records on disk fill this gap. They are merged like an update of a peer, and the
+//! next heartbeats confirm or correct them.
 //!
-//! A thread of its own writes, so that a stalled disk blocks nothing else. When tables are submitted
-//! faster than it writes, only the newest is written.
+//! Records of ready servers are only a hint. No acknowledgement depends on them, and they are
+//! written at most once a second. A stale record costs a refused connection. A file that can't be
+//! read is renamed and ignored.
+//!
+//! Records of departures are durable. An update about a departure requests a write at once
+//! ([`ServerCache::write_now`]), and is acknowledged once that write, or a later one, has
+//! completed.
+//!
+//! A separate thread writes the file, so that a stalled disk does not block the event loop. If
+//! tables are submitted faster than the thread writes them, it writes only the newest.
 
 use super::clock::after;
 use lichenswitch_interface::Time;
@@ -25,83 +29,85 @@
 
 /// Name of the file in the data directory.
 const TABLE_FILE: &str = "servers";
-/// Kind of its first frame: when it was written (seconds since the Unix epoch).
+/// Kind of the file's first frame: the time of the write, in seconds since the Unix epoch.
 const WRITTEN_AT_FRAME: u16 = 1;
-/// Kind of its second and last frame: the records.
+/// Kind of the file's second and last frame: the records.
 const TABLE_FRAME: u16 = 2;
-/// Least interval of periodic writes.
+/// Minimum interval between periodic writes of a changed table.
 const WRITE_INTERVAL: Duration = Duration::from_secs(1);
-/// An unchanged table is written again after this time, so that its age shows how long the machine
-/// was down.
+/// Interval after which an unchanged table is written again. The age of the file then shows how
+/// long the machine was down.
 const RENEWAL_INTERVAL: Duration = Duration::from_secs(10);
-/// Servers of a table that is older than this (seconds) count as suspect.
+/// Age of a table, in seconds, above which its servers are marked as suspect.
 const MAX_UNSUSPECTED_AGE_S: u64 = 60;
 
-/// Why a table on disk is passed over.
+/// The reason why a table on disk is ignored.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum CacheError {
     /// The file can't be read.
-    #[error("it can't be read: {0}")]
+    #[error("the file can't be read: {0}")]
     Io(#[from] io::Error),
-    /// It contains no frame of this version.
-    #[error("it is no table of this version: {0}")]
+    /// The file contains an invalid frame, or one of another protocol version.
+    #[error("the file has no valid frame of this protocol version: {0}")]
     Frame(#[from] FrameError),
-    /// Its content is no table.
-    #[error("its content is no table: {0}")]
+    /// The payload of a frame can't be decoded.
+    #[error("the records can't be decoded: {0}")]
     Archive(#[from] ArchiveError),
-    /// It ends too soon.
-    #[error("it ends before its table does")]
+    /// A frame is missing, incomplete or of an unexpected kind.
+    #[error("the file lacks a complete frame of the expected kind")]
     Truncated,
 }
 
-/// Number of a write of the table. A later write covers all earlier ones.
+/// Sequence number of a write of the table. A later write includes the content of all earlier ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct WriteNumber(u64);
 
-/// A table that has to be written.
+/// An encoded table for the writer thread.
 struct TableWrite {
     number: WriteNumber,
     bytes: Vec<u8>,
 }
 
-/// The result of a write; all earlier writes have completed too.
+/// The result of a write. All earlier writes have completed too.
 struct CompletedWrite {
     number: WriteNumber,
     succeeded: bool,
 }
 
-/// The file, and the writes of it.
+/// The event loop's handle of the file and its writer thread.
 pub(super) struct ServerCache {
     writes: Sender<TableWrite>,
     completions: Receiver<CompletedWrite>,
-    /// The last write that was submitted to the thread.
+    /// The last write that was submitted to the writer thread.
     submitted: WriteNumber,
-    /// The last one that has completed, successfully or not.
+    /// The last write that has completed, successfully or not.
     completed: WriteNumber,
-    /// The last one that is on the disk.
+    /// The last write that has succeeded.
     written: WriteNumber,
-    /// A write that is requested at once, if it is not submitted yet.
+    /// The last write that [`Self::write_now`] has requested. It is pending while it is greater
+    /// than `submitted`.
     requested: WriteNumber,
     has_changed: bool,
-    next_write: Time,
-    next_renewal: Time,
+    next_write_at: Time,
+    next_renewal_at: Time,
 }
 
 impl ServerCache {
-    /// Opens the file in a data directory, and returns its records. A table that can't be read is
-    /// set aside. A byte is written to `wake`, which must not block, when a write has completed.
+    /// Opens the file in a data directory, and returns its records. Renames a file that can't be
+    /// read. The writer thread writes a byte to `wake_stream`, which must be non-blocking, after
+    /// each write.
     pub(super) fn open(
         files: Box<dyn FileSystem>,
         directory: &Path,
         now: Time,
-        wake: UnixStream,
+        wake_stream: UnixStream,
     ) -> (ServerCache, Vec<ServerRecord>) {
         let path = directory.join(TABLE_FILE);
         let records = match read(files.as_ref(), &path) {
             Ok(records) => records,
             Err(e) => {
                 log::warn!(target: "control", error = e.to_string().as_str(); "table of servers on disk is ignored");
-                // If it can't be renamed, it stays until the next table replaces it.
+                // If the file can't be renamed, the next write replaces it.
                 let _ = files.rename(&path, &path.with_extension("aside"));
                 Vec::new()
             }
@@ -111,17 +117,18 @@
         let writer = Writer {
             files,
             path,
-            wake,
+            wake_stream,
             completed_writes,
             is_failing: false,
         };
-        // Without a thread nothing is written, and this machine acknowledges no departure.
+        // If the thread can't be started, nothing is written and this machine acknowledges no
+        // departures.
         let _ = thread::Builder::new()
             .name("server-cache".into())
             .spawn(move || writer.run(&queued));
         let none = WriteNumber::default();
         let (submitted, completed, written, requested) = (none, none, none, none);
-        let next_renewal = after(now, RENEWAL_INTERVAL);
+        let next_renewal_at = after(now, RENEWAL_INTERVAL);
         let cache = ServerCache {
             writes,
             completions,
@@ -130,42 +137,42 @@
             written,
             requested,
             has_changed: false,
-            next_write: now,
-            next_renewal,
+            next_write_at: now,
+            next_renewal_at,
         };
         (cache, records)
     }
 
-    /// The table differs from the one that was submitted last.
+    /// Marks the table as changed since the last submitted write.
     pub(super) fn on_change(&mut self) {
         self.has_changed = true;
     }
 
-    /// Requests a write of the present table as soon as possible. Returns its number.
+    /// Requests a write of the current table as soon as possible. Returns its number.
     pub(super) fn write_now(&mut self) -> WriteNumber {
         self.requested = WriteNumber(self.submitted.0 + 1);
         self.requested
     }
 
-    /// The last write that is on the disk.
+    /// Returns the number of the last write that has succeeded.
     pub(super) fn written(&self) -> WriteNumber {
         self.written
     }
 
-    /// Submits the table, if it has changed, or was not written for long.
+    /// Submits a periodic write if the table has changed or [`RENEWAL_INTERVAL`] has passed.
     pub(super) fn tick(&mut self, now: Time, table: impl FnOnce() -> Vec<ServerRecord>) {
         let due_at = if self.has_changed {
-            self.next_write
+            self.next_write_at
         } else {
-            self.next_renewal
+            self.next_renewal_at
         };
         if due_at <= now {
             self.submit(now, &table());
         }
     }
 
-    /// Handles completed writes, and submits a requested one. It waits for a write in progress, so
-    /// that updates that arrive faster than the disk writes share one.
+    /// Handles completed writes, and submits a requested one. A requested write waits until the one
+    /// in progress has completed, so that updates that arrive meanwhile share one write.
     pub(super) fn advance(&mut self, now: Time, table: impl FnOnce() -> Vec<ServerRecord>) {
         while let Ok(completed) = self.completions.try_recv() {
             self.on_completed(&completed);
@@ -176,15 +183,15 @@
     }
 
     fn submit(&mut self, now: Time, table: &[ServerRecord]) {
-        (self.has_changed, self.next_write, self.next_renewal) = (
+        (self.has_changed, self.next_write_at, self.next_renewal_at) = (
             false,
             after(now, WRITE_INTERVAL),
             after(now, RENEWAL_INTERVAL),
         );
         self.submitted = WriteNumber(self.submitted.0 + 1);
         let number = self.submitted;
-        match framed(time_of_day_s(), table) {
-            // Without a thread the send fails: see `open`.
+        match encode_table(time_of_day_s(), table) {
+            // Fails if the writer thread could not be started: see `open`.
             Some(bytes) => drop(self.writes.send(TableWrite { number, bytes })),
             None => self.on_completed(&CompletedWrite {
                 number,
@@ -197,13 +204,13 @@
         self.completed = completed.number;
         match completed.succeeded {
             true => self.written = completed.number,
-            // The next write covers it.
+            // The next periodic write retries it.
             false => self.has_changed = true,
         }
     }
 }
 
-fn framed(written_s: u64, records: &[ServerRecord]) -> Option<Vec<u8>> {
+fn encode_table(written_s: u64, records: &[ServerRecord]) -> Option<Vec<u8>> {
     let written = encode_frame(
         PROTOCOL_VERSION,
         WRITTEN_AT_FRAME,
@@ -219,7 +226,8 @@
     Some([written, table].concat())
 }
 
-/// The time of day. It may jump: only the trust in a hint depends on it.
+/// Returns the wall-clock time in seconds since the Unix epoch. The clock may jump, which affects
+/// only whether cached servers are marked as suspect.
 fn time_of_day_s() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -250,11 +258,11 @@
     Ok(records)
 }
 
-/// The state of the thread.
+/// The state of the writer thread.
 struct Writer {
     files: Box<dyn FileSystem>,
     path: PathBuf,
-    wake: UnixStream,
+    wake_stream: UnixStream,
     completed_writes: Sender<CompletedWrite>,
     /// Whether the last write failed.
     is_failing: bool,
@@ -275,15 +283,15 @@
             {
                 return;
             }
-            // A full stream wakes its reader as well.
-            let _ = self.wake.write(&[1]);
+            // The error is ignored: a full stream wakes its reader too.
+            let _ = self.wake_stream.write(&[1]);
         }
     }
 
     fn write(&mut self, bytes: &[u8]) -> bool {
         let outcome = write(self.files.as_ref(), &self.path, bytes);
         let failed_before = std::mem::replace(&mut self.is_failing, outcome.is_err());
-        // The write is retried again and again, but logged once.
+        // Failed writes are retried periodically. Only the first failure is logged.
         if let Some(e) = outcome.as_ref().err().filter(|_| !failed_before) {
             log::warn!(target: "control", error = e.to_string().as_str(); "table of servers can't be written");
         }
@@ -291,8 +299,8 @@
     }
 }
 
-/// Writes the new table beside the old one and then replaces it, so that one of them is complete at
-/// any time.
+/// Writes the table to a new file and renames it over the old one, so that a complete table exists
+/// at any time.
 fn write(files: &dyn FileSystem, path: &Path, bytes: &[u8]) -> io::Result<()> {
     let new_path: PathBuf = path.with_extension("new");
     let mut file = files.create(&new_path)?;
--- a/fleet/src/control/server_cache/tests.rs
+++ b/fleet/src/control/server_cache/tests.rs
@@ -4,11 +4,11 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Instant;
 
-/// A folder of its own for each test.
-struct Folder(PathBuf);
+/// A temporary folder that is removed on drop. Each test has its own.
+struct TempFolder(PathBuf);
 
-impl Folder {
-    fn new() -> Folder {
+impl TempFolder {
+    fn new() -> TempFolder {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let name = format!(
             "lichenswitch-servers-{}-{}",
@@ -17,11 +17,11 @@
         );
         let path = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&path).unwrap();
-        Folder(path)
+        TempFolder(path)
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -39,13 +39,13 @@
     Box::new(RealFileSystem)
 }
 
-/// A stream whose reader does not matter.
-fn wake() -> UnixStream {
+/// Returns a wake-up stream whose reader is closed.
+fn wake_stream() -> UnixStream {
     UnixStream::pair().unwrap().0
 }
 
-/// Whether the file contains these records, once the thread has written it.
-fn written(path: &Path, expected: &[ServerRecord]) -> bool {
+/// Waits until the file contains these records. Returns false after 10 s.
+fn is_table_written(path: &Path, expected: &[ServerRecord]) -> bool {
     let started_at = Instant::now();
     while started_at.elapsed() < Duration::from_secs(10) {
         if read(&RealFileSystem, path).is_ok_and(|records| records == expected) {
@@ -58,26 +58,26 @@
 
 #[test]
 fn table_is_restored_after_restart() {
-    let folder = Folder::new();
+    let folder = TempFolder::new();
     let table = vec![
         record("a", ServerState::Ready),
         record("b", ServerState::Draining),
     ];
-    let (mut cache, found) = ServerCache::open(files(), &folder.0, Time(0), wake());
+    let (mut cache, found) = ServerCache::open(files(), &folder.0, Time(0), wake_stream());
     assert!(found.is_empty(), "an empty disk contains no records");
     cache.on_change();
     cache.tick(Time(0), || table.clone());
-    assert!(written(&folder.0.join(TABLE_FILE), &table));
+    assert!(is_table_written(&folder.0.join(TABLE_FILE), &table));
     assert_eq!(
-        ServerCache::open(files(), &folder.0, Time(0), wake()).1,
+        ServerCache::open(files(), &folder.0, Time(0), wake_stream()).1,
         table
     );
 }
 
 #[test]
 fn table_is_written_once_per_interval_and_only_after_change() {
-    let folder = Folder::new();
-    let (mut cache, _) = ServerCache::open(files(), &folder.0, Time(0), wake());
+    let folder = TempFolder::new();
+    let (mut cache, _) = ServerCache::open(files(), &folder.0, Time(0), wake_stream());
     let mut written_tables = 0;
     let mut tick = |cache: &mut ServerCache, now| {
         cache.tick(now, || {
@@ -97,8 +97,8 @@
 
 #[test]
 fn unchanged_table_is_written_again_after_renewal_interval() {
-    let folder = Folder::new();
-    let (mut cache, _) = ServerCache::open(files(), &folder.0, Time(0), wake());
+    let folder = TempFolder::new();
+    let (mut cache, _) = ServerCache::open(files(), &folder.0, Time(0), wake_stream());
     cache.tick(Time(9_900_000), || unreachable!("nothing has changed"));
     let mut is_written_again = false;
     cache.tick(Time(10_000_000), || {
@@ -120,13 +120,13 @@
         (time_of_day_s() - MAX_UNSUSPECTED_AGE_S - 2, true),
         (time_of_day_s() + MAX_UNSUSPECTED_AGE_S + 2, true),
     ] {
-        let folder = Folder::new();
+        let folder = TempFolder::new();
         std::fs::write(
             folder.0.join(TABLE_FILE),
-            framed(written_s, &records).unwrap(),
+            encode_table(written_s, &records).unwrap(),
         )
         .unwrap();
-        let (_, found) = ServerCache::open(files(), &folder.0, Time(0), wake());
+        let (_, found) = ServerCache::open(files(), &folder.0, Time(0), wake_stream());
         assert_eq!(found.len(), 2);
         assert!(
             found.iter().all(|record| record.is_suspect == is_suspect),
@@ -137,7 +137,7 @@
 
 #[test]
 fn invalid_file_is_set_aside_and_ignored() {
-    let complete = framed(time_of_day_s(), &[record("a", ServerState::Ready)]).unwrap();
+    let complete = encode_table(time_of_day_s(), &[record("a", ServerState::Ready)]).unwrap();
     let mut flipped = complete.clone();
     let last = flipped.len() - 1;
     flipped[last] ^= 1;
@@ -147,11 +147,13 @@
         b"something else",
         b"",
     ] {
-        let folder = Folder::new();
+        let folder = TempFolder::new();
         std::fs::write(folder.0.join(TABLE_FILE), bytes).unwrap();
-        assert!(ServerCache::open(files(), &folder.0, Time(0), wake())
-            .1
-            .is_empty());
+        assert!(
+            ServerCache::open(files(), &folder.0, Time(0), wake_stream())
+                .1
+                .is_empty()
+        );
         assert_eq!(
             std::fs::read(folder.0.join("servers.aside")).unwrap(),
             bytes,
@@ -160,7 +162,7 @@
     }
 }
 
-/// Whether this write gets to the disk.
+/// Waits until this write has succeeded. Returns false after 10 s.
 fn is_written(cache: &mut ServerCache, number: WriteNumber, table: &[ServerRecord]) -> bool {
     let started_at = Instant::now();
     while started_at.elapsed() < Duration::from_secs(10) {
@@ -175,8 +177,8 @@
 
 #[test]
 fn requested_write_counts_once_it_is_on_disk() {
-    let folder = Folder::new();
-    let (mut cache, _) = ServerCache::open(files(), &folder.0, Time(0), wake());
+    let folder = TempFolder::new();
+    let (mut cache, _) = ServerCache::open(files(), &folder.0, Time(0), wake_stream());
     let number = cache.write_now();
     assert!(cache.written() < number);
     let table = vec![record("a", ServerState::Gone)];
@@ -185,16 +187,16 @@
         read(&RealFileSystem, &folder.0.join(TABLE_FILE)).unwrap(),
         table
     );
-    cache.advance(Time(2), || unreachable!("no write is requested any more"));
+    cache.advance(Time(2), || unreachable!("no write is requested"));
 }
 
 #[test]
 fn writes_requested_during_a_write_share_the_next_one() {
-    let folder = Folder::new();
-    let (mut cache, _) = ServerCache::open(files(), &folder.0, Time(0), wake());
+    let folder = TempFolder::new();
+    let (mut cache, _) = ServerCache::open(files(), &folder.0, Time(0), wake_stream());
     let first = cache.write_now();
     cache.advance(Time(0), Vec::new);
-    // The first write is in progress: it may lack the latest records.
+    // The first write is in progress and may lack the latest records.
     let (second, third) = (cache.write_now(), cache.write_now());
     assert!(first < second && second == third);
     let table = vec![record("a", ServerState::Gone)];
@@ -207,10 +209,10 @@
 
 #[test]
 fn failed_write_does_not_count_and_next_one_covers_it() {
-    let folder = Folder::new();
+    let folder = TempFolder::new();
     let obstacle = folder.0.join("servers.new");
     std::fs::create_dir(&obstacle).unwrap();
-    let (mut cache, _) = ServerCache::open(files(), &folder.0, Time(0), wake());
+    let (mut cache, _) = ServerCache::open(files(), &folder.0, Time(0), wake_stream());
     let number = cache.write_now();
     let started_at = Instant::now();
     while cache.completed < number && started_at.elapsed() < Duration::from_secs(10) {
@@ -230,7 +232,7 @@
 }
 
 #[test]
-fn table_of_an_earlier_build_is_read_as_one_of_long_ago() {
+fn table_of_earlier_build_is_readable_and_suspect() {
     let manifest = Path::new(env!("CARGO_MANIFEST_DIR"));
     let earlier = manifest.join("tests/stored_data/control_node/servers");
     let records = read(&RealFileSystem, &earlier).unwrap();
--- a/fleet/src/control/server_table.rs
+++ b/fleet/src/control/server_table.rs
@@ -1,12 +1,13 @@
-//! Model servers at this machine: their records, and heartbeats that wait for an acknowledgement.
+//! The table of model servers: their records, and the heartbeats that await an acknowledgement.
 //!
-//! It owns the table and the pending updates. It promises that updates are sent at once to all
-//! connected control machines and to this machine's routers, and are acknowledged once enough
-//! control machines in contact have them (see [`ReplicationTargets`]); that a heartbeat without an
-//! update is acknowledged at once; and that the departure of a server is relayed, since the machine
-//! that reported it may have been cut off from the others right after. A machine with a disk has an
-//! update about a departure only once it is written there: until then it neither acknowledges it to
-//! others nor counts itself.
+//! Updates are sent at once to all connected control machines and to this machine's routers. An
+//! update is acknowledged once enough control machines in contact have it (see
+//! [`ReplicationTargets`]). A heartbeat without an update is acknowledged at once.
+//!
+//! The departure of a server is relayed, since the machine that reported it may have been cut off
+//! from the others right afterwards. A machine with a disk has an update about a departure only
+//! once it is written there. Until then it does not acknowledge the update to others, and does not
+//! count itself.
 
 use super::clock::after;
 use super::environment::Environment;
@@ -24,19 +25,19 @@
 use std::os::unix::net::UnixStream;
 use std::time::Duration;
 
-/// How long a machine that has just started waits for the table of another one.
+/// Time for which a machine that has just started waits for the complete table of another machine.
 const TABLE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What becomes of a heartbeat.
+/// The immediate result of a heartbeat or a deregistration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum HeartbeatOutcome {
-    /// It is acknowledged at once.
+    /// The request is acknowledged at once.
     Acknowledged,
-    /// It gets its response once the outcome of its update is known.
+    /// The request is answered once the outcome of its update is known.
     Pending,
 }
 
-/// The table of servers, and the updates that others have to be sent.
+/// The table of servers, and the updates that have to be replicated to other machines.
 pub(super) struct ServerTable {
     registry: Registry,
     /// The copy of the table on this machine's disk, if it has one.
@@ -44,27 +45,27 @@
     started_at: Time,
     /// Whether a machine in contact has sent its complete table.
     has_complete_table: bool,
-    /// Changes that were not sent yet.
+    /// Changes that have not been sent yet.
     changes: Changes,
-    /// Callers whose heartbeats brought these changes, with their instances.
+    /// Callers whose requests caused [`Self::changes`], with their instances.
     callers: Vec<(ConnId, String)>,
     pending_updates: Vec<PendingUpdate>,
     pending_acks: Vec<PendingAck>,
-    /// The write that makes all known departures durable.
+    /// Number of the disk write that makes all known departures durable.
     last_departure_write: WriteNumber,
-    /// Departures that other machines have reported, to be relayed.
+    /// Departures that other machines have reported and that this machine has to relay.
     relayed_departures: Vec<ServerRecord>,
-    /// Instances whose last update too few others are known to have.
+    /// Instances whose last update is not known to be on enough other machines.
     under_replicated: BTreeSet<String>,
     next_ack_number: u64,
     outcomes: Vec<(ConnId, ReplicationOutcome)>,
 }
 
 impl ServerTable {
-    /// Opens the table, with the records of an earlier start from the disk, if there is one.
+    /// Opens the table. With a data directory, restores the records that an earlier process wrote.
     ///
     /// # Errors
-    /// When the socket of the writer can't be created.
+    /// Fails if the socket of the writer can't be created or watched.
     pub(super) fn start(
         settings: &Settings,
         environment: &Environment,
@@ -73,13 +74,13 @@
     ) -> io::Result<ServerTable> {
         let mut servers = ServerTable::new(settings, now);
         if let Some(directory) = settings.data_directory.as_deref() {
-            let (ours, theirs) = UnixStream::pair()?;
-            net.watch_signal(Signal::TableWritten, ours)?;
-            theirs.set_nonblocking(true)?;
+            let (wake_reader, wake_writer) = UnixStream::pair()?;
+            net.watch_signal(Signal::TableWritten, wake_reader)?;
+            wake_writer.set_nonblocking(true)?;
             let (cache, records) =
-                ServerCache::open(environment.file_system(), directory, now, theirs);
+                ServerCache::open(environment.file_system(), directory, now, wake_writer);
             servers.registry.restore_cached(now, &records);
-            // Whether other machines have these records is not known yet.
+            // It is not known yet whether other machines have these records.
             let departures = records.into_iter().filter(is_departure);
             servers
                 .under_replicated
@@ -89,10 +90,10 @@
         Ok(servers)
     }
 
-    /// A table without a disk.
+    /// Creates an empty table without a copy on disk.
     pub(super) fn new(settings: &Settings, now: Time) -> ServerTable {
         ServerTable {
-            registry: Registry::new(now, interval(settings)),
+            registry: Registry::new(now, heartbeat_interval_us(settings)),
             cache: None,
             started_at: now,
             has_complete_table: false,
@@ -108,18 +109,20 @@
         }
     }
 
-    /// The settings were read again.
+    /// Applies the heartbeat interval of reloaded settings.
     pub(super) fn on_settings(&mut self, settings: &Settings) {
-        self.registry.set_heartbeat_interval(interval(settings));
+        self.registry
+            .set_heartbeat_interval(heartbeat_interval_us(settings));
     }
 
-    /// Whether this machine knows enough to accept heartbeats. Until then the absence of a server
-    /// means nothing.
+    /// Whether this machine accepts heartbeats. It does once it has a complete table, or
+    /// [`TABLE_TIMEOUT`] after its start. Until then it can't tell whether a server that is absent
+    /// from its table is registered.
     pub(super) fn accepts_heartbeats(&self, now: Time) -> bool {
         self.has_complete_table || after(self.started_at, TABLE_TIMEOUT) <= now
     }
 
-    /// A server has sent a heartbeat.
+    /// Handles a heartbeat of a server.
     pub(super) fn on_heartbeat(
         &mut self,
         now: Time,
@@ -131,7 +134,7 @@
         self.on_update(caller, instance, changes)
     }
 
-    /// A server has deregistered.
+    /// Handles the deregistration of a server.
     pub(super) fn on_deregister(
         &mut self,
         now: Time,
@@ -150,7 +153,7 @@
     ) -> HeartbeatOutcome {
         if changes.updates_for_peers().is_empty() {
             if let Some(callers) = self.callers_awaiting(instance) {
-                // A repeat: it gets the outcome of the update that is pending already.
+                // A repeated request shares the outcome of the update that is already pending.
                 callers.push(caller);
                 self.changes.append(changes);
                 return HeartbeatOutcome::Pending;
@@ -160,7 +163,7 @@
                 .record(instance)
                 .filter(|_| self.under_replicated.contains(instance))
             {
-                // Too few other machines are known to have its last update: it is sent again.
+                // Resends the last update, which is not known to be on enough other machines.
                 changes = as_update(record);
             }
         }
@@ -173,8 +176,8 @@
         HeartbeatOutcome::Acknowledged
     }
 
-    /// Callers that wait for the newest update of an instance, where it was sent and none came
-    /// after it.
+    /// Returns the callers that await the newest update of an instance. `None` if no update is
+    /// pending, or if a newer one has not been sent yet.
     fn callers_awaiting(&mut self, instance: &str) -> Option<&mut Vec<ConnId>> {
         if self.has_unsent_update_of(instance) {
             return None;
@@ -182,15 +185,15 @@
         self.pending_updates
             .iter_mut()
             .rev()
-            .find(|pending| pending.instances.iter().any(|of| of == instance))
+            .find(|pending| pending.instances.iter().any(|other| other == instance))
             .map(|pending| &mut pending.callers)
     }
 
     fn has_unsent_update_of(&self, instance: &str) -> bool {
-        self.callers.iter().any(|(_, of)| of == instance)
+        self.callers.iter().any(|(_, other)| other == instance)
     }
 
-    /// Another control machine has sent records.
+    /// Merges records from another control machine.
     pub(super) fn on_records(
         &mut self,
         now: Time,
@@ -204,9 +207,9 @@
         self.has_complete_table |= is_complete && in_contact;
     }
 
-    /// A departure that one machine reports counts as under-replicated until this machine knows
-    /// better, and is relayed; one in a complete table is not relayed, since each machine gets such
-    /// a table when it connects.
+    /// Marks reported departures as under-replicated, and queues them to be relayed. Departures in
+    /// a complete table are not relayed, since each machine receives a complete table when it
+    /// connects.
     fn record_departures(&mut self, changes: &Changes, is_complete: bool) {
         for record in changes
             .updates_for_peers()
@@ -220,20 +223,20 @@
         }
     }
 
-    /// Takes the departures that have to be relayed.
+    /// Takes the departures that this machine has to relay.
     pub(super) fn take_relayed_departures(&mut self) -> Vec<ServerRecord> {
         std::mem::take(&mut self.relayed_departures)
     }
 
-    /// Another control machine has sent records of an earlier start from its disk.
+    /// Merges records that another control machine has restored from its disk.
     pub(super) fn on_cached_servers(&mut self, now: Time, records: &[ServerRecord]) {
         let changes = self.registry.restore_cached(now, records);
         self.record_departures(&changes, true);
         self.changes.append(changes);
     }
 
-    /// Another control machine has sent the instances whose heartbeats it received. Returns whether
-    /// one of them is unknown here.
+    /// Merges the ages of heartbeats that another control machine has received. Returns whether one
+    /// of the instances is unknown to this machine.
     pub(super) fn on_heartbeat_digest(&mut self, now: Time, digest: &[HeartbeatAge]) -> bool {
         let changes = self.registry.merge_heartbeat_digest(now, digest);
         self.changes.append(changes);
@@ -242,7 +245,8 @@
             .any(|heartbeat| self.registry.record(&heartbeat.instance).is_none())
     }
 
-    /// Another control machine waits on this connection for the acknowledgement of its update.
+    /// Queues the acknowledgement of an update from another control machine. If the update contains
+    /// a departure, the acknowledgement waits for the disk write.
     pub(super) fn on_ack_requested(
         &mut self,
         now: Time,
@@ -258,7 +262,8 @@
         self.pending_acks.push(PendingAck::new(to, ack, write, now));
     }
 
-    /// The write that makes all departures known by now durable; `None` without a disk.
+    /// Returns the number of the write that makes all departures known by now durable. Starts a
+    /// write if the unsent changes contain a departure. `None` without a disk.
     fn departure_write(&mut self) -> Option<WriteNumber> {
         let cache = self.cache.as_mut()?;
         if self.changes.records.iter().any(is_departure) {
@@ -267,7 +272,7 @@
         Some(self.last_departure_write)
     }
 
-    /// Another control machine has acknowledged the update of this number.
+    /// Records that another control machine has acknowledged the update with this number.
     pub(super) fn on_ack(&mut self, from: SocketAddr, ack: u64, in_contact: bool) {
         let mut pending = self.pending_updates.iter_mut();
         if let Some(update) = pending.find(|update| update.ack == ack) {
@@ -275,20 +280,20 @@
         }
     }
 
-    /// The last connection to that machine is closed.
+    /// Handles the end of the last connection to another control machine.
     pub(super) fn on_peer_disconnected(&mut self, address: SocketAddr) {
         for update in &mut self.pending_updates {
             update.on_peer_disconnected(address);
         }
     }
 
-    /// Whether there are changes that were not sent yet, or heartbeats that wait for that.
+    /// Whether there are unsent changes, or callers that wait until they are sent.
     pub(super) fn has_changes(&self) -> bool {
         !self.changes.is_empty() || !self.callers.is_empty()
     }
 
-    /// Takes the changes that have to be sent, and the number under which the update goes to the
-    /// `targets`, or 0 if no caller awaits its outcome.
+    /// Takes the changes that have to be sent, and the number of the update that the `targets`
+    /// acknowledge. The number is 0 if no caller awaits the outcome.
     pub(super) fn take_changes(
         &mut self,
         now: Time,
@@ -312,7 +317,7 @@
         (changes, ack)
     }
 
-    /// Begins writes that are due, and completes updates whose outcome is known.
+    /// Starts disk writes that are due, and completes updates whose outcome is known.
     pub(super) fn advance(&mut self, now: Time) {
         if let Some(cache) = &mut self.cache {
             cache.advance(now, || known_records(&self.registry, now));
@@ -339,13 +344,12 @@
             .extend(callers.map(|caller| (caller, outcome)));
     }
 
-    /// Takes the callers that get a response now, with the outcomes of their updates.
+    /// Takes the callers that have to be answered, with the outcomes of their updates.
     pub(super) fn take_outcomes(&mut self) -> Vec<(ConnId, ReplicationOutcome)> {
         std::mem::take(&mut self.outcomes)
     }
 
-    /// Takes the acknowledgements that are due, as connections and numbers. One that has expired is
-    /// dropped.
+    /// Takes the acknowledgements that are due, as connections and numbers. Drops expired ones.
     pub(super) fn take_acks(&mut self, now: Time) -> Vec<(ConnId, u64)> {
         let written = self.cache.as_ref().map(ServerCache::written);
         let (due, others): (Vec<_>, Vec<_>) = std::mem::take(&mut self.pending_acks)
@@ -360,7 +364,8 @@
             .collect()
     }
 
-    /// Marks silent servers as suspect, forgets expired ones, and begins a periodic write.
+    /// Marks silent servers as suspect, removes expired ones, and starts the periodic disk write
+    /// when it is due.
     pub(super) fn tick(&mut self, now: Time) {
         if let Some(cache) = &mut self.cache {
             cache.tick(now, || known_records(&self.registry, now));
@@ -369,9 +374,9 @@
             return;
         }
         let changes = self.registry.tick(now);
-        let silent = || changes.records.iter().filter(|record| record.is_suspect);
-        if let Some(first) = silent().next() {
-            log::info!(target: "control", servers = silent().count(), first = first.instance.as_str(); "servers are suspect");
+        let suspects = || changes.records.iter().filter(|record| record.is_suspect);
+        if let Some(first) = suspects().next() {
+            log::info!(target: "control", servers = suspects().count(), first = first.instance.as_str(); "servers are suspect");
         }
         if let Some(first) = changes.expired.first() {
             log::info!(target: "control", servers = changes.expired.len(), first = first.as_str(); "servers expired");
@@ -386,27 +391,28 @@
         self.registry.take_heartbeat_digest(now)
     }
 
-    /// The complete table, without records that only the disk remembers.
+    /// Returns the complete table, without records that are known only from the disk.
     pub(super) fn snapshot(&self, now: Time) -> Vec<ServerRecord> {
         self.registry.snapshot(now)
     }
 
-    /// Servers that are known only from the disk.
+    /// Returns the records that are known only from the disk.
     pub(super) fn cached(&self) -> Vec<ServerRecord> {
         self.registry.cached_servers()
     }
 
-    /// All known records, for a router that connects.
+    /// Returns all known records, including those known only from the disk. Routers that connect
+    /// receive them.
     pub(super) fn known(&self, now: Time) -> Vec<ServerRecord> {
         known_records(&self.registry, now)
     }
 
-    /// The records.
+    /// Returns the registry that holds the records.
     pub(super) fn registry(&self) -> &Registry {
         &self.registry
     }
 
-    /// When [`Self::advance`] has something to do without a further event.
+    /// Returns when [`Self::advance`] has to be called even if no event arrives.
     pub(super) fn next_wake(&self) -> Option<Time> {
         self.pending_updates
             .iter()
@@ -415,23 +421,23 @@
     }
 }
 
-/// The table, followed by the servers that only the disk remembers.
+/// Returns the complete table, followed by the records that are known only from the disk.
 fn known_records(registry: &Registry, now: Time) -> Vec<ServerRecord> {
     let mut records = registry.snapshot(now);
     records.append(&mut registry.cached_servers());
     records
 }
 
-/// Whether a record reports that its server is draining or gone.
+/// Whether a record reports that its server is not ready: it is draining or gone.
 fn is_departure(record: &ServerRecord) -> bool {
     record.state != ServerState::Ready
 }
 
-fn interval(settings: &Settings) -> Micros {
+fn heartbeat_interval_us(settings: &Settings) -> Micros {
     u64::try_from(settings.heartbeat_interval.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// A known record as an update.
+/// Converts a known record to an update.
 fn as_update(record: &ServerRecord) -> Changes {
     let mut table = Registry::new(Time::default(), 1);
     table.merge(Time::default(), record)
--- a/fleet/src/control/server_table/tests.rs
+++ b/fleet/src/control/server_table/tests.rs
@@ -16,12 +16,12 @@
     SocketAddr::from(([10, 0, 0, number], 7_300))
 }
 
-/// Any one of these machines has to acknowledge an update, if there are any.
+/// Returns targets of which any one has to acknowledge an update, or none if there are none.
 fn any_of(numbers: &[u8]) -> ReplicationTargets {
     targets_requiring(numbers, numbers.len().min(1))
 }
 
-/// This number of these machines have to acknowledge an update.
+/// Returns targets of which `required` have to acknowledge an update.
 fn targets_requiring(numbers: &[u8], required: usize) -> ReplicationTargets {
     let notified: BTreeSet<SocketAddr> = numbers.iter().map(|number| peer(*number)).collect();
     ReplicationTargets {
@@ -41,7 +41,7 @@
     }
 }
 
-/// Ids of connections.
+/// Returns the ids of four connections, one per caller.
 fn callers() -> Vec<ConnId> {
     let mut net = Net::new(100).unwrap();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -88,7 +88,7 @@
         HeartbeatOutcome::Acknowledged
     );
     assert!(!servers.has_changes());
-    // Its draining is an update again, and so is its end.
+    // Draining and deregistration are updates again.
     assert_eq!(
         servers.on_heartbeat(
             at(2_400),
@@ -126,7 +126,7 @@
     let (callers, mut servers) = (callers(), ServerTable::new(&settings(), at(0)));
     servers.on_heartbeat(at(0), callers[0], "i-1", &heartbeat(1, ServerState::Ready));
     servers.take_changes(at(0), any_of(&[2]));
-    // The same server again, while its update is pending.
+    // The same server sends a heartbeat while its update is pending.
     assert_eq!(
         servers.on_heartbeat(at(50), callers[1], "i-1", &heartbeat(2, ServerState::Ready)),
         HeartbeatOutcome::Pending
@@ -183,7 +183,7 @@
         (1, false)
     );
     assert_ne!(second, 0, "the departure is sent under another number");
-    // A repeat while that is pending gets the same outcome.
+    // A repeated request while the update is pending shares its outcome.
     assert_eq!(
         servers.on_deregister(at(15), callers[2], "i-1"),
         HeartbeatOutcome::Pending
@@ -276,7 +276,7 @@
             .len(),
         1
     );
-    // Once the record has expired nothing is left of it.
+    // No state remains once the record has expired.
     servers.tick(at(200_000));
     servers.tick(at(400_000));
     assert!(servers.registry().is_empty() && servers.under_replicated.is_empty());
@@ -306,7 +306,7 @@
         [(callers[0], ReplicationOutcome::NotReplicated)],
         "the server goes on to another machine"
     );
-    // Nor does a machine that reaches too few others.
+    // A machine that reaches too few others does not acknowledge either.
     assert_eq!(
         servers.on_deregister(at(20), callers[2], "i-1"),
         HeartbeatOutcome::Pending
@@ -318,7 +318,7 @@
         [(callers[2], ReplicationOutcome::NotReplicated)],
         "the outcome is known at once"
     );
-    // Once enough machines are connected again they are notified.
+    // The update is sent again once enough machines are connected.
     assert_eq!(
         servers.on_deregister(at(50), callers[1], "i-1"),
         HeartbeatOutcome::Pending
@@ -336,7 +336,7 @@
 #[test]
 fn update_needs_acknowledgements_of_voter_majority() {
     let (callers, mut servers) = (callers(), ServerTable::new(&settings(), at(0)));
-    // Five of eight machines are beyond a partition that is not detected yet.
+    // Five of eight machines are unreachable behind a partition that is not detected yet.
     servers.on_deregister(at(0), callers[0], "i-1");
     let (_, ack) = servers.take_changes(at(0), targets_requiring(&[2, 3, 4, 5, 6, 7, 8], 4));
     [2, 3]
@@ -410,7 +410,7 @@
     );
 }
 
-/// A machine whose disk fails writes of the table until `heal` is called.
+/// A machine whose disk fails writes of the table until `repair_disk` is called.
 struct MachineWithDisk {
     servers: ServerTable,
     folder: std::path::PathBuf,
@@ -438,7 +438,7 @@
         }
     }
 
-    fn heal(&self) {
+    fn repair_disk(&self) {
         std::fs::remove_dir(self.folder.join("servers.new")).unwrap();
     }
 
@@ -480,7 +480,7 @@
         "the server goes on"
     );
 
-    machine.heal();
+    machine.repair_disk();
     assert_eq!(
         machine.servers.on_deregister(at(500), callers[1], "i-1"),
         HeartbeatOutcome::Pending
@@ -523,14 +523,15 @@
         "the write has failed"
     );
 
-    // A repeat, which is no update here, waits for the next successful write all the same.
+    // A repeated record is not an update here, but its acknowledgement waits for the next
+    // successful write too.
     machine.servers.on_records(at(20), &gone, false, true);
     machine
         .servers
         .on_ack_requested(at(20), callers[0], 3, &gone);
     machine.servers.advance(at(20));
     assert_eq!(machine.servers.take_acks(at(20)), []);
-    machine.heal();
+    machine.repair_disk();
     machine.servers.tick(at(1_000));
     machine.await_write();
     machine.servers.advance(at(1_010));
