--- a/fleet/src/control/backlog_handler.rs
+++ b/fleet/src/control/backlog_handler.rs
@@ -1,8 +1,8 @@
-//! Reports on the work that waits at servers: summed here, and sent to the other control machines
-//! and to this machine's routers.
+//! Sums the reported backlogs of servers, and sends the sums to the other control machines and to
+//! this machine's routers.
 //!
-//! The sums are hints for choosing servers. What is lost on the way is sent again within
-//! [`SNAPSHOT_INTERVAL`].
+//! The sums are hints for choosing servers. A lost report is corrected by the next complete one,
+//! which is sent within [`SNAPSHOT_INTERVAL`].
 
 use super::backlogs::BacklogSource;
 use super::clock::after;
@@ -14,13 +14,13 @@
 use lichenswitch_net::ConnId;
 use std::time::Duration;
 
-/// Interval of reports on what has changed.
+/// Minimum interval between reports of changes.
 const DELTA_INTERVAL: Duration = Duration::from_millis(20);
-/// Interval of complete reports.
+/// Minimum interval between complete reports to the other control machines.
 const SNAPSHOT_INTERVAL: Duration = Duration::from_secs(2);
 
 impl ControlNode {
-    /// A router, or another control machine, reports its backlogs.
+    /// Handles a backlog report of a router or of another control machine.
     pub(super) fn on_backlog_report(&mut self, id: ConnId, report: &BacklogReport) {
         let changes: BacklogChanges = report
             .servers
@@ -30,7 +30,7 @@
         let source = match self.connections.remote_role(id) {
             Some(RemoteRole::Router) => BacklogSource::Router(id),
             Some(RemoteRole::Peer(address)) => BacklogSource::Peer(address),
-            // Its handshake has not arrived.
+            // The sender's handshake has not arrived.
             Some(RemoteRole::Unknown) | None => return,
         };
         if report.is_complete {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Sends what has changed, if it is time.
+    /// Sends the changes, or a complete report, if one is due.
     pub(super) fn send_backlogs(&mut self, now: Time) {
         if self.backlogs.next_wake().is_none_or(|at| at > now) {
             return;
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Sends a router that has connected all that is known.
+    /// Sends all known backlogs to a router that has connected.
     pub(super) fn send_known_backlogs(&mut self, id: ConnId) {
         let known = self.backlogs.table.snapshot_for_router();
         if !known.is_empty() {
--- a/fleet/src/control/call_handler.rs
+++ b/fleet/src/control/call_handler.rs
@@ -1,4 +1,5 @@
-//! Calls of operators: from the request to the response, here or by way of the primary.
+//! Handles calls of operators, from the request to the response. Calls are answered here or relayed
+//! to the primary.
 
 use super::call_types::{Call, CallAction, CallOrigin};
 use super::clock::to_replica_time;
@@ -16,7 +17,7 @@
 use std::net::SocketAddr;
 
 impl ControlNode {
-    /// A complete request of a server or an operator has arrived.
+    /// Handles a complete HTTP request of a server or an operator.
     pub(super) fn on_request(&mut self, id: ConnId, request: &Request) {
         let now = self.net.clock.now();
         let response = match RequestTarget::of(&request.method, request.path()) {
@@ -42,8 +43,8 @@
         }
     }
 
-    /// An order that is invalid whatever the state is rejected here; any other is the primary's to
-    /// judge.
+    /// Handles an order. An order that is invalid regardless of the state is rejected at once. The
+    /// primary decides about all others.
     fn on_order(&mut self, id: ConnId, request: &Request, now: Time) -> Option<Response> {
         let base_version =
             match parse_base_version(request.header("base-version").map(str::as_bytes)) {
@@ -61,7 +62,8 @@
         }
     }
 
-    /// The response to an order that is invalid whatever the state.
+    /// Records the rejection of an order that is invalid regardless of the state, and returns the
+    /// response.
     fn reject_order(&mut self, now: Time, base_version: u64, reason: String) -> Response {
         let response = error_response(400, &reason);
         self.on_order_rejected(RejectedOrder {
@@ -73,20 +75,21 @@
         response
     }
 
-    /// This machine has rejected an order, as primary or as invalid whatever the state.
+    /// Logs and records a rejected order. The rejection comes from this machine as the primary, or
+    /// from the check that does not depend on the state.
     fn on_order_rejected(&mut self, rejection: RejectedOrder) {
         log::info!(target: "control", status = rejection.status, base_version = rejection.base_version,
             reason = rejection.reason.as_str(); "order rejected");
         self.rejected_orders.record(rejection);
     }
 
-    /// Submits a call of a caller, who gets the response later.
+    /// Submits a call. Returns `None`, since the caller is answered once the call is completed.
     fn submit_call(&mut self, id: ConnId, kind: CallKind, now: Time) -> Option<Response> {
         self.dispatch_call(CallOrigin::Caller(id), kind, now);
         None
     }
 
-    /// Another control machine relays a call.
+    /// Handles a call that another control machine relays.
     pub(super) fn on_relayed_call(
         &mut self,
         address: SocketAddr,
@@ -120,7 +123,7 @@
         );
     }
 
-    /// Forwards calls, and responds to those that are completed. Returns whether there were any.
+    /// Forwards calls, and responds to completed ones. Returns whether there were any of either.
     pub(super) fn advance_calls(&mut self, now: Time) -> bool {
         let primary = self.primary(now);
         let replica = self.group.as_mut().map(|group| &mut group.replica);
@@ -171,14 +174,16 @@
                     &error_response(503, "no primary is known that could answer"),
                 );
             }
-            // It may have been accepted: no status would be true.
+            // The order may have been accepted, so no status code would be correct. The connection
+            // is closed without a response.
             (CallOrigin::Caller(id), RelayedResponse::Unknown) => {
                 self.callers.abort(&mut self.net, id)
             }
         }
     }
 
-    /// Remembers acknowledged versions, and checks that no read returns an older one.
+    /// Records the version of an acknowledged order. Checks that a read does not return a version
+    /// older than those acknowledged before it.
     fn check_acknowledged_read(&mut self, call: &Call, status: u16, body: &[u8]) {
         let Some(version) = parse_response_version(body).filter(|_| status == 200) else {
             return;
--- a/fleet/src/control/caller_sessions.rs
+++ b/fleet/src/control/caller_sessions.rs
@@ -1,8 +1,7 @@
 //! HTTP connections of servers and operators.
 //!
-//! It promises that each connection has one pending request, that a response goes only to the
-//! connection whose request it is for, and that a connection whose request gets no response is
-//! closed.
+//! Each connection has at most one pending request. A response is sent only on the connection of
+//! its request. A connection whose request can't be answered is closed.
 
 use super::clock::elapsed;
 use super::net_program::{Net, Owner};
@@ -13,26 +12,28 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Longest body of an order.
+/// Maximum length of a request body.
 pub(super) const MAX_BODY_BYTES: usize = 4 << 20;
-/// Most bytes that are buffered for a caller: a chunked body takes more than its length.
+/// Maximum number of bytes that are buffered for a caller. A chunked body takes up more than its
+/// length.
 const MAX_BUFFERED_BYTES: usize = MAX_BODY_BYTES + (MAX_BODY_BYTES >> 2);
-/// A connection is closed when its request is incomplete, or none arrives, for this time.
+/// Time after which a connection without a complete request is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// A connection whose output has ended is closed after this time, unless the caller closes it first.
+/// Time after the last response after which a connection is closed, unless the caller closes it
+/// first.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The phase of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// A request is awaited or being read.
+    /// The connection waits for a request, or reads one.
     Reading,
     /// A response is pending.
     Responding {
-        /// Whether the connection stays open after it.
+        /// Whether the connection stays open after the response.
         keep_alive: bool,
     },
-    /// The last response is sent or queued.
+    /// The last response has been queued or sent.
     Closing,
 }
 
@@ -47,7 +48,7 @@
     sessions: BTreeMap<ConnId, Session>,
     /// Connections that have something to write, or buffered input to read.
     dirty: Vec<ConnId>,
-    /// Whether responses close their connections, since the process shuts down.
+    /// Whether each response closes its connection, because the process shuts down.
     is_draining: bool,
 }
 
@@ -66,8 +67,8 @@
         }
     }
 
-    /// A connection can be read or written. Returns the request that is complete now, if any.
-    pub(super) fn ready(&mut self, net: &mut Net, id: ConnId) -> Option<Request> {
+    /// Reads and writes a connection that is ready. Returns the next request if it is complete.
+    pub(super) fn process_ready(&mut self, net: &mut Net, id: ConnId) -> Option<Request> {
         if net.transfer(id, MAX_BUFFERED_BYTES) != TransferProgress::Alive {
             self.close(net, id);
             return None;
@@ -110,7 +111,7 @@
                 if conn.ended && conn.flushed() {
                     self.close(net, id);
                 } else if conn.ended {
-                    // It sends no more, and may yet read its last answer.
+                    // The caller has closed its sending side, and may still read the last response.
                     *session = Session {
                         phase: Phase::Closing,
                         entered_at: now,
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Sends the response to the pending request of a connection.
+    /// Queues the response to the pending request of a connection. Ignores connections without one.
     pub(super) fn respond(&mut self, net: &mut Net, id: ConnId, response: &Response) {
         let now = net.clock.now();
         let (Some(session), Some(conn)) = (self.sessions.get_mut(&id), net.get_mut(id)) else {
@@ -153,9 +154,9 @@
         self.close(net, id);
     }
 
-    /// Writes what is queued. Returns pipelined requests behind those that got their responses.
+    /// Writes queued responses. Returns the pipelined requests that follow answered ones.
     pub(super) fn flush(&mut self, net: &mut Net) -> Vec<(ConnId, Request)> {
-        let mut more = Vec::new();
+        let mut pipelined_requests = Vec::new();
         for id in std::mem::take(&mut self.dirty) {
             if net.flush(id, false) != TransferProgress::Alive {
                 self.close(net, id);
@@ -163,30 +164,30 @@
             }
             self.end_output_if_done(net, id);
             if let Some(request) = self.read(net, id) {
-                more.push((id, request));
+                pipelined_requests.push((id, request));
             }
         }
-        more
+        pipelined_requests
     }
 
     fn end_output_if_done(&mut self, net: &mut Net, id: ConnId) {
-        let ending = self
+        let is_closing = self
             .sessions
             .get(&id)
             .is_some_and(|session| session.phase == Phase::Closing);
-        if let Some(conn) = net.get_mut(id).filter(|conn| ending && conn.flushed()) {
-            // The other side reads to the end of the answer; a close with bytes unread would reset
-            // it.
+        if let Some(conn) = net.get_mut(id).filter(|conn| is_closing && conn.flushed()) {
+            // Only the output is shut down. Closing the socket with unread input would reset the
+            // connection, and the caller might lose the end of the response.
             conn.end_output();
         }
     }
 
-    /// From now on a response closes its connection.
+    /// Makes each further response close its connection.
     pub(super) fn start_draining(&mut self) {
         self.is_draining = true;
     }
 
-    /// Whether responses are pending or queued.
+    /// Whether any response is pending, or queued and not yet written.
     pub(super) fn is_busy(&self, net: &Net) -> bool {
         self.sessions
             .iter()
@@ -196,20 +197,20 @@
             })
     }
 
-    /// Closes connections whose timeout has passed.
+    /// Closes connections whose idle or linger timeout has passed.
     pub(super) fn close_expired(&mut self, net: &mut Net) {
         let now = net.clock.now();
-        let flushed = |id: &ConnId| net.get(*id).is_none_or(|conn| conn.flushed());
-        let expired = |(id, session): &(&ConnId, &Session)| match session.phase {
-            Phase::Closing if flushed(id) => elapsed(session.entered_at, now) > LINGER_TIMEOUT,
-            // A long answer may take its time on a narrow link.
+        let is_flushed = |id: &ConnId| net.get(*id).is_none_or(|conn| conn.flushed());
+        let is_expired = |(id, session): &(&ConnId, &Session)| match session.phase {
+            Phase::Closing if is_flushed(id) => elapsed(session.entered_at, now) > LINGER_TIMEOUT,
+            // A long response may take longer than the linger timeout on a slow link.
             Phase::Reading | Phase::Closing => elapsed(session.entered_at, now) > IDLE_TIMEOUT,
             Phase::Responding { .. } => false,
         };
         let expired: Vec<ConnId> = self
             .sessions
             .iter()
-            .filter(expired)
+            .filter(is_expired)
             .map(|(id, _)| *id)
             .collect();
         expired.into_iter().for_each(|id| self.close(net, id));
--- a/fleet/src/control/configuration_handler.rs
+++ b/fleet/src/control/configuration_handler.rs
@@ -1,4 +1,4 @@
-//! Committed configurations: how this machine learns of them, and to whom it passes them on.
+//! Applies committed configurations, and sends them to routers and relays.
 
 use super::call_types::PrimaryLocation;
 use super::node::ControlNode;
@@ -23,7 +23,7 @@
         self.send_configuration_to_relays(now);
     }
 
-    /// The committed configuration, if it is newer than the one applied last.
+    /// Returns the newest committed configuration, if it is newer than the one applied last.
     fn newest_committed(&self) -> Option<CommittedConfiguration> {
         let applied = self
             .committed
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Sends messages to routers.
+    /// Sends each message to the router that it is addressed to.
     pub(super) fn send_to_routers(&mut self, messages: Vec<RouterMessage>) {
         for (id, message) in messages {
             self.connections
@@ -78,7 +78,7 @@
         }
     }
 
-    /// As primary, sends the committed configuration to relays that lack it.
+    /// Sends the committed configuration to relays that lack it, if this machine is the primary.
     pub(super) fn send_configuration_to_relays(&mut self, now: Time) {
         let Some(committed) = self
             .committed
@@ -99,8 +99,8 @@
         }
     }
 
-    /// The primary has sent a committed configuration. One that can't be read is passed over, since
-    /// routers could not use it either.
+    /// Handles a committed configuration from the primary. A configuration that can't be parsed is
+    /// ignored, since routers could not use it either.
     pub(super) fn on_configuration(&mut self, position: ConfigurationPosition, document: Vec<u8>) {
         match Document::parse_committed(&document) {
             Ok(parsed) => {
--- a/fleet/src/control/connection_handler.rs
+++ b/fleet/src/control/connection_handler.rs
@@ -1,4 +1,4 @@
-//! Connections between the processes of the fleet: how they are opened, read and closed.
+//! Opens, reads and closes the connections between processes of the fleet.
 
 use super::backlogs::BacklogSource;
 use super::clock::elapsed;
@@ -30,10 +30,11 @@
         }
     }
 
-    /// A connection can be read or written.
+    /// Handles a connection that can be read or written: processes its messages, and closes it on
+    /// an error.
     pub(super) fn on_connection_ready(&mut self, id: ConnId) {
         let now = self.net.clock.now();
-        let events = self.connections.ready(&mut self.net, id);
+        let events = self.connections.process_ready(&mut self.net, id);
         if events.has_connected {
             self.on_connected(id);
         }
@@ -53,7 +54,7 @@
         }
     }
 
-    /// A dialled connection has come up: this machine introduces itself.
+    /// Sends the handshake of this machine on a dialled connection that is established.
     fn on_connected(&mut self, id: ConnId) {
         if matches!(self.connections.remote_role(id), Some(RemoteRole::Peer(_))) {
             let handshake = Envelope::Peer(self.handshake());
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Sends a message to a control machine on this connection.
+    /// Sends a message to the control machine at the other end of a connection.
     pub(super) fn send_to(&mut self, id: ConnId, message: PeerMessage) {
         self.connections
             .send(&mut self.net, id, &Envelope::Peer(message));
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Closes connections that are idle for too long, or that never came up.
+    /// Closes connections that have been idle for too long, or were not established in time.
     pub(super) fn close_idle_connections(&mut self, now: Time) {
         let net = &self.net;
         let is_idle = |connection: &ConnectionInfo| {
@@ -147,7 +148,7 @@
             };
             match connection.remote_role {
                 _ if !conn.up => elapsed(connection.opened_at, now) > CONNECT_TIMEOUT,
-                // Routers send little; the TCP user timeout finds out when one has failed.
+                // Routers send few messages. The TCP user timeout detects a failed one.
                 RemoteRole::Router => false,
                 RemoteRole::Peer(_) | RemoteRole::Unknown => {
                     elapsed(conn.last_read_at, now) > PEER_IDLE_TIMEOUT
@@ -161,10 +162,10 @@
             .map(|connection| connection.id)
             .collect();
         idle.into_iter()
-            .for_each(|id| self.close_connection(id, "silent for too long"));
+            .for_each(|id| self.close_connection(id, "idle timeout expired"));
     }
 
-    /// Forgets peers that have not been reached for long.
+    /// Removes peers that have been unreachable for too long.
     pub(super) fn forget_unreachable_peers(&mut self, now: Time) {
         let voters = self.voters();
         for address in self.peers.forget_unreachable(&voters, now) {
@@ -172,7 +173,8 @@
         }
     }
 
-    /// Closes a connection, and notifies the parts that used it.
+    /// Closes a connection, and notifies the modules that used it. The reason is logged if the peer
+    /// has no other connection.
     pub(super) fn close_connection(&mut self, id: ConnId, reason: &str) {
         let now = self.net.clock.now();
         match self.connections.close(&mut self.net, id) {
--- a/fleet/src/control/contact_handler.rs
+++ b/fleet/src/control/contact_handler.rs
@@ -1,4 +1,4 @@
-//! Contact with the group, and how it is reported to other control machines and to routers.
+//! Determines contact with the group, and reports it to other control machines and to routers.
 
 use super::call_types::PrimaryLocation;
 use super::clock::to_replica_time;
@@ -10,7 +10,8 @@
 use std::net::SocketAddr;
 
 impl ControlNode {
-    /// Whether this machine is in contact with a quorum, and its state is current.
+    /// Whether this machine is in contact with a quorum and its state is current. False during a
+    /// shutdown.
     pub(super) fn in_contact(&self, now: Time) -> bool {
         let voter = self.group.as_ref().filter(|group| group.is_voter());
         let voter_is_current = voter.map(|group| group.replica.is_current(to_replica_time(now)));
@@ -18,7 +19,7 @@
             && has_contact(voter_is_current, self.primary_tracker.is_in_contact(now))
     }
 
-    /// Reports at once to routers and peers that contact was lost or regained.
+    /// Reports a loss or a return of contact to routers and peers at once.
     pub(super) fn update_contact(&mut self, now: Time) {
         let in_contact = self.in_contact(now);
         if std::mem::replace(&mut self.last_notified.in_contact, in_contact) == in_contact {
@@ -43,7 +44,7 @@
         }
     }
 
-    /// The heartbeat for routers.
+    /// Returns the heartbeat for routers.
     pub(super) fn router_heartbeat(&self, now: Time) -> ControlToRouter {
         ControlToRouter::Heartbeat {
             in_contact: self.in_contact(now),
@@ -52,13 +53,18 @@
         }
     }
 
-    /// Routers that are members here and at the other control machines.
+    /// Returns the number of routers of this machine and of the connected control machines.
     pub(super) fn routers_of_fleet(&self) -> u32 {
-        let elsewhere: u32 = self.peers.connected().map(|(_, peer)| peer.routers).sum();
-        elsewhere.saturating_add(u32::try_from(self.routers.count()).unwrap_or(u32::MAX))
+        let remote_count: u32 = self
+            .peers
+            .connected()
+            .map(|(_, peer)| peer.router_count)
+            .sum();
+        remote_count.saturating_add(u32::try_from(self.routers.count()).unwrap_or(u32::MAX))
     }
 
-    /// Addresses of reachable control machines: those in contact first, and voters before others.
+    /// Returns the addresses of reachable control machines. Machines in contact come first, and
+    /// among these voters come before others.
     fn control_machines(&self) -> Vec<String> {
         let voters: BTreeSet<SocketAddr> = self.voters().into_iter().collect();
         let rank = |address: &SocketAddr, in_contact: bool| {
@@ -79,7 +85,7 @@
             .collect()
     }
 
-    /// What this machine reports of itself and of the primary.
+    /// Returns this machine's report about its contact, the primary, its routers and its peers.
     pub(super) fn contact_message(&self, now: Time) -> PeerMessage {
         let primary = match self.primary(now) {
             PrimaryLocation::Local => Some(self.address),
@@ -94,8 +100,8 @@
         }
     }
 
-    /// Sends the periodic digest to all other control machines: contact, and the servers whose
-    /// heartbeats were received.
+    /// Sends the periodic digest to all other control machines: this machine's contact, and the
+    /// ages of the server heartbeats that it has received.
     pub(super) fn send_digest(&mut self, now: Time) {
         self.send_contact_to_peers(now);
         let digest = self.servers.take_heartbeat_digest(now);
@@ -110,7 +116,7 @@
         self.send_to_peers(&message);
     }
 
-    /// Connected machines without a replica.
+    /// Returns the connected machines that are not voters, with their connections.
     pub(super) fn relays(&self) -> Vec<(SocketAddr, ConnId)> {
         let voters = self.voters();
         let others = self
@@ -122,8 +128,8 @@
             .collect()
     }
 
-    /// As a primary in contact, sends relays the committed configuration, and behind it the
-    /// confirmation that it is current.
+    /// Sends the committed configuration to relays, and then the confirmation that it is current.
+    /// Does nothing unless this machine is the primary and in contact.
     pub(super) fn send_confirmation_to_relays(&mut self, now: Time) {
         if self.primary(now) != PrimaryLocation::Local || !self.in_contact(now) {
             return;
@@ -144,7 +150,7 @@
         }
     }
 
-    /// A relay has acknowledged [`PeerMessage::Confirmed`].
+    /// Handles a relay's acknowledgement of [`PeerMessage::Confirmed`].
     pub(super) fn on_confirmation_ack(
         &mut self,
         now: Time,
@@ -155,14 +161,16 @@
             return;
         };
         if peer.confirmation_ack.replace(instant).is_none() {
-            // The relay is in contact with the next confirmation: it is sent that at once.
+            // After its first acknowledgement, the relay gains contact with the next confirmation.
+            // Sends that at once.
             self.send_confirmation_to_relays(now);
         }
     }
 }
 
-/// Whether a machine is in contact: a voter by its replica alone, another machine (`None`) by the
-/// primary's confirmations. A voter that lags receives these too, and is not in contact by them.
+/// Whether a machine is in contact. For a voter, only its replica decides. For another machine
+/// (`None`), the primary's confirmations decide. A voter that lags receives confirmations too, but
+/// they don't put it in contact.
 fn has_contact(voter_is_current: Option<bool>, relay_in_contact: bool) -> bool {
     voter_is_current.unwrap_or(relay_in_contact)
 }
--- a/fleet/src/control/environment.rs
+++ b/fleet/src/control/environment.rs
@@ -1,24 +1,24 @@
-//! The environment of a control machine. Tests put a disk with faults in place of the real one.
+//! The environment of a control machine. Tests replace the real disk with one that injects faults.
 
 use lichenswitch_replication::Faults;
 use lichenswitch_storage::{FileSystem, RealFileSystem};
 use std::sync::Arc;
 
-/// Gives each user of files a handle of the file system.
+/// A function that creates a file system handle for each component that uses files.
 pub type FileSystems = Arc<dyn Fn() -> Box<dyn FileSystem>>;
 
-/// The environment of a control machine.
+/// The dependencies of a control machine that tests replace.
 #[derive(Clone)]
 pub struct Environment {
-    /// The files that hold its state.
+    /// Creates handles of the file system that holds the machine's state.
     pub file_systems: FileSystems,
-    /// Faults that tests plant to show that they would be found; none outside tests.
+    /// Faults that tests inject to show that their checks detect them. Empty outside tests.
     #[doc(hidden)]
     pub faults: Faults,
 }
 
 impl Default for Environment {
-    /// The files of this machine.
+    /// Returns an environment with the real file system and without faults.
     fn default() -> Environment {
         Environment {
             file_systems: Arc::new(|| Box::new(RealFileSystem)),
@@ -28,7 +28,7 @@
 }
 
 impl Environment {
-    /// A new handle of the file system.
+    /// Creates a handle of the file system.
     pub(super) fn file_system(&self) -> Box<dyn FileSystem> {
         (self.file_systems)()
     }
--- a/fleet/src/control/error.rs
+++ b/fleet/src/control/error.rs
@@ -1,15 +1,15 @@
-//! Why the role `control` ends.
+//! Errors that end the role `control`.
 
 use lichenswitch_storage::StorageError;
 use std::io;
 
-/// Why the role ended.
+/// The reason why the role has ended.
 #[derive(Debug, thiserror::Error)]
 pub enum ControlError {
-    /// A system call failed that the role can't do without.
+    /// A required system call has failed.
     #[error("{0}")]
     System(#[from] io::Error),
-    /// The disk can't be used.
+    /// The group's files in the data directory can't be used.
     #[error("the disk: {0}")]
     Storage(#[from] StorageError),
     /// The settings have no address for servers and operators.
--- a/fleet/src/control/event_loop.rs
+++ b/fleet/src/control/event_loop.rs
@@ -1,4 +1,4 @@
-//! The loop of a control machine, and the order in which the parts learn what has happened.
+//! The event loop of a control machine. It determines the order in which modules handle events.
 
 use super::clock::{after, earlier, from_replica_time, to_replica_time};
 use super::error::ControlError;
@@ -13,14 +13,14 @@
 use log::info;
 use std::time::Duration;
 
-/// Interval of heartbeats to routers; periodic work is done along with them.
+/// Interval of heartbeats to routers and of the other periodic work.
 const TICK_INTERVAL: Duration = Duration::from_millis(ROUTER_HEARTBEAT_MS);
 
 impl ControlNode {
-    /// Runs the loop until the process may exit.
+    /// Runs the event loop until the process may exit.
     ///
     /// # Errors
-    /// When waiting for sockets fails.
+    /// Fails if waiting for sockets fails.
     pub(super) fn run(mut self) -> Result<(), ControlError> {
         self.process_until_idle();
         while !self.may_exit() {
@@ -33,7 +33,8 @@
         }
         info!(target: "control", "control machine stopped");
         let ControlNode { net, group, .. } = self;
-        // Callers and peers turn to other machines at once, however long the disk still takes.
+        // Closes all connections before it waits for the disk, so that callers and peers turn to
+        // other machines at once.
         drop(net);
         if let Some(group) = group {
             group.close();
@@ -52,7 +53,7 @@
                 }
             }
             Ready::Conn(id, Owner::Caller) => {
-                if let Some(request) = self.callers.ready(&mut self.net, id) {
+                if let Some(request) = self.callers.process_ready(&mut self.net, id) {
                     self.on_request(id, &request);
                 }
             }
@@ -71,12 +72,13 @@
                     group.on_written(now);
                 }
             }
-            // The turn that follows handles what has been written.
+            // The signal only wakes the event loop. `ServerTable::advance` handles the completed
+            // write in this iteration.
             Signal::TableWritten => {}
         }
     }
 
-    /// Does what is due by now.
+    /// Performs the work whose time has come.
     fn run_due_work(&mut self) {
         let now = self.net.clock.now();
         if let Some(group) = self
@@ -97,13 +99,14 @@
             self.tick(now);
         }
         if self.next_digest_at <= now {
-            // A little early, so that a late tick does not make it miss the next one.
+            // The deadline is a quarter of a tick early. If a tick is late, the digest is still due
+            // at the next one.
             self.next_digest_at = after(now, DIGEST_INTERVAL - TICK_INTERVAL / 4);
             self.send_digest(now);
         }
     }
 
-    /// Does the periodic work.
+    /// Performs the work that is done once per [`TICK_INTERVAL`].
     fn tick(&mut self, now: Time) {
         self.close_idle_connections(now);
         self.servers.tick(now);
@@ -117,41 +120,40 @@
         self.send_confirmation_to_relays(now);
     }
 
-    /// Handles what the parts have produced until they produce nothing more, and writes what was
-    /// queued.
+    /// Handles the outputs of all modules and writes queued bytes, until no more work results.
     fn process_until_idle(&mut self) {
         loop {
             let now = self.net.clock.now();
-            let mut busy = self.advance_calls(now);
-            // After the calls: their requests to the replica are sent in this turn, not with the
-            // next heartbeat.
-            busy |= self.handle_replica_outputs(now);
-            busy |= self.replicate_server_updates(now);
+            let mut has_more_work = self.advance_calls(now);
+            // Runs after the calls, so that their requests to the replica are sent in this
+            // iteration and not with the next heartbeat.
+            has_more_work |= self.handle_replica_outputs(now);
+            has_more_work |= self.replicate_server_updates(now);
             self.apply_committed_configuration(now);
             self.update_contact(now);
             self.update_shard_ownership(now);
-            busy |= self.flush_connections();
-            if !busy {
+            has_more_work |= self.flush_connections();
+            if !has_more_work {
                 return;
             }
         }
     }
 
-    /// Writes what is queued on all connections. Returns whether that has produced more work.
+    /// Writes queued bytes on all connections. Returns whether that has produced more work.
     fn flush_connections(&mut self) -> bool {
         let broken = self.connections.flush(&mut self.net);
-        let mut busy = !broken.is_empty();
+        let mut has_more_work = !broken.is_empty();
         broken
             .into_iter()
-            .for_each(|id| self.close_connection(id, "can't be written"));
+            .for_each(|id| self.close_connection(id, "write failed or queue full"));
         for (id, request) in self.callers.flush(&mut self.net) {
-            busy = true;
+            has_more_work = true;
             self.on_request(id, &request);
         }
-        busy
+        has_more_work
     }
 
-    /// When something is due without a further event.
+    /// Returns when the next work is due if no event arrives before.
     fn next_wake(&self) -> Option<Time> {
         let wakes = [
             self.group.as_ref().and_then(Group::next_wake),
--- a/fleet/src/control/group.rs
+++ b/fleet/src/control/group.rs
@@ -1,7 +1,7 @@
 //! The replicated state of this machine: a replica, and the disk that it writes to.
 //!
-//! It owns both, and promises that what the replica wants persisted is written in order, and
-//! reported to it only once it is synced. Without a disk the memory of the process counts as one.
+//! Items that the replica persists are written in order, and reported to the replica only once they
+//! are synced. Without a disk, items are reported at once and exist only in memory.
 
 use super::clock::{from_replica_time, to_replica_time};
 use super::eligibility::is_founder;
@@ -21,20 +21,20 @@
 
 /// Delay before a disk that could not be opened is tried again.
 pub(super) const DISK_RETRY_DELAY: Duration = Duration::from_secs(1);
-/// Folder of the ring under the data directory.
+/// Folder of the segment ring under the data directory.
 const RING_FOLDER: &str = "control";
 
-/// A replica, and its disk.
+/// A member of the group: its replica, and the disk that holds its state.
 pub(super) struct Group {
     pub(super) replica: Replica<ReplicatedConfiguration>,
     disk: Option<GroupDisk>,
-    /// Without a disk: the last write that has to be reported as synced.
+    /// On a machine without a disk, the last write that has to be reported as synced.
     unreported_write: Option<WriteId>,
 }
 
 impl Group {
-    /// Opens the group. A disk that can't be used now does not end the process: the machine only
-    /// relays meanwhile.
+    /// Opens the disk and starts the replica. Returns `None` if the disk can't be used. The process
+    /// then continues as a relay.
     pub(super) fn open(
         settings: &Settings,
         environment: &Environment,
@@ -76,17 +76,17 @@
         })
     }
 
-    /// Identity of this member.
+    /// Returns the identity of this member.
     pub(super) fn identity(&self) -> Identity {
         self.replica.member().identity
     }
 
-    /// Whether this member is a voter, as far as it knows.
+    /// Whether this member is a voter in the membership that its replica knows.
     pub(super) fn is_voter(&self) -> bool {
         self.replica.membership().contains(self.identity())
     }
 
-    /// Takes the outputs of the replica, except for writes: these are submitted here.
+    /// Takes the outputs of the replica, except for writes, which it submits to the disk.
     pub(super) fn take_outputs(&mut self, now: Time) -> Vec<Output> {
         let mut outputs = Vec::new();
         loop {
@@ -108,7 +108,7 @@
             self.unreported_write = Some(write_id);
             return;
         };
-        // A segment without room for this item is followed by a new one, which begins with a
+        // If the segment has no room for this item, a new segment is started. It begins with a
         // snapshot of all items up to this one.
         let bytes = item.encode();
         let snapshot = disk
@@ -122,7 +122,7 @@
         disk.submit(write_id, is_snapshot, bytes);
     }
 
-    /// The writer of the disk has completed writes.
+    /// Reports the completed writes of the disk to the replica.
     pub(super) fn on_written(&mut self, now: Time) {
         let Some(disk) = &mut self.disk else { return };
         for write in disk.take_completed_writes() {
@@ -135,17 +135,17 @@
         }
     }
 
-    /// When the replica has to be woken; `None`: never.
+    /// Returns when the replica's `tick` has to be called, or `None` if it does not have to be.
     pub(super) fn next_wake(&self) -> Option<Time> {
         Some(from_replica_time(self.replica.next_wake())).filter(|at| at.0 < u64::MAX)
     }
 
-    /// The state of the disk; `None` without one.
+    /// Returns the state of the disk, or `None` on a machine without one.
     pub(super) fn disk_status(&self) -> Option<DiskStatus<'_>> {
         self.disk.as_ref().map(GroupDisk::status)
     }
 
-    /// Waits until all submitted writes have ended. Called once, at the end of the process.
+    /// Waits until all submitted writes have ended. Called at the end of the process.
     pub(super) fn close(self) {
         if let Some(disk) = self.disk {
             disk.close();
@@ -153,7 +153,8 @@
     }
 }
 
-/// The replica of a member that the disk contains, a founder, or a learner.
+/// Creates the replica: from the member on the disk if there is one, as the founder of a new group,
+/// or as a learner.
 fn start_replica(
     settings: &Settings,
     environment: &Environment,
@@ -202,8 +203,8 @@
     Replica::learner(replication_settings, member, seed, now)
 }
 
-/// An identity that no member has or had: from the system's random numbers, the address and the
-/// time. It is never 0.
+/// Generates an identity that no other member has or had, from the system's random numbers, the
+/// address and the time. It is never 0.
 pub(super) fn generate_identity(address: &str) -> Identity {
     let hasher = std::collections::hash_map::RandomState::new();
     let identity = hasher.hash_one((
--- a/fleet/src/control/group_disk.rs
+++ b/fleet/src/control/group_disk.rs
@@ -1,4 +1,4 @@
-//! The disk of a member of the group: a ring of segments, and the thread that writes it.
+//! The disk of a member of the group: a ring of segments, and the thread that writes to it.
 
 use super::environment::Environment;
 use super::error::ControlError;
@@ -11,44 +11,45 @@
 use std::os::unix::net::UnixStream;
 use std::path::{Path, PathBuf};
 
-/// The most that a record takes on disk beyond its own bytes: a header, and the rest of a sector.
+/// Maximum space that a record takes on disk in addition to its own bytes: a header, and padding to
+/// the end of a sector.
 const BLOCK_OVERHEAD_BYTES: u64 = 1_024;
-/// Owner that the files of the ring name.
+/// Name of the owner in the files of the ring.
 const RING_OWNER: &str = "lichenswitch-fleet control";
 
-/// What a disk contained at the start.
+/// The state that was found on the disk at startup.
 pub(super) enum DiskContents {
-    /// Nothing, and it never did.
+    /// No state, and no sign that there ever was any.
     Empty,
-    /// State that can't be used: the disk counts as lost.
+    /// State that can't be used, now or at an earlier start. The disk counts as lost.
     Lost,
-    /// The state of a member.
+    /// The complete state of a member.
     Member(Box<Recovered>),
 }
 
-/// A write that has ended.
+/// The result of a write that has ended.
 pub(super) struct CompletedWrite {
-    /// Its number.
+    /// Number of the write, as it was submitted.
     pub(super) id: WriteId,
-    /// Whether it is synced; otherwise it has failed.
+    /// Whether the write is synced. If not, it has failed.
     pub(super) is_synced: bool,
 }
 
 /// The state of the disk, as `status` shows it.
 pub(super) struct DiskStatus<'a> {
-    /// How full the ring is.
+    /// Space that the ring uses.
     pub(super) usage: Usage,
-    /// Writes that have not ended.
+    /// Number of submitted writes that have not ended.
     pub(super) outstanding_writes: usize,
     /// The last failure, until a write succeeds again.
     pub(super) failure: Option<&'a str>,
 }
 
-/// The disk, by way of its writer.
+/// The event loop's handle of the ring and its writer thread.
 pub(super) struct GroupDisk {
     writer: Writer,
     usage: Usage,
-    /// Bytes of records that were submitted since `usage` was reported.
+    /// Upper bound of the bytes of submitted records that `usage` does not include yet.
     submitted_bytes: u64,
     /// The last failure, until a write succeeds again.
     failure: Option<String>,
@@ -58,30 +59,30 @@
     /// Starts the writer of an opened ring. Its completions arrive as [`Signal::Written`].
     ///
     /// # Errors
-    /// When the writer or its socket can't be created.
+    /// Fails if the writer or its socket can't be created.
     pub(super) fn start(storage: Storage, net: &mut Net) -> Result<GroupDisk, ControlError> {
-        let (ours, theirs) = UnixStream::pair()?;
-        net.watch_signal(Signal::Written, ours)?;
+        let (wake_reader, wake_writer) = UnixStream::pair()?;
+        net.watch_signal(Signal::Written, wake_reader)?;
         let usage = storage.usage();
         Ok(GroupDisk {
-            writer: Writer::start(storage, theirs)?,
+            writer: Writer::start(storage, wake_writer)?,
             usage,
             submitted_bytes: 0,
             failure: None,
         })
     }
 
-    /// Whether a complete snapshot has to be written in place of a record of this length.
+    /// Whether a complete snapshot has to be written instead of a record of `bytes` bytes.
     pub(super) fn wants_snapshot_before(&self, bytes: usize) -> bool {
         let used =
             self.usage.used_bytes + self.submitted_bytes + bytes as u64 + BLOCK_OVERHEAD_BYTES;
         self.usage.wants_snapshot || used > self.usage.segment_bytes
     }
 
-    /// Submits a write: a snapshot that replaces all before it, or a record behind them.
+    /// Submits a write: a snapshot that replaces all earlier records, or a record that is appended.
     pub(super) fn submit(&mut self, write_id: WriteId, is_snapshot: bool, bytes: Vec<u8>) {
-        let job = if is_snapshot {
-            // The next segment has room again; the writer reports how much once it is written.
+        let request = if is_snapshot {
+            // The snapshot starts a new segment. The writer reports its usage once it is written.
             (
                 self.usage.wants_snapshot,
                 self.usage.used_bytes,
@@ -92,10 +93,11 @@
             self.submitted_bytes += bytes.len() as u64 + BLOCK_OVERHEAD_BYTES;
             WriteRequest::Append(vec![bytes])
         };
-        self.writer.submit(write_id.0, job);
+        self.writer.submit(write_id.0, request);
     }
 
-    /// Takes the writes that have ended, in order, and logs when the disk fails and recovers.
+    /// Takes the results of writes that have ended, in order. Logs when writes begin to fail and
+    /// when they succeed again.
     pub(super) fn take_completed_writes(&mut self) -> Vec<CompletedWrite> {
         let mut completed = Vec::new();
         for completion in self.writer.completions() {
@@ -111,7 +113,7 @@
                     }
                 }
                 Err(e) => {
-                    // The write is retried again and again, but logged once.
+                    // The write is retried. Only the first failure is logged.
                     if self.failure.is_none() {
                         warn!(target: "control", error = e.to_string().as_str(); "disk write failed");
                     }
@@ -126,7 +128,7 @@
         completed
     }
 
-    /// The state of the disk.
+    /// Returns the state of the disk.
     pub(super) fn status(&self) -> DiskStatus<'_> {
         DiskStatus {
             usage: self.usage,
@@ -141,27 +143,27 @@
     }
 }
 
-/// Opens the ring. An incomplete one counts as a lost disk: it is set aside, and the machine starts
-/// with an empty one and another identity.
+/// Opens the ring. If it is incomplete, the disk counts as lost: the folder is renamed, and the
+/// machine starts with an empty ring and a new identity.
 ///
 /// # Errors
-/// When a folder or file can't be opened, created or renamed.
+/// Fails if a folder or file can't be opened, created or renamed.
 pub(super) fn open_ring(
     folder: &Path,
     environment: &Environment,
 ) -> Result<(Storage, DiskContents), ControlError> {
-    let ring = || {
+    let open = || {
         Storage::open_with(
             environment.file_system(),
             folder,
             &StorageSettings::new(RING_OWNER),
         )
     };
-    let (storage, found) = ring()?;
+    let (storage, found) = open()?;
     for finding in &found.findings {
         warn!(target: "control", finding:? = finding; "damage found on the disk");
     }
-    // A torn write was never acknowledged; any other finding means that there was state once.
+    // A torn write was never acknowledged. Any other finding shows that the disk contained state.
     let is_torn_write = |finding: &Finding| matches!(finding, Finding::Torn { .. });
     if found.is_empty() && found.findings.iter().all(is_torn_write) {
         let was_set_aside = aside_path(folder).exists();
@@ -183,19 +185,19 @@
     };
     drop(storage);
     set_aside(folder, environment.file_system().as_ref(), &reason)?;
-    Ok((ring()?.0, DiskContents::Lost))
+    Ok((open()?.0, DiskContents::Lost))
 }
 
-/// Why the state on a disk can't be used.
+/// The reason why the state on a disk can't be used.
 #[derive(Debug, thiserror::Error)]
 enum UnusableState {
-    /// An item on it can't be decoded.
+    /// An item on the disk can't be decoded.
     #[error(transparent)]
     Decode(#[from] DecodeError),
-    /// Its items don't add up to a state.
+    /// The items on the disk don't form a valid state.
     #[error(transparent)]
     Recover(#[from] RecoverError),
-    /// Something that was acknowledged is not there.
+    /// An acknowledged write is missing.
     #[error("acknowledged state is missing")]
     Incomplete,
 }
@@ -210,8 +212,8 @@
     Ok(Recovered::from_items(items)?)
 }
 
-/// Renames the folder. It is not deleted, so that an operator can examine it; one that was set aside
-/// earlier is deleted.
+/// Renames the folder. It is not deleted, so that an operator can examine it; one that was set
+/// aside earlier is deleted.
 fn set_aside(
     folder: &Path,
     files: &dyn FileSystem,
@@ -226,7 +228,7 @@
     Ok(files.sync_folder(folder.parent().unwrap_or(folder))?)
 }
 
-/// The name that an unusable folder gets.
+/// Returns the path to which an unusable folder is renamed.
 fn aside_path(folder: &Path) -> PathBuf {
     folder.with_extension("lost")
 }
--- a/fleet/src/control/group_membership.rs
+++ b/fleet/src/control/group_membership.rs
@@ -1,5 +1,4 @@
-//! How a machine joins and leaves the group of voters, as
-//! [`lichenswitch_control::GroupMembership`] decides.
+//! Joining and leaving the group of voters, as [`lichenswitch_control::GroupMembership`] decides.
 
 use super::clock::{after, to_replica_time};
 use super::group::{Group, DISK_RETRY_DELAY};
@@ -13,8 +12,8 @@
 use std::collections::BTreeSet;
 
 impl ControlNode {
-    /// Joins the group when that is due. Leaves it to machines with a disk where this one only stood
-    /// in for them.
+    /// Joins the group when that is due. A temporary member leaves the group once machines with a
+    /// disk can replace it.
     pub(super) fn update_group_membership(&mut self, now: Time) {
         let (durable, voters) = (self.durable_peers(), self.voters());
         let durable_voters = durable
@@ -68,8 +67,8 @@
         self.reset_quotas();
         self.update_diskless_members();
         info!(target: "control", "joined the group");
-        // Peers know this machine by the identity of its process: the next handshake names that of
-        // its disk.
+        // Peers know this machine by the identity of its process. Reconnecting makes it send a new
+        // handshake with the identity of its disk.
         let connections: Vec<ConnId> = self
             .connections
             .iter()
@@ -78,10 +77,10 @@
             .collect();
         connections
             .into_iter()
-            .for_each(|id| self.close_connection(id, "this machine has another identity now"));
+            .for_each(|id| self.close_connection(id, "the identity of this machine has changed"));
     }
 
-    /// Passes the replica the members without a disk, as far as their handshakes have arrived.
+    /// Tells the replica which machines have no disk, as far as their handshakes have arrived.
     pub(super) fn update_diskless_members(&mut self) {
         let Some(group) = &mut self.group else { return };
         let handshakes = self
--- a/fleet/src/control/heartbeat_handler.rs
+++ b/fleet/src/control/heartbeat_handler.rs
@@ -1,4 +1,4 @@
-//! Heartbeats and deregistrations of model servers.
+//! Handles heartbeats and deregistrations of model servers.
 
 use super::node::ControlNode;
 use super::responses::{
@@ -11,7 +11,8 @@
 use lichenswitch_registry::Heartbeat;
 
 impl ControlNode {
-    /// A server has sent a heartbeat. `None`: its response follows once its update is replicated.
+    /// Handles a heartbeat of a server. Returns the response, or `None` if the response is sent
+    /// once the outcome of the update is known.
     pub(super) fn on_heartbeat(
         &mut self,
         id: ConnId,
@@ -32,7 +33,8 @@
         }
     }
 
-    /// A server has deregistered. `None`: its response follows once that is replicated.
+    /// Handles the deregistration of a server. Returns the response, or `None` if the response is
+    /// sent once the outcome of the update is known.
     pub(super) fn on_deregister(
         &mut self,
         id: ConnId,
@@ -48,10 +50,10 @@
         }
     }
 
-    /// Whether heartbeats can be acknowledged here.
+    /// Checks that this machine may acknowledge heartbeats.
     ///
     /// # Errors
-    /// The reason, where they can't.
+    /// Returns the reason why it may not.
     fn check_heartbeats_accepted(&self, now: Time) -> Result<(), HeartbeatRejection> {
         match (self.in_contact(now), self.servers.accepts_heartbeats(now)) {
             (false, _) => Err(HeartbeatRejection::NoContact),
--- a/fleet/src/control/internal_connections.rs
+++ b/fleet/src/control/internal_connections.rs
@@ -1,7 +1,8 @@
-//! Connections between the processes of the fleet: frames in and out, and the role of the other end.
+//! Connections between the processes of the fleet: their frames, and the role of the other end.
 //!
-//! It promises that what is queued in one turn of the loop is written at once, and that a stalled
-//! reader takes no more memory than [`MAX_QUEUED_BYTES`].
+//! Messages that are queued in one iteration of the event loop are written together at its end. A
+//! connection whose reader stalls is closed once [`MAX_QUEUED_BYTES`] are exceeded, which bounds
+//! its memory.
 
 use super::net_program::Net;
 use crate::envelopes::{encode, EnvelopeError, EnvelopeReader, Incoming};
@@ -11,17 +12,17 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Most bytes that are read ahead on a connection.
+/// Maximum number of bytes that are buffered for reading on a connection.
 const MAX_READ_AHEAD_BYTES: usize = 6 << 20;
-/// A message that will be repeated is dropped while this many bytes are queued.
+/// Number of queued bytes from which on messages that will be repeated are dropped.
 const DROP_REPEATABLE_ABOVE_BYTES: usize = 1 << 20;
-/// A connection on which more bytes are queued is closed.
+/// Maximum number of queued bytes. A connection that exceeds it is closed.
 const MAX_QUEUED_BYTES: usize = 8 << 20;
 
 /// The role of the process at the other end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RemoteRole {
-    /// Unknown: its handshake has not arrived.
+    /// Not known yet, since no handshake has arrived.
     Unknown,
     /// A control machine, at this address.
     Peer(SocketAddr),
@@ -33,60 +34,61 @@
     reader: EnvelopeReader,
     remote_role: RemoteRole,
     opened_at: Time,
-    /// Whether it was seen to be up.
+    /// Whether [`InternalConnections::process_ready`] has found the connection established.
     is_established: bool,
 }
 
-/// One connection, as seen from outside.
+/// The properties of a connection that other modules use.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ConnectionInfo {
-    /// Its id.
+    /// Id of the connection.
     pub(super) id: ConnId,
-    /// The role of the process at its other end.
+    /// Role of the process at the other end.
     pub(super) remote_role: RemoteRole,
-    /// When it was accepted, or dialled.
+    /// When the connection was accepted or dialled.
     pub(super) opened_at: Time,
 }
 
-/// All connections between processes.
+/// The connections between this process and others of the fleet.
 #[derive(Default)]
 pub(super) struct InternalConnections {
     connections: BTreeMap<ConnId, InternalConnection>,
+    /// Connections on which bytes were queued since the last flush.
     dirty: BTreeSet<ConnId>,
 }
 
-/// Why a connection has to be closed.
+/// The reason why a connection has to be closed. It appears only in the log.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum CloseReason {
-    /// There is no such connection.
+    /// The connection is not in the table.
     #[error("unknown connection")]
     UnknownConnection,
-    /// Bytes that are no message have arrived.
+    /// The received bytes are not a valid message.
     #[error(transparent)]
     Envelope(#[from] EnvelopeError),
-    /// The other end has closed it.
-    #[error("the other side has ended it")]
+    /// The other end has closed the connection.
+    #[error("closed by the other end")]
     EndedByPeer,
-    /// It could not be established.
-    #[error("it never came up")]
+    /// The connection could not be established.
+    #[error("the connection could not be established")]
     NeverConnected,
     /// Reading or writing has failed.
-    #[error("it broke")]
+    #[error("reading or writing has failed")]
     Broken,
 }
 
-/// What has happened on a connection.
+/// The messages and state changes of a connection since it was last read.
 pub(super) struct ConnectionEvents {
     /// Messages that have arrived, in order.
     pub(super) messages: Vec<Incoming>,
-    /// Whether it has come up just now.
+    /// Whether the connection was established since it was last read.
     pub(super) has_connected: bool,
-    /// Why it has to be closed, if it has.
+    /// The reason why the connection has to be closed, if it has to be.
     pub(super) close_reason: Option<CloseReason>,
 }
 
 impl InternalConnections {
-    /// Adds a connection.
+    /// Adds a connection that was accepted or dialled at `now`.
     pub(super) fn insert(&mut self, id: ConnId, remote_role: RemoteRole, now: Time) {
         let connection = InternalConnection {
             reader: EnvelopeReader::default(),
@@ -97,22 +99,22 @@
         self.connections.insert(id, connection);
     }
 
-    /// The role of the other end; `None`: there is no such connection.
+    /// Returns the role of the other end, or `None` if the connection does not exist.
     pub(super) fn remote_role(&self, id: ConnId) -> Option<RemoteRole> {
         self.connections
             .get(&id)
             .map(|connection| connection.remote_role)
     }
 
-    /// The handshake of the other end has arrived.
+    /// Sets the role of the other end, once its handshake has arrived.
     pub(super) fn set_remote_role(&mut self, id: ConnId, remote_role: RemoteRole) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.remote_role = remote_role;
         }
     }
 
-    /// A connection can be read or written.
-    pub(super) fn ready(&mut self, net: &mut Net, id: ConnId) -> ConnectionEvents {
+    /// Reads and writes a connection that is ready. Returns the messages and changes of state.
+    pub(super) fn process_ready(&mut self, net: &mut Net, id: ConnId) -> ConnectionEvents {
         let mut events = ConnectionEvents {
             messages: Vec::new(),
             has_connected: false,
@@ -152,7 +154,7 @@
         events
     }
 
-    /// Queues a message.
+    /// Encodes and queues a message.
     pub(super) fn send(&mut self, net: &mut Net, id: ConnId, envelope: &Envelope) {
         match encode(envelope) {
             Ok(bytes) => self.send_bytes(net, id, &bytes),
@@ -162,14 +164,15 @@
         }
     }
 
-    /// Queues a message that will be repeated: it is dropped while much is queued.
+    /// Queues a message that will be repeated. Drops it if [`DROP_REPEATABLE_ABOVE_BYTES`] or more
+    /// are queued.
     pub(super) fn send_repeatable(&mut self, net: &mut Net, id: ConnId, envelope: &Envelope) {
         if queued_bytes(net, id) < DROP_REPEATABLE_ABOVE_BYTES {
             self.send(net, id, envelope);
         }
     }
 
-    /// Queues an encoded message.
+    /// Queues an encoded message. Ignores connections that are closed.
     pub(super) fn send_bytes(&mut self, net: &mut Net, id: ConnId, bytes: &[u8]) {
         if let Some(conn) = net.get_mut(id) {
             conn.send(bytes);
@@ -177,17 +180,18 @@
         }
     }
 
-    /// Writes all that was queued. Returns connections that have to be closed.
+    /// Writes the queued bytes. Returns the connections that have to be closed, because writing has
+    /// failed or too many bytes remain queued.
     pub(super) fn flush(&mut self, net: &mut Net) -> Vec<ConnId> {
         let dirty = std::mem::take(&mut self.dirty);
-        let close_reason = |id: &ConnId| {
+        let must_close = |id: &ConnId| {
             net.flush(*id, false) != TransferProgress::Alive
                 || queued_bytes(net, *id) > MAX_QUEUED_BYTES
         };
-        dirty.into_iter().filter(close_reason).collect()
+        dirty.into_iter().filter(must_close).collect()
     }
 
-    /// All connections.
+    /// Iterates over all connections.
     pub(super) fn iter(&self) -> impl Iterator<Item = ConnectionInfo> + '_ {
         self.connections
             .iter()
@@ -198,7 +202,7 @@
             })
     }
 
-    /// Closes a connection. Returns the role of its other end.
+    /// Closes a connection. Returns the role of the other end, or `None` if it was closed already.
     pub(super) fn close(&mut self, net: &mut Net, id: ConnId) -> Option<RemoteRole> {
         net.close(id);
         self.dirty.remove(&id);
@@ -208,7 +212,7 @@
     }
 }
 
-/// Bytes that are queued on a connection.
+/// Returns the number of bytes that are queued on a connection and not yet written.
 fn queued_bytes(net: &mut Net, id: ConnId) -> usize {
     let Some(conn) = net.get_mut(id) else {
         return 0;
--- a/fleet/src/control/mod.rs
+++ b/fleet/src/control/mod.rs
@@ -1,13 +1,17 @@
 //! The role `control`: replicates the configuration with its peers, keeps the tables of model
 //! servers and routers, and answers operators.
 //!
-//! One loop joins the parts. The parts are plain state (`peer_table`, `router_table`,
-//! `server_table`, `primary_tracker`, `quotas`, `backlogs`) or the edge to a package (`call_types`
-//! to the decisions about calls, `group` to replication and storage, `caller_sessions` to HTTP,
-//! `internal_connections` to frames). `node` holds them all; the handlers above it (`*_handler`,
-//! `group_membership`, `shutdown`, `settings_reload`, `status`) add what happens on an event, and
-//! `event_loop` calls them. A file uses only files below it, so that no two files know each other.
-//! The loop waits for sockets alone: threads of their own write the disk.
+//! A single event loop drives all modules, in three layers:
+//!
+//! - State (`peer_table`, `router_table`, `server_table`, `primary_tracker`, `quotas`, `backlogs`)
+//!   and adapters to other packages (`call_types` to the decisions about calls, `group` to
+//!   replication and storage, `caller_sessions` to HTTP, `internal_connections` to frames).
+//! - `node`, which holds all of them.
+//! - Handlers (`*_handler`, `group_membership`, `shutdown`, `settings_reload`, `status`), which
+//!   define the reaction to an event, and `event_loop`, which calls them.
+//!
+//! A module uses only modules of its own or a lower layer, and there are no cycles between modules.
+//! The event loop waits only for sockets. Separate threads write to the disk.
 
 mod backlog_handler;
 mod backlogs;
@@ -58,18 +62,18 @@
 pub use error::ControlError;
 use std::path::PathBuf;
 
-/// Runs the role until a signal ends the process. The settings file is read again from `path`.
+/// Runs the role until a signal ends the process. Changed settings are read again from `path`.
 ///
 /// # Errors
-/// When it can't listen, or can't use its disk at the start.
+/// Fails if the role can't listen, or if waiting for sockets fails.
 pub fn run(settings: Settings, path: PathBuf) -> Result<(), ControlError> {
     run_on(settings, path, Environment::default())
 }
 
-/// Runs the role as [`run`] does, in another environment.
+/// Runs the role like [`run`], with a given environment.
 ///
 /// # Errors
-/// As [`run`].
+/// Fails under the same conditions as [`run`].
 pub fn run_on(
     settings: Settings,
     path: PathBuf,
--- a/fleet/src/control/net_program.rs
+++ b/fleet/src/control/net_program.rs
@@ -1,27 +1,28 @@
-//! Owners of connections, and signals, as the loop of sockets knows them.
+//! The types of this role for the event loop of [`lichenswitch_net`]: owners of connections, and
+//! signals.
 
 use lichenswitch_descriptors::ConnectionKind;
 use std::time::Duration;
 
-/// TCP user timeout: a process of the fleet that has not acknowledged bytes for so long is cut off or
-/// has failed.
+/// TCP user timeout of connections between processes of the fleet. A process that has not
+/// acknowledged sent bytes for this time has failed or is unreachable.
 const USER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The role, as the loop of sockets knows it.
+/// The [`lichenswitch_net::Program`] of the role `control`.
 pub(super) struct Control;
 
-/// To whom a connection or listener belongs.
+/// The kind of a connection or listener, which determines the module that handles it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Owner {
-    /// Servers and operators.
+    /// HTTP connections of servers and operators.
     Caller,
-    /// Control machines and routers that have connected.
+    /// Connections that control machines and routers have opened to this machine.
     Accepted,
-    /// Control machines that this machine has dialled.
+    /// Connections that this machine has opened to other control machines.
     Dialled,
 }
 
-/// Events of the process other than bytes on connections.
+/// An event that does not come from a connection or a listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Signal {
     /// The process has to finish pending calls and exit.
@@ -36,7 +37,7 @@
 
 impl lichenswitch_net::Program for Control {
     type Owner = Owner;
-    // Every wait of this role follows from its state, so the wheel carries nothing.
+    // This role uses no timers. Its event loop derives the next wake-up time from its state.
     type Timer = ();
     type Signal = Signal;
 
@@ -56,5 +57,5 @@
     }
 }
 
-/// Sockets of this role.
+/// The sockets of this role.
 pub(super) type Net = lichenswitch_net::Net<Control>;
--- a/fleet/src/control/node.rs
+++ b/fleet/src/control/node.rs
@@ -1,7 +1,7 @@
-//! The state of one control machine, and what follows from it alone.
+//! The state of a control machine, and values that are derived from it.
 //!
-//! Handlers add methods to [`ControlNode`] in files of their own, by concern. They know this file
-//! and the parts below it; neither knows a handler.
+//! Handlers add methods to [`ControlNode`] in separate files, by concern. They depend on this file
+//! and on the modules that it uses. Neither this file nor those modules depend on a handler.
 
 use super::backlogs::BacklogState;
 use super::call_types::{CallDispatcher, PrimaryLocation};
@@ -25,17 +25,17 @@
 use std::path::PathBuf;
 use std::time::SystemTime;
 
-/// A control machine.
+/// The state of a control machine, which its event loop owns.
 pub(super) struct ControlNode {
     pub(super) settings: Settings,
     pub(super) environment: Environment,
-    /// The settings file.
-    pub(super) path: PathBuf,
-    /// When the settings file was modified, as of the last read.
+    /// Path of the settings file.
+    pub(super) settings_path: PathBuf,
+    /// Modification time of the settings file when it was last read.
     pub(super) settings_modified_at: Option<SystemTime>,
-    /// Where other processes of the fleet reach this one.
+    /// Address at which other processes of the fleet reach this one.
     pub(super) address: SocketAddr,
-    /// Identity of the disk; of the process, where this machine is no member of the group.
+    /// Identity of the disk, or of the process while this machine is not a member of the group.
     pub(super) identity: u64,
     pub(super) group_membership: GroupMembership,
     pub(super) net: Net,
@@ -54,23 +54,23 @@
     pub(super) backlogs: BacklogState,
     /// Versions that this machine has acknowledged to its callers.
     pub(super) acknowledged: AcknowledgedVersions,
-    /// Orders that this machine rejected last.
+    /// The most recent orders that this machine has rejected.
     pub(super) rejected_orders: RejectedOrders,
     /// The newest configuration that this machine knows to be committed.
     pub(super) committed: Option<CommittedConfiguration>,
-    /// What others were notified of last.
+    /// The state that was last sent to other machines.
     pub(super) last_notified: LastNotified,
     pub(super) next_tick_at: Time,
     pub(super) next_digest_at: Time,
     pub(super) next_settings_check_at: Time,
-    /// When a disk that could not be opened is tried again at the earliest.
+    /// Earliest time of the next attempt to open a disk that could not be opened.
     pub(super) next_disk_attempt_at: Time,
-    /// When the signal to shut down arrived; `None` before that.
+    /// Time at which the signal to shut down arrived; `None` before that.
     pub(super) shutdown_started_at: Option<Time>,
 }
 
 impl ControlNode {
-    /// Addresses of the voters, as far as this machine knows them.
+    /// Returns the addresses of the voters that this machine's replica knows. Empty at a relay.
     pub(super) fn voters(&self) -> Vec<SocketAddr> {
         let Some(group) = &self.group else {
             return Vec::new();
@@ -83,7 +83,7 @@
             .collect()
     }
 
-    /// Where the primary is, if it is known and reachable.
+    /// Returns the location of the primary, or `Unknown` if it is unknown or not connected.
     pub(super) fn primary(&self, now: Time) -> PrimaryLocation {
         let group = self.group.as_ref().map(|group| &group.replica);
         if group.is_some_and(|replica| replica.is_serving()) {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Connected machines that have a disk, or whose loss is counted.
+    /// Returns the addresses of connected machines that have a disk, or whose loss is counted.
     pub(super) fn durable_peers(&self) -> Vec<SocketAddr> {
         let durable = self
             .peers
@@ -110,7 +110,7 @@
         durable.map(|(address, _)| address).collect()
     }
 
-    /// Whether that peer was in contact when it last reported.
+    /// Whether the peer at an address was in contact when it last reported.
     pub(super) fn is_in_contact(&self, address: SocketAddr) -> bool {
         self.peers.get(address).is_some_and(|peer| peer.in_contact)
     }
--- a/fleet/src/control/peer_handler.rs
+++ b/fleet/src/control/peer_handler.rs
@@ -1,4 +1,4 @@
-//! Messages of other control machines.
+//! Handles messages of other control machines.
 
 use super::clock::to_replica_time;
 use super::internal_connections::RemoteRole;
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 
 impl ControlNode {
-    /// The handshake of this machine.
+    /// Returns the handshake of this machine.
     pub(super) fn handshake(&self) -> PeerMessage {
         PeerMessage::Hello {
             protocol_version: PROTOCOL_VERSION,
@@ -25,7 +25,8 @@
         }
     }
 
-    /// A control machine has sent its handshake, and the addresses of others that it reached.
+    /// Handles the handshake of a control machine, and learns the addresses of the machines that it
+    /// has reached. Sends the initial state on the first connection to that machine.
     pub(super) fn on_handshake(
         &mut self,
         id: ConnId,
@@ -61,7 +62,7 @@
             self.connections.send(&mut self.net, id, &handshake);
         }
         if let Some(replaced) = replaced {
-            self.close_connection(replaced, "replaced by a newer one");
+            self.close_connection(replaced, "replaced by a newer connection");
         }
         self.peers.learn_all(known_peers, now);
         if !was_connected {
@@ -72,8 +73,8 @@
         Ok(())
     }
 
-    /// Sends a peer what it gets first: the contact of this machine, its complete table of servers,
-    /// and behind it the servers that only the disk remembers.
+    /// Sends the initial state to a peer: the contact of this machine, its complete table of
+    /// servers, and then the servers that are known only from its disk.
     fn send_initial_state(&mut self, id: ConnId, now: Time) {
         let contact = self.contact_message(now);
         self.send_to(id, contact);
@@ -93,10 +94,10 @@
         }
     }
 
-    /// A control machine whose handshake has arrived has sent a message.
+    /// Handles a message of a control machine whose handshake has arrived.
     pub(super) fn on_peer(&mut self, from: SocketAddr, message: PeerMessage, now: Time) {
         match message {
-            // `on_envelope` passes it to `on_handshake`.
+            // `on_envelope` passes handshakes to `on_handshake`.
             PeerMessage::Hello { .. } => {}
             PeerMessage::Replication(bytes) => self.on_replication(from, &bytes, now),
             PeerMessage::Call { id, call } => self.on_relayed_call(from, id, call, now),
@@ -129,7 +130,7 @@
                 known_peers,
             } => {
                 if let Some(peer) = self.peers.get_mut(from) {
-                    (peer.in_contact, peer.routers) = (in_contact, connected_routers);
+                    (peer.in_contact, peer.router_count) = (in_contact, connected_routers);
                 }
                 self.on_peer_contact(from, in_contact, primary.as_deref(), now);
                 self.peers.learn_all(&known_peers, now);
@@ -145,7 +146,7 @@
         }
     }
 
-    /// A control machine tells whether it is in contact with the group, and which primary it follows.
+    /// Handles a report of a control machine about its contact with the group and its primary.
     fn on_peer_contact(
         &mut self,
         from: SocketAddr,
@@ -158,8 +159,8 @@
             .on_contact(now, from, in_contact, primary);
     }
 
-    /// A control machine has sent records of servers. It waits for an acknowledgement, unless `ack`
-    /// is 0.
+    /// Handles records of servers from a control machine, which awaits an acknowledgement unless
+    /// `ack` is 0.
     fn on_server_records(
         &mut self,
         from: SocketAddr,
--- a/fleet/src/control/quota_handler.rs
+++ b/fleet/src/control/quota_handler.rs
@@ -1,7 +1,7 @@
-//! Quotas at a control machine: joins [`lichenswitch_quota`] to connections and to the group.
+//! Handles quota messages: connects [`lichenswitch_quota`] with connections and with the group.
 //!
-//! Owners of shards are voters, by the identity of their disks. They own their shards as long as the
-//! replica reports that they are current.
+//! The owners of shards are the voters, identified by their disks. A voter owns its shard as long
+//! as its replica reports that it is current.
 
 use super::clock::to_replica_time;
 use super::internal_connections::RemoteRole;
@@ -18,14 +18,16 @@
 use std::net::SocketAddr;
 
 impl ControlNode {
-    /// This machine has another identity: shards that it owned under the old one are lost to it.
+    /// Resets the quotas after a change of this machine's identity. It does not keep the shards
+    /// that it owned under the previous identity.
     pub(super) fn reset_quotas(&mut self) {
         let bounds = self.settings.bounds.quota_bounds();
         self.quotas = Quotas::new(self.identity, self.group.as_ref(), bounds);
         self.update_bucket_tenants();
     }
 
-    /// Updates the owners of shards by the voters, and this machine's lease by its contact.
+    /// Updates the owners of shards from the voters, and renews this machine's ownership while its
+    /// replica is current.
     pub(super) fn update_shard_ownership(&mut self, now: Time) {
         let Some(group) = self.group.as_ref() else {
             return;
@@ -43,7 +45,7 @@
         }
     }
 
-    /// A message about tenants has arrived.
+    /// Handles a message about tenants. Ignores messages that don't fit the role of the sender.
     pub(super) fn on_tenant_message(&mut self, id: ConnId, message: TenantMessage, now: Time) {
         match (message, self.connections.remote_role(id)) {
             (TenantMessage::Confirm { sent_at_us }, Some(RemoteRole::Router)) => {
@@ -56,14 +58,15 @@
             (TenantMessage::LeaseResponse(response), Some(RemoteRole::Peer(address))) => {
                 self.on_lease_response(address, response, now)
             }
-            // Unexpected here, or its sender's handshake has not arrived.
+            // The message does not fit the sender's role, or its handshake has not arrived.
             _ => {}
         }
     }
 
-    /// Confirms to a router that the configuration that it was sent is current, if it is.
+    /// Confirms to a router that its configuration is current. Sends nothing while this machine is
+    /// not in contact.
     fn send_confirmation(&mut self, id: ConnId, sent_at_us: u64, now: Time) {
-        // A configuration that is committed by now precedes the confirmation.
+        // Any configuration that is already committed has to be sent before the confirmation.
         self.apply_committed_configuration(now);
         if self.in_contact(now) {
             let position = self.committed.as_ref().map(|committed| committed.position);
@@ -106,7 +109,7 @@
         });
     }
 
-    /// The last connection to a control machine is closed.
+    /// Handles the end of the last connection to a control machine, which may own a shard.
     pub(super) fn on_owner_disconnected(&mut self, address: SocketAddr, now: Time) {
         let Some(owner) = self.owner_at(address) else {
             return;
@@ -116,7 +119,7 @@
         });
     }
 
-    /// Refills the buckets up to now, and checks that their shards have granted no more than they may.
+    /// Refills the buckets up to `now`, and checks that no shard has granted more than its limit.
     pub(super) fn advance_buckets(&mut self, now: Time) {
         let Quotas {
             buckets, ownership, ..
@@ -130,7 +133,7 @@
         }
     }
 
-    /// Retries or ends pending lease requests that are due.
+    /// Retries pending lease requests that are due, or ends them.
     pub(super) fn advance_lease_requests(&mut self, now: Time) {
         if self.quotas.next_wake().is_none_or(|at| at > now) {
             return;
@@ -138,7 +141,7 @@
         self.update_lease_requests(|lease_requests, context| lease_requests.tick(now, context));
     }
 
-    /// Updates the pending lease requests, and does what follows from it.
+    /// Applies an update to the pending lease requests, and performs the resulting actions.
     fn update_lease_requests(
         &mut self,
         update: impl FnOnce(
@@ -187,7 +190,7 @@
         }
     }
 
-    /// Connected machines with a disk: they may own shards.
+    /// Returns the owner ids of connected machines that may become voters and therefore own shards.
     fn reachable_owners(&self) -> BTreeSet<OwnerId> {
         let handshakes = self
             .peers
--- a/fleet/src/control/rejections.rs
+++ b/fleet/src/control/rejections.rs
@@ -1,21 +1,21 @@
-//! Why a connection of another process of the fleet is closed after one of its messages.
+//! Reasons for closing a connection after an invalid message.
 
 use lichenswitch_messages::PROTOCOL_VERSION;
 use std::net::SocketAddr;
 
-/// Why a message makes this machine close its connection.
+/// The reason why a message makes this machine close its connection. It appears only in the log.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum ConnectionRejection {
-    /// The other process speaks another version of the protocol.
-    #[error("{node} speaks version {version}, this machine version {PROTOCOL_VERSION}")]
+    /// The other process uses another version of the protocol.
+    #[error("{node} uses protocol version {version}, this machine version {PROTOCOL_VERSION}")]
     OtherProtocol {
         /// Name of its node.
         node: String,
-        /// Its version.
+        /// Protocol version of the other process.
         version: u16,
     },
     /// The address in its handshake can't be parsed.
-    #[error("{node} has the address {address:?}")]
+    #[error("handshake of {node} has the invalid address {address:?}")]
     InvalidAddress {
         /// Name of its node.
         node: String,
@@ -23,22 +23,22 @@
         address: String,
     },
     /// The connection leads back to this machine.
-    #[error("it is this machine itself")]
+    #[error("the connection leads back to this machine")]
     OwnAddress,
-    /// Another machine than the dialled one has answered.
-    #[error("{dialled} says that it is {address}")]
+    /// The machine that has answered reports another address than the dialled one.
+    #[error("the machine dialled at {dialled} reports the address {address}")]
     OtherAddress {
         /// The address that was dialled.
         dialled: SocketAddr,
         /// The address in the handshake.
         address: SocketAddr,
     },
-    /// The message does not fit what is known of the other end.
-    #[error("a message that does not belong on this connection")]
+    /// The message is not valid for the role of the other end.
+    #[error("the message is not valid for the role of the other end")]
     UnexpectedMessage,
 }
 
-/// Checks the version in a handshake.
+/// Checks that a handshake has the protocol version of this machine.
 pub(super) fn check_protocol(version: u16, node: &str) -> Result<(), ConnectionRejection> {
     match version == PROTOCOL_VERSION {
         true => Ok(()),
--- a/fleet/src/control/replica_notices.rs
+++ b/fleet/src/control/replica_notices.rs
@@ -3,7 +3,7 @@
 use lichenswitch_replication::Notice;
 use log::{debug, info, warn};
 
-/// Logs an event.
+/// Logs an event of the replica at the level that fits its kind.
 pub(super) fn log(notice: &Notice) {
     let message = message(notice);
     match notice {
@@ -14,7 +14,7 @@
         | Notice::DiskStalled { .. } => {
             warn!(target: "replication", notice:? = notice; "{message}")
         }
-        // `group_disk` logs it once, with the reason.
+        // `group_disk` logs the failure once, with the reason.
         Notice::DiskFailed => debug!(target: "replication", "{message}"),
         Notice::BecamePrimary { .. }
         | Notice::ElectionStarted { .. }
--- a/fleet/src/control/replication_handler.rs
+++ b/fleet/src/control/replication_handler.rs
@@ -1,4 +1,4 @@
-//! Messages and outputs of the replica.
+//! Handles messages to the replica, and its outputs.
 
 use super::clock::to_replica_time;
 use super::node::ControlNode;
@@ -16,7 +16,7 @@
             return false;
         };
         let outputs = group.take_outputs(now);
-        let busy = !outputs.is_empty();
+        let has_outputs = !outputs.is_empty();
         for output in outputs {
             match output {
                 Output::Send { to, message } => self.send_replication(&to, &message, now),
@@ -34,11 +34,12 @@
                     }
                 }
                 Output::Notice(notice) => replica_notices::log(&notice),
-                // Commits are applied at the end of each turn; the group has submitted the writes.
+                // Commits are applied later in the same iteration of the event loop. The group has
+                // already submitted the writes.
                 Output::Committed(_) | Output::Persist { .. } => {}
             }
         }
-        busy
+        has_outputs
     }
 
     /// Sends a message of the replica, if its receiver is connected.
@@ -52,8 +53,8 @@
             return;
         }
         let envelope = Envelope::Peer(PeerMessage::Replication(message.encode()));
-        // Heartbeats and their responses are repeated, and records and snapshots are sent again
-        // after the next heartbeat.
+        // The replica repeats heartbeats and their responses, and sends records and snapshots again
+        // after the next heartbeat. Only the messages that it does not repeat must not be dropped.
         match message.body {
             Body::TakeOver { .. } | Body::LeaveRequest | Body::LeaveResponse { .. } => {
                 self.connections.send(&mut self.net, id, &envelope);
@@ -64,9 +65,11 @@
         }
     }
 
-    /// Whether the machine at an address is a member, or has applied to become one. A heartbeat for
-    /// a voter whose disk was lost would reach its replacement, which would take itself for a member
-    /// and stop applying.
+    /// Whether the machine at an address is a member, or has applied to become one.
+    ///
+    /// A voter that has lost its disk restarts at the same address with a new identity. If it
+    /// received a heartbeat for the old identity, it would assume that it is a member and stop
+    /// applying.
     fn is_member_or_applicant(&self, address: SocketAddr, now: Time) -> bool {
         let handshake = self
             .peers
@@ -86,8 +89,8 @@
                 .any(|peer| peer.identity == identity)
     }
 
-    /// A message of another replica has arrived. It counts only from the machine that it names as
-    /// its sender.
+    /// Passes a message of another replica to the local one. Ignores a message whose sender does
+    /// not match the handshake and the address of the connection.
     pub(super) fn on_replication(&mut self, from: SocketAddr, bytes: &[u8], now: Time) {
         let Some(group) = &mut self.group else { return };
         let message = match Message::decode(bytes) {
@@ -106,7 +109,7 @@
         }
     }
 
-    /// Passes the replica the addresses where it may apply to join.
+    /// Passes the addresses of reached machines to the replica, which may apply there to join.
     pub(super) fn update_replica_addresses(&mut self) {
         if let Some(group) = &mut self.group {
             let known = self
--- a/fleet/src/control/router_handler.rs
+++ b/fleet/src/control/router_handler.rs
@@ -1,4 +1,4 @@
-//! Messages of routers.
+//! Handles messages of routers.
 
 use super::internal_connections::RemoteRole;
 use super::node::ControlNode;
@@ -9,10 +9,10 @@
 use lichenswitch_net::ConnId;
 
 impl ControlNode {
-    /// A router has sent a message.
+    /// Handles a message of a router.
     ///
     /// # Errors
-    /// When its connection has to be closed.
+    /// Returns the reason why the router's connection has to be closed.
     pub(super) fn on_router(
         &mut self,
         id: ConnId,
@@ -29,8 +29,8 @@
             } => {
                 check_protocol(protocol_version, &node)?;
                 self.connections.set_remote_role(id, RemoteRole::Router);
-                // A configuration that was committed in this turn has to precede the first heartbeat,
-                // which reports contact.
+                // The first heartbeat reports contact, so a configuration that was committed in
+                // this iteration of the event loop has to be sent before it.
                 self.apply_committed_configuration(now);
                 let (heartbeat, table) = (self.router_heartbeat(now), self.servers.known(now));
                 let handshake = RouterHandshake {
--- a/fleet/src/control/server_update_handler.rs
+++ b/fleet/src/control/server_update_handler.rs
@@ -1,4 +1,4 @@
-//! Updates about model servers: to whom they are sent, and who has to acknowledge them.
+//! Replicates updates about model servers to other control machines and routers.
 
 use super::clock::elapsed;
 use super::group::Group;
@@ -12,12 +12,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a silent voter keeps its vote at the least.
+/// Minimum time for which a silent voter keeps its vote.
 const VOTER_REMOVAL_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl ControlNode {
-    /// Sends updates about servers, and responds to the heartbeats that brought them. Returns
-    /// whether a response was sent.
+    /// Sends updates about servers and due acknowledgements. Responds to the heartbeats whose
+    /// updates have an outcome. Returns whether it has responded to any.
     pub(super) fn replicate_server_updates(&mut self, now: Time) -> bool {
         if self.servers.has_changes() {
             self.send_server_changes(now);
@@ -45,8 +45,8 @@
         let (changes, ack) = self.servers.take_changes(now, targets);
         let messages = self.routers.push_servers(&changes.records);
         self.send_to_routers(messages);
-        // A machine that reports an update sends it to all by itself. Only a departure is relayed,
-        // in case that machine was cut off meanwhile.
+        // The machine that received an update from the server sends it to all others itself. Only
+        // departures are relayed, in case that machine was cut off before it reached the others.
         let departures = self.servers.take_relayed_departures();
         let records = match ack {
             0 => departures,
@@ -61,22 +61,23 @@
         }
     }
 
-    /// The machines that an update is sent to now.
+    /// Returns the machines that an update is sent to now, and the acknowledgements that it
+    /// requires.
     fn replication_targets(&self) -> ReplicationTargets {
         let notified: BTreeSet<SocketAddr> =
             self.peers.connected().map(|(address, _)| address).collect();
         let is_voter = self.group.as_ref().is_some_and(Group::is_voter);
         let voters: BTreeSet<SocketAddr> = self.voters().into_iter().collect();
         match is_voter {
-            // The sole voter: any other machine will do.
+            // This machine is the only voter, so an acknowledgement of any other machine counts.
             true if voters.len() < 2 => ReplicationTargets::any_of(notified),
             true => ReplicationTargets {
                 counted: &notified & &voters,
                 required: voters.len() / 2,
                 notified,
             },
-            // A machine without a vote does not know the voters: it counts the machines with a disk
-            // instead, also those that were connected recently.
+            // A machine without a vote does not know the voters. It requires a majority of the
+            // machines with a disk instead, including those that were connected recently.
             false => match self.recent_durable_peer_count() {
                 0 => ReplicationTargets::any_of(notified),
                 known => ReplicationTargets {
@@ -88,7 +89,8 @@
         }
     }
 
-    /// How many machines with a disk are connected, or were recently: they may still be voters.
+    /// Returns the number of machines with a disk from which a message has arrived recently. They
+    /// may still be voters.
     fn recent_durable_peer_count(&self) -> usize {
         let now = self.net.clock.now();
         let is_recent = |peer: &Peer| {
--- a/fleet/src/control/shutdown.rs
+++ b/fleet/src/control/shutdown.rs
@@ -1,4 +1,4 @@
-//! How a control machine shuts down: it leaves the group and answers pending calls first.
+//! Shutdown of a control machine. It leaves the group and answers pending calls before it exits.
 
 use super::clock::{after, to_replica_time};
 use super::net_program::Owner;
@@ -7,13 +7,13 @@
 use log::info;
 use std::time::Duration;
 
-/// The process exits this long before it would be killed.
+/// Time between the latest exit of the process and the end of the grace period, when it is killed.
 const KILL_MARGIN: Duration = Duration::from_millis(1_500);
-/// Interval of checks, during a shutdown, whether the process may exit.
+/// Interval at which a machine that shuts down checks whether it may exit.
 const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 impl ControlNode {
-    /// The process has to shut down: this machine leaves the group, and relays calls meanwhile.
+    /// Starts the shutdown. This machine leaves the group, and relays calls until it exits.
     pub(super) fn on_shutdown_signal(&mut self, now: Time) {
         if self.shutdown_started_at.is_some() {
             return;
@@ -26,7 +26,8 @@
         self.callers.start_draining();
     }
 
-    /// Whether the process may exit.
+    /// Whether the process may exit: it has left the group and has no pending calls, or its
+    /// deadline has passed. Closes the listener for callers as a side effect.
     pub(super) fn may_exit(&mut self) -> bool {
         let Some(started_at) = self.shutdown_started_at else {
             return false;
@@ -46,13 +47,13 @@
         if now < exit_deadline && !has_left {
             return false;
         }
-        // New callers turn to other machines; pending calls are answered within their deadlines.
+        // New callers connect to other machines. Pending calls are answered within their deadlines.
         self.net.close_listeners(Owner::Caller);
         let has_pending_calls = !self.calls.is_empty();
         exit_deadline <= now || !(has_pending_calls || self.callers.is_busy(&self.net))
     }
 
-    /// When [`Self::may_exit`] has to be checked again, during a shutdown.
+    /// Returns when [`Self::may_exit`] has to be checked again, or `None` before a shutdown.
     pub(super) fn shutdown_wake(&self) -> Option<Time> {
         self.shutdown_started_at
             .map(|_| after(self.net.clock.now(), SHUTDOWN_CHECK_INTERVAL))
--- a/fleet/src/control/startup.rs
+++ b/fleet/src/control/startup.rs
@@ -1,4 +1,4 @@
-//! How a control machine starts: it reads its disk, listens, and opens the loop with empty tables.
+//! Startup of a control machine: reads its disk, creates its state and listens.
 
 use super::backlogs::BacklogState;
 use super::call_types::CallDispatcher;
@@ -29,10 +29,11 @@
 use std::os::unix::net::UnixStream;
 use std::path::PathBuf;
 
-/// Descriptors that are reserved, in each direction, for connections of other processes.
+/// Number of file descriptors that are reserved in each direction for connections between processes
+/// of the fleet.
 const RESERVED_INTERNAL_CONNECTIONS: usize = 256;
 
-/// What a machine has opened before its state is assembled.
+/// The resources that are opened before the state of the machine is assembled.
 struct OpenedResources {
     address: SocketAddr,
     eligibility: Eligibility,
@@ -43,10 +44,10 @@
 }
 
 impl ControlNode {
-    /// Starts a machine: reads its disk, and listens.
+    /// Reads the machine's disk, opens its listeners and creates its state.
     ///
     /// # Errors
-    /// When the settings lack an address, it can't listen, or its disk can't be used.
+    /// Fails if the settings lack an address, or if sockets or signal handlers can't be created.
     pub(super) fn start(
         settings: Settings,
         path: PathBuf,
@@ -56,7 +57,7 @@
         let now = resources.started_at;
         let mut node = ControlNode::assemble(settings, path, environment, resources);
         node.update_diskless_members();
-        // The voters that the disk names are dialled at once, whatever the seeds are.
+        // Voters that are known from the disk are dialled at once, even if they are not seeds.
         node.voters()
             .into_iter()
             .for_each(|voter| node.peers.learn(voter, now));
@@ -109,13 +110,13 @@
             settings_modified_at: modified_at(&path),
             settings,
             environment,
-            path,
+            settings_path: path,
             net,
         }
     }
 }
 
-/// The identity of the disk, or a new one without a disk.
+/// Returns the identity of this group member, or a new one if this machine is not a member.
 fn identity_of(group: Option<&Group>, address: SocketAddr) -> Identity {
     group.map_or_else(|| generate_identity(&address.to_string()), Group::identity)
 }
@@ -125,7 +126,7 @@
         eligible = is_eligible; "control machine started");
 }
 
-/// Opens the sockets, the group and the table of servers, and listens last.
+/// Opens the event loop, the group and the table of servers, and then starts to listen.
 fn open_resources(
     settings: &Settings,
     environment: &Environment,
@@ -145,7 +146,7 @@
         false => None,
     };
     let servers = ServerTable::start(settings, environment, &mut net, now)?;
-    // Callers get responses from the first moment: 503 as long as nothing is known.
+    // Callers get responses from now on, with status 503 until this machine can answer.
     net.listen(Owner::Accepted, address)?;
     net.listen(Owner::Caller, control_plane)?;
     Ok(OpenedResources {
@@ -164,9 +165,9 @@
         (SIGINT, Signal::Stop),
         (SIGHUP, Signal::Reload),
     ] {
-        let (ours, theirs) = UnixStream::pair()?;
-        net.watch_signal(signal, ours)?;
-        signal_hook::low_level::pipe::register(number, theirs)?;
+        let (wake_reader, wake_writer) = UnixStream::pair()?;
+        net.watch_signal(signal, wake_reader)?;
+        signal_hook::low_level::pipe::register(number, wake_writer)?;
     }
     Ok(())
 }
--- a/fleet/src/control/status.rs
+++ b/fleet/src/control/status.rs
@@ -1,6 +1,6 @@
-//! The status of a control machine: JSON for `GET /status`, read by operators.
+//! The status of a control machine, which operators read as JSON with `GET /status`.
 //!
-//! Names of fields are keys of that JSON, as `docs/operate/control.md` lists them.
+//! The names of the fields are the keys of the JSON, as listed in `docs/operate/control.md`.
 
 use super::clock::{elapsed, from_replica_time, to_replica_time};
 use super::node::ControlNode;
@@ -82,12 +82,13 @@
     unit: String,
     rate_per_s: f64,
     burst: f64,
-    /// Fraction of rate and burst that this machine owns; 0: none.
+    /// Fraction of rate and burst that this machine owns. It is 0 if the machine owns none.
     part: f64,
-    /// The shard's level now, the amount granted from it since the process started, and the number
-    /// of requests that it has denied.
+    /// Current level of the shard.
     level: f64,
+    /// Amount that the shard has granted since the process started.
     granted: f64,
+    /// Number of requests that the shard has denied.
     denied: u64,
 }
 
@@ -108,7 +109,7 @@
     failure: Option<String>,
 }
 
-/// The status of a machine as JSON.
+/// Returns the status of a machine as JSON.
 pub(super) fn node(node: &ControlNode, now: Time) -> String {
     let ms_ago = |at: Time| u64::try_from(elapsed(at, now).as_millis()).unwrap_or(u64::MAX);
     let peers = node.peers.iter().map(|(address, peer)| PeerLine {
@@ -117,7 +118,7 @@
         connected: node.peers.connection(address).is_some(),
         heard_ms_ago: peer.last_received_at().map(ms_ago),
         in_contact: peer.in_contact,
-        routers: peer.routers,
+        routers: peer.router_count,
     });
     let routers = node.routers.iter().map(|router| RouterLine {
         node: router.node.clone(),
@@ -158,7 +159,8 @@
     miniserde::json::to_string(&status)
 }
 
-/// The status of the group as JSON, as the primary sees it.
+/// Returns the status of the group as JSON, as this machine's replica sees it. The primary sends it
+/// to operators who request its status.
 pub(super) fn group(replica: &Replica<ReplicatedConfiguration>, now: Time) -> String {
     miniserde::json::to_string(&group_status(replica, now))
 }
@@ -182,13 +184,13 @@
     }
 }
 
-/// The voters. The primary knows when it last received from each; other members know the
-/// membership alone.
+/// Returns a line for each voter and each other known peer. Only the primary knows when it last
+/// received a message from each. Other members know only the membership.
 fn voters(
     peers: &[PeerStatus],
     membership: &lichenswitch_replication::Membership,
 ) -> Vec<VoterLine> {
-    let seen = |peer: &PeerStatus| VoterLine {
+    let from_peer_status = |peer: &PeerStatus| VoterLine {
         identity: peer.identity.to_string(),
         address: peer.member.address.clone(),
         votes: peer.is_voter,
@@ -196,10 +198,10 @@
         synced: peer.synced.map(|at| at.to_string()),
         leaving: peer.is_leaving,
     };
-    let named = membership
+    let others = membership
         .all()
         .filter(|member| peers.iter().all(|peer| peer.identity != member.identity));
-    let named = named.map(|member| VoterLine {
+    let others = others.map(|member| VoterLine {
         identity: member.identity.to_string(),
         address: member.address.clone(),
         votes: true,
@@ -207,7 +209,7 @@
         synced: None,
         leaving: false,
     });
-    peers.iter().map(seen).chain(named).collect()
+    peers.iter().map(from_peer_status).chain(others).collect()
 }
 
 fn role(role: MemberRole) -> &'static str {
