--- a/decide/replication/src/model/mod.rs
+++ b/decide/replication/src/model/mod.rs
@@ -1,10 +1,10 @@
-//! A deterministic world of replicas: a network that loses, repeats and reorders, disks that sync
-//! late, crash or are lost, and clocks that run as they like. An oracle judges what the replicas
-//! report. For tests and simulations only.
+//! A deterministic model of a replica group for tests and simulations. The network loses, repeats
+//! and reorders messages, disk writes complete late, fail or are lost, and every node has its own
+//! clock. An [`Oracle`] checks the results that the replicas report.
 //!
-//! [`World`] knows no common time: each node's clock advances by itself, so what holds here holds
-//! whatever clocks do. [`timed::TimedWorld`] runs the same world in one virtual time, for what must
-//! *happen*.
+//! [`World`] has no common time: each node's clock advances independently, so a safety property
+//! that holds here does not depend on clocks. [`timed::TimedWorld`] runs the same world on one
+//! virtual clock, to check liveness.
 
 pub mod oracle;
 pub mod timed;
@@ -17,105 +17,107 @@
 
 pub use oracle::{ClientRequest, History, Oracle};
 
-/// One node: a process that may be down, its disk and its clock.
+/// A simulated node: a process that may be down, its disk and its clock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Node {
-    /// Its address.
+    /// Network address, `n` followed by the node's index.
     pub address: String,
-    /// Its clock.
+    /// Local time, independent of the clocks of other nodes.
     pub clock: Time,
-    /// Its process, if it runs.
+    /// The running process; `None` while the process is down.
     pub replica: Option<Replica<History>>,
-    /// What is synced.
+    /// Items that are written durably, oldest first.
     pub disk: Vec<DurableItem>,
-    /// What waits to be synced.
+    /// Items that are not written durably yet, oldest first.
     pub pending: VecDeque<(WriteId, DurableItem)>,
-    /// Its identity; chosen anew with an empty disk.
+    /// Identity of the replica; a node that starts with an empty disk gets a new one.
     pub identity: Identity,
-    /// Number of processes that it has had.
+    /// Number of times that the process was started.
     pub incarnations: u32,
-    /// It has asked to leave in this incarnation.
+    /// Whether the running process was asked to leave the group.
     pub is_leaving: bool,
 }
 
-/// A message on its way.
+/// A message in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Envelope {
-    /// Orders the network, so that it doesn't matter what was sent first.
+    /// Hash of sender, receiver and message. Sorting the network by it makes two worlds with the
+    /// same messages in flight equal, whatever the order of sending.
     key: u64,
     /// Index of the sender.
     pub from: usize,
     /// Index of the receiver.
     pub to: usize,
-    /// What is sent.
+    /// The message to deliver.
     pub message: Message,
 }
 
-/// Faults outside of the replicas that tests plant.
+/// Deliberate errors in the environment of the replicas, which the oracle has to detect.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct PlantedFaults {
-    /// A wiped node comes back under its old identity.
+    /// Whether a node that lost its disk restarts under its old identity.
     pub wiped_keeps_identity: bool,
-    /// The first node bootstraps a new group after its disk was lost.
+    /// Whether the first node bootstraps a new group after it lost its disk.
     pub wiped_founder_bootstraps: bool,
 }
 
-/// An event, or a fault.
+/// A step of a simulated run: an event or a fault.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// The message of this index arrives.
+    /// Delivers the message at this index of the network.
     Deliver(usize),
-    /// It is lost.
+    /// Loses the message at this index of the network.
     Drop(usize),
-    /// It arrives, and will arrive again.
+    /// Delivers the message at this index of the network and keeps it in flight.
     Repeat(usize),
-    /// The oldest item that waits at a node is synced.
+    /// Completes the oldest pending write of a node.
     Sync(usize),
-    /// It can't be written.
+    /// Fails the oldest pending write of a node and discards the later ones.
     FailSync(usize),
-    /// A node's clock goes on to its next wake.
+    /// Advances a node's clock to its next wake time and ticks the node.
     Tick(usize),
-    /// A node's clock goes on by so many microseconds: it was frozen.
+    /// Advances a node's clock by this many microseconds without a tick, as after a freeze.
     Elapse(usize, u64),
-    /// A client proposes at a node.
+    /// Proposes a new change at a node on behalf of a client.
     Propose(usize),
-    /// A client asks a node for a confirmation.
+    /// Requests a confirmation from a node on behalf of a client.
     Confirm(usize),
-    /// A node's process ends; so many of the items that waited are on disk all the same.
+    /// Ends a node's process; this many of its pending writes, oldest first, still reach the disk.
     Crash(usize, usize),
-    /// A node's process ends and its disk is lost.
+    /// Ends a node's process and erases its disk.
     Wipe(usize),
-    /// A node's process starts.
+    /// Starts a node's process if it is down.
     Restart(usize),
-    /// A node is asked to leave.
+    /// Asks a node to leave the group.
     Leave(usize),
 }
 
-/// All nodes, the network between them, and the oracle.
+/// The complete simulated system: all nodes, the network between them, and the oracle.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct World {
-    /// Settings of all replicas.
+    /// Settings that every replica is started with.
     pub settings: Settings,
-    /// Planted faults outside of the replicas.
+    /// Deliberate errors in the environment; none by default.
     pub planted: PlantedFaults,
-    /// The nodes.
+    /// Nodes by index, including those that are down.
     pub nodes: Vec<Node>,
-    /// Messages on their way.
+    /// Messages in flight, sorted by key.
     pub network: Vec<Envelope>,
-    /// Judges what is promised to clients.
+    /// Checks the promises made to clients against the committed history.
     pub oracle: Oracle,
-    /// Notices of all nodes since they were last taken; kept only if asked for.
+    /// Notices of all nodes, each with the node's index, until the caller takes them. `None`
+    /// disables the collection.
     pub notices: Option<Vec<(usize, Notice)>>,
-    /// The state that the founder begins with.
+    /// State that [`World::bootstrap`] gives to the first node.
     pub initial_state: History,
-    /// Most messages on their way; the oldest by key go first.
+    /// Maximum number of messages in flight; beyond it, those with the highest keys are dropped.
     pub network_limit: usize,
     seed: u64,
     next_identity: u64,
 }
 
 impl World {
-    /// `nodes` nodes that are down, with empty disks.
+    /// Creates a world of `nodes` nodes that are down and have empty disks.
     pub fn new(settings: Settings, nodes: usize, seed: u64) -> Self {
         let node = |index: usize| Node {
             address: format!("n{index}"),
@@ -141,7 +143,7 @@
         }
     }
 
-    /// The first node bootstraps the group; the others stay down.
+    /// Bootstraps the group on the first node; the others stay down.
     pub fn bootstrap(&mut self) {
         let me = self.new_member(0);
         let node = &mut self.nodes[0];
@@ -178,7 +180,7 @@
         self.collect(index);
     }
 
-    /// Starts a node's process on what its disk holds.
+    /// Starts a node's process from the contents of its disk; does nothing if it runs already.
     pub fn restart(&mut self, index: usize) {
         if self.nodes[index].replica.is_some() {
             return;
@@ -208,8 +210,7 @@
         }
     }
 
-    /// Ends a node's process. Of what waited for the disk, the first `synced_items` items are there all the
-    /// same.
+    /// Ends a node's process. The first `synced_items` of its pending writes still reach the disk.
     pub fn crash(&mut self, index: usize, synced_items: usize) {
         let node = &mut self.nodes[index];
         for _ in 0..synced_items {
@@ -219,16 +220,16 @@
         }
         node.pending.clear();
         node.replica = None;
-        self.oracle.forget(index);
+        self.oracle.discard_requests(index);
     }
 
-    /// Ends a node's process and loses its disk.
+    /// Ends a node's process and erases its disk.
     pub fn wipe(&mut self, index: usize) {
         self.crash(index, 0);
         self.nodes[index].disk.clear();
     }
 
-    /// Does one action; one that makes no sense does nothing.
+    /// Applies one action; an action that does not apply to the present state is ignored.
     pub fn act(&mut self, action: &Action) {
         match action {
             Action::Deliver(at) => {
@@ -263,7 +264,7 @@
         }
     }
 
-    /// A message arrives, if its receiver is up.
+    /// Delivers a message if its receiver is up; discards it otherwise.
     pub fn deliver(&mut self, envelope: Envelope) {
         let node = &mut self.nodes[envelope.to];
         let Some(replica) = &mut node.replica else {
@@ -273,7 +274,7 @@
         self.collect(envelope.to);
     }
 
-    /// The oldest item that waits at a node is synced.
+    /// Completes the oldest pending write of a node.
     pub fn sync(&mut self, index: usize) {
         let node = &mut self.nodes[index];
         let Some((write_id, item)) = node.pending.pop_front() else {
@@ -286,7 +287,7 @@
         self.collect(index);
     }
 
-    /// The oldest item that waits at a node can't be written, and none after it.
+    /// Fails the oldest pending write of a node and discards the later ones.
     pub fn fail_sync(&mut self, index: usize) {
         let node = &mut self.nodes[index];
         let Some((write_id, _)) = node.pending.pop_front() else {
@@ -299,7 +300,7 @@
         self.collect(index);
     }
 
-    /// A node's clock goes on to its next wake.
+    /// Advances a node's clock to its next wake time and ticks the node.
     pub fn tick_to_wake(&mut self, index: usize) {
         let node = &mut self.nodes[index];
         let Some(replica) = &mut node.replica else {
@@ -309,8 +310,8 @@
         self.tick(index);
     }
 
-    /// A node is ticked at its time. It must then have nothing left to do at that time: a process that
-    /// sleeps until [`Replica::next_wake`] would be woken over and over.
+    /// Ticks a node at its local time. Reports a violation if the next wake time is not later than
+    /// that: a process that sleeps until [`Replica::next_wake`] would wake up in a busy loop.
     pub fn tick(&mut self, index: usize) {
         let node = &mut self.nodes[index];
         let Some(replica) = &mut node.replica else {
@@ -328,7 +329,7 @@
         }
     }
 
-    /// A client proposes at a node.
+    /// Proposes a new change at a node on behalf of a client.
     pub fn propose(&mut self, index: usize) {
         let node = &mut self.nodes[index];
         let Some(replica) = &mut node.replica else {
@@ -341,7 +342,7 @@
         self.collect(index);
     }
 
-    /// A client asks a node for a confirmation.
+    /// Requests a confirmation from a node on behalf of a client.
     pub fn confirm(&mut self, index: usize) {
         let node = &mut self.nodes[index];
         let Some(replica) = &mut node.replica else {
@@ -353,7 +354,7 @@
         self.collect(index);
     }
 
-    /// A node is asked to leave.
+    /// Asks a node to leave the group.
     pub fn leave(&mut self, index: usize) {
         let node = &mut self.nodes[index];
         let Some(replica) = &mut node.replica else {
@@ -364,7 +365,7 @@
         self.collect(index);
     }
 
-    /// Takes the outputs of a replica.
+    /// Applies the outputs that a node's replica has produced.
     pub fn collect(&mut self, index: usize) {
         let Some(replica) = &mut self.nodes[index].replica else {
             return;
@@ -386,7 +387,7 @@
             }
             Output::Committed(position) => {
                 let history = self.history(index);
-                self.oracle.committed(index, position, &history);
+                self.oracle.on_committed(index, position, &history);
             }
             Output::Notice(notice) => {
                 if let Some(notices) = &mut self.notices {
@@ -420,12 +421,12 @@
             },
         );
         while self.network.len() > self.network_limit {
-            // Keys are as good as random.
+            // Keys are hashes, so this drops an effectively random message.
             self.network.pop();
         }
     }
 
-    /// The node that serves as primary; of several, the one of the highest epoch.
+    /// Returns the node that serves as primary; if several do, the one with the highest epoch.
     pub fn serving_node(&self) -> Option<usize> {
         let serves = |index: &usize| {
             self.nodes[*index]
@@ -441,8 +442,8 @@
 impl Node {
     fn write(&mut self, item: DurableItem) {
         if matches!(item, DurableItem::Snapshot(_)) {
-            // What is before a snapshot is not needed; the check of identity and order is kept by the
-            // last item.
+            // Items before a snapshot are not needed for recovery; the check of identity and order
+            // is kept by the last item.
             if let Some(last) = self
                 .disk
                 .iter()
--- a/decide/replication/src/model/oracle.rs
+++ b/decide/replication/src/model/oracle.rs
@@ -1,13 +1,13 @@
-//! What clients were promised, and whether it is true of what is committed.
+//! An oracle that compares the results reported to clients with the committed history.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::*;
 
-/// The replicated state of the model: all changes, in order.
+/// Replicated state of the model: all changes, in order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct History {
-    /// Numbers of the changes.
+    /// Change numbers in the order of application.
     pub changes: Vec<u64>,
 }
 
@@ -39,56 +39,57 @@
     }
 }
 
-/// The request of a client.
+/// A client request whose outcome the oracle checks.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ClientRequest {
-    /// This change.
+    /// A proposal of the change with this number.
     Change(u64),
-    /// A state that holds at least as many changes.
+    /// A confirmation, which must cover at least this many changes.
     AtLeast(usize),
 }
 
-/// What was requested, acknowledged and committed.
+/// Record of what clients requested and what nodes reported, with the first violation found.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Oracle {
-    /// The longest history that any node has called committed.
+    /// Longest history that any node has reported as committed.
     pub committed: Vec<u64>,
-    /// Its position.
+    /// Position of the longest committed history.
     pub position: Position,
-    /// Changes that were acknowledged.
+    /// Changes that clients were told are committed.
     pub acknowledged: BTreeSet<u64>,
     /// Changes that clients were told will never be committed.
     pub rejected: BTreeSet<u64>,
-    /// Number of confirmations.
+    /// Number of confirmations that clients received.
     pub confirmed: u64,
-    /// The first promise that was broken.
+    /// Description of the first violation; `None` if there was none.
     pub violation: Option<String>,
     requests: BTreeMap<(usize, RequestId), ClientRequest>,
     last_change: u64,
 }
 
 impl Oracle {
-    /// A change that no other client has.
+    /// Returns a change number that was not used before.
     pub fn next_change(&mut self) -> u64 {
         self.last_change += 1;
         self.last_change
     }
 
-    pub(super) fn report_violation(&mut self, what: String) {
-        self.violation.get_or_insert(what);
+    pub(super) fn report_violation(&mut self, description: String) {
+        self.violation.get_or_insert(description);
     }
 
     pub(super) fn on_request(&mut self, node: usize, request: RequestId, expected: ClientRequest) {
         self.requests.insert((node, request), expected);
     }
 
-    /// A process has ended: its requests will never be completed.
-    pub(super) fn forget(&mut self, node: usize) {
-        self.requests.retain(|(of, _), _| *of != node);
+    /// Discards the requests of a node whose process has ended, as they will never be completed.
+    pub(super) fn discard_requests(&mut self, node: usize) {
+        self.requests
+            .retain(|(requested_at, _), _| *requested_at != node);
     }
 
-    /// A node reports a history as committed.
-    pub(super) fn committed(&mut self, node: usize, position: Position, history: &[u64]) {
+    /// Checks a history that a node reports as committed against the longest known one.
+    pub(super) fn on_committed(&mut self, node: usize, position: Position, history: &[u64]) {
         let longest = &self.committed;
         let extends = history.len() >= longest.len() && history.starts_with(longest);
         if position >= self.position {
@@ -121,7 +122,7 @@
         }
     }
 
-    /// A request was completed.
+    /// Checks the outcome of a completed request.
     pub(super) fn on_completed(
         &mut self,
         node: usize,
@@ -129,7 +130,7 @@
         outcome: &Outcome,
         history: Vec<u64>,
     ) {
-        // Requests of a process that has ended are forgotten.
+        // The requests of a process that has ended were discarded.
         let Some(expected) = self.requests.remove(&(node, request)) else {
             return;
         };
--- a/decide/replication/src/model/timed.rs
+++ b/decide/replication/src/model/timed.rs
@@ -1,5 +1,5 @@
-//! The world in one virtual time: messages and disks take as long as a script or a seed says, nodes
-//! freeze and lose each other.
+//! A [`World`] on one virtual clock. A script or a seed sets the delays of messages and writes;
+//! nodes can be frozen and partitioned.
 
 use std::collections::BTreeMap;
 
@@ -7,25 +7,25 @@
 use super::{Envelope, World};
 use crate::*;
 
-/// An event that is due at a time.
+/// An event that is scheduled for a time.
 #[derive(Clone, Debug)]
 enum Event {
     Deliver(Envelope),
     Sync { node: usize, incarnation: u32 },
 }
 
-/// The behaviour of the network and the disks.
+/// Delays and fault rates of the network and the disks.
 #[derive(Clone, Copy, Debug)]
 pub struct NetworkConditions {
-    /// Least time of a message, in microseconds.
+    /// Minimum delay of a message, in microseconds.
     pub latency: u64,
-    /// Most time beside it.
+    /// Maximum additional delay of a message, in microseconds; ten times as much for an extra copy.
     pub jitter: u64,
-    /// One message in so many is lost; 0 is none.
+    /// Loses one message in this many; 0 disables loss.
     pub loss: u64,
-    /// One message in so many arrives twice; 0 is none.
+    /// Delivers one message in this many twice; 0 disables repetition.
     pub repeat: u64,
-    /// Time of a write, in microseconds.
+    /// Minimum duration of a write, in microseconds; the maximum is twice as long.
     pub sync: u64,
 }
 
@@ -41,18 +41,18 @@
     }
 }
 
-/// A world in one virtual time.
+/// A world in which all nodes share one virtual clock.
 #[derive(Clone, Debug)]
 pub struct TimedWorld {
-    /// The world.
+    /// The nodes, their network and the oracle.
     pub world: World,
-    /// How messages and disks behave.
+    /// Delays and fault rates; may be changed during a run.
     pub conditions: NetworkConditions,
-    /// The time.
+    /// Current virtual time.
     pub now: Time,
-    /// Random numbers.
+    /// Source of the random delays and faults.
     pub rng: SeededRng,
-    /// Number of messages that were delivered.
+    /// Number of messages delivered so far, including those to nodes that are down.
     pub delivered: u64,
     queue: BTreeMap<(Time, u64), Event>,
     sequence: u64,
@@ -63,7 +63,7 @@
 }
 
 impl TimedWorld {
-    /// `nodes` nodes that are down, with empty disks.
+    /// Creates a world of `nodes` nodes that are down and have empty disks.
     pub fn new(settings: Settings, nodes: usize, seed: u64) -> Self {
         let mut world = World::new(settings, nodes, seed);
         world.notices = Some(Vec::new());
@@ -82,10 +82,10 @@
         }
     }
 
-    /// A group of so many voters that serves; other nodes are down.
+    /// Creates a world with a serving group of `voters` voters; the other nodes are down.
     ///
     /// # Panics
-    /// If the group isn't formed within 30 s.
+    /// Panics if the group is not formed within 30 s of virtual time.
     pub fn with_group(settings: Settings, voters: usize, nodes: usize, seed: u64) -> Self {
         let mut timed = Self::new(settings, nodes, seed);
         timed.call(0, World::bootstrap);
@@ -100,8 +100,8 @@
         timed
     }
 
-    /// Whether a primary serves whose membership has just so many voters, no change in progress and
-    /// all of them up.
+    /// Whether a primary serves, its membership has exactly `voters` voters, all of them are up,
+    /// and no change is in progress.
     pub fn is_complete(&self, voters: usize) -> bool {
         let Some(index) = self.world.serving_node() else {
             return false;
@@ -118,49 +118,48 @@
         membership.voters.len() == voters && !membership.is_joint() && replica.is_idle() && all_up
     }
 
-    /// Starts a node's process.
+    /// Starts a node's process if it is down.
     pub fn restart(&mut self, index: usize) {
         self.call(index, |world| world.restart(index));
     }
 
-    /// Ends a node's process; some of what waited for its disk is there all the same.
+    /// Ends a node's process; a random number of its pending writes still reach the disk.
     pub fn crash(&mut self, index: usize) {
         let waiting = self.world.nodes[index].pending.len();
         let synced_items = self.rng.index(waiting + 1);
         self.crash_keeping(index, synced_items);
     }
 
-    /// Ends a node's process; just so many of the items that waited for its disk are there all the
-    /// same.
+    /// Ends a node's process; exactly `synced_items` of its pending writes still reach the disk.
     pub fn crash_keeping(&mut self, index: usize, synced_items: usize) {
         self.world.crash(index, synced_items);
         self.syncing[index] = false;
         self.frozen_until[index] = Time(0);
     }
 
-    /// Ends a node's process and loses its disk.
+    /// Ends a node's process and erases its disk.
     pub fn wipe(&mut self, index: usize) {
         self.world.wipe(index);
         self.syncing[index] = false;
         self.frozen_until[index] = Time(0);
     }
 
-    /// A node's process stands still for so long.
+    /// Freezes a node's process for `micros` microseconds.
     pub fn freeze(&mut self, index: usize, micros: u64) {
         self.frozen_until[index] = self.now.after(micros);
     }
 
-    /// A node's disk syncs nothing for so long.
+    /// Blocks the writes to a node's disk for `micros` microseconds.
     pub fn stall_disk(&mut self, index: usize, micros: u64) {
         self.stalled_until[index] = self.now.after(micros);
     }
 
-    /// What `from` sends doesn't reach `to`.
+    /// Drops messages from `from` to `to` until [`Self::heal`] is called.
     pub fn block_link(&mut self, from: usize, to: usize) {
         self.blocked[from][to] = true;
     }
 
-    /// A node and all others don't reach each other.
+    /// Blocks the links between a node and all others in both directions.
     pub fn isolate(&mut self, index: usize) {
         for other in 0..self.blocked.len() {
             self.block_link(index, other);
@@ -177,24 +176,25 @@
         self.stalled_until.fill(Time(0));
     }
 
-    /// Calls into the world on behalf of a node, at the present time.
+    /// Runs `action` with the node's clock set to the current time, and schedules what it causes.
     pub fn call(&mut self, index: usize, action: impl FnOnce(&mut World)) {
         self.world.nodes[index].clock = self.now;
         action(&mut self.world);
         self.schedule();
     }
 
-    /// Time passes.
+    /// Runs all events of the next `micros` microseconds.
     pub fn run_for(&mut self, micros: u64) {
         let end = self.now.after(micros);
         while self.step(end) {}
         self.now = end;
     }
 
-    /// Time passes until something is so, at most `micros`; how long that took.
-    pub fn run_until(&mut self, micros: u64, is_so: impl Fn(&Self) -> bool) -> Option<u64> {
+    /// Runs until `condition` holds and returns the elapsed microseconds; returns `None` if it does
+    /// not hold within `micros`.
+    pub fn run_until(&mut self, micros: u64, condition: impl Fn(&Self) -> bool) -> Option<u64> {
         let (begin, end) = (self.now, self.now.after(micros));
-        while !is_so(self) {
+        while !condition(self) {
             if !self.step(end) {
                 return None;
             }
@@ -202,8 +202,8 @@
         Some(self.now.since(begin))
     }
 
-    /// A client proposes at the node that serves, every 20 ms, until a change is acknowledged; how long
-    /// that took.
+    /// Proposes a change at the serving node every 20 ms until one is acknowledged. Returns the
+    /// elapsed microseconds, or `None` if that takes longer than `micros`.
     pub fn commit_within(&mut self, micros: u64) -> Option<u64> {
         let (begin, end) = (self.now, self.now.after(micros));
         let before = self.world.oracle.acknowledged.len();
@@ -223,7 +223,7 @@
         None
     }
 
-    /// Does the next thing that happens before `end`; whether there was one.
+    /// Runs the next event or tick that is due by `end`; returns whether there was one.
     fn step(&mut self, end: Time) -> bool {
         let event = self.queue.first_key_value().map(|(key, _)| *key);
         let wake = self.next_wake();
@@ -289,7 +289,7 @@
         self.queue.insert((at, self.sequence), event);
     }
 
-    /// Schedules the messages that were sent and the writes that are pending.
+    /// Schedules the delivery of sent messages and the completion of pending writes.
     fn schedule(&mut self) {
         let conditions = self.conditions;
         for envelope in std::mem::take(&mut self.world.network) {
--- a/decide/replication/src/model/walk.rs
+++ b/decide/replication/src/model/walk.rs
@@ -1,30 +1,30 @@
-//! Random walks over all orders of events, without a common time.
+//! Random walks over the possible orders of events, without a common clock.
 
 use super::{Action, World};
 
-/// The course of a walk.
+/// Parameters of a random walk.
 #[derive(Clone, Copy, Debug)]
 pub struct Walk {
-    /// Seed of the walk.
+    /// Seed of all random choices of the walk.
     pub seed: u64,
-    /// Voters at its beginning, 3 to 6.
+    /// Number of voters at the beginning, 3 to 6.
     pub voters: usize,
-    /// Nodes beside them, that ask to join when they are started.
+    /// Number of further nodes, which ask to join when they are started.
     pub spares: usize,
-    /// Actions.
+    /// Number of random steps.
     pub steps: usize,
-    /// Whether disks are lost.
+    /// Whether disks may be erased.
     pub has_wipes: bool,
-    /// Whether nodes leave.
+    /// Whether nodes may be asked to leave.
     pub has_departures: bool,
 }
 
-/// A small generator of random numbers (splitmix64).
+/// A deterministic random number generator (splitmix64).
 #[derive(Clone, Copy, Debug)]
 pub struct SeededRng(pub u64);
 
 impl SeededRng {
-    /// A number below `limit`.
+    /// Returns a number below `limit`; 0 if `limit` is 0.
     pub fn below(&mut self, limit: u64) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.0;
@@ -33,22 +33,22 @@
         (mixed ^ (mixed >> 31)) % limit.max(1)
     }
 
-    /// An index below `limit`.
+    /// Returns an index below `limit`; 0 if `limit` is 0.
     pub fn index(&mut self, limit: usize) -> usize {
         self.below(limit as u64) as usize
     }
 
-    /// Whether one of `among` comes up.
+    /// Returns true with a probability of one in `among`.
     pub fn one_in(&mut self, among: u64) -> bool {
         self.below(among) == 0
     }
 }
 
-/// Runs the world without faults, each node's clock in step, until `voters` nodes are the voters
-/// and one of them serves.
+/// Runs the world without faults, with all clocks advancing equally, until the group has `voters`
+/// voters and one of them serves.
 ///
 /// # Panics
-/// If that takes more than 60 s of their time.
+/// Panics if that takes more than 60 s on the nodes' clocks.
 pub fn form_group(world: &mut World, voters: usize) {
     world.bootstrap();
     for index in 1..voters {
@@ -71,7 +71,8 @@
     panic!("{voters} voters do not come together within 60 s");
 }
 
-/// All clocks go on by so many microseconds, and everything that is on its way arrives.
+/// Advances all clocks by `micros` microseconds, ticks the nodes that are due, and completes all
+/// deliveries and writes.
 pub fn step_without_faults(world: &mut World, micros: u64) {
     for index in 0..world.nodes.len() {
         let node = &mut world.nodes[index];
@@ -88,7 +89,7 @@
     deliver_everything(world);
 }
 
-/// Everything that is on its way to a disk or a node arrives.
+/// Completes pending writes and delivers messages until none are left, in at most 10,000 steps.
 pub fn deliver_everything(world: &mut World) {
     for _ in 0..10_000 {
         let Some(index) = world.nodes.iter().position(|node| !node.pending.is_empty()) else {
@@ -102,9 +103,10 @@
     }
 }
 
-/// The chances of a walk, drawn from its seed, so that some walks are calm and some are not.
+/// Relative frequencies of actions and faults in a walk, drawn from its seed so that walks differ
+/// in how many faults they have.
 #[derive(Clone, Copy, Debug)]
-struct Chances {
+struct WalkProfile {
     drop: u64,
     repeat: u64,
     tick: u64,
@@ -112,13 +114,13 @@
     client: u64,
     fault: u64,
     deliver: u64,
-    /// Steps between two changes of who is reached.
+    /// Number of steps between two changes of the nodes' reachability.
     phase: usize,
-    /// Nodes out of 8 that are cut off or frozen in a phase.
+    /// Chance, out of 8, that a node is partitioned or frozen in a phase.
     separated: u64,
 }
 
-impl Chances {
+impl WalkProfile {
     fn random(rng: &mut SeededRng) -> Self {
         Self {
             drop: [0, 1, 4, 10][rng.index(4)],
@@ -134,43 +136,43 @@
     }
 }
 
-/// How a node is reached in a phase of a walk.
+/// Reachability of a node during a phase of a walk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Reach {
-    /// As usual.
+enum Reachability {
+    /// The node runs and exchanges messages.
     Connected,
-    /// Its process runs; what it sends and is sent waits.
+    /// The process runs, but messages to and from it wait in the network.
     Partitioned,
-    /// Its process stands still; clients' calls reach it when the phase ends.
+    /// The process is suspended; client requests reachability it when the phase ends.
     Frozen,
 }
 
-/// The state of a walk beside the world.
+/// State of a walk apart from the world.
 struct WalkState {
     walk: Walk,
-    chances: Chances,
+    profile: WalkProfile,
     rng: SeededRng,
-    reach: Vec<Reach>,
+    reachability: Vec<Reachability>,
 }
 
-/// One walk; the world at its end. Stops at the first violation.
+/// Runs one walk and returns the final world. Stops at the first violation.
 pub fn walk(mut world: World, walk: Walk) -> World {
     let mut rng = SeededRng(walk.seed);
     world.network_limit = 64;
     form_group(&mut world, walk.voters);
-    let chances = Chances::random(&mut rng);
-    let reach = vec![Reach::Connected; world.nodes.len()];
+    let profile = WalkProfile::random(&mut rng);
+    let reachability = vec![Reachability::Connected; world.nodes.len()];
     let mut state = WalkState {
         walk,
-        chances,
+        profile,
         rng,
-        reach,
+        reachability,
     };
     for step in 0..walk.steps {
         if world.oracle.violation.is_some() {
             break;
         }
-        if step % state.chances.phase == 0 {
+        if step % state.profile.phase == 0 {
             state.next_phase(&mut world);
         }
         state.step(&mut world);
@@ -180,16 +182,17 @@
 
 impl WalkState {
     fn next_phase(&mut self, world: &mut World) {
-        for index in 0..self.reach.len() {
-            let was_frozen = self.reach[index] == Reach::Frozen;
-            let separated = self.rng.below(8) < self.chances.separated;
-            self.reach[index] = match (separated, self.rng.one_in(2)) {
-                (false, _) => Reach::Connected,
-                (true, true) => Reach::Partitioned,
-                (true, false) => Reach::Frozen,
+        for index in 0..self.reachability.len() {
+            let was_frozen = self.reachability[index] == Reachability::Frozen;
+            let separated = self.rng.below(8) < self.profile.separated;
+            self.reachability[index] = match (separated, self.rng.one_in(2)) {
+                (false, _) => Reachability::Connected,
+                (true, true) => Reachability::Partitioned,
+                (true, false) => Reachability::Frozen,
             };
             if was_frozen {
-                // The clock went on; what comes first may be a call.
+                // The clock advanced during the freeze, and a client request may be the first event
+                // after it.
                 world.act(&Action::Elapse(index, self.rng.below(2_000_000)));
                 if self.rng.one_in(2) {
                     world.act(&Action::Confirm(index));
@@ -200,36 +203,37 @@
 
     fn step(&mut self, world: &mut World) {
         let node = self.rng.index(world.nodes.len());
-        let runs = self.reach[node] != Reach::Frozen;
-        let chances = self.chances;
+        let is_running = self.reachability[node] != Reachability::Frozen;
+        let profile = self.profile;
         let table = [
-            chances.tick,
-            chances.sync,
-            chances.client,
-            chances.fault,
-            chances.drop,
-            chances.repeat,
+            profile.tick,
+            profile.sync,
+            profile.client,
+            profile.fault,
+            profile.drop,
+            profile.repeat,
         ];
-        let mut roll = self.rng.below(table.iter().sum::<u64>() + chances.deliver);
+        let mut roll = self.rng.below(table.iter().sum::<u64>() + profile.deliver);
         let mut choice = 0;
         while choice < table.len() && roll >= table[choice] {
             roll -= table[choice];
             choice += 1;
         }
         match choice {
-            0 if runs => world.act(&Action::Tick(node)),
-            1 if runs => world.act(&Action::Sync(node)),
-            2 => self.client(world, node),
-            3 => self.fault(world, node),
+            0 if is_running => world.act(&Action::Tick(node)),
+            1 if is_running => world.act(&Action::Sync(node)),
+            2 => self.send_request(world, node),
+            3 => self.inject_fault(world, node),
             4 => world.act(&Action::Drop(self.rng.index(world.network.len()))),
-            5 => self.message(world, true),
-            _ => self.message(world, false),
+            5 => self.deliver_message(world, true),
+            _ => self.deliver_message(world, false),
         }
     }
 
-    /// One message arrives whose ends are both reached.
-    fn message(&mut self, world: &mut World, again: bool) {
-        let is_connected = |index: usize| self.reach[index] == Reach::Connected;
+    /// Delivers a random message between two connected nodes. If there is none, completes a pending
+    /// write instead.
+    fn deliver_message(&mut self, world: &mut World, is_repeated: bool) {
+        let is_connected = |index: usize| self.reachability[index] == Reachability::Connected;
         let open = world.network.iter().enumerate();
         let open =
             open.filter(|(_, envelope)| is_connected(envelope.from) && is_connected(envelope.to));
@@ -240,24 +244,25 @@
                 .nodes
                 .iter()
                 .position(waits)
-                .filter(|at| self.reach[*at] != Reach::Frozen)
+                .filter(|at| self.reachability[*at] != Reachability::Frozen)
             {
                 world.act(&Action::Sync(node));
             }
             return;
         }
         let at = open[self.rng.index(open.len())];
-        world.act(&if again {
+        world.act(&if is_repeated {
             Action::Repeat(at)
         } else {
             Action::Deliver(at)
         });
     }
 
-    fn client(&mut self, world: &mut World, node: usize) {
+    fn send_request(&mut self, world: &mut World, node: usize) {
         let serves = |world: &World, at: usize| {
             let replica = world.nodes[at].replica.as_ref();
-            self.reach[at] != Reach::Frozen && replica.is_some_and(|replica| replica.is_serving())
+            self.reachability[at] != Reachability::Frozen
+                && replica.is_some_and(|replica| replica.is_serving())
         };
         let serving: Vec<usize> = (0..world.nodes.len())
             .filter(|at| serves(world, *at))
@@ -268,7 +273,7 @@
         } else {
             serving[self.rng.index(serving.len())]
         };
-        if self.reach[node] == Reach::Frozen {
+        if self.reachability[node] == Reachability::Frozen {
             return;
         }
         world.act(&if self.rng.one_in(2) {
@@ -278,7 +283,7 @@
         });
     }
 
-    fn fault(&mut self, world: &mut World, node: usize) {
+    fn inject_fault(&mut self, world: &mut World, node: usize) {
         if world.nodes[node].replica.is_none() {
             return world.act(&Action::Restart(node));
         }
